--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -16,15 +16,18 @@
     loop {
         line.clear();
         number += 1;
-        let read =
-            input.read_until(b'\n', &mut line).map_err(|e| Fault::at(number, format!("cannot read: {e}")))?;
+        let read = input
+            .read_until(b'\n', &mut line)
+            .map_err(|e| Fault::at(number, format!("cannot read: {e}")))?;
         if read == 0 {
             return desk.closed().map_err(|f| Fault::at(number, f));
         }
         let text = std::str::from_utf8(&line).map_err(|_| Fault::at(number, "not UTF-8".into()))?;
         let text = text.trim_end_matches(['\n', '\r']);
         if let Some(reply) = desk.line(text).map_err(|f| Fault::at(number, f))? {
-            let sent = output.write_all(reply.as_bytes()).and_then(|()| output.flush());
+            let sent = output
+                .write_all(reply.as_bytes())
+                .and_then(|()| output.flush());
             if sent.is_err() {
                 return Ok(()); // nobody reads any more
             }
--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -12,7 +12,9 @@
     pub fn read(text: &'a str) -> Result<Self, String> {
         let mut pairs = BTreeMap::new();
         for pair in text.split(' ').filter(|p| !p.is_empty()) {
-            let (path, value) = pair.split_once('=').ok_or(format!("setting without '=': {pair}"))?;
+            let (path, value) = pair
+                .split_once('=')
+                .ok_or(format!("setting without '=': {pair}"))?;
             pairs.insert(path, value);
         }
         Ok(Pairs(pairs))
@@ -26,12 +28,18 @@
     pub fn get<T: FromStr>(&self, path: &str) -> Result<Option<T>, String> {
         match self.0.get(path).copied() {
             None | Some("" | "-") => Ok(None),
-            Some(v) => v.parse().map(Some).map_err(|_| format!("setting {path} has a bad value: {v}")),
+            Some(v) => v
+                .parse()
+                .map(Some)
+                .map_err(|_| format!("setting {path} has a bad value: {v}")),
         }
     }
 
     pub fn number(&self, path: &str) -> Result<f64, String> {
-        Ok(self.get::<f64>(path)?.filter(|n| n.is_finite()).unwrap_or(0.0))
+        Ok(self
+            .get::<f64>(path)?
+            .filter(|n| n.is_finite())
+            .unwrap_or(0.0))
     }
 
     pub fn time(&self, path: &str) -> Result<Duration, String> {
@@ -68,7 +76,10 @@
             };
             let repeat = match p.word(&at("idempotency")) {
                 "free" => Repeat::Repeatable,
-                "guarded" => Repeat::Keyed { group, remembered: p.time(&at("dedup-window-ms"))? },
+                "guarded" => Repeat::Keyed {
+                    group,
+                    remembered: p.time(&at("dedup-window-ms"))?,
+                },
                 _ => Repeat::Unrepeatable,
             };
             Ok(StreamType {
@@ -140,7 +151,9 @@
 
 /// The rule asks nothing where its settings are absent.
 pub fn leg_budget(p: &Pairs) -> Result<Option<LegBudget>, String> {
-    let Some(share) = p.get::<f64>("rules.further-ratio")? else { return Ok(None) };
+    let Some(share) = p.get::<f64>("rules.further-ratio")? else {
+        return Ok(None);
+    };
     Ok(Some(LegBudget {
         floor: p.number("rules.extra-floor")?,
         share,
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -63,23 +63,34 @@
 
 impl<'a> Values<'a> {
     fn word(&mut self, what: &str) -> Result<&'a str, String> {
-        self.parts.next().filter(|w| !w.is_empty()).ok_or(format!("{} lacks {what}", self.name))
+        self.parts
+            .next()
+            .filter(|w| !w.is_empty())
+            .ok_or(format!("{} lacks {what}", self.name))
     }
 
     fn maybe<T: FromStr>(&mut self, what: &str) -> Result<Option<T>, String> {
         match self.word(what)? {
             "-" => Ok(None),
-            w => w.parse().map(Some).map_err(|_| format!("{} has a bad {what}: {w}", self.name)),
+            w => w
+                .parse()
+                .map(Some)
+                .map_err(|_| format!("{} has a bad {what}: {w}", self.name)),
         }
     }
 
     fn must<T: FromStr>(&mut self, what: &str) -> Result<T, String> {
-        self.maybe(what)?.ok_or(format!("{} lacks {what}", self.name))
+        self.maybe(what)?
+            .ok_or(format!("{} lacks {what}", self.name))
     }
 
     /// A size or span: absent, infinite or negative figures count as nothing.
     fn number(&mut self, what: &str) -> Result<f64, String> {
-        Ok(self.maybe::<f64>(what)?.filter(|n| n.is_finite()).unwrap_or(0.0).max(0.0))
+        Ok(self
+            .maybe::<f64>(what)?
+            .filter(|n| n.is_finite())
+            .unwrap_or(0.0)
+            .max(0.0))
     }
 
     fn time(&mut self, what: &str) -> Result<Duration, String> {
@@ -105,13 +116,18 @@
 
     fn xfer(&mut self) -> Result<XferId, String> {
         let w = self.word("rid")?;
-        w.as_bytes().try_into().map(XferId).map_err(|_| format!("{} has a bad rid: {w}", self.name))
+        w.as_bytes()
+            .try_into()
+            .map(XferId)
+            .map_err(|_| format!("{} has a bad rid: {w}", self.name))
     }
 
     fn bytes(&mut self, what: &str) -> Result<Vec<u8>, String> {
         match self.word(what)? {
             "-" => Ok(Vec::new()),
-            w => STANDARD.decode(w).map_err(|_| format!("{} has a bad {what}", self.name)),
+            w => STANDARD
+                .decode(w)
+                .map_err(|_| format!("{} has a bad {what}", self.name)),
         }
     }
 
@@ -159,12 +175,18 @@
 
     /// Takes one line; the last of a batch brings the reply.
     pub fn line(&mut self, text: &str) -> Result<Option<String>, String> {
-        let mut v = Values { parts: text.split(' '), name: "" };
+        let mut v = Values {
+            parts: text.split(' '),
+            name: "",
+        };
         let name = v.parts.next().unwrap_or("");
         v.name = name;
         if let Some(listing) = &mut self.listing {
             if name != "ENTRY" {
-                return Err(format!("expected {} more ENTRY lines, found {name}", listing.left));
+                return Err(format!(
+                    "expected {} more ENTRY lines, found {name}",
+                    listing.left
+                ));
             }
             listing.entries.push(entry(&mut v)?);
             listing.left -= 1;
@@ -188,7 +210,9 @@
             ("DETACH", true) => {
                 let host = v.word("host")?;
                 v.end()?;
-                self.hosts.remove(host).ok_or(format!("DETACH for unknown host {host}"))?;
+                self.hosts
+                    .remove(host)
+                    .ok_or(format!("DETACH for unknown host {host}"))?;
             }
             ("SYNC", true) => {
                 let host = v.word("host")?.to_string();
@@ -205,7 +229,12 @@
                 v.maybe::<i64>("revision")?;
                 let left = v.maybe("items")?.unwrap_or(0);
                 v.end()?;
-                self.listing = Some(Listing { host, kind, left, entries: Vec::new() });
+                self.listing = Some(Listing {
+                    host,
+                    kind,
+                    left,
+                    entries: Vec::new(),
+                });
                 self.listed()?;
             }
             _ => self.event(name, &mut v)?,
@@ -215,21 +244,39 @@
 
     fn create(&mut self, text: &str) -> Result<(), String> {
         let mut parts = text.splitn(4, ' ').skip(1);
-        let host = parts.next().filter(|h| !h.is_empty()).ok_or("CREATE lacks host")?;
+        let host = parts
+            .next()
+            .filter(|h| !h.is_empty())
+            .ok_or("CREATE lacks host")?;
         let seed = parts.next().ok_or("CREATE lacks nonce64")?;
-        let seed = seed.parse::<u64>().or_else(|_| seed.parse::<i64>().map(|s| s as u64));
+        let seed = seed
+            .parse::<u64>()
+            .or_else(|_| seed.parse::<i64>().map(|s| s as u64));
         let seed = seed.map_err(|_| "CREATE has a bad nonce64")?;
         let p = Pairs::read(parts.next().unwrap_or(""))?;
         let (streams, plans) = (settings::streams(&p)?, settings::plans(&p)?);
         let counts = (streams.len(), plans.len());
-        let control = Control::new(seed, streams, plans, settings::units(&p)?, settings::caps(&p)?).under(
+        let control = Control::new(
+            seed,
+            streams,
+            plans,
+            settings::units(&p)?,
+            settings::caps(&p)?,
+        )
+        .under(
             settings::cold(&p)?,
             settings::list(&p)?,
             settings::leg_budget(&p)?,
             settings::key_rest(&p)?,
         );
         let busy = settings::report_place(&p, "utilization");
-        let host_new = Host { control, streams: counts.0, plans: counts.1, busy, events: Vec::new() };
+        let host_new = Host {
+            control,
+            streams: counts.0,
+            plans: counts.1,
+            busy,
+            events: Vec::new(),
+        };
         self.hosts.insert(host.to_string(), host_new);
         Ok(())
     }
@@ -237,22 +284,41 @@
     fn listed(&mut self) -> Result<(), String> {
         if let Some(l) = self.listing.take_if(|l| l.left == 0) {
             let host = self.hosts.get_mut(&l.host).ok_or("SYNC for unknown host")?;
-            host.events.push(Event::List { kind: l.kind, entries: l.entries });
+            host.events.push(Event::List {
+                kind: l.kind,
+                entries: l.entries,
+            });
         }
         Ok(())
     }
 
     fn event(&mut self, name: &str, v: &mut Values) -> Result<(), String> {
-        if !["KNOCK", "ACK_FIRST", "REPLY", "ABORTED", "WAKEUP", "CHECKED", "PEER"].contains(&name) {
+        if ![
+            "KNOCK",
+            "ACK_FIRST",
+            "REPLY",
+            "ABORTED",
+            "WAKEUP",
+            "CHECKED",
+            "PEER",
+        ]
+        .contains(&name)
+        {
             return Err(format!("unknown message {name}"));
         }
         let id = v.word("host")?;
-        let host = self.hosts.get_mut(id).ok_or(format!("{name} for unknown host {id}"))?;
+        let host = self
+            .hosts
+            .get_mut(id)
+            .ok_or(format!("{name} for unknown host {id}"))?;
         let event = match name {
             "KNOCK" => {
                 let id = v.xfer()?;
                 let units = v.number("units")?.min(MOST_UNITS);
-                let cell = v.maybe::<i64>("slot-no")?.and_then(|c| u32::try_from(c).ok()).map(CellId);
+                let cell = v
+                    .maybe::<i64>("slot-no")?
+                    .and_then(|c| u32::try_from(c).ok())
+                    .map(CellId);
                 let stream_type = StreamTypeId(v.must("cls")?);
                 let plan = PlanId(v.must("policy-no")?);
                 if stream_type.0 >= host.streams || plan.0 >= host.plans {
@@ -263,7 +329,17 @@
                 let key = v.hex("region")?.map(KeyId);
                 let expiry = v.time("expires-ms")?;
                 let volume = VolumeId(v.hex("volume")?.unwrap_or(0));
-                Event::Taken(Transfer { id, units, cell, stream_type, plan, hosts, key, expiry, volume })
+                Event::Taken(Transfer {
+                    id,
+                    units,
+                    cell,
+                    stream_type,
+                    plan,
+                    hosts,
+                    key,
+                    expiry,
+                    volume,
+                })
             }
             "ACK_FIRST" => {
                 let (id, leg) = (v.xfer()?, v.must("leg")?);
@@ -278,7 +354,10 @@
                 end: leg_end(v.must("result")?)?,
                 elapsed: v.time("elapsed-ms")?,
                 over: v.yes("finished")?,
-                reported: v.maybe::<u64>("metered")?.filter(|m| *m > 0).map(|m| (m - 1) as f64),
+                reported: v
+                    .maybe::<u64>("metered")?
+                    .filter(|m| *m > 0)
+                    .map(|m| (m - 1) as f64),
                 others: v.number("others-got")?,
                 busy: host
                     .busy
@@ -286,7 +365,9 @@
                     .transpose()?,
             },
             "ABORTED" => Event::Withdrawn { id: v.xfer()? },
-            "WAKEUP" => Event::Timer { tag: TimerTag(v.must("tag")?) },
+            "WAKEUP" => Event::Timer {
+                tag: TimerTag(v.must("tag")?),
+            },
             "CHECKED" => {
                 let node = NodeId(v.must("brick")?);
                 v.time("elapsed-ms")?;
@@ -294,7 +375,10 @@
                 v.report()?;
                 Event::Probed { node, end }
             }
-            _ => Event::Told { from: PeerId(v.must("sender")?), bytes: v.bytes("contents")? },
+            _ => Event::Told {
+                from: PeerId(v.must("sender")?),
+                bytes: v.bytes("contents")?,
+            },
         };
         if let ("REPLY", None) = (name, host.busy) {
             v.report()?;
@@ -349,7 +433,9 @@
 fn write_action(to: &mut String, host: &str, action: &Action) {
     let text = |id: &XferId| String::from_utf8_lossy(&id.0).into_owned();
     let _ = match action {
-        Action::Send { id, node, until } => writeln!(to, "TRY {host} {} {} {}", text(id), node.0, ms(*until)),
+        Action::Send { id, node, until } => {
+            writeln!(to, "TRY {host} {} {} {}", text(id), node.0, ms(*until))
+        }
         Action::Defer { id, come_back } => {
             let wait = come_back.map_or("-".into(), ms);
             writeln!(to, "REFUSE {host} {} {wait}", text(id))
@@ -363,7 +449,11 @@
             let dest = peer.map_or(-1, |p| i64::from(p.0));
             writeln!(to, "BROADCAST_TO {host} {dest} {}", STANDARD.encode(bytes))
         }
-        Action::Log { text } => writeln!(to, "JOURNAL_LINE {host} {}", text.replace(['\n', '\r'], " ")),
+        Action::Log { text } => writeln!(
+            to,
+            "JOURNAL_LINE {host} {}",
+            text.replace(['\n', '\r'], " ")
+        ),
         Action::Watch { on } => writeln!(to, "SUBSCRIBE {host} {}", u8::from(*on)),
         Action::FetchList => writeln!(to, "LIST_ALL {host}"),
     };
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -11,7 +11,11 @@
         .spawn()
         .expect("the adapter starts");
     // The adapter may stop reading early, which is what some cases are about.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
+    let _ = child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes());
     let out = child.wait_with_output().expect("the adapter ends");
     let text = |b: Vec<u8>| String::from_utf8(b).expect("plain text");
     (out.status.success(), text(out.stdout), text(out.stderr))
@@ -30,19 +34,37 @@
 fn malformed_input_is_named_and_ends_the_run() {
     let cases = [
         ("HELLO\n", "line 1: HELLO outside a batch"),
-        ("BEGIN_BATCH 1.0 1\nWHAT host_0\n", "line 2: unknown message WHAT"),
-        ("BEGIN_BATCH x 1\n", "line 1: BEGIN_BATCH has a bad time-ms: x"),
-        ("BEGIN_BATCH 1.0 1\nWAKEUP host_7 1\n", "line 2: WAKEUP for unknown host host_7"),
-        ("BEGIN_BATCH 1.0 1\nCREATE host_0 5 a=1 b\n", "line 2: setting without '=': b"),
+        (
+            "BEGIN_BATCH 1.0 1\nWHAT host_0\n",
+            "line 2: unknown message WHAT",
+        ),
+        (
+            "BEGIN_BATCH x 1\n",
+            "line 1: BEGIN_BATCH has a bad time-ms: x",
+        ),
+        (
+            "BEGIN_BATCH 1.0 1\nWAKEUP host_7 1\n",
+            "line 2: WAKEUP for unknown host host_7",
+        ),
+        (
+            "BEGIN_BATCH 1.0 1\nCREATE host_0 5 a=1 b\n",
+            "line 2: setting without '=': b",
+        ),
         ("BEGIN_BATCH 1.0 1\n", "line 2: input ends inside a batch"),
     ];
     let later = [
         ("WAKEUP host_0\n", "line 7: WAKEUP lacks tag"),
         ("WAKEUP host_0 1 2\n", "line 7: WAKEUP has too many values"),
-        ("ABORTED host_0 short\n", "line 7: ABORTED has a bad rid: short"),
+        (
+            "ABORTED host_0 short\n",
+            "line 7: ABORTED has a bad rid: short",
+        ),
         ("PEER host_0 1 !!\n", "line 7: PEER has a bad contents"),
         ("SYNC host_0 Odd 1 0\n", "line 7: SYNC has a bad form: Odd"),
-        ("SYNC host_0 Partial 1 1\nEND\n", "line 8: expected 1 more ENTRY lines, found END"),
+        (
+            "SYNC host_0 Partial 1 1\nEND\n",
+            "line 8: expected 1 more ENTRY lines, found END",
+        ),
     ];
     let later = later.map(|(text, what)| (format!("{HOST}BEGIN_BATCH 1001.0 2\n{text}"), what));
     let cases = cases.map(|(text, what)| (text.to_string(), what));
@@ -73,7 +95,10 @@
     );
     let (ok, out, err) = run(&input);
     assert!(ok, "{err}");
-    assert!(out.contains(&format!("TRY host_0 {ID} 9 2002.500\n")), "{out}");
+    assert!(
+        out.contains(&format!("TRY host_0 {ID} 9 2002.500\n")),
+        "{out}"
+    );
     let replies: Vec<&str> = out.lines().filter(|l| l.starts_with("OK")).collect();
     assert_eq!(replies, ["OK 1", "OK 2", "OK 3", "OK 4"]);
     assert_eq!(out, run(&input).1, "the same events bring the same actions");
--- a/crates/audit/src/commands.rs
+++ b/crates/audit/src/commands.rs
@@ -80,7 +80,10 @@
     fn range(&self) -> Option<(u64, u64, bool)> {
         let c = &self.cdb;
         let (lba, blocks) = match c[0] {
-            0x08 | 0x0a => (be(&[c[1] & 0x1f, c[2], c[3]]), if c[4] == 0 { 256 } else { u64::from(c[4]) }),
+            0x08 | 0x0a => (
+                be(&[c[1] & 0x1f, c[2], c[3]]),
+                if c[4] == 0 { 256 } else { u64::from(c[4]) },
+            ),
             0x28 | 0x2a => (be(&c[2..6]), be(&c[7..9])),
             0xa8 | 0xaa => (be(&c[2..6]), be(&c[6..10])),
             0x88 | 0x8a | 0x93 => (be(&c[2..10]), be(&c[10..14])),
@@ -93,7 +96,9 @@
 
     /// What it did to each block. Of a write that was not GOOD nobody knows.
     fn deeds(&self) -> Vec<(u64, Op)> {
-        let Some((lba, blocks, writes)) = self.range() else { return Vec::new() };
+        let Some((lba, blocks, writes)) = self.range() else {
+            return Vec::new();
+        };
         let good = self.answer.filter(|a| a.1 == GOOD).map(|a| a.0);
         if !writes && good.is_none() {
             return Vec::new();
@@ -101,13 +106,25 @@
         let zero = block_sum(&[0; BLOCK]);
         let nth = |n: u64| self.out.get(&(n as u32)).copied();
         let deed = |n: u64| match self.cdb[0] {
-            0x89 => Some(Deed::Swap { with: nth(n)?, then: nth(n + blocks)? }),
+            0x89 => Some(Deed::Swap {
+                with: nth(n)?,
+                then: nth(n + blocks)?,
+            }),
             0x41 | 0x93 if self.cdb[1] & 1 != 0 => Some(Deed::Write(zero)),
             0x41 | 0x93 => Some(Deed::Write(nth(0)?)),
             _ if writes => Some(Deed::Write(nth(n)?)),
             _ => Some(Deed::Read(self.read.get(&(n as u32)).copied()?)),
         };
-        let op = |n| Some((lba + n, Op { from: self.at, to: good, deed: deed(n)? }));
+        let op = |n| {
+            Some((
+                lba + n,
+                Op {
+                    from: self.at,
+                    to: good,
+                    deed: deed(n)?,
+                },
+            ))
+        };
         (0..blocks).filter_map(op).collect()
     }
 }
@@ -138,7 +155,11 @@
     }
 }
 
-pub fn judge(settings: &Settings, traces: &[Vec<Record>], marks: &[(Duration, pb::Marked)]) -> Commands {
+pub fn judge(
+    settings: &Settings,
+    traces: &[Vec<Record>],
+    marks: &[(Duration, pb::Marked)],
+) -> Commands {
     let mut told = Commands::default();
     let mut all = Vec::new();
     for records in traces {
@@ -146,7 +167,10 @@
     }
     let mut histories: BTreeMap<(u64, u64), Vec<(Op, usize)>> = BTreeMap::new();
     for (i, c) in all.iter().enumerate() {
-        for (block, op) in c.volume.iter().flat_map(|v| c.deeds().into_iter().map(move |(b, o)| ((*v, b), o)))
+        for (block, op) in c
+            .volume
+            .iter()
+            .flat_map(|v| c.deeds().into_iter().map(move |(b, o)| ((*v, b), o)))
         {
             histories.entry(block).or_default().push((op, i));
         }
@@ -154,7 +178,10 @@
     for ((volume, block), history) in histories {
         told.blocks += 1;
         let ops: Vec<Op> = history.iter().map(|h| h.0).collect();
-        let reads = ops.iter().filter(|o| matches!(o.deed, Deed::Read(_))).count() as u64;
+        let reads = ops
+            .iter()
+            .filter(|o| matches!(o.deed, Deed::Read(_)))
+            .count() as u64;
         (told.reads, told.writes) = (told.reads + reads, told.writes + ops.len() as u64 - reads);
         match check(block_sum(&[0; BLOCK]), &ops) {
             Found::InOrder => {}
@@ -175,10 +202,17 @@
 
 /// The commands of one process's trace.
 fn of_process(
-    settings: &Settings, records: &[Record], marks: &[(Duration, pb::Marked)], all: &mut Vec<Command>,
+    settings: &Settings,
+    records: &[Record],
+    marks: &[(Duration, pb::Marked)],
+    all: &mut Vec<Command>,
     told: &mut Commands,
 ) {
-    let name = records.first().and_then(|r| r.process.as_ref()).map(|p| p.name.clone()).unwrap_or_default();
+    let name = records
+        .first()
+        .and_then(|r| r.process.as_ref())
+        .map(|p| p.name.clone())
+        .unwrap_or_default();
     let volume = |target: &str, lun: u8| {
         let t = settings.targets.iter().find(|t| t.name == target)?;
         Some(settings.volumes[*t.volumes.get(usize::from(lun))?].id)
@@ -188,9 +222,16 @@
     for r in records {
         let at = Duration::from_nanos(r.at_ns);
         if r.kind() == Kind::LineClosed {
-            gone.extend(lines.remove(&r.conn).into_iter().flat_map(|l| l.open.into_values()));
+            gone.extend(
+                lines
+                    .remove(&r.conn)
+                    .into_iter()
+                    .flat_map(|l| l.open.into_values()),
+            );
         }
-        let Some(pdu) = r.pdu.as_ref().map(Pdu) else { continue };
+        let Some(pdu) = r.pdu.as_ref().map(Pdu) else {
+            continue;
+        };
         let line = lines.entry(r.conn).or_default();
         let itt = pdu.word(16);
         match (r.kind(), pdu.byte(0) & 0x3f) {
@@ -199,19 +240,40 @@
             (Kind::PduIn, 0x01) if !line.open.contains_key(&itt) => {
                 told.taken += 1;
                 line.open.insert(itt, all.len());
-                let cdb = pdu.0.header.get(32..48).and_then(|b| b.try_into().ok()).unwrap_or_default();
+                let cdb = pdu
+                    .0
+                    .header
+                    .get(32..48)
+                    .and_then(|b| b.try_into().ok())
+                    .unwrap_or_default();
                 let (volume, out) = (volume(&line.target, pdu.byte(9)), pdu.sums(0).collect());
                 let (read, answer, told_off) = (BTreeMap::new(), None, false);
-                all.push(Command { at, volume, cdb, out, read, answer, told_off });
+                all.push(Command {
+                    at,
+                    volume,
+                    cdb,
+                    out,
+                    read,
+                    answer,
+                    told_off,
+                });
             }
             (Kind::PduIn, 0x05) => {
                 let c = line.open.get(&itt).map(|i| &mut all[*i]);
-                c.into_iter().for_each(|c| c.out.extend(pdu.sums(pdu.word(40))));
+                c.into_iter()
+                    .for_each(|c| c.out.extend(pdu.sums(pdu.word(40))));
             }
             // ABORT TASK names one; all else may end any that is open in this process.
             (Kind::PduIn, 0x02) => match pdu.byte(1) & 0x7f {
-                1 => line.open.get(&pdu.word(20)).into_iter().for_each(|i| all[*i].told_off = true),
-                _ => lines.values().flat_map(|l| l.open.values()).for_each(|i| all[*i].told_off = true),
+                1 => line
+                    .open
+                    .get(&pdu.word(20))
+                    .into_iter()
+                    .for_each(|i| all[*i].told_off = true),
+                _ => lines
+                    .values()
+                    .flat_map(|l| l.open.values())
+                    .for_each(|i| all[*i].told_off = true),
             },
             (Kind::PduOut, code @ (0x21 | 0x25)) => {
                 let Some(i) = line.open.get(&itt).copied() else {
@@ -230,12 +292,18 @@
             _ => {}
         }
     }
-    let (start, end) = (records.first().map_or(0, |r| r.at_ns), records.last().map_or(0, |r| r.at_ns));
+    let (start, end) = (
+        records.first().map_or(0, |r| r.at_ns),
+        records.last().map_or(0, |r| r.at_ns),
+    );
     let (start, end) = (Duration::from_nanos(start), Duration::from_nanos(end));
-    let killed = marks
-        .iter()
-        .any(|(at, m)| m.what() == What::Killed && m.name == name && *at >= start && *at + KILL_LAG >= end);
-    let open = lines.into_values().flat_map(|l| l.open.into_values()).map(|i| (i, killed));
+    let killed = marks.iter().any(|(at, m)| {
+        m.what() == What::Killed && m.name == name && *at >= start && *at + KILL_LAG >= end
+    });
+    let open = lines
+        .into_values()
+        .flat_map(|l| l.open.into_values())
+        .map(|i| (i, killed));
     for (i, excused) in open.chain(gone.into_iter().map(|i| (i, true))) {
         match excused || all[i].told_off {
             true => told.ended += 1,
--- a/crates/audit/src/drains.rs
+++ b/crates/audit/src/drains.rs
@@ -26,7 +26,11 @@
     let mut all = Vec::new();
     for r in traces.iter().flatten() {
         let at = Duration::from_nanos(r.at_ns);
-        match (r.kind(), r.frame.as_ref().and_then(|f| f.body.as_ref()), &r.mark) {
+        match (
+            r.kind(),
+            r.frame.as_ref().and_then(|f| f.body.as_ref()),
+            &r.mark,
+        ) {
             (Kind::In, Some(Body::Propose(p)), _) => {
                 let drains = p.changes.iter().filter_map(drain_of).filter(|d| d.1);
                 all.extend(drains.map(|d| (at, d.0)));
@@ -50,7 +54,11 @@
     // Each by its node: first and last word that it drains, and the word that ended it.
     let mut all: Vec<(u32, Duration, Duration, Duration)> = Vec::new();
     for (node, at, on) in words {
-        match (all.last_mut().filter(|d| d.0 == node && d.3 == Duration::MAX), on) {
+        match (
+            all.last_mut()
+                .filter(|d| d.0 == node && d.3 == Duration::MAX),
+            on,
+        ) {
             (Some(d), true) => d.2 = at,
             (Some(d), false) => d.3 = at,
             (None, true) => all.push((node, at, at, Duration::MAX)),
@@ -59,15 +67,29 @@
     }
     all.sort_by_key(|d| d.1);
     let one = |(node, first, last, end): (u32, Duration, Duration, Duration)| {
-        let before = asked.iter().filter(|a| a.1 == node && a.0 <= first).map(|a| a.0);
+        let before = asked
+            .iter()
+            .filter(|a| a.1 == node && a.0 <= first)
+            .map(|a| a.0);
         // The act at the console comes before the change at the service: of those close by the first.
         let near = before.clone().max().map(|at| at.saturating_sub(NEAR));
         let asked = before.filter(|a| near.is_some_and(|n| *a >= n)).min();
         let from = asked.unwrap_or(first);
-        let legs = run.hosts.iter().flat_map(|h| &h.legs).filter(|l| l.leg.node == node).map(|l| l.seen.at);
+        let legs = run
+            .hosts
+            .iter()
+            .flat_map(|h| &h.legs)
+            .filter(|l| l.leg.node == node)
+            .map(|l| l.seen.at);
         let legs: Vec<Duration> = legs.filter(|at| (from..end).contains(at)).collect();
         let last_leg = legs.iter().max().map(|at| *at - from);
-        Drained { node, asked, told: (first - from, last - from), last_leg, legs: legs.len() }
+        Drained {
+            node,
+            asked,
+            told: (first - from, last - from),
+            last_leg,
+            legs: legs.len(),
+        }
     };
     all.into_iter().map(one).collect()
 }
--- a/crates/audit/src/history.rs
+++ b/crates/audit/src/history.rs
@@ -86,11 +86,17 @@
 /// ```
 pub fn check(first: u64, ops: &[Op]) -> Found {
     let begins = ops.iter().enumerate().map(|(i, o)| (o.from, false, i));
-    let ends = ops.iter().enumerate().filter_map(|(i, o)| Some((o.to?, true, i)));
+    let ends = ops
+        .iter()
+        .enumerate()
+        .filter_map(|(i, o)| Some((o.to?, true, i)));
     let mut events: Vec<(Duration, bool, usize)> = begins.chain(ends).collect();
     events.sort_unstable(); // of one moment, beginnings first: what may have overlapped is taken to have
     let mut open: Vec<usize> = Vec::new();
-    let mut states = vec![State { value: first, used: BTreeSet::new() }];
+    let mut states = vec![State {
+        value: first,
+        used: BTreeSet::new(),
+    }];
     for (_, over, i) in events {
         if !over {
             open.push(i);
--- a/crates/audit/src/history/tests.rs
+++ b/crates/audit/src/history/tests.rs
@@ -5,20 +5,36 @@
 
 fn op(from: u64, to: u64, deed: Deed) -> Op {
     let ms = Duration::from_millis;
-    Op { from: ms(from), to: (to > 0).then(|| ms(to)), deed }
+    Op {
+        from: ms(from),
+        to: (to > 0).then(|| ms(to)),
+        deed,
+    }
 }
 
 #[test]
 fn histories_that_can_and_cannot_be() {
     let cases: [(&str, Vec<Op>, Option<usize>); 9] = [
-        ("one after the other", vec![op(0, 1, Write(1)), op(2, 3, Write(2)), op(4, 5, Read(2))], None),
+        (
+            "one after the other",
+            vec![op(0, 1, Write(1)), op(2, 3, Write(2)), op(4, 5, Read(2))],
+            None,
+        ),
         (
             "the old value comes back",
             vec![op(0, 1, Write(1)), op(2, 3, Write(2)), op(4, 5, Read(1))],
             Some(2),
         ),
-        ("two at once, either last", vec![op(0, 9, Write(1)), op(1, 9, Write(2)), op(10, 11, Read(1))], None),
-        ("seen, then gone again", vec![op(0, 9, Write(1)), op(1, 2, Read(1)), op(3, 4, Read(0))], Some(2)),
+        (
+            "two at once, either last",
+            vec![op(0, 9, Write(1)), op(1, 9, Write(2)), op(10, 11, Read(1))],
+            None,
+        ),
+        (
+            "seen, then gone again",
+            vec![op(0, 9, Write(1)), op(1, 2, Read(1)), op(3, 4, Read(0))],
+            Some(2),
+        ),
         (
             "nobody knows, and it shows late",
             vec![op(0, 0, Write(1)), op(1, 2, Read(0)), op(50, 51, Read(1))],
@@ -46,10 +62,17 @@
             ],
             None,
         ),
-        ("from nowhere", vec![op(0, 1, Write(1)), op(2, 3, Read(9))], Some(1)),
+        (
+            "from nowhere",
+            vec![op(0, 1, Write(1)), op(2, 3, Read(9))],
+            Some(1),
+        ),
         (
             "compared and written: one of two",
-            vec![op(0, 9, Swap { with: 0, then: 1 }), op(0, 9, Swap { with: 0, then: 2 })],
+            vec![
+                op(0, 9, Swap { with: 0, then: 1 }),
+                op(0, 9, Swap { with: 0, then: 2 }),
+            ],
             Some(1),
         ),
     ];
@@ -68,9 +91,15 @@
         let (mut value, mut ops) = (0u64, Vec::new());
         for n in 0..60u64 {
             let moment = n * 10;
-            let (from, to) =
-                (moment.saturating_sub(rng.random_range(0..25)), moment + rng.random_range(1..25));
-            let deed = if rng.random() { Write(n + 1) } else { Read(value) };
+            let (from, to) = (
+                moment.saturating_sub(rng.random_range(0..25)),
+                moment + rng.random_range(1..25),
+            );
+            let deed = if rng.random() {
+                Write(n + 1)
+            } else {
+                Read(value)
+            };
             if let Write(v) = deed {
                 value = v;
             }
@@ -79,7 +108,17 @@
         }
         assert_eq!(check(0, &ops), Found::InOrder, "seed {seed}");
         let mut stale = ops.clone();
-        stale.extend([op(2000, 2001, Write(900)), op(2002, 2003, Write(901)), op(2004, 2005, Read(900))]);
-        assert_eq!(check(0, &stale), Found::Disorder { at: stale.len() - 1 }, "seed {seed}");
+        stale.extend([
+            op(2000, 2001, Write(900)),
+            op(2002, 2003, Write(901)),
+            op(2004, 2005, Read(900)),
+        ]);
+        assert_eq!(
+            check(0, &stale),
+            Found::Disorder {
+                at: stale.len() - 1
+            },
+            "seed {seed}"
+        );
     }
 }
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -76,7 +76,9 @@
     }
 
     pub fn rules_broken(&self) -> usize {
-        (1..=7).filter(|rule| self.breaches.iter().any(|b| b.rule == *rule)).count()
+        (1..=7)
+            .filter(|rule| self.breaches.iter().any(|b| b.rule == *rule))
+            .count()
     }
 }
 
@@ -89,10 +91,16 @@
 impl Case {
     /// All `*.trace` files of a folder, by name.
     pub fn open(dir: &Path) -> io::Result<Self> {
-        let mut paths: Vec<_> = std::fs::read_dir(dir)?.flatten().map(|e| e.path()).collect();
+        let mut paths: Vec<_> = std::fs::read_dir(dir)?
+            .flatten()
+            .map(|e| e.path())
+            .collect();
         paths.retain(|p| p.extension().is_some_and(|e| e == "trace"));
         paths.sort();
-        let traces = paths.iter().map(|p| read_file(p)).collect::<io::Result<_>>()?;
+        let traces = paths
+            .iter()
+            .map(|p| read_file(p))
+            .collect::<io::Result<_>>()?;
         Ok(Case { traces })
     }
 
--- a/crates/audit/src/plans.rs
+++ b/crates/audit/src/plans.rs
@@ -27,7 +27,11 @@
 impl Limit {
     fn larger(a: Option<Limit>, b: Option<Limit>) -> Option<Limit> {
         let (a, b) = (a?, b?);
-        Some(Limit { rate: a.rate.max(b.rate), burst: a.burst.max(b.burst), slack: a.slack + b.slack })
+        Some(Limit {
+            rate: a.rate.max(b.rate),
+            burst: a.burst.max(b.burst),
+            slack: a.slack + b.slack,
+        })
     }
 }
 
@@ -67,12 +71,27 @@
         use change::{Subject, To};
         match (&c.subject, &c.to) {
             (Some(Subject::Plan(name)), to) => {
-                let to = if let Some(To::PlanTo(p)) = to { Some(*p) } else { None };
-                self.plans.entry(name.clone()).or_default().insert(version, to);
-                self.versions.entry(version).or_default().1.insert(name.clone());
+                let to = if let Some(To::PlanTo(p)) = to {
+                    Some(*p)
+                } else {
+                    None
+                };
+                self.plans
+                    .entry(name.clone())
+                    .or_default()
+                    .insert(version, to);
+                self.versions
+                    .entry(version)
+                    .or_default()
+                    .1
+                    .insert(name.clone());
             }
             (Some(Subject::Volume(id)), to) => {
-                let to = if let Some(To::VolumeTo(v)) = to { Some(v.clone()) } else { None };
+                let to = if let Some(To::VolumeTo(v)) = to {
+                    Some(v.clone())
+                } else {
+                    None
+                };
                 self.volumes.entry(*id).or_default().insert(version, to);
                 self.versions.entry(version).or_default().0.insert(*id);
             }
@@ -102,10 +121,20 @@
             match (r.kind(), r.frame.as_ref().and_then(|f| f.body.as_ref())) {
                 (Kind::Opened, _) => drop(peers.insert(r.conn, r.peer.clone())),
                 (Kind::In, Some(Body::Follow(f))) => {
-                    self.said.push(Said { at, host: host(), era: f.era, sure: f.sure });
+                    self.said.push(Said {
+                        at,
+                        host: host(),
+                        era: f.era,
+                        sure: f.sure,
+                    });
                 }
                 (Kind::In, Some(Body::Confirm(c))) => {
-                    self.said.push(Said { at, host: host(), era: c.era, sure: c.has });
+                    self.said.push(Said {
+                        at,
+                        host: host(),
+                        era: c.era,
+                        sure: c.has,
+                    });
                 }
                 (Kind::In, Some(Body::HostGone(g))) => self.gone.push((at, g.host.clone())),
                 (Kind::Out, Some(Body::Feed(f))) => self.feed(at, host(), f),
@@ -126,7 +155,13 @@
             e.changes.iter().for_each(|c| history.add(e.version, c));
         }
         let (era, version, settled) = (f.era, f.version, f.settled);
-        self.told.push(Told { at, host, era, version, settled });
+        self.told.push(Told {
+            at,
+            host,
+            era,
+            version,
+            settled,
+        });
     }
 
     pub fn is_empty(&self) -> bool {
@@ -135,16 +170,25 @@
 
     /// What a version says of something: by the history it belongs to, or the one that it came out of.
     fn look<T: Clone>(
-        &self, era: u64, version: u64, of: impl Fn(&History) -> Option<&ByVersion<T>>,
+        &self,
+        era: u64,
+        version: u64,
+        of: impl Fn(&History) -> Option<&ByVersion<T>>,
     ) -> Option<T> {
         let upto = self.eras.iter().position(|e| *e == era).unwrap_or(0);
         let eras = self.eras[..(upto + 1).min(self.eras.len())].iter().rev();
-        let mut found = eras.filter_map(|e| of(self.histories.get(e)?)?.range(..=version).next_back());
+        let mut found =
+            eras.filter_map(|e| of(self.histories.get(e)?)?.range(..=version).next_back());
         found.next().and_then(|f| f.1.clone())
     }
 
     /// Plan's figures and hosts of a volume at a version.
-    fn terms(&self, era: u64, version: u64, volume: u64) -> Option<(pb::PlanFigures, pb::VolumeFacts)> {
+    fn terms(
+        &self,
+        era: u64,
+        version: u64,
+        volume: u64,
+    ) -> Option<(pb::PlanFigures, pb::VolumeFacts)> {
         let v = self.look(era, version, |h| h.volumes.get(&volume))?;
         let p = self.look(era, version, |h| h.plans.get(&v.plan))?;
         Some((p, v))
@@ -152,7 +196,11 @@
 
     fn limit(&self, era: u64, version: u64, volume: u64) -> Option<Limit> {
         let (p, _) = self.terms(era, version, volume)?;
-        (p.limit > 0.0).then_some(Limit { rate: p.limit, burst: p.burst, slack: p.slack })
+        (p.limit > 0.0).then_some(Limit {
+            rate: p.limit,
+            burst: p.burst,
+            slack: p.slack,
+        })
     }
 
     /// When which limit of a volume came into force; None: none.
@@ -180,7 +228,10 @@
 
     /// Volumes that were ever told of.
     pub fn volumes(&self) -> BTreeSet<u64> {
-        self.histories.values().flat_map(|h| h.volumes.keys().copied()).collect()
+        self.histories
+            .values()
+            .flat_map(|h| h.volumes.keys().copied())
+            .collect()
     }
 
     /// Whether each version was settled when it was first called so.
@@ -196,7 +247,11 @@
             for host in s.hosts.iter().map(|h| h.name.as_str()) {
                 if let Some(why) = self.unsettled(spec.lease + spec.margin, t, host) {
                     let what = format!("entry {} was called settled while {host} {why}", t.settled);
-                    v.breaches.push(Breach { rule: 7, what, frames: vec![format!("{t:?}")] });
+                    v.breaches.push(Breach {
+                        rule: 7,
+                        what,
+                        frames: vec![format!("{t:?}")],
+                    });
                 }
             }
             settled = t.settled;
@@ -204,16 +259,32 @@
     }
 
     fn unsettled(&self, lease: Duration, t: &Told, host: &str) -> Option<String> {
-        let before = self.told.iter().take_while(|o| o.at <= t.at).filter(|o| o.host == host && o.at < t.at);
+        let before = self
+            .told
+            .iter()
+            .take_while(|o| o.at <= t.at)
+            .filter(|o| o.host == host && o.at < t.at);
         let last = before.last()?;
         let mut own = self.said.iter().filter(|s| s.host == host && s.at <= t.at);
-        let sure = own.clone().filter(|s| s.era == t.era).map(|s| s.sure).max().unwrap_or(0);
+        let sure = own
+            .clone()
+            .filter(|s| s.era == t.era)
+            .map(|s| s.sure)
+            .max()
+            .unwrap_or(0);
         let heard = own.next_back().map(|s| s.at).unwrap_or_default();
-        if sure >= t.settled || self.gone.iter().any(|g| g.1 == host && g.0 <= t.at && g.0 > heard) {
+        if sure >= t.settled
+            || self
+                .gone
+                .iter()
+                .any(|g| g.1 == host && g.0 <= t.at && g.0 > heard)
+        {
             return None;
         }
         if t.at < last.at + lease {
-            return Some(format!("had said no more than {sure} and may still follow that"));
+            return Some(format!(
+                "had said no more than {sure} and may still follow that"
+            ));
         }
         // Cut off, it holds to its part of the reservation as it knows it.
         let floor = |version: u64, volume: u64| -> f64 {
@@ -240,7 +311,9 @@
         };
         let more = self.volumes().into_iter().filter(|v| knows(v).is_some());
         let mut more = more.filter(|v| floor(sure, *v) > part(*v) + 1e-9);
-        more.next().map(|v| format!("is cut off with entry {sure}, and more of volume {v} than is its part"))
+        more.next().map(|v| {
+            format!("is cut off with entry {sure}, and more of volume {v} than is its part")
+        })
     }
 
     /// How long each entry took from when it was first told to when it was called settled.
@@ -253,7 +326,10 @@
                 (newest + 1..=t.version).for_each(|v| _ = first.entry((t.era, v)).or_insert(t.at));
                 newest = t.version;
             }
-            let open: Vec<(u64, u64)> = first.range((t.era, 0)..=(t.era, t.settled)).map(|f| *f.0).collect();
+            let open: Vec<(u64, u64)> = first
+                .range((t.era, 0)..=(t.era, t.settled))
+                .map(|f| *f.0)
+                .collect();
             for key in open {
                 let at = first.remove(&key).expect("listed above");
                 took.entry(key.1).or_insert(t.at - at);
@@ -268,11 +344,20 @@
     let declared = |volume: u64| {
         let spec = s.volumes.iter().find(|x| x.id == volume)?;
         let p = &s.plans[spec.plan].facts;
-        (p.limit > 0.0).then_some(Limit { rate: p.limit, burst: p.limit_burst, slack: p.limit_slack })
+        (p.limit > 0.0).then_some(Limit {
+            rate: p.limit,
+            burst: p.limit_burst,
+            slack: p.limit_slack,
+        })
     };
     let mut firsts: BTreeMap<u64, Vec<(Duration, f64, String)>> = BTreeMap::new();
     for h in hosts {
-        for leg in h.taken.iter().filter_map(|t| t.legs.first()).map(|l| &h.legs[*l]) {
+        for leg in h
+            .taken
+            .iter()
+            .filter_map(|t| t.legs.first())
+            .map(|l| &h.legs[*l])
+        {
             let line = firsts.entry(leg.leg.volume).or_default();
             line.push((leg.seen.at, leg.leg.units, leg.seen.show.clone()));
         }
@@ -302,7 +387,11 @@
             if level < -l.slack {
                 let what = format!("volume {volume}: {:.1} units below its store", -level);
                 if v.breaches.iter().filter(|b| b.rule == 7).count() < 20 {
-                    v.breaches.push(Breach { rule: 7, what, frames: vec![show] });
+                    v.breaches.push(Breach {
+                        rule: 7,
+                        what,
+                        frames: vec![show],
+                    });
                 }
             }
         }
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -18,7 +18,11 @@
 
 fn breach(v: &mut Verdict, rule: u8, what: String, frames: &[&Seen]) {
     if v.breaches.iter().filter(|b| b.rule == rule).count() < LISTED {
-        v.breaches.push(Breach { rule, what, frames: frames.iter().map(|s| s.show.clone()).collect() });
+        v.breaches.push(Breach {
+            rule,
+            what,
+            frames: frames.iter().map(|s| s.show.clone()).collect(),
+        });
     }
 }
 
@@ -47,14 +51,24 @@
                     _ => v.abandoned += 1,
                 }
                 // What counts is when the answer left the host: the client's machine may be slow to read.
-                let left = run.hosts.iter().filter_map(|h| h.final_at(&a.take.id)).min().unwrap_or(seen.at);
+                let left = run
+                    .hosts
+                    .iter()
+                    .filter_map(|h| h.final_at(&a.take.id))
+                    .min()
+                    .unwrap_or(seen.at);
                 if left > last {
                     let late = format!("{name}: answered {:?} after its expiry", left - last);
                     breach(v, 1, late, &[&a.seen, seen]);
                 }
             }
             [first, second, ..] => {
-                breach(v, 1, format!("{name}: answered twice"), &[&a.seen, &first.0, &second.0]);
+                breach(
+                    v,
+                    1,
+                    format!("{name}: answered twice"),
+                    &[&a.seen, &first.0, &second.0],
+                );
             }
         }
     }
@@ -65,7 +79,12 @@
             let last = run.extended(&h.name, t.seen.at, expiry, CATCH_UP);
             match t.finals.first() {
                 None if h.end < last => v.lost += 1,
-                None => breach(v, 1, format!("{}: no answer from {}", text(&t.take.id), h.name), &[&t.seen]),
+                None => breach(
+                    v,
+                    1,
+                    format!("{}: no answer from {}", text(&t.take.id), h.name),
+                    &[&t.seen],
+                ),
                 Some((seen, _)) if seen.at > last => {
                     breach(
                         v,
@@ -86,9 +105,21 @@
                 let what = format!("{}: {} answered twice", text(&t.take.id), h.name);
                 breach(v, 1, what, &[&t.seen, &first.0, &second.0]);
             }
-            let Some((answered, _)) = t.finals.first() else { continue };
-            for l in t.legs.iter().map(|l| &h.legs[*l]).filter(|l| l.seen.at > answered.at) {
-                breach(v, 1, format!("{}: a leg after the answer", text(&t.take.id)), &[answered, &l.seen]);
+            let Some((answered, _)) = t.finals.first() else {
+                continue;
+            };
+            for l in t
+                .legs
+                .iter()
+                .map(|l| &h.legs[*l])
+                .filter(|l| l.seen.at > answered.at)
+            {
+                breach(
+                    v,
+                    1,
+                    format!("{}: a leg after the answer", text(&t.take.id)),
+                    &[answered, &l.seen],
+                );
             }
         }
     }
@@ -96,11 +127,14 @@
 
 /// Rule 2: repeats only as far as the stream type allows, deferrals only where trying again is harmless.
 pub fn twice(s: &Settings, run: &Run, v: &mut Verdict) {
-    let place: HashMap<u32, (usize, u32)> = s.nodes.iter().map(|n| (n.id, (n.zone, n.cell))).collect();
+    let place: HashMap<u32, (usize, u32)> =
+        s.nodes.iter().map(|n| (n.id, (n.zone, n.cell))).collect();
     for h in &run.hosts {
         v.legs += h.legs.len() as u64;
         for t in &h.taken {
-            let Some(stream) = s.streams.get(t.take.stream_type as usize) else { continue };
+            let Some(stream) = s.streams.get(t.take.stream_type as usize) else {
+                continue;
+            };
             let (repeat, name) = (stream.facts.repeat, text(&t.take.id));
             let legs: Vec<&Leg> = t.legs.iter().map(|l| &h.legs[*l]).collect();
             for (i, later) in legs.iter().enumerate() {
@@ -120,15 +154,28 @@
                         }
                     };
                     if !fine {
-                        let what = format!("{name}: a leg after one that may have run ({repeat:?})");
+                        let what =
+                            format!("{name}: a leg after one that may have run ({repeat:?})");
                         breach(v, 2, what, &[&earlier.seen, &later.seen]);
                     }
                 }
             }
-            let harmless =
-                matches!(repeat, Repeat::Repeatable | Repeat::Keyed { group: RepeatGroup::All, .. });
-            for (seen, f) in t.finals.iter().filter(|f| f.1.outcome() == Outcome::Deferred && !harmless) {
-                let ran = legs.iter().find(|l| l.seen.at <= seen.at && !l.never_ran(seen.at));
+            let harmless = matches!(
+                repeat,
+                Repeat::Repeatable
+                    | Repeat::Keyed {
+                        group: RepeatGroup::All,
+                        ..
+                    }
+            );
+            for (seen, f) in t
+                .finals
+                .iter()
+                .filter(|f| f.1.outcome() == Outcome::Deferred && !harmless)
+            {
+                let ran = legs
+                    .iter()
+                    .find(|l| l.seen.at <= seen.at && !l.never_ran(seen.at));
                 if let Some(leg) = ran {
                     let what = format!("{}: deferred, though a leg may have run", text(&f.id));
                     breach(v, 2, what, &[&leg.seen, seen]);
@@ -141,10 +188,16 @@
         v.effects += 1;
         *effects.entry(&m.id).or_default() += 1;
     }
-    let kinds = run.asked.values().map(|a| (&a.take.piece[..], a.take.stream_type as usize));
+    let kinds = run
+        .asked
+        .values()
+        .map(|a| (&a.take.piece[..], a.take.stream_type as usize));
     let kinds: HashMap<&[u8], usize> = kinds.collect();
     for (piece, n) in effects.into_iter().filter(|e| e.1 > 1) {
-        let repeat = kinds.get(piece).and_then(|k| s.streams.get(*k)).map(|s| s.facts.repeat);
+        let repeat = kinds
+            .get(piece)
+            .and_then(|k| s.streams.get(*k))
+            .map(|s| s.facts.repeat);
         if repeat.is_some_and(|r| r != Repeat::Repeatable) {
             breach(v, 2, format!("{}: carried out {n} times", text(piece)), &[]);
         }
@@ -155,11 +208,16 @@
 pub fn drains(s: &Settings, run: &Run, v: &mut Verdict) {
     for h in &run.hosts {
         for l in &h.legs {
-            let Some(told) = h.told_off(l.leg.node, l.seen.at) else { continue };
+            let Some(told) = h.told_off(l.leg.node, l.seen.at) else {
+                continue;
+            };
             let since = l.seen.at - told;
             v.drain_ms = v.drain_ms.max(since.as_secs_f64() * 1000.0);
             if since > s.rules.drain_grace {
-                let what = format!("{}: to node {} {since:?} after it was told", h.name, l.leg.node);
+                let what = format!(
+                    "{}: to node {} {since:?} after it was told",
+                    h.name, l.leg.node
+                );
                 breach(v, 3, what, &[&l.seen]);
             }
         }
@@ -176,34 +234,61 @@
         let warm = *start + Duration::from_micros(m.warm_us);
         let end = next.map_or(warm, |n| warm.min(n));
         let mut span: VecDeque<(Duration, f64, bool)> = VecDeque::new();
-        let arrived = run.arrived.get(&m.node).map(Vec::as_slice).unwrap_or_default();
+        let arrived = run
+            .arrived
+            .get(&m.node)
+            .map(Vec::as_slice)
+            .unwrap_or_default();
         for (seen, host, leg) in arrived.iter().filter(|a| a.0.at >= *start && a.0.at < end) {
-            let told =
-                run.hosts.iter().filter(|h| h.name == *host).any(|h| h.told_start(m.node, *start, seen.at));
+            let told = run
+                .hosts
+                .iter()
+                .filter(|h| h.name == *host)
+                .any(|h| h.told_start(m.node, *start, seen.at));
             span.push_back((seen.at, leg.units, told));
-            while span.front().is_some_and(|a| a.0 + rule.fall_within < seen.at) {
+            while span
+                .front()
+                .is_some_and(|a| a.0 + rule.fall_within < seen.at)
+            {
                 span.pop_front();
             }
             let by = |told: bool| -> f64 { span.iter().filter(|a| a.2 == told).map(|a| a.1).sum() };
             let (known, all) = (by(true), by(true) + by(false));
-            let age = (seen.at - *start).as_secs_f64() / Duration::from_micros(m.warm_us).as_secs_f64();
+            let age =
+                (seen.at - *start).as_secs_f64() / Duration::from_micros(m.warm_us).as_secs_f64();
             let able = m.units_a_second * (m.cold_part + (1.0 - m.cold_part) * age.min(1.0));
             let most = (rule.multiple * able * rule.fall_within.as_secs_f64()).max(rule.units);
             if all > most * COLD_SLACK && known >= all * 2.0 / 3.0 {
-                let what = format!("node {}: {all:.0} units in a span that bears {most:.0}", m.node);
+                let what = format!(
+                    "node {}: {all:.0} units in a span that bears {most:.0}",
+                    m.node
+                );
                 breach(v, 4, what, &[seen]);
                 break;
             }
         }
     }
     for (at, m) in marks(What::Fell) {
-        let start = marks(What::Started).map(|n| n.0).filter(|s| s <= at).max().unwrap_or_default();
-        let arrived = run.arrived.get(&m.node).map(Vec::as_slice).unwrap_or_default();
-        let lately = arrived.iter().filter(|a| a.0.at <= *at && a.0.at + rule.fall_within >= *at);
+        let start = marks(What::Started)
+            .map(|n| n.0)
+            .filter(|s| s <= at)
+            .max()
+            .unwrap_or_default();
+        let arrived = run
+            .arrived
+            .get(&m.node)
+            .map(Vec::as_slice)
+            .unwrap_or_default();
+        let lately = arrived
+            .iter()
+            .filter(|a| a.0.at <= *at && a.0.at + rule.fall_within >= *at);
         let (mut known, mut all) = (0.0, 0.0);
         for (seen, host, leg) in lately {
-            let told =
-                run.hosts.iter().filter(|h| h.name == *host).any(|h| h.told_start(m.node, start, seen.at));
+            let told = run
+                .hosts
+                .iter()
+                .filter(|h| h.name == *host)
+                .any(|h| h.told_start(m.node, start, seen.at));
             all += leg.units;
             known += if told { leg.units } else { 0.0 };
         }
@@ -215,11 +300,18 @@
 
 /// Rule 5 of the list: transfers of ordered stream types with one key run one at a time, in the order taken.
 pub fn order(s: &Settings, run: &Run, v: &mut Verdict) {
-    let ordered = |t: &Taken| s.streams.get(t.take.stream_type as usize).is_some_and(|x| x.facts.ordered);
+    let ordered = |t: &Taken| {
+        s.streams
+            .get(t.take.stream_type as usize)
+            .is_some_and(|x| x.facts.ordered)
+    };
     for h in &run.hosts {
         let mut keys: BTreeMap<u64, Vec<&Taken>> = BTreeMap::new();
         for t in h.taken.iter().filter(|t| ordered(t)) {
-            t.take.key.into_iter().for_each(|k| keys.entry(k).or_default().push(t));
+            t.take
+                .key
+                .into_iter()
+                .for_each(|k| keys.entry(k).or_default().push(t));
         }
         for line in keys.values() {
             for (i, later) in line.iter().enumerate() {
@@ -245,7 +337,11 @@
     let Some(rule) = &s.rules.legs else { return };
     for h in &run.hosts {
         let taken: Vec<Duration> = h.taken.iter().map(|t| t.seen.at).collect();
-        let further = h.taken.iter().flat_map(|t| t.legs.iter().skip(1)).map(|l| &h.legs[*l]);
+        let further = h
+            .taken
+            .iter()
+            .flat_map(|t| t.legs.iter().skip(1))
+            .map(|l| &h.legs[*l]);
         let mut further: Vec<&Leg> = further.collect();
         further.sort_by_key(|l| l.seen.at);
         let times: Vec<Duration> = further.iter().map(|l| l.seen.at).collect();
@@ -256,7 +352,10 @@
             let (made, took) = (within(&times, l.seen.at), within(&taken, l.seen.at));
             let most = rule.floor + rule.share * took as f64;
             if made as f64 > most {
-                let what = format!("{}: {made} further legs in a window of {took} transfers", h.name);
+                let what = format!(
+                    "{}: {made} further legs in a window of {took} transfers",
+                    h.name
+                );
                 breach(v, 6, what, &[&l.seen]);
             }
         }
@@ -265,20 +364,34 @@
 
 impl Host {
     fn final_at(&self, id: &[u8]) -> Option<Duration> {
-        self.by_id.get(id).and_then(|i| self.taken[*i].finals.first()).map(|f| f.0.at)
+        self.by_id
+            .get(id)
+            .and_then(|i| self.taken[*i].finals.first())
+            .map(|f| f.0.at)
     }
 
     /// Whether, by then, this host had been told of the start of that node which came at `start`.
     fn told_start(&self, node: u32, start: Duration, by: Duration) -> bool {
         let told = self.told.get(&node).map(Vec::as_slice).unwrap_or_default();
-        told.iter().any(|t| t.0 >= start && t.0 <= by && t.1 == pb::NodeState::Ready)
+        told.iter()
+            .any(|t| t.0 >= start && t.0 <= by && t.1 == pb::NodeState::Ready)
     }
 
     /// Why a transfer is not yet out of the way of the next with its key.
     fn unsettled(&self, t: &Taken, at: Duration, rest: Duration) -> Option<String> {
         let legs = || t.legs.iter().map(|l| &self.legs[*l]);
-        let ok = |l: &Leg| l.answer.as_ref().filter(|a| a.1.result() == pb::Result::Ok).map(|a| a.0.at);
-        let ends = t.finals.first().map(|f| f.0.at).into_iter().chain(t.withdrawn);
+        let ok = |l: &Leg| {
+            l.answer
+                .as_ref()
+                .filter(|a| a.1.result() == pb::Result::Ok)
+                .map(|a| a.0.at)
+        };
+        let ends = t
+            .finals
+            .first()
+            .map(|f| f.0.at)
+            .into_iter()
+            .chain(t.withdrawn);
         let over = ends.chain(legs().filter_map(ok)).min();
         // Decided in one step, its end and the next one's leg may be written in either order.
         let together = over.is_some_and(|o| o <= at + SKEW) && legs().all(|l| l.seen.at <= at);
@@ -289,7 +402,11 @@
             if leg.answer.as_ref().is_some_and(|a| a.0.at <= at) {
                 continue;
             }
-            let doubts = [Some(leg.until()), leg.cancelled, self.closed.get(&leg.conn).copied()];
+            let doubts = [
+                Some(leg.until()),
+                leg.cancelled,
+                self.closed.get(&leg.conn).copied(),
+            ];
             let doubt = doubts.into_iter().flatten().min().unwrap_or(Duration::MAX);
             if at < doubt {
                 return Some("had a leg without an outcome".into());
--- a/crates/audit/src/run.rs
+++ b/crates/audit/src/run.rs
@@ -43,9 +43,15 @@
 
     /// By that moment an answer had shown that it never ran.
     pub fn never_ran(&self, by: Duration) -> bool {
-        let proof =
-            |r: pb::Result| matches!(r, pb::Result::Full | pb::Result::WrongNode | pb::Result::Expired);
-        self.answer.as_ref().is_some_and(|(s, a)| s.at <= by && proof(a.result()))
+        let proof = |r: pb::Result| {
+            matches!(
+                r,
+                pb::Result::Full | pb::Result::WrongNode | pb::Result::Expired
+            )
+        };
+        self.answer
+            .as_ref()
+            .is_some_and(|(s, a)| s.at <= by && proof(a.result()))
     }
 }
 
@@ -101,9 +107,15 @@
     pub fn of(traces: &[Vec<Record>]) -> Result<Self, String> {
         let mut run = Run::default();
         for records in traces {
-            let who = records.first().and_then(|r| r.process.clone()).ok_or("a trace names no writer")?;
+            let who = records
+                .first()
+                .and_then(|r| r.process.clone())
+                .ok_or("a trace names no writer")?;
             if records.iter().any(|r| r.kind() == Kind::Cut) {
-                return Err(format!("the trace of {} was cut at its bound: nothing can be judged", who.name));
+                return Err(format!(
+                    "the trace of {} was cut at its bound: nothing can be judged",
+                    who.name
+                ));
             }
             match who.role() {
                 pb::Role::Client => run.clients(records),
@@ -131,22 +143,36 @@
         for r in records {
             let at = Duration::from_nanos(r.at_ns);
             self.client_end = self.client_end.max(at);
-            let seen = || Seen { at, show: show("clients", r) };
+            let seen = || Seen {
+                at,
+                show: show("clients", r),
+            };
             match (r.kind(), r.frame.as_ref().and_then(|f| f.body.as_ref())) {
                 (Kind::Opened, _) => drop(self.client_peer.insert(r.conn, r.peer.clone())),
                 (Kind::Closed, _) => drop(self.client_closed.insert(r.conn, at)),
                 (Kind::Mark, _) => self.marks.extend(r.mark.clone().map(|m| (at, m))),
                 (Kind::Out, Some(Body::Take(t))) => {
                     let (conn, take) = (r.conn, t.clone());
-                    let asked = Asked { seen: seen(), conn, take, finals: Vec::new(), withdrawn: false };
+                    let asked = Asked {
+                        seen: seen(),
+                        conn,
+                        take,
+                        finals: Vec::new(),
+                        withdrawn: false,
+                    };
                     self.asked.insert(t.id.clone(), asked);
                 }
                 (Kind::Out, Some(Body::Withdraw(w))) => {
-                    self.asked.get_mut(&w.id).into_iter().for_each(|a| a.withdrawn = true);
+                    self.asked
+                        .get_mut(&w.id)
+                        .into_iter()
+                        .for_each(|a| a.withdrawn = true);
                 }
                 (Kind::In, Some(Body::Final(f))) => {
                     let asked = self.asked.get_mut(&f.id);
-                    asked.into_iter().for_each(|a| a.finals.push((seen(), f.clone())));
+                    asked
+                        .into_iter()
+                        .for_each(|a| a.finals.push((seen(), f.clone())));
                 }
                 _ => {}
             }
@@ -154,17 +180,27 @@
     }
 
     fn host(&mut self, name: &str, records: &[Record]) {
-        let mut h = Host { name: name.to_string(), ..Host::default() };
+        let mut h = Host {
+            name: name.to_string(),
+            ..Host::default()
+        };
         let mut leg_of = HashMap::new();
         for r in records {
             let at = Duration::from_nanos(r.at_ns);
-            let seen = || Seen { at, show: show(name, r) };
+            let seen = || Seen {
+                at,
+                show: show(name, r),
+            };
             h.end = h.end.max(at);
             match (r.kind(), r.frame.as_ref().and_then(|f| f.body.as_ref())) {
                 (Kind::Opened, _) if r.peer == "inside" => drop(h.inside.insert(r.conn)),
                 (Kind::Closed, _) => {
                     h.closed.insert(r.conn, at);
-                    for t in h.taken.iter_mut().filter(|t| t.conn == r.conn && t.withdrawn.is_none()) {
+                    for t in h
+                        .taken
+                        .iter_mut()
+                        .filter(|t| t.conn == r.conn && t.withdrawn.is_none())
+                    {
                         t.withdrawn = Some(at);
                     }
                 }
@@ -182,25 +218,36 @@
                 }
                 (Kind::In, Some(Body::Withdraw(w))) => {
                     let t = h.by_id.get(&w.id).map(|i| &mut h.taken[*i]);
-                    t.into_iter().for_each(|t| t.withdrawn = t.withdrawn.or(Some(at)));
+                    t.into_iter()
+                        .for_each(|t| t.withdrawn = t.withdrawn.or(Some(at)));
                 }
                 (Kind::Out, Some(Body::Final(f))) => {
                     let t = h.by_id.get(&f.id).map(|i| &mut h.taken[*i]);
-                    t.into_iter().for_each(|t| t.finals.push((seen(), f.clone())));
+                    t.into_iter()
+                        .for_each(|t| t.finals.push((seen(), f.clone())));
                 }
                 (Kind::Out, Some(Body::Leg(l))) => {
                     leg_of.insert(l.leg, h.legs.len());
                     let t = h.by_id.get(&l.id).map(|i| &mut h.taken[*i]);
                     t.into_iter().for_each(|t| t.legs.push(h.legs.len()));
                     let (conn, leg) = (r.conn, l.clone());
-                    h.legs.push(Leg { seen: seen(), conn, leg, answer: None, cancelled: None });
+                    h.legs.push(Leg {
+                        seen: seen(),
+                        conn,
+                        leg,
+                        answer: None,
+                        cancelled: None,
+                    });
                 }
                 (Kind::Out, Some(Body::CancelLeg(c))) => {
                     let leg = leg_of.get(&c.leg).map(|i: &usize| &mut h.legs[*i]);
                     leg.into_iter().for_each(|l| l.cancelled = Some(at));
                 }
                 (Kind::In, Some(Body::LegAnswer(a))) => {
-                    let leg = leg_of.get(&a.leg).map(|i| &mut h.legs[*i]).filter(|l| l.conn == r.conn);
+                    let leg = leg_of
+                        .get(&a.leg)
+                        .map(|i| &mut h.legs[*i])
+                        .filter(|l| l.conn == r.conn);
                     if let Some(l) = leg.filter(|l| l.answer.is_none()) {
                         l.answer = Some((seen(), a.clone()));
                     }
@@ -221,9 +268,15 @@
                 (Kind::Opened, _) => drop(peers.insert(r.conn, r.peer.clone())),
                 (Kind::Mark, _) => self.marks.extend(r.mark.clone().map(|m| (at, m))),
                 (Kind::In, Some(Body::Leg(l))) => {
-                    let seen = Seen { at, show: show("nodes", r) };
+                    let seen = Seen {
+                        at,
+                        show: show("nodes", r),
+                    };
                     let host = peers.get(&r.conn).cloned().unwrap_or_default();
-                    self.arrived.entry(l.node).or_default().push((seen, host, l.clone()));
+                    self.arrived
+                        .entry(l.node)
+                        .or_default()
+                        .push((seen, host, l.clone()));
                 }
                 _ => {}
             }
@@ -232,9 +285,19 @@
 
     /// The later end of a span, where its host was stopped from outside meanwhile: a stopped host does not
     /// run, and owes its answers once it goes on.
-    pub fn extended(&self, host: &str, from: Duration, to: Duration, catch_up: Duration) -> Duration {
-        let hit = self.stopped.iter().filter(|(h, a, b)| h == host && *a <= to && *b >= from);
-        hit.map(|(_, _, b)| b.saturating_add(catch_up)).fold(to, Duration::max)
+    pub fn extended(
+        &self,
+        host: &str,
+        from: Duration,
+        to: Duration,
+        catch_up: Duration,
+    ) -> Duration {
+        let hit = self
+            .stopped
+            .iter()
+            .filter(|(h, a, b)| h == host && *a <= to && *b >= from);
+        hit.map(|(_, _, b)| b.saturating_add(catch_up))
+            .fold(to, Duration::max)
     }
 }
 
@@ -255,7 +318,10 @@
         }
         for e in &l.entries {
             let told = self.told.entry(e.node).or_default();
-            if told.last().is_none_or(|t| (t.1, t.2) != (e.state(), e.start)) {
+            if told
+                .last()
+                .is_none_or(|t| (t.1, t.2) != (e.state(), e.start))
+            {
                 told.push((at, e.state(), e.start));
             }
         }
@@ -265,14 +331,27 @@
     fn fed(&mut self, at: Duration, f: &pb::Feed) {
         let (whole, state, entries) = &mut self.part;
         *whole |= f.whole;
-        state.extend(f.state.iter().filter_map(drain_of).filter(|d| d.1).map(|d| d.0));
-        entries.extend(f.entries.iter().flat_map(|e| e.changes.iter().filter_map(drain_of)));
+        state.extend(
+            f.state
+                .iter()
+                .filter_map(drain_of)
+                .filter(|d| d.1)
+                .map(|d| d.0),
+        );
+        entries.extend(
+            f.entries
+                .iter()
+                .flat_map(|e| e.changes.iter().filter_map(drain_of)),
+        );
         if f.more {
             return;
         }
         let (whole, state, entries) = std::mem::take(&mut self.part);
         let is = |node: u32, wished: &BTreeMap<u32, Vec<(Duration, bool)>>| {
-            wished.get(&node).and_then(|w| w.last()).is_some_and(|w| w.1)
+            wished
+                .get(&node)
+                .and_then(|w| w.last())
+                .is_some_and(|w| w.1)
         };
         let mut now: BTreeMap<u32, bool> = BTreeMap::new();
         if whole {
@@ -292,13 +371,22 @@
     pub fn told_off(&self, node: u32, at: Duration) -> Option<Duration> {
         let listed = self.told.get(&node).into_iter().flatten();
         let listed = listed.map(|t| (t.0, Some(t.1 != pb::NodeState::Ready), None));
-        let wished = self.wished.get(&node).into_iter().flatten().map(|w| (w.0, None, Some(w.1)));
+        let wished = self
+            .wished
+            .get(&node)
+            .into_iter()
+            .flatten()
+            .map(|w| (w.0, None, Some(w.1)));
         let mut all: Vec<(Duration, Option<bool>, Option<bool>)> = listed.chain(wished).collect();
         all.sort_by_key(|t| t.0);
         let (mut by_list, mut by_wish, mut since) = (false, false, None);
         for (when, list, wish) in all.into_iter().take_while(|t| t.0 <= at) {
             (by_list, by_wish) = (list.unwrap_or(by_list), wish.unwrap_or(by_wish));
-            since = if by_list || by_wish { since.or(Some(when)) } else { None };
+            since = if by_list || by_wish {
+                since.or(Some(when))
+            } else {
+                None
+            };
         }
         since
     }
@@ -306,15 +394,31 @@
 
 /// Which node a change drains, and whether that one is to get nothing new.
 pub fn drain_of(c: &pb::Change) -> Option<(u32, bool)> {
-    let Some(pb::change::Subject::Drain(node)) = c.subject else { return None };
-    let Some(pb::change::To::DrainTo(d)) = &c.to else { return Some((node, false)) };
+    let Some(pb::change::Subject::Drain(node)) = c.subject else {
+        return None;
+    };
+    let Some(pb::change::To::DrainTo(d)) = &c.to else {
+        return Some((node, false));
+    };
     Some((node, d.stage() != pb::DrainStage::Queued))
 }
 
 /// A record as people read it.
 pub fn show(who: &str, r: &Record) -> String {
-    let body = r.frame.as_ref().and_then(|f| f.body.as_ref()).map(|b| format!("{b:?}"));
-    let mark = r.mark.as_ref().map(|m| format!("{} {} node {}", m.what().as_str_name(), m.name, m.node));
+    let body = r
+        .frame
+        .as_ref()
+        .and_then(|f| f.body.as_ref())
+        .map(|b| format!("{b:?}"));
+    let mark = r
+        .mark
+        .as_ref()
+        .map(|m| format!("{} {} node {}", m.what().as_str_name(), m.name, m.node));
     let body = body.or(mark).unwrap_or_default();
-    format!("{:.6} {who} {} conn {} {body}", r.at_ns as f64 / 1e9, r.kind().as_str_name(), r.conn)
+    format!(
+        "{:.6} {who} {} conn {} {body}",
+        r.at_ns as f64 / 1e9,
+        r.kind().as_str_name(),
+        r.conn
+    )
 }
--- a/crates/audit/tests/commands.rs
+++ b/crates/audit/tests/commands.rs
@@ -26,10 +26,22 @@
     /// A session on connection 1 that has logged in.
     fn new() -> Self {
         let of = |role: pb::Role, name: &str| {
-            let who = pb::Hello { role: role.into(), name: name.into(), ..Default::default() };
-            vec![Record { at_ns: 1, kind: Kind::Process.into(), process: Some(who), ..Default::default() }]
+            let who = pb::Hello {
+                role: role.into(),
+                name: name.into(),
+                ..Default::default()
+            };
+            vec![Record {
+                at_ns: 1,
+                kind: Kind::Process.into(),
+                process: Some(who),
+                ..Default::default()
+            }]
+        };
+        let mut t = Trace {
+            host: of(pb::Role::Host, "h"),
+            clients: of(pb::Role::Client, "clients"),
         };
-        let mut t = Trace { host: of(pb::Role::Host, "h"), clients: of(pb::Role::Client, "clients") };
         t.login(1);
         t
     }
@@ -40,22 +52,44 @@
             0,
             Kind::PduIn,
             conn,
-            pb::Pdu { header: vec![0x43; 48].into(), target, ..Default::default() },
+            pb::Pdu {
+                header: vec![0x43; 48].into(),
+                target,
+                ..Default::default()
+            },
         );
     }
 
     fn put(&mut self, at: u64, kind: Kind, conn: u64, pdu: pb::Pdu) {
         let at_ns = at * 1_000_000 + 2;
-        self.host.push(Record { at_ns, kind: kind.into(), conn, pdu: Some(pdu), ..Default::default() });
+        self.host.push(Record {
+            at_ns,
+            kind: kind.into(),
+            conn,
+            pdu: Some(pdu),
+            ..Default::default()
+        });
     }
 
     fn pdu(&mut self, at: u64, kind: Kind, bytes: &[(usize, &[u8])], itt: u32, values: &[u8]) {
         let mut header = [0; 48];
         header[16..20].copy_from_slice(&itt.to_be_bytes());
-        bytes.iter().for_each(|(at, b)| header[*at..*at + b.len()].copy_from_slice(b));
+        bytes
+            .iter()
+            .for_each(|(at, b)| header[*at..*at + b.len()].copy_from_slice(b));
         let blocks = values.iter().map(|v| block_sum(&[*v; 512])).collect();
         let (header, data_len) = (header.to_vec().into(), 512 * values.len() as u32);
-        self.put(at, kind, 1, pb::Pdu { header, blocks, data_len, ..Default::default() });
+        self.put(
+            at,
+            kind,
+            1,
+            pb::Pdu {
+                header,
+                blocks,
+                data_len,
+                ..Default::default()
+            },
+        );
     }
 
     /// WRITE (10) at block 8, the first value at once and the others by Data-Out.
@@ -63,7 +97,13 @@
         let cdb = [0x2a, 0, 0, 0, 0, 8, 0, 0, values.len() as u8];
         self.pdu(at, Kind::PduIn, &[(0, &[1]), (32, &cdb)], itt, &values[..1]);
         if values.len() > 1 {
-            self.pdu(at, Kind::PduIn, &[(0, &[5]), (40, &512u32.to_be_bytes())], itt, &values[1..]);
+            self.pdu(
+                at,
+                Kind::PduIn,
+                &[(0, &[5]), (40, &512u32.to_be_bytes())],
+                itt,
+                &values[1..],
+            );
         }
     }
 
@@ -79,14 +119,21 @@
 
     fn closed(&mut self, at: u64) {
         let at_ns = at * 1_000_000;
-        self.host.push(Record { at_ns, kind: Kind::LineClosed.into(), conn: 1, ..Default::default() });
+        self.host.push(Record {
+            at_ns,
+            kind: Kind::LineClosed.into(),
+            conn: 1,
+            ..Default::default()
+        });
     }
 
     fn judge(self) -> Commands {
         let mut case = Case::default();
         case.add(self.host);
         case.add(self.clients);
-        case.judge(&Settings::read("t.star".as_ref(), SETTINGS.into()).unwrap()).unwrap().commands
+        case.judge(&Settings::read("t.star".as_ref(), SETTINGS.into()).unwrap())
+            .unwrap()
+            .commands
     }
 }
 
@@ -107,31 +154,58 @@
     t.read(10, 11, 4, &[7, 8, 0]);
     t.read(12, 13, 5, &[9, 8, 0]);
     let c = t.judge();
-    assert_eq!((counts(&c), c.blocks, c.wrong.len()), ([6, 6, 0, 0, 0], 3, 0), "{:?}", c.wrong);
+    assert_eq!(
+        (counts(&c), c.blocks, c.wrong.len()),
+        ([6, 6, 0, 0, 0], 3, 0),
+        "{:?}",
+        c.wrong
+    );
 }
 
 #[test]
 fn what_is_missing_and_what_is_excused() {
     // Unanswered at the end, its connection closed, told to end, or its host killed.
-    for (how, ended) in
-        [("", false), ("closed", true), ("aborted", true), ("killed", true), ("killed before", false)]
-    {
+    for (how, ended) in [
+        ("", false),
+        ("closed", true),
+        ("aborted", true),
+        ("killed", true),
+        ("killed before", false),
+    ] {
         let mut t = Trace::new();
         t.write(5, 1, &[7]);
         match how {
             "closed" => t.closed(6),
-            "aborted" => t.pdu(6, Kind::PduIn, &[(0, &[2, 0x81]), (20, &1u32.to_be_bytes())], 9, &[]),
+            "aborted" => t.pdu(
+                6,
+                Kind::PduIn,
+                &[(0, &[2, 0x81]), (20, &1u32.to_be_bytes())],
+                9,
+                &[],
+            ),
             "killed" | "killed before" => {
-                let mark = pb::Marked { what: What::Killed.into(), name: "h".into(), ..Default::default() };
+                let mark = pb::Marked {
+                    what: What::Killed.into(),
+                    name: "h".into(),
+                    ..Default::default()
+                };
                 let at_ns = if how == "killed" { 6_000_000 } else { 0 };
-                let record =
-                    Record { at_ns, kind: Kind::Mark.into(), mark: Some(mark), ..Default::default() };
+                let record = Record {
+                    at_ns,
+                    kind: Kind::Mark.into(),
+                    mark: Some(mark),
+                    ..Default::default()
+                };
                 t.clients.push(record);
             }
             _ => {}
         }
         let c = t.judge();
-        let expected = if ended { [1, 0, 1, 0, 0] } else { [1, 0, 0, 1, 0] };
+        let expected = if ended {
+            [1, 0, 1, 0, 0]
+        } else {
+            [1, 0, 0, 1, 0]
+        };
         assert_eq!((counts(&c), c.fine()), (expected, ended), "{how}");
     }
 }
@@ -150,10 +224,17 @@
     t.status(4, 2, 0);
     t.read(5, 6, 3, &[8]);
     t.read(7, 8, 4, &[7]); // the first shows after all: fine, it may come as late as this
-    let mut bad = Trace { host: t.host.clone(), clients: t.clients.clone() };
+    let mut bad = Trace {
+        host: t.host.clone(),
+        clients: t.clients.clone(),
+    };
     assert!(t.judge().fine());
     bad.read(9, 10, 5, &[8]);
     let c = bad.judge();
     assert_eq!((c.fine(), c.wrong.len()), (false, 1));
-    assert!(c.wrong[0].starts_with("volume 5 block 8: no order"), "{}", c.wrong[0]);
+    assert!(
+        c.wrong[0].starts_with("volume 5 block 8: no order"),
+        "{}",
+        c.wrong[0]
+    );
 }
--- a/crates/audit/tests/doctored.rs
+++ b/crates/audit/tests/doctored.rs
@@ -39,11 +39,22 @@
 impl Traces {
     fn new() -> Self {
         let of = |role: pb::Role, name: &str| {
-            let who = pb::Hello { role: role.into(), name: name.into(), ..Default::default() };
-            vec![Record { kind: Kind::Process.into(), process: Some(who), ..Default::default() }]
+            let who = pb::Hello {
+                role: role.into(),
+                name: name.into(),
+                ..Default::default()
+            };
+            vec![Record {
+                kind: Kind::Process.into(),
+                process: Some(who),
+                ..Default::default()
+            }]
         };
-        let mut t =
-            Traces([of(pb::Role::Client, "clients"), of(pb::Role::Host, "h"), of(pb::Role::Node, "nodes")]);
+        let mut t = Traces([
+            of(pb::Role::Client, "clients"),
+            of(pb::Role::Host, "h"),
+            of(pb::Role::Node, "nodes"),
+        ]);
         for side in [CLIENT, NODE] {
             t.0[side].push(Record {
                 kind: Kind::Opened.into(),
@@ -57,14 +68,28 @@
     }
 
     fn put(&mut self, side: usize, at: u64, kind: Kind, body: Body) {
-        let frame = Some(pb::Frame { sent_us: 0, body: Some(body) });
+        let frame = Some(pb::Frame {
+            sent_us: 0,
+            body: Some(body),
+        });
         let at_ns = at * 1_000_000;
-        self.0[side].push(Record { at_ns, kind: kind.into(), conn: 1, frame, ..Default::default() });
+        self.0[side].push(Record {
+            at_ns,
+            kind: kind.into(),
+            conn: 1,
+            frame,
+            ..Default::default()
+        });
     }
 
     fn closed(&mut self, side: usize, at: u64) {
         let at_ns = at * 1_000_000;
-        self.0[side].push(Record { at_ns, kind: Kind::Closed.into(), conn: 1, ..Default::default() });
+        self.0[side].push(Record {
+            at_ns,
+            kind: Kind::Closed.into(),
+            conn: 1,
+            ..Default::default()
+        });
     }
 
     fn mark(&mut self, at: u64, what: What) {
@@ -79,13 +104,32 @@
             ..Default::default()
         };
         let (at_ns, kind, mark) = (at * 1_000_000, Kind::Mark.into(), Some(mark));
-        self.0[NODE].push(Record { at_ns, kind, mark, ..Default::default() });
+        self.0[NODE].push(Record {
+            at_ns,
+            kind,
+            mark,
+            ..Default::default()
+        });
     }
 
     fn list(&mut self, at: u64, state: pb::NodeState, start: u64) {
-        let entry = pb::Entry { node: 1, state: state.into(), start, ..Default::default() };
+        let entry = pb::Entry {
+            node: 1,
+            state: state.into(),
+            start,
+            ..Default::default()
+        };
         let (kind, entries) = (pb::ListKind::Changes.into(), vec![entry]);
-        self.put(HOST, at, Kind::In, Body::List(pb::List { kind, revision: 0, entries }));
+        self.put(
+            HOST,
+            at,
+            Kind::In,
+            Body::List(pb::List {
+                kind,
+                revision: 0,
+                entries,
+            }),
+        );
     }
 
     /// A client's transfer, as both ends record it.
@@ -106,7 +150,11 @@
     }
 
     fn answer(&mut self, at: u64, n: u8, outcome: pb::Outcome) {
-        let f = pb::Final { id: id(n), outcome: outcome.into(), ..Default::default() };
+        let f = pb::Final {
+            id: id(n),
+            outcome: outcome.into(),
+            ..Default::default()
+        };
         self.put(HOST, at, Kind::Out, Body::Final(f.clone()));
         self.put(CLIENT, at, Kind::In, Body::Final(f));
     }
@@ -114,14 +162,26 @@
     /// A leg to a node; its number is the moment.
     fn leg(&mut self, at: u64, n: u8, node: u32, number: u32) {
         let (units, left_us) = (2.0, 1_000_000);
-        let leg =
-            pb::Leg { leg: at, id: id(n), number, node, volume: 5, units, left_us, ..Default::default() };
+        let leg = pb::Leg {
+            leg: at,
+            id: id(n),
+            number,
+            node,
+            volume: 5,
+            units,
+            left_us,
+            ..Default::default()
+        };
         self.put(HOST, at, Kind::Out, Body::Leg(leg.clone()));
         self.put(NODE, at, Kind::In, Body::Leg(leg));
     }
 
     fn back(&mut self, at: u64, leg: u64, result: pb::Result) {
-        let a = pb::LegAnswer { leg, result: result.into(), ..Default::default() };
+        let a = pb::LegAnswer {
+            leg,
+            result: result.into(),
+            ..Default::default()
+        };
         self.put(HOST, at, Kind::In, Body::LegAnswer(a));
     }
 
@@ -138,7 +198,8 @@
             records[1..].sort_by_key(|r| r.at_ns);
             case.add(records);
         }
-        let settings = Settings::read("doctored.star".as_ref(), SETTINGS.into()).expect("good settings");
+        let settings =
+            Settings::read("doctored.star".as_ref(), SETTINGS.into()).expect("good settings");
         case.judge(&settings).expect("whole traces")
     }
 }
@@ -176,7 +237,11 @@
         if doubled {
             t.answer(30, 1, Done);
         }
-        assert_eq!(t.judge().breaches.len(), expected, "as the client and as the host shows it");
+        assert_eq!(
+            t.judge().breaches.len(),
+            expected,
+            "as the client and as the host shows it"
+        );
     }
 }
 
@@ -265,9 +330,18 @@
         t.back(30, 20, Ok);
         t.answer(31, 1, Done);
         for at in if twice { vec![25, 26] } else { vec![25] } {
-            let mark = pb::Marked { what: What::Effect.into(), id: id(1), ..Default::default() };
+            let mark = pb::Marked {
+                what: What::Effect.into(),
+                id: id(1),
+                ..Default::default()
+            };
             let (at_ns, kind, mark) = (at * 1_000_000, Kind::Mark.into(), Some(mark));
-            t.0[NODE].push(Record { at_ns, kind, mark, ..Default::default() });
+            t.0[NODE].push(Record {
+                at_ns,
+                kind,
+                mark,
+                ..Default::default()
+            });
         }
     });
 }
@@ -369,8 +443,12 @@
 fn a_trace_that_was_cut_is_not_judged() {
     let mut case = Case::default();
     let mut t = Traces::new();
-    t.0[HOST].push(Record { kind: Kind::Cut.into(), ..Default::default() });
+    t.0[HOST].push(Record {
+        kind: Kind::Cut.into(),
+        ..Default::default()
+    });
     t.0.into_iter().for_each(|records| case.add(records));
-    let settings = Settings::read("doctored.star".as_ref(), SETTINGS.into()).expect("good settings");
+    let settings =
+        Settings::read("doctored.star".as_ref(), SETTINGS.into()).expect("good settings");
     assert!(case.judge(&settings).is_err_and(|e| e.contains("cut")));
 }
--- a/crates/audit/tests/plans.rs
+++ b/crates/audit/tests/plans.rs
@@ -18,14 +18,22 @@
 "#;
 
 fn process(role: pb::Role, name: &str) -> Vec<Record> {
-    let who = pb::Hello { role: role.into(), name: name.into(), ..Default::default() };
+    let who = pb::Hello {
+        role: role.into(),
+        name: name.into(),
+        ..Default::default()
+    };
     let opened = |conn, peer: &str| Record {
         kind: Kind::Opened.into(),
         conn,
         peer: peer.into(),
         ..Default::default()
     };
-    let first = Record { kind: Kind::Process.into(), process: Some(who), ..Default::default() };
+    let first = Record {
+        kind: Kind::Process.into(),
+        process: Some(who),
+        ..Default::default()
+    };
     vec![first, opened(1, "h"), opened(2, "i")]
 }
 
@@ -39,33 +47,70 @@
 impl Traces {
     fn new() -> Self {
         let hosts = ["h", "i"].map(|name| process(pb::Role::Host, name));
-        let mut t = Traces { state: process(pb::Role::State, "state"), hosts, legs: 0 };
+        let mut t = Traces {
+            state: process(pb::Role::State, "state"),
+            hosts,
+            legs: 0,
+        };
         t.told(1, 0, 1, 1, &[plan(10.0, 4.0, 20.0), volume(&["h", "i"])]);
         t.told(1, 1, 1, 1, &[plan(10.0, 4.0, 20.0), volume(&["h", "i"])]);
         t
     }
 
     fn record(at: u64, kind: Kind, conn: u64, body: Body) -> Record {
-        let frame = Some(pb::Frame { sent_us: 0, body: Some(body) });
-        Record { at_ns: at * 1_000_000, kind: kind.into(), conn, frame, ..Default::default() }
+        let frame = Some(pb::Frame {
+            sent_us: 0,
+            body: Some(body),
+        });
+        Record {
+            at_ns: at * 1_000_000,
+            kind: kind.into(),
+            conn,
+            frame,
+            ..Default::default()
+        }
     }
 
     /// A host is answered: what that version changed, and what is settled.
     fn told(&mut self, at: u64, host: usize, version: u64, settled: u64, changes: &[pb::Change]) {
-        let entry =
-            pb::ChangeEntry { version, from: version - 1, changes: changes.to_vec(), ..Default::default() };
-        let entries = if changes.is_empty() { vec![] } else { vec![entry] };
-        let feed = pb::Feed { era: 1, version, settled, entries, ..Default::default() };
-        self.state.push(Self::record(at, Kind::Out, host as u64 + 1, Body::Feed(feed)));
+        let entry = pb::ChangeEntry {
+            version,
+            from: version - 1,
+            changes: changes.to_vec(),
+            ..Default::default()
+        };
+        let entries = if changes.is_empty() {
+            vec![]
+        } else {
+            vec![entry]
+        };
+        let feed = pb::Feed {
+            era: 1,
+            version,
+            settled,
+            entries,
+            ..Default::default()
+        };
+        self.state.push(Self::record(
+            at,
+            Kind::Out,
+            host as u64 + 1,
+            Body::Feed(feed),
+        ));
     }
 
     fn sure(&mut self, at: u64, host: usize, has: u64) {
         let confirm = Body::Confirm(pb::Confirm { era: 1, has });
-        self.state.push(Self::record(at, Kind::In, host as u64 + 1, confirm));
+        self.state
+            .push(Self::record(at, Kind::In, host as u64 + 1, confirm));
     }
 
     fn gone(&mut self, at: u64, host: &str) {
-        let gone = Body::HostGone(pb::HostGone { call: 1, who: "clerk".into(), host: host.into() });
+        let gone = Body::HostGone(pb::HostGone {
+            call: 1,
+            who: "clerk".into(),
+            host: host.into(),
+        });
         self.state.push(Self::record(at, Kind::In, 9, gone));
     }
 
@@ -73,7 +118,13 @@
     fn leg(&mut self, at: u64, host: usize, units: f64) {
         self.legs += 1;
         let id = Bytes::from(format!("{:036}", self.legs));
-        let take = pb::Take { id: id.clone(), volume: 5, units, left_us: 2_000_000, ..Default::default() };
+        let take = pb::Take {
+            id: id.clone(),
+            volume: 5,
+            units,
+            left_us: 2_000_000,
+            ..Default::default()
+        };
         let leg = pb::Leg {
             leg: self.legs,
             id: id.clone(),
@@ -83,7 +134,11 @@
             left_us: 1_000_000,
             ..Default::default()
         };
-        let done = pb::Final { id, outcome: pb::Outcome::Done.into(), ..Default::default() };
+        let done = pb::Final {
+            id,
+            outcome: pb::Outcome::Done.into(),
+            ..Default::default()
+        };
         let records = &mut self.hosts[host];
         records.push(Self::record(at, Kind::In, 1, Body::Take(take)));
         records.push(Self::record(at, Kind::Out, 3, Body::Leg(leg)));
@@ -100,15 +155,32 @@
 }
 
 fn plan(limit: f64, reservation: f64, burst: f64) -> pb::Change {
-    let figures = pb::PlanFigures { rate: 10.0, reservation, limit, burst, slack: 5.0, ..Default::default() };
+    let figures = pb::PlanFigures {
+        rate: 10.0,
+        reservation,
+        limit,
+        burst,
+        slack: 5.0,
+        ..Default::default()
+    };
     let subject = Some(change::Subject::Plan("p".into()));
-    pb::Change { subject, to: (limit >= 0.0).then_some(change::To::PlanTo(figures)) }
+    pb::Change {
+        subject,
+        to: (limit >= 0.0).then_some(change::To::PlanTo(figures)),
+    }
 }
 
 fn volume(hosts: &[&str]) -> pb::Change {
     let hosts = hosts.iter().map(|h| h.to_string()).collect();
-    let facts = pb::VolumeFacts { plan: "p".into(), hosts, ..Default::default() };
-    pb::Change { subject: Some(change::Subject::Volume(5)), to: Some(change::To::VolumeTo(facts)) }
+    let facts = pb::VolumeFacts {
+        plan: "p".into(),
+        hosts,
+        ..Default::default()
+    };
+    pb::Change {
+        subject: Some(change::Subject::Volume(5)),
+        to: Some(change::To::VolumeTo(facts)),
+    }
 }
 
 fn broken(v: &Verdict) -> Vec<String> {
@@ -137,7 +209,12 @@
         (0..2).for_each(|h| t.told(4000, h, 2, 2, &[]));
         stream(&mut t, 5000, 12_000, later);
         let v = t.judge();
-        assert_eq!(broken(&v).is_empty(), fine, "{each}, {later}: {:?}", v.breaches);
+        assert_eq!(
+            broken(&v).is_empty(),
+            fine,
+            "{each}, {later}: {:?}",
+            v.breaches
+        );
     }
     // Lowered from 10 to 4: the old one is in force until it is settled, the new one from then on.
     for (until, later, fine) in [(4000, 2.0, true), (7000, 2.0, false), (4000, 4.0, false)] {
@@ -149,7 +226,12 @@
         stream(&mut t, 100, until, 5.0);
         stream(&mut t, until, 14_000, later);
         let v = t.judge();
-        assert_eq!(broken(&v).is_empty(), fine, "{until}, {later}: {:?}", v.breaches);
+        assert_eq!(
+            broken(&v).is_empty(),
+            fine,
+            "{until}, {later}: {:?}",
+            v.breaches
+        );
     }
     // None at first, then one: its store is full when it comes into force.
     let mut t = Traces::new();
@@ -159,7 +241,11 @@
     (0..2).for_each(|h| t.sure(6400, h, 3));
     (0..2).for_each(|h| t.told(6500, h, 3, 3, &[]));
     stream(&mut t, 6600, 9000, 5.0);
-    let mut bad = Traces { state: t.state.clone(), hosts: t.hosts.clone(), legs: t.legs };
+    let mut bad = Traces {
+        state: t.state.clone(),
+        hosts: t.hosts.clone(),
+        legs: t.legs,
+    };
     let v = t.judge();
     // The hosts had not said that they have entry 2 when it was called settled.
     assert_eq!(
@@ -170,7 +256,9 @@
         ]
     );
     stream(&mut bad, 9000, 12_000, 20.0);
-    assert!(broken(&bad.judge()).iter().any(|b| b.contains("below its store")));
+    assert!(broken(&bad.judge())
+        .iter()
+        .any(|b| b.contains("below its store")));
 }
 
 #[test]
@@ -237,9 +325,16 @@
             t.state.retain(|r| {
                 r.at_ns != 3_000_000_000
                     || r.conn != 1
-                    || matches!(r.frame.as_ref().and_then(|f| f.body.as_ref()), Some(Body::HostGone(_)))
+                    || matches!(
+                        r.frame.as_ref().and_then(|f| f.body.as_ref()),
+                        Some(Body::HostGone(_))
+                    )
             });
         }
-        assert_eq!(broken(&t.judge()).first().map(String::as_str), expected, "{what}");
+        assert_eq!(
+            broken(&t.judge()).first().map(String::as_str),
+            expected,
+            "{what}"
+        );
     }
 }
--- a/crates/bench/src/commands.rs
+++ b/crates/bench/src/commands.rs
@@ -72,8 +72,15 @@
 
 impl Path {
     fn new(digests: bool, data: Bytes) -> Self {
-        let target = Target { name: NAME.into(), ..Target::default() };
-        let portal = Portal { targets: vec![target], group: 1, ..Portal::default() };
+        let target = Target {
+            name: NAME.into(),
+            ..Target::default()
+        };
+        let portal = Portal {
+            targets: vec![target],
+            group: 1,
+            ..Portal::default()
+        };
         let unit = Unit {
             blocks: 1 << 20,
             block_size: 512,
@@ -83,14 +90,39 @@
             read_only: false,
         };
         let placed = (0..2048).map(|extent| (extent, 1)).collect();
-        let volume = VolumeFacts { volume: 1, unit, extent_blocks: 512, placed };
-        let facts = vec![TargetFacts { name: NAME.into(), luns: vec![0] }];
-        let figures = Figures { first: 128.0, most: 128.0, most_each: 128 };
+        let volume = VolumeFacts {
+            volume: 1,
+            unit,
+            extent_blocks: 512,
+            placed,
+        };
+        let facts = vec![TargetFacts {
+            name: NAME.into(),
+            luns: vec![0],
+        }];
+        let figures = Figures {
+            first: 128.0,
+            most: 128.0,
+            most_each: 128,
+        };
         let versions = (figures, Duration::from_secs(1), Versions::new(0, 1));
-        let engine = Engine::new(portal, vec![], facts, vec![volume], versions, Box::new(|| [7; 17]));
+        let engine = Engine::new(
+            portal,
+            vec![],
+            facts,
+            vec![volume],
+            versions,
+            Box::new(|| [7; 17]),
+        );
         let (reader, now) = (Reader::new(256 << 10), Duration::ZERO);
-        let mut p =
-            Path { engine, reader, digests: Digests::default(), now, out: Vec::with_capacity(1 << 20), data };
+        let mut p = Path {
+            engine,
+            reader,
+            digests: Digests::default(),
+            now,
+            out: Vec::with_capacity(1 << 20),
+            data,
+        };
         p.step(vec![Input::Up { conn: CONN }]);
         let digest = if digests { "CRC32C" } else { "None" };
         let keys = [
@@ -103,10 +135,18 @@
             ("FirstBurstLength", "262144"),
             ("MaxRecvDataSegmentLength", "262144"),
         ];
-        let keys: Vec<(String, String)> = keys.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect();
-        let h = Header::new(Opcode::LoginRequest).set_immediate(true).set_flags(0x80 | 1 << 2 | 3);
+        let keys: Vec<(String, String)> = keys
+            .iter()
+            .map(|(k, v)| (k.to_string(), v.to_string()))
+            .collect();
+        let h = Header::new(Opcode::LoginRequest)
+            .set_immediate(true)
+            .set_flags(0x80 | 1 << 2 | 3);
         p.hear(&Pdu::new(h.set_itt(1).set_cmd_sn(1), format(&keys)));
-        p.digests = Digests { header: digests, data: digests };
+        p.digests = Digests {
+            header: digests,
+            data: digests,
+        };
         p.reader.digests = p.digests;
         // The first command finds that the unit came up.
         p.command(1, &[0; 16], 0, 0);
@@ -120,8 +160,16 @@
             for output in self.engine.step(self.now, inputs) {
                 match output {
                     Output::Take(Request { no, write, .. }) => {
-                        let data = if write { Bytes::new() } else { self.data.clone() };
-                        again.push(Input::Final { no, answer: Answer::Done(data), cell: Some(1) });
+                        let data = if write {
+                            Bytes::new()
+                        } else {
+                            self.data.clone()
+                        };
+                        again.push(Input::Final {
+                            no,
+                            answer: Answer::Done(data),
+                            cell: Some(1),
+                        });
                     }
                     Output::Reserve { ceiling } => again.push(Input::Reserved { ceiling }),
                     Output::Send { pdu, digests, .. } => {
@@ -150,15 +198,25 @@
         while !bytes.is_empty() {
             self.reader.fill(&mut bytes).expect("a slice reads");
             while let Ok(Some(pdu)) = self.reader.next() {
-                self.step(vec![Input::Pdu { conn: CONN, read: Ok(pdu) }]);
+                self.step(vec![Input::Pdu {
+                    conn: CONN,
+                    read: Ok(pdu),
+                }]);
             }
         }
     }
 
     fn request(&self, sn: u32, cdb: &[u8; 16], flags: u8, length: u32) -> Vec<u8> {
-        let h = Header::new(Opcode::ScsiCommand).set_flags(0x80 | flags).set_itt(sn).set_ttt(length);
+        let h = Header::new(Opcode::ScsiCommand)
+            .set_flags(0x80 | flags)
+            .set_itt(sn)
+            .set_ttt(length);
         let h = h.set_cmd_sn(sn).set_exp_stat_sn(sn).set_cdb(*cdb);
-        let data = if flags & 0x20 != 0 { self.data.clone() } else { Bytes::new() };
+        let data = if flags & 0x20 != 0 {
+            self.data.clone()
+        } else {
+            Bytes::new()
+        };
         let mut bytes = Vec::new();
         pdu::write(&Pdu::new(h, data), self.digests, &mut bytes);
         bytes
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -48,7 +48,10 @@
     let s = settings(nodes);
     let streams = s.streams.iter().map(|x| x.facts.clone()).collect();
     let plans = s.plans.iter().map(|p| p.facts.clone()).collect();
-    let list = ListRule { on_asking: false, ask_every: ms(10_000) };
+    let list = ListRule {
+        on_asking: false,
+        ask_every: ms(10_000),
+    };
     let mut control = Control::new(1, streams, plans, s.units.clone(), s.caps.clone()).under(
         s.rules.cold.clone(),
         list,
@@ -64,7 +67,13 @@
     };
     let entries = (0..nodes).map(entry).collect();
     let mut now = ms(1000);
-    control.step(now, vec![Event::List { kind: ListKind::Whole, entries }]);
+    control.step(
+        now,
+        vec![Event::List {
+            kind: ListKind::Whole,
+            entries,
+        }],
+    );
     let (mut next, mut out) = (0u64, VecDeque::new());
     let mut events = Vec::new();
     let take = |next: &mut u64, now: Duration| {
@@ -82,24 +91,27 @@
         })
     };
     events.extend((0..open).map(|_| take(&mut next, now)));
-    let mut run = |events: Vec<Event>, now: Duration, out: &mut VecDeque<(XferId, NodeId)>| -> usize {
-        let mut gone = 0;
-        for action in control.step(now, events) {
-            match action {
-                Action::Send { id, node, .. } => out.push_back((id, node)),
-                Action::Defer { .. } | Action::Abandon { .. } => gone += 1,
-                _ => {}
+    let mut run =
+        |events: Vec<Event>, now: Duration, out: &mut VecDeque<(XferId, NodeId)>| -> usize {
+            let mut gone = 0;
+            for action in control.step(now, events) {
+                match action {
+                    Action::Send { id, node, .. } => out.push_back((id, node)),
+                    Action::Defer { .. } | Action::Abandon { .. } => gone += 1,
+                    _ => {}
+                }
             }
-        }
-        gone
-    };
+            gone
+        };
     run(events, now, &mut out);
     let (started, mut transfers, mut open) = (Instant::now(), 0u64, open);
     while started.elapsed() < span {
         now += Duration::from_micros(50) * batch as u32;
         let mut events = Vec::new();
         for _ in 0..batch {
-            let Some((id, node)) = out.pop_front() else { break };
+            let Some((id, node)) = out.pop_front() else {
+                break;
+            };
             events.push(Event::LegOver {
                 id,
                 leg: 0,
@@ -124,7 +136,10 @@
         }
     }
     let held = open.saturating_sub(out.len());
-    (started.elapsed().as_nanos() as f64 / transfers.max(1) as f64, held)
+    (
+        started.elapsed().as_nanos() as f64 / transfers.max(1) as f64,
+        held,
+    )
 }
 
 /// The desk with the decisions inside, its outboxes pulled as writers would.
@@ -139,8 +154,11 @@
         start: 1,
         ..Default::default()
     };
-    let list =
-        pb::List { kind: pb::ListKind::Whole.into(), revision: 1, entries: (0..nodes).map(entry).collect() };
+    let list = pb::List {
+        kind: pb::ListKind::Whole.into(),
+        revision: 1,
+        entries: (0..nodes).map(entry).collect(),
+    };
     let client = ConnId(1 << 50);
     let to_client = Arc::new(Outbox::new(|| (), || ()));
     let mut boxes: HashMap<ConnId, Arc<Outbox>> = HashMap::new();
@@ -161,12 +179,22 @@
             length: 512,
             ..Default::default()
         };
-        pb::Frame { sent_us: now.as_micros() as u64, body: Some(Body::Take(take)) }
+        pb::Frame {
+            sent_us: now.as_micros() as u64,
+            body: Some(Body::Take(take)),
+        }
     };
     let mut inputs = vec![
         Input::Remembered { list },
-        Input::ClientUp { conn: client, outbox: to_client.clone() },
-        Input::ClientFrames { conn: client, at: now, frames: (0..open).map(|_| take(now)).collect() },
+        Input::ClientUp {
+            conn: client,
+            outbox: to_client.clone(),
+        },
+        Input::ClientFrames {
+            conn: client,
+            at: now,
+            frames: (0..open).map(|_| take(now)).collect(),
+        },
     ];
     let (mut started, mut transfers, mut warm) = (Instant::now(), 0u64, false);
     while !warm || started.elapsed() < span {
@@ -200,15 +228,32 @@
         now += Duration::from_micros(50) * batch as u32;
         inputs = Vec::new();
         for _ in 0..batch {
-            let Some((conn, leg)) = out.pop_front() else { break };
-            let a = pb::LegAnswer { leg, result: pb::Result::Ok.into(), ..Default::default() };
-            let frames = vec![pb::Frame { sent_us: 0, body: Some(Body::LegAnswer(a)) }];
-            inputs.push(Input::NodeFrames { conn, at: now, frames });
+            let Some((conn, leg)) = out.pop_front() else {
+                break;
+            };
+            let a = pb::LegAnswer {
+                leg,
+                result: pb::Result::Ok.into(),
+                ..Default::default()
+            };
+            let frames = vec![pb::Frame {
+                sent_us: 0,
+                body: Some(Body::LegAnswer(a)),
+            }];
+            inputs.push(Input::NodeFrames {
+                conn,
+                at: now,
+                frames,
+            });
             transfers += 1;
         }
         let frames: Vec<_> = (0..answered).map(|_| take(now)).collect();
         if !frames.is_empty() {
-            inputs.push(Input::ClientFrames { conn: client, at: now, frames });
+            inputs.push(Input::ClientFrames {
+                conn: client,
+                at: now,
+                frames,
+            });
         }
     }
     started.elapsed().as_nanos() as f64 / transfers.max(1) as f64
--- a/crates/bench/src/deferral.rs
+++ b/crates/bench/src/deferral.rs
@@ -65,8 +65,17 @@
 
 impl Load {
     fn login(&self) -> io::Result<Initiator> {
-        let (initiator, isid) = (format!("iqn.2026-12.org.example:load-{}", self.seed), self.lun as u8);
-        let wish = Wish { initiator, target: self.target.into(), isid, digests: false, chap: None };
+        let (initiator, isid) = (
+            format!("iqn.2026-12.org.example:load-{}", self.seed),
+            self.lun as u8,
+        );
+        let wish = Wish {
+            initiator,
+            target: self.target.into(),
+            isid,
+            digests: false,
+            chap: None,
+        };
         let mut i = Initiator::login(self.at, &wish)?;
         i.command(self.lun, &[0], &[], 0)?;
         Ok(i)
@@ -75,7 +84,11 @@
     fn prepare(&self) -> io::Result<()> {
         let mut i = self.login()?;
         for extent in 0..EXTENTS {
-            while i.write(self.lun, extent * EXTENT_BLOCKS, &[7; 4096])?.status != 0 {
+            while i
+                .write(self.lun, extent * EXTENT_BLOCKS, &[7; 4096])?
+                .status
+                != 0
+            {
                 std::thread::sleep(Duration::from_millis(50));
             }
         }
@@ -84,7 +97,11 @@
 
     /// Reads arrive by chance at a steady rate, whatever becomes of those before.
     fn run(&self, span: Duration) -> io::Result<Seen> {
-        let (mut i, mut rng, mut seen) = (self.login()?, Pcg64Mcg::seed_from_u64(self.seed), Seen::default());
+        let (mut i, mut rng, mut seen) = (
+            self.login()?,
+            Pcg64Mcg::seed_from_u64(self.seed),
+            Seen::default(),
+        );
         let (start, mut fresh, mut later) = (clock::now(), VecDeque::new(), BTreeMap::new());
         let (mut next, mut open, mut number) = (start, BTreeMap::new(), 0u64);
         while clock::now() < start + span + GIVEN_UP {
@@ -94,8 +111,9 @@
                 seen.pieces += 1;
                 next += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / self.a_second);
             }
-            while let Some((at, _)) =
-                later.first_key_value().map(|(k, v): (&(Duration, u64), &Duration)| (k.0, *v))
+            while let Some((at, _)) = later
+                .first_key_value()
+                .map(|(k, v): (&(Duration, u64), &Duration)| (k.0, *v))
             {
                 if at > now {
                     break;
@@ -113,10 +131,15 @@
                 seen.commands += 1;
             }
             let wake = later.keys().next().map_or(next, |l| l.0.min(next));
-            let wait =
-                wake.saturating_sub(clock::now()).clamp(Duration::from_micros(200), Duration::from_millis(5));
-            let Some((itt, answer)) = i.any_within(wait)? else { continue };
-            let Some(since) = open.remove(&itt) else { continue };
+            let wait = wake
+                .saturating_sub(clock::now())
+                .clamp(Duration::from_micros(200), Duration::from_millis(5));
+            let Some((itt, answer)) = i.any_within(wait)? else {
+                continue;
+            };
+            let Some(since) = open.remove(&itt) else {
+                continue;
+            };
             let now = clock::now();
             match answer.status {
                 0 => {
@@ -141,9 +164,17 @@
 
 /// Without `window` a portal takes all that comes: the window is so wide that deferrals hardly narrow it.
 fn site(portal: SocketAddr, window: bool) -> String {
-    let commands =
-        if window { "" } else { ", first_commands = 1e6, most_commands = 1e6, commands_each = 4000" };
-    let ids = |from: u64, n: u64| (from..from + n).map(|v| v.to_string()).collect::<Vec<_>>().join(", ");
+    let commands = if window {
+        ""
+    } else {
+        ", first_commands = 1e6, most_commands = 1e6, commands_each = 4000"
+    };
+    let ids = |from: u64, n: u64| {
+        (from..from + n)
+            .map(|v| v.to_string())
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
     format!(
         r#"
 zone(name = "a")
@@ -176,7 +207,12 @@
     println!("| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     for (heeds, window) in [(true, true), (false, true), (true, false), (false, false)] {
         let portal = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let stage = Stage::of(program, &site(portal, window), NODES, &["--store", "PLACES"])?;
+        let stage = Stage::of(
+            program,
+            &site(portal, window),
+            NODES,
+            &["--store", "PLACES"],
+        )?;
         let rest = (times * CAPACITY - ASKED * RESERVED as f64) / OTHERS as f64;
         let load = |lun, reserved: bool| Load {
             at: portal,
@@ -199,9 +235,14 @@
         }
         let (mut kept, mut shed) = (Seen::default(), Seen::default());
         std::thread::scope(|s| -> io::Result<()> {
-            let runs: Vec<_> = all.iter().map(|(r, l)| (*r, s.spawn(|| l.run(span)))).collect();
+            let runs: Vec<_> = all
+                .iter()
+                .map(|(r, l)| (*r, s.spawn(|| l.run(span))))
+                .collect();
             for (reserved, run) in runs {
-                let seen = run.join().map_err(|_| io::Error::other("a load panicked"))??;
+                let seen = run
+                    .join()
+                    .map_err(|_| io::Error::other("a load panicked"))??;
                 if reserved { &mut kept } else { &mut shed }.add(seen);
             }
             Ok(())
--- a/crates/bench/src/extents.rs
+++ b/crates/bench/src/extents.rs
@@ -28,7 +28,11 @@
     let mut rng = Pcg64Mcg::seed_from_u64(9);
     let asked: Vec<u64> = (0..LOOKS).map(|_| rng.random_range(0..count)).collect();
     let begun = Instant::now();
-    let found: u64 = asked.iter().filter_map(|e| get(black_box(*e))).map(u64::from).sum();
+    let found: u64 = asked
+        .iter()
+        .filter_map(|e| get(black_box(*e)))
+        .map(u64::from)
+        .sum();
     black_box(found);
     begun.elapsed().as_nanos() as f64 / LOOKS as f64
 }
--- a/crates/bench/src/iscsi.rs
+++ b/crates/bench/src/iscsi.rs
@@ -94,7 +94,10 @@
         let portal = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
         let mut more = String::new();
         for unit in 0..UNITS {
-            more += &format!("volume(id = {}, plan = \"p\", blocks = 1048576)\n", 1000 + unit);
+            more += &format!(
+                "volume(id = {}, plan = \"p\", blocks = 1048576)\n",
+                1000 + unit
+            );
         }
         let luns: Vec<String> = (0..UNITS).map(|unit| (1000 + unit).to_string()).collect();
         more += &format!(
@@ -108,7 +111,15 @@
         let load = |open: usize, digests: bool| -> Vec<Load> {
             let each = open.div_ceil(LINES.min(open));
             let sessions = 0..LINES.min(open) as u8;
-            sessions.map(|number| Load { at: portal, number, digests, bytes: *bytes, open: each }).collect()
+            sessions
+                .map(|number| Load {
+                    at: portal,
+                    number,
+                    digests,
+                    bytes: *bytes,
+                    open: each,
+                })
+                .collect()
         };
         load(1, false)[0].write_all()?;
         // Beyond that the plain path's client is hung up on: it would leave too much unread.
@@ -127,7 +138,11 @@
             };
             let commands = |digests: bool| together(load(*open, digests), |l| l.reads(span));
             plain()?; // warm
-            let (p, c, d) = (timed(&plain)?, timed(&|| commands(false))?, timed(&|| commands(true))?);
+            let (p, c, d) = (
+                timed(&plain)?,
+                timed(&|| commands(false))?,
+                timed(&|| commands(true))?,
+            );
             println!(
                 "| {bytes} | {open} | {:.0} | {:.0} | {:.2} | {:.0} | {:.2} | {:.0} | {:.1}% | {:.1} / {:.1} / {:.1} |",
                 p.0,
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -21,7 +21,9 @@
 use std::time::Duration;
 
 #[derive(Parser)]
-#[command(about = "Measures the host. Run it from a release build, on a machine that does nothing else.")]
+#[command(
+    about = "Measures the host. Run it from a release build, on a machine that does nothing else."
+)]
 struct Args {
     #[command(subcommand)]
     what: What,
@@ -80,7 +82,11 @@
     },
     /// One row of `state`.
     #[command(hide = true)]
-    StateOpen { volumes: u64, extents: u64, run: u64 },
+    StateOpen {
+        volumes: u64,
+        extents: u64,
+        run: u64,
+    },
     /// What one command costs in allocations, without sockets.
     Commands,
     /// A host process on one core, through sockets.
@@ -102,19 +108,42 @@
 fn main() -> std::io::Result<()> {
     match Args::parse().what {
         What::Decisions { seconds } => decisions::measure(Duration::from_secs_f64(seconds)),
-        What::Iscsi { seconds, program, bytes, open } => {
+        What::Iscsi {
+            seconds,
+            program,
+            bytes,
+            open,
+        } => {
             let beside = std::env::current_exe()?.with_file_name("grebecleat");
             let span = Duration::from_secs_f64(seconds);
             iscsi::measure(span, &program.unwrap_or(beside), &bytes, &open)?;
         }
-        What::Deferral { seconds, program, times } => {
+        What::Deferral {
+            seconds,
+            program,
+            times,
+        } => {
             let beside = std::env::current_exe()?.with_file_name("grebecleat");
-            deferral::measure(Duration::from_secs_f64(seconds), &program.unwrap_or(beside), times)?;
+            deferral::measure(
+                Duration::from_secs_f64(seconds),
+                &program.unwrap_or(beside),
+                times,
+            )?;
         }
         What::Extents { count } => extents::measure(count),
-        What::StateOpen { volumes, extents, run } => state::open(volumes, extents, run)?,
+        What::StateOpen {
+            volumes,
+            extents,
+            run,
+        } => state::open(volumes, extents, run)?,
         What::Planner => planner::measure(),
-        What::State { seconds, program, volumes, extents, connections } => {
+        What::State {
+            seconds,
+            program,
+            volumes,
+            extents,
+            connections,
+        } => {
             let beside = std::env::current_exe()?.with_file_name("grebecleat");
             let (program, span) = (program.unwrap_or(beside), Duration::from_secs_f64(seconds));
             match connections {
@@ -123,9 +152,19 @@
             }
         }
         What::Commands => commands::measure(),
-        What::Sockets { seconds, program, only, nodes } => {
+        What::Sockets {
+            seconds,
+            program,
+            only,
+            nodes,
+        } => {
             let beside = std::env::current_exe()?.with_file_name("grebecleat");
-            sockets::measure(Duration::from_secs_f64(seconds), &program.unwrap_or(beside), only, &nodes)?;
+            sockets::measure(
+                Duration::from_secs_f64(seconds),
+                &program.unwrap_or(beside),
+                only,
+                &nodes,
+            )?;
         }
     }
     Ok(())
--- a/crates/bench/src/planner.rs
+++ b/crates/bench/src/planner.rs
@@ -12,11 +12,22 @@
 /// Volumes on some neighbouring nodes each, reserves that fill that part of all nodes.
 fn site(nodes: u32, volumes: u64, filled: f64) -> Site {
     let mut rng = Pcg64Mcg::seed_from_u64(u64::from(nodes));
-    let all: Vec<Node> = (0..nodes).map(|id| Node { id, zone: id / 10, capacity: 1000.0 }).collect();
+    let all: Vec<Node> = (0..nodes)
+        .map(|id| Node {
+            id,
+            zone: id / 10,
+            capacity: 1000.0,
+        })
+        .collect();
     let each = f64::from(nodes) * 1000.0 * filled / volumes as f64;
     let volume = |id| {
-        let (first, n) = (rng.random_range(0..nodes), rng.random_range(1..=6.min(nodes)));
-        let homes = (0..n).map(|i| ((first + i) % nodes, 1.0 / f64::from(n))).collect();
+        let (first, n) = (
+            rng.random_range(0..nodes),
+            rng.random_range(1..=6.min(nodes)),
+        );
+        let homes = (0..n)
+            .map(|i| ((first + i) % nodes, 1.0 / f64::from(n)))
+            .collect();
         Volume {
             id,
             reserve: each * rng.random_range(0.5..1.5),
@@ -25,12 +36,20 @@
         }
     };
     let volumes = (0..volumes).map(volume).collect();
-    Site { nodes: all, volumes, spread: 2.0 }
+    Site {
+        nodes: all,
+        volumes,
+        spread: 2.0,
+    }
 }
 
 /// The same site as a ledger.
 fn ledger(s: &Site) -> Ledger {
-    let plan = |v: &Volume| changes::Plan { reservation: v.reserve, weight: v.weight, ..Default::default() };
+    let plan = |v: &Volume| changes::Plan {
+        reservation: v.reserve,
+        weight: v.weight,
+        ..Default::default()
+    };
     let node = |n: &Node| changes::Node {
         name: "".into(),
         zone: n.zone.to_string().into(),
@@ -43,11 +62,27 @@
         cells: v.homes.iter().map(|h| h.0).collect(),
         blocks: 8,
     };
-    let nodes = s.nodes.iter().map(|n| Change::Node { id: n.id, to: Some(node(n)) });
-    let plans = s.volumes.iter().map(|v| Change::Plan { name: v.id.to_string().into(), to: Some(plan(v)) });
-    let volumes = s.volumes.iter().map(|v| Change::Volume { id: v.id, to: Some(volume(v)) });
-    let facts = Facts { hosts: ["h".into()].into(), linger: Duration::ZERO };
-    Ledger::new(facts, 100).restored(Default::default(), nodes.chain(plans).chain(volumes), Vec::new())
+    let nodes = s.nodes.iter().map(|n| Change::Node {
+        id: n.id,
+        to: Some(node(n)),
+    });
+    let plans = s.volumes.iter().map(|v| Change::Plan {
+        name: v.id.to_string().into(),
+        to: Some(plan(v)),
+    });
+    let volumes = s.volumes.iter().map(|v| Change::Volume {
+        id: v.id,
+        to: Some(volume(v)),
+    });
+    let facts = Facts {
+        hosts: ["h".into()].into(),
+        linger: Duration::ZERO,
+    };
+    Ledger::new(facts, 100).restored(
+        Default::default(),
+        nodes.chain(plans).chain(volumes),
+        Vec::new(),
+    )
 }
 
 fn admission() {
@@ -62,13 +97,25 @@
             let opened = begun.elapsed().as_secs_f64() * 1e3;
             let mut took = [Vec::new(), Vec::new()];
             let mut losses = 0;
-            for (i, steps) in [0, 0, 0, 0, 0, usize::MAX, usize::MAX, usize::MAX].into_iter().enumerate() {
+            for (i, steps) in [0, 0, 0, 0, 0, usize::MAX, usize::MAX, usize::MAX]
+                .into_iter()
+                .enumerate()
+            {
                 let id = i as u64 * 7;
                 let reserve = s.volumes[id as usize].reserve * 1.2;
-                let plan = changes::Plan { reservation: reserve, weight: 1.0, ..Default::default() };
-                let change = vec![Change::Plan { name: id.to_string().into(), to: Some(plan) }];
+                let plan = changes::Plan {
+                    reservation: reserve,
+                    weight: 1.0,
+                    ..Default::default()
+                };
+                let change = vec![Change::Plan {
+                    name: id.to_string().into(),
+                    to: Some(plan),
+                }];
                 let begun = Instant::now();
-                let entry = l.propose(l.version(), Asks::default(), change.clone()).expect("in order");
+                let entry = l
+                    .propose(l.version(), Asks::default(), change.clone())
+                    .expect("in order");
                 l.take(entry).expect("the next");
                 let o = a.land(&l, &change, steps);
                 took[usize::from(steps > 0)].push(begun.elapsed().as_secs_f64() * 1e3);
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -34,9 +34,17 @@
     }
 }
 
-fn start(program: &Path, args: &[&str], cores: &'static [usize], log: &Path) -> io::Result<Running> {
+fn start(
+    program: &Path,
+    args: &[&str],
+    cores: &'static [usize],
+    log: &Path,
+) -> io::Result<Running> {
     let mut command = Command::new(program);
-    command.args(args).stdin(Stdio::null()).stdout(Stdio::piped());
+    command
+        .args(args)
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped());
     command.stderr(fs::File::options().create(true).append(true).open(log)?);
     // SAFETY: only async-signal-safe calls between fork and exec.
     unsafe { command.pre_exec(move || stay_on(cores)) };
@@ -44,7 +52,10 @@
     let mut line = String::new();
     BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line)?;
     let said = line.trim().strip_prefix("listening ").map(str::to_string);
-    Ok(Running(child, said.ok_or_else(|| io::Error::other(format!("{args:?} did not start: {line}")))?))
+    Ok(Running(
+        child,
+        said.ok_or_else(|| io::Error::other(format!("{args:?} did not start: {line}")))?,
+    ))
 }
 
 pub fn stay_on(cores: &[usize]) -> io::Result<()> {
@@ -64,8 +75,18 @@
 /// Seconds of processor time, and bytes resident.
 pub fn used(pid: u32) -> io::Result<(f64, f64)> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |i: usize| fields.get(i).and_then(|f| f.parse::<f64>().ok()).unwrap_or(0.0);
+    let fields: Vec<&str> = stat
+        .rsplit(')')
+        .next()
+        .unwrap_or("")
+        .split_whitespace()
+        .collect();
+    let ticks = |i: usize| {
+        fields
+            .get(i)
+            .and_then(|f| f.parse::<f64>().ok())
+            .unwrap_or(0.0)
+    };
     // SAFETY: no pointers.
     let a_second = unsafe { libc::sysconf(libc::_SC_CLK_TCK) } as f64;
     // SAFETY: no pointers.
@@ -101,13 +122,35 @@
         fs::write(&script, text)?;
         let file = script.to_str().expect("a plain path");
         let _ = fs::remove_file(&log);
-        let list = start(program, &["list-service", file, "--listen", "127.0.0.1:0"], &[0, 1, 2], &log)?;
-        let running = start(program, &["node", file, "--list", &list.1], &[0, 1, 2], &log)?;
-        let args = ["run", file, "--listen", "127.0.0.1:0", "--list", &list.1, "--workers", "1"];
+        let list = start(
+            program,
+            &["list-service", file, "--listen", "127.0.0.1:0"],
+            &[0, 1, 2],
+            &log,
+        )?;
+        let running = start(
+            program,
+            &["node", file, "--list", &list.1],
+            &[0, 1, 2],
+            &log,
+        )?;
+        let args = [
+            "run",
+            file,
+            "--listen",
+            "127.0.0.1:0",
+            "--list",
+            &list.1,
+            "--workers",
+            "1",
+        ];
         let places = dir.join("places");
         let _ = fs::remove_file(&places);
         let places = places.to_str().expect("a plain path");
-        let own: Vec<&str> = own.iter().map(|a| if *a == "PLACES" { places } else { *a }).collect();
+        let own: Vec<&str> = own
+            .iter()
+            .map(|a| if *a == "PLACES" { places } else { *a })
+            .collect();
         let host = start(program, &[&args[..], &own].concat(), &[3], &log)?;
         let known = || ask_list(&list.1).unwrap_or_default();
         let mut there = known();
@@ -115,7 +158,13 @@
             std::thread::sleep(Duration::from_millis(50));
             there = known();
         }
-        let stage = Stage { dir, _list: list, _nodes: running, host, nodes: there };
+        let stage = Stage {
+            dir,
+            _list: list,
+            _nodes: running,
+            host,
+            nodes: there,
+        };
         std::thread::sleep(Duration::from_millis(800)); // the host's watch
         Ok(stage)
     }
@@ -132,7 +181,11 @@
         let log = fs::read_to_string(self.dir.join("log"))?;
         let count = |name: &str| -> f64 {
             let after = log.rsplit(&format!("{name}: ")).next().unwrap_or("");
-            after.split(|c: char| !c.is_ascii_digit()).next().and_then(|n| n.parse().ok()).unwrap_or(0.0)
+            after
+                .split(|c: char| !c.is_ascii_digit())
+                .next()
+                .and_then(|n| n.parse().ok())
+                .unwrap_or(0.0)
         };
         Ok(count("events") / count("steps").max(1.0))
     }
@@ -142,7 +195,13 @@
     let sent_us = clock::micros(clock::now());
     let mut bytes = Vec::new();
     for body in bodies {
-        frame::write(&pb::Frame { sent_us, body: Some(body) }, &mut bytes);
+        frame::write(
+            &pb::Frame {
+                sent_us,
+                body: Some(body),
+            },
+            &mut bytes,
+        );
     }
     stream.write_all(&bytes)
 }
@@ -179,7 +238,11 @@
     let mut all = Vec::new();
     for body in get(&mut s, &mut r)? {
         if let Body::List(l) = body {
-            all.extend(l.entries.iter().filter_map(|e| Some((e.node, e.address.parse().ok()?))));
+            all.extend(
+                l.entries
+                    .iter()
+                    .filter_map(|e| Some((e.node, e.address.parse().ok()?))),
+            );
         }
     }
     Ok(all)
@@ -200,7 +263,14 @@
     fn draw(nodes: &[(u32, SocketAddr)], length: u32, write: bool) -> Self {
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let node = nodes[(number % nodes.len() as u64) as usize].0;
-        Work { number, node, volume: number % VOLUMES, extent: number / 7 % EXTENTS, length, write }
+        Work {
+            number,
+            node,
+            volume: number % VOLUMES,
+            extent: number / 7 % EXTENTS,
+            length,
+            write,
+        }
     }
 
     fn data(&self) -> Bytes {
@@ -276,7 +346,14 @@
     }
 
     fn connect(&self) -> io::Result<(TcpStream, frame::Reader)> {
-        connect(self.at, if self.through_host { pb::Role::Client } else { pb::Role::Host })
+        connect(
+            self.at,
+            if self.through_host {
+                pb::Role::Client
+            } else {
+                pb::Role::Host
+            },
+        )
     }
 
     /// Keeps `open` transfers open for a span; how many were done a second, and the part that was not done.
@@ -286,7 +363,10 @@
         put(&mut stream, (0..open).map(|_| draw()))?;
         let (start, mut done, mut not) = (clock::now(), 0u64, 0u64);
         while clock::now() < start + span {
-            let answers: Vec<_> = get(&mut stream, &mut reader)?.iter().filter_map(answer).collect();
+            let answers: Vec<_> = get(&mut stream, &mut reader)?
+                .iter()
+                .filter_map(answer)
+                .collect();
             not += answers.iter().filter(|a| !a.1).count() as u64;
             done += answers.iter().filter(|a| a.1).count() as u64;
             put(&mut stream, answers.iter().map(|_| draw()))?;
@@ -300,7 +380,10 @@
         let (mut stream, mut reader) = self.connect()?;
         let count = (rate * span.as_secs_f64()) as u64;
         let first = NEXT.fetch_add(count * self.nodes.len() as u64, Ordering::Relaxed);
-        let (mut writer, start) = (stream.try_clone()?, clock::now() + Duration::from_millis(20));
+        let (mut writer, start) = (
+            stream.try_clone()?,
+            clock::now() + Duration::from_millis(20),
+        );
         let due = move |i: u64| start + Duration::from_secs_f64(i as f64 / rate);
         let target = self.clone();
         let sender = std::thread::spawn(move || -> io::Result<()> {
@@ -319,7 +402,11 @@
                 });
                 put(&mut writer, work.map(|w| target.body(&w)))?;
                 i += ready;
-                std::thread::sleep(due(i).saturating_sub(clock::now()).min(Duration::from_micros(200)));
+                std::thread::sleep(
+                    due(i)
+                        .saturating_sub(clock::now())
+                        .min(Duration::from_micros(200)),
+                );
             }
             Ok(())
         });
@@ -332,19 +419,24 @@
                 left -= 1;
             }
         }
-        sender.join().map_err(|_| io::Error::other("the sender panicked"))??;
+        sender
+            .join()
+            .map_err(|_| io::Error::other("the sender panicked"))??;
         Ok(times)
     }
 }
 
 pub fn together<T: Sync + Send>(
-    targets: Vec<T>, each: impl Fn(&T) -> io::Result<(f64, f64)> + Sync,
+    targets: Vec<T>,
+    each: impl Fn(&T) -> io::Result<(f64, f64)> + Sync,
 ) -> io::Result<(f64, f64)> {
     std::thread::scope(|s| {
         let all: Vec<_> = targets.iter().map(|t| s.spawn(|| each(t))).collect();
         let (mut sum, mut part) = (0.0, 0.0);
         for one in all {
-            let (rate, not) = one.join().map_err(|_| io::Error::other("a load panicked"))??;
+            let (rate, not) = one
+                .join()
+                .map_err(|_| io::Error::other("a load panicked"))??;
             (sum, part) = (sum + rate, part + not / targets.len() as f64);
         }
         Ok((sum, part))
@@ -358,7 +450,12 @@
     Memory,
 }
 
-pub fn measure(span: Duration, program: &Path, only: Option<Table>, nodes: &[u32]) -> io::Result<()> {
+pub fn measure(
+    span: Duration,
+    program: &Path,
+    only: Option<Table>,
+    nodes: &[u32],
+) -> io::Result<()> {
     stay_on(&[0, 1, 2])?;
     let wanted = |t: Table| only.is_none_or(|o| o == t);
     if wanted(Table::Throughput) {
@@ -368,7 +465,13 @@
         );
         println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
         for n in nodes {
-            for (length, open) in [(512, 1), (512, 100), (512, 1000), (32 << 10, 32), (256 << 10, 16)] {
+            for (length, open) in [
+                (512, 1),
+                (512, 100),
+                (512, 1000),
+                (32 << 10, 32),
+                (256 << 10, 16),
+            ] {
                 throughput(span, program, *n, length, open)?;
             }
         }
@@ -378,7 +481,12 @@
         println!("| nodes | bytes | rate | directly 50% / 99% / 99.9%, us | through the host 50% / 99% / 99.9%, us |");
         println!("| ---: | ---: | ---: | ---: | ---: |");
         for n in nodes {
-            for (length, rate) in [(512, 2000.0), (512, 5000.0), (512, 10_000.0), (32 << 10, 2000.0)] {
+            for (length, rate) in [
+                (512, 2000.0),
+                (512, 5000.0),
+                (512, 10_000.0),
+                (32 << 10, 2000.0),
+            ] {
                 latency(span, program, *n, length, rate)?;
             }
         }
@@ -391,10 +499,20 @@
 }
 
 pub fn targets(stage: &Stage, length: u32) -> (Vec<Target>, Vec<Target>) {
-    let host = Target { through_host: true, at: stage.address(), nodes: stage.nodes.clone(), length };
+    let host = Target {
+        through_host: true,
+        at: stage.address(),
+        nodes: stage.nodes.clone(),
+        length,
+    };
     let node = |i: usize| {
         let own = stage.nodes[i * stage.nodes.len() / LINES];
-        Target { through_host: false, at: own.1, nodes: vec![own], length }
+        Target {
+            through_host: false,
+            at: own.1,
+            nodes: vec![own],
+            length,
+        }
     };
     (vec![host; LINES], (0..LINES).map(node).collect())
 }
@@ -405,7 +523,12 @@
         let (mut stream, mut reader) = connect(*at, pb::Role::Host)?;
         for volume in 0..VOLUMES {
             for extent in 0..EXTENTS {
-                let work = Work { volume, extent, write: true, ..Work::draw(&[(*id, *at)], length, true) };
+                let work = Work {
+                    volume,
+                    extent,
+                    write: true,
+                    ..Work::draw(&[(*id, *at)], length, true)
+                };
                 put(&mut stream, [work.leg()])?;
                 get(&mut stream, &mut reader)?;
             }
@@ -414,12 +537,20 @@
     Ok(())
 }
 
-fn throughput(span: Duration, program: &Path, nodes: u32, length: u32, open: usize) -> io::Result<()> {
+fn throughput(
+    span: Duration,
+    program: &Path,
+    nodes: u32,
+    length: u32,
+    open: usize,
+) -> io::Result<()> {
     let stage = Stage::new(program, nodes, "")?;
     prepare(&stage, length)?;
     let (through, direct) = targets(&stage, length);
     let each = |t: &Target| t.closed(open.div_ceil(LINES), span);
-    together(through.clone(), |t| t.closed(open.div_ceil(LINES), span / 3))?; // warm
+    together(through.clone(), |t| {
+        t.closed(open.div_ceil(LINES), span / 3)
+    })?; // warm
     let before = used(stage.host.0.id())?;
     let begun = clock::now();
     let (rate, not) = together(through, each)?;
@@ -452,7 +583,11 @@
     let host = through[0].open(rate, span)?;
     let plain = direct[0].open(rate, span)?;
     stage.end()?;
-    println!("| {nodes} | {length} | {rate:.0} | {} | {} |", show(&plain), show(&host));
+    println!(
+        "| {nodes} | {length} | {rate:.0} | {} | {} |",
+        show(&plain),
+        show(&host)
+    );
     Ok(())
 }
 
@@ -465,11 +600,18 @@
         let stage = Stage::new(program, nodes, hang)?;
         let before = used(stage.host.0.id())?.1;
         let (mut stream, _reader) = connect(stage.address(), pb::Role::Client)?;
-        put(&mut stream, (0..open).map(|_| Work::draw(&stage.nodes, 512, false).take()))?;
+        put(
+            &mut stream,
+            (0..open).map(|_| Work::draw(&stage.nodes, 512, false).take()),
+        )?;
         std::thread::sleep(Duration::from_millis(1500));
         let after = used(stage.host.0.id())?.1;
         let each = (after - before) / open as f64;
-        println!("| {nodes} | {open} | {:.1} MB | {:.1} MB | {each:.0} |", before / 1e6, after / 1e6);
+        println!(
+            "| {nodes} | {open} | {:.1} MB | {:.1} MB | {each:.0} |",
+            before / 1e6,
+            after / 1e6
+        );
     }
     Ok(())
 }
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -16,14 +16,25 @@
 use std::time::{Duration, Instant};
 
 fn plan(rate: f64) -> Option<Plan> {
-    Some(Plan { rate, weight: 1.0, price: 1.0, ..Plan::default() })
+    Some(Plan {
+        rate,
+        weight: 1.0,
+        price: 1.0,
+        ..Plan::default()
+    })
 }
 
 /// Kilobytes that this process has resident.
 fn resident() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap_or_default();
-    line.split_whitespace().nth(1).and_then(|n| n.parse().ok()).unwrap_or(0)
+    let line = status
+        .lines()
+        .find(|l| l.starts_with("VmRSS:"))
+        .unwrap_or_default();
+    line.split_whitespace()
+        .nth(1)
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
 }
 
 /// Fills a store, and opens it again.
@@ -36,24 +47,45 @@
     {
         let (mut store, ..) = Store::open(&path, 1000).map_err(told)?;
         let name = |n: u64| format!("plan-{}", n % 100);
-        let plans = (0..100).map(|n| Change::Plan { name: name(n).into(), to: plan(10.0) });
+        let plans = (0..100).map(|n| Change::Plan {
+            name: name(n).into(),
+            to: plan(10.0),
+        });
         let volume = |id: u64| Volume {
             plan: name(id).into(),
-            hosts: [format!("host-{}", id % 20).into(), format!("host-{}", id % 20 + 20).into()].into(),
+            hosts: [
+                format!("host-{}", id % 20).into(),
+                format!("host-{}", id % 20 + 20).into(),
+            ]
+            .into(),
             cells: [(id % 400) as u32, (id % 400) as u32 + 1].into(),
             blocks: 1 << 21,
         };
-        let all = plans.chain((0..volumes).map(|id| Change::Volume { id, to: Some(volume(id)) }));
-        let whole = Keep::Whole { version: Version(1), state: all.collect(), trail: Vec::new() };
+        let all = plans.chain((0..volumes).map(|id| Change::Volume {
+            id,
+            to: Some(volume(id)),
+        }));
+        let whole = Keep::Whole {
+            version: Version(1),
+            state: all.collect(),
+            trail: Vec::new(),
+        };
         store.keep(&[whole]).map_err(told)?;
         let mut rng = Pcg64Mcg::seed_from_u64(5);
         let (mut batch, mut cell, mut left) = (Vec::new(), 0, 0);
         for n in 0..extents {
             if left == 0 {
-                (cell, left) = (rng.random_range(0..400), rng.random_range(1..run.max(1) * 2));
+                (cell, left) = (
+                    rng.random_range(0..400),
+                    rng.random_range(1..run.max(1) * 2),
+                );
             }
             left -= 1;
-            batch.push(Keep::Place { volume: n / 10_000, extent: n % 10_000, cell });
+            batch.push(Keep::Place {
+                volume: n / 10_000,
+                extent: n % 10_000,
+                cell,
+            });
             if batch.len() == 100_000 || n + 1 == extents {
                 store.keep(&std::mem::take(&mut batch)).map_err(told)?;
             }
@@ -110,17 +142,30 @@
     let store = dir.join("bench.store");
     let args = ["--log-level", "error", "state-service"];
     let mut c = Command::new(program);
-    c.args(args).arg(&site).arg("--store").arg(&store).args(["--listen", "127.0.0.1:0"]);
+    c.args(args)
+        .arg(&site)
+        .arg("--store")
+        .arg(&store)
+        .args(["--listen", "127.0.0.1:0"]);
     let mut child = c.stdout(Stdio::piped()).spawn()?;
     let mut line = String::new();
     BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line)?;
-    let at = line.trim().strip_prefix("listening ").and_then(|a| a.parse().ok());
+    let at = line
+        .trim()
+        .strip_prefix("listening ")
+        .and_then(|a| a.parse().ok());
     let at = at.ok_or_else(|| std::io::Error::other("the service did not start"))?;
     Ok(Service(child, at))
 }
 
 /// Changes of volumes through so many connections, one after the other on each, as fast as they land.
-pub fn changes(program: &Path, span: Duration, volumes: u64, nodes: u32, conns: u64) -> std::io::Result<()> {
+pub fn changes(
+    program: &Path,
+    span: Duration,
+    volumes: u64,
+    nodes: u32,
+    conns: u64,
+) -> std::io::Result<()> {
     let dir = std::env::temp_dir().join(format!("grebecleat-bench-changes-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     let s = service(program, &dir, volumes, nodes)?;
@@ -138,14 +183,22 @@
                     let to = Volume {
                         plan: format!("plan-{}", (id + n) % 100).into(),
                         hosts: ["h0".into(), format!("h{}", 1 + n % 3).into()].into(),
-                        cells: [0u32, 1, 2].map(|i| ((id + u64::from(i)) % u64::from(nodes)) as u32).into(),
+                        cells: [0u32, 1, 2]
+                            .map(|i| ((id + u64::from(i)) % u64::from(nodes)) as u32)
+                            .into(),
                         blocks: 1 << 21,
                     };
                     let changes = vec![change_pb(&Change::Volume { id, to: Some(to) })];
                     let (who, why) = ("bench".to_string(), String::new());
                     let begun = Instant::now();
                     let came = c.change(|call| {
-                        Body::Propose(pb::Propose { call, who, why, changes, ..Default::default() })
+                        Body::Propose(pb::Propose {
+                            call,
+                            who,
+                            why,
+                            changes,
+                            ..Default::default()
+                        })
                     })?;
                     if let Came::Landed(_) = came {
                         landed += 1;
@@ -158,7 +211,9 @@
         .collect();
     let (mut landed, mut took) = (0, Histogram::<u64>::new(3).expect("three digits"));
     for w in workers {
-        let (n, own) = w.join().map_err(|_| std::io::Error::other("a worker panicked"))??;
+        let (n, own) = w
+            .join()
+            .map_err(|_| std::io::Error::other("a worker panicked"))??;
         landed += n;
         took.add(own).expect("alike");
     }
@@ -181,16 +236,25 @@
     for run in [8u64, 64, 1024] {
         // Each in a process of its own: what one leaves behind must not count for the next.
         let args = [volumes, extents, run].map(|n| n.to_string());
-        let status = Command::new(std::env::current_exe()?).arg("state-open").args(args).status()?;
+        let status = Command::new(std::env::current_exe()?)
+            .arg("state-open")
+            .args(args)
+            .status()?;
         if !status.success() {
             return Err(std::io::Error::other("a measurement failed"));
         }
     }
-    println!("\n| volumes | nodes | connections | changes a second | p50, ms | p99, ms | file, MB |");
+    println!(
+        "\n| volumes | nodes | connections | changes a second | p50, ms | p99, ms | file, MB |"
+    );
     println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
-    for (volumes, nodes, conns) in
-        [(100, 10, 1), (100, 10, 64), (10_000, 200, 1), (10_000, 200, 64), (10_000, 200, 256)]
-    {
+    for (volumes, nodes, conns) in [
+        (100, 10, 1),
+        (100, 10, 64),
+        (10_000, 200, 1),
+        (10_000, 200, 64),
+        (10_000, 200, 256),
+    ] {
         changes(program, span, volumes, nodes, conns)?;
     }
     Ok(())
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -7,7 +7,8 @@
 const ABOUT: &str =
     "A storage gateway: takes reads and writes of many volumes and schedules them over storage \
                      nodes, so that every volume keeps to its reservation, share and limit.";
-const AFTER: &str = "Exit codes: 0 all well; 1 it ran and a rule was broken; 2 bad arguments or settings, \
+const AFTER: &str =
+    "Exit codes: 0 all well; 1 it ran and a rule was broken; 2 bad arguments or settings, \
                      nothing was started; 3 it could not run.\n\nStart with: grebecleat rehearse \
                      examples/bad-day.star";
 
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -19,17 +19,29 @@
     let me = hello(pb::Role::Operator, "fleet", u64::from(std::process::id()));
     let mut bytes = Vec::new();
     let sent_us = clock::micros(clock::now());
-    frame::write(&pb::Frame { sent_us, body: Some(Body::Hello(me)) }, &mut bytes);
+    frame::write(
+        &pb::Frame {
+            sent_us,
+            body: Some(Body::Hello(me)),
+        },
+        &mut bytes,
+    );
     stream.write_all(&bytes)?;
     let mut reader = frame::Reader::new(MOST_FRAME);
     loop {
-        match reader.next::<pb::Frame>().map_err(|e| io::Error::other(e.to_string()))?.and_then(|f| f.body) {
+        match reader
+            .next::<pb::Frame>()
+            .map_err(|e| io::Error::other(e.to_string()))?
+            .and_then(|f| f.body)
+        {
             Some(Body::Figures(f)) => return Ok(*f),
             Some(Body::Hello(them)) if them.role() != pb::Role::Host => {
                 return Err(io::Error::other("no host answers there"));
             }
             Some(_) => {}
-            None if reader.fill(&mut stream)? == 0 => return Err(io::Error::other("the host hung up")),
+            None if reader.fill(&mut stream)? == 0 => {
+                return Err(io::Error::other("the host hung up"))
+            }
             None => {}
         }
     }
@@ -40,13 +52,24 @@
     let mut out = String::new();
     let mut line = |text: String| writeln!(out, "{text}").expect("a String takes all");
     if f.life == 0 {
-        line(format!("{}: tells its peers nothing; every decision is its own", f.host));
+        line(format!(
+            "{}: tells its peers nothing; every decision is its own",
+            f.host
+        ));
         return out;
     }
-    line(format!("{}: life {}, {} peers heard", f.host, f.life, f.peers.len()));
+    line(format!(
+        "{}: life {}, {} peers heard",
+        f.host,
+        f.life,
+        f.peers.len()
+    ));
     for p in &f.peers {
         let age = Duration::from_micros(p.age_us).as_secs_f64();
-        line(format!("  peer {:<12} {age:>6.1} s old, tried {} nodes, {} badly", p.host, p.tried, p.badly));
+        line(format!(
+            "  peer {:<12} {age:>6.1} s old, tried {} nodes, {} badly",
+            p.host, p.tried, p.badly
+        ));
     }
     for b in &f.beliefs {
         let belief = match b.belief() {
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -14,11 +14,15 @@
         None => BoxMakeWriter::new(io::stderr),
         Some(path) => {
             let file = OpenOptions::new().create(true).append(true).open(path);
-            let file = file.map_err(|e| io::Error::other(format!("--log-file {}: {e}", path.display())))?;
+            let file =
+                file.map_err(|e| io::Error::other(format!("--log-file {}: {e}", path.display())))?;
             BoxMakeWriter::new(Mutex::new(file))
         }
     };
-    let builder = tracing_subscriber::fmt().with_env_filter(filter).with_writer(writer).with_ansi(false);
+    let builder = tracing_subscriber::fmt()
+        .with_env_filter(filter)
+        .with_writer(writer)
+        .with_ansi(false);
     match logs.log {
         Format::Text => builder.init(),
         Format::Json => builder.json().init(),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -5,7 +5,9 @@
 mod logs;
 mod plans;
 
-use args::{Args, Command, HostArgs, ListArgs, NodeArgs, RehearseArgs, Stage as StageArgs, StateArgs};
+use args::{
+    Args, Command, HostArgs, ListArgs, NodeArgs, RehearseArgs, Stage as StageArgs, StateArgs,
+};
 use clap::{CommandFactory, Parser};
 use grebecleat_audit::{Case, Verdict, RULES};
 use grebecleat_host::run as host;
@@ -14,7 +16,9 @@
 use grebecleat_settings::{Kind, Settings};
 use grebecleat_standin::clients::Tally;
 use grebecleat_standin::{net, rehearse, serve};
-use grebecleat_state::{declared::facts, extents::Extents, keeper::Keeper, serve as service, store::Kept};
+use grebecleat_state::{
+    declared::facts, extents::Extents, keeper::Keeper, serve as service, store::Kept,
+};
 use grebecleat_target::portal::{self, Places};
 use grebecleat_wire::{clock, pb, trace::Tracer};
 use indicatif::{ProgressBar, ProgressStyle};
@@ -66,7 +70,12 @@
         Command::Node(a) => nodes(a),
         Command::ListService(a) => list(a),
         Command::Completions { shell } => {
-            clap_complete::generate(shell, &mut Args::command(), "grebecleat", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Args::command(),
+                "grebecleat",
+                &mut std::io::stdout(),
+            );
             Ok(())
         }
     };
@@ -109,7 +118,9 @@
 }
 
 fn tracer(path: Option<PathBuf>, who: pb::Hello) -> Result<Tracer, Stop> {
-    let Some(path) = path else { return Ok(Tracer::default()) };
+    let Some(path) = path else {
+        return Ok(Tracer::default());
+    };
     Tracer::create(&path, rehearse::MOST_TRACE, who)
         .map_err(|e| Stop::Failed(format!("cannot record to {}: {e}", path.display())))
 }
@@ -124,17 +135,26 @@
 const MOST_TRAIL: u64 = 100_000;
 
 fn open_store(path: &Path) -> Result<(Keeper, Kept, BTreeMap<u64, Extents>), Stop> {
-    Keeper::open(path, MOST_TRAIL).map_err(|e| Stop::Failed(format!("store {}: {e}", path.display())))
+    Keeper::open(path, MOST_TRAIL)
+        .map_err(|e| Stop::Failed(format!("store {}: {e}", path.display())))
 }
 
 /// A host's place and where it answers.
 fn peer(text: &str, names: &[&str]) -> Result<(usize, SocketAddr), Stop> {
     let read = || {
         let (name, address) = text.split_once('=')?;
-        Some((names.iter().position(|n| *n == name)?, address.parse().ok()?))
+        Some((
+            names.iter().position(|n| *n == name)?,
+            address.parse().ok()?,
+        ))
     };
     let expected = "expected NAME=ADDRESS with one of";
-    read().ok_or_else(|| bad(format!("--peer: {expected} {}, found {text}", names.join(", "))))
+    read().ok_or_else(|| {
+        bad(format!(
+            "--peer: {expected} {}, found {text}",
+            names.join(", ")
+        ))
+    })
 }
 
 fn run(a: HostArgs) -> Result<(), Stop> {
@@ -143,44 +163,79 @@
     let host = match &a.host {
         None if names.len() == 1 => 0,
         None => return Err(bad(format!("--host: expected one of {}", names.join(", ")))),
-        Some(name) => names
-            .iter()
-            .position(|n| n == name)
-            .ok_or_else(|| bad(format!("--host: expected one of {}, found {name}", names.join(", "))))?,
+        Some(name) => names.iter().position(|n| n == name).ok_or_else(|| {
+            bad(format!(
+                "--host: expected one of {}, found {name}",
+                names.join(", ")
+            ))
+        })?,
     };
     let here = |a: Option<SocketAddr>, b: Option<SocketAddr>, what: &str| {
-        a.or(b).ok_or_else(|| bad(format!("{what}: neither given nor in {}", "the settings")))
+        a.or(b)
+            .ok_or_else(|| bad(format!("{what}: neither given nor in {}", "the settings")))
     };
     let listen = here(a.listen, settings.hosts[host].listen, "--listen")?;
     let list = here(a.list, settings.list.address, "--list")?;
-    let given: Vec<(usize, SocketAddr)> =
-        a.peers.iter().map(|p| peer(p, &names)).collect::<Result<_, _>>()?;
-    let at = |i: usize| given.iter().find(|g| g.0 == i).map(|g| g.1).or(settings.hosts[i].listen);
+    let given: Vec<(usize, SocketAddr)> = a
+        .peers
+        .iter()
+        .map(|p| peer(p, &names))
+        .collect::<Result<_, _>>()?;
+    let at = |i: usize| {
+        given
+            .iter()
+            .find(|g| g.0 == i)
+            .map(|g| g.1)
+            .or(settings.hosts[i].listen)
+    };
     let others = (0..names.len()).filter(|i| *i != host);
-    let peers = others.filter_map(|i| Some((host::peer(i), at(i)?))).collect();
-    let started = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-    let seed = a.seed.unwrap_or_else(|| clock::now().as_nanos() as u64 ^ u64::from(std::process::id()) << 40);
+    let peers = others
+        .filter_map(|i| Some((host::peer(i), at(i)?)))
+        .collect();
+    let started = std::time::SystemTime::now()
+        .duration_since(std::time::UNIX_EPOCH)
+        .unwrap_or_default();
+    let seed = a
+        .seed
+        .unwrap_or_else(|| clock::now().as_nanos() as u64 ^ u64::from(std::process::id()) << 40);
     let me = net::hello(pb::Role::Host, names[host], seed);
     let (name, tracer) = (names[host].to_string(), tracer(a.trace, me)?);
-    let mut portals: Vec<_> = settings.portals.iter().filter(|p| p.host == host).cloned().collect();
+    let mut portals: Vec<_> = settings
+        .portals
+        .iter()
+        .filter(|p| p.host == host)
+        .cloned()
+        .collect();
     if let (Some(portal), Some(at)) = (portals.first_mut(), a.portal) {
         portal.listen = at;
     }
     if let (true, None) = (!portals.is_empty(), &a.store) {
-        return Err(bad("--store: needed, since the settings give this host a portal".into()));
+        return Err(bad(
+            "--store: needed, since the settings give this host a portal".into(),
+        ));
     }
     let store = a.store.as_deref().map(open_store).transpose()?;
     let state = match (&settings.state, &store) {
         (None, _) => None,
         (Some(_), None) => {
-            return Err(bad("--store: needed, since the settings name a state_service()".into()));
+            return Err(bad(
+                "--store: needed, since the settings name a state_service()".into(),
+            ));
         }
         (Some(spec), Some((keeper, kept, _))) => {
             let address = here(a.state, spec.address, "--state")?;
             let ledger = Follow::ledger_of(facts(&settings));
             let ledger = ledger.restored(kept.version, kept.state.clone(), kept.trail.clone());
-            let start = Start { ledger, settled: kept.settled, era: kept.era };
-            Some(host::StateLink { address, keeper: keeper.clone(), start })
+            let start = Start {
+                ledger,
+                settled: kept.settled,
+                era: kept.era,
+            };
+            Some(host::StateLink {
+                address,
+                keeper: keeper.clone(),
+                start,
+            })
         }
     };
     let options = host::Options {
@@ -198,8 +253,14 @@
     };
     let counts = host::run(options, |address, handle| {
         for spec in &portals {
-            let Some((keeper, kept, places)) = &store else { continue };
-            let places = Places { keeper, places, ceiling: kept.ceiling };
+            let Some((keeper, kept, places)) = &store else {
+                continue;
+            };
+            let places = Places {
+                keeper,
+                places,
+                ceiling: kept.ceiling,
+            };
             match portal::start(&settings, spec, &handle, places) {
                 Ok(at) => info!(host = %name, portal = %at, "iscsi portal up"),
                 Err(why) => {
@@ -219,7 +280,10 @@
 fn on_platform() -> Result<(), Stop> {
     let (file, config) = Config::from_env().map_err(bad)?;
     let name = config.name.clone();
-    let options = platform::Options { config, file: Some(file) };
+    let options = platform::Options {
+        config,
+        file: Some(file),
+    };
     let counts = platform::run(options, |address| info!(host = %name, %address, "up"))?;
     info!(host = %name, ?counts, "ended");
     Ok(())
@@ -228,12 +292,15 @@
 fn account(logs: &[PathBuf], every: u64, parts: usize) -> Result<(), Stop> {
     let (mut sums, mut lines) = (Sums::default(), 0usize);
     for log in logs {
-        let text = std::fs::read(log).map_err(|e| bad(format!("{}: cannot read: {e}", log.display())))?;
+        let text =
+            std::fs::read(log).map_err(|e| bad(format!("{}: cannot read: {e}", log.display())))?;
         let text = String::from_utf8_lossy(&text);
         lines += text.lines().filter(|line| sums.read(line)).count();
     }
     if lines == 0 {
-        return Err(bad("no account in these logs; a host tells it at debug level".into()));
+        return Err(bad(
+            "no account in these logs; a host tells it at debug level".into(),
+        ));
     }
     print!("{}", sums.table(every, parts));
     Ok(())
@@ -242,13 +309,22 @@
 fn state_service(a: StateArgs) -> Result<(), Stop> {
     let settings = Arc::new(load(&a.file)?);
     let Some(spec) = &settings.state else {
-        return Err(bad(format!("{}: no state_service() in the file", a.file.display())));
+        return Err(bad(format!(
+            "{}: no state_service() in the file",
+            a.file.display()
+        )));
     };
     let listen = a.listen.or(spec.address);
     let listen = listen.ok_or_else(|| bad("--listen: neither given nor in the settings".into()))?;
     let tracer = tracer(a.trace, net::hello(pb::Role::State, "state", 1))?;
     let (file, store) = (a.file.display().to_string(), a.store);
-    let options = service::Options { settings: settings.clone(), file, store, listen, tracer };
+    let options = service::Options {
+        settings: settings.clone(),
+        file,
+        store,
+        listen,
+        tracer,
+    };
     let started = |address, handle: service::Handle| {
         listening(address);
         info!(%address, "state service up");
@@ -260,9 +336,16 @@
 }
 
 fn kinds_of(text: Option<&str>) -> Result<Vec<Kind>, Stop> {
-    let Some(text) = text else { return Ok(Vec::new()) };
+    let Some(text) = text else {
+        return Ok(Vec::new());
+    };
     let known = || Kind::ALL.iter().map(|k| k.0).collect::<Vec<_>>().join(", ");
-    Kind::read(text).map_err(|name| bad(format!("--kinds: expected some of {}, found {name}", known())))
+    Kind::read(text).map_err(|name| {
+        bad(format!(
+            "--kinds: expected some of {}, found {name}",
+            known()
+        ))
+    })
 }
 
 fn stage(a: &StageArgs, role: pb::Role, name: &str) -> Result<serve::Stage, Stop> {
@@ -270,24 +353,33 @@
     rehearse::play(&mut settings, &kinds_of(a.kinds.as_deref())?, a.seed);
     let tracer = tracer(a.trace.clone(), net::hello(role, name, 1))?;
     let t0 = a.t0.map_or_else(clock::now, Duration::from_nanos);
-    Ok(serve::Stage { settings: Arc::new(settings), t0, tracer })
+    Ok(serve::Stage {
+        settings: Arc::new(settings),
+        t0,
+        tracer,
+    })
 }
 
 fn nodes(a: NodeArgs) -> Result<(), Stop> {
     let stage = stage(&a.stage, pb::Role::Node, "nodes")?;
     let known = |id: &u32| stage.settings.nodes.iter().any(|n| n.id == *id);
     if let Some(id) = a.ids.iter().find(|id| !known(id)) {
-        return Err(bad(format!("--ids: {} has no node {id}", a.stage.file.display())));
+        return Err(bad(format!(
+            "--ids: {} has no node {id}",
+            a.stage.file.display()
+        )));
     }
-    Ok(serve::nodes(&stage, &a.ids, a.list, |n| listening(format_args!("with {n} nodes")))?)
+    Ok(serve::nodes(&stage, &a.ids, a.list, |n| {
+        listening(format_args!("with {n} nodes"))
+    })?)
 }
 
 fn list(a: ListArgs) -> Result<(), Stop> {
     let stage = stage(&a.stage, pb::Role::List, "list")?;
     let listen = a.listen.or(stage.settings.list.address);
     let listen = listen.ok_or_else(|| bad("--listen: neither given nor in the settings".into()))?;
-    let listener =
-        TcpListener::bind(listen).map_err(|e| Stop::Failed(format!("cannot listen on {listen}: {e}")))?;
+    let listener = TcpListener::bind(listen)
+        .map_err(|e| Stop::Failed(format!("cannot listen on {listen}: {e}")))?;
     listening(listener.local_addr()?);
     Ok(serve::list(&stage, listener)?)
 }
@@ -313,12 +405,18 @@
             .map_err(|e| bad(format!("--journal: cannot read {}: {e}", journal.display())))?;
         kinds = Kind::find(&text);
         if kinds.is_empty() {
-            return Err(bad(format!("--journal: {} names no kinds of trouble", journal.display())));
+            return Err(bad(format!(
+                "--journal: {} names no kinds of trouble",
+                journal.display()
+            )));
         }
     }
     rehearse::play(&mut settings, &kinds, a.seed);
     let Some(plan) = &settings.rehearsal else {
-        return Err(bad(format!("{}: no rehearsal() in the file", script.display())));
+        return Err(bad(format!(
+            "{}: no rehearsal() in the file",
+            script.display()
+        )));
     };
     let names: Vec<&str> = plan.troubles.iter().map(|t| t.kind.name()).collect();
     println!(
@@ -328,7 +426,11 @@
         settings.nodes.len(),
         plan.length,
         plan.seed,
-        if names.is_empty() { "none".into() } else { names.join("+") }
+        if names.is_empty() {
+            "none".into()
+        } else {
+            names.join("+")
+        }
     );
     let bar = progress_bar(plan.length);
     let program = std::env::current_exe()?;
@@ -344,7 +446,11 @@
             bar.set_message(format!("{} done, {} deferred", tally.done, tally.deferred));
         }),
     };
-    let rehearse::Seen { tally, disks, changes } = rehearse::rehearse(options)?;
+    let rehearse::Seen {
+        tally,
+        disks,
+        changes,
+    } = rehearse::rehearse(options)?;
     bar.finish_and_clear();
     report(&settings, &tally);
     report_changes(&settings, &tally, &changes);
@@ -424,9 +530,16 @@
     const SPAN: u64 = 4;
     for c in changes {
         println!("at {:?}: {} -> {}", c.at, c.words.join(", "), c.said);
-        let named =
-            c.words.iter().filter_map(|w| w.strip_prefix("volume ")?.split(' ').next()?.parse::<u64>().ok());
-        for (place, id) in named.filter_map(|id| Some((s.volumes.iter().position(|v| v.id == id)?, id))) {
+        let named = c.words.iter().filter_map(|w| {
+            w.strip_prefix("volume ")?
+                .split(' ')
+                .next()?
+                .parse::<u64>()
+                .ok()
+        });
+        for (place, id) in
+            named.filter_map(|id| Some((s.volumes.iter().position(|v| v.id == id)?, id)))
+        {
             let at = c.at.as_secs();
             // Whoever is placed anew has a second for it.
             let spans = [at.saturating_sub(SPAN)..at, at + 1..at + 1 + SPAN];
@@ -444,7 +557,12 @@
 
 fn show(v: &Verdict, dir: &Path) {
     for b in &v.breaches {
-        println!("rule {} ({}): {}", b.rule, RULES[usize::from(b.rule) - 1], b.what);
+        println!(
+            "rule {} ({}): {}",
+            b.rule,
+            RULES[usize::from(b.rule) - 1],
+            b.what
+        );
         b.frames.iter().for_each(|f| println!("    {f}"));
     }
     info!(dir = %dir.display(), legs = v.legs, effects = v.effects, "audited");
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -22,7 +22,9 @@
 }
 
 fn now() -> Duration {
-    SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 /// One way to put things out, in words or as one JSON value.
@@ -41,7 +43,10 @@
 
 pub fn run(a: PlansArgs) -> Result<(), Stop> {
     let out = Out(a.output);
-    let who = a.who.or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "operator".into());
+    let who = a
+        .who
+        .or_else(|| std::env::var("USER").ok())
+        .unwrap_or_else(|| "operator".into());
     match &a.command {
         PlansCommand::Check { file } => return check(file, &out),
         PlansCommand::Restore { snapshot, store } => return restore(snapshot, store, &out),
@@ -50,17 +55,34 @@
     let hello = format!("{who} by plans");
     let c = Client::connect(a.at, &hello);
     let c = &mut c.map_err(|e| {
-        failed(format!("no state service at {}: {e}; is it running, or elsewhere (--at)?", a.at))
+        failed(format!(
+            "no state service at {}: {e}; is it running, or elsewhere (--at)?",
+            a.at
+        ))
     })?;
     match a.command {
         PlansCommand::List => list(c, &out),
         PlansCommand::Show { kind, name } => show(c, &kind, &name, &out),
-        PlansCommand::Set { changes, at_time, looked_at, change } => {
-            set(c, &out, &who, changes, at_time, looked_at, change)
-        }
+        PlansCommand::Set {
+            changes,
+            at_time,
+            looked_at,
+            change,
+        } => set(c, &out, &who, changes, at_time, looked_at, change),
         PlansCommand::History { most, of } => history(c, most, of, &out),
-        PlansCommand::Undo { entry, change: How { why, force, .. } } => {
-            let undo = |call| Body::Undo(pb::Undo { call, who, why, entry, force });
+        PlansCommand::Undo {
+            entry,
+            change: How { why, force, .. },
+        } => {
+            let undo = |call| {
+                Body::Undo(pb::Undo {
+                    call,
+                    who,
+                    why,
+                    entry,
+                    force,
+                })
+            };
             landed(c.change(undo).map_err(failed)?, &out)
         }
         PlansCommand::Diff { file } => diff(c, &file, &out),
@@ -82,8 +104,16 @@
 
 /// The service's state as a ledger, in which changes can be worded.
 fn ledger(s: &Shown) -> Ledger {
-    let hosts = s.last.hosts.iter().map(|h| h.name.as_str().into()).collect();
-    let facts = Facts { hosts, linger: Duration::ZERO };
+    let hosts = s
+        .last
+        .hosts
+        .iter()
+        .map(|h| h.name.as_str().into())
+        .collect();
+    let facts = Facts {
+        hosts,
+        linger: Duration::ZERO,
+    };
     Ledger::new(facts, 1).restored(s.version, s.state.iter().cloned(), Vec::new())
 }
 
@@ -122,8 +152,10 @@
 }
 
 fn subject(kind: &str, name: &str) -> Result<Subject, Stop> {
-    let number =
-        |name: &str| name.parse().map_err(|_| bad(format!("{kind}: expected a number, found {name}")));
+    let number = |name: &str| {
+        name.parse()
+            .map_err(|_| bad(format!("{kind}: expected a number, found {name}")))
+    };
     Ok(match kind {
         "plan" => Subject::Plan(name.into()),
         "volume" => Subject::Volume(number(name)?),
@@ -131,7 +163,11 @@
         "drain" => Subject::Drain(number(name)? as u32),
         "target" => Subject::Target(name.into()),
         "timed" => Subject::Timed(number(name)?),
-        _ => return Err(bad(format!("expected plan, volume, node, drain, target or timed, found {kind}"))),
+        _ => {
+            return Err(bad(format!(
+                "expected plan, volume, node, drain, target or timed, found {kind}"
+            )))
+        }
     })
 }
 
@@ -142,12 +178,27 @@
         return Err(failed(format!("{subject} does not exist")));
     };
     let trail = c.look(What::Trail, 0, 0, Vec::new()).map_err(failed)?;
-    let touches = trail.entries.iter().rev().find(|e| e.changes.iter().any(|c| c.subject() == subject));
-    let last = touches.map(|e| format!("last changed by entry {} of {}, {}", e.version.0, e.who, date(e.at)));
+    let touches = trail
+        .entries
+        .iter()
+        .rev()
+        .find(|e| e.changes.iter().any(|c| c.subject() == subject));
+    let last = touches.map(|e| {
+        format!(
+            "last changed by entry {} of {}, {}",
+            e.version.0,
+            e.who,
+            date(e.at)
+        )
+    });
     let on = |c: &&Change| matches!((c, &subject), (Change::Volume { to: Some(v), .. }, Subject::Plan(p)) if v.plan == *p);
     let standing = s.state.iter().filter(on).count();
-    let standing = matches!(subject, Subject::Plan(_)).then(|| format!("{standing} volumes stand on it"));
-    out.put([said(change)].into_iter().chain(standing).chain(last), as_json(change));
+    let standing =
+        matches!(subject, Subject::Plan(_)).then(|| format!("{standing} volumes stand on it"));
+    out.put(
+        [said(change)].into_iter().chain(standing).chain(last),
+        as_json(change),
+    );
     Ok(())
 }
 
@@ -159,24 +210,38 @@
             Err(Stop::Broken)
         }
         Came::Would(w) => {
-            let mut lines: Vec<String> = w.against.iter().map(|r| format!("against it: {r}")).collect();
+            let mut lines: Vec<String> = w
+                .against
+                .iter()
+                .map(|r| format!("against it: {r}"))
+                .collect();
             lines.extend(w.warnings.iter().map(|w| format!("warning: {w}")));
             lines.extend(lines.is_empty().then(|| "nothing speaks against it".into()));
-            out.put(lines, json!({ "against": w.against, "warnings": w.warnings, "blind": w.blind }));
+            out.put(
+                lines,
+                json!({ "against": w.against, "warnings": w.warnings, "blind": w.blind }),
+            );
             Ok(())
         }
         Came::Landed(l) => {
             let mut lines = vec![format!("entry {}", l.version)];
             lines.extend(l.warnings.iter().map(|w| format!("warning: {w}")));
             if l.unseen > 0 {
-                lines.push(format!("{} losses of a node or zone were not looked at", l.unseen));
+                lines.push(format!(
+                    "{} losses of a node or zone were not looked at",
+                    l.unseen
+                ));
             }
             if l.blind {
-                lines.push("no node's capacity is stated, so nobody can say whether reserves hold".into());
+                lines.push(
+                    "no node's capacity is stated, so nobody can say whether reserves hold".into(),
+                );
             }
             if !l.waits_for.is_empty() {
                 let hosts = l.waits_for.join(", ");
-                lines.push(format!("in force everywhere only once {hosts} has been heard, or declared gone"));
+                lines.push(format!(
+                    "in force everywhere only once {hosts} has been heard, or declared gone"
+                ));
             }
             let value = json!({ "version": l.version, "warnings": l.warnings, "unseen": l.unseen,
                 "blind": l.blind, "waits_for": l.waits_for });
@@ -187,18 +252,29 @@
 }
 
 fn set(
-    c: &mut Client, out: &Out, who: &str, lines: Vec<String>, at: Option<String>, looked_at: Option<u64>,
+    c: &mut Client,
+    out: &Out,
+    who: &str,
+    lines: Vec<String>,
+    at: Option<String>,
+    looked_at: Option<u64>,
     how: How,
 ) -> Result<(), Stop> {
     let s = state(c)?;
     let l = ledger(&s);
-    let changes = lines.iter().map(|line| change(&l, line)).collect::<Result<Vec<_>, _>>();
+    let changes = lines
+        .iter()
+        .map(|line| change(&l, line))
+        .collect::<Result<Vec<_>, _>>();
     let changes = changes.map_err(|e| bad(e.to_string()))?;
     let at = match at {
         None => None,
         Some(text) => {
             let expected = "expected a moment such as 2026-12-01T22:00:00Z or +90m";
-            Some(moment(&text, now()).ok_or_else(|| bad(format!("--at-time: {expected}, found {text}")))?)
+            Some(
+                moment(&text, now())
+                    .ok_or_else(|| bad(format!("--at-time: {expected}, found {text}")))?,
+            )
         }
     };
     let propose = |call| {
@@ -220,24 +296,47 @@
     let of = match of {
         None => None,
         Some(text) => {
-            let (kind, name) =
-                text.split_once(' ').ok_or_else(|| bad("--of: expected such as 'volume 103'".into()))?;
+            let (kind, name) = text
+                .split_once(' ')
+                .ok_or_else(|| bad("--of: expected such as 'volume 103'".into()))?;
             Some(subject(kind, name.trim())?)
         }
     };
-    let shown = c.look(What::Trail, 0, if of.is_some() { 0 } else { most }, Vec::new()).map_err(failed)?;
+    let shown = c
+        .look(
+            What::Trail,
+            0,
+            if of.is_some() { 0 } else { most },
+            Vec::new(),
+        )
+        .map_err(failed)?;
     let wanted = |e: &&grebecleat_plans::changes::Entry| {
-        of.as_ref().is_none_or(|s| e.changes.iter().any(|c| c.subject() == *s))
+        of.as_ref()
+            .is_none_or(|s| e.changes.iter().any(|c| c.subject() == *s))
     };
     let entries: Vec<_> = shown.entries.iter().filter(wanted).collect();
     let entries = &entries[entries.len().saturating_sub(most as usize)..];
     let lines = entries.iter().flat_map(|e| {
-        let settled = if e.version <= shown.settled { "" } else { ", not settled" };
-        let why = if e.why.is_empty() { String::new() } else { format!(": {}", e.why) };
+        let settled = if e.version <= shown.settled {
+            ""
+        } else {
+            ", not settled"
+        };
+        let why = if e.why.is_empty() {
+            String::new()
+        } else {
+            format!(": {}", e.why)
+        };
         let against = (!e.against.is_empty()).then(|| format!("    forced against: {}", e.against));
-        let what = told(&e.changes, &e.before).into_iter().map(|l| format!("    {l}"));
+        let what = told(&e.changes, &e.before)
+            .into_iter()
+            .map(|l| format!("    {l}"));
         let head = format!("{} {} {}{settled}{why}", e.version.0, date(e.at), e.who);
-        [head].into_iter().chain(against).chain(what).collect::<Vec<_>>()
+        [head]
+            .into_iter()
+            .chain(against)
+            .chain(what)
+            .collect::<Vec<_>>()
     });
     let value = entries.iter().map(|e| {
         json!({ "version": e.version.0, "at": date(e.at), "who": e.who, "why": e.why, "against": e.against,
@@ -273,7 +372,10 @@
         })
         .collect();
     let none = apart.is_empty().then(|| "nothing differs".to_string());
-    out.put(lines.into_iter().chain(none), apart.iter().map(as_json).collect());
+    out.put(
+        lines.into_iter().chain(none),
+        apart.iter().map(as_json).collect(),
+    );
     Ok(())
 }
 
@@ -285,17 +387,37 @@
     let here = ledger(&s);
     let declared = grebecleat_state::declared::declared(&settings);
     let declared = Ledger::new(facts(&settings), 1).restored(Version(1), declared, Vec::new());
-    let changes: Vec<pb::Change> =
-        here.towards(&declared).iter().filter(|c| !keep(c)).map(change_pb).collect();
+    let changes: Vec<pb::Change> = here
+        .towards(&declared)
+        .iter()
+        .filter(|c| !keep(c))
+        .map(change_pb)
+        .collect();
     if changes.is_empty() {
-        out.put(["nothing differs".to_string()], json!({ "version": s.version.0 }));
+        out.put(
+            ["nothing differs".to_string()],
+            json!({ "version": s.version.0 }),
+        );
         return Ok(());
     }
-    let why = if how.why.is_empty() { format!("as declared in {}", file.display()) } else { how.why };
+    let why = if how.why.is_empty() {
+        format!("as declared in {}", file.display())
+    } else {
+        how.why
+    };
     let looked_at = Some(s.version.0);
     let propose = |call| {
         let (at_us, force, only_look) = (None, how.force, how.dry_run);
-        Body::Propose(pb::Propose { call, who, why, looked_at, changes, at_us, force, only_look })
+        Body::Propose(pb::Propose {
+            call,
+            who,
+            why,
+            looked_at,
+            changes,
+            at_us,
+            force,
+            only_look,
+        })
     };
     landed(c.change(propose).map_err(failed)?, out)
 }
@@ -317,11 +439,17 @@
             "all reserves can be met, or no capacities are stated".into()
         }
         (short, lost) => {
-            format!("{short:.1} units a second of reserves cannot be met, {lost:.1} lie out of reach")
+            format!(
+                "{short:.1} units a second of reserves cannot be met, {lost:.1} lie out of reach"
+            )
         }
     });
     for h in &s.last.hosts {
-        let has = if h.heard_of { format!("has entry {}", h.has) } else { "was never heard of".into() };
+        let has = if h.heard_of {
+            format!("has entry {}", h.has)
+        } else {
+            "was never heard of".into()
+        };
         let waits = match (h.holds_up, h.silent) {
             (true, true) => "; what is not settled waits for its word, or plans gone",
             (true, false) => "; what is not settled waits for it, or its lease",
@@ -343,17 +471,28 @@
     let s = c.look(What::Proposal, 0, 0, empty).map_err(failed)?;
     let bytes: u64 = s.last.moves.iter().map(|m| m.bytes).sum();
     let each = |m: &pb::MoveExtents| {
-        format!("volume {}: {} extents from node {} to node {}", m.volume, m.extents, m.from, m.to)
+        format!(
+            "volume {}: {} extents from node {} to node {}",
+            m.volume, m.extents, m.from, m.to
+        )
     };
     let mut lines: Vec<String> = s.last.moves.iter().map(each).collect();
-    lines.push(format!("{} moves, {:.1} MiB", s.last.moves.len(), bytes as f64 / f64::from(1 << 20)));
+    lines.push(format!(
+        "{} moves, {:.1} MiB",
+        s.last.moves.len(),
+        bytes as f64 / f64::from(1 << 20)
+    ));
     if s.last.short > 0.01 {
-        lines.push(format!("{:.1} units a second of reserves stay short whatever is moved", s.last.short));
+        lines.push(format!(
+            "{:.1} units a second of reserves stay short whatever is moved",
+            s.last.short
+        ));
     }
     let value = s.last.moves.iter().map(
         |m| json!({ "volume": m.volume, "from": m.from, "to": m.to, "extents": m.extents, "bytes": m.bytes }),
     );
-    let value = json!({ "moves": value.collect::<Vec<_>>(), "bytes": bytes, "short": s.last.short });
+    let value =
+        json!({ "moves": value.collect::<Vec<_>>(), "bytes": bytes, "short": s.last.short });
     out.put(lines, value);
     Ok(())
 }
@@ -362,14 +501,32 @@
     let s = state(c)?;
     let trail = c.look(What::Trail, 0, 0, Vec::new()).map_err(failed)?;
     let status = c.look(What::Status, 0, 0, Vec::new()).map_err(failed)?;
-    let hosts =
-        status.last.hosts.iter().filter(|h| h.heard_of).map(|h| (h.name.as_str().into(), Version(h.has)));
+    let hosts = status
+        .last
+        .hosts
+        .iter()
+        .filter(|h| h.heard_of)
+        .map(|h| (h.name.as_str().into(), Version(h.has)));
     let (version, settled, era) = (s.version, s.settled.min(s.version), s.era);
-    let trail = trail.entries.into_iter().filter(|e| e.version <= version).collect();
-    let kept =
-        Kept { version, settled, era, state: s.state, trail, hosts: hosts.collect(), ..Kept::default() };
+    let trail = trail
+        .entries
+        .into_iter()
+        .filter(|e| e.version <= version)
+        .collect();
+    let kept = Kept {
+        version,
+        settled,
+        era,
+        state: s.state,
+        trail,
+        hosts: hosts.collect(),
+        ..Kept::default()
+    };
     snapshot::write(file, &(kept, BTreeMap::new()), now()).map_err(failed)?;
-    out.put([format!("entry {} in {}", version.0, file.display())], json!({ "version": version.0 }));
+    out.put(
+        [format!("entry {} in {}", version.0, file.display())],
+        json!({ "version": version.0 }),
+    );
     Ok(())
 }
 
@@ -413,7 +570,11 @@
     if store.exists() {
         // One that is in use must not be pulled away from under its process.
         if let Err(StoreFault::Locked) = Store::open(store, u64::MAX) {
-            return Err(failed(format!("{}: {}", store.display(), StoreFault::Locked)));
+            return Err(failed(format!(
+                "{}: {}",
+                store.display(),
+                StoreFault::Locked
+            )));
         }
     }
     let aside = snapshot::restore(from, store, new_era()).map_err(failed)?;
@@ -422,6 +583,9 @@
         "{} is restored; hosts that have followed something newer wait for 'plans prevail'",
         store.display()
     );
-    out.put([line].into_iter().chain(aside), json!({ "restored": store.display().to_string() }));
+    out.put(
+        [line].into_iter().chain(aside),
+        json!({ "restored": store.display().to_string() }),
+    );
     Ok(())
 }
--- a/crates/cli/tests/cold.rs
+++ b/crates/cli/tests/cold.rs
@@ -41,7 +41,10 @@
     let mut hosts: Vec<Live> = (0..HOSTS).map(|n| start(n, &list)).collect();
     // Told of the start once all of them listen for it: no rule of the list's decides what follows.
     let told_at = Instant::now();
-    let up_since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
+    let up_since = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap()
+        .as_millis() as u64;
     let mut target = target("s-1", &cold, 0, "ready");
     target["boot_ms"] = json!(up_since);
     list.tell(json!([target]));
@@ -54,7 +57,9 @@
         .enumerate()
         .flat_map(|(n, host)| [0, 1].map(|k| (host.connect(), format!("c{n}-{k}"))))
         .map(|(mut stream, id)| {
-            stream.write_all(request("read", &id, 0, 7, 2900).as_bytes()).unwrap();
+            stream
+                .write_all(request("read", &id, 0, 7, 2900).as_bytes())
+                .unwrap();
             stream
         })
         .collect();
@@ -68,9 +73,16 @@
         .collect();
     assert!(told.iter().all(|s| [200, 503].contains(s)), "{told:?}");
     let came = came.lock().unwrap();
-    let within = |from: &Instant| came.iter().filter(|at| (*from..*from + SPAN).contains(*at)).count();
+    let within = |from: &Instant| {
+        came.iter()
+            .filter(|at| (*from..*from + SPAN).contains(*at))
+            .count()
+    };
     let most = came.iter().map(within).max().unwrap_or(0);
     let bears = BORNE + 2.0 * BORNE.sqrt() + 2.0;
-    assert!(most as f64 <= bears, "{most} came within {SPAN:?}, of {bears:.1} borne");
+    assert!(
+        most as f64 <= bears,
+        "{most} came within {SPAN:?}, of {bears:.1} borne"
+    );
     assert!(most >= 2, "{most}: it is used all the same");
 }
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -56,7 +56,11 @@
                 sleep(ms(2));
             }
         });
-        let idle = Idle { ended, made, thread: Some(thread) };
+        let idle = Idle {
+            ended,
+            made,
+            thread: Some(thread),
+        };
         let until = Instant::now() + Duration::from_secs(20);
         while idle.made.load(Ordering::SeqCst) < clients {
             assert!(Instant::now() < until, "they never all dialled");
@@ -87,7 +91,11 @@
     /// It is down at first.
     fn of(targets: Value) -> Outage {
         let address = free_address();
-        Outage { list: discovery(targets), address, up: Arc::default() }
+        Outage {
+            list: discovery(targets),
+            address,
+            up: Arc::default(),
+        }
     }
 
     fn returns(&self) {
@@ -125,7 +133,11 @@
     fn is_called(&self, times: usize) {
         let until = Instant::now() + Duration::from_secs(20);
         while self.calls().len() < times {
-            assert!(Instant::now() < until, "it was called {} times", self.calls().len());
+            assert!(
+                Instant::now() < until,
+                "it was called {} times",
+                self.calls().len()
+            );
             sleep(ms(2));
         }
     }
@@ -138,16 +150,28 @@
     let began = Instant::now();
     let mut stream = TcpStream::connect(host).ok()?;
     stream.write_all(text.as_bytes()).ok()?;
-    stream.set_read_timeout(Some(ms(LEFT).saturating_sub(began.elapsed()).max(ms(1)))).unwrap();
+    stream
+        .set_read_timeout(Some(ms(LEFT).saturating_sub(began.elapsed()).max(ms(1))))
+        .unwrap();
     answer(&mut stream).map(|a| a.0)
 }
 
 fn transfers(host: SocketAddr, what: &str, n: u64) -> Vec<Option<u16>> {
-    (0..n).map(|k| ask(host, &request("once", &format!("{what}-{k}"), 0, k, LEFT))).collect()
+    (0..n)
+        .map(|k| ask(host, &request("once", &format!("{what}-{k}"), 0, k, LEFT)))
+        .collect()
 }
 
 fn ids(node: &Node) -> Vec<String> {
-    let id = |t: &String| t.split("X-Txn: ").nth(1).unwrap().split("\r\n").next().unwrap().to_string();
+    let id = |t: &String| {
+        t.split("X-Txn: ")
+            .nth(1)
+            .unwrap()
+            .split("\r\n")
+            .next()
+            .unwrap()
+            .to_string()
+    };
     seen(node).iter().map(id).collect()
 }
 
@@ -183,22 +207,41 @@
         When::AtStart => {
             // It has no list yet, and says so.
             assert_eq!(ask(live.address, READY), Some(503), "{what}");
-            assert_eq!(transfers(live.address, "early", 2), [Some(503); 2], "{what}");
+            assert_eq!(
+                transfers(live.address, "early", 2),
+                [Some(503); 2],
+                "{what}"
+            );
         }
         When::InService => {
             outage.goes_down();
             assert_eq!(ask(live.address, READY), Some(200), "{what}");
-            assert_eq!(transfers(live.address, "early", 2), [Some(200); 2], "{what}");
+            assert_eq!(
+                transfers(live.address, "early", 2),
+                [Some(200); 2],
+                "{what}"
+            );
         }
         When::AfterHangup => {
             // The old list's connection stays until the new one has answered.
             let there = Outage::of(only_old);
-            write_config(&live.config, "n1", live.address, there.address, live.sockets, settings());
+            write_config(
+                &live.config,
+                "n1",
+                live.address,
+                there.address,
+                live.sockets,
+                settings(),
+            );
             live.signal("-HUP");
             live.says("connection lost", 1);
             outage = there;
             assert_eq!(ask(live.address, READY), Some(200), "{what}");
-            assert_eq!(transfers(live.address, "early", 2), [Some(200); 2], "{what}");
+            assert_eq!(
+                transfers(live.address, "early", 2),
+                [Some(200); 2],
+                "{what}"
+            );
         }
         When::AfterTerm => {
             outage.goes_down();
@@ -206,15 +249,27 @@
         }
     }
     let before = outage.calls().len();
-    outage.list.tell(json!([target("s-1", &old, 0, "draining"), target("s-2", &new, 0, "ready")]));
+    outage.list.tell(json!([
+        target("s-1", &old, 0, "draining"),
+        target("s-2", &new, 0, "ready")
+    ]));
     outage.returns();
     // The second call follows what the first was told.
     outage.is_called(before + 2);
-    assert!(!outage.calls()[before].contains("since="), "{what}: the whole list is asked for");
+    assert!(
+        !outage.calls()[before].contains("since="),
+        "{what}: the whole list is asked for"
+    );
     assert_eq!(ask(live.address, READY), Some(200), "{what}");
     assert_eq!(transfers(live.address, "late", 5), [Some(200); 5], "{what}");
-    assert_eq!(ids(&new), ["late-0", "late-1", "late-2", "late-3", "late-4"], "{what}");
-    let fds = std::fs::read_dir(format!("/proc/{}/fd", live.child.id())).unwrap().count();
+    assert_eq!(
+        ids(&new),
+        ["late-0", "late-1", "late-2", "late-3", "late-4"],
+        "{what}"
+    );
+    let fds = std::fs::read_dir(format!("/proc/{}/fd", live.child.id()))
+        .unwrap()
+        .count();
     assert!(fds <= SOCKETS as usize, "{what}: {fds} descriptors");
     if when == When::AfterTerm {
         assert!(live.ends(), "{what}");
@@ -223,7 +278,12 @@
 
 #[test]
 fn a_list_that_is_back_is_called_however_many_idle_clients_there_are() {
-    for when in [When::AtStart, When::InService, When::AfterHangup, When::AfterTerm] {
+    for when in [
+        When::AtStart,
+        When::InService,
+        When::AfterHangup,
+        When::AfterTerm,
+    ] {
         is_back_and_called(when, "");
     }
 }
@@ -231,7 +291,12 @@
 /// They ask whether the host is ready, and stay.
 #[test]
 fn a_list_that_is_back_is_called_however_many_clients_asked_once_and_stay() {
-    for when in [When::AtStart, When::InService, When::AfterHangup, When::AfterTerm] {
+    for when in [
+        When::AtStart,
+        When::InService,
+        When::AfterHangup,
+        When::AfterTerm,
+    ] {
         is_back_and_called(when, READY);
     }
 }
@@ -245,5 +310,8 @@
     assert_eq!(transfers(live.address, "t", 5), [Some(200); 5]);
     assert_eq!(ids(&node), ["t-0", "t-1", "t-2", "t-3", "t-4"]);
     assert_eq!(ask(live.address, READY), Some(200));
-    assert!(idle.made.load(Ordering::SeqCst) > 900, "none came again, so this proves little");
+    assert!(
+        idle.made.load(Ordering::SeqCst) > 900,
+        "none came again, so this proves little"
+    );
 }
