--- a/crates/cli/tests/ends.rs
+++ b/crates/cli/tests/ends.rs
@@ -41,10 +41,16 @@
 fn one_narrow() -> (TcpListener, Discovery, Live) {
     let node = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     node.set_recv_buffer_size(4096).unwrap();
-    node.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+    node.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+        .unwrap();
     node.listen(8).unwrap();
     let node: TcpListener = node.into();
-    let list = discovery(json!([target_at("s-1", node.local_addr().unwrap(), 0, "ready")]));
+    let list = discovery(json!([target_at(
+        "s-1",
+        node.local_addr().unwrap(),
+        0,
+        "ready"
+    )]));
     let live = Live::start(&list, 256);
     (node, list, live)
 }
@@ -57,7 +63,12 @@
 }
 
 fn id_of(text: &str) -> &str {
-    text.split("X-Txn: ").nth(1).unwrap().split("\r\n").next().unwrap()
+    text.split("X-Txn: ")
+        .nth(1)
+        .unwrap()
+        .split("\r\n")
+        .next()
+        .unwrap()
 }
 
 // Clients
@@ -75,22 +86,37 @@
     came.set_read_timeout(Some(ms(10_000))).unwrap();
     let mut had = Vec::new();
     let ended = came.read_to_end(&mut had);
-    assert!(matches!(http::request(&had), Ok(None)), "{} bytes came", had.len());
+    assert!(
+        matches!(http::request(&had), Ok(None)),
+        "{} bytes came",
+        had.len()
+    );
     assert!(ended.is_ok() || ended.unwrap_err().kind() == std::io::ErrorKind::ConnectionReset);
-    assert_eq!(live.ask(&request("once", "u", 5, 7, 2900)), Some(503), "it is of use still");
+    assert_eq!(
+        live.ask(&request("once", "u", 5, 7, 2900)),
+        Some(503),
+        "it is of use still"
+    );
 }
 
 /// A leg that has not come whole has not run: whatever is said on its connection was made for another, and it
 /// goes to the node anew.
 #[test]
 fn an_answer_to_a_leg_that_has_not_come_whole_is_not_its_answer() {
-    for (said, status) in [("200 OK", 200), ("500 No", 200), ("503 No\r\nX-Turned-Away: 1", 200)] {
+    for (said, status) in [
+        ("200 OK", 200),
+        ("500 No", 200),
+        ("503 No\r\nX-Turned-Away: 1", 200),
+    ] {
         let (node, _list, live) = one_narrow();
         let mut client = live.connect();
         send(&mut client, &large("t"));
         let (mut first, _) = node.accept().unwrap();
         assert_eq!(first.peek(&mut [0; 1]).unwrap(), 1);
-        send(&mut first, &format!("HTTP/1.1 {said}\r\nContent-Length: 5\r\n\r\nearly"));
+        send(
+            &mut first,
+            &format!("HTTP/1.1 {said}\r\nContent-Length: 5\r\n\r\nearly"),
+        );
         // It goes anew, on another connection; or its client has that for an answer.
         client.set_nonblocking(true).unwrap();
         node.set_nonblocking(true).unwrap();
@@ -118,14 +144,23 @@
     let (node, _list, live) = one_node(|_| says(GOOD));
     live.signal("-STOP");
     for n in 0..60 {
-        send(&mut live.connect(), &request("once", &format!("left-{n}"), 0, n, 2900));
+        send(
+            &mut live.connect(),
+            &request("once", &format!("left-{n}"), 0, n, 2900),
+        );
     }
     live.signal("-CONT");
     for n in 0..5 {
-        assert_eq!(live.ask(&request("once", &format!("stays-{n}"), 0, 99, 2900)), Some(200));
+        assert_eq!(
+            live.ask(&request("once", &format!("stays-{n}"), 0, 99, 2900)),
+            Some(200)
+        );
     }
-    let left: Vec<String> =
-        seen(&node).iter().map(|t| id_of(t).to_string()).filter(|i| i.contains("left")).collect();
+    let left: Vec<String> = seen(&node)
+        .iter()
+        .map(|t| id_of(t).to_string())
+        .filter(|i| i.contains("left"))
+        .collect();
     assert_eq!(left, Vec::<String>::new());
 }
 
@@ -148,7 +183,10 @@
             Ok(mut leg) => {
                 assert_eq!(id_of(&leg.text), "same");
                 leg.answers("good");
-                assert_eq!(answer(&mut again).map(|a| (a.0, a.2)), Some((200, b"good".to_vec())));
+                assert_eq!(
+                    answer(&mut again).map(|a| (a.0, a.2)),
+                    Some((200, b"good".to_vec()))
+                );
                 break;
             }
             Err(status) => assert_eq!((status, Instant::now() < until), (409, true)),
@@ -207,7 +245,10 @@
     let list = discovery(json!([target_at("s-1", node.address, 0, "ready")]));
     let mut live = Live::begin(list.address, 256, settings_with_expiry(500));
     live.is_ready();
-    for head in ["HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n", "HTTP/1.1 200 OK\r\nA: "] {
+    for head in [
+        "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n",
+        "HTTP/1.1 200 OK\r\nA: ",
+    ] {
         let mut client = live.connect();
         send(&mut client, &request("once", "t", 0, 7, 450));
         let mut leg = node.next();
@@ -232,20 +273,46 @@
     let (first, second) = (node(|_| says(GOOD)), node(|_| says(GOOD)));
     let (old, new) = (Hand::start(), Hand::start());
     let mut live = Live::begin(old.address, 256, settings());
-    old.next().lists(1, true, json!([target("s-1", &first, 0, "ready")]));
+    old.next()
+        .lists(1, true, json!([target("s-1", &first, 0, "ready")]));
     let mut watch = old.next();
     live.is_ready();
-    write_config(&live.config, "n1", live.address, new.address, live.sockets, settings());
+    write_config(
+        &live.config,
+        "n1",
+        live.address,
+        new.address,
+        live.sockets,
+        settings(),
+    );
     live.signal("-HUP");
     let mut call = new.next();
     // The new one has been called, and says nothing yet.
-    watch.lists(2, false, json!([target("s-1", &first, 0, "draining"), target("s-2", &second, 0, "ready")]));
+    watch.lists(
+        2,
+        false,
+        json!([
+            target("s-1", &first, 0, "draining"),
+            target("s-2", &second, 0, "ready")
+        ]),
+    );
     let watch = old.next();
-    assert!(watch.text.contains("since=2"), "it has heard that: {}", watch.text);
+    assert!(
+        watch.text.contains("since=2"),
+        "it has heard that: {}",
+        watch.text
+    );
     assert_eq!(live.ask(&request("once", "a", 0, 1, 2900)), Some(200));
     assert_eq!((seen(&first).len(), seen(&second).len()), (0, 1));
     // A revision of another service's own, far behind.
-    call.lists(1, true, json!([target("s-1", &first, 0, "ready"), target("s-2", &second, 0, "gone")]));
+    call.lists(
+        1,
+        true,
+        json!([
+            target("s-1", &first, 0, "ready"),
+            target("s-2", &second, 0, "gone")
+        ]),
+    );
     assert!(new.next().text.contains("since=1"));
     let mut former = watch.stream;
     assert_eq!(former.read(&mut [0; 8]).unwrap_or(0), 0, "it is left");
@@ -260,7 +327,11 @@
     let cases: [Case; 5] = [
         ("reset", |w| w.ends(), true),
         ("never answered", |_| (), true),
-        ("turned away", |w| w.says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), true),
+        (
+            "turned away",
+            |w| w.says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
+            true,
+        ),
         (
             "half an answer",
             |w| {
@@ -269,16 +340,25 @@
             },
             true,
         ),
-        ("a revision that runs backwards", |w| w.lists(1, false, json!([])), false),
+        (
+            "a revision that runs backwards",
+            |w| w.lists(1, false, json!([])),
+            false,
+        ),
     ];
     let (first, second) = (node(|_| says(GOOD)), node(|_| says(GOOD)));
     let list = Hand::start();
     let mut live = Live::begin(list.address, 256, settings());
-    list.next().lists(1, true, json!([target("s-1", &first, 0, "ready")]));
+    list.next()
+        .lists(1, true, json!([target("s-1", &first, 0, "ready")]));
     let mut watch = list.next();
     live.is_ready();
     for (n, (what, end, dials)) in (2..).zip(cases) {
-        let states = if n % 2 == 0 { ["draining", "ready"] } else { ["ready", "draining"] };
+        let states = if n % 2 == 0 {
+            ["draining", "ready"]
+        } else {
+            ["ready", "draining"]
+        };
         end(&mut watch);
         let mut call = list.next();
         assert!(!call.text.contains("since="), "{what}: {}", call.text);
@@ -286,15 +366,30 @@
         call.lists(
             n * 10,
             true,
-            json!([target("s-1", &first, 0, states[0]), target("s-2", &second, 0, states[1])]),
+            json!([
+                target("s-1", &first, 0, states[0]),
+                target("s-2", &second, 0, states[1])
+            ]),
         );
         watch = list.next();
-        assert!(watch.text.contains(&format!("since={}", n * 10)), "{what}: {}", watch.text);
+        assert!(
+            watch.text.contains(&format!("since={}", n * 10)),
+            "{what}: {}",
+            watch.text
+        );
         let before = (seen(&first).len(), seen(&second).len());
-        assert_eq!(live.ask(&request("once", &format!("t{n}"), 0, n, 2900)), Some(200), "{what}");
+        assert_eq!(
+            live.ask(&request("once", &format!("t{n}"), 0, n, 2900)),
+            Some(200),
+            "{what}"
+        );
         let now = (seen(&first).len(), seen(&second).len());
         let to_second = usize::from(states[1] == "ready");
-        assert_eq!(now, (before.0 + 1 - to_second, before.1 + to_second), "{what}");
+        assert_eq!(
+            now,
+            (before.0 + 1 - to_second, before.1 + to_second),
+            "{what}"
+        );
     }
 }
 
@@ -333,7 +428,10 @@
 fn drains_in_time(what: &str, mode: &str, fails: fn(&mut Came, &Hand)) {
     let (first, second) = (node(|_| says(GOOD)), node(|_| says(GOOD)));
     let entries = |states: [&str; 2]| {
-        json!([target("s-1", &first, 0, states[0]), target("s-2", &second, 0, states[1])])
+        json!([
+            target("s-1", &first, 0, states[0]),
+            target("s-2", &second, 0, states[1])
+        ])
     };
     let (list, other) = (Hand::start(), Hand::start());
     let mut with = settings();
@@ -343,7 +441,8 @@
     let watch = list.next();
     live.is_ready();
     watch.ends();
-    list.next().says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
+    list.next()
+        .says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
     let lost = list.next();
     // It has come before it is looked at here, so the host has a little less time than the term.
     let had = Instant::now();
@@ -353,10 +452,21 @@
             let moved = what == "moved";
             if moved {
                 std::thread::sleep(ms(800));
-                write_config(&live.config, "n1", live.address, other.address, live.sockets, with);
+                write_config(
+                    &live.config,
+                    "n1",
+                    live.address,
+                    other.address,
+                    live.sockets,
+                    with,
+                );
                 live.signal("-HUP");
                 fails(
-                    &mut Came { text: String::new(), conn: 0, stream: lost.stream.try_clone().unwrap() },
+                    &mut Came {
+                        text: String::new(),
+                        conn: 0,
+                        stream: lost.stream.try_clone().unwrap(),
+                    },
                     &other,
                 );
             } else {
@@ -364,7 +474,10 @@
             }
             let mut third = if moved { other.next() } else { list.next() };
             // Else the decisions draw other waits than they did, and another seed has to be found.
-            assert!(moved || had.elapsed() > ms(4300), "{what}: it is not made as bad as it can be");
+            assert!(
+                moved || had.elapsed() > ms(4300),
+                "{what}: it is not made as bad as it can be"
+            );
             std::thread::sleep(ms(700));
             third.lists(2, true, entries(["draining", "ready"]));
         });
@@ -386,17 +499,41 @@
     let told = |n: usize| {
         live.signal("-HUP");
         live.says("not taken", n);
-        assert_eq!(live.ask(&request("once", &format!("t{n}"), 0, 7, 2900)), Some(200));
+        assert_eq!(
+            live.ask(&request("once", &format!("t{n}"), 0, 7, 2900)),
+            Some(200)
+        );
     };
-    write_config(&live.config, "n2", live.address, elsewhere.address, live.sockets, settings());
+    write_config(
+        &live.config,
+        "n2",
+        live.address,
+        elsewhere.address,
+        live.sockets,
+        settings(),
+    );
     told(1);
-    write_config(&live.config, "n1", live.address, elsewhere.address, live.sockets, settings());
+    write_config(
+        &live.config,
+        "n1",
+        live.address,
+        elsewhere.address,
+        live.sockets,
+        settings(),
+    );
     let whole = std::fs::read(&live.config).unwrap();
     std::fs::write(&live.config, &whole[..whole.len() / 2]).unwrap();
     told(2);
     let mut faulty = settings();
     faulty["profiles"][1]["deadline-ms"] = json!("soon");
-    write_config(&live.config, "n1", live.address, elsewhere.address, live.sockets, faulty);
+    write_config(
+        &live.config,
+        "n1",
+        live.address,
+        elsewhere.address,
+        live.sockets,
+        faulty,
+    );
     told(3);
     std::fs::remove_file(&live.config).unwrap();
     told(4);
@@ -424,17 +561,22 @@
             assert_eq!(answer(stream).map(|a| a.0), Some(200));
         }
         let told = Instant::now();
-        ["-TERM", "-TERM", "-HUP"].iter().for_each(|s| live.signal(s));
+        ["-TERM", "-TERM", "-HUP"]
+            .iter()
+            .for_each(|s| live.signal(s));
         let mut came = 0;
         for (n, mut stream) in idle.into_iter().enumerate() {
             assert_eq!(stream.read(&mut [0; 8]).unwrap_or(0), 0, "the host ends it");
             let again = TcpStream::connect(live.address).ok();
             let sent = again.and_then(|mut s| {
-                s.write_all(request("read", &format!("u{n}"), 0, n as u64, 500).as_bytes()).ok()?;
+                s.write_all(request("read", &format!("u{n}"), 0, n as u64, 500).as_bytes())
+                    .ok()?;
                 Some(s)
             });
             if told.elapsed() < ms(1050) {
-                let (_, head, _) = sent.and_then(|mut s| answer(&mut s)).expect("it is answered");
+                let (_, head, _) = sent
+                    .and_then(|mut s| answer(&mut s))
+                    .expect("it is answered");
                 assert!(head.contains("Connection: close"), "{head}");
                 came += 1;
             }
@@ -458,7 +600,11 @@
     while told.elapsed() < ms(400) {
         n += 1;
         let status = live.ask(&request("read", &format!("t{n}"), 0, n, 80));
-        assert!(status.is_some(), "transfer {n} got nothing, {:?} after the signal", told.elapsed());
+        assert!(
+            status.is_some(),
+            "transfer {n} got nothing, {:?} after the signal",
+            told.elapsed()
+        );
     }
     assert!(live.ends());
 }
@@ -477,9 +623,13 @@
     live.signal("-TERM");
     let told = Instant::now();
     // Late enough for the next to be open still when the end begins.
-    (1..).take_while(|_| told.elapsed() < ms(2400)).for_each(ask);
+    (1..)
+        .take_while(|_| told.elapsed() < ms(2400))
+        .for_each(ask);
     let mut client = live.connect();
-    let all: Vec<String> = (0..3).map(|n| request("read", &format!("t{n}"), 0, 7 + n, 2900)).collect();
+    let all: Vec<String> = (0..3)
+        .map(|n| request("read", &format!("t{n}"), 0, 7 + n, 2900))
+        .collect();
     send(&mut client, &all.concat());
     let mut leg = node.next();
     // From when idle connections are closed, answers end theirs.
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -36,7 +36,10 @@
     // again after a wait that doubles.
     assert!(calls <= 10 * 6, "{calls} calls to the list");
     let (asked, done) = c.since(better);
-    assert!(asked > 100 && done * 10 >= asked * 9, "{done} of {asked} done in the end");
+    assert!(
+        asked > 100 && done * 10 >= asked * 9,
+        "{done} of {asked} done in the end"
+    );
 }
 
 /// A zone dies with its connections, and comes back cold after three seconds with every host eager.
@@ -65,7 +68,10 @@
     let came = c.came(|uid| names.iter().any(|n| n == uid), back..well);
     assert!(came > 0, "nobody came back to the zone");
     // One connection for a leg that is out at a time, and no more than the legs that were sent need.
-    assert!(dials <= came + 2 * HOSTS * zone.len(), "{dials} dials for {came} legs");
+    assert!(
+        dials <= came + 2 * HOSTS * zone.len(),
+        "{dials} dials for {came} legs"
+    );
     let (asked, done) = c.since(well);
     assert!(done * 10 >= asked * 7, "{done} of {asked} done in the end");
 }
@@ -81,21 +87,29 @@
     let zone: Vec<Node> = f.nodes.iter().filter(|n| n.zone == "b").cloned().collect();
     let cut = Instant::now();
     zone.iter().for_each(|n| n.cut_from(0..HOSTS / 2));
-    f.nodes.iter().filter(|n| n.zone != "b").for_each(|n| n.spoils(0.1, 0.0));
+    f.nodes
+        .iter()
+        .filter(|n| n.zone != "b")
+        .for_each(|n| n.spoils(0.1, 0.0));
     for _ in 0..8 {
         sleep(ms(500));
         f.nodes.iter().for_each(Node::reset);
     }
     let healed = Instant::now();
     f.list.costs(ms(0));
-    f.nodes.iter().for_each(|n| (n.cut_from([]), n.spoils(0.0, 0.0)).0);
+    f.nodes
+        .iter()
+        .for_each(|n| (n.cut_from([]), n.spoils(0.0, 0.0)).0);
     let dials: usize = zone.iter().map(|n| n.dials_since(cut)).sum();
     sleep(ms(2500));
     let last = Instant::now();
     sleep(ms(1500));
     let c = f.stop();
     c.keep_the_rules();
-    assert!(c.abandoned > 0, "nothing was in doubt, so this proves nothing");
+    assert!(
+        c.abandoned > 0,
+        "nothing was in doubt, so this proves nothing"
+    );
     // Into a node that says nothing each host sends trials, not its whole demand: over four seconds, of some
     // 280 transfers for the zone from these hosts.
     let spent = (healed - cut).as_secs() as usize;
@@ -110,7 +124,9 @@
     let _alone = alone();
     let mut f = Fleet::start(HOSTS, NODES, 4);
     let ended = Arc::new(AtomicBool::new(false));
-    let bad: Vec<_> = (0..4).map(|h| bad_client(f.hosts[h].address, ended.clone())).collect();
+    let bad: Vec<_> = (0..4)
+        .map(|h| bad_client(f.hosts[h].address, ended.clone()))
+        .collect();
     f.nodes.iter().for_each(|n| n.spoils(0.0, 0.03));
     sleep(ms(1000));
     let mut told = Vec::new();
@@ -150,13 +166,18 @@
     (4..8).for_each(|h| f.move_list(h, &next));
     sleep(ms(1500));
     let (calls, whole) = next.calls_since(moved);
-    assert!(whole == 4 && calls <= 4 * 6, "{whole} whole lists in {calls} calls of four hosts");
+    assert!(
+        whole == 4 && calls <= 4 * 6,
+        "{whole} whole lists in {calls} calls of four hosts"
+    );
     let known = f.entries();
     // A tenth at a time, here two of eight.
     for pair in [[0, 1], [2, 3], [4, 5], [6, 7]] {
         let ends = std::thread::scope(|s| {
             let all: Vec<_> = pair.iter().map(|h| s.spawn(|| f.end(*h))).collect();
-            all.into_iter().map(|t| t.join().unwrap()).collect::<Vec<bool>>()
+            all.into_iter()
+                .map(|t| t.join().unwrap())
+                .collect::<Vec<bool>>()
         });
         assert_eq!(ends, [true, true], "a planned end");
         pair.iter().for_each(|h| f.begin(*h, &next, &known));
@@ -166,5 +187,8 @@
     let c = f.stop();
     c.keep_the_rules();
     let (asked, done) = c.since(last);
-    assert!(asked > 100 && done * 10 >= asked * 9, "{done} of {asked} done in the end");
+    assert!(
+        asked > 100 && done * 10 >= asked * 9,
+        "{done} of {asked} done in the end"
+    );
 }
--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -32,11 +32,22 @@
 
 fn start(args: &[&str]) -> Started {
     let mut command = Command::new(PROGRAM);
-    let mut child =
-        command.args(args).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null()).spawn().unwrap();
+    let mut child = command
+        .args(args)
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null())
+        .spawn()
+        .unwrap();
     let mut line = String::new();
-    BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    let said = line.trim().strip_prefix("listening ").expect("it listens").to_string();
+    BufReader::new(child.stdout.take().unwrap())
+        .read_line(&mut line)
+        .unwrap();
+    let said = line
+        .trim()
+        .strip_prefix("listening ")
+        .expect("it listens")
+        .to_string();
     Started(child, said)
 }
 
@@ -59,7 +70,8 @@
 
     /// Without nodes the test plays them.
     fn with(name: &str, nodes: bool) -> Self {
-        let dir = std::env::temp_dir().join(format!("grebecleat-iscsi-{}-{name}", std::process::id()));
+        let dir =
+            std::env::temp_dir().join(format!("grebecleat-iscsi-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&dir);
         fs::create_dir_all(&dir).unwrap();
         // On the address that all dial from, somebody's outgoing connection may have the port by then.
@@ -89,22 +101,51 @@
         let script = script.to_str().unwrap().to_string();
         let list = start(&["list-service", &script, "--listen", "127.0.0.1:0"]);
         let _nodes = nodes.then(|| start(&["node", &script, "--list", &list.1]));
-        Site { dir, script, portal, list, _nodes }
+        Site {
+            dir,
+            script,
+            portal,
+            list,
+            _nodes,
+        }
     }
 
     fn host(&self) -> Started {
         let (places, trace) = (self.dir.join("places"), self.dir.join("h.trace"));
         let path = |p: &Path| p.to_str().unwrap().to_string();
-        let args = ["run", &self.script, "--list", &self.list.1, "--listen", "127.0.0.1:0"];
-        start(&[&args[..], &["--store", &path(&places), "--trace", &path(&trace)]].concat())
+        let args = [
+            "run",
+            &self.script,
+            "--list",
+            &self.list.1,
+            "--listen",
+            "127.0.0.1:0",
+        ];
+        start(
+            &[
+                &args[..],
+                &["--store", &path(&places), "--trace", &path(&trace)],
+            ]
+            .concat(),
+        )
     }
 
     fn initiator(&self, isid: u8, digests: bool) -> Initiator {
         let chap = Some(("alice".to_string(), "a secret of sixteen".to_string()));
-        let wish = Wish { initiator: "iqn.client".into(), target: NAME.into(), isid, digests, chap };
+        let wish = Wish {
+            initiator: "iqn.client".into(),
+            target: NAME.into(),
+            isid,
+            digests,
+            chap,
+        };
         let mut i = Initiator::login(self.portal, &wish).expect("login");
         for lun in 0..2 {
-            assert_eq!(i.command(lun, &[0], &[], 0).unwrap().sense.0, 6, "the unit came up");
+            assert_eq!(
+                i.command(lun, &[0], &[], 0).unwrap().sense.0,
+                6,
+                "the unit came up"
+            );
         }
         i
     }
@@ -117,7 +158,9 @@
 }
 
 fn pattern(seed: u32, blocks: usize) -> Vec<u8> {
-    (0..blocks * 512).map(|i| (i as u32 / 64).wrapping_mul(31).wrapping_add(seed) as u8).collect()
+    (0..blocks * 512)
+        .map(|i| (i as u32 / 64).wrapping_mul(31).wrapping_add(seed) as u8)
+        .collect()
 }
 
 /// Until it is GOOD: what is BUSY may come again.
@@ -147,24 +190,48 @@
 fn what_is_acknowledged_is_read_back_after_the_host_was_killed() {
     let site = Site::new("restart");
     let host = site.host();
-    let writes: Vec<(u64, u64, Vec<u8>)> =
-        (0..24).map(|n| (u64::from(n) % 2, u64::from(n) * 300, pattern(n, 1 + n as usize * 16))).collect();
+    let writes: Vec<(u64, u64, Vec<u8>)> = (0..24)
+        .map(|n| {
+            (
+                u64::from(n) % 2,
+                u64::from(n) * 300,
+                pattern(n, 1 + n as usize * 16),
+            )
+        })
+        .collect();
     let mut i = site.initiator(1, true);
-    assert_eq!(i.command(0, &[0x25], &[], 8).unwrap().data, [0, 0, 0xff, 0xff, 0, 0, 2, 0]);
-    assert_eq!(i.command(5, &[0x25], &[], 8).unwrap().sense, (5, 0x25, 0), "no such unit");
+    assert_eq!(
+        i.command(0, &[0x25], &[], 8).unwrap().data,
+        [0, 0, 0xff, 0xff, 0, 0, 2, 0]
+    );
+    assert_eq!(
+        i.command(5, &[0x25], &[], 8).unwrap().sense,
+        (5, 0x25, 0),
+        "no such unit"
+    );
     for (lun, lba, data) in &writes {
         write(&mut i, *lun, *lba, data);
     }
     for (lun, lba, data) in &writes {
-        assert!(read(&mut i, *lun, *lba, (data.len() / 512) as u32) == *data, "before");
+        assert!(
+            read(&mut i, *lun, *lba, (data.len() / 512) as u32) == *data,
+            "before"
+        );
     }
     drop(host); // killed outright
     let _host = site.host();
     let mut i = site.initiator(1, false);
     for (lun, lba, data) in &writes {
-        assert!(read(&mut i, *lun, *lba, (data.len() / 512) as u32) == *data, "after");
+        assert!(
+            read(&mut i, *lun, *lba, (data.len() / 512) as u32) == *data,
+            "after"
+        );
     }
-    assert_eq!(read(&mut i, 0, 60_000, 4), vec![0; 2048], "nobody wrote there");
+    assert_eq!(
+        read(&mut i, 0, 60_000, 4),
+        vec![0; 2048],
+        "nobody wrote there"
+    );
     assert_eq!(i.strays, 0);
 }
 
@@ -181,7 +248,10 @@
                 let (mut open, mut answered, mut good) = (Vec::new(), 0, 0);
                 for k in 0..200u64 {
                     let data = pattern(k as u32, 8);
-                    open.push(i.submit(0, &cdb16(0x8a, base + k * 8, 8), &data, 0).unwrap());
+                    open.push(
+                        i.submit(0, &cdb16(0x8a, base + k * 8, 8), &data, 0)
+                            .unwrap(),
+                    );
                     while open.len() > 16 {
                         let (itt, answer) = i.any().unwrap();
                         open.retain(|o| *o != itt);
@@ -213,8 +283,15 @@
         digests: false,
         chap: chap.map(|(n, s)| (n.to_string(), s.to_string())),
     };
-    for chap in [None, Some(("alice", "the wrong secret")), Some(("bob", "a secret of sixteen"))] {
-        let refused = Initiator::login(site.portal, &wish(chap)).err().expect("refused").to_string();
+    for chap in [
+        None,
+        Some(("alice", "the wrong secret")),
+        Some(("bob", "a secret of sixteen")),
+    ] {
+        let refused = Initiator::login(site.portal, &wish(chap))
+            .err()
+            .expect("refused")
+            .to_string();
         assert!(refused.contains("0201"), "{refused}");
     }
     site.initiator(1, true);
@@ -237,13 +314,34 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap().to_string();
         let me = net::hello(pb::Role::Node, "node-1", 1);
-        net::listen(listener, 1, me.clone(), Default::default(), Default::default(), to.clone());
+        net::listen(
+            listener,
+            1,
+            me.clone(),
+            Default::default(),
+            Default::default(),
+            to.clone(),
+        );
         net::dial(list.parse().unwrap(), 0, me, Default::default(), to).unwrap();
-        let Heard::Up { line, .. } = heard.recv().unwrap() else { panic!("the list greets") };
+        let Heard::Up { line, .. } = heard.recv().unwrap() else {
+            panic!("the list greets")
+        };
         let state = pb::NodeState::Ready.into();
-        let entry = Some(pb::Entry { node: 1, cell: 1, state, address, start: 1, ..Default::default() });
+        let entry = Some(pb::Entry {
+            node: 1,
+            cell: 1,
+            state,
+            address,
+            start: 1,
+            ..Default::default()
+        });
         line.put(Body::Announce(pb::Announce { entry }));
-        SlowNode { heard, lines: BTreeMap::from([(0, line)]), kept: BTreeMap::new(), held: Vec::new() }
+        SlowNode {
+            heard,
+            lines: BTreeMap::from([(0, line)]),
+            kept: BTreeMap::new(),
+            held: Vec::new(),
+        }
     }
 
     /// Works as a node for a while, or until it holds so many writes back.
@@ -253,16 +351,28 @@
             match self.heard.recv_timeout(end.saturating_sub(clock::now())) {
                 Ok(Heard::Up { conn, line, .. }) => drop(self.lines.insert(conn, line)),
                 Ok(Heard::Gone { conn, .. }) => drop(self.lines.remove(&conn)),
-                Ok(Heard::Frame { conn, body: Body::Leg(leg), .. }) => {
+                Ok(Heard::Frame {
+                    conn,
+                    body: Body::Leg(leg),
+                    ..
+                }) => {
                     if leg.data.first() == Some(&KEPT_BACK) {
                         self.held.push(leg);
                         continue;
                     }
                     let (data, superseded) = self.carry_out(&leg);
                     let result = pb::Result::Ok.into();
-                    let answer =
-                        pb::LegAnswer { leg: leg.leg, result, data, superseded, ..Default::default() };
-                    self.lines.get(&conn).into_iter().for_each(|l| l.put(Body::LegAnswer(answer.clone())));
+                    let answer = pb::LegAnswer {
+                        leg: leg.leg,
+                        result,
+                        data,
+                        superseded,
+                        ..Default::default()
+                    };
+                    self.lines
+                        .get(&conn)
+                        .into_iter()
+                        .for_each(|l| l.put(Body::LegAnswer(answer.clone())));
                 }
                 Ok(_) => {}
                 Err(_) => return,
@@ -272,10 +382,16 @@
 
     fn carry_out(&mut self, leg: &pb::Leg) -> (Bytes, Option<u64>) {
         let (bytes, versions) = self.kept.entry((leg.volume, leg.extent)).or_default();
-        let (at, end) = (leg.offset.unwrap_or(0), leg.offset.unwrap_or(0) + leg.length);
+        let (at, end) = (
+            leg.offset.unwrap_or(0),
+            leg.offset.unwrap_or(0) + leg.length,
+        );
         bytes.resize(bytes.len().max(end as usize), 0);
         if !leg.write {
-            return (Bytes::copy_from_slice(&bytes[at as usize..end as usize]), None);
+            return (
+                Bytes::copy_from_slice(&bytes[at as usize..end as usize]),
+                None,
+            );
         }
         let (parts, newer) = versions.write(at, end, leg.version.expect("a write has a version"));
         for (from, to) in parts {
@@ -311,7 +427,9 @@
         i
     });
     // Aborted by the client, which then comes with something newer.
-    let old = i.submit(0, &cdb16(0x8a, 8, 2), &block(KEPT_BACK), 0).unwrap();
+    let old = i
+        .submit(0, &cdb16(0x8a, 8, 2), &block(KEPT_BACK), 0)
+        .unwrap();
     i.flush().unwrap();
     node.work(Duration::from_secs(5), 1);
     assert_eq!(node.held.len(), 1, "the leg is at the node");
@@ -321,13 +439,17 @@
         i
     });
     let late = node.held.remove(0);
-    assert!(node.carry_out(&late).1.is_some(), "it finds something newer");
+    assert!(
+        node.carry_out(&late).1.is_some(),
+        "it finds something newer"
+    );
     let mut i = node.serve(|| {
         assert!(read(&mut i, 0, 8, 2) == block(2), "the late write shows");
         i
     });
     // The host is killed with the leg at the node; its next start knows nothing of it.
-    i.submit(0, &cdb16(0x8a, 8, 2), &block(KEPT_BACK), 0).unwrap();
+    i.submit(0, &cdb16(0x8a, 8, 2), &block(KEPT_BACK), 0)
+        .unwrap();
     i.flush().unwrap();
     node.work(Duration::from_secs(5), 1);
     assert_eq!(node.held.len(), 1);
@@ -352,16 +474,25 @@
     let data = pattern(3, 40);
     write(&mut good, 0, 100, &data);
     let login = |keys: &[u8]| {
-        let h = Header::new(Opcode::LoginRequest).set_immediate(true).set_flags(0x87);
+        let h = Header::new(Opcode::LoginRequest)
+            .set_immediate(true)
+            .set_flags(0x87);
         let mut bytes = Vec::new();
-        pdu::write(&Pdu::new(h.set_itt(1).set_cmd_sn(1), keys.to_vec()), Digests::default(), &mut bytes);
+        pdu::write(
+            &Pdu::new(h.set_itt(1).set_cmd_sn(1), keys.to_vec()),
+            Digests::default(),
+            &mut bytes,
+        );
         bytes
     };
     let endless: Vec<u8> = [b"X-org.example.long=".to_vec(), vec![b'a'; 64 << 10]].concat();
     let mut too_long = Header::new(Opcode::LoginRequest).0;
     too_long[5..8].copy_from_slice(&[0xff; 3]);
     let lies: [(&str, Vec<u8>); 6] = [
-        ("no PDU at all", b"GET / HTTP/1.1\r\nHost: portal\r\n\r\n".repeat(4)),
+        (
+            "no PDU at all",
+            b"GET / HTTP/1.1\r\nHost: portal\r\n\r\n".repeat(4),
+        ),
         ("a data segment of 16 MB", too_long.to_vec()),
         ("a key of 64 KiB", login(&endless)),
         ("text that is no key", login(&[0xff; 300])),
@@ -371,9 +502,16 @@
             pdu::write(&Pdu::new(h, vec![]), Digests::default(), &mut bytes);
             bytes
         }),
-        ("noise", (0..9000u32).map(|n| (n.wrapping_mul(2_654_435_761) >> 13) as u8).collect()),
+        (
+            "noise",
+            (0..9000u32)
+                .map(|n| (n.wrapping_mul(2_654_435_761) >> 13) as u8)
+                .collect(),
+        ),
     ];
-    let half_open: Vec<TcpStream> = (0..600).map(|_| TcpStream::connect(site.portal).unwrap()).collect();
+    let half_open: Vec<TcpStream> = (0..600)
+        .map(|_| TcpStream::connect(site.portal).unwrap())
+        .collect();
     for (what, bytes) in lies {
         let mut s = TcpStream::connect(site.portal).unwrap();
         s.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -385,7 +523,10 @@
             !matches!(&ended, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock),
             "{what}: not hung up on"
         );
-        assert!(read(&mut good, 0, 100, 40) == data, "{what}: a session beside it");
+        assert!(
+            read(&mut good, 0, 100, 40) == data,
+            "{what}: a session beside it"
+        );
     }
     write(&mut good, 0, 100, &pattern(4, 40));
     drop(half_open);
@@ -444,18 +585,44 @@
 "#;
     fs::write(&script, text).unwrap();
     let run = dir.join("run");
-    let args = ["--log-level", "warn", "rehearse", script.to_str().unwrap(), "--dir", run.to_str().unwrap()];
+    let args = [
+        "--log-level",
+        "warn",
+        "rehearse",
+        script.to_str().unwrap(),
+        "--dir",
+        run.to_str().unwrap(),
+    ];
     let out = Command::new(PROGRAM).args(args).output().unwrap();
     let said = String::from_utf8_lossy(&out.stdout).into_owned();
-    assert_eq!(out.status.code(), Some(0), "{said}{}", String::from_utf8_lossy(&out.stderr));
+    assert_eq!(
+        out.status.code(),
+        Some(0),
+        "{said}{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     let lines: Vec<&str> = said.lines().rev().collect();
-    assert!(lines[0].starts_with("rules broken: 0; transfers "), "{said}");
-    let counts: Vec<u64> =
-        lines[1].split(|c: char| !c.is_ascii_digit()).filter_map(|w| w.parse().ok()).collect();
-    assert!(counts[0] > 100 && counts[..] == [counts[0], counts[0], 0, 0], "{said}");
-    assert!(said.contains(" wrong") && said.contains(", 0 wrong"), "{said}");
+    assert!(
+        lines[0].starts_with("rules broken: 0; transfers "),
+        "{said}"
+    );
+    let counts: Vec<u64> = lines[1]
+        .split(|c: char| !c.is_ascii_digit())
+        .filter_map(|w| w.parse().ok())
+        .collect();
+    assert!(
+        counts[0] > 100 && counts[..] == [counts[0], counts[0], 0, 0],
+        "{said}"
+    );
+    assert!(
+        said.contains(" wrong") && said.contains(", 0 wrong"),
+        "{said}"
+    );
     // The audit counts PDUs, where a command sent again is another, and puts every block's history in order.
-    let audit = lines.iter().find(|l| l.starts_with("audit: commands ")).expect("counted by the audit too");
+    let audit = lines
+        .iter()
+        .find(|l| l.starts_with("audit: commands "))
+        .expect("counted by the audit too");
     assert!(
         audit.contains("missing 0, doubled 0;") && audit.ends_with(" 0 out of order, 0 undecided"),
         "{audit}"
--- a/crates/cli/tests/peers.rs
+++ b/crates/cli/tests/peers.rs
@@ -57,13 +57,28 @@
 }
 
 fn start(args: &[String], log: &std::path::Path) -> Started {
-    let log = fs::File::options().create(true).append(true).open(log).unwrap();
+    let log = fs::File::options()
+        .create(true)
+        .append(true)
+        .open(log)
+        .unwrap();
     let mut command = Command::new(PROGRAM);
-    let mut child =
-        command.args(args).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log).spawn().unwrap();
+    let mut child = command
+        .args(args)
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(log)
+        .spawn()
+        .unwrap();
     let mut line = String::new();
-    BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    let said = line.trim().strip_prefix("listening ").expect(&line).to_string();
+    BufReader::new(child.stdout.take().unwrap())
+        .read_line(&mut line)
+        .unwrap();
+    let said = line
+        .trim()
+        .strip_prefix("listening ")
+        .expect(&line)
+        .to_string();
     Started(child, said)
 }
 
@@ -78,32 +93,59 @@
 
 impl Site {
     fn new(name: &str, fleet: &str) -> Site {
-        let folder = std::env::temp_dir().join(format!("grebecleat-peers-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("grebecleat-peers-{}-{name}", std::process::id()));
         fs::create_dir_all(&folder).unwrap();
         let script = folder.join("site.star");
         fs::write(&script, format!("{SITE}{fleet}")).unwrap();
         let script = script.to_str().unwrap().to_string();
         let args = |a: &[&str]| a.iter().map(|s| s.to_string()).collect::<Vec<_>>();
-        let list =
-            start(&args(&["list-service", &script, "--listen", "127.0.0.1:0"]), &folder.join("list.log"));
+        let list = start(
+            &args(&["list-service", &script, "--listen", "127.0.0.1:0"]),
+            &folder.join("list.log"),
+        );
         let trace = folder.join("nodes.trace").display().to_string();
-        let nodes =
-            start(&args(&["node", &script, "--list", &list.1, "--trace", &trace]), &folder.join("nodes.log"));
+        let nodes = start(
+            &args(&["node", &script, "--list", &list.1, "--trace", &trace]),
+            &folder.join("nodes.log"),
+        );
         let links = Links::between((0..HOSTS).map(|h| format!("h{h}")).collect()).unwrap();
-        let mut site =
-            Site { folder, script, list, _nodes: nodes, links, hosts: (0..HOSTS).map(|_| None).collect() };
+        let mut site = Site {
+            folder,
+            script,
+            list,
+            _nodes: nodes,
+            links,
+            hosts: (0..HOSTS).map(|_| None).collect(),
+        };
         (0..HOSTS).for_each(|h| site.begin(h));
         site
     }
 
     fn begin(&mut self, h: usize) {
-        let listen = self.hosts[h].take().map_or("127.0.0.1:0".into(), |h| h.1.clone());
-        let mut args: Vec<String> =
-            ["run", &self.script, "--host", &format!("h{h}"), "--listen", &listen, "--list", &self.list.1]
-                .iter()
-                .map(|s| s.to_string())
-                .collect();
-        for (peer, at) in self.links.addresses().iter().enumerate().filter(|(p, _)| *p != h) {
+        let listen = self.hosts[h]
+            .take()
+            .map_or("127.0.0.1:0".into(), |h| h.1.clone());
+        let mut args: Vec<String> = [
+            "run",
+            &self.script,
+            "--host",
+            &format!("h{h}"),
+            "--listen",
+            &listen,
+            "--list",
+            &self.list.1,
+        ]
+        .iter()
+        .map(|s| s.to_string())
+        .collect();
+        for (peer, at) in self
+            .links
+            .addresses()
+            .iter()
+            .enumerate()
+            .filter(|(p, _)| *p != h)
+        {
             args.extend(["--peer".into(), format!("h{peer}={at}")]);
         }
         let host = start(&args, &self.folder.join(format!("h{h}.log")));
@@ -113,11 +155,20 @@
 
     fn signal(&self, h: usize, name: &str) {
         let id = self.hosts[h].as_ref().unwrap().0.id().to_string();
-        assert!(Command::new("kill").args(["-s", name, &id]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args(["-s", name, &id])
+            .status()
+            .unwrap()
+            .success());
     }
 
     /// Asks a host for units of the volume, so many a second, until told to end; those done.
-    fn ask(&self, h: usize, per_second: u64, ended: Arc<AtomicBool>) -> std::thread::JoinHandle<u64> {
+    fn ask(
+        &self,
+        h: usize,
+        per_second: u64,
+        ended: Arc<AtomicBool>,
+    ) -> std::thread::JoinHandle<u64> {
         let at: SocketAddr = self.hosts[h].as_ref().unwrap().1.parse().unwrap();
         std::thread::spawn(move || {
             let (mut done, mut n) = (0, 0u64);
@@ -125,7 +176,9 @@
             while !ended.load(Ordering::SeqCst) {
                 sleep(Duration::from_secs(1) / per_second as u32);
                 if line.is_none() {
-                    let Ok(mut s) = TcpStream::connect(at) else { continue };
+                    let Ok(mut s) = TcpStream::connect(at) else {
+                        continue;
+                    };
                     s.set_read_timeout(Some(ms(1))).unwrap();
                     put(&mut s, Body::Hello(hello(pb::Role::Client, "c", 1)));
                     line = Some((s, frame::Reader::new(1 << 20)));
@@ -147,9 +200,10 @@
                 );
                 let gone = match reader.fill(s) {
                     Ok(0) => true,
-                    Err(e) => {
-                        !matches!(e.kind(), std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut)
-                    }
+                    Err(e) => !matches!(
+                        e.kind(),
+                        std::io::ErrorKind::WouldBlock | std::io::ErrorKind::TimedOut
+                    ),
                     Ok(_) => false,
                 };
                 while let Ok(Some(f)) = reader.next::<pb::Frame>() {
@@ -167,8 +221,15 @@
 
     fn shows(&self, h: usize) -> String {
         let at = &self.hosts[h].as_ref().unwrap().1;
-        let out = Command::new(PROGRAM).args(["fleet", "--at", at]).output().unwrap();
-        assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+        let out = Command::new(PROGRAM)
+            .args(["fleet", "--at", at])
+            .output()
+            .unwrap();
+        assert!(
+            out.status.success(),
+            "{}",
+            String::from_utf8_lossy(&out.stderr)
+        );
         String::from_utf8_lossy(&out.stdout).into_owned()
     }
 
@@ -187,10 +248,15 @@
     /// When units came to the nodes, from whichever host.
     fn came(&self) -> Vec<(f64, f64)> {
         let records = read_file(&self.folder.join("nodes.trace")).unwrap();
-        let legs = records.iter().filter(|r| r.kind() == Kind::In).filter_map(|r| {
-            let Some(Body::Leg(l)) = r.frame.as_ref().and_then(|f| f.body.as_ref()) else { return None };
-            Some((r.at_ns as f64 / 1e9, l.units))
-        });
+        let legs = records
+            .iter()
+            .filter(|r| r.kind() == Kind::In)
+            .filter_map(|r| {
+                let Some(Body::Leg(l)) = r.frame.as_ref().and_then(|f| f.body.as_ref()) else {
+                    return None;
+                };
+                Some((r.at_ns as f64 / 1e9, l.units))
+            });
         let mut all: Vec<(f64, f64)> = legs.collect();
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
         all
@@ -220,13 +286,22 @@
 fn put(s: &mut TcpStream, body: Body) {
     let mut bytes = Vec::new();
     let sent_us = clock::micros(clock::now());
-    frame::write(&pb::Frame { sent_us, body: Some(body) }, &mut bytes);
+    frame::write(
+        &pb::Frame {
+            sent_us,
+            body: Some(body),
+        },
+        &mut bytes,
+    );
     let _ = s.write_all(&bytes);
 }
 
 /// All but one host hear nothing of it, and it nothing of them.
 fn alone_is(h: usize) -> BTreeSet<(usize, usize)> {
-    (0..HOSTS).filter(|o| *o != h).flat_map(|o| [(o, h), (h, o)]).collect()
+    (0..HOSTS)
+        .filter(|o| *o != h)
+        .flat_map(|o| [(o, h), (h, o)])
+        .collect()
 }
 
 /// A volume that is asked for through one host gets nearly its whole limit there, where even parts give a
@@ -247,13 +322,20 @@
     };
     let now = || clock::now().as_secs_f64();
     let lent = rate(now() - 2.0);
-    assert!(lent > 0.6 * LIMIT, "{lent:.1} units a second of {LIMIT}, even parts give {}", LIMIT / 4.0);
+    assert!(
+        lent > 0.6 * LIMIT,
+        "{lent:.1} units a second of {LIMIT}, even parts give {}",
+        LIMIT / 4.0
+    );
     // Cut off, while others begin to need what they lent.
     site.links.cut(alone_is(0));
     let others: Vec<_> = (1..HOSTS).map(|h| site.ask(h, 40, ended.clone())).collect();
     sleep(ms(3000));
     let said = site.shows(0);
-    assert!(said.contains("borrowed 0.0%") && said.contains(" 25.0% of its limit"), "{said}");
+    assert!(
+        said.contains("borrowed 0.0%") && said.contains(" 25.0% of its limit"),
+        "{said}"
+    );
     site.links.cut(BTreeSet::new());
     sleep(ms(1500));
     // Stands still for longer than its loans, with words and answers waiting for it.
@@ -271,13 +353,21 @@
     site.begin(1);
     sleep(ms(500));
     let said = site.shows(1);
-    assert!(!said.contains(" 25.0% of its limit"), "it cannot know what it lent:\n{said}");
+    assert!(
+        !said.contains(" 25.0% of its limit"),
+        "it cannot know what it lent:\n{said}"
+    );
     sleep(ms(3000));
     let said = site.shows(1);
-    assert!(said.contains(" 25.0% of its limit"), "what it lent has run out by now:\n{said}");
+    assert!(
+        said.contains(" 25.0% of its limit"),
+        "what it lent has run out by now:\n{said}"
+    );
     ended.store(true, Ordering::SeqCst);
     assert!(busy.join().unwrap() > 0);
-    others.into_iter().for_each(|o| assert!(o.join().unwrap() > 0, "every host served"));
+    others
+        .into_iter()
+        .for_each(|o| assert!(o.join().unwrap() > 0, "every host served"));
     let over = site.over();
     assert!(over <= 0.0, "{over:.1} units over the limit in some window");
 }
--- a/crates/cli/tests/plans.rs
+++ b/crates/cli/tests/plans.rs
@@ -44,10 +44,15 @@
 
 impl Service {
     fn new(name: &str) -> Service {
-        let dir = std::env::temp_dir().join(format!("grebecleat-plans-{}-{name}", std::process::id()));
+        let dir =
+            std::env::temp_dir().join(format!("grebecleat-plans-{}-{name}", std::process::id()));
         fs::create_dir_all(&dir).unwrap();
         fs::write(dir.join("site.star"), SITE).unwrap();
-        let mut s = Service { dir, child: None, at: "127.0.0.1:0".into() };
+        let mut s = Service {
+            dir,
+            child: None,
+            at: "127.0.0.1:0".into(),
+        };
         s.start();
         s
     }
@@ -58,7 +63,12 @@
 
     fn command(&self) -> Command {
         let mut c = Command::new(PROGRAM);
-        c.args(["--log-level", "warn", "state-service", &self.path("site.star")]);
+        c.args([
+            "--log-level",
+            "warn",
+            "state-service",
+            &self.path("site.star"),
+        ]);
         c.args(["--store", &self.path("s.store"), "--listen", &self.at]);
         c
     }
@@ -66,8 +76,14 @@
     fn start(&mut self) {
         let mut child = self.command().stdout(Stdio::piped()).spawn().unwrap();
         let mut line = String::new();
-        BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-        self.at = line.trim().strip_prefix("listening ").expect("it listens").to_string();
+        BufReader::new(child.stdout.take().unwrap())
+            .read_line(&mut line)
+            .unwrap();
+        self.at = line
+            .trim()
+            .strip_prefix("listening ")
+            .expect("it listens")
+            .to_string();
         self.child = Some(child);
     }
 
@@ -79,7 +95,11 @@
     }
 
     fn plans(&self, args: &[&str]) -> Output {
-        Command::new(PROGRAM).args(["plans", "--at", &self.at, "--who", "clerk"]).args(args).output().unwrap()
+        Command::new(PROGRAM)
+            .args(["plans", "--at", &self.at, "--who", "clerk"])
+            .args(args)
+            .output()
+            .unwrap()
     }
 
     /// What it prints, where it is done.
@@ -106,22 +126,33 @@
 }
 
 fn text(out: &Output) -> String {
-    String::from_utf8_lossy(&[&out.stdout[..], &out.stderr[..]].concat()).trim().to_string()
+    String::from_utf8_lossy(&[&out.stdout[..], &out.stderr[..]].concat())
+        .trim()
+        .to_string()
 }
 
 #[test]
 fn an_operators_day_at_the_command_line() {
     let _alone = alone();
     let s = Service::new("day");
-    assert_eq!(s.done(&["set", "plan basic rate=18 weight=2", "--why", "appeal"]), "entry 2");
+    assert_eq!(
+        s.done(&["set", "plan basic rate=18 weight=2", "--why", "appeal"]),
+        "entry 2"
+    );
     assert_eq!(
         s.done(&["show", "plan", "basic"]).lines().next().unwrap(),
         "plan basic rate=18 reservation=0 limit=0 burst=0 slack=0 weight=2 price=1"
     );
     // Two sessions that looked at entry 2: the second is told what it collided with.
-    assert_eq!(s.done(&["set", "volume 100 plan=gold", "--looked-at", "2"]), "entry 3");
+    assert_eq!(
+        s.done(&["set", "volume 100 plan=gold", "--looked-at", "2"]),
+        "entry 3"
+    );
     let said = s.refused(&["set", "volume 100 plan=capped", "--looked-at", "2"], 1);
-    assert_eq!(said, "refused: volume 100 was changed meanwhile, by entry 3 of clerk");
+    assert_eq!(
+        said,
+        "refused: volume 100 was changed meanwhile, by entry 3 of clerk"
+    );
     assert_eq!(
         s.done(&["set", "volume 103 plan=gold", "--looked-at", "2"]),
         "entry 4",
@@ -132,8 +163,16 @@
         said.starts_with("refused: ") && said.contains("reserves cannot be met; what gives way"),
         "{said}"
     );
-    s.done(&["set", "plan gold reservation=400", "--force", "--why", "they insist"]);
-    assert!(s.done(&["status"]).contains("units a second of reserves cannot be met"));
+    s.done(&[
+        "set",
+        "plan gold reservation=400",
+        "--force",
+        "--why",
+        "they insist",
+    ]);
+    assert!(s
+        .done(&["status"])
+        .contains("units a second of reserves cannot be met"));
     s.done(&["undo", "5", "--why", "it was too much"]);
     let said = s.done(&["history", "--most", "2"]);
     assert!(
@@ -148,32 +187,67 @@
     );
     s.done(&["declare", &s.path("site.star")]);
     assert_eq!(s.done(&["diff", &s.path("site.star")]), "nothing differs");
-    assert!(s.done(&["moves", "--empty", "1"]).contains("extents from node 1 to node"));
-    let drain = ["set", "drain 3", "volume 200 plan=basic hosts=h1 cells=1 blocks=8"];
-    assert!(s.refused(&drain, 1).contains("of reserves lie out of reach"));
+    assert!(s
+        .done(&["moves", "--empty", "1"])
+        .contains("extents from node 1 to node"));
+    let drain = [
+        "set",
+        "drain 3",
+        "volume 200 plan=basic hosts=h1 cells=1 blocks=8",
+    ];
+    assert!(s
+        .refused(&drain, 1)
+        .contains("of reserves lie out of reach"));
     s.done(&[&drain[..], &["--force"]].concat());
     let out = s.plans(&["--output", "json", "list"]);
     let list: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap();
-    assert!(list["state"].as_array().unwrap().iter().any(|c| c["drain"] == 3), "{list}");
+    assert!(
+        list["state"]
+            .as_array()
+            .unwrap()
+            .iter()
+            .any(|c| c["drain"] == 3),
+        "{list}"
+    );
     // Bad words: the place and the fault, and nothing is done.
     let before = s.done(&["list"]);
     for (words, why) in [
-        ("volume 100 plan=silver", "refused: plan silver does not exist"),
+        (
+            "volume 100 plan=silver",
+            "refused: plan silver does not exist",
+        ),
         ("plan basic limit=x", "limit: x makes no sense there"),
-        ("volume 100 plann=gold", "plann is not known here; expected some of plan, hosts, cells, blocks"),
-        ("volumes 100", "expected plan, volume, node, drain, undrain, target or timed"),
+        (
+            "volume 100 plann=gold",
+            "plann is not known here; expected some of plan, hosts, cells, blocks",
+        ),
+        (
+            "volumes 100",
+            "expected plan, volume, node, drain, undrain, target or timed",
+        ),
         ("plan capped limit=1", "its limit is below its reservation"),
-        ("volume 201 plan=basic hosts=h9 cells=1 blocks=8", "works through h9, which is no host here"),
+        (
+            "volume 201 plan=basic hosts=h9 cells=1 blocks=8",
+            "works through h9, which is no host here",
+        ),
     ] {
         let out = s.plans(&["set", words]);
-        assert!(!out.status.success() && text(&out).contains(why), "{words}: {}", text(&out));
+        assert!(
+            !out.status.success() && text(&out).contains(why),
+            "{words}: {}",
+            text(&out)
+        );
     }
     assert_eq!(s.done(&["list"]), before);
     // A change for later lands by itself.
     s.done(&["set", "plan basic rate=33", "--at-time", "+1s"]);
     let begun = Instant::now();
     while !s.done(&["show", "plan", "basic"]).contains("rate=33") {
-        assert!(begun.elapsed() < Duration::from_secs(10), "{}", s.done(&["history"]));
+        assert!(
+            begun.elapsed() < Duration::from_secs(10),
+            "{}",
+            s.done(&["history"])
+        );
         std::thread::sleep(Duration::from_millis(100));
     }
 }
@@ -195,7 +269,12 @@
         assert!(s.done(&["show", "plan", "basic"]).contains(&last));
         assert!(s.done(&["status"]).starts_with(&format!("entry {entry},")));
     }
-    assert_eq!(s.done(&["history", "--most", "100", "--of", "plan basic"]).matches("clerk").count(), 24);
+    assert_eq!(
+        s.done(&["history", "--most", "100", "--of", "plan basic"])
+            .matches("clerk")
+            .count(),
+        24
+    );
 }
 
 #[test]
@@ -208,8 +287,12 @@
     s.done(&["set", "plan basic rate=60"]);
     let store = s.path("s.store");
     // While it runs nobody else may have the store.
-    assert!(s.refused(&["check", &store], 3).contains("in use by another process"));
-    assert!(s.refused(&["restore", &snapshot, &store], 3).contains("in use by another process"));
+    assert!(s
+        .refused(&["check", &store], 3)
+        .contains("in use by another process"));
+    assert!(s
+        .refused(&["restore", &snapshot, &store], 3)
+        .contains("in use by another process"));
     s.kill();
     assert!(s.done(&["check", &store]).contains("in order: entry 3"));
     assert!(s.done(&["check", &snapshot]).contains("in order: entry 2"));
@@ -224,8 +307,12 @@
     // A byte of a record rots.
     let mut bytes = fs::read(&store).unwrap();
     let word = b"basic";
-    let at: Vec<usize> =
-        bytes.windows(word.len()).enumerate().filter(|(_, w)| *w == word).map(|(i, _)| i).collect();
+    let at: Vec<usize> = bytes
+        .windows(word.len())
+        .enumerate()
+        .filter(|(_, w)| *w == word)
+        .map(|(i, _)| i)
+        .collect();
     at.iter().for_each(|i| bytes[*i] ^= 1);
     fs::write(&store, &bytes).unwrap();
     let out = s.command().output().unwrap();
@@ -281,7 +368,13 @@
         .unwrap();
     let said = text(&out);
     assert_eq!(out.status.code(), Some(0), "{said}");
-    assert!(said.lines().last().unwrap().starts_with("rules broken: 0; "), "{said}");
+    assert!(
+        said.lines()
+            .last()
+            .unwrap()
+            .starts_with("rules broken: 0; "),
+        "{said}"
+    );
     // Six changes and what was declared, each over everywhere in the end.
     assert!(said.contains("plans: 7 entries over everywhere"), "{said}");
     assert!(!said.contains("refused"), "{said}");
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -19,21 +19,34 @@
     let (node, _list, live) = one_node(|_| says(GOOD));
     let mut stream = TcpStream::connect(live.address).unwrap();
     for n in 0..3 {
-        stream.write_all(request("row", &format!("t{n}"), 0, 7, 2500).as_bytes()).unwrap();
+        stream
+            .write_all(request("row", &format!("t{n}"), 0, 7, 2500).as_bytes())
+            .unwrap();
         let (status, _, body) = answer(&mut stream).unwrap();
         assert_eq!((status, &body[..]), (200, &b"good"[..]));
     }
     let seen = seen(&node);
-    assert_eq!((seen.len(), *node.connections.lock().unwrap()), (3, 1), "one connection serves them in turn");
+    assert_eq!(
+        (seen.len(), *node.connections.lock().unwrap()),
+        (3, 1),
+        "one connection serves them in turn"
+    );
     for (n, text) in seen.iter().enumerate() {
         assert!(
-            text.starts_with("PUT /row/0000000000000007?q=1 HTTP/1.1\r\n") && text.ends_with("\r\n\r\nhi")
+            text.starts_with("PUT /row/0000000000000007?q=1 HTTP/1.1\r\n")
+                && text.ends_with("\r\n\r\nhi")
         );
         assert!(
             text.contains(&format!("X-Txn: t{n}\r\n"))
                 && text.contains(&format!("Idempotency-Key: kt{n}\r\n"))
         );
-        let left = text.split("X-Remaining-Ms: ").nth(1).unwrap().split("\r\n").next().unwrap();
+        let left = text
+            .split("X-Remaining-Ms: ")
+            .nth(1)
+            .unwrap()
+            .split("\r\n")
+            .next()
+            .unwrap();
         assert!((1..=2500).contains(&left.parse::<u64>().unwrap()));
     }
 }
@@ -47,9 +60,24 @@
     let both = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\ngood";
     let cases: [(&str, Does, &[u16], usize); 9] = [
         ("turned away, then done", says(AWAY), &[200], 2),
-        ("503 without its header", says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), &[502], 1),
-        ("500", says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), &[502], 1),
-        ("hangs up after it came whole", Does::SaysAndEnds(Vec::new()), &[502], 1),
+        (
+            "503 without its header",
+            says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
+            &[502],
+            1,
+        ),
+        (
+            "500",
+            says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
+            &[502],
+            1,
+        ),
+        (
+            "hangs up after it came whole",
+            Does::SaysAndEnds(Vec::new()),
+            &[502],
+            1,
+        ),
         ("noise", says("~~~ no answer ~~~\r\n\r\n"), &[502], 1),
         ("an answer that stops half way", says(stalled), &[502], 1),
         ("an answer of 3 GB", says(huge), &[502], 1),
@@ -62,7 +90,11 @@
         assert!(wanted.contains(&status), "{what}: {status}");
         assert_eq!(seen(&node).len(), legs, "{what}");
         // The host is of use still.
-        assert_eq!(live.ask(&request("once", "u", 0, 8, 2500)), Some(200), "{what}");
+        assert_eq!(
+            live.ask(&request("once", "u", 0, 8, 2500)),
+            Some(200),
+            "{what}"
+        );
     }
 }
 
@@ -70,16 +102,25 @@
 fn a_good_answer_counts_whatever_comes_before_and_behind_it() {
     let early = format!("HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n{GOOD}");
     let chunked =
-        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ngo\r\n2\r\nod\r\n0\r\n\r\n".to_string();
-    let unread =
-        "HTTP/1.1 200 OK\r\nX-Iops-Used: much\r\nX-Rho: \r\nContent-Length: 4\r\n\r\ngood".to_string();
-    let cases = [early, format!("{GOOD}{GOOD}"), format!("{GOOD}~~~"), chunked, unread];
+        "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ngo\r\n2\r\nod\r\n0\r\n\r\n"
+            .to_string();
+    let unread = "HTTP/1.1 200 OK\r\nX-Iops-Used: much\r\nX-Rho: \r\nContent-Length: 4\r\n\r\ngood"
+        .to_string();
+    let cases = [
+        early,
+        format!("{GOOD}{GOOD}"),
+        format!("{GOOD}~~~"),
+        chunked,
+        unread,
+    ];
     for text in cases {
         let told = text.clone();
         let (_node, _list, live) = one_node(move |_| says(&told));
         for n in 0..3 {
             let mut stream = TcpStream::connect(live.address).unwrap();
-            stream.write_all(request("once", &format!("t{n}"), 0, n, 2500).as_bytes()).unwrap();
+            stream
+                .write_all(request("once", &format!("t{n}"), 0, n, 2500).as_bytes())
+                .unwrap();
             let (status, _, body) = answer(&mut stream).expect(&text);
             assert_eq!((status, &body[..]), (200, &b"good"[..]), "{text}");
         }
@@ -89,15 +130,26 @@
 /// The pages speak of 64 KiB at most; nodes were seen to give three times that.
 #[test]
 fn a_large_answer_passes_whole_and_its_connection_stays() {
-    let data: String = (0..200_000).map(|n| char::from(b'a' + (n % 23) as u8)).collect();
-    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{data}", data.len());
+    let data: String = (0..200_000)
+        .map(|n| char::from(b'a' + (n % 23) as u8))
+        .collect();
+    let text = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{data}",
+        data.len()
+    );
     let (node, _list, live) = one_node(move |_| says(&text));
     for n in 0..4 {
         let mut stream = TcpStream::connect(live.address).unwrap();
-        stream.write_all(request("read", &format!("t{n}"), 0, n, 2500).as_bytes()).unwrap();
+        stream
+            .write_all(request("read", &format!("t{n}"), 0, n, 2500).as_bytes())
+            .unwrap();
         sleep(ms(50)); // more than the socket takes at once waits
         let (status, _, body) = answer(&mut stream).unwrap();
-        assert!(status == 200 && body == data.as_bytes(), "{status}, {} bytes", body.len());
+        assert!(
+            status == 200 && body == data.as_bytes(),
+            "{status}, {} bytes",
+            body.len()
+        );
     }
     assert_eq!(*node.connections.lock().unwrap(), 1);
 }
@@ -108,9 +160,14 @@
     let (node, _list, live) = one_node(|_| says(GOOD));
     let mut stream = TcpStream::connect(live.address).unwrap();
     let began = Instant::now();
-    stream.write_all(request("once", "t", 5, 7, 2500).as_bytes()).unwrap();
+    stream
+        .write_all(request("once", "t", 5, 7, 2500).as_bytes())
+        .unwrap();
     let (status, head, _) = answer(&mut stream).unwrap();
-    assert!(status == 503 && head.contains("Retry-After: 0.500"), "{status} {head}");
+    assert!(
+        status == 503 && head.contains("Retry-After: 0.500"),
+        "{status} {head}"
+    );
     assert!(began.elapsed() < ms(2000), "at once, not near its expiry");
     assert_eq!(seen(&node), Vec::<String>::new());
 }
@@ -124,9 +181,15 @@
         "noise without any sense\r\n\r\n".to_string(),
         format!("GET /{} HTTP/1.1\r\n\r\n", "x".repeat(20_000)),
         change("Content-Length: 2", "Content-Length: 60000000"),
-        change("Content-Length: 2", "Content-Length: 2\r\nTransfer-Encoding: chunked"),
+        change(
+            "Content-Length: 2",
+            "Content-Length: 2\r\nTransfer-Encoding: chunked",
+        ),
         change("Content-Length: 2", "Content-Length: -2"),
-        change("Content-Length: 2", "Content-Length: 2\r\nContent-Length: 40"),
+        change(
+            "Content-Length: 2",
+            "Content-Length: 2\r\nContent-Length: 40",
+        ),
         change("/once/", "/never/"),
         change("gold", "lead"),
         change("2500", "soon"),
@@ -134,7 +197,11 @@
     ];
     for text in &cases {
         let status = live.ask(text).unwrap_or(400);
-        assert!((400..500).contains(&status) && status != 429, "{status}: {:.80}", text);
+        assert!(
+            (400..500).contains(&status) && status != 429,
+            "{status}: {:.80}",
+            text
+        );
     }
     // Half a request, and nothing at all: an error or a close within three seconds.
     let began = Instant::now();
@@ -142,7 +209,9 @@
     half.write_all(&good.as_bytes()[..60]).unwrap();
     let mut silent = TcpStream::connect(live.address).unwrap();
     half.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
-    silent.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
+    silent
+        .set_read_timeout(Some(Duration::from_secs(8)))
+        .unwrap();
     assert_eq!(answer(&mut half).map(|a| a.0), Some(408));
     assert_eq!(silent.read(&mut [0; 8]).unwrap_or(0), 0);
     assert!(began.elapsed() < Duration::from_secs(8));
@@ -165,16 +234,22 @@
 #[test]
 fn transfers_of_one_key_run_one_at_a_time() {
     let (node, _list, live) = one_node(|_| Does::Waits(ms(60), GOOD.into()));
-    let mut streams: Vec<TcpStream> = (0..4).map(|_| TcpStream::connect(live.address).unwrap()).collect();
+    let mut streams: Vec<TcpStream> = (0..4)
+        .map(|_| TcpStream::connect(live.address).unwrap())
+        .collect();
     for (n, s) in streams.iter_mut().enumerate() {
-        s.write_all(request("row", &format!("t{n}"), 0, 7, 2500).as_bytes()).unwrap();
+        s.write_all(request("row", &format!("t{n}"), 0, 7, 2500).as_bytes())
+            .unwrap();
         sleep(ms(5));
     }
     let statuses: Vec<_> = streams.iter_mut().map(|s| answer(s).map(|a| a.0)).collect();
     assert_eq!(statuses, [Some(200); 4]);
     assert_eq!(*node.connections.lock().unwrap(), 1, "never two at a time");
-    let ids: Vec<bool> =
-        seen(&node).iter().zip(0..).map(|(s, n)| s.contains(&format!("X-Txn: t{n}\r\n"))).collect();
+    let ids: Vec<bool> = seen(&node)
+        .iter()
+        .zip(0..)
+        .map(|(s, n)| s.contains(&format!("X-Txn: t{n}\r\n")))
+        .collect();
     assert_eq!(ids, [true; 4], "in the order they came");
 }
 
@@ -194,11 +269,25 @@
     sleep(ms(200));
     assert_eq!(live.ask(&request("once", "c", 0, 3, 2500)), Some(200));
     let third = node(|_| says(GOOD));
-    let other = discovery(json!([target("s-2", &new, 0, "draining"), target("s-3", &third, 0, "ready")]));
-    write_config(&live.config, "n1", live.address, other.address, live.sockets, settings());
+    let other = discovery(json!([
+        target("s-2", &new, 0, "draining"),
+        target("s-3", &third, 0, "ready")
+    ]));
+    write_config(
+        &live.config,
+        "n1",
+        live.address,
+        other.address,
+        live.sockets,
+        settings(),
+    );
     live.signal("-HUP");
     sleep(ms(900));
-    assert_eq!(other.calls.lock().unwrap()[0], "/registry/instances", "the new list whole");
+    assert_eq!(
+        other.calls.lock().unwrap()[0],
+        "/registry/instances",
+        "the new list whole"
+    );
     assert_eq!(live.ask(&request("once", "d", 0, 4, 2500)), Some(200));
     assert_eq!((seen(&new).len(), seen(&third).len()), (2, 1));
 }
@@ -207,21 +296,27 @@
 fn told_to_end_it_serves_on_answers_what_it_took_and_ends() {
     let (_node, _list, mut live) = one_node(|_| Does::Waits(ms(900), GOOD.into()));
     let mut open = TcpStream::connect(live.address).unwrap();
-    open.write_all(request("once", "a", 0, 1, 2500).as_bytes()).unwrap();
+    open.write_all(request("once", "a", 0, 1, 2500).as_bytes())
+        .unwrap();
     sleep(ms(50));
     live.signal("-TERM");
     let told = Instant::now();
     sleep(ms(200));
     let mut late = TcpStream::connect(live.address).expect("new connections are still taken");
-    late.write_all(request("once", "b", 0, 2, 2500).as_bytes()).unwrap();
+    late.write_all(request("once", "b", 0, 2, 2500).as_bytes())
+        .unwrap();
     assert_eq!(answer(&mut open).map(|a| a.0), Some(200));
     assert_eq!(answer(&mut late).map(|a| a.0), Some(200));
     // Its clients go on with what they have, until shortly before it may be killed: 3 s and 0.7 s after the
     // signal.
     sleep(ms(2400).saturating_sub(told.elapsed()));
-    open.write_all(request("once", "c", 0, 3, 2500).as_bytes()).unwrap();
+    open.write_all(request("once", "c", 0, 3, 2500).as_bytes())
+        .unwrap();
     let (status, head, _) = answer(&mut open).unwrap();
-    assert!(status == 200 && head.contains("Connection: close"), "{head}");
+    assert!(
+        status == 200 && head.contains("Connection: close"),
+        "{head}"
+    );
     assert!(told.elapsed() < ms(3700));
     assert!(live.ends());
 }
@@ -231,11 +326,18 @@
     let node = node(|_| says(GOOD));
     let list = discovery(json!([target("s-1", &node, 0, "ready")]));
     let live = Live::start(&list, 64);
-    let silent: Vec<TcpStream> = (0..200).filter_map(|_| TcpStream::connect(live.address).ok()).collect();
+    let silent: Vec<TcpStream> = (0..200)
+        .filter_map(|_| TcpStream::connect(live.address).ok())
+        .collect();
     for n in 0..5 {
-        assert_eq!(live.ask(&request("once", &format!("t{n}"), 0, n, 2500)), Some(200));
+        assert_eq!(
+            live.ask(&request("once", &format!("t{n}"), 0, n, 2500)),
+            Some(200)
+        );
     }
-    let fds = std::fs::read_dir(format!("/proc/{}/fd", live.child.id())).unwrap().count();
+    let fds = std::fs::read_dir(format!("/proc/{}/fd", live.child.id()))
+        .unwrap()
+        .count();
     assert!(fds <= 64, "{fds} descriptors");
     silent.iter().for_each(|s| _ = s.shutdown(Shutdown::Both));
 }
@@ -249,7 +351,9 @@
     let mut stay: Vec<TcpStream> = (0..30)
         .map(|n| {
             let mut stream = TcpStream::connect(live.address).unwrap();
-            stream.write_all(request("read", &format!("t{n}"), 0, n, 2500).as_bytes()).unwrap();
+            stream
+                .write_all(request("read", &format!("t{n}"), 0, n, 2500).as_bytes())
+                .unwrap();
             assert_eq!(answer(&mut stream).map(|a| a.0), Some(200));
             stream
         })
@@ -271,17 +375,34 @@
     let cases: BTreeMap<&str, &str> = [
         ("{", "is no JSON"),
         ("{\"name\": 3}", "name: expected a text, found 3"),
-        ("{\"name\": \"a\", \"listen\": \"x\"}", "listen: expected an address and port, found x"),
+        (
+            "{\"name\": \"a\", \"listen\": \"x\"}",
+            "listen: expected an address and port, found x",
+        ),
     ]
     .into();
     for (text, told) in cases {
         std::fs::write(&path, text).unwrap();
-        let out = Command::new(program).arg("platform").env("LB_CONFIG", &path).output().unwrap();
+        let out = Command::new(program)
+            .arg("platform")
+            .env("LB_CONFIG", &path)
+            .output()
+            .unwrap();
         let said = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert!(out.status.code() == Some(2) && said.contains(told), "{said}");
-        assert!(said.contains(&path.display().to_string()) && said.trim().lines().count() == 1, "{said}");
+        assert!(
+            out.status.code() == Some(2) && said.contains(told),
+            "{said}"
+        );
+        assert!(
+            said.contains(&path.display().to_string()) && said.trim().lines().count() == 1,
+            "{said}"
+        );
     }
-    let out = Command::new(program).arg("platform").env_remove("LB_CONFIG").output().unwrap();
+    let out = Command::new(program)
+        .arg("platform")
+        .env_remove("LB_CONFIG")
+        .output()
+        .unwrap();
     assert_eq!(out.status.code(), Some(2));
     let _ = std::fs::remove_file(path);
 }
@@ -292,10 +413,17 @@
     let (_node, _list, live) = one_node(|_| says(GOOD));
     let allowed = |path: std::path::PathBuf| {
         let status = std::fs::read_to_string(path.join("status")).unwrap();
-        status.lines().find(|l| l.starts_with("Cpus_allowed:")).unwrap().to_string()
+        status
+            .lines()
+            .find(|l| l.starts_with("Cpus_allowed:"))
+            .unwrap()
+            .to_string()
     };
     let whole = allowed("/proc/self".into());
     let tasks = std::fs::read_dir(format!("/proc/{}/task", live.child.id())).unwrap();
     let all: Vec<String> = tasks.map(|t| allowed(t.unwrap().path())).collect();
-    assert!(all.len() >= 3 && all.iter().all(|a| *a == whole), "{whole}, threads: {all:?}");
+    assert!(
+        all.len() >= 3 && all.iter().all(|a| *a == whole),
+        "{whole}, threads: {all:?}"
+    );
 }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -23,7 +23,8 @@
 
 impl Folder {
     fn new(name: &str) -> Self {
-        let path = std::env::temp_dir().join(format!("grebecleat-test-{}-{name}", std::process::id()));
+        let path =
+            std::env::temp_dir().join(format!("grebecleat-test-{}-{name}", std::process::id()));
         fs::create_dir_all(&path).unwrap();
         Folder(path)
     }
@@ -86,19 +87,29 @@
     let said = text(&out.stdout);
     assert_eq!(out.status.code(), Some(0), "{said}{}", text(&out.stderr));
     let last = said.lines().last().unwrap().to_string();
-    let numbers: Vec<u64> =
-        last.split(|c: char| !c.is_ascii_digit()).filter_map(|w| w.parse().ok()).collect();
-    let [broken, all, done, deferred, abandoned] = numbers[..] else { panic!("last line: {last}") };
-    let expected =
-        format!("rules broken: 0; transfers {all}, done {done}, deferred {deferred}, abandoned {abandoned}");
+    let numbers: Vec<u64> = last
+        .split(|c: char| !c.is_ascii_digit())
+        .filter_map(|w| w.parse().ok())
+        .collect();
+    let [broken, all, done, deferred, abandoned] = numbers[..] else {
+        panic!("last line: {last}")
+    };
+    let expected = format!(
+        "rules broken: 0; transfers {all}, done {done}, deferred {deferred}, abandoned {abandoned}"
+    );
     assert_eq!((last, all), (expected, done + deferred + abandoned));
-    assert!(said.contains("0 answered twice, 0 reads with wrong content"), "{said}");
+    assert!(
+        said.contains("0 answered twice, 0 reads with wrong content"),
+        "{said}"
+    );
     (said, [broken, all, done, deferred, abandoned])
 }
 
 fn pieces(said: &str) -> Vec<String> {
     let plans = said.lines().filter(|l| l.starts_with("plan "));
-    plans.map(|l| l.split_whitespace().take(3).collect::<Vec<_>>().join(" ")).collect()
+    plans
+        .map(|l| l.split_whitespace().take(3).collect::<Vec<_>>().join(" "))
+        .collect()
 }
 
 #[test]
@@ -119,7 +130,10 @@
     let out = grebecleat(&["audit", dir.to_str().unwrap(), strict.to_str().unwrap()]);
     let said = text(&out.stdout);
     assert_eq!(out.status.code(), Some(1), "{said}");
-    assert!(said.contains("rule 7 (limits are kept): volume") && said.contains("OUT conn"), "{said}");
+    assert!(
+        said.contains("rule 7 (limits are kept): volume") && said.contains("OUT conn"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -133,7 +147,10 @@
 "#;
     let (said, [_, all, ..]) = day(&folder, "hosts", troubles, &[]);
     assert!(all > 300, "{said}");
-    assert!(folder.0.join("hosts/h2-1.trace").exists(), "the host came again");
+    assert!(
+        folder.0.join("hosts/h2-1.trace").exists(),
+        "the host came again"
+    );
 }
 
 #[test]
@@ -153,10 +170,26 @@
 fn kinds_of_a_bench_day_by_name_and_from_a_journal() {
     let _alone = alone();
     let folder = Folder::new("kinds");
-    let (said, _) = day(&folder, "named", "", &["--kinds", "fast_errors+answer_lost+mass_restart"]);
-    assert!(said.contains("troubles fast_errors+answer_lost+mass_restart"), "{said}");
-    let entry = folder.file("entry.json", r#"{"digest":"i8c21ad: hang+slow+reconnect 0.41"}"#);
-    let (said, _) = day(&folder, "journal", "", &["--journal", entry.to_str().unwrap()]);
+    let (said, _) = day(
+        &folder,
+        "named",
+        "",
+        &["--kinds", "fast_errors+answer_lost+mass_restart"],
+    );
+    assert!(
+        said.contains("troubles fast_errors+answer_lost+mass_restart"),
+        "{said}"
+    );
+    let entry = folder.file(
+        "entry.json",
+        r#"{"digest":"i8c21ad: hang+slow+reconnect 0.41"}"#,
+    );
+    let (said, _) = day(
+        &folder,
+        "journal",
+        "",
+        &["--journal", entry.to_str().unwrap()],
+    );
     assert!(said.contains("troubles hang+slow+reconnect"), "{said}");
 }
 
@@ -164,8 +197,12 @@
 fn a_node_drains_and_comes_back() {
     let _alone = alone();
     let folder = Folder::new("drain");
-    let (said, _) =
-        day(&folder, "drain", "trouble(kind = \"drain\", at = s(2), len = s(2), nodes = [2, 5])", &[]);
+    let (said, _) = day(
+        &folder,
+        "drain",
+        "trouble(kind = \"drain\", at = s(2), len = s(2), nodes = [2, 5])",
+        &[],
+    );
     assert!(said.contains("after a drain was told"), "{said}");
 }
 
@@ -203,9 +240,16 @@
         for command in ["check", "run", "rehearse"] {
             let out = grebecleat(&[command, file]);
             let said = text(&out.stderr);
-            assert_eq!((out.status.code(), text(&out.stdout)), (Some(2), String::new()), "{command}: {said}");
+            assert_eq!(
+                (out.status.code(), text(&out.stdout)),
+                (Some(2), String::new()),
+                "{command}: {said}"
+            );
             for e in *expected {
-                assert!(said.lines().any(|l| l.starts_with(file) && l.contains(e)), "{e}\n{said}");
+                assert!(
+                    said.lines().any(|l| l.starts_with(file) && l.contains(e)),
+                    "{e}\n{said}"
+                );
             }
         }
     }
@@ -224,20 +268,35 @@
 }
 
 fn start(command: &mut Command) -> Started {
-    let mut child =
-        command.stdin(Stdio::null()).stdout(Stdio::piped()).stderr(Stdio::null()).spawn().unwrap();
+    let mut child = command
+        .stdin(Stdio::null())
+        .stdout(Stdio::piped())
+        .stderr(Stdio::null())
+        .spawn()
+        .unwrap();
     let mut line = String::new();
-    BufReader::new(child.stdout.take().unwrap()).read_line(&mut line).unwrap();
-    let said = line.trim().strip_prefix("listening ").expect(&line).to_string();
+    BufReader::new(child.stdout.take().unwrap())
+        .read_line(&mut line)
+        .unwrap();
+    let said = line
+        .trim()
+        .strip_prefix("listening ")
+        .expect(&line)
+        .to_string();
     Started(child, said)
 }
 
 /// List, nodes, and the first host, with as many descriptors as given.
 fn site(folder: &Folder, descriptors: u32) -> (Started, Started, Started) {
-    let script =
-        folder.file("site.star", &SITE.replace("rehearsal(", "# rehearsal(").replace("load_of", "# load_of"));
+    let script = folder.file(
+        "site.star",
+        &SITE
+            .replace("rehearsal(", "# rehearsal(")
+            .replace("load_of", "# load_of"),
+    );
     let script = script.to_str().unwrap();
-    let list = start(Command::new(PROGRAM).args(["list-service", script, "--listen", "127.0.0.1:0"]));
+    let list =
+        start(Command::new(PROGRAM).args(["list-service", script, "--listen", "127.0.0.1:0"]));
     let nodes = start(Command::new(PROGRAM).args(["node", script, "--list", &list.1]));
     let limited = format!("ulimit -n {descriptors}; exec \"$0\" \"$@\"");
     let mut sh = Command::new("sh");
@@ -264,7 +323,9 @@
     fn new(host: &str) -> Self {
         let address: SocketAddr = host.parse().unwrap();
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
         let mut c = Client(stream, frame::Reader::new(1 << 20), 0);
         c.put(Body::Hello(hello(pb::Role::Client, "c", 1)));
         c
@@ -273,7 +334,13 @@
     fn put(&mut self, body: Body) {
         let mut bytes = Vec::new();
         let sent_us = clock::micros(clock::now());
-        frame::write(&pb::Frame { sent_us, body: Some(body) }, &mut bytes);
+        frame::write(
+            &pb::Frame {
+                sent_us,
+                body: Some(body),
+            },
+            &mut bytes,
+        );
         // A host that turns callers away may have hung up by now; `answer` finds that.
         let _ = self.0.write_all(&bytes);
     }
@@ -294,7 +361,14 @@
         let id: Vec<u8> = format!("{n:036}").into();
         let (volume, units, left_us) = (1, 1.0, 1_200_000);
         let cell = Some(2);
-        let take = pb::Take { id: id.into(), volume, units, left_us, cell, ..Default::default() };
+        let take = pb::Take {
+            id: id.into(),
+            volume,
+            units,
+            left_us,
+            cell,
+            ..Default::default()
+        };
         self.put(Body::Take(take));
     }
 
@@ -314,7 +388,10 @@
 }
 
 fn signal(of: &Started, name: &str) {
-    let sent = Command::new("kill").args(["-s", name, &of.0.id().to_string()]).status().unwrap();
+    let sent = Command::new("kill")
+        .args(["-s", name, &of.0.id().to_string()])
+        .status()
+        .unwrap();
     assert!(sent.success());
 }
 
@@ -345,12 +422,19 @@
     Client::new(&host.1).until_done();
     let allowed = |path: &Path| {
         let status = fs::read_to_string(path.join("status")).unwrap();
-        status.lines().find(|l| l.starts_with("Cpus_allowed:")).unwrap().to_string()
+        status
+            .lines()
+            .find(|l| l.starts_with("Cpus_allowed:"))
+            .unwrap()
+            .to_string()
     };
     let whole = allowed("/proc/self".as_ref());
     let tasks = fs::read_dir(format!("/proc/{}/task", host.0.id())).unwrap();
     let all: Vec<String> = tasks.map(|t| allowed(&t.unwrap().path())).collect();
-    assert!(all.len() >= 3 && all.iter().all(|a| *a == whole), "{whole}, threads: {all:?}");
+    assert!(
+        all.len() >= 3 && all.iter().all(|a| *a == whole),
+        "{whole}, threads: {all:?}"
+    );
 }
 
 #[test]
@@ -390,11 +474,22 @@
 #[test]
 fn the_program_explains_itself() {
     let help = text(&grebecleat(&["--help"]).stdout);
-    for word in ["run", "check", "rehearse", "node", "list-service", "Exit codes", "examples/bad-day.star"] {
+    for word in [
+        "run",
+        "check",
+        "rehearse",
+        "node",
+        "list-service",
+        "Exit codes",
+        "examples/bad-day.star",
+    ] {
         assert!(help.contains(word), "{word}\n{help}");
     }
     let completions = text(&grebecleat(&["completions", "bash"]).stdout);
     assert!(completions.contains("list-service"));
-    assert_eq!(grebecleat(&["rehearse", "--kinds", "flood"]).status.code(), Some(2));
+    assert_eq!(
+        grebecleat(&["rehearse", "--kinds", "flood"]).status.code(),
+        Some(2)
+    );
     assert!(Path::new(PROGRAM).exists());
 }
--- a/crates/cli/tests/ready.rs
+++ b/crates/cli/tests/ready.rs
@@ -45,7 +45,9 @@
     /// Bound at once, so that nobody else gets its port; it listens when it is not down.
     fn start(trouble: Trouble, targets: Value) -> (Arc<List>, SocketAddr) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        socket
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
         let list = Arc::new(List {
             trouble,
@@ -84,10 +86,18 @@
                 Trouble::Slow(span) => sleep(span),
                 _ => {}
             }
-            let targets = if watch { json!([]) } else { self.targets.clone() };
+            let targets = if watch {
+                json!([])
+            } else {
+                self.targets.clone()
+            };
             let body = json!({"rev": 1, "all": !watch, "targets": targets}).to_string();
             self.answers.fetch_add(1, Ordering::SeqCst);
-            let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let _ = write!(
+                stream,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
         }
     }
 
@@ -110,15 +120,26 @@
 /// A process, from its start until it is ready or its time is up: when that was, and whether the list had
 /// answered anybody by then.
 fn until_ready(
-    list: &List, address: SocketAddr, listen: SocketAddr, known: &Value,
+    list: &List,
+    address: SocketAddr,
+    listen: SocketAddr,
+    known: &Value,
 ) -> (Option<Duration>, bool, Live) {
     let began = Instant::now();
-    let mut live =
-        Live::begin_with(address, 64, settings(), json!({"known": known, "listen": listen.to_string()}));
+    let mut live = Live::begin_with(
+        address,
+        64,
+        settings(),
+        json!({"known": known, "listen": listen.to_string()}),
+    );
     while began.elapsed() < IN_TIME {
         let answered = list.answers.load(Ordering::SeqCst) > 0;
         if live.ask("GET /health/ready HTTP/1.1\r\n\r\n") == Some(200) {
-            return (Some(began.elapsed()), answered || list.answers.load(Ordering::SeqCst) > 0, live);
+            return (
+                Some(began.elapsed()),
+                answered || list.answers.load(Ordering::SeqCst) > 0,
+                live,
+            );
         }
         assert!(live.child.try_wait().unwrap().is_none(), "it has ended");
         sleep(ms(50));
@@ -144,11 +165,14 @@
     ];
     for (case, (trouble, remembers)) in cases.into_iter().enumerate() {
         let (list, address) = List::start(trouble, targets.clone());
-        let known =
-            json!({"rev": 1, "all": true, "targets": if remembers { targets.clone() } else { json!([]) }});
+        let known = json!({"rev": 1, "all": true, "targets": if remembers { targets.clone() } else { json!([]) }});
         let all: Vec<_> = std::thread::scope(|s| {
             // Each on an address of its own, where nobody's outgoing connection can take its port meanwhile.
-            let free = |n| TcpListener::bind((Ipv4Addr::new(127, 9, case as u8, n), 0)).unwrap().local_addr();
+            let free = |n| {
+                TcpListener::bind((Ipv4Addr::new(127, 9, case as u8, n), 0))
+                    .unwrap()
+                    .local_addr()
+            };
             let (list, known) = (&list, &known);
             let one = |n| s.spawn(move || until_ready(list, address, free(n).unwrap(), known));
             let all: Vec<_> = (1..=PROCESSES).map(|n| one(n as u8)).collect();
@@ -157,16 +181,29 @@
         let ready = all.iter().filter(|(at, ..)| at.is_some()).count();
         let slowest = all.iter().filter_map(|(at, ..)| *at).max();
         let calls = list.calls.load(Ordering::SeqCst);
-        let memory = all.iter().map(|(_, _, live)| memory_kib(live)).max().unwrap_or(0);
+        let memory = all
+            .iter()
+            .map(|(_, _, live)| memory_kib(live))
+            .max()
+            .unwrap_or(0);
         println!(
             "{trouble:?}, remembers {remembers}: {ready} ready, the last after {slowest:?}; {calls} calls; \
                   at most {memory} KiB each"
         );
-        assert!(ready >= ENOUGH, "{trouble:?}, remembers {remembers}: {ready} ready");
+        assert!(
+            ready >= ENOUGH,
+            "{trouble:?}, remembers {remembers}: {ready} ready"
+        );
         assert!(memory < 64 << 10, "{memory} KiB");
         // Ready is whoever can serve.
-        let early = all.iter().filter(|(at, answered, _)| at.is_some() && !answered).count();
-        assert!(remembers || early == 0, "{trouble:?}: {early} are ready without a list");
+        let early = all
+            .iter()
+            .filter(|(at, answered, _)| at.is_some() && !answered)
+            .count();
+        assert!(
+            remembers || early == 0,
+            "{trouble:?}: {early} are ready without a list"
+        );
         let (.., one) = all.iter().find(|(at, ..)| at.is_some()).unwrap();
         assert_eq!(
             one.ask(&request("read", "t", 0, 7, 2900)),
@@ -177,7 +214,9 @@
 }
 
 fn memory_kib(live: &Live) -> usize {
-    let status = std::fs::read_to_string(format!("/proc/{}/status", live.child.id())).unwrap_or_default();
+    let status =
+        std::fs::read_to_string(format!("/proc/{}/status", live.child.id())).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
-    line.and_then(|l| l.split_whitespace().next()?.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.split_whitespace().next()?.parse().ok())
+        .unwrap_or(0)
 }
--- a/crates/cli/tests/rig/live.rs
+++ b/crates/cli/tests/rig/live.rs
@@ -40,7 +40,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (seen, connections): (Arc<Mutex<Vec<String>>>, Arc<Mutex<usize>>) = Default::default();
-    let (kept, opened, script): (_, _, Script) = (seen.clone(), connections.clone(), Arc::new(script));
+    let (kept, opened, script): (_, _, Script) =
+        (seen.clone(), connections.clone(), Arc::new(script));
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             *opened.lock().unwrap() += 1;
@@ -48,13 +49,23 @@
             std::thread::spawn(move || serve_node(stream, &kept, &*script));
         }
     });
-    Node { address, seen, connections }
+    Node {
+        address,
+        seen,
+        connections,
+    }
 }
 
-pub fn serve_node(mut stream: TcpStream, kept: &Mutex<Vec<String>>, script: &dyn Fn(usize) -> Does) {
+pub fn serve_node(
+    mut stream: TcpStream,
+    kept: &Mutex<Vec<String>>,
+    script: &dyn Fn(usize) -> Does,
+) {
     let mut had = Vec::new();
     loop {
-        let Some(text) = next_exchange(&mut stream, &mut had) else { return };
+        let Some(text) = next_exchange(&mut stream, &mut had) else {
+            return;
+        };
         let n = {
             let mut kept = kept.lock().unwrap();
             kept.push(text);
@@ -85,7 +96,11 @@
 pub fn discovery(targets: Value) -> Discovery {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let d = Discovery { address, told: Arc::new(Mutex::new((1, targets))), calls: Arc::default() };
+    let d = Discovery {
+        address,
+        told: Arc::new(Mutex::new((1, targets))),
+        calls: Arc::default(),
+    };
     let list = d.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -102,16 +117,24 @@
         while let Some(text) = next_exchange(&mut stream, &mut had) {
             let target = text.split(' ').nth(1).unwrap_or_default().to_string();
             self.calls.lock().unwrap().push(target.clone());
-            let since = target.split("since=").nth(1).and_then(|s| s.split('&').next()?.parse::<u64>().ok());
+            let since = target
+                .split("since=")
+                .nth(1)
+                .and_then(|s| s.split('&').next()?.parse::<u64>().ok());
             let until = Instant::now() + ms(1000);
-            while since.is_some_and(|s| self.told.lock().unwrap().0 <= s) && Instant::now() < until {
+            while since.is_some_and(|s| self.told.lock().unwrap().0 <= s) && Instant::now() < until
+            {
                 sleep(ms(5));
             }
             let (rev, targets) = self.told.lock().unwrap().clone();
             let news = since.is_none_or(|s| rev > s);
             let targets = if news { targets } else { json!([]) };
             let body = json!({"rev": rev, "all": news, "targets": targets}).to_string();
-            let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let _ = write!(
+                stream,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
         }
     }
 
@@ -142,7 +165,10 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = (std::fs::remove_file(&self.config), std::fs::remove_file(&self.log));
+        let _ = (
+            std::fs::remove_file(&self.config),
+            std::fs::remove_file(&self.log),
+        );
     }
 }
 
@@ -187,28 +213,51 @@
             *next += 1;
             *next
         };
-        let address = fields["listen"].as_str().map_or_else(free_address, |given| given.parse().unwrap());
-        let file =
-            |end: &str| std::env::temp_dir().join(format!("grebecleat-{}-{n}.{end}", std::process::id()));
+        let address = fields["listen"]
+            .as_str()
+            .map_or_else(free_address, |given| given.parse().unwrap());
+        let file = |end: &str| {
+            std::env::temp_dir().join(format!("grebecleat-{}-{n}.{end}", std::process::id()))
+        };
         let (config, log) = (file("json"), file("log"));
         write_config(&config, "n1", address, list, sockets, settings);
         if let Some(fields) = fields.as_object().filter(|f| !f.is_empty()) {
-            let mut whole: Value = serde_json::from_slice(&std::fs::read(&config).unwrap()).unwrap();
-            fields.iter().for_each(|(name, value)| whole[name] = value.clone());
+            let mut whole: Value =
+                serde_json::from_slice(&std::fs::read(&config).unwrap()).unwrap();
+            fields
+                .iter()
+                .for_each(|(name, value)| whole[name] = value.clone());
             std::fs::write(&config, whole.to_string()).unwrap();
         }
         // The system holds it to its limit: one descriptor more than the settings grant fails there and then.
         let mut command = Command::new("sh");
-        command.args(["-c", "ulimit -n $0 && exec \"$1\" platform"]).arg(sockets.to_string());
-        command.arg(env!("CARGO_BIN_EXE_grebecleat")).env("LB_CONFIG", &config).stdin(Stdio::null());
-        let child = command.stderr(std::fs::File::create(&log).unwrap()).spawn().unwrap();
-        Live { child, address, config, log, sockets }
+        command
+            .args(["-c", "ulimit -n $0 && exec \"$1\" platform"])
+            .arg(sockets.to_string());
+        command
+            .arg(env!("CARGO_BIN_EXE_grebecleat"))
+            .env("LB_CONFIG", &config)
+            .stdin(Stdio::null());
+        let child = command
+            .stderr(std::fs::File::create(&log).unwrap())
+            .spawn()
+            .unwrap();
+        Live {
+            child,
+            address,
+            config,
+            log,
+            sockets,
+        }
     }
 
     pub fn is_ready(&mut self) {
         let until = Instant::now() + Duration::from_secs(20);
         while self.ask("GET /health/ready HTTP/1.1\r\n\r\n") != Some(200) {
-            assert!(Instant::now() < until && self.child.try_wait().unwrap().is_none(), "it never was ready");
+            assert!(
+                Instant::now() < until && self.child.try_wait().unwrap().is_none(),
+                "it never was ready"
+            );
             sleep(ms(20));
         }
     }
@@ -216,9 +265,17 @@
     /// Waits until its log says so, so many times.
     pub fn says(&self, text: &str, times: usize) {
         let until = Instant::now() + Duration::from_secs(20);
-        let said = || std::fs::read_to_string(&self.log).unwrap_or_default().matches(text).count();
+        let said = || {
+            std::fs::read_to_string(&self.log)
+                .unwrap_or_default()
+                .matches(text)
+                .count()
+        };
         while said() < times {
-            assert!(Instant::now() < until, "it never said '{text}' {times} times");
+            assert!(
+                Instant::now() < until,
+                "it never said '{text}' {times} times"
+            );
             sleep(ms(5));
         }
     }
@@ -235,25 +292,38 @@
 
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(20)))
+            .unwrap();
         stream
     }
 
     pub fn ask(&self, text: &str) -> Option<u16> {
         let mut stream = TcpStream::connect(self.address).ok()?;
-        stream.set_read_timeout(Some(Duration::from_secs(8))).unwrap();
+        stream
+            .set_read_timeout(Some(Duration::from_secs(8)))
+            .unwrap();
         stream.write_all(text.as_bytes()).ok()?;
         answer(&mut stream).map(|a| a.0)
     }
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().unwrap().success());
+        assert!(Command::new("kill")
+            .args([name, &pid])
+            .status()
+            .unwrap()
+            .success());
     }
 }
 
 pub fn write_config(
-    path: &PathBuf, name: &str, listen: SocketAddr, list: SocketAddr, sockets: u64, settings: Value,
+    path: &PathBuf,
+    name: &str,
+    listen: SocketAddr,
+    list: SocketAddr,
+    sockets: u64,
+    settings: Value,
 ) {
     let config = json!({
         "name": name, "listen": listen.to_string(), "discovery": list.to_string(), "seed": "8c1f30d27a5be964",
@@ -302,7 +372,9 @@
 
     /// The next exchange that came whole.
     pub fn next(&self) -> Came {
-        self.came.recv_timeout(Duration::from_secs(20)).expect("nothing came")
+        self.came
+            .recv_timeout(Duration::from_secs(20))
+            .expect("nothing came")
     }
 
     /// Answers the next one well; false where none comes for long.
@@ -320,7 +392,11 @@
 fn hand_on(mut stream: TcpStream, conn: usize, to_test: &Sender<Came>) {
     let mut had = Vec::new();
     while let Some(text) = next_exchange(&mut stream, &mut had) {
-        let came = Came { text, conn, stream: stream.try_clone().unwrap() };
+        let came = Came {
+            text,
+            conn,
+            stream: stream.try_clone().unwrap(),
+        };
         if to_test.send(came).is_err() {
             return;
         }
@@ -334,7 +410,10 @@
 
     /// An answer with this for a body.
     pub fn answers(&mut self, body: &str) {
-        self.says(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()));
+        self.says(&format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        ));
     }
 
     pub fn lists(&mut self, revision: u64, all: bool, targets: Value) {
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -26,9 +26,16 @@
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let (n, process) = (NEXT.fetch_add(1, Ordering::SeqCst), std::process::id());
-    let address =
-        std::net::Ipv4Addr::new(127, 11 + (n / 250) as u8, (process % 250) as u8, (n % 250) as u8 + 1);
-    TcpListener::bind((address, 0)).unwrap().local_addr().unwrap()
+    let address = std::net::Ipv4Addr::new(
+        127,
+        11 + (n / 250) as u8,
+        (process % 250) as u8,
+        (n % 250) as u8 + 1,
+    );
+    TcpListener::bind((address, 0))
+        .unwrap()
+        .local_addr()
+        .unwrap()
 }
 
 pub const fn ms(n: u64) -> Duration {
@@ -115,21 +122,27 @@
 impl Inside {
     fn chance(&mut self) -> f64 {
         // A few bits of a linear congruence: the same in every run.
-        self.draw = self.draw.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
+        self.draw = self
+            .draw
+            .wrapping_mul(6364136223846793005)
+            .wrapping_add(1442695040888963407);
         (self.draw >> 40) as f64 / (1u64 << 24) as f64
     }
 
     /// Which part of its work a node can do at that age.
     fn speed(&self, now: Instant) -> f64 {
-        let age = self.booted.map_or(WARM, |b| now.saturating_duration_since(b));
+        let age = self
+            .booted
+            .map_or(WARM, |b| now.saturating_duration_since(b));
         (STARTS_AT + (1.0 - STARTS_AT) * (age.as_secs_f64() / WARM.as_secs_f64())).min(1.0)
     }
 
     /// All hosts' units within the rule's span until now, against what the rule lets a node of that age bear.
     fn falls(&self, now: Instant) -> bool {
         let cold = self.booted.is_some_and(|b| now < b + WARM);
-        let first =
-            self.seen.partition_point(|s| s.at + FALL.0 <= now || self.booted.is_some_and(|b| s.at < b));
+        let first = self
+            .seen
+            .partition_point(|s| s.at + FALL.0 <= now || self.booted.is_some_and(|b| s.at < b));
         let units = (self.seen.len() - first) as f64 * UNITS;
         let bears = FALL.1 * able() * self.speed(now) * FALL.0.as_secs_f64();
         cold && units > bears.max(ALWAYS_BORNE)
@@ -156,7 +169,13 @@
             fell: false,
             draw: u64::from(shard) + 7,
         };
-        let node = Node { uid: uid.into(), shard, zone, address, inside: Arc::new(Mutex::new(inside)) };
+        let node = Node {
+            uid: uid.into(),
+            shard,
+            zone,
+            address,
+            inside: Arc::new(Mutex::new(inside)),
+        };
         node.listen(listener);
         node
     }
@@ -185,9 +204,20 @@
         while let Some(text) = next_exchange(&mut stream, &mut had) {
             let now = Instant::now();
             let id = header(&text, "X-Txn").unwrap_or_default().to_string();
-            let host = id.strip_prefix('h').and_then(|t| t.split('-').next()?.parse().ok()).unwrap_or(0);
-            let mut parts = text.split(' ').nth(1).unwrap_or_default().split('/').skip(1);
-            let (stream_type, key) = (parts.next().unwrap_or_default(), parts.next().unwrap_or_default());
+            let host = id
+                .strip_prefix('h')
+                .and_then(|t| t.split('-').next()?.parse().ok())
+                .unwrap_or(0);
+            let mut parts = text
+                .split(' ')
+                .nth(1)
+                .unwrap_or_default()
+                .split('/')
+                .skip(1);
+            let (stream_type, key) = (
+                parts.next().unwrap_or_default(),
+                parts.next().unwrap_or_default(),
+            );
             let (until, answer) = {
                 let mut inside = lock(&self.inside);
                 if inside.cut_from.contains(&host) {
@@ -197,13 +227,25 @@
                 let speed = inside.speed(now);
                 let work = WORK.mul_f64(UNITS / speed);
                 let slot = (0..SLOTS).min_by_key(|n| inside.free[*n]).unwrap();
-                let until = if full { now } else { inside.free[slot].max(now) + work };
+                let until = if full {
+                    now
+                } else {
+                    inside.free[slot].max(now) + work
+                };
                 if !full {
                     inside.free[slot] = until;
                     inside.waiting += 1;
                 }
                 let (stream, key) = (stream_type.to_string(), key.to_string());
-                inside.seen.push(Seen { at: now, id, host, stream, key, ran: !full, until });
+                inside.seen.push(Seen {
+                    at: now,
+                    id,
+                    host,
+                    stream,
+                    key,
+                    ran: !full,
+                    until,
+                });
                 inside.fell |= inside.falls(now);
                 let lost = inside.chance() < inside.lost;
                 let spoilt = inside.chance() < inside.spoilt;
@@ -247,14 +289,20 @@
 
     /// Resets all that is open, under whatever waits there.
     pub fn reset(&self) {
-        lock(&self.inside).open.drain(..).for_each(|s| _ = s.shutdown(Shutdown::Both));
+        lock(&self.inside)
+            .open
+            .drain(..)
+            .for_each(|s| _ = s.shutdown(Shutdown::Both));
     }
 
     pub fn kill(&self) {
         let mut inside = lock(&self.inside);
         inside.mode = Mode::Dead;
         inside.waiting = 0;
-        inside.open.drain(..).for_each(|s| _ = s.shutdown(Shutdown::Both));
+        inside
+            .open
+            .drain(..)
+            .for_each(|s| _ = s.shutdown(Shutdown::Both));
         if let Some(l) = inside.listener.take() {
             // Wakes the thread that accepts, which then lets go of the port.
             drop(l);
@@ -287,7 +335,11 @@
     }
 
     pub fn dials_since(&self, at: Instant) -> usize {
-        lock(&self.inside).dials.iter().filter(|d| **d >= at).count()
+        lock(&self.inside)
+            .dials
+            .iter()
+            .filter(|d| **d >= at)
+            .count()
     }
 
     pub fn entry(&self, state: &str) -> Value {
@@ -311,7 +363,8 @@
 }
 
 fn header<'a>(text: &'a str, name: &str) -> Option<&'a str> {
-    text.lines().find_map(|l| l.strip_prefix(name)?.strip_prefix(": "))
+    text.lines()
+        .find_map(|l| l.strip_prefix(name)?.strip_prefix(": "))
 }
 
 /// The next whole request as text.
@@ -373,7 +426,10 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let list = List {
             address: listener.local_addr().unwrap(),
-            told: Arc::new(Mutex::new(Listed { revision: 1, entries })),
+            told: Arc::new(Mutex::new(Listed {
+                revision: 1,
+                entries,
+            })),
             turn: Arc::default(),
             queued: Arc::default(),
             cost: Arc::new(Mutex::new(Duration::ZERO)),
@@ -415,10 +471,18 @@
             let body = {
                 let told = lock(&self.told);
                 let news = since.is_none_or(|s| told.revision > s);
-                let targets = if news { told.entries.clone() } else { Vec::new() };
+                let targets = if news {
+                    told.entries.clone()
+                } else {
+                    Vec::new()
+                };
                 json!({"rev": told.revision, "all": news, "targets": targets}).to_string()
             };
-            let _ = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let _ = write!(
+                stream,
+                "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
         }
     }
 
@@ -490,15 +554,29 @@
     }
 
     fn spawn(&self) {
-        let log = std::fs::File::options().create(true).append(true).open(&self.log).unwrap();
+        let log = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(&self.log)
+            .unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_grebecleat"));
-        command.args(["--log-level", "info,may=error,grebecleat_platform=debug", "platform"]);
-        command.env("LB_CONFIG", &self.config).stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command.args([
+            "--log-level",
+            "info,may=error,grebecleat_platform=debug",
+            "platform",
+        ]);
+        command
+            .env("LB_CONFIG", &self.config)
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         *lock(&self.child) = Some(command.spawn().unwrap());
     }
 
     pub fn ready(&self) -> bool {
-        let Ok(mut stream) = TcpStream::connect(self.address) else { return false };
+        let Ok(mut stream) = TcpStream::connect(self.address) else {
+            return false;
+        };
         stream.set_read_timeout(Some(ms(2000))).unwrap();
         let asked = stream.write_all(b"GET /health/ready HTTP/1.1\r\nConnection: close\r\n\r\n");
         asked.is_ok() && answer(&mut stream).is_some_and(|a| a.0 == 200)
@@ -506,7 +584,10 @@
 
     pub fn signal(&self, name: &str) {
         if let Some(child) = &*lock(&self.child) {
-            let done = Command::new("kill").args([name, &child.id().to_string()]).status().unwrap();
+            let done = Command::new("kill")
+                .args([name, &child.id().to_string()])
+                .status()
+                .unwrap();
             assert!(done.success());
         }
     }
@@ -564,8 +645,9 @@
     pub fn start(hosts: usize, nodes: usize, clients: usize) -> Fleet {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::SeqCst);
-        let nodes: Vec<Node> =
-            (0..nodes).map(|n| Node::start(&format!("s-{n}"), n as u32, ZONES[n % 3], None)).collect();
+        let nodes: Vec<Node> = (0..nodes)
+            .map(|n| Node::start(&format!("s-{n}"), n as u32, ZONES[n % 3], None))
+            .collect();
         let entries: Vec<Value> = nodes.iter().map(|n| n.entry("ready")).collect();
         let list = List::start(entries.clone());
         let tmp = std::env::temp_dir();
@@ -573,8 +655,17 @@
             .map(|n| {
                 let address = free_address();
                 let name = format!("grebecleat-fleet-{}-{number}-{n}", std::process::id());
-                let (config, log) = (tmp.join(format!("{name}.json")), tmp.join(format!("{name}.log")));
-                Host { child: Mutex::default(), address, config, log, kills: Mutex::default() }
+                let (config, log) = (
+                    tmp.join(format!("{name}.json")),
+                    tmp.join(format!("{name}.log")),
+                );
+                Host {
+                    child: Mutex::default(),
+                    address,
+                    config,
+                    log,
+                    kills: Mutex::default(),
+                }
             })
             .collect();
         for (n, h) in all.iter().enumerate() {
@@ -593,11 +684,18 @@
             unused: Vec::new(),
             began: Instant::now(),
         };
-        fleet.hosts.iter().for_each(|h| again(|| h.ready().then_some(())));
+        fleet
+            .hosts
+            .iter()
+            .for_each(|h| again(|| h.ready().then_some(())));
         fleet.began = Instant::now();
         for host in 0..hosts {
             for n in 0..clients {
-                let (all, asked, ended) = (fleet.hosts.clone(), fleet.asked.clone(), fleet.ended.clone());
+                let (all, asked, ended) = (
+                    fleet.hosts.clone(),
+                    fleet.asked.clone(),
+                    fleet.ended.clone(),
+                );
                 let eager = fleet.eager.clone();
                 let shards = fleet.nodes.len() as u32;
                 fleet.clients.push(std::thread::spawn(move || {
@@ -691,7 +789,10 @@
                 let _ = child.wait();
             }
             log += &std::fs::read_to_string(&h.log).unwrap_or_default();
-            let _ = (std::fs::remove_file(&h.log), std::fs::remove_file(&h.config));
+            let _ = (
+                std::fs::remove_file(&h.log),
+                std::fs::remove_file(&h.config),
+            );
         }
         let asked = std::mem::take(&mut *lock(&self.asked));
         let nodes: Vec<Node> = self.nodes.iter().chain(&self.left).cloned().collect();
@@ -714,7 +815,11 @@
 /// A request of a stream type for one piece of data.
 pub fn request(stream: &str, id: &str, volume: u64, shard: i64, key: u64, left: u64) -> String {
     let method = if stream == "read" { "GET" } else { "PUT" };
-    let body = if stream == "read" { "" } else { "Content-Length: 2\r\n" };
+    let body = if stream == "read" {
+        ""
+    } else {
+        "Content-Length: 2\r\n"
+    };
     let data = if stream == "read" { "" } else { "hi" };
     format!(
         "{method} /{stream}/{key:016x}?q=1 HTTP/1.1\r\nHost: backend.local\r\nX-Txn: {id}\r\nX-Qos-Policy: gold\r\n\
@@ -725,8 +830,12 @@
 
 /// Asks one thing after another, at an even pace; comes again when told to, and dials when it must.
 fn client(
-    host: &Host, (number, me): (usize, usize), shards: u32, eager: &Mutex<Vec<u32>>,
-    asked: &Mutex<Vec<Asked>>, ended: &AtomicBool,
+    host: &Host,
+    (number, me): (usize, usize),
+    shards: u32,
+    eager: &Mutex<Vec<u32>>,
+    asked: &Mutex<Vec<Asked>>,
+    ended: &AtomicBool,
 ) {
     let mut stream: Option<TcpStream> = None;
     let mut n = 0u64;
@@ -750,7 +859,11 @@
         let at = Instant::now();
         s.set_read_timeout(Some(EXPIRY + ms(500))).unwrap();
         // Some are new objects, which any node can take.
-        let place = if kind == "once" && n % 8 > 3 { -1 } else { i64::from(shard) };
+        let place = if kind == "once" && n % 8 > 3 {
+            -1
+        } else {
+            i64::from(shard)
+        };
         let text = request(kind, &id, volume, place, key, EXPIRY.as_millis() as u64);
         let ask = |s: &mut TcpStream| s.write_all(text.as_bytes()).ok().and_then(|()| answer(s));
         let (mut got, mut told) = (ask(&mut s), Told::Nothing);
@@ -766,7 +879,15 @@
             }
         }
         told = got.as_ref().map_or(told, |a| Told::Is(a.0));
-        lock(asked).push(Asked { id, host: number, shard, stream: kind, at, told, over: Instant::now() });
+        lock(asked).push(Asked {
+            id,
+            host: number,
+            shard,
+            stream: kind,
+            at,
+            told,
+            over: Instant::now(),
+        });
         match &got {
             Some((_, head, _)) if !head.contains("Connection: close") => stream = Some(s),
             _ => {}
@@ -783,9 +904,12 @@
     std::thread::spawn(move || {
         let bad = [
             "noise without any sense\r\n\r\n".to_string(),
-            request("once", "h0-bad", 1, 0, 1, 900).replace("Content-Length: 2", "Content-Length: -2"),
             request("once", "h0-bad", 1, 0, 1, 900)
-                .replace("Content-Length: 2", "Content-Length: 2\r\nTransfer-Encoding: chunked"),
+                .replace("Content-Length: 2", "Content-Length: -2"),
+            request("once", "h0-bad", 1, 0, 1, 900).replace(
+                "Content-Length: 2",
+                "Content-Length: 2\r\nTransfer-Encoding: chunked",
+            ),
             request("once", "h0-bad", 1, 0, 1, 900)[..70].to_string(),
         ];
         for text in bad.iter().cycle() {
@@ -793,7 +917,10 @@
                 return;
             }
             if let Ok(mut s) = TcpStream::connect(host) {
-                let _ = (s.set_read_timeout(Some(ms(300))), s.write_all(text.as_bytes()));
+                let _ = (
+                    s.set_read_timeout(Some(ms(300))),
+                    s.write_all(text.as_bytes()),
+                );
                 let _ = s.read(&mut [0; 64]);
             }
             sleep(ms(20));
@@ -831,11 +958,23 @@
 
 impl Counts {
     fn of(
-        asked: &[Asked], nodes: &[Node], hosts: &[Host], crashed: Vec<usize>, log: String, _list: List,
+        asked: &[Asked],
+        nodes: &[Node],
+        hosts: &[Host],
+        crashed: Vec<usize>,
+        log: String,
+        _list: List,
     ) -> Counts {
-        let mut c = Counts { asked: asked.len(), crashed, log, answers: asked.to_vec(), ..Counts::default() };
+        let mut c = Counts {
+            asked: asked.len(),
+            crashed,
+            log,
+            answers: asked.to_vec(),
+            ..Counts::default()
+        };
         for n in nodes {
-            c.crossed.extend(n.seen().into_iter().map(|s| (n.uid.clone(), s)));
+            c.crossed
+                .extend(n.seen().into_iter().map(|s| (n.uid.clone(), s)));
             if n.fell() {
                 c.fell.push(n.uid.clone());
             }
@@ -857,7 +996,10 @@
                 Told::Nothing | Told::Nobody => {
                     // A connection's end is seen a little later than it happened.
                     let kills = lock(&hosts[a.host].kills).clone();
-                    if !kills.iter().any(|(from, to)| a.at <= *to + ms(50) && a.over >= *from) {
+                    if !kills
+                        .iter()
+                        .any(|(from, to)| a.at <= *to + ms(50) && a.over >= *from)
+                    {
                         c.lost.push(format!("{} {} {:?}", a.id, a.stream, a.told));
                     }
                 }
@@ -877,7 +1019,11 @@
     /// Of one key through one host, the next may begin only when the one before has ended.
     fn count_order(&mut self) {
         let mut last: BTreeMap<(String, usize, String), (Instant, String)> = BTreeMap::new();
-        for (node, s) in self.crossed.iter().filter(|(_, s)| s.stream == "row" && s.ran) {
+        for (node, s) in self
+            .crossed
+            .iter()
+            .filter(|(_, s)| s.stream == "row" && s.ran)
+        {
             let key = (node.clone(), s.host, s.key.clone());
             if let Some((until, id)) = last.get(&key) {
                 self.out_of_order += usize::from(s.at + ms(2) < *until && *id != s.id);
@@ -892,33 +1038,67 @@
             for (n, end) in times.iter().enumerate() {
                 let from = *end - window;
                 let made = times[..=n].iter().filter(|t| **t > from).count();
-                let taken = asked.iter().filter(|a| a.host == *host && a.at > from && a.at <= *end).count();
-                self.over_budget = self.over_budget.max(made as f64 - floor - share * taken as f64);
+                let taken = asked
+                    .iter()
+                    .filter(|a| a.host == *host && a.at > from && a.at <= *end)
+                    .count();
+                self.over_budget = self
+                    .over_budget
+                    .max(made as f64 - floor - share * taken as f64);
             }
         }
     }
 
     /// The rules that every fleet keeps.
     pub fn keep_the_rules(&self) {
-        assert_eq!(self.crashed, Vec::<usize>::new(), "hosts crashed\n{}", self.log);
-        assert_eq!(self.lost, Vec::<String>::new(), "{} of {} lost", self.lost.len(), self.asked);
-        assert_eq!(self.twice, Vec::<String>::new(), "effects that happened twice");
-        assert_eq!(self.wrongly_deferred, Vec::<String>::new(), "deferred though they ran");
+        assert_eq!(
+            self.crashed,
+            Vec::<usize>::new(),
+            "hosts crashed\n{}",
+            self.log
+        );
+        assert_eq!(
+            self.lost,
+            Vec::<String>::new(),
+            "{} of {} lost",
+            self.lost.len(),
+            self.asked
+        );
+        assert_eq!(
+            self.twice,
+            Vec::<String>::new(),
+            "effects that happened twice"
+        );
+        assert_eq!(
+            self.wrongly_deferred,
+            Vec::<String>::new(),
+            "deferred though they ran"
+        );
         assert_eq!(self.out_of_order, 0, "of one key together");
         assert_eq!(self.fell, Vec::<String>::new(), "cold nodes pushed over");
-        assert!(self.over_budget <= 1.0, "{} further legs over the budget", self.over_budget);
+        assert!(
+            self.over_budget <= 1.0,
+            "{} further legs over the budget",
+            self.over_budget
+        );
         assert!(!self.log.contains("panicked"), "{}", self.log);
     }
 
     /// Of what was asked from then on: all, and done.
     pub fn since(&self, at: Instant) -> (usize, usize) {
         let late = self.answers.iter().filter(|a| a.at >= at);
-        (late.clone().count(), late.filter(|a| a.told == Told::Is(200)).count())
+        (
+            late.clone().count(),
+            late.filter(|a| a.told == Told::Is(200)).count(),
+        )
     }
 
     /// Exchanges that came to nodes of a name within a span.
     pub fn came(&self, to: impl Fn(&str) -> bool, span: std::ops::Range<Instant>) -> usize {
-        self.crossed.iter().filter(|(uid, s)| to(uid) && span.contains(&s.at)).count()
+        self.crossed
+            .iter()
+            .filter(|(uid, s)| to(uid) && span.contains(&s.at))
+            .count()
     }
 }
 
--- a/crates/endpoint/src/accounts.rs
+++ b/crates/endpoint/src/accounts.rs
@@ -66,7 +66,11 @@
     }
 
     fn of([a, b, c, d, e, f, late]: [f64; 7]) -> Self {
-        Service { due: [a, b, c], got: [d, e, f], late }
+        Service {
+            due: [a, b, c],
+            got: [d, e, f],
+            late,
+        }
     }
 
     /// The part of what was due there that was got in time; None: nothing was due.
@@ -110,12 +114,25 @@
 }
 
 impl Accounts {
-    pub fn add(&mut self, second: u64, volume: u64, cell: Option<u32>, asked: f64, timely: f64, late: f64) {
+    pub fn add(
+        &mut self,
+        second: u64,
+        volume: u64,
+        cell: Option<u32>,
+        asked: f64,
+        timely: f64,
+        late: f64,
+    ) {
         if second < self.closed {
             self.missed += timely + late;
             return;
         }
-        let told = self.open.entry(second).or_default().entry((volume, cell)).or_default();
+        let told = self
+            .open
+            .entry(second)
+            .or_default()
+            .entry((volume, cell))
+            .or_default();
         (told.0, told.1, told.2) = (told.0 + asked, told.1 + timely, told.2 + late);
     }
 
@@ -125,16 +142,24 @@
         let over = std::mem::replace(&mut self.open, later);
         self.closed = self.closed.max(before);
         let seconds = over.len();
-        over.into_iter().for_each(|(second, told)| self.account(second, told, site));
+        over.into_iter()
+            .for_each(|(second, told)| self.account(second, told, site));
         seconds
     }
 
     fn account(&mut self, second: u64, told: HashMap<(u64, Option<u32>), Told>, site: &impl Site) {
         let mut volumes: HashMap<u64, (Terms, Told)> = HashMap::new();
         for ((volume, _), (asked, timely, late)) in &told {
-            let none = || Terms { plan: "".into(), reservation: 0.0, limit: 0.0, weight: 1.0, price: 1.0 };
+            let none = || Terms {
+                plan: "".into(),
+                reservation: 0.0,
+                limit: 0.0,
+                weight: 1.0,
+                price: 1.0,
+            };
             let v = volumes.entry(*volume);
-            let (_, sum) = v.or_insert_with(|| (site.terms(*volume).unwrap_or_else(none), Told::default()));
+            let (_, sum) =
+                v.or_insert_with(|| (site.terms(*volume).unwrap_or_else(none), Told::default()));
             (sum.0, sum.1, sum.2) = (sum.0 + asked, sum.1 + timely, sum.2 + late);
         }
         let mut due: HashMap<u64, [f64; 3]> = HashMap::new();
@@ -142,9 +167,13 @@
             let most = terms.reservation + site.largest();
             let a = self.volumes.entry(*volume).or_default();
             a.plan = terms.plan.clone();
-            let since = a.at.map_or(f64::INFINITY, |at| second.saturating_sub(at) as f64);
-            a.store =
-                if terms.reservation > 0.0 { (a.store + since * terms.reservation).min(most) } else { 0.0 };
+            let since =
+                a.at.map_or(f64::INFINITY, |at| second.saturating_sub(at) as f64);
+            a.store = if terms.reservation > 0.0 {
+                (a.store + since * terms.reservation).min(most)
+            } else {
+                0.0
+            };
             a.at = Some(second);
             let reserve = sum.0.min(a.store.max(0.0));
             a.store -= reserve;
@@ -154,40 +183,67 @@
         let (mut plans, mut total): (HashMap<Arc<str>, Service>, Service) = Default::default();
         for (volume, (terms, (asked, timely, late))) in volumes {
             let [reserve, share, _] = due[&volume];
-            let most = if terms.limit > 0.0 { terms.limit.max(reserve + share) } else { f64::INFINITY };
+            let most = if terms.limit > 0.0 {
+                terms.limit.max(reserve + share)
+            } else {
+                f64::INFINITY
+            };
             let due = [reserve, share, (asked.min(most) - reserve - share).max(0.0)];
             let s = got(due, timely, late);
-            self.volumes.get_mut(&volume).expect("made above").ring.push(second, s.figures());
+            self.volumes
+                .get_mut(&volume)
+                .expect("made above")
+                .ring
+                .push(second, s.figures());
             add(plans.entry(terms.plan).or_default(), &s);
             add(&mut total, &s);
         }
         for (plan, s) in plans {
-            self.plans.entry(plan).or_default().push(second, s.figures());
+            self.plans
+                .entry(plan)
+                .or_default()
+                .push(second, s.figures());
         }
         self.all.push(second, total.figures());
         while self.volumes.len() > MOST {
-            let quiet = self.volumes.iter().min_by_key(|(id, a)| (a.ring.newest(), **id)).map(|(id, _)| *id);
-            quiet.into_iter().for_each(|id| _ = self.volumes.remove(&id));
+            let quiet = self
+                .volumes
+                .iter()
+                .min_by_key(|(id, a)| (a.ring.newest(), **id))
+                .map(|(id, _)| *id);
+            quiet
+                .into_iter()
+                .for_each(|id| _ = self.volumes.remove(&id));
         }
     }
 
     /// Deals out what each cell's node has over beyond the reserves asked there.
     fn shares(
-        &self, told: &HashMap<(u64, Option<u32>), Told>, volumes: &HashMap<u64, (Terms, Told)>,
-        due: &mut HashMap<u64, [f64; 3]>, site: &impl Site,
+        &self,
+        told: &HashMap<(u64, Option<u32>), Told>,
+        volumes: &HashMap<u64, (Terms, Told)>,
+        due: &mut HashMap<u64, [f64; 3]>,
+        site: &impl Site,
     ) {
         let mut cells: BTreeMap<u32, Vec<(u64, f64)>> = BTreeMap::new();
         for ((volume, cell), (asked, ..)) in told {
-            cell.iter().for_each(|cell| cells.entry(*cell).or_default().push((*volume, *asked)));
+            cell.iter()
+                .for_each(|cell| cells.entry(*cell).or_default().push((*volume, *asked)));
         }
         for (cell, mut asks) in cells {
-            let Some(capacity) = site.capacity(cell) else { continue };
+            let Some(capacity) = site.capacity(cell) else {
+                continue;
+            };
             asks.sort_unstable_by_key(|a| a.0);
             let of = |(volume, asked): &(u64, f64)| {
                 let (terms, sum) = &volumes[volume];
                 // Of its reserve as much counts here as of what it asked.
                 let reservation = due[volume][RESERVE] * asked / sum.0.max(1e-9);
-                Ask { demand: *asked, reservation, weight: terms.weight }
+                Ask {
+                    demand: *asked,
+                    reservation,
+                    weight: terms.weight,
+                }
             };
             let dealt = fill(capacity * DEALT, &asks.iter().map(of).collect::<Vec<_>>());
             for ((volume, _), (_, spare)) in asks.iter().zip(dealt) {
@@ -198,7 +254,9 @@
 
     /// Of a volume over the last seconds that are accounted for.
     pub fn volume(&self, id: u64, span: u64) -> Option<Service> {
-        Some(Service::of(self.volumes.get(&id)?.ring.sum(self.newest(), span)))
+        Some(Service::of(
+            self.volumes.get(&id)?.ring.sum(self.newest(), span),
+        ))
     }
 
     pub fn volumes(&self) -> impl Iterator<Item = u64> + '_ {
@@ -206,7 +264,9 @@
     }
 
     pub fn plans(&self, span: u64) -> impl Iterator<Item = (&Arc<str>, Service)> + '_ {
-        self.plans.iter().map(move |(name, ring)| (name, Service::of(ring.sum(self.newest(), span))))
+        self.plans
+            .iter()
+            .map(move |(name, ring)| (name, Service::of(ring.sum(self.newest(), span))))
     }
 
     pub fn all(&self, span: u64) -> Service {
@@ -231,7 +291,12 @@
 
     /// Bytes of the rings.
     pub fn bytes(&self) -> usize {
-        let rings = self.volumes.values().map(|a| &a.ring).chain(self.plans.values()).chain([&self.all]);
+        let rings = self
+            .volumes
+            .values()
+            .map(|a| &a.ring)
+            .chain(self.plans.values())
+            .chain([&self.all]);
         rings.map(Falling::bytes).sum()
     }
 
@@ -270,5 +335,9 @@
         left -= *got;
     }
     let room: f64 = due.iter().zip(got).map(|(due, got)| due - got).sum();
-    Service { due, got, late: late.min(room) }
+    Service {
+        due,
+        got,
+        late: late.min(room),
+    }
 }
--- a/crates/endpoint/src/ring.rs
+++ b/crates/endpoint/src/ring.rs
@@ -22,7 +22,9 @@
 
 fn packed(x: f32) -> u16 {
     let x = f64::from(x).max(0.0);
-    ((x / LEAST).ln_1p() * STEPS).round().min(f64::from(u16::MAX)) as u16
+    ((x / LEAST).ln_1p() * STEPS)
+        .round()
+        .min(f64::from(u16::MAX)) as u16
 }
 
 fn unpacked(code: u16) -> f64 {
@@ -45,7 +47,12 @@
 
 impl<const N: usize> Ring<N> {
     fn new(began: u64) -> Self {
-        Ring { slots: vec![[0; N]; SLOTS], began, now: began, sum: [0.0; N] }
+        Ring {
+            slots: vec![[0; N]; SLOTS],
+            began,
+            now: began,
+            sum: [0.0; N],
+        }
     }
 
     /// The figures of a slot that is there; None: it is too old, or has not begun.
@@ -69,7 +76,10 @@
     }
 
     fn add(&mut self, figures: [f64; N]) {
-        self.sum.iter_mut().zip(figures).for_each(|(sum, x)| *sum += x as f32);
+        self.sum
+            .iter_mut()
+            .zip(figures)
+            .for_each(|(sum, x)| *sum += x as f32);
     }
 
     fn is_full(&self) -> bool {
@@ -126,7 +136,9 @@
     pub fn sum(&self, end: u64, span: u64) -> [f64; N] {
         let level = self.level(span);
         let mut all = [0.0; N];
-        let Some(ring) = self.rings.get(level) else { return all };
+        let Some(ring) = self.rings.get(level) else {
+            return all;
+        };
         let (slots, last) = (span.div_ceil(width(level)), end / width(level));
         for figures in (0..slots).filter_map(|back| ring.at(last.checked_sub(back)?)) {
             all.iter_mut().zip(figures).for_each(|(sum, x)| *sum += x);
@@ -138,10 +150,18 @@
     /// many seconds each covers; the one that is being filled is the last.
     pub fn points(&self, end: u64, span: u64, n: usize) -> (u64, Vec<[f64; N]>) {
         let covers = |l: &usize| width(*l) * n as u64 >= span;
-        let level = (0..self.rings.len()).find(covers).unwrap_or(self.rings.len().saturating_sub(1));
-        let Some(ring) = self.rings.get(level) else { return (1, vec![[0.0; N]; n]) };
+        let level = (0..self.rings.len())
+            .find(covers)
+            .unwrap_or(self.rings.len().saturating_sub(1));
+        let Some(ring) = self.rings.get(level) else {
+            return (1, vec![[0.0; N]; n]);
+        };
         let last = end / width(level);
-        let at = |back: u64| last.checked_sub(back).and_then(|s| ring.at(s)).unwrap_or([0.0; N]);
+        let at = |back: u64| {
+            last.checked_sub(back)
+                .and_then(|s| ring.at(s))
+                .unwrap_or([0.0; N])
+        };
         (width(level), (0..n as u64).rev().map(at).collect())
     }
 
--- a/crates/endpoint/tests/ring.rs
+++ b/crates/endpoint/tests/ring.rs
@@ -9,7 +9,10 @@
     let w = width(level);
     let (last, slots) = (end / w, span.div_ceil(w));
     let first = (last + 1).saturating_sub(slots) * w;
-    all.iter().filter(|(s, _)| (first..=end).contains(s)).map(|(_, x)| x).sum()
+    all.iter()
+        .filter(|(s, _)| (first..=end).contains(s))
+        .map(|(_, x)| x)
+        .sum()
 }
 
 #[test]
@@ -21,15 +24,27 @@
         let first = second;
         let calm = rng.random_range(1..400);
         for _ in 0..3000 {
-            second += if rng.random_range(0..20) == 0 { rng.random_range(1..calm * 20) } else { 1 };
-            let x = if rng.random_range(0..3) == 0 { 0.0 } else { 10f64.powf(rng.random_range(-1.0..7.0)) };
+            second += if rng.random_range(0..20) == 0 {
+                rng.random_range(1..calm * 20)
+            } else {
+                1
+            };
+            let x = if rng.random_range(0..3) == 0 {
+                0.0
+            } else {
+                10f64.powf(rng.random_range(-1.0..7.0))
+            };
             f.push(second, [x, 1.0]);
             all.push((second, x));
         }
         let lived = second - first;
         for level in 0..LEVELS {
             let most = width(level) * SLOTS as u64;
-            let least = if level == 0 { 1 } else { width(level - 1) * SLOTS as u64 + 1 };
+            let least = if level == 0 {
+                1
+            } else {
+                width(level - 1) * SLOTS as u64 + 1
+            };
             for _ in 0..20 {
                 let span = rng.random_range(least..=most);
                 if most - width(level) > lived || span > most - width(level) {
@@ -53,7 +68,13 @@
         f.push(s, [3.0; 7]);
     }
     let end = 3 * 86_400 - 1;
-    for (span, slot) in [(60u64, 1u64), (500, 8), (3600, 64), (30_000, 512), (250_000, 4096)] {
+    for (span, slot) in [
+        (60u64, 1u64),
+        (500, 8),
+        (3600, 64),
+        (30_000, 512),
+        (250_000, 4096),
+    ] {
         let (n, is) = (span.div_ceil(slot) as f64, f.sum(end, span)[6]);
         let whole = (n - 1.0) * slot as f64 * 3.0;
         assert!(
@@ -67,7 +88,10 @@
     assert!(points.iter().all(|p| (p[0] - 3.0).abs() < 0.01));
     let (w, points) = f.points(end, 3600, 60);
     assert_eq!(w, 64);
-    assert!(points[..59].iter().all(|p| (p[0] - 192.0).abs() < 0.2), "{points:?}");
+    assert!(
+        points[..59].iter().all(|p| (p[0] - 192.0).abs() < 0.2),
+        "{points:?}"
+    );
 }
 
 #[test]
@@ -80,5 +104,8 @@
     }
     // A second that comes late is added to the newest.
     f.push(9_999_990, [2.0]);
-    assert_eq!((f.sum(10_000_000, 1), f.newest()), ([3.0], Some(10_000_000)));
+    assert_eq!(
+        (f.sum(10_000_000, 1), f.newest()),
+        ([3.0], Some(10_000_000))
+    );
 }
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -113,7 +113,13 @@
 }
 
 impl Budget {
-    pub fn new(now: Duration, me: HostNo, life: Life, spans: Spans, sharers: BTreeSet<HostNo>) -> Self {
+    pub fn new(
+        now: Duration,
+        me: HostNo,
+        life: Life,
+        spans: Spans,
+        sharers: BTreeSet<HostNo>,
+    ) -> Self {
         Budget {
             me,
             life,
@@ -148,7 +154,12 @@
 
     /// What this host may use now.
     pub fn part(&self, now: Duration) -> u32 {
-        let got: u32 = self.got.values().filter(|g| now < g.until).map(|g| g.amount).sum();
+        let got: u32 = self
+            .got
+            .values()
+            .filter(|g| now < g.until)
+            .map(|g| g.amount)
+            .sum();
         if self.yields {
             0
         } else {
@@ -158,13 +169,29 @@
 
     /// What is lent out, and what is borrowed, now.
     pub fn loans(&self, now: Duration) -> (u32, u32) {
-        let lent = self.lent.values().filter(|l| now < l.until).map(|l| l.amount).sum();
-        (lent, self.got.values().filter(|g| now < g.until).map(|g| g.amount).sum())
+        let lent = self
+            .lent
+            .values()
+            .filter(|l| now < l.until)
+            .map(|l| l.amount)
+            .sum();
+        (
+            lent,
+            self.got
+                .values()
+                .filter(|g| now < g.until)
+                .map(|g| g.amount)
+                .sum(),
+        )
     }
 
     /// When its part next changes by itself.
     pub fn changes_at(&self, now: Duration) -> Option<Duration> {
-        let ends = self.lent.values().map(|l| l.until).chain(self.got.values().map(|g| g.until));
+        let ends = self
+            .lent
+            .values()
+            .map(|l| l.until)
+            .chain(self.got.values().map(|g| g.until));
         let knows = (!self.knows(now)).then_some(self.born + self.spans.span + self.spans.margin);
         ends.chain(knows).filter(|at| *at > now).min()
     }
@@ -172,7 +199,8 @@
     /// Whether this host knows what it has lent.
     pub fn knows(&self, now: Duration) -> bool {
         let others = || self.sharers.iter().filter(|h| **h != self.me);
-        now >= self.born + self.spans.span + self.spans.margin || others().all(|h| self.clear.contains(h))
+        now >= self.born + self.spans.span + self.spans.margin
+            || others().all(|h| self.clear.contains(h))
     }
 
     /// Its own part, less what is lent of it.
@@ -181,8 +209,9 @@
         // versions that may be in force), and what is lent is then a larger part of it.
         let n = self.sharers.len() as u64;
         let lent = self.lent.values().filter(|l| now < l.until);
-        let lent =
-            lent.map(|l| (u64::from(l.amount) * n.max(u64::from(l.sharers))).div_ceil(n.max(1))).sum::<u64>();
+        let lent = lent
+            .map(|l| (u64::from(l.amount) * n.max(u64::from(l.sharers))).div_ceil(n.max(1)))
+            .sum::<u64>();
         let left = u64::from(self.settled()).saturating_sub(lent) as u32;
         if self.knows(now) {
             left
@@ -236,9 +265,17 @@
     }
 
     pub fn hear(&mut self, now: Duration, heard: Heard) -> Vec<(HostNo, Say)> {
-        let Heard { from, life, sharers, say } = heard;
+        let Heard {
+            from,
+            life,
+            sharers,
+            say,
+        } = heard;
         let mut out = Vec::new();
-        if from == self.me || !self.sharers.contains(&from) || sharers as usize != self.sharers.len() {
+        if from == self.me
+            || !self.sharers.contains(&from)
+            || sharers as usize != self.sharers.len()
+        {
             return out;
         }
         let known = self.lives.entry(from).or_insert(life);
@@ -258,14 +295,27 @@
             Say::Clear { .. } => {}
             Say::Want { ask, loan, amount } => {
                 let lent = self.lend(now, (from, life, loan), amount);
-                out.push((from, Say::Lend { ask, of: life, amount: lent }));
+                out.push((
+                    from,
+                    Say::Lend {
+                        ask,
+                        of: life,
+                        amount: lent,
+                    },
+                ));
             }
             Say::Lend { of, .. } if of != self.life => {}
             Say::Lend { ask, amount, .. } => {
-                let Some(a) = self.asks.remove(&ask).filter(|a| a.to == from) else { return out };
+                let Some(a) = self.asks.remove(&ask).filter(|a| a.to == from) else {
+                    return out;
+                };
                 let until = a.at + self.spans.span;
                 if amount > 0 && now < until {
-                    let new = Got { lender: from, amount, until };
+                    let new = Got {
+                        lender: from,
+                        amount,
+                        until,
+                    };
                     match self.got.get_mut(&a.loan).filter(|g| now < g.until) {
                         // Answers can overtake each other, and only make a loan longer.
                         Some(g) => (g.until, g.amount) = (until.max(g.until), amount.min(g.amount)),
@@ -301,7 +351,14 @@
                     return 0;
                 }
                 let sharers = self.sharers.len() as u32;
-                self.lent.insert(loan, Lent { amount, sharers, until });
+                self.lent.insert(
+                    loan,
+                    Lent {
+                        amount,
+                        sharers,
+                        until,
+                    },
+                );
                 amount
             }
         }
@@ -318,7 +375,10 @@
             return out;
         }
         if !self.knows(now) {
-            let unclear = self.sharers.iter().filter(|h| **h != self.me && !self.clear.contains(h));
+            let unclear = self
+                .sharers
+                .iter()
+                .filter(|h| **h != self.me && !self.clear.contains(h));
             out.extend(unclear.take(MOST_LOANS).map(|h| (*h, Say::Born)));
         }
         let part = self.part(now);
@@ -335,21 +395,33 @@
         };
         for loan in homeward {
             // Let go of before it is said: the word may be late or lost, never early.
-            let Some(g) = self.got.remove(&loan) else { continue };
+            let Some(g) = self.got.remove(&loan) else {
+                continue;
+            };
             self.asks.retain(|_, a| a.loan != loan);
             out.push((g.lender, Say::Home { loan }));
         }
         let asked = |asks: &BTreeMap<u64, Ask>, loan: u64| asks.values().any(|a| a.loan == loan);
         let due = |g: &Got| now + self.spans.span / 2 >= g.until;
-        let renew: Vec<_> =
-            self.got.iter().filter(|(loan, g)| due(g) && !asked(&self.asks, **loan)).collect();
-        let renew: Vec<_> = renew.into_iter().map(|(loan, g)| (g.lender, *loan, g.amount)).collect();
+        let renew: Vec<_> = self
+            .got
+            .iter()
+            .filter(|(loan, g)| due(g) && !asked(&self.asks, **loan))
+            .collect();
+        let renew: Vec<_> = renew
+            .into_iter()
+            .map(|(loan, g)| (g.lender, *loan, g.amount))
+            .collect();
         let open = |a: &Ask| !self.got.contains_key(&a.loan);
         let mut need = self.wanted.saturating_sub(part);
         let mut asks = renew;
         if need >= least && !self.asks.values().any(open) {
             let room = MOST_LOANS.saturating_sub(self.got.len());
-            for (to, spare) in offers.iter().filter(|(h, _)| self.sharers.contains(h)).take(ASKED.min(room)) {
+            for (to, spare) in offers
+                .iter()
+                .filter(|(h, _)| self.sharers.contains(h))
+                .take(ASKED.min(room))
+            {
                 let amount = need.min(*spare);
                 if amount >= least {
                     self.next += 1;
@@ -361,7 +433,14 @@
         for (to, loan, amount) in asks {
             self.next += 1;
             self.asks.insert(self.next, Ask { to, loan, at: now });
-            out.push((to, Say::Want { ask: self.next, loan, amount }));
+            out.push((
+                to,
+                Say::Want {
+                    ask: self.next,
+                    loan,
+                    amount,
+                },
+            ));
         }
         out
     }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -166,7 +166,14 @@
 
 impl Fleet {
     /// `life`: a number that grows from start to start as far as this host can know; `seed` is new at each.
-    pub fn new(now: Duration, me: HostNo, life: Life, peers: Vec<HostNo>, rules: Rules, seed: u64) -> Self {
+    pub fn new(
+        now: Duration,
+        me: HostNo,
+        life: Life,
+        peers: Vec<HostNo>,
+        rules: Rules,
+        seed: u64,
+    ) -> Self {
         let hosts = peers.len() + 1;
         // Twice the time in which one host could pass on what all say.
         let each = (crate::shared::TOLD * crate::word::MOST_ENTRIES) as u32;
@@ -232,14 +239,24 @@
         }
         for to in self.says.keys().copied().collect::<Vec<_>>() {
             let (life, says) = (self.common.life(), self.says_for(to));
-            self.tell(to, &Word { life, asks: false, entries: Vec::new(), says });
+            self.tell(
+                to,
+                &Word {
+                    life,
+                    asks: false,
+                    entries: Vec::new(),
+                    says,
+                },
+            );
         }
         self.tell_parts(now);
         std::mem::take(&mut self.out)
     }
 
     fn says_for(&mut self, to: HostNo) -> Vec<(u64, u32, Say)> {
-        let Some(says) = self.says.get_mut(&to) else { return Vec::new() };
+        let Some(says) = self.says.get_mut(&to) else {
+            return Vec::new();
+        };
         let rest = says.split_off(says.len().min(MOST_SAYS));
         let now = std::mem::replace(says, rest);
         self.says.retain(|_, s| !s.is_empty());
@@ -247,21 +264,35 @@
     }
 
     fn tell(&mut self, to: HostNo, word: &Word) {
-        self.out.push(Action::Tell { to, bytes: word.to_bytes() });
+        self.out.push(Action::Tell {
+            to,
+            bytes: word.to_bytes(),
+        });
     }
 
     fn say(&mut self, volume: u64, says: Vec<(HostNo, Say)>) {
-        let Some(sharers) = self.volumes.get(&volume).map(|v| v.budget.sharers().len() as u32) else {
+        let Some(sharers) = self
+            .volumes
+            .get(&volume)
+            .map(|v| v.budget.sharers().len() as u32)
+        else {
             return;
         };
         for (to, say) in says {
-            self.says.entry(to).or_default().push((volume, sharers, say));
+            self.says
+                .entry(to)
+                .or_default()
+                .push((volume, sharers, say));
         }
     }
 
     fn hear(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Told { from, waited, bytes } => match Word::from_bytes(&bytes) {
+            Event::Told {
+                from,
+                waited,
+                bytes,
+            } => match Word::from_bytes(&bytes) {
                 Ok(mut word) => {
                     word.entries.iter_mut().for_each(|e| e.age += waited);
                     self.told(now, from, &word);
@@ -270,13 +301,19 @@
             },
             Event::Nodes(nodes) => {
                 // Another process of a node knows nothing of what the last one did.
-                let same = |node: &u32| nodes.contains_key(node) && nodes.get(node) == self.nodes.get(node);
+                let same = |node: &u32| {
+                    nodes.contains_key(node) && nodes.get(node) == self.nodes.get(node)
+                };
                 self.tries.retain(|node, _| same(node));
                 self.nodes = nodes;
             }
             Event::Tried { node, bad } => {
                 let t = self.tries.entry(node).or_default();
-                let (this, other) = if bad { (&mut t.bad, &mut t.well) } else { (&mut t.well, &mut t.bad) };
+                let (this, other) = if bad {
+                    (&mut t.bad, &mut t.well)
+                } else {
+                    (&mut t.well, &mut t.bad)
+                };
                 (*this, *other) = (this.saturating_add(1), *other / 2);
                 t.last = now;
                 if !bad && self.judge.condemns(node) {
@@ -287,10 +324,17 @@
                 }
             }
             Event::Asked { volume, units } => {
-                self.volumes.get_mut(&volume).into_iter().for_each(|v| v.asked += units);
+                self.volumes
+                    .get_mut(&volume)
+                    .into_iter()
+                    .for_each(|v| v.asked += units);
             }
             Event::Served { volume, units } => self.served.entry(volume).or_default().0 += units,
-            Event::Volume { volume, sharers, limit } => {
+            Event::Volume {
+                volume,
+                sharers,
+                limit,
+            } => {
                 if !sharers.contains(&self.me) || sharers.len() < 2 || limit <= 0.0 {
                     if self.volumes.remove(&volume).is_some() {
                         self.out.push(Action::Part { volume, times: 1.0 });
@@ -300,7 +344,13 @@
                 let (me, life, spans) = (self.me, self.common.life(), self.rules.loans);
                 let new = || {
                     let budget = Budget::new(now, me, life, spans, sharers.clone());
-                    Shared { budget, limit, asked: 0.0, rate: 0.0, told: None }
+                    Shared {
+                        budget,
+                        limit,
+                        asked: 0.0,
+                        rate: 0.0,
+                        told: None,
+                    }
                 };
                 self.stirred.insert(volume);
                 let v = self.volumes.entry(volume).or_insert_with(new);
@@ -313,7 +363,13 @@
     fn told(&mut self, now: Duration, from: HostNo, word: &Word) {
         let joined = self.common.hear(now, from, word);
         if joined.refused > 0 {
-            self.complain(from, &format!("{} entries of hosts unknown here, or forgotten", joined.refused));
+            self.complain(
+                from,
+                &format!(
+                    "{} entries of hosts unknown here, or forgotten",
+                    joined.refused
+                ),
+            );
         }
         if joined.raised {
             self.raised();
@@ -322,7 +378,9 @@
             self.pace(now, host);
         }
         for (volume, heard) in word.heard(from) {
-            let Some(v) = self.volumes.get_mut(&volume) else { continue };
+            let Some(v) = self.volumes.get_mut(&volume) else {
+                continue;
+            };
             let says = v.budget.hear(now, heard);
             self.stirred.insert(volume);
             self.say(volume, says);
@@ -331,16 +389,22 @@
 
     fn raised(&mut self) {
         let life = self.common.life();
-        self.volumes.values_mut().for_each(|v| v.budget.lives_on(life));
+        self.volumes
+            .values_mut()
+            .for_each(|v| v.budget.lives_on(life));
         self.stirred.extend(self.volumes.keys());
-        self.out.push(Action::Note { text: format!("goes on as life {} of this host", life.0) });
+        self.out.push(Action::Note {
+            text: format!("goes on as life {} of this host", life.0),
+        });
     }
 
     fn complain(&mut self, from: HostNo, why: &str) {
         let lines = self.complaints.entry(from).or_default();
         *lines += 1;
         if *lines <= LINES_A_PEER {
-            self.out.push(Action::Note { text: format!("word of host {}: {why}", from.0) });
+            self.out.push(Action::Note {
+                text: format!("word of host {}: {why}", from.0),
+            });
         }
     }
 
@@ -364,7 +428,9 @@
 
     fn sight(&self, now: Duration, node: u32) -> Option<Sight> {
         let (t, start) = (self.tries.get(&node)?, *self.nodes.get(&node)?);
-        let clears = t.bad == 0 && t.clears.is_some_and(|at| now < at + crate::judgement::EVIDENCE);
+        let clears = t.bad == 0
+            && t.clears
+                .is_some_and(|at| now < at + crate::judgement::EVIDENCE);
         Some(Sight {
             node,
             start,
@@ -376,7 +442,9 @@
     }
 
     fn sights(&self, now: Duration) -> impl Iterator<Item = Sight> + '_ {
-        self.tries.keys().filter_map(move |node| self.sight(now, *node))
+        self.tries
+            .keys()
+            .filter_map(move |node| self.sight(now, *node))
     }
 
     /// What this host says of itself: of nodes first those that answer badly, then those that others say ill
@@ -385,7 +453,12 @@
         let mut sights: Vec<Sight> = self.sights(now).collect();
         let tried = sights.len() as u32;
         let badly = sights.iter().filter(|s| crate::judgement::bad(s)).count() as u32;
-        let said_bad = |node: u32| self.judge.findings().get(&node).is_some_and(|f| f.badly.0 > 0);
+        let said_bad = |node: u32| {
+            self.judge
+                .findings()
+                .get(&node)
+                .is_some_and(|f| f.badly.0 > 0)
+        };
         sights.sort_by_key(|s| {
             let rank = match () {
                 _ if s.clears || crate::judgement::bad(s) => 0,
@@ -397,17 +470,32 @@
         sights.truncate(MOST_FACTS);
         let spare = |(volume, v): (&u64, &Shared)| {
             let spare = v.budget.spare(now);
-            (spare > 0).then_some(Offer { volume: *volume, spare })
+            (spare > 0).then_some(Offer {
+                volume: *volume,
+                spare,
+            })
         };
         let mut offers: Vec<Offer> = self.volumes.iter().filter_map(spare).collect();
         offers.sort_by_key(|o| std::cmp::Reverse(o.spare));
         offers.truncate(MOST_FACTS);
         // The busiest: of the others the reports in answers are good enough.
-        let mut served: Vec<(&u64, &(f64, f64, f64))> = self.served.iter().filter(|s| s.1 .2 > 0.0).collect();
+        let mut served: Vec<(&u64, &(f64, f64, f64))> =
+            self.served.iter().filter(|s| s.1 .2 > 0.0).collect();
         served.sort_by(|a, b| b.1 .2.total_cmp(&a.1 .2));
         let served = served.into_iter().take(MOST_FACTS);
-        let served = served.map(|(volume, s)| Served { volume: *volume, units: s.0 as u64 }).collect();
-        Facts { tried, badly, sights, offers, served }
+        let served = served
+            .map(|(volume, s)| Served {
+                volume: *volume,
+                units: s.0 as u64,
+            })
+            .collect();
+        Facts {
+            tried,
+            badly,
+            sights,
+            offers,
+            served,
+        }
     }
 
     fn write(&mut self, now: Duration) {
@@ -422,7 +510,10 @@
     /// News that a node has begun to answer badly, or well where it was condemned, does not wait.
     fn write_if_turned(&mut self, now: Duration, node: u32) {
         let news = |s: &Sight| s.clears || crate::judgement::bad(s);
-        let news = self.sight(now, node).filter(news).map(|s| (node, s.start, s.clears));
+        let news = self
+            .sight(now, node)
+            .filter(news)
+            .map(|s| (node, s.start, s.clears));
         if news.is_some_and(|n| !self.turned.contains(&n)) {
             self.write(now);
         }
@@ -454,9 +545,15 @@
     }
 
     fn judge(&mut self, now: Duration) {
-        let own = Facts { sights: self.sights(now).collect(), ..Facts::default() };
-        let others: Vec<Witness> =
-            self.common.all(now).map(|(host, age, facts)| Witness { host, age, facts }).collect();
+        let own = Facts {
+            sights: self.sights(now).collect(),
+            ..Facts::default()
+        };
+        let others: Vec<Witness> = self
+            .common
+            .all(now)
+            .map(|(host, age, facts)| Witness { host, age, facts })
+            .collect();
         let changed = self.judge.judge(now, &self.nodes, &own, &others);
         for (node, belief) in changed {
             self.out.push(Action::Belief { node, belief });
@@ -465,9 +562,15 @@
 
     fn tell_parts(&mut self, now: Duration) {
         for volume in std::mem::take(&mut self.stirred) {
-            let Some(v) = self.volumes.get_mut(&volume) else { continue };
+            let Some(v) = self.volumes.get_mut(&volume) else {
+                continue;
+            };
             let changes = v.budget.changes_at(now).unwrap_or(now + self.rules.every);
-            self.parts_at = if self.parts_at <= now { changes } else { changes.min(self.parts_at) };
+            self.parts_at = if self.parts_at <= now {
+                changes
+            } else {
+                changes.min(self.parts_at)
+            };
             let part = v.budget.part(now);
             let settled = v.budget.settled();
             if v.told != Some((part, settled)) {
@@ -479,12 +582,26 @@
     }
 
     fn pace(&mut self, now: Duration, host: HostNo) {
-        let Some((_, mark)) = self.common.marks().find(|(h, _)| *h == host) else { return };
-        let Some((_, age, facts)) = self.common.all(now).find(|(h, ..)| *h == host) else { return };
+        let Some((_, mark)) = self.common.marks().find(|(h, _)| *h == host) else {
+            return;
+        };
+        let Some((_, age, facts)) = self.common.all(now).find(|(h, ..)| *h == host) else {
+            return;
+        };
         let at = now.saturating_sub(age);
         for s in &facts.served {
-            let new = Pace { mark, units: s.units, at, rate: 0.0 };
-            let p = self.paces.entry(s.volume).or_default().entry(host).or_insert(new);
+            let new = Pace {
+                mark,
+                units: s.units,
+                at,
+                rate: 0.0,
+            };
+            let p = self
+                .paces
+                .entry(s.volume)
+                .or_default()
+                .entry(host)
+                .or_insert(new);
             let span = at.saturating_sub(p.at).as_secs_f64();
             if p.mark.life != mark.life || s.units < p.units {
                 *p = new;
@@ -512,9 +629,19 @@
         let marks: BTreeMap<HostNo, Mark> = self.common.marks().collect();
         let row = |(host, age, f): (HostNo, Duration, &Facts)| {
             let life = marks.get(&host).map_or(Life(0), |m| m.life);
-            PeerFigures { host, life, age, tried: f.tried, badly: f.badly }
+            PeerFigures {
+                host,
+                life,
+                age,
+                tried: f.tried,
+                badly: f.badly,
+            }
         };
-        self.common.all(now).filter(|(h, ..)| *h != self.me).map(row).collect()
+        self.common
+            .all(now)
+            .filter(|(h, ..)| *h != self.me)
+            .map(row)
+            .collect()
     }
 
     pub fn parts(&self, now: Duration) -> Vec<PartFigures> {
@@ -536,7 +663,10 @@
     /// Of each node that somebody has tried: what all say, and what this host makes of it.
     pub fn beliefs(&self) -> Vec<(u32, Finding, Belief)> {
         let findings = self.judge.findings();
-        findings.iter().map(|(node, f)| (*node, f.clone(), self.judge.belief(*node))).collect()
+        findings
+            .iter()
+            .map(|(node, f)| (*node, f.clone(), self.judge.belief(*node)))
+            .collect()
     }
 
     pub fn belief_of(&self, node: u32) -> Belief {
--- a/crates/fleet/src/judgement.rs
+++ b/crates/fleet/src/judgement.rs
@@ -176,18 +176,33 @@
 
     /// `nodes`: those of the list, with their starts. `own` are this host's sights, `others` what its peers say.
     pub fn judge(
-        &mut self, now: Duration, nodes: &BTreeMap<u32, u64>, own: &Facts, others: &[Witness],
+        &mut self,
+        now: Duration,
+        nodes: &BTreeMap<u32, u64>,
+        own: &Facts,
+        others: &[Witness],
     ) -> Vec<(u32, Belief)> {
         let (me, fleet) = (self.me, self.fleet);
-        let fresh = others.iter().filter(|w| w.host != me).map(|w| (w.host, w.age, w.facts));
-        let heard = others.iter().filter(|w| w.age < self.heard_within && w.host != me).map(|w| w.host);
+        let fresh = others
+            .iter()
+            .filter(|w| w.host != me)
+            .map(|w| (w.host, w.age, w.facts));
+        let heard = others
+            .iter()
+            .filter(|w| w.age < self.heard_within && w.host != me)
+            .map(|w| w.host);
         let heard = 1 + heard.collect::<BTreeSet<_>>().len();
         let mut sights: BTreeMap<u32, Vec<(HostNo, Sight)>> = BTreeMap::new();
         let facts = fresh.chain([(me, Duration::ZERO, own)]);
-        for (host, age, s) in facts.flat_map(|(h, age, f)| f.sights.iter().map(move |s| (h, age, *s))) {
+        for (host, age, s) in
+            facts.flat_map(|(h, age, f)| f.sights.iter().map(move |s| (h, age, *s)))
+        {
             let ago = s.ago + age;
             if nodes.get(&s.node) == Some(&s.start) && ago < EVIDENCE {
-                sights.entry(s.node).or_default().push((host, Sight { ago, ..s }));
+                sights
+                    .entry(s.node)
+                    .or_default()
+                    .push((host, Sight { ago, ..s }));
             }
         }
         let sound = soundness(&sights);
@@ -200,11 +215,16 @@
         for (node, all) in &sights {
             let sum = |of: &dyn Fn(&Sight) -> bool| {
                 let some = all.iter().filter(|(_, s)| of(s));
-                (some.clone().count(), some.map(|(h, s)| weight(h, s)).sum::<f64>())
+                (
+                    some.clone().count(),
+                    some.map(|(h, s)| weight(h, s)).sum::<f64>(),
+                )
             };
             let (well, badly) = (sum(&good), sum(&bad));
             let verdict = match () {
-                _ if badly.0 >= sides && badly.1 >= 2.0 * well.1 && badly.1 > 0.0 => Verdict::Condemned,
+                _ if badly.0 >= sides && badly.1 >= 2.0 * well.1 && badly.1 > 0.0 => {
+                    Verdict::Condemned
+                }
                 _ if badly.0 > 0 && well.0 > 0 => Verdict::Split,
                 _ if well.0 > 0 => Verdict::Well,
                 _ => Verdict::Unknown,
@@ -214,15 +234,35 @@
                 ago.map(|ago| now.saturating_sub(ago))
             };
             let last = (last(&good), last(&bad));
-            self.findings.insert(*node, Finding { verdict, well, badly, last });
+            self.findings.insert(
+                *node,
+                Finding {
+                    verdict,
+                    well,
+                    badly,
+                    last,
+                },
+            );
         }
         let few = heard * 2 <= fleet;
-        let known = sights.len() + self.condemned.keys().filter(|n| !sights.contains_key(n)).count();
+        let known = sights.len()
+            + self
+                .condemned
+                .keys()
+                .filter(|n| !sights.contains_key(n))
+                .count();
         let is = |f: &Finding| f.verdict == Verdict::Condemned;
-        let held = self.condemned.keys().filter(|n| self.findings.get(n).is_none_or(|f| !is(f))).count();
+        let held = self
+            .condemned
+            .keys()
+            .filter(|n| self.findings.get(n).is_none_or(|f| !is(f)))
+            .count();
         let bad_now = held + self.findings.values().filter(|f| is(f)).count();
         if few || bad_now as f64 > TOO_MUCH * known as f64 {
-            let doubted = self.findings.values_mut().filter(|f| f.verdict == Verdict::Condemned);
+            let doubted = self
+                .findings
+                .values_mut()
+                .filter(|f| f.verdict == Verdict::Condemned);
             doubted.for_each(|f| f.verdict = Verdict::Doubted);
         }
         self.uphold(now, nodes, few);
@@ -234,7 +274,14 @@
             match f.verdict {
                 Verdict::Condemned => {
                     let (start, seen) = (nodes[node], f.last.1.unwrap_or(now));
-                    self.condemned.insert(*node, Condemned { start, seen, upheld: now });
+                    self.condemned.insert(
+                        *node,
+                        Condemned {
+                            start,
+                            seen,
+                            upheld: now,
+                        },
+                    );
                 }
                 // Evidence that it answers, and of later than what condemned it: what hosts found before it
                 // failed is on its way for some time yet.
@@ -248,7 +295,9 @@
         }
         let findings = &self.findings;
         self.condemned.retain(|node, c| {
-            let doubted = findings.get(node).is_some_and(|f| f.verdict == Verdict::Doubted);
+            let doubted = findings
+                .get(node)
+                .is_some_and(|f| f.verdict == Verdict::Doubted);
             // Silence upholds it where the others are heard: somebody is looking.
             if !few && !doubted {
                 c.upheld = now;
@@ -257,7 +306,12 @@
         });
     }
 
-    fn believe(&mut self, now: Duration, nodes: &BTreeMap<u32, u64>, own: &Facts) -> Vec<(u32, Belief)> {
+    fn believe(
+        &mut self,
+        now: Duration,
+        nodes: &BTreeMap<u32, u64>,
+        own: &Facts,
+    ) -> Vec<(u32, Belief)> {
         let chance = (LOOKERS / self.fleet.max(1) as f64).min(1.0);
         let (condemned, rng) = (&self.condemned, &mut self.rng);
         self.looks.retain(|node, _| condemned.contains_key(node));
@@ -266,15 +320,24 @@
             if due {
                 // At other moments on each host, or all who look would look at one.
                 let until = now + LOOK.mul_f64(0.5 + rng.random::<f64>());
-                self.looks.insert(*node, (until, rng.random::<f64>() < chance));
+                self.looks
+                    .insert(*node, (until, rng.random::<f64>() < chance));
             }
         }
         let mut changed = Vec::new();
         for node in nodes.keys() {
-            let mine = own.sights.iter().find(|s| s.node == *node && nodes[node] == s.start);
-            let (fine, ill) = (mine.is_some_and(good), mine.is_some_and(|s| bad(s) && s.bad >= LEAST_OWN));
-            let belief = match (self.condemned.contains_key(node), self.findings.get(node).map(|f| f.verdict))
-            {
+            let mine = own
+                .sights
+                .iter()
+                .find(|s| s.node == *node && nodes[node] == s.start);
+            let (fine, ill) = (
+                mine.is_some_and(good),
+                mine.is_some_and(|s| bad(s) && s.bad >= LEAST_OWN),
+            );
+            let belief = match (
+                self.condemned.contains_key(node),
+                self.findings.get(node).map(|f| f.verdict),
+            ) {
                 _ if fine => Belief::AsToday,
                 (true, _) if self.looks.get(node).is_some_and(|l| l.1) => Belief::Look,
                 (true, _) => Belief::Avoid,
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -88,7 +88,11 @@
     /// find them bad.
     pub fn turned(&self) -> BTreeSet<(u32, u64, bool)> {
         let news = |s: &&Sight| s.clears || crate::judgement::bad(s);
-        self.sights.iter().filter(news).map(|s| (s.node, s.start, s.clears)).collect()
+        self.sights
+            .iter()
+            .filter(news)
+            .map(|s| (s.node, s.start, s.clears))
+            .collect()
     }
 }
 
@@ -150,12 +154,21 @@
 impl Common {
     /// `life` is a guess, such as the wall clock's; peers may know better.
     pub fn new(
-        now: Duration, me: HostNo, life: Life, every: Duration, mut peers: Vec<HostNo>, seed: u64,
+        now: Duration,
+        me: HostNo,
+        life: Life,
+        every: Duration,
+        mut peers: Vec<HostNo>,
+        seed: u64,
     ) -> Self {
         peers.sort_unstable();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let next = now + every.mul_f64(rng.random::<f64>());
-        let listens = if peers.is_empty() { now } else { now + ASK_FIRST };
+        let listens = if peers.is_empty() {
+            now
+        } else {
+            now + ASK_FIRST
+        };
         Common {
             me,
             life,
@@ -191,7 +204,14 @@
 
     /// What this host says of itself from now on. `news`: others should hear it at once.
     pub fn write(&mut self, now: Duration, facts: Facts, news: bool) {
-        debug_assert!(facts.sights.len().max(facts.offers.len()).max(facts.served.len()) <= MOST_FACTS);
+        debug_assert!(
+            facts
+                .sights
+                .len()
+                .max(facts.offers.len())
+                .max(facts.served.len())
+                <= MOST_FACTS
+        );
         self.own = facts;
         if news {
             self.own_news = true;
@@ -245,7 +265,12 @@
             let turned = before.is_none_or(|b| !e.facts.turned().is_subset(&b.facts.turned()));
             let at = nanos(now) - nanos(e.age + HOP);
             let news = if turned { self.tells() } else { 0 };
-            let held = Held { mark: e.mark, at, facts: e.facts.clone(), news };
+            let held = Held {
+                mark: e.mark,
+                at,
+                facts: e.facts.clone(),
+                news,
+            };
             self.entries.insert(e.writer, held);
             joined.newer.push(e.writer);
             if turned {
@@ -257,7 +282,12 @@
 
     /// Somebody holds an entry of this host that this process did not write.
     fn hear_of_me(&mut self, now: Duration, mark: Mark) -> bool {
-        if mark < (Mark { life: self.life, count: 0 }) || (mark.life == self.life && mark.count <= self.count)
+        if mark
+            < (Mark {
+                life: self.life,
+                count: 0,
+            })
+            || (mark.life == self.life && mark.count <= self.count)
         {
             return false;
         }
@@ -287,15 +317,28 @@
                 raised = true;
             }
         }
-        self.entries.retain(|_, e| nanos(now) - e.at < nanos(FORGET));
+        self.entries
+            .retain(|_, e| nanos(now) - e.at < nanos(FORGET));
         let listens = now < self.listens;
         if !listens && self.other.is_none() {
             self.since_written += 1;
             if self.own_news || self.since_written >= RENEW {
-                let news = if std::mem::take(&mut self.own_news) { self.tells() } else { 1 };
+                let news = if std::mem::take(&mut self.own_news) {
+                    self.tells()
+                } else {
+                    1
+                };
                 (self.count, self.since_written) = (self.count + 1, 0);
-                let mark = Mark { life: self.life, count: self.count };
-                let own = Held { mark, at: nanos(now), facts: self.own.clone(), news };
+                let mark = Mark {
+                    life: self.life,
+                    count: self.count,
+                };
+                let own = Held {
+                    mark,
+                    at: nanos(now),
+                    facts: self.own.clone(),
+                    news,
+                };
                 self.entries.insert(self.me, own);
             }
         }
@@ -304,7 +347,10 @@
         let mut others = self.peers.clone();
         let (some, _) = others.partial_shuffle(&mut self.rng, TOLD - to.len());
         to.extend_from_slice(some);
-        let words = to.into_iter().map(|to| (to, self.word(now, to, listens))).collect();
+        let words = to
+            .into_iter()
+            .map(|to| (to, self.word(now, to, listens)))
+            .collect();
         if self.entries.values().any(|e| e.news > 0) {
             self.hurry(now);
         }
@@ -312,16 +358,31 @@
     }
 
     fn word(&mut self, now: Duration, to: HostNo, asks: bool) -> Word {
-        let own = Mark { life: self.life, count: self.count };
+        let own = Mark {
+            life: self.life,
+            count: self.count,
+        };
         let mut chosen: BTreeSet<HostNo> = BTreeSet::new();
         // Before anything else what the other may not know of itself, where it asks.
         chosen.extend(self.entries.contains_key(&to).then_some(to));
-        chosen.extend(self.entries.get(&self.me).filter(|e| e.mark == own).map(|_| self.me));
-        let mut fresh: Vec<HostNo> =
-            self.entries.iter().filter(|(_, e)| e.news > 0).map(|(h, _)| *h).collect();
+        chosen.extend(
+            self.entries
+                .get(&self.me)
+                .filter(|e| e.mark == own)
+                .map(|_| self.me),
+        );
+        let mut fresh: Vec<HostNo> = self
+            .entries
+            .iter()
+            .filter(|(_, e)| e.news > 0)
+            .map(|(h, _)| *h)
+            .collect();
         if fresh.len() > MOST_ENTRIES {
             // More news than a word takes: any of it, so that together hosts tell all of it.
-            fresh = fresh.partial_shuffle(&mut self.rng, MOST_ENTRIES).0.to_vec();
+            fresh = fresh
+                .partial_shuffle(&mut self.rng, MOST_ENTRIES)
+                .0
+                .to_vec();
         }
         chosen.extend(fresh.into_iter().take(MOST_ENTRIES - chosen.len()));
         let all: Vec<HostNo> = self.entries.keys().copied().collect();
@@ -336,8 +397,18 @@
             let e = self.entries.get_mut(&h).expect("chosen among them");
             e.news = e.news.saturating_sub(1);
             let age = Duration::from_nanos((nanos(now) - e.at).max(0) as u64);
-            Entry { writer: h, mark: e.mark, age, facts: e.facts.clone() }
+            Entry {
+                writer: h,
+                mark: e.mark,
+                age,
+                facts: e.facts.clone(),
+            }
         });
-        Word { life: self.life, asks, entries: entries.collect(), says: Vec::new() }
+        Word {
+            life: self.life,
+            asks,
+            entries: entries.collect(),
+            says: Vec::new(),
+        }
     }
 }
--- a/crates/fleet/src/word.rs
+++ b/crates/fleet/src/word.rs
@@ -141,8 +141,24 @@
                     clears: s.clears,
                 })
                 .collect(),
-            offers: e.facts.offers.iter().map(|o| WireOffer { volume: o.volume, spare: o.spare }).collect(),
-            served: e.facts.served.iter().map(|s| WireServed { volume: s.volume, units: s.units }).collect(),
+            offers: e
+                .facts
+                .offers
+                .iter()
+                .map(|o| WireOffer {
+                    volume: o.volume,
+                    spare: o.spare,
+                })
+                .collect(),
+            served: e
+                .facts
+                .served
+                .iter()
+                .map(|s| WireServed {
+                    volume: s.volume,
+                    units: s.units,
+                })
+                .collect(),
         });
         let says = self.says.iter().map(|(volume, sharers, say)| {
             let (kind, number, loan, amount) = match *say {
@@ -152,16 +168,33 @@
                 Say::Clear { of } => (4, of.0, 0, 0),
                 Say::Born => (5, 0, 0, 0),
             };
-            WireSay { volume: *volume, sharers: *sharers, kind, number, loan, amount }
+            WireSay {
+                volume: *volume,
+                sharers: *sharers,
+                kind,
+                number,
+                loan,
+                amount,
+            }
         });
         let (entries, says) = (entries.collect(), says.collect());
-        WireWord { format: FORMAT, life: self.life.0, asks: self.asks, entries, says }.encode_to_vec()
+        WireWord {
+            format: FORMAT,
+            life: self.life.0,
+            asks: self.asks,
+            entries,
+            says,
+        }
+        .encode_to_vec()
     }
 
     /// Why it is refused, where it is.
     pub fn from_bytes(bytes: &[u8]) -> Result<Word, String> {
         if bytes.len() > MOST_BYTES {
-            return Err(format!("{} bytes, expected at most {MOST_BYTES}", bytes.len()));
+            return Err(format!(
+                "{} bytes, expected at most {MOST_BYTES}",
+                bytes.len()
+            ));
         }
         let w = WireWord::decode(bytes).map_err(|e| format!("no word: {e}"))?;
         if w.format != FORMAT {
@@ -170,17 +203,34 @@
         let life = life_of(w.life)?;
         within("entries", w.entries.len(), MOST_ENTRIES)?;
         within("says", w.says.len(), MOST_SAYS)?;
-        let entries = w.entries.into_iter().map(entry_of).collect::<Result<_, _>>()?;
+        let entries = w
+            .entries
+            .into_iter()
+            .map(entry_of)
+            .collect::<Result<_, _>>()?;
         let says = w.says.into_iter().map(say_of).collect::<Result<_, _>>()?;
-        Ok(Word { life, asks: w.asks, entries, says })
+        Ok(Word {
+            life,
+            asks: w.asks,
+            entries,
+            says,
+        })
     }
 
     /// What it says of budgets, as their budgets hear it.
     pub fn heard(&self, from: HostNo) -> impl Iterator<Item = (u64, Heard)> + '_ {
         let life = self.life;
-        self.says
-            .iter()
-            .map(move |(volume, sharers, say)| (*volume, Heard { from, life, sharers: *sharers, say: *say }))
+        self.says.iter().map(move |(volume, sharers, say)| {
+            (
+                *volume,
+                Heard {
+                    from,
+                    life,
+                    sharers: *sharers,
+                    say: *say,
+                },
+            )
+        })
     }
 }
 
@@ -199,47 +249,101 @@
 }
 
 fn entry_of(e: WireEntry) -> Result<Entry, String> {
-    let mark = Mark { life: life_of(e.life)?, count: e.count };
+    let mark = Mark {
+        life: life_of(e.life)?,
+        count: e.count,
+    };
     if e.count >= MOST_COUNT || e.age_ms >= MOST_AGE {
         return Err(format!(
             "entry of host {}: count {} or age {} ms too large",
             e.writer, e.count, e.age_ms
         ));
     }
-    for (what, n) in [("sights", e.sights.len()), ("offers", e.offers.len()), ("served", e.served.len())] {
+    for (what, n) in [
+        ("sights", e.sights.len()),
+        ("offers", e.offers.len()),
+        ("served", e.served.len()),
+    ] {
         within(what, n, MOST_FACTS)?;
     }
     if e.badly > e.tried || e.sights.iter().any(|s| s.bad > s.sent) {
         return Err(format!("entry of host {}: more bad than sent", e.writer));
     }
     if e.offers.iter().any(|o| o.spare > WHOLE) {
-        return Err(format!("entry of host {}: more offered than there is", e.writer));
+        return Err(format!(
+            "entry of host {}: more offered than there is",
+            e.writer
+        ));
     }
     let sights = e.sights.into_iter().map(|s| {
         let ago = Duration::from_millis(u64::from(s.ago_ms));
-        Sight { node: s.node, start: s.start, sent: s.sent, bad: s.bad, ago, clears: s.clears }
+        Sight {
+            node: s.node,
+            start: s.start,
+            sent: s.sent,
+            bad: s.bad,
+            ago,
+            clears: s.clears,
+        }
     });
     let facts = Facts {
         tried: e.tried,
         badly: e.badly,
         sights: sights.collect(),
-        offers: e.offers.into_iter().map(|o| Offer { volume: o.volume, spare: o.spare }).collect(),
-        served: e.served.into_iter().map(|s| Served { volume: s.volume, units: s.units }).collect(),
+        offers: e
+            .offers
+            .into_iter()
+            .map(|o| Offer {
+                volume: o.volume,
+                spare: o.spare,
+            })
+            .collect(),
+        served: e
+            .served
+            .into_iter()
+            .map(|s| Served {
+                volume: s.volume,
+                units: s.units,
+            })
+            .collect(),
     };
-    Ok(Entry { writer: HostNo(e.writer), mark, age: Duration::from_millis(e.age_ms), facts })
+    Ok(Entry {
+        writer: HostNo(e.writer),
+        mark,
+        age: Duration::from_millis(e.age_ms),
+        facts,
+    })
 }
 
 fn say_of(s: WireSay) -> Result<(u64, u32, Say), String> {
     if s.amount > WHOLE || s.sharers == 0 {
-        return Err(format!("volume {}: {} of {WHOLE} by {} sharers", s.volume, s.amount, s.sharers));
+        return Err(format!(
+            "volume {}: {} of {WHOLE} by {} sharers",
+            s.volume, s.amount, s.sharers
+        ));
     }
     let say = match s.kind {
-        1 => Say::Want { ask: s.number, loan: s.loan, amount: s.amount },
-        2 => Say::Lend { ask: s.number, of: life_of(s.loan)?, amount: s.amount },
+        1 => Say::Want {
+            ask: s.number,
+            loan: s.loan,
+            amount: s.amount,
+        },
+        2 => Say::Lend {
+            ask: s.number,
+            of: life_of(s.loan)?,
+            amount: s.amount,
+        },
         3 => Say::Home { loan: s.loan },
-        4 => Say::Clear { of: life_of(s.number)? },
+        4 => Say::Clear {
+            of: life_of(s.number)?,
+        },
         5 => Say::Born,
-        kind => return Err(format!("volume {}: says {kind}, which is nothing", s.volume)),
+        kind => {
+            return Err(format!(
+                "volume {}: says {kind}, which is nothing",
+                s.volume
+            ))
+        }
     };
     Ok((s.volume, s.sharers, say))
 }
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -9,7 +9,10 @@
     Duration::from_secs(n)
 }
 
-const SPANS: Spans = Spans { span: s(4), margin: s(1) };
+const SPANS: Spans = Spans {
+    span: s(4),
+    margin: s(1),
+};
 const A: HostNo = HostNo(0);
 const B: HostNo = HostNo(1);
 
@@ -23,7 +26,12 @@
 }
 
 fn from(host: HostNo, life: u64, n: u32, say: Say) -> Heard {
-    Heard { from: host, life: Life(life), sharers: n, say }
+    Heard {
+        from: host,
+        life: Life(life),
+        sharers: n,
+        say,
+    }
 }
 
 /// A asks B, and hears the answer; what it borrowed.
@@ -47,9 +55,15 @@
     assert_eq!(a.part(s(10)) + b.part(s(10)), WHOLE);
     // Asked for anew in its second half; both sides go by the later end.
     borrow(&mut a, &mut b, s(12));
-    assert_eq!((a.part(s(15)), b.part(s(16))), (WHOLE / 2 + lent, WHOLE / 2 - lent));
+    assert_eq!(
+        (a.part(s(15)), b.part(s(16))),
+        (WHOLE / 2 + lent, WHOLE / 2 - lent)
+    );
     // Nobody renews it any more: the borrower's end is before the lender's.
-    assert_eq!((a.part(s(16)), b.part(s(16))), (WHOLE / 2, WHOLE / 2 - lent));
+    assert_eq!(
+        (a.part(s(16)), b.part(s(16))),
+        (WHOLE / 2, WHOLE / 2 - lent)
+    );
     assert_eq!(b.part(s(17)), WHOLE / 2);
 }
 
@@ -69,7 +83,9 @@
     a.want(0);
     let said = a.tend(s(11), &[]);
     assert_eq!(a.part(s(11)), WHOLE / 2);
-    let [(B, home @ Say::Home { .. })] = said[..] else { panic!("{said:?}") };
+    let [(B, home @ Say::Home { .. })] = said[..] else {
+        panic!("{said:?}")
+    };
     assert_eq!(b.part(s(11)), WHOLE / 2 - lent);
     b.hear(s(11), from(A, 1, 2, home));
     assert_eq!(b.part(s(11)), WHOLE / 2);
@@ -77,7 +93,11 @@
 
 #[test]
 fn what_is_refused() {
-    let want = Say::Want { ask: 1, loan: 1, amount: WHOLE / 4 };
+    let want = Say::Want {
+        ask: 1,
+        loan: 1,
+        amount: WHOLE / 4,
+    };
     // who says it, in which life, among how many; and whether it is answered
     let cases = [
         ((A, 1, 2), true),
@@ -96,12 +116,38 @@
     assert!(b.hear(s(10), from(A, 1, 2, want)).is_empty());
     // An answer to something never asked, and one that comes after its loan would have run out.
     let mut a = budget(A, 2);
-    a.hear(s(10), from(B, 1, 2, Say::Lend { ask: 7, of: Life(1), amount: WHOLE / 4 }));
+    a.hear(
+        s(10),
+        from(
+            B,
+            1,
+            2,
+            Say::Lend {
+                ask: 7,
+                of: Life(1),
+                amount: WHOLE / 4,
+            },
+        ),
+    );
     assert_eq!(a.part(s(10)), WHOLE / 2);
     a.want(WHOLE);
     let asked = a.tend(s(10), &[(B, WHOLE / 4)]);
-    let [(B, Say::Want { ask, amount, .. })] = asked[..] else { panic!("{asked:?}") };
-    a.hear(s(14), from(B, 1, 2, Say::Lend { ask, of: Life(1), amount }));
+    let [(B, Say::Want { ask, amount, .. })] = asked[..] else {
+        panic!("{asked:?}")
+    };
+    a.hear(
+        s(14),
+        from(
+            B,
+            1,
+            2,
+            Say::Lend {
+                ask,
+                of: Life(1),
+                amount,
+            },
+        ),
+    );
     assert_eq!(a.part(s(14)), WHOLE / 2);
 }
 
@@ -138,10 +184,17 @@
     let lent = borrow(&mut a, &mut b, s(10));
     a.shared_by(sharers(3));
     b.shared_by(sharers(3));
-    assert_eq!((a.part(s(11)), b.part(s(11))), (WHOLE / 3, (WHOLE / 3).saturating_sub(lent)));
+    assert_eq!(
+        (a.part(s(11)), b.part(s(11))),
+        (WHOLE / 3, (WHOLE / 3).saturating_sub(lent))
+    );
     // Of a part that is still reckoned among three, what was lent then is as much, by two as well.
     let mut c = budget(B, 3);
-    let want = Say::Want { ask: 1, loan: 1, amount: WHOLE / 10 };
+    let want = Say::Want {
+        ask: 1,
+        loan: 1,
+        amount: WHOLE / 10,
+    };
     c.hear(s(10), from(A, 1, 3, want));
     c.shared_by(sharers(2));
     assert_eq!(c.part(s(10)), WHOLE / 2 - (WHOLE / 10 * 3).div_ceil(2));
@@ -152,11 +205,25 @@
     let mut before = budget(A, 2);
     before.want(WHOLE);
     let asked = before.tend(s(10), &[(B, WHOLE / 4)]);
-    let [(B, Say::Want { ask, amount, .. })] = asked[..] else { panic!("{asked:?}") };
+    let [(B, Say::Want { ask, amount, .. })] = asked[..] else {
+        panic!("{asked:?}")
+    };
     let mut after = Budget::new(s(11), A, Life(1), SPANS, sharers(2));
     after.hear(s(11), from(B, 1, 2, Say::Clear { of: Life(1) }));
     after.want(WHOLE);
     after.tend(s(11), &[(B, WHOLE / 4)]);
-    after.hear(s(11), from(B, 1, 2, Say::Lend { ask, of: Life(1), amount }));
+    after.hear(
+        s(11),
+        from(
+            B,
+            1,
+            2,
+            Say::Lend {
+                ask,
+                of: Life(1),
+                amount,
+            },
+        ),
+    );
     assert_eq!(after.part(s(11)), WHOLE / 2);
 }
--- a/crates/fleet/tests/explore.rs
+++ b/crates/fleet/tests/explore.rs
@@ -9,7 +9,10 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-const SPANS: Spans = Spans { span: ticks(2), margin: ticks(1) };
+const SPANS: Spans = Spans {
+    span: ticks(2),
+    margin: ticks(1),
+};
 /// Words on their way at most; one more pushes out none, it is not said.
 const ON_THE_WAY: usize = 2;
 
@@ -106,13 +109,31 @@
     }
 
     fn say(&self, w: &mut World, from: usize, says: Vec<(HostNo, Say)>) {
-        let n = w.hosts[from].budget.as_ref().map_or(0, |b| b.sharers().len() as u32);
+        let n = w.hosts[from]
+            .budget
+            .as_ref()
+            .map_or(0, |b| b.sharers().len() as u32);
         for (to, say) in says {
-            let heard = Heard { from: HostNo(from as u32), life: Life(w.hosts[from].life), sharers: n, say };
+            let heard = Heard {
+                from: HostNo(from as u32),
+                life: Life(w.hosts[from].life),
+                sharers: n,
+                say,
+            };
             if self.fault == Fault::ClearedByHearsay && say == Say::Born {
                 let life = Life(w.hosts[to.0 as usize].life);
-                let clear = Say::Clear { of: Life(w.hosts[from].life) };
-                w.way.push((from, Heard { from: to, life, sharers: n, say: clear }));
+                let clear = Say::Clear {
+                    of: Life(w.hosts[from].life),
+                };
+                w.way.push((
+                    from,
+                    Heard {
+                        from: to,
+                        life,
+                        sharers: n,
+                        say: clear,
+                    },
+                ));
             }
             if w.way.len() < ON_THE_WAY {
                 w.way.push((to.0 as usize, heard));
@@ -134,16 +155,31 @@
         if self.fault == Fault::CountsFromTheAsk && matches!(heard.say, Say::Want { .. }) {
             now -= ticks(3);
         }
-        let Some(budget) = w.hosts[to].budget.as_mut() else { return };
+        let Some(budget) = w.hosts[to].budget.as_mut() else {
+            return;
+        };
         let says = budget.hear(now, heard);
         if let (Fault::AnswersMixedUp, Say::Lend { ask, of, amount }) = (self.fault, heard.say) {
             for other in [ask.wrapping_sub(2), ask + 2] {
-                budget.hear(now, Heard { say: Say::Lend { ask: other, of, amount }, ..heard });
+                budget.hear(
+                    now,
+                    Heard {
+                        say: Say::Lend {
+                            ask: other,
+                            of,
+                            amount,
+                        },
+                        ..heard
+                    },
+                );
             }
         }
         self.say(w, to, says);
         if let (Fault::HomeTooEarly, Say::Want { loan, .. }) = (self.fault, heard.say) {
-            let home = Heard { say: Say::Home { loan }, ..heard };
+            let home = Heard {
+                say: Say::Home { loan },
+                ..heard
+            };
             if w.way.len() < ON_THE_WAY {
                 w.way.push((to, home));
             }
@@ -199,10 +235,17 @@
                 with(&mut |n| {
                     n.mishaps += 1;
                     let host = &mut n.hosts[h];
-                    let count = host.budget.as_ref().map_or(self.hosts, |b| b.sharers().len());
+                    let count = host
+                        .budget
+                        .as_ref()
+                        .map_or(self.hosts, |b| b.sharers().len());
                     host.life += 1;
                     // It dies and is back before anybody's clock moves: the worst time.
-                    let dark = if self.fault == Fault::StartsInTheDark { 50 } else { 0 };
+                    let dark = if self.fault == Fault::StartsInTheDark {
+                        50
+                    } else {
+                        0
+                    };
                     let (me, life) = (HostNo(h as u32), Life(host.life));
                     let born = ticks(host.clock - dark);
                     host.budget = Some(Budget::new(born, me, life, SPANS, sharers(count)));
@@ -213,15 +256,23 @@
             for h in 0..2 {
                 with(&mut |n| {
                     n.hosts[h].follows = true;
-                    n.hosts[h].budget.iter_mut().for_each(|b| b.shared_by(sharers(3)));
+                    n.hosts[h]
+                        .budget
+                        .iter_mut()
+                        .for_each(|b| b.shared_by(sharers(3)));
                 });
             }
             if (w.hosts[0].follows && w.hosts[1].follows) || self.fault == Fault::JoinsTooEarly {
                 with(&mut |n| {
                     n.joining = false;
                     let now = ticks(n.hosts[2].clock);
-                    n.hosts[2].budget =
-                        Some(Budget::new(now - ticks(50), HostNo(2), Life(1), SPANS, sharers(3)));
+                    n.hosts[2].budget = Some(Budget::new(
+                        now - ticks(50),
+                        HostNo(2),
+                        Life(1),
+                        SPANS,
+                        sharers(3),
+                    ));
                 });
             }
         }
@@ -259,7 +310,11 @@
             if !seen.insert(hasher.finish()) {
                 continue;
             }
-            let part = |h: &Host| h.budget.as_ref().map_or(0, |b| u64::from(b.part(ticks(h.clock))));
+            let part = |h: &Host| {
+                h.budget
+                    .as_ref()
+                    .map_or(0, |b| u64::from(b.part(ticks(h.clock))))
+            };
             if w.hosts.iter().map(part).sum::<u64>() > u64::from(WHOLE) {
                 return (seen.len(), Some(w));
             }
@@ -277,12 +332,24 @@
 
 #[test]
 fn the_parts_of_a_budget_never_add_up_to_more_than_the_whole() {
-    for (hosts, end, mishaps, joins) in
-        [(2, 4, 1, false), (2, 6, 1, false), (2, 4, 2, false), (3, 4, 1, true)]
-    {
-        let (seen, broken) = Model { fault: Fault::None, hosts, end, mishaps, joins }.explore(MOST);
+    for (hosts, end, mishaps, joins) in [
+        (2, 4, 1, false),
+        (2, 6, 1, false),
+        (2, 4, 2, false),
+        (3, 4, 1, true),
+    ] {
+        let (seen, broken) = Model {
+            fault: Fault::None,
+            hosts,
+            end,
+            mishaps,
+            joins,
+        }
+        .explore(MOST);
         let whole = if seen < MOST { "all" } else { "the first" };
-        println!("{hosts} hosts, {end} ticks, {mishaps} mishaps, joins {joins}: {whole} {seen} states");
+        println!(
+            "{hosts} hosts, {end} ticks, {mishaps} mishaps, joins {joins}: {whole} {seen} states"
+        );
         assert!(seen > 1_000, "{seen} states are no exploration");
         assert!(broken.is_none(), "{broken:#?}");
     }
@@ -302,8 +369,14 @@
     ];
     for fault in faults {
         let joins = fault == Fault::JoinsTooEarly;
-        let (seen, broken) =
-            Model { fault, hosts: if joins { 3 } else { 2 }, end: 6, mishaps: 2, joins }.explore(8 * MOST);
+        let (seen, broken) = Model {
+            fault,
+            hosts: if joins { 3 } else { 2 },
+            end: 6,
+            mishaps: 2,
+            joins,
+        }
+        .explore(8 * MOST);
         println!("{fault:?}: after {seen} states");
         assert!(broken.is_some(), "{fault:?} is not found in {seen} states");
     }
