--- a/crates/fleet/tests/shared.rs
+++ b/crates/fleet/tests/shared.rs
@@ -1,7 +1,9 @@
 //! Entries in common, words, and judgements: tables of cases.
 
 use grebecleat_fleet::judgement::{Belief, Judge, Verdict, Witness, EVIDENCE, LAPSE};
-use grebecleat_fleet::shared::{Common, Entry, Facts, Mark, Offer, Served, Sight, ASK_FIRST, FORGET};
+use grebecleat_fleet::shared::{
+    Common, Entry, Facts, Mark, Offer, Served, Sight, ASK_FIRST, FORGET,
+};
 use grebecleat_fleet::word::{Word, MOST_BYTES, MOST_ENTRIES};
 use grebecleat_fleet::{budget::Say, HostNo, Life};
 use std::collections::BTreeMap;
@@ -14,20 +16,50 @@
 const NOW: Duration = ms(100_000);
 
 fn common(peers: u32) -> Common {
-    Common::new(NOW, HostNo(0), Life(10), ms(200), (1..=peers).map(HostNo).collect(), 3)
+    Common::new(
+        NOW,
+        HostNo(0),
+        Life(10),
+        ms(200),
+        (1..=peers).map(HostNo).collect(),
+        3,
+    )
 }
 
 fn sight(node: u32, sent: u32, bad: u32) -> Sight {
-    Sight { node, start: 1, sent, bad, ago: ms(0), clears: false }
+    Sight {
+        node,
+        start: 1,
+        sent,
+        bad,
+        ago: ms(0),
+        clears: false,
+    }
 }
 
 fn entry(writer: u32, life: u64, count: u64, age: Duration, sent: u32) -> Entry {
-    let facts = Facts { sights: vec![sight(1, sent, 0)], ..Facts::default() };
-    Entry { writer: HostNo(writer), mark: Mark { life: Life(life), count }, age, facts }
+    let facts = Facts {
+        sights: vec![sight(1, sent, 0)],
+        ..Facts::default()
+    };
+    Entry {
+        writer: HostNo(writer),
+        mark: Mark {
+            life: Life(life),
+            count,
+        },
+        age,
+        facts,
+    }
 }
 
 fn word(entries: Vec<Entry>) -> Word {
-    Word { life: Life(1), asks: false, entries, says: Vec::new() }
+    Word {
+        life: Life(1),
+        asks: false,
+        entries,
+        says: Vec::new(),
+    }
 }
 
 #[test]
@@ -44,7 +76,11 @@
     for (came, held) in cases {
         let mut c = common(3);
         for (life, count, age, sent) in came {
-            c.hear(NOW, HostNo(2), &word(vec![entry(1, *life, *count, ms(*age), *sent)]));
+            c.hear(
+                NOW,
+                HostNo(2),
+                &word(vec![entry(1, *life, *count, ms(*age), *sent)]),
+            );
         }
         let all: Vec<u32> = c.all(NOW).map(|(_, _, f)| f.sights[0].sent).collect();
         assert_eq!(all, [held], "{came:?}");
@@ -61,20 +97,36 @@
     let joined = c.hear(later, HostNo(2), &word(vec![entry(1, 1, 5, FORGET, 6)]));
     assert_eq!((joined.newer.len(), joined.refused), (0, 1));
     // An entry of nobody known is refused as well.
-    assert_eq!(c.hear(later, HostNo(2), &word(vec![entry(77, 1, 5, ms(0), 6)])).refused, 1);
+    assert_eq!(
+        c.hear(later, HostNo(2), &word(vec![entry(77, 1, 5, ms(0), 6)]))
+            .refused,
+        1
+    );
 }
 
 #[test]
 fn a_host_that_lost_its_number_asks_before_it_writes_and_goes_above_it() {
     let mut c = common(3);
     let (words, _) = c.round(NOW + ms(250));
-    assert!(words.iter().all(|(_, w)| w.asks && w.entries.is_empty()), "{words:?}");
-    let joined = c.hear(NOW + ms(300), HostNo(2), &word(vec![entry(0, 40, 7, ms(0), 1)]));
+    assert!(
+        words.iter().all(|(_, w)| w.asks && w.entries.is_empty()),
+        "{words:?}"
+    );
+    let joined = c.hear(
+        NOW + ms(300),
+        HostNo(2),
+        &word(vec![entry(0, 40, 7, ms(0), 1)]),
+    );
     assert!(joined.raised);
     assert_eq!(c.life(), Life(41));
     c.write(NOW + ms(300), Facts::default(), true);
     let (words, _) = c.round(NOW + ASK_FIRST + ms(300));
-    assert!(words.iter().any(|(_, w)| w.entries.iter().any(|e| e.writer == HostNo(0))), "{words:?}");
+    assert!(
+        words
+            .iter()
+            .any(|(_, w)| w.entries.iter().any(|e| e.writer == HostNo(0))),
+        "{words:?}"
+    );
 }
 
 #[test]
@@ -83,10 +135,17 @@
     let after = NOW + ASK_FIRST + ms(500);
     c.write(after, Facts::default(), true);
     c.round(after);
-    assert!(!c.hear(after, HostNo(2), &word(vec![entry(0, 11, 3, ms(0), 1)])).raised);
+    assert!(
+        !c.hear(after, HostNo(2), &word(vec![entry(0, 11, 3, ms(0), 1)]))
+            .raised
+    );
     assert!(c.aside());
     // Its own former words change nothing; as long as the other's count grows it stays aside.
-    c.hear(after + ms(9000), HostNo(2), &word(vec![entry(0, 11, 40, ms(0), 1)]));
+    c.hear(
+        after + ms(9000),
+        HostNo(2),
+        &word(vec![entry(0, 11, 40, ms(0), 1)]),
+    );
     assert!(!c.round(after + ms(12_000)).1);
     assert!(c.aside());
     let (_, raised) = c.round(after + ms(19_500));
@@ -100,19 +159,54 @@
         tried: 3,
         badly: 1,
         sights: vec![sight(4, 9, 2)],
-        offers: vec![Offer { volume: 7, spare: 99 }],
-        served: vec![Served { volume: 7, units: 1234 }],
+        offers: vec![Offer {
+            volume: 7,
+            spare: 99,
+        }],
+        served: vec![Served {
+            volume: 7,
+            units: 1234,
+        }],
+    };
+    let mark = Mark {
+        life: Life(3),
+        count: 8,
+    };
+    let e = Entry {
+        writer: HostNo(5),
+        mark,
+        age: ms(77),
+        facts,
     };
-    let mark = Mark { life: Life(3), count: 8 };
-    let e = Entry { writer: HostNo(5), mark, age: ms(77), facts };
     let says = vec![
-        (7, 3, Say::Want { ask: 1, loan: 2, amount: 3 }),
-        (7, 3, Say::Lend { ask: 1, of: Life(4), amount: 3 }),
+        (
+            7,
+            3,
+            Say::Want {
+                ask: 1,
+                loan: 2,
+                amount: 3,
+            },
+        ),
+        (
+            7,
+            3,
+            Say::Lend {
+                ask: 1,
+                of: Life(4),
+                amount: 3,
+            },
+        ),
         (7, 3, Say::Home { loan: 2 }),
         (7, 3, Say::Clear { of: Life(6) }),
         (8, 2, Say::Born),
     ];
-    let w = Word { life: Life(9), asks: true, entries: vec![e.clone()], says };
+    let w = Word {
+        life: Life(9),
+        asks: true,
+        entries: vec![e.clone()],
+        says,
+    };
     assert_eq!(Word::from_bytes(&w.to_bytes()), Ok(w.clone()));
     let spoilt = |spoil: &dyn Fn(&mut Word)| {
         let mut w = w.clone();
@@ -124,11 +218,32 @@
     let cases: [Case; 7] = [
         (&|w| w.life = Life(u64::MAX), "life"),
         (&|w| w.entries[0].mark.life = Life(0), "life 0"),
-        (&|w| w.entries[0].mark.count = u64::MAX - 1, "entry of host 5: count"),
-        (&|w| w.entries[0].facts.sights[0].bad = 10, "more bad than sent"),
-        (&|w| w.entries[0].facts.offers[0].spare = u32::MAX, "more offered than there is"),
-        (&|w| w.entries = vec![e.clone(); MOST_ENTRIES + 1], "17 entries, expected at most 16"),
-        (&|w| w.says[0].2 = Say::Want { ask: 1, loan: 1, amount: u32::MAX }, "volume 7"),
+        (
+            &|w| w.entries[0].mark.count = u64::MAX - 1,
+            "entry of host 5: count",
+        ),
+        (
+            &|w| w.entries[0].facts.sights[0].bad = 10,
+            "more bad than sent",
+        ),
+        (
+            &|w| w.entries[0].facts.offers[0].spare = u32::MAX,
+            "more offered than there is",
+        ),
+        (
+            &|w| w.entries = vec![e.clone(); MOST_ENTRIES + 1],
+            "17 entries, expected at most 16",
+        ),
+        (
+            &|w| {
+                w.says[0].2 = Say::Want {
+                    ask: 1,
+                    loan: 1,
+                    amount: u32::MAX,
+                }
+            },
+            "volume 7",
+        ),
     ];
     for (spoil, said) in cases {
         let why = spoilt(spoil);
@@ -140,7 +255,10 @@
     for cut in 0..bytes.len() {
         // Half a word is refused, or is one that says less: never more than was said.
         if let Ok(half) = Word::from_bytes(&bytes[..cut]) {
-            assert!(half.entries.iter().all(|e| w.entries.contains(e)), "{half:?}");
+            assert!(
+                half.entries.iter().all(|e| w.entries.contains(e)),
+                "{half:?}"
+            );
         }
     }
 }
@@ -158,11 +276,18 @@
         ..Facts::default()
     };
     let all: Vec<Facts> = others.iter().map(|o| facts(Some(*o))).collect();
-    let witness = |(n, facts)| Witness { host: HostNo(n as u32 + 1), age: ms(100), facts };
+    let witness = |(n, facts)| Witness {
+        host: HostNo(n as u32 + 1),
+        age: ms(100),
+        facts,
+    };
     let others: Vec<Witness> = all.iter().enumerate().map(witness).collect();
     let mut judge = Judge::new(HostNo(0), fleet, EVIDENCE, 1);
     judge.judge(NOW, &nodes, &facts(own), &others);
-    let verdict = judge.findings().get(&1).map_or(Verdict::Unknown, |f| f.verdict);
+    let verdict = judge
+        .findings()
+        .get(&1)
+        .map_or(Verdict::Unknown, |f| f.verdict);
     let belief = match judge.belief(1) {
         Belief::Look => Belief::Avoid, // by lot
         belief => belief,
@@ -177,24 +302,64 @@
     type Case<'a> = (Option<(u32, u32)>, &'a [(u32, u32)], usize, Verdict, Belief);
     let cases: [Case; 11] = [
         (None, &[bad, bad, bad], 4, Verdict::Condemned, Belief::Avoid),
-        (Some(bad), &[bad, bad, bad], 4, Verdict::Condemned, Belief::Avoid),
+        (
+            Some(bad),
+            &[bad, bad, bad],
+            4,
+            Verdict::Condemned,
+            Belief::Avoid,
+        ),
         // Own fresh evidence stands above hearsay.
-        (Some(well), &[bad, bad, bad], 4, Verdict::Condemned, Belief::AsToday),
+        (
+            Some(well),
+            &[bad, bad, bad],
+            4,
+            Verdict::Condemned,
+            Belief::AsToday,
+        ),
         // It is this host's own way.
-        (Some(bad), &[well, well, well], 4, Verdict::Split, Belief::OwnWay),
+        (
+            Some(bad),
+            &[well, well, well],
+            4,
+            Verdict::Split,
+            Belief::OwnWay,
+        ),
         // Half from half.
-        (None, &[bad, bad, bad, well, well, well], 7, Verdict::Split, Belief::AsToday),
+        (
+            None,
+            &[bad, bad, bad, well, well, well],
+            7,
+            Verdict::Split,
+            Belief::AsToday,
+        ),
         // Too few sides, or sights that say neither.
         (None, &[bad, bad], 4, Verdict::Unknown, Belief::AsToday),
-        (None, &[mixed, mixed, mixed], 4, Verdict::Unknown, Belief::AsToday),
+        (
+            None,
+            &[mixed, mixed, mixed],
+            4,
+            Verdict::Unknown,
+            Belief::AsToday,
+        ),
         // Too few are heard.
         (None, &[bad, bad, bad], 8, Verdict::Doubted, Belief::AsToday),
-        (Some(bad), &[bad, bad, bad], 8, Verdict::Doubted, Belief::AsToday),
+        (
+            Some(bad),
+            &[bad, bad, bad],
+            8,
+            Verdict::Doubted,
+            Belief::AsToday,
+        ),
         (None, &[], 4, Verdict::Unknown, Belief::AsToday),
         (Some(bad), &[], 4, Verdict::Unknown, Belief::AsToday),
     ];
     for (own, others, fleet, verdict_is, belief_is) in cases {
-        assert_eq!(verdict(own, others, fleet), (verdict_is, belief_is), "{own:?} {others:?} of {fleet}");
+        assert_eq!(
+            verdict(own, others, fleet),
+            (verdict_is, belief_is),
+            "{own:?} {others:?} of {fleet}"
+        );
     }
 }
 
@@ -206,9 +371,16 @@
         ..Facts::default()
     };
     let (ill, fine, silent) = (says(5), says(0), Facts::default());
-    let at = |facts, n: u32, age| Witness { host: HostNo(n), age, facts };
+    let at = |facts, n: u32, age| Witness {
+        host: HostNo(n),
+        age,
+        facts,
+    };
     let avoid = |j: &Judge| matches!(j.belief(1), Belief::Avoid | Belief::Look);
-    let own = Facts { sights: vec![sight(2, 5, 0), sight(3, 5, 0)], ..Facts::default() };
+    let own = Facts {
+        sights: vec![sight(2, 5, 0), sight(3, 5, 0)],
+        ..Facts::default()
+    };
     let condemned = || {
         let mut j = Judge::new(HostNo(0), 4, EVIDENCE, 1);
         let all: Vec<Witness> = (1..=3).map(|n| at(&ill, n, ms(0))).collect();
@@ -250,10 +422,20 @@
 fn a_host_is_never_left_without_nodes_by_what_others_say() {
     let nodes: BTreeMap<u32, u64> = (1..=4).map(|n| (n, 1)).collect();
     for (ill, avoided) in [(1, 1), (2, 2), (3, 0), (4, 0)] {
-        let sights = (1..=4).map(|n| sight(n, 5, if n <= ill { 5 } else { 0 })).collect();
-        let facts = Facts { sights, ..Facts::default() };
-        let all: Vec<Witness> =
-            (1..=3).map(|n| Witness { host: HostNo(n), age: ms(0), facts: &facts }).collect();
+        let sights = (1..=4)
+            .map(|n| sight(n, 5, if n <= ill { 5 } else { 0 }))
+            .collect();
+        let facts = Facts {
+            sights,
+            ..Facts::default()
+        };
+        let all: Vec<Witness> = (1..=3)
+            .map(|n| Witness {
+                host: HostNo(n),
+                age: ms(0),
+                facts: &facts,
+            })
+            .collect();
         let mut j = Judge::new(HostNo(0), 4, EVIDENCE, 1);
         j.judge(NOW, &nodes, &Facts::default(), &all);
         let avoids = (1..=4).filter(|n| j.belief(*n) != Belief::AsToday).count();
--- a/crates/fleet/tests/worlds.rs
+++ b/crates/fleet/tests/worlds.rs
@@ -14,7 +14,10 @@
 const TICK: Duration = Duration::from_millis(10);
 const RULES: Rules = Rules {
     every: Duration::from_millis(200),
-    loans: Spans { span: Duration::from_secs(2), margin: Duration::from_millis(250) },
+    loans: Spans {
+        span: Duration::from_secs(2),
+        margin: Duration::from_millis(250),
+    },
 };
 const VOLUME: u64 = 7;
 const LIMIT: f64 = 1000.0;
@@ -78,13 +81,20 @@
     }
 
     fn host(&mut self, h: usize, hosts: usize, life: u64, shared: bool) -> Host {
-        let peers = (0..hosts as u32).filter(|p| *p != h as u32).map(HostNo).collect();
+        let peers = (0..hosts as u32)
+            .filter(|p| *p != h as u32)
+            .map(HostNo)
+            .collect();
         let seed = self.rng.random();
         let mut fleet = Fleet::new(self.now, HostNo(h as u32), Life(life), peers, RULES, seed);
         let sharers = (0..hosts as u32).map(HostNo).collect();
         let mut events = vec![Event::Nodes(self.nodes.clone())];
         if shared {
-            events.push(Event::Volume { volume: VOLUME, sharers, limit: LIMIT });
+            events.push(Event::Volume {
+                volume: VOLUME,
+                sharers,
+                limit: LIMIT,
+            });
         }
         let out = fleet.step(self.now, events);
         let part = if shared { 1.0 } else { 0.0 };
@@ -99,7 +109,10 @@
             demand: 0.0,
         };
         let none = host.take(out);
-        assert!(none.is_empty(), "nobody is told anything before the first round");
+        assert!(
+            none.is_empty(),
+            "nobody is told anything before the first round"
+        );
         host
     }
 
@@ -115,7 +128,11 @@
             }
             let mut events = Vec::new();
             let heard = std::mem::take(&mut self.hosts[h].inbox);
-            events.extend(heard.into_iter().map(|(from, bytes)| Event::Told { from, waited: ms(0), bytes }));
+            events.extend(heard.into_iter().map(|(from, bytes)| Event::Told {
+                from,
+                waited: ms(0),
+                bytes,
+            }));
             let legs = self.legs * TICK.as_secs_f64();
             let legs = legs as usize + usize::from(self.rng.random::<f64>() < legs.fract());
             for _ in 0..legs {
@@ -127,7 +144,10 @@
             }
             let demand = self.hosts[h].demand;
             if demand > 0.0 {
-                events.push(Event::Asked { volume: VOLUME, units: demand * TICK.as_secs_f64() });
+                events.push(Event::Asked {
+                    volume: VOLUME,
+                    units: demand * TICK.as_secs_f64(),
+                });
             }
             let due = self.now >= self.hosts[h].fleet.wake_at();
             if events.is_empty() && !due {
@@ -143,9 +163,12 @@
                     continue;
                 }
                 for _ in 0..1 + usize::from(self.rng.random::<f64>() < self.loss) {
-                    let late = ms(self.rng.random_range(0..if self.loss > 0.0 { 400 } else { 5 }));
+                    let late = ms(self
+                        .rng
+                        .random_range(0..if self.loss > 0.0 { 400 } else { 5 }));
                     let number = self.sent * 2 + u64::from(self.rng.random::<bool>());
-                    self.way.insert((now + late, number), (to, HostNo(h as u32), bytes.clone()));
+                    self.way
+                        .insert((now + late, number), (to, HostNo(h as u32), bytes.clone()));
                 }
             }
         }
@@ -167,7 +190,11 @@
 
     fn check(&self) {
         let parts = self.parts();
-        assert!(parts <= 1.0 + 1e-6, "parts of {parts} of the whole at {:?}", self.now);
+        assert!(
+            parts <= 1.0 + 1e-6,
+            "parts of {parts} of the whole at {:?}",
+            self.now
+        );
     }
 
     fn restart(&mut self, h: usize) {
@@ -188,7 +215,10 @@
             match action {
                 Action::Tell { to, bytes } => words.push((to, bytes)),
                 Action::Part { times, .. } => self.part = times,
-                Action::Belief { node, belief: Belief::Avoid } => _ = self.avoids.insert(node),
+                Action::Belief {
+                    node,
+                    belief: Belief::Avoid,
+                } => _ = self.avoids.insert(node),
                 Action::Belief { node, .. } => _ = self.avoids.remove(&node),
                 Action::Note { .. } => {}
             }
@@ -199,14 +229,21 @@
 
 /// How many seeds: a few in CI, as many as asked for elsewhere.
 fn seeds(few: u64) -> u64 {
-    std::env::var("WORLDS").ok().and_then(|n| n.parse().ok()).unwrap_or(few)
+    std::env::var("WORLDS")
+        .ok()
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(few)
 }
 
 #[test]
 fn news_of_a_failing_node_is_with_all_hosts_within_a_bounded_cost() {
     println!("hosts  last host knows  words a host and second  bytes a host and second");
     // A thousand hosts take minutes in one process.
-    let sizes: &[usize] = if seeds(0) > 0 { &[10, 100, 300, 1000] } else { &[10, 100] };
+    let sizes: &[usize] = if seeds(0) > 0 {
+        &[10, 100, 300, 1000]
+    } else {
+        &[10, 100]
+    };
     for &hosts in sizes {
         let mut w = World::new(hosts, 100, 30.0, false, 3);
         w.run(ms(2000));
@@ -216,20 +253,38 @@
         let (quiet, quiet_bytes) = (each(w.sent - sent), each(w.bytes - bytes));
         w.dead.insert(7);
         let (begun, sent) = (w.now, w.sent);
-        let knows = |h: &Host| h.fleet.beliefs().iter().any(|b| b.0 == 7 && b.1.badly.0 > 0);
+        let knows = |h: &Host| {
+            h.fleet
+                .beliefs()
+                .iter()
+                .any(|b| b.0 == 7 && b.1.badly.0 > 0)
+        };
         while !w.hosts.iter().all(knows) {
             w.tick();
             assert!(w.now < begun + ms(8000), "{hosts} hosts: not all know");
         }
         let took = w.now - begun;
         let busy = each(w.sent - sent) / took.as_secs_f64();
-        println!("{hosts:>5}  {took:>15?}  {quiet:>6.1}, in the news {busy:>5.1}  {quiet_bytes:>10.0}");
+        println!(
+            "{hosts:>5}  {took:>15?}  {quiet:>6.1}, in the news {busy:>5.1}  {quiet_bytes:>10.0}"
+        );
         // Two words a round, and four times as many rounds where there is news.
-        assert!(quiet.max(busy) <= 2.0 * 4.0 / 0.2 * 1.34, "{quiet} and {busy} words");
-        let all = w.hosts.iter().filter(|h| h.fleet.belief_of(7) != Belief::AsToday).count();
+        assert!(
+            quiet.max(busy) <= 2.0 * 4.0 / 0.2 * 1.34,
+            "{quiet} and {busy} words"
+        );
+        let all = w
+            .hosts
+            .iter()
+            .filter(|h| h.fleet.belief_of(7) != Belief::AsToday)
+            .count();
         println!("       {all} of {hosts} go by it then");
         w.run(ms(5000));
-        let all = w.hosts.iter().filter(|h| h.fleet.belief_of(7) != Belief::AsToday).count();
+        let all = w
+            .hosts
+            .iter()
+            .filter(|h| h.fleet.belief_of(7) != Belief::AsToday)
+            .count();
         assert!(all * 10 >= hosts * 9, "{all} of {hosts} go by it");
         // It answers again: those who look find out, and tell.
         w.dead.clear();
@@ -247,20 +302,38 @@
     }
     w.run(ms(6000));
     let used = |w: &World, part: &dyn Fn(&Host) -> f64| {
-        w.hosts.iter().map(|h| (part(h) / 10.0).min(h.demand / LIMIT)).sum::<f64>()
+        w.hosts
+            .iter()
+            .map(|h| (part(h) / 10.0).min(h.demand / LIMIT))
+            .sum::<f64>()
     };
     let (lent, even) = (used(&w, &|h| h.part), used(&w, &|_| 1.0));
-    println!("used of a limit with demand 1:1:8 over ten hosts: {lent:.2}, with even parts {even:.2}");
+    println!(
+        "used of a limit with demand 1:1:8 over ten hosts: {lent:.2}, with even parts {even:.2}"
+    );
     assert!(lent >= 0.9 && even < 0.35);
     // The busy host is cut off: it keeps serving with its own part, and the others get theirs back.
-    w.deaf = (0..10).filter(|h| *h != 2).flat_map(|h| [(h, 2), (2, h)]).collect();
+    w.deaf = (0..10)
+        .filter(|h| *h != 2)
+        .flat_map(|h| [(h, 2), (2, h)])
+        .collect();
     w.hosts[5].demand = LIMIT * 0.1;
     w.run(ms(4000));
-    assert!(w.hosts[2].part >= 0.99 && w.hosts[5].part >= 0.99, "{} {}", w.hosts[2].part, w.hosts[5].part);
+    assert!(
+        w.hosts[2].part >= 0.99 && w.hosts[5].part >= 0.99,
+        "{} {}",
+        w.hosts[2].part,
+        w.hosts[5].part
+    );
     // And heard again, it borrows again, of what the others do not need.
     w.deaf.clear();
     w.run(ms(5000));
-    assert!(w.hosts[2].part > 4.0 && w.hosts[5].part >= 0.99, "{} {}", w.hosts[2].part, w.hosts[5].part);
+    assert!(
+        w.hosts[2].part > 4.0 && w.hosts[5].part >= 0.99,
+        "{} {}",
+        w.hosts[2].part,
+        w.hosts[5].part
+    );
 }
 
 /// Cuts that open and close with the period of the loans, hosts that die or stand still for longer than
@@ -292,7 +365,11 @@
                     1 => w.hosts[h].still_until = w.now + ms(w.rng.random_range(500..4000)),
                     _ => {}
                 }
-                let span = if step % 2 == 0 { 1000 } else { w.rng.random_range(100..1500) };
+                let span = if step % 2 == 0 {
+                    1000
+                } else {
+                    w.rng.random_range(100..1500)
+                };
                 let until = w.now + ms(span);
                 while w.now < until {
                     w.tick();
@@ -347,7 +424,12 @@
             w.tick();
             wrong(&w, &mut longest);
             for host in w.hosts.iter_mut().filter(|_| tick % 20 == 0) {
-                let ill = host.fleet.beliefs().into_iter().filter(|b| b.1.badly.0 > 0).map(|b| b.0);
+                let ill = host
+                    .fleet
+                    .beliefs()
+                    .into_iter()
+                    .filter(|b| b.1.badly.0 > 0)
+                    .map(|b| b.0);
                 host.heard_ill.extend(ill);
             }
         }
@@ -360,7 +442,10 @@
         "{all} cuts: a node that a host reaches was avoided for {longest:?} at most; after the cut {standing} \
          avoided; a host that believes what it hears would have avoided {naive}"
     );
-    assert!(naive > 0, "nobody heard of anything, so this proves nothing");
+    assert!(
+        naive > 0,
+        "nobody heard of anything, so this proves nothing"
+    );
     assert_eq!(standing, 0);
     assert!(longest <= EVIDENCE + LAPSE, "{longest:?}");
 }
@@ -376,6 +461,14 @@
         let led = w.hosts[4..].iter().filter(|h| !h.avoids.is_empty()).count();
         assert_eq!(led, 0, "at {:?}", w.now);
     }
-    let own_way = w.hosts[0].fleet.beliefs().iter().filter(|b| b.2 == Belief::OwnWay).count();
-    assert!(own_way >= 6, "an ill host finds {own_way} of 8 to be its own way");
+    let own_way = w.hosts[0]
+        .fleet
+        .beliefs()
+        .iter()
+        .filter(|b| b.2 == Belief::OwnWay)
+        .count();
+    assert!(
+        own_way >= 6,
+        "an ill host finds {own_way} of 8 to be its own way"
+    );
 }
--- a/crates/host/src/desk.rs
+++ b/crates/host/src/desk.rs
@@ -320,10 +320,18 @@
 }
 
 /// Through which of the settings' hosts a volume works, as it is followed.
-fn sharers(plans: &Following, s: &Settings, volume: VolumeId) -> BTreeSet<grebecleat_fleet::HostNo> {
-    let names = plans.follow().and_then(|f| f.ledger().volume(volume.0)).map(|v| v.hosts.clone());
-    let place =
-        |name: &grebecleat_plans::changes::Name| s.hosts.iter().position(|h| h.name.as_str() == &**name);
+fn sharers(
+    plans: &Following,
+    s: &Settings,
+    volume: VolumeId,
+) -> BTreeSet<grebecleat_fleet::HostNo> {
+    let names = plans
+        .follow()
+        .and_then(|f| f.ledger().volume(volume.0))
+        .map(|v| v.hosts.clone());
+    let place = |name: &grebecleat_plans::changes::Name| {
+        s.hosts.iter().position(|h| h.name.as_str() == &**name)
+    };
     let places = names.iter().flat_map(|n| n.iter()).filter_map(place);
     places.map(|h| grebecleat_fleet::HostNo(h as u32)).collect()
 }
@@ -342,13 +350,21 @@
         let control = Control::new(seed, streams, plans, s.units.clone(), s.caps.clone()).under(
             rules.cold.clone(),
             // The list is asked for in either case: where it pushes, one watch is the asking.
-            ListRule { on_asking: true, ask_every: s.list.rule.ask_every },
+            ListRule {
+                on_asking: true,
+                ask_every: s.list.rule.ask_every,
+            },
             rules.legs.clone(),
             rules.key_rest,
         );
         let plans = Following::declared(s);
         let longest = s.streams.iter().map(|x| x.expiry).max().unwrap_or_default();
-        let tightest = s.streams.iter().map(|x| x.facts.slo).min().unwrap_or_default();
+        let tightest = s
+            .streams
+            .iter()
+            .map(|x| x.facts.slo)
+            .min()
+            .unwrap_or_default();
         let handshake = tightest.mul_f64(HANDSHAKE).max(QUIET);
         Desk {
             drained: BTreeSet::new(),
@@ -472,8 +488,13 @@
 
     /// The clients of the legs that wait to be written on a node's connection.
     pub fn clients_at(&self, conn: ConnId) -> impl Iterator<Item = ConnId> + '_ {
-        let c = self.conns.get(&conn).and_then(|c| Some((c.outbox.as_ref()?, &c.legs)));
-        let waiting = c.into_iter().flat_map(|(o, legs)| legs.iter().filter(move |leg| o.is_held(**leg)));
+        let c = self
+            .conns
+            .get(&conn)
+            .and_then(|c| Some((c.outbox.as_ref()?, &c.legs)));
+        let waiting = c
+            .into_iter()
+            .flat_map(|(o, legs)| legs.iter().filter(move |leg| o.is_held(**leg)));
         waiting.filter_map(|leg| Some(self.xfers.get(&self.legs.get(leg)?.id)?.client))
     }
 
@@ -497,16 +518,30 @@
     pub fn wake_at(&mut self) -> Duration {
         let timer = self.timers.first().map(|t| t.0);
         let leg = self.times.first().map(|t| t.0);
-        let beat = self.now + if self.xfers.is_empty() && self.draining.is_none() { IDLE_BEAT } else { BEAT };
+        let beat = self.now
+            + if self.xfers.is_empty() && self.draining.is_none() {
+                IDLE_BEAT
+            } else {
+                BEAT
+            };
         let figures = (!self.watchers.is_empty()).then_some(self.figures_at);
         let words = self.sharing.as_ref().map(Sharing::wake_at);
         let look = self.looks.first().map(|r| r.0);
         let list = self.list.answer_by;
         let renewal = self.renewal.as_ref().and_then(Renewal::wake_at);
-        let wake = [timer, leg, look, self.plans.wake_at(), figures, words, list, renewal]
-            .into_iter()
-            .flatten()
-            .fold(beat, Duration::min);
+        let wake = [
+            timer,
+            leg,
+            look,
+            self.plans.wake_at(),
+            figures,
+            words,
+            list,
+            renewal,
+        ]
+        .into_iter()
+        .flatten()
+        .fold(beat, Duration::min);
         self.wanted_wake = wake.max(self.now);
         self.wanted_wake
     }
@@ -559,7 +594,11 @@
                 if self.draining.is_some() {
                     outbox.put(frame(Body::GoingAway(pb::GoingAway {})));
                 }
-                let client = Client { outbox, delay: Delay::default(), open: BTreeSet::new() };
+                let client = Client {
+                    outbox,
+                    delay: Delay::default(),
+                    open: BTreeSet::new(),
+                };
                 self.clients.insert(conn, client);
             }
             Input::ClientFrames { conn, at, frames } => {
@@ -569,11 +608,17 @@
             }
             Input::ClientGone { conn } => self.client_gone(conn),
             Input::NodeUp { conn, outbox } => {
-                let Some(c) = self.conns.get_mut(&conn) else { return outbox.close() };
+                let Some(c) = self.conns.get_mut(&conn) else {
+                    return outbox.close();
+                };
                 c.outbox = Some(outbox);
                 c.idle_since = self.now;
                 let node = c.node;
-                self.pools.get_mut(&node).expect("made when dialled").pool.came_up();
+                self.pools
+                    .get_mut(&node)
+                    .expect("made when dialled")
+                    .pool
+                    .came_up();
                 self.serve(node);
             }
             Input::NodeFrames { conn, at, frames } => {
@@ -607,7 +652,9 @@
                     }
                 }
             }
-            Input::ListGone { conn } if self.list.conn == Some(conn) => self.list_lost("connection lost"),
+            Input::ListGone { conn } if self.list.conn == Some(conn) => {
+                self.list_lost("connection lost")
+            }
             Input::ListGone { conn } if self.is_former(conn) => self.former = None,
             Input::ListGone { .. } => {}
             // Not a failure: the decisions keep what they have, and the new one is dialled at once.
@@ -619,7 +666,10 @@
                     other => other.into_iter().for_each(|(_, o)| o.close()),
                 }
                 // How often another list has failed says nothing of this one: no changes, but an answer.
-                self.events.push(Event::List { kind: ListKind::Changes, entries: Vec::new() });
+                self.events.push(Event::List {
+                    kind: ListKind::Changes,
+                    entries: Vec::new(),
+                });
                 self.list.wanted.push(Body::Watch(pb::Watch { on: true }));
                 self.ask_list();
             }
@@ -638,10 +688,16 @@
             Input::StateGone { conn } => self.plans.gone(conn, self.now),
             Input::Kept { number, done } => self.plans.kept(number, done),
             Input::Remembered { list } => self.entries(ListKind::Remembered, &list.entries, 0),
-            Input::Word { from, waited, bytes } => {
+            Input::Word {
+                from,
+                waited,
+                bytes,
+            } => {
                 // Empty: the host's own first word to itself.
                 let sharing = self.sharing.as_mut().filter(|_| !bytes.is_empty());
-                sharing.into_iter().for_each(|s| s.told(from, waited, &bytes));
+                sharing
+                    .into_iter()
+                    .for_each(|s| s.told(from, waited, &bytes));
                 self.events.push(Event::Told { from, bytes });
             }
             Input::Holds { cells } => self.holds = Some(cells),
@@ -656,13 +712,16 @@
     // Clients
 
     fn client_says(&mut self, conn: ConnId, at: Duration, f: pb::Frame) {
-        let Some(client) = self.clients.get_mut(&conn) else { return };
+        let Some(client) = self.clients.get_mut(&conn) else {
+            return;
+        };
         let waited = client.delay.waited(f.sent_us, at);
         match f.body {
             Some(Body::Take(t)) => self.take(conn, at, waited, t),
             Some(Body::Withdraw(w)) => {
                 client.outbox.heard(&w.id);
-                let id = xfer_id(&w.id).filter(|id| self.xfers.get(id).is_some_and(|x| x.client == conn));
+                let id = xfer_id(&w.id)
+                    .filter(|id| self.xfers.get(id).is_some_and(|x| x.client == conn));
                 if let Some(id) = id {
                     self.counts.withdrawn += 1;
                     self.withdraw(id);
@@ -674,7 +733,9 @@
     }
 
     fn take(&mut self, conn: ConnId, at: Duration, waited: Duration, t: pb::Take) {
-        let Some(id) = xfer_id(&t.id) else { return self.throw_out(conn, "transfer without a proper id") };
+        let Some(id) = xfer_id(&t.id) else {
+            return self.throw_out(conn, "transfer without a proper id");
+        };
         if self.xfers.contains_key(&id) {
             return self.throw_out(conn, "transfer with an id that is still open");
         }
@@ -684,8 +745,10 @@
         };
         let volume = VolumeId(t.volume);
         let told = t.plan.zip(t.hosts).filter(|_| self.as_told);
-        let told =
-            told.map(|(plan, hosts)| Standing::Here { plan: PlanId(plan as usize), hosts: hosts as usize });
+        let told = told.map(|(plan, hosts)| Standing::Here {
+            plan: PlanId(plan as usize),
+            hosts: hosts as usize,
+        });
         let (plan, hosts) = match told.unwrap_or_else(|| self.plans.standing(volume)) {
             Standing::Here { plan, .. } if plan.0 >= self.settings.plans.len() => {
                 return self.throw_out(conn, "transfer of an unknown plan");
@@ -705,13 +768,29 @@
         let margin = self.settings.rules.answer_margin;
         // What the frame waited on its way to us is gone from the client's time, as is what the answer needs.
         let expiry = (at + left).saturating_sub(waited + margin);
-        let held = Held { open: self.xfers.len(), bytes: self.held_bytes, draining: self.draining.is_some() };
+        let held = Held {
+            open: self.xfers.len(),
+            bytes: self.held_bytes,
+            draining: self.draining.is_some(),
+        };
         if let Err(turned) = admit(held, t.data.len(), self.bounds()) {
             self.counts.turned_away += 1;
-            let come_back = self.settings.caps.come_back.map(|most| turned.come_back().min(most));
+            let come_back = self
+                .settings
+                .caps
+                .come_back
+                .map(|most| turned.come_back().min(most));
             let come_back_us = come_back.map(clock::micros);
             let outcome = pb::Outcome::Deferred.into();
-            return self.answer(conn, pb::Final { id: t.id, outcome, come_back_us, ..pb::Final::default() });
+            return self.answer(
+                conn,
+                pb::Final {
+                    id: t.id,
+                    outcome,
+                    come_back_us,
+                    ..pb::Final::default()
+                },
+            );
         }
         self.counts.taken += 1;
         let taken = at.saturating_sub(waited);
@@ -719,8 +798,14 @@
             self.service.took(taken, &t);
         }
         self.held_bytes += t.data.len();
-        self.sharing.iter_mut().for_each(|s| s.took(t.volume, units));
-        self.clients.get_mut(&conn).expect("heard from it").open.insert(id);
+        self.sharing
+            .iter_mut()
+            .for_each(|s| s.took(t.volume, units));
+        self.clients
+            .get_mut(&conn)
+            .expect("heard from it")
+            .open
+            .insert(id);
         let (cell, key) = (t.cell.map(CellId), t.key.map(KeyId));
         let stream_type = StreamTypeId(stream_type);
         self.events.push(Event::Taken(Transfer {
@@ -756,12 +841,20 @@
             Standing::Nowhere => pb::Outcome::Abandoned,
             _ => pb::Outcome::Deferred,
         };
-        let come_back = Turned::Draining.come_back().min(self.settings.caps.come_back.unwrap_or_default());
-        let come_back = (outcome == pb::Outcome::Deferred && !come_back.is_zero()).then_some(come_back);
+        let come_back = Turned::Draining
+            .come_back()
+            .min(self.settings.caps.come_back.unwrap_or_default());
+        let come_back =
+            (outcome == pb::Outcome::Deferred && !come_back.is_zero()).then_some(come_back);
         let come_back_us = come_back.map(clock::micros);
         self.answer(
             conn,
-            pb::Final { id: t.id, outcome: outcome.into(), come_back_us, ..pb::Final::default() },
+            pb::Final {
+                id: t.id,
+                outcome: outcome.into(),
+                come_back_us,
+                ..pb::Final::default()
+            },
         );
     }
 
@@ -779,7 +872,11 @@
         if let Some(sharing) = &mut self.sharing {
             for event in &mut self.events[from..] {
                 if let Event::Volume { volume, terms } = event {
-                    *terms = sharing.volume(*volume, *terms, sharers(&self.plans, &self.settings, *volume));
+                    *terms = sharing.volume(
+                        *volume,
+                        *terms,
+                        sharers(&self.plans, &self.settings, *volume),
+                    );
                 }
             }
         }
@@ -792,9 +889,14 @@
         }
         if self.plans.drains_changed() {
             let wanted: BTreeSet<NodeId> = self.plans.drained().into_iter().map(NodeId).collect();
-            let changed: Vec<NodeId> = wanted.symmetric_difference(&self.drained).copied().collect();
+            let changed: Vec<NodeId> = wanted
+                .symmetric_difference(&self.drained)
+                .copied()
+                .collect();
             self.drained = wanted;
-            self.wished(&changed, "wanted empty", |desk, node| desk.drained.contains(&node));
+            self.wished(&changed, "wanted empty", |desk, node| {
+                desk.drained.contains(&node)
+            });
             self.tell_nodes();
         }
     }
@@ -805,26 +907,36 @@
     fn lapse(&mut self) {
         // Loans end one after the other; the last of them well within so many looks.
         for _ in 0..LAPSES {
-            let Some(sharing) = self.sharing.as_mut().filter(|s| s.lapses_at() < self.now) else { return };
+            let Some(sharing) = self.sharing.as_mut().filter(|s| s.lapses_at() < self.now) else {
+                return;
+            };
             let (at, mut events) = (sharing.lapses_at(), Vec::new());
             let out = sharing.step(at, &mut events);
             self.carry(out);
             if !events.is_empty() {
-                self.control.step(at, events).into_iter().for_each(|a| self.act(a));
+                self.control
+                    .step(at, events)
+                    .into_iter()
+                    .for_each(|a| self.act(a));
             }
         }
     }
 
     /// Hears and tells peers, and tells the decisions what came of it.
     fn tend_sharing(&mut self) {
-        let Some(sharing) = &mut self.sharing else { return };
+        let Some(sharing) = &mut self.sharing else {
+            return;
+        };
         let out = sharing.step(self.now, &mut self.events);
         self.carry(out);
     }
 
     fn carry(&mut self, out: crate::sharing::Out) {
         for (to, bytes) in out.tell {
-            self.out.push(Output::Tell { to: Some(to), bytes });
+            self.out.push(Output::Tell {
+                to: Some(to),
+                bytes,
+            });
         }
         out.notes.into_iter().for_each(|text| self.note(text));
         if !out.changed.is_empty() {
@@ -838,7 +950,9 @@
 
     /// The fleet judges those nodes that the list and the operators have in use.
     fn tell_nodes(&mut self) {
-        let Some(sharing) = &mut self.sharing else { return };
+        let Some(sharing) = &mut self.sharing else {
+            return;
+        };
         let used = |(node, k): (&NodeId, &crate::listing::Known)| {
             let used = k.state == NodeState::Ready && !self.drained.contains(node);
             used.then_some((node.0, k.start))
@@ -849,7 +963,9 @@
     /// What a node counts as: what the list says, unless somebody wants it empty or all find it bad.
     fn state_of(&self, node: NodeId, listed: NodeState) -> NodeState {
         match listed {
-            NodeState::Ready if self.drained.contains(&node) || self.avoids(node) => NodeState::Draining,
+            NodeState::Ready if self.drained.contains(&node) || self.avoids(node) => {
+                NodeState::Draining
+            }
             listed => listed,
         }
     }
@@ -859,17 +975,33 @@
         let entry = |node: &NodeId| {
             let k = self.listing.nodes.get(node)?;
             let (zone, cell, started) = (k.zone, k.cell, k.started);
-            Some(ListEntry { node: *node, zone, cell, state: self.state_of(*node, k.state), started })
+            Some(ListEntry {
+                node: *node,
+                zone,
+                cell,
+                state: self.state_of(*node, k.state),
+                started,
+            })
         };
         let entries: Vec<ListEntry> = nodes.iter().filter_map(entry).collect();
         for e in &entries {
-            let not = if wished(self, e.node) { "" } else { "no longer " };
+            let not = if wished(self, e.node) {
+                ""
+            } else {
+                "no longer "
+            };
             self.note(format!("node {} is {not}{how}", e.node.0));
         }
-        let left: Vec<NodeId> =
-            entries.iter().filter(|e| e.state != NodeState::Ready).map(|e| e.node).collect();
+        let left: Vec<NodeId> = entries
+            .iter()
+            .filter(|e| e.state != NodeState::Ready)
+            .map(|e| e.node)
+            .collect();
         if !entries.is_empty() {
-            self.events.push(Event::List { kind: ListKind::Changes, entries });
+            self.events.push(Event::List {
+                kind: ListKind::Changes,
+                entries,
+            });
         }
         left.into_iter().for_each(|node| self.take_back(node));
         // Whoever asked waits to hear what is still under way.
@@ -878,8 +1010,14 @@
 
     /// What was decided before we were told must not cross after.
     fn take_back(&mut self, node: NodeId) {
-        let Some(pool) = self.pools.get(&node) else { return };
-        let on_conns = pool.conns.iter().filter_map(|c| self.conns.get(c)).flat_map(|c| c.legs.iter());
+        let Some(pool) = self.pools.get(&node) else {
+            return;
+        };
+        let on_conns = pool
+            .conns
+            .iter()
+            .filter_map(|c| self.conns.get(c))
+            .flat_map(|c| c.legs.iter());
         let legs: Vec<LegNo> = pool.waiting.iter().chain(on_conns).copied().collect();
         for leg in legs {
             if self.unsend(leg) {
@@ -889,7 +1027,9 @@
     }
 
     fn answer(&mut self, conn: ConnId, told: pb::Final) {
-        let Some(client) = self.clients.get(&conn) else { return };
+        let Some(client) = self.clients.get(&conn) else {
+            return;
+        };
         client.outbox.put(frame(Body::Final(told)));
         // A client that never reads must not hold our memory; its transfers are then nobody's.
         if client.outbox.bytes() > self.bounds().most_unread {
@@ -899,12 +1039,15 @@
 
     /// The one place where a transfer gets its final answer.
     fn finish(&mut self, id: XferId, outcome: pb::Outcome, told: pb::Final) {
-        let Some(x) = self.xfers.get_mut(&id).filter(|x| !x.over) else { return };
+        let Some(x) = self.xfers.get_mut(&id).filter(|x| !x.over) else {
+            return;
+        };
         x.over = true;
         let (client, wire_id, mut unsure) = (x.client, x.take.id.clone(), x.unsure);
         if outcome == pb::Outcome::Done && !self.watchers.is_empty() {
             let slo = self.settings.streams[x.take.stream_type as usize].facts.slo;
-            self.service.done(x.taken, &x.take, self.now <= x.taken + slo);
+            self.service
+                .done(x.taken, &x.take, self.now <= x.taken + slo);
         }
         match outcome {
             pb::Outcome::Done => self.counts.done += 1,
@@ -915,15 +1058,26 @@
         let (back, crossed): (Vec<LegNo>, Vec<LegNo>) =
             x.out.clone().into_iter().partition(|leg| self.unsend(*leg));
         unsure = outcome != pb::Outcome::Done && (unsure || !crossed.is_empty());
-        self.answer(client, pb::Final { id: wire_id, outcome: outcome.into(), unsure, ..told });
-        back.into_iter().for_each(|leg| self.end_leg(leg, LegEnd::Moot, self.now, None));
+        self.answer(
+            client,
+            pb::Final {
+                id: wire_id,
+                outcome: outcome.into(),
+                unsure,
+                ..told
+            },
+        );
+        back.into_iter()
+            .for_each(|leg| self.end_leg(leg, LegEnd::Moot, self.now, None));
         self.settle(id);
     }
 
     /// After a transfer is over: legs of it that have not crossed never do, and its record goes with the
     /// last.
     fn settle(&mut self, id: XferId) {
-        let Some(x) = self.xfers.get(&id).filter(|x| x.over) else { return };
+        let Some(x) = self.xfers.get(&id).filter(|x| x.over) else {
+            return;
+        };
         for leg in x.out.clone() {
             if self.unsend(leg) {
                 self.end_leg(leg, LegEnd::Moot, self.now, None);
@@ -939,15 +1093,22 @@
     }
 
     fn withdraw(&mut self, id: XferId) {
-        let Some(x) = self.xfers.get_mut(&id).filter(|x| !x.over) else { return };
+        let Some(x) = self.xfers.get_mut(&id).filter(|x| !x.over) else {
+            return;
+        };
         x.over = true;
         self.events.push(Event::Withdrawn { id });
         self.settle(id);
     }
 
     fn client_gone(&mut self, conn: ConnId) {
-        self.watchers.remove(&conn).into_iter().for_each(|o| o.close());
-        let Some(client) = self.clients.remove(&conn) else { return };
+        self.watchers
+            .remove(&conn)
+            .into_iter()
+            .for_each(|o| o.close());
+        let Some(client) = self.clients.remove(&conn) else {
+            return;
+        };
         client.outbox.close();
         self.complained.remove(&conn);
         for id in client.open {
@@ -978,11 +1139,24 @@
     fn send(&mut self, id: XferId, node: NodeId, until: Duration) {
         let (leg, now) = (LegNo(self.number()), self.now);
         self.counts.legs += 1;
-        let Some(x) = self.xfers.get_mut(&id) else { return };
+        let Some(x) = self.xfers.get_mut(&id) else {
+            return;
+        };
         let number = x.legs;
         x.legs += 1;
         x.out.push(leg);
-        self.legs.insert(leg, LegOut { id, number, node, conn: None, sent: now, until, moved: false });
+        self.legs.insert(
+            leg,
+            LegOut {
+                id,
+                number,
+                node,
+                conn: None,
+                sent: now,
+                until,
+                moved: false,
+            },
+        );
         *self.out_at.entry(node).or_default() += 1;
         if x.over {
             return self.end_leg(leg, LegEnd::Moot, now, None);
@@ -992,11 +1166,18 @@
             return self.end_leg(leg, LegEnd::Moot, now, None);
         }
         self.times.insert((until, leg));
-        let (per, most) = (self.bounds().legs_per_connection, self.bounds().connections_per_node);
+        let (per, most) = (
+            self.bounds().legs_per_connection,
+            self.bounds().connections_per_node,
+        );
         let seed = self.seed ^ u64::from(node.0);
         let pool = self.pools.entry(node).or_insert_with(|| {
             let pool = Pool::new(per, most, seed);
-            NodePool { pool, conns: Vec::new(), waiting: VecDeque::new() }
+            NodePool {
+                pool,
+                conns: Vec::new(),
+                waiting: VecDeque::new(),
+            }
         });
         pool.waiting.push_back(leg);
         self.serve(node);
@@ -1011,13 +1192,21 @@
     fn serve(&mut self, node: NodeId) {
         self.touched.insert(node);
         let per = self.bounds().legs_per_connection;
-        let Some(pool) = self.pools.get_mut(&node) else { return };
+        let Some(pool) = self.pools.get_mut(&node) else {
+            return;
+        };
         while let Some(leg) = pool.waiting.front().copied() {
-            let up = pool.conns.iter().filter_map(|c| Some((c, self.conns.get(c)?)));
+            let up = pool
+                .conns
+                .iter()
+                .filter_map(|c| Some((c, self.conns.get(c)?)));
             let open = up.filter(|(_, c)| c.outbox.is_some() && !c.leaving && c.legs.len() < per);
-            let (rested, rest): (Vec<_>, Vec<_>) = open.partition(|(_, c)| c.rests_until <= self.now);
+            let (rested, rest): (Vec<_>, Vec<_>) =
+                open.partition(|(_, c)| c.rests_until <= self.now);
             // Of idle ones the last used: the others grow old enough to be closed.
-            let emptiest = rested.into_iter().min_by_key(|(_, c)| (c.legs.len(), Reverse(c.idle_since)));
+            let emptiest = rested
+                .into_iter()
+                .min_by_key(|(_, c)| (c.legs.len(), Reverse(c.idle_since)));
             let Some(conn) = emptiest.map(|(id, _)| *id) else {
                 let soonest = rest.into_iter().map(|(_, c)| c.rests_until).min();
                 self.looks.extend(soonest.map(|at| (at, node)));
@@ -1028,7 +1217,11 @@
             l.conn = Some(conn);
             // What it waited for a connection is no word on what its node can do.
             if std::mem::replace(&mut l.sent, self.now) < self.now {
-                self.events.push(Event::Crosses { id: l.id, node, at: self.now });
+                self.events.push(Event::Crosses {
+                    id: l.id,
+                    node,
+                    at: self.now,
+                });
             }
             let x = &self.xfers[&l.id];
             let (t, plan) = (&x.take, x.plan);
@@ -1063,8 +1256,14 @@
     /// Takes a leg back if it has not crossed; whether it now never will. One that is written in part takes
     /// its connection with it, or its node would have the rest whenever it reads again.
     fn unsend(&mut self, leg: LegNo) -> bool {
-        let Some(l) = self.legs.get(&leg) else { return false };
-        let unsent = match l.conn.and_then(|c| self.conns.get(&c)).and_then(|c| c.outbox.as_ref()) {
+        let Some(l) = self.legs.get(&leg) else {
+            return false;
+        };
+        let unsent = match l
+            .conn
+            .and_then(|c| self.conns.get(&c))
+            .and_then(|c| c.outbox.as_ref())
+        {
             Some(outbox) if outbox.revoke(leg) => true,
             Some(outbox) if self.one_at_a_time && outbox.is_writing() => {
                 outbox.close();
@@ -1079,12 +1278,17 @@
 
     /// The one place where a leg ends, and the decisions are told how.
     fn end_leg(&mut self, leg: LegNo, end: LegEnd, at: Duration, answer: Option<pb::LegAnswer>) {
-        let Some(l) = self.legs.remove(&leg) else { return };
+        let Some(l) = self.legs.remove(&leg) else {
+            return;
+        };
         self.times.remove(&(l.until, leg));
         self.out_at.entry(l.node).and_modify(|n| *n -= 1);
         if matches!(end, LegEnd::TimeOut | LegEnd::Cancelled | LegEnd::Reset) {
             let until = self.now + self.longest;
-            self.unsure.entry(l.node).and_modify(|u| *u = until.max(*u)).or_insert(until);
+            self.unsure
+                .entry(l.node)
+                .and_modify(|u| *u = until.max(*u))
+                .or_insert(until);
         }
         match l.conn.and_then(|c| self.conns.get_mut(&c)) {
             Some(c) => {
@@ -1096,7 +1300,8 @@
             }
             None => {
                 let pool = self.pools.get_mut(&l.node);
-                pool.into_iter().for_each(|p| p.waiting.retain(|w| *w != leg));
+                pool.into_iter()
+                    .for_each(|p| p.waiting.retain(|w| *w != leg));
             }
         }
         let at = at.max(l.sent);
@@ -1110,7 +1315,8 @@
         if let Some(sharing) = &mut self.sharing {
             sharing.tried(node, end);
             let x = self.xfers.get(&id).filter(|_| end == LegEnd::Done);
-            x.into_iter().for_each(|x| sharing.did(x.take.volume, x.take.units));
+            x.into_iter()
+                .for_each(|x| sharing.did(x.take.volume, x.take.units));
         }
         if end == LegEnd::Done && !self.watchers.is_empty() {
             let units = self.xfers.get(&id).map_or(0.0, |x| x.take.units);
@@ -1118,17 +1324,24 @@
         }
         if end == LegEnd::Done {
             let cell = self.listing.nodes.get(&node).map(|k| k.cell.0);
-            let done = pb::Final { cell, data: told.data, superseded: told.superseded, ..Default::default() };
+            let done = pb::Final {
+                cell,
+                data: told.data,
+                superseded: told.superseded,
+                ..Default::default()
+            };
             self.finish(id, pb::Outcome::Done, done);
         }
         let over = self.xfers.get(&id).is_none_or(|x| x.over);
-        let reported = told.reported.map(|percent| match (&self.sharing, self.xfers.get(&id)) {
-            (Some(sharing), Some(x)) => {
-                let rate = self.plans.rate(x.plan).max(1e-9);
-                percent.max(sharing.served(self.now, x.take.volume) / rate * 100.0)
-            }
-            _ => percent,
-        });
+        let reported = told
+            .reported
+            .map(|percent| match (&self.sharing, self.xfers.get(&id)) {
+                (Some(sharing), Some(x)) => {
+                    let rate = self.plans.rate(x.plan).max(1e-9);
+                    percent.max(sharing.served(self.now, x.take.volume) / rate * 100.0)
+                }
+                _ => percent,
+            });
         self.events.push(Event::LegOver {
             id,
             leg: l.number,
@@ -1143,7 +1356,9 @@
         self.settle(id);
         let given_up = matches!(end, LegEnd::TimeOut | LegEnd::Cancelled);
         let cut = |c: &NodeConn| given_up || c.outbox.as_ref().is_some_and(|o| o.is_closed());
-        let cut = l.conn.filter(|c| self.one_at_a_time && self.conns.get(c).is_some_and(cut));
+        let cut = l
+            .conn
+            .filter(|c| self.one_at_a_time && self.conns.get(c).is_some_and(cut));
         cut.into_iter().for_each(|conn| self.node_conn_gone(conn));
         self.serve(node);
     }
@@ -1152,19 +1367,32 @@
     fn times_up(&mut self) {
         while let Some(&(at, leg)) = self.times.first().filter(|t| t.0 <= self.now) {
             self.times.remove(&(at, leg));
-            let end = if self.unsend(leg) { LegEnd::Moot } else { LegEnd::TimeOut };
+            let end = if self.unsend(leg) {
+                LegEnd::Moot
+            } else {
+                LegEnd::TimeOut
+            };
             self.end_leg(leg, end, self.now, None);
         }
     }
 
     fn cancel(&mut self, id: XferId, number: u32) {
         let of = |leg: &&LegNo| self.legs.get(leg).is_some_and(|l| l.number == number);
-        let Some(leg) = self.xfers.get(&id).and_then(|x| x.out.iter().find(of).copied()) else { return };
+        let Some(leg) = self
+            .xfers
+            .get(&id)
+            .and_then(|x| x.out.iter().find(of).copied())
+        else {
+            return;
+        };
         if self.unsend(leg) {
             return self.end_leg(leg, LegEnd::Moot, self.now, None);
         }
         let conn = self.legs.get(&leg).and_then(|l| l.conn);
-        if let Some(outbox) = conn.and_then(|c| self.conns.get(&c)).and_then(|c| c.outbox.as_ref()) {
+        if let Some(outbox) = conn
+            .and_then(|c| self.conns.get(&c))
+            .and_then(|c| c.outbox.as_ref())
+        {
             outbox.put(frame(Body::CancelLeg(pb::CancelLeg { leg: leg.0 })));
         }
         self.end_leg(leg, LegEnd::Cancelled, self.now, None);
@@ -1191,26 +1419,41 @@
             }
             Some(Body::Begun(b)) => {
                 let leg = LegNo(b.leg);
-                let Some(l) = self.legs.get_mut(&leg).filter(|l| l.conn == Some(conn)) else { return };
+                let Some(l) = self.legs.get_mut(&leg).filter(|l| l.conn == Some(conn)) else {
+                    return;
+                };
                 // From here it has no time of its own: the answer is on its way to the client.
                 self.times.remove(&(l.until, leg));
                 l.until = Duration::MAX;
                 let (id, number) = (l.id, l.number);
                 self.events.push(Event::Begun { id, leg: number });
-                let client = self.xfers.get(&id).and_then(|x| Some((x, self.clients.get(&x.client)?)));
+                let client = self
+                    .xfers
+                    .get(&id)
+                    .and_then(|x| Some((x, self.clients.get(&x.client)?)));
                 if let Some((x, c)) = client {
-                    let begun = pb::Begun { leg: 0, id: x.take.id.clone() };
+                    let begun = pb::Begun {
+                        leg: 0,
+                        id: x.take.id.clone(),
+                    };
                     c.outbox.put(frame(Body::Begun(begun)));
                 }
             }
             Some(Body::Probed(p)) => {
                 if let Some((node, _)) = self.probes.remove(&p.probe) {
-                    let end = if p.result() == pb::Result::Ok { LegEnd::Done } else { LegEnd::Error };
+                    let end = if p.result() == pb::Result::Ok {
+                        LegEnd::Done
+                    } else {
+                        LegEnd::Error
+                    };
                     self.events.push(Event::Probed { node, end });
                 }
             }
             Some(Body::GoingAway(_)) => {
-                self.conns.get_mut(&conn).into_iter().for_each(|c| c.leaving = true);
+                self.conns
+                    .get_mut(&conn)
+                    .into_iter()
+                    .for_each(|c| c.leaving = true);
             }
             _ => {
                 self.complain(conn, "node sent what only hosts and clients send");
@@ -1221,7 +1464,9 @@
 
     fn node_conn_gone(&mut self, conn: ConnId) {
         // Out of the pool before any leg ends: an end lets others go, and they must not go here.
-        let Some(c) = self.conns.remove(&conn) else { return };
+        let Some(c) = self.conns.remove(&conn) else {
+            return;
+        };
         let (node, was_up) = (c.node, c.outbox.is_some());
         if let Some(pool) = self.pools.get_mut(&node) {
             pool.conns.retain(|c| *c != conn);
@@ -1230,22 +1475,40 @@
             }
         }
         for leg in c.legs {
-            if self.one_at_a_time && c.outbox.as_ref().is_some_and(|o| o.is_held(leg)) && self.elsewhere(leg)
+            if self.one_at_a_time
+                && c.outbox.as_ref().is_some_and(|o| o.is_held(leg))
+                && self.elsewhere(leg)
             {
                 continue;
             }
             let partly = |o: &Arc<Outbox>| self.one_at_a_time && o.is_writing();
             let unsent = c.outbox.as_ref().is_none_or(|o| o.revoke(leg) || partly(o));
             self.counts.unsent += u64::from(unsent);
-            self.end_leg(leg, if unsent { LegEnd::NoConnection } else { LegEnd::Reset }, self.now, None);
+            self.end_leg(
+                leg,
+                if unsent {
+                    LegEnd::NoConnection
+                } else {
+                    LegEnd::Reset
+                },
+                self.now,
+                None,
+            );
         }
         if let Some(outbox) = c.outbox {
             outbox.close();
         }
         self.complained.remove(&conn);
-        for probe in self.probes.extract_if(|_, p| p.1 == conn).map(|(_, (node, _))| node).collect::<Vec<_>>()
+        for probe in self
+            .probes
+            .extract_if(|_, p| p.1 == conn)
+            .map(|(_, (node, _))| node)
+            .collect::<Vec<_>>()
         {
-            self.events.push(Event::Probed { node: probe, end: LegEnd::Reset });
+            self.events.push(Event::Probed {
+                node: probe,
+                end: LegEnd::Reset,
+            });
         }
         self.serve(node);
     }
@@ -1253,29 +1516,51 @@
     /// A leg that was given to a connection whose end we had yet to hear goes to another one, once: an end
     /// under a connection that stood idle says nothing of its node.
     fn elsewhere(&mut self, leg: LegNo) -> bool {
-        let Some(l) = self.legs.get_mut(&leg).filter(|l| !l.moved && l.until > self.now) else {
+        let Some(l) = self
+            .legs
+            .get_mut(&leg)
+            .filter(|l| !l.moved && l.until > self.now)
+        else {
             return false;
         };
         (l.moved, l.conn) = (true, None);
         let node = l.node;
-        self.pools.get_mut(&node).into_iter().for_each(|p| p.waiting.push_front(leg));
+        self.pools
+            .get_mut(&node)
+            .into_iter()
+            .for_each(|p| p.waiting.push_front(leg));
         true
     }
 
     /// Brings the connections of touched nodes towards what their pools want.
     fn tend_pools(&mut self) {
         while let Some(node) = self.touched.pop_first() {
-            let Some(pool) = self.pools.get(&node) else { continue };
+            let Some(pool) = self.pools.get(&node) else {
+                continue;
+            };
             let conns = || pool.conns.iter().filter_map(|c| self.conns.get(c));
             let up = conns().filter(|c| c.outbox.is_some()).count();
             let legs = conns().map(|c| c.legs.len()).sum::<usize>() + pool.waiting.len();
             let dialling = pool.conns.len() - up;
             // Those that rest are of no use yet; but a leg alone waits for one of them.
-            let rest = conns().filter(|c| c.legs.is_empty() && c.rests_until > self.now).count();
+            let rest = conns()
+                .filter(|c| c.legs.is_empty() && c.rests_until > self.now)
+                .count();
             let up = (up - rest).max(usize::from(up > 0));
-            let is_late = |c: &&NodeConn| c.outbox.is_none() && c.dialled + self.handshake <= self.now;
-            let late = if self.one_at_a_time { conns().filter(is_late).count() } else { 0 };
-            let present = Present { up, dialling, late, legs, waiting: pool.waiting.len() };
+            let is_late =
+                |c: &&NodeConn| c.outbox.is_none() && c.dialled + self.handshake <= self.now;
+            let late = if self.one_at_a_time {
+                conns().filter(is_late).count()
+            } else {
+                0
+            };
+            let present = Present {
+                up,
+                dialling,
+                late,
+                legs,
+                waiting: pool.waiting.len(),
+            };
             let address = self.listing.nodes.get(&node).and_then(|k| k.address);
             let waiting: Vec<LegNo> = pool.waiting.iter().copied().collect();
             match (pool.pool.wanted(self.now, present), address) {
@@ -1312,8 +1597,15 @@
         if self.one_at_a_time {
             self.looks.insert((self.now + self.handshake, node));
         }
-        self.pools.get_mut(&node).into_iter().for_each(|p| p.conns.push(conn));
-        self.out.push(Output::Dial { conn, node, address });
+        self.pools
+            .get_mut(&node)
+            .into_iter()
+            .for_each(|p| p.conns.push(conn));
+        self.out.push(Output::Dial {
+            conn,
+            node,
+            address,
+        });
     }
 
     /// Whether there may be one more connection to nodes; where all are spoken for, the one that has been
@@ -1322,16 +1614,24 @@
         if self.conns.len() < self.bounds().node_connections {
             return true;
         }
-        let idle = self.conns.iter().filter(|(_, c)| c.outbox.is_some() && c.legs.is_empty());
+        let idle = self
+            .conns
+            .iter()
+            .filter(|(_, c)| c.outbox.is_some() && c.legs.is_empty());
         let oldest = idle.min_by_key(|(_, c)| c.idle_since).map(|(id, _)| *id);
-        oldest.into_iter().for_each(|conn| self.node_conn_gone(conn));
+        oldest
+            .into_iter()
+            .for_each(|conn| self.node_conn_gone(conn));
         oldest.is_some()
     }
 
     fn close_idle(&mut self, node: NodeId, since: Duration) {
-        let Some(pool) = self.pools.get(&node) else { return };
+        let Some(pool) = self.pools.get(&node) else {
+            return;
+        };
         for conn in pool.conns.clone() {
-            let idle = |c: &NodeConn| c.outbox.is_some() && c.legs.is_empty() && c.idle_since <= since;
+            let idle =
+                |c: &NodeConn| c.outbox.is_some() && c.legs.is_empty() && c.idle_since <= since;
             if self.conns.get(&conn).is_some_and(idle) {
                 self.node_conn_gone(conn);
             }
@@ -1340,25 +1640,40 @@
 
     /// What a dial to a process that is no more still brings up is closed: it is nobody's.
     fn forget_dials(&mut self, node: NodeId) {
-        let Some(pool) = self.pools.get_mut(&node) else { return };
-        let (dials, up) =
-            pool.conns.iter().partition(|c| self.conns.get(c).is_some_and(|c| c.outbox.is_none()));
+        let Some(pool) = self.pools.get_mut(&node) else {
+            return;
+        };
+        let (dials, up) = pool
+            .conns
+            .iter()
+            .partition(|c| self.conns.get(c).is_some_and(|c| c.outbox.is_none()));
         pool.conns = up;
         let dials: Vec<ConnId> = dials;
-        dials.into_iter().for_each(|conn| _ = self.conns.remove(&conn));
+        dials
+            .into_iter()
+            .for_each(|conn| _ = self.conns.remove(&conn));
         self.touched.insert(node);
     }
 
     fn probe(&mut self, node: NodeId) {
-        let conns = self.pools.get(&node).map(|p| p.conns.clone()).unwrap_or_default();
+        let conns = self
+            .pools
+            .get(&node)
+            .map(|p| p.conns.clone())
+            .unwrap_or_default();
         let probe = self.number();
-        let up = conns.into_iter().find_map(|c| Some((c, self.conns.get(&c)?.outbox.clone()?)));
+        let up = conns
+            .into_iter()
+            .find_map(|c| Some((c, self.conns.get(&c)?.outbox.clone()?)));
         match up {
             Some((conn, outbox)) => {
                 outbox.put(frame(Body::Probe(pb::Probe { probe })));
                 self.probes.insert(probe, (node, conn));
             }
-            None => self.events.push(Event::Probed { node, end: LegEnd::NoConnection }),
+            None => self.events.push(Event::Probed {
+                node,
+                end: LegEnd::NoConnection,
+            }),
         }
     }
 
@@ -1393,13 +1708,19 @@
     /// ask again. Guards a start against a list that takes longer than a call may take later, which would
     /// never be had. Harm: a call that is lost then is found so much later.
     fn list_patience(&self) -> Duration {
-        let renewal = self.renewal.as_ref().filter(|_| !self.listing.nodes.is_empty());
+        let renewal = self
+            .renewal
+            .as_ref()
+            .filter(|_| !self.listing.nodes.is_empty());
         renewal.map_or(self.bounds().patience, |r| r.call)
     }
 
     /// Calls the list where the decisions would wait for too long. What they ask for later finds the watch.
     fn renew_list(&mut self, event: Option<renewal::Event>) {
-        let renewal = self.renewal.as_mut().filter(|_| !self.listing.nodes.is_empty());
+        let renewal = self
+            .renewal
+            .as_mut()
+            .filter(|_| !self.listing.nodes.is_empty());
         let due = renewal.and_then(|r| r.step(self.now, event));
         if let (Some(renewal::Action::Call), None) = (due, self.list.conn) {
             self.list.wanted.push(Body::Watch(pb::Watch { on: true }));
@@ -1414,7 +1735,10 @@
         self.list = ListLink::default();
         self.note(format!("list of nodes: {why}"));
         self.renew_list(Some(renewal::Event::Failed));
-        self.events.push(Event::List { kind: ListKind::NotHad, entries: Vec::new() });
+        self.events.push(Event::List {
+            kind: ListKind::NotHad,
+            entries: Vec::new(),
+        });
     }
 
     fn is_former(&self, conn: ConnId) -> bool {
@@ -1425,25 +1749,47 @@
         match l.kind() {
             pb::ListKind::Changes => self.entries(ListKind::Changes, &l.entries, l.revision),
             pb::ListKind::Whole => self.entries(ListKind::Whole, &l.entries, l.revision),
-            _ => self.events.push(Event::List { kind: ListKind::NotHad, entries: Vec::new() }),
+            _ => self.events.push(Event::List {
+                kind: ListKind::NotHad,
+                entries: Vec::new(),
+            }),
         }
     }
 
     fn entries(&mut self, kind: ListKind, entries: &[pb::Entry], revision: u64) {
-        let before: BTreeMap<NodeId, (u64, Option<SocketAddr>)> =
-            self.listing.nodes.iter().map(|(id, k)| (*id, (k.start, k.address))).collect();
-        let read: Vec<ListEntry> =
-            entries.iter().filter_map(|e| self.listing.read(e, self.now, revision)).collect();
+        let before: BTreeMap<NodeId, (u64, Option<SocketAddr>)> = self
+            .listing
+            .nodes
+            .iter()
+            .map(|(id, k)| (*id, (k.start, k.address)))
+            .collect();
+        let read: Vec<ListEntry> = entries
+            .iter()
+            .filter_map(|e| self.listing.read(e, self.now, revision))
+            .collect();
         if read.len() < entries.len() {
-            self.note(format!("list of nodes: {} entries without a state", entries.len() - read.len()));
-        }
-        let mut left =
-            if kind == ListKind::Changes { Vec::new() } else { self.listing.only(&read, revision) };
-        let read: Vec<ListEntry> =
-            read.into_iter().map(|e| ListEntry { state: self.state_of(e.node, e.state), ..e }).collect();
+            self.note(format!(
+                "list of nodes: {} entries without a state",
+                entries.len() - read.len()
+            ));
+        }
+        let mut left = if kind == ListKind::Changes {
+            Vec::new()
+        } else {
+            self.listing.only(&read, revision)
+        };
+        let read: Vec<ListEntry> = read
+            .into_iter()
+            .map(|e| ListEntry {
+                state: self.state_of(e.node, e.state),
+                ..e
+            })
+            .collect();
         for e in &read {
             let known = &self.listing.nodes[&e.node];
-            let renewed = before.get(&e.node).is_some_and(|b| *b != (known.start, known.address));
+            let renewed = before
+                .get(&e.node)
+                .is_some_and(|b| *b != (known.start, known.address));
             if renewed {
                 self.unsure.remove(&e.node); // another process knows nothing of what the last one ran
             }
@@ -1451,7 +1797,10 @@
                 left.push(e.node);
             }
             if renewed {
-                self.pools.get_mut(&e.node).into_iter().for_each(|p| p.pool.renew());
+                self.pools
+                    .get_mut(&e.node)
+                    .into_iter()
+                    .for_each(|p| p.pool.renew());
                 self.forget_dials(e.node);
             }
             // What is open leads to a process that is no more.
@@ -1459,7 +1808,10 @@
                 self.close_idle(e.node, self.now);
             }
         }
-        self.events.push(Event::List { kind, entries: read });
+        self.events.push(Event::List {
+            kind,
+            entries: read,
+        });
         left.into_iter().for_each(|node| self.take_back(node));
         self.list_changed = kind != ListKind::Remembered;
         self.tell_nodes();
@@ -1474,9 +1826,14 @@
         for c in self.conns.values().filter(|c| !c.legs.is_empty()) {
             stale.extend(c.outbox.iter().flat_map(|o| o.stale(since, self.now)));
         }
-        let dialled = self.now.saturating_sub(self.bounds().dial_timeout.max(self.bounds().linger));
+        let dialled = self
+            .now
+            .saturating_sub(self.bounds().dial_timeout.max(self.bounds().linger));
         for pool in self.pools.values().filter(|p| !p.waiting.is_empty()) {
-            let old = pool.waiting.iter().filter(|l| self.legs.get(l).is_some_and(|l| l.sent < dialled));
+            let old = pool
+                .waiting
+                .iter()
+                .filter(|l| self.legs.get(l).is_some_and(|l| l.sent < dialled));
             stale.extend(old.copied());
         }
         // Each end lets others go, maybe one that is listed here: only what is now taken back never crossed.
@@ -1485,13 +1842,22 @@
                 continue;
             }
             let timely = self.legs.get(&leg).is_some_and(|l| l.until > self.now);
-            let end = if timely { LegEnd::NoConnection } else { LegEnd::Moot };
+            let end = if timely {
+                LegEnd::NoConnection
+            } else {
+                LegEnd::Moot
+            };
             self.end_leg(leg, end, self.now, None);
         }
         // A dial that reports nothing, for whatever reason, must not keep its node's legs waiting.
         let dialled = self.now.saturating_sub(self.bounds().dial_timeout * 2);
         let lost = |c: &NodeConn| c.outbox.is_none() && c.idle_since < dialled;
-        let lost: Vec<ConnId> = self.conns.iter().filter(|(_, c)| lost(c)).map(|(id, _)| *id).collect();
+        let lost: Vec<ConnId> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| lost(c))
+            .map(|(id, _)| *id)
+            .collect();
         lost.into_iter().for_each(|conn| self.node_conn_gone(conn));
         let idle = self.now.saturating_sub(self.bounds().idle);
         let old = |c: &&NodeConn| c.outbox.is_some() && c.legs.is_empty() && c.idle_since < idle;
@@ -1500,13 +1866,17 @@
         self.tell_sights();
         self.tell_figures();
         if std::mem::take(&mut self.list_changed) {
-            self.out.push(Output::Remember { bytes: self.listing.to_bytes(self.now) });
+            self.out.push(Output::Remember {
+                bytes: self.listing.to_bytes(self.now),
+            });
         }
     }
 
     /// Tells the state service what has changed of how this host sees nodes.
     fn tell_sights(&mut self) {
-        let Some(follows) = self.plans.follow().map(|f| f.ledger().version().0) else { return };
+        let Some(follows) = self.plans.follow().map(|f| f.ledger().version().0) else {
+            return;
+        };
         if !self.plans.is_up() {
             return;
         }
@@ -1514,14 +1884,26 @@
         let mut heard = BTreeMap::new();
         for f in self.control.nodes() {
             let lately = (!f.heard.is_zero()).then(|| since(f.heard));
-            heard.insert(f.node, Heard { ease: f.ease, bad_row: f.bad_row, since: lately });
+            heard.insert(
+                f.node,
+                Heard {
+                    ease: f.ease,
+                    bad_row: f.bad_row,
+                    since: lately,
+                },
+            );
         }
         let rows = self.listing.nodes.iter().map(|(node, k)| {
             let before = self.sights.answers(node.0);
-            let answers = heard.get(node).map_or(Answers::None, |h| Answers::of(*h, before));
+            let answers = heard
+                .get(node)
+                .map_or(Answers::None, |h| Answers::of(*h, before));
             // What is out at a node that serves changes all the time, and nobody waits for it to end.
             let drained = self.drained.contains(node);
-            let unsure = self.unsure.get(node).map_or(Duration::ZERO, |u| u.saturating_sub(now));
+            let unsure = self
+                .unsure
+                .get(node)
+                .map_or(Duration::ZERO, |u| u.saturating_sub(now));
             pb::NodeSight {
                 node: node.0,
                 listed: match k.state {
@@ -1540,9 +1922,16 @@
                 }
                 .into(),
                 follows: if drained { follows } else { 0 },
-                legs: if drained { self.out_at.get(node).copied().unwrap_or(0) } else { 0 },
+                legs: if drained {
+                    self.out_at.get(node).copied().unwrap_or(0)
+                } else {
+                    0
+                },
                 unsure_us: if drained { clock::micros(unsure) } else { 0 },
-                extents: self.holds.as_ref().map(|h| h.get(&k.cell.0).copied().unwrap_or(0)),
+                extents: self
+                    .holds
+                    .as_ref()
+                    .map(|h| h.get(&k.cell.0).copied().unwrap_or(0)),
             }
         });
         let nodes = self.sights.news(rows.collect::<Vec<_>>());
@@ -1559,7 +1948,12 @@
         self.figures_at = self.now + figures::EVERY;
         let c = self.counts;
         let head = pb::Figures {
-            host: self.settings.hosts.get(self.me).map(|h| h.name.clone()).unwrap_or_default(),
+            host: self
+                .settings
+                .hosts
+                .get(self.me)
+                .map(|h| h.name.clone())
+                .unwrap_or_default(),
             open: self.xfers.len() as u64,
             held_bytes: self.held_bytes as u64,
             taken: c.taken + c.turned_away,
@@ -1573,12 +1967,21 @@
             longest_us: clock::micros(self.longest),
             ..pb::Figures::default()
         };
-        let head = self.sharing.iter().fold(head, |head, s| s.figures(self.now, &self.settings, head));
+        let head = self
+            .sharing
+            .iter()
+            .fold(head, |head, s| s.figures(self.now, &self.settings, head));
         let starts = |node: NodeId| self.listing.nodes.get(&node).map_or(0, |k| k.start);
         let figures = self.service.tell(self.now, &self.control, starts, head);
-        let unread: Vec<ConnId> =
-            self.watchers.iter().filter(|(_, o)| o.bytes() > MOST_UNREAD).map(|w| *w.0).collect();
-        unread.into_iter().for_each(|conn| self.throw_out(conn, "a watcher leaves its figures unread"));
+        let unread: Vec<ConnId> = self
+            .watchers
+            .iter()
+            .filter(|(_, o)| o.bytes() > MOST_UNREAD)
+            .map(|w| *w.0)
+            .collect();
+        unread
+            .into_iter()
+            .for_each(|conn| self.throw_out(conn, "a watcher leaves its figures unread"));
         for outbox in self.watchers.values() {
             outbox.put(frame(Body::Figures(Box::new(figures.clone()))));
         }
@@ -1589,7 +1992,14 @@
             Action::Send { id, node, until } => self.send(id, node, until),
             Action::Defer { id, come_back } => {
                 let come_back_us = come_back.map(clock::micros);
-                self.finish(id, pb::Outcome::Deferred, pb::Final { come_back_us, ..Default::default() });
+                self.finish(
+                    id,
+                    pb::Outcome::Deferred,
+                    pb::Final {
+                        come_back_us,
+                        ..Default::default()
+                    },
+                );
             }
             Action::Abandon { id } => self.finish(id, pb::Outcome::Abandoned, pb::Final::default()),
             Action::CancelLeg { id, leg } => self.cancel(id, leg),
@@ -1615,7 +2025,12 @@
         if self.draining.is_some() {
             return;
         }
-        let longest = self.xfers.values().map(|x| x.expiry).max().unwrap_or(self.now);
+        let longest = self
+            .xfers
+            .values()
+            .map(|x| x.expiry)
+            .max()
+            .unwrap_or(self.now);
         self.draining = Some(longest + self.bounds().patience);
         self.note(format!("draining: {} transfers held", self.xfers.len()));
         for c in self.clients.values() {
@@ -1625,7 +2040,9 @@
 
     /// A client that reads nothing must not keep a drained host up: there is a last moment.
     fn end_when_drained(&mut self) {
-        let Some(last) = self.draining.filter(|_| !self.ended) else { return };
+        let Some(last) = self.draining.filter(|_| !self.ended) else {
+            return;
+        };
         let answered = self.xfers.values().all(|x| x.over);
         let written = || self.clients.values().all(|c| c.outbox.is_flushed());
         if self.now >= last || (answered && written()) {
@@ -1637,7 +2054,10 @@
 
 /// A frame whose time is set when it is written.
 fn frame(body: Body) -> pb::Frame {
-    pb::Frame { sent_us: 0, body: Some(body) }
+    pb::Frame {
+        sent_us: 0,
+        body: Some(body),
+    }
 }
 
 #[cfg(test)]
--- a/crates/host/src/desk/tests.rs
+++ b/crates/host/src/desk/tests.rs
@@ -10,13 +10,24 @@
         r.take(1, 1);
         let conn = r.connect();
         let legs = if crossed { r.legs(conn) } else { Vec::new() };
-        r.desk.act(Action::CancelLeg { id: XferId([1; 36]), leg: 0 });
+        r.desk.act(Action::CancelLeg {
+            id: XferId([1; 36]),
+            leg: 0,
+        });
         r.feed(vec![]);
         let told: Vec<Body> = r.cross(conn);
-        let calls_off = |b: &Body| matches!(b, Body::CancelLeg(c) if legs.iter().any(|l| l.leg == c.leg));
-        assert_eq!((told.len(), told.iter().all(calls_off)), (usize::from(crossed), true));
+        let calls_off =
+            |b: &Body| matches!(b, Body::CancelLeg(c) if legs.iter().any(|l| l.leg == c.leg));
+        assert_eq!(
+            (told.len(), told.iter().all(calls_off)),
+            (usize::from(crossed), true)
+        );
         // It never ran, so trying again is harmless; or nobody knows.
-        let end = if crossed { pb::Outcome::Abandoned } else { pb::Outcome::Deferred };
+        let end = if crossed {
+            pb::Outcome::Abandoned
+        } else {
+            pb::Outcome::Deferred
+        };
         assert_eq!(r.finals(), [(1, end)]);
     }
 }
@@ -27,7 +38,13 @@
     r.take(1, 0);
     let conn = r.connect();
     let leg = r.legs(conn)[0].leg;
-    r.frames(conn, Body::Begun(pb::Begun { leg, ..Default::default() }));
+    r.frames(
+        conn,
+        Body::Begun(pb::Begun {
+            leg,
+            ..Default::default()
+        }),
+    );
     assert!(matches!(&r.cross(CLIENT)[..], [Body::Begun(b)] if b.id[0] == 1));
     r.wait(ms(4000));
     assert_eq!(r.finals(), [], "it belongs to the client");
@@ -39,7 +56,13 @@
 fn a_probe_goes_out_where_there_is_a_connection_and_idle_ones_close() {
     let mut r = Rig::with("");
     r.desk.act(Action::Probe { node: NodeId(1) });
-    assert!(matches!(r.desk.events[..], [Event::Probed { end: LegEnd::NoConnection, .. }]));
+    assert!(matches!(
+        r.desk.events[..],
+        [Event::Probed {
+            end: LegEnd::NoConnection,
+            ..
+        }]
+    ));
     r.take(1, 0);
     let conn = r.connect();
     let leg = r.legs(conn)[0].leg;
@@ -51,7 +74,13 @@
         [Body::Probe(p)] => p.probe,
         other => panic!("{other:?}"),
     };
-    r.frames(conn, Body::Probed(pb::Probed { probe, result: pb::Result::Ok.into() }));
+    r.frames(
+        conn,
+        Body::Probed(pb::Probed {
+            probe,
+            result: pb::Result::Ok.into(),
+        }),
+    );
     assert!(r.desk.probes.is_empty());
     r.desk.act(Action::CloseIdle { node: NodeId(1) });
     assert!(r.boxes[&conn].is_closed());
@@ -60,10 +89,23 @@
 #[test]
 fn words_go_to_one_host_or_all_and_are_heard() {
     let mut r = Rig::with("");
-    r.desk.act(Action::Tell { to: Some(PeerId(2)), bytes: b"hi".to_vec() });
-    let told = Output::Tell { to: Some(PeerId(2)), bytes: b"hi".to_vec() };
+    r.desk.act(Action::Tell {
+        to: Some(PeerId(2)),
+        bytes: b"hi".to_vec(),
+    });
+    let told = Output::Tell {
+        to: Some(PeerId(2)),
+        bytes: b"hi".to_vec(),
+    };
     assert_eq!(
-        r.desk.step(ms(100_000), [Input::Word { from: PeerId(1), waited: ms(0), bytes: vec![] }]),
+        r.desk.step(
+            ms(100_000),
+            [Input::Word {
+                from: PeerId(1),
+                waited: ms(0),
+                bytes: vec![]
+            }]
+        ),
         [told]
     );
 }
--- a/crates/host/src/figures.rs
+++ b/crates/host/src/figures.rs
@@ -60,31 +60,56 @@
 
     /// `starts`: which start of a node's process the list told.
     pub fn tell(
-        &mut self, now: Duration, control: &Control, starts: impl Fn(NodeId) -> u64, head: pb::Figures,
+        &mut self,
+        now: Duration,
+        control: &Control,
+        starts: impl Fn(NodeId) -> u64,
+        head: pb::Figures,
     ) -> pb::Figures {
         let mut done = std::mem::take(&mut self.done);
         let mut nodes = Vec::new();
         for f in control.nodes() {
             let units = done.remove(&f.node).unwrap_or_default();
             let row = node_pb(&f, now, starts(f.node), units);
-            let still = |r: &pb::NodeFigure| pb::NodeFigure { heard_us: None, up_us: None, ..*r };
-            if self.told.get(&f.node).is_none_or(|t| still(t) != still(&row)) {
+            let still = |r: &pb::NodeFigure| pb::NodeFigure {
+                heard_us: None,
+                up_us: None,
+                ..*r
+            };
+            if self
+                .told
+                .get(&f.node)
+                .is_none_or(|t| still(t) != still(&row))
+            {
                 self.told.insert(f.node, row);
                 nodes.push(row);
             }
         }
-        let held = control.held(LINES).iter().map(|h| held_pb(h, now)).collect();
+        let held = control
+            .held(LINES)
+            .iter()
+            .map(|h| held_pb(h, now))
+            .collect();
         let service = std::mem::take(&mut self.counts).into_iter();
-        let service = service.map(|((second, volume, cell), (asked, timely, late))| pb::ServiceFigure {
-            second,
-            volume,
-            cell,
-            asked,
-            timely,
-            late,
-        });
+        let service =
+            service.map(
+                |((second, volume, cell), (asked, timely, late))| pb::ServiceFigure {
+                    second,
+                    volume,
+                    cell,
+                    asked,
+                    timely,
+                    late,
+                },
+            );
         let service = service.collect();
-        pb::Figures { nodes, held, service, at_us: micros(now), ..head }
+        pb::Figures {
+            nodes,
+            held,
+            service,
+            at_us: micros(now),
+            ..head
+        }
     }
 }
 
--- a/crates/host/src/following.rs
+++ b/crates/host/src/following.rs
@@ -77,8 +77,15 @@
 impl Following {
     /// What the settings declare.
     pub fn declared(s: &Settings) -> Self {
-        let plans = s.plans.iter().enumerate().map(|(n, p)| (Name::from(p.name.as_str()), PlanId(n)));
-        let volumes = s.volumes.iter().map(|v| (VolumeId(v.id), (PlanId(v.plan), v.hosts.len(), true)));
+        let plans = s
+            .plans
+            .iter()
+            .enumerate()
+            .map(|(n, p)| (Name::from(p.name.as_str()), PlanId(n)));
+        let volumes = s
+            .volumes
+            .iter()
+            .map(|v| (VolumeId(v.id), (PlanId(v.plan), v.hosts.len(), true)));
         Following {
             follow: None,
             heard: Vec::new(),
@@ -100,12 +107,20 @@
     pub fn of(s: &Settings, host: &str, start: Start, seed: u64) -> Self {
         let follow = Some(Follow::new(host.into(), start, s.bounds.linger));
         let (rng, volumes) = (Pcg64Mcg::seed_from_u64(seed), HashMap::new());
-        Following { follow, rng, volumes, ..Following::declared(s) }
+        Following {
+            follow,
+            rng,
+            volumes,
+            ..Following::declared(s)
+        }
     }
 
     pub fn standing(&self, volume: VolumeId) -> Standing {
         match (self.volumes.get(&volume), &self.follow) {
-            (Some((plan, hosts, true)), _) => Standing::Here { plan: *plan, hosts: *hosts },
+            (Some((plan, hosts, true)), _) => Standing::Here {
+                plan: *plan,
+                hosts: *hosts,
+            },
             (Some(_), _) => Standing::Elsewhere,
             (None, Some(f)) if !f.knows() => Standing::Untold,
             (None, _) => Standing::Nowhere,
@@ -128,12 +143,19 @@
     /// Nodes that somebody wants empty, by all that was followed.
     pub fn drained(&self) -> Vec<u32> {
         let follow = self.follow.iter();
-        follow.flat_map(|f| f.ledger().drains()).filter(|(_, d)| d.holds()).map(|(node, _)| node).collect()
+        follow
+            .flat_map(|f| f.ledger().drains())
+            .filter(|(_, d)| d.holds())
+            .map(|(node, _)| node)
+            .collect()
     }
 
     /// Whether they may be others since this was last asked.
     pub fn drains_changed(&mut self) -> bool {
-        let version = self.follow.as_ref().map_or(Version(0), |f| f.ledger().version());
+        let version = self
+            .follow
+            .as_ref()
+            .map_or(Version(0), |f| f.ledger().version());
         std::mem::replace(&mut self.drains_of, version) != version
     }
 
@@ -143,7 +165,12 @@
     }
 
     pub fn put(&self, body: Body) {
-        self.outbox.iter().for_each(|o| o.put(pb::Frame { sent_us: 0, body: Some(body.clone()) }));
+        self.outbox.iter().for_each(|o| {
+            o.put(pb::Frame {
+                sent_us: 0,
+                body: Some(body.clone()),
+            })
+        });
     }
 
     pub fn up(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
@@ -183,8 +210,13 @@
         }
         match body {
             Body::Feed(f) => self.feed(f)?,
-            Body::FeedBehind(b) => self.heard.push(follow::Event::Behind { call: Call(b.call) }),
-            Body::Refused(r) => self.heard.push(follow::Event::Refused { call: Call(r.call), why: r.why }),
+            Body::FeedBehind(b) => self
+                .heard
+                .push(follow::Event::Behind { call: Call(b.call) }),
+            Body::Refused(r) => self.heard.push(follow::Event::Refused {
+                call: Call(r.call),
+                why: r.why,
+            }),
             Body::GoingAway(_) => {}
             _ => return Err("the state service said what is not for it to say".into()),
         }
@@ -208,13 +240,21 @@
             self.part = Some(whole);
             return Ok(());
         }
-        let entries = whole.entries.into_iter().map(entry_of).collect::<Result<Vec<_>, _>>();
+        let entries = whole
+            .entries
+            .into_iter()
+            .map(entry_of)
+            .collect::<Result<Vec<_>, _>>();
         let entries = entries.map_err(|e| e.to_string())?;
         let came = match whole.whole {
             false => Came::Entries(entries),
             true => {
                 let state = changes_of(whole.state).map_err(|e| e.to_string())?;
-                Came::Whole { at: Version(whole.at), state, entries }
+                Came::Whole {
+                    at: Version(whole.at),
+                    state,
+                    entries,
+                }
             }
         };
         self.heard.push(follow::Event::Granted {
@@ -241,7 +281,10 @@
 
     /// `number` gives connections their numbers.
     pub fn step(
-        &mut self, now: Duration, events: &mut Vec<Event>, mut number: impl FnMut() -> u64,
+        &mut self,
+        now: Duration,
+        events: &mut Vec<Event>,
+        mut number: impl FnMut() -> u64,
     ) -> Vec<Out> {
         let mut out = Vec::new();
         if self.follow.is_none() {
@@ -264,26 +307,49 @@
         }
         for action in follow.step(now, std::mem::take(&mut self.heard)) {
             match action {
-                Action::Ask { call, era, has, settled, sure } => {
+                Action::Ask {
+                    call,
+                    era,
+                    has,
+                    settled,
+                    sure,
+                } => {
                     let (has, settled, sure) = (has.0, settled.0, sure.0);
-                    let body = Body::Follow(pb::Follow { call: call.0, era: era.0, has, settled, sure });
+                    let body = Body::Follow(pb::Follow {
+                        call: call.0,
+                        era: era.0,
+                        has,
+                        settled,
+                        sure,
+                    });
                     self.put(body);
                 }
                 Action::Confirm { era, has } => {
-                    let body = Body::Confirm(pb::Confirm { era: era.0, has: has.0 });
+                    let body = Body::Confirm(pb::Confirm {
+                        era: era.0,
+                        has: has.0,
+                    });
                     self.put(body);
                 }
                 Action::Keep(k) => {
                     let ledger = self.follow.as_ref().expect("looked at above").ledger();
                     let mut keeps = vec![Keep::Era(k.era)];
                     if k.whole {
-                        let (version, trail) = (ledger.version(), ledger.trail().cloned().collect());
-                        keeps.push(Keep::Whole { version, state: ledger.state().collect(), trail });
+                        let (version, trail) =
+                            (ledger.version(), ledger.trail().cloned().collect());
+                        keeps.push(Keep::Whole {
+                            version,
+                            state: ledger.state().collect(),
+                            trail,
+                        });
                     } else {
                         keeps.extend(k.entries.into_iter().map(Keep::Entry));
                     }
                     keeps.push(Keep::Settled(k.settled));
-                    out.push(Out::Keep { number: k.number, keeps });
+                    out.push(Out::Keep {
+                        number: k.number,
+                        keeps,
+                    });
                 }
                 Action::Plan { name, plan } => events.push(self.plan(name, plan)),
                 Action::Volume { id, terms } => events.push(self.volume(VolumeId(id), terms)),
@@ -313,15 +379,29 @@
     fn volume(&mut self, volume: VolumeId, terms: Option<follow::Terms>) -> Event {
         let Some(t) = terms.filter(|t| t.mine) else {
             // What went elsewhere is known as such; what is no more is not.
-            match self.follow.as_ref().and_then(|f| f.ledger().volume(volume.0)) {
+            match self
+                .follow
+                .as_ref()
+                .and_then(|f| f.ledger().volume(volume.0))
+            {
                 Some(_) => _ = self.volumes.insert(volume, (PlanId(0), 0, false)),
                 None => _ = self.volumes.remove(&volume),
             }
-            return Event::Volume { volume, terms: None };
+            return Event::Volume {
+                volume,
+                terms: None,
+            };
         };
         let plan = self.plans.get(&t.plan).copied().unwrap_or(PlanId(0));
         self.volumes.insert(volume, (plan, t.hosts, true));
         let limit = t.part.map(|p| (p.rate, p.burst));
-        Event::Volume { volume, terms: Some(Terms { plan, hosts: t.hosts, limit }) }
+        Event::Volume {
+            volume,
+            terms: Some(Terms {
+                plan,
+                hosts: t.hosts,
+                limit,
+            }),
+        }
     }
 }
--- a/crates/host/src/listing.rs
+++ b/crates/host/src/listing.rs
@@ -38,20 +38,42 @@
             pb::NodeState::NodeUnknown => return None,
         };
         let node = NodeId(e.node);
-        let reckoned = e.up_us.map(|us| now.saturating_sub(Duration::from_micros(us)));
-        let before = self.nodes.get(&node).filter(|k| k.start == e.start && k.started.is_some());
+        let reckoned = e
+            .up_us
+            .map(|us| now.saturating_sub(Duration::from_micros(us)));
+        let before = self
+            .nodes
+            .get(&node)
+            .filter(|k| k.start == e.start && k.started.is_some());
         let started = before.map_or(reckoned, |k| k.started);
         let (zone, cell) = (ZoneId(e.zone), CellId(e.cell));
         let address = e.address.parse().ok();
-        let known = Known { address, state, start: e.start, zone, cell, started, revision };
+        let known = Known {
+            address,
+            state,
+            start: e.start,
+            zone,
+            cell,
+            started,
+            revision,
+        };
         self.nodes.insert(node, known);
-        Some(ListEntry { node, zone, cell, state, started })
+        Some(ListEntry {
+            node,
+            zone,
+            cell,
+            state,
+            started,
+        })
     }
 
     /// Nodes that a whole list no longer names are gone; answers which.
     pub fn only(&mut self, named: &[ListEntry], revision: u64) -> Vec<NodeId> {
         let there = |id: &NodeId| named.iter().any(|e| e.node == *id);
-        let gone = self.nodes.iter_mut().filter(|(id, k)| k.state != NodeState::Gone && !there(id));
+        let gone = self
+            .nodes
+            .iter_mut()
+            .filter(|(id, k)| k.state != NodeState::Gone && !there(id));
         gone.map(|(id, k)| {
             (k.state, k.revision) = (NodeState::Gone, revision);
             *id
@@ -61,18 +83,29 @@
 
     /// The list as a file's bytes, to be remembered.
     pub fn to_bytes(&self, now: Duration) -> Vec<u8> {
-        let there = self.nodes.iter().filter(|(_, k)| k.state != NodeState::Gone);
+        let there = self
+            .nodes
+            .iter()
+            .filter(|(_, k)| k.state != NodeState::Gone);
         let entries = there.map(|(id, k)| pb::Entry {
             node: id.0,
             zone: k.zone.0,
             cell: k.cell.0,
-            state: if k.state == NodeState::Ready { pb::NodeState::Ready } else { pb::NodeState::Draining }
-                .into(),
+            state: if k.state == NodeState::Ready {
+                pb::NodeState::Ready
+            } else {
+                pb::NodeState::Draining
+            }
+            .into(),
             address: k.address.map(|a| a.to_string()).unwrap_or_default(),
             start: k.start,
             up_us: k.started.map(|s| clock::micros(now.saturating_sub(s))),
         });
-        let list = pb::List { kind: pb::ListKind::Whole.into(), revision: 0, entries: entries.collect() };
+        let list = pb::List {
+            kind: pb::ListKind::Whole.into(),
+            revision: 0,
+            entries: entries.collect(),
+        };
         let mut bytes = Vec::new();
         frame::write(&list, &mut bytes);
         bytes
@@ -82,7 +115,9 @@
     pub fn from_bytes(bytes: &[u8]) -> Result<pb::List, frame::FrameFault> {
         let mut reader = frame::Reader::new(bytes.len());
         reader.push(bytes);
-        reader.next()?.ok_or(frame::FrameFault::Message("the file ends early".into()))
+        reader
+            .next()?
+            .ok_or(frame::FrameFault::Message("the file ends early".into()))
     }
 }
 
--- a/crates/host/src/listing/tests.rs
+++ b/crates/host/src/listing/tests.rs
@@ -13,10 +13,17 @@
     };
     let mut l = Listing::default();
     assert_eq!(l.read(&entry(1, 4), s(10), 1).unwrap().started, Some(s(6)));
-    assert_eq!(l.read(&entry(1, 4), s(11), 1).unwrap().started, Some(s(6)), "the message waited a second");
+    assert_eq!(
+        l.read(&entry(1, 4), s(11), 1).unwrap().started,
+        Some(s(6)),
+        "the message waited a second"
+    );
     assert_eq!(l.read(&entry(2, 0), s(12), 2).unwrap().started, Some(s(12)));
     let bytes = l.to_bytes(s(13));
-    assert_eq!(Listing::from_bytes(&bytes).unwrap().entries[0].up_us, Some(1_000_000));
+    assert_eq!(
+        Listing::from_bytes(&bytes).unwrap().entries[0].up_us,
+        Some(1_000_000)
+    );
     assert!(Listing::from_bytes(&bytes[..bytes.len() - 1]).is_err());
     assert_eq!(l.only(&[], 3), [NodeId(3)]);
     assert!(l.only(&[], 3).is_empty());
--- a/crates/host/src/outbox.rs
+++ b/crates/host/src/outbox.rs
@@ -84,8 +84,15 @@
 impl Outbox {
     /// `wake` is called whenever the writer has something new to look at, `hang_up` when it is to end even if
     /// its peer reads nothing.
-    pub fn new(wake: impl Fn() + Send + Sync + 'static, hang_up: impl Fn() + Send + Sync + 'static) -> Self {
-        Outbox { inner: Mutex::default(), wake: Box::new(wake), hang_up: Box::new(hang_up) }
+    pub fn new(
+        wake: impl Fn() + Send + Sync + 'static,
+        hang_up: impl Fn() + Send + Sync + 'static,
+    ) -> Self {
+        Outbox {
+            inner: Mutex::default(),
+            wake: Box::new(wake),
+            hang_up: Box::new(hang_up),
+        }
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
@@ -108,13 +115,27 @@
 
     /// The same, and not once its client is known to have left it.
     pub fn put_leg_of(
-        &self, leg: LegNo, frame: pb::Frame, now: Duration, until: Duration, client: Option<Arc<Outbox>>,
+        &self,
+        leg: LegNo,
+        frame: pb::Frame,
+        now: Duration,
+        until: Duration,
+        client: Option<Arc<Outbox>>,
     ) {
         let size = frame_size(&frame);
         let mut inner = self.lock();
         inner.bytes += size;
         inner.line.push_back(Item::Leg(leg));
-        inner.legs.insert(leg, Waiting { frame, size, put: now, until, client });
+        inner.legs.insert(
+            leg,
+            Waiting {
+                frame,
+                size,
+                put: now,
+                until,
+                client,
+            },
+        );
         drop(inner);
         (self.wake)();
     }
@@ -154,7 +175,12 @@
     /// The legs put before `before`, or whose time is up.
     pub fn stale(&self, before: Duration, now: Duration) -> Vec<LegNo> {
         let inner = self.lock();
-        inner.legs.iter().filter(|(_, w)| w.put < before || w.until <= now).map(|(leg, _)| *leg).collect()
+        inner
+            .legs
+            .iter()
+            .filter(|(_, w)| w.put < before || w.until <= now)
+            .map(|(leg, _)| *leg)
+            .collect()
     }
 
     /// What goes to the socket now, at most about `most` bytes. From here on it counts as crossed; legs whose
@@ -162,7 +188,14 @@
     pub fn pull(&self, clock: impl FnOnce() -> Duration, most: usize) -> Pulled {
         let mut inner = self.lock();
         let now = clock();
-        let (mut pulled, mut size) = (Pulled { at: now, closed: inner.closed, frames: Vec::new() }, 0);
+        let (mut pulled, mut size) = (
+            Pulled {
+                at: now,
+                closed: inner.closed,
+                frames: Vec::new(),
+            },
+            0,
+        );
         let mut late = VecDeque::new();
         let sent_us = grebecleat_wire::clock::micros(now);
         while size < most {
--- a/crates/host/src/outbox/tests.rs
+++ b/crates/host/src/outbox/tests.rs
@@ -5,7 +5,14 @@
 }
 
 fn leg(n: u64) -> pb::Frame {
-    pb::Frame { sent_us: 0, body: Some(Body::Leg(pb::Leg { leg: n, left_us: 1, ..Default::default() })) }
+    pb::Frame {
+        sent_us: 0,
+        body: Some(Body::Leg(pb::Leg {
+            leg: n,
+            left_us: 1,
+            ..Default::default()
+        })),
+    }
 }
 
 fn legs_of(p: &Pulled) -> Vec<(u64, u64)> {
@@ -29,7 +36,10 @@
     assert_eq!(legs_of(&out.pull(|| ms(100), 1000)), []);
     assert_eq!(out.stale(ms(0), ms(100)), [LegNo(4)]);
     assert!(out.revoke(LegNo(4)));
-    assert_eq!((out.bytes(), legs_of(&out.pull(|| ms(101), 1000)).len()), (0, 0));
+    assert_eq!(
+        (out.bytes(), legs_of(&out.pull(|| ms(101), 1000)).len()),
+        (0, 0)
+    );
     assert!(out.is_flushed());
 }
 
@@ -40,11 +50,17 @@
     let id = bytes::Bytes::from_static(b"an id");
     let withdraws = |outbox: &Outbox| {
         let id = bytes::Bytes::from_static(b"an id");
-        outbox.said(&[pb::Frame { sent_us: 0, body: Some(Body::Withdraw(pb::Withdraw { id })) }]);
+        outbox.said(&[pb::Frame {
+            sent_us: 0,
+            body: Some(Body::Withdraw(pb::Withdraw { id })),
+        }]);
     };
     let other = |outbox: &Outbox| {
         let id = bytes::Bytes::from_static(b"another");
-        outbox.said(&[pb::Frame { sent_us: 0, body: Some(Body::Withdraw(pb::Withdraw { id })) }]);
+        outbox.said(&[pb::Frame {
+            sent_us: 0,
+            body: Some(Body::Withdraw(pb::Withdraw { id })),
+        }]);
     };
     let cases: [Case; 4] = [
         ("it waits", |_| (), true),
@@ -55,11 +71,22 @@
     for (what, does, written) in cases {
         let client = Arc::new(Outbox::new(|| (), || ()));
         let out = Outbox::new(|| (), || ());
-        let body = pb::Leg { leg: 1, id: id.clone(), ..Default::default() };
-        let leg = pb::Frame { sent_us: 0, body: Some(Body::Leg(body)) };
+        let body = pb::Leg {
+            leg: 1,
+            id: id.clone(),
+            ..Default::default()
+        };
+        let leg = pb::Frame {
+            sent_us: 0,
+            body: Some(Body::Leg(body)),
+        };
         out.put_leg_of(LegNo(1), leg, ms(1), ms(100), Some(client.clone()));
         does(&client);
-        assert_eq!(legs_of(&out.pull(|| ms(2), 1000)).len(), usize::from(written), "{what}");
+        assert_eq!(
+            legs_of(&out.pull(|| ms(2), 1000)).len(),
+            usize::from(written),
+            "{what}"
+        );
         assert_eq!(out.revoke(LegNo(1)), !written, "{what}: it never ran");
         client.heard(&id);
         assert!(client.lock().withdrawn.len() <= 1, "{what}");
--- a/crates/host/src/pool.rs
+++ b/crates/host/src/pool.rs
@@ -47,7 +47,13 @@
 impl Pool {
     pub fn new(per_connection: usize, most: usize, seed: u64) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        Pool { per_connection, most, bad: 0, not_before: Duration::ZERO, rng }
+        Pool {
+            per_connection,
+            most,
+            bad: 0,
+            not_before: Duration::ZERO,
+            rng,
+        }
     }
 
     pub fn wanted(&self, now: Duration, p: Present) -> Step {
@@ -59,15 +65,22 @@
             // late is no word on the others: behind a lone late dial all that a host had for a node waited.
             // Where dials have failed, it is not the dial: no other is made beside it. Harm: a node that falls
             // silent is dialled up to three times by each host that has something for it, once.
-            Present { dialling, late, up, waiting, .. }
-                if up + dialling - late < want
-                    && dialling - late < waiting.min(up.max(1))
-                    && (late == 0 || late <= MOST_LATE && self.bad == 0)
-                    && now >= self.not_before =>
+            Present {
+                dialling,
+                late,
+                up,
+                waiting,
+                ..
+            } if up + dialling - late < want
+                && dialling - late < waiting.min(up.max(1))
+                && (late == 0 || late <= MOST_LATE && self.bad == 0)
+                && now >= self.not_before =>
             {
                 Step::Dial
             }
-            Present { dialling: 0, up: 0, .. } => Step::Fail,
+            Present {
+                dialling: 0, up: 0, ..
+            } => Step::Fail,
             _ => Step::Nothing,
         }
     }
--- a/crates/host/src/pool/tests.rs
+++ b/crates/host/src/pool/tests.rs
@@ -3,7 +3,13 @@
 #[test]
 fn as_many_dials_as_legs_wait_and_connections_are_up() {
     let (now, pool) = (Duration::from_secs(10), Pool::new(1, 8, 1));
-    let look = |up, dialling, waiting| Present { up, dialling, late: 0, legs: up + waiting, waiting };
+    let look = |up, dialling, waiting| Present {
+        up,
+        dialling,
+        late: 0,
+        legs: up + waiting,
+        waiting,
+    };
     let cases = [
         (look(0, 0, 5), Step::Dial),
         (look(0, 1, 5), Step::Nothing),
@@ -22,7 +28,13 @@
 fn one_dial_at_a_time_and_fewer_after_failures() {
     let now = Duration::from_secs(10);
     let mut pool = Pool::new(10, 2, 1);
-    let look = |up, dialling, legs, waiting| Present { up, dialling, late: 0, legs, waiting };
+    let look = |up, dialling, legs, waiting| Present {
+        up,
+        dialling,
+        late: 0,
+        legs,
+        waiting,
+    };
     let cases = [
         (look(0, 0, 0, 0), Step::Nothing),
         (look(0, 0, 1, 1), Step::Dial),
@@ -46,7 +58,13 @@
 #[test]
 fn beside_a_late_dial_another_is_made_unless_dials_have_failed() {
     let now = Duration::from_secs(10);
-    let look = |up, dialling, late, waiting| Present { up, dialling, late, legs: up + waiting, waiting };
+    let look = |up, dialling, late, waiting| Present {
+        up,
+        dialling,
+        late,
+        legs: up + waiting,
+        waiting,
+    };
     // what there is, whether a dial had failed before, what is done
     let cases = [
         (look(0, 1, 0, 1), false, Step::Nothing),
@@ -65,6 +83,10 @@
         if failed {
             pool.failed(now - MOST_WAIT);
         }
-        assert_eq!(pool.wanted(now, present), step, "{present:?}, failed before: {failed}");
+        assert_eq!(
+            pool.wanted(now, present),
+            step,
+            "{present:?}, failed before: {failed}"
+        );
     }
 }
--- a/crates/host/src/renewal.rs
+++ b/crates/host/src/renewal.rs
@@ -80,7 +80,15 @@
         let two = term.saturating_sub(call + LOOKS);
         let one = two.saturating_sub(call + SPREAD);
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        Renewal { rng, two, one, call, last: None, before: None, by: None }
+        Renewal {
+            rng,
+            two,
+            one,
+            call,
+            last: None,
+            before: None,
+            by: None,
+        }
     }
 
     pub fn wake_at(&self) -> Option<Duration> {
@@ -96,7 +104,10 @@
                 let latest = [after(self.before, self.two), after(self.last, self.one)];
                 let latest = latest.into_iter().flatten().min();
                 let room = latest.map(|at| at.saturating_sub(now));
-                let early = room.unwrap_or_default().min(SPREAD).mul_f64(self.rng.random());
+                let early = room
+                    .unwrap_or_default()
+                    .min(SPREAD)
+                    .mul_f64(self.rng.random());
                 self.by = latest.map(|at| at.max(now) - early);
             }
             None => {}
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -123,10 +123,20 @@
     pub fn send(&self, bodies: impl IntoIterator<Item = Body>) {
         let at = clock::now();
         let sent_us = clock::micros(at);
-        let frames: Vec<_> = bodies.into_iter().map(|b| pb::Frame { sent_us, body: Some(b) }).collect();
+        let frames: Vec<_> = bodies
+            .into_iter()
+            .map(|b| pb::Frame {
+                sent_us,
+                body: Some(b),
+            })
+            .collect();
         self.tracer.read(self.conn.0, at, &frames);
         self.outbox.said(&frames);
-        let _ = self.to_owner.send(Input::ClientFrames { conn: self.conn, at, frames });
+        let _ = self.to_owner.send(Input::ClientFrames {
+            conn: self.conn,
+            at,
+            frames,
+        });
     }
 
     /// What has come since the last look.
@@ -150,8 +160,16 @@
         let outbox = Arc::new(Outbox::new(wake, || ()));
         let (to_owner, tracer) = (self.to_owner.clone(), self.tracer.clone());
         tracer.opened(conn.0, "inside");
-        let _ = to_owner.send(Input::ClientUp { conn, outbox: outbox.clone() });
-        Local { conn, outbox, to_owner, tracer }
+        let _ = to_owner.send(Input::ClientUp {
+            conn,
+            outbox: outbox.clone(),
+        });
+        Local {
+            conn,
+            outbox,
+            to_owner,
+            tracer,
+        }
     }
 
     pub fn drain(&self) {
@@ -166,7 +184,9 @@
 
 /// Runs a host until it has drained. `started` gets the address it listens on and a handle.
 pub fn run(options: Options, started: impl FnOnce(SocketAddr, Handle)) -> io::Result<Counts> {
-    may::config().set_workers(options.workers.max(1)).set_stack_size(CONNECTION_STACK);
+    may::config()
+        .set_workers(options.workers.max(1))
+        .set_stack_size(CONNECTION_STACK);
     // Bound, as the runtime has it, the n-th worker of every host on a machine shares the n-th processor, and
     // what keeps that one busy keeps all of them from hearing anybody, whatever the others do.
     may::config().set_worker_pin(false);
@@ -191,11 +211,23 @@
     }
     let accepting = shared.clone();
     go!(move || accept(&listener, &accepting));
-    let (owner, owning) = (std::thread::Builder::new().name("owner".into()), shared.clone());
+    let (owner, owning) = (
+        std::thread::Builder::new().name("owner".into()),
+        shared.clone(),
+    );
     let owner = owner.spawn(move || own(&owning, &inputs))?;
     let (tracer, numbers) = (shared.options.tracer.clone(), shared.accepted.clone());
-    started(address, Handle { to_owner, tracer, numbers });
-    owner.join().map_err(|_| io::Error::other("the owner of the decisions panicked"))
+    started(
+        address,
+        Handle {
+            to_owner,
+            tracer,
+            numbers,
+        },
+    );
+    owner
+        .join()
+        .map_err(|_| io::Error::other("the owner of the decisions panicked"))
 }
 
 /// A peer's number, from its place among the settings' hosts.
@@ -212,7 +244,9 @@
 pub fn on_signals_do(end: impl Fn() + Send + 'static) {
     std::thread::spawn(move || {
         let signals = [signal_hook::consts::SIGTERM, signal_hook::consts::SIGINT];
-        let Ok(mut signals) = signal_hook::iterator::Signals::new(signals) else { return };
+        let Ok(mut signals) = signal_hook::iterator::Signals::new(signals) else {
+            return;
+        };
         for (n, _) in signals.forever().enumerate() {
             if n > 0 {
                 warn!("ended by a second signal");
@@ -247,7 +281,8 @@
 
 /// The loop of the one owner of the decisions.
 fn own(shared: &Shared, inputs: &Receiver<Input>) -> Counts {
-    let mut desk = Desk::new(shared.options.settings.clone(), shared.options.seed).at(shared.options.host);
+    let mut desk =
+        Desk::new(shared.options.settings.clone(), shared.options.seed).at(shared.options.host);
     if let Some(link) = &shared.options.state {
         desk = desk.following(&shared.me.name, link.start.clone());
     }
@@ -255,7 +290,11 @@
     desk = desk.sharing(clock::now(), &peers, shared.options.life);
     let (mut batch, mut alive) = (Vec::new(), true);
     // A first step, so that the decisions ask for the list without waiting for a client.
-    batch.push(Input::Word { from: PeerId(u32::MAX), waited: Duration::ZERO, bytes: Vec::new() });
+    batch.push(Input::Word {
+        from: PeerId(u32::MAX),
+        waited: Duration::ZERO,
+        bytes: Vec::new(),
+    });
     while alive {
         let wait = desk.wake_at().saturating_sub(clock::now());
         if batch.is_empty() && !wait.is_zero() {
@@ -288,21 +327,49 @@
         Output::Dial { conn, address, .. } => {
             let up = move |outbox| Input::NodeUp { conn, outbox };
             let frames = move |at, frames| Input::NodeFrames { conn, at, frames };
-            dial(shared, conn, address, pb::Role::Node, up, frames, Input::NodeGone { conn });
+            dial(
+                shared,
+                conn,
+                address,
+                pb::Role::Node,
+                up,
+                frames,
+                Input::NodeGone { conn },
+            );
         }
         Output::DialList { conn } => {
             let up = move |outbox| Input::ListUp { conn, outbox };
             let frames = move |_, frames| Input::ListFrames { conn, frames };
-            dial(shared, conn, shared.options.list, pb::Role::List, up, frames, Input::ListGone { conn });
+            dial(
+                shared,
+                conn,
+                shared.options.list,
+                pb::Role::List,
+                up,
+                frames,
+                Input::ListGone { conn },
+            );
         }
         Output::DialState { conn } => {
-            let Some(link) = &shared.options.state else { return false };
+            let Some(link) = &shared.options.state else {
+                return false;
+            };
             let up = move |outbox| Input::StateUp { conn, outbox };
             let frames = move |_, frames| Input::StateFrames { conn, frames };
-            dial(shared, conn, link.address, pb::Role::State, up, frames, Input::StateGone { conn });
+            dial(
+                shared,
+                conn,
+                link.address,
+                pb::Role::State,
+                up,
+                frames,
+                Input::StateGone { conn },
+            );
         }
         Output::Keep { number, keeps } => {
-            let Some(link) = &shared.options.state else { return false };
+            let Some(link) = &shared.options.state else {
+                return false;
+            };
             let to_owner = shared.to_owner.clone();
             link.keeper.keep(keeps, move |done| {
                 let done = done.map_err(|why| why.to_string());
@@ -310,7 +377,11 @@
             });
         }
         Output::Tell { to, bytes } => {
-            let peers = shared.options.peers.iter().filter(|(p, _)| to.is_none_or(|to| to == *p));
+            let peers = shared
+                .options
+                .peers
+                .iter()
+                .filter(|(p, _)| to.is_none_or(|to| to == *p));
             peers.for_each(|(peer, address)| say(shared, *peer, *address, &bytes));
         }
         Output::Remember { bytes } => {
@@ -324,7 +395,9 @@
             }
         }
         Output::Note { text } => {
-            let word = text.strip_prefix("node ").and_then(|rest| rest.split(' ').next());
+            let word = text
+                .strip_prefix("node ")
+                .and_then(|rest| rest.split(' ').next());
             match word.and_then(|w| w.parse::<u32>().ok()) {
                 Some(node) => info!(host = %shared.me.name, node, "{text}"),
                 None => info!(host = %shared.me.name, "{text}"),
@@ -337,15 +410,20 @@
 
 /// Dials, and serves the connection until it ends; `gone` is told whatever came of it.
 fn dial(
-    shared: &Shared, conn: ConnId, address: SocketAddr, role: pb::Role,
+    shared: &Shared,
+    conn: ConnId,
+    address: SocketAddr,
+    role: pb::Role,
     up: impl FnOnce(Arc<Outbox>) -> Input + Send + 'static,
-    frames: impl Fn(Duration, Vec<pb::Frame>) -> Input + Send + 'static, gone: Input,
+    frames: impl Fn(Duration, Vec<pb::Frame>) -> Input + Send + 'static,
+    gone: Input,
 ) {
     let (shared, timeout) = (shared.clone(), shared.bounds().dial_timeout);
     go!(move || {
         let stream = TcpStream::connect_timeout(&address, timeout);
         let served = stream.map_err(|e| e.to_string());
-        let served = served.and_then(|stream| serve(&shared, conn, stream, role, timeout, up, frames));
+        let served =
+            served.and_then(|stream| serve(&shared, conn, stream, role, timeout, up, frames));
         if let Err(why) = served {
             tracing::debug!(conn = conn.0, %address, "connection over: {why}");
         }
@@ -372,7 +450,10 @@
             Ok((stream, from)) => {
                 if shared.clients.fetch_add(1, Ordering::Relaxed) >= shared.bounds().most_clients {
                     shared.clients.fetch_sub(1, Ordering::Relaxed);
-                    warn!("{from} turned away: {} connections", shared.bounds().most_clients);
+                    warn!(
+                        "{from} turned away: {} connections",
+                        shared.bounds().most_clients
+                    );
                     continue;
                 }
                 let shared = shared.clone();
@@ -401,7 +482,10 @@
 }
 
 fn serve_caller(shared: &Shared, conn: ConnId, stream: TcpStream) -> Result<(), String> {
-    let (bounds, mut reader) = (shared.bounds(), frame::Reader::new(shared.bounds().most_frame));
+    let (bounds, mut reader) = (
+        shared.bounds(),
+        frame::Reader::new(shared.bounds().most_frame),
+    );
     let mut stream = stream;
     let them = greet(&mut stream, &mut reader, &shared.me, bounds.patience)?;
     match them.role() {
@@ -411,7 +495,12 @@
             converse(shared, conn, stream, reader, &them, up, frames)
         }
         pb::Role::Host => {
-            let from = shared.options.settings.hosts.iter().position(|h| h.name == them.name);
+            let from = shared
+                .options
+                .settings
+                .hosts
+                .iter()
+                .position(|h| h.name == them.name);
             let from = PeerId(from.ok_or(format!("unknown host {}", them.name))? as u32);
             let tracer = shared.options.tracer.clone();
             let mut delay = Delay::default();
@@ -420,8 +509,14 @@
                 for f in frames {
                     // What lay in a socket while either side stood still is that much older.
                     let waited = delay.waited(f.sent_us, at);
-                    let Some(Body::Word(w)) = f.body else { return Err("a host sent no word".into()) };
-                    let _ = shared.to_owner.send(Input::Word { from, waited, bytes: w.text.to_vec() });
+                    let Some(Body::Word(w)) = f.body else {
+                        return Err("a host sent no word".into());
+                    };
+                    let _ = shared.to_owner.send(Input::Word {
+                        from,
+                        waited,
+                        bytes: w.text.to_vec(),
+                    });
                 }
                 Ok(())
             })
@@ -461,13 +556,18 @@
 
 /// One connection for all words to a peer, until there is none for a while, or it cannot be written to.
 fn talk(
-    shared: &Shared, address: SocketAddr, waiting: &AtomicUsize, words: &may::sync::mpsc::Receiver<Vec<u8>>,
+    shared: &Shared,
+    address: SocketAddr,
+    waiting: &AtomicUsize,
+    words: &may::sync::mpsc::Receiver<Vec<u8>>,
 ) -> Result<(), String> {
     let timeout = shared.bounds().dial_timeout;
     let mut stream = TcpStream::connect_timeout(&address, timeout).map_err(|e| e.to_string())?;
     let mut reader = frame::Reader::new(shared.bounds().most_frame);
     greet(&mut stream, &mut reader, &shared.me, timeout)?;
-    stream.set_write_timeout(Some(shared.bounds().patience)).map_err(|e| e.to_string())?;
+    stream
+        .set_write_timeout(Some(shared.bounds().patience))
+        .map_err(|e| e.to_string())?;
     while let Ok(text) = words.recv_timeout(shared.bounds().idle) {
         waiting.fetch_sub(1, Ordering::AcqRel);
         let sent_us = clock::micros(clock::now());
@@ -481,19 +581,37 @@
 
 /// Both sides say who they are. A peer of another version is told ours before we hang up.
 fn greet(
-    stream: &mut TcpStream, reader: &mut frame::Reader, me: &pb::Hello, patience: Duration,
+    stream: &mut TcpStream,
+    reader: &mut frame::Reader,
+    me: &pb::Hello,
+    patience: Duration,
 ) -> Result<pb::Hello, String> {
     let _ = stream.set_nodelay(true);
     let sent_us = clock::micros(clock::now());
     let mut bytes = Vec::new();
-    frame::write(&pb::Frame { sent_us, body: Some(Body::Hello(me.clone())) }, &mut bytes);
+    frame::write(
+        &pb::Frame {
+            sent_us,
+            body: Some(Body::Hello(me.clone())),
+        },
+        &mut bytes,
+    );
     stream.write_all(&bytes).map_err(|e| e.to_string())?;
-    stream.set_read_timeout(Some(patience)).map_err(|e| e.to_string())?;
+    stream
+        .set_read_timeout(Some(patience))
+        .map_err(|e| e.to_string())?;
     loop {
-        match reader.next::<pb::Frame>().map_err(|e| e.to_string())?.map(|f| f.body) {
+        match reader
+            .next::<pb::Frame>()
+            .map_err(|e| e.to_string())?
+            .map(|f| f.body)
+        {
             Some(Some(Body::Hello(them))) if them.version == VERSION => return Ok(them),
             Some(Some(Body::Hello(them))) => {
-                return Err(format!("speaks version {}, expected {VERSION}", them.version));
+                return Err(format!(
+                    "speaks version {}, expected {VERSION}",
+                    them.version
+                ));
             }
             Some(_) => return Err("no greeting".into()),
             None => match reader.fill(stream) {
@@ -507,31 +625,53 @@
 
 /// A connection that we dialled: greeting, then reading and writing until it ends.
 fn serve(
-    shared: &Shared, conn: ConnId, mut stream: TcpStream, role: pb::Role, timeout: Duration,
-    up: impl FnOnce(Arc<Outbox>) -> Input, frames: impl Fn(Duration, Vec<pb::Frame>) -> Input,
+    shared: &Shared,
+    conn: ConnId,
+    mut stream: TcpStream,
+    role: pb::Role,
+    timeout: Duration,
+    up: impl FnOnce(Arc<Outbox>) -> Input,
+    frames: impl Fn(Duration, Vec<pb::Frame>) -> Input,
 ) -> Result<(), String> {
     let mut reader = frame::Reader::new(shared.bounds().most_frame);
     let them = greet(&mut stream, &mut reader, &shared.me, timeout)?;
     if them.role() != role {
-        return Err(format!("{} where {} was expected", them.role().as_str_name(), role.as_str_name()));
+        return Err(format!(
+            "{} where {} was expected",
+            them.role().as_str_name(),
+            role.as_str_name()
+        ));
     }
     converse(shared, conn, stream, reader, &them, up, frames)
 }
 
 fn converse(
-    shared: &Shared, conn: ConnId, mut stream: TcpStream, mut reader: frame::Reader, them: &pb::Hello,
-    up: impl FnOnce(Arc<Outbox>) -> Input, frames: impl Fn(Duration, Vec<pb::Frame>) -> Input,
+    shared: &Shared,
+    conn: ConnId,
+    mut stream: TcpStream,
+    mut reader: frame::Reader,
+    them: &pb::Hello,
+    up: impl FnOnce(Arc<Outbox>) -> Input,
+    frames: impl Fn(Duration, Vec<pb::Frame>) -> Input,
 ) -> Result<(), String> {
     let writer = stream.try_clone().map_err(|e| e.to_string())?;
     let tracer = &shared.options.tracer;
     tracer.opened(conn.0, &them.name);
     let outbox = start_writer(writer, conn, tracer.clone());
     let _ = shared.to_owner.send(up(outbox.clone()));
-    let ended = read_on(&mut stream, &mut reader, shared.bounds().patience, |at, read| {
-        tracer.read(conn.0, at, &read);
-        outbox.said(&read);
-        shared.to_owner.send(frames(at, read)).map_err(|_| "the host has ended".to_string())
-    });
+    let ended = read_on(
+        &mut stream,
+        &mut reader,
+        shared.bounds().patience,
+        |at, read| {
+            tracer.read(conn.0, at, &read);
+            outbox.said(&read);
+            shared
+                .to_owner
+                .send(frames(at, read))
+                .map_err(|_| "the host has ended".to_string())
+        },
+    );
     outbox.close();
     tracer.closed(conn.0, &them.name);
     ended
@@ -539,7 +679,9 @@
 
 /// Reads frames until the peer ends; a frame that has begun must go on within the patience.
 fn read_on(
-    stream: &mut TcpStream, reader: &mut frame::Reader, patience: Duration,
+    stream: &mut TcpStream,
+    reader: &mut frame::Reader,
+    patience: Duration,
     mut give: impl FnMut(Duration, Vec<pb::Frame>) -> Result<(), String>,
 ) -> Result<(), String> {
     loop {
@@ -551,12 +693,19 @@
             give(clock::now(), frames)?;
         }
         let begun = reader.partial() > 0;
-        stream.set_read_timeout(begun.then_some(patience)).map_err(|e| e.to_string())?;
+        stream
+            .set_read_timeout(begun.then_some(patience))
+            .map_err(|e| e.to_string())?;
         match reader.fill(stream) {
             Ok(0) if begun => return Err("hung up inside a frame".into()),
             Ok(0) => return Ok(()),
             Ok(_) => {}
-            Err(e) if matches!(e.kind(), io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock) => {
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    io::ErrorKind::TimedOut | io::ErrorKind::WouldBlock
+                ) =>
+            {
                 return Err("half a frame, then silence".into());
             }
             Err(e) => return Err(e.to_string()),
--- a/crates/host/src/sharing.rs
+++ b/crates/host/src/sharing.rs
@@ -39,19 +39,40 @@
 /// A part of the rate; the burst stays, but for a host that must use nothing.
 fn limit_times(terms: Terms, times: f64) -> Terms {
     let burst_times = f64::from(u8::from(times > 0.0));
-    Terms { limit: terms.limit.map(|(rate, burst)| (rate * times, burst * burst_times)), ..terms }
+    Terms {
+        limit: terms
+            .limit
+            .map(|(rate, burst)| (rate * times, burst * burst_times)),
+        ..terms
+    }
 }
 
 impl Sharing {
     /// None where the settings name no fleet, or nobody is there to tell.
     pub fn of(
-        now: Duration, s: &Settings, me: usize, peers: &[PeerId], life: u64, seed: u64,
+        now: Duration,
+        s: &Settings,
+        me: usize,
+        peers: &[PeerId],
+        life: u64,
+        seed: u64,
     ) -> Option<Sharing> {
         let spec = s.fleet.filter(|_| !peers.is_empty())?;
-        let rules = Rules { every: spec.every, loans: Spans { span: spec.loan, margin: spec.margin } };
+        let rules = Rules {
+            every: spec.every,
+            loans: Spans {
+                span: spec.loan,
+                margin: spec.margin,
+            },
+        };
         let peers: Vec<HostNo> = peers.iter().map(|p| HostNo(p.0)).collect();
         let fleet = Fleet::new(now, HostNo(me as u32), Life(life), peers, rules, seed);
-        Some(Sharing { fleet, terms: BTreeMap::new(), heard: Vec::new(), avoided: BTreeSet::new() })
+        Some(Sharing {
+            fleet,
+            terms: BTreeMap::new(),
+            heard: Vec::new(),
+            avoided: BTreeSet::new(),
+        })
     }
 
     /// What the settings say of volumes, where no state service does.
@@ -59,22 +80,37 @@
         for v in &s.volumes {
             let plan: &Plan = &s.plans[v.plan].facts;
             let terms = Terms::even(PlanId(v.plan), plan, v.hosts.len());
-            self.volume(VolumeId(v.id), Some(terms), v.hosts.iter().map(|h| HostNo(*h as u32)).collect());
+            self.volume(
+                VolumeId(v.id),
+                Some(terms),
+                v.hosts.iter().map(|h| HostNo(*h as u32)).collect(),
+            );
         }
     }
 
     /// A volume's terms as this host follows them; answers those to go by.
     pub fn volume(
-        &mut self, volume: VolumeId, terms: Option<Terms>, sharers: BTreeSet<HostNo>,
+        &mut self,
+        volume: VolumeId,
+        terms: Option<Terms>,
+        sharers: BTreeSet<HostNo>,
     ) -> Option<Terms> {
         let Some((terms, (rate, _))) = terms.and_then(|t| Some((t, t.limit?))) else {
             self.terms.remove(&volume);
             let (volume, sharers) = (volume.0, BTreeSet::new());
-            self.heard.push(fleet::Event::Volume { volume, sharers, limit: 0.0 });
+            self.heard.push(fleet::Event::Volume {
+                volume,
+                sharers,
+                limit: 0.0,
+            });
             return terms;
         };
         let limit = rate * terms.hosts.max(1) as f64;
-        self.heard.push(fleet::Event::Volume { volume: volume.0, sharers, limit });
+        self.heard.push(fleet::Event::Volume {
+            volume: volume.0,
+            sharers,
+            limit,
+        });
         // What it may use of it stays until the fleet says otherwise, which it does in the same step.
         let times = self.terms.get(&volume).map_or(1.0, |t| t.1);
         self.terms.insert(volume, (terms, times));
@@ -82,7 +118,11 @@
     }
 
     pub fn told(&mut self, from: PeerId, waited: Duration, bytes: &[u8]) {
-        self.heard.push(fleet::Event::Told { from: HostNo(from.0), waited, bytes: bytes.to_vec() });
+        self.heard.push(fleet::Event::Told {
+            from: HostNo(from.0),
+            waited,
+            bytes: bytes.to_vec(),
+        });
     }
 
     pub fn took(&mut self, volume: u64, units: f64) {
@@ -119,7 +159,11 @@
 
     /// What is shown of it.
     pub fn figures(&self, now: Duration, s: &Settings, head: pb::Figures) -> pb::Figures {
-        let name = |h: HostNo| s.hosts.get(h.0 as usize).map_or(String::new(), |h| h.name.clone());
+        let name = |h: HostNo| {
+            s.hosts
+                .get(h.0 as usize)
+                .map_or(String::new(), |h| h.name.clone())
+        };
         let peers = self.fleet.peers(now).into_iter().map(|p| pb::PeerFigure {
             host: name(p.host),
             life: p.life.0,
@@ -135,23 +179,33 @@
             lent: p.lent,
             borrowed: p.borrowed,
         });
-        let beliefs = self.fleet.beliefs().into_iter().map(|(node, f, belief)| pb::BeliefFigure {
-            node,
-            belief: match belief {
-                Belief::AsToday => pb::BeliefKind::AsToday,
-                Belief::OwnWay => pb::BeliefKind::OwnWay,
-                Belief::Avoid => pb::BeliefKind::Avoid,
-                Belief::Look => pb::BeliefKind::Look,
-            }
-            .into(),
-            verdict: f.verdict.name().into(),
-            well: f.well.0 as u32,
-            well_weight: f.well.1,
-            badly: f.badly.0 as u32,
-            badly_weight: f.badly.1,
-        });
+        let beliefs = self
+            .fleet
+            .beliefs()
+            .into_iter()
+            .map(|(node, f, belief)| pb::BeliefFigure {
+                node,
+                belief: match belief {
+                    Belief::AsToday => pb::BeliefKind::AsToday,
+                    Belief::OwnWay => pb::BeliefKind::OwnWay,
+                    Belief::Avoid => pb::BeliefKind::Avoid,
+                    Belief::Look => pb::BeliefKind::Look,
+                }
+                .into(),
+                verdict: f.verdict.name().into(),
+                well: f.well.0 as u32,
+                well_weight: f.well.1,
+                badly: f.badly.0 as u32,
+                badly_weight: f.badly.1,
+            });
         let (life, peers) = (self.fleet.life().0, peers.collect());
-        pb::Figures { life, peers, parts: parts.collect(), beliefs: beliefs.collect(), ..head }
+        pb::Figures {
+            life,
+            peers,
+            parts: parts.collect(),
+            beliefs: beliefs.collect(),
+            ..head
+        }
     }
 
     /// When what this host may use next changes by itself.
@@ -170,9 +224,14 @@
                 Action::Tell { to, bytes } => out.tell.push((PeerId(to.0), bytes)),
                 Action::Part { volume, times } => {
                     let volume = VolumeId(volume);
-                    let Some((terms, before)) = self.terms.get_mut(&volume) else { continue };
+                    let Some((terms, before)) = self.terms.get_mut(&volume) else {
+                        continue;
+                    };
                     *before = times;
-                    events.push(Event::Volume { volume, terms: Some(limit_times(*terms, times)) });
+                    events.push(Event::Volume {
+                        volume,
+                        terms: Some(limit_times(*terms, times)),
+                    });
                 }
                 Action::Belief { node, belief } => {
                     let node = NodeId(node);
--- a/crates/host/src/sights.rs
+++ b/crates/host/src/sights.rs
@@ -32,9 +32,15 @@
         let still = |n: &pb::NodeSight| {
             let over = u64::from(n.unsure_us > 0);
             // The list tells it anew with every start; legs count only where somebody waits for them to end.
-            pb::NodeSight { up_us: None, unsure_us: over, ..*n }
+            pb::NodeSight {
+                up_us: None,
+                unsure_us: over,
+                ..*n
+            }
         };
-        let new = rows.into_iter().filter(|n| self.told.get(&n.node).is_none_or(|t| still(t) != still(n)));
+        let new = rows
+            .into_iter()
+            .filter(|n| self.told.get(&n.node).is_none_or(|t| still(t) != still(n)));
         let new: Vec<pb::NodeSight> = new.collect();
         new.iter().for_each(|n| _ = self.told.insert(n.node, *n));
         new
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -57,8 +57,8 @@
 
 impl Rig {
     pub fn with(more: &str) -> Self {
-        let settings =
-            Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}")).expect("good settings");
+        let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"))
+            .expect("good settings");
         Rig::of(Desk::new(Arc::new(settings), 7))
     }
 
@@ -80,13 +80,19 @@
     pub fn following(more: &str) -> Self {
         let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"));
         let facts = facts(&settings.expect("good settings"));
-        Rig::started(more, Start { ledger: Follow::ledger_of(facts), ..Start::default() })
+        Rig::started(
+            more,
+            Start {
+                ledger: Follow::ledger_of(facts),
+                ..Start::default()
+            },
+        )
     }
 
     /// The same with what it kept of an earlier start.
     pub fn started(more: &str, start: Start) -> Self {
-        let settings =
-            Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}")).expect("good settings");
+        let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"))
+            .expect("good settings");
         let mut rig = Rig::of(Desk::new(Arc::new(settings), 7).following("h", start));
         rig.wait(ms(10));
         let conn = rig.state.expect("it dials");
@@ -113,7 +119,10 @@
             list: list(&[(1, pb::NodeState::Ready), (2, pb::NodeState::Ready)]),
         }]);
         let outbox = rig.outbox(CLIENT);
-        rig.feed(vec![Input::ClientUp { conn: CLIENT, outbox }]);
+        rig.feed(vec![Input::ClientUp {
+            conn: CLIENT,
+            outbox,
+        }]);
         rig
     }
 
@@ -163,12 +172,23 @@
     }
 
     pub fn withdraw(&mut self, n: u8) {
-        self.frames(CLIENT, Body::Withdraw(pb::Withdraw { id: Bytes::from(vec![n; 36]) }));
+        self.frames(
+            CLIENT,
+            Body::Withdraw(pb::Withdraw {
+                id: Bytes::from(vec![n; 36]),
+            }),
+        );
     }
 
     pub fn frames(&mut self, conn: ConnId, body: Body) {
         let sent_us = self.now.as_micros() as u64;
-        let (at, frames) = (self.now, vec![pb::Frame { sent_us, body: Some(body) }]);
+        let (at, frames) = (
+            self.now,
+            vec![pb::Frame {
+                sent_us,
+                body: Some(body),
+            }],
+        );
         let input = match conn {
             CLIENT => Input::ClientFrames { conn, at, frames },
             _ => Input::NodeFrames { conn, at, frames },
@@ -190,21 +210,47 @@
     /// The same with several entries at once, each of its own lines.
     pub fn told_all(&mut self, all: &[&[&str]], settled: u64) {
         let ask = self.asks();
-        let (conn, mut l) = (self.state.expect("dialled"), Follow::ledger_of(facts(self.desk.settings())));
-        l = l.restored(self.desk.plans().ledger().version(), self.desk.plans().ledger().state(), Vec::new());
+        let (conn, mut l) = (
+            self.state.expect("dialled"),
+            Follow::ledger_of(facts(self.desk.settings())),
+        );
+        l = l.restored(
+            self.desk.plans().ledger().version(),
+            self.desk.plans().ledger().state(),
+            Vec::new(),
+        );
         let mut entries = Vec::new();
         for words in all {
-            let changes: Vec<_> = words.iter().map(|w| change(&l, w).expect("good words")).collect();
-            let entry = l.propose(l.version(), Asks::default(), changes).expect("in order");
+            let changes: Vec<_> = words
+                .iter()
+                .map(|w| change(&l, w).expect("good words"))
+                .collect();
+            let entry = l
+                .propose(l.version(), Asks::default(), changes)
+                .expect("in order");
             l.take(entry.clone()).expect("the next");
             entries.push(entry_pb(&entry));
         }
         let (era, call, lease_us, version) = (1, ask.call, 3_000_000, l.version().0);
-        let feed = pb::Feed { call, era, version, settled, lease_us, entries, ..Default::default() };
-        let frames = vec![pb::Frame { sent_us: 0, body: Some(Body::Feed(feed)) }];
+        let feed = pb::Feed {
+            call,
+            era,
+            version,
+            settled,
+            lease_us,
+            entries,
+            ..Default::default()
+        };
+        let frames = vec![pb::Frame {
+            sent_us: 0,
+            body: Some(Body::Feed(feed)),
+        }];
         self.feed(vec![Input::StateFrames { conn, frames }]);
         for (number, _) in std::mem::take(&mut self.keeps) {
-            self.feed(vec![Input::Kept { number, done: Ok(()) }]);
+            self.feed(vec![Input::Kept {
+                number,
+                done: Ok(()),
+            }]);
         }
     }
 
@@ -221,33 +267,54 @@
         let pulled = self.boxes[&conn].pull(|| self.now, usize::MAX);
         self.boxes[&conn].wrote();
         let told: Vec<Body> = pulled.frames.into_iter().filter_map(|f| f.body).collect();
-        let follow = |b: &Body| if let Body::Follow(f) = b { Some(*f) } else { None };
+        let follow = |b: &Body| {
+            if let Body::Follow(f) = b {
+                Some(*f)
+            } else {
+                None
+            }
+        };
         self.asked = told.iter().filter_map(follow).last().or(self.asked);
         told
     }
 
     pub fn legs(&mut self, conn: ConnId) -> Vec<pb::Leg> {
         let legs = self.cross(conn).into_iter();
-        legs.filter_map(|b| if let Body::Leg(l) = b { Some(l) } else { None }).collect()
+        legs.filter_map(|b| if let Body::Leg(l) = b { Some(l) } else { None })
+            .collect()
     }
 
     pub fn finals(&mut self) -> Vec<(u8, pb::Outcome)> {
         let finals = self.cross(CLIENT).into_iter();
         finals
-            .filter_map(|b| if let Body::Final(f) = b { Some((f.id[0], f.outcome())) } else { None })
+            .filter_map(|b| {
+                if let Body::Final(f) = b {
+                    Some((f.id[0], f.outcome()))
+                } else {
+                    None
+                }
+            })
             .collect()
     }
 
     pub fn node_answers(&mut self, conn: ConnId, leg: u64, result: pb::Result) {
         self.frames(
             conn,
-            Body::LegAnswer(pb::LegAnswer { leg, result: result.into(), ..Default::default() }),
+            Body::LegAnswer(pb::LegAnswer {
+                leg,
+                result: result.into(),
+                ..Default::default()
+            }),
         );
     }
 
     /// Waits until the list is asked for, and brings that connection up.
     pub fn list_up(&mut self) -> ConnId {
-        let asks = |r: &Self| r.lists.last().is_some_and(|(_, conn)| !r.boxes.contains_key(conn));
+        let asks = |r: &Self| {
+            r.lists
+                .last()
+                .is_some_and(|(_, conn)| !r.boxes.contains_key(conn))
+        };
         for _ in 0..1000 {
             if asks(self) {
                 break;
@@ -261,15 +328,29 @@
     }
 
     /// The list tells something on a connection.
-    pub fn list_tells(&mut self, conn: ConnId, kind: pb::ListKind, entries: &[(u32, pb::NodeState)]) {
-        let list = pb::List { kind: kind.into(), revision: 2, ..list(entries) };
-        let frames = vec![pb::Frame { sent_us: 0, body: Some(Body::List(list)) }];
+    pub fn list_tells(
+        &mut self,
+        conn: ConnId,
+        kind: pb::ListKind,
+        entries: &[(u32, pb::NodeState)],
+    ) {
+        let list = pb::List {
+            kind: kind.into(),
+            revision: 2,
+            ..list(entries)
+        };
+        let frames = vec![pb::Frame {
+            sent_us: 0,
+            body: Some(Body::List(list)),
+        }];
         self.feed(vec![Input::ListFrames { conn, frames }]);
     }
 
     pub fn listed(&mut self, entries: &[(u32, pb::NodeState)]) {
         // A change as the list tells it; where it came from does not matter here.
-        self.feed(vec![Input::Remembered { list: list(entries) }]);
+        self.feed(vec![Input::Remembered {
+            list: list(entries),
+        }]);
     }
 }
 
@@ -283,5 +364,9 @@
         ..Default::default()
     };
     let entries = entries.iter().map(entry).collect();
-    pb::List { kind: pb::ListKind::Whole.into(), revision: 1, entries }
+    pb::List {
+        kind: pb::ListKind::Whole.into(),
+        revision: 1,
+        entries,
+    }
 }
--- a/crates/host/tests/desk.rs
+++ b/crates/host/tests/desk.rs
@@ -36,7 +36,10 @@
             assert_eq!(r.legs(conn).len(), 0);
         }
         // The decisions know that it never ran: the unrepeatable transfer is deferred, not abandoned.
-        assert_eq!((r.finals(), r.desk.counts().unsent), (vec![(1, Deferred)], 1));
+        assert_eq!(
+            (r.finals(), r.desk.counts().unsent),
+            (vec![(1, Deferred)], 1)
+        );
     }
 }
 
@@ -116,8 +119,16 @@
     let mut r = Rig::with("");
     r.take(1, 0);
     let conn = r.connect();
-    r.frames(CLIENT, Body::Withdraw(pb::Withdraw { id: Bytes::from(vec![1; 36]) }));
-    assert_eq!((r.legs(conn).len(), r.finals(), r.desk.held()), (0, vec![], (0, 0, 0)));
+    r.frames(
+        CLIENT,
+        Body::Withdraw(pb::Withdraw {
+            id: Bytes::from(vec![1; 36]),
+        }),
+    );
+    assert_eq!(
+        (r.legs(conn).len(), r.finals(), r.desk.held()),
+        (0, vec![], (0, 0, 0))
+    );
 }
 
 #[test]
@@ -143,7 +154,9 @@
     let mut finals = r.finals();
     finals.sort_by_key(|f| f.0);
     let sent = |n: u8| crossed.iter().any(|l| l.id[0] == n);
-    let expected: Vec<_> = (1..=5).map(|n| (n, if sent(n) { Abandoned } else { Deferred })).collect();
+    let expected: Vec<_> = (1..=5)
+        .map(|n| (n, if sent(n) { Abandoned } else { Deferred }))
+        .collect();
     assert_eq!(finals, expected);
     r.node_answers(conn, crossed[0].leg, pb::Result::Ok);
     assert_eq!(r.finals(), []);
@@ -155,7 +168,11 @@
     (1..=4).for_each(|n| r.take(n, 0));
     assert_eq!(r.dialled.len(), 1);
     r.wait(ms(1990));
-    assert_eq!(r.finals().len(), 4, "a dial that reports nothing is given up");
+    assert_eq!(
+        r.finals().len(),
+        4,
+        "a dial that reports nothing is given up"
+    );
     assert_eq!(r.desk.held(), (0, 0, 0));
 }
 
@@ -179,13 +196,29 @@
     let sent_us = r.now.as_micros() as u64;
     r.now += ms(1900);
     let id = Bytes::from(vec![2; 36]);
-    let take =
-        pb::Take { id, volume: 5, units: 1.0, left_us: 2_000_000, cell: Some(2), ..Default::default() };
-    let frames = vec![pb::Frame { sent_us, body: Some(Body::Take(take)) }];
+    let take = pb::Take {
+        id,
+        volume: 5,
+        units: 1.0,
+        left_us: 2_000_000,
+        cell: Some(2),
+        ..Default::default()
+    };
+    let frames = vec![pb::Frame {
+        sent_us,
+        body: Some(Body::Take(take)),
+    }];
     let at = r.now;
-    r.feed(vec![Input::ClientFrames { conn: CLIENT, at, frames }]);
+    r.feed(vec![Input::ClientFrames {
+        conn: CLIENT,
+        at,
+        frames,
+    }]);
     r.wait(ms(95));
-    assert!(r.finals().contains(&(2, Deferred)), "answered before its client gives up");
+    assert!(
+        r.finals().contains(&(2, Deferred)),
+        "answered before its client gives up"
+    );
 }
 
 #[test]
@@ -200,7 +233,10 @@
     assert!(r.desk.stood_still(r.now));
     // The answer had lain in the socket; it and one timer are all that is heard.
     r.node_answers(conn, legs[0].leg, pb::Result::Ok);
-    assert_eq!((r.finals(), r.desk.counts().events - steps), (vec![(1, Done)], 2));
+    assert_eq!(
+        (r.finals(), r.desk.counts().events - steps),
+        (vec![(1, Done)], 2)
+    );
     assert!(!r.notes.iter().any(|n| n.contains("shut")), "{:?}", r.notes);
 }
 
@@ -235,7 +271,12 @@
 fn more_than_the_bounds_is_turned_away_with_an_answer() {
     let mut r = Rig::with("bounds(most_open = 3)");
     (1..=5).for_each(|n| r.take(n, 0));
-    let turned: Vec<u8> = r.finals().into_iter().filter(|f| f.1 == Deferred).map(|f| f.0).collect();
+    let turned: Vec<u8> = r
+        .finals()
+        .into_iter()
+        .filter(|f| f.1 == Deferred)
+        .map(|f| f.0)
+        .collect();
     assert_eq!((turned, r.desk.held().0), (vec![4, 5], 3));
 }
 
@@ -246,29 +287,66 @@
     (1..=199).for_each(|n| r.take(n, 0));
     assert!(r.boxes[&CLIENT].is_closed());
     assert_eq!(r.desk.held(), (0, 0, 0), "{:?}", r.desk.counts());
-    assert!(r.notes.iter().any(|n| n.contains("unread")), "{:?}", r.notes);
+    assert!(
+        r.notes.iter().any(|n| n.contains("unread")),
+        "{:?}",
+        r.notes
+    );
 }
 
 #[test]
 fn clients_that_make_no_sense_are_hung_up_on_one_by_one() {
-    let good =
-        pb::Take { id: Bytes::from(vec![1; 36]), volume: 5, units: 1.0, left_us: 1, ..Default::default() };
+    let good = pb::Take {
+        id: Bytes::from(vec![1; 36]),
+        volume: 5,
+        units: 1.0,
+        left_us: 1,
+        ..Default::default()
+    };
     let cases = [
-        pb::Take { id: Bytes::from_static(b"short"), ..good.clone() },
-        pb::Take { stream_type: 77, ..good.clone() },
-        pb::Take { volume: 6, ..good.clone() },
-        pb::Take { units: f64::NAN, ..good.clone() },
-        pb::Take { units: 1e300, ..good.clone() },
+        pb::Take {
+            id: Bytes::from_static(b"short"),
+            ..good.clone()
+        },
+        pb::Take {
+            stream_type: 77,
+            ..good.clone()
+        },
+        pb::Take {
+            volume: 6,
+            ..good.clone()
+        },
+        pb::Take {
+            units: f64::NAN,
+            ..good.clone()
+        },
+        pb::Take {
+            units: 1e300,
+            ..good.clone()
+        },
     ];
     for bad in cases {
         let mut r = Rig::with("");
         let other = ConnId((1 << 50) + 1);
         let outbox = r.outbox(other);
-        r.feed(vec![Input::ClientUp { conn: other, outbox }]);
+        r.feed(vec![Input::ClientUp {
+            conn: other,
+            outbox,
+        }]);
         r.take(9, 0);
-        let frames = vec![pb::Frame { sent_us: 1, body: Some(Body::Take(bad.clone())) }];
-        r.feed(vec![Input::ClientFrames { conn: other, at: ms(100_000), frames }]);
-        assert!(r.boxes[&other].is_closed() && !r.boxes[&CLIENT].is_closed(), "{bad:?}");
+        let frames = vec![pb::Frame {
+            sent_us: 1,
+            body: Some(Body::Take(bad.clone())),
+        }];
+        r.feed(vec![Input::ClientFrames {
+            conn: other,
+            at: ms(100_000),
+            frames,
+        }]);
+        assert!(
+            r.boxes[&other].is_closed() && !r.boxes[&CLIENT].is_closed(),
+            "{bad:?}"
+        );
         assert_eq!(r.desk.held().0, 1);
     }
 }
@@ -291,7 +369,13 @@
     let mut r = Rig::with("bounds(patience = ms(300))");
     let dials = |out: Vec<Output>| -> Vec<ConnId> {
         out.into_iter()
-            .filter_map(|o| if let Output::DialList { conn } = o { Some(conn) } else { None })
+            .filter_map(|o| {
+                if let Output::DialList { conn } = o {
+                    Some(conn)
+                } else {
+                    None
+                }
+            })
             .collect()
     };
     let mut seen = Vec::new();
--- a/crates/host/tests/ends.rs
+++ b/crates/host/tests/ends.rs
@@ -15,8 +15,16 @@
     type Case = (&'static str, fn(&mut Rig), &'static [(u8, pb::Outcome)]);
     let cases: [Case; 4] = [
         ("it is withdrawn", |r| r.withdraw(1), &[]),
-        ("its client is gone", |r| r.feed(vec![Input::ClientGone { conn: CLIENT }]), &[]),
-        ("its node drains", |r| r.listed(&[(1, Draining), (2, Ready)]), &[(1, Deferred)]),
+        (
+            "its client is gone",
+            |r| r.feed(vec![Input::ClientGone { conn: CLIENT }]),
+            &[],
+        ),
+        (
+            "its node drains",
+            |r| r.listed(&[(1, Draining), (2, Ready)]),
+            &[(1, Deferred)],
+        ),
         ("its time is up", |r| r.wait(ms(2000)), &[(1, Deferred)]),
     ];
     for (what, end, finals) in cases {
@@ -36,7 +44,11 @@
                 continue;
             }
             assert!(outbox.is_closed(), "{what}");
-            assert_eq!((r.desk.counts().unsent, r.desk.held()), (1, (0, 0, 0)), "{what}");
+            assert_eq!(
+                (r.desk.counts().unsent, r.desk.held()),
+                (1, (0, 0, 0)),
+                "{what}"
+            );
             assert_eq!(r.finals(), finals, "{what}: it never ran");
         }
     }
@@ -63,7 +75,11 @@
     r.wait(ms(200));
     let third = r.connect();
     let legs = r.legs(third);
-    assert_eq!(legs.iter().map(|l| (l.id[0], l.number)).collect::<Vec<_>>(), [(2, 1)], "another leg");
+    assert_eq!(
+        legs.iter().map(|l| (l.id[0], l.number)).collect::<Vec<_>>(),
+        [(2, 1)],
+        "another leg"
+    );
     // Written whole, it may have run.
     r.feed(vec![Input::NodeGone { conn: third }]);
     assert_eq!(r.finals(), [(2, Abandoned)]);
@@ -79,7 +95,10 @@
         let leg = r.legs(conn)[0].leg;
         r.node_answers(conn, leg, pb::Result::Ok);
         r.take(2, 1);
-        assert_eq!((r.finals().len(), r.legs(conn).len(), r.dialled.len()), (1, 0, 1));
+        assert_eq!(
+            (r.finals().len(), r.legs(conn).len(), r.dialled.len()),
+            (1, 0, 1)
+        );
         if comes_twice {
             // What nothing waits for ends the connection.
             r.feed(vec![Input::NodeGone { conn }]);
@@ -87,7 +106,10 @@
         r.wait(ms(10));
         let conn = if comes_twice { r.connect() } else { conn };
         let legs = r.legs(conn);
-        assert_eq!((legs.len(), legs[0].id[0], r.dialled.len()), (1, 2, 1 + usize::from(comes_twice)));
+        assert_eq!(
+            (legs.len(), legs[0].id[0], r.dialled.len()),
+            (1, 2, 1 + usize::from(comes_twice))
+        );
         r.node_answers(conn, legs[0].leg, pb::Result::Ok);
         assert_eq!((r.finals(), r.desk.counts().strays), (vec![(2, Done)], 0));
     }
@@ -175,7 +197,11 @@
     };
     let cases: [Case; 4] = [
         ("its transfer is over", |r| r.withdraw(1), false),
-        ("its node drains", |r| r.listed(&[(1, Draining), (2, Ready)]), false),
+        (
+            "its node drains",
+            |r| r.listed(&[(1, Draining), (2, Ready)]),
+            false,
+        ),
         ("its node is gone", |r| r.listed(&[(2, Ready)]), false),
         ("another process is there", renewed, true),
     ];
@@ -191,7 +217,11 @@
         }
         let outbox = r.outbox(late);
         r.feed(vec![Input::NodeUp { conn: late, outbox }]);
-        assert_eq!((r.legs(late).len(), r.boxes[&late].is_closed()), (0, closed), "{what}");
+        assert_eq!(
+            (r.legs(late).len(), r.boxes[&late].is_closed()),
+            (0, closed),
+            "{what}"
+        );
     }
 }
 
@@ -205,7 +235,10 @@
     let conn = r.list_up();
     r.list_tells(conn, Whole, &[(1, Ready), (2, Ready)]);
     r.wait(ms(2900));
-    assert!(!r.boxes[&conn].is_closed(), "it stands: whoever carries it knows how long a call may take");
+    assert!(
+        !r.boxes[&conn].is_closed(),
+        "it stands: whoever carries it knows how long a call may take"
+    );
 }
 
 /// A client's id must not be free while its leg is out: its transfer is held until then.
@@ -217,7 +250,13 @@
     let leg = r.legs(conn)[0].leg;
     r.withdraw(1);
     assert!(r.desk.holds(&[1; 36]));
-    r.frames(conn, Body::LegAnswer(pb::LegAnswer { leg, ..Default::default() }));
+    r.frames(
+        conn,
+        Body::LegAnswer(pb::LegAnswer {
+            leg,
+            ..Default::default()
+        }),
+    );
     assert!(!r.desk.holds(&[1; 36]));
 }
 
--- a/crates/host/tests/explore.rs
+++ b/crates/host/tests/explore.rs
@@ -37,9 +37,17 @@
 impl Walk {
     fn look(&mut self) {
         for (n, outcome) in self.rig.finals() {
-            let s = self.seen.get_mut(&n).expect("only what was taken is answered");
+            let s = self
+                .seen
+                .get_mut(&n)
+                .expect("only what was taken is answered");
             s.answers.push(outcome);
-            assert!(self.rig.now <= s.expiry, "{n} answered at {:?}, expiry {:?}", self.rig.now, s.expiry);
+            assert!(
+                self.rig.now <= s.expiry,
+                "{n} answered at {:?}, expiry {:?}",
+                self.rig.now,
+                s.expiry
+            );
             assert!(!s.withdrawn, "{n} answered though its client had left it");
             let may_have_run = s.crossed.iter().any(|c| !c.1);
             assert!(
@@ -57,21 +65,42 @@
         for leg in self.rig.legs(conn) {
             let n = leg.id[0];
             let s = self.seen.get_mut(&n).expect("a leg of something taken");
-            assert!(s.answers.is_empty() && !s.withdrawn, "a leg of {n} crosses after its end");
-            assert!(self.rig.now < s.expiry, "a leg of {n} crosses after its expiry");
-            assert_eq!(self.state[leg.node as usize - 1], NodeState::Ready, "a leg to a node that drains");
-            assert!(s.stream != ONCE || s.crossed.iter().all(|c| c.1), "{n} crosses twice");
+            assert!(
+                s.answers.is_empty() && !s.withdrawn,
+                "a leg of {n} crosses after its end"
+            );
+            assert!(
+                self.rig.now < s.expiry,
+                "a leg of {n} crosses after its expiry"
+            );
+            assert_eq!(
+                self.state[leg.node as usize - 1],
+                NodeState::Ready,
+                "a leg to a node that drains"
+            );
+            assert!(
+                s.stream != ONCE || s.crossed.iter().all(|c| c.1),
+                "{n} crosses twice"
+            );
             s.crossed.push((leg.leg, false));
-            self.up.get_mut(&conn).expect("checked above").push((leg.leg, n));
+            self.up
+                .get_mut(&conn)
+                .expect("checked above")
+                .push((leg.leg, n));
         }
     }
 
     fn answer(&mut self, conn: ConnId, result: pb::Result) {
-        let Some(out) = self.up.get_mut(&conn).filter(|o| !o.is_empty()) else { return };
+        let Some(out) = self.up.get_mut(&conn).filter(|o| !o.is_empty()) else {
+            return;
+        };
         let (leg, n) = out.swap_remove(self.rng.random_range(0..out.len()));
         if result == pb::Result::Full {
             let s = self.seen.get_mut(&n).expect("a leg of something taken");
-            s.crossed.iter_mut().filter(|c| c.0 == leg).for_each(|c| c.1 = true);
+            s.crossed
+                .iter_mut()
+                .filter(|c| c.0 == leg)
+                .for_each(|c| c.1 = true);
         }
         self.rig.node_answers(conn, leg, result);
     }
@@ -84,11 +113,23 @@
                 *next += 1;
                 let stream = self.rng.random_range(0..3);
                 let expiry = self.rig.now + ms(2000);
-                self.seen.insert(*next, Seen { stream, expiry, ..Seen::default() });
+                self.seen.insert(
+                    *next,
+                    Seen {
+                        stream,
+                        expiry,
+                        ..Seen::default()
+                    },
+                );
                 self.rig.take(*next, stream);
             }
             (3, _) => {
-                let waiting = self.rig.dialled.iter().map(|d| d.0).find(|c| !self.rig.boxes.contains_key(c));
+                let waiting = self
+                    .rig
+                    .dialled
+                    .iter()
+                    .map(|d| d.0)
+                    .find(|c| !self.rig.boxes.contains_key(c));
                 if let Some(conn) = waiting {
                     let outbox = self.rig.outbox(conn);
                     self.up.insert(conn, Vec::new());
@@ -98,7 +139,11 @@
             (4..=5, Some(conn)) => self.write(conn),
             (6..=7, Some(conn)) => self.answer(conn, pb::Result::Ok),
             (8, Some(conn)) => {
-                let result = if self.rng.random() { pb::Result::Error } else { pb::Result::Full };
+                let result = if self.rng.random() {
+                    pb::Result::Error
+                } else {
+                    pb::Result::Full
+                };
                 self.answer(conn, result);
             }
             (9, Some(conn)) if self.rng.random::<f64>() < 0.3 => {
@@ -152,14 +197,28 @@
         }
         for (n, s) in &w.seen {
             let owed = usize::from(!s.withdrawn);
-            assert_eq!(s.answers.len(), owed, "seed {seed}, transfer {n}: {:?}", s.answers);
-            s.answers.iter().for_each(|a| *outcomes.entry(a.as_str_name()).or_insert(0) += 1);
+            assert_eq!(
+                s.answers.len(),
+                owed,
+                "seed {seed}, transfer {n}: {:?}",
+                s.answers
+            );
+            s.answers
+                .iter()
+                .for_each(|a| *outcomes.entry(a.as_str_name()).or_insert(0) += 1);
             crossed += s.crossed.len();
         }
         transfers += w.seen.len();
         let (open, legs, bytes) = w.rig.desk.held();
-        assert_eq!((open, legs, bytes), (0, 0, 0), "seed {seed} leaves something behind");
+        assert_eq!(
+            (open, legs, bytes),
+            (0, 0, 0),
+            "seed {seed} leaves something behind"
+        );
     }
     // The walks must have seen all that can happen to a transfer.
-    assert!(transfers > 5000 && crossed > 1000 && outcomes.len() == 3, "{transfers} {crossed} {outcomes:?}");
+    assert!(
+        transfers > 5000 && crossed > 1000 && outcomes.len() == 3,
+        "{transfers} {crossed} {outcomes:?}"
+    );
 }
--- a/crates/host/tests/following.rs
+++ b/crates/host/tests/following.rs
@@ -16,7 +16,11 @@
 fn nothing_is_served_before_it_was_told_and_what_is_retired_no_more() {
     let mut r = Rig::following("");
     r.take(1, 0);
-    assert_eq!(r.finals(), [(1, Outcome::Deferred)], "it may be told of it in a moment");
+    assert_eq!(
+        r.finals(),
+        [(1, Outcome::Deferred)],
+        "it may be told of it in a moment"
+    );
     r.told(&["plan p rate=1000 reservation=1000", VOLUME], 1);
     r.take(2, 0);
     let conn = r.connect();
@@ -27,17 +31,30 @@
     r.cross(conn);
     r.told(&["volume 5 retire"], 2);
     let told = r.finals();
-    assert!(!told.is_empty() && told.iter().all(|(n, o)| *n > 2 && *o == Outcome::Deferred), "{told:?}");
+    assert!(
+        !told.is_empty() && told.iter().all(|(n, o)| *n > 2 && *o == Outcome::Deferred),
+        "{told:?}"
+    );
     r.node_answers(conn, out[0].leg, pb::Result::Ok);
     assert_eq!(r.finals(), [(2, Outcome::Done)]);
     r.take(99, 0);
-    assert_eq!(r.finals(), [(99, Outcome::Abandoned)], "there is nothing to come back for");
+    assert_eq!(
+        r.finals(),
+        [(99, Outcome::Abandoned)],
+        "there is nothing to come back for"
+    );
 }
 
 #[test]
 fn a_volume_that_works_through_others_is_sent_elsewhere() {
     let mut r = Rig::following("host(name = \"i\")");
-    r.told(&["plan p rate=10", "volume 5 plan=p hosts=h,i cells=1 blocks=64"], 1);
+    r.told(
+        &[
+            "plan p rate=10",
+            "volume 5 plan=p hosts=h,i cells=1 blocks=64",
+        ],
+        1,
+    );
     r.told(&["volume 5 hosts=i"], 1);
     r.take(1, 0);
     assert_eq!(r.finals(), [(1, Outcome::Deferred)]);
@@ -51,8 +68,12 @@
 #[test]
 fn a_limit_follows_what_it_is_told() {
     let mut r = Rig::following("host(name = \"i\")");
-    let limited = |limit: u32| format!("plan p rate=100 reservation=4 limit={limit} burst={limit} slack=100");
-    r.told(&[&limited(40), "volume 5 plan=p hosts=h,i cells=1 blocks=64"], 1);
+    let limited =
+        |limit: u32| format!("plan p rate=100 reservation=4 limit={limit} burst={limit} slack=100");
+    r.told(
+        &[&limited(40), "volume 5 plan=p hosts=h,i cells=1 blocks=64"],
+        1,
+    );
     r.take(1, 0);
     // Its part fills from nothing: 20 a second.
     r.wait(ms(100));
@@ -65,7 +86,8 @@
             r.wait(ms(20));
             let out = r.legs(conn);
             sent += out.len();
-            out.iter().for_each(|l| r.node_answers(conn, l.leg, pb::Result::Ok));
+            out.iter()
+                .for_each(|l| r.node_answers(conn, l.leg, pb::Result::Ok));
         }
         r.finals();
         sent
@@ -82,7 +104,9 @@
     let at_sixty = legs(&mut r, 160, 1000);
     assert!(at_sixty >= 25, "{at_sixty}");
     // Cut off until its lease is over: the part of the reservation, 2 a second.
-    r.feed(vec![Input::StateGone { conn: r.state.unwrap() }]);
+    r.feed(vec![Input::StateGone {
+        conn: r.state.unwrap(),
+    }]);
     r.wait(ms(3000));
     r.finals();
     legs(&mut r, 10, 1000); // what its part of the burst still held
@@ -97,8 +121,12 @@
 #[test]
 fn a_feed_that_stands_still_for_a_minute_and_then_brings_forty_versions() {
     let mut r = Rig::following("host(name = \"i\")");
-    let limited = |limit: u32| format!("plan p rate=100 reservation=4 limit={limit} burst={limit} slack=100");
-    r.told(&[&limited(40), "volume 5 plan=p hosts=h,i cells=1 blocks=64"], 1);
+    let limited =
+        |limit: u32| format!("plan p rate=100 reservation=4 limit={limit} burst={limit} slack=100");
+    r.told(
+        &[&limited(40), "volume 5 plan=p hosts=h,i cells=1 blocks=64"],
+        1,
+    );
     r.take(1, 0);
     r.wait(ms(100));
     let conn = r.connect();
@@ -109,7 +137,8 @@
             r.wait(ms(20));
             let out = r.legs(conn);
             sent += out.len();
-            out.iter().for_each(|l| r.node_answers(conn, l.leg, pb::Result::Ok));
+            out.iter()
+                .for_each(|l| r.node_answers(conn, l.leg, pb::Result::Ok));
             // What is held gives its number free for the next ones.
             if n % 25 == 24 {
                 (10..50).for_each(|n| r.withdraw(n));
@@ -120,14 +149,22 @@
     };
     legs(&mut r, 4000);
     let standing = legs(&mut r, 56_000);
-    assert!((90..=130).contains(&standing), "{standing}: its part of the reservation is 2 a second");
-    let versions: Vec<String> = (0..40).map(|n| limited(if n == 20 { 12 } else { 41 + n })).collect();
+    assert!(
+        (90..=130).contains(&standing),
+        "{standing}: its part of the reservation is 2 a second"
+    );
+    let versions: Vec<String> = (0..40)
+        .map(|n| limited(if n == 20 { 12 } else { 41 + n }))
+        .collect();
     let versions: Vec<[&str; 1]> = versions.iter().map(|v| [v.as_str()]).collect();
     r.told_all(&versions.iter().map(|v| &v[..]).collect::<Vec<_>>(), 1);
     let terms = r.desk.plans().ledger().plan("p").map(|p| p.limit);
     assert_eq!(terms, Some(80.0));
     let unsettled = legs(&mut r, 2000);
-    assert!((8..=18).contains(&unsettled), "{unsettled}: one of them said 12, and somebody may follow it");
+    assert!(
+        (8..=18).contains(&unsettled),
+        "{unsettled}: one of them said 12, and somebody may follow it"
+    );
     // The same connection, now with an answer that says that all of them are over.
     r.told(&["plan other rate=1"], 41);
     let settled = legs(&mut r, 2000);
@@ -140,7 +177,10 @@
 #[test]
 fn a_node_that_somebody_wants_empty() {
     let mut r = Rig::following("");
-    r.told(&["node 1 zone=a", "plan p rate=1000 reservation=1000", VOLUME], 1);
+    r.told(
+        &["node 1 zone=a", "plan p rate=1000 reservation=1000", VOLUME],
+        1,
+    );
     r.take(1, 0);
     let conn = r.connect();
     let out = r.legs(conn);
@@ -148,9 +188,19 @@
     r.told(&["drain 1 queued"], 2);
     r.take(3, 0);
     r.told(&["drain 1"], 3);
-    assert!(r.legs(conn).is_empty(), "what was decided before it was told does not cross");
+    assert!(
+        r.legs(conn).is_empty(),
+        "what was decided before it was told does not cross"
+    );
     r.take(4, 0);
-    assert_eq!(r.finals(), [(2, Outcome::Deferred), (3, Outcome::Deferred), (4, Outcome::Deferred)]);
+    assert_eq!(
+        r.finals(),
+        [
+            (2, Outcome::Deferred),
+            (3, Outcome::Deferred),
+            (4, Outcome::Deferred)
+        ]
+    );
     // The list tells of it anew, and of a restart: it stays as it is.
     r.listed(&[(1, pb::NodeState::Gone)]);
     r.listed(&[(1, pb::NodeState::Ready), (2, pb::NodeState::Ready)]);
@@ -159,9 +209,16 @@
     let sights = |r: &mut Rig| {
         r.wait(ms(60));
         let told = r.cross(r.state.unwrap()).into_iter();
-        let told = told.filter_map(|b| if let Body::Sighted(s) = b { Some(s.nodes) } else { None });
+        let told = told.filter_map(|b| {
+            if let Body::Sighted(s) = b {
+                Some(s.nodes)
+            } else {
+                None
+            }
+        });
         let told = told.flatten().filter(|n| n.node == 1);
-        told.map(|n| (n.follows, n.legs, n.unsure_us > 0)).collect::<Vec<_>>()
+        told.map(|n| (n.follows, n.legs, n.unsure_us > 0))
+            .collect::<Vec<_>>()
     };
     assert_eq!(sights(&mut r).last(), Some(&(3, 1, false)));
     // It never answers: for as long as a transfer may take, nobody knows whether it runs.
@@ -179,13 +236,32 @@
 #[test]
 fn a_host_that_starts_with_what_it_kept_of_a_drain_sends_nothing() {
     let mut r = Rig::following("");
-    r.told(&["node 1 zone=a", "plan p rate=1000 reservation=1000", VOLUME, "drain 1"], 1);
+    r.told(
+        &[
+            "node 1 zone=a",
+            "plan p rate=1000 reservation=1000",
+            VOLUME,
+            "drain 1",
+        ],
+        1,
+    );
     let ledger = r.desk.plans().ledger();
-    let kept = Follow::ledger_of(facts(r.desk.settings())).restored(ledger.version(), ledger.state(), vec![]);
-    let start = Start { ledger: kept, settled: Version(1), era: Era(1) };
+    let kept = Follow::ledger_of(facts(r.desk.settings())).restored(
+        ledger.version(),
+        ledger.state(),
+        vec![],
+    );
+    let start = Start {
+        ledger: kept,
+        settled: Version(1),
+        era: Era(1),
+    };
     let mut r = Rig::started("", start);
     r.take(1, 0);
-    assert_eq!((r.finals(), r.dialled.len()), (vec![(1, Outcome::Deferred)], 0));
+    assert_eq!(
+        (r.finals(), r.dialled.len()),
+        (vec![(1, Outcome::Deferred)], 0)
+    );
 }
 
 /// An answer that makes no sense ends the connection, and the host goes on as it was.
@@ -194,11 +270,28 @@
     let mut r = Rig::following("");
     r.told(&["plan p rate=1000 reservation=1000", VOLUME], 1);
     let (ask, conn) = (r.asks(), r.state.unwrap());
-    let entry = pb::ChangeEntry { version: 2, from: 9, ..Default::default() };
-    let feed = pb::Feed { call: ask.call, era: 1, version: 2, entries: vec![entry], ..Default::default() };
-    let frames = vec![pb::Frame { sent_us: 0, body: Some(Body::Feed(feed)) }];
+    let entry = pb::ChangeEntry {
+        version: 2,
+        from: 9,
+        ..Default::default()
+    };
+    let feed = pb::Feed {
+        call: ask.call,
+        era: 1,
+        version: 2,
+        entries: vec![entry],
+        ..Default::default()
+    };
+    let frames = vec![pb::Frame {
+        sent_us: 0,
+        body: Some(Body::Feed(feed)),
+    }];
     r.feed(vec![Input::StateFrames { conn, frames }]);
-    assert!(r.boxes[&conn].is_closed() && r.notes.iter().any(|n| n.contains("no change")), "{:?}", r.notes);
+    assert!(
+        r.boxes[&conn].is_closed() && r.notes.iter().any(|n| n.contains("no change")),
+        "{:?}",
+        r.notes
+    );
     r.take(1, 0);
     let node = r.connect();
     assert_eq!(r.legs(node).len(), 1);
@@ -214,8 +307,16 @@
     let mut r = Rig::following("");
     let (ask, conn) = (r.asks(), r.state.unwrap());
     let subject = |id| Some(pb::change::Subject::Volume(id));
-    let facts = pb::VolumeFacts { plan: "p".into(), hosts: vec!["h".into()], cells: vec![1], blocks: 64 };
-    let volume = |id| pb::Change { subject: subject(id), to: Some(pb::change::To::VolumeTo(facts.clone())) };
+    let facts = pb::VolumeFacts {
+        plan: "p".into(),
+        hosts: vec!["h".into()],
+        cells: vec![1],
+        blocks: 64,
+    };
+    let volume = |id| pb::Change {
+        subject: subject(id),
+        to: Some(pb::change::To::VolumeTo(facts.clone())),
+    };
     let plan = pb::Change {
         subject: Some(pb::change::Subject::Plan("p".into())),
         to: Some(pb::change::To::PlanTo(pb::PlanFigures {
@@ -238,12 +339,21 @@
             more,
             ..Default::default()
         };
-        vec![pb::Frame { sent_us: 0, body: Some(Body::Feed(feed)) }]
+        vec![pb::Frame {
+            sent_us: 0,
+            body: Some(Body::Feed(feed)),
+        }]
     };
-    r.feed(vec![Input::StateFrames { conn, frames: part(vec![plan, volume(5)], true) }]);
+    r.feed(vec![Input::StateFrames {
+        conn,
+        frames: part(vec![plan, volume(5)], true),
+    }]);
     r.take(1, 0);
     assert_eq!(r.finals(), [(1, Outcome::Deferred)]);
-    r.feed(vec![Input::StateFrames { conn, frames: part(vec![volume(6)], false) }]);
+    r.feed(vec![Input::StateFrames {
+        conn,
+        frames: part(vec![volume(6)], false),
+    }]);
     assert_eq!(r.desk.plans().ledger().volumes().count(), 2);
     r.take(2, 0);
     let node = r.connect();
--- a/crates/host/tests/renewal.rs
+++ b/crates/host/tests/renewal.rs
@@ -23,10 +23,26 @@
     type Case = (&'static str, &'static [(u64, u64)], (u64, u64));
     let cases: [Case; 5] = [
         ("a watch fell silent", &[(0, 3050)], (3200, 3550)),
-        ("and the next was refused late", &[(0, 3050), (3550, 4550)], (4550, 4900)),
-        ("and the next was refused at once", &[(0, 3050), (3550, 3551)], (4550, 4900)),
-        ("refused at once, twice", &[(2000, 2001), (3500, 3501)], (6550, 6900)),
-        ("never answered, late already", &[(0, 1000), (3600, 4600), (5000, 9000)], (9000, 9000)),
+        (
+            "and the next was refused late",
+            &[(0, 3050), (3550, 4550)],
+            (4550, 4900),
+        ),
+        (
+            "and the next was refused at once",
+            &[(0, 3050), (3550, 3551)],
+            (4550, 4900),
+        ),
+        (
+            "refused at once, twice",
+            &[(2000, 2001), (3500, 3501)],
+            (6550, 6900),
+        ),
+        (
+            "never answered, late already",
+            &[(0, 1000), (3600, 4600), (5000, 9000)],
+            (9000, 9000),
+        ),
     ];
     for (what, failures, (first, last)) in cases {
         for seed in 0..20 {
@@ -46,7 +62,11 @@
             let at = r.wake_at().expect(what);
             assert!((ms(first)..=ms(last)).contains(&at), "{what}: {at:?}");
             assert_eq!(r.step(at - ms(1).min(at), None), None, "{what}");
-            assert_eq!((r.step(at, None), r.wake_at()), (Some(Action::Call), None), "{what}");
+            assert_eq!(
+                (r.step(at, None), r.wake_at()),
+                (Some(Action::Call), None),
+                "{what}"
+            );
         }
     }
 }
--- a/crates/host/tests/sharing.rs
+++ b/crates/host/tests/sharing.rs
@@ -31,12 +31,29 @@
 
 impl Pair {
     fn new() -> Pair {
-        let rules = Rules { every: ms(100), loans: Spans { span: Duration::from_secs(1), margin: ms(100) } };
+        let rules = Rules {
+            every: ms(100),
+            loans: Spans {
+                span: Duration::from_secs(1),
+                margin: ms(100),
+            },
+        };
         let rig = Rig::sharing(MORE);
         let peer = Fleet::new(rig.now, HostNo(1), Life(1), vec![HostNo(0)], rules, 1);
         let sharers = [HostNo(0), HostNo(1)].into();
-        let to_peer = vec![Event::Volume { volume: 6, sharers, limit: 100.0 }];
-        Pair { rig, peer, to_peer, up: BTreeSet::new(), taken: 0, sent: 0.0 }
+        let to_peer = vec![Event::Volume {
+            volume: 6,
+            sharers,
+            limit: 100.0,
+        }];
+        Pair {
+            rig,
+            peer,
+            to_peer,
+            up: BTreeSet::new(),
+            taken: 0,
+            sent: 0.0,
+        }
     }
 
     /// Nodes answer at once, and words between the two arrive.
@@ -56,11 +73,19 @@
         }
         self.rig.finals();
         let heard = std::mem::take(&mut self.rig.words).into_iter();
-        let heard = heard.map(|bytes| Event::Told { from: HostNo(0), waited: ms(0), bytes });
+        let heard = heard.map(|bytes| Event::Told {
+            from: HostNo(0),
+            waited: ms(0),
+            bytes,
+        });
         let events: Vec<Event> = self.to_peer.drain(..).chain(heard).collect();
         for action in self.peer.step(self.rig.now, events) {
             if let Action::Tell { bytes, .. } = action {
-                self.rig.feed(vec![Input::Word { from: PeerId(1), waited: ms(0), bytes }]);
+                self.rig.feed(vec![Input::Word {
+                    from: PeerId(1),
+                    waited: ms(0),
+                    bytes,
+                }]);
             }
         }
     }
@@ -69,7 +94,15 @@
         self.taken += 1;
         let id = Bytes::from(format!("{:036}", self.taken));
         let (volume, cell, left_us) = (6, Some(1), 1_900_000);
-        let take = pb::Take { piece: id.clone(), id, volume, cell, units, left_us, ..Default::default() };
+        let take = pb::Take {
+            piece: id.clone(),
+            id,
+            volume,
+            cell,
+            units,
+            left_us,
+            ..Default::default()
+        };
         self.rig.frames(CLIENT, Body::Take(take));
     }
 
@@ -89,14 +122,20 @@
     let before = p.sent;
     p.busy(ms(3000));
     let rate = (p.sent - before) / 3.0;
-    assert!(rate > 80.0, "{rate} units a second of 100, with a peer that asks for nothing");
+    assert!(
+        rate > 80.0,
+        "{rate} units a second of 100, with a peer that asks for nothing"
+    );
     // Three seconds, of which the loan had at most one left: 94 units for that one, and 50 for each of the rest.
     p.rig.now += ms(3000);
     let before = p.sent;
     (0..80).for_each(|_| p.take(8.0));
     (0..60).for_each(|_| p.go(ms(1)));
     let sent = p.sent - before;
-    assert!((100.0..=210.0).contains(&sent), "{sent} units at once after it stood still");
+    assert!(
+        (100.0..=210.0).contains(&sent),
+        "{sent} units at once after it stood still"
+    );
 }
 
 #[test]
@@ -116,5 +155,8 @@
         p.go(ms(10));
     }
     let rate = (p.sent - before) / 3.0;
-    assert!((40.0..=55.0).contains(&rate), "{rate} units a second of its part of 50");
+    assert!(
+        (40.0..=55.0).contains(&rate),
+        "{rate} units a second of its part of 50"
+    );
 }
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -35,7 +35,11 @@
 /// A list, node 1 and a host; node 2 is the caller's to play. Answers where the list and the host listen.
 fn start() -> (SocketAddr, SocketAddr, Handle) {
     let settings = peer_settings();
-    let stage = Stage { settings: settings.clone(), t0: clock::now(), tracer: Tracer::default() };
+    let stage = Stage {
+        settings: settings.clone(),
+        t0: clock::now(),
+        tracer: Tracer::default(),
+    };
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let list = listener.local_addr().unwrap();
     let lists = stage.clone();
@@ -79,8 +83,14 @@
 impl Client {
     fn new(host: SocketAddr) -> Self {
         let stream = TcpStream::connect(host).unwrap();
-        stream.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
-        let mut c = Client { stream, reader: frame::Reader::new(1 << 20), next: 0 };
+        stream
+            .set_read_timeout(Some(Duration::from_secs(5)))
+            .unwrap();
+        let mut c = Client {
+            stream,
+            reader: frame::Reader::new(1 << 20),
+            next: 0,
+        };
         c.put(Body::Hello(hello(pb::Role::Client, "c", 1)));
         assert!(matches!(c.get(), Body::Hello(_)));
         c
@@ -89,7 +99,13 @@
     fn put(&mut self, body: Body) {
         let sent_us = clock::micros(clock::now());
         let mut bytes = Vec::new();
-        frame::write(&pb::Frame { sent_us, body: Some(body) }, &mut bytes);
+        frame::write(
+            &pb::Frame {
+                sent_us,
+                body: Some(body),
+            },
+            &mut bytes,
+        );
         self.stream.write_all(&bytes).unwrap();
     }
 
@@ -98,7 +114,10 @@
             if let Some(f) = self.reader.next::<pb::Frame>().unwrap() {
                 return f.body.unwrap();
             }
-            assert!(self.reader.fill(&mut self.stream).unwrap() > 0, "the host hung up");
+            assert!(
+                self.reader.fill(&mut self.stream).unwrap() > 0,
+                "the host hung up"
+            );
         }
     }
 
@@ -157,8 +176,17 @@
     let body = Some(Body::Hello(hello(pb::Role::Client, "bad", 1)));
     frame::write(&pb::Frame { sent_us: 1, body }, &mut greeting);
     let mut wrong_version = Vec::new();
-    let them = pb::Hello { version: 99, ..hello(pb::Role::Client, "bad", 1) };
-    frame::write(&pb::Frame { sent_us: 1, body: Some(Body::Hello(them)) }, &mut wrong_version);
+    let them = pb::Hello {
+        version: 99,
+        ..hello(pb::Role::Client, "bad", 1)
+    };
+    frame::write(
+        &pb::Frame {
+            sent_us: 1,
+            body: Some(Body::Hello(them)),
+        },
+        &mut wrong_version,
+    );
     let with = |more: &[u8]| [&greeting[..], more].concat();
     let mut broken = greeting.clone();
     *broken.last_mut().unwrap() ^= 1;
@@ -169,7 +197,10 @@
         ("wrong checksum", broken),
         ("4 GiB by its header", with(&[0xff; 8])),
         ("half a frame, then silence", with(&greeting[..10])),
-        ("a frame that holds no message", with(&[1, 0, 0, 0, 0, 0, 0, 0, 9])),
+        (
+            "a frame that holds no message",
+            with(&[1, 0, 0, 0, 0, 0, 0, 0, 9]),
+        ),
         ("a message that clients do not send", with(&greeting)),
     ];
     for (what, bytes) in cases {
@@ -188,7 +219,9 @@
     let id = good.take(1, true, Bytes::from(vec![7; 64 << 10]));
     assert_eq!(good.answer(&id).outcome(), Outcome::Done);
     let mut deaf = Client::new(host);
-    deaf.stream.set_write_timeout(Some(Duration::from_millis(200))).unwrap();
+    deaf.stream
+        .set_write_timeout(Some(Duration::from_millis(200)))
+        .unwrap();
     // Far more answers than the bound and both sockets hold.
     for _ in 0..400 {
         deaf.next += 1;
@@ -206,7 +239,13 @@
         };
         let mut bytes = Vec::new();
         let sent_us = clock::micros(clock::now());
-        frame::write(&pb::Frame { sent_us, body: Some(Body::Take(take)) }, &mut bytes);
+        frame::write(
+            &pb::Frame {
+                sent_us,
+                body: Some(Body::Take(take)),
+            },
+            &mut bytes,
+        );
         if deaf.stream.write_all(&bytes).is_err() {
             break;
         }
@@ -232,7 +271,13 @@
     let mut bytes = Vec::new();
     let hello = Body::Hello(hello(pb::Role::Node, "node-2", 1));
     for body in [hello, Body::Announce(pb::Announce { entry: Some(entry) })] {
-        frame::write(&pb::Frame { sent_us: 1, body: Some(body) }, &mut bytes);
+        frame::write(
+            &pb::Frame {
+                sent_us: 1,
+                body: Some(body),
+            },
+            &mut bytes,
+        );
     }
     s.write_all(&bytes).unwrap();
     s
@@ -290,14 +335,30 @@
             let mut reader = frame::Reader::new(1 << 20);
             let mut out = Vec::new();
             let me = Body::Hello(hello(pb::Role::Node, "node-2", 1));
-            frame::write(&pb::Frame { sent_us: 1, body: Some(me) }, &mut out);
+            frame::write(
+                &pb::Frame {
+                    sent_us: 1,
+                    body: Some(me),
+                },
+                &mut out,
+            );
             while s.write_all(&out).is_ok() && reader.fill(&mut s).is_ok_and(|n| n > 0) {
                 out.clear();
                 while let Ok(Some(f)) = reader.next::<pb::Frame>() {
                     let Some(Body::Leg(l)) = f.body else { continue };
                     for leg in [l.leg, l.leg, l.leg + 1000, l.leg] {
-                        let a = pb::LegAnswer { leg, result: pb::Result::Ok.into(), ..Default::default() };
-                        frame::write(&pb::Frame { sent_us: 1, body: Some(Body::LegAnswer(a)) }, &mut out);
+                        let a = pb::LegAnswer {
+                            leg,
+                            result: pb::Result::Ok.into(),
+                            ..Default::default()
+                        };
+                        frame::write(
+                            &pb::Frame {
+                                sent_us: 1,
+                                body: Some(Body::LegAnswer(a)),
+                            },
+                            &mut out,
+                        );
                     }
                 }
             }
--- a/crates/iscsi/src/chap.rs
+++ b/crates/iscsi/src/chap.rs
@@ -64,14 +64,19 @@
 pub fn from_text(text: &str) -> Option<Vec<u8>> {
     let (kind, rest) = text.split_at_checked(2)?;
     match kind {
-        "0x" | "0X" if rest.len().is_multiple_of(2) && rest.is_ascii() => {
-            (0..rest.len()).step_by(2).map(|i| u8::from_str_radix(&rest[i..i + 2], 16).ok()).collect()
+        "0x" | "0X" if rest.len().is_multiple_of(2) && rest.is_ascii() => (0..rest.len())
+            .step_by(2)
+            .map(|i| u8::from_str_radix(&rest[i..i + 2], 16).ok())
+            .collect(),
+        "0b" | "0B" => {
+            base64::Engine::decode(&base64::engine::general_purpose::STANDARD, rest).ok()
         }
-        "0b" | "0B" => base64::Engine::decode(&base64::engine::general_purpose::STANDARD, rest).ok(),
         _ => None,
     }
 }
 
 pub fn to_text(bytes: &[u8]) -> String {
-    bytes.iter().fold("0x".to_string(), |t, b| t + &format!("{b:02x}"))
+    bytes
+        .iter()
+        .fold("0x".to_string(), |t, b| t + &format!("{b:02x}"))
 }
