--- a/crates/iscsi/src/keys.rs
+++ b/crates/iscsi/src/keys.rs
@@ -19,7 +19,11 @@
     /// Offered a second time in one negotiation (section 6.2: a protocol error).
     Again(String),
     /// A value that the key cannot have, or a key that cannot be used here.
-    Value { key: String, value: String, expected: String },
+    Value {
+        key: String,
+        value: String,
+        expected: String,
+    },
 }
 
 impl fmt::Display for KeyFault {
@@ -27,7 +31,11 @@
         match self {
             KeyFault::Format(what) => write!(f, "{what}"),
             KeyFault::Again(key) => write!(f, "{key} stands a second time"),
-            KeyFault::Value { key, value, expected } => {
+            KeyFault::Value {
+                key,
+                value,
+                expected,
+            } => {
                 write!(f, "{key}: expected {expected}, found {value}")
             }
         }
@@ -47,20 +55,29 @@
 /// ```
 pub fn parse(text: &[u8]) -> Result<Vec<(String, String)>, KeyFault> {
     if text.len() > MOST_TEXT {
-        return Err(KeyFault::Format(format!("{} bytes of text, at most {MOST_TEXT}", text.len())));
+        return Err(KeyFault::Format(format!(
+            "{} bytes of text, at most {MOST_TEXT}",
+            text.len()
+        )));
     }
     let parts = text.split(|b| *b == 0).filter(|p| !p.is_empty());
     parts
         .map(|part| {
-            let part = std::str::from_utf8(part).map_err(|_| KeyFault::Format("not UTF-8".into()))?;
-            let (key, value) = part.split_once('=').ok_or(KeyFault::Format("a key without '='".into()))?;
+            let part =
+                std::str::from_utf8(part).map_err(|_| KeyFault::Format("not UTF-8".into()))?;
+            let (key, value) = part
+                .split_once('=')
+                .ok_or(KeyFault::Format("a key without '='".into()))?;
             let long = value.len() > MOST_VALUE && !key.starts_with("CHAP_");
             if key.is_empty()
                 || key.len() > MOST_NAME
                 || long
                 || value.len() > 2 * crate::chap::MOST_VALUE + 2
             {
-                return Err(KeyFault::Format(format!("key or value too long: {:.20}", key)));
+                return Err(KeyFault::Format(format!(
+                    "key or value too long: {:.20}",
+                    key
+                )));
             }
             Ok((key.to_string(), value.to_string()))
         })
@@ -128,45 +145,180 @@
 const MOST_LENGTH: u32 = (1 << 24) - 1;
 const DIGESTS: &[&str] = &["CRC32C", "None"];
 
-const fn key(name: &'static str, kind: Kind, at: Use, normal_only: bool, section: &'static str) -> Key {
-    Key { name, kind, at, normal_only, section }
+const fn key(
+    name: &'static str,
+    kind: Kind,
+    at: Use,
+    normal_only: bool,
+    section: &'static str,
+) -> Key {
+    Key {
+        name,
+        kind,
+        at,
+        normal_only,
+        section,
+    }
 }
 
 /// Section 13, key by key.
 pub const TABLE: &[Key] = &[
-    key("HeaderDigest", Kind::FirstOf(DIGESTS), Use::Login, false, "13.1"),
-    key("DataDigest", Kind::FirstOf(DIGESTS), Use::Login, false, "13.1"),
-    key("MaxConnections", Kind::Minimum { least: 1, most: 65_535 }, Use::Leading, true, "13.2"),
+    key(
+        "HeaderDigest",
+        Kind::FirstOf(DIGESTS),
+        Use::Login,
+        false,
+        "13.1",
+    ),
+    key(
+        "DataDigest",
+        Kind::FirstOf(DIGESTS),
+        Use::Login,
+        false,
+        "13.1",
+    ),
+    key(
+        "MaxConnections",
+        Kind::Minimum {
+            least: 1,
+            most: 65_535,
+        },
+        Use::Leading,
+        true,
+        "13.2",
+    ),
     key("TargetName", Kind::DeclaresText, Use::Login, false, "13.4"),
-    key("InitiatorName", Kind::DeclaresText, Use::Login, false, "13.5"),
+    key(
+        "InitiatorName",
+        Kind::DeclaresText,
+        Use::Login,
+        false,
+        "13.5",
+    ),
     key("TargetAlias", Kind::DeclaresText, Use::Any, false, "13.6"),
-    key("InitiatorAlias", Kind::DeclaresText, Use::Any, false, "13.7"),
+    key(
+        "InitiatorAlias",
+        Kind::DeclaresText,
+        Use::Any,
+        false,
+        "13.7",
+    ),
     key("TargetAddress", Kind::DeclaresText, Use::Any, false, "13.8"),
-    key("TargetPortalGroupTag", Kind::DeclaresText, Use::Login, false, "13.9"),
+    key(
+        "TargetPortalGroupTag",
+        Kind::DeclaresText,
+        Use::Login,
+        false,
+        "13.9",
+    ),
     key("InitialR2T", Kind::Or, Use::Leading, true, "13.10"),
     key("ImmediateData", Kind::And, Use::Leading, true, "13.11"),
     key(
         "MaxRecvDataSegmentLength",
-        Kind::Declares { least: 512, most: MOST_LENGTH },
+        Kind::Declares {
+            least: 512,
+            most: MOST_LENGTH,
+        },
         Use::Any,
         false,
         "13.12",
     ),
-    key("MaxBurstLength", Kind::Minimum { least: 512, most: MOST_LENGTH }, Use::Leading, true, "13.13"),
-    key("FirstBurstLength", Kind::Minimum { least: 512, most: MOST_LENGTH }, Use::Leading, true, "13.14"),
-    key("DefaultTime2Wait", Kind::Maximum { least: 0, most: 3600 }, Use::Leading, false, "13.15"),
-    key("DefaultTime2Retain", Kind::Minimum { least: 0, most: 3600 }, Use::Leading, false, "13.16"),
-    key("MaxOutstandingR2T", Kind::Minimum { least: 1, most: 65_535 }, Use::Leading, true, "13.17"),
+    key(
+        "MaxBurstLength",
+        Kind::Minimum {
+            least: 512,
+            most: MOST_LENGTH,
+        },
+        Use::Leading,
+        true,
+        "13.13",
+    ),
+    key(
+        "FirstBurstLength",
+        Kind::Minimum {
+            least: 512,
+            most: MOST_LENGTH,
+        },
+        Use::Leading,
+        true,
+        "13.14",
+    ),
+    key(
+        "DefaultTime2Wait",
+        Kind::Maximum {
+            least: 0,
+            most: 3600,
+        },
+        Use::Leading,
+        false,
+        "13.15",
+    ),
+    key(
+        "DefaultTime2Retain",
+        Kind::Minimum {
+            least: 0,
+            most: 3600,
+        },
+        Use::Leading,
+        false,
+        "13.16",
+    ),
+    key(
+        "MaxOutstandingR2T",
+        Kind::Minimum {
+            least: 1,
+            most: 65_535,
+        },
+        Use::Leading,
+        true,
+        "13.17",
+    ),
     key("DataPDUInOrder", Kind::Or, Use::Leading, true, "13.18"),
     key("DataSequenceInOrder", Kind::Or, Use::Leading, true, "13.19"),
-    key("ErrorRecoveryLevel", Kind::Minimum { least: 0, most: 2 }, Use::Leading, false, "13.20"),
-    key("SessionType", Kind::DeclaresText, Use::Leading, false, "13.21"),
+    key(
+        "ErrorRecoveryLevel",
+        Kind::Minimum { least: 0, most: 2 },
+        Use::Leading,
+        false,
+        "13.20",
+    ),
+    key(
+        "SessionType",
+        Kind::DeclaresText,
+        Use::Leading,
+        false,
+        "13.21",
+    ),
     key("IFMarker", Kind::Obsolete("No"), Use::Login, false, "13.25"),
     key("OFMarker", Kind::Obsolete("No"), Use::Login, false, "13.25"),
-    key("IFMarkInt", Kind::Obsolete("Reject"), Use::Login, false, "13.25"),
-    key("OFMarkInt", Kind::Obsolete("Reject"), Use::Login, false, "13.25"),
-    key("iSCSIProtocolLevel", Kind::Minimum { least: 0, most: 31 }, Use::Leading, true, "RFC 7144, 7.1.1"),
-    key("TaskReporting", Kind::FirstOf(&["RFC3720"]), Use::Leading, true, "13.23"),
+    key(
+        "IFMarkInt",
+        Kind::Obsolete("Reject"),
+        Use::Login,
+        false,
+        "13.25",
+    ),
+    key(
+        "OFMarkInt",
+        Kind::Obsolete("Reject"),
+        Use::Login,
+        false,
+        "13.25",
+    ),
+    key(
+        "iSCSIProtocolLevel",
+        Kind::Minimum { least: 0, most: 31 },
+        Use::Leading,
+        true,
+        "RFC 7144, 7.1.1",
+    ),
+    key(
+        "TaskReporting",
+        Kind::FirstOf(&["RFC3720"]),
+        Use::Leading,
+        true,
+        "13.23",
+    ),
 ];
 
 /// What a connection and its session work by; the defaults are the standard's.
@@ -233,7 +385,11 @@
             protocol_level: 2,
             ..Params::default()
         };
-        Wishes { digests: true, params, our_segment: 256 << 10 }
+        Wishes {
+            digests: true,
+            params,
+            our_segment: 256 << 10,
+        }
     }
 }
 
@@ -266,7 +422,14 @@
 
 impl Negotiation {
     pub fn new(wishes: Wishes, agreed: Params, login: bool, leading: bool) -> Self {
-        Negotiation { wishes, agreed, discovery: false, leading, login, seen: BTreeSet::new() }
+        Negotiation {
+            wishes,
+            agreed,
+            discovery: false,
+            leading,
+            login,
+            seen: BTreeSet::new(),
+        }
     }
 
     /// Answers one offered pair: what to send back, if anything is due. Reserved words in answer to an offer
@@ -276,9 +439,15 @@
         if !self.seen.insert(name.to_string()) {
             return Err(KeyFault::Again(name.into()));
         }
-        let Some(key) = TABLE.iter().find(|k| k.name == name) else { return said("NotUnderstood") };
+        let Some(key) = TABLE.iter().find(|k| k.name == name) else {
+            return said("NotUnderstood");
+        };
         let bad = |expected: String| {
-            Err(KeyFault::Value { key: name.into(), value: format!("{value:.40}"), expected })
+            Err(KeyFault::Value {
+                key: name.into(),
+                value: format!("{value:.40}"),
+                expected,
+            })
         };
         match key.at {
             Use::Leading if !self.leading => return bad("only in a session's first login".into()),
@@ -301,7 +470,9 @@
             },
             Kind::Minimum { least, most } | Kind::Maximum { least, most } => {
                 // Out of range is answered Reject, and the default stays (section 6.2.2).
-                let Some(theirs) = ranged(least, most) else { return said("Reject") };
+                let Some(theirs) = ranged(least, most) else {
+                    return said("Reject");
+                };
                 let (ours, at) = self.figure(name);
                 let wish = if matches!(key.kind, Kind::Minimum { .. }) {
                     ours.min(theirs)
@@ -313,15 +484,23 @@
                 said(&wish.to_string())
             }
             Kind::And | Kind::Or => {
-                let Some(theirs) = yes(value) else { return said("Reject") };
+                let Some(theirs) = yes(value) else {
+                    return said("Reject");
+                };
                 let (ours, at) = self.choice(name);
-                let wish = if key.kind == Kind::And { ours && theirs } else { ours || theirs };
+                let wish = if key.kind == Kind::And {
+                    ours && theirs
+                } else {
+                    ours || theirs
+                };
                 *at(&mut self.agreed) = wish;
                 said(if wish { "Yes" } else { "No" })
             }
             Kind::FirstOf(known) => {
                 let have = |o: &&str| known.contains(o) && (*o != "CRC32C" || self.wishes.digests);
-                let Some(first) = value.split(',').find(have) else { return said("Reject") };
+                let Some(first) = value.split(',').find(have) else {
+                    return said("Reject");
+                };
                 let on = first == "CRC32C";
                 match name {
                     "HeaderDigest" => self.agreed.header_digest = on,
@@ -359,6 +538,9 @@
 
     /// What we declare without being asked, once in a login.
     pub fn declarations(&self) -> Vec<(String, String)> {
-        vec![("MaxRecvDataSegmentLength".into(), self.wishes.our_segment.to_string())]
+        vec![(
+            "MaxRecvDataSegmentLength".into(),
+            self.wishes.our_segment.to_string(),
+        )]
     }
 }
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -159,14 +159,22 @@
 
     /// Answers one login request. `chance` is 17 bytes of it, new for each call; `stat_sn`, `exp_cmd_sn` and
     /// `max_cmd_sn` go into the response.
-    pub fn request(&mut self, pdu: &Pdu, chance: [u8; 17], sns: (u32, u32, u32)) -> (Pdu, Standing) {
+    pub fn request(
+        &mut self,
+        pdu: &Pdu,
+        chance: [u8; 17],
+        sns: (u32, u32, u32),
+    ) -> (Pdu, Standing) {
         let h = &pdu.header;
         let answered = self.step(h, &pdu.data, chance);
         let (status, pairs, to, standing) = match answered {
             Ok((pairs, to)) => {
                 let done = to == Some(Stage::FullFeature);
-                let standing =
-                    if done { Standing::Done(Box::new(self.logged_in(h))) } else { Standing::Goes };
+                let standing = if done {
+                    Standing::Done(Box::new(self.logged_in(h)))
+                } else {
+                    Standing::Goes
+                };
                 (Status::Success, pairs, to, standing)
             }
             Err((status, why)) => (status, Vec::new(), None, Standing::Failed(status, why)),
@@ -187,7 +195,12 @@
         (Pdu::new(header, format(&pairs)), standing)
     }
 
-    fn step(&mut self, h: &Header, data: &[u8], chance: [u8; 17]) -> Result<(Pairs, Option<Stage>), Refusal> {
+    fn step(
+        &mut self,
+        h: &Header,
+        data: &[u8],
+        chance: [u8; 17],
+    ) -> Result<(Pairs, Option<Stage>), Refusal> {
         let bad = |why: &str| Err((Status::InitiatorError, why.to_string()));
         self.requests += 1;
         if self.requests > MOST_REQUESTS {
@@ -213,7 +226,8 @@
                 self.first = Some(*h);
             }
             Some(first) => {
-                let same = first.isid() == h.isid() && first.tsih() == h.tsih() && first.cid() == h.cid();
+                let same =
+                    first.isid() == h.isid() && first.tsih() == h.tsih() && first.cid() == h.cid();
                 if !same || first.itt() != h.itt() {
                     return bad("ISID, TSIH, CID or task tag changed within a login");
                 }
@@ -250,7 +264,10 @@
         if (to.is_some() || self.stage == Stage::Operational) && !self.is_proven() {
             let settled = !matches!(self.chap, Chap::Agreed | Chap::Challenged { .. });
             if to.is_none() || settled {
-                return Err((Status::AuthenticationFailure, "authentication is asked for".into()));
+                return Err((
+                    Status::AuthenticationFailure,
+                    "authentication is asked for".into(),
+                ));
             }
             return Ok((answers, None));
         }
@@ -265,10 +282,16 @@
 
     /// The first request says who logs in to what (section 6.3.1).
     fn identify(&mut self, h: &Header, pairs: &[(String, String)]) -> Result<(), Refusal> {
-        let get = |key: &str| pairs.iter().find(|(k, _)| k == key).map(|(_, v)| v.as_str());
+        let get = |key: &str| {
+            pairs
+                .iter()
+                .find(|(k, _)| k == key)
+                .map(|(_, v)| v.as_str())
+        };
         let missing = |key: &str| (Status::MissingParameter, format!("{key} is missing"));
-        let initiator =
-            get("InitiatorName").filter(|n| !n.is_empty()).ok_or_else(|| missing("InitiatorName"))?;
+        let initiator = get("InitiatorName")
+            .filter(|n| !n.is_empty())
+            .ok_or_else(|| missing("InitiatorName"))?;
         self.initiator = Some(initiator.to_string());
         let leading = h.tsih() == 0;
         let agreed = Params::default();
@@ -278,13 +301,26 @@
             "Normal" => {
                 let name = get("TargetName").ok_or_else(|| missing("TargetName"))?;
                 let target = self.portal.targets.iter().find(|t| t.name == name);
-                let target = target.ok_or_else(|| (Status::NotFound, format!("no target {name:.80}")))?;
-                if target.initiators.as_ref().is_some_and(|all| !all.iter().any(|i| i == initiator)) {
-                    return Err((Status::AuthorizationFailure, format!("{initiator:.80} has no access")));
+                let target =
+                    target.ok_or_else(|| (Status::NotFound, format!("no target {name:.80}")))?;
+                if target
+                    .initiators
+                    .as_ref()
+                    .is_some_and(|all| !all.iter().any(|i| i == initiator))
+                {
+                    return Err((
+                        Status::AuthorizationFailure,
+                        format!("{initiator:.80} has no access"),
+                    ));
                 }
                 self.target = Some(target.clone());
             }
-            other => return Err((Status::SessionTypeNotSupported, format!("session type {other:.40}"))),
+            other => {
+                return Err((
+                    Status::SessionTypeNotSupported,
+                    format!("session type {other:.40}"),
+                ))
+            }
         }
         self.negotiation = Some(negotiation);
         Ok(())
@@ -303,7 +339,12 @@
 
     /// The security stage (section 12.1).
     fn secure(&mut self, pairs: &[(String, String)], chance: [u8; 17]) -> Result<Pairs, Refusal> {
-        let get = |key: &str| pairs.iter().find(|(k, _)| k == key).map(|(_, v)| v.as_str());
+        let get = |key: &str| {
+            pairs
+                .iter()
+                .find(|(k, _)| k == key)
+                .map(|(_, v)| v.as_str())
+        };
         let failed = |why: &str| (Status::AuthenticationFailure, why.to_string());
         let mut answers = Vec::new();
         let mut say = |k: &str, v: String| answers.push((k.to_string(), v));
@@ -330,7 +371,8 @@
                 say("TargetPortalGroupTag", self.portal.group.to_string());
             }
         } else if let (Some(list), Chap::Agreed) = (get("CHAP_A"), &self.chap) {
-            let by = Algorithm::choose(list).ok_or_else(|| failed("no CHAP algorithm in common"))?;
+            let by =
+                Algorithm::choose(list).ok_or_else(|| failed("no CHAP algorithm in common"))?;
             let (id, challenge) = (chance[0], chance[1..].to_vec());
             say("CHAP_A", (by as u32).to_string());
             say("CHAP_I", id.to_string());
@@ -339,8 +381,13 @@
         } else if let (Some(name), Chap::Challenged { by, id, challenge }) =
             (get("CHAP_N"), self.chap.clone())
         {
-            let response = get("CHAP_R").and_then(from_text).ok_or_else(|| failed("CHAP_R is missing"))?;
-            let known = self.asked().cloned().ok_or_else(|| failed("nothing to prove"))?;
+            let response = get("CHAP_R")
+                .and_then(from_text)
+                .ok_or_else(|| failed("CHAP_R is missing"))?;
+            let known = self
+                .asked()
+                .cloned()
+                .ok_or_else(|| failed("nothing to prove"))?;
             let proven = same(&by.response(id, &known.secret, &challenge), &response);
             // One answer to both, so that names cannot be found out.
             if !proven || known.name != name {
@@ -370,7 +417,10 @@
 
     fn operate(&mut self, pairs: &[(String, String)]) -> Result<Pairs, Refusal> {
         let mut answers = Vec::new();
-        let negotiation = self.negotiation.as_mut().expect("made by the first request");
+        let negotiation = self
+            .negotiation
+            .as_mut()
+            .expect("made by the first request");
         for (key, value) in pairs {
             answers.extend(negotiation.offer(key, value).map_err(refused)?);
         }
@@ -388,7 +438,11 @@
             isid: h.isid(),
             tsih: h.tsih(),
             cid: h.cid(),
-            params: self.negotiation.as_ref().map(|n| n.agreed.clone()).unwrap_or_default(),
+            params: self
+                .negotiation
+                .as_ref()
+                .map(|n| n.agreed.clone())
+                .unwrap_or_default(),
         }
     }
 }
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -209,8 +209,18 @@
 
 impl fmt::Debug for Header {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let name = self.opcode().map_or(format!("opcode {:#x}", self.opcode_byte()), |o| format!("{o:?}"));
-        write!(f, "{name} flags {:#04x} lun {} itt {:#x}", self.flags(), self.lun(), self.itt())
+        let name = self
+            .opcode()
+            .map_or(format!("opcode {:#x}", self.opcode_byte()), |o| {
+                format!("{o:?}")
+            });
+        write!(
+            f,
+            "{name} flags {:#04x} lun {} itt {:#x}",
+            self.flags(),
+            self.lun(),
+            self.itt()
+        )
     }
 }
 
@@ -224,7 +234,11 @@
 
 impl Pdu {
     pub fn new(header: Header, data: impl Into<Bytes>) -> Self {
-        Pdu { header, ahs: Bytes::new(), data: data.into() }
+        Pdu {
+            header,
+            ahs: Bytes::new(),
+            data: data.into(),
+        }
     }
 }
 
@@ -273,7 +287,9 @@
         match self {
             Fault::HeaderDigest => write!(f, "header digest does not match"),
             Fault::DataDigest(h) => write!(f, "data digest does not match: {h:?}"),
-            Fault::TooLong { length, most } => write!(f, "data segment of {length} bytes, at most {most}"),
+            Fault::TooLong { length, most } => {
+                write!(f, "data segment of {length} bytes, at most {most}")
+            }
         }
     }
 }
@@ -344,7 +360,11 @@
 
 impl Reader {
     pub fn new(most_data: usize) -> Self {
-        Reader { held: BytesMut::new(), digests: Digests::default(), most_data }
+        Reader {
+            held: BytesMut::new(),
+            digests: Digests::default(),
+            most_data,
+        }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -356,8 +376,11 @@
         let held = self.held.len();
         let header = self.held.first_chunk::<BHS>().map(|h| Header(*h));
         let whole = header.filter(|h| h.data_length() <= self.most_data);
-        let missing = whole.map_or(0, |h| BHS + h.ahs_length() + h.data_length() + 12).saturating_sub(held);
-        self.held.resize(held + missing.clamp(ONE_READ.0, ONE_READ.1), 0);
+        let missing = whole
+            .map_or(0, |h| BHS + h.ahs_length() + h.data_length() + 12)
+            .saturating_sub(held);
+        self.held
+            .resize(held + missing.clamp(ONE_READ.0, ONE_READ.1), 0);
         let got = from.read(&mut self.held[held..]);
         self.held.truncate(held + got.as_ref().map_or(0, |n| *n));
         got
@@ -372,12 +395,20 @@
     /// that reading can go on; after any other fault it cannot.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Result<Option<Pdu>, Fault> {
-        let Some(first) = self.held.first_chunk::<BHS>() else { return Ok(None) };
+        let Some(first) = self.held.first_chunk::<BHS>() else {
+            return Ok(None);
+        };
         let header = Header(*first);
         let (ahs, length) = (header.ahs_length(), header.data_length());
         let head = BHS + ahs;
-        let sums =
-            (if self.digests.header { 4 } else { 0 }, if self.digests.data && length > 0 { 4 } else { 0 });
+        let sums = (
+            if self.digests.header { 4 } else { 0 },
+            if self.digests.data && length > 0 {
+                4
+            } else {
+                0
+            },
+        );
         // The digest is judged before the lengths in it are believed.
         if self.digests.header {
             if self.held.len() < head + 4 {
@@ -388,7 +419,10 @@
             }
         }
         if length > self.most_data {
-            return Err(Fault::TooLong { length, most: self.most_data });
+            return Err(Fault::TooLong {
+                length,
+                most: self.most_data,
+            });
         }
         let body = padded(length);
         if self.held.len() < head + sums.0 + body + sums.1 {
@@ -402,6 +436,10 @@
             return Err(Fault::DataDigest(header));
         }
         whole.truncate(length);
-        Ok(Some(Pdu { header, ahs: additional, data: whole.freeze() }))
+        Ok(Some(Pdu {
+            header,
+            ahs: additional,
+            data: whole.freeze(),
+        }))
     }
 }
--- a/crates/iscsi/src/reservations.rs
+++ b/crates/iscsi/src/reservations.rs
@@ -44,7 +44,10 @@
     }
 
     fn lets_read(self) -> bool {
-        matches!(self, Kind::WriteExclusive | Kind::WriteExclusiveRegistrants | Kind::WriteExclusiveAll)
+        matches!(
+            self,
+            Kind::WriteExclusive | Kind::WriteExclusiveRegistrants | Kind::WriteExclusiveAll
+        )
     }
 }
 
@@ -72,7 +75,9 @@
 impl Reservations {
     /// Whether a nexus may do this now (table 46 and SBC-3, table 13).
     pub fn allows(&self, who: Nexus, command: &Command) -> bool {
-        let Some((holder, kind)) = self.holder else { return true };
+        let Some((holder, kind)) = self.holder else {
+            return true;
+        };
         let inside = holder == who || (kind.for_registrants() && self.keys.contains_key(&who));
         let (reads, writes) = match command {
             Command::Read { .. } | Command::Verify { .. } => (true, false),
@@ -99,7 +104,11 @@
             1 => list(match self.holder {
                 None => Vec::new(),
                 Some((who, kind)) => {
-                    let key = if kind.for_all() { 0 } else { self.keys.get(&who).copied().unwrap_or(0) };
+                    let key = if kind.for_all() {
+                        0
+                    } else {
+                        self.keys.get(&who).copied().unwrap_or(0)
+                    };
                     [&key.to_be_bytes()[..], &[0, 0, 0, 0, 0, kind as u8, 0, 0]].concat()
                 }
             }),
@@ -114,7 +123,12 @@
 
     /// PERSISTENT RESERVE OUT. `list` is its parameter list.
     pub fn change(
-        &mut self, who: Nexus, action: u8, scope: u8, kind: u8, list: &[u8],
+        &mut self,
+        who: Nexus,
+        action: u8,
+        scope: u8,
+        kind: u8,
+        list: &[u8],
     ) -> Result<Told, Refused> {
         let check = |s| Err(Refused::Check(s));
         if list.len() != 24 {
@@ -138,7 +152,9 @@
         match action {
             0 | 6 => self.register(who, service, &mut told),
             1 => {
-                let Some(kind) = kind else { return check(Sense::INVALID_FIELD_IN_CDB) };
+                let Some(kind) = kind else {
+                    return check(Sense::INVALID_FIELD_IN_CDB);
+                };
                 match self.holder {
                     None => self.holder = Some((who, kind)),
                     Some((_, held)) if held.for_all() && held == kind => {}
@@ -158,7 +174,9 @@
             3 => {
                 self.generation = self.generation.wrapping_add(1);
                 let others = self.keys.keys().filter(|n| **n != who);
-                told.attentions = others.map(|n| (*n, Sense::RESERVATIONS_PREEMPTED)).collect();
+                told.attentions = others
+                    .map(|n| (*n, Sense::RESERVATIONS_PREEMPTED))
+                    .collect();
                 self.keys.clear();
                 self.holder = None;
             }
@@ -184,22 +202,35 @@
     }
 
     fn release(&mut self, who: Nexus, told: &mut Told) {
-        let Some((_, kind)) = self.holder.take() else { return };
+        let Some((_, kind)) = self.holder.take() else {
+            return;
+        };
         if kind.for_registrants() {
             let others = self.keys.keys().filter(|n| **n != who);
-            told.attentions.extend(others.map(|n| (*n, Sense::RESERVATIONS_RELEASED)));
+            told.attentions
+                .extend(others.map(|n| (*n, Sense::RESERVATIONS_RELEASED)));
         }
     }
 
     fn preempt(
-        &mut self, who: Nexus, service: u64, kind: Option<Kind>, abort: bool, told: &mut Told,
+        &mut self,
+        who: Nexus,
+        service: u64,
+        kind: Option<Kind>,
+        abort: bool,
+        told: &mut Told,
     ) -> Result<(), Refused> {
         let holds = |n: &Nexus| self.holder.is_some_and(|(h, k)| h == *n || k.for_all());
         let all = self.holder.is_some_and(|(_, k)| k.for_all());
         let taken: BTreeSet<Nexus> = match (service, all) {
             (0, true) => self.keys.keys().copied().filter(|n| *n != who).collect(),
             (0, false) => return Err(Refused::Check(Sense::INVALID_FIELD_IN_PARAMETERS)),
-            _ => self.keys.iter().filter(|(_, k)| **k == service).map(|(n, _)| *n).collect(),
+            _ => self
+                .keys
+                .iter()
+                .filter(|(_, k)| **k == service)
+                .map(|(n, _)| *n)
+                .collect(),
         };
         if taken.is_empty() && !(service == 0 && all) {
             return Err(Refused::Conflict);
--- a/crates/iscsi/src/reservations/tests.rs
+++ b/crates/iscsi/src/reservations/tests.rs
@@ -3,8 +3,16 @@
 const A: Nexus = Nexus(1);
 const B: Nexus = Nexus(2);
 const C: Nexus = Nexus(3);
-const READ: Command = Command::Read { lba: 0, blocks: 1, fua: false };
-const WRITE: Command = Command::Write { lba: 0, blocks: 1, fua: false };
+const READ: Command = Command::Read {
+    lba: 0,
+    blocks: 1,
+    fua: false,
+};
+const WRITE: Command = Command::Write {
+    lba: 0,
+    blocks: 1,
+    fua: false,
+};
 
 fn list(key: u64, service: u64) -> Vec<u8> {
     [&key.to_be_bytes()[..], &service.to_be_bytes(), &[0; 8]].concat()
@@ -46,10 +54,22 @@
     r.change(A, 1, 0, 1, &list(10, 0)).unwrap();
     assert!(r.change(A, 1, 0, 1, &list(10, 0)).is_ok(), "the same again");
     assert_eq!(r.change(B, 1, 0, 1, &list(20, 0)), Err(Refused::Conflict));
-    assert_eq!(r.change(A, 2, 0, 3, &list(10, 0)), Err(Refused::Check(Sense::INVALID_RELEASE)));
-    assert!(r.change(B, 2, 0, 1, &list(20, 0)).is_ok() && !r.allows(B, &WRITE), "not its own to release");
-    assert_eq!(r.change(A, 1, 0, 1, &[0; 8]), Err(Refused::Check(Sense::PARAMETER_LIST_LENGTH)));
-    assert_eq!(r.change(A, 1, 0, 2, &list(10, 0)), Err(Refused::Check(Sense::INVALID_FIELD_IN_CDB)));
+    assert_eq!(
+        r.change(A, 2, 0, 3, &list(10, 0)),
+        Err(Refused::Check(Sense::INVALID_RELEASE))
+    );
+    assert!(
+        r.change(B, 2, 0, 1, &list(20, 0)).is_ok() && !r.allows(B, &WRITE),
+        "not its own to release"
+    );
+    assert_eq!(
+        r.change(A, 1, 0, 1, &[0; 8]),
+        Err(Refused::Check(Sense::PARAMETER_LIST_LENGTH))
+    );
+    assert_eq!(
+        r.change(A, 1, 0, 2, &list(10, 0)),
+        Err(Refused::Check(Sense::INVALID_FIELD_IN_CDB))
+    );
 }
 
 #[test]
@@ -60,7 +80,11 @@
     assert_eq!(told.attentions, [(A, Sense::REGISTRATIONS_PREEMPTED)]);
     assert_eq!(told.aborted, [A]);
     assert!(r.allows(B, &WRITE) && !r.allows(A, &WRITE) && r.allows(A, &READ));
-    assert_eq!(r.change(B, 4, 0, 1, &list(20, 77)), Err(Refused::Conflict), "nobody has that key");
+    assert_eq!(
+        r.change(B, 4, 0, 1, &list(20, 77)),
+        Err(Refused::Conflict),
+        "nobody has that key"
+    );
     assert_eq!(r.tell(1).unwrap()[8..16], 20u64.to_be_bytes());
 }
 
@@ -80,6 +104,9 @@
     r.change(B, 6, 0, 0, &list(0, 0)).unwrap();
     assert!(r.allows(C, &WRITE));
     let mut r = two();
-    assert_eq!(r.change(A, 3, 0, 0, &list(10, 0)).unwrap().attentions, [(B, Sense::RESERVATIONS_PREEMPTED)]);
+    assert_eq!(
+        r.change(A, 3, 0, 0, &list(10, 0)).unwrap().attentions,
+        [(B, Sense::RESERVATIONS_PREEMPTED)]
+    );
     assert_eq!(r.tell(0).unwrap(), [0, 0, 0, 3, 0, 0, 0, 0]);
 }
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -27,7 +27,12 @@
 }
 
 const fn sense(key: u8, asc: u8, ascq: u8) -> Sense {
-    Sense { key, asc, ascq, information: None }
+    Sense {
+        key,
+        asc,
+        ascq,
+        information: None,
+    }
 }
 
 impl Sense {
@@ -57,7 +62,10 @@
     pub const MISCOMPARE: Sense = sense(0xe, 0x1d, 0x00);
 
     pub fn at(self, information: u64) -> Sense {
-        Sense { information: Some(information), ..self }
+        Sense {
+            information: Some(information),
+            ..self
+        }
     }
 
     /// Fixed format (SPC-4, 4.5.3), 18 bytes.
@@ -228,9 +236,20 @@
     let (most10, len16) = (be(&cdb[7..9]) as usize, be(&cdb[10..14]));
     let most = |n: u64| n as usize;
     // Protection information is not kept: RDPROTECT, WRPROTECT and VRPROTECT must be 0.
-    let plain = || if cdb[1] & 0xe0 == 0 { Ok(()) } else { Err(Sense::INVALID_FIELD_IN_CDB) };
+    let plain = || {
+        if cdb[1] & 0xe0 == 0 {
+            Ok(())
+        } else {
+            Err(Sense::INVALID_FIELD_IN_CDB)
+        }
+    };
     let fua = cdb[1] & 0x08 != 0;
-    let six = |blocks: u64| (be(&[cdb[1] & 0x1f, cdb[2], cdb[3]]), if blocks == 0 { 256 } else { blocks });
+    let six = |blocks: u64| {
+        (
+            be(&[cdb[1] & 0x1f, cdb[2], cdb[3]]),
+            if blocks == 0 { 256 } else { blocks },
+        )
+    };
     // The group in an operation code tells how long its block is, and so where block and length stand.
     let range = || match cdb[0] >> 5 {
         4 => (be(&cdb[2..10]), len16),
@@ -239,28 +258,46 @@
     };
     let command = match cdb[0] {
         0x00 => Command::TestUnitReady,
-        0x03 => Command::RequestSense { descriptor: cdb[1] & 1 != 0, most: usize::from(cdb[4]) },
+        0x03 => Command::RequestSense {
+            descriptor: cdb[1] & 1 != 0,
+            most: usize::from(cdb[4]),
+        },
         0x08 => {
             let (lba, blocks) = six(u64::from(cdb[4]));
-            Command::Read { lba, blocks, fua: false }
+            Command::Read {
+                lba,
+                blocks,
+                fua: false,
+            }
         }
         0x0a => {
             let (lba, blocks) = six(u64::from(cdb[4]));
-            Command::Write { lba, blocks, fua: false }
+            Command::Write {
+                lba,
+                blocks,
+                fua: false,
+            }
         }
         0x12 => {
             let page = (cdb[1] & 1 != 0).then_some(cdb[2]);
             if page.is_none() && cdb[2] != 0 {
                 return Err(Sense::INVALID_FIELD_IN_CDB);
             }
-            Command::Inquiry { page, most: be(&cdb[3..5]) as usize }
+            Command::Inquiry {
+                page,
+                most: be(&cdb[3..5]) as usize,
+            }
         }
         0x1a | 0x5a => Command::ModeSense {
             ten: cdb[0] == 0x5a,
             page: cdb[2] & 0x3f,
             subpage: cdb[3],
             no_blocks: cdb[1] & 0x08 != 0,
-            most: if cdb[0] == 0x5a { most10 } else { usize::from(cdb[4]) },
+            most: if cdb[0] == 0x5a {
+                most10
+            } else {
+                usize::from(cdb[4])
+            },
         },
         0x1b => Command::StartStop,
         0x25 => Command::ReadCapacity10,
@@ -286,7 +323,11 @@
         }
         0x35 | 0x91 => {
             let (lba, blocks) = range();
-            Command::SynchronizeCache { lba, blocks, immediate: cdb[1] & 2 != 0 }
+            Command::SynchronizeCache {
+                lba,
+                blocks,
+                immediate: cdb[1] & 2 != 0,
+            }
         }
         0x41 | 0x93 => {
             plain()?;
@@ -296,10 +337,18 @@
             }
             let (lba, blocks) = range();
             let data = cdb[0] == 0x41 || cdb[1] & 1 == 0;
-            Command::WriteSame { lba, blocks, unmap: cdb[1] & 8 != 0, data }
+            Command::WriteSame {
+                lba,
+                blocks,
+                unmap: cdb[1] & 8 != 0,
+                data,
+            }
         }
         0x42 => Command::Unmap { length: most10 },
-        0x5e => Command::ReserveIn { action: cdb[1] & 0x1f, most: most10 },
+        0x5e => Command::ReserveIn {
+            action: cdb[1] & 0x1f,
+            most: most10,
+        },
         0x5f => Command::ReserveOut {
             action: cdb[1] & 0x1f,
             scope: cdb[2] >> 4,
@@ -308,17 +357,26 @@
         },
         0x89 => {
             plain()?;
-            Command::CompareAndWrite { lba: be(&cdb[2..10]), blocks: u64::from(cdb[13]) }
+            Command::CompareAndWrite {
+                lba: be(&cdb[2..10]),
+                blocks: u64::from(cdb[13]),
+            }
         }
         0x9e if cdb[1] & 0x1f == 0x10 => Command::ReadCapacity16 { most: most(len16) },
-        0xa0 => Command::ReportLuns { select: cdb[2], most: be(&cdb[6..10]) as usize },
+        0xa0 => Command::ReportLuns {
+            select: cdb[2],
+            most: be(&cdb[6..10]) as usize,
+        },
         0xa3 if cdb[1] & 0x1f == 0x0c => {
             let one = match cdb[2] & 7 {
                 0 => None,
                 1 => Some(cdb[3]),
                 _ => return Err(Sense::INVALID_FIELD_IN_CDB),
             };
-            Command::ReportOpcodes { one, most: be(&cdb[6..10]) as usize }
+            Command::ReportOpcodes {
+                one,
+                most: be(&cdb[6..10]) as usize,
+            }
         }
         0x9e | 0xa3 => return Err(Sense::INVALID_FIELD_IN_CDB),
         _ => return Err(Sense::INVALID_OPCODE),
@@ -357,25 +415,43 @@
 
     /// Answers a command that needs nothing but this; None for one that does. `luns` lists the units of the
     /// target for REPORT LUNS, `pending` is what REQUEST SENSE tells.
-    pub fn answer(&self, command: &Command, luns: &[u64], pending: Sense) -> Option<Result<Vec<u8>, Sense>> {
+    pub fn answer(
+        &self,
+        command: &Command,
+        luns: &[u64],
+        pending: Sense,
+    ) -> Option<Result<Vec<u8>, Sense>> {
         let (mut data, most) = match command {
             Command::TestUnitReady | Command::StartStop => (Vec::new(), 0),
-            Command::RequestSense { descriptor: true, most } => (pending.descriptor(), *most),
+            Command::RequestSense {
+                descriptor: true,
+                most,
+            } => (pending.descriptor(), *most),
             Command::RequestSense { most, .. } => (pending.fixed().to_vec(), *most),
             Command::Inquiry { page: None, most } => (self.inquiry(), *most),
-            Command::Inquiry { page: Some(page), most } => match self.page(*page) {
+            Command::Inquiry {
+                page: Some(page),
+                most,
+            } => match self.page(*page) {
+                Ok(data) => (data, *most),
+                Err(sense) => return Some(Err(sense)),
+            },
+            Command::ModeSense {
+                ten,
+                page,
+                subpage,
+                no_blocks,
+                most,
+            } => match self.modes(*ten, *page, *subpage, *no_blocks) {
                 Ok(data) => (data, *most),
                 Err(sense) => return Some(Err(sense)),
             },
-            Command::ModeSense { ten, page, subpage, no_blocks, most } => {
-                match self.modes(*ten, *page, *subpage, *no_blocks) {
-                    Ok(data) => (data, *most),
-                    Err(sense) => return Some(Err(sense)),
-                }
-            }
             Command::ReadCapacity10 => {
                 let last = u32::try_from(self.blocks - 1).unwrap_or(u32::MAX);
-                ([last.to_be_bytes(), self.block_size.to_be_bytes()].concat(), 8)
+                (
+                    [last.to_be_bytes(), self.block_size.to_be_bytes()].concat(),
+                    8,
+                )
             }
             Command::ReadCapacity16 { most } => {
                 let mut data = vec![0; 32];
@@ -479,7 +555,12 @@
         }
         let device = if self.read_only { 0x80 } else { 0 } | 0x10; // WP, DPOFUA
         let head = match ten {
-            false => vec![(3 + block.len() + pages.len()) as u8, 0, device, block.len() as u8],
+            false => vec![
+                (3 + block.len() + pages.len()) as u8,
+                0,
+                device,
+                block.len() as u8,
+            ],
             true => {
                 let length = (6 + block.len() + pages.len()) as u16;
                 let mut b = length.to_be_bytes().to_vec();
@@ -527,7 +608,15 @@
     if list.is_empty() {
         return Ok(Vec::new());
     }
-    let length = list.get(2..4).map(|b| be(b) as usize).ok_or(Sense::PARAMETER_LIST_LENGTH)?;
-    let descriptors = list.get(8..8 + length).ok_or(Sense::PARAMETER_LIST_LENGTH)?;
-    Ok(descriptors.chunks_exact(16).map(|d| (be(&d[..8]), be(&d[8..12]))).collect())
+    let length = list
+        .get(2..4)
+        .map(|b| be(b) as usize)
+        .ok_or(Sense::PARAMETER_LIST_LENGTH)?;
+    let descriptors = list
+        .get(8..8 + length)
+        .ok_or(Sense::PARAMETER_LIST_LENGTH)?;
+    Ok(descriptors
+        .chunks_exact(16)
+        .map(|d| (be(&d[..8]), be(&d[8..12])))
+        .collect())
 }
--- a/crates/iscsi/src/session.rs
+++ b/crates/iscsi/src/session.rs
@@ -84,20 +84,36 @@
 
 impl Outcome {
     pub fn good(data: impl Into<Bytes>) -> Self {
-        Outcome { status: Status::Good, sense: None, data: data.into(), qualifier: 0 }
+        Outcome {
+            status: Status::Good,
+            sense: None,
+            data: data.into(),
+            qualifier: 0,
+        }
     }
 
     pub fn check(sense: Sense) -> Self {
-        Outcome { sense: Some(sense), ..Outcome::status(Status::CheckCondition) }
+        Outcome {
+            sense: Some(sense),
+            ..Outcome::status(Status::CheckCondition)
+        }
     }
 
     pub fn status(status: Status) -> Self {
-        Outcome { status, sense: None, data: Bytes::new(), qualifier: 0 }
+        Outcome {
+            status,
+            sense: None,
+            data: Bytes::new(),
+            qualifier: 0,
+        }
     }
 
     /// Not now; come back after that time.
     pub fn busy(wait: Option<Duration>) -> Self {
-        Outcome { qualifier: wait.map_or(0, retry_delay), ..Outcome::status(Status::Busy) }
+        Outcome {
+            qualifier: wait.map_or(0, retry_delay),
+            ..Outcome::status(Status::Busy)
+        }
     }
 }
 
@@ -221,7 +237,11 @@
 impl Session {
     /// `cmd_sn` is that of the leading login; `size` tasks may be open at first.
     pub fn new(
-        target: Option<String>, listing: Vec<(String, Vec<String>)>, limits: Limits, cmd_sn: u32, size: u32,
+        target: Option<String>,
+        listing: Vec<(String, Vec<String>)>,
+        limits: Limits,
+        cmd_sn: u32,
+        size: u32,
     ) -> Self {
         Session {
             target,
@@ -241,7 +261,12 @@
 
     /// A connection has come through its login; `stat_sn` is the next it sends.
     pub fn join(&mut self, cid: Cid, params: Params, stat_sn: u32) {
-        let conn = Conn { params, stat_sn, kept: VecDeque::new(), sent: Vec::new() };
+        let conn = Conn {
+            params,
+            stat_sn,
+            kept: VecDeque::new(),
+            sent: Vec::new(),
+        };
         self.conns.insert(cid, conn);
     }
 
@@ -267,7 +292,10 @@
         self.regrant();
         let tell = closed && self.window.room() > 0 && self.tasks.is_empty();
         if let (true, Some(cid)) = (tell, self.conns.keys().next().copied()) {
-            let header = Header::new(Opcode::NopIn).set_flags(0x80).set_itt(NO_TAG).set_ttt(NO_TAG);
+            let header = Header::new(Opcode::NopIn)
+                .set_flags(0x80)
+                .set_itt(NO_TAG)
+                .set_ttt(NO_TAG);
             self.send(cid, Pdu::new(header, Bytes::new()), false);
         }
         std::mem::take(&mut self.acts)
@@ -317,7 +345,9 @@
     }
 
     fn acknowledge(&mut self, cid: Cid, exp_stat_sn: u32) {
-        let Some(c) = self.conns.get_mut(&cid) else { return };
+        let Some(c) = self.conns.get_mut(&cid) else {
+            return;
+        };
         // One beyond what was sent is a lie; to believe it would drop what may still be asked for.
         if Sn(c.stat_sn).before(Sn(exp_stat_sn)) {
             return;
@@ -327,7 +357,9 @@
     }
 
     fn deliver(&mut self, arrived: Arrived<Queued>) {
-        let Arrived::Deliver(ready) = arrived else { return };
+        let Arrived::Deliver(ready) = arrived else {
+            return;
+        };
         for queued in ready {
             match queued {
                 Queued::Command(itt, no) => {
@@ -347,9 +379,15 @@
         match h.opcode() {
             Some(Opcode::NopOut) => {
                 if h.itt() != NO_TAG {
-                    let most = self.conns.get(&cid).map_or(0, |c| c.params.their_segment as usize);
+                    let most = self
+                        .conns
+                        .get(&cid)
+                        .map_or(0, |c| c.params.their_segment as usize);
                     let echo = pdu.data.slice(..pdu.data.len().min(most));
-                    let header = Header::new(Opcode::NopIn).set_flags(0x80).set_lun(h.lun()).set_itt(h.itt());
+                    let header = Header::new(Opcode::NopIn)
+                        .set_flags(0x80)
+                        .set_lun(h.lun())
+                        .set_itt(h.itt());
                     self.respond(cid, Pdu::new(header.set_ttt(NO_TAG), echo));
                 }
             }
@@ -389,7 +427,17 @@
         };
         let state = State::Collecting(collecting);
         let (no, ordered) = (TaskNo(self.next_task), h.immediate());
-        self.tasks.insert(h.itt(), Task { no, cid, header: h, ordered, r2t_sn: 0, state });
+        self.tasks.insert(
+            h.itt(),
+            Task {
+                no,
+                cid,
+                header: h,
+                ordered,
+                r2t_sn: 0,
+                state,
+            },
+        );
         self.tags.insert(no, h.itt());
         self.unsolicited(h.itt(), &pdu.data);
         match h.immediate() {
@@ -404,10 +452,16 @@
     /// Immediate data, and whether Data-Out follows without being asked for.
     fn unsolicited(&mut self, itt: u32, immediate: &Bytes) {
         let most = self.limits.most_data;
-        let Some(t) = self.tasks.get_mut(&itt) else { return };
-        let Some(params) = self.conns.get(&t.cid).map(|c| &c.params) else { return };
+        let Some(t) = self.tasks.get_mut(&itt) else {
+            return;
+        };
+        let Some(params) = self.conns.get(&t.cid).map(|c| &c.params) else {
+            return;
+        };
         let (length, writes, is_final) = (t.length(), t.writes(), t.header.is_final());
-        let State::Collecting(c) = &mut t.state else { return };
+        let State::Collecting(c) = &mut t.state else {
+            return;
+        };
         let first = params.first_burst.min(length);
         let came = immediate.len() as u32;
         // More than was agreed on, or data of a command that writes nothing, ends the command (section
@@ -426,31 +480,52 @@
         }
         c.asked = came;
         if c.failed.is_none() && !is_final {
-            c.bursts.push(Burst { ttt: NO_TAG, next: came, end: first, data_sn: 0 });
+            c.bursts.push(Burst {
+                ttt: NO_TAG,
+                next: came,
+                end: first,
+                data_sn: 0,
+            });
             c.asked = first;
         }
     }
 
     /// Asks for more data, or starts the command that has all.
     fn advance(&mut self, itt: u32) {
-        let Some(t) = self.tasks.get_mut(&itt).filter(|t| t.ordered) else { return };
+        let Some(t) = self.tasks.get_mut(&itt).filter(|t| t.ordered) else {
+            return;
+        };
         let (cid, length, writes, lun) = (t.cid, t.length(), t.writes(), t.header.lun());
-        let State::Collecting(c) = &mut t.state else { return };
+        let State::Collecting(c) = &mut t.state else {
+            return;
+        };
         if let Some(sense) = c.failed {
             // What it still sends finds no task, and is dropped.
             return self.finish(itt, Outcome::check(sense));
         }
-        let Some(params) = self.conns.get(&cid).map(|c| c.params.clone()) else { return };
+        let Some(params) = self.conns.get(&cid).map(|c| c.params.clone()) else {
+            return;
+        };
         if !writes || (c.asked >= length && c.bursts.is_empty() && c.damaged.is_empty()) {
-            let data = c.whole.take().unwrap_or_else(|| std::mem::take(&mut c.data).freeze());
+            let data = c
+                .whole
+                .take()
+                .unwrap_or_else(|| std::mem::take(&mut c.data).freeze());
             let most_in = if t.reads() { length } else { 0 };
             t.state = State::Running;
             let (task, cdb) = (t.no, t.header.cdb());
-            return self.acts.push(Act::Start { task, lun, cdb, data, most_in });
+            return self.acts.push(Act::Start {
+                task,
+                lun,
+                cdb,
+                data,
+                most_in,
+            });
         }
         // While data comes unasked for, nothing is asked for.
         let mut asks = Vec::new();
-        while c.bursts.len() < params.max_outstanding_r2t as usize && c.bursts.iter().all(|b| b.ttt != NO_TAG)
+        while c.bursts.len() < params.max_outstanding_r2t as usize
+            && c.bursts.iter().all(|b| b.ttt != NO_TAG)
         {
             let (from, end) = match c.damaged.pop() {
                 Some(range) => range,
@@ -461,8 +536,17 @@
                 }
                 None => break,
             };
-            self.next_ttt = if self.next_ttt >= NO_TAG - 1 { 1 } else { self.next_ttt + 1 };
-            c.bursts.push(Burst { ttt: self.next_ttt, next: from, end, data_sn: 0 });
+            self.next_ttt = if self.next_ttt >= NO_TAG - 1 {
+                1
+            } else {
+                self.next_ttt + 1
+            };
+            c.bursts.push(Burst {
+                ttt: self.next_ttt,
+                next: from,
+                end,
+                data_sn: 0,
+            });
             asks.push((self.next_ttt, t.r2t_sn, from, end - from));
             t.r2t_sn += 1;
         }
@@ -483,8 +567,12 @@
         let h = pdu.header;
         let (itt, ttt, offset) = (h.itt(), h.ttt(), h.word40());
         // Data of a task that is over, or was never heard of, is dropped (section 11.7).
-        let Some(t) = self.tasks.get_mut(&itt) else { return };
-        let State::Collecting(c) = &mut t.state else { return };
+        let Some(t) = self.tasks.get_mut(&itt) else {
+            return;
+        };
+        let State::Collecting(c) = &mut t.state else {
+            return;
+        };
         let Some(at) = c.bursts.iter().position(|b| b.ttt == ttt) else {
             return self.lie(cid, itt, &h);
         };
@@ -533,8 +621,12 @@
             return;
         }
         let level = self.conns.get(&cid).map_or(0, |c| c.params.recovery_level);
-        let Some(State::Collecting(c)) = self.tasks.get_mut(&h.itt()).map(|t| &mut t.state) else { return };
-        let Some(at) = c.bursts.iter().position(|b| b.ttt == h.ttt()) else { return };
+        let Some(State::Collecting(c)) = self.tasks.get_mut(&h.itt()).map(|t| &mut t.state) else {
+            return;
+        };
+        let Some(at) = c.bursts.iter().position(|b| b.ttt == h.ttt()) else {
+            return;
+        };
         let b = &mut c.bursts[at];
         let end = u64::from(h.word40()) + h.data_length() as u64;
         let fits = h.word40() == b.next && end <= u64::from(b.end) && h.word36() == b.data_sn;
@@ -585,7 +677,9 @@
         for w in &mut self.waiting {
             w.tasks.remove(&task);
         }
-        let (over, waiting) = std::mem::take(&mut self.waiting).into_iter().partition(|w| w.tasks.is_empty());
+        let (over, waiting) = std::mem::take(&mut self.waiting)
+            .into_iter()
+            .partition(|w| w.tasks.is_empty());
         self.waiting = waiting;
         let over: Vec<Waiting> = over;
         over.into_iter().for_each(|w| self.managed(w.cid, w.itt, 0));
@@ -594,13 +688,21 @@
     /// Sends a task's data and status.
     fn finish(&mut self, itt: u32, outcome: Outcome) {
         let Some(t) = self.remove(itt) else { return };
-        let Some(conn) = self.conns.get(&t.cid) else { return };
+        let Some(conn) = self.conns.get(&t.cid) else {
+            return;
+        };
         let (params, length) = (conn.params.clone(), t.length());
         let good = outcome.status == Status::Good;
         let wanted = if t.reads() { length } else { 0 };
-        let sent = outcome.data.slice(..outcome.data.len().min(wanted as usize));
+        let sent = outcome
+            .data
+            .slice(..outcome.data.len().min(wanted as usize));
         // What was expected and what there was (section 11.4.5): of reads the data, of writes all of it.
-        let moved = if t.reads() || !good { outcome.data.len() as u64 } else { u64::from(length) };
+        let moved = if t.reads() || !good {
+            outcome.data.len() as u64
+        } else {
+            u64::from(length)
+        };
         let (flag, residual) = match u64::from(length) {
             expected if moved < expected && t.reads() => (0x02, expected - moved),
             expected if moved > expected && t.reads() => (0x04, moved - expected),
@@ -610,7 +712,10 @@
         let mut at = 0;
         while at < sent.len() {
             let burst_end = (at / params.max_burst as usize + 1) * params.max_burst as usize;
-            let end = sent.len().min(at + params.their_segment as usize).min(burst_end);
+            let end = sent
+                .len()
+                .min(at + params.their_segment as usize)
+                .min(burst_end);
             let last = end == sent.len();
             let flags = if last || end == burst_end { 0x80 } else { 0 };
             let header = Header::new(Opcode::DataIn)
@@ -627,7 +732,9 @@
         // A good status rides on the last data.
         if let (true, Some(last)) = (good, pieces.last_mut()) {
             let h = last.header;
-            last.header = h.set_flags(h.flags() | 0x01 | flag).set_word44(residual as u32);
+            last.header = h
+                .set_flags(h.flags() | 0x01 | flag)
+                .set_word44(residual as u32);
         }
         let with_status = good && !pieces.is_empty();
         let stat_sn = conn.stat_sn;
@@ -641,15 +748,21 @@
         }
         if !with_status {
             let sense = outcome.sense.map(|s| s.fixed());
-            let data =
-                sense.map_or(Bytes::new(), |s| [&(s.len() as u16).to_be_bytes()[..], &s].concat().into());
+            let data = sense.map_or(Bytes::new(), |s| {
+                [&(s.len() as u16).to_be_bytes()[..], &s].concat().into()
+            });
             let header = Header::new(Opcode::ScsiResponse)
                 .set_flags(0x80 | flag)
                 .set_byte(3, outcome.status as u8)
                 .set_itt(itt)
                 .set_word36(count)
                 .set_word44(residual as u32);
-            let [high, low] = if params.protocol_level >= 2 { outcome.qualifier } else { 0 }.to_be_bytes();
+            let [high, low] = if params.protocol_level >= 2 {
+                outcome.qualifier
+            } else {
+                0
+            }
+            .to_be_bytes();
             let header = header.set_byte(8, high).set_byte(9, low);
             self.respond(t.cid, Pdu::new(header, data));
         }
@@ -659,7 +772,9 @@
 
     fn text(&mut self, cid: Cid, pdu: &Pdu) {
         let h = pdu.header;
-        let Ok(pairs) = parse(&pdu.data) else { return self.reject(cid, Reason::Protocol, &h) };
+        let Ok(pairs) = parse(&pdu.data) else {
+            return self.reject(cid, Reason::Protocol, &h);
+        };
         // Continued requests are not needed by anything that is answered here.
         if h.flags() & 0x40 != 0 || h.ttt() != NO_TAG {
             return self.reject(cid, Reason::Protocol, &h);
@@ -671,24 +786,36 @@
                 continue;
             }
             let own = self.target.clone();
-            let told = self.listing.iter().filter(|(name, _)| match (value.as_str(), &own) {
-                ("All", None) => true,
-                ("", Some(own)) => name == own,
-                (asked, None) => name == asked,
-                (asked, Some(own)) => name == own && asked == own,
-            });
+            let told = self
+                .listing
+                .iter()
+                .filter(|(name, _)| match (value.as_str(), &own) {
+                    ("All", None) => true,
+                    ("", Some(own)) => name == own,
+                    (asked, None) => name == asked,
+                    (asked, Some(own)) => name == own && asked == own,
+                });
             for (name, addresses) in told {
                 answers.push(("TargetName".into(), name.clone()));
-                answers.extend(addresses.iter().map(|a| ("TargetAddress".to_string(), a.clone())));
+                answers.extend(
+                    addresses
+                        .iter()
+                        .map(|a| ("TargetAddress".to_string(), a.clone())),
+                );
             }
         }
-        let header = Header::new(Opcode::TextResponse).set_flags(0x80).set_itt(h.itt()).set_ttt(NO_TAG);
+        let header = Header::new(Opcode::TextResponse)
+            .set_flags(0x80)
+            .set_itt(h.itt())
+            .set_ttt(NO_TAG);
         self.respond(cid, Pdu::new(header, crate::keys::format(&answers)));
     }
 
     fn managed(&mut self, cid: Cid, itt: u32, response: u8) {
-        let header =
-            Header::new(Opcode::TaskManagementResponse).set_flags(0x80).set_byte(2, response).set_itt(itt);
+        let header = Header::new(Opcode::TaskManagementResponse)
+            .set_flags(0x80)
+            .set_byte(2, response)
+            .set_itt(itt);
         self.respond(cid, Pdu::new(header, Bytes::new()));
     }
 
@@ -706,7 +833,11 @@
             _ => return self.managed(cid, h.itt(), 5),
         };
         let all = why == Why::TargetReset;
-        let hit = self.tasks.iter().filter(|(_, t)| all || t.header.lun() == lun).map(|(itt, _)| *itt);
+        let hit = self
+            .tasks
+            .iter()
+            .filter(|(_, t)| all || t.header.lun() == lun)
+            .map(|(itt, _)| *itt);
         let hit: Vec<u32> = hit.collect();
         if let Some(lun) = reset {
             self.acts.push(Act::Reset { lun, why });
@@ -744,8 +875,15 @@
         if running.is_empty() {
             return self.managed(cid, itt, 0);
         }
-        self.acts.push(Act::Abort { tasks: running.clone(), why });
-        self.waiting.push(Waiting { cid, itt, tasks: running.into_iter().collect() });
+        self.acts.push(Act::Abort {
+            tasks: running.clone(),
+            why,
+        });
+        self.waiting.push(Waiting {
+            cid,
+            itt,
+            tasks: running.into_iter().collect(),
+        });
     }
 
     fn logout(&mut self, cid: Cid, h: &Header) {
@@ -756,7 +894,10 @@
             1 => (Vec::new(), 1),
             _ => (Vec::new(), 2), // recovery level 2
         };
-        let retain = self.conns.get(&cid).map_or((0, 0), |c| (c.params.time2wait, c.params.time2retain));
+        let retain = self
+            .conns
+            .get(&cid)
+            .map_or((0, 0), |c| (c.params.time2wait, c.params.time2retain));
         let times = (retain.0 << 16) | (retain.1 & 0xffff);
         let header = Header::new(Opcode::LogoutResponse)
             .set_flags(0x80)
@@ -768,19 +909,31 @@
     }
 
     fn snack(&mut self, cid: Cid, h: &Header) {
-        let Some(c) = self.conns.get(&cid) else { return };
+        let Some(c) = self.conns.get(&cid) else {
+            return;
+        };
         if c.params.recovery_level == 0 {
             return self.reject(cid, Reason::Snack, h);
         }
         let (from, run) = (h.word40(), h.word44());
-        let inside = |sn: u32| !Sn(sn).before(Sn(from)) && (run == 0 || Sn(sn).before(Sn(from).plus(run)));
+        let inside =
+            |sn: u32| !Sn(sn).before(Sn(from)) && (run == 0 || Sn(sn).before(Sn(from).plus(run)));
         let again: Vec<Pdu> = match h.flags() & 0x0f {
             0 => {
                 let of = c.sent.iter().find(|(itt, ..)| *itt == h.itt());
                 let pieces = of.map(|(_, _, p)| p.as_slice()).unwrap_or_default();
-                pieces.iter().filter(|p| inside(p.header.word36())).cloned().collect()
+                pieces
+                    .iter()
+                    .filter(|p| inside(p.header.word36()))
+                    .cloned()
+                    .collect()
             }
-            1 => c.kept.iter().filter(|(sn, _)| inside(*sn)).map(|(_, p)| p.clone()).collect(),
+            1 => c
+                .kept
+                .iter()
+                .filter(|(sn, _)| inside(*sn))
+                .map(|(_, p)| p.clone())
+                .collect(),
             2 => return, // DataACK: nothing is freed before the status is acknowledged
             _ => return self.reject(cid, Reason::Snack, h),
         };
@@ -790,7 +943,10 @@
         let (expected, most) = self.sns();
         for pdu in again {
             let header = pdu.header.set_exp_stat_sn(expected).set_word32(most);
-            self.acts.push(Act::Send { cid, pdu: Pdu { header, ..pdu } });
+            self.acts.push(Act::Send {
+                cid,
+                pdu: Pdu { header, ..pdu },
+            });
         }
     }
 
@@ -813,7 +969,9 @@
             self.regrant();
         }
         let (expected, most) = self.sns();
-        let Some(c) = self.conns.get_mut(&cid) else { return pdu };
+        let Some(c) = self.conns.get_mut(&cid) else {
+            return pdu;
+        };
         let mut header = pdu.header.set_exp_stat_sn(expected).set_word32(most);
         // R2T and a NOP-In of our own carry the next StatSN without using it up.
         if status || matches!(header.opcode(), Some(Opcode::R2t | Opcode::NopIn)) {
@@ -827,7 +985,10 @@
                 c.kept.pop_front();
             }
         }
-        self.acts.push(Act::Send { cid, pdu: pdu.clone() });
+        self.acts.push(Act::Send {
+            cid,
+            pdu: pdu.clone(),
+        });
         pdu
     }
 
@@ -847,7 +1008,12 @@
             return;
         }
         self.waiting.retain(|w| w.cid != cid);
-        let own: Vec<u32> = self.tasks.iter().filter(|(_, t)| t.cid == cid).map(|(itt, _)| *itt).collect();
+        let own: Vec<u32> = self
+            .tasks
+            .iter()
+            .filter(|(_, t)| t.cid == cid)
+            .map(|(itt, _)| *itt)
+            .collect();
         let mut running = Vec::new();
         for itt in own {
             let t = self.tasks.get_mut(&itt).expect("listed above");
@@ -860,7 +1026,10 @@
             }
         }
         if !running.is_empty() {
-            self.acts.push(Act::Abort { tasks: running, why: Why::ConnectionLost });
+            self.acts.push(Act::Abort {
+                tasks: running,
+                why: Why::ConnectionLost,
+            });
         }
     }
 }
--- a/crates/iscsi/src/window.rs
+++ b/crates/iscsi/src/window.rs
@@ -56,7 +56,11 @@
 impl<T> Window<T> {
     /// `first` is the CmdSN of the leading login; `size` how many commands are taken at first.
     pub fn new(first: Sn, size: u32) -> Self {
-        Window { expected: first, most: first.plus(size).plus(u32::MAX), waiting: BTreeMap::new() }
+        Window {
+            expected: first,
+            most: first.plus(size).plus(u32::MAX),
+            waiting: BTreeMap::new(),
+        }
     }
 
     pub fn expected(&self) -> Sn {
--- a/crates/iscsi/src/window/tests.rs
+++ b/crates/iscsi/src/window/tests.rs
@@ -27,5 +27,8 @@
     assert_eq!(w.room(), 0, "closed: MaxCmdSN is ExpCmdSN less one");
     assert_eq!(w.arrive(Sn(1), ()), Arrived::Outside);
     w.grant(3);
-    assert_eq!((w.room(), w.arrive(Sn(1), ())), (3, Arrived::Deliver(vec![()])));
+    assert_eq!(
+        (w.room(), w.arrive(Sn(1), ())),
+        (3, Arrived::Deliver(vec![()]))
+    );
 }
--- a/crates/iscsi/tests/login.rs
+++ b/crates/iscsi/tests/login.rs
@@ -8,19 +8,33 @@
 const SECRET: &[u8] = b"a secret of sixteen";
 
 fn pairs(text: &[(&str, &str)]) -> Vec<(String, String)> {
-    text.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect()
+    text.iter()
+        .map(|(k, v)| (k.to_string(), v.to_string()))
+        .collect()
 }
 
 fn portal() -> Portal {
-    let plain = Target { name: "iqn.2026-12.org.example:plain".into(), ..Target::default() };
-    let secret = |name: &str, secret: &[u8]| Some(Secret { name: name.into(), secret: secret.to_vec() });
+    let plain = Target {
+        name: "iqn.2026-12.org.example:plain".into(),
+        ..Target::default()
+    };
+    let secret = |name: &str, secret: &[u8]| {
+        Some(Secret {
+            name: name.into(),
+            secret: secret.to_vec(),
+        })
+    };
     let guarded = Target {
         name: "iqn.2026-12.org.example:guarded".into(),
         initiators: Some(vec!["iqn.host".into()]),
         chap: secret("alice", SECRET),
         mutual: secret("target", b"another secret of ours"),
     };
-    Portal { targets: vec![plain, guarded], group: 1, ..Portal::default() }
+    Portal {
+        targets: vec![plain, guarded],
+        group: 1,
+        ..Portal::default()
+    }
 }
 
 type Keys<'a> = Vec<(&'a str, &'a str)>;
@@ -34,12 +48,23 @@
     }
 }
 
-fn send(login: &mut Login, flags: u8, keys: &[(&str, &str)]) -> (Header, Vec<(String, String)>, Standing) {
+fn send(
+    login: &mut Login,
+    flags: u8,
+    keys: &[(&str, &str)],
+) -> (Header, Vec<(String, String)>, Standing) {
     send_text(login, flags, format(&pairs(keys)))
 }
 
-fn send_text(login: &mut Login, flags: u8, text: Vec<u8>) -> (Header, Vec<(String, String)>, Standing) {
-    let header = Header::new(Opcode::LoginRequest).set_immediate(true).set_flags(flags).set_itt(1);
+fn send_text(
+    login: &mut Login,
+    flags: u8,
+    text: Vec<u8>,
+) -> (Header, Vec<(String, String)>, Standing) {
+    let header = Header::new(Opcode::LoginRequest)
+        .set_immediate(true)
+        .set_flags(flags)
+        .set_itt(1);
     let chance: [u8; 17] = std::array::from_fn(|i| i as u8 + 100);
     let (answer, standing) = login.request(&Pdu::new(header, text), chance, (5, 1, 8));
     assert_eq!(answer.header.opcode(), Some(Opcode::LoginResponse));
@@ -47,7 +72,10 @@
 }
 
 fn get<'a>(pairs: &'a [(String, String)], key: &str) -> Option<&'a str> {
-    pairs.iter().find(|(k, _)| k == key).map(|(_, v)| v.as_str())
+    pairs
+        .iter()
+        .find(|(k, _)| k == key)
+        .map(|(_, v)| v.as_str())
 }
 
 const PLAIN: [(&str, &str); 3] = [
@@ -116,7 +144,10 @@
     assert!(n.offer("MaxConnections", "1").is_err() && n.offer("HeaderDigest", "None").is_ok());
     let mut n = Negotiation::new(Wishes::default(), Params::default(), true, true);
     n.discovery = true;
-    assert_eq!(n.offer("ImmediateData", "Yes").unwrap().unwrap().1, "Irrelevant");
+    assert_eq!(
+        n.offer("ImmediateData", "Yes").unwrap().unwrap().1,
+        "Irrelevant"
+    );
 }
 
 #[test]
@@ -124,20 +155,33 @@
     let mut login = Login::new(portal());
     let keys = [&PLAIN[..], &[("HeaderDigest", "CRC32C")]].concat();
     let (h, said, standing) = send(&mut login, flags(true, 1, 3), &keys);
-    assert_eq!((h.flags(), h.cmd_sn(), h.exp_stat_sn(), h.word32()), (0x80 | 1 << 2 | 3, 5, 1, 8));
     assert_eq!(
-        (get(&said, "HeaderDigest"), get(&said, "MaxRecvDataSegmentLength")),
+        (h.flags(), h.cmd_sn(), h.exp_stat_sn(), h.word32()),
+        (0x80 | 1 << 2 | 3, 5, 1, 8)
+    );
+    assert_eq!(
+        (
+            get(&said, "HeaderDigest"),
+            get(&said, "MaxRecvDataSegmentLength")
+        ),
         (Some("CRC32C"), Some("262144"))
     );
-    let Standing::Done(who) = standing else { panic!("{standing:?}") };
+    let Standing::Done(who) = standing else {
+        panic!("{standing:?}")
+    };
     assert!(
-        who.params.header_digest && who.target.as_deref() == Some(PLAIN[2].1) && who.initiator == "iqn.host"
+        who.params.header_digest
+            && who.target.as_deref() == Some(PLAIN[2].1)
+            && who.initiator == "iqn.host"
     );
 
     let mut login = Login::new(portal());
     let keys = [&PLAIN[..], &[("AuthMethod", "None")]].concat();
     let (h, said, standing) = send(&mut login, flags(true, 0, 1), &keys);
-    assert_eq!((h.flags(), get(&said, "AuthMethod"), &standing), (0x81, Some("None"), &Standing::Goes));
+    assert_eq!(
+        (h.flags(), get(&said, "AuthMethod"), &standing),
+        (0x81, Some("None"), &Standing::Goes)
+    );
     assert_eq!(get(&said, "TargetPortalGroupTag"), Some("1"));
     let (.., standing) = send(&mut login, flags(true, 1, 3), &[("MaxBurstLength", "8192")]);
     assert!(matches!(standing, Standing::Done(who) if who.params.max_burst == 8192));
@@ -146,7 +190,11 @@
 #[test]
 fn a_discovery_login() {
     let mut login = Login::new(portal());
-    let keys = [("InitiatorName", "iqn.any"), ("SessionType", "Discovery"), ("AuthMethod", "None")];
+    let keys = [
+        ("InitiatorName", "iqn.any"),
+        ("SessionType", "Discovery"),
+        ("AuthMethod", "None"),
+    ];
     let (.., standing) = send(&mut login, flags(true, 0, 3), &keys);
     assert!(matches!(standing, Standing::Done(who) if who.target.is_none()));
 }
@@ -161,7 +209,10 @@
 fn challenged() -> (Login, Vec<(String, String)>) {
     let mut login = Login::new(portal());
     let (_, said, standing) = send(&mut login, flags(false, 0, 0), &GUARDED);
-    assert_eq!((get(&said, "AuthMethod"), standing), (Some("CHAP"), Standing::Goes));
+    assert_eq!(
+        (get(&said, "AuthMethod"), standing),
+        (Some("CHAP"), Standing::Goes)
+    );
     let (_, said, _) = send(&mut login, flags(false, 0, 0), &[("CHAP_A", "5")]);
     assert_eq!(get(&said, "CHAP_A"), Some("5"));
     (login, said)
@@ -173,36 +224,62 @@
     let response = respond(&said, SECRET);
     let theirs = [9u8; 16];
     let challenge = to_text(&theirs);
-    let keys = [("CHAP_N", "alice"), ("CHAP_R", &response), ("CHAP_I", "44"), ("CHAP_C", &challenge)];
+    let keys = [
+        ("CHAP_N", "alice"),
+        ("CHAP_R", &response),
+        ("CHAP_I", "44"),
+        ("CHAP_C", &challenge),
+    ];
     let (h, said, standing) = send(&mut login, flags(true, 0, 1), &keys);
     assert_eq!((h.flags() & 0x83, standing), (0x81, Standing::Goes));
     let expected = to_text(&Algorithm::Md5.response(44, b"another secret of ours", &theirs));
-    assert_eq!((get(&said, "CHAP_N"), get(&said, "CHAP_R")), (Some("target"), Some(expected.as_str())));
+    assert_eq!(
+        (get(&said, "CHAP_N"), get(&said, "CHAP_R")),
+        (Some("target"), Some(expected.as_str()))
+    );
     let (.., standing) = send(&mut login, flags(true, 1, 3), &[]);
     assert!(matches!(standing, Standing::Done(_)));
 }
 
 #[test]
 fn initiators_that_cannot_prove_themselves() {
-    let fails = |standing: Standing| matches!(standing, Standing::Failed(Status::AuthenticationFailure, _));
+    let fails =
+        |standing: Standing| matches!(standing, Standing::Failed(Status::AuthenticationFailure, _));
     // Wrong secret, wrong name, no response.
     for (name, secret) in [("alice", &b"some other secret.."[..]), ("bob", SECRET)] {
         let (mut login, said) = challenged();
         let response = respond(&said, secret);
         let keys = [("CHAP_N", name), ("CHAP_R", response.as_str())];
-        assert!(fails(send(&mut login, flags(true, 0, 1), &keys).2), "{name}");
+        assert!(
+            fails(send(&mut login, flags(true, 0, 1), &keys).2),
+            "{name}"
+        );
     }
     let (mut login, _) = challenged();
-    assert!(fails(send(&mut login, flags(true, 0, 1), &[("CHAP_N", "alice")]).2));
+    assert!(fails(
+        send(&mut login, flags(true, 0, 1), &[("CHAP_N", "alice")]).2
+    ));
     // Replay: yesterday's response to another challenge.
     let (mut login, _) = challenged();
     let old = to_text(&Algorithm::Md5.response(1, SECRET, b"yesterday's challenge"));
-    assert!(fails(send(&mut login, flags(true, 0, 1), &[("CHAP_N", "alice"), ("CHAP_R", &old)]).2));
+    assert!(fails(
+        send(
+            &mut login,
+            flags(true, 0, 1),
+            &[("CHAP_N", "alice"), ("CHAP_R", &old)]
+        )
+        .2
+    ));
     // Reflection: our own challenge sent back to be answered by us.
     let (mut login, said) = challenged();
     let response = respond(&said, SECRET);
     let ours = get(&said, "CHAP_C").unwrap().to_string();
-    let keys = [("CHAP_N", "alice"), ("CHAP_R", &response), ("CHAP_I", "1"), ("CHAP_C", &ours)];
+    let keys = [
+        ("CHAP_N", "alice"),
+        ("CHAP_R", &response),
+        ("CHAP_I", "1"),
+        ("CHAP_C", &ours),
+    ];
     assert!(fails(send(&mut login, flags(true, 0, 1), &keys).2));
     // Past the security stage, or out of it, without proof.
     let mut login = Login::new(portal());
@@ -211,13 +288,24 @@
     assert!(fails(send(&mut login, flags(true, 0, 3), &GUARDED[..2]).2));
     // CHAP out of its order, twice, or with nothing in common.
     let mut login = Login::new(portal());
-    assert!(fails(send(&mut login, flags(false, 0, 0), &[&GUARDED[..2], &[("CHAP_A", "5")]].concat()).2));
+    assert!(fails(
+        send(
+            &mut login,
+            flags(false, 0, 0),
+            &[&GUARDED[..2], &[("CHAP_A", "5")]].concat()
+        )
+        .2
+    ));
     let mut login = Login::new(portal());
     send(&mut login, flags(false, 0, 0), &GUARDED);
-    assert!(fails(send(&mut login, flags(false, 0, 0), &[("AuthMethod", "CHAP")]).2));
+    assert!(fails(
+        send(&mut login, flags(false, 0, 0), &[("AuthMethod", "CHAP")]).2
+    ));
     let mut login = Login::new(portal());
     send(&mut login, flags(false, 0, 0), &GUARDED);
-    assert!(fails(send(&mut login, flags(false, 0, 0), &[("CHAP_A", "6,8")]).2));
+    assert!(fails(
+        send(&mut login, flags(false, 0, 0), &[("CHAP_A", "6,8")]).2
+    ));
 }
 
 #[test]
@@ -225,10 +313,26 @@
     let target = |name| [("InitiatorName", "iqn.host"), ("TargetName", name)];
     let long = "x".repeat(300);
     let cases: Vec<(u8, Keys, Status)> = vec![
-        (flags(true, 1, 3), vec![("TargetName", PLAIN[2].1)], Status::MissingParameter),
-        (flags(true, 1, 3), vec![("InitiatorName", "iqn.host")], Status::MissingParameter),
-        (flags(true, 1, 3), target("iqn.nowhere").to_vec(), Status::NotFound),
-        (flags(true, 1, 3), vec![("InitiatorName", "iqn.other"), GUARDED[1]], Status::AuthorizationFailure),
+        (
+            flags(true, 1, 3),
+            vec![("TargetName", PLAIN[2].1)],
+            Status::MissingParameter,
+        ),
+        (
+            flags(true, 1, 3),
+            vec![("InitiatorName", "iqn.host")],
+            Status::MissingParameter,
+        ),
+        (
+            flags(true, 1, 3),
+            target("iqn.nowhere").to_vec(),
+            Status::NotFound,
+        ),
+        (
+            flags(true, 1, 3),
+            vec![("InitiatorName", "iqn.other"), GUARDED[1]],
+            Status::AuthorizationFailure,
+        ),
         (
             flags(true, 1, 3),
             [&PLAIN[..1], &[("SessionType", "Odd")]].concat(),
@@ -238,8 +342,16 @@
         (flags(true, 1, 0), PLAIN.to_vec(), Status::InitiatorError),
         (flags(true, 3, 3), PLAIN.to_vec(), Status::InitiatorError),
         (2 << 2, PLAIN.to_vec(), Status::InitiatorError),
-        (flags(true, 1, 3) | 0x40, PLAIN.to_vec(), Status::InitiatorError),
-        (flags(true, 1, 3), [&PLAIN[..], &PLAIN[..1]].concat(), Status::InitiatorError),
+        (
+            flags(true, 1, 3) | 0x40,
+            PLAIN.to_vec(),
+            Status::InitiatorError,
+        ),
+        (
+            flags(true, 1, 3),
+            [&PLAIN[..], &PLAIN[..1]].concat(),
+            Status::InitiatorError,
+        ),
         (
             flags(true, 1, 3),
             [&PLAIN[..], &[("InitiatorAlias", long.as_str())]].concat(),
@@ -249,7 +361,10 @@
     for (flags, keys, status) in cases {
         let mut login = Login::new(portal());
         let (h, _, standing) = send(&mut login, flags, &keys);
-        assert!(matches!(&standing, Standing::Failed(s, _) if *s == status), "{keys:?}: {standing:?}");
+        assert!(
+            matches!(&standing, Standing::Failed(s, _) if *s == status),
+            "{keys:?}: {standing:?}"
+        );
         assert_eq!(u16::from_be_bytes([h.byte(36), h.byte(37)]), status as u16);
     }
 }
@@ -260,18 +375,30 @@
     let mut login = Login::new(portal());
     let (half, rest) = whole.split_at(20);
     let (h, said, standing) = send_text(&mut login, 1 << 2 | 0x40, half.to_vec());
-    assert_eq!((h.flags() & 0x80, said, standing), (0, vec![], Standing::Goes));
+    assert_eq!(
+        (h.flags() & 0x80, said, standing),
+        (0, vec![], Standing::Goes)
+    );
     let (.., standing) = send_text(&mut login, flags(true, 1, 3), rest.to_vec());
     assert!(matches!(standing, Standing::Done(_)));
     // Keys of 64 KiB, in pieces or at once; and a login that never ends.
     let mut login = Login::new(portal());
     let piece = vec![b'k'; 8 << 10];
     let ends: Vec<bool> = (0..4)
-        .map(|_| matches!(send_text(&mut login, 1 << 2 | 0x40, piece.clone()).2, Standing::Failed(..)))
+        .map(|_| {
+            matches!(
+                send_text(&mut login, 1 << 2 | 0x40, piece.clone()).2,
+                Standing::Failed(..)
+            )
+        })
         .collect();
     assert_eq!(ends.iter().position(|e| *e), Some(MOST_TEXT / piece.len()));
     let mut login = Login::new(portal());
-    let failed = (0..100)
-        .position(|_| matches!(send_text(&mut login, 1 << 2 | 0x40, Vec::new()).2, Standing::Failed(..)));
+    let failed = (0..100).position(|_| {
+        matches!(
+            send_text(&mut login, 1 << 2 | 0x40, Vec::new()).2,
+            Standing::Failed(..)
+        )
+    });
     assert_eq!(failed, Some(MOST_REQUESTS as usize));
 }
--- a/crates/iscsi/tests/pdus.rs
+++ b/crates/iscsi/tests/pdus.rs
@@ -14,11 +14,17 @@
     rng.fill_bytes(&mut data);
     let mut ahs = vec![0; rng.random_range(0..4) * 4];
     rng.fill_bytes(&mut ahs);
-    Pdu { ahs: ahs.into(), ..Pdu::new(header, data) }
+    Pdu {
+        ahs: ahs.into(),
+        ..Pdu::new(header, data)
+    }
 }
 
 fn digests(n: u64) -> Digests {
-    Digests { header: n & 1 != 0, data: n & 2 != 0 }
+    Digests {
+        header: n & 1 != 0,
+        data: n & 2 != 0,
+    }
 }
 
 #[test]
@@ -27,7 +33,8 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let sent: Vec<Pdu> = (0..10).map(|_| some_pdu(&mut rng)).collect();
         let mut bytes = Vec::new();
-        sent.iter().for_each(|p| write(p, digests(seed), &mut bytes));
+        sent.iter()
+            .for_each(|p| write(p, digests(seed), &mut bytes));
         let mut reader = Reader::new(4096);
         reader.digests = digests(seed);
         let (mut got, mut at) = (Vec::new(), 0);
@@ -41,18 +48,31 @@
         }
         assert_eq!((got.len(), reader.partial()), (sent.len(), 0));
         for (g, s) in got.iter().zip(&sent) {
-            assert_eq!((&g.data, &g.ahs, g.header.itt()), (&s.data, &s.ahs, s.header.itt()), "seed {seed}");
-            assert_eq!((g.header.lun(), g.header.cdb()), (s.header.lun(), s.header.cdb()));
+            assert_eq!(
+                (&g.data, &g.ahs, g.header.itt()),
+                (&s.data, &s.ahs, s.header.itt()),
+                "seed {seed}"
+            );
+            assert_eq!(
+                (g.header.lun(), g.header.cdb()),
+                (s.header.lun(), s.header.cdb())
+            );
         }
     }
 }
 
 #[test]
 fn a_changed_byte_is_a_fault_of_its_digest_and_a_data_fault_lets_reading_go_on() {
-    let both = Digests { header: true, data: true };
+    let both = Digests {
+        header: true,
+        data: true,
+    };
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let pdu = Pdu { ahs: Default::default(), ..Pdu::new(some_pdu(&mut rng).header, vec![7; 40]) };
+        let pdu = Pdu {
+            ahs: Default::default(),
+            ..Pdu::new(some_pdu(&mut rng).header, vec![7; 40])
+        };
         let mut bytes = Vec::new();
         write(&pdu, both, &mut bytes);
         let next = bytes.clone();
@@ -71,7 +91,9 @@
         if at < 52 {
             assert_eq!(reader.next(), Err(Fault::HeaderDigest), "byte {at}");
         } else {
-            assert!(matches!(reader.next(), Err(Fault::DataDigest(h)) if h.itt() == pdu.header.itt()));
+            assert!(
+                matches!(reader.next(), Err(Fault::DataDigest(h)) if h.itt() == pdu.header.itt())
+            );
             assert_eq!(reader.next().unwrap().unwrap().data, pdu.data);
         }
     }
@@ -83,7 +105,13 @@
     header[5..8].copy_from_slice(&[0xff; 3]);
     let mut reader = Reader::new(8192);
     reader.push(&header);
-    assert_eq!(reader.next(), Err(Fault::TooLong { length: (1 << 24) - 1, most: 8192 }));
+    assert_eq!(
+        reader.next(),
+        Err(Fault::TooLong {
+            length: (1 << 24) - 1,
+            most: 8192
+        })
+    );
 }
 
 #[test]
@@ -100,7 +128,8 @@
         for _ in 0..5 {
             let mut pdu = some_pdu(&mut rng);
             if rng.random() {
-                let text: &[u8] = b"InitiatorName=a\0SessionType=Discovery\0AuthMethod=CHAP,None\0CHAP_A=5\0";
+                let text: &[u8] =
+                    b"InitiatorName=a\0SessionType=Discovery\0AuthMethod=CHAP,None\0CHAP_A=5\0";
                 pdu.data = text[..rng.random_range(0..text.len())].to_vec().into();
             }
             login.request(&pdu, [1; 17], (1, 1, 1));
--- a/crates/iscsi/tests/session.rs
+++ b/crates/iscsi/tests/session.rs
@@ -38,11 +38,19 @@
             ("iqn.a".to_string(), vec!["127.0.0.1:3260,1".to_string()]),
             ("iqn.b".to_string(), vec!["127.0.0.1:3260,1".to_string()]),
         ];
-        let limits = Limits { most_data: 1 << 20, most_kept: 16 };
+        let limits = Limits {
+            most_data: 1 << 20,
+            most_kept: 16,
+        };
         let mut s = Session::new(Some("iqn.a".into()), listing, limits, first, window);
         s.join(C1, params.clone(), 100);
         s.join(C2, params, 200);
-        Rig { s, sn: first, pdus: Vec::new(), acts: Vec::new() }
+        Rig {
+            s,
+            sn: first,
+            pdus: Vec::new(),
+            acts: Vec::new(),
+        }
     }
 
     fn new() -> Self {
@@ -72,20 +80,35 @@
     }
 
     fn header(&self, itt: u32, flags: u8, length: u32) -> Header {
-        let h = Header::new(Opcode::ScsiCommand).set_flags(flags).set_itt(itt).set_ttt(length);
-        h.set_cmd_sn(self.sn).set_exp_stat_sn(100).set_cdb([itt as u8; 16])
+        let h = Header::new(Opcode::ScsiCommand)
+            .set_flags(flags)
+            .set_itt(itt)
+            .set_ttt(length);
+        h.set_cmd_sn(self.sn)
+            .set_exp_stat_sn(100)
+            .set_cdb([itt as u8; 16])
     }
 
     fn data_out(&mut self, itt: u32, ttt: u32, sn: u32, offset: u32, data: &[u8], last: bool) {
-        let h = Header::new(Opcode::DataOut).set_flags(if last { 0x80 } else { 0 }).set_itt(itt).set_ttt(ttt);
+        let h = Header::new(Opcode::DataOut)
+            .set_flags(if last { 0x80 } else { 0 })
+            .set_itt(itt)
+            .set_ttt(ttt);
         let h = h.set_exp_stat_sn(100).set_word36(sn).set_word40(offset);
         self.hear(C1, Pdu::new(h, data.to_vec()));
     }
 
     fn manage(&mut self, itt: u32, function: u8, lun: u64, tag: u32, reference: u32) {
-        let h =
-            Header::new(Opcode::TaskManagement).set_immediate(true).set_flags(0x80 | function).set_lun(lun);
-        let h = h.set_itt(itt).set_ttt(tag).set_cmd_sn(self.sn).set_exp_stat_sn(100).set_word32(reference);
+        let h = Header::new(Opcode::TaskManagement)
+            .set_immediate(true)
+            .set_flags(0x80 | function)
+            .set_lun(lun);
+        let h = h
+            .set_itt(itt)
+            .set_ttt(tag)
+            .set_cmd_sn(self.sn)
+            .set_exp_stat_sn(100)
+            .set_word32(reference);
         self.hear(C1, Pdu::new(h, Bytes::new()));
     }
 
@@ -105,7 +128,10 @@
     }
 
     fn got(&mut self) -> Vec<Pdu> {
-        std::mem::take(&mut self.pdus).into_iter().map(|(_, p)| p).collect()
+        std::mem::take(&mut self.pdus)
+            .into_iter()
+            .map(|(_, p)| p)
+            .collect()
     }
 
     /// The one response that came: its status and sense code.
@@ -129,8 +155,17 @@
     let (task, _) = r.started()[0];
     r.done(task, Outcome::good(pattern(6000)));
     let got = r.got();
-    let told: Vec<_> =
-        got.iter().map(|p| (p.header.word36(), p.header.word40(), p.data.len(), p.header.flags())).collect();
+    let told: Vec<_> = got
+        .iter()
+        .map(|p| {
+            (
+                p.header.word36(),
+                p.header.word40(),
+                p.data.len(),
+                p.header.flags(),
+            )
+        })
+        .collect();
     let expected = [
         (0, 0, 1024, 0),
         (1, 1024, 1024, 0),
@@ -141,7 +176,10 @@
     ];
     assert_eq!(told, expected);
     assert_eq!((got[5].header.cmd_sn(), got[5].header.byte(3)), (100, 0));
-    assert_eq!(got.iter().flat_map(|p| p.data.to_vec()).collect::<Vec<_>>(), pattern(6000));
+    assert_eq!(
+        got.iter().flat_map(|p| p.data.to_vec()).collect::<Vec<_>>(),
+        pattern(6000)
+    );
     assert_eq!(r.s.tasks(), 0);
 }
 
@@ -176,14 +214,31 @@
     let asked: Vec<_> = r
         .got()
         .iter()
-        .map(|p| (p.header.ttt(), p.header.word36(), p.header.word40(), p.header.word44()))
+        .map(|p| {
+            (
+                p.header.ttt(),
+                p.header.word36(),
+                p.header.word40(),
+                p.header.word44(),
+            )
+        })
         .collect();
-    assert_eq!(asked.iter().map(|a| (a.1, a.2, a.3)).collect::<Vec<_>>(), [(0, 2048, 4096), (1, 6144, 4096)]);
+    assert_eq!(
+        asked.iter().map(|a| (a.1, a.2, a.3)).collect::<Vec<_>>(),
+        [(0, 2048, 4096), (1, 6144, 4096)]
+    );
     // The second burst first, in two PDUs; then what is left is asked for.
     r.data_out(7, asked[1].0, 0, 6144, &data[6144..8000], false);
     r.data_out(7, asked[1].0, 1, 8000, &data[8000..10_240], true);
     let third = r.got();
-    assert_eq!((third.len(), third[0].header.word40(), third[0].header.word44()), (1, 10_240, 1760));
+    assert_eq!(
+        (
+            third.len(),
+            third[0].header.word40(),
+            third[0].header.word44()
+        ),
+        (1, 10_240, 1760)
+    );
     r.data_out(7, third[0].header.ttt(), 0, 10_240, &data[10_240..], true);
     assert!(r.acts.is_empty());
     r.data_out(7, asked[0].0, 0, 2048, &data[2048..6144], true);
@@ -198,8 +253,14 @@
     for first in [1, u32::MAX - 1] {
         let mut r = Rig::with(params(), first, 8);
         let make = |n: u32| {
-            let h = Header::new(Opcode::ScsiCommand).set_flags(0x80 | READ).set_itt(n).set_ttt(8);
-            Pdu::new(h.set_cmd_sn(first.wrapping_add(n)).set_exp_stat_sn(100), Bytes::new())
+            let h = Header::new(Opcode::ScsiCommand)
+                .set_flags(0x80 | READ)
+                .set_itt(n)
+                .set_ttt(8);
+            Pdu::new(
+                h.set_cmd_sn(first.wrapping_add(n)).set_exp_stat_sn(100),
+                Bytes::new(),
+            )
         };
         r.hear(C2, make(2));
         r.hear(C1, make(1));
@@ -244,10 +305,21 @@
     for (flags, length, immediate) in [(READ, 512, 10), (WRITE, 4096, 2049), (WRITE, 1 << 21, 0)] {
         let mut r = Rig::new();
         r.command(7, flags, length, &pattern(immediate));
-        assert_eq!((r.status().0, r.started().len(), r.s.tasks()), (check, 0, 0), "{flags} {length}");
+        assert_eq!(
+            (r.status().0, r.started().len(), r.s.tasks()),
+            (check, 0, 0),
+            "{flags} {length}"
+        );
     }
     // Unsolicited data where it was not agreed on.
-    let mut r = Rig::with(Params { initial_r2t: true, ..params() }, 1, 8);
+    let mut r = Rig::with(
+        Params {
+            initial_r2t: true,
+            ..params()
+        },
+        1,
+        8,
+    );
     let h = r.header(7, WRITE, 4096);
     r.hear(C1, Pdu::new(h, Bytes::new()));
     assert_eq!(r.status(), (check, 0x0c, 0x0c));
@@ -263,12 +335,26 @@
         let mut r = Rig::new();
         r.command(7, WRITE, 4096, &[]);
         let ttt = r.got()[0].header.ttt();
-        r.data_out(7, if known { ttt } else { ttt + 9 }, sn, offset, &pattern(length as u32), last);
+        r.data_out(
+            7,
+            if known { ttt } else { ttt + 9 },
+            sn,
+            offset,
+            &pattern(length as u32),
+            last,
+        );
         let got = r.got();
-        let rejected = got.iter().any(|p| p.header.opcode() == Some(Opcode::Reject));
-        let ended =
-            got.iter().any(|p| p.header.opcode() == Some(Opcode::ScsiResponse) && p.header.byte(3) == check);
-        assert_eq!((rejected, ended, r.started().len()), (i < 4, true, 0), "case {i}: {got:?}");
+        let rejected = got
+            .iter()
+            .any(|p| p.header.opcode() == Some(Opcode::Reject));
+        let ended = got
+            .iter()
+            .any(|p| p.header.opcode() == Some(Opcode::ScsiResponse) && p.header.byte(3) == check);
+        assert_eq!(
+            (rejected, ended, r.started().len()),
+            (i < 4, true, 0),
+            "case {i}: {got:?}"
+        );
         // The session goes on.
         r.command(8, READ, 8, &[]);
         assert_eq!(r.started().len(), 1);
@@ -281,7 +367,14 @@
 #[test]
 fn damaged_data_ends_the_command_at_level_0_and_is_asked_for_again_at_level_1() {
     for level in [0, 1] {
-        let mut r = Rig::with(Params { recovery_level: level, ..params() }, 1, 8);
+        let mut r = Rig::with(
+            Params {
+                recovery_level: level,
+                ..params()
+            },
+            1,
+            8,
+        );
         let data = pattern(2000);
         r.command(7, WRITE, 2000, &[]);
         let ttt = r.got()[0].header.ttt();
@@ -300,7 +393,10 @@
         assert_eq!(got[0].header.byte(2), Reason::DataDigest as u8);
         if level == 0 {
             let sense = &got[1].data;
-            assert_eq!((got[1].header.byte(3), sense[14], sense[15]), (2, 0x47, 0x05));
+            assert_eq!(
+                (got[1].header.byte(3), sense[14], sense[15]),
+                (2, 0x47, 0x05)
+            );
             continue;
         }
         // The lost range at once, beside the burst that still runs.
@@ -319,7 +415,11 @@
 fn an_abort_is_answered_once_the_task_has_ended_and_its_answer_is_swallowed() {
     let managed = |r: &mut Rig| -> Vec<u8> {
         let got = r.got();
-        assert!(got.iter().all(|p| p.header.opcode() == Some(Opcode::TaskManagementResponse)), "{got:?}");
+        assert!(
+            got.iter()
+                .all(|p| p.header.opcode() == Some(Opcode::TaskManagementResponse)),
+            "{got:?}"
+        );
         got.iter().map(|p| p.header.byte(2)).collect()
     };
     for answered in [true, false] {
@@ -327,9 +427,19 @@
         r.command(7, READ, 8, &[]);
         let (task, _) = r.started()[0];
         r.manage(50, 1, 0, 7, 1);
-        assert_eq!(r.acts, [Act::Abort { tasks: vec![task], why: Why::AbortTask }]);
+        assert_eq!(
+            r.acts,
+            [Act::Abort {
+                tasks: vec![task],
+                why: Why::AbortTask
+            }]
+        );
         assert!(managed(&mut r).is_empty(), "the device may still be at it");
-        let acts = if answered { r.s.done(task, Outcome::good(pattern(8))) } else { r.s.gone(task) };
+        let acts = if answered {
+            r.s.done(task, Outcome::good(pattern(8)))
+        } else {
+            r.s.gone(task)
+        };
         r.keep(acts);
         assert_eq!(managed(&mut r), [0]);
     }
@@ -356,7 +466,10 @@
     r.command(7, WRITE, 4096, &[]);
     r.got();
     r.manage(50, 1, 0, 7, 1);
-    assert_eq!((managed(&mut r), r.acts.len(), r.s.tasks()), (vec![0], 0, 0));
+    assert_eq!(
+        (managed(&mut r), r.acts.len(), r.s.tasks()),
+        (vec![0], 0, 0)
+    );
 }
 
 #[test]
@@ -368,11 +481,21 @@
     let tasks: Vec<TaskNo> = r.started().into_iter().map(|s| s.0).collect();
     assert_eq!(tasks.len(), 500);
     r.manage(50, 5, 0, 0, 0);
-    assert_eq!(r.acts[0], Act::Reset { lun: Some(0), why: Why::LunReset });
+    assert_eq!(
+        r.acts[0],
+        Act::Reset {
+            lun: Some(0),
+            why: Why::LunReset
+        }
+    );
     assert!(matches!(&r.acts[1], Act::Abort { tasks: t, .. } if t.len() == 500));
     for (i, task) in tasks.iter().enumerate() {
         assert!(r.got().is_empty(), "answered after {i} of 500");
-        let acts = if i % 2 == 0 { r.s.gone(*task) } else { r.s.done(*task, Outcome::status(Status::Good)) };
+        let acts = if i % 2 == 0 {
+            r.s.gone(*task)
+        } else {
+            r.s.done(*task, Outcome::status(Status::Good))
+        };
         r.keep(acts);
     }
     let got = r.got();
@@ -391,14 +514,26 @@
             let acts = r.s.lost(C1);
             r.keep(acts);
         } else {
-            let h =
-                Header::new(Opcode::LogoutRequest).set_immediate(true).set_flags(0x81).set_itt(9).set_cid(1);
+            let h = Header::new(Opcode::LogoutRequest)
+                .set_immediate(true)
+                .set_flags(0x81)
+                .set_itt(9)
+                .set_cid(1);
             r.hear(C1, Pdu::new(h.set_exp_stat_sn(100), Bytes::new()));
             let got = r.got();
-            assert_eq!((got[0].header.opcode(), got[0].header.byte(2)), (Some(Opcode::LogoutResponse), 0));
+            assert_eq!(
+                (got[0].header.opcode(), got[0].header.byte(2)),
+                (Some(Opcode::LogoutResponse), 0)
+            );
             assert_eq!(r.acts.remove(0), Act::Close { cid: C1 });
         }
-        assert_eq!(r.acts, [Act::Abort { tasks: vec![task], why: Why::ConnectionLost }]);
+        assert_eq!(
+            r.acts,
+            [Act::Abort {
+                tasks: vec![task],
+                why: Why::ConnectionLost
+            }]
+        );
         r.done(task, Outcome::good(pattern(8)));
         assert_eq!((r.got().len(), r.s.tasks(), r.s.is_empty()), (0, 0, false));
         // The other connection carries on where the numbers are.
@@ -411,10 +546,23 @@
 #[test]
 fn snack_brings_status_and_data_again_until_they_are_acknowledged() {
     let snack = |kind: u8, itt: u32, from: u32, run: u32, ack: u32| {
-        let h = Header::new(Opcode::Snack).set_flags(0x80 | kind).set_itt(itt).set_ttt(NO_TAG);
-        Pdu::new(h.set_exp_stat_sn(ack).set_word40(from).set_word44(run), Bytes::new())
+        let h = Header::new(Opcode::Snack)
+            .set_flags(0x80 | kind)
+            .set_itt(itt)
+            .set_ttt(NO_TAG);
+        Pdu::new(
+            h.set_exp_stat_sn(ack).set_word40(from).set_word44(run),
+            Bytes::new(),
+        )
     };
-    let mut r = Rig::with(Params { recovery_level: 1, ..params() }, 1, 8);
+    let mut r = Rig::with(
+        Params {
+            recovery_level: 1,
+            ..params()
+        },
+        1,
+        8,
+    );
     r.command(7, READ, 3000, &[]);
     let (task, _) = r.started()[0];
     r.done(task, Outcome::good(pattern(3000)));
@@ -429,10 +577,17 @@
     assert_eq!(r.got().len(), 1);
     r.hear(C1, snack(0, 7, 0, 0, 101));
     let got = r.got();
-    assert_eq!((got[0].header.opcode(), got[0].header.byte(2)), (Some(Opcode::Reject), Reason::Snack as u8));
+    assert_eq!(
+        (got[0].header.opcode(), got[0].header.byte(2)),
+        (Some(Opcode::Reject), Reason::Snack as u8)
+    );
     let mut r = Rig::new();
     r.hear(C1, snack(1, NO_TAG, 100, 0, 100));
-    assert_eq!(r.got()[0].header.byte(2), Reason::Snack as u8, "not agreed on at level 0");
+    assert_eq!(
+        r.got()[0].header.byte(2),
+        Reason::Snack as u8,
+        "not agreed on at level 0"
+    );
 }
 
 #[test]
@@ -442,7 +597,11 @@
     r.command(2, READ, 8, &[]);
     assert_eq!((r.s.room(), r.s.sns()), (0, (3, 2)));
     r.command(3, READ, 8, &[]);
-    assert_eq!(r.started().len(), 2, "outside the window, so never heard of");
+    assert_eq!(
+        r.started().len(),
+        2,
+        "outside the window, so never heard of"
+    );
     // Two are open of four: two more. The next response will tell.
     assert!(r.s.allow(4).is_empty());
     r.sn -= 1;
@@ -453,7 +612,13 @@
     let most: Vec<u32> = (1..=3)
         .map(|task| {
             let acts = r.s.done(TaskNo(task), Outcome::good(Bytes::new()));
-            let told = acts.iter().find_map(|a| if let Act::Send { pdu, .. } = a { Some(pdu) } else { None });
+            let told = acts.iter().find_map(|a| {
+                if let Act::Send { pdu, .. } = a {
+                    Some(pdu)
+                } else {
+                    None
+                }
+            });
             told.expect("a response").header.word32()
         })
         .collect();
@@ -473,32 +638,65 @@
 #[test]
 fn nop_text_and_what_a_discovery_session_may_not() {
     let mut r = Rig::new();
-    let nop = Header::new(Opcode::NopOut).set_immediate(true).set_flags(0x80).set_itt(3).set_ttt(NO_TAG);
+    let nop = Header::new(Opcode::NopOut)
+        .set_immediate(true)
+        .set_flags(0x80)
+        .set_itt(3)
+        .set_ttt(NO_TAG);
     r.hear(C1, Pdu::new(nop.set_exp_stat_sn(100), &b"ping"[..]));
     let got = r.got();
     assert_eq!(
-        (got[0].header.opcode(), &got[0].data[..], got[0].header.itt()),
+        (
+            got[0].header.opcode(),
+            &got[0].data[..],
+            got[0].header.itt()
+        ),
         (Some(Opcode::NopIn), &b"ping"[..], 3)
     );
     let text = |key: &str| {
-        let h =
-            Header::new(Opcode::TextRequest).set_immediate(true).set_flags(0x80).set_itt(4).set_ttt(NO_TAG);
-        Pdu::new(h.set_exp_stat_sn(100), format!("SendTargets={key}\0").into_bytes())
+        let h = Header::new(Opcode::TextRequest)
+            .set_immediate(true)
+            .set_flags(0x80)
+            .set_itt(4)
+            .set_ttt(NO_TAG);
+        Pdu::new(
+            h.set_exp_stat_sn(100),
+            format!("SendTargets={key}\0").into_bytes(),
+        )
     };
     r.hear(C1, text(""));
-    assert_eq!(&r.got()[0].data[..], b"TargetName=iqn.a\0TargetAddress=127.0.0.1:3260,1\0");
+    assert_eq!(
+        &r.got()[0].data[..],
+        b"TargetName=iqn.a\0TargetAddress=127.0.0.1:3260,1\0"
+    );
     r.hear(C1, text("iqn.b"));
-    assert!(r.got()[0].data.is_empty(), "a normal session is told of its own target alone");
+    assert!(
+        r.got()[0].data.is_empty(),
+        "a normal session is told of its own target alone"
+    );
     let listing = vec![("iqn.a".to_string(), vec![]), ("iqn.b".to_string(), vec![])];
-    let mut d = Session::new(None, listing, Limits { most_data: 1, most_kept: 4 }, 1, 4);
+    let mut d = Session::new(
+        None,
+        listing,
+        Limits {
+            most_data: 1,
+            most_kept: 4,
+        },
+        1,
+        4,
+    );
     d.join(C1, params(), 1);
     let told = d.hear(C1, Ok(text("All")));
     assert!(
         matches!(&told[0], Act::Send { pdu, .. } if &pdu.data[..] == b"TargetName=iqn.a\0TargetName=iqn.b\0")
     );
-    let command = Header::new(Opcode::ScsiCommand).set_flags(0x80 | READ).set_cmd_sn(1);
+    let command = Header::new(Opcode::ScsiCommand)
+        .set_flags(0x80 | READ)
+        .set_cmd_sn(1);
     let refused = d.hear(C1, Ok(Pdu::new(command, Bytes::new())));
-    assert!(matches!(&refused[0], Act::Send { pdu, .. } if pdu.header.opcode() == Some(Opcode::Reject)));
+    assert!(
+        matches!(&refused[0], Act::Send { pdu, .. } if pdu.header.opcode() == Some(Opcode::Reject))
+    );
 }
 
 #[test]
@@ -508,8 +706,18 @@
     let (task, _) = r.started()[0];
     r.done(task, Outcome::check(Sense::OUTCOME_UNKNOWN));
     let got = r.got();
-    assert_eq!((got[0].header.byte(3), got[0].header.flags(), got[0].header.word44()), (2, 0x82, 512));
-    assert_eq!((got[0].data.len(), got[0].data[1], got[0].data[4]), (20, 18, 0x0b));
+    assert_eq!(
+        (
+            got[0].header.byte(3),
+            got[0].header.flags(),
+            got[0].header.word44()
+        ),
+        (2, 0x82, 512)
+    );
+    assert_eq!(
+        (got[0].data.len(), got[0].data[1], got[0].data[4]),
+        (20, 18, 0x0b)
+    );
 }
 
 /// Whole sessions of malformed and reordered PDUs, seeded: whatever comes, no more good statuses go out than
@@ -518,7 +726,14 @@
 fn noise_over_whole_sessions() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut r = Rig::with(Params { recovery_level: (seed % 2) as u32, ..params() }, u32::MAX - 5, 8);
+        let mut r = Rig::with(
+            Params {
+                recovery_level: (seed % 2) as u32,
+                ..params()
+            },
+            u32::MAX - 5,
+            8,
+        );
         let (mut open, mut answered, mut good) = (Vec::new(), 0, 0);
         for _ in 0..200 {
             let opcode = Opcode::ALL[rng.random_range(0..Opcode::ALL.len())];
@@ -528,7 +743,10 @@
             }
             let itt = rng.random_range(0..6);
             let h = Header(bytes).set_byte(0, opcode as u8 | if rng.random() { 0x40 } else { 0 });
-            let h = h.set_flags(rng.random()).set_itt(itt).set_exp_stat_sn(rng.random_range(90..110));
+            let h = h
+                .set_flags(rng.random())
+                .set_itt(itt)
+                .set_exp_stat_sn(rng.random_range(90..110));
             let h = h
                 .set_ttt(rng.random_range(0..5000))
                 .set_cmd_sn(r.s.sns().0.wrapping_add(rng.random_range(0..3)));
@@ -549,19 +767,28 @@
             }
             open.extend(r.started().into_iter().map(|s| s.0));
             for p in r.got() {
-                if matches!(p.header.opcode(), Some(Opcode::ScsiResponse)) && p.header.byte(3) == 0 {
+                if matches!(p.header.opcode(), Some(Opcode::ScsiResponse)) && p.header.byte(3) == 0
+                {
                     good += 1;
                 }
-                good += u32::from(p.header.opcode() == Some(Opcode::DataIn) && p.header.flags() & 1 != 0);
+                good += u32::from(
+                    p.header.opcode() == Some(Opcode::DataIn) && p.header.flags() & 1 != 0,
+                );
             }
-            assert!(good <= answered, "seed {seed}: a good status that no device gave");
+            assert!(
+                good <= answered,
+                "seed {seed}: a good status that no device gave"
+            );
         }
         for task in open {
             r.done(task, Outcome::good(Bytes::new()));
         }
         // What is left only gathers data, or waits for its turn: nothing of it is at the device.
         let lost = [r.s.lost(C1), r.s.lost(C2)].concat();
-        assert!(!lost.iter().any(|a| matches!(a, Act::Abort { .. })), "seed {seed}: {lost:?}");
+        assert!(
+            !lost.iter().any(|a| matches!(a, Act::Abort { .. })),
+            "seed {seed}: {lost:?}"
+        );
         assert_eq!(r.s.tasks(), 0, "seed {seed}");
     }
 }
--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -125,7 +125,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// To the ledger, as one who looked at that version.
-    Propose { ask: Ask, node: u32, to: Option<Drain>, looked_at: Version, why: String },
+    Propose {
+        ask: Ask,
+        node: u32,
+        to: Option<Drain>,
+        looked_at: Version,
+        why: String,
+    },
     /// To admission.
     Unfit { node: u32, how: Option<Beside> },
     /// For people: what has become of a node.
@@ -248,7 +254,16 @@
 /// For explorers: how many questions were asked before makes no difference to what follows.
 impl Hash for Membership {
     fn hash<H: Hasher>(&self, to: &mut H) {
-        (self.now, self.wall, self.version, &self.hosts, &self.nodes, &self.dirty, self.stirred).hash(to);
+        (
+            self.now,
+            self.wall,
+            self.version,
+            &self.hosts,
+            &self.nodes,
+            &self.dirty,
+            self.stirred,
+        )
+            .hash(to);
     }
 }
 
@@ -263,11 +278,17 @@
 impl Membership {
     /// `warm_within`: until a node that started can do all its work; `longest`: a leg may take at most.
     pub fn new(
-        now: Duration, warm_within: Duration, longest: Duration, hosts: impl IntoIterator<Item = HostNo>,
+        now: Duration,
+        warm_within: Duration,
+        longest: Duration,
+        hosts: impl IntoIterator<Item = HostNo>,
     ) -> Self {
         // What hosts had out before this process was there, they may have lost since, and not know of any
         // more.
-        let host = Host { over: now + longest * 2, ..Host::default() };
+        let host = Host {
+            over: now + longest * 2,
+            ..Host::default()
+        };
         Membership {
             warm_within,
             longest,
@@ -298,18 +319,29 @@
 
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&self) -> Option<Duration> {
-        self.nodes.keys().filter_map(|n| self.due(*n)).filter(|at| *at > self.now).min()
+        self.nodes
+            .keys()
+            .filter_map(|n| self.due(*n))
+            .filter(|at| *at > self.now)
+            .min()
     }
 
     /// When time alone may change something of a node.
     fn due(&self, node: u32) -> Option<Duration> {
         let n = &self.nodes[&node];
-        let warm = self.reading(n).and_then(|r| r.started).map(|s| s + self.warm_within);
+        let warm = self
+            .reading(n)
+            .and_then(|r| r.started)
+            .map(|s| s + self.warm_within);
         let warm = warm.filter(|_| n.life == Life::Warming);
         let Some(w) = &n.wish else { return warm };
-        let quiet = (w.stage == Stage::Going).then(|| self.quiet_at(node)).flatten();
+        let quiet = (w.stage == Stage::Going)
+            .then(|| self.quiet_at(node))
+            .flatten();
         let again = (w.stage == Stage::Queued && w.asking.is_none()).then_some(w.again);
-        let until = w.until.filter(|_| w.stage == Stage::Going && w.asking.is_none());
+        let until = w
+            .until
+            .filter(|_| w.stage == Stage::Going && w.asking.is_none());
         [warm, quiet, again, until].into_iter().flatten().min()
     }
 
@@ -346,9 +378,17 @@
                 (h.up, h.over) = (false, over);
                 // Whoever comes back may be another process, which knows less than the one that counted: its
                 // legs must not be missed for the other's having had none.
-                let sights = self.nodes.values_mut().filter_map(|n| n.seen.get_mut(&host));
-                sights
-                    .for_each(|s| s.sight = Sight { follows: Version(0), answers: Answers::None, ..s.sight });
+                let sights = self
+                    .nodes
+                    .values_mut()
+                    .filter_map(|n| n.seen.get_mut(&host));
+                sights.for_each(|s| {
+                    s.sight = Sight {
+                        follows: Version(0),
+                        answers: Answers::None,
+                        ..s.sight
+                    }
+                });
             }
             Event::Seen { host, node, sight } => self.see(host, node, sight),
             Event::Landed { ask } => self.asked(ask, String::new()),
@@ -364,14 +404,19 @@
         self.stirred = true;
         let Some(d) = to else {
             if was.is_some() {
-                out.push(Action::Note { node, text: "no longer drained".into() });
+                out.push(Action::Note {
+                    node,
+                    text: "no longer drained".into(),
+                });
             }
             return;
         };
         let went = was.as_ref().is_some_and(|w| w.stage == d.stage);
         let since = was.as_ref().filter(|_| went).and_then(|w| w.until);
         // Of a drain that was there before this process is only known when it went by the wall clock.
-        let spent = wall.saturating_sub(d.since).min(d.within.saturating_sub(ANEW));
+        let spent = wall
+            .saturating_sub(d.since)
+            .min(d.within.saturating_sub(ANEW));
         let until = since.or_else(|| (!d.within.is_zero()).then(|| now + (d.within - spent)));
         if !went {
             let text = match d.stage {
@@ -404,7 +449,14 @@
         // One start has one moment, or each look would seem a start of its own.
         let started = before.and_then(|s| s.started);
         let started = started.or_else(|| sight.age.map(|age| now.saturating_sub(age)));
-        n.seen.insert(host, Seen { sight, at: now, started });
+        n.seen.insert(
+            host,
+            Seen {
+                sight,
+                at: now,
+                started,
+            },
+        );
         if let Some(w) = n.wish.as_mut().filter(|w| w.stage == Stage::Going) {
             w.most = w.most.max(n.seen.values().map(|s| s.sight.legs).sum());
         }
@@ -412,11 +464,15 @@
     }
 
     fn asked(&mut self, ask: Ask, why: String) {
-        let (now, of) = (self.now, |n: &&mut Node| n.wish.as_ref().is_some_and(|w| is(w, ask)));
+        let (now, of) = (self.now, |n: &&mut Node| {
+            n.wish.as_ref().is_some_and(|w| is(w, ask))
+        });
         fn is(w: &Wish, ask: Ask) -> bool {
             w.asking.is_some_and(|a| a.0 == ask)
         }
-        let Some(n) = self.nodes.values_mut().find(of) else { return };
+        let Some(n) = self.nodes.values_mut().find(of) else {
+            return;
+        };
         let w = n.wish.as_mut().expect("looked at above");
         // Landed: what it changed comes as the ledger's own word.
         w.asking = None;
@@ -426,17 +482,35 @@
     /// The list's word on a node that is to be believed.
     fn reading(&self, n: &Node) -> Option<Reading> {
         let reading = |s: &Seen| {
-            let Sight { word, start, revision, .. } = s.sight;
-            Reading { word, start, started: s.started, revision }
+            let Sight {
+                word,
+                start,
+                revision,
+                ..
+            } = s.sight;
+            Reading {
+                word,
+                start,
+                started: s.started,
+                revision,
+            }
         };
-        let told = n.seen.values().map(reading).filter(|r| r.word != Word::Never);
+        let told = n
+            .seen
+            .values()
+            .map(reading)
+            .filter(|r| r.word != Word::Never);
         told.reduce(|a, b| if b.beats(&a) { b } else { a })
     }
 
     fn said(&self, n: &Node) -> Said {
         let r = self.reading(n).unwrap_or_default();
         let cold = r.started.is_some_and(|s| self.now < s + self.warm_within);
-        let answers = n.seen.values().filter(|s| s.sight.start == r.start).map(|s| s.sight.answers);
+        let answers = n
+            .seen
+            .values()
+            .filter(|s| s.sight.start == r.start)
+            .map(|s| s.sight.answers);
         // One host's good word is worth more than many that hear nothing: it is on their way then.
         let answers = answers.max_by_key(|a| match a {
             Answers::None => 0,
@@ -445,10 +519,18 @@
         });
         let out = n.wish.as_ref().filter(|w| w.stage == Stage::Out);
         // By the wall clock, which both the ledger's times and, through it, ages are put on.
-        let began = r.started.map(|s| self.wall.saturating_sub(self.now.saturating_sub(s)));
+        let began = r
+            .started
+            .map(|s| self.wall.saturating_sub(self.now.saturating_sub(s)));
         let anew = out.zip(began).is_some_and(|(w, began)| began > w.since);
         let wish = n.wish.as_ref().map(|w| w.stage);
-        Said { wish, word: r.word, answers: answers.unwrap_or_default(), cold, anew }
+        Said {
+            wish,
+            word: r.word,
+            answers: answers.unwrap_or_default(),
+            cold,
+            anew,
+        }
     }
 
     fn settle_life(&mut self, node: u32, out: &mut Vec<Action>) {
@@ -471,14 +553,21 @@
             out.push(Action::Unfit { node, how });
         }
         if was != is && known {
-            out.push(Action::Note { node, text: format!("{is}, by {wins}; it was {was}") });
+            out.push(Action::Note {
+                node,
+                text: format!("{is}, by {wins}; it was {was}"),
+            });
         }
     }
 
     /// Hosts that might still send to a node whose drain has that version, and whether they can be heard.
     fn untold(&self, version: Version) -> Vec<(HostNo, bool)> {
         let may = |h: &Host| !h.gone && h.sure.is_some_and(|sure| sure < version);
-        self.hosts.iter().filter(|(_, h)| may(h)).map(|(no, h)| (*no, h.up)).collect()
+        self.hosts
+            .iter()
+            .filter(|(_, h)| may(h))
+            .map(|(no, h)| (*no, h.up))
+            .collect()
     }
 
     /// When the last that any host had out there is over, as far as is known: None while some host still
@@ -511,7 +600,14 @@
         let zone = |n: u32| self.nodes.get(&n).map(|n| n.facts.zone.clone());
         let others = self.nodes.iter().filter_map(|(id, n)| {
             let drains = n.wish.as_ref().is_some_and(|w| w.stage != Stage::Queued);
-            Some((*id, if drains { Some(Beside::Drains) } else { n.unfit }?))
+            Some((
+                *id,
+                if drains {
+                    Some(Beside::Drains)
+                } else {
+                    n.unfit
+                }?,
+            ))
         });
         beside(node, zone, others)
     }
@@ -519,9 +615,17 @@
     /// Whether one that waits in the same zone asked before it.
     fn before(&self, node: u32) -> Option<u32> {
         let me = &self.nodes[&node];
-        let asked = |n: &Node| n.wish.as_ref().filter(|w| w.stage == Stage::Queued).map(|w| w.asked);
+        let asked = |n: &Node| {
+            n.wish
+                .as_ref()
+                .filter(|w| w.stage == Stage::Queued)
+                .map(|w| w.asked)
+        };
         let mine = (asked(me)?, node);
-        let others = self.nodes.iter().filter(|(_, n)| n.facts.zone == me.facts.zone);
+        let others = self
+            .nodes
+            .iter()
+            .filter(|(_, n)| n.facts.zone == me.facts.zone);
         let others = others.filter_map(|(id, n)| Some((asked(n)?, *id)));
         others.filter(|o| *o < mine).min().map(|o| o.1)
     }
@@ -536,8 +640,10 @@
                     (Some(other), _) => format!("node {other} of its zone asked before it"),
                     (_, []) => String::new(),
                     (_, with) => {
-                        let each: Vec<String> =
-                            with.iter().map(|(n, how)| format!("node {n} {how}")).collect();
+                        let each: Vec<String> = with
+                            .iter()
+                            .map(|(n, how)| format!("node {n} {how}"))
+                            .collect();
                         each.join(" and ")
                     }
                 };
@@ -552,10 +658,18 @@
             Stage::Going => {
                 let told = self.untold(w.version).is_empty();
                 if told && self.quiet_at(node).is_some_and(|at| at <= self.now) {
-                    return Some((Some(Stage::Empty), "nothing is under way at any host".into()));
+                    return Some((
+                        Some(Stage::Empty),
+                        "nothing is under way at any host".into(),
+                    ));
                 }
                 let up = w.until.is_some_and(|until| until <= self.now);
-                up.then(|| (None, format!("given up: not empty within {}", text(w.within))))
+                up.then(|| {
+                    (
+                        None,
+                        format!("given up: not empty within {}", text(w.within)),
+                    )
+                })
             }
             Stage::Empty => {
                 let gone = self.reading(n).is_some_and(|r| r.word == Word::Gone);
@@ -567,13 +681,23 @@
 
     /// Proposes what is wanted of each drain and is not so.
     fn bring(&mut self, out: &mut Vec<Action>) {
-        let wished: Vec<u32> =
-            self.nodes.iter().filter(|(_, n)| n.wish.is_some()).map(|(id, _)| *id).collect();
+        let wished: Vec<u32> = self
+            .nodes
+            .iter()
+            .filter(|(_, n)| n.wish.is_some())
+            .map(|(id, _)| *id)
+            .collect();
         for node in wished {
-            let Some((to, why)) = self.wanted(node) else { continue };
+            let Some((to, why)) = self.wanted(node) else {
+                continue;
+            };
             self.next += 1;
             let (ask, looked_at) = (Ask(self.next), self.version);
-            let w = self.nodes.get_mut(&node).and_then(|n| n.wish.as_mut()).expect("wanted of it");
+            let w = self
+                .nodes
+                .get_mut(&node)
+                .and_then(|n| n.wish.as_mut())
+                .expect("wanted of it");
             w.asking = Some((ask, to));
             let drain = to.map(|stage| Drain {
                 stage,
@@ -582,7 +706,13 @@
                 asked: w.asked,
                 since: w.since,
             });
-            out.push(Action::Propose { ask, node, to: drain, looked_at, why });
+            out.push(Action::Propose {
+                ask,
+                node,
+                to: drain,
+                looked_at,
+                why,
+            });
         }
         self.stirred = false;
     }
@@ -600,24 +730,36 @@
     /// `missing`: reserves that cannot be met as it is, units a second, for what speaks against taking one
     /// out.
     pub fn shown(&self, missing: f64) -> impl Iterator<Item = Shown<'_>> + '_ {
-        self.nodes.iter().filter(|(_, n)| n.known).map(move |(id, n)| self.show(*id, n, missing))
+        self.nodes
+            .iter()
+            .filter(|(_, n)| n.known)
+            .map(move |(id, n)| self.show(*id, n, missing))
     }
 
     /// One of them.
     pub fn show_one(&self, node: u32, missing: f64) -> Option<Shown<'_>> {
-        self.nodes.get(&node).filter(|n| n.known).map(|n| self.show(node, n, missing))
+        self.nodes
+            .get(&node)
+            .filter(|n| n.known)
+            .map(|n| self.show(node, n, missing))
     }
 
     fn show<'a>(&'a self, node: u32, n: &'a Node, missing: f64) -> Shown<'a> {
         let drain = n.wish.as_ref().map(|w| {
             let extents = self.alone(node, n);
             let phase = match w.stage {
-                Stage::Queued => Phase::Waits { why: w.waits.clone() },
+                Stage::Queued => Phase::Waits {
+                    why: w.waits.clone(),
+                },
                 Stage::Going => match self.untold(w.version) {
                     hosts if hosts.is_empty() => {
                         let over = self.quiet_at(node).unwrap_or(self.now);
                         let unsure = over.saturating_sub(self.now);
-                        Phase::Quiescing { legs: self.legs(n), most: w.most, unsure }
+                        Phase::Quiescing {
+                            legs: self.legs(n),
+                            most: w.most,
+                            unsure,
+                        }
                     }
                     hosts => Phase::Telling { hosts },
                 },
@@ -627,24 +769,48 @@
                         Some(n) => Some(format!("{n} extents lie there and nowhere else")),
                         None => Some("whether data lies there alone is not known here".into()),
                     };
-                    let short = (missing > 0.0)
-                        .then(|| format!("{missing:.1} units a second of reserves cannot be met without it"));
-                    Phase::Empty { against: lies.into_iter().chain(short).collect() }
+                    let short = (missing > 0.0).then(|| {
+                        format!("{missing:.1} units a second of reserves cannot be met without it")
+                    });
+                    Phase::Empty {
+                        against: lies.into_iter().chain(short).collect(),
+                    }
                 }
                 Stage::Out => Phase::Out,
             };
-            let left = w.until.filter(|_| w.stage == Stage::Going).map(|u| u.saturating_sub(self.now));
-            ShownDrain { who: &w.who, asked: w.asked, since: w.since, left, phase, extents }
+            let left = w
+                .until
+                .filter(|_| w.stage == Stage::Going)
+                .map(|u| u.saturating_sub(self.now));
+            ShownDrain {
+                who: &w.who,
+                asked: w.asked,
+                since: w.since,
+                left,
+                phase,
+                extents,
+            }
         });
         let reading = self.reading(n).unwrap_or_default();
         let up = reading.started.map(|s| self.now.saturating_sub(s));
-        Shown { node, facts: &n.facts, life: n.life, wins: n.wins, reading, up, drain }
+        Shown {
+            node,
+            facts: &n.facts,
+            life: n.life,
+            wins: n.wins,
+            reading,
+            up,
+            drain,
+        }
     }
 
     /// Extents that lie on that node and on no other that is ready.
     fn alone(&self, node: u32, n: &Node) -> Option<u64> {
         let cell = n.facts.cell;
-        let mut others = self.nodes.iter().filter(|(id, o)| **id != node && o.known && o.facts.cell == cell);
+        let mut others = self
+            .nodes
+            .iter()
+            .filter(|(id, o)| **id != node && o.known && o.facts.cell == cell);
         let elsewhere =
             others.any(|(_, o)| o.wish.is_none() && matches!(o.life, Life::Ready | Life::Warming));
         let counted = n.seen.values().filter_map(|s| s.sight.extents);
--- a/crates/membership/src/life.rs
+++ b/crates/membership/src/life.rs
@@ -65,7 +65,11 @@
     /// assert_eq!(Answers::of(heard(0.6, 0, 30), Answers::Bad), Answers::None);
     /// ```
     pub fn of(h: Heard, before: Answers) -> Answers {
-        let least = if before == Answers::Bad { SHUT.1 } else { SHUT.0 };
+        let least = if before == Answers::Bad {
+            SHUT.1
+        } else {
+            SHUT.0
+        };
         match h.since {
             _ if h.ease < least || h.bad_row >= BAD_ROW => Answers::Bad,
             Some(since) if since < LATELY => Answers::Good,
@@ -124,17 +128,34 @@
 
 const fn row(wish: Option<Stage>, life: Life) -> Row {
     let (wish, wins) = (Some(wish), Wins::Operators);
-    Row { wish, word: None, answers: None, cold: None, anew: None, life, wins }
+    Row {
+        wish,
+        word: None,
+        answers: None,
+        cold: None,
+        anew: None,
+        life,
+        wins,
+    }
 }
 
 const fn word(word: Word, life: Life) -> Row {
-    Row { word: Some(word), wins: Wins::List, ..row(None, life) }
+    Row {
+        word: Some(word),
+        wins: Wins::List,
+        ..row(None, life)
+    }
 }
 
 /// Who is believed, from the top.
 pub const TABLE: [Row; 11] = [
     // A process that started after the box was taken out is a box that somebody put back.
-    Row { word: Some(Word::Ready), anew: Some(true), wins: Wins::List, ..row(Some(Stage::Out), Life::Back) },
+    Row {
+        word: Some(Word::Ready),
+        anew: Some(true),
+        wins: Wins::List,
+        ..row(Some(Stage::Out), Life::Back)
+    },
     row(Some(Stage::Out), Life::Out),
     row(Some(Stage::Empty), Life::Empty),
     // Whatever starts under its number while it drains: the wish is for the box, not for one process.
@@ -142,9 +163,20 @@
     word(Word::Never, Life::Unknown),
     word(Word::Gone, Life::Out),
     word(Word::Draining, Life::Draining),
-    Row { answers: Some(Answers::Bad), wins: Wins::Answers, ..word(Word::Ready, Life::Suspect) },
-    Row { cold: Some(true), ..word(Word::Ready, Life::Warming) },
-    Row { answers: Some(Answers::Good), wins: Wins::Answers, ..word(Word::Ready, Life::Ready) },
+    Row {
+        answers: Some(Answers::Bad),
+        wins: Wins::Answers,
+        ..word(Word::Ready, Life::Suspect)
+    },
+    Row {
+        cold: Some(true),
+        ..word(Word::Ready, Life::Warming)
+    },
+    Row {
+        answers: Some(Answers::Good),
+        wins: Wins::Answers,
+        ..word(Word::Ready, Life::Ready)
+    },
     word(Word::Ready, Life::Ready),
 ];
 
@@ -187,7 +219,10 @@
     ];
 
     pub fn name(self) -> &'static str {
-        Life::NAMES.iter().find(|(life, _)| *life == self).map_or("", |(_, name)| name)
+        Life::NAMES
+            .iter()
+            .find(|(life, _)| *life == self)
+            .map_or("", |(_, name)| name)
     }
 }
 
--- a/crates/membership/tests/drains.rs
+++ b/crates/membership/tests/drains.rs
@@ -51,10 +51,20 @@
         let node = |n: u32| {
             let name = format!("box{n}.example.org").as_str().into();
             let zone = if n < 3 { "room-a" } else { "room-b" }.into();
-            Event::Node { node: n, to: Some(Facts { name, zone, cell: n }) }
+            Event::Node {
+                node: n,
+                to: Some(Facts {
+                    name,
+                    zone,
+                    cell: n,
+                }),
+            }
         };
         self.step((1..5).map(node).collect());
-        let sure = |host| Event::Sure { host, version: Some(Version(self.version)) };
+        let sure = |host| Event::Sure {
+            host,
+            version: Some(Version(self.version)),
+        };
         let up = |host| Event::Up { host, process: 1 };
         self.step(vec![sure(H1), sure(H2), up(H1), up(H2)]);
         for n in 1..5 {
@@ -66,13 +76,27 @@
     fn step(&mut self, events: Vec<Event>) {
         let mut events = events;
         loop {
-            let actions = self.m.step(self.now, self.now + self.wall, std::mem::take(&mut events));
+            let actions = self
+                .m
+                .step(self.now, self.now + self.wall, std::mem::take(&mut events));
             for a in actions {
                 match a {
-                    Action::Propose { ask, node, to, looked_at, why } => {
-                        assert_eq!(looked_at.0, self.version, "it has looked at the newest that is kept");
+                    Action::Propose {
+                        ask,
+                        node,
+                        to,
+                        looked_at,
+                        why,
+                    } => {
+                        assert_eq!(
+                            looked_at.0, self.version,
+                            "it has looked at the newest that is kept"
+                        );
                         if let Some(why) = self.refuses {
-                            events.push(Event::Refused { ask, why: why.into() });
+                            events.push(Event::Refused {
+                                ask,
+                                why: why.into(),
+                            });
                             continue;
                         }
                         self.landed.push((node, to.as_ref().map(|d| d.stage), why));
@@ -99,7 +123,13 @@
     /// An operator's change.
     fn drain(&mut self, node: u32, stage: Option<Stage>, within: Duration) {
         let asked = self.now + self.wall;
-        let drain = |stage| Drain { stage, within, who: "ann".into(), asked, since: asked };
+        let drain = |stage| Drain {
+            stage,
+            within,
+            who: "ann".into(),
+            asked,
+            since: asked,
+        };
         let events = self.lands(node, stage.map(drain));
         self.step(events);
     }
@@ -107,13 +137,22 @@
     /// A host's sight of a node that is ready and long up, but for what is said.
     fn sees(&mut self, host: HostNo, node: u32, but: impl Fn(&mut Sight)) {
         let follows = Version(self.version);
-        let mut sight = Sight { word: Word::Ready, start: 1, revision: 1, follows, ..Sight::default() };
+        let mut sight = Sight {
+            word: Word::Ready,
+            start: 1,
+            revision: 1,
+            follows,
+            ..Sight::default()
+        };
         but(&mut sight);
         self.step(vec![Event::Seen { host, node, sight }]);
     }
 
     fn sure(&mut self, host: HostNo) {
-        self.step(vec![Event::Sure { host, version: Some(Version(self.version)) }]);
+        self.step(vec![Event::Sure {
+            host,
+            version: Some(Version(self.version)),
+        }]);
     }
 
     fn wait(&mut self, span: Duration) {
@@ -145,25 +184,111 @@
     use Word::{Draining as D, Gone as G, Never, Ready as R};
     let cases = [
         // wish, list, answers, cold, anew -> what it is, and who says so
-        (None, Never, Answers::None, false, false, Life::Unknown, Wins::List),
-        (None, R, Answers::None, false, false, Life::Ready, Wins::List),
+        (
+            None,
+            Never,
+            Answers::None,
+            false,
+            false,
+            Life::Unknown,
+            Wins::List,
+        ),
+        (
+            None,
+            R,
+            Answers::None,
+            false,
+            false,
+            Life::Ready,
+            Wins::List,
+        ),
         (None, R, Good, false, false, Life::Ready, Wins::Answers),
         (None, R, Good, true, false, Life::Warming, Wins::List),
         (None, R, Bad, true, false, Life::Suspect, Wins::Answers),
         (None, D, Good, false, false, Life::Draining, Wins::List),
         (None, G, Good, false, false, Life::Out, Wins::List),
-        (Some(Queued), R, Good, false, false, Life::Ready, Wins::Answers),
+        (
+            Some(Queued),
+            R,
+            Good,
+            false,
+            false,
+            Life::Ready,
+            Wins::Answers,
+        ),
         (Some(Queued), G, Good, false, false, Life::Out, Wins::List),
-        (Some(Going), R, Good, true, true, Life::Draining, Wins::Operators),
-        (Some(Going), G, Answers::None, false, false, Life::Draining, Wins::Operators),
-        (Some(Empty), R, Bad, false, false, Life::Empty, Wins::Operators),
-        (Some(Out), G, Answers::None, false, false, Life::Out, Wins::Operators),
-        (Some(Out), R, Answers::None, false, false, Life::Out, Wins::Operators),
-        (Some(Out), R, Answers::None, true, true, Life::Back, Wins::List),
-        (Some(Out), G, Answers::None, true, true, Life::Out, Wins::Operators),
+        (
+            Some(Going),
+            R,
+            Good,
+            true,
+            true,
+            Life::Draining,
+            Wins::Operators,
+        ),
+        (
+            Some(Going),
+            G,
+            Answers::None,
+            false,
+            false,
+            Life::Draining,
+            Wins::Operators,
+        ),
+        (
+            Some(Empty),
+            R,
+            Bad,
+            false,
+            false,
+            Life::Empty,
+            Wins::Operators,
+        ),
+        (
+            Some(Out),
+            G,
+            Answers::None,
+            false,
+            false,
+            Life::Out,
+            Wins::Operators,
+        ),
+        (
+            Some(Out),
+            R,
+            Answers::None,
+            false,
+            false,
+            Life::Out,
+            Wins::Operators,
+        ),
+        (
+            Some(Out),
+            R,
+            Answers::None,
+            true,
+            true,
+            Life::Back,
+            Wins::List,
+        ),
+        (
+            Some(Out),
+            G,
+            Answers::None,
+            true,
+            true,
+            Life::Out,
+            Wins::Operators,
+        ),
     ];
     for (wish, word, answers, cold, anew, is, wins) in cases {
-        let said = Said { wish, word, answers, cold, anew };
+        let said = Said {
+            wish,
+            word,
+            answers,
+            cold,
+            anew,
+        };
         assert_eq!(life(&said), (is, wins), "{said:?}");
     }
 }
@@ -175,24 +300,68 @@
         r.sees(h, 1, |s| s.legs = 3);
     }
     r.drain(1, Some(Stage::Going), s(0));
-    assert_eq!(r.phase(1), Phase::Telling { hosts: vec![(H1, true), (H2, true)] });
+    assert_eq!(
+        r.phase(1),
+        Phase::Telling {
+            hosts: vec![(H1, true), (H2, true)]
+        }
+    );
     r.sure(H1);
     r.sees(H1, 1, |s| s.legs = 2);
-    assert_eq!(r.phase(1), Phase::Telling { hosts: vec![(H2, true)] });
+    assert_eq!(
+        r.phase(1),
+        Phase::Telling {
+            hosts: vec![(H2, true)]
+        }
+    );
     r.sure(H2);
     // What it counted before it followed says nothing.
-    assert_eq!(r.phase(1), Phase::Quiescing { legs: 5, most: 5, unsure: s(0) });
+    assert_eq!(
+        r.phase(1),
+        Phase::Quiescing {
+            legs: 5,
+            most: 5,
+            unsure: s(0)
+        }
+    );
     r.sees(H2, 1, |s| (s.legs, s.unsure) = (0, Duration::from_secs(2)));
     r.sees(H1, 1, |s| s.legs = 0);
-    assert_eq!(r.phase(1), Phase::Quiescing { legs: 0, most: 5, unsure: s(2) });
+    assert_eq!(
+        r.phase(1),
+        Phase::Quiescing {
+            legs: 0,
+            most: 5,
+            unsure: s(2)
+        }
+    );
     r.wait(s(1));
     assert_eq!(r.landed, []);
     r.wait(s(1));
-    assert_eq!(r.landed, [(1, Some(Stage::Empty), "nothing is under way at any host".into())]);
+    assert_eq!(
+        r.landed,
+        [(
+            1,
+            Some(Stage::Empty),
+            "nothing is under way at any host".into()
+        )]
+    );
     let unknown = "whether data lies there alone is not known here".to_string();
-    assert_eq!(r.shown(1), (Life::Empty, Some(Phase::Empty { against: vec![unknown] })));
+    assert_eq!(
+        r.shown(1),
+        (
+            Life::Empty,
+            Some(Phase::Empty {
+                against: vec![unknown]
+            })
+        )
+    );
     r.sees(H1, 1, |s| s.extents = Some(7));
-    assert_eq!(r.phase(1), Phase::Empty { against: vec!["7 extents lie there and nowhere else".into()] });
+    assert_eq!(
+        r.phase(1),
+        Phase::Empty {
+            against: vec!["7 extents lie there and nowhere else".into()]
+        }
+    );
     r.sees(H1, 1, |s| s.extents = Some(0));
     assert_eq!(r.phase(1), Phase::Empty { against: vec![] });
     // Its process ends, and the list says so.
@@ -203,7 +372,9 @@
     r.sees(H2, 1, |_| ());
     assert_eq!(r.shown(1).0, Life::Out);
     r.wait(s(60));
-    r.sees(H1, 1, |s| (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(4)), 3));
+    r.sees(H1, 1, |s| {
+        (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(4)), 3)
+    });
     assert_eq!((r.shown(1).0, r.m.holds(1)), (Life::Back, true));
     r.drain(1, None, s(0));
     assert_eq!((r.shown(1), r.m.holds(1)), ((Life::Warming, None), false));
@@ -219,7 +390,9 @@
     r.drain(1, Some(Stage::Going), s(0));
     r.sees(H1, 1, |s| (s.word, s.legs, s.revision) = (Word::Gone, 1, 2));
     assert_eq!(r.shown(1).0, Life::Draining);
-    r.sees(H1, 1, |s| (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(0)), 3));
+    r.sees(H1, 1, |s| {
+        (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(0)), 3)
+    });
     assert_eq!(r.shown(1).0, Life::Draining);
     r.sure(H1);
     r.sure(H2);
@@ -236,38 +409,79 @@
     r.drain(2, Some(Stage::Going), s(0));
     r.wait(s(1));
     r.drain(1, Some(Stage::Queued), s(0));
-    assert_eq!(r.phase(1), Phase::Waits { why: "node 2 drains".into() });
+    assert_eq!(
+        r.phase(1),
+        Phase::Waits {
+            why: "node 2 drains".into()
+        }
+    );
     assert_eq!(r.shown(1).0, Life::Ready, "it serves until its turn comes");
     // Of another zone: at once, as far as is known here, and admission has the last word.
     r.refuses = Some("9.0 units a second of reserves lie out of reach");
     r.drain(3, Some(Stage::Queued), s(0));
-    assert_eq!(r.phase(3), Phase::Waits { why: "9.0 units a second of reserves lie out of reach".into() });
+    assert_eq!(
+        r.phase(3),
+        Phase::Waits {
+            why: "9.0 units a second of reserves lie out of reach".into()
+        }
+    );
     r.refuses = None;
     r.wait(s(6));
-    assert_eq!(r.landed, [(3, Some(Stage::Going), "its turn has come".into())]);
+    assert_eq!(
+        r.landed,
+        [(3, Some(Stage::Going), "its turn has come".into())]
+    );
     r.wait(s(1));
     r.drain(4, Some(Stage::Queued), s(0));
-    assert_eq!(r.phase(4), Phase::Waits { why: "node 3 drains".into() });
+    assert_eq!(
+        r.phase(4),
+        Phase::Waits {
+            why: "node 3 drains".into()
+        }
+    );
     r.landed.clear();
     // A node that is suspect in the zone keeps it waiting when the drain before it is over.
     r.sees(H1, 3, |s| s.answers = Answers::Bad);
     r.drain(3, None, s(0));
     assert_eq!(
         (r.phase(4), r.landed.len()),
-        (Phase::Waits { why: "node 3 does not answer as it should".into() }, 0)
+        (
+            Phase::Waits {
+                why: "node 3 does not answer as it should".into()
+            },
+            0
+        )
     );
     r.sees(H1, 3, |s| s.answers = Answers::Good);
-    assert_eq!(r.landed, [(4, Some(Stage::Going), "its turn has come".into())]);
+    assert_eq!(
+        r.landed,
+        [(4, Some(Stage::Going), "its turn has come".into())]
+    );
     // Two wait in one zone: who asked first goes first, and the other says on whom it waits.
     let mut r = Rig::new();
-    r.sees(H1, 2, |s| (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(18)), 2));
+    r.sees(H1, 2, |s| {
+        (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(18)), 2)
+    });
     r.drain(1, Some(Stage::Queued), s(0));
     r.wait(s(1));
     r.drain(2, Some(Stage::Queued), s(0));
-    assert_eq!(r.phase(1), Phase::Waits { why: "node 2 has just started and is cold".into() });
-    assert_eq!(r.phase(2), Phase::Waits { why: "node 1 of its zone asked before it".into() });
+    assert_eq!(
+        r.phase(1),
+        Phase::Waits {
+            why: "node 2 has just started and is cold".into()
+        }
+    );
+    assert_eq!(
+        r.phase(2),
+        Phase::Waits {
+            why: "node 1 of its zone asked before it".into()
+        }
+    );
     r.wait(s(2));
-    assert_eq!(r.landed, [(1, Some(Stage::Going), "its turn has come".into())]);
+    assert_eq!(
+        r.landed,
+        [(1, Some(Stage::Going), "its turn has come".into())]
+    );
 }
 
 /// A host that is cut off holds a drain up, since it may send on what it knew, until somebody answers for it.
@@ -280,7 +494,12 @@
     r.sure(H1);
     r.sees(H1, 1, |_| ());
     r.wait(s(100));
-    assert_eq!(r.phase(1), Phase::Telling { hosts: vec![(H2, false)] });
+    assert_eq!(
+        r.phase(1),
+        Phase::Telling {
+            hosts: vec![(H2, false)]
+        }
+    );
     r.step(vec![Event::Gone { host: H2 }]);
     assert_eq!(r.shown(1).0, Life::Empty);
     // Lost just now, its legs are given their time.
@@ -291,10 +510,20 @@
         r.sees(h, 1, |s| s.legs = u32::from(h == H2));
     }
     r.step(vec![Event::Lost { host: H2 }]);
-    assert_eq!(r.phase(1), Phase::Quiescing { legs: 0, most: 1, unsure: s(6) });
+    assert_eq!(
+        r.phase(1),
+        Phase::Quiescing {
+            legs: 0,
+            most: 1,
+            unsure: s(6)
+        }
+    );
     r.wait(s(5));
     // Found by the explorer: cut off, it went on sending, and died only just before its next process came.
-    r.step(vec![Event::Up { host: H2, process: 2 }]);
+    r.step(vec![Event::Up {
+        host: H2,
+        process: 2,
+    }]);
     r.sees(H2, 1, |_| ());
     r.wait(s(5));
     assert_eq!(r.shown(1).0, Life::Draining);
@@ -304,7 +533,10 @@
     let mut r = Rig::new();
     r.step(vec![Event::Lost { host: H2 }]);
     r.wait(s(7));
-    r.step(vec![Event::Up { host: H2, process: 1 }]);
+    r.step(vec![Event::Up {
+        host: H2,
+        process: 1,
+    }]);
     r.drain(1, Some(Stage::Going), s(0));
     for h in [H1, H2] {
         r.sure(h);
@@ -313,7 +545,10 @@
     assert_eq!(r.shown(1).0, Life::Empty);
     // One that was never heard of has followed nothing, and is not waited for.
     let mut r = Rig::new();
-    r.step(vec![Event::Sure { host: H2, version: None }]);
+    r.step(vec![Event::Sure {
+        host: H2,
+        version: None,
+    }]);
     r.drain(1, Some(Stage::Going), s(0));
     r.sure(H1);
     r.sees(H1, 1, |_| ());
@@ -330,12 +565,28 @@
     r.sees(H2, 1, |_| ());
     // It follows, has nothing out, and dies before that is kept.
     r.sees(H1, 1, |_| ());
-    r.step(vec![Event::Lost { host: H1 }, Event::Up { host: H1, process: 2 }]);
+    r.step(vec![
+        Event::Lost { host: H1 },
+        Event::Up {
+            host: H1,
+            process: 2,
+        },
+    ]);
     r.wait(s(10));
     r.sure(H1);
-    assert!(matches!(r.phase(1), Phase::Quiescing { .. }), "its successor has not counted yet");
+    assert!(
+        matches!(r.phase(1), Phase::Quiescing { .. }),
+        "its successor has not counted yet"
+    );
     r.sees(H1, 1, |s| s.legs = 1);
-    assert_eq!(r.phase(1), Phase::Quiescing { legs: 1, most: 1, unsure: s(0) });
+    assert_eq!(
+        r.phase(1),
+        Phase::Quiescing {
+            legs: 1,
+            most: 1,
+            unsure: s(0)
+        }
+    );
 }
 
 #[test]
@@ -349,7 +600,10 @@
     r.wait(s(29));
     assert_eq!((r.landed.len(), r.shown(1).0), (0, Life::Draining));
     r.wait(s(1));
-    assert_eq!(r.landed, [(1, None, "given up: not empty within 30 s".into())]);
+    assert_eq!(
+        r.landed,
+        [(1, None, "given up: not empty within 30 s".into())]
+    );
     assert_eq!((r.shown(1), r.m.holds(1)), ((Life::Ready, None), false));
 }
 
@@ -360,13 +614,29 @@
         let (within, since) = (s(30), s(since));
         Event::Drain {
             node: 1,
-            to: Some(Drain { stage, within, who: "ann".into(), asked: since, since }),
+            to: Some(Drain {
+                stage,
+                within,
+                who: "ann".into(),
+                asked: since,
+                since,
+            }),
             version: Version(5),
         }
     };
     let start = |drain| {
-        let sure = |host| Event::Sure { host, version: Some(Version(5)) };
-        vec![Event::Kept { version: Version(5) }, drain, sure(H1), sure(H2)]
+        let sure = |host| Event::Sure {
+            host,
+            version: Some(Version(5)),
+        };
+        vec![
+            Event::Kept {
+                version: Version(5),
+            },
+            drain,
+            sure(H1),
+            sure(H2),
+        ]
     };
     // Asked 10 s ago; the clock stepped back by an hour, on by an hour.
     for (since, left) in [(WALL + 990, 20), (WALL + 4600, 30), (WALL - 2600, 10)] {
@@ -375,15 +645,35 @@
         r.m = Membership::new(r.now, s(20), s(3), [H1, H2]);
         r.step(start(drain(Stage::Going, since)));
         r.begin();
-        let shown = r.m.show_one(1, 0.0).and_then(|n| n.drain).and_then(|d| d.left);
+        let shown =
+            r.m.show_one(1, 0.0)
+                .and_then(|n| n.drain)
+                .and_then(|d| d.left);
         assert_eq!(shown, Some(s(left)));
         // What hosts had out before it was there is given its time, though they count nothing.
-        assert_eq!(r.phase(1), Phase::Quiescing { legs: 0, most: 0, unsure: s(6) });
+        assert_eq!(
+            r.phase(1),
+            Phase::Quiescing {
+                legs: 0,
+                most: 0,
+                unsure: s(6)
+            }
+        );
         r.wait(s(6));
-        assert_eq!(r.landed, [(1, Some(Stage::Empty), "nothing is under way at any host".into())]);
+        assert_eq!(
+            r.landed,
+            [(
+                1,
+                Some(Stage::Empty),
+                "nothing is under way at any host".into()
+            )]
+        );
     }
-    for (stage, is) in [(Stage::Queued, Life::Draining), (Stage::Empty, Life::Empty), (Stage::Out, Life::Out)]
-    {
+    for (stage, is) in [
+        (Stage::Queued, Life::Draining),
+        (Stage::Empty, Life::Empty),
+        (Stage::Out, Life::Out),
+    ] {
         let mut r = Rig::new();
         r.version = 5;
         r.m = Membership::new(r.now, s(20), s(3), [H1, H2]);
@@ -403,15 +693,39 @@
     r.sure(H2);
     r.sees(H1, 1, |_| ());
     let follows = Version(r.version);
-    let sight = Sight { word: Word::Ready, start: 1, revision: 1, follows, ..Sight::default() };
-    let asked = r.m.step(r.now, r.now + r.wall, vec![Event::Seen { host: H2, node: 1, sight }]);
-    let Some(Action::Propose { ask, .. }) = asked.into_iter().find(|a| matches!(a, Action::Propose { .. }))
+    let sight = Sight {
+        word: Word::Ready,
+        start: 1,
+        revision: 1,
+        follows,
+        ..Sight::default()
+    };
+    let asked = r.m.step(
+        r.now,
+        r.now + r.wall,
+        vec![Event::Seen {
+            host: H2,
+            node: 1,
+            sight,
+        }],
+    );
+    let Some(Action::Propose { ask, .. }) = asked
+        .into_iter()
+        .find(|a| matches!(a, Action::Propose { .. }))
     else {
         panic!("it is empty");
     };
     // Meanwhile the operator has called it off, and drains it again.
     r.drain(1, None, s(0));
     r.drain(1, Some(Stage::Going), s(0));
-    r.step(vec![Event::Refused { ask, why: "changed meanwhile".into() }]);
-    assert_eq!(r.phase(1), Phase::Telling { hosts: vec![(H1, true), (H2, true)] });
+    r.step(vec![Event::Refused {
+        ask,
+        why: "changed meanwhile".into(),
+    }]);
+    assert_eq!(
+        r.phase(1),
+        Phase::Telling {
+            hosts: vec![(H1, true), (H2, true)]
+        }
+    );
 }
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -124,8 +124,15 @@
 impl Model {
     fn first(&self) -> World {
         let (at, list) = ((1, [None; NODES]), (Word::Ready, 1));
-        let host =
-            Host { alive: true, linked: true, heard: true, follows: at, kept: at, list, ..Host::default() };
+        let host = Host {
+            alive: true,
+            linked: true,
+            heard: true,
+            follows: at,
+            kept: at,
+            list,
+            ..Host::default()
+        };
         let mut w = World {
             now: BEGIN,
             version: 1,
@@ -135,14 +142,23 @@
             members: Membership::new(ticks(0), ticks(WARM), ticks(LONGEST), []),
             has: vec![Some(1); self.hosts],
             hosts: vec![host; self.hosts],
-            node: Node { up: true, start: 1, ..Node::default() },
+            node: Node {
+                up: true,
+                start: 1,
+                ..Node::default()
+            },
             looked: 1,
             acts: 0,
             mishaps: 0,
             sent: 0,
         };
         self.start_service(&mut w, ticks(0));
-        let up = (0..self.hosts as u32).map(|h| Event::Up { host: HostNo(h), process: 0 }).collect();
+        let up = (0..self.hosts as u32)
+            .map(|h| Event::Up {
+                host: HostNo(h),
+                process: 0,
+            })
+            .collect();
         self.tell(&mut w, up);
         w
     }
@@ -151,22 +167,48 @@
         let hosts = (0..self.hosts as u32).map(HostNo);
         w.members = Membership::new(now, ticks(WARM), ticks(LONGEST), hosts);
         w.unfit = [None; NODES];
-        let mut events = vec![Event::Kept { version: Version(w.version) }];
+        let mut events = vec![Event::Kept {
+            version: Version(w.version),
+        }];
         for n in 0..NODES {
-            let facts = Facts { zone: "a".into(), cell: n as u32, ..Facts::default() };
-            events.push(Event::Node { node: n as u32, to: Some(facts) });
-            let to = w.drains[n].map(|stage| Drain { stage, ..Drain::default() });
+            let facts = Facts {
+                zone: "a".into(),
+                cell: n as u32,
+                ..Facts::default()
+            };
+            events.push(Event::Node {
+                node: n as u32,
+                to: Some(facts),
+            });
+            let to = w.drains[n].map(|stage| Drain {
+                stage,
+                ..Drain::default()
+            });
             let version = Version(w.touched[n].0);
-            events.extend(to.is_some().then_some(Event::Drain { node: n as u32, to, version }));
+            events.extend(to.is_some().then_some(Event::Drain {
+                node: n as u32,
+                to,
+                version,
+            }));
         }
         for (h, has) in w.has.iter().enumerate() {
-            events.push(Event::Sure { host: HostNo(h as u32), version: has.map(Version) });
+            events.push(Event::Sure {
+                host: HostNo(h as u32),
+                version: has.map(Version),
+            });
         }
         self.tell(w, events);
     }
 
     /// The ledger: optimistic versions, drains that go one way, and admission's look at the zone.
-    fn propose(&self, w: &mut World, by: u8, n: usize, to: Option<Stage>, looked: u64) -> Result<(), String> {
+    fn propose(
+        &self,
+        w: &mut World,
+        by: u8,
+        n: usize,
+        to: Option<Stage>,
+        looked: u64,
+    ) -> Result<(), String> {
         if w.touched[n].0 > looked {
             return Err(format!("changed meanwhile by {}", w.touched[n].1));
         }
@@ -174,7 +216,9 @@
             return Err("nothing to change".into());
         }
         if holds(to) && !holds(w.drains[n]) && self.fault != Fault::NoAdmission {
-            let drains = (0..NODES).filter(|o| holds(w.drains[*o])).map(|o| (o as u32, Beside::Drains));
+            let drains = (0..NODES)
+                .filter(|o| holds(w.drains[*o]))
+                .map(|o| (o as u32, Beside::Drains));
             let unfit = (0..NODES).filter_map(|o| Some((o as u32, w.unfit[o]?)));
             if !beside(n as u32, |_| 'a', drains.chain(unfit)).is_empty() {
                 return Err("coincides".into());
@@ -188,10 +232,18 @@
     /// The decisions hear something, and what they do is done.
     fn tell(&self, w: &mut World, mut events: Vec<Event>) {
         for _ in 0..20 {
-            let actions = w.members.step(ticks(w.now), ticks(w.now), std::mem::take(&mut events));
+            let actions = w
+                .members
+                .step(ticks(w.now), ticks(w.now), std::mem::take(&mut events));
             for a in actions {
                 match a {
-                    Action::Propose { ask, node, to, looked_at, .. } => {
+                    Action::Propose {
+                        ask,
+                        node,
+                        to,
+                        looked_at,
+                        ..
+                    } => {
                         let to = to.map(|d| d.stage);
                         match self.propose(w, MACHINE, node as usize, to, looked_at.0) {
                             Ok(()) => {
@@ -232,12 +284,26 @@
             unsure,
             extents: None,
         };
-        [first, Sight { word: Word::Ready, start: 1, revision: 1, follows, ..Sight::default() }]
+        [
+            first,
+            Sight {
+                word: Word::Ready,
+                start: 1,
+                revision: 1,
+                follows,
+                ..Sight::default()
+            },
+        ]
     }
 
     fn lose(&self, w: &mut World, h: usize) {
         if std::mem::take(&mut w.hosts[h].heard) && self.fault != Fault::LossUntold {
-            self.tell(w, vec![Event::Lost { host: HostNo(h as u32) }]);
+            self.tell(
+                w,
+                vec![Event::Lost {
+                    host: HostNo(h as u32),
+                }],
+            );
         }
     }
 
@@ -252,7 +318,10 @@
         if w.now < BEGIN + self.last_tick {
             go(&|w| self.tick(w));
         }
-        let listed = (if w.node.up { Word::Ready } else { Word::Gone }, w.node.start);
+        let listed = (
+            if w.node.up { Word::Ready } else { Word::Gone },
+            w.node.start,
+        );
         for h in 0..self.hosts {
             let (host, no) = (&w.hosts[h], HostNo(h as u32));
             let held = holds(host.follows.1[0]) && self.fault != Fault::SendsAfterAll;
@@ -271,21 +340,33 @@
                     w.hosts[h].follows = (w.version, w.drains);
                     if self.fault == Fault::CountsThenFollows {
                         let (follows, sights) = (Version(w.version), w.hosts[h].sights.iter_mut());
-                        sights.flat_map(|s| &mut s.0).for_each(|s| s.follows = follows);
+                        sights
+                            .flat_map(|s| &mut s.0)
+                            .for_each(|s| s.follows = follows);
                     }
                 });
             }
             if host.alive && host.kept.0 < host.follows.0 {
                 go(&|w| w.hosts[h].kept = w.hosts[h].follows);
             }
-            let says = if self.fault == Fault::SaysBeforeItKeeps { host.follows.0 } else { host.kept.0 };
+            let says = if self.fault == Fault::SaysBeforeItKeeps {
+                host.follows.0
+            } else {
+                host.kept.0
+            };
             if host.linked && host.said.is_none() && w.has[h] < Some(says) {
                 go(&|w| w.hosts[h].said = Some(says));
             }
             if let Some(said) = host.said.filter(|_| host.heard) {
                 go(&|w| {
                     (w.hosts[h].said, w.has[h]) = (None, Some(said));
-                    self.tell(w, vec![Event::Sure { host: no, version: Some(Version(said)) }]);
+                    self.tell(
+                        w,
+                        vec![Event::Sure {
+                            host: no,
+                            version: Some(Version(said)),
+                        }],
+                    );
                 });
             }
             let sight = self.sight(w, h);
@@ -295,7 +376,11 @@
             if let Some((sights, false)) = host.sights.filter(|_| host.heard) {
                 go(&|w| {
                     w.hosts[h].sights = Some((sights, true));
-                    let see = |n: usize| Event::Seen { host: no, node: n as u32, sight: sights[n] };
+                    let see = |n: usize| Event::Seen {
+                        host: no,
+                        node: n as u32,
+                        sight: sights[n],
+                    };
                     self.tell(w, vec![see(0), see(1)]);
                 });
             }
@@ -307,7 +392,8 @@
             }
             if !host.alive {
                 go(&|w| {
-                    let (kept, heard, process) = (w.hosts[h].kept, w.hosts[h].heard, w.hosts[h].process + 1);
+                    let (kept, heard, process) =
+                        (w.hosts[h].kept, w.hosts[h].heard, w.hosts[h].process + 1);
                     w.hosts[h] = Host {
                         alive: true,
                         process,
@@ -340,7 +426,11 @@
         if w.mishaps < self.mishaps {
             go(&|w| {
                 w.mishaps += 1;
-                let now = if self.fault == Fault::StartsInTheDark { ticks(0) } else { ticks(w.now) };
+                let now = if self.fault == Fault::StartsInTheDark {
+                    ticks(0)
+                } else {
+                    ticks(w.now)
+                };
                 for host in &mut w.hosts {
                     (host.linked, host.heard, host.said, host.sights) = (false, false, None, None);
                 }
@@ -352,8 +442,17 @@
                 w.mishaps += u8::from(w.node.up);
                 let n = &mut w.node;
                 *n = match n.up {
-                    true => Node { up: false, runs: 0, ..n.clone() },
-                    false => Node { up: true, start: n.start + 1, started: Some(w.now), runs: 0 },
+                    true => Node {
+                        up: false,
+                        runs: 0,
+                        ..n.clone()
+                    },
+                    false => Node {
+                        up: true,
+                        start: n.start + 1,
+                        started: Some(w.now),
+                        runs: 0,
+                    },
                 };
                 for h in &mut w.hosts {
                     if h.leg.take().is_some() {
@@ -392,7 +491,13 @@
         let host = &mut w.hosts[h];
         (host.linked, host.heard, host.said, host.sights) = (true, true, None, None);
         let process = host.process;
-        self.tell(w, vec![Event::Up { host: HostNo(h as u32), process }]);
+        self.tell(
+            w,
+            vec![Event::Up {
+                host: HostNo(h as u32),
+                process,
+            }],
+        );
     }
 
     fn tick(&self, w: &mut World) {
@@ -444,8 +549,15 @@
                 (host.leg, host.follows) = (None, (w.version, w.drains));
                 (host.kept, w.has[h]) = (host.follows, Some(w.version));
                 let sight = self.sight(&w, h);
-                let see = |n: usize| Event::Seen { host: no, node: n as u32, sight: sight[n] };
-                let sure = Event::Sure { host: no, version: Some(Version(w.version)) };
+                let see = |n: usize| Event::Seen {
+                    host: no,
+                    node: n as u32,
+                    sight: sight[n],
+                };
+                let sure = Event::Sure {
+                    host: no,
+                    version: Some(Version(w.version)),
+                };
                 self.tell(&mut w, vec![sure, see(0), see(1)]);
             }
         }
@@ -455,9 +567,19 @@
 }
 
 fn landed(w: &World, n: usize) -> Vec<Event> {
-    let to = w.drains[n].map(|stage| Drain { stage, ..Drain::default() });
+    let to = w.drains[n].map(|stage| Drain {
+        stage,
+        ..Drain::default()
+    });
     let version = Version(w.version);
-    vec![Event::Kept { version }, Event::Drain { node: n as u32, to, version }]
+    vec![
+        Event::Kept { version },
+        Event::Drain {
+            node: n as u32,
+            to,
+            version,
+        },
+    ]
 }
 
 /// So few of so many numbers are alike that a state taken for another is not to be expected.
@@ -479,33 +601,54 @@
         if matches!(self.drains[0], Some(Stage::Empty | Stage::Out)) {
             let out = self.hosts.iter().any(|h| h.leg.is_some());
             if out || self.node.runs > self.now {
-                return Some(format!("called empty, and something is under way: {self:?}"));
+                return Some(format!(
+                    "called empty, and something is under way: {self:?}"
+                ));
             }
         }
         for n in 0..NODES {
             let life = self.members.life(n as u32);
-            if holds(self.drains[n]) && matches!(life, Life::Ready | Life::Warming | Life::Suspect) {
+            if holds(self.drains[n]) && matches!(life, Life::Ready | Life::Warming | Life::Suspect)
+            {
                 return Some(format!("node {n} is drained and called {life}: {self:?}"));
             }
             if holds(self.drains[n]) != self.members.holds(n as u32) {
-                return Some(format!("node {n}: the decisions know of another drain: {self:?}"));
+                return Some(format!(
+                    "node {n}: the decisions know of another drain: {self:?}"
+                ));
             }
         }
         None
     }
 }
 
-const SHORT: Model =
-    Model { fault: Fault::None, hosts: 1, last_tick: 2, acts: 1, mishaps: 1, legs: 1, restarts: false };
+const SHORT: Model = Model {
+    fault: Fault::None,
+    hosts: 1,
+    last_tick: 2,
+    acts: 1,
+    mishaps: 1,
+    legs: 1,
+    restarts: false,
+};
 
 /// Explores models side by side; states visited, and what was found.
 fn explored(models: &[(&'static str, Model)]) -> Vec<(&'static str, usize, Option<String>)> {
     std::thread::scope(|scope| {
-        let started: Vec<_> =
-            models.iter().map(|(what, model)| (*what, scope.spawn(move || model.explore()))).collect();
+        let started: Vec<_> = models
+            .iter()
+            .map(|(what, model)| (*what, scope.spawn(move || model.explore())))
+            .collect();
         let ended = started.into_iter().map(|(what, t)| {
             let (states, wrong) = t.join().expect("an explorer");
-            println!("{what}: {states} states{}", if wrong.is_some() { ", and it shows" } else { "" });
+            println!(
+                "{what}: {states} states{}",
+                if wrong.is_some() {
+                    ", and it shows"
+                } else {
+                    ""
+                }
+            );
             (what, states, wrong)
         });
         ended.collect()
@@ -516,9 +659,19 @@
 fn no_state_is_wrong() {
     let models = [
         ("one act, one mishap", SHORT),
-        ("two operators, none", Model { acts: 2, last_tick: 3, mishaps: 0, ..SHORT }),
+        (
+            "two operators, none",
+            Model {
+                acts: 2,
+                last_tick: 3,
+                mishaps: 0,
+                ..SHORT
+            },
+        ),
     ];
-    explored(&models).into_iter().for_each(|(what, _, wrong)| assert_eq!(wrong, None, "{what}"));
+    explored(&models)
+        .into_iter()
+        .for_each(|(what, _, wrong)| assert_eq!(wrong, None, "{what}"));
 }
 
 /// The long forms: `cargo test --release -p grebecleat-membership --test explore -- --ignored --nocapture`.
@@ -526,25 +679,99 @@
 #[ignore = "minutes; CI plays the short forms"]
 fn no_state_is_wrong_with_more_of_everything() {
     let models = [
-        ("two operators, one mishap", Model { acts: 2, last_tick: 3, ..SHORT }),
-        ("the node restarts", Model { last_tick: 3, restarts: true, ..SHORT }),
-        ("two mishaps", Model { mishaps: 2, ..SHORT }),
-        ("two hosts, no mishap", Model { hosts: 2, mishaps: 0, ..SHORT }),
+        (
+            "two operators, one mishap",
+            Model {
+                acts: 2,
+                last_tick: 3,
+                ..SHORT
+            },
+        ),
+        (
+            "the node restarts",
+            Model {
+                last_tick: 3,
+                restarts: true,
+                ..SHORT
+            },
+        ),
+        (
+            "two mishaps",
+            Model {
+                mishaps: 2,
+                ..SHORT
+            },
+        ),
+        (
+            "two hosts, no mishap",
+            Model {
+                hosts: 2,
+                mishaps: 0,
+                ..SHORT
+            },
+        ),
     ];
-    explored(&models).into_iter().for_each(|(what, _, wrong)| assert_eq!(wrong, None, "{what}"));
+    explored(&models)
+        .into_iter()
+        .for_each(|(what, _, wrong)| assert_eq!(wrong, None, "{what}"));
 }
 
 #[test]
 fn planted_faults_are_found() {
     use Fault::*;
     let models = [
-        ("says before it keeps", Model { fault: SaysBeforeItKeeps, ..SHORT }),
-        ("counts, then follows", Model { fault: CountsThenFollows, ..SHORT }),
-        ("forgets the unsure", Model { fault: ForgetsTheUnsure, ..SHORT }),
-        ("a loss untold", Model { fault: LossUntold, ..SHORT }),
-        ("starts in the dark", Model { fault: StartsInTheDark, ..SHORT }),
-        ("no admission", Model { fault: NoAdmission, acts: 2, ..SHORT }),
-        ("sends after all", Model { fault: SendsAfterAll, ..SHORT }),
+        (
+            "says before it keeps",
+            Model {
+                fault: SaysBeforeItKeeps,
+                ..SHORT
+            },
+        ),
+        (
+            "counts, then follows",
+            Model {
+                fault: CountsThenFollows,
+                ..SHORT
+            },
+        ),
+        (
+            "forgets the unsure",
+            Model {
+                fault: ForgetsTheUnsure,
+                ..SHORT
+            },
+        ),
+        (
+            "a loss untold",
+            Model {
+                fault: LossUntold,
+                ..SHORT
+            },
+        ),
+        (
+            "starts in the dark",
+            Model {
+                fault: StartsInTheDark,
+                ..SHORT
+            },
+        ),
+        (
+            "no admission",
+            Model {
+                fault: NoAdmission,
+                acts: 2,
+                ..SHORT
+            },
+        ),
+        (
+            "sends after all",
+            Model {
+                fault: SendsAfterAll,
+                ..SHORT
+            },
+        ),
     ];
-    explored(&models).into_iter().for_each(|(what, n, wrong)| assert!(wrong.is_some(), "{what}: {n} states"));
+    explored(&models)
+        .into_iter()
+        .for_each(|(what, n, wrong)| assert!(wrong.is_some(), "{what}: {n} states"));
 }
--- a/crates/plans/src/admission.rs
+++ b/crates/plans/src/admission.rs
@@ -34,9 +34,17 @@
     /// Reserves of data that lies only where nothing can serve it.
     OutOfReach { by: f64 },
     /// Reserves that could not be met with something out.
-    Without { out: Out, zone: Option<Name>, by: f64 },
+    Without {
+        out: Out,
+        zone: Option<Name>,
+        by: f64,
+    },
     /// What else the zone of a drained node is without.
-    Coincides { node: u32, zone: Name, with: Vec<(u32, Beside)> },
+    Coincides {
+        node: u32,
+        zone: Name,
+        with: Vec<(u32, Beside)>,
+    },
     /// Reserves that cannot be met while these nodes, of other zones, are gone as well.
     Meanwhile { gone: Vec<u32>, by: f64 },
     /// It is to be taken out, and what was sent to it may still be under way.
@@ -72,17 +80,25 @@
 /// assert_eq!(beside(3, zone, others), [(1, Drains), (2, Cold)]);
 /// ```
 pub fn beside<Z: PartialEq>(
-    node: u32, zone: impl Fn(u32) -> Z, others: impl IntoIterator<Item = (u32, Beside)>,
+    node: u32,
+    zone: impl Fn(u32) -> Z,
+    others: impl IntoIterator<Item = (u32, Beside)>,
 ) -> Vec<(u32, Beside)> {
     let own = zone(node);
-    others.into_iter().filter(|o| o.0 != node && zone(o.0) == own).collect()
+    others
+        .into_iter()
+        .filter(|o| o.0 != node && zone(o.0) == own)
+        .collect()
 }
 
 impl fmt::Display for Reason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Reason::Short { by, volumes } => {
-                write!(f, "{by:.1} units a second of reserves cannot be met; what gives way:")?;
+                write!(
+                    f,
+                    "{by:.1} units a second of reserves cannot be met; what gives way:"
+                )?;
                 for (id, by) in volumes.iter().take(NAMED) {
                     write!(f, " volume {id} by {by:.1}")?;
                 }
@@ -91,23 +107,35 @@
                     more => write!(f, " and {more} more"),
                 }
             }
-            Reason::OutOfReach { by } => write!(f, "{by:.1} units a second of reserves lie out of reach"),
+            Reason::OutOfReach { by } => {
+                write!(f, "{by:.1} units a second of reserves lie out of reach")
+            }
             Reason::Without { out, zone, by } => {
                 let what = match (out, zone) {
                     (Out::Node(id), _) => format!("node {id}"),
                     (_, Some(zone)) => format!("zone {zone}"),
                     _ => "a part".into(),
                 };
-                write!(f, "with {what} out, {by:.1} units a second of reserves could not be met")
+                write!(
+                    f,
+                    "with {what} out, {by:.1} units a second of reserves could not be met"
+                )
             }
             Reason::Coincides { node, zone, with } => {
                 write!(f, "node {node} must not drain while in zone {zone}")?;
-                let each: Vec<String> = with.iter().map(|(n, how)| format!("node {n} {how}")).collect();
+                let each: Vec<String> = with
+                    .iter()
+                    .map(|(n, how)| format!("node {n} {how}"))
+                    .collect();
                 write!(f, " {}", each.join(" and "))
             }
             Reason::Meanwhile { gone, by } => {
                 let gone: Vec<String> = gone.iter().map(u32::to_string).collect();
-                let (s, are) = if gone.len() == 1 { ("", "is") } else { ("s", "are") };
+                let (s, are) = if gone.len() == 1 {
+                    ("", "is")
+                } else {
+                    ("s", "are")
+                };
                 let gone = gone.join(", ");
                 write!(f, "while node{s} {gone} {are} gone, {by:.1} units a second of reserves cannot be met")
             }
@@ -161,8 +189,13 @@
 impl Admission {
     /// `spread`: see [`Site`].
     pub fn open(ledger: &Ledger, spread: f64) -> Admission {
-        let mut a =
-            Admission { standing: Standing::of(&Site { spread, ..Site::default() }), ..Admission::default() };
+        let mut a = Admission {
+            standing: Standing::of(&Site {
+                spread,
+                ..Site::default()
+            }),
+            ..Admission::default()
+        };
         let all: Vec<Change> = ledger.state().collect();
         a.apply(ledger, &all);
         a
@@ -171,8 +204,15 @@
     /// The site as the ledger describes it, for whoever looks at it whole.
     pub fn site(&self, ledger: &Ledger) -> Site {
         let nodes = ledger.nodes().map(|(id, n)| self.node(id, n)).collect();
-        let volumes = ledger.volumes().map(|(id, v)| self.planned(ledger, id, v)).collect();
-        Site { nodes, volumes, spread: self.standing.spread() }
+        let volumes = ledger
+            .volumes()
+            .map(|(id, v)| self.planned(ledger, id, v))
+            .collect();
+        Site {
+            nodes,
+            volumes,
+            spread: self.standing.spread(),
+        }
     }
 
     /// What hosts see of a node that keeps a drain beside it from going; None: it is as it should be.
@@ -205,22 +245,35 @@
         let drained = self.newly(changes, Drain::holds);
         let queued = self.newly(changes, |d| !d.holds());
         let gone: BTreeSet<u32> = self.elsewhere_gone(after, &drained);
-        let with_gone = if gone.is_empty() { before } else { self.standing.without(&gone) };
+        let with_gone = if gone.is_empty() {
+            before
+        } else {
+            self.standing.without(&gone)
+        };
         let taken_out = self.taken_out(changes);
         self.apply(after, changes);
         touched.extend(self.homes_of(after, changes));
         let mut o = Opinion::default();
         for node in &drained {
             let others = self.drains.iter().map(|n| (*n, Beside::Drains));
-            let unfit = self.unfit.iter().filter(|u| !self.drains.contains(u.0)).map(|(n, how)| (*n, *how));
+            let unfit = self
+                .unfit
+                .iter()
+                .filter(|u| !self.drains.contains(u.0))
+                .map(|(n, how)| (*n, *how));
             let zone = |n: u32| after.node(n).map(|n| n.zone.clone());
             let with = beside(*node, zone, others.chain(unfit));
             if !with.is_empty() {
                 let zone = zone(*node).unwrap_or_default();
-                o.against.push(Reason::Coincides { node: *node, zone, with });
+                o.against.push(Reason::Coincides {
+                    node: *node,
+                    zone,
+                    with,
+                });
             }
         }
-        o.against.extend(taken_out.into_iter().map(|node| Reason::NotEmpty { node }));
+        o.against
+            .extend(taken_out.into_iter().map(|node| Reason::NotEmpty { node }));
         if !self.known {
             o.blind = true;
             return o;
@@ -229,14 +282,22 @@
         // A drain that waits for its turn is judged as if it had come.
         let (now, out) = match queued.is_empty() {
             true => (self.standing.missing(), self.drains.clone()),
-            false => (self.standing.without(&queued), self.drains.union(&queued).copied().collect()),
+            false => (
+                self.standing.without(&queued),
+                self.drains.union(&queued).copied().collect(),
+            ),
         };
         if now.short > before.short + slack {
             let volumes = check(&self.site(after), &out).short;
-            o.against.push(Reason::Short { by: now.short, volumes });
+            o.against.push(Reason::Short {
+                by: now.short,
+                volumes,
+            });
         }
         if now.out_of_reach > before.out_of_reach + slack {
-            o.against.push(Reason::OutOfReach { by: now.out_of_reach });
+            o.against.push(Reason::OutOfReach {
+                by: now.out_of_reach,
+            });
         }
         if !gone.is_empty() && o.against.is_empty() {
             let now = self.standing.without(&gone);
@@ -248,16 +309,27 @@
         if !o.against.is_empty() {
             return o;
         }
-        let mut order: Vec<(bool, Out)> =
-            self.losses.iter().map(|(out, l)| (l.nodes.is_disjoint(&touched), *out)).collect();
+        let mut order: Vec<(bool, Out)> = self
+            .losses
+            .iter()
+            .map(|(out, l)| (l.nodes.is_disjoint(&touched), *out))
+            .collect();
         order.sort_unstable();
         o.unseen = order.len().saturating_sub(steps);
         for (_, out) in order.into_iter().take(steps) {
             let was = self.was.get(&out).map_or(Missing::default(), |l| l.missing);
             let missing = self.look(out);
             if missing.exceeds(&was, slack) {
-                let zone = if let Out::Zone(z) = out { self.zones.get(z as usize).cloned() } else { None };
-                o.warnings.push(Reason::Without { out, zone, by: missing.short });
+                let zone = if let Out::Zone(z) = out {
+                    self.zones.get(z as usize).cloned()
+                } else {
+                    None
+                };
+                o.warnings.push(Reason::Without {
+                    out,
+                    zone,
+                    by: missing.short,
+                });
             }
         }
         o
@@ -270,7 +342,11 @@
             _ => None,
         };
         let known = |n: &u32| self.stages.get(n).is_some_and(|s| *s != Stage::Queued);
-        changes.iter().filter_map(drained).filter(|n| !known(n)).collect()
+        changes
+            .iter()
+            .filter_map(drained)
+            .filter(|n| !known(n))
+            .collect()
     }
 
     /// Nodes that are to be out and were never empty.
@@ -287,7 +363,10 @@
     fn elsewhere_gone(&self, ledger: &Ledger, drained: &BTreeSet<u32>) -> BTreeSet<u32> {
         let zone = |n: &u32| ledger.node(*n).map(|n| n.zone.clone());
         let zones: BTreeSet<Option<Name>> = drained.iter().map(zone).collect();
-        let gone = self.unfit.iter().filter(|(n, how)| **how == Beside::Gone && !zones.contains(&zone(n)));
+        let gone = self
+            .unfit
+            .iter()
+            .filter(|(n, how)| **how == Beside::Gone && !zones.contains(&zone(n)));
         let gone = gone.map(|(n, _)| *n).filter(|n| !self.drains.contains(n));
         if drained.is_empty() {
             return BTreeSet::new();
@@ -304,7 +383,12 @@
     /// Brings figures of losses up to the present state, so many at most; answers how many are left. Whoever
     /// has time calls it between changes.
     pub fn refresh(&mut self, steps: usize) -> usize {
-        let stale: Vec<Out> = self.losses.iter().filter(|(_, l)| !l.fresh).map(|(out, _)| *out).collect();
+        let stale: Vec<Out> = self
+            .losses
+            .iter()
+            .filter(|(_, l)| !l.fresh)
+            .map(|(out, _)| *out)
+            .collect();
         stale.iter().take(steps).for_each(|out| _ = self.look(*out));
         stale.len().saturating_sub(steps)
     }
@@ -313,12 +397,22 @@
     fn look(&mut self, out: Out) -> Missing {
         let short = self.standing.without(&self.losses[&out].nodes).short;
         let l = self.losses.get_mut(&out).expect("listed");
-        (l.missing, l.fresh) = (Missing { short, out_of_reach: 0.0 }, true);
+        (l.missing, l.fresh) = (
+            Missing {
+                short,
+                out_of_reach: 0.0,
+            },
+            true,
+        );
         l.missing
     }
 
     fn list_losses(&mut self) {
-        let up = || self.standing.nodes().filter(|n| !self.drains.contains(&n.id) && n.capacity > 0.0);
+        let up = || {
+            self.standing
+                .nodes()
+                .filter(|n| !self.drains.contains(&n.id) && n.capacity > 0.0)
+        };
         let mut nodes: BTreeMap<Out, BTreeSet<u32>> = BTreeMap::new();
         for n in up() {
             nodes.entry(Out::Node(n.id)).or_default().insert(n.id);
@@ -330,22 +424,41 @@
         let old = std::mem::take(&mut self.losses);
         let loss = |(out, nodes)| {
             let missing = old.get(&out).map_or(Missing::default(), |l| l.missing);
-            (out, Loss { nodes, missing, fresh: false })
+            (
+                out,
+                Loss {
+                    nodes,
+                    missing,
+                    fresh: false,
+                },
+            )
         };
         self.losses = nodes.into_iter().map(loss).collect();
     }
 
     fn zone(&mut self, zone: &Name) -> u32 {
-        let at = self.zones.iter().position(|z| z == zone).unwrap_or_else(|| {
-            self.zones.push(zone.clone());
-            self.zones.len() - 1
-        });
+        let at = self
+            .zones
+            .iter()
+            .position(|z| z == zone)
+            .unwrap_or_else(|| {
+                self.zones.push(zone.clone());
+                self.zones.len() - 1
+            });
         at as u32
     }
 
     fn node(&self, id: u32, n: &changes::Node) -> Node {
-        let zone = self.zones.iter().position(|z| *z == n.zone).unwrap_or(self.zones.len());
-        Node { id, zone: zone as u32, capacity: n.capacity }
+        let zone = self
+            .zones
+            .iter()
+            .position(|z| *z == n.zone)
+            .unwrap_or(self.zones.len());
+        Node {
+            id,
+            zone: zone as u32,
+            capacity: n.capacity,
+        }
     }
 
     /// A volume as the planner sees it: spread over its cells alike.
@@ -353,11 +466,20 @@
         let plan = ledger.plan(&v.plan);
         let part = 1.0 / v.cells.len().max(1) as f64;
         let holder = |cell: &u32| self.holders.get(cell).and_then(|h| h.first().copied());
-        let mut homes: Vec<(u32, f64)> = v.cells.iter().filter_map(|c| Some((holder(c)?, part))).collect();
+        let mut homes: Vec<(u32, f64)> = v
+            .cells
+            .iter()
+            .filter_map(|c| Some((holder(c)?, part)))
+            .collect();
         homes.sort_unstable_by_key(|h| h.0);
         homes.dedup_by_key(|h| h.0);
         let (reserve, weight) = plan.map_or((0.0, 0.0), |p| (p.reservation, p.weight));
-        Volume { id, reserve, weight, homes }
+        Volume {
+            id,
+            reserve,
+            weight,
+            homes,
+        }
     }
 
     /// Brings the site to what the ledger says of what these changes touch.
@@ -367,14 +489,21 @@
         for change in changes {
             match change {
                 Change::Node { id, .. } => {
-                    let old: Vec<u32> =
-                        self.holders.iter().filter(|h| h.1.contains(id)).map(|h| *h.0).collect();
+                    let old: Vec<u32> = self
+                        .holders
+                        .iter()
+                        .filter(|h| h.1.contains(id))
+                        .map(|h| *h.0)
+                        .collect();
                     let new = ledger.node(*id).map(|n| n.cell);
                     if old != new.into_iter().collect::<Vec<_>>() {
                         moved = true;
-                        old.iter().for_each(|c| _ = self.holders.get_mut(c).is_some_and(|h| h.remove(id)));
+                        old.iter().for_each(|c| {
+                            _ = self.holders.get_mut(c).is_some_and(|h| h.remove(id))
+                        });
                         self.holders.retain(|_, h| !h.is_empty());
-                        new.into_iter().for_each(|c| _ = self.holders.entry(c).or_default().insert(*id));
+                        new.into_iter()
+                            .for_each(|c| _ = self.holders.entry(c).or_default().insert(*id));
                     }
                     let node = match ledger.node(*id) {
                         Some(n) => {
@@ -382,7 +511,11 @@
                             self.known |= n.capacity > 0.0;
                             self.node(*id, n)
                         }
-                        None => Node { id: *id, zone: 0, capacity: 0.0 },
+                        None => Node {
+                            id: *id,
+                            zone: 0,
+                            capacity: 0.0,
+                        },
                     };
                     self.standing.set_node(node);
                 }
@@ -413,8 +546,9 @@
         if moved {
             volumes.extend(ledger.volumes().map(|(id, _)| id));
         }
-        let planned =
-            volumes.into_iter().map(|id| (id, ledger.volume(id).map(|v| self.planned(ledger, id, v))));
+        let planned = volumes
+            .into_iter()
+            .map(|id| (id, ledger.volume(id).map(|v| self.planned(ledger, id, v))));
         let planned: Vec<(u64, Option<Volume>)> = planned.collect();
         self.standing.set_volumes(planned);
         self.list_losses();
@@ -427,7 +561,11 @@
             match change {
                 Change::Volume { id, .. } => homes.extend(self.standing.homes_of(*id)),
                 Change::Plan { name, .. } => {
-                    homes.extend(ledger.standing(name).flat_map(|id| self.standing.homes_of(id)));
+                    homes.extend(
+                        ledger
+                            .standing(name)
+                            .flat_map(|id| self.standing.homes_of(id)),
+                    );
                 }
                 Change::Node { id, .. } | Change::Drain { node: id, .. } => _ = homes.insert(*id),
                 Change::Target { .. } | Change::Timed { .. } => {}
