--- a/crates/plans/src/changes.rs
+++ b/crates/plans/src/changes.rs
@@ -98,11 +98,18 @@
 }
 
 impl Stage {
-    pub const NAMES: [(Stage, &'static str); 4] =
-        [(Stage::Queued, "queued"), (Stage::Going, "going"), (Stage::Empty, "empty"), (Stage::Out, "out")];
+    pub const NAMES: [(Stage, &'static str); 4] = [
+        (Stage::Queued, "queued"),
+        (Stage::Going, "going"),
+        (Stage::Empty, "empty"),
+        (Stage::Out, "out"),
+    ];
 
     pub fn name(self) -> &'static str {
-        Stage::NAMES.iter().find(|(stage, _)| *stage == self).map_or("", |(_, name)| name)
+        Stage::NAMES
+            .iter()
+            .find(|(stage, _)| *stage == self)
+            .map_or("", |(_, name)| name)
     }
 
     /// Whether a drain may go from one stage to the other; None: there is none. Nothing goes back but to none
@@ -272,12 +279,22 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Refused::Collision { subject, with, who } => {
-                write!(f, "{subject} was changed meanwhile, by entry {} of {who}", with.0)
+                write!(
+                    f,
+                    "{subject} was changed meanwhile, by entry {} of {who}",
+                    with.0
+                )
             }
             Refused::TooOld { oldest } => {
-                write!(f, "looked at before entry {}, the oldest that is still known", oldest.0)
+                write!(
+                    f,
+                    "looked at before entry {}, the oldest that is still known",
+                    oldest.0
+                )
+            }
+            Refused::Ahead { latest } => {
+                write!(f, "looked at a version after {}, the latest", latest.0)
             }
-            Refused::Ahead { latest } => write!(f, "looked at a version after {}, the latest", latest.0),
             Refused::Unknown(subject) => write!(f, "{subject} does not exist"),
             Refused::InUse { what, by } => write!(f, "{what} is in use by {by}"),
             Refused::Twice(subject) => write!(f, "{subject} is changed twice at once"),
@@ -333,7 +350,12 @@
 
 impl Ledger {
     pub fn new(facts: Facts, most_trail: usize) -> Self {
-        Ledger { facts, most_trail: most_trail.max(1), needed: Version(u64::MAX), ..Ledger::default() }
+        Ledger {
+            facts,
+            most_trail: most_trail.max(1),
+            needed: Version(u64::MAX),
+            ..Ledger::default()
+        }
     }
 
     /// From here on entries after that one stay in the trail, however many there are.
@@ -343,7 +365,10 @@
 
     /// A state as it was kept: its version, everything in it, and the last entries, oldest first.
     pub fn restored(
-        mut self, version: Version, state: impl IntoIterator<Item = Change>, trail: Vec<Entry>,
+        mut self,
+        version: Version,
+        state: impl IntoIterator<Item = Change>,
+        trail: Vec<Entry>,
     ) -> Self {
         state.into_iter().for_each(|c| self.put(&c));
         self.version = version;
@@ -417,7 +442,8 @@
 
     /// Whether the trail is as long as it may be, with entries alone that are needed.
     pub fn trail_is_full(&self) -> bool {
-        self.trail.len() >= self.most_trail && self.trail.front().is_some_and(|e| e.version > self.needed)
+        self.trail.len() >= self.most_trail
+            && self.trail.front().is_some_and(|e| e.version > self.needed)
     }
 
     /// Entries after that one; None where the trail no longer reaches back so far.
@@ -431,14 +457,36 @@
 
     /// Everything, as changes that would make it from nothing.
     pub fn state(&self) -> impl Iterator<Item = Change> + '_ {
-        let plans = self.plans.iter().map(|(n, p)| Change::Plan { name: n.clone(), to: Some(p.clone()) });
-        let nodes = self.nodes.iter().map(|(id, n)| Change::Node { id: *id, to: Some(n.clone()) });
-        let volumes = self.volumes.iter().map(|(id, v)| Change::Volume { id: *id, to: Some(v.clone()) });
-        let drains = self.drains.iter().map(|(n, d)| Change::Drain { node: *n, to: Some(d.clone()) });
-        let targets =
-            self.targets.iter().map(|(n, t)| Change::Target { name: n.clone(), to: Some(t.clone()) });
-        let timed = self.timed.iter().map(|(id, t)| Change::Timed { id: *id, to: Some(t.clone()) });
-        plans.chain(nodes).chain(volumes).chain(drains).chain(targets).chain(timed)
+        let plans = self.plans.iter().map(|(n, p)| Change::Plan {
+            name: n.clone(),
+            to: Some(p.clone()),
+        });
+        let nodes = self.nodes.iter().map(|(id, n)| Change::Node {
+            id: *id,
+            to: Some(n.clone()),
+        });
+        let volumes = self.volumes.iter().map(|(id, v)| Change::Volume {
+            id: *id,
+            to: Some(v.clone()),
+        });
+        let drains = self.drains.iter().map(|(n, d)| Change::Drain {
+            node: *n,
+            to: Some(d.clone()),
+        });
+        let targets = self.targets.iter().map(|(n, t)| Change::Target {
+            name: n.clone(),
+            to: Some(t.clone()),
+        });
+        let timed = self.timed.iter().map(|(id, t)| Change::Timed {
+            id: *id,
+            to: Some(t.clone()),
+        });
+        plans
+            .chain(nodes)
+            .chain(volumes)
+            .chain(drains)
+            .chain(targets)
+            .chain(timed)
     }
 
     /// The same as it was at a version that the trail reaches back to.
@@ -448,13 +496,19 @@
             was.extend(entry.before.iter().map(|c| (c.subject(), c.clone())));
         }
         let changed: BTreeSet<Subject> = was.keys().cloned().collect();
-        let stayed = self.state().filter(move |c| !changed.contains(&c.subject()));
+        let stayed = self
+            .state()
+            .filter(move |c| !changed.contains(&c.subject()));
         was.into_values().filter(|c| !c.ends()).chain(stayed)
     }
 
     /// What would make this state that one; nothing where they are alike.
     pub fn towards(&self, other: &Ledger) -> Vec<Change> {
-        let gone = self.state().map(|c| c.subject()).filter(|s| other.now(s).ends()).map(|s| other.now(&s));
+        let gone = self
+            .state()
+            .map(|c| c.subject())
+            .filter(|s| other.now(s).ends())
+            .map(|s| other.now(&s));
         let new = other.state().filter(|c| self.now(&c.subject()) != *c);
         // What stands on something goes before it, and comes after it.
         let mut gone: Vec<Change> = gone.collect();
@@ -463,12 +517,20 @@
     }
 
     /// The entry that these changes would make, asked by someone who looked at that version.
-    pub fn propose(&self, looked_at: Version, by: Asks, changes: Vec<Change>) -> Result<Entry, Refused> {
+    pub fn propose(
+        &self,
+        looked_at: Version,
+        by: Asks,
+        changes: Vec<Change>,
+    ) -> Result<Entry, Refused> {
         if changes.is_empty() {
             return Err(Refused::Empty);
         }
         self.unchanged_since(looked_at, &changes)?;
-        let mut after = Overlay { below: self, over: BTreeMap::new() };
+        let mut after = Overlay {
+            below: self,
+            over: BTreeMap::new(),
+        };
         let mut before = Vec::new();
         for change in &changes {
             let subject = change.subject();
@@ -483,20 +545,52 @@
             return Err(Refused::Empty);
         }
         let lowers = after.lowers();
-        let Asks { who, why, against, at } = by;
+        let Asks {
+            who,
+            why,
+            against,
+            at,
+        } = by;
         let (who, why, against) = (who.to_string(), why.to_string(), against.to_string());
         let (from, version) = (self.version, self.version.next());
-        Ok(Entry { version, from, at, who, why, against, changes, before, lowers, also: Vec::new() })
+        Ok(Entry {
+            version,
+            from,
+            at,
+            who,
+            why,
+            against,
+            changes,
+            before,
+            lowers,
+            also: Vec::new(),
+        })
     }
 
     /// An entry that changes nothing and lets this state prevail over all others up to a version.
     pub fn prevail(&self, over: Version, by: Asks) -> Entry {
-        let Asks { who, why, against, at } = by;
+        let Asks {
+            who,
+            why,
+            against,
+            at,
+        } = by;
         let (who, why, against) = (who.to_string(), why.to_string(), against.to_string());
         let (from, version) = (self.version, over.max(self.version).next());
         // Nobody knows what hosts were promised meanwhile.
         let (changes, before, also) = (Vec::new(), Vec::new(), Vec::new());
-        Entry { version, from, at, who, why, against, changes, before, lowers: true, also }
+        Entry {
+            version,
+            from,
+            at,
+            who,
+            why,
+            against,
+            changes,
+            before,
+            lowers: true,
+            also,
+        }
     }
 
     /// The entry that puts back what an earlier one changed, where nothing has changed it since. What was to
@@ -505,7 +599,9 @@
         let oldest = self.trail.front().map_or(self.version, |e| e.version);
         let found = self.trail.iter().find(|e| e.version == entry);
         let back = &found.ok_or(Refused::TooOld { oldest })?.before;
-        let back = back.iter().filter(|c| !matches!(c, Change::Timed { to: Some(_), .. }));
+        let back = back
+            .iter()
+            .filter(|c| !matches!(c, Change::Timed { to: Some(_), .. }));
         self.propose(entry, by, back.cloned().collect())
     }
 
@@ -515,7 +611,9 @@
             return Err(OutOfOrder::Older);
         }
         if entry.from != self.version {
-            return Err(OutOfOrder::Gap { wants: self.version.next() });
+            return Err(OutOfOrder::Gap {
+                wants: self.version.next(),
+            });
         }
         entry.changes.iter().for_each(|c| self.put(c));
         self.version = entry.version;
@@ -544,7 +642,8 @@
     /// An entry is no longer in the trail: what it touched and nothing later did is not known any more.
     fn unremember(&mut self, old: &Entry) {
         for c in &old.changes {
-            if let std::collections::hash_map::Entry::Occupied(e) = self.touched.entry(c.subject()) {
+            if let std::collections::hash_map::Entry::Occupied(e) = self.touched.entry(c.subject())
+            {
                 if *e.get() == old.version {
                     e.remove();
                 }
@@ -584,14 +683,19 @@
     /// Whether anything that the changes touch or rest on has changed since.
     fn unchanged_since(&self, looked_at: Version, changes: &[Change]) -> Result<(), Refused> {
         if looked_at > self.version {
-            return Err(Refused::Ahead { latest: self.version });
+            return Err(Refused::Ahead {
+                latest: self.version,
+            });
         }
         let oldest = self.trail.front().map_or(self.version, |e| e.version);
         if self.since(looked_at).is_none() {
             return Err(Refused::TooOld { oldest });
         }
         // A volume that was put on a plan meanwhile does not change that plan for others.
-        for subject in changes.iter().flat_map(|c| c.rests_on().into_iter().chain([c.subject()])) {
+        for subject in changes
+            .iter()
+            .flat_map(|c| c.rests_on().into_iter().chain([c.subject()]))
+        {
             if let Some(with) = self.touched(&subject).filter(|v| *v > looked_at) {
                 let by = self.trail.iter().rev().find(|e| e.version == with);
                 let who = by.map(|e| e.who.clone()).unwrap_or_default();
@@ -604,14 +708,30 @@
     /// The change that would put a subject as it is now.
     pub fn now(&self, subject: &Subject) -> Change {
         match subject {
-            Subject::Plan(name) => Change::Plan { name: name.clone(), to: self.plans.get(name).cloned() },
-            Subject::Volume(id) => Change::Volume { id: *id, to: self.volumes.get(id).cloned() },
-            Subject::Node(id) => Change::Node { id: *id, to: self.nodes.get(id).cloned() },
-            Subject::Drain(node) => Change::Drain { node: *node, to: self.drains.get(node).cloned() },
-            Subject::Target(name) => {
-                Change::Target { name: name.clone(), to: self.targets.get(name).cloned() }
-            }
-            Subject::Timed(id) => Change::Timed { id: *id, to: self.timed.get(id).cloned() },
+            Subject::Plan(name) => Change::Plan {
+                name: name.clone(),
+                to: self.plans.get(name).cloned(),
+            },
+            Subject::Volume(id) => Change::Volume {
+                id: *id,
+                to: self.volumes.get(id).cloned(),
+            },
+            Subject::Node(id) => Change::Node {
+                id: *id,
+                to: self.nodes.get(id).cloned(),
+            },
+            Subject::Drain(node) => Change::Drain {
+                node: *node,
+                to: self.drains.get(node).cloned(),
+            },
+            Subject::Target(name) => Change::Target {
+                name: name.clone(),
+                to: self.targets.get(name).cloned(),
+            },
+            Subject::Timed(id) => Change::Timed {
+                id: *id,
+                to: self.timed.get(id).cloned(),
+            },
         }
     }
 
@@ -658,14 +778,18 @@
                 if let Some(standing) = old.and_then(|plan| self.standing.get_mut(&plan)) {
                     standing.remove(&id);
                 }
-                new.into_iter().for_each(|plan| _ = self.standing.entry(plan).or_default().insert(id));
+                new.into_iter()
+                    .for_each(|plan| _ = self.standing.entry(plan).or_default().insert(id));
             }
         }
     }
 
     fn shared(&mut self, v: Volume) -> Volume {
         let plan = self.name(&v.plan);
-        let (hosts, cells) = (self.host_sets.get(&v.hosts).cloned(), self.cell_sets.get(&v.cells).cloned());
+        let (hosts, cells) = (
+            self.host_sets.get(&v.hosts).cloned(),
+            self.cell_sets.get(&v.cells).cloned(),
+        );
         let hosts = hosts.unwrap_or_else(|| {
             self.host_sets.insert(v.hosts.clone());
             v.hosts
@@ -674,15 +798,33 @@
             self.cell_sets.insert(v.cells.clone());
             v.cells
         });
-        Volume { plan, hosts, cells, blocks: v.blocks }
+        Volume {
+            plan,
+            hosts,
+            cells,
+            blocks: v.blocks,
+        }
     }
 
     /// What is wrong with a change by itself.
     fn fine(&self, change: &Change) -> Result<(), Refused> {
-        let bad = |what: String| Err(Refused::Figure { subject: change.subject(), what });
+        let bad = |what: String| {
+            Err(Refused::Figure {
+                subject: change.subject(),
+                what,
+            })
+        };
         match change {
             Change::Plan { to: Some(p), .. } => {
-                let all = [p.rate, p.reservation, p.limit, p.burst, p.slack, p.weight, p.price];
+                let all = [
+                    p.rate,
+                    p.reservation,
+                    p.limit,
+                    p.burst,
+                    p.slack,
+                    p.weight,
+                    p.price,
+                ];
                 if all.iter().any(|n| !n.is_finite() || *n < 0.0) {
                     return bad("a figure is negative or no number".into());
                 }
@@ -699,7 +841,9 @@
                 }
                 let least = p.limit * self.facts.linger.as_secs_f64();
                 if p.slack < least {
-                    return bad(format!("its slack is below what may still cross of its limit, {least}"));
+                    return bad(format!(
+                        "its slack is below what may still cross of its limit, {least}"
+                    ));
                 }
                 Ok(())
             }
@@ -721,9 +865,10 @@
             Change::Node { to: Some(n), .. } if !(n.capacity.is_finite() && n.capacity >= 0.0) => {
                 bad("its capacity is negative or no number".into())
             }
-            Change::Node { to: Some(n), .. } if n.name.parse::<u64>().is_ok() => {
-                bad(format!("its name, {}, is a number and might be another's", n.name))
-            }
+            Change::Node { to: Some(n), .. } if n.name.parse::<u64>().is_ok() => bad(format!(
+                "its name, {}, is a number and might be another's",
+                n.name
+            )),
             Change::Timed { to: Some(t), .. } => {
                 if t.changes.iter().any(|c| matches!(c, Change::Timed { .. })) {
                     return bad("a timed change within a timed change".into());
@@ -778,15 +923,27 @@
             _ => None,
         });
         // Only a change of nodes can leave a volume behind that it does not touch itself.
-        let all: Vec<u64> = if touched { self.below.volumes.keys().copied().collect() } else { Vec::new() };
+        let all: Vec<u64> = if touched {
+            self.below.volumes.keys().copied().collect()
+        } else {
+            Vec::new()
+        };
         let ids: BTreeSet<u32> = self.below.nodes.keys().copied().collect();
-        let new = self.over.keys().filter_map(|s| if let Subject::Node(n) = s { Some(*n) } else { None });
+        let new = self.over.keys().filter_map(|s| {
+            if let Subject::Node(n) = s {
+                Some(*n)
+            } else {
+                None
+            }
+        });
         let nodes = ids.into_iter().chain(new).filter_map(|n| self.node(n));
         let cells: BTreeSet<u32> = nodes.map(|n| n.cell).collect();
         if cells.is_empty() {
             return None; // nothing is said of nodes here
         }
-        let volumes = changed.chain(all).filter_map(|id| Some((id, self.volume(id)?)));
+        let volumes = changed
+            .chain(all)
+            .filter_map(|id| Some((id, self.volume(id)?)));
         let missing = |v: &Volume| v.cells.iter().copied().find(|c| !cells.contains(c));
         volumes.filter_map(|(id, v)| Some((missing(v)?, id))).next()
     }
@@ -802,7 +959,10 @@
                     let stays = |id: &&u64| self.volume(**id).is_some_and(|v| v.plan == *name);
                     let standing = self.below.standing.get(name).into_iter().flatten();
                     if let Some(by) = standing.into_iter().find(stays) {
-                        return Err(Refused::InUse { what: subject.clone(), by: Subject::Volume(*by) });
+                        return Err(Refused::InUse {
+                            what: subject.clone(),
+                            by: Subject::Volume(*by),
+                        });
                     }
                 }
                 Change::Volume { id, to: None } => {
@@ -815,7 +975,10 @@
                     };
                     if let Some((name, _)) = self.below.targets.iter().find(|(n, t)| holds(n, t)) {
                         let by = Subject::Target(name.clone());
-                        return Err(Refused::InUse { what: subject.clone(), by });
+                        return Err(Refused::InUse {
+                            what: subject.clone(),
+                            by,
+                        });
                     }
                 }
                 Change::Volume { to: Some(v), .. } if self.plan(&v.plan).is_none() => {
@@ -829,12 +992,16 @@
                     if !Stage::may_follow(was, Some(to.stage)) {
                         let was = was.map_or("none", Stage::name);
                         let what = format!("cannot go from {was} to {}", to.stage.name());
-                        return Err(Refused::Figure { subject: subject.clone(), what });
+                        return Err(Refused::Figure {
+                            subject: subject.clone(),
+                            what,
+                        });
                     }
                 }
                 Change::Node { id, to: Some(n) } if !n.name.is_empty() => {
-                    let own =
-                        |other: &u32| *other != *id && self.node(*other).is_some_and(|o| o.name == n.name);
+                    let own = |other: &u32| {
+                        *other != *id && self.node(*other).is_some_and(|o| o.name == n.name)
+                    };
                     let below = self.below.called.get(&n.name).copied().filter(own);
                     let beside = self.over.keys().find_map(|s| match s {
                         Subject::Node(other) if own(other) => Some(*other),
@@ -842,11 +1009,17 @@
                     });
                     if let Some(other) = below.or(beside) {
                         let what = format!("node {other} is called {} as well", n.name);
-                        return Err(Refused::Figure { subject: subject.clone(), what });
+                        return Err(Refused::Figure {
+                            subject: subject.clone(),
+                            what,
+                        });
                     }
                 }
                 Change::Node { id, to: None } if self.drains(*id) => {
-                    return Err(Refused::InUse { what: subject.clone(), by: Subject::Drain(*id) });
+                    return Err(Refused::InUse {
+                        what: subject.clone(),
+                        by: Subject::Drain(*id),
+                    });
                 }
                 Change::Target { to: Some(t), .. } => {
                     if let Some(v) = t.iter().find(|v| self.volume(**v).is_none()) {
@@ -858,7 +1031,10 @@
         }
         if let Some((cell, volume)) = self.unheld() {
             let what = format!("its data may lie in cell {cell}, which no node holds");
-            return Err(Refused::Figure { subject: Subject::Volume(volume), what });
+            return Err(Refused::Figure {
+                subject: Subject::Volume(volume),
+                what,
+            });
         }
         Ok(())
     }
@@ -869,17 +1045,29 @@
         let of_plan = |name: &Name| {
             let (was, is) = (self.below.plans.get(name), self.plan(name));
             let standing = || self.below.standing.get(name).is_some_and(|s| !s.is_empty());
-            is.is_some_and(|is| is.limit > 0.0 && was.is_some_and(|was| lowered(was, is)) && standing())
+            is.is_some_and(|is| {
+                is.limit > 0.0 && was.is_some_and(|was| lowered(was, is)) && standing()
+            })
         };
         let of_volume = |id: u64| {
-            let Some(v) = self.volume(id) else { return false };
-            let Some(is) = self.plan(&v.plan).filter(|p| p.limit > 0.0) else { return false };
+            let Some(v) = self.volume(id) else {
+                return false;
+            };
+            let Some(is) = self.plan(&v.plan).filter(|p| p.limit > 0.0) else {
+                return false;
+            };
             let Some(was) = self.below.volumes.get(&id) else {
                 // One of that name may have been before, and somebody may still know that one.
                 return self.below.touched(&Subject::Volume(id)).is_some();
             };
-            let fewer = was.hosts.iter().any(|h| !v.hosts.contains(h)) || v.hosts.len() > was.hosts.len();
-            fewer || self.below.plans.get(&was.plan).is_none_or(|p| lowered(p, is))
+            let fewer =
+                was.hosts.iter().any(|h| !v.hosts.contains(h)) || v.hosts.len() > was.hosts.len();
+            fewer
+                || self
+                    .below
+                    .plans
+                    .get(&was.plan)
+                    .is_none_or(|p| lowered(p, is))
         };
         self.over.values().any(|c| match c {
             Change::Plan { name, .. } => of_plan(name),
--- a/crates/plans/src/feed.rs
+++ b/crates/plans/src/feed.rs
@@ -67,7 +67,11 @@
 impl Lowerings {
     /// After a version of which only that much is known.
     pub fn new(from: Version) -> Self {
-        Lowerings { from, at: Vec::new(), latest: from }
+        Lowerings {
+            from,
+            at: Vec::new(),
+            latest: from,
+        }
     }
 
     pub fn add(&mut self, version: Version, lowers: bool) {
@@ -107,15 +111,35 @@
     /// `settled`: what was, before an earlier start told anyone. `hosts`: all there are, with what each was
     /// last known to have; None: it was never heard of. Leases of an earlier start may be out.
     pub fn new(
-        lease: Duration, margin: Duration, now: Duration, settled: Version,
+        lease: Duration,
+        margin: Duration,
+        now: Duration,
+        settled: Version,
         hosts: impl IntoIterator<Item = (HostNo, Option<Version>)>,
     ) -> Self {
         let held = |has: Option<Version>| {
-            let until = if has.is_some() { now + lease + margin } else { now };
-            Held { has, until, gone: false }
+            let until = if has.is_some() {
+                now + lease + margin
+            } else {
+                now
+            };
+            Held {
+                has,
+                until,
+                gone: false,
+            }
         };
-        let hosts = hosts.into_iter().map(|(host, has)| (host, held(has))).collect();
-        Leases { lease, margin, hosts, settled, behind: None }
+        let hosts = hosts
+            .into_iter()
+            .map(|(host, has)| (host, held(has)))
+            .collect();
+        Leases {
+            lease,
+            margin,
+            hosts,
+            settled,
+            behind: None,
+        }
     }
 
     pub fn lease(&self) -> Duration {
@@ -135,7 +159,9 @@
 
     /// A host says what it has and uses.
     pub fn heard(&mut self, host: HostNo, has: Version, latest: Version) {
-        let Some(held) = self.hosts.get_mut(&host) else { return };
+        let Some(held) = self.hosts.get_mut(&host) else {
+            return;
+        };
         if has <= latest {
             held.has = held.has.max(Some(has));
         } else {
@@ -164,14 +190,23 @@
 
     /// Somebody answers for it that this host sends nothing until it asks again.
     pub fn gone(&mut self, host: HostNo) {
-        self.hosts.get_mut(&host).into_iter().for_each(|h| h.gone = true);
+        self.hosts
+            .get_mut(&host)
+            .into_iter()
+            .for_each(|h| h.gone = true);
     }
 
     /// Up to which version all changes have come everywhere that they must. It never goes back, and never
     /// beyond `upto`: of what may yet be taken back nothing is settled.
     pub fn settled(&mut self, now: Duration, lowerings: &Lowerings, upto: Version) -> Version {
-        let reached = self.hosts.values().map(|h| Self::reach(h, now, lowerings)).min();
-        self.settled = self.settled.max(reached.unwrap_or(lowerings.latest).min(upto));
+        let reached = self
+            .hosts
+            .values()
+            .map(|h| Self::reach(h, now, lowerings))
+            .min();
+        self.settled = self
+            .settled
+            .max(reached.unwrap_or(lowerings.latest).min(upto));
         self.settled
     }
 
@@ -186,15 +221,28 @@
 
     /// Hosts on which a version waits, and whether nothing but their own word can end that: they have not
     /// been heard for as long as a lease.
-    pub fn waits_for(&self, now: Duration, version: Version, lowerings: &Lowerings) -> Vec<(HostNo, bool)> {
-        let waits = self.hosts.iter().filter(|(_, h)| Self::reach(h, now, lowerings) < version);
+    pub fn waits_for(
+        &self,
+        now: Duration,
+        version: Version,
+        lowerings: &Lowerings,
+    ) -> Vec<(HostNo, bool)> {
+        let waits = self
+            .hosts
+            .iter()
+            .filter(|(_, h)| Self::reach(h, now, lowerings) < version);
         waits.map(|(no, h)| (*no, now >= h.until)).collect()
     }
 
     /// When what is settled may change by time alone.
     pub fn wake_at(&self, now: Duration) -> Option<Duration> {
         let behind = |h: &&Held| h.has.is_some_and(|has| has > self.settled || !h.gone);
-        self.hosts.values().filter(behind).map(|h| h.until).filter(|u| *u > now).min()
+        self.hosts
+            .values()
+            .filter(behind)
+            .map(|h| h.until)
+            .filter(|u| *u > now)
+            .min()
     }
 
     /// A version that some host has and the source has not, until somebody has looked.
@@ -220,14 +268,22 @@
 impl Follower {
     /// As it was kept: without a lease.
     pub fn kept(has: Version, settled: Version) -> Self {
-        Follower { has, settled: settled.min(has), until: Duration::ZERO }
+        Follower {
+            has,
+            settled: settled.min(has),
+            until: Duration::ZERO,
+        }
     }
 
     /// An answer to what was asked at `sent`, by this host's clock. An older one than what it has is not
     /// followed, nor is its lease.
     pub fn told(&mut self, sent: Duration, version: Version, settled: Version, lease: Duration) {
         if version >= self.has {
-            self.until = if version > self.has { sent + lease } else { self.until.max(sent + lease) };
+            self.until = if version > self.has {
+                sent + lease
+            } else {
+                self.until.max(sent + lease)
+            };
             self.has = version;
             self.settled = self.settled.max(settled).min(version);
         }
@@ -279,9 +335,19 @@
 pub fn part(window: impl IntoIterator<Item = Says>, leased: bool) -> Option<Part> {
     let limited = window.into_iter().filter(|s| s.limit > 0.0);
     let each = limited.map(|s| {
-        let share = if s.mine { 1.0 / s.hosts.max(1) as f64 } else { 0.0 };
+        let share = if s.mine {
+            1.0 / s.hosts.max(1) as f64
+        } else {
+            0.0
+        };
         let rate = if leased { s.limit } else { s.reservation };
-        Part { rate: rate * share, burst: s.burst * share }
+        Part {
+            rate: rate * share,
+            burst: s.burst * share,
+        }
     });
-    each.reduce(|a, b| Part { rate: a.rate.min(b.rate), burst: a.burst.min(b.burst) })
+    each.reduce(|a, b| Part {
+        rate: a.rate.min(b.rate),
+        burst: a.burst.min(b.burst),
+    })
 }
--- a/crates/plans/src/flow.rs
+++ b/crates/plans/src/flow.rs
@@ -49,7 +49,13 @@
     pub fn new(capacity: &[u64]) -> Self {
         let n = capacity.len();
         let (at, shut, from) = (vec![Vec::new(); n], vec![false; n], vec![(0, None); n]);
-        Flow { room: capacity.to_vec(), at, shut, from, ..Flow::default() }
+        Flow {
+            room: capacity.to_vec(),
+            at,
+            shut,
+            from,
+            ..Flow::default()
+        }
     }
 
     pub fn room(&self, node: usize) -> u64 {
@@ -67,9 +73,16 @@
         }
         let g = self.groups.len();
         self.of_homes.insert(homes.to_vec(), g);
-        homes.iter().enumerate().for_each(|(i, n)| self.at[*n].push((g, i)));
+        homes
+            .iter()
+            .enumerate()
+            .for_each(|(i, n)| self.at[*n].push((g, i)));
         let none = vec![0; homes.len()];
-        self.groups.push(Group { homes: homes.to_vec(), on: none.clone(), most: none });
+        self.groups.push(Group {
+            homes: homes.to_vec(),
+            on: none.clone(),
+            most: none,
+        });
         g
     }
 
@@ -117,7 +130,8 @@
             // that home no longer is, if any of these lies where nothing led on.
             let grp = &self.groups[g];
             let lies_shut = |(n, on): (&usize, &u64)| *on > 0 && self.shut[*n];
-            if *to > old && !self.shut[grp.homes[i]] && grp.homes.iter().zip(&grp.on).any(lies_shut) {
+            if *to > old && !self.shut[grp.homes[i]] && grp.homes.iter().zip(&grp.on).any(lies_shut)
+            {
                 self.shut.fill(false);
             }
         }
@@ -126,7 +140,12 @@
 
     /// Raises what a group may put on each of its homes.
     pub fn offer(&mut self, g: usize, more: impl Iterator<Item = u64>) {
-        let most: Vec<u64> = self.groups[g].most.iter().zip(more).map(|(m, more)| m + more).collect();
+        let most: Vec<u64> = self.groups[g]
+            .most
+            .iter()
+            .zip(more)
+            .map(|(m, more)| m + more)
+            .collect();
         self.set_most(g, &most);
     }
 
@@ -224,9 +243,17 @@
 
     /// Carries along a way what its narrowest step lets through.
     fn carry(&mut self, g: usize, first: usize, path: &[Step], wanted: u64) -> u64 {
-        let own = self.groups[g].homes.iter().position(|n| *n == first).expect("its own home");
-        let end = path.first().map_or(first, |(_, h, _, there)| self.groups[*h].homes[*there]);
-        let mut much = wanted.min(self.room[end]).min(self.groups[g].most[own] - self.groups[g].on[own]);
+        let own = self.groups[g]
+            .homes
+            .iter()
+            .position(|n| *n == first)
+            .expect("its own home");
+        let end = path
+            .first()
+            .map_or(first, |(_, h, _, there)| self.groups[*h].homes[*there]);
+        let mut much = wanted
+            .min(self.room[end])
+            .min(self.groups[g].most[own] - self.groups[g].on[own]);
         for (_, h, here, there) in path {
             let a = &self.groups[*h];
             much = much.min(a.on[*here]).min(a.most[*there] - a.on[*there]);
--- a/crates/plans/src/follow.rs
+++ b/crates/plans/src/follow.rs
@@ -37,7 +37,11 @@
     /// What follows what this host has.
     Entries(Vec<Entry>),
     /// Everything as it was at a settled version, and what followed.
-    Whole { at: Version, state: Vec<Change>, entries: Vec<Entry> },
+    Whole {
+        at: Version,
+        state: Vec<Change>,
+        entries: Vec<Entry>,
+    },
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -167,7 +171,11 @@
 impl Follow {
     /// `linger`: how long what was decided may take to cross.
     pub fn new(me: Name, start: Start, linger: Duration) -> Self {
-        let Start { ledger, settled, era } = start;
+        let Start {
+            ledger,
+            settled,
+            era,
+        } = start;
         let has = ledger.version();
         let plans = ledger.plans().map(|(name, _)| name.clone()).collect();
         let dirty = ledger.volumes().map(|(id, _)| id).collect();
@@ -232,10 +240,16 @@
         let leased = self.follower.leased(self.now);
         if leased != std::mem::replace(&mut self.leased, leased) {
             // Only limits depend on it.
-            self.dirty.extend(self.told.iter().filter(|(_, t)| t.part.is_some()).map(|(id, _)| *id));
+            self.dirty.extend(
+                self.told
+                    .iter()
+                    .filter(|(_, t)| t.part.is_some())
+                    .map(|(id, _)| *id),
+            );
             if !leased {
                 self.note(
-                    "the lease on plans has run out: limited volumes keep to their reservations".into(),
+                    "the lease on plans has run out: limited volumes keep to their reservations"
+                        .into(),
                 );
             }
         }
@@ -246,7 +260,12 @@
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&self) -> Option<Duration> {
         let lease = self.leased.then(|| self.follower.until());
-        let confirm = self.followed.iter().filter(|f| f.0 <= self.kept).map(|f| f.1 + self.linger).min();
+        let confirm = self
+            .followed
+            .iter()
+            .filter(|f| f.0 <= self.kept)
+            .map(|f| f.1 + self.linger)
+            .min();
         let confirm = confirm.filter(|_| self.up);
         let again = (self.not_before > self.now).then_some(self.not_before);
         let answer = self.asked.map(|a| a.1 + self.lease);
@@ -257,8 +276,17 @@
         match event {
             Event::Up => (self.up, self.asked, self.confirmed) = (true, None, Version(0)),
             Event::Down => (self.up, self.asked) = (false, None),
-            Event::Granted { call, era, version, settled, lease, came } => {
-                let Some((_, sent)) = self.asked.take_if(|a| a.0 == call) else { return };
+            Event::Granted {
+                call,
+                era,
+                version,
+                settled,
+                lease,
+                came,
+            } => {
+                let Some((_, sent)) = self.asked.take_if(|a| a.0 == call) else {
+                    return;
+                };
                 self.lease = lease;
                 let fits = self.come(era, version, came);
                 if fits {
@@ -269,7 +297,9 @@
                 }
             }
             Event::Behind { call } if self.asked.take_if(|a| a.0 == call).is_some() => {
-                self.note("the state service knows less than this host; an operator must look".into());
+                self.note(
+                    "the state service knows less than this host; an operator must look".into(),
+                );
                 self.not_before = self.now + AGAIN;
             }
             Event::Refused { call, why } if self.asked.take_if(|a| a.0 == call).is_some() => {
@@ -301,12 +331,21 @@
             Came::Whole { at, state, entries } => (at, Some(state), entries),
         };
         // All of it or nothing: half of it would be a state that nobody ever decided.
-        let last = entries.iter().try_fold(at, |v, e| (e.from == v && e.version > v).then_some(e.version));
+        let last = entries.iter().try_fold(at, |v, e| {
+            (e.from == v && e.version > v).then_some(e.version)
+        });
         if last != Some(version) || version < before {
-            self.note(format!("what came does not lead from {} to {}", at.0, version.0));
+            self.note(format!(
+                "what came does not lead from {} to {}",
+                at.0, version.0
+            ));
             return false;
         }
-        let open = if whole.is_some() { 0 } else { self.ledger.trail().len() };
+        let open = if whole.is_some() {
+            0
+        } else {
+            self.ledger.trail().len()
+        };
         if open + entries.len() > MOST_OPEN {
             self.note("too many changes wait for other hosts; nothing new is followed".into());
             return false;
@@ -316,7 +355,8 @@
             let facts = self.ledger.facts().clone();
             self.ledger = Follow::ledger_of(facts).restored(at, state, Vec::new());
             self.dirty.extend(self.ledger.volumes().map(|(id, _)| id));
-            self.plans.extend(self.ledger.plans().map(|(name, _)| name.clone()));
+            self.plans
+                .extend(self.ledger.plans().map(|(name, _)| name.clone()));
             self.unkept.clear();
             self.whole = true;
             // In another history the numbers of the last one mean nothing, nor what is still on its way to
@@ -330,10 +370,11 @@
         }
         for entry in entries {
             let entry = self.completed(entry);
-            self.dirty.extend(entry.also.iter().filter_map(|(_, c)| match c {
-                Change::Volume { id, .. } => Some(*id),
-                _ => None,
-            }));
+            self.dirty
+                .extend(entry.also.iter().filter_map(|(_, c)| match c {
+                    Change::Volume { id, .. } => Some(*id),
+                    _ => None,
+                }));
             self.ledger.take(entry.clone()).expect("looked at above");
             self.touch(&entry);
             self.unkept.push(entry);
@@ -382,9 +423,18 @@
         let mut all = Vec::new();
         let says = |volume: &Option<Volume>, plans: &BTreeMap<Name, Option<Plan>>| {
             let v = volume.as_ref()?;
-            let plan = plans.get(&v.plan).cloned().unwrap_or_else(|| self.ledger.plan(&v.plan).cloned())?;
+            let plan = plans
+                .get(&v.plan)
+                .cloned()
+                .unwrap_or_else(|| self.ledger.plan(&v.plan).cloned())?;
             let (hosts, mine) = (v.hosts.len(), v.hosts.contains(&self.me));
-            Some(Says { reservation: plan.reservation, limit: plan.limit, burst: plan.burst, hosts, mine })
+            Some(Says {
+                reservation: plan.reservation,
+                limit: plan.limit,
+                burst: plan.burst,
+                hosts,
+                mine,
+            })
         };
         all.extend(says(&volume, &plans));
         for entry in self.ledger.trail().rev() {
@@ -411,14 +461,20 @@
     fn terms(&self, id: u64) -> Option<Terms> {
         let v = self.ledger.volume(id)?;
         let part = part(self.window(id), self.leased);
-        Some(Terms { plan: v.plan.clone(), hosts: v.hosts.len(), mine: v.hosts.contains(&self.me), part })
+        Some(Terms {
+            plan: v.plan.clone(),
+            hosts: v.hosts.len(),
+            mine: v.hosts.contains(&self.me),
+            part,
+        })
     }
 
     /// Brings what is asked, kept and told into line with what is wanted.
     fn bring(&mut self) {
         for name in std::mem::take(&mut self.plans) {
             let plan = self.ledger.plan(&name).cloned();
-            self.out.extend(plan.map(|plan| Action::Plan { name, plan }));
+            self.out
+                .extend(plan.map(|plan| Action::Plan { name, plan }));
         }
         for id in std::mem::take(&mut self.dirty) {
             let terms = self.terms(id);
@@ -431,12 +487,22 @@
             }
             self.out.push(Action::Volume { id, terms });
         }
-        let news = !self.unkept.is_empty() || self.whole || self.follower.settled > self.settled_kept;
+        let news =
+            !self.unkept.is_empty() || self.whole || self.follower.settled > self.settled_kept;
         if news && self.keeping.is_none() && self.now >= self.not_before {
             self.next += 1;
             let (number, era, settled) = (self.next, self.era, self.follower.settled);
-            let (entries, whole) = (std::mem::take(&mut self.unkept), std::mem::take(&mut self.whole));
-            self.out.push(Action::Keep(Keep { number, era, settled, entries, whole }));
+            let (entries, whole) = (
+                std::mem::take(&mut self.unkept),
+                std::mem::take(&mut self.whole),
+            );
+            self.out.push(Action::Keep(Keep {
+                number,
+                era,
+                settled,
+                entries,
+                whole,
+            }));
             self.keeping = Some((number, self.ledger.version()));
             self.settled_kept = settled;
         }
@@ -445,11 +511,19 @@
         }
         // What was decided on an older version may still cross for so long.
         let crossed = |f: &&(Version, Duration)| f.0 <= self.kept && f.1 + self.linger <= self.now;
-        self.sure = self.followed.iter().filter(crossed).map(|f| f.0).fold(self.sure, Version::max);
+        self.sure = self
+            .followed
+            .iter()
+            .filter(crossed)
+            .map(|f| f.0)
+            .fold(self.sure, Version::max);
         self.followed.retain(|f| f.0 > self.sure);
         if self.sure > self.confirmed {
             self.confirmed = self.sure;
-            self.out.push(Action::Confirm { era: self.era, has: self.sure });
+            self.out.push(Action::Confirm {
+                era: self.era,
+                has: self.sure,
+            });
         }
         self.asked.take_if(|a| self.now >= a.1 + self.lease);
         if self.asked.is_none() && self.now >= self.not_before {
@@ -457,7 +531,13 @@
             let call = Call(self.next);
             self.asked = Some((call, self.now));
             let (has, settled) = (self.ledger.version(), self.follower.settled);
-            self.out.push(Action::Ask { call, era: self.era, has, settled, sure: self.sure });
+            self.out.push(Action::Ask {
+                call,
+                era: self.era,
+                has,
+                settled,
+                sure: self.sure,
+            });
         }
     }
 
@@ -467,6 +547,8 @@
 
     /// Subjects that changes touched and that are not settled, for whoever shows it.
     pub fn open(&self) -> impl Iterator<Item = Subject> + '_ {
-        self.ledger.trail().flat_map(|e| e.changes.iter().map(|c| c.subject()))
+        self.ledger
+            .trail()
+            .flat_map(|e| e.changes.iter().map(|c| c.subject()))
     }
 }
--- a/crates/plans/src/moves.rs
+++ b/crates/plans/src/moves.rs
@@ -68,28 +68,56 @@
     }
     let scope = Scope::of(site, &standing, empty, &size);
     let mut least = None;
-    let numbers = scope.volumes.iter().map(|v| v.homes.len() + scope.targets.len()).sum::<usize>();
+    let numbers = scope
+        .volumes
+        .iter()
+        .map(|v| v.homes.len() + scope.targets.len())
+        .sum::<usize>();
     let whole = (scope.whole && numbers <= MOST_WHOLE).then_some((0.0, true));
     for (kept_back, whole) in whole.into_iter().chain(KEPT_BACK.map(|k| (k, false))) {
         least = least.or_else(|| Some(scope.solve(0.0, false, &size)?.1));
-        let Some((parts, _)) = scope.solve(kept_back, whole, &size) else { continue };
+        let Some((parts, _)) = scope.solve(kept_back, whole, &size) else {
+            continue;
+        };
         let moves = scope.whole_extents(&parts, &size);
         let mut after = standing.clone();
-        after.set_volumes(scope.volumes.iter().map(|v| (v.id, Some(moved(v, &moves, &size)))));
+        after.set_volumes(
+            scope
+                .volumes
+                .iter()
+                .map(|v| (v.id, Some(moved(v, &moves, &size)))),
+        );
         let short = after.missing().short;
         if short <= after.slack() {
             let bytes = moves.iter().map(|m| m.bytes).sum();
             let least = least.unwrap_or_default();
-            return Some(Proposal { moves, bytes, least, short: 0.0, whole: scope.whole });
+            return Some(Proposal {
+                moves,
+                bytes,
+                least,
+                short: 0.0,
+                whole: scope.whole,
+            });
         }
     }
     // What is to be emptied goes anyway, to wherever most room is; the rest stays short.
     let moves = scope.anyhow(&size);
     let mut after = standing.clone();
-    after.set_volumes(scope.volumes.iter().map(|v| (v.id, Some(moved(v, &moves, &size)))));
+    after.set_volumes(
+        scope
+            .volumes
+            .iter()
+            .map(|v| (v.id, Some(moved(v, &moves, &size)))),
+    );
     let bytes: u64 = moves.iter().map(|m| m.bytes).sum();
     let (short, whole) = (after.missing().short, scope.whole);
-    Some(Proposal { moves, bytes, least: bytes as f64, short, whole })
+    Some(Proposal {
+        moves,
+        bytes,
+        least: bytes as f64,
+        short,
+        whole,
+    })
 }
 
 /// A volume as it lies after the moves.
@@ -100,7 +128,10 @@
         *homes.entry(m.from).or_default() -= part;
         *homes.entry(m.to).or_default() += part;
     }
-    Volume { homes: homes.into_iter().filter(|h| h.1 > NOTHING).collect(), ..v.clone() }
+    Volume {
+        homes: homes.into_iter().filter(|h| h.1 > NOTHING).collect(),
+        ..v.clone()
+    }
 }
 
 /// What goes into the program.
@@ -118,12 +149,22 @@
 type Parts = BTreeMap<(u64, u32), (f64, f64)>;
 
 impl<'a> Scope<'a> {
-    fn of(site: &'a Site, standing: &Standing, empty: &'a BTreeSet<u32>, size: impl Fn(u64) -> Size) -> Self {
+    fn of(
+        site: &'a Site,
+        standing: &Standing,
+        empty: &'a BTreeSet<u32>,
+        size: impl Fn(u64) -> Size,
+    ) -> Self {
         let up = |n: &&Node| !empty.contains(&n.id) && n.capacity > 0.0;
         let leaves = |v: &Volume| v.homes.iter().any(|h| empty.contains(&h.0));
         let small = site.volumes.len() <= MOST_VOLUMES && site.nodes.len() <= 4 * MOST_TARGETS;
         let mut targets: Vec<&Node> = site.nodes.iter().filter(up).collect();
-        targets.sort_by(|a, b| standing.room(b.id).total_cmp(&standing.room(a.id)).then(a.id.cmp(&b.id)));
+        targets.sort_by(|a, b| {
+            standing
+                .room(b.id)
+                .total_cmp(&standing.room(a.id))
+                .then(a.id.cmp(&b.id))
+        });
         if !small {
             targets.truncate(MOST_TARGETS);
         }
@@ -141,13 +182,30 @@
         let inside: BTreeSet<u64> = volumes.iter().map(|v| v.id).collect();
         let carried = standing.carried_beside(&inside);
         let room = site.nodes.iter().filter(up);
-        let room = room.map(|n| (n.id, (n.capacity - carried.get(&n.id).copied().unwrap_or(0.0)).max(0.0)));
+        let room = room.map(|n| {
+            (
+                n.id,
+                (n.capacity - carried.get(&n.id).copied().unwrap_or(0.0)).max(0.0),
+            )
+        });
         let targets = targets.iter().map(|n| n.id).collect();
-        Scope { volumes, targets, empty, room: room.collect(), spread: site.spread, whole: small }
+        Scope {
+            volumes,
+            targets,
+            empty,
+            room: room.collect(),
+            spread: site.spread,
+            whole: small,
+        }
     }
 
     /// Extents to move at the least bytes, and these; None where no moves would do.
-    fn solve(&self, kept_back: f64, whole: bool, size: impl Fn(u64) -> Size) -> Option<(Parts, f64)> {
+    fn solve(
+        &self,
+        kept_back: f64,
+        whole: bool,
+        size: impl Fn(u64) -> Size,
+    ) -> Option<(Parts, f64)> {
         let mut p = Problem::new(OptimizationDirection::Minimize);
         let mut on: BTreeMap<u32, LinearExpr> = BTreeMap::new();
         let mut vars: BTreeMap<(u64, u32), (Option<Variable>, Option<Variable>)> = BTreeMap::new();
@@ -157,7 +215,8 @@
         for v in &self.volumes {
             let lies: BTreeMap<u32, f64> = v.homes.iter().copied().collect();
             let nodes: BTreeSet<u32> = lies.keys().chain(&self.targets).copied().collect();
-            let (mut balance, mut carried, mut stuck) = (LinearExpr::empty(), LinearExpr::empty(), 0.0);
+            let (mut balance, mut carried, mut stuck) =
+                (LinearExpr::empty(), LinearExpr::empty(), 0.0);
             for n in nodes {
                 let part = lies.get(&n).copied().unwrap_or(0.0);
                 let leaves = self.empty.contains(&n);
@@ -192,16 +251,26 @@
                 on.entry(n).or_insert_with(LinearExpr::empty).add(load, 1.0);
             }
             p.add_constraint(balance, ComparisonOp::Eq, 0.0);
-            p.add_constraint(carried, ComparisonOp::Ge, v.reserve * (1.0 - stuck).max(0.0));
+            p.add_constraint(
+                carried,
+                ComparisonOp::Ge,
+                v.reserve * (1.0 - stuck).max(0.0),
+            );
         }
         for (n, sum) in on {
-            p.add_constraint(sum, ComparisonOp::Le, self.room[&n] * (1.0 - kept_back) + NOTHING);
+            p.add_constraint(
+                sum,
+                ComparisonOp::Le,
+                self.room[&n] * (1.0 - kept_back) + NOTHING,
+            );
         }
         let mut options = SolveOptions::default();
         options.node_limit = Some(MOST_SEARCH); // and no time limit: the same site gets the same answer
         let found = p.solve_with(options).ok()?.into_solution().ok()?;
         let value = |v: Option<Variable>| v.map_or(0.0, |v| found.var_value(v).max(0.0));
-        let parts = vars.into_iter().map(|(at, (out, comes))| (at, (value(out), value(comes))));
+        let parts = vars
+            .into_iter()
+            .map(|(at, (out, comes))| (at, (value(out), value(comes))));
         Some((parts.collect(), found.objective() * largest))
     }
 
@@ -211,22 +280,36 @@
         for v in &self.volumes {
             let s = size(v.id);
             let of = |n: u32| parts.get(&(v.id, n)).copied().unwrap_or_default();
-            let nodes = parts.range((v.id, 0)..=(v.id, u32::MAX)).map(|(k, p)| (k.1, *p));
+            let nodes = parts
+                .range((v.id, 0)..=(v.id, u32::MAX))
+                .map(|(k, p)| (k.1, *p));
             // What comes in beyond what leaves is wanted; the reverse leaves for others.
             let net = |(o, i): (f64, f64)| i - o;
             let up = |extents: f64| (extents - 1e-4).ceil().max(0.0) as u64;
-            let mut wants: Vec<(u32, f64)> =
-                nodes.filter(|(_, p)| net(*p) > NOTHING).map(|(n, p)| (n, net(p))).collect();
+            let mut wants: Vec<(u32, f64)> = nodes
+                .filter(|(_, p)| net(*p) > NOTHING)
+                .map(|(n, p)| (n, net(p)))
+                .collect();
             wants.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
             for (from, part) in &v.homes {
                 let here = (part * s.extents as f64).round();
-                let leaves = if self.empty.contains(from) { here } else { -net(of(*from)) };
+                let leaves = if self.empty.contains(from) {
+                    here
+                } else {
+                    -net(of(*from))
+                };
                 let mut left = up(leaves).min(here as u64);
                 while left > 0 {
                     let Some(want) = wants.first_mut() else { break };
                     let extents = left.min(up(want.1).max(1));
                     let bytes = extents * s.bytes;
-                    moves.push(Move { volume: v.id, from: *from, to: want.0, extents, bytes });
+                    moves.push(Move {
+                        volume: v.id,
+                        from: *from,
+                        to: want.0,
+                        extents,
+                        bytes,
+                    });
                     left -= extents;
                     want.1 -= extents as f64;
                     if want.1 <= NOTHING && wants.len() > 1 {
@@ -240,16 +323,28 @@
 
     /// Everything off the nodes to be emptied, spread over the targets with most room.
     fn anyhow(&self, size: impl Fn(u64) -> Size) -> Vec<Move> {
-        let mut room: BTreeMap<u32, f64> = self.targets.iter().map(|t| (*t, self.room[t])).collect();
+        let mut room: BTreeMap<u32, f64> =
+            self.targets.iter().map(|t| (*t, self.room[t])).collect();
         let mut moves = Vec::new();
         for v in &self.volumes {
             let s = size(v.id);
             for (from, part) in v.homes.iter().filter(|h| self.empty.contains(&h.0)) {
-                let best = room.iter().max_by(|a, b| a.1.total_cmp(b.1)).map(|(n, _)| *n);
+                let best = room
+                    .iter()
+                    .max_by(|a, b| a.1.total_cmp(b.1))
+                    .map(|(n, _)| *n);
                 let extents = (part * s.extents as f64).round() as u64;
-                let Some(to) = best.filter(|_| extents > 0) else { continue };
+                let Some(to) = best.filter(|_| extents > 0) else {
+                    continue;
+                };
                 room.entry(to).and_modify(|r| *r -= v.reserve * part);
-                moves.push(Move { volume: v.id, from: *from, to, extents, bytes: extents * s.bytes });
+                moves.push(Move {
+                    volume: v.id,
+                    from: *from,
+                    to,
+                    extents,
+                    bytes: extents * s.bytes,
+                });
             }
         }
         moves
--- a/crates/plans/src/planner.rs
+++ b/crates/plans/src/planner.rs
@@ -84,7 +84,10 @@
     pub fn of(v: &Volume, up: Vec<(usize, f64)>, spread: f64) -> Load {
         let reached = v.reserve * up.iter().map(|h| h.1).sum::<f64>().min(1.0);
         let most = |part: f64| whole(reached).min(whole(v.reserve * part * spread) + 1);
-        Load { reserve: whole(reached), homes: up.iter().map(|(n, part)| (*n, most(*part))).collect() }
+        Load {
+            reserve: whole(reached),
+            homes: up.iter().map(|(n, part)| (*n, most(*part))).collect(),
+        }
     }
 }
 
@@ -101,8 +104,19 @@
 
 impl<'a> Network<'a> {
     fn new(site: &'a Site, out: &BTreeSet<u32>) -> Self {
-        let place: HashMap<u32, usize> = site.nodes.iter().enumerate().map(|(i, n)| (n.id, i)).collect();
-        let capacity = site.nodes.iter().map(|n| if out.contains(&n.id) { 0 } else { whole(n.capacity) });
+        let place: HashMap<u32, usize> = site
+            .nodes
+            .iter()
+            .enumerate()
+            .map(|(i, n)| (n.id, i))
+            .collect();
+        let capacity = site.nodes.iter().map(|n| {
+            if out.contains(&n.id) {
+                0
+            } else {
+                whole(n.capacity)
+            }
+        });
         let load = |v: &Volume| {
             let up = |(id, part): &(u32, f64)| {
                 let place = place.get(id).copied().filter(|_| !out.contains(id))?;
@@ -110,7 +124,11 @@
             };
             Load::of(v, v.homes.iter().filter_map(up).collect(), site.spread)
         };
-        Network { site, capacity: capacity.collect(), loads: site.volumes.iter().map(load).collect() }
+        Network {
+            site,
+            capacity: capacity.collect(),
+            loads: site.volumes.iter().map(load).collect(),
+        }
     }
 
     /// The most that can be carried of these amounts of volumes.
@@ -119,10 +137,14 @@
         let mut alike: BTreeMap<Vec<usize>, (u64, Vec<u64>)> = BTreeMap::new();
         for (v, amount) in amounts {
             let homes = &self.loads[*v].homes;
-            let of = alike.entry(homes.iter().map(|h| h.0).collect()).or_default();
+            let of = alike
+                .entry(homes.iter().map(|h| h.0).collect())
+                .or_default();
             of.0 += amount;
             of.1.resize(homes.len(), 0);
-            of.1.iter_mut().zip(homes).for_each(|(sum, h)| *sum += h.1.min(*amount));
+            of.1.iter_mut()
+                .zip(homes)
+                .for_each(|(sum, h)| *sum += h.1.min(*amount));
         }
         let mut g: DiGraph<(), u64> = DiGraph::new();
         let (source, sink) = (g.add_node(()), g.add_node(()));
@@ -148,10 +170,23 @@
         let reserves: f64 = self.site.volumes.iter().map(|v| v.reserve).sum();
         // Each home's most is rounded up: a thousandth for each volume is no shortage.
         let slack = self.loads.len() as u64;
-        let short = if carried + slack >= asked { Vec::new() } else { self.gives_way(all) };
+        let short = if carried + slack >= asked {
+            Vec::new()
+        } else {
+            self.gives_way(all)
+        };
         let out_of_reach = (reserves - units(asked)).max(0.0);
-        let out_of_reach = if out_of_reach < units(slack) { 0.0 } else { out_of_reach };
-        Verdict { asked: units(asked), carried: units(carried.min(asked)), out_of_reach, short }
+        let out_of_reach = if out_of_reach < units(slack) {
+            0.0
+        } else {
+            out_of_reach
+        };
+        Verdict {
+            asked: units(asked),
+            carried: units(carried.min(asked)),
+            out_of_reach,
+            short,
+        }
     }
 
     /// The heaviest first, each as far as it can go beside all before it.
@@ -168,7 +203,9 @@
             flow.offer(g, homes.iter().map(|h| h.1.min(amount)));
             (v, flow.fill(g, amount))
         });
-        left.filter(|(_, left)| *left > 0).map(|(v, left)| (volumes[v].id, left as f64 / PARTS)).collect()
+        left.filter(|(_, left)| *left > 0)
+            .map(|(v, left)| (volumes[v].id, left as f64 / PARTS))
+            .collect()
     }
 }
 
@@ -197,8 +234,12 @@
 /// The site as it is, with any one node out, and with any one zone out.
 pub fn survey(site: &Site) -> Vec<(Out, Verdict)> {
     let zones: BTreeSet<u32> = site.nodes.iter().map(|n| n.zone).collect();
-    let all = [Out::Nothing].into_iter().chain(site.nodes.iter().map(|n| Out::Node(n.id)));
-    all.chain(zones.into_iter().map(Out::Zone)).map(|out| (out, check(site, &nodes_of(site, out)))).collect()
+    let all = [Out::Nothing]
+        .into_iter()
+        .chain(site.nodes.iter().map(|n| Out::Node(n.id)));
+    all.chain(zones.into_iter().map(Out::Zone))
+        .map(|out| (out, check(site, &nodes_of(site, out))))
+        .collect()
 }
 
 /// Nodes that are out with it.
--- a/crates/plans/src/source.rs
+++ b/crates/plans/src/source.rs
@@ -244,14 +244,30 @@
 
 impl Source {
     /// `spread`: see [`crate::planner::Site`].
-    pub fn new(start: Start, lease: Duration, margin: Duration, spread: f64, now: Duration) -> Self {
-        let Start { mut ledger, settled, has, hosts, era, eras, prevailed } = start;
+    pub fn new(
+        start: Start,
+        lease: Duration,
+        margin: Duration,
+        spread: f64,
+        now: Duration,
+    ) -> Self {
+        let Start {
+            mut ledger,
+            settled,
+            has,
+            hosts,
+            era,
+            eras,
+            prevailed,
+        } = start;
         ledger.need(settled);
         let each = (0..hosts.len() as u32).map(|h| (HostNo(h), has.get(&HostNo(h)).copied()));
         let leases = Leases::new(lease, margin, now, settled, each);
         let first = ledger.trail().next().map_or(ledger.version(), |e| e.from);
         let mut lowerings = Lowerings::new(first);
-        ledger.trail().for_each(|e| lowerings.add(e.version, e.lowers));
+        ledger
+            .trail()
+            .for_each(|e| lowerings.add(e.version, e.lowers));
         let admission = Admission::open(&ledger, spread);
         let next_timed = ledger.timed().map(|(id, _)| id + 1).max().unwrap_or(1);
         Source {
@@ -308,17 +324,27 @@
     /// that.
     pub fn waits_for(&self, version: Version) -> Vec<(Name, bool)> {
         let waits = self.leases.waits_for(self.now, version, &self.lowerings);
-        waits.into_iter().map(|(h, silent)| (self.hosts[h.0 as usize].clone(), silent)).collect()
+        waits
+            .into_iter()
+            .map(|(h, silent)| (self.hosts[h.0 as usize].clone(), silent))
+            .collect()
     }
 
     /// What each host has said to have.
     pub fn follows(&self) -> impl Iterator<Item = (&Name, Option<Version>)> {
-        self.hosts.iter().enumerate().map(|(i, name)| (name, self.leases.has(HostNo(i as u32))))
+        self.hosts
+            .iter()
+            .enumerate()
+            .map(|(i, name)| (name, self.leases.has(HostNo(i as u32))))
     }
 
     pub fn step(&mut self, now: Duration, wall: Duration, events: Vec<Event>) -> Vec<Action> {
         (self.now, self.wall) = (now.max(self.now), wall);
-        let several = events.iter().filter(|e| matches!(e, Event::Proposed { .. })).nth(1).is_some();
+        let several = events
+            .iter()
+            .filter(|e| matches!(e, Event::Proposed { .. }))
+            .nth(1)
+            .is_some();
         let budget = if several { LOSSES / 4 } else { LOSSES };
         self.losses = budget;
         events.into_iter().for_each(|e| self.hear(e));
@@ -332,16 +358,33 @@
 
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&self) -> Option<Duration> {
-        let held = self.waiting.values().map(|w| w.since + self.leases.lease() / 3);
-        let timed = self.ledger.timed().map(|(_, t)| self.now + t.at.saturating_sub(self.wall)).min();
+        let held = self
+            .waiting
+            .values()
+            .map(|w| w.since + self.leases.lease() / 3);
+        let timed = self
+            .ledger
+            .timed()
+            .map(|(_, t)| self.now + t.at.saturating_sub(self.wall))
+            .min();
         let timed = timed.map(|at| at.max(self.not_before));
         let idle = (self.stale > 0).then(|| self.now + IDLE);
-        held.chain(self.leases.wake_at(self.now)).chain(timed).chain(idle).min()
+        held.chain(self.leases.wake_at(self.now))
+            .chain(timed)
+            .chain(idle)
+            .min()
     }
 
     fn hear(&mut self, event: Event) {
         match event {
-            Event::Asked { call, host, era, has, settled, sure } => {
+            Event::Asked {
+                call,
+                host,
+                era,
+                has,
+                settled,
+                sure,
+            } => {
                 if host.0 as usize >= self.hosts.len() {
                     return self.refuse(call, "this host is not in the settings".into());
                 }
@@ -353,24 +396,49 @@
                     self.leases.heard(host, sure, self.ledger.version());
                 }
                 let other = (!shared).then_some(has);
-                let (has, settled) = if shared { (has, settled) } else { Default::default() };
-                self.waiting.insert(host, Waiting { call, has, settled, since: self.now, other });
+                let (has, settled) = if shared {
+                    (has, settled)
+                } else {
+                    Default::default()
+                };
+                self.waiting.insert(
+                    host,
+                    Waiting {
+                        call,
+                        has,
+                        settled,
+                        since: self.now,
+                        other,
+                    },
+                );
             }
             Event::Confirmed { host, era, has } if self.shares(era, has) => {
                 self.leases.heard(host, has, self.ledger.version());
             }
             Event::Confirmed { .. } => {}
             Event::Proposed { call, proposal } => self.propose(call, proposal),
-            Event::Undo { call, who, why, entry, force } => {
+            Event::Undo {
+                call,
+                who,
+                why,
+                entry,
+                force,
+            } => {
                 let entry = self.ledger.undo(entry, asks(&who, &why, self.wall));
                 self.land(Some(call), entry, force, false);
             }
             Event::Gone { call, host, who } => {
                 self.leases.gone(host);
                 let name = self.hosts.get(host.0 as usize).cloned().unwrap_or_default();
-                self.note(format!("{who} answers for it that host {name} sends nothing"));
+                self.note(format!(
+                    "{who} answers for it that host {name} sends nothing"
+                ));
                 let (version, opinion) = (self.kept, Opinion::default());
-                self.out.push(Action::Landed { call, version, opinion });
+                self.out.push(Action::Landed {
+                    call,
+                    version,
+                    opinion,
+                });
             }
             Event::Prevail { call, who, why } => self.prevail(call, &who, &why),
             Event::Unfit { node, how } => self.admission.set_unfit(node, how),
@@ -384,43 +452,86 @@
 
     /// Whether what was followed in that era up to there is part of this history.
     fn shares(&self, era: Era, has: Version) -> bool {
-        let upto = if era == self.era { Some(self.ledger.version()) } else { None };
+        let upto = if era == self.era {
+            Some(self.ledger.version())
+        } else {
+            None
+        };
         let past = self.eras.iter().find(|e| e.0 == era).map(|e| e.1);
         upto.or(past).is_some_and(|upto| has <= upto)
     }
 
     fn propose(&mut self, call: Call, p: Proposal) {
-        let Proposal { who, why, looked_at, mut changes, at, force, only_look } = p;
+        let Proposal {
+            who,
+            why,
+            looked_at,
+            mut changes,
+            at,
+            force,
+            only_look,
+        } = p;
         if self.landing.len() >= MOST_WAITING {
-            return self.refuse(call, format!("{MOST_WAITING} changes wait to be kept; try again"));
+            return self.refuse(
+                call,
+                format!("{MOST_WAITING} changes wait to be kept; try again"),
+            );
         }
         changes.iter_mut().for_each(|c| self.stamp(c, &who));
         if let Some(at) = at.filter(|at| *at > self.wall && !only_look) {
             // What is wrong with it by itself is told now and not at night.
-            if let Err(why) = self.ledger.propose(looked_at, asks(&who, &why, self.wall), changes.clone()) {
+            if let Err(why) =
+                self.ledger
+                    .propose(looked_at, asks(&who, &why, self.wall), changes.clone())
+            {
                 return self.refuse(call, why.to_string());
             }
             let id = self.next_timed;
             self.next_timed += 1;
-            let expects = changes.iter().map(|c| self.ledger.now(&c.subject())).collect();
-            let timed = Timed { at, who: who.clone(), why: why.clone(), force, changes, expects };
-            changes = vec![Change::Timed { id, to: Some(timed) }];
+            let expects = changes
+                .iter()
+                .map(|c| self.ledger.now(&c.subject()))
+                .collect();
+            let timed = Timed {
+                at,
+                who: who.clone(),
+                why: why.clone(),
+                force,
+                changes,
+                expects,
+            };
+            changes = vec![Change::Timed {
+                id,
+                to: Some(timed),
+            }];
         }
-        let entry = self.ledger.propose(looked_at, asks(&who, &why, self.wall), changes);
+        let entry = self
+            .ledger
+            .propose(looked_at, asks(&who, &why, self.wall), changes);
         self.land(Some(call), entry, force, only_look);
     }
 
     /// A drain tells by itself who asked for it, when, and since when it is as far as it is; whoever asks for
     /// what is so already changes nothing of that.
     fn stamp(&self, change: &mut Change, who: &str) {
-        let Change::Drain { node, to: Some(d) } = change else { return };
+        let Change::Drain { node, to: Some(d) } = change else {
+            return;
+        };
         let was = self.ledger.drain(*node);
         (d.who, d.asked) = was.map_or((who.into(), self.wall), |w| (w.who.clone(), w.asked));
-        d.since = was.filter(|w| w.stage == d.stage).map_or(self.wall, |w| w.since);
+        d.since = was
+            .filter(|w| w.stage == d.stage)
+            .map_or(self.wall, |w| w.since);
     }
 
     /// The one place where a change lands: judged, laid over the ledger and sent to the disk.
-    fn land(&mut self, call: Option<Call>, entry: Result<Entry, Refused>, force: bool, only_look: bool) {
+    fn land(
+        &mut self,
+        call: Option<Call>,
+        entry: Result<Entry, Refused>,
+        force: bool,
+        only_look: bool,
+    ) {
         let entry = match entry {
             Ok(entry) => entry,
             Err(why) => return self.refuse_some(call, why.to_string()),
@@ -430,17 +541,36 @@
         let anew = |c: &&Change| {
             matches!(c, Change::Volume { to: Some(_), .. }) && self.ledger.now(&c.subject()).ends()
         };
-        let last = |c: &Change| self.ledger.touched(&c.subject()).filter(|v| *v > self.settled_kept);
-        if let Some((c, v)) = entry.changes.iter().filter(anew).find_map(|c| Some((c, last(c)?))) {
-            let why =
-                format!("{} was before, and entry {} that ended it is not settled yet", c.subject(), v.0);
+        let last = |c: &Change| {
+            self.ledger
+                .touched(&c.subject())
+                .filter(|v| *v > self.settled_kept)
+        };
+        if let Some((c, v)) = entry
+            .changes
+            .iter()
+            .filter(anew)
+            .find_map(|c| Some((c, last(c)?)))
+        {
+            let why = format!(
+                "{} was before, and entry {} that ended it is not settled yet",
+                c.subject(),
+                v.0
+            );
             return self.refuse_some(call, why);
         }
         if self.ledger.trail_is_full() {
-            return self.refuse_some(call, "too many changes wait for hosts that do not answer".into());
+            return self.refuse_some(
+                call,
+                "too many changes wait for hosts that do not answer".into(),
+            );
         }
-        self.ledger.take(entry.clone()).expect("proposed as the next");
-        let opinion = self.admission.land(&self.ledger, &entry.changes, self.losses);
+        self.ledger
+            .take(entry.clone())
+            .expect("proposed as the next");
+        let opinion = self
+            .admission
+            .land(&self.ledger, &entry.changes, self.losses);
         let looked = self.admission.losses() - opinion.unseen.min(self.admission.losses());
         self.losses = self.losses.saturating_sub(looked.max(1));
         if let (true, Some(call)) = (only_look, call) {
@@ -457,18 +587,29 @@
                 return self.refuse_some(call, against);
             }
             entry.against = against;
-            self.ledger.take(entry.clone()).expect("taken back just now");
+            self.ledger
+                .take(entry.clone())
+                .expect("taken back just now");
         }
         let version = entry.version;
         self.lowerings.add(version, entry.lowers);
         let number = self.keep(Keep::Entry(entry));
-        self.landing.push_back(Landing { number, version, call, opinion, prevailed: self.prevailed });
+        self.landing.push_back(Landing {
+            number,
+            version,
+            call,
+            opinion,
+            prevailed: self.prevailed,
+        });
     }
 
     /// Hosts have followed what is not known here any more: the state as it is gets a version beyond theirs.
     fn prevail(&mut self, call: Call, who: &str, why: &str) {
         let Some(behind) = self.leases.behind() else {
-            return self.refuse(call, "no host has followed anything that is not known here".into());
+            return self.refuse(
+                call,
+                "no host has followed anything that is not known here".into(),
+            );
         };
         if !self.landing.is_empty() {
             return self.refuse(call, "changes wait to be kept; try again".into());
@@ -480,20 +621,36 @@
         self.leases.caught_up();
         let prevailed = std::mem::replace(&mut self.prevailed, version);
         let (number, call) = (self.keep(Keep::Prevails(entry)), Some(call));
-        self.landing.push_back(Landing { number, version, call, opinion: Opinion::default(), prevailed });
+        self.landing.push_back(Landing {
+            number,
+            version,
+            call,
+            opinion: Opinion::default(),
+            prevailed,
+        });
     }
 
     fn land_timed(&mut self) {
         if self.now < self.not_before {
             return;
         }
-        let due: Vec<(u64, Timed)> =
-            self.ledger.timed().filter(|(_, t)| t.at <= self.wall).map(|(id, t)| (id, t.clone())).collect();
+        let due: Vec<(u64, Timed)> = self
+            .ledger
+            .timed()
+            .filter(|(_, t)| t.at <= self.wall)
+            .map(|(id, t)| (id, t.clone()))
+            .collect();
         for (id, t) in due {
             let over = Change::Timed { id, to: None };
-            let other = t.expects.iter().find(|c| self.ledger.now(&c.subject()) != **c);
+            let other = t
+                .expects
+                .iter()
+                .find(|c| self.ledger.now(&c.subject()) != **c);
             let why = match other {
-                Some(c) => Err(format!("{} has changed since it was asked for", c.subject())),
+                Some(c) => Err(format!(
+                    "{} has changed since it was asked for",
+                    c.subject()
+                )),
                 None => self.timed(&t, &over),
             };
             if let Err(why) = why {
@@ -510,16 +667,23 @@
         let mut changes: Vec<Change> = t.changes.iter().chain([over]).cloned().collect();
         changes.iter_mut().for_each(|c| self.stamp(c, &t.who));
         let asks = asks(&t.who, &t.why, self.wall);
-        let entry = self.ledger.propose(self.ledger.version(), asks, changes).map_err(|e| e.to_string())?;
+        let entry = self
+            .ledger
+            .propose(self.ledger.version(), asks, changes)
+            .map_err(|e| e.to_string())?;
         let before = self.landing.len();
         let told = self.out.len();
         self.land(None, Ok(entry), t.force, false);
         match self.out.split_off(told) {
             // Refused: nothing was sent to the disk, and why is in its note.
             said if self.landing.len() == before => {
-                let why =
-                    said.into_iter()
-                        .find_map(|a| if let Action::Note { text } = a { Some(text) } else { None });
+                let why = said.into_iter().find_map(|a| {
+                    if let Action::Note { text } = a {
+                        Some(text)
+                    } else {
+                        None
+                    }
+                });
                 Err(why.unwrap_or_default())
             }
             said => {
@@ -531,7 +695,10 @@
 
     fn keep(&mut self, what: Keep) -> u64 {
         self.next += 1;
-        self.out.push(Action::Keep { number: self.next, what });
+        self.out.push(Action::Keep {
+            number: self.next,
+            what,
+        });
         self.next
     }
 
@@ -539,7 +706,11 @@
         while let Some(l) = self.landing.pop_front_if(|l| l.number <= upto) {
             self.kept = l.version;
             if let Some(call) = l.call {
-                self.out.push(Action::Landed { call, version: self.kept, opinion: l.opinion });
+                self.out.push(Action::Landed {
+                    call,
+                    version: self.kept,
+                    opinion: l.opinion,
+                });
             }
         }
         if let Some((_, settled)) = self.settled_sent.take_if(|s| s.0 <= upto) {
@@ -576,7 +747,8 @@
     fn bring(&mut self) {
         // Of versions that are on their way to the disk nobody has been told, so none of them is settled.
         let settled = self.leases.settled(self.now, &self.lowerings, self.kept);
-        if settled > self.settled_kept && self.settled_sent.is_none() && self.now >= self.not_before {
+        if settled > self.settled_kept && self.settled_sent.is_none() && self.now >= self.not_before
+        {
             let number = self.keep(Keep::Settled(settled));
             self.settled_sent = Some((number, settled));
         }
@@ -592,7 +764,10 @@
             // it has must not be forgotten for long, or what waits for its word would wait again after a
             // start.
             let has = self.leases.has(host).unwrap_or_default();
-            if self.known.get(&host) != Some(&has) && !sent.contains(&host) && self.now >= self.not_before {
+            if self.known.get(&host) != Some(&has)
+                && !sent.contains(&host)
+                && self.now >= self.not_before
+            {
                 let number = self.keep(Keep::Has(host, has));
                 self.known_sent.insert(number, (host, has));
             }
@@ -608,7 +783,14 @@
                 // The whole is told from what is settled on, or the host would not know what to reckon with.
                 let (to, settled) = (self.kept, self.settled_kept);
                 let from = if whole { settled } else { w.has };
-                self.out.push(Action::Grant { call: w.call, from, to, whole, settled, lease });
+                self.out.push(Action::Grant {
+                    call: w.call,
+                    from,
+                    to,
+                    whole,
+                    settled,
+                    lease,
+                });
                 self.waiting.remove(&host);
             }
         }
@@ -631,37 +813,68 @@
 }
 
 fn asks<'a>(who: &'a str, why: &'a str, at: Duration) -> Asks<'a> {
-    Asks { who, why, against: "", at }
+    Asks {
+        who,
+        why,
+        against: "",
+        at,
+    }
 }
 
 pub fn said(reasons: &[Reason]) -> String {
-    reasons.iter().map(|r| r.to_string()).collect::<Vec<_>>().join("; ")
+    reasons
+        .iter()
+        .map(|r| r.to_string())
+        .collect::<Vec<_>>()
+        .join("; ")
 }
 
 /// An entry as one host needs it: without volumes that do not and did not work through it, and without what
 /// is not for hosts at all. Of a volume that now works through it and did not, it is told how that was before
 /// each entry after `settled`: it must reckon with all of them.
 pub fn for_host(ledger: &Ledger, settled: Version, entry: &Entry, host: &Name) -> Entry {
-    let was: BTreeSet<Subject> =
-        entry.before.iter().filter(|c| !c.ends() && is_for(c, host)).map(|c| c.subject()).collect();
+    let was: BTreeSet<Subject> = entry
+        .before
+        .iter()
+        .filter(|c| !c.ends() && is_for(c, host))
+        .map(|c| c.subject())
+        .collect();
     let wanted = |c: &&Change| match c {
         Change::Volume { to: None, .. } => was.contains(&c.subject()),
         c => is_for(c, host) || was.contains(&c.subject()),
     };
     let changes: Vec<Change> = entry.changes.iter().filter(wanted).cloned().collect();
-    let new: BTreeSet<Subject> = changes.iter().map(|c| c.subject()).filter(|s| !was.contains(s)).collect();
+    let new: BTreeSet<Subject> = changes
+        .iter()
+        .map(|c| c.subject())
+        .filter(|s| !was.contains(s))
+        .collect();
     let volume = |c: &&Change| matches!(c, Change::Volume { .. }) && new.contains(&c.subject());
     let before: Vec<Change> = entry.before.iter().filter(volume).cloned().collect();
     let mut also = Vec::new();
     if !before.is_empty() {
-        for e in ledger.trail().rev().skip_while(|e| e.version >= entry.version) {
+        for e in ledger
+            .trail()
+            .rev()
+            .skip_while(|e| e.version >= entry.version)
+        {
             if e.version <= settled {
                 break;
             }
-            also.extend(e.before.iter().filter(volume).map(|c| (e.version, c.clone())));
+            also.extend(
+                e.before
+                    .iter()
+                    .filter(volume)
+                    .map(|c| (e.version, c.clone())),
+            );
         }
     }
-    Entry { changes, before, also, ..entry.clone() }
+    Entry {
+        changes,
+        before,
+        also,
+        ..entry.clone()
+    }
 }
 
 /// Whether a host needs to know something that is so.
--- a/crates/plans/src/standing.rs
+++ b/crates/plans/src/standing.rs
@@ -76,8 +76,17 @@
     fn new(spread: f64, nodes: Vec<Node>) -> Standing {
         let flow = Flow::new(&nodes.iter().map(|n| whole(n.capacity)).collect::<Vec<_>>());
         let place = nodes.iter().enumerate().map(|(i, n)| (n.id, i)).collect();
-        let spots = nodes.into_iter().map(|node| Spot { node, up: true }).collect();
-        Standing { spread, flow, spots, place, ..Standing::default() }
+        let spots = nodes
+            .into_iter()
+            .map(|node| Spot { node, up: true })
+            .collect();
+        Standing {
+            spread,
+            flow,
+            spots,
+            place,
+            ..Standing::default()
+        }
     }
 
     /// What rounding may lose: a thousandth for each volume.
@@ -90,17 +99,33 @@
     }
 
     pub fn missing(&self) -> Missing {
-        let (short, total) = (self.unmet.values().sum::<u64>(), self.total.iter().sum::<u64>());
+        let (short, total) = (
+            self.unmet.values().sum::<u64>(),
+            self.total.iter().sum::<u64>(),
+        );
         let out_of_reach = self.reserves.saturating_sub(total) as f64 / PARTS;
-        let out_of_reach = if out_of_reach < self.slack() { 0.0 } else { out_of_reach };
-        Missing { short: short as f64 / PARTS, out_of_reach }
+        let out_of_reach = if out_of_reach < self.slack() {
+            0.0
+        } else {
+            out_of_reach
+        };
+        Missing {
+            short: short as f64 / PARTS,
+            out_of_reach,
+        }
     }
 
     /// What would be missing with these nodes out as well.
     pub fn without(&mut self, out: &BTreeSet<u32>) -> Missing {
-        let places: Vec<usize> = out.iter().filter_map(|id| self.place.get(id).copied()).collect();
+        let places: Vec<usize> = out
+            .iter()
+            .filter_map(|id| self.place.get(id).copied())
+            .collect();
         let places: Vec<usize> = places.into_iter().filter(|p| self.spots[*p].up).collect();
-        let touched: BTreeSet<usize> = places.iter().flat_map(|p| self.flow.groups_at(*p)).collect();
+        let touched: BTreeSet<usize> = places
+            .iter()
+            .flat_map(|p| self.flow.groups_at(*p))
+            .collect();
         let totals: Vec<(usize, u64)> = touched.iter().map(|g| (*g, self.total[*g])).collect();
         let unmet = self.unmet.clone();
         self.flow.mark();
@@ -120,14 +145,23 @@
         let missing = self.missing();
         self.flow.back();
         places.iter().for_each(|p| self.spots[*p].up = true);
-        totals.into_iter().for_each(|(g, total)| self.total[g] = total);
+        totals
+            .into_iter()
+            .for_each(|(g, total)| self.total[g] = total);
         self.unmet = unmet;
         missing
     }
 
     /// Takes nodes out, or back in, for good.
     pub fn set_up(&mut self, id: u32, up: bool) {
-        let Some(place) = self.place.get(&id).copied().filter(|p| self.spots[*p].up != up) else { return };
+        let Some(place) = self
+            .place
+            .get(&id)
+            .copied()
+            .filter(|p| self.spots[*p].up != up)
+        else {
+            return;
+        };
         self.switch(place, up);
         self.reload(place);
     }
@@ -137,11 +171,20 @@
         match self.place.get(&node.id).copied() {
             None => {
                 let mut nodes: Vec<Node> = self.spots.iter().map(|s| s.node.clone()).collect();
-                let down: Vec<u32> = self.spots.iter().filter(|s| !s.up).map(|s| s.node.id).collect();
+                let down: Vec<u32> = self
+                    .spots
+                    .iter()
+                    .filter(|s| !s.up)
+                    .map(|s| s.node.id)
+                    .collect();
                 nodes.push(node);
                 // Rare, and the flow's tables are as long as there are nodes.
                 let volumes = self.volumes.values().map(|h| h.volume.clone()).collect();
-                *self = Standing::of(&Site { nodes, volumes, spread: self.spread });
+                *self = Standing::of(&Site {
+                    nodes,
+                    volumes,
+                    spread: self.spread,
+                });
                 down.into_iter().for_each(|id| self.set_up(id, false));
             }
             Some(place) => {
@@ -171,7 +214,13 @@
                 self.members[g].remove(&id);
                 self.reserves -= whole(old.volume.reserve);
                 self.total[g] -= old.amount;
-                let less = self.flow.group(g).most.iter().zip(&old.most).map(|(m, l)| m - l);
+                let less = self
+                    .flow
+                    .group(g)
+                    .most
+                    .iter()
+                    .zip(&old.most)
+                    .map(|(m, l)| m - l);
                 let less: Vec<u64> = less.collect();
                 self.flow.set_most(g, &less);
                 touched.insert(g);
@@ -184,12 +233,17 @@
 
     /// Nodes that hold a volume.
     pub fn homes_of(&self, id: u64) -> impl Iterator<Item = u32> + '_ {
-        self.volumes.get(&id).into_iter().flat_map(|h| h.volume.homes.iter().map(|h| h.0))
+        self.volumes
+            .get(&id)
+            .into_iter()
+            .flat_map(|h| h.volume.homes.iter().map(|h| h.0))
     }
 
     /// Units a second that a node could carry beside what it does.
     pub fn room(&self, id: u32) -> f64 {
-        self.place.get(&id).map_or(0.0, |p| self.flow.room(*p) as f64 / PARTS)
+        self.place
+            .get(&id)
+            .map_or(0.0, |p| self.flow.room(*p) as f64 / PARTS)
     }
 
     /// Whether nothing leads from there to room, while something is not carried.
@@ -200,9 +254,17 @@
     /// What each node carries of all volumes but these: of those with like homes, alike.
     pub fn carried_beside(&self, left_out: &BTreeSet<u64>) -> BTreeMap<u32, f64> {
         let mut carried: BTreeMap<u32, f64> = BTreeMap::new();
-        for (g, members) in self.members.iter().enumerate().filter(|(g, _)| self.total[*g] > 0) {
-            let beside: u64 =
-                members.iter().filter(|id| !left_out.contains(id)).map(|id| self.volumes[id].amount).sum();
+        for (g, members) in self
+            .members
+            .iter()
+            .enumerate()
+            .filter(|(g, _)| self.total[*g] > 0)
+        {
+            let beside: u64 = members
+                .iter()
+                .filter(|id| !left_out.contains(id))
+                .map(|id| self.volumes[id].amount)
+                .sum();
             let part = beside as f64 / self.total[g] as f64;
             let group = self.flow.group(g);
             for (n, on) in group.homes.iter().zip(&group.on) {
@@ -246,7 +308,11 @@
     fn load(&self, v: &Volume) -> (u64, Vec<u64>) {
         let known = |(id, part): &(u32, f64)| Some((self.place.get(id).copied()?, *part));
         let homes: Vec<(usize, f64)> = v.homes.iter().filter_map(known).collect();
-        let up = homes.iter().copied().filter(|h| self.spots[h.0].up).collect();
+        let up = homes
+            .iter()
+            .copied()
+            .filter(|h| self.spots[h.0].up)
+            .collect();
         let load = Load::of(v, up, self.spread);
         let most = |place| load.homes.iter().find(|h| h.0 == place).map_or(0, |h| h.1);
         (load.reserve, homes.iter().map(|h| most(h.0)).collect())
@@ -254,7 +320,11 @@
 
     /// Makes a volume known, with nothing of it carried.
     fn lay(&mut self, v: Volume) -> usize {
-        let homes: Vec<usize> = v.homes.iter().filter_map(|h| self.place.get(&h.0).copied()).collect();
+        let homes: Vec<usize> = v
+            .homes
+            .iter()
+            .filter_map(|h| self.place.get(&h.0).copied())
+            .collect();
         let g = self.flow.group_of(&homes);
         if g == self.members.len() {
             self.members.push(BTreeSet::new());
@@ -265,7 +335,15 @@
         self.members[g].insert(v.id);
         self.total[g] += amount;
         self.reserves += whole(v.reserve);
-        self.volumes.insert(v.id, Held { volume: v, group: g, amount, most });
+        self.volumes.insert(
+            v.id,
+            Held {
+                volume: v,
+                group: g,
+                amount,
+                most,
+            },
+        );
         g
     }
 
--- a/crates/plans/tests/admission.rs
+++ b/crates/plans/tests/admission.rs
@@ -11,42 +11,97 @@
 const ALL: usize = 1000;
 
 fn plan(name: &str, reservation: f64) -> Change {
-    let to = Some(Plan { rate: 100.0, reservation, weight: 1.0, price: 1.0, ..Plan::default() });
-    Change::Plan { name: name.into(), to }
+    let to = Some(Plan {
+        rate: 100.0,
+        reservation,
+        weight: 1.0,
+        price: 1.0,
+        ..Plan::default()
+    });
+    Change::Plan {
+        name: name.into(),
+        to,
+    }
 }
 
 fn volume(id: u64, plan: &str, cells: &[u32]) -> Change {
     let (plan, hosts, cells) = (plan.into(), ["h".into()].into(), cells.into());
-    Change::Volume { id, to: Some(Volume { plan, hosts, cells, blocks: 8 }) }
+    Change::Volume {
+        id,
+        to: Some(Volume {
+            plan,
+            hosts,
+            cells,
+            blocks: 8,
+        }),
+    }
 }
 
 fn node(id: u32, zone: &str, capacity: f64) -> Change {
-    Change::Node { id, to: Some(Node { zone: zone.into(), cell: id, capacity, ..Node::default() }) }
+    Change::Node {
+        id,
+        to: Some(Node {
+            zone: zone.into(),
+            cell: id,
+            capacity,
+            ..Node::default()
+        }),
+    }
 }
 
 fn drain(node: u32, on: bool) -> Change {
-    Change::Drain { node, to: on.then(Drain::default) }
+    Change::Drain {
+        node,
+        to: on.then(Drain::default),
+    }
 }
 
 fn stage(node: u32, stage: Stage) -> Change {
-    Change::Drain { node, to: Some(Drain { stage, ..Drain::default() }) }
+    Change::Drain {
+        node,
+        to: Some(Drain {
+            stage,
+            ..Drain::default()
+        }),
+    }
 }
 
 fn ledger() -> Ledger {
-    Ledger::new(Facts { hosts: ["h".into()].into(), linger: Duration::ZERO }, 10)
+    Ledger::new(
+        Facts {
+            hosts: ["h".into()].into(),
+            linger: Duration::ZERO,
+        },
+        10,
+    )
 }
 
 fn land(l: &mut Ledger, changes: Vec<Change>) {
-    let entry = l.propose(l.version(), Asks::default(), changes).expect("in order");
+    let entry = l
+        .propose(l.version(), Asks::default(), changes)
+        .expect("in order");
     l.take(entry).expect("the next");
 }
 
 /// Two zones of two nodes, each node of 100; four volumes, each on two nodes of different zones.
 fn begun() -> Ledger {
     let mut l = ledger();
-    let nodes = [node(1, "a", 100.0), node(2, "a", 100.0), node(3, "b", 100.0), node(4, "b", 100.0)];
+    let nodes = [
+        node(1, "a", 100.0),
+        node(2, "a", 100.0),
+        node(3, "b", 100.0),
+        node(4, "b", 100.0),
+    ];
     land(&mut l, nodes.into());
-    land(&mut l, vec![plan("basic", 20.0), plan("gold", 80.0), plan("big", 85.0), plan("none", 0.0)]);
+    land(
+        &mut l,
+        vec![
+            plan("basic", 20.0),
+            plan("gold", 80.0),
+            plan("big", 85.0),
+            plan("none", 0.0),
+        ],
+    );
     land(
         &mut l,
         vec![
@@ -114,7 +169,9 @@
     for (what, changes, expected) in cases {
         let o = opinion(&mut l, &mut a, changes);
         let against = o.against.iter().map(|r| format!("against: {r}"));
-        let told: Vec<String> = against.chain(o.warnings.iter().map(|r| format!("warns: {r}"))).collect();
+        let told: Vec<String> = against
+            .chain(o.warnings.iter().map(|r| format!("warns: {r}")))
+            .collect();
         assert_eq!(told, expected, "{what}");
         assert!(!o.blind && o.unseen == 0);
         assert_eq!(a.missing(), before, "{what}: taken back");
@@ -126,7 +183,13 @@
 fn what_speaks_against_a_drain() {
     use Stage::*;
     let free = || vec![plan("basic", 0.0)];
-    type Case = (&'static str, Vec<Change>, &'static [(u32, Beside)], Vec<Change>, &'static [&'static str]);
+    type Case = (
+        &'static str,
+        Vec<Change>,
+        &'static [(u32, Beside)],
+        Vec<Change>,
+        &'static [&'static str],
+    );
     let cases: [Case; 11] = [
         ("alone", free(), &[], vec![stage(1, Going)], &[]),
         (
@@ -185,7 +248,9 @@
             land(&mut l, vec![c]);
         }
         let mut a = Admission::open(&l, 2.0);
-        unfit.iter().for_each(|(n, how)| a.set_unfit(*n, Some(*how)));
+        unfit
+            .iter()
+            .for_each(|(n, how)| a.set_unfit(*n, Some(*how)));
         let o = opinion(&mut l, &mut a, changes);
         let told: Vec<String> = o.against.iter().map(|r| r.to_string()).collect();
         assert_eq!(told, expected, "{what}");
@@ -200,37 +265,79 @@
     land(&mut l, nodes.into());
     land(&mut l, vec![plan("all", 240.0)]);
     // Spread so wide that any of its nodes may carry up to all of it.
-    land(&mut l, vec![volume(1, "all", &[2, 3, 4]), plan("none", 0.0), volume(2, "none", &[1])]);
+    land(
+        &mut l,
+        vec![
+            volume(1, "all", &[2, 3, 4]),
+            plan("none", 0.0),
+            volume(2, "none", &[1]),
+        ],
+    );
     let mut a = Admission::open(&l, 5.0);
-    assert_eq!(opinion(&mut l, &mut a, vec![stage(1, Stage::Going)]).against, []);
+    assert_eq!(
+        opinion(&mut l, &mut a, vec![stage(1, Stage::Going)]).against,
+        []
+    );
     a.set_unfit(3, Some(Beside::Gone));
-    assert_eq!(opinion(&mut l, &mut a, vec![stage(1, Stage::Going)]).against, [], "it carried nothing");
+    assert_eq!(
+        opinion(&mut l, &mut a, vec![stage(1, Stage::Going)]).against,
+        [],
+        "it carried nothing"
+    );
     land(&mut l, vec![volume(1, "all", &[1, 2, 3, 4])]);
     let mut a = Admission::open(&l, 5.0);
     a.set_unfit(3, Some(Beside::Gone));
     let o = opinion(&mut l, &mut a, vec![stage(1, Stage::Going)]);
     assert!(!o.against.is_empty(), "{o:?}");
-    let told = Reason::Meanwhile { gone: vec![3], by: 40.0 }.to_string();
-    assert_eq!(told, "while node 3 is gone, 40.0 units a second of reserves cannot be met");
+    let told = Reason::Meanwhile {
+        gone: vec![3],
+        by: 40.0,
+    }
+    .to_string();
+    assert_eq!(
+        told,
+        "while node 3 is gone, 40.0 units a second of reserves cannot be met"
+    );
 }
 
 /// What is broken already does not keep anybody from mending it, or from what has nothing to do with it.
 #[test]
 fn a_broken_site_is_mended_step_by_step() {
     let mut l = begun();
-    land(&mut l, vec![volume(5, "gold", &[1]), volume(6, "gold", &[1]), volume(7, "gold", &[2])]);
+    land(
+        &mut l,
+        vec![
+            volume(5, "gold", &[1]),
+            volume(6, "gold", &[1]),
+            volume(7, "gold", &[2]),
+        ],
+    );
     let mut a = Admission::open(&l, 2.0);
     a.refresh(ALL);
     assert!((a.missing().short - 60.0).abs() < 0.1);
-    assert_eq!(opinion(&mut l, &mut a, vec![volume(6, "basic", &[1])]), Opinion::default(), "better");
-    assert_eq!(opinion(&mut l, &mut a, vec![volume(8, "none", &[3])]), Opinion::default(), "no worse");
+    assert_eq!(
+        opinion(&mut l, &mut a, vec![volume(6, "basic", &[1])]),
+        Opinion::default(),
+        "better"
+    );
+    assert_eq!(
+        opinion(&mut l, &mut a, vec![volume(8, "none", &[3])]),
+        Opinion::default(),
+        "no worse"
+    );
     let worse = opinion(&mut l, &mut a, vec![volume(8, "basic", &[1])]);
-    assert!(matches!(worse.against[..], [Reason::Short { .. }]), "{worse:?}");
+    assert!(
+        matches!(worse.against[..], [Reason::Short { .. }]),
+        "{worse:?}"
+    );
     // And what lands is the new measure.
     land(&mut l, vec![volume(8, "basic", &[1])]);
     a.land(&l, &[volume(8, "basic", &[1])], ALL);
     assert!((a.missing().short - 80.0).abs() < 0.1);
-    assert_eq!(opinion(&mut l, &mut a, vec![volume(8, "none", &[1])]), Opinion::default());
+    assert_eq!(
+        opinion(&mut l, &mut a, vec![volume(8, "none", &[1])]),
+        Opinion::default()
+    );
 }
 
 #[test]
@@ -242,13 +349,27 @@
     let mut l = begun();
     let mut a = Admission::open(&l, 2.0);
     a.refresh(ALL);
-    let changes =
-        vec![volume(5, "big", &[3, 4, 2]), volume(6, "big", &[3, 4, 2]), volume(7, "big", &[3, 4, 2])];
+    let changes = vec![
+        volume(5, "big", &[3, 4, 2]),
+        volume(6, "big", &[3, 4, 2]),
+        volume(7, "big", &[3, 4, 2]),
+    ];
     land(&mut l, changes.clone());
     let o = a.land(&l, &changes, 5);
-    let zones = |r: &Reason| matches!(r, Reason::Without { out: Out::Zone(_), .. });
+    let zones = |r: &Reason| {
+        matches!(
+            r,
+            Reason::Without {
+                out: Out::Zone(_),
+                ..
+            }
+        )
+    };
     // Node 1 shares nothing with them, and its loss, which would be told too, is looked at last.
-    assert!(o.unseen == 1 && o.warnings.len() == 2 && o.warnings.iter().all(zones), "{o:?}");
+    assert!(
+        o.unseen == 1 && o.warnings.len() == 2 && o.warnings.iter().all(zones),
+        "{o:?}"
+    );
     assert_eq!((a.refresh(0), a.refresh(ALL)), (1, 0));
 }
 
@@ -274,21 +395,36 @@
                     0 | 1 => drain(rng.random_range(1..5), false),
                     n => stage(rng.random_range(1..5), Stage::NAMES[n - 2].0),
                 },
-                3 => Change::Volume { id: rng.random_range(1..9), to: None },
+                3 => Change::Volume {
+                    id: rng.random_range(1..9),
+                    to: None,
+                },
                 _ => volume(rng.random_range(1..9), name, &cells),
             };
-            let Ok(entry) = l.propose(l.version(), Asks::default(), vec![change.clone()]) else { continue };
+            let Ok(entry) = l.propose(l.version(), Asks::default(), vec![change.clone()]) else {
+                continue;
+            };
             l.take(entry).unwrap();
             let o = a.land(&l, std::slice::from_ref(&change), rng.random_range(0..9));
             if !o.against.is_empty() && rng.random_range(0..2) == 0 {
                 l.take_back();
                 a.undo(&l, &[change]);
             }
-            let out = l.drains().filter(|(_, d)| d.holds()).map(|(n, _)| n).collect();
+            let out = l
+                .drains()
+                .filter(|(_, d)| d.holds())
+                .map(|(n, _)| n)
+                .collect();
             let v = check(&a.site(&l), &out);
             let seen = a.missing();
-            assert!((seen.short - (v.asked - v.carried)).abs() < 0.05, "seed {seed}: {seen:?} {v:?}");
-            assert!((seen.out_of_reach - v.out_of_reach).abs() < 0.05, "seed {seed}: {seen:?} {v:?}");
+            assert!(
+                (seen.short - (v.asked - v.carried)).abs() < 0.05,
+                "seed {seed}: {seen:?} {v:?}"
+            );
+            assert!(
+                (seen.out_of_reach - v.out_of_reach).abs() < 0.05,
+                "seed {seed}: {seen:?} {v:?}"
+            );
         }
     }
 }
--- a/crates/plans/tests/changes.rs
+++ b/crates/plans/tests/changes.rs
@@ -7,17 +7,37 @@
 use std::time::Duration;
 
 fn plan(name: &str, reservation: f64) -> Change {
-    let to = Some(Plan { rate: 100.0, reservation, weight: 1.0, ..Plan::default() });
-    Change::Plan { name: name.into(), to }
+    let to = Some(Plan {
+        rate: 100.0,
+        reservation,
+        weight: 1.0,
+        ..Plan::default()
+    });
+    Change::Plan {
+        name: name.into(),
+        to,
+    }
 }
 
 fn limited(name: &str, limit: f64, reservation: f64, burst: f64) -> Change {
-    let to = Some(Plan { limit, reservation, burst, slack: limit, ..Plan::default() });
-    Change::Plan { name: name.into(), to }
+    let to = Some(Plan {
+        limit,
+        reservation,
+        burst,
+        slack: limit,
+        ..Plan::default()
+    });
+    Change::Plan {
+        name: name.into(),
+        to,
+    }
 }
 
 fn no_plan(name: &str) -> Change {
-    Change::Plan { name: name.into(), to: None }
+    Change::Plan {
+        name: name.into(),
+        to: None,
+    }
 }
 
 fn volume(id: u64, plan: &str) -> Change {
@@ -26,29 +46,58 @@
 
 fn through(id: u64, plan: &str, hosts: &[&str]) -> Change {
     let hosts = hosts.iter().map(|h| Name::from(*h)).collect();
-    let to = Some(Volume { plan: plan.into(), hosts, cells: [].into(), blocks: 8 });
+    let to = Some(Volume {
+        plan: plan.into(),
+        hosts,
+        cells: [].into(),
+        blocks: 8,
+    });
     Change::Volume { id, to }
 }
 
 fn node(id: u32, cell: u32) -> Change {
-    Change::Node { id, to: Some(Node { zone: "a".into(), cell, capacity: 100.0, ..Node::default() }) }
+    Change::Node {
+        id,
+        to: Some(Node {
+            zone: "a".into(),
+            cell,
+            capacity: 100.0,
+            ..Node::default()
+        }),
+    }
 }
 
 fn drain(node: u32) -> Change {
-    Change::Drain { node, to: Some(Drain::default()) }
+    Change::Drain {
+        node,
+        to: Some(Drain::default()),
+    }
 }
 
 fn target(name: &str, volumes: &[u64]) -> Change {
-    Change::Target { name: name.into(), to: Some(volumes.into()) }
+    Change::Target {
+        name: name.into(),
+        to: Some(volumes.into()),
+    }
 }
 
 fn by<'a>(who: &'a str, why: &'a str) -> Asks<'a> {
-    Asks { who, why, ..Asks::default() }
+    Asks {
+        who,
+        why,
+        ..Asks::default()
+    }
 }
 
 fn ledger(most_trail: usize) -> Ledger {
     let hosts = ["h", "i", "j"].map(Name::from).into();
-    Ledger::new(Facts { hosts, linger: Duration::from_millis(250) }, most_trail)
+    Ledger::new(
+        Facts {
+            hosts,
+            linger: Duration::from_millis(250),
+        },
+        most_trail,
+    )
 }
 
 fn retired(id: u64) -> Change {
@@ -63,16 +112,33 @@
 
 fn begun() -> Ledger {
     let mut l = ledger(100);
-    land(&mut l, vec![plan("basic", 10.0), plan("priority", 50.0), volume(1, "basic"), volume(2, "basic")])
-        .unwrap();
+    land(
+        &mut l,
+        vec![
+            plan("basic", 10.0),
+            plan("priority", 50.0),
+            volume(1, "basic"),
+            volume(2, "basic"),
+        ],
+    )
+    .unwrap();
     l
 }
 
 #[test]
 fn what_is_refused_and_why() {
     let limit = |limit, reservation, burst, slack| {
-        let to = Some(Plan { limit, reservation, burst, slack, ..Plan::default() });
-        vec![Change::Plan { name: "p".into(), to }]
+        let to = Some(Plan {
+            limit,
+            reservation,
+            burst,
+            slack,
+            ..Plan::default()
+        });
+        vec![Change::Plan {
+            name: "p".into(),
+            to,
+        }]
     };
     let mut far = volume(9, "basic");
     if let Change::Volume { to: Some(v), .. } = &mut far {
@@ -96,38 +162,117 @@
         (vec![retired(7)], "volume 7 does not exist"),
         (vec![no_plan("gold")], "plan gold does not exist"),
         (vec![no_plan("basic")], "plan basic is in use by volume 1"),
-        (vec![volume(1, "priority"), no_plan("basic")], "plan basic is in use by volume 2"),
-        (vec![volume(1, "priority"), retired(1)], "volume 1 is changed twice at once"),
-        (vec![volume(3, "basic"), no_plan("basic"), retired(1), retired(2)], "plan basic does not exist"),
-        (limit(5.0, 10.0, 9.0, 9.0), "plan p: its limit is below its reservation"),
-        (limit(5.0, 1.0, 0.0, 9.0), "plan p: a limit needs a burst above 0"),
-        (limit(8.0, 1.0, 9.0, 1.0), "plan p: its slack is below what may still cross of its limit, 2"),
-        (limit(-1.0, 1.0, 9.0, 1.0), "plan p: a figure is negative or no number"),
-        (vec![through(9, "basic", &[])], "volume 9: works through no host"),
-        (vec![through(9, "basic", &["k"])], "volume 9: works through k, which is no host here"),
-        (vec![through(9, "basic", &["h", "h"])], "volume 9: works through one host twice"),
-        (vec![node(4, 1), far.clone()], "volume 9: its data may lie in cell 7, which no node holds"),
-        (vec![node(4, 7), node(5, 1), drain(6)], "node 6 does not exist"),
+        (
+            vec![volume(1, "priority"), no_plan("basic")],
+            "plan basic is in use by volume 2",
+        ),
+        (
+            vec![volume(1, "priority"), retired(1)],
+            "volume 1 is changed twice at once",
+        ),
+        (
+            vec![volume(3, "basic"), no_plan("basic"), retired(1), retired(2)],
+            "plan basic does not exist",
+        ),
+        (
+            limit(5.0, 10.0, 9.0, 9.0),
+            "plan p: its limit is below its reservation",
+        ),
+        (
+            limit(5.0, 1.0, 0.0, 9.0),
+            "plan p: a limit needs a burst above 0",
+        ),
+        (
+            limit(8.0, 1.0, 9.0, 1.0),
+            "plan p: its slack is below what may still cross of its limit, 2",
+        ),
+        (
+            limit(-1.0, 1.0, 9.0, 1.0),
+            "plan p: a figure is negative or no number",
+        ),
+        (
+            vec![through(9, "basic", &[])],
+            "volume 9: works through no host",
+        ),
+        (
+            vec![through(9, "basic", &["k"])],
+            "volume 9: works through k, which is no host here",
+        ),
+        (
+            vec![through(9, "basic", &["h", "h"])],
+            "volume 9: works through one host twice",
+        ),
+        (
+            vec![node(4, 1), far.clone()],
+            "volume 9: its data may lie in cell 7, which no node holds",
+        ),
+        (
+            vec![node(4, 7), node(5, 1), drain(6)],
+            "node 6 does not exist",
+        ),
         (vec![target("t", &[1, 9])], "volume 9 does not exist"),
-        (vec![target("t", &[1]), retired(1)], "volume 1 does not exist"),
-        (vec![Change::Drain { node: 4, to: None }], "drain of node 4 does not exist"),
-        (vec![Change::Timed { id: 4, to: None }], "timed change 4 does not exist"),
-        (vec![timed(vec![timed(vec![])])], "timed change 1: a timed change within a timed change"),
-        (vec![timed(vec![through(9, "basic", &[])])], "volume 9: works through no host"),
-        (vec![Change::Node { id: 4, to: None }], "node 4 does not exist"),
-        (vec![Change::Target { name: "t".into(), to: None }], "target t does not exist"),
+        (
+            vec![target("t", &[1]), retired(1)],
+            "volume 1 does not exist",
+        ),
+        (
+            vec![Change::Drain { node: 4, to: None }],
+            "drain of node 4 does not exist",
+        ),
+        (
+            vec![Change::Timed { id: 4, to: None }],
+            "timed change 4 does not exist",
+        ),
+        (
+            vec![timed(vec![timed(vec![])])],
+            "timed change 1: a timed change within a timed change",
+        ),
+        (
+            vec![timed(vec![through(9, "basic", &[])])],
+            "volume 9: works through no host",
+        ),
+        (
+            vec![Change::Node { id: 4, to: None }],
+            "node 4 does not exist",
+        ),
+        (
+            vec![Change::Target {
+                name: "t".into(),
+                to: None,
+            }],
+            "target t does not exist",
+        ),
     ];
     for (changes, why) in cases {
         let mut l = begun();
-        assert_eq!(land(&mut l, changes.clone()).unwrap_err().to_string(), why, "{changes:?}");
+        assert_eq!(
+            land(&mut l, changes.clone()).unwrap_err().to_string(),
+            why,
+            "{changes:?}"
+        );
         assert_eq!(l, begun(), "nothing of it is done");
     }
     // Several as one may rest on each other.
     let mut l = begun();
-    let all = vec![volume(1, "priority"), volume(2, "gold"), no_plan("basic"), plan("gold", 1.0)];
+    let all = vec![
+        volume(1, "priority"),
+        volume(2, "gold"),
+        no_plan("basic"),
+        plan("gold", 1.0),
+    ];
     assert!(land(&mut l, all).is_ok());
-    assert_eq!((l.plan("basic"), &*l.volume(2).unwrap().plan), (None, "gold"));
-    let all = vec![node(4, 1), node(5, 7), far, volume(9, "gold"), drain(4), target("t", &[2])];
+    assert_eq!(
+        (l.plan("basic"), &*l.volume(2).unwrap().plan),
+        (None, "gold")
+    );
+    let all = vec![
+        node(4, 1),
+        node(5, 7),
+        far,
+        volume(9, "gold"),
+        drain(4),
+        target("t", &[2]),
+    ];
     let twice = land(&mut l, all.clone()).unwrap_err();
     assert_eq!(twice.to_string(), "volume 9 is changed twice at once");
     assert!(land(
@@ -135,17 +280,31 @@
         all.into_iter()
             .filter(|c| *c != volume(9, "gold"))
             .map(|c| match c {
-                Change::Volume { id, to } =>
-                    Change::Volume { id, to: to.map(|v| Volume { plan: "gold".into(), ..v }) },
+                Change::Volume { id, to } => Change::Volume {
+                    id,
+                    to: to.map(|v| Volume {
+                        plan: "gold".into(),
+                        ..v
+                    })
+                },
                 c => c,
             })
             .collect()
     )
     .is_ok());
     for (changes, why) in [
-        (vec![Change::Node { id: 4, to: None }], "node 4 is in use by drain of node 4"),
-        (vec![Change::Node { id: 5, to: None }], "volume 9: its data may lie in cell 7, which no node holds"),
-        (vec![node(5, 8)], "volume 9: its data may lie in cell 7, which no node holds"),
+        (
+            vec![Change::Node { id: 4, to: None }],
+            "node 4 is in use by drain of node 4",
+        ),
+        (
+            vec![Change::Node { id: 5, to: None }],
+            "volume 9: its data may lie in cell 7, which no node holds",
+        ),
+        (
+            vec![node(5, 8)],
+            "volume 9: its data may lie in cell 7, which no node holds",
+        ),
         (vec![retired(2)], "volume 2 is in use by target t"),
     ] {
         assert_eq!(land(&mut l, changes).unwrap_err().to_string(), why);
@@ -157,28 +316,62 @@
 #[test]
 fn drains_and_names_of_nodes() {
     use Stage::*;
-    let stage = |stage| Change::Drain { node: 4, to: Some(Drain { stage, ..Drain::default() }) };
+    let stage = |stage| Change::Drain {
+        node: 4,
+        to: Some(Drain {
+            stage,
+            ..Drain::default()
+        }),
+    };
     let named = |id, name: &str| {
-        let to = Node { name: name.into(), zone: "a".into(), cell: id, ..Node::default() };
+        let to = Node {
+            name: name.into(),
+            zone: "a".into(),
+            cell: id,
+            ..Node::default()
+        };
         Change::Node { id, to: Some(to) }
     };
     let mut l = begun();
     land(&mut l, vec![named(4, "box4"), named(5, "box5")]).unwrap();
-    assert_eq!(["box4", "5", "box6", "6"].map(|n| l.node_called(n)), [Some(4), Some(5), None, None]);
+    assert_eq!(
+        ["box4", "5", "box6", "6"].map(|n| l.node_called(n)),
+        [Some(4), Some(5), None, None]
+    );
     let refused = [
-        (vec![stage(Empty)], "drain of node 4: cannot go from none to empty"),
-        (vec![named(6, "box5")], "node 6: node 5 is called box5 as well"),
-        (vec![named(6, "x"), named(7, "x")], "node 6: node 7 is called x as well"),
-        (vec![named(6, "77")], "node 6: its name, 77, is a number and might be another's"),
+        (
+            vec![stage(Empty)],
+            "drain of node 4: cannot go from none to empty",
+        ),
+        (
+            vec![named(6, "box5")],
+            "node 6: node 5 is called box5 as well",
+        ),
+        (
+            vec![named(6, "x"), named(7, "x")],
+            "node 6: node 7 is called x as well",
+        ),
+        (
+            vec![named(6, "77")],
+            "node 6: its name, 77, is a number and might be another's",
+        ),
     ];
     for (changes, why) in refused {
         assert_eq!(land(&mut l, changes).unwrap_err().to_string(), why);
     }
     land(&mut l, vec![named(4, "box5"), named(5, "box4")]).expect("they change places");
-    assert_eq!(["box4", "box5"].map(|n| l.node_called(n)), [Some(5), Some(4)]);
-    for (next, fine) in
-        [(Queued, true), (Going, true), (Queued, false), (Empty, true), (Going, false), (Out, true)]
-    {
+    assert_eq!(
+        ["box4", "box5"].map(|n| l.node_called(n)),
+        [Some(5), Some(4)]
+    );
+    for (next, fine) in [
+        (Queued, true),
+        (Going, true),
+        (Queued, false),
+        (Empty, true),
+        (Going, false),
+        (Out, true),
+    ] {
         assert_eq!(land(&mut l, vec![stage(next)]).is_ok(), fine, "{next:?}");
     }
     land(&mut l, vec![Change::Drain { node: 4, to: None }]).unwrap();
@@ -192,32 +385,91 @@
 #[test]
 fn what_takes_from_hosts_that_do_not_hear_of_it() {
     let mut l = begun();
-    let first =
-        vec![limited("capped", 20.0, 10.0, 40.0), limited("lower", 20.0, 8.0, 40.0), plan("free", 9.0)];
+    let first = vec![
+        limited("capped", 20.0, 10.0, 40.0),
+        limited("lower", 20.0, 8.0, 40.0),
+        plan("free", 9.0),
+    ];
     land(&mut l, first).unwrap();
-    land(&mut l, vec![through(5, "capped", &["h", "i"]), volume(6, "free")]).unwrap();
+    land(
+        &mut l,
+        vec![through(5, "capped", &["h", "i"]), volume(6, "free")],
+    )
+    .unwrap();
     let cases = [
-        ("a higher limit", vec![limited("capped", 30.0, 10.0, 40.0)], false),
-        ("a lower limit", vec![limited("capped", 15.0, 10.0, 40.0)], false),
-        ("a lower reservation", vec![limited("capped", 20.0, 9.0, 40.0)], true),
-        ("a smaller burst", vec![limited("capped", 20.0, 10.0, 39.0)], true),
+        (
+            "a higher limit",
+            vec![limited("capped", 30.0, 10.0, 40.0)],
+            false,
+        ),
+        (
+            "a lower limit",
+            vec![limited("capped", 15.0, 10.0, 40.0)],
+            false,
+        ),
+        (
+            "a lower reservation",
+            vec![limited("capped", 20.0, 9.0, 40.0)],
+            true,
+        ),
+        (
+            "a smaller burst",
+            vec![limited("capped", 20.0, 10.0, 39.0)],
+            true,
+        ),
         ("no limit any more", vec![plan("capped", 1.0)], false),
-        ("a limit where there was none", vec![limited("free", 30.0, 9.0, 40.0)], true),
-        ("a plan on which nothing stands", vec![limited("lower", 20.0, 1.0, 40.0)], false),
-        ("a plan with less", vec![through(5, "lower", &["h", "i"])], true),
-        ("a plan without a limit", vec![through(5, "free", &["h", "i"])], false),
+        (
+            "a limit where there was none",
+            vec![limited("free", 30.0, 9.0, 40.0)],
+            true,
+        ),
+        (
+            "a plan on which nothing stands",
+            vec![limited("lower", 20.0, 1.0, 40.0)],
+            false,
+        ),
+        (
+            "a plan with less",
+            vec![through(5, "lower", &["h", "i"])],
+            true,
+        ),
+        (
+            "a plan without a limit",
+            vec![through(5, "free", &["h", "i"])],
+            false,
+        ),
         ("onto a limit", vec![volume(6, "capped")], true),
-        ("one more host", vec![through(5, "capped", &["h", "i", "j"])], true),
+        (
+            "one more host",
+            vec![through(5, "capped", &["h", "i", "j"])],
+            true,
+        ),
         ("one host fewer", vec![through(5, "capped", &["h"])], true),
-        ("another host", vec![through(5, "capped", &["h", "j"])], true),
-        ("a new volume with a limit", vec![volume(7, "capped")], false),
+        (
+            "another host",
+            vec![through(5, "capped", &["h", "j"])],
+            true,
+        ),
+        (
+            "a new volume with a limit",
+            vec![volume(7, "capped")],
+            false,
+        ),
         ("a new volume without", vec![volume(7, "free")], false),
         ("a retired volume", vec![retired(5)], false),
-        ("a new limited plan and a volume on it", vec![limited("x", 9.0, 1.0, 9.0), volume(6, "x")], true),
+        (
+            "a new limited plan and a volume on it",
+            vec![limited("x", 9.0, 1.0, 9.0), volume(6, "x")],
+            true,
+        ),
     ];
     land(&mut l, vec![volume(8, "capped")]).unwrap();
     land(&mut l, vec![retired(8)]).unwrap();
-    let again = ("a volume by the name of one that was", vec![volume(8, "capped")], true);
+    let again = (
+        "a volume by the name of one that was",
+        vec![volume(8, "capped")],
+        true,
+    );
     for (what, changes, lowers) in cases.into_iter().chain([again]) {
         let entry = l.propose(l.version(), by("c", what), changes).unwrap();
         assert_eq!(entry.lowers, lowers, "{what}");
@@ -229,7 +481,17 @@
 fn back_and_towards() {
     let mut l = begun();
     let before = l.clone();
-    land(&mut l, vec![volume(1, "priority"), retired(2), plan("x", 1.0), node(1, 1), drain(1)]).unwrap();
+    land(
+        &mut l,
+        vec![
+            volume(1, "priority"),
+            retired(2),
+            plan("x", 1.0),
+            node(1, 1),
+            drain(1),
+        ],
+    )
+    .unwrap();
     let after = l.clone();
     assert!(l.take_back().is_some());
     let all = |l: &Ledger| l.state().collect::<Vec<_>>();
@@ -247,13 +509,33 @@
 #[test]
 fn two_at_once() {
     let cases: [(Vec<Change>, Vec<Change>, Option<&str>); 6] = [
-        (vec![volume(1, "priority")], vec![volume(1, "basic"), plan("x", 1.0)], Some("volume 1")),
-        (vec![volume(1, "priority")], vec![volume(2, "priority")], None),
+        (
+            vec![volume(1, "priority")],
+            vec![volume(1, "basic"), plan("x", 1.0)],
+            Some("volume 1"),
+        ),
+        (
+            vec![volume(1, "priority")],
+            vec![volume(2, "priority")],
+            None,
+        ),
         (vec![plan("basic", 5.0)], vec![volume(1, "priority")], None),
-        (vec![plan("priority", 5.0)], vec![volume(1, "priority")], Some("plan priority")),
-        (vec![retired(1)], vec![volume(1, "priority")], Some("volume 1")),
+        (
+            vec![plan("priority", 5.0)],
+            vec![volume(1, "priority")],
+            Some("plan priority"),
+        ),
+        (
+            vec![retired(1)],
+            vec![volume(1, "priority")],
+            Some("volume 1"),
+        ),
         // A plan is deleted while a volume is put on it: the one that comes second is refused.
-        (vec![no_plan("priority")], vec![volume(1, "priority")], Some("plan priority")),
+        (
+            vec![no_plan("priority")],
+            vec![volume(1, "priority")],
+            Some("plan priority"),
+        ),
     ];
     for (first, second, collides) in cases {
         let mut l = begun();
@@ -263,7 +545,14 @@
         let second = l.propose(looked_at, by("other", "at once"), second.clone());
         match (collides, second) {
             (None, Ok(entry)) => assert_eq!(entry.version.0, with.0 + 1),
-            (Some(subject), Err(Refused::Collision { subject: s, with: w, .. })) => {
+            (
+                Some(subject),
+                Err(Refused::Collision {
+                    subject: s,
+                    with: w,
+                    ..
+                }),
+            ) => {
                 assert_eq!((s.to_string().as_str(), w), (subject, with));
             }
             (expected, got) => panic!("{first:?}: expected {expected:?}, found {got:?}"),
@@ -272,21 +561,35 @@
     let mut l = begun();
     land(&mut l, vec![volume(1, "priority")]).unwrap();
     let delete = l.propose(Version(1), by("other", ""), vec![no_plan("priority")]);
-    assert_eq!(delete.unwrap_err().to_string(), "plan priority is in use by volume 1");
+    assert_eq!(
+        delete.unwrap_err().to_string(),
+        "plan priority is in use by volume 1"
+    );
 }
 
 #[test]
 fn undo_is_a_new_change_and_collides_like_one() {
     let mut l = begun();
-    let moved = land(&mut l, vec![volume(1, "priority"), retired(2), plan("gold", 1.0)]).unwrap();
+    let moved = land(
+        &mut l,
+        vec![volume(1, "priority"), retired(2), plan("gold", 1.0)],
+    )
+    .unwrap();
     land(&mut l, vec![volume(7, "basic")]).unwrap();
     let undo = l.undo(moved, by("clerk", "was wrong")).unwrap();
     l.take(undo.clone()).unwrap();
     assert_eq!(
-        (l.volume(1).unwrap().plan.to_string(), l.volume(2).is_some(), l.plan("gold")),
+        (
+            l.volume(1).unwrap().plan.to_string(),
+            l.volume(2).is_some(),
+            l.plan("gold")
+        ),
         ("basic".to_string(), true, None)
     );
-    assert_eq!(l.undo(moved, by("clerk", "")).unwrap_err().to_string()[..9], *"plan gold");
+    assert_eq!(
+        l.undo(moved, by("clerk", "")).unwrap_err().to_string()[..9],
+        *"plan gold"
+    );
     // And undone again.
     let redo = l.undo(undo.version, by("clerk", "was right")).unwrap();
     l.take(redo).unwrap();
@@ -317,7 +620,10 @@
                 Err(OutOfOrder::Gap { wants }) => assert!(wants < entries[at].version),
             }
         }
-        assert_eq!((host.volume(139), host.trail().count()), (source.volume(139), 5));
+        assert_eq!(
+            (host.volume(139), host.trail().count()),
+            (source.volume(139), 5)
+        );
     }
 }
 
@@ -341,11 +647,17 @@
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut l, mut landed) = (ledger(1000), Vec::new());
-        let (mut plans, mut volumes) = (BTreeMap::<String, f64>::new(), BTreeMap::<u64, String>::new());
+        let (mut plans, mut volumes) = (
+            BTreeMap::<String, f64>::new(),
+            BTreeMap::<u64, String>::new(),
+        );
         for _ in 0..120 {
             let changes: Vec<Change> = (0..rng.random_range(1..4))
                 .map(|_| {
-                    let (name, id) = (format!("p{}", rng.random_range(0..4)), rng.random_range(0..6));
+                    let (name, id) = (
+                        format!("p{}", rng.random_range(0..4)),
+                        rng.random_range(0..6),
+                    );
                     match rng.random_range(0..5) {
                         0 => no_plan(&name),
                         1 => plan(&name, f64::from(rng.random_range(0..5))),
@@ -374,22 +686,39 @@
                     }
                 }
             }
-            assert!(volumes.values().all(|p| plans.contains_key(p)), "seed {seed}");
+            assert!(
+                volumes.values().all(|p| plans.contains_key(p)),
+                "seed {seed}"
+            );
             (0..6).for_each(|id| {
-                assert_eq!(l.volume(id).map(|v| v.plan.to_string()), volumes.get(&id).cloned())
+                assert_eq!(
+                    l.volume(id).map(|v| v.plan.to_string()),
+                    volumes.get(&id).cloned()
+                )
             });
             (0..4).for_each(|n| {
                 let name = format!("p{n}");
-                assert_eq!(l.plan(&name).map(|p| p.reservation), plans.get(&name).copied());
+                assert_eq!(
+                    l.plan(&name).map(|p| p.reservation),
+                    plans.get(&name).copied()
+                );
             });
         }
         while let Some(version) = landed.pop() {
-            let wanted = l.trail().find(|e| e.version == version).expect("kept").before.clone();
-            let undo = l.propose(l.version(), by("c", "back"), wanted).expect("it was so before");
+            let wanted = l
+                .trail()
+                .find(|e| e.version == version)
+                .expect("kept")
+                .before
+                .clone();
+            let undo = l
+                .propose(l.version(), by("c", "back"), wanted)
+                .expect("it was so before");
             l.take(undo).unwrap();
         }
         assert!(
-            (0..6).all(|id| l.volume(id).is_none()) && (0..4).all(|n| l.plan(&format!("p{n}")).is_none())
+            (0..6).all(|id| l.volume(id).is_none())
+                && (0..4).all(|n| l.plan(&format!("p{n}")).is_none())
         );
     }
 }
--- a/crates/plans/tests/feed.rs
+++ b/crates/plans/tests/feed.rs
@@ -30,7 +30,13 @@
     fn says(&self, host: usize) -> Says {
         let hosts = self.hosts.iter().filter(|h| **h).count();
         let (reservation, limit) = (self.reservation, self.limit);
-        Says { reservation, limit, burst: limit, hosts, mine: self.hosts[host] }
+        Says {
+            reservation,
+            limit,
+            burst: limit,
+            hosts,
+            mine: self.hosts[host],
+        }
     }
 
     fn lowers(&self, before: &Kept) -> bool {
@@ -50,15 +56,31 @@
 const STORIES: [(&str, &[Kept]); 6] = {
     const BOTH: [bool; 2] = [true, true];
     const fn kept(limit: f64, reservation: f64, hosts: [bool; 2]) -> Kept {
-        Kept { limit, reservation, hosts }
+        Kept {
+            limit,
+            reservation,
+            hosts,
+        }
     }
     [
         ("lowered", &[kept(6.0, 1.0, BOTH), kept(2.0, 1.0, BOTH)]),
         ("raised", &[kept(2.0, 1.0, BOTH), kept(6.0, 1.0, BOTH)]),
-        ("given a limit", &[kept(0.0, 1.0, BOTH), kept(2.0, 1.0, BOTH)]),
-        ("a host comes in", &[kept(4.0, 2.0, [true, false]), kept(4.0, 2.0, BOTH)]),
-        ("moved to the other host", &[kept(4.0, 2.0, [true, false]), kept(4.0, 2.0, [false, true])]),
-        ("its reservation lowered below", &[kept(6.0, 4.0, BOTH), kept(2.0, 1.0, BOTH)]),
+        (
+            "given a limit",
+            &[kept(0.0, 1.0, BOTH), kept(2.0, 1.0, BOTH)],
+        ),
+        (
+            "a host comes in",
+            &[kept(4.0, 2.0, [true, false]), kept(4.0, 2.0, BOTH)],
+        ),
+        (
+            "moved to the other host",
+            &[kept(4.0, 2.0, [true, false]), kept(4.0, 2.0, [false, true])],
+        ),
+        (
+            "its reservation lowered below",
+            &[kept(6.0, 4.0, BOTH), kept(2.0, 1.0, BOTH)],
+        ),
     ]
 };
 
@@ -137,14 +159,26 @@
         let all = (0..HOSTS as u32).map(|h| (HostNo(h), first));
         let leases = Leases::new(ticks(LEASE), self.margin(), Duration::ZERO, Version(1), all);
         let follower = Follower::kept(Version(1), Version(1));
-        let host = Host { follower, ..Host::default() };
+        let host = Host {
+            follower,
+            ..Host::default()
+        };
         let hosts = [host.clone(), host];
-        State { now: 0, latest: 1, leases, settled: Version(1), mishaps: 0, hosts }
+        State {
+            now: 0,
+            latest: 1,
+            leases,
+            settled: Version(1),
+            mishaps: 0,
+            hosts,
+        }
     }
 
     /// The source looks at its leases whenever something happens.
     fn settle(&self, mut s: State) -> State {
-        s.settled = s.leases.settled(ticks(s.now), &self.lowerings(s.latest), Version(s.latest));
+        s.settled = s
+            .leases
+            .settled(ticks(s.now), &self.lowerings(s.latest), Version(s.latest));
         s
     }
 
@@ -202,13 +236,18 @@
                 push(&|s| {
                     s.mishaps += 1;
                     s.leases.gone(HostNo(0));
-                    s.hosts[0] = Host { gone: true, ..Host::default() };
+                    s.hosts[0] = Host {
+                        gone: true,
+                        ..Host::default()
+                    };
                 });
             }
             if i == 1 && self.prompt {
                 push(&|s| {
                     let answer = self.answer(s, i, clock, h.follower.has);
-                    answer.into_iter().for_each(|a| self.arrive(&mut s.hosts[i], clock, a));
+                    answer
+                        .into_iter()
+                        .for_each(|a| self.arrive(&mut s.hosts[i], clock, a));
                 });
                 continue;
             }
@@ -232,12 +271,24 @@
         all
     }
 
-    fn answer(&self, s: &mut State, host: usize, sent: u64, has: Version) -> Option<(u64, Version, Version)> {
+    fn answer(
+        &self,
+        s: &mut State,
+        host: usize,
+        sent: u64,
+        has: Version,
+    ) -> Option<(u64, Version, Version)> {
         let (now, host, latest) = (ticks(s.now), HostNo(host as u32), Version(s.latest));
-        let has = if self.bug == Bug::SentIsHad { latest } else { has };
+        let has = if self.bug == Bug::SentIsHad {
+            latest
+        } else {
+            has
+        };
         match s.leases.asked(now, host, has, latest) {
             Answer::Grant { .. } => {
-                let settled = s.leases.settled(now, &self.lowerings(s.latest), Version(s.latest));
+                let settled = s
+                    .leases
+                    .settled(now, &self.lowerings(s.latest), Version(s.latest));
                 Some((sent, latest, settled))
             }
             _ => None,
@@ -245,7 +296,11 @@
     }
 
     fn arrive(&self, h: &mut Host, clock: u64, (sent, version, settled): (u64, Version, Version)) {
-        let from = if self.bug == Bug::FromArrival { clock } else { sent };
+        let from = if self.bug == Bug::FromArrival {
+            clock
+        } else {
+            sent
+        };
         if self.bug == Bug::GoesBack {
             h.follower = Follower::default();
         }
@@ -256,7 +311,11 @@
     fn sums(&self, s: &State) -> (f64, f64) {
         let of = |i: usize, h: &Host| {
             let f = &h.follower;
-            let from = if self.bug == Bug::NewestAlone { f.has } else { f.settled };
+            let from = if self.bug == Bug::NewestAlone {
+                f.has
+            } else {
+                f.settled
+            };
             let window = (from.0.max(1)..=f.has.0).map(|v| self.kept[v as usize - 1].says(i));
             part(window, f.leased(ticks(s.now - h.lost))).map_or(f64::INFINITY, |p| p.rate)
         };
@@ -284,7 +343,12 @@
 
 impl Model {
     fn short(kept: &'static [Kept], bug: Bug) -> Self {
-        Model { kept, bug, mishaps: 1, prompt: true }
+        Model {
+            kept,
+            bug,
+            mishaps: 1,
+            prompt: true,
+        }
     }
 }
 
@@ -325,8 +389,16 @@
 fn no_state_with_two_mishaps_or_with_two_slow_hosts() {
     for (mishaps, prompt) in [(2, true), (0, false)] {
         for (story, kept) in STORIES {
-            let (visited, found) = Model { kept, bug: Bug::None, mishaps, prompt }.explore();
-            println!("{story}, {mishaps} mishaps, second host prompt {prompt}: {visited} states visited");
+            let (visited, found) = Model {
+                kept,
+                bug: Bug::None,
+                mishaps,
+                prompt,
+            }
+            .explore();
+            println!(
+                "{story}, {mishaps} mishaps, second host prompt {prompt}: {visited} states visited"
+            );
             assert_eq!(found, None, "{story}");
         }
     }
--- a/crates/plans/tests/fleet.rs
+++ b/crates/plans/tests/fleet.rs
@@ -25,7 +25,10 @@
 }
 
 fn facts() -> Facts {
-    Facts { hosts: HOSTS.iter().map(|h| Name::from(*h)).collect(), linger: LINGER }
+    Facts {
+        hosts: HOSTS.iter().map(|h| Name::from(*h)).collect(),
+        linger: LINGER,
+    }
 }
 
 /// What the service's disk holds.
@@ -36,10 +39,23 @@
 
 impl Disk {
     fn new(era: u64) -> Self {
-        let (ledger, has, hosts) =
-            (Ledger::new(facts(), 30), BTreeMap::new(), HOSTS.map(Name::from).to_vec());
+        let (ledger, has, hosts) = (
+            Ledger::new(facts(), 30),
+            BTreeMap::new(),
+            HOSTS.map(Name::from).to_vec(),
+        );
         let (settled, era, eras, prevailed) = (Version(0), Era(era), Vec::new(), Version(0));
-        Disk { start: source::Start { ledger, settled, has, hosts, era, eras, prevailed } }
+        Disk {
+            start: source::Start {
+                ledger,
+                settled,
+                has,
+                hosts,
+                era,
+                eras,
+                prevailed,
+            },
+        }
     }
 
     fn keep(&mut self, what: source::Keep) {
@@ -75,9 +91,10 @@
 
 impl HostDisk {
     fn start(&self) -> follow::Start {
-        self.0
-            .clone()
-            .unwrap_or_else(|| follow::Start { ledger: Follow::ledger_of(facts()), ..Default::default() })
+        self.0.clone().unwrap_or_else(|| follow::Start {
+            ledger: Follow::ledger_of(facts()),
+            ..Default::default()
+        })
     }
 
     fn keep(&mut self, k: &follow::Keep, whole: &Ledger) {
@@ -85,7 +102,9 @@
         if k.whole {
             start.ledger = whole.clone();
         } else {
-            k.entries.iter().for_each(|e| start.ledger.take(e.clone()).expect("the next"));
+            k.entries
+                .iter()
+                .for_each(|e| start.ledger.take(e.clone()).expect("the next"));
         }
         start.ledger.forget(k.settled);
         (start.settled, start.era) = (k.settled, k.era);
@@ -94,9 +113,23 @@
 }
 
 enum Message {
-    Ask { host: usize, call: Call, era: Era, has: Version, settled: Version, sure: Version },
-    Confirm { host: usize, era: Era, has: Version },
-    Told { host: usize, event: follow::Event },
+    Ask {
+        host: usize,
+        call: Call,
+        era: Era,
+        has: Version,
+        settled: Version,
+        sure: Version,
+    },
+    Confirm {
+        host: usize,
+        era: Era,
+        has: Version,
+    },
+    Told {
+        host: usize,
+        event: follow::Event,
+    },
 }
 
 struct Host {
@@ -151,7 +184,10 @@
             mended: true,
             counts: [0; 6],
         };
-        w.hosts = HOSTS.iter().map(|name| Host::new(name, HostDisk::default())).collect();
+        w.hosts = HOSTS
+            .iter()
+            .map(|name| Host::new(name, HostDisk::default()))
+            .collect();
         w
     }
 
@@ -175,27 +211,52 @@
         for action in self.source.step(self.now, wall, events) {
             match action {
                 source::Action::Keep { number, what } => self.keeping.push((number, what)),
-                source::Action::Grant { call, from, to, whole, settled, lease } => {
+                source::Action::Grant {
+                    call,
+                    from,
+                    to,
+                    whole,
+                    settled,
+                    lease,
+                } => {
                     let (host, back) = self.calls[&call.0];
                     let name = Name::from(HOSTS[host]);
                     let ledger = self.source.ledger();
-                    let entries =
-                        ledger.since(from).expect("the trail reaches back").filter(|e| e.version <= to);
-                    let entries = entries.map(|e| for_host(ledger, settled, e, &name)).collect();
+                    let entries = ledger
+                        .since(from)
+                        .expect("the trail reaches back")
+                        .filter(|e| e.version <= to);
+                    let entries = entries
+                        .map(|e| for_host(ledger, settled, e, &name))
+                        .collect();
                     let state = || ledger.state_at(from).filter(|c| is_for(c, &name)).collect();
                     let came = match whole {
-                        true => Came::Whole { at: from, state: state(), entries },
+                        true => Came::Whole {
+                            at: from,
+                            state: state(),
+                            entries,
+                        },
                         false => Came::Entries(entries),
                     };
                     self.counts[0] += u32::from(whole);
                     let (era, version) = (self.disk.start.era, to);
-                    let event = follow::Event::Granted { call: back, era, version, settled, lease, came };
+                    let event = follow::Event::Granted {
+                        call: back,
+                        era,
+                        version,
+                        settled,
+                        lease,
+                        came,
+                    };
                     self.send(Message::Told { host, event });
                 }
                 source::Action::Behind { call, .. } => {
                     let (host, back) = self.calls[&call.0];
                     self.counts[1] += 1;
-                    self.send(Message::Told { host, event: follow::Event::Behind { call: back } });
+                    self.send(Message::Told {
+                        host,
+                        event: follow::Event::Behind { call: back },
+                    });
                 }
                 source::Action::Landed { call, version, .. } => {
                     if let Some(changes) = self.operators.remove(&call.0) {
@@ -204,7 +265,10 @@
                 }
                 source::Action::Refused { call, .. } => {
                     if let Some((host, back)) = self.calls.get(&call.0).copied() {
-                        let event = follow::Event::Refused { call: back, why: "no".into() };
+                        let event = follow::Event::Refused {
+                            call: back,
+                            why: "no".into(),
+                        };
                         self.send(Message::Told { host, event });
                     }
                 }
@@ -218,19 +282,41 @@
         let h = &mut self.hosts[i];
         let actions = h.follow.step(now, events);
         let has = h.follow.ledger().version();
-        assert!(has >= h.newest, "{} went back from {:?} to {has:?}", HOSTS[i], h.newest);
+        assert!(
+            has >= h.newest,
+            "{} went back from {:?} to {has:?}",
+            HOSTS[i],
+            h.newest
+        );
         h.newest = has;
         for action in actions {
             match action {
-                follow::Action::Ask { call, era, has, settled, sure } => {
-                    self.send(Message::Ask { host: i, call, era, has, settled, sure });
+                follow::Action::Ask {
+                    call,
+                    era,
+                    has,
+                    settled,
+                    sure,
+                } => {
+                    self.send(Message::Ask {
+                        host: i,
+                        call,
+                        era,
+                        has,
+                        settled,
+                        sure,
+                    });
+                }
+                follow::Action::Confirm { era, has } => {
+                    self.send(Message::Confirm { host: i, era, has })
                 }
-                follow::Action::Confirm { era, has } => self.send(Message::Confirm { host: i, era, has }),
                 follow::Action::Keep(k) => {
                     let whole = self.hosts[i].follow.ledger().clone();
                     self.hosts[i].keeping.push((k, whole));
                 }
-                follow::Action::Volume { id, terms: Some(t) } => _ = self.hosts[i].terms.insert(id, t),
+                follow::Action::Volume { id, terms: Some(t) } => {
+                    _ = self.hosts[i].terms.insert(id, t)
+                }
                 follow::Action::Volume { id, terms: None } => _ = self.hosts[i].terms.remove(&id),
                 follow::Action::Plan { .. } | follow::Action::Note { .. } => {}
             }
@@ -243,33 +329,57 @@
         let plan = |rng: &mut Pcg64Mcg| {
             let name = ["a", "b"].choose(rng).expect("two").to_string();
             let limit = f64::from(rng.random_range(0..4) * 6);
-            let reservation = if limit > 0.0 { limit / f64::from(rng.random_range(1..4)) } else { 4.0 };
-            let to =
-                Plan { reservation, limit, burst: 1.0 + limit, slack: limit, weight: 1.0, ..Plan::default() };
-            Change::Plan { name: name.as_str().into(), to: Some(to) }
+            let reservation = if limit > 0.0 {
+                limit / f64::from(rng.random_range(1..4))
+            } else {
+                4.0
+            };
+            let to = Plan {
+                reservation,
+                limit,
+                burst: 1.0 + limit,
+                slack: limit,
+                weight: 1.0,
+                ..Plan::default()
+            };
+            Change::Plan {
+                name: name.as_str().into(),
+                to: Some(to),
+            }
         };
         let volume = |rng: &mut Pcg64Mcg| {
             let id = rng.random_range(VOLUMES);
             let hosts = loop {
-                let some: Vec<Name> = HOSTS.iter().filter(|_| rng.random()).map(|h| Name::from(*h)).collect();
+                let some: Vec<Name> = HOSTS
+                    .iter()
+                    .filter(|_| rng.random())
+                    .map(|h| Name::from(*h))
+                    .collect();
                 if !some.is_empty() {
                     break some;
                 }
             };
             let plan = Name::from(*["a", "b"].choose(rng).expect("two"));
-            let to = Volume { plan, hosts: hosts.into(), cells: [].into(), blocks: 8 };
-            Change::Volume { id, to: (rng.random_range(0..6) > 0).then_some(to) }
+            let to = Volume {
+                plan,
+                hosts: hosts.into(),
+                cells: [].into(),
+                blocks: 8,
+            };
+            Change::Volume {
+                id,
+                to: (rng.random_range(0..6) > 0).then_some(to),
+            }
         };
-        let changes: Vec<Change> =
-            (0..self.rng.random_range(1..3))
-                .map(|_| {
-                    if self.rng.random_range(0..3) == 0 {
-                        plan(&mut self.rng)
-                    } else {
-                        volume(&mut self.rng)
-                    }
-                })
-                .collect();
+        let changes: Vec<Change> = (0..self.rng.random_range(1..3))
+            .map(|_| {
+                if self.rng.random_range(0..3) == 0 {
+                    plan(&mut self.rng)
+                } else {
+                    volume(&mut self.rng)
+                }
+            })
+            .collect();
         let looked_at = self.source.kept();
         let at = (self.rng.random_range(0..6) == 0)
             .then(|| self.now + ms(1_000_000) + ms(self.rng.random_range(0..900)));
@@ -293,10 +403,14 @@
         let n = self.rng.random_range(0..=self.keeping.len());
         let sent = std::mem::take(&mut self.keeping);
         match disk {
-            None => sent.into_iter().take(n).for_each(|(_, what)| self.disk.keep(what)),
+            None => sent
+                .into_iter()
+                .take(n)
+                .for_each(|(_, what)| self.disk.keep(what)),
             Some(disk) => {
                 self.disk = disk;
-                self.landed.retain(|v, _| *v <= self.disk.start.ledger.version());
+                self.landed
+                    .retain(|v, _| *v <= self.disk.start.ledger.version());
                 self.counts[3] += 1;
                 self.mended = false;
             }
@@ -312,11 +426,14 @@
         let h = &mut self.hosts[i];
         let n = self.rng.random_range(0..=h.keeping.len());
         let (disk, sent) = (&mut h.disk, std::mem::take(&mut h.keeping));
-        sent.iter().take(n).for_each(|(k, whole)| disk.keep(k, whole));
+        sent.iter()
+            .take(n)
+            .for_each(|(k, whole)| disk.keep(k, whole));
         let (calls, disk) = (h.calls, h.disk.clone());
         self.hosts[i] = Host::new(HOSTS[i], disk);
         self.hosts[i].calls = calls;
-        self.wire.retain(|(_, _, m)| !matches!(m, Message::Told { host, .. } if *host == i));
+        self.wire
+            .retain(|(_, _, m)| !matches!(m, Message::Told { host, .. } if *host == i));
         self.counts[4] += 1;
     }
 
@@ -326,7 +443,10 @@
                 // What rests on the first fails after it, and what comes meanwhile does not.
                 let failed: Vec<u64> = self.keeping.drain(..).map(|k| k.0).collect();
                 for number in failed {
-                    self.source_step(vec![source::Event::NotKept { number, why: "full".into() }]);
+                    self.source_step(vec![source::Event::NotKept {
+                        number,
+                        why: "full".into(),
+                    }]);
                     if self.rng.random() {
                         self.operator();
                     }
@@ -392,20 +512,39 @@
             }
         }
         self.disks();
-        let (due, later): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.wire).into_iter().partition(|w| w.0 <= self.now);
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.wire)
+            .into_iter()
+            .partition(|w| w.0 <= self.now);
         self.wire = later;
         for (_, _, m) in due {
             match m {
-                Message::Ask { host, call, era, has, settled, sure } => {
+                Message::Ask {
+                    host,
+                    call,
+                    era,
+                    has,
+                    settled,
+                    sure,
+                } => {
                     self.next += 1;
                     let own = Call(self.next);
                     self.calls.insert(own.0, (host, call));
                     let host = HostNo(host as u32);
-                    self.source_step(vec![source::Event::Asked { call: own, host, era, has, settled, sure }]);
+                    self.source_step(vec![source::Event::Asked {
+                        call: own,
+                        host,
+                        era,
+                        has,
+                        settled,
+                        sure,
+                    }]);
                 }
                 Message::Confirm { host, era, has } => {
-                    self.source_step(vec![source::Event::Confirmed { host: HostNo(host as u32), era, has }]);
+                    self.source_step(vec![source::Event::Confirmed {
+                        host: HostNo(host as u32),
+                        era,
+                        has,
+                    }]);
                 }
                 Message::Told { host, event } => self.host_step(host, vec![event]),
             }
@@ -424,11 +563,13 @@
         // After a restore two histories are under way, and no limit of one of them bounds both, until the one
         // that counts has come everywhere.
         let era = self.disk.start.era;
-        self.mended |= settled == ledger.version() && self.hosts.iter().all(|h| h.follow.era() == era);
+        self.mended |=
+            settled == ledger.version() && self.hosts.iter().all(|h| h.follow.era() == era);
         if !self.mended {
             return;
         }
-        let mut then = Ledger::new(facts(), 1).restored(settled, ledger.state_at(settled), Vec::new());
+        let mut then =
+            Ledger::new(facts(), 1).restored(settled, ledger.state_at(settled), Vec::new());
         then.forget(settled);
         for id in VOLUMES {
             let Some(v) = then.volume(id) else { continue };
@@ -436,10 +577,20 @@
             if plan.limit <= 0.0 {
                 continue;
             }
-            let parts = self.hosts.iter().filter_map(|h| h.terms.get(&id)).filter(|t| t.mine);
+            let parts = self
+                .hosts
+                .iter()
+                .filter_map(|h| h.terms.get(&id))
+                .filter(|t| t.mine);
             let parts: Vec<_> = parts.map(|t| t.part).collect();
-            let rate: f64 = parts.iter().map(|p| p.map_or(f64::INFINITY, |p| p.rate)).sum();
-            let burst: f64 = parts.iter().map(|p| p.map_or(f64::INFINITY, |p| p.burst)).sum();
+            let rate: f64 = parts
+                .iter()
+                .map(|p| p.map_or(f64::INFINITY, |p| p.rate))
+                .sum();
+            let burst: f64 = parts
+                .iter()
+                .map(|p| p.map_or(f64::INFINITY, |p| p.burst))
+                .sum();
             assert!(
                 rate <= plan.limit + 1e-9 && burst <= plan.burst + 1e-9,
                 "volume {id} at {:?}: {rate} of {}, {burst} of {}; settled {settled:?}, latest {:?}\n{:#?}",
@@ -458,7 +609,15 @@
     fn new(name: &str, disk: HostDisk) -> Self {
         let follow = Follow::new(name.into(), disk.start(), LINGER);
         let (keeping, terms) = (Vec::new(), BTreeMap::new());
-        Host { follow, disk, keeping, terms, calls: 0, newest: Version(0), up: false }
+        Host {
+            follow,
+            disk,
+            keeping,
+            terms,
+            calls: 0,
+            newest: Version(0),
+            up: false,
+        }
     }
 }
 
@@ -484,15 +643,27 @@
         force: false,
         only_look: false,
     };
-    w.source_step(vec![source::Event::Proposed { call: Call(1 << 42), proposal }]);
+    w.source_step(vec![source::Event::Proposed {
+        call: Call(1 << 42),
+        proposal,
+    }]);
     for _ in 0..ticks {
         w.tick();
         // What was told as landed is there.
-        let kept: BTreeMap<Version, &Vec<Change>> =
-            w.disk.start.ledger.trail().map(|e| (e.version, &e.changes)).collect();
+        let kept: BTreeMap<Version, &Vec<Change>> = w
+            .disk
+            .start
+            .ledger
+            .trail()
+            .map(|e| (e.version, &e.changes))
+            .collect();
         let first = kept.keys().next().copied().unwrap_or_default();
         for (v, changes) in w.landed.iter().filter(|l| *l.0 >= first) {
-            assert_eq!(kept.get(v), Some(&changes), "seed {seed}: {v:?} was told as landed");
+            assert_eq!(
+                kept.get(v),
+                Some(&changes),
+                "seed {seed}: {v:?} was told as landed"
+            );
         }
     }
     w.faults = false;
@@ -505,7 +676,11 @@
         w.tick();
     }
     let latest = w.source.kept();
-    assert_eq!(latest, w.source.ledger().version(), "seed {seed}: nothing waits for the disk");
+    assert_eq!(
+        latest,
+        w.source.ledger().version(),
+        "seed {seed}: nothing waits for the disk"
+    );
     for (i, h) in w.hosts.iter().enumerate() {
         let f = h.follow.follower();
         assert_eq!(
@@ -515,7 +690,11 @@
             HOSTS[i]
         );
         for id in VOLUMES {
-            let own = w.source.ledger().volume(id).filter(|v| v.hosts.contains(&Name::from(HOSTS[i])));
+            let own = w
+                .source
+                .ledger()
+                .volume(id)
+                .filter(|v| v.hosts.contains(&Name::from(HOSTS[i])));
             let terms = h.terms.get(&id).filter(|t| t.mine);
             assert_eq!(terms.map(|t| &t.plan), own.map(|v| &v.plan), "seed {seed}");
         }
--- a/crates/plans/tests/follow.rs
+++ b/crates/plans/tests/follow.rs
@@ -11,17 +11,38 @@
 }
 
 fn facts() -> Facts {
-    Facts { hosts: ["h1", "h2", "h3"].map(Name::from).into(), linger: ms(100) }
+    Facts {
+        hosts: ["h1", "h2", "h3"].map(Name::from).into(),
+        linger: ms(100),
+    }
 }
 
 fn plan(name: &str, limit: f64) -> Change {
-    let to = Plan { reservation: 3.0, limit, burst: limit, slack: limit, weight: 1.0, ..Plan::default() };
-    Change::Plan { name: name.into(), to: Some(to) }
+    let to = Plan {
+        reservation: 3.0,
+        limit,
+        burst: limit,
+        slack: limit,
+        weight: 1.0,
+        ..Plan::default()
+    };
+    Change::Plan {
+        name: name.into(),
+        to: Some(to),
+    }
 }
 
 fn volume(id: u64, plan: &str, hosts: &[&str]) -> Change {
     let hosts = hosts.iter().map(|h| Name::from(*h)).collect();
-    Change::Volume { id, to: Some(Volume { plan: plan.into(), hosts, cells: [].into(), blocks: 8 }) }
+    Change::Volume {
+        id,
+        to: Some(Volume {
+            plan: plan.into(),
+            hosts,
+            cells: [].into(),
+            blocks: 8,
+        }),
+    }
 }
 
 /// A service that answers at once, and a host that asks it.
@@ -38,7 +59,10 @@
 
 impl Rig {
     fn new() -> Rig {
-        let start = Start { ledger: Follow::ledger_of(facts()), ..Start::default() };
+        let start = Start {
+            ledger: Follow::ledger_of(facts()),
+            ..Start::default()
+        };
         let mut r = Rig {
             source: Ledger::new(facts(), 100),
             host: Follow::new("h3".into(), start, ms(100)),
@@ -49,13 +73,20 @@
             told: Vec::new(),
             notes: Vec::new(),
         };
-        r.land(vec![plan("free", 0.0), plan("twelve", 12.0), plan("six", 6.0)]);
+        r.land(vec![
+            plan("free", 0.0),
+            plan("twelve", 12.0),
+            plan("six", 6.0),
+        ]);
         r.step(vec![Event::Up]);
         r
     }
 
     fn land(&mut self, changes: Vec<Change>) {
-        let entry = self.source.propose(self.source.version(), Asks::default(), changes).expect("in order");
+        let entry = self
+            .source
+            .propose(self.source.version(), Asks::default(), changes)
+            .expect("in order");
         self.source.take(entry).expect("the next");
     }
 
@@ -77,9 +108,18 @@
         let (call, has) = self.call.take().expect("it asks");
         let (settled, me) = (Version(settled), Name::from("h3"));
         let entries = self.source.since(has).expect("all are there");
-        let entries = entries.map(|e| for_host(&self.source, settled, e, &me)).collect();
+        let entries = entries
+            .map(|e| for_host(&self.source, settled, e, &me))
+            .collect();
         let (version, lease, came) = (self.source.version(), ms(3000), Came::Entries(entries));
-        self.step(vec![Event::Granted { call, era: Era(1), version, settled, lease, came }]);
+        self.step(vec![Event::Granted {
+            call,
+            era: Era(1),
+            version,
+            settled,
+            lease,
+            came,
+        }]);
     }
 
     fn keep(&mut self) {
@@ -89,7 +129,12 @@
     }
 
     fn part(&self, id: u64) -> Option<Part> {
-        let last = self.told.iter().rev().find(|t| t.0 == id).and_then(|t| t.1.clone());
+        let last = self
+            .told
+            .iter()
+            .rev()
+            .find(|t| t.0 == id)
+            .and_then(|t| t.1.clone());
         last.expect("told of it").part
     }
 }
@@ -111,7 +156,11 @@
     r.land(vec![volume(1, "free", &["h1"])]); // 5
     r.land(vec![volume(1, "free", &["h3"])]); // 6
     r.grant(2);
-    assert_eq!(rate(r.part(1)), Some(0.0), "who follows 4 sends all that the limit allows");
+    assert_eq!(
+        rate(r.part(1)),
+        Some(0.0),
+        "who follows 4 sends all that the limit allows"
+    );
     r.land(vec![plan("other", 0.0)]);
     r.grant(4);
     assert_eq!(rate(r.part(1)), Some(0.0));
@@ -134,7 +183,11 @@
     r.grant(4);
     assert_eq!(rate(r.part(1)), Some(12.0));
     r.keep();
-    assert_eq!(r.host.wake_at(), Some(ms(1100)), "to say that nothing older crosses any more");
+    assert_eq!(
+        r.host.wake_at(),
+        Some(ms(1100)),
+        "to say that nothing older crosses any more"
+    );
     r.now = ms(4000);
     r.step(vec![]);
     assert_eq!(rate(r.part(1)), Some(1.5));
@@ -167,11 +220,17 @@
     r.step(vec![Event::NotKept { why: "full".into() }]);
     r.now += ms(200);
     r.step(vec![]);
-    assert_eq!((r.confirmed.clone(), rate(r.part(1))), (vec![2, 3], Some(6.0)));
+    assert_eq!(
+        (r.confirmed.clone(), rate(r.part(1))),
+        (vec![2, 3], Some(6.0))
+    );
     r.now += ms(1000);
     r.keeps.clear();
     r.step(vec![]);
-    assert!(r.keeps[0].whole, "of what was on its way nobody knows how much arrived");
+    assert!(
+        r.keeps[0].whole,
+        "of what was on its way nobody knows how much arrived"
+    );
     r.keep();
     assert_eq!(r.confirmed, [2, 3, 4]);
 }
@@ -194,7 +253,11 @@
         came: Came::Entries(vec![last]),
     }]);
     assert_eq!((r.host.ledger().version(), r.told.len()), (Version(1), 0));
-    assert!(r.call.is_none() && r.notes.last().unwrap().contains("does not lead"), "{:?}", r.notes);
+    assert!(
+        r.call.is_none() && r.notes.last().unwrap().contains("does not lead"),
+        "{:?}",
+        r.notes
+    );
     r.now += ms(1000);
     r.step(vec![]);
     r.grant(1);
--- a/crates/plans/tests/moves.rs
+++ b/crates/plans/tests/moves.rs
@@ -9,8 +9,13 @@
 const EXTENTS: u64 = 3;
 
 fn site(rng: &mut Pcg64Mcg) -> (Site, Vec<[u64; 3]>) {
-    let nodes: Vec<Node> =
-        (0..3).map(|id| Node { id, zone: id, capacity: f64::from(rng.random_range(4..16)) }).collect();
+    let nodes: Vec<Node> = (0..3)
+        .map(|id| Node {
+            id,
+            zone: id,
+            capacity: f64::from(rng.random_range(4..16)),
+        })
+        .collect();
     let laid: Vec<[u64; 3]> = (0..3)
         .map(|_| {
             let mut on = [0; 3];
@@ -19,20 +24,39 @@
         })
         .collect();
     let reserve: Vec<f64> = (0..3).map(|_| f64::from(rng.random_range(1..12))).collect();
-    let volumes = laid.iter().enumerate().map(|(id, on)| volume(id as u64, reserve[id], on)).collect();
-    (Site { nodes, volumes, spread: 1.25 }, laid)
+    let volumes = laid
+        .iter()
+        .enumerate()
+        .map(|(id, on)| volume(id as u64, reserve[id], on))
+        .collect();
+    (
+        Site {
+            nodes,
+            volumes,
+            spread: 1.25,
+        },
+        laid,
+    )
 }
 
 fn volume(id: u64, reserve: f64, on: &[u64; 3]) -> Volume {
     let homes = on.iter().enumerate().filter(|(_, n)| **n > 0);
-    let homes = homes.map(|(n, extents)| (n as u32, *extents as f64 / EXTENTS as f64)).collect();
-    Volume { id, reserve, weight: 1.0, homes }
+    let homes = homes
+        .map(|(n, extents)| (n as u32, *extents as f64 / EXTENTS as f64))
+        .collect();
+    Volume {
+        id,
+        reserve,
+        weight: 1.0,
+        homes,
+    }
 }
 
 /// All ways to lay a volume's extents on three nodes, none on those to be emptied.
 fn ways(empty: &BTreeSet<u32>) -> Vec<[u64; 3]> {
     let all = (0..=EXTENTS).flat_map(|a| (0..=EXTENTS - a).map(move |b| [a, b, EXTENTS - a - b]));
-    all.filter(|w| empty.iter().all(|n| w[*n as usize] == 0)).collect()
+    all.filter(|w| empty.iter().all(|n| w[*n as usize] == 0))
+        .collect()
 }
 
 fn bytes(id: u64) -> u64 {
@@ -55,9 +79,19 @@
                     continue;
                 }
                 let reserve = |id: usize| s.volumes[id].reserve;
-                let volumes =
-                    [a, b, c].into_iter().enumerate().map(|(id, w)| volume(id as u64, reserve(id), w));
-                if check(&Site { volumes: volumes.collect(), ..s.clone() }, empty).holds() {
+                let volumes = [a, b, c]
+                    .into_iter()
+                    .enumerate()
+                    .map(|(id, w)| volume(id as u64, reserve(id), w));
+                if check(
+                    &Site {
+                        volumes: volumes.collect(),
+                        ..s.clone()
+                    },
+                    empty,
+                )
+                .holds()
+                {
                     best = Some(all);
                 }
             }
@@ -69,14 +103,24 @@
 fn after(s: &Site, moves: &[Move], extents: u64) -> Site {
     let mut site = s.clone();
     for v in &mut site.volumes {
-        let mut on: BTreeMap<u32, i64> =
-            v.homes.iter().map(|(n, part)| (*n, (part * extents as f64).round() as i64)).collect();
+        let mut on: BTreeMap<u32, i64> = v
+            .homes
+            .iter()
+            .map(|(n, part)| (*n, (part * extents as f64).round() as i64))
+            .collect();
         for m in moves.iter().filter(|m| m.volume == v.id) {
             *on.entry(m.from).or_default() -= m.extents as i64;
             *on.entry(m.to).or_default() += m.extents as i64;
         }
-        assert!(on.values().all(|n| *n >= 0), "more moved than lies there: {moves:?}");
-        v.homes = on.into_iter().filter(|h| h.1 > 0).map(|(n, e)| (n, e as f64 / extents as f64)).collect();
+        assert!(
+            on.values().all(|n| *n >= 0),
+            "more moved than lies there: {moves:?}"
+        );
+        v.homes = on
+            .into_iter()
+            .filter(|h| h.1 > 0)
+            .map(|(n, e)| (n, e as f64 / extents as f64))
+            .collect();
     }
     site
 }
@@ -87,8 +131,14 @@
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (s, laid) = site(&mut rng);
-        let empty: BTreeSet<u32> = (seed % 3 == 0).then(|| rng.random_range(0..3)).into_iter().collect();
-        let size = |id| Size { extents: EXTENTS, bytes: bytes(id) };
+        let empty: BTreeSet<u32> = (seed % 3 == 0)
+            .then(|| rng.random_range(0..3))
+            .into_iter()
+            .collect();
+        let size = |id| Size {
+            extents: EXTENTS,
+            bytes: bytes(id),
+        };
         let found = propose(&s, &empty, size);
         let best = by_brute_force(&s, &laid, &empty);
         let Some(p) = found else {
@@ -98,7 +148,9 @@
         assert!(p.whole, "seed {seed}");
         let then = after(&s, &p.moves, EXTENTS);
         assert!(
-            then.volumes.iter().all(|v| v.homes.iter().all(|h| !empty.contains(&h.0))),
+            then.volumes
+                .iter()
+                .all(|v| v.homes.iter().all(|h| !empty.contains(&h.0))),
             "seed {seed}: {p:?}"
         );
         let holds = check(&then, &empty).holds();
@@ -108,42 +160,85 @@
             (None, false) => {}
             (Some(_), false) => missed += 1,
             (Some(best), true) => {
-                assert!(p.bytes >= best && p.least <= best as f64 + 1e-3, "seed {seed}: {p:?}, best {best}");
+                assert!(
+                    p.bytes >= best && p.least <= best as f64 + 1e-3,
+                    "seed {seed}: {p:?}, best {best}"
+                );
                 mended += 1;
                 (ours, least) = (ours + p.bytes, least + best);
             }
         }
     }
     assert!(mended > 150, "{mended} mended");
-    assert_eq!((ours, missed), (least, 0), "bytes, and sites that could be mended and were not");
+    assert_eq!(
+        (ours, missed),
+        (least, 0),
+        "bytes, and sites that could be mended and were not"
+    );
 }
 
 /// On a larger site: the drained node is empty afterwards, promises hold, and nothing but what lay there moves.
 #[test]
 fn a_drain_at_a_larger_site() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
-    let nodes = (0..40).map(|id| Node { id, zone: id / 8, capacity: 1000.0 }).collect();
+    let nodes = (0..40)
+        .map(|id| Node {
+            id,
+            zone: id / 8,
+            capacity: 1000.0,
+        })
+        .collect();
     let volumes = (0..800).map(|id| {
         let first = rng.random_range(0..40);
         let homes = (0..4).map(|i| ((first + i) % 40, 0.25)).collect();
-        Volume { id, reserve: rng.random_range(20.0..60.0), weight: 1.0, homes }
+        Volume {
+            id,
+            reserve: rng.random_range(20.0..60.0),
+            weight: 1.0,
+            homes,
+        }
     });
-    let s = Site { nodes, volumes: volumes.collect(), spread: 1.5 };
+    let s = Site {
+        nodes,
+        volumes: volumes.collect(),
+        spread: 1.5,
+    };
     assert!(check(&s, &BTreeSet::new()).holds());
-    let size = |id: u64| Size { extents: 64 + id % 64, bytes: 1 << 20 };
+    let size = |id: u64| Size {
+        extents: 64 + id % 64,
+        bytes: 1 << 20,
+    };
     let empty = BTreeSet::from([7]);
     let p = propose(&s, &empty, size).expect("it holds something");
     let then: Vec<Volume> = s
         .volumes
         .iter()
         .map(|v| {
-            let own: Vec<Move> = p.moves.iter().filter(|m| m.volume == v.id).copied().collect();
-            let one = Site { volumes: vec![v.clone()], ..s.clone() };
+            let own: Vec<Move> = p
+                .moves
+                .iter()
+                .filter(|m| m.volume == v.id)
+                .copied()
+                .collect();
+            let one = Site {
+                volumes: vec![v.clone()],
+                ..s.clone()
+            };
             after(&one, &own, size(v.id).extents).volumes.remove(0)
         })
         .collect();
-    let then = Site { volumes: then, ..s.clone() };
-    assert!(then.volumes.iter().all(|v| v.homes.iter().all(|h| h.0 != 7)));
-    assert!(check(&then, &empty).holds() && p.short == 0.0, "{:?}", check(&then, &empty).short);
+    let then = Site {
+        volumes: then,
+        ..s.clone()
+    };
+    assert!(then
+        .volumes
+        .iter()
+        .all(|v| v.homes.iter().all(|h| h.0 != 7)));
+    assert!(
+        check(&then, &empty).holds() && p.short == 0.0,
+        "{:?}",
+        check(&then, &empty).short
+    );
     assert!(p.moves.iter().all(|m| m.from == 7));
 }
--- a/crates/plans/tests/source.rs
+++ b/crates/plans/tests/source.rs
@@ -11,17 +11,41 @@
 }
 
 fn plan(name: &str, reservation: f64) -> Change {
-    let to = Some(Plan { rate: 100.0, reservation, weight: 1.0, ..Plan::default() });
-    Change::Plan { name: name.into(), to }
+    let to = Some(Plan {
+        rate: 100.0,
+        reservation,
+        weight: 1.0,
+        ..Plan::default()
+    });
+    Change::Plan {
+        name: name.into(),
+        to,
+    }
 }
 
 fn volume(id: u64, plan: &str) -> Change {
     let (plan, hosts, cells) = (plan.into(), ["h1".into(), "h2".into()].into(), [1].into());
-    Change::Volume { id, to: Some(Volume { plan, hosts, cells, blocks: 8 }) }
+    Change::Volume {
+        id,
+        to: Some(Volume {
+            plan,
+            hosts,
+            cells,
+            blocks: 8,
+        }),
+    }
 }
 
 fn node(id: u32, capacity: f64) -> Change {
-    Change::Node { id, to: Some(Node { zone: "a".into(), cell: id, capacity, ..Node::default() }) }
+    Change::Node {
+        id,
+        to: Some(Node {
+            zone: "a".into(),
+            cell: id,
+            capacity,
+            ..Node::default()
+        }),
+    }
 }
 
 /// A service with a disk that keeps when it is told to.
@@ -35,19 +59,43 @@
 
 impl Rig {
     fn new() -> Rig {
-        let facts = Facts { hosts: ["h1", "h2"].map(Name::from).into(), linger: Duration::ZERO };
+        let facts = Facts {
+            hosts: ["h1", "h2"].map(Name::from).into(),
+            linger: Duration::ZERO,
+        };
         let ledger = Ledger::new(facts, 50);
-        let (has, hosts, eras) = (BTreeMap::new(), ["h1", "h2"].map(Name::from).to_vec(), Vec::new());
+        let (has, hosts, eras) = (
+            BTreeMap::new(),
+            ["h1", "h2"].map(Name::from).to_vec(),
+            Vec::new(),
+        );
         let (settled, era, prevailed) = (Version(0), Era(7), Version(0));
-        let start = Start { ledger, settled, has, hosts, era, eras, prevailed };
+        let start = Start {
+            ledger,
+            settled,
+            has,
+            hosts,
+            era,
+            eras,
+            prevailed,
+        };
         let s = Source::new(start, ms(3000), ms(500), 2.0, ms(1000));
-        Rig { s, now: ms(1000), sent: Vec::new(), said: Vec::new(), calls: 0 }
+        Rig {
+            s,
+            now: ms(1000),
+            sent: Vec::new(),
+            said: Vec::new(),
+            calls: 0,
+        }
     }
 
     /// Three plans and two volumes, kept.
     fn begun() -> Rig {
         let mut r = Rig::new();
-        r.propose(vec![plan("basic", 10.0), plan("gold", 40.0), node(1, 100.0)], |_| ());
+        r.propose(
+            vec![plan("basic", 10.0), plan("gold", 40.0), node(1, 100.0)],
+            |_| (),
+        );
         r.keep();
         r.propose(vec![volume(1, "basic"), volume(2, "basic")], |_| ());
         r.keep();
@@ -73,8 +121,15 @@
         let call = self.call();
         let looked_at = self.s.kept();
         let (who, why) = ("clerk".to_string(), "test".to_string());
-        let mut proposal =
-            Proposal { who, why, looked_at, changes, at: None, force: false, only_look: false };
+        let mut proposal = Proposal {
+            who,
+            why,
+            looked_at,
+            changes,
+            at: None,
+            force: false,
+            only_look: false,
+        };
         with(&mut proposal);
         self.step(vec![Event::Proposed { call, proposal }]);
         call
@@ -91,14 +146,28 @@
         let call = self.call();
         let (host, era) = (HostNo(host), if has == 0 { Era(0) } else { Era(7) });
         let (has, settled) = (Version(has), Version(settled));
-        self.step(vec![Event::Asked { call, host, era, has, settled, sure: has }]);
+        self.step(vec![Event::Asked {
+            call,
+            host,
+            era,
+            has,
+            settled,
+            sure: has,
+        }]);
         call
     }
 
     /// What was said since the last look, in short.
     fn said(&mut self) -> Vec<String> {
         let short = |a: Action| match a {
-            Action::Grant { call, from, to, whole, settled, .. } => {
+            Action::Grant {
+                call,
+                from,
+                to,
+                whole,
+                settled,
+                ..
+            } => {
                 format!(
                     "{}: {} to {}, settled {}{}",
                     call.0,
@@ -109,18 +178,29 @@
                 )
             }
             Action::Behind { call, has } => format!("{}: behind {}", call.0, has.0),
-            Action::Landed { call, version, opinion } => {
+            Action::Landed {
+                call,
+                version,
+                opinion,
+            } => {
                 let warned = said(&opinion.warnings);
-                format!("{}: landed {} {warned}", call.0, version.0).trim_end().to_string()
+                format!("{}: landed {} {warned}", call.0, version.0)
+                    .trim_end()
+                    .to_string()
             }
             Action::Refused { call, why } => format!("{}: {why}", call.0),
             Action::Would { call, opinion } => {
-                format!("{}: would {}", call.0, said(&opinion.against)).trim_end().to_string()
+                format!("{}: would {}", call.0, said(&opinion.against))
+                    .trim_end()
+                    .to_string()
             }
             Action::Note { text } => text,
             Action::Keep { .. } => unreachable!("taken out"),
         };
-        std::mem::take(&mut self.said).into_iter().map(short).collect()
+        std::mem::take(&mut self.said)
+            .into_iter()
+            .map(short)
+            .collect()
     }
 }
 
@@ -132,19 +212,37 @@
     assert_eq!((r.said(), r.s.kept()), (vec![], Version(2)));
     // Two are on their way at once, and are kept together.
     r.keep();
-    assert_eq!(r.said(), [format!("{}: landed 3", a.0), format!("{}: landed 4", b.0)]);
+    assert_eq!(
+        r.said(),
+        [format!("{}: landed 3", a.0), format!("{}: landed 4", b.0)]
+    );
     // What rests on one that cannot be kept falls with it.
     let a = r.propose(vec![plan("x", 1.0)], |_| ());
     let b = r.propose(vec![volume(3, "x")], |p| p.looked_at = Version(5));
     let number = r.sent[0].0;
     r.sent.clear();
-    r.step(vec![Event::NotKept { number, why: "disk full".into() }]);
+    r.step(vec![Event::NotKept {
+        number,
+        why: "disk full".into(),
+    }]);
     let told = r.said();
-    assert!(told.contains(&format!("{}: not kept: disk full", a.0)), "{told:?}");
-    assert!(told.contains(&format!("{}: not kept: disk full", b.0)), "{told:?}");
-    assert_eq!((r.s.ledger().version(), r.s.ledger().plan("x")), (Version(4), None));
+    assert!(
+        told.contains(&format!("{}: not kept: disk full", a.0)),
+        "{told:?}"
+    );
+    assert!(
+        told.contains(&format!("{}: not kept: disk full", b.0)),
+        "{told:?}"
+    );
+    assert_eq!(
+        (r.s.ledger().version(), r.s.ledger().plan("x")),
+        (Version(4), None)
+    );
     // What the disk says later of what was taken back counts for nothing.
-    r.step(vec![Event::NotKept { number: number + 1, why: "it rests on the first".into() }]);
+    r.step(vec![Event::NotKept {
+        number: number + 1,
+        why: "it rests on the first".into(),
+    }]);
     assert!(r.said().is_empty());
     // And can be asked again once there is room.
     r.now += ms(2000);
@@ -157,15 +255,21 @@
 fn two_sessions_at_once_and_what_the_second_is_told() {
     let mut r = Rig::begun();
     let a = r.propose(vec![volume(1, "gold")], |_| ());
-    let b = r.propose(vec![volume(1, "basic"), plan("basic", 11.0)], |p| p.who = "other".into());
+    let b = r.propose(vec![volume(1, "basic"), plan("basic", 11.0)], |p| {
+        p.who = "other".into()
+    });
     let c = r.propose(vec![volume(2, "gold")], |p| p.who = "other".into());
     r.keep();
     let told = r.said();
     assert!(
-        told.contains(&format!("{}: landed 3", a.0)) && told.contains(&format!("{}: landed 4", c.0)),
+        told.contains(&format!("{}: landed 3", a.0))
+            && told.contains(&format!("{}: landed 4", c.0)),
         "{told:?}"
     );
-    let collided = format!("{}: volume 1 was changed meanwhile, by entry 3 of clerk", b.0);
+    let collided = format!(
+        "{}: volume 1 was changed meanwhile, by entry 3 of clerk",
+        b.0
+    );
     assert!(told.contains(&collided), "{told:?}");
 }
 
@@ -180,15 +284,35 @@
     // Whoever only looks is told the same, and nothing lands, not even what nothing speaks against.
     let looks = r.propose(more.clone(), |p| p.only_look = true);
     let fine = r.propose(vec![volume(3, "gold")], |p| p.only_look = true);
-    assert_eq!(r.said(), [format!("{}: would {why}", looks.0), format!("{}: would", fine.0)]);
-    assert!(r.s.ledger().volume(3).is_none() && r.sent.is_empty() && r.s.admission().missing().short == 0.0);
+    assert_eq!(
+        r.said(),
+        [
+            format!("{}: would {why}", looks.0),
+            format!("{}: would", fine.0)
+        ]
+    );
+    assert!(
+        r.s.ledger().volume(3).is_none()
+            && r.sent.is_empty()
+            && r.s.admission().missing().short == 0.0
+    );
     let b = r.propose(more, |p| p.force = true);
     r.keep();
     assert_eq!(r.said(), [format!("{}: landed 3", b.0)]);
-    assert_eq!(r.s.ledger().trail().last().unwrap().against, why, "and the trail says so");
+    assert_eq!(
+        r.s.ledger().trail().last().unwrap().against,
+        why,
+        "and the trail says so"
+    );
     let c = r.call();
     let (who, why) = ("clerk".to_string(), "too much".to_string());
-    r.step(vec![Event::Undo { call: c, who, why, entry: Version(3), force: false }]);
+    r.step(vec![Event::Undo {
+        call: c,
+        who,
+        why,
+        entry: Version(3),
+        force: false,
+    }]);
     r.keep();
     assert!(r.s.ledger().volume(3).is_none() && r.s.admission().missing().short == 0.0);
 }
@@ -219,17 +343,40 @@
     r.now = ms(9000);
     r.step(vec![]);
     r.keep();
-    assert_eq!(r.said(), ["timed change 2 of clerk lapses: volume 2 has changed since it was asked for"]);
-    assert_eq!((r.s.ledger().timed().count(), r.s.ledger().volume(2)), (0, None));
+    assert_eq!(
+        r.said(),
+        ["timed change 2 of clerk lapses: volume 2 has changed since it was asked for"]
+    );
+    assert_eq!(
+        (r.s.ledger().timed().count(), r.s.ledger().volume(2)),
+        (0, None)
+    );
     assert_eq!(r.s.ledger().plan("gold").unwrap().reservation, 40.0);
     let last = r.s.ledger().trail().last().unwrap();
     assert!(last.why.starts_with("lapsed"), "{last:?}");
     // Undoing what landed does not bring its time back.
-    let landed = r.s.ledger().trail().find(|e| e.changes.contains(&volume(1, "gold"))).unwrap().version;
+    let landed =
+        r.s.ledger()
+            .trail()
+            .find(|e| e.changes.contains(&volume(1, "gold")))
+            .unwrap()
+            .version;
     let call = r.call();
-    r.step(vec![Event::Undo { call, who: "clerk".into(), why: "".into(), entry: landed, force: false }]);
+    r.step(vec![Event::Undo {
+        call,
+        who: "clerk".into(),
+        why: "".into(),
+        entry: landed,
+        force: false,
+    }]);
     r.keep();
-    assert_eq!((r.s.ledger().timed().count(), &*r.s.ledger().volume(1).unwrap().plan), (0, "basic"));
+    assert_eq!(
+        (
+            r.s.ledger().timed().count(),
+            &*r.s.ledger().volume(1).unwrap().plan
+        ),
+        (0, "basic")
+    );
 }
 
 #[test]
@@ -237,7 +384,9 @@
     let mut r = Rig::begun();
     let a = r.ask(0, 0, 0);
     // That it was ever heard of is kept before it is granted anything.
-    assert!(r.said().is_empty() && matches!(r.sent[..], [.., (_, Keep::Has(HostNo(0), Version(0)))]));
+    assert!(
+        r.said().is_empty() && matches!(r.sent[..], [.., (_, Keep::Has(HostNo(0), Version(0)))])
+    );
     r.keep();
     assert_eq!(r.said(), [format!("{}: 2 to 2, settled 2, whole", a.0)]);
     let b = r.ask(0, 2, 2);
@@ -251,7 +400,10 @@
     assert!(r.said().is_empty());
     r.keep();
     let told = r.said();
-    assert!(told.contains(&format!("{}: 2 to 3, settled 2", c.0)), "{told:?}");
+    assert!(
+        told.contains(&format!("{}: 2 to 3, settled 2", c.0)),
+        "{told:?}"
+    );
     // Its word settles it, and the next answer says so.
     let d = r.ask(0, 3, 2);
     r.keep();
@@ -265,7 +417,10 @@
         settled: Version(3),
         sure: Version(3),
     }]);
-    assert_eq!(r.said(), [format!("{}: this host is not in the settings", e.0)]);
+    assert_eq!(
+        r.said(),
+        [format!("{}: this host is not in the settings", e.0)]
+    );
 }
 
 /// A change that takes of what a host has unheard waits for its word, or an operator's.
@@ -279,9 +434,18 @@
     r.ask(1, 2, 2);
     r.keep();
     let limited = |limit: f64, reservation: f64| {
-        let to =
-            Some(Plan { limit, reservation, burst: limit, slack: limit, weight: 1.0, ..Plan::default() });
-        Change::Plan { name: "basic".into(), to }
+        let to = Some(Plan {
+            limit,
+            reservation,
+            burst: limit,
+            slack: limit,
+            weight: 1.0,
+            ..Plan::default()
+        });
+        Change::Plan {
+            name: "basic".into(),
+            to,
+        }
     };
     r.propose(vec![plan("y", 1.0)], |_| ());
     r.propose(vec![limited(20.0, 10.0)], |_| ());
@@ -294,11 +458,21 @@
     r.now += ms(3600);
     r.step(vec![]);
     r.keep();
-    assert_eq!((r.s.settled(), r.s.waits_for(Version(4))), (Version(3), vec![("h2".into(), true)]));
+    assert_eq!(
+        (r.s.settled(), r.s.waits_for(Version(4))),
+        (Version(3), vec![("h2".into(), true)])
+    );
     let call = r.call();
-    r.step(vec![Event::Gone { call, host: HostNo(1), who: "clerk".into() }]);
+    r.step(vec![Event::Gone {
+        call,
+        host: HostNo(1),
+        who: "clerk".into(),
+    }]);
     r.keep();
-    assert_eq!((r.s.settled(), r.s.waits_for(Version(4))), (Version(4), vec![]));
+    assert_eq!(
+        (r.s.settled(), r.s.waits_for(Version(4))),
+        (Version(4), vec![])
+    );
     // A volume's name is not used again before its end is over everywhere.
     r.ask(1, 2, 2);
     r.propose(vec![Change::Volume { id: 2, to: None }], |_| ());
@@ -307,7 +481,10 @@
     let again = r.propose(vec![volume(2, "basic")], |_| ());
     assert_eq!(
         r.said(),
-        [format!("{}: volume 2 was before, and entry 5 that ended it is not settled yet", again.0)]
+        [format!(
+            "{}: volume 2 was before, and entry 5 that ended it is not settled yet",
+            again.0
+        )]
     );
 }
 
@@ -325,11 +502,23 @@
         sure: Version(has),
     };
     r.step(vec![asked(a, 6, 2)]);
-    assert_eq!(r.said(), [format!("{}: behind 2", a.0)], "as many entries, and not the same ones");
+    assert_eq!(
+        r.said(),
+        [format!("{}: behind 2", a.0)],
+        "as many entries, and not the same ones"
+    );
     let b = r.ask(1, 2, 2);
-    assert_eq!(r.said(), [format!("{}: behind 2", b.0)], "nobody is granted anything");
+    assert_eq!(
+        r.said(),
+        [format!("{}: behind 2", b.0)],
+        "nobody is granted anything"
+    );
     let c = r.call();
-    r.step(vec![Event::Prevail { call: c, who: "clerk".into(), why: "restored".into() }]);
+    r.step(vec![Event::Prevail {
+        call: c,
+        who: "clerk".into(),
+        why: "restored".into(),
+    }]);
     r.keep();
     assert_eq!(r.said(), [format!("{}: landed 3", c.0)]);
     let d = r.call();
--- a/crates/plans/tests/standing.rs
+++ b/crates/plans/tests/standing.rs
@@ -7,10 +7,17 @@
 use std::collections::BTreeSet;
 
 fn volume(rng: &mut Pcg64Mcg, id: u64, nodes: u32) -> Volume {
-    let homes: BTreeSet<u32> = (0..rng.random_range(1..5)).map(|_| rng.random_range(0..nodes)).collect();
+    let homes: BTreeSet<u32> = (0..rng.random_range(1..5))
+        .map(|_| rng.random_range(0..nodes))
+        .collect();
     let part = 1.0 / homes.len() as f64;
     let homes = homes.into_iter().map(|n| (n, part)).collect();
-    Volume { id, reserve: f64::from(rng.random_range(0..12)), weight: 1.0, homes }
+    Volume {
+        id,
+        reserve: f64::from(rng.random_range(0..12)),
+        weight: 1.0,
+        homes,
+    }
 }
 
 #[test]
@@ -19,8 +26,11 @@
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let nodes = rng.random_range(2..7u32);
-        let node =
-            |rng: &mut Pcg64Mcg, id| Node { id, zone: id / 2, capacity: f64::from(rng.random_range(0..25)) };
+        let node = |rng: &mut Pcg64Mcg, id| Node {
+            id,
+            zone: id / 2,
+            capacity: f64::from(rng.random_range(0..25)),
+        };
         let mut site = Site {
             nodes: (0..nodes).map(|id| node(&mut rng, id)).collect(),
             volumes: (0..10).map(|id| volume(&mut rng, id, nodes)).collect(),
@@ -56,7 +66,11 @@
             let one = BTreeSet::from([rng.random_range(0..nodes)]);
             let two = BTreeSet::from([rng.random_range(0..nodes), rng.random_range(0..nodes)]);
             for out in [BTreeSet::new(), one, two] {
-                let seen = if out.is_empty() { s.missing() } else { s.without(&out) };
+                let seen = if out.is_empty() {
+                    s.missing()
+                } else {
+                    s.without(&out)
+                };
                 let all = &out | &down;
                 let v = check(&site, &all);
                 let what = format!("seed {seed}, out {all:?}: {seen:?}, {v:?}");
@@ -66,23 +80,47 @@
             }
         }
     }
-    assert!(short > looked / 10 && short < looked * 9 / 10, "{short} of {looked} were short");
+    assert!(
+        short > looked / 10 && short < looked * 9 / 10,
+        "{short} of {looked} were short"
+    );
 }
 
 #[test]
 fn a_new_node_takes_what_was_missing() {
-    let mut site = Site { nodes: vec![], volumes: vec![], spread: 1.0 };
-    site.nodes.push(Node { id: 1, zone: 1, capacity: 50.0 });
-    site.volumes.push(Volume { id: 1, reserve: 80.0, weight: 1.0, homes: vec![(1, 0.5), (2, 0.5)] });
+    let mut site = Site {
+        nodes: vec![],
+        volumes: vec![],
+        spread: 1.0,
+    };
+    site.nodes.push(Node {
+        id: 1,
+        zone: 1,
+        capacity: 50.0,
+    });
+    site.volumes.push(Volume {
+        id: 1,
+        reserve: 80.0,
+        weight: 1.0,
+        homes: vec![(1, 0.5), (2, 0.5)],
+    });
     let mut s = Standing::of(&site);
     // Each home's most is rounded up by a thousandth.
     let seen = |s: &Standing| (s.missing().short.round(), s.missing().out_of_reach.round());
     assert_eq!(seen(&s), (0.0, 40.0), "nobody knows its other home");
-    s.set_node(Node { id: 2, zone: 1, capacity: 30.0 });
+    s.set_node(Node {
+        id: 2,
+        zone: 1,
+        capacity: 30.0,
+    });
     assert_eq!(seen(&s), (10.0, 0.0));
     s.set_up(2, false);
     assert_eq!(seen(&s), (0.0, 40.0));
     s.set_up(2, true);
-    s.set_node(Node { id: 2, zone: 1, capacity: 40.0 });
+    s.set_node(Node {
+        id: 2,
+        zone: 1,
+        capacity: 40.0,
+    });
     assert_eq!(seen(&s), (0.0, 0.0));
 }
--- a/crates/platform/src/account.rs
+++ b/crates/platform/src/account.rs
@@ -29,14 +29,22 @@
         Pays::Share => "share",
         Pays::Nobody => "nobody",
     };
-    let heard = AGES.get(c.heard).map_or("never".into(), |age| format!("{}ms", age.as_millis()));
+    let heard = AGES
+        .get(c.heard)
+        .map_or("never".into(), |age| format!("{}ms", age.as_millis()));
     let kind = kinds.get(c.stream_type.0).map_or("?", String::as_str);
     format!("{why}/{kind}/{pays}/{heard}")
 }
 
 impl Teller {
     /// `second`: of the wall clock, so that the lines of several hosts can be laid side by side.
-    pub fn line(&mut self, second: u64, counts: Counts, control: &mut Control, kinds: &[String]) -> String {
+    pub fn line(
+        &mut self,
+        second: u64,
+        counts: Counts,
+        control: &mut Control,
+        kinds: &[String],
+    ) -> String {
         let before = std::mem::replace(&mut self.told, counts);
         let mut line = format!("{MARK}{second}");
         let since = [
@@ -53,8 +61,10 @@
             let _ = write!(line, " {name}={}", now - then);
         }
         // Only nodes that this host has had to do with: of the others it knows nothing.
-        let known: Vec<_> =
-            control.nodes().filter(|n| n.state == NodeState::Ready && !n.sent.is_zero()).collect();
+        let known: Vec<_> = control
+            .nodes()
+            .filter(|n| n.state == NodeState::Ready && !n.sent.is_zero())
+            .collect();
         let count = |of: &dyn Fn(f64) -> bool| known.iter().filter(|n| of(n.ease)).count();
         let nodes = [
             ("nodes", known.len()),
@@ -112,9 +122,13 @@
 impl Sums {
     /// Whether the line was an account.
     pub fn read(&mut self, line: &str) -> bool {
-        let Some(at) = line.find(MARK) else { return false };
+        let Some(at) = line.find(MARK) else {
+            return false;
+        };
         let mut words = line[at + MARK.len()..].split(' ');
-        let Some(second) = words.next().and_then(|s| s.trim().parse().ok()) else { return false };
+        let Some(second) = words.next().and_then(|s| s.trim().parse().ok()) else {
+            return false;
+        };
         let row: &mut BTreeMap<String, u64> = self.seconds.entry(second).or_default();
         for (name, n) in words.filter_map(|w| w.trim().split_once('=')) {
             *row.entry(name.to_string()).or_default() += n.parse().unwrap_or(0);
@@ -135,21 +149,34 @@
                     *to.entry(name).or_default() += n;
                     continue;
                 }
-                let part = name.splitn(parts + 1, '/').take(parts).collect::<Vec<_>>().join("/");
-                *to.entry(name.split('/').next().unwrap_or_default()).or_default() += n;
-                *causes.entry(if parts == 0 { name.clone() } else { part }).or_default() += n;
+                let part = name
+                    .splitn(parts + 1, '/')
+                    .take(parts)
+                    .collect::<Vec<_>>()
+                    .join("/");
+                *to.entry(name.split('/').next().unwrap_or_default())
+                    .or_default() += n;
+                *causes
+                    .entry(if parts == 0 { name.clone() } else { part })
+                    .or_default() += n;
             }
         }
-        let whys: std::collections::BTreeSet<&str> =
-            rows.values().flat_map(|r| r.keys().copied()).filter(|w| !COLUMNS.contains(w)).collect();
+        let whys: std::collections::BTreeSet<&str> = rows
+            .values()
+            .flat_map(|r| r.keys().copied())
+            .filter(|w| !COLUMNS.contains(w))
+            .collect();
         let columns: Vec<&str> = COLUMNS.into_iter().chain(whys).collect();
         let mut table = format!("second {}\n", columns.join(" "));
         for (n, row) in &rows {
             let _ = write!(table, "{}", n * every.max(1));
-            columns.iter().for_each(|c| _ = write!(table, " {}", row.get(c).copied().unwrap_or(0)));
+            columns
+                .iter()
+                .for_each(|c| _ = write!(table, " {}", row.get(c).copied().unwrap_or(0)));
             table.push('\n');
         }
-        let mut causes: Vec<(u64, String)> = causes.into_iter().map(|(name, n)| (n, name)).collect();
+        let mut causes: Vec<(u64, String)> =
+            causes.into_iter().map(|(name, n)| (n, name)).collect();
         causes.sort_unstable_by(|a, b| b.cmp(a));
         for (n, name) in causes {
             let _ = writeln!(table, "{name} {n}");
--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/calls.rs
@@ -45,7 +45,13 @@
 
 impl Calls {
     pub fn new(first: Duration) -> Self {
-        Calls { first, watching: false, whole: false, revision: None, by: None }
+        Calls {
+            first,
+            watching: false,
+            whole: false,
+            revision: None,
+            by: None,
+        }
     }
 
     /// When the call that is out must be answered.
