--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -41,26 +41,40 @@
 /// wire, where spaces and commas are rewritten: that counts only where no name is told as it stands. The
 /// other ways to read it are looked at only where it is none of the names letter by letter.
 fn place<'n>(
-    names: impl Iterator<Item = &'n str> + Clone, plain: &[u8], read: impl FnOnce() -> Vec<String>,
+    names: impl Iterator<Item = &'n str> + Clone,
+    plain: &[u8],
+    read: impl FnOnce() -> Vec<String>,
 ) -> Option<usize> {
-    names.clone().position(|name| name.as_bytes() == plain).or_else(|| {
-        let told = read();
-        let is = |name: &str| told.iter().any(|t| t == name.trim());
-        let rewritten = |name: &str| told.iter().any(|t| t.replace([' ', ','], "_") == name);
-        names.clone().position(is).or_else(|| names.clone().position(rewritten))
-    })
+    names
+        .clone()
+        .position(|name| name.as_bytes() == plain)
+        .or_else(|| {
+            let told = read();
+            let is = |name: &str| told.iter().any(|t| t == name.trim());
+            let rewritten = |name: &str| told.iter().any(|t| t.replace([' ', ','], "_") == name);
+            names
+                .clone()
+                .position(is)
+                .or_else(|| names.clone().position(rewritten))
+        })
 }
 
 /// A part of a path, as it stands and percent-decoded.
 fn in_path(part: &str) -> Vec<String> {
     let decoded = percent_encoding::percent_decode_str(part).decode_utf8();
-    [part.to_string()].into_iter().chain(decoded.map(|d| d.into_owned())).collect()
+    [part.to_string()]
+        .into_iter()
+        .chain(decoded.map(|d| d.into_owned()))
+        .collect()
 }
 
 /// A header's value: some clients write letters beyond ASCII in one way, and some in another.
 fn in_header(value: &[u8]) -> Vec<String> {
     let latin = value.iter().map(|b| char::from(*b)).collect();
-    String::from_utf8(value.to_vec()).into_iter().chain([latin]).collect()
+    String::from_utf8(value.to_vec())
+        .into_iter()
+        .chain([latin])
+        .collect()
 }
 
 /// Digits alone, so that no sign or space passes.
@@ -91,7 +105,9 @@
             "volume" => volume.replace(hex16(value)?).is_some(),
             "units" => units.replace(value.parse::<f64>().ok()?).is_some(),
             "shard" if value == "-1" => cell.replace(None).is_some(),
-            "shard" => cell.replace(Some(u32::try_from(whole(value)?).ok()?)).is_some(),
+            "shard" => cell
+                .replace(Some(u32::try_from(whole(value)?).ok()?))
+                .is_some(),
             "hosts" => hosts.replace(u32::try_from(whole(value)?).ok()?).is_some(),
             _ => false,
         };
@@ -99,14 +115,24 @@
             return None;
         }
     }
-    Some(Placement { volume: volume?, units: units?, cell: cell?, hosts: hosts? })
+    Some(Placement {
+        volume: volume?,
+        units: units?,
+        cell: cell?,
+        hosts: hosts?,
+    })
 }
 
 impl Words {
     pub fn of(config: &Config) -> Self {
         Words {
             kinds: config.kinds.clone(),
-            plans: config.settings.plans.iter().map(|p| p.name.clone()).collect(),
+            plans: config
+                .settings
+                .plans
+                .iter()
+                .map(|p| p.name.clone())
+                .collect(),
             largest: config.settings.units.largest,
         }
     }
@@ -117,11 +143,20 @@
             return Ok(Wish::Ready);
         }
         if !matches!(r.method, "GET" | "PUT") {
-            return Err(Fault { status: 405, what: "neither GET nor PUT" });
+            return Err(Fault {
+                status: 405,
+                what: "neither GET nor PUT",
+            });
         }
-        let absent = Fault { status: 404, what: "a path that is not known here" };
+        let absent = Fault {
+            status: 404,
+            what: "a path that is not known here",
+        };
         let mut parts = path.strip_prefix('/').ok_or(absent)?.split('/');
-        let (first, last) = (parts.next().ok_or(absent)?, parts.next_back().ok_or(absent)?);
+        let (first, last) = (
+            parts.next().ok_or(absent)?,
+            parts.next_back().ok_or(absent)?,
+        );
         let kinds = self.kinds.iter().map(|k| k.name.as_str());
         let stream_type = place(kinds, first.as_bytes(), || in_path(first));
         let stream_type = stream_type.ok_or(absent)?;
@@ -129,10 +164,15 @@
         let key = hex16(last).ok_or(bad("a path that does not end in 16 hex digits"))?;
         let write = r.method == "PUT";
         if kind.write.is_some_and(|w| w != write) {
-            return Err(Fault { status: 405, what: "a method that is not this path's" });
+            return Err(Fault {
+                status: 405,
+                what: "a method that is not this path's",
+            });
         }
         let h = &r.headers;
-        let id = h.one("x-txn")?.filter(|id| !id.is_empty() && id.len() <= MOST_ID);
+        let id = h
+            .one("x-txn")?
+            .filter(|id| !id.is_empty() && id.len() <= MOST_ID);
         let id = id.ok_or(bad("no X-Txn"))?;
         let plan = h.one_raw("x-qos-policy")?;
         let plans = self.plans.iter().map(String::as_str);
@@ -152,7 +192,10 @@
         if kind.keyed && repeat.is_none() {
             return Err(bad("no Idempotency-Key"));
         }
-        let mut head = format!("{} {} HTTP/1.1\r\nHost: {SERVICE}\r\nX-Txn: {id}\r\n", r.method, r.target);
+        let mut head = format!(
+            "{} {} HTTP/1.1\r\nHost: {SERVICE}\r\nX-Txn: {id}\r\n",
+            r.method, r.target
+        );
         if let Some(k) = repeat {
             let _ = write!(head, "Idempotency-Key: {k}\r\n");
         }
@@ -173,7 +216,10 @@
             hosts: Some(placed.hosts),
             ..pb::Take::default()
         };
-        Ok(Wish::Take { id: id.to_string(), take: Box::new(take) })
+        Ok(Wish::Take {
+            id: id.to_string(),
+            take: Box::new(take),
+        })
     }
 }
 
@@ -186,7 +232,9 @@
         pb::Outcome::Done => http::put_response(to, 200, "", keep, &told.data),
         pb::Outcome::Deferred => {
             let wait = told.come_back_us.map(Duration::from_micros);
-            let more = wait.map_or(String::new(), |w| format!("Retry-After: {:.3}\r\n", w.as_secs_f64()));
+            let more = wait.map_or(String::new(), |w| {
+                format!("Retry-After: {:.3}\r\n", w.as_secs_f64())
+            });
             http::put_response(to, 503, &more, keep, b"");
         }
         _ => http::put_response(to, 502, "", keep, b""),
--- a/crates/platform/src/clients/tests.rs
+++ b/crates/platform/src/clients/tests.rs
@@ -1,7 +1,11 @@
 use super::*;
 
 fn words() -> Words {
-    let kind = |name: &str, keyed, write| Kind { name: name.into(), keyed, write: Some(write) };
+    let kind = |name: &str, keyed, write| Kind {
+        name: name.into(),
+        keyed,
+        write: Some(write),
+    };
     Words {
         kinds: vec![kind("read", false, false), kind("row", true, true)],
         plans: vec!["basic".into(), "gold".into()],
@@ -9,7 +13,8 @@
     }
 }
 
-const GOOD: &str = "PUT /row/7f3a9c21e0b4d655?a=1 HTTP/1.1\r\nHost: x\r\nX-Txn: 9b\r\nX-Qos-Policy: gold\r\n\
+const GOOD: &str =
+    "PUT /row/7f3a9c21e0b4d655?a=1 HTTP/1.1\r\nHost: x\r\nX-Txn: 9b\r\nX-Qos-Policy: gold\r\n\
         X-Remaining-Ms: 480\r\nContent-Length: 2\r\nIdempotency-Key: k1\r\n\
         X-Placement: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n\r\nhi";
 
@@ -19,23 +24,44 @@
 
 #[test]
 fn a_whole_request_is_a_take_and_passes_on_unchanged() {
-    let Ok(Wish::Take { id, take: t }) = read(GOOD) else { panic!("a good request") };
-    assert_eq!((id.as_str(), t.stream_type, t.plan, t.hosts), ("9b", 1, Some(1), Some(3)));
-    assert_eq!((t.volume, t.units, t.cell, t.key), (0x3b4d60021, 2.0, Some(5), Some(0x7f3a9c21e0b4d655)));
+    let Ok(Wish::Take { id, take: t }) = read(GOOD) else {
+        panic!("a good request")
+    };
+    assert_eq!(
+        (id.as_str(), t.stream_type, t.plan, t.hosts),
+        ("9b", 1, Some(1), Some(3))
+    );
+    assert_eq!(
+        (t.volume, t.units, t.cell, t.key),
+        (0x3b4d60021, 2.0, Some(5), Some(0x7f3a9c21e0b4d655))
+    );
     assert_eq!((t.left_us, &*t.data, t.write), (480_000, &b"hi"[..], true));
     let head = "PUT /row/7f3a9c21e0b4d655?a=1 HTTP/1.1\r\nHost: backend.local\r\nX-Txn: 9b\r\n\
             Idempotency-Key: k1\r\nContent-Length: 2\r\n";
     assert_eq!(t.piece, head);
     // Its time is up: for the decisions, not a fault.
-    assert!(matches!(read(&GOOD.replace("480", "0")), Ok(Wish::Take { take, .. }) if take.left_us == 0));
+    assert!(
+        matches!(read(&GOOD.replace("480", "0")), Ok(Wish::Take { take, .. }) if take.left_us == 0)
+    );
     let new = GOOD.replace("shard=5", "shard=-1");
     assert!(matches!(read(&new), Ok(Wish::Take { take, .. }) if take.cell.is_none()));
 }
 
 #[test]
 fn names_are_the_settings_own_whatever_signs_are_in_them() {
-    let kind = |name: &str| Kind { name: name.into(), keyed: false, write: None };
-    let names = ["map read", "a,b", "gr\u{f6}\u{df}e", "a=b", "plain", "over_wire_"];
+    let kind = |name: &str| Kind {
+        name: name.into(),
+        keyed: false,
+        write: None,
+    };
+    let names = [
+        "map read",
+        "a,b",
+        "gr\u{f6}\u{df}e",
+        "a=b",
+        "plain",
+        "over_wire_",
+    ];
     let w = Words {
         kinds: names.iter().map(|n| kind(n)).collect(),
         plans: names.iter().map(|n| n.to_string()).collect(),
@@ -56,11 +82,19 @@
         let (before, after) = GOOD.split_once("gold").unwrap();
         let before = before.replace("/row/", &format!("/{path}/"));
         let whole = [before.as_bytes(), plan, after.as_bytes()].concat();
-        let Ok(Wish::Take { take: t, .. }) = w.read(&http::request(&whole).unwrap().unwrap().0) else {
+        let Ok(Wish::Take { take: t, .. }) = w.read(&http::request(&whole).unwrap().unwrap().0)
+        else {
             panic!("{path}")
         };
-        assert_eq!((t.stream_type as usize, t.plan), (place, Some(place as u32)), "{path}");
-        assert!(t.piece.starts_with(format!("PUT /{path}/").as_bytes()), "it passes on unchanged");
+        assert_eq!(
+            (t.stream_type as usize, t.plan),
+            (place, Some(place as u32)),
+            "{path}"
+        );
+        assert!(
+            t.piece.starts_with(format!("PUT /{path}/").as_bytes()),
+            "it passes on unchanged"
+        );
     }
 }
 
@@ -89,27 +123,45 @@
         ("volume=00000003b4d60021", "volume=x", 400),
         ("X-Placement", "X-Elsewhere", 400),
         ("Content-Length: 2", "Content-Length: -2", 400),
-        ("Content-Length: 2", "Content-Length: 2\r\nContent-Length: 2", 400),
-        ("Content-Length: 2", "Content-Length: 2\r\nTransfer-Encoding: chunked", 400),
+        (
+            "Content-Length: 2",
+            "Content-Length: 2\r\nContent-Length: 2",
+            400,
+        ),
+        (
+            "Content-Length: 2",
+            "Content-Length: 2\r\nTransfer-Encoding: chunked",
+            400,
+        ),
         ("Content-Length: 2", "Content-Length: 60000000", 413),
         ("X-Txn:", "X-Txn :", 400),
         ("HTTP/1.1", "HTTP/3.7", 400),
     ];
     for (from, to, status) in cases {
         let text = GOOD.replacen(from, to, 1);
-        assert_eq!(read(&text).map(|_| ()).unwrap_err().status, status, "{from} -> {to}");
+        assert_eq!(
+            read(&text).map(|_| ()).unwrap_err().status,
+            status,
+            "{from} -> {to}"
+        );
     }
 }
 
 #[test]
 fn each_outcome_reads_as_itself() {
     let cases = [
-        (pb::Outcome::Done, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"),
+        (
+            pb::Outcome::Done,
+            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
+        ),
         (
             pb::Outcome::Deferred,
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.250\r\n\r\n",
         ),
-        (pb::Outcome::Abandoned, "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n"),
+        (
+            pb::Outcome::Abandoned,
+            "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n",
+        ),
     ];
     for (outcome, text) in cases {
         let told = pb::Final {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -58,7 +58,11 @@
     pub fn of(sockets: usize) -> Self {
         let shared = sockets.saturating_sub(SPARE).max(2);
         let clients = ((shared as f64 * CLIENTS_PART) as usize).max(1);
-        Descriptors { clients, nodes: shared - clients, kept: sockets / KEPT_PART }
+        Descriptors {
+            clients,
+            nodes: shared - clients,
+            kept: sockets / KEPT_PART,
+        }
     }
 }
 
@@ -91,12 +95,23 @@
         Value::Null => "-".into(),
         v => v.to_string(),
     };
-    let under = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let under = |name: &str| {
+        if path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
-        Value::Object(fields) => fields.iter().for_each(|(name, v)| flatten(&under(name), v, to)),
+        Value::Object(fields) => fields
+            .iter()
+            .for_each(|(name, v)| flatten(&under(name), v, to)),
         Value::Array(items) if items.iter().any(Value::is_object) => {
             to.push((under("count"), items.len().to_string()));
-            items.iter().enumerate().for_each(|(n, v)| flatten(&under(&n.to_string()), v, to));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(n, v)| flatten(&under(&n.to_string()), v, to));
         }
         Value::Array(items) => {
             let all: Vec<String> = items.iter().map(plain).collect();
@@ -126,36 +141,45 @@
 
     fn address(&self, path: &str) -> Result<SocketAddr, String> {
         let text = self.text(path)?;
-        text.parse().map_err(|_| self.fault(path, &format!("expected an address and port, found {text}")))
+        text.parse()
+            .map_err(|_| self.fault(path, &format!("expected an address and port, found {text}")))
     }
 
     fn whole(&self, path: &[&str], (least, most): (u64, u64)) -> Result<u64, String> {
         let at = path.iter().try_fold(&self.root, |v, name| v.get(name));
-        let n = at.and_then(Value::as_f64).filter(|n| (least as f64..=most as f64).contains(n));
-        let what =
-            || format!("expected a number from {least} to {most}, found {}", at.unwrap_or(&Value::Null));
-        n.map(|n| n as u64).ok_or_else(|| self.fault(&path.join("."), &what()))
+        let n = at
+            .and_then(Value::as_f64)
+            .filter(|n| (least as f64..=most as f64).contains(n));
+        let what = || {
+            format!(
+                "expected a number from {least} to {most}, found {}",
+                at.unwrap_or(&Value::Null)
+            )
+        };
+        n.map(|n| n as u64)
+            .ok_or_else(|| self.fault(&path.join("."), &what()))
     }
 }
 
 impl Config {
     /// From the file that the variable names.
     pub fn from_env() -> Result<(std::path::PathBuf, Self), String> {
-        let path =
-            std::env::var_os("LB_CONFIG").ok_or("LB_CONFIG: missing; expected the configuration's path")?;
+        let path = std::env::var_os("LB_CONFIG")
+            .ok_or("LB_CONFIG: missing; expected the configuration's path")?;
         let path = std::path::PathBuf::from(path);
         let config = Config::load(&path)?;
         Ok((path, config))
     }
 
     pub fn load(file: &Path) -> Result<Self, String> {
-        let text = std::fs::read(file).map_err(|e| format!("{}: cannot read: {e}", file.display()))?;
+        let text =
+            std::fs::read(file).map_err(|e| format!("{}: cannot read: {e}", file.display()))?;
         Config::read(file, &text)
     }
 
     pub fn read(file: &Path, text: &[u8]) -> Result<Self, String> {
-        let root: Value =
-            serde_json::from_slice(text).map_err(|e| format!("{}: is no JSON: {e}", file.display()))?;
+        let root: Value = serde_json::from_slice(text)
+            .map_err(|e| format!("{}: is no JSON: {e}", file.display()))?;
         let doc = Doc { file, root };
         let name = doc.text("name")?.to_string();
         let (listen, discovery) = (doc.address("listen")?, doc.address("discovery")?);
@@ -174,16 +198,34 @@
             _ => return Err(doc.fault("settings", "missing; expected an object")),
         }
         let at = |what: String| doc.fault("settings", &what);
-        let p = Pairs::of(pairs.iter().map(|(path, value)| (path.as_str(), value.as_str())));
+        let p = Pairs::of(
+            pairs
+                .iter()
+                .map(|(path, value)| (path.as_str(), value.as_str())),
+        );
         let descriptors = Descriptors::of(sockets);
-        let (kinds, settings) = settings(&name, listen, discovery, &p, memory, descriptors).map_err(at)?;
+        let (kinds, settings) =
+            settings(&name, listen, discovery, &p, memory, descriptors).map_err(at)?;
         let settings = Arc::new(settings);
-        Ok(Config { name, listen, discovery, seed, descriptors, known, kinds, settings })
+        Ok(Config {
+            name,
+            listen,
+            discovery,
+            seed,
+            descriptors,
+            known,
+            kinds,
+            settings,
+        })
     }
 }
 
 fn settings(
-    name: &str, listen: SocketAddr, discovery: SocketAddr, p: &Pairs, memory_mb: usize,
+    name: &str,
+    listen: SocketAddr,
+    discovery: SocketAddr,
+    p: &Pairs,
+    memory_mb: usize,
     descriptors: Descriptors,
 ) -> Result<(Vec<Kind>, Settings), String> {
     let (facts, plans) = (shared::streams(p)?, shared::plans(p)?);
@@ -195,7 +237,11 @@
     let writes: Vec<&str> = p.word("family-info.writes").split(',').collect();
     let (mut kinds, mut streams) = (Vec::new(), Vec::new());
     let dial_timeout = p.time("caps.dial-timeout-ms")?;
-    let dial_timeout = if dial_timeout.is_zero() { ms(250) } else { dial_timeout };
+    let dial_timeout = if dial_timeout.is_zero() {
+        ms(250)
+    } else {
+        dial_timeout
+    };
     // A leg that follows one that may have run must have crossed while that one is remembered, and it may
     // wait for its connection after it was decided.
     let crossing = dial_timeout.max(LINGER) + CROSSING_MARGIN;
@@ -206,28 +252,52 @@
         let name = named(p, "profiles", n)?;
         let expiry = p.time(&format!("profiles.{n}.deadline-ms"))?;
         if expiry.is_zero() {
-            return Err(format!("profiles.{n}.deadline-ms: expected a span above zero"));
+            return Err(format!(
+                "profiles.{n}.deadline-ms: expected a span above zero"
+            ));
         }
         let write = writes.get(n).and_then(|w| w.parse::<bool>().ok());
         let keyed = matches!(facts.repeat, Repeat::Keyed { .. });
-        kinds.push(Kind { name: name.clone(), keyed, write });
+        kinds.push(Kind {
+            name: name.clone(),
+            keyed,
+            write,
+        });
         let (share, unit_work) = (0.0, Duration::ZERO);
         let write = write.unwrap_or(false);
-        streams.push(Stream { name, facts, expiry, write, share, unit_work });
+        streams.push(Stream {
+            name,
+            facts,
+            expiry,
+            write,
+            share,
+            unit_work,
+        });
     }
     let plans = plans.into_iter().enumerate();
-    let plans = plans.map(|(n, facts)| Ok(NamedPlan { name: named(p, "plans", n)?, facts }));
+    let plans = plans.map(|(n, facts)| {
+        Ok(NamedPlan {
+            name: named(p, "plans", n)?,
+            facts,
+        })
+    });
     let plans = plans.collect::<Result<Vec<_>, String>>()?;
     let units = shared::units(p)?;
     if units.largest <= 0.0 || units.mean <= 0.0 {
-        return Err("family-info.largest, family-info.mean-units: expected numbers above zero".into());
+        return Err(
+            "family-info.largest, family-info.mean-units: expected numbers above zero".into(),
+        );
     }
     let most_open = match p.count("caps.max-open")? {
         0 => usize::MAX,
         most => most,
     };
     let idle = p.time("caps.conn-idle-ms")?;
-    let idle = if idle.is_zero() { Duration::from_secs(10) } else { idle };
+    let idle = if idle.is_zero() {
+        Duration::from_secs(10)
+    } else {
+        idle
+    };
     let rules = Rules {
         drain_grace: p.time("rules.drain-grace-ms")?,
         cold: shared::cold(p)?,
@@ -256,8 +326,17 @@
         plans,
         volumes: Vec::new(),
         nodes: Vec::new(),
-        hosts: vec![grebecleat_settings::HostSpec { name: name.to_string(), zone: 0, listen: Some(listen) }],
-        list: ListSpec { address: Some(discovery), rule: list_rule(p)?, lag: Duration::ZERO, fails: 0.0 },
+        hosts: vec![grebecleat_settings::HostSpec {
+            name: name.to_string(),
+            zone: 0,
+            listen: Some(listen),
+        }],
+        list: ListSpec {
+            address: Some(discovery),
+            rule: list_rule(p)?,
+            lag: Duration::ZERO,
+            fails: 0.0,
+        },
         state: None,
         fleet: None,
         units,
@@ -273,7 +352,11 @@
 
 fn list_rule(p: &Pairs) -> Result<ListRule, String> {
     let told = shared::list(p)?;
-    let ask_every = if told.ask_every.is_zero() { SILENCE } else { told.ask_every.min(SILENCE) };
+    let ask_every = if told.ask_every.is_zero() {
+        SILENCE
+    } else {
+        told.ask_every.min(SILENCE)
+    };
     Ok(ListRule { ask_every, ..told })
 }
 
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -29,11 +29,23 @@
 fn the_settings_are_those_that_the_bench_would_give() {
     let c = read(&whole()).unwrap();
     let s = &c.settings;
-    assert_eq!((c.name.as_str(), c.seed, s.streams.len(), s.plans.len()), ("n3", 0x8c1f30d27a5be964, 2, 1));
+    assert_eq!(
+        (c.name.as_str(), c.seed, s.streams.len(), s.plans.len()),
+        ("n3", 0x8c1f30d27a5be964, 2, 1)
+    );
     assert_eq!(s.caps.come_back, Some(ms(500)));
-    assert_eq!((s.rules.cold.hosts, s.rules.legs.as_ref().unwrap().share), (4, 0.25));
-    assert_eq!((s.bounds.idle, s.bounds.legs_per_connection), (ms(29_000), 1));
-    assert_eq!((c.kinds[1].keyed, c.kinds[1].write, c.kinds[0].write), (true, Some(true), Some(false)));
+    assert_eq!(
+        (s.rules.cold.hosts, s.rules.legs.as_ref().unwrap().share),
+        (4, 0.25)
+    );
+    assert_eq!(
+        (s.bounds.idle, s.bounds.legs_per_connection),
+        (ms(29_000), 1)
+    );
+    assert_eq!(
+        (c.kinds[1].keyed, c.kinds[1].write, c.kinds[0].write),
+        (true, Some(true), Some(false))
+    );
 }
 
 #[test]
@@ -43,30 +55,51 @@
     v["settings"]["plans"][0]["name"] = json!("gr\u{f6}\u{df}e L");
     v["settings"]["a field, with = signs"] = json!({"and more": [1, {"b c": "d e"}], "none": null});
     v["settings"]["profiles"][1]["idempotency"] = json!("some new word");
-    v["settings"]["profiles"][1].as_object_mut().unwrap().remove("key-scope");
+    v["settings"]["profiles"][1]
+        .as_object_mut()
+        .unwrap()
+        .remove("key-scope");
     let c = read(&v).unwrap();
     assert_eq!(
         (c.kinds[0].name.as_str(), c.settings.plans[0].name.as_str()),
         ("map read, a=b", "gr\u{f6}\u{df}e L")
     );
-    assert_eq!(c.settings.streams[1].facts.repeat, Repeat::Unrepeatable, "what is not known is not repeated");
+    assert_eq!(
+        c.settings.streams[1].facts.repeat,
+        Repeat::Unrepeatable,
+        "what is not known is not repeated"
+    );
 }
 
 #[test]
 fn what_follows_a_leg_that_may_have_run_has_crossed_while_that_is_remembered() {
-    for (dial, left) in [(json!(100), 1200), (json!(null), 1200), (json!(700), 750), (json!(2000), 0)] {
+    for (dial, left) in [
+        (json!(100), 1200),
+        (json!(null), 1200),
+        (json!(700), 750),
+        (json!(2000), 0),
+    ] {
         let mut v = whole();
         v["settings"]["caps"]["dial-timeout-ms"] = dial;
         let repeat = read(&v).unwrap().settings.streams[1].facts.repeat;
-        assert_eq!(repeat, Repeat::Keyed { group: RepeatGroup::Cell, remembered: ms(left) });
+        assert_eq!(
+            repeat,
+            Repeat::Keyed {
+                group: RepeatGroup::Cell,
+                remembered: ms(left)
+            }
+        );
     }
 }
 
 #[test]
 fn waits_for_the_list_stay_within_what_counts_as_told() {
-    for (told, kept) in
-        [(json!(9000), ms(6000)), (json!(2500), ms(2500)), (json!(0), ms(6000)), (json!(null), ms(6000))]
-    {
+    for (told, kept) in [
+        (json!(9000), ms(6000)),
+        (json!(2500), ms(2500)),
+        (json!(0), ms(6000)),
+        (json!(null), ms(6000)),
+    ] {
         let mut v = whole();
         v["settings"]["rules"]["ask-every-ms"] = told;
         assert_eq!(read(&v).unwrap().settings.list.rule.ask_every, kept);
@@ -77,16 +110,36 @@
 fn a_fault_names_the_file_and_the_path() {
     let cases: [(&str, Value, &str); 9] = [
         ("/name", json!(7), "c.json: name: expected a text, found 7"),
-        ("/listen", json!("here"), "c.json: listen: expected an address and port, found here"),
-        ("/seed", json!("xyz"), "c.json: seed: expected hex digits, found xyz"),
+        (
+            "/listen",
+            json!("here"),
+            "c.json: listen: expected an address and port, found here",
+        ),
+        (
+            "/seed",
+            json!("xyz"),
+            "c.json: seed: expected hex digits, found xyz",
+        ),
         (
             "/limits/sockets",
             json!(3),
             "c.json: limits.sockets: expected a number from 48 to 1048576, found 3",
         ),
-        ("/settings", json!(1), "c.json: settings: missing; expected an object"),
-        ("/settings/plans", json!([]), "c.json: settings: plans: none; expected at least one"),
-        ("/settings/profiles/0/name", json!(""), "c.json: settings: profiles.0.name: missing"),
+        (
+            "/settings",
+            json!(1),
+            "c.json: settings: missing; expected an object",
+        ),
+        (
+            "/settings/plans",
+            json!([]),
+            "c.json: settings: plans: none; expected at least one",
+        ),
+        (
+            "/settings/profiles/0/name",
+            json!(""),
+            "c.json: settings: profiles.0.name: missing",
+        ),
         (
             "/settings/profiles/1/deadline-ms",
             json!(0),
@@ -103,5 +156,7 @@
         *v.pointer_mut(path).unwrap() = value;
         assert_eq!(read(&v).unwrap_err(), told);
     }
-    assert!(Config::read("c.json".as_ref(), b"{").unwrap_err().starts_with("c.json: is no JSON"));
+    assert!(Config::read("c.json".as_ref(), b"{")
+        .unwrap_err()
+        .starts_with("c.json: is no JSON"));
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -64,15 +64,30 @@
     pub fn read(&mut self, body: &[u8], unix_ms: f64) -> Result<Read, String> {
         let told: Told = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         let all = told.targets.len();
-        let entries: Vec<pb::Entry> =
-            told.targets.into_iter().filter_map(|t| self.entry(t, unix_ms)).collect();
+        let entries: Vec<pb::Entry> = told
+            .targets
+            .into_iter()
+            .filter_map(|t| self.entry(t, unix_ms))
+            .collect();
         let spoilt = all - entries.len();
         if told.all && entries.is_empty() && spoilt > 0 {
             return Err(format!("none of {spoilt} entries can be read"));
         }
-        let kind = if told.all && spoilt == 0 { pb::ListKind::Whole } else { pb::ListKind::Changes };
-        let list = pb::List { kind: kind.into(), revision: told.rev, entries };
-        Ok(Read { list, revision: told.rev, spoilt })
+        let kind = if told.all && spoilt == 0 {
+            pb::ListKind::Whole
+        } else {
+            pb::ListKind::Changes
+        };
+        let list = pb::List {
+            kind: kind.into(),
+            revision: told.rev,
+            entries,
+        };
+        Ok(Read {
+            list,
+            revision: told.rev,
+            spoilt,
+        })
     }
 
     fn entry(&mut self, told: serde_json::Value, unix_ms: f64) -> Option<pb::Entry> {
--- a/crates/platform/src/discovery/tests.rs
+++ b/crates/platform/src/discovery/tests.rs
@@ -4,16 +4,30 @@
         "capacity_hint":1.0,"boot_ms":0}"#;
 
 fn list(all: bool, targets: &[&str]) -> Vec<u8> {
-    format!(r#"{{"rev":7,"all":{all},"targets":[{}]}}"#, targets.join(",")).into_bytes()
+    format!(
+        r#"{{"rev":7,"all":{all},"targets":[{}]}}"#,
+        targets.join(",")
+    )
+    .into_bytes()
 }
 
 #[test]
 fn names_keep_their_numbers_and_a_spoilt_entry_wipes_nothing() {
     let mut names = Names::default();
-    let other = ONE.replace("\"a\"", "\"b\"").replace("\"boot_ms\":0", "\"boot_ms\":4000");
+    let other = ONE
+        .replace("\"a\"", "\"b\"")
+        .replace("\"boot_ms\":0", "\"boot_ms\":4000");
     let read = names.read(&list(true, &[ONE, &other]), 5000.0).unwrap();
-    assert_eq!((read.revision, read.spoilt, read.list.kind()), (7, 0, pb::ListKind::Whole));
-    let seen: Vec<_> = read.list.entries.iter().map(|e| (e.node, e.cell, e.up_us, e.start)).collect();
+    assert_eq!(
+        (read.revision, read.spoilt, read.list.kind()),
+        (7, 0, pb::ListKind::Whole)
+    );
+    let seen: Vec<_> = read
+        .list
+        .entries
+        .iter()
+        .map(|e| (e.node, e.cell, e.up_us, e.start))
+        .collect();
     assert_eq!(seen, [(0, 3, None, 0), (1, 3, Some(1_000_000), 4000)]);
     let half = r#"{"uid":"a","state":"read"#;
     assert!(names.read(half.as_bytes(), 0.0).is_err());
@@ -25,10 +39,19 @@
     ];
     for bad in bad {
         let read = names.read(&list(true, &[bad, &other]), 5000.0).unwrap();
-        assert_eq!((read.spoilt, read.list.kind()), (1, pb::ListKind::Changes), "{bad}");
+        assert_eq!(
+            (read.spoilt, read.list.kind()),
+            (1, pb::ListKind::Changes),
+            "{bad}"
+        );
         assert_eq!(read.list.entries[0].node, 1);
         assert!(names.read(&list(true, &[bad]), 5000.0).is_err());
     }
-    let gone = names.read(&list(false, &[r#"{"uid":"b","pod_group":3,"state":"gone"}"#]), 0.0).unwrap();
+    let gone = names
+        .read(
+            &list(false, &[r#"{"uid":"b","pod_group":3,"state":"gone"}"#]),
+            0.0,
+        )
+        .unwrap();
     assert_eq!(gone.list.entries[0].state(), pb::NodeState::Gone);
 }
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -43,7 +43,10 @@
     }
 
     fn all(&self, name: &'static str) -> impl Iterator<Item = &'b [u8]> + '_ {
-        self.0.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim_ascii())
+        self.0
+            .iter()
+            .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
+            .map(|(_, v)| v.trim_ascii())
     }
 
     /// The value of a header that stands once.
@@ -94,7 +97,9 @@
 }
 
 fn length(headers: &Headers, most: usize) -> Result<Length, Fault> {
-    let told = headers.one("content-length").map_err(|_| fault(400, "more than one length"))?;
+    let told = headers
+        .one("content-length")
+        .map_err(|_| fault(400, "more than one length"))?;
     let mut codings = headers.all("transfer-encoding");
     match (told, codings.next(), codings.next()) {
         (None, None, _) => Ok(Length::None),
@@ -105,7 +110,9 @@
             if text.is_empty() || text.len() > 18 || !text.bytes().all(|b| b.is_ascii_digit()) {
                 return Err(fault(400, "a length that is no number"));
             }
-            let n: u64 = text.parse().map_err(|_| fault(400, "a length that is no number"))?;
+            let n: u64 = text
+                .parse()
+                .map_err(|_| fault(400, "a length that is no number"))?;
             match usize::try_from(n) {
                 Ok(n) if n <= most => Ok(Length::Is(n)),
                 _ => Err(fault(413, "a body that is too large")),
@@ -145,7 +152,9 @@
             return trailer(rest, at, whole);
         }
         let n = n as usize;
-        let Some(chunk) = rest.get(at..at + n) else { return Ok(None) };
+        let Some(chunk) = rest.get(at..at + n) else {
+            return Ok(None);
+        };
         whole.extend_from_slice(chunk);
         match rest.get(at + n..at + n + 2) {
             None => return Ok(None),
@@ -184,7 +193,9 @@
         }
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => return Err(fault(431, "too many headers")),
-        Err(httparse::Error::Version) => return Err(fault(400, "a version that is not known here")),
+        Err(httparse::Error::Version) => {
+            return Err(fault(400, "a version that is not known here"))
+        }
         Err(_) => return Err(fault(400, "a head that cannot be read")),
     };
     let (Some(method), Some(target), Some(version)) = (head.method, head.path, head.version) else {
@@ -195,7 +206,16 @@
     let Some((body, more)) = body(&bytes[used..], length(&headers, MOST_BODY)?, MOST_BODY)? else {
         return Ok(None);
     };
-    Ok(Some((Request { method, target, headers, body, keep }, used + more)))
+    Ok(Some((
+        Request {
+            method,
+            target,
+            headers,
+            body,
+            keep,
+        },
+        used + more,
+    )))
 }
 
 fn keeps(version: u8, headers: &Headers) -> bool {
@@ -236,8 +256,18 @@
             Length::None if !matches!(status, 204 | 304) => return Err(fault(502, "no length")),
             length => length,
         };
-        let Some((body, more)) = body(&bytes[at + used..], length, MOST_ANSWER)? else { return Ok(None) };
-        return Ok(Some((Response { status, headers, body, keep }, at + used + more)));
+        let Some((body, more)) = body(&bytes[at + used..], length, MOST_ANSWER)? else {
+            return Ok(None);
+        };
+        return Ok(Some((
+            Response {
+                status,
+                headers,
+                body,
+                keep,
+            },
+            at + used + more,
+        )));
     }
     Err(fault(502, "interim answers without end"))
 }
@@ -263,7 +293,10 @@
     let close = if keep { "" } else { "Connection: close\r\n" };
     let length = body.len();
     // Writing to memory cannot fail.
-    let _ =
-        write!(to, "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n{close}{more}\r\n", reason(status));
+    let _ = write!(
+        to,
+        "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n{close}{more}\r\n",
+        reason(status)
+    );
     to.extend_from_slice(body);
 }
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -21,7 +21,9 @@
 /// A figure that cannot be read is absent; the answer still counts.
 fn figure(r: &Response, name: &'static str) -> Option<f64> {
     let text = r.headers.one(name).ok().flatten()?;
-    text.parse::<f64>().ok().filter(|n| n.is_finite() && *n >= 0.0)
+    text.parse::<f64>()
+        .ok()
+        .filter(|n| n.is_finite() && *n >= 0.0)
 }
 
 /// What a whole answer says of a leg. Only a turned-away one proves that it never ran.
@@ -37,14 +39,22 @@
         result: result.into(),
         reported: figure(r, "x-iops-used"),
         others: figure(r, "x-rho").unwrap_or(0.0),
-        data: if r.status == 200 { Bytes::copy_from_slice(&r.body) } else { Bytes::new() },
+        data: if r.status == 200 {
+            Bytes::copy_from_slice(&r.body)
+        } else {
+            Bytes::new()
+        },
         ..pb::LegAnswer::default()
     }
 }
 
 /// What is told of a leg whose answer is of no use: it has run.
 pub fn spoilt(leg: u64) -> pb::LegAnswer {
-    pb::LegAnswer { leg, result: pb::Result::Error.into(), ..pb::LegAnswer::default() }
+    pb::LegAnswer {
+        leg,
+        result: pb::Result::Error.into(),
+        ..pb::LegAnswer::default()
+    }
 }
 
 #[cfg(test)]
--- a/crates/platform/src/nodes/tests.rs
+++ b/crates/platform/src/nodes/tests.rs
@@ -4,9 +4,27 @@
 #[test]
 fn only_a_turned_away_leg_never_ran() {
     let cases = [
-        ("200 OK", "X-Iops-Used: 86\r\nX-Rho: 3", pb::Result::Ok, Some(86.0), 3.0),
-        ("200 OK", "X-Iops-Used: soup\r\nX-Rho: -1", pb::Result::Ok, None, 0.0),
-        ("200 OK", "X-Iops-Used: 1\r\nX-Iops-Used: 2", pb::Result::Ok, None, 0.0),
+        (
+            "200 OK",
+            "X-Iops-Used: 86\r\nX-Rho: 3",
+            pb::Result::Ok,
+            Some(86.0),
+            3.0,
+        ),
+        (
+            "200 OK",
+            "X-Iops-Used: soup\r\nX-Rho: -1",
+            pb::Result::Ok,
+            None,
+            0.0,
+        ),
+        (
+            "200 OK",
+            "X-Iops-Used: 1\r\nX-Iops-Used: 2",
+            pb::Result::Ok,
+            None,
+            0.0,
+        ),
         ("503 No", "X-Turned-Away: 1", pb::Result::Full, None, 0.0),
         ("504 No", "X-Turned-Away: 1", pb::Result::Full, None, 0.0),
         ("503 No", "A: b", pb::Result::Error, None, 0.0),
@@ -17,8 +35,19 @@
     for (status, more, result, reported, others) in cases {
         let text = format!("HTTP/1.1 {status}\r\n{more}\r\nContent-Length: 2\r\n\r\nhi");
         let a = answer(9, &response(text.as_bytes()).unwrap().unwrap().0);
-        assert_eq!((a.leg, a.result(), a.reported, a.others), (9, result, reported, others), "{text}");
-        assert_eq!(&*a.data, if result == pb::Result::Ok { &b"hi"[..] } else { b"" });
+        assert_eq!(
+            (a.leg, a.result(), a.reported, a.others),
+            (9, result, reported, others),
+            "{text}"
+        );
+        assert_eq!(
+            &*a.data,
+            if result == pb::Result::Ok {
+                &b"hi"[..]
+            } else {
+                b""
+            }
+        );
     }
 }
 
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -158,7 +158,14 @@
 fn unread(fd: RawFd) -> Unread {
     let mut one = 0u8;
     // SAFETY: the pointer is of one live byte; the caller owns the number.
-    let n = unsafe { libc::recv(fd, (&raw mut one).cast(), 1, libc::MSG_PEEK | libc::MSG_DONTWAIT) };
+    let n = unsafe {
+        libc::recv(
+            fd,
+            (&raw mut one).cast(),
+            1,
+            libc::MSG_PEEK | libc::MSG_DONTWAIT,
+        )
+    };
     match n {
         1.. => Unread::Bytes,
         0 => Unread::End,
@@ -173,9 +180,15 @@
         Unread::Nothing => false,
         Unread::End => true,
         Unread::Bytes => {
-            let mut polled = libc::pollfd { fd, events: libc::POLLRDHUP, revents: 0 };
+            let mut polled = libc::pollfd {
+                fd,
+                events: libc::POLLRDHUP,
+                revents: 0,
+            };
             // SAFETY: the pointer is of one live record.
-            unsafe { libc::poll(&raw mut polled, 1, 0) > 0 && polled.revents & libc::POLLRDHUP != 0 }
+            unsafe {
+                libc::poll(&raw mut polled, 1, 0) > 0 && polled.revents & libc::POLLRDHUP != 0
+            }
         }
     }
 }
@@ -188,7 +201,13 @@
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
     // SAFETY: the pointers are of live values, the length is the first one's; the caller owns the number.
     let failed = unsafe {
-        libc::getsockopt(fd, libc::IPPROTO_TCP, libc::TCP_INFO, (&raw mut told).cast(), &raw mut length)
+        libc::getsockopt(
+            fd,
+            libc::IPPROTO_TCP,
+            libc::TCP_INFO,
+            (&raw mut told).cast(),
+            &raw mut length,
+        )
     };
     if failed != 0 {
         return Duration::ZERO;
@@ -198,7 +217,10 @@
 
 impl Gate {
     fn new() -> Arc<Self> {
-        Arc::new(Gate { inner: Mutex::default(), bell: Semphore::new(0) })
+        Arc::new(Gate {
+            inner: Mutex::default(),
+            bell: Semphore::new(0),
+        })
     }
 
     fn lock(&self) -> MutexGuard<'_, Reading> {
@@ -290,7 +312,11 @@
             Got::Nothing => _ = stream.wait_io(),
             Got::End => break,
             Got::Bytes(bytes) => {
-                let read = Note::Read { conn, at: clock::now(), bytes };
+                let read = Note::Read {
+                    conn,
+                    at: clock::now(),
+                    bytes,
+                };
                 if to_owner.send(read).is_err() {
                     break;
                 }
@@ -333,7 +359,11 @@
                 let _ = stream.set_nodelay(true);
                 next += 1;
                 let (conn, gate) = (ConnId(next), Gate::new());
-                let accepted = Note::Accepted { conn, fd: stream.as_raw_fd(), gate: gate.clone() };
+                let accepted = Note::Accepted {
+                    conn,
+                    fd: stream.as_raw_fd(),
+                    gate: gate.clone(),
+                };
                 if to_owner.send(accepted).is_err() {
                     return;
                 }
@@ -456,10 +486,15 @@
 
 /// Runs the host until SIGTERM has ended it. `started` gets the address it listens on.
 pub fn run(options: Options, started: impl FnOnce(SocketAddr)) -> io::Result<Counts> {
-    may::config().set_workers(1).set_stack_size(STACK).set_timeout_ns(POLL.as_nanos() as u64);
+    may::config()
+        .set_workers(1)
+        .set_stack_size(STACK)
+        .set_timeout_ns(POLL.as_nanos() as u64);
     // Its one worker would be bound to the first core, as that of every other host on the machine: what keeps
     // that core busy keeps all of them from hearing anybody, whatever the other cores do.
-    may::config().set_pool_capacity(SPARE_STACKS).set_worker_pin(false);
+    may::config()
+        .set_pool_capacity(SPARE_STACKS)
+        .set_worker_pin(false);
     let (to_owner, notes) = mpsc::channel();
     // Before anybody can see this host as ready.
     signals(to_owner.clone())?;
@@ -472,7 +507,12 @@
         bell: Semphore::new(0),
         ended: AtomicBool::new(false),
     });
-    let mut host = Host::new(options, room.clone(), listener.as_raw_fd(), to_owner.clone());
+    let mut host = Host::new(
+        options,
+        room.clone(),
+        listener.as_raw_fd(),
+        to_owner.clone(),
+    );
     go!(move || accept(&listener, &room, &to_owner));
     started(address);
     host.own(&notes);
@@ -482,18 +522,24 @@
 fn signals(to_owner: Sender<Note>) -> io::Result<()> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     let mut signals = signal_hook::iterator::Signals::new([SIGHUP, SIGTERM, SIGINT])?;
-    std::thread::Builder::new().name("signals".into()).stack_size(64 << 10).spawn(move || {
-        for n in signals.forever() {
-            if to_owner.send(Note::Signal(n)).is_err() {
-                return;
+    std::thread::Builder::new()
+        .name("signals".into())
+        .stack_size(64 << 10)
+        .spawn(move || {
+            for n in signals.forever() {
+                if to_owner.send(Note::Signal(n)).is_err() {
+                    return;
+                }
             }
-        }
-    })?;
+        })?;
     Ok(())
 }
 
 fn frame(body: Body, at: Duration) -> pb::Frame {
-    pb::Frame { sent_us: clock::micros(at), body: Some(body) }
+    pb::Frame {
+        sent_us: clock::micros(at),
+        body: Some(body),
+    }
 }
 
 impl Host {
@@ -539,7 +585,9 @@
 
     /// The list as the platform last saw it here. One that cannot be read is none.
     fn remember(&mut self) {
-        let Some(known) = self.config.known.take() else { return };
+        let Some(known) = self.config.known.take() else {
+            return;
+        };
         match self.names.read(&known, unix_ms()) {
             Ok(read) => {
                 self.known = !read.list.entries.is_empty();
@@ -565,7 +613,11 @@
 
     fn own(&mut self, notes: &Receiver<Note>) {
         // A first step, so that the decisions ask for the list without waiting for a client.
-        self.inputs.push(Input::Word { from: PeerId(u32::MAX), waited: Duration::ZERO, bytes: Vec::new() });
+        self.inputs.push(Input::Word {
+            from: PeerId(u32::MAX),
+            waited: Duration::ZERO,
+            bytes: Vec::new(),
+        });
         self.step();
         loop {
             let now = clock::now();
@@ -618,7 +670,12 @@
         match note {
             Note::Accepted { conn, fd, gate } => {
                 let now = clock::now();
-                let client = Client { open: None, spoke: false, since: now, discard: None };
+                let client = Client {
+                    open: None,
+                    spoke: false,
+                    since: now,
+                    discard: None,
+                };
                 let outbox = self.add(conn, Role::Client(client), fd, gate, now);
                 self.inputs.push(Input::ClientUp { conn, outbox });
             }
@@ -650,7 +707,14 @@
         }
     }
 
-    fn add(&mut self, conn: ConnId, role: Role, fd: RawFd, gate: Arc<Gate>, now: Duration) -> Arc<Outbox> {
+    fn add(
+        &mut self,
+        conn: ConnId,
+        role: Role,
+        fd: RawFd,
+        gate: Arc<Gate>,
+        now: Duration,
+    ) -> Arc<Outbox> {
         let rung = self.rung.clone();
         let ring = move || rung.lock().unwrap_or_else(|e| e.into_inner()).push(conn);
         // Closing rings as well, and nobody sits in the socket.
@@ -672,8 +736,14 @@
 
     /// Lets go of a connection; its reader ends, and with it the descriptor.
     fn close(&mut self, conn: ConnId) {
-        let Some(c) = self.conns.remove(&conn) else { return };
-        if let Role::Client(Client { open: Some(Asked { id, xfer, .. }), .. }) = c.role {
+        let Some(c) = self.conns.remove(&conn) else {
+            return;
+        };
+        if let Role::Client(Client {
+            open: Some(Asked { id, xfer, .. }),
+            ..
+        }) = c.role
+        {
             forget(&mut self.ids, &mut self.left, &self.desk, id, xfer);
         }
         self.blocked.remove(&conn);
@@ -685,7 +755,9 @@
 
     /// A connection has ended, or is of no further use.
     fn lost(&mut self, conn: ConnId) {
-        let Some(c) = self.conns.get(&conn) else { return };
+        let Some(c) = self.conns.get(&conn) else {
+            return;
+        };
         self.inputs.push(match c.role {
             Role::Client(_) => Input::ClientGone { conn },
             Role::Node(_) => Input::NodeGone { conn },
@@ -698,7 +770,10 @@
     /// yet: closed now, its transfer would be lost. Then nothing is done, and the next look finds it. Whether
     /// it was ended.
     fn leave(&mut self, conn: ConnId) -> bool {
-        let leaves = self.conns.get(&conn).is_some_and(|c| c.gate.close_unless_asked(c.fd));
+        let leaves = self
+            .conns
+            .get(&conn)
+            .is_some_and(|c| c.gate.close_unless_asked(c.fd));
         if leaves {
             self.lost(conn);
         }
@@ -706,10 +781,15 @@
     }
 
     fn read(&mut self, conn: ConnId, at: Duration, bytes: &[u8]) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
+        let Some(c) = self.conns.get_mut(&conn) else {
+            return;
+        };
         c.gate.consumed(bytes.len());
         match &mut c.role {
-            Role::Client(Client { discard: Some((_, left)), .. }) => {
+            Role::Client(Client {
+                discard: Some((_, left)),
+                ..
+            }) => {
                 *left = left.saturating_sub(bytes.len());
                 if *left == 0 {
                     self.lost(conn);
@@ -749,8 +829,12 @@
     fn advance(&mut self, conn: ConnId, at: Duration) {
         let last = self.killed_at();
         loop {
-            let Some(c) = self.conns.get_mut(&conn) else { return };
-            let Role::Client(client) = &mut c.role else { return };
+            let Some(c) = self.conns.get_mut(&conn) else {
+                return;
+            };
+            let Role::Client(client) = &mut c.role else {
+                return;
+            };
             if client.open.is_some() || client.discard.is_some() || c.inward.is_empty() {
                 return;
             }
@@ -785,7 +869,13 @@
                         return self.lost(conn);
                     }
                     if self.ids.contains(&id) {
-                        return self.turn_down(conn, Fault { status: 409, what: "an id that is open" });
+                        return self.turn_down(
+                            conn,
+                            Fault {
+                                status: 409,
+                                what: "an id that is open",
+                            },
+                        );
                     }
                     drained(&mut c.inward, used);
                     self.taken += 1;
@@ -794,7 +884,11 @@
                         take.left_us = take.left_us.min(clock::micros(left));
                     }
                     take.id = Bytes::from(format!("{:036x}", self.taken));
-                    client.open = Some(Asked { id: id.clone(), xfer: take.id.clone(), keep });
+                    client.open = Some(Asked {
+                        id: id.clone(),
+                        xfer: take.id.clone(),
+                        keep,
+                    });
                     self.ids.insert(id);
                     let frames = vec![frame(Body::Take(*take), at)];
                     self.inputs.push(Input::ClientFrames { conn, at, frames });
@@ -806,12 +900,27 @@
 
     /// Says what is wrong, and hangs up once that has been read.
     fn turn_down(&mut self, conn: ConnId, fault: Fault) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        let Role::Client(client) = &mut c.role else { return };
+        let Some(c) = self.conns.get_mut(&conn) else {
+            return;
+        };
+        let Role::Client(client) = &mut c.role else {
+            return;
+        };
         client.discard = Some((clock::now() + DISCARD.0, DISCARD.1));
         c.inward = Vec::new();
-        put_response(&mut c.outward, fault.status, "", false, fault.what.as_bytes());
-        tracing::debug!(conn = conn.0, status = fault.status, "client: {}", fault.what);
+        put_response(
+            &mut c.outward,
+            fault.status,
+            "",
+            false,
+            fault.what.as_bytes(),
+        );
+        tracing::debug!(
+            conn = conn.0,
+            status = fault.status,
+            "client: {}",
+            fault.what
+        );
         self.flush(conn);
     }
 
@@ -828,13 +937,17 @@
     fn make_room(&mut self) {
         let now = clock::now();
         let order = |c: &Conn| {
-            let Role::Client(client) = &c.role else { return None };
+            let Role::Client(client) = &c.role else {
+                return None;
+            };
             let idle = now.saturating_sub(client.since);
             match client {
                 Client { open: Some(_), .. } => None,
                 // Closed now, the rest of its answer would be lost.
                 _ if c.written < c.outward.len() => None,
-                Client { discard: Some(_), .. } => Some((0, idle)),
+                Client {
+                    discard: Some(_), ..
+                } => Some((0, idle)),
                 Client { spoke: false, .. } if idle > YOUNG || said_nothing_for(c.fd) > YOUNG => {
                     Some((1, idle))
                 }
@@ -843,12 +956,19 @@
                 _ => Some((4, idle)),
             }
         };
-        let all = self.conns.iter().filter_map(|(id, c)| Some((order(c)?, *id)));
+        let all = self
+            .conns
+            .iter()
+            .filter_map(|(id, c)| Some((order(c)?, *id)));
         let mut all: Vec<_> = all.collect();
         all.sort_unstable_by_key(|((kind, idle), _)| (*kind, std::cmp::Reverse(*idle)));
         // A host that was told to end keeps as many of those that have asked as it may ever keep: late in its
         // end they get no other connection here. But no more, or who comes now gets none for their sake.
-        let mut over = if self.draining.is_some() { self.over_kept() } else { usize::MAX };
+        let mut over = if self.draining.is_some() {
+            self.over_kept()
+        } else {
+            usize::MAX
+        };
         // A few at a time: each costs a look at all. Who turns out to have said something is none of them, or
         // one that is yet to be heard would leave the listener waiting for the next sweep.
         let mut few = 1 + self.room.most / 16;
@@ -873,8 +993,13 @@
 
     /// How many more clients that have asked keep connections than may.
     fn over_kept(&self) -> usize {
-        let asked = |c: &&Conn| matches!(&c.role, Role::Client(k) if k.spoke && k.discard.is_none());
-        self.conns.values().filter(asked).count().saturating_sub(self.config.descriptors.kept)
+        let asked =
+            |c: &&Conn| matches!(&c.role, Role::Client(k) if k.spoke && k.discard.is_none());
+        self.conns
+            .values()
+            .filter(asked)
+            .count()
+            .saturating_sub(self.config.descriptors.kept)
     }
 
     /// Where more clients keep connections than may, those go that have been idle the longest: whoever asks
@@ -892,14 +1017,18 @@
         let over = self.over_kept();
         if over > 0 && self.draining.is_none() {
             idle.sort_unstable();
-            idle.into_iter().take(over).for_each(|(_, conn)| _ = self.leave(conn));
+            idle.into_iter()
+                .take(over)
+                .for_each(|(_, conn)| _ = self.leave(conn));
         }
     }
 
     // Nodes
 
     fn node_answers(&mut self, conn: ConnId, at: Duration) {
-        let Some(c) = self.conns.get(&conn) else { return };
+        let Some(c) = self.conns.get(&conn) else {
+            return;
+        };
         let Role::Node(doing) = &c.role else { return };
         let (body, leaving) = match (http::response(&c.inward), doing) {
             // Bytes that nothing waits for.
@@ -918,7 +1047,8 @@
                     Doing::Nothing => return,
                 };
                 // What answers a leg that has not come whole is made for another, but for a node's no.
-                if partly && !matches!(&body, Body::LegAnswer(a) if a.result() == pb::Result::Full) {
+                if partly && !matches!(&body, Body::LegAnswer(a) if a.result() == pb::Result::Full)
+                {
                     return self.lost(conn);
                 }
                 (body, leaving)
@@ -929,7 +1059,14 @@
 
     /// Tells the desk how an exchange with a node ended, and that the connection goes, where it does.
     fn exchange_over(&mut self, conn: ConnId, body: Body, leaving: bool, at: Duration) {
-        let Some(Conn { role: Role::Node(doing), inward, .. }) = self.conns.get_mut(&conn) else { return };
+        let Some(Conn {
+            role: Role::Node(doing),
+            inward,
+            ..
+        }) = self.conns.get_mut(&conn)
+        else {
+            return;
+        };
         *doing = Doing::Nothing;
         *inward = Vec::new();
         // That it goes comes first, or the next leg would be given to it.
@@ -942,13 +1079,18 @@
     }
 
     fn inward_of_nodes(&self) -> usize {
-        let nodes = self.conns.values().filter(|c| matches!(c.role, Role::Node(_)));
+        let nodes = self
+            .conns
+            .values()
+            .filter(|c| matches!(c.role, Role::Node(_)));
         nodes.map(|c| c.inward.len()).sum()
     }
 
     /// An answer that will never be whole: what it was for has run, and the connection is of no further use.
     fn spoilt(&mut self, conn: ConnId) {
-        let Some(c) = self.conns.get(&conn) else { return };
+        let Some(c) = self.conns.get(&conn) else {
+            return;
+        };
         let Role::Node(doing) = &c.role else { return };
         if c.written < c.outward.len() {
             return self.lost(conn); // it has not come whole, so it has not run
@@ -973,7 +1115,11 @@
             // Only the last is waited for: a list that moves often leaves no dials behind.
             self.dials.retain(|d| !d.list);
         } else if self.to_nodes.len() >= self.config.descriptors.nodes {
-            return self.held.push_back(Held { conn, address, until });
+            return self.held.push_back(Held {
+                conn,
+                address,
+                until,
+            });
         }
         self.connect(conn, address, list, until);
     }
@@ -981,7 +1127,11 @@
     /// Without waiting: on this machine and near it a connection is up or refused at once, and what is
     /// neither is looked at again.
     fn connect(&mut self, conn: ConnId, address: SocketAddr, list: bool, until: Duration) {
-        let domain = if address.is_ipv4() { Domain::IPV4 } else { Domain::IPV6 };
+        let domain = if address.is_ipv4() {
+            Domain::IPV4
+        } else {
+            Domain::IPV6
+        };
         let dialled = Socket::new(domain, Type::STREAM, Some(Protocol::TCP)).and_then(|socket| {
             socket.set_nonblocking(true)?;
             socket.set_nodelay(true)?;
@@ -998,11 +1148,20 @@
                 if !list {
                     self.to_nodes.insert(conn);
                 }
-                self.dials.push(Dial { conn, socket, until, list });
+                self.dials.push(Dial {
+                    conn,
+                    socket,
+                    until,
+                    list,
+                });
             }
             Err(e) => {
                 tracing::debug!(%address, "cannot dial: {e}");
-                self.inputs.push(if list { Input::ListGone { conn } } else { Input::NodeGone { conn } });
+                self.inputs.push(if list {
+                    Input::ListGone { conn }
+                } else {
+                    Input::NodeGone { conn }
+                });
             }
         }
     }
@@ -1010,11 +1169,21 @@
     fn dial_held(&mut self) {
         let now = clock::now();
         while self.held.front().is_some_and(|h| now >= h.until) {
-            let late = self.held.pop_front().map(|h| Input::NodeGone { conn: h.conn });
+            let late = self
+                .held
+                .pop_front()
+                .map(|h| Input::NodeGone { conn: h.conn });
             self.inputs.extend(late);
         }
         while self.to_nodes.len() < self.config.descriptors.nodes {
-            let Some(Held { conn, address, until }) = self.held.pop_front() else { return };
+            let Some(Held {
+                conn,
+                address,
+                until,
+            }) = self.held.pop_front()
+            else {
+                return;
+            };
             self.connect(conn, address, false, until);
         }
     }
@@ -1027,7 +1196,11 @@
         let mut polled: Vec<libc::pollfd> = self
             .dials
             .iter()
-            .map(|d| libc::pollfd { fd: d.socket.as_raw_fd(), events: libc::POLLOUT, revents: 0 })
+            .map(|d| libc::pollfd {
+                fd: d.socket.as_raw_fd(),
+                events: libc::POLLOUT,
+                revents: 0,
+            })
             .collect();
         // SAFETY: the pointer and the length are of one live vector.
         unsafe { libc::poll(polled.as_mut_ptr(), polled.len() as libc::nfds_t, 0) };
@@ -1040,10 +1213,15 @@
                 self.dials.push(d);
                 continue;
             }
-            let up = ready && matches!(d.socket.take_error(), Ok(None)) && d.socket.peer_addr().is_ok();
+            let up =
+                ready && matches!(d.socket.take_error(), Ok(None)) && d.socket.peer_addr().is_ok();
             if !up {
                 self.to_nodes.remove(&conn);
-                self.inputs.push(if list { Input::ListGone { conn } } else { Input::NodeGone { conn } });
+                self.inputs.push(if list {
+                    Input::ListGone { conn }
+                } else {
+                    Input::NodeGone { conn }
+                });
                 continue;
             }
             // SAFETY: the number has just been given up by its only owner.
@@ -1066,8 +1244,12 @@
     // The list
 
     fn list_answers(&mut self, conn: ConnId) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        let Role::List(calls) = &mut c.role else { return };
+        let Some(c) = self.conns.get_mut(&conn) else {
+            return;
+        };
+        let Role::List(calls) = &mut c.role else {
+            return;
+        };
         if calls.by().is_none() {
             return self.lost(conn);
         }
@@ -1087,10 +1269,18 @@
                 let frames = vec![frame(Body::List(read.list), clock::now())];
                 self.inputs.push(Input::ListFrames { conn, frames });
                 if read.spoilt > 0 {
-                    self.say(&format!("list of nodes: {} entries cannot be read", read.spoilt));
+                    self.say(&format!(
+                        "list of nodes: {} entries cannot be read",
+                        read.spoilt
+                    ));
                 }
                 match keep {
-                    true => self.call_list(conn, calls::Event::Told { revision: read.revision }),
+                    true => self.call_list(
+                        conn,
+                        calls::Event::Told {
+                            revision: read.revision,
+                        },
+                    ),
                     false => self.lost(conn),
                 }
             }
@@ -1102,10 +1292,16 @@
     }
 
     fn call_list(&mut self, conn: ConnId, event: calls::Event) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
-        let Role::List(calls) = &mut c.role else { return };
+        let Some(c) = self.conns.get_mut(&conn) else {
+            return;
+        };
+        let Role::List(calls) = &mut c.role else {
+            return;
+        };
         let ask_every = self.config.settings.list.rule.ask_every;
-        let Some(call) = calls.step(clock::now(), ask_every, event) else { return };
+        let Some(call) = calls.step(clock::now(), ask_every, event) else {
+            return;
+        };
         c.outward.extend_from_slice(&discovery::ask(SERVICE, call));
         self.flush(conn);
     }
@@ -1115,7 +1311,10 @@
         let Some(file) = &self.file else { return };
         match Config::load(file) {
             Ok(new) if new.name != self.config.name => {
-                let named = format!("configuration not taken: it is {}'s, the last good one stays", new.name);
+                let named = format!(
+                    "configuration not taken: it is {}'s, the last good one stays",
+                    new.name
+                );
                 self.say(&named);
             }
             Ok(new) => {
@@ -1125,7 +1324,9 @@
                 }
                 self.say("configuration read again");
             }
-            Err(why) => self.say(&format!("configuration not taken, the last good one stays: {why}")),
+            Err(why) => self.say(&format!(
+                "configuration not taken, the last good one stays: {why}"
+            )),
         }
     }
 
@@ -1153,7 +1354,9 @@
     /// Writes what the socket takes; then what its outbox has.
     fn flush(&mut self, conn: ConnId) {
         loop {
-            let Some(c) = self.conns.get_mut(&conn) else { return };
+            let Some(c) = self.conns.get_mut(&conn) else {
+                return;
+            };
             let client = matches!(c.role, Role::Client(_));
             if !client && c.outbox.is_closed() {
                 // What is left of a leg that was given up must not cross any more.
@@ -1179,7 +1382,10 @@
             if !c.outward.is_empty() {
                 c.written = 0;
                 drained(&mut c.outward, usize::MAX);
-                if let Role::Client(Client { discard: Some(_), .. }) = c.role {
+                if let Role::Client(Client {
+                    discard: Some(_), ..
+                }) = c.role
+                {
                     // SAFETY: as above.
                     unsafe { libc::shutdown(c.fd, libc::SHUT_WR) };
                 }
@@ -1195,7 +1401,9 @@
             if !client && self.nobody_waits(conn) {
                 return;
             }
-            let Some(c) = self.conns.get_mut(&conn) else { return };
+            let Some(c) = self.conns.get_mut(&conn) else {
+                return;
+            };
             let pulled = c.outbox.pull(clock::now, ONE_WRITE);
             if pulled.frames.is_empty() {
                 if pulled.closed {
@@ -1221,17 +1429,23 @@
     /// socket for each leg.
     fn nobody_waits(&mut self, conn: ConnId) -> bool {
         let left = |client: &ConnId| self.conns.get(client).is_none_or(|c| has_left(c.fd));
-        let Some(client) = self.desk.clients_at(conn).find(left) else { return false };
+        let Some(client) = self.desk.clients_at(conn).find(left) else {
+            return false;
+        };
         self.lost(client);
         true
     }
 
     fn put(&mut self, conn: ConnId, body: Body) {
         let ending = self.closing();
-        let Some(c) = self.conns.get_mut(&conn) else { return };
+        let Some(c) = self.conns.get_mut(&conn) else {
+            return;
+        };
         match (&mut c.role, body) {
             (Role::Client(client), Body::Final(told)) => {
-                let Some(Asked { id, xfer, keep }) = client.open.take() else { return };
+                let Some(Asked { id, xfer, keep }) = client.open.take() else {
+                    return;
+                };
                 // What it sent behind this one has been read, and is answered too.
                 let keep = keep && (!ending || !c.inward.is_empty());
                 let now = clock::now();
@@ -1260,7 +1474,9 @@
                     self.inputs.push(Input::NodeFrames { conn, at, frames });
                 }
             }
-            (Role::List(_), Body::Watch(w)) => self.call_list(conn, calls::Event::Watch { on: w.on }),
+            (Role::List(_), Body::Watch(w)) => {
+                self.call_list(conn, calls::Event::Watch { on: w.on })
+            }
             (Role::List(_), Body::FetchList(_)) => self.call_list(conn, calls::Event::Fetch),
             _ => {}
         }
@@ -1270,19 +1486,29 @@
 
     /// When this process may be killed, once it was told to end.
     fn killed_at(&self) -> Option<Duration> {
-        let longest = self.config.settings.streams.iter().map(|s| s.expiry).max().unwrap_or_default();
+        let longest = self
+            .config
+            .settings
+            .streams
+            .iter()
+            .map(|s| s.expiry)
+            .max()
+            .unwrap_or_default();
         Some(self.draining? + longest.min(KILLED.0) + KILLED.1)
     }
 
     /// Whether answers now end their connections. Until then a host that was told to end serves on: its
     /// clients would find nobody else there before the next start.
     fn closing(&self) -> bool {
-        self.killed_at().is_some_and(|at| clock::now() + LAST_TAKEN >= at)
+        self.killed_at()
+            .is_some_and(|at| clock::now() + LAST_TAKEN >= at)
     }
 
     /// Whether a client is still owed something: an answer, or a look at what it has said.
     fn owes(&self, c: &Conn, now: Duration) -> bool {
-        let Role::Client(client) = &c.role else { return false };
+        let Role::Client(client) = &c.role else {
+            return false;
+        };
         if client.discard.is_some() {
             // Ended with something unread, its connection would be reset, and the answer with it.
             return c.written < c.outward.len() || unread(c.fd) == Unread::Bytes;
@@ -1296,7 +1522,9 @@
     /// has sent.
     fn shut_listener(&mut self, now: Duration) {
         let due = self.killed_at().is_some_and(|at| now + LAST_ANSWER >= at);
-        let last = self.killed_at().is_some_and(|at| now + LAST_ANSWER / 2 >= at);
+        let last = self
+            .killed_at()
+            .is_some_and(|at| now + LAST_ANSWER / 2 >= at);
         if self.shut.is_some() || !due || waits(self.listener) && !last {
             return;
         }
@@ -1316,7 +1544,9 @@
         for (id, c) in &self.conns {
             match end_of(c) {
                 End::Hang(at) if now >= at => lost.push(*id),
-                End::Silent(at) if now >= at || closing && now >= c.opened + YOUNG => idle.push(*id),
+                End::Silent(at) if now >= at || closing && now >= c.opened + YOUNG => {
+                    idle.push(*id)
+                }
                 // A host that was told to end keeps what it has: its clients get no other connection here.
                 End::Idle(at) if closing || now >= at && self.draining.is_none() => idle.push(*id),
                 End::Complain(at) if now >= at => slow.push(*id),
@@ -1328,7 +1558,10 @@
         idle.into_iter().for_each(|conn| _ = self.leave(conn));
         self.keep_few();
         spoilt.into_iter().for_each(|conn| self.spoilt(conn));
-        let late = Fault { status: 408, what: "the rest did not come" };
+        let late = Fault {
+            status: 408,
+            what: "the rest did not come",
+        };
         slow.into_iter().for_each(|conn| self.turn_down(conn, late));
         if self.short {
             self.make_room();
@@ -1354,7 +1587,11 @@
         if tracing::enabled!(tracing::Level::DEBUG) {
             let (second, counts) = ((unix_ms() / 1000.0) as u64, self.desk.counts());
             let kinds: Vec<String> = self.config.kinds.iter().map(|k| k.name.clone()).collect();
-            tracing::debug!("{}", self.teller.line(second, counts, self.desk.control(), &kinds));
+            tracing::debug!(
+                "{}",
+                self.teller
+                    .line(second, counts, self.desk.control(), &kinds)
+            );
         }
     }
 
@@ -1367,7 +1604,11 @@
 
 /// Whether somebody is in a listener's queue.
 fn waits(listener: RawFd) -> bool {
-    let mut polled = libc::pollfd { fd: listener, events: libc::POLLIN, revents: 0 };
+    let mut polled = libc::pollfd {
+        fd: listener,
+        events: libc::POLLIN,
+        revents: 0,
+    };
     // SAFETY: the pointer is of one live value.
     unsafe { libc::poll(&raw mut polled, 1, 0) > 0 }
 }
@@ -1388,7 +1629,10 @@
         Role::Node(_) if !c.inward.is_empty() => End::Spoilt(c.moved + REST_OF_ANSWER),
         Role::Client(Client { open: Some(_), .. }) | Role::Node(_) => End::Never,
         Role::Client(client) if c.written < c.outward.len() => End::Hang(client.since + READING),
-        Role::Client(Client { discard: Some((until, _)), .. }) => End::Hang(*until),
+        Role::Client(Client {
+            discard: Some((until, _)),
+            ..
+        }) => End::Hang(*until),
         Role::Client(Client { spoke: false, .. }) => End::Silent(c.opened + FIRST_WORDS),
         Role::Client(client) if c.inward.is_empty() => End::Idle(client.since + IDLE),
         // Until a first exchange has ended, its time counts from the caller's coming.
@@ -1400,7 +1644,13 @@
 
 /// A client's id is free once nothing of its transfer is out: until then a node could meet the id of a leg
 /// that it has, and take it for a second copy.
-fn forget(ids: &mut HashSet<String>, left: &mut Vec<(String, Bytes)>, desk: &Desk, id: String, xfer: Bytes) {
+fn forget(
+    ids: &mut HashSet<String>,
+    left: &mut Vec<(String, Bytes)>,
+    desk: &Desk,
+    id: String,
+    xfer: Bytes,
+) {
     if desk.holds(&xfer) {
         left.push((id, xfer));
     } else {
@@ -1409,8 +1659,15 @@
 }
 
 fn probed(probe: u64, status: u16) -> Body {
-    let result = if status == 200 { pb::Result::Ok } else { pb::Result::Error };
-    Body::Probed(pb::Probed { probe, result: result.into() })
+    let result = if status == 200 {
+        pb::Result::Ok
+    } else {
+        pb::Result::Error
+    };
+    Body::Probed(pb::Probed {
+        probe,
+        result: result.into(),
+    })
 }
 
 /// Takes the first bytes away, and gives the memory back once nothing is left.
@@ -1424,7 +1681,9 @@
 
 /// The wall clock, by which the list tells when nodes started.
 fn unix_ms() -> f64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0.0, |d| d.as_secs_f64() * 1000.0)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0.0, |d| d.as_secs_f64() * 1000.0)
 }
 
 #[cfg(test)]
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -16,14 +16,23 @@
     text["limits"]["sockets"] = sockets.into();
     let config = Config::read("c.json".as_ref(), text.to_string().as_bytes()).unwrap();
     let bell = Semphore::new(0);
-    let room = Room { live: AtomicUsize::new(0), most: 9, bell, ended: AtomicBool::new(false) };
+    let room = Room {
+        live: AtomicUsize::new(0),
+        most: 9,
+        bell,
+        ended: AtomicBool::new(false),
+    };
     Host::new(Options { config, file: None }, Arc::new(room), -1, to_owner)
 }
 
 fn client(host: &mut Host, n: u64) -> (ConnId, UnixStream, UnixStream) {
     let (ours, theirs) = UnixStream::pair().unwrap();
     let conn = ConnId(ACCEPTED + n);
-    host.hear(Note::Accepted { conn, fd: ours.as_raw_fd(), gate: Gate::new() });
+    host.hear(Note::Accepted {
+        conn,
+        fd: ours.as_raw_fd(),
+        gate: Gate::new(),
+    });
     (conn, ours, theirs)
 }
 
@@ -46,25 +55,46 @@
     host.discovery = address;
     let dial = |host: &mut Host, n: u64| {
         let (conn, node) = (ConnId(n), grebecleat::interface::NodeId(0));
-        host.carry_out(Output::Dial { conn, node, address });
+        host.carry_out(Output::Dial {
+            conn,
+            node,
+            address,
+        });
     };
     (0..(most + more) as u64).for_each(|n| dial(&mut host, n));
     host.carry_out(Output::DialList { conn: ConnId(90) });
     host.carry_out(Output::DialList { conn: ConnId(91) });
-    let lists = |host: &Host| host.dials.iter().filter(|d| d.list).map(|d| d.conn.0).collect::<Vec<_>>();
-    assert_eq!((host.dials.len(), lists(&host), host.held.len()), (most + 1, vec![91], more));
+    let lists = |host: &Host| {
+        host.dials
+            .iter()
+            .filter(|d| d.list)
+            .map(|d| d.conn.0)
+            .collect::<Vec<_>>()
+    };
+    assert_eq!(
+        (host.dials.len(), lists(&host), host.held.len()),
+        (most + 1, vec![91], more)
+    );
     // However slow this machine is.
     host.held.iter_mut().for_each(|h| h.until = Duration::MAX);
     while !host.dials.is_empty() {
         host.look_at_dials();
     }
-    let up = |host: &Host| host.conns.values().filter(|c| matches!(c.role, Role::Node(_))).count();
+    let up = |host: &Host| {
+        host.conns
+            .values()
+            .filter(|c| matches!(c.role, Role::Node(_)))
+            .count()
+    };
     assert_eq!((up(&host), host.held.len()), (most, more));
     // Closed, and not yet let go of.
     host.close(ConnId(0));
     host.close(ConnId(1));
     host.look_at_dials();
-    assert_eq!((up(&host), host.dials.len(), host.held.len()), (most - 2, 0, more));
+    assert_eq!(
+        (up(&host), host.dials.len(), host.held.len()),
+        (most - 2, 0, more)
+    );
     for n in 1..=2 {
         host.hear(notes.recv_timeout(ms(10_000)).unwrap());
         host.look_at_dials();
@@ -82,7 +112,10 @@
             _ => None,
         })
         .collect();
-    assert_eq!((gone, host.held.len()), (vec![most as u64 + 2, most as u64 + 3], 0));
+    assert_eq!(
+        (gone, host.held.len()),
+        (vec![most as u64 + 2, most as u64 + 3], 0)
+    );
 }
 
 /// Who has an answer that is not written whole keeps his connection, where room is made and where few are
@@ -92,8 +125,16 @@
     type Case = (&'static str, fn(&mut Client), fn(&mut Host));
     let cases: [Case; 4] = [
         ("an answer, for room", |_| (), Host::make_room),
-        ("the last answer, for room", |c| c.discard = Some((Duration::MAX, 9)), Host::make_room),
-        ("idle for long, for room", |c| c.since = Duration::ZERO, Host::make_room),
+        (
+            "the last answer, for room",
+            |c| c.discard = Some((Duration::MAX, 9)),
+            Host::make_room,
+        ),
+        (
+            "idle for long, for room",
+            |c| c.since = Duration::ZERO,
+            Host::make_room,
+        ),
         ("an answer, to keep few", |_| (), Host::keep_few),
     ];
     for (what, state, closes) in cases {
@@ -106,7 +147,11 @@
             let c = host.conns.get_mut(&conn).unwrap();
             (c.outward, c.written) = (vec![0; 2], 1 + usize::from(written));
             closes(&mut host);
-            assert_eq!(host.conns.contains_key(&conn), !written, "{what}, written whole: {written}");
+            assert_eq!(
+                host.conns.contains_key(&conn),
+                !written,
+                "{what}, written whole: {written}"
+            );
         }
     }
 }
@@ -115,7 +160,11 @@
 /// who come: the one idle the longest first.
 #[test]
 fn a_host_that_was_told_to_end_makes_room_down_to_those_that_it_may_keep() {
-    for (ending, kept, left) in [(false, 2, vec![]), (true, 2, vec![3, 4]), (true, 9, vec![1, 2, 3, 4])] {
+    for (ending, kept, left) in [
+        (false, 2, vec![]),
+        (true, 2, vec![3, 4]),
+        (true, 9, vec![1, 2, 3, 4]),
+    ] {
         let mut host = host();
         host.config.descriptors.kept = kept;
         host.draining = ending.then(clock::now);
@@ -134,7 +183,11 @@
 /// accepted; one that has just come, or has said something by then, does not.
 #[test]
 fn who_was_silent_in_the_queue_is_not_taken_for_one_that_has_just_come() {
-    for (waits, speaks, stays) in [(true, false, false), (true, true, true), (false, false, true)] {
+    for (waits, speaks, stays) in [
+        (true, false, false),
+        (true, true, true),
+        (false, false, true),
+    ] {
         let mut host = host();
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let mut theirs = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -146,9 +199,17 @@
         }
         let (ours, _) = listener.accept().unwrap();
         let conn = ConnId(ACCEPTED + 1);
-        host.hear(Note::Accepted { conn, fd: ours.as_raw_fd(), gate: Gate::new() });
+        host.hear(Note::Accepted {
+            conn,
+            fd: ours.as_raw_fd(),
+            gate: Gate::new(),
+        });
         host.make_room();
-        assert_eq!(host.conns.contains_key(&conn), stays, "waits: {waits}, speaks: {speaks}");
+        assert_eq!(
+            host.conns.contains_key(&conn),
+            stays,
+            "waits: {waits}, speaks: {speaks}"
+        );
     }
 }
 
@@ -158,14 +219,29 @@
     for left in [false, true] {
         let (mut host, (ours, theirs)) = (host(), UnixStream::pair().unwrap());
         let (conn, gate) = (ConnId(ACCEPTED + 1), Gate::new());
-        host.hear(Note::Accepted { conn, fd: ours.as_raw_fd(), gate: gate.clone() });
+        host.hear(Note::Accepted {
+            conn,
+            fd: ours.as_raw_fd(),
+            gate: gate.clone(),
+        });
         gate.lock().ahead = TAKE.len();
         if left {
             theirs.shutdown(std::net::Shutdown::Both).unwrap();
         }
-        host.hear(Note::Read { conn, at: clock::now(), bytes: TAKE.into() });
-        let takes = host.inputs.iter().filter(|i| matches!(i, Input::ClientFrames { .. })).count();
-        assert_eq!((takes, host.conns.contains_key(&conn)), (usize::from(!left), !left));
+        host.hear(Note::Read {
+            conn,
+            at: clock::now(),
+            bytes: TAKE.into(),
+        });
+        let takes = host
+            .inputs
+            .iter()
+            .filter(|i| matches!(i, Input::ClientFrames { .. }))
+            .count();
+        assert_eq!(
+            (takes, host.conns.contains_key(&conn)),
+            (usize::from(!left), !left)
+        );
     }
 }
 
@@ -176,8 +252,16 @@
     type Case = (&'static str, fn(&mut UnixStream), bool);
     let cases: [Case; 4] = [
         ("it waits", |_| (), true),
-        ("it has said more", |s| s.write_all(b"GET /read/").unwrap(), true),
-        ("it has left", |s| s.shutdown(std::net::Shutdown::Both).unwrap(), false),
+        (
+            "it has said more",
+            |s| s.write_all(b"GET /read/").unwrap(),
+            true,
+        ),
+        (
+            "it has left",
+            |s| s.shutdown(std::net::Shutdown::Both).unwrap(),
+            false,
+        ),
         (
             "it has said more and left",
             |s| {
@@ -197,13 +281,25 @@
             address: node.local_addr().unwrap().to_string(),
             ..pb::Entry::default()
         };
-        let list = pb::List { kind: pb::ListKind::Whole.into(), entries: vec![entry], ..pb::List::default() };
+        let list = pb::List {
+            kind: pb::ListKind::Whole.into(),
+            entries: vec![entry],
+            ..pb::List::default()
+        };
         host.inputs.push(Input::Remembered { list });
         let conn = ConnId(ACCEPTED + 1);
-        host.hear(Note::Accepted { conn, fd: ours.as_raw_fd(), gate: Gate::new() });
+        host.hear(Note::Accepted {
+            conn,
+            fd: ours.as_raw_fd(),
+            gate: Gate::new(),
+        });
         let gate = host.conns[&conn].gate.clone();
         gate.lock().ahead = TAKE.len();
-        host.hear(Note::Read { conn, at: clock::now(), bytes: TAKE.into() });
+        host.hear(Note::Read {
+            conn,
+            at: clock::now(),
+            bytes: TAKE.into(),
+        });
         host.step();
         assert_eq!(host.dials.len(), 1, "{what}");
         let (mut came, _) = node.accept().unwrap();
@@ -213,8 +309,16 @@
         }
         (0..3).for_each(|_| host.step());
         came.set_nonblocking(true).unwrap();
-        assert_eq!(came.read(&mut [0; 64]).is_ok_and(|n| n > 0), written, "{what}");
-        assert_eq!(host.desk.held().0, usize::from(written), "{what}: the transfer is nobody's");
+        assert_eq!(
+            came.read(&mut [0; 64]).is_ok_and(|n| n > 0),
+            written,
+            "{what}"
+        );
+        assert_eq!(
+            host.desk.held().0,
+            usize::from(written),
+            "{what}: the transfer is nobody's"
+        );
     }
 }
 
@@ -224,21 +328,44 @@
     type Case = (&'static str, fn(&mut UnixStream), bool);
     let cases: [Case; 3] = [
         ("nothing", |_| (), true),
-        ("a second answer", |s| s.write_all(b"HTTP/1.1 200 OK\r\n").unwrap(), false),
-        ("its end", |s| s.shutdown(std::net::Shutdown::Write).unwrap(), false),
+        (
+            "a second answer",
+            |s| s.write_all(b"HTTP/1.1 200 OK\r\n").unwrap(),
+            false,
+        ),
+        (
+            "its end",
+            |s| s.shutdown(std::net::Shutdown::Write).unwrap(),
+            false,
+        ),
     ];
     for (what, says, written) in cases {
         let (mut host, (ours, mut node)) = (host(), UnixStream::pair().unwrap());
         let (conn, now) = (ConnId(7), clock::now());
-        let outbox = host.add(conn, Role::Node(Doing::Nothing), ours.as_raw_fd(), Gate::new(), now);
+        let outbox = host.add(
+            conn,
+            Role::Node(Doing::Nothing),
+            ours.as_raw_fd(),
+            Gate::new(),
+            now,
+        );
         says(&mut node);
-        let leg = frame(Body::Leg(pb::Leg { leg: 1, ..pb::Leg::default() }), now);
+        let leg = frame(
+            Body::Leg(pb::Leg {
+                leg: 1,
+                ..pb::Leg::default()
+            }),
+            now,
+        );
         outbox.put_leg(LegNo(1), leg, now, now + ms(900));
         host.flush_all();
         node.set_nonblocking(true).unwrap();
         // It stays in the outbox, where the desk takes it back.
         assert_eq!(
-            (node.read(&mut [0; 64]).is_ok_and(|n| n > 0), outbox.is_held(LegNo(1))),
+            (
+                node.read(&mut [0; 64]).is_ok_and(|n| n > 0),
+                outbox.is_held(LegNo(1))
+            ),
             (written, !written),
             "{what}"
         );
@@ -274,10 +401,17 @@
         }
         let idle = says == hears;
         assert_eq!(gate.is_quiet(fd), idle && !ends);
-        assert_eq!(gate.close_unless_asked(fd), idle, "{says} {reads} {hears} {ends}");
+        assert_eq!(
+            gate.close_unless_asked(fd),
+            idle,
+            "{says} {reads} {hears} {ends}"
+        );
         if idle && !ends {
             client.write_all(b"late").unwrap();
-            assert!(matches!(gate.read(fd, &mut buffer), Got::End), "it crosses the close, unread");
+            assert!(
+                matches!(gate.read(fd, &mut buffer), Got::End),
+                "it crosses the close, unread"
+            );
         }
     }
 }
--- a/crates/platform/tests/http.rs
+++ b/crates/platform/tests/http.rs
@@ -21,14 +21,20 @@
 fn a_message_is_the_same_wherever_its_stream_is_cut() {
     for text in REQUESTS {
         let bytes = text.as_bytes();
-        (0..bytes.len()).for_each(|n| assert!(matches!(request(&bytes[..n]), Ok(None)), "{text} at {n}"));
+        (0..bytes.len())
+            .for_each(|n| assert!(matches!(request(&bytes[..n]), Ok(None)), "{text} at {n}"));
         assert_eq!(request(bytes).unwrap().unwrap().1, bytes.len(), "{text}");
         let twice = [bytes, bytes].concat();
-        assert_eq!(request(&twice).unwrap().unwrap().1, bytes.len(), "{text}: what is behind waits");
+        assert_eq!(
+            request(&twice).unwrap().unwrap().1,
+            bytes.len(),
+            "{text}: what is behind waits"
+        );
     }
     for text in RESPONSES {
         let bytes = text.as_bytes();
-        (0..bytes.len()).for_each(|n| assert!(matches!(response(&bytes[..n]), Ok(None)), "{text} at {n}"));
+        (0..bytes.len())
+            .for_each(|n| assert!(matches!(response(&bytes[..n]), Ok(None)), "{text} at {n}"));
         assert_eq!(response(bytes).unwrap().unwrap().1, bytes.len(), "{text}");
     }
 }
@@ -55,7 +61,12 @@
             match rng.random_range(0..3) {
                 0 if at < bytes.len() => bytes[at] = rng.random(),
                 1 if at < bytes.len() => _ = bytes.remove(at),
-                _ => _ = bytes.splice(at..at, bits[rng.random_range(0..bits.len())].iter().copied()),
+                _ => {
+                    _ = bytes.splice(
+                        at..at,
+                        bits[rng.random_range(0..bits.len())].iter().copied(),
+                    )
+                }
             }
         }
         if let Ok(Some((r, used))) = request(&bytes) {
@@ -76,7 +87,9 @@
     assert_eq!(request(many.as_bytes()).unwrap_err().status, 431);
     let interim = "HTTP/1.1 102 Wait\r\n\r\n".repeat(50);
     assert!(response(interim.as_bytes()).is_err());
-    let chunks =
-        format!("PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{}", "1\r\nx\r\n".repeat(70_000));
+    let chunks = format!(
+        "PUT / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n{}",
+        "1\r\nx\r\n".repeat(70_000)
+    );
     assert_eq!(request(chunks.as_bytes()).unwrap_err().status, 413);
 }
--- a/crates/platform/tests/renewal.rs
+++ b/crates/platform/tests/renewal.rs
@@ -48,7 +48,9 @@
             "rules": {"answer-slack-ms": 58.0, "ask-every-ms": 9000.0}
         }
     });
-    Config::read("c.json".as_ref(), config.to_string().as_bytes()).unwrap().settings
+    Config::read("c.json".as_ref(), config.to_string().as_bytes())
+        .unwrap()
+        .settings
 }
 
 /// How the list fails while it is down.
@@ -215,7 +217,10 @@
             }
         }
         // What was made while it was down is there when it is back.
-        let made = w.down.filter(|d| d.2 == w.had_at).map_or(w.had_at, |d| d.2 - ms(1));
+        let made = w
+            .down
+            .filter(|d| d.2 == w.had_at)
+            .map_or(w.had_at, |d| d.2 - ms(1));
         run.at(BEGIN + made, 0, What::Changes);
         while let Some(Reverse((at, host, what))) = run.events.pop() {
             if at > BEGIN + w.until {
@@ -229,7 +234,11 @@
 
     fn host(&mut self, settings: &Arc<Settings>) -> Host {
         let desk = Desk::new(settings.clone(), self.rng.random()).one_at_a_time();
-        let desk = if self.bounded { desk.list_within(SILENCE, calls::ANSWER) } else { desk };
+        let desk = if self.bounded {
+            desk.list_within(SILENCE, calls::ANSWER)
+        } else {
+            desk
+        };
         Host {
             desk,
             link: None,
@@ -248,14 +257,20 @@
 
     fn down(&self) -> Option<Down> {
         let span = self.w.down?;
-        (BEGIN + span.1..BEGIN + span.2).contains(&self.now).then_some(span.0)
+        (BEGIN + span.1..BEGIN + span.2)
+            .contains(&self.now)
+            .then_some(span.0)
     }
 
     fn happens(&mut self, host: usize, what: What, settings: &Arc<Settings>) {
         let is_up = |h: &Host, conn| h.link.as_ref().is_some_and(|l| l.conn == conn);
         match what {
             What::Begin => {
-                let word = Input::Word { from: PeerId(u32::MAX), waited: Duration::ZERO, bytes: Vec::new() };
+                let word = Input::Word {
+                    from: PeerId(u32::MAX),
+                    waited: Duration::ZERO,
+                    bytes: Vec::new(),
+                };
                 self.step(host, vec![word]);
             }
             What::Wake if self.hosts[host].wake > self.now => {}
@@ -264,31 +279,74 @@
             What::DialEnds { conn, up: false } => self.step(host, vec![gone(conn)]),
             What::DialEnds { conn, up: true } => {
                 let outbox = Arc::new(Outbox::new(|| (), || ()));
-                let first = if self.bounded { settings.bounds.patience } else { calls::ANSWER };
-                let link = Link { conn, outbox: outbox.clone(), calls: Calls::new(first) };
+                let first = if self.bounded {
+                    settings.bounds.patience
+                } else {
+                    calls::ANSWER
+                };
+                let link = Link {
+                    conn,
+                    outbox: outbox.clone(),
+                    calls: Calls::new(first),
+                };
                 self.hosts[host].link = Some(link);
-                self.step(host, vec![Input::ListUp { conn: ConnId(conn), outbox }]);
+                self.step(
+                    host,
+                    vec![Input::ListUp {
+                        conn: ConnId(conn),
+                        outbox,
+                    }],
+                );
             }
             What::Answer { conn, .. } if !is_up(&self.hosts[host], conn) => {}
-            What::Answer { conn, revision: None } => self.loses(host, conn),
-            What::Answer { conn, revision: Some(revision) } => {
+            What::Answer {
+                conn,
+                revision: None,
+            } => self.loses(host, conn),
+            What::Answer {
+                conn,
+                revision: Some(revision),
+            } => {
                 self.heard += usize::from(self.now > BEGIN + COUNTED);
                 if revision > 1 {
                     self.hosts[host].told.get_or_insert(self.now);
                 }
                 let state = pb::NodeState::Ready.into();
-                let entries =
-                    vec![pb::Entry { node: 1, state, address: "127.0.0.1:9".into(), ..Default::default() }];
-                let list = pb::List { kind: pb::ListKind::Whole.into(), revision, entries };
-                let frames = vec![pb::Frame { sent_us: 0, body: Some(Body::List(list)) }];
+                let entries = vec![pb::Entry {
+                    node: 1,
+                    state,
+                    address: "127.0.0.1:9".into(),
+                    ..Default::default()
+                }];
+                let list = pb::List {
+                    kind: pb::ListKind::Whole.into(),
+                    revision,
+                    entries,
+                };
+                let frames = vec![pb::Frame {
+                    sent_us: 0,
+                    body: Some(Body::List(list)),
+                }];
                 self.hosts[host].began = self.now;
                 let link = self.hosts[host].link.as_mut().expect("looked up above");
-                let call = link.calls.step(self.now, SILENCE, calls::Event::Told { revision });
+                let call = link
+                    .calls
+                    .step(self.now, SILENCE, calls::Event::Told { revision });
                 self.call(host, conn, call);
-                self.step(host, vec![Input::ListFrames { conn: ConnId(conn), frames }]);
+                self.step(
+                    host,
+                    vec![Input::ListFrames {
+                        conn: ConnId(conn),
+                        frames,
+                    }],
+                );
             }
             What::Sweep { conn } => {
-                let by = self.hosts[host].link.as_ref().filter(|l| l.conn == conn).and_then(|l| l.calls.by());
+                let by = self.hosts[host]
+                    .link
+                    .as_ref()
+                    .filter(|l| l.conn == conn)
+                    .and_then(|l| l.calls.by());
                 if by.is_some_and(|by| self.now >= by) {
                     self.loses(host, conn);
                 }
@@ -302,7 +360,10 @@
             What::Changes => {
                 self.revision += 1;
                 if self.down().is_none() {
-                    for w in std::mem::take(&mut self.watches).into_values().filter(|w| !w.silent) {
+                    for w in std::mem::take(&mut self.watches)
+                        .into_values()
+                        .filter(|w| !w.silent)
+                    {
                         self.answers(w.host, w.conn, self.now, Some(self.revision));
                     }
                 }
@@ -329,7 +390,9 @@
             if let Output::DialList { conn } = out {
                 (self.hosts[host].dialled, self.hosts[host].began) = (conn.0, self.now);
                 // A dial alone may take so long that its call has little left.
-                let slow = self.spoils(host).then(|| [WAY, DIAL, ms(900)][self.rng.random_range(0..3)]);
+                let slow = self
+                    .spoils(host)
+                    .then(|| [WAY, DIAL, ms(900)][self.rng.random_range(0..3)]);
                 let (after, up) = match self.down() {
                     None if slow.is_some() => (slow.unwrap_or_default(), true),
                     None | Some(Down::Refuses | Down::Hangs) => (WAY, true),
@@ -346,7 +409,9 @@
             link.outbox.wrote();
             for body in pulled.frames.into_iter().filter_map(|f| f.body) {
                 if let Body::Watch(w) = body {
-                    let asked = link.calls.step(now, SILENCE, calls::Event::Watch { on: w.on });
+                    let asked = link
+                        .calls
+                        .step(now, SILENCE, calls::Event::Watch { on: w.on });
                     call = call.or(asked);
                 }
             }
@@ -366,22 +431,40 @@
     fn call(&mut self, host: usize, conn: u64, call: Option<Action>) {
         let Some(call) = call else { return };
         self.calls.push(self.now);
-        let by = self.hosts[host].link.as_ref().and_then(|l| l.calls.by()).unwrap_or(self.now);
+        let by = self.hosts[host]
+            .link
+            .as_ref()
+            .and_then(|l| l.calls.by())
+            .unwrap_or(self.now);
         let late = SWEEP.mul_f64(self.rng.random());
         self.at(by + late, host, What::Sweep { conn });
         // The desk ends a call on a new connection a span after its dial.
         let dialled = self.hosts[host].began + calls::ANSWER;
-        let by = if self.bounded && call == Action::Whole { by.min(dialled) } else { by };
+        let by = if self.bounded && call == Action::Whole {
+            by.min(dialled)
+        } else {
+            by
+        };
         match self.down() {
             Some(Down::Refuses) => {
-                return self.at(self.now + WAY, host, What::Answer { conn, revision: None })
+                return self.at(
+                    self.now + WAY,
+                    host,
+                    What::Answer {
+                        conn,
+                        revision: None,
+                    },
+                )
             }
             Some(_) => return,
             None => {}
         }
         if self.spoils(host) {
             self.hosts[host].spoilt += 1;
-            let refused = What::Answer { conn, revision: None };
+            let refused = What::Answer {
+                conn,
+                revision: None,
+            };
             match self.rng.random_range(0..3) {
                 0 => {}
                 1 => self.at(self.now + WAY, host, refused),
@@ -392,7 +475,14 @@
         let begins = self.free.max(self.now);
         if begins > self.now + QUEUE {
             let after = if self.w.refuses_late { QUEUE } else { WAY };
-            return self.at(self.now + after, host, What::Answer { conn, revision: None });
+            return self.at(
+                self.now + after,
+                host,
+                What::Answer {
+                    conn,
+                    revision: None,
+                },
+            );
         }
         self.free = begins + self.w.cost;
         match call {
@@ -407,10 +497,25 @@
                     (ends, silent) = (says.then_some(BEGIN + at), true);
                 }
                 if let Some(at) = ends {
-                    self.at(at, host, What::Answer { conn, revision: None });
+                    self.at(
+                        at,
+                        host,
+                        What::Answer {
+                            conn,
+                            revision: None,
+                        },
+                    );
                 }
                 let watch = self.calls.len();
-                self.watches.insert(watch, Watch { host, conn, revision, silent });
+                self.watches.insert(
+                    watch,
+                    Watch {
+                        host,
+                        conn,
+                        revision,
+                        silent,
+                    },
+                );
                 self.at(until, host, What::Over { watch });
             }
             // As late as it may, where all is made as bad as can be.
@@ -424,7 +529,10 @@
     /// Whether the host's next call is to fail.
     fn spoils(&self, host: usize) -> bool {
         let due = self.now >= BEGIN + self.w.had_at;
-        due && self.w.fails.is_some_and(|most| self.hosts[host].spoilt < most)
+        due && self
+            .w
+            .fails
+            .is_some_and(|most| self.hosts[host].spoilt < most)
     }
 
     fn answers(&mut self, host: usize, conn: u64, at: Duration, revision: Option<u64>) {
@@ -437,15 +545,29 @@
         let had = BEGIN + self.w.had_at;
         let took = |h: &Host| h.told.map_or(self.w.until, |at| at.saturating_sub(had));
         let all: Vec<Duration> = self.hosts.iter().map(took).collect();
-        let later: Vec<Duration> = self.calls.iter().copied().filter(|c| *c > BEGIN + COUNTED).collect();
-        let second = |from: &Duration| later.iter().filter(|c| (*from..*from + ms(1000)).contains(c)).count();
+        let later: Vec<Duration> = self
+            .calls
+            .iter()
+            .copied()
+            .filter(|c| *c > BEGIN + COUNTED)
+            .collect();
+        let second = |from: &Duration| {
+            later
+                .iter()
+                .filter(|c| (*from..*from + ms(1000)).contains(c))
+                .count()
+        };
         Seen {
             calls: later.len(),
             vain: later.len() - self.heard,
             busiest: later.iter().step_by(7).map(second).max().unwrap_or(0),
             slowest: all.iter().copied().max().unwrap_or_default(),
             late: all.iter().filter(|t| **t > SILENCE).count(),
-            unexcused: self.hosts.iter().filter(|h| took(h) > SILENCE && h.failed <= 1).count(),
+            unexcused: self
+                .hosts
+                .iter()
+                .filter(|h| took(h) > SILENCE && h.failed <= 1)
+                .count(),
         }
     }
 }
@@ -456,14 +578,48 @@
 
 fn worlds() -> Vec<(&'static str, World)> {
     let down = |kind, until| Some((kind, ms(7000), until));
-    let back = World { had_at: ms(15_000), ..CALM };
+    let back = World {
+        had_at: ms(15_000),
+        ..CALM
+    };
     vec![
         ("calm", CALM),
-        ("down, dials refused", World { down: down(Down::Closed, ms(15_000)), ..back.clone() }),
-        ("down, calls refused", World { down: down(Down::Refuses, ms(15_000)), ..back.clone() }),
-        ("down, silent", World { down: down(Down::Silent, ms(15_000)), ..back.clone() }),
-        ("watches fall silent", World { silent_at: Some(ms(9999)), ..CALM }),
-        ("watches fall silent, few places", World { silent_at: Some(ms(9999)), cost: ms(6), ..CALM }),
+        (
+            "down, dials refused",
+            World {
+                down: down(Down::Closed, ms(15_000)),
+                ..back.clone()
+            },
+        ),
+        (
+            "down, calls refused",
+            World {
+                down: down(Down::Refuses, ms(15_000)),
+                ..back.clone()
+            },
+        ),
+        (
+            "down, silent",
+            World {
+                down: down(Down::Silent, ms(15_000)),
+                ..back.clone()
+            },
+        ),
+        (
+            "watches fall silent",
+            World {
+                silent_at: Some(ms(9999)),
+                ..CALM
+            },
+        ),
+        (
+            "watches fall silent, few places",
+            World {
+                silent_at: Some(ms(9999)),
+                cost: ms(6),
+                ..CALM
+            },
+        ),
         ("one answer in five lost", World { lost: 0.2, ..CALM }),
         (
             "down, back with few places, most hosts new",
@@ -485,15 +641,37 @@
                 ..back.clone()
             },
         ),
-        ("silent, then a failure", World { silent_at: Some(ms(9999)), fails: Some(1), ..CALM }),
+        (
+            "silent, then a failure",
+            World {
+                silent_at: Some(ms(9999)),
+                fails: Some(1),
+                ..CALM
+            },
+        ),
         (
             "hangs, then a failure",
-            World { down: down(Down::Hangs, ms(15_000)), fails: Some(1), ..back.clone() },
+            World {
+                down: down(Down::Hangs, ms(15_000)),
+                fails: Some(1),
+                ..back.clone()
+            },
+        ),
+        (
+            "silent, then three failures",
+            World {
+                silent_at: Some(ms(9999)),
+                fails: Some(3),
+                ..CALM
+            },
         ),
-        ("silent, then three failures", World { silent_at: Some(ms(9999)), fails: Some(3), ..CALM }),
         (
             "silent, and the list moves meanwhile",
-            World { silent_at: Some(ms(9999)), moves_at: Some(ms(12_000)), ..CALM },
+            World {
+                silent_at: Some(ms(9999)),
+                moves_at: Some(ms(12_000)),
+                ..CALM
+            },
         ),
     ]
 }
@@ -510,21 +688,39 @@
             println!("{what}, seed {seed}\n   before {before:?}\n   after  {after:?}");
             assert_eq!(after.unexcused, 0, "{what}, seed {seed}: {after:?}");
             unguarded += before.unexcused;
-            slowest = slowest.max(if w.fails == Some(1) { after.slowest } else { Duration::ZERO });
+            slowest = slowest.max(if w.fails == Some(1) {
+                after.slowest
+            } else {
+                Duration::ZERO
+            });
             // Calls that bring nothing are the fleet's price; those that follow an answer come with it.
             calls = (calls.0 + before.calls, calls.1 + after.calls);
             vain = (vain.0 + before.vain, vain.1 + after.vain);
             let most = before.vain + before.vain / 12;
             let drawn = w.lost > 0.0; // in which calls answers are lost differs with each call
-            assert!(drawn || after.vain <= most, "{what}, seed {seed}: {} in vain, {most}", after.vain);
+            assert!(
+                drawn || after.vain <= most,
+                "{what}, seed {seed}: {} in vain, {most}",
+                after.vain
+            );
             // No second is busier than before by more than one draw from another, nor than that in which an
             // ordinary change is told to all.
             let most = (before.busiest + before.busiest / 20).max(CALM.hosts * 3 / 2);
-            assert!(after.busiest <= most, "{what}, seed {seed}: {} calls in a second", after.busiest);
+            assert!(
+                after.busiest <= most,
+                "{what}, seed {seed}: {} calls in a second",
+                after.busiest
+            );
         }
     }
     println!("calls {calls:?}, in vain {vain:?}, hosts too late without it {unguarded}, slowest {slowest:?}");
-    assert!(vain.1 <= vain.0 + vain.0 / 33, "calls in vain, before and after: {vain:?}");
-    assert!(slowest > SILENCE - ms(400), "it is not made as bad as it can be: {slowest:?}");
+    assert!(
+        vain.1 <= vain.0 + vain.0 / 33,
+        "calls in vain, before and after: {vain:?}"
+    );
+    assert!(
+        slowest > SILENCE - ms(400),
+        "it is not made as bad as it can be: {slowest:?}"
+    );
     assert!(unguarded > 100, "{unguarded} hosts too late without it");
 }
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -44,12 +44,19 @@
 
 impl<'a> Fields<'a> {
     pub fn of(call: &'a Call, faults: &'a mut Vec<Fault>) -> Self {
-        Fields { call, faults, known: BTreeSet::new() }
+        Fields {
+            call,
+            faults,
+            known: BTreeSet::new(),
+        }
     }
 
     pub fn fault(&mut self, field: &str, what: String) {
         let what = format!("{}: field '{field}': {what}", self.call.what);
-        self.faults.push(Fault { place: self.call.place.clone(), what });
+        self.faults.push(Fault {
+            place: self.call.place.clone(),
+            what,
+        });
     }
 
     fn get(&mut self, name: &'static str) -> Option<&'a Json> {
@@ -58,7 +65,11 @@
     }
 
     fn read<T>(
-        &mut self, name: &'static str, default: Option<T>, blank: T, expected: &str,
+        &mut self,
+        name: &'static str,
+        default: Option<T>,
+        blank: T,
+        expected: &str,
         as_t: impl FnOnce(&Json) -> Option<T>,
     ) -> T {
         match (self.get(name), default) {
@@ -76,7 +87,10 @@
 
     pub fn number(&mut self, name: &'static str, default: Option<f64>, range: (f64, f64)) -> f64 {
         let expected = format!("a number from {} to {}", range.0, range.1);
-        let fits = |v: &Json| v.as_f64().filter(|n| n.is_finite() && (range.0..=range.1).contains(n));
+        let fits = |v: &Json| {
+            v.as_f64()
+                .filter(|n| n.is_finite() && (range.0..=range.1).contains(n))
+        };
         self.read(name, default, range.0, &expected, fits)
     }
 
@@ -86,9 +100,16 @@
         self.read(name, default, range.0, &expected, fits)
     }
 
-    pub fn span(&mut self, name: &'static str, default: Option<Duration>, most: Duration) -> Duration {
+    pub fn span(
+        &mut self,
+        name: &'static str,
+        default: Option<Duration>,
+        most: Duration,
+    ) -> Duration {
         let expected = format!("a time such as ms(250) or s(2), at most {most:?}");
-        self.read(name, default, Duration::ZERO, &expected, |v| span_of(v).filter(|d| *d <= most))
+        self.read(name, default, Duration::ZERO, &expected, |v| {
+            span_of(v).filter(|d| *d <= most)
+        })
     }
 
     pub fn flag(&mut self, name: &'static str, default: Option<bool>) -> bool {
@@ -97,7 +118,13 @@
 
     pub fn text(&mut self, name: &'static str, default: Option<&str>) -> String {
         let fits = |v: &Json| v.as_str().filter(|s| !s.is_empty()).map(str::to_string);
-        self.read(name, default.map(str::to_string), String::new(), "a text", fits)
+        self.read(
+            name,
+            default.map(str::to_string),
+            String::new(),
+            "a text",
+            fits,
+        )
     }
 
     pub fn maybe_text(&mut self, name: &'static str) -> Option<String> {
@@ -134,15 +161,32 @@
     /// Whatever no reader asked for is a fault, since a misspelt field would be silently lost.
     pub fn end(self) {
         let known = self.known.iter().copied().collect::<Vec<_>>().join(", ");
-        for name in self.call.fields.keys().filter(|n| !self.known.contains(n.as_str())) {
-            let what = format!("{}: field '{name}': not known; expected one of {known}", self.call.what);
-            self.faults.push(Fault { place: self.call.place.clone(), what });
+        for name in self
+            .call
+            .fields
+            .keys()
+            .filter(|n| !self.known.contains(n.as_str()))
+        {
+            let what = format!(
+                "{}: field '{name}': not known; expected one of {known}",
+                self.call.what
+            );
+            self.faults.push(Fault {
+                place: self.call.place.clone(),
+                what,
+            });
         }
     }
 }
 
 /// A span as `ms` and `s` make it.
 pub fn span_of(v: &Json) -> Option<Duration> {
-    let ms = v.as_object().filter(|o| o.len() == 1)?.get("ms")?.as_f64()?;
-    (0.0..=1e12).contains(&ms).then(|| Duration::from_secs_f64(ms / 1000.0))
+    let ms = v
+        .as_object()
+        .filter(|o| o.len() == 1)?
+        .get("ms")?
+        .as_f64()?;
+    (0.0..=1e12)
+        .contains(&ms)
+        .then(|| Duration::from_secs_f64(ms / 1000.0))
 }
--- a/crates/settings/src/kinds.rs
+++ b/crates/settings/src/kinds.rs
@@ -58,7 +58,10 @@
     ];
 
     pub fn name(self) -> &'static str {
-        Self::ALL.iter().find(|(_, k)| *k == self).map_or("", |(name, _)| name)
+        Self::ALL
+            .iter()
+            .find(|(_, k)| *k == self)
+            .map_or("", |(name, _)| name)
     }
 
     /// Kinds joined by `+`, as the journal writes them; the name that is unknown where one is.
@@ -70,7 +73,10 @@
     /// ```
     pub fn read(text: &str) -> Result<Vec<Kind>, String> {
         let of = |name: &str| Self::ALL.iter().find(|(n, _)| *n == name).map(|(_, k)| *k);
-        text.split('+').map(str::trim).map(|n| of(n).ok_or_else(|| n.to_string())).collect()
+        text.split('+')
+            .map(str::trim)
+            .map(|n| of(n).ok_or_else(|| n.to_string()))
+            .collect()
     }
 
     /// The longest run of kinds joined by `+` in any text, such as a journal's entry.
@@ -82,6 +88,9 @@
     /// ```
     pub fn find(text: &str) -> Vec<Kind> {
         let words = text.split(|c: char| !(c.is_ascii_lowercase() || c == '_' || c == '+'));
-        words.filter_map(|w| Kind::read(w).ok()).max_by_key(Vec::len).unwrap_or_default()
+        words
+            .filter_map(|w| Kind::read(w).ok())
+            .max_by_key(Vec::len)
+            .unwrap_or_default()
     }
 }
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -26,24 +26,38 @@
 
 fn place(eval: &Evaluator) -> Place {
     match eval.call_stack_top_location() {
-        Some(span) => Place { file: span.filename().to_string(), line: span.resolve_span().begin.line + 1 },
+        Some(span) => Place {
+            file: span.filename().to_string(),
+            line: span.resolve_span().begin.line + 1,
+        },
         None => Place::default(),
     }
 }
 
 fn keep<'v>(
-    what: &'static str, fields: SmallMap<String, Value<'v>>, eval: &mut Evaluator<'v, '_, '_>,
+    what: &'static str,
+    fields: SmallMap<String, Value<'v>>,
+    eval: &mut Evaluator<'v, '_, '_>,
 ) -> anyhow::Result<NoneType> {
     let place = place(eval);
     let mut values = Map::new();
     for (name, value) in fields {
-        let json = value.to_json_value().map_err(|e| anyhow::anyhow!("{what}: field '{name}': {e}"))?;
+        let json = value
+            .to_json_value()
+            .map_err(|e| anyhow::anyhow!("{what}: field '{name}': {e}"))?;
         values.insert(name, json);
     }
-    let calls = eval.extra.and_then(|e| e.downcast_ref::<Calls>()).expect("given to every evaluator");
+    let calls = eval
+        .extra
+        .and_then(|e| e.downcast_ref::<Calls>())
+        .expect("given to every evaluator");
     let mut calls = calls.0.borrow_mut();
     anyhow::ensure!(calls.len() < MOST_CALLS, "more than {MOST_CALLS} calls");
-    calls.push(Call { what, place, fields: values });
+    calls.push(Call {
+        what,
+        place,
+        fields: values,
+    });
     Ok(NoneType)
 }
 
@@ -56,7 +70,8 @@
         Ok(json!({ "ms": number(n, "s")? * 1000.0 }))
     }
     fn keyed<'v>(
-        #[starlark(require = named)] group: &str, #[starlark(require = named)] remembered: Value<'v>,
+        #[starlark(require = named)] group: &str,
+        #[starlark(require = named)] remembered: Value<'v>,
     ) -> anyhow::Result<Json> {
         Ok(json!({ "group": group, "remembered": remembered.to_json_value()? }))
     }
@@ -64,7 +79,8 @@
 
 fn number(n: Value, of: &str) -> anyhow::Result<f64> {
     let json = n.to_json_value()?;
-    json.as_f64().ok_or_else(|| anyhow::anyhow!("{of}(): expected a number, found {json}"))
+    json.as_f64()
+        .ok_or_else(|| anyhow::anyhow!("{of}(): expected a number, found {json}"))
 }
 
 macro_rules! calls {
@@ -108,19 +124,38 @@
 
 fn fault(e: &starlark::Error, path: &str) -> Fault {
     let place = match e.span() {
-        Some(span) => Place { file: span.filename().to_string(), line: span.resolve_span().begin.line + 1 },
-        None => Place { file: path.into(), line: 0 },
+        Some(span) => Place {
+            file: span.filename().to_string(),
+            line: span.resolve_span().begin.line + 1,
+        },
+        None => Place {
+            file: path.into(),
+            line: 0,
+        },
     };
-    Fault { place, what: e.without_diagnostic().to_string() }
+    Fault {
+        place,
+        what: e.without_diagnostic().to_string(),
+    }
 }
 
 fn run(path: &Path, text: String, calls: &Calls, depth: usize) -> Result<FrozenModule, Fault> {
     let name = path.display().to_string();
-    let at = |line: usize, what: String| Fault { place: Place { file: name.clone(), line }, what };
+    let at = |line: usize, what: String| Fault {
+        place: Place {
+            file: name.clone(),
+            line,
+        },
+        what,
+    };
     if depth > MOST_LOADS {
         return Err(at(0, format!("loads nest deeper than {MOST_LOADS}")));
     }
-    let dialect = Dialect { enable_top_level_stmt: true, enable_f_strings: true, ..Dialect::Extended };
+    let dialect = Dialect {
+        enable_top_level_stmt: true,
+        enable_f_strings: true,
+        ..Dialect::Extended
+    };
     let ast = AstModule::parse(&name, text, &dialect).map_err(|e| fault(&e, &name))?;
     let mut loaded = Vec::new();
     for load in ast.loads() {
@@ -128,17 +163,27 @@
         let beside = path.parent().unwrap_or(Path::new("")).join(load.module_id);
         let text = std::fs::read_to_string(&beside)
             .map_err(|e| at(line, format!("load: cannot read {}: {e}", beside.display())))?;
-        loaded.push((load.module_id.to_string(), run(&beside, text, calls, depth + 1)?));
+        loaded.push((
+            load.module_id.to_string(),
+            run(&beside, text, calls, depth + 1)?,
+        ));
     }
-    let modules = loaded.iter().map(|(name, module)| (name.as_str(), module)).collect();
+    let modules = loaded
+        .iter()
+        .map(|(name, module)| (name.as_str(), module))
+        .collect();
     let loader = ReturnFileLoader { modules: &modules };
-    let globals: Globals = GlobalsBuilder::standard().with(spans).with(self::calls).build();
+    let globals: Globals = GlobalsBuilder::standard()
+        .with(spans)
+        .with(self::calls)
+        .build();
     Module::with_temp_heap(|module| {
         {
             let mut eval = Evaluator::new(&module);
             eval.set_loader(&loader);
             eval.extra = Some(calls);
-            eval.eval_module(ast, &globals).map_err(|e| fault(&e, &name))?;
+            eval.eval_module(ast, &globals)
+                .map_err(|e| fault(&e, &name))?;
         }
         module.freeze().map_err(|e| at(0, format!("{e:?}")))
     })
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -235,15 +235,25 @@
     /// Reads a file; all its faults where it has any, and then nothing may be started by it.
     pub fn load(path: &Path) -> Result<Self, Vec<Fault>> {
         let text = std::fs::read_to_string(path).map_err(|e| {
-            let place = Place { file: path.display().to_string(), line: 0 };
-            vec![Fault { place, what: format!("cannot read: {e}") }]
+            let place = Place {
+                file: path.display().to_string(),
+                line: 0,
+            };
+            vec![Fault {
+                place,
+                what: format!("cannot read: {e}"),
+            }]
         })?;
         Self::read(path, text)
     }
 
     pub fn read(path: &Path, text: String) -> Result<Self, Vec<Fault>> {
         let calls = calls_of(path, text).map_err(|f| vec![f])?;
-        let mut r = Reader { calls: &calls, file: path.display().to_string(), faults: Vec::new() };
+        let mut r = Reader {
+            calls: &calls,
+            file: path.display().to_string(),
+            faults: Vec::new(),
+        };
         let settings = r.settings();
         match r.faults.is_empty() {
             true => Ok(settings),
@@ -273,12 +283,25 @@
 
     /// A call that may stand once; without it all its fields take their defaults.
     fn once<T>(&mut self, what: &'static str, read: impl FnMut(&mut Fields) -> T) -> T {
-        let mut places = self.calls.iter().filter(|c| c.what == what).map(|c| c.place.clone());
+        let mut places = self
+            .calls
+            .iter()
+            .filter(|c| c.what == what)
+            .map(|c| c.place.clone());
         if let Some(place) = places.nth(1) {
-            self.faults.push(Fault { place, what: format!("{what}: stands a second time; expected one") });
+            self.faults.push(Fault {
+                place,
+                what: format!("{what}: stands a second time; expected one"),
+            });
         }
-        let blank =
-            [Call { what, place: Place { file: self.file.clone(), line: 0 }, fields: Default::default() }];
+        let blank = [Call {
+            what,
+            place: Place {
+                file: self.file.clone(),
+                line: 0,
+            },
+            fields: Default::default(),
+        }];
         let mut read = read;
         if let Some(value) = self.each(what, &mut read).into_iter().next() {
             return value;
@@ -290,16 +313,24 @@
     }
 
     fn whole_file(&mut self, what: String) {
-        let place = Place { file: self.file.clone(), line: 0 };
+        let place = Place {
+            file: self.file.clone(),
+            line: 0,
+        };
         self.faults.push(Fault { place, what });
     }
 
     fn unique<T: Ord + std::fmt::Display>(&mut self, what: &str, field: &str, ids: Vec<T>) {
-        let places: Vec<Place> =
-            self.calls.iter().filter(|c| c.what == what).map(|c| c.place.clone()).collect();
+        let places: Vec<Place> = self
+            .calls
+            .iter()
+            .filter(|c| c.what == what)
+            .map(|c| c.place.clone())
+            .collect();
         let mut seen = BTreeSet::new();
         for (id, place) in ids.into_iter().zip(places) {
-            let text = format!("{what}: field '{field}': {id} stands a second time; expected each once");
+            let text =
+                format!("{what}: field '{field}': {id} stands a second time; expected each once");
             if !seen.insert(id) {
                 self.faults.push(Fault { place, what: text });
             }
@@ -312,13 +343,25 @@
         self.unique("zone", "name", zones.clone());
         let zone_names: Vec<&str> = zones.iter().map(String::as_str).collect();
         let streams = self.each("stream_type", stream);
-        self.unique("stream_type", "name", streams.iter().map(|s| s.name.clone()).collect());
+        self.unique(
+            "stream_type",
+            "name",
+            streams.iter().map(|s| s.name.clone()).collect(),
+        );
         let plans = self.each("plan", plan);
-        self.unique("plan", "name", plans.iter().map(|p| p.name.clone()).collect());
+        self.unique(
+            "plan",
+            "name",
+            plans.iter().map(|p| p.name.clone()).collect(),
+        );
         let plan_names: Vec<&str> = plans.iter().map(|p| p.name.as_str()).collect();
         let nodes = self.each("node", |f| node(f, &zone_names));
         self.unique("node", "id", nodes.iter().map(|n| n.id).collect());
-        let mut called: Vec<&str> = nodes.iter().map(|n| n.name.as_str()).filter(|n| !n.is_empty()).collect();
+        let mut called: Vec<&str> = nodes
+            .iter()
+            .map(|n| n.name.as_str())
+            .filter(|n| !n.is_empty())
+            .collect();
         called.sort_unstable();
         if let Some(twice) = called.windows(2).find(|w| w[0] == w[1]) {
             self.whole_file(format!(
@@ -327,7 +370,11 @@
             ));
         }
         let hosts = self.each("host", |f| host(f, &zone_names));
-        self.unique("host", "name", hosts.iter().map(|h| h.name.clone()).collect());
+        self.unique(
+            "host",
+            "name",
+            hosts.iter().map(|h| h.name.clone()).collect(),
+        );
         let host_names: Vec<&str> = hosts.iter().map(|h| h.name.as_str()).collect();
         let cells: BTreeSet<u32> = nodes.iter().map(|n| n.cell).collect();
         let volumes = self.each("volume", |f| volume(f, &plan_names, &host_names, &cells));
@@ -355,7 +402,9 @@
         // Legs are drawn from a limit when they are decided and cross up to `linger` later, so a burst can
         // reach the nodes by the rate over that time too much.
         let slack_short = |p: &NamedPlan| {
-            p.facts.limit > 0.0 && { p.facts.limit_slack < p.facts.limit * bounds.linger.as_secs_f64() }
+            p.facts.limit > 0.0 && {
+                p.facts.limit_slack < p.facts.limit * bounds.linger.as_secs_f64()
+            }
         };
         if let Some(p) = plans.iter().find(|p| slack_short(p)) {
             let least = p.facts.limit * bounds.linger.as_secs_f64();
@@ -377,7 +426,11 @@
         }
         let volume_ids: Vec<u64> = volumes.iter().map(|v| v.id).collect();
         let targets = self.each("target", |f| target(f, &volume_ids));
-        self.unique("target", "name", targets.iter().map(|t| t.name.clone()).collect());
+        self.unique(
+            "target",
+            "name",
+            targets.iter().map(|t| t.name.clone()).collect(),
+        );
         let rehearsal = self.rehearsal(&zone_names, &host_names, &nodes);
         Settings {
             name,
@@ -400,15 +453,24 @@
         }
     }
 
-    fn rehearsal(&mut self, zones: &[&str], hosts: &[&str], nodes: &[NodeSpec]) -> Option<Rehearsal> {
+    fn rehearsal(
+        &mut self,
+        zones: &[&str],
+        hosts: &[&str],
+        nodes: &[NodeSpec],
+    ) -> Option<Rehearsal> {
         let ids: BTreeSet<u32> = nodes.iter().map(|n| n.id).collect();
         let troubles = self.each("trouble", |f| trouble(f, zones, hosts, &ids));
         let changes = self.each("change", change);
         if !self.calls.iter().any(|c| c.what == "rehearsal") {
             return None;
         }
-        let (seed, length) = self
-            .once("rehearsal", |f| (f.whole("seed", Some(1), (0, u64::MAX)), f.span("length", None, DAY)));
+        let (seed, length) = self.once("rehearsal", |f| {
+            (
+                f.whole("seed", Some(1), (0, u64::MAX)),
+                f.span("length", None, DAY),
+            )
+        });
         Some(self.once("load_of", |f| Rehearsal {
             seed,
             length,
@@ -438,7 +500,8 @@
             match (group, v.get("remembered").and_then(span_of)) {
                 (Some(group), Some(remembered)) => Repeat::Keyed { group, remembered },
                 _ => {
-                    let expected = "\"repeatable\", \"unrepeatable\" or keyed(group = \"all\", \"zone\" or \
+                    let expected =
+                        "\"repeatable\", \"unrepeatable\" or keyed(group = \"all\", \"zone\" or \
                                     \"cell\", remembered = a time)";
                     f.fault("repeat", format!("expected {expected}, found {v}"));
                     Repeat::Unrepeatable
@@ -450,7 +513,10 @@
     let name = f.text("name", None);
     let (slo, expiry) = (f.span("slo", None, DAY), f.span("expiry", None, DAY));
     if slo > expiry {
-        f.fault("slo", format!("expected at most the expiry, {expiry:?}, found {slo:?}"));
+        f.fault(
+            "slo",
+            format!("expected at most the expiry, {expiry:?}, found {slo:?}"),
+        );
     }
     let facts = StreamType {
         slo,
@@ -459,8 +525,18 @@
         benefit: f.number("benefit", Some(1.0), (0.0, 1e6)),
         late_part: f.number("late_part", Some(0.2), (0.0, 1.0)),
     };
-    let (write, share) = (f.flag("write", Some(false)), f.number("share", Some(1.0), (0.0, 1e6)));
-    Stream { name, facts, expiry, write, share, unit_work: f.span("unit_work", Some(ms(4)), DAY) }
+    let (write, share) = (
+        f.flag("write", Some(false)),
+        f.number("share", Some(1.0), (0.0, 1e6)),
+    );
+    Stream {
+        name,
+        facts,
+        expiry,
+        write,
+        share,
+        unit_work: f.span("unit_work", Some(ms(4)), DAY),
+    }
 }
 
 fn plan(f: &mut Fields) -> NamedPlan {
@@ -475,18 +551,37 @@
         price: rate(f, "price", Some(1.0)),
     };
     if facts.limit > 0.0 && facts.limit < facts.reservation {
-        f.fault("limit", format!("expected 0 (none) or at least the reservation, {}", facts.reservation));
+        f.fault(
+            "limit",
+            format!(
+                "expected 0 (none) or at least the reservation, {}",
+                facts.reservation
+            ),
+        );
     }
     if facts.limit > 0.0 && facts.limit_burst <= 0.0 {
-        f.fault("limit_burst", "expected more than 0 where there is a limit".into());
+        f.fault(
+            "limit_burst",
+            "expected more than 0 where there is a limit".into(),
+        );
+    }
+    NamedPlan {
+        name: f.text("name", None),
+        facts,
     }
-    NamedPlan { name: f.text("name", None), facts }
 }
 
 fn volume(f: &mut Fields, plans: &[&str], hosts: &[&str], cells: &BTreeSet<u32>) -> VolumeSpec {
-    let named: Vec<u32> = f.numbers("cells", u64::from(u32::MAX)).into_iter().map(|c| c as u32).collect();
+    let named: Vec<u32> = f
+        .numbers("cells", u64::from(u32::MAX))
+        .into_iter()
+        .map(|c| c as u32)
+        .collect();
     if let Some(cell) = named.iter().find(|c| !cells.contains(c)) {
-        f.fault("cells", format!("expected cells that a node() holds, found {cell}"));
+        f.fault(
+            "cells",
+            format!("expected cells that a node() holds, found {cell}"),
+        );
     }
     let mut through = f.some_of("hosts", hosts);
     if through.is_empty() {
@@ -495,7 +590,11 @@
     VolumeSpec {
         id: f.whole("id", None, (0, u64::MAX)),
         plan: f.one_of("plan", None, plans),
-        cells: if named.is_empty() { cells.iter().copied().collect() } else { named },
+        cells: if named.is_empty() {
+            cells.iter().copied().collect()
+        } else {
+            named
+        },
         hosts: through,
         asks: f.number("asks", Some(1.0), (0.0, 1e6)),
         blocks: f.whole("blocks", Some(1 << 21), (1, 1 << 48)),
@@ -506,7 +605,10 @@
     let id = f.whole("id", None, (0, u64::from(u32::MAX))) as u32;
     let name = f.maybe_text("name").unwrap_or_default();
     if name.parse::<u64>().is_ok() {
-        f.fault("name", format!("expected a name that is no number, found {name}"));
+        f.fault(
+            "name",
+            format!("expected a name that is no number, found {name}"),
+        );
     }
     NodeSpec {
         id,
@@ -530,7 +632,10 @@
     let text = f.maybe_text(name)?;
     let read = text.parse().ok();
     if read.is_none() {
-        f.fault(name, format!("expected an address and port such as \"127.0.0.1:7100\", found {text:?}"));
+        f.fault(
+            name,
+            format!("expected an address and port such as \"127.0.0.1:7100\", found {text:?}"),
+        );
     }
     read
 }
@@ -565,18 +670,25 @@
         snapshot_every: f.span("snapshot_every", Some(ms(600_000)), DAY),
     };
     if spec.lease < ms(100) {
-        f.fault("lease", format!("expected at least ms(100), found {:?}", spec.lease));
+        f.fault(
+            "lease",
+            format!("expected at least ms(100), found {:?}", spec.lease),
+        );
     }
     spec
 }
 
 fn change(f: &mut Fields) -> ScriptedChange {
-    let words = f
-        .raw("words")
-        .and_then(|v| v.as_array().map(|a| a.iter().map(|w| w.as_str().map(str::to_string)).collect()));
+    let words = f.raw("words").and_then(|v| {
+        v.as_array()
+            .map(|a| a.iter().map(|w| w.as_str().map(str::to_string)).collect())
+    });
     let words: Option<Vec<String>> = words.flatten();
     if words.as_ref().is_none_or(|w| w.is_empty()) {
-        f.fault("words", "expected a list of changes such as [\"plan basic limit=20\"]".into());
+        f.fault(
+            "words",
+            "expected a list of changes such as [\"plan basic limit=20\"]".into(),
+        );
     }
     ScriptedChange {
         at: f.span("at", None, DAY),
@@ -595,16 +707,29 @@
     }
     // A loan is asked for anew in its second half, and the answer must have rounds to come in.
     if loan < every * 4 {
-        f.fault("loan", format!("expected at least four times every, {:?}, found {loan:?}", every * 4));
+        f.fault(
+            "loan",
+            format!(
+                "expected at least four times every, {:?}, found {loan:?}",
+                every * 4
+            ),
+        );
     }
     // Clocks of one machine lose less; of several, well under a hundredth.
     if margin < loan / 100 {
         f.fault(
             "margin",
-            format!("expected at least a hundredth of loan, {:?}, found {margin:?}", loan / 100),
+            format!(
+                "expected at least a hundredth of loan, {:?}, found {margin:?}",
+                loan / 100
+            ),
         );
     }
-    FleetSpec { every, loan, margin }
+    FleetSpec {
+        every,
+        loan,
+        margin,
+    }
 }
 
 fn units(f: &mut Fields) -> UnitFacts {
@@ -642,7 +767,11 @@
     Rules {
         drain_grace: f.span("drain_grace", Some(ms(1000)), DAY),
         cold,
-        legs: (share > 0.0).then_some(LegBudget { floor, share, window }),
+        legs: (share > 0.0).then_some(LegBudget {
+            floor,
+            share,
+            window,
+        }),
         key_rest: f.span("key_rest", Some(ms(200)), DAY),
         answer_margin: f.span("answer_margin", Some(ms(20)), DAY),
     }
@@ -669,7 +798,10 @@
 fn portal(f: &mut Fields, hosts: &[&str], streams: &[&str]) -> PortalSpec {
     let listen = address(f, "listen");
     if listen.is_none() && f.raw("listen").is_none() {
-        f.fault("listen", "missing; expected an address and port such as \"127.0.0.1:3260\"".into());
+        f.fault(
+            "listen",
+            "missing; expected an address and port such as \"127.0.0.1:3260\"".into(),
+        );
     }
     PortalSpec {
         listen: listen.unwrap_or(([127, 0, 0, 1], 0).into()),
@@ -691,25 +823,40 @@
 
 fn target(f: &mut Fields, volumes: &[u64]) -> TargetSpec {
     let ids = f.numbers("volumes", u64::MAX);
-    let found: Vec<Option<usize>> = ids.iter().map(|id| volumes.iter().position(|v| v == id)).collect();
+    let found: Vec<Option<usize>> = ids
+        .iter()
+        .map(|id| volumes.iter().position(|v| v == id))
+        .collect();
     if ids.is_empty() || found.contains(&None) {
-        f.fault("volumes", "expected a list of ids of volumes, at least one".into());
+        f.fault(
+            "volumes",
+            "expected a list of ids of volumes, at least one".into(),
+        );
     }
     let mut secret = |name: &'static str, field: &'static str| {
         let (name, secret) = (f.maybe_text(name)?, f.text(field, None));
         if secret.len() < 12 {
-            f.fault(field, format!("expected at least 12 bytes, found {}", secret.len()));
+            f.fault(
+                field,
+                format!("expected at least 12 bytes, found {}", secret.len()),
+            );
         }
         Some((name, secret))
     };
     let chap = secret("chap_name", "chap_secret");
     let mutual = secret("mutual_name", "mutual_secret");
     // With one secret both ways, an initiator's proof could be had from us (RFC 7143, 9.2.1).
-    if chap.as_ref().zip(mutual.as_ref()).is_some_and(|(a, b)| a.1 == b.1) {
+    if chap
+        .as_ref()
+        .zip(mutual.as_ref())
+        .is_some_and(|(a, b)| a.1 == b.1)
+    {
         f.fault("mutual_secret", "expected another than chap_secret".into());
     }
     let initiators = f.raw("initiators").map(|v| {
-        let all = v.as_array().map(|a| a.iter().map(|i| i.as_str().map(str::to_string)).collect());
+        let all = v
+            .as_array()
+            .map(|a| a.iter().map(|i| i.as_str().map(str::to_string)).collect());
         all.flatten().unwrap_or_else(|| {
             f.fault("initiators", format!("expected a list of names, found {v}"));
             Vec::new()
@@ -727,11 +874,18 @@
 fn trouble(f: &mut Fields, zones: &[&str], hosts: &[&str], nodes: &BTreeSet<u32>) -> Trouble {
     let names: Vec<&str> = Kind::ALL.iter().map(|(name, _)| *name).collect();
     let kind = Kind::ALL[f.one_of("kind", None, &names)].1;
-    let struck: Vec<u32> = f.numbers("nodes", u64::from(u32::MAX)).into_iter().map(|n| n as u32).collect();
+    let struck: Vec<u32> = f
+        .numbers("nodes", u64::from(u32::MAX))
+        .into_iter()
+        .map(|n| n as u32)
+        .collect();
     if let Some(n) = struck.iter().find(|n| !nodes.contains(n)) {
         f.fault("nodes", format!("expected ids of nodes, found {n}"));
     }
-    let zone = f.raw("zone").is_some().then(|| f.one_of("zone", None, zones));
+    let zone = f
+        .raw("zone")
+        .is_some()
+        .then(|| f.one_of("zone", None, zones));
     Trouble {
         kind,
         at: f.span("at", None, DAY),
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -50,7 +50,9 @@
     /// The part of a volume's pieces that were done in their SLO time, of those that began in a span of
     /// seconds.
     pub fn timely(&self, volume: usize, seconds: std::ops::Range<u64>) -> Option<f64> {
-        let all = self.seconds.range((volume, seconds.start)..(volume, seconds.end.max(seconds.start)));
+        let all = self
+            .seconds
+            .range((volume, seconds.start)..(volume, seconds.end.max(seconds.start)));
         let (all, timely) = all.fold((0, 0), |sum, (_, s)| (sum.0 + s.0, sum.1 + s.1));
         (all > 0).then(|| timely as f64 / all as f64)
     }
@@ -132,7 +134,10 @@
 impl<'a> Clients<'a> {
     /// `hosts` tells where each host listens now; it may change while the clients run.
     pub fn new(
-        settings: &'a Settings, t0: Duration, hosts: Arc<Mutex<Vec<Option<SocketAddr>>>>, tracer: Tracer,
+        settings: &'a Settings,
+        t0: Duration,
+        hosts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
+        tracer: Tracer,
     ) -> Option<Self> {
         let script = settings.rehearsal.as_ref()?;
         let sources = (0..settings.volumes.len()).map(|v| source(script.seed, 100_000 + v as u64));
@@ -184,21 +189,44 @@
         let (to, heard) = mpsc::channel();
         (0..self.lines.len()).for_each(|host| self.plan(Duration::ZERO, What::Reconnect { host }));
         for volume in (0..self.settings.volumes.len()).filter(|v| !disk(self.settings, v)) {
-            self.plan(Duration::ZERO, What::Arrive { volume, surge: None });
+            self.plan(
+                Duration::ZERO,
+                What::Arrive {
+                    volume,
+                    surge: None,
+                },
+            );
         }
         for (i, s) in self.strikes.clone().iter().enumerate() {
             let surges = matches!(s.kind, Kind::HotKey | Kind::Scan);
-            for volume in s.volumes.iter().filter(|v| surges && !disk(self.settings, v)) {
-                self.plan(s.at, What::Arrive { volume: *volume, surge: Some(i) });
+            for volume in s
+                .volumes
+                .iter()
+                .filter(|v| surges && !disk(self.settings, v))
+            {
+                self.plan(
+                    s.at,
+                    What::Arrive {
+                        volume: *volume,
+                        surge: Some(i),
+                    },
+                );
             }
         }
-        let longest = self.settings.streams.iter().map(|s| s.expiry).max().unwrap_or_default();
+        let longest = self
+            .settings
+            .streams
+            .iter()
+            .map(|s| s.expiry)
+            .max()
+            .unwrap_or_default();
         let (end, last) = (self.script.length, self.script.length + longest * 2);
         let mut told = Duration::ZERO;
         loop {
             let now = self.now();
             let busy = !self.tries.is_empty();
-            if now > last || (now > end && !busy && !self.heap.iter().any(|h| h.0 .0 < last && self.pends(h)))
+            if now > last
+                || (now > end && !busy && !self.heap.iter().any(|h| h.0 .0 < last && self.pends(h)))
             {
                 return self.tally;
             }
@@ -206,15 +234,22 @@
                 told = now;
                 (self.progress)(now, &self.tally);
             }
-            while let Some(Reverse((at, _, what))) = self.heap.peek().copied().filter(|h| h.0 .0 <= now) {
+            while let Some(Reverse((at, _, what))) =
+                self.heap.peek().copied().filter(|h| h.0 .0 <= now)
+            {
                 self.heap.pop();
                 self.due(at, what, &to);
             }
-            let wait = self.heap.peek().map_or(RECONNECT, |h| h.0 .0.saturating_sub(now).min(RECONNECT));
+            let wait = self
+                .heap
+                .peek()
+                .map_or(RECONNECT, |h| h.0 .0.saturating_sub(now).min(RECONNECT));
             match heard.recv_timeout(wait) {
                 Ok(first) => {
                     let more: Vec<Heard> = heard.try_iter().take(512).collect();
-                    std::iter::once(first).chain(more).for_each(|h| self.hear(h));
+                    std::iter::once(first)
+                        .chain(more)
+                        .for_each(|h| self.hear(h));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return self.tally,
@@ -231,7 +266,9 @@
             What::Arrive { volume, surge } => self.arrive(at, volume, surge),
             What::Again { piece } => self.attempt(piece),
             What::GiveUp { tried } => {
-                let Some(id) = self.by_number.remove(&tried) else { return };
+                let Some(id) = self.by_number.remove(&tried) else {
+                    return;
+                };
                 if let Some(t) = self.tries.remove(&id) {
                     self.tally.unanswered += 1;
                     self.over(t.piece, None);
@@ -258,7 +295,11 @@
         if at >= end || per_second <= 0.0 {
             return;
         }
-        let reconnects = self.strikes.iter().filter(|s| s.kind == Kind::Reconnect && s.at <= at).count();
+        let reconnects = self
+            .strikes
+            .iter()
+            .filter(|s| s.kind == Kind::Reconnect && s.at <= at)
+            .count();
         let spec = &self.settings.volumes[volume];
         let rng = &mut self.sources[volume];
         let gap = -rng.random::<f64>().max(1e-12).ln() / per_second;
@@ -271,10 +312,15 @@
         let stream = pick.unwrap_or(0);
         let write = self.settings.streams[stream].write;
         let (mean, largest) = (self.settings.units.mean, self.settings.units.largest);
-        let units = (1.0 + -rng.random::<f64>().max(1e-9).ln() * (mean - 1.0).max(0.0)).min(largest) as u32;
+        let units =
+            (1.0 + -rng.random::<f64>().max(1e-9).ln() * (mean - 1.0).max(0.0)).min(largest) as u32;
         let lead = (at.as_secs_f64() / LEAD_CHANGES) as usize + reconnects + volume;
         let n = spec.hosts.len();
-        let turn = if rng.random::<f64>() < LEAD { lead } else { lead + 1 + rng.random_range(0..n) };
+        let turn = if rng.random::<f64>() < LEAD {
+            lead
+        } else {
+            lead + 1 + rng.random_range(0..n)
+        };
         let host = spec.hosts[turn % n];
         let mut extent = rng.random_range(0..EXTENTS_A_VOLUME);
         let mut cell = Some(spec.cells[(extent % spec.cells.len() as u64) as usize]);
@@ -293,12 +339,30 @@
             let id = id_of(self.script.seed, self.pieces.len() as u64);
             let key = (volume as u64) << 32 | extent;
             let (born, tries) = (at, 0);
-            self.pieces.push(Piece { id, volume, host, stream, extent, cell, key, units, born, tries });
+            self.pieces.push(Piece {
+                id,
+                volume,
+                host,
+                stream,
+                extent,
+                cell,
+                key,
+                units,
+                born,
+                tries,
+            });
             self.tally.plans.entry(spec.plan).or_default().0 += 1;
-            self.tally.seconds.entry((volume, at.as_secs())).or_default().0 += 1;
+            self.tally
+                .seconds
+                .entry((volume, at.as_secs()))
+                .or_default()
+                .0 += 1;
             self.attempt(self.pieces.len() - 1);
         }
-        self.plan(at + Duration::from_secs_f64(gap), What::Arrive { volume, surge });
+        self.plan(
+            at + Duration::from_secs_f64(gap),
+            What::Arrive { volume, surge },
+        );
     }
 
     fn attempt(&mut self, piece: usize) {
@@ -322,7 +386,10 @@
             false => Bytes::new(),
         };
         if stream.write {
-            self.written.entry((p.volume, p.extent)).or_default().insert(p.id.clone());
+            self.written
+                .entry((p.volume, p.extent))
+                .or_default()
+                .insert(p.id.clone());
         }
         line.put(Body::Take(pb::Take {
             id: id.clone(),
@@ -366,8 +433,12 @@
                 }
                 self.lines[host] = None;
                 self.plan(self.now() + RECONNECT, What::Reconnect { host });
-                let gone: Vec<Bytes> =
-                    self.tries.iter().filter(|(_, t)| t.host == host).map(|(id, _)| id.clone()).collect();
+                let gone: Vec<Bytes> = self
+                    .tries
+                    .iter()
+                    .filter(|(_, t)| t.host == host)
+                    .map(|(id, _)| id.clone())
+                    .collect();
                 for id in gone {
                     let t = self.tries.remove(&id).expect("listed above");
                     self.tally.lost += 1;
@@ -375,7 +446,10 @@
                     self.over(t.piece, Some(Outcome::Unknown));
                 }
             }
-            Heard::Frame { body: Body::Final(f), .. } => self.answered(f),
+            Heard::Frame {
+                body: Body::Final(f),
+                ..
+            } => self.answered(f),
             Heard::Frame { .. } => {}
         }
     }
@@ -385,7 +459,9 @@
             self.tally.doubled += 1;
             return;
         }
-        let Some(t) = self.tries.remove(&f.id) else { return };
+        let Some(t) = self.tries.remove(&f.id) else {
+            return;
+        };
         let now = self.now();
         let outcome = f.outcome();
         match outcome {
@@ -400,7 +476,11 @@
             let line = self.tally.plans.entry(plan).or_default();
             if now <= p.born + stream.facts.slo {
                 line.1 += 1;
-                self.tally.seconds.entry((p.volume, p.born.as_secs())).or_default().1 += 1;
+                self.tally
+                    .seconds
+                    .entry((p.volume, p.born.as_secs()))
+                    .or_default()
+                    .1 += 1;
             } else {
                 line.2 += 1;
             }
@@ -413,8 +493,12 @@
             }
             if !stream.write && !f.data.is_empty() {
                 let by = f.data.slice(..f.data.len().min(36));
-                let known = self.written.get(&(p.volume, p.extent)).is_some_and(|w| w.contains(&by));
-                self.tally.wrong_content += u64::from(!known || f.data != content(&by, f.data.len()));
+                let known = self
+                    .written
+                    .get(&(p.volume, p.extent))
+                    .is_some_and(|w| w.contains(&by));
+                self.tally.wrong_content +=
+                    u64::from(!known || f.data != content(&by, f.data.len()));
             }
             return;
         }
@@ -423,7 +507,8 @@
     }
 
     fn over(&mut self, piece: usize, outcome: Option<Outcome>) {
-        let until = self.pieces[piece].born + self.settings.streams[self.pieces[piece].stream].expiry;
+        let until =
+            self.pieces[piece].born + self.settings.streams[self.pieces[piece].stream].expiry;
         if let Some(outcome) = outcome {
             self.again(piece, outcome, self.script.retry_wait, until);
         }
--- a/crates/standin/src/disks.rs
+++ b/crates/standin/src/disks.rs
@@ -119,11 +119,15 @@
                 }
                 if open.len() < DEPTH && i.may_send() && (fresh || !again.is_empty()) {
                     let new = again.is_empty();
-                    let work = again.pop_front().unwrap_or_else(|| self.draw(&mut rng, &mut value, step));
+                    let work = again
+                        .pop_front()
+                        .unwrap_or_else(|| self.draw(&mut rng, &mut value, step));
                     tally.commands += u64::from(new);
                     if let Some(v) = work.writes {
                         for b in work.lba..work.lba + work.blocks {
-                            let there = may.entry((work.lun, b)).or_insert_with(|| vec![(0, Some(0))]);
+                            let there = may
+                                .entry((work.lun, b))
+                                .or_insert_with(|| vec![(0, Some(0))]);
                             if there.iter().all(|e| e.0 != v) {
                                 there.push((v, None));
                             }
@@ -139,10 +143,13 @@
                     continue;
                 }
                 // Whoever waits too long gives up, says so, and comes again with the same command.
-                let oldest =
-                    open.iter().min_by_key(|(_, (_, since))| *since).map(|(itt, (_, since))| (*itt, *since));
-                let left =
-                    oldest.map_or(TIME_OUT, |(_, since)| (since + TIME_OUT).saturating_sub(clock::now()));
+                let oldest = open
+                    .iter()
+                    .min_by_key(|(_, (_, since))| *since)
+                    .map(|(itt, (_, since))| (*itt, *since));
+                let left = oldest.map_or(TIME_OUT, |(_, since)| {
+                    (since + TIME_OUT).saturating_sub(clock::now())
+                });
                 match (i.any_within(left), oldest) {
                     (Ok(Some((itt, answer))), _) => match open.remove(&itt) {
                         Some((work, _)) => judge(&work, &answer, step, &mut may, &mut tally),
@@ -180,7 +187,13 @@
             *value += 1;
             *value << 8 | u64::from(self.number)
         });
-        Work { sent, lun, lba, blocks, writes }
+        Work {
+            sent,
+            lun,
+            lba,
+            blocks,
+            writes,
+        }
     }
 }
 
@@ -190,7 +203,12 @@
         None => i.submit(work.lun, &cdb16(0x88, work.lba, blocks), &[], blocks * 512),
         Some(v) => {
             let block: Vec<u8> = v.to_be_bytes().iter().copied().cycle().take(512).collect();
-            i.submit(work.lun, &cdb16(0x8a, work.lba, blocks), &block.repeat(blocks as usize), 0)
+            i.submit(
+                work.lun,
+                &cdb16(0x8a, work.lba, blocks),
+                &block.repeat(blocks as usize),
+                0,
+            )
         }
     }
 }
@@ -198,7 +216,13 @@
 /// Commands that are out together may take effect in either order (SAM-5's simple tasks). So a write that was
 /// GOOD rules out what was answered before it was sent, and nothing else; what was BUSY or of unknown outcome
 /// may be there or not until then, and never after: that is the late write.
-fn judge(work: &Work, answer: &Answer, step: u64, may: &mut BTreeMap<(u64, u64), Held>, tally: &mut Disks) {
+fn judge(
+    work: &Work,
+    answer: &Answer,
+    step: u64,
+    may: &mut BTreeMap<(u64, u64), Held>,
+    tally: &mut Disks,
+) {
     tally.answered += 1;
     match answer.status {
         GOOD => tally.good += 1,
@@ -210,7 +234,10 @@
         let there = may.entry(key).or_insert_with(|| vec![(0, Some(0))]);
         match work.writes {
             Some(v) => {
-                there.iter_mut().filter(|e| e.0 == v).for_each(|e| e.1 = Some(step));
+                there
+                    .iter_mut()
+                    .filter(|e| e.0 == v)
+                    .for_each(|e| e.1 = Some(step));
                 if answer.status == GOOD {
                     there.retain(|e| e.0 == v || e.1.is_none_or(|at| at > work.sent));
                 }
@@ -223,7 +250,10 @@
                 let whole = block.chunks(8).all(|c| Some(c) == block.get(..8));
                 let right = whole && value.is_some_and(|v| there.iter().any(|e| e.0 == v));
                 if !right {
-                    let what = format!("lun {} block {}: {value:x?}, may be {there:x?}", key.0, key.1);
+                    let what = format!(
+                        "lun {} block {}: {value:x?}, may be {there:x?}",
+                        key.0, key.1
+                    );
                     tracing::warn!(at = ?clock::now(), "{what}");
                 }
                 tally.wrong += u64::from(!right);
--- a/crates/standin/src/draw.rs
+++ b/crates/standin/src/draw.rs
@@ -32,19 +32,43 @@
 }
 
 pub fn strikes(s: &Settings, r: &Rehearsal) -> Vec<Strike> {
-    let each = r.troubles.iter().enumerate().map(|(i, t)| strike(s, t, &mut source(r.seed, 1000 + i as u64)));
+    let each = r
+        .troubles
+        .iter()
+        .enumerate()
+        .map(|(i, t)| strike(s, t, &mut source(r.seed, 1000 + i as u64)));
     each.collect()
 }
 
 fn strike(s: &Settings, t: &Trouble, rng: &mut Pcg64Mcg) -> Strike {
-    let inside = s.nodes.iter().filter(|n| t.zone.is_none_or(|z| z == n.zone)).map(|n| n.id);
+    let inside = s
+        .nodes
+        .iter()
+        .filter(|n| t.zone.is_none_or(|z| z == n.zone))
+        .map(|n| n.id);
     let nodes: Vec<u32> = inside.collect();
-    let nodes = if t.nodes.is_empty() { some(&nodes, t.part, 1, rng) } else { t.nodes.clone() };
+    let nodes = if t.nodes.is_empty() {
+        some(&nodes, t.part, 1, rng)
+    } else {
+        t.nodes.clone()
+    };
     let all: Vec<usize> = (0..s.hosts.len()).collect();
-    let hosts = if t.hosts.is_empty() { some(&all, t.part, 1, rng) } else { t.hosts.clone() };
+    let hosts = if t.hosts.is_empty() {
+        some(&all, t.part, 1, rng)
+    } else {
+        t.hosts.clone()
+    };
     let all: Vec<usize> = (0..s.volumes.len()).collect();
     let volumes = some(&all, (t.part * 0.3).min(1.0), 1, rng);
-    Strike { kind: t.kind, at: t.at, len: t.len, size: t.size, nodes, hosts, volumes }
+    Strike {
+        kind: t.kind,
+        at: t.at,
+        len: t.len,
+        size: t.size,
+        nodes,
+        hosts,
+        volumes,
+    }
 }
 
 /// The troubles of a day, of which only the kinds are known: all at once in its middle third.
@@ -59,7 +83,11 @@
             Kind::HotKey | Kind::Scan => rng.random_range(3.0..8.0),
             _ => rng.random_range(0.6..1.0),
         };
-        let part = if *kind == Kind::MassRestart { 0.4 } else { rng.random_range(0.15..0.35) };
+        let part = if *kind == Kind::MassRestart {
+            0.4
+        } else {
+            rng.random_range(0.15..0.35)
+        };
         let at = length.mul_f64(rng.random_range(0.3..0.4));
         let len = match kind {
             Kind::HostStall | Kind::HostCrash | Kind::StateCrash | Kind::StateRestored => {
@@ -68,13 +96,24 @@
             _ => length.mul_f64(rng.random_range(0.25..0.4)),
         };
         let (nodes, hosts, zone) = (Vec::new(), Vec::new(), None);
-        Trouble { kind: *kind, at, len, part, size, nodes, hosts, zone }
+        Trouble {
+            kind: *kind,
+            at,
+            len,
+            part,
+            size,
+            nodes,
+            hosts,
+            zone,
+        }
     });
     each.collect()
 }
 
 /// A number in one that depends on the words alone.
 pub fn lot(seed: u64, words: &[u64]) -> f64 {
-    let mix = words.iter().fold(seed, |h, w| (h ^ w).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29));
+    let mix = words.iter().fold(seed, |h, w| {
+        (h ^ w).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29)
+    });
     Pcg64Mcg::seed_from_u64(mix).random()
 }
--- a/crates/standin/src/initiator.rs
+++ b/crates/standin/src/initiator.rs
@@ -60,12 +60,18 @@
 }
 
 fn text(pairs: &[(&str, &str)]) -> Vec<u8> {
-    pairs.iter().flat_map(|(k, v)| format!("{k}={v}\0").into_bytes()).collect()
+    pairs
+        .iter()
+        .flat_map(|(k, v)| format!("{k}={v}\0").into_bytes())
+        .collect()
 }
 
 fn pairs(data: &[u8]) -> BTreeMap<String, String> {
     let text = String::from_utf8_lossy(data);
-    text.split('\0').filter_map(|p| p.split_once('=')).map(|(k, v)| (k.into(), v.into())).collect()
+    text.split('\0')
+        .filter_map(|p| p.split_once('='))
+        .map(|(k, v)| (k.into(), v.into()))
+        .collect()
 }
 
 fn other(what: impl Into<String>) -> io::Error {
@@ -97,9 +103,18 @@
             ("TargetName", &wish.target),
         ];
         if let Some((name, secret)) = &wish.chap {
-            i.step(wish, 0, 0, &[&first[..], &[("AuthMethod", "CHAP")]].concat())?;
+            i.step(
+                wish,
+                0,
+                0,
+                &[&first[..], &[("AuthMethod", "CHAP")]].concat(),
+            )?;
             let told = i.step(wish, 0, 0, &[("CHAP_A", "7,5")])?;
-            let get = |k: &str| told.get(k).cloned().ok_or_else(|| other(format!("{k} is missing")));
+            let get = |k: &str| {
+                told.get(k)
+                    .cloned()
+                    .ok_or_else(|| other(format!("{k} is missing")))
+            };
             let by = Algorithm::choose(&get("CHAP_A")?).ok_or_else(|| other("no algorithm"))?;
             let id = get("CHAP_I")?.parse().map_err(io::Error::other)?;
             let challenge = from_text(&get("CHAP_C")?).ok_or_else(|| other("no challenge"))?;
@@ -118,23 +133,43 @@
             ("ErrorRecoveryLevel", "0"),
             ("iSCSIProtocolLevel", "2"),
         ];
-        let all = if wish.chap.is_some() { keys.to_vec() } else { [&first[..], &keys].concat() };
+        let all = if wish.chap.is_some() {
+            keys.to_vec()
+        } else {
+            [&first[..], &keys].concat()
+        };
         i.step(wish, 1, 0x80 | 3, &all)?;
-        i.digests = Digests { header: wish.digests, data: wish.digests };
+        i.digests = Digests {
+            header: wish.digests,
+            data: wish.digests,
+        };
         i.reader.digests = i.digests;
         Ok(i)
     }
 
     /// One login request and its answer. `to` is 0, or T with the next stage.
     fn step(
-        &mut self, wish: &Wish, stage: u8, to: u8, keys: &[(&str, &str)],
+        &mut self,
+        wish: &Wish,
+        stage: u8,
+        to: u8,
+        keys: &[(&str, &str)],
     ) -> io::Result<BTreeMap<String, String>> {
-        let h = Header::new(Opcode::LoginRequest).set_immediate(true).set_flags(to | stage << 2);
-        let h = h.set_isid([0x80, 0, 0, 0, 0, wish.isid]).set_itt(0).set_cmd_sn(self.cmd_sn);
+        let h = Header::new(Opcode::LoginRequest)
+            .set_immediate(true)
+            .set_flags(to | stage << 2);
+        let h = h
+            .set_isid([0x80, 0, 0, 0, 0, wish.isid])
+            .set_itt(0)
+            .set_cmd_sn(self.cmd_sn);
         self.send(&Pdu::new(h.set_exp_stat_sn(self.exp_stat_sn), text(keys)))?;
         let p = self.next()?;
         if p.header.opcode() != Some(Opcode::LoginResponse) || p.header.byte(36) != 0 {
-            return Err(other(format!("login refused: {:02x}{:02x}", p.header.byte(36), p.header.byte(37))));
+            return Err(other(format!(
+                "login refused: {:02x}{:02x}",
+                p.header.byte(36),
+                p.header.byte(37)
+            )));
         }
         self.numbers(&p.header, true);
         Ok(pairs(&p.data))
@@ -163,7 +198,9 @@
     /// An answer that has come already.
     pub fn ready(&mut self) -> io::Result<Option<(u32, Answer)>> {
         while self.done.is_empty() {
-            let Some(p) = self.reader.next().map_err(io::Error::other)? else { break };
+            let Some(p) = self.reader.next().map_err(io::Error::other)? else {
+                break;
+            };
             self.heard(p)?;
         }
         Ok(self.done.pop_front())
@@ -176,7 +213,10 @@
             }
             self.flush()?;
             if self.reader.fill(&mut self.stream)? == 0 {
-                return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "target hung up"));
+                return Err(io::Error::new(
+                    io::ErrorKind::UnexpectedEof,
+                    "target hung up",
+                ));
             }
         }
     }
@@ -195,12 +235,28 @@
         let mut block = [0; 16];
         block[..cdb.len()].copy_from_slice(cdb);
         let immediate = &out[..out.len().min(8192)];
-        let flags = 0x80 | if most_in > 0 { 0x40 } else { 0 } | if out.is_empty() { 0 } else { 0x20 };
-        let length = if out.is_empty() { most_in } else { out.len() as u32 };
-        let h = Header::new(Opcode::ScsiCommand).set_flags(flags).set_lun(lun << 48).set_itt(self.itt);
-        let h = h.set_ttt(length).set_cmd_sn(self.cmd_sn).set_exp_stat_sn(self.exp_stat_sn).set_cdb(block);
+        let flags =
+            0x80 | if most_in > 0 { 0x40 } else { 0 } | if out.is_empty() { 0 } else { 0x20 };
+        let length = if out.is_empty() {
+            most_in
+        } else {
+            out.len() as u32
+        };
+        let h = Header::new(Opcode::ScsiCommand)
+            .set_flags(flags)
+            .set_lun(lun << 48)
+            .set_itt(self.itt);
+        let h = h
+            .set_ttt(length)
+            .set_cmd_sn(self.cmd_sn)
+            .set_exp_stat_sn(self.exp_stat_sn)
+            .set_cdb(block);
         self.cmd_sn = self.cmd_sn.wrapping_add(1);
-        let command = Command { out: out.to_vec(), lun, answer: Answer::default() };
+        let command = Command {
+            out: out.to_vec(),
+            lun,
+            answer: Answer::default(),
+        };
         self.open.insert(self.itt, command);
         self.send(&Pdu::new(h, immediate.to_vec()))?;
         Ok(self.itt)
@@ -224,7 +280,13 @@
         Ok(self.done.pop_front().expect("looked at above"))
     }
 
-    pub fn command(&mut self, lun: u64, cdb: &[u8], out: &[u8], most_in: u32) -> io::Result<Answer> {
+    pub fn command(
+        &mut self,
+        lun: u64,
+        cdb: &[u8],
+        out: &[u8],
+        most_in: u32,
+    ) -> io::Result<Answer> {
         let itt = self.submit(lun, cdb, out, most_in)?;
         self.wait(itt)
     }
@@ -254,9 +316,18 @@
             let read = self.reader.fill(&mut self.stream);
             self.stream.set_read_timeout(Some(PATIENCE))?;
             match read {
-                Ok(0) => return Err(io::Error::new(io::ErrorKind::UnexpectedEof, "target hung up")),
+                Ok(0) => {
+                    return Err(io::Error::new(
+                        io::ErrorKind::UnexpectedEof,
+                        "target hung up",
+                    ))
+                }
                 Ok(_) => {}
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                    ) => {}
                 Err(e) => return Err(e),
             }
         }
@@ -265,8 +336,14 @@
     /// ABORT TASK, and waits for its response. False: the command was answered before, and its answer stands.
     pub fn abort(&mut self, itt: u32) -> io::Result<bool> {
         self.itt += 1;
-        let h = Header::new(Opcode::TaskManagement).set_immediate(true).set_flags(0x81).set_itt(self.itt);
-        let h = h.set_ttt(itt).set_cmd_sn(self.cmd_sn).set_exp_stat_sn(self.exp_stat_sn);
+        let h = Header::new(Opcode::TaskManagement)
+            .set_immediate(true)
+            .set_flags(0x81)
+            .set_itt(self.itt);
+        let h = h
+            .set_ttt(itt)
+            .set_cmd_sn(self.cmd_sn)
+            .set_exp_stat_sn(self.exp_stat_sn);
         let own = self.itt;
         self.send(&Pdu::new(h, Vec::new()))?;
         self.managed = None;
@@ -293,7 +370,9 @@
                     return Ok(());
                 };
                 let at = h.word40() as usize;
-                c.answer.data.resize(c.answer.data.len().max(at + p.data.len()), 0);
+                c.answer
+                    .data
+                    .resize(c.answer.data.len().max(at + p.data.len()), 0);
                 c.answer.data[at..at + p.data.len()].copy_from_slice(&p.data);
                 if last {
                     self.finish(itt);
@@ -322,7 +401,9 @@
                 self.managed = Some(itt);
             }
             Some(Opcode::NopIn) if itt == NO_TAG => self.numbers(&h, false),
-            Some(Opcode::Reject) => return Err(other(format!("rejected: reason {:#x}", h.byte(2)))),
+            Some(Opcode::Reject) => {
+                return Err(other(format!("rejected: reason {:#x}", h.byte(2))))
+            }
             _ => self.numbers(&h, true),
         }
         Ok(())
@@ -335,14 +416,21 @@
     }
 
     fn data_out(&mut self, r2t: &Header) -> io::Result<()> {
-        let Some(c) = self.open.get(&r2t.itt()) else { return Ok(()) };
+        let Some(c) = self.open.get(&r2t.itt()) else {
+            return Ok(());
+        };
         let (lun, from) = (c.lun, r2t.word40() as usize);
         let wanted = c.out[from..from + r2t.word44() as usize].to_vec();
         for (sn, piece) in wanted.chunks(SEGMENT).enumerate() {
             let at = sn * SEGMENT;
             let last = at + piece.len() == wanted.len();
-            let h = Header::new(Opcode::DataOut).set_flags(if last { 0x80 } else { 0 }).set_lun(lun << 48);
-            let h = h.set_itt(r2t.itt()).set_ttt(r2t.ttt()).set_exp_stat_sn(self.exp_stat_sn);
+            let h = Header::new(Opcode::DataOut)
+                .set_flags(if last { 0x80 } else { 0 })
+                .set_lun(lun << 48);
+            let h = h
+                .set_itt(r2t.itt())
+                .set_ttt(r2t.ttt())
+                .set_exp_stat_sn(self.exp_stat_sn);
             let h = h.set_word36(sn as u32).set_word40((from + at) as u32);
             self.send(&Pdu::new(h, piece.to_vec()))?;
         }
--- a/crates/standin/src/links.rs
+++ b/crates/standin/src/links.rs
@@ -32,10 +32,18 @@
 
 impl Links {
     pub fn between(names: Vec<String>) -> io::Result<Links> {
-        let listeners: Vec<TcpListener> =
-            names.iter().map(|_| TcpListener::bind(("127.0.0.1", 0))).collect::<io::Result<_>>()?;
-        let addresses = listeners.iter().map(TcpListener::local_addr).collect::<io::Result<_>>()?;
-        let state = State { targets: vec![None; names.len()], ..State::default() };
+        let listeners: Vec<TcpListener> = names
+            .iter()
+            .map(|_| TcpListener::bind(("127.0.0.1", 0)))
+            .collect::<io::Result<_>>()?;
+        let addresses = listeners
+            .iter()
+            .map(TcpListener::local_addr)
+            .collect::<io::Result<_>>()?;
+        let state = State {
+            targets: vec![None; names.len()],
+            ..State::default()
+        };
         let links = Links {
             state: Arc::new(Mutex::new(state)),
             names: Arc::new(names),
@@ -66,11 +74,13 @@
     /// From now on these pairs are cut, and no others.
     pub fn cut(&self, pairs: BTreeSet<(usize, usize)>) {
         let mut state = self.lock();
-        let (gone, open) =
-            std::mem::take(&mut state.open).into_iter().partition(|(pair, _)| pairs.contains(pair));
+        let (gone, open) = std::mem::take(&mut state.open)
+            .into_iter()
+            .partition(|(pair, _)| pairs.contains(pair));
         (state.cut, state.open) = (pairs, open);
         let gone: Vec<((usize, usize), TcpStream)> = gone;
-        gone.iter().for_each(|(_, s)| drop(s.shutdown(Shutdown::Both)));
+        gone.iter()
+            .for_each(|(_, s)| drop(s.shutdown(Shutdown::Both)));
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -82,7 +92,11 @@
         caller.set_read_timeout(Some(PATIENCE))?;
         let (mut reader, mut had) = (Reader::new(MOST_GREETING), Vec::new());
         let name = loop {
-            match reader.next::<pb::Frame>().map_err(io::Error::other)?.and_then(|f| f.body) {
+            match reader
+                .next::<pb::Frame>()
+                .map_err(io::Error::other)?
+                .and_then(|f| f.body)
+            {
                 Some(Body::Hello(them)) => break them.name,
                 Some(_) => return Err(nobody()),
                 None => {
@@ -96,14 +110,20 @@
                 }
             }
         };
-        let from = self.names.iter().position(|n| *n == name).ok_or_else(nobody)?;
+        let from = self
+            .names
+            .iter()
+            .position(|n| *n == name)
+            .ok_or_else(nobody)?;
         let pair = (from, to);
         let mut onward = {
             let mut state = self.lock();
             let target = state.targets[to].filter(|_| !state.cut.contains(&pair));
             let onward = TcpStream::connect_timeout(&target.ok_or_else(nobody)?, PATIENCE)?;
             state.open.retain(|(_, s)| s.peer_addr().is_ok());
-            state.open.extend([(pair, caller.try_clone()?), (pair, onward.try_clone()?)]);
+            state
+                .open
+                .extend([(pair, caller.try_clone()?), (pair, onward.try_clone()?)]);
             onward
         };
         let _ = (caller.set_nodelay(true), onward.set_nodelay(true));
--- a/crates/standin/src/links/tests.rs
+++ b/crates/standin/src/links/tests.rs
@@ -18,11 +18,21 @@
 }
 
 fn say(links: &Links, from: &str, to: usize) {
-    let Ok(mut s) = TcpStream::connect(links.addresses()[to]) else { return };
+    let Ok(mut s) = TcpStream::connect(links.addresses()[to]) else {
+        return;
+    };
     let mut bytes = Vec::new();
-    let word = Body::Word(pb::Word { text: b"news".to_vec().into() });
+    let word = Body::Word(pb::Word {
+        text: b"news".to_vec().into(),
+    });
     for body in [Body::Hello(hello(pb::Role::Host, from, 1)), word] {
-        frame::write(&pb::Frame { sent_us: 1, body: Some(body) }, &mut bytes);
+        frame::write(
+            &pb::Frame {
+                sent_us: 1,
+                body: Some(body),
+            },
+            &mut bytes,
+        );
     }
     let _ = s.write_all(&bytes);
     let _ = (s.shutdown(Shutdown::Write), s.read(&mut [0; 8]));
@@ -44,7 +54,11 @@
             std::thread::sleep(Duration::from_millis(10));
             counts() == expected
         };
-        assert!((0..300).find(arrived).is_some(), "{:?}, expected {expected:?}", counts());
+        assert!(
+            (0..300).find(arrived).is_some(),
+            "{:?}, expected {expected:?}",
+            counts()
+        );
     };
     say(&links, "a", 1);
     say(&links, "b", 0);
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -21,7 +21,9 @@
 impl List {
     /// A node's state was announced; it shows after `lag`.
     pub fn hear(&mut self, now: Duration, entry: pb::Entry, lag: Duration) {
-        let since = entry.up_us.map(|us| now.saturating_sub(Duration::from_micros(us)));
+        let since = entry
+            .up_us
+            .map(|us| now.saturating_sub(Duration::from_micros(us)));
         self.coming.push((now + lag, Line { entry, since }));
         self.coming.sort_by_key(|c| c.0);
     }
@@ -42,18 +44,32 @@
         for line in lines {
             self.shown.insert(line.entry.node, line);
         }
-        Some(pb::List { kind: pb::ListKind::Changes.into(), revision: self.revision, entries })
+        Some(pb::List {
+            kind: pb::ListKind::Changes.into(),
+            revision: self.revision,
+            entries,
+        })
     }
 
     pub fn whole(&self, now: Duration) -> pb::List {
-        let there = self.shown.values().filter(|l| l.entry.state() != pb::NodeState::Gone);
+        let there = self
+            .shown
+            .values()
+            .filter(|l| l.entry.state() != pb::NodeState::Gone);
         let entries = there.map(|l| Self::as_of(now, l)).collect();
-        pb::List { kind: pb::ListKind::Whole.into(), revision: self.revision, entries }
+        pb::List {
+            kind: pb::ListKind::Whole.into(),
+            revision: self.revision,
+            entries,
+        }
     }
 
     fn as_of(now: Duration, line: &Line) -> pb::Entry {
         let up_us = line.since.map(|s| clock::micros(now.saturating_sub(s)));
-        pb::Entry { up_us, ..line.entry.clone() }
+        pb::Entry {
+            up_us,
+            ..line.entry.clone()
+        }
     }
 }
 
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -18,9 +18,22 @@
 /// What a stand-in's loop hears. `at` names the listener or dial that the connection belongs to.
 #[derive(Debug)]
 pub enum Heard {
-    Up { at: u32, conn: u64, them: pb::Hello, line: Line },
-    Frame { at: u32, conn: u64, waited: Duration, body: Body },
-    Gone { at: u32, conn: u64 },
+    Up {
+        at: u32,
+        conn: u64,
+        them: pb::Hello,
+        line: Line,
+    },
+    Frame {
+        at: u32,
+        conn: u64,
+        waited: Duration,
+        body: Body,
+    },
+    Gone {
+        at: u32,
+        conn: u64,
+    },
 }
 
 /// The way out of one connection.
@@ -42,12 +55,23 @@
 
 pub fn hello(role: pb::Role, name: &str, incarnation: u64) -> pb::Hello {
     let most_frame = MOST_FRAME as u32;
-    pb::Hello { version: VERSION, role: role.into(), name: name.into(), incarnation, most_frame }
+    pb::Hello {
+        version: VERSION,
+        role: role.into(),
+        name: name.into(),
+        incarnation,
+        most_frame,
+    }
 }
 
 /// Listens; every caller that greets properly is heard of. While `shut` is set callers are hung up on.
 pub fn listen(
-    listener: TcpListener, at: u32, me: pb::Hello, tracer: Tracer, shut: Arc<AtomicBool>, to: Sender<Heard>,
+    listener: TcpListener,
+    at: u32,
+    me: pb::Hello,
+    tracer: Tracer,
+    shut: Arc<AtomicBool>,
+    to: Sender<Heard>,
 ) {
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -62,7 +86,11 @@
 
 /// Dials, and then is heard like a caller.
 pub fn dial(
-    address: SocketAddr, at: u32, me: pb::Hello, tracer: Tracer, to: Sender<Heard>,
+    address: SocketAddr,
+    at: u32,
+    me: pb::Hello,
+    tracer: Tracer,
+    to: Sender<Heard>,
 ) -> io::Result<()> {
     let stream = TcpStream::connect_timeout(&address, PATIENCE)?;
     std::thread::spawn(move || drop(converse(stream, at, me, tracer, to)));
@@ -70,12 +98,22 @@
 }
 
 fn converse(
-    mut stream: TcpStream, at: u32, me: pb::Hello, tracer: Tracer, to: Sender<Heard>,
+    mut stream: TcpStream,
+    at: u32,
+    me: pb::Hello,
+    tracer: Tracer,
+    to: Sender<Heard>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut bytes = Vec::new();
     let sent_us = clock::micros(clock::now());
-    frame::write(&pb::Frame { sent_us, body: Some(Body::Hello(me)) }, &mut bytes);
+    frame::write(
+        &pb::Frame {
+            sent_us,
+            body: Some(Body::Hello(me)),
+        },
+        &mut bytes,
+    );
     stream.write_all(&bytes)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     let mut reader = frame::Reader::new(MOST_FRAME);
@@ -89,7 +127,10 @@
     loop {
         let mut read = Vec::new();
         let now = clock::now();
-        while let Ok(Some(f)) = reader.next::<pb::Frame>().map_err(|_| own.shutdown(Shutdown::Both)) {
+        while let Ok(Some(f)) = reader
+            .next::<pb::Frame>()
+            .map_err(|_| own.shutdown(Shutdown::Both))
+        {
             read.push(f);
         }
         tracer.read(conn, now, &read);
@@ -101,13 +142,26 @@
                     (up, name) = (true, them.name.clone());
                     tracer.opened(conn, &name);
                     let (writer, tracer) = (own.clone(), tracer.clone());
-                    let line = Line { frames: frames.clone(), stream: own.clone() };
-                    let _ = to.send(Heard::Up { at, conn, them, line });
+                    let line = Line {
+                        frames: frames.clone(),
+                        stream: own.clone(),
+                    };
+                    let _ = to.send(Heard::Up {
+                        at,
+                        conn,
+                        them,
+                        line,
+                    });
                     if let Some(from) = from.take() {
                         std::thread::spawn(move || write_on(&writer, conn, &tracer, &from));
                     }
                 }
-                Some(body) if up => drop(to.send(Heard::Frame { at, conn, waited, body })),
+                Some(body) if up => drop(to.send(Heard::Frame {
+                    at,
+                    conn,
+                    waited,
+                    body,
+                })),
                 _ => drop(stream.shutdown(Shutdown::Both)),
             }
         }
@@ -130,7 +184,12 @@
         let now = clock::now();
         let sent_us = clock::micros(now);
         let bodies = std::iter::once(first).chain(from.try_iter().take(255));
-        let frames: Vec<_> = bodies.map(|b| pb::Frame { sent_us, body: Some(b) }).collect();
+        let frames: Vec<_> = bodies
+            .map(|b| pb::Frame {
+                sent_us,
+                body: Some(b),
+            })
+            .collect();
         tracer.written(conn, now, &frames);
         bytes.clear();
         frames.iter().for_each(|f| _ = frame::write(f, &mut bytes));
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -62,14 +62,23 @@
 
 impl Meter {
     pub fn add(&mut self, period: u64, volume: u64, units: f64) {
-        *self.periods.entry(period).or_default().entry(volume).or_default() += units;
+        *self
+            .periods
+            .entry(period)
+            .or_default()
+            .entry(volume)
+            .or_default() += units;
         while self.periods.len() > 8 {
             self.periods.pop_first();
         }
     }
 
     pub fn of(&self, period: u64, volume: u64) -> f64 {
-        self.periods.get(&period).and_then(|p| p.get(&volume)).copied().unwrap_or(0.0)
+        self.periods
+            .get(&period)
+            .and_then(|p| p.get(&volume))
+            .copied()
+            .unwrap_or(0.0)
     }
 }
 
@@ -132,13 +141,18 @@
                 Kind::Drain => acts.extend([(s.at, Act::Drain), (s.at + s.len, Act::Undrain)]),
                 Kind::Ageing => {
                     let end = s.at + s.len;
-                    acts.extend([(end, Act::Stop), (end + Duration::from_millis(700), Act::Start)]);
+                    acts.extend([
+                        (end, Act::Stop),
+                        (end + Duration::from_millis(700), Act::Start),
+                    ]);
                 }
                 _ => {}
             }
         }
         acts.sort_by_key(|a| a.0);
-        let first_pause = spec.pause_every.mul_f64(lot(seed, &[u64::from(spec.id), 6]));
+        let first_pause = spec
+            .pause_every
+            .mul_f64(lot(seed, &[u64::from(spec.id), 6]));
         Node {
             spec,
             life: Life::Up,
@@ -176,19 +190,29 @@
     /// Units a second that it can do warm and undisturbed, for the audit.
     pub fn capacity(&self) -> f64 {
         let shares: f64 = self.settings.streams.iter().map(|s| s.share).sum();
-        let work: f64 =
-            self.settings.streams.iter().map(|s| s.share * s.unit_work.as_secs_f64()).sum::<f64>() / shares;
+        let work: f64 = self
+            .settings
+            .streams
+            .iter()
+            .map(|s| s.share * s.unit_work.as_secs_f64())
+            .sum::<f64>()
+            / shares;
         f64::from(self.spec.cores) * self.spec.speed / work.max(1e-6)
     }
 
     fn struck(&self, kind: Kind, now: Duration) -> Option<&Strike> {
-        self.strikes.iter().find(|s| s.kind == kind && (s.at..s.at + s.len).contains(&now))
+        self.strikes
+            .iter()
+            .find(|s| s.kind == kind && (s.at..s.at + s.len).contains(&now))
     }
 
     /// The part of its full power that it has now, but for troubles.
     fn warmth(&self, now: Duration) -> f64 {
-        let (rule, Some(since)) = (&self.settings.rules.cold, self.cold_since) else { return 1.0 };
-        let part = (now.saturating_sub(since)).as_secs_f64() / rule.warm_within.as_secs_f64().max(1e-3);
+        let (rule, Some(since)) = (&self.settings.rules.cold, self.cold_since) else {
+            return 1.0;
+        };
+        let part =
+            (now.saturating_sub(since)).as_secs_f64() / rule.warm_within.as_secs_f64().max(1e-3);
         (rule.starts_at + (1.0 - rule.starts_at) * part).min(1.0)
     }
 
@@ -198,7 +222,11 @@
             speed /= s.size.max(1.0);
         }
         if let Some(s) = self.struck(Kind::Neighbour, now) {
-            speed *= if (now - s.at).as_secs() % 4 < 2 { (1.0 - s.size).max(0.05) } else { 1.0 };
+            speed *= if (now - s.at).as_secs() % 4 < 2 {
+                (1.0 - s.size).max(0.05)
+            } else {
+                1.0
+            };
         }
         if let Some(s) = self.struck(Kind::Ageing, now) {
             let part = (now - s.at).as_secs_f64() / s.len.as_secs_f64().max(1e-3);
@@ -209,7 +237,10 @@
 
     fn work_of(&mut self, leg: &pb::Leg, now: Duration) -> Duration {
         let stream = &self.settings.streams[leg.stream_type as usize % self.settings.streams.len()];
-        let words = leg.id.iter().fold(0u64, |h, b| h.wrapping_mul(131) + u64::from(*b));
+        let words = leg
+            .id
+            .iter()
+            .fold(0u64, |h, b| h.wrapping_mul(131) + u64::from(*b));
         let noise = 0.5 + lot(self.seed, &[words, 1]);
         let mut work = stream.unit_work.mul_f64(leg.units * noise);
         if let Some(s) = self.struck(Kind::HeavyTail, now) {
@@ -233,9 +264,20 @@
     }
 
     /// A leg arrives; `left` is what its host still waits.
-    pub fn take(&mut self, now: Duration, conn: u64, leg: pb::Leg, left: Duration, to: &mut Vec<Deed>) {
+    pub fn take(
+        &mut self,
+        now: Duration,
+        conn: u64,
+        leg: pb::Leg,
+        left: Duration,
+        to: &mut Vec<Deed>,
+    ) {
         let mut turn = |result: pb::Result| {
-            let answer = pb::LegAnswer { leg: leg.leg, result: result.into(), ..Default::default() };
+            let answer = pb::LegAnswer {
+                leg: leg.leg,
+                result: result.into(),
+                ..Default::default()
+            };
             to.push(Deed::Answer { conn, answer });
         };
         if leg.node != self.spec.id {
@@ -255,7 +297,10 @@
             return;
         }
         let words = leg.leg ^ u64::from(leg.node) << 32;
-        if self.struck(Kind::FastErrors, now).is_some_and(|s| lot(self.seed, &[words, 3]) < s.size) {
+        if self
+            .struck(Kind::FastErrors, now)
+            .is_some_and(|s| lot(self.seed, &[words, 3]) < s.size)
+        {
             return turn(pb::Result::Error);
         }
         let full = self.queue.len() >= self.spec.queue;
@@ -263,13 +308,22 @@
             return turn(pb::Result::Full);
         }
         let work = self.work_of(&leg, now);
-        self.queue.push_back(Job { conn, leg, until: now + left, work });
+        self.queue.push_back(Job {
+            conn,
+            leg,
+            until: now + left,
+            work,
+        });
         self.begin(now, to);
     }
 
     pub fn cancel(&mut self, conn: u64, leg: u64) {
         self.queue.retain(|j| (j.conn, j.leg.leg) != (conn, leg));
-        if self.running.values().any(|j| (j.conn, j.leg.leg) == (conn, leg)) {
+        if self
+            .running
+            .values()
+            .any(|j| (j.conn, j.leg.leg) == (conn, leg))
+        {
             self.cancelled.insert((conn, leg));
         }
     }
@@ -277,9 +331,15 @@
     /// Whether what arrived lately pushes it over.
     fn pressed(&mut self, now: Duration, units: f64) -> bool {
         let rule = &self.settings.rules.cold;
-        let Some(since) = self.cold_since.filter(|s| now < *s + rule.warm_within) else { return false };
+        let Some(since) = self.cold_since.filter(|s| now < *s + rule.warm_within) else {
+            return false;
+        };
         self.arrived.push_back((now, units));
-        while self.arrived.front().is_some_and(|(at, _)| *at + rule.fall_within < now) {
+        while self
+            .arrived
+            .front()
+            .is_some_and(|(at, _)| *at + rule.fall_within < now)
+        {
             self.arrived.pop_front();
         }
         let span = rule.fall_within.min(now - since).as_secs_f64();
@@ -290,11 +350,20 @@
 
     fn begin(&mut self, now: Duration, to: &mut Vec<Deed>) {
         while self.running.len() < self.spec.cores as usize && now >= self.still_until {
-            let Some(job) = self.queue.pop_front() else { return };
+            let Some(job) = self.queue.pop_front() else {
+                return;
+            };
             if now >= job.until {
                 let result = pb::Result::Expired.into();
-                let answer = pb::LegAnswer { leg: job.leg.leg, result, ..Default::default() };
-                to.push(Deed::Answer { conn: job.conn, answer });
+                let answer = pb::LegAnswer {
+                    leg: job.leg.leg,
+                    result,
+                    ..Default::default()
+                };
+                to.push(Deed::Answer {
+                    conn: job.conn,
+                    answer,
+                });
                 continue;
             }
             self.next += 1;
@@ -325,7 +394,9 @@
                 }
                 Act::Undrain if self.life == Life::Draining => {
                     self.life = Life::Up;
-                    to.push(Deed::Up { started: self.starts });
+                    to.push(Deed::Up {
+                        started: self.starts,
+                    });
                 }
                 Act::Stop if self.life != Life::Down => {
                     self.stop();
@@ -335,7 +406,9 @@
                     self.starts += 1;
                     (self.life, self.cold_since) = (Life::Up, Some(now));
                     self.arrived.clear();
-                    to.push(Deed::Up { started: self.starts });
+                    to.push(Deed::Up {
+                        started: self.starts,
+                    });
                 }
                 _ => {}
             }
@@ -361,7 +434,14 @@
         }
     }
 
-    fn finish(&mut self, at: Duration, now: Duration, job: Job, meter: &mut Meter, to: &mut Vec<Deed>) {
+    fn finish(
+        &mut self,
+        at: Duration,
+        now: Duration,
+        job: Job,
+        meter: &mut Meter,
+        to: &mut Vec<Deed>,
+    ) {
         let (leg, conn) = (job.leg, job.conn);
         if self.cancelled.remove(&(conn, leg.leg)) {
             return;
@@ -385,7 +465,10 @@
             data = kept.slice(from..kept.len().min(from + leg.length as usize));
         }
         let words = leg.leg ^ 0x10_0000;
-        if self.struck(Kind::AnswerLost, now).is_some_and(|s| lot(self.seed, &[words, 4]) < s.size) {
+        if self
+            .struck(Kind::AnswerLost, now)
+            .is_some_and(|s| lot(self.seed, &[words, 4]) < s.size)
+        {
             return;
         }
         // Late by a period: the one before the last that is whole.
@@ -395,7 +478,15 @@
             .map(|units| units / period / leg.plan_rate * 100.0);
         let busy = Some(self.running.len() as f64 / f64::from(self.spec.cores));
         let result = pb::Result::Ok.into();
-        let answer = pb::LegAnswer { leg: leg.leg, result, reported, others: 0.0, busy, data, superseded };
+        let answer = pb::LegAnswer {
+            leg: leg.leg,
+            result,
+            reported,
+            others: 0.0,
+            busy,
+            data,
+            superseded,
+        };
         to.push(Deed::Answer { conn, answer });
     }
 
@@ -405,7 +496,11 @@
         let place = (leg.volume, leg.extent);
         let (at, length) = (leg.offset.unwrap_or(0), leg.data.len() as u32);
         let (parts, newer) = match leg.version {
-            Some(v) => self.versions.entry(place).or_default().write(at, at + length, v),
+            Some(v) => self
+                .versions
+                .entry(place)
+                .or_default()
+                .write(at, at + length, v),
             None => (vec![(at, at + length)], None),
         };
         if parts.is_empty() && length > 0 {
@@ -416,12 +511,19 @@
         let new = match leg.offset {
             None if newer.is_none() => leg.data.clone(),
             _ => parts.iter().fold(old.clone(), |new, (from, end)| {
-                patched(&new, *from as usize, &leg.data.slice((from - at) as usize..(end - at) as usize))
+                patched(
+                    &new,
+                    *from as usize,
+                    &leg.data.slice((from - at) as usize..(end - at) as usize),
+                )
             }),
         };
         self.bytes = self.bytes + new.len() - old.len();
         self.extents.insert(place, new);
-        to.push(Deed::Effect { leg: leg.leg, id: leg.piece.clone() });
+        to.push(Deed::Effect {
+            leg: leg.leg,
+            id: leg.piece.clone(),
+        });
         newer
     }
 
