--- a/crates/standin/src/rehearse.rs
+++ b/crates/standin/src/rehearse.rs
@@ -32,7 +32,9 @@
 
 /// Puts a seed and kinds of trouble, where given, in place of the script's own.
 pub fn play(settings: &mut Settings, kinds: &[Kind], seed: Option<u64>) {
-    let Some(r) = settings.rehearsal.as_mut() else { return };
+    let Some(r) = settings.rehearsal.as_mut() else {
+        return;
+    };
     r.seed = seed.unwrap_or(r.seed);
     if !kinds.is_empty() {
         r.troubles = of_kinds(kinds, r.length, r.seed);
@@ -62,11 +64,16 @@
 
 impl Running {
     fn signal(&self, signal: &str) -> io::Result<()> {
-        let status = Command::new("kill").args(["-s", signal, &self.0.id().to_string()]).status()?;
+        let status = Command::new("kill")
+            .args(["-s", signal, &self.0.id().to_string()])
+            .status()?;
         if status.success() {
             return Ok(());
         }
-        Err(io::Error::other(format!("signal {signal} did not reach process {}", self.0.id())))
+        Err(io::Error::other(format!(
+            "signal {signal} did not reach process {}",
+            self.0.id()
+        )))
     }
 
     fn ends_within(&mut self, span: Duration) -> io::Result<Option<i32>> {
@@ -99,9 +106,16 @@
 impl Stage<'_> {
     /// Starts a process and reads the address that it prints once it listens.
     fn start(&self, name: &str, args: &[String]) -> io::Result<(Running, String)> {
-        let log = File::options().create(true).append(true).open(self.o.dir.join(format!("{name}.log")))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.o.dir.join(format!("{name}.log")))?;
         let mut command = Command::new(self.o.program);
-        command.args(args).stdin(Stdio::null()).stdout(Stdio::piped()).stderr(log);
+        command
+            .args(args)
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped())
+            .stderr(log);
         let mut child = Running(command.spawn()?);
         let mut line = String::new();
         BufReader::new(child.0.stdout.take().expect("piped")).read_line(&mut line)?;
@@ -109,14 +123,22 @@
             Some(said) => Ok((child, said.to_string())),
             None => {
                 let log = self.o.dir.join(format!("{name}.log"));
-                Err(io::Error::other(format!("{name} did not start; see {}", log.display())))
+                Err(io::Error::other(format!(
+                    "{name} did not start; see {}",
+                    log.display()
+                )))
             }
         }
     }
 
     fn args(&self, first: &str, trace: &str) -> Vec<String> {
         let mut args = vec![first.to_string(), self.o.script.display().to_string()];
-        let trace = self.o.dir.join(format!("{trace}.trace")).display().to_string();
+        let trace = self
+            .o
+            .dir
+            .join(format!("{trace}.trace"))
+            .display()
+            .to_string();
         args.extend(["--trace".into(), trace]);
         args
     }
@@ -137,11 +159,33 @@
     fn host(&self, place: usize, start: u32, listen: &str) -> io::Result<Running> {
         let name = &self.o.settings.hosts[place].name;
         let mut args = self.args("run", &format!("{name}-{start}"));
-        let remember = self.o.dir.join(format!("{name}.list")).display().to_string();
-        args.extend(["--host".into(), name.clone(), "--list".into(), self.list.to_string()]);
-        args.extend(["--listen".into(), listen.into(), "--remember".into(), remember]);
+        let remember = self
+            .o
+            .dir
+            .join(format!("{name}.list"))
+            .display()
+            .to_string();
+        args.extend([
+            "--host".into(),
+            name.clone(),
+            "--list".into(),
+            self.list.to_string(),
+        ]);
+        args.extend([
+            "--listen".into(),
+            listen.into(),
+            "--remember".into(),
+            remember,
+        ]);
         if self.portals[place].is_some() || self.state.is_some() {
-            args.extend(["--store".into(), self.o.dir.join(format!("{name}.store")).display().to_string()]);
+            args.extend([
+                "--store".into(),
+                self.o
+                    .dir
+                    .join(format!("{name}.store"))
+                    .display()
+                    .to_string(),
+            ]);
         }
         if let Some(portal) = self.portals[place] {
             args.extend(["--portal".into(), portal.to_string()]);
@@ -149,9 +193,16 @@
         if let Some(relay) = self.relays.get(place) {
             args.extend(["--state".into(), relay.address.to_string()]);
         }
-        for (peer, at) in self.links.iter().flat_map(|l| l.addresses().iter().enumerate()) {
+        for (peer, at) in self
+            .links
+            .iter()
+            .flat_map(|l| l.addresses().iter().enumerate())
+        {
             if peer != place {
-                args.extend(["--peer".into(), format!("{}={at}", self.o.settings.hosts[peer].name)]);
+                args.extend([
+                    "--peer".into(),
+                    format!("{}={at}", self.o.settings.hosts[peer].name),
+                ]);
             }
         }
         let (child, said) = self.start(name, &args)?;
@@ -166,7 +217,9 @@
     }
 
     fn state_service(&self, start: u32) -> io::Result<Option<Running>> {
-        let Some(listen) = self.state else { return Ok(None) };
+        let Some(listen) = self.state else {
+            return Ok(None);
+        };
         let mut args = self.args("state-service", &format!("state-{start}"));
         args.extend(["--listen".into(), listen.to_string()]);
         args.extend(["--store".into(), self.store().display().to_string()]);
@@ -176,13 +229,23 @@
     /// An operator at the command line; what was said, and whether it was done.
     fn plans(&self, args: &[&str]) -> io::Result<(bool, String)> {
         let at = self.state.map(|a| a.to_string()).unwrap_or_default();
-        let out = Command::new(self.o.program).args(["plans", "--at", &at]).args(args).output()?;
+        let out = Command::new(self.o.program)
+            .args(["plans", "--at", &at])
+            .args(args)
+            .output()?;
         let said = [out.stdout, out.stderr].concat();
-        Ok((out.status.success(), String::from_utf8_lossy(&said).trim().replace('\n', "; ")))
+        Ok((
+            out.status.success(),
+            String::from_utf8_lossy(&said).trim().replace('\n', "; "),
+        ))
     }
 
     /// Kills the state service, and puts it back, as the script says; answers its last process.
-    fn play_state(&self, mut child: Option<Running>, strikes: &[Strike]) -> io::Result<Option<Running>> {
+    fn play_state(
+        &self,
+        mut child: Option<Running>,
+        strikes: &[Strike],
+    ) -> io::Result<Option<Running>> {
         let kinds = [Kind::StateCrash, Kind::StateRestored];
         let mut own: Vec<&Strike> = strikes.iter().filter(|s| kinds.contains(&s.kind)).collect();
         own.sort_by_key(|s| s.at);
@@ -200,10 +263,13 @@
             self.sleep_to(s.at + s.len);
             drop(child.take());
             let store = self.store().display().to_string();
-            let restored =
-                Command::new(self.o.program).args(["plans", "restore", &snapshot, &store]).output()?;
+            let restored = Command::new(self.o.program)
+                .args(["plans", "restore", &snapshot, &store])
+                .output()?;
             if !restored.status.success() {
-                return Err(io::Error::other(String::from_utf8_lossy(&restored.stderr).to_string()));
+                return Err(io::Error::other(
+                    String::from_utf8_lossy(&restored.stderr).to_string(),
+                ));
             }
             child = self.state_service(n as u32 + 1)?;
             // An operator sees that hosts know more, and says what counts; perhaps one shows only later.
@@ -238,7 +304,10 @@
     fn play_links(&self, strikes: &[Strike]) {
         let Some(links) = &self.links else { return };
         let mut steps: Vec<(Duration, &Strike)> = Vec::new();
-        for s in strikes.iter().filter(|s| matches!(s.kind, Kind::HostCut | Kind::HostDeaf)) {
+        for s in strikes
+            .iter()
+            .filter(|s| matches!(s.kind, Kind::HostCut | Kind::HostDeaf))
+        {
             steps.extend([(s.at, s), (s.at + s.len, s)]);
         }
         steps.sort_by_key(|s| s.0);
@@ -248,8 +317,10 @@
             let on = |s: &&Strike| (s.at..s.at + s.len).contains(at);
             let mut cut = std::collections::BTreeSet::new();
             for s in strikes.iter().filter(on) {
-                for (a, b) in
-                    s.hosts.iter().flat_map(|a| (0..self.o.settings.hosts.len()).map(move |b| (*a, b)))
+                for (a, b) in s
+                    .hosts
+                    .iter()
+                    .flat_map(|a| (0..self.o.settings.hosts.len()).map(move |b| (*a, b)))
                 {
                     match s.kind {
                         Kind::HostCut if !s.hosts.contains(&b) => cut.extend([(a, b), (b, a)]),
@@ -264,7 +335,13 @@
 
     /// Changes plans as the script says; when, what, and what came of it.
     fn play_changes(&self) -> Vec<Played> {
-        let mut all: Vec<_> = self.o.settings.rehearsal.iter().flat_map(|r| &r.changes).collect();
+        let mut all: Vec<_> = self
+            .o
+            .settings
+            .rehearsal
+            .iter()
+            .flat_map(|r| &r.changes)
+            .collect();
         all.sort_by_key(|c| c.at);
         let each = all.into_iter().map(|c| {
             self.sleep_to(c.at);
@@ -272,14 +349,23 @@
             args.extend(c.words.iter().map(String::as_str));
             args.extend(c.force.then_some("--force"));
             let (landed, said) = self.plans(&args).unwrap_or_else(|e| (false, e.to_string()));
-            Played { at: c.at, words: c.words.clone(), landed, said }
+            Played {
+                at: c.at,
+                words: c.words.clone(),
+                landed,
+                said,
+            }
         });
         each.collect()
     }
 
     fn mark(&self, what: What, place: usize) {
         let name = self.o.settings.hosts[place].name.clone();
-        self.tracer.mark(Marked { what: what.into(), name, ..Marked::default() });
+        self.tracer.mark(Marked {
+            what: what.into(),
+            name,
+            ..Marked::default()
+        });
     }
 
     fn sleep_to(&self, at: Duration) {
@@ -289,7 +375,10 @@
     /// Kills, stops and restarts one host as the script says; answers its last process.
     fn play(&self, place: usize, mut child: Running, strikes: &[Strike]) -> io::Result<Running> {
         let mut start = 0;
-        let mut own: Vec<&Strike> = strikes.iter().filter(|s| s.hosts.contains(&place)).collect();
+        let mut own: Vec<&Strike> = strikes
+            .iter()
+            .filter(|s| s.hosts.contains(&place))
+            .collect();
         own.sort_by_key(|s| s.at);
         for s in own {
             match s.kind {
@@ -343,7 +432,9 @@
 fn portals(settings: &Settings) -> io::Result<Vec<Option<SocketAddr>>> {
     let has = |place: usize| settings.portals.iter().any(|p| p.host == place);
     let free = || TcpListener::bind(("127.0.0.1", 0)).and_then(|l| l.local_addr());
-    (0..settings.hosts.len()).map(|place| has(place).then(free).transpose()).collect()
+    (0..settings.hosts.len())
+        .map(|place| has(place).then(free).transpose())
+        .collect()
 }
 
 /// Plays the script; what the clients and the initiators saw. The folder then holds every trace.
@@ -362,17 +453,33 @@
         None => None,
     };
     let relays = match state {
-        Some(at) => o.settings.hosts.iter().map(|_| Relay::to(at)).collect::<io::Result<_>>()?,
+        Some(at) => o
+            .settings
+            .hosts
+            .iter()
+            .map(|_| Relay::to(at))
+            .collect::<io::Result<_>>()?,
         None => Vec::new(),
     };
     let links = match &o.settings.fleet {
-        Some(_) => Some(Links::between(o.settings.hosts.iter().map(|h| h.name.clone()).collect())?),
+        Some(_) => Some(Links::between(
+            o.settings.hosts.iter().map(|h| h.name.clone()).collect(),
+        )?),
         None => None,
     };
     // Processes start one after another.
     let t0 = clock::now() + LEAD + START * o.settings.hosts.len() as u32;
-    let mut stage =
-        Stage { o: &o, t0, list: nowhere, hosts: hosts.clone(), portals, state, relays, links, tracer };
+    let mut stage = Stage {
+        o: &o,
+        t0,
+        list: nowhere,
+        hosts: hosts.clone(),
+        portals,
+        state,
+        relays,
+        links,
+        tracer,
+    };
     let service = stage.state_service(0)?;
     let mut args = stage.script_args("list-service", "list");
     args.extend(["--listen".into(), "127.0.0.1:0".into()]);
@@ -417,21 +524,48 @@
             .collect();
         let tally = clients.run();
         let mut disks = Disks::default();
-        sessions.into_iter().filter_map(|s| s.join().ok()).for_each(|d| disks.add(&d));
+        sessions
+            .into_iter()
+            .filter_map(|s| s.join().ok())
+            .for_each(|d| disks.add(&d));
         let changes = changes.join().unwrap_or_default();
         let service = service.join().unwrap_or_else(|_| panicked());
-        let ended: Vec<io::Result<Running>> =
-            players.into_iter().map(|p| p.join().unwrap_or_else(|_| panicked())).collect();
-        (service.map(|s| (Seen { tally, disks, changes }, s)), ended)
+        let ended: Vec<io::Result<Running>> = players
+            .into_iter()
+            .map(|p| p.join().unwrap_or_else(|_| panicked()))
+            .collect();
+        (
+            service.map(|s| {
+                (
+                    Seen {
+                        tally,
+                        disks,
+                        changes,
+                    },
+                    s,
+                )
+            }),
+            ended,
+        )
     });
     let (seen, service) = seen?;
-    let longest = o.settings.streams.iter().map(|s| s.expiry).max().unwrap_or_default();
+    let longest = o
+        .settings
+        .streams
+        .iter()
+        .map(|s| s.expiry)
+        .max()
+        .unwrap_or_default();
     for (place, child) in ended.into_iter().enumerate() {
         let (mut child, name) = (child?, &o.settings.hosts[place].name);
         child.signal("TERM")?;
         match child.ends_within(longest + END)? {
             Some(0) => {}
-            Some(code) => return Err(io::Error::other(format!("{name} ended with {code} when drained"))),
+            Some(code) => {
+                return Err(io::Error::other(format!(
+                    "{name} ended with {code} when drained"
+                )))
+            }
             None => return Err(io::Error::other(format!("{name} did not end when drained"))),
         }
     }
@@ -446,5 +580,9 @@
 
 /// A new folder for a rehearsal's traces and logs.
 pub fn folder() -> PathBuf {
-    std::env::temp_dir().join(format!("grebecleat-{}-{}", std::process::id(), clock::now().as_millis()))
+    std::env::temp_dir().join(format!(
+        "grebecleat-{}-{}",
+        std::process::id(),
+        clock::now().as_millis()
+    ))
 }
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -31,7 +31,10 @@
     /// Begins to carry what comes to a new address on to that one.
     pub fn to(target: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
-        let relay = Relay { state: Arc::default(), address: listener.local_addr()? };
+        let relay = Relay {
+            state: Arc::default(),
+            address: listener.local_addr()?,
+        };
         let state = relay.state.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
@@ -42,8 +45,15 @@
                     continue;
                 };
                 let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
-                let clones = (stream.try_clone(), onward.try_clone(), stream.try_clone(), onward.try_clone());
-                let (Ok(a), Ok(b), Ok(c), Ok(d)) = clones else { continue };
+                let clones = (
+                    stream.try_clone(),
+                    onward.try_clone(),
+                    stream.try_clone(),
+                    onward.try_clone(),
+                );
+                let (Ok(a), Ok(b), Ok(c), Ok(d)) = clones else {
+                    continue;
+                };
                 lock(&state).open.extend([c, d]);
                 for (from, to) in [(stream, b), (onward, a)] {
                     let state = state.clone();
@@ -58,7 +68,10 @@
         let mut state = lock(&self.state);
         state.cut = cut;
         if cut {
-            state.open.drain(..).for_each(|s| drop(s.shutdown(Shutdown::Both)));
+            state
+                .open
+                .drain(..)
+                .for_each(|s| drop(s.shutdown(Shutdown::Both)));
         }
     }
 
@@ -82,8 +95,14 @@
         if open && held < MOST_WAITING {
             match from.read(&mut bytes) {
                 Ok(0) => open = false,
-                Ok(n) => waiting.push_back((Instant::now() + lock(state).late, bytes[..n].to_vec())),
-                Err(e) if matches!(e.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut) => {}
+                Ok(n) => {
+                    waiting.push_back((Instant::now() + lock(state).late, bytes[..n].to_vec()))
+                }
+                Err(e)
+                    if matches!(
+                        e.kind(),
+                        io::ErrorKind::WouldBlock | io::ErrorKind::TimedOut
+                    ) => {}
                 Err(_) => open = false,
             }
         } else {
--- a/crates/standin/src/relay/tests.rs
+++ b/crates/standin/src/relay/tests.rs
@@ -25,7 +25,10 @@
     let begun = Instant::now();
     c.write_all(b"again").unwrap();
     c.read_exact(&mut b).unwrap();
-    assert!(begun.elapsed() >= Duration::from_millis(200), "late both ways");
+    assert!(
+        begun.elapsed() >= Duration::from_millis(200),
+        "late both ways"
+    );
     relay.cut(true);
     assert!(matches!(c.read(&mut b), Ok(0) | Err(_)));
     relay.cut(false);
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -35,7 +35,11 @@
     }
 
     fn strikes(&self) -> Vec<Strike> {
-        self.settings.rehearsal.as_ref().map(|r| strikes(&self.settings, r)).unwrap_or_default()
+        self.settings
+            .rehearsal
+            .as_ref()
+            .map(|r| strikes(&self.settings, r))
+            .unwrap_or_default()
     }
 
     fn now(&self) -> Duration {
@@ -45,18 +49,33 @@
 
 fn heard_by(heard: &Receiver<Heard>, wait: Duration) -> Option<Vec<Heard>> {
     match heard.recv_timeout(wait) {
-        Ok(first) => Some(std::iter::once(first).chain(heard.try_iter().take(1024)).collect()),
+        Ok(first) => Some(
+            std::iter::once(first)
+                .chain(heard.try_iter().take(1024))
+                .collect(),
+        ),
         Err(RecvTimeoutError::Timeout) => Some(Vec::new()),
         Err(RecvTimeoutError::Disconnected) => None,
     }
 }
 
 /// Whether nothing crosses now between a host and a node.
-fn way_cut(stage: &Stage, strikes: &[Strike], now: Duration, node: u32, host: Option<&String>) -> bool {
+fn way_cut(
+    stage: &Stage,
+    strikes: &[Strike],
+    now: Duration,
+    node: u32,
+    host: Option<&String>,
+) -> bool {
     let place = |name: &String| stage.settings.hosts.iter().position(|h| h.name == *name);
-    let Some(place) = host.and_then(place) else { return false };
+    let Some(place) = host.and_then(place) else {
+        return false;
+    };
     let on = |s: &&Strike| s.kind == Kind::WayCut && (s.at..s.at + s.len).contains(&now);
-    strikes.iter().filter(on).any(|s| s.nodes.contains(&node) && s.hosts.contains(&place))
+    strikes
+        .iter()
+        .filter(on)
+        .any(|s| s.nodes.contains(&node) && s.hosts.contains(&place))
 }
 
 struct Seat {
@@ -69,17 +88,47 @@
 }
 
 /// Runs nodes until the process ends. `ready` is called once all listen.
-pub fn nodes(stage: &Stage, ids: &[u32], list: SocketAddr, ready: impl FnOnce(usize)) -> io::Result<()> {
+pub fn nodes(
+    stage: &Stage,
+    ids: &[u32],
+    list: SocketAddr,
+    ready: impl FnOnce(usize),
+) -> io::Result<()> {
     let (to, heard) = mpsc::channel();
     let (strikes, mut meter) = (stage.strikes(), Meter::default());
     let mut seats = BTreeMap::new();
-    for spec in stage.settings.nodes.iter().filter(|n| ids.is_empty() || ids.contains(&n.id)) {
+    for spec in stage
+        .settings
+        .nodes
+        .iter()
+        .filter(|n| ids.is_empty() || ids.contains(&n.id))
+    {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let (address, shut) = (listener.local_addr()?, Arc::new(AtomicBool::new(false)));
-        let me = hello(pb::Role::Node, &format!("node-{}", spec.id), u64::from(spec.id));
-        net::listen(listener, spec.id, me, stage.tracer.clone(), shut.clone(), to.clone());
+        let me = hello(
+            pb::Role::Node,
+            &format!("node-{}", spec.id),
+            u64::from(spec.id),
+        );
+        net::listen(
+            listener,
+            spec.id,
+            me,
+            stage.tracer.clone(),
+            shut.clone(),
+            to.clone(),
+        );
         let node = Node::new(spec.clone(), stage.settings.clone(), stage.seed(), &strikes);
-        seats.insert(spec.id, Seat { node, address, shut, lines: BTreeMap::new(), hosts: BTreeMap::new() });
+        seats.insert(
+            spec.id,
+            Seat {
+                node,
+                address,
+                shut,
+                lines: BTreeMap::new(),
+                hosts: BTreeMap::new(),
+            },
+        );
     }
     const LIST: u32 = u32::MAX;
     let me = hello(pb::Role::Node, "nodes", 1);
@@ -89,7 +138,9 @@
     loop {
         let due = seats.values().filter_map(|s| s.node.due()).min();
         let wait = due.map_or(TICK, |d| d.saturating_sub(stage.now()).min(TICK));
-        let Some(batch) = heard_by(&heard, wait) else { return Ok(()) };
+        let Some(batch) = heard_by(&heard, wait) else {
+            return Ok(());
+        };
         let now = stage.now();
         let mut deeds: Vec<(u32, Deed)> = Vec::new();
         for h in batch {
@@ -99,7 +150,12 @@
                     entries.for_each(|e| line.put(Body::Announce(pb::Announce { entry: Some(e) })));
                     list_line = Some(line);
                 }
-                Heard::Up { at, conn, line, them } => {
+                Heard::Up {
+                    at,
+                    conn,
+                    line,
+                    them,
+                } => {
                     let seat = seats.get_mut(&at).expect("its own listener");
                     seat.hosts.insert(conn, them.name);
                     if seat.node.life == Life::Down {
@@ -113,8 +169,15 @@
                         s.hosts.remove(&conn);
                     });
                 }
-                Heard::Frame { at, conn, waited, body } => {
-                    let Some(seat) = seats.get_mut(&at) else { continue };
+                Heard::Frame {
+                    at,
+                    conn,
+                    waited,
+                    body,
+                } => {
+                    let Some(seat) = seats.get_mut(&at) else {
+                        continue;
+                    };
                     if way_cut(stage, &strikes, now, at, seat.hosts.get(&conn)) {
                         continue;
                     }
@@ -126,8 +189,14 @@
                         }
                         Body::CancelLeg(c) => seat.node.cancel(conn, c.leg),
                         Body::Probe(p) => {
-                            let probed = pb::Probed { probe: p.probe, result: pb::Result::Ok.into() };
-                            seat.lines.get(&conn).into_iter().for_each(|l| l.put(Body::Probed(probed)));
+                            let probed = pb::Probed {
+                                probe: p.probe,
+                                result: pb::Result::Ok.into(),
+                            };
+                            seat.lines
+                                .get(&conn)
+                                .into_iter()
+                                .for_each(|l| l.put(Body::Probed(probed)));
                         }
                         _ => {}
                     }
@@ -142,7 +211,11 @@
         }
         for (id, deed) in deeds {
             let seat = seats.get_mut(&id).expect("a seat's own deed");
-            let to = if let Deed::Answer { conn, .. } = &deed { seat.hosts.get(conn) } else { None };
+            let to = if let Deed::Answer { conn, .. } = &deed {
+                seat.hosts.get(conn)
+            } else {
+                None
+            };
             if !way_cut(stage, &strikes, now, id, to) {
                 do_it(stage, seat, now, deed, &list_line);
             }
@@ -164,12 +237,18 @@
         state: state.into(),
         address: seat.address.to_string(),
         start: seat.node.starts(),
-        up_us: seat.node.cold_since().map(|s| clock::micros(now.saturating_sub(s))),
+        up_us: seat
+            .node
+            .cold_since()
+            .map(|s| clock::micros(now.saturating_sub(s))),
     }
 }
 
 fn do_it(stage: &Stage, seat: &mut Seat, now: Duration, deed: Deed, list: &Option<Line>) {
-    let (node, warm_us) = (seat.node.spec.id, clock::micros(stage.settings.rules.cold.warm_within));
+    let (node, warm_us) = (
+        seat.node.spec.id,
+        clock::micros(stage.settings.rules.cold.warm_within),
+    );
     let mark = |what: What| Marked {
         what: what.into(),
         node,
@@ -180,11 +259,18 @@
     };
     match deed {
         Deed::Answer { conn, answer } => {
-            seat.lines.get(&conn).into_iter().for_each(|l| l.put(Body::LegAnswer(answer.clone())));
+            seat.lines
+                .get(&conn)
+                .into_iter()
+                .for_each(|l| l.put(Body::LegAnswer(answer.clone())));
             return;
         }
         Deed::Effect { leg, id } => {
-            return stage.tracer.mark(Marked { leg, id, ..mark(What::Effect) });
+            return stage.tracer.mark(Marked {
+                leg,
+                id,
+                ..mark(What::Effect)
+            });
         }
         Deed::Up { started } if started > 1 => {
             seat.shut.store(false, Ordering::Relaxed);
@@ -196,11 +282,15 @@
                 stage.tracer.mark(mark(What::Fell));
             }
             seat.shut.store(true, Ordering::Relaxed);
-            std::mem::take(&mut seat.lines).values().for_each(Line::hang_up);
+            std::mem::take(&mut seat.lines)
+                .values()
+                .for_each(Line::hang_up);
         }
     }
     if let Some(list) = list {
-        list.put(Body::Announce(pb::Announce { entry: Some(entry(seat, now)) }));
+        list.put(Body::Announce(pb::Announce {
+            entry: Some(entry(seat, now)),
+        }));
     }
 }
 
@@ -214,12 +304,16 @@
     let mut model = List::default();
     let (mut lines, mut watching) = (BTreeMap::<u64, Line>::new(), BTreeSet::new());
     loop {
-        let Some(batch) = heard_by(&heard, TICK) else { return Ok(()) };
+        let Some(batch) = heard_by(&heard, TICK) else {
+            return Ok(());
+        };
         let now = stage.now();
         let stale = |now: Duration| {
             let on = strikes.iter().filter(|s| s.kind == Kind::DiscoveryStale);
             let on = on.filter(|s| (s.at..s.at + s.len).contains(&now));
-            on.map(|s| Duration::from_secs_f64(s.size)).max().unwrap_or_default()
+            on.map(|s| Duration::from_secs_f64(s.size))
+                .max()
+                .unwrap_or_default()
         };
         for h in batch {
             match h {
@@ -228,18 +322,30 @@
                     lines.remove(&conn);
                     watching.remove(&conn);
                 }
-                Heard::Frame { body: Body::Announce(a), .. } => {
+                Heard::Frame {
+                    body: Body::Announce(a),
+                    ..
+                } => {
                     let entry = a.entry.unwrap_or_default();
                     let silent = entry.state() == pb::NodeState::Gone;
                     // What it hears before anything has happened shows at once.
-                    let lag = if now < TICK { Duration::ZERO } else { facts.lag + stale(now) };
+                    let lag = if now < TICK {
+                        Duration::ZERO
+                    } else {
+                        facts.lag + stale(now)
+                    };
                     model.hear(now, entry, if silent { lag * SILENT } else { lag });
                 }
                 Heard::Frame { conn, body, .. } => {
-                    let Some(line) = lines.get(&conn) else { continue };
+                    let Some(line) = lines.get(&conn) else {
+                        continue;
+                    };
                     if rng.random::<f64>() < facts.fails {
                         let kind = pb::ListKind::NotHad.into();
-                        line.put(Body::List(pb::List { kind, ..Default::default() }));
+                        line.put(Body::List(pb::List {
+                            kind,
+                            ..Default::default()
+                        }));
                         continue;
                     }
                     match body {
--- a/crates/state/src/attending.rs
+++ b/crates/state/src/attending.rs
@@ -29,7 +29,11 @@
 
 impl Notes {
     pub fn add(&mut self, at: Duration, node: Option<u32>, text: String) {
-        self.notes.push_back(pb::Happened { at_us: micros(at), node, text });
+        self.notes.push_back(pb::Happened {
+            at_us: micros(at),
+            node,
+            text,
+        });
         if self.notes.len() > MOST_NOTES {
             self.notes.pop_front();
             self.first += 1;
@@ -70,7 +74,15 @@
 impl Attending {
     pub fn new(call: u64) -> Self {
         let (nodes, head, settled) = (BTreeMap::new(), None, Version(0));
-        Attending { call, version: None, settled, nodes, head, notes: 0, told: None }
+        Attending {
+            call,
+            version: None,
+            settled,
+            nodes,
+            head,
+            notes: 0,
+            told: None,
+        }
     }
 
     /// When it may be told next.
@@ -97,18 +109,29 @@
             trouble: p.trouble.to_string(),
             ..pb::Attended::default()
         };
-        let names = |h: &HostNo| p.hosts.get(h.0 as usize).map(|h| h.name.clone()).unwrap_or_default();
+        let names = |h: &HostNo| {
+            p.hosts
+                .get(h.0 as usize)
+                .map(|h| h.name.clone())
+                .unwrap_or_default()
+        };
         let mut changed = Vec::new();
         for shown in p.members.shown(missing.short + missing.out_of_reach) {
             let node = node_pb(&shown, &names);
-            if self.nodes.get(&shown.node).is_none_or(|told| !alike(told, &node)) {
+            if self
+                .nodes
+                .get(&shown.node)
+                .is_none_or(|told| !alike(told, &node))
+            {
                 self.nodes.insert(shown.node, node.clone());
                 changed.push(node);
             }
         }
         let happened = p.notes.since(self.notes);
-        let entries: Option<Vec<&Entry>> =
-            self.version.and_then(|v| p.source.ledger().since(v)).map(Iterator::collect);
+        let entries: Option<Vec<&Entry>> = self
+            .version
+            .and_then(|v| p.source.ledger().since(v))
+            .map(Iterator::collect);
         let news = self.head.as_ref() != Some(&head) || !changed.is_empty() || !happened.is_empty();
         if !news && self.version == Some(version) && self.settled == settled {
             return;
@@ -117,17 +140,31 @@
         (self.settled, head.nodes, head.happened) = (settled, changed, happened);
         match entries {
             Some(entries) => {
-                head.entries = entries.into_iter().filter(|e| e.version <= version).map(entry_pb).collect();
+                head.entries = entries
+                    .into_iter()
+                    .filter(|e| e.version <= version)
+                    .map(entry_pb)
+                    .collect();
                 give(head);
             }
             // At first, and where the trail no longer reaches back so far.
             None => {
                 let state = p.source.ledger().state_at(version).map(|c| change_pb(&c));
-                let first = pb::Attended { whole: true, ..head.clone() };
+                let first = pb::Attended {
+                    whole: true,
+                    ..head.clone()
+                };
                 let mut first = Some(first);
                 crate::serve::in_parts(state, |state, more| {
-                    let part = first.take().unwrap_or(pb::Attended { call: self.call, ..Default::default() });
-                    give(pb::Attended { state, more, ..part });
+                    let part = first.take().unwrap_or(pb::Attended {
+                        call: self.call,
+                        ..Default::default()
+                    });
+                    give(pb::Attended {
+                        state,
+                        more,
+                        ..part
+                    });
                 });
             }
         }
@@ -138,8 +175,16 @@
 /// Whether nothing but spans that run by themselves has changed.
 fn alike(told: &pb::NodeShown, now: &pb::NodeShown) -> bool {
     let still = |n: &pb::NodeShown| {
-        let drain = n.drain.clone().map(|d| pb::DrainShown { left_us: None, unsure_us: 0, ..d });
-        pb::NodeShown { up_us: None, drain, ..n.clone() }
+        let drain = n.drain.clone().map(|d| pb::DrainShown {
+            left_us: None,
+            unsure_us: 0,
+            ..d
+        });
+        pb::NodeShown {
+            up_us: None,
+            drain,
+            ..n.clone()
+        }
     };
     still(told) == still(now)
 }
@@ -159,7 +204,9 @@
 
 pub fn life_of(life: pb::LifeKind) -> Life {
     let all = Life::NAMES.iter().map(|l| l.0);
-    all.into_iter().find(|l| life_pb(*l) == life).unwrap_or_default()
+    all.into_iter()
+        .find(|l| life_pb(*l) == life)
+        .unwrap_or_default()
 }
 
 fn node_pb(n: &Shown, names: &dyn Fn(&HostNo) -> String) -> pb::NodeShown {
@@ -192,7 +239,11 @@
         }
         Phase::Telling { hosts } => {
             shown.untold = hosts.iter().map(|(h, _)| names(h)).collect();
-            shown.lost = hosts.iter().filter(|(_, up)| !up).map(|(h, _)| names(h)).collect();
+            shown.lost = hosts
+                .iter()
+                .filter(|(_, up)| !up)
+                .map(|(h, _)| names(h))
+                .collect();
             pb::DrainPhase::Telling
         }
         Phase::Quiescing { legs, most, unsure } => {
--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -44,7 +44,11 @@
         let stream = TcpStream::connect_timeout(&address, PATIENCE)?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(PATIENCE))?;
-        let mut c = Client { stream, reader: frame::Reader::new(MOST_FRAME), next: 0 };
+        let mut c = Client {
+            stream,
+            reader: frame::Reader::new(MOST_FRAME),
+            next: 0,
+        };
         c.put(Body::Hello(pb::Hello {
             version: VERSION,
             role: pb::Role::Operator.into(),
@@ -60,14 +64,28 @@
 
     fn put(&mut self, body: Body) -> io::Result<()> {
         let mut bytes = Vec::new();
-        frame::write(&pb::Frame { sent_us: clock::micros(clock::now()), body: Some(body) }, &mut bytes);
+        frame::write(
+            &pb::Frame {
+                sent_us: clock::micros(clock::now()),
+                body: Some(body),
+            },
+            &mut bytes,
+        );
         self.stream.write_all(&bytes)
     }
 
     fn read(&mut self) -> io::Result<Body> {
         loop {
-            match self.reader.next::<pb::Frame>().map_err(|e| io::Error::other(e.to_string()))? {
-                Some(f) => return f.body.ok_or_else(|| io::Error::other("a frame without a body")),
+            match self
+                .reader
+                .next::<pb::Frame>()
+                .map_err(|e| io::Error::other(e.to_string()))?
+            {
+                Some(f) => {
+                    return f
+                        .body
+                        .ok_or_else(|| io::Error::other("a frame without a body"))
+                }
                 None if self.reader.fill(&mut self.stream)? == 0 => {
                     return Err(io::Error::other("the state service hung up"));
                 }
@@ -106,18 +124,35 @@
         }
     }
 
-    pub fn look(&mut self, what: What, after: u64, most: u32, empty: Vec<u32>) -> io::Result<Shown> {
+    pub fn look(
+        &mut self,
+        what: What,
+        after: u64,
+        most: u32,
+        empty: Vec<u32>,
+    ) -> io::Result<Shown> {
         let mut shown = Shown::default();
-        let mut answer =
-            self.ask(|call| Body::Look(pb::Look { call, what: what.into(), after, most, empty }))?;
+        let mut answer = self.ask(|call| {
+            Body::Look(pb::Look {
+                call,
+                what: what.into(),
+                after,
+                most,
+                empty,
+            })
+        })?;
         loop {
             let Body::Shown(mut part) = answer else {
                 return Err(io::Error::other("an answer to something else"));
             };
             let bad = |e: crate::codec::NoChange| io::Error::other(e.to_string());
-            shown.state.extend(changes_of(std::mem::take(&mut part.state)).map_err(bad)?);
+            shown
+                .state
+                .extend(changes_of(std::mem::take(&mut part.state)).map_err(bad)?);
             let entries = std::mem::take(&mut part.entries).into_iter().map(entry_of);
-            shown.entries.extend(entries.collect::<Result<Vec<_>, _>>().map_err(bad)?);
+            shown
+                .entries
+                .extend(entries.collect::<Result<Vec<_>, _>>().map_err(bad)?);
             (shown.version, shown.settled, shown.era) =
                 (Version(part.version), Version(part.settled), Era(part.era));
             if !part.more {
--- a/crates/state/src/codec.rs
+++ b/crates/state/src/codec.rs
@@ -3,7 +3,9 @@
 //! What comes from either may be damaged or a lie: everything that makes no sense is a fault with its place,
 //! and nothing of it is taken.
 
-use grebecleat_plans::changes::{Change, Drain, Entry, Name, Node, Plan, Stage, Timed, Version, Volume};
+use grebecleat_plans::changes::{
+    Change, Drain, Entry, Name, Node, Plan, Stage, Timed, Version, Volume,
+};
 use grebecleat_wire::pb::{self, change};
 use std::sync::Arc;
 use std::time::Duration;
@@ -64,7 +66,10 @@
                 weight: p.weight,
                 price: p.price,
             };
-            (Subject::Plan(name.to_string()), to.as_ref().map(|p| To::PlanTo(figures(p))))
+            (
+                Subject::Plan(name.to_string()),
+                to.as_ref().map(|p| To::PlanTo(figures(p))),
+            )
         }
         Change::Volume { id, to } => {
             let facts = |v: &Volume| pb::VolumeFacts {
@@ -73,7 +78,10 @@
                 cells: v.cells.to_vec(),
                 blocks: v.blocks,
             };
-            (Subject::Volume(*id), to.as_ref().map(|v| To::VolumeTo(facts(v))))
+            (
+                Subject::Volume(*id),
+                to.as_ref().map(|v| To::VolumeTo(facts(v))),
+            )
         }
         Change::Node { id, to } => {
             let facts = |n: &Node| pb::NodeFacts {
@@ -82,7 +90,10 @@
                 cell: n.cell,
                 capacity: n.capacity,
             };
-            (Subject::Node(*id), to.as_ref().map(|n| To::NodeTo(facts(n))))
+            (
+                Subject::Node(*id),
+                to.as_ref().map(|n| To::NodeTo(facts(n))),
+            )
         }
         Change::Drain { node, to } => {
             let facts = |d: &Drain| pb::DrainFacts {
@@ -92,15 +103,29 @@
                 asked_us: micros(d.asked),
                 since_us: micros(d.since),
             };
-            (Subject::Drain(*node), to.as_ref().map(|d| To::DrainTo(facts(d))))
+            (
+                Subject::Drain(*node),
+                to.as_ref().map(|d| To::DrainTo(facts(d))),
+            )
         }
         Change::Target { name, to } => {
-            let facts = |v: &Arc<[u64]>| pb::TargetFacts { volumes: v.to_vec() };
-            (Subject::Target(name.to_string()), to.as_ref().map(|v| To::TargetTo(facts(v))))
+            let facts = |v: &Arc<[u64]>| pb::TargetFacts {
+                volumes: v.to_vec(),
+            };
+            (
+                Subject::Target(name.to_string()),
+                to.as_ref().map(|v| To::TargetTo(facts(v))),
+            )
         }
-        Change::Timed { id, to } => (Subject::Timed(*id), to.as_ref().map(|t| To::TimedTo(timed_pb(t)))),
+        Change::Timed { id, to } => (
+            Subject::Timed(*id),
+            to.as_ref().map(|t| To::TimedTo(timed_pb(t))),
+        ),
     };
-    pb::Change { subject: Some(subject), to }
+    pb::Change {
+        subject: Some(subject),
+        to,
+    }
 }
 
 pub fn change_of(c: pb::Change) -> Result<Change, NoChange> {
@@ -117,8 +142,17 @@
                 weight: p.weight,
                 price: p.price,
             };
-            let to = to.and_then(|t| if let To::PlanTo(p) = t { Some(figures(p)) } else { None });
-            Change::Plan { name: name.into(), to }
+            let to = to.and_then(|t| {
+                if let To::PlanTo(p) = t {
+                    Some(figures(p))
+                } else {
+                    None
+                }
+            });
+            Change::Plan {
+                name: name.into(),
+                to,
+            }
         }
         (Some(Subject::Volume(id)), to @ (None | Some(To::VolumeTo(_)))) => {
             let facts = |v: pb::VolumeFacts| Volume {
@@ -129,7 +163,13 @@
             };
             Change::Volume {
                 id,
-                to: to.and_then(|t| if let To::VolumeTo(v) = t { Some(facts(v)) } else { None }),
+                to: to.and_then(|t| {
+                    if let To::VolumeTo(v) = t {
+                        Some(facts(v))
+                    } else {
+                        None
+                    }
+                }),
             }
         }
         (Some(Subject::Node(id)), to @ (None | Some(To::NodeTo(_)))) => {
@@ -141,7 +181,13 @@
             };
             Change::Node {
                 id,
-                to: to.and_then(|t| if let To::NodeTo(n) = t { Some(facts(n)) } else { None }),
+                to: to.and_then(|t| {
+                    if let To::NodeTo(n) = t {
+                        Some(facts(n))
+                    } else {
+                        None
+                    }
+                }),
             }
         }
         (Some(Subject::Drain(node)), to @ (None | Some(To::DrainTo(_)))) => {
@@ -154,12 +200,27 @@
             };
             Change::Drain {
                 node,
-                to: to.and_then(|t| if let To::DrainTo(d) = t { Some(facts(d)) } else { None }),
+                to: to.and_then(|t| {
+                    if let To::DrainTo(d) = t {
+                        Some(facts(d))
+                    } else {
+                        None
+                    }
+                }),
             }
         }
         (Some(Subject::Target(name)), to @ (None | Some(To::TargetTo(_)))) => {
-            let to = to.and_then(|t| if let To::TargetTo(v) = t { Some(v.volumes.into()) } else { None });
-            Change::Target { name: name.into(), to }
+            let to = to.and_then(|t| {
+                if let To::TargetTo(v) = t {
+                    Some(v.volumes.into())
+                } else {
+                    None
+                }
+            });
+            Change::Target {
+                name: name.into(),
+                to,
+            }
         }
         (Some(Subject::Timed(id)), None) => Change::Timed { id, to: None },
         (Some(Subject::Timed(id)), Some(To::TimedTo(t))) => {
@@ -171,11 +232,16 @@
                 changes: changes_of(t.changes)?,
                 expects: changes_of(t.expects)?,
             };
-            Change::Timed { id, to: Some(timed) }
+            Change::Timed {
+                id,
+                to: Some(timed),
+            }
         }
         (None, _) => return Err(NoChange("it names nothing".into())),
         (Some(subject), Some(_)) => {
-            return Err(NoChange(format!("{subject:?} gets what is none of its kind")))
+            return Err(NoChange(format!(
+                "{subject:?} gets what is none of its kind"
+            )))
         }
     };
     Ok(change)
@@ -206,7 +272,9 @@
 
 pub fn entry_of(e: pb::ChangeEntry) -> Result<Entry, NoChange> {
     let also = |a: pb::EarlierChange| {
-        let change = a.change.ok_or_else(|| NoChange("an earlier one is empty".into()))?;
+        let change = a
+            .change
+            .ok_or_else(|| NoChange("an earlier one is empty".into()))?;
         Ok((Version(a.version), change_of(change)?))
     };
     if e.from >= e.version {
@@ -222,6 +290,10 @@
         changes: changes_of(e.changes)?,
         before: changes_of(e.before)?,
         lowers: e.lowers,
-        also: e.also.into_iter().map(also).collect::<Result<_, NoChange>>()?,
+        also: e
+            .also
+            .into_iter()
+            .map(also)
+            .collect::<Result<_, NoChange>>()?,
     })
 }
--- a/crates/state/src/declared.rs
+++ b/crates/state/src/declared.rs
@@ -5,8 +5,15 @@
 
 /// What no change touches: hosts, and how long a leg may take to cross.
 pub fn facts(s: &Settings) -> Facts {
-    let hosts = s.hosts.iter().map(|h| Name::from(h.name.as_str())).collect();
-    Facts { hosts, linger: s.bounds.linger }
+    let hosts = s
+        .hosts
+        .iter()
+        .map(|h| Name::from(h.name.as_str()))
+        .collect();
+    Facts {
+        hosts,
+        linger: s.bounds.linger,
+    }
 }
 
 /// Plans, nodes, volumes and targets of a settings file, in an order in which each rests on what came before.
@@ -22,25 +29,46 @@
             weight: f.weight,
             price: f.price,
         };
-        Change::Plan { name: p.name.as_str().into(), to: Some(to) }
+        Change::Plan {
+            name: p.name.as_str().into(),
+            to: Some(to),
+        }
     });
     let nodes = s.nodes.iter().map(|n| {
         let (name, zone) = (n.name.as_str().into(), s.zones[n.zone].as_str().into());
-        let to = Node { name, zone, cell: n.cell, capacity: n.capacity };
-        Change::Node { id: n.id, to: Some(to) }
+        let to = Node {
+            name,
+            zone,
+            cell: n.cell,
+            capacity: n.capacity,
+        };
+        Change::Node {
+            id: n.id,
+            to: Some(to),
+        }
     });
     let volumes = s.volumes.iter().map(|v| {
         let to = Volume {
             plan: s.plans[v.plan].name.as_str().into(),
-            hosts: v.hosts.iter().map(|h| Name::from(s.hosts[*h].name.as_str())).collect(),
+            hosts: v
+                .hosts
+                .iter()
+                .map(|h| Name::from(s.hosts[*h].name.as_str()))
+                .collect(),
             cells: v.cells.clone().into(),
             blocks: v.blocks,
         };
-        Change::Volume { id: v.id, to: Some(to) }
+        Change::Volume {
+            id: v.id,
+            to: Some(to),
+        }
     });
     let targets = s.targets.iter().map(|t| {
         let volumes = t.volumes.iter().map(|v| s.volumes[*v].id).collect();
-        Change::Target { name: t.name.as_str().into(), to: Some(volumes) }
+        Change::Target {
+            name: t.name.as_str().into(),
+            to: Some(volumes),
+        }
     });
     plans.chain(nodes).chain(volumes).chain(targets).collect()
 }
--- a/crates/state/src/extents.rs
+++ b/crates/state/src/extents.rs
@@ -51,33 +51,68 @@
         let (base, chunk) = self.chunks.range(..=extent).next_back()?;
         let at = extent - base;
         let place = chunk.partition_point(|r| u64::from(r.start) <= at);
-        chunk.get(place.checked_sub(1)?).filter(|r| at < r.end()).map(|r| r.cell)
+        chunk
+            .get(place.checked_sub(1)?)
+            .filter(|r| at < r.end())
+            .map(|r| r.cell)
     }
 
     /// Puts an extent on a cell, wherever it lay.
     pub fn insert(&mut self, extent: u64, cell: u32) {
         let Some(base) = self.home(extent) else {
-            self.chunks.insert(extent, vec![Run { start: 0, length: 1, cell }]);
+            self.chunks.insert(
+                extent,
+                vec![Run {
+                    start: 0,
+                    length: 1,
+                    cell,
+                }],
+            );
             (self.extents, self.runs) = (self.extents + 1, self.runs + 1);
             return;
         };
         let chunk = self.chunks.get_mut(&base).expect("found above");
         let (before, at) = (chunk.len(), (extent - base) as u32);
         let place = chunk.partition_point(|r| r.start <= at);
-        let inside = place.checked_sub(1).filter(|p| u64::from(at) < chunk[*p].end());
+        let inside = place
+            .checked_sub(1)
+            .filter(|p| u64::from(at) < chunk[*p].end());
         match inside {
             Some(p) if chunk[p].cell == cell => return,
             Some(p) => {
-                let Run { start, length, cell: old } = chunk[p];
-                let left = Run { start, length: at - start, cell: old };
-                let right = Run { start: at + 1, length: length - (at - start) - 1, cell: old };
-                let one = Run { start: at, length: 1, cell };
+                let Run {
+                    start,
+                    length,
+                    cell: old,
+                } = chunk[p];
+                let left = Run {
+                    start,
+                    length: at - start,
+                    cell: old,
+                };
+                let right = Run {
+                    start: at + 1,
+                    length: length - (at - start) - 1,
+                    cell: old,
+                };
+                let one = Run {
+                    start: at,
+                    length: 1,
+                    cell,
+                };
                 let parts = [left, one, right].into_iter().filter(|r| r.length > 0);
                 chunk.splice(p..=p, parts);
             }
             None => {
                 self.extents += 1;
-                chunk.insert(place, Run { start: at, length: 1, cell });
+                chunk.insert(
+                    place,
+                    Run {
+                        start: at,
+                        length: 1,
+                        cell,
+                    },
+                );
             }
         }
         // The new run is at most one place on; it and its neighbours may now be one.
@@ -130,7 +165,10 @@
     /// Runs in order: first extent, how many, cell. Two that follow each other on one cell may stand apart
     /// where a chunk ends.
     pub fn iter(&self) -> impl Iterator<Item = (u64, u64, u32)> + '_ {
-        let runs = self.chunks.iter().flat_map(|(base, chunk)| chunk.iter().map(move |r| (base, r)));
+        let runs = self
+            .chunks
+            .iter()
+            .flat_map(|(base, chunk)| chunk.iter().map(move |r| (base, r)));
         runs.map(|(base, r)| (base + u64::from(r.start), u64::from(r.length), r.cell))
     }
 }
@@ -138,7 +176,8 @@
 impl FromIterator<(u64, u32)> for Extents {
     fn from_iter<T: IntoIterator<Item = (u64, u32)>>(all: T) -> Self {
         let mut extents = Extents::default();
-        all.into_iter().for_each(|(extent, cell)| extents.insert(extent, cell));
+        all.into_iter()
+            .for_each(|(extent, cell)| extents.insert(extent, cell));
         extents
     }
 }
--- a/crates/state/src/extents/tests.rs
+++ b/crates/state/src/extents/tests.rs
@@ -27,8 +27,10 @@
         assert_eq!(e.len(), plain.len() as u64);
         let runs: Vec<_> = e.iter().collect();
         assert_eq!(runs.len(), e.runs());
-        let all: Vec<(u64, u32)> =
-            runs.iter().flat_map(|(from, n, cell)| (0..*n).map(move |i| (from + i, *cell))).collect();
+        let all: Vec<(u64, u32)> = runs
+            .iter()
+            .flat_map(|(from, n, cell)| (0..*n).map(move |i| (from + i, *cell)))
+            .collect();
         assert!(all.into_iter().eq(plain.into_iter()), "seed {seed}");
         assert!(e.chunks.values().all(|c| !c.is_empty() && c.len() <= MOST));
     }
@@ -37,8 +39,15 @@
 #[test]
 fn descending_and_alternating_extents_keep_to_few_chunks() {
     let down: Extents = (0..100_000u64).rev().map(|n| (n, 1)).collect();
-    assert_eq!((down.len(), down.runs(), down.chunks.len()), (100_000, 1, 1));
+    assert_eq!(
+        (down.len(), down.runs(), down.chunks.len()),
+        (100_000, 1, 1)
+    );
     let by_turns: Extents = (0..100_000u64).map(|n| (n, (n % 2) as u32)).collect();
     assert_eq!(by_turns.runs(), 100_000);
-    assert!(by_turns.chunks.len() < 2 * 100_000 / (MOST / 2), "{} chunks", by_turns.chunks.len());
+    assert!(
+        by_turns.chunks.len() < 2 * 100_000 / (MOST / 2),
+        "{} chunks",
+        by_turns.chunks.len()
+    );
 }
--- a/crates/state/src/keeper.rs
+++ b/crates/state/src/keeper.rs
@@ -29,7 +29,10 @@
 
 impl Keeper {
     /// Opens the store and starts its thread; what was in it is answered.
-    pub fn open(path: &Path, most_trail: u64) -> Result<(Keeper, Kept, BTreeMap<u64, Extents>), StoreFault> {
+    pub fn open(
+        path: &Path,
+        most_trail: u64,
+    ) -> Result<(Keeper, Kept, BTreeMap<u64, Extents>), StoreFault> {
         let (store, kept, places) = Store::open(path, most_trail)?;
         Ok((Keeper::start(store), kept, places))
     }
@@ -58,18 +61,26 @@
                 commit(&mut store, jobs);
             }
         };
-        std::thread::Builder::new().name("keeper".into()).spawn(run).expect("a thread can be started");
+        std::thread::Builder::new()
+            .name("keeper".into())
+            .spawn(run)
+            .expect("a thread can be started");
         Keeper(to)
     }
 
     /// `done` is called on the keeper's thread, and must not wait.
-    pub fn keep(&self, keeps: Vec<Keep>, done: impl FnOnce(Result<(), StoreFault>) + Send + 'static) {
+    pub fn keep(
+        &self,
+        keeps: Vec<Keep>,
+        done: impl FnOnce(Result<(), StoreFault>) + Send + 'static,
+    ) {
         let _ = self.0.send(Job::Keep(keeps, Box::new(done)));
     }
 
     /// Everything as it is on the disk, after all that was handed over before.
     pub fn read(
-        &self, seen: impl FnOnce(Result<(Kept, BTreeMap<u64, Extents>), StoreFault>) + Send + 'static,
+        &self,
+        seen: impl FnOnce(Result<(Kept, BTreeMap<u64, Extents>), StoreFault>) + Send + 'static,
     ) {
         let _ = self.0.send(Job::Read(Box::new(seen)));
     }
@@ -85,7 +96,8 @@
         Ok(()) => jobs.into_iter().for_each(|(_, done)| done(Ok(()))),
         Err(fault) if alone => {
             warn!("the store: {fault}");
-            jobs.into_iter().for_each(|(_, done)| done(Err(fault.clone())));
+            jobs.into_iter()
+                .for_each(|(_, done)| done(Err(fault.clone())));
         }
         Err(_) => {
             for (keeps, done) in jobs {
--- a/crates/state/src/serve.rs
+++ b/crates/state/src/serve.rs
@@ -14,13 +14,17 @@
 use crate::keeper::Keeper;
 use crate::snapshot;
 use crate::store::{Keep as Record, Kept, StoreFault};
-use grebecleat_membership::drains::{Action as Wanted, Ask, Event as Seen, Facts, Membership, Sight};
+use grebecleat_membership::drains::{
+    Action as Wanted, Ask, Event as Seen, Facts, Membership, Sight,
+};
 use grebecleat_membership::life::{Answers, Word};
 use grebecleat_plans::admission::Reason;
 use grebecleat_plans::changes::{Change, Entry, Ledger, Name, Version};
 use grebecleat_plans::feed::HostNo;
 use grebecleat_plans::moves::{self, Size};
-use grebecleat_plans::source::{for_host, is_for, Action, Call, Era, Event, Keep, Proposal, Source, Start};
+use grebecleat_plans::source::{
+    for_host, is_for, Action, Call, Era, Event, Keep, Proposal, Source, Start,
+};
 use grebecleat_settings::{Settings, StateSpec};
 use grebecleat_wire::delay::Delay;
 use grebecleat_wire::pb::{self, frame::Body, look::What};
@@ -72,12 +76,29 @@
 }
 
 enum Heard {
-    Up { conn: u64, them: Box<pb::Hello>, line: Line },
-    Frame { conn: u64, body: Box<Body> },
-    Gone { conn: u64 },
-    Kept { upto: u64 },
-    NotKept { number: u64, why: String },
-    Shown { conn: u64, shown: Box<pb::Shown> },
+    Up {
+        conn: u64,
+        them: Box<pb::Hello>,
+        line: Line,
+    },
+    Frame {
+        conn: u64,
+        body: Box<Body>,
+    },
+    Gone {
+        conn: u64,
+    },
+    Kept {
+        upto: u64,
+    },
+    NotKept {
+        number: u64,
+        why: String,
+    },
+    Shown {
+        conn: u64,
+        shown: Box<pb::Shown>,
+    },
     Stop,
 }
 
@@ -115,26 +136,52 @@
 fn start(kept: Kept, settings: &Settings, spec: &StateSpec) -> Start {
     let ledger = Ledger::new(facts(settings), spec.most_trail as usize);
     let ledger = ledger.restored(kept.version, kept.state, kept.trail);
-    let hosts: Vec<Name> = settings.hosts.iter().map(|h| Name::from(h.name.as_str())).collect();
-    let number = |name: &Name| hosts.iter().position(|h| h == name).map(|at| HostNo(at as u32));
-    let mut has: BTreeMap<HostNo, Version> =
-        kept.hosts.iter().filter_map(|(name, has)| Some((number(name)?, *has))).collect();
+    let hosts: Vec<Name> = settings
+        .hosts
+        .iter()
+        .map(|h| Name::from(h.name.as_str()))
+        .collect();
+    let number = |name: &Name| {
+        hosts
+            .iter()
+            .position(|h| h == name)
+            .map(|at| HostNo(at as u32))
+    };
+    let mut has: BTreeMap<HostNo, Version> = kept
+        .hosts
+        .iter()
+        .filter_map(|(name, has)| Some((number(name)?, *has)))
+        .collect();
     if kept.restored {
         (0..hosts.len() as u32).for_each(|h| _ = has.entry(HostNo(h)).or_insert(Version(0)));
     }
     let (settled, era, eras, prevailed) = (kept.settled, kept.era, kept.eras, kept.prevailed);
-    Start { ledger, settled, has, hosts, era, eras, prevailed }
+    Start {
+        ledger,
+        settled,
+        has,
+        hosts,
+        era,
+        eras,
+        prevailed,
+    }
 }
 
 /// A number that names a history; nobody else's is the same.
 pub fn new_era() -> Era {
-    let now = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     Era((now.as_nanos() as u64) ^ u64::from(std::process::id()) << 48 | 1)
 }
 
 /// Serves until it is told to stop. `started` gets the address it listens on.
 pub fn serve(o: Options, started: impl FnOnce(SocketAddr, Handle)) -> Result<(), String> {
-    let spec = o.settings.state.clone().ok_or("the settings name no state_service()")?;
+    let spec = o
+        .settings
+        .state
+        .clone()
+        .ok_or("the settings name no state_service()")?;
     let told = |e: StoreFault| format!("store {}: {e}", o.store.display());
     let (keeper, mut kept, _) = Keeper::open(&o.store, spec.most_trail).map_err(told)?;
     if kept.era == Era(0) {
@@ -145,11 +192,24 @@
     }
     let (era, fresh) = (kept.era, kept.version == Version(0));
     let now = clock::now();
-    let source = Source::new(start(kept, &o.settings, &spec), spec.lease, spec.margin, spec.spread, now);
-    let longest = o.settings.streams.iter().map(|s| s.expiry).max().unwrap_or_default();
+    let source = Source::new(
+        start(kept, &o.settings, &spec),
+        spec.lease,
+        spec.margin,
+        spec.spread,
+        now,
+    );
+    let longest = o
+        .settings
+        .streams
+        .iter()
+        .map(|s| s.expiry)
+        .max()
+        .unwrap_or_default();
     let hosts = (0..o.settings.hosts.len() as u32).map(HostNo);
     let members = Membership::new(now, o.settings.rules.cold.warm_within, longest, hosts);
-    let listener = TcpListener::bind(o.listen).map_err(|e| format!("cannot listen on {}: {e}", o.listen))?;
+    let listener =
+        TcpListener::bind(o.listen).map_err(|e| format!("cannot listen on {}: {e}", o.listen))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     let (to, heard) = mpsc::channel();
     let mut owner = Owner {
@@ -213,18 +273,35 @@
 }
 
 fn wall() -> Duration {
-    SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default()
+    SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default()
 }
 
 impl Owner<'_> {
     /// The first entry is what the settings declare.
     fn declare(&mut self) -> Result<(), String> {
-        let (who, why) = ("settings".to_string(), format!("declared in {}", self.o.file));
+        let (who, why) = (
+            "settings".to_string(),
+            format!("declared in {}", self.o.file),
+        );
         let (changes, at, force, looked_at) = (declared(&self.o.settings), None, true, Version(0));
-        let proposal = Proposal { who, why, looked_at, changes, at, force, only_look: false };
+        let proposal = Proposal {
+            who,
+            why,
+            looked_at,
+            changes,
+            at,
+            force,
+            only_look: false,
+        };
         let call = Call(0);
         let mut refused = None;
-        for action in self.source.step(clock::now(), wall(), vec![Event::Proposed { call, proposal }]) {
+        for action in self.source.step(
+            clock::now(),
+            wall(),
+            vec![Event::Proposed { call, proposal }],
+        ) {
             match action {
                 Action::Refused { why, .. } => refused = Some(why),
                 other => {
@@ -238,9 +315,16 @@
     fn run(&mut self, heard: &Receiver<Heard>) {
         loop {
             let now = clock::now();
-            let wake = [self.source.wake_at(), self.members.wake_at()].into_iter().flatten().min();
+            let wake = [self.source.wake_at(), self.members.wake_at()]
+                .into_iter()
+                .flatten()
+                .min();
             let wake = wake.map_or(IDLE, |at| at.saturating_sub(now).min(IDLE));
-            let wake = if self.attending.is_empty() { wake } else { wake.min(SPACING) };
+            let wake = if self.attending.is_empty() {
+                wake
+            } else {
+                wake.min(SPACING)
+            };
             let first = match heard.recv_timeout(wake) {
                 Ok(first) => Some(first),
                 Err(RecvTimeoutError::Timeout) => None,
@@ -267,23 +351,38 @@
         for _ in 0..ROUNDS {
             let kept = self.source.kept();
             if kept > self.shown {
-                let anew = self.source.ledger().since(self.shown).is_none() || self.shown == Version(0);
+                let anew =
+                    self.source.ledger().since(self.shown).is_none() || self.shown == Version(0);
                 let changes: Vec<(Version, Change)> = match self.source.ledger().since(self.shown) {
                     Some(entries) if !anew => {
                         let kept = entries.filter(|e| e.version <= kept);
-                        kept.flat_map(|e| e.changes.iter().map(|c| (e.version, c.clone()))).collect()
+                        kept.flat_map(|e| e.changes.iter().map(|c| (e.version, c.clone())))
+                            .collect()
                     }
                     _ => {
-                        let at = |c: &Change| self.source.ledger().touched(&c.subject()).unwrap_or(kept);
-                        self.source.ledger().state_at(kept).map(|c| (at(&c), c)).collect()
+                        let at =
+                            |c: &Change| self.source.ledger().touched(&c.subject()).unwrap_or(kept);
+                        self.source
+                            .ledger()
+                            .state_at(kept)
+                            .map(|c| (at(&c), c))
+                            .collect()
                     }
                 };
                 seen.push(Seen::Kept { version: kept });
-                seen.extend(changes.into_iter().filter_map(|(version, c)| member_event(version, c)));
+                seen.extend(
+                    changes
+                        .into_iter()
+                        .filter_map(|(version, c)| member_event(version, c)),
+                );
                 self.shown = kept;
             }
-            let follows: Vec<(HostNo, Option<Version>)> =
-                self.source.follows().enumerate().map(|(i, (_, has))| (HostNo(i as u32), has)).collect();
+            let follows: Vec<(HostNo, Option<Version>)> = self
+                .source
+                .follows()
+                .enumerate()
+                .map(|(i, (_, has))| (HostNo(i as u32), has))
+                .collect();
             for (host, version) in follows {
                 if self.sure.insert(host, version) != Some(version) {
                     seen.push(Seen::Sure { host, version });
@@ -294,13 +393,23 @@
                 return;
             }
             let mut events = Vec::new();
-            for action in self.members.step(clock::now(), wall(), std::mem::take(&mut seen)) {
+            for action in self
+                .members
+                .step(clock::now(), wall(), std::mem::take(&mut seen))
+            {
                 match action {
-                    Wanted::Propose { ask, node, to, looked_at, why } => {
+                    Wanted::Propose {
+                        ask,
+                        node,
+                        to,
+                        looked_at,
+                        why,
+                    } => {
                         self.next += 1;
                         let call = Call(self.next);
                         self.asks.insert(call, ask);
-                        let (who, changes) = ("drains".to_string(), vec![Change::Drain { node, to }]);
+                        let (who, changes) =
+                            ("drains".to_string(), vec![Change::Drain { node, to }]);
                         let proposal = Proposal {
                             who,
                             why,
@@ -340,15 +449,27 @@
             hosts: &hosts,
         };
         for (conn, attending) in &mut self.attending {
-            let Some(peer) = self.peers.get(conn) else { continue };
-            attending.tell(&present, Instant::now(), |a| peer.line.put(Body::Attended(a)));
+            let Some(peer) = self.peers.get(conn) else {
+                continue;
+            };
+            attending.tell(&present, Instant::now(), |a| {
+                peer.line.put(Body::Attended(a))
+            });
         }
     }
 
     fn host_status(&self) -> Vec<pb::HostStatus> {
-        let waits: BTreeMap<Name, bool> = self.source.waits_for(self.source.kept()).into_iter().collect();
-        let up: BTreeSet<&str> =
-            self.peers.values().filter(|p| p.host.is_some()).map(|p| p.name.as_str()).collect();
+        let waits: BTreeMap<Name, bool> = self
+            .source
+            .waits_for(self.source.kept())
+            .into_iter()
+            .collect();
+        let up: BTreeSet<&str> = self
+            .peers
+            .values()
+            .filter(|p| p.host.is_some())
+            .map(|p| p.name.as_str())
+            .collect();
         let hosts = self.source.follows().map(|(name, has)| pb::HostStatus {
             name: name.to_string(),
             heard_of: has.is_some(),
@@ -369,7 +490,12 @@
     fn hear(&mut self, heard: Heard, events: &mut Vec<Event>, seen: &mut Vec<Seen>) {
         match heard {
             Heard::Up { conn, them, line } => {
-                let at = self.o.settings.hosts.iter().position(|h| h.name == them.name);
+                let at = self
+                    .o
+                    .settings
+                    .hosts
+                    .iter()
+                    .position(|h| h.name == them.name);
                 let host = match (them.role(), at) {
                     (pb::Role::Operator, _) => None,
                     (pb::Role::Host, Some(at)) => Some(HostNo(at as u32)),
@@ -381,17 +507,43 @@
                 if let Some(host) = host {
                     // A host that dials anew is heard on its new way alone.
                     let old = |p: &&Peer| p.host == Some(host);
-                    self.peers.values().filter(old).for_each(|p| p.line.hang_up());
-                    self.peers.values_mut().filter(|p| p.host == Some(host)).for_each(|p| p.stale = true);
-                    seen.push(Seen::Up { host, process: them.incarnation });
+                    self.peers
+                        .values()
+                        .filter(old)
+                        .for_each(|p| p.line.hang_up());
+                    self.peers
+                        .values_mut()
+                        .filter(|p| p.host == Some(host))
+                        .for_each(|p| p.stale = true);
+                    seen.push(Seen::Up {
+                        host,
+                        process: them.incarnation,
+                    });
                 }
-                self.peers.insert(conn, Peer { line, name: them.name, host, stale: false });
+                self.peers.insert(
+                    conn,
+                    Peer {
+                        line,
+                        name: them.name,
+                        host,
+                        stale: false,
+                    },
+                );
             }
             Heard::Gone { conn } => {
                 self.attending.remove(&conn);
-                let lost = self.peers.remove(&conn).filter(|p| !p.stale).and_then(|p| p.host);
+                let lost = self
+                    .peers
+                    .remove(&conn)
+                    .filter(|p| !p.stale)
+                    .and_then(|p| p.host);
                 seen.extend(lost.map(|host| Seen::Lost { host }));
-                let gone: Vec<Call> = self.calls.iter().filter(|c| c.1 .0 == conn).map(|c| *c.0).collect();
+                let gone: Vec<Call> = self
+                    .calls
+                    .iter()
+                    .filter(|c| c.1 .0 == conn)
+                    .map(|c| *c.0)
+                    .collect();
                 for call in gone {
                     self.calls.remove(&call);
                     events.push(Event::Hung { call });
@@ -410,7 +562,10 @@
                 events.push(Event::NotKept { number, why });
             }
             Heard::Shown { conn, shown } => {
-                self.peers.get(&conn).into_iter().for_each(|p| p.line.put(Body::Shown(*shown.clone())));
+                self.peers
+                    .get(&conn)
+                    .into_iter()
+                    .for_each(|p| p.line.put(Body::Shown(*shown.clone())));
             }
             Heard::Stop => {
                 info!("ending: {} records wait to be kept", self.unkept.len());
@@ -420,7 +575,9 @@
     }
 
     fn frame(&mut self, conn: u64, body: Body, events: &mut Vec<Event>, seen: &mut Vec<Seen>) {
-        let Some(peer) = self.peers.get(&conn).filter(|p| !p.stale) else { return };
+        let Some(peer) = self.peers.get(&conn).filter(|p| !p.stale) else {
+            return;
+        };
         match (body, peer.host) {
             (Body::Sighted(s), Some(host)) => {
                 let each = s.nodes.into_iter().map(|n| (n.node, sight_of(&n)));
@@ -430,16 +587,30 @@
             (Body::Follow(f), Some(host)) => {
                 let call = self.call(conn, f.call);
                 let (has, settled, sure) = (Version(f.has), Version(f.settled), Version(f.sure));
-                events.push(Event::Asked { call, host, era: Era(f.era), has, settled, sure });
+                events.push(Event::Asked {
+                    call,
+                    host,
+                    era: Era(f.era),
+                    has,
+                    settled,
+                    sure,
+                });
             }
             (Body::Confirm(c), Some(host)) => {
-                events.push(Event::Confirmed { host, era: Era(c.era), has: Version(c.has) });
+                events.push(Event::Confirmed {
+                    host,
+                    era: Era(c.era),
+                    has: Version(c.has),
+                });
             }
             (Body::Propose(p), None) => {
                 let call = self.call(conn, p.call);
                 match changes_of(p.changes) {
                     Err(why) => {
-                        self.carry_out(vec![Action::Refused { call, why: why.to_string() }]);
+                        self.carry_out(vec![Action::Refused {
+                            call,
+                            why: why.to_string(),
+                        }]);
                     }
                     Ok(changes) => {
                         let looked_at = p.looked_at.map_or(self.source.ledger().version(), Version);
@@ -473,7 +644,11 @@
                 match at {
                     Some(at) => {
                         let host = HostNo(at as u32);
-                        events.push(Event::Gone { call, host, who: g.who });
+                        events.push(Event::Gone {
+                            call,
+                            host,
+                            who: g.who,
+                        });
                         seen.push(Seen::Gone { host });
                     }
                     None => {
@@ -484,7 +659,11 @@
             }
             (Body::Prevail(p), None) => {
                 let call = self.call(conn, p.call);
-                events.push(Event::Prevail { call, who: p.who, why: p.why });
+                events.push(Event::Prevail {
+                    call,
+                    who: p.who,
+                    why: p.why,
+                });
             }
             (Body::Look(l), None) => self.look(conn, l),
             (Body::GoingAway(_), _) => {}
@@ -508,19 +687,34 @@
         };
         match l.what() {
             What::State => {
-                let state = self.source.ledger().state_at(version).map(|c| change_pb(&c));
+                let state = self
+                    .source
+                    .ledger()
+                    .state_at(version)
+                    .map(|c| change_pb(&c));
                 in_parts(state, |state, more| {
-                    line.put(Body::Shown(pb::Shown { state, more, ..head.clone() }));
+                    line.put(Body::Shown(pb::Shown {
+                        state,
+                        more,
+                        ..head.clone()
+                    }));
                 });
             }
             What::Trail => {
-                let all =
-                    self.source.ledger().trail().filter(|e| e.version <= version && e.version.0 > l.after);
+                let all = self
+                    .source
+                    .ledger()
+                    .trail()
+                    .filter(|e| e.version <= version && e.version.0 > l.after);
                 let n = all.clone().count();
                 let most = if l.most == 0 { n } else { l.most as usize };
                 let entries = all.skip(n.saturating_sub(most)).map(entry_pb);
                 in_parts(entries, |entries, more| {
-                    line.put(Body::Shown(pb::Shown { entries, more, ..head.clone() }));
+                    line.put(Body::Shown(pb::Shown {
+                        entries,
+                        more,
+                        ..head.clone()
+                    }));
                 });
             }
             What::Status | What::Unknown => {
@@ -528,19 +722,32 @@
                 let (short, out_of_reach) = (missing.short, missing.out_of_reach);
                 let behind = self.source.behind().map(|v| v.0);
                 let hosts = self.host_status();
-                line.put(Body::Shown(pb::Shown { hosts, short, out_of_reach, behind, ..head }));
+                line.put(Body::Shown(pb::Shown {
+                    hosts,
+                    short,
+                    out_of_reach,
+                    behind,
+                    ..head
+                }));
             }
             What::Proposal => {
                 // It may take seconds, and hosts must not wait for it.
                 let site = self.source.admission().site(self.source.ledger());
                 let mut empty: BTreeSet<u32> = l.empty.into_iter().collect();
                 empty.extend(self.source.admission().drains());
-                let sizes: BTreeMap<u64, u64> =
-                    self.source.ledger().volumes().map(|(id, v)| (id, v.blocks * 512)).collect();
+                let sizes: BTreeMap<u64, u64> = self
+                    .source
+                    .ledger()
+                    .volumes()
+                    .map(|(id, v)| (id, v.blocks * 512))
+                    .collect();
                 let bytes = self.extent_bytes();
                 let to = self.to.clone();
                 std::thread::spawn(move || {
-                    let size = |id: u64| Size { extents: sizes[&id].div_ceil(bytes).max(1), bytes };
+                    let size = |id: u64| Size {
+                        extents: sizes[&id].div_ceil(bytes).max(1),
+                        bytes,
+                    };
                     let p = moves::propose(&site, &empty, size).unwrap_or_default();
                     let each = |m: &moves::Move| pb::MoveExtents {
                         volume: m.volume,
@@ -549,16 +756,26 @@
                         extents: m.extents,
                         bytes: m.bytes,
                     };
-                    let shown =
-                        pb::Shown { moves: p.moves.iter().map(each).collect(), short: p.short, ..head };
-                    let _ = to.send(Heard::Shown { conn, shown: Box::new(shown) });
+                    let shown = pb::Shown {
+                        moves: p.moves.iter().map(each).collect(),
+                        short: p.short,
+                        ..head
+                    };
+                    let _ = to.send(Heard::Shown {
+                        conn,
+                        shown: Box::new(shown),
+                    });
                 });
             }
         }
     }
 
     fn extent_bytes(&self) -> u64 {
-        self.o.settings.portals.first().map_or(EXTENT, |p| u64::from(p.extent_blocks) * 512)
+        self.o
+            .settings
+            .portals
+            .first()
+            .map_or(EXTENT, |p| u64::from(p.extent_blocks) * 512)
     }
 
     /// Does what the ledger's decisions want; what came of the members' own proposals is answered.
@@ -568,11 +785,25 @@
         for action in actions {
             match action {
                 Action::Keep { number, what } => {
-                    numbers = (if records.is_empty() { number } else { numbers.0 }, number);
+                    numbers = (
+                        if records.is_empty() {
+                            number
+                        } else {
+                            numbers.0
+                        },
+                        number,
+                    );
                     self.unkept.insert(number);
                     records.push(self.record(what));
                 }
-                Action::Grant { call, from, to, whole, settled, lease } => {
+                Action::Grant {
+                    call,
+                    from,
+                    to,
+                    whole,
+                    settled,
+                    lease,
+                } => {
                     self.grant(call, (from, to), whole, settled, lease);
                 }
                 Action::Behind { call, has } => {
@@ -583,11 +814,23 @@
                     answered.extend(self.asks.remove(&call).map(|ask| Seen::Landed { ask }));
                 }
                 Action::Refused { call, why } if self.asks.contains_key(&call) => {
-                    answered.extend(self.asks.remove(&call).map(|ask| Seen::Refused { ask, why }));
+                    answered.extend(
+                        self.asks
+                            .remove(&call)
+                            .map(|ask| Seen::Refused { ask, why }),
+                    );
                 }
-                Action::Landed { call, version, opinion } => {
+                Action::Landed {
+                    call,
+                    version,
+                    opinion,
+                } => {
                     let waits = self.source.waits_for(version);
-                    let waits_for = waits.iter().filter(|w| w.1).map(|w| w.0.to_string()).collect();
+                    let waits_for = waits
+                        .iter()
+                        .filter(|w| w.1)
+                        .map(|w| w.0.to_string())
+                        .collect();
                     let warnings = opinion.warnings.iter().map(|w| w.to_string()).collect();
                     let (unseen, blind) = (opinion.unseen as u32, opinion.blind);
                     self.say(call, |call| {
@@ -610,7 +853,14 @@
                     let (against, warnings) = (words(&opinion.against), words(&opinion.warnings));
                     let (unseen, blind) = (opinion.unseen as u32, opinion.blind);
                     self.say(call, |call| {
-                        Body::Would(pb::Would { call, version, against, warnings, unseen, blind })
+                        Body::Would(pb::Would {
+                            call,
+                            version,
+                            against,
+                            warnings,
+                            unseen,
+                            blind,
+                        })
                     });
                 }
                 Action::Note { text } => info!("{text}"),
@@ -622,7 +872,10 @@
                 let _ = to.send(match done {
                     Ok(()) => Heard::Kept { upto: last },
                     // All of them are one commit: with the first nothing is kept.
-                    Err(why) => Heard::NotKept { number: first, why: why.to_string() },
+                    Err(why) => Heard::NotKept {
+                        number: first,
+                        why: why.to_string(),
+                    },
                 });
             });
         }
@@ -634,24 +887,36 @@
             Keep::Entry(e) => Record::Entry(e),
             Keep::Prevails(e) => Record::Prevails(e),
             Keep::Settled(v) => Record::Settled(v),
-            Keep::Has(host, has) => {
-                Record::Has(self.o.settings.hosts[host.0 as usize].name.as_str().into(), has)
-            }
+            Keep::Has(host, has) => Record::Has(
+                self.o.settings.hosts[host.0 as usize].name.as_str().into(),
+                has,
+            ),
         }
     }
 
     fn say(&mut self, call: Call, body: impl FnOnce(u64) -> Body) {
-        let Some((conn, theirs)) = self.calls.remove(&call) else { return };
+        let Some((conn, theirs)) = self.calls.remove(&call) else {
+            return;
+        };
         if let Some(peer) = self.peers.get(&conn) {
             peer.line.put(body(theirs));
         }
     }
 
     fn grant(
-        &mut self, call: Call, (from, to): (Version, Version), whole: bool, settled: Version, lease: Duration,
+        &mut self,
+        call: Call,
+        (from, to): (Version, Version),
+        whole: bool,
+        settled: Version,
+        lease: Duration,
     ) {
-        let Some((conn, theirs)) = self.calls.remove(&call) else { return };
-        let Some(peer) = self.peers.get(&conn) else { return };
+        let Some((conn, theirs)) = self.calls.remove(&call) else {
+            return;
+        };
+        let Some(peer) = self.peers.get(&conn) else {
+            return;
+        };
         let me = Name::from(peer.name.as_str());
         let ledger = self.source.ledger();
         let head = pb::Feed {
@@ -665,15 +930,30 @@
             ..pb::Feed::default()
         };
         if whole {
-            let state = ledger.state_at(from).filter(|c| is_for(c, &me)).map(|c| change_pb(&c));
+            let state = ledger
+                .state_at(from)
+                .filter(|c| is_for(c, &me))
+                .map(|c| change_pb(&c));
             in_parts(state, |state, _| {
-                peer.line.put(Body::Feed(pb::Feed { state, more: true, ..head.clone() }));
+                peer.line.put(Body::Feed(pb::Feed {
+                    state,
+                    more: true,
+                    ..head.clone()
+                }));
             });
         }
-        let entries = ledger.since(from).into_iter().flatten().filter(|e| e.version <= to);
+        let entries = ledger
+            .since(from)
+            .into_iter()
+            .flatten()
+            .filter(|e| e.version <= to);
         let entries = entries.map(|e: &Entry| entry_pb(&for_host(ledger, settled, e, &me)));
         in_parts(entries, |entries, more| {
-            peer.line.put(Body::Feed(pb::Feed { entries, more, ..head.clone() }));
+            peer.line.put(Body::Feed(pb::Feed {
+                entries,
+                more,
+                ..head.clone()
+            }));
         });
     }
 
@@ -688,8 +968,8 @@
         let path = self.o.store.with_extension("snapshot");
         self.keeper.read(move |all| {
             std::thread::spawn(move || {
-                let written =
-                    all.and_then(|all| snapshot::write(&path, &all, wall()).map(|()| all.0.version));
+                let written = all
+                    .and_then(|all| snapshot::write(&path, &all, wall()).map(|()| all.0.version));
                 match written {
                     Ok(version) => info!(version = version.0, "snapshot in {}", path.display()),
                     Err(why) => error!("no snapshot: {why}"),
@@ -703,7 +983,11 @@
 fn member_event(version: Version, change: Change) -> Option<Seen> {
     match change {
         Change::Node { id, to } => {
-            let to = to.map(|n| Facts { name: n.name, zone: n.zone, cell: n.cell });
+            let to = to.map(|n| Facts {
+                name: n.name,
+                zone: n.zone,
+                cell: n.cell,
+            });
             Some(Seen::Node { node: id, to })
         }
         Change::Drain { node, to } => Some(Seen::Drain { node, to, version }),
@@ -737,7 +1021,10 @@
 }
 
 /// Gives records out in parts of some bytes; there is always at least one, and the last has no more after it.
-pub(crate) fn in_parts<T: Message>(all: impl Iterator<Item = T>, mut give: impl FnMut(Vec<T>, bool)) {
+pub(crate) fn in_parts<T: Message>(
+    all: impl Iterator<Item = T>,
+    mut give: impl FnMut(Vec<T>, bool),
+) {
     let (mut part, mut bytes) = (Vec::new(), 0);
     for record in all {
         let size = record.encoded_len();
@@ -752,7 +1039,11 @@
 }
 
 fn accept(listener: TcpListener, tracer: &Tracer, to: Sender<Heard>) {
-    let (tracer, conns, open) = (tracer.clone(), Arc::new(AtomicU64::new(1)), Arc::new(AtomicUsize::new(0)));
+    let (tracer, conns, open) = (
+        tracer.clone(),
+        Arc::new(AtomicU64::new(1)),
+        Arc::new(AtomicUsize::new(0)),
+    );
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let stream = match stream {
@@ -781,7 +1072,12 @@
     });
 }
 
-fn converse(mut stream: TcpStream, conn: u64, tracer: &Tracer, to: &Sender<Heard>) -> io::Result<()> {
+fn converse(
+    mut stream: TcpStream,
+    conn: u64,
+    tracer: &Tracer,
+    to: &Sender<Heard>,
+) -> io::Result<()> {
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     stream.set_write_timeout(Some(PATIENCE))?;
@@ -794,14 +1090,23 @@
     };
     let mut bytes = Vec::new();
     let sent_us = clock::micros(clock::now());
-    frame::write(&pb::Frame { sent_us, body: Some(Body::Hello(me)) }, &mut bytes);
+    frame::write(
+        &pb::Frame {
+            sent_us,
+            body: Some(Body::Hello(me)),
+        },
+        &mut bytes,
+    );
     stream.write_all(&bytes)?;
     let mut reader = frame::Reader::new(MOST_FRAME);
     let own = Arc::new(stream.try_clone()?);
     let (mut delay, mut name) = (Delay::default(), None);
     loop {
         let (mut read, now) = (Vec::new(), clock::now());
-        while let Some(f) = reader.next::<pb::Frame>().map_err(|e| io::Error::other(e.to_string()))? {
+        while let Some(f) = reader
+            .next::<pb::Frame>()
+            .map_err(|e| io::Error::other(e.to_string()))?
+        {
             read.push(f);
         }
         tracer.read(conn, now, &read);
@@ -815,11 +1120,25 @@
                     let (frames, from) = mpsc::sync_channel(QUEUE);
                     let (writer, tracer) = (own.clone(), tracer.clone());
                     std::thread::spawn(move || write_on(&writer, conn, &tracer, &from));
-                    let line = Line { frames, stream: own.clone() };
-                    let _ = to.send(Heard::Up { conn, them: Box::new(them), line });
+                    let line = Line {
+                        frames,
+                        stream: own.clone(),
+                    };
+                    let _ = to.send(Heard::Up {
+                        conn,
+                        them: Box::new(them),
+                        line,
+                    });
+                }
+                (Some(body), Some(_)) => drop(to.send(Heard::Frame {
+                    conn,
+                    body: Box::new(body),
+                })),
+                _ => {
+                    return Err(io::Error::other(
+                        "no proper greeting, or a frame without a body",
+                    ))
                 }
-                (Some(body), Some(_)) => drop(to.send(Heard::Frame { conn, body: Box::new(body) })),
-                _ => return Err(io::Error::other("no proper greeting, or a frame without a body")),
             }
         }
         match reader.fill(&mut stream) {
@@ -842,7 +1161,12 @@
         let now = clock::now();
         let sent_us = clock::micros(now);
         let bodies = std::iter::once(first).chain(from.try_iter().take(15));
-        let frames: Vec<_> = bodies.map(|b| pb::Frame { sent_us, body: Some(b) }).collect();
+        let frames: Vec<_> = bodies
+            .map(|b| pb::Frame {
+                sent_us,
+                body: Some(b),
+            })
+            .collect();
         tracer.written(conn, now, &frames);
         bytes.clear();
         frames.iter().for_each(|f| _ = frame::write(f, &mut bytes));
@@ -856,6 +1180,8 @@
 
 /// What a store's file and its settings disagree in, for whoever looks at it without a service.
 pub fn differences(settings: &Settings, state: impl IntoIterator<Item = Change>) -> Vec<Change> {
-    let ledger = |state: Vec<Change>| Ledger::new(facts(settings), 1).restored(Version(1), state, Vec::new());
+    let ledger = |state: Vec<Change>| {
+        Ledger::new(facts(settings), 1).restored(Version(1), state, Vec::new())
+    };
     ledger(declared(settings)).towards(&ledger(state.into_iter().collect()))
 }
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -29,11 +29,15 @@
 pub type All = (Kept, BTreeMap<u64, Extents>);
 
 fn disk(path: &Path, e: &io::Error) -> StoreFault {
-    StoreFault::Disk { what: format!("{}: {e}", path.display()) }
+    StoreFault::Disk {
+        what: format!("{}: {e}", path.display()),
+    }
 }
 
 fn damaged(path: &Path, what: impl std::fmt::Display) -> StoreFault {
-    StoreFault::Damaged { what: format!("{}: {what}", path.display()) }
+    StoreFault::Damaged {
+        what: format!("{}: {what}", path.display()),
+    }
 }
 
 /// Puts parts into frames, and counts and sums them.
@@ -59,7 +63,9 @@
 pub fn write(path: &Path, (kept, places): &All, at: Duration) -> Result<(), StoreFault> {
     let beside = path.with_extension("writing");
     let written = write_file(&beside, kept, places, at);
-    let moved = written.and_then(|()| std::fs::rename(&beside, path)).and_then(|()| sync_folder(path));
+    let moved = written
+        .and_then(|()| std::fs::rename(&beside, path))
+        .and_then(|()| sync_folder(path));
     moved.map_err(|e| {
         let _ = std::fs::remove_file(&beside);
         disk(path, &e)
@@ -67,28 +73,58 @@
 }
 
 fn sync_folder(path: &Path) -> io::Result<()> {
-    let folder = path.parent().filter(|p| !p.as_os_str().is_empty()).unwrap_or(Path::new("."));
+    let folder = path
+        .parent()
+        .filter(|p| !p.as_os_str().is_empty())
+        .unwrap_or(Path::new("."));
     File::open(folder)?.sync_all()
 }
 
-fn write_file(path: &Path, kept: &Kept, places: &BTreeMap<u64, Extents>, at: Duration) -> io::Result<()> {
-    let mut w = Writer { to: BufWriter::new(File::create(path)?), parts: 0, crc: 0, bytes: Vec::new() };
+fn write_file(
+    path: &Path,
+    kept: &Kept,
+    places: &BTreeMap<u64, Extents>,
+    at: Duration,
+) -> io::Result<()> {
+    let mut w = Writer {
+        to: BufWriter::new(File::create(path)?),
+        parts: 0,
+        crc: 0,
+        bytes: Vec::new(),
+    };
     w.put(Part::Head(pb::SnapshotHead {
         format: FORMAT,
         version: kept.version.0,
         settled: kept.settled.0,
         prevailed: kept.prevailed.0,
         era: kept.era.0,
-        eras: kept.eras.iter().map(|(era, upto)| (era.0, upto.0)).collect(),
-        hosts: kept.hosts.iter().map(|(name, has)| (name.to_string(), has.0)).collect(),
+        eras: kept
+            .eras
+            .iter()
+            .map(|(era, upto)| (era.0, upto.0))
+            .collect(),
+        hosts: kept
+            .hosts
+            .iter()
+            .map(|(name, has)| (name.to_string(), has.0))
+            .collect(),
         ceiling: kept.ceiling,
         at_us: grebecleat_wire::clock::micros(at),
     }))?;
-    kept.state.iter().try_for_each(|c| w.put(Part::State(change_pb(c))))?;
-    kept.trail.iter().try_for_each(|e| w.put(Part::Entry(entry_pb(e))))?;
+    kept.state
+        .iter()
+        .try_for_each(|c| w.put(Part::State(change_pb(c))))?;
+    kept.trail
+        .iter()
+        .try_for_each(|e| w.put(Part::Entry(entry_pb(e))))?;
     for (volume, lies) in places {
         for (first, extents, cell) in lies.iter() {
-            w.put(Part::Extents(pb::SnapshotExtents { volume: *volume, first, extents, cell }))?;
+            w.put(Part::Extents(pb::SnapshotExtents {
+                volume: *volume,
+                first,
+                extents,
+                cell,
+            }))?;
         }
     }
     let (parts, crc) = (w.parts, w.crc);
@@ -121,20 +157,37 @@
         match part.part {
             Some(Part::Head(h)) if parts == 0 => {
                 if h.format != FORMAT {
-                    return Err(StoreFault::Newer { schema: u64::from(h.format) });
+                    return Err(StoreFault::Newer {
+                        schema: u64::from(h.format),
+                    });
                 }
                 (kept.version, kept.settled) = (Version(h.version), Version(h.settled));
-                (kept.prevailed, kept.era, kept.ceiling) = (Version(h.prevailed), Era(h.era), h.ceiling);
-                kept.eras = h.eras.into_iter().map(|(era, upto)| (Era(era), Version(upto))).collect();
+                (kept.prevailed, kept.era, kept.ceiling) =
+                    (Version(h.prevailed), Era(h.era), h.ceiling);
+                kept.eras = h
+                    .eras
+                    .into_iter()
+                    .map(|(era, upto)| (Era(era), Version(upto)))
+                    .collect();
                 kept.eras.sort_unstable();
-                kept.hosts = h.hosts.into_iter().map(|(name, has)| (name.into(), Version(has))).collect();
+                kept.hosts = h
+                    .hosts
+                    .into_iter()
+                    .map(|(name, has)| (name.into(), Version(has)))
+                    .collect();
+            }
+            Some(Part::State(c)) if parts > 0 => {
+                kept.state.push(change_of(c).map_err(|e| damaged(path, e))?)
+            }
+            Some(Part::Entry(e)) if parts > 0 => {
+                kept.trail.push(entry_of(e).map_err(|e| damaged(path, e))?)
             }
-            Some(Part::State(c)) if parts > 0 => kept.state.push(change_of(c).map_err(|e| damaged(path, e))?),
-            Some(Part::Entry(e)) if parts > 0 => kept.trail.push(entry_of(e).map_err(|e| damaged(path, e))?),
             Some(Part::Extents(e)) if parts > 0 => {
                 let lies = places.entry(e.volume).or_default();
-                let end =
-                    e.first.checked_add(e.extents).ok_or_else(|| damaged(path, "extents without end"))?;
+                let end = e
+                    .first
+                    .checked_add(e.extents)
+                    .ok_or_else(|| damaged(path, "extents without end"))?;
                 (e.first..end).for_each(|extent| lies.insert(extent, e.cell));
             }
             Some(Part::Tail(t)) if parts > 0 => {
@@ -162,8 +215,9 @@
     fill(&beside, &kept, &places, era)?;
     let mut aside = None;
     if store.exists() {
-        let n =
-            (1..).find(|n| !store.with_extension(format!("before-{n}")).exists()).expect("there are numbers");
+        let n = (1..)
+            .find(|n| !store.with_extension(format!("before-{n}")).exists())
+            .expect("there are numbers");
         let to = store.with_extension(format!("before-{n}"));
         std::fs::rename(store, &to).map_err(|e| disk(store, &e))?;
         aside = Some(to);
@@ -173,11 +227,20 @@
     Ok(aside)
 }
 
-fn fill(path: &Path, kept: &Kept, places: &BTreeMap<u64, Extents>, era: Era) -> Result<(), StoreFault> {
+fn fill(
+    path: &Path,
+    kept: &Kept,
+    places: &BTreeMap<u64, Extents>,
+    era: Era,
+) -> Result<(), StoreFault> {
     let (mut store, ..) = Store::open(path, u64::MAX)?;
     let (version, state, trail) = (kept.version, kept.state.clone(), kept.trail.clone());
     let mut batch = vec![
-        Keep::Whole { version, state, trail },
+        Keep::Whole {
+            version,
+            state,
+            trail,
+        },
         Keep::Settled(kept.settled),
         Keep::Prevailed(kept.prevailed),
         Keep::Ceiling(kept.ceiling),
@@ -187,11 +250,21 @@
     batch.extend(kept.eras.iter().map(|(era, upto)| Keep::Past(*era, *upto)));
     // Of hosts that it does not name nobody knows whether they joined since: see `Keep::Restored`.
     batch.push(Keep::Restored);
-    batch.extend(kept.hosts.iter().map(|(name, has)| Keep::Has(name.clone(), *has)));
+    batch.extend(
+        kept.hosts
+            .iter()
+            .map(|(name, has)| Keep::Has(name.clone(), *has)),
+    );
     store.keep(&batch)?;
-    let runs = places.iter().flat_map(|(volume, lies)| lies.iter().map(move |run| (*volume, run)));
+    let runs = places
+        .iter()
+        .flat_map(|(volume, lies)| lies.iter().map(move |run| (*volume, run)));
     let each = runs.flat_map(|(volume, (first, n, cell))| {
-        (first..first + n).map(move |extent| Keep::Place { volume, extent, cell })
+        (first..first + n).map(move |extent| Keep::Place {
+            volume,
+            extent,
+            cell,
+        })
     });
     let mut batch = Vec::new();
     for place in each {
--- a/crates/state/src/store.rs
+++ b/crates/state/src/store.rs
@@ -75,7 +75,10 @@
             }
             StoreFault::Disk { what } => write!(f, "{what}"),
             StoreFault::Unknown { what } => {
-                write!(f, "{what}; whether it arrived shows when the disk works again")
+                write!(
+                    f,
+                    "{what}; whether it arrived shows when the disk works again"
+                )
             }
         }
     }
@@ -84,7 +87,9 @@
 impl std::error::Error for StoreFault {}
 
 fn damaged(what: impl fmt::Display) -> StoreFault {
-    StoreFault::Damaged { what: what.to_string() }
+    StoreFault::Damaged {
+        what: what.to_string(),
+    }
 }
 
 impl<T: Into<redb::Error>> From<T> for StoreFault {
@@ -95,11 +100,14 @@
             redb::Error::Io(e) if e.kind() == std::io::ErrorKind::InvalidData => {
                 damaged("it is no store, or its head is gone")
             }
-            redb::Error::Io(e) => StoreFault::Disk { what: e.to_string() },
-            e @ (redb::Error::TableTypeMismatch { .. } | redb::Error::TypeDefinitionChanged { .. }) => {
-                damaged(e)
-            }
-            e => StoreFault::Disk { what: e.to_string() },
+            redb::Error::Io(e) => StoreFault::Disk {
+                what: e.to_string(),
+            },
+            e @ (redb::Error::TableTypeMismatch { .. }
+            | redb::Error::TypeDefinitionChanged { .. }) => damaged(e),
+            e => StoreFault::Disk {
+                what: e.to_string(),
+            },
         }
     }
 }
@@ -240,7 +248,9 @@
 /// Cells of the extents of one chunk, as runs: first of the chunk, how many, cell.
 fn chunk_runs(bytes: &[u8]) -> Option<Vec<(u8, u8, u32)>> {
     let runs = bytes.chunks(6).map(|r| {
-        let [start, n, a, b, c, d] = r else { return None };
+        let [start, n, a, b, c, d] = r else {
+            return None;
+        };
         (u64::from(*start) + u64::from(*n) <= CHUNK && *n > 0)
             .then(|| (*start, *n, u32::from_le_bytes([*a, *b, *c, *d])))
     });
@@ -266,7 +276,11 @@
     }
 
     fn put<K: redb::Key + 'static>(
-        &mut self, table: &mut Table<K, &'static [u8]>, no: u8, at: K::SelfType<'_>, key: &[u8],
+        &mut self,
+        table: &mut Table<K, &'static [u8]>,
+        no: u8,
+        at: K::SelfType<'_>,
+        key: &[u8],
         value: Option<&[u8]>,
     ) -> Told<()> {
         let old = match value {
@@ -286,13 +300,25 @@
     fn state(&mut self, c: &Change) -> Told<()> {
         let mut table = self.write.open_table(STATE)?;
         let (key, bytes) = (key(&c.subject()), change_pb(c).encode_to_vec());
-        self.put(&mut table, 0, &key[..], &key, (!c.ends()).then_some(&bytes[..]))
+        self.put(
+            &mut table,
+            0,
+            &key[..],
+            &key,
+            (!c.ends()).then_some(&bytes[..]),
+        )
     }
 
     fn trail(&mut self, e: &Entry) -> Told<()> {
         let mut table = self.write.open_table(TRAIL)?;
         let bytes = entry_pb(e).encode_to_vec();
-        self.put(&mut table, 1, e.version.0, &e.version.0.to_be_bytes(), Some(&bytes))
+        self.put(
+            &mut table,
+            1,
+            e.version.0,
+            &e.version.0.to_be_bytes(),
+            Some(&bytes),
+        )
     }
 
     fn untrail(&mut self, version: u64) -> Told<()> {
@@ -305,9 +331,13 @@
         let mut table = self.write.open_table(META)?;
         let old = table.insert(name, value)?.map(|v| v.value());
         if let Some(old) = old {
-            self.sum = self.sum.wrapping_sub(part(3, name.as_bytes(), &old.to_be_bytes()));
+            self.sum = self
+                .sum
+                .wrapping_sub(part(3, name.as_bytes(), &old.to_be_bytes()));
         }
-        self.sum = self.sum.wrapping_add(part(3, name.as_bytes(), &value.to_be_bytes()));
+        self.sum = self
+            .sum
+            .wrapping_add(part(3, name.as_bytes(), &value.to_be_bytes()));
         Ok(())
     }
 
@@ -315,18 +345,26 @@
         let mut table = self.write.open_table(HOSTS)?;
         let old = table.insert(name, has)?.map(|v| v.value());
         if let Some(old) = old {
-            self.sum = self.sum.wrapping_sub(part(4, name.as_bytes(), &old.to_be_bytes()));
+            self.sum = self
+                .sum
+                .wrapping_sub(part(4, name.as_bytes(), &old.to_be_bytes()));
         }
-        self.sum = self.sum.wrapping_add(part(4, name.as_bytes(), &has.to_be_bytes()));
+        self.sum = self
+            .sum
+            .wrapping_add(part(4, name.as_bytes(), &has.to_be_bytes()));
         Ok(())
     }
 
     fn era(&mut self, era: u64, upto: u64) -> Told<()> {
         let mut table = self.write.open_table(ERAS)?;
         if let Some(old) = table.insert(era, upto)?.map(|v| v.value()) {
-            self.sum = self.sum.wrapping_sub(part(5, &era.to_be_bytes(), &old.to_be_bytes()));
+            self.sum = self
+                .sum
+                .wrapping_sub(part(5, &era.to_be_bytes(), &old.to_be_bytes()));
         }
-        self.sum = self.sum.wrapping_add(part(5, &era.to_be_bytes(), &upto.to_be_bytes()));
+        self.sum = self
+            .sum
+            .wrapping_add(part(5, &era.to_be_bytes(), &upto.to_be_bytes()));
         Ok(())
     }
 
@@ -334,15 +372,24 @@
     fn places(&mut self, volume: u64, chunk: u64, placed: &[(u64, u32)]) -> Told<()> {
         let mut table = self.write.open_table(EXTENTS)?;
         let key = chunk_key(volume, chunk);
-        let what = || format!("the record of extents {} on of volume {volume}", chunk * CHUNK);
+        let what = || {
+            format!(
+                "the record of extents {} on of volume {volume}",
+                chunk * CHUNK
+            )
+        };
         let mut e = Extents::default();
         if let Some(old) = table.get((volume, chunk))? {
             let runs = chunk_runs(opened(&key, old.value(), &what)?);
-            for (start, n, cell) in runs.ok_or_else(|| damaged(format!("{} makes no sense", what())))? {
+            for (start, n, cell) in
+                runs.ok_or_else(|| damaged(format!("{} makes no sense", what())))?
+            {
                 (0..u64::from(n)).for_each(|i| e.insert(u64::from(start) + i, cell));
             }
         }
-        placed.iter().for_each(|(extent, cell)| e.insert(extent % CHUNK, *cell));
+        placed
+            .iter()
+            .for_each(|(extent, cell)| e.insert(extent % CHUNK, *cell));
         let bytes = chunk_bytes(&e);
         self.put(&mut table, 2, (volume, chunk), &key, Some(&bytes))
     }
@@ -357,7 +404,8 @@
 
     /// The same on a disk that a test makes.
     pub fn open_on(
-        disk: impl Fn() -> Box<dyn StorageBackend> + Send + 'static, most_trail: u64,
+        disk: impl Fn() -> Box<dyn StorageBackend> + Send + 'static,
+        most_trail: u64,
     ) -> Told<(Store, Kept, BTreeMap<u64, Extents>)> {
         Store::open_way(Way::Backend(Box::new(disk)), most_trail)
     }
@@ -368,7 +416,16 @@
             migrate(&mut db)?;
             let (kept, places) = read(&db)?;
             let version = kept.version;
-            Ok((Store { way, db: Some(db), most_trail, version }, kept, places))
+            Ok((
+                Store {
+                    way,
+                    db: Some(db),
+                    most_trail,
+                    version,
+                },
+                kept,
+                places,
+            ))
         })
     }
 
@@ -394,10 +451,16 @@
                 });
                 let again = caught(|| {
                     let db = database(&self.way)?;
-                    let version = db.begin_read()?.open_table(META)?.get("version")?.map_or(0, |v| v.value());
+                    let version = db
+                        .begin_read()?
+                        .open_table(META)?
+                        .get("version")?
+                        .map_or(0, |v| v.value());
                     Ok((db, Version(version)))
                 });
-                let Ok((db, version)) = again else { return Err(StoreFault::Unknown { what }) };
+                let Ok((db, version)) = again else {
+                    return Err(StoreFault::Unknown { what });
+                };
                 self.db = Some(db);
                 match last {
                     Some(last) if last == version && last != told => {
@@ -450,7 +513,9 @@
                 let making = path.with_extension("making");
                 let _ = std::fs::remove_file(&making);
                 migrate(&mut builder.create(&making)?)?;
-                std::fs::rename(&making, path).map_err(|e| StoreFault::Disk { what: e.to_string() })?;
+                std::fs::rename(&making, path).map_err(|e| StoreFault::Disk {
+                    what: e.to_string(),
+                })?;
             }
             builder.open(path)?
         }
@@ -471,12 +536,18 @@
             Some(schema) if schema > SCHEMA => return Err(StoreFault::Newer { schema }),
             _ => {}
         }
-        let mut batch = Batch { write: &write, sum: 0 };
+        let mut batch = Batch {
+            write: &write,
+            sum: 0,
+        };
         let mut chunks: BTreeMap<(u64, u64), Vec<(u64, u32)>> = BTreeMap::new();
         for entry in write.open_table(PLACES)?.iter()? {
             let (at, cell) = entry?;
             let (volume, extent) = at.value();
-            chunks.entry((volume, extent / CHUNK)).or_default().push((extent, cell.value()));
+            chunks
+                .entry((volume, extent / CHUNK))
+                .or_default()
+                .push((extent, cell.value()));
         }
         for ((volume, chunk), placed) in chunks {
             batch.places(volume, chunk, &placed)?;
@@ -531,7 +602,10 @@
         let change = pb::Change::decode(value).map_err(|e| damaged(format!("{}: {e}", what())))?;
         let change = change_of(change).map_err(|e| damaged(format!("{}: {e}", what())))?;
         if key(&change.subject()) != at || change.ends() {
-            return Err(damaged(format!("{} stands in the place of another", change.subject())));
+            return Err(damaged(format!(
+                "{} stands in the place of another",
+                change.subject()
+            )));
         }
         sum = sum.wrapping_add(part(0, at, bytes));
         kept.state.push(change);
@@ -541,21 +615,32 @@
         let (version, bytes) = (version.value(), bytes.value());
         let what = || format!("entry {version} of the trail");
         let value = opened(&version.to_be_bytes(), bytes, &what)?;
-        let entry = pb::ChangeEntry::decode(value).map_err(|e| damaged(format!("{}: {e}", what())))?;
+        let entry =
+            pb::ChangeEntry::decode(value).map_err(|e| damaged(format!("{}: {e}", what())))?;
         let entry = entry_of(entry).map_err(|e| damaged(format!("{}: {e}", what())))?;
         let follows = kept.trail.last().is_none_or(|l| l.version == entry.from);
         if entry.version.0 != version || !follows {
-            return Err(damaged(format!("{} does not follow the one before it", what())));
+            return Err(damaged(format!(
+                "{} does not follow the one before it",
+                what()
+            )));
         }
         sum = sum.wrapping_add(part(1, &version.to_be_bytes(), bytes));
         kept.trail.push(entry);
     }
     if kept.trail.last().is_some_and(|l| l.version != kept.version) {
-        return Err(damaged(format!("the trail ends before version {}", kept.version.0)));
+        return Err(damaged(format!(
+            "the trail ends before version {}",
+            kept.version.0
+        )));
     }
     for entry in read.open_table(ERAS)?.iter()? {
         let (era, upto) = entry?;
-        sum = sum.wrapping_add(part(5, &era.value().to_be_bytes(), &upto.value().to_be_bytes()));
+        sum = sum.wrapping_add(part(
+            5,
+            &era.value().to_be_bytes(),
+            &upto.value().to_be_bytes(),
+        ));
         kept.eras.push((Era(era.value()), Version(upto.value())));
     }
     for entry in read.open_table(HOSTS)?.iter()? {
@@ -567,7 +652,12 @@
     for entry in read.open_table(EXTENTS)?.iter()? {
         let (at, bytes) = entry?;
         let ((volume, chunk), bytes) = (at.value(), bytes.value());
-        let what = || format!("the record of extents {} on of volume {volume}", chunk.saturating_mul(CHUNK));
+        let what = || {
+            format!(
+                "the record of extents {} on of volume {volume}",
+                chunk.saturating_mul(CHUNK)
+            )
+        };
         let key = chunk_key(volume, chunk);
         let runs = chunk_runs(opened(&key, bytes, &what)?);
         let runs = runs
@@ -589,16 +679,25 @@
 fn commit(db: &Database, batch: &[Keep], told: Version, most_trail: u64) -> Told<Version> {
     let write = db.begin_write()?;
     let version = {
-        let figure =
-            |name: &str| -> Told<u64> { Ok(write.open_table(META)?.get(name)?.map_or(0, |v| v.value())) };
-        let mut b = Batch { write: &write, sum: figure("sum")? };
+        let figure = |name: &str| -> Told<u64> {
+            Ok(write.open_table(META)?.get(name)?.map_or(0, |v| v.value()))
+        };
+        let mut b = Batch {
+            write: &write,
+            sum: figure("sum")?,
+        };
         let (mut version, mut settled) = (figure("version")?, figure("settled")?);
         // An earlier commit arrived, though it was told that it failed.
         let anew = batch.iter().any(|k| matches!(k, Keep::Whole { .. }));
         while version > told.0 && !anew {
-            let last = write.open_table(TRAIL)?.get(version)?.map(|v| v.value().to_vec());
+            let last = write
+                .open_table(TRAIL)?
+                .get(version)?
+                .map(|v| v.value().to_vec());
             let last = last.ok_or_else(|| damaged(format!("entry {version} is missing")))?;
-            let value = opened(&version.to_be_bytes(), &last, &|| format!("entry {version} of the trail"))?;
+            let value = opened(&version.to_be_bytes(), &last, &|| {
+                format!("entry {version} of the trail")
+            })?;
             let entry = pb::ChangeEntry::decode(value).map_err(damaged)?;
             let entry = entry_of(entry).map_err(damaged)?;
             for c in &entry.before {
@@ -615,7 +714,8 @@
             match keep {
                 Keep::Entry(e) | Keep::Prevails(e) => {
                     if e.from.0 != version {
-                        let what = format!("entry {} does not follow version {version}", e.version.0);
+                        let what =
+                            format!("entry {} does not follow version {version}", e.version.0);
                         return Err(StoreFault::Disk { what });
                     }
                     for c in &e.changes {
@@ -633,7 +733,11 @@
                 Keep::Past(era, upto) => b.era(era.0, upto.0)?,
                 Keep::Prevailed(v) => b.number("prevailed", v.0)?,
                 Keep::Restored => b.number("restored", 1)?,
-                Keep::Whole { version: v, state, trail } => {
+                Keep::Whole {
+                    version: v,
+                    state,
+                    trail,
+                } => {
                     clear(&mut b)?;
                     for c in state {
                         b.state(c)?;
@@ -643,8 +747,15 @@
                     }
                     version = v.0;
                 }
-                Keep::Place { volume, extent, cell } => {
-                    chunks.entry((*volume, extent / CHUNK)).or_default().push((*extent, *cell));
+                Keep::Place {
+                    volume,
+                    extent,
+                    cell,
+                } => {
+                    chunks
+                        .entry((*volume, extent / CHUNK))
+                        .or_default()
+                        .push((*extent, *cell));
                 }
                 Keep::Ceiling(c) => b.number("ceiling", *c)?,
             }
@@ -682,7 +793,11 @@
         let mut table = b.write.open_table(STATE)?;
         b.put(&mut table, 0, &key[..], &key, None)?;
     }
-    let versions: Vec<u64> =
-        b.write.open_table(TRAIL)?.iter()?.map(|e| e.map(|(v, _)| v.value())).collect::<Result<_, _>>()?;
+    let versions: Vec<u64> = b
+        .write
+        .open_table(TRAIL)?
+        .iter()?
+        .map(|e| e.map(|(v, _)| v.value()))
+        .collect::<Result<_, _>>()?;
     versions.into_iter().try_for_each(|v| b.untrail(v))
 }
--- a/crates/state/src/words.rs
+++ b/crates/state/src/words.rs
@@ -45,8 +45,13 @@
 
 impl<'a> Fields<'a> {
     fn of(words: &[&'a str]) -> Result<Self, String> {
-        let field = |w: &&'a str| w.split_once('=').ok_or(format!("expected name=value, found {w}"));
-        Ok(Fields { left: words.iter().map(field).collect::<Result<_, _>>()? })
+        let field = |w: &&'a str| {
+            w.split_once('=')
+                .ok_or(format!("expected name=value, found {w}"))
+        };
+        Ok(Fields {
+            left: words.iter().map(field).collect::<Result<_, _>>()?,
+        })
     }
 
     fn text(&mut self, name: &str) -> Option<&'a str> {
@@ -64,7 +69,10 @@
 
     fn list<T: FromStr>(&mut self, name: &str, to: &mut std::sync::Arc<[T]>) -> Result<(), String> {
         if let Some(text) = self.text(name) {
-            let all = text.split(',').filter(|t| !t.is_empty()).map(|t| read(name, t));
+            let all = text
+                .split(',')
+                .filter(|t| !t.is_empty())
+                .map(|t| read(name, t));
             *to = all.collect::<Result<Vec<T>, String>>()?.into();
         }
         Ok(())
@@ -72,20 +80,27 @@
 
     fn end(self, known: &str) -> Result<(), String> {
         match self.left.first() {
-            Some((name, _)) => Err(format!("{name} is not known here; expected some of {known}")),
+            Some((name, _)) => Err(format!(
+                "{name} is not known here; expected some of {known}"
+            )),
             None => Ok(()),
         }
     }
 }
 
 fn read<T: FromStr>(name: &str, text: &str) -> Result<T, String> {
-    text.parse().map_err(|_| format!("{name}: {text} makes no sense there"))
+    text.parse()
+        .map_err(|_| format!("{name}: {text} makes no sense there"))
 }
 
 /// Names of hosts, one after the other.
 fn names(f: &mut Fields, name: &str, to: &mut std::sync::Arc<[Name]>) {
     if let Some(text) = f.text(name) {
-        *to = text.split(',').filter(|t| !t.is_empty()).map(Name::from).collect();
+        *to = text
+            .split(',')
+            .filter(|t| !t.is_empty())
+            .map(Name::from)
+            .collect();
     }
 }
 
@@ -110,17 +125,29 @@
 /// ```
 pub fn change(ledger: &Ledger, line: &str) -> Result<Change, NoWords> {
     let words: Vec<&str> = line.split_whitespace().collect();
-    of(ledger, &words).map_err(|what| NoWords { line: line.into(), what })
+    of(ledger, &words).map_err(|what| NoWords {
+        line: line.into(),
+        what,
+    })
 }
 
 fn of(ledger: &Ledger, words: &[&str]) -> Result<Change, String> {
     let [kind, name, rest @ ..] = words else {
-        return Err("expected what it is of and its name, such as: volume 103 plan=priority".into());
+        return Err(
+            "expected what it is of and its name, such as: volume 103 plan=priority".into(),
+        );
     };
     match (*kind, rest) {
-        ("plan", ["drop"]) => Ok(Change::Plan { name: Name::from(*name), to: None }),
+        ("plan", ["drop"]) => Ok(Change::Plan {
+            name: Name::from(*name),
+            to: None,
+        }),
         ("plan", rest) => {
-            let new = || Plan { weight: 1.0, price: 1.0, ..Plan::default() };
+            let new = || Plan {
+                weight: 1.0,
+                price: 1.0,
+                ..Plan::default()
+            };
             let mut p = ledger.plan(name).cloned().unwrap_or_else(new);
             let mut f = Fields::of(rest)?;
             f.set("rate", &mut p.rate)?;
@@ -131,12 +158,23 @@
             f.set("weight", &mut p.weight)?;
             f.set("price", &mut p.price)?;
             f.end("rate, reservation, limit, burst, slack, weight, price")?;
-            Ok(Change::Plan { name: Name::from(*name), to: Some(p) })
+            Ok(Change::Plan {
+                name: Name::from(*name),
+                to: Some(p),
+            })
         }
-        ("volume", ["retire"]) => Ok(Change::Volume { id: read("volume", name)?, to: None }),
+        ("volume", ["retire"]) => Ok(Change::Volume {
+            id: read("volume", name)?,
+            to: None,
+        }),
         ("volume", rest) => {
             let id = read("volume", name)?;
-            let new = || Volume { plan: "".into(), hosts: [].into(), cells: [].into(), blocks: 0 };
+            let new = || Volume {
+                plan: "".into(),
+                hosts: [].into(),
+                cells: [].into(),
+                blocks: 0,
+            };
             let (known, mut f) = (ledger.volume(id), Fields::of(rest)?);
             let mut v = known.cloned().unwrap_or_else(new);
             v.plan = f.text("plan").map_or(v.plan, Name::from);
@@ -151,11 +189,17 @@
             }
             Ok(Change::Volume { id, to: Some(v) })
         }
-        ("node", ["drop"]) => Ok(Change::Node { id: read("node", name)?, to: None }),
+        ("node", ["drop"]) => Ok(Change::Node {
+            id: read("node", name)?,
+            to: None,
+        }),
         ("node", rest) => {
             let id = read("node", name)?;
             let mut f = Fields::of(rest)?;
-            let new = || Node { cell: id, ..Node::default() };
+            let new = || Node {
+                cell: id,
+                ..Node::default()
+            };
             let mut n = ledger.node(id).cloned().unwrap_or_else(new);
             n.name = f.text("name").map_or(n.name, Name::from);
             n.zone = f.text("zone").map_or(n.zone, Name::from);
@@ -169,30 +213,62 @@
         }
         ("drain", rest) => {
             let node = node(ledger, name)?;
-            let named = |w: &&str| Stage::NAMES.iter().find(|(_, n)| n == w).map(|(stage, _)| *stage);
-            let (stage, rest) = match rest.split_first().and_then(|(w, rest)| Some((named(w)?, rest))) {
+            let named = |w: &&str| {
+                Stage::NAMES
+                    .iter()
+                    .find(|(_, n)| n == w)
+                    .map(|(stage, _)| *stage)
+            };
+            let (stage, rest) = match rest
+                .split_first()
+                .and_then(|(w, rest)| Some((named(w)?, rest)))
+            {
                 Some(named) => named,
-                None => (ledger.drain(node).map_or(Stage::Going, |d| d.stage.max(Stage::Going)), rest),
+                None => (
+                    ledger
+                        .drain(node)
+                        .map_or(Stage::Going, |d| d.stage.max(Stage::Going)),
+                    rest,
+                ),
+            };
+            let mut d = Drain {
+                stage,
+                ..ledger.drain(node).cloned().unwrap_or_default()
             };
-            let mut d = Drain { stage, ..ledger.drain(node).cloned().unwrap_or_default() };
             let mut f = Fields::of(rest)?;
             if let Some(text) = f.text("within") {
                 let within = humantime::parse_duration(text);
-                d.within = within.map_err(|_| format!("within: {text} is no time such as 90s, 5m or 2h"))?;
+                d.within = within
+                    .map_err(|_| format!("within: {text} is no time such as 90s, 5m or 2h"))?;
             }
             f.end("within")?;
             Ok(Change::Drain { node, to: Some(d) })
         }
-        ("undrain", []) => Ok(Change::Drain { node: node(ledger, name)?, to: None }),
-        ("target", ["drop"]) => Ok(Change::Target { name: Name::from(*name), to: None }),
+        ("undrain", []) => Ok(Change::Drain {
+            node: node(ledger, name)?,
+            to: None,
+        }),
+        ("target", ["drop"]) => Ok(Change::Target {
+            name: Name::from(*name),
+            to: None,
+        }),
         ("target", rest) => {
             let (mut f, mut volumes) = (Fields::of(rest)?, std::sync::Arc::from([]));
             f.list("volumes", &mut volumes)?;
             f.end("volumes")?;
-            Ok(Change::Target { name: Name::from(*name), to: Some(volumes) })
+            Ok(Change::Target {
+                name: Name::from(*name),
+                to: Some(volumes),
+            })
         }
-        ("timed", ["off"]) => Ok(Change::Timed { id: read("timed", name)?, to: None }),
-        _ => Err("expected plan, volume, node, drain, undrain, target or timed, and what is to be so".into()),
+        ("timed", ["off"]) => Ok(Change::Timed {
+            id: read("timed", name)?,
+            to: None,
+        }),
+        _ => Err(
+            "expected plan, volume, node, drain, undrain, target or timed, and what is to be so"
+                .into(),
+        ),
     }
 }
 
@@ -222,25 +298,54 @@
         ),
         Change::Node { id, to: None } => format!("node {id} drop"),
         Change::Node { id, to: Some(n) } => {
-            let name = if n.name.is_empty() { String::new() } else { format!("name={} ", n.name) };
-            format!("node {id} {name}zone={} cell={} capacity={}", n.zone, n.cell, n.capacity)
+            let name = if n.name.is_empty() {
+                String::new()
+            } else {
+                format!("name={} ", n.name)
+            };
+            format!(
+                "node {id} {name}zone={} cell={} capacity={}",
+                n.zone, n.cell, n.capacity
+            )
         }
         Change::Drain { node, to: None } => format!("undrain {node}"),
         Change::Drain { node, to: Some(d) } => {
-            let stage = if d.stage == Stage::Going { "" } else { d.stage.name() };
-            let within = humantime::format_duration(d.within).to_string().replace(' ', "");
-            let within = if d.within.is_zero() { String::new() } else { format!("within={within}") };
+            let stage = if d.stage == Stage::Going {
+                ""
+            } else {
+                d.stage.name()
+            };
+            let within = humantime::format_duration(d.within)
+                .to_string()
+                .replace(' ', "");
+            let within = if d.within.is_zero() {
+                String::new()
+            } else {
+                format!("within={within}")
+            };
             let words = ["drain", &node.to_string(), stage, &within];
-            words.into_iter().filter(|w| !w.is_empty()).collect::<Vec<_>>().join(" ")
+            words
+                .into_iter()
+                .filter(|w| !w.is_empty())
+                .collect::<Vec<_>>()
+                .join(" ")
         }
         Change::Target { name, to: None } => format!("target {name} drop"),
         Change::Target { name, to: Some(t) } => {
-            format!("target {name} volumes={}", list(&mut t.iter().map(|v| v.to_string())))
+            format!(
+                "target {name} volumes={}",
+                list(&mut t.iter().map(|v| v.to_string()))
+            )
         }
         Change::Timed { id, to: None } => format!("timed {id} off"),
         Change::Timed { id, to: Some(t) } => {
             let inner: Vec<String> = t.changes.iter().map(said).collect();
-            format!("timed {id} at {} of {}: {}", date(t.at), t.who, inner.join("; "))
+            format!(
+                "timed {id} at {} of {}: {}",
+                date(t.at),
+                t.who,
+                inner.join("; ")
+            )
         }
     }
 }
@@ -257,22 +362,34 @@
 /// ```
 pub fn differences(changes: &[Change], before: &[Change]) -> Vec<String> {
     let was = |s: &Subject| before.iter().find(|c| c.subject() == *s);
-    let each = changes.iter().map(|c| match was(&c.subject()).filter(|b| !b.ends() && !c.ends()) {
-        Some(b) => {
-            let (old, new) = (said(b), said(c));
-            let (old, new): (Vec<&str>, Vec<&str>) = (old.split(' ').collect(), new.split(' ').collect());
-            let key = |w: &str| w.split_once('=').map(|(k, _)| k.to_string());
-            let mut fields = Vec::new();
-            for n in new[2..].iter().filter(|n| !old[2..].contains(n)) {
-                let was = old[2..].iter().find(|o| key(o) == key(n)).copied().unwrap_or("none");
-                fields.push(format!("{n} (was {})", was.split_once('=').map_or(was, |x| x.1)));
+    let each = changes.iter().map(
+        |c| match was(&c.subject()).filter(|b| !b.ends() && !c.ends()) {
+            Some(b) => {
+                let (old, new) = (said(b), said(c));
+                let (old, new): (Vec<&str>, Vec<&str>) =
+                    (old.split(' ').collect(), new.split(' ').collect());
+                let key = |w: &str| w.split_once('=').map(|(k, _)| k.to_string());
+                let mut fields = Vec::new();
+                for n in new[2..].iter().filter(|n| !old[2..].contains(n)) {
+                    let was = old[2..]
+                        .iter()
+                        .find(|o| key(o) == key(n))
+                        .copied()
+                        .unwrap_or("none");
+                    fields.push(format!(
+                        "{n} (was {})",
+                        was.split_once('=').map_or(was, |x| x.1)
+                    ));
+                }
+                let gone = old[2..]
+                    .iter()
+                    .filter(|o| !new[2..].iter().any(|n| key(n) == key(o)));
+                fields.extend(gone.map(|o| format!("no longer {o}")));
+                format!("{} {}: {}", new[0], new[1], fields.join(" "))
             }
-            let gone = old[2..].iter().filter(|o| !new[2..].iter().any(|n| key(n) == key(o)));
-            fields.extend(gone.map(|o| format!("no longer {o}")));
-            format!("{} {}: {}", new[0], new[1], fields.join(" "))
-        }
-        None => said(c),
-    });
+            None => said(c),
+        },
+    );
     each.collect()
 }
 
@@ -297,6 +414,9 @@
 pub fn moment(text: &str, now: Duration) -> Option<Duration> {
     match text.strip_prefix('+') {
         Some(after) => Some(now + humantime::parse_duration(after).ok()?),
-        None => humantime::parse_rfc3339(text).ok()?.duration_since(SystemTime::UNIX_EPOCH).ok(),
+        None => humantime::parse_rfc3339(text)
+            .ok()?
+            .duration_since(SystemTime::UNIX_EPOCH)
+            .ok(),
     }
 }
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -38,7 +38,11 @@
 
 impl Disk {
     pub fn of(bytes: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(Inner { durable: bytes.clone(), seen: bytes, ..Inner::default() })))
+        Disk(Arc::new(Mutex::new(Inner {
+            durable: bytes.clone(),
+            seen: bytes,
+            ..Inner::default()
+        })))
     }
 
     pub fn fails(&self, fails: Fails) {
@@ -60,7 +64,14 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut bytes = inner.durable.clone();
         // The file's length changes at once or not at all; what was never written reads as zeroes.
-        bytes.resize(if rng.random() { inner.seen.len().max(bytes.len()) } else { bytes.len() }, 0);
+        bytes.resize(
+            if rng.random() {
+                inner.seen.len().max(bytes.len())
+            } else {
+                bytes.len()
+            },
+            0,
+        );
         let part = [0.0, 0.5, 0.95, 1.0][rng.random_range(0..4)];
         for (at, sector) in &inner.pending {
             if rng.random::<f64>() < part && at + sector.len() <= bytes.len() {
@@ -97,7 +108,10 @@
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let inner = self.0.lock().unwrap();
         let (from, to) = (offset as usize, offset as usize + out.len());
-        let bytes = inner.seen.get(from..to).ok_or_else(|| io::Error::other("read beyond the end"))?;
+        let bytes = inner
+            .seen
+            .get(from..to)
+            .ok_or_else(|| io::Error::other("read beyond the end"))?;
         out.copy_from_slice(bytes);
         Ok(())
     }
@@ -119,7 +133,9 @@
             let mut inner = self.0.lock().unwrap();
             if matches!(inner.fails, Some(Fails::DiesAt(at)) if inner.ops == at) {
                 let sectors = data.chunks(SECTOR).enumerate();
-                let torn: Vec<_> = sectors.map(|(i, s)| (offset as usize + i * SECTOR, s.to_vec())).collect();
+                let torn: Vec<_> = sectors
+                    .map(|(i, s)| (offset as usize + i * SECTOR, s.to_vec()))
+                    .collect();
                 inner.pending.extend(torn);
             }
         }
@@ -130,7 +146,9 @@
             }
             inner.seen[at..at + data.len()].copy_from_slice(data);
             let sectors = data.chunks(SECTOR).enumerate();
-            inner.pending.extend(sectors.map(|(i, s)| (at + i * SECTOR, s.to_vec())));
+            inner
+                .pending
+                .extend(sectors.map(|(i, s)| (at + i * SECTOR, s.to_vec())));
         })
     }
 }
--- a/crates/state/tests/faults.rs
+++ b/crates/state/tests/faults.rs
@@ -27,20 +27,42 @@
 
 impl Model {
     fn new(seed: u64) -> Self {
-        let facts = Facts { hosts: ["h1", "h2"].map(Name::from).into(), linger: Duration::ZERO };
+        let facts = Facts {
+            hosts: ["h1", "h2"].map(Name::from).into(),
+            linger: Duration::ZERO,
+        };
         let (settled, hosts, places) = (Version(0), BTreeMap::new(), BTreeMap::new());
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        Model { ledger: Ledger::new(facts, 1000), settled, hosts, places, rng }
+        Model {
+            ledger: Ledger::new(facts, 1000),
+            settled,
+            hosts,
+            places,
+            rng,
+        }
     }
 
     fn change(&mut self) -> Vec<Change> {
-        let name: Name = ["basic", "gold", "a plan with a longer name"][self.rng.random_range(0..3)].into();
+        let name: Name =
+            ["basic", "gold", "a plan with a longer name"][self.rng.random_range(0..3)].into();
         let reservation = f64::from(self.rng.random_range(0..1000));
-        let to = Some(Plan { rate: 1.0, reservation, ..Plan::default() });
-        let plan = Change::Plan { name: name.clone(), to };
+        let to = Some(Plan {
+            rate: 1.0,
+            reservation,
+            ..Plan::default()
+        });
+        let plan = Change::Plan {
+            name: name.clone(),
+            to,
+        };
         let id = self.rng.random_range(0..20);
         let hosts = ["h1".into(), "h2".into()].into();
-        let to = Volume { plan: name, hosts, cells: (0..self.rng.random_range(1..40)).collect(), blocks: 8 };
+        let to = Volume {
+            plan: name,
+            hosts,
+            cells: (0..self.rng.random_range(1..40)).collect(),
+            blocks: 8,
+        };
         match self.rng.random_range(0..6) {
             0 => vec![Change::Volume { id, to: None }],
             _ => vec![plan, Change::Volume { id, to: Some(to) }],
@@ -52,18 +74,32 @@
         let mut batch = Vec::new();
         for _ in 0..self.rng.random_range(1..4) {
             let changes = self.change();
-            let by = Asks { who: "op", why: "test", ..Asks::default() };
+            let by = Asks {
+                who: "op",
+                why: "test",
+                ..Asks::default()
+            };
             if let Ok(entry) = self.ledger.propose(self.ledger.version(), by, changes) {
                 self.ledger.take(entry.clone()).unwrap();
                 batch.push(Keep::Entry(entry));
             }
-            let (volume, extent, cell) =
-                (self.rng.random_range(0..3), self.rng.random_range(0..300), self.rng.random_range(0..5));
+            let (volume, extent, cell) = (
+                self.rng.random_range(0..3),
+                self.rng.random_range(0..300),
+                self.rng.random_range(0..5),
+            );
             self.places.insert((volume, extent), cell);
-            batch.push(Keep::Place { volume, extent, cell });
+            batch.push(Keep::Place {
+                volume,
+                extent,
+                cell,
+            });
         }
         if self.rng.random() {
-            self.settled = Version(self.rng.random_range(self.settled.0..=self.ledger.version().0));
+            self.settled = Version(
+                self.rng
+                    .random_range(self.settled.0..=self.ledger.version().0),
+            );
             batch.push(Keep::Settled(self.settled));
         }
         if self.rng.random() {
@@ -82,10 +118,16 @@
         let lies: BTreeMap<(u64, u64), u32> = places
             .iter()
             .flat_map(|(v, e)| {
-                e.iter().flat_map(move |(from, n, cell)| (from..from + n).map(move |x| ((*v, x), cell)))
+                e.iter()
+                    .flat_map(move |(from, n, cell)| (from..from + n).map(move |x| ((*v, x), cell)))
             })
             .collect();
-        let own = (self.ledger.version(), self.settled, &self.hosts, &self.places);
+        let own = (
+            self.ledger.version(),
+            self.settled,
+            &self.hosts,
+            &self.places,
+        );
         let found = (kept.version, kept.settled, &kept.hosts, &lies);
         if own != found || all(&then) != all(&self.ledger) {
             return Err(format!(
@@ -97,7 +139,11 @@
         // The trail leads from where it begins to the state, and holds what is not settled.
         let first = kept.trail.first().map_or(kept.version, |e| e.from);
         if first > self.settled
-            || kept.trail.iter().zip(self.ledger.since(first).unwrap()).any(|(a, b)| a != b)
+            || kept
+                .trail
+                .iter()
+                .zip(self.ledger.since(first).unwrap())
+                .any(|(a, b)| a != b)
         {
             return Err("another trail".into());
         }
@@ -113,7 +159,9 @@
 /// Batches until one is not kept; the states that may be found then.
 fn run(seed: u64, batches: usize, disk: &Disk) -> Vec<Model> {
     let mut model = Model::new(seed);
-    let Ok((mut store, ..)) = open(disk) else { return vec![model] };
+    let Ok((mut store, ..)) = open(disk) else {
+        return vec![model];
+    };
     for _ in 0..batches {
         let before = model.clone();
         let batch = model.batch();
@@ -146,17 +194,28 @@
                 Err(fault) => panic!("died at {at}, seed {seed}: {fault}"),
             };
             let which = may_be.iter().position(|m| m.is(&kept, &places).is_ok());
-            let which = which
-                .unwrap_or_else(|| panic!("died at {at}, seed {seed}: {:?}", may_be[0].is(&kept, &places)));
+            let which = which.unwrap_or_else(|| {
+                panic!(
+                    "died at {at}, seed {seed}: {:?}",
+                    may_be[0].is(&kept, &places)
+                )
+            });
             found[which] += 1;
             // And it goes on from there.
             let mut model = may_be[which].clone();
             store.keep(&model.batch()).expect("the disk is well");
             let (kept, places) = store.read().unwrap();
-            model.is(&kept, &places).unwrap_or_else(|e| panic!("died at {at}, seed {seed}, gone on: {e}"));
+            model
+                .is(&kept, &places)
+                .unwrap_or_else(|e| panic!("died at {at}, seed {seed}, gone on: {e}"));
         }
     }
-    assert!(found[0] > 100 && found[1] > 10, "before the last batch {}, after it {}", found[0], found[1]);
+    assert!(
+        found[0] > 100 && found[1] > 10,
+        "before the last batch {}, after it {}",
+        found[0],
+        found[1]
+    );
 }
 
 /// One operation fails and the process lives on: whether the batch arrived or not, what is told then holds.
@@ -183,7 +242,10 @@
                         other => panic!("{fails:?}, batch {n}: {other:?}"),
                     }
                     // It was told that nothing of it was kept; what comes next is another batch.
-                    model = Model { rng: model.rng, ..before };
+                    model = Model {
+                        rng: model.rng,
+                        ..before
+                    };
                     // Places and what hosts have may stand there: nobody was told that they do.
                     for keep in &batch {
                         if let Keep::Place { volume, extent, .. } = keep {
@@ -195,13 +257,20 @@
             disk.fails(Fails::Never);
             store.keep(&[]).unwrap_or_else(|e| panic!("{fails:?}: {e}"));
             let (kept, places) = store.read().unwrap_or_else(|e| panic!("{fails:?}: {e}"));
-            model.like(&kept, &places).unwrap_or_else(|e| panic!("{fails:?}: {e}"));
+            model
+                .like(&kept, &places)
+                .unwrap_or_else(|e| panic!("{fails:?}: {e}"));
             drop(store);
             let (_, kept, places) = open(&disk).unwrap_or_else(|e| panic!("{fails:?}: {e}"));
-            model.like(&kept, &places).unwrap_or_else(|e| panic!("{fails:?}, after a start: {e}"));
+            model
+                .like(&kept, &places)
+                .unwrap_or_else(|e| panic!("{fails:?}, after a start: {e}"));
         }
     }
-    assert!(failed > 60 && unknown > 20, "{failed} for certain, {unknown} not");
+    assert!(
+        failed > 60 && unknown > 20,
+        "{failed} for certain, {unknown} not"
+    );
 }
 
 impl Model {
@@ -210,10 +279,16 @@
         let then = Ledger::new(self.ledger.facts().clone(), 1000);
         let then = then.restored(kept.version, kept.state.clone(), kept.trail.clone());
         if kept.version != self.ledger.version() || !then.towards(&self.ledger).is_empty() {
-            return Err(format!("version {:?} and not {:?}", kept.version, self.ledger.version()));
+            return Err(format!(
+                "version {:?} and not {:?}",
+                kept.version,
+                self.ledger.version()
+            ));
         }
-        let lost =
-            self.places.iter().find(|((v, x), cell)| places.get(v).and_then(|e| e.get(*x)) != Some(**cell));
+        let lost = self
+            .places
+            .iter()
+            .find(|((v, x), cell)| places.get(v).and_then(|e| e.get(*x)) != Some(**cell));
         match lost {
             Some(lost) => Err(format!("{lost:?} is lost")),
             None => Ok(()),
@@ -269,7 +344,9 @@
                 assert!(
                     matches!(
                         fault,
-                        StoreFault::Damaged { .. } | StoreFault::Newer { .. } | StoreFault::Disk { .. }
+                        StoreFault::Damaged { .. }
+                            | StoreFault::Newer { .. }
+                            | StoreFault::Disk { .. }
                     ),
                     "{fault:?}"
                 );
@@ -284,25 +361,41 @@
 fn a_newer_file_and_one_that_is_none_are_told() {
     let disk = Disk::default();
     run(5, 2, &disk);
-    let db = redb::Builder::new().create_with_backend(disk.clone()).unwrap();
+    let db = redb::Builder::new()
+        .create_with_backend(disk.clone())
+        .unwrap();
     let write = db.begin_write().unwrap();
-    write.open_table(redb::TableDefinition::<&str, u64>::new("meta")).unwrap().insert("schema", 9).unwrap();
+    write
+        .open_table(redb::TableDefinition::<&str, u64>::new("meta"))
+        .unwrap()
+        .insert("schema", 9)
+        .unwrap();
     write.commit().unwrap();
     drop(db);
     assert_eq!(open(&disk).err(), Some(StoreFault::Newer { schema: 9 }));
-    let fault = open(&Disk::of(b"this is a letter to a friend".repeat(400))).err().unwrap();
+    let fault = open(&Disk::of(b"this is a letter to a friend".repeat(400)))
+        .err()
+        .unwrap();
     assert!(matches!(fault, StoreFault::Damaged { .. }), "{fault:?}");
 }
 
 #[test]
 fn an_older_file_is_brought_to_todays_form() {
     let disk = Disk::default();
-    let db = redb::Builder::new().create_with_backend(disk.clone()).unwrap();
+    let db = redb::Builder::new()
+        .create_with_backend(disk.clone())
+        .unwrap();
     let write = db.begin_write().unwrap();
     {
-        let mut places = write.open_table(redb::TableDefinition::<(u64, u64), u32>::new("places")).unwrap();
+        let mut places = write
+            .open_table(redb::TableDefinition::<(u64, u64), u32>::new("places"))
+            .unwrap();
         (0..200u64).for_each(|x| _ = places.insert((7, x * 3), (x % 4) as u32).unwrap());
-        write.open_table(redb::TableDefinition::<(), u64>::new("ceiling")).unwrap().insert((), 77).unwrap();
+        write
+            .open_table(redb::TableDefinition::<(), u64>::new("ceiling"))
+            .unwrap()
+            .insert((), 77)
+            .unwrap();
     }
     write.commit().unwrap();
     drop(db);
@@ -333,13 +426,31 @@
     let (mut store, ..) = open(&disk).unwrap();
     let mut model = Model::new(6);
     while model.ledger.version() < Version(40) {
-        let batch: Vec<Keep> = model.batch().into_iter().filter(|k| !matches!(k, Keep::Settled(_))).collect();
+        let batch: Vec<Keep> = model
+            .batch()
+            .into_iter()
+            .filter(|k| !matches!(k, Keep::Settled(_)))
+            .collect();
         store.keep(&batch).unwrap();
     }
-    assert_eq!(store.read().unwrap().0.trail.len() as u64, model.ledger.version().0, "nothing is settled");
-    store.keep(&[Keep::Settled(Version(30)), Keep::Era(Era(4))]).unwrap();
+    assert_eq!(
+        store.read().unwrap().0.trail.len() as u64,
+        model.ledger.version().0,
+        "nothing is settled"
+    );
+    store
+        .keep(&[Keep::Settled(Version(30)), Keep::Era(Era(4))])
+        .unwrap();
     let (kept, _) = store.read().unwrap();
     assert_eq!(kept.trail.first().unwrap().version, Version(31));
-    store.keep(&[Keep::Settled(model.ledger.version())]).unwrap();
-    assert_eq!((store.read().unwrap().0.trail.len() as u64, store.read().unwrap().0.era), (TRAIL, Era(4)));
+    store
+        .keep(&[Keep::Settled(model.ledger.version())])
+        .unwrap();
+    assert_eq!(
+        (
+            store.read().unwrap().0.trail.len() as u64,
+            store.read().unwrap().0.era
+        ),
+        (TRAIL, Era(4))
+    );
 }
--- a/crates/state/tests/snapshots.rs
+++ b/crates/state/tests/snapshots.rs
@@ -10,11 +10,22 @@
 use std::time::Duration;
 
 fn plan(name: &str, reservation: f64) -> Change {
-    Change::Plan { name: name.into(), to: Some(Plan { reservation, ..Plan::default() }) }
+    Change::Plan {
+        name: name.into(),
+        to: Some(Plan {
+            reservation,
+            ..Plan::default()
+        }),
+    }
 }
 
 fn entry(l: &mut Ledger, changes: Vec<Change>) -> Entry {
-    let by = Asks { who: "op", why: "test", at: Duration::from_secs(7), ..Asks::default() };
+    let by = Asks {
+        who: "op",
+        why: "test",
+        at: Duration::from_secs(7),
+        ..Asks::default()
+    };
     let entry = l.propose(l.version(), by, changes).unwrap();
     l.take(entry.clone()).unwrap();
     entry
@@ -23,23 +34,73 @@
 /// A store with some of everything in it.
 fn filled(path: &Path) -> Ledger {
     let hosts = ["h1".into()].into();
-    let mut l = Ledger::new(Facts { hosts, linger: Duration::ZERO }, 100);
+    let mut l = Ledger::new(
+        Facts {
+            hosts,
+            linger: Duration::ZERO,
+        },
+        100,
+    );
     let (mut store, ..) = Store::open(path, 100).unwrap();
-    let mut batch = vec![Keep::Era(Era(5)), Keep::Past(Era(4), Version(1)), Keep::Ceiling(99)];
-    let volume =
-        |id| Volume { plan: "p".into(), hosts: ["h1".into()].into(), cells: [1, 2].into(), blocks: id };
-    let volumes = (1..40).map(|id| Change::Volume { id, to: Some(volume(id)) });
-    batch.push(Keep::Entry(entry(&mut l, [plan("p", 3.0)].into_iter().chain(volumes).collect())));
-    let node = Node { name: "box1.example.org".into(), zone: "a".into(), cell: 1, capacity: 5.5 };
-    let node = Change::Node { id: 1, to: Some(node) };
+    let mut batch = vec![
+        Keep::Era(Era(5)),
+        Keep::Past(Era(4), Version(1)),
+        Keep::Ceiling(99),
+    ];
+    let volume = |id| Volume {
+        plan: "p".into(),
+        hosts: ["h1".into()].into(),
+        cells: [1, 2].into(),
+        blocks: id,
+    };
+    let volumes = (1..40).map(|id| Change::Volume {
+        id,
+        to: Some(volume(id)),
+    });
+    batch.push(Keep::Entry(entry(
+        &mut l,
+        [plan("p", 3.0)].into_iter().chain(volumes).collect(),
+    )));
+    let node = Node {
+        name: "box1.example.org".into(),
+        zone: "a".into(),
+        cell: 1,
+        capacity: 5.5,
+    };
+    let node = Change::Node {
+        id: 1,
+        to: Some(node),
+    };
     batch.push(Keep::Entry(entry(
         &mut l,
-        vec![node, Change::Node { id: 2, to: Some(Node { zone: "b".into(), cell: 2, ..Node::default() }) }],
+        vec![
+            node,
+            Change::Node {
+                id: 2,
+                to: Some(Node {
+                    zone: "b".into(),
+                    cell: 2,
+                    ..Node::default()
+                }),
+            },
+        ],
     )));
     let s = Duration::from_secs;
-    let drain = |stage| Drain { stage, within: s(9), who: "ann".into(), asked: s(5), since: s(7) };
-    let drain = |stage| Change::Drain { node: 1, to: Some(drain(stage)) };
-    let target = Change::Target { name: "iqn.x".into(), to: Some([1, 2].into()) };
+    let drain = |stage| Drain {
+        stage,
+        within: s(9),
+        who: "ann".into(),
+        asked: s(5),
+        since: s(7),
+    };
+    let drain = |stage| Change::Drain {
+        node: 1,
+        to: Some(drain(stage)),
+    };
+    let target = Change::Target {
+        name: "iqn.x".into(),
+        to: Some([1, 2].into()),
+    };
     let (changes, expects) = (vec![plan("p", 4.0)], vec![plan("p", 3.0)]);
     let timed = Timed {
         at: Duration::from_secs(1 << 32),
@@ -49,15 +110,24 @@
         changes,
         expects,
     };
-    let timed = Change::Timed { id: 1, to: Some(timed) };
-    batch.push(Keep::Entry(entry(&mut l, vec![drain(Stage::Going), target, timed])));
+    let timed = Change::Timed {
+        id: 1,
+        to: Some(timed),
+    };
+    batch.push(Keep::Entry(entry(
+        &mut l,
+        vec![drain(Stage::Going), target, timed],
+    )));
     batch.push(Keep::Entry(entry(&mut l, vec![drain(Stage::Empty)])));
     batch.extend((0..500).map(|x| Keep::Place {
         volume: 1 + x % 3,
         extent: x * 7 % 300,
         cell: (x % 5) as u32,
     }));
-    batch.extend([Keep::Has("h1".into(), Version(2)), Keep::Settled(Version(2))]);
+    batch.extend([
+        Keep::Has("h1".into(), Version(2)),
+        Keep::Settled(Version(2)),
+    ]);
     store.keep(&batch).unwrap();
     l
 }
@@ -72,18 +142,25 @@
     let read = snapshot::read(&snap).unwrap();
     assert_eq!(read.0, all.0);
     let runs = |p: &std::collections::BTreeMap<u64, grebecleat_state::extents::Extents>| {
-        p.iter().map(|(v, e)| (*v, e.iter().collect::<Vec<_>>())).collect::<Vec<_>>()
+        p.iter()
+            .map(|(v, e)| (*v, e.iter().collect::<Vec<_>>()))
+            .collect::<Vec<_>>()
     };
     assert_eq!(runs(&read.1), runs(&all.1));
     // What comes after the snapshot is not in it, and is kept aside.
     let (mut store, ..) = Store::open(&path, 100).unwrap();
     store.keep(&[Keep::Ceiling(1000)]).unwrap();
     drop(store);
-    let aside = snapshot::restore(&snap, &path, Era(6)).unwrap().expect("there was one");
+    let aside = snapshot::restore(&snap, &path, Era(6))
+        .unwrap()
+        .expect("there was one");
     let (_, kept, places) = Store::open(&path, 100).unwrap();
     assert_eq!((kept.era, kept.ceiling, kept.restored), (Era(6), 99, true));
     assert_eq!(kept.eras, [(Era(4), Version(1)), (Era(5), Version(4))]);
-    assert_eq!((&kept.state, &kept.trail, &kept.hosts), (&all.0.state, &all.0.trail, &all.0.hosts));
+    assert_eq!(
+        (&kept.state, &kept.trail, &kept.hosts),
+        (&all.0.state, &all.0.trail, &all.0.hosts)
+    );
     assert_eq!(runs(&places), runs(&all.1));
     assert_eq!(Store::open(&aside, 100).unwrap().1.ceiling, 1000);
     assert!(!path.with_extension("restoring").exists());
@@ -102,7 +179,10 @@
     for n in (0..whole).step_by(whole / 97) {
         std::fs::write(&bad, &bytes[..n]).unwrap();
         let fault = snapshot::read(&bad).unwrap_err();
-        assert!(matches!(fault, StoreFault::Damaged { .. }), "cut at {n}: {fault}");
+        assert!(
+            matches!(fault, StoreFault::Damaged { .. }),
+            "cut at {n}: {fault}"
+        );
         let mut rotten = bytes.clone();
         rotten[n] ^= 0x10;
         std::fs::write(&bad, rotten).unwrap();
@@ -114,7 +194,8 @@
     assert!(snapshot::restore(&bad, &path, Era(9)).is_err());
     assert_eq!(Store::open(&path, 100).unwrap().1, all.0);
     // One that cannot be written leaves the last one.
-    let fault = snapshot::write(&dir.path().join("no/such/folder"), &all, Duration::ZERO).unwrap_err();
+    let fault =
+        snapshot::write(&dir.path().join("no/such/folder"), &all, Duration::ZERO).unwrap_err();
     assert!(matches!(fault, StoreFault::Disk { .. }), "{fault}");
 }
 
@@ -132,7 +213,13 @@
     let dir = tempfile::tempdir().unwrap();
     let (keeper, ..) = Keeper::open(&dir.path().join("s.store"), 100).unwrap();
     let hosts = ["h1".into()].into();
-    let mut l = Ledger::new(Facts { hosts, linger: Duration::ZERO }, 100);
+    let mut l = Ledger::new(
+        Facts {
+            hosts,
+            linger: Duration::ZERO,
+        },
+        100,
+    );
     let (to, from) = mpsc::channel();
     for n in 0..30u64 {
         let to = to.clone();
@@ -143,7 +230,11 @@
                 vec![Keep::Entry(wrong)]
             }
             n if n % 2 == 0 => vec![Keep::Entry(entry(&mut l, vec![plan("p", n as f64 + 1.0)]))],
-            n => vec![Keep::Place { volume: 1, extent: n, cell: 2 }],
+            n => vec![Keep::Place {
+                volume: 1,
+                extent: n,
+                cell: 2,
+            }],
         };
         keeper.keep(keeps, move |done| to.send((n, done.is_ok())).unwrap());
     }
--- a/crates/target/src/blocks.rs
+++ b/crates/target/src/blocks.rs
@@ -51,7 +51,11 @@
     pub fn pieces(self, lba: u64, blocks: u64) -> impl Iterator<Item = Piece> {
         let (each, size) = (u64::from(self.extent_blocks), u64::from(self.block_size));
         let end = lba + blocks;
-        let extents = if blocks == 0 { 0..0 } else { lba / each..end.div_ceil(each) };
+        let extents = if blocks == 0 {
+            0..0
+        } else {
+            lba / each..end.div_ceil(each)
+        };
         extents.map(move |extent| {
             let (from, to) = (lba.max(extent * each), end.min((extent + 1) * each));
             Piece {
@@ -115,7 +119,19 @@
         let (data, one) = (BytesMut::new(), None);
         let (open, left) = (pieces.len(), pieces.into_iter().map(Some).collect());
         let (deferred, abandoned, unkept, unsure) = (false, false, false, false);
-        Gather { left, open, bytes, data, one, reads, come_back: None, deferred, abandoned, unkept, unsure }
+        Gather {
+            left,
+            open,
+            bytes,
+            data,
+            one,
+            reads,
+            come_back: None,
+            deferred,
+            abandoned,
+            unkept,
+            unsure,
+        }
     }
 
     /// A command without pieces needs no answers.
@@ -163,10 +179,18 @@
             (true, ..) => Outcome::check(Sense::WRITE_ERROR),
             (_, true, _) => Outcome::check(Sense::OUTCOME_UNKNOWN),
             (.., true) => Outcome::busy(self.come_back),
-            _ => Outcome::good(self.one.take().unwrap_or_else(|| std::mem::take(&mut self.data).freeze())),
+            _ => Outcome::good(
+                self.one
+                    .take()
+                    .unwrap_or_else(|| std::mem::take(&mut self.data).freeze()),
+            ),
         };
         let busy = outcome.status == Status::Busy;
-        Whole { outcome, come_back: self.come_back.filter(|_| busy), unsure: self.unsure }
+        Whole {
+            outcome,
+            come_back: self.come_back.filter(|_| busy),
+            unsure: self.unsure,
+        }
     }
 }
 
--- a/crates/target/src/blocks/tests.rs
+++ b/crates/target/src/blocks/tests.rs
@@ -1,6 +1,9 @@
 use super::*;
 
-const LAYOUT: Layout = Layout { block_size: 512, extent_blocks: 4 };
+const LAYOUT: Layout = Layout {
+    block_size: 512,
+    extent_blocks: 4,
+};
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
@@ -23,13 +26,35 @@
 #[test]
 fn the_command_is_what_its_worst_piece_is_and_only_when_the_last_is_in() {
     let done = || Answer::Done(Bytes::new());
-    let deferred = |n| Answer::Deferred { come_back: Some(ms(n)), unsure: false };
+    let deferred = |n| Answer::Deferred {
+        come_back: Some(ms(n)),
+        unsure: false,
+    };
     let lost = || Answer::Abandoned { unsure: true };
     let cases = [
         (vec![done(), done(), done()], Status::Good, None),
-        (vec![done(), deferred(200), deferred(90)], Status::Busy, Some(ms(200))),
-        (vec![Answer::Deferred { come_back: None, unsure: false }, done(), done()], Status::Busy, None),
-        (vec![deferred(200), lost(), done()], Status::CheckCondition, None),
+        (
+            vec![done(), deferred(200), deferred(90)],
+            Status::Busy,
+            Some(ms(200)),
+        ),
+        (
+            vec![
+                Answer::Deferred {
+                    come_back: None,
+                    unsure: false,
+                },
+                done(),
+                done(),
+            ],
+            Status::Busy,
+            None,
+        ),
+        (
+            vec![deferred(200), lost(), done()],
+            Status::CheckCondition,
+            None,
+        ),
     ];
     for (answers, status, come_back) in cases {
         let mut g = Gather::new(LAYOUT.pieces(2, 8).collect(), false);
@@ -52,5 +77,8 @@
     assert!(g.take(0, Answer::Done(Bytes::from(vec![1; 512]))).is_none());
     let whole = g.take(1, Answer::Done(Bytes::from(vec![2; 100]))).unwrap();
     let d = whole.outcome.data;
-    assert_eq!((d.len(), d[0], d[512], d[611], d[612], d[2560]), (3072, 1, 2, 2, 0, 3));
+    assert_eq!(
+        (d.len(), d[0], d[512], d[611], d[612], d[2560]),
+        (3072, 1, 2, 2, 0, 3)
+    );
 }
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -28,7 +28,10 @@
 const MOST_LOGINS: usize = 256;
 /// A login must be through in this time.
 const LOGIN_TIME: Duration = Duration::from_secs(15);
-const LIMITS: Limits = Limits { most_data: 1 << 20, most_kept: 1024 };
+const LIMITS: Limits = Limits {
+    most_data: 1 << 20,
+    most_kept: 1024,
+};
 /// How often a write goes again above a version that it found at its node.
 const MOST_TRIES: u32 = 4;
 /// Unit attentions kept for one session at one unit (SAM-5 lets a device keep few).
@@ -235,19 +238,28 @@
 }
 
 fn attention_passes(command: &Command) -> bool {
-    matches!(command, Command::Inquiry { .. } | Command::ReportLuns { .. } | Command::RequestSense { .. })
+    matches!(
+        command,
+        Command::Inquiry { .. } | Command::ReportLuns { .. } | Command::RequestSense { .. }
+    )
 }
 
 impl Engine {
     /// `chance` gives 17 new bytes of it at each call, for challenges. `rest` is how long a write that was
     /// given up may still have its effect.
     pub fn new(
-        portal: Portal, addresses: Vec<String>, targets: Vec<TargetFacts>, volumes: Vec<VolumeFacts>,
+        portal: Portal,
+        addresses: Vec<String>,
+        targets: Vec<TargetFacts>,
+        volumes: Vec<VolumeFacts>,
         (figures, rest, versions): (Figures, Duration, Versions),
         chance: Box<dyn FnMut() -> [u8; 17] + Send>,
     ) -> Self {
         let volume = |facts: VolumeFacts| Volume {
-            layout: Layout { block_size: facts.unit.block_size, extent_blocks: facts.extent_blocks },
+            layout: Layout {
+                block_size: facts.unit.block_size,
+                extent_blocks: facts.extent_blocks,
+            },
             overlaps: Overlaps::default(),
             pressure: Pressure::new(figures),
             reservations: Reservations::default(),
@@ -286,7 +298,10 @@
     /// When `step` must be called if nothing comes before.
     pub fn wake_at(&self) -> Option<Duration> {
         let login = self.logins.first().map(|l| l.0 + LOGIN_TIME);
-        [login, self.resting.front().map(|r| r.0)].into_iter().flatten().min()
+        [login, self.resting.front().map(|r| r.0)]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
     pub fn step(&mut self, now: Duration, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
@@ -300,12 +315,19 @@
                 Input::Stored { no } => self.stored(no),
                 Input::Reserved { ceiling } => {
                     self.versions.kept(ceiling);
-                    std::mem::take(&mut self.unnumbered).into_iter().for_each(|no| self.send(no));
+                    std::mem::take(&mut self.unnumbered)
+                        .into_iter()
+                        .for_each(|no| self.send(no));
                 }
                 Input::StoreGone => self.store_gone(),
             }
         }
-        while let Some((_, conn)) = self.logins.first().copied().filter(|l| now >= l.0 + LOGIN_TIME) {
+        while let Some((_, conn)) = self
+            .logins
+            .first()
+            .copied()
+            .filter(|l| now >= l.0 + LOGIN_TIME)
+        {
             self.refuse(conn, "login takes too long");
         }
         while let Some((_, volume, op)) = self.resting.front().copied().filter(|r| r.0 <= now) {
@@ -332,12 +354,25 @@
     // Connections and logins
 
     fn up(&mut self, conn: ConnNo) {
-        if let Some((_, oldest)) = self.logins.first().copied().filter(|_| self.logins.len() >= MOST_LOGINS) {
+        if let Some((_, oldest)) = self
+            .logins
+            .first()
+            .copied()
+            .filter(|_| self.logins.len() >= MOST_LOGINS)
+        {
             self.refuse(oldest, "too many logins at once");
         }
         self.logins.insert((self.now, conn));
         let phase = Phase::Login(Box::new(Login::new(self.portal.clone())));
-        self.conns.insert(conn, Conn { phase, since: self.now, stat_sn: 1, digests: Digests::default() });
+        self.conns.insert(
+            conn,
+            Conn {
+                phase,
+                since: self.now,
+                stat_sn: 1,
+                digests: Digests::default(),
+            },
+        );
     }
 
     fn refuse(&mut self, conn: ConnNo, why: &str) {
@@ -353,7 +388,9 @@
     }
 
     fn read(&mut self, conn: ConnNo, read: Result<Pdu, Fault>) {
-        let Some(c) = self.conns.get_mut(&conn) else { return };
+        let Some(c) = self.conns.get_mut(&conn) else {
+            return;
+        };
         match (&mut c.phase, read) {
             (Phase::Full { session, cid }, read) => {
                 let (session, cid) = (*session, *cid);
@@ -383,9 +420,17 @@
     fn logged(&mut self, conn: ConnNo, mut answer: Pdu, standing: Standing, cmd_sn: u32) {
         let plain = Digests::default();
         match standing {
-            Standing::Goes => self.out.push(Output::Send { conn, pdu: answer, digests: plain }),
+            Standing::Goes => self.out.push(Output::Send {
+                conn,
+                pdu: answer,
+                digests: plain,
+            }),
             Standing::Failed(status, why) => {
-                self.out.push(Output::Send { conn, pdu: answer, digests: plain });
+                self.out.push(Output::Send {
+                    conn,
+                    pdu: answer,
+                    digests: plain,
+                });
                 self.refuse(conn, &format!("login refused ({status:?}): {why}"));
             }
             Standing::Done(who) => match self.admit(conn, *who, cmd_sn) {
@@ -393,13 +438,28 @@
                     answer.header = answer.header.set_tsih(tsih);
                     let c = &self.conns[&conn];
                     let (digests, most) = (c.digests, self.portal.wishes.our_segment as usize);
-                    self.out.push(Output::Reads { conn, digests, most });
-                    self.out.push(Output::Send { conn, pdu: answer, digests: plain });
+                    self.out.push(Output::Reads {
+                        conn,
+                        digests,
+                        most,
+                    });
+                    self.out.push(Output::Send {
+                        conn,
+                        pdu: answer,
+                        digests: plain,
+                    });
                 }
                 Err(status) => {
                     let code = status as u16;
-                    answer.header = answer.header.set_byte(36, (code >> 8) as u8).set_byte(37, code as u8);
-                    self.out.push(Output::Send { conn, pdu: answer, digests: plain });
+                    answer.header = answer
+                        .header
+                        .set_byte(36, (code >> 8) as u8)
+                        .set_byte(37, code as u8);
+                    self.out.push(Output::Send {
+                        conn,
+                        pdu: answer,
+                        digests: plain,
+                    });
                     self.refuse(conn, &format!("login refused ({status:?})"));
                 }
             },
@@ -408,12 +468,22 @@
 
     /// A new session, one more connection of one, or a session in place of the old one (section 6.3.5).
     fn admit(&mut self, conn: ConnNo, who: LoggedIn, cmd_sn: u32) -> Result<u16, LoginStatus> {
-        let target = who.target.as_ref().and_then(|t| self.targets.iter().position(|x| x.name == *t));
+        let target = who
+            .target
+            .as_ref()
+            .and_then(|t| self.targets.iter().position(|x| x.name == *t));
         let same = |s: &&SessionState| {
             s.who.initiator == who.initiator && s.who.isid == who.isid && s.who.target == who.target
         };
-        let old = self.sessions.iter().find(|(_, s)| same(s)).map(|(no, s)| (*no, s.tsih));
-        let digests = Digests { header: who.params.header_digest, data: who.params.data_digest };
+        let old = self
+            .sessions
+            .iter()
+            .find(|(_, s)| same(s))
+            .map(|(no, s)| (*no, s.tsih));
+        let digests = Digests {
+            header: who.params.header_digest,
+            data: who.params.data_digest,
+        };
         let cid = Cid(who.cid);
         let session = match (who.tsih, old) {
             (0, old) => {
@@ -426,11 +496,21 @@
                 let listing = self.listing(&who.initiator);
                 let session = Session::new(who.target.clone(), listing, LIMITS, cmd_sn, 32);
                 let attentions = target.iter().flat_map(|t| self.targets[*t].luns.iter());
-                let attentions = attentions.map(|v| (*v, VecDeque::from([Sense::POWER_ON]))).collect();
+                let attentions = attentions
+                    .map(|v| (*v, VecDeque::from([Sense::POWER_ON])))
+                    .collect();
                 let conns = BTreeMap::new();
                 let (who, tsih) = (who.clone(), self.next_tsih);
                 let allowed = BTreeMap::new();
-                let state = SessionState { session, who, tsih, target, conns, attentions, allowed };
+                let state = SessionState {
+                    session,
+                    who,
+                    tsih,
+                    target,
+                    conns,
+                    attentions,
+                    allowed,
+                };
                 self.sessions.insert(no, state);
                 for v in target.iter().flat_map(|t| self.targets[*t].luns.clone()) {
                     self.volumes[v].pressure.join(SessionNo(no));
@@ -454,7 +534,10 @@
         let c = self.conns.get_mut(&conn).expect("it has just logged in");
         (c.phase, c.digests) = (Phase::Full { session, cid }, digests);
         self.logins.remove(&(c.since, conn));
-        let s = self.sessions.get_mut(&session).ok_or(LoginStatus::SessionDoesNotExist)?;
+        let s = self
+            .sessions
+            .get_mut(&session)
+            .ok_or(LoginStatus::SessionDoesNotExist)?;
         s.session.join(cid, who.params.clone(), c.stat_sn);
         s.conns.insert(cid, conn);
         Ok(s.tsih)
@@ -463,16 +546,23 @@
     /// Targets that an initiator may see.
     fn listing(&self, initiator: &str) -> Vec<(String, Vec<String>)> {
         let may = |t: &&grebecleat_iscsi::login::Target| {
-            t.initiators.as_ref().is_none_or(|all| all.iter().any(|i| i == initiator))
+            t.initiators
+                .as_ref()
+                .is_none_or(|all| all.iter().any(|i| i == initiator))
         };
         let seen = self.portal.targets.iter().filter(may);
-        seen.map(|t| (t.name.clone(), self.addresses.clone())).collect()
+        seen.map(|t| (t.name.clone(), self.addresses.clone()))
+            .collect()
     }
 
     fn gone(&mut self, conn: ConnNo) {
         let Some(c) = self.forget(conn) else { return };
-        let Phase::Full { session, cid } = c.phase else { return };
-        let Some(s) = self.sessions.get_mut(&session) else { return };
+        let Phase::Full { session, cid } = c.phase else {
+            return;
+        };
+        let Some(s) = self.sessions.get_mut(&session) else {
+            return;
+        };
         s.conns.remove(&cid);
         let acts = s.session.lost(cid);
         self.acts(session, acts);
@@ -480,8 +570,13 @@
     }
 
     fn end_session(&mut self, no: u64) {
-        let conns: Vec<ConnNo> =
-            self.sessions.get(&no).iter().flat_map(|s| s.conns.values()).copied().collect();
+        let conns: Vec<ConnNo> = self
+            .sessions
+            .get(&no)
+            .iter()
+            .flat_map(|s| s.conns.values())
+            .copied()
+            .collect();
         for conn in conns {
             self.out.push(Output::Close { conn });
             self.gone(conn);
@@ -494,7 +589,9 @@
         let done = |s: &SessionState| s.session.is_empty() && s.session.tasks() == 0;
         if self.sessions.get(&no).is_some_and(done) {
             self.sessions.remove(&no);
-            self.volumes.iter_mut().for_each(|v| v.pressure.leave(SessionNo(no)));
+            self.volumes
+                .iter_mut()
+                .for_each(|v| v.pressure.leave(SessionNo(no)));
             self.pressed.extend(0..self.volumes.len());
         }
     }
@@ -503,21 +600,37 @@
         for act in acts {
             match act {
                 Act::Send { cid, pdu } => {
-                    let conn = self.sessions.get(&session).and_then(|s| s.conns.get(&cid)).copied();
+                    let conn = self
+                        .sessions
+                        .get(&session)
+                        .and_then(|s| s.conns.get(&cid))
+                        .copied();
                     if let Some((conn, c)) = conn.and_then(|n| Some((n, self.conns.get(&n)?))) {
-                        self.out.push(Output::Send { conn, pdu, digests: c.digests });
+                        self.out.push(Output::Send {
+                            conn,
+                            pdu,
+                            digests: c.digests,
+                        });
                     }
                 }
                 Act::Close { cid } => {
-                    let conn = self.sessions.get(&session).and_then(|s| s.conns.get(&cid)).copied();
+                    let conn = self
+                        .sessions
+                        .get(&session)
+                        .and_then(|s| s.conns.get(&cid))
+                        .copied();
                     if let Some(conn) = conn {
                         self.out.push(Output::Close { conn });
                         self.gone(conn);
                     }
                 }
-                Act::Start { task, lun, cdb, data, most_in } => {
-                    self.start(session, task, lun, cdb, data, most_in)
-                }
+                Act::Start {
+                    task,
+                    lun,
+                    cdb,
+                    data,
+                    most_in,
+                } => self.start(session, task, lun, cdb, data, most_in),
                 Act::Abort { tasks, .. } => self.abort(session, &tasks),
                 Act::Reset { lun, why } => self.reset(session, lun, why),
             }
@@ -527,7 +640,12 @@
     /// Aborted commands that wait for their turn end at once, others with their last transfer.
     fn abort(&mut self, session: u64, tasks: &[TaskNo]) {
         let hit = |o: &Op| o.session == session && tasks.contains(&o.task);
-        let ops: Vec<u64> = self.ops.iter().filter(|(_, o)| hit(o)).map(|(no, _)| *no).collect();
+        let ops: Vec<u64> = self
+            .ops
+            .iter()
+            .filter(|(_, o)| hit(o))
+            .map(|(no, _)| *no)
+            .collect();
         for no in ops {
             let op = self.ops.get_mut(&no).expect("listed above");
             op.ended = true;
@@ -539,12 +657,18 @@
 
     /// Commands of other sessions at the same units end too, and they are told.
     fn reset(&mut self, by: u64, lun: Option<u64>, why: Why) {
-        let Some(target) = self.sessions.get(&by).and_then(|s| s.target) else { return };
+        let Some(target) = self.sessions.get(&by).and_then(|s| s.target) else {
+            return;
+        };
         let units: Vec<usize> = match lun {
             Some(lun) => self.unit_of(target, lun).into_iter().collect(),
             None => self.targets[target].luns.clone(),
         };
-        let sense = if why == Why::ClearTaskSet { Sense::COMMANDS_CLEARED } else { Sense::BUS_DEVICE_RESET };
+        let sense = if why == Why::ClearTaskSet {
+            Sense::COMMANDS_CLEARED
+        } else {
+            Sense::BUS_DEVICE_RESET
+        };
         let others: Vec<u64> = self.sessions.keys().copied().filter(|s| *s != by).collect();
         for session in others {
             let hit = |o: &&Op| o.session == session && units.contains(&o.volume);
@@ -557,8 +681,14 @@
     }
 
     fn attend(&mut self, session: u64, unit: usize, sense: Sense) {
-        let Some(s) = self.sessions.get_mut(&session) else { return };
-        if let Some(held) = s.attentions.get_mut(&unit).filter(|h| h.len() < MOST_ATTENTIONS) {
+        let Some(s) = self.sessions.get_mut(&session) else {
+            return;
+        };
+        if let Some(held) = s
+            .attentions
+            .get_mut(&unit)
+            .filter(|h| h.len() < MOST_ATTENTIONS)
+        {
             held.push_back(sense);
         }
     }
@@ -571,7 +701,11 @@
             1 => usize::from(first & 0x3fff),
             _ => return None,
         };
-        self.targets[target].luns.get(index).copied().filter(|_| rest == 0)
+        self.targets[target]
+            .luns
+            .get(index)
+            .copied()
+            .filter(|_| rest == 0)
     }
 
     // Commands
@@ -583,7 +717,15 @@
         }
     }
 
-    fn start(&mut self, session: u64, task: TaskNo, lun: u64, cdb: [u8; 16], data: Bytes, most_in: u32) {
+    fn start(
+        &mut self,
+        session: u64,
+        task: TaskNo,
+        lun: u64,
+        cdb: [u8; 16],
+        data: Bytes,
+        most_in: u32,
+    ) {
         let outcome = self.begin(session, task, lun, cdb, data, most_in);
         if let Some(outcome) = outcome {
             self.answer(session, task, outcome);
@@ -592,7 +734,13 @@
 
     /// What can be answered at once, is; None where transfers are under way.
     fn begin(
-        &mut self, session: u64, task: TaskNo, lun: u64, cdb: [u8; 16], data: Bytes, most_in: u32,
+        &mut self,
+        session: u64,
+        task: TaskNo,
+        lun: u64,
+        cdb: [u8; 16],
+        data: Bytes,
+        most_in: u32,
     ) -> Option<Outcome> {
         let check = |s| Some(Outcome::check(s));
         let command = match decode(&cdb) {
@@ -601,7 +749,9 @@
         };
         let s = self.sessions.get_mut(&session)?;
         let target = s.target?;
-        let luns: Vec<u64> = (0..self.targets[target].luns.len()).map(|i| (i as u64) << 48).collect();
+        let luns: Vec<u64> = (0..self.targets[target].luns.len())
+            .map(|i| (i as u64) << 48)
+            .collect();
         let Some(volume) = self.unit_of(target, lun) else {
             return match command {
                 Command::Inquiry { page: None, most } => {
@@ -643,13 +793,24 @@
                     Outcome::good(b)
                 }))
             }
-            Command::ReserveOut { action, scope, kind, length } if data.len() >= length => {
-                match v.reservations.change(nexus, action, scope, kind, &data[..length]) {
+            Command::ReserveOut {
+                action,
+                scope,
+                kind,
+                length,
+            } if data.len() >= length => {
+                match v
+                    .reservations
+                    .change(nexus, action, scope, kind, &data[..length])
+                {
                     Ok(told) => {
-                        told.attentions.iter().for_each(|(n, s)| self.attend(n.0, volume, *s));
+                        told.attentions
+                            .iter()
+                            .for_each(|(n, s)| self.attend(n.0, volume, *s));
                         for n in told.aborted {
                             let hit = |o: &&Op| o.session == n.0 && o.volume == volume;
-                            let tasks: Vec<TaskNo> = self.ops.values().filter(hit).map(|o| o.task).collect();
+                            let tasks: Vec<TaskNo> =
+                                self.ops.values().filter(hit).map(|o| o.task).collect();
                             self.abort(n.0, &tasks);
                         }
                         Some(Outcome::good(Bytes::new()))
@@ -664,7 +825,13 @@
     }
 
     fn on_blocks(
-        &mut self, session: u64, task: TaskNo, volume: usize, command: Command, data: Bytes, most_in: u32,
+        &mut self,
+        session: u64,
+        task: TaskNo,
+        volume: usize,
+        command: Command,
+        data: Bytes,
+        most_in: u32,
     ) -> Option<Outcome> {
         let check = |s| Some(Outcome::check(s));
         let unit = &self.volumes[volume].facts.unit;
@@ -672,7 +839,9 @@
         let (lba, blocks, deed) = match command {
             Command::Read { lba, blocks, .. } => (lba, blocks, Deed::Read),
             Command::Write { lba, blocks, .. } => (lba, blocks, Deed::Write(data)),
-            Command::Verify { lba, blocks, bytes } => (lba, blocks, Deed::Verify(bytes.then_some(data))),
+            Command::Verify { lba, blocks, bytes } => {
+                (lba, blocks, Deed::Verify(bytes.then_some(data)))
+            }
             // A write that was GOOD is kept: there is no cache to bring down.
             Command::SynchronizeCache { lba, blocks, .. } => {
                 let fine = unit.within(lba, blocks);
@@ -683,16 +852,38 @@
                 if data.len() != 2 * half {
                     return check(Sense::INVALID_FIELD_IN_CDB);
                 }
-                (lba, blocks, Deed::Compare { with: data.slice(..half), then: data.slice(half..) })
+                (
+                    lba,
+                    blocks,
+                    Deed::Compare {
+                        with: data.slice(..half),
+                        then: data.slice(half..),
+                    },
+                )
             }
-            Command::WriteSame { lba, blocks, data: given, .. } => {
-                let blocks = if blocks == 0 { unit.blocks.saturating_sub(lba) } else { blocks };
-                let one = if given { data } else { Bytes::from(vec![0; bytes(1)]) };
+            Command::WriteSame {
+                lba,
+                blocks,
+                data: given,
+                ..
+            } => {
+                let blocks = if blocks == 0 {
+                    unit.blocks.saturating_sub(lba)
+                } else {
+                    blocks
+                };
+                let one = if given {
+                    data
+                } else {
+                    Bytes::from(vec![0; bytes(1)])
+                };
                 if one.len() != bytes(1) || blocks > u64::from(unit.most_blocks) {
                     return check(Sense::INVALID_FIELD_IN_CDB);
                 }
-                let all: BytesMut =
-                    std::iter::repeat_n(&one[..], blocks as usize).flatten().copied().collect();
+                let all: BytesMut = std::iter::repeat_n(&one[..], blocks as usize)
+                    .flatten()
+                    .copied()
+                    .collect();
                 (lba, blocks, Deed::Write(all.freeze()))
             }
             Command::Unmap { length } => match unmap_ranges(&data[..data.len().min(length)]) {
@@ -701,9 +892,11 @@
                 // One range becomes zeroes. More than the block limits page tells of are refused (SBC-3,
                 // 5.28).
                 Ok(ranges) => match ranges[..] {
-                    [(lba, blocks)] if blocks <= u64::from(unit.most_blocks) => {
-                        (lba, blocks, Deed::Write(Bytes::from(vec![0; bytes(blocks)])))
-                    }
+                    [(lba, blocks)] if blocks <= u64::from(unit.most_blocks) => (
+                        lba,
+                        blocks,
+                        Deed::Write(Bytes::from(vec![0; bytes(blocks)])),
+                    ),
                     _ => return check(Sense::INVALID_FIELD_IN_PARAMETERS),
                 },
             },
@@ -732,8 +925,28 @@
         v.pressure.opened(SessionNo(session));
         self.pressed.insert(volume);
         let reads = !matches!(deed, Deed::Write(_));
-        let goes = v.overlaps.open(no, Range { start: lba, end: lba + blocks, writes, reads });
-        self.ops.insert(no, Op { session, task, volume, deed, lba, blocks, gather: None, ended: false });
+        let goes = v.overlaps.open(
+            no,
+            Range {
+                start: lba,
+                end: lba + blocks,
+                writes,
+                reads,
+            },
+        );
+        self.ops.insert(
+            no,
+            Op {
+                session,
+                task,
+                volume,
+                deed,
+                lba,
+                blocks,
+                gather: None,
+                ended: false,
+            },
+        );
         if goes {
             self.launch(no, false);
         }
@@ -742,18 +955,26 @@
 
     /// Sends a command's transfers; of COMPARE AND WRITE first those that read, then those that write.
     fn launch(&mut self, no: u64, second: bool) {
-        let Some(op) = self.ops.get_mut(&no) else { return };
+        let Some(op) = self.ops.get_mut(&no) else {
+            return;
+        };
         let data = match (&op.deed, second) {
             (Deed::Write(data), _) => Some(data.clone()),
             (Deed::Compare { then, .. }, true) => Some(then.clone()),
             _ => None,
         };
         let (volume, write) = (op.volume, data.is_some());
-        let pieces: Vec<Piece> = self.volumes[volume].layout.pieces(op.lba, op.blocks).collect();
+        let pieces: Vec<Piece> = self.volumes[volume]
+            .layout
+            .pieces(op.lba, op.blocks)
+            .collect();
         op.gather = Some(Gather::new(pieces.clone(), !write));
         for (place, p) in pieces.into_iter().enumerate() {
             let xfer = XferNo(self.number());
-            let part = data.as_ref().map(|d| d.slice(p.at..p.at + p.length as usize)).unwrap_or_default();
+            let part = data
+                .as_ref()
+                .map(|d| d.slice(p.at..p.at + p.length as usize))
+                .unwrap_or_default();
             let request = Request {
                 no: xfer,
                 volume: self.volumes[volume].facts.volume,
@@ -765,7 +986,17 @@
                 data: part,
                 version: None,
             };
-            self.xfers.insert(xfer, Transfer { op: no, place, request, places: false, cell: None, tries: 0 });
+            self.xfers.insert(
+                xfer,
+                Transfer {
+                    op: no,
+                    place,
+                    request,
+                    places: false,
+                    cell: None,
+                    tries: 0,
+                },
+            );
             self.send(xfer);
         }
     }
@@ -773,7 +1004,9 @@
     /// Sends a transfer to where its extent lies, a write with the next version. Of an extent that lies
     /// nowhere, reads are zeroes, and the first write goes alone.
     fn send(&mut self, no: XferNo) {
-        let Some(x) = self.xfers.get_mut(&no) else { return };
+        let Some(x) = self.xfers.get_mut(&no) else {
+            return;
+        };
         let v = &mut self.volumes[self.ops[&x.op].volume];
         let extent = x.request.extent;
         match v.facts.placed.get(extent) {
@@ -803,7 +1036,9 @@
     }
 
     fn answered(&mut self, no: XferNo, answer: Answer, cell: Option<u32>) {
-        let Some(x) = self.xfers.get_mut(&no).filter(|x| x.cell.is_none()) else { return };
+        let Some(x) = self.xfers.get_mut(&no).filter(|x| x.cell.is_none()) else {
+            return;
+        };
         if let Answer::Superseded(there) = answer {
             return self.again(no, there, cell);
         }
@@ -813,7 +1048,12 @@
             }
             x.cell = Some(cell);
             let (volume, extent) = (x.request.volume, x.request.extent);
-            return self.out.push(Output::Store { no, volume, extent, cell });
+            return self.out.push(Output::Store {
+                no,
+                volume,
+                extent,
+                cell,
+            });
         }
         self.settle(no, answer);
     }
@@ -827,7 +1067,10 @@
         if !self.versions.learn(there) || x.tries >= MOST_TRIES || !wanted {
             return self.settle(no, Answer::Superseded(there));
         }
-        let (again, mut x) = (XferNo(self.number()), self.xfers.remove(&no).expect("looked up above"));
+        let (again, mut x) = (
+            XferNo(self.number()),
+            self.xfers.remove(&no).expect("looked up above"),
+        );
         (x.tries, x.request.no) = (x.tries + 1, again);
         x.request.cell = x.request.cell.or(cell);
         self.xfers.insert(again, x);
@@ -835,9 +1078,14 @@
     }
 
     fn stored(&mut self, no: XferNo) {
-        let Some((x, cell)) = self.xfers.get(&no).and_then(|x| Some((x, x.cell?))) else { return };
+        let Some((x, cell)) = self.xfers.get(&no).and_then(|x| Some((x, x.cell?))) else {
+            return;
+        };
         let volume = self.ops[&x.op].volume;
-        self.volumes[volume].facts.placed.insert(x.request.extent, cell);
+        self.volumes[volume]
+            .facts
+            .placed
+            .insert(x.request.extent, cell);
         self.settle(no, Answer::Done(Bytes::new()));
     }
 
@@ -846,19 +1094,35 @@
     fn store_gone(&mut self) {
         self.keeps = false;
         let waits = |x: &Transfer| x.cell.is_some();
-        let waiting: Vec<XferNo> = self.xfers.iter().filter(|(_, x)| waits(x)).map(|(no, _)| *no).collect();
-        waiting.into_iter().for_each(|no| self.settle(no, Answer::Unkept));
-        std::mem::take(&mut self.unnumbered).into_iter().for_each(|no| self.send(no));
+        let waiting: Vec<XferNo> = self
+            .xfers
+            .iter()
+            .filter(|(_, x)| waits(x))
+            .map(|(no, _)| *no)
+            .collect();
+        waiting
+            .into_iter()
+            .for_each(|no| self.settle(no, Answer::Unkept));
+        std::mem::take(&mut self.unnumbered)
+            .into_iter()
+            .for_each(|no| self.send(no));
     }
 
     fn settle(&mut self, no: XferNo, answer: Answer) {
-        let Some(x) = self.xfers.remove(&no) else { return };
-        let Some(op) = self.ops.get_mut(&x.op) else { return };
+        let Some(x) = self.xfers.remove(&no) else {
+            return;
+        };
+        let Some(op) = self.ops.get_mut(&x.op) else {
+            return;
+        };
         let volume = op.volume;
         let whole = op.gather.as_mut().and_then(|g| g.take(x.place, answer));
         if x.places {
             // What waited for the place goes there, or the next of it finds one.
-            let waiting = self.volumes[volume].placing.remove(&x.request.extent).unwrap_or_default();
+            let waiting = self.volumes[volume]
+                .placing
+                .remove(&x.request.extent)
+                .unwrap_or_default();
             waiting.into_iter().for_each(|w| self.send(w));
         }
         if let Some(whole) = whole {
@@ -869,7 +1133,11 @@
     /// All transfers of a command's step are answered.
     fn over(&mut self, no: u64, whole: Whole) {
         let Some(op) = self.ops.get(&no) else { return };
-        let Whole { outcome, come_back, unsure } = whole;
+        let Whole {
+            outcome,
+            come_back,
+            unsure,
+        } = whole;
         let good = outcome.status == Status::Good;
         let at = |a: &[u8], b: &[u8]| a.iter().zip(b).position(|(x, y)| x != y).map(|i| i as u64);
         let outcome = match &op.deed {
@@ -878,16 +1146,20 @@
                 None => Outcome::good(Bytes::new()),
             },
             Deed::Verify(None) if good => Outcome::good(Bytes::new()),
-            Deed::Compare { with, .. } if good && !outcome.data.is_empty() => match at(with, &outcome.data) {
-                Some(i) => Outcome::check(Sense::MISCOMPARE.at(i)),
-                None if op.ended => outcome,
-                None => return self.launch(no, true),
-            },
+            Deed::Compare { with, .. } if good && !outcome.data.is_empty() => {
+                match at(with, &outcome.data) {
+                    Some(i) => Outcome::check(Sense::MISCOMPARE.at(i)),
+                    None if op.ended => outcome,
+                    None => return self.launch(no, true),
+                }
+            }
             _ => outcome,
         };
         let ended = match outcome.status {
             Status::Good => Ended::Done,
-            Status::Busy => Ended::Deferred { come_back: come_back.unwrap_or(self.rest) },
+            Status::Busy => Ended::Deferred {
+                come_back: come_back.unwrap_or(self.rest),
+            },
             _ => Ended::Other,
         };
         self.end(no, Some(outcome), ended, unsure);
@@ -895,14 +1167,20 @@
 
     /// A command has ended; answered, unless it was aborted. `unsure`: it may still have an effect.
     fn end(&mut self, no: u64, outcome: Option<Outcome>, ended: Ended, unsure: bool) {
-        let Some(op) = self.ops.remove(&no) else { return };
-        self.volumes[op.volume].pressure.closed(self.now, SessionNo(op.session), ended);
+        let Some(op) = self.ops.remove(&no) else {
+            return;
+        };
+        self.volumes[op.volume]
+            .pressure
+            .closed(self.now, SessionNo(op.session), ended);
         self.pressed.insert(op.volume);
-        let wrote = ended == Ended::Done && matches!(op.deed, Deed::Write(_) | Deed::Compare { .. });
+        let wrote =
+            ended == Ended::Done && matches!(op.deed, Deed::Write(_) | Deed::Compare { .. });
         let overlaps = &mut self.volumes[op.volume].overlaps;
         let free = match (unsure, wrote) {
             (true, _) => {
-                self.resting.push_back((self.now + self.rest, op.volume, no));
+                self.resting
+                    .push_back((self.now + self.rest, op.volume, no));
                 overlaps.rest(no)
             }
             (false, true) => overlaps.cover(no),
--- a/crates/target/src/overlaps.rs
+++ b/crates/target/src/overlaps.rs
@@ -69,13 +69,23 @@
         }
         self.longest = self.longest.max(range.end.saturating_sub(range.start));
         self.starts.insert((range.start, no));
-        self.open.insert(no, Entry { range, before, behind: VecDeque::new(), rests: false });
+        self.open.insert(
+            no,
+            Entry {
+                range,
+                before,
+                behind: VecDeque::new(),
+                rests: false,
+            },
+        );
         before == 0
     }
 
     /// A command has ended; which may go now, in the order they came.
     pub fn close(&mut self, no: u64) -> Vec<u64> {
-        let Some(e) = self.open.remove(&no) else { return Vec::new() };
+        let Some(e) = self.open.remove(&no) else {
+            return Vec::new();
+        };
         self.starts.remove(&(e.range.start, no));
         if self.open.is_empty() {
             self.longest = 0;
@@ -85,9 +95,19 @@
 
     /// A write was carried out and has ended: what rested below it is over too.
     pub fn cover(&mut self, no: u64) -> Vec<u64> {
-        let Some(range) = self.open.get(&no).map(|e| e.range) else { return Vec::new() };
-        let below: Vec<u64> = self.starts.range((range.start, 0)..(range.end, 0)).map(|s| s.1).collect();
-        let over = |o: &u64| self.open.get(o).is_some_and(|e| e.rests && range.covers(&e.range));
+        let Some(range) = self.open.get(&no).map(|e| e.range) else {
+            return Vec::new();
+        };
+        let below: Vec<u64> = self
+            .starts
+            .range((range.start, 0)..(range.end, 0))
+            .map(|s| s.1)
+            .collect();
+        let over = |o: &u64| {
+            self.open
+                .get(o)
+                .is_some_and(|e| e.rests && range.covers(&e.range))
+        };
         let over: Vec<u64> = below.into_iter().filter(over).collect();
         let mut free: Vec<u64> = over.into_iter().flat_map(|o| self.close(o)).collect();
         free.extend(self.close(no));
@@ -97,7 +117,9 @@
 
     /// A write has ended and may still have its effect: which writes may go now.
     pub fn rest(&mut self, no: u64) -> Vec<u64> {
-        let Some(e) = self.open.get_mut(&no) else { return Vec::new() };
+        let Some(e) = self.open.get_mut(&no) else {
+            return Vec::new();
+        };
         e.rests = true;
         let behind = std::mem::take(&mut e.behind);
         let reads = |o: &u64| self.open.get(o).is_some_and(|e| e.range.reads);
@@ -112,7 +134,9 @@
         let mut free = Vec::new();
         for later in behind {
             // One that was closed while it waited is gone.
-            let Some(e) = self.open.get_mut(&later) else { continue };
+            let Some(e) = self.open.get_mut(&later) else {
+                continue;
+            };
             e.before -= 1;
             if e.before == 0 {
                 free.push(later);
