--- a/crates/target/src/overlaps/tests.rs
+++ b/crates/target/src/overlaps/tests.rs
@@ -3,48 +3,76 @@
 use rand_pcg::Pcg64Mcg;
 
 fn range(start: u64, end: u64, writes: bool) -> Range {
-    Range { start, end, writes, reads: !writes }
+    Range {
+        start,
+        end,
+        writes,
+        reads: !writes,
+    }
 }
 
 #[test]
 fn reads_pass_reads_and_nothing_passes_an_overlapping_write() {
     let mut o = Overlaps::default();
     assert!(o.open(1, range(0, 8, false)) && o.open(2, range(4, 12, false)));
-    assert!(!o.open(3, range(10, 20, true)), "behind the read of 10 and 11");
-    assert!(!o.open(4, range(18, 19, false)), "behind the write that itself waits");
+    assert!(
+        !o.open(3, range(10, 20, true)),
+        "behind the read of 10 and 11"
+    );
+    assert!(
+        !o.open(4, range(18, 19, false)),
+        "behind the write that itself waits"
+    );
     assert!(o.open(5, range(20, 30, true)), "touching is no overlap");
     assert!(o.close(1).is_empty());
     assert_eq!(o.close(2), [3]);
     assert_eq!(o.close(3), [4]);
-    assert!(o.close(4).is_empty() && o.close(5).is_empty() && o.is_empty() && o.close(5).is_empty());
+    assert!(
+        o.close(4).is_empty() && o.close(5).is_empty() && o.is_empty() && o.close(5).is_empty()
+    );
 }
 
 #[test]
 fn writes_pass_what_rests_and_reads_wait_until_it_is_covered_or_over() {
     let mut o = Overlaps::default();
-    let both = Range { reads: true, ..range(0, 6, true) };
+    let both = Range {
+        reads: true,
+        ..range(0, 6, true)
+    };
     assert!(o.open(1, range(0, 8, true)));
     assert!(!o.open(2, range(2, 4, false)) && !o.open(3, range(0, 4, true)) && !o.open(4, both));
-    assert!(o.rest(1).is_empty(), "the write is behind the read of its blocks");
+    assert!(
+        o.rest(1).is_empty(),
+        "the write is behind the read of its blocks"
+    );
     assert!(o.open(5, range(6, 8, true)) && !o.open(6, range(7, 9, false)));
     assert!(o.cover(5).is_empty(), "the rest is not covered whole");
     assert_eq!(o.close(1), [2, 6], "over: the reads go");
-    assert_eq!((o.close(2), o.close(3), o.close(4)), (vec![3], vec![4], vec![]));
+    assert_eq!(
+        (o.close(2), o.close(3), o.close(4)),
+        (vec![3], vec![4], vec![])
+    );
     o.close(6);
     // Covered by a later write that was carried out, or by one that rests in its turn.
     assert!(o.open(10, range(0, 4, true)) && !o.open(11, range(0, 8, true)));
     assert_eq!(o.rest(10), [11]);
     assert!(!o.open(12, range(1, 2, false)));
     assert_eq!(o.cover(11), [12]);
-    assert!(o.close(10).is_empty() && o.close(12).is_empty() && o.is_empty(), "nothing rests any more");
+    assert!(
+        o.close(10).is_empty() && o.close(12).is_empty() && o.is_empty(),
+        "nothing rests any more"
+    );
 }
 
 #[test]
 fn it_orders_as_a_plain_list_does() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut o, mut plain, mut running) = (Overlaps::default(), Vec::<(u64, Range)>::new(), Vec::new());
-        let may_go = |plain: &[(u64, Range)], at: usize| plain[..at].iter().all(|e| !e.1.meets(&plain[at].1));
+        let (mut o, mut plain, mut running) =
+            (Overlaps::default(), Vec::<(u64, Range)>::new(), Vec::new());
+        let may_go = |plain: &[(u64, Range)], at: usize| {
+            plain[..at].iter().all(|e| !e.1.meets(&plain[at].1))
+        };
         for no in 0..120 {
             if rng.random_range(0..3) > 0 || running.is_empty() {
                 let start = rng.random_range(0..60);
@@ -58,8 +86,10 @@
                 plain.retain(|e| e.0 != done);
                 running.extend(o.close(done));
             }
-            let mut expected: Vec<u64> =
-                (0..plain.len()).filter(|i| may_go(&plain, *i)).map(|i| plain[i].0).collect();
+            let mut expected: Vec<u64> = (0..plain.len())
+                .filter(|i| may_go(&plain, *i))
+                .map(|i| plain[i].0)
+                .collect();
             running.sort_unstable();
             expected.sort_unstable();
             assert_eq!(running, expected, "seed {seed}");
@@ -73,5 +103,9 @@
     (0..10_000).for_each(|n| assert!(o.open(n, range(n * 100, n * 100 + 8, true))));
     o.visited = 0;
     (0..1000).for_each(|n| assert!(o.open(10_000 + n, range(n * 1000 + 50, n * 1000 + 58, true))));
-    assert!(o.visited < 2000, "{} ranges looked at; a plain list looks at 10,000,000", o.visited);
+    assert!(
+        o.visited < 2000,
+        "{} ranges looked at; a plain list looks at 10,000,000",
+        o.visited
+    );
 }
--- a/crates/target/src/portal.rs
+++ b/crates/target/src/portal.rs
@@ -118,10 +118,14 @@
 
 /// Starts a portal beside a running host; where it listens.
 pub fn start(
-    settings: &Arc<Settings>, spec: &PortalSpec, host: &Handle, store: Places,
+    settings: &Arc<Settings>,
+    spec: &PortalSpec,
+    host: &Handle,
+    store: Places,
 ) -> Result<SocketAddr, String> {
     let (to, events) = mpsc::channel();
-    let listener = TcpListener::bind(spec.listen).map_err(|e| format!("portal on {}: {e}", spec.listen))?;
+    let listener =
+        TcpListener::bind(spec.listen).map_err(|e| format!("portal on {}: {e}", spec.listen))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     let engine = engine(settings, spec, address, &store);
     // Told once for all answers that come until they are read: one for each would wake us for nothing.
@@ -153,13 +157,18 @@
         spec: spec.clone(),
     };
     let thread = std::thread::Builder::new().name("iscsi".into());
-    thread.spawn(move || owner.run(&events)).map_err(|e| e.to_string())?;
+    thread
+        .spawn(move || owner.run(&events))
+        .map_err(|e| e.to_string())?;
     Ok(address)
 }
 
 fn engine(settings: &Settings, spec: &PortalSpec, address: SocketAddr, store: &Places) -> Engine {
     let secret = |s: &Option<(String, String)>| {
-        s.as_ref().map(|(name, secret)| Secret { name: name.clone(), secret: secret.clone().into_bytes() })
+        s.as_ref().map(|(name, secret)| Secret {
+            name: name.clone(),
+            secret: secret.clone().into_bytes(),
+        })
     };
     let targets = settings.targets.iter().map(|t| Target {
         name: t.name.clone(),
@@ -167,7 +176,11 @@
         chap: secret(&t.chap),
         mutual: secret(&t.mutual),
     });
-    let portal = Portal { targets: targets.collect(), group: spec.group, ..Portal::default() };
+    let portal = Portal {
+        targets: targets.collect(),
+        group: spec.group,
+        ..Portal::default()
+    };
     let volumes = settings.volumes.iter().map(|v| VolumeFacts {
         volume: v.id,
         unit: Unit {
@@ -184,18 +197,34 @@
     let facts = settings
         .targets
         .iter()
-        .map(|t| TargetFacts { name: t.name.clone(), luns: t.volumes.clone() })
+        .map(|t| TargetFacts {
+            name: t.name.clone(),
+            luns: t.volumes.clone(),
+        })
         .collect();
     let (first, most, most_each) = spec.commands;
     // As long as a leg of a transfer that was given up may still begin at a node, and then the key's rest.
-    let longest = settings.streams.iter().map(|s| s.expiry).max().unwrap_or_default();
-    let figures = Figures { first, most, most_each };
-    let world = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let longest = settings
+        .streams
+        .iter()
+        .map(|s| s.expiry)
+        .max()
+        .unwrap_or_default();
+    let figures = Figures {
+        first,
+        most,
+        most_each,
+    };
+    let world = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     let micros = clock::micros(world);
     let chance = || {
         let mut bytes = [0; 17];
         // Without chance there is no login: a challenge that can be told beforehand proves nothing.
-        OsRng.try_fill_bytes(&mut bytes).expect("the system has chance to give");
+        OsRng
+            .try_fill_bytes(&mut bytes)
+            .expect("the system has chance to give");
         bytes
     };
     Engine::new(
@@ -203,7 +232,11 @@
         vec![format!("{address},{}", spec.group)],
         facts,
         volumes.collect(),
-        (figures, longest + settings.rules.key_rest, Versions::new(store.ceiling, micros)),
+        (
+            figures,
+            longest + settings.rules.key_rest,
+            Versions::new(store.ceiling, micros),
+        ),
         Box::new(chance),
     )
 }
@@ -240,7 +273,10 @@
     fn run(mut self, events: &Receiver<Event>) {
         loop {
             let now = clock::now();
-            let wait = self.engine.wake_at().map_or(IDLE, |at| at.saturating_sub(now).min(IDLE));
+            let wait = self
+                .engine
+                .wake_at()
+                .map_or(IDLE, |at| at.saturating_sub(now).min(IDLE));
             let first = match events.recv_timeout(wait) {
                 Ok(event) => Some(event),
                 Err(RecvTimeoutError::Timeout) => None,
@@ -296,19 +332,37 @@
                     line.hang_up();
                 }
             }
-            Output::Reads { conn, digests, most } => {
+            Output::Reads {
+                conn,
+                digests,
+                most,
+            } => {
                 if let Some(line) = self.lines.get(&conn) {
                     *line.reads.lock().unwrap_or_else(|e| e.into_inner()) = (digests, most);
                 }
             }
             Output::Close { conn } => self.lines.get(&conn).into_iter().for_each(|l| l.finish()),
             Output::Take(r) => takes.push(self.take(r)),
-            Output::Store { no, volume, extent, cell } => {
+            Output::Store {
+                no,
+                volume,
+                extent,
+                cell,
+            } => {
                 *self.cells.entry(cell).or_default() += 1;
                 self.news = true;
-                self.keep(Keep::Place { volume, extent, cell }, Input::Stored { no });
+                self.keep(
+                    Keep::Place {
+                        volume,
+                        extent,
+                        cell,
+                    },
+                    Input::Stored { no },
+                );
+            }
+            Output::Reserve { ceiling } => {
+                self.keep(Keep::Ceiling(ceiling), Input::Reserved { ceiling })
             }
-            Output::Reserve { ceiling } => self.keep(Keep::Ceiling(ceiling), Input::Reserved { ceiling }),
             Output::Note { text } => info!("{text}"),
         }
     }
@@ -317,7 +371,10 @@
     fn keep(&self, keep: Keep, kept: Input) {
         let to = self.to.clone();
         let told = move |done: Result<(), StoreFault>| {
-            let event = done.map_or_else(|why| Event::Failed(why.to_string()), |()| Event::Input(kept));
+            let event = done.map_or_else(
+                |why| Event::Failed(why.to_string()),
+                |()| Event::Input(kept),
+            );
             let _ = to.send(event);
         };
         if let Some(keeper) = &self.keeper {
@@ -367,9 +424,10 @@
     match (f.outcome(), f.superseded) {
         (Outcome::Done, Some(there)) => Answer::Superseded(there),
         (Outcome::Done, None) => Answer::Done(f.data),
-        (Outcome::Deferred, _) => {
-            Answer::Deferred { come_back: f.come_back_us.map(Duration::from_micros), unsure }
-        }
+        (Outcome::Deferred, _) => Answer::Deferred {
+            come_back: f.come_back_us.map(Duration::from_micros),
+            unsure,
+        },
         (Outcome::Abandoned | Outcome::Unknown, _) => Answer::Abandoned { unsure },
     }
 }
@@ -398,7 +456,11 @@
 }
 
 fn serve(
-    mut stream: TcpStream, conn: ConnNo, to: &Sender<Event>, tracer: &Tracer, most: usize,
+    mut stream: TcpStream,
+    conn: ConnNo,
+    to: &Sender<Event>,
+    tracer: &Tracer,
+    most: usize,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let writer = stream.try_clone()?;
@@ -423,7 +485,8 @@
         let (mut inputs, mut over) = (Vec::new(), false);
         while !over {
             // An initiator sends by what was agreed on only after it has our answer, which follows this.
-            (reader.digests, reader.most_data) = *line.reads.lock().unwrap_or_else(|e| e.into_inner());
+            (reader.digests, reader.most_data) =
+                *line.reads.lock().unwrap_or_else(|e| e.into_inner());
             let read = match reader.next() {
                 Ok(None) => break,
                 Ok(Some(pdu)) => {
@@ -448,7 +511,11 @@
 }
 
 /// Large data goes straight to the socket: a copy would cost more than the call that it saves.
-fn write_all(stream: &mut TcpStream, pdus: &VecDeque<(Pdu, Digests)>, bytes: &mut Vec<u8>) -> io::Result<()> {
+fn write_all(
+    stream: &mut TcpStream,
+    pdus: &VecDeque<(Pdu, Digests)>,
+    bytes: &mut Vec<u8>,
+) -> io::Result<()> {
     for (p, digests) in pdus {
         pdu::write_head(p, *digests, bytes);
         if p.data.len() >= DIRECT {
@@ -470,10 +537,28 @@
         return;
     }
     let opcode = pdu.header.opcode();
-    let moves = matches!(opcode, Some(Opcode::ScsiCommand | Opcode::DataOut | Opcode::DataIn));
-    let keys = if opcode == Some(Opcode::LoginRequest) { parse(&pdu.data).ok() } else { None };
-    let target = keys.into_iter().flatten().find(|(key, _)| key == "TargetName").map(|(_, name)| name);
-    tracer.pdu(kind, conn.0, &pdu.header.0, &pdu.data, moves, target.as_deref());
+    let moves = matches!(
+        opcode,
+        Some(Opcode::ScsiCommand | Opcode::DataOut | Opcode::DataIn)
+    );
+    let keys = if opcode == Some(Opcode::LoginRequest) {
+        parse(&pdu.data).ok()
+    } else {
+        None
+    };
+    let target = keys
+        .into_iter()
+        .flatten()
+        .find(|(key, _)| key == "TargetName")
+        .map(|(_, name)| name);
+    tracer.pdu(
+        kind,
+        conn.0,
+        &pdu.header.0,
+        &pdu.data,
+        moves,
+        target.as_deref(),
+    );
 }
 
 fn write_on(mut stream: TcpStream, line: &Line, conn: ConnNo, tracer: &Tracer) {
@@ -493,7 +578,8 @@
             continue;
         }
         bytes.clear();
-        pdus.iter().for_each(|(p, _)| record(tracer, Kind::PduOut, conn, p));
+        pdus.iter()
+            .for_each(|(p, _)| record(tracer, Kind::PduOut, conn, p));
         if write_all(&mut stream, &pdus, &mut bytes).is_err() {
             break;
         }
--- a/crates/target/src/pressure.rs
+++ b/crates/target/src/pressure.rs
@@ -67,7 +67,15 @@
 impl Pressure {
     pub fn new(figures: Figures) -> Self {
         let (sessions, deaf_until) = (BTreeMap::new(), Duration::ZERO);
-        Pressure { figures, budget: figures.first, deaf_until, sessions, open: 0, ended: 0, stirred: false }
+        Pressure {
+            figures,
+            budget: figures.first,
+            deaf_until,
+            sessions,
+            open: 0,
+            ended: 0,
+            stirred: false,
+        }
     }
 
     pub fn budget(&self) -> f64 {
@@ -134,10 +142,17 @@
         // What nobody asks for is dealt out too: who begins a burst should not have to ask first.
         let over = fair(
             whole - given.iter().sum::<u32>(),
-            &given.iter().map(|g| most.saturating_sub(*g)).collect::<Vec<u32>>(),
+            &given
+                .iter()
+                .map(|g| most.saturating_sub(*g))
+                .collect::<Vec<u32>>(),
         );
         let mut sizes = Vec::new();
-        for ((id, s), given) in self.sessions.iter_mut().zip(given.iter().zip(over).map(|(g, o)| g + o)) {
+        for ((id, s), given) in self
+            .sessions
+            .iter_mut()
+            .zip(given.iter().zip(over).map(|(g, o)| g + o))
+        {
             let size = given.clamp(LEAST_EACH, most);
             if size != s.told {
                 s.told = size;
@@ -150,7 +165,11 @@
     /// What a session could use: one that fills what it may asks for twice of it, one that does not for what
     /// it had open at most, and one more.
     fn asks(&self, s: &Session) -> u32 {
-        let more = if s.peak >= s.told.max(1) { s.peak.saturating_mul(2) } else { s.peak + 1 };
+        let more = if s.peak >= s.told.max(1) {
+            s.peak.saturating_mul(2)
+        } else {
+            s.peak + 1
+        };
         more.clamp(LEAST_EACH, self.figures.most_each.max(LEAST_EACH))
     }
 }
--- a/crates/target/src/pressure/tests.rs
+++ b/crates/target/src/pressure/tests.rs
@@ -5,7 +5,11 @@
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
-const FIGURES: Figures = Figures { first: 16.0, most: 64.0, most_each: 32 };
+const FIGURES: Figures = Figures {
+    first: 16.0,
+    most: 64.0,
+    most_each: 32,
+};
 
 fn sum(p: &Pressure) -> u32 {
     p.sessions.values().map(|s| s.told).sum()
@@ -52,7 +56,12 @@
         (0..3).for_each(|_| p.closed(ms(round), modest, Ended::Other));
     }
     let told = |s: SessionNo| p.sessions[&s].told;
-    assert!(told(modest) >= 4 && told(greedy) >= 10, "{} {}", told(modest), told(greedy));
+    assert!(
+        told(modest) >= 4 && told(greedy) >= 10,
+        "{} {}",
+        told(modest),
+        told(greedy)
+    );
     assert!(sum(&p) <= 16);
 }
 
@@ -73,7 +82,10 @@
             p.step();
             let n = p.sessions.len() as u32;
             assert!(p.sessions.values().all(|s| (1..=32).contains(&s.told)));
-            assert!(sum(&p) <= (p.budget().floor() as u32).max(n) + n, "seed {seed}");
+            assert!(
+                sum(&p) <= (p.budget().floor() as u32).max(n) + n,
+                "seed {seed}"
+            );
         }
     }
 }
@@ -82,13 +94,27 @@
 fn fair_shares_are_whole_and_nobody_gets_more_than_it_asks() {
     for seed in 0..500 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let asks: Vec<u32> = (0..rng.random_range(1..12)).map(|_| rng.random_range(0..20)).collect();
+        let asks: Vec<u32> = (0..rng.random_range(1..12))
+            .map(|_| rng.random_range(0..20))
+            .collect();
         let whole = rng.random_range(0..100);
         let given = fair(whole, &asks);
-        assert_eq!(given.iter().sum::<u32>(), whole.min(asks.iter().sum()), "{whole} {asks:?}");
+        assert_eq!(
+            given.iter().sum::<u32>(),
+            whole.min(asks.iter().sum()),
+            "{whole} {asks:?}"
+        );
         assert!(given.iter().zip(&asks).all(|(g, a)| g <= a));
         // Who got less than it asks got no less than anyone, but for the one that could not be halved.
-        let short = given.iter().zip(&asks).filter(|(g, a)| g < a).map(|(g, _)| *g).min();
-        assert!(short.is_none_or(|s| given.iter().all(|g| *g <= s + 1)), "{whole} {asks:?} {given:?}");
+        let short = given
+            .iter()
+            .zip(&asks)
+            .filter(|(g, a)| g < a)
+            .map(|(g, _)| *g)
+            .min();
+        assert!(
+            short.is_none_or(|s| given.iter().all(|g| *g <= s + 1)),
+            "{whole} {asks:?} {given:?}"
+        );
     }
 }
--- a/crates/target/src/versions.rs
+++ b/crates/target/src/versions.rs
@@ -46,7 +46,11 @@
     /// ```
     pub fn new(kept: u64, clock: u64) -> Self {
         let next = kept.max(clock).clamp(1, MOST);
-        Versions { next, ceiling: 0, asked: 0 }
+        Versions {
+            next,
+            ceiling: 0,
+            asked: 0,
+        }
     }
 
     /// A version above all that were given before; None until a higher ceiling is kept.
--- a/crates/target/tests/engine.rs
+++ b/crates/target/tests/engine.rs
@@ -17,7 +17,10 @@
 
 const NAME: &str = "iqn.2026-12.org.example:v";
 const BLOCK: usize = 512;
-const BUSY: Answer = Answer::Deferred { come_back: None, unsure: false };
+const BUSY: Answer = Answer::Deferred {
+    come_back: None,
+    unsure: false,
+};
 const LOST: Answer = Answer::Abandoned { unsure: true };
 const REST: Duration = Duration::from_millis(300);
 
@@ -51,8 +54,15 @@
     /// A start after others, with the ceiling that they kept.
     fn after(placed: BTreeMap<u64, u32>, ceiling: u64) -> Self {
         let versions = Versions::new(ceiling, 1000);
-        let target = |name: &str| Target { name: name.into(), ..Target::default() };
-        let portal = Portal { targets: vec![target(NAME)], group: 1, ..Portal::default() };
+        let target = |name: &str| Target {
+            name: name.into(),
+            ..Target::default()
+        };
+        let portal = Portal {
+            targets: vec![target(NAME)],
+            group: 1,
+            ..Portal::default()
+        };
         let unit = Unit {
             blocks: 4096,
             block_size: 512,
@@ -62,9 +72,21 @@
             read_only: false,
         };
         let placed = placed.into_iter().collect();
-        let volume = VolumeFacts { volume: 7, unit, extent_blocks: 16, placed };
-        let targets = vec![TargetFacts { name: NAME.into(), luns: vec![0] }];
-        let figures = Figures { first: 64.0, most: 128.0, most_each: 64 };
+        let volume = VolumeFacts {
+            volume: 7,
+            unit,
+            extent_blocks: 16,
+            placed,
+        };
+        let targets = vec![TargetFacts {
+            name: NAME.into(),
+            luns: vec![0],
+        }];
+        let figures = Figures {
+            first: 64.0,
+            most: 128.0,
+            most_each: 64,
+        };
         let mut n = 0u8;
         let chance = Box::new(move || {
             n = n.wrapping_add(1);
@@ -72,7 +94,14 @@
         });
         let addresses = vec!["127.0.0.1:3260,1".to_string()];
         Rig {
-            e: Engine::new(portal, addresses, targets, vec![volume], (figures, REST, versions), chance),
+            e: Engine::new(
+                portal,
+                addresses,
+                targets,
+                vec![volume],
+                (figures, REST, versions),
+                chance,
+            ),
             now: ms(1000),
             open: Vec::new(),
             kept: HashMap::new(),
@@ -98,7 +127,11 @@
         let to = (r.offset + r.length) as usize;
         kept.resize(kept.len().max(to), 0);
         let there = self.there.entry((r.extent, cell)).or_default();
-        let (parts, newer) = there.write(r.offset, r.offset + r.length, r.version.expect("a write has one"));
+        let (parts, newer) = there.write(
+            r.offset,
+            r.offset + r.length,
+            r.version.expect("a write has one"),
+        );
         for (from, end) in parts {
             let at = (from - r.offset) as usize..(end - r.offset) as usize;
             kept[from as usize..end as usize].copy_from_slice(&r.data[at]);
@@ -118,11 +151,15 @@
                     }
                     Output::Close { conn } => self.closed.push(conn),
                     Output::Take(r) => self.open.push(r),
-                    Output::Store { no, extent, cell, .. } if self.store_at_once => {
+                    Output::Store {
+                        no, extent, cell, ..
+                    } if self.store_at_once => {
                         self.stores.push((no, extent, cell));
                         again.push(Input::Stored { no });
                     }
-                    Output::Store { no, extent, cell, .. } => self.stores.push((no, extent, cell)),
+                    Output::Store {
+                        no, extent, cell, ..
+                    } => self.stores.push((no, extent, cell)),
                     Output::Reserve { ceiling } => {
                         self.ceiling = ceiling;
                         again.push(Input::Reserved { ceiling });
@@ -140,7 +177,9 @@
             self.now = self
                 .e
                 .wake_at()
-                .map_or(end, |at| at.clamp(self.now + ms(1), end.max(self.now + ms(1))))
+                .map_or(end, |at| {
+                    at.clamp(self.now + ms(1), end.max(self.now + ms(1)))
+                })
                 .min(end);
             for out in self.e.step(self.now, []) {
                 match out {
@@ -167,12 +206,23 @@
             ("MaxRecvDataSegmentLength", "262144"),
             ("iSCSIProtocolLevel", "2"),
         ];
-        let keys: Vec<(String, String)> = keys.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect();
-        let h = Header::new(Opcode::LoginRequest).set_immediate(true).set_flags(0x80 | 1 << 2 | 3);
+        let keys: Vec<(String, String)> = keys
+            .iter()
+            .map(|(k, v)| (k.to_string(), v.to_string()))
+            .collect();
+        let h = Header::new(Opcode::LoginRequest)
+            .set_immediate(true)
+            .set_flags(0x80 | 1 << 2 | 3);
         let h = h.set_isid([0, 0, 0, 0, 0, isid]).set_itt(1).set_cmd_sn(1);
-        self.feed(Input::Pdu { conn, read: Ok(Pdu::new(h, format(&keys))) });
+        self.feed(Input::Pdu {
+            conn,
+            read: Ok(Pdu::new(h, format(&keys))),
+        });
         let got = self.got(conn);
-        assert_eq!((got[0].header.opcode(), got[0].header.byte(36)), (Some(Opcode::LoginResponse), 0));
+        assert_eq!(
+            (got[0].header.opcode(), got[0].header.byte(36)),
+            (Some(Opcode::LoginResponse), 0)
+        );
         assert_ne!(got[0].header.tsih(), 0);
         self.sns.insert(conn, 1);
         // The first command of a session finds that the unit came up.
@@ -182,7 +232,9 @@
     }
 
     fn got(&mut self, conn: ConnNo) -> Vec<Pdu> {
-        let (own, rest) = std::mem::take(&mut self.pdus).into_iter().partition(|(c, _)| *c == conn);
+        let (own, rest) = std::mem::take(&mut self.pdus)
+            .into_iter()
+            .partition(|(c, _)| *c == conn);
         self.pdus = rest;
         let own: Vec<(ConnNo, Pdu)> = own;
         own.into_iter().map(|(_, p)| p).collect()
@@ -193,21 +245,41 @@
         block[..cdb.len()].copy_from_slice(cdb);
         let sn = self.sns[&conn];
         self.sns.insert(conn, sn.wrapping_add(1));
-        let h = Header::new(Opcode::ScsiCommand).set_flags(0x80 | flags).set_itt(itt).set_ttt(length);
+        let h = Header::new(Opcode::ScsiCommand)
+            .set_flags(0x80 | flags)
+            .set_itt(itt)
+            .set_ttt(length);
         let h = h.set_cmd_sn(sn).set_exp_stat_sn(1).set_cdb(block);
-        self.feed(Input::Pdu { conn, read: Ok(Pdu::new(h, data.to_vec())) });
+        self.feed(Input::Pdu {
+            conn,
+            read: Ok(Pdu::new(h, data.to_vec())),
+        });
     }
 
     fn read(&mut self, conn: ConnNo, itt: u32, lba: u32, blocks: u16) {
         let [a, b, c, d] = lba.to_be_bytes();
         let [x, y] = blocks.to_be_bytes();
-        self.command(conn, itt, &[0x28, 0, a, b, c, d, 0, x, y], 0x40, u32::from(blocks) * 512, &[]);
+        self.command(
+            conn,
+            itt,
+            &[0x28, 0, a, b, c, d, 0, x, y],
+            0x40,
+            u32::from(blocks) * 512,
+            &[],
+        );
     }
 
     fn write(&mut self, conn: ConnNo, itt: u32, lba: u32, data: &[u8]) {
         let [a, b, c, d] = lba.to_be_bytes();
         let [x, y] = ((data.len() / BLOCK) as u16).to_be_bytes();
-        self.command(conn, itt, &[0x2a, 0, a, b, c, d, 0, x, y], 0x20, data.len() as u32, data);
+        self.command(
+            conn,
+            itt,
+            &[0x2a, 0, a, b, c, d, 0, x, y],
+            0x20,
+            data.len() as u32,
+            data,
+        );
     }
 
     /// The host carries out one open transfer, or does not.
@@ -215,21 +287,33 @@
         let r = self.open.remove(at);
         let no = r.no;
         if let Some(answer) = answer {
-            return self.feed(Input::Final { no, answer, cell: None });
+            return self.feed(Input::Final {
+                no,
+                answer,
+                cell: None,
+            });
         }
         let cell = r.cell.unwrap_or_else(|| {
             self.next_cell += 1;
             self.next_cell
         });
         let answer = match r.write {
-            true => self.node(&r, cell).map_or(Answer::Done(Bytes::new()), Answer::Superseded),
+            true => self
+                .node(&r, cell)
+                .map_or(Answer::Done(Bytes::new()), Answer::Superseded),
             false => {
                 let kept = self.kept.entry((r.extent, cell)).or_default();
                 let to = ((r.offset + r.length) as usize).min(kept.len());
-                Answer::Done(Bytes::copy_from_slice(kept.get(r.offset as usize..to).unwrap_or_default()))
+                Answer::Done(Bytes::copy_from_slice(
+                    kept.get(r.offset as usize..to).unwrap_or_default(),
+                ))
             }
         };
-        self.feed(Input::Final { no, answer, cell: Some(cell) });
+        self.feed(Input::Final {
+            no,
+            answer,
+            cell: Some(cell),
+        });
     }
 
     fn host_all(&mut self) {
@@ -243,11 +327,15 @@
         let got = self.got(conn);
         let answers: Vec<&Pdu> = got
             .iter()
-            .filter(|p| p.header.opcode() == Some(Opcode::ScsiResponse) || p.header.flags() & 1 != 0)
+            .filter(|p| {
+                p.header.opcode() == Some(Opcode::ScsiResponse) || p.header.flags() & 1 != 0
+            })
             .collect();
         assert_eq!(answers.len(), 1, "{got:?}");
-        let data =
-            got.iter().filter(|p| p.header.opcode() == Some(Opcode::DataIn)).flat_map(|p| p.data.to_vec());
+        let data = got
+            .iter()
+            .filter(|p| p.header.opcode() == Some(Opcode::DataIn))
+            .flat_map(|p| p.data.to_vec());
         (answers[0].header.byte(3), data.collect())
     }
 }
@@ -276,7 +364,12 @@
     assert!(r.open.is_empty(), "of what lies nowhere nobody is asked");
     assert_eq!(r.one(c), (0, fill(0, 3)));
     // The program starts again with the places that were kept.
-    let mut again = Rig::with(r.stores.iter().map(|(_, extent, cell)| (*extent, *cell)).collect());
+    let mut again = Rig::with(
+        r.stores
+            .iter()
+            .map(|(_, extent, cell)| (*extent, *cell))
+            .collect(),
+    );
     again.kept = r.kept;
     let c = again.login(1, 1);
     again.read(c, 8, 10, 40); // reads need not wait
@@ -296,7 +389,10 @@
     assert!(r.got(c).is_empty() && r.open.is_empty() && r.stores.len() == 1);
     let (no, _, cell) = r.stores[0];
     r.feed(Input::Stored { no });
-    assert_eq!((r.one(c).0, r.open.len(), r.open[0].cell), (0, 1, Some(cell)));
+    assert_eq!(
+        (r.one(c).0, r.open.len(), r.open[0].cell),
+        (0, 1, Some(cell))
+    );
     r.host(0, None);
     assert_eq!((r.one(c).0, r.stores.len()), (0, 1));
     // Where the first is turned away, the next one places it.
@@ -308,7 +404,10 @@
 
 #[test]
 fn deferred_is_busy_and_abandoned_an_unknown_outcome() {
-    let later = Answer::Deferred { come_back: Some(ms(250)), unsure: false };
+    let later = Answer::Deferred {
+        come_back: Some(ms(250)),
+        unsure: false,
+    };
     let cases = [(later, 8, 3), (BUSY, 8, 0), (LOST, 2, 0)];
     for (answer, status, steps) in cases {
         let mut r = Rig::new();
@@ -319,7 +418,10 @@
         r.host(0, None);
         let got = r.got(c);
         let h = got[0].header;
-        assert_eq!((h.byte(3), h.byte(8), h.byte(9), r.e.open()), (status, 0, steps, (0, 0)));
+        assert_eq!(
+            (h.byte(3), h.byte(8), h.byte(9), r.e.open()),
+            (status, 0, steps, (0, 0))
+        );
     }
 }
 
@@ -350,7 +452,10 @@
     r.one(c);
     r.read(c, 10, 0, 4);
     r.write(c, 11, 0, &fill(3, 2));
-    assert!(r.open.is_empty(), "the write is behind the read, which rests");
+    assert!(
+        r.open.is_empty(),
+        "the write is behind the read, which rests"
+    );
     r.wait(REST + ms(1));
     r.host_all();
     assert_eq!(r.got(c).len(), 2);
@@ -359,10 +464,18 @@
     r.got(c);
     r.write(c, 13, 0, &fill(5, 2));
     r.read(c, 14, 0, 4);
-    assert_eq!((r.open.len(), r.open[0].write), (1, true), "the newer write goes at once");
+    assert_eq!(
+        (r.open.len(), r.open[0].write),
+        (1, true),
+        "the newer write goes at once"
+    );
     r.host_all();
     let got = r.got(c);
-    assert_eq!(got.len(), 2, "and the read behind it rests no longer: nothing older can be seen");
+    assert_eq!(
+        got.len(),
+        2,
+        "and the read behind it rests no longer: nothing older can be seen"
+    );
     // Both old legs run after all.
     let cell = late.cell.expect("written before");
     assert!(r.node(&late, cell).is_some() && r.node(&second, cell).is_some());
@@ -379,14 +492,20 @@
     r.host_all();
     r.write(c, 7, 0, &fill(1, 1));
     let late = r.open[0].clone(); // queued at its node when the host is killed
-    let placed = r.stores.iter().map(|(_, extent, cell)| (*extent, *cell)).collect();
+    let placed = r
+        .stores
+        .iter()
+        .map(|(_, extent, cell)| (*extent, *cell))
+        .collect();
     let mut again = Rig::after(placed, r.ceiling);
     (again.kept, again.there) = (r.kept, r.there);
     let c = again.login(1, 1);
     again.write(c, 8, 0, &fill(2, 1));
     again.host_all();
     assert_eq!(again.one(c).0, 0);
-    assert!(again.node(&late, late.cell.expect("written before")).is_some());
+    assert!(again
+        .node(&late, late.cell.expect("written before"))
+        .is_some());
     again.read(c, 10, 0, 1);
     again.host_all();
     assert_eq!(again.one(c), (0, fill(2, 1)));
@@ -437,7 +556,11 @@
     assert!(r.got(c).is_empty(), "its place is being kept");
     r.feed(Input::StoreGone);
     let got = r.got(c);
-    assert_eq!((got[0].header.byte(3), got[0].data[4], got[0].data[14]), (2, 3, 0x0c), "write error");
+    assert_eq!(
+        (got[0].header.byte(3), got[0].data[4], got[0].data[14]),
+        (2, 3, 0x0c),
+        "write error"
+    );
     r.write(c, 8, 64, &fill(3, 1));
     assert_eq!((r.one(c).0, r.open.len()), (2, 0), "nowhere to be kept");
     r.write(c, 9, 0, &fill(4, 1));
@@ -481,11 +604,24 @@
             list.extend([0; 4]);
         }
         let [a, b] = (list.len() as u16).to_be_bytes();
-        r.command(c, itt, &[0x42, 0, 0, 0, 0, 0, 0, a, b], 0x20, list.len() as u32, &list);
+        r.command(
+            c,
+            itt,
+            &[0x42, 0, 0, 0, 0, 0, 0, a, b],
+            0x20,
+            list.len() as u32,
+            &list,
+        );
         r.host_all();
         r.one(c).0
     };
-    assert_eq!((unmap(&mut r, 7, &[(1, 2)]), unmap(&mut r, 8, &[(0, 1), (3, 1)])), (0, 2));
+    assert_eq!(
+        (
+            unmap(&mut r, 7, &[(1, 2)]),
+            unmap(&mut r, 8, &[(0, 1), (3, 1)])
+        ),
+        (0, 2)
+    );
     r.read(c, 9, 0, 4);
     r.host_all();
     assert_eq!(r.one(c), (0, [fill(9, 1), fill(0, 2), fill(9, 1)].concat()));
@@ -498,10 +634,16 @@
     r.write(c, 7, 0, &fill(1, 1));
     r.write(c, 8, 0, &fill(2, 1)); // waits behind it
     let manage = |r: &mut Rig, itt, tag| {
-        let h =
-            Header::new(Opcode::TaskManagement).set_immediate(true).set_flags(0x81).set_itt(itt).set_ttt(tag);
+        let h = Header::new(Opcode::TaskManagement)
+            .set_immediate(true)
+            .set_flags(0x81)
+            .set_itt(itt)
+            .set_ttt(tag);
         let h = h.set_cmd_sn(r.sns[&c]).set_exp_stat_sn(1);
-        r.feed(Input::Pdu { conn: c, read: Ok(Pdu::new(h, Bytes::new())) });
+        r.feed(Input::Pdu {
+            conn: c,
+            read: Ok(Pdu::new(h, Bytes::new())),
+        });
     };
     manage(&mut r, 50, 8);
     assert_eq!(r.got(c).len(), 1, "it had not begun");
@@ -543,7 +685,10 @@
         .set_itt(50)
         .set_cmd_sn(2)
         .set_exp_stat_sn(1);
-    r.feed(Input::Pdu { conn: b, read: Ok(Pdu::new(h, Bytes::new())) });
+    r.feed(Input::Pdu {
+        conn: b,
+        read: Ok(Pdu::new(h, Bytes::new())),
+    });
     assert_eq!(r.got(b).len(), 1);
     r.host_all();
     assert!(r.got(a).is_empty(), "aborted by another: no answer");
@@ -566,21 +711,48 @@
     let compare = |r: &mut Rig, itt, with: u8, then: u8| {
         let mut cdb = [0; 16];
         (cdb[0], cdb[13]) = (0x89, 1);
-        r.command(a, itt, &cdb, 0x20, 1024, &[fill(with, 1), fill(then, 1)].concat());
+        r.command(
+            a,
+            itt,
+            &cdb,
+            0x20,
+            1024,
+            &[fill(with, 1), fill(then, 1)].concat(),
+        );
         r.host_all();
         r.one(a).0
     };
     assert_eq!((compare(&mut r, 2, 9, 2), compare(&mut r, 3, 1, 2)), (2, 0));
-    r.command(a, 4, &[0x2f, 2, 0, 0, 0, 0, 0, 0, 1], 0x20, 512, &fill(2, 1));
+    r.command(
+        a,
+        4,
+        &[0x2f, 2, 0, 0, 0, 0, 0, 0, 1],
+        0x20,
+        512,
+        &fill(2, 1),
+    );
     r.host_all();
     assert_eq!(r.one(a).0, 0);
     // b registers and reserves; a may read and not write.
     let reserve = |r: &mut Rig, itt, action, kind, key: u64, service: u64| {
         let list = [&key.to_be_bytes()[..], &service.to_be_bytes(), &[0; 8]].concat();
-        r.command(b, itt, &[0x5f, action, kind, 0, 0, 0, 0, 0, 24], 0x20, 24, &list);
+        r.command(
+            b,
+            itt,
+            &[0x5f, action, kind, 0, 0, 0, 0, 0, 24],
+            0x20,
+            24,
+            &list,
+        );
         r.one(b).0
     };
-    assert_eq!((reserve(&mut r, 1, 0, 0, 0, 5), reserve(&mut r, 2, 1, 1, 5, 0)), (0, 0));
+    assert_eq!(
+        (
+            reserve(&mut r, 1, 0, 0, 0, 5),
+            reserve(&mut r, 2, 1, 1, 5, 0)
+        ),
+        (0, 0)
+    );
     r.write(a, 5, 0, &fill(3, 1));
     assert_eq!((r.one(a).0, r.open.len()), (0x18, 0));
     r.read(a, 6, 0, 1);
@@ -602,7 +774,10 @@
     // Something else than a login.
     r.feed(Input::Up { conn: ConnNo(7000) });
     let nop = Header::new(Opcode::NopOut).set_itt(3).set_ttt(NO_TAG);
-    r.feed(Input::Pdu { conn: ConnNo(7000), read: Ok(Pdu::new(nop, Bytes::new())) });
+    r.feed(Input::Pdu {
+        conn: ConnNo(7000),
+        read: Ok(Pdu::new(nop, Bytes::new())),
+    });
     assert_eq!(r.closed.last(), Some(&ConnNo(7000)));
 }
 
@@ -641,8 +816,13 @@
             } else if !r.open.is_empty() {
                 let at = rng.random_range(0..r.open.len());
                 let answer = match rng.random_range(0..12) {
-                    0 => Some(Answer::Deferred { come_back: Some(ms(50)), unsure: rng.random() }),
-                    1 => Some(Answer::Abandoned { unsure: rng.random() }),
+                    0 => Some(Answer::Deferred {
+                        come_back: Some(ms(50)),
+                        unsure: rng.random(),
+                    }),
+                    1 => Some(Answer::Abandoned {
+                        unsure: rng.random(),
+                    }),
                     _ => None,
                 };
                 // What was not done may have been carried out, and what is unsure may be at any later time.
@@ -654,7 +834,9 @@
                 let q = r.open[at].clone();
                 match (unsure, q.cell) {
                     (Some(true), Some(cell)) if q.write && rng.random() => drop(r.node(&q, cell)),
-                    (Some(true), Some(_)) if q.write && matches!(answer, Some(Answer::Abandoned { .. })) => {
+                    (Some(true), Some(_))
+                        if q.write && matches!(answer, Some(Answer::Abandoned { .. })) =>
+                    {
                         late.push(q);
                     }
                     _ => {}
@@ -672,7 +854,8 @@
                 if p.header.opcode() == Some(Opcode::DataIn) {
                     reads.entry(key).or_default().extend(&p.data[..]);
                 }
-                let ends = p.header.opcode() == Some(Opcode::ScsiResponse) || p.header.flags() & 1 != 0;
+                let ends =
+                    p.header.opcode() == Some(Opcode::ScsiResponse) || p.header.flags() & 1 != 0;
                 if !ends {
                     continue;
                 }
@@ -704,7 +887,9 @@
             }
             r.pdus.drain(..).for_each(|(c, p)| {
                 if p.header.opcode() == Some(Opcode::ScsiResponse) || p.header.flags() & 1 != 0 {
-                    under.remove(&(c, p.header.itt())).expect("one answer for each command");
+                    under
+                        .remove(&(c, p.header.itt()))
+                        .expect("one answer for each command");
                 }
             });
             if under.is_empty() {
@@ -714,5 +899,8 @@
         assert!(under.is_empty(), "seed {seed}: {under:?}");
         assert_eq!(r.e.open(), (0, 0), "seed {seed}");
     }
-    assert!(checked > 5000 && busy > 100, "{checked} blocks checked, {busy} not good");
+    assert!(
+        checked > 5000 && busy > 100,
+        "{checked} blocks checked, {busy} not good"
+    );
 }
--- a/crates/target/tests/script/mod.rs
+++ b/crates/target/tests/script/mod.rs
@@ -46,8 +46,15 @@
 
 impl Stage {
     fn new() -> Self {
-        let target = Target { name: NAME.into(), ..Target::default() };
-        let portal = Portal { targets: vec![target], group: 1, ..Portal::default() };
+        let target = Target {
+            name: NAME.into(),
+            ..Target::default()
+        };
+        let portal = Portal {
+            targets: vec![target],
+            group: 1,
+            ..Portal::default()
+        };
         let unit = |id| Unit {
             blocks: 256,
             block_size: 512,
@@ -62,13 +69,34 @@
             extent_blocks: 16,
             placed: [(3, 1)].into_iter().collect(),
         };
-        let facts = vec![TargetFacts { name: NAME.into(), luns: vec![0, 1] }];
-        let figures = Figures { first: 4.0, most: 16.0, most_each: 8 };
+        let facts = vec![TargetFacts {
+            name: NAME.into(),
+            luns: vec![0, 1],
+        }];
+        let figures = Figures {
+            first: 4.0,
+            most: 16.0,
+            most_each: 8,
+        };
         let own = (figures, REST, Versions::new(0, 1));
         let chance = Box::new(|| [7; 17]);
-        let e = Engine::new(portal, vec![], facts, vec![volume(1), volume(2)], own, chance);
+        let e = Engine::new(
+            portal,
+            vec![],
+            facts,
+            vec![volume(1), volume(2)],
+            own,
+            chance,
+        );
         let (next, sent) = (BTreeMap::new(), BTreeMap::new());
-        Stage { e, now: REST, open: Vec::new(), taken: 0, next, sent }
+        Stage {
+            e,
+            now: REST,
+            open: Vec::new(),
+            taken: 0,
+            next,
+            sent,
+        }
     }
 
     fn feed(&mut self, input: Input) {
@@ -80,7 +108,8 @@
                     Output::Take(r) => {
                         assert!(r.no.0 > self.taken, "a transfer's number came twice");
                         assert!(
-                            r.write == r.version.is_some() && (!r.write || r.data.len() == r.length as usize)
+                            r.write == r.version.is_some()
+                                && (!r.write || r.data.len() == r.length as usize)
                         );
                         self.taken = r.no.0;
                         self.open.push(r);
@@ -93,7 +122,10 @@
             }
             inputs = again;
         }
-        assert!(self.e.wake_at().is_none_or(|at| at > self.now), "what is due was done");
+        assert!(
+            self.e.wake_at().is_none_or(|at| at > self.now),
+            "what is due was done"
+        );
     }
 
     fn sees(&mut self, conn: ConnNo, pdu: &Pdu) {
@@ -118,7 +150,10 @@
         if h.opcode() == Some(Opcode::ScsiCommand) {
             self.sent.entry((conn, h.itt())).or_default().0 += 1;
         }
-        self.feed(Input::Pdu { conn, read: Ok(Pdu::new(h, data)) });
+        self.feed(Input::Pdu {
+            conn,
+            read: Ok(Pdu::new(h, data)),
+        });
     }
 
     fn login(&mut self, conn: ConnNo, isid: u8) {
@@ -131,9 +166,18 @@
             ("InitialR2T", "No"),
             ("FirstBurstLength", "4096"),
         ];
-        let keys: Vec<(String, String)> = keys.iter().map(|(k, v)| (k.to_string(), v.to_string())).collect();
-        let h = Header::new(Opcode::LoginRequest).set_immediate(true).set_flags(0x87);
-        self.pdu(conn, h.set_isid([0, 0, 0, 0, 0, isid]).set_itt(1).set_cmd_sn(1), format(&keys).into());
+        let keys: Vec<(String, String)> = keys
+            .iter()
+            .map(|(k, v)| (k.to_string(), v.to_string()))
+            .collect();
+        let h = Header::new(Opcode::LoginRequest)
+            .set_immediate(true)
+            .set_flags(0x87);
+        self.pdu(
+            conn,
+            h.set_isid([0, 0, 0, 0, 0, isid]).set_itt(1).set_cmd_sn(1),
+            format(&keys).into(),
+        );
         self.next.insert(conn, (1, 0));
     }
 
@@ -141,15 +185,23 @@
     fn step(&mut self, s: &mut Script) {
         let what = s.byte();
         let conn = ConnNo(u64::from(s.byte()) % CONNS);
-        let (itt, sn) = (u32::from(s.byte() % 8), self.next.get(&conn).map_or(1, |n| n.0));
-        let numbered = |h: Header, by: u32| h.set_itt(itt).set_cmd_sn(sn.wrapping_add(by)).set_exp_stat_sn(1);
+        let (itt, sn) = (
+            u32::from(s.byte() % 8),
+            self.next.get(&conn).map_or(1, |n| n.0),
+        );
+        let numbered = |h: Header, by: u32| {
+            h.set_itt(itt)
+                .set_cmd_sn(sn.wrapping_add(by))
+                .set_exp_stat_sn(1)
+        };
         match what % 14 {
             0 => {
                 let isid = s.byte() % 3;
                 self.login(conn, isid);
             }
             1..=4 => {
-                let (writes, lba, blocks, lun) = (what & 16 != 0, s.byte(), s.byte() % 40, s.byte() & 1);
+                let (writes, lba, blocks, lun) =
+                    (what & 16 != 0, s.byte(), s.byte() % 40, s.byte() & 1);
                 let code = match (what & 32 != 0, writes) {
                     (true, _) => s.byte(),
                     (false, true) => 0x8a,
@@ -159,8 +211,14 @@
                 (cdb[0], cdb[9], cdb[13]) = (code, lba, blocks);
                 let flags = if writes { 0x20 } else { 0x40 } | s.byte() & 0x80;
                 let length = u32::from(blocks) * 512;
-                let now = if writes { length.min(u32::from(s.byte()) * 64) } else { 0 };
-                let h = Header::new(Opcode::ScsiCommand).set_flags(flags).set_lun(u64::from(lun) << 48);
+                let now = if writes {
+                    length.min(u32::from(s.byte()) * 64)
+                } else {
+                    0
+                };
+                let h = Header::new(Opcode::ScsiCommand)
+                    .set_flags(flags)
+                    .set_lun(u64::from(lun) << 48);
                 let by = u32::from(s.byte() % 16 / 14);
                 let h = numbered(h, by).set_ttt(length).set_cdb(cdb);
                 self.next.entry(conn).or_default().0 = sn.wrapping_add(1);
@@ -168,23 +226,42 @@
             }
             5 => {
                 let (offset, length) = (u32::from(s.byte()) * 64, usize::from(s.byte()) * 32);
-                let ttt = if s.byte() & 1 == 0 { NO_TAG } else { self.next.get(&conn).map_or(0, |n| n.1) };
-                let h = Header::new(Opcode::DataOut).set_flags(s.byte() & 0x80).set_itt(itt).set_ttt(ttt);
-                let h = h.set_exp_stat_sn(1).set_word36(u32::from(s.byte() % 3)).set_word40(offset);
+                let ttt = if s.byte() & 1 == 0 {
+                    NO_TAG
+                } else {
+                    self.next.get(&conn).map_or(0, |n| n.1)
+                };
+                let h = Header::new(Opcode::DataOut)
+                    .set_flags(s.byte() & 0x80)
+                    .set_itt(itt)
+                    .set_ttt(ttt);
+                let h = h
+                    .set_exp_stat_sn(1)
+                    .set_word36(u32::from(s.byte() % 3))
+                    .set_word40(offset);
                 self.pdu(conn, h, vec![what; length].into());
             }
             6..=8 if !self.open.is_empty() => {
                 let r = self.open.remove(usize::from(s.byte()) % self.open.len());
                 let unsure = s.byte() & 1 == 0;
                 let answer = match s.byte() % 8 {
-                    0 => Answer::Deferred { come_back: None, unsure },
+                    0 => Answer::Deferred {
+                        come_back: None,
+                        unsure,
+                    },
                     1 => Answer::Abandoned { unsure },
                     2 if r.write => Answer::Superseded(u64::from(s.byte()) << (s.byte() % 57)),
                     _ if r.write => Answer::Done(Bytes::new()),
-                    _ => Answer::Done(vec![what; r.length as usize - usize::from(s.byte()) % 9].into()),
+                    _ => Answer::Done(
+                        vec![what; r.length as usize - usize::from(s.byte()) % 9].into(),
+                    ),
                 };
                 let cell = r.cell.or(Some(2));
-                self.feed(Input::Final { no: r.no, answer, cell });
+                self.feed(Input::Final {
+                    no: r.no,
+                    answer,
+                    cell,
+                });
             }
             9 => {
                 let h = Header::new(Opcode::TaskManagement).set_immediate(s.byte() & 1 == 0);
@@ -204,18 +281,31 @@
                     self.pdu(conn, numbered(h, 0), Bytes::new());
                 }
                 2 => self.feed(Input::StoreGone),
-                _ => self.feed(Input::Up { conn: ConnNo(CONNS + u64::from(s.byte() % 8)) }),
+                _ => self.feed(Input::Up {
+                    conn: ConnNo(CONNS + u64::from(s.byte() % 8)),
+                }),
             },
             12 => {
                 let h = Header(s.take::<48>()).set_itt(itt);
-                let read = if s.byte() & 1 == 0 { Fault::DataDigest(h) } else { Fault::HeaderDigest };
-                self.feed(Input::Pdu { conn, read: Err(read) });
+                let read = if s.byte() & 1 == 0 {
+                    Fault::DataDigest(h)
+                } else {
+                    Fault::HeaderDigest
+                };
+                self.feed(Input::Pdu {
+                    conn,
+                    read: Err(read),
+                });
             }
             _ => {
                 let opcode = Opcode::ALL[usize::from(s.byte()) % Opcode::ALL.len()];
                 let h = Header(s.take::<48>()).set_byte(0, opcode as u8 | s.byte() & 0x40);
                 let length = usize::from(s.byte());
-                self.pdu(conn, numbered(h, 0), s.0.iter().copied().take(length).collect());
+                self.pdu(
+                    conn,
+                    numbered(h, 0),
+                    s.0.iter().copied().take(length).collect(),
+                );
             }
         }
     }
@@ -233,7 +323,11 @@
     }
     (0..256).for_each(|c| stage.feed(Input::Gone { conn: ConnNo(c) }));
     while let Some(r) = stage.open.pop() {
-        stage.feed(Input::Final { no: r.no, answer: Answer::Abandoned { unsure: false }, cell: r.cell });
+        stage.feed(Input::Final {
+            no: r.no,
+            answer: Answer::Abandoned { unsure: false },
+            cell: r.cell,
+        });
         if stage.open.is_empty() {
             stage.now += REST * 2;
             stage.feed(Input::Up { conn: ConnNo(1000) });
--- a/crates/wire/src/clock.rs
+++ b/crates/wire/src/clock.rs
@@ -4,7 +4,10 @@
 
 /// Time since the machine started.
 pub fn now() -> Duration {
-    let mut t = libc::timespec { tv_sec: 0, tv_nsec: 0 };
+    let mut t = libc::timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     // SAFETY: the pointer is to a live timespec, and the clock's number is a constant of the platform.
     unsafe { libc::clock_gettime(libc::CLOCK_MONOTONIC, &mut t) };
     Duration::new(t.tv_sec as u64, t.tv_nsec as u32)
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -28,7 +28,9 @@
 impl fmt::Display for FrameFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            FrameFault::TooLong { length, most } => write!(f, "frame of {length} bytes, at most {most}"),
+            FrameFault::TooLong { length, most } => {
+                write!(f, "frame of {length} bytes, at most {most}")
+            }
             FrameFault::Checksum => write!(f, "frame with a wrong checksum"),
             FrameFault::Message(why) => write!(f, "frame that holds no message: {why}"),
             FrameFault::Unknown => write!(f, "message of an unknown kind"),
@@ -71,7 +73,10 @@
 
 impl Reader {
     pub fn new(most: usize) -> Self {
-        Reader { held: BytesMut::new(), most }
+        Reader {
+            held: BytesMut::new(),
+            most,
+        }
     }
 
     pub fn push(&mut self, bytes: &[u8]) {
@@ -82,8 +87,15 @@
     pub fn fill(&mut self, from: &mut impl std::io::Read) -> std::io::Result<usize> {
         let held = self.held.len();
         // A large frame is put together where it begins, and not moved each time it grows.
-        let length = self.held.first_chunk::<4>().map_or(0, |h| u32::from_le_bytes(*h) as usize);
-        let missing = if length <= self.most { (length + HEADER).saturating_sub(held) } else { 0 };
+        let length = self
+            .held
+            .first_chunk::<4>()
+            .map_or(0, |h| u32::from_le_bytes(*h) as usize);
+        let missing = if length <= self.most {
+            (length + HEADER).saturating_sub(held)
+        } else {
+            0
+        };
         self.held.reserve(missing.max(ONE_READ));
         self.held.resize(held + ONE_READ, 0);
         let got = from.read(&mut self.held[held..]);
@@ -99,11 +111,16 @@
     /// The next whole message; None until more bytes have come. After a fault every later call is one too.
     #[allow(clippy::should_implement_trait)]
     pub fn next<M: Message + Default>(&mut self) -> Result<Option<M>, FrameFault> {
-        let Some(header) = self.held.first_chunk::<HEADER>() else { return Ok(None) };
+        let Some(header) = self.held.first_chunk::<HEADER>() else {
+            return Ok(None);
+        };
         let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
         let sum = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
         if length > self.most {
-            return Err(FrameFault::TooLong { length, most: self.most });
+            return Err(FrameFault::TooLong {
+                length,
+                most: self.most,
+            });
         }
         if self.held.len() < HEADER + length {
             return Ok(None);
@@ -113,6 +130,8 @@
         }
         self.held.advance(HEADER);
         let message: Bytes = self.held.split_to(length).freeze();
-        M::decode(message).map(Some).map_err(|e| FrameFault::Message(e.to_string()))
+        M::decode(message)
+            .map(Some)
+            .map_err(|e| FrameFault::Message(e.to_string()))
     }
 }
--- a/crates/wire/src/trace.rs
+++ b/crates/wire/src/trace.rs
@@ -29,10 +29,22 @@
 impl Tracer {
     /// A new file at the path, with a first record of who writes.
     pub fn create(path: &Path, most: u64, who: pb::Hello) -> io::Result<Self> {
-        let file = OpenOptions::new().create(true).write(true).truncate(true).open(path)?;
-        let sink = Sink { file, left: most, scratch: Vec::new() };
+        let file = OpenOptions::new()
+            .create(true)
+            .write(true)
+            .truncate(true)
+            .open(path)?;
+        let sink = Sink {
+            file,
+            left: most,
+            scratch: Vec::new(),
+        };
         let tracer = Tracer(Some(Arc::new(Mutex::new(sink))));
-        tracer.put([Record { kind: Kind::Process.into(), process: Some(who), ..Record::default() }]);
+        tracer.put([Record {
+            kind: Kind::Process.into(),
+            process: Some(who),
+            ..Record::default()
+        }]);
         Ok(tracer)
     }
 
@@ -41,11 +53,21 @@
     }
 
     pub fn opened(&self, conn: u64, peer: &str) {
-        self.put([Record { kind: Kind::Opened.into(), conn, peer: peer.into(), ..Record::default() }]);
+        self.put([Record {
+            kind: Kind::Opened.into(),
+            conn,
+            peer: peer.into(),
+            ..Record::default()
+        }]);
     }
 
     pub fn closed(&self, conn: u64, peer: &str) {
-        self.put([Record { kind: Kind::Closed.into(), conn, peer: peer.into(), ..Record::default() }]);
+        self.put([Record {
+            kind: Kind::Closed.into(),
+            conn,
+            peer: peer.into(),
+            ..Record::default()
+        }]);
     }
 
     /// Frames read at that moment.
@@ -59,30 +81,63 @@
     }
 
     pub fn mark(&self, mark: pb::Marked) {
-        self.put([Record { kind: Kind::Mark.into(), mark: Some(mark), ..Record::default() }]);
+        self.put([Record {
+            kind: Kind::Mark.into(),
+            mark: Some(mark),
+            ..Record::default()
+        }]);
     }
 
     /// A PDU read from a portal's connection, or one that can no longer be kept from it. `blocks`: its data
     /// is a command's.
-    pub fn pdu(&self, kind: Kind, conn: u64, header: &[u8], data: &[u8], blocks: bool, target: Option<&str>) {
+    pub fn pdu(
+        &self,
+        kind: Kind,
+        conn: u64,
+        header: &[u8],
+        data: &[u8],
+        blocks: bool,
+        target: Option<&str>,
+    ) {
         if !self.is_on() {
             return;
         }
-        let sums = if blocks { data.chunks(BLOCK).map(block_sum).collect() } else { Vec::new() };
+        let sums = if blocks {
+            data.chunks(BLOCK).map(block_sum).collect()
+        } else {
+            Vec::new()
+        };
         let header = Bytes::copy_from_slice(header);
         let target = target.unwrap_or_default().to_string();
-        let pdu = pb::Pdu { header, blocks: sums, data_len: data.len() as u32, target };
-        self.put([Record { kind: kind.into(), conn, pdu: Some(pdu), ..Record::default() }]);
+        let pdu = pb::Pdu {
+            header,
+            blocks: sums,
+            data_len: data.len() as u32,
+            target,
+        };
+        self.put([Record {
+            kind: kind.into(),
+            conn,
+            pdu: Some(pdu),
+            ..Record::default()
+        }]);
     }
 
     pub fn line_closed(&self, conn: u64) {
-        self.put([Record { kind: Kind::LineClosed.into(), conn, ..Record::default() }]);
+        self.put([Record {
+            kind: Kind::LineClosed.into(),
+            conn,
+            ..Record::default()
+        }]);
     }
 
     fn frames(&self, kind: Kind, conn: u64, at: Duration, frames: &[pb::Frame]) {
         let at_ns = at.as_nanos() as u64;
         if self.is_on() && !frames.is_empty() {
-            self.put(frames.iter().map(|f| Record { at_ns, ..bare(kind, conn, f) }));
+            self.put(frames.iter().map(|f| Record {
+                at_ns,
+                ..bare(kind, conn, f)
+            }));
         }
     }
 
@@ -103,7 +158,14 @@
         sink.left = sink.left.saturating_sub(scratch.len() as u64);
         if sink.left == 0 {
             let at_ns = clock::now().as_nanos() as u64;
-            frame::write(&Record { at_ns, kind: Kind::Cut.into(), ..Record::default() }, &mut scratch);
+            frame::write(
+                &Record {
+                    at_ns,
+                    kind: Kind::Cut.into(),
+                    ..Record::default()
+                },
+                &mut scratch,
+            );
         }
         if sink.file.write_all(&scratch).is_err() {
             sink.left = 0; // a full disk must not stop the host; the audit sees that the trace ends early
@@ -133,7 +195,14 @@
         _ => Bytes::new(),
     };
     let (data_len, data_crc) = (data.len() as u32, crc32c::crc32c(&data));
-    Record { kind: kind.into(), conn, frame: Some(frame), data_len, data_crc, ..Record::default() }
+    Record {
+        kind: kind.into(),
+        conn,
+        frame: Some(frame),
+        data_len,
+        data_crc,
+        ..Record::default()
+    }
 }
 
 /// All records of a file. A torn last record, as a kill leaves it, is dropped; other damage is a fault.
@@ -148,7 +217,11 @@
             Ok(Some(r)) => records.push(r),
             Ok(None) => return Ok(records),
             Err(fault) => {
-                let what = format!("{}: after {} records: {fault}", path.display(), records.len());
+                let what = format!(
+                    "{}: after {} records: {fault}",
+                    path.display(),
+                    records.len()
+                );
                 return Err(io::Error::new(io::ErrorKind::InvalidData, what));
             }
         }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -29,15 +29,25 @@
             kind: 2,
             revision: rng.random(),
             entries: (0..rng.random_range(0..20))
-                .map(|node| pb::Entry { node, address: "127.0.0.1:1".into(), ..Default::default() })
+                .map(|node| pb::Entry {
+                    node,
+                    address: "127.0.0.1:1".into(),
+                    ..Default::default()
+                })
                 .collect(),
         }),
         3 => Body::GoingAway(pb::GoingAway {}),
-        _ => {
-            Body::Final(pb::Final { id, outcome: 1, come_back_us: Some(rng.random()), ..Default::default() })
-        }
+        _ => Body::Final(pb::Final {
+            id,
+            outcome: 1,
+            come_back_us: Some(rng.random()),
+            ..Default::default()
+        }),
     };
-    pb::Frame { sent_us: rng.random(), body: Some(body) }
+    pb::Frame {
+        sent_us: rng.random(),
+        body: Some(body),
+    }
 }
 
 #[test]
@@ -72,7 +82,10 @@
         let mut reader = Reader::new(64 << 10);
         reader.push(&bytes);
         let read = reader.next::<pb::Frame>();
-        assert!(!matches!(read, Ok(Some(_))), "seed {seed}, byte {at}: {read:?}");
+        assert!(
+            !matches!(read, Ok(Some(_))),
+            "seed {seed}, byte {at}: {read:?}"
+        );
     }
 }
 
@@ -93,7 +106,10 @@
 fn the_length_is_judged_by_the_header_alone_and_unknown_fields_are_skipped() {
     let mut reader = Reader::new(100);
     reader.push(&[0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0]);
-    let most = FrameFault::TooLong { length: u32::MAX as usize, most: 100 };
+    let most = FrameFault::TooLong {
+        length: u32::MAX as usize,
+        most: 100,
+    };
     assert_eq!(reader.next::<pb::Frame>(), Err(most.clone()));
     assert_eq!(reader.next::<pb::Frame>(), Err(most), "it stays a fault");
     // A later version's message: a known body, and field 99 beside it.
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -7,12 +7,23 @@
 use grebecleat::interface::*;
 
 fn limited(limit: f64, burst: f64) -> Plan {
-    Plan { limit, limit_burst: burst, ..plan(2.0) }
+    Plan {
+        limit,
+        limit_burst: burst,
+        ..plan(2.0)
+    }
 }
 
 fn terms(plan: usize, hosts: usize, limit: Option<(f64, f64)>) -> Event {
-    let terms = Some(Terms { plan: PlanId(plan), hosts, limit });
-    Event::Volume { volume: VolumeId(5), terms }
+    let terms = Some(Terms {
+        plan: PlanId(plan),
+        hosts,
+        limit,
+    });
+    Event::Volume {
+        volume: VolumeId(5),
+        terms,
+    }
 }
 
 /// Tells a host things, and answers each leg at once, as long as it sends more; units sent.
@@ -24,7 +35,10 @@
             break;
         }
         units += 2.0 * sent.len() as f64;
-        events = sent.iter().map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true)).collect();
+        events = sent
+            .iter()
+            .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true))
+            .collect();
     }
     units
 }
@@ -45,7 +59,11 @@
         ("as it was", Some((20.0, 40.0)), 30.0..100.0),
     ];
     for (what, limit, expected) in cases {
-        let mut c = host(vec![stream(Repeat::Repeatable)], vec![limited(40.0, 80.0)], None);
+        let mut c = host(
+            vec![stream(Repeat::Repeatable)],
+            vec![limited(40.0, 80.0)],
+            None,
+        );
         press(&mut c, 1010, 4010);
         answered(&mut c, 4010, vec![terms(0, 2, limit)]);
         let sent = press(&mut c, 4020, 7020);
@@ -63,10 +81,20 @@
 #[test]
 fn what_a_limit_is_owed_stays_owed() {
     for back in [false, true] {
-        let mut c = host(vec![stream(Repeat::Repeatable)], vec![limited(4.0, 8.0)], None);
+        let mut c = host(
+            vec![stream(Repeat::Repeatable)],
+            vec![limited(4.0, 8.0)],
+            None,
+        );
         press(&mut c, 1010, 6010); // its part, 2 a second up to 4, is drawn as it fills
-        let change =
-            if back { vec![terms(0, 2, Some((2.0, 400.0))), terms(0, 2, Some((2.0, 4.0)))] } else { vec![] };
+        let change = if back {
+            vec![
+                terms(0, 2, Some((2.0, 400.0))),
+                terms(0, 2, Some((2.0, 4.0))),
+            ]
+        } else {
+            vec![]
+        };
         answered(&mut c, 6015, change);
         let sent = press(&mut c, 6020, 8020);
         assert!(sent <= 6.0, "{sent} units in 2 s, back {back}");
@@ -77,7 +105,11 @@
 /// lost.
 #[test]
 fn what_is_held_when_a_limit_is_lowered_keeps_to_the_new_one() {
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![limited(200.0, 200.0)], None);
+    let mut c = host(
+        vec![stream(Repeat::Repeatable)],
+        vec![limited(200.0, 200.0)],
+        None,
+    );
     press(&mut c, 1010, 2010);
     let taken: Vec<Event> = (1..=60).map(|n| Event::Taken(xfer(n, ms(4000)))).collect();
     at(&mut c, 2015, vec![terms(0, 2, Some((4.0, 4.0)))]);
@@ -89,7 +121,10 @@
         let own = |x: &XferId| (1..=60).contains(&x.0[0]);
         sent += s.iter().filter(|(x, _)| own(x)).count();
         ended += d.iter().chain(&a).filter(|x| own(x)).count();
-        let done = s.iter().map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true)).collect();
+        let done = s
+            .iter()
+            .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true))
+            .collect();
         at(&mut c, t + 1, done);
     }
     assert!(sent as f64 * 2.0 <= 4.0 + 4.0 * 2.2, "{sent} sent");
@@ -99,19 +134,35 @@
 /// A better plan is felt by what is already held.
 #[test]
 fn a_volume_that_gets_a_better_plan_goes_first() {
-    let plans = vec![plan(0.0), Plan { price: 4.0, weight: 4.0, ..plan(0.0) }];
+    let plans = vec![
+        plan(0.0),
+        Plan {
+            price: 4.0,
+            weight: 4.0,
+            ..plan(0.0)
+        },
+    ];
     let mut c = host(vec![stream(Repeat::Repeatable)], plans, None);
-    let other = |n: u8, t| Event::Taken(Transfer { volume: VolumeId(6), ..xfer(n, ms(t)) });
+    let other = |n: u8, t| {
+        Event::Taken(Transfer {
+            volume: VolumeId(6),
+            ..xfer(n, ms(t))
+        })
+    };
     // Fill the node so that both volumes have something held.
     let fill: Vec<Event> = (100..140).map(|n| other(n, 9000)).collect();
     at(&mut c, 1010, fill);
-    let both: Vec<Event> =
-        (1..=5).flat_map(|n| [other(n + 50, 9000), Event::Taken(xfer(n, ms(9000)))]).collect();
+    let both: Vec<Event> = (1..=5)
+        .flat_map(|n| [other(n + 50, 9000), Event::Taken(xfer(n, ms(9000)))])
+        .collect();
     at(&mut c, 1011, both);
     at(&mut c, 1012, vec![terms(1, 2, None)]);
     let (mut order, mut done) = (Vec::new(), (100..140).collect::<Vec<u8>>());
     for t in (1020..1800).step_by(10) {
-        let ends = done.drain(..done.len().min(2)).map(|n| over(n, 1, LegEnd::Done, ms(5), true)).collect();
+        let ends = done
+            .drain(..done.len().min(2))
+            .map(|n| over(n, 1, LegEnd::Done, ms(5), true))
+            .collect();
         let (sent, ..) = at(&mut c, t, ends);
         order.extend(sent.iter().map(|(x, _)| x.0[0]));
         done.extend(sent.iter().map(|(x, _)| x.0[0]));
@@ -127,11 +178,25 @@
 #[test]
 fn new_figures_of_a_plan_count_at_once_and_a_new_plan_has_the_next_number() {
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
-    let new = Plan { price: 3.0, limit: 8.0, limit_burst: 8.0, ..plan(5.0) };
-    let told = vec![Event::Plan { plan: PlanId(1), facts: new }, terms(1, 2, Some((4.0, 4.0)))];
+    let new = Plan {
+        price: 3.0,
+        limit: 8.0,
+        limit_burst: 8.0,
+        ..plan(5.0)
+    };
+    let told = vec![
+        Event::Plan {
+            plan: PlanId(1),
+            facts: new,
+        },
+        terms(1, 2, Some((4.0, 4.0))),
+    ];
     at(&mut c, 1005, told);
     let sent = press(&mut c, 1010, 3010);
-    assert!((4.0..=13.0).contains(&sent), "{sent} units in 2 s at 4 a second");
+    assert!(
+        (4.0..=13.0).contains(&sent),
+        "{sent} units in 2 s at 4 a second"
+    );
 }
 
 #[test]
@@ -142,11 +207,24 @@
         let taken: Vec<Event> = (1..=40).map(|n| Event::Taken(xfer(n, ms(5000)))).collect();
         let (sent, ..) = at(&mut c, 1010, taken);
         assert!(!sent.is_empty() && sent.len() < 40);
-        let (more, deferred, abandoned) =
-            at(&mut c, 1020, vec![Event::Volume { volume: VolumeId(5), terms: None }]);
+        let (more, deferred, abandoned) = at(
+            &mut c,
+            1020,
+            vec![Event::Volume {
+                volume: VolumeId(5),
+                terms: None,
+            }],
+        );
         // What never ran may be asked elsewhere; what is out has its answer when it comes.
-        assert_eq!((more.len(), deferred.len(), abandoned.len()), (0, 40 - sent.len(), 0), "{repeat:?}");
-        let ends = sent.iter().map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(20), true)).collect();
+        assert_eq!(
+            (more.len(), deferred.len(), abandoned.len()),
+            (0, 40 - sent.len(), 0),
+            "{repeat:?}"
+        );
+        let ends = sent
+            .iter()
+            .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(20), true))
+            .collect();
         at(&mut c, 1030, ends);
         for t in (1040..3000).step_by(20) {
             assert_eq!(at(&mut c, t, vec![]), (vec![], vec![], vec![]));
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -26,13 +26,26 @@
     eager: u64,
 }
 
-const PLAIN: Wave = Wave { hosts: 30, quiet: 0, restart: None, sizes: &[2.0], eager: 1 };
+const PLAIN: Wave = Wave {
+    hosts: 30,
+    quiet: 0,
+    restart: None,
+    sizes: &[2.0],
+    eager: 1,
+};
 
 fn started(seed: u64, now: u64, hosts: u64) -> Control {
-    let rule = ColdRule { hosts: hosts as usize, ..cold_rule() };
-    let listing = ListRule { on_asking: false, ask_every: ms(10_000) };
+    let rule = ColdRule {
+        hosts: hosts as usize,
+        ..cold_rule()
+    };
+    let listing = ListRule {
+        on_asking: false,
+        ask_every: ms(10_000),
+    };
     let (streams, plans) = (vec![stream(Repeat::Repeatable)], vec![plan(1.0)]);
-    let mut c = Control::new(seed, streams, plans, units(), caps()).under(rule, listing, None, ms(0));
+    let mut c =
+        Control::new(seed, streams, plans, units(), caps()).under(rule, listing, None, ms(0));
     let told = vec![entry(1, NodeState::Ready, Some(ms(START - 1)))];
     at(&mut c, now, vec![list(ListKind::Remembered, told)]);
     c
@@ -109,8 +122,14 @@
         }
     }
     let span = cold_rule().fall_within.as_millis() as u64;
-    let window = |from: u64| sent.iter().filter(move |(at, _)| (from..from + span).contains(at)).map(|s| s.1);
-    sent.iter().map(|(at, _)| window(*at).sum::<f64>() / MEAN).fold(0.0, f64::max)
+    let window = |from: u64| {
+        sent.iter()
+            .filter(move |(at, _)| (from..from + span).contains(at))
+            .map(|s| s.1)
+    };
+    sent.iter()
+        .map(|(at, _)| window(*at).sum::<f64>() / MEAN)
+        .fold(0.0, f64::max)
 }
 
 /// What chance may add to the settings' always-borne units, in mean transfers.
@@ -126,7 +145,11 @@
     let mixed: &[f64] = &[1.0, 2.0, 1.0, 4.0, 2.0, 1.0, 3.0];
     let mut waves = Vec::new();
     for hosts in [4, 10, 20, 30] {
-        waves.extend([0, 2000, 4000, 6000].map(|quiet| Wave { hosts, quiet, ..PLAIN }));
+        waves.extend([0, 2000, 4000, 6000].map(|quiet| Wave {
+            hosts,
+            quiet,
+            ..PLAIN
+        }));
         // Who has just sent and is started anew remembers nothing of it.
         waves.extend([4040, 4500, 5500].map(|after| Wave {
             hosts,
@@ -134,13 +157,33 @@
             restart: Some(after),
             ..PLAIN
         }));
-        waves.push(Wave { hosts, quiet: 4000, sizes: mixed, ..PLAIN });
-        waves.push(Wave { hosts, quiet: 6000, sizes: mixed, restart: Some(6500), ..PLAIN });
-        waves.push(Wave { hosts, quiet: 4000, eager: 3, ..PLAIN });
+        waves.push(Wave {
+            hosts,
+            quiet: 4000,
+            sizes: mixed,
+            ..PLAIN
+        });
+        waves.push(Wave {
+            hosts,
+            quiet: 6000,
+            sizes: mixed,
+            restart: Some(6500),
+            ..PLAIN
+        });
+        waves.push(Wave {
+            hosts,
+            quiet: 4000,
+            eager: 3,
+            ..PLAIN
+        });
     }
     for wave in waves {
         let sums: Vec<f64> = (0..4).map(|seed| largest_sum(wave, seed)).collect();
-        assert!(sums.iter().all(|sum| *sum <= most()), "{wave:?}: {sums:?} of {:.1}", most());
+        assert!(
+            sums.iter().all(|sum| *sum <= most()),
+            "{wave:?}: {sums:?} of {:.1}",
+            most()
+        );
     }
 }
 
@@ -148,7 +191,17 @@
 #[test]
 fn the_parts_of_a_cold_node_are_used_by_few_hosts_and_by_many() {
     for hosts in [1, 4, 10, 30] {
-        let sum = largest_sum(Wave { hosts, quiet: 4000, ..PLAIN }, 1);
-        assert!(sum >= cold_rule().units / MEAN / 2.0, "{hosts} hosts: {sum}");
+        let sum = largest_sum(
+            Wave {
+                hosts,
+                quiet: 4000,
+                ..PLAIN
+            },
+            1,
+        );
+        assert!(
+            sum >= cold_rule().units / MEAN / 2.0,
+            "{hosts} hosts: {sum}"
+        );
     }
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -10,24 +10,54 @@
 }
 
 pub fn stream(repeat: Repeat) -> StreamType {
-    StreamType { slo: ms(200), repeat, ordered: false, benefit: 2.0, late_part: 0.2 }
+    StreamType {
+        slo: ms(200),
+        repeat,
+        ordered: false,
+        benefit: 2.0,
+        late_part: 0.2,
+    }
 }
 
 pub fn plan(reservation: f64) -> Plan {
-    Plan { base_rate: 10.0, reservation, weight: 1.0, price: 1.0, ..Plan::default() }
+    Plan {
+        base_rate: 10.0,
+        reservation,
+        weight: 1.0,
+        price: 1.0,
+        ..Plan::default()
+    }
 }
 
 pub fn units() -> UnitFacts {
-    UnitFacts { mean: 2.0, largest: 8.0, meter: ms(1000), share_part: 0.35, spare_part: 0.05 }
+    UnitFacts {
+        mean: 2.0,
+        largest: 8.0,
+        meter: ms(1000),
+        share_part: 0.35,
+        spare_part: 0.05,
+    }
 }
 
 pub fn caps() -> Caps {
-    Caps { most_legs: 3, probing: false, come_back: Some(ms(2000)), answer_slack: ms(8) }
+    Caps {
+        most_legs: 3,
+        probing: false,
+        come_back: Some(ms(2000)),
+        answer_slack: ms(8),
+    }
 }
 
 pub fn cold_rule() -> ColdRule {
     let (warm_within, fall_within) = (ms(10_000), ms(2000));
-    ColdRule { hosts: 4, units: 20.0, starts_at: 0.2, warm_within, fall_within, multiple: 3.0 }
+    ColdRule {
+        hosts: 4,
+        units: 20.0,
+        starts_at: 0.2,
+        warm_within,
+        fall_within,
+        multiple: 3.0,
+    }
 }
 
 pub fn id(n: u8) -> XferId {
@@ -37,11 +67,27 @@
 pub fn xfer(n: u8, expiry: Duration) -> Transfer {
     let (stream_type, plan, volume) = (StreamTypeId(0), PlanId(0), VolumeId(5));
     let cell = Some(CellId(1));
-    Transfer { id: id(n), units: 2.0, cell, stream_type, plan, hosts: 2, key: None, expiry, volume }
+    Transfer {
+        id: id(n),
+        units: 2.0,
+        cell,
+        stream_type,
+        plan,
+        hosts: 2,
+        key: None,
+        expiry,
+        volume,
+    }
 }
 
 pub fn entry(node: u32, state: NodeState, started: Option<Duration>) -> ListEntry {
-    ListEntry { node: NodeId(node), zone: ZoneId(0), cell: CellId(node), state, started }
+    ListEntry {
+        node: NodeId(node),
+        zone: ZoneId(0),
+        cell: CellId(node),
+        state,
+        started,
+    }
 }
 
 pub fn list(kind: ListKind, entries: Vec<ListEntry>) -> Event {
@@ -50,21 +96,40 @@
 
 pub fn over(n: u8, node: u32, end: LegEnd, took: Duration, over: bool) -> Event {
     let (id, node, reported) = (id(n), NodeId(node), None);
-    Event::LegOver { id, leg: 0, node, end, elapsed: took, over, reported, others: 0.0, busy: None }
+    Event::LegOver {
+        id,
+        leg: 0,
+        node,
+        end,
+        elapsed: took,
+        over,
+        reported,
+        others: 0.0,
+        busy: None,
+    }
 }
 
 /// A host whose list names nodes 1 and 2, ready and long up.
 pub fn host(streams: Vec<StreamType>, plans: Vec<Plan>, legs: Option<LegBudget>) -> Control {
-    let listing = ListRule { on_asking: false, ask_every: ms(10_000) };
-    let mut c = Control::new(7, streams, plans, units(), caps()).under(cold_rule(), listing, legs, ms(200));
-    let ready = vec![entry(1, NodeState::Ready, None), entry(2, NodeState::Ready, None)];
+    let listing = ListRule {
+        on_asking: false,
+        ask_every: ms(10_000),
+    };
+    let mut c =
+        Control::new(7, streams, plans, units(), caps()).under(cold_rule(), listing, legs, ms(200));
+    let ready = vec![
+        entry(1, NodeState::Ready, None),
+        entry(2, NodeState::Ready, None),
+    ];
     c.step(ms(1000), vec![list(ListKind::Remembered, ready)]);
     c
 }
 
 /// Tells a host things at a moment; answers what was sent, deferred and abandoned.
 pub fn at(
-    c: &mut Control, now: u64, events: Vec<Event>,
+    c: &mut Control,
+    now: u64,
+    events: Vec<Event>,
 ) -> (Vec<(XferId, NodeId)>, Vec<XferId>, Vec<XferId>) {
     let (mut sent, mut deferred, mut abandoned) = (vec![], vec![], vec![]);
     for action in c.step(ms(now), events) {
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -40,18 +40,41 @@
         (1.0, 0.0, None, 0, 1.0),
     ];
     for (own, done, all, hosts, wanted) in cases {
-        assert!(near(host_part(own, done, all, hosts), wanted), "{own} {done} {all:?} {hosts}");
+        assert!(
+            near(host_part(own, done, all, hosts), wanted),
+            "{own} {done} {all:?} {hosts}"
+        );
     }
 }
 
 #[test]
 fn reservations_fill_first_and_the_rest_goes_by_weight() {
-    let ask = |demand, reservation, weight| Ask { demand, reservation, weight };
+    let ask = |demand, reservation, weight| Ask {
+        demand,
+        reservation,
+        weight,
+    };
     let cases = [
-        (10.0, vec![ask(4.0, 4.0, 1.0), ask(20.0, 0.0, 1.0)], vec![(4.0, 0.0), (0.0, 6.0)]),
-        (12.0, vec![ask(20.0, 3.0, 2.0), ask(20.0, 0.0, 1.0)], vec![(3.0, 6.0), (0.0, 3.0)]),
-        (12.0, vec![ask(5.0, 3.0, 5.0), ask(20.0, 0.0, 1.0)], vec![(3.0, 2.0), (0.0, 7.0)]),
-        (4.0, vec![ask(6.0, 6.0, 1.0), ask(2.0, 2.0, 1.0)], vec![(3.0, 0.0), (1.0, 0.0)]),
+        (
+            10.0,
+            vec![ask(4.0, 4.0, 1.0), ask(20.0, 0.0, 1.0)],
+            vec![(4.0, 0.0), (0.0, 6.0)],
+        ),
+        (
+            12.0,
+            vec![ask(20.0, 3.0, 2.0), ask(20.0, 0.0, 1.0)],
+            vec![(3.0, 6.0), (0.0, 3.0)],
+        ),
+        (
+            12.0,
+            vec![ask(5.0, 3.0, 5.0), ask(20.0, 0.0, 1.0)],
+            vec![(3.0, 2.0), (0.0, 7.0)],
+        ),
+        (
+            4.0,
+            vec![ask(6.0, 6.0, 1.0), ask(2.0, 2.0, 1.0)],
+            vec![(3.0, 0.0), (1.0, 0.0)],
+        ),
         (4.0, vec![ask(6.0, 0.0, 0.0)], vec![(0.0, 0.0)]),
         (0.0, vec![ask(1.0, 0.0, 1.0)], vec![(0.0, 0.0)]),
         (5.0, vec![], vec![]),
@@ -59,12 +82,22 @@
     for (capacity, asks, wanted) in cases {
         let got = fill(capacity, &asks);
         assert_eq!(got.len(), wanted.len());
-        assert!(got.iter().zip(&wanted).all(|(g, w)| near(g.0, w.0) && near(g.1, w.1)), "{got:?}");
+        assert!(
+            got.iter()
+                .zip(&wanted)
+                .all(|(g, w)| near(g.0, w.0) && near(g.1, w.1)),
+            "{got:?}"
+        );
     }
 }
 
 fn reading(congested: bool, below_reservation: bool, outstanding: f64) -> Reading {
-    Reading { congested, below_reservation, outstanding, mix: vec![0.5, 0.5] }
+    Reading {
+        congested,
+        below_reservation,
+        outstanding,
+        mix: vec![0.5, 0.5],
+    }
 }
 
 #[test]
@@ -89,16 +122,32 @@
     w.read(&reading(false, true, 4.0));
     assert_eq!((w.phase, w.high), (Phase::Wait, 85.0));
     w.read(&reading(true, true, 4.0));
-    assert_eq!((w.phase, w.estimate), (Phase::Wait, 85.0), "no raise until reservations are met");
+    assert_eq!(
+        (w.phase, w.estimate),
+        (Phase::Wait, 85.0),
+        "no raise until reservations are met"
+    );
     w.read(&clear());
     assert_eq!(w.phase, Phase::Stable { outstanding: 4.0 });
     w.read(&reading(false, false, 9.0));
-    assert!(w.estimate < 85.0, "more outstanding than at the stable start lowers it");
+    assert!(
+        w.estimate < 85.0,
+        "more outstanding than at the stable start lowers it"
+    );
     w.read(&reading(false, false, 4.0));
     let settled = w.estimate;
-    w.read(&Reading { mix: vec![0.55, 0.45], ..clear() });
-    assert_eq!(w.estimate, settled, "a mix change of less than a tenth is no change");
-    w.read(&Reading { mix: vec![0.7, 0.3], ..clear() });
+    w.read(&Reading {
+        mix: vec![0.55, 0.45],
+        ..clear()
+    });
+    assert_eq!(
+        w.estimate, settled,
+        "a mix change of less than a tenth is no change"
+    );
+    w.read(&Reading {
+        mix: vec![0.7, 0.3],
+        ..clear()
+    });
     assert_eq!((w.phase, w.low, w.high), (Phase::Search, 10.0, 110.0));
 }
 
@@ -107,7 +156,12 @@
     // learned rate, wanted units at a mean of 2
     let floor = bound(0.0, ms(200), 2.0, 1);
     assert!(floor >= 12.0);
-    let cases = [(1.0, floor), (600.0, 18.0_f64.max(floor)), (1e6, 64.0), (f64::MAX, 64.0)];
+    let cases = [
+        (1.0, floor),
+        (600.0, 18.0_f64.max(floor)),
+        (1e6, 64.0),
+        (f64::MAX, 64.0),
+    ];
     for (rate, wanted) in cases {
         assert_eq!(bound(rate, ms(200), 2.0, 1), wanted, "{rate}");
     }
@@ -118,7 +172,14 @@
 #[test]
 fn all_hosts_floors_stay_within_the_most_of_one_and_let_a_large_transfer_go() {
     // hosts, wanted units at a mean of 2
-    for (hosts, wanted) in [(0, 12.0), (1, 12.0), (5, 12.0), (8, 8.0), (16, 4.0), (300, 4.0)] {
+    for (hosts, wanted) in [
+        (0, 12.0),
+        (1, 12.0),
+        (5, 12.0),
+        (8, 8.0),
+        (16, 4.0),
+        (300, 4.0),
+    ] {
         assert_eq!(bound(0.0, ms(200), 2.0, hosts), wanted, "{hosts}");
     }
 }
@@ -142,9 +203,17 @@
 #[test]
 fn new_objects_go_by_rank_and_past_a_node_that_has_enough() {
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(0.0)], None);
-    let new = |n| Event::Taken(Transfer { cell: None, ..xfer(n, ms(3000)) });
+    let new = |n| {
+        Event::Taken(Transfer {
+            cell: None,
+            ..xfer(n, ms(3000))
+        })
+    };
     let (sent, ..) = at(&mut c, 1001, (1..=8).map(new).collect());
     let first = sent[0].1;
-    assert!(sent.iter().any(|(_, n)| *n != first), "the first in rank was never full: {sent:?}");
+    assert!(
+        sent.iter().any(|(_, n)| *n != first),
+        "the first in rank was never full: {sent:?}"
+    );
     assert!(sent.iter().take(2).all(|(_, n)| *n == first));
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,21 +6,38 @@
 use grebecleat::interface::*;
 use grebecleat::state::Ran;
 
-const KEYED: Repeat = Repeat::Keyed { group: RepeatGroup::Cell, remembered: ms(1500) };
+const KEYED: Repeat = Repeat::Keyed {
+    group: RepeatGroup::Cell,
+    remembered: ms(1500),
+};
 
 #[test]
 fn every_transfer_has_one_answer_before_its_expiry() {
     // A late client retry arrives with its time already up; a node is absent; a leg times out.
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
-    let absent = Transfer { cell: Some(CellId(9)), ..xfer(2, ms(3000)) };
-    let (sent, deferred, _) = at(&mut c, 1010, vec![Event::Taken(xfer(1, ms(1010))), Event::Taken(absent)]);
+    let absent = Transfer {
+        cell: Some(CellId(9)),
+        ..xfer(2, ms(3000))
+    };
+    let (sent, deferred, _) = at(
+        &mut c,
+        1010,
+        vec![Event::Taken(xfer(1, ms(1010))), Event::Taken(absent)],
+    );
     assert_eq!((sent.len(), deferred), (0, vec![id(1), id(2)]));
     let (sent, ..) = at(&mut c, 1020, vec![Event::Taken(xfer(3, ms(1100)))]);
     assert_eq!(sent.len(), 1);
-    let (sent, deferred, _) = at(&mut c, 1100, vec![over(3, 1, LegEnd::TimeOut, ms(80), false)]);
+    let (sent, deferred, _) = at(
+        &mut c,
+        1100,
+        vec![over(3, 1, LegEnd::TimeOut, ms(80), false)],
+    );
     assert_eq!((sent.len(), deferred), (0, vec![id(3)]));
     // Late outcomes and leavings of what is over, and of ids unknown after a restart, change nothing.
-    let late = vec![over(3, 1, LegEnd::Done, ms(90), true), Event::Withdrawn { id: id(77) }];
+    let late = vec![
+        over(3, 1, LegEnd::Done, ms(90), true),
+        Event::Withdrawn { id: id(77) },
+    ];
     assert_eq!(at(&mut c, 1110, late), (vec![], vec![], vec![]));
 }
 
@@ -28,11 +45,20 @@
 fn held_transfers_are_given_up_when_they_cannot_be_in_time() {
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
     let mut answers = 0;
-    at(&mut c, 1001, (1..=60).map(|n| Event::Taken(xfer(n, ms(1600)))).collect());
+    at(
+        &mut c,
+        1001,
+        (1..=60).map(|n| Event::Taken(xfer(n, ms(1600)))).collect(),
+    );
     for t in (1010..1600).step_by(10) {
-        answers += at(&mut c, t, vec![Event::Timer { tag: TimerTag(1) }]).1.len();
+        answers += at(&mut c, t, vec![Event::Timer { tag: TimerTag(1) }])
+            .1
+            .len();
     }
-    assert!(answers > 40, "{answers} of 60 answered by us; the node answered none");
+    assert!(
+        answers > 40,
+        "{answers} of 60 answered by us; the node answered none"
+    );
 }
 
 /// A host that stood still takes that off a leg's time, which says nothing of when it was sent.
@@ -42,7 +68,11 @@
         let mut c = host(vec![stream(KEYED)], vec![plan(1.0)], None);
         let (sent, ..) = at(&mut c, 1010, vec![Event::Taken(xfer(1, ms(9000)))]);
         assert_eq!(sent.len(), 1);
-        let (mut sent, ..) = at(&mut c, 1010 + took, vec![over(1, 1, LegEnd::Error, ms(20), false)]);
+        let (mut sent, ..) = at(
+            &mut c,
+            1010 + took,
+            vec![over(1, 1, LegEnd::Error, ms(20), false)],
+        );
         for t in (1020 + took..1100 + took).step_by(10) {
             sent.extend(at(&mut c, t, vec![Event::Timer { tag: TimerTag(1) }]).0);
         }
@@ -52,8 +82,15 @@
 
 #[test]
 fn repeats_follow_the_kind_of_stream_type() {
-    let ran = Some(Ran { zone: ZoneId(0), cell: CellId(1), sent: ms(1000) });
-    let keyed = |group| Repeat::Keyed { group, remembered: ms(500) };
+    let ran = Some(Ran {
+        zone: ZoneId(0),
+        cell: CellId(1),
+        sent: ms(1000),
+    });
+    let keyed = |group| Repeat::Keyed {
+        group,
+        remembered: ms(500),
+    };
     use RepeatGroup::*;
     // kind, may have run, zone, cell, now, may go on, may defer
     let cases = [
@@ -69,18 +106,30 @@
         (keyed(Cell), None, 0, 2, 9000, true, true),
     ];
     for (kind, ran, zone, cell, now, goes_on, defers) in cases {
-        assert_eq!(may_repeat(kind, ran, (ZoneId(zone), CellId(cell)), ms(now)), goes_on, "{kind:?}");
+        assert_eq!(
+            may_repeat(kind, ran, (ZoneId(zone), CellId(cell)), ms(now)),
+            goes_on,
+            "{kind:?}"
+        );
         assert_eq!(may_defer(kind, ran.is_some()), defers, "{kind:?}");
     }
 }
 
 #[test]
 fn an_unrepeatable_transfer_that_may_have_run_is_abandoned() {
-    for (end, again) in [(LegEnd::Error, false), (LegEnd::Reset, false), (LegEnd::Full, true)] {
+    for (end, again) in [
+        (LegEnd::Error, false),
+        (LegEnd::Reset, false),
+        (LegEnd::Full, true),
+    ] {
         let mut c = host(vec![stream(Repeat::Unrepeatable)], vec![plan(1.0)], None);
         at(&mut c, 1001, vec![Event::Taken(xfer(1, ms(3000)))]);
         let (_, deferred, abandoned) = at(&mut c, 1010, vec![over(1, 1, end, ms(9), false)]);
-        assert_eq!((deferred.len(), abandoned.len()), (0, usize::from(!again)), "{end:?}");
+        assert_eq!(
+            (deferred.len(), abandoned.len()),
+            (0, usize::from(!again)),
+            "{end:?}"
+        );
         let (sent, ..) = at(&mut c, 1100, vec![Event::Timer { tag: TimerTag(1) }]);
         assert_eq!(sent.len(), usize::from(again), "{end:?}");
     }
@@ -96,9 +145,19 @@
     }
     // Absent from a whole list is gone; what was held there is answered at once.
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
-    at(&mut c, 1001, (1..=20).map(|n| Event::Taken(xfer(n, ms(9000)))).collect());
-    let (sent, deferred, _) =
-        at(&mut c, 1003, vec![list(ListKind::Whole, vec![entry(2, NodeState::Ready, None)])]);
+    at(
+        &mut c,
+        1001,
+        (1..=20).map(|n| Event::Taken(xfer(n, ms(9000)))).collect(),
+    );
+    let (sent, deferred, _) = at(
+        &mut c,
+        1003,
+        vec![list(
+            ListKind::Whole,
+            vec![entry(2, NodeState::Ready, None)],
+        )],
+    );
     assert!(sent.is_empty() && deferred.len() > 5, "{}", deferred.len());
 }
 
@@ -106,19 +165,30 @@
 fn a_cold_node_gets_no_more_than_the_hosts_part() {
     let rule = cold_rule();
     // own rate before, age, wanted for one span
-    let cases = [(0.0, 0, 4.5), (0.0, 9000, 4.5), (1.0, 0, 4.5), (100.0, 0, 108.0), (100.0, 10_000, 540.0)];
+    let cases = [
+        (0.0, 0, 4.5),
+        (0.0, 9000, 4.5),
+        (1.0, 0, 4.5),
+        (100.0, 0, 108.0),
+        (100.0, 10_000, 540.0),
+    ];
     for (rate, age, wanted) in cases {
         let got = cold_part(&rule, rate, ms(age));
         assert!((got - wanted).abs() < 1e-6, "{rate} {age} {got}");
     }
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
-    let back = list(ListKind::Changes, vec![entry(1, NodeState::Ready, Some(ms(1000)))]);
+    let back = list(
+        ListKind::Changes,
+        vec![entry(1, NodeState::Ready, Some(ms(1000)))],
+    );
     let mut units = 0.0;
     at(&mut c, 1001, vec![back]);
     for t in (1010..3010).step_by(10) {
         let n = ((t - 1010) / 10 % 200) as u8;
         let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 400)))]);
-        let done = sent.iter().map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true));
+        let done = sent
+            .iter()
+            .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true));
         units += 2.0 * sent.len() as f64;
         at(&mut c, t + 1, done.collect());
     }
@@ -128,23 +198,48 @@
 /// Units that go in two seconds to what is told of cell 1, which has just started; before it the volume had
 /// so many transfers a second at node 1.
 fn units_to_a_new_node(before: u64, reservation: f64, node: u32) -> f64 {
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(reservation)], None);
+    let mut c = host(
+        vec![stream(Repeat::Repeatable)],
+        vec![plan(reservation)],
+        None,
+    );
     let every = 1000u64.checked_div(before).unwrap_or(u64::MAX) as usize;
     let mut n = 0u8;
-    for t in (1010..11_010).step_by(every.max(10)).skip(usize::from(before == 0) * 99_999) {
+    for t in (1010..11_010)
+        .step_by(every.max(10))
+        .skip(usize::from(before == 0) * 99_999)
+    {
         n = n.wrapping_add(1);
         let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 400)))]);
-        at(&mut c, t + 5, sent.iter().map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(5), true)).collect());
+        at(
+            &mut c,
+            t + 5,
+            sent.iter()
+                .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(5), true))
+                .collect(),
+        );
     }
-    let cold = |e: ListEntry| ListEntry { cell: CellId(1), ..e };
-    let came = vec![entry(1, NodeState::Gone, None), cold(entry(node, NodeState::Ready, Some(ms(11_000))))];
+    let cold = |e: ListEntry| ListEntry {
+        cell: CellId(1),
+        ..e
+    };
+    let came = vec![
+        entry(1, NodeState::Gone, None),
+        cold(entry(node, NodeState::Ready, Some(ms(11_000)))),
+    ];
     at(&mut c, 11_011, vec![list(ListKind::Changes, came)]);
     let mut units = 0.0;
     for t in (11_420..13_420).step_by(20) {
         n = n.wrapping_add(1);
         let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 400)))]);
         units += 2.0 * sent.len() as f64;
-        at(&mut c, t + 1, sent.iter().map(|(x, _)| over(x.0[0], node, LegEnd::Done, ms(1), true)).collect());
+        at(
+            &mut c,
+            t + 1,
+            sent.iter()
+                .map(|(x, _)| over(x.0[0], node, LegEnd::Done, ms(1), true))
+                .collect(),
+        );
     }
     units
 }
@@ -160,20 +255,38 @@
     let reserved = units_to_a_new_node(0, 80.0, 3);
     // The rule's own bound at the end of that span, of which no host may have more than its own rate's part.
     let most = cold_part(&cold_rule(), 40.0, ms(2420)) + 2.0;
-    assert!(heir > always && heir < same && same <= most, "{always} {heir} {same} {most}");
+    assert!(
+        heir > always && heir < same && same <= most,
+        "{always} {heir} {same} {most}"
+    );
     assert!(reserved > always && reserved <= most, "{reserved} {most}");
 }
 
 #[test]
 fn transfers_with_one_key_go_in_turn_and_the_key_rests() {
-    let ordered = StreamType { ordered: true, ..stream(KEYED) };
-    let keyed = |n| Event::Taken(Transfer { key: Some(KeyId(3)), ..xfer(n, ms(2500)) });
+    let ordered = StreamType {
+        ordered: true,
+        ..stream(KEYED)
+    };
+    let keyed = |n| {
+        Event::Taken(Transfer {
+            key: Some(KeyId(3)),
+            ..xfer(n, ms(2500))
+        })
+    };
     // how the first leg ends, when the second may go
-    for (end, rests) in [(LegEnd::Done, 0), (LegEnd::TimeOut, 200), (LegEnd::Reset, 200)] {
+    for (end, rests) in [
+        (LegEnd::Done, 0),
+        (LegEnd::TimeOut, 200),
+        (LegEnd::Reset, 200),
+    ] {
         let mut c = host(vec![ordered.clone()], vec![plan(1.0)], None);
         let (sent, ..) = at(&mut c, 1001, vec![keyed(1), keyed(2)]);
         assert_eq!(sent.len(), 1);
-        assert!(at(&mut c, 1011, vec![]).0.is_empty(), "the first is still out");
+        assert!(
+            at(&mut c, 1011, vec![]).0.is_empty(),
+            "the first is still out"
+        );
         let (sent, ..) = at(&mut c, 1020, vec![over(1, 1, end, ms(19), true)]);
         assert_eq!(sent.len(), usize::from(rests == 0), "{end:?}");
         if rests > 0 {
@@ -185,7 +298,11 @@
 
 #[test]
 fn further_legs_stay_within_their_budget() {
-    let legs = Some(LegBudget { floor: 2.0, share: 0.0, window: ms(5000) });
+    let legs = Some(LegBudget {
+        floor: 2.0,
+        share: 0.0,
+        window: ms(5000),
+    });
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(50.0)], legs);
     let mut further = 0;
     for n in 0..8u8 {
@@ -195,7 +312,9 @@
         at(&mut c, t + 1, vec![over(n, 1, LegEnd::Error, ms(1), false)]);
         let second = at(&mut c, t + 100, vec![]).0;
         further += second.len();
-        let done = second.iter().map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true));
+        let done = second
+            .iter()
+            .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true));
         at(&mut c, t + 101, done.collect());
     }
     assert_eq!(further, 2);
@@ -203,16 +322,29 @@
 
 #[test]
 fn a_volumes_limit_holds_for_the_hosts_part_from_an_empty_store() {
-    let limited = Plan { limit: 20.0, limit_burst: 32.0, ..plan(0.0) };
+    let limited = Plan {
+        limit: 20.0,
+        limit_burst: 32.0,
+        ..plan(0.0)
+    };
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![limited], None);
     let mut units = 0.0;
     for t in (1010..4010).step_by(10) {
         let n = ((t / 10) % 250) as u8;
         let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 500)))]);
         units += 2.0 * sent.len() as f64;
-        at(&mut c, t + 1, sent.iter().map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true)).collect());
+        at(
+            &mut c,
+            t + 1,
+            sent.iter()
+                .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true))
+                .collect(),
+        );
     }
-    assert!(units > 20.0 && units <= 10.0 * 3.0 + 0.1, "half of the limit over 3 s: {units}");
+    assert!(
+        units > 20.0 && units <= 10.0 * 3.0 + 0.1,
+        "half of the limit over 3 s: {units}"
+    );
 }
 
 #[test]
@@ -225,14 +357,23 @@
             let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 1500)))]);
             legs += sent.len();
             if let Some(end) = end {
-                at(&mut c, t + 1, sent.iter().map(|(x, _)| over(x.0[0], 1, end, ms(1), false)).collect());
+                at(
+                    &mut c,
+                    t + 1,
+                    sent.iter()
+                        .map(|(x, _)| over(x.0[0], 1, end, ms(1), false))
+                        .collect(),
+                );
             }
         }
         assert!(legs <= 20, "{end:?}: {legs} legs in 2 s");
         let done = |x: u8| over(x, 1, LegEnd::Done, ms(20), true);
         at(&mut c, 3020, (0..=250).map(done).collect());
         let (sent, ..) = at(&mut c, 3600, vec![Event::Taken(xfer(251, ms(5000)))]);
-        assert!(end.is_some() || sent.iter().any(|(x, _)| *x == id(251)), "well again once it answers");
+        assert!(
+            end.is_some() || sent.iter().any(|(x, _)| *x == id(251)),
+            "well again once it answers"
+        );
     }
 }
 
@@ -240,25 +381,45 @@
 fn errors_and_resets_keep_new_objects_away_but_not_transfers_whose_data_is_there() {
     // What the node answers, and whether transfers still go where their data is: a port that is dead shuts
     // it.
-    for (bad, goes) in [(LegEnd::Error, true), (LegEnd::Reset, true), (LegEnd::NoConnection, false)] {
+    for (bad, goes) in [
+        (LegEnd::Error, true),
+        (LegEnd::Reset, true),
+        (LegEnd::NoConnection, false),
+    ] {
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1000.0)], None);
-        let new = |n, t| Event::Taken(Transfer { cell: None, ..xfer(n, ms(t + 1500)) });
+        let new = |n, t| {
+            Event::Taken(Transfer {
+                cell: None,
+                ..xfer(n, ms(t + 1500))
+            })
+        };
         let first = at(&mut c, 1005, vec![new(250, 1005)]).0[0].1;
         let (mut new_there, mut pinned, mut out) = (0, 0, vec![(id(250), first)]);
         for t in (1010..2010).step_by(10) {
             let n = ((t / 10) % 100) as u8;
-            let data = Transfer { cell: Some(CellId(first.0)), ..xfer(100 + n, ms(t + 60)) };
+            let data = Transfer {
+                cell: Some(CellId(first.0)),
+                ..xfer(100 + n, ms(t + 60))
+            };
             let end = |nd: NodeId| if nd == first { bad } else { LegEnd::Done };
-            let ends =
-                out.iter().map(|(x, nd): &(XferId, NodeId)| over(x.0[0], nd.0, end(*nd), ms(1), false));
+            let ends = out
+                .iter()
+                .map(|(x, nd): &(XferId, NodeId)| over(x.0[0], nd.0, end(*nd), ms(1), false));
             let mut events: Vec<Event> = ends.collect();
             events.extend([new(n, t), Event::Taken(data)]);
             (out, ..) = at(&mut c, t, events);
-            new_there += out.iter().filter(|(x, nd)| x.0[0] < 100 && *nd == first).count();
+            new_there += out
+                .iter()
+                .filter(|(x, nd)| x.0[0] < 100 && *nd == first)
+                .count();
             pinned += out.iter().filter(|(x, _)| x.0[0] >= 100).count();
         }
         assert!(new_there < 20, "{bad:?}: {new_there} new objects");
-        assert_eq!(pinned > 100, goes, "{bad:?}: {pinned} with their data there");
+        assert_eq!(
+            pinned > 100,
+            goes,
+            "{bad:?}: {pinned} with their data there"
+        );
     }
 }
 
@@ -271,14 +432,23 @@
         let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 900)))]);
         sends[(t as usize - 1010) / 1000] += sent.len();
         let late = if t < 1100 { 10 } else { 180 };
-        at(&mut c, t + 1, sent.iter().map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(late), true)).collect());
+        at(
+            &mut c,
+            t + 1,
+            sent.iter()
+                .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(late), true))
+                .collect(),
+        );
     }
     assert!(sends[7] * 4 < sends[0], "{sends:?}");
 }
 
 #[test]
 fn the_list_is_asked_for_at_the_start_and_again_after_a_failed_call() {
-    let listing = ListRule { on_asking: true, ask_every: ms(10_000) };
+    let listing = ListRule {
+        on_asking: true,
+        ask_every: ms(10_000),
+    };
     let mut c = Control::new(3, vec![stream(KEYED)], vec![plan(1.0)], units(), caps()).under(
         cold_rule(),
         listing,
@@ -288,13 +458,22 @@
     let mut watched = Vec::new();
     for t in (1000..40_000).step_by(10) {
         let failed = watched.last() == Some(&(t - 10)) && watched.len() < 6;
-        let events = if failed { vec![list(ListKind::NotHad, vec![])] } else { vec![] };
+        let events = if failed {
+            vec![list(ListKind::NotHad, vec![])]
+        } else {
+            vec![]
+        };
         let asked = c.step(ms(t), events).contains(&Action::Watch { on: true });
         watched.extend(asked.then_some(t));
     }
-    assert_eq!(watched.len(), 6, "one call at the start, one for each that failed: {watched:?}");
+    assert_eq!(
+        watched.len(),
+        6,
+        "one call at the start, one for each that failed: {watched:?}"
+    );
     assert!(
-        watched.windows(2).all(|w| w[1] - w[0] < 10_000) && watched[5] - watched[4] > watched[1] - watched[0]
+        watched.windows(2).all(|w| w[1] - w[0] < 10_000)
+            && watched[5] - watched[4] > watched[1] - watched[0]
     );
 }
 
@@ -304,13 +483,32 @@
     for x in odd {
         assert!(bound(x, ms(0), x, 0).is_nan() || bound(x, ms(0), x, 0) <= f64::INFINITY);
         assert!(host_part(0.0, 0.0, Some(0.0), 0) == 1.0);
-        let zero = Plan { weight: 0.0, base_rate: 0.0, price: 0.0, ..Plan::default() };
+        let zero = Plan {
+            weight: 0.0,
+            base_rate: 0.0,
+            price: 0.0,
+            ..Plan::default()
+        };
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![zero], None);
-        let none = Transfer { units: 0.0, hosts: 0, ..xfer(1, ms(2000)) };
-        at(&mut c, 1010, vec![Event::Taken(none), list(ListKind::Changes, vec![])]);
+        let none = Transfer {
+            units: 0.0,
+            hosts: 0,
+            ..xfer(1, ms(2000))
+        };
+        at(
+            &mut c,
+            1010,
+            vec![Event::Taken(none), list(ListKind::Changes, vec![])],
+        );
         at(&mut c, 2000, vec![over(1, 1, LegEnd::Done, ms(0), true)]);
         // A rate that dies away over a long silence must not overflow the wait behind it.
-        at(&mut c, 2010, (2..60).map(|n| Event::Taken(xfer(n, ms(9_000_000)))).collect());
+        at(
+            &mut c,
+            2010,
+            (2..60)
+                .map(|n| Event::Taken(xfer(n, ms(9_000_000))))
+                .collect(),
+        );
         for t in (3000..1_000_000).step_by(500) {
             at(&mut c, t, vec![]);
         }
@@ -319,28 +517,66 @@
 
 #[test]
 fn many_hosts_first_sends_to_a_cold_node_stay_within_the_parts_of_all() {
-    let (rule, hosts) = (ColdRule { hosts: 250, ..cold_rule() }, 250);
+    let (rule, hosts) = (
+        ColdRule {
+            hosts: 250,
+            ..cold_rule()
+        },
+        250,
+    );
     let mut sends = 0;
     for seed in 0..hosts {
-        let listing = ListRule { on_asking: false, ask_every: ms(10_000) };
+        let listing = ListRule {
+            on_asking: false,
+            ask_every: ms(10_000),
+        };
         let (streams, plans) = (vec![stream(Repeat::Repeatable)], vec![plan(1.0)]);
-        let mut c =
-            Control::new(seed, streams, plans, units(), caps()).under(rule.clone(), listing, None, ms(0));
-        at(&mut c, 1000, vec![list(ListKind::Remembered, vec![entry(1, NodeState::Ready, Some(ms(999)))])]);
+        let mut c = Control::new(seed, streams, plans, units(), caps()).under(
+            rule.clone(),
+            listing,
+            None,
+            ms(0),
+        );
+        at(
+            &mut c,
+            1000,
+            vec![list(
+                ListKind::Remembered,
+                vec![entry(1, NodeState::Ready, Some(ms(999)))],
+            )],
+        );
         let taken = (0..20).map(|n| Event::Taken(xfer(n, ms(3000)))).collect();
         sends += at(&mut c, 1010, taken).0.len();
-        sends += (1020..3000).step_by(10).map(|t| at(&mut c, t, vec![]).0.len()).sum::<usize>();
+        sends += (1020..3000)
+            .step_by(10)
+            .map(|t| at(&mut c, t, vec![]).0.len())
+            .sum::<usize>();
     }
-    assert!(sends as f64 * 2.0 <= rule.units * 1.2, "{sends} transfers of 2 units in one span of the rule");
+    assert!(
+        sends as f64 * 2.0 <= rule.units * 1.2,
+        "{sends} transfers of 2 units in one span of the rule"
+    );
 }
 
 #[test]
 fn a_lone_leg_that_is_late_cuts_what_earns_little_first() {
     // Alone at its node, a host's leg is late by others' doing, and neither bound nor brake can act.
-    let mut c =
-        host(vec![stream(Repeat::Repeatable)], vec![plan(0.0), Plan { price: 9.0, ..plan(900.0) }], None);
-    let of =
-        |n, plan, t| Transfer { plan: PlanId(plan), volume: VolumeId(plan as u64), ..xfer(n, ms(t + 900)) };
+    let mut c = host(
+        vec![stream(Repeat::Repeatable)],
+        vec![
+            plan(0.0),
+            Plan {
+                price: 9.0,
+                ..plan(900.0)
+            },
+        ],
+        None,
+    );
+    let of = |n, plan, t| Transfer {
+        plan: PlanId(plan),
+        volume: VolumeId(plan as u64),
+        ..xfer(n, ms(t + 900))
+    };
     let mut sent = [0; 2];
     for t in (2000..22_000).step_by(1000) {
         for plan in [0, 1] {
@@ -350,27 +586,43 @@
             at(&mut c, at_ms + 10, vec![]);
             // A few quick answers first, or it could not know what late is.
             let took = if t < 6000 { 10 } else { 400 };
-            let done = out.iter().map(|(x, nd)| over(x.0[0], nd.0, LegEnd::Done, ms(took), true));
+            let done = out
+                .iter()
+                .map(|(x, nd)| over(x.0[0], nd.0, LegEnd::Done, ms(took), true));
             at(&mut c, at_ms + took, done.collect());
         }
     }
-    assert!(sent[0] * 3 <= sent[1] * 2, "low and high benefit sent: {sent:?}");
+    assert!(
+        sent[0] * 3 <= sent[1] * 2,
+        "low and high benefit sent: {sent:?}"
+    );
 }
 
 #[test]
 fn many_nodes_and_hosts_are_taken_calmly() {
     for (hosts, nodes) in [(0, 3000), (1, 3000), (100_000, 0)] {
-        let rule = ColdRule { hosts, ..cold_rule() };
-        let listing = ListRule { on_asking: true, ask_every: ms(10_000) };
+        let rule = ColdRule {
+            hosts,
+            ..cold_rule()
+        };
+        let listing = ListRule {
+            on_asking: true,
+            ask_every: ms(10_000),
+        };
         let mut c = Control::new(1, vec![stream(KEYED)], vec![plan(1.0)], units(), caps()).under(
             rule,
             listing,
             None,
             ms(0),
         );
-        let entries = (1..=nodes).map(|n| entry(n, NodeState::Ready, Some(ms(900)))).collect();
+        let entries = (1..=nodes)
+            .map(|n| entry(n, NodeState::Ready, Some(ms(900))))
+            .collect();
         at(&mut c, 1000, vec![list(ListKind::Whole, entries)]);
-        let x = Transfer { hosts: 9999, ..xfer(1, ms(3000)) };
+        let x = Transfer {
+            hosts: 9999,
+            ..xfer(1, ms(3000))
+        };
         let (sent, deferred, _) = at(&mut c, 1800, vec![Event::Taken(x)]);
         assert!(sent.len() + deferred.len() <= 1 && (nodes > 0 || deferred.len() == 1));
     }
@@ -404,10 +656,14 @@
             busy: None,
         };
         let events = out.iter().map(|(id, _)| done(*id)).collect();
-        out.iter().for_each(|(id, _)| assert!(expiries.remove(id).is_some_and(|e| e > ms(t - 5))));
+        out.iter()
+            .for_each(|(id, _)| assert!(expiries.remove(id).is_some_and(|e| e > ms(t - 5))));
         let (more, deferred, _) = at(&mut c, t, events);
         for id in deferred {
-            assert!(expiries.remove(&id).is_some_and(|e| e >= ms(t)), "answered at {t} after its time");
+            assert!(
+                expiries.remove(&id).is_some_and(|e| e >= ms(t)),
+                "answered at {t} after its time"
+            );
         }
         sent = more;
     }
@@ -417,22 +673,46 @@
 #[test]
 fn a_limit_counts_what_crosses_when_it_crosses() {
     // A store of four: two transfers of two units. How the first ends decides what the third finds.
-    let cases = [(LegEnd::Moot, 1), (LegEnd::NoConnection, 0), (LegEnd::Full, 0), (LegEnd::Done, 0)];
+    let cases = [
+        (LegEnd::Moot, 1),
+        (LegEnd::NoConnection, 0),
+        (LegEnd::Full, 0),
+        (LegEnd::Done, 0),
+    ];
     for (end, third) in cases {
-        let limited = Plan { limit: 0.02, limit_burst: 4.0, ..plan(50.0) };
+        let limited = Plan {
+            limit: 0.02,
+            limit_burst: 4.0,
+            ..plan(50.0)
+        };
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![limited], None);
-        let one_host = |n| Transfer { hosts: 1, ..xfer(n, ms(900_000)) };
+        let one_host = |n| Transfer {
+            hosts: 1,
+            ..xfer(n, ms(900_000))
+        };
         at(&mut c, 1000, vec![Event::Taken(one_host(1))]);
         // The part of a host that has just started fills from nothing.
         let (first, ..) = at(&mut c, 201_000, vec![]);
         let (second, ..) = at(&mut c, 201_020, vec![Event::Taken(one_host(2))]);
         assert_eq!((first.len(), second.len()), (1, 1), "{end:?}");
         // The second is done as well, so that the limit alone decides and not the room at the node.
-        let ends = [over(1, 1, end, ms(1), end == LegEnd::Done), over(2, 1, LegEnd::Done, ms(1), true)];
-        let (sent, ..) = at(&mut c, 201_040, ends.into_iter().chain([Event::Taken(one_host(3))]).collect());
+        let ends = [
+            over(1, 1, end, ms(1), end == LegEnd::Done),
+            over(2, 1, LegEnd::Done, ms(1), true),
+        ];
+        let (sent, ..) = at(
+            &mut c,
+            201_040,
+            ends.into_iter()
+                .chain([Event::Taken(one_host(3))])
+                .collect(),
+        );
         assert_eq!(sent.len(), third, "{end:?}");
         // What found no connection goes again only once it has drawn again, what was full at once.
-        let again: usize = (201_050..201_200).step_by(10).map(|t| at(&mut c, t, vec![]).0.len()).sum();
+        let again: usize = (201_050..201_200)
+            .step_by(10)
+            .map(|t| at(&mut c, t, vec![]).0.len())
+            .sum();
         assert_eq!(again, usize::from(end == LegEnd::Full), "{end:?}");
     }
 }
@@ -440,9 +720,15 @@
 /// Its client can still ask again; near its expiry it could not. What has gone once is another matter.
 #[test]
 fn what_never_went_is_answered_before_half_of_its_time_is_over() {
-    let ordered = StreamType { ordered: true, ..stream(Repeat::Repeatable) };
+    let ordered = StreamType {
+        ordered: true,
+        ..stream(Repeat::Repeatable)
+    };
     let mut c = host(vec![ordered], vec![plan(100.0)], None);
-    let of = |n| Transfer { key: Some(KeyId(9)), ..xfer(n, ms(3000)) };
+    let of = |n| Transfer {
+        key: Some(KeyId(9)),
+        ..xfer(n, ms(3000))
+    };
     let (mut sent, _, _) = at(&mut c, 1000, vec![Event::Taken(of(1)), Event::Taken(of(2))]);
     let mut given_up = Vec::new();
     for now in (1010..=2900).step_by(10) {
@@ -457,7 +743,10 @@
         assert_eq!(abandoned, []);
     }
     assert_eq!(sent.iter().map(|s| s.0).collect::<Vec<_>>(), [id(1), id(3)]);
-    assert!(matches!(given_up[..], [(x, now)] if x == id(2) && (1900..2000).contains(&now)), "{given_up:?}");
+    assert!(
+        matches!(given_up[..], [(x, now)] if x == id(2) && (1900..2000).contains(&now)),
+        "{given_up:?}"
+    );
 }
 
 /// Its connection came up late: no word on the node, which a host that hears little would cut for it. Once it
@@ -470,15 +759,31 @@
         for t in (1010..2010).step_by(100) {
             let n = (t / 100) as u8;
             let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 900)))]);
-            at(&mut c, t + 5, sent.iter().map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(5), true)).collect());
+            at(
+                &mut c,
+                t + 5,
+                sent.iter()
+                    .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(5), true))
+                    .collect(),
+            );
         }
         let (sent, ..) = at(&mut c, 2300, vec![Event::Taken(xfer(200, ms(9000)))]);
         assert_eq!(sent.len(), 1);
-        let crosses = Event::Crosses { id: id(200), node: NodeId(1), at: ms(crosses_at) };
+        let crosses = Event::Crosses {
+            id: id(200),
+            node: NodeId(1),
+            at: ms(crosses_at),
+        };
         at(&mut c, 2300, if told { vec![crosses] } else { vec![] });
-        (2310..2500).step_by(10).for_each(|t| _ = at(&mut c, t, vec![]));
+        (2310..2500)
+            .step_by(10)
+            .for_each(|t| _ = at(&mut c, t, vec![]));
         assert_eq!(ease(&c) < 1.0, cut, "told {told}, at {crosses_at}");
         // What never crossed ends without harm.
-        at(&mut c, 2500, vec![over(200, 1, LegEnd::Moot, ms(200), false)]);
+        at(
+            &mut c,
+            2500,
+            vec![over(200, 1, LegEnd::Moot, ms(200), false)],
+        );
     }
 }
