--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -10,7 +10,7 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// More units than this in one transfer are a slip of the sender.
+/// More units than this in one request are a slip of the sender.
 const MOST_UNITS: f64 = 1e9;
 
 /// What is wrong with the input, and on which line.
@@ -114,11 +114,11 @@
         }
     }
 
-    fn xfer(&mut self) -> Result<XferId, String> {
+    fn request(&mut self) -> Result<RequestId, String> {
         let w = self.word("rid")?;
         w.as_bytes()
             .try_into()
-            .map(XferId)
+            .map(RequestId)
             .map_err(|_| format!("{} has a bad rid: {w}", self.name))
     }
 
@@ -313,7 +313,7 @@
             .ok_or(format!("{name} for unknown host {id}"))?;
         let event = match name {
             "KNOCK" => {
-                let id = v.xfer()?;
+                let id = v.request()?;
                 let units = v.number("units")?.min(MOST_UNITS);
                 let cell = v
                     .maybe::<i64>("slot-no")?
@@ -329,7 +329,7 @@
                 let key = v.hex("region")?.map(KeyId);
                 let expiry = v.time("expires-ms")?;
                 let volume = VolumeId(v.hex("volume")?.unwrap_or(0));
-                Event::Taken(Transfer {
+                Event::Taken(Request {
                     id,
                     units,
                     cell,
@@ -342,13 +342,13 @@
                 })
             }
             "ACK_FIRST" => {
-                let (id, leg) = (v.xfer()?, v.must("leg")?);
+                let (id, leg) = (v.request()?, v.must("leg")?);
                 v.must::<u32>("brick")?;
                 v.time("elapsed-ms")?;
                 Event::Begun { id, leg }
             }
             "REPLY" => Event::LegOver {
-                id: v.xfer()?,
+                id: v.request()?,
                 leg: v.must("leg")?,
                 node: NodeId(v.must("brick")?),
                 end: leg_end(v.must("result")?)?,
@@ -364,7 +364,7 @@
                     .and_then(|at| v.report().map(|r| r.get(at).copied()).transpose())
                     .transpose()?,
             },
-            "ABORTED" => Event::Withdrawn { id: v.xfer()? },
+            "ABORTED" => Event::Withdrawn { id: v.request()? },
             "WAKEUP" => Event::Timer {
                 tag: TimerTag(v.must("tag")?),
             },
@@ -431,7 +431,7 @@
 }
 
 fn write_action(to: &mut String, host: &str, action: &Action) {
-    let text = |id: &XferId| String::from_utf8_lossy(&id.0).into_owned();
+    let text = |id: &RequestId| String::from_utf8_lossy(&id.0).into_owned();
     let _ = match action {
         Action::Send { id, node, until } => {
             writeln!(to, "TRY {host} {} {} {}", text(id), node.0, ms(*until))
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_transfer_goes_out_and_its_outcome_comes_back() {
+fn a_request_goes_out_and_its_outcome_comes_back() {
     let input = format!(
         "{HOST}BEGIN_BATCH 1002.5 2
 KNOCK host_0 {ID} 2 4 0 0 1 0 - 2002.5 00000000000000aa
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -44,11 +44,11 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Verdict {
     pub breaches: Vec<Breach>,
-    /// Transfers that clients sent and hosts answered.
+    /// Requests that clients sent and hosts answered.
     pub done: u64,
     pub deferred: u64,
     pub abandoned: u64,
-    /// Transfers whose host was gone before the answer.
+    /// Requests whose host was gone before the answer.
     pub lost: u64,
     pub legs: u64,
     pub effects: u64,
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -298,7 +298,7 @@
     }
 }
 
-/// Rule 5 of the list: transfers of ordered stream types with one key run one at a time, in the order taken.
+/// Rule 5 of the list: requests of ordered stream types with one key run one at a time, in the order taken.
 pub fn order(s: &Settings, run: &Run, v: &mut Verdict) {
     let ordered = |t: &Taken| {
         s.streams
@@ -377,7 +377,7 @@
             .any(|t| t.0 >= start && t.0 <= by && t.1 == pb::NodeState::Ready)
     }
 
-    /// Why a transfer is not yet out of the way of the next with its key.
+    /// Why a request is not yet out of the way of the next with its key.
     fn unsettled(&self, t: &Taken, at: Duration, rest: Duration) -> Option<String> {
         let legs = || t.legs.iter().map(|l| &self.legs[*l]);
         let ok = |l: &Leg| {
--- a/crates/audit/src/run.rs
+++ b/crates/audit/src/run.rs
@@ -1,4 +1,4 @@
-//! A run as its traces tell it: transfers, legs and what the list said, by host and moment.
+//! A run as its traces tell it: requests, legs and what the list said, by host and moment.
 
 use crate::plans::Plans;
 use bytes::Bytes;
--- a/crates/audit/tests/doctored.rs
+++ b/crates/audit/tests/doctored.rs
@@ -132,7 +132,7 @@
         );
     }
 
-    /// A client's transfer, as both ends record it.
+    /// A client's request, as both ends record it.
     fn take(&mut self, at: u64, n: u8, stream_type: u32) {
         let (key, units, left_us) = (Some(3), 2.0, 2_000_000);
         let take = pb::Take {
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_transfer_whose_host_died_is_lost_and_breaks_nothing() {
+fn a_request_whose_host_died_is_lost_and_breaks_nothing() {
     let mut t = Traces::new();
     t.take(10, 1, READ);
     t.closed(CLIENT, 500);
@@ -383,7 +383,7 @@
 }
 
 #[test]
-fn transfers_of_one_key_out_of_turn_or_without_rest() {
+fn requests_of_one_key_out_of_turn_or_without_rest() {
     both(5, |t, early| {
         t.take(10, 1, ROW);
         t.take(11, 2, ROW);
@@ -429,7 +429,7 @@
 
 #[test]
 fn a_volume_sent_more_than_its_limit() {
-    // Its store holds 20, fills by 10 a second and may go 5 below: 12 transfers of 2 units pass, 13 do not.
+    // Its store holds 20, fills by 10 a second and may go 5 below: 12 requests of 2 units pass, 13 do not.
     both(7, |t, more| {
         for n in 0..if more { 13 } else { 12 } {
             t.take(10, n, READ);
--- a/crates/audit/tests/plans.rs
+++ b/crates/audit/tests/plans.rs
@@ -114,7 +114,7 @@
         self.state.push(Self::record(at, Kind::In, 9, gone));
     }
 
-    /// A host's first leg of a transfer of that many units crosses.
+    /// A host's first leg of a request of that many units crosses.
     fn leg(&mut self, at: u64, host: usize, units: f64) {
         self.legs += 1;
         let id = Bytes::from(format!("{:036}", self.legs));
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -1,5 +1,5 @@
-//! Nanoseconds that one transfer costs the decisions, and the desk with them, in a closed loop: each answer
-//! brings a new transfer, so that the numbers out and held stay.
+//! Nanoseconds that one request costs the decisions, and the desk with them, in a closed loop: each answer
+//! brings a new request, so that the numbers out and held stay.
 
 use crate::site;
 use bytes::Bytes;
@@ -37,13 +37,13 @@
     Settings::read("bench.star".as_ref(), site(nodes, 600)).expect("good settings")
 }
 
-fn id(n: u64) -> XferId {
+fn id(n: u64) -> RequestId {
     let mut id = [b'0'; 36];
     id[..8].copy_from_slice(&n.to_le_bytes());
-    XferId(id)
+    RequestId(id)
 }
 
-/// The decisions alone: virtual time goes on by 50 us for each transfer, as at 20,000 a second.
+/// The decisions alone: virtual time goes on by 50 us for each request, as at 20,000 a second.
 fn decisions(nodes: u32, open: usize, batch: usize, span: Duration) -> (f64, usize) {
     let s = settings(nodes);
     let streams = s.streams.iter().map(|x| x.facts.clone()).collect();
@@ -78,7 +78,7 @@
     let mut events = Vec::new();
     let take = |next: &mut u64, now: Duration| {
         *next += 1;
-        Event::Taken(Transfer {
+        Event::Taken(Request {
             id: id(*next),
             units: 1.0,
             cell: Some(CellId((*next % u64::from(nodes)) as u32 + 1)),
@@ -92,7 +92,7 @@
     };
     events.extend((0..open).map(|_| take(&mut next, now)));
     let mut run =
-        |events: Vec<Event>, now: Duration, out: &mut VecDeque<(XferId, NodeId)>| -> usize {
+        |events: Vec<Event>, now: Duration, out: &mut VecDeque<(RequestId, NodeId)>| -> usize {
             let mut gone = 0;
             for action in control.step(now, events) {
                 match action {
@@ -104,7 +104,7 @@
             gone
         };
     run(events, now, &mut out);
-    let (started, mut transfers, mut open) = (Instant::now(), 0u64, open);
+    let (started, mut requests, mut open) = (Instant::now(), 0u64, open);
     while started.elapsed() < span {
         now += Duration::from_micros(50) * batch as u32;
         let mut events = Vec::new();
@@ -124,7 +124,7 @@
                 busy: None,
             });
             events.push(take(&mut next, now));
-            transfers += 1;
+            requests += 1;
         }
         let gone = run(events, now, &mut out);
         open -= gone.min(open);
@@ -137,7 +137,7 @@
     }
     let held = open.saturating_sub(out.len());
     (
-        started.elapsed().as_nanos() as f64 / transfers.max(1) as f64,
+        started.elapsed().as_nanos() as f64 / requests.max(1) as f64,
         held,
     )
 }
@@ -196,7 +196,7 @@
             frames: (0..open).map(|_| take(now)).collect(),
         },
     ];
-    let (mut started, mut transfers, mut warm) = (Instant::now(), 0u64, false);
+    let (mut started, mut requests, mut warm) = (Instant::now(), 0u64, false);
     while !warm || started.elapsed() < span {
         let mut ups = Vec::new();
         for output in desk.step(now, inputs) {
@@ -222,8 +222,8 @@
             }));
             outbox.wrote();
         }
-        if !warm && !dialled && transfers > 2000.min(open as u64 * 20) {
-            (started, transfers, warm) = (Instant::now(), 0, true);
+        if !warm && !dialled && requests > 2000.min(open as u64 * 20) {
+            (started, requests, warm) = (Instant::now(), 0, true);
         }
         now += Duration::from_micros(50) * batch as u32;
         inputs = Vec::new();
@@ -245,7 +245,7 @@
                 at: now,
                 frames,
             });
-            transfers += 1;
+            requests += 1;
         }
         let frames: Vec<_> = (0..answered).map(|_| take(now)).collect();
         if !frames.is_empty() {
@@ -256,5 +256,5 @@
             });
         }
     }
-    started.elapsed().as_nanos() as f64 / transfers.max(1) as f64
+    started.elapsed().as_nanos() as f64 / requests.max(1) as f64
 }
--- a/crates/bench/src/iscsi.rs
+++ b/crates/bench/src/iscsi.rs
@@ -1,4 +1,4 @@
-//! Commands through a portal beside transfers through the same host: reads in closed loops, the host held to
+//! Commands through a portal beside requests through the same host: reads in closed loops, the host held to
 //! one core, initiators, clients and nodes on the others.
 
 use crate::sockets::{prepare, stay_on, targets, together, used, Stage, LINES};
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,8 +1,8 @@
 //! Measurements of the host, outside CI. Each prints a table for `docs/reports/host.md`.
 //!
 //! `decisions`: the decision module and the desk alone, without sockets, at numbers of nodes and of held
-//! transfers. `sockets`: a host process on one core, between clients and stand-in nodes on the others:
-//! transfers a second, time added beside a client that talks to the same stand-in directly, memory.
+//! requests. `sockets`: a host process on one core, between clients and stand-in nodes on the others:
+//! requests a second, time added beside a client that talks to the same stand-in directly, memory.
 //! `iscsi`: the same host behind a portal, beside its plain path; `commands`: allocations of one command in
 //! the iSCSI path, in this process. `planner`, `extents`, `state`: plans as data, for
 //! `docs/reports/plans.md`.
@@ -36,7 +36,7 @@
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
     },
-    /// Commands through a portal, beside transfers through the same host.
+    /// Commands through a portal, beside requests through the same host.
     Iscsi {
         #[arg(long, default_value_t = 1.0)]
         seconds: f64,
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -1,6 +1,6 @@
 //! A host process held to one core, between clients in this process and stand-in nodes in another.
 //!
-//! Closed loops give transfers a second; open loops at half that rate give the time added, beside the same
+//! Closed loops give requests a second; open loops at half that rate give the time added, beside the same
 //! reads sent to the stand-in nodes directly. Loopback only; every loop ends with its span.
 
 use crate::site;
@@ -248,7 +248,7 @@
     Ok(all)
 }
 
-/// One piece of work, as a client's transfer or straight as a leg.
+/// One piece of work, as a client's request or straight as a leg.
 #[derive(Clone, Copy)]
 struct Work {
     number: u64,
@@ -356,7 +356,7 @@
         )
     }
 
-    /// Keeps `open` transfers open for a span; how many were done a second, and the part that was not done.
+    /// Keeps `open` requests open for a span; how many were done a second, and the part that was not done.
     pub fn closed(&self, open: usize, span: Duration) -> io::Result<(f64, f64)> {
         let (mut stream, mut reader) = self.connect()?;
         let draw = || self.body(&Work::draw(&self.nodes, self.length, false));
@@ -591,7 +591,7 @@
     Ok(())
 }
 
-/// Resident bytes for each transfer that is out, and each that is held, at nodes that answer nothing.
+/// Resident bytes for each request that is out, and each that is held, at nodes that answer nothing.
 fn memory(program: &Path) -> io::Result<()> {
     println!("| nodes | open | resident before | with them open | bytes for each |");
     println!("| ---: | ---: | ---: | ---: | ---: |");
--- a/crates/cli/tests/cold.rs
+++ b/crates/cli/tests/cold.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const HOSTS: usize = 30;
-/// The settings' always-borne units in mean transfers, and the time in which they count.
+/// The settings' always-borne units in mean requests, and the time in which they count.
 const BORNE: f64 = 10.0;
 const SPAN: Duration = Duration::from_secs(2);
 const QUIET: Duration = Duration::from_secs(6);
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -18,7 +18,7 @@
 
 /// The least that the settings may say.
 const SOCKETS: u64 = 48;
-/// How long a client waits for its answer, as each of its transfers says.
+/// How long a client waits for its answer, as each of its requests says.
 const LEFT: u64 = 2900;
 
 /// Clients that say nothing, or one thing when they have dialled, and dial again when they are closed.
@@ -156,7 +156,7 @@
     answer(&mut stream).map(|a| a.0)
 }
 
-fn transfers(host: SocketAddr, what: &str, n: u64) -> Vec<Option<u16>> {
+fn requests(host: SocketAddr, what: &str, n: u64) -> Vec<Option<u16>> {
     (0..n)
         .map(|k| ask(host, &request("once", &format!("{what}-{k}"), 0, k, LEFT)))
         .collect()
@@ -207,20 +207,12 @@
         When::AtStart => {
             // It has no list yet, and says so.
             assert_eq!(ask(live.address, READY), Some(503), "{what}");
-            assert_eq!(
-                transfers(live.address, "early", 2),
-                [Some(503); 2],
-                "{what}"
-            );
+            assert_eq!(requests(live.address, "early", 2), [Some(503); 2], "{what}");
         }
         When::InService => {
             outage.goes_down();
             assert_eq!(ask(live.address, READY), Some(200), "{what}");
-            assert_eq!(
-                transfers(live.address, "early", 2),
-                [Some(200); 2],
-                "{what}"
-            );
+            assert_eq!(requests(live.address, "early", 2), [Some(200); 2], "{what}");
         }
         When::AfterHangup => {
             // The old list's connection stays until the new one has answered.
@@ -237,11 +229,7 @@
             live.says("connection lost", 1);
             outage = there;
             assert_eq!(ask(live.address, READY), Some(200), "{what}");
-            assert_eq!(
-                transfers(live.address, "early", 2),
-                [Some(200); 2],
-                "{what}"
-            );
+            assert_eq!(requests(live.address, "early", 2), [Some(200); 2], "{what}");
         }
         When::AfterTerm => {
             outage.goes_down();
@@ -261,7 +249,7 @@
         "{what}: the whole list is asked for"
     );
     assert_eq!(ask(live.address, READY), Some(200), "{what}");
-    assert_eq!(transfers(live.address, "late", 5), [Some(200); 5], "{what}");
+    assert_eq!(requests(live.address, "late", 5), [Some(200); 5], "{what}");
     assert_eq!(
         ids(&new),
         ["late-0", "late-1", "late-2", "late-3", "late-4"],
@@ -307,7 +295,7 @@
     let list = discovery(json!([target("s-1", &node, 0, "ready")]));
     let live = Live::start(&list, SOCKETS);
     let idle = Idle::start(live.address, 900, "");
-    assert_eq!(transfers(live.address, "t", 5), [Some(200); 5]);
+    assert_eq!(requests(live.address, "t", 5), [Some(200); 5]);
     assert_eq!(ids(&node), ["t-0", "t-1", "t-2", "t-3", "t-4"]);
     assert_eq!(ask(live.address, READY), Some(200));
     assert!(
--- a/crates/cli/tests/ends.rs
+++ b/crates/cli/tests/ends.rs
@@ -55,7 +55,7 @@
     (node, list, live)
 }
 
-/// An unrepeatable transfer of more than such a node takes.
+/// An unrepeatable request of more than such a node takes.
 fn large(id: &str) -> String {
     let small = request("once", id, 0, 7, 2900);
     let head = small.replace("Content-Length: 2", "Content-Length: 60000");
@@ -213,8 +213,8 @@
 
 // Answers
 
-/// The host stands still while the second answer and the next transfer come: whichever it hears first, the
-/// answer is not taken for that transfer's.
+/// The host stands still while the second answer and the next request come: whichever it hears first, the
+/// answer is not taken for that request's.
 #[test]
 fn a_second_answer_is_never_taken_for_the_next_legs() {
     let (node, _list, live) = one_hand();
@@ -238,9 +238,9 @@
     }
 }
 
-/// It keeps coming, never whole: it is given up with its transfer's time, and has run.
+/// It keeps coming, never whole: it is given up with its request's time, and has run.
 #[test]
-fn an_answer_that_trickles_for_ever_ends_with_its_transfers_time() {
+fn an_answer_that_trickles_for_ever_ends_with_its_requests_time() {
     let node = Hand::start();
     let list = discovery(json!([target_at("s-1", node.address, 0, "ready")]));
     let mut live = Live::begin(list.address, 256, settings_with_expiry(500));
@@ -254,7 +254,7 @@
         let mut leg = node.next();
         let trickle = std::thread::spawn(move || {
             leg.says(head);
-            // Far longer than the transfer has, unless the host hangs up.
+            // Far longer than the request has, unless the host hangs up.
             (0..2000).any(|_| {
                 std::thread::sleep(ms(10));
                 leg.stream.write_all(b"x").is_err()
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -77,7 +77,7 @@
 }
 
 /// A zone is cut off from half of the hosts, the list comes late, answers get lost and connections are reset
-/// under transfers.
+/// under requests.
 #[test]
 fn under_a_cut_lost_answers_and_resets_no_effect_happens_twice() {
     let _alone = alone();
@@ -111,7 +111,7 @@
         "nothing was in doubt, so this proves nothing"
     );
     // Into a node that says nothing each host sends trials, not its whole demand: over four seconds, of some
-    // 280 transfers for the zone from these hosts.
+    // 280 requests for the zone from these hosts.
     let spent = (healed - cut).as_secs() as usize;
     assert!(dials <= zone.len() * HOSTS * 8 * spent, "{dials} dials");
     let (asked, done) = c.since(last);
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_transfer_passes_unchanged_and_so_does_its_answer() {
+fn a_request_passes_unchanged_and_so_does_its_answer() {
     let (node, _list, live) = one_node(|_| says(GOOD));
     let mut stream = TcpStream::connect(live.address).unwrap();
     for n in 0..3 {
@@ -54,7 +54,7 @@
 /// What never ran may be tried again or deferred, whatever the stream type; what may have run, never for one
 /// that is unrepeatable.
 #[test]
-fn only_what_proves_that_a_leg_never_ran_lets_an_unrepeatable_transfer_be_sent_again() {
+fn only_what_proves_that_a_leg_never_ran_lets_an_unrepeatable_request_be_sent_again() {
     let stalled = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood";
     let huge = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood";
     let both = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\ngood";
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_refused_and_the_transfer_that_has_it_goes_on() {
+fn an_id_that_is_open_is_refused_and_the_request_that_has_it_goes_on() {
     let (node, _list, live) = one_node(|_| Does::Waits(ms(400), GOOD.into()));
     let text = request("once", "same", 0, 7, 2500);
     let mut first = TcpStream::connect(live.address).unwrap();
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn transfers_of_one_key_run_one_at_a_time() {
+fn requests_of_one_key_run_one_at_a_time() {
     let (node, _list, live) = one_node(|_| Does::Waits(ms(60), GOOD.into()));
     let mut streams: Vec<TcpStream> = (0..4)
         .map(|_| TcpStream::connect(live.address).unwrap())
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -938,7 +938,7 @@
     pub abandoned: usize,
     /// Neither an answer in time, nor a host that was killed with it.
     pub lost: Vec<String>,
-    /// Effects of one transfer that happened twice.
+    /// Effects of one request that happened twice.
     pub twice: Vec<String>,
     /// Told that trying again is harmless, where the effect had happened or might yet.
     pub wrongly_deferred: Vec<String>,
@@ -1102,7 +1102,7 @@
     }
 }
 
-/// When each host made legs beyond a transfer's first.
+/// When each host made legs beyond a request's first.
 fn by_id_times(crossed: &[(String, Seen)]) -> BTreeMap<usize, Vec<Instant>> {
     let (mut seen, mut further) = (BTreeSet::new(), BTreeMap::<usize, Vec<Instant>>::new());
     for (_, s) in crossed {
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -2,7 +2,7 @@
 //!
 //! Called by the fleet's step, once for each budget: [`Budget::hear`] for what another host says of it,
 //! [`Budget::tend`] at every round, both of which answer what to say; [`Budget::part`] is what this host may
-//! use now. It is escrow (O'Neil 1986; bounded counters, Balegas 2015) with loans in place of transfers, so
+//! use now. It is escrow (O'Neil 1986; bounded counters, Balegas 2015) with loans in place of requests, so
 //! that what is lent goes home by itself when nobody renews it.
 //!
 //! Why the sum holds, whoever hears what. Each host has a settled part, and all settled parts add up to the
--- a/crates/host/src/admission.rs
+++ b/crates/host/src/admission.rs
@@ -1,8 +1,8 @@
-//! Whether a transfer is taken at all.
+//! Whether a request is taken at all.
 //!
 //! Called by the desk for each one that arrives, before the decisions hear of it. What is turned away here
 //! never ran and is deferred: a host that drains, or whose memory is spoken for, must still give a clear
-//! final answer. Guards against clients that send more than they wait for. Harm: a reserved volume's transfer
+//! final answer. Guards against clients that send more than they wait for. Harm: a reserved volume's request
 //! can meet the bound that a surge of another filled; the bound is for memory and stands far above what the
 //! decisions hold in service.
 
--- a/crates/host/src/desk.rs
+++ b/crates/host/src/desk.rs
@@ -1,10 +1,10 @@
-//! One host's transfers, legs and connections, between the sockets and the decisions.
+//! One host's requests, legs and connections, between the sockets and the decisions.
 //!
 //! Called by the owner's loop: `step(now, inputs)` for every batch of what happened, which answers what the
 //! sockets are to do beyond what already lies in the outboxes; [`Desk::wake_at`] says when it must be called
 //! again. It has no socket and no clock. Every event and action of `grebecleat::interface` is carried here:
 //!
-//! - a transfer is answered once: by its first leg that is done, else by the decisions, else by nobody (its
+//! - a request is answered once: by its first leg that is done, else by the decisions, else by nobody (its
 //!   client is gone); what comes later is counted as stray and dropped;
 //! - a leg ends once, by the first of: its node's answer, its time, a reset, a cancel, or being taken back
 //!   from an outbox, which alone is told as "never ran";
@@ -211,7 +211,7 @@
 
 #[derive(Debug)]
 struct LegOut {
-    id: XferId,
+    id: RequestId,
     number: u32,
     node: NodeId,
     /// None while it waits for a connection.
@@ -226,7 +226,7 @@
 struct Client {
     outbox: Arc<Outbox>,
     delay: Delay,
-    open: BTreeSet<XferId>,
+    open: BTreeSet<RequestId>,
 }
 
 #[derive(Debug)]
@@ -274,7 +274,7 @@
     wanted_wake: Duration,
     sweep_at: Duration,
     stalls: Stalls,
-    xfers: HashMap<XferId, Open>,
+    requests: HashMap<RequestId, Open>,
     held_bytes: usize,
     clients: BTreeMap<ConnId, Client>,
     legs: HashMap<LegNo, LegOut>,
@@ -299,7 +299,7 @@
     watchers: BTreeMap<ConnId, Arc<Outbox>>,
     service: Service,
     figures_at: Duration,
-    /// The longest that a transfer may take.
+    /// The longest that a request may take.
     longest: Duration,
     list_changed: bool,
     list: ListLink,
@@ -336,8 +336,8 @@
     places.map(|h| grebecleat_fleet::HostNo(h as u32)).collect()
 }
 
-fn xfer_id(id: &[u8]) -> Option<XferId> {
-    id.try_into().map(XferId).ok()
+fn request_id(id: &[u8]) -> Option<RequestId> {
+    id.try_into().map(RequestId).ok()
 }
 
 impl Desk {
@@ -387,7 +387,7 @@
             wanted_wake: Duration::MAX,
             sweep_at: Duration::ZERO,
             stalls: Stalls::default(),
-            xfers: HashMap::new(),
+            requests: HashMap::new(),
             held_bytes: 0,
             clients: BTreeMap::new(),
             legs: HashMap::new(),
@@ -438,7 +438,7 @@
         self
     }
 
-    /// For a platform whose clients say with each transfer on what terms its volume is served, and whose
+    /// For a platform whose clients say with each request on what terms its volume is served, and whose
     /// nodes take one exchange at a time on a connection. A leg that is given up there takes its connection
     /// with it: what its node may yet answer must not be read as the next leg's, and a closed connection is
     /// the only way to call a leg off.
@@ -481,9 +481,9 @@
         self.counts
     }
 
-    /// Whether anything of a transfer is open or out.
+    /// Whether anything of a request is open or out.
     pub fn holds(&self, id: &[u8]) -> bool {
-        xfer_id(id).is_some_and(|id| self.xfers.contains_key(&id))
+        request_id(id).is_some_and(|id| self.requests.contains_key(&id))
     }
 
     /// The clients of the legs that wait to be written on a node's connection.
@@ -495,12 +495,12 @@
         let waiting = c
             .into_iter()
             .flat_map(|(o, legs)| legs.iter().filter(move |leg| o.is_held(**leg)));
-        waiting.filter_map(|leg| Some(self.xfers.get(&self.legs.get(leg)?.id)?.client))
+        waiting.filter_map(|leg| Some(self.requests.get(&self.legs.get(leg)?.id)?.client))
     }
 
-    /// Transfers open, legs out and bytes held now.
+    /// Requests open, legs out and bytes held now.
     pub fn held(&self) -> (usize, usize, usize) {
-        (self.xfers.len(), self.legs.len(), self.held_bytes)
+        (self.requests.len(), self.legs.len(), self.held_bytes)
     }
 
     /// Whether this host has just stood still: the caller then first reads what waits in its sockets, since
@@ -519,7 +519,7 @@
         let timer = self.timers.first().map(|t| t.0);
         let leg = self.times.first().map(|t| t.0);
         let beat = self.now
-            + if self.xfers.is_empty() && self.draining.is_none() {
+            + if self.requests.is_empty() && self.draining.is_none() {
                 IDLE_BEAT
             } else {
                 BEAT
@@ -720,8 +720,8 @@
             Some(Body::Take(t)) => self.take(conn, at, waited, t),
             Some(Body::Withdraw(w)) => {
                 client.outbox.heard(&w.id);
-                let id = xfer_id(&w.id)
-                    .filter(|id| self.xfers.get(id).is_some_and(|x| x.client == conn));
+                let id = request_id(&w.id)
+                    .filter(|id| self.requests.get(id).is_some_and(|x| x.client == conn));
                 if let Some(id) = id {
                     self.counts.withdrawn += 1;
                     self.withdraw(id);
@@ -733,10 +733,10 @@
     }
 
     fn take(&mut self, conn: ConnId, at: Duration, waited: Duration, t: pb::Take) {
-        let Some(id) = xfer_id(&t.id) else {
+        let Some(id) = request_id(&t.id) else {
             return self.throw_out(conn, "transfer without a proper id");
         };
-        if self.xfers.contains_key(&id) {
+        if self.requests.contains_key(&id) {
             return self.throw_out(conn, "transfer with an id that is still open");
         }
         let stream_type = t.stream_type as usize;
@@ -769,7 +769,7 @@
         // What the frame waited on its way to us is gone from the client's time, as is what the answer needs.
         let expiry = (at + left).saturating_sub(waited + margin);
         let held = Held {
-            open: self.xfers.len(),
+            open: self.requests.len(),
             bytes: self.held_bytes,
             draining: self.draining.is_some(),
         };
@@ -808,7 +808,7 @@
             .insert(id);
         let (cell, key) = (t.cell.map(CellId), t.key.map(KeyId));
         let stream_type = StreamTypeId(stream_type);
-        self.events.push(Event::Taken(Transfer {
+        self.events.push(Event::Taken(Request {
             id,
             units,
             cell,
@@ -830,10 +830,10 @@
             legs: 0,
             out: Vec::new(),
         };
-        self.xfers.insert(id, open);
+        self.requests.insert(id, open);
     }
 
-    /// A transfer of a volume that this host does not serve never runs here.
+    /// A request of a volume that this host does not serve never runs here.
     fn not_here(&mut self, conn: ConnId, t: pb::Take, standing: Standing) {
         self.counts.turned_away += 1;
         // Elsewhere, or later, it may; of a volume that is no more there is nothing to come back for.
@@ -1031,15 +1031,15 @@
             return;
         };
         client.outbox.put(frame(Body::Final(told)));
-        // A client that never reads must not hold our memory; its transfers are then nobody's.
+        // A client that never reads must not hold our memory; its requests are then nobody's.
         if client.outbox.bytes() > self.bounds().most_unread {
             self.throw_out(conn, "client leaves its answers unread");
         }
     }
 
-    /// The one place where a transfer gets its final answer.
-    fn finish(&mut self, id: XferId, outcome: pb::Outcome, told: pb::Final) {
-        let Some(x) = self.xfers.get_mut(&id).filter(|x| !x.over) else {
+    /// The one place where a request gets its final answer.
+    fn finish(&mut self, id: RequestId, outcome: pb::Outcome, told: pb::Final) {
+        let Some(x) = self.requests.get_mut(&id).filter(|x| !x.over) else {
             return;
         };
         x.over = true;
@@ -1072,10 +1072,10 @@
         self.settle(id);
     }
 
-    /// After a transfer is over: legs of it that have not crossed never do, and its record goes with the
+    /// After a request is over: legs of it that have not crossed never do, and its record goes with the
     /// last.
-    fn settle(&mut self, id: XferId) {
-        let Some(x) = self.xfers.get(&id).filter(|x| x.over) else {
+    fn settle(&mut self, id: RequestId) {
+        let Some(x) = self.requests.get(&id).filter(|x| x.over) else {
             return;
         };
         for leg in x.out.clone() {
@@ -1083,8 +1083,8 @@
                 self.end_leg(leg, LegEnd::Moot, self.now, None);
             }
         }
-        if self.xfers.get(&id).is_some_and(|x| x.out.is_empty()) {
-            let x = self.xfers.remove(&id).expect("looked up above");
+        if self.requests.get(&id).is_some_and(|x| x.out.is_empty()) {
+            let x = self.requests.remove(&id).expect("looked up above");
             self.held_bytes -= x.take.data.len();
             if let Some(c) = self.clients.get_mut(&x.client) {
                 c.open.remove(&id);
@@ -1092,8 +1092,8 @@
         }
     }
 
-    fn withdraw(&mut self, id: XferId) {
-        let Some(x) = self.xfers.get_mut(&id).filter(|x| !x.over) else {
+    fn withdraw(&mut self, id: RequestId) {
+        let Some(x) = self.requests.get_mut(&id).filter(|x| !x.over) else {
             return;
         };
         x.over = true;
@@ -1112,7 +1112,7 @@
         client.outbox.close();
         self.complained.remove(&conn);
         for id in client.open {
-            self.counts.withdrawn += u64::from(self.xfers.get(&id).is_some_and(|x| !x.over));
+            self.counts.withdrawn += u64::from(self.requests.get(&id).is_some_and(|x| !x.over));
             self.withdraw(id);
         }
     }
@@ -1136,10 +1136,10 @@
 
     // Legs
 
-    fn send(&mut self, id: XferId, node: NodeId, until: Duration) {
+    fn send(&mut self, id: RequestId, node: NodeId, until: Duration) {
         let (leg, now) = (LegNo(self.number()), self.now);
         self.counts.legs += 1;
-        let Some(x) = self.xfers.get_mut(&id) else {
+        let Some(x) = self.requests.get_mut(&id) else {
             return;
         };
         let number = x.legs;
@@ -1223,7 +1223,7 @@
                     at: self.now,
                 });
             }
-            let x = &self.xfers[&l.id];
+            let x = &self.requests[&l.id];
             let (t, plan) = (&x.take, x.plan);
             let message = pb::Leg {
                 leg: leg.0,
@@ -1307,19 +1307,19 @@
         let at = at.max(l.sent);
         let elapsed = (at - l.sent).saturating_sub(self.stalls.within(l.sent, at));
         let (id, node) = (l.id, l.node);
-        if let Some(x) = self.xfers.get_mut(&id) {
+        if let Some(x) = self.requests.get_mut(&id) {
             x.out.retain(|o| *o != leg);
             x.unsure |= matches!(end, LegEnd::TimeOut | LegEnd::Cancelled | LegEnd::Reset);
         }
         let told = answer.unwrap_or_default();
         if let Some(sharing) = &mut self.sharing {
             sharing.tried(node, end);
-            let x = self.xfers.get(&id).filter(|_| end == LegEnd::Done);
+            let x = self.requests.get(&id).filter(|_| end == LegEnd::Done);
             x.into_iter()
                 .for_each(|x| sharing.did(x.take.volume, x.take.units));
         }
         if end == LegEnd::Done && !self.watchers.is_empty() {
-            let units = self.xfers.get(&id).map_or(0.0, |x| x.take.units);
+            let units = self.requests.get(&id).map_or(0.0, |x| x.take.units);
             self.service.done_at(node, units);
         }
         if end == LegEnd::Done {
@@ -1332,10 +1332,10 @@
             };
             self.finish(id, pb::Outcome::Done, done);
         }
-        let over = self.xfers.get(&id).is_none_or(|x| x.over);
+        let over = self.requests.get(&id).is_none_or(|x| x.over);
         let reported = told
             .reported
-            .map(|percent| match (&self.sharing, self.xfers.get(&id)) {
+            .map(|percent| match (&self.sharing, self.requests.get(&id)) {
                 (Some(sharing), Some(x)) => {
                     let rate = self.plans.rate(x.plan).max(1e-9);
                     percent.max(sharing.served(self.now, x.take.volume) / rate * 100.0)
@@ -1376,10 +1376,10 @@
         }
     }
 
-    fn cancel(&mut self, id: XferId, number: u32) {
+    fn cancel(&mut self, id: RequestId, number: u32) {
         let of = |leg: &&LegNo| self.legs.get(leg).is_some_and(|l| l.number == number);
         let Some(leg) = self
-            .xfers
+            .requests
             .get(&id)
             .and_then(|x| x.out.iter().find(of).copied())
         else {
@@ -1428,7 +1428,7 @@
                 let (id, number) = (l.id, l.number);
                 self.events.push(Event::Begun { id, leg: number });
                 let client = self
-                    .xfers
+                    .requests
                     .get(&id)
                     .and_then(|x| Some((x, self.clients.get(&x.client)?)));
                 if let Some((x, c)) = client {
@@ -1954,7 +1954,7 @@
                 .get(self.me)
                 .map(|h| h.name.clone())
                 .unwrap_or_default(),
-            open: self.xfers.len() as u64,
+            open: self.requests.len() as u64,
             held_bytes: self.held_bytes as u64,
             taken: c.taken + c.turned_away,
             done: c.done,
@@ -2026,13 +2026,13 @@
             return;
         }
         let longest = self
-            .xfers
+            .requests
             .values()
             .map(|x| x.expiry)
             .max()
             .unwrap_or(self.now);
         self.draining = Some(longest + self.bounds().patience);
-        self.note(format!("draining: {} transfers held", self.xfers.len()));
+        self.note(format!("draining: {} transfers held", self.requests.len()));
         for c in self.clients.values() {
             c.outbox.put(frame(Body::GoingAway(pb::GoingAway {})));
         }
@@ -2043,7 +2043,7 @@
         let Some(last) = self.draining.filter(|_| !self.ended) else {
             return;
         };
-        let answered = self.xfers.values().all(|x| x.over);
+        let answered = self.requests.values().all(|x| x.over);
         let written = || self.clients.values().all(|c| c.outbox.is_flushed());
         if self.now >= last || (answered && written()) {
             self.ended = true;
--- a/crates/host/src/desk/tests.rs
+++ b/crates/host/src/desk/tests.rs
@@ -11,7 +11,7 @@
         let conn = r.connect();
         let legs = if crossed { r.legs(conn) } else { Vec::new() };
         r.desk.act(Action::CancelLeg {
-            id: XferId([1; 36]),
+            id: RequestId([1; 36]),
             leg: 0,
         });
         r.feed(vec![]);
--- a/crates/host/src/figures.rs
+++ b/crates/host/src/figures.rs
@@ -1,10 +1,10 @@
 //! What this host tells whoever watches it, every second: nodes, what is held and why, and what each volume
 //! asked for and got.
 //!
-//! Called by the desk with every transfer that is taken and done, and `tell` makes a second's figures.
+//! Called by the desk with every request that is taken and done, and `tell` makes a second's figures.
 //! Nothing is counted while nobody watches. What a volume asked for is told under the second in which it
 //! came, and what has come of it under the same second, whenever that is; whoever watches adds it up. SLO
-//! times count from when a transfer was taken here: a client's later try is one of its own to us, since
+//! times count from when a request was taken here: a client's later try is one of its own to us, since
 //! nobody tells us of its first.
 //!
 //! Memory: a record for each volume, cell and second of which something changed since the last figures, and
@@ -19,7 +19,7 @@
 use std::time::Duration;
 
 pub const EVERY: Duration = Duration::from_secs(1);
-/// Lines of held transfers that are looked at.
+/// Lines of held requests that are looked at.
 const LINES: usize = 512;
 
 /// The second in which it came, its volume, and where its data lies.
@@ -165,7 +165,7 @@
         volume: h.volume.0,
         node: h.node.map(|n| n.0),
         bar: bar.into(),
-        transfers: h.transfers as u32,
+        requests: h.requests as u32,
         since_us: micros(now.saturating_sub(h.since)),
     }
 }
--- a/crates/host/tests/desk.rs
+++ b/crates/host/tests/desk.rs
@@ -9,7 +9,7 @@
 use pb::Outcome::{Abandoned, Deferred, Done};
 
 #[test]
-fn a_transfer_goes_out_and_comes_back_once() {
+fn a_request_goes_out_and_comes_back_once() {
     let mut r = Rig::with("");
     r.take(1, 0);
     let conn = r.connect();
@@ -35,7 +35,7 @@
         if let Some(conn) = conn {
             assert_eq!(r.legs(conn).len(), 0);
         }
-        // The decisions know that it never ran: the unrepeatable transfer is deferred, not abandoned.
+        // The decisions know that it never ran: the unrepeatable request is deferred, not abandoned.
         assert_eq!(
             (r.finals(), r.desk.counts().unsent),
             (vec![(1, Deferred)], 1)
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn a_full_answer_lets_even_an_unrepeatable_transfer_go_again() {
+fn a_full_answer_lets_even_an_unrepeatable_request_go_again() {
     let mut r = Rig::with("");
     r.take(1, 1);
     let conn = r.connect();
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn one_transfer_of_a_key_at_a_time() {
+fn one_request_of_a_key_at_a_time() {
     let mut r = Rig::with("");
     (1..=3).for_each(|n| r.take(n, 2));
     let conn = r.connect();
--- a/crates/host/tests/ends.rs
+++ b/crates/host/tests/ends.rs
@@ -186,7 +186,7 @@
     }
 }
 
-/// A dial is up after its transfer, its node or the process it was meant for is gone: no leg goes there.
+/// A dial is up after its request, its node or the process it was meant for is gone: no leg goes there.
 #[test]
 fn a_dial_that_is_up_late_carries_nothing_to_what_it_was_not_meant_for() {
     type Case = (&'static str, fn(&mut Rig), bool);
@@ -241,9 +241,9 @@
     );
 }
 
-/// A client's id must not be free while its leg is out: its transfer is held until then.
+/// A client's id must not be free while its leg is out: its request is held until then.
 #[test]
-fn a_transfer_whose_client_left_is_held_until_its_leg_has_ended() {
+fn a_request_whose_client_left_is_held_until_its_leg_has_ended() {
     let mut r = Rig::one_at_a_time("");
     r.take(1, 1);
     let conn = r.connect();
--- a/crates/host/tests/explore.rs
+++ b/crates/host/tests/explore.rs
@@ -1,6 +1,6 @@
 //! Random walks through what clients, nodes, list and time can do to a desk, each from its seed, with what
-//! must hold in every one: one answer for each transfer, before its expiry; nothing crosses after the answer,
-//! nor to a node that drains; an unrepeatable transfer never crosses again once it may have run; nothing is
+//! must hold in every one: one answer for each request, before its expiry; nothing crosses after the answer,
+//! nor to a node that drains; an unrepeatable request never crosses again once it may have run; nothing is
 //! kept.
 
 mod common;
@@ -179,7 +179,7 @@
 
 #[test]
 fn whatever_comes_in_whatever_order() {
-    let (mut transfers, mut crossed, mut outcomes) = (0, 0, BTreeMap::new());
+    let (mut requests, mut crossed, mut outcomes) = (0, 0, BTreeMap::new());
     for seed in 0..150 {
         let mut w = Walk {
             rig: Rig::with("bounds(legs_per_connection = 3, connections_per_node = 2)"),
@@ -208,7 +208,7 @@
                 .for_each(|a| *outcomes.entry(a.as_str_name()).or_insert(0) += 1);
             crossed += s.crossed.len();
         }
-        transfers += w.seen.len();
+        requests += w.seen.len();
         let (open, legs, bytes) = w.rig.desk.held();
         assert_eq!(
             (open, legs, bytes),
@@ -216,9 +216,9 @@
             "seed {seed} leaves something behind"
         );
     }
-    // The walks must have seen all that can happen to a transfer.
+    // The walks must have seen all that can happen to a request.
     assert!(
-        transfers > 5000 && crossed > 1000 && outcomes.len() == 3,
-        "{transfers} {crossed} {outcomes:?}"
+        requests > 5000 && crossed > 1000 && outcomes.len() == 3,
+        "{requests} {crossed} {outcomes:?}"
     );
 }
--- a/crates/host/tests/following.rs
+++ b/crates/host/tests/following.rs
@@ -221,7 +221,7 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(sights(&mut r).last(), Some(&(3, 1, false)));
-    // It never answers: for as long as a transfer may take, nobody knows whether it runs.
+    // It never answers: for as long as a request may take, nobody knows whether it runs.
     r.wait(ms(2000));
     assert_eq!(sights(&mut r).last(), Some(&(3, 0, true)));
     assert!(r.legs(conn).iter().all(|l| l.leg == out[0].leg));
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -308,7 +308,7 @@
         for _ in 0..30 {
             assert_eq!(good.read(1), Outcome::Done, "greets: {greets}");
         }
-        // Every transfer to it has its one answer, whatever lay in which buffer.
+        // Every request to it has its one answer, whatever lay in which buffer.
         let mut answered: Vec<Bytes> = ids
             .iter()
             .map(|_| match stuck.get() {
--- a/crates/plans/src/changes.rs
+++ b/crates/plans/src/changes.rs
@@ -3,7 +3,7 @@
 //! Called as `propose` with typed changes, who asks, why, and the version that they looked at; the answer is
 //! an entry that is to be kept whole or not at all, or what it collided with. `take` lays a kept entry over
 //! the state, the same way for the one who proposed it, for a start that reads them back, and for hosts that
-//! follow the feed. Without input or output; nothing here decides over transfers.
+//! follow the feed. Without input or output; nothing here decides over requests.
 //!
 //! Two changes collide if they touch the same subject, or if one rests on a subject that the other takes
 //! away. Who looked at an older version is not refused for that alone: only for a subject that has changed
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,8 +1,8 @@
-//! A client's exchange and the transfer it asks for.
+//! A client's exchange and the request it asks for.
 //!
 //! [`Words::read`] turns a whole request into a take, or says what is wrong with it; [`put_final`] turns a
 //! final answer into a response. What cannot be understood, or does not exist, is answered here and never
-//! becomes a transfer, so nothing of it can reach a node.
+//! becomes a request, so nothing of it can reach a node.
 
 use crate::config::{Config, Kind};
 use crate::http::{self, Fault, Request};
@@ -226,7 +226,7 @@
 /// What nodes and the list are called in a head.
 pub const SERVICE: &str = "backend.local";
 
-/// A final answer, as the client reads it. An abandoned transfer must not read as a deferred one.
+/// A final answer, as the client reads it. An abandoned request must not read as a deferred one.
 pub fn put_final(to: &mut Vec<u8>, told: &pb::Final, keep: bool) {
     match told.outcome() {
         pb::Outcome::Done => http::put_response(to, 200, "", keep, &told.data),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -30,7 +30,7 @@
 /// Of all, what clients that have asked may keep: the platform lets them hold a third, and whoever has asked
 /// once and keeps his connection for good takes the place of one who would ask.
 const KEPT_PART: usize = 5;
-/// Of the memory, what bodies of open transfers may hold.
+/// Of the memory, what bodies of open requests may hold.
 const BYTES_PART: usize = 8;
 
 /// How long a leg may wait here before it is taken back.
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -85,11 +85,11 @@
 /// What was accepted before the listener was shut has been heard of by then.
 const LAST_HEARD: Duration = ms(20);
 /// A node's answer that has begun must go on within this. Guards against answers that are said to be longer
-/// than they are, whose connection stays open: without it such a leg holds its transfer until expiry.
+/// than they are, whose connection stays open: without it such a leg holds its request until expiry.
 /// Harm: a whole answer over a link that stalls for longer counts as spoilt.
 const REST_OF_ANSWER: Duration = ms(100);
 /// Bytes to a node that the system may hold for it. What is there can't be taken back when a client leaves,
-/// and goes out whenever the node reads again; what is here can. Harm: a large transfer takes several writes.
+/// and goes out whenever the node reads again; what is here can. Harm: a large request takes several writes.
 const UNSENT: usize = 16 << 10;
 /// How long a client may take to read its answer.
 const READING: Duration = ms(5000);
@@ -382,7 +382,7 @@
 struct Asked {
     /// The client's own.
     id: String,
-    xfer: Bytes,
+    request: Bytes,
     /// Whether the connection stays.
     keep: bool,
 }
@@ -462,7 +462,7 @@
     rung: Arc<Mutex<Vec<ConnId>>>,
     /// Connections whose sockets did not take all.
     blocked: BTreeSet<ConnId>,
-    /// Transfers open, by the clients' own ids.
+    /// Requests open, by the clients' own ids.
     ids: HashSet<String>,
     /// Of those, the ones whose client is gone or answered while a leg of them is out. The bound is the
     /// legs'.
@@ -740,11 +740,11 @@
             return;
         };
         if let Role::Client(Client {
-            open: Some(Asked { id, xfer, .. }),
+            open: Some(Asked { id, request, .. }),
             ..
         }) = c.role
         {
-            forget(&mut self.ids, &mut self.left, &self.desk, id, xfer);
+            forget(&mut self.ids, &mut self.left, &self.desk, id, request);
         }
         self.blocked.remove(&conn);
         // SAFETY: the number is its own until `Note::Ended` has brought the stream.
@@ -767,7 +767,7 @@
     }
 
     /// Ends a client's connection that only waits, unless the client has said something that is not heard
-    /// yet: closed now, its transfer would be lost. Then nothing is done, and the next look finds it. Whether
+    /// yet: closed now, its request would be lost. Then nothing is done, and the next look finds it. Whether
     /// it was ended.
     fn leave(&mut self, conn: ConnId) -> bool {
         let leaves = self
@@ -886,7 +886,7 @@
                     take.id = Bytes::from(format!("{:036x}", self.taken));
                     client.open = Some(Asked {
                         id: id.clone(),
-                        xfer: take.id.clone(),
+                        request: take.id.clone(),
                         keep,
                     });
                     self.ids.insert(id);
@@ -931,7 +931,7 @@
     /// is closed at the look that follows its being accepted: from the next [`Host::sweep`] on the queue
     /// moves as fast as we accept and close, however many are in it, and who comes back comes back behind.
     /// Reckoned from their being accepted, each round of as many as have places would cost that span anew.
-    /// For longer a place is held only by one that has said something: by an open transfer until its expiry, an
+    /// For longer a place is held only by one that has said something: by an open request until its expiry, an
     /// answer that is not read for [`READING`], half an exchange for [`FIRST_WORDS`] or [`REST`]. Harm: what
     /// one that is slow to speak says may cross the close, and it comes again.
     fn make_room(&mut self) {
@@ -1443,7 +1443,7 @@
         };
         match (&mut c.role, body) {
             (Role::Client(client), Body::Final(told)) => {
-                let Some(Asked { id, xfer, keep }) = client.open.take() else {
+                let Some(Asked { id, request, keep }) = client.open.take() else {
                     return;
                 };
                 // What it sent behind this one has been read, and is answered too.
@@ -1453,7 +1453,7 @@
                 if !keep {
                     client.discard = Some((now + DISCARD.0, DISCARD.1));
                 }
-                forget(&mut self.ids, &mut self.left, &self.desk, id, xfer);
+                forget(&mut self.ids, &mut self.left, &self.desk, id, request);
                 put_final(&mut c.outward, &told, keep);
                 if keep && !c.inward.is_empty() {
                     // What waited behind it; the answer goes first, since it stands in the buffer.
@@ -1570,8 +1570,8 @@
         if closing {
             self.shut_listener(now);
         }
-        self.left.retain(|(id, xfer)| {
-            let out = self.desk.holds(xfer);
+        self.left.retain(|(id, request)| {
+            let out = self.desk.holds(request);
             if !out {
                 self.ids.remove(id);
             }
@@ -1642,17 +1642,17 @@
     }
 }
 
-/// A client's id is free once nothing of its transfer is out: until then a node could meet the id of a leg
+/// A client's id is free once nothing of its request is out: until then a node could meet the id of a leg
 /// that it has, and take it for a second copy.
 fn forget(
     ids: &mut HashSet<String>,
     left: &mut Vec<(String, Bytes)>,
     desk: &Desk,
     id: String,
-    xfer: Bytes,
+    request: Bytes,
 ) {
-    if desk.holds(&xfer) {
-        left.push((id, xfer));
+    if desk.holds(&request) {
+        left.push((id, request));
     } else {
         ids.remove(&id);
     }
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -213,9 +213,9 @@
     }
 }
 
-/// Its transfer has been read, and its end has yet to be heard.
+/// Its request has been read, and its end has yet to be heard.
 #[test]
-fn a_first_transfer_whose_client_has_left_is_not_taken() {
+fn a_first_request_whose_client_has_left_is_not_taken() {
     for left in [false, true] {
         let (mut host, (ours, theirs)) = (host(), UnixStream::pair().unwrap());
         let (conn, gate) = (ConnId(ACCEPTED + 1), Gate::new());
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -21,7 +21,7 @@
     /// How long a client waits for all its tries together.
     pub expiry: Duration,
     pub write: bool,
-    /// Part of all transfers, and the mean work of one unit, in rehearsals.
+    /// Part of all requests, and the mean work of one unit, in rehearsals.
     pub share: f64,
     pub unit_work: Duration,
 }
@@ -415,7 +415,7 @@
         }
         let stream_names: Vec<&str> = streams.iter().map(|s| s.name.as_str()).collect();
         let portals = self.each("portal", |f| portal(f, &host_names, &stream_names));
-        // A transfer that counts for less than it is would slip through reservations and limits.
+        // A request that counts for less than it is would slip through reservations and limits.
         let most = |p: &PortalSpec| (p.extent_blocks * 512).div_ceil(p.unit_bytes);
         if let Some(p) = portals.iter().find(|p| f64::from(most(p)) > units.largest) {
             self.whole_file(format!(
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! For: the facts that hosts, targets and the state service hold in memory and keep through a crash.
 //! [`store`] is the file, [`codec`] its messages, and those of the wire; [`extents`] is where extents lie, in
-//! little memory. It must never decide where one goes, which change lands, nor over any transfer. Begin with
+//! little memory. It must never decide where one goes, which change lands, nor over any request. Begin with
 //! [`store`].
 
 pub mod attending;
--- a/crates/target/src/blocks.rs
+++ b/crates/target/src/blocks.rs
@@ -1,6 +1,6 @@
 //! A command on blocks, in pieces of extents and back.
 //!
-//! A volume's blocks lie in extents of a fixed number of blocks, and a transfer touches one extent.
+//! A volume's blocks lie in extents of a fixed number of blocks, and a request touches one extent.
 //! [`Pieces::of`] splits a range; [`Gather`] takes the pieces' answers, in any order, and makes the one
 //! answer of the command:
 //!
@@ -68,7 +68,7 @@
     }
 }
 
-/// What a piece's transfer came to.
+/// What a piece's request came to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Answer {
     /// Data of reads; less than asked for is zeroes from there on, for blocks that nobody wrote.
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -1,14 +1,14 @@
 //! The target: connections, logins, sessions and commands, between the sockets and the host.
 //!
 //! Called as `step(now, inputs) -> outputs`, without input or output of its own. A command on blocks becomes
-//! a transfer for each extent it touches; the host answers each by its number. Three promises:
+//! a request for each extent it touches; the host answers each by its number. Three promises:
 //!
-//! - a command is answered when the last of its transfers is, and an aborted one ends then too: the response
+//! - a command is answered when the last of its requests is, and an aborted one ends then too: the response
 //!   to an abort or a reset says that nothing of the command is still under way at the host;
 //! - each write carries a version, higher than those of all writes before, and a node keeps the newest: a leg
 //!   that is still queued somewhere, of this start or an earlier one, cannot overwrite what is written after.
 //!   Reads of its blocks wait until it can no longer appear;
-//! - an extent is first written by one transfer alone, and GOOD follows only once its place is kept.
+//! - an extent is first written by one request alone, and GOOD follows only once its place is kept.
 
 use crate::blocks::{Answer, Gather, Layout, Piece, Whole};
 use crate::overlaps::{Overlaps, Range};
@@ -40,9 +40,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnNo(pub u64);
 
-/// A transfer that a command asked for.
+/// A request that a command asked for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct XferNo(pub u64);
+pub struct RequestNumber(pub u64);
 
 #[derive(Debug)]
 pub enum Input {
@@ -58,13 +58,13 @@
     },
     /// The host's final answer, and where the data lies if it is done.
     Final {
-        no: XferNo,
+        no: RequestNumber,
         answer: Answer,
         cell: Option<u32>,
     },
     /// An extent's place is kept.
     Stored {
-        no: XferNo,
+        no: RequestNumber,
     },
     /// A ceiling of versions is kept.
     Reserved {
@@ -76,7 +76,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Request {
-    pub no: XferNo,
+    pub no: RequestNumber,
     pub volume: u64,
     pub extent: u64,
     /// None: nobody has written it, any node may take it.
@@ -107,7 +107,7 @@
     },
     Take(Request),
     Store {
-        no: XferNo,
+        no: RequestNumber,
         volume: u64,
         extent: u64,
         cell: u32,
@@ -145,7 +145,7 @@
     pressure: Pressure,
     reservations: Reservations,
     /// Extents being written for the first time, and what waits for their place.
-    placing: BTreeMap<u64, VecDeque<XferNo>>,
+    placing: BTreeMap<u64, VecDeque<RequestNumber>>,
 }
 
 enum Phase {
@@ -197,7 +197,7 @@
     ended: bool,
 }
 
-struct Transfer {
+struct OpenRequest {
     op: u64,
     place: usize,
     request: Request,
@@ -221,12 +221,12 @@
     logins: BTreeSet<(Duration, ConnNo)>,
     sessions: BTreeMap<u64, SessionState>,
     ops: BTreeMap<u64, Op>,
-    xfers: BTreeMap<XferNo, Transfer>,
+    requests: BTreeMap<RequestNumber, OpenRequest>,
     /// Writes that may still have their effect: until when, of which volume, by which op.
     resting: VecDeque<(Duration, usize, u64)>,
     versions: Versions,
-    /// Transfers that wait for a version.
-    unnumbered: Vec<XferNo>,
+    /// Requests that wait for a version.
+    unnumbered: Vec<RequestNumber>,
     /// The store takes what is to be kept.
     keeps: bool,
     /// Volumes whose windows may have changed: a step must not look at every volume there is.
@@ -277,7 +277,7 @@
             logins: BTreeSet::new(),
             sessions: BTreeMap::new(),
             ops: BTreeMap::new(),
-            xfers: BTreeMap::new(),
+            requests: BTreeMap::new(),
             resting: VecDeque::new(),
             versions,
             unnumbered: Vec::new(),
@@ -290,9 +290,9 @@
         }
     }
 
-    /// Commands and transfers open now.
+    /// Commands and requests open now.
     pub fn open(&self) -> (usize, usize) {
-        (self.ops.len(), self.xfers.len())
+        (self.ops.len(), self.requests.len())
     }
 
     /// When `step` must be called if nothing comes before.
@@ -637,7 +637,7 @@
         }
     }
 
-    /// Aborted commands that wait for their turn end at once, others with their last transfer.
+    /// Aborted commands that wait for their turn end at once, others with their last request.
     fn abort(&mut self, session: u64, tasks: &[TaskNo]) {
         let hit = |o: &Op| o.session == session && tasks.contains(&o.task);
         let ops: Vec<u64> = self
@@ -732,7 +732,7 @@
         }
     }
 
-    /// What can be answered at once, is; None where transfers are under way.
+    /// What can be answered at once, is; None where requests are under way.
     fn begin(
         &mut self,
         session: u64,
@@ -953,7 +953,7 @@
         None
     }
 
-    /// Sends a command's transfers; of COMPARE AND WRITE first those that read, then those that write.
+    /// Sends a command's requests; of COMPARE AND WRITE first those that read, then those that write.
     fn launch(&mut self, no: u64, second: bool) {
         let Some(op) = self.ops.get_mut(&no) else {
             return;
@@ -970,13 +970,13 @@
             .collect();
         op.gather = Some(Gather::new(pieces.clone(), !write));
         for (place, p) in pieces.into_iter().enumerate() {
-            let xfer = XferNo(self.number());
+            let number = RequestNumber(self.number());
             let part = data
                 .as_ref()
                 .map(|d| d.slice(p.at..p.at + p.length as usize))
                 .unwrap_or_default();
             let request = Request {
-                no: xfer,
+                no: number,
                 volume: self.volumes[volume].facts.volume,
                 extent: p.extent,
                 cell: None,
@@ -986,9 +986,9 @@
                 data: part,
                 version: None,
             };
-            self.xfers.insert(
-                xfer,
-                Transfer {
+            self.requests.insert(
+                number,
+                OpenRequest {
                     op: no,
                     place,
                     request,
@@ -997,14 +997,14 @@
                     tries: 0,
                 },
             );
-            self.send(xfer);
+            self.send(number);
         }
     }
 
-    /// Sends a transfer to where its extent lies, a write with the next version. Of an extent that lies
+    /// Sends a request to where its extent lies, a write with the next version. Of an extent that lies
     /// nowhere, reads are zeroes, and the first write goes alone.
-    fn send(&mut self, no: XferNo) {
-        let Some(x) = self.xfers.get_mut(&no) else {
+    fn send(&mut self, no: RequestNumber) {
+        let Some(x) = self.requests.get_mut(&no) else {
             return;
         };
         let v = &mut self.volumes[self.ops[&x.op].volume];
@@ -1035,8 +1035,8 @@
         self.out.push(Output::Take(x.request.clone()));
     }
 
-    fn answered(&mut self, no: XferNo, answer: Answer, cell: Option<u32>) {
-        let Some(x) = self.xfers.get_mut(&no).filter(|x| x.cell.is_none()) else {
+    fn answered(&mut self, no: RequestNumber, answer: Answer, cell: Option<u32>) {
+        let Some(x) = self.requests.get_mut(&no).filter(|x| x.cell.is_none()) else {
             return;
         };
         if let Answer::Superseded(there) = answer {
@@ -1061,24 +1061,26 @@
     /// A write found a newer version at its node. No other write of these blocks is under way here, so that
     /// one is another host's, or of a start that could keep nothing: this one goes again, above it, as a new
     /// piece of work.
-    fn again(&mut self, no: XferNo, there: u64, cell: Option<u32>) {
-        let Some(x) = self.xfers.get(&no) else { return };
+    fn again(&mut self, no: RequestNumber, there: u64, cell: Option<u32>) {
+        let Some(x) = self.requests.get(&no) else {
+            return;
+        };
         let wanted = self.ops.get(&x.op).is_some_and(|op| !op.ended);
         if !self.versions.learn(there) || x.tries >= MOST_TRIES || !wanted {
             return self.settle(no, Answer::Superseded(there));
         }
         let (again, mut x) = (
-            XferNo(self.number()),
-            self.xfers.remove(&no).expect("looked up above"),
+            RequestNumber(self.number()),
+            self.requests.remove(&no).expect("looked up above"),
         );
         (x.tries, x.request.no) = (x.tries + 1, again);
         x.request.cell = x.request.cell.or(cell);
-        self.xfers.insert(again, x);
+        self.requests.insert(again, x);
         self.send(again);
     }
 
-    fn stored(&mut self, no: XferNo) {
-        let Some((x, cell)) = self.xfers.get(&no).and_then(|x| Some((x, x.cell?))) else {
+    fn stored(&mut self, no: RequestNumber) {
+        let Some((x, cell)) = self.requests.get(&no).and_then(|x| Some((x, x.cell?))) else {
             return;
         };
         let volume = self.ops[&x.op].volume;
@@ -1093,9 +1095,9 @@
     /// somewhere are still read, and written while versions last.
     fn store_gone(&mut self) {
         self.keeps = false;
-        let waits = |x: &Transfer| x.cell.is_some();
-        let waiting: Vec<XferNo> = self
-            .xfers
+        let waits = |x: &OpenRequest| x.cell.is_some();
+        let waiting: Vec<RequestNumber> = self
+            .requests
             .iter()
             .filter(|(_, x)| waits(x))
             .map(|(no, _)| *no)
@@ -1108,8 +1110,8 @@
             .for_each(|no| self.send(no));
     }
 
-    fn settle(&mut self, no: XferNo, answer: Answer) {
-        let Some(x) = self.xfers.remove(&no) else {
+    fn settle(&mut self, no: RequestNumber, answer: Answer) {
+        let Some(x) = self.requests.remove(&no) else {
             return;
         };
         let Some(op) = self.ops.get_mut(&x.op) else {
@@ -1130,7 +1132,7 @@
         }
     }
 
-    /// All transfers of a command's step are answered.
+    /// All requests of a command's step are answered.
     fn over(&mut self, no: u64, whole: Whole) {
         let Some(op) = self.ops.get(&no) else { return };
         let Whole {
--- a/crates/target/src/portal.rs
+++ b/crates/target/src/portal.rs
@@ -1,11 +1,13 @@
 //! The iSCSI portal: sockets on one side, the host on the other, the engine between.
 //!
 //! One thread owns the [`Engine`]; each connection has a coroutine that reads and one that writes, as the
-//! host's own connections have. Towards the host the engine is a client inside the process: its transfers go
+//! host's own connections have. Towards the host the engine is a client inside the process: its requests go
 //! through the same desk and the same decisions as any other's, with ids of their own.
 
 use crate::blocks::Answer;
-use crate::engine::{ConnNo, Engine, Input, Output, Request, TargetFacts, VolumeFacts, XferNo};
+use crate::engine::{
+    ConnNo, Engine, Input, Output, Request, RequestNumber, TargetFacts, VolumeFacts,
+};
 use crate::pressure::Figures;
 use crate::versions::Versions;
 use bytes::Bytes;
@@ -203,7 +205,7 @@
         })
         .collect();
     let (first, most, most_each) = spec.commands;
-    // As long as a leg of a transfer that was given up may still begin at a node, and then the key's rest.
+    // As long as a leg of a request that was given up may still begin at a node, and then the key's rest.
     let longest = settings
         .streams
         .iter()
@@ -263,7 +265,7 @@
     keeper: Option<Keeper>,
     to: Sender<Event>,
     lines: BTreeMap<ConnNo, Arc<Line>>,
-    /// Tells this start's transfers from another's.
+    /// Tells this start's requests from another's.
     start: u64,
     settings: Arc<Settings>,
     spec: PortalSpec,
@@ -412,7 +414,7 @@
 
     fn final_of(&self, body: Body) -> Option<Input> {
         let Body::Final(f) = body else { return None };
-        let no = XferNo(std::str::from_utf8(&f.id).ok()?.get(17..)?.parse().ok()?);
+        let no = RequestNumber(std::str::from_utf8(&f.id).ok()?.get(17..)?.parse().ok()?);
         let cell = f.cell;
         let answer = answer_of(f);
         Some(Input::Final { no, answer, cell })
--- a/crates/target/tests/engine.rs
+++ b/crates/target/tests/engine.rs
@@ -31,13 +31,13 @@
 struct Rig {
     e: Engine,
     now: Duration,
-    /// Transfers at the host without an answer.
+    /// Requests at the host without an answer.
     open: Vec<Request>,
     kept: HashMap<(u64, u32), Vec<u8>>,
     there: HashMap<(u64, u32), grebecleat_standin::versions::Versions>,
     ceiling: u64,
     next_cell: u32,
-    stores: Vec<(XferNo, u64, u32)>,
+    stores: Vec<(RequestNumber, u64, u32)>,
     store_at_once: bool,
     pdus: Vec<(ConnNo, Pdu)>,
     closed: Vec<ConnNo>,
@@ -282,7 +282,7 @@
         );
     }
 
-    /// The host carries out one open transfer, or does not.
+    /// The host carries out one open request, or does not.
     fn host(&mut self, at: usize, answer: Option<Answer>) {
         let r = self.open.remove(at);
         let no = r.no;
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn good_follows_only_once_the_place_is_kept_and_one_transfer_places_an_extent() {
+fn good_follows_only_once_the_place_is_kept_and_one_request_places_an_extent() {
     let mut r = Rig::new();
     r.store_at_once = false;
     let c = r.login(1, 1);
--- a/crates/target/tests/script/mod.rs
+++ b/crates/target/tests/script/mod.rs
@@ -38,7 +38,7 @@
     now: Duration,
     open: Vec<Request>,
     taken: u64,
-    /// The next CmdSN of each connection's session, and the transfer tag that it was asked with last.
+    /// The next CmdSN of each connection's session, and the request tag that it was asked with last.
     next: BTreeMap<ConnNo, (u32, u32)>,
     /// Commands sent and statuses seen, by connection and tag.
     sent: BTreeMap<(ConnNo, u32), (u64, u64)>,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -3,7 +3,7 @@
 //! For: the messages between clients, hosts, nodes and the list ([`pb`]), their frames ([`frame`]), the
 //! estimate of what a frame waited on its way ([`delay`]), and trace files ([`trace`]); and what consoles and
 //! the control endpoint say to each other ([`console`]). It must never decide
-//! anything about a transfer. Begin with `proto/grebecleat.proto`.
+//! anything about a request. Begin with `proto/grebecleat.proto`.
 
 pub mod clock;
 pub mod delay;
--- a/src/account.rs
+++ b/src/account.rs
@@ -5,11 +5,11 @@
 
 use crate::control::Control;
 use crate::interface::*;
-use crate::state::{Want, Xfer};
+use crate::state::{PendingRequest, Want};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Why a transfer was given up.
+/// Why a request was given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Why {
     /// Something of ours kept it from going.
@@ -52,14 +52,14 @@
         std::mem::take(&mut self.bk.account)
     }
 
-    /// Counts a transfer that is about to be given up, under what keeps it now.
-    pub(crate) fn blame(&mut self, id: XferId) {
-        let Some(x) = self.bk.xfers.get(&id).filter(|x| !x.over) else { return };
-        let holder = x.x.cell.and_then(|cell| self.bk.holder(cell));
+    /// Counts a request that is about to be given up, under what keeps it now.
+    pub(crate) fn blame(&mut self, id: RequestId) {
+        let Some(x) = self.bk.requests.get(&id).filter(|x| !x.over) else { return };
+        let holder = x.request.cell.and_then(|cell| self.bk.holder(cell));
         let node = x.at.or(x.last).or(holder);
         let spare =
-            node.and_then(|n| self.bk.nodes[&n].flows.get(&x.x.volume)).and_then(|f| f.spare.as_ref());
-        let pays = match self.bk.volumes.get(&x.x.volume) {
+            node.and_then(|n| self.bk.nodes[&n].flows.get(&x.request.volume)).and_then(|f| f.spare.as_ref());
+        let pays = match self.bk.volumes.get(&x.request.volume) {
             Some(v) if v.reserve.held() > 0.0 => Pays::Reserve,
             _ if spare.is_none_or(|b| b.held() > 0.0) => Pays::Share,
             _ => Pays::Nobody,
@@ -69,15 +69,15 @@
                 let age = self.bk.now.saturating_sub(nd.heard);
                 AGES.iter().position(|most| age <= *most).unwrap_or(AGES.len())
             });
-        let cause = Cause { why: self.why(id, x, holder), stream_type: x.x.stream_type, pays, heard };
+        let cause = Cause { why: self.why(id, x, holder), stream_type: x.request.stream_type, pays, heard };
         *self.bk.account.entry(cause).or_default() += 1;
     }
 
-    fn why(&self, id: XferId, x: &Xfer, holder: Option<NodeId>) -> Why {
-        let room = |node| self.opens(node, x.x.units).is_some_and(|at| at <= self.bk.now);
+    fn why(&self, id: RequestId, x: &PendingRequest, holder: Option<NodeId>) -> Why {
+        let room = |node| self.opens(node, x.request.units).is_some_and(|at| at <= self.bk.now);
         match x.at {
             _ if matches!(x.want, Want::Out(_)) => Why::Leg,
-            None if x.x.cell.is_none() => Why::Rejected(Rejection::Nowhere),
+            None if x.request.cell.is_none() => Why::Rejected(Rejection::Nowhere),
             None if holder.is_none() => Why::Absent,
             None => Why::Behind,
             Some(node) => match self.rejection(id, x, node) {
--- a/src/control.rs
+++ b/src/control.rs
@@ -1,4 +1,4 @@
-//! Decides, on one host, which transfers go out now, which are held, and which are given up.
+//! Decides, on one host, which requests go out now, which are held, and which are given up.
 //!
 //! Called as `Control::new(..).under(..)` once, then `step(now, events)` for every batch, which answers the
 //! actions; the words of both are in `interface.rs`. The design (docs/design.md) decides the ordinary path:
@@ -6,7 +6,7 @@
 //!
 //! 1. the brake: late answers shrink a node's bound below the design's floor;
 //! 2. the ease: late lone legs cut what may go to a node by benefit; silence and refusals in a row shut it;
-//! 3. order by benefit among held transfers, and giving up early what cannot be in time;
+//! 3. order by benefit among held requests, and giving up early what cannot be in time;
 //! 4. further legs, spaced, while the time left exceeds the expected time;
 //! 5. the rule guards: drains, cold parts, key order, repeats, leg budget, limit parts;
 //! 6. following the list, with backed-off, jittered renewal.
@@ -30,11 +30,11 @@
 const INTERVAL: Duration = Duration::from_millis(500); // long enough for a few answers a node
 const SMOOTH: f64 = 0.3; // a surge counts within three intervals
 const SLO_PART: f64 = 0.15; // what a node's queue may take of it; the rest is work
-const FLOOR: (f64, f64) = (2.0, 6.0); // one and three large transfers, each twice the mean
-const MOST_OUT: f64 = 32.0; // the design's, in mean transfers
-const START_XFERS: f64 = 4.0; // a second: low, as a host knows nothing yet
-const BRAKE_LEAST: f64 = 0.02; // a crowd of hosts needs well below one transfer each
-const AT_ONCE: usize = 256; // held transfers of a node, or floating ones, that are ranked in each tick
+const FLOOR: (f64, f64) = (2.0, 6.0); // one and three large requests, each twice the mean
+const MOST_OUT: f64 = 32.0; // the design's, in mean requests
+const START_REQUESTS: f64 = 4.0; // a second: low, as a host knows nothing yet
+const BRAKE_LEAST: f64 = 0.02; // a crowd of hosts needs well below one request each
+const AT_ONCE: usize = 256; // held requests of a node, or floating ones, that are ranked in each tick
 const SELDOM: usize = 4; // ticks; else, with thousands held, ranking would be all a host does
 const SHUT_AFTER: u32 = 3; // one or two bad answers can be chance
 const COME_BACK: Duration = Duration::from_millis(500); // what a client is told at the least
@@ -43,12 +43,12 @@
 const EASE_DOWN: f64 = -0.4; // a second; a host that hears often moves no faster than one that seldom does
 const EASE_UP: f64 = 0.8;
 const EASE_SPAN: (f64, f64) = (0.025, 3.0); // seconds; the least and most that one answer speaks for
-const EASE_BLUR: f64 = 0.25; // of the scale; transfers of one value go in part, not all or none
-const LATE_USUAL: f64 = 0.3; // heavy transfers, pauses and flushes alone
+const EASE_BLUR: f64 = 0.25; // of the scale; requests of one value go in part, not all or none
+const LATE_USUAL: f64 = 0.3; // heavy requests, pauses and flushes alone
 const LATE_WEIGHT: (f64, f64) = (0.02, 0.4); // of one answer, among all nodes' and among the node's
 const EASY: f64 = 0.9; // below, a node has enough of its own before a new object
-const SILENT_SLOS: u32 = 4; // a heavy transfer alone is not silence
-const EASE_AGAIN: (f64, f64, f64) = (0.04, 0.2, 0.2); // a second: least, most, and for a transfer a second
+const SILENT_SLOS: u32 = 4; // a heavy request alone is not silence
+const EASE_AGAIN: (f64, f64, f64) = (0.04, 0.2, 0.2); // a second: least, most, and for a request a second
 const LEAST_PART: f64 = 0.15; // quantile that stands for work without a queue
 const WATCH_AGAIN: Duration = Duration::from_millis(200); // doubled for each failed call
 const COLD_PART: f64 = 0.9; // of what the rule allows: the rest, and the chance it forgives, are for luck
@@ -82,7 +82,7 @@
 }
 
 /// Units that this host may have out at a node: the learned rate over part of the tightest SLO time, at least
-/// a few large transfers (fewer where all hosts' floors would pass the most of one), at most so many in all.
+/// a few large requests (fewer where all hosts' floors would pass the most of one), at most so many in all.
 pub fn bound(rate: f64, tightest: Duration, mean_units: f64, hosts: usize) -> f64 {
     let (mean, part) = (mean_units.max(0.1), MOST_OUT / hosts.max(1) as f64);
     (rate * SLO_PART * secs(tightest)).max(part.clamp(FLOOR.0, FLOOR.1) * mean).min(MOST_OUT * mean)
@@ -131,7 +131,7 @@
     (least.max(best * 1e-3), best)
 }
 
-/// In how many ticks so many held transfers are ranked once.
+/// In how many ticks so many held requests are ranked once.
 pub fn seldom(held: usize) -> u32 {
     (1 + held / AT_ONCE).min(SELDOM) as u32
 }
@@ -193,7 +193,7 @@
     fn hear(&mut self, event: Event) {
         match event {
             Event::Taken(x) => self.take(x),
-            Event::Begun { id, .. } => self.bk.xfers.get_mut(&id).into_iter().for_each(|x| x.begun = true),
+            Event::Begun { id, .. } => self.bk.requests.get_mut(&id).into_iter().for_each(|x| x.begun = true),
             Event::LegOver { id, node, end, elapsed, over, reported, .. } => {
                 self.measure(id, node, end, elapsed, reported);
                 self.leg_over(id, node, end, over);
@@ -221,7 +221,7 @@
         }
     }
 
-    fn take(&mut self, x: Transfer) {
+    fn take(&mut self, x: Request) {
         self.bk.taken.add(self.bk.now);
         let (stream, plan, id) = (&self.streams[x.stream_type.0], &self.plans[x.plan.0], x.id);
         let volume = || Volume::new(Terms::even(x.plan, plan, x.hosts), plan.reservation);
@@ -230,45 +230,45 @@
             self.bk.keys.join(key, id);
         }
         // A client's later try has less time left than a first one, and its SLO time began with the first:
-        // it must not pass as fresh before transfers that can still be in time.
+        // it must not pass as fresh before requests that can still be in time.
         let left = x.expiry.saturating_sub(self.bk.now);
         let longest = self.bk.longest.entry(x.stream_type).or_default();
         *longest = left.max(*longest);
         let slo_at = self.bk.now + stream.slo.saturating_sub(*longest - left);
         self.bk.least_units = Some(self.bk.least_units.map_or(x.units, |least| least.min(x.units)));
-        self.bk.xfers.insert(id, Xfer::new(x, self.bk.now, slo_at, self.rng.random()));
+        self.bk.requests.insert(id, PendingRequest::new(x, self.bk.now, slo_at, self.rng.random()));
         self.hold(id);
     }
 
-    /// Puts a transfer among those held at the node that has its data, or among those that any may take.
+    /// Puts a request among those held at the node that has its data, or among those that any may take.
     /// One whose time is up, or whose node is absent, is given up at once: its client may know better.
-    fn hold(&mut self, id: XferId) {
-        let x = &self.bk.xfers[&id];
-        let at = x.x.cell.and_then(|cell| self.bk.holder(cell));
-        let absent = x.x.cell.is_some() && at.is_none();
-        if absent || self.bk.now + self.expected(at, x.x.units) >= x.x.expiry {
+    fn hold(&mut self, id: RequestId) {
+        let x = &self.bk.requests[&id];
+        let at = x.request.cell.and_then(|cell| self.bk.holder(cell));
+        let absent = x.request.cell.is_some() && at.is_none();
+        if absent || self.bk.now + self.expected(at, x.request.units) >= x.request.expiry {
             return self.give_up(id, COME_BACK);
         }
-        let x = self.bk.xfers.get_mut(&id).expect("looked up above");
+        let x = self.bk.requests.get_mut(&id).expect("looked up above");
         (x.want, x.at) = (Want::Held, at);
         self.bk.hold(id);
     }
 
-    fn give_up(&mut self, id: XferId, wait: Duration) {
+    fn give_up(&mut self, id: RequestId, wait: Duration) {
         self.blame(id);
-        let Some(x) = self.bk.xfers.get_mut(&id) else { return };
-        let repeat = self.streams[x.x.stream_type.0].repeat;
+        let Some(x) = self.bk.requests.get_mut(&id) else { return };
+        let repeat = self.streams[x.request.stream_type.0].repeat;
         x.want = if may_defer(repeat, x.ran.is_some()) { Want::Deferred(wait) } else { Want::Abandoned };
         self.bk.moves(id);
     }
 
-    fn measure(&mut self, id: XferId, node: NodeId, end: LegEnd, elapsed: Duration, told: Option<f64>) {
-        let Some((x, nd)) = self.bk.xfers.get_mut(&id).zip(self.bk.nodes.get_mut(&node)) else { return };
-        let (now, units) = (self.bk.now, x.x.units);
-        let v = self.bk.volumes.get_mut(&x.x.volume).expect("made when taken");
+    fn measure(&mut self, id: RequestId, node: NodeId, end: LegEnd, elapsed: Duration, told: Option<f64>) {
+        let Some((x, nd)) = self.bk.requests.get_mut(&id).zip(self.bk.nodes.get_mut(&node)) else { return };
+        let (now, units) = (self.bk.now, x.request.units);
+        let v = self.bk.volumes.get_mut(&x.request.volume).expect("made when taken");
         let base = self.plans[v.plan.0].base_rate;
         v.reported = told.map(|percent| (percent / 100.0 * base, now)).or(v.reported);
-        let sent = nd.leg_over(&x.x).unwrap_or(now.saturating_sub(elapsed));
+        let sent = nd.leg_over(&x.request).unwrap_or(now.saturating_sub(elapsed));
         self.bk.stirred.insert(node);
         // A limit counts what crosses, when it crosses. What was never sent gives its units back; what found
         // no connection draws them again when it goes, or units drawn long before would add to a full
@@ -284,7 +284,7 @@
         }
         // What fails fast looks idle and would draw all that may go anywhere. Some bad answers in a row keep
         // new objects away; dead ports and full queues also shut the node's ease, while errors may spare
-        // some transfers whose data is there, and a reset may be its connection's alone: a node that died
+        // some requests whose data is there, and a reset may be its connection's alone: a node that died
         // has a dead port next. Harm: a short jam shuts a node for seconds.
         let bad = !matches!(end, LegEnd::Done | LegEnd::TimeOut | LegEnd::Cancelled | LegEnd::Moot);
         nd.bad_row += u32::from(bad);
@@ -315,27 +315,29 @@
         }
     }
 
-    fn leg_over(&mut self, id: XferId, node: NodeId, end: LegEnd, over: bool) {
-        let Some(x) = self.bk.xfers.get_mut(&id) else { return };
+    fn leg_over(&mut self, id: RequestId, node: NodeId, end: LegEnd, over: bool) {
+        let Some(x) = self.bk.requests.get_mut(&id) else { return };
         x.out = None;
         let may_still_run = matches!(end, LegEnd::TimeOut | LegEnd::Reset | LegEnd::Cancelled);
-        if let (true, true, Some(key)) = (may_still_run, self.streams[x.x.stream_type.0].ordered, x.x.key) {
+        if let (true, true, Some(key)) =
+            (may_still_run, self.streams[x.request.stream_type.0].ordered, x.request.key)
+        {
             self.bk.keys.rest(key, id, self.bk.now + self.rest);
         }
         if over || x.over || x.begun {
             return self.bk.close(id);
         }
-        let (legs, left, units) = (x.legs, x.x.expiry.saturating_sub(self.bk.now), x.x.units);
+        let (legs, left, units) = (x.legs, x.request.expiry.saturating_sub(self.bk.now), x.request.units);
         let wait = self.spread(TICK * 2) + TICK * 2u32.pow(legs.min(6));
-        let (x, nd) = (&self.bk.xfers[&id], self.bk.nodes.get(&node));
-        let repeat = self.streams[x.x.stream_type.0].repeat;
+        let (x, nd) = (&self.bk.requests[&id], self.bk.nodes.get(&node));
+        let repeat = self.streams[x.request.stream_type.0].repeat;
         let again = self.further_allowed()
             && legs < self.caps.most_legs
             && !matches!(end, LegEnd::TimeOut | LegEnd::Moot | LegEnd::Cancelled)
             && nd.is_some_and(|nd| may_repeat(repeat, x.ran, (nd.zone, nd.cell), self.bk.now))
             && left > self.expected(Some(node), units) + wait;
         if again {
-            self.bk.xfers.get_mut(&id).expect("looked up above").not_before = self.bk.now + wait;
+            self.bk.requests.get_mut(&id).expect("looked up above").not_before = self.bk.now + wait;
             self.hold(id);
         } else {
             self.give_up(id, COME_BACK);
@@ -375,7 +377,7 @@
         self.bk.watch_tries *= u32::from(kind == ListKind::Remembered);
         let first = self.bk.nodes.is_empty();
         for e in entries {
-            let edges = (START_XFERS * self.units.mean, MOST_OUT * self.units.mean / secs(self.tightest));
+            let edges = (START_REQUESTS * self.units.mean, MOST_OUT * self.units.mean / secs(self.tightest));
             let (lags, before) = (Histogram::new(TICK, 1.5, 16), self.bk.usage_before(&e, HEIR));
             let new = || Node::new(&e, Window::new(edges.0, edges.1), lags, self.streams.len(), before);
             let nd = self.bk.nodes.entry(e.node).or_insert_with(new);
@@ -389,7 +391,7 @@
                     now + RETURN_SPREAD.mul_f64(f64::from(u8::from(!first)) * self.rng.random::<f64>());
                 nd.cold = None;
                 if e.started.is_some_and(|s| now < s + self.cold.warm_within) {
-                    // A bucket passes one transfer into debt; many hosts' at once push a node over. A random
+                    // A bucket passes one request into debt; many hosts' at once push a node over. A random
                     // debt spreads them, a lapse of what is full keeps them so. Harm: few hosts wait.
                     nd.cold = Some(TokenBucket::lapsing(self.units.mean, self.rng.random()));
                     self.bk.log(format!("node {} came back cold", e.node.0));
@@ -479,18 +481,18 @@
     }
 
     /// Benefit per unit, by the bucket that would pay, and whether one would.
-    fn value(&self, x: &Xfer, id: Option<NodeId>) -> (f64, bool) {
+    fn value(&self, x: &PendingRequest, id: Option<NodeId>) -> (f64, bool) {
         let (timely, paid) = self.timely(x, id);
-        let late = self.bk.now + self.expected(id, x.x.units) > x.slo_at;
-        (timely * if late { self.streams[x.x.stream_type.0].late_part } else { 1.0 }, paid)
+        let late = self.bk.now + self.expected(id, x.request.units) > x.slo_at;
+        (timely * if late { self.streams[x.request.stream_type.0].late_part } else { 1.0 }, paid)
     }
 
     /// The same, were it in time: alike for all of one volume and stream type.
-    fn timely(&self, x: &Xfer, id: Option<NodeId>) -> (f64, bool) {
+    fn timely(&self, x: &PendingRequest, id: Option<NodeId>) -> (f64, bool) {
         let nd = id.and_then(|n| self.bk.nodes.get(&n));
-        let stream = &self.streams[x.x.stream_type.0];
-        let spare = nd.and_then(|nd| nd.flows.get(&x.x.volume)).and_then(|f| f.spare.as_ref());
-        let v = &self.bk.volumes[&x.x.volume];
+        let stream = &self.streams[x.request.stream_type.0];
+        let spare = nd.and_then(|nd| nd.flows.get(&x.request.volume)).and_then(|f| f.spare.as_ref());
+        let v = &self.bk.volumes[&x.request.volume];
         let (part, paid) = match spare {
             _ if v.reserve.held() > 0.0 => (1.0, true),
             Some(b) if b.held() <= 0.0 => (self.units.spare_part, false),
@@ -500,21 +502,21 @@
     }
 
     /// The rules and the buckets let it go to this node now.
-    fn may_send(&self, id: XferId, x: &Xfer, node: NodeId) -> bool {
+    fn may_send(&self, id: RequestId, x: &PendingRequest, node: NodeId) -> bool {
         self.rejection(id, x, node).is_none()
     }
 
     /// Which of the rules and the buckets keeps it from going to this node now.
-    pub(crate) fn rejection(&self, id: XferId, x: &Xfer, node: NodeId) -> Option<Rejection> {
+    pub(crate) fn rejection(&self, id: RequestId, x: &PendingRequest, node: NodeId) -> Option<Rejection> {
         let nd = &self.bk.nodes[&node];
-        let (now, stream) = (self.bk.now, &self.streams[x.x.stream_type.0]);
-        let limit = self.bk.volumes[&x.x.volume].limit.as_ref();
-        let key = x.x.key.filter(|_| stream.ordered);
+        let (now, stream) = (self.bk.now, &self.streams[x.request.stream_type.0]);
+        let limit = self.bk.volumes[&x.request.volume].limit.as_ref();
+        let key = x.request.key.filter(|_| stream.ordered);
         match () {
-            _ if !(x.not_before..x.x.expiry).contains(&now) => Some(Rejection::Spacing),
+            _ if !(x.not_before..x.request.expiry).contains(&now) => Some(Rejection::Spacing),
             _ if key.is_some_and(|key| !self.bk.keys.has_turn(key, id, now)) => Some(Rejection::Turn),
             _ if x.legs > 0 && !self.further_allowed() => Some(Rejection::Budget),
-            _ if !x.drawn && limit.is_some_and(|b| b.held() < x.x.units) => Some(Rejection::Limit),
+            _ if !x.drawn && limit.is_some_and(|b| b.held() < x.request.units) => Some(Rejection::Limit),
             _ if nd.cold.as_ref().is_some_and(|b| b.held() <= 0.0) => Some(Rejection::Cold),
             _ if !may_repeat(stream.repeat, x.ran, (nd.zone, nd.cell), now) => Some(Rejection::Repeat),
             _ => match self.value(x, Some(node)) {
@@ -524,7 +526,7 @@
         }
     }
 
-    /// Whether the node's ease lets a transfer of that value go. The scale is the settings', alike on all
+    /// Whether the node's ease lets a request of that value go. The scale is the settings', alike on all
     /// hosts: measured against what it is itself offered, a host with nothing but a surge would rank the
     /// surge as high as another host its reservations.
     fn eased(&self, lot: f64, nd: &Node, value: f64) -> bool {
@@ -539,7 +541,7 @@
         let nd = &self.bk.nodes[&node];
         let rate = if nd.rate > 0.0 { nd.rate } else { self.bk.usual_rate };
         let most = bound(rate, self.tightest, self.units.mean, self.cold.hosts) * nd.brake;
-        // Many hosts with one transfer out each are too many for one node: below one, the bound paces.
+        // Many hosts with one request out each are too many for one node: below one, the bound paces.
         let gap = || self.expected(Some(node), units).mul_f64(units / most);
         match nd.state == NodeState::Ready {
             true if nd.out <= 0.0 && units > most => Some(nd.open_from.max(nd.sent + gap())),
@@ -571,9 +573,9 @@
         }
     }
 
-    /// The held transfer that goes to the node now. Where time alone will make room, the node is looked at
+    /// The held request that goes to the node now. Where time alone will make room, the node is looked at
     /// again then.
-    fn next_at(&mut self, node: NodeId) -> Option<XferId> {
+    fn next_at(&mut self, node: NodeId) -> Option<RequestId> {
         // Most looks find the node full: what the smallest has no room for, none has.
         let mut units = self.bk.least_units?;
         let mut found = None;
@@ -587,14 +589,14 @@
                 break;
             }
             found = Some(self.best(node)?.2);
-            units = self.bk.xfers[&found?].x.units;
+            units = self.bk.requests[&found?].request.units;
         }
         found
     }
 
-    /// What the held transfer that should go next to the node would bring, when it should have gone, and
+    /// What the held request that should go next to the node would bring, when it should have gone, and
     /// which it is. A smaller one behind it waits, or large ones would never go.
-    fn best(&self, node: NodeId) -> Option<(f64, Reverse<Duration>, XferId)> {
+    fn best(&self, node: NodeId) -> Option<(f64, Reverse<Duration>, RequestId)> {
         let soonest = self.bk.now + self.expected(Some(node), 0.0);
         let firsts = self.bk.nodes[&node].held.lines().filter_map(|line| self.first(line, node, soonest));
         firsts.max_by(|a, b| a.partial_cmp(b).expect("values are finite"))
@@ -604,21 +606,21 @@
     /// None can be in time whose SLO time comes before `soonest`.
     fn first(
         &self, line: &Line, node: NodeId, soonest: Duration,
-    ) -> Option<(f64, Reverse<Duration>, XferId)> {
+    ) -> Option<(f64, Reverse<Duration>, RequestId)> {
         let nd = &self.bk.nodes[&node];
-        let any = &self.bk.xfers[&line.first()?.1 .0];
+        let any = &self.bk.requests[&line.first()?.1 .0];
         // What bars the luckiest of a line bars it whole, however long it is.
         let (timely, paid) = self.timely(any, Some(node));
-        let limit = self.bk.volumes[&any.x.volume].limit.as_ref().filter(|_| !any.drawn);
+        let limit = self.bk.volumes[&any.request.volume].limit.as_ref().filter(|_| !any.drawn);
         let spent = limit.is_some_and(|b| b.held() < self.bk.least_units.unwrap_or(0.0));
         if spent || !(paid || nd.tokens.held() > 0.0) || !self.eased(1.0, nd, timely) {
             return None;
         }
-        let value = |(slo_at, Reverse(id)): &(Duration, Reverse<XferId>)| {
-            let x = &self.bk.xfers[id];
+        let value = |(slo_at, Reverse(id)): &(Duration, Reverse<RequestId>)| {
+            let x = &self.bk.requests[id];
             self.may_send(*id, x, node).then(|| (self.value(x, Some(node)).0, Reverse(*slo_at), *id))
         };
-        let split = (soonest, Reverse(XferId([u8::MAX; 36])));
+        let split = (soonest, Reverse(RequestId([u8::MAX; 36])));
         let late = line.range(..split).find_map(value);
         let mut behind = None;
         let in_time = line.range(split..).filter_map(value).find(|v| {
@@ -630,7 +632,7 @@
     }
 
     /// A node with legs out that has answered nothing for long is silent; one heard from is not. Guards
-    /// against hangs, cut links and dead nodes the list still shows. Harm: one heavy transfer alone there.
+    /// against hangs, cut links and dead nodes the list still shows. Harm: one heavy request alone there.
     fn listen(&mut self) {
         let now = self.bk.now;
         let least = self.per_unit.quantile(LEAST_PART).unwrap_or(self.tightest);
@@ -639,8 +641,8 @@
             let Some(nd) = self.bk.nodes.get_mut(id) else { continue };
             let mut overdue = 0;
             for (leg, sent) in &nd.legs {
-                let Some(x) = self.bk.xfers.get_mut(leg).filter(|x| !x.felt) else { continue };
-                x.felt = now > *sent + least.mul_f64(x.x.units) + self.tightest.mul_f64(SLO_PART);
+                let Some(x) = self.bk.requests.get_mut(leg).filter(|x| !x.felt) else { continue };
+                x.felt = now > *sent + least.mul_f64(x.request.units) + self.tightest.mul_f64(SLO_PART);
                 overdue += usize::from(x.felt);
             }
             let all = &mut self.bk.late;
@@ -653,9 +655,9 @@
         }
     }
 
-    /// Held transfers, the best first.
-    fn ranked(&self, held: impl Iterator<Item = XferId>, nd: Option<NodeId>) -> Vec<XferId> {
-        let mut line: Vec<_> = held.map(|h| (self.value(&self.bk.xfers[&h], nd).0, h)).collect();
+    /// Held requests, the best first.
+    fn ranked(&self, held: impl Iterator<Item = RequestId>, nd: Option<NodeId>) -> Vec<RequestId> {
+        let mut line: Vec<_> = held.map(|h| (self.value(&self.bk.requests[&h], nd).0, h)).collect();
         line.sort_unstable_by(|a, b| b.partial_cmp(a).expect("values are finite"));
         line.into_iter().map(|(_, id)| id).collect()
     }
@@ -669,15 +671,15 @@
         let rate = rate.max(most / secs(self.expected(Some(node), self.units.mean)));
         let (mut ahead, mut below, mut doomed) = (0.0, false, Vec::new());
         for id in self.ranked(nd.held.ids(), Some(node)) {
-            let x = &self.bk.xfers[&id];
+            let x = &self.bk.requests[&id];
             let wait = wait_behind(ahead, rate);
-            let ready = now + wait + self.expected(Some(node), x.x.units);
+            let ready = now + wait + self.expected(Some(node), x.request.units);
             let barred = ready > x.slo_at && !self.eased(x.lot, nd, self.value(x, Some(node)).0);
-            if barred || ready + next > x.x.expiry || self.overheld(x, next) {
+            if barred || ready + next > x.request.expiry || self.overheld(x, next) {
                 doomed.push((id, wait.max(COME_BACK)));
             } else {
-                ahead += x.x.units;
-                let reserved = self.bk.volumes[&x.x.volume].reserve.held() > 0.0;
+                ahead += x.request.units;
+                let reserved = self.bk.volumes[&x.request.volume].reserve.held() > 0.0;
                 below |= reserved && now > x.taken + INTERVAL / 2;
             }
         }
@@ -687,8 +689,8 @@
 
     /// What has not gone by half of its time would come late if at all; its client still has time to ask
     /// again.
-    fn overheld(&self, x: &Xfer, next: Duration) -> bool {
-        x.legs == 0 && self.bk.now + TICK + next >= x.taken + (x.x.expiry - x.taken) / 2
+    fn overheld(&self, x: &PendingRequest, next: Duration) -> bool {
+        x.legs == 0 && self.bk.now + TICK + next >= x.taken + (x.request.expiry - x.taken) / 2
     }
 
     /// New objects go to the first node in their volume's ranking, or the next when that has enough: no
@@ -705,59 +707,60 @@
         }
         let (mut stuck, mut roomy) = (0.0, None);
         for id in line {
-            let x = &self.bk.xfers[&id];
+            let x = &self.bk.requests[&id];
             let fit = |n: NodeId| {
                 let own = (self.value(x, Some(n)).0, Reverse(x.slo_at), id);
                 self.may_send(id, x, n) && self.best(n).is_none_or(|b| own > b)
             };
-            let first =
-                |(n, nd): (&NodeId, &Node)| (x.last != Some(*n), nd.ease > EASY, rank_of(x.x.volume, *n), *n);
+            let first = |(n, nd): (&NodeId, &Node)| {
+                (x.last != Some(*n), nd.ease > EASY, rank_of(x.request.volume, *n), *n)
+            };
             let well = |(_, nd): &(&NodeId, &Node)| nd.bad_row < SHUT_AFTER;
             // The first is nearly always the one; only where it is not are all gone through.
             let top = self.bk.nodes.iter().filter(well).map(first).max().map(|(.., n)| n);
-            let node = top.filter(|n| self.room(*n, x.x.units) && fit(*n)).or_else(|| {
+            let node = top.filter(|n| self.room(*n, x.request.units) && fit(*n)).or_else(|| {
                 let least = self.bk.least_units.unwrap_or(0.0);
                 let some =
                     || self.bk.nodes.iter().filter(well).map(|(n, _)| *n).filter(|n| self.room(*n, least));
                 let roomy: &mut Vec<NodeId> = roomy.get_or_insert_with(|| some().collect());
-                let open = roomy.iter().filter(|n| self.room(**n, x.x.units));
+                let open = roomy.iter().filter(|n| self.room(**n, x.request.units));
                 let mut open: Vec<_> = open.map(|n| first((n, &self.bk.nodes[n]))).collect();
                 open.sort_unstable_by(|a, b| b.cmp(a));
                 open.into_iter().map(|(.., n)| n).find(|n| fit(*n))
             });
             let wait = wait_behind(stuck, self.bk.usual_rate * self.bk.nodes.len() as f64);
-            let ready = self.bk.now + wait + self.expected(None, x.x.units) + TICK * (every - 1);
+            let ready = self.bk.now + wait + self.expected(None, x.request.units) + TICK * (every - 1);
             match node {
                 Some(node) => self.send(id, node),
-                None if ticked && (ready > x.x.expiry || self.overheld(x, TICK * (every - 1))) => {
+                None if ticked && (ready > x.request.expiry || self.overheld(x, TICK * (every - 1))) => {
                     self.give_up(id, wait.max(COME_BACK))
                 }
-                None => stuck += x.x.units,
+                None => stuck += x.request.units,
             }
         }
     }
 
-    fn send(&mut self, id: XferId, node: NodeId) {
-        let (_, paid) = self.value(&self.bk.xfers[&id], Some(node));
+    fn send(&mut self, id: RequestId, node: NodeId) {
+        let (_, paid) = self.value(&self.bk.requests[&id], Some(node));
         self.bk.moves(id);
-        let x = self.bk.xfers.get_mut(&id).expect("held, so known");
-        let v = self.bk.volumes.get_mut(&x.x.volume).expect("made when taken");
+        let x = self.bk.requests.get_mut(&id).expect("held, so known");
+        let v = self.bk.volumes.get_mut(&x.request.volume).expect("made when taken");
         let nd = self.bk.nodes.get_mut(&node).expect("looked up above");
-        let spare = nd.flows.get_mut(&x.x.volume).and_then(|f| f.spare.as_mut());
+        let spare = nd.flows.get_mut(&x.request.volume).and_then(|f| f.spare.as_mut());
         if v.reserve.held() > 0.0 {
-            v.reserve.take(x.x.units);
+            v.reserve.take(x.request.units);
         } else if let (true, Some(spare)) = (paid, spare) {
-            spare.take(x.x.units);
+            spare.take(x.request.units);
         }
         if x.legs > 0 {
             self.bk.further.add(self.bk.now);
         }
         if !std::mem::replace(&mut x.drawn, true) {
-            v.limit.iter_mut().for_each(|b| b.take(x.x.units));
+            v.limit.iter_mut().for_each(|b| b.take(x.request.units));
         }
         // Late behind others of our own is for the brake; late alone is others' doing.
         (x.want, x.legs, x.last, x.felt) = (Want::Out(node), x.legs + 1, Some(node), nd.out > 0.0);
-        nd.leg_out(&x.x, self.bk.now);
+        nd.leg_out(&x.request, self.bk.now);
         self.bk.busy.insert(node);
     }
 
@@ -765,11 +768,11 @@
     fn reconcile(&mut self) -> Vec<Action> {
         let now = self.bk.now;
         for id in std::mem::take(&mut self.bk.changed) {
-            let Some(x) = self.bk.xfers.get_mut(&id).filter(|x| !x.over) else { continue };
+            let Some(x) = self.bk.requests.get_mut(&id).filter(|x| !x.over) else { continue };
             match x.want {
                 Want::Out(node) if x.out.is_none() => {
                     x.out = Some(node);
-                    self.bk.out.push(Action::Send { id, node, until: x.x.expiry });
+                    self.bk.out.push(Action::Send { id, node, until: x.request.expiry });
                 }
                 Want::Deferred(wait) => {
                     let come_back = self.caps.come_back.map(|most| wait.min(most));
--- a/src/figures.rs
+++ b/src/figures.rs
@@ -29,13 +29,13 @@
     pub sent: Duration,
 }
 
-/// Held transfers of one volume that wait at one node (None: new objects) for one thing.
+/// Held requests of one volume that wait at one node (None: new objects) for one thing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HeldFigures {
     pub volume: VolumeId,
     pub node: Option<NodeId>,
     pub rejection: Rejection,
-    pub transfers: usize,
+    pub requests: usize,
     /// When the first of them was taken.
     pub since: Duration,
 }
@@ -62,7 +62,7 @@
         })
     }
 
-    /// What is held and why, of at most so many lines of transfers that are worth the same; of each line the
+    /// What is held and why, of at most so many lines of requests that are worth the same; of each line the
     /// first stands for all.
     pub fn held(&self, lines: usize) -> Vec<HeldFigures> {
         let mut all: BTreeMap<(VolumeId, Option<NodeId>, Rejection), (usize, Duration)> = BTreeMap::new();
@@ -73,21 +73,21 @@
         let held = self.bk.nodes.values().flat_map(|nd| nd.held.lines().map(move |line| (nd.id, line)));
         for (node, line) in held.take(lines) {
             let first = line.first().map(|(_, id)| id.0);
-            let Some((id, x)) = first.and_then(|id| Some((id, self.bk.xfers.get(&id)?))) else { continue };
-            let room = self.opens(node, x.x.units).is_some_and(|at| at <= self.bk.now);
+            let Some((id, x)) = first.and_then(|id| Some((id, self.bk.requests.get(&id)?))) else { continue };
+            let room = self.opens(node, x.request.units).is_some_and(|at| at <= self.bk.now);
             let rejection = self.rejection(id, x, node).or((!room).then_some(Rejection::Room));
             rejection
                 .into_iter()
-                .for_each(|rejection| add(x.x.volume, Some(node), rejection, line.len(), x.taken));
+                .for_each(|rejection| add(x.request.volume, Some(node), rejection, line.len(), x.taken));
         }
-        for x in self.bk.floating.iter().take(lines).filter_map(|id| self.bk.xfers.get(id)) {
-            add(x.x.volume, None, Rejection::Nowhere, 1, x.taken);
+        for x in self.bk.floating.iter().take(lines).filter_map(|id| self.bk.requests.get(id)) {
+            add(x.request.volume, None, Rejection::Nowhere, 1, x.taken);
         }
-        let figures = |((volume, node, rejection), (transfers, since))| HeldFigures {
+        let figures = |((volume, node, rejection), (requests, since))| HeldFigures {
             volume,
             node,
             rejection,
-            transfers,
+            requests,
             since,
         };
         all.into_iter().map(figures).collect()
--- a/src/held.rs
+++ b/src/held.rs
@@ -1,9 +1,9 @@
-//! Held transfers in lines of one volume, stream type and draw on the limit, each by SLO time.
+//! Held requests in lines of one volume, stream type and draw on the limit, each by SLO time.
 //!
 //! All of a line are worth the same but for their lateness, so that the next to go is found at the front of
-//! a few lines and not by looking at each transfer: a host may hold thousands, and looks with every answer.
+//! a few lines and not by looking at each request: a host may hold thousands, and looks with every answer.
 
-use crate::interface::{StreamTypeId, VolumeId, XferId};
+use crate::interface::{RequestId, StreamTypeId, VolumeId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,18 +12,18 @@
 pub type LineKey = (VolumeId, StreamTypeId, bool);
 
 /// The earliest SLO time first, and of one time the highest id.
-pub type Line = BTreeSet<(Duration, Reverse<XferId>)>;
+pub type Line = BTreeSet<(Duration, Reverse<RequestId>)>;
 
 /// ```
 /// use grebecleat::held::Held;
-/// use grebecleat::interface::{StreamTypeId, VolumeId, XferId};
+/// use grebecleat::interface::{StreamTypeId, VolumeId, RequestId};
 /// use std::time::Duration;
 /// let (line, ms) = ((VolumeId(1), StreamTypeId(0), false), Duration::from_millis);
 /// let mut held = Held::default();
-/// held.add(line, ms(20), XferId([1; 36]));
-/// held.add(line, ms(10), XferId([2; 36]));
+/// held.add(line, ms(20), RequestId([1; 36]));
+/// held.add(line, ms(10), RequestId([2; 36]));
 /// assert_eq!(held.lines().next().unwrap().first().unwrap().0, ms(10));
-/// assert!(held.remove(line, ms(10), XferId([2; 36])) && !held.remove(line, ms(10), XferId([2; 36])));
+/// assert!(held.remove(line, ms(10), RequestId([2; 36])) && !held.remove(line, ms(10), RequestId([2; 36])));
 /// assert_eq!((held.len(), held.ids().count()), (1, 1));
 /// ```
 #[derive(Debug, Default)]
@@ -33,12 +33,12 @@
 }
 
 impl Held {
-    pub fn add(&mut self, line: LineKey, slo_at: Duration, id: XferId) {
+    pub fn add(&mut self, line: LineKey, slo_at: Duration, id: RequestId) {
         self.len += usize::from(self.lines.entry(line).or_default().insert((slo_at, Reverse(id))));
     }
 
     /// Whether it was there.
-    pub fn remove(&mut self, line: LineKey, slo_at: Duration, id: XferId) -> bool {
+    pub fn remove(&mut self, line: LineKey, slo_at: Duration, id: RequestId) -> bool {
         let Some(there) = self.lines.get_mut(&line) else { return false };
         let was = there.remove(&(slo_at, Reverse(id)));
         if there.is_empty() {
@@ -60,7 +60,7 @@
         self.lines.values()
     }
 
-    pub fn ids(&self) -> impl Iterator<Item = XferId> + '_ {
+    pub fn ids(&self) -> impl Iterator<Item = RequestId> + '_ {
         self.lines.values().flatten().map(|(_, Reverse(id))| *id)
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-/// A transfer, by the text under which the client knows it.
+/// A request, by the text under which the client knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct XferId(pub [u8; 36]);
+pub struct RequestId(pub [u8; 36]);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u32);
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VolumeId(pub u64);
 
-/// The piece of data that a transfer reads or writes.
+/// The piece of data that a request reads or writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u64);
 
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerTag(pub u64);
 
-/// Which nodes know a repeat of a keyed transfer.
+/// Which nodes know a repeat of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RepeatGroup {
     All,
@@ -125,7 +125,7 @@
     pub multiple: f64,
 }
 
-/// The rule on legs beyond each transfer's first.
+/// The rule on legs beyond each request's first.
 #[derive(Debug, Clone)]
 pub struct LegBudget {
     pub floor: f64,
@@ -141,8 +141,8 @@
 }
 
 #[derive(Debug, Clone)]
-pub struct Transfer {
-    pub id: XferId,
+pub struct Request {
+    pub id: RequestId,
     pub units: f64,
     /// None: a new object, which any node can take.
     pub cell: Option<CellId>,
@@ -195,19 +195,19 @@
 
 #[derive(Debug, Clone)]
 pub enum Event {
-    Taken(Transfer),
-    /// The answer of a streamed transfer has begun; it now belongs to the client.
+    Taken(Request),
+    /// The answer of a streamed request has begun; it now belongs to the client.
     Begun {
-        id: XferId,
+        id: RequestId,
         leg: u32,
     },
     LegOver {
-        id: XferId,
+        id: RequestId,
         leg: u32,
         node: NodeId,
         end: LegEnd,
         elapsed: Duration,
-        /// The transfer has had its final answer.
+        /// The request has had its final answer.
         over: bool,
         /// The volume's service everywhere in a finished period, in percent of the plan's rate.
         reported: Option<f64>,
@@ -219,12 +219,12 @@
     /// A leg is on its way to its node from then on, and not from when it was decided: it waited for a
     /// connection, or waits for one that should be up by then.
     Crosses {
-        id: XferId,
+        id: RequestId,
         node: NodeId,
         at: Duration,
     },
     Withdrawn {
-        id: XferId,
+        id: RequestId,
     },
     /// A plan's figures from now on; that of a new plan has the next number.
     Plan {
@@ -232,7 +232,7 @@
         facts: Plan,
     },
     /// A volume's terms from now on; None: it is served here no more. A volume of which nothing is told has
-    /// those of its first transfer.
+    /// those of its first request.
     Volume {
         volume: VolumeId,
         terms: Option<Terms>,
@@ -254,7 +254,7 @@
     },
 }
 
-/// What keeps a held transfer from going, for whoever shows it.
+/// What keeps a held request from going, for whoever shows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rejection {
     /// Another leg keeps its distance.
@@ -281,10 +281,10 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    Send { id: XferId, node: NodeId, until: Duration },
-    Defer { id: XferId, come_back: Option<Duration> },
-    Abandon { id: XferId },
-    CancelLeg { id: XferId, leg: u32 },
+    Send { id: RequestId, node: NodeId, until: Duration },
+    Defer { id: RequestId, come_back: Option<Duration> },
+    Abandon { id: RequestId },
+    CancelLeg { id: RequestId, leg: u32 },
     Timer { after: Duration, tag: TimerTag },
     Probe { node: NodeId },
     CloseIdle { node: NodeId },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! grebecleat decides, on each host of a storage gateway, which transfers go to their
+//! grebecleat decides, on each host of a storage gateway, which requests go to their
 //! storage node now, which are held, and which are turned away.
 //!
-//! [`control`] holds every decision on a transfer, [`window`] the search for a node's capacity. [`interface`]
+//! [`control`] holds every decision on a request, [`window`] the search for a node's capacity. [`interface`]
 //! holds what goes in and out of it, [`figures`] and [`account`] what is shown of it; [`state`] the records it
 //! keeps; [`bucket`], [`filling`], [`held`], [`histogram`], [`lines`], [`ranking`] and [`spans`] are mechanical
 //! helpers whose numbers come from the caller.
--- a/src/lines.rs
+++ b/src/lines.rs
@@ -1,23 +1,23 @@
-//! Lines of transfers that share a key.
+//! Lines of requests that share a key.
 
-use crate::interface::{KeyId, XferId};
+use crate::interface::{KeyId, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 #[derive(Debug, Default)]
 struct Line {
-    waiting: VecDeque<XferId>,
+    waiting: VecDeque<RequestId>,
     rest: Duration,
-    by: Option<XferId>,
+    by: Option<RequestId>,
 }
 
-/// For each key, the transfers in the order taken, and until when the key rests.
+/// For each key, the requests in the order taken, and until when the key rests.
 ///
 /// ```
-/// use grebecleat::interface::{KeyId, XferId};
+/// use grebecleat::interface::{KeyId, RequestId};
 /// use grebecleat::lines::KeyLines;
 /// use std::time::Duration;
-/// let (key, first, second) = (KeyId(1), XferId([1; 36]), XferId([2; 36]));
+/// let (key, first, second) = (KeyId(1), RequestId([1; 36]), RequestId([2; 36]));
 /// let ms = Duration::from_millis;
 /// let mut lines = KeyLines::default();
 /// lines.join(key, first);
@@ -32,24 +32,24 @@
 pub struct KeyLines(BTreeMap<KeyId, Line>);
 
 impl KeyLines {
-    pub fn join(&mut self, key: KeyId, id: XferId) {
+    pub fn join(&mut self, key: KeyId, id: RequestId) {
         self.0.entry(key).or_default().waiting.push_back(id);
     }
 
-    /// Takes a transfer out of its line; answers which is first then.
-    pub fn leave(&mut self, key: KeyId, id: XferId) -> Option<XferId> {
+    /// Takes a request out of its line; answers which is first then.
+    pub fn leave(&mut self, key: KeyId, id: RequestId) -> Option<RequestId> {
         let line = self.0.get_mut(&key)?;
         line.waiting.retain(|x| *x != id);
         line.waiting.front().copied()
     }
 
-    /// The key rests until then for all but the transfer that brought it about.
-    pub fn rest(&mut self, key: KeyId, by: XferId, until: Duration) {
+    /// The key rests until then for all but the request that brought it about.
+    pub fn rest(&mut self, key: KeyId, by: RequestId, until: Duration) {
         let line = self.0.entry(key).or_default();
         (line.rest, line.by) = (line.rest.max(until), Some(by));
     }
 
-    pub fn has_turn(&self, key: KeyId, id: XferId, now: Duration) -> bool {
+    pub fn has_turn(&self, key: KeyId, id: RequestId, now: Duration) -> bool {
         let Some(line) = self.0.get(&key) else { return true };
         line.waiting.front().is_none_or(|f| *f == id) && (now >= line.rest || line.by == Some(id))
     }
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! What a host knows of its flows, volumes, nodes and transfers, and the book-keeping on it.
+//! What a host knows of its flows, volumes, nodes and requests, and the book-keeping on it.
 //! What the figures mean, and what follows from them, is decided in `control.rs`.
 
 use crate::account::Account;
@@ -115,7 +115,7 @@
     pub window: Window,
     pub tokens: TokenBucket,
     pub out: f64,
-    pub legs: BTreeMap<XferId, Duration>,
+    pub legs: BTreeMap<RequestId, Duration>,
     pub held: Held,
     pub flows: BTreeMap<VolumeId, Flow>,
     pub answers: Answers,
@@ -126,7 +126,7 @@
     pub lags: Histogram,
     pub mix: Vec<f64>,
     pub brake: f64,
-    /// How far down the ladder of kinds this node takes transfers, and when that last moved.
+    /// How far down the ladder of kinds this node takes requests, and when that last moved.
     pub ease: f64,
     /// The part of answers that were late, smoothed.
     pub late: f64,
@@ -169,7 +169,7 @@
         }
     }
 
-    pub fn leg_out(&mut self, x: &Transfer, now: Duration) {
+    pub fn leg_out(&mut self, x: &Request, now: Duration) {
         let f = self.flows.entry(x.volume).or_default();
         (self.out, f.out, f.used) = (self.out + x.units, f.out + x.units, f.used + x.units);
         self.tokens.take(x.units);
@@ -180,7 +180,7 @@
     }
 
     /// When the leg went, if it was out.
-    pub fn leg_over(&mut self, x: &Transfer) -> Option<Duration> {
+    pub fn leg_over(&mut self, x: &Request) -> Option<Duration> {
         let sent = self.legs.remove(&x.id)?;
         self.out -= x.units;
         self.flows.entry(x.volume).or_default().out -= x.units;
@@ -209,16 +209,16 @@
         }
     }
 
-    pub fn hold(&mut self, x: &Xfer) {
-        self.held.add(x.line(), x.slo_at, x.x.id);
-        self.flows.entry(x.x.volume).or_default().held += x.x.units;
+    pub fn hold(&mut self, x: &PendingRequest) {
+        self.held.add(x.line(), x.slo_at, x.request.id);
+        self.flows.entry(x.request.volume).or_default().held += x.request.units;
     }
 
-    /// Takes a transfer from those held here; whether it was among them.
-    pub fn unhold(&mut self, x: &Xfer) -> bool {
-        let was = self.held.remove(x.line(), x.slo_at, x.x.id);
+    /// Takes a request from those held here; whether it was among them.
+    pub fn unhold(&mut self, x: &PendingRequest) -> bool {
+        let was = self.held.remove(x.line(), x.slo_at, x.request.id);
         if was {
-            self.flows.entry(x.x.volume).or_default().held -= x.x.units;
+            self.flows.entry(x.request.volume).or_default().held -= x.request.units;
         }
         was
     }
@@ -230,7 +230,7 @@
     }
 }
 
-/// What is wanted of a transfer.
+/// What is wanted of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Want {
     Held,
@@ -240,8 +240,8 @@
 }
 
 #[derive(Debug)]
-pub struct Xfer {
-    pub x: Transfer,
+pub struct PendingRequest {
+    pub request: Request,
     pub taken: Duration,
     pub slo_at: Duration,
     pub want: Want,
@@ -262,10 +262,10 @@
     pub not_before: Duration,
 }
 
-impl Xfer {
-    pub fn new(x: Transfer, taken: Duration, slo_at: Duration, lot: f64) -> Self {
-        Xfer {
-            x,
+impl PendingRequest {
+    pub fn new(request: Request, taken: Duration, slo_at: Duration, lot: f64) -> Self {
+        PendingRequest {
+            request,
             taken,
             slo_at,
             want: Want::Held,
@@ -284,7 +284,7 @@
     }
 
     pub fn line(&self) -> LineKey {
-        (self.x.volume, self.x.stream_type, self.drawn)
+        (self.request.volume, self.request.stream_type, self.drawn)
     }
 }
 
@@ -298,13 +298,13 @@
     pub cells: BTreeMap<CellId, BTreeSet<NodeId>>,
     /// Nodes with something held or out, and perhaps some that lately had.
     pub busy: BTreeSet<NodeId>,
-    /// Nodes at which something changed that could let a transfer go.
+    /// Nodes at which something changed that could let a request go.
     pub stirred: BTreeSet<NodeId>,
     /// Moments from which time alone could let one go there.
     pub due: BTreeSet<(Duration, NodeId)>,
-    /// How many transfers are held at nodes.
+    /// How many requests are held at nodes.
     pub holding: usize,
-    /// The smallest transfer seen.
+    /// The smallest request seen.
     pub least_units: Option<f64>,
     /// The mean learned rate of the nodes heard.
     pub usual_rate: f64,
@@ -315,16 +315,16 @@
     pub volumes: BTreeMap<VolumeId, Volume>,
     /// Volumes that are served no more, of which something may yet be out.
     pub retired: BTreeSet<VolumeId>,
-    pub xfers: BTreeMap<XferId, Xfer>,
-    /// Held transfers that any node may take.
-    pub floating: Vec<XferId>,
+    pub requests: BTreeMap<RequestId, PendingRequest>,
+    /// Held requests that any node may take.
+    pub floating: Vec<RequestId>,
     pub keys: KeyLines,
     pub taken: Recent,
     /// The longest time from taking to expiry seen.
     pub longest: BTreeMap<StreamTypeId, Duration>,
     pub further: Recent,
-    /// Transfers of which something new is wanted.
-    pub changed: Vec<XferId>,
+    /// Requests of which something new is wanted.
+    pub changed: Vec<RequestId>,
     pub armed: Option<Duration>,
     pub tag: u64,
     pub watch_at: Option<Duration>,
@@ -372,9 +372,9 @@
         ready.max_by_key(|(_, nd)| nd.started).map(|(n, _)| *n)
     }
 
-    /// Puts a transfer among those held at its node, or among those that any may take.
-    pub fn hold(&mut self, id: XferId) {
-        let Some(x) = self.xfers.get(&id) else { return };
+    /// Puts a request among those held at its node, or among those that any may take.
+    pub fn hold(&mut self, id: RequestId) {
+        let Some(x) = self.requests.get(&id) else { return };
         match x.at.and_then(|n| Some((n, self.nodes.get_mut(&n)?))) {
             Some((n, nd)) => {
                 nd.hold(x);
@@ -389,28 +389,28 @@
         }
     }
 
-    pub fn unhold(&mut self, id: XferId) {
-        let Some(x) = self.xfers.get_mut(&id) else { return };
+    pub fn unhold(&mut self, id: RequestId) {
+        let Some(x) = self.requests.get_mut(&id) else { return };
         match x.at.take().and_then(|n| self.nodes.get_mut(&n)) {
-            None if x.x.cell.is_none() => self.floating.retain(|f| *f != id),
+            None if x.request.cell.is_none() => self.floating.retain(|f| *f != id),
             nd => self.holding -= usize::from(nd.is_some_and(|nd| nd.unhold(x))),
         }
     }
 
-    /// Something new is wanted of a transfer, which is held no more.
-    pub fn moves(&mut self, id: XferId) {
+    /// Something new is wanted of a request, which is held no more.
+    pub fn moves(&mut self, id: RequestId) {
         self.unhold(id);
         self.changed.push(id);
     }
 
     /// What is held of a volume.
-    pub fn held_of(&self, volume: VolumeId) -> Vec<XferId> {
-        let held = self.xfers.iter().filter(|(_, x)| x.x.volume == volume && x.want == Want::Held);
+    pub fn held_of(&self, volume: VolumeId) -> Vec<RequestId> {
+        let held = self.requests.iter().filter(|(_, x)| x.request.volume == volume && x.want == Want::Held);
         held.map(|(id, _)| *id).collect()
     }
 
     /// A leg that is out counts as sent then.
-    pub fn crosses(&mut self, id: XferId, node: NodeId, at: Duration) {
+    pub fn crosses(&mut self, id: RequestId, node: NodeId, at: Duration) {
         let sent = self.nodes.get_mut(&node).and_then(|nd| nd.legs.get_mut(&id));
         sent.into_iter().for_each(|sent| *sent = at);
     }
@@ -425,15 +425,15 @@
         self.busy.retain(|n| nodes.get(n).is_some_and(|nd| !nd.held.is_empty() || !nd.legs.is_empty()));
     }
 
-    /// The transfer needs nothing more from us; its record stays while a leg is out.
-    pub fn close(&mut self, id: XferId) {
+    /// The request needs nothing more from us; its record stays while a leg is out.
+    pub fn close(&mut self, id: RequestId) {
         self.unhold(id);
-        let Some(x) = self.xfers.get_mut(&id) else { return };
+        let Some(x) = self.requests.get_mut(&id) else { return };
         x.over = true;
         if x.out.is_none() {
-            let next = x.x.key.and_then(|key| self.keys.leave(key, id));
-            self.xfers.remove(&id);
-            let at = next.and_then(|next| self.xfers.get(&next)).and_then(|x| x.at);
+            let next = x.request.key.and_then(|key| self.keys.leave(key, id));
+            self.requests.remove(&id);
+            let at = next.and_then(|next| self.requests.get(&next)).and_then(|x| x.at);
             self.stirred.extend(at);
         }
     }
@@ -443,7 +443,7 @@
         if self.retired.is_empty() {
             return;
         }
-        let left: BTreeSet<VolumeId> = self.xfers.values().map(|x| x.x.volume).collect();
+        let left: BTreeSet<VolumeId> = self.requests.values().map(|x| x.request.volume).collect();
         for id in std::mem::take(&mut self.retired) {
             if left.contains(&id) {
                 self.retired.insert(id);
--- a/src/window.rs
+++ b/src/window.rs
@@ -18,7 +18,7 @@
 /// One interval's view of a node.
 #[derive(Debug, Clone, Default)]
 pub struct Reading {
-    /// Transfers were held while answers came slower, or full.
+    /// Requests were held while answers came slower, or full.
     pub congested: bool,
     /// A volume was held below its reservation.
     pub below_reservation: bool,
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -45,7 +45,7 @@
 
 /// Asks for two units every 10 ms; units sent from one moment to another.
 fn press(c: &mut Control, from: u64, to: u64) -> f64 {
-    let ask = |t: u64| vec![Event::Taken(xfer(((t / 10) % 250) as u8, ms(t + 400)))];
+    let ask = |t: u64| vec![Event::Taken(request(((t / 10) % 250) as u8, ms(t + 400)))];
     (from..to).step_by(10).map(|t| answered(c, t, ask(t))).sum()
 }
 
@@ -101,7 +101,7 @@
     }
 }
 
-/// Transfers that are held when the limit is lowered go at the new pace, or are given up in time; none is
+/// Requests that are held when the limit is lowered go at the new pace, or are given up in time; none is
 /// lost.
 #[test]
 fn what_is_held_when_a_limit_is_lowered_keeps_to_the_new_one() {
@@ -111,14 +111,16 @@
         None,
     );
     press(&mut c, 1010, 2010);
-    let taken: Vec<Event> = (1..=60).map(|n| Event::Taken(xfer(n, ms(4000)))).collect();
+    let taken: Vec<Event> = (1..=60)
+        .map(|n| Event::Taken(request(n, ms(4000))))
+        .collect();
     at(&mut c, 2015, vec![terms(0, 2, Some((4.0, 4.0)))]);
     let (mut sent, mut ended) = (0, 0);
     let mut more = taken;
     for t in (2020..4200).step_by(10) {
         let (s, d, a) = at(&mut c, t, std::mem::take(&mut more));
         // Some of the press before may still be held.
-        let own = |x: &XferId| (1..=60).contains(&x.0[0]);
+        let own = |x: &RequestId| (1..=60).contains(&x.0[0]);
         sent += s.iter().filter(|(x, _)| own(x)).count();
         ended += d.iter().chain(&a).filter(|x| own(x)).count();
         let done = s
@@ -144,16 +146,16 @@
     ];
     let mut c = host(vec![stream(Repeat::Repeatable)], plans, None);
     let other = |n: u8, t| {
-        Event::Taken(Transfer {
+        Event::Taken(Request {
             volume: VolumeId(6),
-            ..xfer(n, ms(t))
+            ..request(n, ms(t))
         })
     };
     // Fill the node so that both volumes have something held.
     let fill: Vec<Event> = (100..140).map(|n| other(n, 9000)).collect();
     at(&mut c, 1010, fill);
     let both: Vec<Event> = (1..=5)
-        .flat_map(|n| [other(n + 50, 9000), Event::Taken(xfer(n, ms(9000)))])
+        .flat_map(|n| [other(n + 50, 9000), Event::Taken(request(n, ms(9000)))])
         .collect();
     at(&mut c, 1011, both);
     at(&mut c, 1012, vec![terms(1, 2, None)]);
@@ -204,7 +206,9 @@
     let kinds = [Repeat::Repeatable, Repeat::Unrepeatable];
     for repeat in kinds {
         let mut c = host(vec![stream(repeat)], vec![plan(2.0)], None);
-        let taken: Vec<Event> = (1..=40).map(|n| Event::Taken(xfer(n, ms(5000)))).collect();
+        let taken: Vec<Event> = (1..=40)
+            .map(|n| Event::Taken(request(n, ms(5000))))
+            .collect();
         let (sent, ..) = at(&mut c, 1010, taken);
         assert!(!sent.is_empty() && sent.len() < 40);
         let (more, deferred, abandoned) = at(
@@ -231,7 +235,7 @@
         }
         // And by the same name it may come again.
         at(&mut c, 3000, vec![terms(0, 1, None)]);
-        let (sent, ..) = at(&mut c, 3010, vec![Event::Taken(xfer(99, ms(6000)))]);
+        let (sent, ..) = at(&mut c, 3010, vec![Event::Taken(request(99, ms(6000)))]);
         assert_eq!(sent.len(), 1);
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,6 +1,6 @@
 //! Many hosts before one cold node, summed: what the first sends of all add up to in any window of the rule.
 //! Of twenty or thirty hosts no more may come than the settings allow, and what chance adds to that: N + 2 x
-//! root of N + 2 mean transfers.
+//! root of N + 2 mean requests.
 
 mod common;
 use common::*;
@@ -20,9 +20,9 @@
     quiet: u64,
     /// After so long all hosts are started anew, with the list that they remember.
     restart: Option<u64>,
-    /// Units of the transfers, in turn.
+    /// Units of the requests, in turn.
     sizes: &'static [f64],
-    /// Only every so many-th host has as much as it can send; the others have one transfer in so many ticks.
+    /// Only every so many-th host has as much as it can send; the others have one request in so many ticks.
     eager: u64,
 }
 
@@ -51,7 +51,7 @@
     c
 }
 
-fn name(n: u32) -> XferId {
+fn name(n: u32) -> RequestId {
     let mut id = id(0);
     id.0[..4].copy_from_slice(&n.to_le_bytes());
     id
@@ -61,11 +61,11 @@
 struct Busy {
     control: Control,
     /// Units of what is with the host.
-    with: BTreeMap<XferId, f64>,
-    out: Vec<XferId>,
+    with: BTreeMap<RequestId, f64>,
+    out: Vec<RequestId>,
 }
 
-/// The largest sum of units in any window of the rule, in mean transfers.
+/// The largest sum of units in any window of the rule, in mean requests.
 fn largest_sum(wave: Wave, seed: u64) -> f64 {
     let fresh = |n: u64, now| Busy {
         control: started(seed * 1000 + n + now * 7919, now, wave.hosts),
@@ -106,11 +106,11 @@
                 next += 1;
                 let units = wave.sizes[(next as usize * 7 + n) % wave.sizes.len()];
                 host.with.insert(name(next), units);
-                events.push(Event::Taken(Transfer {
+                events.push(Event::Taken(Request {
                     id: name(next),
                     units,
                     hosts: wave.hosts as usize,
-                    ..xfer(0, ms(now + 3000))
+                    ..request(0, ms(now + 3000))
                 }));
             }
             let (out, deferred, abandoned) = at(&mut host.control, now, events);
@@ -132,14 +132,14 @@
         .fold(0.0, f64::max)
 }
 
-/// What chance may add to the settings' always-borne units, in mean transfers.
+/// What chance may add to the settings' always-borne units, in mean requests.
 fn most() -> f64 {
     let n = cold_rule().units / MEAN;
     n + 2.0 * n.sqrt() + 2.0
 }
 
 /// Without what a full bucket loses, 30 hosts sent 30 in two seconds after six of quiet, and 20 hosts 20
-/// after four: the debts that spread them were paid by then, and a bucket lets one transfer into debt.
+/// after four: the debts that spread them were paid by then, and a bucket lets one request into debt.
 #[test]
 fn hosts_that_all_want_a_cold_node_after_a_quiet_time_keep_to_the_sum_of_their_parts() {
     let mixed: &[f64] = &[1.0, 2.0, 1.0, 4.0, 2.0, 1.0, 3.0];
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -60,14 +60,14 @@
     }
 }
 
-pub fn id(n: u8) -> XferId {
-    XferId([n; 36])
+pub fn id(n: u8) -> RequestId {
+    RequestId([n; 36])
 }
 
-pub fn xfer(n: u8, expiry: Duration) -> Transfer {
+pub fn request(n: u8, expiry: Duration) -> Request {
     let (stream_type, plan, volume) = (StreamTypeId(0), PlanId(0), VolumeId(5));
     let cell = Some(CellId(1));
-    Transfer {
+    Request {
         id: id(n),
         units: 2.0,
         cell,
@@ -130,7 +130,7 @@
     c: &mut Control,
     now: u64,
     events: Vec<Event>,
-) -> (Vec<(XferId, NodeId)>, Vec<XferId>, Vec<XferId>) {
+) -> (Vec<(RequestId, NodeId)>, Vec<RequestId>, Vec<RequestId>) {
     let (mut sent, mut deferred, mut abandoned) = (vec![], vec![], vec![]);
     for action in c.step(ms(now), events) {
         match action {
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn the_bound_is_a_few_large_transfers_at_least_and_thirty_two_at_most() {
+fn the_bound_is_a_few_large_requests_at_least_and_thirty_two_at_most() {
     // learned rate, wanted units at a mean of 2
     let floor = bound(0.0, ms(200), 2.0, 1);
     assert!(floor >= 12.0);
@@ -170,7 +170,7 @@
 /// Each host's own floor added up over hundreds of hosts; cut for four of them, it held back a host whose
 /// share was above the mean (a day of restarts on sockets: 0.79 in place of 0.89).
 #[test]
-fn all_hosts_floors_stay_within_the_most_of_one_and_let_a_large_transfer_go() {
+fn all_hosts_floors_stay_within_the_most_of_one_and_let_a_large_request_go() {
     // hosts, wanted units at a mean of 2
     for (hosts, wanted) in [
         (0, 12.0),
@@ -204,9 +204,9 @@
 fn new_objects_go_by_rank_and_past_a_node_that_has_enough() {
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(0.0)], None);
     let new = |n| {
-        Event::Taken(Transfer {
+        Event::Taken(Request {
             cell: None,
-            ..xfer(n, ms(3000))
+            ..request(n, ms(3000))
         })
     };
     let (sent, ..) = at(&mut c, 1001, (1..=8).map(new).collect());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -12,20 +12,20 @@
 };
 
 #[test]
-fn every_transfer_has_one_answer_before_its_expiry() {
+fn every_request_has_one_answer_before_its_expiry() {
     // A late client retry arrives with its time already up; a node is absent; a leg times out.
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
-    let absent = Transfer {
+    let absent = Request {
         cell: Some(CellId(9)),
-        ..xfer(2, ms(3000))
+        ..request(2, ms(3000))
     };
     let (sent, deferred, _) = at(
         &mut c,
         1010,
-        vec![Event::Taken(xfer(1, ms(1010))), Event::Taken(absent)],
+        vec![Event::Taken(request(1, ms(1010))), Event::Taken(absent)],
     );
     assert_eq!((sent.len(), deferred), (0, vec![id(1), id(2)]));
-    let (sent, ..) = at(&mut c, 1020, vec![Event::Taken(xfer(3, ms(1100)))]);
+    let (sent, ..) = at(&mut c, 1020, vec![Event::Taken(request(3, ms(1100)))]);
     assert_eq!(sent.len(), 1);
     let (sent, deferred, _) = at(
         &mut c,
@@ -42,13 +42,15 @@
 }
 
 #[test]
-fn held_transfers_are_given_up_when_they_cannot_be_in_time() {
+fn held_requests_are_given_up_when_they_cannot_be_in_time() {
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
     let mut answers = 0;
     at(
         &mut c,
         1001,
-        (1..=60).map(|n| Event::Taken(xfer(n, ms(1600)))).collect(),
+        (1..=60)
+            .map(|n| Event::Taken(request(n, ms(1600))))
+            .collect(),
     );
     for t in (1010..1600).step_by(10) {
         answers += at(&mut c, t, vec![Event::Timer { tag: TimerTag(1) }])
@@ -66,7 +68,7 @@
 fn what_was_sent_long_ago_is_not_remembered_however_little_time_the_leg_is_held_to_have_taken() {
     for (took, again) in [(100, true), (1600, false)] {
         let mut c = host(vec![stream(KEYED)], vec![plan(1.0)], None);
-        let (sent, ..) = at(&mut c, 1010, vec![Event::Taken(xfer(1, ms(9000)))]);
+        let (sent, ..) = at(&mut c, 1010, vec![Event::Taken(request(1, ms(9000)))]);
         assert_eq!(sent.len(), 1);
         let (mut sent, ..) = at(
             &mut c,
@@ -116,14 +118,14 @@
 }
 
 #[test]
-fn an_unrepeatable_transfer_that_may_have_run_is_abandoned() {
+fn an_unrepeatable_request_that_may_have_run_is_abandoned() {
     for (end, again) in [
         (LegEnd::Error, false),
         (LegEnd::Reset, false),
         (LegEnd::Full, true),
     ] {
         let mut c = host(vec![stream(Repeat::Unrepeatable)], vec![plan(1.0)], None);
-        at(&mut c, 1001, vec![Event::Taken(xfer(1, ms(3000)))]);
+        at(&mut c, 1001, vec![Event::Taken(request(1, ms(3000)))]);
         let (_, deferred, abandoned) = at(&mut c, 1010, vec![over(1, 1, end, ms(9), false)]);
         assert_eq!(
             (deferred.len(), abandoned.len()),
@@ -140,7 +142,7 @@
     for state in [NodeState::Draining, NodeState::Gone] {
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
         let told = list(ListKind::Changes, vec![entry(1, state, None)]);
-        let (sent, deferred, _) = at(&mut c, 1010, vec![told, Event::Taken(xfer(1, ms(3000)))]);
+        let (sent, deferred, _) = at(&mut c, 1010, vec![told, Event::Taken(request(1, ms(3000)))]);
         assert_eq!((sent.len(), deferred.len()), (0, 1));
     }
     // Absent from a whole list is gone; what was held there is answered at once.
@@ -148,7 +150,9 @@
     at(
         &mut c,
         1001,
-        (1..=20).map(|n| Event::Taken(xfer(n, ms(9000)))).collect(),
+        (1..=20)
+            .map(|n| Event::Taken(request(n, ms(9000))))
+            .collect(),
     );
     let (sent, deferred, _) = at(
         &mut c,
@@ -185,7 +189,7 @@
     at(&mut c, 1001, vec![back]);
     for t in (1010..3010).step_by(10) {
         let n = ((t - 1010) / 10 % 200) as u8;
-        let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 400)))]);
+        let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 400)))]);
         let done = sent
             .iter()
             .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true));
@@ -196,7 +200,7 @@
 }
 
 /// Units that go in two seconds to what is told of cell 1, which has just started; before it the volume had
-/// so many transfers a second at node 1.
+/// so many requests a second at node 1.
 fn units_to_a_new_node(before: u64, reservation: f64, node: u32) -> f64 {
     let mut c = host(
         vec![stream(Repeat::Repeatable)],
@@ -210,7 +214,7 @@
         .skip(usize::from(before == 0) * 99_999)
     {
         n = n.wrapping_add(1);
-        let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 400)))]);
+        let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 400)))]);
         at(
             &mut c,
             t + 5,
@@ -231,7 +235,7 @@
     let mut units = 0.0;
     for t in (11_420..13_420).step_by(20) {
         n = n.wrapping_add(1);
-        let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 400)))]);
+        let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 400)))]);
         units += 2.0 * sent.len() as f64;
         at(
             &mut c,
@@ -263,15 +267,15 @@
 }
 
 #[test]
-fn transfers_with_one_key_go_in_turn_and_the_key_rests() {
+fn requests_with_one_key_go_in_turn_and_the_key_rests() {
     let ordered = StreamType {
         ordered: true,
         ..stream(KEYED)
     };
     let keyed = |n| {
-        Event::Taken(Transfer {
+        Event::Taken(Request {
             key: Some(KeyId(3)),
-            ..xfer(n, ms(2500))
+            ..request(n, ms(2500))
         })
     };
     // how the first leg ends, when the second may go
@@ -307,7 +311,7 @@
     let mut further = 0;
     for n in 0..8u8 {
         let t = 1010 + 600 * u64::from(n);
-        let first = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 500)))]).0;
+        let first = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 500)))]).0;
         assert_eq!(first.len(), 1);
         at(&mut c, t + 1, vec![over(n, 1, LegEnd::Error, ms(1), false)]);
         let second = at(&mut c, t + 100, vec![]).0;
@@ -331,7 +335,7 @@
     let mut units = 0.0;
     for t in (1010..4010).step_by(10) {
         let n = ((t / 10) % 250) as u8;
-        let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 500)))]);
+        let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 500)))]);
         units += 2.0 * sent.len() as f64;
         at(
             &mut c,
@@ -354,7 +358,7 @@
         let mut legs = 0;
         for t in (1010..3010).step_by(10) {
             let n = ((t / 10) % 250) as u8;
-            let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 1500)))]);
+            let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 1500)))]);
             legs += sent.len();
             if let Some(end) = end {
                 at(
@@ -369,7 +373,7 @@
         assert!(legs <= 20, "{end:?}: {legs} legs in 2 s");
         let done = |x: u8| over(x, 1, LegEnd::Done, ms(20), true);
         at(&mut c, 3020, (0..=250).map(done).collect());
-        let (sent, ..) = at(&mut c, 3600, vec![Event::Taken(xfer(251, ms(5000)))]);
+        let (sent, ..) = at(&mut c, 3600, vec![Event::Taken(request(251, ms(5000)))]);
         assert!(
             end.is_some() || sent.iter().any(|(x, _)| *x == id(251)),
             "well again once it answers"
@@ -378,8 +382,8 @@
 }
 
 #[test]
-fn errors_and_resets_keep_new_objects_away_but_not_transfers_whose_data_is_there() {
-    // What the node answers, and whether transfers still go where their data is: a port that is dead shuts
+fn errors_and_resets_keep_new_objects_away_but_not_requests_whose_data_is_there() {
+    // What the node answers, and whether requests still go where their data is: a port that is dead shuts
     // it.
     for (bad, goes) in [
         (LegEnd::Error, true),
@@ -388,23 +392,23 @@
     ] {
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1000.0)], None);
         let new = |n, t| {
-            Event::Taken(Transfer {
+            Event::Taken(Request {
                 cell: None,
-                ..xfer(n, ms(t + 1500))
+                ..request(n, ms(t + 1500))
             })
         };
         let first = at(&mut c, 1005, vec![new(250, 1005)]).0[0].1;
         let (mut new_there, mut pinned, mut out) = (0, 0, vec![(id(250), first)]);
         for t in (1010..2010).step_by(10) {
             let n = ((t / 10) % 100) as u8;
-            let data = Transfer {
+            let data = Request {
                 cell: Some(CellId(first.0)),
-                ..xfer(100 + n, ms(t + 60))
+                ..request(100 + n, ms(t + 60))
             };
             let end = |nd: NodeId| if nd == first { bad } else { LegEnd::Done };
             let ends = out
                 .iter()
-                .map(|(x, nd): &(XferId, NodeId)| over(x.0[0], nd.0, end(*nd), ms(1), false));
+                .map(|(x, nd): &(RequestId, NodeId)| over(x.0[0], nd.0, end(*nd), ms(1), false));
             let mut events: Vec<Event> = ends.collect();
             events.extend([new(n, t), Event::Taken(data)]);
             (out, ..) = at(&mut c, t, events);
@@ -424,12 +428,12 @@
 }
 
 #[test]
-fn late_answers_pace_sends_below_one_transfer_out() {
+fn late_answers_pace_sends_below_one_request_out() {
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(100.0)], None);
     let mut sends = vec![0; 8];
     for t in (1010..9010).step_by(10) {
         let n = ((t / 10) % 250) as u8;
-        let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 900)))]);
+        let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 900)))]);
         sends[(t as usize - 1010) / 1000] += sent.len();
         let late = if t < 1100 { 10 } else { 180 };
         at(
@@ -490,10 +494,10 @@
             ..Plan::default()
         };
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![zero], None);
-        let none = Transfer {
+        let none = Request {
             units: 0.0,
             hosts: 0,
-            ..xfer(1, ms(2000))
+            ..request(1, ms(2000))
         };
         at(
             &mut c,
@@ -506,7 +510,7 @@
             &mut c,
             2010,
             (2..60)
-                .map(|n| Event::Taken(xfer(n, ms(9_000_000))))
+                .map(|n| Event::Taken(request(n, ms(9_000_000))))
                 .collect(),
         );
         for t in (3000..1_000_000).step_by(500) {
@@ -545,7 +549,9 @@
                 vec![entry(1, NodeState::Ready, Some(ms(999)))],
             )],
         );
-        let taken = (0..20).map(|n| Event::Taken(xfer(n, ms(3000)))).collect();
+        let taken = (0..20)
+            .map(|n| Event::Taken(request(n, ms(3000))))
+            .collect();
         sends += at(&mut c, 1010, taken).0.len();
         sends += (1020..3000)
             .step_by(10)
@@ -572,10 +578,10 @@
         ],
         None,
     );
-    let of = |n, plan, t| Transfer {
+    let of = |n, plan, t| Request {
         plan: PlanId(plan),
         volume: VolumeId(plan as u64),
-        ..xfer(n, ms(t + 900))
+        ..request(n, ms(t + 900))
     };
     let mut sent = [0; 2];
     for t in (2000..22_000).step_by(1000) {
@@ -619,9 +625,9 @@
             .map(|n| entry(n, NodeState::Ready, Some(ms(900))))
             .collect();
         at(&mut c, 1000, vec![list(ListKind::Whole, entries)]);
-        let x = Transfer {
+        let x = Request {
             hosts: 9999,
-            ..xfer(1, ms(3000))
+            ..request(1, ms(3000))
         };
         let (sent, deferred, _) = at(&mut c, 1800, vec![Event::Taken(x)]);
         assert!(sent.len() + deferred.len() <= 1 && (nodes > 0 || deferred.len() == 1));
@@ -636,7 +642,7 @@
     let mut expiries = std::collections::BTreeMap::new();
     let mut events = Vec::new();
     for n in 0..2000u32 {
-        let mut x = xfer(0, ms(1500 + u64::from(n % 40) * 37));
+        let mut x = request(0, ms(1500 + u64::from(n % 40) * 37));
         x.id.0[..4].copy_from_slice(&n.to_le_bytes());
         expiries.insert(x.id, x.expiry);
         events.push(Event::Taken(x));
@@ -672,7 +678,7 @@
 
 #[test]
 fn a_limit_counts_what_crosses_when_it_crosses() {
-    // A store of four: two transfers of two units. How the first ends decides what the third finds.
+    // A store of four: two requests of two units. How the first ends decides what the third finds.
     let cases = [
         (LegEnd::Moot, 1),
         (LegEnd::NoConnection, 0),
@@ -686,9 +692,9 @@
             ..plan(50.0)
         };
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![limited], None);
-        let one_host = |n| Transfer {
+        let one_host = |n| Request {
             hosts: 1,
-            ..xfer(n, ms(900_000))
+            ..request(n, ms(900_000))
         };
         at(&mut c, 1000, vec![Event::Taken(one_host(1))]);
         // The part of a host that has just started fills from nothing.
@@ -725,15 +731,15 @@
         ..stream(Repeat::Repeatable)
     };
     let mut c = host(vec![ordered], vec![plan(100.0)], None);
-    let of = |n| Transfer {
+    let of = |n| Request {
         key: Some(KeyId(9)),
-        ..xfer(n, ms(3000))
+        ..request(n, ms(3000))
     };
     let (mut sent, _, _) = at(&mut c, 1000, vec![Event::Taken(of(1)), Event::Taken(of(2))]);
     let mut given_up = Vec::new();
     for now in (1010..=2900).step_by(10) {
         let event = match now {
-            1500 => Event::Taken(xfer(3, ms(3500))),
+            1500 => Event::Taken(request(3, ms(3500))),
             1520 => over(3, 1, LegEnd::Done, ms(20), true), // the node is not silent
             _ => Event::Timer { tag: TimerTag(0) },
         };
@@ -758,7 +764,7 @@
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(100.0)], None);
         for t in (1010..2010).step_by(100) {
             let n = (t / 100) as u8;
-            let (sent, ..) = at(&mut c, t, vec![Event::Taken(xfer(n, ms(t + 900)))]);
+            let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 900)))]);
             at(
                 &mut c,
                 t + 5,
@@ -767,7 +773,7 @@
                     .collect(),
             );
         }
-        let (sent, ..) = at(&mut c, 2300, vec![Event::Taken(xfer(200, ms(9000)))]);
+        let (sent, ..) = at(&mut c, 2300, vec![Event::Taken(request(200, ms(9000)))]);
         assert_eq!(sent.len(), 1);
         let crosses = Event::Crosses {
             id: id(200),
