--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -124,7 +124,7 @@
     let most = p.get::<f64>("caps.max-attempts")?.filter(|n| n.is_finite());
     let come_back = p.time("caps.max-retry-after-ms")?;
     Ok(Caps {
-        most_legs: most.map_or(1, |n| n.max(0.0) as u32),
+        most_attempts: most.map_or(1, |n| n.max(0.0) as u32),
         probing: p.yes("caps.probing")?,
         come_back: p.yes("caps.retry-after")?.then_some(come_back),
         answer_slack: p.time("rules.answer-slack-ms")?,
@@ -150,11 +150,11 @@
 }
 
 /// The rule asks nothing where its settings are absent.
-pub fn leg_budget(p: &Pairs) -> Result<Option<LegBudget>, String> {
+pub fn retry_budget(p: &Pairs) -> Result<Option<RetryBudget>, String> {
     let Some(share) = p.get::<f64>("rules.further-ratio")? else {
         return Ok(None);
     };
-    Ok(Some(LegBudget {
+    Ok(Some(RetryBudget {
         floor: p.number("rules.extra-floor")?,
         share,
         window: p.time("rules.extra-window-ms")?,
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -150,16 +150,16 @@
     }
 }
 
-fn leg_end(code: u32) -> Result<LegEnd, String> {
+fn attempt_outcome(code: u32) -> Result<AttemptOutcome, String> {
     Ok(match code {
-        200 => LegEnd::Done,
-        502 => LegEnd::Error,
-        429 => LegEnd::Full,
-        408 => LegEnd::TimeOut,
-        521 => LegEnd::NoConnection,
-        520 => LegEnd::Reset,
-        444 => LegEnd::Cancelled,
-        409 => LegEnd::Moot,
+        200 => AttemptOutcome::Done,
+        502 => AttemptOutcome::Error,
+        429 => AttemptOutcome::Full,
+        408 => AttemptOutcome::TimeOut,
+        521 => AttemptOutcome::NoConnection,
+        520 => AttemptOutcome::Reset,
+        444 => AttemptOutcome::Cancelled,
+        409 => AttemptOutcome::Moot,
         _ => return Err(format!("unknown result {code}")),
     })
 }
@@ -266,7 +266,7 @@
         .under(
             settings::cold(&p)?,
             settings::list(&p)?,
-            settings::leg_budget(&p)?,
+            settings::retry_budget(&p)?,
             settings::key_rest(&p)?,
         );
         let busy = settings::report_place(&p, "utilization");
@@ -342,16 +342,16 @@
                 })
             }
             "ACK_FIRST" => {
-                let (id, leg) = (v.request()?, v.must("leg")?);
+                let (id, attempt) = (v.request()?, v.must("leg")?);
                 v.must::<u32>("brick")?;
                 v.time("elapsed-ms")?;
-                Event::Begun { id, leg }
+                Event::Begun { id, attempt }
             }
-            "REPLY" => Event::LegOver {
+            "REPLY" => Event::AttemptEnded {
                 id: v.request()?,
-                leg: v.must("leg")?,
+                attempt: v.must("leg")?,
                 node: NodeId(v.must("brick")?),
-                end: leg_end(v.must("result")?)?,
+                end: attempt_outcome(v.must("result")?)?,
                 elapsed: v.time("elapsed-ms")?,
                 over: v.yes("finished")?,
                 reported: v
@@ -371,7 +371,7 @@
             "CHECKED" => {
                 let node = NodeId(v.must("brick")?);
                 v.time("elapsed-ms")?;
-                let end = leg_end(v.must("result")?)?;
+                let end = attempt_outcome(v.must("result")?)?;
                 v.report()?;
                 Event::Probed { node, end }
             }
@@ -441,7 +441,9 @@
             writeln!(to, "REFUSE {host} {} {wait}", text(id))
         }
         Action::Abandon { id } => writeln!(to, "SURRENDER {host} {}", text(id)),
-        Action::CancelLeg { id, leg } => writeln!(to, "DROP_ATTEMPT {host} {} {leg}", text(id)),
+        Action::CancelAttempt { id, attempt } => {
+            writeln!(to, "DROP_ATTEMPT {host} {} {attempt}", text(id))
+        }
         Action::Timer { after, tag } => writeln!(to, "WAKE_AT {host} {} {}", ms(*after), tag.0),
         Action::Probe { node } => writeln!(to, "SAMPLE {host} {}", node.0),
         Action::CloseIdle { node } => writeln!(to, "RELEASE {host} {}", node.0),
--- a/crates/audit/src/drains.rs
+++ b/crates/audit/src/drains.rs
@@ -1,4 +1,4 @@
-//! How drains went that somebody asked for: from the asking to the last new leg, by frames and marks alone.
+//! How drains went that somebody asked for: from the asking to the last new attempt, by frames and marks alone.
 
 use crate::run::{drain_of, Run};
 use grebecleat_wire::pb::{frame::Body, marked::What, record::Kind, Record};
@@ -15,10 +15,10 @@
     pub asked: Option<Duration>,
     /// From then until the first and the last host was told.
     pub told: (Duration, Duration),
-    /// From then until the last new leg went there; None: none did.
-    pub last_leg: Option<Duration>,
-    /// New legs after the asking.
-    pub legs: usize,
+    /// From then until the last new attempt went there; None: none did.
+    pub last_attempt: Option<Duration>,
+    /// New attempts after the asking.
+    pub attempts: usize,
 }
 
 /// When changes that drain a node came to the state service, and marks of acts that ask for one.
@@ -75,20 +75,20 @@
         let near = before.clone().max().map(|at| at.saturating_sub(NEAR));
         let asked = before.filter(|a| near.is_some_and(|n| *a >= n)).min();
         let from = asked.unwrap_or(first);
-        let legs = run
+        let attempts = run
             .hosts
             .iter()
-            .flat_map(|h| &h.legs)
-            .filter(|l| l.leg.node == node)
+            .flat_map(|h| &h.attempts)
+            .filter(|l| l.attempt.node == node)
             .map(|l| l.seen.at);
-        let legs: Vec<Duration> = legs.filter(|at| (from..end).contains(at)).collect();
-        let last_leg = legs.iter().max().map(|at| *at - from);
+        let attempts: Vec<Duration> = attempts.filter(|at| (from..end).contains(at)).collect();
+        let last_attempt = attempts.iter().max().map(|at| *at - from);
         Drained {
             node,
             asked,
             told: (first - from, last - from),
-            last_leg,
-            legs: legs.len(),
+            last_attempt,
+            attempts: attempts.len(),
         }
     };
     all.into_iter().map(one).collect()
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -50,9 +50,9 @@
     pub abandoned: u64,
     /// Requests whose host was gone before the answer.
     pub lost: u64,
-    pub legs: u64,
+    pub attempts: u64,
     pub effects: u64,
-    /// The longest time from a host being told of a drain to its last new leg there.
+    /// The longest time from a host being told of a drain to its last new attempt there.
     pub drain_ms: f64,
     /// Of portals, where there were any.
     pub commands: commands::Commands,
--- a/crates/audit/src/plans.rs
+++ b/crates/audit/src/plans.rs
@@ -339,7 +339,7 @@
     }
 }
 
-/// Rule 7: all hosts' first legs of a volume against its one store.
+/// Rule 7: all hosts' first attempts of a volume against its one store.
 pub fn limits(s: &Settings, hosts: &[Host], plans: &Plans, v: &mut Verdict) {
     let declared = |volume: u64| {
         let spec = s.volumes.iter().find(|x| x.id == volume)?;
@@ -352,22 +352,26 @@
     };
     let mut firsts: BTreeMap<u64, Vec<(Duration, f64, String)>> = BTreeMap::new();
     for h in hosts {
-        for leg in h
+        for attempt in h
             .taken
             .iter()
-            .filter_map(|t| t.legs.first())
-            .map(|l| &h.legs[*l])
+            .filter_map(|t| t.attempts.first())
+            .map(|l| &h.attempts[*l])
         {
-            let line = firsts.entry(leg.leg.volume).or_default();
-            line.push((leg.seen.at, leg.leg.units, leg.seen.show.clone()));
+            let line = firsts.entry(attempt.attempt.volume).or_default();
+            line.push((
+                attempt.seen.at,
+                attempt.attempt.units,
+                attempt.seen.show.clone(),
+            ));
         }
     }
-    for (volume, mut legs) in firsts {
-        legs.sort_by_key(|l| l.0);
+    for (volume, mut attempts) in firsts {
+        attempts.sort_by_key(|l| l.0);
         let in_force = plans.in_force(volume, declared(volume));
         let mut next = in_force.iter().peekable();
         let (mut limit, mut level, mut at) = (None::<Limit>, 0.0, Duration::ZERO);
-        for (moment, units, show) in legs {
+        for (moment, units, show) in attempts {
             while let Some((from, new)) = next.next_if(|n| n.0 <= moment) {
                 level = match (limit, new) {
                     // A store of its own, which is full; or one that goes on, and holds no more than it may.
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -1,6 +1,6 @@
 //! The seven rules. Each reads the run and adds what broke it.
 
-use crate::run::{Host, Leg, Run, Seen, Taken};
+use crate::run::{Attempt, Host, Run, Seen, Taken};
 use crate::{Breach, Verdict};
 use grebecleat_settings::{Repeat, RepeatGroup, Settings};
 use grebecleat_wire::pb::{self, marked::What, Outcome};
@@ -109,9 +109,9 @@
                 continue;
             };
             for l in t
-                .legs
+                .attempts
                 .iter()
-                .map(|l| &h.legs[*l])
+                .map(|l| &h.attempts[*l])
                 .filter(|l| l.seen.at > answered.at)
             {
                 breach(
@@ -130,21 +130,24 @@
     let place: HashMap<u32, (usize, u32)> =
         s.nodes.iter().map(|n| (n.id, (n.zone, n.cell))).collect();
     for h in &run.hosts {
-        v.legs += h.legs.len() as u64;
+        v.attempts += h.attempts.len() as u64;
         for t in &h.taken {
             let Some(stream) = s.streams.get(t.take.stream_type as usize) else {
                 continue;
             };
             let (repeat, name) = (stream.facts.repeat, text(&t.take.id));
-            let legs: Vec<&Leg> = t.legs.iter().map(|l| &h.legs[*l]).collect();
-            for (i, later) in legs.iter().enumerate() {
-                let ran = legs[..i].iter().filter(|l| !l.never_ran(later.seen.at));
+            let attempts: Vec<&Attempt> = t.attempts.iter().map(|l| &h.attempts[*l]).collect();
+            for (i, later) in attempts.iter().enumerate() {
+                let ran = attempts[..i].iter().filter(|l| !l.never_ran(later.seen.at));
                 for earlier in ran {
                     let fine = match repeat {
                         Repeat::Repeatable => true,
                         Repeat::Unrepeatable => false,
                         Repeat::Keyed { group, remembered } => {
-                            let (a, b) = (place.get(&earlier.leg.node), place.get(&later.leg.node));
+                            let (a, b) = (
+                                place.get(&earlier.attempt.node),
+                                place.get(&later.attempt.node),
+                            );
                             let inside = match group {
                                 RepeatGroup::All => true,
                                 RepeatGroup::Zone => a.map(|p| p.0) == b.map(|p| p.0),
@@ -173,12 +176,12 @@
                 .iter()
                 .filter(|f| f.1.outcome() == Outcome::Deferred && !harmless)
             {
-                let ran = legs
+                let ran = attempts
                     .iter()
                     .find(|l| l.seen.at <= seen.at && !l.never_ran(seen.at));
-                if let Some(leg) = ran {
+                if let Some(attempt) = ran {
                     let what = format!("{}: deferred, though a leg may have run", text(&f.id));
-                    breach(v, 2, what, &[&leg.seen, seen]);
+                    breach(v, 2, what, &[&attempt.seen, seen]);
                 }
             }
         }
@@ -207,8 +210,8 @@
 /// Rule 3: nothing new to a draining or gone node later than the grace after this host was told.
 pub fn drains(s: &Settings, run: &Run, v: &mut Verdict) {
     for h in &run.hosts {
-        for l in &h.legs {
-            let Some(told) = h.told_off(l.leg.node, l.seen.at) else {
+        for l in &h.attempts {
+            let Some(told) = h.told_off(l.attempt.node, l.seen.at) else {
                 continue;
             };
             let since = l.seen.at - told;
@@ -216,7 +219,7 @@
             if since > s.rules.drain_grace {
                 let what = format!(
                     "{}: to node {} {since:?} after it was told",
-                    h.name, l.leg.node
+                    h.name, l.attempt.node
                 );
                 breach(v, 3, what, &[&l.seen]);
             }
@@ -239,13 +242,13 @@
             .get(&m.node)
             .map(Vec::as_slice)
             .unwrap_or_default();
-        for (seen, host, leg) in arrived.iter().filter(|a| a.0.at >= *start && a.0.at < end) {
+        for (seen, host, attempt) in arrived.iter().filter(|a| a.0.at >= *start && a.0.at < end) {
             let told = run
                 .hosts
                 .iter()
                 .filter(|h| h.name == *host)
                 .any(|h| h.told_start(m.node, *start, seen.at));
-            span.push_back((seen.at, leg.units, told));
+            span.push_back((seen.at, attempt.units, told));
             while span
                 .front()
                 .is_some_and(|a| a.0 + rule.fall_within < seen.at)
@@ -283,14 +286,14 @@
             .iter()
             .filter(|a| a.0.at <= *at && a.0.at + rule.fall_within >= *at);
         let (mut known, mut all) = (0.0, 0.0);
-        for (seen, host, leg) in lately {
+        for (seen, host, attempt) in lately {
             let told = run
                 .hosts
                 .iter()
                 .filter(|h| h.name == *host)
                 .any(|h| h.told_start(m.node, start, seen.at));
-            all += leg.units;
-            known += if told { leg.units } else { 0.0 };
+            all += attempt.units;
+            known += if told { attempt.units } else { 0.0 };
         }
         if known >= all * 2.0 / 3.0 {
             breach(v, 4, format!("node {} was pushed over", m.node), &[]);
@@ -315,15 +318,15 @@
         }
         for line in keys.values() {
             for (i, later) in line.iter().enumerate() {
-                for leg in later.legs.iter().map(|l| &h.legs[*l]) {
+                for attempt in later.attempts.iter().map(|l| &h.attempts[*l]) {
                     for earlier in &line[..i] {
-                        if let Some(why) = h.unsettled(earlier, leg.seen.at, s.rules.key_rest) {
+                        if let Some(why) = h.unsettled(earlier, attempt.seen.at, s.rules.key_rest) {
                             let what = format!(
                                 "{}: sent while {} {why}",
                                 text(&later.take.id),
                                 text(&earlier.take.id)
                             );
-                            breach(v, 5, what, &[&earlier.seen, &leg.seen]);
+                            breach(v, 5, what, &[&earlier.seen, &attempt.seen]);
                         }
                     }
                 }
@@ -332,17 +335,19 @@
     }
 }
 
-/// Rule 6 of the list: one host's further legs in any window.
+/// Rule 6 of the list: one host's retries in any window.
 pub fn budget(s: &Settings, run: &Run, v: &mut Verdict) {
-    let Some(rule) = &s.rules.legs else { return };
+    let Some(rule) = &s.rules.attempts else {
+        return;
+    };
     for h in &run.hosts {
         let taken: Vec<Duration> = h.taken.iter().map(|t| t.seen.at).collect();
         let further = h
             .taken
             .iter()
-            .flat_map(|t| t.legs.iter().skip(1))
-            .map(|l| &h.legs[*l]);
-        let mut further: Vec<&Leg> = further.collect();
+            .flat_map(|t| t.attempts.iter().skip(1))
+            .map(|l| &h.attempts[*l]);
+        let mut further: Vec<&Attempt> = further.collect();
         further.sort_by_key(|l| l.seen.at);
         let times: Vec<Duration> = further.iter().map(|l| l.seen.at).collect();
         let within = |of: &[Duration], at: Duration| {
@@ -379,8 +384,8 @@
 
     /// Why a request is not yet out of the way of the next with its key.
     fn unsettled(&self, t: &Taken, at: Duration, rest: Duration) -> Option<String> {
-        let legs = || t.legs.iter().map(|l| &self.legs[*l]);
-        let ok = |l: &Leg| {
+        let attempts = || t.attempts.iter().map(|l| &self.attempts[*l]);
+        let ok = |l: &Attempt| {
             l.answer
                 .as_ref()
                 .filter(|a| a.1.result() == pb::Result::Ok)
@@ -392,20 +397,20 @@
             .map(|f| f.0.at)
             .into_iter()
             .chain(t.withdrawn);
-        let over = ends.chain(legs().filter_map(ok)).min();
-        // Decided in one step, its end and the next one's leg may be written in either order.
-        let together = over.is_some_and(|o| o <= at + SKEW) && legs().all(|l| l.seen.at <= at);
+        let over = ends.chain(attempts().filter_map(ok)).min();
+        // Decided in one step, its end and the next one's attempt may be written in either order.
+        let together = over.is_some_and(|o| o <= at + SKEW) && attempts().all(|l| l.seen.at <= at);
         if !together && over.is_none_or(|o| o > at) {
             return Some("was not over".into());
         }
-        for leg in legs().filter(|l| l.seen.at <= at) {
-            if leg.answer.as_ref().is_some_and(|a| a.0.at <= at) {
+        for attempt in attempts().filter(|l| l.seen.at <= at) {
+            if attempt.answer.as_ref().is_some_and(|a| a.0.at <= at) {
                 continue;
             }
             let doubts = [
-                Some(leg.until()),
-                leg.cancelled,
-                self.closed.get(&leg.conn).copied(),
+                Some(attempt.until()),
+                attempt.cancelled,
+                self.closed.get(&attempt.conn).copied(),
             ];
             let doubt = doubts.into_iter().flatten().min().unwrap_or(Duration::MAX);
             if at < doubt {
--- a/crates/audit/src/run.rs
+++ b/crates/audit/src/run.rs
@@ -1,4 +1,4 @@
-//! A run as its traces tell it: requests, legs and what the list said, by host and moment.
+//! A run as its traces tell it: requests, attempts and what the list said, by host and moment.
 
 use crate::plans::Plans;
 use bytes::Bytes;
@@ -24,21 +24,21 @@
     pub turn: usize,
     pub finals: Vec<(Seen, pb::Final)>,
     pub withdrawn: Option<Duration>,
-    pub legs: Vec<usize>,
+    pub attempts: Vec<usize>,
 }
 
 #[derive(Debug)]
-pub struct Leg {
+pub struct Attempt {
     pub seen: Seen,
     pub conn: u64,
-    pub leg: pb::Leg,
-    pub answer: Option<(Seen, pb::LegAnswer)>,
+    pub attempt: pb::Attempt,
+    pub answer: Option<(Seen, pb::AttemptResponse)>,
     pub cancelled: Option<Duration>,
 }
 
-impl Leg {
+impl Attempt {
     pub fn until(&self) -> Duration {
-        self.seen.at + Duration::from_micros(self.leg.left_us)
+        self.seen.at + Duration::from_micros(self.attempt.left_us)
     }
 
     /// By that moment an answer had shown that it never ran.
@@ -61,7 +61,7 @@
     pub name: String,
     pub taken: Vec<Taken>,
     pub by_id: HashMap<Id, usize>,
-    pub legs: Vec<Leg>,
+    pub attempts: Vec<Attempt>,
     pub closed: HashMap<u64, Duration>,
     /// Connections of clients inside the host's own process.
     pub inside: HashSet<u64>,
@@ -94,8 +94,8 @@
     pub client_closed: HashMap<u64, Duration>,
     pub client_peer: HashMap<u64, String>,
     pub client_end: Duration,
-    /// Legs as they came to nodes: when, by which host.
-    pub arrived: BTreeMap<u32, Vec<(Seen, String, pb::Leg)>>,
+    /// Attempts as they came to nodes: when, by which host.
+    pub arrived: BTreeMap<u32, Vec<(Seen, String, pb::Attempt)>>,
     pub marks: Vec<(Duration, pb::Marked)>,
     /// Spans in which a host was stopped from outside.
     pub stopped: Vec<(String, Duration, Duration)>,
@@ -184,7 +184,7 @@
             name: name.to_string(),
             ..Host::default()
         };
-        let mut leg_of = HashMap::new();
+        let mut attempt_of = HashMap::new();
         for r in records {
             let at = Duration::from_nanos(r.at_ns);
             let seen = || Seen {
@@ -213,7 +213,7 @@
                         turn: h.taken.len(),
                         finals: Vec::new(),
                         withdrawn: None,
-                        legs: Vec::new(),
+                        attempts: Vec::new(),
                     });
                 }
                 (Kind::In, Some(Body::Withdraw(w))) => {
@@ -226,29 +226,32 @@
                     t.into_iter()
                         .for_each(|t| t.finals.push((seen(), f.clone())));
                 }
-                (Kind::Out, Some(Body::Leg(l))) => {
-                    leg_of.insert(l.leg, h.legs.len());
+                (Kind::Out, Some(Body::Attempt(l))) => {
+                    attempt_of.insert(l.attempt, h.attempts.len());
                     let t = h.by_id.get(&l.id).map(|i| &mut h.taken[*i]);
-                    t.into_iter().for_each(|t| t.legs.push(h.legs.len()));
-                    let (conn, leg) = (r.conn, l.clone());
-                    h.legs.push(Leg {
+                    t.into_iter()
+                        .for_each(|t| t.attempts.push(h.attempts.len()));
+                    let (conn, attempt) = (r.conn, l.clone());
+                    h.attempts.push(Attempt {
                         seen: seen(),
                         conn,
-                        leg,
+                        attempt,
                         answer: None,
                         cancelled: None,
                     });
                 }
-                (Kind::Out, Some(Body::CancelLeg(c))) => {
-                    let leg = leg_of.get(&c.leg).map(|i: &usize| &mut h.legs[*i]);
-                    leg.into_iter().for_each(|l| l.cancelled = Some(at));
+                (Kind::Out, Some(Body::CancelAttempt(c))) => {
+                    let attempt = attempt_of
+                        .get(&c.attempt)
+                        .map(|i: &usize| &mut h.attempts[*i]);
+                    attempt.into_iter().for_each(|l| l.cancelled = Some(at));
                 }
-                (Kind::In, Some(Body::LegAnswer(a))) => {
-                    let leg = leg_of
-                        .get(&a.leg)
-                        .map(|i| &mut h.legs[*i])
+                (Kind::In, Some(Body::AttemptResponse(a))) => {
+                    let attempt = attempt_of
+                        .get(&a.attempt)
+                        .map(|i| &mut h.attempts[*i])
                         .filter(|l| l.conn == r.conn);
-                    if let Some(l) = leg.filter(|l| l.answer.is_none()) {
+                    if let Some(l) = attempt.filter(|l| l.answer.is_none()) {
                         l.answer = Some((seen(), a.clone()));
                     }
                 }
@@ -267,7 +270,7 @@
             match (r.kind(), r.frame.as_ref().and_then(|f| f.body.as_ref())) {
                 (Kind::Opened, _) => drop(peers.insert(r.conn, r.peer.clone())),
                 (Kind::Mark, _) => self.marks.extend(r.mark.clone().map(|m| (at, m))),
-                (Kind::In, Some(Body::Leg(l))) => {
+                (Kind::In, Some(Body::Attempt(l))) => {
                     let seen = Seen {
                         at,
                         show: show("nodes", r),
--- a/crates/audit/tests/doctored.rs
+++ b/crates/audit/tests/doctored.rs
@@ -159,11 +159,11 @@
         self.put(CLIENT, at, Kind::In, Body::Final(f));
     }
 
-    /// A leg to a node; its number is the moment.
-    fn leg(&mut self, at: u64, n: u8, node: u32, number: u32) {
+    /// An attempt to a node; its number is the moment.
+    fn attempt(&mut self, at: u64, n: u8, node: u32, number: u32) {
         let (units, left_us) = (2.0, 1_000_000);
-        let leg = pb::Leg {
-            leg: at,
+        let attempt = pb::Attempt {
+            attempt: at,
             id: id(n),
             number,
             node,
@@ -172,17 +172,17 @@
             left_us,
             ..Default::default()
         };
-        self.put(HOST, at, Kind::Out, Body::Leg(leg.clone()));
-        self.put(NODE, at, Kind::In, Body::Leg(leg));
+        self.put(HOST, at, Kind::Out, Body::Attempt(attempt.clone()));
+        self.put(NODE, at, Kind::In, Body::Attempt(attempt));
     }
 
-    fn back(&mut self, at: u64, leg: u64, result: pb::Result) {
-        let a = pb::LegAnswer {
-            leg,
+    fn back(&mut self, at: u64, attempt: u64, result: pb::Result) {
+        let a = pb::AttemptResponse {
+            attempt,
             result: result.into(),
             ..Default::default()
         };
-        self.put(HOST, at, Kind::In, Body::LegAnswer(a));
+        self.put(HOST, at, Kind::In, Body::AttemptResponse(a));
     }
 
     fn judge(mut self) -> Verdict {
@@ -246,10 +246,10 @@
 }
 
 #[test]
-fn a_leg_after_the_answer() {
+fn a_attempt_after_the_answer() {
     both(1, |t, after| {
         t.take(10, 1, READ);
-        t.leg(if after { 25 } else { 15 }, 1, 1, 0);
+        t.attempt(if after { 25 } else { 15 }, 1, 1, 0);
         t.answer(20, 1, Abandoned);
     });
 }
@@ -281,34 +281,34 @@
 fn repeats_beyond_what_the_stream_type_allows() {
     both(2, |t, ran| {
         t.take(10, 1, ONCE);
-        t.leg(20, 1, 1, 0);
+        t.attempt(20, 1, 1, 0);
         t.back(30, 20, if ran { Error } else { Full });
-        t.leg(40, 1, 1, 1);
+        t.attempt(40, 1, 1, 1);
         t.back(50, 40, Ok);
         t.answer(51, 1, Done);
     });
     both(2, |t, outside| {
         t.take(10, 1, KEYED);
-        t.leg(20, 1, 1, 0);
+        t.attempt(20, 1, 1, 0);
         t.back(30, 20, Error);
-        t.leg(40, 1, if outside { 2 } else { 1 }, 1);
+        t.attempt(40, 1, if outside { 2 } else { 1 }, 1);
         t.answer(50, 1, Abandoned);
     });
     both(2, |t, forgotten| {
         t.take(10, 1, KEYED);
-        t.leg(20, 1, 1, 0);
+        t.attempt(20, 1, 1, 0);
         t.back(30, 20, Error);
-        t.leg(if forgotten { 1021 } else { 1019 }, 1, 1, 1);
+        t.attempt(if forgotten { 1021 } else { 1019 }, 1, 1, 1);
         t.answer(1030, 1, Abandoned);
     });
     // No answer is no proof either.
     both(2, |t, silent| {
         t.take(10, 1, ONCE);
-        t.leg(20, 1, 1, 0);
+        t.attempt(20, 1, 1, 0);
         if !silent {
             t.back(30, 20, Full);
         }
-        t.leg(40, 1, 1, 1);
+        t.attempt(40, 1, 1, 1);
         t.answer(50, 1, Abandoned);
     });
 }
@@ -317,7 +317,7 @@
 fn a_deferral_where_trying_again_may_do_harm() {
     both(2, |t, deferred| {
         t.take(10, 1, ONCE);
-        t.leg(20, 1, 1, 0);
+        t.attempt(20, 1, 1, 0);
         t.answer(30, 1, if deferred { Deferred } else { Abandoned });
     });
 }
@@ -326,7 +326,7 @@
 fn an_effect_of_an_unrepeatable_piece_twice() {
     both(2, |t, twice| {
         t.take(10, 1, ONCE);
-        t.leg(20, 1, 1, 0);
+        t.attempt(20, 1, 1, 0);
         t.back(30, 20, Ok);
         t.answer(31, 1, Done);
         for at in if twice { vec![25, 26] } else { vec![25] } {
@@ -347,12 +347,12 @@
 }
 
 #[test]
-fn a_leg_to_a_draining_node_after_the_grace() {
+fn a_attempt_to_a_draining_node_after_the_grace() {
     for state in [pb::NodeState::Draining, pb::NodeState::Gone] {
         both(3, |t, late| {
             t.list(100, state, 1);
             t.take(110, 1, READ);
-            t.leg(if late { 601 } else { 600 }, 1, 1, 0);
+            t.attempt(if late { 601 } else { 600 }, 1, 1, 0);
             t.answer(700, 1, Deferred);
         });
     }
@@ -366,7 +366,7 @@
         t.list(100, pb::NodeState::Ready, 2);
         for n in 0..if much { 7 } else { 5 } {
             t.take(110 + u64::from(n), n, READ);
-            t.leg(130 + u64::from(n), n, 1, 0);
+            t.attempt(130 + u64::from(n), n, 1, 0);
             t.answer(200, n, Deferred);
         }
     });
@@ -376,7 +376,7 @@
             t.list(100, pb::NodeState::Ready, 2);
         }
         t.take(110, 1, READ);
-        t.leg(120, 1, 1, 0);
+        t.attempt(120, 1, 1, 0);
         t.mark(130, What::Fell);
         t.answer(200, 1, Deferred);
     });
@@ -387,17 +387,17 @@
     both(5, |t, early| {
         t.take(10, 1, ROW);
         t.take(11, 2, ROW);
-        t.leg(20, 1, 1, 0);
+        t.attempt(20, 1, 1, 0);
         t.back(40, 20, Ok);
         t.answer(40, 1, Done);
-        t.leg(if early { 39 } else { 41 }, 2, 1, 0);
+        t.attempt(if early { 39 } else { 41 }, 2, 1, 0);
         t.answer(60, 2, Done);
     });
     // The first was never sent, and is deferred long after.
     both(5, |t, early| {
         t.take(10, 1, ROW);
         t.take(11, 2, ROW);
-        t.leg(if early { 20 } else { 90 }, 2, 1, 0);
+        t.attempt(if early { 20 } else { 90 }, 2, 1, 0);
         t.answer(91, 1, Deferred);
         t.answer(92, 2, Deferred);
     });
@@ -405,23 +405,23 @@
     both(5, |t, unrested| {
         t.take(10, 1, ROW);
         t.take(11, 2, ROW);
-        t.leg(20, 1, 1, 0);
+        t.attempt(20, 1, 1, 0);
         t.answer(1021, 1, Deferred);
-        t.leg(if unrested { 1219 } else { 1221 }, 2, 1, 0);
+        t.attempt(if unrested { 1219 } else { 1221 }, 2, 1, 0);
         t.answer(1300, 2, Deferred);
     });
 }
 
 #[test]
-fn further_legs_beyond_the_budget() {
+fn further_attempts_beyond_the_budget() {
     // Four taken: two free and a quarter of four make three.
     both(6, |t, more| {
         for n in 0..4 {
             t.take(10 + u64::from(n), n, READ);
-            t.leg(100 + u64::from(n), n, 1, 0);
+            t.attempt(100 + u64::from(n), n, 1, 0);
         }
         for n in 0..if more { 4 } else { 3 } {
-            t.leg(200 + u64::from(n), n, 1, 1);
+            t.attempt(200 + u64::from(n), n, 1, 1);
         }
         (0..4).for_each(|n| t.answer(300, n, Deferred));
     });
@@ -433,7 +433,7 @@
     both(7, |t, more| {
         for n in 0..if more { 13 } else { 12 } {
             t.take(10, n, READ);
-            t.leg(20, n, 1 + u32::from(n) % 2, 0);
+            t.attempt(20, n, 1 + u32::from(n) % 2, 0);
             t.answer(30, n, Deferred);
         }
     });
--- a/crates/audit/tests/plans.rs
+++ b/crates/audit/tests/plans.rs
@@ -41,7 +41,7 @@
 struct Traces {
     state: Vec<Record>,
     hosts: [Vec<Record>; 2],
-    legs: u64,
+    attempts: u64,
 }
 
 impl Traces {
@@ -50,7 +50,7 @@
         let mut t = Traces {
             state: process(pb::Role::State, "state"),
             hosts,
-            legs: 0,
+            attempts: 0,
         };
         t.told(1, 0, 1, 1, &[plan(10.0, 4.0, 20.0), volume(&["h", "i"])]);
         t.told(1, 1, 1, 1, &[plan(10.0, 4.0, 20.0), volume(&["h", "i"])]);
@@ -114,10 +114,10 @@
         self.state.push(Self::record(at, Kind::In, 9, gone));
     }
 
-    /// A host's first leg of a request of that many units crosses.
-    fn leg(&mut self, at: u64, host: usize, units: f64) {
-        self.legs += 1;
-        let id = Bytes::from(format!("{:036}", self.legs));
+    /// A host's first attempt of a request of that many units crosses.
+    fn attempt(&mut self, at: u64, host: usize, units: f64) {
+        self.attempts += 1;
+        let id = Bytes::from(format!("{:036}", self.attempts));
         let take = pb::Take {
             id: id.clone(),
             volume: 5,
@@ -125,8 +125,8 @@
             left_us: 2_000_000,
             ..Default::default()
         };
-        let leg = pb::Leg {
-            leg: self.legs,
+        let attempt = pb::Attempt {
+            attempt: self.attempts,
             id: id.clone(),
             node: 1,
             volume: 5,
@@ -141,7 +141,7 @@
         };
         let records = &mut self.hosts[host];
         records.push(Self::record(at, Kind::In, 1, Body::Take(take)));
-        records.push(Self::record(at, Kind::Out, 3, Body::Leg(leg)));
+        records.push(Self::record(at, Kind::Out, 3, Body::Attempt(attempt)));
         records.push(Self::record(at + 1, Kind::Out, 1, Body::Final(done)));
     }
 
@@ -191,8 +191,8 @@
 /// Both hosts send at that rate each, second by second.
 fn stream(t: &mut Traces, from: u64, to: u64, each: f64) {
     for at in (from..to).step_by(500) {
-        t.leg(at, 0, each / 2.0);
-        t.leg(at + 10, 1, each / 2.0);
+        t.attempt(at, 0, each / 2.0);
+        t.attempt(at + 10, 1, each / 2.0);
     }
 }
 
@@ -244,7 +244,7 @@
     let mut bad = Traces {
         state: t.state.clone(),
         hosts: t.hosts.clone(),
-        legs: t.legs,
+        attempts: t.attempts,
     };
     let v = t.judge();
     // The hosts had not said that they have entry 2 when it was called settled.
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -112,11 +112,11 @@
             let Some((id, node)) = out.pop_front() else {
                 break;
             };
-            events.push(Event::LegOver {
+            events.push(Event::AttemptEnded {
                 id,
-                leg: 0,
+                attempt: 0,
                 node,
-                end: LegEnd::Done,
+                end: AttemptOutcome::Done,
                 elapsed: ms(1),
                 over: true,
                 reported: None,
@@ -215,9 +215,9 @@
         // Only connections with something to write are looked at, as a bell wakes their writers.
         for conn in std::mem::take(&mut *rung.lock().expect("one thread")) {
             let outbox = &boxes[&conn];
-            let legs = outbox.pull(|| now, usize::MAX).frames.into_iter();
-            out.extend(legs.filter_map(|f| match f.body {
-                Some(Body::Leg(l)) => Some((conn, l.leg)),
+            let attempts = outbox.pull(|| now, usize::MAX).frames.into_iter();
+            out.extend(attempts.filter_map(|f| match f.body {
+                Some(Body::Attempt(l)) => Some((conn, l.attempt)),
                 _ => None,
             }));
             outbox.wrote();
@@ -228,17 +228,17 @@
         now += Duration::from_micros(50) * batch as u32;
         inputs = Vec::new();
         for _ in 0..batch {
-            let Some((conn, leg)) = out.pop_front() else {
+            let Some((conn, attempt)) = out.pop_front() else {
                 break;
             };
-            let a = pb::LegAnswer {
-                leg,
+            let a = pb::AttemptResponse {
+                attempt,
                 result: pb::Result::Ok.into(),
                 ..Default::default()
             };
             let frames = vec![pb::Frame {
                 sent_us: 0,
-                body: Some(Body::LegAnswer(a)),
+                body: Some(Body::AttemptResponse(a)),
             }];
             inputs.push(Input::NodeFrames {
                 conn,
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -248,7 +248,7 @@
     Ok(all)
 }
 
-/// One piece of work, as a client's request or straight as a leg.
+/// One piece of work, as a client's request or straight as an attempt.
 #[derive(Clone, Copy)]
 struct Work {
     number: u64,
@@ -295,10 +295,10 @@
         })
     }
 
-    fn leg(&self) -> Body {
+    fn attempt(&self) -> Body {
         let id = Bytes::from(format!("{:036}", self.number));
-        Body::Leg(pb::Leg {
-            leg: self.number,
+        Body::Attempt(pb::Attempt {
+            attempt: self.number,
             piece: id.clone(),
             id,
             node: self.node,
@@ -322,7 +322,7 @@
             let number = std::str::from_utf8(&f.id).ok()?.parse().ok()?;
             Some((number, f.outcome() == Outcome::Done))
         }
-        Body::LegAnswer(a) => Some((a.leg, a.result() == pb::Result::Ok)),
+        Body::AttemptResponse(a) => Some((a.attempt, a.result() == pb::Result::Ok)),
         _ => None,
     }
 }
@@ -341,7 +341,7 @@
         if self.through_host {
             w.take()
         } else {
-            w.leg()
+            w.attempt()
         }
     }
 
@@ -529,7 +529,7 @@
                     write: true,
                     ..Work::draw(&[(*id, *at)], length, true)
                 };
-                put(&mut stream, [work.leg()])?;
+                put(&mut stream, [work.attempt()])?;
                 get(&mut stream, &mut reader)?;
             }
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -565,11 +565,11 @@
         );
         b.frames.iter().for_each(|f| println!("    {f}"));
     }
-    info!(dir = %dir.display(), legs = v.legs, effects = v.effects, "audited");
+    info!(dir = %dir.display(), attempts = v.attempts, effects = v.effects, "audited");
     println!(
         "audit: {} legs, {} effects, {} transfers lost with their host; last new leg {:.0} ms after a drain \
          was told",
-        v.legs, v.effects, v.lost, v.drain_ms
+        v.attempts, v.effects, v.lost, v.drain_ms
     );
     if !v.settled.is_empty() {
         let mut took: Vec<Duration> = v.settled.iter().map(|s| s.1).collect();
--- a/crates/cli/tests/ends.rs
+++ b/crates/cli/tests/ends.rs
@@ -73,9 +73,9 @@
 
 // Clients
 
-/// The node takes so little that a part of the leg stays with the host.
+/// The node takes so little that a part of the attempt stays with the host.
 #[test]
-fn a_leg_written_in_part_never_comes_whole_after_its_client_left() {
+fn a_attempt_written_in_part_never_comes_whole_after_its_client_left() {
     let (node, _list, live) = one_narrow();
     let mut client = live.connect();
     send(&mut client, &large("t"));
@@ -99,10 +99,10 @@
     );
 }
 
-/// A leg that has not come whole has not run: whatever is said on its connection was made for another, and it
+/// An attempt that has not come whole has not run: whatever is said on its connection was made for another, and it
 /// goes to the node anew.
 #[test]
-fn an_answer_to_a_leg_that_has_not_come_whole_is_not_its_answer() {
+fn an_answer_to_a_attempt_that_has_not_come_whole_is_not_its_answer() {
     for (said, status) in [
         ("200 OK", 200),
         ("500 No", 200),
@@ -165,24 +165,24 @@
 }
 
 #[test]
-fn the_id_of_a_client_that_left_is_not_free_while_its_leg_is_out() {
+fn the_id_of_a_client_that_left_is_not_free_while_its_attempt_is_out() {
     let (node, _list, live) = one_hand();
     let text = request("once", "same", 0, 7, 2900);
     let mut client = live.connect();
     send(&mut client, &text);
-    let mut leg = node.next();
+    let mut attempt = node.next();
     leaves(client);
     assert_eq!(live.ask(&text), Some(409));
-    leg.answers("late");
-    // Once its leg has ended it is as good as any other.
+    attempt.answers("late");
+    // Once its attempt has ended it is as good as any other.
     let mut again = live.connect();
     let until = Instant::now() + ms(10_000);
     loop {
         send(&mut again, &text);
         match node_or_answer(&node, &mut again) {
-            Ok(mut leg) => {
-                assert_eq!(id_of(&leg.text), "same");
-                leg.answers("good");
+            Ok(mut attempt) => {
+                assert_eq!(id_of(&attempt.text), "same");
+                attempt.answers("good");
                 assert_eq!(
                     answer(&mut again).map(|a| (a.0, a.2)),
                     Some((200, b"good".to_vec()))
@@ -195,7 +195,7 @@
     }
 }
 
-/// What comes first: the leg at the node, or an answer of the host's own.
+/// What comes first: the attempt at the node, or an answer of the host's own.
 fn node_or_answer(node: &Hand, client: &mut TcpStream) -> Result<Came, u16> {
     client.set_nonblocking(true).unwrap();
     let came = loop {
@@ -216,24 +216,24 @@
 /// The host stands still while the second answer and the next request come: whichever it hears first, the
 /// answer is not taken for that request's.
 #[test]
-fn a_second_answer_is_never_taken_for_the_next_legs() {
+fn a_second_answer_is_never_taken_for_the_next_attempts() {
     let (node, _list, live) = one_hand();
     let mut client = live.connect();
     for n in 0..20 {
         let (first, next) = (format!("first-{n}"), format!("next-{n}"));
         send(&mut client, &request("once", &first, 0, n, 2900));
-        let mut leg = node.next();
-        leg.answers(&first);
+        let mut attempt = node.next();
+        attempt.answers(&first);
         assert_eq!(answer(&mut client).unwrap().2, first.as_bytes());
-        let before = leg.conn;
+        let before = attempt.conn;
         live.signal("-STOP");
-        leg.answers(&first);
+        attempt.answers(&first);
         send(&mut client, &request("once", &next, 0, n, 2900));
         live.signal("-CONT");
-        let mut leg = node.next();
-        assert_ne!(leg.conn, before);
-        assert_eq!(id_of(&leg.text), next);
-        leg.answers(&next);
+        let mut attempt = node.next();
+        assert_ne!(attempt.conn, before);
+        assert_eq!(id_of(&attempt.text), next);
+        attempt.answers(&next);
         assert_eq!(answer(&mut client).unwrap().2, next.as_bytes());
     }
 }
@@ -251,13 +251,13 @@
     ] {
         let mut client = live.connect();
         send(&mut client, &request("once", "t", 0, 7, 450));
-        let mut leg = node.next();
+        let mut attempt = node.next();
         let trickle = std::thread::spawn(move || {
-            leg.says(head);
+            attempt.says(head);
             // Far longer than the request has, unless the host hangs up.
             (0..2000).any(|_| {
                 std::thread::sleep(ms(10));
-                leg.stream.write_all(b"x").is_err()
+                attempt.stream.write_all(b"x").is_err()
             })
         });
         assert_eq!(answer(&mut client).map(|a| a.0), Some(502), "{head}");
@@ -631,10 +631,10 @@
         .map(|n| request("read", &format!("t{n}"), 0, 7 + n, 2900))
         .collect();
     send(&mut client, &all.concat());
-    let mut leg = node.next();
+    let mut attempt = node.next();
     // From when idle connections are closed, answers end theirs.
     assert_eq!(idle.read(&mut [0; 8]).unwrap_or(0), 0);
-    leg.answers("good");
+    attempt.answers("good");
     std::thread::spawn(move || while node.answer_next() {});
     for n in 0..3 {
         let (_, head, _) = answer(&mut client).expect("each is answered");
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -67,7 +67,7 @@
     c.keep_the_rules();
     let came = c.came(|uid| names.iter().any(|n| n == uid), back..well);
     assert!(came > 0, "nobody came back to the zone");
-    // One connection for a leg that is out at a time, and no more than the legs that were sent need.
+    // One connection for an attempt that is out at a time, and no more than the attempts that were sent need.
     assert!(
         dials <= came + 2 * HOSTS * zone.len(),
         "{dials} dials for {came} legs"
--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -303,7 +303,7 @@
     heard: mpsc::Receiver<Heard>,
     lines: BTreeMap<u64, Line>,
     kept: BTreeMap<(u64, u64), (Vec<u8>, Versions)>,
-    held: Vec<pb::Leg>,
+    held: Vec<pb::Attempt>,
 }
 
 const KEPT_BACK: u8 = 0xee;
@@ -353,17 +353,17 @@
                 Ok(Heard::Gone { conn, .. }) => drop(self.lines.remove(&conn)),
                 Ok(Heard::Frame {
                     conn,
-                    body: Body::Leg(leg),
+                    body: Body::Attempt(attempt),
                     ..
                 }) => {
-                    if leg.data.first() == Some(&KEPT_BACK) {
-                        self.held.push(leg);
+                    if attempt.data.first() == Some(&KEPT_BACK) {
+                        self.held.push(attempt);
                         continue;
                     }
-                    let (data, superseded) = self.carry_out(&leg);
+                    let (data, superseded) = self.carry_out(&attempt);
                     let result = pb::Result::Ok.into();
-                    let answer = pb::LegAnswer {
-                        leg: leg.leg,
+                    let answer = pb::AttemptResponse {
+                        attempt: attempt.attempt,
                         result,
                         data,
                         superseded,
@@ -372,7 +372,7 @@
                     self.lines
                         .get(&conn)
                         .into_iter()
-                        .for_each(|l| l.put(Body::LegAnswer(answer.clone())));
+                        .for_each(|l| l.put(Body::AttemptResponse(answer.clone())));
                 }
                 Ok(_) => {}
                 Err(_) => return,
@@ -380,22 +380,26 @@
         }
     }
 
-    fn carry_out(&mut self, leg: &pb::Leg) -> (Bytes, Option<u64>) {
-        let (bytes, versions) = self.kept.entry((leg.volume, leg.extent)).or_default();
+    fn carry_out(&mut self, attempt: &pb::Attempt) -> (Bytes, Option<u64>) {
+        let (bytes, versions) = self
+            .kept
+            .entry((attempt.volume, attempt.extent))
+            .or_default();
         let (at, end) = (
-            leg.offset.unwrap_or(0),
-            leg.offset.unwrap_or(0) + leg.length,
+            attempt.offset.unwrap_or(0),
+            attempt.offset.unwrap_or(0) + attempt.length,
         );
         bytes.resize(bytes.len().max(end as usize), 0);
-        if !leg.write {
+        if !attempt.write {
             return (
                 Bytes::copy_from_slice(&bytes[at as usize..end as usize]),
                 None,
             );
         }
-        let (parts, newer) = versions.write(at, end, leg.version.expect("a write has a version"));
+        let (parts, newer) =
+            versions.write(at, end, attempt.version.expect("a write has a version"));
         for (from, to) in parts {
-            let data = &leg.data[(from - at) as usize..(to - at) as usize];
+            let data = &attempt.data[(from - at) as usize..(to - at) as usize];
             bytes[from as usize..to as usize].copy_from_slice(data);
         }
         (Bytes::new(), newer)
@@ -413,10 +417,10 @@
     }
 }
 
-/// Exactly one leg is delayed: its command was aborted, or its host killed, and newer writes of the same
+/// Exactly one attempt is delayed: its command was aborted, or its host killed, and newer writes of the same
 /// blocks were acknowledged since. Then it runs.
 #[test]
-fn a_leg_that_runs_late_never_overwrites_a_newer_acknowledged_write() {
+fn a_attempt_that_runs_late_never_overwrites_a_newer_acknowledged_write() {
     let site = Site::with("late", false);
     let mut node = SlowNode::new(&site.list.1);
     let host = site.host();
@@ -447,7 +451,7 @@
         assert!(read(&mut i, 0, 8, 2) == block(2), "the late write shows");
         i
     });
-    // The host is killed with the leg at the node; its next start knows nothing of it.
+    // The host is killed with the attempt at the node; its next start knows nothing of it.
     i.submit(0, &cdb16(0x8a, 8, 2), &block(KEPT_BACK), 0)
         .unwrap();
     i.flush().unwrap();
--- a/crates/cli/tests/peers.rs
+++ b/crates/cli/tests/peers.rs
@@ -248,16 +248,16 @@
     /// When units came to the nodes, from whichever host.
     fn came(&self) -> Vec<(f64, f64)> {
         let records = read_file(&self.folder.join("nodes.trace")).unwrap();
-        let legs = records
+        let attempts = records
             .iter()
             .filter(|r| r.kind() == Kind::In)
             .filter_map(|r| {
-                let Some(Body::Leg(l)) = r.frame.as_ref().and_then(|f| f.body.as_ref()) else {
+                let Some(Body::Attempt(l)) = r.frame.as_ref().and_then(|f| f.body.as_ref()) else {
                     return None;
                 };
                 Some((r.at_ns as f64 / 1e9, l.units))
             });
-        let mut all: Vec<(f64, f64)> = legs.collect();
+        let mut all: Vec<(f64, f64)> = attempts.collect();
         all.sort_by(|a, b| a.0.total_cmp(&b.0));
         all
     }
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -54,7 +54,7 @@
 /// What never ran may be tried again or deferred, whatever the stream type; what may have run, never for one
 /// that is unrepeatable.
 #[test]
-fn only_what_proves_that_a_leg_never_ran_lets_an_unrepeatable_request_be_sent_again() {
+fn only_what_proves_that_a_attempt_never_ran_lets_an_unrepeatable_request_be_sent_again() {
     let stalled = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood";
     let huge = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood";
     let both = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\ngood";
@@ -84,11 +84,11 @@
         ("both lengths", says(both), &[502], 1),
         ("no length", says("HTTP/1.1 200 OK\r\n\r\ngood"), &[502], 1),
     ];
-    for (what, does, wanted, legs) in cases {
+    for (what, does, wanted, attempts) in cases {
         let (node, _list, live) = one_node(move |n| if n == 0 { does.clone() } else { says(GOOD) });
         let status = live.ask(&request("once", "t", 0, 7, 2500)).expect(what);
         assert!(wanted.contains(&status), "{what}: {status}");
-        assert_eq!(seen(&node).len(), legs, "{what}");
+        assert_eq!(seen(&node).len(), attempts, "{what}");
         // The host is of use still.
         assert_eq!(
             live.ask(&request("once", "u", 0, 8, 2500)),
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -947,9 +947,9 @@
     /// Nodes that fell over under the sum of all hosts.
     pub fell: Vec<String>,
     pub crashed: Vec<usize>,
-    /// The most that any host was over its budget of further legs, in any window.
+    /// The most that any host was over its budget of retries, in any window.
     pub over_budget: f64,
-    pub legs: usize,
+    pub attempts: usize,
     pub log: String,
     answers: Vec<Asked>,
     /// All hosts' whole exchanges, by node and time.
@@ -980,19 +980,19 @@
             }
         }
         c.crossed.sort_by_key(|(_, s)| s.at);
-        c.legs = c.crossed.len();
+        c.attempts = c.crossed.len();
         let mut by_id: BTreeMap<&str, Vec<&Seen>> = BTreeMap::new();
         for (_, s) in &c.crossed {
             by_id.entry(&s.id).or_default().push(s);
         }
         for a in asked {
-            let legs = by_id.get(a.id.as_str()).cloned().unwrap_or_default();
-            let ran = legs.iter().filter(|s| s.ran).count();
+            let attempts = by_id.get(a.id.as_str()).cloned().unwrap_or_default();
+            let ran = attempts.iter().filter(|s| s.ran).count();
             match a.told {
                 Told::Is(200) => c.done += 1,
                 Told::Is(429 | 503) => c.deferred += 1,
                 Told::Is(_) => c.abandoned += 1,
-                Told::Nobody if legs.is_empty() => {}
+                Told::Nobody if attempts.is_empty() => {}
                 Told::Nothing | Told::Nobody => {
                     // A connection's end is seen a little later than it happened.
                     let kills = lock(&hosts[a.host].kills).clone();
@@ -1102,7 +1102,7 @@
     }
 }
 
-/// When each host made legs beyond a request's first.
+/// When each host made attempts beyond a request's first.
 fn by_id_times(crossed: &[(String, Seen)]) -> BTreeMap<usize, Vec<Instant>> {
     let (mut seen, mut further) = (BTreeSet::new(), BTreeMap::<usize, Vec<Instant>>::new());
     for (_, s) in crossed {
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -19,7 +19,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// After so long counts of a node's answers are halved: a host that sends there seldom has one leg to tell of.
+/// After so long counts of a node's answers are halved: a host that sends there seldom has one attempt to tell of.
 const HALF: Duration = Duration::from_secs(2);
 /// How fast what is asked for follows what comes, a round; and what is asked for beyond it, so that a
 /// volume's growth does not wait for every loan.
@@ -46,7 +46,7 @@
     },
     /// The nodes of the list that are to be used, with the starts of their processes.
     Nodes(BTreeMap<u32, u64>),
-    /// A leg to a node ended in a way that says something of it.
+    /// An attempt to a node ended in a way that says something of it.
     Tried {
         node: u32,
         bad: bool,
@@ -100,7 +100,7 @@
     told: Option<(u32, u32)>,
 }
 
-/// Legs of late. Each answer halves what was counted of the other kind: of a node that has turned, what was
+/// Attempts of late. Each answer halves what was counted of the other kind: of a node that has turned, what was
 /// before says little, and of one that answers now so and now so both counts stay.
 #[derive(Debug, Default, Clone, Copy)]
 struct Tries {
--- a/crates/fleet/src/judgement.rs
+++ b/crates/fleet/src/judgement.rs
@@ -36,11 +36,11 @@
 pub const LOOK: Duration = Duration::from_secs(1);
 pub const LOOKERS: f64 = 2.0;
 pub const LAPSE: Duration = Duration::from_secs(5);
-/// Legs that one host's evidence weighs at most: a busy host is still one side.
+/// Attempts that one host's evidence weighs at most: a busy host is still one side.
 const MOST_WEIGHT: f64 = 8.0;
 /// Of all nodes that are tried, as a panic threshold.
 const TOO_MUCH: f64 = 0.5;
-/// Legs of its own in a row of bad ones, below which a host says nothing of its own way.
+/// Attempts of its own in a row of bad ones, below which a host says nothing of its own way.
 const LEAST_OWN: u32 = 2;
 
 /// Whether a sight speaks against its node; a node that is merely slow or full answers.
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -44,7 +44,7 @@
     pub count: u64,
 }
 
-/// How a node answered one host of late. Legs of the last seconds.
+/// How a node answered one host of late. Attempts of the last seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Sight {
     pub node: u32,
--- a/crates/fleet/tests/worlds.rs
+++ b/crates/fleet/tests/worlds.rs
@@ -44,8 +44,8 @@
     rng: Pcg64Mcg,
     hosts: Vec<Host>,
     nodes: BTreeMap<u32, u64>,
-    /// Legs a second of each host.
-    legs: f64,
+    /// Attempts a second of each host.
+    attempts: f64,
     way: BTreeMap<(Duration, u64), (usize, HostNo, Vec<u8>)>,
     sent: u64,
     bytes: u64,
@@ -57,14 +57,14 @@
 }
 
 impl World {
-    fn new(hosts: usize, nodes: u32, legs: f64, shared: bool, seed: u64) -> World {
+    fn new(hosts: usize, nodes: u32, attempts: f64, shared: bool, seed: u64) -> World {
         let nodes: BTreeMap<u32, u64> = (0..nodes).map(|n| (n, 1)).collect();
         let mut w = World {
             now: ms(5000),
             rng: Pcg64Mcg::seed_from_u64(seed),
             hosts: Vec::new(),
             nodes,
-            legs,
+            attempts,
             way: BTreeMap::new(),
             sent: 0,
             bytes: 0,
@@ -133,9 +133,10 @@
                 waited: ms(0),
                 bytes,
             }));
-            let legs = self.legs * TICK.as_secs_f64();
-            let legs = legs as usize + usize::from(self.rng.random::<f64>() < legs.fract());
-            for _ in 0..legs {
+            let attempts = self.attempts * TICK.as_secs_f64();
+            let attempts =
+                attempts as usize + usize::from(self.rng.random::<f64>() < attempts.fract());
+            for _ in 0..attempts {
                 let node = self.rng.random_range(0..self.nodes.len() as u32);
                 if !self.hosts[h].avoids.contains(&node) {
                     let bad = self.dead.contains(&node) || self.unreached.contains(&(h, node));
--- a/crates/host/src/desk.rs
+++ b/crates/host/src/desk.rs
@@ -1,14 +1,14 @@
-//! One host's requests, legs and connections, between the sockets and the decisions.
+//! One host's requests, attempts and connections, between the sockets and the decisions.
 //!
 //! Called by the owner's loop: `step(now, inputs)` for every batch of what happened, which answers what the
 //! sockets are to do beyond what already lies in the outboxes; [`Desk::wake_at`] says when it must be called
 //! again. It has no socket and no clock. Every event and action of `grebecleat::interface` is carried here:
 //!
-//! - a request is answered once: by its first leg that is done, else by the decisions, else by nobody (its
+//! - a request is answered once: by its first attempt that is done, else by the decisions, else by nobody (its
 //!   client is gone); what comes later is counted as stray and dropped;
-//! - a leg ends once, by the first of: its node's answer, its time, a reset, a cancel, or being taken back
+//! - an attempt ends once, by the first of: its node's answer, its time, a reset, a cancel, or being taken back
 //!   from an outbox, which alone is told as "never ran";
-//! - what the list says of a node, or an operator's wish to have it empty, takes back every leg to it that
+//! - what the list says of a node, or an operator's wish to have it empty, takes back every attempt to it that
 //!   has not crossed. The decisions are told of a node that somebody wants empty as the list would tell of
 //!   one that drains.
 //!
@@ -19,7 +19,7 @@
 use crate::figures::{self, Service};
 use crate::following::{Following, Out, Standing};
 use crate::listing::Listing;
-use crate::outbox::{LegNo, Outbox};
+use crate::outbox::{AttemptId, Outbox};
 use crate::pool::{Pool, Present, Step, MOST_LATE};
 use crate::renewal::{self, Renewal};
 use crate::sharing::Sharing;
@@ -49,12 +49,12 @@
 const LINES_A_PEER: u32 = 3;
 /// Ends of loans that are looked at one by one after a stand-still.
 const LAPSES: usize = 256;
-/// An answer's connection, where it carries one exchange at a time, rests so long before the next leg: an
-/// answer that came twice is some milliseconds late, and would be taken for that leg's. Harm: where all
-/// connections to a node have just answered, a leg waits, or one more is dialled.
+/// An answer's connection, where it carries one exchange at a time, rests so long before the next attempt: an
+/// answer that came twice is some milliseconds late, and would be taken for that attempt's. Harm: where all
+/// connections to a node have just answered, an attempt waits, or one more is dialled.
 const QUIET: Duration = Duration::from_millis(10);
 /// Of the tightest SLO time: what a handshake may take before another is begun beside it. Two of them in turn
-/// are about what the decisions let a leg be late before they doubt its node.
+/// are about what the decisions let an attempt be late before they doubt its node.
 const HANDSHAKE: f64 = 0.1;
 /// Bytes of figures that a watcher may leave unread.
 const MOST_UNREAD: usize = 4 << 20;
@@ -183,10 +183,10 @@
     pub abandoned: u64,
     pub turned_away: u64,
     pub withdrawn: u64,
-    pub legs: u64,
-    /// Legs that were decided and never crossed a socket.
+    pub attempts: u64,
+    /// Attempts that were decided and never crossed a socket.
     pub unsent: u64,
-    /// Answers to legs that were over, unknown, or another connection's.
+    /// Answers to attempts that were over, unknown, or another connection's.
     pub strays: u64,
     pub stalls: u64,
     pub steps: u64,
@@ -203,14 +203,14 @@
     expiry: Duration,
     /// It has had its final answer, or nobody waits for one.
     over: bool,
-    /// A leg of it ended without word from its node: it may still run.
+    /// An attempt of it ended without word from its node: it may still run.
     unsure: bool,
-    legs: u32,
-    out: Vec<LegNo>,
+    attempts: u32,
+    out: Vec<AttemptId>,
 }
 
 #[derive(Debug)]
-struct LegOut {
+struct OutstandingAttempt {
     id: RequestId,
     number: u32,
     node: NodeId,
@@ -233,7 +233,7 @@
 struct NodeConn {
     node: NodeId,
     outbox: Option<Arc<Outbox>>,
-    legs: BTreeSet<LegNo>,
+    attempts: BTreeSet<AttemptId>,
     dialled: Duration,
     idle_since: Duration,
     rests_until: Duration,
@@ -245,7 +245,7 @@
 struct NodePool {
     pool: Pool,
     conns: Vec<ConnId>,
-    waiting: VecDeque<LegNo>,
+    waiting: VecDeque<AttemptId>,
 }
 
 #[derive(Debug, Default)]
@@ -277,20 +277,20 @@
     requests: HashMap<RequestId, Open>,
     held_bytes: usize,
     clients: BTreeMap<ConnId, Client>,
-    legs: HashMap<LegNo, LegOut>,
-    times: BTreeSet<(Duration, LegNo)>,
+    attempts: HashMap<AttemptId, OutstandingAttempt>,
+    times: BTreeSet<(Duration, AttemptId)>,
     conns: BTreeMap<ConnId, NodeConn>,
     pools: BTreeMap<NodeId, NodePool>,
     /// Nodes whose pool may want something.
     touched: BTreeSet<NodeId>,
-    /// When a connection that rests may be used where a leg waits for it, or a dial there is late.
+    /// When a connection that rests may be used where an attempt waits for it, or a dial there is late.
     looks: BTreeSet<(Duration, NodeId)>,
     /// A dial that takes longer is late.
     handshake: Duration,
     listing: Listing,
     /// Nodes that somebody wants empty, whatever the list says.
     drained: BTreeSet<NodeId>,
-    /// Legs to each node that have no end yet; and until when what ended without a word may still run there.
+    /// Attempts to each node that have no end yet; and until when what ended without a word may still run there.
     out_at: HashMap<NodeId, u32>,
     unsure: HashMap<NodeId, Duration>,
     /// Extents by cell, where a portal has told.
@@ -354,7 +354,7 @@
                 on_asking: true,
                 ask_every: s.list.rule.ask_every,
             },
-            rules.legs.clone(),
+            rules.attempts.clone(),
             rules.key_rest,
         );
         let plans = Following::declared(s);
@@ -390,7 +390,7 @@
             requests: HashMap::new(),
             held_bytes: 0,
             clients: BTreeMap::new(),
-            legs: HashMap::new(),
+            attempts: HashMap::new(),
             times: BTreeSet::new(),
             conns: BTreeMap::new(),
             pools: BTreeMap::new(),
@@ -439,9 +439,9 @@
     }
 
     /// For a platform whose clients say with each request on what terms its volume is served, and whose
-    /// nodes take one exchange at a time on a connection. A leg that is given up there takes its connection
-    /// with it: what its node may yet answer must not be read as the next leg's, and a closed connection is
-    /// the only way to call a leg off.
+    /// nodes take one exchange at a time on a connection. An attempt that is given up there takes its connection
+    /// with it: what its node may yet answer must not be read as the next attempt's, and a closed connection is
+    /// the only way to call an attempt off.
     pub fn one_at_a_time(mut self) -> Self {
         (self.as_told, self.one_at_a_time) = (true, true);
         self
@@ -486,21 +486,22 @@
         request_id(id).is_some_and(|id| self.requests.contains_key(&id))
     }
 
-    /// The clients of the legs that wait to be written on a node's connection.
+    /// The clients of the attempts that wait to be written on a node's connection.
     pub fn clients_at(&self, conn: ConnId) -> impl Iterator<Item = ConnId> + '_ {
         let c = self
             .conns
             .get(&conn)
-            .and_then(|c| Some((c.outbox.as_ref()?, &c.legs)));
+            .and_then(|c| Some((c.outbox.as_ref()?, &c.attempts)));
         let waiting = c
             .into_iter()
-            .flat_map(|(o, legs)| legs.iter().filter(move |leg| o.is_held(**leg)));
-        waiting.filter_map(|leg| Some(self.requests.get(&self.legs.get(leg)?.id)?.client))
+            .flat_map(|(o, attempts)| attempts.iter().filter(move |attempt| o.is_held(**attempt)));
+        waiting
+            .filter_map(|attempt| Some(self.requests.get(&self.attempts.get(attempt)?.id)?.client))
     }
 
-    /// Requests open, legs out and bytes held now.
+    /// Requests open, attempts out and bytes held now.
     pub fn held(&self) -> (usize, usize, usize) {
-        (self.requests.len(), self.legs.len(), self.held_bytes)
+        (self.requests.len(), self.attempts.len(), self.held_bytes)
     }
 
     /// Whether this host has just stood still: the caller then first reads what waits in its sockets, since
@@ -517,7 +518,7 @@
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&mut self) -> Duration {
         let timer = self.timers.first().map(|t| t.0);
-        let leg = self.times.first().map(|t| t.0);
+        let attempt = self.times.first().map(|t| t.0);
         let beat = self.now
             + if self.requests.is_empty() && self.draining.is_none() {
                 IDLE_BEAT
@@ -531,7 +532,7 @@
         let renewal = self.renewal.as_ref().and_then(Renewal::wake_at);
         let wake = [
             timer,
-            leg,
+            attempt,
             look,
             self.plans.wake_at(),
             figures,
@@ -827,7 +828,7 @@
             expiry,
             over: false,
             unsure: false,
-            legs: 0,
+            attempts: 0,
             out: Vec::new(),
         };
         self.requests.insert(id, open);
@@ -1017,11 +1018,11 @@
             .conns
             .iter()
             .filter_map(|c| self.conns.get(c))
-            .flat_map(|c| c.legs.iter());
-        let legs: Vec<LegNo> = pool.waiting.iter().chain(on_conns).copied().collect();
-        for leg in legs {
-            if self.unsend(leg) {
-                self.end_leg(leg, LegEnd::Moot, self.now, None);
+            .flat_map(|c| c.attempts.iter());
+        let attempts: Vec<AttemptId> = pool.waiting.iter().chain(on_conns).copied().collect();
+        for attempt in attempts {
+            if self.unsend(attempt) {
+                self.end_attempt(attempt, AttemptOutcome::Moot, self.now, None);
             }
         }
     }
@@ -1055,8 +1056,11 @@
             _ => self.counts.abandoned += 1,
         }
         // The answer says whether an effect may still come, so what can be taken back is taken back first.
-        let (back, crossed): (Vec<LegNo>, Vec<LegNo>) =
-            x.out.clone().into_iter().partition(|leg| self.unsend(*leg));
+        let (back, crossed): (Vec<AttemptId>, Vec<AttemptId>) = x
+            .out
+            .clone()
+            .into_iter()
+            .partition(|attempt| self.unsend(*attempt));
         unsure = outcome != pb::Outcome::Done && (unsure || !crossed.is_empty());
         self.answer(
             client,
@@ -1068,19 +1072,19 @@
             },
         );
         back.into_iter()
-            .for_each(|leg| self.end_leg(leg, LegEnd::Moot, self.now, None));
+            .for_each(|attempt| self.end_attempt(attempt, AttemptOutcome::Moot, self.now, None));
         self.settle(id);
     }
 
-    /// After a request is over: legs of it that have not crossed never do, and its record goes with the
+    /// After a request is over: attempts of it that have not crossed never do, and its record goes with the
     /// last.
     fn settle(&mut self, id: RequestId) {
         let Some(x) = self.requests.get(&id).filter(|x| x.over) else {
             return;
         };
-        for leg in x.out.clone() {
-            if self.unsend(leg) {
-                self.end_leg(leg, LegEnd::Moot, self.now, None);
+        for attempt in x.out.clone() {
+            if self.unsend(attempt) {
+                self.end_attempt(attempt, AttemptOutcome::Moot, self.now, None);
             }
         }
         if self.requests.get(&id).is_some_and(|x| x.out.is_empty()) {
@@ -1134,20 +1138,20 @@
         self.out.push(Output::Note { text });
     }
 
-    // Legs
+    // Attempts
 
     fn send(&mut self, id: RequestId, node: NodeId, until: Duration) {
-        let (leg, now) = (LegNo(self.number()), self.now);
-        self.counts.legs += 1;
+        let (attempt, now) = (AttemptId(self.number()), self.now);
+        self.counts.attempts += 1;
         let Some(x) = self.requests.get_mut(&id) else {
             return;
         };
-        let number = x.legs;
-        x.legs += 1;
-        x.out.push(leg);
-        self.legs.insert(
-            leg,
-            LegOut {
+        let number = x.attempts;
+        x.attempts += 1;
+        x.out.push(attempt);
+        self.attempts.insert(
+            attempt,
+            OutstandingAttempt {
                 id,
                 number,
                 node,
@@ -1159,15 +1163,15 @@
         );
         *self.out_at.entry(node).or_default() += 1;
         if x.over {
-            return self.end_leg(leg, LegEnd::Moot, now, None);
+            return self.end_attempt(attempt, AttemptOutcome::Moot, now, None);
         }
         let listed = self.listing.nodes.get(&node).map(|k| k.state);
         if listed.is_none_or(|listed| self.state_of(node, listed) != NodeState::Ready) {
-            return self.end_leg(leg, LegEnd::Moot, now, None);
+            return self.end_attempt(attempt, AttemptOutcome::Moot, now, None);
         }
-        self.times.insert((until, leg));
+        self.times.insert((until, attempt));
         let (per, most) = (
-            self.bounds().legs_per_connection,
+            self.bounds().attempts_per_connection,
             self.bounds().connections_per_node,
         );
         let seed = self.seed ^ u64::from(node.0);
@@ -1179,41 +1183,50 @@
                 waiting: VecDeque::new(),
             }
         });
-        pool.waiting.push_back(leg);
+        pool.waiting.push_back(attempt);
         self.serve(node);
-        if self.one_at_a_time && self.legs.get(&leg).is_some_and(|l| l.conn.is_none()) {
+        if self.one_at_a_time
+            && self
+                .attempts
+                .get(&attempt)
+                .is_some_and(|l| l.conn.is_none())
+        {
             // Until as many dials as may be made at a time have had theirs, it is the dial and not the node.
             let at = now + self.handshake * (MOST_LATE as u32 + 1);
             self.events.push(Event::Crosses { id, node, at });
         }
     }
 
-    /// Gives waiting legs of a node to connections with room, the emptiest first.
+    /// Gives waiting attempts of a node to connections with room, the emptiest first.
     fn serve(&mut self, node: NodeId) {
         self.touched.insert(node);
-        let per = self.bounds().legs_per_connection;
+        let per = self.bounds().attempts_per_connection;
         let Some(pool) = self.pools.get_mut(&node) else {
             return;
         };
-        while let Some(leg) = pool.waiting.front().copied() {
+        while let Some(attempt) = pool.waiting.front().copied() {
             let up = pool
                 .conns
                 .iter()
                 .filter_map(|c| Some((c, self.conns.get(c)?)));
-            let open = up.filter(|(_, c)| c.outbox.is_some() && !c.leaving && c.legs.len() < per);
+            let open =
+                up.filter(|(_, c)| c.outbox.is_some() && !c.leaving && c.attempts.len() < per);
             let (rested, rest): (Vec<_>, Vec<_>) =
                 open.partition(|(_, c)| c.rests_until <= self.now);
             // Of idle ones the last used: the others grow old enough to be closed.
             let emptiest = rested
                 .into_iter()
-                .min_by_key(|(_, c)| (c.legs.len(), Reverse(c.idle_since)));
+                .min_by_key(|(_, c)| (c.attempts.len(), Reverse(c.idle_since)));
             let Some(conn) = emptiest.map(|(id, _)| *id) else {
                 let soonest = rest.into_iter().map(|(_, c)| c.rests_until).min();
                 self.looks.extend(soonest.map(|at| (at, node)));
                 return;
             };
             pool.waiting.pop_front();
-            let l = self.legs.get_mut(&leg).expect("waiting legs are known");
+            let l = self
+                .attempts
+                .get_mut(&attempt)
+                .expect("waiting legs are known");
             l.conn = Some(conn);
             // What it waited for a connection is no word on what its node can do.
             if std::mem::replace(&mut l.sent, self.now) < self.now {
@@ -1225,8 +1238,8 @@
             }
             let x = &self.requests[&l.id];
             let (t, plan) = (&x.take, x.plan);
-            let message = pb::Leg {
-                leg: leg.0,
+            let message = pb::Attempt {
+                attempt: attempt.0,
                 id: t.id.clone(),
                 number: l.number,
                 node: node.0,
@@ -1247,16 +1260,22 @@
             };
             let client = self.clients.get(&x.client).map(|c| c.outbox.clone());
             let c = self.conns.get_mut(&conn).expect("found above");
-            c.legs.insert(leg);
+            c.attempts.insert(attempt);
             let outbox = c.outbox.as_ref().expect("found up");
-            outbox.put_leg_of(leg, frame(Body::Leg(message)), self.now, l.until, client);
+            outbox.put_attempt_of(
+                attempt,
+                frame(Body::Attempt(message)),
+                self.now,
+                l.until,
+                client,
+            );
         }
     }
 
-    /// Takes a leg back if it has not crossed; whether it now never will. One that is written in part takes
+    /// Takes an attempt back if it has not crossed; whether it now never will. One that is written in part takes
     /// its connection with it, or its node would have the rest whenever it reads again.
-    fn unsend(&mut self, leg: LegNo) -> bool {
-        let Some(l) = self.legs.get(&leg) else {
+    fn unsend(&mut self, attempt: AttemptId) -> bool {
+        let Some(l) = self.attempts.get(&attempt) else {
             return false;
         };
         let unsent = match l
@@ -1264,7 +1283,7 @@
             .and_then(|c| self.conns.get(&c))
             .and_then(|c| c.outbox.as_ref())
         {
-            Some(outbox) if outbox.revoke(leg) => true,
+            Some(outbox) if outbox.revoke(attempt) => true,
             Some(outbox) if self.one_at_a_time && outbox.is_writing() => {
                 outbox.close();
                 true
@@ -1276,14 +1295,23 @@
         unsent
     }
 
-    /// The one place where a leg ends, and the decisions are told how.
-    fn end_leg(&mut self, leg: LegNo, end: LegEnd, at: Duration, answer: Option<pb::LegAnswer>) {
-        let Some(l) = self.legs.remove(&leg) else {
+    /// The one place where an attempt ends, and the decisions are told how.
+    fn end_attempt(
+        &mut self,
+        attempt: AttemptId,
+        end: AttemptOutcome,
+        at: Duration,
+        answer: Option<pb::AttemptResponse>,
+    ) {
+        let Some(l) = self.attempts.remove(&attempt) else {
             return;
         };
-        self.times.remove(&(l.until, leg));
+        self.times.remove(&(l.until, attempt));
         self.out_at.entry(l.node).and_modify(|n| *n -= 1);
-        if matches!(end, LegEnd::TimeOut | LegEnd::Cancelled | LegEnd::Reset) {
+        if matches!(
+            end,
+            AttemptOutcome::TimeOut | AttemptOutcome::Cancelled | AttemptOutcome::Reset
+        ) {
             let until = self.now + self.longest;
             self.unsure
                 .entry(l.node)
@@ -1292,7 +1320,7 @@
         }
         match l.conn.and_then(|c| self.conns.get_mut(&c)) {
             Some(c) => {
-                c.legs.remove(&leg);
+                c.attempts.remove(&attempt);
                 c.idle_since = self.now;
                 if self.one_at_a_time && answer.is_some() {
                     c.rests_until = self.now + QUIET;
@@ -1301,28 +1329,34 @@
             None => {
                 let pool = self.pools.get_mut(&l.node);
                 pool.into_iter()
-                    .for_each(|p| p.waiting.retain(|w| *w != leg));
+                    .for_each(|p| p.waiting.retain(|w| *w != attempt));
             }
         }
         let at = at.max(l.sent);
         let elapsed = (at - l.sent).saturating_sub(self.stalls.within(l.sent, at));
         let (id, node) = (l.id, l.node);
         if let Some(x) = self.requests.get_mut(&id) {
-            x.out.retain(|o| *o != leg);
-            x.unsure |= matches!(end, LegEnd::TimeOut | LegEnd::Cancelled | LegEnd::Reset);
+            x.out.retain(|o| *o != attempt);
+            x.unsure |= matches!(
+                end,
+                AttemptOutcome::TimeOut | AttemptOutcome::Cancelled | AttemptOutcome::Reset
+            );
         }
         let told = answer.unwrap_or_default();
         if let Some(sharing) = &mut self.sharing {
             sharing.tried(node, end);
-            let x = self.requests.get(&id).filter(|_| end == LegEnd::Done);
+            let x = self
+                .requests
+                .get(&id)
+                .filter(|_| end == AttemptOutcome::Done);
             x.into_iter()
                 .for_each(|x| sharing.did(x.take.volume, x.take.units));
         }
-        if end == LegEnd::Done && !self.watchers.is_empty() {
+        if end == AttemptOutcome::Done && !self.watchers.is_empty() {
             let units = self.requests.get(&id).map_or(0.0, |x| x.take.units);
             self.service.done_at(node, units);
         }
-        if end == LegEnd::Done {
+        if end == AttemptOutcome::Done {
             let cell = self.listing.nodes.get(&node).map(|k| k.cell.0);
             let done = pb::Final {
                 cell,
@@ -1342,9 +1376,9 @@
                 }
                 _ => percent,
             });
-        self.events.push(Event::LegOver {
+        self.events.push(Event::AttemptEnded {
             id,
-            leg: l.number,
+            attempt: l.number,
             node,
             end,
             elapsed,
@@ -1354,7 +1388,7 @@
             busy: told.busy,
         });
         self.settle(id);
-        let given_up = matches!(end, LegEnd::TimeOut | LegEnd::Cancelled);
+        let given_up = matches!(end, AttemptOutcome::TimeOut | AttemptOutcome::Cancelled);
         let cut = |c: &NodeConn| given_up || c.outbox.as_ref().is_some_and(|o| o.is_closed());
         let cut = l
             .conn
@@ -1363,77 +1397,94 @@
         self.serve(node);
     }
 
-    /// Legs whose time has come. One that never crossed never ran.
+    /// Attempts whose time has come. One that never crossed never ran.
     fn times_up(&mut self) {
-        while let Some(&(at, leg)) = self.times.first().filter(|t| t.0 <= self.now) {
-            self.times.remove(&(at, leg));
-            let end = if self.unsend(leg) {
-                LegEnd::Moot
+        while let Some(&(at, attempt)) = self.times.first().filter(|t| t.0 <= self.now) {
+            self.times.remove(&(at, attempt));
+            let end = if self.unsend(attempt) {
+                AttemptOutcome::Moot
             } else {
-                LegEnd::TimeOut
+                AttemptOutcome::TimeOut
             };
-            self.end_leg(leg, end, self.now, None);
+            self.end_attempt(attempt, end, self.now, None);
         }
     }
 
     fn cancel(&mut self, id: RequestId, number: u32) {
-        let of = |leg: &&LegNo| self.legs.get(leg).is_some_and(|l| l.number == number);
-        let Some(leg) = self
+        let of = |attempt: &&AttemptId| {
+            self.attempts
+                .get(attempt)
+                .is_some_and(|l| l.number == number)
+        };
+        let Some(attempt) = self
             .requests
             .get(&id)
             .and_then(|x| x.out.iter().find(of).copied())
         else {
             return;
         };
-        if self.unsend(leg) {
-            return self.end_leg(leg, LegEnd::Moot, self.now, None);
+        if self.unsend(attempt) {
+            return self.end_attempt(attempt, AttemptOutcome::Moot, self.now, None);
         }
-        let conn = self.legs.get(&leg).and_then(|l| l.conn);
+        let conn = self.attempts.get(&attempt).and_then(|l| l.conn);
         if let Some(outbox) = conn
             .and_then(|c| self.conns.get(&c))
             .and_then(|c| c.outbox.as_ref())
         {
-            outbox.put(frame(Body::CancelLeg(pb::CancelLeg { leg: leg.0 })));
+            outbox.put(frame(Body::CancelAttempt(pb::CancelAttempt {
+                attempt: attempt.0,
+            })));
         }
-        self.end_leg(leg, LegEnd::Cancelled, self.now, None);
+        self.end_attempt(attempt, AttemptOutcome::Cancelled, self.now, None);
     }
 
     // Nodes
 
     fn node_says(&mut self, conn: ConnId, at: Duration, f: pb::Frame) {
         match f.body {
-            Some(Body::LegAnswer(a)) => {
-                let leg = LegNo(a.leg);
-                // After its end, twice, of a leg nobody sent, or of an earlier connection's: dropped.
-                if self.legs.get(&leg).is_none_or(|l| l.conn != Some(conn)) {
+            Some(Body::AttemptResponse(a)) => {
+                let attempt = AttemptId(a.attempt);
+                // After its end, twice, of an attempt nobody sent, or of an earlier connection's: dropped.
+                if self
+                    .attempts
+                    .get(&attempt)
+                    .is_none_or(|l| l.conn != Some(conn))
+                {
                     self.counts.strays += 1;
                     return;
                 }
                 let end = match a.result() {
-                    pb::Result::Ok => LegEnd::Done,
-                    pb::Result::Full => LegEnd::Full,
-                    pb::Result::WrongNode | pb::Result::Expired => LegEnd::Moot,
-                    pb::Result::Error | pb::Result::Unknown => LegEnd::Error,
+                    pb::Result::Ok => AttemptOutcome::Done,
+                    pb::Result::Full => AttemptOutcome::Full,
+                    pb::Result::WrongNode | pb::Result::Expired => AttemptOutcome::Moot,
+                    pb::Result::Error | pb::Result::Unknown => AttemptOutcome::Error,
                 };
-                self.end_leg(leg, end, at, Some(a));
+                self.end_attempt(attempt, end, at, Some(a));
             }
             Some(Body::Begun(b)) => {
-                let leg = LegNo(b.leg);
-                let Some(l) = self.legs.get_mut(&leg).filter(|l| l.conn == Some(conn)) else {
+                let attempt = AttemptId(b.attempt);
+                let Some(l) = self
+                    .attempts
+                    .get_mut(&attempt)
+                    .filter(|l| l.conn == Some(conn))
+                else {
                     return;
                 };
                 // From here it has no time of its own: the answer is on its way to the client.
-                self.times.remove(&(l.until, leg));
+                self.times.remove(&(l.until, attempt));
                 l.until = Duration::MAX;
                 let (id, number) = (l.id, l.number);
-                self.events.push(Event::Begun { id, leg: number });
+                self.events.push(Event::Begun {
+                    id,
+                    attempt: number,
+                });
                 let client = self
                     .requests
                     .get(&id)
                     .and_then(|x| Some((x, self.clients.get(&x.client)?)));
                 if let Some((x, c)) = client {
                     let begun = pb::Begun {
-                        leg: 0,
+                        attempt: 0,
                         id: x.take.id.clone(),
                     };
                     c.outbox.put(frame(Body::Begun(begun)));
@@ -1442,9 +1493,9 @@
             Some(Body::Probed(p)) => {
                 if let Some((node, _)) = self.probes.remove(&p.probe) {
                     let end = if p.result() == pb::Result::Ok {
-                        LegEnd::Done
+                        AttemptOutcome::Done
                     } else {
-                        LegEnd::Error
+                        AttemptOutcome::Error
                     };
                     self.events.push(Event::Probed { node, end });
                 }
@@ -1463,7 +1514,7 @@
     }
 
     fn node_conn_gone(&mut self, conn: ConnId) {
-        // Out of the pool before any leg ends: an end lets others go, and they must not go here.
+        // Out of the pool before any attempt ends: an end lets others go, and they must not go here.
         let Some(c) = self.conns.remove(&conn) else {
             return;
         };
@@ -1474,22 +1525,25 @@
                 pool.pool.failed(self.now);
             }
         }
-        for leg in c.legs {
+        for attempt in c.attempts {
             if self.one_at_a_time
-                && c.outbox.as_ref().is_some_and(|o| o.is_held(leg))
-                && self.elsewhere(leg)
+                && c.outbox.as_ref().is_some_and(|o| o.is_held(attempt))
+                && self.elsewhere(attempt)
             {
                 continue;
             }
             let partly = |o: &Arc<Outbox>| self.one_at_a_time && o.is_writing();
-            let unsent = c.outbox.as_ref().is_none_or(|o| o.revoke(leg) || partly(o));
+            let unsent = c
+                .outbox
+                .as_ref()
+                .is_none_or(|o| o.revoke(attempt) || partly(o));
             self.counts.unsent += u64::from(unsent);
-            self.end_leg(
-                leg,
+            self.end_attempt(
+                attempt,
                 if unsent {
-                    LegEnd::NoConnection
+                    AttemptOutcome::NoConnection
                 } else {
-                    LegEnd::Reset
+                    AttemptOutcome::Reset
                 },
                 self.now,
                 None,
@@ -1507,18 +1561,18 @@
         {
             self.events.push(Event::Probed {
                 node: probe,
-                end: LegEnd::Reset,
+                end: AttemptOutcome::Reset,
             });
         }
         self.serve(node);
     }
 
-    /// A leg that was given to a connection whose end we had yet to hear goes to another one, once: an end
+    /// An attempt that was given to a connection whose end we had yet to hear goes to another one, once: an end
     /// under a connection that stood idle says nothing of its node.
-    fn elsewhere(&mut self, leg: LegNo) -> bool {
+    fn elsewhere(&mut self, attempt: AttemptId) -> bool {
         let Some(l) = self
-            .legs
-            .get_mut(&leg)
+            .attempts
+            .get_mut(&attempt)
             .filter(|l| !l.moved && l.until > self.now)
         else {
             return false;
@@ -1528,7 +1582,7 @@
         self.pools
             .get_mut(&node)
             .into_iter()
-            .for_each(|p| p.waiting.push_front(leg));
+            .for_each(|p| p.waiting.push_front(attempt));
         true
     }
 
@@ -1540,11 +1594,11 @@
             };
             let conns = || pool.conns.iter().filter_map(|c| self.conns.get(c));
             let up = conns().filter(|c| c.outbox.is_some()).count();
-            let legs = conns().map(|c| c.legs.len()).sum::<usize>() + pool.waiting.len();
+            let attempts = conns().map(|c| c.attempts.len()).sum::<usize>() + pool.waiting.len();
             let dialling = pool.conns.len() - up;
-            // Those that rest are of no use yet; but a leg alone waits for one of them.
+            // Those that rest are of no use yet; but an attempt alone waits for one of them.
             let rest = conns()
-                .filter(|c| c.legs.is_empty() && c.rests_until > self.now)
+                .filter(|c| c.attempts.is_empty() && c.rests_until > self.now)
                 .count();
             let up = (up - rest).max(usize::from(up > 0));
             let is_late =
@@ -1558,14 +1612,14 @@
                 up,
                 dialling,
                 late,
-                legs,
+                attempts,
                 waiting: pool.waiting.len(),
             };
             let address = self.listing.nodes.get(&node).and_then(|k| k.address);
-            let waiting: Vec<LegNo> = pool.waiting.iter().copied().collect();
+            let waiting: Vec<AttemptId> = pool.waiting.iter().copied().collect();
             match (pool.pool.wanted(self.now, present), address) {
                 (Step::Nothing, _) => {}
-                // Where there is no room for another, its legs wait, and are swept if for too long.
+                // Where there is no room for another, its attempts wait, and are swept if for too long.
                 (Step::Dial, Some(address)) => {
                     if self.one_more() {
                         self.dial(node, address);
@@ -1573,9 +1627,9 @@
                     }
                 }
                 (Step::Fail, _) | (Step::Dial, None) => {
-                    for leg in waiting {
+                    for attempt in waiting {
                         self.counts.unsent += 1;
-                        self.end_leg(leg, LegEnd::NoConnection, self.now, None);
+                        self.end_attempt(attempt, AttemptOutcome::NoConnection, self.now, None);
                     }
                 }
             }
@@ -1587,7 +1641,7 @@
         let new = NodeConn {
             node,
             outbox: None,
-            legs: BTreeSet::new(),
+            attempts: BTreeSet::new(),
             dialled: self.now,
             idle_since: self.now,
             rests_until: Duration::ZERO,
@@ -1617,7 +1671,7 @@
         let idle = self
             .conns
             .iter()
-            .filter(|(_, c)| c.outbox.is_some() && c.legs.is_empty());
+            .filter(|(_, c)| c.outbox.is_some() && c.attempts.is_empty());
         let oldest = idle.min_by_key(|(_, c)| c.idle_since).map(|(id, _)| *id);
         oldest
             .into_iter()
@@ -1631,7 +1685,7 @@
         };
         for conn in pool.conns.clone() {
             let idle =
-                |c: &NodeConn| c.outbox.is_some() && c.legs.is_empty() && c.idle_since <= since;
+                |c: &NodeConn| c.outbox.is_some() && c.attempts.is_empty() && c.idle_since <= since;
             if self.conns.get(&conn).is_some_and(idle) {
                 self.node_conn_gone(conn);
             }
@@ -1672,7 +1726,7 @@
             }
             None => self.events.push(Event::Probed {
                 node,
-                end: LegEnd::NoConnection,
+                end: AttemptOutcome::NoConnection,
             }),
         }
     }
@@ -1822,8 +1876,8 @@
     fn sweep(&mut self) {
         self.sweep_at = self.now + SWEEP;
         let since = self.now.saturating_sub(self.bounds().linger);
-        let mut stale: Vec<LegNo> = Vec::new();
-        for c in self.conns.values().filter(|c| !c.legs.is_empty()) {
+        let mut stale: Vec<AttemptId> = Vec::new();
+        for c in self.conns.values().filter(|c| !c.attempts.is_empty()) {
             stale.extend(c.outbox.iter().flat_map(|o| o.stale(since, self.now)));
         }
         let dialled = self
@@ -1833,23 +1887,26 @@
             let old = pool
                 .waiting
                 .iter()
-                .filter(|l| self.legs.get(l).is_some_and(|l| l.sent < dialled));
+                .filter(|l| self.attempts.get(l).is_some_and(|l| l.sent < dialled));
             stale.extend(old.copied());
         }
         // Each end lets others go, maybe one that is listed here: only what is now taken back never crossed.
-        for leg in stale {
-            if !self.unsend(leg) {
+        for attempt in stale {
+            if !self.unsend(attempt) {
                 continue;
             }
-            let timely = self.legs.get(&leg).is_some_and(|l| l.until > self.now);
+            let timely = self
+                .attempts
+                .get(&attempt)
+                .is_some_and(|l| l.until > self.now);
             let end = if timely {
-                LegEnd::NoConnection
+                AttemptOutcome::NoConnection
             } else {
-                LegEnd::Moot
+                AttemptOutcome::Moot
             };
-            self.end_leg(leg, end, self.now, None);
+            self.end_attempt(attempt, end, self.now, None);
         }
-        // A dial that reports nothing, for whatever reason, must not keep its node's legs waiting.
+        // A dial that reports nothing, for whatever reason, must not keep its node's attempts waiting.
         let dialled = self.now.saturating_sub(self.bounds().dial_timeout * 2);
         let lost = |c: &NodeConn| c.outbox.is_none() && c.idle_since < dialled;
         let lost: Vec<ConnId> = self
@@ -1860,7 +1917,8 @@
             .collect();
         lost.into_iter().for_each(|conn| self.node_conn_gone(conn));
         let idle = self.now.saturating_sub(self.bounds().idle);
-        let old = |c: &&NodeConn| c.outbox.is_some() && c.legs.is_empty() && c.idle_since < idle;
+        let old =
+            |c: &&NodeConn| c.outbox.is_some() && c.attempts.is_empty() && c.idle_since < idle;
         let nodes: BTreeSet<NodeId> = self.conns.values().filter(old).map(|c| c.node).collect();
         nodes.into_iter().for_each(|n| self.close_idle(n, idle));
         self.tell_sights();
@@ -1922,7 +1980,7 @@
                 }
                 .into(),
                 follows: if drained { follows } else { 0 },
-                legs: if drained {
+                attempts: if drained {
                     self.out_at.get(node).copied().unwrap_or(0)
                 } else {
                     0
@@ -2002,7 +2060,7 @@
                 );
             }
             Action::Abandon { id } => self.finish(id, pb::Outcome::Abandoned, pb::Final::default()),
-            Action::CancelLeg { id, leg } => self.cancel(id, leg),
+            Action::CancelAttempt { id, attempt } => self.cancel(id, attempt),
             Action::Timer { after, tag } => {
                 self.timers.insert((self.now + after, tag.0));
             }
--- a/crates/host/src/desk/tests.rs
+++ b/crates/host/src/desk/tests.rs
@@ -4,20 +4,23 @@
 use crate::common::{ms, Rig, CLIENT};
 
 #[test]
-fn a_cancelled_leg_in_the_send_buffer_never_crosses_and_one_that_crossed_is_called_off() {
+fn a_cancelled_attempt_in_the_send_buffer_never_crosses_and_one_that_crossed_is_called_off() {
     for crossed in [false, true] {
         let mut r = Rig::with("legs(most = 1)");
         r.take(1, 1);
         let conn = r.connect();
-        let legs = if crossed { r.legs(conn) } else { Vec::new() };
-        r.desk.act(Action::CancelLeg {
+        let attempts = if crossed {
+            r.attempts(conn)
+        } else {
+            Vec::new()
+        };
+        r.desk.act(Action::CancelAttempt {
             id: RequestId([1; 36]),
-            leg: 0,
+            attempt: 0,
         });
         r.feed(vec![]);
         let told: Vec<Body> = r.cross(conn);
-        let calls_off =
-            |b: &Body| matches!(b, Body::CancelLeg(c) if legs.iter().any(|l| l.leg == c.leg));
+        let calls_off = |b: &Body| matches!(b, Body::CancelAttempt(c) if attempts.iter().any(|l| l.attempt == c.attempt));
         assert_eq!(
             (told.len(), told.iter().all(calls_off)),
             (usize::from(crossed), true)
@@ -37,18 +40,18 @@
     let mut r = Rig::with("");
     r.take(1, 0);
     let conn = r.connect();
-    let leg = r.legs(conn)[0].leg;
+    let attempt = r.attempts(conn)[0].attempt;
     r.frames(
         conn,
         Body::Begun(pb::Begun {
-            leg,
+            attempt,
             ..Default::default()
         }),
     );
     assert!(matches!(&r.cross(CLIENT)[..], [Body::Begun(b)] if b.id[0] == 1));
     r.wait(ms(4000));
     assert_eq!(r.finals(), [], "it belongs to the client");
-    r.node_answers(conn, leg, pb::Result::Ok);
+    r.node_answers(conn, attempt, pb::Result::Ok);
     assert_eq!(r.finals(), [(1, pb::Outcome::Done)]);
 }
 
@@ -59,16 +62,16 @@
     assert!(matches!(
         r.desk.events[..],
         [Event::Probed {
-            end: LegEnd::NoConnection,
+            end: AttemptOutcome::NoConnection,
             ..
         }]
     ));
     r.take(1, 0);
     let conn = r.connect();
-    let leg = r.legs(conn)[0].leg;
+    let attempt = r.attempts(conn)[0].attempt;
     r.desk.act(Action::CloseIdle { node: NodeId(1) });
     assert!(!r.boxes[&conn].is_closed(), "a leg is out");
-    r.node_answers(conn, leg, pb::Result::Ok);
+    r.node_answers(conn, attempt, pb::Result::Ok);
     r.desk.act(Action::Probe { node: NodeId(1) });
     let probe = match &r.cross(conn)[..] {
         [Body::Probe(p)] => p.probe,
--- a/crates/host/src/figures.rs
+++ b/crates/host/src/figures.rs
@@ -134,7 +134,7 @@
         state: state.into(),
         start,
         up_us: f.started.map(since),
-        legs: f.legs as u32,
+        attempts: f.attempts as u32,
         out: round(f.out),
         held: f.held as u32,
         estimate: round(f.estimate),
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,7 +1,7 @@
 //! The running host.
 //!
 //! For: feeding the decisions with what really happens and carrying out what they answer. All that can be
-//! stepped by a test or an emulator is free of sockets and clocks: [`desk`] (requests, legs, connections as
+//! stepped by a test or an emulator is free of sockets and clocks: [`desk`] (requests, attempts, connections as
 //! seen from the decisions), and beside it what this package must itself decide: [`admission`], [`pool`],
 //! [`renewal`], [`stall`], [`sights`], [`sharing`]; [`figures`] is what is shown. [`outbox`] is the seam to
 //! the sockets; [`run`] holds the sockets, on `may` coroutines. Nothing here may choose which request goes
--- a/crates/host/src/outbox.rs
+++ b/crates/host/src/outbox.rs
@@ -1,11 +1,11 @@
 //! What is to be written on one connection, until the moment it is written.
 //!
 //! The owner of the decisions puts frames in; the connection's writer takes them out when the socket has
-//! room. A leg stays revocable until its writer took it: whoever revokes it is told truly whether it crossed.
-//! Without this a leg could cross seconds after its node was told to drain, or its client was answered.
+//! room. An attempt stays revocable until its writer took it: whoever revokes it is told truly whether it crossed.
+//! Without this an attempt could cross seconds after its node was told to drain, or its client was answered.
 //! Nor is it written once its client's reader has seen that the client withdrew it or ended, however much the
 //! owner has to hear before that: the reader notes it in the client's own outbox, and the writer looks there.
-//! Memory: what is inside is bounded by the legs a connection carries and, for clients, by `bytes`, which the
+//! Memory: what is inside is bounded by the attempts a connection carries and, for clients, by `bytes`, which the
 //! owner compares with its bound on unread answers.
 
 use bytes::Bytes;
@@ -16,16 +16,16 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// A leg's number, by this host; never used twice.
+/// An attempt's number, by this host; never used twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct LegNo(pub u64);
+pub struct AttemptId(pub u64);
 
 // Most items are plain frames: in a box each would be one allocation more.
 #[allow(clippy::large_enum_variant)]
 #[derive(Debug)]
 enum Item {
     Plain(pb::Frame, usize),
-    Leg(LegNo),
+    Attempt(AttemptId),
 }
 
 #[derive(Debug)]
@@ -41,7 +41,7 @@
 impl Waiting {
     fn is_wanted(&self, now: Duration) -> bool {
         let id = match &self.frame.body {
-            Some(Body::Leg(m)) => &m.id,
+            Some(Body::Attempt(m)) => &m.id,
             _ => return now < self.until,
         };
         now < self.until && self.client.as_ref().is_none_or(|c| c.waits_for(id))
@@ -51,7 +51,7 @@
 #[derive(Debug, Default)]
 struct Inner {
     line: VecDeque<Item>,
-    legs: BTreeMap<LegNo, Waiting>,
+    attempts: BTreeMap<AttemptId, Waiting>,
     bytes: usize,
     writing: bool,
     closed: bool,
@@ -108,15 +108,21 @@
         (self.wake)();
     }
 
-    /// A leg, which is not written from `until` on.
-    pub fn put_leg(&self, leg: LegNo, frame: pb::Frame, now: Duration, until: Duration) {
-        self.put_leg_of(leg, frame, now, until, None);
+    /// An attempt, which is not written from `until` on.
+    pub fn put_attempt(
+        &self,
+        attempt: AttemptId,
+        frame: pb::Frame,
+        now: Duration,
+        until: Duration,
+    ) {
+        self.put_attempt_of(attempt, frame, now, until, None);
     }
 
     /// The same, and not once its client is known to have left it.
-    pub fn put_leg_of(
+    pub fn put_attempt_of(
         &self,
-        leg: LegNo,
+        attempt: AttemptId,
         frame: pb::Frame,
         now: Duration,
         until: Duration,
@@ -125,9 +131,9 @@
         let size = frame_size(&frame);
         let mut inner = self.lock();
         inner.bytes += size;
-        inner.line.push_back(Item::Leg(leg));
-        inner.legs.insert(
-            leg,
+        inner.line.push_back(Item::Attempt(attempt));
+        inner.attempts.insert(
+            attempt,
             Waiting {
                 frame,
                 size,
@@ -149,7 +155,7 @@
         }
     }
 
-    /// The owner has heard that the client withdrew it, and takes its legs back by itself from now on.
+    /// The owner has heard that the client withdrew it, and takes its attempts back by itself from now on.
     pub fn heard(&self, id: &Bytes) {
         self.lock().withdrawn.remove(id);
     }
@@ -159,31 +165,31 @@
         !inner.closed && !inner.withdrawn.contains(id)
     }
 
-    /// Takes a leg back; whether it had not yet gone to the socket, and now never will.
-    pub fn revoke(&self, leg: LegNo) -> bool {
+    /// Takes an attempt back; whether it had not yet gone to the socket, and now never will.
+    pub fn revoke(&self, attempt: AttemptId) -> bool {
         let mut inner = self.lock();
-        let taken = inner.legs.remove(&leg);
+        let taken = inner.attempts.remove(&attempt);
         inner.bytes -= taken.as_ref().map_or(0, |w| w.size);
         taken.is_some()
     }
 
-    /// A leg that has not gone to the socket.
-    pub fn is_held(&self, leg: LegNo) -> bool {
-        self.lock().legs.contains_key(&leg)
+    /// An attempt that has not gone to the socket.
+    pub fn is_held(&self, attempt: AttemptId) -> bool {
+        self.lock().attempts.contains_key(&attempt)
     }
 
-    /// The legs put before `before`, or whose time is up.
-    pub fn stale(&self, before: Duration, now: Duration) -> Vec<LegNo> {
+    /// The attempts put before `before`, or whose time is up.
+    pub fn stale(&self, before: Duration, now: Duration) -> Vec<AttemptId> {
         let inner = self.lock();
         inner
-            .legs
+            .attempts
             .iter()
             .filter(|(_, w)| w.put < before || w.until <= now)
-            .map(|(leg, _)| *leg)
+            .map(|(attempt, _)| *attempt)
             .collect()
     }
 
-    /// What goes to the socket now, at most about `most` bytes. From here on it counts as crossed; legs whose
+    /// What goes to the socket now, at most about `most` bytes. From here on it counts as crossed; attempts whose
     /// time is up, or whose client has left, stay out, and are for the owner's next look.
     pub fn pull(&self, clock: impl FnOnce() -> Duration, most: usize) -> Pulled {
         let mut inner = self.lock();
@@ -205,16 +211,16 @@
                     size += s;
                     pulled.frames.push(pb::Frame { sent_us, ..frame });
                 }
-                Some(Item::Leg(leg)) => match inner.legs.remove(&leg) {
+                Some(Item::Attempt(attempt)) => match inner.attempts.remove(&attempt) {
                     None => {}
                     Some(w) if !w.is_wanted(now) => {
-                        late.push_back(Item::Leg(leg));
-                        inner.legs.insert(leg, w);
+                        late.push_back(Item::Attempt(attempt));
+                        inner.attempts.insert(attempt, w);
                     }
                     Some(mut w) => {
                         size += w.size;
                         // What the wait here took is no longer left to the node.
-                        if let Some(Body::Leg(m)) = &mut w.frame.body {
+                        if let Some(Body::Attempt(m)) = &mut w.frame.body {
                             m.left_us = grebecleat_wire::clock::micros(w.until - now);
                         }
                         pulled.frames.push(pb::Frame { sent_us, ..w.frame });
--- a/crates/host/src/outbox/tests.rs
+++ b/crates/host/src/outbox/tests.rs
@@ -4,40 +4,40 @@
     Duration::from_millis(n)
 }
 
-fn leg(n: u64) -> pb::Frame {
+fn attempt(n: u64) -> pb::Frame {
     pb::Frame {
         sent_us: 0,
-        body: Some(Body::Leg(pb::Leg {
-            leg: n,
+        body: Some(Body::Attempt(pb::Attempt {
+            attempt: n,
             left_us: 1,
             ..Default::default()
         })),
     }
 }
 
-fn legs_of(p: &Pulled) -> Vec<(u64, u64)> {
+fn attempts_of(p: &Pulled) -> Vec<(u64, u64)> {
     let each = p.frames.iter().filter_map(|f| match &f.body {
-        Some(Body::Leg(m)) => Some((m.leg, m.left_us)),
+        Some(Body::Attempt(m)) => Some((m.attempt, m.left_us)),
         _ => None,
     });
     each.collect()
 }
 
 #[test]
-fn a_leg_is_either_written_or_taken_back() {
+fn a_attempt_is_either_written_or_taken_back() {
     let out = Outbox::new(|| (), || ());
-    (1..=4).for_each(|n| out.put_leg(LegNo(n), leg(n), ms(n), ms(100)));
-    assert!(out.revoke(LegNo(2)) && !out.revoke(LegNo(2)));
-    assert_eq!(out.stale(ms(2), ms(50)), [LegNo(1)]);
-    assert!(out.revoke(LegNo(1)));
-    assert_eq!(legs_of(&out.pull(|| ms(60), 1)), [(3, 40_000)]);
-    assert!(!out.revoke(LegNo(3)), "it went to the socket");
+    (1..=4).for_each(|n| out.put_attempt(AttemptId(n), attempt(n), ms(n), ms(100)));
+    assert!(out.revoke(AttemptId(2)) && !out.revoke(AttemptId(2)));
+    assert_eq!(out.stale(ms(2), ms(50)), [AttemptId(1)]);
+    assert!(out.revoke(AttemptId(1)));
+    assert_eq!(attempts_of(&out.pull(|| ms(60), 1)), [(3, 40_000)]);
+    assert!(!out.revoke(AttemptId(3)), "it went to the socket");
     // The rest's time comes while the socket has no room.
-    assert_eq!(legs_of(&out.pull(|| ms(100), 1000)), []);
-    assert_eq!(out.stale(ms(0), ms(100)), [LegNo(4)]);
-    assert!(out.revoke(LegNo(4)));
+    assert_eq!(attempts_of(&out.pull(|| ms(100), 1000)), []);
+    assert_eq!(out.stale(ms(0), ms(100)), [AttemptId(4)]);
+    assert!(out.revoke(AttemptId(4)));
     assert_eq!(
-        (out.bytes(), legs_of(&out.pull(|| ms(101), 1000)).len()),
+        (out.bytes(), attempts_of(&out.pull(|| ms(101), 1000)).len()),
         (0, 0)
     );
     assert!(out.is_flushed());
@@ -45,7 +45,7 @@
 
 /// The owner may have much to hear before it hears of a client's end; the writer does not wait for that.
 #[test]
-fn a_leg_is_not_written_once_its_client_has_withdrawn_it_or_ended() {
+fn a_attempt_is_not_written_once_its_client_has_withdrawn_it_or_ended() {
     type Case = (&'static str, fn(&Outbox), bool);
     let id = bytes::Bytes::from_static(b"an id");
     let withdraws = |outbox: &Outbox| {
@@ -71,23 +71,23 @@
     for (what, does, written) in cases {
         let client = Arc::new(Outbox::new(|| (), || ()));
         let out = Outbox::new(|| (), || ());
-        let body = pb::Leg {
-            leg: 1,
+        let body = pb::Attempt {
+            attempt: 1,
             id: id.clone(),
             ..Default::default()
         };
-        let leg = pb::Frame {
+        let attempt = pb::Frame {
             sent_us: 0,
-            body: Some(Body::Leg(body)),
+            body: Some(Body::Attempt(body)),
         };
-        out.put_leg_of(LegNo(1), leg, ms(1), ms(100), Some(client.clone()));
+        out.put_attempt_of(AttemptId(1), attempt, ms(1), ms(100), Some(client.clone()));
         does(&client);
         assert_eq!(
-            legs_of(&out.pull(|| ms(2), 1000)).len(),
+            attempts_of(&out.pull(|| ms(2), 1000)).len(),
             usize::from(written),
             "{what}"
         );
-        assert_eq!(out.revoke(LegNo(1)), !written, "{what}: it never ran");
+        assert_eq!(out.revoke(AttemptId(1)), !written, "{what}: it never ran");
         client.heard(&id);
         assert!(client.lock().withdrawn.len() <= 1, "{what}");
     }
--- a/crates/host/src/pool.rs
+++ b/crates/host/src/pool.rs
@@ -1,9 +1,9 @@
 //! The connections to one node: how many there should be, and when to try again.
 //!
 //! Called by the desk: `wanted` after each change, and told of what became of dials. It keeps the wanted
-//! state (connections that should be up for the legs there are) and answers the difference as one [`Step`].
+//! state (connections that should be up for the attempts there are) and answers the difference as one [`Step`].
 //! A node whose port is dead is dialled ever more rarely, with jitter, since every host dials it; while that
-//! waits, its legs are told at once that there is no connection, and the decisions judge the node by that.
+//! waits, its attempts are told at once that there is no connection, and the decisions judge the node by that.
 //! Harm: a node that comes back is found up to `MOST_WAIT` late, if the list says nothing.
 
 use rand::{Rng, SeedableRng};
@@ -20,18 +20,18 @@
 pub enum Step {
     Nothing,
     Dial,
-    /// Nothing is up, nothing may be dialled yet: legs that wait have no connection.
+    /// Nothing is up, nothing may be dialled yet: attempts that wait have no connection.
     Fail,
 }
 
-/// What there is. Legs are those out or waiting at this node.
+/// What there is. Attempts are those out or waiting at this node.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Present {
     pub up: usize,
     pub dialling: usize,
     /// Dials, of these, that take longer than a handshake should.
     pub late: usize,
-    pub legs: usize,
+    pub attempts: usize,
     pub waiting: usize,
 }
 
@@ -57,10 +57,10 @@
     }
 
     pub fn wanted(&self, now: Duration, p: Present) -> Step {
-        let want = p.legs.div_ceil(self.per_connection).min(self.most);
+        let want = p.attempts.div_ceil(self.per_connection).min(self.most);
         match p {
             Present { waiting: 0, .. } => Step::Nothing,
-            // As many dials at a time as are up, so that legs don't queue behind one another's handshakes,
+            // As many dials at a time as are up, so that attempts don't queue behind one another's handshakes,
             // and no more: a node that just came up must not see every host's whole pool at once. One that is
             // late is no word on the others: behind a lone late dial all that a host had for a node waited.
             // Where dials have failed, it is not the dial: no other is made beside it. Harm: a node that falls
--- a/crates/host/src/pool/tests.rs
+++ b/crates/host/src/pool/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
 #[test]
-fn as_many_dials_as_legs_wait_and_connections_are_up() {
+fn as_many_dials_as_attempts_wait_and_connections_are_up() {
     let (now, pool) = (Duration::from_secs(10), Pool::new(1, 8, 1));
     let look = |up, dialling, waiting| Present {
         up,
         dialling,
         late: 0,
-        legs: up + waiting,
+        attempts: up + waiting,
         waiting,
     };
     let cases = [
@@ -28,11 +28,11 @@
 fn one_dial_at_a_time_and_fewer_after_failures() {
     let now = Duration::from_secs(10);
     let mut pool = Pool::new(10, 2, 1);
-    let look = |up, dialling, legs, waiting| Present {
+    let look = |up, dialling, attempts, waiting| Present {
         up,
         dialling,
         late: 0,
-        legs,
+        attempts,
         waiting,
     };
     let cases = [
@@ -54,7 +54,7 @@
     assert_eq!(pool.wanted(now + MOST_WAIT, look(0, 0, 1, 1)), Step::Dial);
 }
 
-/// Legs waited for a second and a half behind one dial, and its node was taken to be slow.
+/// Attempts waited for a second and a half behind one dial, and its node was taken to be slow.
 #[test]
 fn beside_a_late_dial_another_is_made_unless_dials_have_failed() {
     let now = Duration::from_secs(10);
@@ -62,7 +62,7 @@
         up,
         dialling,
         late,
-        legs: up + waiting,
+        attempts: up + waiting,
         waiting,
     };
     // what there is, whether a dial had failed before, what is done
--- a/crates/host/src/sharing.rs
+++ b/crates/host/src/sharing.rs
@@ -7,7 +7,7 @@
 //!
 //! Memory: the terms of each volume with a limit that is shared.
 
-use grebecleat::interface::{Event, LegEnd, NodeId, PeerId, Plan, PlanId, Terms, VolumeId};
+use grebecleat::interface::{AttemptOutcome, Event, NodeId, PeerId, Plan, PlanId, Terms, VolumeId};
 use grebecleat_fleet::budget::Spans;
 use grebecleat_fleet::fleet::{self, Action, Fleet, Rules};
 use grebecleat_fleet::judgement::Belief;
@@ -138,12 +138,15 @@
         self.heard.push(fleet::Event::Served { volume, units });
     }
 
-    /// How a leg ended; what says nothing of the node is no evidence.
-    pub fn tried(&mut self, node: NodeId, end: LegEnd) {
+    /// How an attempt ended; what says nothing of the node is no evidence.
+    pub fn tried(&mut self, node: NodeId, end: AttemptOutcome) {
         let bad = match end {
-            LegEnd::Done | LegEnd::Full => false,
-            LegEnd::Error | LegEnd::TimeOut | LegEnd::NoConnection | LegEnd::Reset => true,
-            LegEnd::Cancelled | LegEnd::Moot => return,
+            AttemptOutcome::Done | AttemptOutcome::Full => false,
+            AttemptOutcome::Error
+            | AttemptOutcome::TimeOut
+            | AttemptOutcome::NoConnection
+            | AttemptOutcome::Reset => true,
+            AttemptOutcome::Cancelled | AttemptOutcome::Moot => return,
         };
         self.heard.push(fleet::Event::Tried { node: node.0, bad });
     }
--- a/crates/host/src/sights.rs
+++ b/crates/host/src/sights.rs
@@ -31,7 +31,7 @@
     pub fn news(&mut self, rows: impl IntoIterator<Item = pb::NodeSight>) -> Vec<pb::NodeSight> {
         let still = |n: &pb::NodeSight| {
             let over = u64::from(n.unsure_us > 0);
-            // The list tells it anew with every start; legs count only where somebody waits for them to end.
+            // The list tells it anew with every start; attempts count only where somebody waits for them to end.
             pb::NodeSight {
                 up_us: None,
                 unsure_us: over,
--- a/crates/host/src/sights/tests.rs
+++ b/crates/host/src/sights/tests.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn only_what_has_changed_is_told_and_a_new_service_is_told_all() {
-    let row = |node, legs, unsure_us| pb::NodeSight {
+    let row = |node, attempts, unsure_us| pb::NodeSight {
         node,
-        legs,
+        attempts,
         unsure_us,
         ..Default::default()
     };
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -62,7 +62,7 @@
         Rig::of(Desk::new(Arc::new(settings), 7))
     }
 
-    /// A desk whose connections to nodes carry one leg at a time, and end with one that is given up.
+    /// A desk whose connections to nodes carry one attempt at a time, and end with one that is given up.
     pub fn one_at_a_time(more: &str) -> Self {
         let one = "bounds(legs_per_connection = 1, linger = s(10), dial_timeout = s(10), patience = s(2))";
         let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{one}\n{more}"));
@@ -278,9 +278,16 @@
         told
     }
 
-    pub fn legs(&mut self, conn: ConnId) -> Vec<pb::Leg> {
-        let legs = self.cross(conn).into_iter();
-        legs.filter_map(|b| if let Body::Leg(l) = b { Some(l) } else { None })
+    pub fn attempts(&mut self, conn: ConnId) -> Vec<pb::Attempt> {
+        let attempts = self.cross(conn).into_iter();
+        attempts
+            .filter_map(|b| {
+                if let Body::Attempt(l) = b {
+                    Some(l)
+                } else {
+                    None
+                }
+            })
             .collect()
     }
 
@@ -297,11 +304,11 @@
             .collect()
     }
 
-    pub fn node_answers(&mut self, conn: ConnId, leg: u64, result: pb::Result) {
+    pub fn node_answers(&mut self, conn: ConnId, attempt: u64, result: pb::Result) {
         self.frames(
             conn,
-            Body::LegAnswer(pb::LegAnswer {
-                leg,
+            Body::AttemptResponse(pb::AttemptResponse {
+                attempt,
                 result: result.into(),
                 ..Default::default()
             }),
--- a/crates/host/tests/desk.rs
+++ b/crates/host/tests/desk.rs
@@ -13,27 +13,30 @@
     let mut r = Rig::with("");
     r.take(1, 0);
     let conn = r.connect();
-    let legs = r.legs(conn);
-    assert_eq!((legs.len(), legs[0].number, legs[0].node), (1, 0, 1));
+    let attempts = r.attempts(conn);
+    assert_eq!(
+        (attempts.len(), attempts[0].number, attempts[0].node),
+        (1, 0, 1)
+    );
     r.now += ms(10);
-    r.node_answers(conn, legs[0].leg, pb::Result::Ok);
+    r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
     assert_eq!(r.finals(), [(1, Done)]);
-    // Twice, and of a leg that nobody sent.
-    r.node_answers(conn, legs[0].leg, pb::Result::Ok);
+    // Twice, and of an attempt that nobody sent.
+    r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
     r.node_answers(conn, 99, pb::Result::Error);
     assert_eq!((r.finals(), r.desk.counts().strays), (vec![], 2));
     assert_eq!(r.desk.held(), (0, 0, 0));
 }
 
 #[test]
-fn a_leg_in_the_send_buffer_never_crosses_after_its_node_drains() {
+fn a_attempt_in_the_send_buffer_never_crosses_after_its_node_drains() {
     for waits_for_connection in [true, false] {
         let mut r = Rig::with("");
         r.take(1, 1);
         let conn = (!waits_for_connection).then(|| r.connect());
         r.listed(&[(1, Draining), (2, Ready)]);
         if let Some(conn) = conn {
-            assert_eq!(r.legs(conn).len(), 0);
+            assert_eq!(r.attempts(conn).len(), 0);
         }
         // The decisions know that it never ran: the unrepeatable request is deferred, not abandoned.
         assert_eq!(
@@ -44,19 +47,19 @@
 }
 
 #[test]
-fn a_leg_in_the_send_buffer_never_crosses_after_its_expiry_and_is_answered_before_it() {
+fn a_attempt_in_the_send_buffer_never_crosses_after_its_expiry_and_is_answered_before_it() {
     let mut r = Rig::with("bounds(linger = s(10), dial_timeout = s(10))");
     r.take(1, 1);
     let conn = r.connect();
     r.wait(ms(1990));
     assert_eq!(r.finals(), [(1, Deferred)]);
-    assert_eq!((r.legs(conn).len(), r.desk.held()), (0, (0, 0, 0)));
+    assert_eq!((r.attempts(conn).len(), r.desk.held()), (0, (0, 0, 0)));
 }
 
 /// A client that must not let a late effect pass unseen is told when there may be one.
 #[test]
 fn the_final_answer_tells_whether_an_effect_may_still_come() {
-    // What is done to the leg before the expiry, and whether it may still run.
+    // What is done to the attempt before the expiry, and whether it may still run.
     type Case = (&'static str, fn(&mut Rig), bool);
     let cases: [Case; 4] = [
         ("it never crosses", |_| (), false),
@@ -64,7 +67,7 @@
             "its node stays silent",
             |r| {
                 let conn = r.connect();
-                assert_eq!(r.legs(conn).len(), 1);
+                assert_eq!(r.attempts(conn).len(), 1);
             },
             true,
         ),
@@ -72,8 +75,8 @@
             "its node says that it never ran, and then there is none",
             |r| {
                 let conn = r.connect();
-                let leg = r.legs(conn)[0].leg;
-                r.node_answers(conn, leg, pb::Result::Full);
+                let attempt = r.attempts(conn)[0].attempt;
+                r.node_answers(conn, attempt, pb::Result::Full);
                 r.listed(&[(1, Gone), (2, Gone)]);
             },
             false,
@@ -82,8 +85,8 @@
             "its node fails it: if it ran, it has run",
             |r| {
                 let conn = r.connect();
-                let leg = r.legs(conn)[0].leg;
-                r.node_answers(conn, leg, pb::Result::Error);
+                let attempt = r.attempts(conn)[0].attempt;
+                r.node_answers(conn, attempt, pb::Result::Error);
             },
             false,
         ),
@@ -106,16 +109,19 @@
 }
 
 #[test]
-fn a_leg_that_cannot_be_written_is_taken_back_after_a_while() {
+fn a_attempt_that_cannot_be_written_is_taken_back_after_a_while() {
     let mut r = Rig::with("legs(most = 1)\nbounds(linger = ms(100))");
     r.take(1, 1);
     let conn = r.connect();
     r.wait(ms(300));
-    assert_eq!((r.legs(conn).len(), r.finals()), (0, vec![(1, Deferred)]));
+    assert_eq!(
+        (r.attempts(conn).len(), r.finals()),
+        (0, vec![(1, Deferred)])
+    );
 }
 
 #[test]
-fn a_leg_whose_client_leaves_never_crosses() {
+fn a_attempt_whose_client_leaves_never_crosses() {
     let mut r = Rig::with("");
     r.take(1, 0);
     let conn = r.connect();
@@ -126,7 +132,7 @@
         }),
     );
     assert_eq!(
-        (r.legs(conn).len(), r.finals(), r.desk.held()),
+        (r.attempts(conn).len(), r.finals(), r.desk.held()),
         (0, vec![], (0, 0, 0))
     );
 }
@@ -136,19 +142,19 @@
     let mut r = Rig::with("");
     r.take(1, 1);
     let conn = r.connect();
-    let legs = r.legs(conn);
+    let attempts = r.attempts(conn);
     r.wait(ms(1990));
     assert_eq!(r.finals(), [(1, Abandoned)], "it may have run");
-    r.node_answers(conn, legs[0].leg, pb::Result::Ok);
+    r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
     assert_eq!((r.finals(), r.desk.counts().strays), (vec![], 1));
 }
 
 #[test]
-fn a_reset_with_many_legs_out_ends_each_once_and_an_old_connections_answer_is_stray() {
+fn a_reset_with_many_attempts_out_ends_each_once_and_an_old_connections_answer_is_stray() {
     let mut r = Rig::with("legs(most = 1)");
     (1..=5).for_each(|n| r.take(n, 1));
     let conn = r.connect();
-    let crossed = r.legs(conn);
+    let crossed = r.attempts(conn);
     r.feed(vec![Input::NodeGone { conn }]);
     r.wait(ms(1990));
     let mut finals = r.finals();
@@ -158,7 +164,7 @@
         .map(|n| (n, if sent(n) { Abandoned } else { Deferred }))
         .collect();
     assert_eq!(finals, expected);
-    r.node_answers(conn, crossed[0].leg, pb::Result::Ok);
+    r.node_answers(conn, crossed[0].attempt, pb::Result::Ok);
     assert_eq!(r.finals(), []);
 }
 
@@ -181,10 +187,10 @@
     let mut r = Rig::with("");
     r.take(1, 1);
     let conn = r.connect();
-    let first = r.legs(conn);
-    r.node_answers(conn, first[0].leg, pb::Result::Full);
+    let first = r.attempts(conn);
+    r.node_answers(conn, first[0].attempt, pb::Result::Full);
     r.wait(ms(150));
-    let second = r.legs(conn);
+    let second = r.attempts(conn);
     assert_eq!((second.len(), second[0].number), (1, 1));
 }
 
@@ -226,13 +232,13 @@
     let mut r = Rig::with("");
     r.take(1, 0);
     let conn = r.connect();
-    let legs = r.legs(conn);
+    let attempts = r.attempts(conn);
     r.wait(ms(10));
     let steps = r.desk.counts().events;
     r.now += ms(900);
     assert!(r.desk.stood_still(r.now));
     // The answer had lain in the socket; it and one timer are all that is heard.
-    r.node_answers(conn, legs[0].leg, pb::Result::Ok);
+    r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
     assert_eq!(
         (r.finals(), r.desk.counts().events - steps),
         (vec![(1, Done)], 2)
@@ -255,12 +261,12 @@
     let mut r = Rig::with("");
     r.take(1, 0);
     let conn = r.connect();
-    let legs = r.legs(conn);
+    let attempts = r.attempts(conn);
     r.feed(vec![Input::Drain]);
     r.take(2, 0);
     assert!(!r.ended);
     assert_eq!(r.finals(), [(2, Deferred)]);
-    r.node_answers(conn, legs[0].leg, pb::Result::Ok);
+    r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
     assert!(!r.ended, "the answer is not written yet");
     assert_eq!(r.finals(), [(1, Done)]);
     r.wait(ms(200));
@@ -356,11 +362,11 @@
     let mut r = Rig::with("");
     (1..=3).for_each(|n| r.take(n, 2));
     let conn = r.connect();
-    let first = r.legs(conn);
+    let first = r.attempts(conn);
     assert_eq!(first.len(), 1);
-    r.node_answers(conn, first[0].leg, pb::Result::Ok);
+    r.node_answers(conn, first[0].attempt, pb::Result::Ok);
     r.wait(ms(30));
-    let second = r.legs(conn);
+    let second = r.attempts(conn);
     assert_eq!((second.len(), second[0].id[0]), (1, 2));
 }
 
--- a/crates/host/tests/ends.rs
+++ b/crates/host/tests/ends.rs
@@ -1,4 +1,4 @@
-//! Legs, connections and lists that end while something is still owed: where a connection carries one leg at
+//! Attempts, connections and lists that end while something is still owed: where a connection carries one attempt at
 //! a time, and where the list moves.
 
 mod common;
@@ -11,7 +11,7 @@
 
 /// What was written of it is in the node's hands, and the rest would follow whenever the node reads again.
 #[test]
-fn a_leg_written_in_part_never_crosses_whatever_ends_it() {
+fn a_attempt_written_in_part_never_crosses_whatever_ends_it() {
     type Case = (&'static str, fn(&mut Rig), &'static [(u8, pb::Outcome)]);
     let cases: [Case; 4] = [
         ("it is withdrawn", |r| r.withdraw(1), &[]),
@@ -54,14 +54,14 @@
     }
 }
 
-/// A node may end a connection that stands idle just as a leg is given to it: that says nothing of the node.
+/// A node may end a connection that stands idle just as an attempt is given to it: that says nothing of the node.
 #[test]
-fn a_leg_given_to_a_connection_that_has_ended_goes_to_another_one_once() {
+fn a_attempt_given_to_a_connection_that_has_ended_goes_to_another_one_once() {
     let mut r = Rig::one_at_a_time("legs(most = 2)");
     r.take(1, 1);
     let conn = r.connect();
-    let leg = r.legs(conn)[0].leg;
-    r.node_answers(conn, leg, pb::Result::Ok);
+    let attempt = r.attempts(conn)[0].attempt;
+    r.node_answers(conn, attempt, pb::Result::Ok);
     assert_eq!(r.finals(), [(1, Done)]);
     r.wait(ms(100));
     r.take(2, 1);
@@ -74,9 +74,12 @@
     r.feed(vec![Input::NodeGone { conn: second }]);
     r.wait(ms(200));
     let third = r.connect();
-    let legs = r.legs(third);
+    let attempts = r.attempts(third);
     assert_eq!(
-        legs.iter().map(|l| (l.id[0], l.number)).collect::<Vec<_>>(),
+        attempts
+            .iter()
+            .map(|l| (l.id[0], l.number))
+            .collect::<Vec<_>>(),
         [(2, 1)],
         "another leg"
     );
@@ -85,18 +88,18 @@
     assert_eq!(r.finals(), [(2, Abandoned)]);
 }
 
-/// A second answer to the leg before would be taken for the next leg's.
+/// A second answer to the attempt before would be taken for the next attempt's.
 #[test]
-fn a_connection_rests_after_an_answer_and_a_second_one_finds_no_leg() {
+fn a_connection_rests_after_an_answer_and_a_second_one_finds_no_attempt() {
     for comes_twice in [false, true] {
         let mut r = Rig::one_at_a_time("");
         r.take(1, 1);
         let conn = r.connect();
-        let leg = r.legs(conn)[0].leg;
-        r.node_answers(conn, leg, pb::Result::Ok);
+        let attempt = r.attempts(conn)[0].attempt;
+        r.node_answers(conn, attempt, pb::Result::Ok);
         r.take(2, 1);
         assert_eq!(
-            (r.finals().len(), r.legs(conn).len(), r.dialled.len()),
+            (r.finals().len(), r.attempts(conn).len(), r.dialled.len()),
             (1, 0, 1)
         );
         if comes_twice {
@@ -105,30 +108,30 @@
         }
         r.wait(ms(10));
         let conn = if comes_twice { r.connect() } else { conn };
-        let legs = r.legs(conn);
+        let attempts = r.attempts(conn);
         assert_eq!(
-            (legs.len(), legs[0].id[0], r.dialled.len()),
+            (attempts.len(), attempts[0].id[0], r.dialled.len()),
             (1, 2, 1 + usize::from(comes_twice))
         );
-        r.node_answers(conn, legs[0].leg, pb::Result::Ok);
+        r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
         assert_eq!((r.finals(), r.desk.counts().strays), (vec![(2, Done)], 0));
     }
 }
 
 #[test]
-fn beside_a_leg_that_is_out_none_waits_for_a_resting_connection() {
+fn beside_a_attempt_that_is_out_none_waits_for_a_resting_connection() {
     let mut r = Rig::one_at_a_time("");
     r.take(1, 0);
     let busy = r.connect();
-    assert_eq!(r.legs(busy).len(), 1);
+    assert_eq!(r.attempts(busy).len(), 1);
     r.take(2, 0);
     let rests = r.connect();
-    let leg = r.legs(rests)[0].leg;
-    r.node_answers(rests, leg, pb::Result::Ok);
+    let attempt = r.attempts(rests)[0].attempt;
+    r.node_answers(rests, attempt, pb::Result::Ok);
     r.take(3, 0);
     assert_eq!(r.dialled.len(), 3);
     let third = r.connect();
-    assert_eq!((r.legs(rests).len(), r.legs(third).len()), (0, 1));
+    assert_eq!((r.attempts(rests).len(), r.attempts(third).len()), (0, 1));
 }
 
 #[test]
@@ -177,8 +180,8 @@
         let mut r = Rig::one_at_a_time("");
         r.take(1, 1);
         let conn = r.connect();
-        let leg = r.legs(conn)[0].leg;
-        r.node_answers(conn, leg, pb::Result::Ok);
+        let attempt = r.attempts(conn)[0].attempt;
+        r.node_answers(conn, attempt, pb::Result::Ok);
         let mut told = list(&[(1, state), (2, Ready)]);
         told.entries[0].start = 2;
         r.feed(vec![Input::Remembered { list: told }]);
@@ -186,7 +189,7 @@
     }
 }
 
-/// A dial is up after its request, its node or the process it was meant for is gone: no leg goes there.
+/// A dial is up after its request, its node or the process it was meant for is gone: no attempt goes there.
 #[test]
 fn a_dial_that_is_up_late_carries_nothing_to_what_it_was_not_meant_for() {
     type Case = (&'static str, fn(&mut Rig), bool);
@@ -218,7 +221,7 @@
         let outbox = r.outbox(late);
         r.feed(vec![Input::NodeUp { conn: late, outbox }]);
         assert_eq!(
-            (r.legs(late).len(), r.boxes[&late].is_closed()),
+            (r.attempts(late).len(), r.boxes[&late].is_closed()),
             (0, closed),
             "{what}"
         );
@@ -241,19 +244,19 @@
     );
 }
 
-/// A client's id must not be free while its leg is out: its request is held until then.
+/// A client's id must not be free while its attempt is out: its request is held until then.
 #[test]
-fn a_request_whose_client_left_is_held_until_its_leg_has_ended() {
+fn a_request_whose_client_left_is_held_until_its_attempt_has_ended() {
     let mut r = Rig::one_at_a_time("");
     r.take(1, 1);
     let conn = r.connect();
-    let leg = r.legs(conn)[0].leg;
+    let attempt = r.attempts(conn)[0].attempt;
     r.withdraw(1);
     assert!(r.desk.holds(&[1; 36]));
     r.frames(
         conn,
-        Body::LegAnswer(pb::LegAnswer {
-            leg,
+        Body::AttemptResponse(pb::AttemptResponse {
+            attempt,
             ..Default::default()
         }),
     );
@@ -262,7 +265,7 @@
 
 /// A third of the connections came up late, and whatever a host had for their nodes waited behind one dial.
 #[test]
-fn a_leg_does_not_wait_for_a_late_dial_alone() {
+fn a_attempt_does_not_wait_for_a_late_dial_alone() {
     let mut r = Rig::one_at_a_time("");
     r.take(1, 1);
     r.wait(ms(15));
@@ -273,13 +276,13 @@
     r.wait(ms(100));
     assert_eq!(r.dialled.len(), 3, "and no more: it may be the node");
     let conn = r.connect();
-    assert_eq!((r.legs(conn).len(), r.finals()), (1, vec![]));
+    assert_eq!((r.attempts(conn).len(), r.finals()), (1, vec![]));
     // The first comes up after all, and serves the next.
     let late = r.dialled[0].0;
     let outbox = r.outbox(late);
     r.feed(vec![Input::NodeUp { conn: late, outbox }]);
     r.take(2, 1);
-    assert_eq!((r.legs(late).len(), r.dialled.len()), (1, 3));
+    assert_eq!((r.attempts(late).len(), r.dialled.len()), (1, 3));
     // Where a dial has failed nothing says that another would do better.
     let mut r = Rig::one_at_a_time("");
     r.take(1, 1);
--- a/crates/host/tests/explore.rs
+++ b/crates/host/tests/explore.rs
@@ -21,7 +21,7 @@
     expiry: Duration,
     answers: Vec<Outcome>,
     withdrawn: bool,
-    /// Legs that crossed: their numbers, and whether an answer proved that they never ran.
+    /// Attempts that crossed: their numbers, and whether an answer proved that they never ran.
     crossed: Vec<(u64, bool)>,
 }
 
@@ -62,8 +62,8 @@
         if !self.up.contains_key(&conn) || self.rig.boxes[&conn].is_closed() {
             return;
         }
-        for leg in self.rig.legs(conn) {
-            let n = leg.id[0];
+        for attempt in self.rig.attempts(conn) {
+            let n = attempt.id[0];
             let s = self.seen.get_mut(&n).expect("a leg of something taken");
             assert!(
                 s.answers.is_empty() && !s.withdrawn,
@@ -74,7 +74,7 @@
                 "a leg of {n} crosses after its expiry"
             );
             assert_eq!(
-                self.state[leg.node as usize - 1],
+                self.state[attempt.node as usize - 1],
                 NodeState::Ready,
                 "a leg to a node that drains"
             );
@@ -82,11 +82,11 @@
                 s.stream != ONCE || s.crossed.iter().all(|c| c.1),
                 "{n} crosses twice"
             );
-            s.crossed.push((leg.leg, false));
+            s.crossed.push((attempt.attempt, false));
             self.up
                 .get_mut(&conn)
                 .expect("checked above")
-                .push((leg.leg, n));
+                .push((attempt.attempt, n));
         }
     }
 
@@ -94,15 +94,15 @@
         let Some(out) = self.up.get_mut(&conn).filter(|o| !o.is_empty()) else {
             return;
         };
-        let (leg, n) = out.swap_remove(self.rng.random_range(0..out.len()));
+        let (attempt, n) = out.swap_remove(self.rng.random_range(0..out.len()));
         if result == pb::Result::Full {
             let s = self.seen.get_mut(&n).expect("a leg of something taken");
             s.crossed
                 .iter_mut()
-                .filter(|c| c.0 == leg)
+                .filter(|c| c.0 == attempt)
                 .for_each(|c| c.1 = true);
         }
-        self.rig.node_answers(conn, leg, result);
+        self.rig.node_answers(conn, attempt, result);
     }
 
     fn act(&mut self, next: &mut u8) {
@@ -209,9 +209,9 @@
             crossed += s.crossed.len();
         }
         requests += w.seen.len();
-        let (open, legs, bytes) = w.rig.desk.held();
+        let (open, attempts, bytes) = w.rig.desk.held();
         assert_eq!(
-            (open, legs, bytes),
+            (open, attempts, bytes),
             (0, 0, 0),
             "seed {seed} leaves something behind"
         );
--- a/crates/host/tests/following.rs
+++ b/crates/host/tests/following.rs
@@ -24,9 +24,9 @@
     r.told(&["plan p rate=1000 reservation=1000", VOLUME], 1);
     r.take(2, 0);
     let conn = r.connect();
-    let out = r.legs(conn);
+    let out = r.attempts(conn);
     assert_eq!((out.len(), out[0].plan_rate), (1, 1000.0));
-    // Retired with one leg out and one held: what is out has its answer when it comes.
+    // Retired with one attempt out and one held: what is out has its answer when it comes.
     (3..60).for_each(|n| r.take(n, 1));
     r.cross(conn);
     r.told(&["volume 5 retire"], 2);
@@ -35,7 +35,7 @@
         !told.is_empty() && told.iter().all(|(n, o)| *n > 2 && *o == Outcome::Deferred),
         "{told:?}"
     );
-    r.node_answers(conn, out[0].leg, pb::Result::Ok);
+    r.node_answers(conn, out[0].attempt, pb::Result::Ok);
     assert_eq!(r.finals(), [(2, Outcome::Done)]);
     r.take(99, 0);
     assert_eq!(
@@ -61,7 +61,7 @@
     r.told(&["volume 5 hosts=h"], 3);
     r.take(2, 0);
     let conn = r.connect();
-    assert_eq!(r.legs(conn).len(), 1);
+    assert_eq!(r.attempts(conn).len(), 1);
 }
 
 /// A limit that is lowered holds for what is already held; raised, it waits until that is settled.
@@ -78,30 +78,30 @@
     // Its part fills from nothing: 20 a second.
     r.wait(ms(100));
     let conn = r.connect();
-    assert_eq!(r.legs(conn).len(), 1);
-    let legs = |r: &mut Rig, from: u8, span: u64| {
+    assert_eq!(r.attempts(conn).len(), 1);
+    let attempts = |r: &mut Rig, from: u8, span: u64| {
         (from..from + 40).for_each(|n| r.take(n, 0));
         let mut sent = 0;
         for _ in 0..span / 20 {
             r.wait(ms(20));
-            let out = r.legs(conn);
+            let out = r.attempts(conn);
             sent += out.len();
             out.iter()
-                .for_each(|l| r.node_answers(conn, l.leg, pb::Result::Ok));
+                .for_each(|l| r.node_answers(conn, l.attempt, pb::Result::Ok));
         }
         r.finals();
         sent
     };
-    let at_forty = legs(&mut r, 10, 1000);
+    let at_forty = attempts(&mut r, 10, 1000);
     assert!((15..=22).contains(&at_forty), "{at_forty}");
     r.told(&[&limited(8)], 1);
-    let at_eight = legs(&mut r, 60, 1000);
+    let at_eight = attempts(&mut r, 60, 1000);
     assert!((3..=8).contains(&at_eight), "{at_eight}");
     r.told(&[&limited(60)], 2);
-    let unsettled = legs(&mut r, 110, 1000);
+    let unsettled = attempts(&mut r, 110, 1000);
     assert!(unsettled <= 5, "{unsettled}");
     r.told(&["plan other rate=1"], 4);
-    let at_sixty = legs(&mut r, 160, 1000);
+    let at_sixty = attempts(&mut r, 160, 1000);
     assert!(at_sixty >= 25, "{at_sixty}");
     // Cut off until its lease is over: the part of the reservation, 2 a second.
     r.feed(vec![Input::StateGone {
@@ -109,8 +109,8 @@
     }]);
     r.wait(ms(3000));
     r.finals();
-    legs(&mut r, 10, 1000); // what its part of the burst still held
-    let alone = legs(&mut r, 60, 1000);
+    attempts(&mut r, 10, 1000); // what its part of the burst still held
+    let alone = attempts(&mut r, 60, 1000);
     assert!(alone <= 4, "{alone}");
     assert!(r.notes.iter().any(|n| n.contains("lease")), "{:?}", r.notes);
 }
@@ -130,15 +130,15 @@
     r.take(1, 0);
     r.wait(ms(100));
     let conn = r.connect();
-    let legs = |r: &mut Rig, span: u64| {
+    let attempts = |r: &mut Rig, span: u64| {
         let mut sent = 0;
         for n in 0..span / 20 {
             (n % 25 == 0).then(|| (10..50).for_each(|n| r.take(n, 0)));
             r.wait(ms(20));
-            let out = r.legs(conn);
+            let out = r.attempts(conn);
             sent += out.len();
             out.iter()
-                .for_each(|l| r.node_answers(conn, l.leg, pb::Result::Ok));
+                .for_each(|l| r.node_answers(conn, l.attempt, pb::Result::Ok));
             // What is held gives its number free for the next ones.
             if n % 25 == 24 {
                 (10..50).for_each(|n| r.withdraw(n));
@@ -147,8 +147,8 @@
         r.finals();
         sent
     };
-    legs(&mut r, 4000);
-    let standing = legs(&mut r, 56_000);
+    attempts(&mut r, 4000);
+    let standing = attempts(&mut r, 56_000);
     assert!(
         (90..=130).contains(&standing),
         "{standing}: its part of the reservation is 2 a second"
@@ -160,14 +160,14 @@
     r.told_all(&versions.iter().map(|v| &v[..]).collect::<Vec<_>>(), 1);
     let terms = r.desk.plans().ledger().plan("p").map(|p| p.limit);
     assert_eq!(terms, Some(80.0));
-    let unsettled = legs(&mut r, 2000);
+    let unsettled = attempts(&mut r, 2000);
     assert!(
         (8..=18).contains(&unsettled),
         "{unsettled}: one of them said 12, and somebody may follow it"
     );
     // The same connection, now with an answer that says that all of them are over.
     r.told(&["plan other rate=1"], 41);
-    let settled = legs(&mut r, 2000);
+    let settled = attempts(&mut r, 2000);
     assert!(settled >= 30, "{settled}");
 }
 
@@ -183,13 +183,13 @@
     );
     r.take(1, 0);
     let conn = r.connect();
-    let out = r.legs(conn);
+    let out = r.attempts(conn);
     r.take(2, 0); // decided, and not yet written
     r.told(&["drain 1 queued"], 2);
     r.take(3, 0);
     r.told(&["drain 1"], 3);
     assert!(
-        r.legs(conn).is_empty(),
+        r.attempts(conn).is_empty(),
         "what was decided before it was told does not cross"
     );
     r.take(4, 0);
@@ -217,20 +217,20 @@
             }
         });
         let told = told.flatten().filter(|n| n.node == 1);
-        told.map(|n| (n.follows, n.legs, n.unsure_us > 0))
+        told.map(|n| (n.follows, n.attempts, n.unsure_us > 0))
             .collect::<Vec<_>>()
     };
     assert_eq!(sights(&mut r).last(), Some(&(3, 1, false)));
     // It never answers: for as long as a request may take, nobody knows whether it runs.
     r.wait(ms(2000));
     assert_eq!(sights(&mut r).last(), Some(&(3, 0, true)));
-    assert!(r.legs(conn).iter().all(|l| l.leg == out[0].leg));
+    assert!(r.attempts(conn).iter().all(|l| l.attempt == out[0].attempt));
     r.wait(ms(2000));
     assert_eq!(sights(&mut r).last(), Some(&(3, 0, false)));
     r.told(&["undrain 1"], 4);
     r.wait(ms(500)); // all hosts hear of it at one moment, and each waits for a moment of its own
     r.take(6, 0);
-    assert_eq!(r.legs(conn).len(), 1);
+    assert_eq!(r.attempts(conn).len(), 1);
 }
 
 #[test]
@@ -294,7 +294,7 @@
     );
     r.take(1, 0);
     let node = r.connect();
-    assert_eq!(r.legs(node).len(), 1);
+    assert_eq!(r.attempts(node).len(), 1);
     // It dials again after a while, and by itself no sooner.
     let first = r.state;
     r.wait(ms(2000));
@@ -357,5 +357,5 @@
     assert_eq!(r.desk.plans().ledger().volumes().count(), 2);
     r.take(2, 0);
     let node = r.connect();
-    assert_eq!(r.legs(node).len(), 1);
+    assert_eq!(r.attempts(node).len(), 1);
 }
--- a/crates/host/tests/sharing.rs
+++ b/crates/host/tests/sharing.rs
@@ -66,9 +66,9 @@
                 let outbox = self.rig.outbox(conn);
                 self.rig.feed(vec![Input::NodeUp { conn, outbox }]);
             }
-            for leg in self.rig.legs(conn) {
-                self.sent += leg.units;
-                self.rig.node_answers(conn, leg.leg, pb::Result::Ok);
+            for attempt in self.rig.attempts(conn) {
+                self.sent += attempt.units;
+                self.rig.node_answers(conn, attempt.attempt, pb::Result::Ok);
             }
         }
         self.rig.finals();
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -329,7 +329,7 @@
     let (list, host, _) = start();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let _at_list = announce(list, listener.local_addr().unwrap());
-    // A node that answers each leg three times, and legs that were never sent.
+    // A node that answers each attempt three times, and attempts that were never sent.
     std::thread::spawn(move || {
         for mut s in listener.incoming().flatten() {
             let mut reader = frame::Reader::new(1 << 20);
@@ -345,17 +345,19 @@
             while s.write_all(&out).is_ok() && reader.fill(&mut s).is_ok_and(|n| n > 0) {
                 out.clear();
                 while let Ok(Some(f)) = reader.next::<pb::Frame>() {
-                    let Some(Body::Leg(l)) = f.body else { continue };
-                    for leg in [l.leg, l.leg, l.leg + 1000, l.leg] {
-                        let a = pb::LegAnswer {
-                            leg,
+                    let Some(Body::Attempt(l)) = f.body else {
+                        continue;
+                    };
+                    for attempt in [l.attempt, l.attempt, l.attempt + 1000, l.attempt] {
+                        let a = pb::AttemptResponse {
+                            attempt,
                             result: pb::Result::Ok.into(),
                             ..Default::default()
                         };
                         frame::write(
                             &pb::Frame {
                                 sent_us: 1,
-                                body: Some(Body::LegAnswer(a)),
+                                body: Some(Body::AttemptResponse(a)),
                             },
                             &mut out,
                         );
--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -13,7 +13,7 @@
 //! - a host is *told* once it has said that it keeps the ledger up to the drain and that nothing decided
 //!   before can still cross. One that was never heard of serves nothing; one that is dead holds the drain up
 //!   until it is back or an operator answers for it, since it might send again on what it knew;
-//! - a node is *quiet* at a host that counted its legs after it followed the drain and found none, once those
+//! - a node is *quiet* at a host that counted its attempts after it followed the drain and found none, once those
 //!   that ended without a word have had the longest time that any may take. What a host had out when the way
 //!   to it was lost, or an earlier process of it up to when the next one came, is given twice that: to end,
 //!   and to be over at the node;
@@ -55,8 +55,8 @@
     pub answers: Answers,
     /// Up to where it followed the ledger when it counted.
     pub follows: Version,
-    /// Legs that have crossed and not ended.
-    pub legs: u32,
+    /// Attempts that have crossed and not ended.
+    pub attempts: u32,
     /// For so long may run there what ended without a word.
     pub unsure: Duration,
     /// Extents that its portal knows to lie there; None: it has no portal.
@@ -179,7 +179,7 @@
     version: Version,
     /// When it is given up, by our clock; None: never.
     until: Option<Duration>,
-    /// The most legs that were seen out since it goes.
+    /// The most attempts that were seen out since it goes.
     most: u32,
     /// Why it still waits, and when it is tried again.
     waits: String,
@@ -198,9 +198,9 @@
     Telling {
         hosts: Vec<(HostNo, bool)>,
     },
-    /// Legs that are out, of the most that were, and for how long at the least what is out may run.
+    /// Attempts that are out, of the most that were, and for how long at the least what is out may run.
     Quiescing {
-        legs: u32,
+        attempts: u32,
         most: u32,
         unsure: Duration,
     },
@@ -276,7 +276,7 @@
 }
 
 impl Membership {
-    /// `warm_within`: until a node that started can do all its work; `longest`: a leg may take at most.
+    /// `warm_within`: until a node that started can do all its work; `longest`: an attempt may take at most.
     pub fn new(
         now: Duration,
         warm_within: Duration,
@@ -377,7 +377,7 @@
                 let h = self.hosts.entry(host).or_default();
                 (h.up, h.over) = (false, over);
                 // Whoever comes back may be another process, which knows less than the one that counted: its
-                // legs must not be missed for the other's having had none.
+                // attempts must not be missed for the other's having had none.
                 let sights = self
                     .nodes
                     .values_mut()
@@ -458,7 +458,7 @@
             },
         );
         if let Some(w) = n.wish.as_mut().filter(|w| w.stage == Stage::Going) {
-            w.most = w.most.max(n.seen.values().map(|s| s.sight.legs).sum());
+            w.most = w.most.max(n.seen.values().map(|s| s.sight.attempts).sum());
         }
         self.dirty.insert(node);
     }
@@ -571,7 +571,7 @@
     }
 
     /// When the last that any host had out there is over, as far as is known: None while some host still
-    /// counts legs, or has not counted since it follows.
+    /// counts attempts, or has not counted since it follows.
     fn quiet_at(&self, node: u32) -> Option<Duration> {
         let n = &self.nodes[&node];
         let version = n.wish.as_ref()?.version;
@@ -580,18 +580,18 @@
             let counted = n.seen.get(no).filter(|s| s.sight.follows >= version);
             at = at.max(match counted {
                 _ if !h.up => h.over,
-                Some(s) if s.sight.legs == 0 => h.over.max(s.at + s.sight.unsure),
+                Some(s) if s.sight.attempts == 0 => h.over.max(s.at + s.sight.unsure),
                 _ => return None,
             });
         }
         Some(at)
     }
 
-    fn legs(&self, n: &Node) -> u32 {
+    fn attempts(&self, n: &Node) -> u32 {
         n.seen
             .iter()
             .filter(|(no, _)| self.hosts.get(no).is_some_and(|h| h.up))
-            .map(|(_, s)| s.sight.legs)
+            .map(|(_, s)| s.sight.attempts)
             .sum()
     }
 
@@ -756,7 +756,7 @@
                         let over = self.quiet_at(node).unwrap_or(self.now);
                         let unsure = over.saturating_sub(self.now);
                         Phase::Quiescing {
-                            legs: self.legs(n),
+                            attempts: self.attempts(n),
                             most: w.most,
                             unsure,
                         }
--- a/crates/membership/tests/drains.rs
+++ b/crates/membership/tests/drains.rs
@@ -297,7 +297,7 @@
 fn a_drain_from_the_asking_to_the_taking_out() {
     let mut r = Rig::new();
     for h in [H1, H2] {
-        r.sees(h, 1, |s| s.legs = 3);
+        r.sees(h, 1, |s| s.attempts = 3);
     }
     r.drain(1, Some(Stage::Going), s(0));
     assert_eq!(
@@ -307,7 +307,7 @@
         }
     );
     r.sure(H1);
-    r.sees(H1, 1, |s| s.legs = 2);
+    r.sees(H1, 1, |s| s.attempts = 2);
     assert_eq!(
         r.phase(1),
         Phase::Telling {
@@ -319,17 +319,19 @@
     assert_eq!(
         r.phase(1),
         Phase::Quiescing {
-            legs: 5,
+            attempts: 5,
             most: 5,
             unsure: s(0)
         }
     );
-    r.sees(H2, 1, |s| (s.legs, s.unsure) = (0, Duration::from_secs(2)));
-    r.sees(H1, 1, |s| s.legs = 0);
+    r.sees(H2, 1, |s| {
+        (s.attempts, s.unsure) = (0, Duration::from_secs(2))
+    });
+    r.sees(H1, 1, |s| s.attempts = 0);
     assert_eq!(
         r.phase(1),
         Phase::Quiescing {
-            legs: 0,
+            attempts: 0,
             most: 5,
             unsure: s(2)
         }
@@ -388,7 +390,9 @@
 fn a_node_that_comes_back_while_it_drains_goes_on_draining() {
     let mut r = Rig::new();
     r.drain(1, Some(Stage::Going), s(0));
-    r.sees(H1, 1, |s| (s.word, s.legs, s.revision) = (Word::Gone, 1, 2));
+    r.sees(H1, 1, |s| {
+        (s.word, s.attempts, s.revision) = (Word::Gone, 1, 2)
+    });
     assert_eq!(r.shown(1).0, Life::Draining);
     r.sees(H1, 1, |s| {
         (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(0)), 3)
@@ -488,7 +492,7 @@
 #[test]
 fn a_host_that_is_not_heard_of() {
     let mut r = Rig::new();
-    r.sees(H2, 1, |s| s.legs = 4);
+    r.sees(H2, 1, |s| s.attempts = 4);
     r.step(vec![Event::Lost { host: H2 }]);
     r.drain(1, Some(Stage::Going), s(0));
     r.sure(H1);
@@ -502,18 +506,18 @@
     );
     r.step(vec![Event::Gone { host: H2 }]);
     assert_eq!(r.shown(1).0, Life::Empty);
-    // Lost just now, its legs are given their time.
+    // Lost just now, its attempts are given their time.
     let mut r = Rig::new();
     r.drain(1, Some(Stage::Going), s(0));
     for h in [H1, H2] {
         r.sure(h);
-        r.sees(h, 1, |s| s.legs = u32::from(h == H2));
+        r.sees(h, 1, |s| s.attempts = u32::from(h == H2));
     }
     r.step(vec![Event::Lost { host: H2 }]);
     assert_eq!(
         r.phase(1),
         Phase::Quiescing {
-            legs: 0,
+            attempts: 0,
             most: 1,
             unsure: s(6)
         }
@@ -578,11 +582,11 @@
         matches!(r.phase(1), Phase::Quiescing { .. }),
         "its successor has not counted yet"
     );
-    r.sees(H1, 1, |s| s.legs = 1);
+    r.sees(H1, 1, |s| s.attempts = 1);
     assert_eq!(
         r.phase(1),
         Phase::Quiescing {
-            legs: 1,
+            attempts: 1,
             most: 1,
             unsure: s(0)
         }
@@ -596,7 +600,7 @@
     r.sure(H1);
     r.sure(H2);
     r.sees(H2, 1, |_| ());
-    r.sees(H1, 1, |s| s.legs = 1);
+    r.sees(H1, 1, |s| s.attempts = 1);
     r.wait(s(29));
     assert_eq!((r.landed.len(), r.shown(1).0), (0, Life::Draining));
     r.wait(s(1));
@@ -654,7 +658,7 @@
         assert_eq!(
             r.phase(1),
             Phase::Quiescing {
-                legs: 0,
+                attempts: 0,
                 most: 0,
                 unsure: s(6)
             }
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -1,11 +1,11 @@
 //! All that can happen to drains of two nodes of one zone, explored: two operators, one of whom may have
 //! looked at an older state, hosts that follow, keep and say so in steps of their own, sights that come late,
-//! a list that lags, legs that end in time or without a word, hosts and a state service that die and start
+//! a list that lags, attempts that end in time or without a word, hosts and a state service that die and start
 //! anew, ways that are cut, nodes that restart. In every state the invariants of [`World::check`] hold, and
 //! from a sample of them, once nothing goes wrong any more, every drain that goes comes to be empty. Worlds
 //! with a fault planted on purpose must show it.
 //!
-//! Legs go to the first node alone: nodes meet only in what their drains may coincide with.
+//! Attempts go to the first node alone: nodes meet only in what their drains may coincide with.
 
 use grebecleat_membership::drains::{Action, Event, Facts, Membership, Sight};
 use grebecleat_membership::life::{Answers, Life, Word};
@@ -31,9 +31,9 @@
     None,
     /// A host says that it has what it follows before that is on its disk.
     SaysBeforeItKeeps,
-    /// A host counts its legs and then says that it followed what came after.
+    /// A host counts its attempts and then says that it followed what came after.
     CountsThenFollows,
-    /// Legs that ended without a word are taken for over.
+    /// Attempts that ended without a word are taken for over.
     ForgetsTheUnsure,
     /// The service does not tell that the way to a host is lost.
     LossUntold,
@@ -64,8 +64,8 @@
     said: Option<u64>,
     /// Its last sight on this way, and whether that has come.
     sights: Option<([Sight; NODES], bool)>,
-    /// When the leg out was sent, and until when an earlier one may run.
-    leg: Option<u64>,
+    /// When the attempt out was sent, and until when an earlier one may run.
+    attempt: Option<u64>,
     unsure: u64,
     /// What its list last said of the first node.
     list: (Word, u64),
@@ -95,7 +95,7 @@
     looked: u64,
     acts: u8,
     mishaps: u8,
-    /// Legs that were sent.
+    /// Attempts that were sent.
     sent: u8,
 }
 
@@ -105,7 +105,7 @@
     last_tick: u64,
     acts: u8,
     mishaps: u8,
-    legs: u8,
+    attempts: u8,
     /// Whether the node restarts as well.
     restarts: bool,
 }
@@ -280,7 +280,7 @@
             revision: start * 2 + u64::from(word == Word::Gone),
             answers: Answers::None,
             follows,
-            legs: u32::from(host.leg.is_some()),
+            attempts: u32::from(host.attempt.is_some()),
             unsure,
             extents: None,
         };
@@ -325,12 +325,12 @@
         for h in 0..self.hosts {
             let (host, no) = (&w.hosts[h], HostNo(h as u32));
             let held = holds(host.follows.1[0]) && self.fault != Fault::SendsAfterAll;
-            let may = host.alive && w.node.up && host.leg.is_none() && w.sent < self.legs;
+            let may = host.alive && w.node.up && host.attempt.is_none() && w.sent < self.attempts;
             if may && host.list.0 == Word::Ready && !held {
-                go(&|w| (w.hosts[h].leg, w.sent) = (Some(w.now), w.sent + 1));
+                go(&|w| (w.hosts[h].attempt, w.sent) = (Some(w.now), w.sent + 1));
             }
-            if host.leg.is_some() {
-                go(&|w| w.hosts[h].leg = None);
+            if host.attempt.is_some() {
+                go(&|w| w.hosts[h].attempt = None);
             }
             if host.alive && host.list != listed {
                 go(&|w| w.hosts[h].list = listed);
@@ -410,7 +410,7 @@
                     w.mishaps += 1;
                     // What it had out may yet come to the node and run there.
                     let host = &mut w.hosts[h];
-                    if host.leg.take().is_some() {
+                    if host.attempt.take().is_some() {
                         w.node.runs = w.node.runs.max(w.now + 2 * LONGEST);
                     }
                     (host.alive, host.linked, host.unsure) = (false, false, 0);
@@ -455,7 +455,7 @@
                     },
                 };
                 for h in &mut w.hosts {
-                    if h.leg.take().is_some() {
+                    if h.attempt.take().is_some() {
                         h.unsure = w.now + LONGEST; // a reset: as far as the host knows, it may have run
                     }
                 }
@@ -503,8 +503,8 @@
     fn tick(&self, w: &mut World) {
         w.now += 1;
         for h in &mut w.hosts {
-            if h.leg.is_some_and(|sent| w.now >= sent + LONGEST) {
-                (h.leg, h.unsure) = (None, w.now + LONGEST);
+            if h.attempt.is_some_and(|sent| w.now >= sent + LONGEST) {
+                (h.attempt, h.unsure) = (None, w.now + LONGEST);
                 w.node.runs = w.node.runs.max(w.now + LONGEST);
             }
         }
@@ -546,7 +546,7 @@
                     self.link(&mut w, h);
                 }
                 let host = &mut w.hosts[h];
-                (host.leg, host.follows) = (None, (w.version, w.drains));
+                (host.attempt, host.follows) = (None, (w.version, w.drains));
                 (host.kept, w.has[h]) = (host.follows, Some(w.version));
                 let sight = self.sight(&w, h);
                 let see = |n: usize| Event::Seen {
@@ -599,7 +599,7 @@
             return Some(format!("both nodes of the zone are drained: {self:?}"));
         }
         if matches!(self.drains[0], Some(Stage::Empty | Stage::Out)) {
-            let out = self.hosts.iter().any(|h| h.leg.is_some());
+            let out = self.hosts.iter().any(|h| h.attempt.is_some());
             if out || self.node.runs > self.now {
                 return Some(format!(
                     "called empty, and something is under way: {self:?}"
@@ -628,7 +628,7 @@
     last_tick: 2,
     acts: 1,
     mishaps: 1,
-    legs: 1,
+    attempts: 1,
     restarts: false,
 };
 
--- a/crates/plans/src/changes.rs
+++ b/crates/plans/src/changes.rs
@@ -318,7 +318,7 @@
 pub struct Facts {
     /// Names of all hosts; a volume works through some of them.
     pub hosts: BTreeSet<Name>,
-    /// How long a leg may be decided before it crosses: a limit's slack must cover it.
+    /// How long an attempt may be decided before it crosses: a limit's slack must cover it.
     pub linger: Duration,
 }
 
--- a/crates/platform/src/account.rs
+++ b/crates/platform/src/account.rs
@@ -49,7 +49,7 @@
         let mut line = format!("{MARK}{second}");
         let since = [
             ("taken", counts.taken, before.taken),
-            ("legs", counts.legs, before.legs),
+            ("legs", counts.attempts, before.attempts),
             ("unsent", counts.unsent, before.unsent),
             ("done", counts.done, before.done),
             ("deferred", counts.deferred, before.deferred),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -20,7 +20,7 @@
 
 /// Kept back from every expiry: for our own queue, for the write, and for the way to the client.
 const ANSWER_MARGIN: Duration = ms(12);
-/// A connection is closed so long before its node would, since a leg that crosses that close is reset.
+/// A connection is closed so long before its node would, since an attempt that crosses that close is reset.
 const IDLE_MARGIN: Duration = ms(1000);
 /// Descriptors for what is neither a client's nor a node's: standard streams, the runtime's, the signals',
 /// the listener, the list's old and new connection.
@@ -33,7 +33,7 @@
 /// Of the memory, what bodies of open requests may hold.
 const BYTES_PART: usize = 8;
 
-/// How long a leg may wait here before it is taken back.
+/// How long an attempt may wait here before it is taken back.
 const LINGER: Duration = ms(250);
 /// Two looks at what waits, every 25 ms.
 const CROSSING_MARGIN: Duration = ms(50);
@@ -242,7 +242,7 @@
     } else {
         dial_timeout
     };
-    // A leg that follows one that may have run must have crossed while that one is remembered, and it may
+    // An attempt that follows one that may have run must have crossed while that one is remembered, and it may
     // wait for its connection after it was decided.
     let crossing = dial_timeout.max(LINGER) + CROSSING_MARGIN;
     for (n, mut facts) in facts.into_iter().enumerate() {
@@ -301,7 +301,7 @@
     let rules = Rules {
         drain_grace: p.time("rules.drain-grace-ms")?,
         cold: shared::cold(p)?,
-        legs: shared::leg_budget(p)?,
+        attempts: shared::retry_budget(p)?,
         key_rest: shared::key_rest(p)?,
         answer_margin: ANSWER_MARGIN,
     };
@@ -311,7 +311,7 @@
         most_frame: 1 << 20,
         most_clients: descriptors.clients,
         most_unread: 1 << 20,
-        legs_per_connection: 1,
+        attempts_per_connection: 1,
         connections_per_node: descriptors.nodes,
         node_connections: descriptors.nodes,
         dial_timeout,
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -35,11 +35,11 @@
     );
     assert_eq!(s.caps.come_back, Some(ms(500)));
     assert_eq!(
-        (s.rules.cold.hosts, s.rules.legs.as_ref().unwrap().share),
+        (s.rules.cold.hosts, s.rules.attempts.as_ref().unwrap().share),
         (4, 0.25)
     );
     assert_eq!(
-        (s.bounds.idle, s.bounds.legs_per_connection),
+        (s.bounds.idle, s.bounds.attempts_per_connection),
         (ms(29_000), 1)
     );
     assert_eq!(
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn what_follows_a_leg_that_may_have_run_has_crossed_while_that_is_remembered() {
+fn what_follows_a_attempt_that_may_have_run_has_crossed_while_that_is_remembered() {
     for (dial, left) in [
         (json!(100), 1200),
         (json!(null), 1200),
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -1,4 +1,4 @@
-//! A leg and the exchange with its node.
+//! An attempt and the exchange with its node.
 
 use crate::clients::SERVICE;
 use crate::http::Response;
@@ -6,12 +6,16 @@
 use grebecleat_wire::pb;
 use std::io::Write;
 
-/// The leg as its node reads it. `piece` is the head that the client's exchange was given.
-pub fn put_leg(to: &mut Vec<u8>, leg: &pb::Leg) {
-    to.extend_from_slice(&leg.piece);
+/// The attempt as its node reads it. `piece` is the head that the client's exchange was given.
+pub fn put_attempt(to: &mut Vec<u8>, attempt: &pb::Attempt) {
+    to.extend_from_slice(&attempt.piece);
     // Writing to memory cannot fail.
-    let _ = write!(to, "X-Remaining-Ms: {}\r\n\r\n", leg.left_us.div_ceil(1000));
-    to.extend_from_slice(&leg.data);
+    let _ = write!(
+        to,
+        "X-Remaining-Ms: {}\r\n\r\n",
+        attempt.left_us.div_ceil(1000)
+    );
+    to.extend_from_slice(&attempt.data);
 }
 
 pub fn put_probe(to: &mut Vec<u8>) {
@@ -26,16 +30,16 @@
         .filter(|n| n.is_finite() && *n >= 0.0)
 }
 
-/// What a whole answer says of a leg. Only a turned-away one proves that it never ran.
-pub fn answer(leg: u64, r: &Response) -> pb::LegAnswer {
+/// What a whole answer says of an attempt. Only a turned-away one proves that it never ran.
+pub fn answer(attempt: u64, r: &Response) -> pb::AttemptResponse {
     let away = matches!(r.headers.one("x-turned-away"), Ok(Some("1")));
     let result = match r.status {
         200 => pb::Result::Ok,
         503 | 504 if away => pb::Result::Full,
         _ => pb::Result::Error,
     };
-    pb::LegAnswer {
-        leg,
+    pb::AttemptResponse {
+        attempt,
         result: result.into(),
         reported: figure(r, "x-iops-used"),
         others: figure(r, "x-rho").unwrap_or(0.0),
@@ -44,16 +48,16 @@
         } else {
             Bytes::new()
         },
-        ..pb::LegAnswer::default()
+        ..pb::AttemptResponse::default()
     }
 }
 
-/// What is told of a leg whose answer is of no use: it has run.
-pub fn spoilt(leg: u64) -> pb::LegAnswer {
-    pb::LegAnswer {
-        leg,
+/// What is told of an attempt whose answer is of no use: it has run.
+pub fn spoilt(attempt: u64) -> pb::AttemptResponse {
+    pb::AttemptResponse {
+        attempt,
         result: pb::Result::Error.into(),
-        ..pb::LegAnswer::default()
+        ..pb::AttemptResponse::default()
     }
 }
 
--- a/crates/platform/src/nodes/tests.rs
+++ b/crates/platform/src/nodes/tests.rs
@@ -2,7 +2,7 @@
 use crate::http::response;
 
 #[test]
-fn only_a_turned_away_leg_never_ran() {
+fn only_a_turned_away_attempt_never_ran() {
     let cases = [
         (
             "200 OK",
@@ -36,7 +36,7 @@
         let text = format!("HTTP/1.1 {status}\r\n{more}\r\nContent-Length: 2\r\n\r\nhi");
         let a = answer(9, &response(text.as_bytes()).unwrap().unwrap().0);
         assert_eq!(
-            (a.leg, a.result(), a.reported, a.others),
+            (a.attempt, a.result(), a.reported, a.others),
             (9, result, reported, others),
             "{text}"
         );
@@ -52,14 +52,14 @@
 }
 
 #[test]
-fn a_leg_says_how_long_we_wait() {
-    let leg = pb::Leg {
+fn a_attempt_says_how_long_we_wait() {
+    let attempt = pb::Attempt {
         piece: Bytes::from_static(b"GET /a HTTP/1.1\r\n"),
         left_us: 479_100,
         data: Bytes::from_static(b"x"),
-        ..pb::Leg::default()
+        ..pb::Attempt::default()
     };
     let mut to = Vec::new();
-    put_leg(&mut to, &leg);
+    put_attempt(&mut to, &attempt);
     assert_eq!(to, b"GET /a HTTP/1.1\r\nX-Remaining-Ms: 480\r\n\r\nx");
 }
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -2,7 +2,7 @@
 //!
 //! One thread owns the host's `Desk` and every connection's state. Each connection has one `may` coroutine,
 //! which reads and hands on what came; whole messages are taken apart by the owner, and what the desk puts
-//! into an outbox is written by the owner at once, without waiting: a leg that is decided is on the wire
+//! into an outbox is written by the owner at once, without waiting: an attempt that is decided is on the wire
 //! before anything else is heard, and whether its last byte was written is known without asking another
 //! thread. What the socket does not take at once is tried again at the next look.
 //!
@@ -85,7 +85,7 @@
 /// What was accepted before the listener was shut has been heard of by then.
 const LAST_HEARD: Duration = ms(20);
 /// A node's answer that has begun must go on within this. Guards against answers that are said to be longer
-/// than they are, whose connection stays open: without it such a leg holds its request until expiry.
+/// than they are, whose connection stays open: without it such an attempt holds its request until expiry.
 /// Harm: a whole answer over a link that stalls for longer counts as spoilt.
 const REST_OF_ANSWER: Duration = ms(100);
 /// Bytes to a node that the system may hold for it. What is there can't be taken back when a client leaves,
@@ -400,7 +400,7 @@
 #[derive(Debug)]
 enum Doing {
     Nothing,
-    Leg(u64),
+    Attempt(u64),
     Probe(u64),
 }
 
@@ -464,8 +464,8 @@
     blocked: BTreeSet<ConnId>,
     /// Requests open, by the clients' own ids.
     ids: HashSet<String>,
-    /// Of those, the ones whose client is gone or answered while a leg of them is out. The bound is the
-    /// legs'.
+    /// Of those, the ones whose client is gone or answered while an attempt of them is out. The bound is the
+    /// attempts'.
     left: Vec<(String, Bytes)>,
     taken: u64,
     discovery: SocketAddr,
@@ -1043,11 +1043,12 @@
                 let leaving = !r.keep || used < c.inward.len() || partly;
                 let body = match doing {
                     Doing::Probe(probe) => probed(*probe, r.status),
-                    Doing::Leg(leg) => Body::LegAnswer(nodes::answer(*leg, &r)),
+                    Doing::Attempt(attempt) => Body::AttemptResponse(nodes::answer(*attempt, &r)),
                     Doing::Nothing => return,
                 };
-                // What answers a leg that has not come whole is made for another, but for a node's no.
-                if partly && !matches!(&body, Body::LegAnswer(a) if a.result() == pb::Result::Full)
+                // What answers an attempt that has not come whole is made for another, but for a node's no.
+                if partly
+                    && !matches!(&body, Body::AttemptResponse(a) if a.result() == pb::Result::Full)
                 {
                     return self.lost(conn);
                 }
@@ -1069,7 +1070,7 @@
         };
         *doing = Doing::Nothing;
         *inward = Vec::new();
-        // That it goes comes first, or the next leg would be given to it.
+        // That it goes comes first, or the next attempt would be given to it.
         let going = leaving.then(|| frame(Body::GoingAway(pb::GoingAway {}), at));
         let frames = going.into_iter().chain([frame(body, at)]).collect();
         self.inputs.push(Input::NodeFrames { conn, at, frames });
@@ -1096,7 +1097,7 @@
             return self.lost(conn); // it has not come whole, so it has not run
         }
         let body = match *doing {
-            Doing::Leg(leg) => Body::LegAnswer(nodes::spoilt(leg)),
+            Doing::Attempt(attempt) => Body::AttemptResponse(nodes::spoilt(attempt)),
             Doing::Probe(probe) => probed(probe, 502),
             Doing::Nothing => return self.lost(conn),
         };
@@ -1108,7 +1109,7 @@
     /// the list or a client would find none. So what is beyond the nodes' part waits for the first that is
     /// let go of, within the time of its dial. The list's own are at most one that is up, one from before a
     /// move and one dial, which stand beside all parts: it is dialled as soon as the decisions ask. Harm: a
-    /// leg may wait for a dial that is held; it is swept as behind a slow one.
+    /// attempt may wait for a dial that is held; it is swept as behind a slow one.
     fn dial(&mut self, conn: ConnId, address: SocketAddr, list: bool) {
         let until = clock::now() + self.config.settings.bounds.dial_timeout;
         if list {
@@ -1359,7 +1360,7 @@
             };
             let client = matches!(c.role, Role::Client(_));
             if !client && c.outbox.is_closed() {
-                // What is left of a leg that was given up must not cross any more.
+                // What is left of an attempt that was given up must not cross any more.
                 return self.close(conn);
             }
             while c.written < c.outward.len() {
@@ -1391,7 +1392,7 @@
                 }
             }
             c.outbox.wrote();
-            // Its node has ended it, or says more than it was asked for: a leg written now would be reset, or
+            // Its node has ended it, or says more than it was asked for: an attempt written now would be reset, or
             // be taken to have that answer. It is still ours, and goes elsewhere.
             if let (Role::Node(Doing::Nothing), false) = (&c.role, c.outbox.is_flushed()) {
                 if !c.gate.is_quiet(c.fd) {
@@ -1419,14 +1420,14 @@
         }
     }
 
-    /// Whether a leg lies in a node's outbox whose client has gone: its end may lie in the socket, or with its
-    /// reader, behind all that the owner has yet to hear. Nobody waits for the leg's answer, and it stays
+    /// Whether an attempt lies in a node's outbox whose client has gone: its end may lie in the socket, or with its
+    /// reader, behind all that the owner has yet to hear. Nobody waits for the attempt's answer, and it stays
     /// where the desk takes it back.
     ///
-    /// So no leg begins later than its client's end has come to this machine, however long the owner is busy,
+    /// So no attempt begins later than its client's end has come to this machine, however long the owner is busy,
     /// a dial took or a repeat waited: the look is made at the last instant, and nothing lies between it and
-    /// the write. Guards as well against legs of a client that was hung up on. Harm: a look at the client's
-    /// socket for each leg.
+    /// the write. Guards as well against attempts of a client that was hung up on. Harm: a look at the client's
+    /// socket for each attempt.
     fn nobody_waits(&mut self, conn: ConnId) -> bool {
         let left = |client: &ConnId| self.conns.get(client).is_none_or(|c| has_left(c.fd));
         let Some(client) = self.desk.clients_at(conn).find(left) else {
@@ -1460,9 +1461,9 @@
                     self.advance(conn, now);
                 }
             }
-            (Role::Node(doing), Body::Leg(leg)) => {
-                *doing = Doing::Leg(leg.leg);
-                nodes::put_leg(&mut c.outward, &leg);
+            (Role::Node(doing), Body::Attempt(attempt)) => {
+                *doing = Doing::Attempt(attempt.attempt);
+                nodes::put_attempt(&mut c.outward, &attempt);
             }
             (Role::Node(doing), Body::Probe(probe)) => {
                 if matches!(doing, Doing::Nothing) {
@@ -1642,7 +1643,7 @@
     }
 }
 
-/// A client's id is free once nothing of its request is out: until then a node could meet the id of a leg
+/// A client's id is free once nothing of its request is out: until then a node could meet the id of an attempt
 /// that it has, and take it for a second copy.
 fn forget(
     ids: &mut HashSet<String>,
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use grebecleat_host::outbox::LegNo;
+use grebecleat_host::outbox::AttemptId;
 use std::io::{Read, Write};
 use std::os::unix::net::UnixStream;
 
@@ -248,7 +248,7 @@
 /// Decided while its client waited; by the time that its connection is up the client has left, and the owner
 /// has yet to hear of it, behind whatever else it has to hear.
 #[test]
-fn no_leg_is_written_once_its_client_has_left() {
+fn no_attempt_is_written_once_its_client_has_left() {
     type Case = (&'static str, fn(&mut UnixStream), bool);
     let cases: [Case; 4] = [
         ("it waits", |_| (), true),
@@ -322,9 +322,9 @@
     }
 }
 
-/// What a node says or ends before a leg is written is seen, though its reader has not brought it yet.
+/// What a node says or ends before an attempt is written is seen, though its reader has not brought it yet.
 #[test]
-fn no_leg_is_written_to_a_connection_whose_node_has_something_to_say() {
+fn no_attempt_is_written_to_a_connection_whose_node_has_something_to_say() {
     type Case = (&'static str, fn(&mut UnixStream), bool);
     let cases: [Case; 3] = [
         ("nothing", |_| (), true),
@@ -350,21 +350,21 @@
             now,
         );
         says(&mut node);
-        let leg = frame(
-            Body::Leg(pb::Leg {
-                leg: 1,
-                ..pb::Leg::default()
+        let attempt = frame(
+            Body::Attempt(pb::Attempt {
+                attempt: 1,
+                ..pb::Attempt::default()
             }),
             now,
         );
-        outbox.put_leg(LegNo(1), leg, now, now + ms(900));
+        outbox.put_attempt(AttemptId(1), attempt, now, now + ms(900));
         host.flush_all();
         node.set_nonblocking(true).unwrap();
         // It stays in the outbox, where the desk takes it back.
         assert_eq!(
             (
                 node.read(&mut [0; 64]).is_ok_and(|n| n > 0),
-                outbox.is_held(LegNo(1))
+                outbox.is_held(AttemptId(1))
             ),
             (written, !written),
             "{what}"
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -113,7 +113,7 @@
 pub struct Rules {
     pub drain_grace: Duration,
     pub cold: ColdRule,
-    pub legs: Option<LegBudget>,
+    pub attempts: Option<RetryBudget>,
     pub key_rest: Duration,
     /// Kept back from every expiry, so that the answer is with the client in time.
     pub answer_margin: Duration,
@@ -128,13 +128,13 @@
     pub most_clients: usize,
     /// Bytes of answers that a client may leave unread.
     pub most_unread: usize,
-    pub legs_per_connection: usize,
+    pub attempts_per_connection: usize,
     pub connections_per_node: usize,
     /// To all nodes together.
     pub node_connections: usize,
     pub dial_timeout: Duration,
     pub idle: Duration,
-    /// A leg that could not be written for so long is taken back.
+    /// An attempt that could not be written for so long is taken back.
     pub linger: Duration,
     /// A greeting, or the rest of a frame that has begun, must come within this.
     pub patience: Duration,
@@ -395,11 +395,11 @@
         let shares = self.calls.iter().any(|c| c.what == "fleet");
         let fleet = shares.then(|| self.once("fleet", fleet));
         let units = self.once("units", units);
-        let caps = self.once("legs", legs);
+        let caps = self.once("legs", attempts);
         let hosts_n = hosts.len();
         let rules = self.once("rules", |f| rules(f, hosts_n));
         let bounds = self.once("bounds", bounds);
-        // Legs are drawn from a limit when they are decided and cross up to `linger` later, so a burst can
+        // Attempts are drawn from a limit when they are decided and cross up to `linger` later, so a burst can
         // reach the nodes by the rate over that time too much.
         let slack_short = |p: &NamedPlan| {
             p.facts.limit > 0.0 && {
@@ -742,10 +742,10 @@
     }
 }
 
-fn legs(f: &mut Fields) -> Caps {
+fn attempts(f: &mut Fields) -> Caps {
     let come_back = f.span("come_back_most", Some(ms(2000)), DAY);
     Caps {
-        most_legs: f.whole("most", Some(3), (1, 100)) as u32,
+        most_attempts: f.whole("most", Some(3), (1, 100)) as u32,
         probing: f.flag("probing", Some(false)),
         come_back: (!come_back.is_zero()).then_some(come_back),
         answer_slack: f.span("answer_slack", Some(ms(8)), DAY),
@@ -767,7 +767,7 @@
     Rules {
         drain_grace: f.span("drain_grace", Some(ms(1000)), DAY),
         cold,
-        legs: (share > 0.0).then_some(LegBudget {
+        attempts: (share > 0.0).then_some(RetryBudget {
             floor,
             share,
             window,
@@ -785,7 +785,7 @@
         most_frame: f.whole("most_frame", Some((1 << 20) + 4096), (4096, 1 << 30)) as usize,
         most_clients: f.whole("most_clients", Some(10_000), (1, most)) as usize,
         most_unread: f.whole("most_unread", Some(8 << 20), (4096, most)) as usize,
-        legs_per_connection: f.whole("legs_per_connection", Some(100), (1, 1 << 20)) as usize,
+        attempts_per_connection: f.whole("legs_per_connection", Some(100), (1, 1 << 20)) as usize,
         connections_per_node: f.whole("connections_per_node", Some(4), (1, 1024)) as usize,
         node_connections: f.whole("node_connections", Some(10_000), (1, most)) as usize,
         dial_timeout: f.span("dial_timeout", Some(ms(250)), DAY),
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -29,11 +29,11 @@
 pub enum Deed {
     Answer {
         conn: u64,
-        answer: pb::LegAnswer,
+        answer: pb::AttemptResponse,
     },
     /// A write was carried out.
     Effect {
-        leg: u64,
+        attempt: u64,
         id: Bytes,
     },
     Up {
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 struct Job {
     conn: u64,
-    leg: pb::Leg,
+    attempt: pb::Attempt,
     until: Duration,
     work: Duration,
 }
@@ -235,27 +235,28 @@
         speed.max(1e-3)
     }
 
-    fn work_of(&mut self, leg: &pb::Leg, now: Duration) -> Duration {
-        let stream = &self.settings.streams[leg.stream_type as usize % self.settings.streams.len()];
-        let words = leg
+    fn work_of(&mut self, attempt: &pb::Attempt, now: Duration) -> Duration {
+        let stream =
+            &self.settings.streams[attempt.stream_type as usize % self.settings.streams.len()];
+        let words = attempt
             .id
             .iter()
             .fold(0u64, |h, b| h.wrapping_mul(131) + u64::from(*b));
         let noise = 0.5 + lot(self.seed, &[words, 1]);
-        let mut work = stream.unit_work.mul_f64(leg.units * noise);
+        let mut work = stream.unit_work.mul_f64(attempt.units * noise);
         if let Some(s) = self.struck(Kind::HeavyTail, now) {
             if lot(self.seed, &[words, 2]) < 0.02 {
                 work = work.mul_f64(s.size.max(1.0));
             }
         }
-        if leg.number == 0 && self.last.contains(&leg.extent) {
+        if attempt.number == 0 && self.last.contains(&attempt.extent) {
             work = work.mul_f64(1.0 - self.spec.warm_saves);
         }
-        self.last.push_back(leg.extent);
+        self.last.push_back(attempt.extent);
         if self.last.len() > self.spec.warm_keys {
             self.last.pop_front();
         }
-        if leg.write {
+        if attempt.write {
             let later = work.mul_f64(self.spec.put_off);
             self.put_off += later;
             work -= later;
@@ -263,24 +264,24 @@
         work
     }
 
-    /// A leg arrives; `left` is what its host still waits.
+    /// An attempt arrives; `left` is what its host still waits.
     pub fn take(
         &mut self,
         now: Duration,
         conn: u64,
-        leg: pb::Leg,
+        attempt: pb::Attempt,
         left: Duration,
         to: &mut Vec<Deed>,
     ) {
         let mut turn = |result: pb::Result| {
-            let answer = pb::LegAnswer {
-                leg: leg.leg,
+            let answer = pb::AttemptResponse {
+                attempt: attempt.attempt,
                 result: result.into(),
                 ..Default::default()
             };
             to.push(Deed::Answer { conn, answer });
         };
-        if leg.node != self.spec.id {
+        if attempt.node != self.spec.id {
             return turn(pb::Result::WrongNode);
         }
         match self.life {
@@ -289,14 +290,14 @@
             Life::Up => {}
         }
         // Every bit of work that arrives presses on a cold node, also what it turns away.
-        if self.pressed(now, leg.units) {
+        if self.pressed(now, attempt.units) {
             self.stop();
             return to.push(Deed::Down { fell: true });
         }
         if self.struck(Kind::Hang, now).is_some() {
             return;
         }
-        let words = leg.leg ^ u64::from(leg.node) << 32;
+        let words = attempt.attempt ^ u64::from(attempt.node) << 32;
         if self
             .struck(Kind::FastErrors, now)
             .is_some_and(|s| lot(self.seed, &[words, 3]) < s.size)
@@ -304,27 +305,28 @@
             return turn(pb::Result::Error);
         }
         let full = self.queue.len() >= self.spec.queue;
-        if full || (leg.write && self.bytes + leg.data.len() > MOST_BYTES) {
+        if full || (attempt.write && self.bytes + attempt.data.len() > MOST_BYTES) {
             return turn(pb::Result::Full);
         }
-        let work = self.work_of(&leg, now);
+        let work = self.work_of(&attempt, now);
         self.queue.push_back(Job {
             conn,
-            leg,
+            attempt,
             until: now + left,
             work,
         });
         self.begin(now, to);
     }
 
-    pub fn cancel(&mut self, conn: u64, leg: u64) {
-        self.queue.retain(|j| (j.conn, j.leg.leg) != (conn, leg));
+    pub fn cancel(&mut self, conn: u64, attempt: u64) {
+        self.queue
+            .retain(|j| (j.conn, j.attempt.attempt) != (conn, attempt));
         if self
             .running
             .values()
-            .any(|j| (j.conn, j.leg.leg) == (conn, leg))
+            .any(|j| (j.conn, j.attempt.attempt) == (conn, attempt))
         {
-            self.cancelled.insert((conn, leg));
+            self.cancelled.insert((conn, attempt));
         }
     }
 
@@ -355,8 +357,8 @@
             };
             if now >= job.until {
                 let result = pb::Result::Expired.into();
-                let answer = pb::LegAnswer {
-                    leg: job.leg.leg,
+                let answer = pb::AttemptResponse {
+                    attempt: job.attempt.attempt,
                     result,
                     ..Default::default()
                 };
@@ -442,29 +444,29 @@
         meter: &mut Meter,
         to: &mut Vec<Deed>,
     ) {
-        let (leg, conn) = (job.leg, job.conn);
-        if self.cancelled.remove(&(conn, leg.leg)) {
+        let (attempt, conn) = (job.attempt, job.conn);
+        if self.cancelled.remove(&(conn, attempt.attempt)) {
             return;
         }
         let period = self.settings.units.meter.as_secs_f64().max(0.001);
         let number = |t: Duration| (t.as_secs_f64() / period) as u64;
-        meter.add(number(at), leg.volume, leg.units);
+        meter.add(number(at), attempt.volume, attempt.units);
         let (mut data, mut superseded) = (Bytes::new(), None);
-        let place = (leg.volume, leg.extent);
-        if leg.write {
+        let place = (attempt.volume, attempt.extent);
+        if attempt.write {
             // A repeat that is remembered has no second effect.
-            if !self.done.contains_key(&leg.piece) {
-                superseded = self.write(&leg, now, to);
+            if !self.done.contains_key(&attempt.piece) {
+                superseded = self.write(&attempt, now, to);
             }
             if self.done.len() > MOST_REMEMBERED {
                 let oldest = now.saturating_sub(Duration::from_secs(30));
                 self.done.retain(|_, at| *at > oldest);
             }
         } else if let Some(kept) = self.extents.get(&place) {
-            let from = (leg.offset.unwrap_or(0) as usize).min(kept.len());
-            data = kept.slice(from..kept.len().min(from + leg.length as usize));
+            let from = (attempt.offset.unwrap_or(0) as usize).min(kept.len());
+            data = kept.slice(from..kept.len().min(from + attempt.length as usize));
         }
-        let words = leg.leg ^ 0x10_0000;
+        let words = attempt.attempt ^ 0x10_0000;
         if self
             .struck(Kind::AnswerLost, now)
             .is_some_and(|s| lot(self.seed, &[words, 4]) < s.size)
@@ -472,14 +474,16 @@
             return;
         }
         // Late by a period: the one before the last that is whole.
-        let told = number(now).checked_sub(2).map(|p| meter.of(p, leg.volume));
+        let told = number(now)
+            .checked_sub(2)
+            .map(|p| meter.of(p, attempt.volume));
         let reported = told
-            .filter(|_| !self.settings.units.meter.is_zero() && leg.plan_rate > 0.0)
-            .map(|units| units / period / leg.plan_rate * 100.0);
+            .filter(|_| !self.settings.units.meter.is_zero() && attempt.plan_rate > 0.0)
+            .map(|units| units / period / attempt.plan_rate * 100.0);
         let busy = Some(self.running.len() as f64 / f64::from(self.spec.cores));
         let result = pb::Result::Ok.into();
-        let answer = pb::LegAnswer {
-            leg: leg.leg,
+        let answer = pb::AttemptResponse {
+            attempt: attempt.attempt,
             result,
             reported,
             others: 0.0,
@@ -492,10 +496,10 @@
 
     /// Carries out a write where nothing newer lies; the newest that kept a part of it out. One that was kept
     /// out whole had no effect and is not remembered: it may come again with another version.
-    fn write(&mut self, leg: &pb::Leg, now: Duration, to: &mut Vec<Deed>) -> Option<u64> {
-        let place = (leg.volume, leg.extent);
-        let (at, length) = (leg.offset.unwrap_or(0), leg.data.len() as u32);
-        let (parts, newer) = match leg.version {
+    fn write(&mut self, attempt: &pb::Attempt, now: Duration, to: &mut Vec<Deed>) -> Option<u64> {
+        let place = (attempt.volume, attempt.extent);
+        let (at, length) = (attempt.offset.unwrap_or(0), attempt.data.len() as u32);
+        let (parts, newer) = match attempt.version {
             Some(v) => self
                 .versions
                 .entry(place)
@@ -506,23 +510,25 @@
         if parts.is_empty() && length > 0 {
             return newer;
         }
-        self.done.insert(leg.piece.clone(), now);
+        self.done.insert(attempt.piece.clone(), now);
         let old = self.extents.get(&place).cloned().unwrap_or_default();
-        let new = match leg.offset {
-            None if newer.is_none() => leg.data.clone(),
+        let new = match attempt.offset {
+            None if newer.is_none() => attempt.data.clone(),
             _ => parts.iter().fold(old.clone(), |new, (from, end)| {
                 patched(
                     &new,
                     *from as usize,
-                    &leg.data.slice((from - at) as usize..(end - at) as usize),
+                    &attempt
+                        .data
+                        .slice((from - at) as usize..(end - at) as usize),
                 )
             }),
         };
         self.bytes = self.bytes + new.len() - old.len();
         self.extents.insert(place, new);
         to.push(Deed::Effect {
-            leg: leg.leg,
-            id: leg.piece.clone(),
+            attempt: attempt.attempt,
+            id: attempt.piece.clone(),
         });
         newer
     }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -183,11 +183,12 @@
                     }
                     let mut to = Vec::new();
                     match body {
-                        Body::Leg(leg) => {
-                            let left = Duration::from_micros(leg.left_us).saturating_sub(waited);
-                            seat.node.take(now, conn, leg, left, &mut to);
+                        Body::Attempt(attempt) => {
+                            let left =
+                                Duration::from_micros(attempt.left_us).saturating_sub(waited);
+                            seat.node.take(now, conn, attempt, left, &mut to);
                         }
-                        Body::CancelLeg(c) => seat.node.cancel(conn, c.leg),
+                        Body::CancelAttempt(c) => seat.node.cancel(conn, c.attempt),
                         Body::Probe(p) => {
                             let probed = pb::Probed {
                                 probe: p.probe,
@@ -262,12 +263,12 @@
             seat.lines
                 .get(&conn)
                 .into_iter()
-                .for_each(|l| l.put(Body::LegAnswer(answer.clone())));
+                .for_each(|l| l.put(Body::AttemptResponse(answer.clone())));
             return;
         }
-        Deed::Effect { leg, id } => {
+        Deed::Effect { attempt, id } => {
             return stage.tracer.mark(Marked {
-                leg,
+                attempt,
                 id,
                 ..mark(What::Effect)
             });
--- a/crates/state/src/attending.rs
+++ b/crates/state/src/attending.rs
@@ -246,8 +246,12 @@
                 .collect();
             pb::DrainPhase::Telling
         }
-        Phase::Quiescing { legs, most, unsure } => {
-            (shown.legs, shown.most, shown.unsure_us) = (*legs, *most, micros(*unsure));
+        Phase::Quiescing {
+            attempts,
+            most,
+            unsure,
+        } => {
+            (shown.attempts, shown.most, shown.unsure_us) = (*attempts, *most, micros(*unsure));
             pb::DrainPhase::Quiescing
         }
         Phase::Empty { against } => {
--- a/crates/state/src/declared.rs
+++ b/crates/state/src/declared.rs
@@ -3,7 +3,7 @@
 use grebecleat_plans::changes::{Change, Facts, Name, Node, Plan, Volume};
 use grebecleat_settings::Settings;
 
-/// What no change touches: hosts, and how long a leg may take to cross.
+/// What no change touches: hosts, and how long an attempt may take to cross.
 pub fn facts(s: &Settings) -> Facts {
     let hosts = s
         .hosts
--- a/crates/state/src/serve.rs
+++ b/crates/state/src/serve.rs
@@ -1014,7 +1014,7 @@
         revision: n.revision,
         answers,
         follows: Version(n.follows),
-        legs: n.legs,
+        attempts: n.attempts,
         unsure: Duration::from_micros(n.unsure_us),
         extents: n.extents,
     }
--- a/crates/target/src/blocks.rs
+++ b/crates/target/src/blocks.rs
@@ -11,7 +11,7 @@
 //! | any abandoned | CHECK CONDITION, outcome unknown | nobody may promise either way |
 //! | any unkept | CHECK CONDITION, write error | its place would be lost with this process |
 //!
-//! The answer is given when the last piece has its own: until then a leg may be out, and an answer that came
+//! The answer is given when the last piece has its own: until then an attempt may be out, and an answer that came
 //! before it could be overtaken by its effect.
 
 use bytes::{Bytes, BytesMut};
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -5,7 +5,7 @@
 //!
 //! - a command is answered when the last of its requests is, and an aborted one ends then too: the response
 //!   to an abort or a reset says that nothing of the command is still under way at the host;
-//! - each write carries a version, higher than those of all writes before, and a node keeps the newest: a leg
+//! - each write carries a version, higher than those of all writes before, and a node keeps the newest: an attempt
 //!   that is still queued somewhere, of this start or an earlier one, cannot overwrite what is written after.
 //!   Reads of its blocks wait until it can no longer appear;
 //! - an extent is first written by one request alone, and GOOD follows only once its place is kept.
--- a/crates/target/src/overlaps.rs
+++ b/crates/target/src/overlaps.rs
@@ -1,11 +1,11 @@
 //! Which commands of one volume must wait for which: those whose blocks overlap, where at least one writes.
 //!
 //! SAM-5 lets simple tasks pass each other, but initiators that send a read behind a write of the same blocks
-//! in one window expect no surprise, and two writes that race through different legs could end in either
+//! in one window expect no surprise, and two writes that race through different attempts could end in either
 //! order on different extents. So overlapping ones go in the order they came. A command that waits also holds
 //! back later ones that overlap it, or a stream of reads could starve a write.
 //!
-//! A write that has ended, but of which a leg may still run, rests: later writes pass it, since a node tells
+//! A write that has ended, but of which an attempt may still run, rests: later writes pass it, since a node tells
 //! them by their versions from the old one, and reads wait, or they could see it appear between two of them.
 //! Once a later write has covered it, nothing of it can appear any more.
 //!
--- a/crates/target/src/portal.rs
+++ b/crates/target/src/portal.rs
@@ -205,7 +205,7 @@
         })
         .collect();
     let (first, most, most_each) = spec.commands;
-    // As long as a leg of a request that was given up may still begin at a node, and then the key's rest.
+    // As long as an attempt of a request that was given up may still begin at a node, and then the key's rest.
     let longest = settings
         .streams
         .iter()
--- a/crates/target/tests/engine.rs
+++ b/crates/target/tests/engine.rs
@@ -425,7 +425,7 @@
     }
 }
 
-/// The old leg runs after the newer write was GOOD, by any delay: it changes nothing. Reads of its blocks
+/// The old attempt runs after the newer write was GOOD, by any delay: it changes nothing. Reads of its blocks
 /// wait as long as it could be seen, and a newer write ends that wait.
 #[test]
 fn a_late_write_never_overwrites_a_newer_one_and_is_not_seen_between_two_reads() {
@@ -476,7 +476,7 @@
         2,
         "and the read behind it rests no longer: nothing older can be seen"
     );
-    // Both old legs run after all.
+    // Both old attempts run after all.
     let cell = late.cell.expect("written before");
     assert!(r.node(&late, cell).is_some() && r.node(&second, cell).is_some());
     r.read(c, 15, 0, 4);
@@ -485,7 +485,7 @@
 }
 
 #[test]
-fn after_a_restart_a_late_leg_of_the_earlier_start_cannot_overwrite_and_nobody_waits() {
+fn after_a_restart_a_late_attempt_of_the_earlier_start_cannot_overwrite_and_nobody_waits() {
     let mut r = Rig::new();
     let c = r.login(1, 1);
     r.write(c, 6, 0, &fill(9, 1));
--- a/crates/wire/src/trace.rs
+++ b/crates/wire/src/trace.rs
@@ -190,8 +190,8 @@
     let data = match &mut frame.body {
         Some(Body::Take(m)) => std::mem::take(&mut m.data),
         Some(Body::Final(m)) => std::mem::take(&mut m.data),
-        Some(Body::Leg(m)) => std::mem::take(&mut m.data),
-        Some(Body::LegAnswer(m)) => std::mem::take(&mut m.data),
+        Some(Body::Attempt(m)) => std::mem::take(&mut m.data),
+        Some(Body::AttemptResponse(m)) => std::mem::take(&mut m.data),
         _ => Bytes::new(),
     };
     let (data_len, data_crc) = (data.len() as u32, crc32c::crc32c(&data));
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -19,8 +19,8 @@
             data: data.into(),
             ..Default::default()
         }),
-        1 => Body::LegAnswer(pb::LegAnswer {
-            leg: rng.random(),
+        1 => Body::AttemptResponse(pb::AttemptResponse {
+            attempt: rng.random(),
             result: 2,
             data: data.into(),
             ..Default::default()
@@ -120,5 +120,8 @@
     let mut reader = Reader::new(100);
     reader.push(&bytes);
     let read = reader.next::<pb::Frame>().unwrap().unwrap();
-    assert!(matches!(read.body, Some(Body::LegAnswer(_))), "{read:?}");
+    assert!(
+        matches!(read.body, Some(Body::AttemptResponse(_))),
+        "{read:?}"
+    );
 }
--- a/src/account.rs
+++ b/src/account.rs
@@ -18,8 +18,8 @@
     Behind,
     /// No node that the list names has its data.
     Absent,
-    /// A leg of it ended badly, and another may not go.
-    Leg,
+    /// An attempt of it ended badly, and another may not go.
+    Attempt,
 }
 
 /// Which bucket would have paid: the volume's reservation, the flow's share, or none.
@@ -76,7 +76,7 @@
     fn why(&self, id: RequestId, x: &PendingRequest, holder: Option<NodeId>) -> Why {
         let room = |node| self.opens(node, x.request.units).is_some_and(|at| at <= self.bk.now);
         match x.at {
-            _ if matches!(x.want, Want::Out(_)) => Why::Leg,
+            _ if matches!(x.want, Want::Out(_)) => Why::Attempt,
             None if x.request.cell.is_none() => Why::Rejected(Rejection::Nowhere),
             None if holder.is_none() => Why::Absent,
             None => Why::Behind,
