--- a/src/control.rs
+++ b/src/control.rs
@@ -5,10 +5,10 @@
 //! demand, probing window, split, fill, buckets, bound on units out. Beside it stand six mechanisms at most:
 //!
 //! 1. the brake: late answers shrink a node's bound below the design's floor;
-//! 2. the ease: late lone legs cut what may go to a node by benefit; silence and refusals in a row shut it;
+//! 2. the ease: late lone attempts cut what may go to a node by benefit; silence and refusals in a row shut it;
 //! 3. order by benefit among held requests, and giving up early what cannot be in time;
-//! 4. further legs, spaced, while the time left exceeds the expected time;
-//! 5. the rule guards: drains, cold parts, key order, repeats, leg budget, limit parts;
+//! 4. retries, spaced, while the time left exceeds the expected time;
+//! 5. the rule guards: drains, cold parts, key order, repeats, attempt budget, limit parts;
 //! 6. following the list, with backed-off, jittered renewal.
 
 use crate::bucket::TokenBucket;
@@ -88,7 +88,7 @@
     (rate * SLO_PART * secs(tightest)).max(part.clamp(FLOOR.0, FLOOR.1) * mean).min(MOST_OUT * mean)
 }
 
-/// Whether a leg may follow one that may have run (repeat rule). `ran` is where and when that was.
+/// Whether an attempt may follow one that may have run (repeat rule). `ran` is where and when that was.
 pub fn may_repeat(repeat: Repeat, ran: Option<Ran>, to: (ZoneId, CellId), now: Duration) -> bool {
     match (ran, repeat) {
         (None, _) | (_, Repeat::Repeatable) => true,
@@ -146,7 +146,7 @@
     caps: Caps,
     cold: ColdRule,
     list: ListRule,
-    budget: Option<LegBudget>,
+    budget: Option<RetryBudget>,
     rest: Duration,
     tightest: Duration,
     per_unit: Histogram,
@@ -163,8 +163,10 @@
     }
 
     /// The figures of the rules.
-    pub fn under(mut self, cold: ColdRule, list: ListRule, legs: Option<LegBudget>, rest: Duration) -> Self {
-        (self.cold, self.list, self.budget, self.rest) = (cold, list, legs, rest);
+    pub fn under(
+        mut self, cold: ColdRule, list: ListRule, attempts: Option<RetryBudget>, rest: Duration,
+    ) -> Self {
+        (self.cold, self.list, self.budget, self.rest) = (cold, list, attempts, rest);
         self
     }
 
@@ -194,9 +196,9 @@
         match event {
             Event::Taken(x) => self.take(x),
             Event::Begun { id, .. } => self.bk.requests.get_mut(&id).into_iter().for_each(|x| x.begun = true),
-            Event::LegOver { id, node, end, elapsed, over, reported, .. } => {
+            Event::AttemptEnded { id, node, end, elapsed, over, reported, .. } => {
                 self.measure(id, node, end, elapsed, reported);
-                self.leg_over(id, node, end, over);
+                self.attempt_ended(id, node, end, over);
             }
             // A connection that comes up late is no word on its node.
             Event::Crosses { id, node, at } => self.bk.crosses(id, node, at),
@@ -262,39 +264,45 @@
         self.bk.moves(id);
     }
 
-    fn measure(&mut self, id: RequestId, node: NodeId, end: LegEnd, elapsed: Duration, told: Option<f64>) {
+    fn measure(
+        &mut self, id: RequestId, node: NodeId, end: AttemptOutcome, elapsed: Duration, told: Option<f64>,
+    ) {
         let Some((x, nd)) = self.bk.requests.get_mut(&id).zip(self.bk.nodes.get_mut(&node)) else { return };
         let (now, units) = (self.bk.now, x.request.units);
         let v = self.bk.volumes.get_mut(&x.request.volume).expect("made when taken");
         let base = self.plans[v.plan.0].base_rate;
         v.reported = told.map(|percent| (percent / 100.0 * base, now)).or(v.reported);
-        let sent = nd.leg_over(&x.request).unwrap_or(now.saturating_sub(elapsed));
+        let sent = nd.attempt_ended(&x.request).unwrap_or(now.saturating_sub(elapsed));
         self.bk.stirred.insert(node);
         // A limit counts what crosses, when it crosses. What was never sent gives its units back; what found
         // no connection draws them again when it goes, or units drawn long before would add to a full
-        // store's. Harm: where the store counts a leg without a connection, as much is lost to the volume.
-        if x.legs == 1 && matches!(end, LegEnd::Moot | LegEnd::NoConnection) {
+        // store's. Harm: where the store counts an attempt without a connection, as much is lost to the volume.
+        if x.attempts == 1 && matches!(end, AttemptOutcome::Moot | AttemptOutcome::NoConnection) {
             x.drawn = false;
-            let back = if end == LegEnd::Moot { units } else { 0.0 };
+            let back = if end == AttemptOutcome::Moot { units } else { 0.0 };
             v.limit.iter_mut().for_each(|b| b.give(back));
         }
-        let never_ran = matches!(end, LegEnd::Full | LegEnd::NoConnection | LegEnd::Moot);
-        if !never_ran && end != LegEnd::Done && x.ran.is_none() {
+        let never_ran =
+            matches!(end, AttemptOutcome::Full | AttemptOutcome::NoConnection | AttemptOutcome::Moot);
+        if !never_ran && end != AttemptOutcome::Done && x.ran.is_none() {
             x.ran = Some(Ran { zone: nd.zone, cell: nd.cell, sent });
         }
         // What fails fast looks idle and would draw all that may go anywhere. Some bad answers in a row keep
         // new objects away; dead ports and full queues also shut the node's ease, while errors may spare
         // some requests whose data is there, and a reset may be its connection's alone: a node that died
         // has a dead port next. Harm: a short jam shuts a node for seconds.
-        let bad = !matches!(end, LegEnd::Done | LegEnd::TimeOut | LegEnd::Cancelled | LegEnd::Moot);
+        let bad = !matches!(
+            end,
+            AttemptOutcome::Done | AttemptOutcome::TimeOut | AttemptOutcome::Cancelled | AttemptOutcome::Moot
+        );
         nd.bad_row += u32::from(bad);
-        if bad && !matches!(end, LegEnd::Error | LegEnd::Reset) {
+        if bad && !matches!(end, AttemptOutcome::Error | AttemptOutcome::Reset) {
             nd.feel(now, EASE_DOWN, EASE_SPAN, &mut self.bk.late, LATE_WEIGHT, belief);
             if nd.bad_row >= SHUT_AFTER {
                 nd.shut(&mut self.bk.out, format!("{end:?} after {} bad answers in a row", nd.bad_row));
             }
         }
-        if end == LegEnd::Done {
+        if end == AttemptOutcome::Done {
             self.per_unit.add(elapsed.div_f64(units.max(0.5)));
             let own = self.per_unit.quantile(LEAST_PART).unwrap_or_default().mul_f64(units);
             let late = elapsed > own + self.tightest.mul_f64(SLO_PART);
@@ -309,16 +317,17 @@
             // Late answers of any cause (slow node, strangers' load, other hosts) shrink the bound below
             // the design's floor, which alone would queue past the SLO time.
             nd.brake = (nd.brake * if late { BRAKE_DOWN } else { BRAKE_UP }).clamp(BRAKE_LEAST, 1.0);
-        } else if end == LegEnd::Full {
+        } else if end == AttemptOutcome::Full {
             nd.answers.full += 1.0;
             nd.brake = (nd.brake * BRAKE_DOWN * BRAKE_DOWN).max(BRAKE_LEAST);
         }
     }
 
-    fn leg_over(&mut self, id: RequestId, node: NodeId, end: LegEnd, over: bool) {
+    fn attempt_ended(&mut self, id: RequestId, node: NodeId, end: AttemptOutcome, over: bool) {
         let Some(x) = self.bk.requests.get_mut(&id) else { return };
         x.out = None;
-        let may_still_run = matches!(end, LegEnd::TimeOut | LegEnd::Reset | LegEnd::Cancelled);
+        let may_still_run =
+            matches!(end, AttemptOutcome::TimeOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
         if let (true, true, Some(key)) =
             (may_still_run, self.streams[x.request.stream_type.0].ordered, x.request.key)
         {
@@ -327,13 +336,14 @@
         if over || x.over || x.begun {
             return self.bk.close(id);
         }
-        let (legs, left, units) = (x.legs, x.request.expiry.saturating_sub(self.bk.now), x.request.units);
-        let wait = self.spread(TICK * 2) + TICK * 2u32.pow(legs.min(6));
+        let (attempts, left, units) =
+            (x.attempts, x.request.expiry.saturating_sub(self.bk.now), x.request.units);
+        let wait = self.spread(TICK * 2) + TICK * 2u32.pow(attempts.min(6));
         let (x, nd) = (&self.bk.requests[&id], self.bk.nodes.get(&node));
         let repeat = self.streams[x.request.stream_type.0].repeat;
-        let again = self.further_allowed()
-            && legs < self.caps.most_legs
-            && !matches!(end, LegEnd::TimeOut | LegEnd::Moot | LegEnd::Cancelled)
+        let again = self.retry_allowed()
+            && attempts < self.caps.most_attempts
+            && !matches!(end, AttemptOutcome::TimeOut | AttemptOutcome::Moot | AttemptOutcome::Cancelled)
             && nd.is_some_and(|nd| may_repeat(repeat, x.ran, (nd.zone, nd.cell), self.bk.now))
             && left > self.expected(Some(node), units) + wait;
         if again {
@@ -344,15 +354,15 @@
         }
     }
 
-    /// Another leg stays inside the budget of any window, whose edge is read against us on both counts.
-    fn further_allowed(&self) -> bool {
+    /// Another attempt stays inside the budget of any window, whose edge is read against us on both counts.
+    fn retry_allowed(&self) -> bool {
         let Some(rule) = &self.budget else { return true };
         let taken = self.bk.taken.within(rule.window.saturating_sub(TICK), self.bk.now);
         let made = self.bk.further.within(rule.window + TICK, self.bk.now);
         (made + 1) as f64 <= rule.floor + rule.share * taken as f64
     }
 
-    /// Time that a leg of this size should take: the node's late lag over the best, and the usual time.
+    /// Time that an attempt of this size should take: the node's late lag over the best, and the usual time.
     fn expected(&self, node: Option<NodeId>, units: f64) -> Duration {
         let lags = node.and_then(|n| self.bk.nodes.get(&n)).and_then(|nd| nd.lags.quantile(0.5));
         let usual = self.per_unit.quantile(0.5).unwrap_or_default().mul_f64(units);
@@ -515,7 +525,7 @@
         match () {
             _ if !(x.not_before..x.request.expiry).contains(&now) => Some(Rejection::Spacing),
             _ if key.is_some_and(|key| !self.bk.keys.has_turn(key, id, now)) => Some(Rejection::Turn),
-            _ if x.legs > 0 && !self.further_allowed() => Some(Rejection::Budget),
+            _ if x.attempts > 0 && !self.retry_allowed() => Some(Rejection::Budget),
             _ if !x.drawn && limit.is_some_and(|b| b.held() < x.request.units) => Some(Rejection::Limit),
             _ if nd.cold.as_ref().is_some_and(|b| b.held() <= 0.0) => Some(Rejection::Cold),
             _ if !may_repeat(stream.repeat, x.ran, (nd.zone, nd.cell), now) => Some(Rejection::Repeat),
@@ -631,7 +641,7 @@
         all.max_by(|a, b| a.partial_cmp(b).expect("values are finite"))
     }
 
-    /// A node with legs out that has answered nothing for long is silent; one heard from is not. Guards
+    /// A node with attempts out that has answered nothing for long is silent; one heard from is not. Guards
     /// against hangs, cut links and dead nodes the list still shows. Harm: one heavy request alone there.
     fn listen(&mut self) {
         let now = self.bk.now;
@@ -640,15 +650,15 @@
         for id in &self.bk.busy {
             let Some(nd) = self.bk.nodes.get_mut(id) else { continue };
             let mut overdue = 0;
-            for (leg, sent) in &nd.legs {
-                let Some(x) = self.bk.requests.get_mut(leg).filter(|x| !x.felt) else { continue };
+            for (attempt, sent) in &nd.attempts {
+                let Some(x) = self.bk.requests.get_mut(attempt).filter(|x| !x.felt) else { continue };
                 x.felt = now > *sent + least.mul_f64(x.request.units) + self.tightest.mul_f64(SLO_PART);
                 overdue += usize::from(x.felt);
             }
             let all = &mut self.bk.late;
             (0..overdue).for_each(|_| nd.feel(now, EASE_DOWN, EASE_SPAN, all, LATE_WEIGHT, belief));
             nd.answers.was_held |= !nd.held.is_empty();
-            let since = nd.legs.values().min().map_or(now, |sent| nd.heard.max(*sent));
+            let since = nd.attempts.values().min().map_or(now, |sent| nd.heard.max(*sent));
             if now > since + self.tightest * SILENT_SLOS {
                 nd.shut(&mut self.bk.out, format!("no answer for {:?}", now - since));
             }
@@ -690,7 +700,7 @@
     /// What has not gone by half of its time would come late if at all; its client still has time to ask
     /// again.
     fn overheld(&self, x: &PendingRequest, next: Duration) -> bool {
-        x.legs == 0 && self.bk.now + TICK + next >= x.taken + (x.request.expiry - x.taken) / 2
+        x.attempts == 0 && self.bk.now + TICK + next >= x.taken + (x.request.expiry - x.taken) / 2
     }
 
     /// New objects go to the first node in their volume's ranking, or the next when that has enough: no
@@ -752,15 +762,15 @@
         } else if let (true, Some(spare)) = (paid, spare) {
             spare.take(x.request.units);
         }
-        if x.legs > 0 {
+        if x.attempts > 0 {
             self.bk.further.add(self.bk.now);
         }
         if !std::mem::replace(&mut x.drawn, true) {
             v.limit.iter_mut().for_each(|b| b.take(x.request.units));
         }
         // Late behind others of our own is for the brake; late alone is others' doing.
-        (x.want, x.legs, x.last, x.felt) = (Want::Out(node), x.legs + 1, Some(node), nd.out > 0.0);
-        nd.leg_out(&x.request, self.bk.now);
+        (x.want, x.attempts, x.last, x.felt) = (Want::Out(node), x.attempts + 1, Some(node), nd.out > 0.0);
+        nd.attempt_started(&x.request, self.bk.now);
         self.bk.busy.insert(node);
     }
 
--- a/src/figures.rs
+++ b/src/figures.rs
@@ -11,7 +11,7 @@
     pub node: NodeId,
     pub state: NodeState,
     pub started: Option<Duration>,
-    pub legs: usize,
+    pub attempts: usize,
     pub out: f64,
     pub held: usize,
     /// What may go to it by the window, and what it was learnt to do.
@@ -46,7 +46,7 @@
             node: nd.id,
             state: nd.state,
             started: nd.started,
-            legs: nd.legs.len(),
+            attempts: nd.attempts.len(),
             out: nd.out,
             held: nd.held.len(),
             estimate: nd.window.estimate,
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -105,10 +105,10 @@
     pub spare_part: f64,
 }
 
-/// What the deployment lets a host do with legs and probes.
+/// What the deployment lets a host do with attempts and probes.
 #[derive(Debug, Clone)]
 pub struct Caps {
-    pub most_legs: u32,
+    pub most_attempts: u32,
     pub probing: bool,
     pub come_back: Option<Duration>,
     pub answer_slack: Duration,
@@ -125,9 +125,9 @@
     pub multiple: f64,
 }
 
-/// The rule on legs beyond each request's first.
+/// The rule on retries.
 #[derive(Debug, Clone)]
-pub struct LegBudget {
+pub struct RetryBudget {
     pub floor: f64,
     pub share: f64,
     pub window: Duration,
@@ -155,9 +155,9 @@
     pub volume: VolumeId,
 }
 
-/// How a leg ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum LegEnd {
+pub enum AttemptOutcome {
     Done,
     Error,
     Full,
@@ -199,13 +199,13 @@
     /// The answer of a streamed request has begun; it now belongs to the client.
     Begun {
         id: RequestId,
-        leg: u32,
+        attempt: u32,
     },
-    LegOver {
+    AttemptEnded {
         id: RequestId,
-        leg: u32,
+        attempt: u32,
         node: NodeId,
-        end: LegEnd,
+        end: AttemptOutcome,
         elapsed: Duration,
         /// The request has had its final answer.
         over: bool,
@@ -216,7 +216,7 @@
         /// Busy part of the node's cores, where it is reported.
         busy: Option<f64>,
     },
-    /// A leg is on its way to its node from then on, and not from when it was decided: it waited for a
+    /// An attempt is on its way to its node from then on, and not from when it was decided: it waited for a
     /// connection, or waits for one that should be up by then.
     Crosses {
         id: RequestId,
@@ -246,7 +246,7 @@
     },
     Probed {
         node: NodeId,
-        end: LegEnd,
+        end: AttemptOutcome,
     },
     Told {
         from: PeerId,
@@ -257,11 +257,11 @@
 /// What keeps a held request from going, for whoever shows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Rejection {
-    /// Another leg keeps its distance.
+    /// Another attempt keeps its distance.
     Spacing,
     /// An earlier one with its key is not over, or the key rests.
     Turn,
-    /// The budget of further legs is spent.
+    /// The budget of retries is spent.
     Budget,
     /// The volume's limit is.
     Limit,
@@ -284,7 +284,7 @@
     Send { id: RequestId, node: NodeId, until: Duration },
     Defer { id: RequestId, come_back: Option<Duration> },
     Abandon { id: RequestId },
-    CancelLeg { id: RequestId, leg: u32 },
+    CancelAttempt { id: RequestId, attempt: u32 },
     Timer { after: Duration, tag: TimerTag },
     Probe { node: NodeId },
     CloseIdle { node: NodeId },
--- a/src/state.rs
+++ b/src/state.rs
@@ -20,7 +20,7 @@
     pub weight: f64,
 }
 
-/// Where and when a leg was sent that may have run.
+/// Where and when an attempt was sent that may have run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ran {
     pub zone: ZoneId,
@@ -115,7 +115,7 @@
     pub window: Window,
     pub tokens: TokenBucket,
     pub out: f64,
-    pub legs: BTreeMap<RequestId, Duration>,
+    pub attempts: BTreeMap<RequestId, Duration>,
     pub held: Held,
     pub flows: BTreeMap<VolumeId, Flow>,
     pub answers: Answers,
@@ -150,7 +150,7 @@
             tokens: TokenBucket::new(window.estimate, window.estimate, window.estimate),
             window,
             out: 0.0,
-            legs: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             held: Held::default(),
             flows: BTreeMap::new(),
             answers: Answers::default(),
@@ -169,19 +169,19 @@
         }
     }
 
-    pub fn leg_out(&mut self, x: &Request, now: Duration) {
+    pub fn attempt_started(&mut self, x: &Request, now: Duration) {
         let f = self.flows.entry(x.volume).or_default();
         (self.out, f.out, f.used) = (self.out + x.units, f.out + x.units, f.used + x.units);
         self.tokens.take(x.units);
         self.cold.iter_mut().for_each(|b| b.take(x.units));
         self.mix[x.stream_type.0] += x.units;
-        self.legs.insert(x.id, now);
+        self.attempts.insert(x.id, now);
         self.sent = now;
     }
 
-    /// When the leg went, if it was out.
-    pub fn leg_over(&mut self, x: &Request) -> Option<Duration> {
-        let sent = self.legs.remove(&x.id)?;
+    /// When the attempt went, if it was out.
+    pub fn attempt_ended(&mut self, x: &Request) -> Option<Duration> {
+        let sent = self.attempts.remove(&x.id)?;
         self.out -= x.units;
         self.flows.entry(x.volume).or_default().out -= x.units;
         Some(sent)
@@ -247,7 +247,7 @@
     pub want: Want,
     pub over: bool,
     pub begun: bool,
-    /// Its leg's lateness has been counted.
+    /// Its attempt's lateness has been counted.
     pub felt: bool,
     /// Its place, in one, among those of its kind.
     pub lot: f64,
@@ -255,7 +255,7 @@
     pub drawn: bool,
     /// The node at which it is held, when it is.
     pub at: Option<NodeId>,
-    pub legs: u32,
+    pub attempts: u32,
     pub out: Option<NodeId>,
     pub last: Option<NodeId>,
     pub ran: Option<Ran>,
@@ -275,7 +275,7 @@
             lot,
             drawn: false,
             at: None,
-            legs: 0,
+            attempts: 0,
             out: None,
             last: None,
             ran: None,
@@ -409,9 +409,9 @@
         held.map(|(id, _)| *id).collect()
     }
 
-    /// A leg that is out counts as sent then.
+    /// An attempt that is out counts as sent then.
     pub fn crosses(&mut self, id: RequestId, node: NodeId, at: Duration) {
-        let sent = self.nodes.get_mut(&node).and_then(|nd| nd.legs.get_mut(&id));
+        let sent = self.nodes.get_mut(&node).and_then(|nd| nd.attempts.get_mut(&id));
         sent.into_iter().for_each(|sent| *sent = at);
     }
 
@@ -422,10 +422,10 @@
 
     pub fn settle_busy(&mut self) {
         let nodes = &self.nodes;
-        self.busy.retain(|n| nodes.get(n).is_some_and(|nd| !nd.held.is_empty() || !nd.legs.is_empty()));
+        self.busy.retain(|n| nodes.get(n).is_some_and(|nd| !nd.held.is_empty() || !nd.attempts.is_empty()));
     }
 
-    /// The request needs nothing more from us; its record stays while a leg is out.
+    /// The request needs nothing more from us; its record stays while an attempt is out.
     pub fn close(&mut self, id: RequestId) {
         self.unhold(id);
         let Some(x) = self.requests.get_mut(&id) else { return };
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// Tells a host things, and answers each leg at once, as long as it sends more; units sent.
+/// Tells a host things, and answers each attempt at once, as long as it sends more; units sent.
 fn answered(c: &mut Control, t: u64, events: Vec<Event>) -> f64 {
     let (mut events, mut units) = (events, 0.0);
     for n in 0.. {
@@ -37,7 +37,7 @@
         units += 2.0 * sent.len() as f64;
         events = sent
             .iter()
-            .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true))
+            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(1), true))
             .collect();
     }
     units
@@ -125,7 +125,7 @@
         ended += d.iter().chain(&a).filter(|x| own(x)).count();
         let done = s
             .iter()
-            .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true))
+            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(1), true))
             .collect();
         at(&mut c, t + 1, done);
     }
@@ -163,7 +163,7 @@
     for t in (1020..1800).step_by(10) {
         let ends = done
             .drain(..done.len().min(2))
-            .map(|n| over(n, 1, LegEnd::Done, ms(5), true))
+            .map(|n| over(n, 1, AttemptOutcome::Done, ms(5), true))
             .collect();
         let (sent, ..) = at(&mut c, t, ends);
         order.extend(sent.iter().map(|(x, _)| x.0[0]));
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_volume_is_retired_with_legs_out_and_some_held() {
+fn a_volume_is_retired_with_attempts_out_and_some_held() {
     let kinds = [Repeat::Repeatable, Repeat::Unrepeatable];
     for repeat in kinds {
         let mut c = host(vec![stream(repeat)], vec![plan(2.0)], None);
@@ -227,7 +227,7 @@
         );
         let ends = sent
             .iter()
-            .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(20), true))
+            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(20), true))
             .collect();
         at(&mut c, 1030, ends);
         for t in (1040..3000).step_by(20) {
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -87,11 +87,11 @@
             let mut events: Vec<Event> = Vec::new();
             for id in std::mem::take(&mut host.out) {
                 host.with.remove(&id);
-                events.push(Event::LegOver {
+                events.push(Event::AttemptEnded {
                     id,
-                    leg: 0,
+                    attempt: 0,
                     node: NodeId(1),
-                    end: LegEnd::Done,
+                    end: AttemptOutcome::Done,
                     elapsed: ms(TICK),
                     over: true,
                     reported: None,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -41,7 +41,7 @@
 
 pub fn caps() -> Caps {
     Caps {
-        most_legs: 3,
+        most_attempts: 3,
         probing: false,
         come_back: Some(ms(2000)),
         answer_slack: ms(8),
@@ -94,11 +94,11 @@
     Event::List { kind, entries }
 }
 
-pub fn over(n: u8, node: u32, end: LegEnd, took: Duration, over: bool) -> Event {
+pub fn over(n: u8, node: u32, end: AttemptOutcome, took: Duration, over: bool) -> Event {
     let (id, node, reported) = (id(n), NodeId(node), None);
-    Event::LegOver {
+    Event::AttemptEnded {
         id,
-        leg: 0,
+        attempt: 0,
         node,
         end,
         elapsed: took,
@@ -110,13 +110,17 @@
 }
 
 /// A host whose list names nodes 1 and 2, ready and long up.
-pub fn host(streams: Vec<StreamType>, plans: Vec<Plan>, legs: Option<LegBudget>) -> Control {
+pub fn host(streams: Vec<StreamType>, plans: Vec<Plan>, attempts: Option<RetryBudget>) -> Control {
     let listing = ListRule {
         on_asking: false,
         ask_every: ms(10_000),
     };
-    let mut c =
-        Control::new(7, streams, plans, units(), caps()).under(cold_rule(), listing, legs, ms(200));
+    let mut c = Control::new(7, streams, plans, units(), caps()).under(
+        cold_rule(),
+        listing,
+        attempts,
+        ms(200),
+    );
     let ready = vec![
         entry(1, NodeState::Ready, None),
         entry(2, NodeState::Ready, None),
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn every_request_has_one_answer_before_its_expiry() {
-    // A late client retry arrives with its time already up; a node is absent; a leg times out.
+    // A late client retry arrives with its time already up; a node is absent; an attempt times out.
     let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
     let absent = Request {
         cell: Some(CellId(9)),
@@ -30,12 +30,12 @@
     let (sent, deferred, _) = at(
         &mut c,
         1100,
-        vec![over(3, 1, LegEnd::TimeOut, ms(80), false)],
+        vec![over(3, 1, AttemptOutcome::TimeOut, ms(80), false)],
     );
     assert_eq!((sent.len(), deferred), (0, vec![id(3)]));
     // Late outcomes and leavings of what is over, and of ids unknown after a restart, change nothing.
     let late = vec![
-        over(3, 1, LegEnd::Done, ms(90), true),
+        over(3, 1, AttemptOutcome::Done, ms(90), true),
         Event::Withdrawn { id: id(77) },
     ];
     assert_eq!(at(&mut c, 1110, late), (vec![], vec![], vec![]));
@@ -63,9 +63,10 @@
     );
 }
 
-/// A host that stood still takes that off a leg's time, which says nothing of when it was sent.
+/// A host that stood still takes that off an attempt's time, which says nothing of when it was sent.
 #[test]
-fn what_was_sent_long_ago_is_not_remembered_however_little_time_the_leg_is_held_to_have_taken() {
+fn what_was_sent_long_ago_is_not_remembered_however_little_time_the_attempt_is_held_to_have_taken()
+{
     for (took, again) in [(100, true), (1600, false)] {
         let mut c = host(vec![stream(KEYED)], vec![plan(1.0)], None);
         let (sent, ..) = at(&mut c, 1010, vec![Event::Taken(request(1, ms(9000)))]);
@@ -73,7 +74,7 @@
         let (mut sent, ..) = at(
             &mut c,
             1010 + took,
-            vec![over(1, 1, LegEnd::Error, ms(20), false)],
+            vec![over(1, 1, AttemptOutcome::Error, ms(20), false)],
         );
         for t in (1020 + took..1100 + took).step_by(10) {
             sent.extend(at(&mut c, t, vec![Event::Timer { tag: TimerTag(1) }]).0);
@@ -120,9 +121,9 @@
 #[test]
 fn an_unrepeatable_request_that_may_have_run_is_abandoned() {
     for (end, again) in [
-        (LegEnd::Error, false),
-        (LegEnd::Reset, false),
-        (LegEnd::Full, true),
+        (AttemptOutcome::Error, false),
+        (AttemptOutcome::Reset, false),
+        (AttemptOutcome::Full, true),
     ] {
         let mut c = host(vec![stream(Repeat::Unrepeatable)], vec![plan(1.0)], None);
         at(&mut c, 1001, vec![Event::Taken(request(1, ms(3000)))]);
@@ -192,7 +193,7 @@
         let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 400)))]);
         let done = sent
             .iter()
-            .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true));
+            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(1), true));
         units += 2.0 * sent.len() as f64;
         at(&mut c, t + 1, done.collect());
     }
@@ -219,7 +220,7 @@
             &mut c,
             t + 5,
             sent.iter()
-                .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(5), true))
+                .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(5), true))
                 .collect(),
         );
     }
@@ -241,7 +242,7 @@
             &mut c,
             t + 1,
             sent.iter()
-                .map(|(x, _)| over(x.0[0], node, LegEnd::Done, ms(1), true))
+                .map(|(x, _)| over(x.0[0], node, AttemptOutcome::Done, ms(1), true))
                 .collect(),
         );
     }
@@ -278,11 +279,11 @@
             ..request(n, ms(2500))
         })
     };
-    // how the first leg ends, when the second may go
+    // how the first attempt ends, when the second may go
     for (end, rests) in [
-        (LegEnd::Done, 0),
-        (LegEnd::TimeOut, 200),
-        (LegEnd::Reset, 200),
+        (AttemptOutcome::Done, 0),
+        (AttemptOutcome::TimeOut, 200),
+        (AttemptOutcome::Reset, 200),
     ] {
         let mut c = host(vec![ordered.clone()], vec![plan(1.0)], None);
         let (sent, ..) = at(&mut c, 1001, vec![keyed(1), keyed(2)]);
@@ -301,24 +302,28 @@
 }
 
 #[test]
-fn further_legs_stay_within_their_budget() {
-    let legs = Some(LegBudget {
+fn further_attempts_stay_within_their_budget() {
+    let attempts = Some(RetryBudget {
         floor: 2.0,
         share: 0.0,
         window: ms(5000),
     });
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(50.0)], legs);
+    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(50.0)], attempts);
     let mut further = 0;
     for n in 0..8u8 {
         let t = 1010 + 600 * u64::from(n);
         let first = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 500)))]).0;
         assert_eq!(first.len(), 1);
-        at(&mut c, t + 1, vec![over(n, 1, LegEnd::Error, ms(1), false)]);
+        at(
+            &mut c,
+            t + 1,
+            vec![over(n, 1, AttemptOutcome::Error, ms(1), false)],
+        );
         let second = at(&mut c, t + 100, vec![]).0;
         further += second.len();
         let done = second
             .iter()
-            .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true));
+            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(1), true));
         at(&mut c, t + 101, done.collect());
     }
     assert_eq!(further, 2);
@@ -341,7 +346,7 @@
             &mut c,
             t + 1,
             sent.iter()
-                .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(1), true))
+                .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(1), true))
                 .collect(),
         );
     }
@@ -353,13 +358,17 @@
 
 #[test]
 fn a_dead_full_or_silent_node_gets_trials_only() {
-    for end in [Some(LegEnd::Full), Some(LegEnd::NoConnection), None] {
+    for end in [
+        Some(AttemptOutcome::Full),
+        Some(AttemptOutcome::NoConnection),
+        None,
+    ] {
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(100.0)], None);
-        let mut legs = 0;
+        let mut attempts = 0;
         for t in (1010..3010).step_by(10) {
             let n = ((t / 10) % 250) as u8;
             let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 1500)))]);
-            legs += sent.len();
+            attempts += sent.len();
             if let Some(end) = end {
                 at(
                     &mut c,
@@ -370,8 +379,8 @@
                 );
             }
         }
-        assert!(legs <= 20, "{end:?}: {legs} legs in 2 s");
-        let done = |x: u8| over(x, 1, LegEnd::Done, ms(20), true);
+        assert!(attempts <= 20, "{end:?}: {attempts} legs in 2 s");
+        let done = |x: u8| over(x, 1, AttemptOutcome::Done, ms(20), true);
         at(&mut c, 3020, (0..=250).map(done).collect());
         let (sent, ..) = at(&mut c, 3600, vec![Event::Taken(request(251, ms(5000)))]);
         assert!(
@@ -386,9 +395,9 @@
     // What the node answers, and whether requests still go where their data is: a port that is dead shuts
     // it.
     for (bad, goes) in [
-        (LegEnd::Error, true),
-        (LegEnd::Reset, true),
-        (LegEnd::NoConnection, false),
+        (AttemptOutcome::Error, true),
+        (AttemptOutcome::Reset, true),
+        (AttemptOutcome::NoConnection, false),
     ] {
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1000.0)], None);
         let new = |n, t| {
@@ -405,7 +414,13 @@
                 cell: Some(CellId(first.0)),
                 ..request(100 + n, ms(t + 60))
             };
-            let end = |nd: NodeId| if nd == first { bad } else { LegEnd::Done };
+            let end = |nd: NodeId| {
+                if nd == first {
+                    bad
+                } else {
+                    AttemptOutcome::Done
+                }
+            };
             let ends = out
                 .iter()
                 .map(|(x, nd): &(RequestId, NodeId)| over(x.0[0], nd.0, end(*nd), ms(1), false));
@@ -440,7 +455,7 @@
             &mut c,
             t + 1,
             sent.iter()
-                .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(late), true))
+                .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(late), true))
                 .collect(),
         );
     }
@@ -504,7 +519,11 @@
             1010,
             vec![Event::Taken(none), list(ListKind::Changes, vec![])],
         );
-        at(&mut c, 2000, vec![over(1, 1, LegEnd::Done, ms(0), true)]);
+        at(
+            &mut c,
+            2000,
+            vec![over(1, 1, AttemptOutcome::Done, ms(0), true)],
+        );
         // A rate that dies away over a long silence must not overflow the wait behind it.
         at(
             &mut c,
@@ -565,8 +584,8 @@
 }
 
 #[test]
-fn a_lone_leg_that_is_late_cuts_what_earns_little_first() {
-    // Alone at its node, a host's leg is late by others' doing, and neither bound nor brake can act.
+fn a_lone_attempt_that_is_late_cuts_what_earns_little_first() {
+    // Alone at its node, a host's attempt is late by others' doing, and neither bound nor brake can act.
     let mut c = host(
         vec![stream(Repeat::Repeatable)],
         vec![
@@ -594,7 +613,7 @@
             let took = if t < 6000 { 10 } else { 400 };
             let done = out
                 .iter()
-                .map(|(x, nd)| over(x.0[0], nd.0, LegEnd::Done, ms(took), true));
+                .map(|(x, nd)| over(x.0[0], nd.0, AttemptOutcome::Done, ms(took), true));
             at(&mut c, at_ms + took, done.collect());
         }
     }
@@ -650,11 +669,11 @@
     let (mut sent, ..) = at(&mut c, 1001, events);
     for t in (1005..3100).step_by(5) {
         let out = std::mem::take(&mut sent);
-        let done = |id| Event::LegOver {
+        let done = |id| Event::AttemptEnded {
             id,
-            leg: 0,
+            attempt: 0,
             node: NodeId(1),
-            end: LegEnd::Done,
+            end: AttemptOutcome::Done,
             elapsed: ms(5),
             over: true,
             reported: None,
@@ -680,10 +699,10 @@
 fn a_limit_counts_what_crosses_when_it_crosses() {
     // A store of four: two requests of two units. How the first ends decides what the third finds.
     let cases = [
-        (LegEnd::Moot, 1),
-        (LegEnd::NoConnection, 0),
-        (LegEnd::Full, 0),
-        (LegEnd::Done, 0),
+        (AttemptOutcome::Moot, 1),
+        (AttemptOutcome::NoConnection, 0),
+        (AttemptOutcome::Full, 0),
+        (AttemptOutcome::Done, 0),
     ];
     for (end, third) in cases {
         let limited = Plan {
@@ -703,8 +722,8 @@
         assert_eq!((first.len(), second.len()), (1, 1), "{end:?}");
         // The second is done as well, so that the limit alone decides and not the room at the node.
         let ends = [
-            over(1, 1, end, ms(1), end == LegEnd::Done),
-            over(2, 1, LegEnd::Done, ms(1), true),
+            over(1, 1, end, ms(1), end == AttemptOutcome::Done),
+            over(2, 1, AttemptOutcome::Done, ms(1), true),
         ];
         let (sent, ..) = at(
             &mut c,
@@ -719,7 +738,7 @@
             .step_by(10)
             .map(|t| at(&mut c, t, vec![]).0.len())
             .sum();
-        assert_eq!(again, usize::from(end == LegEnd::Full), "{end:?}");
+        assert_eq!(again, usize::from(end == AttemptOutcome::Full), "{end:?}");
     }
 }
 
@@ -740,7 +759,7 @@
     for now in (1010..=2900).step_by(10) {
         let event = match now {
             1500 => Event::Taken(request(3, ms(3500))),
-            1520 => over(3, 1, LegEnd::Done, ms(20), true), // the node is not silent
+            1520 => over(3, 1, AttemptOutcome::Done, ms(20), true), // the node is not silent
             _ => Event::Timer { tag: TimerTag(0) },
         };
         let (more, deferred, abandoned) = at(&mut c, now, vec![event]);
@@ -758,7 +777,7 @@
 /// Its connection came up late: no word on the node, which a host that hears little would cut for it. Once it
 /// is on its way it counts as any other.
 #[test]
-fn a_leg_counts_as_late_from_when_it_is_on_its_way() {
+fn a_attempt_counts_as_late_from_when_it_is_on_its_way() {
     let ease = |c: &Control| c.nodes().find(|n| n.node == NodeId(1)).unwrap().ease;
     for (told, crosses_at, cut) in [(false, 0, true), (true, 5000, false), (true, 2310, true)] {
         let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(100.0)], None);
@@ -769,7 +788,7 @@
                 &mut c,
                 t + 5,
                 sent.iter()
-                    .map(|(x, _)| over(x.0[0], 1, LegEnd::Done, ms(5), true))
+                    .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(5), true))
                     .collect(),
             );
         }
@@ -789,7 +808,7 @@
         at(
             &mut c,
             2500,
-            vec![over(200, 1, LegEnd::Moot, ms(200), false)],
+            vec![over(200, 1, AttemptOutcome::Moot, ms(200), false)],
         );
     }
 }
