--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -69,22 +69,22 @@
     (0..p.count("profiles.count")?)
         .map(|i| {
             let at = |name: &str| format!("profiles.{i}.{name}");
-            let group = match p.word(&at("key-scope")) {
-                "all" => RepeatGroup::All,
-                "zone" => RepeatGroup::Zone,
-                _ => RepeatGroup::Cell,
+            let scope = match p.word(&at("key-scope")) {
+                "all" => DeduplicationScope::All,
+                "zone" => DeduplicationScope::Zone,
+                _ => DeduplicationScope::Cell,
             };
-            let repeat = match p.word(&at("idempotency")) {
-                "free" => Repeat::Repeatable,
-                "guarded" => Repeat::Keyed {
-                    group,
-                    remembered: p.time(&at("dedup-window-ms"))?,
+            let idempotency = match p.word(&at("idempotency")) {
+                "free" => Idempotency::Idempotent,
+                "guarded" => Idempotency::WithKey {
+                    scope,
+                    window: p.time(&at("dedup-window-ms"))?,
                 },
-                _ => Repeat::Unrepeatable,
+                _ => Idempotency::NonIdempotent,
             };
             Ok(StreamType {
                 slo: p.time(&at("objective-ms"))?,
-                repeat,
+                idempotency,
                 ordered: p.yes(&at("serial-by-key"))?,
                 benefit: p.number(&at("worth"))?,
                 late_part: p.number(&at("late-value"))?,
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -2,7 +2,7 @@
 
 use crate::run::{Attempt, Host, Run, Seen, Taken};
 use crate::{Breach, Verdict};
-use grebecleat_settings::{Repeat, RepeatGroup, Settings};
+use grebecleat_settings::{DeduplicationScope, Idempotency, Settings};
 use grebecleat_wire::pb::{self, marked::What, Outcome};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -135,39 +135,39 @@
             let Some(stream) = s.streams.get(t.take.stream_type as usize) else {
                 continue;
             };
-            let (repeat, name) = (stream.facts.repeat, text(&t.take.id));
+            let (idempotency, name) = (stream.facts.idempotency, text(&t.take.id));
             let attempts: Vec<&Attempt> = t.attempts.iter().map(|l| &h.attempts[*l]).collect();
             for (i, later) in attempts.iter().enumerate() {
                 let ran = attempts[..i].iter().filter(|l| !l.never_ran(later.seen.at));
                 for earlier in ran {
-                    let fine = match repeat {
-                        Repeat::Repeatable => true,
-                        Repeat::Unrepeatable => false,
-                        Repeat::Keyed { group, remembered } => {
+                    let fine = match idempotency {
+                        Idempotency::Idempotent => true,
+                        Idempotency::NonIdempotent => false,
+                        Idempotency::WithKey { scope, window } => {
                             let (a, b) = (
                                 place.get(&earlier.attempt.node),
                                 place.get(&later.attempt.node),
                             );
-                            let inside = match group {
-                                RepeatGroup::All => true,
-                                RepeatGroup::Zone => a.map(|p| p.0) == b.map(|p| p.0),
-                                RepeatGroup::Cell => a.map(|p| p.1) == b.map(|p| p.1),
+                            let inside = match scope {
+                                DeduplicationScope::All => true,
+                                DeduplicationScope::Zone => a.map(|p| p.0) == b.map(|p| p.0),
+                                DeduplicationScope::Cell => a.map(|p| p.1) == b.map(|p| p.1),
                             };
-                            inside && later.seen.at < earlier.seen.at + remembered
+                            inside && later.seen.at < earlier.seen.at + window
                         }
                     };
                     if !fine {
                         let what =
-                            format!("{name}: a leg after one that may have run ({repeat:?})");
+                            format!("{name}: a leg after one that may have run ({idempotency:?})");
                         breach(v, 2, what, &[&earlier.seen, &later.seen]);
                     }
                 }
             }
             let harmless = matches!(
-                repeat,
-                Repeat::Repeatable
-                    | Repeat::Keyed {
-                        group: RepeatGroup::All,
+                idempotency,
+                Idempotency::Idempotent
+                    | Idempotency::WithKey {
+                        scope: DeduplicationScope::All,
                         ..
                     }
             );
@@ -197,11 +197,11 @@
         .map(|a| (&a.take.piece[..], a.take.stream_type as usize));
     let kinds: HashMap<&[u8], usize> = kinds.collect();
     for (piece, n) in effects.into_iter().filter(|e| e.1 > 1) {
-        let repeat = kinds
+        let idempotency = kinds
             .get(piece)
             .and_then(|k| s.streams.get(*k))
-            .map(|s| s.facts.repeat);
-        if repeat.is_some_and(|r| r != Repeat::Repeatable) {
+            .map(|s| s.facts.idempotency);
+        if idempotency.is_some_and(|r| r != Idempotency::Idempotent) {
             breach(v, 2, format!("{}: carried out {n} times", text(piece)), &[]);
         }
     }
--- a/crates/cli/tests/ends.rs
+++ b/crates/cli/tests/ends.rs
@@ -102,7 +102,7 @@
 /// An attempt that has not come whole has not run: whatever is said on its connection was made for another, and it
 /// goes to the node anew.
 #[test]
-fn an_answer_to_a_attempt_that_has_not_come_whole_is_not_its_answer() {
+fn an_answer_to_an_attempt_that_has_not_come_whole_is_not_its_answer() {
     for (said, status) in [
         ("200 OK", 200),
         ("500 No", 200),
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -54,7 +54,7 @@
 /// What never ran may be tried again or deferred, whatever the stream type; what may have run, never for one
 /// that is unrepeatable.
 #[test]
-fn only_what_proves_that_a_attempt_never_ran_lets_an_unrepeatable_request_be_sent_again() {
+fn only_what_proves_that_an_attempt_never_ran_lets_an_unrepeatable_request_be_sent_again() {
     let stalled = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood";
     let huge = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood";
     let both = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\ngood";
--- a/crates/host/src/figures.rs
+++ b/crates/host/src/figures.rs
@@ -155,7 +155,7 @@
         Rejection::Budget => pb::BarKind::Budget,
         Rejection::Limit => pb::BarKind::Limit,
         Rejection::Cold => pb::BarKind::Cold,
-        Rejection::Repeat => pb::BarKind::Repeat,
+        Rejection::Idempotency => pb::BarKind::Repeat,
         Rejection::Share => pb::BarKind::Share,
         Rejection::Ease => pb::BarKind::Ease,
         Rejection::Room => pb::BarKind::Room,
--- a/crates/host/tests/desk.rs
+++ b/crates/host/tests/desk.rs
@@ -38,7 +38,7 @@
         if let Some(conn) = conn {
             assert_eq!(r.attempts(conn).len(), 0);
         }
-        // The decisions know that it never ran: the unrepeatable request is deferred, not abandoned.
+        // The decisions know that it never ran: the non-idempotent request is deferred, not abandoned.
         assert_eq!(
             (r.finals(), r.desk.counts().unsent),
             (vec![(1, Deferred)], 1)
--- a/crates/host/tests/ends.rs
+++ b/crates/host/tests/ends.rs
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn beside_a_attempt_that_is_out_none_waits_for_a_resting_connection() {
+fn beside_an_attempt_that_is_out_none_waits_for_a_resting_connection() {
     let mut r = Rig::one_at_a_time("");
     r.take(1, 0);
     let busy = r.connect();
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -246,8 +246,8 @@
     // wait for its connection after it was decided.
     let crossing = dial_timeout.max(LINGER) + CROSSING_MARGIN;
     for (n, mut facts) in facts.into_iter().enumerate() {
-        if let Repeat::Keyed { remembered, .. } = &mut facts.repeat {
-            *remembered = remembered.saturating_sub(crossing);
+        if let Idempotency::WithKey { window, .. } = &mut facts.idempotency {
+            *window = window.saturating_sub(crossing);
         }
         let name = named(p, "profiles", n)?;
         let expiry = p.time(&format!("profiles.{n}.deadline-ms"))?;
@@ -257,7 +257,7 @@
             ));
         }
         let write = writes.get(n).and_then(|w| w.parse::<bool>().ok());
-        let keyed = matches!(facts.repeat, Repeat::Keyed { .. });
+        let keyed = matches!(facts.idempotency, Idempotency::WithKey { .. });
         kinds.push(Kind {
             name: name.clone(),
             keyed,
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -65,14 +65,14 @@
         ("map read, a=b", "gr\u{f6}\u{df}e L")
     );
     assert_eq!(
-        c.settings.streams[1].facts.repeat,
-        Repeat::Unrepeatable,
+        c.settings.streams[1].facts.idempotency,
+        Idempotency::NonIdempotent,
         "what is not known is not repeated"
     );
 }
 
 #[test]
-fn what_follows_a_attempt_that_may_have_run_has_crossed_while_that_is_remembered() {
+fn what_follows_an_attempt_that_may_have_run_has_crossed_while_that_is_remembered() {
     for (dial, left) in [
         (json!(100), 1200),
         (json!(null), 1200),
@@ -81,12 +81,12 @@
     ] {
         let mut v = whole();
         v["settings"]["caps"]["dial-timeout-ms"] = dial;
-        let repeat = read(&v).unwrap().settings.streams[1].facts.repeat;
+        let idempotency = read(&v).unwrap().settings.streams[1].facts.idempotency;
         assert_eq!(
-            repeat,
-            Repeat::Keyed {
-                group: RepeatGroup::Cell,
-                remembered: ms(left)
+            idempotency,
+            Idempotency::WithKey {
+                scope: DeduplicationScope::Cell,
+                window: ms(left)
             }
         );
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -10,6 +10,6 @@
 pub mod settings;
 
 pub use fields::Fault;
-pub use grebecleat::interface::{Repeat, RepeatGroup};
+pub use grebecleat::interface::{DeduplicationScope, Idempotency};
 pub use kinds::Kind;
 pub use settings::*;
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -487,28 +487,28 @@
 }
 
 fn stream(f: &mut Fields) -> Stream {
-    let repeat = match f.raw("repeat") {
-        Some(v) if v.as_str() == Some("repeatable") => Repeat::Repeatable,
-        Some(v) if v.as_str() == Some("unrepeatable") => Repeat::Unrepeatable,
+    let idempotency = match f.raw("repeat") {
+        Some(v) if v.as_str() == Some("repeatable") => Idempotency::Idempotent,
+        Some(v) if v.as_str() == Some("unrepeatable") => Idempotency::NonIdempotent,
         Some(v) => {
-            let group = match v.get("group").and_then(|g| g.as_str()) {
-                Some("all") => Some(RepeatGroup::All),
-                Some("zone") => Some(RepeatGroup::Zone),
-                Some("cell") => Some(RepeatGroup::Cell),
+            let scope = match v.get("group").and_then(|g| g.as_str()) {
+                Some("all") => Some(DeduplicationScope::All),
+                Some("zone") => Some(DeduplicationScope::Zone),
+                Some("cell") => Some(DeduplicationScope::Cell),
                 _ => None,
             };
-            match (group, v.get("remembered").and_then(span_of)) {
-                (Some(group), Some(remembered)) => Repeat::Keyed { group, remembered },
+            match (scope, v.get("remembered").and_then(span_of)) {
+                (Some(scope), Some(window)) => Idempotency::WithKey { scope, window },
                 _ => {
                     let expected =
                         "\"repeatable\", \"unrepeatable\" or keyed(group = \"all\", \"zone\" or \
                                     \"cell\", remembered = a time)";
                     f.fault("repeat", format!("expected {expected}, found {v}"));
-                    Repeat::Unrepeatable
+                    Idempotency::NonIdempotent
                 }
             }
         }
-        None => Repeat::Unrepeatable,
+        None => Idempotency::NonIdempotent,
     };
     let name = f.text("name", None);
     let (slo, expiry) = (f.span("slo", None, DAY), f.span("expiry", None, DAY));
@@ -520,7 +520,7 @@
     }
     let facts = StreamType {
         slo,
-        repeat,
+        idempotency,
         ordered: f.flag("ordered", Some(false)),
         benefit: f.number("benefit", Some(1.0), (0.0, 1e6)),
         late_part: f.number("late_part", Some(0.2), (0.0, 1.0)),
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -515,10 +515,10 @@
     }
 
     fn again(&mut self, piece: usize, outcome: Outcome, wait: Duration, until: Duration) {
-        use grebecleat_settings::Repeat;
+        use grebecleat_settings::Idempotency;
         let p = &self.pieces[piece];
         let harmless = outcome == Outcome::Deferred
-            || self.settings.streams[p.stream].facts.repeat == Repeat::Repeatable;
+            || self.settings.streams[p.stream].facts.idempotency == Idempotency::Idempotent;
         let at = self.now() + wait;
         if harmless && p.tries <= self.script.retries && at < until {
             self.plan(at, What::Again { piece });
--- a/src/control.rs
+++ b/src/control.rs
@@ -89,24 +89,28 @@
 }
 
 /// Whether an attempt may follow one that may have run (repeat rule). `ran` is where and when that was.
-pub fn may_repeat(repeat: Repeat, ran: Option<Ran>, to: (ZoneId, CellId), now: Duration) -> bool {
-    match (ran, repeat) {
-        (None, _) | (_, Repeat::Repeatable) => true,
-        (Some(_), Repeat::Unrepeatable) => false,
-        (Some(Ran { zone, cell, sent }), Repeat::Keyed { group, remembered }) => {
-            let inside = match group {
-                RepeatGroup::All => true,
-                RepeatGroup::Zone => zone == to.0,
-                RepeatGroup::Cell => cell == to.1,
+pub fn may_resend(idempotency: Idempotency, ran: Option<Ran>, to: (ZoneId, CellId), now: Duration) -> bool {
+    match (ran, idempotency) {
+        (None, _) | (_, Idempotency::Idempotent) => true,
+        (Some(_), Idempotency::NonIdempotent) => false,
+        (Some(Ran { zone, cell, sent }), Idempotency::WithKey { scope, window }) => {
+            let inside = match scope {
+                DeduplicationScope::All => true,
+                DeduplicationScope::Zone => zone == to.0,
+                DeduplicationScope::Cell => cell == to.1,
             };
-            inside && now < sent + remembered
+            inside && now < sent + window
         }
     }
 }
 
 /// Whether the client may be told that trying again is harmless.
-pub fn may_defer(repeat: Repeat, may_have_run: bool) -> bool {
-    !may_have_run || matches!(repeat, Repeat::Repeatable | Repeat::Keyed { group: RepeatGroup::All, .. })
+pub fn may_defer(idempotency: Idempotency, may_have_run: bool) -> bool {
+    !may_have_run
+        || matches!(
+            idempotency,
+            Idempotency::Idempotent | Idempotency::WithKey { scope: DeduplicationScope::All, .. }
+        )
 }
 
 /// What this host may send to a cold node in one span of the rule: its part of the units always borne, or of
@@ -259,8 +263,8 @@
     fn give_up(&mut self, id: RequestId, wait: Duration) {
         self.blame(id);
         let Some(x) = self.bk.requests.get_mut(&id) else { return };
-        let repeat = self.streams[x.request.stream_type.0].repeat;
-        x.want = if may_defer(repeat, x.ran.is_some()) { Want::Deferred(wait) } else { Want::Abandoned };
+        let idempotency = self.streams[x.request.stream_type.0].idempotency;
+        x.want = if may_defer(idempotency, x.ran.is_some()) { Want::Deferred(wait) } else { Want::Abandoned };
         self.bk.moves(id);
     }
 
@@ -340,11 +344,11 @@
             (x.attempts, x.request.expiry.saturating_sub(self.bk.now), x.request.units);
         let wait = self.spread(TICK * 2) + TICK * 2u32.pow(attempts.min(6));
         let (x, nd) = (&self.bk.requests[&id], self.bk.nodes.get(&node));
-        let repeat = self.streams[x.request.stream_type.0].repeat;
+        let idempotency = self.streams[x.request.stream_type.0].idempotency;
         let again = self.retry_allowed()
             && attempts < self.caps.most_attempts
             && !matches!(end, AttemptOutcome::TimeOut | AttemptOutcome::Moot | AttemptOutcome::Cancelled)
-            && nd.is_some_and(|nd| may_repeat(repeat, x.ran, (nd.zone, nd.cell), self.bk.now))
+            && nd.is_some_and(|nd| may_resend(idempotency, x.ran, (nd.zone, nd.cell), self.bk.now))
             && left > self.expected(Some(node), units) + wait;
         if again {
             self.bk.requests.get_mut(&id).expect("looked up above").not_before = self.bk.now + wait;
@@ -528,7 +532,9 @@
             _ if x.attempts > 0 && !self.retry_allowed() => Some(Rejection::Budget),
             _ if !x.drawn && limit.is_some_and(|b| b.held() < x.request.units) => Some(Rejection::Limit),
             _ if nd.cold.as_ref().is_some_and(|b| b.held() <= 0.0) => Some(Rejection::Cold),
-            _ if !may_repeat(stream.repeat, x.ran, (nd.zone, nd.cell), now) => Some(Rejection::Repeat),
+            _ if !may_resend(stream.idempotency, x.ran, (nd.zone, nd.cell), now) => {
+                Some(Rejection::Idempotency)
+            }
             _ => match self.value(x, Some(node)) {
                 (_, false) if nd.tokens.held() <= 0.0 => Some(Rejection::Share),
                 (value, _) => (!self.eased(x.lot, nd, value)).then_some(Rejection::Ease),
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -38,23 +38,23 @@
 
 /// Which nodes know a repeat of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RepeatGroup {
+pub enum DeduplicationScope {
     All,
     Zone,
     Cell,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Repeat {
-    Repeatable,
-    Keyed { group: RepeatGroup, remembered: Duration },
-    Unrepeatable,
+pub enum Idempotency {
+    Idempotent,
+    WithKey { scope: DeduplicationScope, window: Duration },
+    NonIdempotent,
 }
 
 #[derive(Debug, Clone)]
 pub struct StreamType {
     pub slo: Duration,
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     pub ordered: bool,
     pub benefit: f64,
     pub late_part: f64,
@@ -268,7 +268,7 @@
     /// The node is cold, and this host's part of what it bears is spent.
     Cold,
     /// It may have run, and must not run there again.
-    Repeat,
+    Idempotency,
     /// The volume is beyond its share, and the node has nothing over.
     Share,
     /// The node takes only what brings more.
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -60,7 +60,7 @@
     ];
     for (what, limit, expected) in cases {
         let mut c = host(
-            vec![stream(Repeat::Repeatable)],
+            vec![stream(Idempotency::Idempotent)],
             vec![limited(40.0, 80.0)],
             None,
         );
@@ -70,7 +70,7 @@
         assert!(expected.contains(&sent), "{what}: {sent} units in 3 s");
     }
     // Where there was none, it begins from nothing.
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(2.0)], None);
+    let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(2.0)], None);
     press(&mut c, 1010, 3010);
     at(&mut c, 3010, vec![terms(0, 2, Some((10.0, 50.0)))]);
     let sent = press(&mut c, 3020, 5020);
@@ -82,7 +82,7 @@
 fn what_a_limit_is_owed_stays_owed() {
     for back in [false, true] {
         let mut c = host(
-            vec![stream(Repeat::Repeatable)],
+            vec![stream(Idempotency::Idempotent)],
             vec![limited(4.0, 8.0)],
             None,
         );
@@ -106,7 +106,7 @@
 #[test]
 fn what_is_held_when_a_limit_is_lowered_keeps_to_the_new_one() {
     let mut c = host(
-        vec![stream(Repeat::Repeatable)],
+        vec![stream(Idempotency::Idempotent)],
         vec![limited(200.0, 200.0)],
         None,
     );
@@ -144,7 +144,7 @@
             ..plan(0.0)
         },
     ];
-    let mut c = host(vec![stream(Repeat::Repeatable)], plans, None);
+    let mut c = host(vec![stream(Idempotency::Idempotent)], plans, None);
     let other = |n: u8, t| {
         Event::Taken(Request {
             volume: VolumeId(6),
@@ -179,7 +179,7 @@
 /// A new price of the whole plan moves the scale by which nodes are eased.
 #[test]
 fn new_figures_of_a_plan_count_at_once_and_a_new_plan_has_the_next_number() {
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
+    let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
     let new = Plan {
         price: 3.0,
         limit: 8.0,
@@ -203,9 +203,9 @@
 
 #[test]
 fn a_volume_is_retired_with_attempts_out_and_some_held() {
-    let kinds = [Repeat::Repeatable, Repeat::Unrepeatable];
-    for repeat in kinds {
-        let mut c = host(vec![stream(repeat)], vec![plan(2.0)], None);
+    let kinds = [Idempotency::Idempotent, Idempotency::NonIdempotent];
+    for idempotency in kinds {
+        let mut c = host(vec![stream(idempotency)], vec![plan(2.0)], None);
         let taken: Vec<Event> = (1..=40)
             .map(|n| Event::Taken(request(n, ms(5000))))
             .collect();
@@ -223,7 +223,7 @@
         assert_eq!(
             (more.len(), deferred.len(), abandoned.len()),
             (0, 40 - sent.len(), 0),
-            "{repeat:?}"
+            "{idempotency:?}"
         );
         let ends = sent
             .iter()
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -43,7 +43,7 @@
         on_asking: false,
         ask_every: ms(10_000),
     };
-    let (streams, plans) = (vec![stream(Repeat::Repeatable)], vec![plan(1.0)]);
+    let (streams, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
     let mut c =
         Control::new(seed, streams, plans, units(), caps()).under(rule, listing, None, ms(0));
     let told = vec![entry(1, NodeState::Ready, Some(ms(START - 1)))];
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,10 +9,10 @@
     Duration::from_millis(n)
 }
 
-pub fn stream(repeat: Repeat) -> StreamType {
+pub fn stream(idempotency: Idempotency) -> StreamType {
     StreamType {
         slo: ms(200),
-        repeat,
+        idempotency,
         ordered: false,
         benefit: 2.0,
         late_part: 0.2,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -6,15 +6,15 @@
 use grebecleat::interface::*;
 use grebecleat::state::Ran;
 
-const KEYED: Repeat = Repeat::Keyed {
-    group: RepeatGroup::Cell,
-    remembered: ms(1500),
+const KEYED: Idempotency = Idempotency::WithKey {
+    scope: DeduplicationScope::Cell,
+    window: ms(1500),
 };
 
 #[test]
 fn every_request_has_one_answer_before_its_expiry() {
     // A late client retry arrives with its time already up; a node is absent; an attempt times out.
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
+    let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
     let absent = Request {
         cell: Some(CellId(9)),
         ..request(2, ms(3000))
@@ -43,7 +43,7 @@
 
 #[test]
 fn held_requests_are_given_up_when_they_cannot_be_in_time() {
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
+    let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
     let mut answers = 0;
     at(
         &mut c,
@@ -90,16 +90,16 @@
         cell: CellId(1),
         sent: ms(1000),
     });
-    let keyed = |group| Repeat::Keyed {
-        group,
-        remembered: ms(500),
+    let keyed = |scope| Idempotency::WithKey {
+        scope,
+        window: ms(500),
     };
-    use RepeatGroup::*;
+    use DeduplicationScope::*;
     // kind, may have run, zone, cell, now, may go on, may defer
     let cases = [
-        (Repeat::Repeatable, ran, 1, 2, 9000, true, true),
-        (Repeat::Unrepeatable, None, 1, 2, 1001, true, true),
-        (Repeat::Unrepeatable, ran, 0, 1, 1001, false, false),
+        (Idempotency::Idempotent, ran, 1, 2, 9000, true, true),
+        (Idempotency::NonIdempotent, None, 1, 2, 1001, true, true),
+        (Idempotency::NonIdempotent, ran, 0, 1, 1001, false, false),
         (keyed(All), ran, 1, 2, 1499, true, true),
         (keyed(All), ran, 1, 2, 1500, false, true),
         (keyed(Zone), ran, 0, 2, 1499, true, false),
@@ -110,7 +110,7 @@
     ];
     for (kind, ran, zone, cell, now, goes_on, defers) in cases {
         assert_eq!(
-            may_repeat(kind, ran, (ZoneId(zone), CellId(cell)), ms(now)),
+            may_resend(kind, ran, (ZoneId(zone), CellId(cell)), ms(now)),
             goes_on,
             "{kind:?}"
         );
@@ -125,7 +125,11 @@
         (AttemptOutcome::Reset, false),
         (AttemptOutcome::Full, true),
     ] {
-        let mut c = host(vec![stream(Repeat::Unrepeatable)], vec![plan(1.0)], None);
+        let mut c = host(
+            vec![stream(Idempotency::NonIdempotent)],
+            vec![plan(1.0)],
+            None,
+        );
         at(&mut c, 1001, vec![Event::Taken(request(1, ms(3000)))]);
         let (_, deferred, abandoned) = at(&mut c, 1010, vec![over(1, 1, end, ms(9), false)]);
         assert_eq!(
@@ -141,13 +145,13 @@
 #[test]
 fn nothing_new_goes_to_a_node_that_drains_or_is_gone() {
     for state in [NodeState::Draining, NodeState::Gone] {
-        let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
+        let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
         let told = list(ListKind::Changes, vec![entry(1, state, None)]);
         let (sent, deferred, _) = at(&mut c, 1010, vec![told, Event::Taken(request(1, ms(3000)))]);
         assert_eq!((sent.len(), deferred.len()), (0, 1));
     }
     // Absent from a whole list is gone; what was held there is answered at once.
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
+    let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
     at(
         &mut c,
         1001,
@@ -181,7 +185,7 @@
         let got = cold_part(&rule, rate, ms(age));
         assert!((got - wanted).abs() < 1e-6, "{rate} {age} {got}");
     }
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1.0)], None);
+    let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
     let back = list(
         ListKind::Changes,
         vec![entry(1, NodeState::Ready, Some(ms(1000)))],
@@ -204,7 +208,7 @@
 /// so many requests a second at node 1.
 fn units_to_a_new_node(before: u64, reservation: f64, node: u32) -> f64 {
     let mut c = host(
-        vec![stream(Repeat::Repeatable)],
+        vec![stream(Idempotency::Idempotent)],
         vec![plan(reservation)],
         None,
     );
@@ -308,7 +312,11 @@
         share: 0.0,
         window: ms(5000),
     });
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(50.0)], attempts);
+    let mut c = host(
+        vec![stream(Idempotency::Idempotent)],
+        vec![plan(50.0)],
+        attempts,
+    );
     let mut further = 0;
     for n in 0..8u8 {
         let t = 1010 + 600 * u64::from(n);
@@ -336,7 +344,7 @@
         limit_burst: 32.0,
         ..plan(0.0)
     };
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![limited], None);
+    let mut c = host(vec![stream(Idempotency::Idempotent)], vec![limited], None);
     let mut units = 0.0;
     for t in (1010..4010).step_by(10) {
         let n = ((t / 10) % 250) as u8;
@@ -363,7 +371,11 @@
         Some(AttemptOutcome::NoConnection),
         None,
     ] {
-        let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(100.0)], None);
+        let mut c = host(
+            vec![stream(Idempotency::Idempotent)],
+            vec![plan(100.0)],
+            None,
+        );
         let mut attempts = 0;
         for t in (1010..3010).step_by(10) {
             let n = ((t / 10) % 250) as u8;
@@ -399,7 +411,11 @@
         (AttemptOutcome::Reset, true),
         (AttemptOutcome::NoConnection, false),
     ] {
-        let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(1000.0)], None);
+        let mut c = host(
+            vec![stream(Idempotency::Idempotent)],
+            vec![plan(1000.0)],
+            None,
+        );
         let new = |n, t| {
             Event::Taken(Request {
                 cell: None,
@@ -444,7 +460,11 @@
 
 #[test]
 fn late_answers_pace_sends_below_one_request_out() {
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(100.0)], None);
+    let mut c = host(
+        vec![stream(Idempotency::Idempotent)],
+        vec![plan(100.0)],
+        None,
+    );
     let mut sends = vec![0; 8];
     for t in (1010..9010).step_by(10) {
         let n = ((t / 10) % 250) as u8;
@@ -508,7 +528,7 @@
             price: 0.0,
             ..Plan::default()
         };
-        let mut c = host(vec![stream(Repeat::Repeatable)], vec![zero], None);
+        let mut c = host(vec![stream(Idempotency::Idempotent)], vec![zero], None);
         let none = Request {
             units: 0.0,
             hosts: 0,
@@ -553,7 +573,7 @@
             on_asking: false,
             ask_every: ms(10_000),
         };
-        let (streams, plans) = (vec![stream(Repeat::Repeatable)], vec![plan(1.0)]);
+        let (streams, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
         let mut c = Control::new(seed, streams, plans, units(), caps()).under(
             rule.clone(),
             listing,
@@ -587,7 +607,7 @@
 fn a_lone_attempt_that_is_late_cuts_what_earns_little_first() {
     // Alone at its node, a host's attempt is late by others' doing, and neither bound nor brake can act.
     let mut c = host(
-        vec![stream(Repeat::Repeatable)],
+        vec![stream(Idempotency::Idempotent)],
         vec![
             plan(0.0),
             Plan {
@@ -657,7 +677,7 @@
 fn of_thousands_held_each_is_answered_before_its_expiry() {
     // Without lines in order, each answer cost a look at all that is held, and ranking took a host's whole
     // time.
-    let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(5.0)], None);
+    let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(5.0)], None);
     let mut expiries = std::collections::BTreeMap::new();
     let mut events = Vec::new();
     for n in 0..2000u32 {
@@ -710,7 +730,7 @@
             limit_burst: 4.0,
             ..plan(50.0)
         };
-        let mut c = host(vec![stream(Repeat::Repeatable)], vec![limited], None);
+        let mut c = host(vec![stream(Idempotency::Idempotent)], vec![limited], None);
         let one_host = |n| Request {
             hosts: 1,
             ..request(n, ms(900_000))
@@ -747,7 +767,7 @@
 fn what_never_went_is_answered_before_half_of_its_time_is_over() {
     let ordered = StreamType {
         ordered: true,
-        ..stream(Repeat::Repeatable)
+        ..stream(Idempotency::Idempotent)
     };
     let mut c = host(vec![ordered], vec![plan(100.0)], None);
     let of = |n| Request {
@@ -780,7 +800,11 @@
 fn a_attempt_counts_as_late_from_when_it_is_on_its_way() {
     let ease = |c: &Control| c.nodes().find(|n| n.node == NodeId(1)).unwrap().ease;
     for (told, crosses_at, cut) in [(false, 0, true), (true, 5000, false), (true, 2310, true)] {
-        let mut c = host(vec![stream(Repeat::Repeatable)], vec![plan(100.0)], None);
+        let mut c = host(
+            vec![stream(Idempotency::Idempotent)],
+            vec![plan(100.0)],
+            None,
+        );
         for t in (1010..2010).step_by(100) {
             let n = (t / 100) as u8;
             let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 900)))]);
