--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -142,10 +142,10 @@
     })
 }
 
-pub fn list(p: &Pairs) -> Result<ListRule, String> {
-    Ok(ListRule {
-        on_asking: p.word("registry-mode") == "on_request",
-        ask_every: p.time("rules.ask-every-ms")?,
+pub fn list(p: &Pairs) -> Result<DiscoveryPolicy, String> {
+    Ok(DiscoveryPolicy {
+        polled: p.word("registry-mode") == "on_request",
+        poll_interval: p.time("rules.ask-every-ms")?,
     })
 }
 
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -42,9 +42,9 @@
 
 struct Listing {
     host: String,
-    kind: ListKind,
+    kind: EndpointUpdateKind,
     left: usize,
-    entries: Vec<ListEntry>,
+    endpoints: Vec<Endpoint>,
 }
 
 /// All hosts of this process and the batch being read.
@@ -188,7 +188,7 @@
                     listing.left
                 ));
             }
-            listing.entries.push(entry(&mut v)?);
+            listing.endpoints.push(entry(&mut v)?);
             listing.left -= 1;
             return self.listed().map(|()| None);
         }
@@ -220,10 +220,10 @@
                     return Err(format!("SYNC for unknown host {host}"));
                 }
                 let kind = match v.word("form")? {
-                    "Partial" => ListKind::Changes,
-                    "Complete" => ListKind::Whole,
-                    "Persisted" => ListKind::Remembered,
-                    "Error" => ListKind::NotHad,
+                    "Partial" => EndpointUpdateKind::Delta,
+                    "Complete" => EndpointUpdateKind::Snapshot,
+                    "Persisted" => EndpointUpdateKind::Cached,
+                    "Error" => EndpointUpdateKind::FetchFailed,
                     w => return Err(format!("SYNC has a bad form: {w}")),
                 };
                 v.maybe::<i64>("revision")?;
@@ -233,7 +233,7 @@
                     host,
                     kind,
                     left,
-                    entries: Vec::new(),
+                    endpoints: Vec::new(),
                 });
                 self.listed()?;
             }
@@ -284,9 +284,9 @@
     fn listed(&mut self) -> Result<(), String> {
         if let Some(l) = self.listing.take_if(|l| l.left == 0) {
             let host = self.hosts.get_mut(&l.host).ok_or("SYNC for unknown host")?;
-            host.events.push(Event::List {
+            host.events.push(Event::EndpointUpdate {
                 kind: l.kind,
-                entries: l.entries,
+                endpoints: l.endpoints,
             });
         }
         Ok(())
@@ -402,8 +402,8 @@
     }
 }
 
-fn entry(v: &mut Values) -> Result<ListEntry, String> {
-    let entry = ListEntry {
+fn entry(v: &mut Values) -> Result<Endpoint, String> {
+    let entry = Endpoint {
         node: NodeId(v.must("brick")?),
         zone: ZoneId(v.maybe("area")?.unwrap_or(0)),
         cell: {
@@ -456,7 +456,7 @@
             "JOURNAL_LINE {host} {}",
             text.replace(['\n', '\r'], " ")
         ),
-        Action::Watch { on } => writeln!(to, "SUBSCRIBE {host} {}", u8::from(*on)),
-        Action::FetchList => writeln!(to, "LIST_ALL {host}"),
+        Action::WatchEndpoints { on } => writeln!(to, "SUBSCRIBE {host} {}", u8::from(*on)),
+        Action::FetchEndpoints => writeln!(to, "LIST_ALL {host}"),
     };
 }
--- a/crates/audit/src/run.rs
+++ b/crates/audit/src/run.rs
@@ -255,7 +255,7 @@
                         l.answer = Some((seen(), a.clone()));
                     }
                 }
-                (Kind::In, Some(Body::List(l))) => h.listed(at, l),
+                (Kind::In, Some(Body::EndpointUpdate(l))) => h.listed(at, l),
                 (Kind::In, Some(Body::Feed(f))) => h.fed(at, f),
                 _ => {}
             }
@@ -305,13 +305,13 @@
 }
 
 impl Host {
-    fn listed(&mut self, at: Duration, l: &pb::List) {
-        if l.kind() == pb::ListKind::NotHad {
+    fn listed(&mut self, at: Duration, l: &pb::EndpointUpdate) {
+        if l.kind() == pb::EndpointUpdateKind::FetchFailed {
             return;
         }
-        if l.kind() == pb::ListKind::Whole {
+        if l.kind() == pb::EndpointUpdateKind::Snapshot {
             for (node, told) in &mut self.told {
-                let gone = l.entries.iter().all(|e| e.node != *node);
+                let gone = l.endpoints.iter().all(|e| e.node != *node);
                 if let (true, Some(&(_, state, start))) = (gone, told.last()) {
                     if state != pb::NodeState::Gone {
                         told.push((at, pb::NodeState::Gone, start));
@@ -319,7 +319,7 @@
                 }
             }
         }
-        for e in &l.entries {
+        for e in &l.endpoints {
             let told = self.told.entry(e.node).or_default();
             if told
                 .last()
--- a/crates/audit/tests/doctored.rs
+++ b/crates/audit/tests/doctored.rs
@@ -113,21 +113,21 @@
     }
 
     fn list(&mut self, at: u64, state: pb::NodeState, start: u64) {
-        let entry = pb::Entry {
+        let entry = pb::Endpoint {
             node: 1,
             state: state.into(),
             start,
             ..Default::default()
         };
-        let (kind, entries) = (pb::ListKind::Changes.into(), vec![entry]);
+        let (kind, endpoints) = (pb::EndpointUpdateKind::Delta.into(), vec![entry]);
         self.put(
             HOST,
             at,
             Kind::In,
-            Body::List(pb::List {
+            Body::EndpointUpdate(pb::EndpointUpdate {
                 kind,
                 revision: 0,
-                entries,
+                endpoints,
             }),
         );
     }
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -48,9 +48,9 @@
     let s = settings(nodes);
     let streams = s.streams.iter().map(|x| x.facts.clone()).collect();
     let plans = s.plans.iter().map(|p| p.facts.clone()).collect();
-    let list = ListRule {
-        on_asking: false,
-        ask_every: ms(10_000),
+    let list = DiscoveryPolicy {
+        polled: false,
+        poll_interval: ms(10_000),
     };
     let mut control = Control::new(1, streams, plans, s.units.clone(), s.caps.clone()).under(
         s.rules.cold.clone(),
@@ -58,20 +58,20 @@
         None,
         ms(200),
     );
-    let entry = |n: u32| ListEntry {
+    let entry = |n: u32| Endpoint {
         node: NodeId(n + 1),
         zone: ZoneId(0),
         cell: CellId(n + 1),
         state: NodeState::Ready,
         started: None,
     };
-    let entries = (0..nodes).map(entry).collect();
+    let endpoints = (0..nodes).map(entry).collect();
     let mut now = ms(1000);
     control.step(
         now,
-        vec![Event::List {
-            kind: ListKind::Whole,
-            entries,
+        vec![Event::EndpointUpdate {
+            kind: EndpointUpdateKind::Snapshot,
+            endpoints,
         }],
     );
     let (mut next, mut out) = (0u64, VecDeque::new());
@@ -146,7 +146,7 @@
 fn desk(nodes: u32, open: usize, batch: usize, span: Duration) -> f64 {
     let mut desk = Desk::new(Arc::new(settings(nodes)), 1);
     let mut now = ms(1000);
-    let entry = |n: u32| pb::Entry {
+    let entry = |n: u32| pb::Endpoint {
         node: n + 1,
         cell: n + 1,
         state: pb::NodeState::Ready.into(),
@@ -154,10 +154,10 @@
         start: 1,
         ..Default::default()
     };
-    let list = pb::List {
-        kind: pb::ListKind::Whole.into(),
+    let list = pb::EndpointUpdate {
+        kind: pb::EndpointUpdateKind::Snapshot.into(),
         revision: 1,
-        entries: (0..nodes).map(entry).collect(),
+        endpoints: (0..nodes).map(entry).collect(),
     };
     let client = ConnId(1 << 50);
     let to_client = Arc::new(Outbox::new(|| (), || ()));
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -234,12 +234,12 @@
 
 fn ask_list(at: &str) -> io::Result<Vec<(u32, SocketAddr)>> {
     let (mut s, mut r) = connect(at.parse().map_err(io::Error::other)?, pb::Role::Client)?;
-    put(&mut s, [Body::FetchList(pb::FetchList {})])?;
+    put(&mut s, [Body::FetchEndpoints(pb::FetchEndpoints {})])?;
     let mut all = Vec::new();
     for body in get(&mut s, &mut r)? {
-        if let Body::List(l) = body {
+        if let Body::EndpointUpdate(l) = body {
             all.extend(
-                l.entries
+                l.endpoints
                     .iter()
                     .filter_map(|e| Some((e.node, e.address.parse().ok()?))),
             );
--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -327,7 +327,7 @@
             panic!("the list greets")
         };
         let state = pb::NodeState::Ready.into();
-        let entry = Some(pb::Entry {
+        let entry = Some(pb::Endpoint {
             node: 1,
             cell: 1,
             state,
--- a/crates/host/src/desk.rs
+++ b/crates/host/src/desk.rs
@@ -118,7 +118,7 @@
         done: Result<(), String>,
     },
     Remembered {
-        list: pb::List,
+        list: pb::EndpointUpdate,
     },
     /// `waited`: on its way, as far as that is known.
     Word {
@@ -350,9 +350,9 @@
         let control = Control::new(seed, streams, plans, s.units.clone(), s.caps.clone()).under(
             rules.cold.clone(),
             // The list is asked for in either case: where it pushes, one watch is the asking.
-            ListRule {
-                on_asking: true,
-                ask_every: s.list.rule.ask_every,
+            DiscoveryPolicy {
+                polled: true,
+                poll_interval: s.list.rule.poll_interval,
             },
             rules.attempts.clone(),
             rules.key_rest,
@@ -639,7 +639,7 @@
                 let (mine, former) = (self.list.conn == Some(conn), self.is_former(conn));
                 for f in frames {
                     match f.body {
-                        Some(Body::List(l)) if mine || former => {
+                        Some(Body::EndpointUpdate(l)) if mine || former => {
                             if mine {
                                 self.list.answer_by = None;
                                 self.former.take().into_iter().for_each(|(_, o)| o.close());
@@ -667,9 +667,9 @@
                     other => other.into_iter().for_each(|(_, o)| o.close()),
                 }
                 // How often another list has failed says nothing of this one: no changes, but an answer.
-                self.events.push(Event::List {
-                    kind: ListKind::Changes,
-                    entries: Vec::new(),
+                self.events.push(Event::EndpointUpdate {
+                    kind: EndpointUpdateKind::Delta,
+                    endpoints: Vec::new(),
                 });
                 self.list.wanted.push(Body::Watch(pb::Watch { on: true }));
                 self.ask_list();
@@ -688,7 +688,9 @@
             }
             Input::StateGone { conn } => self.plans.gone(conn, self.now),
             Input::Kept { number, done } => self.plans.kept(number, done),
-            Input::Remembered { list } => self.entries(ListKind::Remembered, &list.entries, 0),
+            Input::Remembered { list } => {
+                self.endpoints(EndpointUpdateKind::Cached, &list.endpoints, 0)
+            }
             Input::Word {
                 from,
                 waited,
@@ -976,7 +978,7 @@
         let entry = |node: &NodeId| {
             let k = self.listing.nodes.get(node)?;
             let (zone, cell, started) = (k.zone, k.cell, k.started);
-            Some(ListEntry {
+            Some(Endpoint {
                 node: *node,
                 zone,
                 cell,
@@ -984,8 +986,8 @@
                 started,
             })
         };
-        let entries: Vec<ListEntry> = nodes.iter().filter_map(entry).collect();
-        for e in &entries {
+        let endpoints: Vec<Endpoint> = nodes.iter().filter_map(entry).collect();
+        for e in &endpoints {
             let not = if wished(self, e.node) {
                 ""
             } else {
@@ -993,15 +995,15 @@
             };
             self.note(format!("node {} is {not}{how}", e.node.0));
         }
-        let left: Vec<NodeId> = entries
+        let left: Vec<NodeId> = endpoints
             .iter()
             .filter(|e| e.state != NodeState::Ready)
             .map(|e| e.node)
             .collect();
-        if !entries.is_empty() {
-            self.events.push(Event::List {
-                kind: ListKind::Changes,
-                entries,
+        if !endpoints.is_empty() {
+            self.events.push(Event::EndpointUpdate {
+                kind: EndpointUpdateKind::Delta,
+                endpoints,
             });
         }
         left.into_iter().for_each(|node| self.take_back(node));
@@ -1789,9 +1791,9 @@
         self.list = ListLink::default();
         self.note(format!("list of nodes: {why}"));
         self.renew_list(Some(renewal::Event::Failed));
-        self.events.push(Event::List {
-            kind: ListKind::NotHad,
-            entries: Vec::new(),
+        self.events.push(Event::EndpointUpdate {
+            kind: EndpointUpdateKind::FetchFailed,
+            endpoints: Vec::new(),
         });
     }
 
@@ -1799,42 +1801,46 @@
         self.former.as_ref().is_some_and(|(c, _)| *c == conn)
     }
 
-    fn listed(&mut self, l: pb::List) {
+    fn listed(&mut self, l: pb::EndpointUpdate) {
         match l.kind() {
-            pb::ListKind::Changes => self.entries(ListKind::Changes, &l.entries, l.revision),
-            pb::ListKind::Whole => self.entries(ListKind::Whole, &l.entries, l.revision),
-            _ => self.events.push(Event::List {
-                kind: ListKind::NotHad,
-                entries: Vec::new(),
+            pb::EndpointUpdateKind::Delta => {
+                self.endpoints(EndpointUpdateKind::Delta, &l.endpoints, l.revision)
+            }
+            pb::EndpointUpdateKind::Snapshot => {
+                self.endpoints(EndpointUpdateKind::Snapshot, &l.endpoints, l.revision)
+            }
+            _ => self.events.push(Event::EndpointUpdate {
+                kind: EndpointUpdateKind::FetchFailed,
+                endpoints: Vec::new(),
             }),
         }
     }
 
-    fn entries(&mut self, kind: ListKind, entries: &[pb::Entry], revision: u64) {
+    fn endpoints(&mut self, kind: EndpointUpdateKind, endpoints: &[pb::Endpoint], revision: u64) {
         let before: BTreeMap<NodeId, (u64, Option<SocketAddr>)> = self
             .listing
             .nodes
             .iter()
             .map(|(id, k)| (*id, (k.start, k.address)))
             .collect();
-        let read: Vec<ListEntry> = entries
+        let read: Vec<Endpoint> = endpoints
             .iter()
             .filter_map(|e| self.listing.read(e, self.now, revision))
             .collect();
-        if read.len() < entries.len() {
+        if read.len() < endpoints.len() {
             self.note(format!(
-                "list of nodes: {} entries without a state",
-                entries.len() - read.len()
+                "list of nodes: {} endpoints without a state",
+                endpoints.len() - read.len()
             ));
         }
-        let mut left = if kind == ListKind::Changes {
+        let mut left = if kind == EndpointUpdateKind::Delta {
             Vec::new()
         } else {
             self.listing.only(&read, revision)
         };
-        let read: Vec<ListEntry> = read
+        let read: Vec<Endpoint> = read
             .into_iter()
-            .map(|e| ListEntry {
+            .map(|e| Endpoint {
                 state: self.state_of(e.node, e.state),
                 ..e
             })
@@ -1862,12 +1868,12 @@
                 self.close_idle(e.node, self.now);
             }
         }
-        self.events.push(Event::List {
+        self.events.push(Event::EndpointUpdate {
             kind,
-            entries: read,
+            endpoints: read,
         });
         left.into_iter().for_each(|node| self.take_back(node));
-        self.list_changed = kind != ListKind::Remembered;
+        self.list_changed = kind != EndpointUpdateKind::Cached;
         self.tell_nodes();
     }
 
@@ -2068,12 +2074,14 @@
             Action::CloseIdle { node } => self.close_idle(node, self.now),
             Action::Tell { to, bytes } => self.out.push(Output::Tell { to, bytes }),
             Action::Log { text } => self.note(text),
-            Action::Watch { on } => {
+            Action::WatchEndpoints { on } => {
                 self.list.wanted.push(Body::Watch(pb::Watch { on }));
                 self.ask_list();
             }
-            Action::FetchList => {
-                self.list.wanted.push(Body::FetchList(pb::FetchList {}));
+            Action::FetchEndpoints => {
+                self.list
+                    .wanted
+                    .push(Body::FetchEndpoints(pb::FetchEndpoints {}));
                 self.ask_list();
             }
         }
--- a/crates/host/src/listing.rs
+++ b/crates/host/src/listing.rs
@@ -4,7 +4,7 @@
 //! by what the messages waited. Each start of a node therefore keeps the moment reckoned first, or the
 //! decisions would see a restart in every list.
 
-use grebecleat::interface::{CellId, ListEntry, NodeId, NodeState, ZoneId};
+use grebecleat::interface::{CellId, Endpoint, NodeId, NodeState, ZoneId};
 use grebecleat_wire::{clock, frame, pb};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
 
 impl Listing {
     /// Reads one entry; None where it makes no sense.
-    pub fn read(&mut self, e: &pb::Entry, now: Duration, revision: u64) -> Option<ListEntry> {
+    pub fn read(&mut self, e: &pb::Endpoint, now: Duration, revision: u64) -> Option<Endpoint> {
         let state = match e.state() {
             pb::NodeState::Ready => NodeState::Ready,
             pb::NodeState::Draining => NodeState::Draining,
@@ -58,7 +58,7 @@
             revision,
         };
         self.nodes.insert(node, known);
-        Some(ListEntry {
+        Some(Endpoint {
             node,
             zone,
             cell,
@@ -68,7 +68,7 @@
     }
 
     /// Nodes that a whole list no longer names are gone; answers which.
-    pub fn only(&mut self, named: &[ListEntry], revision: u64) -> Vec<NodeId> {
+    pub fn only(&mut self, named: &[Endpoint], revision: u64) -> Vec<NodeId> {
         let there = |id: &NodeId| named.iter().any(|e| e.node == *id);
         let gone = self
             .nodes
@@ -87,7 +87,7 @@
             .nodes
             .iter()
             .filter(|(_, k)| k.state != NodeState::Gone);
-        let entries = there.map(|(id, k)| pb::Entry {
+        let endpoints = there.map(|(id, k)| pb::Endpoint {
             node: id.0,
             zone: k.zone.0,
             cell: k.cell.0,
@@ -101,10 +101,10 @@
             start: k.start,
             up_us: k.started.map(|s| clock::micros(now.saturating_sub(s))),
         });
-        let list = pb::List {
-            kind: pb::ListKind::Whole.into(),
+        let list = pb::EndpointUpdate {
+            kind: pb::EndpointUpdateKind::Snapshot.into(),
             revision: 0,
-            entries: entries.collect(),
+            endpoints: endpoints.collect(),
         };
         let mut bytes = Vec::new();
         frame::write(&list, &mut bytes);
@@ -112,7 +112,7 @@
     }
 
     /// What a file remembers. Of a damaged one nothing is taken: a list half read would hide nodes.
-    pub fn from_bytes(bytes: &[u8]) -> Result<pb::List, frame::FrameFault> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<pb::EndpointUpdate, frame::FrameFault> {
         let mut reader = frame::Reader::new(bytes.len());
         reader.push(bytes);
         reader
--- a/crates/host/src/listing/tests.rs
+++ b/crates/host/src/listing/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn one_start_keeps_its_moment_and_a_damaged_memory_is_refused() {
     let s = Duration::from_secs;
-    let entry = |start, up: u64| pb::Entry {
+    let entry = |start, up: u64| pb::Endpoint {
         node: 3,
         state: pb::NodeState::Ready.into(),
         address: "127.0.0.1:9".into(),
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -268,7 +268,7 @@
     }
 }
 
-fn remembered(path: &Path) -> Option<pb::List> {
+fn remembered(path: &Path) -> Option<pb::EndpointUpdate> {
     let bytes = std::fs::read(path).ok()?;
     match Listing::from_bytes(&bytes) {
         Ok(list) => Some(list),
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -338,31 +338,31 @@
     pub fn list_tells(
         &mut self,
         conn: ConnId,
-        kind: pb::ListKind,
-        entries: &[(u32, pb::NodeState)],
+        kind: pb::EndpointUpdateKind,
+        endpoints: &[(u32, pb::NodeState)],
     ) {
-        let list = pb::List {
+        let list = pb::EndpointUpdate {
             kind: kind.into(),
             revision: 2,
-            ..list(entries)
+            ..list(endpoints)
         };
         let frames = vec![pb::Frame {
             sent_us: 0,
-            body: Some(Body::List(list)),
+            body: Some(Body::EndpointUpdate(list)),
         }];
         self.feed(vec![Input::ListFrames { conn, frames }]);
     }
 
-    pub fn listed(&mut self, entries: &[(u32, pb::NodeState)]) {
+    pub fn listed(&mut self, endpoints: &[(u32, pb::NodeState)]) {
         // A change as the list tells it; where it came from does not matter here.
         self.feed(vec![Input::Remembered {
-            list: list(entries),
+            list: list(endpoints),
         }]);
     }
 }
 
-pub fn list(entries: &[(u32, pb::NodeState)]) -> pb::List {
-    let entry = |(node, state): &(u32, pb::NodeState)| pb::Entry {
+pub fn list(endpoints: &[(u32, pb::NodeState)]) -> pb::EndpointUpdate {
+    let entry = |(node, state): &(u32, pb::NodeState)| pb::Endpoint {
         node: *node,
         cell: *node,
         state: (*state).into(),
@@ -370,10 +370,10 @@
         start: 1,
         ..Default::default()
     };
-    let entries = entries.iter().map(entry).collect();
-    pb::List {
-        kind: pb::ListKind::Whole.into(),
+    let endpoints = endpoints.iter().map(entry).collect();
+    pb::EndpointUpdate {
+        kind: pb::EndpointUpdateKind::Snapshot.into(),
         revision: 1,
-        entries,
+        endpoints,
     }
 }
--- a/crates/host/tests/ends.rs
+++ b/crates/host/tests/ends.rs
@@ -5,7 +5,7 @@
 use common::*;
 use grebecleat_host::desk::{ConnId, Input};
 use grebecleat_wire::pb::{self, frame::Body};
-use pb::ListKind::{Changes, Whole};
+use pb::EndpointUpdateKind::{Changes, Whole};
 use pb::NodeState::{Draining, Ready};
 use pb::Outcome::{Abandoned, Deferred, Done};
 
@@ -183,7 +183,7 @@
         let attempt = r.attempts(conn)[0].attempt;
         r.node_answers(conn, attempt, pb::Result::Ok);
         let mut told = list(&[(1, state), (2, Ready)]);
-        told.entries[0].start = 2;
+        told.endpoints[0].start = 2;
         r.feed(vec![Input::Remembered { list: told }]);
         assert!(r.boxes[&conn].is_closed(), "{state:?}");
     }
@@ -195,7 +195,7 @@
     type Case = (&'static str, fn(&mut Rig), bool);
     let renewed = |r: &mut Rig| {
         let mut told = list(&[(1, Ready), (2, Ready)]);
-        told.entries[0].start = 2;
+        told.endpoints[0].start = 2;
         r.feed(vec![Input::Remembered { list: told }]);
     };
     let cases: [Case; 4] = [
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -260,7 +260,7 @@
 /// Announces a node 2 of ours to the list.
 fn announce(list: SocketAddr, address: SocketAddr) -> TcpStream {
     let mut s = TcpStream::connect(list).unwrap();
-    let entry = pb::Entry {
+    let entry = pb::Endpoint {
         node: 2,
         cell: 2,
         state: pb::NodeState::Ready.into(),
--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/calls.rs
@@ -60,7 +60,7 @@
     }
 
     /// `ask_every`: how often the settings want the list asked for.
-    pub fn step(&mut self, now: Duration, ask_every: Duration, event: Event) -> Option<Action> {
+    pub fn step(&mut self, now: Duration, poll_interval: Duration, event: Event) -> Option<Action> {
         match event {
             Event::Watch { on } => self.watching = on,
             Event::Fetch => self.whole = true,
@@ -79,7 +79,7 @@
         match self.revision.filter(|_| !std::mem::take(&mut self.whole)) {
             Some(_) if !self.watching => None,
             Some(revision) => {
-                let wait = (ask_every / 2).clamp(WATCH.0, WATCH.1);
+                let wait = (poll_interval / 2).clamp(WATCH.0, WATCH.1);
                 self.by = Some(now + wait + ANSWER);
                 Some(Action::Newer { revision, wait })
             }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -333,7 +333,7 @@
         }],
         list: ListSpec {
             address: Some(discovery),
-            rule: list_rule(p)?,
+            rule: discovery_policy(p)?,
             lag: Duration::ZERO,
             fails: 0.0,
         },
@@ -350,14 +350,17 @@
     Ok((kinds, settings))
 }
 
-fn list_rule(p: &Pairs) -> Result<ListRule, String> {
+fn discovery_policy(p: &Pairs) -> Result<DiscoveryPolicy, String> {
     let told = shared::list(p)?;
-    let ask_every = if told.ask_every.is_zero() {
+    let poll_interval = if told.poll_interval.is_zero() {
         SILENCE
     } else {
-        told.ask_every.min(SILENCE)
+        told.poll_interval.min(SILENCE)
     };
-    Ok(ListRule { ask_every, ..told })
+    Ok(DiscoveryPolicy {
+        poll_interval,
+        ..told
+    })
 }
 
 fn named(p: &Pairs, what: &str, n: usize) -> Result<String, String> {
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -102,7 +102,7 @@
     ] {
         let mut v = whole();
         v["settings"]["rules"]["ask-every-ms"] = told;
-        assert_eq!(read(&v).unwrap().settings.list.rule.ask_every, kept);
+        assert_eq!(read(&v).unwrap().settings.list.rule.poll_interval, kept);
     }
 }
 
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -33,10 +33,10 @@
     boot_ms: f64,
 }
 
-/// What was read: the list, its revision, and how many entries made no sense.
+/// What was read: the list, its revision, and how many endpoints made no sense.
 #[derive(Debug)]
 pub struct Read {
-    pub list: pb::List,
+    pub list: pb::EndpointUpdate,
     pub revision: u64,
     pub spoilt: usize,
 }
@@ -64,24 +64,24 @@
     pub fn read(&mut self, body: &[u8], unix_ms: f64) -> Result<Read, String> {
         let told: Told = serde_json::from_slice(body).map_err(|e| e.to_string())?;
         let all = told.targets.len();
-        let entries: Vec<pb::Entry> = told
+        let endpoints: Vec<pb::Endpoint> = told
             .targets
             .into_iter()
             .filter_map(|t| self.entry(t, unix_ms))
             .collect();
-        let spoilt = all - entries.len();
-        if told.all && entries.is_empty() && spoilt > 0 {
-            return Err(format!("none of {spoilt} entries can be read"));
+        let spoilt = all - endpoints.len();
+        if told.all && endpoints.is_empty() && spoilt > 0 {
+            return Err(format!("none of {spoilt} endpoints can be read"));
         }
         let kind = if told.all && spoilt == 0 {
-            pb::ListKind::Whole
+            pb::EndpointUpdateKind::Snapshot
         } else {
-            pb::ListKind::Changes
+            pb::EndpointUpdateKind::Delta
         };
-        let list = pb::List {
+        let list = pb::EndpointUpdate {
             kind: kind.into(),
             revision: told.rev,
-            entries,
+            endpoints,
         };
         Ok(Read {
             list,
@@ -90,7 +90,7 @@
         })
     }
 
-    fn entry(&mut self, told: serde_json::Value, unix_ms: f64) -> Option<pb::Entry> {
+    fn entry(&mut self, told: serde_json::Value, unix_ms: f64) -> Option<pb::Endpoint> {
         let t: Target = serde_json::from_value(told).ok()?;
         let state = match t.state.as_str() {
             "ready" => pb::NodeState::Ready,
@@ -104,7 +104,7 @@
         }
         let zone = number(&mut self.zones, t.az.as_deref().unwrap_or_default())?;
         let up = (t.boot_ms > 0.0).then(|| (unix_ms - t.boot_ms).max(0.0) * 1000.0);
-        Some(pb::Entry {
+        Some(pb::Endpoint {
             node: number(&mut self.nodes, &t.uid)?,
             zone,
             cell: t.pod_group,
--- a/crates/platform/src/discovery/tests.rs
+++ b/crates/platform/src/discovery/tests.rs
@@ -20,11 +20,11 @@
     let read = names.read(&list(true, &[ONE, &other]), 5000.0).unwrap();
     assert_eq!(
         (read.revision, read.spoilt, read.list.kind()),
-        (7, 0, pb::ListKind::Whole)
+        (7, 0, pb::EndpointUpdateKind::Snapshot)
     );
     let seen: Vec<_> = read
         .list
-        .entries
+        .endpoints
         .iter()
         .map(|e| (e.node, e.cell, e.up_us, e.start))
         .collect();
@@ -41,10 +41,10 @@
         let read = names.read(&list(true, &[bad, &other]), 5000.0).unwrap();
         assert_eq!(
             (read.spoilt, read.list.kind()),
-            (1, pb::ListKind::Changes),
+            (1, pb::EndpointUpdateKind::Delta),
             "{bad}"
         );
-        assert_eq!(read.list.entries[0].node, 1);
+        assert_eq!(read.list.endpoints[0].node, 1);
         assert!(names.read(&list(true, &[bad]), 5000.0).is_err());
     }
     let gone = names
@@ -53,5 +53,5 @@
             0.0,
         )
         .unwrap();
-    assert_eq!(gone.list.entries[0].state(), pb::NodeState::Gone);
+    assert_eq!(gone.list.endpoints[0].state(), pb::NodeState::Gone);
 }
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -590,7 +590,7 @@
         };
         match self.names.read(&known, unix_ms()) {
             Ok(read) => {
-                self.known = !read.list.entries.is_empty();
+                self.known = !read.list.endpoints.is_empty();
                 self.inputs.push(Input::Remembered { list: read.list });
             }
             Err(why) => self.say(&format!("known: not taken: {why}")),
@@ -1267,7 +1267,7 @@
         match told {
             Ok(read) => {
                 self.listed = true;
-                let frames = vec![frame(Body::List(read.list), clock::now())];
+                let frames = vec![frame(Body::EndpointUpdate(read.list), clock::now())];
                 self.inputs.push(Input::ListFrames { conn, frames });
                 if read.spoilt > 0 {
                     self.say(&format!(
@@ -1299,8 +1299,8 @@
         let Role::List(calls) = &mut c.role else {
             return;
         };
-        let ask_every = self.config.settings.list.rule.ask_every;
-        let Some(call) = calls.step(clock::now(), ask_every, event) else {
+        let poll_interval = self.config.settings.list.rule.poll_interval;
+        let Some(call) = calls.step(clock::now(), poll_interval, event) else {
             return;
         };
         c.outward.extend_from_slice(&discovery::ask(SERVICE, call));
@@ -1478,7 +1478,7 @@
             (Role::List(_), Body::Watch(w)) => {
                 self.call_list(conn, calls::Event::Watch { on: w.on })
             }
-            (Role::List(_), Body::FetchList(_)) => self.call_list(conn, calls::Event::Fetch),
+            (Role::List(_), Body::FetchEndpoints(_)) => self.call_list(conn, calls::Event::Fetch),
             _ => {}
         }
     }
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -274,17 +274,17 @@
     for (what, does, written) in cases {
         let (mut host, (ours, mut client)) = (host(), UnixStream::pair().unwrap());
         let node = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let entry = pb::Entry {
+        let entry = pb::Endpoint {
             node: 1,
             cell: 5,
             state: pb::NodeState::Ready.into(),
             address: node.local_addr().unwrap().to_string(),
-            ..pb::Entry::default()
+            ..pb::Endpoint::default()
         };
-        let list = pb::List {
-            kind: pb::ListKind::Whole.into(),
-            entries: vec![entry],
-            ..pb::List::default()
+        let list = pb::EndpointUpdate {
+            kind: pb::EndpointUpdateKind::Snapshot.into(),
+            endpoints: vec![entry],
+            ..pb::EndpointUpdate::default()
         };
         host.inputs.push(Input::Remembered { list });
         let conn = ConnId(ACCEPTED + 1);
--- a/crates/platform/tests/renewal.rs
+++ b/crates/platform/tests/renewal.rs
@@ -312,20 +312,20 @@
                     self.hosts[host].told.get_or_insert(self.now);
                 }
                 let state = pb::NodeState::Ready.into();
-                let entries = vec![pb::Entry {
+                let endpoints = vec![pb::Endpoint {
                     node: 1,
                     state,
                     address: "127.0.0.1:9".into(),
                     ..Default::default()
                 }];
-                let list = pb::List {
-                    kind: pb::ListKind::Whole.into(),
+                let list = pb::EndpointUpdate {
+                    kind: pb::EndpointUpdateKind::Snapshot.into(),
                     revision,
-                    entries,
+                    endpoints,
                 };
                 let frames = vec![pb::Frame {
                     sent_us: 0,
-                    body: Some(Body::List(list)),
+                    body: Some(Body::EndpointUpdate(list)),
                 }];
                 self.hosts[host].began = self.now;
                 let link = self.hosts[host].link.as_mut().expect("looked up above");
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone)]
 pub struct ListSpec {
     pub address: Option<SocketAddr>,
-    pub rule: ListRule,
+    pub rule: DiscoveryPolicy,
     /// How late the list is on a node that came, drains or went.
     pub lag: Duration,
     /// Part of its calls that fail.
@@ -651,9 +651,9 @@
 fn list(f: &mut Fields) -> ListSpec {
     ListSpec {
         address: address(f, "address"),
-        rule: ListRule {
-            on_asking: f.flag("on_asking", Some(true)),
-            ask_every: f.span("ask_every", Some(ms(10_000)), DAY),
+        rule: DiscoveryPolicy {
+            polled: f.flag("on_asking", Some(true)),
+            poll_interval: f.span("ask_every", Some(ms(10_000)), DAY),
         },
         lag: f.span("lag", Some(ms(1000)), DAY),
         fails: f.number("fails", Some(0.0), (0.0, 1.0)),
--- a/crates/standin/src/list.rs
+++ b/crates/standin/src/list.rs
@@ -6,7 +6,7 @@
 
 #[derive(Debug, Clone)]
 struct Line {
-    entry: pb::Entry,
+    entry: pb::Endpoint,
     /// When the process started, by our clock; None: long ago.
     since: Option<Duration>,
 }
@@ -20,7 +20,7 @@
 
 impl List {
     /// A node's state was announced; it shows after `lag`.
-    pub fn hear(&mut self, now: Duration, entry: pb::Entry, lag: Duration) {
+    pub fn hear(&mut self, now: Duration, entry: pb::Endpoint, lag: Duration) {
         let since = entry
             .up_us
             .map(|us| now.saturating_sub(Duration::from_micros(us)));
@@ -33,40 +33,40 @@
     }
 
     /// What has begun to show; a change for each watcher.
-    pub fn advance(&mut self, now: Duration) -> Option<pb::List> {
+    pub fn advance(&mut self, now: Duration) -> Option<pb::EndpointUpdate> {
         let ready = self.coming.partition_point(|c| c.0 <= now);
         let lines: Vec<Line> = self.coming.drain(..ready).map(|c| c.1).collect();
         if lines.is_empty() {
             return None;
         }
         self.revision += 1;
-        let entries = lines.iter().map(|l| Self::as_of(now, l)).collect();
+        let endpoints = lines.iter().map(|l| Self::as_of(now, l)).collect();
         for line in lines {
             self.shown.insert(line.entry.node, line);
         }
-        Some(pb::List {
-            kind: pb::ListKind::Changes.into(),
+        Some(pb::EndpointUpdate {
+            kind: pb::EndpointUpdateKind::Delta.into(),
             revision: self.revision,
-            entries,
+            endpoints,
         })
     }
 
-    pub fn whole(&self, now: Duration) -> pb::List {
+    pub fn whole(&self, now: Duration) -> pb::EndpointUpdate {
         let there = self
             .shown
             .values()
             .filter(|l| l.entry.state() != pb::NodeState::Gone);
-        let entries = there.map(|l| Self::as_of(now, l)).collect();
-        pb::List {
-            kind: pb::ListKind::Whole.into(),
+        let endpoints = there.map(|l| Self::as_of(now, l)).collect();
+        pb::EndpointUpdate {
+            kind: pb::EndpointUpdateKind::Snapshot.into(),
             revision: self.revision,
-            entries,
+            endpoints,
         }
     }
 
-    fn as_of(now: Duration, line: &Line) -> pb::Entry {
+    fn as_of(now: Duration, line: &Line) -> pb::Endpoint {
         let up_us = line.since.map(|s| clock::micros(now.saturating_sub(s)));
-        pb::Entry {
+        pb::Endpoint {
             up_us,
             ..line.entry.clone()
         }
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -147,7 +147,8 @@
             match h {
                 Heard::Up { at: LIST, line, .. } => {
                     let entries = seats.values().map(|s| entry(s, now));
-                    entries.for_each(|e| line.put(Body::Announce(pb::Announce { entry: Some(e) })));
+                    entries
+                        .for_each(|e| line.put(Body::Announce(pb::Announce { endpoint: Some(e) })));
                     list_line = Some(line);
                 }
                 Heard::Up {
@@ -224,14 +225,14 @@
     }
 }
 
-fn entry(seat: &Seat, now: Duration) -> pb::Entry {
+fn entry(seat: &Seat, now: Duration) -> pb::Endpoint {
     let spec = &seat.node.spec;
     let state = match seat.node.life {
         Life::Up => pb::NodeState::Ready,
         Life::Draining => pb::NodeState::Draining,
         Life::Down => pb::NodeState::Gone,
     };
-    pb::Entry {
+    pb::Endpoint {
         node: spec.id,
         zone: spec.zone as u32,
         cell: spec.cell,
@@ -290,7 +291,7 @@
     }
     if let Some(list) = list {
         list.put(Body::Announce(pb::Announce {
-            entry: Some(entry(seat, now)),
+            endpoint: Some(entry(seat, now)),
         }));
     }
 }
@@ -327,7 +328,7 @@
                     body: Body::Announce(a),
                     ..
                 } => {
-                    let entry = a.entry.unwrap_or_default();
+                    let entry = a.endpoint.unwrap_or_default();
                     let silent = entry.state() == pb::NodeState::Gone;
                     // What it hears before anything has happened shows at once.
                     let lag = if now < TICK {
@@ -342,8 +343,8 @@
                         continue;
                     };
                     if rng.random::<f64>() < facts.fails {
-                        let kind = pb::ListKind::NotHad.into();
-                        line.put(Body::List(pb::List {
+                        let kind = pb::EndpointUpdateKind::FetchFailed.into();
+                        line.put(Body::EndpointUpdate(pb::EndpointUpdate {
                             kind,
                             ..Default::default()
                         }));
@@ -353,9 +354,9 @@
                         Body::Watch(w) if !w.on => drop(watching.remove(&conn)),
                         Body::Watch(_) => {
                             watching.insert(conn);
-                            line.put(Body::List(model.whole(now)));
+                            line.put(Body::EndpointUpdate(model.whole(now)));
                         }
-                        Body::FetchList(_) => line.put(Body::List(model.whole(now))),
+                        Body::FetchEndpoints(_) => line.put(Body::EndpointUpdate(model.whole(now))),
                         _ => line.hang_up(),
                     }
                 }
@@ -363,7 +364,7 @@
         }
         if let Some(changes) = model.advance(now) {
             for line in watching.iter().filter_map(|c| lines.get(c)) {
-                line.put(Body::List(changes.clone()));
+                line.put(Body::EndpointUpdate(changes.clone()));
             }
         }
     }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -25,11 +25,11 @@
             data: data.into(),
             ..Default::default()
         }),
-        2 => Body::List(pb::List {
+        2 => Body::EndpointUpdate(pb::EndpointUpdate {
             kind: 2,
             revision: rng.random(),
-            entries: (0..rng.random_range(0..20))
-                .map(|node| pb::Entry {
+            endpoints: (0..rng.random_range(0..20))
+                .map(|node| pb::Endpoint {
                     node,
                     address: "127.0.0.1:1".into(),
                     ..Default::default()
--- a/src/control.rs
+++ b/src/control.rs
@@ -149,7 +149,7 @@
     units: UnitFacts,
     caps: Caps,
     cold: ColdRule,
-    list: ListRule,
+    list: DiscoveryPolicy,
     budget: Option<RetryBudget>,
     rest: Duration,
     tightest: Duration,
@@ -161,14 +161,14 @@
     pub fn new(seed: u64, streams: Vec<StreamType>, plans: Vec<Plan>, units: UnitFacts, caps: Caps) -> Self {
         let tightest = streams.iter().map(|s| s.slo).filter(|d| *d > TICK).min().unwrap_or(INTERVAL);
         let (rng, per_unit) = (Pcg64Mcg::seed_from_u64(seed), Histogram::new(TICK / 5, 1.4, 16));
-        let (cold, list, rest) = (ColdRule::default(), ListRule::default(), Duration::ZERO);
+        let (cold, list, rest) = (ColdRule::default(), DiscoveryPolicy::default(), Duration::ZERO);
         let bk = Books { values: scale(&streams, &plans, &units), ..Books::default() };
         Control { rng, streams, plans, units, caps, cold, list, budget: None, rest, tightest, per_unit, bk }
     }
 
     /// The figures of the rules.
     pub fn under(
-        mut self, cold: ColdRule, list: ListRule, attempts: Option<RetryBudget>, rest: Duration,
+        mut self, cold: ColdRule, list: DiscoveryPolicy, attempts: Option<RetryBudget>, rest: Duration,
     ) -> Self {
         (self.cold, self.list, self.budget, self.rest) = (cold, list, attempts, rest);
         self
@@ -178,7 +178,7 @@
         if self.bk.armed.is_none() {
             (self.bk.ticked, self.bk.planned) = (now, now);
             // All hosts may start at once, and the list's service has room for few calls at a time.
-            self.bk.watch_at = self.list.on_asking.then(|| now + self.spread(INTERVAL));
+            self.bk.watch_at = self.list.polled.then(|| now + self.spread(INTERVAL));
         }
         self.bk.now = now;
         let ticks = (now.saturating_sub(self.bk.ticked).as_micros() / TICK.as_micros()) as u32;
@@ -222,7 +222,7 @@
                 self.bk.held_of(volume).into_iter().for_each(|id| self.give_up(id, COME_BACK));
                 self.bk.retired.insert(volume);
             }
-            Event::List { kind, entries } => self.follow(kind, entries),
+            Event::EndpointUpdate { kind, endpoints } => self.follow(kind, endpoints),
             Event::Timer { .. } | Event::Probed { .. } | Event::Told { .. } => {}
         }
     }
@@ -374,23 +374,23 @@
         (lags.unwrap_or_default() + usual).max(TICK * 2)
     }
 
-    fn follow(&mut self, kind: ListKind, entries: Vec<ListEntry>) {
+    fn follow(&mut self, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) {
         let now = self.bk.now;
-        if kind == ListKind::NotHad {
+        if kind == EndpointUpdateKind::FetchFailed {
             self.bk.watch_tries += 1;
             // Well inside the time after which the rule counts a host as told of what it has not heard.
-            let most = (WATCH_AGAIN * 2u32.pow(self.bk.watch_tries.min(4))).min(self.list.ask_every / 4);
+            let most = (WATCH_AGAIN * 2u32.pow(self.bk.watch_tries.min(4))).min(self.list.poll_interval / 4);
             self.bk.watch_at = Some(now + most / 2 + self.spread(most));
             return;
         }
-        if kind != ListKind::Changes {
-            let named = |id: &NodeId| entries.iter().any(|e| e.node == *id);
+        if kind != EndpointUpdateKind::Delta {
+            let named = |id: &NodeId| endpoints.iter().any(|e| e.node == *id);
             let absent = self.bk.nodes.iter_mut().filter(|(id, _)| !named(id));
             absent.for_each(|(_, nd)| nd.state = NodeState::Gone);
         }
-        self.bk.watch_tries *= u32::from(kind == ListKind::Remembered);
+        self.bk.watch_tries *= u32::from(kind == EndpointUpdateKind::Cached);
         let first = self.bk.nodes.is_empty();
-        for e in entries {
+        for e in endpoints {
             let edges = (START_REQUESTS * self.units.mean, MOST_OUT * self.units.mean / secs(self.tightest));
             let (lags, before) = (Histogram::new(TICK, 1.5, 16), self.bk.usage_before(&e, HEIR));
             let new = || Node::new(&e, Window::new(edges.0, edges.1), lags, self.streams.len(), before);
@@ -803,7 +803,7 @@
             }
         }
         if self.bk.watch_at.take_if(|at| now >= *at).is_some() {
-            self.bk.out.push(Action::Watch { on: true });
+            self.bk.out.push(Action::WatchEndpoints { on: true });
         }
         let beat = if self.bk.holds() { self.bk.ticked + TICK } else { self.bk.planned + INTERVAL };
         let wanted = beat.min(self.bk.watch_at.unwrap_or(beat)).max(now + TICK / 10);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -135,9 +135,9 @@
 
 /// How the list of nodes is come by.
 #[derive(Debug, Clone, Default)]
-pub struct ListRule {
-    pub on_asking: bool,
-    pub ask_every: Duration,
+pub struct DiscoveryPolicy {
+    pub polled: bool,
+    pub poll_interval: Duration,
 }
 
 #[derive(Debug, Clone)]
@@ -176,15 +176,15 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ListKind {
-    Changes,
-    Whole,
-    Remembered,
-    NotHad,
+pub enum EndpointUpdateKind {
+    Delta,
+    Snapshot,
+    Cached,
+    FetchFailed,
 }
 
 #[derive(Debug, Clone)]
-pub struct ListEntry {
+pub struct Endpoint {
     pub node: NodeId,
     pub zone: ZoneId,
     pub cell: CellId,
@@ -237,9 +237,9 @@
         volume: VolumeId,
         terms: Option<Terms>,
     },
-    List {
-        kind: ListKind,
-        entries: Vec<ListEntry>,
+    EndpointUpdate {
+        kind: EndpointUpdateKind,
+        endpoints: Vec<Endpoint>,
     },
     Timer {
         tag: TimerTag,
@@ -290,6 +290,6 @@
     CloseIdle { node: NodeId },
     Tell { to: Option<PeerId>, bytes: Vec<u8> },
     Log { text: String },
-    Watch { on: bool },
-    FetchList,
+    WatchEndpoints { on: bool },
+    FetchEndpoints,
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -138,7 +138,7 @@
 
 impl Node {
     /// A node not yet heard of: gone until its entry is read.
-    pub fn new(e: &ListEntry, window: Window, lags: Histogram, streams: usize, usage: Usage) -> Self {
+    pub fn new(e: &Endpoint, window: Window, lags: Histogram, streams: usize, usage: Usage) -> Self {
         Node {
             id: e.node,
             zone: e.zone,
@@ -358,7 +358,7 @@
 
     /// For a node that is new to us: so large a part of what this host did at the node of its cell that it
     /// used last. Lists mostly tell of nodes that are known, which keep their own.
-    pub fn usage_before(&self, e: &ListEntry, part: f64) -> Usage {
+    pub fn usage_before(&self, e: &Endpoint, part: f64) -> Usage {
         let new = !self.nodes.contains_key(&e.node);
         let there =
             self.cells.get(&e.cell).filter(|_| new).into_iter().flatten().filter_map(|n| self.nodes.get(n));
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -39,15 +39,15 @@
         hosts: hosts as usize,
         ..cold_rule()
     };
-    let listing = ListRule {
-        on_asking: false,
-        ask_every: ms(10_000),
+    let listing = DiscoveryPolicy {
+        polled: false,
+        poll_interval: ms(10_000),
     };
     let (streams, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
     let mut c =
         Control::new(seed, streams, plans, units(), caps()).under(rule, listing, None, ms(0));
     let told = vec![entry(1, NodeState::Ready, Some(ms(START - 1)))];
-    at(&mut c, now, vec![list(ListKind::Remembered, told)]);
+    at(&mut c, now, vec![list(EndpointUpdateKind::Cached, told)]);
     c
 }
 
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -80,8 +80,8 @@
     }
 }
 
-pub fn entry(node: u32, state: NodeState, started: Option<Duration>) -> ListEntry {
-    ListEntry {
+pub fn entry(node: u32, state: NodeState, started: Option<Duration>) -> Endpoint {
+    Endpoint {
         node: NodeId(node),
         zone: ZoneId(0),
         cell: CellId(node),
@@ -90,8 +90,8 @@
     }
 }
 
-pub fn list(kind: ListKind, entries: Vec<ListEntry>) -> Event {
-    Event::List { kind, entries }
+pub fn list(kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) -> Event {
+    Event::EndpointUpdate { kind, endpoints }
 }
 
 pub fn over(n: u8, node: u32, end: AttemptOutcome, took: Duration, over: bool) -> Event {
@@ -111,9 +111,9 @@
 
 /// A host whose list names nodes 1 and 2, ready and long up.
 pub fn host(streams: Vec<StreamType>, plans: Vec<Plan>, attempts: Option<RetryBudget>) -> Control {
-    let listing = ListRule {
-        on_asking: false,
-        ask_every: ms(10_000),
+    let listing = DiscoveryPolicy {
+        polled: false,
+        poll_interval: ms(10_000),
     };
     let mut c = Control::new(7, streams, plans, units(), caps()).under(
         cold_rule(),
@@ -125,7 +125,7 @@
         entry(1, NodeState::Ready, None),
         entry(2, NodeState::Ready, None),
     ];
-    c.step(ms(1000), vec![list(ListKind::Remembered, ready)]);
+    c.step(ms(1000), vec![list(EndpointUpdateKind::Cached, ready)]);
     c
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -146,7 +146,7 @@
 fn nothing_new_goes_to_a_node_that_drains_or_is_gone() {
     for state in [NodeState::Draining, NodeState::Gone] {
         let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
-        let told = list(ListKind::Changes, vec![entry(1, state, None)]);
+        let told = list(EndpointUpdateKind::Delta, vec![entry(1, state, None)]);
         let (sent, deferred, _) = at(&mut c, 1010, vec![told, Event::Taken(request(1, ms(3000)))]);
         assert_eq!((sent.len(), deferred.len()), (0, 1));
     }
@@ -163,7 +163,7 @@
         &mut c,
         1003,
         vec![list(
-            ListKind::Whole,
+            EndpointUpdateKind::Snapshot,
             vec![entry(2, NodeState::Ready, None)],
         )],
     );
@@ -187,7 +187,7 @@
     }
     let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
     let back = list(
-        ListKind::Changes,
+        EndpointUpdateKind::Delta,
         vec![entry(1, NodeState::Ready, Some(ms(1000)))],
     );
     let mut units = 0.0;
@@ -228,7 +228,7 @@
                 .collect(),
         );
     }
-    let cold = |e: ListEntry| ListEntry {
+    let cold = |e: Endpoint| Endpoint {
         cell: CellId(1),
         ..e
     };
@@ -236,7 +236,7 @@
         entry(1, NodeState::Gone, None),
         cold(entry(node, NodeState::Ready, Some(ms(11_000)))),
     ];
-    at(&mut c, 11_011, vec![list(ListKind::Changes, came)]);
+    at(&mut c, 11_011, vec![list(EndpointUpdateKind::Delta, came)]);
     let mut units = 0.0;
     for t in (11_420..13_420).step_by(20) {
         n = n.wrapping_add(1);
@@ -484,9 +484,9 @@
 
 #[test]
 fn the_list_is_asked_for_at_the_start_and_again_after_a_failed_call() {
-    let listing = ListRule {
-        on_asking: true,
-        ask_every: ms(10_000),
+    let listing = DiscoveryPolicy {
+        polled: true,
+        poll_interval: ms(10_000),
     };
     let mut c = Control::new(3, vec![stream(KEYED)], vec![plan(1.0)], units(), caps()).under(
         cold_rule(),
@@ -498,11 +498,13 @@
     for t in (1000..40_000).step_by(10) {
         let failed = watched.last() == Some(&(t - 10)) && watched.len() < 6;
         let events = if failed {
-            vec![list(ListKind::NotHad, vec![])]
+            vec![list(EndpointUpdateKind::FetchFailed, vec![])]
         } else {
             vec![]
         };
-        let asked = c.step(ms(t), events).contains(&Action::Watch { on: true });
+        let asked = c
+            .step(ms(t), events)
+            .contains(&Action::WatchEndpoints { on: true });
         watched.extend(asked.then_some(t));
     }
     assert_eq!(
@@ -537,7 +539,7 @@
         at(
             &mut c,
             1010,
-            vec![Event::Taken(none), list(ListKind::Changes, vec![])],
+            vec![Event::Taken(none), list(EndpointUpdateKind::Delta, vec![])],
         );
         at(
             &mut c,
@@ -569,9 +571,9 @@
     );
     let mut sends = 0;
     for seed in 0..hosts {
-        let listing = ListRule {
-            on_asking: false,
-            ask_every: ms(10_000),
+        let listing = DiscoveryPolicy {
+            polled: false,
+            poll_interval: ms(10_000),
         };
         let (streams, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
         let mut c = Control::new(seed, streams, plans, units(), caps()).under(
@@ -584,7 +586,7 @@
             &mut c,
             1000,
             vec![list(
-                ListKind::Remembered,
+                EndpointUpdateKind::Cached,
                 vec![entry(1, NodeState::Ready, Some(ms(999)))],
             )],
         );
@@ -650,9 +652,9 @@
             hosts,
             ..cold_rule()
         };
-        let listing = ListRule {
-            on_asking: true,
-            ask_every: ms(10_000),
+        let listing = DiscoveryPolicy {
+            polled: true,
+            poll_interval: ms(10_000),
         };
         let mut c = Control::new(1, vec![stream(KEYED)], vec![plan(1.0)], units(), caps()).under(
             rule,
@@ -660,10 +662,14 @@
             None,
             ms(0),
         );
-        let entries = (1..=nodes)
+        let endpoints = (1..=nodes)
             .map(|n| entry(n, NodeState::Ready, Some(ms(900))))
             .collect();
-        at(&mut c, 1000, vec![list(ListKind::Whole, entries)]);
+        at(
+            &mut c,
+            1000,
+            vec![list(EndpointUpdateKind::Snapshot, endpoints)],
+        );
         let x = Request {
             hosts: 9999,
             ..request(1, ms(3000))
