--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -61,18 +61,18 @@
 
 /// Milliseconds to a span; what is not a number or below zero counts as zero.
 pub fn time(ms: f64) -> Duration {
-    const MOST_US: f64 = 1e18;
-    Duration::from_micros((ms * 1000.0).round().clamp(0.0, MOST_US) as u64)
+    const MAX_US: f64 = 1e18;
+    Duration::from_micros((ms * 1000.0).round().clamp(0.0, MAX_US) as u64)
 }
 
-pub fn streams(p: &Pairs) -> Result<Vec<StreamType>, String> {
+pub fn traffic_classes(p: &Pairs) -> Result<Vec<TrafficClass>, String> {
     (0..p.count("profiles.count")?)
         .map(|i| {
             let at = |name: &str| format!("profiles.{i}.{name}");
             let scope = match p.word(&at("key-scope")) {
                 "all" => DeduplicationScope::All,
                 "zone" => DeduplicationScope::Zone,
-                _ => DeduplicationScope::Cell,
+                _ => DeduplicationScope::Shard,
             };
             let idempotency = match p.word(&at("idempotency")) {
                 "free" => Idempotency::Idempotent,
@@ -82,12 +82,12 @@
                 },
                 _ => Idempotency::NonIdempotent,
             };
-            Ok(StreamType {
-                slo: p.time(&at("objective-ms"))?,
+            Ok(TrafficClass {
+                latency_objective: p.time(&at("objective-ms"))?,
                 idempotency,
                 ordered: p.yes(&at("serial-by-key"))?,
-                benefit: p.number(&at("worth"))?,
-                late_part: p.number(&at("late-value"))?,
+                priority_weight: p.number(&at("worth"))?,
+                late_fraction: p.number(&at("late-value"))?,
             })
         })
         .collect()
@@ -110,34 +110,34 @@
         .collect()
 }
 
-pub fn units(p: &Pairs) -> Result<UnitFacts, String> {
-    Ok(UnitFacts {
+pub fn units(p: &Pairs) -> Result<UnitSettings, String> {
+    Ok(UnitSettings {
         mean: p.number("family-info.mean-units")?,
         largest: p.number("family-info.largest")?,
         meter: p.time("family-info.meter-ms")?,
-        share_part: p.number("family-info.within-share")?,
-        spare_part: p.number("family-info.spare-worth")?,
+        share_fraction: p.number("family-info.within-share")?,
+        spare_fraction: p.number("family-info.spare-worth")?,
     })
 }
 
-pub fn caps(p: &Pairs) -> Result<Caps, String> {
+pub fn host_limits(p: &Pairs) -> Result<HostLimits, String> {
     let most = p.get::<f64>("caps.max-attempts")?.filter(|n| n.is_finite());
-    let come_back = p.time("caps.max-retry-after-ms")?;
-    Ok(Caps {
-        most_attempts: most.map_or(1, |n| n.max(0.0) as u32),
+    let max_retry_after = p.time("caps.max-retry-after-ms")?;
+    Ok(HostLimits {
+        max_attempts: most.map_or(1, |n| n.max(0.0) as u32),
         probing: p.yes("caps.probing")?,
-        come_back: p.yes("caps.retry-after")?.then_some(come_back),
+        max_retry_after: p.yes("caps.retry-after")?.then_some(max_retry_after),
         answer_slack: p.time("rules.answer-slack-ms")?,
     })
 }
 
-pub fn cold(p: &Pairs) -> Result<ColdRule, String> {
-    Ok(ColdRule {
+pub fn cold(p: &Pairs) -> Result<SlowStartPolicy, String> {
+    Ok(SlowStartPolicy {
         hosts: p.count("balancers")?,
         units: p.number("family-info.cold-units")?,
-        starts_at: p.number("rules.cold-from")?,
-        warm_within: p.time("rules.cold-ms")?,
-        fall_within: p.time("rules.fall-ms")?,
+        initial_fraction: p.number("rules.cold-from")?,
+        warm_up_time: p.time("rules.cold-ms")?,
+        overload_window: p.time("rules.fall-ms")?,
         multiple: p.number("rules.tip-multiple")?,
     })
 }
@@ -155,8 +155,8 @@
         return Ok(None);
     };
     Ok(Some(RetryBudget {
-        floor: p.number("rules.extra-floor")?,
-        share,
+        min_retries: p.number("rules.extra-floor")?,
+        ratio: share,
         window: p.time("rules.extra-window-ms")?,
     }))
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// More units than this in one request are a slip of the sender.
-const MOST_UNITS: f64 = 1e9;
+const MAX_UNITS: f64 = 1e9;
 
 /// What is wrong with the input, and on which line.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
 
 struct Host {
     control: Control,
-    streams: usize,
+    traffic_classes: usize,
     plans: usize,
     busy: Option<usize>,
     events: Vec<Event>,
@@ -152,14 +152,14 @@
 
 fn attempt_outcome(code: u32) -> Result<AttemptOutcome, String> {
     Ok(match code {
-        200 => AttemptOutcome::Done,
-        502 => AttemptOutcome::Error,
-        429 => AttemptOutcome::Full,
-        408 => AttemptOutcome::TimeOut,
-        521 => AttemptOutcome::NoConnection,
-        520 => AttemptOutcome::Reset,
+        200 => AttemptOutcome::Completed,
+        502 => AttemptOutcome::Failed,
+        429 => AttemptOutcome::QueueFull,
+        408 => AttemptOutcome::TimedOut,
+        521 => AttemptOutcome::ConnectFailed,
+        520 => AttemptOutcome::ConnectionReset,
         444 => AttemptOutcome::Cancelled,
-        409 => AttemptOutcome::Moot,
+        409 => AttemptOutcome::NotSent,
         _ => return Err(format!("unknown result {code}")),
     })
 }
@@ -254,14 +254,14 @@
             .or_else(|_| seed.parse::<i64>().map(|s| s as u64));
         let seed = seed.map_err(|_| "CREATE has a bad nonce64")?;
         let p = Pairs::read(parts.next().unwrap_or(""))?;
-        let (streams, plans) = (settings::streams(&p)?, settings::plans(&p)?);
-        let counts = (streams.len(), plans.len());
+        let (traffic_classes, plans) = (settings::traffic_classes(&p)?, settings::plans(&p)?);
+        let counts = (traffic_classes.len(), plans.len());
         let control = Control::new(
             seed,
-            streams,
+            traffic_classes,
             plans,
             settings::units(&p)?,
-            settings::caps(&p)?,
+            settings::host_limits(&p)?,
         )
         .under(
             settings::cold(&p)?,
@@ -272,7 +272,7 @@
         let busy = settings::report_place(&p, "utilization");
         let host_new = Host {
             control,
-            streams: counts.0,
+            traffic_classes: counts.0,
             plans: counts.1,
             busy,
             events: Vec::new(),
@@ -314,30 +314,30 @@
         let event = match name {
             "KNOCK" => {
                 let id = v.request()?;
-                let units = v.number("units")?.min(MOST_UNITS);
-                let cell = v
+                let units = v.number("units")?.min(MAX_UNITS);
+                let shard = v
                     .maybe::<i64>("slot-no")?
                     .and_then(|c| u32::try_from(c).ok())
-                    .map(CellId);
-                let stream_type = StreamTypeId(v.must("cls")?);
+                    .map(ShardId);
+                let traffic_class = TrafficClassId(v.must("cls")?);
                 let plan = PlanId(v.must("policy-no")?);
-                if stream_type.0 >= host.streams || plan.0 >= host.plans {
+                if traffic_class.0 >= host.traffic_classes || plan.0 >= host.plans {
                     return Err("KNOCK names a cls or policy-no that no setting describes".into());
                 }
                 let hosts = v.number("mounts")? as usize;
                 v.maybe::<u64>("bits")?;
                 let key = v.hex("region")?.map(KeyId);
-                let expiry = v.time("expires-ms")?;
+                let deadline = v.time("expires-ms")?;
                 let volume = VolumeId(v.hex("volume")?.unwrap_or(0));
-                Event::Taken(Request {
+                Event::RequestReceived(Request {
                     id,
                     units,
-                    cell,
-                    stream_type,
+                    shard,
+                    traffic_class,
                     plan,
                     hosts,
                     key,
-                    expiry,
+                    deadline,
                     volume,
                 })
             }
@@ -345,15 +345,15 @@
                 let (id, attempt) = (v.request()?, v.must("leg")?);
                 v.must::<u32>("brick")?;
                 v.time("elapsed-ms")?;
-                Event::Begun { id, attempt }
+                Event::ResponseStarted { id, attempt }
             }
-            "REPLY" => Event::AttemptEnded {
+            "REPLY" => Event::AttemptEnded(AttemptEnd {
                 id: v.request()?,
                 attempt: v.must("leg")?,
                 node: NodeId(v.must("brick")?),
-                end: attempt_outcome(v.must("result")?)?,
+                outcome: attempt_outcome(v.must("result")?)?,
                 elapsed: v.time("elapsed-ms")?,
-                over: v.yes("finished")?,
+                answered: v.yes("finished")?,
                 reported: v
                     .maybe::<u64>("metered")?
                     .filter(|m| *m > 0)
@@ -363,19 +363,19 @@
                     .busy
                     .and_then(|at| v.report().map(|r| r.get(at).copied()).transpose())
                     .transpose()?,
-            },
-            "ABORTED" => Event::Withdrawn { id: v.request()? },
-            "WAKEUP" => Event::Timer {
+            }),
+            "ABORTED" => Event::RequestCancelled { id: v.request()? },
+            "WAKEUP" => Event::TimerFired {
                 tag: TimerTag(v.must("tag")?),
             },
             "CHECKED" => {
                 let node = NodeId(v.must("brick")?);
                 v.time("elapsed-ms")?;
-                let end = attempt_outcome(v.must("result")?)?;
+                let outcome = attempt_outcome(v.must("result")?)?;
                 v.report()?;
-                Event::Probed { node, end }
+                Event::HealthChecked { node, outcome }
             }
-            _ => Event::Told {
+            _ => Event::PeerMessage {
                 from: PeerId(v.must("sender")?),
                 bytes: v.bytes("contents")?,
             },
@@ -406,9 +406,9 @@
     let entry = Endpoint {
         node: NodeId(v.must("brick")?),
         zone: ZoneId(v.maybe("area")?.unwrap_or(0)),
-        cell: {
+        shard: {
             v.maybe::<u32>("hw")?;
-            CellId(v.maybe("group")?.unwrap_or(0))
+            ShardId(v.maybe("group")?.unwrap_or(0))
         },
         state: match v.word("stage-state")? {
             "healthy" => NodeState::Ready,
@@ -433,21 +433,21 @@
 fn write_action(to: &mut String, host: &str, action: &Action) {
     let text = |id: &RequestId| String::from_utf8_lossy(&id.0).into_owned();
     let _ = match action {
-        Action::Send { id, node, until } => {
-            writeln!(to, "TRY {host} {} {} {}", text(id), node.0, ms(*until))
+        Action::SendAttempt { id, node, deadline } => {
+            writeln!(to, "TRY {host} {} {} {}", text(id), node.0, ms(*deadline))
         }
-        Action::Defer { id, come_back } => {
-            let wait = come_back.map_or("-".into(), ms);
+        Action::Reject { id, retry_after } => {
+            let wait = retry_after.map_or("-".into(), ms);
             writeln!(to, "REFUSE {host} {} {wait}", text(id))
         }
-        Action::Abandon { id } => writeln!(to, "SURRENDER {host} {}", text(id)),
+        Action::Fail { id } => writeln!(to, "SURRENDER {host} {}", text(id)),
         Action::CancelAttempt { id, attempt } => {
             writeln!(to, "DROP_ATTEMPT {host} {} {attempt}", text(id))
         }
-        Action::Timer { after, tag } => writeln!(to, "WAKE_AT {host} {} {}", ms(*after), tag.0),
-        Action::Probe { node } => writeln!(to, "SAMPLE {host} {}", node.0),
-        Action::CloseIdle { node } => writeln!(to, "RELEASE {host} {}", node.0),
-        Action::Tell { to: peer, bytes } => {
+        Action::SetTimer { after, tag } => writeln!(to, "WAKE_AT {host} {} {}", ms(*after), tag.0),
+        Action::HealthCheck { node } => writeln!(to, "SAMPLE {host} {}", node.0),
+        Action::CloseIdleConnections { node } => writeln!(to, "RELEASE {host} {}", node.0),
+        Action::SendToPeer { to: peer, bytes } => {
             let dest = peer.map_or(-1, |p| i64::from(p.0));
             writeln!(to, "BROADCAST_TO {host} {dest} {}", STANDARD.encode(bytes))
         }
--- a/crates/audit/src/history.rs
+++ b/crates/audit/src/history.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 /// States that are looked at for one end; beyond, the block is left undecided.
-const MOST_STATES: usize = 50_000;
+const MAX_STATES: usize = 50_000;
 
 /// What a command did to the block, by sums of its content.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -105,7 +105,7 @@
         }
         let (mut todo, mut seen, mut found) = (states, HashSet::new(), Vec::new());
         while let Some(state) = todo.pop() {
-            if seen.len() > MOST_STATES {
+            if seen.len() > MAX_STATES {
                 return Found::Undecided;
             }
             if state.used.contains(&i) {
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -30,15 +30,16 @@
     String::from_utf8_lossy(id).into_owned()
 }
 
-/// Rule 1: one final answer, before the client's expiry, and nothing sent after it.
+/// Rule 1: one final answer, before the client's deadline, and nothing sent after it.
 pub fn lost(s: &Settings, run: &Run, v: &mut Verdict) {
     let mut asked: Vec<_> = run.asked.values().collect();
     asked.sort_by_key(|a| a.seen.at);
     for a in asked {
         let name = text(&a.take.id);
         let host = run.client_peer.get(&a.conn).cloned().unwrap_or_default();
-        let expiry = a.seen.at + Duration::from_micros(a.take.left_us) + s.caps.answer_slack;
-        let last = run.extended(&host, a.seen.at, expiry, CATCH_UP);
+        let deadline =
+            a.seen.at + Duration::from_micros(a.take.left_us) + s.host_limits.answer_slack;
+        let last = run.extended(&host, a.seen.at, deadline, CATCH_UP);
         let closed = run.client_closed.get(&a.conn).copied();
         match &a.finals[..] {
             [] if a.withdrawn => {}
@@ -75,8 +76,9 @@
     for h in &run.hosts {
         // What came by another protocol has no client's trace: the host's own tells when it came and went.
         for t in h.taken.iter().filter(|t| h.inside.contains(&t.conn)) {
-            let expiry = t.seen.at + Duration::from_micros(t.take.left_us) + s.caps.answer_slack;
-            let last = run.extended(&h.name, t.seen.at, expiry, CATCH_UP);
+            let deadline =
+                t.seen.at + Duration::from_micros(t.take.left_us) + s.host_limits.answer_slack;
+            let last = run.extended(&h.name, t.seen.at, deadline, CATCH_UP);
             match t.finals.first() {
                 None if h.end < last => v.lost += 1,
                 None => breach(
@@ -125,14 +127,14 @@
     }
 }
 
-/// Rule 2: repeats only as far as the stream type allows, deferrals only where trying again is harmless.
+/// Rule 2: repeats only as far as the traffic class allows, deferrals only where trying again is harmless.
 pub fn twice(s: &Settings, run: &Run, v: &mut Verdict) {
     let place: HashMap<u32, (usize, u32)> =
-        s.nodes.iter().map(|n| (n.id, (n.zone, n.cell))).collect();
+        s.nodes.iter().map(|n| (n.id, (n.zone, n.shard))).collect();
     for h in &run.hosts {
         v.attempts += h.attempts.len() as u64;
         for t in &h.taken {
-            let Some(stream) = s.streams.get(t.take.stream_type as usize) else {
+            let Some(stream) = s.traffic_classes.get(t.take.traffic_class as usize) else {
                 continue;
             };
             let (idempotency, name) = (stream.facts.idempotency, text(&t.take.id));
@@ -151,7 +153,7 @@
                             let inside = match scope {
                                 DeduplicationScope::All => true,
                                 DeduplicationScope::Zone => a.map(|p| p.0) == b.map(|p| p.0),
-                                DeduplicationScope::Cell => a.map(|p| p.1) == b.map(|p| p.1),
+                                DeduplicationScope::Shard => a.map(|p| p.1) == b.map(|p| p.1),
                             };
                             inside && later.seen.at < earlier.seen.at + window
                         }
@@ -194,12 +196,12 @@
     let kinds = run
         .asked
         .values()
-        .map(|a| (&a.take.piece[..], a.take.stream_type as usize));
+        .map(|a| (&a.take.piece[..], a.take.traffic_class as usize));
     let kinds: HashMap<&[u8], usize> = kinds.collect();
     for (piece, n) in effects.into_iter().filter(|e| e.1 > 1) {
         let idempotency = kinds
             .get(piece)
-            .and_then(|k| s.streams.get(*k))
+            .and_then(|k| s.traffic_classes.get(*k))
             .map(|s| s.facts.idempotency);
         if idempotency.is_some_and(|r| r != Idempotency::Idempotent) {
             breach(v, 2, format!("{}: carried out {n} times", text(piece)), &[]);
@@ -251,7 +253,7 @@
             span.push_back((seen.at, attempt.units, told));
             while span
                 .front()
-                .is_some_and(|a| a.0 + rule.fall_within < seen.at)
+                .is_some_and(|a| a.0 + rule.overload_window < seen.at)
             {
                 span.pop_front();
             }
@@ -260,7 +262,7 @@
             let age =
                 (seen.at - *start).as_secs_f64() / Duration::from_micros(m.warm_us).as_secs_f64();
             let able = m.units_a_second * (m.cold_part + (1.0 - m.cold_part) * age.min(1.0));
-            let most = (rule.multiple * able * rule.fall_within.as_secs_f64()).max(rule.units);
+            let most = (rule.multiple * able * rule.overload_window.as_secs_f64()).max(rule.units);
             if all > most * COLD_SLACK && known >= all * 2.0 / 3.0 {
                 let what = format!(
                     "node {}: {all:.0} units in a span that bears {most:.0}",
@@ -284,7 +286,7 @@
             .unwrap_or_default();
         let lately = arrived
             .iter()
-            .filter(|a| a.0.at <= *at && a.0.at + rule.fall_within >= *at);
+            .filter(|a| a.0.at <= *at && a.0.at + rule.overload_window >= *at);
         let (mut known, mut all) = (0.0, 0.0);
         for (seen, host, attempt) in lately {
             let told = run
@@ -301,11 +303,11 @@
     }
 }
 
-/// Rule 5 of the list: requests of ordered stream types with one key run one at a time, in the order taken.
+/// Rule 5 of the list: requests of ordered traffic classes with one key run one at a time, in the order taken.
 pub fn order(s: &Settings, run: &Run, v: &mut Verdict) {
     let ordered = |t: &Taken| {
-        s.streams
-            .get(t.take.stream_type as usize)
+        s.traffic_classes
+            .get(t.take.traffic_class as usize)
             .is_some_and(|x| x.facts.ordered)
     };
     for h in &run.hosts {
@@ -355,7 +357,7 @@
         };
         for l in &further {
             let (made, took) = (within(&times, l.seen.at), within(&taken, l.seen.at));
-            let most = rule.floor + rule.share * took as f64;
+            let most = rule.min_retries + rule.ratio * took as f64;
             if made as f64 > most {
                 let what = format!(
                     "{}: {made} further legs in a window of {took} transfers",
--- a/crates/audit/src/run.rs
+++ b/crates/audit/src/run.rs
@@ -19,10 +19,10 @@
 pub struct Taken {
     pub seen: Seen,
     pub conn: u64,
-    pub take: pb::Take,
+    pub take: pb::SubmitRequest,
     /// Its place among what this host took.
     pub turn: usize,
-    pub finals: Vec<(Seen, pb::Final)>,
+    pub finals: Vec<(Seen, pb::Response)>,
     pub withdrawn: Option<Duration>,
     pub attempts: Vec<usize>,
 }
@@ -81,8 +81,8 @@
 pub struct Asked {
     pub seen: Seen,
     pub conn: u64,
-    pub take: pb::Take,
-    pub finals: Vec<(Seen, pb::Final)>,
+    pub take: pb::SubmitRequest,
+    pub finals: Vec<(Seen, pb::Response)>,
     pub withdrawn: bool,
 }
 
@@ -151,7 +151,7 @@
                 (Kind::Opened, _) => drop(self.client_peer.insert(r.conn, r.peer.clone())),
                 (Kind::Closed, _) => drop(self.client_closed.insert(r.conn, at)),
                 (Kind::Mark, _) => self.marks.extend(r.mark.clone().map(|m| (at, m))),
-                (Kind::Out, Some(Body::Take(t))) => {
+                (Kind::Out, Some(Body::SubmitRequest(t))) => {
                     let (conn, take) = (r.conn, t.clone());
                     let asked = Asked {
                         seen: seen(),
@@ -162,13 +162,13 @@
                     };
                     self.asked.insert(t.id.clone(), asked);
                 }
-                (Kind::Out, Some(Body::Withdraw(w))) => {
+                (Kind::Out, Some(Body::CancelRequest(w))) => {
                     self.asked
                         .get_mut(&w.id)
                         .into_iter()
                         .for_each(|a| a.withdrawn = true);
                 }
-                (Kind::In, Some(Body::Final(f))) => {
+                (Kind::In, Some(Body::Response(f))) => {
                     let asked = self.asked.get_mut(&f.id);
                     asked
                         .into_iter()
@@ -204,7 +204,7 @@
                         t.withdrawn = Some(at);
                     }
                 }
-                (Kind::In, Some(Body::Take(t))) => {
+                (Kind::In, Some(Body::SubmitRequest(t))) => {
                     h.by_id.insert(t.id.clone(), h.taken.len());
                     h.taken.push(Taken {
                         seen: seen(),
@@ -216,12 +216,12 @@
                         attempts: Vec::new(),
                     });
                 }
-                (Kind::In, Some(Body::Withdraw(w))) => {
+                (Kind::In, Some(Body::CancelRequest(w))) => {
                     let t = h.by_id.get(&w.id).map(|i| &mut h.taken[*i]);
                     t.into_iter()
                         .for_each(|t| t.withdrawn = t.withdrawn.or(Some(at)));
                 }
-                (Kind::Out, Some(Body::Final(f))) => {
+                (Kind::Out, Some(Body::Response(f))) => {
                     let t = h.by_id.get(&f.id).map(|i| &mut h.taken[*i]);
                     t.into_iter()
                         .for_each(|t| t.finals.push((seen(), f.clone())));
--- a/crates/audit/tests/doctored.rs
+++ b/crates/audit/tests/doctored.rs
@@ -133,30 +133,30 @@
     }
 
     /// A client's request, as both ends record it.
-    fn take(&mut self, at: u64, n: u8, stream_type: u32) {
+    fn take(&mut self, at: u64, n: u8, traffic_class: u32) {
         let (key, units, left_us) = (Some(3), 2.0, 2_000_000);
-        let take = pb::Take {
+        let take = pb::SubmitRequest {
             id: id(n),
             piece: id(n),
-            stream_type,
+            traffic_class,
             volume: 5,
             key,
             units,
             left_us,
             ..Default::default()
         };
-        self.put(CLIENT, at, Kind::Out, Body::Take(take.clone()));
-        self.put(HOST, at, Kind::In, Body::Take(take));
+        self.put(CLIENT, at, Kind::Out, Body::SubmitRequest(take.clone()));
+        self.put(HOST, at, Kind::In, Body::SubmitRequest(take));
     }
 
     fn answer(&mut self, at: u64, n: u8, outcome: pb::Outcome) {
-        let f = pb::Final {
+        let f = pb::Response {
             id: id(n),
             outcome: outcome.into(),
             ..Default::default()
         };
-        self.put(HOST, at, Kind::Out, Body::Final(f.clone()));
-        self.put(CLIENT, at, Kind::In, Body::Final(f));
+        self.put(HOST, at, Kind::Out, Body::Response(f.clone()));
+        self.put(CLIENT, at, Kind::In, Body::Response(f));
     }
 
     /// An attempt to a node; its number is the moment.
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn a_attempt_after_the_answer() {
+fn an_attempt_after_the_answer() {
     both(1, |t, after| {
         t.take(10, 1, READ);
         t.attempt(if after { 25 } else { 15 }, 1, 1, 0);
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn a_attempt_to_a_draining_node_after_the_grace() {
+fn an_attempt_to_a_draining_node_after_the_grace() {
     for state in [pb::NodeState::Draining, pb::NodeState::Gone] {
         both(3, |t, late| {
             t.list(100, state, 1);
--- a/crates/audit/tests/plans.rs
+++ b/crates/audit/tests/plans.rs
@@ -118,7 +118,7 @@
     fn attempt(&mut self, at: u64, host: usize, units: f64) {
         self.attempts += 1;
         let id = Bytes::from(format!("{:036}", self.attempts));
-        let take = pb::Take {
+        let take = pb::SubmitRequest {
             id: id.clone(),
             volume: 5,
             units,
@@ -134,15 +134,15 @@
             left_us: 1_000_000,
             ..Default::default()
         };
-        let done = pb::Final {
+        let done = pb::Response {
             id,
             outcome: pb::Outcome::Done.into(),
             ..Default::default()
         };
         let records = &mut self.hosts[host];
-        records.push(Self::record(at, Kind::In, 1, Body::Take(take)));
+        records.push(Self::record(at, Kind::In, 1, Body::SubmitRequest(take)));
         records.push(Self::record(at, Kind::Out, 3, Body::Attempt(attempt)));
-        records.push(Self::record(at + 1, Kind::Out, 1, Body::Final(done)));
+        records.push(Self::record(at + 1, Kind::Out, 1, Body::Response(done)));
     }
 
     fn judge(self) -> Verdict {
--- a/crates/bench/src/commands.rs
+++ b/crates/bench/src/commands.rs
@@ -86,7 +86,7 @@
             block_size: 512,
             id: 1,
             serial: "v".into(),
-            most_blocks: 2048,
+            max_blocks: 2048,
             read_only: false,
         };
         let placed = (0..2048).map(|extent| (extent, 1)).collect();
@@ -103,7 +103,7 @@
         let figures = Figures {
             first: 128.0,
             most: 128.0,
-            most_each: 128,
+            max_each: 128,
         };
         let versions = (figures, Duration::from_secs(1), Versions::new(0, 1));
         let engine = Engine::new(
@@ -168,7 +168,7 @@
                         again.push(Input::Final {
                             no,
                             answer: Answer::Done(data),
-                            cell: Some(1),
+                            shard: Some(1),
                         });
                     }
                     Output::Reserve { ceiling } => again.push(Input::Reserved { ceiling }),
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -46,22 +46,24 @@
 /// The decisions alone: virtual time goes on by 50 us for each request, as at 20,000 a second.
 fn decisions(nodes: u32, open: usize, batch: usize, span: Duration) -> (f64, usize) {
     let s = settings(nodes);
-    let streams = s.streams.iter().map(|x| x.facts.clone()).collect();
+    let traffic_classes = s.traffic_classes.iter().map(|x| x.facts.clone()).collect();
     let plans = s.plans.iter().map(|p| p.facts.clone()).collect();
     let list = DiscoveryPolicy {
         polled: false,
         poll_interval: ms(10_000),
     };
-    let mut control = Control::new(1, streams, plans, s.units.clone(), s.caps.clone()).under(
-        s.rules.cold.clone(),
-        list,
-        None,
-        ms(200),
-    );
+    let mut control = Control::new(
+        1,
+        traffic_classes,
+        plans,
+        s.units.clone(),
+        s.host_limits.clone(),
+    )
+    .under(s.rules.cold.clone(), list, None, ms(200));
     let entry = |n: u32| Endpoint {
         node: NodeId(n + 1),
         zone: ZoneId(0),
-        cell: CellId(n + 1),
+        shard: ShardId(n + 1),
         state: NodeState::Ready,
         started: None,
     };
@@ -78,15 +80,15 @@
     let mut events = Vec::new();
     let take = |next: &mut u64, now: Duration| {
         *next += 1;
-        Event::Taken(Request {
+        Event::RequestReceived(Request {
             id: id(*next),
             units: 1.0,
-            cell: Some(CellId((*next % u64::from(nodes)) as u32 + 1)),
-            stream_type: StreamTypeId(0),
+            shard: Some(ShardId((*next % u64::from(nodes)) as u32 + 1)),
+            traffic_class: TrafficClassId(0),
             plan: PlanId(0),
             hosts: 1,
             key: None,
-            expiry: now + Duration::from_secs(600),
+            deadline: now + Duration::from_secs(600),
             volume: VolumeId(*next % 100),
         })
     };
@@ -96,8 +98,8 @@
             let mut gone = 0;
             for action in control.step(now, events) {
                 match action {
-                    Action::Send { id, node, .. } => out.push_back((id, node)),
-                    Action::Defer { .. } | Action::Abandon { .. } => gone += 1,
+                    Action::SendAttempt { id, node, .. } => out.push_back((id, node)),
+                    Action::Reject { .. } | Action::Fail { .. } => gone += 1,
                     _ => {}
                 }
             }
@@ -112,17 +114,17 @@
             let Some((id, node)) = out.pop_front() else {
                 break;
             };
-            events.push(Event::AttemptEnded {
+            events.push(Event::AttemptEnded(AttemptEnd {
                 id,
                 attempt: 0,
                 node,
-                end: AttemptOutcome::Done,
+                outcome: AttemptOutcome::Completed,
                 elapsed: ms(1),
-                over: true,
+                answered: true,
                 reported: None,
                 others: 0.0,
                 busy: None,
-            });
+            }));
             events.push(take(&mut next, now));
             requests += 1;
         }
@@ -148,7 +150,7 @@
     let mut now = ms(1000);
     let entry = |n: u32| pb::Endpoint {
         node: n + 1,
-        cell: n + 1,
+        shard: n + 1,
         state: pb::NodeState::Ready.into(),
         address: "127.0.0.1:9".into(),
         start: 1,
@@ -168,12 +170,12 @@
     let mut take = |now: Duration| {
         next += 1;
         let id = Bytes::copy_from_slice(&id(next).0);
-        let cell = Some((next % u64::from(nodes)) as u32 + 1);
-        let take = pb::Take {
+        let shard = Some((next % u64::from(nodes)) as u32 + 1);
+        let take = pb::SubmitRequest {
             piece: id.clone(),
             id,
             volume: next % 100,
-            cell,
+            shard,
             units: 1.0,
             left_us: 600_000_000,
             length: 512,
@@ -181,7 +183,7 @@
         };
         pb::Frame {
             sent_us: now.as_micros() as u64,
-            body: Some(Body::Take(take)),
+            body: Some(Body::SubmitRequest(take)),
         }
     };
     let mut inputs = vec![
--- a/crates/bench/src/deferral.rs
+++ b/crates/bench/src/deferral.rs
@@ -22,7 +22,7 @@
 const ASKED: f64 = 90.0;
 const EXTENTS: u64 = 32;
 const EXTENT_BLOCKS: u64 = 128;
-const SLO: Duration = Duration::from_millis(300);
+const LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
 /// After that long nobody wants the answer any more.
 const GIVEN_UP: Duration = Duration::from_millis(1500);
 /// How soon initiators that know of no delay come again.
@@ -144,7 +144,7 @@
             match answer.status {
                 0 => {
                     seen.done += 1;
-                    seen.timely += u64::from(now <= since + SLO);
+                    seen.timely += u64::from(now <= since + LATENCY_OBJECTIVE);
                 }
                 8 => {
                     seen.busy += 1;
@@ -203,7 +203,7 @@
 
 pub fn measure(span: Duration, program: &Path, times: f64) -> io::Result<()> {
     stay_on(&[0, 1, 2])?;
-    println!("| initiators | volumes | pieces | done | in {SLO:?} | given up | BUSY | commands a done piece | other |");
+    println!("| initiators | volumes | pieces | done | in {LATENCY_OBJECTIVE:?} | given up | BUSY | commands a done piece | other |");
     println!("| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     for (heeds, window) in [(true, true), (false, true), (true, false), (false, false)] {
         let portal = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
--- a/crates/bench/src/extents.rs
+++ b/crates/bench/src/extents.rs
@@ -10,16 +10,16 @@
 
 const LOOKS: u64 = 2_000_000;
 
-/// Extents in order of their number, on cells that change after runs of about that length.
+/// Extents in order of their number, on shards that change after runs of about that length.
 fn drawn(count: u64, run: u64) -> impl Iterator<Item = (u64, u32)> {
     let mut rng = Pcg64Mcg::seed_from_u64(7);
-    let (mut cell, mut left) = (0, 0);
+    let (mut shard, mut left) = (0, 0);
     (0..count).map(move |extent| {
         if left == 0 {
-            (cell, left) = (rng.random_range(0..40), rng.random_range(1..run * 2));
+            (shard, left) = (rng.random_range(0..40), rng.random_range(1..run * 2));
         }
         left -= 1;
-        (extent, cell)
+        (extent, shard)
     })
 }
 
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -171,12 +171,12 @@
 }
 
 /// Settings of a site of plain nodes, for both measurements.
-fn site(nodes: u32, expiry_s: u32) -> String {
+fn site(nodes: u32, deadline_s: u32) -> String {
     format!(
         r#"
 zone(name = "a")
-stream_type(name = "read", slo = s({slo}), expiry = s({expiry_s}), repeat = "repeatable", unit_work = ms(0))
-stream_type(name = "write", slo = s({slo}), expiry = s({expiry_s}), repeat = "repeatable", write = True,
+stream_type(name = "read", slo = s({latency_objective}), expiry = s({deadline_s}), repeat = "repeatable", unit_work = ms(0))
+stream_type(name = "write", slo = s({latency_objective}), expiry = s({deadline_s}), repeat = "repeatable", write = True,
             unit_work = ms(0))
 plan(name = "p", rate = 1000000, reservation = 1000000)
 host(name = "h")
@@ -189,6 +189,6 @@
 bounds(most_open = 100000, most_held_bytes = 1 << 30, legs_per_connection = 1000)
 rehearsal(seed = 1, length = s(3600))
 "#,
-        slo = expiry_s.min(1),
+        latency_objective = deadline_s.min(1),
     )
 }
--- a/crates/bench/src/planner.rs
+++ b/crates/bench/src/planner.rs
@@ -2,7 +2,7 @@
 //! takes to say whether one change may land, with every node and zone out in turn.
 
 use grebecleat_plans::admission::Admission;
-use grebecleat_plans::changes::{self, Asks, Change, Facts, Ledger};
+use grebecleat_plans::changes::{self, Asks, Catalog, Change, Facts};
 use grebecleat_plans::planner::{check, Node, Site, Volume};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -43,8 +43,8 @@
     }
 }
 
-/// The same site as a ledger.
-fn ledger(s: &Site) -> Ledger {
+/// The same site as a catalog.
+fn catalog(s: &Site) -> Catalog {
     let plan = |v: &Volume| changes::Plan {
         reservation: v.reserve,
         weight: v.weight,
@@ -53,13 +53,13 @@
     let node = |n: &Node| changes::Node {
         name: "".into(),
         zone: n.zone.to_string().into(),
-        cell: n.id,
+        shard: n.id,
         capacity: n.capacity,
     };
     let volume = |v: &Volume| changes::Volume {
         plan: v.id.to_string().into(),
         hosts: ["h".into()].into(),
-        cells: v.homes.iter().map(|h| h.0).collect(),
+        shards: v.homes.iter().map(|h| h.0).collect(),
         blocks: 8,
     };
     let nodes = s.nodes.iter().map(|n| Change::Node {
@@ -76,9 +76,9 @@
     });
     let facts = Facts {
         hosts: ["h".into()].into(),
-        linger: Duration::ZERO,
+        max_dispatch_delay: Duration::ZERO,
     };
-    Ledger::new(facts, 100).restored(
+    Catalog::new(facts, 100).restored(
         Default::default(),
         nodes.chain(plans).chain(volumes),
         Vec::new(),
@@ -91,7 +91,7 @@
     for (volumes, nodes) in [(100, 10), (1000, 50), (10_000, 200), (100_000, 1000)] {
         for filled in [0.5, 0.7, 0.9] {
             let s = site(nodes, volumes, filled);
-            let mut l = ledger(&s);
+            let mut l = catalog(&s);
             let begun = Instant::now();
             let mut a = Admission::open(&l, s.spread);
             let opened = begun.elapsed().as_secs_f64() * 1e3;
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -279,12 +279,12 @@
 
     fn take(&self) -> Body {
         let id = Bytes::from(format!("{:036}", self.number));
-        Body::Take(pb::Take {
+        Body::SubmitRequest(pb::SubmitRequest {
             piece: id.clone(),
             id,
-            stream_type: u32::from(self.write),
+            traffic_class: u32::from(self.write),
             volume: self.volume,
-            cell: Some(self.node),
+            shard: Some(self.node),
             units: 1.0,
             left_us: 30_000_000,
             extent: self.extent,
@@ -302,7 +302,7 @@
             piece: id.clone(),
             id,
             node: self.node,
-            stream_type: u32::from(self.write),
+            traffic_class: u32::from(self.write),
             volume: self.volume,
             units: 1.0,
             left_us: 30_000_000,
@@ -318,7 +318,7 @@
 /// The number of the work that an answer is to, and whether it was done.
 fn answer(body: &Body) -> Option<(u64, bool)> {
     match body {
-        Body::Final(f) => {
+        Body::Response(f) => {
             let number = std::str::from_utf8(&f.id).ok()?.parse().ok()?;
             Some((number, f.outcome() == Outcome::Done))
         }
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -58,7 +58,7 @@
                 format!("host-{}", id % 20 + 20).into(),
             ]
             .into(),
-            cells: [(id % 400) as u32, (id % 400) as u32 + 1].into(),
+            shards: [(id % 400) as u32, (id % 400) as u32 + 1].into(),
             blocks: 1 << 21,
         };
         let all = plans.chain((0..volumes).map(|id| Change::Volume {
@@ -72,10 +72,10 @@
         };
         store.keep(&[whole]).map_err(told)?;
         let mut rng = Pcg64Mcg::seed_from_u64(5);
-        let (mut batch, mut cell, mut left) = (Vec::new(), 0, 0);
+        let (mut batch, mut shard, mut left) = (Vec::new(), 0, 0);
         for n in 0..extents {
             if left == 0 {
-                (cell, left) = (
+                (shard, left) = (
                     rng.random_range(0..400),
                     rng.random_range(1..run.max(1) * 2),
                 );
@@ -84,7 +84,7 @@
             batch.push(Keep::Place {
                 volume: n / 10_000,
                 extent: n % 10_000,
-                cell,
+                shard,
             });
             if batch.len() == 100_000 || n + 1 == extents {
                 store.keep(&std::mem::take(&mut batch)).map_err(told)?;
@@ -183,7 +183,7 @@
                     let to = Volume {
                         plan: format!("plan-{}", (id + n) % 100).into(),
                         hosts: ["h0".into(), format!("h{}", 1 + n % 3).into()].into(),
-                        cells: [0u32, 1, 2]
+                        shards: [0u32, 1, 2]
                             .map(|i| ((id + u64::from(i)) % u64::from(nodes)) as u32)
                             .into(),
                         blocks: 1 << 21,
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -55,7 +55,7 @@
         /// Seconds in one row.
         #[arg(long, default_value_t = 1)]
         every: u64,
-        /// By how many parts of a cause's name: why, stream type, paying bucket, age of the node's last answer;
+        /// By how many parts of a cause's name: why, traffic class, paying bucket, age of the node's last answer;
         /// 0: all of them.
         #[arg(long, default_value_t = 1)]
         parts: usize,
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const MOST_FRAME: usize = 16 << 20;
+const MAX_FRAME: usize = 16 << 20;
 /// Figures come every second.
 const PATIENCE: Duration = Duration::from_secs(5);
 
@@ -27,7 +27,7 @@
         &mut bytes,
     );
     stream.write_all(&bytes)?;
-    let mut reader = frame::Reader::new(MOST_FRAME);
+    let mut reader = frame::Reader::new(MAX_FRAME);
     loop {
         match reader
             .next::<pb::Frame>()
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -112,7 +112,7 @@
         s.nodes.len(),
         s.volumes.len(),
         s.plans.len(),
-        s.streams.len()
+        s.traffic_classes.len()
     );
     Ok(())
 }
@@ -121,7 +121,7 @@
     let Some(path) = path else {
         return Ok(Tracer::default());
     };
-    Tracer::create(&path, rehearse::MOST_TRACE, who)
+    Tracer::create(&path, rehearse::MAX_TRACE, who)
         .map_err(|e| Stop::Failed(format!("cannot record to {}: {e}", path.display())))
 }
 
@@ -132,10 +132,10 @@
 }
 
 /// Entries that a store keeps of its trail.
-const MOST_TRAIL: u64 = 100_000;
+const MAX_TRAIL: u64 = 100_000;
 
 fn open_store(path: &Path) -> Result<(Keeper, Kept, BTreeMap<u64, Extents>), Stop> {
-    Keeper::open(path, MOST_TRAIL)
+    Keeper::open(path, MAX_TRAIL)
         .map_err(|e| Stop::Failed(format!("store {}: {e}", path.display())))
 }
 
@@ -224,10 +224,10 @@
         }
         (Some(spec), Some((keeper, kept, _))) => {
             let address = here(a.state, spec.address, "--state")?;
-            let ledger = Follow::ledger_of(facts(&settings));
-            let ledger = ledger.restored(kept.version, kept.state.clone(), kept.trail.clone());
+            let catalog = Follow::catalog_of(facts(&settings));
+            let catalog = catalog.restored(kept.version, kept.state.clone(), kept.trail.clone());
             let start = Start {
-                ledger,
+                catalog,
                 settled: kept.settled,
                 era: kept.era,
             };
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -2,7 +2,7 @@
 
 use crate::args::{Change as How, Format, PlansArgs, PlansCommand};
 use crate::{bad, load, Stop};
-use grebecleat_plans::changes::{Change, Facts, Ledger, Subject, Version};
+use grebecleat_plans::changes::{Catalog, Change, Facts, Subject, Version};
 use grebecleat_state::client::{Came, Client, Shown};
 use grebecleat_state::codec::change_pb;
 use grebecleat_state::declared::facts;
@@ -102,8 +102,8 @@
     }
 }
 
-/// The service's state as a ledger, in which changes can be worded.
-fn ledger(s: &Shown) -> Ledger {
+/// The service's state as a catalog, in which changes can be worded.
+fn catalog(s: &Shown) -> Catalog {
     let hosts = s
         .last
         .hosts
@@ -112,9 +112,9 @@
         .collect();
     let facts = Facts {
         hosts,
-        linger: Duration::ZERO,
+        max_dispatch_delay: Duration::ZERO,
     };
-    Ledger::new(facts, 1).restored(s.version, s.state.iter().cloned(), Vec::new())
+    Catalog::new(facts, 1).restored(s.version, s.state.iter().cloned(), Vec::new())
 }
 
 fn state(c: &mut Client) -> Result<Shown, Stop> {
@@ -128,9 +128,9 @@
             "weight": p.weight, "price": p.price })) }),
         Change::Volume { id, to } => json!({ "volume": id, "to": to.as_ref().map(|v| json!({
             "plan": &*v.plan, "hosts": v.hosts.iter().map(|h| &**h).collect::<Vec<_>>(),
-            "cells": &*v.cells, "blocks": v.blocks })) }),
+            "cells": &*v.shards, "blocks": v.blocks })) }),
         Change::Node { id, to } => json!({ "node": id, "to": to.as_ref().map(|n| json!({
-            "name": &*n.name, "zone": &*n.zone, "cell": n.cell, "capacity": n.capacity })) }),
+            "name": &*n.name, "zone": &*n.zone, "cell": n.shard, "capacity": n.capacity })) }),
         Change::Drain { node, to } => json!({ "drain": node, "to": to.as_ref().map(|d| json!({
             "stage": d.stage.name(), "within_s": d.within.as_secs_f64(), "who": &*d.who,
             "asked": date(d.asked), "since": date(d.since) })) }),
@@ -261,7 +261,7 @@
     how: How,
 ) -> Result<(), Stop> {
     let s = state(c)?;
-    let l = ledger(&s);
+    let l = catalog(&s);
     let changes = lines
         .iter()
         .map(|line| change(&l, line))
@@ -350,9 +350,9 @@
 fn diff(c: &mut Client, file: &Path, out: &Out) -> Result<(), Stop> {
     let settings = load(file)?;
     let s = state(c)?;
-    let here = ledger(&s);
+    let here = catalog(&s);
     let apart = differences(&settings, s.state);
-    let declared = Ledger::new(facts(&settings), 1).restored(
+    let declared = Catalog::new(facts(&settings), 1).restored(
         Version(1),
         grebecleat_state::declared::declared(&settings),
         Vec::new(),
@@ -384,9 +384,9 @@
     let s = state(c)?;
     // Drains and timed changes are nobody's declaration, and stay.
     let keep = |c: &Change| matches!(c, Change::Drain { .. } | Change::Timed { .. });
-    let here = ledger(&s);
+    let here = catalog(&s);
     let declared = grebecleat_state::declared::declared(&settings);
-    let declared = Ledger::new(facts(&settings), 1).restored(Version(1), declared, Vec::new());
+    let declared = Catalog::new(facts(&settings), 1).restored(Version(1), declared, Vec::new());
     let changes: Vec<pb::Change> = here
         .towards(&declared)
         .iter()
--- a/crates/cli/tests/ends.rs
+++ b/crates/cli/tests/ends.rs
@@ -75,7 +75,7 @@
 
 /// The node takes so little that a part of the attempt stays with the host.
 #[test]
-fn a_attempt_written_in_part_never_comes_whole_after_its_client_left() {
+fn an_attempt_written_in_part_never_comes_whole_after_its_client_left() {
     let (node, _list, live) = one_narrow();
     let mut client = live.connect();
     send(&mut client, &large("t"));
@@ -243,7 +243,7 @@
 fn an_answer_that_trickles_for_ever_ends_with_its_requests_time() {
     let node = Hand::start();
     let list = discovery(json!([target_at("s-1", node.address, 0, "ready")]));
-    let mut live = Live::begin(list.address, 256, settings_with_expiry(500));
+    let mut live = Live::begin(list.address, 256, settings_with_deadline(500));
     live.is_ready();
     for head in [
         "HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n",
@@ -553,7 +553,7 @@
     // It listens until 0.2 s before it may be killed, which is 0.6 and 0.7 s after the signal. On a machine
     // that is so busy that all come later than that, nothing is seen: again then.
     let came = (0..5).any(|_| {
-        let mut live = Live::begin(list.address, 256, settings_with_expiry(600));
+        let mut live = Live::begin(list.address, 256, settings_with_deadline(600));
         live.is_ready();
         let mut idle: Vec<TcpStream> = (0..8).map(|_| live.connect()).collect();
         for (n, stream) in idle.iter_mut().enumerate() {
@@ -587,12 +587,12 @@
     assert!(came);
 }
 
-/// With expiries far under 0.3 s the last moment to take would come before new connections cease.
+/// With deadlines far under 0.3 s the last moment to take would come before new connections cease.
 #[test]
-fn with_short_expiries_new_connections_are_served_for_as_long_as_they_come() {
+fn with_short_deadlines_new_connections_are_served_for_as_long_as_they_come() {
     let node = node(|_| says(GOOD));
     let list = discovery(json!([target("s-1", &node, 0, "ready")]));
-    let mut live = Live::begin(list.address, 256, settings_with_expiry(80));
+    let mut live = Live::begin(list.address, 256, settings_with_deadline(80));
     live.is_ready();
     live.signal("-TERM");
     let told = Instant::now();
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -15,7 +15,7 @@
 /// Seven in ten hosts are killed at once and start again, while the list has too many callers: it takes most of
 /// a second for each call, and turns away at once what would wait for more than that.
 #[test]
-fn most_hosts_killed_at_once_come_back_without_a_rush_to_the_list() {
+fn max_hosts_killed_at_once_come_back_without_a_rush_to_the_list() {
     let _alone = alone();
     let f = Fleet::start(HOSTS, NODES, 3);
     let known = f.entries();
--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -329,13 +329,13 @@
         let state = pb::NodeState::Ready.into();
         let entry = Some(pb::Endpoint {
             node: 1,
-            cell: 1,
+            shard: 1,
             state,
             address,
             start: 1,
             ..Default::default()
         });
-        line.put(Body::Announce(pb::Announce { entry }));
+        line.put(Body::Announce(pb::Announce { endpoint: entry }));
         SlowNode {
             heard,
             lines: BTreeMap::from([(0, line)]),
@@ -420,7 +420,7 @@
 /// Exactly one attempt is delayed: its command was aborted, or its host killed, and newer writes of the same
 /// blocks were acknowledged since. Then it runs.
 #[test]
-fn a_attempt_that_runs_late_never_overwrites_a_newer_acknowledged_write() {
+fn an_attempt_that_runs_late_never_overwrites_a_newer_acknowledged_write() {
     let site = Site::with("late", false);
     let mut node = SlowNode::new(&site.list.1);
     let host = site.host();
--- a/crates/cli/tests/peers.rs
+++ b/crates/cli/tests/peers.rs
@@ -186,15 +186,15 @@
                 let (s, reader) = line.as_mut().unwrap();
                 n += 1;
                 let id: Vec<u8> = format!("{h:04}{n:032}").into();
-                let (units, left_us, cell) = (1.0, 800_000, Some(1 + (n % 4) as u32));
+                let (units, left_us, shard) = (1.0, 800_000, Some(1 + (n % 4) as u32));
                 put(
                     s,
-                    Body::Take(pb::Take {
+                    Body::SubmitRequest(pb::SubmitRequest {
                         id: id.into(),
                         volume: 1,
                         units,
                         left_us,
-                        cell,
+                        shard,
                         ..Default::default()
                     }),
                 );
@@ -207,7 +207,7 @@
                     Ok(_) => false,
                 };
                 while let Ok(Some(f)) = reader.next::<pb::Frame>() {
-                    if let Some(Body::Final(f)) = f.body {
+                    if let Some(Body::Response(f)) = f.body {
                         done += u64::from(f.outcome() == Outcome::Done);
                     }
                 }
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// What never ran may be tried again or deferred, whatever the stream type; what may have run, never for one
+/// What never ran may be tried again or deferred, whatever the traffic class; what may have run, never for one
 /// that is unrepeatable.
 #[test]
 fn only_what_proves_that_an_attempt_never_ran_lets_an_unrepeatable_request_be_sent_again() {
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -349,7 +349,7 @@
     fn answer(&mut self) -> Option<Outcome> {
         loop {
             match self.1.next::<pb::Frame>().unwrap().and_then(|f| f.body) {
-                Some(Body::Final(f)) => return Some(f.outcome()),
+                Some(Body::Response(f)) => return Some(f.outcome()),
                 Some(_) => {}
                 None if self.1.fill(&mut self.0).is_ok_and(|n| n > 0) => {}
                 None => return None,
@@ -360,16 +360,16 @@
     fn take(&mut self, n: u64) {
         let id: Vec<u8> = format!("{n:036}").into();
         let (volume, units, left_us) = (1, 1.0, 1_200_000);
-        let cell = Some(2);
-        let take = pb::Take {
+        let shard = Some(2);
+        let take = pb::SubmitRequest {
             id: id.into(),
             volume,
             units,
             left_us,
-            cell,
+            shard,
             ..Default::default()
         };
-        self.put(Body::Take(take));
+        self.put(Body::SubmitRequest(take));
     }
 
     fn read(&mut self) -> Option<Outcome> {
--- a/crates/cli/tests/rig/live.rs
+++ b/crates/cli/tests/rig/live.rs
@@ -332,11 +332,11 @@
     std::fs::write(path, config.to_string()).unwrap();
 }
 
-/// The settings with another expiry for all stream types.
-pub fn settings_with_expiry(expiry: u64) -> Value {
+/// The settings with another deadline for all traffic classes.
+pub fn settings_with_deadline(deadline: u64) -> Value {
     let mut all = settings();
     for n in 0..3 {
-        all["profiles"][n]["deadline-ms"] = json!(expiry as f64);
+        all["profiles"][n]["deadline-ms"] = json!(deadline as f64);
     }
     all
 }
@@ -425,7 +425,7 @@
     }
 }
 
-/// A request of a stream type for one piece of data.
+/// A request of a traffic class for one piece of data.
 pub fn request(stream: &str, id: &str, shard: i64, key: u64, left: u64) -> String {
     super::request(stream, id, 0x3_b4d6_0021, shard, key, left)
 }
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -51,7 +51,7 @@
 const SPOILT: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood";
 
 /// What the settings tell hosts of nodes and rules; the rig holds them to it.
-pub const EXPIRY: Duration = ms(1500);
+pub const DEADLINE: Duration = ms(1500);
 pub const GRACE: Duration = ms(250);
 pub const STARTS_AT: f64 = 0.1;
 pub const WARM: Duration = ms(6000);
@@ -214,7 +214,7 @@
                 .unwrap_or_default()
                 .split('/')
                 .skip(1);
-            let (stream_type, key) = (
+            let (traffic_class, key) = (
                 parts.next().unwrap_or_default(),
                 parts.next().unwrap_or_default(),
             );
@@ -236,7 +236,7 @@
                     inside.free[slot] = until;
                     inside.waiting += 1;
                 }
-                let (stream, key) = (stream_type.to_string(), key.to_string());
+                let (stream, key) = (traffic_class.to_string(), key.to_string());
                 inside.seen.push(Seen {
                     at: now,
                     id,
@@ -520,7 +520,7 @@
 
 fn settings(hosts: usize) -> Value {
     let stream = |name: &str, repeat: &str, ordered: bool| {
-        json!({"name": name, "objective-ms": 200.0, "deadline-ms": EXPIRY.as_millis() as f64,
+        json!({"name": name, "objective-ms": 200.0, "deadline-ms": DEADLINE.as_millis() as f64,
                "idempotency": repeat, "key-scope": "cell", "dedup-window-ms": 1500.0, "worth": 3.0,
                "late-value": 0.2, "serial-by-key": ordered, "stream": false})
     };
@@ -812,7 +812,7 @@
     }
 }
 
-/// A request of a stream type for one piece of data.
+/// A request of a traffic class for one piece of data.
 pub fn request(stream: &str, id: &str, volume: u64, shard: i64, key: u64, left: u64) -> String {
     let method = if stream == "read" { "GET" } else { "PUT" };
     let body = if stream == "read" {
@@ -857,22 +857,22 @@
         let (volume, key) = (0x3b4d_0000 + number as u64, u64::from(shard) * 16 + n % 3);
         let id = format!("h{number}-{me}-{n}");
         let at = Instant::now();
-        s.set_read_timeout(Some(EXPIRY + ms(500))).unwrap();
+        s.set_read_timeout(Some(DEADLINE + ms(500))).unwrap();
         // Some are new objects, which any node can take.
         let place = if kind == "once" && n % 8 > 3 {
             -1
         } else {
             i64::from(shard)
         };
-        let text = request(kind, &id, volume, place, key, EXPIRY.as_millis() as u64);
+        let text = request(kind, &id, volume, place, key, DEADLINE.as_millis() as u64);
         let ask = |s: &mut TcpStream| s.write_all(text.as_bytes()).ok().and_then(|()| answer(s));
         let (mut got, mut told) = (ask(&mut s), Told::Nothing);
-        if got.is_none() && idle && at.elapsed() < EXPIRY {
+        if got.is_none() && idle && at.elapsed() < DEADLINE {
             // The host may close between exchanges; what crosses that is sent once more.
             match TcpStream::connect(host.address) {
                 Ok(again) => {
                     s = again;
-                    s.set_read_timeout(Some(EXPIRY + ms(500))).unwrap();
+                    s.set_read_timeout(Some(DEADLINE + ms(500))).unwrap();
                     got = ask(&mut s);
                 }
                 Err(_) => told = Told::Nobody,
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -31,7 +31,7 @@
 
 /// Parts are counted in these, so that sums are exact.
 pub const WHOLE: u32 = 1 << 20;
-pub const MOST_LOANS: usize = 64;
+pub const MAX_LOANS: usize = 64;
 /// Less than an eighth of a settled part is not worth words. Harm: so much stays where nobody needs it.
 const WORTH: u32 = 8;
 /// What is never lent, of a settled part: what a host uses that does not know what it lent.
@@ -231,7 +231,7 @@
         }
         let lendable = self.own(now).saturating_sub(self.settled() / NEVER_LENT);
         let spare = lendable.min(self.part(now).saturating_sub(self.wanted));
-        if spare < self.least() || self.lent.len() >= MOST_LOANS {
+        if spare < self.least() || self.lent.len() >= MAX_LOANS {
             0
         } else {
             spare
@@ -379,7 +379,7 @@
                 .sharers
                 .iter()
                 .filter(|h| **h != self.me && !self.clear.contains(h));
-            out.extend(unclear.take(MOST_LOANS).map(|h| (*h, Say::Born)));
+            out.extend(unclear.take(MAX_LOANS).map(|h| (*h, Say::Born)));
         }
         let part = self.part(now);
         let least = self.least();
@@ -416,7 +416,7 @@
         let mut need = self.wanted.saturating_sub(part);
         let mut asks = renew;
         if need >= least && !self.asks.values().any(open) {
-            let room = MOST_LOANS.saturating_sub(self.got.len());
+            let room = MAX_LOANS.saturating_sub(self.got.len());
             for (to, spare) in offers
                 .iter()
                 .filter(|(h, _)| self.sharers.contains(h))
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -11,7 +11,7 @@
 use crate::budget::{Budget, Say, Spans, WHOLE};
 use crate::judgement::{Belief, Finding, Judge, Witness};
 use crate::shared::{Common, Facts, Mark, Offer, Served, Sight};
-use crate::word::{Word, MOST_FACTS, MOST_SAYS};
+use crate::word::{Word, MAX_FACTS, MAX_SAYS};
 use crate::{HostNo, Life};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
@@ -176,7 +176,7 @@
     ) -> Self {
         let hosts = peers.len() + 1;
         // Twice the time in which one host could pass on what all say.
-        let each = (crate::shared::TOLD * crate::word::MOST_ENTRIES) as u32;
+        let each = (crate::shared::TOLD * crate::word::MAX_ENTRIES) as u32;
         let within = crate::judgement::EVIDENCE + rules.every * 2 * hosts as u32 / each;
         Fleet {
             me,
@@ -257,7 +257,7 @@
         let Some(says) = self.says.get_mut(&to) else {
             return Vec::new();
         };
-        let rest = says.split_off(says.len().min(MOST_SAYS));
+        let rest = says.split_off(says.len().min(MAX_SAYS));
         let now = std::mem::replace(says, rest);
         self.says.retain(|_, s| !s.is_empty());
         now
@@ -467,7 +467,7 @@
             };
             (rank, std::cmp::Reverse(s.sent))
         });
-        sights.truncate(MOST_FACTS);
+        sights.truncate(MAX_FACTS);
         let spare = |(volume, v): (&u64, &Shared)| {
             let spare = v.budget.spare(now);
             (spare > 0).then_some(Offer {
@@ -477,12 +477,12 @@
         };
         let mut offers: Vec<Offer> = self.volumes.iter().filter_map(spare).collect();
         offers.sort_by_key(|o| std::cmp::Reverse(o.spare));
-        offers.truncate(MOST_FACTS);
+        offers.truncate(MAX_FACTS);
         // The busiest: of the others the reports in answers are good enough.
         let mut served: Vec<(&u64, &(f64, f64, f64))> =
             self.served.iter().filter(|s| s.1 .2 > 0.0).collect();
         served.sort_by(|a, b| b.1 .2.total_cmp(&a.1 .2));
-        let served = served.into_iter().take(MOST_FACTS);
+        let served = served.into_iter().take(MAX_FACTS);
         let served = served
             .map(|(volume, s)| Served {
                 volume: *volume,
--- a/crates/fleet/src/judgement.rs
+++ b/crates/fleet/src/judgement.rs
@@ -37,7 +37,7 @@
 pub const LOOKERS: f64 = 2.0;
 pub const LAPSE: Duration = Duration::from_secs(5);
 /// Attempts that one host's evidence weighs at most: a busy host is still one side.
-const MOST_WEIGHT: f64 = 8.0;
+const MAX_WEIGHT: f64 = 8.0;
 /// Of all nodes that are tried, as a panic threshold.
 const TOO_MUCH: f64 = 0.5;
 /// Attempts of its own in a row of bad ones, below which a host says nothing of its own way.
@@ -208,7 +208,7 @@
         let sound = soundness(&sights);
         let weight = |h: &HostNo, s: &Sight| {
             let fresh = 1.0 - s.ago.as_secs_f64() / EVIDENCE.as_secs_f64();
-            f64::from(s.sent).min(MOST_WEIGHT) * fresh * sound.get(h).copied().unwrap_or(1.0)
+            f64::from(s.sent).min(MAX_WEIGHT) * fresh * sound.get(h).copied().unwrap_or(1.0)
         };
         let sides = SIDES.min(fleet.saturating_sub(1)).max(2);
         self.findings.clear();
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -19,7 +19,7 @@
 //! it is the earlier process, or its number is too low. It stays aside as long as the other's count grows,
 //! and then goes on above it.
 
-use crate::word::{Word, MOST_ENTRIES, MOST_FACTS};
+use crate::word::{Word, MAX_ENTRIES, MAX_FACTS};
 use crate::{HostNo, Life};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -210,7 +210,7 @@
                 .len()
                 .max(facts.offers.len())
                 .max(facts.served.len())
-                <= MOST_FACTS
+                <= MAX_FACTS
         );
         self.own = facts;
         if news {
@@ -377,17 +377,14 @@
             .filter(|(_, e)| e.news > 0)
             .map(|(h, _)| *h)
             .collect();
-        if fresh.len() > MOST_ENTRIES {
+        if fresh.len() > MAX_ENTRIES {
             // More news than a word takes: any of it, so that together hosts tell all of it.
-            fresh = fresh
-                .partial_shuffle(&mut self.rng, MOST_ENTRIES)
-                .0
-                .to_vec();
+            fresh = fresh.partial_shuffle(&mut self.rng, MAX_ENTRIES).0.to_vec();
         }
-        chosen.extend(fresh.into_iter().take(MOST_ENTRIES - chosen.len()));
+        chosen.extend(fresh.into_iter().take(MAX_ENTRIES - chosen.len()));
         let all: Vec<HostNo> = self.entries.keys().copied().collect();
         for _ in 0..all.len() {
-            if chosen.len() >= MOST_ENTRIES {
+            if chosen.len() >= MAX_ENTRIES {
                 break;
             }
             self.turn = (self.turn + 1) % all.len();
--- a/crates/fleet/src/word.rs
+++ b/crates/fleet/src/word.rs
@@ -12,14 +12,14 @@
 
 const FORMAT: u32 = 1;
 /// Entries of a word, and facts of each kind of an entry: a word stays under 32 KiB.
-pub const MOST_ENTRIES: usize = 16;
-pub const MOST_FACTS: usize = 24;
-pub const MOST_BYTES: usize = 32 << 10;
-pub const MOST_SAYS: usize = 64;
+pub const MAX_ENTRIES: usize = 16;
+pub const MAX_FACTS: usize = 24;
+pub const MAX_BYTES: usize = 32 << 10;
+pub const MAX_SAYS: usize = 64;
 /// Larger lives and counts than any host comes to are noise; believed, they could never be overtaken.
-const MOST_LIFE: u64 = 1 << 48;
-const MOST_COUNT: u64 = 1 << 40;
-const MOST_AGE: u64 = 1 << 32;
+const MAX_LIFE: u64 = 1 << 48;
+const MAX_COUNT: u64 = 1 << 40;
+const MAX_AGE: u64 = 1 << 32;
 
 #[derive(Clone, PartialEq, Message)]
 struct WireSight {
@@ -190,9 +190,9 @@
 
     /// Why it is refused, where it is.
     pub fn from_bytes(bytes: &[u8]) -> Result<Word, String> {
-        if bytes.len() > MOST_BYTES {
+        if bytes.len() > MAX_BYTES {
             return Err(format!(
-                "{} bytes, expected at most {MOST_BYTES}",
+                "{} bytes, expected at most {MAX_BYTES}",
                 bytes.len()
             ));
         }
@@ -201,8 +201,8 @@
             return Err(format!("format {}, expected {FORMAT}", w.format));
         }
         let life = life_of(w.life)?;
-        within("entries", w.entries.len(), MOST_ENTRIES)?;
-        within("says", w.says.len(), MOST_SAYS)?;
+        within("entries", w.entries.len(), MAX_ENTRIES)?;
+        within("says", w.says.len(), MAX_SAYS)?;
         let entries = w
             .entries
             .into_iter()
@@ -242,8 +242,8 @@
 }
 
 fn life_of(life: u64) -> Result<Life, String> {
-    if !(1..MOST_LIFE).contains(&life) {
-        return Err(format!("life {life}, expected 1 to {}", MOST_LIFE - 1));
+    if !(1..MAX_LIFE).contains(&life) {
+        return Err(format!("life {life}, expected 1 to {}", MAX_LIFE - 1));
     }
     Ok(Life(life))
 }
@@ -253,7 +253,7 @@
         life: life_of(e.life)?,
         count: e.count,
     };
-    if e.count >= MOST_COUNT || e.age_ms >= MOST_AGE {
+    if e.count >= MAX_COUNT || e.age_ms >= MAX_AGE {
         return Err(format!(
             "entry of host {}: count {} or age {} ms too large",
             e.writer, e.count, e.age_ms
@@ -264,7 +264,7 @@
         ("offers", e.offers.len()),
         ("served", e.served.len()),
     ] {
-        within(what, n, MOST_FACTS)?;
+        within(what, n, MAX_FACTS)?;
     }
     if e.badly > e.tried || e.sights.iter().any(|s| s.bad > s.sent) {
         return Err(format!("entry of host {}: more bad than sent", e.writer));
--- a/crates/fleet/tests/shared.rs
+++ b/crates/fleet/tests/shared.rs
@@ -4,7 +4,7 @@
 use grebecleat_fleet::shared::{
     Common, Entry, Facts, Mark, Offer, Served, Sight, ASK_FIRST, FORGET,
 };
-use grebecleat_fleet::word::{Word, MOST_BYTES, MOST_ENTRIES};
+use grebecleat_fleet::word::{Word, MAX_BYTES, MAX_ENTRIES};
 use grebecleat_fleet::{budget::Say, HostNo, Life};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -231,7 +231,7 @@
             "more offered than there is",
         ),
         (
-            &|w| w.entries = vec![e.clone(); MOST_ENTRIES + 1],
+            &|w| w.entries = vec![e.clone(); MAX_ENTRIES + 1],
             "17 entries, expected at most 16",
         ),
         (
@@ -250,7 +250,7 @@
         assert!(why.contains(said), "{why}, expected {said}");
     }
     assert!(Word::from_bytes(b"garbage of any kind").is_err());
-    assert!(Word::from_bytes(&vec![0; MOST_BYTES + 1]).is_err());
+    assert!(Word::from_bytes(&vec![0; MAX_BYTES + 1]).is_err());
     let bytes = w.to_bytes();
     for cut in 0..bytes.len() {
         // Half a word is refused, or is one that says less: never more than was said.
--- a/crates/host/src/admission.rs
+++ b/crates/host/src/admission.rs
@@ -27,7 +27,7 @@
 
 impl Turned {
     /// When the client should come again: an overfull host clears within a breath, a restart takes longer.
-    pub fn come_back(self) -> Duration {
+    pub fn retry_after(self) -> Duration {
         Duration::from_millis(if self == Turned::Draining { 1000 } else { 250 })
     }
 }
@@ -47,8 +47,8 @@
 pub fn admit(held: Held, bytes: usize, bounds: &Bounds) -> Result<(), Turned> {
     match held {
         Held { draining: true, .. } => Err(Turned::Draining),
-        Held { open, .. } if open >= bounds.most_open => Err(Turned::Open),
-        Held { bytes: now, .. } if now + bytes > bounds.most_held_bytes => Err(Turned::Bytes),
+        Held { open, .. } if open >= bounds.max_open => Err(Turned::Open),
+        Held { bytes: now, .. } if now + bytes > bounds.max_held_bytes => Err(Turned::Bytes),
         _ => Ok(()),
     }
 }
--- a/crates/host/src/desk.rs
+++ b/crates/host/src/desk.rs
@@ -20,7 +20,7 @@
 use crate::following::{Following, Out, Standing};
 use crate::listing::Listing;
 use crate::outbox::{AttemptId, Outbox};
-use crate::pool::{Pool, Present, Step, MOST_LATE};
+use crate::pool::{Pool, Present, Step, MAX_LATE};
 use crate::renewal::{self, Renewal};
 use crate::sharing::Sharing;
 use crate::sights::Sights;
@@ -53,11 +53,11 @@
 /// answer that came twice is some milliseconds late, and would be taken for that attempt's. Harm: where all
 /// connections to a node have just answered, an attempt waits, or one more is dialled.
 const QUIET: Duration = Duration::from_millis(10);
-/// Of the tightest SLO time: what a handshake may take before another is begun beside it. Two of them in turn
+/// Of the tightest Latency objective: what a handshake may take before another is begun beside it. Two of them in turn
 /// are about what the decisions let an attempt be late before they doubt its node.
 const HANDSHAKE: f64 = 0.1;
 /// Bytes of figures that a watcher may leave unread.
-const MOST_UNREAD: usize = 4 << 20;
+const MAX_UNREAD: usize = 4 << 20;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
@@ -126,9 +126,9 @@
         waited: Duration,
         bytes: Vec<u8>,
     },
-    /// Extents that the portal of this process knows to lie in each cell.
+    /// Extents that the portal of this process knows to lie in each shard.
     Holds {
-        cells: BTreeMap<u32, u64>,
+        shards: BTreeMap<u32, u64>,
     },
     /// Somebody who watches.
     WatcherUp {
@@ -196,11 +196,11 @@
 #[derive(Debug)]
 struct Open {
     client: ConnId,
-    take: pb::Take,
+    take: pb::SubmitRequest,
     /// The volume's plan when it was taken.
     plan: PlanId,
     taken: Duration,
-    expiry: Duration,
+    deadline: Duration,
     /// It has had its final answer, or nobody waits for one.
     over: bool,
     /// An attempt of it ended without word from its node: it may still run.
@@ -293,7 +293,7 @@
     /// Attempts to each node that have no end yet; and until when what ended without a word may still run there.
     out_at: HashMap<NodeId, u32>,
     unsure: HashMap<NodeId, Duration>,
-    /// Extents by cell, where a portal has told.
+    /// Extents by shard, where a portal has told.
     holds: Option<BTreeMap<u32, u64>>,
     sights: Sights,
     watchers: BTreeMap<ConnId, Arc<Outbox>>,
@@ -327,7 +327,7 @@
 ) -> BTreeSet<grebecleat_fleet::HostNo> {
     let names = plans
         .follow()
-        .and_then(|f| f.ledger().volume(volume.0))
+        .and_then(|f| f.catalog().volume(volume.0))
         .map(|v| v.hosts.clone());
     let place = |name: &grebecleat_plans::changes::Name| {
         s.hosts.iter().position(|h| h.name.as_str() == &**name)
@@ -344,10 +344,17 @@
     /// `seed` is new at each start of the host.
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
         let s = &settings;
-        let streams = s.streams.iter().map(|x| x.facts.clone()).collect();
+        let traffic_classes = s.traffic_classes.iter().map(|x| x.facts.clone()).collect();
         let plans = s.plans.iter().map(|p| p.facts.clone()).collect();
         let rules = &s.rules;
-        let control = Control::new(seed, streams, plans, s.units.clone(), s.caps.clone()).under(
+        let control = Control::new(
+            seed,
+            traffic_classes,
+            plans,
+            s.units.clone(),
+            s.host_limits.clone(),
+        )
+        .under(
             rules.cold.clone(),
             // The list is asked for in either case: where it pushes, one watch is the asking.
             DiscoveryPolicy {
@@ -358,11 +365,16 @@
             rules.key_rest,
         );
         let plans = Following::declared(s);
-        let longest = s.streams.iter().map(|x| x.expiry).max().unwrap_or_default();
+        let longest = s
+            .traffic_classes
+            .iter()
+            .map(|x| x.deadline)
+            .max()
+            .unwrap_or_default();
         let tightest = s
-            .streams
+            .traffic_classes
             .iter()
-            .map(|x| x.facts.slo)
+            .map(|x| x.facts.latency_objective)
             .min()
             .unwrap_or_default();
         let handshake = tightest.mul_f64(HANDSHAKE).max(QUIET);
@@ -566,7 +578,7 @@
             rung = Some(tag);
         }
         if let Some(tag) = rung {
-            self.events.push(Event::Timer { tag: TimerTag(tag) });
+            self.events.push(Event::TimerFired { tag: TimerTag(tag) });
         }
         if self.now >= self.sweep_at {
             self.sweep();
@@ -701,9 +713,9 @@
                 sharing
                     .into_iter()
                     .for_each(|s| s.told(from, waited, &bytes));
-                self.events.push(Event::Told { from, bytes });
+                self.events.push(Event::PeerMessage { from, bytes });
             }
-            Input::Holds { cells } => self.holds = Some(cells),
+            Input::Holds { shards } => self.holds = Some(shards),
             Input::WatcherUp { conn, outbox } => {
                 self.service.anew();
                 self.watchers.insert(conn, outbox);
@@ -720,8 +732,8 @@
         };
         let waited = client.delay.waited(f.sent_us, at);
         match f.body {
-            Some(Body::Take(t)) => self.take(conn, at, waited, t),
-            Some(Body::Withdraw(w)) => {
+            Some(Body::SubmitRequest(t)) => self.take(conn, at, waited, t),
+            Some(Body::CancelRequest(w)) => {
                 client.outbox.heard(&w.id);
                 let id = request_id(&w.id)
                     .filter(|id| self.requests.get(id).is_some_and(|x| x.client == conn));
@@ -735,15 +747,15 @@
         }
     }
 
-    fn take(&mut self, conn: ConnId, at: Duration, waited: Duration, t: pb::Take) {
+    fn take(&mut self, conn: ConnId, at: Duration, waited: Duration, t: pb::SubmitRequest) {
         let Some(id) = request_id(&t.id) else {
             return self.throw_out(conn, "transfer without a proper id");
         };
         if self.requests.contains_key(&id) {
             return self.throw_out(conn, "transfer with an id that is still open");
         }
-        let stream_type = t.stream_type as usize;
-        let Some(stream) = self.settings.streams.get(stream_type) else {
+        let traffic_class = t.traffic_class as usize;
+        let Some(stream) = self.settings.traffic_classes.get(traffic_class) else {
             return self.throw_out(conn, "transfer of an unknown stream type");
         };
         let volume = VolumeId(t.volume);
@@ -767,10 +779,10 @@
         if !(units.is_finite() && units > 0.0 && units <= self.settings.units.largest) {
             return self.throw_out(conn, "transfer of a size that the settings do not know");
         }
-        let left = Duration::from_micros(t.left_us).min(stream.expiry);
+        let left = Duration::from_micros(t.left_us).min(stream.deadline);
         let margin = self.settings.rules.answer_margin;
         // What the frame waited on its way to us is gone from the client's time, as is what the answer needs.
-        let expiry = (at + left).saturating_sub(waited + margin);
+        let deadline = (at + left).saturating_sub(waited + margin);
         let held = Held {
             open: self.requests.len(),
             bytes: self.held_bytes,
@@ -778,20 +790,20 @@
         };
         if let Err(turned) = admit(held, t.data.len(), self.bounds()) {
             self.counts.turned_away += 1;
-            let come_back = self
+            let retry_after = self
                 .settings
-                .caps
-                .come_back
-                .map(|most| turned.come_back().min(most));
-            let come_back_us = come_back.map(clock::micros);
+                .host_limits
+                .max_retry_after
+                .map(|most| turned.retry_after().min(most));
+            let retry_after_us = retry_after.map(clock::micros);
             let outcome = pb::Outcome::Deferred.into();
             return self.answer(
                 conn,
-                pb::Final {
+                pb::Response {
                     id: t.id,
                     outcome,
-                    come_back_us,
-                    ..pb::Final::default()
+                    retry_after_us,
+                    ..pb::Response::default()
                 },
             );
         }
@@ -809,17 +821,17 @@
             .expect("heard from it")
             .open
             .insert(id);
-        let (cell, key) = (t.cell.map(CellId), t.key.map(KeyId));
-        let stream_type = StreamTypeId(stream_type);
-        self.events.push(Event::Taken(Request {
+        let (shard, key) = (t.shard.map(ShardId), t.key.map(KeyId));
+        let traffic_class = TrafficClassId(traffic_class);
+        self.events.push(Event::RequestReceived(Request {
             id,
             units,
-            cell,
-            stream_type,
+            shard,
+            traffic_class,
             plan,
             hosts,
             key,
-            expiry,
+            deadline,
             volume,
         }));
         let open = Open {
@@ -827,7 +839,7 @@
             take: t,
             plan,
             taken,
-            expiry,
+            deadline,
             over: false,
             unsure: false,
             attempts: 0,
@@ -837,26 +849,29 @@
     }
 
     /// A request of a volume that this host does not serve never runs here.
-    fn not_here(&mut self, conn: ConnId, t: pb::Take, standing: Standing) {
+    fn not_here(&mut self, conn: ConnId, t: pb::SubmitRequest, standing: Standing) {
         self.counts.turned_away += 1;
         // Elsewhere, or later, it may; of a volume that is no more there is nothing to come back for.
         let outcome = match standing {
             Standing::Nowhere => pb::Outcome::Abandoned,
             _ => pb::Outcome::Deferred,
         };
-        let come_back = Turned::Draining
-            .come_back()
-            .min(self.settings.caps.come_back.unwrap_or_default());
-        let come_back =
-            (outcome == pb::Outcome::Deferred && !come_back.is_zero()).then_some(come_back);
-        let come_back_us = come_back.map(clock::micros);
+        let retry_after = Turned::Draining.retry_after().min(
+            self.settings
+                .host_limits
+                .max_retry_after
+                .unwrap_or_default(),
+        );
+        let retry_after =
+            (outcome == pb::Outcome::Deferred && !retry_after.is_zero()).then_some(retry_after);
+        let retry_after_us = retry_after.map(clock::micros);
         self.answer(
             conn,
-            pb::Final {
+            pb::Response {
                 id: t.id,
                 outcome: outcome.into(),
-                come_back_us,
-                ..pb::Final::default()
+                retry_after_us,
+                ..pb::Response::default()
             },
         );
     }
@@ -874,7 +889,7 @@
         self.next = next;
         if let Some(sharing) = &mut self.sharing {
             for event in &mut self.events[from..] {
-                if let Event::Volume { volume, terms } = event {
+                if let Event::VolumeChanged { volume, terms } = event {
                     *terms = sharing.volume(
                         *volume,
                         *terms,
@@ -977,11 +992,11 @@
     fn wished(&mut self, nodes: &[NodeId], how: &str, wished: impl Fn(&Self, NodeId) -> bool) {
         let entry = |node: &NodeId| {
             let k = self.listing.nodes.get(node)?;
-            let (zone, cell, started) = (k.zone, k.cell, k.started);
+            let (zone, shard, started) = (k.zone, k.shard, k.started);
             Some(Endpoint {
                 node: *node,
                 zone,
-                cell,
+                shard,
                 state: self.state_of(*node, k.state),
                 started,
             })
@@ -1024,33 +1039,35 @@
         let attempts: Vec<AttemptId> = pool.waiting.iter().chain(on_conns).copied().collect();
         for attempt in attempts {
             if self.unsend(attempt) {
-                self.end_attempt(attempt, AttemptOutcome::Moot, self.now, None);
+                self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None);
             }
         }
     }
 
-    fn answer(&mut self, conn: ConnId, told: pb::Final) {
+    fn answer(&mut self, conn: ConnId, told: pb::Response) {
         let Some(client) = self.clients.get(&conn) else {
             return;
         };
-        client.outbox.put(frame(Body::Final(told)));
+        client.outbox.put(frame(Body::Response(told)));
         // A client that never reads must not hold our memory; its requests are then nobody's.
-        if client.outbox.bytes() > self.bounds().most_unread {
+        if client.outbox.bytes() > self.bounds().max_unread {
             self.throw_out(conn, "client leaves its answers unread");
         }
     }
 
     /// The one place where a request gets its final answer.
-    fn finish(&mut self, id: RequestId, outcome: pb::Outcome, told: pb::Final) {
+    fn finish(&mut self, id: RequestId, outcome: pb::Outcome, told: pb::Response) {
         let Some(x) = self.requests.get_mut(&id).filter(|x| !x.over) else {
             return;
         };
         x.over = true;
         let (client, wire_id, mut unsure) = (x.client, x.take.id.clone(), x.unsure);
         if outcome == pb::Outcome::Done && !self.watchers.is_empty() {
-            let slo = self.settings.streams[x.take.stream_type as usize].facts.slo;
+            let latency_objective = self.settings.traffic_classes[x.take.traffic_class as usize]
+                .facts
+                .latency_objective;
             self.service
-                .done(x.taken, &x.take, self.now <= x.taken + slo);
+                .done(x.taken, &x.take, self.now <= x.taken + latency_objective);
         }
         match outcome {
             pb::Outcome::Done => self.counts.done += 1,
@@ -1066,7 +1083,7 @@
         unsure = outcome != pb::Outcome::Done && (unsure || !crossed.is_empty());
         self.answer(
             client,
-            pb::Final {
+            pb::Response {
                 id: wire_id,
                 outcome: outcome.into(),
                 unsure,
@@ -1074,7 +1091,7 @@
             },
         );
         back.into_iter()
-            .for_each(|attempt| self.end_attempt(attempt, AttemptOutcome::Moot, self.now, None));
+            .for_each(|attempt| self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None));
         self.settle(id);
     }
 
@@ -1086,7 +1103,7 @@
         };
         for attempt in x.out.clone() {
             if self.unsend(attempt) {
-                self.end_attempt(attempt, AttemptOutcome::Moot, self.now, None);
+                self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None);
             }
         }
         if self.requests.get(&id).is_some_and(|x| x.out.is_empty()) {
@@ -1103,7 +1120,7 @@
             return;
         };
         x.over = true;
-        self.events.push(Event::Withdrawn { id });
+        self.events.push(Event::RequestCancelled { id });
         self.settle(id);
     }
 
@@ -1165,11 +1182,11 @@
         );
         *self.out_at.entry(node).or_default() += 1;
         if x.over {
-            return self.end_attempt(attempt, AttemptOutcome::Moot, now, None);
+            return self.end_attempt(attempt, AttemptOutcome::NotSent, now, None);
         }
         let listed = self.listing.nodes.get(&node).map(|k| k.state);
         if listed.is_none_or(|listed| self.state_of(node, listed) != NodeState::Ready) {
-            return self.end_attempt(attempt, AttemptOutcome::Moot, now, None);
+            return self.end_attempt(attempt, AttemptOutcome::NotSent, now, None);
         }
         self.times.insert((until, attempt));
         let (per, most) = (
@@ -1194,8 +1211,8 @@
                 .is_some_and(|l| l.conn.is_none())
         {
             // Until as many dials as may be made at a time have had theirs, it is the dial and not the node.
-            let at = now + self.handshake * (MOST_LATE as u32 + 1);
-            self.events.push(Event::Crosses { id, node, at });
+            let at = now + self.handshake * (MAX_LATE as u32 + 1);
+            self.events.push(Event::AttemptSent { id, node, at });
         }
     }
 
@@ -1232,7 +1249,7 @@
             l.conn = Some(conn);
             // What it waited for a connection is no word on what its node can do.
             if std::mem::replace(&mut l.sent, self.now) < self.now {
-                self.events.push(Event::Crosses {
+                self.events.push(Event::AttemptSent {
                     id: l.id,
                     node,
                     at: self.now,
@@ -1245,7 +1262,7 @@
                 id: t.id.clone(),
                 number: l.number,
                 node: node.0,
-                stream_type: t.stream_type,
+                traffic_class: t.traffic_class,
                 plan: plan.0 as u32,
                 plan_rate: self.plans.rate(plan),
                 volume: t.volume,
@@ -1312,7 +1329,7 @@
         self.out_at.entry(l.node).and_modify(|n| *n -= 1);
         if matches!(
             end,
-            AttemptOutcome::TimeOut | AttemptOutcome::Cancelled | AttemptOutcome::Reset
+            AttemptOutcome::TimedOut | AttemptOutcome::Cancelled | AttemptOutcome::ConnectionReset
         ) {
             let until = self.now + self.longest;
             self.unsure
@@ -1341,7 +1358,9 @@
             x.out.retain(|o| *o != attempt);
             x.unsure |= matches!(
                 end,
-                AttemptOutcome::TimeOut | AttemptOutcome::Cancelled | AttemptOutcome::Reset
+                AttemptOutcome::TimedOut
+                    | AttemptOutcome::Cancelled
+                    | AttemptOutcome::ConnectionReset
             );
         }
         let told = answer.unwrap_or_default();
@@ -1350,18 +1369,18 @@
             let x = self
                 .requests
                 .get(&id)
-                .filter(|_| end == AttemptOutcome::Done);
+                .filter(|_| end == AttemptOutcome::Completed);
             x.into_iter()
                 .for_each(|x| sharing.did(x.take.volume, x.take.units));
         }
-        if end == AttemptOutcome::Done && !self.watchers.is_empty() {
+        if end == AttemptOutcome::Completed && !self.watchers.is_empty() {
             let units = self.requests.get(&id).map_or(0.0, |x| x.take.units);
             self.service.done_at(node, units);
         }
-        if end == AttemptOutcome::Done {
-            let cell = self.listing.nodes.get(&node).map(|k| k.cell.0);
-            let done = pb::Final {
-                cell,
+        if end == AttemptOutcome::Completed {
+            let shard = self.listing.nodes.get(&node).map(|k| k.shard.0);
+            let done = pb::Response {
+                shard,
                 data: told.data,
                 superseded: told.superseded,
                 ..Default::default()
@@ -1378,19 +1397,19 @@
                 }
                 _ => percent,
             });
-        self.events.push(Event::AttemptEnded {
+        self.events.push(Event::AttemptEnded(AttemptEnd {
             id,
             attempt: l.number,
             node,
-            end,
+            outcome: end,
             elapsed,
-            over,
+            answered: over,
             reported,
             others: told.others,
             busy: told.busy,
-        });
+        }));
         self.settle(id);
-        let given_up = matches!(end, AttemptOutcome::TimeOut | AttemptOutcome::Cancelled);
+        let given_up = matches!(end, AttemptOutcome::TimedOut | AttemptOutcome::Cancelled);
         let cut = |c: &NodeConn| given_up || c.outbox.as_ref().is_some_and(|o| o.is_closed());
         let cut = l
             .conn
@@ -1404,9 +1423,9 @@
         while let Some(&(at, attempt)) = self.times.first().filter(|t| t.0 <= self.now) {
             self.times.remove(&(at, attempt));
             let end = if self.unsend(attempt) {
-                AttemptOutcome::Moot
+                AttemptOutcome::NotSent
             } else {
-                AttemptOutcome::TimeOut
+                AttemptOutcome::TimedOut
             };
             self.end_attempt(attempt, end, self.now, None);
         }
@@ -1426,7 +1445,7 @@
             return;
         };
         if self.unsend(attempt) {
-            return self.end_attempt(attempt, AttemptOutcome::Moot, self.now, None);
+            return self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None);
         }
         let conn = self.attempts.get(&attempt).and_then(|l| l.conn);
         if let Some(outbox) = conn
@@ -1456,14 +1475,14 @@
                     return;
                 }
                 let end = match a.result() {
-                    pb::Result::Ok => AttemptOutcome::Done,
-                    pb::Result::Full => AttemptOutcome::Full,
-                    pb::Result::WrongNode | pb::Result::Expired => AttemptOutcome::Moot,
-                    pb::Result::Error | pb::Result::Unknown => AttemptOutcome::Error,
+                    pb::Result::Ok => AttemptOutcome::Completed,
+                    pb::Result::Full => AttemptOutcome::QueueFull,
+                    pb::Result::WrongNode | pb::Result::Expired => AttemptOutcome::NotSent,
+                    pb::Result::Error | pb::Result::Unknown => AttemptOutcome::Failed,
                 };
                 self.end_attempt(attempt, end, at, Some(a));
             }
-            Some(Body::Begun(b)) => {
+            Some(Body::ResponseStarted(b)) => {
                 let attempt = AttemptId(b.attempt);
                 let Some(l) = self
                     .attempts
@@ -1476,7 +1495,7 @@
                 self.times.remove(&(l.until, attempt));
                 l.until = Duration::MAX;
                 let (id, number) = (l.id, l.number);
-                self.events.push(Event::Begun {
+                self.events.push(Event::ResponseStarted {
                     id,
                     attempt: number,
                 });
@@ -1485,21 +1504,21 @@
                     .get(&id)
                     .and_then(|x| Some((x, self.clients.get(&x.client)?)));
                 if let Some((x, c)) = client {
-                    let begun = pb::Begun {
+                    let begun = pb::ResponseStarted {
                         attempt: 0,
                         id: x.take.id.clone(),
                     };
-                    c.outbox.put(frame(Body::Begun(begun)));
+                    c.outbox.put(frame(Body::ResponseStarted(begun)));
                 }
             }
-            Some(Body::Probed(p)) => {
+            Some(Body::HealthCheckResult(p)) => {
                 if let Some((node, _)) = self.probes.remove(&p.probe) {
-                    let end = if p.result() == pb::Result::Ok {
-                        AttemptOutcome::Done
+                    let outcome = if p.result() == pb::Result::Ok {
+                        AttemptOutcome::Completed
                     } else {
-                        AttemptOutcome::Error
+                        AttemptOutcome::Failed
                     };
-                    self.events.push(Event::Probed { node, end });
+                    self.events.push(Event::HealthChecked { node, outcome });
                 }
             }
             Some(Body::GoingAway(_)) => {
@@ -1543,9 +1562,9 @@
             self.end_attempt(
                 attempt,
                 if unsent {
-                    AttemptOutcome::NoConnection
+                    AttemptOutcome::ConnectFailed
                 } else {
-                    AttemptOutcome::Reset
+                    AttemptOutcome::ConnectionReset
                 },
                 self.now,
                 None,
@@ -1561,9 +1580,9 @@
             .map(|(_, (node, _))| node)
             .collect::<Vec<_>>()
         {
-            self.events.push(Event::Probed {
+            self.events.push(Event::HealthChecked {
                 node: probe,
-                end: AttemptOutcome::Reset,
+                outcome: AttemptOutcome::ConnectionReset,
             });
         }
         self.serve(node);
@@ -1631,7 +1650,7 @@
                 (Step::Fail, _) | (Step::Dial, None) => {
                     for attempt in waiting {
                         self.counts.unsent += 1;
-                        self.end_attempt(attempt, AttemptOutcome::NoConnection, self.now, None);
+                        self.end_attempt(attempt, AttemptOutcome::ConnectFailed, self.now, None);
                     }
                 }
             }
@@ -1723,12 +1742,12 @@
             .find_map(|c| Some((c, self.conns.get(&c)?.outbox.clone()?)));
         match up {
             Some((conn, outbox)) => {
-                outbox.put(frame(Body::Probe(pb::Probe { probe })));
+                outbox.put(frame(Body::HealthCheck(pb::HealthCheck { probe })));
                 self.probes.insert(probe, (node, conn));
             }
-            None => self.events.push(Event::Probed {
+            None => self.events.push(Event::HealthChecked {
                 node,
-                end: AttemptOutcome::NoConnection,
+                outcome: AttemptOutcome::ConnectFailed,
             }),
         }
     }
@@ -1881,14 +1900,16 @@
 
     fn sweep(&mut self) {
         self.sweep_at = self.now + SWEEP;
-        let since = self.now.saturating_sub(self.bounds().linger);
+        let since = self.now.saturating_sub(self.bounds().max_dispatch_delay);
         let mut stale: Vec<AttemptId> = Vec::new();
         for c in self.conns.values().filter(|c| !c.attempts.is_empty()) {
             stale.extend(c.outbox.iter().flat_map(|o| o.stale(since, self.now)));
         }
-        let dialled = self
-            .now
-            .saturating_sub(self.bounds().dial_timeout.max(self.bounds().linger));
+        let dialled = self.now.saturating_sub(
+            self.bounds()
+                .dial_timeout
+                .max(self.bounds().max_dispatch_delay),
+        );
         for pool in self.pools.values().filter(|p| !p.waiting.is_empty()) {
             let old = pool
                 .waiting
@@ -1906,9 +1927,9 @@
                 .get(&attempt)
                 .is_some_and(|l| l.until > self.now);
             let end = if timely {
-                AttemptOutcome::NoConnection
+                AttemptOutcome::ConnectFailed
             } else {
-                AttemptOutcome::Moot
+                AttemptOutcome::NotSent
             };
             self.end_attempt(attempt, end, self.now, None);
         }
@@ -1938,7 +1959,7 @@
 
     /// Tells the state service what has changed of how this host sees nodes.
     fn tell_sights(&mut self) {
-        let Some(follows) = self.plans.follow().map(|f| f.ledger().version().0) else {
+        let Some(follows) = self.plans.follow().map(|f| f.catalog().version().0) else {
             return;
         };
         if !self.plans.is_up() {
@@ -1995,7 +2016,7 @@
                 extents: self
                     .holds
                     .as_ref()
-                    .map(|h| h.get(&k.cell.0).copied().unwrap_or(0)),
+                    .map(|h| h.get(&k.shard.0).copied().unwrap_or(0)),
             }
         });
         let nodes = self.sights.news(rows.collect::<Vec<_>>());
@@ -2027,7 +2048,7 @@
             stalls: c.stalls,
             draining: self.draining.is_some(),
             leased: self.plans.follow().is_some_and(|f| f.leased()),
-            follows: self.plans.follow().map_or(0, |f| f.ledger().version().0),
+            follows: self.plans.follow().map_or(0, |f| f.catalog().version().0),
             longest_us: clock::micros(self.longest),
             ..pb::Figures::default()
         };
@@ -2040,7 +2061,7 @@
         let unread: Vec<ConnId> = self
             .watchers
             .iter()
-            .filter(|(_, o)| o.bytes() > MOST_UNREAD)
+            .filter(|(_, o)| o.bytes() > MAX_UNREAD)
             .map(|w| *w.0)
             .collect();
         unread
@@ -2053,26 +2074,26 @@
 
     fn act(&mut self, action: Action) {
         match action {
-            Action::Send { id, node, until } => self.send(id, node, until),
-            Action::Defer { id, come_back } => {
-                let come_back_us = come_back.map(clock::micros);
+            Action::SendAttempt { id, node, deadline } => self.send(id, node, deadline),
+            Action::Reject { id, retry_after } => {
+                let retry_after_us = retry_after.map(clock::micros);
                 self.finish(
                     id,
                     pb::Outcome::Deferred,
-                    pb::Final {
-                        come_back_us,
+                    pb::Response {
+                        retry_after_us,
                         ..Default::default()
                     },
                 );
             }
-            Action::Abandon { id } => self.finish(id, pb::Outcome::Abandoned, pb::Final::default()),
+            Action::Fail { id } => self.finish(id, pb::Outcome::Abandoned, pb::Response::default()),
             Action::CancelAttempt { id, attempt } => self.cancel(id, attempt),
-            Action::Timer { after, tag } => {
+            Action::SetTimer { after, tag } => {
                 self.timers.insert((self.now + after, tag.0));
             }
-            Action::Probe { node } => self.probe(node),
-            Action::CloseIdle { node } => self.close_idle(node, self.now),
-            Action::Tell { to, bytes } => self.out.push(Output::Tell { to, bytes }),
+            Action::HealthCheck { node } => self.probe(node),
+            Action::CloseIdleConnections { node } => self.close_idle(node, self.now),
+            Action::SendToPeer { to, bytes } => self.out.push(Output::Tell { to, bytes }),
             Action::Log { text } => self.note(text),
             Action::WatchEndpoints { on } => {
                 self.list.wanted.push(Body::Watch(pb::Watch { on }));
@@ -2094,7 +2115,7 @@
         let longest = self
             .requests
             .values()
-            .map(|x| x.expiry)
+            .map(|x| x.deadline)
             .max()
             .unwrap_or(self.now);
         self.draining = Some(longest + self.bounds().patience);
--- a/crates/host/src/desk/tests.rs
+++ b/crates/host/src/desk/tests.rs
@@ -43,12 +43,12 @@
     let attempt = r.attempts(conn)[0].attempt;
     r.frames(
         conn,
-        Body::Begun(pb::Begun {
+        Body::ResponseStarted(pb::ResponseStarted {
             attempt,
             ..Default::default()
         }),
     );
-    assert!(matches!(&r.cross(CLIENT)[..], [Body::Begun(b)] if b.id[0] == 1));
+    assert!(matches!(&r.cross(CLIENT)[..], [Body::ResponseStarted(b)] if b.id[0] == 1));
     r.wait(ms(4000));
     assert_eq!(r.finals(), [], "it belongs to the client");
     r.node_answers(conn, attempt, pb::Result::Ok);
@@ -58,41 +58,41 @@
 #[test]
 fn a_probe_goes_out_where_there_is_a_connection_and_idle_ones_close() {
     let mut r = Rig::with("");
-    r.desk.act(Action::Probe { node: NodeId(1) });
+    r.desk.act(Action::HealthCheck { node: NodeId(1) });
     assert!(matches!(
         r.desk.events[..],
-        [Event::Probed {
-            end: AttemptOutcome::NoConnection,
+        [Event::HealthChecked {
+            outcome: AttemptOutcome::ConnectFailed,
             ..
         }]
     ));
     r.take(1, 0);
     let conn = r.connect();
     let attempt = r.attempts(conn)[0].attempt;
-    r.desk.act(Action::CloseIdle { node: NodeId(1) });
+    r.desk.act(Action::CloseIdleConnections { node: NodeId(1) });
     assert!(!r.boxes[&conn].is_closed(), "a leg is out");
     r.node_answers(conn, attempt, pb::Result::Ok);
-    r.desk.act(Action::Probe { node: NodeId(1) });
+    r.desk.act(Action::HealthCheck { node: NodeId(1) });
     let probe = match &r.cross(conn)[..] {
-        [Body::Probe(p)] => p.probe,
+        [Body::HealthCheck(p)] => p.probe,
         other => panic!("{other:?}"),
     };
     r.frames(
         conn,
-        Body::Probed(pb::Probed {
+        Body::HealthCheckResult(pb::HealthCheckResult {
             probe,
             result: pb::Result::Ok.into(),
         }),
     );
     assert!(r.desk.probes.is_empty());
-    r.desk.act(Action::CloseIdle { node: NodeId(1) });
+    r.desk.act(Action::CloseIdleConnections { node: NodeId(1) });
     assert!(r.boxes[&conn].is_closed());
 }
 
 #[test]
 fn words_go_to_one_host_or_all_and_are_heard() {
     let mut r = Rig::with("");
-    r.desk.act(Action::Tell {
+    r.desk.act(Action::SendToPeer {
         to: Some(PeerId(2)),
         bytes: b"hi".to_vec(),
     });
--- a/crates/host/src/figures.rs
+++ b/crates/host/src/figures.rs
@@ -7,12 +7,12 @@
 //! times count from when a request was taken here: a client's later try is one of its own to us, since
 //! nobody tells us of its first.
 //!
-//! Memory: a record for each volume, cell and second of which something changed since the last figures, and
+//! Memory: a record for each volume, shard and second of which something changed since the last figures, and
 //! of the nodes what was last told.
 
 use grebecleat::control::Control;
 use grebecleat::figures::{HeldFigures, NodeFigures};
-use grebecleat::interface::{NodeId, NodeState, Rejection};
+use grebecleat::interface::{BlockReason, NodeId, NodeState};
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
 use std::collections::{BTreeMap, HashMap};
@@ -38,15 +38,15 @@
         self.told.clear();
     }
 
-    fn key(taken: Duration, t: &pb::Take) -> Key {
-        (taken.as_secs(), t.volume, t.cell)
+    fn key(taken: Duration, t: &pb::SubmitRequest) -> Key {
+        (taken.as_secs(), t.volume, t.shard)
     }
 
-    pub fn took(&mut self, taken: Duration, t: &pb::Take) {
+    pub fn took(&mut self, taken: Duration, t: &pb::SubmitRequest) {
         self.counts.entry(Service::key(taken, t)).or_default().0 += t.units;
     }
 
-    pub fn done(&mut self, taken: Duration, t: &pb::Take, timely: bool) {
+    pub fn done(&mut self, taken: Duration, t: &pb::SubmitRequest, timely: bool) {
         let counts = self.counts.entry(Service::key(taken, t)).or_default();
         match timely {
             true => counts.1 += t.units,
@@ -93,10 +93,10 @@
         let service = std::mem::take(&mut self.counts).into_iter();
         let service =
             service.map(
-                |((second, volume, cell), (asked, timely, late))| pb::ServiceFigure {
+                |((second, volume, shard), (asked, timely, late))| pb::ServiceFigure {
                     second,
                     volume,
-                    cell,
+                    shard,
                     asked,
                     timely,
                     late,
@@ -149,22 +149,22 @@
 }
 
 fn held_pb(h: &HeldFigures, now: Duration) -> pb::HeldFigure {
-    let bar = match h.rejection {
-        Rejection::Spacing => pb::BarKind::Spacing,
-        Rejection::Turn => pb::BarKind::Turn,
-        Rejection::Budget => pb::BarKind::Budget,
-        Rejection::Limit => pb::BarKind::Limit,
-        Rejection::Cold => pb::BarKind::Cold,
-        Rejection::Idempotency => pb::BarKind::Repeat,
-        Rejection::Share => pb::BarKind::Share,
-        Rejection::Ease => pb::BarKind::Ease,
-        Rejection::Room => pb::BarKind::Room,
-        Rejection::Nowhere => pb::BarKind::Nowhere,
+    let block_reason = match h.rejection {
+        BlockReason::RetryDelay => pb::BlockReason::RetryDelay,
+        BlockReason::KeyOrder => pb::BlockReason::KeyOrder,
+        BlockReason::RetryBudget => pb::BlockReason::RetryBudget,
+        BlockReason::RateLimit => pb::BlockReason::RateLimit,
+        BlockReason::SlowStart => pb::BlockReason::SlowStart,
+        BlockReason::Idempotency => pb::BlockReason::Idempotency,
+        BlockReason::Share => pb::BlockReason::Share,
+        BlockReason::Throttled => pb::BlockReason::Throttled,
+        BlockReason::Concurrency => pb::BlockReason::Concurrency,
+        BlockReason::NoCapacity => pb::BlockReason::NoCapacity,
     };
     pb::HeldFigure {
         volume: h.volume.0,
         node: h.node.map(|n| n.0),
-        bar: bar.into(),
+        block_reason: block_reason.into(),
         requests: h.requests as u32,
         since_us: micros(now.saturating_sub(h.since)),
     }
--- a/crates/host/src/following.rs
+++ b/crates/host/src/following.rs
@@ -5,12 +5,12 @@
 //! [`grebecleat_plans::follow`]; here is only when to dial again, and the putting together of answers that
 //! come in parts. A host without a state service serves what its settings say, for good.
 //!
-//! Memory: the ledger of volumes that work through this host, and one answer being put together, of at most
+//! Memory: the catalog of volumes that work through this host, and one answer being put together, of at most
 //! [`MOST_PARTS`] records.
 
 use crate::desk::ConnId;
 use crate::outbox::Outbox;
-use grebecleat::interface::{Event, Plan, PlanId, Terms, VolumeId};
+use grebecleat::interface::{Event, LimitQuota, Plan, PlanId, VolumeId, VolumeTerms};
 use grebecleat_plans::changes::{self, Name, Version};
 use grebecleat_plans::follow::{self, Action, Came, Follow, Start};
 use grebecleat_plans::source::{Call, Era};
@@ -29,7 +29,7 @@
 /// A dial that reports nothing is given up after this.
 const DIAL: Duration = Duration::from_secs(2);
 /// Records of one answer. A service that sends more is not believed.
-const MOST_PARTS: usize = 20_000_000;
+const MAX_PARTS: usize = 20_000_000;
 
 /// How a volume stands here.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -69,7 +69,7 @@
     plans: HashMap<Name, PlanId>,
     /// By plan, units a second.
     rates: Vec<f64>,
-    /// Of the ledger when drains were last looked at.
+    /// Of the catalog when drains were last looked at.
     drains_of: Version,
     volumes: HashMap<VolumeId, (PlanId, usize, bool)>,
 }
@@ -105,7 +105,7 @@
 
     /// What a state service says, and was last known to say.
     pub fn of(s: &Settings, host: &str, start: Start, seed: u64) -> Self {
-        let follow = Some(Follow::new(host.into(), start, s.bounds.linger));
+        let follow = Some(Follow::new(host.into(), start, s.bounds.max_dispatch_delay));
         let (rng, volumes) = (Pcg64Mcg::seed_from_u64(seed), HashMap::new());
         Following {
             follow,
@@ -144,7 +144,7 @@
     pub fn drained(&self) -> Vec<u32> {
         let follow = self.follow.iter();
         follow
-            .flat_map(|f| f.ledger().drains())
+            .flat_map(|f| f.catalog().drains())
             .filter(|(_, d)| d.holds())
             .map(|(node, _)| node)
             .collect()
@@ -155,7 +155,7 @@
         let version = self
             .follow
             .as_ref()
-            .map_or(Version(0), |f| f.ledger().version());
+            .map_or(Version(0), |f| f.catalog().version());
         std::mem::replace(&mut self.drains_of, version) != version
     }
 
@@ -233,7 +233,7 @@
             }
             _ => f,
         };
-        if whole.state.len() + whole.entries.len() > MOST_PARTS {
+        if whole.state.len() + whole.entries.len() > MAX_PARTS {
             return Err("the state service sends more than anybody could mean".into());
         }
         if more {
@@ -332,14 +332,14 @@
                     self.put(body);
                 }
                 Action::Keep(k) => {
-                    let ledger = self.follow.as_ref().expect("looked at above").ledger();
+                    let catalog = self.follow.as_ref().expect("looked at above").catalog();
                     let mut keeps = vec![Keep::Era(k.era)];
                     if k.whole {
                         let (version, trail) =
-                            (ledger.version(), ledger.trail().cloned().collect());
+                            (catalog.version(), catalog.trail().cloned().collect());
                         keeps.push(Keep::Whole {
                             version,
-                            state: ledger.state().collect(),
+                            state: catalog.state().collect(),
                             trail,
                         });
                     } else {
@@ -373,7 +373,7 @@
             weight: p.weight,
             price: p.price,
         };
-        Event::Plan { plan: id, facts }
+        Event::PlanChanged { plan: id, facts }
     }
 
     fn volume(&mut self, volume: VolumeId, terms: Option<follow::Terms>) -> Event {
@@ -382,22 +382,25 @@
             match self
                 .follow
                 .as_ref()
-                .and_then(|f| f.ledger().volume(volume.0))
+                .and_then(|f| f.catalog().volume(volume.0))
             {
                 Some(_) => _ = self.volumes.insert(volume, (PlanId(0), 0, false)),
                 None => _ = self.volumes.remove(&volume),
             }
-            return Event::Volume {
+            return Event::VolumeChanged {
                 volume,
                 terms: None,
             };
         };
         let plan = self.plans.get(&t.plan).copied().unwrap_or(PlanId(0));
         self.volumes.insert(volume, (plan, t.hosts, true));
-        let limit = t.part.map(|p| (p.rate, p.burst));
-        Event::Volume {
+        let limit = t.part.map(|p| LimitQuota {
+            rate: p.rate,
+            burst: p.burst,
+        });
+        Event::VolumeChanged {
             volume,
-            terms: Some(Terms {
+            terms: Some(VolumeTerms {
                 plan,
                 hosts: t.hosts,
                 limit,
--- a/crates/host/src/listing.rs
+++ b/crates/host/src/listing.rs
@@ -4,7 +4,7 @@
 //! by what the messages waited. Each start of a node therefore keeps the moment reckoned first, or the
 //! decisions would see a restart in every list.
 
-use grebecleat::interface::{CellId, Endpoint, NodeId, NodeState, ZoneId};
+use grebecleat::interface::{Endpoint, NodeId, NodeState, ShardId, ZoneId};
 use grebecleat_wire::{clock, frame, pb};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,7 +16,7 @@
     pub state: NodeState,
     pub start: u64,
     pub zone: ZoneId,
-    pub cell: CellId,
+    pub shard: ShardId,
     pub started: Option<Duration>,
     /// Of the list that told it; 0: it is remembered.
     pub revision: u64,
@@ -46,14 +46,14 @@
             .get(&node)
             .filter(|k| k.start == e.start && k.started.is_some());
         let started = before.map_or(reckoned, |k| k.started);
-        let (zone, cell) = (ZoneId(e.zone), CellId(e.cell));
+        let (zone, shard) = (ZoneId(e.zone), ShardId(e.shard));
         let address = e.address.parse().ok();
         let known = Known {
             address,
             state,
             start: e.start,
             zone,
-            cell,
+            shard,
             started,
             revision,
         };
@@ -61,7 +61,7 @@
         Some(Endpoint {
             node,
             zone,
-            cell,
+            shard,
             state,
             started,
         })
@@ -90,7 +90,7 @@
         let endpoints = there.map(|(id, k)| pb::Endpoint {
             node: id.0,
             zone: k.zone.0,
-            cell: k.cell.0,
+            shard: k.shard.0,
             state: if k.state == NodeState::Ready {
                 pb::NodeState::Ready
             } else {
--- a/crates/host/src/listing/tests.rs
+++ b/crates/host/src/listing/tests.rs
@@ -21,7 +21,7 @@
     assert_eq!(l.read(&entry(2, 0), s(12), 2).unwrap().started, Some(s(12)));
     let bytes = l.to_bytes(s(13));
     assert_eq!(
-        Listing::from_bytes(&bytes).unwrap().entries[0].up_us,
+        Listing::from_bytes(&bytes).unwrap().endpoints[0].up_us,
         Some(1_000_000)
     );
     assert!(Listing::from_bytes(&bytes[..bytes.len() - 1]).is_err());
--- a/crates/host/src/outbox.rs
+++ b/crates/host/src/outbox.rs
@@ -149,7 +149,7 @@
     /// What a client says as it is read, before its owner hears it.
     pub fn said(&self, frames: &[pb::Frame]) {
         for f in frames {
-            if let Some(Body::Withdraw(w)) = &f.body {
+            if let Some(Body::CancelRequest(w)) = &f.body {
                 self.lock().withdrawn.insert(w.id.clone());
             }
         }
--- a/crates/host/src/outbox/tests.rs
+++ b/crates/host/src/outbox/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_attempt_is_either_written_or_taken_back() {
+fn an_attempt_is_either_written_or_taken_back() {
     let out = Outbox::new(|| (), || ());
     (1..=4).for_each(|n| out.put_attempt(AttemptId(n), attempt(n), ms(n), ms(100)));
     assert!(out.revoke(AttemptId(2)) && !out.revoke(AttemptId(2)));
@@ -45,21 +45,21 @@
 
 /// The owner may have much to hear before it hears of a client's end; the writer does not wait for that.
 #[test]
-fn a_attempt_is_not_written_once_its_client_has_withdrawn_it_or_ended() {
+fn an_attempt_is_not_written_once_its_client_has_withdrawn_it_or_ended() {
     type Case = (&'static str, fn(&Outbox), bool);
     let id = bytes::Bytes::from_static(b"an id");
     let withdraws = |outbox: &Outbox| {
         let id = bytes::Bytes::from_static(b"an id");
         outbox.said(&[pb::Frame {
             sent_us: 0,
-            body: Some(Body::Withdraw(pb::Withdraw { id })),
+            body: Some(Body::CancelRequest(pb::CancelRequest { id })),
         }]);
     };
     let other = |outbox: &Outbox| {
         let id = bytes::Bytes::from_static(b"another");
         outbox.said(&[pb::Frame {
             sent_us: 0,
-            body: Some(Body::Withdraw(pb::Withdraw { id })),
+            body: Some(Body::CancelRequest(pb::CancelRequest { id })),
         }]);
     };
     let cases: [Case; 4] = [
--- a/crates/host/src/pool.rs
+++ b/crates/host/src/pool.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 
 const FIRST_WAIT: Duration = Duration::from_millis(20);
-const MOST_WAIT: Duration = Duration::from_millis(500);
+const MAX_WAIT: Duration = Duration::from_millis(500);
 /// Dials that are late, beside which another is made.
-pub const MOST_LATE: usize = 2;
+pub const MAX_LATE: usize = 2;
 
 /// What one look at the pool asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -73,7 +73,7 @@
                 ..
             } if up + dialling - late < want
                 && dialling - late < waiting.min(up.max(1))
-                && (late == 0 || late <= MOST_LATE && self.bad == 0)
+                && (late == 0 || late <= MAX_LATE && self.bad == 0)
                 && now >= self.not_before =>
             {
                 Step::Dial
@@ -90,7 +90,7 @@
     }
 
     pub fn failed(&mut self, now: Duration) {
-        let wait = (FIRST_WAIT * 2u32.pow(self.bad.min(8))).min(MOST_WAIT);
+        let wait = (FIRST_WAIT * 2u32.pow(self.bad.min(8))).min(MAX_WAIT);
         self.bad += 1;
         self.not_before = now + wait / 2 + wait.mul_f64(self.rng.random::<f64>() / 2.0);
     }
--- a/crates/host/src/pool/tests.rs
+++ b/crates/host/src/pool/tests.rs
@@ -51,7 +51,7 @@
     assert_eq!(pool.wanted(now, look(1, 0, 11, 1)), Step::Nothing);
     assert_eq!(pool.wanted(now + FIRST_WAIT, look(0, 0, 1, 1)), Step::Dial);
     (0..50).for_each(|_| pool.failed(now));
-    assert_eq!(pool.wanted(now + MOST_WAIT, look(0, 0, 1, 1)), Step::Dial);
+    assert_eq!(pool.wanted(now + MAX_WAIT, look(0, 0, 1, 1)), Step::Dial);
 }
 
 /// Attempts waited for a second and a half behind one dial, and its node was taken to be slow.
@@ -81,7 +81,7 @@
     for (present, failed, step) in cases {
         let mut pool = Pool::new(1, 8, 1);
         if failed {
-            pool.failed(now - MOST_WAIT);
+            pool.failed(now - MAX_WAIT);
         }
         assert_eq!(
             pool.wanted(now, present),
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -38,7 +38,7 @@
 /// Inputs that go into one step, so that a flood cannot keep timers waiting.
 const ONE_STEP: usize = 4096;
 /// Words that wait for one peer; more are lost.
-const MOST_WORDS: usize = 8;
+const MAX_WORDS: usize = 8;
 /// After a stall: time for the readers to bring what waits in the sockets.
 const CATCH_UP: Duration = Duration::from_millis(5);
 /// Numbers below are the desk's own connections, above it the listener's.
@@ -176,9 +176,9 @@
         let _ = self.to_owner.send(Input::Drain);
     }
 
-    /// How many extents lie in each cell, as far as this process knows.
-    pub fn holds(&self, cells: BTreeMap<u32, u64>) {
-        let _ = self.to_owner.send(Input::Holds { cells });
+    /// How many extents lie in each shard, as far as this process knows.
+    pub fn holds(&self, shards: BTreeMap<u32, u64>) {
+        let _ = self.to_owner.send(Input::Holds { shards });
     }
 }
 
@@ -264,7 +264,7 @@
         name: options.settings.hosts[options.host].name.clone(),
         // Another one at each start, also where the seed is given.
         incarnation: clock::now().as_nanos() as u64 ^ u64::from(std::process::id()) << 40,
-        most_frame: options.settings.bounds.most_frame as u32,
+        max_frame: options.settings.bounds.max_frame as u32,
     }
 }
 
@@ -448,11 +448,11 @@
         match listener.accept() {
             Ok((stream, _)) if shared.closing.load(Ordering::Relaxed) => drop(stream),
             Ok((stream, from)) => {
-                if shared.clients.fetch_add(1, Ordering::Relaxed) >= shared.bounds().most_clients {
+                if shared.clients.fetch_add(1, Ordering::Relaxed) >= shared.bounds().max_clients {
                     shared.clients.fetch_sub(1, Ordering::Relaxed);
                     warn!(
                         "{from} turned away: {} connections",
-                        shared.bounds().most_clients
+                        shared.bounds().max_clients
                     );
                     continue;
                 }
@@ -484,7 +484,7 @@
 fn serve_caller(shared: &Shared, conn: ConnId, stream: TcpStream) -> Result<(), String> {
     let (bounds, mut reader) = (
         shared.bounds(),
-        frame::Reader::new(shared.bounds().most_frame),
+        frame::Reader::new(shared.bounds().max_frame),
     );
     let mut stream = stream;
     let them = greet(&mut stream, &mut reader, &shared.me, bounds.patience)?;
@@ -509,7 +509,7 @@
                 for f in frames {
                     // What lay in a socket while either side stood still is that much older.
                     let waited = delay.waited(f.sent_us, at);
-                    let Some(Body::Word(w)) = f.body else {
+                    let Some(Body::GossipMessage(w)) = f.body else {
                         return Err("a host sent no word".into());
                     };
                     let _ = shared.to_owner.send(Input::Word {
@@ -534,7 +534,7 @@
 fn say(shared: &Shared, peer: PeerId, address: SocketAddr, word: &[u8]) {
     let mut talks = shared.talks.lock().unwrap_or_else(|e| e.into_inner());
     if let Some((waiting, to)) = talks.get(&peer) {
-        if waiting.load(Ordering::Acquire) >= MOST_WORDS {
+        if waiting.load(Ordering::Acquire) >= MAX_WORDS {
             return;
         }
         waiting.fetch_add(1, Ordering::AcqRel);
@@ -563,7 +563,7 @@
 ) -> Result<(), String> {
     let timeout = shared.bounds().dial_timeout;
     let mut stream = TcpStream::connect_timeout(&address, timeout).map_err(|e| e.to_string())?;
-    let mut reader = frame::Reader::new(shared.bounds().most_frame);
+    let mut reader = frame::Reader::new(shared.bounds().max_frame);
     greet(&mut stream, &mut reader, &shared.me, timeout)?;
     stream
         .set_write_timeout(Some(shared.bounds().patience))
@@ -571,7 +571,7 @@
     while let Ok(text) = words.recv_timeout(shared.bounds().idle) {
         waiting.fetch_sub(1, Ordering::AcqRel);
         let sent_us = clock::micros(clock::now());
-        let body = Some(Body::Word(pb::Word { text: text.into() }));
+        let body = Some(Body::GossipMessage(pb::GossipMessage { text: text.into() }));
         let mut bytes = Vec::new();
         frame::write(&pb::Frame { sent_us, body }, &mut bytes);
         stream.write_all(&bytes).map_err(|e| e.to_string())?;
@@ -633,7 +633,7 @@
     up: impl FnOnce(Arc<Outbox>) -> Input,
     frames: impl Fn(Duration, Vec<pb::Frame>) -> Input,
 ) -> Result<(), String> {
-    let mut reader = frame::Reader::new(shared.bounds().most_frame);
+    let mut reader = frame::Reader::new(shared.bounds().max_frame);
     let them = greet(&mut stream, &mut reader, &shared.me, timeout)?;
     if them.role() != role {
         return Err(format!(
--- a/crates/host/src/sharing.rs
+++ b/crates/host/src/sharing.rs
@@ -7,7 +7,9 @@
 //!
 //! Memory: the terms of each volume with a limit that is shared.
 
-use grebecleat::interface::{AttemptOutcome, Event, NodeId, PeerId, Plan, PlanId, Terms, VolumeId};
+use grebecleat::interface::{
+    AttemptOutcome, Event, LimitQuota, NodeId, PeerId, Plan, PlanId, VolumeId, VolumeTerms,
+};
 use grebecleat_fleet::budget::Spans;
 use grebecleat_fleet::fleet::{self, Action, Fleet, Rules};
 use grebecleat_fleet::judgement::Belief;
@@ -31,18 +33,19 @@
 pub struct Sharing {
     fleet: Fleet,
     /// A volume's terms without loans, and how much of its part of the limit this host may use.
-    terms: BTreeMap<VolumeId, (Terms, f64)>,
+    terms: BTreeMap<VolumeId, (VolumeTerms, f64)>,
     heard: Vec<fleet::Event>,
     avoided: BTreeSet<NodeId>,
 }
 
 /// A part of the rate; the burst stays, but for a host that must use nothing.
-fn limit_times(terms: Terms, times: f64) -> Terms {
+fn limit_times(terms: VolumeTerms, times: f64) -> VolumeTerms {
     let burst_times = f64::from(u8::from(times > 0.0));
-    Terms {
-        limit: terms
-            .limit
-            .map(|(rate, burst)| (rate * times, burst * burst_times)),
+    VolumeTerms {
+        limit: terms.limit.map(|quota| LimitQuota {
+            rate: quota.rate * times,
+            burst: quota.burst * burst_times,
+        }),
         ..terms
     }
 }
@@ -79,7 +82,7 @@
     pub fn declared(&mut self, s: &Settings) {
         for v in &s.volumes {
             let plan: &Plan = &s.plans[v.plan].facts;
-            let terms = Terms::even(PlanId(v.plan), plan, v.hosts.len());
+            let terms = VolumeTerms::even(PlanId(v.plan), plan, v.hosts.len());
             self.volume(
                 VolumeId(v.id),
                 Some(terms),
@@ -92,10 +95,10 @@
     pub fn volume(
         &mut self,
         volume: VolumeId,
-        terms: Option<Terms>,
+        terms: Option<VolumeTerms>,
         sharers: BTreeSet<HostNo>,
-    ) -> Option<Terms> {
-        let Some((terms, (rate, _))) = terms.and_then(|t| Some((t, t.limit?))) else {
+    ) -> Option<VolumeTerms> {
+        let Some((terms, quota)) = terms.and_then(|t| Some((t, t.limit?))) else {
             self.terms.remove(&volume);
             let (volume, sharers) = (volume.0, BTreeSet::new());
             self.heard.push(fleet::Event::Volume {
@@ -105,7 +108,7 @@
             });
             return terms;
         };
-        let limit = rate * terms.hosts.max(1) as f64;
+        let limit = quota.rate * terms.hosts.max(1) as f64;
         self.heard.push(fleet::Event::Volume {
             volume: volume.0,
             sharers,
@@ -141,12 +144,12 @@
     /// How an attempt ended; what says nothing of the node is no evidence.
     pub fn tried(&mut self, node: NodeId, end: AttemptOutcome) {
         let bad = match end {
-            AttemptOutcome::Done | AttemptOutcome::Full => false,
-            AttemptOutcome::Error
-            | AttemptOutcome::TimeOut
-            | AttemptOutcome::NoConnection
-            | AttemptOutcome::Reset => true,
-            AttemptOutcome::Cancelled | AttemptOutcome::Moot => return,
+            AttemptOutcome::Completed | AttemptOutcome::QueueFull => false,
+            AttemptOutcome::Failed
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::ConnectionReset => true,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return,
         };
         self.heard.push(fleet::Event::Tried { node: node.0, bad });
     }
@@ -231,7 +234,7 @@
                         continue;
                     };
                     *before = times;
-                    events.push(Event::Volume {
+                    events.push(Event::VolumeChanged {
                         volume,
                         terms: Some(limit_times(*terms, times)),
                     });
--- a/crates/host/src/sharing/tests.rs
+++ b/crates/host/src/sharing/tests.rs
@@ -2,20 +2,36 @@
 
 #[test]
 fn a_part_scales_the_rate_of_a_limit_and_nothing_else() {
-    let terms = Terms {
+    let terms = VolumeTerms {
         plan: PlanId(1),
         hosts: 4,
-        limit: Some((10.0, 20.0)),
+        limit: Some(LimitQuota {
+            rate: 10.0,
+            burst: 20.0,
+        }),
     };
     let half = limit_times(terms, 0.5);
     assert_eq!(
         (half.plan, half.hosts, half.limit),
-        (PlanId(1), 4, Some((5.0, 20.0)))
+        (
+            PlanId(1),
+            4,
+            Some(LimitQuota {
+                rate: 5.0,
+                burst: 20.0
+            })
+        )
+    );
+    assert_eq!(
+        limit_times(terms, 0.0).limit,
+        Some(LimitQuota {
+            rate: 0.0,
+            burst: 0.0
+        })
     );
-    assert_eq!(limit_times(terms, 0.0).limit, Some((0.0, 0.0)));
     assert_eq!(
         limit_times(
-            Terms {
+            VolumeTerms {
                 limit: None,
                 ..terms
             },
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -83,7 +83,7 @@
         Rig::started(
             more,
             Start {
-                ledger: Follow::ledger_of(facts),
+                catalog: Follow::catalog_of(facts),
                 ..Start::default()
             },
         )
@@ -156,25 +156,25 @@
         }
     }
 
-    pub fn take(&mut self, n: u8, stream_type: u32) {
-        let take = pb::Take {
+    pub fn take(&mut self, n: u8, traffic_class: u32) {
+        let take = pb::SubmitRequest {
             id: Bytes::from(vec![n; 36]),
             piece: Bytes::from(vec![n; 36]),
-            stream_type,
+            traffic_class,
             volume: 5,
-            cell: Some(1),
+            shard: Some(1),
             key: Some(9),
             units: 1.0,
             left_us: 2_000_000,
             ..Default::default()
         };
-        self.frames(CLIENT, Body::Take(take));
+        self.frames(CLIENT, Body::SubmitRequest(take));
     }
 
     pub fn withdraw(&mut self, n: u8) {
         self.frames(
             CLIENT,
-            Body::Withdraw(pb::Withdraw {
+            Body::CancelRequest(pb::CancelRequest {
                 id: Bytes::from(vec![n; 36]),
             }),
         );
@@ -212,11 +212,11 @@
         let ask = self.asks();
         let (conn, mut l) = (
             self.state.expect("dialled"),
-            Follow::ledger_of(facts(self.desk.settings())),
+            Follow::catalog_of(facts(self.desk.settings())),
         );
         l = l.restored(
-            self.desk.plans().ledger().version(),
-            self.desk.plans().ledger().state(),
+            self.desk.plans().catalog().version(),
+            self.desk.plans().catalog().state(),
             Vec::new(),
         );
         let mut entries = Vec::new();
@@ -295,7 +295,7 @@
         let finals = self.cross(CLIENT).into_iter();
         finals
             .filter_map(|b| {
-                if let Body::Final(f) = b {
+                if let Body::Response(f) = b {
                     Some((f.id[0], f.outcome()))
                 } else {
                     None
@@ -364,7 +364,7 @@
 pub fn list(endpoints: &[(u32, pb::NodeState)]) -> pb::EndpointUpdate {
     let entry = |(node, state): &(u32, pb::NodeState)| pb::Endpoint {
         node: *node,
-        cell: *node,
+        shard: *node,
         state: (*state).into(),
         address: "127.0.0.1:9".into(),
         start: 1,
--- a/crates/host/tests/desk.rs
+++ b/crates/host/tests/desk.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_attempt_in_the_send_buffer_never_crosses_after_its_node_drains() {
+fn an_attempt_in_the_send_buffer_never_crosses_after_its_node_drains() {
     for waits_for_connection in [true, false] {
         let mut r = Rig::with("");
         r.take(1, 1);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_attempt_in_the_send_buffer_never_crosses_after_its_expiry_and_is_answered_before_it() {
+fn an_attempt_in_the_send_buffer_never_crosses_after_its_deadline_and_is_answered_before_it() {
     let mut r = Rig::with("bounds(linger = s(10), dial_timeout = s(10))");
     r.take(1, 1);
     let conn = r.connect();
@@ -59,7 +59,7 @@
 /// A client that must not let a late effect pass unseen is told when there may be one.
 #[test]
 fn the_final_answer_tells_whether_an_effect_may_still_come() {
-    // What is done to the attempt before the expiry, and whether it may still run.
+    // What is done to the attempt before the deadline, and whether it may still run.
     type Case = (&'static str, fn(&mut Rig), bool);
     let cases: [Case; 4] = [
         ("it never crosses", |_| (), false),
@@ -100,7 +100,7 @@
             .cross(CLIENT)
             .into_iter()
             .filter_map(|b| match b {
-                Body::Final(f) => Some((f.outcome() == Done, f.unsure)),
+                Body::Response(f) => Some((f.outcome() == Done, f.unsure)),
                 _ => None,
             })
             .collect();
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_attempt_that_cannot_be_written_is_taken_back_after_a_while() {
+fn an_attempt_that_cannot_be_written_is_taken_back_after_a_while() {
     let mut r = Rig::with("legs(most = 1)\nbounds(linger = ms(100))");
     r.take(1, 1);
     let conn = r.connect();
@@ -121,13 +121,13 @@
 }
 
 #[test]
-fn a_attempt_whose_client_leaves_never_crosses() {
+fn an_attempt_whose_client_leaves_never_crosses() {
     let mut r = Rig::with("");
     r.take(1, 0);
     let conn = r.connect();
     r.frames(
         CLIENT,
-        Body::Withdraw(pb::Withdraw {
+        Body::CancelRequest(pb::CancelRequest {
             id: Bytes::from(vec![1; 36]),
         }),
     );
@@ -202,17 +202,17 @@
     let sent_us = r.now.as_micros() as u64;
     r.now += ms(1900);
     let id = Bytes::from(vec![2; 36]);
-    let take = pb::Take {
+    let take = pb::SubmitRequest {
         id,
         volume: 5,
         units: 1.0,
         left_us: 2_000_000,
-        cell: Some(2),
+        shard: Some(2),
         ..Default::default()
     };
     let frames = vec![pb::Frame {
         sent_us,
-        body: Some(Body::Take(take)),
+        body: Some(Body::SubmitRequest(take)),
     }];
     let at = r.now;
     r.feed(vec![Input::ClientFrames {
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn what_is_past_its_expiry_after_a_stall_is_answered_at_once() {
+fn what_is_past_its_deadline_after_a_stall_is_answered_at_once() {
     let mut r = Rig::with("");
     (1..=20).for_each(|n| r.take(n, 0));
     r.now += ms(5000);
@@ -302,7 +302,7 @@
 
 #[test]
 fn clients_that_make_no_sense_are_hung_up_on_one_by_one() {
-    let good = pb::Take {
+    let good = pb::SubmitRequest {
         id: Bytes::from(vec![1; 36]),
         volume: 5,
         units: 1.0,
@@ -310,23 +310,23 @@
         ..Default::default()
     };
     let cases = [
-        pb::Take {
+        pb::SubmitRequest {
             id: Bytes::from_static(b"short"),
             ..good.clone()
         },
-        pb::Take {
-            stream_type: 77,
+        pb::SubmitRequest {
+            traffic_class: 77,
             ..good.clone()
         },
-        pb::Take {
+        pb::SubmitRequest {
             volume: 6,
             ..good.clone()
         },
-        pb::Take {
+        pb::SubmitRequest {
             units: f64::NAN,
             ..good.clone()
         },
-        pb::Take {
+        pb::SubmitRequest {
             units: 1e300,
             ..good.clone()
         },
@@ -342,7 +342,7 @@
         r.take(9, 0);
         let frames = vec![pb::Frame {
             sent_us: 1,
-            body: Some(Body::Take(bad.clone())),
+            body: Some(Body::SubmitRequest(bad.clone())),
         }];
         r.feed(vec![Input::ClientFrames {
             conn: other,
--- a/crates/host/tests/ends.rs
+++ b/crates/host/tests/ends.rs
@@ -5,13 +5,13 @@
 use common::*;
 use grebecleat_host::desk::{ConnId, Input};
 use grebecleat_wire::pb::{self, frame::Body};
-use pb::EndpointUpdateKind::{Changes, Whole};
+use pb::EndpointUpdateKind::{Delta, Snapshot};
 use pb::NodeState::{Draining, Ready};
 use pb::Outcome::{Abandoned, Deferred, Done};
 
 /// What was written of it is in the node's hands, and the rest would follow whenever the node reads again.
 #[test]
-fn a_attempt_written_in_part_never_crosses_whatever_ends_it() {
+fn an_attempt_written_in_part_never_crosses_whatever_ends_it() {
     type Case = (&'static str, fn(&mut Rig), &'static [(u8, pb::Outcome)]);
     let cases: [Case; 4] = [
         ("it is withdrawn", |r| r.withdraw(1), &[]),
@@ -56,7 +56,7 @@
 
 /// A node may end a connection that stands idle just as an attempt is given to it: that says nothing of the node.
 #[test]
-fn a_attempt_given_to_a_connection_that_has_ended_goes_to_another_one_once() {
+fn an_attempt_given_to_a_connection_that_has_ended_goes_to_another_one_once() {
     let mut r = Rig::one_at_a_time("legs(most = 2)");
     r.take(1, 1);
     let conn = r.connect();
@@ -138,18 +138,18 @@
 fn the_former_list_is_heard_until_the_new_one_has_answered() {
     let mut r = Rig::one_at_a_time("");
     let old = r.list_up();
-    r.list_tells(old, Whole, &[(1, Ready), (2, Ready)]);
+    r.list_tells(old, Snapshot, &[(1, Ready), (2, Ready)]);
     r.feed(vec![Input::ListMoved]);
     let new = r.list_up();
     assert!(new != old && !r.boxes[&old].is_closed());
     // The new one has been called and is silent; what the old one tells counts.
-    r.list_tells(old, Changes, &[(1, Draining)]);
+    r.list_tells(old, Delta, &[(1, Draining)]);
     r.take(1, 1);
     assert_eq!((r.finals(), r.dialled.len()), (vec![(1, Deferred)], 0));
-    r.list_tells(new, Whole, &[(1, Ready), (2, Draining)]);
+    r.list_tells(new, Snapshot, &[(1, Ready), (2, Draining)]);
     assert!(r.boxes[&old].is_closed());
     // From now on the new one alone.
-    r.list_tells(old, Changes, &[(1, Draining)]);
+    r.list_tells(old, Delta, &[(1, Draining)]);
     r.wait(ms(500)); // a node that came back is sent to after a while
     r.take(2, 1);
     assert_eq!((r.finals(), r.dialled.len()), (vec![], 1));
@@ -236,7 +236,7 @@
     // The decisions will ask again; the list moves first, and is asked at once.
     r.feed(vec![Input::ListMoved]);
     let conn = r.list_up();
-    r.list_tells(conn, Whole, &[(1, Ready), (2, Ready)]);
+    r.list_tells(conn, Snapshot, &[(1, Ready), (2, Ready)]);
     r.wait(ms(2900));
     assert!(
         !r.boxes[&conn].is_closed(),
@@ -265,7 +265,7 @@
 
 /// A third of the connections came up late, and whatever a host had for their nodes waited behind one dial.
 #[test]
-fn a_attempt_does_not_wait_for_a_late_dial_alone() {
+fn an_attempt_does_not_wait_for_a_late_dial_alone() {
     let mut r = Rig::one_at_a_time("");
     r.take(1, 1);
     r.wait(ms(15));
--- a/crates/host/tests/explore.rs
+++ b/crates/host/tests/explore.rs
@@ -1,5 +1,5 @@
 //! Random walks through what clients, nodes, list and time can do to a desk, each from its seed, with what
-//! must hold in every one: one answer for each request, before its expiry; nothing crosses after the answer,
+//! must hold in every one: one answer for each request, before its deadline; nothing crosses after the answer,
 //! nor to a node that drains; a non-idempotent request never crosses again once it may have run; nothing is
 //! kept.
 
@@ -18,7 +18,7 @@
 #[derive(Default)]
 struct Seen {
     stream: u32,
-    expiry: Duration,
+    deadline: Duration,
     answers: Vec<Outcome>,
     withdrawn: bool,
     /// Attempts that crossed: their numbers, and whether an answer proved that they never ran.
@@ -43,10 +43,10 @@
                 .expect("only what was taken is answered");
             s.answers.push(outcome);
             assert!(
-                self.rig.now <= s.expiry,
+                self.rig.now <= s.deadline,
                 "{n} answered at {:?}, expiry {:?}",
                 self.rig.now,
-                s.expiry
+                s.deadline
             );
             assert!(!s.withdrawn, "{n} answered though its client had left it");
             let may_have_run = s.crossed.iter().any(|c| !c.1);
@@ -70,7 +70,7 @@
                 "a leg of {n} crosses after its end"
             );
             assert!(
-                self.rig.now < s.expiry,
+                self.rig.now < s.deadline,
                 "a leg of {n} crosses after its expiry"
             );
             assert_eq!(
@@ -112,12 +112,12 @@
             (0..=2, _) if *next < 250 => {
                 *next += 1;
                 let stream = self.rng.random_range(0..3);
-                let expiry = self.rig.now + ms(2000);
+                let deadline = self.rig.now + ms(2000);
                 self.seen.insert(
                     *next,
                     Seen {
                         stream,
-                        expiry,
+                        deadline,
                         ..Seen::default()
                     },
                 );
@@ -163,7 +163,8 @@
                 if s.answers.is_empty() && self.rng.random::<f64>() < 0.1 {
                     s.withdrawn = true;
                     let id = Bytes::from(vec![n; 36]);
-                    self.rig.frames(CLIENT, Body::Withdraw(pb::Withdraw { id }));
+                    self.rig
+                        .frames(CLIENT, Body::CancelRequest(pb::CancelRequest { id }));
                 }
             }
             _ => {
--- a/crates/host/tests/following.rs
+++ b/crates/host/tests/following.rs
@@ -158,7 +158,7 @@
         .collect();
     let versions: Vec<[&str; 1]> = versions.iter().map(|v| [v.as_str()]).collect();
     r.told_all(&versions.iter().map(|v| &v[..]).collect::<Vec<_>>(), 1);
-    let terms = r.desk.plans().ledger().plan("p").map(|p| p.limit);
+    let terms = r.desk.plans().catalog().plan("p").map(|p| p.limit);
     assert_eq!(terms, Some(80.0));
     let unsettled = attempts(&mut r, 2000);
     assert!(
@@ -245,14 +245,14 @@
         ],
         1,
     );
-    let ledger = r.desk.plans().ledger();
-    let kept = Follow::ledger_of(facts(r.desk.settings())).restored(
-        ledger.version(),
-        ledger.state(),
+    let catalog = r.desk.plans().catalog();
+    let kept = Follow::catalog_of(facts(r.desk.settings())).restored(
+        catalog.version(),
+        catalog.state(),
         vec![],
     );
     let start = Start {
-        ledger: kept,
+        catalog: kept,
         settled: Version(1),
         era: Era(1),
     };
@@ -310,7 +310,7 @@
     let facts = pb::VolumeFacts {
         plan: "p".into(),
         hosts: vec!["h".into()],
-        cells: vec![1],
+        shards: vec![1],
         blocks: 64,
     };
     let volume = |id| pb::Change {
@@ -354,7 +354,7 @@
         conn,
         frames: part(vec![volume(6)], false),
     }]);
-    assert_eq!(r.desk.plans().ledger().volumes().count(), 2);
+    assert_eq!(r.desk.plans().catalog().volumes().count(), 2);
     r.take(2, 0);
     let node = r.connect();
     assert_eq!(r.attempts(node).len(), 1);
--- a/crates/host/tests/sharing.rs
+++ b/crates/host/tests/sharing.rs
@@ -93,17 +93,17 @@
     fn take(&mut self, units: f64) {
         self.taken += 1;
         let id = Bytes::from(format!("{:036}", self.taken));
-        let (volume, cell, left_us) = (6, Some(1), 1_900_000);
-        let take = pb::Take {
+        let (volume, shard, left_us) = (6, Some(1), 1_900_000);
+        let take = pb::SubmitRequest {
             piece: id.clone(),
             id,
             volume,
-            cell,
+            shard,
             units,
             left_us,
             ..Default::default()
         };
-        self.rig.frames(CLIENT, Body::Take(take));
+        self.rig.frames(CLIENT, Body::SubmitRequest(take));
     }
 
     fn busy(&mut self, span: Duration) {
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -121,18 +121,18 @@
         }
     }
 
-    fn take(&mut self, cell: u32, write: bool, data: Bytes) -> Bytes {
+    fn take(&mut self, shard: u32, write: bool, data: Bytes) -> Bytes {
         self.next += 1;
         let id = Bytes::from(format!(
             "{:036}",
             self.next + (u64::from(self.stream.local_addr().unwrap().port()) << 32)
         ));
-        let take = pb::Take {
+        let take = pb::SubmitRequest {
             id: id.clone(),
             piece: id.clone(),
-            stream_type: u32::from(write),
+            traffic_class: u32::from(write),
             volume: 5,
-            cell: Some(cell),
+            shard: Some(shard),
             units: 1.0,
             left_us: 2_000_000,
             extent: 7,
@@ -141,18 +141,18 @@
             data,
             ..Default::default()
         };
-        self.put(Body::Take(take));
+        self.put(Body::SubmitRequest(take));
         id
     }
 
-    fn read(&mut self, cell: u32) -> Outcome {
-        let id = self.take(cell, false, Bytes::new());
+    fn read(&mut self, shard: u32) -> Outcome {
+        let id = self.take(shard, false, Bytes::new());
         self.answer(&id).outcome()
     }
 
-    fn answer(&mut self, id: &Bytes) -> pb::Final {
+    fn answer(&mut self, id: &Bytes) -> pb::Response {
         loop {
-            if let Body::Final(f) = self.get() {
+            if let Body::Response(f) = self.get() {
                 assert_eq!(f.id, id, "an answer to something else");
                 return f;
             }
@@ -226,11 +226,11 @@
     for _ in 0..400 {
         deaf.next += 1;
         let id = Bytes::from(format!("{:036}", deaf.next + (1 << 60)));
-        let take = pb::Take {
+        let take = pb::SubmitRequest {
             id: id.clone(),
             piece: id,
             volume: 5,
-            cell: Some(1),
+            shard: Some(1),
             units: 1.0,
             left_us: 2_000_000,
             extent: 7,
@@ -242,7 +242,7 @@
         frame::write(
             &pb::Frame {
                 sent_us,
-                body: Some(Body::Take(take)),
+                body: Some(Body::SubmitRequest(take)),
             },
             &mut bytes,
         );
@@ -262,7 +262,7 @@
     let mut s = TcpStream::connect(list).unwrap();
     let entry = pb::Endpoint {
         node: 2,
-        cell: 2,
+        shard: 2,
         state: pb::NodeState::Ready.into(),
         address: address.to_string(),
         start: 1,
@@ -270,7 +270,12 @@
     };
     let mut bytes = Vec::new();
     let hello = Body::Hello(hello(pb::Role::Node, "node-2", 1));
-    for body in [hello, Body::Announce(pb::Announce { entry: Some(entry) })] {
+    for body in [
+        hello,
+        Body::Announce(pb::Announce {
+            endpoint: Some(entry),
+        }),
+    ] {
         frame::write(
             &pb::Frame {
                 sent_us: 1,
@@ -312,7 +317,7 @@
         let mut answered: Vec<Bytes> = ids
             .iter()
             .map(|_| match stuck.get() {
-                Body::Final(f) => {
+                Body::Response(f) => {
                     assert_ne!(f.outcome(), Outcome::Done);
                     f.id
                 }
--- a/crates/iscsi/src/chap.rs
+++ b/crates/iscsi/src/chap.rs
@@ -10,7 +10,7 @@
 
 pub const LEAST_SECRET: usize = 12;
 /// The most that a CHAP value may hold (section 12.1.3).
-pub const MOST_VALUE: usize = 1024;
+pub const MAX_VALUE: usize = 1024;
 
 /// Algorithms by their CHAP_A numbers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/iscsi/src/keys.rs
+++ b/crates/iscsi/src/keys.rs
@@ -7,10 +7,10 @@
 use std::fmt;
 
 /// Longest key name (section 6.1), and longest value but for the ones that say otherwise.
-pub const MOST_NAME: usize = 63;
-pub const MOST_VALUE: usize = 255;
+pub const MAX_NAME: usize = 63;
+pub const MAX_VALUE: usize = 255;
 /// All text of one negotiation step that we take, over however many PDUs with the C bit.
-pub const MOST_TEXT: usize = 16 << 10;
+pub const MAX_TEXT: usize = 16 << 10;
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum KeyFault {
@@ -54,9 +54,9 @@
 /// assert_eq!(parse(b"").unwrap(), []);
 /// ```
 pub fn parse(text: &[u8]) -> Result<Vec<(String, String)>, KeyFault> {
-    if text.len() > MOST_TEXT {
+    if text.len() > MAX_TEXT {
         return Err(KeyFault::Format(format!(
-            "{} bytes of text, at most {MOST_TEXT}",
+            "{} bytes of text, at most {MAX_TEXT}",
             text.len()
         )));
     }
@@ -68,11 +68,11 @@
             let (key, value) = part
                 .split_once('=')
                 .ok_or(KeyFault::Format("a key without '='".into()))?;
-            let long = value.len() > MOST_VALUE && !key.starts_with("CHAP_");
+            let long = value.len() > MAX_VALUE && !key.starts_with("CHAP_");
             if key.is_empty()
-                || key.len() > MOST_NAME
+                || key.len() > MAX_NAME
                 || long
-                || value.len() > 2 * crate::chap::MOST_VALUE + 2
+                || value.len() > 2 * crate::chap::MAX_VALUE + 2
             {
                 return Err(KeyFault::Format(format!(
                     "key or value too long: {:.20}",
@@ -142,7 +142,7 @@
     pub section: &'static str,
 }
 
-const MOST_LENGTH: u32 = (1 << 24) - 1;
+const MAX_LENGTH: u32 = (1 << 24) - 1;
 const DIGESTS: &[&str] = &["CRC32C", "None"];
 
 const fn key(
@@ -217,7 +217,7 @@
         "MaxRecvDataSegmentLength",
         Kind::Declares {
             least: 512,
-            most: MOST_LENGTH,
+            most: MAX_LENGTH,
         },
         Use::Any,
         false,
@@ -227,7 +227,7 @@
         "MaxBurstLength",
         Kind::Minimum {
             least: 512,
-            most: MOST_LENGTH,
+            most: MAX_LENGTH,
         },
         Use::Leading,
         true,
@@ -237,7 +237,7 @@
         "FirstBurstLength",
         Kind::Minimum {
             least: 512,
-            most: MOST_LENGTH,
+            most: MAX_LENGTH,
         },
         Use::Leading,
         true,
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -8,11 +8,11 @@
 //! in text ([`MOST_TEXT`]) and in requests ([`MOST_REQUESTS`]).
 
 use crate::chap::{from_text, same, to_text, Algorithm};
-use crate::keys::{format, parse, KeyFault, Negotiation, Params, Wishes, MOST_TEXT};
+use crate::keys::{format, parse, KeyFault, Negotiation, Params, Wishes, MAX_TEXT};
 use crate::pdu::{Header, Opcode, Pdu};
 
 /// Requests in one login. A whole one takes four to six.
-pub const MOST_REQUESTS: u32 = 32;
+pub const MAX_REQUESTS: u32 = 32;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
@@ -203,7 +203,7 @@
     ) -> Result<(Pairs, Option<Stage>), Refusal> {
         let bad = |why: &str| Err((Status::InitiatorError, why.to_string()));
         self.requests += 1;
-        if self.requests > MOST_REQUESTS {
+        if self.requests > MAX_REQUESTS {
             return bad("login takes too many requests");
         }
         let (transit, more) = (h.flags() & 0x80 != 0, h.flags() & 0x40 != 0);
@@ -239,7 +239,7 @@
         if transit && more {
             return bad("transit and continue at once");
         }
-        if self.text.len() + data.len() > MOST_TEXT {
+        if self.text.len() + data.len() > MAX_TEXT {
             return bad("too much text in one login step");
         }
         self.text.extend_from_slice(data);
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -355,15 +355,15 @@
     held: BytesMut,
     pub digests: Digests,
     /// The MaxRecvDataSegmentLength that we declared.
-    pub most_data: usize,
+    pub max_data: usize,
 }
 
 impl Reader {
-    pub fn new(most_data: usize) -> Self {
+    pub fn new(max_data: usize) -> Self {
         Reader {
             held: BytesMut::new(),
             digests: Digests::default(),
-            most_data,
+            max_data,
         }
     }
 
@@ -375,7 +375,7 @@
     pub fn fill(&mut self, from: &mut impl io::Read) -> io::Result<usize> {
         let held = self.held.len();
         let header = self.held.first_chunk::<BHS>().map(|h| Header(*h));
-        let whole = header.filter(|h| h.data_length() <= self.most_data);
+        let whole = header.filter(|h| h.data_length() <= self.max_data);
         let missing = whole
             .map_or(0, |h| BHS + h.ahs_length() + h.data_length() + 12)
             .saturating_sub(held);
@@ -418,10 +418,10 @@
                 return Err(Fault::HeaderDigest);
             }
         }
-        if length > self.most_data {
+        if length > self.max_data {
             return Err(Fault::TooLong {
                 length,
-                most: self.most_data,
+                most: self.max_data,
             });
         }
         let body = padded(length);
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -393,7 +393,7 @@
     pub id: u64,
     pub serial: String,
     /// Most blocks in one command, told in the block limits page.
-    pub most_blocks: u32,
+    pub max_blocks: u32,
     pub read_only: bool,
 }
 
@@ -401,7 +401,7 @@
 const PRODUCT: &[u8; 16] = b"VOLUME          ";
 const REVISION: &[u8; 4] = b"0002";
 /// Blocks of one COMPARE AND WRITE.
-pub const MOST_COMPARED: u8 = 64;
+pub const MAX_COMPARED: u8 = 64;
 const PAGES: [u8; 6] = [0x00, 0x80, 0x83, 0xb0, 0xb1, 0xb2];
 
 impl Unit {
@@ -508,12 +508,12 @@
             }
             0xb0 => {
                 let mut b = vec![0; 60];
-                b[1] = MOST_COMPARED;
-                b[4..8].copy_from_slice(&self.most_blocks.to_be_bytes());
-                b[8..12].copy_from_slice(&self.most_blocks.to_be_bytes());
-                b[16..20].copy_from_slice(&self.most_blocks.to_be_bytes()); // UNMAP blocks
+                b[1] = MAX_COMPARED;
+                b[4..8].copy_from_slice(&self.max_blocks.to_be_bytes());
+                b[8..12].copy_from_slice(&self.max_blocks.to_be_bytes());
+                b[16..20].copy_from_slice(&self.max_blocks.to_be_bytes()); // UNMAP blocks
                 b[20..24].copy_from_slice(&1u32.to_be_bytes()); // UNMAP descriptors
-                b[32..40].copy_from_slice(&u64::from(self.most_blocks).to_be_bytes()); // WRITE SAME
+                b[32..40].copy_from_slice(&u64::from(self.max_blocks).to_be_bytes()); // WRITE SAME
                 b
             }
             0xb1 => {
--- a/crates/iscsi/src/session.rs
+++ b/crates/iscsi/src/session.rs
@@ -27,9 +27,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Bytes that one command may write or read.
-    pub most_data: u32,
+    pub max_data: u32,
     /// Unacknowledged responses kept for one connection; beyond, the oldest are forgotten.
-    pub most_kept: usize,
+    pub max_kept: usize,
 }
 
 /// Why tasks end without a response of their own.
@@ -55,7 +55,7 @@
         lun: u64,
         cdb: [u8; 16],
         data: Bytes,
-        most_in: u32,
+        max_in: u32,
     },
     /// The device confirms by [`Session::done`] or [`Session::gone`]; until then the request waits.
     Abort {
@@ -451,7 +451,7 @@
 
     /// Immediate data, and whether Data-Out follows without being asked for.
     fn unsolicited(&mut self, itt: u32, immediate: &Bytes) {
-        let most = self.limits.most_data;
+        let most = self.limits.max_data;
         let Some(t) = self.tasks.get_mut(&itt) else {
             return;
         };
@@ -511,7 +511,7 @@
                 .whole
                 .take()
                 .unwrap_or_else(|| std::mem::take(&mut c.data).freeze());
-            let most_in = if t.reads() { length } else { 0 };
+            let max_in = if t.reads() { length } else { 0 };
             t.state = State::Running;
             let (task, cdb) = (t.no, t.header.cdb());
             return self.acts.push(Act::Start {
@@ -519,7 +519,7 @@
                 lun,
                 cdb,
                 data,
-                most_in,
+                max_in,
             });
         }
         // While data comes unasked for, nothing is asked for.
@@ -981,7 +981,7 @@
         if status {
             c.kept.push_back((c.stat_sn, pdu.clone()));
             c.stat_sn = c.stat_sn.wrapping_add(1);
-            while c.kept.len() > self.limits.most_kept {
+            while c.kept.len() > self.limits.max_kept {
                 c.kept.pop_front();
             }
         }
--- a/crates/iscsi/tests/login.rs
+++ b/crates/iscsi/tests/login.rs
@@ -1,8 +1,8 @@
 //! Logins as initiators do them, and as they must not: each row of the tables is one whole login or offer.
 
 use grebecleat_iscsi::chap::{from_text, to_text, Algorithm};
-use grebecleat_iscsi::keys::{format, parse, KeyFault, Negotiation, Params, Wishes, MOST_TEXT};
-use grebecleat_iscsi::login::{Login, Portal, Secret, Standing, Status, Target, MOST_REQUESTS};
+use grebecleat_iscsi::keys::{format, parse, KeyFault, Negotiation, Params, Wishes, MAX_TEXT};
+use grebecleat_iscsi::login::{Login, Portal, Secret, Standing, Status, Target, MAX_REQUESTS};
 use grebecleat_iscsi::pdu::{Header, Opcode, Pdu};
 
 const SECRET: &[u8] = b"a secret of sixteen";
@@ -392,7 +392,7 @@
             )
         })
         .collect();
-    assert_eq!(ends.iter().position(|e| *e), Some(MOST_TEXT / piece.len()));
+    assert_eq!(ends.iter().position(|e| *e), Some(MAX_TEXT / piece.len()));
     let mut login = Login::new(portal());
     let failed = (0..100).position(|_| {
         matches!(
@@ -400,5 +400,5 @@
             Standing::Failed(..)
         )
     });
-    assert_eq!(failed, Some(MOST_REQUESTS as usize));
+    assert_eq!(failed, Some(MAX_REQUESTS as usize));
 }
--- a/crates/iscsi/tests/scsi.rs
+++ b/crates/iscsi/tests/scsi.rs
@@ -15,7 +15,7 @@
         block_size,
         id: 0x1234,
         serial: "vol-7".into(),
-        most_blocks: 2048,
+        max_blocks: 2048,
         read_only: false,
     }
 }
--- a/crates/iscsi/tests/session.rs
+++ b/crates/iscsi/tests/session.rs
@@ -39,8 +39,8 @@
             ("iqn.b".to_string(), vec!["127.0.0.1:3260,1".to_string()]),
         ];
         let limits = Limits {
-            most_data: 1 << 20,
-            most_kept: 16,
+            max_data: 1 << 20,
+            max_kept: 16,
         };
         let mut s = Session::new(Some("iqn.a".into()), listing, limits, first, window);
         s.join(C1, params.clone(), 100);
@@ -679,8 +679,8 @@
         None,
         listing,
         Limits {
-            most_data: 1,
-            most_kept: 4,
+            max_data: 1,
+            max_kept: 4,
         },
         1,
         4,
--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -1,16 +1,16 @@
 //! How nodes are drained, and what all hosts together see of them.
 //!
-//! Called as `step(now, wall, events)` for every batch of what the ledger, the hosts and the disk brought,
-//! which answers what to propose to the ledger, what to tell admission and what to tell people;
+//! Called as `step(now, wall, events)` for every batch of what the catalog, the hosts and the disk brought,
+//! which answers what to propose to the catalog, what to tell admission and what to tell people;
 //! [`Membership::wake_at`] says when it must be called again. Wanted at any time, and brought about by
 //! `bring`: that each drain stands at the stage that what is known allows, and that admission knows which
 //! nodes are not as they should be.
 //!
 //! A drain goes: asked for (perhaps waiting for its turn), told to every host, quiet, empty, out. Its stages
-//! lie in the ledger, each a change of its own that is kept and told like any other, so that a crash at any
+//! lie in the catalog, each a change of its own that is kept and told like any other, so that a crash at any
 //! moment finds it where it was; between them only hosts know, and tell it again to whoever starts anew:
 //!
-//! - a host is *told* once it has said that it keeps the ledger up to the drain and that nothing decided
+//! - a host is *told* once it has said that it keeps the catalog up to the drain and that nothing decided
 //!   before can still cross. One that was never heard of serves nothing; one that is dead holds the drain up
 //!   until it is back or an operator answers for it, since it might send again on what it knew;
 //! - a node is *quiet* at a host that counted its attempts after it followed the drain and found none, once those
@@ -25,7 +25,7 @@
 //! counted by this process's clock; over a start by the wall clock, which may have stepped, so at least
 //! [`ANEW`] remains.
 //!
-//! At a start everything that the ledger has goes into one step: a drain whose hosts come in a later one
+//! At a start everything that the catalog has goes into one step: a drain whose hosts come in a later one
 //! would be taken for one that no host need be told of.
 //!
 //! Without input or output. Memory: a few words for each node and host, and for each node that is known.
@@ -41,7 +41,7 @@
 /// What a drain that has a time keeps of it at a start of ours, whatever the wall clock says.
 pub const ANEW: Duration = Duration::from_secs(10);
 /// One that waits is proposed again after this, if nothing that is known here has changed: what keeps it may
-/// be elsewhere in the ledger.
+/// be elsewhere in the catalog.
 const AGAIN: Duration = Duration::from_secs(5);
 
 /// What one host sees of a node.
@@ -53,7 +53,7 @@
     pub age: Option<Duration>,
     pub revision: u64,
     pub answers: Answers,
-    /// Up to where it followed the ledger when it counted.
+    /// Up to where it followed the catalog when it counted.
     pub follows: Version,
     /// Attempts that have crossed and not ended.
     pub attempts: u32,
@@ -65,7 +65,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A node of the ledger, as it is kept; None: it is no more.
+    /// A node of the catalog, as it is kept; None: it is no more.
     Node {
         node: u32,
         to: Option<Facts>,
@@ -76,7 +76,7 @@
         to: Option<Drain>,
         version: Version,
     },
-    /// The ledger is kept up to there.
+    /// The catalog is kept up to there.
     Kept {
         version: Version,
     },
@@ -116,7 +116,7 @@
 pub struct Facts {
     pub name: Name,
     pub zone: Name,
-    pub cell: u32,
+    pub shard: u32,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -124,7 +124,7 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// To the ledger, as one who looked at that version.
+    /// To the catalog, as one who looked at that version.
     Propose {
         ask: Ask,
         node: u32,
@@ -184,7 +184,7 @@
     /// Why it still waits, and when it is tried again.
     waits: String,
     again: Duration,
-    /// On its way to the ledger, and to which stage.
+    /// On its way to the catalog, and to which stage.
     asking: Option<(Ask, Option<Stage>)>,
 }
 
@@ -238,7 +238,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Membership {
-    warm_within: Duration,
+    warm_up_time: Duration,
     longest: Duration,
     now: Duration,
     wall: Duration,
@@ -276,10 +276,10 @@
 }
 
 impl Membership {
-    /// `warm_within`: until a node that started can do all its work; `longest`: an attempt may take at most.
+    /// `warm_up_time`: until a node that started can do all its work; `longest`: an attempt may take at most.
     pub fn new(
         now: Duration,
-        warm_within: Duration,
+        warm_up_time: Duration,
         longest: Duration,
         hosts: impl IntoIterator<Item = HostNo>,
     ) -> Self {
@@ -290,7 +290,7 @@
             ..Host::default()
         };
         Membership {
-            warm_within,
+            warm_up_time,
             longest,
             now,
             wall: Duration::ZERO,
@@ -332,7 +332,7 @@
         let warm = self
             .reading(n)
             .and_then(|r| r.started)
-            .map(|s| s + self.warm_within);
+            .map(|s| s + self.warm_up_time);
         let warm = warm.filter(|_| n.life == Life::Warming);
         let Some(w) = &n.wish else { return warm };
         let quiet = (w.stage == Stage::Going)
@@ -438,7 +438,7 @@
             most: was.as_ref().filter(|_| went).map_or(0, |w| w.most),
             waits: String::new(),
             again: now,
-            // What was asked of the ledger before may be answered yet, and then counts for nothing.
+            // What was asked of the catalog before may be answered yet, and then counts for nothing.
             asking: None,
         });
     }
@@ -474,7 +474,7 @@
             return;
         };
         let w = n.wish.as_mut().expect("looked at above");
-        // Landed: what it changed comes as the ledger's own word.
+        // Landed: what it changed comes as the catalog's own word.
         w.asking = None;
         (w.waits, w.again) = (why, now + AGAIN);
     }
@@ -505,7 +505,7 @@
 
     fn said(&self, n: &Node) -> Said {
         let r = self.reading(n).unwrap_or_default();
-        let cold = r.started.is_some_and(|s| self.now < s + self.warm_within);
+        let cold = r.started.is_some_and(|s| self.now < s + self.warm_up_time);
         let answers = n
             .seen
             .values()
@@ -518,7 +518,7 @@
             Answers::Good => 2,
         });
         let out = n.wish.as_ref().filter(|w| w.stage == Stage::Out);
-        // By the wall clock, which both the ledger's times and, through it, ages are put on.
+        // By the wall clock, which both the catalog's times and, through it, ages are put on.
         let began = r
             .started
             .map(|s| self.wall.saturating_sub(self.now.saturating_sub(s)));
@@ -541,7 +541,7 @@
             _ if !known => None,
             Life::Warming => Some(Beside::Cold),
             Life::Suspect => Some(Beside::Suspect),
-            // Who drains is told to admission by the ledger itself.
+            // Who drains is told to admission by the catalog itself.
             Life::Out if !self.holds(node) => Some(Beside::Gone),
             _ => None,
         };
@@ -717,7 +717,7 @@
         self.stirred = false;
     }
 
-    /// Whether hosts send a node nothing new, as far as the ledger says.
+    /// Whether hosts send a node nothing new, as far as the catalog says.
     pub fn holds(&self, node: u32) -> bool {
         let wish = self.nodes.get(&node).and_then(|n| n.wish.as_ref());
         wish.is_some_and(|w| w.stage != Stage::Queued)
@@ -806,11 +806,11 @@
 
     /// Extents that lie on that node and on no other that is ready.
     fn alone(&self, node: u32, n: &Node) -> Option<u64> {
-        let cell = n.facts.cell;
+        let shard = n.facts.shard;
         let mut others = self
             .nodes
             .iter()
-            .filter(|(id, o)| **id != node && o.known && o.facts.cell == cell);
+            .filter(|(id, o)| **id != node && o.known && o.facts.shard == shard);
         let elsewhere =
             others.any(|(_, o)| o.wish.is_none() && matches!(o.life, Life::Ready | Life::Warming));
         let counted = n.seen.values().filter_map(|s| s.sight.extents);
--- a/crates/membership/tests/drains.rs
+++ b/crates/membership/tests/drains.rs
@@ -15,7 +15,7 @@
 const H2: HostNo = HostNo(1);
 const WALL: u64 = 1_000_000;
 
-/// Two hosts, four nodes in two zones, and a ledger that takes whatever is proposed, unless it is told not
+/// Two hosts, four nodes in two zones, and a catalog that takes whatever is proposed, unless it is told not
 /// to.
 struct Rig {
     m: Membership,
@@ -56,7 +56,7 @@
                 to: Some(Facts {
                     name,
                     zone,
-                    cell: n,
+                    shard: n,
                 }),
             }
         };
@@ -688,7 +688,7 @@
     }
 }
 
-/// What was asked of the ledger when something else landed first counts for nothing, and is asked anew.
+/// What was asked of the catalog when something else landed first counts for nothing, and is asked anew.
 #[test]
 fn an_answer_that_comes_too_late_is_not_mistaken() {
     let mut r = Rig::new();
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -173,7 +173,7 @@
         for n in 0..NODES {
             let facts = Facts {
                 zone: "a".into(),
-                cell: n as u32,
+                shard: n as u32,
                 ..Facts::default()
             };
             events.push(Event::Node {
@@ -200,7 +200,7 @@
         self.tell(w, events);
     }
 
-    /// The ledger: optimistic versions, drains that go one way, and admission's look at the zone.
+    /// The catalog: optimistic versions, drains that go one way, and admission's look at the zone.
     fn propose(
         &self,
         w: &mut World,
--- a/crates/plans/src/admission.rs
+++ b/crates/plans/src/admission.rs
@@ -1,8 +1,8 @@
 //! Whether a change may land: what it does to the promises that were made.
 //!
-//! Called as `land` with the ledger as changes would leave it; the answer says what speaks against them, and
-//! who asked decides: either they stay, or the ledger takes them back and `undo` is called. It keeps the site
-//! that the ledger describes in a [`Standing`] flow, wanted drains taken out of it. Against a change speaks
+//! Called as `land` with the catalog as changes would leave it; the answer says what speaks against them, and
+//! who asked decides: either they stay, or the catalog takes them back and `undo` is called. It keeps the site
+//! that the catalog describes in a [`Standing`] flow, wanted drains taken out of it. Against a change speaks
 //! that reserves which could be met cannot be met any more, or more of them cannot; it is warned of if they
 //! could not with any one node or any one zone out, where they could before. What was already broken is no
 //! reason against a change that does not make it worse: or nobody could mend a site step by step. Where no
@@ -17,7 +17,7 @@
 //! after a number of steps, and the answer says how many losses were not looked at. Without input or output.
 //! Memory: the flow, and one figure for each node and zone.
 
-use crate::changes::{self, Change, Drain, Ledger, Name, Stage};
+use crate::changes::{self, Catalog, Change, Drain, Name, Stage};
 use crate::planner::{check, Node, Out, Site, Volume, PARTS};
 use crate::standing::{Missing, Standing};
 use std::collections::{BTreeMap, BTreeSet};
@@ -173,7 +173,7 @@
 pub struct Admission {
     standing: Standing,
     zones: Vec<Name>,
-    /// Which nodes hold a cell.
+    /// Which nodes hold a shard.
     holders: BTreeMap<u32, BTreeSet<u32>>,
     reservations: BTreeMap<Name, f64>,
     known: bool,
@@ -188,7 +188,7 @@
 
 impl Admission {
     /// `spread`: see [`Site`].
-    pub fn open(ledger: &Ledger, spread: f64) -> Admission {
+    pub fn open(catalog: &Catalog, spread: f64) -> Admission {
         let mut a = Admission {
             standing: Standing::of(&Site {
                 spread,
@@ -196,17 +196,17 @@
             }),
             ..Admission::default()
         };
-        let all: Vec<Change> = ledger.state().collect();
-        a.apply(ledger, &all);
+        let all: Vec<Change> = catalog.state().collect();
+        a.apply(catalog, &all);
         a
     }
 
-    /// The site as the ledger describes it, for whoever looks at it whole.
-    pub fn site(&self, ledger: &Ledger) -> Site {
-        let nodes = ledger.nodes().map(|(id, n)| self.node(id, n)).collect();
-        let volumes = ledger
+    /// The site as the catalog describes it, for whoever looks at it whole.
+    pub fn site(&self, catalog: &Catalog) -> Site {
+        let nodes = catalog.nodes().map(|(id, n)| self.node(id, n)).collect();
+        let volumes = catalog
             .volumes()
-            .map(|(id, v)| self.planned(ledger, id, v))
+            .map(|(id, v)| self.planned(catalog, id, v))
             .collect();
         Site {
             nodes,
@@ -237,8 +237,8 @@
         self.standing.missing()
     }
 
-    /// What these changes do, which the ledger already has. `steps`: how many losses may be looked at.
-    pub fn land(&mut self, after: &Ledger, changes: &[Change], steps: usize) -> Opinion {
+    /// What these changes do, which the catalog already has. `steps`: how many losses may be looked at.
+    pub fn land(&mut self, after: &Catalog, changes: &[Change], steps: usize) -> Opinion {
         let before = self.standing.missing();
         self.was = self.losses.clone();
         let mut touched = self.homes_of(after, changes);
@@ -360,8 +360,8 @@
     }
 
     /// Nodes that are gone in zones where nothing is drained now.
-    fn elsewhere_gone(&self, ledger: &Ledger, drained: &BTreeSet<u32>) -> BTreeSet<u32> {
-        let zone = |n: &u32| ledger.node(*n).map(|n| n.zone.clone());
+    fn elsewhere_gone(&self, catalog: &Catalog, drained: &BTreeSet<u32>) -> BTreeSet<u32> {
+        let zone = |n: &u32| catalog.node(*n).map(|n| n.zone.clone());
         let zones: BTreeSet<Option<Name>> = drained.iter().map(zone).collect();
         let gone = self
             .unfit
@@ -374,9 +374,9 @@
         gone.collect()
     }
 
-    /// The changes of the last [`Admission::land`] were taken back: the ledger is as it was before.
-    pub fn undo(&mut self, ledger: &Ledger, changes: &[Change]) {
-        self.apply(ledger, changes);
+    /// The changes of the last [`Admission::land`] were taken back: the catalog is as it was before.
+    pub fn undo(&mut self, catalog: &Catalog, changes: &[Change]) {
+        self.apply(catalog, changes);
         self.losses = std::mem::take(&mut self.was);
     }
 
@@ -461,13 +461,13 @@
         }
     }
 
-    /// A volume as the planner sees it: spread over its cells alike.
-    fn planned(&self, ledger: &Ledger, id: u64, v: &changes::Volume) -> Volume {
-        let plan = ledger.plan(&v.plan);
-        let part = 1.0 / v.cells.len().max(1) as f64;
-        let holder = |cell: &u32| self.holders.get(cell).and_then(|h| h.first().copied());
+    /// A volume as the planner sees it: spread over its shards alike.
+    fn planned(&self, catalog: &Catalog, id: u64, v: &changes::Volume) -> Volume {
+        let plan = catalog.plan(&v.plan);
+        let part = 1.0 / v.shards.len().max(1) as f64;
+        let holder = |shard: &u32| self.holders.get(shard).and_then(|h| h.first().copied());
         let mut homes: Vec<(u32, f64)> = v
-            .cells
+            .shards
             .iter()
             .filter_map(|c| Some((holder(c)?, part)))
             .collect();
@@ -482,8 +482,8 @@
         }
     }
 
-    /// Brings the site to what the ledger says of what these changes touch.
-    fn apply(&mut self, ledger: &Ledger, changes: &[Change]) {
+    /// Brings the site to what the catalog says of what these changes touch.
+    fn apply(&mut self, catalog: &Catalog, changes: &[Change]) {
         let mut volumes: BTreeSet<u64> = BTreeSet::new();
         let mut moved = false;
         for change in changes {
@@ -495,7 +495,7 @@
                         .filter(|h| h.1.contains(id))
                         .map(|h| *h.0)
                         .collect();
-                    let new = ledger.node(*id).map(|n| n.cell);
+                    let new = catalog.node(*id).map(|n| n.shard);
                     if old != new.into_iter().collect::<Vec<_>>() {
                         moved = true;
                         old.iter().for_each(|c| {
@@ -505,7 +505,7 @@
                         new.into_iter()
                             .for_each(|c| _ = self.holders.entry(c).or_default().insert(*id));
                     }
-                    let node = match ledger.node(*id) {
+                    let node = match catalog.node(*id) {
                         Some(n) => {
                             self.zone(&n.zone);
                             self.known |= n.capacity > 0.0;
@@ -520,7 +520,7 @@
                     self.standing.set_node(node);
                 }
                 Change::Drain { node, .. } => {
-                    let drain = ledger.drain(*node);
+                    let drain = catalog.drain(*node);
                     match drain {
                         Some(d) => _ = self.stages.insert(*node, d.stage),
                         None => _ = self.stages.remove(node),
@@ -534,35 +534,35 @@
                 }
                 Change::Volume { id, .. } => _ = volumes.insert(*id),
                 Change::Plan { name, .. } => {
-                    let is = ledger.plan(name).map_or(0.0, |p| p.reservation);
+                    let is = catalog.plan(name).map_or(0.0, |p| p.reservation);
                     let was = self.reservations.insert(name.clone(), is);
                     if was.is_none_or(|was| (was - is).abs() * PARTS >= 0.5) {
-                        volumes.extend(ledger.standing(name));
+                        volumes.extend(catalog.standing(name));
                     }
                 }
                 Change::Target { .. } | Change::Timed { .. } => {}
             }
         }
         if moved {
-            volumes.extend(ledger.volumes().map(|(id, _)| id));
+            volumes.extend(catalog.volumes().map(|(id, _)| id));
         }
         let planned = volumes
             .into_iter()
-            .map(|id| (id, ledger.volume(id).map(|v| self.planned(ledger, id, v))));
+            .map(|id| (id, catalog.volume(id).map(|v| self.planned(catalog, id, v))));
         let planned: Vec<(u64, Option<Volume>)> = planned.collect();
         self.standing.set_volumes(planned);
         self.list_losses();
     }
 
     /// Nodes that hold what the changes touch.
-    fn homes_of(&self, ledger: &Ledger, changes: &[Change]) -> BTreeSet<u32> {
+    fn homes_of(&self, catalog: &Catalog, changes: &[Change]) -> BTreeSet<u32> {
         let mut homes = BTreeSet::new();
         for change in changes {
             match change {
                 Change::Volume { id, .. } => homes.extend(self.standing.homes_of(*id)),
                 Change::Plan { name, .. } => {
                     homes.extend(
-                        ledger
+                        catalog
                             .standing(name)
                             .flat_map(|id| self.standing.homes_of(id)),
                     );
--- a/crates/plans/src/changes.rs
+++ b/crates/plans/src/changes.rs
@@ -1,4 +1,4 @@
-//! The ledger of changes: what plans, volumes, nodes, drains and targets are, and how they came to be so.
+//! The catalog of changes: what plans, volumes, nodes, drains and targets are, and how they came to be so.
 //!
 //! Called as `propose` with typed changes, who asks, why, and the version that they looked at; the answer is
 //! an entry that is to be kept whole or not at all, or what it collided with. `take` lays a kept entry over
@@ -49,7 +49,7 @@
     /// Through which hosts it works.
     pub hosts: Arc<[Name]>,
     /// Where its data may lie.
-    pub cells: Arc<[u32]>,
+    pub shards: Arc<[u32]>,
     pub blocks: u64,
 }
 
@@ -58,7 +58,7 @@
     /// What operators call it; each once. Empty: it goes by its number.
     pub name: Name,
     pub zone: Name,
-    pub cell: u32,
+    pub shard: u32,
     /// Units a second; 0: nobody has said.
     pub capacity: f64,
 }
@@ -83,7 +83,7 @@
     pub stage: Stage,
     /// Counted from when it goes, after which it is given up; zero: never.
     pub within: Duration,
-    /// Who asked first and when; when the stage last changed. Times are since 1970. The ledger's keeper fills
+    /// Who asked first and when; when the stage last changed. Times are since 1970. The catalog's keeper fills
     /// these in.
     pub who: Name,
     pub asked: Duration,
@@ -319,11 +319,11 @@
     /// Names of all hosts; a volume works through some of them.
     pub hosts: BTreeSet<Name>,
     /// How long an attempt may be decided before it crosses: a limit's slack must cover it.
-    pub linger: Duration,
+    pub max_dispatch_delay: Duration,
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Ledger {
+pub struct Catalog {
     facts: Facts,
     version: Version,
     plans: BTreeMap<Name, Plan>,
@@ -336,25 +336,25 @@
     called: BTreeMap<Name, u32>,
     /// Volumes by plan: a plan that thousands stand on is taken away, or not, without looking at all volumes.
     standing: BTreeMap<Name, BTreeSet<u64>>,
-    /// Each name, and each set of hosts or cells, is held once however many volumes have it.
+    /// Each name, and each set of hosts or shards, is held once however many volumes have it.
     names: HashSet<Name>,
     host_sets: HashSet<Arc<[Name]>>,
-    cell_sets: HashSet<Arc<[u32]>>,
+    shard_sets: HashSet<Arc<[u32]>>,
     trail: VecDeque<Entry>,
-    most_trail: usize,
+    max_trail: usize,
     /// Entries after that one are not dropped.
     needed: Version,
     /// The last entry of the trail that touched a subject.
     touched: HashMap<Subject, Version>,
 }
 
-impl Ledger {
-    pub fn new(facts: Facts, most_trail: usize) -> Self {
-        Ledger {
+impl Catalog {
+    pub fn new(facts: Facts, max_trail: usize) -> Self {
+        Catalog {
             facts,
-            most_trail: most_trail.max(1),
+            max_trail: max_trail.max(1),
             needed: Version(u64::MAX),
-            ..Ledger::default()
+            ..Catalog::default()
         }
     }
 
@@ -442,7 +442,7 @@
 
     /// Whether the trail is as long as it may be, with entries alone that are needed.
     pub fn trail_is_full(&self) -> bool {
-        self.trail.len() >= self.most_trail
+        self.trail.len() >= self.max_trail
             && self.trail.front().is_some_and(|e| e.version > self.needed)
     }
 
@@ -503,7 +503,7 @@
     }
 
     /// What would make this state that one; nothing where they are alike.
-    pub fn towards(&self, other: &Ledger) -> Vec<Change> {
+    pub fn towards(&self, other: &Catalog) -> Vec<Change> {
         let gone = self
             .state()
             .map(|c| c.subject())
@@ -631,7 +631,7 @@
             earlier.into_iter().for_each(|e| e.before.push(was.clone()));
         }
         self.trail.push_back(entry);
-        while self.trail.len() > self.most_trail
+        while self.trail.len() > self.max_trail
             && self.trail.front().is_some_and(|e| e.version <= self.needed)
         {
             let old = self.trail.pop_front().expect("not empty");
@@ -786,22 +786,22 @@
 
     fn shared(&mut self, v: Volume) -> Volume {
         let plan = self.name(&v.plan);
-        let (hosts, cells) = (
+        let (hosts, shards) = (
             self.host_sets.get(&v.hosts).cloned(),
-            self.cell_sets.get(&v.cells).cloned(),
+            self.shard_sets.get(&v.shards).cloned(),
         );
         let hosts = hosts.unwrap_or_else(|| {
             self.host_sets.insert(v.hosts.clone());
             v.hosts
         });
-        let cells = cells.unwrap_or_else(|| {
-            self.cell_sets.insert(v.cells.clone());
-            v.cells
+        let shards = shards.unwrap_or_else(|| {
+            self.shard_sets.insert(v.shards.clone());
+            v.shards
         });
         Volume {
             plan,
             hosts,
-            cells,
+            shards,
             blocks: v.blocks,
         }
     }
@@ -839,7 +839,7 @@
                 if p.burst <= 0.0 {
                     return bad("a limit needs a burst above 0".into());
                 }
-                let least = p.limit * self.facts.linger.as_secs_f64();
+                let least = p.limit * self.facts.max_dispatch_delay.as_secs_f64();
                 if p.slack < least {
                     return bad(format!(
                         "its slack is below what may still cross of its limit, {least}"
@@ -882,7 +882,7 @@
 
 /// The state as changes would leave it, without a copy of all that they do not touch.
 struct Overlay<'a> {
-    below: &'a Ledger,
+    below: &'a Catalog,
     over: BTreeMap<Subject, &'a Change>,
 }
 
@@ -915,7 +915,7 @@
         }
     }
 
-    /// A cell that no node holds any more, if any, and a volume whose data may lie there.
+    /// A shard that no node holds any more, if any, and a volume whose data may lie there.
     fn unheld(&self) -> Option<(u32, u64)> {
         let touched = self.over.keys().any(|s| matches!(s, Subject::Node(_)));
         let changed = self.over.values().filter_map(|c| match c {
@@ -937,14 +937,14 @@
             }
         });
         let nodes = ids.into_iter().chain(new).filter_map(|n| self.node(n));
-        let cells: BTreeSet<u32> = nodes.map(|n| n.cell).collect();
-        if cells.is_empty() {
+        let shards: BTreeSet<u32> = nodes.map(|n| n.shard).collect();
+        if shards.is_empty() {
             return None; // nothing is said of nodes here
         }
         let volumes = changed
             .chain(all)
             .filter_map(|id| Some((id, self.volume(id)?)));
-        let missing = |v: &Volume| v.cells.iter().copied().find(|c| !cells.contains(c));
+        let missing = |v: &Volume| v.shards.iter().copied().find(|c| !shards.contains(c));
         volumes.filter_map(|(id, v)| Some((missing(v)?, id))).next()
     }
 
@@ -1029,8 +1029,8 @@
                 _ => {}
             }
         }
-        if let Some((cell, volume)) = self.unheld() {
-            let what = format!("its data may lie in cell {cell}, which no node holds");
+        if let Some((shard, volume)) = self.unheld() {
+            let what = format!("its data may lie in cell {shard}, which no node holds");
             return Err(Refused::Figure {
                 subject: Subject::Volume(volume),
                 what,
--- a/crates/plans/src/feed.rs
+++ b/crates/plans/src/feed.rs
@@ -1,4 +1,4 @@
-//! Who follows which version of the ledger, when nobody follows an old one any more, and what a host may
+//! Who follows which version of the catalog, when nobody follows an old one any more, and what a host may
 //! send of a limited volume meanwhile.
 //!
 //! Called on both sides of the feed. A source calls `asked` when a host asks for what is new, and `settled`
@@ -146,7 +146,7 @@
         self.lease
     }
 
-    /// A host asks, says what it has, and is answered at once; `latest` is the ledger's version.
+    /// A host asks, says what it has, and is answered at once; `latest` is the catalog's version.
     pub fn asked(&mut self, now: Duration, host: HostNo, has: Version, latest: Version) -> Answer {
         self.heard(host, has, latest);
         self.grant(now, host)
--- a/crates/plans/src/follow.rs
+++ b/crates/plans/src/follow.rs
@@ -14,17 +14,17 @@
 //! - A host that starts has no lease: until the first answer it sends of limited volumes what no change can
 //!   have taken from it, by what it kept. One that kept nothing knows of no volume.
 //!
-//! Without input or output. Memory: the ledger of volumes that work through this host, the last terms of
+//! Without input or output. Memory: the catalog of volumes that work through this host, the last terms of
 //! each, and at most [`MOST_OPEN`] entries that are not settled.
 
-use crate::changes::{Change, Entry, Facts, Ledger, Name, Plan, Subject, Version, Volume};
+use crate::changes::{Catalog, Change, Entry, Facts, Name, Plan, Subject, Version, Volume};
 use crate::feed::{part, Follower, Part, Says};
 use crate::source::{Call, Era};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Entries that must still be reckoned with; with more the host follows nothing new until some are settled.
-pub const MOST_OPEN: usize = 1 << 16;
+pub const MAX_OPEN: usize = 1 << 16;
 /// How long the first answer may take; later ones may take as long as the last lease, which the service holds
 /// them back by a third of at most. Guards against an answer that got lost on a way that still stands.
 const FIRST: Duration = Duration::from_secs(1);
@@ -130,7 +130,7 @@
 /// What the host was when it last was.
 #[derive(Debug, Clone, Default)]
 pub struct Start {
-    pub ledger: Ledger,
+    pub catalog: Catalog,
     pub settled: Version,
     pub era: Era,
 }
@@ -138,8 +138,8 @@
 #[derive(Debug)]
 pub struct Follow {
     me: Name,
-    linger: Duration,
-    ledger: Ledger,
+    max_dispatch_delay: Duration,
+    catalog: Catalog,
     follower: Follower,
     era: Era,
     now: Duration,
@@ -169,21 +169,21 @@
 }
 
 impl Follow {
-    /// `linger`: how long what was decided may take to cross.
-    pub fn new(me: Name, start: Start, linger: Duration) -> Self {
+    /// `max_dispatch_delay`: how long what was decided may take to cross.
+    pub fn new(me: Name, start: Start, max_dispatch_delay: Duration) -> Self {
         let Start {
-            ledger,
+            catalog,
             settled,
             era,
         } = start;
-        let has = ledger.version();
-        let plans = ledger.plans().map(|(name, _)| name.clone()).collect();
-        let dirty = ledger.volumes().map(|(id, _)| id).collect();
+        let has = catalog.version();
+        let plans = catalog.plans().map(|(name, _)| name.clone()).collect();
+        let dirty = catalog.volumes().map(|(id, _)| id).collect();
         Follow {
             me,
-            linger,
+            max_dispatch_delay,
             follower: Follower::kept(has, settled),
-            ledger,
+            catalog,
             era,
             now: Duration::ZERO,
             up: false,
@@ -207,13 +207,13 @@
         }
     }
 
-    /// A ledger for a host's own part of the state.
-    pub fn ledger_of(facts: Facts) -> Ledger {
-        Ledger::new(facts, MOST_OPEN)
+    /// A catalog for a host's own part of the state.
+    pub fn catalog_of(facts: Facts) -> Catalog {
+        Catalog::new(facts, MAX_OPEN)
     }
 
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn catalog(&self) -> &Catalog {
+        &self.catalog
     }
 
     pub fn follower(&self) -> &Follower {
@@ -222,7 +222,7 @@
 
     /// Whether it has ever followed anything: until then nobody can say that a volume does not exist.
     pub fn knows(&self) -> bool {
-        self.ledger.version() > Version(0)
+        self.catalog.version() > Version(0)
     }
 
     pub fn leased(&self) -> bool {
@@ -264,7 +264,7 @@
             .followed
             .iter()
             .filter(|f| f.0 <= self.kept)
-            .map(|f| f.1 + self.linger)
+            .map(|f| f.1 + self.max_dispatch_delay)
             .min();
         let confirm = confirm.filter(|_| self.up);
         let again = (self.not_before > self.now).then_some(self.not_before);
@@ -325,7 +325,7 @@
 
     /// Takes what came, if it follows what is here.
     fn come(&mut self, era: Era, version: Version, came: Came) -> bool {
-        let before = self.ledger.version();
+        let before = self.catalog.version();
         let (at, whole, entries) = match came {
             Came::Entries(entries) => (before, None, entries),
             Came::Whole { at, state, entries } => (at, Some(state), entries),
@@ -344,19 +344,19 @@
         let open = if whole.is_some() {
             0
         } else {
-            self.ledger.trail().len()
+            self.catalog.trail().len()
         };
-        if open + entries.len() > MOST_OPEN {
+        if open + entries.len() > MAX_OPEN {
             self.note("too many changes wait for other hosts; nothing new is followed".into());
             return false;
         }
         if let Some(state) = whole {
             self.dirty.extend(self.told.keys());
-            let facts = self.ledger.facts().clone();
-            self.ledger = Follow::ledger_of(facts).restored(at, state, Vec::new());
-            self.dirty.extend(self.ledger.volumes().map(|(id, _)| id));
+            let facts = self.catalog.facts().clone();
+            self.catalog = Follow::catalog_of(facts).restored(at, state, Vec::new());
+            self.dirty.extend(self.catalog.volumes().map(|(id, _)| id));
             self.plans
-                .extend(self.ledger.plans().map(|(name, _)| name.clone()));
+                .extend(self.catalog.plans().map(|(name, _)| name.clone()));
             self.unkept.clear();
             self.whole = true;
             // In another history the numbers of the last one mean nothing, nor what is still on its way to
@@ -375,12 +375,12 @@
                     Change::Volume { id, .. } => Some(*id),
                     _ => None,
                 }));
-            self.ledger.take(entry.clone()).expect("looked at above");
+            self.catalog.take(entry.clone()).expect("looked at above");
             self.touch(&entry);
             self.unkept.push(entry);
         }
-        if self.ledger.version() > before || self.followed.is_empty() {
-            self.followed.push((self.ledger.version(), self.now));
+        if self.catalog.version() > before || self.followed.is_empty() {
+            self.followed.push((self.catalog.version(), self.now));
         }
         true
     }
@@ -389,7 +389,7 @@
     fn completed(&self, entry: Entry) -> Entry {
         // What this host has of a volume that went elsewhere may be old.
         let told = |s: &Subject| entry.before.iter().find(|c| c.subject() == *s).cloned();
-        let was = |c: &Change| told(&c.subject()).unwrap_or_else(|| self.ledger.now(&c.subject()));
+        let was = |c: &Change| told(&c.subject()).unwrap_or_else(|| self.catalog.now(&c.subject()));
         let before = entry.changes.iter().rev().map(was).collect();
         Entry { before, ..entry }
     }
@@ -401,7 +401,7 @@
                 Change::Volume { id, .. } => _ = self.dirty.insert(*id),
                 Change::Plan { name, .. } => {
                     self.plans.insert(name.clone());
-                    self.dirty.extend(self.ledger.standing(name));
+                    self.dirty.extend(self.catalog.standing(name));
                 }
                 _ => {}
             }
@@ -411,14 +411,14 @@
     /// What is settled need not be reckoned with any more.
     fn settle(&mut self) {
         let settled = self.follower.settled;
-        for entry in self.ledger.forget(settled) {
+        for entry in self.catalog.forget(settled) {
             self.touch(&entry);
         }
     }
 
     /// What each version that must be reckoned with says of a volume, the newest first.
     fn window(&self, id: u64) -> Vec<Says> {
-        let mut volume: Option<Volume> = self.ledger.volume(id).cloned();
+        let mut volume: Option<Volume> = self.catalog.volume(id).cloned();
         let mut plans: BTreeMap<Name, Option<Plan>> = BTreeMap::new();
         let mut all = Vec::new();
         let says = |volume: &Option<Volume>, plans: &BTreeMap<Name, Option<Plan>>| {
@@ -426,7 +426,7 @@
             let plan = plans
                 .get(&v.plan)
                 .cloned()
-                .unwrap_or_else(|| self.ledger.plan(&v.plan).cloned())?;
+                .unwrap_or_else(|| self.catalog.plan(&v.plan).cloned())?;
             let (hosts, mine) = (v.hosts.len(), v.hosts.contains(&self.me));
             Some(Says {
                 reservation: plan.reservation,
@@ -437,7 +437,7 @@
             })
         };
         all.extend(says(&volume, &plans));
-        for entry in self.ledger.trail().rev() {
+        for entry in self.catalog.trail().rev() {
             let mut touched = false;
             for change in &entry.before {
                 match change {
@@ -459,7 +459,7 @@
     }
 
     fn terms(&self, id: u64) -> Option<Terms> {
-        let v = self.ledger.volume(id)?;
+        let v = self.catalog.volume(id)?;
         let part = part(self.window(id), self.leased);
         Some(Terms {
             plan: v.plan.clone(),
@@ -472,7 +472,7 @@
     /// Brings what is asked, kept and told into line with what is wanted.
     fn bring(&mut self) {
         for name in std::mem::take(&mut self.plans) {
-            let plan = self.ledger.plan(&name).cloned();
+            let plan = self.catalog.plan(&name).cloned();
             self.out
                 .extend(plan.map(|plan| Action::Plan { name, plan }));
         }
@@ -503,14 +503,16 @@
                 entries,
                 whole,
             }));
-            self.keeping = Some((number, self.ledger.version()));
+            self.keeping = Some((number, self.catalog.version()));
             self.settled_kept = settled;
         }
         if !self.up {
             return;
         }
         // What was decided on an older version may still cross for so long.
-        let crossed = |f: &&(Version, Duration)| f.0 <= self.kept && f.1 + self.linger <= self.now;
+        let crossed = |f: &&(Version, Duration)| {
+            f.0 <= self.kept && f.1 + self.max_dispatch_delay <= self.now
+        };
         self.sure = self
             .followed
             .iter()
@@ -530,7 +532,7 @@
             self.next += 1;
             let call = Call(self.next);
             self.asked = Some((call, self.now));
-            let (has, settled) = (self.ledger.version(), self.follower.settled);
+            let (has, settled) = (self.catalog.version(), self.follower.settled);
             self.out.push(Action::Ask {
                 call,
                 era: self.era,
@@ -547,7 +549,7 @@
 
     /// Subjects that changes touched and that are not settled, for whoever shows it.
     pub fn open(&self) -> impl Iterator<Item = Subject> + '_ {
-        self.ledger
+        self.catalog
             .trail()
             .flat_map(|e| e.changes.iter().map(|c| c.subject()))
     }
--- a/crates/plans/src/lib.rs
+++ b/crates/plans/src/lib.rs
@@ -1,7 +1,7 @@
 //! Plans as data, without input or output.
 //!
 //! For: what is decided about plans and volumes while they are in service, by whom, and when it is in force.
-//! [`changes`] is the ledger; [`feed`] says who follows which version of it and what a host may send
+//! [`changes`] is the catalog; [`feed`] says who follows which version of it and what a host may send
 //! meanwhile; [`source`] is the state service's decisions over both, [`follow`] a host's; [`planner`] says
 //! whether promises can be kept, [`admission`] whether a change may land, [`moves`] what would mend a site,
 //! both by a flow that stands ([`standing`], [`flow`]). It must never decide over a single request. Begin
--- a/crates/plans/src/moves.rs
+++ b/crates/plans/src/moves.rs
@@ -19,13 +19,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Volumes and targets that go into the program, beside those of nodes to be emptied.
-const MOST_VOLUMES: usize = 300;
-const MOST_TARGETS: usize = 6;
+const MAX_VOLUMES: usize = 300;
+const MAX_TARGETS: usize = 6;
 /// Room that is kept back for rounding, as a part of each node, from one try to the next.
 const KEPT_BACK: [f64; 4] = [0.0, 0.005, 0.02, 0.05];
 /// Numbers of extents up to which the program is told that they are whole, and how long it may search then.
-const MOST_WHOLE: usize = 400;
-const MOST_SEARCH: u64 = 5_000;
+const MAX_WHOLE: usize = 400;
+const MAX_SEARCH: u64 = 5_000;
 /// A part below this is none.
 const NOTHING: f64 = 1e-7;
 
@@ -73,7 +73,7 @@
         .iter()
         .map(|v| v.homes.len() + scope.targets.len())
         .sum::<usize>();
-    let whole = (scope.whole && numbers <= MOST_WHOLE).then_some((0.0, true));
+    let whole = (scope.whole && numbers <= MAX_WHOLE).then_some((0.0, true));
     for (kept_back, whole) in whole.into_iter().chain(KEPT_BACK.map(|k| (k, false))) {
         least = least.or_else(|| Some(scope.solve(0.0, false, &size)?.1));
         let Some((parts, _)) = scope.solve(kept_back, whole, &size) else {
@@ -157,7 +157,7 @@
     ) -> Self {
         let up = |n: &&Node| !empty.contains(&n.id) && n.capacity > 0.0;
         let leaves = |v: &Volume| v.homes.iter().any(|h| empty.contains(&h.0));
-        let small = site.volumes.len() <= MOST_VOLUMES && site.nodes.len() <= 4 * MOST_TARGETS;
+        let small = site.volumes.len() <= MAX_VOLUMES && site.nodes.len() <= 4 * MAX_TARGETS;
         let mut targets: Vec<&Node> = site.nodes.iter().filter(up).collect();
         targets.sort_by(|a, b| {
             standing
@@ -166,7 +166,7 @@
                 .then(a.id.cmp(&b.id))
         });
         if !small {
-            targets.truncate(MOST_TARGETS);
+            targets.truncate(MAX_TARGETS);
         }
         let tight = |v: &Volume| v.homes.iter().any(|h| standing.is_tight(h.0));
         // Bytes that it costs to take a unit a second off a node.
@@ -178,7 +178,7 @@
             site.volumes.iter().partition(|v| small || leaves(v));
         others.retain(|v| tight(v) && v.reserve > 0.0);
         others.sort_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.id.cmp(&b.id)));
-        volumes.extend(others.into_iter().take(MOST_VOLUMES));
+        volumes.extend(others.into_iter().take(MAX_VOLUMES));
         let inside: BTreeSet<u64> = volumes.iter().map(|v| v.id).collect();
         let carried = standing.carried_beside(&inside);
         let room = site.nodes.iter().filter(up);
@@ -265,7 +265,7 @@
             );
         }
         let mut options = SolveOptions::default();
-        options.node_limit = Some(MOST_SEARCH); // and no time limit: the same site gets the same answer
+        options.node_limit = Some(MAX_SEARCH); // and no time limit: the same site gets the same answer
         let found = p.solve_with(options).ok()?.into_solution().ok()?;
         let value = |v: Option<Variable>| v.map_or(0.0, |v| found.var_value(v).max(0.0));
         let parts = vars
