--- a/crates/plans/src/source.rs
+++ b/crates/plans/src/source.rs
@@ -1,12 +1,12 @@
 //! The state service's decisions: which changes land, what is kept before it is told, and who is told what.
 //!
 //! Called as `step(now, wall, events)` for every batch of what happened, which answers what to keep and what
-//! to say; [`Source::wake_at`] says when it must be called again. It holds the ledger, what speaks against a
+//! to say; [`Source::wake_at`] says when it must be called again. It holds the catalog, what speaks against a
 //! change ([`crate::admission`]) and who follows what ([`crate::feed`]). Three things are wanted at any time,
 //! and `bring` brings them about: that what was decided is kept, that who asked is answered once what it
 //! rests on is kept, and that what was to land by now has landed.
 //!
-//! - A change is judged against the ledger with all that is on its way to the disk, so that many are kept at
+//! - A change is judged against the catalog with all that is on its way to the disk, so that many are kept at
 //!   once; nobody is told of one before it is kept, and if it cannot be kept, it and all after it never were.
 //! - What is settled, and that a host was ever heard of, are kept before anyone is told what rests on them.
 //! - A store that was put back from a snapshot begins a new era, and hosts say in which era they followed
@@ -16,17 +16,17 @@
 //! - A host that has all is answered only when there is something new, or a third of its lease is over: it
 //!   learns by answers and not by asking again and again.
 //!
-//! Without input or output. Memory: the ledger, the flow, one call for each host, and at most
+//! Without input or output. Memory: the catalog, the flow, one call for each host, and at most
 //! [`MOST_WAITING`] changes on their way to the disk.
 
 use crate::admission::{Admission, Beside, Opinion, Reason};
-use crate::changes::{Asks, Change, Entry, Ledger, Name, Refused, Subject, Timed, Version};
+use crate::changes::{Asks, Catalog, Change, Entry, Name, Refused, Subject, Timed, Version};
 use crate::feed::{Answer, HostNo, Leases, Lowerings};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 /// Changes that are decided and not yet kept; more are turned away until some are.
-pub const MOST_WAITING: usize = 4096;
+pub const MAX_WAITING: usize = 4096;
 /// Losses that are looked at for one change: some 36 ms at ten thousand volumes. Several at once share a
 /// quarter of it: under a flood each is judged by what it does to all that is there, and few by any loss.
 const LOSSES: usize = 256;
@@ -36,7 +36,7 @@
 /// A timed change that could not be kept is tried again after this.
 const AGAIN: Duration = Duration::from_secs(1);
 
-/// One unbroken history of the ledger.
+/// One unbroken history of the catalog.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Era(pub u64);
 
@@ -176,7 +176,7 @@
 /// What the service was when it last was.
 #[derive(Debug, Clone)]
 pub struct Start {
-    pub ledger: Ledger,
+    pub catalog: Catalog,
     pub settled: Version,
     /// What hosts had said to have; one that is absent was never heard of.
     pub has: BTreeMap<HostNo, Version>,
@@ -211,7 +211,7 @@
 
 #[derive(Debug)]
 pub struct Source {
-    ledger: Ledger,
+    catalog: Catalog,
     admission: Admission,
     leases: Leases,
     lowerings: Lowerings,
@@ -252,7 +252,7 @@
         now: Duration,
     ) -> Self {
         let Start {
-            mut ledger,
+            mut catalog,
             settled,
             has,
             hosts,
@@ -260,21 +260,21 @@
             eras,
             prevailed,
         } = start;
-        ledger.need(settled);
+        catalog.need(settled);
         let each = (0..hosts.len() as u32).map(|h| (HostNo(h), has.get(&HostNo(h)).copied()));
         let leases = Leases::new(lease, margin, now, settled, each);
-        let first = ledger.trail().next().map_or(ledger.version(), |e| e.from);
+        let first = catalog.trail().next().map_or(catalog.version(), |e| e.from);
         let mut lowerings = Lowerings::new(first);
-        ledger
+        catalog
             .trail()
             .for_each(|e| lowerings.add(e.version, e.lowers));
-        let admission = Admission::open(&ledger, spread);
-        let next_timed = ledger.timed().map(|(id, _)| id + 1).max().unwrap_or(1);
+        let admission = Admission::open(&catalog, spread);
+        let next_timed = catalog.timed().map(|(id, _)| id + 1).max().unwrap_or(1);
         Source {
             prevailed,
             stale: 0,
             losses: 0,
-            kept: ledger.version(),
+            kept: catalog.version(),
             settled_kept: settled,
             settled_sent: None,
             known: has,
@@ -286,7 +286,7 @@
             next: 0,
             void: 0,
             out: Vec::new(),
-            ledger,
+            catalog,
             admission,
             leases,
             lowerings,
@@ -298,8 +298,8 @@
         }
     }
 
-    pub fn ledger(&self) -> &Ledger {
-        &self.ledger
+    pub fn catalog(&self) -> &Catalog {
+        &self.catalog
     }
 
     /// The newest version that may be shown: what is not kept may never have been.
@@ -363,7 +363,7 @@
             .values()
             .map(|w| w.since + self.leases.lease() / 3);
         let timed = self
-            .ledger
+            .catalog
             .timed()
             .map(|(_, t)| self.now + t.at.saturating_sub(self.wall))
             .min();
@@ -393,7 +393,7 @@
                     self.leases.is_behind(has);
                 }
                 if self.shares(era, sure) {
-                    self.leases.heard(host, sure, self.ledger.version());
+                    self.leases.heard(host, sure, self.catalog.version());
                 }
                 let other = (!shared).then_some(has);
                 let (has, settled) = if shared {
@@ -413,7 +413,7 @@
                 );
             }
             Event::Confirmed { host, era, has } if self.shares(era, has) => {
-                self.leases.heard(host, has, self.ledger.version());
+                self.leases.heard(host, has, self.catalog.version());
             }
             Event::Confirmed { .. } => {}
             Event::Proposed { call, proposal } => self.propose(call, proposal),
@@ -424,7 +424,7 @@
                 entry,
                 force,
             } => {
-                let entry = self.ledger.undo(entry, asks(&who, &why, self.wall));
+                let entry = self.catalog.undo(entry, asks(&who, &why, self.wall));
                 self.land(Some(call), entry, force, false);
             }
             Event::Gone { call, host, who } => {
@@ -453,7 +453,7 @@
     /// Whether what was followed in that era up to there is part of this history.
     fn shares(&self, era: Era, has: Version) -> bool {
         let upto = if era == self.era {
-            Some(self.ledger.version())
+            Some(self.catalog.version())
         } else {
             None
         };
@@ -471,17 +471,17 @@
             force,
             only_look,
         } = p;
-        if self.landing.len() >= MOST_WAITING {
+        if self.landing.len() >= MAX_WAITING {
             return self.refuse(
                 call,
-                format!("{MOST_WAITING} changes wait to be kept; try again"),
+                format!("{MAX_WAITING} changes wait to be kept; try again"),
             );
         }
         changes.iter_mut().for_each(|c| self.stamp(c, &who));
         if let Some(at) = at.filter(|at| *at > self.wall && !only_look) {
             // What is wrong with it by itself is told now and not at night.
             if let Err(why) =
-                self.ledger
+                self.catalog
                     .propose(looked_at, asks(&who, &why, self.wall), changes.clone())
             {
                 return self.refuse(call, why.to_string());
@@ -490,7 +490,7 @@
             self.next_timed += 1;
             let expects = changes
                 .iter()
-                .map(|c| self.ledger.now(&c.subject()))
+                .map(|c| self.catalog.now(&c.subject()))
                 .collect();
             let timed = Timed {
                 at,
@@ -506,7 +506,7 @@
             }];
         }
         let entry = self
-            .ledger
+            .catalog
             .propose(looked_at, asks(&who, &why, self.wall), changes);
         self.land(Some(call), entry, force, only_look);
     }
@@ -517,14 +517,14 @@
         let Change::Drain { node, to: Some(d) } = change else {
             return;
         };
-        let was = self.ledger.drain(*node);
+        let was = self.catalog.drain(*node);
         (d.who, d.asked) = was.map_or((who.into(), self.wall), |w| (w.who.clone(), w.asked));
         d.since = was
             .filter(|w| w.stage == d.stage)
             .map_or(self.wall, |w| w.since);
     }
 
-    /// The one place where a change lands: judged, laid over the ledger and sent to the disk.
+    /// The one place where a change lands: judged, laid over the catalog and sent to the disk.
     fn land(
         &mut self,
         call: Option<Call>,
@@ -539,10 +539,10 @@
         // Hosts hear of a volume from when it works through them, and would not know of one by its name that
         // others may still reckon with.
         let anew = |c: &&Change| {
-            matches!(c, Change::Volume { to: Some(_), .. }) && self.ledger.now(&c.subject()).ends()
+            matches!(c, Change::Volume { to: Some(_), .. }) && self.catalog.now(&c.subject()).ends()
         };
         let last = |c: &Change| {
-            self.ledger
+            self.catalog
                 .touched(&c.subject())
                 .filter(|v| *v > self.settled_kept)
         };
@@ -559,35 +559,35 @@
             );
             return self.refuse_some(call, why);
         }
-        if self.ledger.trail_is_full() {
+        if self.catalog.trail_is_full() {
             return self.refuse_some(
                 call,
                 "too many changes wait for hosts that do not answer".into(),
             );
         }
-        self.ledger
+        self.catalog
             .take(entry.clone())
             .expect("proposed as the next");
         let opinion = self
             .admission
-            .land(&self.ledger, &entry.changes, self.losses);
+            .land(&self.catalog, &entry.changes, self.losses);
         let looked = self.admission.losses() - opinion.unseen.min(self.admission.losses());
         self.losses = self.losses.saturating_sub(looked.max(1));
         if let (true, Some(call)) = (only_look, call) {
-            self.ledger.take_back();
-            self.admission.undo(&self.ledger, &entry.changes);
+            self.catalog.take_back();
+            self.admission.undo(&self.catalog, &entry.changes);
             return self.out.push(Action::Would { call, opinion });
         }
         let against = said(&opinion.against);
         let mut entry = entry;
         if !against.is_empty() {
-            self.ledger.take_back();
+            self.catalog.take_back();
             if !force {
-                self.admission.undo(&self.ledger, &entry.changes);
+                self.admission.undo(&self.catalog, &entry.changes);
                 return self.refuse_some(call, against);
             }
             entry.against = against;
-            self.ledger
+            self.catalog
                 .take(entry.clone())
                 .expect("taken back just now");
         }
@@ -614,9 +614,9 @@
         if !self.landing.is_empty() {
             return self.refuse(call, "changes wait to be kept; try again".into());
         }
-        let entry = self.ledger.prevail(behind, asks(who, why, self.wall));
+        let entry = self.catalog.prevail(behind, asks(who, why, self.wall));
         let version = entry.version;
-        self.ledger.take(entry.clone()).expect("beyond all");
+        self.catalog.take(entry.clone()).expect("beyond all");
         self.lowerings.add(version, true);
         self.leases.caught_up();
         let prevailed = std::mem::replace(&mut self.prevailed, version);
@@ -635,7 +635,7 @@
             return;
         }
         let due: Vec<(u64, Timed)> = self
-            .ledger
+            .catalog
             .timed()
             .filter(|(_, t)| t.at <= self.wall)
             .map(|(id, t)| (id, t.clone()))
@@ -645,7 +645,7 @@
             let other = t
                 .expects
                 .iter()
-                .find(|c| self.ledger.now(&c.subject()) != **c);
+                .find(|c| self.catalog.now(&c.subject()) != **c);
             let why = match other {
                 Some(c) => Err(format!(
                     "{} has changed since it was asked for",
@@ -657,7 +657,9 @@
                 self.note(format!("timed change {id} of {} lapses: {why}", t.who));
                 let why = format!("lapsed: {why}");
                 let asks = asks("the state service", &why, self.wall);
-                let entry = self.ledger.propose(self.ledger.version(), asks, vec![over]);
+                let entry = self
+                    .catalog
+                    .propose(self.catalog.version(), asks, vec![over]);
                 self.land(None, entry, false, false);
             }
         }
@@ -668,8 +670,8 @@
         changes.iter_mut().for_each(|c| self.stamp(c, &t.who));
         let asks = asks(&t.who, &t.why, self.wall);
         let entry = self
-            .ledger
-            .propose(self.ledger.version(), asks, changes)
+            .catalog
+            .propose(self.catalog.version(), asks, changes)
             .map_err(|e| e.to_string())?;
         let before = self.landing.len();
         let told = self.out.len();
@@ -716,7 +718,7 @@
         if let Some((_, settled)) = self.settled_sent.take_if(|s| s.0 <= upto) {
             self.settled_kept = settled;
             self.lowerings.forget(settled);
-            self.ledger.need(settled);
+            self.catalog.need(settled);
         }
         let known = self.known_sent.split_off(&(upto + 1));
         for (_, (host, has)) in std::mem::replace(&mut self.known_sent, known) {
@@ -727,14 +729,14 @@
     /// What was decided and could not be kept never was.
     fn take_back(&mut self, why: &str) {
         for l in std::mem::take(&mut self.landing).into_iter().rev() {
-            if let Some(entry) = self.ledger.take_back() {
-                self.admission.undo(&self.ledger, &entry.changes);
+            if let Some(entry) = self.catalog.take_back() {
+                self.admission.undo(&self.catalog, &entry.changes);
             }
             self.prevailed = l.prevailed;
             self.refuse_some(l.call, format!("not kept: {why}"));
         }
         self.lowerings = Lowerings::new(self.settled_kept);
-        self.ledger
+        self.catalog
             .trail()
             .filter(|e| e.version > self.settled_kept)
             .for_each(|e| self.lowerings.add(e.version, e.lowers));
@@ -779,7 +781,7 @@
                 continue;
             }
             if let Answer::Grant { lease } = self.leases.grant(self.now, host) {
-                let whole = w.other.is_some() || self.ledger.since(w.has).is_none();
+                let whole = w.other.is_some() || self.catalog.since(w.has).is_none();
                 // The whole is told from what is settled on, or the host would not know what to reckon with.
                 let (to, settled) = (self.kept, self.settled_kept);
                 let from = if whole { settled } else { w.has };
@@ -832,7 +834,7 @@
 /// An entry as one host needs it: without volumes that do not and did not work through it, and without what
 /// is not for hosts at all. Of a volume that now works through it and did not, it is told how that was before
 /// each entry after `settled`: it must reckon with all of them.
-pub fn for_host(ledger: &Ledger, settled: Version, entry: &Entry, host: &Name) -> Entry {
+pub fn for_host(catalog: &Catalog, settled: Version, entry: &Entry, host: &Name) -> Entry {
     let was: BTreeSet<Subject> = entry
         .before
         .iter()
@@ -853,7 +855,7 @@
     let before: Vec<Change> = entry.before.iter().filter(volume).cloned().collect();
     let mut also = Vec::new();
     if !before.is_empty() {
-        for e in ledger
+        for e in catalog
             .trail()
             .rev()
             .skip_while(|e| e.version >= entry.version)
--- a/crates/plans/tests/admission.rs
+++ b/crates/plans/tests/admission.rs
@@ -24,14 +24,14 @@
     }
 }
 
-fn volume(id: u64, plan: &str, cells: &[u32]) -> Change {
-    let (plan, hosts, cells) = (plan.into(), ["h".into()].into(), cells.into());
+fn volume(id: u64, plan: &str, shards: &[u32]) -> Change {
+    let (plan, hosts, shards) = (plan.into(), ["h".into()].into(), shards.into());
     Change::Volume {
         id,
         to: Some(Volume {
             plan,
             hosts,
-            cells,
+            shards,
             blocks: 8,
         }),
     }
@@ -42,7 +42,7 @@
         id,
         to: Some(Node {
             zone: zone.into(),
-            cell: id,
+            shard: id,
             capacity,
             ..Node::default()
         }),
@@ -66,17 +66,17 @@
     }
 }
 
-fn ledger() -> Ledger {
-    Ledger::new(
+fn catalog() -> Catalog {
+    Catalog::new(
         Facts {
             hosts: ["h".into()].into(),
-            linger: Duration::ZERO,
+            max_dispatch_delay: Duration::ZERO,
         },
         10,
     )
 }
 
-fn land(l: &mut Ledger, changes: Vec<Change>) {
+fn land(l: &mut Catalog, changes: Vec<Change>) {
     let entry = l
         .propose(l.version(), Asks::default(), changes)
         .expect("in order");
@@ -84,8 +84,8 @@
 }
 
 /// Two zones of two nodes, each node of 100; four volumes, each on two nodes of different zones.
-fn begun() -> Ledger {
-    let mut l = ledger();
+fn begun() -> Catalog {
+    let mut l = catalog();
     let nodes = [
         node(1, "a", 100.0),
         node(2, "a", 100.0),
@@ -114,7 +114,7 @@
     l
 }
 
-fn opinion(l: &mut Ledger, a: &mut Admission, changes: Vec<Change>) -> Opinion {
+fn opinion(l: &mut Catalog, a: &mut Admission, changes: Vec<Change>) -> Opinion {
     land(l, changes.clone());
     let o = a.land(l, &changes, ALL);
     l.take_back();
@@ -260,7 +260,7 @@
 /// While a node of another zone is gone, what a drain leaves must carry its part as well.
 #[test]
 fn a_drain_while_another_zone_is_short() {
-    let mut l = ledger();
+    let mut l = catalog();
     let nodes = [("a", 1), ("a", 2), ("b", 3), ("b", 4)].map(|(zone, id)| node(id, zone, 100.0));
     land(&mut l, nodes.into());
     land(&mut l, vec![plan("all", 240.0)]);
@@ -342,7 +342,7 @@
 
 #[test]
 fn without_capacities_nothing_is_judged_and_few_steps_look_near_first() {
-    let mut l = ledger();
+    let mut l = catalog();
     land(&mut l, vec![node(1, "a", 0.0), plan("gold", 80.0)]);
     let mut a = Admission::open(&l, 2.0);
     assert!(opinion(&mut l, &mut a, vec![volume(1, "gold", &[1])]).blind);
@@ -373,16 +373,16 @@
     assert_eq!((a.refresh(0), a.refresh(ALL)), (1, 0));
 }
 
-/// After any changes, landed or taken back, what is missing is what the planner says of the ledger.
+/// After any changes, landed or taken back, what is missing is what the planner says of the catalog.
 #[test]
-fn it_stands_where_the_ledger_stands() {
+fn it_stands_where_the_catalog_stands() {
     for seed in 0..120 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut l = begun();
         let mut a = Admission::open(&l, 1.5);
         for _ in 0..40 {
-            let cells: BTreeSet<u32> = (0..3).map(|_| rng.random_range(1..5)).collect();
-            let cells: Vec<u32> = cells.into_iter().collect();
+            let shards: BTreeSet<u32> = (0..3).map(|_| rng.random_range(1..5)).collect();
+            let shards: Vec<u32> = shards.into_iter().collect();
             let name = ["basic", "gold", "none"][rng.random_range(0..3)];
             let change = match rng.random_range(0..8) {
                 0 => plan(name, f64::from(rng.random_range(0..90))),
@@ -399,7 +399,7 @@
                     id: rng.random_range(1..9),
                     to: None,
                 },
-                _ => volume(rng.random_range(1..9), name, &cells),
+                _ => volume(rng.random_range(1..9), name, &shards),
             };
             let Ok(entry) = l.propose(l.version(), Asks::default(), vec![change.clone()]) else {
                 continue;
--- a/crates/plans/tests/changes.rs
+++ b/crates/plans/tests/changes.rs
@@ -1,4 +1,4 @@
-//! The ledger: collisions, undo, order, and the state beside a plain model under any sequence of changes.
+//! The catalog: collisions, undo, order, and the state beside a plain model under any sequence of changes.
 
 use grebecleat_plans::changes::*;
 use rand::{Rng, SeedableRng};
@@ -49,18 +49,18 @@
     let to = Some(Volume {
         plan: plan.into(),
         hosts,
-        cells: [].into(),
+        shards: [].into(),
         blocks: 8,
     });
     Change::Volume { id, to }
 }
 
-fn node(id: u32, cell: u32) -> Change {
+fn node(id: u32, shard: u32) -> Change {
     Change::Node {
         id,
         to: Some(Node {
             zone: "a".into(),
-            cell,
+            shard,
             capacity: 100.0,
             ..Node::default()
         }),
@@ -89,14 +89,14 @@
     }
 }
 
-fn ledger(most_trail: usize) -> Ledger {
+fn catalog(max_trail: usize) -> Catalog {
     let hosts = ["h", "i", "j"].map(Name::from).into();
-    Ledger::new(
+    Catalog::new(
         Facts {
             hosts,
-            linger: Duration::from_millis(250),
+            max_dispatch_delay: Duration::from_millis(250),
         },
-        most_trail,
+        max_trail,
     )
 }
 
@@ -104,14 +104,14 @@
     Change::Volume { id, to: None }
 }
 
-fn land(l: &mut Ledger, changes: Vec<Change>) -> Result<Version, Refused> {
+fn land(l: &mut Catalog, changes: Vec<Change>) -> Result<Version, Refused> {
     let entry = l.propose(l.version(), by("clerk", "test"), changes)?;
     l.take(entry).expect("the next");
     Ok(l.version())
 }
 
-fn begun() -> Ledger {
-    let mut l = ledger(100);
+fn begun() -> Catalog {
+    let mut l = catalog(100);
     land(
         &mut l,
         vec![
@@ -142,7 +142,7 @@
     };
     let mut far = volume(9, "basic");
     if let Change::Volume { to: Some(v), .. } = &mut far {
-        v.cells = [1, 7].into();
+        v.shards = [1, 7].into();
     }
     let timed = |changes| Change::Timed {
         id: 1,
@@ -327,7 +327,7 @@
         let to = Node {
             name: name.into(),
             zone: "a".into(),
-            cell: id,
+            shard: id,
             ..Node::default()
         };
         Change::Node { id, to: Some(to) }
@@ -494,7 +494,7 @@
     .unwrap();
     let after = l.clone();
     assert!(l.take_back().is_some());
-    let all = |l: &Ledger| l.state().collect::<Vec<_>>();
+    let all = |l: &Catalog| l.state().collect::<Vec<_>>();
     assert_eq!((all(&l), l.version()), (all(&before), before.version()));
     for (from, to) in [(&before, &after), (&after, &before)] {
         let mut l = from.clone();
@@ -610,7 +610,7 @@
     }
     for seed in 0..50 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut host = ledger(5);
+        let mut host = catalog(5);
         while host.version() < source.version() {
             let at = rng.random_range(0..entries.len());
             let before = host.version();
@@ -630,7 +630,7 @@
 /// What is known of long ago is bounded, and who looked at that is told.
 #[test]
 fn beyond_the_trail_a_change_is_asked_again() {
-    let mut l = ledger(3);
+    let mut l = catalog(3);
     land(&mut l, vec![plan("basic", 1.0)]).unwrap();
     for n in 0..5 {
         land(&mut l, vec![volume(n, "basic")]).unwrap();
@@ -646,7 +646,7 @@
 fn any_sequence_beside_a_plain_model() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut l, mut landed) = (ledger(1000), Vec::new());
+        let (mut l, mut landed) = (catalog(1000), Vec::new());
         let (mut plans, mut volumes) = (
             BTreeMap::<String, f64>::new(),
             BTreeMap::<u64, String>::new(),
--- a/crates/plans/tests/fleet.rs
+++ b/crates/plans/tests/fleet.rs
@@ -16,7 +16,7 @@
 const HOSTS: [&str; 3] = ["h1", "h2", "h3"];
 const LEASE: Duration = Duration::from_millis(600);
 const MARGIN: Duration = Duration::from_millis(100);
-const LINGER: Duration = Duration::from_millis(20);
+const MAX_DISPATCH_DELAY: Duration = Duration::from_millis(20);
 const STEP: Duration = Duration::from_millis(10);
 const VOLUMES: std::ops::Range<u64> = 1..5;
 
@@ -27,7 +27,7 @@
 fn facts() -> Facts {
     Facts {
         hosts: HOSTS.iter().map(|h| Name::from(*h)).collect(),
-        linger: LINGER,
+        max_dispatch_delay: MAX_DISPATCH_DELAY,
     }
 }
 
@@ -39,15 +39,15 @@
 
 impl Disk {
     fn new(era: u64) -> Self {
-        let (ledger, has, hosts) = (
-            Ledger::new(facts(), 30),
+        let (catalog, has, hosts) = (
+            Catalog::new(facts(), 30),
             BTreeMap::new(),
             HOSTS.map(Name::from).to_vec(),
         );
         let (settled, era, eras, prevailed) = (Version(0), Era(era), Vec::new(), Version(0));
         Disk {
             start: source::Start {
-                ledger,
+                catalog,
                 settled,
                 has,
                 hosts,
@@ -60,15 +60,15 @@
 
     fn keep(&mut self, what: source::Keep) {
         match what {
-            source::Keep::Entry(e) => self.start.ledger.take(e).expect("the next"),
+            source::Keep::Entry(e) => self.start.catalog.take(e).expect("the next"),
             source::Keep::Settled(v) => {
                 self.start.settled = v;
-                self.start.ledger.need(v);
+                self.start.catalog.need(v);
             }
             source::Keep::Has(h, v) => _ = self.start.has.insert(h, v),
             source::Keep::Prevails(e) => {
                 self.start.prevailed = e.version;
-                self.start.ledger.take(e).expect("further on");
+                self.start.catalog.take(e).expect("further on");
             }
         }
     }
@@ -76,7 +76,7 @@
     /// As it was, in a new era. Hosts that it does not know of may have joined since.
     fn restored(&self, era: u64) -> Self {
         let mut start = self.start.clone();
-        start.eras.push((start.era, start.ledger.version()));
+        start.eras.push((start.era, start.catalog.version()));
         start.era = Era(era);
         for h in 0..HOSTS.len() as u32 {
             start.has.entry(HostNo(h)).or_insert(Version(0));
@@ -92,21 +92,21 @@
 impl HostDisk {
     fn start(&self) -> follow::Start {
         self.0.clone().unwrap_or_else(|| follow::Start {
-            ledger: Follow::ledger_of(facts()),
+            catalog: Follow::catalog_of(facts()),
             ..Default::default()
         })
     }
 
-    fn keep(&mut self, k: &follow::Keep, whole: &Ledger) {
+    fn keep(&mut self, k: &follow::Keep, whole: &Catalog) {
         let mut start = self.start();
         if k.whole {
-            start.ledger = whole.clone();
+            start.catalog = whole.clone();
         } else {
             k.entries
                 .iter()
-                .for_each(|e| start.ledger.take(e.clone()).expect("the next"));
+                .for_each(|e| start.catalog.take(e.clone()).expect("the next"));
         }
-        start.ledger.forget(k.settled);
+        start.catalog.forget(k.settled);
         (start.settled, start.era) = (k.settled, k.era);
         self.0 = Some(start);
     }
@@ -136,7 +136,7 @@
     follow: Follow,
     disk: HostDisk,
     /// Keeps on their way, and the state that a whole one means.
-    keeping: Vec<(follow::Keep, Ledger)>,
+    keeping: Vec<(follow::Keep, Catalog)>,
     terms: BTreeMap<u64, follow::Terms>,
     calls: u64,
     newest: Version,
@@ -221,15 +221,20 @@
                 } => {
                     let (host, back) = self.calls[&call.0];
                     let name = Name::from(HOSTS[host]);
-                    let ledger = self.source.ledger();
-                    let entries = ledger
+                    let catalog = self.source.catalog();
+                    let entries = catalog
                         .since(from)
                         .expect("the trail reaches back")
                         .filter(|e| e.version <= to);
                     let entries = entries
-                        .map(|e| for_host(ledger, settled, e, &name))
+                        .map(|e| for_host(catalog, settled, e, &name))
                         .collect();
-                    let state = || ledger.state_at(from).filter(|c| is_for(c, &name)).collect();
+                    let state = || {
+                        catalog
+                            .state_at(from)
+                            .filter(|c| is_for(c, &name))
+                            .collect()
+                    };
                     let came = match whole {
                         true => Came::Whole {
                             at: from,
@@ -281,7 +286,7 @@
         let now = self.now;
         let h = &mut self.hosts[i];
         let actions = h.follow.step(now, events);
-        let has = h.follow.ledger().version();
+        let has = h.follow.catalog().version();
         assert!(
             has >= h.newest,
             "{} went back from {:?} to {has:?}",
@@ -311,7 +316,7 @@
                     self.send(Message::Confirm { host: i, era, has })
                 }
                 follow::Action::Keep(k) => {
-                    let whole = self.hosts[i].follow.ledger().clone();
+                    let whole = self.hosts[i].follow.catalog().clone();
                     self.hosts[i].keeping.push((k, whole));
                 }
                 follow::Action::Volume { id, terms: Some(t) } => {
@@ -363,7 +368,7 @@
             let to = Volume {
                 plan,
                 hosts: hosts.into(),
-                cells: [].into(),
+                shards: [].into(),
                 blocks: 8,
             };
             Change::Volume {
@@ -410,7 +415,7 @@
             Some(disk) => {
                 self.disk = disk;
                 self.landed
-                    .retain(|v, _| *v <= self.disk.start.ledger.version());
+                    .retain(|v, _| *v <= self.disk.start.catalog.version());
                 self.counts[3] += 1;
                 self.mended = false;
             }
@@ -558,18 +563,18 @@
 
     /// No volume may be sent more of than the limit of the settled version.
     fn judge(&mut self) {
-        let ledger = self.source.ledger();
+        let catalog = self.source.catalog();
         let settled = self.source.settled();
         // After a restore two histories are under way, and no limit of one of them bounds both, until the one
         // that counts has come everywhere.
         let era = self.disk.start.era;
         self.mended |=
-            settled == ledger.version() && self.hosts.iter().all(|h| h.follow.era() == era);
+            settled == catalog.version() && self.hosts.iter().all(|h| h.follow.era() == era);
         if !self.mended {
             return;
         }
         let mut then =
-            Ledger::new(facts(), 1).restored(settled, ledger.state_at(settled), Vec::new());
+            Catalog::new(facts(), 1).restored(settled, catalog.state_at(settled), Vec::new());
         then.forget(settled);
         for id in VOLUMES {
             let Some(v) = then.volume(id) else { continue };
@@ -597,7 +602,7 @@
                 self.now,
                 plan.limit,
                 plan.burst,
-                ledger.version(),
+                catalog.version(),
                 self.hosts.iter().map(|h| (h.follow.follower(), h.terms.get(&id))).collect::<Vec<_>>()
             );
             self.counts[5] += u32::from(parts.len() > 1);
@@ -607,7 +612,7 @@
 
 impl Host {
     fn new(name: &str, disk: HostDisk) -> Self {
-        let follow = Follow::new(name.into(), disk.start(), LINGER);
+        let follow = Follow::new(name.into(), disk.start(), MAX_DISPATCH_DELAY);
         let (keeping, terms) = (Vec::new(), BTreeMap::new());
         Host {
             follow,
@@ -653,7 +658,7 @@
         let kept: BTreeMap<Version, &Vec<Change>> = w
             .disk
             .start
-            .ledger
+            .catalog
             .trail()
             .map(|e| (e.version, &e.changes))
             .collect();
@@ -678,7 +683,7 @@
     let latest = w.source.kept();
     assert_eq!(
         latest,
-        w.source.ledger().version(),
+        w.source.catalog().version(),
         "seed {seed}: nothing waits for the disk"
     );
     for (i, h) in w.hosts.iter().enumerate() {
@@ -692,7 +697,7 @@
         for id in VOLUMES {
             let own = w
                 .source
-                .ledger()
+                .catalog()
                 .volume(id)
                 .filter(|v| v.hosts.contains(&Name::from(HOSTS[i])));
             let terms = h.terms.get(&id).filter(|t| t.mine);
--- a/crates/plans/tests/follow.rs
+++ b/crates/plans/tests/follow.rs
@@ -13,7 +13,7 @@
 fn facts() -> Facts {
     Facts {
         hosts: ["h1", "h2", "h3"].map(Name::from).into(),
-        linger: ms(100),
+        max_dispatch_delay: ms(100),
     }
 }
 
@@ -39,7 +39,7 @@
         to: Some(Volume {
             plan: plan.into(),
             hosts,
-            cells: [].into(),
+            shards: [].into(),
             blocks: 8,
         }),
     }
@@ -47,7 +47,7 @@
 
 /// A service that answers at once, and a host that asks it.
 struct Rig {
-    source: Ledger,
+    source: Catalog,
     host: Follow,
     now: Duration,
     call: Option<(Call, Version)>,
@@ -60,11 +60,11 @@
 impl Rig {
     fn new() -> Rig {
         let start = Start {
-            ledger: Follow::ledger_of(facts()),
+            catalog: Follow::catalog_of(facts()),
             ..Start::default()
         };
         let mut r = Rig {
-            source: Ledger::new(facts(), 100),
+            source: Catalog::new(facts(), 100),
             host: Follow::new("h3".into(), start, ms(100)),
             now: ms(1000),
             call: None,
@@ -252,7 +252,7 @@
         lease,
         came: Came::Entries(vec![last]),
     }]);
-    assert_eq!((r.host.ledger().version(), r.told.len()), (Version(1), 0));
+    assert_eq!((r.host.catalog().version(), r.told.len()), (Version(1), 0));
     assert!(
         r.call.is_none() && r.notes.last().unwrap().contains("does not lead"),
         "{:?}",
@@ -261,7 +261,7 @@
     r.now += ms(1000);
     r.step(vec![]);
     r.grant(1);
-    assert_eq!(r.host.ledger().version(), Version(3));
+    assert_eq!(r.host.catalog().version(), Version(3));
     // An answer to what was not asked, or long ago, is nobody's.
     r.step(vec![Event::Granted {
         call: Call(999),
--- a/crates/plans/tests/source.rs
+++ b/crates/plans/tests/source.rs
@@ -24,13 +24,13 @@
 }
 
 fn volume(id: u64, plan: &str) -> Change {
-    let (plan, hosts, cells) = (plan.into(), ["h1".into(), "h2".into()].into(), [1].into());
+    let (plan, hosts, shards) = (plan.into(), ["h1".into(), "h2".into()].into(), [1].into());
     Change::Volume {
         id,
         to: Some(Volume {
             plan,
             hosts,
-            cells,
+            shards,
             blocks: 8,
         }),
     }
@@ -41,7 +41,7 @@
         id,
         to: Some(Node {
             zone: "a".into(),
-            cell: id,
+            shard: id,
             capacity,
             ..Node::default()
         }),
@@ -61,9 +61,9 @@
     fn new() -> Rig {
         let facts = Facts {
             hosts: ["h1", "h2"].map(Name::from).into(),
-            linger: Duration::ZERO,
+            max_dispatch_delay: Duration::ZERO,
         };
-        let ledger = Ledger::new(facts, 50);
+        let catalog = Catalog::new(facts, 50);
         let (has, hosts, eras) = (
             BTreeMap::new(),
             ["h1", "h2"].map(Name::from).to_vec(),
@@ -71,7 +71,7 @@
         );
         let (settled, era, prevailed) = (Version(0), Era(7), Version(0));
         let start = Start {
-            ledger,
+            catalog,
             settled,
             has,
             hosts,
@@ -235,7 +235,7 @@
         "{told:?}"
     );
     assert_eq!(
-        (r.s.ledger().version(), r.s.ledger().plan("x")),
+        (r.s.catalog().version(), r.s.catalog().plan("x")),
         (Version(4), None)
     );
     // What the disk says later of what was taken back counts for nothing.
@@ -280,7 +280,7 @@
     let a = r.propose(more.clone(), |_| ());
     let why = "40.0 units a second of reserves cannot be met; what gives way: volume 5 by 40.0";
     assert_eq!(r.said(), [format!("{}: {why}", a.0)]);
-    assert!(r.s.ledger().volume(3).is_none() && r.sent.is_empty());
+    assert!(r.s.catalog().volume(3).is_none() && r.sent.is_empty());
     // Whoever only looks is told the same, and nothing lands, not even what nothing speaks against.
     let looks = r.propose(more.clone(), |p| p.only_look = true);
     let fine = r.propose(vec![volume(3, "gold")], |p| p.only_look = true);
@@ -292,7 +292,7 @@
         ]
     );
     assert!(
-        r.s.ledger().volume(3).is_none()
+        r.s.catalog().volume(3).is_none()
             && r.sent.is_empty()
             && r.s.admission().missing().short == 0.0
     );
@@ -300,7 +300,7 @@
     r.keep();
     assert_eq!(r.said(), [format!("{}: landed 3", b.0)]);
     assert_eq!(
-        r.s.ledger().trail().last().unwrap().against,
+        r.s.catalog().trail().last().unwrap().against,
         why,
         "and the trail says so"
     );
@@ -314,7 +314,7 @@
         force: false,
     }]);
     r.keep();
-    assert!(r.s.ledger().volume(3).is_none() && r.s.admission().missing().short == 0.0);
+    assert!(r.s.catalog().volume(3).is_none() && r.s.admission().missing().short == 0.0);
 }
 
 #[test]
@@ -339,7 +339,7 @@
     r.said();
     r.now = ms(6000);
     r.step(vec![]);
-    assert_eq!(&*r.s.ledger().volume(1).unwrap().plan, "gold");
+    assert_eq!(&*r.s.catalog().volume(1).unwrap().plan, "gold");
     r.now = ms(9000);
     r.step(vec![]);
     r.keep();
@@ -348,15 +348,15 @@
         ["timed change 2 of clerk lapses: volume 2 has changed since it was asked for"]
     );
     assert_eq!(
-        (r.s.ledger().timed().count(), r.s.ledger().volume(2)),
+        (r.s.catalog().timed().count(), r.s.catalog().volume(2)),
         (0, None)
     );
-    assert_eq!(r.s.ledger().plan("gold").unwrap().reservation, 40.0);
-    let last = r.s.ledger().trail().last().unwrap();
+    assert_eq!(r.s.catalog().plan("gold").unwrap().reservation, 40.0);
+    let last = r.s.catalog().trail().last().unwrap();
     assert!(last.why.starts_with("lapsed"), "{last:?}");
     // Undoing what landed does not bring its time back.
     let landed =
-        r.s.ledger()
+        r.s.catalog()
             .trail()
             .find(|e| e.changes.contains(&volume(1, "gold")))
             .unwrap()
@@ -372,8 +372,8 @@
     r.keep();
     assert_eq!(
         (
-            r.s.ledger().timed().count(),
-            &*r.s.ledger().volume(1).unwrap().plan
+            r.s.catalog().timed().count(),
+            &*r.s.catalog().volume(1).unwrap().plan
         ),
         (0, "basic")
     );
--- a/crates/platform/src/account.rs
+++ b/crates/platform/src/account.rs
@@ -32,7 +32,7 @@
     let heard = AGES
         .get(c.heard)
         .map_or("never".into(), |age| format!("{}ms", age.as_millis()));
-    let kind = kinds.get(c.stream_type.0).map_or("?", String::as_str);
+    let kind = kinds.get(c.traffic_class.0).map_or("?", String::as_str);
     format!("{why}/{kind}/{pays}/{heard}")
 }
 
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 pub const READY: &str = "/health/ready";
-const MOST_ID: usize = 512;
+const MAX_ID: usize = 512;
 
 /// What a client wants.
 #[derive(Debug)]
@@ -21,7 +21,7 @@
     /// The take lacks its id, which the host gives. `id` is the client's own.
     Take {
         id: String,
-        take: Box<pb::Take>,
+        take: Box<pb::SubmitRequest>,
     },
 }
 
@@ -92,20 +92,20 @@
 struct Placement {
     volume: u64,
     units: f64,
-    cell: Option<u32>,
+    shard: Option<u32>,
     hosts: u32,
 }
 
 fn placement(text: &str) -> Option<Placement> {
-    let (mut volume, mut units, mut cell, mut hosts) = (None, None, None, None);
+    let (mut volume, mut units, mut shard, mut hosts) = (None, None, None, None);
     for part in text.split(',') {
         let (name, value) = part.trim().split_once('=')?;
         // A second telling of the same is a fault as well: which one counts?
         let twice = match name {
             "volume" => volume.replace(hex16(value)?).is_some(),
             "units" => units.replace(value.parse::<f64>().ok()?).is_some(),
-            "shard" if value == "-1" => cell.replace(None).is_some(),
-            "shard" => cell
+            "shard" if value == "-1" => shard.replace(None).is_some(),
+            "shard" => shard
                 .replace(Some(u32::try_from(whole(value)?).ok()?))
                 .is_some(),
             "hosts" => hosts.replace(u32::try_from(whole(value)?).ok()?).is_some(),
@@ -118,7 +118,7 @@
     Some(Placement {
         volume: volume?,
         units: units?,
-        cell: cell?,
+        shard: shard?,
         hosts: hosts?,
     })
 }
@@ -158,9 +158,9 @@
             parts.next_back().ok_or(absent)?,
         );
         let kinds = self.kinds.iter().map(|k| k.name.as_str());
-        let stream_type = place(kinds, first.as_bytes(), || in_path(first));
-        let stream_type = stream_type.ok_or(absent)?;
-        let kind = &self.kinds[stream_type];
+        let traffic_class = place(kinds, first.as_bytes(), || in_path(first));
+        let traffic_class = traffic_class.ok_or(absent)?;
+        let kind = &self.kinds[traffic_class];
         let key = hex16(last).ok_or(bad("a path that does not end in 16 hex digits"))?;
         let write = r.method == "PUT";
         if kind.write.is_some_and(|w| w != write) {
@@ -172,7 +172,7 @@
         let h = &r.headers;
         let id = h
             .one("x-txn")?
-            .filter(|id| !id.is_empty() && id.len() <= MOST_ID);
+            .filter(|id| !id.is_empty() && id.len() <= MAX_ID);
         let id = id.ok_or(bad("no X-Txn"))?;
         let plan = h.one_raw("x-qos-policy")?;
         let plans = self.plans.iter().map(String::as_str);
@@ -202,11 +202,11 @@
         if write || !r.body.is_empty() {
             let _ = write!(head, "Content-Length: {}\r\n", r.body.len());
         }
-        let take = pb::Take {
+        let take = pb::SubmitRequest {
             piece: Bytes::from(head),
-            stream_type: stream_type as u32,
+            traffic_class: traffic_class as u32,
             volume: placed.volume,
-            cell: placed.cell,
+            shard: placed.shard,
             key: Some(key),
             units: placed.units,
             left_us: left * 1000,
@@ -214,7 +214,7 @@
             data: Bytes::copy_from_slice(&r.body),
             plan: Some(plan as u32),
             hosts: Some(placed.hosts),
-            ..pb::Take::default()
+            ..pb::SubmitRequest::default()
         };
         Ok(Wish::Take {
             id: id.to_string(),
@@ -227,11 +227,11 @@
 pub const SERVICE: &str = "backend.local";
 
 /// A final answer, as the client reads it. An abandoned request must not read as a deferred one.
-pub fn put_final(to: &mut Vec<u8>, told: &pb::Final, keep: bool) {
+pub fn put_final(to: &mut Vec<u8>, told: &pb::Response, keep: bool) {
     match told.outcome() {
         pb::Outcome::Done => http::put_response(to, 200, "", keep, &told.data),
         pb::Outcome::Deferred => {
-            let wait = told.come_back_us.map(Duration::from_micros);
+            let wait = told.retry_after_us.map(Duration::from_micros);
             let more = wait.map_or(String::new(), |w| {
                 format!("Retry-After: {:.3}\r\n", w.as_secs_f64())
             });
--- a/crates/platform/src/clients/tests.rs
+++ b/crates/platform/src/clients/tests.rs
@@ -28,11 +28,11 @@
         panic!("a good request")
     };
     assert_eq!(
-        (id.as_str(), t.stream_type, t.plan, t.hosts),
+        (id.as_str(), t.traffic_class, t.plan, t.hosts),
         ("9b", 1, Some(1), Some(3))
     );
     assert_eq!(
-        (t.volume, t.units, t.cell, t.key),
+        (t.volume, t.units, t.shard, t.key),
         (0x3b4d60021, 2.0, Some(5), Some(0x7f3a9c21e0b4d655))
     );
     assert_eq!((t.left_us, &*t.data, t.write), (480_000, &b"hi"[..], true));
@@ -44,7 +44,7 @@
         matches!(read(&GOOD.replace("480", "0")), Ok(Wish::Take { take, .. }) if take.left_us == 0)
     );
     let new = GOOD.replace("shard=5", "shard=-1");
-    assert!(matches!(read(&new), Ok(Wish::Take { take, .. }) if take.cell.is_none()));
+    assert!(matches!(read(&new), Ok(Wish::Take { take, .. }) if take.shard.is_none()));
 }
 
 #[test]
@@ -87,7 +87,7 @@
             panic!("{path}")
         };
         assert_eq!(
-            (t.stream_type as usize, t.plan),
+            (t.traffic_class as usize, t.plan),
             (place, Some(place as u32)),
             "{path}"
         );
@@ -164,11 +164,11 @@
         ),
     ];
     for (outcome, text) in cases {
-        let told = pb::Final {
+        let told = pb::Response {
             outcome: outcome.into(),
-            come_back_us: Some(250_000),
+            retry_after_us: Some(250_000),
             data: Bytes::from_static(b"hi"),
-            ..pb::Final::default()
+            ..pb::Response::default()
         };
         let mut to = Vec::new();
         put_final(&mut to, &told, true);
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -18,7 +18,7 @@
     Duration::from_millis(n)
 }
 
-/// Kept back from every expiry: for our own queue, for the write, and for the way to the client.
+/// Kept back from every deadline: for our own queue, for the write, and for the way to the client.
 const ANSWER_MARGIN: Duration = ms(12);
 /// A connection is closed so long before its node would, since an attempt that crosses that close is reset.
 const IDLE_MARGIN: Duration = ms(1000);
@@ -34,7 +34,7 @@
 const BYTES_PART: usize = 8;
 
 /// How long an attempt may wait here before it is taken back.
-const LINGER: Duration = ms(250);
+const MAX_DISPATCH_DELAY: Duration = ms(250);
 /// Two looks at what waits, every 25 ms.
 const CROSSING_MARGIN: Duration = ms(50);
 /// Whatever the settings say of asking, what a silent list keeps back counts as told after this: watches and
@@ -66,7 +66,7 @@
     }
 }
 
-/// What is told of a stream type beside what the decisions know.
+/// What is told of a traffic class beside what the decisions know.
 #[derive(Debug, Clone)]
 pub struct Kind {
     pub name: String,
@@ -228,14 +228,14 @@
     memory_mb: usize,
     descriptors: Descriptors,
 ) -> Result<(Vec<Kind>, Settings), String> {
-    let (facts, plans) = (shared::streams(p)?, shared::plans(p)?);
+    let (facts, plans) = (shared::traffic_classes(p)?, shared::plans(p)?);
     for (what, none) in [("profiles", facts.is_empty()), ("plans", plans.is_empty())] {
         if none {
             return Err(format!("{what}: none; expected at least one"));
         }
     }
     let writes: Vec<&str> = p.word("family-info.writes").split(',').collect();
-    let (mut kinds, mut streams) = (Vec::new(), Vec::new());
+    let (mut kinds, mut traffic_classes) = (Vec::new(), Vec::new());
     let dial_timeout = p.time("caps.dial-timeout-ms")?;
     let dial_timeout = if dial_timeout.is_zero() {
         ms(250)
@@ -244,14 +244,14 @@
     };
     // An attempt that follows one that may have run must have crossed while that one is remembered, and it may
     // wait for its connection after it was decided.
-    let crossing = dial_timeout.max(LINGER) + CROSSING_MARGIN;
+    let crossing = dial_timeout.max(MAX_DISPATCH_DELAY) + CROSSING_MARGIN;
     for (n, mut facts) in facts.into_iter().enumerate() {
         if let Idempotency::WithKey { window, .. } = &mut facts.idempotency {
             *window = window.saturating_sub(crossing);
         }
         let name = named(p, "profiles", n)?;
-        let expiry = p.time(&format!("profiles.{n}.deadline-ms"))?;
-        if expiry.is_zero() {
+        let deadline = p.time(&format!("profiles.{n}.deadline-ms"))?;
+        if deadline.is_zero() {
             return Err(format!(
                 "profiles.{n}.deadline-ms: expected a span above zero"
             ));
@@ -265,10 +265,10 @@
         });
         let (share, unit_work) = (0.0, Duration::ZERO);
         let write = write.unwrap_or(false);
-        streams.push(Stream {
+        traffic_classes.push(Stream {
             name,
             facts,
-            expiry,
+            deadline,
             write,
             share,
             unit_work,
@@ -288,7 +288,7 @@
             "family-info.largest, family-info.mean-units: expected numbers above zero".into(),
         );
     }
-    let most_open = match p.count("caps.max-open")? {
+    let max_open = match p.count("caps.max-open")? {
         0 => usize::MAX,
         most => most,
     };
@@ -306,23 +306,23 @@
         answer_margin: ANSWER_MARGIN,
     };
     let bounds = Bounds {
-        most_open: most_open.min(descriptors.clients),
-        most_held_bytes: (memory_mb << 20) / BYTES_PART,
-        most_frame: 1 << 20,
-        most_clients: descriptors.clients,
-        most_unread: 1 << 20,
+        max_open: max_open.min(descriptors.clients),
+        max_held_bytes: (memory_mb << 20) / BYTES_PART,
+        max_frame: 1 << 20,
+        max_clients: descriptors.clients,
+        max_unread: 1 << 20,
         attempts_per_connection: 1,
         connections_per_node: descriptors.nodes,
         node_connections: descriptors.nodes,
         dial_timeout,
         idle: idle.saturating_sub(IDLE_MARGIN).max(idle / 2),
-        linger: LINGER,
+        max_dispatch_delay: MAX_DISPATCH_DELAY,
         patience: ms(2000),
     };
     let settings = Settings {
         name: name.to_string(),
         zones: p.word("zones").split(',').map(String::from).collect(),
-        streams,
+        traffic_classes,
         plans,
         volumes: Vec::new(),
         nodes: Vec::new(),
@@ -340,7 +340,7 @@
         state: None,
         fleet: None,
         units,
-        caps: shared::caps(p)?,
+        host_limits: shared::host_limits(p)?,
         rules,
         bounds,
         portals: Vec::new(),
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -30,12 +30,17 @@
     let c = read(&whole()).unwrap();
     let s = &c.settings;
     assert_eq!(
-        (c.name.as_str(), c.seed, s.streams.len(), s.plans.len()),
+        (
+            c.name.as_str(),
+            c.seed,
+            s.traffic_classes.len(),
+            s.plans.len()
+        ),
         ("n3", 0x8c1f30d27a5be964, 2, 1)
     );
-    assert_eq!(s.caps.come_back, Some(ms(500)));
+    assert_eq!(s.host_limits.max_retry_after, Some(ms(500)));
     assert_eq!(
-        (s.rules.cold.hosts, s.rules.attempts.as_ref().unwrap().share),
+        (s.rules.cold.hosts, s.rules.attempts.as_ref().unwrap().ratio),
         (4, 0.25)
     );
     assert_eq!(
@@ -65,7 +70,7 @@
         ("map read, a=b", "gr\u{f6}\u{df}e L")
     );
     assert_eq!(
-        c.settings.streams[1].facts.idempotency,
+        c.settings.traffic_classes[1].facts.idempotency,
         Idempotency::NonIdempotent,
         "what is not known is not repeated"
     );
@@ -81,11 +86,13 @@
     ] {
         let mut v = whole();
         v["settings"]["caps"]["dial-timeout-ms"] = dial;
-        let idempotency = read(&v).unwrap().settings.streams[1].facts.idempotency;
+        let idempotency = read(&v).unwrap().settings.traffic_classes[1]
+            .facts
+            .idempotency;
         assert_eq!(
             idempotency,
             Idempotency::WithKey {
-                scope: DeduplicationScope::Cell,
+                scope: DeduplicationScope::Shard,
                 window: ms(left)
             }
         );
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -13,7 +13,7 @@
 
 pub const PATH: &str = "/registry/instances";
 /// More than a day of replacements, every few seconds.
-const MOST_NAMES: usize = 100_000;
+const MAX_NAMES: usize = 100_000;
 
 #[derive(Deserialize)]
 struct Told {
@@ -52,7 +52,7 @@
         return Some(*n);
     }
     let n = of.len() as u32;
-    (of.len() < MOST_NAMES).then(|| of.insert(name.to_string(), n))?;
+    (of.len() < MAX_NAMES).then(|| of.insert(name.to_string(), n))?;
     Some(n)
 }
 
@@ -107,7 +107,7 @@
         Some(pb::Endpoint {
             node: number(&mut self.nodes, &t.uid)?,
             zone,
-            cell: t.pod_group,
+            shard: t.pod_group,
             state: state.into(),
             address,
             start: t.boot_ms.max(0.0) as u64,
--- a/crates/platform/src/discovery/tests.rs
+++ b/crates/platform/src/discovery/tests.rs
@@ -26,7 +26,7 @@
         .list
         .endpoints
         .iter()
-        .map(|e| (e.node, e.cell, e.up_us, e.start))
+        .map(|e| (e.node, e.shard, e.up_us, e.start))
         .collect();
     assert_eq!(seen, [(0, 3, None, 0), (1, 3, Some(1_000_000), 4000)]);
     let half = r#"{"uid":"a","state":"read"#;
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -9,14 +9,14 @@
 use std::borrow::Cow;
 use std::io::Write;
 
-pub const MOST_HEAD: usize = 16 << 10;
+pub const MAX_HEAD: usize = 16 << 10;
 /// Of a client's.
-pub const MOST_BODY: usize = 64 << 10;
+pub const MAX_BODY: usize = 64 << 10;
 /// Of an answer's: nodes were seen to give 200 KB, and what is dropped here has run for nothing.
-pub const MOST_ANSWER: usize = 512 << 10;
-const MOST_HEADERS: usize = 64;
+pub const MAX_ANSWER: usize = 512 << 10;
+const MAX_HEADERS: usize = 64;
 /// Interim heads before an answer.
-const MOST_INTERIM: usize = 8;
+const MAX_INTERIM: usize = 8;
 /// A chunked body may take this much for its own marks.
 const CHUNK_MARKS: usize = 4 << 10;
 
@@ -184,11 +184,11 @@
 /// assert_eq!(request(b"PUT /a HTTP/1.1\r\nContent-Length: +2\r\n\r\nhi").unwrap_err().status, 400);
 /// ```
 pub fn request(bytes: &[u8]) -> Result<Whole<Request<'_>>, Fault> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
-    let used = match head.parse(&bytes[..bytes.len().min(MOST_HEAD)]) {
+    let used = match head.parse(&bytes[..bytes.len().min(MAX_HEAD)]) {
         Ok(httparse::Status::Complete(used)) => used,
-        Ok(httparse::Status::Partial) if bytes.len() >= MOST_HEAD => {
+        Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD => {
             return Err(fault(431, "a head without end"))
         }
         Ok(httparse::Status::Partial) => return Ok(None),
@@ -203,7 +203,7 @@
     };
     let headers = Headers::of(head.headers);
     let keep = keeps(version, &headers);
-    let Some((body, more)) = body(&bytes[used..], length(&headers, MOST_BODY)?, MOST_BODY)? else {
+    let Some((body, more)) = body(&bytes[used..], length(&headers, MAX_BODY)?, MAX_BODY)? else {
         return Ok(None);
     };
     Ok(Some((
@@ -234,13 +234,13 @@
 /// ```
 pub fn response(bytes: &[u8]) -> Result<Whole<Response<'_>>, Fault> {
     let mut at = 0;
-    for _ in 0..=MOST_INTERIM {
-        let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    for _ in 0..=MAX_INTERIM {
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut head = httparse::Response::new(&mut headers);
         let rest = &bytes[at..];
-        let used = match head.parse(&rest[..rest.len().min(MOST_HEAD)]) {
+        let used = match head.parse(&rest[..rest.len().min(MAX_HEAD)]) {
             Ok(httparse::Status::Complete(used)) => used,
-            Ok(httparse::Status::Partial) if rest.len() < MOST_HEAD => return Ok(None),
+            Ok(httparse::Status::Partial) if rest.len() < MAX_HEAD => return Ok(None),
             _ => return Err(fault(502, "a head that cannot be read")),
         };
         let (Some(status), Some(version)) = (head.code, head.version) else {
@@ -252,11 +252,11 @@
         }
         let headers = Headers::of(head.headers);
         let keep = keeps(version, &headers);
-        let length = match length(&headers, MOST_ANSWER)? {
+        let length = match length(&headers, MAX_ANSWER)? {
             Length::None if !matches!(status, 204 | 304) => return Err(fault(502, "no length")),
             length => length,
         };
-        let Some((body, more)) = body(&bytes[at + used..], length, MOST_ANSWER)? else {
+        let Some((body, more)) = body(&bytes[at + used..], length, MAX_ANSWER)? else {
             return Ok(None);
         };
         return Ok(Some((
--- a/crates/platform/src/nodes/tests.rs
+++ b/crates/platform/src/nodes/tests.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_attempt_says_how_long_we_wait() {
+fn an_attempt_says_how_long_we_wait() {
     let attempt = pb::Attempt {
         piece: Bytes::from_static(b"GET /a HTTP/1.1\r\n"),
         left_us: 479_100,
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -55,9 +55,9 @@
 /// How long a worker without events waits before it looks by itself; see the host's own loop.
 const POLL: Duration = ms(1);
 /// Bytes of one connection that its reader may be ahead of the owner.
-const MOST_AHEAD: usize = 96 << 10;
+const MAX_AHEAD: usize = 96 << 10;
 /// Bytes that may wait behind a client's open exchange.
-const MOST_BEHIND: usize = 16 << 10;
+const MAX_BEHIND: usize = 16 << 10;
 /// Inputs that go into one step, so that a flood cannot keep timers waiting.
 const ONE_STEP: usize = 512;
 const ONE_WRITE: usize = 128 << 10;
@@ -77,7 +77,7 @@
 /// to a reset.
 const DISCARD: (Duration, usize) = (ms(500), 256 << 10);
 /// After SIGTERM clients go on with the connections that they have, and the process is killed no sooner than
-/// the longest expiry, of which no more than the first counts, and the second. It serves until so long before
+/// the longest deadline, of which no more than the first counts, and the second. It serves until so long before
 /// that, and has answered by the fourth.
 const KILLED: (Duration, Duration) = (ms(3000), ms(700));
 const LAST_TAKEN: Duration = ms(450);
@@ -85,7 +85,7 @@
 /// What was accepted before the listener was shut has been heard of by then.
 const LAST_HEARD: Duration = ms(20);
 /// A node's answer that has begun must go on within this. Guards against answers that are said to be longer
-/// than they are, whose connection stays open: without it such an attempt holds its request until expiry.
+/// than they are, whose connection stays open: without it such an attempt holds its request until deadline.
 /// Harm: a whole answer over a link that stalls for longer counts as spoilt.
 const REST_OF_ANSWER: Duration = ms(100);
 /// Bytes to a node that the system may hold for it. What is there can't be taken back when a client leaves,
@@ -261,7 +261,7 @@
         let mut inner = self.lock();
         let before = inner.ahead;
         inner.ahead -= n;
-        if before > MOST_AHEAD && inner.ahead <= MOST_AHEAD {
+        if before > MAX_AHEAD && inner.ahead <= MAX_AHEAD {
             drop(inner);
             self.bell.post();
         }
@@ -290,7 +290,7 @@
     }
 
     fn wait_for_owner(&self) {
-        let must = |inner: MutexGuard<Reading>| inner.ahead > MOST_AHEAD && !inner.closed;
+        let must = |inner: MutexGuard<Reading>| inner.ahead > MAX_AHEAD && !inner.closed;
         while must(self.lock()) {
             self.bell.wait();
         }
@@ -801,7 +801,7 @@
                 }
                 client.spoke = true;
                 c.inward.extend_from_slice(bytes);
-                if client.open.is_some() && c.inward.len() > MOST_BEHIND {
+                if client.open.is_some() && c.inward.len() > MAX_BEHIND {
                     return self.lost(conn);
                 }
                 self.advance(conn, at);
@@ -810,7 +810,7 @@
                 c.moved = at;
                 c.inward.extend_from_slice(bytes);
                 if c.inward.len() > SMALL_ANSWER
-                    && self.inward_of_nodes() > self.config.settings.bounds.most_held_bytes
+                    && self.inward_of_nodes() > self.config.settings.bounds.max_held_bytes
                 {
                     return self.spoilt(conn);
                 }
@@ -890,7 +890,7 @@
                         keep,
                     });
                     self.ids.insert(id);
-                    let frames = vec![frame(Body::Take(*take), at)];
+                    let frames = vec![frame(Body::SubmitRequest(*take), at)];
                     self.inputs.push(Input::ClientFrames { conn, at, frames });
                     return;
                 }
@@ -931,7 +931,7 @@
     /// is closed at the look that follows its being accepted: from the next [`Host::sweep`] on the queue
     /// moves as fast as we accept and close, however many are in it, and who comes back comes back behind.
     /// Reckoned from their being accepted, each round of as many as have places would cost that span anew.
-    /// For longer a place is held only by one that has said something: by an open request until its expiry, an
+    /// For longer a place is held only by one that has said something: by an open request until its deadline, an
     /// answer that is not read for [`READING`], half an exchange for [`FIRST_WORDS`] or [`REST`]. Harm: what
     /// one that is slow to speak says may cross the close, and it comes again.
     fn make_room(&mut self) {
@@ -1443,7 +1443,7 @@
             return;
         };
         match (&mut c.role, body) {
-            (Role::Client(client), Body::Final(told)) => {
+            (Role::Client(client), Body::Response(told)) => {
                 let Some(Asked { id, request, keep }) = client.open.take() else {
                     return;
                 };
@@ -1465,7 +1465,7 @@
                 *doing = Doing::Attempt(attempt.attempt);
                 nodes::put_attempt(&mut c.outward, &attempt);
             }
-            (Role::Node(doing), Body::Probe(probe)) => {
+            (Role::Node(doing), Body::HealthCheck(probe)) => {
                 if matches!(doing, Doing::Nothing) {
                     *doing = Doing::Probe(probe.probe);
                     nodes::put_probe(&mut c.outward);
@@ -1490,9 +1490,9 @@
         let longest = self
             .config
             .settings
-            .streams
+            .traffic_classes
             .iter()
-            .map(|s| s.expiry)
+            .map(|s| s.deadline)
             .max()
             .unwrap_or_default();
         Some(self.draining? + longest.min(KILLED.0) + KILLED.1)
@@ -1665,7 +1665,7 @@
     } else {
         pb::Result::Error
     };
-    Body::Probed(pb::Probed {
+    Body::HealthCheckResult(pb::HealthCheckResult {
         probe,
         result: result.into(),
     })
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -276,7 +276,7 @@
         let node = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let entry = pb::Endpoint {
             node: 1,
-            cell: 5,
+            shard: 5,
             state: pb::NodeState::Ready.into(),
             address: node.local_addr().unwrap().to_string(),
             ..pb::Endpoint::default()
--- a/crates/platform/tests/http.rs
+++ b/crates/platform/tests/http.rs
@@ -1,7 +1,7 @@
 //! Any bytes give a message, a fault or 'more', never a panic; and where a stream is cut changes nothing.
 
 use grebecleat_platform::discovery::Names;
-use grebecleat_platform::http::{request, response, MOST_BODY, MOST_HEAD};
+use grebecleat_platform::http::{request, response, MAX_BODY, MAX_HEAD};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -70,7 +70,7 @@
             }
         }
         if let Ok(Some((r, used))) = request(&bytes) {
-            assert!(used <= bytes.len() && r.body.len() <= MOST_BODY);
+            assert!(used <= bytes.len() && r.body.len() <= MAX_BODY);
         }
         if let Ok(Some((_, used))) = response(&bytes) {
             assert!(used <= bytes.len());
@@ -81,7 +81,7 @@
 
 #[test]
 fn what_has_no_end_is_a_fault_in_the_end() {
-    let head = [b"GET / HTTP/1.1\r\nA: ".to_vec(), vec![b'x'; MOST_HEAD]].concat();
+    let head = [b"GET / HTTP/1.1\r\nA: ".to_vec(), vec![b'x'; MAX_HEAD]].concat();
     assert_eq!(request(&head).unwrap_err().status, 431);
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(200));
     assert_eq!(request(many.as_bytes()).unwrap_err().status, 431);
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -18,8 +18,8 @@
 use std::path::Path;
 
 /// More calls than this are a slip in a loop.
-const MOST_CALLS: usize = 200_000;
-const MOST_LOADS: usize = 16;
+const MAX_CALLS: usize = 200_000;
+const MAX_LOADS: usize = 16;
 
 #[derive(Debug, Default, ProvidesStaticType)]
 struct Calls(RefCell<Vec<Call>>);
@@ -52,7 +52,7 @@
         .and_then(|e| e.downcast_ref::<Calls>())
         .expect("given to every evaluator");
     let mut calls = calls.0.borrow_mut();
-    anyhow::ensure!(calls.len() < MOST_CALLS, "more than {MOST_CALLS} calls");
+    anyhow::ensure!(calls.len() < MAX_CALLS, "more than {MAX_CALLS} calls");
     calls.push(Call {
         what,
         place,
@@ -148,8 +148,8 @@
         },
         what,
     };
-    if depth > MOST_LOADS {
-        return Err(at(0, format!("loads nest deeper than {MOST_LOADS}")));
+    if depth > MAX_LOADS {
+        return Err(at(0, format!("loads nest deeper than {MAX_LOADS}")));
     }
     let dialect = Dialect {
         enable_top_level_stmt: true,
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -17,9 +17,9 @@
 #[derive(Debug, Clone)]
 pub struct Stream {
     pub name: String,
-    pub facts: StreamType,
+    pub facts: TrafficClass,
     /// How long a client waits for all its tries together.
-    pub expiry: Duration,
+    pub deadline: Duration,
     pub write: bool,
     /// Part of all requests, and the mean work of one unit, in rehearsals.
     pub share: f64,
@@ -36,7 +36,7 @@
 pub struct VolumeSpec {
     pub id: u64,
     pub plan: usize,
-    pub cells: Vec<u32>,
+    pub shards: Vec<u32>,
     /// Places of the hosts through which it works.
     pub hosts: Vec<usize>,
     /// Part of its plan's rate that its clients ask for.
@@ -51,7 +51,7 @@
     /// What operators call it.
     pub name: String,
     pub zone: usize,
-    pub cell: u32,
+    pub shard: u32,
     /// Units a second that it can do, for the planner; 0: nobody has said.
     pub capacity: f64,
     pub cores: u32,
@@ -95,7 +95,7 @@
     pub margin: Duration,
     /// How far a volume's load may gather on a part of its nodes: 1 is spread alike.
     pub spread: f64,
-    pub most_trail: u64,
+    pub max_trail: u64,
     pub snapshot_every: Duration,
 }
 
@@ -112,22 +112,22 @@
 #[derive(Debug, Clone)]
 pub struct Rules {
     pub drain_grace: Duration,
-    pub cold: ColdRule,
+    pub cold: SlowStartPolicy,
     pub attempts: Option<RetryBudget>,
     pub key_rest: Duration,
-    /// Kept back from every expiry, so that the answer is with the client in time.
+    /// Kept back from every deadline, so that the answer is with the client in time.
     pub answer_margin: Duration,
 }
 
 /// What one host lets itself hold. Everything that a peer can make grow has a bound here.
 #[derive(Debug, Clone)]
 pub struct Bounds {
-    pub most_open: usize,
-    pub most_held_bytes: usize,
-    pub most_frame: usize,
-    pub most_clients: usize,
+    pub max_open: usize,
+    pub max_held_bytes: usize,
+    pub max_frame: usize,
+    pub max_clients: usize,
     /// Bytes of answers that a client may leave unread.
-    pub most_unread: usize,
+    pub max_unread: usize,
     pub attempts_per_connection: usize,
     pub connections_per_node: usize,
     /// To all nodes together.
@@ -135,7 +135,7 @@
     pub dial_timeout: Duration,
     pub idle: Duration,
     /// An attempt that could not be written for so long is taken back.
-    pub linger: Duration,
+    pub max_dispatch_delay: Duration,
     /// A greeting, or the rest of a frame that has begun, must come within this.
     pub patience: Duration,
 }
@@ -159,7 +159,7 @@
     pub listen: SocketAddr,
     pub host: usize,
     pub group: u16,
-    /// Stream types of reads, writes, and reads of at least so many bytes.
+    /// Traffic classes of reads, writes, and reads of at least so many bytes.
     pub read: usize,
     pub write: usize,
     pub large_read: usize,
@@ -213,7 +213,7 @@
 pub struct Settings {
     pub name: String,
     pub zones: Vec<String>,
-    pub streams: Vec<Stream>,
+    pub traffic_classes: Vec<Stream>,
     pub plans: Vec<NamedPlan>,
     pub volumes: Vec<VolumeSpec>,
     pub nodes: Vec<NodeSpec>,
@@ -222,8 +222,8 @@
     pub state: Option<StateSpec>,
     /// None: every host decides by itself.
     pub fleet: Option<FleetSpec>,
-    pub units: UnitFacts,
-    pub caps: Caps,
+    pub units: UnitSettings,
+    pub host_limits: HostLimits,
     pub rules: Rules,
     pub bounds: Bounds,
     pub portals: Vec<PortalSpec>,
@@ -342,11 +342,11 @@
         let zones = self.each("zone", |f| f.text("name", None));
         self.unique("zone", "name", zones.clone());
         let zone_names: Vec<&str> = zones.iter().map(String::as_str).collect();
-        let streams = self.each("stream_type", stream);
+        let traffic_classes = self.each("stream_type", stream);
         self.unique(
             "stream_type",
             "name",
-            streams.iter().map(|s| s.name.clone()).collect(),
+            traffic_classes.iter().map(|s| s.name.clone()).collect(),
         );
         let plans = self.each("plan", plan);
         self.unique(
@@ -376,12 +376,12 @@
             hosts.iter().map(|h| h.name.clone()).collect(),
         );
         let host_names: Vec<&str> = hosts.iter().map(|h| h.name.as_str()).collect();
-        let cells: BTreeSet<u32> = nodes.iter().map(|n| n.cell).collect();
-        let volumes = self.each("volume", |f| volume(f, &plan_names, &host_names, &cells));
+        let shards: BTreeSet<u32> = nodes.iter().map(|n| n.shard).collect();
+        let volumes = self.each("volume", |f| volume(f, &plan_names, &host_names, &shards));
         self.unique("volume", "id", volumes.iter().map(|v| v.id).collect());
         for (what, none) in [
             ("zone", zones.is_empty()),
-            ("stream_type", streams.is_empty()),
+            ("stream_type", traffic_classes.is_empty()),
             ("plan", plans.is_empty()),
             ("host", hosts.is_empty()),
         ] {
@@ -395,25 +395,25 @@
         let shares = self.calls.iter().any(|c| c.what == "fleet");
         let fleet = shares.then(|| self.once("fleet", fleet));
         let units = self.once("units", units);
-        let caps = self.once("legs", attempts);
+        let host_limits = self.once("legs", attempts);
         let hosts_n = hosts.len();
         let rules = self.once("rules", |f| rules(f, hosts_n));
         let bounds = self.once("bounds", bounds);
-        // Attempts are drawn from a limit when they are decided and cross up to `linger` later, so a burst can
+        // Attempts are drawn from a limit when they are decided and cross up to `max_dispatch_delay` later, so a burst can
         // reach the nodes by the rate over that time too much.
         let slack_short = |p: &NamedPlan| {
             p.facts.limit > 0.0 && {
-                p.facts.limit_slack < p.facts.limit * bounds.linger.as_secs_f64()
+                p.facts.limit_slack < p.facts.limit * bounds.max_dispatch_delay.as_secs_f64()
             }
         };
         if let Some(p) = plans.iter().find(|p| slack_short(p)) {
-            let least = p.facts.limit * bounds.linger.as_secs_f64();
+            let least = p.facts.limit * bounds.max_dispatch_delay.as_secs_f64();
             self.whole_file(format!(
                 "plan: field 'limit_slack': of {}: expected at least limit times bounds' linger, {least}",
                 p.name
             ));
         }
-        let stream_names: Vec<&str> = streams.iter().map(|s| s.name.as_str()).collect();
+        let stream_names: Vec<&str> = traffic_classes.iter().map(|s| s.name.as_str()).collect();
         let portals = self.each("portal", |f| portal(f, &host_names, &stream_names));
         // A request that counts for less than it is would slip through reservations and limits.
         let most = |p: &PortalSpec| (p.extent_blocks * 512).div_ceil(p.unit_bytes);
@@ -434,7 +434,7 @@
         let rehearsal = self.rehearsal(&zone_names, &host_names, &nodes);
         Settings {
             name,
-            streams,
+            traffic_classes,
             plans,
             volumes,
             nodes,
@@ -442,7 +442,7 @@
             state,
             fleet,
             units,
-            caps,
+            host_limits,
             rules,
             bounds,
             portals,
@@ -494,7 +494,7 @@
             let scope = match v.get("group").and_then(|g| g.as_str()) {
                 Some("all") => Some(DeduplicationScope::All),
                 Some("zone") => Some(DeduplicationScope::Zone),
-                Some("cell") => Some(DeduplicationScope::Cell),
+                Some("cell") => Some(DeduplicationScope::Shard),
                 _ => None,
             };
             match (scope, v.get("remembered").and_then(span_of)) {
@@ -511,19 +511,19 @@
         None => Idempotency::NonIdempotent,
     };
     let name = f.text("name", None);
-    let (slo, expiry) = (f.span("slo", None, DAY), f.span("expiry", None, DAY));
-    if slo > expiry {
+    let (latency_objective, deadline) = (f.span("slo", None, DAY), f.span("expiry", None, DAY));
+    if latency_objective > deadline {
         f.fault(
             "slo",
-            format!("expected at most the expiry, {expiry:?}, found {slo:?}"),
+            format!("expected at most the expiry, {deadline:?}, found {latency_objective:?}"),
         );
     }
-    let facts = StreamType {
-        slo,
+    let facts = TrafficClass {
+        latency_objective,
         idempotency,
         ordered: f.flag("ordered", Some(false)),
-        benefit: f.number("benefit", Some(1.0), (0.0, 1e6)),
-        late_part: f.number("late_part", Some(0.2), (0.0, 1.0)),
+        priority_weight: f.number("benefit", Some(1.0), (0.0, 1e6)),
+        late_fraction: f.number("late_part", Some(0.2), (0.0, 1.0)),
     };
     let (write, share) = (
         f.flag("write", Some(false)),
@@ -532,7 +532,7 @@
     Stream {
         name,
         facts,
-        expiry,
+        deadline,
         write,
         share,
         unit_work: f.span("unit_work", Some(ms(4)), DAY),
@@ -571,16 +571,16 @@
     }
 }
 
-fn volume(f: &mut Fields, plans: &[&str], hosts: &[&str], cells: &BTreeSet<u32>) -> VolumeSpec {
+fn volume(f: &mut Fields, plans: &[&str], hosts: &[&str], shards: &BTreeSet<u32>) -> VolumeSpec {
     let named: Vec<u32> = f
         .numbers("cells", u64::from(u32::MAX))
         .into_iter()
         .map(|c| c as u32)
         .collect();
-    if let Some(cell) = named.iter().find(|c| !cells.contains(c)) {
+    if let Some(shard) = named.iter().find(|c| !shards.contains(c)) {
         f.fault(
             "cells",
-            format!("expected cells that a node() holds, found {cell}"),
+            format!("expected cells that a node() holds, found {shard}"),
         );
     }
     let mut through = f.some_of("hosts", hosts);
@@ -590,8 +590,8 @@
     VolumeSpec {
         id: f.whole("id", None, (0, u64::MAX)),
         plan: f.one_of("plan", None, plans),
-        cells: if named.is_empty() {
-            cells.iter().copied().collect()
+        shards: if named.is_empty() {
+            shards.iter().copied().collect()
         } else {
             named
         },
@@ -614,7 +614,7 @@
         id,
         name,
         zone: f.one_of("zone", None, zones),
-        cell: f.whole("cell", Some(u64::from(id)), (0, u64::from(u32::MAX))) as u32,
+        shard: f.whole("cell", Some(u64::from(id)), (0, u64::from(u32::MAX))) as u32,
         capacity: f.number("capacity", Some(0.0), (0.0, 1e9)),
         cores: f.whole("cores", Some(2), (1, 1024)) as u32,
         speed: f.number("speed", Some(1.0), (0.01, 1000.0)),
@@ -666,7 +666,7 @@
         lease: f.span("lease", Some(ms(6000)), DAY),
         margin: f.span("margin", Some(ms(1000)), DAY),
         spread: f.number("spread", Some(2.0), (1.0, 1000.0)),
-        most_trail: f.whole("most_trail", Some(100_000), (100, 10_000_000)),
+        max_trail: f.whole("most_trail", Some(100_000), (100, 10_000_000)),
         snapshot_every: f.span("snapshot_every", Some(ms(600_000)), DAY),
     };
     if spec.lease < ms(100) {
@@ -732,33 +732,33 @@
     }
 }
 
-fn units(f: &mut Fields) -> UnitFacts {
-    UnitFacts {
+fn units(f: &mut Fields) -> UnitSettings {
+    UnitSettings {
         mean: f.number("mean", Some(2.0), (0.01, 1e6)),
         largest: f.number("largest", Some(8.0), (0.01, 1e6)),
         meter: f.span("meter", Some(ms(1000)), DAY),
-        share_part: f.number("share_part", Some(0.35), (0.0, 1.0)),
-        spare_part: f.number("spare_part", Some(0.05), (0.0, 1.0)),
+        share_fraction: f.number("share_part", Some(0.35), (0.0, 1.0)),
+        spare_fraction: f.number("spare_part", Some(0.05), (0.0, 1.0)),
     }
 }
 
-fn attempts(f: &mut Fields) -> Caps {
-    let come_back = f.span("come_back_most", Some(ms(2000)), DAY);
-    Caps {
-        most_attempts: f.whole("most", Some(3), (1, 100)) as u32,
+fn attempts(f: &mut Fields) -> HostLimits {
+    let max_retry_after = f.span("come_back_most", Some(ms(2000)), DAY);
+    HostLimits {
+        max_attempts: f.whole("most", Some(3), (1, 100)) as u32,
         probing: f.flag("probing", Some(false)),
-        come_back: (!come_back.is_zero()).then_some(come_back),
+        max_retry_after: (!max_retry_after.is_zero()).then_some(max_retry_after),
         answer_slack: f.span("answer_slack", Some(ms(8)), DAY),
     }
 }
 
 fn rules(f: &mut Fields, hosts: usize) -> Rules {
-    let cold = ColdRule {
+    let cold = SlowStartPolicy {
         hosts,
         units: f.number("cold_units", Some(20.0), (0.0, 1e9)),
-        starts_at: f.number("cold_from", Some(0.2), (0.01, 1.0)),
-        warm_within: f.span("warm_within", Some(ms(10_000)), DAY),
-        fall_within: f.span("fall_within", Some(ms(2000)), DAY),
+        initial_fraction: f.number("cold_from", Some(0.2), (0.01, 1.0)),
+        warm_up_time: f.span("warm_within", Some(ms(10_000)), DAY),
+        overload_window: f.span("fall_within", Some(ms(2000)), DAY),
         multiple: f.number("fall_multiple", Some(3.0), (1.0, 1000.0)),
     };
     let share = f.number("further_share", Some(0.0), (0.0, 100.0));
@@ -768,8 +768,8 @@
         drain_grace: f.span("drain_grace", Some(ms(1000)), DAY),
         cold,
         attempts: (share > 0.0).then_some(RetryBudget {
-            floor,
-            share,
+            min_retries: floor,
+            ratio: share,
             window,
         }),
         key_rest: f.span("key_rest", Some(ms(200)), DAY),
@@ -780,22 +780,22 @@
 fn bounds(f: &mut Fields) -> Bounds {
     let most = 1u64 << 40;
     Bounds {
-        most_open: f.whole("most_open", Some(20_000), (1, most)) as usize,
-        most_held_bytes: f.whole("most_held_bytes", Some(256 << 20), (1, most)) as usize,
-        most_frame: f.whole("most_frame", Some((1 << 20) + 4096), (4096, 1 << 30)) as usize,
-        most_clients: f.whole("most_clients", Some(10_000), (1, most)) as usize,
-        most_unread: f.whole("most_unread", Some(8 << 20), (4096, most)) as usize,
+        max_open: f.whole("most_open", Some(20_000), (1, most)) as usize,
+        max_held_bytes: f.whole("most_held_bytes", Some(256 << 20), (1, most)) as usize,
+        max_frame: f.whole("most_frame", Some((1 << 20) + 4096), (4096, 1 << 30)) as usize,
+        max_clients: f.whole("most_clients", Some(10_000), (1, most)) as usize,
+        max_unread: f.whole("most_unread", Some(8 << 20), (4096, most)) as usize,
         attempts_per_connection: f.whole("legs_per_connection", Some(100), (1, 1 << 20)) as usize,
         connections_per_node: f.whole("connections_per_node", Some(4), (1, 1024)) as usize,
         node_connections: f.whole("node_connections", Some(10_000), (1, most)) as usize,
         dial_timeout: f.span("dial_timeout", Some(ms(250)), DAY),
         idle: f.span("idle", Some(ms(15_000)), DAY),
-        linger: f.span("linger", Some(ms(250)), DAY),
+        max_dispatch_delay: f.span("linger", Some(ms(250)), DAY),
         patience: f.span("patience", Some(ms(5000)), DAY),
     }
 }
 
-fn portal(f: &mut Fields, hosts: &[&str], streams: &[&str]) -> PortalSpec {
+fn portal(f: &mut Fields, hosts: &[&str], traffic_classes: &[&str]) -> PortalSpec {
     let listen = address(f, "listen");
     if listen.is_none() && f.raw("listen").is_none() {
         f.fault(
@@ -807,9 +807,9 @@
         listen: listen.unwrap_or(([127, 0, 0, 1], 0).into()),
         host: f.one_of("host", Some(0), hosts),
         group: f.whole("group", Some(1), (1, 65_535)) as u16,
-        read: f.one_of("read", None, streams),
-        write: f.one_of("write", None, streams),
-        large_read: f.one_of("large_read", None, streams),
+        read: f.one_of("read", None, traffic_classes),
+        write: f.one_of("write", None, traffic_classes),
+        large_read: f.one_of("large_read", None, traffic_classes),
         large_from: f.whole("large_from", Some(64 << 10), (512, 1 << 24)) as u32,
         unit_bytes: f.whole("unit_bytes", Some(16 << 10), (512, 1 << 24)) as u32,
         extent_blocks: f.whole("extent_blocks", Some(128), (1, 1 << 16)) as u32,
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -7,7 +7,7 @@
 use grebecleat_settings::{Kind, Rehearsal, Settings};
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 use grebecleat_wire::trace::Tracer;
-use grebecleat_wire::{clock, pb::Final};
+use grebecleat_wire::{clock, pb::Response};
 use rand::Rng;
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -40,14 +40,14 @@
     pub wrong_content: u64,
     /// First tries that found no host.
     pub unreached: u64,
-    /// By plan: pieces, done in their SLO time, done late.
+    /// By plan: pieces, done in their Latency objective, done late.
     pub plans: BTreeMap<usize, (u64, u64, u64)>,
-    /// By place of a volume and second: pieces, and of these done in their SLO time.
+    /// By place of a volume and second: pieces, and of these done in their Latency objective.
     pub seconds: BTreeMap<(usize, u64), (u64, u64)>,
 }
 
 impl Tally {
-    /// The part of a volume's pieces that were done in their SLO time, of those that began in a span of
+    /// The part of a volume's pieces that were done in their Latency objective, of those that began in a span of
     /// seconds.
     pub fn timely(&self, volume: usize, seconds: std::ops::Range<u64>) -> Option<f64> {
         let all = self
@@ -75,7 +75,7 @@
     host: usize,
     stream: usize,
     extent: u64,
-    cell: Option<u32>,
+    shard: Option<u32>,
     key: u64,
     units: u32,
     born: Duration,
@@ -215,9 +215,9 @@
         }
         let longest = self
             .settings
-            .streams
+            .traffic_classes
             .iter()
-            .map(|s| s.expiry)
+            .map(|s| s.deadline)
             .max()
             .unwrap_or_default();
         let (end, last) = (self.script.length, self.script.length + longest * 2);
@@ -303,14 +303,14 @@
         let spec = &self.settings.volumes[volume];
         let rng = &mut self.sources[volume];
         let gap = -rng.random::<f64>().max(1e-12).ln() / per_second;
-        let shares: f64 = self.settings.streams.iter().map(|s| s.share).sum();
+        let shares: f64 = self.settings.traffic_classes.iter().map(|s| s.share).sum();
         let mut place = rng.random::<f64>() * shares;
-        let pick = self.settings.streams.iter().position(|s| {
+        let pick = self.settings.traffic_classes.iter().position(|s| {
             place -= s.share;
             place < 0.0
         });
         let stream = pick.unwrap_or(0);
-        let write = self.settings.streams[stream].write;
+        let write = self.settings.traffic_classes[stream].write;
         let (mean, largest) = (self.settings.units.mean, self.settings.units.largest);
         let units =
             (1.0 + -rng.random::<f64>().max(1e-9).ln() * (mean - 1.0).max(0.0)).min(largest) as u32;
@@ -323,16 +323,16 @@
         };
         let host = spec.hosts[turn % n];
         let mut extent = rng.random_range(0..EXTENTS_A_VOLUME);
-        let mut cell = Some(spec.cells[(extent % spec.cells.len() as u64) as usize]);
+        let mut shard = Some(spec.shards[(extent % spec.shards.len() as u64) as usize]);
         let (fresh, reread) = (rng.random::<f64>(), rng.random::<f64>());
         let at_known = rng.random::<f64>();
         if write && fresh < NEW_OBJECTS {
-            (extent, cell) = (1_000_000 + self.pieces.len() as u64, None);
+            (extent, shard) = (1_000_000 + self.pieces.len() as u64, None);
         } else if !write && reread < self.script.reread {
             let known = self.known.get(&volume).filter(|k| !k.is_empty());
             if let Some(known) = known {
                 let (e, c) = known[(at_known * known.len() as f64) as usize % known.len()];
-                (extent, cell) = (e, Some(c));
+                (extent, shard) = (e, Some(c));
             }
         }
         if at > Duration::ZERO {
@@ -345,7 +345,7 @@
                 host,
                 stream,
                 extent,
-                cell,
+                shard,
                 key,
                 units,
                 born,
@@ -368,8 +368,8 @@
     fn attempt(&mut self, piece: usize) {
         let now = self.now();
         let p = &mut self.pieces[piece];
-        let stream = &self.settings.streams[p.stream];
-        let until = p.born + stream.expiry;
+        let stream = &self.settings.traffic_classes[p.stream];
+        let until = p.born + stream.deadline;
         let Some((_, line)) = &self.lines[p.host] else {
             self.tally.unreached += u64::from(p.tries == 0);
             return self.over(piece, None);
@@ -391,12 +391,12 @@
                 .or_default()
                 .insert(p.id.clone());
         }
-        line.put(Body::Take(pb::Take {
+        line.put(Body::SubmitRequest(pb::SubmitRequest {
             id: id.clone(),
             piece: p.id.clone(),
-            stream_type: p.stream as u32,
+            traffic_class: p.stream as u32,
             volume: self.settings.volumes[p.volume].id,
-            cell: p.cell,
+            shard: p.shard,
             key: Some(p.key),
             units: f64::from(p.units),
             left_us: clock::micros(until - now),
@@ -413,7 +413,7 @@
         self.tally.tries += 1;
         self.by_number.insert(number, id.clone());
         self.tries.insert(id, Try { piece, until, host });
-        let slack = self.settings.caps.answer_slack;
+        let slack = self.settings.host_limits.answer_slack;
         self.plan(until + slack, What::GiveUp { tried: number });
     }
 
@@ -447,14 +447,14 @@
                 }
             }
             Heard::Frame {
-                body: Body::Final(f),
+                body: Body::Response(f),
                 ..
             } => self.answered(f),
             Heard::Frame { .. } => {}
         }
     }
 
-    fn answered(&mut self, f: Final) {
+    fn answered(&mut self, f: Response) {
         if !self.answered.insert(f.id.clone()) {
             self.tally.doubled += 1;
             return;
@@ -471,10 +471,10 @@
         }
         let p = &self.pieces[t.piece];
         if outcome == Outcome::Done {
-            let stream = &self.settings.streams[p.stream];
+            let stream = &self.settings.traffic_classes[p.stream];
             let plan = self.settings.volumes[p.volume].plan;
             let line = self.tally.plans.entry(plan).or_default();
-            if now <= p.born + stream.facts.slo {
+            if now <= p.born + stream.facts.latency_objective {
                 line.1 += 1;
                 self.tally
                     .seconds
@@ -484,9 +484,9 @@
             } else {
                 line.2 += 1;
             }
-            if stream.write && p.cell.is_none() {
+            if stream.write && p.shard.is_none() {
                 let known = self.known.entry(p.volume).or_default();
-                known.push((p.extent, f.cell.unwrap_or_default()));
+                known.push((p.extent, f.shard.unwrap_or_default()));
                 if known.len() > KNOWN_OBJECTS {
                     known.remove(0);
                 }
@@ -502,13 +502,13 @@
             }
             return;
         }
-        let wait = Duration::from_micros(f.come_back_us.unwrap_or(0)).max(self.script.retry_wait);
+        let wait = Duration::from_micros(f.retry_after_us.unwrap_or(0)).max(self.script.retry_wait);
         self.again(t.piece, outcome, wait, t.until);
     }
 
     fn over(&mut self, piece: usize, outcome: Option<Outcome>) {
-        let until =
-            self.pieces[piece].born + self.settings.streams[self.pieces[piece].stream].expiry;
+        let until = self.pieces[piece].born
+            + self.settings.traffic_classes[self.pieces[piece].stream].deadline;
         if let Some(outcome) = outcome {
             self.again(piece, outcome, self.script.retry_wait, until);
         }
@@ -518,7 +518,7 @@
         use grebecleat_settings::Idempotency;
         let p = &self.pieces[piece];
         let harmless = outcome == Outcome::Deferred
-            || self.settings.streams[p.stream].facts.idempotency == Idempotency::Idempotent;
+            || self.settings.traffic_classes[p.stream].facts.idempotency == Idempotency::Idempotent;
         let at = self.now() + wait;
         if harmless && p.tries <= self.script.retries && at < until {
             self.plan(at, What::Again { piece });
--- a/crates/standin/src/disks.rs
+++ b/crates/standin/src/disks.rs
@@ -20,7 +20,7 @@
 const TIME_OUT: Duration = Duration::from_millis(900);
 /// Commands that one session has out.
 const DEPTH: usize = 6;
-const MOST_BLOCKS: u64 = 24;
+const MAX_BLOCKS: u64 = 24;
 /// Blocks that one session has for itself.
 const REGION: u64 = 512;
 /// After the script's end, how long what is out may take.
@@ -181,7 +181,7 @@
         let lun = rng.random_range(0..self.target.volumes.len()) as u64;
         let unit = self.settings.volumes[self.target.volumes[lun as usize]].blocks;
         let region = (u64::from(self.number) * REGION) % unit.saturating_sub(REGION).max(1);
-        let blocks = rng.random_range(1..=MOST_BLOCKS);
+        let blocks = rng.random_range(1..=MAX_BLOCKS);
         let lba = region + rng.random_range(0..REGION - blocks);
         let writes = rng.random::<bool>().then(|| {
             *value += 1;
--- a/crates/standin/src/initiator.rs
+++ b/crates/standin/src/initiator.rs
@@ -227,7 +227,7 @@
     }
 
     /// Sends a command; its tag. Waits while the window is closed.
-    pub fn submit(&mut self, lun: u64, cdb: &[u8], out: &[u8], most_in: u32) -> io::Result<u32> {
+    pub fn submit(&mut self, lun: u64, cdb: &[u8], out: &[u8], max_in: u32) -> io::Result<u32> {
         while !self.may_send() {
             self.hear()?;
         }
@@ -236,9 +236,9 @@
         block[..cdb.len()].copy_from_slice(cdb);
         let immediate = &out[..out.len().min(8192)];
         let flags =
-            0x80 | if most_in > 0 { 0x40 } else { 0 } | if out.is_empty() { 0 } else { 0x20 };
+            0x80 | if max_in > 0 { 0x40 } else { 0 } | if out.is_empty() { 0 } else { 0x20 };
         let length = if out.is_empty() {
-            most_in
+            max_in
         } else {
             out.len() as u32
         };
@@ -280,14 +280,8 @@
         Ok(self.done.pop_front().expect("looked at above"))
     }
 
-    pub fn command(
-        &mut self,
-        lun: u64,
-        cdb: &[u8],
-        out: &[u8],
-        most_in: u32,
-    ) -> io::Result<Answer> {
-        let itt = self.submit(lun, cdb, out, most_in)?;
+    pub fn command(&mut self, lun: u64, cdb: &[u8], out: &[u8], max_in: u32) -> io::Result<Answer> {
+        let itt = self.submit(lun, cdb, out, max_in)?;
         self.wait(itt)
     }
 
--- a/crates/standin/src/links.rs
+++ b/crates/standin/src/links.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 const PATIENCE: Duration = Duration::from_secs(2);
-const MOST_GREETING: usize = 4096;
+const MAX_GREETING: usize = 4096;
 
 #[derive(Debug, Default)]
 struct State {
@@ -90,7 +90,7 @@
     fn carry_between(&self, mut caller: TcpStream, to: usize) -> io::Result<()> {
         let nobody = || io::Error::other("no greeting of a host");
         caller.set_read_timeout(Some(PATIENCE))?;
-        let (mut reader, mut had) = (Reader::new(MOST_GREETING), Vec::new());
+        let (mut reader, mut had) = (Reader::new(MAX_GREETING), Vec::new());
         let name = loop {
             match reader
                 .next::<pb::Frame>()
--- a/crates/standin/src/links/tests.rs
+++ b/crates/standin/src/links/tests.rs
@@ -10,7 +10,8 @@
             let mut reader = Reader::new(1 << 16);
             while reader.fill(&mut s).is_ok_and(|n| n > 0) {
                 while let Ok(Some(f)) = reader.next::<pb::Frame>() {
-                    *heard.lock().unwrap() += usize::from(matches!(f.body, Some(Body::Word(_))));
+                    *heard.lock().unwrap() +=
+                        usize::from(matches!(f.body, Some(Body::GossipMessage(_))));
                 }
             }
         });
@@ -22,7 +23,7 @@
         return;
     };
     let mut bytes = Vec::new();
-    let word = Body::Word(pb::Word {
+    let word = Body::GossipMessage(pb::GossipMessage {
         text: b"news".to_vec().into(),
     });
     for body in [Body::Hello(hello(pb::Role::Host, from, 1)), word] {
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const MOST_FRAME: usize = 16 << 20;
+const MAX_FRAME: usize = 16 << 20;
 const PATIENCE: Duration = Duration::from_secs(5);
 static CONNS: AtomicU64 = AtomicU64::new(1);
 
@@ -54,13 +54,13 @@
 }
 
 pub fn hello(role: pb::Role, name: &str, incarnation: u64) -> pb::Hello {
-    let most_frame = MOST_FRAME as u32;
+    let max_frame = MAX_FRAME as u32;
     pb::Hello {
         version: VERSION,
         role: role.into(),
         name: name.into(),
         incarnation,
-        most_frame,
+        max_frame,
     }
 }
 
@@ -116,7 +116,7 @@
     );
     stream.write_all(&bytes)?;
     stream.set_read_timeout(Some(PATIENCE))?;
-    let mut reader = frame::Reader::new(MOST_FRAME);
+    let mut reader = frame::Reader::new(MAX_FRAME);
     let conn = CONNS.fetch_add(1, Ordering::Relaxed);
     let (frames, from) = mpsc::channel();
     let mut from = Some(from);
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 /// Bytes of data that one node keeps; a write beyond is turned away.
-const MOST_BYTES: usize = 64 << 20;
-const MOST_REMEMBERED: usize = 100_000;
+const MAX_BYTES: usize = 64 << 20;
+const MAX_REMEMBERED: usize = 100_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Life {
@@ -189,10 +189,10 @@
 
     /// Units a second that it can do warm and undisturbed, for the audit.
     pub fn capacity(&self) -> f64 {
-        let shares: f64 = self.settings.streams.iter().map(|s| s.share).sum();
+        let shares: f64 = self.settings.traffic_classes.iter().map(|s| s.share).sum();
         let work: f64 = self
             .settings
-            .streams
+            .traffic_classes
             .iter()
             .map(|s| s.share * s.unit_work.as_secs_f64())
             .sum::<f64>()
@@ -212,8 +212,8 @@
             return 1.0;
         };
         let part =
-            (now.saturating_sub(since)).as_secs_f64() / rule.warm_within.as_secs_f64().max(1e-3);
-        (rule.starts_at + (1.0 - rule.starts_at) * part).min(1.0)
+            (now.saturating_sub(since)).as_secs_f64() / rule.warm_up_time.as_secs_f64().max(1e-3);
+        (rule.initial_fraction + (1.0 - rule.initial_fraction) * part).min(1.0)
     }
 
     fn speed(&self, now: Duration) -> f64 {
@@ -236,8 +236,8 @@
     }
 
     fn work_of(&mut self, attempt: &pb::Attempt, now: Duration) -> Duration {
-        let stream =
-            &self.settings.streams[attempt.stream_type as usize % self.settings.streams.len()];
+        let stream = &self.settings.traffic_classes
+            [attempt.traffic_class as usize % self.settings.traffic_classes.len()];
         let words = attempt
             .id
             .iter()
@@ -305,7 +305,7 @@
             return turn(pb::Result::Error);
         }
         let full = self.queue.len() >= self.spec.queue;
-        if full || (attempt.write && self.bytes + attempt.data.len() > MOST_BYTES) {
+        if full || (attempt.write && self.bytes + attempt.data.len() > MAX_BYTES) {
             return turn(pb::Result::Full);
         }
         let work = self.work_of(&attempt, now);
@@ -333,18 +333,18 @@
     /// Whether what arrived lately pushes it over.
     fn pressed(&mut self, now: Duration, units: f64) -> bool {
         let rule = &self.settings.rules.cold;
-        let Some(since) = self.cold_since.filter(|s| now < *s + rule.warm_within) else {
+        let Some(since) = self.cold_since.filter(|s| now < *s + rule.warm_up_time) else {
             return false;
         };
         self.arrived.push_back((now, units));
         while self
             .arrived
             .front()
-            .is_some_and(|(at, _)| *at + rule.fall_within < now)
+            .is_some_and(|(at, _)| *at + rule.overload_window < now)
         {
             self.arrived.pop_front();
         }
-        let span = rule.fall_within.min(now - since).as_secs_f64();
+        let span = rule.overload_window.min(now - since).as_secs_f64();
         let sum: f64 = self.arrived.iter().map(|a| a.1).sum();
         let bears = rule.multiple * self.warmth(now) * self.capacity() * span.max(0.5);
         sum > bears.max(rule.units)
@@ -458,7 +458,7 @@
             if !self.done.contains_key(&attempt.piece) {
                 superseded = self.write(&attempt, now, to);
             }
-            if self.done.len() > MOST_REMEMBERED {
+            if self.done.len() > MAX_REMEMBERED {
                 let oldest = now.saturating_sub(Duration::from_secs(30));
                 self.done.retain(|_, at| *at > oldest);
             }
--- a/crates/standin/src/rehearse.rs
+++ b/crates/standin/src/rehearse.rs
@@ -22,12 +22,12 @@
 use std::time::Duration;
 
 /// Bytes that one trace may take.
-pub const MOST_TRACE: u64 = 512 << 20;
+pub const MAX_TRACE: u64 = 512 << 20;
 /// From the first process's start to the script's start.
 const LEAD: Duration = Duration::from_millis(1500);
 /// And for each host beside.
 const START: Duration = Duration::from_millis(40);
-/// A drained host must end within this beyond the longest expiry.
+/// A drained host must end within this beyond the longest deadline.
 const END: Duration = Duration::from_secs(10);
 
 /// Puts a seed and kinds of trouble, where given, in place of the script's own.
@@ -441,7 +441,7 @@
 pub fn rehearse(o: Options) -> io::Result<Seen> {
     std::fs::create_dir_all(o.dir)?;
     let me = hello(pb::Role::Client, "clients", 1);
-    let tracer = Tracer::create(&o.dir.join("clients.trace"), MOST_TRACE, me)?;
+    let tracer = Tracer::create(&o.dir.join("clients.trace"), MAX_TRACE, me)?;
     let script = o.settings.rehearsal.as_ref();
     let script = script.ok_or_else(|| io::Error::other("the script has no rehearsal()"))?;
     let strikes = strikes(o.settings, script);
@@ -551,9 +551,9 @@
     let (seen, service) = seen?;
     let longest = o
         .settings
-        .streams
+        .traffic_classes
         .iter()
-        .map(|s| s.expiry)
+        .map(|s| s.deadline)
         .max()
         .unwrap_or_default();
     for (place, child) in ended.into_iter().enumerate() {
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -12,7 +12,7 @@
 
 const TICK: Duration = Duration::from_millis(5);
 /// Bytes that wait in one direction before the sender is left waiting.
-const MOST_WAITING: usize = 4 << 20;
+const MAX_WAITING: usize = 4 << 20;
 
 #[derive(Debug, Default)]
 struct State {
@@ -92,7 +92,7 @@
     let mut open = true;
     while open || !waiting.is_empty() {
         let held: usize = waiting.iter().map(|w| w.1.len()).sum();
-        if open && held < MOST_WAITING {
+        if open && held < MAX_WAITING {
             match from.read(&mut bytes) {
                 Ok(0) => open = false,
                 Ok(n) => {
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -190,15 +190,15 @@
                             seat.node.take(now, conn, attempt, left, &mut to);
                         }
                         Body::CancelAttempt(c) => seat.node.cancel(conn, c.attempt),
-                        Body::Probe(p) => {
-                            let probed = pb::Probed {
+                        Body::HealthCheck(p) => {
+                            let probed = pb::HealthCheckResult {
                                 probe: p.probe,
                                 result: pb::Result::Ok.into(),
                             };
                             seat.lines
                                 .get(&conn)
                                 .into_iter()
-                                .for_each(|l| l.put(Body::Probed(probed)));
+                                .for_each(|l| l.put(Body::HealthCheckResult(probed)));
                         }
                         _ => {}
                     }
@@ -235,7 +235,7 @@
     pb::Endpoint {
         node: spec.id,
         zone: spec.zone as u32,
-        cell: spec.cell,
+        shard: spec.shard,
         state: state.into(),
         address: seat.address.to_string(),
         start: seat.node.starts(),
@@ -249,13 +249,13 @@
 fn do_it(stage: &Stage, seat: &mut Seat, now: Duration, deed: Deed, list: &Option<Line>) {
     let (node, warm_us) = (
         seat.node.spec.id,
-        clock::micros(stage.settings.rules.cold.warm_within),
+        clock::micros(stage.settings.rules.cold.warm_up_time),
     );
     let mark = |what: What| Marked {
         what: what.into(),
         node,
         units_a_second: seat.node.capacity(),
-        cold_part: stage.settings.rules.cold.starts_at,
+        cold_part: stage.settings.rules.cold.initial_fraction,
         warm_us,
         ..Marked::default()
     };
--- a/crates/state/src/attending.rs
+++ b/crates/state/src/attending.rs
@@ -18,7 +18,7 @@
 
 /// Who attends is told no more often than this.
 pub const SPACING: Duration = Duration::from_millis(100);
-const MOST_NOTES: usize = 1000;
+const MAX_NOTES: usize = 1000;
 
 /// Events of nodes, the newest last, each by its number.
 #[derive(Default)]
@@ -34,7 +34,7 @@
             node,
             text,
         });
-        if self.notes.len() > MOST_NOTES {
+        if self.notes.len() > MAX_NOTES {
             self.notes.pop_front();
             self.first += 1;
         }
@@ -130,7 +130,7 @@
         let happened = p.notes.since(self.notes);
         let entries: Option<Vec<&Entry>> = self
             .version
-            .and_then(|v| p.source.ledger().since(v))
+            .and_then(|v| p.source.catalog().since(v))
             .map(Iterator::collect);
         let news = self.head.as_ref() != Some(&head) || !changed.is_empty() || !happened.is_empty();
         if !news && self.version == Some(version) && self.settled == settled {
@@ -149,7 +149,7 @@
             }
             // At first, and where the trail no longer reaches back so far.
             None => {
-                let state = p.source.ledger().state_at(version).map(|c| change_pb(&c));
+                let state = p.source.catalog().state_at(version).map(|c| change_pb(&c));
                 let first = pb::Attended {
                     whole: true,
                     ..head.clone()
@@ -214,7 +214,7 @@
         node: n.node,
         name: n.facts.name.to_string(),
         zone: n.facts.zone.to_string(),
-        cell: n.facts.cell,
+        shard: n.facts.shard,
         life: life_pb(n.life).into(),
         by: n.wins.to_string(),
         up_us: n.up.map(micros),
--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const MOST_FRAME: usize = 16 << 20;
+const MAX_FRAME: usize = 16 << 20;
 const PATIENCE: Duration = Duration::from_secs(30);
 
 pub struct Client {
@@ -46,7 +46,7 @@
         stream.set_read_timeout(Some(PATIENCE))?;
         let mut c = Client {
             stream,
-            reader: frame::Reader::new(MOST_FRAME),
+            reader: frame::Reader::new(MAX_FRAME),
             next: 0,
         };
         c.put(Body::Hello(pb::Hello {
@@ -54,7 +54,7 @@
             role: pb::Role::Operator.into(),
             name: name.into(),
             incarnation: u64::from(std::process::id()),
-            most_frame: MOST_FRAME as u32,
+            max_frame: MAX_FRAME as u32,
         }))?;
         match c.read()? {
             Body::Hello(them) if them.role() == pb::Role::State => Ok(c),
--- a/crates/state/src/codec.rs
+++ b/crates/state/src/codec.rs
@@ -75,7 +75,7 @@
             let facts = |v: &Volume| pb::VolumeFacts {
                 plan: v.plan.to_string(),
                 hosts: v.hosts.iter().map(|h| h.to_string()).collect(),
-                cells: v.cells.to_vec(),
+                shards: v.shards.to_vec(),
                 blocks: v.blocks,
             };
             (
@@ -87,7 +87,7 @@
             let facts = |n: &Node| pb::NodeFacts {
                 name: n.name.to_string(),
                 zone: n.zone.to_string(),
-                cell: n.cell,
+                shard: n.shard,
                 capacity: n.capacity,
             };
             (
@@ -158,7 +158,7 @@
             let facts = |v: pb::VolumeFacts| Volume {
                 plan: v.plan.into(),
                 hosts: names(v.hosts),
-                cells: v.cells.into(),
+                shards: v.shards.into(),
                 blocks: v.blocks,
             };
             Change::Volume {
@@ -176,7 +176,7 @@
             let facts = |n: pb::NodeFacts| Node {
                 name: n.name.into(),
                 zone: n.zone.into(),
-                cell: n.cell,
+                shard: n.shard,
                 capacity: n.capacity,
             };
             Change::Node {
--- a/crates/state/src/declared.rs
+++ b/crates/state/src/declared.rs
@@ -12,7 +12,7 @@
         .collect();
     Facts {
         hosts,
-        linger: s.bounds.linger,
+        max_dispatch_delay: s.bounds.max_dispatch_delay,
     }
 }
 
@@ -39,7 +39,7 @@
         let to = Node {
             name,
             zone,
-            cell: n.cell,
+            shard: n.shard,
             capacity: n.capacity,
         };
         Change::Node {
@@ -55,7 +55,7 @@
                 .iter()
                 .map(|h| Name::from(s.hosts[*h].name.as_str()))
                 .collect(),
-            cells: v.cells.clone().into(),
+            shards: v.shards.clone().into(),
             blocks: v.blocks,
         };
         Change::Volume {
--- a/crates/state/src/extents.rs
+++ b/crates/state/src/extents.rs
@@ -1,6 +1,6 @@
 //! Where the extents of a volume lie: an index for runs.
 //!
-//! Extents are numbers that mostly come in runs on one cell, since new ones go to the first node of their
+//! Extents are numbers that mostly come in runs on one shard, since new ones go to the first node of their
 //! volume's ranking until that has enough. So what is kept is runs, of twelve bytes, in chunks of at most
 //! [`MOST`], found by their first extent in an ordered map. A look-up is one step in the map and one binary
 //! search in a chunk. Memory: twelve bytes a run, a chunk at least half full after a split; a plain ordered
@@ -17,7 +17,7 @@
     /// From the chunk's base.
     start: u32,
     length: u32,
-    cell: u32,
+    shard: u32,
 }
 
 impl Run {
@@ -26,7 +26,7 @@
     }
 }
 
-/// Cells by extent.
+/// Shards by extent.
 ///
 /// ```
 /// use grebecleat_state::extents::Extents;
@@ -54,18 +54,18 @@
         chunk
             .get(place.checked_sub(1)?)
             .filter(|r| at < r.end())
-            .map(|r| r.cell)
+            .map(|r| r.shard)
     }
 
-    /// Puts an extent on a cell, wherever it lay.
-    pub fn insert(&mut self, extent: u64, cell: u32) {
+    /// Puts an extent on a shard, wherever it lay.
+    pub fn insert(&mut self, extent: u64, shard: u32) {
         let Some(base) = self.home(extent) else {
             self.chunks.insert(
                 extent,
                 vec![Run {
                     start: 0,
                     length: 1,
-                    cell,
+                    shard,
                 }],
             );
             (self.extents, self.runs) = (self.extents + 1, self.runs + 1);
@@ -78,27 +78,27 @@
             .checked_sub(1)
             .filter(|p| u64::from(at) < chunk[*p].end());
         match inside {
-            Some(p) if chunk[p].cell == cell => return,
+            Some(p) if chunk[p].shard == shard => return,
             Some(p) => {
                 let Run {
                     start,
                     length,
-                    cell: old,
+                    shard: old,
                 } = chunk[p];
                 let left = Run {
                     start,
                     length: at - start,
-                    cell: old,
+                    shard: old,
                 };
                 let right = Run {
                     start: at + 1,
                     length: length - (at - start) - 1,
-                    cell: old,
+                    shard: old,
                 };
                 let one = Run {
                     start: at,
                     length: 1,
-                    cell,
+                    shard,
                 };
                 let parts = [left, one, right].into_iter().filter(|r| r.length > 0);
                 chunk.splice(p..=p, parts);
@@ -110,7 +110,7 @@
                     Run {
                         start: at,
                         length: 1,
-                        cell,
+                        shard,
                     },
                 );
             }
@@ -162,14 +162,14 @@
         self.runs
     }
 
-    /// Runs in order: first extent, how many, cell. Two that follow each other on one cell may stand apart
+    /// Runs in order: first extent, how many, shard. Two that follow each other on one shard may stand apart
     /// where a chunk ends.
     pub fn iter(&self) -> impl Iterator<Item = (u64, u64, u32)> + '_ {
         let runs = self
             .chunks
             .iter()
             .flat_map(|(base, chunk)| chunk.iter().map(move |r| (base, r)));
-        runs.map(|(base, r)| (base + u64::from(r.start), u64::from(r.length), r.cell))
+        runs.map(|(base, r)| (base + u64::from(r.start), u64::from(r.length), r.shard))
     }
 }
 
@@ -177,7 +177,7 @@
     fn from_iter<T: IntoIterator<Item = (u64, u32)>>(all: T) -> Self {
         let mut extents = Extents::default();
         all.into_iter()
-            .for_each(|(extent, cell)| extents.insert(extent, cell));
+            .for_each(|(extent, shard)| extents.insert(extent, shard));
         extents
     }
 }
@@ -185,7 +185,7 @@
 /// Makes one of a run and the next, where they are.
 fn join(chunk: &mut Vec<Run>, p: usize) {
     if let [a, b, ..] = chunk[p..] {
-        if a.cell == b.cell && a.end() == u64::from(b.start) {
+        if a.shard == b.shard && a.end() == u64::from(b.start) {
             chunk[p].length += b.length;
             chunk.remove(p + 1);
         }
--- a/crates/state/src/extents/tests.rs
+++ b/crates/state/src/extents/tests.rs
@@ -10,7 +10,7 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut e, mut plain) = (Extents::default(), BTreeMap::new());
         let spread = [40, 3000, 1 << 20, u64::MAX][seed as usize % 4];
-        let cells = rng.random_range(1..4);
+        let shards = rng.random_range(1..4);
         let mut at = rng.random_range(0..spread);
         for _ in 0..3000 {
             at = match rng.random_range(0..10) {
@@ -18,9 +18,9 @@
                 1 => at.saturating_sub(1),
                 _ => at.saturating_add(1).min(spread),
             };
-            let cell = rng.random_range(0..cells) / (1 + rng.random_range(0..2));
-            e.insert(at, cell);
-            plain.insert(at, cell);
+            let shard = rng.random_range(0..shards) / (1 + rng.random_range(0..2));
+            e.insert(at, shard);
+            plain.insert(at, shard);
             let near = at.saturating_add(rng.random_range(0..5)).saturating_sub(2);
             assert_eq!(e.get(near), plain.get(&near).copied(), "seed {seed}");
         }
@@ -29,7 +29,7 @@
         assert_eq!(runs.len(), e.runs());
         let all: Vec<(u64, u32)> = runs
             .iter()
-            .flat_map(|(from, n, cell)| (0..*n).map(move |i| (from + i, *cell)))
+            .flat_map(|(from, n, shard)| (0..*n).map(move |i| (from + i, *shard)))
             .collect();
         assert!(all.into_iter().eq(plain.into_iter()), "seed {seed}");
         assert!(e.chunks.values().all(|c| !c.is_empty() && c.len() <= MOST));
--- a/crates/state/src/keeper.rs
+++ b/crates/state/src/keeper.rs
@@ -31,9 +31,9 @@
     /// Opens the store and starts its thread; what was in it is answered.
     pub fn open(
         path: &Path,
-        most_trail: u64,
+        max_trail: u64,
     ) -> Result<(Keeper, Kept, BTreeMap<u64, Extents>), StoreFault> {
-        let (store, kept, places) = Store::open(path, most_trail)?;
+        let (store, kept, places) = Store::open(path, max_trail)?;
         Ok((Keeper::start(store), kept, places))
     }
 
--- a/crates/state/src/serve.rs
+++ b/crates/state/src/serve.rs
@@ -19,7 +19,7 @@
 };
 use grebecleat_membership::life::{Answers, Word};
 use grebecleat_plans::admission::Reason;
-use grebecleat_plans::changes::{Change, Entry, Ledger, Name, Version};
+use grebecleat_plans::changes::{Catalog, Change, Entry, Name, Version};
 use grebecleat_plans::feed::HostNo;
 use grebecleat_plans::moves::{self, Size};
 use grebecleat_plans::source::{
@@ -41,11 +41,11 @@
 use std::time::{Duration, Instant, SystemTime};
 use tracing::{error, info, warn};
 
-const MOST_CONNECTIONS: usize = 1024;
+const MAX_CONNECTIONS: usize = 1024;
 const QUEUE: usize = 1024;
 /// Bytes after which an answer goes on in another frame.
 const PART: usize = 128 << 10;
-const MOST_FRAME: usize = 16 << 20;
+const MAX_FRAME: usize = 16 << 20;
 const PATIENCE: Duration = Duration::from_secs(5);
 /// Events of one step.
 const ONE_STEP: usize = 512;
@@ -53,7 +53,7 @@
 /// Bytes of an extent, where no portal says how large its extents are.
 const EXTENT: u64 = 64 << 10;
 
-/// Rounds between the ledger and the members of one step.
+/// Rounds between the catalog and the members of one step.
 const ROUNDS: usize = 16;
 
 pub struct Options {
@@ -134,8 +134,8 @@
 
 /// What a store held, as the decisions want it at a start.
 fn start(kept: Kept, settings: &Settings, spec: &StateSpec) -> Start {
-    let ledger = Ledger::new(facts(settings), spec.most_trail as usize);
-    let ledger = ledger.restored(kept.version, kept.state, kept.trail);
+    let catalog = Catalog::new(facts(settings), spec.max_trail as usize);
+    let catalog = catalog.restored(kept.version, kept.state, kept.trail);
     let hosts: Vec<Name> = settings
         .hosts
         .iter()
@@ -157,7 +157,7 @@
     }
     let (settled, era, eras, prevailed) = (kept.settled, kept.era, kept.eras, kept.prevailed);
     Start {
-        ledger,
+        catalog,
         settled,
         has,
         hosts,
@@ -183,7 +183,7 @@
         .clone()
         .ok_or("the settings name no state_service()")?;
     let told = |e: StoreFault| format!("store {}: {e}", o.store.display());
-    let (keeper, mut kept, _) = Keeper::open(&o.store, spec.most_trail).map_err(told)?;
+    let (keeper, mut kept, _) = Keeper::open(&o.store, spec.max_trail).map_err(told)?;
     if kept.era == Era(0) {
         kept.era = new_era();
         let (done, kept_it) = mpsc::channel();
@@ -201,13 +201,13 @@
     );
     let longest = o
         .settings
-        .streams
+        .traffic_classes
         .iter()
-        .map(|s| s.expiry)
+        .map(|s| s.deadline)
         .max()
         .unwrap_or_default();
     let hosts = (0..o.settings.hosts.len() as u32).map(HostNo);
-    let members = Membership::new(now, o.settings.rules.cold.warm_within, longest, hosts);
+    let members = Membership::new(now, o.settings.rules.cold.warm_up_time, longest, hosts);
     let listener =
         TcpListener::bind(o.listen).map_err(|e| format!("cannot listen on {}: {e}", o.listen))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
@@ -247,7 +247,7 @@
 struct Owner<'a> {
     source: Source,
     members: Membership,
-    /// Up to where the members know the ledger, and what hosts have said to have.
+    /// Up to where the members know the catalog, and what hosts have said to have.
     shown: Version,
     sure: BTreeMap<HostNo, Option<Version>>,
     /// Calls of theirs.
@@ -345,25 +345,27 @@
         }
     }
 
-    /// The members hear what has changed of the ledger and of what hosts have, beside what is given; and what
-    /// they want is brought before the ledger, which may answer at once.
+    /// The members hear what has changed of the catalog and of what hosts have, beside what is given; and what
+    /// they want is brought before the catalog, which may answer at once.
     fn tell_members(&mut self, mut seen: Vec<Seen>) {
         for _ in 0..ROUNDS {
             let kept = self.source.kept();
             if kept > self.shown {
                 let anew =
-                    self.source.ledger().since(self.shown).is_none() || self.shown == Version(0);
-                let changes: Vec<(Version, Change)> = match self.source.ledger().since(self.shown) {
+                    self.source.catalog().since(self.shown).is_none() || self.shown == Version(0);
+                let changes: Vec<(Version, Change)> = match self.source.catalog().since(self.shown)
+                {
                     Some(entries) if !anew => {
                         let kept = entries.filter(|e| e.version <= kept);
                         kept.flat_map(|e| e.changes.iter().map(|c| (e.version, c.clone())))
                             .collect()
                     }
                     _ => {
-                        let at =
-                            |c: &Change| self.source.ledger().touched(&c.subject()).unwrap_or(kept);
+                        let at = |c: &Change| {
+                            self.source.catalog().touched(&c.subject()).unwrap_or(kept)
+                        };
                         self.source
-                            .ledger()
+                            .catalog()
                             .state_at(kept)
                             .map(|c| (at(&c), c))
                             .collect()
@@ -613,7 +615,8 @@
                         }]);
                     }
                     Ok(changes) => {
-                        let looked_at = p.looked_at.map_or(self.source.ledger().version(), Version);
+                        let looked_at =
+                            p.looked_at.map_or(self.source.catalog().version(), Version);
                         let at = p.at_us.map(Duration::from_micros);
                         let proposal = Proposal {
                             who: p.who,
@@ -689,7 +692,7 @@
             What::State => {
                 let state = self
                     .source
-                    .ledger()
+                    .catalog()
                     .state_at(version)
                     .map(|c| change_pb(&c));
                 in_parts(state, |state, more| {
@@ -703,7 +706,7 @@
             What::Trail => {
                 let all = self
                     .source
-                    .ledger()
+                    .catalog()
                     .trail()
                     .filter(|e| e.version <= version && e.version.0 > l.after);
                 let n = all.clone().count();
@@ -732,12 +735,12 @@
             }
             What::Proposal => {
                 // It may take seconds, and hosts must not wait for it.
-                let site = self.source.admission().site(self.source.ledger());
+                let site = self.source.admission().site(self.source.catalog());
                 let mut empty: BTreeSet<u32> = l.empty.into_iter().collect();
                 empty.extend(self.source.admission().drains());
                 let sizes: BTreeMap<u64, u64> = self
                     .source
-                    .ledger()
+                    .catalog()
                     .volumes()
                     .map(|(id, v)| (id, v.blocks * 512))
                     .collect();
@@ -778,7 +781,7 @@
             .map_or(EXTENT, |p| u64::from(p.extent_blocks) * 512)
     }
 
-    /// Does what the ledger's decisions want; what came of the members' own proposals is answered.
+    /// Does what the catalog's decisions want; what came of the members' own proposals is answered.
     fn carry_out(&mut self, actions: Vec<Action>) -> Vec<Seen> {
         let (mut records, mut numbers) = (Vec::new(), (0, 0));
         let mut answered = Vec::new();
@@ -848,7 +851,7 @@
                     self.say(call, |call| Body::Refused(pb::Refused { call, why }))
                 }
                 Action::Would { call, opinion } => {
-                    let version = self.source.ledger().version().0;
+                    let version = self.source.catalog().version().0;
                     let words = |all: &[Reason]| all.iter().map(|r| r.to_string()).collect();
                     let (against, warnings) = (words(&opinion.against), words(&opinion.warnings));
                     let (unseen, blind) = (opinion.unseen as u32, opinion.blind);
@@ -918,7 +921,7 @@
             return;
         };
         let me = Name::from(peer.name.as_str());
-        let ledger = self.source.ledger();
+        let catalog = self.source.catalog();
         let head = pb::Feed {
             call: theirs,
             era: self.era.0,
@@ -930,7 +933,7 @@
             ..pb::Feed::default()
         };
         if whole {
-            let state = ledger
+            let state = catalog
                 .state_at(from)
                 .filter(|c| is_for(c, &me))
                 .map(|c| change_pb(&c));
@@ -942,12 +945,12 @@
                 }));
             });
         }
-        let entries = ledger
+        let entries = catalog
             .since(from)
             .into_iter()
             .flatten()
             .filter(|e| e.version <= to);
-        let entries = entries.map(|e: &Entry| entry_pb(&for_host(ledger, settled, e, &me)));
+        let entries = entries.map(|e: &Entry| entry_pb(&for_host(catalog, settled, e, &me)));
         in_parts(entries, |entries, more| {
             peer.line.put(Body::Feed(pb::Feed {
                 entries,
@@ -986,7 +989,7 @@
             let to = to.map(|n| Facts {
                 name: n.name,
                 zone: n.zone,
-                cell: n.cell,
+                shard: n.shard,
             });
             Some(Seen::Node { node: id, to })
         }
@@ -1054,9 +1057,9 @@
                     continue;
                 }
             };
-            if open.fetch_add(1, Ordering::Relaxed) >= MOST_CONNECTIONS {
+            if open.fetch_add(1, Ordering::Relaxed) >= MAX_CONNECTIONS {
                 open.fetch_sub(1, Ordering::Relaxed);
-                warn!("a caller is turned away: {MOST_CONNECTIONS} connections");
+                warn!("a caller is turned away: {MAX_CONNECTIONS} connections");
                 continue;
             }
             let (tracer, to, open) = (tracer.clone(), to.clone(), open.clone());
@@ -1086,7 +1089,7 @@
         role: pb::Role::State.into(),
         name: "state".into(),
         incarnation: 1,
-        most_frame: MOST_FRAME as u32,
+        max_frame: MAX_FRAME as u32,
     };
     let mut bytes = Vec::new();
     let sent_us = clock::micros(clock::now());
@@ -1098,7 +1101,7 @@
         &mut bytes,
     );
     stream.write_all(&bytes)?;
-    let mut reader = frame::Reader::new(MOST_FRAME);
+    let mut reader = frame::Reader::new(MAX_FRAME);
     let own = Arc::new(stream.try_clone()?);
     let (mut delay, mut name) = (Delay::default(), None);
     loop {
@@ -1180,8 +1183,8 @@
 
 /// What a store's file and its settings disagree in, for whoever looks at it without a service.
 pub fn differences(settings: &Settings, state: impl IntoIterator<Item = Change>) -> Vec<Change> {
-    let ledger = |state: Vec<Change>| {
-        Ledger::new(facts(settings), 1).restored(Version(1), state, Vec::new())
+    let catalog = |state: Vec<Change>| {
+        Catalog::new(facts(settings), 1).restored(Version(1), state, Vec::new())
     };
-    ledger(declared(settings)).towards(&ledger(state.into_iter().collect()))
+    catalog(declared(settings)).towards(&catalog(state.into_iter().collect()))
 }
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -21,7 +21,7 @@
 
 const FORMAT: u32 = 1;
 /// The largest part there is: a volume, or an entry of the trail.
-const MOST_PART: usize = 64 << 20;
+const MAX_PART: usize = 64 << 20;
 /// Records of one commit while restoring.
 const AT_ONCE: usize = 20_000;
 
@@ -118,12 +118,12 @@
         .iter()
         .try_for_each(|e| w.put(Part::Entry(entry_pb(e))))?;
     for (volume, lies) in places {
-        for (first, extents, cell) in lies.iter() {
+        for (first, extents, shard) in lies.iter() {
             w.put(Part::Extents(pb::SnapshotExtents {
                 volume: *volume,
                 first,
                 extents,
-                cell,
+                shard,
             }))?;
         }
     }
@@ -136,7 +136,7 @@
 /// Reads a snapshot whole; of one that is damaged or cut short nothing is taken.
 pub fn read(path: &Path) -> Result<All, StoreFault> {
     let mut file = File::open(path).map_err(|e| disk(path, &e))?;
-    let mut reader = frame::Reader::new(MOST_PART);
+    let mut reader = frame::Reader::new(MAX_PART);
     let (mut kept, mut places) = (Kept::default(), BTreeMap::<u64, Extents>::new());
     let (mut parts, mut crc, mut over) = (0, 0, false);
     loop {
@@ -188,7 +188,7 @@
                     .first
                     .checked_add(e.extents)
                     .ok_or_else(|| damaged(path, "extents without end"))?;
-                (e.first..end).for_each(|extent| lies.insert(extent, e.cell));
+                (e.first..end).for_each(|extent| lies.insert(extent, e.shard));
             }
             Some(Part::Tail(t)) if parts > 0 => {
                 if (t.parts, t.crc) != (parts, crc) {
@@ -259,11 +259,11 @@
     let runs = places
         .iter()
         .flat_map(|(volume, lies)| lies.iter().map(move |run| (*volume, run)));
-    let each = runs.flat_map(|(volume, (first, n, cell))| {
+    let each = runs.flat_map(|(volume, (first, n, shard))| {
         (first..first + n).map(move |extent| Keep::Place {
             volume,
             extent,
-            cell,
+            shard,
         })
     });
     let mut batch = Vec::new();
--- a/crates/state/src/store.rs
+++ b/crates/state/src/store.rs
@@ -38,7 +38,7 @@
 pub const SCHEMA: u64 = 2;
 
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-/// Records of the ledger by subject, see [`key`].
+/// Records of the catalog by subject, see [`key`].
 const STATE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("state");
 const TRAIL: TableDefinition<u64, &[u8]> = TableDefinition::new("trail");
 const ERAS: TableDefinition<u64, u64> = TableDefinition::new("eras");
@@ -129,7 +129,7 @@
     Prevailed(Version),
     /// It was put back from a snapshot: hosts that it does not name may be there.
     Restored,
-    /// Everything of the ledger anew.
+    /// Everything of the catalog anew.
     Whole {
         version: Version,
         state: Vec<Change>,
@@ -138,7 +138,7 @@
     Place {
         volume: u64,
         extent: u64,
-        cell: u32,
+        shard: u32,
     },
     /// Versions that writes may have had lie below.
     Ceiling(u64),
@@ -196,7 +196,7 @@
     way: Way,
     /// None after a failure, until it could be opened again.
     db: Option<Database>,
-    most_trail: u64,
+    max_trail: u64,
     /// What the caller was told to be on the disk.
     version: Version,
 }
@@ -245,7 +245,7 @@
     [volume.to_be_bytes(), chunk.to_be_bytes()].concat()
 }
 
-/// Cells of the extents of one chunk, as runs: first of the chunk, how many, cell.
+/// Shards of the extents of one chunk, as runs: first of the chunk, how many, shard.
 fn chunk_runs(bytes: &[u8]) -> Option<Vec<(u8, u8, u32)>> {
     let runs = bytes.chunks(6).map(|r| {
         let [start, n, a, b, c, d] = r else {
@@ -259,7 +259,7 @@
 
 fn chunk_bytes(e: &Extents) -> Vec<u8> {
     e.iter()
-        .flat_map(|(start, n, cell)| [&[start as u8, n as u8][..], &cell.to_le_bytes()].concat())
+        .flat_map(|(start, n, shard)| [&[start as u8, n as u8][..], &shard.to_le_bytes()].concat())
         .collect()
 }
 
@@ -381,15 +381,15 @@
         let mut e = Extents::default();
         if let Some(old) = table.get((volume, chunk))? {
             let runs = chunk_runs(opened(&key, old.value(), &what)?);
-            for (start, n, cell) in
+            for (start, n, shard) in
                 runs.ok_or_else(|| damaged(format!("{} makes no sense", what())))?
             {
-                (0..u64::from(n)).for_each(|i| e.insert(u64::from(start) + i, cell));
+                (0..u64::from(n)).for_each(|i| e.insert(u64::from(start) + i, shard));
             }
         }
         placed
             .iter()
-            .for_each(|(extent, cell)| e.insert(extent % CHUNK, *cell));
+            .for_each(|(extent, shard)| e.insert(extent % CHUNK, *shard));
         let bytes = chunk_bytes(&e);
         self.put(&mut table, 2, (volume, chunk), &key, Some(&bytes))
     }
@@ -398,19 +398,19 @@
 impl Store {
     /// Opens the file, or makes it, and reads all that is in it. `most_trail`: entries that are kept of the
     /// trail, and all that are not settled.
-    pub fn open(path: &Path, most_trail: u64) -> Told<(Store, Kept, BTreeMap<u64, Extents>)> {
-        Store::open_way(Way::File(path.to_path_buf()), most_trail)
+    pub fn open(path: &Path, max_trail: u64) -> Told<(Store, Kept, BTreeMap<u64, Extents>)> {
+        Store::open_way(Way::File(path.to_path_buf()), max_trail)
     }
 
     /// The same on a disk that a test makes.
     pub fn open_on(
         disk: impl Fn() -> Box<dyn StorageBackend> + Send + 'static,
-        most_trail: u64,
+        max_trail: u64,
     ) -> Told<(Store, Kept, BTreeMap<u64, Extents>)> {
-        Store::open_way(Way::Backend(Box::new(disk)), most_trail)
+        Store::open_way(Way::Backend(Box::new(disk)), max_trail)
     }
 
-    fn open_way(way: Way, most_trail: u64) -> Told<(Store, Kept, BTreeMap<u64, Extents>)> {
+    fn open_way(way: Way, max_trail: u64) -> Told<(Store, Kept, BTreeMap<u64, Extents>)> {
         caught(move || {
             let mut db = database(&way)?;
             migrate(&mut db)?;
@@ -420,7 +420,7 @@
                 Store {
                     way,
                     db: Some(db),
-                    most_trail,
+                    max_trail,
                     version,
                 },
                 kept,
@@ -436,7 +436,7 @@
             Some(db) => db,
             None => database(&self.way)?,
         };
-        let after = caught(|| commit(&db, batch, told, self.most_trail));
+        let after = caught(|| commit(&db, batch, told, self.max_trail));
         match after {
             Ok(version) => {
                 (self.version, self.db) = (version, Some(db));
@@ -542,12 +542,12 @@
         };
         let mut chunks: BTreeMap<(u64, u64), Vec<(u64, u32)>> = BTreeMap::new();
         for entry in write.open_table(PLACES)?.iter()? {
-            let (at, cell) = entry?;
+            let (at, shard) = entry?;
             let (volume, extent) = at.value();
             chunks
                 .entry((volume, extent / CHUNK))
                 .or_default()
-                .push((extent, cell.value()));
+                .push((extent, shard.value()));
         }
         for ((volume, chunk), placed) in chunks {
             batch.places(volume, chunk, &placed)?;
@@ -665,8 +665,9 @@
             .ok_or_else(|| damaged(format!("{} makes no sense", what())))?;
         sum = sum.wrapping_add(part(2, &key, bytes));
         let lies = places.entry(volume).or_default();
-        for (start, n, cell) in runs {
-            (0..u64::from(n)).for_each(|i| lies.insert(chunk * CHUNK + u64::from(start) + i, cell));
+        for (start, n, shard) in runs {
+            (0..u64::from(n))
+                .for_each(|i| lies.insert(chunk * CHUNK + u64::from(start) + i, shard));
         }
     }
     if told != Some(sum) {
@@ -676,7 +677,7 @@
 }
 
 /// One batch; answers the version that is then there.
-fn commit(db: &Database, batch: &[Keep], told: Version, most_trail: u64) -> Told<Version> {
+fn commit(db: &Database, batch: &[Keep], told: Version, max_trail: u64) -> Told<Version> {
     let write = db.begin_write()?;
     let version = {
         let figure = |name: &str| -> Told<u64> {
@@ -750,12 +751,12 @@
                 Keep::Place {
                     volume,
                     extent,
-                    cell,
+                    shard,
                 } => {
                     chunks
                         .entry((*volume, extent / CHUNK))
                         .or_default()
-                        .push((*extent, *cell));
+                        .push((*extent, *shard));
                 }
                 Keep::Ceiling(c) => b.number("ceiling", *c)?,
             }
@@ -764,7 +765,7 @@
             b.places(volume, chunk, &placed)?;
         }
         // The trail is as long as it may be, and longer only by what is not settled.
-        let before = version.saturating_sub(most_trail).min(settled);
+        let before = version.saturating_sub(max_trail).min(settled);
         loop {
             let first = write.open_table(TRAIL)?.first()?.map(|(v, _)| v.value());
             match first.filter(|v| *v <= before) {
@@ -781,7 +782,7 @@
     Ok(Version(version))
 }
 
-/// Takes all records of the ledger out.
+/// Takes all records of the catalog out.
 fn clear(b: &mut Batch) -> Told<()> {
     let keys: Vec<Vec<u8>> = b
         .write
--- a/crates/state/src/words.rs
+++ b/crates/state/src/words.rs
@@ -5,9 +5,9 @@
 //! ```text
 //! plan basic limit=20 burst=40 slack=5      figures that are not named stay
 //! plan basic drop
-//! volume 103 plan=priority hosts=h1,h2      a volume that is not there needs plan, hosts, cells and blocks
+//! volume 103 plan=priority hosts=h1,h2      a volume that is not there needs plan, hosts, shards and blocks
 //! volume 103 retire
-//! node 5 name=box5.example.org zone=room-a cell=5 capacity=120
+//! node 5 name=box5.example.org zone=room-a shard=5 capacity=120
 //! node 5 drop
 //! drain box5.example.org within=10m         nothing new there, until it is empty
 //! drain 5 queued                            the same, as soon as nothing speaks against it
@@ -18,7 +18,7 @@
 //! timed 4 off                               calls off what was to land later
 //! ```
 
-use grebecleat_plans::changes::{Change, Drain, Ledger, Name, Node, Plan, Stage, Subject, Volume};
+use grebecleat_plans::changes::{Catalog, Change, Drain, Name, Node, Plan, Stage, Subject, Volume};
 use std::fmt::Display;
 use std::str::FromStr;
 use std::time::{Duration, SystemTime};
@@ -105,17 +105,17 @@
 }
 
 /// A node by its name or number; one that is not there by its number alone, for whoever refuses that.
-fn node(ledger: &Ledger, name: &str) -> Result<u32, String> {
-    let known = ledger.node_called(name).or_else(|| name.parse().ok());
+fn node(catalog: &Catalog, name: &str) -> Result<u32, String> {
+    let known = catalog.node_called(name).or_else(|| name.parse().ok());
     known.ok_or_else(|| format!("there is no node called {name}"))
 }
 
-/// The change that a line means, beside what the ledger says now.
+/// The change that a line means, beside what the catalog says now.
 ///
 /// ```
-/// use grebecleat_plans::changes::{Change, Ledger, Plan};
+/// use grebecleat_plans::changes::{Change, Catalog, Plan};
 /// use grebecleat_state::words::change;
-/// let l = Ledger::default();
+/// let l = Catalog::default();
 /// let to = Plan { rate: 12.0, weight: 3.0, price: 1.0, ..Plan::default() };
 /// let plan = Change::Plan { name: "basic".into(), to: Some(to) };
 /// assert_eq!(change(&l, "plan basic rate=12 weight=3"), Ok(plan));
@@ -123,15 +123,15 @@
 /// assert_eq!(told, "\"plan basic rat=12\": rat is not known here; expected some of rate, reservation, limit, \
 ///                   burst, slack, weight, price");
 /// ```
-pub fn change(ledger: &Ledger, line: &str) -> Result<Change, NoWords> {
+pub fn change(catalog: &Catalog, line: &str) -> Result<Change, NoWords> {
     let words: Vec<&str> = line.split_whitespace().collect();
-    of(ledger, &words).map_err(|what| NoWords {
+    of(catalog, &words).map_err(|what| NoWords {
         line: line.into(),
         what,
     })
 }
 
-fn of(ledger: &Ledger, words: &[&str]) -> Result<Change, String> {
+fn of(catalog: &Catalog, words: &[&str]) -> Result<Change, String> {
     let [kind, name, rest @ ..] = words else {
         return Err(
             "expected what it is of and its name, such as: volume 103 plan=priority".into(),
@@ -148,7 +148,7 @@
                 price: 1.0,
                 ..Plan::default()
             };
-            let mut p = ledger.plan(name).cloned().unwrap_or_else(new);
+            let mut p = catalog.plan(name).cloned().unwrap_or_else(new);
             let mut f = Fields::of(rest)?;
             f.set("rate", &mut p.rate)?;
             f.set("reservation", &mut p.reservation)?;
@@ -172,18 +172,18 @@
             let new = || Volume {
                 plan: "".into(),
                 hosts: [].into(),
-                cells: [].into(),
+                shards: [].into(),
                 blocks: 0,
             };
-            let (known, mut f) = (ledger.volume(id), Fields::of(rest)?);
+            let (known, mut f) = (catalog.volume(id), Fields::of(rest)?);
             let mut v = known.cloned().unwrap_or_else(new);
             v.plan = f.text("plan").map_or(v.plan, Name::from);
             names(&mut f, "hosts", &mut v.hosts);
-            f.list("cells", &mut v.cells)?;
+            f.list("cells", &mut v.shards)?;
             f.set("blocks", &mut v.blocks)?;
             f.end("plan, hosts, cells, blocks")?;
             if known.is_none()
-                && (v.plan.is_empty() || v.hosts.is_empty() || v.cells.is_empty() || v.blocks == 0)
+                && (v.plan.is_empty() || v.hosts.is_empty() || v.shards.is_empty() || v.blocks == 0)
             {
                 return Err("a new volume needs plan, hosts, cells and blocks".into());
             }
@@ -197,13 +197,13 @@
             let id = read("node", name)?;
             let mut f = Fields::of(rest)?;
             let new = || Node {
-                cell: id,
+                shard: id,
                 ..Node::default()
             };
-            let mut n = ledger.node(id).cloned().unwrap_or_else(new);
+            let mut n = catalog.node(id).cloned().unwrap_or_else(new);
             n.name = f.text("name").map_or(n.name, Name::from);
             n.zone = f.text("zone").map_or(n.zone, Name::from);
-            f.set("cell", &mut n.cell)?;
+            f.set("cell", &mut n.shard)?;
             f.set("capacity", &mut n.capacity)?;
             f.end("name, zone, cell, capacity")?;
             if n.zone.is_empty() {
@@ -212,7 +212,7 @@
             Ok(Change::Node { id, to: Some(n) })
         }
         ("drain", rest) => {
-            let node = node(ledger, name)?;
+            let node = node(catalog, name)?;
             let named = |w: &&str| {
                 Stage::NAMES
                     .iter()
@@ -225,7 +225,7 @@
             {
                 Some(named) => named,
                 None => (
-                    ledger
+                    catalog
                         .drain(node)
                         .map_or(Stage::Going, |d| d.stage.max(Stage::Going)),
                     rest,
@@ -233,7 +233,7 @@
             };
             let mut d = Drain {
                 stage,
-                ..ledger.drain(node).cloned().unwrap_or_default()
+                ..catalog.drain(node).cloned().unwrap_or_default()
             };
             let mut f = Fields::of(rest)?;
             if let Some(text) = f.text("within") {
@@ -245,7 +245,7 @@
             Ok(Change::Drain { node, to: Some(d) })
         }
         ("undrain", []) => Ok(Change::Drain {
-            node: node(ledger, name)?,
+            node: node(catalog, name)?,
             to: None,
         }),
         ("target", ["drop"]) => Ok(Change::Target {
@@ -275,10 +275,10 @@
 /// A change in the words that would make it.
 ///
 /// ```
-/// use grebecleat_plans::changes::Ledger;
+/// use grebecleat_plans::changes::Catalog;
 /// use grebecleat_state::words::{change, said};
 /// let line = "volume 7 plan=gold hosts=h1,h2 cells=1,2 blocks=64";
-/// assert_eq!(said(&change(&Ledger::default(), line).unwrap()), line);
+/// assert_eq!(said(&change(&Catalog::default(), line).unwrap()), line);
 /// ```
 pub fn said(c: &Change) -> String {
     let list = |all: &mut dyn Iterator<Item = String>| all.collect::<Vec<_>>().join(",");
@@ -293,7 +293,7 @@
             "volume {id} plan={} hosts={} cells={} blocks={}",
             v.plan,
             list(&mut v.hosts.iter().map(|h| h.to_string())),
-            list(&mut v.cells.iter().map(|c| c.to_string())),
+            list(&mut v.shards.iter().map(|c| c.to_string())),
             v.blocks
         ),
         Change::Node { id, to: None } => format!("node {id} drop"),
@@ -305,7 +305,7 @@
             };
             format!(
                 "node {id} {name}zone={} cell={} capacity={}",
-                n.zone, n.cell, n.capacity
+                n.zone, n.shard, n.capacity
             )
         }
         Change::Drain { node, to: None } => format!("undrain {node}"),
@@ -353,9 +353,9 @@
 /// What an entry did, each change with what it changed of what was there before.
 ///
 /// ```
-/// use grebecleat_plans::changes::Ledger;
+/// use grebecleat_plans::changes::Catalog;
 /// use grebecleat_state::words::{change, differences};
-/// let of = |line| change(&Ledger::default(), line).unwrap();
+/// let of = |line| change(&Catalog::default(), line).unwrap();
 /// let told = |now, was| differences(&[of(now)], &[of(was)]);
 /// assert_eq!(told("drain 3", "drain 3 queued within=1m"), ["drain 3: no longer queued no longer within=1m"]);
 /// assert_eq!(told("drain 3 empty", "drain 3"), ["drain 3: empty (was none)"]);
--- a/crates/state/tests/faults.rs
+++ b/crates/state/tests/faults.rs
@@ -18,7 +18,7 @@
 /// What should be in the store.
 #[derive(Clone)]
 struct Model {
-    ledger: Ledger,
+    catalog: Catalog,
     settled: Version,
     hosts: BTreeMap<Name, Version>,
     places: BTreeMap<(u64, u64), u32>,
@@ -29,12 +29,12 @@
     fn new(seed: u64) -> Self {
         let facts = Facts {
             hosts: ["h1", "h2"].map(Name::from).into(),
-            linger: Duration::ZERO,
+            max_dispatch_delay: Duration::ZERO,
         };
         let (settled, hosts, places) = (Version(0), BTreeMap::new(), BTreeMap::new());
         let rng = Pcg64Mcg::seed_from_u64(seed);
         Model {
-            ledger: Ledger::new(facts, 1000),
+            catalog: Catalog::new(facts, 1000),
             settled,
             hosts,
             places,
@@ -60,7 +60,7 @@
         let to = Volume {
             plan: name,
             hosts,
-            cells: (0..self.rng.random_range(1..40)).collect(),
+            shards: (0..self.rng.random_range(1..40)).collect(),
             blocks: 8,
         };
         match self.rng.random_range(0..6) {
@@ -79,31 +79,31 @@
                 why: "test",
                 ..Asks::default()
             };
-            if let Ok(entry) = self.ledger.propose(self.ledger.version(), by, changes) {
-                self.ledger.take(entry.clone()).unwrap();
+            if let Ok(entry) = self.catalog.propose(self.catalog.version(), by, changes) {
+                self.catalog.take(entry.clone()).unwrap();
                 batch.push(Keep::Entry(entry));
             }
-            let (volume, extent, cell) = (
+            let (volume, extent, shard) = (
                 self.rng.random_range(0..3),
                 self.rng.random_range(0..300),
                 self.rng.random_range(0..5),
             );
-            self.places.insert((volume, extent), cell);
+            self.places.insert((volume, extent), shard);
             batch.push(Keep::Place {
                 volume,
                 extent,
-                cell,
+                shard,
             });
         }
         if self.rng.random() {
             self.settled = Version(
                 self.rng
-                    .random_range(self.settled.0..=self.ledger.version().0),
+                    .random_range(self.settled.0..=self.catalog.version().0),
             );
             batch.push(Keep::Settled(self.settled));
         }
         if self.rng.random() {
-            let (host, has) = (Name::from("h1"), self.ledger.version());
+            let (host, has) = (Name::from("h1"), self.catalog.version());
             self.hosts.insert(host.clone(), has);
             batch.push(Keep::Has(host, has));
         }
@@ -112,28 +112,29 @@
 
     /// Whether that is what is in the store.
     fn is(&self, kept: &Kept, places: &BTreeMap<u64, Extents>) -> Result<(), String> {
-        let then = Ledger::new(self.ledger.facts().clone(), 1000);
+        let then = Catalog::new(self.catalog.facts().clone(), 1000);
         let then = then.restored(kept.version, kept.state.clone(), kept.trail.clone());
-        let all = |l: &Ledger| l.state().collect::<Vec<_>>();
+        let all = |l: &Catalog| l.state().collect::<Vec<_>>();
         let lies: BTreeMap<(u64, u64), u32> = places
             .iter()
             .flat_map(|(v, e)| {
-                e.iter()
-                    .flat_map(move |(from, n, cell)| (from..from + n).map(move |x| ((*v, x), cell)))
+                e.iter().flat_map(move |(from, n, shard)| {
+                    (from..from + n).map(move |x| ((*v, x), shard))
+                })
             })
             .collect();
         let own = (
-            self.ledger.version(),
+            self.catalog.version(),
             self.settled,
             &self.hosts,
             &self.places,
         );
         let found = (kept.version, kept.settled, &kept.hosts, &lies);
-        if own != found || all(&then) != all(&self.ledger) {
+        if own != found || all(&then) != all(&self.catalog) {
             return Err(format!(
                 "version {:?} and not {:?}, or not the same in it",
                 kept.version,
-                self.ledger.version()
+                self.catalog.version()
             ));
         }
         // The trail leads from where it begins to the state, and holds what is not settled.
@@ -142,7 +143,7 @@
             || kept
                 .trail
                 .iter()
-                .zip(self.ledger.since(first).unwrap())
+                .zip(self.catalog.since(first).unwrap())
                 .any(|(a, b)| a != b)
         {
             return Err("another trail".into());
@@ -274,21 +275,21 @@
 }
 
 impl Model {
-    /// The ledger is as told; what else stands there may be more than was told.
+    /// The catalog is as told; what else stands there may be more than was told.
     fn like(&self, kept: &Kept, places: &BTreeMap<u64, Extents>) -> Result<(), String> {
-        let then = Ledger::new(self.ledger.facts().clone(), 1000);
+        let then = Catalog::new(self.catalog.facts().clone(), 1000);
         let then = then.restored(kept.version, kept.state.clone(), kept.trail.clone());
-        if kept.version != self.ledger.version() || !then.towards(&self.ledger).is_empty() {
+        if kept.version != self.catalog.version() || !then.towards(&self.catalog).is_empty() {
             return Err(format!(
                 "version {:?} and not {:?}",
                 kept.version,
-                self.ledger.version()
+                self.catalog.version()
             ));
         }
         let lost = self
             .places
             .iter()
-            .find(|((v, x), cell)| places.get(v).and_then(|e| e.get(*x)) != Some(**cell));
+            .find(|((v, x), shard)| places.get(v).and_then(|e| e.get(*x)) != Some(**shard));
         match lost {
             Some(lost) => Err(format!("{lost:?} is lost")),
             None => Ok(()),
@@ -425,7 +426,7 @@
     let disk = Disk::default();
     let (mut store, ..) = open(&disk).unwrap();
     let mut model = Model::new(6);
-    while model.ledger.version() < Version(40) {
+    while model.catalog.version() < Version(40) {
         let batch: Vec<Keep> = model
             .batch()
             .into_iter()
@@ -435,7 +436,7 @@
     }
     assert_eq!(
         store.read().unwrap().0.trail.len() as u64,
-        model.ledger.version().0,
+        model.catalog.version().0,
         "nothing is settled"
     );
     store
@@ -444,7 +445,7 @@
     let (kept, _) = store.read().unwrap();
     assert_eq!(kept.trail.first().unwrap().version, Version(31));
     store
-        .keep(&[Keep::Settled(model.ledger.version())])
+        .keep(&[Keep::Settled(model.catalog.version())])
         .unwrap();
     assert_eq!(
         (
--- a/crates/state/tests/snapshots.rs
+++ b/crates/state/tests/snapshots.rs
@@ -19,7 +19,7 @@
     }
 }
 
-fn entry(l: &mut Ledger, changes: Vec<Change>) -> Entry {
+fn entry(l: &mut Catalog, changes: Vec<Change>) -> Entry {
     let by = Asks {
         who: "op",
         why: "test",
@@ -32,12 +32,12 @@
 }
 
 /// A store with some of everything in it.
-fn filled(path: &Path) -> Ledger {
+fn filled(path: &Path) -> Catalog {
     let hosts = ["h1".into()].into();
-    let mut l = Ledger::new(
+    let mut l = Catalog::new(
         Facts {
             hosts,
-            linger: Duration::ZERO,
+            max_dispatch_delay: Duration::ZERO,
         },
         100,
     );
@@ -50,7 +50,7 @@
     let volume = |id| Volume {
         plan: "p".into(),
         hosts: ["h1".into()].into(),
-        cells: [1, 2].into(),
+        shards: [1, 2].into(),
         blocks: id,
     };
     let volumes = (1..40).map(|id| Change::Volume {
@@ -64,7 +64,7 @@
     let node = Node {
         name: "box1.example.org".into(),
         zone: "a".into(),
-        cell: 1,
+        shard: 1,
         capacity: 5.5,
     };
     let node = Change::Node {
@@ -79,7 +79,7 @@
                 id: 2,
                 to: Some(Node {
                     zone: "b".into(),
-                    cell: 2,
+                    shard: 2,
                     ..Node::default()
                 }),
             },
@@ -122,7 +122,7 @@
     batch.extend((0..500).map(|x| Keep::Place {
         volume: 1 + x % 3,
         extent: x * 7 % 300,
-        cell: (x % 5) as u32,
+        shard: (x % 5) as u32,
     }));
     batch.extend([
         Keep::Has("h1".into(), Version(2)),
@@ -213,10 +213,10 @@
     let dir = tempfile::tempdir().unwrap();
     let (keeper, ..) = Keeper::open(&dir.path().join("s.store"), 100).unwrap();
     let hosts = ["h1".into()].into();
-    let mut l = Ledger::new(
+    let mut l = Catalog::new(
         Facts {
             hosts,
-            linger: Duration::ZERO,
+            max_dispatch_delay: Duration::ZERO,
         },
         100,
     );
@@ -233,7 +233,7 @@
             n => vec![Keep::Place {
                 volume: 1,
                 extent: n,
-                cell: 2,
+                shard: 2,
             }],
         };
         keeper.keep(keeps, move |done| to.send((n, done.is_ok())).unwrap());
--- a/crates/target/src/blocks.rs
+++ b/crates/target/src/blocks.rs
@@ -75,7 +75,7 @@
     Done(Bytes),
     /// Not done, or nobody knows. `unsure`: it may still have an effect, later than this answer.
     Deferred {
-        come_back: Option<Duration>,
+        retry_after: Option<Duration>,
         unsure: bool,
     },
     Abandoned {
@@ -97,7 +97,7 @@
     data: BytesMut,
     one: Option<Bytes>,
     reads: bool,
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
     deferred: bool,
     abandoned: bool,
     unkept: bool,
@@ -108,7 +108,7 @@
 #[derive(Debug, PartialEq)]
 pub struct Whole {
     pub outcome: Outcome,
-    pub come_back: Option<Duration>,
+    pub retry_after: Option<Duration>,
     /// A write of which a part may still have its effect.
     pub unsure: bool,
 }
@@ -126,7 +126,7 @@
             data,
             one,
             reads,
-            come_back: None,
+            retry_after: None,
             deferred,
             abandoned,
             unkept,
@@ -159,9 +159,12 @@
                 self.data[piece.at..piece.at + n].copy_from_slice(&data[..n]);
             }
             Answer::Done(_) => {}
-            Answer::Deferred { come_back, unsure } => {
+            Answer::Deferred {
+                retry_after,
+                unsure,
+            } => {
                 self.deferred = true;
-                self.come_back = self.come_back.max(come_back);
+                self.retry_after = self.retry_after.max(retry_after);
                 self.unsure |= unsure && !self.reads;
             }
             Answer::Abandoned { unsure } => {
@@ -178,7 +181,7 @@
         let outcome = match (self.unkept, self.abandoned, self.deferred) {
             (true, ..) => Outcome::check(Sense::WRITE_ERROR),
             (_, true, _) => Outcome::check(Sense::OUTCOME_UNKNOWN),
-            (.., true) => Outcome::busy(self.come_back),
+            (.., true) => Outcome::busy(self.retry_after),
             _ => Outcome::good(
                 self.one
                     .take()
@@ -188,7 +191,7 @@
         let busy = outcome.status == Status::Busy;
         Whole {
             outcome,
-            come_back: self.come_back.filter(|_| busy),
+            retry_after: self.retry_after.filter(|_| busy),
             unsure: self.unsure,
         }
     }
--- a/crates/target/src/blocks/tests.rs
+++ b/crates/target/src/blocks/tests.rs
@@ -27,7 +27,7 @@
 fn the_command_is_what_its_worst_piece_is_and_only_when_the_last_is_in() {
     let done = || Answer::Done(Bytes::new());
     let deferred = |n| Answer::Deferred {
-        come_back: Some(ms(n)),
+        retry_after: Some(ms(n)),
         unsure: false,
     };
     let lost = || Answer::Abandoned { unsure: true };
@@ -41,7 +41,7 @@
         (
             vec![
                 Answer::Deferred {
-                    come_back: None,
+                    retry_after: None,
                     unsure: false,
                 },
                 done(),
@@ -56,14 +56,14 @@
             None,
         ),
     ];
-    for (answers, status, come_back) in cases {
+    for (answers, status, retry_after) in cases {
         let mut g = Gather::new(LAYOUT.pieces(2, 8).collect(), false);
         let last = answers.len() - 1;
         for (i, a) in answers.into_iter().enumerate() {
             let whole = g.take(i, a);
             assert_eq!(whole.is_some(), i == last);
             if let Some(w) = whole {
-                assert_eq!((w.outcome.status, w.come_back), (status, come_back));
+                assert_eq!((w.outcome.status, w.retry_after), (status, retry_after));
             }
         }
         assert_eq!(g.take(0, lost()), None, "answered once");
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -25,17 +25,17 @@
 use std::time::Duration;
 
 /// Connections that have not come through their login; beyond, the oldest is closed.
-const MOST_LOGINS: usize = 256;
+const MAX_LOGINS: usize = 256;
 /// A login must be through in this time.
 const LOGIN_TIME: Duration = Duration::from_secs(15);
 const LIMITS: Limits = Limits {
-    most_data: 1 << 20,
-    most_kept: 1024,
+    max_data: 1 << 20,
+    max_kept: 1024,
 };
 /// How often a write goes again above a version that it found at its node.
-const MOST_TRIES: u32 = 4;
+const MAX_TRIES: u32 = 4;
 /// Unit attentions kept for one session at one unit (SAM-5 lets a device keep few).
-const MOST_ATTENTIONS: usize = 4;
+const MAX_ATTENTIONS: usize = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnNo(pub u64);
@@ -60,7 +60,7 @@
     Final {
         no: RequestNumber,
         answer: Answer,
-        cell: Option<u32>,
+        shard: Option<u32>,
     },
     /// An extent's place is kept.
     Stored {
@@ -80,7 +80,7 @@
     pub volume: u64,
     pub extent: u64,
     /// None: nobody has written it, any node may take it.
-    pub cell: Option<u32>,
+    pub shard: Option<u32>,
     pub write: bool,
     pub offset: u32,
     pub length: u32,
@@ -110,7 +110,7 @@
         no: RequestNumber,
         volume: u64,
         extent: u64,
-        cell: u32,
+        shard: u32,
     },
     Reserve {
         ceiling: u64,
@@ -204,7 +204,7 @@
     /// It is the first write of its extent.
     places: bool,
     /// Where it was done, while that is being kept.
-    cell: Option<u32>,
+    shard: Option<u32>,
     /// How often it went above a version that was there.
     tries: u32,
 }
@@ -311,7 +311,7 @@
                 Input::Up { conn } => self.up(conn),
                 Input::Pdu { conn, read } => self.read(conn, read),
                 Input::Gone { conn } => self.gone(conn),
-                Input::Final { no, answer, cell } => self.answered(no, answer, cell),
+                Input::Final { no, answer, shard } => self.answered(no, answer, shard),
                 Input::Stored { no } => self.stored(no),
                 Input::Reserved { ceiling } => {
                     self.versions.kept(ceiling);
@@ -358,7 +358,7 @@
             .logins
             .first()
             .copied()
-            .filter(|_| self.logins.len() >= MOST_LOGINS)
+            .filter(|_| self.logins.len() >= MAX_LOGINS)
         {
             self.refuse(oldest, "too many logins at once");
         }
@@ -629,8 +629,8 @@
                     lun,
                     cdb,
                     data,
-                    most_in,
-                } => self.start(session, task, lun, cdb, data, most_in),
+                    max_in,
+                } => self.start(session, task, lun, cdb, data, max_in),
                 Act::Abort { tasks, .. } => self.abort(session, &tasks),
                 Act::Reset { lun, why } => self.reset(session, lun, why),
             }
@@ -687,7 +687,7 @@
         if let Some(held) = s
             .attentions
             .get_mut(&unit)
-            .filter(|h| h.len() < MOST_ATTENTIONS)
+            .filter(|h| h.len() < MAX_ATTENTIONS)
         {
             held.push_back(sense);
         }
@@ -724,9 +724,9 @@
         lun: u64,
         cdb: [u8; 16],
         data: Bytes,
-        most_in: u32,
+        max_in: u32,
     ) {
-        let outcome = self.begin(session, task, lun, cdb, data, most_in);
+        let outcome = self.begin(session, task, lun, cdb, data, max_in);
         if let Some(outcome) = outcome {
             self.answer(session, task, outcome);
         }
@@ -740,7 +740,7 @@
         lun: u64,
         cdb: [u8; 16],
         data: Bytes,
-        most_in: u32,
+        max_in: u32,
     ) -> Option<Outcome> {
         let check = |s| Some(Outcome::check(s));
         let command = match decode(&cdb) {
@@ -820,7 +820,7 @@
                 }
             }
             Command::ReserveOut { .. } => check(Sense::PARAMETER_LIST_LENGTH),
-            _ => self.on_blocks(session, task, volume, command, data, most_in),
+            _ => self.on_blocks(session, task, volume, command, data, max_in),
         }
     }
 
@@ -831,7 +831,7 @@
         volume: usize,
         command: Command,
         data: Bytes,
-        most_in: u32,
+        max_in: u32,
     ) -> Option<Outcome> {
         let check = |s| Some(Outcome::check(s));
         let unit = &self.volumes[volume].facts.unit;
@@ -877,7 +877,7 @@
                 } else {
                     Bytes::from(vec![0; bytes(1)])
                 };
-                if one.len() != bytes(1) || blocks > u64::from(unit.most_blocks) {
+                if one.len() != bytes(1) || blocks > u64::from(unit.max_blocks) {
                     return check(Sense::INVALID_FIELD_IN_CDB);
                 }
                 let all: BytesMut = std::iter::repeat_n(&one[..], blocks as usize)
@@ -892,7 +892,7 @@
                 // One range becomes zeroes. More than the block limits page tells of are refused (SBC-3,
                 // 5.28).
                 Ok(ranges) => match ranges[..] {
-                    [(lba, blocks)] if blocks <= u64::from(unit.most_blocks) => (
+                    [(lba, blocks)] if blocks <= u64::from(unit.max_blocks) => (
                         lba,
                         blocks,
                         Deed::Write(Bytes::from(vec![0; bytes(blocks)])),
@@ -905,13 +905,13 @@
         if let Err(sense) = unit.within(lba, blocks) {
             return check(sense);
         }
-        if blocks > u64::from(unit.most_blocks) {
+        if blocks > u64::from(unit.max_blocks) {
             return check(Sense::INVALID_FIELD_IN_CDB);
         }
         let writes = matches!(deed, Deed::Write(_) | Deed::Compare { .. });
         let short = match &deed {
             Deed::Write(d) | Deed::Verify(Some(d)) => d.len() != bytes(blocks),
-            Deed::Read => (most_in as usize) < bytes(blocks) && most_in == 0 && blocks > 0,
+            Deed::Read => (max_in as usize) < bytes(blocks) && max_in == 0 && blocks > 0,
             _ => false,
         };
         if short || (writes && unit.read_only) {
@@ -979,7 +979,7 @@
                 no: number,
                 volume: self.volumes[volume].facts.volume,
                 extent: p.extent,
-                cell: None,
+                shard: None,
                 write,
                 offset: p.offset,
                 length: p.length,
@@ -993,7 +993,7 @@
                     place,
                     request,
                     places: false,
-                    cell: None,
+                    shard: None,
                     tries: 0,
                 },
             );
@@ -1010,7 +1010,7 @@
         let v = &mut self.volumes[self.ops[&x.op].volume];
         let extent = x.request.extent;
         match v.facts.placed.get(extent) {
-            Some(cell) => x.request.cell = Some(cell),
+            Some(shard) => x.request.shard = Some(shard),
             None if !x.request.write => return self.answered(no, Answer::Done(Bytes::new()), None),
             None if x.places => {}
             None => {
@@ -1035,24 +1035,24 @@
         self.out.push(Output::Take(x.request.clone()));
     }
 
-    fn answered(&mut self, no: RequestNumber, answer: Answer, cell: Option<u32>) {
-        let Some(x) = self.requests.get_mut(&no).filter(|x| x.cell.is_none()) else {
+    fn answered(&mut self, no: RequestNumber, answer: Answer, shard: Option<u32>) {
+        let Some(x) = self.requests.get_mut(&no).filter(|x| x.shard.is_none()) else {
             return;
         };
         if let Answer::Superseded(there) = answer {
-            return self.again(no, there, cell);
+            return self.again(no, there, shard);
         }
-        if let (true, Answer::Done(_), Some(cell)) = (x.places, &answer, cell) {
+        if let (true, Answer::Done(_), Some(shard)) = (x.places, &answer, shard) {
             if !self.keeps {
                 return self.settle(no, Answer::Unkept);
             }
-            x.cell = Some(cell);
+            x.shard = Some(shard);
             let (volume, extent) = (x.request.volume, x.request.extent);
             return self.out.push(Output::Store {
                 no,
                 volume,
                 extent,
-                cell,
+                shard,
             });
         }
         self.settle(no, answer);
@@ -1061,12 +1061,12 @@
     /// A write found a newer version at its node. No other write of these blocks is under way here, so that
     /// one is another host's, or of a start that could keep nothing: this one goes again, above it, as a new
     /// piece of work.
-    fn again(&mut self, no: RequestNumber, there: u64, cell: Option<u32>) {
+    fn again(&mut self, no: RequestNumber, there: u64, shard: Option<u32>) {
         let Some(x) = self.requests.get(&no) else {
             return;
         };
         let wanted = self.ops.get(&x.op).is_some_and(|op| !op.ended);
-        if !self.versions.learn(there) || x.tries >= MOST_TRIES || !wanted {
+        if !self.versions.learn(there) || x.tries >= MAX_TRIES || !wanted {
             return self.settle(no, Answer::Superseded(there));
         }
         let (again, mut x) = (
@@ -1074,20 +1074,20 @@
             self.requests.remove(&no).expect("looked up above"),
         );
         (x.tries, x.request.no) = (x.tries + 1, again);
-        x.request.cell = x.request.cell.or(cell);
+        x.request.shard = x.request.shard.or(shard);
         self.requests.insert(again, x);
         self.send(again);
     }
 
     fn stored(&mut self, no: RequestNumber) {
-        let Some((x, cell)) = self.requests.get(&no).and_then(|x| Some((x, x.cell?))) else {
+        let Some((x, shard)) = self.requests.get(&no).and_then(|x| Some((x, x.shard?))) else {
             return;
         };
         let volume = self.ops[&x.op].volume;
         self.volumes[volume]
             .facts
             .placed
-            .insert(x.request.extent, cell);
+            .insert(x.request.extent, shard);
         self.settle(no, Answer::Done(Bytes::new()));
     }
 
@@ -1095,7 +1095,7 @@
     /// somewhere are still read, and written while versions last.
     fn store_gone(&mut self) {
         self.keeps = false;
-        let waits = |x: &OpenRequest| x.cell.is_some();
+        let waits = |x: &OpenRequest| x.shard.is_some();
         let waiting: Vec<RequestNumber> = self
             .requests
             .iter()
@@ -1137,7 +1137,7 @@
         let Some(op) = self.ops.get(&no) else { return };
         let Whole {
             outcome,
-            come_back,
+            retry_after,
             unsure,
         } = whole;
         let good = outcome.status == Status::Good;
@@ -1160,7 +1160,7 @@
         let ended = match outcome.status {
             Status::Good => Ended::Done,
             Status::Busy => Ended::Deferred {
-                come_back: come_back.unwrap_or(self.rest),
+                retry_after: retry_after.unwrap_or(self.rest),
             },
             _ => Ended::Other,
         };
--- a/crates/target/src/portal.rs
+++ b/crates/target/src/portal.rs
@@ -21,7 +21,7 @@
 use grebecleat_state::keeper::Keeper;
 use grebecleat_state::store::{Keep, StoreFault};
 use grebecleat_wire::pb::{self, frame::Body, record::Kind, Outcome};
-use grebecleat_wire::{clock, pb::Final, trace::Tracer};
+use grebecleat_wire::{clock, pb::Response, trace::Tracer};
 use may::go;
 use may::net::{TcpListener, TcpStream};
 use may::sync::Semphore;
@@ -41,9 +41,9 @@
 /// Data of that many bytes is not copied into the write buffer.
 const DIRECT: usize = 16 << 10;
 /// A write buffer that grew beyond is given back.
-const MOST_KEPT: usize = 256 << 10;
+const MAX_KEPT: usize = 256 << 10;
 /// Bytes that one command may read.
-const MOST_READ: usize = 1 << 20;
+const MAX_READ: usize = 1 << 20;
 const IDLE: Duration = Duration::from_secs(1);
 /// Inputs of one step.
 const ONE_STEP: usize = 1024;
@@ -139,14 +139,14 @@
         }
     });
     let (accepting, tracer) = (to.clone(), host.tracer().clone());
-    let most = spec.commands.2 as usize * (MOST_READ + 4096);
+    let most = spec.commands.2 as usize * (MAX_READ + 4096);
     go!(move || accept(&listener, &accepting, &tracer, most));
-    let cells = cells_of(&store);
-    host.holds(cells.clone());
+    let shards = shards_of(&store);
+    host.holds(shards.clone());
     let owner = Owner {
         engine,
         host: host.clone(),
-        cells,
+        shards,
         told_at: clock::now(),
         news: false,
         local,
@@ -190,7 +190,7 @@
             block_size: BLOCK,
             id: v.id,
             serial: format!("{:016x}", v.id),
-            most_blocks: (1 << 20) / BLOCK,
+            max_blocks: (1 << 20) / BLOCK,
             read_only: false,
         },
         extent_blocks: spec.extent_blocks,
@@ -204,18 +204,18 @@
             luns: t.volumes.clone(),
         })
         .collect();
-    let (first, most, most_each) = spec.commands;
+    let (first, most, max_each) = spec.commands;
     // As long as an attempt of a request that was given up may still begin at a node, and then the key's rest.
     let longest = settings
-        .streams
+        .traffic_classes
         .iter()
-        .map(|s| s.expiry)
+        .map(|s| s.deadline)
         .max()
         .unwrap_or_default();
     let figures = Figures {
         first,
         most,
-        most_each,
+        max_each,
     };
     let world = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
@@ -243,20 +243,20 @@
     )
 }
 
-/// Extents by the cell in which they lie.
-fn cells_of(store: &Places) -> BTreeMap<u32, u64> {
-    let mut cells = BTreeMap::new();
-    for (_, extents, cell) in store.places.values().flat_map(Extents::iter) {
-        *cells.entry(cell).or_default() += extents;
+/// Extents by the shard in which they lie.
+fn shards_of(store: &Places) -> BTreeMap<u32, u64> {
+    let mut shards = BTreeMap::new();
+    for (_, extents, shard) in store.places.values().flat_map(Extents::iter) {
+        *shards.entry(shard).or_default() += extents;
     }
-    cells
+    shards
 }
 
 struct Owner {
     engine: Engine,
     host: Handle,
-    /// Extents by cell, when the host was last told of them, and whether there are others since.
-    cells: BTreeMap<u32, u64>,
+    /// Extents by shard, when the host was last told of them, and whether there are others since.
+    shards: BTreeMap<u32, u64>,
     told_at: Duration,
     news: bool,
     local: grebecleat_host::run::Local,
@@ -321,7 +321,7 @@
             }
             if self.news && clock::now() >= self.told_at + IDLE {
                 (self.news, self.told_at) = (false, clock::now());
-                self.host.holds(self.cells.clone());
+                self.host.holds(self.shards.clone());
             }
         }
     }
@@ -349,15 +349,15 @@
                 no,
                 volume,
                 extent,
-                cell,
+                shard,
             } => {
-                *self.cells.entry(cell).or_default() += 1;
+                *self.shards.entry(shard).or_default() += 1;
                 self.news = true;
                 self.keep(
                     Keep::Place {
                         volume,
                         extent,
-                        cell,
+                        shard,
                     },
                     Input::Stored { no },
                 );
@@ -392,15 +392,15 @@
         };
         let units = f64::from(r.length.div_ceil(self.spec.unit_bytes).max(1));
         let id = Bytes::from(format!("{:016x}-{:019}", self.start, r.no.0));
-        Body::Take(pb::Take {
+        Body::SubmitRequest(pb::SubmitRequest {
             piece: id.clone(),
             id,
-            stream_type: stream as u32,
+            traffic_class: stream as u32,
             volume: r.volume,
-            cell: r.cell,
+            shard: r.shard,
             key: Some(r.volume << 40 ^ r.extent),
             units: units.min(self.settings.units.largest),
-            left_us: clock::micros(self.settings.streams[stream].expiry),
+            left_us: clock::micros(self.settings.traffic_classes[stream].deadline),
             extent: r.extent,
             length: r.length,
             write: r.write,
@@ -413,21 +413,21 @@
     }
 
     fn final_of(&self, body: Body) -> Option<Input> {
-        let Body::Final(f) = body else { return None };
+        let Body::Response(f) = body else { return None };
         let no = RequestNumber(std::str::from_utf8(&f.id).ok()?.get(17..)?.parse().ok()?);
-        let cell = f.cell;
+        let shard = f.shard;
         let answer = answer_of(f);
-        Some(Input::Final { no, answer, cell })
+        Some(Input::Final { no, answer, shard })
     }
 }
 
-fn answer_of(f: Final) -> Answer {
+fn answer_of(f: Response) -> Answer {
     let unsure = f.unsure;
     match (f.outcome(), f.superseded) {
         (Outcome::Done, Some(there)) => Answer::Superseded(there),
         (Outcome::Done, None) => Answer::Done(f.data),
         (Outcome::Deferred, _) => Answer::Deferred {
-            come_back: f.come_back_us.map(Duration::from_micros),
+            retry_after: f.retry_after_us.map(Duration::from_micros),
             unsure,
         },
         (Outcome::Abandoned | Outcome::Unknown, _) => Answer::Abandoned { unsure },
@@ -487,7 +487,7 @@
         let (mut inputs, mut over) = (Vec::new(), false);
         while !over {
             // An initiator sends by what was agreed on only after it has our answer, which follows this.
-            (reader.digests, reader.most_data) =
+            (reader.digests, reader.max_data) =
                 *line.reads.lock().unwrap_or_else(|e| e.into_inner());
             let read = match reader.next() {
                 Ok(None) => break,
@@ -585,7 +585,7 @@
         if write_all(&mut stream, &pdus, &mut bytes).is_err() {
             break;
         }
-        if bytes.capacity() > MOST_KEPT {
+        if bytes.capacity() > MAX_KEPT {
             bytes = Vec::new(); // one large answer must not be paid for by every idle connection
         }
     }
--- a/crates/target/src/pressure.rs
+++ b/crates/target/src/pressure.rs
@@ -28,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ended {
     Done,
-    Deferred { come_back: Duration },
+    Deferred { retry_after: Duration },
     Other,
 }
 
@@ -38,7 +38,7 @@
     pub first: f64,
     pub most: f64,
     /// Of one session.
-    pub most_each: u32,
+    pub max_each: u32,
 }
 
 #[derive(Debug, Default)]
@@ -112,9 +112,9 @@
             Ended::Done if f64::from(open) >= before => {
                 self.budget = (self.budget + 1.0 / self.budget).min(self.figures.most);
             }
-            Ended::Deferred { come_back } if now >= self.deaf_until => {
+            Ended::Deferred { retry_after } if now >= self.deaf_until => {
                 self.budget = (self.budget * DOWN).max(self.sessions.len().max(1) as f64);
-                self.deaf_until = now + come_back;
+                self.deaf_until = now + retry_after;
             }
             _ => {}
         }
@@ -136,7 +136,7 @@
             return Vec::new();
         }
         let whole = self.budget.floor() as u32;
-        let most = self.figures.most_each.max(LEAST_EACH);
+        let most = self.figures.max_each.max(LEAST_EACH);
         let asks: Vec<u32> = self.sessions.values().map(|s| self.asks(s)).collect();
         let given = fair(whole, &asks);
         // What nobody asks for is dealt out too: who begins a burst should not have to ask first.
@@ -170,7 +170,7 @@
         } else {
             s.peak + 1
         };
-        more.clamp(LEAST_EACH, self.figures.most_each.max(LEAST_EACH))
+        more.clamp(LEAST_EACH, self.figures.max_each.max(LEAST_EACH))
     }
 }
 
--- a/crates/target/src/pressure/tests.rs
+++ b/crates/target/src/pressure/tests.rs
@@ -8,7 +8,7 @@
 const FIGURES: Figures = Figures {
     first: 16.0,
     most: 64.0,
-    most_each: 32,
+    max_each: 32,
 };
 
 fn sum(p: &Pressure) -> u32 {
@@ -19,7 +19,9 @@
 fn deferrals_of_one_moment_count_once_and_done_commands_open_it_again() {
     let (mut p, a) = (Pressure::new(FIGURES), SessionNo(1));
     (0..16).for_each(|_| p.opened(a));
-    let deferred = Ended::Deferred { come_back: ms(500) };
+    let deferred = Ended::Deferred {
+        retry_after: ms(500),
+    };
     (0..10).for_each(|i| p.closed(ms(1000 + i), a, deferred));
     assert!((p.budget() - 11.2).abs() < 1e-9, "{}", p.budget());
     p.closed(ms(1500), a, deferred);
@@ -75,7 +77,7 @@
             match rng.random_range(0..6) {
                 0 => p.join(s),
                 1 => p.leave(s),
-                2 => p.closed(ms(t), s, Ended::Deferred { come_back: ms(3) }),
+                2 => p.closed(ms(t), s, Ended::Deferred { retry_after: ms(3) }),
                 3 => p.closed(ms(t), s, Ended::Done),
                 _ => p.opened(s),
             }
--- a/crates/target/tests/engine.rs
+++ b/crates/target/tests/engine.rs
@@ -18,7 +18,7 @@
 const NAME: &str = "iqn.2026-12.org.example:v";
 const BLOCK: usize = 512;
 const BUSY: Answer = Answer::Deferred {
-    come_back: None,
+    retry_after: None,
     unsure: false,
 };
 const LOST: Answer = Answer::Abandoned { unsure: true };
@@ -36,7 +36,7 @@
     kept: HashMap<(u64, u32), Vec<u8>>,
     there: HashMap<(u64, u32), grebecleat_standin::versions::Versions>,
     ceiling: u64,
-    next_cell: u32,
+    next_shard: u32,
     stores: Vec<(RequestNumber, u64, u32)>,
     store_at_once: bool,
     pdus: Vec<(ConnNo, Pdu)>,
@@ -68,7 +68,7 @@
             block_size: 512,
             id: 1,
             serial: "v".into(),
-            most_blocks: 256,
+            max_blocks: 256,
             read_only: false,
         };
         let placed = placed.into_iter().collect();
@@ -85,7 +85,7 @@
         let figures = Figures {
             first: 64.0,
             most: 128.0,
-            most_each: 64,
+            max_each: 64,
         };
         let mut n = 0u8;
         let chance = Box::new(move || {
@@ -107,7 +107,7 @@
             kept: HashMap::new(),
             there: HashMap::new(),
             ceiling,
-            next_cell: 0,
+            next_shard: 0,
             stores: Vec::new(),
             store_at_once: true,
             pdus: Vec::new(),
@@ -122,11 +122,11 @@
     }
 
     /// The node writes where nothing newer lies, and tells of what it found.
-    fn node(&mut self, r: &Request, cell: u32) -> Option<u64> {
-        let kept = self.kept.entry((r.extent, cell)).or_default();
+    fn node(&mut self, r: &Request, shard: u32) -> Option<u64> {
+        let kept = self.kept.entry((r.extent, shard)).or_default();
         let to = (r.offset + r.length) as usize;
         kept.resize(kept.len().max(to), 0);
-        let there = self.there.entry((r.extent, cell)).or_default();
+        let there = self.there.entry((r.extent, shard)).or_default();
         let (parts, newer) = there.write(
             r.offset,
             r.offset + r.length,
@@ -152,14 +152,14 @@
                     Output::Close { conn } => self.closed.push(conn),
                     Output::Take(r) => self.open.push(r),
                     Output::Store {
-                        no, extent, cell, ..
+                        no, extent, shard, ..
                     } if self.store_at_once => {
-                        self.stores.push((no, extent, cell));
+                        self.stores.push((no, extent, shard));
                         again.push(Input::Stored { no });
                     }
                     Output::Store {
-                        no, extent, cell, ..
-                    } => self.stores.push((no, extent, cell)),
+                        no, extent, shard, ..
+                    } => self.stores.push((no, extent, shard)),
                     Output::Reserve { ceiling } => {
                         self.ceiling = ceiling;
                         again.push(Input::Reserved { ceiling });
@@ -290,19 +290,19 @@
             return self.feed(Input::Final {
                 no,
                 answer,
-                cell: None,
+                shard: None,
             });
         }
-        let cell = r.cell.unwrap_or_else(|| {
-            self.next_cell += 1;
-            self.next_cell
+        let shard = r.shard.unwrap_or_else(|| {
+            self.next_shard += 1;
+            self.next_shard
         });
         let answer = match r.write {
             true => self
-                .node(&r, cell)
+                .node(&r, shard)
                 .map_or(Answer::Done(Bytes::new()), Answer::Superseded),
             false => {
-                let kept = self.kept.entry((r.extent, cell)).or_default();
+                let kept = self.kept.entry((r.extent, shard)).or_default();
                 let to = ((r.offset + r.length) as usize).min(kept.len());
                 Answer::Done(Bytes::copy_from_slice(
                     kept.get(r.offset as usize..to).unwrap_or_default(),
@@ -312,7 +312,7 @@
         self.feed(Input::Final {
             no,
             answer,
-            cell: Some(cell),
+            shard: Some(shard),
         });
     }
 
@@ -367,7 +367,7 @@
     let mut again = Rig::with(
         r.stores
             .iter()
-            .map(|(_, extent, cell)| (*extent, *cell))
+            .map(|(_, extent, shard)| (*extent, *shard))
             .collect(),
     );
     again.kept = r.kept;
@@ -387,11 +387,11 @@
     assert_eq!(r.open.len(), 1);
     r.host(0, None);
     assert!(r.got(c).is_empty() && r.open.is_empty() && r.stores.len() == 1);
-    let (no, _, cell) = r.stores[0];
+    let (no, _, shard) = r.stores[0];
     r.feed(Input::Stored { no });
     assert_eq!(
-        (r.one(c).0, r.open.len(), r.open[0].cell),
-        (0, 1, Some(cell))
+        (r.one(c).0, r.open.len(), r.open[0].shard),
+        (0, 1, Some(shard))
     );
     r.host(0, None);
     assert_eq!((r.one(c).0, r.stores.len()), (0, 1));
@@ -399,13 +399,13 @@
     r.write(c, 9, 100, &fill(1, 1));
     r.write(c, 10, 102, &fill(1, 1));
     r.host(0, Some(BUSY));
-    assert_eq!((r.one(c).0, r.open.len(), r.open[0].cell), (8, 1, None));
+    assert_eq!((r.one(c).0, r.open.len(), r.open[0].shard), (8, 1, None));
 }
 
 #[test]
 fn deferred_is_busy_and_abandoned_an_unknown_outcome() {
     let later = Answer::Deferred {
-        come_back: Some(ms(250)),
+        retry_after: Some(ms(250)),
         unsure: false,
     };
     let cases = [(later, 8, 3), (BUSY, 8, 0), (LOST, 2, 0)];
@@ -477,8 +477,8 @@
         "and the read behind it rests no longer: nothing older can be seen"
     );
     // Both old attempts run after all.
-    let cell = late.cell.expect("written before");
-    assert!(r.node(&late, cell).is_some() && r.node(&second, cell).is_some());
+    let shard = late.shard.expect("written before");
+    assert!(r.node(&late, shard).is_some() && r.node(&second, shard).is_some());
     r.read(c, 15, 0, 4);
     r.host_all();
     assert_eq!(r.one(c), (0, [fill(5, 2), fill(9, 2)].concat()));
@@ -495,7 +495,7 @@
     let placed = r
         .stores
         .iter()
-        .map(|(_, extent, cell)| (*extent, *cell))
+        .map(|(_, extent, shard)| (*extent, *shard))
         .collect();
     let mut again = Rig::after(placed, r.ceiling);
     (again.kept, again.there) = (r.kept, r.there);
@@ -504,7 +504,7 @@
     again.host_all();
     assert_eq!(again.one(c).0, 0);
     assert!(again
-        .node(&late, late.cell.expect("written before"))
+        .node(&late, late.shard.expect("written before"))
         .is_some());
     again.read(c, 10, 0, 1);
     again.host_all();
@@ -521,8 +521,8 @@
     r.host_all();
     r.one(c);
     (foreign.version, foreign.data) = (Some(1 << 50), fill(7, 2).into());
-    let cell = r.stores[0].2;
-    assert_eq!(r.node(&foreign, cell), None);
+    let shard = r.stores[0].2;
+    assert_eq!(r.node(&foreign, shard), None);
     r.write(c, 7, 0, &fill(1, 1));
     let first = r.open[0].no;
     r.host(0, None);
@@ -535,7 +535,7 @@
     assert_eq!(r.one(c), (0, [fill(1, 1), fill(7, 1)].concat()));
     // One that can be no version is not believed, and the client is told that nobody knows.
     (foreign.version, foreign.data) = (Some(u64::MAX), fill(8, 2).into());
-    r.node(&foreign, cell);
+    r.node(&foreign, shard);
     r.write(c, 9, 0, &fill(2, 1));
     r.host_all();
     assert_eq!((r.one(c).0, r.e.open()), (2, (0, 0)));
@@ -817,7 +817,7 @@
                 let at = rng.random_range(0..r.open.len());
                 let answer = match rng.random_range(0..12) {
                     0 => Some(Answer::Deferred {
-                        come_back: Some(ms(50)),
+                        retry_after: Some(ms(50)),
                         unsure: rng.random(),
                     }),
                     1 => Some(Answer::Abandoned {
@@ -832,8 +832,8 @@
                     _ => None,
                 };
                 let q = r.open[at].clone();
-                match (unsure, q.cell) {
-                    (Some(true), Some(cell)) if q.write && rng.random() => drop(r.node(&q, cell)),
+                match (unsure, q.shard) {
+                    (Some(true), Some(shard)) if q.write && rng.random() => drop(r.node(&q, shard)),
                     (Some(true), Some(_))
                         if q.write && matches!(answer, Some(Answer::Abandoned { .. })) =>
                     {
@@ -844,7 +844,7 @@
                 r.host(at, answer);
             } else if rng.random() && !late.is_empty() {
                 let q = late.swap_remove(rng.random_range(0..late.len()));
-                r.node(&q, q.cell.expect("only such were kept"));
+                r.node(&q, q.shard.expect("only such were kept"));
             } else {
                 r.wait(ms(rng.random_range(1..200)));
             }
--- a/crates/target/tests/script/mod.rs
+++ b/crates/target/tests/script/mod.rs
@@ -17,7 +17,7 @@
 const REST: Duration = Duration::from_millis(300);
 const CONNS: u64 = 4;
 /// Steps of one script: a long one is cut.
-const MOST_STEPS: usize = 3000;
+const MAX_STEPS: usize = 3000;
 
 struct Script<'a>(&'a [u8]);
 
@@ -60,7 +60,7 @@
             block_size: 512,
             id,
             serial: "v".into(),
-            most_blocks: 64,
+            max_blocks: 64,
             read_only: id == 2,
         };
         let volume = |id| VolumeFacts {
@@ -76,7 +76,7 @@
         let figures = Figures {
             first: 4.0,
             most: 16.0,
-            most_each: 8,
+            max_each: 8,
         };
         let own = (figures, REST, Versions::new(0, 1));
         let chance = Box::new(|| [7; 17]);
@@ -246,7 +246,7 @@
                 let unsure = s.byte() & 1 == 0;
                 let answer = match s.byte() % 8 {
                     0 => Answer::Deferred {
-                        come_back: None,
+                        retry_after: None,
                         unsure,
                     },
                     1 => Answer::Abandoned { unsure },
@@ -256,11 +256,11 @@
                         vec![what; r.length as usize - usize::from(s.byte()) % 9].into(),
                     ),
                 };
-                let cell = r.cell.or(Some(2));
+                let shard = r.shard.or(Some(2));
                 self.feed(Input::Final {
                     no: r.no,
                     answer,
-                    cell,
+                    shard,
                 });
             }
             9 => {
@@ -315,7 +315,7 @@
 pub fn play(bytes: &[u8]) {
     let (mut stage, mut script) = (Stage::new(), Script(bytes));
     (0..CONNS).for_each(|c| stage.login(ConnNo(c), c as u8));
-    for _ in 0..MOST_STEPS {
+    for _ in 0..MAX_STEPS {
         if script.0.is_empty() {
             break;
         }
@@ -326,7 +326,7 @@
         stage.feed(Input::Final {
             no: r.no,
             answer: Answer::Abandoned { unsure: false },
-            cell: r.cell,
+            shard: r.shard,
         });
         if stage.open.is_empty() {
             stage.now += REST * 2;
--- a/crates/wire/src/trace.rs
+++ b/crates/wire/src/trace.rs
@@ -188,8 +188,8 @@
 fn bare(kind: Kind, conn: u64, frame: &pb::Frame) -> Record {
     let mut frame = frame.clone();
     let data = match &mut frame.body {
-        Some(Body::Take(m)) => std::mem::take(&mut m.data),
-        Some(Body::Final(m)) => std::mem::take(&mut m.data),
+        Some(Body::SubmitRequest(m)) => std::mem::take(&mut m.data),
+        Some(Body::Response(m)) => std::mem::take(&mut m.data),
         Some(Body::Attempt(m)) => std::mem::take(&mut m.data),
         Some(Body::AttemptResponse(m)) => std::mem::take(&mut m.data),
         _ => Bytes::new(),
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -10,11 +10,11 @@
     rng.fill_bytes(&mut data);
     let id = data.iter().copied().take(36).collect::<Vec<u8>>().into();
     let body = match rng.random_range(0..5) {
-        0 => Body::Take(pb::Take {
+        0 => Body::SubmitRequest(pb::SubmitRequest {
             id,
             units: rng.random(),
             key: rng.random::<bool>().then(|| rng.random()),
-            cell: rng.random::<bool>().then(|| rng.random()),
+            shard: rng.random::<bool>().then(|| rng.random()),
             left_us: rng.random(),
             data: data.into(),
             ..Default::default()
@@ -37,10 +37,10 @@
                 .collect(),
         }),
         3 => Body::GoingAway(pb::GoingAway {}),
-        _ => Body::Final(pb::Final {
+        _ => Body::Response(pb::Response {
             id,
             outcome: 1,
-            come_back_us: Some(rng.random()),
+            retry_after_us: Some(rng.random()),
             ..Default::default()
         }),
     };
--- a/src/account.rs
+++ b/src/account.rs
@@ -1,7 +1,7 @@
 //! What was given up and why, added up for people to look at. Nothing is decided here, and nothing is decided
 //! by it.
 //!
-//! Memory: a count for each pair of cause, stream type, paying bucket and age that was met.
+//! Memory: a count for each pair of cause, traffic class, paying bucket and age that was met.
 
 use crate::control::Control;
 use crate::interface::*;
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Why {
     /// Something of ours kept it from going.
-    Rejected(Rejection),
+    Rejected(BlockReason),
     /// Nothing did, but it could not be in time behind what goes first.
     Behind,
     /// No node that the list names has its data.
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Cause {
     pub why: Why,
-    pub stream_type: StreamTypeId,
+    pub traffic_class: TrafficClassId,
     pub pays: Pays,
     /// The first of [`AGES`] that is not passed, by its place.
     pub heard: usize,
@@ -55,7 +55,7 @@
     /// Counts a request that is about to be given up, under what keeps it now.
     pub(crate) fn blame(&mut self, id: RequestId) {
         let Some(x) = self.bk.requests.get(&id).filter(|x| !x.over) else { return };
-        let holder = x.request.cell.and_then(|cell| self.bk.holder(cell));
+        let holder = x.request.shard.and_then(|shard| self.bk.holder(shard));
         let node = x.at.or(x.last).or(holder);
         let spare =
             node.and_then(|n| self.bk.nodes[&n].flows.get(&x.request.volume)).and_then(|f| f.spare.as_ref());
@@ -69,7 +69,8 @@
                 let age = self.bk.now.saturating_sub(nd.heard);
                 AGES.iter().position(|most| age <= *most).unwrap_or(AGES.len())
             });
-        let cause = Cause { why: self.why(id, x, holder), stream_type: x.request.stream_type, pays, heard };
+        let cause =
+            Cause { why: self.why(id, x, holder), traffic_class: x.request.traffic_class, pays, heard };
         *self.bk.account.entry(cause).or_default() += 1;
     }
 
@@ -77,12 +78,12 @@
         let room = |node| self.opens(node, x.request.units).is_some_and(|at| at <= self.bk.now);
         match x.at {
             _ if matches!(x.want, Want::Out(_)) => Why::Attempt,
-            None if x.request.cell.is_none() => Why::Rejected(Rejection::Nowhere),
+            None if x.request.shard.is_none() => Why::Rejected(BlockReason::NoCapacity),
             None if holder.is_none() => Why::Absent,
             None => Why::Behind,
             Some(node) => match self.rejection(id, x, node) {
                 Some(rejection) => Why::Rejected(rejection),
-                None if !room(node) => Why::Rejected(Rejection::Room),
+                None if !room(node) => Why::Rejected(BlockReason::Concurrency),
                 None => Why::Behind,
             },
         }
