--- a/src/control.rs
+++ b/src/control.rs
@@ -29,9 +29,9 @@
 const TICK: Duration = Duration::from_millis(10); // the design's refill
 const INTERVAL: Duration = Duration::from_millis(500); // long enough for a few answers a node
 const SMOOTH: f64 = 0.3; // a surge counts within three intervals
-const SLO_PART: f64 = 0.15; // what a node's queue may take of it; the rest is work
+const LATENCY_OBJECTIVE_PART: f64 = 0.15; // what a node's queue may take of it; the rest is work
 const FLOOR: (f64, f64) = (2.0, 6.0); // one and three large requests, each twice the mean
-const MOST_OUT: f64 = 32.0; // the design's, in mean requests
+const MAX_OUT: f64 = 32.0; // the design's, in mean requests
 const START_REQUESTS: f64 = 4.0; // a second: low, as a host knows nothing yet
 const BRAKE_LEAST: f64 = 0.02; // a crowd of hosts needs well below one request each
 const AT_ONCE: usize = 256; // held requests of a node, or floating ones, that are ranked in each tick
@@ -47,7 +47,7 @@
 const LATE_USUAL: f64 = 0.3; // heavy requests, pauses and flushes alone
 const LATE_WEIGHT: (f64, f64) = (0.02, 0.4); // of one answer, among all nodes' and among the node's
 const EASY: f64 = 0.9; // below, a node has enough of its own before a new object
-const SILENT_SLOS: u32 = 4; // a heavy request alone is not silence
+const SILENT_LATENCY_OBJECTIVES: u32 = 4; // a heavy request alone is not silence
 const EASE_AGAIN: (f64, f64, f64) = (0.04, 0.2, 0.2); // a second: least, most, and for a request a second
 const LEAST_PART: f64 = 0.15; // quantile that stands for work without a queue
 const WATCH_AGAIN: Duration = Duration::from_millis(200); // doubled for each failed call
@@ -81,23 +81,25 @@
     }
 }
 
-/// Units that this host may have out at a node: the learned rate over part of the tightest SLO time, at least
+/// Units that this host may have out at a node: the learned rate over part of the tightest Latency objective, at least
 /// a few large requests (fewer where all hosts' floors would pass the most of one), at most so many in all.
 pub fn bound(rate: f64, tightest: Duration, mean_units: f64, hosts: usize) -> f64 {
-    let (mean, part) = (mean_units.max(0.1), MOST_OUT / hosts.max(1) as f64);
-    (rate * SLO_PART * secs(tightest)).max(part.clamp(FLOOR.0, FLOOR.1) * mean).min(MOST_OUT * mean)
+    let (mean, part) = (mean_units.max(0.1), MAX_OUT / hosts.max(1) as f64);
+    (rate * LATENCY_OBJECTIVE_PART * secs(tightest))
+        .max(part.clamp(FLOOR.0, FLOOR.1) * mean)
+        .min(MAX_OUT * mean)
 }
 
 /// Whether an attempt may follow one that may have run (repeat rule). `ran` is where and when that was.
-pub fn may_resend(idempotency: Idempotency, ran: Option<Ran>, to: (ZoneId, CellId), now: Duration) -> bool {
+pub fn may_resend(idempotency: Idempotency, ran: Option<Ran>, to: (ZoneId, ShardId), now: Duration) -> bool {
     match (ran, idempotency) {
         (None, _) | (_, Idempotency::Idempotent) => true,
         (Some(_), Idempotency::NonIdempotent) => false,
-        (Some(Ran { zone, cell, sent }), Idempotency::WithKey { scope, window }) => {
+        (Some(Ran { zone, shard, sent }), Idempotency::WithKey { scope, window }) => {
             let inside = match scope {
                 DeduplicationScope::All => true,
                 DeduplicationScope::Zone => zone == to.0,
-                DeduplicationScope::Cell => cell == to.1,
+                DeduplicationScope::Shard => shard == to.1,
             };
             inside && now < sent + window
         }
@@ -115,10 +117,10 @@
 
 /// What this host may send to a cold node in one span of the rule: its part of the units always borne, or of
 /// the least that a node can do by now, by its own rate: all hosts' own rates are no more than a node can do.
-pub fn cold_part(rule: &ColdRule, own_rate: f64, age: Duration) -> f64 {
-    let warm = (secs(age) / secs(rule.warm_within).max(1e-3)).min(1.0);
-    let capacity = rule.starts_at + (1.0 - rule.starts_at) * warm;
-    let able = rule.multiple * capacity * own_rate * secs(rule.fall_within);
+pub fn cold_part(rule: &SlowStartPolicy, own_rate: f64, age: Duration) -> f64 {
+    let warm = (secs(age) / secs(rule.warm_up_time).max(1e-3)).min(1.0);
+    let capacity = rule.initial_fraction + (1.0 - rule.initial_fraction) * warm;
+    let able = rule.multiple * capacity * own_rate * secs(rule.overload_window);
     COLD_PART * able.max(rule.units / rule.hosts.max(1) as f64)
 }
 
@@ -128,10 +130,10 @@
 }
 
 /// The least and the best benefit that a unit can bring.
-pub fn scale(streams: &[StreamType], plans: &[Plan], units: &UnitFacts) -> (f64, f64) {
-    let benefits = streams.iter().flat_map(|s| plans.iter().map(|p| s.benefit * p.price));
+pub fn scale(traffic_classes: &[TrafficClass], plans: &[Plan], units: &UnitSettings) -> (f64, f64) {
+    let benefits = traffic_classes.iter().flat_map(|s| plans.iter().map(|p| s.priority_weight * p.price));
     let best = benefits.clone().fold(1e-6, f64::max);
-    let least = benefits.fold(best, f64::min) * units.spare_part.clamp(0.01, 0.9);
+    let least = benefits.fold(best, f64::min) * units.spare_fraction.clamp(0.01, 0.9);
     (least.max(best * 1e-3), best)
 }
 
@@ -144,11 +146,11 @@
 #[derive(Debug)]
 pub struct Control {
     rng: Pcg64Mcg,
-    streams: Vec<StreamType>,
+    traffic_classes: Vec<TrafficClass>,
     plans: Vec<Plan>,
-    units: UnitFacts,
-    caps: Caps,
-    cold: ColdRule,
+    units: UnitSettings,
+    host_limits: HostLimits,
+    cold: SlowStartPolicy,
     list: DiscoveryPolicy,
     budget: Option<RetryBudget>,
     rest: Duration,
@@ -158,17 +160,38 @@
 }
 
 impl Control {
-    pub fn new(seed: u64, streams: Vec<StreamType>, plans: Vec<Plan>, units: UnitFacts, caps: Caps) -> Self {
-        let tightest = streams.iter().map(|s| s.slo).filter(|d| *d > TICK).min().unwrap_or(INTERVAL);
+    pub fn new(
+        seed: u64, traffic_classes: Vec<TrafficClass>, plans: Vec<Plan>, units: UnitSettings,
+        host_limits: HostLimits,
+    ) -> Self {
+        let tightest = traffic_classes
+            .iter()
+            .map(|s| s.latency_objective)
+            .filter(|d| *d > TICK)
+            .min()
+            .unwrap_or(INTERVAL);
         let (rng, per_unit) = (Pcg64Mcg::seed_from_u64(seed), Histogram::new(TICK / 5, 1.4, 16));
-        let (cold, list, rest) = (ColdRule::default(), DiscoveryPolicy::default(), Duration::ZERO);
-        let bk = Books { values: scale(&streams, &plans, &units), ..Books::default() };
-        Control { rng, streams, plans, units, caps, cold, list, budget: None, rest, tightest, per_unit, bk }
+        let (cold, list, rest) = (SlowStartPolicy::default(), DiscoveryPolicy::default(), Duration::ZERO);
+        let bk = Books { values: scale(&traffic_classes, &plans, &units), ..Books::default() };
+        Control {
+            rng,
+            traffic_classes,
+            plans,
+            units,
+            host_limits,
+            cold,
+            list,
+            budget: None,
+            rest,
+            tightest,
+            per_unit,
+            bk,
+        }
     }
 
     /// The figures of the rules.
     pub fn under(
-        mut self, cold: ColdRule, list: DiscoveryPolicy, attempts: Option<RetryBudget>, rest: Duration,
+        mut self, cold: SlowStartPolicy, list: DiscoveryPolicy, attempts: Option<RetryBudget>, rest: Duration,
     ) -> Self {
         (self.cold, self.list, self.budget, self.rest) = (cold, list, attempts, rest);
         self
@@ -198,51 +221,53 @@
 
     fn hear(&mut self, event: Event) {
         match event {
-            Event::Taken(x) => self.take(x),
-            Event::Begun { id, .. } => self.bk.requests.get_mut(&id).into_iter().for_each(|x| x.begun = true),
-            Event::AttemptEnded { id, node, end, elapsed, over, reported, .. } => {
-                self.measure(id, node, end, elapsed, reported);
-                self.attempt_ended(id, node, end, over);
+            Event::RequestReceived(x) => self.take(x),
+            Event::ResponseStarted { id, .. } => {
+                self.bk.requests.get_mut(&id).into_iter().for_each(|x| x.begun = true)
+            }
+            Event::AttemptEnded(end) => {
+                self.measure(&end);
+                self.attempt_ended(&end);
             }
             // A connection that comes up late is no word on its node.
-            Event::Crosses { id, node, at } => self.bk.crosses(id, node, at),
-            Event::Withdrawn { id } => self.bk.close(id),
-            Event::Plan { plan, facts } => {
+            Event::AttemptSent { id, node, at } => self.bk.crosses(id, node, at),
+            Event::RequestCancelled { id } => self.bk.close(id),
+            Event::PlanChanged { plan, facts } => {
                 self.plans.resize(self.plans.len().max(plan.0 + 1), Plan::default());
                 self.plans[plan.0] = facts;
-                self.bk.values = scale(&self.streams, &self.plans, &self.units);
+                self.bk.values = scale(&self.traffic_classes, &self.plans, &self.units);
             }
-            Event::Volume { volume, terms: Some(terms) } => {
+            Event::VolumeChanged { volume, terms: Some(terms) } => {
                 let new = || Volume::new(terms, self.plans[terms.plan.0].reservation);
                 self.bk.retired.remove(&volume);
                 self.bk.volumes.entry(volume).or_insert_with(new).retune(terms);
             }
             // What is out stays out, and its end is heard; what is held would wait for nothing.
-            Event::Volume { volume, terms: None } => {
+            Event::VolumeChanged { volume, terms: None } => {
                 self.bk.held_of(volume).into_iter().for_each(|id| self.give_up(id, COME_BACK));
                 self.bk.retired.insert(volume);
             }
             Event::EndpointUpdate { kind, endpoints } => self.follow(kind, endpoints),
-            Event::Timer { .. } | Event::Probed { .. } | Event::Told { .. } => {}
+            Event::TimerFired { .. } | Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
         }
     }
 
     fn take(&mut self, x: Request) {
         self.bk.taken.add(self.bk.now);
-        let (stream, plan, id) = (&self.streams[x.stream_type.0], &self.plans[x.plan.0], x.id);
-        let volume = || Volume::new(Terms::even(x.plan, plan, x.hosts), plan.reservation);
+        let (stream, plan, id) = (&self.traffic_classes[x.traffic_class.0], &self.plans[x.plan.0], x.id);
+        let volume = || Volume::new(VolumeTerms::even(x.plan, plan, x.hosts), plan.reservation);
         self.bk.volumes.entry(x.volume).or_insert_with(volume);
         if let (true, Some(key)) = (stream.ordered, x.key) {
             self.bk.keys.join(key, id);
         }
-        // A client's later try has less time left than a first one, and its SLO time began with the first:
+        // A client's later try has less time left than a first one, and its Latency objective began with the first:
         // it must not pass as fresh before requests that can still be in time.
-        let left = x.expiry.saturating_sub(self.bk.now);
-        let longest = self.bk.longest.entry(x.stream_type).or_default();
+        let left = x.deadline.saturating_sub(self.bk.now);
+        let longest = self.bk.longest.entry(x.traffic_class).or_default();
         *longest = left.max(*longest);
-        let slo_at = self.bk.now + stream.slo.saturating_sub(*longest - left);
+        let objective_at = self.bk.now + stream.latency_objective.saturating_sub(*longest - left);
         self.bk.least_units = Some(self.bk.least_units.map_or(x.units, |least| least.min(x.units)));
-        self.bk.requests.insert(id, PendingRequest::new(x, self.bk.now, slo_at, self.rng.random()));
+        self.bk.requests.insert(id, PendingRequest::new(x, self.bk.now, objective_at, self.rng.random()));
         self.hold(id);
     }
 
@@ -250,9 +275,9 @@
     /// One whose time is up, or whose node is absent, is given up at once: its client may know better.
     fn hold(&mut self, id: RequestId) {
         let x = &self.bk.requests[&id];
-        let at = x.request.cell.and_then(|cell| self.bk.holder(cell));
-        let absent = x.request.cell.is_some() && at.is_none();
-        if absent || self.bk.now + self.expected(at, x.request.units) >= x.request.expiry {
+        let at = x.request.shard.and_then(|shard| self.bk.holder(shard));
+        let absent = x.request.shard.is_some() && at.is_none();
+        if absent || self.bk.now + self.expected(at, x.request.units) >= x.request.deadline {
             return self.give_up(id, COME_BACK);
         }
         let x = self.bk.requests.get_mut(&id).expect("looked up above");
@@ -263,14 +288,13 @@
     fn give_up(&mut self, id: RequestId, wait: Duration) {
         self.blame(id);
         let Some(x) = self.bk.requests.get_mut(&id) else { return };
-        let idempotency = self.streams[x.request.stream_type.0].idempotency;
+        let idempotency = self.traffic_classes[x.request.traffic_class.0].idempotency;
         x.want = if may_defer(idempotency, x.ran.is_some()) { Want::Deferred(wait) } else { Want::Abandoned };
         self.bk.moves(id);
     }
 
-    fn measure(
-        &mut self, id: RequestId, node: NodeId, end: AttemptOutcome, elapsed: Duration, told: Option<f64>,
-    ) {
+    fn measure(&mut self, ended: &AttemptEnd) {
+        let AttemptEnd { id, node, outcome: end, elapsed, reported: told, .. } = *ended;
         let Some((x, nd)) = self.bk.requests.get_mut(&id).zip(self.bk.nodes.get_mut(&node)) else { return };
         let (now, units) = (self.bk.now, x.request.units);
         let v = self.bk.volumes.get_mut(&x.request.volume).expect("made when taken");
@@ -281,15 +305,17 @@
         // A limit counts what crosses, when it crosses. What was never sent gives its units back; what found
         // no connection draws them again when it goes, or units drawn long before would add to a full
         // store's. Harm: where the store counts an attempt without a connection, as much is lost to the volume.
-        if x.attempts == 1 && matches!(end, AttemptOutcome::Moot | AttemptOutcome::NoConnection) {
+        if x.attempts == 1 && matches!(end, AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed) {
             x.drawn = false;
-            let back = if end == AttemptOutcome::Moot { units } else { 0.0 };
+            let back = if end == AttemptOutcome::NotSent { units } else { 0.0 };
             v.limit.iter_mut().for_each(|b| b.give(back));
         }
-        let never_ran =
-            matches!(end, AttemptOutcome::Full | AttemptOutcome::NoConnection | AttemptOutcome::Moot);
-        if !never_ran && end != AttemptOutcome::Done && x.ran.is_none() {
-            x.ran = Some(Ran { zone: nd.zone, cell: nd.cell, sent });
+        let never_ran = matches!(
+            end,
+            AttemptOutcome::QueueFull | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+        );
+        if !never_ran && end != AttemptOutcome::Completed && x.ran.is_none() {
+            x.ran = Some(Ran { zone: nd.zone, shard: nd.shard, sent });
         }
         // What fails fast looks idle and would draw all that may go anywhere. Some bad answers in a row keep
         // new objects away; dead ports and full queues also shut the node's ease, while errors may spare
@@ -297,19 +323,29 @@
         // has a dead port next. Harm: a short jam shuts a node for seconds.
         let bad = !matches!(
             end,
-            AttemptOutcome::Done | AttemptOutcome::TimeOut | AttemptOutcome::Cancelled | AttemptOutcome::Moot
+            AttemptOutcome::Completed
+                | AttemptOutcome::TimedOut
+                | AttemptOutcome::Cancelled
+                | AttemptOutcome::NotSent
         );
         nd.bad_row += u32::from(bad);
-        if bad && !matches!(end, AttemptOutcome::Error | AttemptOutcome::Reset) {
+        if bad && !matches!(end, AttemptOutcome::Failed | AttemptOutcome::ConnectionReset) {
             nd.feel(now, EASE_DOWN, EASE_SPAN, &mut self.bk.late, LATE_WEIGHT, belief);
             if nd.bad_row >= SHUT_AFTER {
-                nd.shut(&mut self.bk.out, format!("{end:?} after {} bad answers in a row", nd.bad_row));
+                nd.shut(
+                    &mut self.bk.out,
+                    format!(
+                        "{} after {} bad answers in a row",
+                        if end == AttemptOutcome::QueueFull { "Full" } else { "NoConnection" },
+                        nd.bad_row
+                    ),
+                );
             }
         }
-        if end == AttemptOutcome::Done {
+        if end == AttemptOutcome::Completed {
             self.per_unit.add(elapsed.div_f64(units.max(0.5)));
             let own = self.per_unit.quantile(LEAST_PART).unwrap_or_default().mul_f64(units);
-            let late = elapsed > own + self.tightest.mul_f64(SLO_PART);
+            let late = elapsed > own + self.tightest.mul_f64(LATENCY_OBJECTIVE_PART);
             nd.lags.add(elapsed.saturating_sub(own));
             if !late || !x.felt {
                 let by = if late { EASE_DOWN } else { EASE_UP };
@@ -319,21 +355,24 @@
             nd.answers.add(units, late);
             (nd.heard, nd.bad_row) = (now, 0);
             // Late answers of any cause (slow node, strangers' load, other hosts) shrink the bound below
-            // the design's floor, which alone would queue past the SLO time.
+            // the design's floor, which alone would queue past the Latency objective.
             nd.brake = (nd.brake * if late { BRAKE_DOWN } else { BRAKE_UP }).clamp(BRAKE_LEAST, 1.0);
-        } else if end == AttemptOutcome::Full {
+        } else if end == AttemptOutcome::QueueFull {
             nd.answers.full += 1.0;
             nd.brake = (nd.brake * BRAKE_DOWN * BRAKE_DOWN).max(BRAKE_LEAST);
         }
     }
 
-    fn attempt_ended(&mut self, id: RequestId, node: NodeId, end: AttemptOutcome, over: bool) {
+    fn attempt_ended(&mut self, ended: &AttemptEnd) {
+        let AttemptEnd { id, node, outcome: end, answered: over, .. } = *ended;
         let Some(x) = self.bk.requests.get_mut(&id) else { return };
         x.out = None;
-        let may_still_run =
-            matches!(end, AttemptOutcome::TimeOut | AttemptOutcome::Reset | AttemptOutcome::Cancelled);
+        let may_still_run = matches!(
+            end,
+            AttemptOutcome::TimedOut | AttemptOutcome::ConnectionReset | AttemptOutcome::Cancelled
+        );
         if let (true, true, Some(key)) =
-            (may_still_run, self.streams[x.request.stream_type.0].ordered, x.request.key)
+            (may_still_run, self.traffic_classes[x.request.traffic_class.0].ordered, x.request.key)
         {
             self.bk.keys.rest(key, id, self.bk.now + self.rest);
         }
@@ -341,14 +380,14 @@
             return self.bk.close(id);
         }
         let (attempts, left, units) =
-            (x.attempts, x.request.expiry.saturating_sub(self.bk.now), x.request.units);
+            (x.attempts, x.request.deadline.saturating_sub(self.bk.now), x.request.units);
         let wait = self.spread(TICK * 2) + TICK * 2u32.pow(attempts.min(6));
         let (x, nd) = (&self.bk.requests[&id], self.bk.nodes.get(&node));
-        let idempotency = self.streams[x.request.stream_type.0].idempotency;
+        let idempotency = self.traffic_classes[x.request.traffic_class.0].idempotency;
         let again = self.retry_allowed()
-            && attempts < self.caps.most_attempts
-            && !matches!(end, AttemptOutcome::TimeOut | AttemptOutcome::Moot | AttemptOutcome::Cancelled)
-            && nd.is_some_and(|nd| may_resend(idempotency, x.ran, (nd.zone, nd.cell), self.bk.now))
+            && attempts < self.host_limits.max_attempts
+            && !matches!(end, AttemptOutcome::TimedOut | AttemptOutcome::NotSent | AttemptOutcome::Cancelled)
+            && nd.is_some_and(|nd| may_resend(idempotency, x.ran, (nd.zone, nd.shard), self.bk.now))
             && left > self.expected(Some(node), units) + wait;
         if again {
             self.bk.requests.get_mut(&id).expect("looked up above").not_before = self.bk.now + wait;
@@ -363,14 +402,14 @@
         let Some(rule) = &self.budget else { return true };
         let taken = self.bk.taken.within(rule.window.saturating_sub(TICK), self.bk.now);
         let made = self.bk.further.within(rule.window + TICK, self.bk.now);
-        (made + 1) as f64 <= rule.floor + rule.share * taken as f64
+        (made + 1) as f64 <= rule.min_retries + rule.ratio * taken as f64
     }
 
     /// Time that an attempt of this size should take: the node's late lag over the best, and the usual time.
     fn expected(&self, node: Option<NodeId>, units: f64) -> Duration {
         let lags = node.and_then(|n| self.bk.nodes.get(&n)).and_then(|nd| nd.lags.quantile(0.5));
         let usual = self.per_unit.quantile(0.5).unwrap_or_default().mul_f64(units);
-        // Never nothing: a host that has yet to hear an answer must still give up before the expiry.
+        // Never nothing: a host that has yet to hear an answer must still give up before the deadline.
         (lags.unwrap_or_default() + usual).max(TICK * 2)
     }
 
@@ -391,20 +430,21 @@
         self.bk.watch_tries *= u32::from(kind == EndpointUpdateKind::Cached);
         let first = self.bk.nodes.is_empty();
         for e in endpoints {
-            let edges = (START_REQUESTS * self.units.mean, MOST_OUT * self.units.mean / secs(self.tightest));
+            let edges = (START_REQUESTS * self.units.mean, MAX_OUT * self.units.mean / secs(self.tightest));
             let (lags, before) = (Histogram::new(TICK, 1.5, 16), self.bk.usage_before(&e, HEIR));
-            let new = || Node::new(&e, Window::new(edges.0, edges.1), lags, self.streams.len(), before);
+            let new =
+                || Node::new(&e, Window::new(edges.0, edges.1), lags, self.traffic_classes.len(), before);
             let nd = self.bk.nodes.entry(e.node).or_insert_with(new);
-            self.bk.cells.entry(e.cell).or_default().insert(e.node);
+            self.bk.shards.entry(e.shard).or_default().insert(e.node);
             let came = nd.state != NodeState::Ready || nd.started != e.started;
-            (nd.zone, nd.cell, nd.state, nd.started) = (e.zone, e.cell, e.state, e.started);
+            (nd.zone, nd.shard, nd.state, nd.started) = (e.zone, e.shard, e.state, e.started);
             if came && e.state == NodeState::Ready {
                 (nd.bad_row, nd.brake, nd.heard, nd.ease) = (0, 1.0, now, 1.0);
                 // All hosts learn of it about together; without the wait each would send first.
                 nd.open_from =
                     now + RETURN_SPREAD.mul_f64(f64::from(u8::from(!first)) * self.rng.random::<f64>());
                 nd.cold = None;
-                if e.started.is_some_and(|s| now < s + self.cold.warm_within) {
+                if e.started.is_some_and(|s| now < s + self.cold.warm_up_time) {
                     // A bucket passes one request into debt; many hosts' at once push a node over. A random
                     // debt spreads them, a lapse of what is full keeps them so. Harm: few hosts wait.
                     nd.cold = Some(TokenBucket::lapsing(self.units.mean, self.rng.random()));
@@ -426,9 +466,9 @@
             let age = self.bk.now.saturating_sub(nd.started.unwrap_or_default());
             let part = cold_part(&self.cold, (nd.usage.rate() + nd.reserved) / 2.0, age);
             // A full bucket and its refill together stay inside one span of the rule.
-            let (span, depth) = (secs(self.cold.fall_within).max(1e-3), part * COLD_HELD);
+            let (span, depth) = (secs(self.cold.overload_window).max(1e-3), part * COLD_HELD);
             nd.cold.iter_mut().for_each(|b| b.retune((part - depth) / span, depth));
-            nd.cold.take_if(|_| age >= self.cold.warm_within);
+            nd.cold.take_if(|_| age >= self.cold.warm_up_time);
         }
     }
 
@@ -497,22 +537,25 @@
     /// Benefit per unit, by the bucket that would pay, and whether one would.
     fn value(&self, x: &PendingRequest, id: Option<NodeId>) -> (f64, bool) {
         let (timely, paid) = self.timely(x, id);
-        let late = self.bk.now + self.expected(id, x.request.units) > x.slo_at;
-        (timely * if late { self.streams[x.request.stream_type.0].late_part } else { 1.0 }, paid)
+        let late = self.bk.now + self.expected(id, x.request.units) > x.objective_at;
+        (
+            timely * if late { self.traffic_classes[x.request.traffic_class.0].late_fraction } else { 1.0 },
+            paid,
+        )
     }
 
-    /// The same, were it in time: alike for all of one volume and stream type.
+    /// The same, were it in time: alike for all of one volume and traffic class.
     fn timely(&self, x: &PendingRequest, id: Option<NodeId>) -> (f64, bool) {
         let nd = id.and_then(|n| self.bk.nodes.get(&n));
-        let stream = &self.streams[x.request.stream_type.0];
+        let stream = &self.traffic_classes[x.request.traffic_class.0];
         let spare = nd.and_then(|nd| nd.flows.get(&x.request.volume)).and_then(|f| f.spare.as_ref());
         let v = &self.bk.volumes[&x.request.volume];
         let (part, paid) = match spare {
             _ if v.reserve.held() > 0.0 => (1.0, true),
-            Some(b) if b.held() <= 0.0 => (self.units.spare_part, false),
-            _ => (self.units.share_part, true),
+            Some(b) if b.held() <= 0.0 => (self.units.spare_fraction, false),
+            _ => (self.units.share_fraction, true),
         };
-        (part * stream.benefit * self.plans[v.plan.0].price, paid)
+        (part * stream.priority_weight * self.plans[v.plan.0].price, paid)
     }
 
     /// The rules and the buckets let it go to this node now.
@@ -521,23 +564,25 @@
     }
 
     /// Which of the rules and the buckets keeps it from going to this node now.
-    pub(crate) fn rejection(&self, id: RequestId, x: &PendingRequest, node: NodeId) -> Option<Rejection> {
+    pub(crate) fn rejection(&self, id: RequestId, x: &PendingRequest, node: NodeId) -> Option<BlockReason> {
         let nd = &self.bk.nodes[&node];
-        let (now, stream) = (self.bk.now, &self.streams[x.request.stream_type.0]);
+        let (now, stream) = (self.bk.now, &self.traffic_classes[x.request.traffic_class.0]);
         let limit = self.bk.volumes[&x.request.volume].limit.as_ref();
         let key = x.request.key.filter(|_| stream.ordered);
         match () {
-            _ if !(x.not_before..x.request.expiry).contains(&now) => Some(Rejection::Spacing),
-            _ if key.is_some_and(|key| !self.bk.keys.has_turn(key, id, now)) => Some(Rejection::Turn),
-            _ if x.attempts > 0 && !self.retry_allowed() => Some(Rejection::Budget),
-            _ if !x.drawn && limit.is_some_and(|b| b.held() < x.request.units) => Some(Rejection::Limit),
-            _ if nd.cold.as_ref().is_some_and(|b| b.held() <= 0.0) => Some(Rejection::Cold),
-            _ if !may_resend(stream.idempotency, x.ran, (nd.zone, nd.cell), now) => {
-                Some(Rejection::Idempotency)
+            _ if !(x.not_before..x.request.deadline).contains(&now) => Some(BlockReason::RetryDelay),
+            _ if key.is_some_and(|key| !self.bk.keys.has_turn(key, id, now)) => Some(BlockReason::KeyOrder),
+            _ if x.attempts > 0 && !self.retry_allowed() => Some(BlockReason::RetryBudget),
+            _ if !x.drawn && limit.is_some_and(|b| b.held() < x.request.units) => {
+                Some(BlockReason::RateLimit)
+            }
+            _ if nd.cold.as_ref().is_some_and(|b| b.held() <= 0.0) => Some(BlockReason::SlowStart),
+            _ if !may_resend(stream.idempotency, x.ran, (nd.zone, nd.shard), now) => {
+                Some(BlockReason::Idempotency)
             }
             _ => match self.value(x, Some(node)) {
-                (_, false) if nd.tokens.held() <= 0.0 => Some(Rejection::Share),
-                (value, _) => (!self.eased(x.lot, nd, value)).then_some(Rejection::Ease),
+                (_, false) if nd.tokens.held() <= 0.0 => Some(BlockReason::Share),
+                (value, _) => (!self.eased(x.lot, nd, value)).then_some(BlockReason::Throttled),
             },
         }
     }
@@ -619,7 +664,7 @@
     }
 
     /// The best of a line that may go: of those that can be in time the earliest, else of the late ones.
-    /// None can be in time whose SLO time comes before `soonest`.
+    /// None can be in time whose Latency objective comes before `soonest`.
     fn first(
         &self, line: &Line, node: NodeId, soonest: Duration,
     ) -> Option<(f64, Reverse<Duration>, RequestId)> {
@@ -632,9 +677,9 @@
         if spent || !(paid || nd.tokens.held() > 0.0) || !self.eased(1.0, nd, timely) {
             return None;
         }
-        let value = |(slo_at, Reverse(id)): &(Duration, Reverse<RequestId>)| {
+        let value = |(objective_at, Reverse(id)): &(Duration, Reverse<RequestId>)| {
             let x = &self.bk.requests[id];
-            self.may_send(*id, x, node).then(|| (self.value(x, Some(node)).0, Reverse(*slo_at), *id))
+            self.may_send(*id, x, node).then(|| (self.value(x, Some(node)).0, Reverse(*objective_at), *id))
         };
         let split = (soonest, Reverse(RequestId([u8::MAX; 36])));
         let late = line.range(..split).find_map(value);
@@ -658,14 +703,15 @@
             let mut overdue = 0;
             for (attempt, sent) in &nd.attempts {
                 let Some(x) = self.bk.requests.get_mut(attempt).filter(|x| !x.felt) else { continue };
-                x.felt = now > *sent + least.mul_f64(x.request.units) + self.tightest.mul_f64(SLO_PART);
+                x.felt = now
+                    > *sent + least.mul_f64(x.request.units) + self.tightest.mul_f64(LATENCY_OBJECTIVE_PART);
                 overdue += usize::from(x.felt);
             }
             let all = &mut self.bk.late;
             (0..overdue).for_each(|_| nd.feel(now, EASE_DOWN, EASE_SPAN, all, LATE_WEIGHT, belief));
             nd.answers.was_held |= !nd.held.is_empty();
             let since = nd.attempts.values().min().map_or(now, |sent| nd.heard.max(*sent));
-            if now > since + self.tightest * SILENT_SLOS {
+            if now > since + self.tightest * SILENT_LATENCY_OBJECTIVES {
                 nd.shut(&mut self.bk.out, format!("no answer for {:?}", now - since));
             }
         }
@@ -690,8 +736,8 @@
             let x = &self.bk.requests[&id];
             let wait = wait_behind(ahead, rate);
             let ready = now + wait + self.expected(Some(node), x.request.units);
-            let barred = ready > x.slo_at && !self.eased(x.lot, nd, self.value(x, Some(node)).0);
-            if barred || ready + next > x.request.expiry || self.overheld(x, next) {
+            let barred = ready > x.objective_at && !self.eased(x.lot, nd, self.value(x, Some(node)).0);
+            if barred || ready + next > x.request.deadline || self.overheld(x, next) {
                 doomed.push((id, wait.max(COME_BACK)));
             } else {
                 ahead += x.request.units;
@@ -706,7 +752,7 @@
     /// What has not gone by half of its time would come late if at all; its client still has time to ask
     /// again.
     fn overheld(&self, x: &PendingRequest, next: Duration) -> bool {
-        x.attempts == 0 && self.bk.now + TICK + next >= x.taken + (x.request.expiry - x.taken) / 2
+        x.attempts == 0 && self.bk.now + TICK + next >= x.taken + (x.request.deadline - x.taken) / 2
     }
 
     /// New objects go to the first node in their volume's ranking, or the next when that has enough: no
@@ -725,7 +771,7 @@
         for id in line {
             let x = &self.bk.requests[&id];
             let fit = |n: NodeId| {
-                let own = (self.value(x, Some(n)).0, Reverse(x.slo_at), id);
+                let own = (self.value(x, Some(n)).0, Reverse(x.objective_at), id);
                 self.may_send(id, x, n) && self.best(n).is_none_or(|b| own > b)
             };
             let first = |(n, nd): (&NodeId, &Node)| {
@@ -748,7 +794,7 @@
             let ready = self.bk.now + wait + self.expected(None, x.request.units) + TICK * (every - 1);
             match node {
                 Some(node) => self.send(id, node),
-                None if ticked && (ready > x.request.expiry || self.overheld(x, TICK * (every - 1))) => {
+                None if ticked && (ready > x.request.deadline || self.overheld(x, TICK * (every - 1))) => {
                     self.give_up(id, wait.max(COME_BACK))
                 }
                 None => stuck += x.request.units,
@@ -788,15 +834,15 @@
             match x.want {
                 Want::Out(node) if x.out.is_none() => {
                     x.out = Some(node);
-                    self.bk.out.push(Action::Send { id, node, until: x.request.expiry });
+                    self.bk.out.push(Action::SendAttempt { id, node, deadline: x.request.deadline });
                 }
                 Want::Deferred(wait) => {
-                    let come_back = self.caps.come_back.map(|most| wait.min(most));
-                    self.bk.out.push(Action::Defer { id, come_back });
+                    let retry_after = self.host_limits.max_retry_after.map(|most| wait.min(most));
+                    self.bk.out.push(Action::Reject { id, retry_after });
                     self.bk.close(id);
                 }
                 Want::Abandoned => {
-                    self.bk.out.push(Action::Abandon { id });
+                    self.bk.out.push(Action::Fail { id });
                     self.bk.close(id);
                 }
                 _ => {}
@@ -809,7 +855,7 @@
         let wanted = beat.min(self.bk.watch_at.unwrap_or(beat)).max(now + TICK / 10);
         if self.bk.armed.is_none_or(|at| at <= now || at > wanted) {
             (self.bk.armed, self.bk.tag) = (Some(wanted), self.bk.tag + 1);
-            self.bk.out.push(Action::Timer { after: wanted - now, tag: TimerTag(self.bk.tag) });
+            self.bk.out.push(Action::SetTimer { after: wanted - now, tag: TimerTag(self.bk.tag) });
         }
         std::mem::take(&mut self.bk.out)
     }
--- a/src/figures.rs
+++ b/src/figures.rs
@@ -34,7 +34,7 @@
 pub struct HeldFigures {
     pub volume: VolumeId,
     pub node: Option<NodeId>,
-    pub rejection: Rejection,
+    pub rejection: BlockReason,
     pub requests: usize,
     /// When the first of them was taken.
     pub since: Duration,
@@ -65,7 +65,7 @@
     /// What is held and why, of at most so many lines of requests that are worth the same; of each line the
     /// first stands for all.
     pub fn held(&self, lines: usize) -> Vec<HeldFigures> {
-        let mut all: BTreeMap<(VolumeId, Option<NodeId>, Rejection), (usize, Duration)> = BTreeMap::new();
+        let mut all: BTreeMap<(VolumeId, Option<NodeId>, BlockReason), (usize, Duration)> = BTreeMap::new();
         let mut add = |volume, node, rejection, n: usize, since: Duration| {
             let entry = all.entry((volume, node, rejection)).or_insert((0, since));
             (entry.0, entry.1) = (entry.0 + n, entry.1.min(since));
@@ -75,13 +75,13 @@
             let first = line.first().map(|(_, id)| id.0);
             let Some((id, x)) = first.and_then(|id| Some((id, self.bk.requests.get(&id)?))) else { continue };
             let room = self.opens(node, x.request.units).is_some_and(|at| at <= self.bk.now);
-            let rejection = self.rejection(id, x, node).or((!room).then_some(Rejection::Room));
+            let rejection = self.rejection(id, x, node).or((!room).then_some(BlockReason::Concurrency));
             rejection
                 .into_iter()
                 .for_each(|rejection| add(x.request.volume, Some(node), rejection, line.len(), x.taken));
         }
         for x in self.bk.floating.iter().take(lines).filter_map(|id| self.bk.requests.get(id)) {
-            add(x.request.volume, None, Rejection::Nowhere, 1, x.taken);
+            add(x.request.volume, None, BlockReason::NoCapacity, 1, x.taken);
         }
         let figures = |((volume, node, rejection), (requests, since))| HeldFigures {
             volume,
--- a/src/held.rs
+++ b/src/held.rs
@@ -1,24 +1,24 @@
-//! Held requests in lines of one volume, stream type and draw on the limit, each by SLO time.
+//! Held requests in lines of one volume, traffic class and draw on the limit, each by Latency objective.
 //!
 //! All of a line are worth the same but for their lateness, so that the next to go is found at the front of
 //! a few lines and not by looking at each request: a host may hold thousands, and looks with every answer.
 
-use crate::interface::{RequestId, StreamTypeId, VolumeId};
+use crate::interface::{RequestId, TrafficClassId, VolumeId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// A volume, a stream type, and whether the limit's units are drawn.
-pub type LineKey = (VolumeId, StreamTypeId, bool);
+/// A volume, a traffic class, and whether the limit's units are drawn.
+pub type LineKey = (VolumeId, TrafficClassId, bool);
 
-/// The earliest SLO time first, and of one time the highest id.
+/// The earliest Latency objective first, and of one time the highest id.
 pub type Line = BTreeSet<(Duration, Reverse<RequestId>)>;
 
 /// ```
 /// use grebecleat::held::Held;
-/// use grebecleat::interface::{StreamTypeId, VolumeId, RequestId};
+/// use grebecleat::interface::{TrafficClassId, VolumeId, RequestId};
 /// use std::time::Duration;
-/// let (line, ms) = ((VolumeId(1), StreamTypeId(0), false), Duration::from_millis);
+/// let (line, ms) = ((VolumeId(1), TrafficClassId(0), false), Duration::from_millis);
 /// let mut held = Held::default();
 /// held.add(line, ms(20), RequestId([1; 36]));
 /// held.add(line, ms(10), RequestId([2; 36]));
@@ -33,14 +33,14 @@
 }
 
 impl Held {
-    pub fn add(&mut self, line: LineKey, slo_at: Duration, id: RequestId) {
-        self.len += usize::from(self.lines.entry(line).or_default().insert((slo_at, Reverse(id))));
+    pub fn add(&mut self, line: LineKey, objective_at: Duration, id: RequestId) {
+        self.len += usize::from(self.lines.entry(line).or_default().insert((objective_at, Reverse(id))));
     }
 
     /// Whether it was there.
-    pub fn remove(&mut self, line: LineKey, slo_at: Duration, id: RequestId) -> bool {
+    pub fn remove(&mut self, line: LineKey, objective_at: Duration, id: RequestId) -> bool {
         let Some(there) = self.lines.get_mut(&line) else { return false };
-        let was = there.remove(&(slo_at, Reverse(id)));
+        let was = there.remove(&(objective_at, Reverse(id)));
         if there.is_empty() {
             self.lines.remove(&line);
         }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,295 +1,475 @@
-//! What the decision module is told and what it answers. No decision is made here.
+//! The messages between the decision module and its host: events in, actions out, and the settings that both share.
+//!
+//! [`Event`] and [`Action`] are the whole vocabulary of [`crate::control::Control::step`]. Nothing is decided
+//! here. Rates are units a second, where a unit is the settings' measure of node work; times are spans since the
+//! host's start unless stated otherwise.
 
 use std::time::Duration;
 
-/// A request, by the text under which the client knows it.
+/// Identifies a request, by the text under which its client knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub [u8; 36]);
 
+/// Identifies a storage node; the same at every host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u32);
 
+/// Identifies a volume.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VolumeId(pub u64);
 
-/// The piece of data that a request reads or writes.
+/// Identifies the piece of data that a request reads or writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u64);
 
-/// The group of nodes that hold one part of the data.
+/// Identifies a shard: the nodes that hold one part of the data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct CellId(pub u32);
+pub struct ShardId(pub u32);
 
+/// Identifies an availability zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
+/// Identifies a plan, by its place in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlanId(pub usize);
 
+/// Identifies a traffic class, by its place in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct StreamTypeId(pub usize);
+pub struct TrafficClassId(pub usize);
 
-/// Another host's number.
+/// Identifies another host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(pub u32);
 
+/// Tells one timer of the module from another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerTag(pub u64);
 
-/// Which nodes know a repeat of a keyed request.
+/// The nodes among which an idempotency key is recognised.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DeduplicationScope {
+    /// Every node.
     All,
+    /// Nodes of the same zone.
     Zone,
-    Cell,
+    /// Nodes of the same shard.
+    Shard,
 }
 
+/// Whether a request may be sent again after an attempt that may have run (RFC 9110, 9.2.2).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
+    /// Repeating it has no further effect.
     Idempotent,
-    WithKey { scope: DeduplicationScope, window: Duration },
+    /// Nodes of `scope` recognise the request's key for `window` after it was sent.
+    WithKey {
+        /// Where the key is recognised.
+        scope: DeduplicationScope,
+        /// For how long.
+        window: Duration,
+    },
+    /// It must not run twice.
     NonIdempotent,
 }
 
+/// What the settings say of one class of requests.
 #[derive(Debug, Clone)]
-pub struct StreamType {
-    pub slo: Duration,
+pub struct TrafficClass {
+    /// Time from arrival within which an answer earns its full value.
+    pub latency_objective: Duration,
+    /// Whether an attempt may follow one that may have run.
     pub idempotency: Idempotency,
+    /// Requests of one key run one after the other.
     pub ordered: bool,
-    pub benefit: f64,
-    pub late_part: f64,
+    /// Value of a unit answered within the objective, before the plan's price.
+    pub priority_weight: f64,
+    /// The fraction of that value that a late answer still earns, from 0 to 1.
+    pub late_fraction: f64,
 }
 
-/// Figures of a plan, for one volume over all hosts and nodes. Rates are units a second.
+/// Figures of a plan, for one volume over all hosts and nodes.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
+    /// Rate against which reported usage is a percentage.
     pub base_rate: f64,
+    /// Rate that the volume is guaranteed.
     pub reservation: f64,
-    /// 0: no limit.
+    /// Rate that the volume may not exceed; 0: no limit.
     pub limit: f64,
+    /// Units that the limit lets pass at once.
     pub limit_burst: f64,
+    /// Units by which the limit may be overrun.
     pub limit_slack: f64,
+    /// Weight in the division of what the reservations leave.
     pub weight: f64,
+    /// Factor on the value of the volume's requests.
     pub price: f64,
 }
 
-/// On what terms this host serves a volume.
+/// A token bucket's figures: one host's quota of a volume's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct LimitQuota {
+    /// Units a second.
+    pub rate: f64,
+    /// Units at once.
+    pub burst: f64,
+}
+
+/// The terms on which this host serves a volume.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub struct VolumeTerms {
+    /// The volume's plan.
     pub plan: PlanId,
-    /// Through how many hosts it works.
+    /// Number of hosts through which the volume's requests come.
     pub hosts: usize,
-    /// This host's own part of a limit: units a second, and units at once.
-    pub limit: Option<(f64, f64)>,
+    /// This host's quota of the plan's limit; None: no limit.
+    pub limit: Option<LimitQuota>,
 }
 
-impl Terms {
-    /// Even parts of a plan's limit.
+impl VolumeTerms {
+    /// Terms with an even quota of the plan's limit for each host.
     pub fn even(id: PlanId, plan: &Plan, hosts: usize) -> Self {
         let hosts = hosts.max(1);
-        let part = |of: f64| of / hosts as f64;
-        let limit = (plan.limit > 0.0).then(|| (part(plan.limit), part(plan.limit_burst)));
-        Terms { plan: id, hosts, limit }
+        let quota = |of: f64| of / hosts as f64;
+        let limit = (plan.limit > 0.0)
+            .then(|| LimitQuota { rate: quota(plan.limit), burst: quota(plan.limit_burst) });
+        VolumeTerms { plan: id, hosts, limit }
     }
 }
 
+/// How the settings measure work and its value.
 #[derive(Debug, Clone)]
-pub struct UnitFacts {
+pub struct UnitSettings {
+    /// Mean size of a request, in units.
     pub mean: f64,
+    /// Size of the largest request, in units.
     pub largest: f64,
-    /// The period over which reported service is added up; zero: none is reported.
+    /// The period over which nodes add up the usage they report; zero: none is reported.
     pub meter: Duration,
-    /// The part of the benefit that units earn beyond the reservation, inside the share.
-    pub share_part: f64,
-    /// The part that units earn beyond the share.
-    pub spare_part: f64,
+    /// Fraction of the value that units earn beyond the reservation, inside the fair share.
+    pub share_fraction: f64,
+    /// Fraction of the value that units earn beyond the fair share.
+    pub spare_fraction: f64,
 }
 
-/// What the deployment lets a host do with attempts and probes.
+/// What the deployment lets a host do with attempts, health checks and answers.
 #[derive(Debug, Clone)]
-pub struct Caps {
-    pub most_attempts: u32,
+pub struct HostLimits {
+    /// Attempts of one request, its first included.
+    pub max_attempts: u32,
+    /// Whether nodes answer health checks.
     pub probing: bool,
-    pub come_back: Option<Duration>,
+    /// The longest delay that a rejected client may be told; None: clients are told none.
+    pub max_retry_after: Option<Duration>,
+    /// Time by which an answer may come after its deadline.
     pub answer_slack: Duration,
 }
 
-/// The rule on nodes that have just started.
+/// The rule on nodes that have just started: what all hosts together may send to one while it warms up.
 #[derive(Debug, Clone, Default)]
-pub struct ColdRule {
+pub struct SlowStartPolicy {
+    /// Number of hosts that share the allowance.
     pub hosts: usize,
+    /// Units within the window that a node bears however cold it is.
     pub units: f64,
-    pub starts_at: f64,
-    pub warm_within: Duration,
-    pub fall_within: Duration,
+    /// Fraction of its full capacity at which a node starts.
+    pub initial_fraction: f64,
+    /// Time after which a node has its full capacity.
+    pub warm_up_time: Duration,
+    /// Length of the window over which the rule adds up what was sent.
+    pub overload_window: Duration,
+    /// Multiple of its present capacity that a node bears within the window.
     pub multiple: f64,
 }
 
-/// The rule on retries.
+/// The rule on attempts beyond each request's first, over any window.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    pub floor: f64,
-    pub share: f64,
+    /// Retries that are always allowed.
+    pub min_retries: f64,
+    /// Retries allowed for each request received in the window.
+    pub ratio: f64,
+    /// Length of the window.
     pub window: Duration,
 }
 
-/// How the list of nodes is come by.
+/// How this host learns of endpoints.
 #[derive(Debug, Clone, Default)]
 pub struct DiscoveryPolicy {
+    /// The endpoint list must be asked for; it is not pushed.
     pub polled: bool,
+    /// Time between two polls that the settings ask for.
     pub poll_interval: Duration,
 }
 
+/// A client's request for work on a volume.
 #[derive(Debug, Clone)]
 pub struct Request {
+    /// Its id.
     pub id: RequestId,
+    /// Its size.
     pub units: f64,
-    /// None: a new object, which any node can take.
-    pub cell: Option<CellId>,
-    pub stream_type: StreamTypeId,
+    /// The shard that holds its data; None: a new object, which any node can take.
+    pub shard: Option<ShardId>,
+    /// Its traffic class.
+    pub traffic_class: TrafficClassId,
+    /// The plan of its volume.
     pub plan: PlanId,
-    /// Through how many hosts the volume works.
+    /// Number of hosts through which the volume's requests come.
     pub hosts: usize,
+    /// Its piece of data, where that is known.
     pub key: Option<KeyId>,
-    pub expiry: Duration,
+    /// When its client gives up.
+    pub deadline: Duration,
+    /// Its volume.
     pub volume: VolumeId,
 }
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    Done,
-    Error,
-    Full,
-    TimeOut,
-    NoConnection,
-    Reset,
+    /// The node carried it out.
+    Completed,
+    /// The node answered with an error; it may have run.
+    Failed,
+    /// The node's queue was full; it never ran.
+    QueueFull,
+    /// No answer came in time; it may still run.
+    TimedOut,
+    /// No connection to the node came up; it never ran.
+    ConnectFailed,
+    /// The connection was reset; it may still run.
+    ConnectionReset,
+    /// This host called it off; it may still run.
     Cancelled,
-    Moot,
+    /// It never left this host.
+    NotSent,
 }
 
+/// What the endpoint list says of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeState {
+    /// It takes requests.
     Ready,
+    /// It finishes what it has and must get nothing new.
     Draining,
+    /// It is no more.
     Gone,
 }
 
+/// What an update of the endpoint list holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointUpdateKind {
+    /// The endpoints that changed.
     Delta,
+    /// All endpoints there are.
     Snapshot,
+    /// All endpoints as this host stored them before its restart.
     Cached,
+    /// Nothing: the call for the list failed.
     FetchFailed,
 }
 
+/// One node of the endpoint list.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
+    /// The node.
     pub node: NodeId,
+    /// Its zone.
     pub zone: ZoneId,
-    pub cell: CellId,
+    /// The shard that it holds.
+    pub shard: ShardId,
+    /// Its state.
     pub state: NodeState,
     /// When its process last started; None: long ago.
     pub started: Option<Duration>,
 }
 
+/// How an attempt ended, and what its answer told.
+#[derive(Debug, Clone)]
+pub struct AttemptEnd {
+    /// The request.
+    pub id: RequestId,
+    /// Which of its attempts, from 0.
+    pub attempt: u32,
+    /// The node it was sent to.
+    pub node: NodeId,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// Time since it was sent.
+    pub elapsed: Duration,
+    /// The request has had its final answer.
+    pub answered: bool,
+    /// The volume's usage everywhere in a finished meter period, in percent of the plan's base rate.
+    pub reported: Option<f64>,
+    /// Units that this shard served for the volume through other hosts since its last answer to this host.
+    pub others: f64,
+    /// Busy fraction of the node's cores, where it is reported.
+    pub busy: Option<f64>,
+}
+
+/// What the host tells the decision module.
 #[derive(Debug, Clone)]
 pub enum Event {
-    Taken(Request),
+    /// A client's request has come in.
+    RequestReceived(Request),
     /// The answer of a streamed request has begun; it now belongs to the client.
-    Begun {
+    ResponseStarted {
+        /// The request.
         id: RequestId,
+        /// Which of its attempts.
         attempt: u32,
     },
-    AttemptEnded {
-        id: RequestId,
-        attempt: u32,
-        node: NodeId,
-        end: AttemptOutcome,
-        elapsed: Duration,
-        /// The request has had its final answer.
-        over: bool,
-        /// The volume's service everywhere in a finished period, in percent of the plan's rate.
-        reported: Option<f64>,
-        /// Units that this cell did for the volume through other hosts since its last answer here.
-        others: f64,
-        /// Busy part of the node's cores, where it is reported.
-        busy: Option<f64>,
-    },
+    /// An attempt is over.
+    AttemptEnded(AttemptEnd),
     /// An attempt is on its way to its node from then on, and not from when it was decided: it waited for a
     /// connection, or waits for one that should be up by then.
-    Crosses {
+    AttemptSent {
+        /// The request.
         id: RequestId,
+        /// The node.
         node: NodeId,
+        /// From when it counts as sent.
         at: Duration,
     },
-    Withdrawn {
+    /// The client has left and wants no answer.
+    RequestCancelled {
+        /// The request.
         id: RequestId,
     },
-    /// A plan's figures from now on; that of a new plan has the next number.
-    Plan {
+    /// A plan's figures from now on; a new plan has the next number.
+    PlanChanged {
+        /// The plan.
         plan: PlanId,
+        /// Its figures.
         facts: Plan,
     },
-    /// A volume's terms from now on; None: it is served here no more. A volume of which nothing is told has
-    /// those of its first request.
-    Volume {
+    /// A volume's terms from now on. A volume of which nothing is told has those of its first request.
+    VolumeChanged {
+        /// The volume.
         volume: VolumeId,
-        terms: Option<Terms>,
+        /// Its terms; None: it is served here no more.
+        terms: Option<VolumeTerms>,
     },
+    /// The endpoint list has changed, or could not be had.
     EndpointUpdate {
+        /// What the update holds.
         kind: EndpointUpdateKind,
+        /// The endpoints of which it speaks.
         endpoints: Vec<Endpoint>,
     },
-    Timer {
+    /// A timer that the module set has run out.
+    TimerFired {
+        /// Which timer.
         tag: TimerTag,
     },
-    Probed {
+    /// A health check of a node is over.
+    HealthChecked {
+        /// The node.
         node: NodeId,
-        end: AttemptOutcome,
+        /// How it ended.
+        outcome: AttemptOutcome,
     },
-    Told {
+    /// Another host's module has sent a message.
+    PeerMessage {
+        /// Its sender.
         from: PeerId,
+        /// Its text.
         bytes: Vec<u8>,
     },
 }
 
-/// What keeps a held request from going, for whoever shows it.
+/// Why a queued request is not sent to a node now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Rejection {
-    /// Another attempt keeps its distance.
-    Spacing,
-    /// An earlier one with its key is not over, or the key rests.
-    Turn,
-    /// The budget of retries is spent.
-    Budget,
-    /// The volume's limit is.
-    Limit,
-    /// The node is cold, and this host's part of what it bears is spent.
-    Cold,
+pub enum BlockReason {
+    /// A retry waits out its delay.
+    RetryDelay,
+    /// An earlier request of its key is open, or the key rests.
+    KeyOrder,
+    /// The retry budget is spent.
+    RetryBudget,
+    /// The volume's limit is spent.
+    RateLimit,
+    /// The node is warming up, and this host's quota of what it bears is spent.
+    SlowStart,
     /// It may have run, and must not run there again.
     Idempotency,
-    /// The volume is beyond its share, and the node has nothing over.
+    /// The volume is beyond its fair share, and the node has nothing to spare.
     Share,
-    /// The node takes only what brings more.
-    Ease,
+    /// The node takes only requests of a higher value.
+    Throttled,
     /// As much is out at the node as may be.
-    Room,
-    /// No node has room for a new object.
-    Nowhere,
+    Concurrency,
+    /// No node has capacity for a new object.
+    NoCapacity,
 }
 
+/// What the decision module wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    Send { id: RequestId, node: NodeId, until: Duration },
-    Defer { id: RequestId, come_back: Option<Duration> },
-    Abandon { id: RequestId },
-    CancelAttempt { id: RequestId, attempt: u32 },
-    Timer { after: Duration, tag: TimerTag },
-    Probe { node: NodeId },
-    CloseIdle { node: NodeId },
-    Tell { to: Option<PeerId>, bytes: Vec<u8> },
-    Log { text: String },
-    WatchEndpoints { on: bool },
+    /// Send an attempt of a request.
+    SendAttempt {
+        /// The request.
+        id: RequestId,
+        /// Where to.
+        node: NodeId,
+        /// When the attempt is over at the latest.
+        deadline: Duration,
+    },
+    /// Answer the client that the request did not run and may be sent again.
+    Reject {
+        /// The request.
+        id: RequestId,
+        /// After this time at the earliest; None: the client is told no time.
+        retry_after: Option<Duration>,
+    },
+    /// Answer the client that the request failed and may have run.
+    Fail {
+        /// The request.
+        id: RequestId,
+    },
+    /// Call an attempt off.
+    CancelAttempt {
+        /// The request.
+        id: RequestId,
+        /// Which of its attempts.
+        attempt: u32,
+    },
+    /// Call [`crate::control::Control::step`] again, with this timer's event, after a time.
+    SetTimer {
+        /// From now.
+        after: Duration,
+        /// Which timer.
+        tag: TimerTag,
+    },
+    /// Check a node's health.
+    HealthCheck {
+        /// The node.
+        node: NodeId,
+    },
+    /// Close a node's idle connections.
+    CloseIdleConnections {
+        /// The node.
+        node: NodeId,
+    },
+    /// Send a message to another host's module.
+    SendToPeer {
+        /// To whom; None: to all hosts.
+        to: Option<PeerId>,
+        /// Its text.
+        bytes: Vec<u8>,
+    },
+    /// Write a line to the log.
+    Log {
+        /// Its text.
+        text: String,
+    },
+    /// Open, or close, the watch on the endpoint list.
+    WatchEndpoints {
+        /// Whether it is wanted.
+        on: bool,
+    },
+    /// Fetch the whole endpoint list.
     FetchEndpoints,
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Ran {
     pub zone: ZoneId,
-    pub cell: CellId,
+    pub shard: ShardId,
     pub sent: Duration,
 }
 
@@ -64,7 +64,7 @@
 impl Volume {
     /// `reservation`: of the plan, over all hosts. A part of a limit starts empty, since a host that starts,
     /// or comes in, cannot know what was drawn before. Harm: slow first bursts.
-    pub fn new(terms: Terms, reservation: f64) -> Self {
+    pub fn new(terms: VolumeTerms, reservation: f64) -> Self {
         let part = reservation / terms.hosts.max(1) as f64;
         let reserve = TokenBucket::new(part, part, reservation);
         let (plan, hosts) = (terms.plan, terms.hosts);
@@ -74,9 +74,9 @@
     }
 
     /// New terms. What a limit's bucket holds, or owes, stays, cut to its depth.
-    pub fn retune(&mut self, terms: Terms) {
+    pub fn retune(&mut self, terms: VolumeTerms) {
         (self.plan, self.hosts) = (terms.plan, terms.hosts);
-        self.limit = terms.limit.map(|(rate, depth)| {
+        self.limit = terms.limit.map(|LimitQuota { rate, burst: depth }| {
             let mut limit = self.limit.take().unwrap_or_else(|| TokenBucket::new(rate, depth, 0.0));
             limit.retune(rate, depth);
             limit
@@ -107,7 +107,7 @@
 pub struct Node {
     pub id: NodeId,
     pub zone: ZoneId,
-    pub cell: CellId,
+    pub shard: ShardId,
     pub state: NodeState,
     pub started: Option<Duration>,
     pub open_from: Duration,
@@ -138,11 +138,11 @@
 
 impl Node {
     /// A node not yet heard of: gone until its entry is read.
-    pub fn new(e: &Endpoint, window: Window, lags: Histogram, streams: usize, usage: Usage) -> Self {
+    pub fn new(e: &Endpoint, window: Window, lags: Histogram, traffic_classes: usize, usage: Usage) -> Self {
         Node {
             id: e.node,
             zone: e.zone,
-            cell: e.cell,
+            shard: e.shard,
             state: NodeState::Gone,
             started: e.started,
             open_from: Duration::ZERO,
@@ -158,7 +158,7 @@
             usage,
             reserved: 0.0,
             lags,
-            mix: vec![0.0; streams],
+            mix: vec![0.0; traffic_classes],
             brake: 1.0,
             ease: 0.0,
             late: 0.0,
@@ -174,7 +174,7 @@
         (self.out, f.out, f.used) = (self.out + x.units, f.out + x.units, f.used + x.units);
         self.tokens.take(x.units);
         self.cold.iter_mut().for_each(|b| b.take(x.units));
-        self.mix[x.stream_type.0] += x.units;
+        self.mix[x.traffic_class.0] += x.units;
         self.attempts.insert(x.id, now);
         self.sent = now;
     }
@@ -210,20 +210,20 @@
     }
 
     pub fn hold(&mut self, x: &PendingRequest) {
-        self.held.add(x.line(), x.slo_at, x.request.id);
+        self.held.add(x.line(), x.objective_at, x.request.id);
         self.flows.entry(x.request.volume).or_default().held += x.request.units;
     }
 
     /// Takes a request from those held here; whether it was among them.
     pub fn unhold(&mut self, x: &PendingRequest) -> bool {
-        let was = self.held.remove(x.line(), x.slo_at, x.request.id);
+        let was = self.held.remove(x.line(), x.objective_at, x.request.id);
         if was {
             self.flows.entry(x.request.volume).or_default().held -= x.request.units;
         }
         was
     }
 
-    /// Units by stream type, as parts of one.
+    /// Units by traffic class, as parts of one.
     pub fn mix_parts(&self) -> Vec<f64> {
         let all: f64 = self.mix.iter().sum::<f64>().max(1e-9);
         self.mix.iter().map(|m| m / all).collect()
@@ -243,7 +243,7 @@
 pub struct PendingRequest {
     pub request: Request,
     pub taken: Duration,
-    pub slo_at: Duration,
+    pub objective_at: Duration,
     pub want: Want,
     pub over: bool,
     pub begun: bool,
@@ -263,11 +263,11 @@
 }
 
 impl PendingRequest {
-    pub fn new(request: Request, taken: Duration, slo_at: Duration, lot: f64) -> Self {
+    pub fn new(request: Request, taken: Duration, objective_at: Duration, lot: f64) -> Self {
         PendingRequest {
             request,
             taken,
-            slo_at,
+            objective_at,
             want: Want::Held,
             over: false,
             begun: false,
@@ -284,7 +284,7 @@
     }
 
     pub fn line(&self) -> LineKey {
-        (self.request.volume, self.request.stream_type, self.drawn)
+        (self.request.volume, self.request.traffic_class, self.drawn)
     }
 }
 
@@ -295,7 +295,7 @@
     pub ticked: Duration,
     pub planned: Duration,
     pub nodes: BTreeMap<NodeId, Node>,
-    pub cells: BTreeMap<CellId, BTreeSet<NodeId>>,
+    pub shards: BTreeMap<ShardId, BTreeSet<NodeId>>,
     /// Nodes with something held or out, and perhaps some that lately had.
     pub busy: BTreeSet<NodeId>,
     /// Nodes at which something changed that could let a request go.
@@ -320,8 +320,8 @@
     pub floating: Vec<RequestId>,
     pub keys: KeyLines,
     pub taken: Recent,
-    /// The longest time from taking to expiry seen.
-    pub longest: BTreeMap<StreamTypeId, Duration>,
+    /// The longest time from taking to deadline seen.
+    pub longest: BTreeMap<TrafficClassId, Duration>,
     pub further: Recent,
     /// Requests of which something new is wanted.
     pub changed: Vec<RequestId>,
@@ -356,19 +356,19 @@
         }
     }
 
-    /// For a node that is new to us: so large a part of what this host did at the node of its cell that it
+    /// For a node that is new to us: so large a part of what this host did at the node of its shard that it
     /// used last. Lists mostly tell of nodes that are known, which keep their own.
     pub fn usage_before(&self, e: &Endpoint, part: f64) -> Usage {
         let new = !self.nodes.contains_key(&e.node);
         let there =
-            self.cells.get(&e.cell).filter(|_| new).into_iter().flatten().filter_map(|n| self.nodes.get(n));
+            self.shards.get(&e.shard).filter(|_| new).into_iter().flatten().filter_map(|n| self.nodes.get(n));
         there.max_by_key(|nd| nd.sent).map_or_else(Usage::default, |nd| nd.usage.part(part))
     }
 
-    /// The node that has the data of a cell: of several, the one that started last.
-    pub fn holder(&self, cell: CellId) -> Option<NodeId> {
-        let there = self.cells.get(&cell)?.iter().filter_map(|n| Some((n, self.nodes.get(n)?)));
-        let ready = there.filter(|(_, nd)| nd.cell == cell && nd.state == NodeState::Ready);
+    /// The node that has the data of a shard: of several, the one that started last.
+    pub fn holder(&self, shard: ShardId) -> Option<NodeId> {
+        let there = self.shards.get(&shard)?.iter().filter_map(|n| Some((n, self.nodes.get(n)?)));
+        let ready = there.filter(|(_, nd)| nd.shard == shard && nd.state == NodeState::Ready);
         ready.max_by_key(|(_, nd)| nd.started).map(|(n, _)| *n)
     }
 
@@ -392,7 +392,7 @@
     pub fn unhold(&mut self, id: RequestId) {
         let Some(x) = self.requests.get_mut(&id) else { return };
         match x.at.take().and_then(|n| self.nodes.get_mut(&n)) {
-            None if x.request.cell.is_none() => self.floating.retain(|f| *f != id),
+            None if x.request.shard.is_none() => self.floating.retain(|f| *f != id),
             nd => self.holding -= usize::from(nd.is_some_and(|nd| nd.unhold(x))),
         }
     }
--- a/src/window.rs
+++ b/src/window.rs
@@ -23,7 +23,7 @@
     /// A volume was held below its reservation.
     pub below_reservation: bool,
     pub outstanding: f64,
-    /// Smoothed units by stream type, as parts of one.
+    /// Smoothed units by traffic class, as parts of one.
     pub mix: Vec<f64>,
 }
 
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -15,12 +15,12 @@
 }
 
 fn terms(plan: usize, hosts: usize, limit: Option<(f64, f64)>) -> Event {
-    let terms = Some(Terms {
+    let terms = Some(VolumeTerms {
         plan: PlanId(plan),
         hosts,
-        limit,
+        limit: limit.map(|(rate, burst)| LimitQuota { rate, burst }),
     });
-    Event::Volume {
+    Event::VolumeChanged {
         volume: VolumeId(5),
         terms,
     }
@@ -37,7 +37,7 @@
         units += 2.0 * sent.len() as f64;
         events = sent
             .iter()
-            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(1), true))
+            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Completed, ms(1), true))
             .collect();
     }
     units
@@ -45,7 +45,12 @@
 
 /// Asks for two units every 10 ms; units sent from one moment to another.
 fn press(c: &mut Control, from: u64, to: u64) -> f64 {
-    let ask = |t: u64| vec![Event::Taken(request(((t / 10) % 250) as u8, ms(t + 400)))];
+    let ask = |t: u64| {
+        vec![Event::RequestReceived(request(
+            ((t / 10) % 250) as u8,
+            ms(t + 400),
+        ))]
+    };
     (from..to).step_by(10).map(|t| answered(c, t, ask(t))).sum()
 }
 
@@ -112,7 +117,7 @@
     );
     press(&mut c, 1010, 2010);
     let taken: Vec<Event> = (1..=60)
-        .map(|n| Event::Taken(request(n, ms(4000))))
+        .map(|n| Event::RequestReceived(request(n, ms(4000))))
         .collect();
     at(&mut c, 2015, vec![terms(0, 2, Some((4.0, 4.0)))]);
     let (mut sent, mut ended) = (0, 0);
@@ -125,7 +130,7 @@
         ended += d.iter().chain(&a).filter(|x| own(x)).count();
         let done = s
             .iter()
-            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(1), true))
+            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Completed, ms(1), true))
             .collect();
         at(&mut c, t + 1, done);
     }
@@ -146,7 +151,7 @@
     ];
     let mut c = host(vec![stream(Idempotency::Idempotent)], plans, None);
     let other = |n: u8, t| {
-        Event::Taken(Request {
+        Event::RequestReceived(Request {
             volume: VolumeId(6),
             ..request(n, ms(t))
         })
@@ -155,7 +160,12 @@
     let fill: Vec<Event> = (100..140).map(|n| other(n, 9000)).collect();
     at(&mut c, 1010, fill);
     let both: Vec<Event> = (1..=5)
-        .flat_map(|n| [other(n + 50, 9000), Event::Taken(request(n, ms(9000)))])
+        .flat_map(|n| {
+            [
+                other(n + 50, 9000),
+                Event::RequestReceived(request(n, ms(9000))),
+            ]
+        })
         .collect();
     at(&mut c, 1011, both);
     at(&mut c, 1012, vec![terms(1, 2, None)]);
@@ -163,7 +173,7 @@
     for t in (1020..1800).step_by(10) {
         let ends = done
             .drain(..done.len().min(2))
-            .map(|n| over(n, 1, AttemptOutcome::Done, ms(5), true))
+            .map(|n| over(n, 1, AttemptOutcome::Completed, ms(5), true))
             .collect();
         let (sent, ..) = at(&mut c, t, ends);
         order.extend(sent.iter().map(|(x, _)| x.0[0]));
@@ -187,7 +197,7 @@
         ..plan(5.0)
     };
     let told = vec![
-        Event::Plan {
+        Event::PlanChanged {
             plan: PlanId(1),
             facts: new,
         },
@@ -207,14 +217,14 @@
     for idempotency in kinds {
         let mut c = host(vec![stream(idempotency)], vec![plan(2.0)], None);
         let taken: Vec<Event> = (1..=40)
-            .map(|n| Event::Taken(request(n, ms(5000))))
+            .map(|n| Event::RequestReceived(request(n, ms(5000))))
             .collect();
         let (sent, ..) = at(&mut c, 1010, taken);
         assert!(!sent.is_empty() && sent.len() < 40);
         let (more, deferred, abandoned) = at(
             &mut c,
             1020,
-            vec![Event::Volume {
+            vec![Event::VolumeChanged {
                 volume: VolumeId(5),
                 terms: None,
             }],
@@ -227,7 +237,7 @@
         );
         let ends = sent
             .iter()
-            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(20), true))
+            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Completed, ms(20), true))
             .collect();
         at(&mut c, 1030, ends);
         for t in (1040..3000).step_by(20) {
@@ -235,7 +245,11 @@
         }
         // And by the same name it may come again.
         at(&mut c, 3000, vec![terms(0, 1, None)]);
-        let (sent, ..) = at(&mut c, 3010, vec![Event::Taken(request(99, ms(6000)))]);
+        let (sent, ..) = at(
+            &mut c,
+            3010,
+            vec![Event::RequestReceived(request(99, ms(6000)))],
+        );
         assert_eq!(sent.len(), 1);
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -35,17 +35,21 @@
 };
 
 fn started(seed: u64, now: u64, hosts: u64) -> Control {
-    let rule = ColdRule {
+    let rule = SlowStartPolicy {
         hosts: hosts as usize,
-        ..cold_rule()
+        ..slow_start_policy()
     };
     let listing = DiscoveryPolicy {
         polled: false,
         poll_interval: ms(10_000),
     };
-    let (streams, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
-    let mut c =
-        Control::new(seed, streams, plans, units(), caps()).under(rule, listing, None, ms(0));
+    let (traffic_classes, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
+    let mut c = Control::new(seed, traffic_classes, plans, units(), host_limits()).under(
+        rule,
+        listing,
+        None,
+        ms(0),
+    );
     let told = vec![entry(1, NodeState::Ready, Some(ms(START - 1)))];
     at(&mut c, now, vec![list(EndpointUpdateKind::Cached, told)]);
     c
@@ -87,17 +91,17 @@
             let mut events: Vec<Event> = Vec::new();
             for id in std::mem::take(&mut host.out) {
                 host.with.remove(&id);
-                events.push(Event::AttemptEnded {
+                events.push(Event::AttemptEnded(AttemptEnd {
                     id,
                     attempt: 0,
                     node: NodeId(1),
-                    end: AttemptOutcome::Done,
+                    outcome: AttemptOutcome::Completed,
                     elapsed: ms(TICK),
-                    over: true,
+                    answered: true,
                     reported: None,
                     others: 0.0,
                     busy: None,
-                });
+                }));
             }
             let eager = (n as u64).is_multiple_of(wave.eager);
             let most = if eager { 2 } else { 1 };
@@ -106,7 +110,7 @@
                 next += 1;
                 let units = wave.sizes[(next as usize * 7 + n) % wave.sizes.len()];
                 host.with.insert(name(next), units);
-                events.push(Event::Taken(Request {
+                events.push(Event::RequestReceived(Request {
                     id: name(next),
                     units,
                     hosts: wave.hosts as usize,
@@ -121,7 +125,7 @@
             host.out = out.into_iter().map(|(id, _)| id).collect();
         }
     }
-    let span = cold_rule().fall_within.as_millis() as u64;
+    let span = slow_start_policy().overload_window.as_millis() as u64;
     let window = |from: u64| {
         sent.iter()
             .filter(move |(at, _)| (from..from + span).contains(at))
@@ -134,7 +138,7 @@
 
 /// What chance may add to the settings' always-borne units, in mean requests.
 fn most() -> f64 {
-    let n = cold_rule().units / MEAN;
+    let n = slow_start_policy().units / MEAN;
     n + 2.0 * n.sqrt() + 2.0
 }
 
@@ -200,7 +204,7 @@
             1,
         );
         assert!(
-            sum >= cold_rule().units / MEAN / 2.0,
+            sum >= slow_start_policy().units / MEAN / 2.0,
             "{hosts} hosts: {sum}"
         );
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -9,13 +9,13 @@
     Duration::from_millis(n)
 }
 
-pub fn stream(idempotency: Idempotency) -> StreamType {
-    StreamType {
-        slo: ms(200),
+pub fn stream(idempotency: Idempotency) -> TrafficClass {
+    TrafficClass {
+        latency_objective: ms(200),
         idempotency,
         ordered: false,
-        benefit: 2.0,
-        late_part: 0.2,
+        priority_weight: 2.0,
+        late_fraction: 0.2,
     }
 }
 
@@ -29,33 +29,33 @@
     }
 }
 
-pub fn units() -> UnitFacts {
-    UnitFacts {
+pub fn units() -> UnitSettings {
+    UnitSettings {
         mean: 2.0,
         largest: 8.0,
         meter: ms(1000),
-        share_part: 0.35,
-        spare_part: 0.05,
+        share_fraction: 0.35,
+        spare_fraction: 0.05,
     }
 }
 
-pub fn caps() -> Caps {
-    Caps {
-        most_attempts: 3,
+pub fn host_limits() -> HostLimits {
+    HostLimits {
+        max_attempts: 3,
         probing: false,
-        come_back: Some(ms(2000)),
+        max_retry_after: Some(ms(2000)),
         answer_slack: ms(8),
     }
 }
 
-pub fn cold_rule() -> ColdRule {
-    let (warm_within, fall_within) = (ms(10_000), ms(2000));
-    ColdRule {
+pub fn slow_start_policy() -> SlowStartPolicy {
+    let (warm_up_time, overload_window) = (ms(10_000), ms(2000));
+    SlowStartPolicy {
         hosts: 4,
         units: 20.0,
-        starts_at: 0.2,
-        warm_within,
-        fall_within,
+        initial_fraction: 0.2,
+        warm_up_time,
+        overload_window,
         multiple: 3.0,
     }
 }
@@ -64,18 +64,18 @@
     RequestId([n; 36])
 }
 
-pub fn request(n: u8, expiry: Duration) -> Request {
-    let (stream_type, plan, volume) = (StreamTypeId(0), PlanId(0), VolumeId(5));
-    let cell = Some(CellId(1));
+pub fn request(n: u8, deadline: Duration) -> Request {
+    let (traffic_class, plan, volume) = (TrafficClassId(0), PlanId(0), VolumeId(5));
+    let shard = Some(ShardId(1));
     Request {
         id: id(n),
         units: 2.0,
-        cell,
-        stream_type,
+        shard,
+        traffic_class,
         plan,
         hosts: 2,
         key: None,
-        expiry,
+        deadline,
         volume,
     }
 }
@@ -84,7 +84,7 @@
     Endpoint {
         node: NodeId(node),
         zone: ZoneId(0),
-        cell: CellId(node),
+        shard: ShardId(node),
         state,
         started,
     }
@@ -96,27 +96,31 @@
 
 pub fn over(n: u8, node: u32, end: AttemptOutcome, took: Duration, over: bool) -> Event {
     let (id, node, reported) = (id(n), NodeId(node), None);
-    Event::AttemptEnded {
+    Event::AttemptEnded(AttemptEnd {
         id,
         attempt: 0,
         node,
-        end,
+        outcome: end,
         elapsed: took,
-        over,
+        answered: over,
         reported,
         others: 0.0,
         busy: None,
-    }
+    })
 }
 
 /// A host whose list names nodes 1 and 2, ready and long up.
-pub fn host(streams: Vec<StreamType>, plans: Vec<Plan>, attempts: Option<RetryBudget>) -> Control {
+pub fn host(
+    traffic_classes: Vec<TrafficClass>,
+    plans: Vec<Plan>,
+    attempts: Option<RetryBudget>,
+) -> Control {
     let listing = DiscoveryPolicy {
         polled: false,
         poll_interval: ms(10_000),
     };
-    let mut c = Control::new(7, streams, plans, units(), caps()).under(
-        cold_rule(),
+    let mut c = Control::new(7, traffic_classes, plans, units(), host_limits()).under(
+        slow_start_policy(),
         listing,
         attempts,
         ms(200),
@@ -138,9 +142,9 @@
     let (mut sent, mut deferred, mut abandoned) = (vec![], vec![], vec![]);
     for action in c.step(ms(now), events) {
         match action {
-            Action::Send { id, node, .. } => sent.push((id, node)),
-            Action::Defer { id, .. } => deferred.push(id),
-            Action::Abandon { id } => abandoned.push(id),
+            Action::SendAttempt { id, node, .. } => sent.push((id, node)),
+            Action::Reject { id, .. } => deferred.push(id),
+            Action::Fail { id } => abandoned.push(id),
             _ => {}
         }
     }
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -204,8 +204,8 @@
 fn new_objects_go_by_rank_and_past_a_node_that_has_enough() {
     let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(0.0)], None);
     let new = |n| {
-        Event::Taken(Request {
-            cell: None,
+        Event::RequestReceived(Request {
+            shard: None,
             ..request(n, ms(3000))
         })
     };
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,36 +7,43 @@
 use grebecleat::state::Ran;
 
 const KEYED: Idempotency = Idempotency::WithKey {
-    scope: DeduplicationScope::Cell,
+    scope: DeduplicationScope::Shard,
     window: ms(1500),
 };
 
 #[test]
-fn every_request_has_one_answer_before_its_expiry() {
+fn every_request_has_one_answer_before_its_deadline() {
     // A late client retry arrives with its time already up; a node is absent; an attempt times out.
     let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
     let absent = Request {
-        cell: Some(CellId(9)),
+        shard: Some(ShardId(9)),
         ..request(2, ms(3000))
     };
     let (sent, deferred, _) = at(
         &mut c,
         1010,
-        vec![Event::Taken(request(1, ms(1010))), Event::Taken(absent)],
+        vec![
+            Event::RequestReceived(request(1, ms(1010))),
+            Event::RequestReceived(absent),
+        ],
     );
     assert_eq!((sent.len(), deferred), (0, vec![id(1), id(2)]));
-    let (sent, ..) = at(&mut c, 1020, vec![Event::Taken(request(3, ms(1100)))]);
+    let (sent, ..) = at(
+        &mut c,
+        1020,
+        vec![Event::RequestReceived(request(3, ms(1100)))],
+    );
     assert_eq!(sent.len(), 1);
     let (sent, deferred, _) = at(
         &mut c,
         1100,
-        vec![over(3, 1, AttemptOutcome::TimeOut, ms(80), false)],
+        vec![over(3, 1, AttemptOutcome::TimedOut, ms(80), false)],
     );
     assert_eq!((sent.len(), deferred), (0, vec![id(3)]));
     // Late outcomes and leavings of what is over, and of ids unknown after a restart, change nothing.
     let late = vec![
-        over(3, 1, AttemptOutcome::Done, ms(90), true),
-        Event::Withdrawn { id: id(77) },
+        over(3, 1, AttemptOutcome::Completed, ms(90), true),
+        Event::RequestCancelled { id: id(77) },
     ];
     assert_eq!(at(&mut c, 1110, late), (vec![], vec![], vec![]));
 }
@@ -49,11 +56,11 @@
         &mut c,
         1001,
         (1..=60)
-            .map(|n| Event::Taken(request(n, ms(1600))))
+            .map(|n| Event::RequestReceived(request(n, ms(1600))))
             .collect(),
     );
     for t in (1010..1600).step_by(10) {
-        answers += at(&mut c, t, vec![Event::Timer { tag: TimerTag(1) }])
+        answers += at(&mut c, t, vec![Event::TimerFired { tag: TimerTag(1) }])
             .1
             .len();
     }
@@ -69,15 +76,19 @@
 {
     for (took, again) in [(100, true), (1600, false)] {
         let mut c = host(vec![stream(KEYED)], vec![plan(1.0)], None);
-        let (sent, ..) = at(&mut c, 1010, vec![Event::Taken(request(1, ms(9000)))]);
+        let (sent, ..) = at(
+            &mut c,
+            1010,
+            vec![Event::RequestReceived(request(1, ms(9000)))],
+        );
         assert_eq!(sent.len(), 1);
         let (mut sent, ..) = at(
             &mut c,
             1010 + took,
-            vec![over(1, 1, AttemptOutcome::Error, ms(20), false)],
+            vec![over(1, 1, AttemptOutcome::Failed, ms(20), false)],
         );
         for t in (1020 + took..1100 + took).step_by(10) {
-            sent.extend(at(&mut c, t, vec![Event::Timer { tag: TimerTag(1) }]).0);
+            sent.extend(at(&mut c, t, vec![Event::TimerFired { tag: TimerTag(1) }]).0);
         }
         assert_eq!(sent.len(), usize::from(again), "after {took} ms of 1500");
     }
@@ -87,7 +98,7 @@
 fn repeats_follow_the_kind_of_stream_type() {
     let ran = Some(Ran {
         zone: ZoneId(0),
-        cell: CellId(1),
+        shard: ShardId(1),
         sent: ms(1000),
     });
     let keyed = |scope| Idempotency::WithKey {
@@ -95,7 +106,7 @@
         window: ms(500),
     };
     use DeduplicationScope::*;
-    // kind, may have run, zone, cell, now, may go on, may defer
+    // kind, may have run, zone, shard, now, may go on, may defer
     let cases = [
         (Idempotency::Idempotent, ran, 1, 2, 9000, true, true),
         (Idempotency::NonIdempotent, None, 1, 2, 1001, true, true),
@@ -104,13 +115,13 @@
         (keyed(All), ran, 1, 2, 1500, false, true),
         (keyed(Zone), ran, 0, 2, 1499, true, false),
         (keyed(Zone), ran, 1, 1, 1499, false, false),
-        (keyed(Cell), ran, 1, 1, 1499, true, false),
-        (keyed(Cell), ran, 0, 2, 1499, false, false),
-        (keyed(Cell), None, 0, 2, 9000, true, true),
+        (keyed(Shard), ran, 1, 1, 1499, true, false),
+        (keyed(Shard), ran, 0, 2, 1499, false, false),
+        (keyed(Shard), None, 0, 2, 9000, true, true),
     ];
-    for (kind, ran, zone, cell, now, goes_on, defers) in cases {
+    for (kind, ran, zone, shard, now, goes_on, defers) in cases {
         assert_eq!(
-            may_resend(kind, ran, (ZoneId(zone), CellId(cell)), ms(now)),
+            may_resend(kind, ran, (ZoneId(zone), ShardId(shard)), ms(now)),
             goes_on,
             "{kind:?}"
         );
@@ -121,23 +132,27 @@
 #[test]
 fn an_unrepeatable_request_that_may_have_run_is_abandoned() {
     for (end, again) in [
-        (AttemptOutcome::Error, false),
-        (AttemptOutcome::Reset, false),
-        (AttemptOutcome::Full, true),
+        (AttemptOutcome::Failed, false),
+        (AttemptOutcome::ConnectionReset, false),
+        (AttemptOutcome::QueueFull, true),
     ] {
         let mut c = host(
             vec![stream(Idempotency::NonIdempotent)],
             vec![plan(1.0)],
             None,
         );
-        at(&mut c, 1001, vec![Event::Taken(request(1, ms(3000)))]);
+        at(
+            &mut c,
+            1001,
+            vec![Event::RequestReceived(request(1, ms(3000)))],
+        );
         let (_, deferred, abandoned) = at(&mut c, 1010, vec![over(1, 1, end, ms(9), false)]);
         assert_eq!(
             (deferred.len(), abandoned.len()),
             (0, usize::from(!again)),
             "{end:?}"
         );
-        let (sent, ..) = at(&mut c, 1100, vec![Event::Timer { tag: TimerTag(1) }]);
+        let (sent, ..) = at(&mut c, 1100, vec![Event::TimerFired { tag: TimerTag(1) }]);
         assert_eq!(sent.len(), usize::from(again), "{end:?}");
     }
 }
@@ -147,7 +162,11 @@
     for state in [NodeState::Draining, NodeState::Gone] {
         let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
         let told = list(EndpointUpdateKind::Delta, vec![entry(1, state, None)]);
-        let (sent, deferred, _) = at(&mut c, 1010, vec![told, Event::Taken(request(1, ms(3000)))]);
+        let (sent, deferred, _) = at(
+            &mut c,
+            1010,
+            vec![told, Event::RequestReceived(request(1, ms(3000)))],
+        );
         assert_eq!((sent.len(), deferred.len()), (0, 1));
     }
     // Absent from a whole list is gone; what was held there is answered at once.
@@ -156,7 +175,7 @@
         &mut c,
         1001,
         (1..=20)
-            .map(|n| Event::Taken(request(n, ms(9000))))
+            .map(|n| Event::RequestReceived(request(n, ms(9000))))
             .collect(),
     );
     let (sent, deferred, _) = at(
@@ -172,7 +191,7 @@
 
 #[test]
 fn a_cold_node_gets_no_more_than_the_hosts_part() {
-    let rule = cold_rule();
+    let rule = slow_start_policy();
     // own rate before, age, wanted for one span
     let cases = [
         (0.0, 0, 4.5),
@@ -194,17 +213,21 @@
     at(&mut c, 1001, vec![back]);
     for t in (1010..3010).step_by(10) {
         let n = ((t - 1010) / 10 % 200) as u8;
-        let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 400)))]);
+        let (sent, ..) = at(
+            &mut c,
+            t,
+            vec![Event::RequestReceived(request(n, ms(t + 400)))],
+        );
         let done = sent
             .iter()
-            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(1), true));
+            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Completed, ms(1), true));
         units += 2.0 * sent.len() as f64;
         at(&mut c, t + 1, done.collect());
     }
     assert!(units <= rule.units / 4.0 + 2.0, "{units}");
 }
 
-/// Units that go in two seconds to what is told of cell 1, which has just started; before it the volume had
+/// Units that go in two seconds to what is told of shard 1, which has just started; before it the volume had
 /// so many requests a second at node 1.
 fn units_to_a_new_node(before: u64, reservation: f64, node: u32) -> f64 {
     let mut c = host(
@@ -219,17 +242,21 @@
         .skip(usize::from(before == 0) * 99_999)
     {
         n = n.wrapping_add(1);
-        let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 400)))]);
+        let (sent, ..) = at(
+            &mut c,
+            t,
+            vec![Event::RequestReceived(request(n, ms(t + 400)))],
+        );
         at(
             &mut c,
             t + 5,
             sent.iter()
-                .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(5), true))
+                .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Completed, ms(5), true))
                 .collect(),
         );
     }
     let cold = |e: Endpoint| Endpoint {
-        cell: CellId(1),
+        shard: ShardId(1),
         ..e
     };
     let came = vec![
@@ -240,13 +267,17 @@
     let mut units = 0.0;
     for t in (11_420..13_420).step_by(20) {
         n = n.wrapping_add(1);
-        let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 400)))]);
+        let (sent, ..) = at(
+            &mut c,
+            t,
+            vec![Event::RequestReceived(request(n, ms(t + 400)))],
+        );
         units += 2.0 * sent.len() as f64;
         at(
             &mut c,
             t + 1,
             sent.iter()
-                .map(|(x, _)| over(x.0[0], node, AttemptOutcome::Done, ms(1), true))
+                .map(|(x, _)| over(x.0[0], node, AttemptOutcome::Completed, ms(1), true))
                 .collect(),
         );
     }
@@ -257,13 +288,13 @@
 /// they were warm: 5702 of some 14,000 deferrals on a day that replaced six in ten.
 #[test]
 fn a_node_in_anothers_place_gets_a_part_of_what_went_there_and_of_what_is_reserved() {
-    let always = cold_rule().units / 4.0 + 2.0;
+    let always = slow_start_policy().units / 4.0 + 2.0;
     assert!(units_to_a_new_node(0, 0.0, 3) <= always);
     let heir = units_to_a_new_node(20, 0.0, 3);
     let same = units_to_a_new_node(20, 0.0, 1);
     let reserved = units_to_a_new_node(0, 80.0, 3);
     // The rule's own bound at the end of that span, of which no host may have more than its own rate's part.
-    let most = cold_part(&cold_rule(), 40.0, ms(2420)) + 2.0;
+    let most = cold_part(&slow_start_policy(), 40.0, ms(2420)) + 2.0;
     assert!(
         heir > always && heir < same && same <= most,
         "{always} {heir} {same} {most}"
@@ -273,21 +304,21 @@
 
 #[test]
 fn requests_with_one_key_go_in_turn_and_the_key_rests() {
-    let ordered = StreamType {
+    let ordered = TrafficClass {
         ordered: true,
         ..stream(KEYED)
     };
     let keyed = |n| {
-        Event::Taken(Request {
+        Event::RequestReceived(Request {
             key: Some(KeyId(3)),
             ..request(n, ms(2500))
         })
     };
     // how the first attempt ends, when the second may go
     for (end, rests) in [
-        (AttemptOutcome::Done, 0),
-        (AttemptOutcome::TimeOut, 200),
-        (AttemptOutcome::Reset, 200),
+        (AttemptOutcome::Completed, 0),
+        (AttemptOutcome::TimedOut, 200),
+        (AttemptOutcome::ConnectionReset, 200),
     ] {
         let mut c = host(vec![ordered.clone()], vec![plan(1.0)], None);
         let (sent, ..) = at(&mut c, 1001, vec![keyed(1), keyed(2)]);
@@ -308,8 +339,8 @@
 #[test]
 fn further_attempts_stay_within_their_budget() {
     let attempts = Some(RetryBudget {
-        floor: 2.0,
-        share: 0.0,
+        min_retries: 2.0,
+        ratio: 0.0,
         window: ms(5000),
     });
     let mut c = host(
@@ -320,18 +351,23 @@
     let mut further = 0;
     for n in 0..8u8 {
         let t = 1010 + 600 * u64::from(n);
-        let first = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 500)))]).0;
+        let first = at(
+            &mut c,
+            t,
+            vec![Event::RequestReceived(request(n, ms(t + 500)))],
+        )
+        .0;
         assert_eq!(first.len(), 1);
         at(
             &mut c,
             t + 1,
-            vec![over(n, 1, AttemptOutcome::Error, ms(1), false)],
+            vec![over(n, 1, AttemptOutcome::Failed, ms(1), false)],
         );
         let second = at(&mut c, t + 100, vec![]).0;
         further += second.len();
         let done = second
             .iter()
-            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(1), true));
+            .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Completed, ms(1), true));
         at(&mut c, t + 101, done.collect());
     }
     assert_eq!(further, 2);
@@ -348,13 +384,17 @@
     let mut units = 0.0;
     for t in (1010..4010).step_by(10) {
         let n = ((t / 10) % 250) as u8;
-        let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 500)))]);
+        let (sent, ..) = at(
+            &mut c,
+            t,
+            vec![Event::RequestReceived(request(n, ms(t + 500)))],
+        );
         units += 2.0 * sent.len() as f64;
         at(
             &mut c,
             t + 1,
             sent.iter()
-                .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(1), true))
+                .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Completed, ms(1), true))
                 .collect(),
         );
     }
@@ -367,8 +407,8 @@
 #[test]
 fn a_dead_full_or_silent_node_gets_trials_only() {
     for end in [
-        Some(AttemptOutcome::Full),
-        Some(AttemptOutcome::NoConnection),
+        Some(AttemptOutcome::QueueFull),
+        Some(AttemptOutcome::ConnectFailed),
         None,
     ] {
         let mut c = host(
@@ -379,7 +419,11 @@
         let mut attempts = 0;
         for t in (1010..3010).step_by(10) {
             let n = ((t / 10) % 250) as u8;
-            let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 1500)))]);
+            let (sent, ..) = at(
+                &mut c,
+                t,
+                vec![Event::RequestReceived(request(n, ms(t + 1500)))],
+            );
             attempts += sent.len();
             if let Some(end) = end {
                 at(
@@ -392,9 +436,13 @@
             }
         }
         assert!(attempts <= 20, "{end:?}: {attempts} legs in 2 s");
-        let done = |x: u8| over(x, 1, AttemptOutcome::Done, ms(20), true);
+        let done = |x: u8| over(x, 1, AttemptOutcome::Completed, ms(20), true);
         at(&mut c, 3020, (0..=250).map(done).collect());
-        let (sent, ..) = at(&mut c, 3600, vec![Event::Taken(request(251, ms(5000)))]);
+        let (sent, ..) = at(
+            &mut c,
+            3600,
+            vec![Event::RequestReceived(request(251, ms(5000)))],
+        );
         assert!(
             end.is_some() || sent.iter().any(|(x, _)| *x == id(251)),
             "well again once it answers"
@@ -407,9 +455,9 @@
     // What the node answers, and whether requests still go where their data is: a port that is dead shuts
     // it.
     for (bad, goes) in [
-        (AttemptOutcome::Error, true),
-        (AttemptOutcome::Reset, true),
-        (AttemptOutcome::NoConnection, false),
+        (AttemptOutcome::Failed, true),
+        (AttemptOutcome::ConnectionReset, true),
+        (AttemptOutcome::ConnectFailed, false),
     ] {
         let mut c = host(
             vec![stream(Idempotency::Idempotent)],
@@ -417,8 +465,8 @@
             None,
         );
         let new = |n, t| {
-            Event::Taken(Request {
-                cell: None,
+            Event::RequestReceived(Request {
+                shard: None,
                 ..request(n, ms(t + 1500))
             })
         };
@@ -427,21 +475,21 @@
         for t in (1010..2010).step_by(10) {
             let n = ((t / 10) % 100) as u8;
             let data = Request {
-                cell: Some(CellId(first.0)),
+                shard: Some(ShardId(first.0)),
                 ..request(100 + n, ms(t + 60))
             };
             let end = |nd: NodeId| {
                 if nd == first {
                     bad
                 } else {
-                    AttemptOutcome::Done
+                    AttemptOutcome::Completed
                 }
             };
             let ends = out
                 .iter()
                 .map(|(x, nd): &(RequestId, NodeId)| over(x.0[0], nd.0, end(*nd), ms(1), false));
             let mut events: Vec<Event> = ends.collect();
-            events.extend([new(n, t), Event::Taken(data)]);
+            events.extend([new(n, t), Event::RequestReceived(data)]);
             (out, ..) = at(&mut c, t, events);
             new_there += out
                 .iter()
@@ -468,14 +516,18 @@
     let mut sends = vec![0; 8];
     for t in (1010..9010).step_by(10) {
         let n = ((t / 10) % 250) as u8;
-        let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 900)))]);
+        let (sent, ..) = at(
+            &mut c,
+            t,
+            vec![Event::RequestReceived(request(n, ms(t + 900)))],
+        );
         sends[(t as usize - 1010) / 1000] += sent.len();
         let late = if t < 1100 { 10 } else { 180 };
         at(
             &mut c,
             t + 1,
             sent.iter()
-                .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(late), true))
+                .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Completed, ms(late), true))
                 .collect(),
         );
     }
@@ -488,12 +540,14 @@
         polled: true,
         poll_interval: ms(10_000),
     };
-    let mut c = Control::new(3, vec![stream(KEYED)], vec![plan(1.0)], units(), caps()).under(
-        cold_rule(),
-        listing,
-        None,
-        ms(0),
-    );
+    let mut c = Control::new(
+        3,
+        vec![stream(KEYED)],
+        vec![plan(1.0)],
+        units(),
+        host_limits(),
+    )
+    .under(slow_start_policy(), listing, None, ms(0));
     let mut watched = Vec::new();
     for t in (1000..40_000).step_by(10) {
         let failed = watched.last() == Some(&(t - 10)) && watched.len() < 6;
@@ -539,19 +593,22 @@
         at(
             &mut c,
             1010,
-            vec![Event::Taken(none), list(EndpointUpdateKind::Delta, vec![])],
+            vec![
+                Event::RequestReceived(none),
+                list(EndpointUpdateKind::Delta, vec![]),
+            ],
         );
         at(
             &mut c,
             2000,
-            vec![over(1, 1, AttemptOutcome::Done, ms(0), true)],
+            vec![over(1, 1, AttemptOutcome::Completed, ms(0), true)],
         );
         // A rate that dies away over a long silence must not overflow the wait behind it.
         at(
             &mut c,
             2010,
             (2..60)
-                .map(|n| Event::Taken(request(n, ms(9_000_000))))
+                .map(|n| Event::RequestReceived(request(n, ms(9_000_000))))
                 .collect(),
         );
         for t in (3000..1_000_000).step_by(500) {
@@ -563,9 +620,9 @@
 #[test]
 fn many_hosts_first_sends_to_a_cold_node_stay_within_the_parts_of_all() {
     let (rule, hosts) = (
-        ColdRule {
+        SlowStartPolicy {
             hosts: 250,
-            ..cold_rule()
+            ..slow_start_policy()
         },
         250,
     );
@@ -575,8 +632,8 @@
             polled: false,
             poll_interval: ms(10_000),
         };
-        let (streams, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
-        let mut c = Control::new(seed, streams, plans, units(), caps()).under(
+        let (traffic_classes, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
+        let mut c = Control::new(seed, traffic_classes, plans, units(), host_limits()).under(
             rule.clone(),
             listing,
             None,
@@ -591,7 +648,7 @@
             )],
         );
         let taken = (0..20)
-            .map(|n| Event::Taken(request(n, ms(3000))))
+            .map(|n| Event::RequestReceived(request(n, ms(3000))))
             .collect();
         sends += at(&mut c, 1010, taken).0.len();
         sends += (1020..3000)
@@ -628,14 +685,18 @@
     for t in (2000..22_000).step_by(1000) {
         for plan in [0, 1] {
             let (n, at_ms) = ((t / 1000) as u8 * 2 + plan as u8, t + 500 * plan as u64);
-            let (out, ..) = at(&mut c, at_ms, vec![Event::Taken(of(n, plan, at_ms))]);
+            let (out, ..) = at(
+                &mut c,
+                at_ms,
+                vec![Event::RequestReceived(of(n, plan, at_ms))],
+            );
             sent[plan] += out.len();
             at(&mut c, at_ms + 10, vec![]);
             // A few quick answers first, or it could not know what late is.
             let took = if t < 6000 { 10 } else { 400 };
             let done = out
                 .iter()
-                .map(|(x, nd)| over(x.0[0], nd.0, AttemptOutcome::Done, ms(took), true));
+                .map(|(x, nd)| over(x.0[0], nd.0, AttemptOutcome::Completed, ms(took), true));
             at(&mut c, at_ms + took, done.collect());
         }
     }
@@ -648,20 +709,22 @@
 #[test]
 fn many_nodes_and_hosts_are_taken_calmly() {
     for (hosts, nodes) in [(0, 3000), (1, 3000), (100_000, 0)] {
-        let rule = ColdRule {
+        let rule = SlowStartPolicy {
             hosts,
-            ..cold_rule()
+            ..slow_start_policy()
         };
         let listing = DiscoveryPolicy {
             polled: true,
             poll_interval: ms(10_000),
         };
-        let mut c = Control::new(1, vec![stream(KEYED)], vec![plan(1.0)], units(), caps()).under(
-            rule,
-            listing,
-            None,
-            ms(0),
-        );
+        let mut c = Control::new(
+            1,
+            vec![stream(KEYED)],
+            vec![plan(1.0)],
+            units(),
+            host_limits(),
+        )
+        .under(rule, listing, None, ms(0));
         let endpoints = (1..=nodes)
             .map(|n| entry(n, NodeState::Ready, Some(ms(900))))
             .collect();
@@ -674,61 +737,63 @@
             hosts: 9999,
             ..request(1, ms(3000))
         };
-        let (sent, deferred, _) = at(&mut c, 1800, vec![Event::Taken(x)]);
+        let (sent, deferred, _) = at(&mut c, 1800, vec![Event::RequestReceived(x)]);
         assert!(sent.len() + deferred.len() <= 1 && (nodes > 0 || deferred.len() == 1));
     }
 }
 
 #[test]
-fn of_thousands_held_each_is_answered_before_its_expiry() {
+fn of_thousands_held_each_is_answered_before_its_deadline() {
     // Without lines in order, each answer cost a look at all that is held, and ranking took a host's whole
     // time.
     let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(5.0)], None);
-    let mut expiries = std::collections::BTreeMap::new();
+    let mut deadlines = std::collections::BTreeMap::new();
     let mut events = Vec::new();
     for n in 0..2000u32 {
         let mut x = request(0, ms(1500 + u64::from(n % 40) * 37));
         x.id.0[..4].copy_from_slice(&n.to_le_bytes());
-        expiries.insert(x.id, x.expiry);
-        events.push(Event::Taken(x));
+        deadlines.insert(x.id, x.deadline);
+        events.push(Event::RequestReceived(x));
     }
     let (mut sent, ..) = at(&mut c, 1001, events);
     for t in (1005..3100).step_by(5) {
         let out = std::mem::take(&mut sent);
-        let done = |id| Event::AttemptEnded {
-            id,
-            attempt: 0,
-            node: NodeId(1),
-            end: AttemptOutcome::Done,
-            elapsed: ms(5),
-            over: true,
-            reported: None,
-            others: 0.0,
-            busy: None,
+        let done = |id| {
+            Event::AttemptEnded(AttemptEnd {
+                id,
+                attempt: 0,
+                node: NodeId(1),
+                outcome: AttemptOutcome::Completed,
+                elapsed: ms(5),
+                answered: true,
+                reported: None,
+                others: 0.0,
+                busy: None,
+            })
         };
         let events = out.iter().map(|(id, _)| done(*id)).collect();
         out.iter()
-            .for_each(|(id, _)| assert!(expiries.remove(id).is_some_and(|e| e > ms(t - 5))));
+            .for_each(|(id, _)| assert!(deadlines.remove(id).is_some_and(|e| e > ms(t - 5))));
         let (more, deferred, _) = at(&mut c, t, events);
         for id in deferred {
             assert!(
-                expiries.remove(&id).is_some_and(|e| e >= ms(t)),
+                deadlines.remove(&id).is_some_and(|e| e >= ms(t)),
                 "answered at {t} after its time"
             );
         }
         sent = more;
     }
-    assert!(expiries.is_empty(), "{} have no answer", expiries.len());
+    assert!(deadlines.is_empty(), "{} have no answer", deadlines.len());
 }
 
 #[test]
 fn a_limit_counts_what_crosses_when_it_crosses() {
     // A store of four: two requests of two units. How the first ends decides what the third finds.
     let cases = [
-        (AttemptOutcome::Moot, 1),
-        (AttemptOutcome::NoConnection, 0),
-        (AttemptOutcome::Full, 0),
-        (AttemptOutcome::Done, 0),
+        (AttemptOutcome::NotSent, 1),
+        (AttemptOutcome::ConnectFailed, 0),
+        (AttemptOutcome::QueueFull, 0),
+        (AttemptOutcome::Completed, 0),
     ];
     for (end, third) in cases {
         let limited = Plan {
@@ -741,21 +806,21 @@
             hosts: 1,
             ..request(n, ms(900_000))
         };
-        at(&mut c, 1000, vec![Event::Taken(one_host(1))]);
+        at(&mut c, 1000, vec![Event::RequestReceived(one_host(1))]);
         // The part of a host that has just started fills from nothing.
         let (first, ..) = at(&mut c, 201_000, vec![]);
-        let (second, ..) = at(&mut c, 201_020, vec![Event::Taken(one_host(2))]);
+        let (second, ..) = at(&mut c, 201_020, vec![Event::RequestReceived(one_host(2))]);
         assert_eq!((first.len(), second.len()), (1, 1), "{end:?}");
         // The second is done as well, so that the limit alone decides and not the room at the node.
         let ends = [
-            over(1, 1, end, ms(1), end == AttemptOutcome::Done),
-            over(2, 1, AttemptOutcome::Done, ms(1), true),
+            over(1, 1, end, ms(1), end == AttemptOutcome::Completed),
+            over(2, 1, AttemptOutcome::Completed, ms(1), true),
         ];
         let (sent, ..) = at(
             &mut c,
             201_040,
             ends.into_iter()
-                .chain([Event::Taken(one_host(3))])
+                .chain([Event::RequestReceived(one_host(3))])
                 .collect(),
         );
         assert_eq!(sent.len(), third, "{end:?}");
@@ -764,14 +829,18 @@
             .step_by(10)
             .map(|t| at(&mut c, t, vec![]).0.len())
             .sum();
-        assert_eq!(again, usize::from(end == AttemptOutcome::Full), "{end:?}");
+        assert_eq!(
+            again,
+            usize::from(end == AttemptOutcome::QueueFull),
+            "{end:?}"
+        );
     }
 }
 
-/// Its client can still ask again; near its expiry it could not. What has gone once is another matter.
+/// Its client can still ask again; near its deadline it could not. What has gone once is another matter.
 #[test]
 fn what_never_went_is_answered_before_half_of_its_time_is_over() {
-    let ordered = StreamType {
+    let ordered = TrafficClass {
         ordered: true,
         ..stream(Idempotency::Idempotent)
     };
@@ -780,13 +849,17 @@
         key: Some(KeyId(9)),
         ..request(n, ms(3000))
     };
-    let (mut sent, _, _) = at(&mut c, 1000, vec![Event::Taken(of(1)), Event::Taken(of(2))]);
+    let (mut sent, _, _) = at(
+        &mut c,
+        1000,
+        vec![Event::RequestReceived(of(1)), Event::RequestReceived(of(2))],
+    );
     let mut given_up = Vec::new();
     for now in (1010..=2900).step_by(10) {
         let event = match now {
-            1500 => Event::Taken(request(3, ms(3500))),
-            1520 => over(3, 1, AttemptOutcome::Done, ms(20), true), // the node is not silent
-            _ => Event::Timer { tag: TimerTag(0) },
+            1500 => Event::RequestReceived(request(3, ms(3500))),
+            1520 => over(3, 1, AttemptOutcome::Completed, ms(20), true), // the node is not silent
+            _ => Event::TimerFired { tag: TimerTag(0) },
         };
         let (more, deferred, abandoned) = at(&mut c, now, vec![event]);
         sent.extend(more);
@@ -803,7 +876,7 @@
 /// Its connection came up late: no word on the node, which a host that hears little would cut for it. Once it
 /// is on its way it counts as any other.
 #[test]
-fn a_attempt_counts_as_late_from_when_it_is_on_its_way() {
+fn an_attempt_counts_as_late_from_when_it_is_on_its_way() {
     let ease = |c: &Control| c.nodes().find(|n| n.node == NodeId(1)).unwrap().ease;
     for (told, crosses_at, cut) in [(false, 0, true), (true, 5000, false), (true, 2310, true)] {
         let mut c = host(
@@ -813,18 +886,26 @@
         );
         for t in (1010..2010).step_by(100) {
             let n = (t / 100) as u8;
-            let (sent, ..) = at(&mut c, t, vec![Event::Taken(request(n, ms(t + 900)))]);
+            let (sent, ..) = at(
+                &mut c,
+                t,
+                vec![Event::RequestReceived(request(n, ms(t + 900)))],
+            );
             at(
                 &mut c,
                 t + 5,
                 sent.iter()
-                    .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Done, ms(5), true))
+                    .map(|(x, _)| over(x.0[0], 1, AttemptOutcome::Completed, ms(5), true))
                     .collect(),
             );
         }
-        let (sent, ..) = at(&mut c, 2300, vec![Event::Taken(request(200, ms(9000)))]);
+        let (sent, ..) = at(
+            &mut c,
+            2300,
+            vec![Event::RequestReceived(request(200, ms(9000)))],
+        );
         assert_eq!(sent.len(), 1);
-        let crosses = Event::Crosses {
+        let crosses = Event::AttemptSent {
             id: id(200),
             node: NodeId(1),
             at: ms(crosses_at),
@@ -838,7 +919,7 @@
         at(
             &mut c,
             2500,
-            vec![over(200, 1, AttemptOutcome::Moot, ms(200), false)],
+            vec![over(200, 1, AttemptOutcome::NotSent, ms(200), false)],
         );
     }
 }
