--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -119,7 +119,7 @@
         rules::order(settings, &run, &mut v);
         rules::budget(settings, &run, &mut v);
         plans::limits(settings, &run.hosts, &run.plans, &mut v);
-        run.plans.judge_settled(settings, &mut v);
+        run.plans.judge_stable(settings, &mut v);
         v.settled = run.plans.took();
         v.drained = drains::drains(&run, &drains::asked(&self.traces));
         v.commands = commands::judge(settings, &self.traces, &run.marks);
--- a/crates/audit/src/plans.rs
+++ b/crates/audit/src/plans.rs
@@ -40,9 +40,9 @@
 struct Told {
     at: Duration,
     host: String,
-    era: u64,
+    epoch: u64,
     version: u64,
-    settled: u64,
+    stable: u64,
 }
 
 /// What a host said of itself.
@@ -50,8 +50,8 @@
 struct Said {
     at: Duration,
     host: String,
-    era: u64,
-    sure: u64,
+    epoch: u64,
+    acknowledged: u64,
 }
 
 /// A value that changes with the version.
@@ -60,8 +60,8 @@
 /// What the entries of one history say.
 #[derive(Debug, Default)]
 struct History {
-    plans: BTreeMap<String, ByVersion<pb::PlanFigures>>,
-    volumes: BTreeMap<u64, ByVersion<pb::VolumeFacts>>,
+    plans: BTreeMap<String, ByVersion<pb::PlanConfig>>,
+    volumes: BTreeMap<u64, ByVersion<pb::VolumeConfig>>,
     /// Volumes that a version touches, itself or by their plan's figures.
     versions: BTreeMap<u64, (BTreeSet<u64>, BTreeSet<String>)>,
 }
@@ -105,7 +105,7 @@
 pub struct Plans {
     histories: HashMap<u64, History>,
     /// In the order in which they were first told.
-    eras: Vec<u64>,
+    epochs: Vec<u64>,
     told: Vec<Told>,
     said: Vec<Said>,
     gone: Vec<(Duration, String)>,
@@ -120,24 +120,24 @@
             let host = || peers.get(&r.conn).cloned().unwrap_or_default();
             match (r.kind(), r.frame.as_ref().and_then(|f| f.body.as_ref())) {
                 (Kind::Opened, _) => drop(peers.insert(r.conn, r.peer.clone())),
-                (Kind::In, Some(Body::Follow(f))) => {
+                (Kind::In, Some(Body::FollowRequest(f))) => {
                     self.said.push(Said {
                         at,
                         host: host(),
-                        era: f.era,
-                        sure: f.sure,
+                        epoch: f.epoch,
+                        acknowledged: f.acknowledged,
                     });
                 }
-                (Kind::In, Some(Body::Confirm(c))) => {
+                (Kind::In, Some(Body::Acknowledge(c))) => {
                     self.said.push(Said {
                         at,
                         host: host(),
-                        era: c.era,
-                        sure: c.has,
+                        epoch: c.epoch,
+                        acknowledged: c.applied,
                     });
                 }
                 (Kind::In, Some(Body::HostGone(g))) => self.gone.push((at, g.host.clone())),
-                (Kind::Out, Some(Body::Feed(f))) => self.feed(at, host(), f),
+                (Kind::Out, Some(Body::ConfigUpdate(f))) => self.feed(at, host(), f),
                 _ => {}
             }
         }
@@ -145,22 +145,22 @@
         self.said.sort_by_key(|s| s.at);
     }
 
-    fn feed(&mut self, at: Duration, host: String, f: &pb::Feed) {
-        if !self.eras.contains(&f.era) {
-            self.eras.push(f.era);
+    fn feed(&mut self, at: Duration, host: String, f: &pb::ConfigUpdate) {
+        if !self.epochs.contains(&f.epoch) {
+            self.epochs.push(f.epoch);
         }
-        let history = self.histories.entry(f.era).or_default();
+        let history = self.histories.entry(f.epoch).or_default();
         f.state.iter().for_each(|c| history.add(f.at, c));
-        for e in &f.entries {
+        for e in &f.revisions {
             e.changes.iter().for_each(|c| history.add(e.version, c));
         }
-        let (era, version, settled) = (f.era, f.version, f.settled);
+        let (epoch, version, stable) = (f.epoch, f.version, f.stable);
         self.told.push(Told {
             at,
             host,
-            era,
+            epoch,
             version,
-            settled,
+            stable,
         });
     }
 
@@ -171,31 +171,33 @@
     /// What a version says of something: by the history it belongs to, or the one that it came out of.
     fn look<T: Clone>(
         &self,
-        era: u64,
+        epoch: u64,
         version: u64,
         of: impl Fn(&History) -> Option<&ByVersion<T>>,
     ) -> Option<T> {
-        let upto = self.eras.iter().position(|e| *e == era).unwrap_or(0);
-        let eras = self.eras[..(upto + 1).min(self.eras.len())].iter().rev();
+        let upto = self.epochs.iter().position(|e| *e == epoch).unwrap_or(0);
+        let epochs = self.epochs[..(upto + 1).min(self.epochs.len())]
+            .iter()
+            .rev();
         let mut found =
-            eras.filter_map(|e| of(self.histories.get(e)?)?.range(..=version).next_back());
+            epochs.filter_map(|e| of(self.histories.get(e)?)?.range(..=version).next_back());
         found.next().and_then(|f| f.1.clone())
     }
 
     /// Plan's figures and hosts of a volume at a version.
     fn terms(
         &self,
-        era: u64,
+        epoch: u64,
         version: u64,
         volume: u64,
-    ) -> Option<(pb::PlanFigures, pb::VolumeFacts)> {
-        let v = self.look(era, version, |h| h.volumes.get(&volume))?;
-        let p = self.look(era, version, |h| h.plans.get(&v.plan))?;
+    ) -> Option<(pb::PlanConfig, pb::VolumeConfig)> {
+        let v = self.look(epoch, version, |h| h.volumes.get(&volume))?;
+        let p = self.look(epoch, version, |h| h.plans.get(&v.plan))?;
         Some((p, v))
     }
 
-    fn limit(&self, era: u64, version: u64, volume: u64) -> Option<Limit> {
-        let (p, _) = self.terms(era, version, volume)?;
+    fn limit(&self, epoch: u64, version: u64, volume: u64) -> Option<Limit> {
+        let (p, _) = self.terms(epoch, version, volume)?;
         (p.limit > 0.0).then_some(Limit {
             rate: p.limit,
             burst: p.burst,
@@ -206,18 +208,18 @@
     /// When which limit of a volume came into force; None: none.
     pub fn in_force(&self, volume: u64, at_first: Option<Limit>) -> Vec<(Duration, Option<Limit>)> {
         let mut all = vec![(Duration::ZERO, at_first)];
-        let (mut era, mut settled, mut old) = (None, 0, None);
+        let (mut epoch, mut stable, mut old) = (None, 0, None);
         for t in &self.told {
-            if era.is_some_and(|e| e != t.era) && t.era != era.unwrap_or(t.era) {
+            if epoch.is_some_and(|e| e != t.epoch) && t.epoch != epoch.unwrap_or(t.epoch) {
                 old = Some(all.last().expect("the first").1);
-                settled = 0;
+                stable = 0;
             }
-            if t.settled < settled {
+            if t.stable < stable {
                 continue;
             }
-            (era, settled) = (Some(t.era), t.settled);
-            let now = self.limit(t.era, t.settled, volume);
-            old.take_if(|_| t.settled == t.version);
+            (epoch, stable) = (Some(t.epoch), t.stable);
+            let now = self.limit(t.epoch, t.stable, volume);
+            old.take_if(|_| t.stable == t.version);
             let now = old.map_or(now, |old| Limit::larger(old, now));
             if all.last().is_none_or(|l| l.1 != now) {
                 all.push((t.at, now));
@@ -235,18 +237,18 @@
     }
 
     /// Whether each version was settled when it was first called so.
-    pub fn judge_settled(&self, s: &Settings, v: &mut Verdict) {
+    pub fn judge_stable(&self, s: &Settings, v: &mut Verdict) {
         let Some(spec) = &s.state else { return };
-        let first = self.eras.first().copied().unwrap_or_default();
-        let mut settled = 0;
+        let first = self.epochs.first().copied().unwrap_or_default();
+        let mut stable = 0;
         // After a restore the histories of hosts cannot be told from the outside: see above.
-        for t in self.told.iter().take_while(|t| t.era == first) {
-            if t.settled <= settled {
+        for t in self.told.iter().take_while(|t| t.epoch == first) {
+            if t.stable <= stable {
                 continue;
             }
             for host in s.hosts.iter().map(|h| h.name.as_str()) {
                 if let Some(why) = self.unsettled(spec.lease + spec.margin, t, host) {
-                    let what = format!("entry {} was called settled while {host} {why}", t.settled);
+                    let what = format!("entry {} was called settled while {host} {why}", t.stable);
                     v.breaches.push(Breach {
                         rule: 7,
                         what,
@@ -254,7 +256,7 @@
                     });
                 }
             }
-            settled = t.settled;
+            stable = t.stable;
         }
     }
 
@@ -266,14 +268,14 @@
             .filter(|o| o.host == host && o.at < t.at);
         let last = before.last()?;
         let mut own = self.said.iter().filter(|s| s.host == host && s.at <= t.at);
-        let sure = own
+        let acknowledged = own
             .clone()
-            .filter(|s| s.era == t.era)
-            .map(|s| s.sure)
+            .filter(|s| s.epoch == t.epoch)
+            .map(|s| s.acknowledged)
             .max()
             .unwrap_or(0);
         let heard = own.next_back().map(|s| s.at).unwrap_or_default();
-        if sure >= t.settled
+        if acknowledged >= t.stable
             || self
                 .gone
                 .iter()
@@ -283,12 +285,12 @@
         }
         if t.at < last.at + lease {
             return Some(format!(
-                "had said no more than {sure} and may still follow that"
+                "had said no more than {acknowledged} and may still follow that"
             ));
         }
         // Cut off, it holds to its part of the reservation as it knows it.
         let floor = |version: u64, volume: u64| -> f64 {
-            match self.terms(t.era, version, volume) {
+            match self.terms(t.epoch, version, volume) {
                 Some((p, v)) if p.limit > 0.0 && v.hosts.iter().any(|h| h == host) => {
                     p.reservation / v.hosts.len() as f64
                 }
@@ -297,7 +299,7 @@
             }
         };
         let part = |volume: u64| -> f64 {
-            match self.terms(t.era, t.settled, volume) {
+            match self.terms(t.epoch, t.stable, volume) {
                 Some((p, v)) if p.limit > 0.0 && v.hosts.iter().any(|h| h == host) => {
                     p.limit / v.hosts.len() as f64
                 }
@@ -306,13 +308,13 @@
             }
         };
         let knows = |volume: &u64| {
-            let (_, v) = self.terms(t.era, sure, *volume)?;
+            let (_, v) = self.terms(t.epoch, acknowledged, *volume)?;
             v.hosts.iter().any(|h| h == host).then_some(())
         };
         let more = self.volumes().into_iter().filter(|v| knows(v).is_some());
-        let mut more = more.filter(|v| floor(sure, *v) > part(*v) + 1e-9);
+        let mut more = more.filter(|v| floor(acknowledged, *v) > part(*v) + 1e-9);
         more.next().map(|v| {
-            format!("is cut off with entry {sure}, and more of volume {v} than is its part")
+            format!("is cut off with entry {acknowledged}, and more of volume {v} than is its part")
         })
     }
 
@@ -323,11 +325,12 @@
         let mut newest = 0;
         for t in &self.told {
             if t.version > newest {
-                (newest + 1..=t.version).for_each(|v| _ = first.entry((t.era, v)).or_insert(t.at));
+                (newest + 1..=t.version)
+                    .for_each(|v| _ = first.entry((t.epoch, v)).or_insert(t.at));
                 newest = t.version;
             }
             let open: Vec<(u64, u64)> = first
-                .range((t.era, 0)..=(t.era, t.settled))
+                .range((t.epoch, 0)..=(t.epoch, t.stable))
                 .map(|f| *f.0)
                 .collect();
             for key in open {
--- a/crates/audit/src/run.rs
+++ b/crates/audit/src/run.rs
@@ -256,7 +256,7 @@
                     }
                 }
                 (Kind::In, Some(Body::EndpointUpdate(l))) => h.listed(at, l),
-                (Kind::In, Some(Body::Feed(f))) => h.fed(at, f),
+                (Kind::In, Some(Body::ConfigUpdate(f))) => h.fed(at, f),
                 _ => {}
             }
         }
@@ -331,9 +331,9 @@
     }
 
     /// What the state service told of drains; an answer counts when its last part is there.
-    fn fed(&mut self, at: Duration, f: &pb::Feed) {
+    fn fed(&mut self, at: Duration, f: &pb::ConfigUpdate) {
         let (whole, state, entries) = &mut self.part;
-        *whole |= f.whole;
+        *whole |= f.snapshot;
         state.extend(
             f.state
                 .iter()
@@ -342,7 +342,7 @@
                 .map(|d| d.0),
         );
         entries.extend(
-            f.entries
+            f.revisions
                 .iter()
                 .flat_map(|e| e.changes.iter().filter_map(drain_of)),
         );
--- a/crates/audit/tests/plans.rs
+++ b/crates/audit/tests/plans.rs
@@ -72,8 +72,8 @@
     }
 
     /// A host is answered: what that version changed, and what is settled.
-    fn told(&mut self, at: u64, host: usize, version: u64, settled: u64, changes: &[pb::Change]) {
-        let entry = pb::ChangeEntry {
+    fn told(&mut self, at: u64, host: usize, version: u64, stable: u64, changes: &[pb::Change]) {
+        let entry = pb::Revision {
             version,
             from: version - 1,
             changes: changes.to_vec(),
@@ -84,23 +84,23 @@
         } else {
             vec![entry]
         };
-        let feed = pb::Feed {
-            era: 1,
+        let feed = pb::ConfigUpdate {
+            epoch: 1,
             version,
-            settled,
-            entries,
+            stable,
+            revisions: entries,
             ..Default::default()
         };
         self.state.push(Self::record(
             at,
             Kind::Out,
             host as u64 + 1,
-            Body::Feed(feed),
+            Body::ConfigUpdate(feed),
         ));
     }
 
-    fn sure(&mut self, at: u64, host: usize, has: u64) {
-        let confirm = Body::Confirm(pb::Confirm { era: 1, has });
+    fn acknowledged(&mut self, at: u64, host: usize, applied: u64) {
+        let confirm = Body::Acknowledge(pb::Acknowledge { epoch: 1, applied });
         self.state
             .push(Self::record(at, Kind::In, host as u64 + 1, confirm));
     }
@@ -108,7 +108,7 @@
     fn gone(&mut self, at: u64, host: &str) {
         let gone = Body::HostGone(pb::HostGone {
             call: 1,
-            who: "clerk".into(),
+            author: "clerk".into(),
             host: host.into(),
         });
         self.state.push(Self::record(at, Kind::In, 9, gone));
@@ -155,7 +155,7 @@
 }
 
 fn plan(limit: f64, reservation: f64, burst: f64) -> pb::Change {
-    let figures = pb::PlanFigures {
+    let figures = pb::PlanConfig {
         rate: 10.0,
         reservation,
         limit,
@@ -172,7 +172,7 @@
 
 fn volume(hosts: &[&str]) -> pb::Change {
     let hosts = hosts.iter().map(|h| h.to_string()).collect();
-    let facts = pb::VolumeFacts {
+    let facts = pb::VolumeConfig {
         plan: "p".into(),
         hosts,
         ..Default::default()
@@ -197,7 +197,7 @@
 }
 
 #[test]
-fn the_limit_of_the_settled_version_is_in_force() {
+fn the_limit_of_the_stable_version_is_in_force() {
     // Raised from 10 to 30 at 2 s, settled at 4 s; what each sends from 2 s and from 5 s on.
     for (each, later, fine) in [(5.0, 15.0, true), (15.0, 15.0, false), (5.0, 20.0, false)] {
         let mut t = Traces::new();
@@ -205,7 +205,7 @@
         let raised = [plan(30.0, 4.0, 20.0)];
         (0..2).for_each(|h| t.told(2000, h, 2, 1, &raised));
         stream(&mut t, 2100, 4000, each);
-        (0..2).for_each(|h| t.sure(3900, h, 2));
+        (0..2).for_each(|h| t.acknowledged(3900, h, 2));
         (0..2).for_each(|h| t.told(4000, h, 2, 2, &[]));
         stream(&mut t, 5000, 12_000, later);
         let v = t.judge();
@@ -221,7 +221,7 @@
         let mut t = Traces::new();
         let lowered = [plan(4.0, 4.0, 8.0)];
         (0..2).for_each(|h| t.told(2000, h, 2, 1, &lowered));
-        (0..2).for_each(|h| t.sure(3900, h, 2));
+        (0..2).for_each(|h| t.acknowledged(3900, h, 2));
         (0..2).for_each(|h| t.told(4000, h, 2, 2, &[]));
         stream(&mut t, 100, until, 5.0);
         stream(&mut t, until, 14_000, later);
@@ -238,7 +238,7 @@
     (0..2).for_each(|h| t.told(2000, h, 2, 2, &[plan(0.0, 4.0, 20.0)]));
     stream(&mut t, 2100, 6000, 50.0);
     (0..2).for_each(|h| t.told(6000, h, 3, 2, &[plan(10.0, 4.0, 20.0)]));
-    (0..2).for_each(|h| t.sure(6400, h, 3));
+    (0..2).for_each(|h| t.acknowledged(6400, h, 3));
     (0..2).for_each(|h| t.told(6500, h, 3, 3, &[]));
     stream(&mut t, 6600, 9000, 5.0);
     let mut bad = Traces {
@@ -262,19 +262,19 @@
 }
 
 #[test]
-fn what_is_called_settled_must_be() {
+fn what_is_called_stable_must_be() {
     type Doctor = fn(&mut Traces);
     let cases: [(&str, Doctor, Option<&str>); 7] = [
-        ("both said that they have it", |t| (0..2).for_each(|h| t.sure(2500, h, 2)), None),
+        ("both said that they have it", |t| (0..2).for_each(|h| t.acknowledged(2500, h, 2)), None),
         (
             "one did not",
-            |t| t.sure(2500, 0, 2),
+            |t| t.acknowledged(2500, 0, 2),
             Some("entry 2 was called settled while i had said no more than 1 and may still follow that"),
         ),
         (
             "one was cut off, and its lease is over",
             |t| {
-                t.sure(2500, 0, 2);
+                t.acknowledged(2500, 0, 2);
                 t.state.retain(|r| r.at_ns < 1_500_000_000 || r.conn == 1);
                 t.told(4600, 0, 2, 2, &[]);
             },
@@ -283,12 +283,12 @@
         (
             "the same, and it holds more than its part",
             |t| {
-                t.sure(2500, 0, 2);
+                t.acknowledged(2500, 0, 2);
                 t.state.retain(|r| r.at_ns < 1_500_000_000 || r.conn == 1);
                 t.told(4600, 0, 2, 2, &[]);
                 for r in &mut t.state {
-                    if let Some(Body::Feed(f)) = r.frame.as_mut().and_then(|f| f.body.as_mut()) {
-                        f.entries.iter_mut().filter(|e| e.version == 2).for_each(|e| e.changes = vec![plan(3.0, 1.0, 20.0)]);
+                    if let Some(Body::ConfigUpdate(f)) = r.frame.as_mut().and_then(|f| f.body.as_mut()) {
+                        f.revisions.iter_mut().filter(|e| e.version == 2).for_each(|e| e.changes = vec![plan(3.0, 1.0, 20.0)]);
                     }
                 }
             },
@@ -297,7 +297,7 @@
         (
             "the same, and an operator answers for it",
             |t| {
-                t.sure(2500, 0, 2);
+                t.acknowledged(2500, 0, 2);
                 t.state.retain(|r| r.at_ns < 1_500_000_000 || r.conn == 1);
                 t.gone(3000, "i");
                 t.told(4600, 0, 2, 2, &[]);
@@ -307,9 +307,9 @@
         (
             "it asked again after that",
             |t| {
-                t.sure(2500, 0, 2);
+                t.acknowledged(2500, 0, 2);
                 t.gone(2600, "i");
-                t.sure(2700, 1, 1);
+                t.acknowledged(2700, 1, 1);
             },
             Some("entry 2 was called settled while i had said no more than 1 and may still follow that"),
         ),
@@ -317,7 +317,7 @@
     ];
     for (what, doctor, expected) in cases {
         let mut t = Traces::new();
-        (0..2).for_each(|h| t.sure(1000, h, 1));
+        (0..2).for_each(|h| t.acknowledged(1000, h, 1));
         (0..2).for_each(|h| t.told(2000, h, 2, 1, &[plan(8.0, 4.0, 20.0)]));
         t.told(3000, 0, 2, 2, &[]);
         doctor(&mut t);
--- a/crates/bench/src/planner.rs
+++ b/crates/bench/src/planner.rs
@@ -2,7 +2,7 @@
 //! takes to say whether one change may land, with every node and zone out in turn.
 
 use grebecleat_plans::admission::Admission;
-use grebecleat_plans::changes::{self, Asks, Catalog, Change, Facts};
+use grebecleat_plans::changes::{self, Catalog, Change, ChangeContext, Deployment};
 use grebecleat_plans::planner::{check, Node, Site, Volume};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -74,7 +74,7 @@
         id: v.id,
         to: Some(volume(v)),
     });
-    let facts = Facts {
+    let facts = Deployment {
         hosts: ["h".into()].into(),
         max_dispatch_delay: Duration::ZERO,
     };
@@ -114,9 +114,9 @@
                 }];
                 let begun = Instant::now();
                 let entry = l
-                    .propose(l.version(), Asks::default(), change.clone())
+                    .propose(l.version(), ChangeContext::default(), change.clone())
                     .expect("in order");
-                l.take(entry).expect("the next");
+                l.apply(entry).expect("the next");
                 let o = a.land(&l, &change, steps);
                 took[usize::from(steps > 0)].push(begun.elapsed().as_secs_f64() * 1e3);
                 losses = losses.max(o.unseen);
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -2,9 +2,9 @@
 //! second land through sockets, each on the disk before it is told.
 
 use grebecleat_plans::changes::{Change, Plan, Version, Volume};
-use grebecleat_state::client::{Came, Client};
-use grebecleat_state::codec::change_pb;
-use grebecleat_state::store::{Keep, Store};
+use grebecleat_state::client::{Client, Reply};
+use grebecleat_state::codec::change_to_proto;
+use grebecleat_state::store::{Record, Store};
 use grebecleat_wire::pb::{self, frame::Body};
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
@@ -65,10 +65,10 @@
             id,
             to: Some(volume(id)),
         }));
-        let whole = Keep::Whole {
+        let whole = Record::Whole {
             version: Version(1),
             state: all.collect(),
-            trail: Vec::new(),
+            audit_log: Vec::new(),
         };
         store.keep(&[whole]).map_err(told)?;
         let mut rng = Pcg64Mcg::seed_from_u64(5);
@@ -81,7 +81,7 @@
                 );
             }
             left -= 1;
-            batch.push(Keep::Place {
+            batch.push(Record::Place {
                 volume: n / 10_000,
                 extent: n % 10_000,
                 shard,
@@ -188,19 +188,19 @@
                             .into(),
                         blocks: 1 << 21,
                     };
-                    let changes = vec![change_pb(&Change::Volume { id, to: Some(to) })];
-                    let (who, why) = ("bench".to_string(), String::new());
+                    let changes = vec![change_to_proto(&Change::Volume { id, to: Some(to) })];
+                    let (author, reason) = ("bench".to_string(), String::new());
                     let begun = Instant::now();
                     let came = c.change(|call| {
                         Body::Propose(pb::Propose {
                             call,
-                            who,
-                            why,
+                            author,
+                            reason,
                             changes,
                             ..Default::default()
                         })
                     })?;
-                    if let Came::Landed(_) = came {
+                    if let Reply::Committed(_) = came {
                         landed += 1;
                         let _ = took.record(begun.elapsed().as_micros() as u64);
                     }
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -218,8 +218,8 @@
     #[arg(long, env = "GREBECLEAT_STATE", default_value = "127.0.0.1:7070")]
     pub at: SocketAddr,
     /// Who you are, for the trail; the name you are logged in with if left out.
-    #[arg(long)]
-    pub who: Option<String>,
+    #[arg(long = "who")]
+    pub author: Option<String>,
     /// How it is printed.
     #[arg(long, value_enum, default_value = "text")]
     pub output: Format,
@@ -230,8 +230,8 @@
 #[derive(ClapArgs)]
 pub struct Change {
     /// Why, for the trail.
-    #[arg(long, default_value = "")]
-    pub why: String,
+    #[arg(long = "why", default_value = "")]
+    pub reason: String,
     /// Whatever speaks against it; what does is kept in the trail.
     #[arg(long)]
     pub force: bool,
@@ -255,8 +255,8 @@
         #[arg(long)]
         at_time: Option<String>,
         /// Refused if anything it touches has changed since that entry; since it was read, if left out.
-        #[arg(long)]
-        looked_at: Option<u64>,
+        #[arg(long = "looked-at")]
+        base_version: Option<u64>,
         #[command(flatten)]
         change: Change,
     },
@@ -271,7 +271,8 @@
     },
     /// Puts back what an entry changed, as a new entry.
     Undo {
-        entry: u64,
+        #[arg(value_name = "ENTRY")]
+        revision: u64,
         #[command(flatten)]
         change: Change,
     },
@@ -295,8 +296,8 @@
     Gone { host: String },
     /// After a restore: what is here counts, whatever hosts have followed.
     Prevail {
-        #[arg(long, default_value = "")]
-        why: String,
+        #[arg(long = "why", default_value = "")]
+        reason: String,
     },
     /// Writes everything that the service has into a file.
     Snapshot { file: PathBuf },
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -13,7 +13,7 @@
 /// Figures come every second.
 const PATIENCE: Duration = Duration::from_secs(5);
 
-fn figures(at: SocketAddr) -> io::Result<pb::Figures> {
+fn figures(at: SocketAddr) -> io::Result<pb::HostMetrics> {
     let mut stream = TcpStream::connect_timeout(&at, PATIENCE)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     let me = hello(pb::Role::Operator, "fleet", u64::from(std::process::id()));
@@ -34,7 +34,7 @@
             .map_err(|e| io::Error::other(e.to_string()))?
             .and_then(|f| f.body)
         {
-            Some(Body::Figures(f)) => return Ok(*f),
+            Some(Body::HostMetrics(f)) => return Ok(*f),
             Some(Body::Hello(them)) if them.role() != pb::Role::Host => {
                 return Err(io::Error::other("no host answers there"));
             }
@@ -48,10 +48,10 @@
 }
 
 /// The figures as they are printed.
-pub fn table(f: &pb::Figures) -> String {
+pub fn table(f: &pb::HostMetrics) -> String {
     let mut out = String::new();
     let mut line = |text: String| writeln!(out, "{text}").expect("a String takes all");
-    if f.life == 0 {
+    if f.incarnation == 0 {
         line(format!(
             "{}: tells its peers nothing; every decision is its own",
             f.host
@@ -61,7 +61,7 @@
     line(format!(
         "{}: life {}, {} peers heard",
         f.host,
-        f.life,
+        f.incarnation,
         f.peers.len()
     ));
     for p in &f.peers {
@@ -71,24 +71,24 @@
             p.host, p.tried, p.badly
         ));
     }
-    for b in &f.beliefs {
-        let belief = match b.belief() {
-            pb::BeliefKind::AsToday => "by its own evidence",
-            pb::BeliefKind::OwnWay => "its own way there is bad",
-            pb::BeliefKind::Avoid => "avoided",
-            pb::BeliefKind::Look => "avoided by others, looked at by this host",
+    for b in &f.endpoint_policies {
+        let belief = match b.policy() {
+            pb::EndpointPolicy::AsToday => "by its own evidence",
+            pb::EndpointPolicy::OwnWay => "its own way there is bad",
+            pb::EndpointPolicy::Avoid => "avoided",
+            pb::EndpointPolicy::Look => "avoided by others, looked at by this host",
         };
         line(format!(
             "  node {:<6} {:<9} {} hosts for it ({:.1}), {} against ({:.1}): {belief}",
             b.node, b.verdict, b.well, b.well_weight, b.badly, b.badly_weight
         ));
     }
-    for p in &f.parts {
+    for p in &f.quotas {
         line(format!(
             "  volume {:<6} {:>5.1}% of its limit: settled {:.1}% of {} hosts', lent {:.1}%, borrowed {:.1}%",
             p.volume,
             100.0 * p.part,
-            100.0 * p.settled,
+            100.0 * p.base,
             p.sharers,
             100.0 * p.lent,
             100.0 * p.borrowed
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -11,13 +11,14 @@
 use clap::{CommandFactory, Parser};
 use grebecleat_audit::{Case, Verdict, RULES};
 use grebecleat_host::run as host;
-use grebecleat_plans::follow::{Follow, Start};
+use grebecleat_plans::follower::{Follower, InitialState};
 use grebecleat_platform::{account::Sums, config::Config, run as platform};
 use grebecleat_settings::{Kind, Settings};
 use grebecleat_standin::clients::Tally;
 use grebecleat_standin::{net, rehearse, serve};
 use grebecleat_state::{
-    declared::facts, extents::Extents, keeper::Keeper, serve as service, store::Kept,
+    declared_config::deployment, extents::Extents, group_commit::GroupCommit, serve as service,
+    store::StoredState,
 };
 use grebecleat_target::portal::{self, Places};
 use grebecleat_wire::{clock, pb, trace::Tracer};
@@ -134,8 +135,8 @@
 /// Entries that a store keeps of its trail.
 const MAX_TRAIL: u64 = 100_000;
 
-fn open_store(path: &Path) -> Result<(Keeper, Kept, BTreeMap<u64, Extents>), Stop> {
-    Keeper::open(path, MAX_TRAIL)
+fn open_store(path: &Path) -> Result<(GroupCommit, StoredState, BTreeMap<u64, Extents>), Stop> {
+    GroupCommit::open(path, MAX_TRAIL)
         .map_err(|e| Stop::Failed(format!("store {}: {e}", path.display())))
 }
 
@@ -224,12 +225,13 @@
         }
         (Some(spec), Some((keeper, kept, _))) => {
             let address = here(a.state, spec.address, "--state")?;
-            let catalog = Follow::catalog_of(facts(&settings));
-            let catalog = catalog.restored(kept.version, kept.state.clone(), kept.trail.clone());
-            let start = Start {
+            let catalog = Follower::catalog_of(deployment(&settings));
+            let catalog =
+                catalog.restored(kept.version, kept.state.clone(), kept.audit_log.clone());
+            let start = InitialState {
                 catalog,
-                settled: kept.settled,
-                era: kept.era,
+                stable: kept.stable,
+                epoch: kept.epoch,
             };
             Some(host::StateLink {
                 address,
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -2,15 +2,15 @@
 
 use crate::args::{Change as How, Format, PlansArgs, PlansCommand};
 use crate::{bad, load, Stop};
-use grebecleat_plans::changes::{Catalog, Change, Facts, Subject, Version};
-use grebecleat_state::client::{Came, Client, Shown};
-use grebecleat_state::codec::change_pb;
-use grebecleat_state::declared::facts;
-use grebecleat_state::serve::{differences, new_era};
-use grebecleat_state::store::{Kept, Store};
-use grebecleat_state::words::{change, date, differences as told, moment, said};
+use grebecleat_plans::changes::{Catalog, Change, Deployment, Subject, Version};
+use grebecleat_state::change_syntax::{change, date, differences as told, moment, said};
+use grebecleat_state::client::{Client, QueryResult, Reply};
+use grebecleat_state::codec::change_to_proto;
+use grebecleat_state::declared_config::deployment;
+use grebecleat_state::serve::{differences, new_epoch};
+use grebecleat_state::store::{Store, StoredState};
 use grebecleat_state::{snapshot, store::StoreFault};
-use grebecleat_wire::pb::{self, frame::Body, look::What};
+use grebecleat_wire::pb::{self, frame::Body, query::What};
 use serde_json::{json, Value};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -43,8 +43,8 @@
 
 pub fn run(a: PlansArgs) -> Result<(), Stop> {
     let out = Out(a.output);
-    let who = a
-        .who
+    let author = a
+        .author
         .or_else(|| std::env::var("USER").ok())
         .unwrap_or_else(|| "operator".into());
     match &a.command {
@@ -52,7 +52,7 @@
         PlansCommand::Restore { snapshot, store } => return restore(snapshot, store, &out),
         _ => {}
     }
-    let hello = format!("{who} by plans");
+    let hello = format!("{author} by plans");
     let c = Client::connect(a.at, &hello);
     let c = &mut c.map_err(|e| {
         failed(format!(
@@ -66,35 +66,41 @@
         PlansCommand::Set {
             changes,
             at_time,
-            looked_at,
+            base_version,
             change,
-        } => set(c, &out, &who, changes, at_time, looked_at, change),
+        } => set(c, &out, &author, changes, at_time, base_version, change),
         PlansCommand::History { most, of } => history(c, most, of, &out),
         PlansCommand::Undo {
-            entry,
-            change: How { why, force, .. },
+            revision,
+            change: How { reason, force, .. },
         } => {
             let undo = |call| {
                 Body::Undo(pb::Undo {
                     call,
-                    who,
-                    why,
-                    entry,
+                    author,
+                    reason,
+                    revision,
                     force,
                 })
             };
             landed(c.change(undo).map_err(failed)?, &out)
         }
         PlansCommand::Diff { file } => diff(c, &file, &out),
-        PlansCommand::Declare { file, change } => declare(c, &file, who, change, &out),
+        PlansCommand::Declare { file, change } => declare(c, &file, author, change, &out),
         PlansCommand::Status => status(c, &out),
         PlansCommand::Moves { empty } => moves(c, empty, &out),
         PlansCommand::Gone { host } => {
-            let gone = |call| Body::HostGone(pb::HostGone { call, who, host });
+            let gone = |call| Body::HostGone(pb::HostGone { call, author, host });
             landed(c.change(gone).map_err(failed)?, &out)
         }
-        PlansCommand::Prevail { why } => {
-            let prevail = |call| Body::Prevail(pb::Prevail { call, who, why });
+        PlansCommand::Prevail { reason } => {
+            let prevail = |call| {
+                Body::ForceEpoch(pb::ForceEpoch {
+                    call,
+                    author,
+                    reason,
+                })
+            };
             landed(c.change(prevail).map_err(failed)?, &out)
         }
         PlansCommand::Snapshot { file } => write_snapshot(c, &file, &out),
@@ -103,22 +109,22 @@
 }
 
 /// The service's state as a catalog, in which changes can be worded.
-fn catalog(s: &Shown) -> Catalog {
+fn catalog(s: &QueryResult) -> Catalog {
     let hosts = s
         .last
         .hosts
         .iter()
         .map(|h| h.name.as_str().into())
         .collect();
-    let facts = Facts {
+    let deployment = Deployment {
         hosts,
         max_dispatch_delay: Duration::ZERO,
     };
-    Catalog::new(facts, 1).restored(s.version, s.state.iter().cloned(), Vec::new())
+    Catalog::new(deployment, 1).restored(s.version, s.state.iter().cloned(), Vec::new())
 }
 
-fn state(c: &mut Client) -> Result<Shown, Stop> {
-    c.look(What::State, 0, 0, Vec::new()).map_err(failed)
+fn state(c: &mut Client) -> Result<QueryResult, Stop> {
+    c.query(What::State, 0, 0, Vec::new()).map_err(failed)
 }
 
 fn as_json(c: &Change) -> Value {
@@ -132,21 +138,21 @@
         Change::Node { id, to } => json!({ "node": id, "to": to.as_ref().map(|n| json!({
             "name": &*n.name, "zone": &*n.zone, "cell": n.shard, "capacity": n.capacity })) }),
         Change::Drain { node, to } => json!({ "drain": node, "to": to.as_ref().map(|d| json!({
-            "stage": d.stage.name(), "within_s": d.within.as_secs_f64(), "who": &*d.who,
+            "stage": d.stage.name(), "within_s": d.within.as_secs_f64(), "who": &*d.author,
             "asked": date(d.asked), "since": date(d.since) })) }),
         Change::Target { name, to } => json!({ "target": &**name, "to": to.as_ref().map(|t| json!({
             "volumes": &**t })) }),
-        Change::Timed { id, to } => json!({ "timed": id, "to": to.as_ref().map(|t| json!({
-            "at": date(t.at), "who": t.who, "why": t.why, "force": t.force,
+        Change::Scheduled { id, to } => json!({ "timed": id, "to": to.as_ref().map(|t| json!({
+            "at": date(t.at), "who": t.author, "why": t.reason, "force": t.force,
             "changes": t.changes.iter().map(as_json).collect::<Vec<_>>() })) }),
     }
 }
 
 fn list(c: &mut Client, out: &Out) -> Result<(), Stop> {
     let s = state(c)?;
-    let head = format!("entry {}, settled {}", s.version.0, s.settled.0);
+    let head = format!("entry {}, settled {}", s.version.0, s.stable.0);
     let all: Vec<Value> = s.state.iter().map(as_json).collect();
-    let value = json!({ "version": s.version.0, "settled": s.settled.0, "state": all });
+    let value = json!({ "version": s.version.0, "settled": s.stable.0, "state": all });
     out.put([head].into_iter().chain(s.state.iter().map(said)), value);
     Ok(())
 }
@@ -162,7 +168,7 @@
         "node" => Subject::Node(number(name)? as u32),
         "drain" => Subject::Drain(number(name)? as u32),
         "target" => Subject::Target(name.into()),
-        "timed" => Subject::Timed(number(name)?),
+        "timed" => Subject::Scheduled(number(name)?),
         _ => {
             return Err(bad(format!(
                 "expected plan, volume, node, drain, target or timed, found {kind}"
@@ -177,9 +183,9 @@
     let Some(change) = s.state.iter().find(|c| c.subject() == subject) else {
         return Err(failed(format!("{subject} does not exist")));
     };
-    let trail = c.look(What::Trail, 0, 0, Vec::new()).map_err(failed)?;
-    let touches = trail
-        .entries
+    let audit_log = c.query(What::AuditLog, 0, 0, Vec::new()).map_err(failed)?;
+    let touches = audit_log
+        .revisions
         .iter()
         .rev()
         .find(|e| e.changes.iter().any(|c| c.subject() == subject));
@@ -187,7 +193,7 @@
         format!(
             "last changed by entry {} of {}, {}",
             e.version.0,
-            e.who,
+            e.author,
             date(e.at)
         )
     });
@@ -202,16 +208,16 @@
     Ok(())
 }
 
-fn landed(came: Came, out: &Out) -> Result<(), Stop> {
+fn landed(came: Reply, out: &Out) -> Result<(), Stop> {
     match came {
-        Came::Refused(why) => {
-            out.put([], json!({ "refused": why }));
-            eprintln!("refused: {why}");
+        Reply::Rejected(reason) => {
+            out.put([], json!({ "refused": reason }));
+            eprintln!("refused: {reason}");
             Err(Stop::Broken)
         }
-        Came::Would(w) => {
+        Reply::Would(w) => {
             let mut lines: Vec<String> = w
-                .against
+                .objections
                 .iter()
                 .map(|r| format!("against it: {r}"))
                 .collect();
@@ -219,11 +225,11 @@
             lines.extend(lines.is_empty().then(|| "nothing speaks against it".into()));
             out.put(
                 lines,
-                json!({ "against": w.against, "warnings": w.warnings, "blind": w.blind }),
+                json!({ "against": w.objections, "warnings": w.warnings, "blind": w.blind }),
             );
             Ok(())
         }
-        Came::Landed(l) => {
+        Reply::Committed(l) => {
             let mut lines = vec![format!("entry {}", l.version)];
             lines.extend(l.warnings.iter().map(|w| format!("warning: {w}")));
             if l.unseen > 0 {
@@ -254,10 +260,10 @@
 fn set(
     c: &mut Client,
     out: &Out,
-    who: &str,
+    author: &str,
     lines: Vec<String>,
     at: Option<String>,
-    looked_at: Option<u64>,
+    base_version: Option<u64>,
     how: How,
 ) -> Result<(), Stop> {
     let s = state(c)?;
@@ -280,13 +286,13 @@
     let propose = |call| {
         Body::Propose(pb::Propose {
             call,
-            who: who.into(),
-            why: how.why,
-            looked_at: Some(looked_at.unwrap_or(s.version.0)),
-            changes: changes.iter().map(change_pb).collect(),
+            author: author.into(),
+            reason: how.reason,
+            base_version: Some(base_version.unwrap_or(s.version.0)),
+            changes: changes.iter().map(change_to_proto).collect(),
             at_us: at.map(grebecleat_wire::clock::micros),
             force: how.force,
-            only_look: how.dry_run,
+            dry_run: how.dry_run,
         })
     };
     landed(c.change(propose).map_err(failed)?, out)
@@ -303,43 +309,49 @@
         }
     };
     let shown = c
-        .look(
-            What::Trail,
+        .query(
+            What::AuditLog,
             0,
             if of.is_some() { 0 } else { most },
             Vec::new(),
         )
         .map_err(failed)?;
-    let wanted = |e: &&grebecleat_plans::changes::Entry| {
+    let wanted = |e: &&grebecleat_plans::changes::Revision| {
         of.as_ref()
             .is_none_or(|s| e.changes.iter().any(|c| c.subject() == *s))
     };
-    let entries: Vec<_> = shown.entries.iter().filter(wanted).collect();
-    let entries = &entries[entries.len().saturating_sub(most as usize)..];
-    let lines = entries.iter().flat_map(|e| {
-        let settled = if e.version <= shown.settled {
+    let revisions: Vec<_> = shown.revisions.iter().filter(wanted).collect();
+    let revisions = &revisions[revisions.len().saturating_sub(most as usize)..];
+    let lines = revisions.iter().flat_map(|e| {
+        let stable = if e.version <= shown.stable {
             ""
         } else {
             ", not settled"
         };
-        let why = if e.why.is_empty() {
+        let reason = if e.reason.is_empty() {
             String::new()
         } else {
-            format!(": {}", e.why)
+            format!(": {}", e.reason)
         };
-        let against = (!e.against.is_empty()).then(|| format!("    forced against: {}", e.against));
+        let objections =
+            (!e.objections.is_empty()).then(|| format!("    forced against: {}", e.objections));
         let what = told(&e.changes, &e.before)
             .into_iter()
             .map(|l| format!("    {l}"));
-        let head = format!("{} {} {}{settled}{why}", e.version.0, date(e.at), e.who);
+        let head = format!(
+            "{} {} {}{stable}{reason}",
+            e.version.0,
+            date(e.at),
+            e.author
+        );
         [head]
             .into_iter()
-            .chain(against)
+            .chain(objections)
             .chain(what)
             .collect::<Vec<_>>()
     });
-    let value = entries.iter().map(|e| {
-        json!({ "version": e.version.0, "at": date(e.at), "who": e.who, "why": e.why, "against": e.against,
+    let value = revisions.iter().map(|e| {
+        json!({ "version": e.version.0, "at": date(e.at), "who": e.author, "why": e.reason, "against": e.objections,
             "changes": e.changes.iter().map(as_json).collect::<Vec<_>>(),
             "before": e.before.iter().map(as_json).collect::<Vec<_>>() })
     });
@@ -352,9 +364,9 @@
     let s = state(c)?;
     let here = catalog(&s);
     let apart = differences(&settings, s.state);
-    let declared = Catalog::new(facts(&settings), 1).restored(
+    let declared = Catalog::new(deployment(&settings), 1).restored(
         Version(1),
-        grebecleat_state::declared::declared(&settings),
+        grebecleat_state::declared_config::declared(&settings),
         Vec::new(),
     );
     let lines: Vec<String> = apart
@@ -379,19 +391,20 @@
     Ok(())
 }
 
-fn declare(c: &mut Client, file: &Path, who: String, how: How, out: &Out) -> Result<(), Stop> {
+fn declare(c: &mut Client, file: &Path, author: String, how: How, out: &Out) -> Result<(), Stop> {
     let settings = load(file)?;
     let s = state(c)?;
     // Drains and timed changes are nobody's declaration, and stay.
-    let keep = |c: &Change| matches!(c, Change::Drain { .. } | Change::Timed { .. });
+    let keep = |c: &Change| matches!(c, Change::Drain { .. } | Change::Scheduled { .. });
     let here = catalog(&s);
-    let declared = grebecleat_state::declared::declared(&settings);
-    let declared = Catalog::new(facts(&settings), 1).restored(Version(1), declared, Vec::new());
+    let declared = grebecleat_state::declared_config::declared(&settings);
+    let declared =
+        Catalog::new(deployment(&settings), 1).restored(Version(1), declared, Vec::new());
     let changes: Vec<pb::Change> = here
-        .towards(&declared)
+        .changes_towards(&declared)
         .iter()
         .filter(|c| !keep(c))
-        .map(change_pb)
+        .map(change_to_proto)
         .collect();
     if changes.is_empty() {
         out.put(
@@ -400,33 +413,33 @@
         );
         return Ok(());
     }
-    let why = if how.why.is_empty() {
+    let reason = if how.reason.is_empty() {
         format!("as declared in {}", file.display())
     } else {
-        how.why
+        how.reason
     };
-    let looked_at = Some(s.version.0);
+    let base_version = Some(s.version.0);
     let propose = |call| {
-        let (at_us, force, only_look) = (None, how.force, how.dry_run);
+        let (at_us, force, dry_run) = (None, how.force, how.dry_run);
         Body::Propose(pb::Propose {
             call,
-            who,
-            why,
-            looked_at,
+            author,
+            reason,
+            base_version,
             changes,
             at_us,
             force,
-            only_look,
+            dry_run,
         })
     };
     landed(c.change(propose).map_err(failed)?, out)
 }
 
 fn status(c: &mut Client, out: &Out) -> Result<(), Stop> {
-    let s = c.look(What::Status, 0, 0, Vec::new()).map_err(failed)?;
-    let mut lines = vec![format!("entry {}, settled {}", s.version.0, s.settled.0)];
-    if !s.last.trouble.is_empty() {
-        lines.push(format!("trouble with the store: {}", s.last.trouble));
+    let s = c.query(What::Status, 0, 0, Vec::new()).map_err(failed)?;
+    let mut lines = vec![format!("entry {}, settled {}", s.version.0, s.stable.0)];
+    if !s.last.store_fault.is_empty() {
+        lines.push(format!("trouble with the store: {}", s.last.store_fault));
     }
     if let Some(behind) = s.last.behind {
         lines.push(format!(
@@ -445,8 +458,8 @@
         }
     });
     for h in &s.last.hosts {
-        let has = if h.heard_of {
-            format!("has entry {}", h.has)
+        let applied = if h.heard_of {
+            format!("has entry {}", h.applied)
         } else {
             "was never heard of".into()
         };
@@ -455,22 +468,22 @@
             (true, false) => "; what is not settled waits for it, or its lease",
             _ => "",
         };
-        lines.push(format!("host {} {has}{waits}", h.name));
+        lines.push(format!("host {} {applied}{waits}", h.name));
     }
     let hosts: Vec<Value> = s.last.hosts.iter().map(|h| {
-        json!({ "name": h.name, "heard_of": h.heard_of, "has": h.has, "holds_up": h.holds_up, "silent": h.silent })
+        json!({ "name": h.name, "heard_of": h.heard_of, "has": h.applied, "holds_up": h.holds_up, "silent": h.silent })
     }).collect();
-    let value = json!({ "version": s.version.0, "settled": s.settled.0, "era": s.era.0, "hosts": hosts,
+    let value = json!({ "version": s.version.0, "settled": s.stable.0, "era": s.epoch.0, "hosts": hosts,
         "short": s.last.short, "out_of_reach": s.last.out_of_reach, "behind": s.last.behind,
-        "trouble": s.last.trouble });
+        "trouble": s.last.store_fault });
     out.put(lines, value);
     Ok(())
 }
 
 fn moves(c: &mut Client, empty: Vec<u32>, out: &Out) -> Result<(), Stop> {
-    let s = c.look(What::Proposal, 0, 0, empty).map_err(failed)?;
+    let s = c.query(What::Proposal, 0, 0, empty).map_err(failed)?;
     let bytes: u64 = s.last.moves.iter().map(|m| m.bytes).sum();
-    let each = |m: &pb::MoveExtents| {
+    let each = |m: &pb::ExtentMove| {
         format!(
             "volume {}: {} extents from node {} to node {}",
             m.volume, m.extents, m.from, m.to
@@ -499,28 +512,28 @@
 
 fn write_snapshot(c: &mut Client, file: &Path, out: &Out) -> Result<(), Stop> {
     let s = state(c)?;
-    let trail = c.look(What::Trail, 0, 0, Vec::new()).map_err(failed)?;
-    let status = c.look(What::Status, 0, 0, Vec::new()).map_err(failed)?;
+    let audit_log = c.query(What::AuditLog, 0, 0, Vec::new()).map_err(failed)?;
+    let status = c.query(What::Status, 0, 0, Vec::new()).map_err(failed)?;
     let hosts = status
         .last
         .hosts
         .iter()
         .filter(|h| h.heard_of)
-        .map(|h| (h.name.as_str().into(), Version(h.has)));
-    let (version, settled, era) = (s.version, s.settled.min(s.version), s.era);
-    let trail = trail
-        .entries
+        .map(|h| (h.name.as_str().into(), Version(h.applied)));
+    let (version, stable, epoch) = (s.version, s.stable.min(s.version), s.epoch);
+    let audit_log = audit_log
+        .revisions
         .into_iter()
         .filter(|e| e.version <= version)
         .collect();
-    let kept = Kept {
+    let kept = StoredState {
         version,
-        settled,
-        era,
+        stable,
+        epoch,
         state: s.state,
-        trail,
+        audit_log,
         hosts: hosts.collect(),
-        ..Kept::default()
+        ..StoredState::default()
     };
     snapshot::write(file, &(kept, BTreeMap::new()), now()).map_err(failed)?;
     out.put(
@@ -548,10 +561,10 @@
                 file.display(),
                 kept.version.0,
                 kept.state.len(),
-                kept.trail.len(),
+                kept.audit_log.len(),
                 places.len()
             );
-            let value = json!({ "version": kept.version.0, "records": kept.state.len(), "trail": kept.trail.len(),
+            let value = json!({ "version": kept.version.0, "records": kept.state.len(), "trail": kept.audit_log.len(),
                 "extents": extents });
             out.put([line], value);
             Ok(())
@@ -577,7 +590,7 @@
             )));
         }
     }
-    let aside = snapshot::restore(from, store, new_era()).map_err(failed)?;
+    let aside = snapshot::restore(from, store, new_epoch()).map_err(failed)?;
     let aside = aside.map(|a| format!("the store that was there is now {}", a.display()));
     let line = format!(
         "{} is restored; hosts that have followed something newer wait for 'plans prevail'",
--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -335,7 +335,9 @@
             start: 1,
             ..Default::default()
         });
-        line.put(Body::Announce(pb::Announce { endpoint: entry }));
+        line.put(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
+            endpoint: entry,
+        }));
         SlowNode {
             heard,
             lines: BTreeMap::from([(0, line)]),
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -25,7 +25,7 @@
 //!
 //! Memory: [`MOST_LOANS`] loans given and taken each, and as many open asks.
 
-use crate::{HostNo, Life};
+use crate::{HostNumber, Incarnation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -53,11 +53,15 @@
     Want { ask: u64, loan: u64, amount: u32 },
     /// "You, in that life, have it from when you asked." Zero: "I need it myself". Asks of two lives have the
     /// same numbers, and the former's would count from before it was asked.
-    Lend { ask: u64, of: Life, amount: u32 },
+    Lend {
+        ask: u64,
+        of: Incarnation,
+        amount: u32,
+    },
     /// "I use that loan no more."
     Home { loan: u64 },
     /// "I hold nothing that an earlier life of yours than this one lent."
-    Clear { of: Life },
+    Clear { of: Incarnation },
     /// "Whoever holds something of an earlier life of mine: have you let it go?"
     Born,
 }
@@ -65,8 +69,8 @@
 /// What is heard from one life of a host, about a budget with so many sharers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Heard {
-    pub from: HostNo,
-    pub life: Life,
+    pub from: HostNumber,
+    pub incarnation: Incarnation,
     pub sharers: u32,
     pub say: Say,
 }
@@ -81,29 +85,29 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Got {
-    lender: HostNo,
+    lender: HostNumber,
     amount: u32,
     until: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Ask {
-    to: HostNo,
+    to: HostNumber,
     loan: u64,
     at: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Budget {
-    me: HostNo,
-    life: Life,
+    me: HostNumber,
+    incarnation: Incarnation,
     born: Duration,
     spans: Spans,
-    sharers: BTreeSet<HostNo>,
+    sharers: BTreeSet<HostNumber>,
     /// Sharers that hold nothing of an earlier life.
-    clear: BTreeSet<HostNo>,
-    lives: BTreeMap<HostNo, Life>,
-    lent: BTreeMap<(HostNo, Life, u64), Lent>,
+    clear: BTreeSet<HostNumber>,
+    incarnations: BTreeMap<HostNumber, Incarnation>,
+    lent: BTreeMap<(HostNumber, Incarnation, u64), Lent>,
     got: BTreeMap<u64, Got>,
     asks: BTreeMap<u64, Ask>,
     next: u64,
@@ -115,19 +119,19 @@
 impl Budget {
     pub fn new(
         now: Duration,
-        me: HostNo,
-        life: Life,
+        me: HostNumber,
+        incarnation: Incarnation,
         spans: Spans,
-        sharers: BTreeSet<HostNo>,
+        sharers: BTreeSet<HostNumber>,
     ) -> Self {
         Budget {
             me,
-            life,
+            incarnation,
             born: now,
             spans,
             sharers,
             clear: BTreeSet::new(),
-            lives: BTreeMap::new(),
+            incarnations: BTreeMap::new(),
             lent: BTreeMap::new(),
             got: BTreeMap::new(),
             asks: BTreeMap::new(),
@@ -148,7 +152,7 @@
         }
     }
 
-    pub fn sharers(&self) -> &BTreeSet<HostNo> {
+    pub fn sharers(&self) -> &BTreeSet<HostNumber> {
         &self.sharers
     }
 
@@ -249,7 +253,7 @@
     }
 
     /// Other hosts share it from now on.
-    pub fn shared_by(&mut self, sharers: BTreeSet<HostNo>) {
+    pub fn shared_by(&mut self, sharers: BTreeSet<HostNumber>) {
         if sharers == self.sharers {
             return;
         }
@@ -258,16 +262,16 @@
     }
 
     /// A new number of this host's own life, after it has heard of one as late.
-    pub fn lives_on(&mut self, life: Life) {
-        self.life = life;
+    pub fn lives_on(&mut self, incarnation: Incarnation) {
+        self.incarnation = incarnation;
         // What was asked under the old number is answered to nobody.
         self.asks.clear();
     }
 
-    pub fn hear(&mut self, now: Duration, heard: Heard) -> Vec<(HostNo, Say)> {
+    pub fn hear(&mut self, now: Duration, heard: Heard) -> Vec<(HostNumber, Say)> {
         let Heard {
             from,
-            life,
+            incarnation,
             sharers,
             say,
         } = heard;
@@ -278,33 +282,33 @@
         {
             return out;
         }
-        let known = self.lives.entry(from).or_insert(life);
-        if life < *known {
+        let known = self.incarnations.entry(from).or_insert(incarnation);
+        if incarnation < *known {
             return out; // a former life speaks: too late for anything
         }
-        if life > *known {
-            *known = life;
+        if incarnation > *known {
+            *known = incarnation;
             self.forget(from);
         }
         match say {
             Say::Born => {
                 self.forget(from);
-                out.push((from, Say::Clear { of: life }));
+                out.push((from, Say::Clear { of: incarnation }));
             }
-            Say::Clear { of } if of == self.life => _ = self.clear.insert(from),
+            Say::Clear { of } if of == self.incarnation => _ = self.clear.insert(from),
             Say::Clear { .. } => {}
             Say::Want { ask, loan, amount } => {
-                let lent = self.lend(now, (from, life, loan), amount);
+                let lent = self.lend(now, (from, incarnation, loan), amount);
                 out.push((
                     from,
                     Say::Lend {
                         ask,
-                        of: life,
+                        of: incarnation,
                         amount: lent,
                     },
                 ));
             }
-            Say::Lend { of, .. } if of != self.life => {}
+            Say::Lend { of, .. } if of != self.incarnation => {}
             Say::Lend { ask, amount, .. } => {
                 let Some(a) = self.asks.remove(&ask).filter(|a| a.to == from) else {
                     return out;
@@ -323,19 +327,19 @@
                     }
                 }
             }
-            Say::Home { loan } => _ = self.lent.remove(&(from, life, loan)),
+            Say::Home { loan } => _ = self.lent.remove(&(from, incarnation, loan)),
         }
         out
     }
 
     /// What an earlier life of a host lent, and was asked for, is nobody's any more.
-    fn forget(&mut self, lender: HostNo) {
+    fn forget(&mut self, lender: HostNumber) {
         self.got.retain(|_, g| g.lender != lender);
         self.asks.retain(|_, a| a.to != lender);
     }
 
     /// Lends, or renews; what is agreed.
-    fn lend(&mut self, now: Duration, loan: (HostNo, Life, u64), amount: u32) -> u32 {
+    fn lend(&mut self, now: Duration, loan: (HostNumber, Incarnation, u64), amount: u32) -> u32 {
         let until = now + self.spans.span + self.spans.margin;
         let (spare, short, least) = (self.spare(now), self.part(now) < self.wanted, self.least());
         match self.lent.get_mut(&loan).filter(|l| now < l.until) {
@@ -366,7 +370,7 @@
 
     /// The round: what has run out goes, what is needed is asked for, what is not goes home. `offers` are
     /// what others last said they could lend, the likeliest first.
-    pub fn tend(&mut self, now: Duration, offers: &[(HostNo, u32)]) -> Vec<(HostNo, Say)> {
+    pub fn tend(&mut self, now: Duration, offers: &[(HostNumber, u32)]) -> Vec<(HostNumber, Say)> {
         self.lent.retain(|_, l| now < l.until);
         self.got.retain(|_, g| now < g.until);
         self.asks.retain(|_, a| now < a.at + self.spans.span / 4);
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -12,7 +12,7 @@
 use crate::judgement::{Belief, Finding, Judge, Witness};
 use crate::shared::{Common, Facts, Mark, Offer, Served, Sight};
 use crate::word::{Word, MAX_FACTS, MAX_SAYS};
-use crate::{HostNo, Life};
+use crate::{HostNumber, Incarnation};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -40,7 +40,7 @@
 pub enum Event {
     /// `waited`: on the way, as far as that is known.
     Told {
-        from: HostNo,
+        from: HostNumber,
         waited: Duration,
         bytes: Vec<u8>,
     },
@@ -64,7 +64,7 @@
     /// has none, or works here no more.
     Volume {
         volume: u64,
-        sharers: BTreeSet<HostNo>,
+        sharers: BTreeSet<HostNumber>,
         limit: f64,
     },
 }
@@ -72,7 +72,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     Tell {
-        to: HostNo,
+        to: HostNumber,
         bytes: Vec<u8>,
     },
     /// What this host may use of a volume's limit, times its settled part of it.
@@ -123,8 +123,8 @@
 /// What this host knows of another, for whoever shows it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerFigures {
-    pub host: HostNo,
-    pub life: Life,
+    pub host: HostNumber,
+    pub incarnation: Incarnation,
     pub age: Duration,
     pub tried: u32,
     pub badly: u32,
@@ -143,7 +143,7 @@
 
 #[derive(Debug)]
 pub struct Fleet {
-    me: HostNo,
+    me: HostNumber,
     rules: Rules,
     common: Common,
     judge: Judge,
@@ -154,23 +154,23 @@
     volumes: BTreeMap<u64, Shared>,
     /// Units, those of them when they were last looked at, and how fast they grow.
     served: BTreeMap<u64, (f64, f64, f64)>,
-    paces: BTreeMap<u64, BTreeMap<HostNo, Pace>>,
+    paces: BTreeMap<u64, BTreeMap<HostNumber, Pace>>,
     turned: BTreeSet<(u32, u64, bool)>,
-    complaints: BTreeMap<HostNo, u32>,
+    complaints: BTreeMap<HostNumber, u32>,
     /// Volumes whose part may have changed, and when one next changes by itself.
     stirred: BTreeSet<u64>,
     parts_at: Duration,
     out: Vec<Action>,
-    says: BTreeMap<HostNo, Vec<(u64, u32, Say)>>,
+    says: BTreeMap<HostNumber, Vec<(u64, u32, Say)>>,
 }
 
 impl Fleet {
-    /// `life`: a number that grows from start to start as far as this host can know; `seed` is new at each.
+    /// `incarnation`: a number that grows from start to start as far as this host can know; `seed` is new at each.
     pub fn new(
         now: Duration,
-        me: HostNo,
-        life: Life,
-        peers: Vec<HostNo>,
+        me: HostNumber,
+        incarnation: Incarnation,
+        peers: Vec<HostNumber>,
         rules: Rules,
         seed: u64,
     ) -> Self {
@@ -181,7 +181,7 @@
         Fleet {
             me,
             rules,
-            common: Common::new(now, me, life, rules.every, peers, seed),
+            common: Common::new(now, me, incarnation, rules.every, peers, seed),
             judge: Judge::new(me, hosts, within, seed ^ 0x6a75),
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x666c),
             nodes: BTreeMap::new(),
@@ -238,11 +238,11 @@
             self.tell(to, &word);
         }
         for to in self.says.keys().copied().collect::<Vec<_>>() {
-            let (life, says) = (self.common.life(), self.says_for(to));
+            let (incarnation, says) = (self.common.incarnation(), self.says_for(to));
             self.tell(
                 to,
                 &Word {
-                    life,
+                    incarnation,
                     asks: false,
                     entries: Vec::new(),
                     says,
@@ -253,7 +253,7 @@
         std::mem::take(&mut self.out)
     }
 
-    fn says_for(&mut self, to: HostNo) -> Vec<(u64, u32, Say)> {
+    fn says_for(&mut self, to: HostNumber) -> Vec<(u64, u32, Say)> {
         let Some(says) = self.says.get_mut(&to) else {
             return Vec::new();
         };
@@ -263,14 +263,14 @@
         now
     }
 
-    fn tell(&mut self, to: HostNo, word: &Word) {
+    fn tell(&mut self, to: HostNumber, word: &Word) {
         self.out.push(Action::Tell {
             to,
             bytes: word.to_bytes(),
         });
     }
 
-    fn say(&mut self, volume: u64, says: Vec<(HostNo, Say)>) {
+    fn say(&mut self, volume: u64, says: Vec<(HostNumber, Say)>) {
         let Some(sharers) = self
             .volumes
             .get(&volume)
@@ -341,9 +341,10 @@
                     }
                     return;
                 }
-                let (me, life, spans) = (self.me, self.common.life(), self.rules.loans);
+                let (me, incarnation, spans) =
+                    (self.me, self.common.incarnation(), self.rules.loans);
                 let new = || {
-                    let budget = Budget::new(now, me, life, spans, sharers.clone());
+                    let budget = Budget::new(now, me, incarnation, spans, sharers.clone());
                     Shared {
                         budget,
                         limit,
@@ -360,7 +361,7 @@
         }
     }
 
-    fn told(&mut self, now: Duration, from: HostNo, word: &Word) {
+    fn told(&mut self, now: Duration, from: HostNumber, word: &Word) {
         let joined = self.common.hear(now, from, word);
         if joined.refused > 0 {
             self.complain(
@@ -388,17 +389,17 @@
     }
 
     fn raised(&mut self) {
-        let life = self.common.life();
+        let incarnation = self.common.incarnation();
         self.volumes
             .values_mut()
-            .for_each(|v| v.budget.lives_on(life));
+            .for_each(|v| v.budget.lives_on(incarnation));
         self.stirred.extend(self.volumes.keys());
         self.out.push(Action::Note {
-            text: format!("goes on as life {} of this host", life.0),
+            text: format!("goes on as life {} of this host", incarnation.0),
         });
     }
 
-    fn complain(&mut self, from: HostNo, why: &str) {
+    fn complain(&mut self, from: HostNumber, why: &str) {
         let lines = self.complaints.entry(from).or_default();
         *lines += 1;
         if *lines <= LINES_A_PEER {
@@ -522,7 +523,7 @@
     fn tend(&mut self, now: Duration) {
         let every = self.rules.every.as_secs_f64().max(1e-3);
         let aside = self.common.aside();
-        let mut offers: BTreeMap<u64, Vec<(HostNo, u32)>> = BTreeMap::new();
+        let mut offers: BTreeMap<u64, Vec<(HostNumber, u32)>> = BTreeMap::new();
         for (host, _, facts) in self.common.all(now).filter(|(h, ..)| *h != self.me) {
             for o in &facts.offers {
                 offers.entry(o.volume).or_default().push((host, o.spare));
@@ -581,7 +582,7 @@
         }
     }
 
-    fn pace(&mut self, now: Duration, host: HostNo) {
+    fn pace(&mut self, now: Duration, host: HostNumber) {
         let Some((_, mark)) = self.common.marks().find(|(h, _)| *h == host) else {
             return;
         };
@@ -603,7 +604,7 @@
                 .entry(host)
                 .or_insert(new);
             let span = at.saturating_sub(p.at).as_secs_f64();
-            if p.mark.life != mark.life || s.units < p.units {
+            if p.mark.incarnation != mark.incarnation || s.units < p.units {
                 *p = new;
             } else if span > 0.0 {
                 let rate = (s.units - p.units) as f64 / span;
@@ -626,12 +627,12 @@
     }
 
     pub fn peers(&self, now: Duration) -> Vec<PeerFigures> {
-        let marks: BTreeMap<HostNo, Mark> = self.common.marks().collect();
-        let row = |(host, age, f): (HostNo, Duration, &Facts)| {
-            let life = marks.get(&host).map_or(Life(0), |m| m.life);
+        let marks: BTreeMap<HostNumber, Mark> = self.common.marks().collect();
+        let row = |(host, age, f): (HostNumber, Duration, &Facts)| {
+            let incarnation = marks.get(&host).map_or(Incarnation(0), |m| m.incarnation);
             PeerFigures {
                 host,
-                life,
+                incarnation,
                 age,
                 tried: f.tried,
                 badly: f.badly,
@@ -673,7 +674,7 @@
         self.judge.belief(node)
     }
 
-    pub fn life(&self) -> Life {
-        self.common.life()
+    pub fn incarnation(&self) -> Incarnation {
+        self.common.incarnation()
     }
 }
--- a/crates/fleet/src/judgement.rs
+++ b/crates/fleet/src/judgement.rs
@@ -24,7 +24,7 @@
 //! told is nothing any more, and it finds out by itself as one alone.
 
 use crate::shared::{Facts, Sight};
-use crate::HostNo;
+use crate::HostNumber;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -92,7 +92,7 @@
 /// What one host says of nodes.
 #[derive(Debug, Clone)]
 pub struct Witness<'a> {
-    pub host: HostNo,
+    pub host: HostNumber,
     pub age: Duration,
     pub facts: &'a Facts,
 }
@@ -118,7 +118,7 @@
 
 #[derive(Debug)]
 pub struct Judge {
-    me: HostNo,
+    me: HostNumber,
     /// How many hosts there are.
     fleet: usize,
     /// How old the last word of one may be that counts as heard: in a large fleet all words take longer to come
@@ -133,8 +133,8 @@
 }
 
 /// How sound each host is, from how it and the others find the same nodes.
-pub fn soundness(sights: &BTreeMap<u32, Vec<(HostNo, Sight)>>) -> BTreeMap<HostNo, f64> {
-    let mut tally: BTreeMap<HostNo, (f64, f64)> = BTreeMap::new();
+pub fn soundness(sights: &BTreeMap<u32, Vec<(HostNumber, Sight)>>) -> BTreeMap<HostNumber, f64> {
+    let mut tally: BTreeMap<HostNumber, (f64, f64)> = BTreeMap::new();
     for all in sights.values() {
         let well = all.iter().filter(|(_, s)| good(s)).count();
         for (host, s) in all {
@@ -149,7 +149,7 @@
 }
 
 impl Judge {
-    pub fn new(me: HostNo, fleet: usize, heard_within: Duration, seed: u64) -> Self {
+    pub fn new(me: HostNumber, fleet: usize, heard_within: Duration, seed: u64) -> Self {
         Judge {
             me,
             fleet,
@@ -192,7 +192,7 @@
             .filter(|w| w.age < self.heard_within && w.host != me)
             .map(|w| w.host);
         let heard = 1 + heard.collect::<BTreeSet<_>>().len();
-        let mut sights: BTreeMap<u32, Vec<(HostNo, Sight)>> = BTreeMap::new();
+        let mut sights: BTreeMap<u32, Vec<(HostNumber, Sight)>> = BTreeMap::new();
         let facts = fresh.chain([(me, Duration::ZERO, own)]);
         for (host, age, s) in
             facts.flat_map(|(h, age, f)| f.sights.iter().map(move |s| (h, age, *s)))
@@ -206,7 +206,7 @@
             }
         }
         let sound = soundness(&sights);
-        let weight = |h: &HostNo, s: &Sight| {
+        let weight = |h: &HostNumber, s: &Sight| {
             let fresh = 1.0 - s.ago.as_secs_f64() / EVIDENCE.as_secs_f64();
             f64::from(s.sent).min(MAX_WEIGHT) * fresh * sound.get(h).copied().unwrap_or(1.0)
         };
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -19,8 +19,8 @@
 
 /// A host's place among the settings' hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct HostNo(pub u32);
+pub struct HostNumber(pub u32);
 
 /// Tells the lives of one host apart; of two, the larger is the later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Life(pub u64);
+pub struct Incarnation(pub u64);
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -20,7 +20,7 @@
 //! and then goes on above it.
 
 use crate::word::{Word, MAX_ENTRIES, MAX_FACTS};
-use crate::{HostNo, Life};
+use crate::{HostNumber, Incarnation};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -40,7 +40,7 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Mark {
-    pub life: Life,
+    pub incarnation: Incarnation,
     pub count: u64,
 }
 
@@ -98,7 +98,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
-    pub writer: HostNo,
+    pub writer: HostNumber,
     pub mark: Mark,
     pub age: Duration,
     pub facts: Facts,
@@ -116,12 +116,12 @@
 
 #[derive(Debug)]
 pub struct Common {
-    me: HostNo,
-    life: Life,
+    me: HostNumber,
+    incarnation: Incarnation,
     count: u64,
     every: Duration,
-    peers: Vec<HostNo>,
-    entries: BTreeMap<HostNo, Held>,
+    peers: Vec<HostNumber>,
+    entries: BTreeMap<HostNumber, Held>,
     own: Facts,
     own_news: bool,
     since_written: u32,
@@ -133,14 +133,14 @@
     next: Duration,
     last: Option<Duration>,
     /// Who asked for all that is known.
-    asked: BTreeSet<HostNo>,
+    asked: BTreeSet<HostNumber>,
     rng: Pcg64Mcg,
 }
 
 /// What hearing a word changed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Joined {
-    pub newer: Vec<HostNo>,
+    pub newer: Vec<HostNumber>,
     /// Entries of hosts that nobody here knows, or older than anything is kept.
     pub refused: usize,
     /// This host's own number was as low as another's.
@@ -152,13 +152,13 @@
 }
 
 impl Common {
-    /// `life` is a guess, such as the wall clock's; peers may know better.
+    /// `incarnation` is a guess, such as the wall clock's; peers may know better.
     pub fn new(
         now: Duration,
-        me: HostNo,
-        life: Life,
+        me: HostNumber,
+        incarnation: Incarnation,
         every: Duration,
-        mut peers: Vec<HostNo>,
+        mut peers: Vec<HostNumber>,
         seed: u64,
     ) -> Self {
         peers.sort_unstable();
@@ -171,7 +171,7 @@
         };
         Common {
             me,
-            life,
+            incarnation,
             count: 0,
             every,
             peers,
@@ -189,8 +189,8 @@
         }
     }
 
-    pub fn life(&self) -> Life {
-        self.life
+    pub fn incarnation(&self) -> Incarnation {
+        self.incarnation
     }
 
     /// Whether a process of this host that may be a later one is at work.
@@ -226,14 +226,14 @@
     }
 
     /// What hosts say, with its age; hosts that were forgotten are not among them.
-    pub fn all(&self, now: Duration) -> impl Iterator<Item = (HostNo, Duration, &Facts)> {
+    pub fn all(&self, now: Duration) -> impl Iterator<Item = (HostNumber, Duration, &Facts)> {
         self.entries.iter().filter_map(move |(h, e)| {
             let age = Duration::from_nanos((nanos(now) - e.at).max(0) as u64);
             (age < FORGET).then_some((*h, age, &e.facts))
         })
     }
 
-    pub fn marks(&self) -> impl Iterator<Item = (HostNo, Mark)> + '_ {
+    pub fn marks(&self) -> impl Iterator<Item = (HostNumber, Mark)> + '_ {
         self.entries.iter().map(|(h, e)| (*h, e.mark))
     }
 
@@ -242,7 +242,7 @@
         (usize::BITS - self.peers.len().leading_zeros()).div_ceil(2) + 1
     }
 
-    pub fn hear(&mut self, now: Duration, from: HostNo, word: &Word) -> Joined {
+    pub fn hear(&mut self, now: Duration, from: HostNumber, word: &Word) -> Joined {
         let mut joined = Joined::default();
         if word.asks {
             self.asked.insert(from);
@@ -284,16 +284,16 @@
     fn hear_of_me(&mut self, now: Duration, mark: Mark) -> bool {
         if mark
             < (Mark {
-                life: self.life,
+                incarnation: self.incarnation,
                 count: 0,
             })
-            || (mark.life == self.life && mark.count <= self.count)
+            || (mark.incarnation == self.incarnation && mark.count <= self.count)
         {
             return false;
         }
         if now < self.listens && self.count == 0 {
             // A former life, heard of before anything was written.
-            self.life = Life(mark.life.0 + 1);
+            self.incarnation = Incarnation(mark.incarnation.0 + 1);
             return true;
         }
         let grew = self.other.is_none_or(|(m, _)| mark > m);
@@ -304,7 +304,7 @@
     }
 
     /// Whom to tell what, where it is time; `true` where this host's number was raised.
-    pub fn round(&mut self, now: Duration) -> (Vec<(HostNo, Word)>, bool) {
+    pub fn round(&mut self, now: Duration) -> (Vec<(HostNumber, Word)>, bool) {
         if now < self.next {
             return (Vec::new(), false);
         }
@@ -313,7 +313,8 @@
         let mut raised = false;
         if let Some((mark, since)) = self.other {
             if now >= since + ASIDE {
-                (self.life, self.count, self.other) = (Life(mark.life.0 + 1), 0, None);
+                (self.incarnation, self.count, self.other) =
+                    (Incarnation(mark.incarnation.0 + 1), 0, None);
                 raised = true;
             }
         }
@@ -330,7 +331,7 @@
                 };
                 (self.count, self.since_written) = (self.count + 1, 0);
                 let mark = Mark {
-                    life: self.life,
+                    incarnation: self.incarnation,
                     count: self.count,
                 };
                 let own = Held {
@@ -342,7 +343,7 @@
                 self.entries.insert(self.me, own);
             }
         }
-        let mut to: Vec<HostNo> = self.asked.iter().take(TOLD).copied().collect();
+        let mut to: Vec<HostNumber> = self.asked.iter().take(TOLD).copied().collect();
         self.asked.retain(|h| !to.contains(h));
         let mut others = self.peers.clone();
         let (some, _) = others.partial_shuffle(&mut self.rng, TOLD - to.len());
@@ -357,12 +358,12 @@
         (words, raised)
     }
 
-    fn word(&mut self, now: Duration, to: HostNo, asks: bool) -> Word {
+    fn word(&mut self, now: Duration, to: HostNumber, asks: bool) -> Word {
         let own = Mark {
-            life: self.life,
+            incarnation: self.incarnation,
             count: self.count,
         };
-        let mut chosen: BTreeSet<HostNo> = BTreeSet::new();
+        let mut chosen: BTreeSet<HostNumber> = BTreeSet::new();
         // Before anything else what the other may not know of itself, where it asks.
         chosen.extend(self.entries.contains_key(&to).then_some(to));
         chosen.extend(
@@ -371,7 +372,7 @@
                 .filter(|e| e.mark == own)
                 .map(|_| self.me),
         );
-        let mut fresh: Vec<HostNo> = self
+        let mut fresh: Vec<HostNumber> = self
             .entries
             .iter()
             .filter(|(_, e)| e.news > 0)
@@ -382,7 +383,7 @@
             fresh = fresh.partial_shuffle(&mut self.rng, MAX_ENTRIES).0.to_vec();
         }
         chosen.extend(fresh.into_iter().take(MAX_ENTRIES - chosen.len()));
-        let all: Vec<HostNo> = self.entries.keys().copied().collect();
+        let all: Vec<HostNumber> = self.entries.keys().copied().collect();
         for _ in 0..all.len() {
             if chosen.len() >= MAX_ENTRIES {
                 break;
@@ -402,7 +403,7 @@
             }
         });
         Word {
-            life: self.life,
+            incarnation: self.incarnation,
             asks,
             entries: entries.collect(),
             says: Vec::new(),
--- a/crates/fleet/src/word.rs
+++ b/crates/fleet/src/word.rs
@@ -6,7 +6,7 @@
 
 use crate::budget::{Heard, Say, WHOLE};
 use crate::shared::{Entry, Facts, Mark, Offer, Served, Sight};
-use crate::{HostNo, Life};
+use crate::{HostNumber, Incarnation};
 use prost::Message;
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 pub const MAX_BYTES: usize = 32 << 10;
 pub const MAX_SAYS: usize = 64;
 /// Larger lives and counts than any host comes to are noise; believed, they could never be overtaken.
-const MAX_LIFE: u64 = 1 << 48;
+const MAX_INCARNATION: u64 = 1 << 48;
 const MAX_COUNT: u64 = 1 << 40;
 const MAX_AGE: u64 = 1 << 32;
 
@@ -58,7 +58,7 @@
     #[prost(uint32, tag = "1")]
     writer: u32,
     #[prost(uint64, tag = "2")]
-    life: u64,
+    incarnation: u64,
     #[prost(uint64, tag = "3")]
     count: u64,
     #[prost(uint64, tag = "4")]
@@ -98,7 +98,7 @@
     #[prost(uint32, tag = "1")]
     format: u32,
     #[prost(uint64, tag = "2")]
-    life: u64,
+    incarnation: u64,
     #[prost(bool, tag = "3")]
     asks: bool,
     #[prost(message, repeated, tag = "4")]
@@ -111,7 +111,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Word {
     /// The sender's.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// It has just started, and wants to hear what is known, of itself too.
     pub asks: bool,
     pub entries: Vec<Entry>,
@@ -123,7 +123,7 @@
     pub fn to_bytes(&self) -> Vec<u8> {
         let entries = self.entries.iter().map(|e| WireEntry {
             writer: e.writer.0,
-            life: e.mark.life.0,
+            incarnation: e.mark.incarnation.0,
             count: e.mark.count,
             age_ms: e.age.as_millis() as u64,
             tried: e.facts.tried,
@@ -180,7 +180,7 @@
         let (entries, says) = (entries.collect(), says.collect());
         WireWord {
             format: FORMAT,
-            life: self.life.0,
+            incarnation: self.incarnation.0,
             asks: self.asks,
             entries,
             says,
@@ -200,7 +200,7 @@
         if w.format != FORMAT {
             return Err(format!("format {}, expected {FORMAT}", w.format));
         }
-        let life = life_of(w.life)?;
+        let incarnation = incarnation_of(w.incarnation)?;
         within("entries", w.entries.len(), MAX_ENTRIES)?;
         within("says", w.says.len(), MAX_SAYS)?;
         let entries = w
@@ -210,7 +210,7 @@
             .collect::<Result<_, _>>()?;
         let says = w.says.into_iter().map(say_of).collect::<Result<_, _>>()?;
         Ok(Word {
-            life,
+            incarnation,
             asks: w.asks,
             entries,
             says,
@@ -218,14 +218,14 @@
     }
 
     /// What it says of budgets, as their budgets hear it.
-    pub fn heard(&self, from: HostNo) -> impl Iterator<Item = (u64, Heard)> + '_ {
-        let life = self.life;
+    pub fn heard(&self, from: HostNumber) -> impl Iterator<Item = (u64, Heard)> + '_ {
+        let incarnation = self.incarnation;
         self.says.iter().map(move |(volume, sharers, say)| {
             (
                 *volume,
                 Heard {
                     from,
-                    life,
+                    incarnation,
                     sharers: *sharers,
                     say: *say,
                 },
@@ -241,16 +241,19 @@
     Ok(())
 }
 
-fn life_of(life: u64) -> Result<Life, String> {
-    if !(1..MAX_LIFE).contains(&life) {
-        return Err(format!("life {life}, expected 1 to {}", MAX_LIFE - 1));
+fn incarnation_of(incarnation: u64) -> Result<Incarnation, String> {
+    if !(1..MAX_INCARNATION).contains(&incarnation) {
+        return Err(format!(
+            "life {incarnation}, expected 1 to {}",
+            MAX_INCARNATION - 1
+        ));
     }
-    Ok(Life(life))
+    Ok(Incarnation(incarnation))
 }
 
 fn entry_of(e: WireEntry) -> Result<Entry, String> {
     let mark = Mark {
-        life: life_of(e.life)?,
+        incarnation: incarnation_of(e.incarnation)?,
         count: e.count,
     };
     if e.count >= MAX_COUNT || e.age_ms >= MAX_AGE {
@@ -308,7 +311,7 @@
             .collect(),
     };
     Ok(Entry {
-        writer: HostNo(e.writer),
+        writer: HostNumber(e.writer),
         mark,
         age: Duration::from_millis(e.age_ms),
         facts,
@@ -330,12 +333,12 @@
         },
         2 => Say::Lend {
             ask: s.number,
-            of: life_of(s.loan)?,
+            of: incarnation_of(s.loan)?,
             amount: s.amount,
         },
         3 => Say::Home { loan: s.loan },
         4 => Say::Clear {
-            of: life_of(s.number)?,
+            of: incarnation_of(s.number)?,
         },
         5 => Say::Born,
         kind => {
--- a/crates/fleet/tests/budget.rs
+++ b/crates/fleet/tests/budget.rs
@@ -1,7 +1,7 @@
 //! One budget at a time: what is lent, renewed, given back and refused.
 
 use grebecleat_fleet::budget::{Budget, Heard, Say, Spans, WHOLE};
-use grebecleat_fleet::{HostNo, Life};
+use grebecleat_fleet::{HostNumber, Incarnation};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -13,22 +13,22 @@
     span: s(4),
     margin: s(1),
 };
-const A: HostNo = HostNo(0);
-const B: HostNo = HostNo(1);
+const A: HostNumber = HostNumber(0);
+const B: HostNumber = HostNumber(1);
 
-fn sharers(n: u32) -> BTreeSet<HostNo> {
-    (0..n).map(HostNo).collect()
+fn sharers(n: u32) -> BTreeSet<HostNumber> {
+    (0..n).map(HostNumber).collect()
 }
 
 /// A budget of a host that knows what it has lent.
-fn budget(me: HostNo, n: u32) -> Budget {
-    Budget::new(s(0), me, Life(1), SPANS, sharers(n))
+fn budget(me: HostNumber, n: u32) -> Budget {
+    Budget::new(s(0), me, Incarnation(1), SPANS, sharers(n))
 }
 
-fn from(host: HostNo, life: u64, n: u32, say: Say) -> Heard {
+fn from(host: HostNumber, incarnation: u64, n: u32, say: Say) -> Heard {
     Heard {
         from: host,
-        life: Life(life),
+        incarnation: Incarnation(incarnation),
         sharers: n,
         say,
     }
@@ -101,14 +101,18 @@
     // who says it, in which life, among how many; and whether it is answered
     let cases = [
         ((A, 1, 2), true),
-        ((A, 1, 3), false),         // another number of sharers
-        ((HostNo(9), 1, 2), false), // it does not share
-        ((B, 1, 2), false),         // oneself
+        ((A, 1, 3), false),             // another number of sharers
+        ((HostNumber(9), 1, 2), false), // it does not share
+        ((B, 1, 2), false),             // oneself
     ];
-    for ((who, life, n), answered) in cases {
+    for ((who, incarnation, n), answered) in cases {
         let mut b = budget(B, 2);
-        let out = b.hear(s(10), from(who, life, n, want));
-        assert_eq!(!out.is_empty(), answered, "{who:?} {life} {n}: {out:?}");
+        let out = b.hear(s(10), from(who, incarnation, n, want));
+        assert_eq!(
+            !out.is_empty(),
+            answered,
+            "{who:?} {incarnation} {n}: {out:?}"
+        );
     }
     // A former life speaks after a later one.
     let mut b = budget(B, 2);
@@ -124,7 +128,7 @@
             2,
             Say::Lend {
                 ask: 7,
-                of: Life(1),
+                of: Incarnation(1),
                 amount: WHOLE / 4,
             },
         ),
@@ -143,7 +147,7 @@
             2,
             Say::Lend {
                 ask,
-                of: Life(1),
+                of: Incarnation(1),
                 amount,
             },
         ),
@@ -153,28 +157,34 @@
 
 #[test]
 fn a_host_without_memory_uses_what_is_never_lent_until_all_have_said_that_they_hold_nothing() {
-    let mut b = Budget::new(s(10), B, Life(5), SPANS, sharers(3));
+    let mut b = Budget::new(s(10), B, Incarnation(5), SPANS, sharers(3));
     let little = b.part(s(10));
     assert!(little > 0 && little < WHOLE / 20, "{little}");
     assert_eq!(b.spare(s(10)), 0);
     let said = b.tend(s(10), &[]);
-    assert_eq!(said, [(A, Say::Born), (HostNo(2), Say::Born)]);
-    b.hear(s(10), from(A, 1, 3, Say::Clear { of: Life(5) }));
-    b.hear(s(10), from(HostNo(2), 1, 3, Say::Clear { of: Life(4) })); // of another life
+    assert_eq!(said, [(A, Say::Born), (HostNumber(2), Say::Born)]);
+    b.hear(s(10), from(A, 1, 3, Say::Clear { of: Incarnation(5) }));
+    b.hear(
+        s(10),
+        from(HostNumber(2), 1, 3, Say::Clear { of: Incarnation(4) }),
+    ); // of another life
     assert_eq!(b.part(s(10)), little);
-    b.hear(s(10), from(HostNo(2), 1, 3, Say::Clear { of: Life(5) }));
+    b.hear(
+        s(10),
+        from(HostNumber(2), 1, 3, Say::Clear { of: Incarnation(5) }),
+    );
     assert_eq!(b.part(s(10)), WHOLE / 3);
     // Where one never answers, every loan has run out in the end.
-    let b = Budget::new(s(10), B, Life(5), SPANS, sharers(3));
+    let b = Budget::new(s(10), B, Incarnation(5), SPANS, sharers(3));
     assert_eq!((b.part(s(14)), b.part(s(15))), (little, WHOLE / 3));
 }
 
 #[test]
-fn a_borrower_that_hears_of_a_new_life_of_its_lender_holds_nothing_of_the_former() {
+fn a_borrower_that_hears_of_a_new_incarnation_of_its_lender_holds_nothing_of_the_former() {
     let (mut a, mut b) = (budget(A, 2), budget(B, 2));
     assert!(borrow(&mut a, &mut b, s(10)) > 0);
     let out = a.hear(s(11), from(B, 2, 2, Say::Born));
-    assert_eq!(out, [(B, Say::Clear { of: Life(2) })]);
+    assert_eq!(out, [(B, Say::Clear { of: Incarnation(2) })]);
     assert_eq!(a.part(s(11)), WHOLE / 2);
 }
 
@@ -201,15 +211,15 @@
 }
 
 #[test]
-fn a_volume_that_comes_back_in_one_life_takes_no_answer_to_what_it_asked_before() {
+fn a_volume_that_comes_back_in_one_incarnation_takes_no_answer_to_what_it_asked_before() {
     let mut before = budget(A, 2);
     before.want(WHOLE);
     let asked = before.tend(s(10), &[(B, WHOLE / 4)]);
     let [(B, Say::Want { ask, amount, .. })] = asked[..] else {
         panic!("{asked:?}")
     };
-    let mut after = Budget::new(s(11), A, Life(1), SPANS, sharers(2));
-    after.hear(s(11), from(B, 1, 2, Say::Clear { of: Life(1) }));
+    let mut after = Budget::new(s(11), A, Incarnation(1), SPANS, sharers(2));
+    after.hear(s(11), from(B, 1, 2, Say::Clear { of: Incarnation(1) }));
     after.want(WHOLE);
     after.tend(s(11), &[(B, WHOLE / 4)]);
     after.hear(
@@ -220,7 +230,7 @@
             2,
             Say::Lend {
                 ask,
-                of: Life(1),
+                of: Incarnation(1),
                 amount,
             },
         ),
--- a/crates/fleet/tests/explore.rs
+++ b/crates/fleet/tests/explore.rs
@@ -4,7 +4,7 @@
 //! Worlds with a fault planted on purpose, on the other side of the budget's interface, must break that.
 
 use grebecleat_fleet::budget::{Budget, Heard, Say, Spans, WHOLE};
-use grebecleat_fleet::{HostNo, Life};
+use grebecleat_fleet::{HostNumber, Incarnation};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -45,7 +45,7 @@
 struct Host {
     budget: Option<Budget>,
     clock: u64,
-    life: u64,
+    incarnation: u64,
     slips: u8,
     follows: bool,
 }
@@ -69,8 +69,8 @@
     joins: bool,
 }
 
-fn sharers(n: usize) -> BTreeSet<HostNo> {
-    (0..n as u32).map(HostNo).collect()
+fn sharers(n: usize) -> BTreeSet<HostNumber> {
+    (0..n as u32).map(HostNumber).collect()
 }
 
 impl Model {
@@ -80,10 +80,16 @@
         let host = |h: usize| Host {
             budget: (h < n).then(|| {
                 let born = ticks(90 + 3 * h as u64);
-                Budget::new(born, HostNo(h as u32), Life(1), SPANS, sharers(n))
+                Budget::new(
+                    born,
+                    HostNumber(h as u32),
+                    Incarnation(1),
+                    SPANS,
+                    sharers(n),
+                )
             }),
             clock: 100 + 3 * h as u64,
-            life: 1,
+            incarnation: 1,
             slips: 0,
             follows: false,
         };
@@ -108,28 +114,28 @@
         }
     }
 
-    fn say(&self, w: &mut World, from: usize, says: Vec<(HostNo, Say)>) {
+    fn say(&self, w: &mut World, from: usize, says: Vec<(HostNumber, Say)>) {
         let n = w.hosts[from]
             .budget
             .as_ref()
             .map_or(0, |b| b.sharers().len() as u32);
         for (to, say) in says {
             let heard = Heard {
-                from: HostNo(from as u32),
-                life: Life(w.hosts[from].life),
+                from: HostNumber(from as u32),
+                incarnation: Incarnation(w.hosts[from].incarnation),
                 sharers: n,
                 say,
             };
             if self.fault == Fault::ClearedByHearsay && say == Say::Born {
-                let life = Life(w.hosts[to.0 as usize].life);
+                let incarnation = Incarnation(w.hosts[to.0 as usize].incarnation);
                 let clear = Say::Clear {
-                    of: Life(w.hosts[from].life),
+                    of: Incarnation(w.hosts[from].incarnation),
                 };
                 w.way.push((
                     from,
                     Heard {
                         from: to,
-                        life,
+                        incarnation,
                         sharers: n,
                         say: clear,
                     },
@@ -149,7 +155,7 @@
             w.way.remove(at);
         }
         if self.fault == Fault::LivesMixedUp {
-            heard.life = Life(w.hosts[heard.from.0 as usize].life);
+            heard.incarnation = Incarnation(w.hosts[heard.from.0 as usize].incarnation);
         }
         let mut now = ticks(w.hosts[to].clock);
         if self.fault == Fault::CountsFromTheAsk && matches!(heard.say, Say::Want { .. }) {
@@ -215,13 +221,16 @@
                 with(&mut |n| {
                     n.tended[h] = true;
                     let wanted = self.wanted(n, h);
-                    let offers: Vec<(HostNo, u32)> = n
+                    let offers: Vec<(HostNumber, u32)> = n
                         .hosts
                         .iter()
                         .enumerate()
                         .filter(|(o, _)| *o != h)
                         .filter_map(|(o, x)| {
-                            Some((HostNo(o as u32), x.budget.as_ref()?.spare(ticks(x.clock))))
+                            Some((
+                                HostNumber(o as u32),
+                                x.budget.as_ref()?.spare(ticks(x.clock)),
+                            ))
                         })
                         .collect();
                     let now = ticks(n.hosts[h].clock);
@@ -239,16 +248,16 @@
                         .budget
                         .as_ref()
                         .map_or(self.hosts, |b| b.sharers().len());
-                    host.life += 1;
+                    host.incarnation += 1;
                     // It dies and is back before anybody's clock moves: the worst time.
                     let dark = if self.fault == Fault::StartsInTheDark {
                         50
                     } else {
                         0
                     };
-                    let (me, life) = (HostNo(h as u32), Life(host.life));
+                    let (me, incarnation) = (HostNumber(h as u32), Incarnation(host.incarnation));
                     let born = ticks(host.clock - dark);
-                    host.budget = Some(Budget::new(born, me, life, SPANS, sharers(count)));
+                    host.budget = Some(Budget::new(born, me, incarnation, SPANS, sharers(count)));
                 });
             }
         }
@@ -268,8 +277,8 @@
                     let now = ticks(n.hosts[2].clock);
                     n.hosts[2].budget = Some(Budget::new(
                         now - ticks(50),
-                        HostNo(2),
-                        Life(1),
+                        HostNumber(2),
+                        Incarnation(1),
                         SPANS,
                         sharers(3),
                     ));
--- a/crates/fleet/tests/shared.rs
+++ b/crates/fleet/tests/shared.rs
@@ -5,7 +5,7 @@
     Common, Entry, Facts, Mark, Offer, Served, Sight, ASK_FIRST, FORGET,
 };
 use grebecleat_fleet::word::{Word, MAX_BYTES, MAX_ENTRIES};
-use grebecleat_fleet::{budget::Say, HostNo, Life};
+use grebecleat_fleet::{budget::Say, HostNumber, Incarnation};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -18,10 +18,10 @@
 fn common(peers: u32) -> Common {
     Common::new(
         NOW,
-        HostNo(0),
-        Life(10),
+        HostNumber(0),
+        Incarnation(10),
         ms(200),
-        (1..=peers).map(HostNo).collect(),
+        (1..=peers).map(HostNumber).collect(),
         3,
     )
 }
@@ -37,15 +37,15 @@
     }
 }
 
-fn entry(writer: u32, life: u64, count: u64, age: Duration, sent: u32) -> Entry {
+fn entry(writer: u32, incarnation: u64, count: u64, age: Duration, sent: u32) -> Entry {
     let facts = Facts {
         sights: vec![sight(1, sent, 0)],
         ..Facts::default()
     };
     Entry {
-        writer: HostNo(writer),
+        writer: HostNumber(writer),
         mark: Mark {
-            life: Life(life),
+            incarnation: Incarnation(incarnation),
             count,
         },
         age,
@@ -55,7 +55,7 @@
 
 fn word(entries: Vec<Entry>) -> Word {
     Word {
-        life: Life(1),
+        incarnation: Incarnation(1),
         asks: false,
         entries,
         says: Vec::new(),
@@ -75,11 +75,11 @@
     ];
     for (came, held) in cases {
         let mut c = common(3);
-        for (life, count, age, sent) in came {
+        for (incarnation, count, age, sent) in came {
             c.hear(
                 NOW,
-                HostNo(2),
-                &word(vec![entry(1, *life, *count, ms(*age), *sent)]),
+                HostNumber(2),
+                &word(vec![entry(1, *incarnation, *count, ms(*age), *sent)]),
             );
         }
         let all: Vec<u32> = c.all(NOW).map(|(_, _, f)| f.sights[0].sent).collect();
@@ -90,15 +90,15 @@
 #[test]
 fn what_is_old_is_forgotten_and_does_not_come_back_through_a_slow_peer() {
     let mut c = common(3);
-    c.hear(NOW, HostNo(2), &word(vec![entry(1, 1, 5, ms(0), 6)]));
+    c.hear(NOW, HostNumber(2), &word(vec![entry(1, 1, 5, ms(0), 6)]));
     let later = NOW + FORGET;
     assert_eq!(c.all(later).count(), 0);
     c.round(later);
-    let joined = c.hear(later, HostNo(2), &word(vec![entry(1, 1, 5, FORGET, 6)]));
+    let joined = c.hear(later, HostNumber(2), &word(vec![entry(1, 1, 5, FORGET, 6)]));
     assert_eq!((joined.newer.len(), joined.refused), (0, 1));
     // An entry of nobody known is refused as well.
     assert_eq!(
-        c.hear(later, HostNo(2), &word(vec![entry(77, 1, 5, ms(0), 6)]))
+        c.hear(later, HostNumber(2), &word(vec![entry(77, 1, 5, ms(0), 6)]))
             .refused,
         1
     );
@@ -114,17 +114,17 @@
     );
     let joined = c.hear(
         NOW + ms(300),
-        HostNo(2),
+        HostNumber(2),
         &word(vec![entry(0, 40, 7, ms(0), 1)]),
     );
     assert!(joined.raised);
-    assert_eq!(c.life(), Life(41));
+    assert_eq!(c.incarnation(), Incarnation(41));
     c.write(NOW + ms(300), Facts::default(), true);
     let (words, _) = c.round(NOW + ASK_FIRST + ms(300));
     assert!(
         words
             .iter()
-            .any(|(_, w)| w.entries.iter().any(|e| e.writer == HostNo(0))),
+            .any(|(_, w)| w.entries.iter().any(|e| e.writer == HostNumber(0))),
         "{words:?}"
     );
 }
@@ -136,21 +136,21 @@
     c.write(after, Facts::default(), true);
     c.round(after);
     assert!(
-        !c.hear(after, HostNo(2), &word(vec![entry(0, 11, 3, ms(0), 1)]))
+        !c.hear(after, HostNumber(2), &word(vec![entry(0, 11, 3, ms(0), 1)]))
             .raised
     );
     assert!(c.aside());
     // Its own former words change nothing; as long as the other's count grows it stays aside.
     c.hear(
         after + ms(9000),
-        HostNo(2),
+        HostNumber(2),
         &word(vec![entry(0, 11, 40, ms(0), 1)]),
     );
     assert!(!c.round(after + ms(12_000)).1);
     assert!(c.aside());
     let (_, raised) = c.round(after + ms(19_500));
     assert!(raised && !c.aside());
-    assert_eq!(c.life(), Life(12));
+    assert_eq!(c.incarnation(), Incarnation(12));
 }
 
 #[test]
@@ -169,11 +169,11 @@
         }],
     };
     let mark = Mark {
-        life: Life(3),
+        incarnation: Incarnation(3),
         count: 8,
     };
     let e = Entry {
-        writer: HostNo(5),
+        writer: HostNumber(5),
         mark,
         age: ms(77),
         facts,
@@ -193,16 +193,16 @@
             3,
             Say::Lend {
                 ask: 1,
-                of: Life(4),
+                of: Incarnation(4),
                 amount: 3,
             },
         ),
         (7, 3, Say::Home { loan: 2 }),
-        (7, 3, Say::Clear { of: Life(6) }),
+        (7, 3, Say::Clear { of: Incarnation(6) }),
         (8, 2, Say::Born),
     ];
     let w = Word {
-        life: Life(9),
+        incarnation: Incarnation(9),
         asks: true,
         entries: vec![e.clone()],
         says,
@@ -216,8 +216,11 @@
     // what is wrong, and what must be said of it
     type Case<'a> = (&'a dyn Fn(&mut Word), &'a str);
     let cases: [Case; 7] = [
-        (&|w| w.life = Life(u64::MAX), "life"),
-        (&|w| w.entries[0].mark.life = Life(0), "life 0"),
+        (&|w| w.incarnation = Incarnation(u64::MAX), "life"),
+        (
+            &|w| w.entries[0].mark.incarnation = Incarnation(0),
+            "life 0",
+        ),
         (
             &|w| w.entries[0].mark.count = u64::MAX - 1,
             "entry of host 5: count",
@@ -277,12 +280,12 @@
     };
     let all: Vec<Facts> = others.iter().map(|o| facts(Some(*o))).collect();
     let witness = |(n, facts)| Witness {
-        host: HostNo(n as u32 + 1),
+        host: HostNumber(n as u32 + 1),
         age: ms(100),
         facts,
     };
     let others: Vec<Witness> = all.iter().enumerate().map(witness).collect();
-    let mut judge = Judge::new(HostNo(0), fleet, EVIDENCE, 1);
+    let mut judge = Judge::new(HostNumber(0), fleet, EVIDENCE, 1);
     judge.judge(NOW, &nodes, &facts(own), &others);
     let verdict = judge
         .findings()
@@ -372,7 +375,7 @@
     };
     let (ill, fine, silent) = (says(5), says(0), Facts::default());
     let at = |facts, n: u32, age| Witness {
-        host: HostNo(n),
+        host: HostNumber(n),
         age,
         facts,
     };
@@ -382,7 +385,7 @@
         ..Facts::default()
     };
     let condemned = || {
-        let mut j = Judge::new(HostNo(0), 4, EVIDENCE, 1);
+        let mut j = Judge::new(HostNumber(0), 4, EVIDENCE, 1);
         let all: Vec<Witness> = (1..=3).map(|n| at(&ill, n, ms(0))).collect();
         j.judge(NOW, &nodes, &own, &all);
         assert!(avoid(&j));
@@ -405,7 +408,7 @@
     j.judge(NOW + ms(100), &new, &own, &[]);
     assert!(!avoid(&j));
     // Old evidence that comes round again condemns nothing.
-    let mut j = Judge::new(HostNo(0), 4, EVIDENCE, 1);
+    let mut j = Judge::new(HostNumber(0), 4, EVIDENCE, 1);
     let old: Vec<Witness> = (1..=3).map(|n| at(&ill, n, EVIDENCE)).collect();
     j.judge(NOW, &nodes, &own, &old);
     assert!(!avoid(&j));
@@ -431,12 +434,12 @@
         };
         let all: Vec<Witness> = (1..=3)
             .map(|n| Witness {
-                host: HostNo(n),
+                host: HostNumber(n),
                 age: ms(0),
                 facts: &facts,
             })
             .collect();
-        let mut j = Judge::new(HostNo(0), 4, EVIDENCE, 1);
+        let mut j = Judge::new(HostNumber(0), 4, EVIDENCE, 1);
         j.judge(NOW, &nodes, &Facts::default(), &all);
         let avoids = (1..=4).filter(|n| j.belief(*n) != Belief::AsToday).count();
         assert_eq!(avoids, avoided, "{ill} of four");
--- a/crates/fleet/tests/worlds.rs
+++ b/crates/fleet/tests/worlds.rs
@@ -5,7 +5,7 @@
 use grebecleat_fleet::budget::Spans;
 use grebecleat_fleet::fleet::{Action, Event, Fleet, Rules};
 use grebecleat_fleet::judgement::{Belief, EVIDENCE, LAPSE};
-use grebecleat_fleet::{HostNo, Life};
+use grebecleat_fleet::{HostNumber, Incarnation};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,8 +29,8 @@
 /// One host, and what is true for it.
 struct Host {
     fleet: Fleet,
-    life: u64,
-    inbox: Vec<(HostNo, Vec<u8>)>,
+    incarnation: u64,
+    inbox: Vec<(HostNumber, Vec<u8>)>,
     still_until: Duration,
     part: f64,
     avoids: BTreeSet<u32>,
@@ -46,7 +46,7 @@
     nodes: BTreeMap<u32, u64>,
     /// Attempts a second of each host.
     attempts: f64,
-    way: BTreeMap<(Duration, u64), (usize, HostNo, Vec<u8>)>,
+    way: BTreeMap<(Duration, u64), (usize, HostNumber, Vec<u8>)>,
     sent: u64,
     bytes: u64,
     deaf: BTreeSet<(usize, usize)>,
@@ -80,14 +80,21 @@
         w
     }
 
-    fn host(&mut self, h: usize, hosts: usize, life: u64, shared: bool) -> Host {
+    fn host(&mut self, h: usize, hosts: usize, incarnation: u64, shared: bool) -> Host {
         let peers = (0..hosts as u32)
             .filter(|p| *p != h as u32)
-            .map(HostNo)
+            .map(HostNumber)
             .collect();
         let seed = self.rng.random();
-        let mut fleet = Fleet::new(self.now, HostNo(h as u32), Life(life), peers, RULES, seed);
-        let sharers = (0..hosts as u32).map(HostNo).collect();
+        let mut fleet = Fleet::new(
+            self.now,
+            HostNumber(h as u32),
+            Incarnation(incarnation),
+            peers,
+            RULES,
+            seed,
+        );
+        let sharers = (0..hosts as u32).map(HostNumber).collect();
         let mut events = vec![Event::Nodes(self.nodes.clone())];
         if shared {
             events.push(Event::Volume {
@@ -100,7 +107,7 @@
         let part = if shared { 1.0 } else { 0.0 };
         let mut host = Host {
             fleet,
-            life,
+            incarnation,
             inbox: Vec::new(),
             still_until: Duration::ZERO,
             part,
@@ -168,8 +175,10 @@
                         .rng
                         .random_range(0..if self.loss > 0.0 { 400 } else { 5 }));
                     let number = self.sent * 2 + u64::from(self.rng.random::<bool>());
-                    self.way
-                        .insert((now + late, number), (to, HostNo(h as u32), bytes.clone()));
+                    self.way.insert(
+                        (now + late, number),
+                        (to, HostNumber(h as u32), bytes.clone()),
+                    );
                 }
             }
         }
@@ -200,17 +209,17 @@
 
     fn restart(&mut self, h: usize) {
         // Whatever it knew is lost; its clock may even have gone back.
-        let life = self.hosts[h].life + self.rng.random_range(0..2);
+        let incarnation = self.hosts[h].incarnation + self.rng.random_range(0..2);
         let demand = self.hosts[h].demand;
         let n = self.hosts.len();
-        let mut new = self.host(h, n, life.max(1), true);
+        let mut new = self.host(h, n, incarnation.max(1), true);
         new.demand = demand;
         self.hosts[h] = new;
     }
 }
 
 impl Host {
-    fn take(&mut self, out: Vec<Action>) -> Vec<(HostNo, Vec<u8>)> {
+    fn take(&mut self, out: Vec<Action>) -> Vec<(HostNumber, Vec<u8>)> {
         let mut words = Vec::new();
         for action in out {
             match action {
--- a/crates/host/src/desk.rs
+++ b/crates/host/src/desk.rs
@@ -27,10 +27,10 @@
 use crate::stall::Stalls;
 use grebecleat::control::Control;
 use grebecleat::interface::*;
-use grebecleat_membership::life::{Answers, Heard};
-use grebecleat_plans::follow::Start;
+use grebecleat_membership::node_status::{Answers, Heard};
+use grebecleat_plans::follower::InitialState;
 use grebecleat_settings::{Bounds, Settings};
-use grebecleat_state::store::Keep;
+use grebecleat_state::store::Record;
 use grebecleat_wire::clock;
 use grebecleat_wire::delay::Delay;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -53,7 +53,7 @@
 /// answer that came twice is some milliseconds late, and would be taken for that attempt's. Harm: where all
 /// connections to a node have just answered, an attempt waits, or one more is dialled.
 const QUIET: Duration = Duration::from_millis(10);
-/// Of the tightest Latency objective: what a handshake may take before another is begun beside it. Two of them in turn
+/// Of the tightest latency objective: what a handshake may take before another is begun beside it. Two of them in turn
 /// are about what the decisions let an attempt be late before they doubt its node.
 const HANDSHAKE: f64 = 0.1;
 /// Bytes of figures that a watcher may leave unread.
@@ -112,7 +112,7 @@
     StateGone {
         conn: ConnId,
     },
-    /// What [`Output::Keep`] asked for is on the disk, or why not.
+    /// What [`Output::Record`] asked for is on the disk, or why not.
     Kept {
         number: u64,
         done: Result<(), String>,
@@ -155,9 +155,9 @@
     DialState {
         conn: ConnId,
     },
-    Keep {
+    Record {
         number: u64,
-        keeps: Vec<Keep>,
+        records: Vec<Record>,
     },
     Tell {
         to: Option<PeerId>,
@@ -324,16 +324,18 @@
     plans: &Following,
     s: &Settings,
     volume: VolumeId,
-) -> BTreeSet<grebecleat_fleet::HostNo> {
+) -> BTreeSet<grebecleat_fleet::HostNumber> {
     let names = plans
-        .follow()
+        .follower()
         .and_then(|f| f.catalog().volume(volume.0))
         .map(|v| v.hosts.clone());
     let place = |name: &grebecleat_plans::changes::Name| {
         s.hosts.iter().position(|h| h.name.as_str() == &**name)
     };
     let places = names.iter().flat_map(|n| n.iter()).filter_map(place);
-    places.map(|h| grebecleat_fleet::HostNo(h as u32)).collect()
+    places
+        .map(|h| grebecleat_fleet::HostNumber(h as u32))
+        .collect()
 }
 
 fn request_id(id: &[u8]) -> Option<RequestId> {
@@ -434,7 +436,7 @@
     }
 
     /// Follows a state service, from what was last kept of it.
-    pub fn following(mut self, host: &str, start: Start) -> Self {
+    pub fn following(mut self, host: &str, start: InitialState) -> Self {
         self.plans = Following::of(&self.settings, host, start, self.seed);
         // What it kept of drains counts from the first list on.
         self.drained = self.plans.drained().into_iter().map(NodeId).collect();
@@ -480,8 +482,8 @@
     }
 
     /// What it follows of a state service. Panics where there is none.
-    pub fn plans(&self) -> &grebecleat_plans::follow::Follow {
-        self.plans.follow().expect("it follows a state service")
+    pub fn plans(&self) -> &grebecleat_plans::follower::Follower {
+        self.plans.follower().expect("it follows a state service")
     }
 
     /// The decisions, for people to look at.
@@ -901,7 +903,7 @@
         for o in out {
             self.out.push(match o {
                 Out::Dial { conn } => Output::DialState { conn },
-                Out::Keep { number, keeps } => Output::Keep { number, keeps },
+                Out::Record { number, records } => Output::Record { number, records },
                 Out::Note { text } => Output::Note { text },
             });
         }
@@ -1959,7 +1961,7 @@
 
     /// Tells the state service what has changed of how this host sees nodes.
     fn tell_sights(&mut self) {
-        let Some(follows) = self.plans.follow().map(|f| f.catalog().version().0) else {
+        let Some(follows) = self.plans.follower().map(|f| f.catalog().version().0) else {
             return;
         };
         if !self.plans.is_up() {
@@ -1989,7 +1991,7 @@
                 .unsure
                 .get(node)
                 .map_or(Duration::ZERO, |u| u.saturating_sub(now));
-            pb::NodeSight {
+            pb::NodeObservation {
                 node: node.0,
                 listed: match k.state {
                     NodeState::Ready => pb::NodeState::Ready,
@@ -2021,7 +2023,8 @@
         });
         let nodes = self.sights.news(rows.collect::<Vec<_>>());
         if !nodes.is_empty() {
-            self.plans.put(Body::Sighted(pb::Sighted { nodes }));
+            self.plans
+                .put(Body::NodeObservations(pb::NodeObservations { nodes }));
         }
     }
 
@@ -2032,7 +2035,7 @@
         }
         self.figures_at = self.now + figures::EVERY;
         let c = self.counts;
-        let head = pb::Figures {
+        let head = pb::HostMetrics {
             host: self
                 .settings
                 .hosts
@@ -2047,10 +2050,10 @@
             abandoned: c.abandoned,
             stalls: c.stalls,
             draining: self.draining.is_some(),
-            leased: self.plans.follow().is_some_and(|f| f.leased()),
-            follows: self.plans.follow().map_or(0, |f| f.catalog().version().0),
+            leased: self.plans.follower().is_some_and(|f| f.leased()),
+            follows: self.plans.follower().map_or(0, |f| f.catalog().version().0),
             longest_us: clock::micros(self.longest),
-            ..pb::Figures::default()
+            ..pb::HostMetrics::default()
         };
         let head = self
             .sharing
@@ -2068,7 +2071,7 @@
             .into_iter()
             .for_each(|conn| self.throw_out(conn, "a watcher leaves its figures unread"));
         for outbox in self.watchers.values() {
-            outbox.put(frame(Body::Figures(Box::new(figures.clone()))));
+            outbox.put(frame(Body::HostMetrics(Box::new(figures.clone()))));
         }
     }
 
--- a/crates/host/src/figures.rs
+++ b/crates/host/src/figures.rs
@@ -29,7 +29,7 @@
 pub struct Service {
     counts: HashMap<Key, (f64, f64, f64)>,
     done: HashMap<NodeId, f64>,
-    told: BTreeMap<NodeId, pb::NodeFigure>,
+    told: BTreeMap<NodeId, pb::NodeMetrics>,
 }
 
 impl Service {
@@ -64,14 +64,14 @@
         now: Duration,
         control: &Control,
         starts: impl Fn(NodeId) -> u64,
-        head: pb::Figures,
-    ) -> pb::Figures {
+        head: pb::HostMetrics,
+    ) -> pb::HostMetrics {
         let mut done = std::mem::take(&mut self.done);
         let mut nodes = Vec::new();
         for f in control.nodes() {
             let units = done.remove(&f.node).unwrap_or_default();
             let row = node_pb(&f, now, starts(f.node), units);
-            let still = |r: &pb::NodeFigure| pb::NodeFigure {
+            let still = |r: &pb::NodeMetrics| pb::NodeMetrics {
                 heard_us: None,
                 up_us: None,
                 ..*r
@@ -93,7 +93,7 @@
         let service = std::mem::take(&mut self.counts).into_iter();
         let service =
             service.map(
-                |((second, volume, shard), (asked, timely, late))| pb::ServiceFigure {
+                |((second, volume, shard), (asked, timely, late))| pb::ServiceMetrics {
                     second,
                     volume,
                     shard,
@@ -103,9 +103,9 @@
                 },
             );
         let service = service.collect();
-        pb::Figures {
+        pb::HostMetrics {
             nodes,
-            held,
+            queued: held,
             service,
             at_us: micros(now),
             ..head
@@ -122,14 +122,14 @@
     (x * scale).round() / scale
 }
 
-fn node_pb(f: &NodeFigures, now: Duration, start: u64, done: f64) -> pb::NodeFigure {
+fn node_pb(f: &NodeFigures, now: Duration, start: u64, done: f64) -> pb::NodeMetrics {
     let state = match f.state {
         NodeState::Ready => pb::NodeState::Ready,
         NodeState::Draining => pb::NodeState::Draining,
         NodeState::Gone => pb::NodeState::Gone,
     };
     let since = |at: Duration| micros(now.saturating_sub(at));
-    pb::NodeFigure {
+    pb::NodeMetrics {
         node: f.node.0,
         state: state.into(),
         start,
@@ -148,7 +148,7 @@
     }
 }
 
-fn held_pb(h: &HeldFigures, now: Duration) -> pb::HeldFigure {
+fn held_pb(h: &HeldFigures, now: Duration) -> pb::QueueMetrics {
     let block_reason = match h.rejection {
         BlockReason::RetryDelay => pb::BlockReason::RetryDelay,
         BlockReason::KeyOrder => pb::BlockReason::KeyOrder,
@@ -161,7 +161,7 @@
         BlockReason::Concurrency => pb::BlockReason::Concurrency,
         BlockReason::NoCapacity => pb::BlockReason::NoCapacity,
     };
-    pb::HeldFigure {
+    pb::QueueMetrics {
         volume: h.volume.0,
         node: h.node.map(|n| n.0),
         block_reason: block_reason.into(),
--- a/crates/host/src/following.rs
+++ b/crates/host/src/following.rs
@@ -2,7 +2,7 @@
 //!
 //! Called by the desk: what came on the connection and from the disk goes in, and `step` answers what the
 //! sockets, the disk and the decisions are to be told. What is followed, kept and believed is decided in
-//! [`grebecleat_plans::follow`]; here is only when to dial again, and the putting together of answers that
+//! [`grebecleat_plans::follower`]; here is only when to dial again, and the putting together of answers that
 //! come in parts. A host without a state service serves what its settings say, for good.
 //!
 //! Memory: the catalog of volumes that work through this host, and one answer being put together, of at most
@@ -12,11 +12,11 @@
 use crate::outbox::Outbox;
 use grebecleat::interface::{Event, LimitQuota, Plan, PlanId, VolumeId, VolumeTerms};
 use grebecleat_plans::changes::{self, Name, Version};
-use grebecleat_plans::follow::{self, Action, Came, Follow, Start};
-use grebecleat_plans::source::{Call, Era};
+use grebecleat_plans::follower::{self, Action, Follower, InitialState, Update};
+use grebecleat_plans::leader::{CallId, Epoch};
 use grebecleat_settings::Settings;
-use grebecleat_state::codec::{changes_of, entry_of};
-use grebecleat_state::store::Keep;
+use grebecleat_state::codec::{changes_from_proto, revision_from_proto};
+use grebecleat_state::store::Record;
 use grebecleat_wire::pb::{self, frame::Body};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -50,21 +50,21 @@
 #[derive(Debug)]
 pub enum Out {
     Dial { conn: ConnId },
-    Keep { number: u64, keeps: Vec<Keep> },
+    Record { number: u64, records: Vec<Record> },
     Note { text: String },
 }
 
 pub struct Following {
     /// None: the settings alone count.
-    follow: Option<Follow>,
-    heard: Vec<follow::Event>,
+    follower: Option<Follower>,
+    heard: Vec<follower::Event>,
     conn: Option<ConnId>,
     outbox: Option<Arc<Outbox>>,
     dialled: Duration,
     dial_at: Duration,
     tries: u32,
     /// An answer that has begun to come: its state and entries so far.
-    part: Option<pb::Feed>,
+    part: Option<pb::ConfigUpdate>,
     rng: Pcg64Mcg,
     plans: HashMap<Name, PlanId>,
     /// By plan, units a second.
@@ -87,7 +87,7 @@
             .iter()
             .map(|v| (VolumeId(v.id), (PlanId(v.plan), v.hosts.len(), true)));
         Following {
-            follow: None,
+            follower: None,
             heard: Vec::new(),
             conn: None,
             outbox: None,
@@ -104,11 +104,15 @@
     }
 
     /// What a state service says, and was last known to say.
-    pub fn of(s: &Settings, host: &str, start: Start, seed: u64) -> Self {
-        let follow = Some(Follow::new(host.into(), start, s.bounds.max_dispatch_delay));
+    pub fn of(s: &Settings, host: &str, start: InitialState, seed: u64) -> Self {
+        let follower = Some(Follower::new(
+            host.into(),
+            start,
+            s.bounds.max_dispatch_delay,
+        ));
         let (rng, volumes) = (Pcg64Mcg::seed_from_u64(seed), HashMap::new());
         Following {
-            follow,
+            follower,
             rng,
             volumes,
             ..Following::declared(s)
@@ -116,7 +120,7 @@
     }
 
     pub fn standing(&self, volume: VolumeId) -> Standing {
-        match (self.volumes.get(&volume), &self.follow) {
+        match (self.volumes.get(&volume), &self.follower) {
             (Some((plan, hosts, true)), _) => Standing::Here {
                 plan: *plan,
                 hosts: *hosts,
@@ -133,17 +137,17 @@
     }
 
     pub fn is_on(&self) -> bool {
-        self.follow.is_some()
+        self.follower.is_some()
     }
 
-    pub fn follow(&self) -> Option<&Follow> {
-        self.follow.as_ref()
+    pub fn follower(&self) -> Option<&Follower> {
+        self.follower.as_ref()
     }
 
     /// Nodes that somebody wants empty, by all that was followed.
     pub fn drained(&self) -> Vec<u32> {
-        let follow = self.follow.iter();
-        follow
+        let follower = self.follower.iter();
+        follower
             .flat_map(|f| f.catalog().drains())
             .filter(|(_, d)| d.holds())
             .map(|(node, _)| node)
@@ -153,7 +157,7 @@
     /// Whether they may be others since this was last asked.
     pub fn drains_changed(&mut self) -> bool {
         let version = self
-            .follow
+            .follower
             .as_ref()
             .map_or(Version(0), |f| f.catalog().version());
         std::mem::replace(&mut self.drains_of, version) != version
@@ -178,7 +182,7 @@
             return outbox.close();
         }
         (self.outbox, self.tries) = (Some(outbox), 0);
-        self.heard.push(follow::Event::Up);
+        self.heard.push(follower::Event::Up);
     }
 
     pub fn gone(&mut self, conn: ConnId, now: Duration) {
@@ -193,13 +197,13 @@
         // All hosts lose a service that ends at one moment, and must not all come back at one.
         self.dial_at = now + wait.mul_f64(0.5 + self.rng.random::<f64>());
         self.tries += 1;
-        self.heard.push(follow::Event::Down);
+        self.heard.push(follower::Event::Down);
     }
 
     pub fn kept(&mut self, number: u64, done: Result<(), String>) {
         self.heard.push(match done {
-            Ok(()) => follow::Event::Kept { number },
-            Err(why) => follow::Event::NotKept { why },
+            Ok(()) => follower::Event::Persisted { number },
+            Err(reason) => follower::Event::PersistFailed { reason },
         });
     }
 
@@ -209,13 +213,13 @@
             return Ok(());
         }
         match body {
-            Body::Feed(f) => self.feed(f)?,
-            Body::FeedBehind(b) => self
-                .heard
-                .push(follow::Event::Behind { call: Call(b.call) }),
-            Body::Refused(r) => self.heard.push(follow::Event::Refused {
-                call: Call(r.call),
-                why: r.why,
+            Body::ConfigUpdate(f) => self.feed(f)?,
+            Body::LeaderBehind(b) => self.heard.push(follower::Event::Behind {
+                call: CallId(b.call),
+            }),
+            Body::ChangeRejected(r) => self.heard.push(follower::Event::PollRejected {
+                call: CallId(r.call),
+                reason: r.reason,
             }),
             Body::GoingAway(_) => {}
             _ => return Err("the state service said what is not for it to say".into()),
@@ -223,45 +227,45 @@
         Ok(())
     }
 
-    fn feed(&mut self, f: pb::Feed) -> Result<(), String> {
+    fn feed(&mut self, f: pb::ConfigUpdate) -> Result<(), String> {
         let (more, call) = (f.more, f.call);
         let whole = match self.part.take() {
             Some(mut begun) if begun.call == call => {
                 begun.state.extend(f.state);
-                begun.entries.extend(f.entries);
+                begun.revisions.extend(f.revisions);
                 begun
             }
             _ => f,
         };
-        if whole.state.len() + whole.entries.len() > MAX_PARTS {
+        if whole.state.len() + whole.revisions.len() > MAX_PARTS {
             return Err("the state service sends more than anybody could mean".into());
         }
         if more {
             self.part = Some(whole);
             return Ok(());
         }
-        let entries = whole
-            .entries
+        let revisions = whole
+            .revisions
             .into_iter()
-            .map(entry_of)
+            .map(revision_from_proto)
             .collect::<Result<Vec<_>, _>>();
-        let entries = entries.map_err(|e| e.to_string())?;
-        let came = match whole.whole {
-            false => Came::Entries(entries),
+        let revisions = revisions.map_err(|e| e.to_string())?;
+        let came = match whole.snapshot {
+            false => Update::Entries(revisions),
             true => {
-                let state = changes_of(whole.state).map_err(|e| e.to_string())?;
-                Came::Whole {
+                let state = changes_from_proto(whole.state).map_err(|e| e.to_string())?;
+                Update::Whole {
                     at: Version(whole.at),
                     state,
-                    entries,
+                    revisions,
                 }
             }
         };
-        self.heard.push(follow::Event::Granted {
-            call: Call(call),
-            era: Era(whole.era),
+        self.heard.push(follower::Event::Granted {
+            call: CallId(call),
+            epoch: Epoch(whole.epoch),
             version: Version(whole.version),
-            settled: Version(whole.settled),
+            stable: Version(whole.stable),
             lease: Duration::from_micros(whole.lease_us),
             came,
         });
@@ -270,13 +274,13 @@
 
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&self) -> Option<Duration> {
-        let follow = self.follow.as_ref()?;
+        let follower = self.follower.as_ref()?;
         let link = match (self.conn, &self.outbox) {
             (None, _) => Some(self.dial_at),
             (Some(_), None) => Some(self.dialled + DIAL),
             _ => None,
         };
-        [follow.wake_at(), link].into_iter().flatten().min()
+        [follower.wake_at(), link].into_iter().flatten().min()
     }
 
     /// `number` gives connections their numbers.
@@ -287,7 +291,7 @@
         mut number: impl FnMut() -> u64,
     ) -> Vec<Out> {
         let mut out = Vec::new();
-        if self.follow.is_none() {
+        if self.follower.is_none() {
             return out;
         }
         if let (Some(conn), None) = (self.conn, &self.outbox) {
@@ -300,55 +304,55 @@
             (self.conn, self.dialled) = (Some(conn), now);
             out.push(Out::Dial { conn });
         }
-        let follow = self.follow.as_mut().expect("looked at above");
-        let due = follow.wake_at().is_some_and(|at| at <= now);
+        let follower = self.follower.as_mut().expect("looked at above");
+        let due = follower.wake_at().is_some_and(|at| at <= now);
         if self.heard.is_empty() && !due {
             return out;
         }
-        for action in follow.step(now, std::mem::take(&mut self.heard)) {
+        for action in follower.step(now, std::mem::take(&mut self.heard)) {
             match action {
-                Action::Ask {
+                Action::Poll {
                     call,
-                    era,
-                    has,
-                    settled,
-                    sure,
+                    epoch,
+                    applied,
+                    stable,
+                    acknowledged,
                 } => {
-                    let (has, settled, sure) = (has.0, settled.0, sure.0);
-                    let body = Body::Follow(pb::Follow {
+                    let (applied, stable, acknowledged) = (applied.0, stable.0, acknowledged.0);
+                    let body = Body::FollowRequest(pb::FollowRequest {
                         call: call.0,
-                        era: era.0,
-                        has,
-                        settled,
-                        sure,
+                        epoch: epoch.0,
+                        applied,
+                        stable,
+                        acknowledged,
                     });
                     self.put(body);
                 }
-                Action::Confirm { era, has } => {
-                    let body = Body::Confirm(pb::Confirm {
-                        era: era.0,
-                        has: has.0,
+                Action::Acknowledge { epoch, applied } => {
+                    let body = Body::Acknowledge(pb::Acknowledge {
+                        epoch: epoch.0,
+                        applied: applied.0,
                     });
                     self.put(body);
                 }
-                Action::Keep(k) => {
-                    let catalog = self.follow.as_ref().expect("looked at above").catalog();
-                    let mut keeps = vec![Keep::Era(k.era)];
-                    if k.whole {
-                        let (version, trail) =
-                            (catalog.version(), catalog.trail().cloned().collect());
-                        keeps.push(Keep::Whole {
+                Action::Persist(k) => {
+                    let catalog = self.follower.as_ref().expect("looked at above").catalog();
+                    let mut records = vec![Record::Epoch(k.epoch)];
+                    if k.snapshot {
+                        let (version, audit_log) =
+                            (catalog.version(), catalog.audit_log().cloned().collect());
+                        records.push(Record::Whole {
                             version,
                             state: catalog.state().collect(),
-                            trail,
+                            audit_log,
                         });
                     } else {
-                        keeps.extend(k.entries.into_iter().map(Keep::Entry));
+                        records.extend(k.revisions.into_iter().map(Record::Revision));
                     }
-                    keeps.push(Keep::Settled(k.settled));
-                    out.push(Out::Keep {
+                    records.push(Record::Stable(k.stable));
+                    out.push(Out::Record {
                         number: k.number,
-                        keeps,
+                        records,
                     });
                 }
                 Action::Plan { name, plan } => events.push(self.plan(name, plan)),
@@ -376,11 +380,11 @@
         Event::PlanChanged { plan: id, facts }
     }
 
-    fn volume(&mut self, volume: VolumeId, terms: Option<follow::Terms>) -> Event {
+    fn volume(&mut self, volume: VolumeId, terms: Option<follower::Terms>) -> Event {
         let Some(t) = terms.filter(|t| t.mine) else {
             // What went elsewhere is known as such; what is no more is not.
             match self
-                .follow
+                .follower
                 .as_ref()
                 .and_then(|f| f.catalog().volume(volume.0))
             {
@@ -394,7 +398,7 @@
         };
         let plan = self.plans.get(&t.plan).copied().unwrap_or(PlanId(0));
         self.volumes.insert(volume, (plan, t.hosts, true));
-        let limit = t.part.map(|p| LimitQuota {
+        let limit = t.quota.map(|p| LimitQuota {
             rate: p.rate,
             burst: p.burst,
         });
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -11,9 +11,9 @@
 use crate::listing::Listing;
 use crate::outbox::Outbox;
 use grebecleat::interface::PeerId;
-use grebecleat_plans::follow::Start;
+use grebecleat_plans::follower::InitialState;
 use grebecleat_settings::{Bounds, Settings};
-use grebecleat_state::keeper::Keeper;
+use grebecleat_state::group_commit::GroupCommit;
 use grebecleat_wire::delay::Delay;
 use grebecleat_wire::pb::{self, frame::Body};
 use grebecleat_wire::trace::Tracer;
@@ -72,8 +72,8 @@
 #[derive(Clone)]
 pub struct StateLink {
     pub address: SocketAddr,
-    pub keeper: Keeper,
-    pub start: Start,
+    pub keeper: GroupCommit,
+    pub start: InitialState,
 }
 
 impl std::fmt::Debug for StateLink {
@@ -366,12 +366,12 @@
                 Input::StateGone { conn },
             );
         }
-        Output::Keep { number, keeps } => {
+        Output::Record { number, records } => {
             let Some(link) = &shared.options.state else {
                 return false;
             };
             let to_owner = shared.to_owner.clone();
-            link.keeper.keep(keeps, move |done| {
+            link.keeper.keep(records, move |done| {
                 let done = done.map_err(|why| why.to_string());
                 let _ = to_owner.send(Input::Kept { number, done });
             });
@@ -433,11 +433,11 @@
 
 /// The old file stays whole until the new one is.
 fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
-    let beside = path.with_extension("new");
-    let mut file = File::create(&beside)?;
+    let exclusion_reason = path.with_extension("new");
+    let mut file = File::create(&exclusion_reason)?;
     file.write_all(bytes)?;
     file.sync_all()?;
-    std::fs::rename(beside, path)
+    std::fs::rename(exclusion_reason, path)
 }
 
 fn accept(listener: &TcpListener, shared: &Shared) {
--- a/crates/host/src/sharing.rs
+++ b/crates/host/src/sharing.rs
@@ -13,7 +13,7 @@
 use grebecleat_fleet::budget::Spans;
 use grebecleat_fleet::fleet::{self, Action, Fleet, Rules};
 use grebecleat_fleet::judgement::Belief;
-use grebecleat_fleet::{HostNo, Life};
+use grebecleat_fleet::{HostNumber, Incarnation};
 use grebecleat_settings::Settings;
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
@@ -57,7 +57,7 @@
         s: &Settings,
         me: usize,
         peers: &[PeerId],
-        life: u64,
+        incarnation: u64,
         seed: u64,
     ) -> Option<Sharing> {
         let spec = s.fleet.filter(|_| !peers.is_empty())?;
@@ -68,8 +68,15 @@
                 margin: spec.margin,
             },
         };
-        let peers: Vec<HostNo> = peers.iter().map(|p| HostNo(p.0)).collect();
-        let fleet = Fleet::new(now, HostNo(me as u32), Life(life), peers, rules, seed);
+        let peers: Vec<HostNumber> = peers.iter().map(|p| HostNumber(p.0)).collect();
+        let fleet = Fleet::new(
+            now,
+            HostNumber(me as u32),
+            Incarnation(incarnation),
+            peers,
+            rules,
+            seed,
+        );
         Some(Sharing {
             fleet,
             terms: BTreeMap::new(),
@@ -86,7 +93,7 @@
             self.volume(
                 VolumeId(v.id),
                 Some(terms),
-                v.hosts.iter().map(|h| HostNo(*h as u32)).collect(),
+                v.hosts.iter().map(|h| HostNumber(*h as u32)).collect(),
             );
         }
     }
@@ -96,7 +103,7 @@
         &mut self,
         volume: VolumeId,
         terms: Option<VolumeTerms>,
-        sharers: BTreeSet<HostNo>,
+        sharers: BTreeSet<HostNumber>,
     ) -> Option<VolumeTerms> {
         let Some((terms, quota)) = terms.and_then(|t| Some((t, t.limit?))) else {
             self.terms.remove(&volume);
@@ -122,7 +129,7 @@
 
     pub fn told(&mut self, from: PeerId, waited: Duration, bytes: &[u8]) {
         self.heard.push(fleet::Event::Told {
-            from: HostNo(from.0),
+            from: HostNumber(from.0),
             waited,
             bytes: bytes.to_vec(),
         });
@@ -164,52 +171,52 @@
     }
 
     /// What is shown of it.
-    pub fn figures(&self, now: Duration, s: &Settings, head: pb::Figures) -> pb::Figures {
-        let name = |h: HostNo| {
+    pub fn figures(&self, now: Duration, s: &Settings, head: pb::HostMetrics) -> pb::HostMetrics {
+        let name = |h: HostNumber| {
             s.hosts
                 .get(h.0 as usize)
                 .map_or(String::new(), |h| h.name.clone())
         };
-        let peers = self.fleet.peers(now).into_iter().map(|p| pb::PeerFigure {
+        let peers = self.fleet.peers(now).into_iter().map(|p| pb::PeerMetrics {
             host: name(p.host),
-            life: p.life.0,
+            incarnation: p.incarnation.0,
             age_us: micros(p.age),
             tried: p.tried,
             badly: p.badly,
         });
-        let parts = self.fleet.parts(now).into_iter().map(|p| pb::PartFigure {
+        let parts = self.fleet.parts(now).into_iter().map(|p| pb::QuotaMetrics {
             volume: p.volume,
             sharers: p.sharers as u32,
             part: p.part,
-            settled: p.settled,
+            base: p.settled,
             lent: p.lent,
             borrowed: p.borrowed,
         });
-        let beliefs = self
-            .fleet
-            .beliefs()
-            .into_iter()
-            .map(|(node, f, belief)| pb::BeliefFigure {
-                node,
-                belief: match belief {
-                    Belief::AsToday => pb::BeliefKind::AsToday,
-                    Belief::OwnWay => pb::BeliefKind::OwnWay,
-                    Belief::Avoid => pb::BeliefKind::Avoid,
-                    Belief::Look => pb::BeliefKind::Look,
-                }
-                .into(),
-                verdict: f.verdict.name().into(),
-                well: f.well.0 as u32,
-                well_weight: f.well.1,
-                badly: f.badly.0 as u32,
-                badly_weight: f.badly.1,
-            });
-        let (life, peers) = (self.fleet.life().0, peers.collect());
-        pb::Figures {
-            life,
+        let beliefs =
+            self.fleet
+                .beliefs()
+                .into_iter()
+                .map(|(node, f, belief)| pb::EndpointPolicyMetrics {
+                    node,
+                    policy: match belief {
+                        Belief::AsToday => pb::EndpointPolicy::AsToday,
+                        Belief::OwnWay => pb::EndpointPolicy::OwnWay,
+                        Belief::Avoid => pb::EndpointPolicy::Avoid,
+                        Belief::Look => pb::EndpointPolicy::Look,
+                    }
+                    .into(),
+                    verdict: f.verdict.name().into(),
+                    well: f.well.0 as u32,
+                    well_weight: f.well.1,
+                    badly: f.badly.0 as u32,
+                    badly_weight: f.badly.1,
+                });
+        let (incarnation, peers) = (self.fleet.incarnation().0, peers.collect());
+        pb::HostMetrics {
+            incarnation,
             peers,
-            parts: parts.collect(),
-            beliefs: beliefs.collect(),
+            quotas: parts.collect(),
+            endpoint_policies: beliefs.collect(),
             ..head
         }
     }
--- a/crates/host/src/sights.rs
+++ b/crates/host/src/sights.rs
@@ -4,13 +4,13 @@
 //! itself (ages, the time that is left to what may still run) is no news, but for its end. A new connection
 //! is told all. Memory: a row for each node of the list.
 
-use grebecleat_membership::life::Answers;
+use grebecleat_membership::node_status::Answers;
 use grebecleat_wire::pb;
 use std::collections::BTreeMap;
 
 #[derive(Debug, Default)]
 pub struct Sights {
-    told: BTreeMap<u32, pb::NodeSight>,
+    told: BTreeMap<u32, pb::NodeObservation>,
 }
 
 impl Sights {
@@ -28,11 +28,14 @@
         }
     }
 
-    pub fn news(&mut self, rows: impl IntoIterator<Item = pb::NodeSight>) -> Vec<pb::NodeSight> {
-        let still = |n: &pb::NodeSight| {
+    pub fn news(
+        &mut self,
+        rows: impl IntoIterator<Item = pb::NodeObservation>,
+    ) -> Vec<pb::NodeObservation> {
+        let still = |n: &pb::NodeObservation| {
             let over = u64::from(n.unsure_us > 0);
             // The list tells it anew with every start; attempts count only where somebody waits for them to end.
-            pb::NodeSight {
+            pb::NodeObservation {
                 up_us: None,
                 unsure_us: over,
                 ..*n
@@ -41,7 +44,7 @@
         let new = rows
             .into_iter()
             .filter(|n| self.told.get(&n.node).is_none_or(|t| still(t) != still(n)));
-        let new: Vec<pb::NodeSight> = new.collect();
+        let new: Vec<pb::NodeObservation> = new.collect();
         new.iter().for_each(|n| _ = self.told.insert(n.node, *n));
         new
     }
--- a/crates/host/src/sights/tests.rs
+++ b/crates/host/src/sights/tests.rs
@@ -2,13 +2,13 @@
 
 #[test]
 fn only_what_has_changed_is_told_and_a_new_service_is_told_all() {
-    let row = |node, attempts, unsure_us| pb::NodeSight {
+    let row = |node, attempts, unsure_us| pb::NodeObservation {
         node,
         attempts,
         unsure_us,
         ..Default::default()
     };
-    let nodes = |rows: &[pb::NodeSight]| rows.iter().map(|r| r.node).collect::<Vec<_>>();
+    let nodes = |rows: &[pb::NodeObservation]| rows.iter().map(|r| r.node).collect::<Vec<_>>();
     let mut s = Sights::default();
     assert_eq!(nodes(&s.news([row(1, 0, 0), row(2, 3, 0)])), [1, 2]);
     assert_eq!(nodes(&s.news([row(1, 0, 0), row(2, 2, 900)])), [2]);
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -5,13 +5,13 @@
 use grebecleat::interface::PeerId;
 use grebecleat_host::desk::{ConnId, Desk, Input, Output};
 use grebecleat_host::outbox::Outbox;
-use grebecleat_plans::changes::Asks;
-use grebecleat_plans::follow::{Follow, Start};
+use grebecleat_plans::changes::ChangeContext;
+use grebecleat_plans::follower::{Follower, InitialState};
 use grebecleat_settings::Settings;
-use grebecleat_state::codec::entry_pb;
-use grebecleat_state::declared::facts;
-use grebecleat_state::store::Keep;
-use grebecleat_state::words::change;
+use grebecleat_state::change_syntax::change;
+use grebecleat_state::codec::revision_to_proto;
+use grebecleat_state::declared_config::deployment;
+use grebecleat_state::store::Record;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -47,8 +47,8 @@
     /// The connection to the state service, and what is to be kept.
     pub state: Option<ConnId>,
     /// What it last asked there.
-    pub asked: Option<pb::Follow>,
-    pub keeps: Vec<(u64, Vec<Keep>)>,
+    pub asked: Option<pb::FollowRequest>,
+    pub keeps: Vec<(u64, Vec<Record>)>,
     /// Words to its peers.
     pub words: Vec<Vec<u8>>,
 }
@@ -79,18 +79,18 @@
     /// A desk that follows a state service, and has kept nothing of it.
     pub fn following(more: &str) -> Self {
         let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"));
-        let facts = facts(&settings.expect("good settings"));
+        let facts = deployment(&settings.expect("good settings"));
         Rig::started(
             more,
-            Start {
-                catalog: Follow::catalog_of(facts),
-                ..Start::default()
+            InitialState {
+                catalog: Follower::catalog_of(facts),
+                ..InitialState::default()
             },
         )
     }
 
     /// The same with what it kept of an earlier start.
-    pub fn started(more: &str, start: Start) -> Self {
+    pub fn started(more: &str, start: InitialState) -> Self {
         let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"))
             .expect("good settings");
         let mut rig = Rig::of(Desk::new(Arc::new(settings), 7).following("h", start));
@@ -140,7 +140,7 @@
                 Output::Note { text } => self.notes.push(text),
                 Output::Ended => self.ended = true,
                 Output::DialState { conn } => self.state = Some(conn),
-                Output::Keep { number, keeps } => self.keeps.push((number, keeps)),
+                Output::Record { number, records } => self.keeps.push((number, records)),
                 Output::Tell { bytes, .. } => self.words.push(bytes),
                 _ => {}
             }
@@ -197,22 +197,22 @@
     }
 
     /// What the host now asks of the state service.
-    pub fn asks(&mut self) -> pb::Follow {
+    pub fn asks(&mut self) -> pb::FollowRequest {
         self.cross(self.state.expect("dialled"));
         self.asked.take().expect("it asks")
     }
 
     /// The state service answers: these lines are one entry, and all is settled up to that one.
-    pub fn told(&mut self, words: &[&str], settled: u64) {
-        self.told_all(&[words], settled);
+    pub fn told(&mut self, words: &[&str], stable: u64) {
+        self.told_all(&[words], stable);
     }
 
     /// The same with several entries at once, each of its own lines.
-    pub fn told_all(&mut self, all: &[&[&str]], settled: u64) {
+    pub fn told_all(&mut self, all: &[&[&str]], stable: u64) {
         let ask = self.asks();
         let (conn, mut l) = (
             self.state.expect("dialled"),
-            Follow::catalog_of(facts(self.desk.settings())),
+            Follower::catalog_of(deployment(self.desk.settings())),
         );
         l = l.restored(
             self.desk.plans().catalog().version(),
@@ -226,24 +226,24 @@
                 .map(|w| change(&l, w).expect("good words"))
                 .collect();
             let entry = l
-                .propose(l.version(), Asks::default(), changes)
+                .propose(l.version(), ChangeContext::default(), changes)
                 .expect("in order");
-            l.take(entry.clone()).expect("the next");
-            entries.push(entry_pb(&entry));
+            l.apply(entry.clone()).expect("the next");
+            entries.push(revision_to_proto(&entry));
         }
-        let (era, call, lease_us, version) = (1, ask.call, 3_000_000, l.version().0);
-        let feed = pb::Feed {
+        let (epoch, call, lease_us, version) = (1, ask.call, 3_000_000, l.version().0);
+        let feed = pb::ConfigUpdate {
             call,
-            era,
+            epoch,
             version,
-            settled,
+            stable,
             lease_us,
-            entries,
+            revisions: entries,
             ..Default::default()
         };
         let frames = vec![pb::Frame {
             sent_us: 0,
-            body: Some(Body::Feed(feed)),
+            body: Some(Body::ConfigUpdate(feed)),
         }];
         self.feed(vec![Input::StateFrames { conn, frames }]);
         for (number, _) in std::mem::take(&mut self.keeps) {
@@ -268,7 +268,7 @@
         self.boxes[&conn].wrote();
         let told: Vec<Body> = pulled.frames.into_iter().filter_map(|f| f.body).collect();
         let follow = |b: &Body| {
-            if let Body::Follow(f) = b {
+            if let Body::FollowRequest(f) = b {
                 Some(*f)
             } else {
                 None
--- a/crates/host/tests/following.rs
+++ b/crates/host/tests/following.rs
@@ -5,9 +5,9 @@
 use common::{ms, Rig};
 use grebecleat_host::desk::Input;
 use grebecleat_plans::changes::Version;
-use grebecleat_plans::follow::{Follow, Start};
-use grebecleat_plans::source::Era;
-use grebecleat_state::declared::facts;
+use grebecleat_plans::follower::{Follower, InitialState};
+use grebecleat_plans::leader::Epoch;
+use grebecleat_state::declared_config::deployment;
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 
 const VOLUME: &str = "volume 5 plan=p hosts=h cells=1 blocks=64";
@@ -167,8 +167,8 @@
     );
     // The same connection, now with an answer that says that all of them are over.
     r.told(&["plan other rate=1"], 41);
-    let settled = attempts(&mut r, 2000);
-    assert!(settled >= 30, "{settled}");
+    let stable = attempts(&mut r, 2000);
+    assert!(stable >= 30, "{stable}");
 }
 
 /// A drain that somebody asks for: nothing new crosses, what lies in a send buffer does not, and the service
@@ -210,7 +210,7 @@
         r.wait(ms(60));
         let told = r.cross(r.state.unwrap()).into_iter();
         let told = told.filter_map(|b| {
-            if let Body::Sighted(s) = b {
+            if let Body::NodeObservations(s) = b {
                 Some(s.nodes)
             } else {
                 None
@@ -246,15 +246,15 @@
         1,
     );
     let catalog = r.desk.plans().catalog();
-    let kept = Follow::catalog_of(facts(r.desk.settings())).restored(
+    let kept = Follower::catalog_of(deployment(r.desk.settings())).restored(
         catalog.version(),
         catalog.state(),
         vec![],
     );
-    let start = Start {
+    let start = InitialState {
         catalog: kept,
-        settled: Version(1),
-        era: Era(1),
+        stable: Version(1),
+        epoch: Epoch(1),
     };
     let mut r = Rig::started("", start);
     r.take(1, 0);
@@ -270,21 +270,21 @@
     let mut r = Rig::following("");
     r.told(&["plan p rate=1000 reservation=1000", VOLUME], 1);
     let (ask, conn) = (r.asks(), r.state.unwrap());
-    let entry = pb::ChangeEntry {
+    let entry = pb::Revision {
         version: 2,
         from: 9,
         ..Default::default()
     };
-    let feed = pb::Feed {
+    let feed = pb::ConfigUpdate {
         call: ask.call,
-        era: 1,
+        epoch: 1,
         version: 2,
-        entries: vec![entry],
+        revisions: vec![entry],
         ..Default::default()
     };
     let frames = vec![pb::Frame {
         sent_us: 0,
-        body: Some(Body::Feed(feed)),
+        body: Some(Body::ConfigUpdate(feed)),
     }];
     r.feed(vec![Input::StateFrames { conn, frames }]);
     assert!(
@@ -307,7 +307,7 @@
     let mut r = Rig::following("");
     let (ask, conn) = (r.asks(), r.state.unwrap());
     let subject = |id| Some(pb::change::Subject::Volume(id));
-    let facts = pb::VolumeFacts {
+    let facts = pb::VolumeConfig {
         plan: "p".into(),
         hosts: vec!["h".into()],
         shards: vec![1],
@@ -319,21 +319,21 @@
     };
     let plan = pb::Change {
         subject: Some(pb::change::Subject::Plan("p".into())),
-        to: Some(pb::change::To::PlanTo(pb::PlanFigures {
+        to: Some(pb::change::To::PlanTo(pb::PlanConfig {
             rate: 9.0,
             reservation: 9.0,
             ..Default::default()
         })),
     };
     let part = |state: Vec<pb::Change>, more| {
-        let (call, era, version, settled, lease_us) = (ask.call, 3, 7, 7, 1_000_000);
-        let feed = pb::Feed {
+        let (call, epoch, version, stable, lease_us) = (ask.call, 3, 7, 7, 1_000_000);
+        let feed = pb::ConfigUpdate {
             call,
-            era,
+            epoch,
             version,
-            settled,
+            stable,
             lease_us,
-            whole: true,
+            snapshot: true,
             at: 7,
             state,
             more,
@@ -341,7 +341,7 @@
         };
         vec![pb::Frame {
             sent_us: 0,
-            body: Some(Body::Feed(feed)),
+            body: Some(Body::ConfigUpdate(feed)),
         }]
     };
     r.feed(vec![Input::StateFrames {
--- a/crates/host/tests/sharing.rs
+++ b/crates/host/tests/sharing.rs
@@ -6,7 +6,7 @@
 use grebecleat::interface::PeerId;
 use grebecleat_fleet::budget::Spans;
 use grebecleat_fleet::fleet::{Action, Event, Fleet, Rules};
-use grebecleat_fleet::{HostNo, Life};
+use grebecleat_fleet::{HostNumber, Incarnation};
 use grebecleat_host::desk::{ConnId, Input};
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::BTreeSet;
@@ -39,8 +39,15 @@
             },
         };
         let rig = Rig::sharing(MORE);
-        let peer = Fleet::new(rig.now, HostNo(1), Life(1), vec![HostNo(0)], rules, 1);
-        let sharers = [HostNo(0), HostNo(1)].into();
+        let peer = Fleet::new(
+            rig.now,
+            HostNumber(1),
+            Incarnation(1),
+            vec![HostNumber(0)],
+            rules,
+            1,
+        );
+        let sharers = [HostNumber(0), HostNumber(1)].into();
         let to_peer = vec![Event::Volume {
             volume: 6,
             sharers,
@@ -74,7 +81,7 @@
         self.rig.finals();
         let heard = std::mem::take(&mut self.rig.words).into_iter();
         let heard = heard.map(|bytes| Event::Told {
-            from: HostNo(0),
+            from: HostNumber(0),
             waited: ms(0),
             bytes,
         });
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -272,7 +272,7 @@
     let hello = Body::Hello(hello(pb::Role::Node, "node-2", 1));
     for body in [
         hello,
-        Body::Announce(pb::Announce {
+        Body::AnnounceEndpoint(pb::AnnounceEndpoint {
             endpoint: Some(entry),
         }),
     ] {
--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -30,10 +30,10 @@
 //!
 //! Without input or output. Memory: a few words for each node and host, and for each node that is known.
 
-use crate::life::{life, Answers, Life, Reading, Said, Wins, Word};
-use grebecleat_plans::admission::{beside, Beside};
+use crate::node_status::{node_status, Answers, ListedState, NodeStatus, Reading, Said, Wins};
+use grebecleat_plans::admission::{exclusion_reason, ExclusionReason};
 use grebecleat_plans::changes::{Drain, Name, Stage, Version};
-use grebecleat_plans::feed::HostNo;
+use grebecleat_plans::feed::HostNumber;
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
@@ -47,7 +47,7 @@
 /// What one host sees of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Sight {
-    pub word: Word,
+    pub word: ListedState,
     pub start: u64,
     /// Since the process started; None: long ago.
     pub age: Option<Duration>,
@@ -68,7 +68,7 @@
     /// A node of the catalog, as it is kept; None: it is no more.
     Node {
         node: u32,
-        to: Option<Facts>,
+        to: Option<NodeFacts>,
     },
     /// A drain, as it is kept.
     Drain {
@@ -77,43 +77,43 @@
         version: Version,
     },
     /// The catalog is kept up to there.
-    Kept {
+    Persisted {
         version: Version,
     },
     /// What that host has said to have, with nothing older crossing; None: it was never heard of.
-    Sure {
-        host: HostNo,
+    Acknowledged {
+        host: HostNumber,
         version: Option<Version>,
     },
     /// Somebody answers for it that this host sends nothing, until it is heard of again.
-    Gone {
-        host: HostNo,
+    HostRemoved {
+        host: HostNumber,
     },
     /// There is a way to that host, and which start of its process that is; or none any more.
     Up {
-        host: HostNo,
+        host: HostNumber,
         process: u64,
     },
     Lost {
-        host: HostNo,
+        host: HostNumber,
     },
     Seen {
-        host: HostNo,
+        host: HostNumber,
         node: u32,
         sight: Sight,
     },
     /// What came of a proposal.
-    Landed {
+    Committed {
         ask: Ask,
     },
-    Refused {
+    Rejected {
         ask: Ask,
-        why: String,
+        reason: String,
     },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
-pub struct Facts {
+pub struct NodeFacts {
     pub name: Name,
     pub zone: Name,
     pub shard: u32,
@@ -129,11 +129,14 @@
         ask: Ask,
         node: u32,
         to: Option<Drain>,
-        looked_at: Version,
-        why: String,
+        base_version: Version,
+        reason: String,
     },
     /// To admission.
-    Unfit { node: u32, how: Option<Beside> },
+    Unfit {
+        node: u32,
+        how: Option<ExclusionReason>,
+    },
     /// For people: what has become of a node.
     Note { node: u32, text: String },
 }
@@ -159,21 +162,21 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Node {
-    facts: Facts,
+    facts: NodeFacts,
     known: bool,
-    seen: BTreeMap<HostNo, Seen>,
+    seen: BTreeMap<HostNumber, Seen>,
     wish: Option<Wish>,
-    life: Life,
+    node_status: NodeStatus,
     wins: Wins,
     /// What admission was told.
-    unfit: Option<Beside>,
+    unfit: Option<ExclusionReason>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Wish {
     stage: Stage,
     within: Duration,
-    who: Name,
+    author: Name,
     asked: Duration,
     since: Duration,
     version: Version,
@@ -192,11 +195,11 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
     Waits {
-        why: String,
+        reason: String,
     },
     /// These hosts have not said that they know of it; and whether they can be heard at all.
     Telling {
-        hosts: Vec<(HostNo, bool)>,
+        hosts: Vec<(HostNumber, bool)>,
     },
     /// Attempts that are out, of the most that were, and for how long at the least what is out may run.
     Quiescing {
@@ -206,27 +209,27 @@
     },
     /// Nothing is under way. What speaks against taking it out all the same.
     Empty {
-        against: Vec<String>,
+        objections: Vec<String>,
     },
     Out,
 }
 
 /// A node, for whoever shows it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Shown<'a> {
+pub struct NodeView<'a> {
     pub node: u32,
-    pub facts: &'a Facts,
-    pub life: Life,
+    pub facts: &'a NodeFacts,
+    pub node_status: NodeStatus,
     pub wins: Wins,
     pub reading: Reading,
     /// Since its process started; None: long, or not known.
     pub up: Option<Duration>,
-    pub drain: Option<ShownDrain<'a>>,
+    pub drain: Option<DrainView<'a>>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub struct ShownDrain<'a> {
-    pub who: &'a str,
+pub struct DrainView<'a> {
+    pub author: &'a str,
     pub asked: Duration,
     pub since: Duration,
     /// Until it is given up.
@@ -243,7 +246,7 @@
     now: Duration,
     wall: Duration,
     version: Version,
-    hosts: BTreeMap<HostNo, Host>,
+    hosts: BTreeMap<HostNumber, Host>,
     nodes: BTreeMap<u32, Node>,
     next: u64,
     dirty: BTreeSet<u32>,
@@ -281,7 +284,7 @@
         now: Duration,
         warm_up_time: Duration,
         longest: Duration,
-        hosts: impl IntoIterator<Item = HostNo>,
+        hosts: impl IntoIterator<Item = HostNumber>,
     ) -> Self {
         // What hosts had out before this process was there, they may have lost since, and not know of any
         // more.
@@ -333,15 +336,15 @@
             .reading(n)
             .and_then(|r| r.started)
             .map(|s| s + self.warm_up_time);
-        let warm = warm.filter(|_| n.life == Life::Warming);
+        let warm = warm.filter(|_| n.node_status == NodeStatus::Warming);
         let Some(w) = &n.wish else { return warm };
-        let quiet = (w.stage == Stage::Going)
+        let quiet = (w.stage == Stage::Draining)
             .then(|| self.quiet_at(node))
             .flatten();
         let again = (w.stage == Stage::Queued && w.asking.is_none()).then_some(w.again);
         let until = w
             .until
-            .filter(|_| w.stage == Stage::Going && w.asking.is_none());
+            .filter(|_| w.stage == Stage::Draining && w.asking.is_none());
         [warm, quiet, again, until].into_iter().flatten().min()
     }
 
@@ -355,14 +358,14 @@
                 self.stirred = true;
             }
             Event::Drain { node, to, version } => self.wished(node, to, version, out),
-            Event::Kept { version } => self.version = self.version.max(version),
-            Event::Sure { host, version } => {
+            Event::Persisted { version } => self.version = self.version.max(version),
+            Event::Acknowledged { host, version } => {
                 let h = self.hosts.entry(host).or_default();
                 // Whoever is heard of is not gone, whatever was said before.
                 h.gone &= h.sure == version;
                 h.sure = version;
             }
-            Event::Gone { host } => self.hosts.entry(host).or_default().gone = true,
+            Event::HostRemoved { host } => self.hosts.entry(host).or_default().gone = true,
             Event::Up { host, process } => {
                 let over = self.now + self.longest * 2;
                 let h = self.hosts.entry(host).or_default();
@@ -391,8 +394,8 @@
                 });
             }
             Event::Seen { host, node, sight } => self.see(host, node, sight),
-            Event::Landed { ask } => self.asked(ask, String::new()),
-            Event::Refused { ask, why } => self.asked(ask, why),
+            Event::Committed { ask } => self.asked(ask, String::new()),
+            Event::Rejected { ask, reason } => self.asked(ask, reason),
         }
     }
 
@@ -420,17 +423,17 @@
         let until = since.or_else(|| (!d.within.is_zero()).then(|| now + (d.within - spent)));
         if !went {
             let text = match d.stage {
-                Stage::Queued => format!("{} wants it empty, in its turn", d.who),
-                Stage::Going => format!("drains, as {} wants", d.who),
-                Stage::Empty => "empty: nothing that was sent to it is under way".into(),
-                Stage::Out => "taken out".into(),
+                Stage::Queued => format!("{} wants it empty, in its turn", d.author),
+                Stage::Draining => format!("drains, as {} wants", d.author),
+                Stage::Drained => "empty: nothing that was sent to it is under way".into(),
+                Stage::Removed => "taken out".into(),
             };
             out.push(Action::Note { node, text });
         }
         n.wish = Some(Wish {
             stage: d.stage,
             within: d.within,
-            who: d.who,
+            author: d.author,
             asked: d.asked,
             since: d.since,
             version,
@@ -443,7 +446,7 @@
         });
     }
 
-    fn see(&mut self, host: HostNo, node: u32, sight: Sight) {
+    fn see(&mut self, host: HostNumber, node: u32, sight: Sight) {
         let (now, n) = (self.now, self.nodes.entry(node).or_default());
         let before = n.seen.get(&host).filter(|s| s.sight.start == sight.start);
         // One start has one moment, or each look would seem a start of its own.
@@ -457,13 +460,13 @@
                 started,
             },
         );
-        if let Some(w) = n.wish.as_mut().filter(|w| w.stage == Stage::Going) {
+        if let Some(w) = n.wish.as_mut().filter(|w| w.stage == Stage::Draining) {
             w.most = w.most.max(n.seen.values().map(|s| s.sight.attempts).sum());
         }
         self.dirty.insert(node);
     }
 
-    fn asked(&mut self, ask: Ask, why: String) {
+    fn asked(&mut self, ask: Ask, reason: String) {
         let (now, of) = (self.now, |n: &&mut Node| {
             n.wish.as_ref().is_some_and(|w| is(w, ask))
         });
@@ -476,7 +479,7 @@
         let w = n.wish.as_mut().expect("looked at above");
         // Landed: what it changed comes as the catalog's own word.
         w.asking = None;
-        (w.waits, w.again) = (why, now + AGAIN);
+        (w.waits, w.again) = (reason, now + AGAIN);
     }
 
     /// The list's word on a node that is to be believed.
@@ -499,7 +502,7 @@
             .seen
             .values()
             .map(reading)
-            .filter(|r| r.word != Word::Never);
+            .filter(|r| r.word != ListedState::Never);
         told.reduce(|a, b| if b.beats(&a) { b } else { a })
     }
 
@@ -517,7 +520,7 @@
             Answers::Bad => 1,
             Answers::Good => 2,
         });
-        let out = n.wish.as_ref().filter(|w| w.stage == Stage::Out);
+        let out = n.wish.as_ref().filter(|w| w.stage == Stage::Removed);
         // By the wall clock, which both the catalog's times and, through it, ages are put on.
         let began = r
             .started
@@ -535,18 +538,18 @@
 
     fn settle_life(&mut self, node: u32, out: &mut Vec<Action>) {
         let n = &self.nodes[&node];
-        let (is, wins) = life(&self.said(n));
-        let (was, known) = (n.life, n.known);
+        let (is, wins) = node_status(&self.said(n));
+        let (was, known) = (n.node_status, n.known);
         let how = match is {
             _ if !known => None,
-            Life::Warming => Some(Beside::Cold),
-            Life::Suspect => Some(Beside::Suspect),
+            NodeStatus::Warming => Some(ExclusionReason::Cold),
+            NodeStatus::Suspect => Some(ExclusionReason::Suspect),
             // Who drains is told to admission by the catalog itself.
-            Life::Out if !self.holds(node) => Some(Beside::Gone),
+            NodeStatus::Out if !self.holds(node) => Some(ExclusionReason::Removed),
             _ => None,
         };
         let n = self.nodes.get_mut(&node).expect("looked up above");
-        (n.life, n.wins) = (is, wins);
+        (n.node_status, n.wins) = (is, wins);
         if n.unfit != how {
             n.unfit = how;
             self.stirred = true;
@@ -561,7 +564,7 @@
     }
 
     /// Hosts that might still send to a node whose drain has that version, and whether they can be heard.
-    fn untold(&self, version: Version) -> Vec<(HostNo, bool)> {
+    fn untold(&self, version: Version) -> Vec<(HostNumber, bool)> {
         let may = |h: &Host| !h.gone && h.sure.is_some_and(|sure| sure < version);
         self.hosts
             .iter()
@@ -596,20 +599,20 @@
     }
 
     /// Other nodes of its zone that keep a drain from going, as far as is known here.
-    fn coincides(&self, node: u32) -> Vec<(u32, Beside)> {
+    fn coincides(&self, node: u32) -> Vec<(u32, ExclusionReason)> {
         let zone = |n: u32| self.nodes.get(&n).map(|n| n.facts.zone.clone());
         let others = self.nodes.iter().filter_map(|(id, n)| {
             let drains = n.wish.as_ref().is_some_and(|w| w.stage != Stage::Queued);
             Some((
                 *id,
                 if drains {
-                    Some(Beside::Drains)
+                    Some(ExclusionReason::Drains)
                 } else {
                     n.unfit
                 }?,
             ))
         });
-        beside(node, zone, others)
+        exclusion_reason(node, zone, others)
     }
 
     /// Whether one that waits in the same zone asked before it.
@@ -653,13 +656,13 @@
                     (w.waits, w.again) = (waits, self.now + AGAIN);
                     return None;
                 }
-                due.then(|| (Some(Stage::Going), "its turn has come".into()))
+                due.then(|| (Some(Stage::Draining), "its turn has come".into()))
             }
-            Stage::Going => {
+            Stage::Draining => {
                 let told = self.untold(w.version).is_empty();
                 if told && self.quiet_at(node).is_some_and(|at| at <= self.now) {
                     return Some((
-                        Some(Stage::Empty),
+                        Some(Stage::Drained),
                         "nothing is under way at any host".into(),
                     ));
                 }
@@ -671,11 +674,11 @@
                     )
                 })
             }
-            Stage::Empty => {
-                let gone = self.reading(n).is_some_and(|r| r.word == Word::Gone);
-                gone.then(|| (Some(Stage::Out), "the list says that it is gone".into()))
+            Stage::Drained => {
+                let gone = self.reading(n).is_some_and(|r| r.word == ListedState::Gone);
+                gone.then(|| (Some(Stage::Removed), "the list says that it is gone".into()))
             }
-            Stage::Out => None,
+            Stage::Removed => None,
         }
     }
 
@@ -688,11 +691,11 @@
             .map(|(id, _)| *id)
             .collect();
         for node in wished {
-            let Some((to, why)) = self.wanted(node) else {
+            let Some((to, reason)) = self.wanted(node) else {
                 continue;
             };
             self.next += 1;
-            let (ask, looked_at) = (Ask(self.next), self.version);
+            let (ask, base_version) = (Ask(self.next), self.version);
             let w = self
                 .nodes
                 .get_mut(&node)
@@ -702,7 +705,7 @@
             let drain = to.map(|stage| Drain {
                 stage,
                 within: w.within,
-                who: w.who.clone(),
+                author: w.author.clone(),
                 asked: w.asked,
                 since: w.since,
             });
@@ -710,8 +713,8 @@
                 ask,
                 node,
                 to: drain,
-                looked_at,
-                why,
+                base_version,
+                reason,
             });
         }
         self.stirred = false;
@@ -723,13 +726,15 @@
         wish.is_some_and(|w| w.stage != Stage::Queued)
     }
 
-    pub fn life(&self, node: u32) -> Life {
-        self.nodes.get(&node).map_or(Life::Unknown, |n| n.life)
+    pub fn node_status(&self, node: u32) -> NodeStatus {
+        self.nodes
+            .get(&node)
+            .map_or(NodeStatus::Unknown, |n| n.node_status)
     }
 
     /// `missing`: reserves that cannot be met as it is, units a second, for what speaks against taking one
     /// out.
-    pub fn shown(&self, missing: f64) -> impl Iterator<Item = Shown<'_>> + '_ {
+    pub fn shown(&self, missing: f64) -> impl Iterator<Item = NodeView<'_>> + '_ {
         self.nodes
             .iter()
             .filter(|(_, n)| n.known)
@@ -737,21 +742,21 @@
     }
 
     /// One of them.
-    pub fn show_one(&self, node: u32, missing: f64) -> Option<Shown<'_>> {
+    pub fn show_one(&self, node: u32, missing: f64) -> Option<NodeView<'_>> {
         self.nodes
             .get(&node)
             .filter(|n| n.known)
             .map(|n| self.show(node, n, missing))
     }
 
-    fn show<'a>(&'a self, node: u32, n: &'a Node, missing: f64) -> Shown<'a> {
+    fn show<'a>(&'a self, node: u32, n: &'a Node, missing: f64) -> NodeView<'a> {
         let drain = n.wish.as_ref().map(|w| {
             let extents = self.alone(node, n);
             let phase = match w.stage {
                 Stage::Queued => Phase::Waits {
-                    why: w.waits.clone(),
+                    reason: w.waits.clone(),
                 },
-                Stage::Going => match self.untold(w.version) {
+                Stage::Draining => match self.untold(w.version) {
                     hosts if hosts.is_empty() => {
                         let over = self.quiet_at(node).unwrap_or(self.now);
                         let unsure = over.saturating_sub(self.now);
@@ -763,7 +768,7 @@
                     }
                     hosts => Phase::Telling { hosts },
                 },
-                Stage::Empty => {
+                Stage::Drained => {
                     let lies = match extents {
                         Some(0) => None,
                         Some(n) => Some(format!("{n} extents lie there and nowhere else")),
@@ -773,17 +778,17 @@
                         format!("{missing:.1} units a second of reserves cannot be met without it")
                     });
                     Phase::Empty {
-                        against: lies.into_iter().chain(short).collect(),
+                        objections: lies.into_iter().chain(short).collect(),
                     }
                 }
-                Stage::Out => Phase::Out,
+                Stage::Removed => Phase::Out,
             };
             let left = w
                 .until
-                .filter(|_| w.stage == Stage::Going)
+                .filter(|_| w.stage == Stage::Draining)
                 .map(|u| u.saturating_sub(self.now));
-            ShownDrain {
-                who: &w.who,
+            DrainView {
+                author: &w.author,
                 asked: w.asked,
                 since: w.since,
                 left,
@@ -793,10 +798,10 @@
         });
         let reading = self.reading(n).unwrap_or_default();
         let up = reading.started.map(|s| self.now.saturating_sub(s));
-        Shown {
+        NodeView {
             node,
             facts: &n.facts,
-            life: n.life,
+            node_status: n.node_status,
             wins: n.wins,
             reading,
             up,
@@ -811,8 +816,9 @@
             .nodes
             .iter()
             .filter(|(id, o)| **id != node && o.known && o.facts.shard == shard);
-        let elsewhere =
-            others.any(|(_, o)| o.wish.is_none() && matches!(o.life, Life::Ready | Life::Warming));
+        let elsewhere = others.any(|(_, o)| {
+            o.wish.is_none() && matches!(o.node_status, NodeStatus::Ready | NodeStatus::Warming)
+        });
         let counted = n.seen.values().filter_map(|s| s.sight.extents);
         let all = counted.reduce(|a, b| a + b);
         all.map(|n| if elsewhere { 0 } else { n })
--- a/crates/membership/src/life.rs
+++ b/crates/membership/src/node_status.rs
@@ -13,7 +13,7 @@
 
 /// What the list last said of a node, as hosts heard it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub enum Word {
+pub enum ListedState {
     /// No host's list has ever named it.
     #[default]
     Never,
@@ -56,7 +56,7 @@
     /// What a host is to say of a node's answers, after what it said before.
     ///
     /// ```
-    /// use grebecleat_membership::life::{Answers, Heard};
+    /// use grebecleat_membership::node_status::{Answers, Heard};
     /// use std::time::Duration;
     /// let heard = |ease, bad_row, s| Heard { ease, bad_row, since: Some(Duration::from_secs(s)) };
     /// assert_eq!(Answers::of(heard(1.0, 0, 3), Answers::None), Answers::Good);
@@ -79,7 +79,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub enum Life {
+pub enum NodeStatus {
     #[default]
     Unknown,
     Warming,
@@ -107,7 +107,7 @@
 pub struct Said {
     /// None: nobody wants it empty. One that waits for its turn counts as none here.
     pub wish: Option<Stage>,
-    pub word: Word,
+    pub word: ListedState,
     pub answers: Answers,
     /// It started so lately that it cannot do all its work.
     pub cold: bool,
@@ -118,15 +118,15 @@
 /// A row of the table: what must be so (None: anything), and what then counts.
 pub struct Row {
     pub wish: Option<Option<Stage>>,
-    pub word: Option<Word>,
+    pub word: Option<ListedState>,
     pub answers: Option<Answers>,
     pub cold: Option<bool>,
     pub anew: Option<bool>,
-    pub life: Life,
+    pub node_status: NodeStatus,
     pub wins: Wins,
 }
 
-const fn row(wish: Option<Stage>, life: Life) -> Row {
+const fn row(wish: Option<Stage>, node_status: NodeStatus) -> Row {
     let (wish, wins) = (Some(wish), Wins::Operators);
     Row {
         wish,
@@ -134,16 +134,16 @@
         answers: None,
         cold: None,
         anew: None,
-        life,
+        node_status,
         wins,
     }
 }
 
-const fn word(word: Word, life: Life) -> Row {
+const fn word(word: ListedState, node_status: NodeStatus) -> Row {
     Row {
         word: Some(word),
         wins: Wins::List,
-        ..row(None, life)
+        ..row(None, node_status)
     }
 }
 
@@ -151,33 +151,33 @@
 pub const TABLE: [Row; 11] = [
     // A process that started after the box was taken out is a box that somebody put back.
     Row {
-        word: Some(Word::Ready),
+        word: Some(ListedState::Ready),
         anew: Some(true),
         wins: Wins::List,
-        ..row(Some(Stage::Out), Life::Back)
+        ..row(Some(Stage::Removed), NodeStatus::Back)
     },
-    row(Some(Stage::Out), Life::Out),
-    row(Some(Stage::Empty), Life::Empty),
+    row(Some(Stage::Removed), NodeStatus::Out),
+    row(Some(Stage::Drained), NodeStatus::Empty),
     // Whatever starts under its number while it drains: the wish is for the box, not for one process.
-    row(Some(Stage::Going), Life::Draining),
-    word(Word::Never, Life::Unknown),
-    word(Word::Gone, Life::Out),
-    word(Word::Draining, Life::Draining),
+    row(Some(Stage::Draining), NodeStatus::Draining),
+    word(ListedState::Never, NodeStatus::Unknown),
+    word(ListedState::Gone, NodeStatus::Out),
+    word(ListedState::Draining, NodeStatus::Draining),
     Row {
         answers: Some(Answers::Bad),
         wins: Wins::Answers,
-        ..word(Word::Ready, Life::Suspect)
+        ..word(ListedState::Ready, NodeStatus::Suspect)
     },
     Row {
         cold: Some(true),
-        ..word(Word::Ready, Life::Warming)
+        ..word(ListedState::Ready, NodeStatus::Warming)
     },
     Row {
         answers: Some(Answers::Good),
         wins: Wins::Answers,
-        ..word(Word::Ready, Life::Ready)
+        ..word(ListedState::Ready, NodeStatus::Ready)
     },
-    word(Word::Ready, Life::Ready),
+    word(ListedState::Ready, NodeStatus::Ready),
 ];
 
 impl Row {
@@ -194,39 +194,41 @@
 /// What the node is, and who says so.
 ///
 /// ```
-/// use grebecleat_membership::life::{life, Answers, Life, Said, Wins, Word};
+/// use grebecleat_membership::node_status::{node_status, Answers, NodeStatus, Said, Wins, ListedState};
 /// use grebecleat_plans::changes::Stage;
-/// let s = Said { word: Word::Ready, answers: Answers::Bad, cold: true, ..Said::default() };
-/// assert_eq!(life(&s), (Life::Suspect, Wins::Answers));
+/// let s = Said { word: ListedState::Ready, answers: Answers::Bad, cold: true, ..Said::default() };
+/// assert_eq!(node_status(&s), (NodeStatus::Suspect, Wins::Answers));
 /// // It came back by itself while it drains: it still drains.
-/// assert_eq!(life(&Said { wish: Some(Stage::Going), anew: true, ..s }), (Life::Draining, Wins::Operators));
+/// assert_eq!(node_status(&Said { wish: Some(Stage::Draining), anew: true, ..s }), (NodeStatus::Draining, Wins::Operators));
 /// ```
-pub fn life(s: &Said) -> (Life, Wins) {
+pub fn node_status(s: &Said) -> (NodeStatus, Wins) {
     let row = TABLE.iter().find(|r| r.fits(s));
-    row.map_or((Life::Unknown, Wins::Nobody), |r| (r.life, r.wins))
+    row.map_or((NodeStatus::Unknown, Wins::Nobody), |r| {
+        (r.node_status, r.wins)
+    })
 }
 
-impl Life {
-    pub const NAMES: [(Life, &'static str); 8] = [
-        (Life::Unknown, "unknown"),
-        (Life::Warming, "warming"),
-        (Life::Ready, "ready"),
-        (Life::Draining, "draining"),
-        (Life::Empty, "empty"),
-        (Life::Out, "out"),
-        (Life::Suspect, "suspect"),
-        (Life::Back, "back"),
+impl NodeStatus {
+    pub const NAMES: [(NodeStatus, &'static str); 8] = [
+        (NodeStatus::Unknown, "unknown"),
+        (NodeStatus::Warming, "warming"),
+        (NodeStatus::Ready, "ready"),
+        (NodeStatus::Draining, "draining"),
+        (NodeStatus::Empty, "empty"),
+        (NodeStatus::Out, "out"),
+        (NodeStatus::Suspect, "suspect"),
+        (NodeStatus::Back, "back"),
     ];
 
     pub fn name(self) -> &'static str {
-        Life::NAMES
+        NodeStatus::NAMES
             .iter()
-            .find(|(life, _)| *life == self)
+            .find(|(node_status, _)| *node_status == self)
             .map_or("", |(_, name)| name)
     }
 }
 
-impl fmt::Display for Life {
+impl fmt::Display for NodeStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(self.name())
     }
@@ -247,7 +249,7 @@
 /// clock (None: long ago), and the list's revision that told it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Reading {
-    pub word: Word,
+    pub word: ListedState,
     pub start: u64,
     pub started: Option<Duration>,
     pub revision: u64,
@@ -261,12 +263,12 @@
     /// late anyway.
     ///
     /// ```
-    /// use grebecleat_membership::life::{Reading, Word};
+    /// use grebecleat_membership::node_status::{Reading, ListedState};
     /// use std::time::Duration;
-    /// let old = Reading { word: Word::Gone, start: 1, started: None, revision: 9 };
-    /// let new = Reading { word: Word::Ready, start: 2, started: Some(Duration::from_secs(5)), revision: 8 };
+    /// let old = Reading { word: ListedState::Gone, start: 1, started: None, revision: 9 };
+    /// let new = Reading { word: ListedState::Ready, start: 2, started: Some(Duration::from_secs(5)), revision: 8 };
     /// assert!(new.beats(&old) && !old.beats(&new));
-    /// assert!(old.beats(&Reading { word: Word::Ready, revision: 7, ..old }));
+    /// assert!(old.beats(&Reading { word: ListedState::Ready, revision: 7, ..old }));
     /// ```
     pub fn beats(&self, other: &Reading) -> bool {
         if self.start != other.start && self.started != other.started {
--- a/crates/membership/tests/drains.rs
+++ b/crates/membership/tests/drains.rs
@@ -1,18 +1,20 @@
 //! Drains and lives of nodes, case by case.
 
 use grebecleat_membership::drains::*;
-use grebecleat_membership::life::{life, Answers, Life, Said, Wins, Word};
-use grebecleat_plans::admission::Beside;
+use grebecleat_membership::node_status::{
+    node_status, Answers, ListedState, NodeStatus, Said, Wins,
+};
+use grebecleat_plans::admission::ExclusionReason;
 use grebecleat_plans::changes::{Drain, Stage, Version};
-use grebecleat_plans::feed::HostNo;
+use grebecleat_plans::feed::HostNumber;
 use std::time::Duration;
 
 const fn s(n: u64) -> Duration {
     Duration::from_secs(n)
 }
 
-const H1: HostNo = HostNo(0);
-const H2: HostNo = HostNo(1);
+const H1: HostNumber = HostNumber(0);
+const H2: HostNumber = HostNumber(1);
 const WALL: u64 = 1_000_000;
 
 /// Two hosts, four nodes in two zones, and a catalog that takes whatever is proposed, unless it is told not
@@ -25,7 +27,7 @@
     version: u64,
     refuses: Option<&'static str>,
     landed: Vec<(u32, Option<Stage>, String)>,
-    unfit: Vec<(u32, Option<Beside>)>,
+    unfit: Vec<(u32, Option<ExclusionReason>)>,
     notes: Vec<(u32, String)>,
 }
 
@@ -53,7 +55,7 @@
             let zone = if n < 3 { "room-a" } else { "room-b" }.into();
             Event::Node {
                 node: n,
-                to: Some(Facts {
+                to: Some(NodeFacts {
                     name,
                     zone,
                     shard: n,
@@ -61,7 +63,7 @@
             }
         };
         self.step((1..5).map(node).collect());
-        let sure = |host| Event::Sure {
+        let sure = |host| Event::Acknowledged {
             host,
             version: Some(Version(self.version)),
         };
@@ -85,23 +87,24 @@
                         ask,
                         node,
                         to,
-                        looked_at,
-                        why,
+                        base_version,
+                        reason,
                     } => {
                         assert_eq!(
-                            looked_at.0, self.version,
+                            base_version.0, self.version,
                             "it has looked at the newest that is kept"
                         );
-                        if let Some(why) = self.refuses {
-                            events.push(Event::Refused {
+                        if let Some(reason) = self.refuses {
+                            events.push(Event::Rejected {
                                 ask,
-                                why: why.into(),
+                                reason: reason.into(),
                             });
                             continue;
                         }
-                        self.landed.push((node, to.as_ref().map(|d| d.stage), why));
+                        self.landed
+                            .push((node, to.as_ref().map(|d| d.stage), reason));
                         events.extend(self.lands(node, to));
-                        events.push(Event::Landed { ask });
+                        events.push(Event::Committed { ask });
                     }
                     Action::Unfit { node, how } => self.unfit.push((node, how)),
                     Action::Note { node, text } => self.notes.push((node, text)),
@@ -117,7 +120,10 @@
         self.version += 1;
         let (version, since) = (Version(self.version), self.now + self.wall);
         let to = to.map(|d| Drain { since, ..d });
-        vec![Event::Kept { version }, Event::Drain { node, to, version }]
+        vec![
+            Event::Persisted { version },
+            Event::Drain { node, to, version },
+        ]
     }
 
     /// An operator's change.
@@ -126,7 +132,7 @@
         let drain = |stage| Drain {
             stage,
             within,
-            who: "ann".into(),
+            author: "ann".into(),
             asked,
             since: asked,
         };
@@ -135,10 +141,10 @@
     }
 
     /// A host's sight of a node that is ready and long up, but for what is said.
-    fn sees(&mut self, host: HostNo, node: u32, but: impl Fn(&mut Sight)) {
+    fn sees(&mut self, host: HostNumber, node: u32, but: impl Fn(&mut Sight)) {
         let follows = Version(self.version);
         let mut sight = Sight {
-            word: Word::Ready,
+            word: ListedState::Ready,
             start: 1,
             revision: 1,
             follows,
@@ -148,8 +154,8 @@
         self.step(vec![Event::Seen { host, node, sight }]);
     }
 
-    fn sure(&mut self, host: HostNo) {
-        self.step(vec![Event::Sure {
+    fn sure(&mut self, host: HostNumber) {
+        self.step(vec![Event::Acknowledged {
             host,
             version: Some(Version(self.version)),
         }]);
@@ -166,9 +172,9 @@
         self.step(vec![]);
     }
 
-    fn shown(&self, node: u32) -> (Life, Option<Phase>) {
+    fn shown(&self, node: u32) -> (NodeStatus, Option<Phase>) {
         let shown = self.m.show_one(node, 0.0).expect("known");
-        (shown.life, shown.drain.map(|d| d.phase))
+        (shown.node_status, shown.drain.map(|d| d.phase))
     }
 
     fn phase(&self, node: u32) -> Phase {
@@ -180,8 +186,8 @@
 #[test]
 fn the_table_of_lives() {
     use Answers::{Bad, Good};
+    use ListedState::{Draining as D, Gone as G, Never, Ready as R};
     use Stage::*;
-    use Word::{Draining as D, Gone as G, Never, Ready as R};
     let cases = [
         // wish, list, answers, cold, anew -> what it is, and who says so
         (
@@ -190,7 +196,7 @@
             Answers::None,
             false,
             false,
-            Life::Unknown,
+            NodeStatus::Unknown,
             Wins::List,
         ),
         (
@@ -199,85 +205,117 @@
             Answers::None,
             false,
             false,
-            Life::Ready,
+            NodeStatus::Ready,
             Wins::List,
         ),
-        (None, R, Good, false, false, Life::Ready, Wins::Answers),
-        (None, R, Good, true, false, Life::Warming, Wins::List),
-        (None, R, Bad, true, false, Life::Suspect, Wins::Answers),
-        (None, D, Good, false, false, Life::Draining, Wins::List),
-        (None, G, Good, false, false, Life::Out, Wins::List),
+        (
+            None,
+            R,
+            Good,
+            false,
+            false,
+            NodeStatus::Ready,
+            Wins::Answers,
+        ),
+        (None, R, Good, true, false, NodeStatus::Warming, Wins::List),
+        (
+            None,
+            R,
+            Bad,
+            true,
+            false,
+            NodeStatus::Suspect,
+            Wins::Answers,
+        ),
+        (
+            None,
+            D,
+            Good,
+            false,
+            false,
+            NodeStatus::Draining,
+            Wins::List,
+        ),
+        (None, G, Good, false, false, NodeStatus::Out, Wins::List),
         (
             Some(Queued),
             R,
             Good,
             false,
             false,
-            Life::Ready,
+            NodeStatus::Ready,
             Wins::Answers,
         ),
-        (Some(Queued), G, Good, false, false, Life::Out, Wins::List),
         (
-            Some(Going),
+            Some(Queued),
+            G,
+            Good,
+            false,
+            false,
+            NodeStatus::Out,
+            Wins::List,
+        ),
+        (
+            Some(Draining),
             R,
             Good,
             true,
             true,
-            Life::Draining,
+            NodeStatus::Draining,
             Wins::Operators,
         ),
         (
-            Some(Going),
+            Some(Draining),
             G,
             Answers::None,
             false,
             false,
-            Life::Draining,
+            NodeStatus::Draining,
             Wins::Operators,
         ),
         (
-            Some(Empty),
+            Some(Drained),
             R,
             Bad,
             false,
             false,
-            Life::Empty,
+            NodeStatus::Empty,
             Wins::Operators,
         ),
         (
-            Some(Out),
+            Some(Removed),
             G,
             Answers::None,
             false,
             false,
-            Life::Out,
+            NodeStatus::Out,
             Wins::Operators,
         ),
         (
-            Some(Out),
+            Some(Removed),
             R,
             Answers::None,
             false,
             false,
-            Life::Out,
+            NodeStatus::Out,
             Wins::Operators,
         ),
         (
-            Some(Out),
+            Some(Removed),
             R,
             Answers::None,
             true,
             true,
-            Life::Back,
+            NodeStatus::Back,
             Wins::List,
         ),
         (
-            Some(Out),
+            Some(Removed),
             G,
             Answers::None,
             true,
             true,
-            Life::Out,
+            NodeStatus::Out,
             Wins::Operators,
         ),
     ];
@@ -289,7 +327,7 @@
             cold,
             anew,
         };
-        assert_eq!(life(&said), (is, wins), "{said:?}");
+        assert_eq!(node_status(&said), (is, wins), "{said:?}");
     }
 }
 
@@ -299,7 +337,7 @@
     for h in [H1, H2] {
         r.sees(h, 1, |s| s.attempts = 3);
     }
-    r.drain(1, Some(Stage::Going), s(0));
+    r.drain(1, Some(Stage::Draining), s(0));
     assert_eq!(
         r.phase(1),
         Phase::Telling {
@@ -343,7 +381,7 @@
         r.landed,
         [(
             1,
-            Some(Stage::Empty),
+            Some(Stage::Drained),
             "nothing is under way at any host".into()
         )]
     );
@@ -351,9 +389,9 @@
     assert_eq!(
         r.shown(1),
         (
-            Life::Empty,
+            NodeStatus::Empty,
             Some(Phase::Empty {
-                against: vec![unknown]
+                objections: vec![unknown]
             })
         )
     );
@@ -361,47 +399,50 @@
     assert_eq!(
         r.phase(1),
         Phase::Empty {
-            against: vec!["7 extents lie there and nowhere else".into()]
+            objections: vec!["7 extents lie there and nowhere else".into()]
         }
     );
     r.sees(H1, 1, |s| s.extents = Some(0));
-    assert_eq!(r.phase(1), Phase::Empty { against: vec![] });
+    assert_eq!(r.phase(1), Phase::Empty { objections: vec![] });
     // Its process ends, and the list says so.
-    r.sees(H1, 1, |s| (s.word, s.revision) = (Word::Gone, 2));
-    assert_eq!(r.shown(1), (Life::Out, Some(Phase::Out)));
+    r.sees(H1, 1, |s| (s.word, s.revision) = (ListedState::Gone, 2));
+    assert_eq!(r.shown(1), (NodeStatus::Out, Some(Phase::Out)));
     // The other host's list is late, and then the box is put back: nobody sends it anything before it is
     // returned.
     r.sees(H2, 1, |_| ());
-    assert_eq!(r.shown(1).0, Life::Out);
+    assert_eq!(r.shown(1).0, NodeStatus::Out);
     r.wait(s(60));
     r.sees(H1, 1, |s| {
         (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(4)), 3)
     });
-    assert_eq!((r.shown(1).0, r.m.holds(1)), (Life::Back, true));
+    assert_eq!((r.shown(1).0, r.m.holds(1)), (NodeStatus::Back, true));
     r.drain(1, None, s(0));
-    assert_eq!((r.shown(1), r.m.holds(1)), ((Life::Warming, None), false));
+    assert_eq!(
+        (r.shown(1), r.m.holds(1)),
+        ((NodeStatus::Warming, None), false)
+    );
     r.wait(s(16));
-    assert_eq!(r.shown(1).0, Life::Ready);
-    assert_eq!(r.unfit, [(1, Some(Beside::Cold)), (1, None)]);
+    assert_eq!(r.shown(1).0, NodeStatus::Ready);
+    assert_eq!(r.unfit, [(1, Some(ExclusionReason::Cold)), (1, None)]);
 }
 
 /// A node restarts under its number while it drains: the wish is for the box.
 #[test]
 fn a_node_that_comes_back_while_it_drains_goes_on_draining() {
     let mut r = Rig::new();
-    r.drain(1, Some(Stage::Going), s(0));
+    r.drain(1, Some(Stage::Draining), s(0));
     r.sees(H1, 1, |s| {
-        (s.word, s.attempts, s.revision) = (Word::Gone, 1, 2)
+        (s.word, s.attempts, s.revision) = (ListedState::Gone, 1, 2)
     });
-    assert_eq!(r.shown(1).0, Life::Draining);
+    assert_eq!(r.shown(1).0, NodeStatus::Draining);
     r.sees(H1, 1, |s| {
         (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(0)), 3)
     });
-    assert_eq!(r.shown(1).0, Life::Draining);
+    assert_eq!(r.shown(1).0, NodeStatus::Draining);
     r.sure(H1);
     r.sure(H2);
     r.sees(H2, 1, |_| ());
-    assert_eq!(r.shown(1).0, Life::Empty);
+    assert_eq!(r.shown(1).0, NodeStatus::Empty);
     // It is empty and runs: it was not taken out.
     r.wait(s(60));
     assert_eq!(r.landed.len(), 1);
@@ -410,37 +451,41 @@
 #[test]
 fn one_of_a_zone_after_the_other_in_the_order_asked() {
     let mut r = Rig::new();
-    r.drain(2, Some(Stage::Going), s(0));
+    r.drain(2, Some(Stage::Draining), s(0));
     r.wait(s(1));
     r.drain(1, Some(Stage::Queued), s(0));
     assert_eq!(
         r.phase(1),
         Phase::Waits {
-            why: "node 2 drains".into()
+            reason: "node 2 drains".into()
         }
     );
-    assert_eq!(r.shown(1).0, Life::Ready, "it serves until its turn comes");
+    assert_eq!(
+        r.shown(1).0,
+        NodeStatus::Ready,
+        "it serves until its turn comes"
+    );
     // Of another zone: at once, as far as is known here, and admission has the last word.
     r.refuses = Some("9.0 units a second of reserves lie out of reach");
     r.drain(3, Some(Stage::Queued), s(0));
     assert_eq!(
         r.phase(3),
         Phase::Waits {
-            why: "9.0 units a second of reserves lie out of reach".into()
+            reason: "9.0 units a second of reserves lie out of reach".into()
         }
     );
     r.refuses = None;
     r.wait(s(6));
     assert_eq!(
         r.landed,
-        [(3, Some(Stage::Going), "its turn has come".into())]
+        [(3, Some(Stage::Draining), "its turn has come".into())]
     );
     r.wait(s(1));
     r.drain(4, Some(Stage::Queued), s(0));
     assert_eq!(
         r.phase(4),
         Phase::Waits {
-            why: "node 3 drains".into()
+            reason: "node 3 drains".into()
         }
     );
     r.landed.clear();
@@ -451,7 +496,7 @@
         (r.phase(4), r.landed.len()),
         (
             Phase::Waits {
-                why: "node 3 does not answer as it should".into()
+                reason: "node 3 does not answer as it should".into()
             },
             0
         )
@@ -459,7 +504,7 @@
     r.sees(H1, 3, |s| s.answers = Answers::Good);
     assert_eq!(
         r.landed,
-        [(4, Some(Stage::Going), "its turn has come".into())]
+        [(4, Some(Stage::Draining), "its turn has come".into())]
     );
     // Two wait in one zone: who asked first goes first, and the other says on whom it waits.
     let mut r = Rig::new();
@@ -472,19 +517,19 @@
     assert_eq!(
         r.phase(1),
         Phase::Waits {
-            why: "node 2 has just started and is cold".into()
+            reason: "node 2 has just started and is cold".into()
         }
     );
     assert_eq!(
         r.phase(2),
         Phase::Waits {
-            why: "node 1 of its zone asked before it".into()
+            reason: "node 1 of its zone asked before it".into()
         }
     );
     r.wait(s(2));
     assert_eq!(
         r.landed,
-        [(1, Some(Stage::Going), "its turn has come".into())]
+        [(1, Some(Stage::Draining), "its turn has come".into())]
     );
 }
 
@@ -494,7 +539,7 @@
     let mut r = Rig::new();
     r.sees(H2, 1, |s| s.attempts = 4);
     r.step(vec![Event::Lost { host: H2 }]);
-    r.drain(1, Some(Stage::Going), s(0));
+    r.drain(1, Some(Stage::Draining), s(0));
     r.sure(H1);
     r.sees(H1, 1, |_| ());
     r.wait(s(100));
@@ -504,11 +549,11 @@
             hosts: vec![(H2, false)]
         }
     );
-    r.step(vec![Event::Gone { host: H2 }]);
-    assert_eq!(r.shown(1).0, Life::Empty);
+    r.step(vec![Event::HostRemoved { host: H2 }]);
+    assert_eq!(r.shown(1).0, NodeStatus::Empty);
     // Lost just now, its attempts are given their time.
     let mut r = Rig::new();
-    r.drain(1, Some(Stage::Going), s(0));
+    r.drain(1, Some(Stage::Draining), s(0));
     for h in [H1, H2] {
         r.sure(h);
         r.sees(h, 1, |s| s.attempts = u32::from(h == H2));
@@ -530,9 +575,9 @@
     }]);
     r.sees(H2, 1, |_| ());
     r.wait(s(5));
-    assert_eq!(r.shown(1).0, Life::Draining);
+    assert_eq!(r.shown(1).0, NodeStatus::Draining);
     r.wait(s(1));
-    assert_eq!(r.shown(1).0, Life::Empty);
+    assert_eq!(r.shown(1).0, NodeStatus::Empty);
     // The same process counts what it has out by itself.
     let mut r = Rig::new();
     r.step(vec![Event::Lost { host: H2 }]);
@@ -541,22 +586,22 @@
         host: H2,
         process: 1,
     }]);
-    r.drain(1, Some(Stage::Going), s(0));
+    r.drain(1, Some(Stage::Draining), s(0));
     for h in [H1, H2] {
         r.sure(h);
         r.sees(h, 1, |_| ());
     }
-    assert_eq!(r.shown(1).0, Life::Empty);
+    assert_eq!(r.shown(1).0, NodeStatus::Empty);
     // One that was never heard of has followed nothing, and is not waited for.
     let mut r = Rig::new();
-    r.step(vec![Event::Sure {
+    r.step(vec![Event::Acknowledged {
         host: H2,
         version: None,
     }]);
-    r.drain(1, Some(Stage::Going), s(0));
+    r.drain(1, Some(Stage::Draining), s(0));
     r.sure(H1);
     r.sees(H1, 1, |_| ());
-    assert_eq!(r.shown(1).0, Life::Empty);
+    assert_eq!(r.shown(1).0, NodeStatus::Empty);
 }
 
 /// Found by the explorer: what an earlier process of a host counted was taken for what the next one had out,
@@ -564,7 +609,7 @@
 #[test]
 fn what_an_earlier_process_counted_says_nothing_of_the_next() {
     let mut r = Rig::new();
-    r.drain(1, Some(Stage::Going), s(0));
+    r.drain(1, Some(Stage::Draining), s(0));
     r.sure(H2);
     r.sees(H2, 1, |_| ());
     // It follows, has nothing out, and dies before that is kept.
@@ -596,19 +641,22 @@
 #[test]
 fn a_drain_that_never_comes_to_an_end_is_given_up() {
     let mut r = Rig::new();
-    r.drain(1, Some(Stage::Going), s(30));
+    r.drain(1, Some(Stage::Draining), s(30));
     r.sure(H1);
     r.sure(H2);
     r.sees(H2, 1, |_| ());
     r.sees(H1, 1, |s| s.attempts = 1);
     r.wait(s(29));
-    assert_eq!((r.landed.len(), r.shown(1).0), (0, Life::Draining));
+    assert_eq!((r.landed.len(), r.shown(1).0), (0, NodeStatus::Draining));
     r.wait(s(1));
     assert_eq!(
         r.landed,
         [(1, None, "given up: not empty within 30 s".into())]
     );
-    assert_eq!((r.shown(1), r.m.holds(1)), ((Life::Ready, None), false));
+    assert_eq!(
+        (r.shown(1), r.m.holds(1)),
+        ((NodeStatus::Ready, None), false)
+    );
 }
 
 /// The service starts anew at each stage of a drain, and the wall clock has stepped meanwhile.
@@ -621,7 +669,7 @@
             to: Some(Drain {
                 stage,
                 within,
-                who: "ann".into(),
+                author: "ann".into(),
                 asked: since,
                 since,
             }),
@@ -629,12 +677,12 @@
         }
     };
     let start = |drain| {
-        let sure = |host| Event::Sure {
+        let sure = |host| Event::Acknowledged {
             host,
             version: Some(Version(5)),
         };
         vec![
-            Event::Kept {
+            Event::Persisted {
                 version: Version(5),
             },
             drain,
@@ -647,7 +695,7 @@
         let mut r = Rig::new();
         r.version = 5;
         r.m = Membership::new(r.now, s(20), s(3), [H1, H2]);
-        r.step(start(drain(Stage::Going, since)));
+        r.step(start(drain(Stage::Draining, since)));
         r.begin();
         let shown =
             r.m.show_one(1, 0.0)
@@ -668,15 +716,15 @@
             r.landed,
             [(
                 1,
-                Some(Stage::Empty),
+                Some(Stage::Drained),
                 "nothing is under way at any host".into()
             )]
         );
     }
     for (stage, is) in [
-        (Stage::Queued, Life::Draining),
-        (Stage::Empty, Life::Empty),
-        (Stage::Out, Life::Out),
+        (Stage::Queued, NodeStatus::Draining),
+        (Stage::Drained, NodeStatus::Empty),
+        (Stage::Removed, NodeStatus::Out),
     ] {
         let mut r = Rig::new();
         r.version = 5;
@@ -692,13 +740,13 @@
 #[test]
 fn an_answer_that_comes_too_late_is_not_mistaken() {
     let mut r = Rig::new();
-    r.drain(1, Some(Stage::Going), s(0));
+    r.drain(1, Some(Stage::Draining), s(0));
     r.sure(H1);
     r.sure(H2);
     r.sees(H1, 1, |_| ());
     let follows = Version(r.version);
     let sight = Sight {
-        word: Word::Ready,
+        word: ListedState::Ready,
         start: 1,
         revision: 1,
         follows,
@@ -721,10 +769,10 @@
     };
     // Meanwhile the operator has called it off, and drains it again.
     r.drain(1, None, s(0));
-    r.drain(1, Some(Stage::Going), s(0));
-    r.step(vec![Event::Refused {
+    r.drain(1, Some(Stage::Draining), s(0));
+    r.step(vec![Event::Rejected {
         ask,
-        why: "changed meanwhile".into(),
+        reason: "changed meanwhile".into(),
     }]);
     assert_eq!(
         r.phase(1),
