--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -7,11 +7,11 @@
 //!
 //! Attempts go to the first node alone: nodes meet only in what their drains may coincide with.
 
-use grebecleat_membership::drains::{Action, Event, Facts, Membership, Sight};
-use grebecleat_membership::life::{Answers, Life, Word};
-use grebecleat_plans::admission::{beside, Beside};
+use grebecleat_membership::drains::{Action, Event, Membership, NodeFacts, Sight};
+use grebecleat_membership::node_status::{Answers, ListedState, NodeStatus};
+use grebecleat_plans::admission::{exclusion_reason, ExclusionReason};
 use grebecleat_plans::changes::{Drain, Stage, Version};
-use grebecleat_plans::feed::HostNo;
+use grebecleat_plans::feed::HostNumber;
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
@@ -68,7 +68,7 @@
     attempt: Option<u64>,
     unsure: u64,
     /// What its list last said of the first node.
-    list: (Word, u64),
+    list: (ListedState, u64),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
@@ -86,9 +86,9 @@
     version: u64,
     drains: Drains,
     touched: [(u64, u8); NODES],
-    unfit: [Option<Beside>; NODES],
+    unfit: [Option<ExclusionReason>; NODES],
     members: Membership,
-    has: Vec<Option<u64>>,
+    applied: Vec<Option<u64>>,
     hosts: Vec<Host>,
     node: Node,
     /// What the second operator has looked at.
@@ -114,16 +114,16 @@
 
 /// What operators ask for: who, of which node, and what.
 const ACTS: [(u8, usize, Option<Stage>); 5] = [
-    (0, 0, Some(Stage::Going)),
+    (0, 0, Some(Stage::Draining)),
     (0, 0, None),
     (1, 0, None),
-    (1, 1, Some(Stage::Going)),
+    (1, 1, Some(Stage::Draining)),
     (1, 1, Some(Stage::Queued)),
 ];
 
 impl Model {
     fn first(&self) -> World {
-        let (at, list) = ((1, [None; NODES]), (Word::Ready, 1));
+        let (at, list) = ((1, [None; NODES]), (ListedState::Ready, 1));
         let host = Host {
             alive: true,
             linked: true,
@@ -140,7 +140,7 @@
             touched: [(0, 0); NODES],
             unfit: [None; NODES],
             members: Membership::new(ticks(0), ticks(WARM), ticks(LONGEST), []),
-            has: vec![Some(1); self.hosts],
+            applied: vec![Some(1); self.hosts],
             hosts: vec![host; self.hosts],
             node: Node {
                 up: true,
@@ -155,7 +155,7 @@
         self.start_service(&mut w, ticks(0));
         let up = (0..self.hosts as u32)
             .map(|h| Event::Up {
-                host: HostNo(h),
+                host: HostNumber(h),
                 process: 0,
             })
             .collect();
@@ -164,17 +164,17 @@
     }
 
     fn start_service(&self, w: &mut World, now: Duration) {
-        let hosts = (0..self.hosts as u32).map(HostNo);
+        let hosts = (0..self.hosts as u32).map(HostNumber);
         w.members = Membership::new(now, ticks(WARM), ticks(LONGEST), hosts);
         w.unfit = [None; NODES];
-        let mut events = vec![Event::Kept {
+        let mut events = vec![Event::Persisted {
             version: Version(w.version),
         }];
         for n in 0..NODES {
-            let facts = Facts {
+            let facts = NodeFacts {
                 zone: "a".into(),
                 shard: n as u32,
-                ..Facts::default()
+                ..NodeFacts::default()
             };
             events.push(Event::Node {
                 node: n as u32,
@@ -191,10 +191,10 @@
                 version,
             }));
         }
-        for (h, has) in w.has.iter().enumerate() {
-            events.push(Event::Sure {
-                host: HostNo(h as u32),
-                version: has.map(Version),
+        for (h, applied) in w.applied.iter().enumerate() {
+            events.push(Event::Acknowledged {
+                host: HostNumber(h as u32),
+                version: applied.map(Version),
             });
         }
         self.tell(w, events);
@@ -218,9 +218,9 @@
         if holds(to) && !holds(w.drains[n]) && self.fault != Fault::NoAdmission {
             let drains = (0..NODES)
                 .filter(|o| holds(w.drains[*o]))
-                .map(|o| (o as u32, Beside::Drains));
+                .map(|o| (o as u32, ExclusionReason::Drains));
             let unfit = (0..NODES).filter_map(|o| Some((o as u32, w.unfit[o]?)));
-            if !beside(n as u32, |_| 'a', drains.chain(unfit)).is_empty() {
+            if !exclusion_reason(n as u32, |_| 'a', drains.chain(unfit)).is_empty() {
                 return Err("coincides".into());
             }
         }
@@ -241,16 +241,16 @@
                         ask,
                         node,
                         to,
-                        looked_at,
+                        base_version,
                         ..
                     } => {
                         let to = to.map(|d| d.stage);
-                        match self.propose(w, MACHINE, node as usize, to, looked_at.0) {
+                        match self.propose(w, MACHINE, node as usize, to, base_version.0) {
                             Ok(()) => {
                                 events.extend(landed(w, node as usize));
-                                events.push(Event::Landed { ask });
+                                events.push(Event::Committed { ask });
                             }
-                            Err(why) => events.push(Event::Refused { ask, why }),
+                            Err(reason) => events.push(Event::Rejected { ask, reason }),
                         }
                     }
                     Action::Unfit { node, how } => w.unfit[node as usize] = how,
@@ -277,7 +277,7 @@
             word,
             start,
             age: started.map(|s| ticks(w.now - s)),
-            revision: start * 2 + u64::from(word == Word::Gone),
+            revision: start * 2 + u64::from(word == ListedState::Gone),
             answers: Answers::None,
             follows,
             attempts: u32::from(host.attempt.is_some()),
@@ -287,7 +287,7 @@
         [
             first,
             Sight {
-                word: Word::Ready,
+                word: ListedState::Ready,
                 start: 1,
                 revision: 1,
                 follows,
@@ -301,7 +301,7 @@
             self.tell(
                 w,
                 vec![Event::Lost {
-                    host: HostNo(h as u32),
+                    host: HostNumber(h as u32),
                 }],
             );
         }
@@ -319,14 +319,18 @@
             go(&|w| self.tick(w));
         }
         let listed = (
-            if w.node.up { Word::Ready } else { Word::Gone },
+            if w.node.up {
+                ListedState::Ready
+            } else {
+                ListedState::Gone
+            },
             w.node.start,
         );
         for h in 0..self.hosts {
-            let (host, no) = (&w.hosts[h], HostNo(h as u32));
+            let (host, no) = (&w.hosts[h], HostNumber(h as u32));
             let held = holds(host.follows.1[0]) && self.fault != Fault::SendsAfterAll;
             let may = host.alive && w.node.up && host.attempt.is_none() && w.sent < self.attempts;
-            if may && host.list.0 == Word::Ready && !held {
+            if may && host.list.0 == ListedState::Ready && !held {
                 go(&|w| (w.hosts[h].attempt, w.sent) = (Some(w.now), w.sent + 1));
             }
             if host.attempt.is_some() {
@@ -354,15 +358,15 @@
             } else {
                 host.kept.0
             };
-            if host.linked && host.said.is_none() && w.has[h] < Some(says) {
+            if host.linked && host.said.is_none() && w.applied[h] < Some(says) {
                 go(&|w| w.hosts[h].said = Some(says));
             }
             if let Some(said) = host.said.filter(|_| host.heard) {
                 go(&|w| {
-                    (w.hosts[h].said, w.has[h]) = (None, Some(said));
+                    (w.hosts[h].said, w.applied[h]) = (None, Some(said));
                     self.tell(
                         w,
-                        vec![Event::Sure {
+                        vec![Event::Acknowledged {
                             host: no,
                             version: Some(Version(said)),
                         }],
@@ -476,8 +480,8 @@
                         all.push(next);
                     }
                     // Whoever looked at an older state is told who changed it.
-                    Err(why) if w.touched[n].0 > looked => {
-                        assert_eq!(why, format!("changed meanwhile by {}", w.touched[n].1));
+                    Err(reason) if w.touched[n].0 > looked => {
+                        assert_eq!(reason, format!("changed meanwhile by {}", w.touched[n].1));
                     }
                     Err(_) => {}
                 }
@@ -494,7 +498,7 @@
         self.tell(
             w,
             vec![Event::Up {
-                host: HostNo(h as u32),
+                host: HostNumber(h as u32),
                 process,
             }],
         );
@@ -537,7 +541,7 @@
         for _ in 0..5 {
             self.tick(&mut w);
             for h in 0..self.hosts {
-                let no = HostNo(h as u32);
+                let no = HostNumber(h as u32);
                 let host = &mut w.hosts[h];
                 if !host.alive {
                     (host.alive, host.follows, host.process) = (true, host.kept, host.process + 1);
@@ -547,21 +551,21 @@
                 }
                 let host = &mut w.hosts[h];
                 (host.attempt, host.follows) = (None, (w.version, w.drains));
-                (host.kept, w.has[h]) = (host.follows, Some(w.version));
+                (host.kept, w.applied[h]) = (host.follows, Some(w.version));
                 let sight = self.sight(&w, h);
                 let see = |n: usize| Event::Seen {
                     host: no,
                     node: n as u32,
                     sight: sight[n],
                 };
-                let sure = Event::Sure {
+                let sure = Event::Acknowledged {
                     host: no,
                     version: Some(Version(w.version)),
                 };
                 self.tell(&mut w, vec![sure, see(0), see(1)]);
             }
         }
-        let stuck = w.drains.contains(&Some(Stage::Going));
+        let stuck = w.drains.contains(&Some(Stage::Draining));
         stuck.then(|| format!("a drain that goes never comes to be empty: {w:?}"))
     }
 }
@@ -573,7 +577,7 @@
     });
     let version = Version(w.version);
     vec![
-        Event::Kept { version },
+        Event::Persisted { version },
         Event::Drain {
             node: n as u32,
             to,
@@ -598,7 +602,7 @@
         if self.drains.iter().all(|d| holds(*d)) {
             return Some(format!("both nodes of the zone are drained: {self:?}"));
         }
-        if matches!(self.drains[0], Some(Stage::Empty | Stage::Out)) {
+        if matches!(self.drains[0], Some(Stage::Drained | Stage::Removed)) {
             let out = self.hosts.iter().any(|h| h.attempt.is_some());
             if out || self.node.runs > self.now {
                 return Some(format!(
@@ -607,10 +611,16 @@
             }
         }
         for n in 0..NODES {
-            let life = self.members.life(n as u32);
-            if holds(self.drains[n]) && matches!(life, Life::Ready | Life::Warming | Life::Suspect)
+            let node_status = self.members.node_status(n as u32);
+            if holds(self.drains[n])
+                && matches!(
+                    node_status,
+                    NodeStatus::Ready | NodeStatus::Warming | NodeStatus::Suspect
+                )
             {
-                return Some(format!("node {n} is drained and called {life}: {self:?}"));
+                return Some(format!(
+                    "node {n} is drained and called {node_status}: {self:?}"
+                ));
             }
             if holds(self.drains[n]) != self.members.holds(n as u32) {
                 return Some(format!(
--- a/crates/plans/src/admission.rs
+++ b/crates/plans/src/admission.rs
@@ -2,14 +2,14 @@
 //!
 //! Called as `land` with the catalog as changes would leave it; the answer says what speaks against them, and
 //! who asked decides: either they stay, or the catalog takes them back and `undo` is called. It keeps the site
-//! that the catalog describes in a [`Standing`] flow, wanted drains taken out of it. Against a change speaks
+//! that the catalog describes in a [`IncrementalFlow`] flow, wanted drains taken out of it. Against a change speaks
 //! that reserves which could be met cannot be met any more, or more of them cannot; it is warned of if they
 //! could not with any one node or any one zone out, where they could before. What was already broken is no
 //! reason against a change that does not make it worse: or nobody could mend a site step by step. Where no
 //! node's capacity has been said, nothing can be judged, and the answer says so.
 //!
 //! Against a drain speaks, beside that, whatever else its zone is without: another drain, a node that is
-//! cold, does not answer as it should or is gone (`unfit` says so). A zone is what fails as one, and data is
+//! cold, does not answer as it should or is gone (`unavailable` says so). A zone is what fails as one, and data is
 //! laid out so that it may lose one node and not two; and two clerks who each see one drain must not together
 //! make it two. A drain that only waits for its turn is judged by reserves alone, as if its turn had come.
 //!
@@ -18,8 +18,8 @@
 //! Memory: the flow, and one figure for each node and zone.
 
 use crate::changes::{self, Catalog, Change, Drain, Name, Stage};
+use crate::incremental_flow::{IncrementalFlow, Shortfall};
 use crate::planner::{check, Node, Out, Site, Volume, PARTS};
-use crate::standing::{Missing, Standing};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
@@ -43,7 +43,7 @@
     Coincides {
         node: u32,
         zone: Name,
-        with: Vec<(u32, Beside)>,
+        with: Vec<(u32, ExclusionReason)>,
     },
     /// Reserves that cannot be met while these nodes, of other zones, are gone as well.
     Meanwhile { gone: Vec<u32>, by: f64 },
@@ -53,20 +53,20 @@
 
 /// How a node beside a drained one is not what it should be.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Beside {
+pub enum ExclusionReason {
     Drains,
     Cold,
     Suspect,
-    Gone,
+    Removed,
 }
 
-impl fmt::Display for Beside {
+impl fmt::Display for ExclusionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Beside::Drains => "drains",
-            Beside::Cold => "has just started and is cold",
-            Beside::Suspect => "does not answer as it should",
-            Beside::Gone => "is gone",
+            ExclusionReason::Drains => "drains",
+            ExclusionReason::Cold => "has just started and is cold",
+            ExclusionReason::Suspect => "does not answer as it should",
+            ExclusionReason::Removed => "is gone",
         })
     }
 }
@@ -74,16 +74,16 @@
 /// What a node's zone is without beside it.
 ///
 /// ```
-/// use grebecleat_plans::admission::{beside, Beside::*};
+/// use grebecleat_plans::admission::{exclusion_reason, ExclusionReason::*};
 /// let zone = |n: u32| if n < 10 { 'a' } else { 'b' };
-/// let others = [(1, Drains), (2, Cold), (11, Gone), (3, Drains)];
-/// assert_eq!(beside(3, zone, others), [(1, Drains), (2, Cold)]);
+/// let others = [(1, Drains), (2, Cold), (11, Removed), (3, Drains)];
+/// assert_eq!(exclusion_reason(3, zone, others), [(1, Drains), (2, Cold)]);
 /// ```
-pub fn beside<Z: PartialEq>(
+pub fn exclusion_reason<Z: PartialEq>(
     node: u32,
     zone: impl Fn(u32) -> Z,
-    others: impl IntoIterator<Item = (u32, Beside)>,
-) -> Vec<(u32, Beside)> {
+    others: impl IntoIterator<Item = (u32, ExclusionReason)>,
+) -> Vec<(u32, ExclusionReason)> {
     let own = zone(node);
     others
         .into_iter()
@@ -150,9 +150,9 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Opinion {
+pub struct AdmissionVerdict {
     /// Refused for these, unless it is forced.
-    pub against: Vec<Reason>,
+    pub objections: Vec<Reason>,
     pub warnings: Vec<Reason>,
     /// Losses that were not looked at, since it would have taken too long.
     pub unseen: usize,
@@ -164,14 +164,14 @@
 #[derive(Debug, Clone, Default)]
 struct Loss {
     nodes: BTreeSet<u32>,
-    missing: Missing,
+    shortfall: Shortfall,
     /// The figure is of the present state.
     fresh: bool,
 }
 
 #[derive(Debug, Clone, Default)]
 pub struct Admission {
-    standing: Standing,
+    volumes_of_plan: IncrementalFlow,
     zones: Vec<Name>,
     /// Which nodes hold a shard.
     holders: BTreeMap<u32, BTreeSet<u32>>,
@@ -180,7 +180,7 @@
     /// Nodes that get nothing new.
     drains: BTreeSet<u32>,
     stages: BTreeMap<u32, Stage>,
-    unfit: BTreeMap<u32, Beside>,
+    unavailable: BTreeMap<u32, ExclusionReason>,
     losses: BTreeMap<Out, Loss>,
     /// Figures of losses before the last changes.
     was: BTreeMap<Out, Loss>,
@@ -190,7 +190,7 @@
     /// `spread`: see [`Site`].
     pub fn open(catalog: &Catalog, spread: f64) -> Admission {
         let mut a = Admission {
-            standing: Standing::of(&Site {
+            volumes_of_plan: IncrementalFlow::of(&Site {
                 spread,
                 ..Site::default()
             }),
@@ -211,15 +211,15 @@
         Site {
             nodes,
             volumes,
-            spread: self.standing.spread(),
+            spread: self.volumes_of_plan.spread(),
         }
     }
 
     /// What hosts see of a node that keeps a drain beside it from going; None: it is as it should be.
-    pub fn set_unfit(&mut self, node: u32, how: Option<Beside>) {
+    pub fn set_unavailable(&mut self, node: u32, how: Option<ExclusionReason>) {
         match how {
-            Some(how) => _ = self.unfit.insert(node, how),
-            None => _ = self.unfit.remove(&node),
+            Some(how) => _ = self.unavailable.insert(node, how),
+            None => _ = self.unavailable.remove(&node),
         }
     }
 
@@ -233,93 +233,96 @@
         self.losses.len()
     }
 
-    pub fn missing(&self) -> Missing {
-        self.standing.missing()
+    pub fn shortfall(&self) -> Shortfall {
+        self.volumes_of_plan.shortfall()
     }
 
     /// What these changes do, which the catalog already has. `steps`: how many losses may be looked at.
-    pub fn land(&mut self, after: &Catalog, changes: &[Change], steps: usize) -> Opinion {
-        let before = self.standing.missing();
+    pub fn land(&mut self, after: &Catalog, changes: &[Change], steps: usize) -> AdmissionVerdict {
+        let before = self.volumes_of_plan.shortfall();
         self.was = self.losses.clone();
-        let mut touched = self.homes_of(after, changes);
+        let mut last_changed = self.homes_of(after, changes);
         let drained = self.newly(changes, Drain::holds);
         let queued = self.newly(changes, |d| !d.holds());
         let gone: BTreeSet<u32> = self.elsewhere_gone(after, &drained);
         let with_gone = if gone.is_empty() {
             before
         } else {
-            self.standing.without(&gone)
+            self.volumes_of_plan.without(&gone)
         };
         let taken_out = self.taken_out(changes);
         self.apply(after, changes);
-        touched.extend(self.homes_of(after, changes));
-        let mut o = Opinion::default();
+        last_changed.extend(self.homes_of(after, changes));
+        let mut o = AdmissionVerdict::default();
         for node in &drained {
-            let others = self.drains.iter().map(|n| (*n, Beside::Drains));
-            let unfit = self
-                .unfit
+            let others = self.drains.iter().map(|n| (*n, ExclusionReason::Drains));
+            let unavailable = self
+                .unavailable
                 .iter()
                 .filter(|u| !self.drains.contains(u.0))
                 .map(|(n, how)| (*n, *how));
             let zone = |n: u32| after.node(n).map(|n| n.zone.clone());
-            let with = beside(*node, zone, others.chain(unfit));
+            let with = exclusion_reason(*node, zone, others.chain(unavailable));
             if !with.is_empty() {
                 let zone = zone(*node).unwrap_or_default();
-                o.against.push(Reason::Coincides {
+                o.objections.push(Reason::Coincides {
                     node: *node,
                     zone,
                     with,
                 });
             }
         }
-        o.against
+        o.objections
             .extend(taken_out.into_iter().map(|node| Reason::NotEmpty { node }));
         if !self.known {
             o.blind = true;
             return o;
         }
-        let slack = self.standing.slack();
+        let slack = self.volumes_of_plan.slack();
         // A drain that waits for its turn is judged as if it had come.
         let (now, out) = match queued.is_empty() {
-            true => (self.standing.missing(), self.drains.clone()),
+            true => (self.volumes_of_plan.shortfall(), self.drains.clone()),
             false => (
-                self.standing.without(&queued),
+                self.volumes_of_plan.without(&queued),
                 self.drains.union(&queued).copied().collect(),
             ),
         };
         if now.short > before.short + slack {
             let volumes = check(&self.site(after), &out).short;
-            o.against.push(Reason::Short {
+            o.objections.push(Reason::Short {
                 by: now.short,
                 volumes,
             });
         }
         if now.out_of_reach > before.out_of_reach + slack {
-            o.against.push(Reason::OutOfReach {
+            o.objections.push(Reason::OutOfReach {
                 by: now.out_of_reach,
             });
         }
-        if !gone.is_empty() && o.against.is_empty() {
-            let now = self.standing.without(&gone);
+        if !gone.is_empty() && o.objections.is_empty() {
+            let now = self.volumes_of_plan.without(&gone);
             if now.exceeds(&with_gone, slack) {
                 let (gone, by) = (gone.into_iter().collect(), now.short + now.out_of_reach);
-                o.against.push(Reason::Meanwhile { gone, by });
+                o.objections.push(Reason::Meanwhile { gone, by });
             }
         }
-        if !o.against.is_empty() {
+        if !o.objections.is_empty() {
             return o;
         }
         let mut order: Vec<(bool, Out)> = self
             .losses
             .iter()
-            .map(|(out, l)| (l.nodes.is_disjoint(&touched), *out))
+            .map(|(out, l)| (l.nodes.is_disjoint(&last_changed), *out))
             .collect();
         order.sort_unstable();
         o.unseen = order.len().saturating_sub(steps);
         for (_, out) in order.into_iter().take(steps) {
-            let was = self.was.get(&out).map_or(Missing::default(), |l| l.missing);
-            let missing = self.look(out);
-            if missing.exceeds(&was, slack) {
+            let was = self
+                .was
+                .get(&out)
+                .map_or(Shortfall::default(), |l| l.shortfall);
+            let shortfall = self.look(out);
+            if shortfall.exceeds(&was, slack) {
                 let zone = if let Out::Zone(z) = out {
                     self.zones.get(z as usize).cloned()
                 } else {
@@ -328,7 +331,7 @@
                 o.warnings.push(Reason::Without {
                     out,
                     zone,
-                    by: missing.short,
+                    by: shortfall.short,
                 });
             }
         }
@@ -352,10 +355,10 @@
     /// Nodes that are to be out and were never empty.
     fn taken_out(&self, changes: &[Change]) -> Vec<u32> {
         let out = |c: &Change| match c {
-            Change::Drain { node, to: Some(d) } if d.stage == Stage::Out => Some(*node),
+            Change::Drain { node, to: Some(d) } if d.stage == Stage::Removed => Some(*node),
             _ => None,
         };
-        let going = |n: &u32| self.stages.get(n).is_none_or(|s| *s < Stage::Empty);
+        let going = |n: &u32| self.stages.get(n).is_none_or(|s| *s < Stage::Drained);
         changes.iter().filter_map(out).filter(going).collect()
     }
 
@@ -364,9 +367,9 @@
         let zone = |n: &u32| catalog.node(*n).map(|n| n.zone.clone());
         let zones: BTreeSet<Option<Name>> = drained.iter().map(zone).collect();
         let gone = self
-            .unfit
+            .unavailable
             .iter()
-            .filter(|(n, how)| **how == Beside::Gone && !zones.contains(&zone(n)));
+            .filter(|(n, how)| **how == ExclusionReason::Removed && !zones.contains(&zone(n)));
         let gone = gone.map(|(n, _)| *n).filter(|n| !self.drains.contains(n));
         if drained.is_empty() {
             return BTreeSet::new();
@@ -394,22 +397,22 @@
     }
 
     /// What would be missing for a loss, beside data that is out of reach with it whatever was promised.
-    fn look(&mut self, out: Out) -> Missing {
-        let short = self.standing.without(&self.losses[&out].nodes).short;
+    fn look(&mut self, out: Out) -> Shortfall {
+        let short = self.volumes_of_plan.without(&self.losses[&out].nodes).short;
         let l = self.losses.get_mut(&out).expect("listed");
-        (l.missing, l.fresh) = (
-            Missing {
+        (l.shortfall, l.fresh) = (
+            Shortfall {
                 short,
                 out_of_reach: 0.0,
             },
             true,
         );
-        l.missing
+        l.shortfall
     }
 
     fn list_losses(&mut self) {
         let up = || {
-            self.standing
+            self.volumes_of_plan
                 .nodes()
                 .filter(|n| !self.drains.contains(&n.id) && n.capacity > 0.0)
         };
@@ -423,12 +426,12 @@
         nodes.retain(|out, l| !matches!(out, Out::Zone(_)) || l.len() < all);
         let old = std::mem::take(&mut self.losses);
         let loss = |(out, nodes)| {
-            let missing = old.get(&out).map_or(Missing::default(), |l| l.missing);
+            let shortfall = old.get(&out).map_or(Shortfall::default(), |l| l.shortfall);
             (
                 out,
                 Loss {
                     nodes,
-                    missing,
+                    shortfall,
                     fresh: false,
                 },
             )
@@ -464,12 +467,12 @@
     /// A volume as the planner sees it: spread over its shards alike.
     fn planned(&self, catalog: &Catalog, id: u64, v: &changes::Volume) -> Volume {
         let plan = catalog.plan(&v.plan);
-        let part = 1.0 / v.shards.len().max(1) as f64;
+        let quota = 1.0 / v.shards.len().max(1) as f64;
         let holder = |shard: &u32| self.holders.get(shard).and_then(|h| h.first().copied());
         let mut homes: Vec<(u32, f64)> = v
             .shards
             .iter()
-            .filter_map(|c| Some((holder(c)?, part)))
+            .filter_map(|c| Some((holder(c)?, quota)))
             .collect();
         homes.sort_unstable_by_key(|h| h.0);
         homes.dedup_by_key(|h| h.0);
@@ -517,7 +520,7 @@
                             capacity: 0.0,
                         },
                     };
-                    self.standing.set_node(node);
+                    self.volumes_of_plan.set_node(node);
                 }
                 Change::Drain { node, .. } => {
                     let drain = catalog.drain(*node);
@@ -530,17 +533,17 @@
                         true => _ = self.drains.insert(*node),
                         false => _ = self.drains.remove(node),
                     }
-                    self.standing.set_up(*node, !holds);
+                    self.volumes_of_plan.set_up(*node, !holds);
                 }
                 Change::Volume { id, .. } => _ = volumes.insert(*id),
                 Change::Plan { name, .. } => {
                     let is = catalog.plan(name).map_or(0.0, |p| p.reservation);
                     let was = self.reservations.insert(name.clone(), is);
                     if was.is_none_or(|was| (was - is).abs() * PARTS >= 0.5) {
-                        volumes.extend(catalog.standing(name));
+                        volumes.extend(catalog.volumes_of_plan(name));
                     }
                 }
-                Change::Target { .. } | Change::Timed { .. } => {}
+                Change::Target { .. } | Change::Scheduled { .. } => {}
             }
         }
         if moved {
@@ -550,7 +553,7 @@
             .into_iter()
             .map(|id| (id, catalog.volume(id).map(|v| self.planned(catalog, id, v))));
         let planned: Vec<(u64, Option<Volume>)> = planned.collect();
-        self.standing.set_volumes(planned);
+        self.volumes_of_plan.set_volumes(planned);
         self.list_losses();
     }
 
@@ -559,16 +562,16 @@
         let mut homes = BTreeSet::new();
         for change in changes {
             match change {
-                Change::Volume { id, .. } => homes.extend(self.standing.homes_of(*id)),
+                Change::Volume { id, .. } => homes.extend(self.volumes_of_plan.homes_of(*id)),
                 Change::Plan { name, .. } => {
                     homes.extend(
                         catalog
-                            .standing(name)
-                            .flat_map(|id| self.standing.homes_of(id)),
+                            .volumes_of_plan(name)
+                            .flat_map(|id| self.volumes_of_plan.homes_of(id)),
                     );
                 }
                 Change::Node { id, .. } | Change::Drain { node: id, .. } => _ = homes.insert(*id),
-                Change::Target { .. } | Change::Timed { .. } => {}
+                Change::Target { .. } | Change::Scheduled { .. } => {}
             }
         }
         homes
--- a/crates/plans/src/changes.rs
+++ b/crates/plans/src/changes.rs
@@ -1,7 +1,7 @@
 //! The catalog of changes: what plans, volumes, nodes, drains and targets are, and how they came to be so.
 //!
 //! Called as `propose` with typed changes, who asks, why, and the version that they looked at; the answer is
-//! an entry that is to be kept whole or not at all, or what it collided with. `take` lays a kept entry over
+//! an entry that is to be kept whole or not at all, or what it collided with. `apply` lays a kept entry over
 //! the state, the same way for the one who proposed it, for a start that reads them back, and for hosts that
 //! follow the feed. Without input or output; nothing here decides over requests.
 //!
@@ -70,11 +70,11 @@
     Queued,
     /// Hosts send the node nothing new.
     #[default]
-    Going,
+    Draining,
     /// Nothing that any host sent it is under way.
-    Empty,
+    Drained,
     /// It is taken out: what comes back under its number is not trusted with work before it is returned.
-    Out,
+    Removed,
 }
 
 /// Somebody wants the node empty.
@@ -85,7 +85,7 @@
     pub within: Duration,
     /// Who asked first and when; when the stage last changed. Times are since 1970. The catalog's keeper fills
     /// these in.
-    pub who: Name,
+    pub author: Name,
     pub asked: Duration,
     pub since: Duration,
 }
@@ -100,9 +100,9 @@
 impl Stage {
     pub const NAMES: [(Stage, &'static str); 4] = [
         (Stage::Queued, "queued"),
-        (Stage::Going, "going"),
-        (Stage::Empty, "empty"),
-        (Stage::Out, "out"),
+        (Stage::Draining, "going"),
+        (Stage::Drained, "empty"),
+        (Stage::Removed, "out"),
     ];
 
     pub fn name(self) -> &'static str {
@@ -118,14 +118,14 @@
     ///
     /// ```
     /// use grebecleat_plans::changes::Stage::{self, *};
-    /// assert!(Stage::may_follow(None, Some(Queued)) && Stage::may_follow(Some(Queued), Some(Going)));
-    /// assert!(!Stage::may_follow(Some(Empty), Some(Going)) && !Stage::may_follow(None, Some(Empty)));
+    /// assert!(Stage::may_follow(None, Some(Queued)) && Stage::may_follow(Some(Queued), Some(Draining)));
+    /// assert!(!Stage::may_follow(Some(Empty), Some(Draining)) && !Stage::may_follow(None, Some(Empty)));
     /// assert!(Stage::may_follow(Some(Out), None));
     /// ```
     pub fn may_follow(was: Option<Stage>, is: Option<Stage>) -> bool {
         match (was, is) {
             (_, None) => true,
-            (None, Some(is)) => is <= Stage::Going,
+            (None, Some(is)) => is <= Stage::Draining,
             (Some(was), Some(is)) => was <= is,
         }
     }
@@ -133,10 +133,10 @@
 
 /// Changes that are to land at a stated time, by the wall clock since 1970.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Timed {
+pub struct ScheduledChange {
     pub at: Duration,
-    pub who: String,
-    pub why: String,
+    pub author: String,
+    pub reason: String,
     pub force: bool,
     pub changes: Vec<Change>,
     /// How their subjects were when they were asked for: of one that is not so any more, nobody knows whether
@@ -152,7 +152,7 @@
     Node(u32),
     Drain(u32),
     Target(Name),
-    Timed(u64),
+    Scheduled(u64),
 }
 
 impl fmt::Display for Subject {
@@ -163,7 +163,7 @@
             Subject::Node(id) => write!(f, "node {id}"),
             Subject::Drain(id) => write!(f, "drain of node {id}"),
             Subject::Target(name) => write!(f, "target {name}"),
-            Subject::Timed(id) => write!(f, "timed change {id}"),
+            Subject::Scheduled(id) => write!(f, "timed change {id}"),
         }
     }
 }
@@ -171,12 +171,30 @@
 /// Puts something in the place of what was there; None takes it away.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    Plan { name: Name, to: Option<Plan> },
-    Volume { id: u64, to: Option<Volume> },
-    Node { id: u32, to: Option<Node> },
-    Drain { node: u32, to: Option<Drain> },
-    Target { name: Name, to: Option<Arc<[u64]>> },
-    Timed { id: u64, to: Option<Timed> },
+    Plan {
+        name: Name,
+        to: Option<Plan>,
+    },
+    Volume {
+        id: u64,
+        to: Option<Volume>,
+    },
+    Node {
+        id: u32,
+        to: Option<Node>,
+    },
+    Drain {
+        node: u32,
+        to: Option<Drain>,
+    },
+    Target {
+        name: Name,
+        to: Option<Arc<[u64]>>,
+    },
+    Scheduled {
+        id: u64,
+        to: Option<ScheduledChange>,
+    },
 }
 
 impl Change {
@@ -187,7 +205,7 @@
             Change::Node { id, .. } => Subject::Node(*id),
             Change::Drain { node, .. } => Subject::Drain(*node),
             Change::Target { name, .. } => Subject::Target(name.clone()),
-            Change::Timed { id, .. } => Subject::Timed(*id),
+            Change::Scheduled { id, .. } => Subject::Scheduled(*id),
         }
     }
 
@@ -199,7 +217,7 @@
             Change::Node { to, .. } => to.is_none(),
             Change::Drain { to, .. } => to.is_none(),
             Change::Target { to, .. } => to.is_none(),
-            Change::Timed { to, .. } => to.is_none(),
+            Change::Scheduled { to, .. } => to.is_none(),
         }
     }
 
@@ -216,42 +234,42 @@
 
 /// One atomic step of the state.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
+pub struct Revision {
     pub version: Version,
     /// The version that it follows: the one before, but where a state prevailed over newer ones.
     pub from: Version,
     /// Since 1970, by the clock of who kept it.
     pub at: Duration,
-    pub who: String,
-    pub why: String,
+    pub author: String,
+    pub reason: String,
     /// What spoke against it, where it was forced.
-    pub against: String,
+    pub objections: String,
     pub changes: Vec<Change>,
     /// What puts back what was there before, in the order in which to do it.
     pub before: Vec<Change>,
     /// A host that knows only what was before may now send more of a limited volume than is promised to it:
     /// such a one must be heard of before the change is over. See [`crate::feed`].
-    pub lowers: bool,
+    pub lowers_limits: bool,
     /// To a host that hears of a volume first by this entry: how that was before earlier ones.
     pub also: Vec<(Version, Change)>,
 }
 
 /// By whom and why, as the trail keeps it.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Asks<'a> {
-    pub who: &'a str,
-    pub why: &'a str,
-    pub against: &'a str,
+pub struct ChangeContext<'a> {
+    pub author: &'a str,
+    pub reason: &'a str,
+    pub objections: &'a str,
     pub at: Duration,
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Refused {
+pub enum ChangeError {
     /// Changed since it was looked at, by that entry.
     Collision {
         subject: Subject,
         with: Version,
-        who: String,
+        author: String,
     },
     /// The trail does not reach back to what was looked at.
     TooOld {
@@ -275,31 +293,35 @@
     },
 }
 
-impl fmt::Display for Refused {
+impl fmt::Display for ChangeError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Refused::Collision { subject, with, who } => {
+            ChangeError::Collision {
+                subject,
+                with,
+                author,
+            } => {
                 write!(
                     f,
-                    "{subject} was changed meanwhile, by entry {} of {who}",
+                    "{subject} was changed meanwhile, by entry {} of {author}",
                     with.0
                 )
             }
-            Refused::TooOld { oldest } => {
+            ChangeError::TooOld { oldest } => {
                 write!(
                     f,
                     "looked at before entry {}, the oldest that is still known",
                     oldest.0
                 )
             }
-            Refused::Ahead { latest } => {
+            ChangeError::Ahead { latest } => {
                 write!(f, "looked at a version after {}, the latest", latest.0)
             }
-            Refused::Unknown(subject) => write!(f, "{subject} does not exist"),
-            Refused::InUse { what, by } => write!(f, "{what} is in use by {by}"),
-            Refused::Twice(subject) => write!(f, "{subject} is changed twice at once"),
-            Refused::Empty => write!(f, "changes nothing"),
-            Refused::Figure { subject, what } => write!(f, "{subject}: {what}"),
+            ChangeError::Unknown(subject) => write!(f, "{subject} does not exist"),
+            ChangeError::InUse { what, by } => write!(f, "{what} is in use by {by}"),
+            ChangeError::Twice(subject) => write!(f, "{subject} is changed twice at once"),
+            ChangeError::Empty => write!(f, "changes nothing"),
+            ChangeError::Figure { subject, what } => write!(f, "{subject}: {what}"),
         }
     }
 }
@@ -310,12 +332,12 @@
     /// It is here already, or something newer is: a feed that was set back.
     Older,
     /// Entries before it have not come.
-    Gap { wants: Version },
+    Gap { expected: Version },
 }
 
 /// What a deployment says once and no change touches.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Facts {
+pub struct Deployment {
     /// Names of all hosts; a volume works through some of them.
     pub hosts: BTreeSet<Name>,
     /// How long an attempt may be decided before it crosses: a limit's slack must cover it.
@@ -324,35 +346,35 @@
 
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalog {
-    facts: Facts,
+    facts: Deployment,
     version: Version,
     plans: BTreeMap<Name, Plan>,
     volumes: BTreeMap<u64, Volume>,
     nodes: BTreeMap<u32, Node>,
     drains: BTreeMap<u32, Drain>,
     targets: BTreeMap<Name, Arc<[u64]>>,
-    timed: BTreeMap<u64, Timed>,
+    scheduled: BTreeMap<u64, ScheduledChange>,
     /// Nodes by name.
     called: BTreeMap<Name, u32>,
     /// Volumes by plan: a plan that thousands stand on is taken away, or not, without looking at all volumes.
-    standing: BTreeMap<Name, BTreeSet<u64>>,
+    volumes_of_plan: BTreeMap<Name, BTreeSet<u64>>,
     /// Each name, and each set of hosts or shards, is held once however many volumes have it.
     names: HashSet<Name>,
     host_sets: HashSet<Arc<[Name]>>,
     shard_sets: HashSet<Arc<[u32]>>,
-    trail: VecDeque<Entry>,
-    max_trail: usize,
+    audit_log: VecDeque<Revision>,
+    max_audit_log: usize,
     /// Entries after that one are not dropped.
     needed: Version,
     /// The last entry of the trail that touched a subject.
-    touched: HashMap<Subject, Version>,
+    last_changed: HashMap<Subject, Version>,
 }
 
 impl Catalog {
-    pub fn new(facts: Facts, max_trail: usize) -> Self {
+    pub fn new(facts: Deployment, max_audit_log: usize) -> Self {
         Catalog {
             facts,
-            max_trail: max_trail.max(1),
+            max_audit_log: max_audit_log.max(1),
             needed: Version(u64::MAX),
             ..Catalog::default()
         }
@@ -368,15 +390,15 @@
         mut self,
         version: Version,
         state: impl IntoIterator<Item = Change>,
-        trail: Vec<Entry>,
+        audit_log: Vec<Revision>,
     ) -> Self {
         state.into_iter().for_each(|c| self.put(&c));
         self.version = version;
-        trail.into_iter().for_each(|e| self.remember(e));
+        audit_log.into_iter().for_each(|e| self.remember(e));
         self
     }
 
-    pub fn facts(&self) -> &Facts {
+    pub fn facts(&self) -> &Deployment {
         &self.facts
     }
 
@@ -426,32 +448,41 @@
         self.targets.iter()
     }
 
-    pub fn timed(&self) -> impl Iterator<Item = (u64, &Timed)> {
-        self.timed.iter().map(|(id, t)| (*id, t))
+    pub fn scheduled(&self) -> impl Iterator<Item = (u64, &ScheduledChange)> {
+        self.scheduled.iter().map(|(id, t)| (*id, t))
     }
 
     /// Volumes on a plan.
-    pub fn standing(&self, plan: &str) -> impl Iterator<Item = u64> + '_ {
-        self.standing.get(plan).into_iter().flatten().copied()
+    pub fn volumes_of_plan(&self, plan: &str) -> impl Iterator<Item = u64> + '_ {
+        self.volumes_of_plan
+            .get(plan)
+            .into_iter()
+            .flatten()
+            .copied()
     }
 
     /// The last entries, oldest first.
-    pub fn trail(&self) -> impl DoubleEndedIterator<Item = &Entry> + ExactSizeIterator + Clone {
-        self.trail.iter()
+    pub fn audit_log(
+        &self,
+    ) -> impl DoubleEndedIterator<Item = &Revision> + ExactSizeIterator + Clone {
+        self.audit_log.iter()
     }
 
     /// Whether the trail is as long as it may be, with entries alone that are needed.
-    pub fn trail_is_full(&self) -> bool {
-        self.trail.len() >= self.max_trail
-            && self.trail.front().is_some_and(|e| e.version > self.needed)
+    pub fn audit_log_is_full(&self) -> bool {
+        self.audit_log.len() >= self.max_audit_log
+            && self
+                .audit_log
+                .front()
+                .is_some_and(|e| e.version > self.needed)
     }
 
     /// Entries after that one; None where the trail no longer reaches back so far.
-    pub fn since(&self, version: Version) -> Option<impl Iterator<Item = &Entry> + '_> {
-        let first = self.trail.front().map_or(self.version, |e| e.from);
+    pub fn since(&self, version: Version) -> Option<impl Iterator<Item = &Revision> + '_> {
+        let first = self.audit_log.front().map_or(self.version, |e| e.from);
         (version >= first).then(|| {
-            let from = self.trail.partition_point(|e| e.version <= version);
-            self.trail.range(from..)
+            let from = self.audit_log.partition_point(|e| e.version <= version);
+            self.audit_log.range(from..)
         })
     }
 
@@ -477,7 +508,7 @@
             name: n.clone(),
             to: Some(t.clone()),
         });
-        let timed = self.timed.iter().map(|(id, t)| Change::Timed {
+        let scheduled = self.scheduled.iter().map(|(id, t)| Change::Scheduled {
             id: *id,
             to: Some(t.clone()),
         });
@@ -486,14 +517,19 @@
             .chain(volumes)
             .chain(drains)
             .chain(targets)
-            .chain(timed)
+            .chain(scheduled)
     }
 
     /// The same as it was at a version that the trail reaches back to.
     pub fn state_at(&self, version: Version) -> impl Iterator<Item = Change> + '_ {
         let mut was: BTreeMap<Subject, Change> = BTreeMap::new();
-        for entry in self.trail.iter().rev().take_while(|e| e.version > version) {
-            was.extend(entry.before.iter().map(|c| (c.subject(), c.clone())));
+        for revision in self
+            .audit_log
+            .iter()
+            .rev()
+            .take_while(|e| e.version > version)
+        {
+            was.extend(revision.before.iter().map(|c| (c.subject(), c.clone())));
         }
         let changed: BTreeSet<Subject> = was.keys().cloned().collect();
         let stayed = self
@@ -503,7 +539,7 @@
     }
 
     /// What would make this state that one; nothing where they are alike.
-    pub fn towards(&self, other: &Catalog) -> Vec<Change> {
+    pub fn changes_towards(&self, other: &Catalog) -> Vec<Change> {
         let gone = self
             .state()
             .map(|c| c.subject())
@@ -519,14 +555,14 @@
     /// The entry that these changes would make, asked by someone who looked at that version.
     pub fn propose(
         &self,
-        looked_at: Version,
-        by: Asks,
+        base_version: Version,
+        by: ChangeContext,
         changes: Vec<Change>,
-    ) -> Result<Entry, Refused> {
+    ) -> Result<Revision, ChangeError> {
         if changes.is_empty() {
-            return Err(Refused::Empty);
+            return Err(ChangeError::Empty);
         }
-        self.unchanged_since(looked_at, &changes)?;
+        self.unchanged_since(base_version, &changes)?;
         let mut after = Overlay {
             below: self,
             over: BTreeMap::new(),
@@ -537,112 +573,124 @@
             self.fine(change)?;
             before.insert(0, self.now(&subject));
             if after.over.insert(subject.clone(), change).is_some() {
-                return Err(Refused::Twice(subject));
+                return Err(ChangeError::Twice(subject));
             }
         }
-        after.whole()?;
+        after.check_references()?;
         if changes.iter().all(|c| self.now(&c.subject()) == *c) {
-            return Err(Refused::Empty);
+            return Err(ChangeError::Empty);
         }
-        let lowers = after.lowers();
-        let Asks {
-            who,
-            why,
-            against,
+        let lowers_limits = after.lowers_limits();
+        let ChangeContext {
+            author,
+            reason,
+            objections,
             at,
         } = by;
-        let (who, why, against) = (who.to_string(), why.to_string(), against.to_string());
+        let (author, reason, objections) = (
+            author.to_string(),
+            reason.to_string(),
+            objections.to_string(),
+        );
         let (from, version) = (self.version, self.version.next());
-        Ok(Entry {
+        Ok(Revision {
             version,
             from,
             at,
-            who,
-            why,
-            against,
+            author,
+            reason,
+            objections,
             changes,
             before,
-            lowers,
+            lowers_limits,
             also: Vec::new(),
         })
     }
 
     /// An entry that changes nothing and lets this state prevail over all others up to a version.
-    pub fn prevail(&self, over: Version, by: Asks) -> Entry {
-        let Asks {
-            who,
-            why,
-            against,
+    pub fn force_epoch(&self, over: Version, by: ChangeContext) -> Revision {
+        let ChangeContext {
+            author,
+            reason,
+            objections,
             at,
         } = by;
-        let (who, why, against) = (who.to_string(), why.to_string(), against.to_string());
+        let (author, reason, objections) = (
+            author.to_string(),
+            reason.to_string(),
+            objections.to_string(),
+        );
         let (from, version) = (self.version, over.max(self.version).next());
         // Nobody knows what hosts were promised meanwhile.
         let (changes, before, also) = (Vec::new(), Vec::new(), Vec::new());
-        Entry {
+        Revision {
             version,
             from,
             at,
-            who,
-            why,
-            against,
+            author,
+            reason,
+            objections,
             changes,
             before,
-            lowers: true,
+            lowers_limits: true,
             also,
         }
     }
 
     /// The entry that puts back what an earlier one changed, where nothing has changed it since. What was to
     /// land at a stated time and did is not put back: it would land again at once.
-    pub fn undo(&self, entry: Version, by: Asks) -> Result<Entry, Refused> {
-        let oldest = self.trail.front().map_or(self.version, |e| e.version);
-        let found = self.trail.iter().find(|e| e.version == entry);
-        let back = &found.ok_or(Refused::TooOld { oldest })?.before;
+    pub fn undo(&self, revision: Version, by: ChangeContext) -> Result<Revision, ChangeError> {
+        let oldest = self.audit_log.front().map_or(self.version, |e| e.version);
+        let found = self.audit_log.iter().find(|e| e.version == revision);
+        let back = &found.ok_or(ChangeError::TooOld { oldest })?.before;
         let back = back
             .iter()
-            .filter(|c| !matches!(c, Change::Timed { to: Some(_), .. }));
-        self.propose(entry, by, back.cloned().collect())
+            .filter(|c| !matches!(c, Change::Scheduled { to: Some(_), .. }));
+        self.propose(revision, by, back.cloned().collect())
     }
 
     /// Lays a kept entry over the state.
-    pub fn take(&mut self, entry: Entry) -> Result<(), OutOfOrder> {
-        if entry.version <= self.version {
+    pub fn apply(&mut self, revision: Revision) -> Result<(), OutOfOrder> {
+        if revision.version <= self.version {
             return Err(OutOfOrder::Older);
         }
-        if entry.from != self.version {
+        if revision.from != self.version {
             return Err(OutOfOrder::Gap {
-                wants: self.version.next(),
+                expected: self.version.next(),
             });
         }
-        entry.changes.iter().for_each(|c| self.put(c));
-        self.version = entry.version;
-        self.remember(entry);
+        revision.changes.iter().for_each(|c| self.put(c));
+        self.version = revision.version;
+        self.remember(revision);
         Ok(())
     }
 
-    fn remember(&mut self, entry: Entry) {
-        for c in &entry.changes {
-            self.touched.insert(c.subject(), entry.version);
+    fn remember(&mut self, revision: Revision) {
+        for c in &revision.changes {
+            self.last_changed.insert(c.subject(), revision.version);
         }
-        for (version, was) in &entry.also {
-            let at = self.trail.binary_search_by_key(version, |e| e.version);
-            let earlier = at.ok().and_then(|at| self.trail.get_mut(at));
+        for (version, was) in &revision.also {
+            let at = self.audit_log.binary_search_by_key(version, |e| e.version);
+            let earlier = at.ok().and_then(|at| self.audit_log.get_mut(at));
             earlier.into_iter().for_each(|e| e.before.push(was.clone()));
         }
-        self.trail.push_back(entry);
-        while self.trail.len() > self.max_trail
-            && self.trail.front().is_some_and(|e| e.version <= self.needed)
+        self.audit_log.push_back(revision);
+        while self.audit_log.len() > self.max_audit_log
+            && self
+                .audit_log
+                .front()
+                .is_some_and(|e| e.version <= self.needed)
         {
-            let old = self.trail.pop_front().expect("not empty");
+            let old = self.audit_log.pop_front().expect("not empty");
             self.unremember(&old);
         }
     }
 
     /// An entry is no longer in the trail: what it touched and nothing later did is not known any more.
-    fn unremember(&mut self, old: &Entry) {
+    fn unremember(&mut self, old: &Revision) {
         for c in &old.changes {
-            if let std::collections::hash_map::Entry::Occupied(e) = self.touched.entry(c.subject())
+            if let std::collections::hash_map::Entry::Occupied(e) =
+                self.last_changed.entry(c.subject())
             {
                 if *e.get() == old.version {
                     e.remove();
@@ -652,54 +700,62 @@
     }
 
     /// Takes the last entry back, one that was never kept.
-    pub fn take_back(&mut self) -> Option<Entry> {
-        let entry = self.trail.pop_back()?;
-        entry.before.iter().for_each(|c| self.put(c));
-        self.version = entry.from;
-        for c in &entry.changes {
+    pub fn revert_last(&mut self) -> Option<Revision> {
+        let revision = self.audit_log.pop_back()?;
+        revision.before.iter().for_each(|c| self.put(c));
+        self.version = revision.from;
+        for c in &revision.changes {
             let subject = c.subject();
-            let touches = |e: &&Entry| e.changes.iter().any(|c| c.subject() == subject);
-            match self.trail.iter().rev().find(touches).map(|e| e.version) {
-                Some(version) => _ = self.touched.insert(subject, version),
-                None => _ = self.touched.remove(&subject),
+            let touches = |e: &&Revision| e.changes.iter().any(|c| c.subject() == subject);
+            match self.audit_log.iter().rev().find(touches).map(|e| e.version) {
+                Some(version) => _ = self.last_changed.insert(subject, version),
+                None => _ = self.last_changed.remove(&subject),
             }
         }
-        Some(entry)
+        Some(revision)
     }
 
     /// The last entry of the trail that touched a subject.
-    pub fn touched(&self, subject: &Subject) -> Option<Version> {
-        self.touched.get(subject).copied()
+    pub fn last_changed(&self, subject: &Subject) -> Option<Version> {
+        self.last_changed.get(subject).copied()
     }
 
     /// Drops entries up to that version from the trail, and answers them.
-    pub fn forget(&mut self, upto: Version) -> Vec<Entry> {
-        let n = self.trail.partition_point(|e| e.version <= upto);
-        let old: Vec<Entry> = self.trail.drain(..n).collect();
+    pub fn forget(&mut self, upto: Version) -> Vec<Revision> {
+        let n = self.audit_log.partition_point(|e| e.version <= upto);
+        let old: Vec<Revision> = self.audit_log.drain(..n).collect();
         old.iter().for_each(|e| self.unremember(e));
         old
     }
 
     /// Whether anything that the changes touch or rest on has changed since.
-    fn unchanged_since(&self, looked_at: Version, changes: &[Change]) -> Result<(), Refused> {
-        if looked_at > self.version {
-            return Err(Refused::Ahead {
+    fn unchanged_since(
+        &self,
+        base_version: Version,
+        changes: &[Change],
+    ) -> Result<(), ChangeError> {
+        if base_version > self.version {
+            return Err(ChangeError::Ahead {
                 latest: self.version,
             });
         }
-        let oldest = self.trail.front().map_or(self.version, |e| e.version);
-        if self.since(looked_at).is_none() {
-            return Err(Refused::TooOld { oldest });
+        let oldest = self.audit_log.front().map_or(self.version, |e| e.version);
+        if self.since(base_version).is_none() {
+            return Err(ChangeError::TooOld { oldest });
         }
         // A volume that was put on a plan meanwhile does not change that plan for others.
         for subject in changes
             .iter()
             .flat_map(|c| c.rests_on().into_iter().chain([c.subject()]))
         {
-            if let Some(with) = self.touched(&subject).filter(|v| *v > looked_at) {
-                let by = self.trail.iter().rev().find(|e| e.version == with);
-                let who = by.map(|e| e.who.clone()).unwrap_or_default();
-                return Err(Refused::Collision { subject, with, who });
+            if let Some(with) = self.last_changed(&subject).filter(|v| *v > base_version) {
+                let by = self.audit_log.iter().rev().find(|e| e.version == with);
+                let author = by.map(|e| e.author.clone()).unwrap_or_default();
+                return Err(ChangeError::Collision {
+                    subject,
+                    with,
+                    author,
+                });
             }
         }
         Ok(())
@@ -728,9 +784,9 @@
                 name: name.clone(),
                 to: self.targets.get(name).cloned(),
             },
-            Subject::Timed(id) => Change::Timed {
+            Subject::Scheduled(id) => Change::Scheduled {
                 id: *id,
-                to: self.timed.get(id).cloned(),
+                to: self.scheduled.get(id).cloned(),
             },
         }
     }
@@ -763,7 +819,7 @@
             }
             Change::Drain { node, to } => set(&mut self.drains, node, to),
             Change::Target { name, to } => set(&mut self.targets, name, to),
-            Change::Timed { id, to } => set(&mut self.timed, id, to),
+            Change::Scheduled { id, to } => set(&mut self.scheduled, id, to),
             Change::Volume { id, to } => {
                 let to = to.map(|v| self.shared(v));
                 let new = to.as_ref().map(|v| v.plan.clone());
@@ -775,11 +831,13 @@
                 if old == new {
                     return;
                 }
-                if let Some(standing) = old.and_then(|plan| self.standing.get_mut(&plan)) {
-                    standing.remove(&id);
+                if let Some(volumes_of_plan) =
+                    old.and_then(|plan| self.volumes_of_plan.get_mut(&plan))
+                {
+                    volumes_of_plan.remove(&id);
                 }
                 new.into_iter()
-                    .for_each(|plan| _ = self.standing.entry(plan).or_default().insert(id));
+                    .for_each(|plan| _ = self.volumes_of_plan.entry(plan).or_default().insert(id));
             }
         }
     }
@@ -807,9 +865,9 @@
     }
 
     /// What is wrong with a change by itself.
-    fn fine(&self, change: &Change) -> Result<(), Refused> {
+    fn fine(&self, change: &Change) -> Result<(), ChangeError> {
         let bad = |what: String| {
-            Err(Refused::Figure {
+            Err(ChangeError::Figure {
                 subject: change.subject(),
                 what,
             })
@@ -869,8 +927,11 @@
                 "its name, {}, is a number and might be another's",
                 n.name
             )),
-            Change::Timed { to: Some(t), .. } => {
-                if t.changes.iter().any(|c| matches!(c, Change::Timed { .. })) {
+            Change::Scheduled { to: Some(t), .. } => {
+                if t.changes
+                    .iter()
+                    .any(|c| matches!(c, Change::Scheduled { .. }))
+                {
                     return bad("a timed change within a timed change".into());
                 }
                 t.changes.iter().try_for_each(|c| self.fine(c))
@@ -917,13 +978,13 @@
 
     /// A shard that no node holds any more, if any, and a volume whose data may lie there.
     fn unheld(&self) -> Option<(u32, u64)> {
-        let touched = self.over.keys().any(|s| matches!(s, Subject::Node(_)));
+        let last_changed = self.over.keys().any(|s| matches!(s, Subject::Node(_)));
         let changed = self.over.values().filter_map(|c| match c {
             Change::Volume { id, to: Some(_) } => Some(*id),
             _ => None,
         });
         // Only a change of nodes can leave a volume behind that it does not touch itself.
-        let all: Vec<u64> = if touched {
+        let all: Vec<u64> = if last_changed {
             self.below.volumes.keys().copied().collect()
         } else {
             Vec::new()
@@ -944,22 +1005,25 @@
         let volumes = changed
             .chain(all)
             .filter_map(|id| Some((id, self.volume(id)?)));
-        let missing = |v: &Volume| v.shards.iter().copied().find(|c| !shards.contains(c));
-        volumes.filter_map(|(id, v)| Some((missing(v)?, id))).next()
+        let shortfall = |v: &Volume| v.shards.iter().copied().find(|c| !shards.contains(c));
+        volumes
+            .filter_map(|(id, v)| Some((shortfall(v)?, id)))
+            .next()
     }
 
     /// Whether what is left hangs together.
-    fn whole(&self) -> Result<(), Refused> {
+    fn check_references(&self) -> Result<(), ChangeError> {
         for (subject, change) in &self.over {
             if change.ends() && self.below.now(subject).ends() {
-                return Err(Refused::Unknown(subject.clone()));
+                return Err(ChangeError::Unknown(subject.clone()));
             }
             match change {
                 Change::Plan { name, to: None } => {
                     let stays = |id: &&u64| self.volume(**id).is_some_and(|v| v.plan == *name);
-                    let standing = self.below.standing.get(name).into_iter().flatten();
-                    if let Some(by) = standing.into_iter().find(stays) {
-                        return Err(Refused::InUse {
+                    let volumes_of_plan =
+                        self.below.volumes_of_plan.get(name).into_iter().flatten();
+                    if let Some(by) = volumes_of_plan.into_iter().find(stays) {
+                        return Err(ChangeError::InUse {
                             what: subject.clone(),
                             by: Subject::Volume(*by),
                         });
@@ -975,24 +1039,24 @@
                     };
                     if let Some((name, _)) = self.below.targets.iter().find(|(n, t)| holds(n, t)) {
                         let by = Subject::Target(name.clone());
-                        return Err(Refused::InUse {
+                        return Err(ChangeError::InUse {
                             what: subject.clone(),
                             by,
                         });
                     }
                 }
                 Change::Volume { to: Some(v), .. } if self.plan(&v.plan).is_none() => {
-                    return Err(Refused::Unknown(Subject::Plan(v.plan.clone())));
+                    return Err(ChangeError::Unknown(Subject::Plan(v.plan.clone())));
                 }
                 Change::Drain { node, to: Some(_) } if self.node(*node).is_none() => {
-                    return Err(Refused::Unknown(Subject::Node(*node)));
+                    return Err(ChangeError::Unknown(Subject::Node(*node)));
                 }
                 Change::Drain { node, to: Some(to) } => {
                     let was = self.below.drain(*node).map(|d| d.stage);
                     if !Stage::may_follow(was, Some(to.stage)) {
                         let was = was.map_or("none", Stage::name);
                         let what = format!("cannot go from {was} to {}", to.stage.name());
-                        return Err(Refused::Figure {
+                        return Err(ChangeError::Figure {
                             subject: subject.clone(),
                             what,
                         });
@@ -1003,27 +1067,27 @@
                         *other != *id && self.node(*other).is_some_and(|o| o.name == n.name)
                     };
                     let below = self.below.called.get(&n.name).copied().filter(own);
-                    let beside = self.over.keys().find_map(|s| match s {
+                    let exclusion_reason = self.over.keys().find_map(|s| match s {
                         Subject::Node(other) if own(other) => Some(*other),
                         _ => None,
                     });
-                    if let Some(other) = below.or(beside) {
+                    if let Some(other) = below.or(exclusion_reason) {
                         let what = format!("node {other} is called {} as well", n.name);
-                        return Err(Refused::Figure {
+                        return Err(ChangeError::Figure {
                             subject: subject.clone(),
                             what,
                         });
                     }
                 }
                 Change::Node { id, to: None } if self.drains(*id) => {
-                    return Err(Refused::InUse {
+                    return Err(ChangeError::InUse {
                         what: subject.clone(),
                         by: Subject::Drain(*id),
                     });
                 }
                 Change::Target { to: Some(t), .. } => {
                     if let Some(v) = t.iter().find(|v| self.volume(**v).is_none()) {
-                        return Err(Refused::Unknown(Subject::Volume(*v)));
+                        return Err(ChangeError::Unknown(Subject::Volume(*v)));
                     }
                 }
                 _ => {}
@@ -1031,7 +1095,7 @@
         }
         if let Some((shard, volume)) = self.unheld() {
             let what = format!("its data may lie in cell {shard}, which no node holds");
-            return Err(Refused::Figure {
+            return Err(ChangeError::Figure {
                 subject: Subject::Volume(volume),
                 what,
             });
@@ -1041,12 +1105,17 @@
 
     /// Whether a host that knows only what was before may hold itself entitled to more of a limited volume
     /// than it is now: see [`crate::feed`].
-    fn lowers(&self) -> bool {
+    fn lowers_limits(&self) -> bool {
         let of_plan = |name: &Name| {
             let (was, is) = (self.below.plans.get(name), self.plan(name));
-            let standing = || self.below.standing.get(name).is_some_and(|s| !s.is_empty());
+            let volumes_of_plan = || {
+                self.below
+                    .volumes_of_plan
+                    .get(name)
+                    .is_some_and(|s| !s.is_empty())
+            };
             is.is_some_and(|is| {
-                is.limit > 0.0 && was.is_some_and(|was| lowered(was, is)) && standing()
+                is.limit > 0.0 && was.is_some_and(|was| lowered(was, is)) && volumes_of_plan()
             })
         };
         let of_volume = |id: u64| {
@@ -1058,7 +1127,7 @@
             };
             let Some(was) = self.below.volumes.get(&id) else {
                 // One of that name may have been before, and somebody may still know that one.
-                return self.below.touched(&Subject::Volume(id)).is_some();
+                return self.below.last_changed(&Subject::Volume(id)).is_some();
             };
             let fewer =
                 was.hosts.iter().any(|h| !v.hosts.contains(h)) || v.hosts.len() > was.hosts.len();
--- a/crates/plans/src/feed.rs
+++ b/crates/plans/src/feed.rs
@@ -1,8 +1,8 @@
 //! Who follows which version of the catalog, when nobody follows an old one any more, and what a host may
 //! send of a limited volume meanwhile.
 //!
-//! Called on both sides of the feed. A source calls `asked` when a host asks for what is new, and `settled`
-//! to learn up to where changes have come everywhere; a host calls `told` with each answer, and [`part`] with
+//! Called on both sides of the feed. A source calls `asked` when a host asks for what is new, and `stable`
+//! to learn up to where changes have come everywhere; a host calls `told` with each answer, and [`quota`] with
 //! what each version that it must still reckon with says of a volume. The argument why limits hold meanwhile
 //! is in docs/design/plans.md. In short:
 //!
@@ -26,13 +26,13 @@
 
 /// A host, by its place in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct HostNo(pub u32);
+pub struct HostNumber(pub u32);
 
 /// What the source knows of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Held {
     /// The newest version that it said to have; None: it was never heard of, so nothing was ever granted.
-    has: Option<Version>,
+    applied: Option<Version>,
     /// When the last lease that it may hold has run out, with the margin.
     until: Duration,
     /// Somebody answers for it that it sends nothing.
@@ -41,7 +41,7 @@
 
 /// What a host is answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Answer {
+pub enum PollDecision {
     /// All entries that it has not, and for how long it may follow them from when it asked.
     Grant {
         lease: Duration,
@@ -49,14 +49,14 @@
     /// It has more than the source: that was set back to an old state. Nothing is granted to anyone before
     /// somebody has looked, so leases run out and hosts fall back to what no change can take away.
     Behind {
-        has: Version,
+        applied: Version,
     },
     Stranger,
 }
 
 /// Versions that lower what no host loses unheard, as far as they are known.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Lowerings {
+pub struct LimitReductions {
     /// Before that one nothing is known.
     from: Version,
     /// Each with the version before it.
@@ -64,29 +64,29 @@
     latest: Version,
 }
 
-impl Lowerings {
+impl LimitReductions {
     /// After a version of which only that much is known.
     pub fn new(from: Version) -> Self {
-        Lowerings {
+        LimitReductions {
             from,
             at: Vec::new(),
             latest: from,
         }
     }
 
-    pub fn add(&mut self, version: Version, lowers: bool) {
+    pub fn add(&mut self, version: Version, lowers_limits: bool) {
         let before = std::mem::replace(&mut self.latest, version);
-        if lowers {
+        if lowers_limits {
             self.at.push((version, before));
         }
     }
 
-    /// The last version up to which a host that has `has` is owed what it then knew.
-    fn reach(&self, has: Version) -> Version {
-        if has < self.from {
-            return has;
+    /// The last version up to which a host that has `applied` is owed what it then knew.
+    fn reach(&self, applied: Version) -> Version {
+        if applied < self.from {
+            return applied;
         }
-        let next = self.at.get(self.at.partition_point(|v| v.0 <= has));
+        let next = self.at.get(self.at.partition_point(|v| v.0 <= applied));
         next.map_or(self.latest, |v| v.1)
     }
 
@@ -102,42 +102,42 @@
 pub struct Leases {
     lease: Duration,
     margin: Duration,
-    hosts: BTreeMap<HostNo, Held>,
-    settled: Version,
+    hosts: BTreeMap<HostNumber, Held>,
+    stable: Version,
     behind: Option<Version>,
 }
 
 impl Leases {
-    /// `settled`: what was, before an earlier start told anyone. `hosts`: all there are, with what each was
+    /// `stable`: what was, before an earlier start told anyone. `hosts`: all there are, with what each was
     /// last known to have; None: it was never heard of. Leases of an earlier start may be out.
     pub fn new(
         lease: Duration,
         margin: Duration,
         now: Duration,
-        settled: Version,
-        hosts: impl IntoIterator<Item = (HostNo, Option<Version>)>,
+        stable: Version,
+        hosts: impl IntoIterator<Item = (HostNumber, Option<Version>)>,
     ) -> Self {
-        let held = |has: Option<Version>| {
-            let until = if has.is_some() {
+        let held = |applied: Option<Version>| {
+            let until = if applied.is_some() {
                 now + lease + margin
             } else {
                 now
             };
             Held {
-                has,
+                applied,
                 until,
                 gone: false,
             }
         };
         let hosts = hosts
             .into_iter()
-            .map(|(host, has)| (host, held(has)))
+            .map(|(host, applied)| (host, held(applied)))
             .collect();
         Leases {
             lease,
             margin,
             hosts,
-            settled,
+            stable,
             behind: None,
         }
     }
@@ -147,49 +147,55 @@
     }
 
     /// A host asks, says what it has, and is answered at once; `latest` is the catalog's version.
-    pub fn asked(&mut self, now: Duration, host: HostNo, has: Version, latest: Version) -> Answer {
-        self.heard(host, has, latest);
+    pub fn asked(
+        &mut self,
+        now: Duration,
+        host: HostNumber,
+        applied: Version,
+        latest: Version,
+    ) -> PollDecision {
+        self.heard(host, applied, latest);
         self.grant(now, host)
     }
 
     /// Some host has followed what is not known here.
-    pub fn is_behind(&mut self, has: Version) {
-        self.behind = self.behind.max(Some(has));
+    pub fn is_behind(&mut self, applied: Version) {
+        self.behind = self.behind.max(Some(applied));
     }
 
     /// A host says what it has and uses.
-    pub fn heard(&mut self, host: HostNo, has: Version, latest: Version) {
+    pub fn heard(&mut self, host: HostNumber, applied: Version, latest: Version) {
         let Some(held) = self.hosts.get_mut(&host) else {
             return;
         };
-        if has <= latest {
-            held.has = held.has.max(Some(has));
+        if applied <= latest {
+            held.applied = held.applied.max(Some(applied));
         } else {
-            self.is_behind(has);
+            self.is_behind(applied);
         }
     }
 
     /// A host is answered, and has a lease from then on.
-    pub fn grant(&mut self, now: Duration, host: HostNo) -> Answer {
+    pub fn grant(&mut self, now: Duration, host: HostNumber) -> PollDecision {
         match (self.hosts.get_mut(&host), self.behind) {
-            (None, _) => Answer::Stranger,
-            (_, Some(has)) => Answer::Behind { has },
+            (None, _) => PollDecision::Stranger,
+            (_, Some(applied)) => PollDecision::Behind { applied },
             (Some(held), None) => {
                 // Whatever it said, from here on it may follow something.
-                held.has = held.has.or(Some(Version(0)));
+                held.applied = held.applied.or(Some(Version(0)));
                 (held.until, held.gone) = (now + self.lease + self.margin, false);
-                Answer::Grant { lease: self.lease }
+                PollDecision::Grant { lease: self.lease }
             }
         }
     }
 
     /// What a host is known to have.
-    pub fn has(&self, host: HostNo) -> Option<Version> {
-        self.hosts.get(&host).and_then(|h| h.has)
+    pub fn applied(&self, host: HostNumber) -> Option<Version> {
+        self.hosts.get(&host).and_then(|h| h.applied)
     }
 
     /// Somebody answers for it that this host sends nothing until it asks again.
-    pub fn gone(&mut self, host: HostNo) {
+    pub fn gone(&mut self, host: HostNumber) {
         self.hosts
             .get_mut(&host)
             .into_iter()
@@ -198,24 +204,29 @@
 
     /// Up to which version all changes have come everywhere that they must. It never goes back, and never
     /// beyond `upto`: of what may yet be taken back nothing is settled.
-    pub fn settled(&mut self, now: Duration, lowerings: &Lowerings, upto: Version) -> Version {
+    pub fn stable(
+        &mut self,
+        now: Duration,
+        limit_reductions: &LimitReductions,
+        upto: Version,
+    ) -> Version {
         let reached = self
             .hosts
             .values()
-            .map(|h| Self::reach(h, now, lowerings))
+            .map(|h| Self::reach(h, now, limit_reductions))
             .min();
-        self.settled = self
-            .settled
-            .max(reached.unwrap_or(lowerings.latest).min(upto));
-        self.settled
+        self.stable = self
+            .stable
+            .max(reached.unwrap_or(limit_reductions.latest).min(upto));
+        self.stable
     }
 
-    fn reach(h: &Held, now: Duration, lowerings: &Lowerings) -> Version {
-        match h.has {
-            None => lowerings.latest,
-            Some(_) if h.gone => lowerings.latest,
-            Some(has) if now < h.until => has,
-            Some(has) => lowerings.reach(has),
+    fn reach(h: &Held, now: Duration, limit_reductions: &LimitReductions) -> Version {
+        match h.applied {
+            None => limit_reductions.latest,
+            Some(_) if h.gone => limit_reductions.latest,
+            Some(applied) if now < h.until => applied,
+            Some(applied) => limit_reductions.reach(applied),
         }
     }
 
@@ -225,18 +236,21 @@
         &self,
         now: Duration,
         version: Version,
-        lowerings: &Lowerings,
-    ) -> Vec<(HostNo, bool)> {
+        limit_reductions: &LimitReductions,
+    ) -> Vec<(HostNumber, bool)> {
         let waits = self
             .hosts
             .iter()
-            .filter(|(_, h)| Self::reach(h, now, lowerings) < version);
+            .filter(|(_, h)| Self::reach(h, now, limit_reductions) < version);
         waits.map(|(no, h)| (*no, now >= h.until)).collect()
     }
 
     /// When what is settled may change by time alone.
     pub fn wake_at(&self, now: Duration) -> Option<Duration> {
-        let behind = |h: &&Held| h.has.is_some_and(|has| has > self.settled || !h.gone);
+        let behind = |h: &&Held| {
+            h.applied
+                .is_some_and(|applied| applied > self.stable || !h.gone)
+        };
         self.hosts
             .values()
             .filter(behind)
@@ -258,34 +272,34 @@
 
 /// A host's side. It is kept before it is followed, and read back at a start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Follower {
-    pub has: Version,
+pub struct FollowerLease {
+    pub applied: Version,
     /// Versions before this one need not be reckoned with any more.
-    pub settled: Version,
+    pub stable: Version,
     until: Duration,
 }
 
-impl Follower {
+impl FollowerLease {
     /// As it was kept: without a lease.
-    pub fn kept(has: Version, settled: Version) -> Self {
-        Follower {
-            has,
-            settled: settled.min(has),
+    pub fn persisted(applied: Version, stable: Version) -> Self {
+        FollowerLease {
+            applied,
+            stable: stable.min(applied),
             until: Duration::ZERO,
         }
     }
 
     /// An answer to what was asked at `sent`, by this host's clock. An older one than what it has is not
     /// followed, nor is its lease.
-    pub fn told(&mut self, sent: Duration, version: Version, settled: Version, lease: Duration) {
-        if version >= self.has {
-            self.until = if version > self.has {
+    pub fn told(&mut self, sent: Duration, version: Version, stable: Version, lease: Duration) {
+        if version >= self.applied {
+            self.until = if version > self.applied {
                 sent + lease
             } else {
                 self.until.max(sent + lease)
             };
-            self.has = version;
-            self.settled = self.settled.max(settled).min(version);
+            self.applied = version;
+            self.stable = self.stable.max(stable).min(version);
         }
     }
 
@@ -301,7 +315,7 @@
 
 /// What one version says of a volume, as one host reads it. Rates are units a second.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Says {
+pub struct LimitTerms {
     pub reservation: f64,
     /// 0: none.
     pub limit: f64,
@@ -313,7 +327,7 @@
 
 /// A host's part of a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Part {
+pub struct Quota {
     pub rate: f64,
     pub burst: f64,
 }
@@ -322,17 +336,17 @@
 /// which the volume does not exist says nothing.
 ///
 /// ```
-/// use grebecleat_plans::feed::{part, Part, Says};
-/// let says = |limit, hosts| Says { reservation: 4.0, limit, burst: 2.0 * limit, hosts, mine: true };
+/// use grebecleat_plans::feed::{quota, Quota, LimitTerms};
+/// let says = |limit, hosts| LimitTerms { reservation: 4.0, limit, burst: 2.0 * limit, hosts, mine: true };
 /// // Raised from 8 to 12 over two hosts, not settled yet: still 4, and the burst that goes with it.
-/// assert_eq!(part([says(8.0, 2), says(12.0, 2)], true), Some(Part { rate: 4.0, burst: 8.0 }));
+/// assert_eq!(quota([says(8.0, 2), says(12.0, 2)], true), Some(Quota { rate: 4.0, burst: 8.0 }));
 /// // A third host comes in: from now on each has a third.
-/// assert_eq!(part([says(12.0, 2), says(12.0, 3)], true), Some(Part { rate: 4.0, burst: 8.0 }));
+/// assert_eq!(quota([says(12.0, 2), says(12.0, 3)], true), Some(Quota { rate: 4.0, burst: 8.0 }));
 /// // Without a lease: the part of the reservation.
-/// assert_eq!(part([says(12.0, 2)], false), Some(Part { rate: 2.0, burst: 12.0 }));
-/// assert_eq!(part([says(0.0, 2)], false), None);
+/// assert_eq!(quota([says(12.0, 2)], false), Some(Quota { rate: 2.0, burst: 12.0 }));
+/// assert_eq!(quota([says(0.0, 2)], false), None);
 /// ```
-pub fn part(window: impl IntoIterator<Item = Says>, leased: bool) -> Option<Part> {
+pub fn quota(window: impl IntoIterator<Item = LimitTerms>, leased: bool) -> Option<Quota> {
     let limited = window.into_iter().filter(|s| s.limit > 0.0);
     let each = limited.map(|s| {
         let share = if s.mine {
@@ -341,12 +355,12 @@
             0.0
         };
         let rate = if leased { s.limit } else { s.reservation };
-        Part {
+        Quota {
             rate: rate * share,
             burst: s.burst * share,
         }
     });
-    each.reduce(|a, b| Part {
+    each.reduce(|a, b| Quota {
         rate: a.rate.min(b.rate),
         burst: a.burst.min(b.burst),
     })
--- a/crates/plans/src/flow.rs
+++ b/crates/plans/src/flow.rs
@@ -1,6 +1,6 @@
 //! A flow from volumes to the nodes that hold their extents, which grows and shrinks where it stands.
 //!
-//! Called by [`crate::planner`] volume by volume, and by [`crate::standing`] as a site changes: `offer` raises
+//! Called by [`crate::planner`] volume by volume, and by [`crate::incremental_flow`] as a site changes: `offer` raises
 //! what volumes with like homes may put on each, `fill` carries as much of an amount as it can, by the
 //! shortest ways and moving what lies there already (Ford and Fulkerson, with breadth first as by Edmonds and
 //! Karp). A solver would have to begin anew each time; this goes on from what is carried. All that it changes
--- a/crates/plans/src/follow.rs
+++ b/crates/plans/src/follower.rs
@@ -2,10 +2,10 @@
 //! volume.
 //!
 //! Called as `step(now, events)` for every batch of what happened on the way to the state service and to the
-//! disk, which answers what to ask, keep, and tell; [`Follow::wake_at`] says when it must be called again.
+//! disk, which answers what to ask, keep, and tell; [`Follower::wake_at`] says when it must be called again.
 //! Wanted at any time: an open question to the service, everything that came on the disk, a word to the
 //! service once nothing of an older version can cross any more, and the decisions on the terms that follow
-//! from all versions that must be reckoned with ([`crate::feed::part`]). `bring` diffs these against what is
+//! from all versions that must be reckoned with ([`crate::feed::quota`]). `bring` diffs these against what is
 //! so.
 //!
 //! - What comes is followed at once and kept beside; only once it is kept, and what was decided before has
@@ -17,9 +17,9 @@
 //! Without input or output. Memory: the catalog of volumes that work through this host, the last terms of
 //! each, and at most [`MOST_OPEN`] entries that are not settled.
 
-use crate::changes::{Catalog, Change, Entry, Facts, Name, Plan, Subject, Version, Volume};
-use crate::feed::{part, Follower, Part, Says};
-use crate::source::{Call, Era};
+use crate::changes::{Catalog, Change, Deployment, Name, Plan, Revision, Subject, Version, Volume};
+use crate::feed::{quota, FollowerLease, LimitTerms, Quota};
+use crate::leader::{CallId, Epoch};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -33,14 +33,14 @@
 
 /// What came from the service.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Came {
+pub enum Update {
     /// What follows what this host has.
-    Entries(Vec<Entry>),
+    Entries(Vec<Revision>),
     /// Everything as it was at a settled version, and what followed.
     Whole {
         at: Version,
         state: Vec<Change>,
-        entries: Vec<Entry>,
+        revisions: Vec<Revision>,
     },
 }
 
@@ -50,39 +50,39 @@
     Up,
     Down,
     Granted {
-        call: Call,
-        era: Era,
+        call: CallId,
+        epoch: Epoch,
         version: Version,
-        settled: Version,
+        stable: Version,
         lease: Duration,
-        came: Came,
+        came: Update,
     },
     /// The service knows less than this host.
     Behind {
-        call: Call,
+        call: CallId,
     },
-    Refused {
-        call: Call,
-        why: String,
+    PollRejected {
+        call: CallId,
+        reason: String,
     },
-    Kept {
+    Persisted {
         number: u64,
     },
-    NotKept {
-        why: String,
+    PersistFailed {
+        reason: String,
     },
 }
 
 /// What is to be on the disk, together or not at all.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Keep {
+pub struct PersistRequest {
     pub number: u64,
-    pub era: Era,
-    pub settled: Version,
+    pub epoch: Epoch,
+    pub stable: Version,
     /// Entries to add, with what puts them back.
-    pub entries: Vec<Entry>,
+    pub revisions: Vec<Revision>,
     /// In place of all that was kept, where steps are missing.
-    pub whole: bool,
+    pub snapshot: bool,
 }
 
 /// On what terms this host serves a volume.
@@ -93,25 +93,25 @@
     /// It works through this host.
     pub mine: bool,
     /// This host's part of the limit; None: there is none.
-    pub part: Option<Part>,
+    pub quota: Option<Quota>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// `sure`: as in [`Action::Confirm`].
-    Ask {
-        call: Call,
-        era: Era,
-        has: Version,
-        settled: Version,
-        sure: Version,
+    /// `acknowledged`: as in [`Action::Acknowledge`].
+    Poll {
+        call: CallId,
+        epoch: Epoch,
+        applied: Version,
+        stable: Version,
+        acknowledged: Version,
     },
     /// Nothing of an older version crosses from here any more.
-    Confirm {
-        era: Era,
-        has: Version,
+    Acknowledge {
+        epoch: Epoch,
+        applied: Version,
     },
-    Keep(Keep),
+    Persist(PersistRequest),
     /// A plan's figures; its limit is in the terms of each volume.
     Plan {
         name: Name,
@@ -129,34 +129,34 @@
 
 /// What the host was when it last was.
 #[derive(Debug, Clone, Default)]
-pub struct Start {
+pub struct InitialState {
     pub catalog: Catalog,
-    pub settled: Version,
-    pub era: Era,
+    pub stable: Version,
+    pub epoch: Epoch,
 }
 
 #[derive(Debug)]
-pub struct Follow {
+pub struct Follower {
     me: Name,
     max_dispatch_delay: Duration,
     catalog: Catalog,
-    follower: Follower,
-    era: Era,
+    follower_lease: FollowerLease,
+    epoch: Epoch,
     now: Duration,
     up: bool,
-    asked: Option<(Call, Duration)>,
+    asked: Option<(CallId, Duration)>,
     lease: Duration,
     /// The last keep: its number, and the version that it brings.
     keeping: Option<(u64, Version)>,
-    kept: Version,
+    persisted: Version,
     /// What came since the last keep.
-    unkept: Vec<Entry>,
-    whole: bool,
-    settled_kept: Version,
+    unkept: Vec<Revision>,
+    snapshot: bool,
+    stable_persisted: Version,
     /// Versions with when they were followed, oldest first, of which the service has not been told.
     followed: Vec<(Version, Duration)>,
     /// Of which nothing older can cross any more, and up to where the service was told so.
-    sure: Version,
+    acknowledged: Version,
     confirmed: Version,
     leased: bool,
     not_before: Duration,
@@ -168,34 +168,34 @@
     out: Vec<Action>,
 }
 
-impl Follow {
+impl Follower {
     /// `max_dispatch_delay`: how long what was decided may take to cross.
-    pub fn new(me: Name, start: Start, max_dispatch_delay: Duration) -> Self {
-        let Start {
+    pub fn new(me: Name, start: InitialState, max_dispatch_delay: Duration) -> Self {
+        let InitialState {
             catalog,
-            settled,
-            era,
+            stable,
+            epoch,
         } = start;
-        let has = catalog.version();
+        let applied = catalog.version();
         let plans = catalog.plans().map(|(name, _)| name.clone()).collect();
         let dirty = catalog.volumes().map(|(id, _)| id).collect();
-        Follow {
+        Follower {
             me,
             max_dispatch_delay,
-            follower: Follower::kept(has, settled),
+            follower_lease: FollowerLease::persisted(applied, stable),
             catalog,
-            era,
+            epoch,
             now: Duration::ZERO,
             up: false,
             asked: None,
             lease: FIRST,
             keeping: None,
-            kept: has,
+            persisted: applied,
             unkept: Vec::new(),
-            whole: false,
-            settled_kept: settled,
-            followed: vec![(has, Duration::ZERO)],
-            sure: Version(0),
+            snapshot: false,
+            stable_persisted: stable,
+            followed: vec![(applied, Duration::ZERO)],
+            acknowledged: Version(0),
             confirmed: Version(0),
             leased: false,
             not_before: Duration::ZERO,
@@ -208,7 +208,7 @@
     }
 
     /// A catalog for a host's own part of the state.
-    pub fn catalog_of(facts: Facts) -> Catalog {
+    pub fn catalog_of(facts: Deployment) -> Catalog {
         Catalog::new(facts, MAX_OPEN)
     }
 
@@ -216,8 +216,8 @@
         &self.catalog
     }
 
-    pub fn follower(&self) -> &Follower {
-        &self.follower
+    pub fn follower_lease(&self) -> &FollowerLease {
+        &self.follower_lease
     }
 
     /// Whether it has ever followed anything: until then nobody can say that a volume does not exist.
@@ -230,20 +230,20 @@
     }
 
     /// In which history it stands.
-    pub fn era(&self) -> Era {
-        self.era
+    pub fn epoch(&self) -> Epoch {
+        self.epoch
     }
 
     pub fn step(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.now = now.max(self.now);
         events.into_iter().for_each(|e| self.hear(e));
-        let leased = self.follower.leased(self.now);
+        let leased = self.follower_lease.leased(self.now);
         if leased != std::mem::replace(&mut self.leased, leased) {
             // Only limits depend on it.
             self.dirty.extend(
                 self.told
                     .iter()
-                    .filter(|(_, t)| t.part.is_some())
+                    .filter(|(_, t)| t.quota.is_some())
                     .map(|(id, _)| *id),
             );
             if !leased {
@@ -259,11 +259,11 @@
 
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&self) -> Option<Duration> {
-        let lease = self.leased.then(|| self.follower.until());
+        let lease = self.leased.then(|| self.follower_lease.until());
         let confirm = self
             .followed
             .iter()
-            .filter(|f| f.0 <= self.kept)
+            .filter(|f| f.0 <= self.persisted)
             .map(|f| f.1 + self.max_dispatch_delay)
             .min();
         let confirm = confirm.filter(|_| self.up);
@@ -278,9 +278,9 @@
             Event::Down => (self.up, self.asked) = (false, None),
             Event::Granted {
                 call,
-                era,
+                epoch,
                 version,
-                settled,
+                stable,
                 lease,
                 came,
             } => {
@@ -288,9 +288,9 @@
                     return;
                 };
                 self.lease = lease;
-                let fits = self.come(era, version, came);
+                let fits = self.come(epoch, version, came);
                 if fits {
-                    self.follower.told(sent, version, settled, lease);
+                    self.follower_lease.told(sent, version, stable, lease);
                     self.settle();
                 } else {
                     self.not_before = self.now + AGAIN;
@@ -302,21 +302,23 @@
                 );
                 self.not_before = self.now + AGAIN;
             }
-            Event::Refused { call, why } if self.asked.take_if(|a| a.0 == call).is_some() => {
-                self.note(format!("the state service refuses: {why}"));
+            Event::PollRejected { call, reason }
+                if self.asked.take_if(|a| a.0 == call).is_some() =>
+            {
+                self.note(format!("the state service refuses: {reason}"));
                 self.not_before = self.now + AGAIN;
             }
-            Event::Behind { .. } | Event::Refused { .. } => {}
-            Event::Kept { number } => {
+            Event::Behind { .. } | Event::PollRejected { .. } => {}
+            Event::Persisted { number } => {
                 if let Some((_, version)) = self.keeping.take_if(|k| k.0 == number) {
-                    self.kept = version;
+                    self.persisted = version;
                 }
             }
-            Event::NotKept { why } => {
-                self.note(format!("plans cannot be kept: {why}"));
+            Event::PersistFailed { reason } => {
+                self.note(format!("plans cannot be kept: {reason}"));
                 // Of what was on its way nobody knows how much arrived; all of it goes again.
                 if self.keeping.take().is_some() {
-                    self.whole = true;
+                    self.snapshot = true;
                 }
                 self.not_before = self.now + AGAIN;
             }
@@ -324,14 +326,18 @@
     }
 
     /// Takes what came, if it follows what is here.
-    fn come(&mut self, era: Era, version: Version, came: Came) -> bool {
+    fn come(&mut self, epoch: Epoch, version: Version, came: Update) -> bool {
         let before = self.catalog.version();
-        let (at, whole, entries) = match came {
-            Came::Entries(entries) => (before, None, entries),
-            Came::Whole { at, state, entries } => (at, Some(state), entries),
+        let (at, snapshot, revisions) = match came {
+            Update::Entries(revisions) => (before, None, revisions),
+            Update::Whole {
+                at,
+                state,
+                revisions,
+            } => (at, Some(state), revisions),
         };
         // All of it or nothing: half of it would be a state that nobody ever decided.
-        let last = entries.iter().try_fold(at, |v, e| {
+        let last = revisions.iter().try_fold(at, |v, e| {
             (e.from == v && e.version > v).then_some(e.version)
         });
         if last != Some(version) || version < before {
@@ -341,43 +347,50 @@
             ));
             return false;
         }
-        let open = if whole.is_some() {
+        let open = if snapshot.is_some() {
             0
         } else {
-            self.catalog.trail().len()
+            self.catalog.audit_log().len()
         };
-        if open + entries.len() > MAX_OPEN {
+        if open + revisions.len() > MAX_OPEN {
             self.note("too many changes wait for other hosts; nothing new is followed".into());
             return false;
         }
-        if let Some(state) = whole {
+        if let Some(state) = snapshot {
             self.dirty.extend(self.told.keys());
             let facts = self.catalog.facts().clone();
-            self.catalog = Follow::catalog_of(facts).restored(at, state, Vec::new());
+            self.catalog = Follower::catalog_of(facts).restored(at, state, Vec::new());
             self.dirty.extend(self.catalog.volumes().map(|(id, _)| id));
             self.plans
                 .extend(self.catalog.plans().map(|(name, _)| name.clone()));
             self.unkept.clear();
-            self.whole = true;
+            self.snapshot = true;
             // In another history the numbers of the last one mean nothing, nor what is still on its way to
             // the disk of it.
-            self.follower = Follower::kept(at, at);
-            (self.kept, self.sure, self.confirmed, self.keeping) = Default::default();
+            self.follower_lease = FollowerLease::persisted(at, at);
+            (
+                self.persisted,
+                self.acknowledged,
+                self.confirmed,
+                self.keeping,
+            ) = Default::default();
             self.followed.clear();
         }
-        if self.era != era {
-            (self.era, self.whole) = (era, true);
+        if self.epoch != epoch {
+            (self.epoch, self.snapshot) = (epoch, true);
         }
-        for entry in entries {
-            let entry = self.completed(entry);
+        for revision in revisions {
+            let revision = self.completed(revision);
             self.dirty
-                .extend(entry.also.iter().filter_map(|(_, c)| match c {
+                .extend(revision.also.iter().filter_map(|(_, c)| match c {
                     Change::Volume { id, .. } => Some(*id),
                     _ => None,
                 }));
-            self.catalog.take(entry.clone()).expect("looked at above");
-            self.touch(&entry);
-            self.unkept.push(entry);
+            self.catalog
+                .apply(revision.clone())
+                .expect("looked at above");
+            self.touch(&revision);
+            self.unkept.push(revision);
         }
         if self.catalog.version() > before || self.followed.is_empty() {
             self.followed.push((self.catalog.version(), self.now));
@@ -386,22 +399,22 @@
     }
 
     /// An entry with what puts it back here, and how that was which did not work through this host.
-    fn completed(&self, entry: Entry) -> Entry {
+    fn completed(&self, revision: Revision) -> Revision {
         // What this host has of a volume that went elsewhere may be old.
-        let told = |s: &Subject| entry.before.iter().find(|c| c.subject() == *s).cloned();
+        let told = |s: &Subject| revision.before.iter().find(|c| c.subject() == *s).cloned();
         let was = |c: &Change| told(&c.subject()).unwrap_or_else(|| self.catalog.now(&c.subject()));
-        let before = entry.changes.iter().rev().map(was).collect();
-        Entry { before, ..entry }
+        let before = revision.changes.iter().rev().map(was).collect();
+        Revision { before, ..revision }
     }
 
     /// Volumes whose terms an entry may change.
-    fn touch(&mut self, entry: &Entry) {
-        for change in entry.changes.iter().chain(&entry.before) {
+    fn touch(&mut self, revision: &Revision) {
+        for change in revision.changes.iter().chain(&revision.before) {
             match change {
                 Change::Volume { id, .. } => _ = self.dirty.insert(*id),
                 Change::Plan { name, .. } => {
                     self.plans.insert(name.clone());
-                    self.dirty.extend(self.catalog.standing(name));
+                    self.dirty.extend(self.catalog.volumes_of_plan(name));
                 }
                 _ => {}
             }
@@ -410,14 +423,14 @@
 
     /// What is settled need not be reckoned with any more.
     fn settle(&mut self) {
-        let settled = self.follower.settled;
-        for entry in self.catalog.forget(settled) {
-            self.touch(&entry);
+        let stable = self.follower_lease.stable;
+        for revision in self.catalog.forget(stable) {
+            self.touch(&revision);
         }
     }
 
     /// What each version that must be reckoned with says of a volume, the newest first.
-    fn window(&self, id: u64) -> Vec<Says> {
+    fn window(&self, id: u64) -> Vec<LimitTerms> {
         let mut volume: Option<Volume> = self.catalog.volume(id).cloned();
         let mut plans: BTreeMap<Name, Option<Plan>> = BTreeMap::new();
         let mut all = Vec::new();
@@ -428,7 +441,7 @@
                 .cloned()
                 .unwrap_or_else(|| self.catalog.plan(&v.plan).cloned())?;
             let (hosts, mine) = (v.hosts.len(), v.hosts.contains(&self.me));
-            Some(Says {
+            Some(LimitTerms {
                 reservation: plan.reservation,
                 limit: plan.limit,
                 burst: plan.burst,
@@ -437,21 +450,21 @@
             })
         };
         all.extend(says(&volume, &plans));
-        for entry in self.catalog.trail().rev() {
-            let mut touched = false;
-            for change in &entry.before {
+        for revision in self.catalog.audit_log().rev() {
+            let mut last_changed = false;
+            for change in &revision.before {
                 match change {
                     Change::Volume { id: other, to } if *other == id => {
-                        (volume, touched) = (to.clone(), true);
+                        (volume, last_changed) = (to.clone(), true);
                     }
                     Change::Plan { name, to } => {
                         plans.insert(name.clone(), to.clone());
-                        touched |= volume.as_ref().is_some_and(|v| v.plan == *name);
+                        last_changed |= volume.as_ref().is_some_and(|v| v.plan == *name);
                     }
                     _ => {}
                 }
             }
-            if touched {
+            if last_changed {
                 all.extend(says(&volume, &plans));
             }
         }
@@ -460,12 +473,12 @@
 
     fn terms(&self, id: u64) -> Option<Terms> {
         let v = self.catalog.volume(id)?;
-        let part = part(self.window(id), self.leased);
+        let quota = quota(self.window(id), self.leased);
         Some(Terms {
             plan: v.plan.clone(),
             hosts: v.hosts.len(),
             mine: v.hosts.contains(&self.me),
-            part,
+            quota,
         })
     }
 
@@ -487,58 +500,59 @@
             }
             self.out.push(Action::Volume { id, terms });
         }
-        let news =
-            !self.unkept.is_empty() || self.whole || self.follower.settled > self.settled_kept;
+        let news = !self.unkept.is_empty()
+            || self.snapshot
+            || self.follower_lease.stable > self.stable_persisted;
         if news && self.keeping.is_none() && self.now >= self.not_before {
             self.next += 1;
-            let (number, era, settled) = (self.next, self.era, self.follower.settled);
-            let (entries, whole) = (
+            let (number, epoch, stable) = (self.next, self.epoch, self.follower_lease.stable);
+            let (revisions, snapshot) = (
                 std::mem::take(&mut self.unkept),
-                std::mem::take(&mut self.whole),
+                std::mem::take(&mut self.snapshot),
             );
-            self.out.push(Action::Keep(Keep {
+            self.out.push(Action::Persist(PersistRequest {
                 number,
-                era,
-                settled,
-                entries,
-                whole,
+                epoch,
+                stable,
+                revisions,
+                snapshot,
             }));
             self.keeping = Some((number, self.catalog.version()));
-            self.settled_kept = settled;
+            self.stable_persisted = stable;
         }
         if !self.up {
             return;
         }
         // What was decided on an older version may still cross for so long.
         let crossed = |f: &&(Version, Duration)| {
-            f.0 <= self.kept && f.1 + self.max_dispatch_delay <= self.now
+            f.0 <= self.persisted && f.1 + self.max_dispatch_delay <= self.now
         };
-        self.sure = self
+        self.acknowledged = self
             .followed
             .iter()
             .filter(crossed)
             .map(|f| f.0)
-            .fold(self.sure, Version::max);
-        self.followed.retain(|f| f.0 > self.sure);
-        if self.sure > self.confirmed {
-            self.confirmed = self.sure;
-            self.out.push(Action::Confirm {
-                era: self.era,
-                has: self.sure,
+            .fold(self.acknowledged, Version::max);
+        self.followed.retain(|f| f.0 > self.acknowledged);
+        if self.acknowledged > self.confirmed {
+            self.confirmed = self.acknowledged;
+            self.out.push(Action::Acknowledge {
+                epoch: self.epoch,
+                applied: self.acknowledged,
             });
         }
         self.asked.take_if(|a| self.now >= a.1 + self.lease);
         if self.asked.is_none() && self.now >= self.not_before {
             self.next += 1;
-            let call = Call(self.next);
+            let call = CallId(self.next);
             self.asked = Some((call, self.now));
-            let (has, settled) = (self.catalog.version(), self.follower.settled);
-            self.out.push(Action::Ask {
+            let (applied, stable) = (self.catalog.version(), self.follower_lease.stable);
+            self.out.push(Action::Poll {
                 call,
-                era: self.era,
-                has,
-                settled,
-                sure: self.sure,
+                epoch: self.epoch,
+                applied,
+                stable,
+                acknowledged: self.acknowledged,
             });
         }
     }
@@ -550,7 +564,7 @@
     /// Subjects that changes touched and that are not settled, for whoever shows it.
     pub fn open(&self) -> impl Iterator<Item = Subject> + '_ {
         self.catalog
-            .trail()
+            .audit_log()
             .flat_map(|e| e.changes.iter().map(|c| c.subject()))
     }
 }
--- a/crates/plans/src/standing.rs
+++ b/crates/plans/src/incremental_flow.rs
@@ -1,6 +1,6 @@
 //! Whether promises hold, asked again and again as a site changes.
 //!
-//! Called as a site is built and changed, `set_node` and `set_volume`; `missing` then says what cannot be
+//! Called as a site is built and changed, `set_node` and `set_volume`; `shortfall` then says what cannot be
 //! carried, and `without` what could not if nodes were out, at the cost of what lies there and not of the
 //! whole site. The answers are those of [`crate::planner::check`], which works everything out anew; who gives
 //! way only that one says. Without input or output.
@@ -8,7 +8,7 @@
 //! Memory: each volume, and its group's homes in the flow.
 
 use crate::flow::Flow;
-use crate::planner::{whole, Load, Node, Site, Volume, PARTS};
+use crate::planner::{snapshot, Load, Node, Site, Volume, PARTS};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 #[derive(Debug, Clone)]
@@ -19,16 +19,16 @@
 
 /// What cannot be carried: units a second of reserves.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Missing {
+pub struct Shortfall {
     /// Of what can be reached.
     pub short: f64,
     /// Of what lies on nodes that are out.
     pub out_of_reach: f64,
 }
 
-impl Missing {
+impl Shortfall {
     /// Whether more is missing than in another case, beyond what is lost to rounding.
-    pub fn exceeds(&self, other: &Missing, slack: f64) -> bool {
+    pub fn exceeds(&self, other: &Shortfall, slack: f64) -> bool {
         self.short > other.short + slack || self.out_of_reach > other.out_of_reach + slack
     }
 }
@@ -42,7 +42,7 @@
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct Standing {
+pub struct IncrementalFlow {
     spread: f64,
     flow: Flow,
     spots: Vec<Spot>,
@@ -55,37 +55,42 @@
     reserves: u64,
 }
 
-impl Standing {
+impl IncrementalFlow {
     /// ```
     /// use grebecleat_plans::planner::{Node, Site, Volume};
-    /// use grebecleat_plans::standing::Standing;
+    /// use grebecleat_plans::incremental_flow::IncrementalFlow;
     /// let node = |id| Node { id, zone: 1, capacity: 100.0 };
     /// let volume = |id, reserve| Volume { id, reserve, weight: 1.0, homes: vec![(1, 0.5), (2, 0.5)] };
-    /// let mut s = Standing::of(&Site { nodes: vec![node(1), node(2)], volumes: vec![volume(7, 150.0)], spread: 2.0 });
-    /// assert_eq!(s.missing().short, 0.0);
+    /// let mut s = IncrementalFlow::of(&Site { nodes: vec![node(1), node(2)], volumes: vec![volume(7, 150.0)], spread: 2.0 });
+    /// assert_eq!(s.shortfall().short, 0.0);
     /// assert_eq!(s.without(&[2].into()).out_of_reach, 75.0);
     /// s.set_volume(8, Some(volume(8, 60.0)));
-    /// assert_eq!(s.missing().short, 10.0);
+    /// assert_eq!(s.shortfall().short, 10.0);
     /// ```
-    pub fn of(site: &Site) -> Standing {
-        let mut s = Standing::new(site.spread, site.nodes.clone());
+    pub fn of(site: &Site) -> IncrementalFlow {
+        let mut s = IncrementalFlow::new(site.spread, site.nodes.clone());
         s.set_volumes(site.volumes.iter().map(|v| (v.id, Some(v.clone()))));
         s
     }
 
-    fn new(spread: f64, nodes: Vec<Node>) -> Standing {
-        let flow = Flow::new(&nodes.iter().map(|n| whole(n.capacity)).collect::<Vec<_>>());
+    fn new(spread: f64, nodes: Vec<Node>) -> IncrementalFlow {
+        let flow = Flow::new(
+            &nodes
+                .iter()
+                .map(|n| snapshot(n.capacity))
+                .collect::<Vec<_>>(),
+        );
         let place = nodes.iter().enumerate().map(|(i, n)| (n.id, i)).collect();
         let spots = nodes
             .into_iter()
             .map(|node| Spot { node, up: true })
             .collect();
-        Standing {
+        IncrementalFlow {
             spread,
             flow,
             spots,
             place,
-            ..Standing::default()
+            ..IncrementalFlow::default()
         }
     }
 
@@ -98,7 +103,7 @@
         self.spots.iter().map(|s| &s.node)
     }
 
-    pub fn missing(&self) -> Missing {
+    pub fn shortfall(&self) -> Shortfall {
         let (short, total) = (
             self.unmet.values().sum::<u64>(),
             self.total.iter().sum::<u64>(),
@@ -109,28 +114,28 @@
         } else {
             out_of_reach
         };
-        Missing {
+        Shortfall {
             short: short as f64 / PARTS,
             out_of_reach,
         }
     }
 
     /// What would be missing with these nodes out as well.
-    pub fn without(&mut self, out: &BTreeSet<u32>) -> Missing {
+    pub fn without(&mut self, out: &BTreeSet<u32>) -> Shortfall {
         let places: Vec<usize> = out
             .iter()
             .filter_map(|id| self.place.get(id).copied())
             .collect();
         let places: Vec<usize> = places.into_iter().filter(|p| self.spots[*p].up).collect();
-        let touched: BTreeSet<usize> = places
+        let last_changed: BTreeSet<usize> = places
             .iter()
             .flat_map(|p| self.flow.groups_at(*p))
             .collect();
-        let totals: Vec<(usize, u64)> = touched.iter().map(|g| (*g, self.total[*g])).collect();
+        let totals: Vec<(usize, u64)> = last_changed.iter().map(|g| (*g, self.total[*g])).collect();
         let unmet = self.unmet.clone();
         self.flow.mark();
         places.iter().for_each(|p| self.switch(*p, false));
-        for g in &touched {
+        for g in &last_changed {
             let (mut total, mut most) = (0, vec![0; self.flow.group(*g).homes.len()]);
             for id in &self.members[*g] {
                 let (amount, each) = self.load(&self.volumes[id].volume);
@@ -140,16 +145,16 @@
             self.total[*g] = total;
             self.flow.set_most(*g, &most);
         }
-        touched.iter().for_each(|g| self.settle(*g));
+        last_changed.iter().for_each(|g| self.settle(*g));
         self.refill();
-        let missing = self.missing();
+        let shortfall = self.shortfall();
         self.flow.back();
         places.iter().for_each(|p| self.spots[*p].up = true);
         totals
             .into_iter()
             .for_each(|(g, total)| self.total[g] = total);
         self.unmet = unmet;
-        missing
+        shortfall
     }
 
     /// Takes nodes out, or back in, for good.
@@ -180,7 +185,7 @@
                 nodes.push(node);
                 // Rare, and the flow's tables are as long as there are nodes.
                 let volumes = self.volumes.values().map(|h| h.volume.clone()).collect();
-                *self = Standing::of(&Site {
+                *self = IncrementalFlow::of(&Site {
                     nodes,
                     volumes,
                     spread: self.spread,
@@ -188,10 +193,10 @@
                 down.into_iter().for_each(|id| self.set_up(id, false));
             }
             Some(place) => {
-                let was = whole(self.spots[place].node.capacity);
+                let was = snapshot(self.spots[place].node.capacity);
                 self.spots[place].node = node;
                 if self.spots[place].up {
-                    let is = whole(self.spots[place].node.capacity);
+                    let is = snapshot(self.spots[place].node.capacity);
                     let dropped = self.flow.set_capacity(place, was, is);
                     dropped.into_iter().for_each(|(g, _)| self.settle(g));
                     self.refill();
@@ -207,12 +212,12 @@
 
     /// Many at once, at the cost of one search for room where there is enough.
     pub fn set_volumes(&mut self, all: impl IntoIterator<Item = (u64, Option<Volume>)>) {
-        let mut touched = BTreeSet::new();
+        let mut last_changed = BTreeSet::new();
         for (id, to) in all {
             if let Some(old) = self.volumes.remove(&id) {
                 let g = old.group;
                 self.members[g].remove(&id);
-                self.reserves -= whole(old.volume.reserve);
+                self.reserves -= snapshot(old.volume.reserve);
                 self.total[g] -= old.amount;
                 let less = self
                     .flow
@@ -223,11 +228,11 @@
                     .map(|(m, l)| m - l);
                 let less: Vec<u64> = less.collect();
                 self.flow.set_most(g, &less);
-                touched.insert(g);
+                last_changed.insert(g);
             }
-            touched.extend(to.map(|v| self.lay(v)));
+            last_changed.extend(to.map(|v| self.lay(v)));
         }
-        touched.into_iter().for_each(|g| self.settle(g));
+        last_changed.into_iter().for_each(|g| self.settle(g));
         self.refill();
     }
 
@@ -260,15 +265,15 @@
             .enumerate()
             .filter(|(g, _)| self.total[*g] > 0)
         {
-            let beside: u64 = members
+            let exclusion_reason: u64 = members
                 .iter()
                 .filter(|id| !left_out.contains(id))
                 .map(|id| self.volumes[id].amount)
                 .sum();
-            let part = beside as f64 / self.total[g] as f64;
+            let quota = exclusion_reason as f64 / self.total[g] as f64;
             let group = self.flow.group(g);
             for (n, on) in group.homes.iter().zip(&group.on) {
-                *carried.entry(self.spots[*n].node.id).or_default() += *on as f64 / PARTS * part;
+                *carried.entry(self.spots[*n].node.id).or_default() += *on as f64 / PARTS * quota;
             }
         }
         carried
@@ -279,7 +284,7 @@
     }
 
     fn switch(&mut self, place: usize, up: bool) {
-        let capacity = whole(self.spots[place].node.capacity);
+        let capacity = snapshot(self.spots[place].node.capacity);
         let (was, is) = if up { (0, capacity) } else { (capacity, 0) };
         self.spots[place].up = up;
         self.flow.set_capacity(place, was, is);
@@ -306,7 +311,7 @@
 
     /// What a volume asks for, and the most that each of its homes may carry.
     fn load(&self, v: &Volume) -> (u64, Vec<u64>) {
-        let known = |(id, part): &(u32, f64)| Some((self.place.get(id).copied()?, *part));
+        let known = |(id, quota): &(u32, f64)| Some((self.place.get(id).copied()?, *quota));
         let homes: Vec<(usize, f64)> = v.homes.iter().filter_map(known).collect();
         let up = homes
             .iter()
@@ -334,7 +339,7 @@
         self.flow.offer(g, most.iter().copied());
         self.members[g].insert(v.id);
         self.total[g] += amount;
-        self.reserves += whole(v.reserve);
+        self.reserves += snapshot(v.reserve);
         self.volumes.insert(
             v.id,
             Held {
--- a/crates/plans/src/source.rs
+++ b/crates/plans/src/leader.rs
@@ -1,7 +1,7 @@
 //! The state service's decisions: which changes land, what is kept before it is told, and who is told what.
 //!
 //! Called as `step(now, wall, events)` for every batch of what happened, which answers what to keep and what
-//! to say; [`Source::wake_at`] says when it must be called again. It holds the catalog, what speaks against a
+//! to say; [`Leader::wake_at`] says when it must be called again. It holds the catalog, what speaks against a
 //! change ([`crate::admission`]) and who follows what ([`crate::feed`]). Three things are wanted at any time,
 //! and `bring` brings them about: that what was decided is kept, that who asked is answered once what it
 //! rests on is kept, and that what was to land by now has landed.
@@ -19,9 +19,11 @@
 //! Without input or output. Memory: the catalog, the flow, one call for each host, and at most
 //! [`MOST_WAITING`] changes on their way to the disk.
 
-use crate::admission::{Admission, Beside, Opinion, Reason};
-use crate::changes::{Asks, Catalog, Change, Entry, Name, Refused, Subject, Timed, Version};
-use crate::feed::{Answer, HostNo, Leases, Lowerings};
+use crate::admission::{Admission, AdmissionVerdict, ExclusionReason, Reason};
+use crate::changes::{
+    Catalog, Change, ChangeContext, ChangeError, Name, Revision, ScheduledChange, Subject, Version,
+};
+use crate::feed::{HostNumber, Leases, LimitReductions, PollDecision};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
@@ -38,134 +40,134 @@
 
 /// One unbroken history of the catalog.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Era(pub u64);
+pub struct Epoch(pub u64);
 
 /// Whoever waits for an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Call(pub u64);
+pub struct CallId(pub u64);
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Proposal {
-    pub who: String,
-    pub why: String,
-    pub looked_at: Version,
+    pub author: String,
+    pub reason: String,
+    pub base_version: Version,
     pub changes: Vec<Change>,
     /// To land then, by the wall clock; None: now.
     pub at: Option<Duration>,
     /// Whatever speaks against it.
     pub force: bool,
     /// Nothing is to land: what would come of it is only told.
-    pub only_look: bool,
+    pub dry_run: bool,
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A host wants what it has not: entries after `has`, and what is settled beyond `settled`.
-    Asked {
-        call: Call,
-        host: HostNo,
-        era: Era,
-        has: Version,
-        settled: Version,
-        /// As in [`Event::Confirmed`].
-        sure: Version,
+    /// A host wants what it has not: entries after `applied`, and what is settled beyond `stable`.
+    Polled {
+        call: CallId,
+        host: HostNumber,
+        epoch: Epoch,
+        applied: Version,
+        stable: Version,
+        /// As in [`Event::Acknowledged`].
+        acknowledged: Version,
     },
     /// A host says that nothing of an older version crosses from it any more.
-    Confirmed {
-        host: HostNo,
-        era: Era,
-        has: Version,
+    Acknowledged {
+        host: HostNumber,
+        epoch: Epoch,
+        applied: Version,
     },
     Proposed {
-        call: Call,
+        call: CallId,
         proposal: Proposal,
     },
     /// Put back what an entry changed.
     Undo {
-        call: Call,
-        who: String,
-        why: String,
-        entry: Version,
+        call: CallId,
+        author: String,
+        reason: String,
+        revision: Version,
         force: bool,
     },
     /// Somebody answers for it that this host sends nothing.
-    Gone {
-        call: Call,
-        host: HostNo,
-        who: String,
+    HostRemoved {
+        call: CallId,
+        host: HostNumber,
+        author: String,
     },
     /// The state here counts, though hosts have followed a newer one.
-    Prevail {
-        call: Call,
-        who: String,
-        why: String,
+    ForceEpoch {
+        call: CallId,
+        author: String,
+        reason: String,
     },
     /// The caller is not there any more.
-    Hung {
-        call: Call,
+    CallerDisconnected {
+        call: CallId,
     },
-    /// What hosts see of a node: see [`Admission::set_unfit`].
-    Unfit {
+    /// What hosts see of a node: see [`Admission::set_unavailable`].
+    NodeUnavailable {
         node: u32,
-        how: Option<Beside>,
+        how: Option<ExclusionReason>,
     },
     /// Everything up to that number is on the disk.
-    Kept {
+    Persisted {
         upto: u64,
     },
     /// What had that number is not, and nothing that was sent after it and rests on it ever will be.
-    NotKept {
+    PersistFailed {
         number: u64,
-        why: String,
+        reason: String,
     },
 }
 
 /// What is to be on the disk, all or nothing and in order.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Keep {
-    Entry(Entry),
-    Settled(Version),
-    Has(HostNo, Version),
+pub enum Persist {
+    Revision(Revision),
+    Stable(Version),
+    Has(HostNumber, Version),
     /// The state as it is, under a version further on: from there on it prevails over all others.
-    Prevails(Entry),
+    EpochForced(Revision),
 }
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Number and what; several may be kept at once.
-    Keep {
+    Persist {
         number: u64,
-        what: Keep,
+        what: Persist,
     },
     /// To a host: all entries after `from` and up to `to`; where the host does not have `from`, the whole
     /// state as it was then before them.
     Grant {
-        call: Call,
+        call: CallId,
         from: Version,
         to: Version,
-        whole: bool,
-        settled: Version,
+        snapshot: bool,
+        stable: Version,
         lease: Duration,
     },
     /// To a host: it has more than there is here.
     Behind {
-        call: Call,
-        has: Version,
+        call: CallId,
+        applied: Version,
     },
     /// To an operator.
-    Landed {
-        call: Call,
+    Committed {
+        call: CallId,
         version: Version,
-        opinion: Opinion,
+        verdict: AdmissionVerdict,
     },
-    Refused {
-        call: Call,
-        why: String,
+    Reject {
+        call: CallId,
+        reason: String,
     },
     /// To one who only looked.
-    Would {
-        call: Call,
-        opinion: Opinion,
+    Preview {
+        call: CallId,
+        verdict: AdmissionVerdict,
     },
     /// Hosts on which something waits, for the log.
     Note {
@@ -175,66 +177,66 @@
 
 /// What the service was when it last was.
 #[derive(Debug, Clone)]
-pub struct Start {
+pub struct InitialState {
     pub catalog: Catalog,
-    pub settled: Version,
+    pub stable: Version,
     /// What hosts had said to have; one that is absent was never heard of.
-    pub has: BTreeMap<HostNo, Version>,
+    pub applied: BTreeMap<HostNumber, Version>,
     /// By their numbers.
     pub hosts: Vec<Name>,
-    pub era: Era,
+    pub epoch: Epoch,
     /// Eras before, and up to which version each is part of this history.
-    pub eras: Vec<(Era, Version)>,
+    pub epochs: Vec<(Epoch, Version)>,
     /// The last version at which the state here prevailed over all others.
-    pub prevailed: Version,
+    pub epoch_forced_at: Version,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Waiting {
-    call: Call,
-    has: Version,
-    settled: Version,
+struct PendingPoll {
+    call: CallId,
+    applied: Version,
+    stable: Version,
     since: Duration,
     /// Its history is another, up to there: it is told the whole once that lies further on.
     other: Option<Version>,
 }
 
 #[derive(Debug)]
-struct Landing {
+struct PendingCommit {
     number: u64,
     version: Version,
-    call: Option<Call>,
-    opinion: Opinion,
+    call: Option<CallId>,
+    verdict: AdmissionVerdict,
     /// Which version prevailed before it.
-    prevailed: Version,
+    epoch_forced_at: Version,
 }
 
 #[derive(Debug)]
-pub struct Source {
+pub struct Leader {
     catalog: Catalog,
     admission: Admission,
     leases: Leases,
-    lowerings: Lowerings,
+    limit_reductions: LimitReductions,
     hosts: Vec<Name>,
-    era: Era,
-    eras: Vec<(Era, Version)>,
-    prevailed: Version,
+    epoch: Epoch,
+    epochs: Vec<(Epoch, Version)>,
+    epoch_forced_at: Version,
     now: Duration,
     wall: Duration,
     /// Entries decided and not yet kept, oldest first.
-    landing: VecDeque<Landing>,
+    pending_commits: VecDeque<PendingCommit>,
     /// The newest version that is kept.
-    kept: Version,
-    settled_kept: Version,
+    persisted: Version,
+    stable_persisted: Version,
     /// On its way to the disk.
-    settled_sent: Option<(u64, Version)>,
-    known: BTreeMap<HostNo, Version>,
-    known_sent: BTreeMap<u64, (HostNo, Version)>,
-    waiting: BTreeMap<HostNo, Waiting>,
+    stable_sent: Option<(u64, Version)>,
+    known: BTreeMap<HostNumber, Version>,
+    known_sent: BTreeMap<u64, (HostNumber, Version)>,
+    waiting: BTreeMap<HostNumber, PendingPoll>,
     next: u64,
     /// Up to that number what was sent to the disk counts for nothing any more.
     void: u64,
-    next_timed: u64,
+    next_scheduled: u64,
     not_before: Duration,
     /// Losses whose figures are of an older state, and how many may still be looked at in this step.
     stale: usize,
@@ -242,45 +244,49 @@
     out: Vec<Action>,
 }
 
-impl Source {
+impl Leader {
     /// `spread`: see [`crate::planner::Site`].
     pub fn new(
-        start: Start,
+        start: InitialState,
         lease: Duration,
         margin: Duration,
         spread: f64,
         now: Duration,
     ) -> Self {
-        let Start {
+        let InitialState {
             mut catalog,
-            settled,
-            has,
+            stable,
+            applied,
             hosts,
-            era,
-            eras,
-            prevailed,
+            epoch,
+            epochs,
+            epoch_forced_at,
         } = start;
-        catalog.need(settled);
-        let each = (0..hosts.len() as u32).map(|h| (HostNo(h), has.get(&HostNo(h)).copied()));
-        let leases = Leases::new(lease, margin, now, settled, each);
-        let first = catalog.trail().next().map_or(catalog.version(), |e| e.from);
-        let mut lowerings = Lowerings::new(first);
+        catalog.need(stable);
+        let each =
+            (0..hosts.len() as u32).map(|h| (HostNumber(h), applied.get(&HostNumber(h)).copied()));
+        let leases = Leases::new(lease, margin, now, stable, each);
+        let first = catalog
+            .audit_log()
+            .next()
+            .map_or(catalog.version(), |e| e.from);
+        let mut limit_reductions = LimitReductions::new(first);
         catalog
-            .trail()
-            .for_each(|e| lowerings.add(e.version, e.lowers));
+            .audit_log()
+            .for_each(|e| limit_reductions.add(e.version, e.lowers_limits));
         let admission = Admission::open(&catalog, spread);
-        let next_timed = catalog.timed().map(|(id, _)| id + 1).max().unwrap_or(1);
-        Source {
-            prevailed,
+        let next_scheduled = catalog.scheduled().map(|(id, _)| id + 1).max().unwrap_or(1);
+        Leader {
+            epoch_forced_at,
             stale: 0,
             losses: 0,
-            kept: catalog.version(),
-            settled_kept: settled,
-            settled_sent: None,
-            known: has,
+            persisted: catalog.version(),
+            stable_persisted: stable,
+            stable_sent: None,
+            known: applied,
             known_sent: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            landing: VecDeque::new(),
+            pending_commits: VecDeque::new(),
             not_before: Duration::ZERO,
             wall: Duration::ZERO,
             next: 0,
@@ -289,12 +295,12 @@
             catalog,
             admission,
             leases,
-            lowerings,
+            limit_reductions,
             hosts,
-            era,
-            eras,
+            epoch,
+            epochs,
             now,
-            next_timed,
+            next_scheduled,
         }
     }
 
@@ -303,12 +309,12 @@
     }
 
     /// The newest version that may be shown: what is not kept may never have been.
-    pub fn kept(&self) -> Version {
-        self.kept
+    pub fn persisted(&self) -> Version {
+        self.persisted
     }
 
-    pub fn settled(&self) -> Version {
-        self.settled_kept
+    pub fn stable(&self) -> Version {
+        self.stable_persisted
     }
 
     /// What some host has followed and nobody here knows of, until an operator has said what counts.
@@ -323,7 +329,9 @@
     /// Hosts on which that version waits, and whether nothing but their own word, or an operator's, can end
     /// that.
     pub fn waits_for(&self, version: Version) -> Vec<(Name, bool)> {
-        let waits = self.leases.waits_for(self.now, version, &self.lowerings);
+        let waits = self
+            .leases
+            .waits_for(self.now, version, &self.limit_reductions);
         waits
             .into_iter()
             .map(|(h, silent)| (self.hosts[h.0 as usize].clone(), silent))
@@ -335,7 +343,7 @@
         self.hosts
             .iter()
             .enumerate()
-            .map(|(i, name)| (name, self.leases.has(HostNo(i as u32))))
+            .map(|(i, name)| (name, self.leases.applied(HostNumber(i as u32))))
     }
 
     pub fn step(&mut self, now: Duration, wall: Duration, events: Vec<Event>) -> Vec<Action> {
@@ -348,7 +356,7 @@
         let budget = if several { LOSSES / 4 } else { LOSSES };
         self.losses = budget;
         events.into_iter().for_each(|e| self.hear(e));
-        self.land_timed();
+        self.land_scheduled();
         self.bring();
         if self.losses == budget {
             self.stale = self.admission.refresh(IDLE_LOSSES);
@@ -362,163 +370,178 @@
             .waiting
             .values()
             .map(|w| w.since + self.leases.lease() / 3);
-        let timed = self
+        let scheduled = self
             .catalog
-            .timed()
+            .scheduled()
             .map(|(_, t)| self.now + t.at.saturating_sub(self.wall))
             .min();
-        let timed = timed.map(|at| at.max(self.not_before));
+        let scheduled = scheduled.map(|at| at.max(self.not_before));
         let idle = (self.stale > 0).then(|| self.now + IDLE);
         held.chain(self.leases.wake_at(self.now))
-            .chain(timed)
+            .chain(scheduled)
             .chain(idle)
             .min()
     }
 
     fn hear(&mut self, event: Event) {
         match event {
-            Event::Asked {
+            Event::Polled {
                 call,
                 host,
-                era,
-                has,
-                settled,
-                sure,
+                epoch,
+                applied,
+                stable,
+                acknowledged,
             } => {
                 if host.0 as usize >= self.hosts.len() {
                     return self.refuse(call, "this host is not in the settings".into());
                 }
-                let (shared, first) = (self.shares(era, has), has == Version(0));
-                if !shared && has >= self.prevailed && !first {
-                    self.leases.is_behind(has);
+                let (shared, first) = (self.shares(epoch, applied), applied == Version(0));
+                if !shared && applied >= self.epoch_forced_at && !first {
+                    self.leases.is_behind(applied);
                 }
-                if self.shares(era, sure) {
-                    self.leases.heard(host, sure, self.catalog.version());
+                if self.shares(epoch, acknowledged) {
+                    self.leases
+                        .heard(host, acknowledged, self.catalog.version());
                 }
-                let other = (!shared).then_some(has);
-                let (has, settled) = if shared {
-                    (has, settled)
+                let other = (!shared).then_some(applied);
+                let (applied, stable) = if shared {
+                    (applied, stable)
                 } else {
                     Default::default()
                 };
                 self.waiting.insert(
                     host,
-                    Waiting {
+                    PendingPoll {
                         call,
-                        has,
-                        settled,
+                        applied,
+                        stable,
                         since: self.now,
                         other,
                     },
                 );
             }
-            Event::Confirmed { host, era, has } if self.shares(era, has) => {
-                self.leases.heard(host, has, self.catalog.version());
+            Event::Acknowledged {
+                host,
+                epoch,
+                applied,
+            } if self.shares(epoch, applied) => {
+                self.leases.heard(host, applied, self.catalog.version());
             }
-            Event::Confirmed { .. } => {}
+            Event::Acknowledged { .. } => {}
             Event::Proposed { call, proposal } => self.propose(call, proposal),
             Event::Undo {
                 call,
-                who,
-                why,
-                entry,
+                author,
+                reason,
+                revision,
                 force,
             } => {
-                let entry = self.catalog.undo(entry, asks(&who, &why, self.wall));
-                self.land(Some(call), entry, force, false);
+                let revision = self
+                    .catalog
+                    .undo(revision, asks(&author, &reason, self.wall));
+                self.land(Some(call), revision, force, false);
             }
-            Event::Gone { call, host, who } => {
+            Event::HostRemoved { call, host, author } => {
                 self.leases.gone(host);
                 let name = self.hosts.get(host.0 as usize).cloned().unwrap_or_default();
                 self.note(format!(
-                    "{who} answers for it that host {name} sends nothing"
+                    "{author} answers for it that host {name} sends nothing"
                 ));
-                let (version, opinion) = (self.kept, Opinion::default());
-                self.out.push(Action::Landed {
+                let (version, verdict) = (self.persisted, AdmissionVerdict::default());
+                self.out.push(Action::Committed {
                     call,
                     version,
-                    opinion,
+                    verdict,
                 });
             }
-            Event::Prevail { call, who, why } => self.prevail(call, &who, &why),
-            Event::Unfit { node, how } => self.admission.set_unfit(node, how),
-            Event::Hung { call } => self.waiting.retain(|_, w| w.call != call),
+            Event::ForceEpoch {
+                call,
+                author,
+                reason,
+            } => self.force_epoch(call, &author, &reason),
+            Event::NodeUnavailable { node, how } => self.admission.set_unavailable(node, how),
+            Event::CallerDisconnected { call } => self.waiting.retain(|_, w| w.call != call),
             // Of what was taken back with an earlier one the disk may still speak.
-            Event::Kept { upto } if upto > self.void => self.is_kept(upto),
-            Event::NotKept { number, why } if number > self.void => self.take_back(&why),
-            Event::Kept { .. } | Event::NotKept { .. } => {}
+            Event::Persisted { upto } if upto > self.void => self.is_persisted(upto),
+            Event::PersistFailed { number, reason } if number > self.void => {
+                self.revert_last(&reason)
+            }
+            Event::Persisted { .. } | Event::PersistFailed { .. } => {}
         }
     }
 
     /// Whether what was followed in that era up to there is part of this history.
-    fn shares(&self, era: Era, has: Version) -> bool {
-        let upto = if era == self.era {
+    fn shares(&self, epoch: Epoch, applied: Version) -> bool {
+        let upto = if epoch == self.epoch {
             Some(self.catalog.version())
         } else {
             None
         };
-        let past = self.eras.iter().find(|e| e.0 == era).map(|e| e.1);
-        upto.or(past).is_some_and(|upto| has <= upto)
+        let past = self.epochs.iter().find(|e| e.0 == epoch).map(|e| e.1);
+        upto.or(past).is_some_and(|upto| applied <= upto)
     }
 
-    fn propose(&mut self, call: Call, p: Proposal) {
+    fn propose(&mut self, call: CallId, p: Proposal) {
         let Proposal {
-            who,
-            why,
-            looked_at,
+            author,
+            reason,
+            base_version,
             mut changes,
             at,
             force,
-            only_look,
+            dry_run,
         } = p;
-        if self.landing.len() >= MAX_WAITING {
+        if self.pending_commits.len() >= MAX_WAITING {
             return self.refuse(
                 call,
                 format!("{MAX_WAITING} changes wait to be kept; try again"),
             );
         }
-        changes.iter_mut().for_each(|c| self.stamp(c, &who));
-        if let Some(at) = at.filter(|at| *at > self.wall && !only_look) {
+        changes.iter_mut().for_each(|c| self.stamp(c, &author));
+        if let Some(at) = at.filter(|at| *at > self.wall && !dry_run) {
             // What is wrong with it by itself is told now and not at night.
-            if let Err(why) =
-                self.catalog
-                    .propose(looked_at, asks(&who, &why, self.wall), changes.clone())
-            {
-                return self.refuse(call, why.to_string());
+            if let Err(reason) = self.catalog.propose(
+                base_version,
+                asks(&author, &reason, self.wall),
+                changes.clone(),
+            ) {
+                return self.refuse(call, reason.to_string());
             }
-            let id = self.next_timed;
-            self.next_timed += 1;
+            let id = self.next_scheduled;
+            self.next_scheduled += 1;
             let expects = changes
                 .iter()
                 .map(|c| self.catalog.now(&c.subject()))
                 .collect();
-            let timed = Timed {
+            let scheduled = ScheduledChange {
                 at,
-                who: who.clone(),
-                why: why.clone(),
+                author: author.clone(),
+                reason: reason.clone(),
                 force,
                 changes,
                 expects,
             };
-            changes = vec![Change::Timed {
+            changes = vec![Change::Scheduled {
                 id,
-                to: Some(timed),
+                to: Some(scheduled),
             }];
         }
-        let entry = self
-            .catalog
-            .propose(looked_at, asks(&who, &why, self.wall), changes);
-        self.land(Some(call), entry, force, only_look);
+        let revision =
+            self.catalog
+                .propose(base_version, asks(&author, &reason, self.wall), changes);
+        self.land(Some(call), revision, force, dry_run);
     }
 
     /// A drain tells by itself who asked for it, when, and since when it is as far as it is; whoever asks for
     /// what is so already changes nothing of that.
-    fn stamp(&self, change: &mut Change, who: &str) {
+    fn stamp(&self, change: &mut Change, author: &str) {
         let Change::Drain { node, to: Some(d) } = change else {
             return;
         };
         let was = self.catalog.drain(*node);
-        (d.who, d.asked) = was.map_or((who.into(), self.wall), |w| (w.who.clone(), w.asked));
+        (d.author, d.asked) =
+            was.map_or((author.into(), self.wall), |w| (w.author.clone(), w.asked));
         d.since = was
             .filter(|w| w.stage == d.stage)
             .map_or(self.wall, |w| w.since);
@@ -527,14 +550,14 @@
     /// The one place where a change lands: judged, laid over the catalog and sent to the disk.
     fn land(
         &mut self,
-        call: Option<Call>,
-        entry: Result<Entry, Refused>,
+        call: Option<CallId>,
+        revision: Result<Revision, ChangeError>,
         force: bool,
-        only_look: bool,
+        dry_run: bool,
     ) {
-        let entry = match entry {
-            Ok(entry) => entry,
-            Err(why) => return self.refuse_some(call, why.to_string()),
+        let revision = match revision {
+            Ok(revision) => revision,
+            Err(reason) => return self.refuse_some(call, reason.to_string()),
         };
         // Hosts hear of a volume from when it works through them, and would not know of one by its name that
         // others may still reckon with.
@@ -543,150 +566,155 @@
         };
         let last = |c: &Change| {
             self.catalog
-                .touched(&c.subject())
-                .filter(|v| *v > self.settled_kept)
+                .last_changed(&c.subject())
+                .filter(|v| *v > self.stable_persisted)
         };
-        if let Some((c, v)) = entry
+        if let Some((c, v)) = revision
             .changes
             .iter()
             .filter(anew)
             .find_map(|c| Some((c, last(c)?)))
         {
-            let why = format!(
+            let reason = format!(
                 "{} was before, and entry {} that ended it is not settled yet",
                 c.subject(),
                 v.0
             );
-            return self.refuse_some(call, why);
+            return self.refuse_some(call, reason);
         }
-        if self.catalog.trail_is_full() {
+        if self.catalog.audit_log_is_full() {
             return self.refuse_some(
                 call,
                 "too many changes wait for hosts that do not answer".into(),
             );
         }
         self.catalog
-            .take(entry.clone())
+            .apply(revision.clone())
             .expect("proposed as the next");
-        let opinion = self
+        let verdict = self
             .admission
-            .land(&self.catalog, &entry.changes, self.losses);
-        let looked = self.admission.losses() - opinion.unseen.min(self.admission.losses());
+            .land(&self.catalog, &revision.changes, self.losses);
+        let looked = self.admission.losses() - verdict.unseen.min(self.admission.losses());
         self.losses = self.losses.saturating_sub(looked.max(1));
-        if let (true, Some(call)) = (only_look, call) {
-            self.catalog.take_back();
-            self.admission.undo(&self.catalog, &entry.changes);
-            return self.out.push(Action::Would { call, opinion });
+        if let (true, Some(call)) = (dry_run, call) {
+            self.catalog.revert_last();
+            self.admission.undo(&self.catalog, &revision.changes);
+            return self.out.push(Action::Preview { call, verdict });
         }
-        let against = said(&opinion.against);
-        let mut entry = entry;
-        if !against.is_empty() {
-            self.catalog.take_back();
+        let objections = said(&verdict.objections);
+        let mut revision = revision;
+        if !objections.is_empty() {
+            self.catalog.revert_last();
             if !force {
-                self.admission.undo(&self.catalog, &entry.changes);
-                return self.refuse_some(call, against);
+                self.admission.undo(&self.catalog, &revision.changes);
+                return self.refuse_some(call, objections);
             }
-            entry.against = against;
+            revision.objections = objections;
             self.catalog
-                .take(entry.clone())
+                .apply(revision.clone())
                 .expect("taken back just now");
         }
-        let version = entry.version;
-        self.lowerings.add(version, entry.lowers);
-        let number = self.keep(Keep::Entry(entry));
-        self.landing.push_back(Landing {
+        let version = revision.version;
+        self.limit_reductions.add(version, revision.lowers_limits);
+        let number = self.keep(Persist::Revision(revision));
+        self.pending_commits.push_back(PendingCommit {
             number,
             version,
             call,
-            opinion,
-            prevailed: self.prevailed,
+            verdict,
+            epoch_forced_at: self.epoch_forced_at,
         });
     }
 
     /// Hosts have followed what is not known here any more: the state as it is gets a version beyond theirs.
-    fn prevail(&mut self, call: Call, who: &str, why: &str) {
+    fn force_epoch(&mut self, call: CallId, author: &str, reason: &str) {
         let Some(behind) = self.leases.behind() else {
             return self.refuse(
                 call,
                 "no host has followed anything that is not known here".into(),
             );
         };
-        if !self.landing.is_empty() {
+        if !self.pending_commits.is_empty() {
             return self.refuse(call, "changes wait to be kept; try again".into());
         }
-        let entry = self.catalog.prevail(behind, asks(who, why, self.wall));
-        let version = entry.version;
-        self.catalog.take(entry.clone()).expect("beyond all");
-        self.lowerings.add(version, true);
+        let revision = self
+            .catalog
+            .force_epoch(behind, asks(author, reason, self.wall));
+        let version = revision.version;
+        self.catalog.apply(revision.clone()).expect("beyond all");
+        self.limit_reductions.add(version, true);
         self.leases.caught_up();
-        let prevailed = std::mem::replace(&mut self.prevailed, version);
-        let (number, call) = (self.keep(Keep::Prevails(entry)), Some(call));
-        self.landing.push_back(Landing {
+        let epoch_forced_at = std::mem::replace(&mut self.epoch_forced_at, version);
+        let (number, call) = (self.keep(Persist::EpochForced(revision)), Some(call));
+        self.pending_commits.push_back(PendingCommit {
             number,
             version,
             call,
-            opinion: Opinion::default(),
-            prevailed,
+            verdict: AdmissionVerdict::default(),
+            epoch_forced_at,
         });
     }
 
-    fn land_timed(&mut self) {
+    fn land_scheduled(&mut self) {
         if self.now < self.not_before {
             return;
         }
-        let due: Vec<(u64, Timed)> = self
+        let due: Vec<(u64, ScheduledChange)> = self
             .catalog
-            .timed()
+            .scheduled()
             .filter(|(_, t)| t.at <= self.wall)
             .map(|(id, t)| (id, t.clone()))
             .collect();
         for (id, t) in due {
-            let over = Change::Timed { id, to: None };
+            let over = Change::Scheduled { id, to: None };
             let other = t
                 .expects
                 .iter()
                 .find(|c| self.catalog.now(&c.subject()) != **c);
-            let why = match other {
+            let reason = match other {
                 Some(c) => Err(format!(
                     "{} has changed since it was asked for",
                     c.subject()
                 )),
-                None => self.timed(&t, &over),
+                None => self.scheduled(&t, &over),
             };
-            if let Err(why) = why {
-                self.note(format!("timed change {id} of {} lapses: {why}", t.who));
-                let why = format!("lapsed: {why}");
-                let asks = asks("the state service", &why, self.wall);
-                let entry = self
+            if let Err(reason) = reason {
+                self.note(format!(
+                    "timed change {id} of {} lapses: {reason}",
+                    t.author
+                ));
+                let reason = format!("lapsed: {reason}");
+                let asks = asks("the state service", &reason, self.wall);
+                let revision = self
                     .catalog
                     .propose(self.catalog.version(), asks, vec![over]);
-                self.land(None, entry, false, false);
+                self.land(None, revision, false, false);
             }
         }
     }
 
-    fn timed(&mut self, t: &Timed, over: &Change) -> Result<(), String> {
+    fn scheduled(&mut self, t: &ScheduledChange, over: &Change) -> Result<(), String> {
         let mut changes: Vec<Change> = t.changes.iter().chain([over]).cloned().collect();
-        changes.iter_mut().for_each(|c| self.stamp(c, &t.who));
-        let asks = asks(&t.who, &t.why, self.wall);
-        let entry = self
+        changes.iter_mut().for_each(|c| self.stamp(c, &t.author));
+        let asks = asks(&t.author, &t.reason, self.wall);
+        let revision = self
             .catalog
             .propose(self.catalog.version(), asks, changes)
             .map_err(|e| e.to_string())?;
-        let before = self.landing.len();
+        let before = self.pending_commits.len();
         let told = self.out.len();
-        self.land(None, Ok(entry), t.force, false);
+        self.land(None, Ok(revision), t.force, false);
         match self.out.split_off(told) {
             // Refused: nothing was sent to the disk, and why is in its note.
-            said if self.landing.len() == before => {
-                let why = said.into_iter().find_map(|a| {
+            said if self.pending_commits.len() == before => {
+                let reason = said.into_iter().find_map(|a| {
                     if let Action::Note { text } = a {
                         Some(text)
                     } else {
                         None
                     }
                 });
-                Err(why.unwrap_or_default())
+                Err(reason.unwrap_or_default())
             }
             said => {
                 self.out.extend(said);
@@ -695,102 +723,109 @@
         }
     }
 
-    fn keep(&mut self, what: Keep) -> u64 {
+    fn keep(&mut self, what: Persist) -> u64 {
         self.next += 1;
-        self.out.push(Action::Keep {
+        self.out.push(Action::Persist {
             number: self.next,
             what,
         });
         self.next
     }
 
-    fn is_kept(&mut self, upto: u64) {
-        while let Some(l) = self.landing.pop_front_if(|l| l.number <= upto) {
-            self.kept = l.version;
+    fn is_persisted(&mut self, upto: u64) {
+        while let Some(l) = self.pending_commits.pop_front_if(|l| l.number <= upto) {
+            self.persisted = l.version;
             if let Some(call) = l.call {
-                self.out.push(Action::Landed {
+                self.out.push(Action::Committed {
                     call,
-                    version: self.kept,
-                    opinion: l.opinion,
+                    version: self.persisted,
+                    verdict: l.verdict,
                 });
             }
         }
-        if let Some((_, settled)) = self.settled_sent.take_if(|s| s.0 <= upto) {
-            self.settled_kept = settled;
-            self.lowerings.forget(settled);
-            self.catalog.need(settled);
+        if let Some((_, stable)) = self.stable_sent.take_if(|s| s.0 <= upto) {
+            self.stable_persisted = stable;
+            self.limit_reductions.forget(stable);
+            self.catalog.need(stable);
         }
         let known = self.known_sent.split_off(&(upto + 1));
-        for (_, (host, has)) in std::mem::replace(&mut self.known_sent, known) {
-            self.known.insert(host, has);
+        for (_, (host, applied)) in std::mem::replace(&mut self.known_sent, known) {
+            self.known.insert(host, applied);
         }
     }
 
     /// What was decided and could not be kept never was.
-    fn take_back(&mut self, why: &str) {
-        for l in std::mem::take(&mut self.landing).into_iter().rev() {
-            if let Some(entry) = self.catalog.take_back() {
-                self.admission.undo(&self.catalog, &entry.changes);
+    fn revert_last(&mut self, reason: &str) {
+        for l in std::mem::take(&mut self.pending_commits).into_iter().rev() {
+            if let Some(revision) = self.catalog.revert_last() {
+                self.admission.undo(&self.catalog, &revision.changes);
             }
-            self.prevailed = l.prevailed;
-            self.refuse_some(l.call, format!("not kept: {why}"));
+            self.epoch_forced_at = l.epoch_forced_at;
+            self.refuse_some(l.call, format!("not kept: {reason}"));
         }
-        self.lowerings = Lowerings::new(self.settled_kept);
+        self.limit_reductions = LimitReductions::new(self.stable_persisted);
         self.catalog
-            .trail()
-            .filter(|e| e.version > self.settled_kept)
-            .for_each(|e| self.lowerings.add(e.version, e.lowers));
-        (self.settled_sent, self.known_sent) = (None, BTreeMap::new());
+            .audit_log()
+            .filter(|e| e.version > self.stable_persisted)
+            .for_each(|e| self.limit_reductions.add(e.version, e.lowers_limits));
+        (self.stable_sent, self.known_sent) = (None, BTreeMap::new());
         (self.not_before, self.void) = (self.now + AGAIN, self.next);
-        self.note(format!("not kept: {why}"));
+        self.note(format!("not kept: {reason}"));
     }
 
     /// Keeps what must be kept, and answers whoever can be answered.
     fn bring(&mut self) {
         // Of versions that are on their way to the disk nobody has been told, so none of them is settled.
-        let settled = self.leases.settled(self.now, &self.lowerings, self.kept);
-        if settled > self.settled_kept && self.settled_sent.is_none() && self.now >= self.not_before
+        let stable = self
+            .leases
+            .stable(self.now, &self.limit_reductions, self.persisted);
+        if stable > self.stable_persisted
+            && self.stable_sent.is_none()
+            && self.now >= self.not_before
         {
-            let number = self.keep(Keep::Settled(settled));
-            self.settled_sent = Some((number, settled));
+            let number = self.keep(Persist::Stable(stable));
+            self.stable_sent = Some((number, stable));
         }
-        if let Some(has) = self.leases.behind() {
+        if let Some(applied) = self.leases.behind() {
             for (_, w) in std::mem::take(&mut self.waiting) {
-                self.out.push(Action::Behind { call: w.call, has });
+                self.out.push(Action::Behind {
+                    call: w.call,
+                    applied,
+                });
             }
             return;
         }
-        let sent: BTreeSet<HostNo> = self.known_sent.values().map(|k| k.0).collect();
+        let sent: BTreeSet<HostNumber> = self.known_sent.values().map(|k| k.0).collect();
         for host in self.waiting.keys().copied().collect::<Vec<_>>() {
             // Once it has been granted anything, it must never again be taken for one that has not; and what
             // it has must not be forgotten for long, or what waits for its word would wait again after a
             // start.
-            let has = self.leases.has(host).unwrap_or_default();
-            if self.known.get(&host) != Some(&has)
+            let applied = self.leases.applied(host).unwrap_or_default();
+            if self.known.get(&host) != Some(&applied)
                 && !sent.contains(&host)
                 && self.now >= self.not_before
             {
-                let number = self.keep(Keep::Has(host, has));
-                self.known_sent.insert(number, (host, has));
+                let number = self.keep(Persist::Has(host, applied));
+                self.known_sent.insert(number, (host, applied));
             }
             let w = self.waiting[&host];
-            let news = self.kept > w.has || self.settled_kept > w.settled;
+            let news = self.persisted > w.applied || self.stable_persisted > w.stable;
             let due = self.now >= w.since + self.leases.lease() / 3;
-            let ahead = w.other.is_some_and(|other| other > self.kept);
+            let ahead = w.other.is_some_and(|other| other > self.persisted);
             if !self.known.contains_key(&host) || ahead || !(news || due) {
                 continue;
             }
-            if let Answer::Grant { lease } = self.leases.grant(self.now, host) {
-                let whole = w.other.is_some() || self.catalog.since(w.has).is_none();
+            if let PollDecision::Grant { lease } = self.leases.grant(self.now, host) {
+                let snapshot = w.other.is_some() || self.catalog.since(w.applied).is_none();
                 // The whole is told from what is settled on, or the host would not know what to reckon with.
-                let (to, settled) = (self.kept, self.settled_kept);
-                let from = if whole { settled } else { w.has };
+                let (to, stable) = (self.persisted, self.stable_persisted);
+                let from = if snapshot { stable } else { w.applied };
                 self.out.push(Action::Grant {
                     call: w.call,
                     from,
                     to,
-                    whole,
-                    settled,
+                    snapshot,
+                    stable,
                     lease,
                 });
                 self.waiting.remove(&host);
@@ -798,14 +833,14 @@
         }
     }
 
-    fn refuse(&mut self, call: Call, why: String) {
-        self.out.push(Action::Refused { call, why });
+    fn refuse(&mut self, call: CallId, reason: String) {
+        self.out.push(Action::Reject { call, reason });
     }
 
-    fn refuse_some(&mut self, call: Option<Call>, why: String) {
+    fn refuse_some(&mut self, call: Option<CallId>, reason: String) {
         match call {
-            Some(call) => self.refuse(call, why),
-            None => self.note(why),
+            Some(call) => self.refuse(call, reason),
+            None => self.note(reason),
         }
     }
 
@@ -814,11 +849,11 @@
     }
 }
 
-fn asks<'a>(who: &'a str, why: &'a str, at: Duration) -> Asks<'a> {
-    Asks {
-        who,
-        why,
-        against: "",
+fn asks<'a>(author: &'a str, reason: &'a str, at: Duration) -> ChangeContext<'a> {
+    ChangeContext {
+        author,
+        reason,
+        objections: "",
         at,
     }
 }
@@ -833,9 +868,9 @@
 
 /// An entry as one host needs it: without volumes that do not and did not work through it, and without what
 /// is not for hosts at all. Of a volume that now works through it and did not, it is told how that was before
-/// each entry after `settled`: it must reckon with all of them.
-pub fn for_host(catalog: &Catalog, settled: Version, entry: &Entry, host: &Name) -> Entry {
-    let was: BTreeSet<Subject> = entry
+/// each entry after `stable`: it must reckon with all of them.
+pub fn for_host(catalog: &Catalog, stable: Version, revision: &Revision, host: &Name) -> Revision {
+    let was: BTreeSet<Subject> = revision
         .before
         .iter()
         .filter(|c| !c.ends() && is_for(c, host))
@@ -845,22 +880,22 @@
         Change::Volume { to: None, .. } => was.contains(&c.subject()),
         c => is_for(c, host) || was.contains(&c.subject()),
     };
-    let changes: Vec<Change> = entry.changes.iter().filter(wanted).cloned().collect();
+    let changes: Vec<Change> = revision.changes.iter().filter(wanted).cloned().collect();
     let new: BTreeSet<Subject> = changes
         .iter()
         .map(|c| c.subject())
         .filter(|s| !was.contains(s))
         .collect();
     let volume = |c: &&Change| matches!(c, Change::Volume { .. }) && new.contains(&c.subject());
-    let before: Vec<Change> = entry.before.iter().filter(volume).cloned().collect();
+    let before: Vec<Change> = revision.before.iter().filter(volume).cloned().collect();
     let mut also = Vec::new();
     if !before.is_empty() {
         for e in catalog
-            .trail()
+            .audit_log()
             .rev()
-            .skip_while(|e| e.version >= entry.version)
+            .skip_while(|e| e.version >= revision.version)
         {
-            if e.version <= settled {
+            if e.version <= stable {
                 break;
             }
             also.extend(
@@ -871,11 +906,11 @@
             );
         }
     }
-    Entry {
+    Revision {
         changes,
         before,
         also,
-        ..entry.clone()
+        ..revision.clone()
     }
 }
 
@@ -883,7 +918,7 @@
 pub fn is_for(c: &Change, host: &Name) -> bool {
     match c {
         Change::Volume { to: Some(v), .. } => v.hosts.contains(host),
-        Change::Timed { .. } => false,
+        Change::Scheduled { .. } => false,
         _ => true,
     }
 }
--- a/crates/plans/src/moves.rs
+++ b/crates/plans/src/moves.rs
@@ -9,12 +9,12 @@
 //!
 //! Of a large site only a part goes into the program, or it would take minutes: volumes with a home where
 //! nothing leads to room, the cheapest to move first, and nodes with the most room. The answer is then good
-//! and not proven the least; [`Proposal::whole`] says which.
+//! and not proven the least; [`Proposal::snapshot`] says which.
 //!
 //! Memory: for the time of the call, a few words for each volume and node that goes in.
 
+use crate::incremental_flow::IncrementalFlow;
 use crate::planner::{Node, Site, Volume};
-use crate::standing::Standing;
 use microlp::{ComparisonOp, LinearExpr, OptimizationDirection, Problem, SolveOptions, Variable};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,7 +22,7 @@
 const MAX_VOLUMES: usize = 300;
 const MAX_TARGETS: usize = 6;
 /// Room that is kept back for rounding, as a part of each node, from one try to the next.
-const KEPT_BACK: [f64; 4] = [0.0, 0.005, 0.02, 0.05];
+const PERSISTED_BACK: [f64; 4] = [0.0, 0.005, 0.02, 0.05];
 /// Numbers of extents up to which the program is told that they are whole, and how long it may search then.
 const MAX_WHOLE: usize = 400;
 const MAX_SEARCH: u64 = 5_000;
@@ -55,39 +55,44 @@
     /// Reserves that stay unmet.
     pub short: f64,
     /// Everything went into the program.
-    pub whole: bool,
+    pub snapshot: bool,
 }
 
 /// What would mend the site, with these nodes emptied; None: nothing needs to move.
 pub fn propose(site: &Site, empty: &BTreeSet<u32>, size: impl Fn(u64) -> Size) -> Option<Proposal> {
-    let mut standing = Standing::of(site);
-    empty.iter().for_each(|n| standing.set_up(*n, false));
+    let mut volumes_of_plan = IncrementalFlow::of(site);
+    empty.iter().for_each(|n| volumes_of_plan.set_up(*n, false));
     let leaves = |v: &Volume| v.homes.iter().any(|h| empty.contains(&h.0));
-    if standing.missing().short <= standing.slack() && !site.volumes.iter().any(leaves) {
+    if volumes_of_plan.shortfall().short <= volumes_of_plan.slack()
+        && !site.volumes.iter().any(leaves)
+    {
         return None;
     }
-    let scope = Scope::of(site, &standing, empty, &size);
+    let scope = Scope::of(site, &volumes_of_plan, empty, &size);
     let mut least = None;
     let numbers = scope
         .volumes
         .iter()
         .map(|v| v.homes.len() + scope.targets.len())
         .sum::<usize>();
-    let whole = (scope.whole && numbers <= MAX_WHOLE).then_some((0.0, true));
-    for (kept_back, whole) in whole.into_iter().chain(KEPT_BACK.map(|k| (k, false))) {
+    let snapshot = (scope.snapshot && numbers <= MAX_WHOLE).then_some((0.0, true));
+    for (persisted_back, snapshot) in snapshot
+        .into_iter()
+        .chain(PERSISTED_BACK.map(|k| (k, false)))
+    {
         least = least.or_else(|| Some(scope.solve(0.0, false, &size)?.1));
-        let Some((parts, _)) = scope.solve(kept_back, whole, &size) else {
+        let Some((parts, _)) = scope.solve(persisted_back, snapshot, &size) else {
             continue;
         };
         let moves = scope.whole_extents(&parts, &size);
-        let mut after = standing.clone();
+        let mut after = volumes_of_plan.clone();
         after.set_volumes(
             scope
                 .volumes
                 .iter()
                 .map(|v| (v.id, Some(moved(v, &moves, &size)))),
         );
-        let short = after.missing().short;
+        let short = after.shortfall().short;
         if short <= after.slack() {
             let bytes = moves.iter().map(|m| m.bytes).sum();
             let least = least.unwrap_or_default();
@@ -96,13 +101,13 @@
                 bytes,
                 least,
                 short: 0.0,
-                whole: scope.whole,
+                snapshot: scope.snapshot,
             });
         }
     }
     // What is to be emptied goes anyway, to wherever most room is; the rest stays short.
     let moves = scope.anyhow(&size);
-    let mut after = standing.clone();
+    let mut after = volumes_of_plan.clone();
     after.set_volumes(
         scope
             .volumes
@@ -110,13 +115,13 @@
             .map(|v| (v.id, Some(moved(v, &moves, &size)))),
     );
     let bytes: u64 = moves.iter().map(|m| m.bytes).sum();
-    let (short, whole) = (after.missing().short, scope.whole);
+    let (short, snapshot) = (after.shortfall().short, scope.snapshot);
     Some(Proposal {
         moves,
         bytes,
         least: bytes as f64,
         short,
-        whole,
+        snapshot,
     })
 }
 
@@ -124,9 +129,9 @@
 fn moved(v: &Volume, moves: &[Move], size: impl Fn(u64) -> Size) -> Volume {
     let mut homes: BTreeMap<u32, f64> = v.homes.iter().copied().collect();
     for m in moves.iter().filter(|m| m.volume == v.id) {
-        let part = m.extents as f64 / size(v.id).extents.max(1) as f64;
-        *homes.entry(m.from).or_default() -= part;
-        *homes.entry(m.to).or_default() += part;
+        let quota = m.extents as f64 / size(v.id).extents.max(1) as f64;
+        *homes.entry(m.from).or_default() -= quota;
+        *homes.entry(m.to).or_default() += quota;
     }
     Volume {
         homes: homes.into_iter().filter(|h| h.1 > NOTHING).collect(),
@@ -142,7 +147,7 @@
     /// Room of nodes beside what the volumes left out carry there.
     room: BTreeMap<u32, f64>,
     spread: f64,
-    whole: bool,
+    snapshot: bool,
 }
 
 /// Extents that leave and extents that come in, by volume and node.
@@ -151,7 +156,7 @@
 impl<'a> Scope<'a> {
     fn of(
         site: &'a Site,
-        standing: &Standing,
+        volumes_of_plan: &IncrementalFlow,
         empty: &'a BTreeSet<u32>,
         size: impl Fn(u64) -> Size,
     ) -> Self {
@@ -160,15 +165,15 @@
         let small = site.volumes.len() <= MAX_VOLUMES && site.nodes.len() <= 4 * MAX_TARGETS;
         let mut targets: Vec<&Node> = site.nodes.iter().filter(up).collect();
         targets.sort_by(|a, b| {
-            standing
+            volumes_of_plan
                 .room(b.id)
-                .total_cmp(&standing.room(a.id))
+                .total_cmp(&volumes_of_plan.room(a.id))
                 .then(a.id.cmp(&b.id))
         });
         if !small {
             targets.truncate(MAX_TARGETS);
         }
-        let tight = |v: &Volume| v.homes.iter().any(|h| standing.is_tight(h.0));
+        let tight = |v: &Volume| v.homes.iter().any(|h| volumes_of_plan.is_tight(h.0));
         // Bytes that it costs to take a unit a second off a node.
         let cost = |v: &&Volume| {
             let s = size(v.id);
@@ -180,7 +185,7 @@
         others.sort_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.id.cmp(&b.id)));
         volumes.extend(others.into_iter().take(MAX_VOLUMES));
         let inside: BTreeSet<u64> = volumes.iter().map(|v| v.id).collect();
-        let carried = standing.carried_beside(&inside);
+        let carried = volumes_of_plan.carried_beside(&inside);
         let room = site.nodes.iter().filter(up);
         let room = room.map(|n| {
             (
@@ -195,15 +200,15 @@
             empty,
             room: room.collect(),
             spread: site.spread,
-            whole: small,
+            snapshot: small,
         }
     }
 
     /// Extents to move at the least bytes, and these; None where no moves would do.
     fn solve(
         &self,
-        kept_back: f64,
-        whole: bool,
+        persisted_back: f64,
+        snapshot: bool,
         size: impl Fn(u64) -> Size,
     ) -> Option<(Parts, f64)> {
         let mut p = Problem::new(OptimizationDirection::Minimize);
@@ -218,16 +223,16 @@
             let (mut balance, mut carried, mut stuck) =
                 (LinearExpr::empty(), LinearExpr::empty(), 0.0);
             for n in nodes {
-                let part = lies.get(&n).copied().unwrap_or(0.0);
+                let quota = lies.get(&n).copied().unwrap_or(0.0);
                 let leaves = self.empty.contains(&n);
                 if !leaves && !self.room.contains_key(&n) {
-                    stuck += part; // nobody knows the node, and nobody can read what lies there
+                    stuck += quota; // nobody knows the node, and nobody can read what lies there
                     continue;
                 }
                 let all = size(v.id).extents.max(1) as f64;
-                let here = (part * all).round();
+                let here = (quota * all).round();
                 let least = if leaves { here } else { 0.0 };
-                let mut extents = |cost: f64, from: f64, to: f64| match whole {
+                let mut extents = |cost: f64, from: f64, to: f64| match snapshot {
                     true => p.add_integer_var(cost, (from as i32, to as i32)),
                     false => p.add_var(cost, (from, to)),
                 };
@@ -246,7 +251,7 @@
                 within.add(load, 1.0);
                 out.into_iter().for_each(|o| within.add(o, each / all));
                 comes.into_iter().for_each(|i| within.add(i, -each / all));
-                p.add_constraint(within, ComparisonOp::Le, each * part);
+                p.add_constraint(within, ComparisonOp::Le, each * quota);
                 carried.add(load, 1.0);
                 on.entry(n).or_insert_with(LinearExpr::empty).add(load, 1.0);
             }
@@ -261,7 +266,7 @@
             p.add_constraint(
                 sum,
                 ComparisonOp::Le,
-                self.room[&n] * (1.0 - kept_back) + NOTHING,
+                self.room[&n] * (1.0 - persisted_back) + NOTHING,
             );
         }
         let mut options = SolveOptions::default();
@@ -286,13 +291,13 @@
             // What comes in beyond what leaves is wanted; the reverse leaves for others.
             let net = |(o, i): (f64, f64)| i - o;
             let up = |extents: f64| (extents - 1e-4).ceil().max(0.0) as u64;
-            let mut wants: Vec<(u32, f64)> = nodes
+            let mut expected: Vec<(u32, f64)> = nodes
                 .filter(|(_, p)| net(*p) > NOTHING)
                 .map(|(n, p)| (n, net(p)))
                 .collect();
-            wants.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-            for (from, part) in &v.homes {
-                let here = (part * s.extents as f64).round();
+            expected.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
+            for (from, quota) in &v.homes {
+                let here = (quota * s.extents as f64).round();
                 let leaves = if self.empty.contains(from) {
                     here
                 } else {
@@ -300,7 +305,9 @@
                 };
                 let mut left = up(leaves).min(here as u64);
                 while left > 0 {
-                    let Some(want) = wants.first_mut() else { break };
+                    let Some(want) = expected.first_mut() else {
+                        break;
+                    };
                     let extents = left.min(up(want.1).max(1));
                     let bytes = extents * s.bytes;
                     moves.push(Move {
@@ -312,8 +319,8 @@
                     });
                     left -= extents;
                     want.1 -= extents as f64;
-                    if want.1 <= NOTHING && wants.len() > 1 {
-                        wants.remove(0);
+                    if want.1 <= NOTHING && expected.len() > 1 {
+                        expected.remove(0);
                     }
                 }
             }
@@ -328,16 +335,16 @@
         let mut moves = Vec::new();
         for v in &self.volumes {
             let s = size(v.id);
-            for (from, part) in v.homes.iter().filter(|h| self.empty.contains(&h.0)) {
+            for (from, quota) in v.homes.iter().filter(|h| self.empty.contains(&h.0)) {
                 let best = room
                     .iter()
                     .max_by(|a, b| a.1.total_cmp(b.1))
                     .map(|(n, _)| *n);
-                let extents = (part * s.extents as f64).round() as u64;
+                let extents = (quota * s.extents as f64).round() as u64;
                 let Some(to) = best.filter(|_| extents > 0) else {
                     continue;
                 };
-                room.entry(to).and_modify(|r| *r -= v.reserve * part);
+                room.entry(to).and_modify(|r| *r -= v.reserve * quota);
                 moves.push(Move {
                     volume: v.id,
                     from: *from,
--- a/crates/plans/src/planner.rs
+++ b/crates/plans/src/planner.rs
@@ -49,7 +49,7 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Verdict {
+pub struct Feasibility {
     /// Reserves of what can be reached, and how much of them can be carried at once.
     pub asked: f64,
     pub carried: f64,
@@ -59,7 +59,7 @@
     pub short: Vec<(u64, f64)>,
 }
 
-impl Verdict {
+impl Feasibility {
     pub fn holds(&self) -> bool {
         self.short.is_empty()
     }
@@ -83,15 +83,15 @@
     /// `up`: the places of a volume's homes that can serve it, with the part that lies on each.
     pub fn of(v: &Volume, up: Vec<(usize, f64)>, spread: f64) -> Load {
         let reached = v.reserve * up.iter().map(|h| h.1).sum::<f64>().min(1.0);
-        let most = |part: f64| whole(reached).min(whole(v.reserve * part * spread) + 1);
+        let most = |quota: f64| snapshot(reached).min(snapshot(v.reserve * quota * spread) + 1);
         Load {
-            reserve: whole(reached),
-            homes: up.iter().map(|(n, part)| (*n, most(*part))).collect(),
+            reserve: snapshot(reached),
+            homes: up.iter().map(|(n, quota)| (*n, most(*quota))).collect(),
         }
     }
 }
 
-pub(crate) fn whole(units: f64) -> u64 {
+pub(crate) fn snapshot(units: f64) -> u64 {
     (units * PARTS).round().max(0.0) as u64
 }
 
@@ -114,13 +114,13 @@
             if out.contains(&n.id) {
                 0
             } else {
-                whole(n.capacity)
+                snapshot(n.capacity)
             }
         });
         let load = |v: &Volume| {
-            let up = |(id, part): &(u32, f64)| {
+            let up = |(id, quota): &(u32, f64)| {
                 let place = place.get(id).copied().filter(|_| !out.contains(id))?;
-                Some((place, *part))
+                Some((place, *quota))
             };
             Load::of(v, v.homes.iter().filter_map(up).collect(), site.spread)
         };
@@ -147,22 +147,22 @@
                 .for_each(|(sum, h)| *sum += h.1.min(*amount));
         }
         let mut g: DiGraph<(), u64> = DiGraph::new();
-        let (source, sink) = (g.add_node(()), g.add_node(()));
+        let (leader, sink) = (g.add_node(()), g.add_node(()));
         let nodes: Vec<NodeIndex> = self.capacity.iter().map(|_| g.add_node(())).collect();
         for (node, capacity) in nodes.iter().zip(&self.capacity) {
             g.add_edge(*node, sink, *capacity);
         }
         for (homes, (amount, most)) in alike {
             let volume = g.add_node(());
-            g.add_edge(source, volume, amount);
+            g.add_edge(leader, volume, amount);
             for (n, most) in homes.iter().zip(most) {
                 g.add_edge(volume, nodes[*n], most);
             }
         }
-        dinics(&g, source, sink).0
+        dinics(&g, leader, sink).0
     }
 
-    fn verdict(&self) -> Verdict {
+    fn verdict(&self) -> Feasibility {
         let all: Vec<(usize, u64)> = self.loads.iter().map(|l| l.reserve).enumerate().collect();
         let asked: u64 = all.iter().map(|a| a.1).sum();
         let carried = self.carried(&all);
@@ -181,7 +181,7 @@
         } else {
             out_of_reach
         };
-        Verdict {
+        Feasibility {
             asked: units(asked),
             carried: units(carried.min(asked)),
             out_of_reach,
@@ -227,12 +227,12 @@
 /// site.volumes[1].reserve = 110.0;
 /// assert_eq!(check(&site, &Default::default()).short, [(8, 10.0)]);
 /// ```
-pub fn check(site: &Site, out: &BTreeSet<u32>) -> Verdict {
+pub fn check(site: &Site, out: &BTreeSet<u32>) -> Feasibility {
     Network::new(site, out).verdict()
 }
 
 /// The site as it is, with any one node out, and with any one zone out.
-pub fn survey(site: &Site) -> Vec<(Out, Verdict)> {
+pub fn survey(site: &Site) -> Vec<(Out, Feasibility)> {
     let zones: BTreeSet<u32> = site.nodes.iter().map(|n| n.zone).collect();
     let all = [Out::Nothing]
         .into_iter()
--- a/crates/plans/tests/admission.rs
+++ b/crates/plans/tests/admission.rs
@@ -1,6 +1,6 @@
 //! What speaks against a change, case by case, and that nothing of an opinion depends on how it came about.
 
-use grebecleat_plans::admission::{Admission, Beside, Opinion, Reason};
+use grebecleat_plans::admission::{Admission, AdmissionVerdict, ExclusionReason, Reason};
 use grebecleat_plans::changes::*;
 use grebecleat_plans::planner::{check, Out};
 use rand::{Rng, SeedableRng};
@@ -68,7 +68,7 @@
 
 fn catalog() -> Catalog {
     Catalog::new(
-        Facts {
+        Deployment {
             hosts: ["h".into()].into(),
             max_dispatch_delay: Duration::ZERO,
         },
@@ -77,10 +77,10 @@
 }
 
 fn land(l: &mut Catalog, changes: Vec<Change>) {
-    let entry = l
-        .propose(l.version(), Asks::default(), changes)
+    let revision = l
+        .propose(l.version(), ChangeContext::default(), changes)
         .expect("in order");
-    l.take(entry).expect("the next");
+    l.apply(revision).expect("the next");
 }
 
 /// Two zones of two nodes, each node of 100; four volumes, each on two nodes of different zones.
@@ -114,10 +114,10 @@
     l
 }
 
-fn opinion(l: &mut Catalog, a: &mut Admission, changes: Vec<Change>) -> Opinion {
+fn verdict(l: &mut Catalog, a: &mut Admission, changes: Vec<Change>) -> AdmissionVerdict {
     land(l, changes.clone());
     let o = a.land(l, &changes, ALL);
-    l.take_back();
+    l.revert_last();
     a.undo(l, &changes);
     o
 }
@@ -165,16 +165,16 @@
         ),
         ("a new node", vec![node(9, "c", 50.0)], &[]),
     ];
-    let before = a.missing();
+    let before = a.shortfall();
     for (what, changes, expected) in cases {
-        let o = opinion(&mut l, &mut a, changes);
-        let against = o.against.iter().map(|r| format!("against: {r}"));
-        let told: Vec<String> = against
+        let o = verdict(&mut l, &mut a, changes);
+        let objections = o.objections.iter().map(|r| format!("against: {r}"));
+        let told: Vec<String> = objections
             .chain(o.warnings.iter().map(|r| format!("warns: {r}")))
             .collect();
         assert_eq!(told, expected, "{what}");
         assert!(!o.blind && o.unseen == 0);
-        assert_eq!(a.missing(), before, "{what}: taken back");
+        assert_eq!(a.shortfall(), before, "{what}: taken back");
     }
 }
 
@@ -186,27 +186,27 @@
     type Case = (
         &'static str,
         Vec<Change>,
-        &'static [(u32, Beside)],
+        &'static [(u32, ExclusionReason)],
         Vec<Change>,
         &'static [&'static str],
     );
     let cases: [Case; 11] = [
-        ("alone", free(), &[], vec![stage(1, Going)], &[]),
+        ("alone", free(), &[], vec![stage(1, Draining)], &[]),
         (
             "a second one of its zone",
-            [free(), vec![stage(2, Going)]].concat(),
+            [free(), vec![stage(2, Draining)]].concat(),
             &[],
-            vec![stage(1, Going)],
+            vec![stage(1, Draining)],
             &["node 1 must not drain while in zone a node 2 drains"],
         ),
-        ("beside one that waits", [free(), vec![stage(2, Queued)]].concat(), &[], vec![stage(1, Going)], &[]),
-        ("of another zone", [free(), vec![stage(3, Going)]].concat(), &[], vec![stage(1, Going)], &[]),
-        ("waiting beside one", [free(), vec![stage(2, Going)]].concat(), &[], vec![stage(1, Queued)], &[]),
+        ("beside one that waits", [free(), vec![stage(2, Queued)]].concat(), &[], vec![stage(1, Draining)], &[]),
+        ("of another zone", [free(), vec![stage(3, Draining)]].concat(), &[], vec![stage(1, Draining)], &[]),
+        ("waiting beside one", [free(), vec![stage(2, Draining)]].concat(), &[], vec![stage(1, Queued)], &[]),
         (
             "two at once",
             free(),
             &[],
-            vec![stage(1, Going), stage(2, Going)],
+            vec![stage(1, Draining), stage(2, Draining)],
             &[
                 "node 1 must not drain while in zone a node 2 drains",
                 "node 2 must not drain while in zone a node 1 drains",
@@ -215,11 +215,11 @@
         (
             "beside a cold one",
             free(),
-            &[(2, Beside::Cold), (3, Beside::Gone)],
-            vec![stage(1, Going)],
+            &[(2, ExclusionReason::Cold), (3, ExclusionReason::Removed)],
+            vec![stage(1, Draining)],
             &["node 1 must not drain while in zone a node 2 has just started and is cold"],
         ),
-        ("cold itself", free(), &[(1, Beside::Cold)], vec![stage(1, Going)], &[]),
+        ("cold itself", free(), &[(1, ExclusionReason::Cold)], vec![stage(1, Draining)], &[]),
         (
             "reserved data there, and it would only wait",
             vec![],
@@ -229,30 +229,30 @@
         ),
         (
             "out before it is empty",
-            [free(), vec![stage(1, Going)]].concat(),
+            [free(), vec![stage(1, Draining)]].concat(),
             &[],
-            vec![stage(1, Out)],
+            vec![stage(1, Removed)],
             &["what was sent to node 1 may still be under way; it is empty when its drain says so"],
         ),
         (
             "out once it is",
-            [free(), vec![stage(1, Going)], vec![stage(1, Empty)]].concat(),
-            &[(2, Beside::Cold)],
-            vec![stage(1, Out)],
+            [free(), vec![stage(1, Draining)], vec![stage(1, Drained)]].concat(),
+            &[(2, ExclusionReason::Cold)],
+            vec![stage(1, Removed)],
             &[],
         ),
     ];
-    for (what, before, unfit, changes, expected) in cases {
+    for (what, before, unavailable, changes, expected) in cases {
         let mut l = begun();
         for c in before {
             land(&mut l, vec![c]);
         }
         let mut a = Admission::open(&l, 2.0);
-        unfit
+        unavailable
             .iter()
-            .for_each(|(n, how)| a.set_unfit(*n, Some(*how)));
-        let o = opinion(&mut l, &mut a, changes);
-        let told: Vec<String> = o.against.iter().map(|r| r.to_string()).collect();
+            .for_each(|(n, how)| a.set_unavailable(*n, Some(*how)));
+        let o = verdict(&mut l, &mut a, changes);
+        let told: Vec<String> = o.objections.iter().map(|r| r.to_string()).collect();
         assert_eq!(told, expected, "{what}");
     }
 }
@@ -275,20 +275,20 @@
     );
     let mut a = Admission::open(&l, 5.0);
     assert_eq!(
-        opinion(&mut l, &mut a, vec![stage(1, Stage::Going)]).against,
+        verdict(&mut l, &mut a, vec![stage(1, Stage::Draining)]).objections,
         []
     );
-    a.set_unfit(3, Some(Beside::Gone));
+    a.set_unavailable(3, Some(ExclusionReason::Removed));
     assert_eq!(
-        opinion(&mut l, &mut a, vec![stage(1, Stage::Going)]).against,
+        verdict(&mut l, &mut a, vec![stage(1, Stage::Draining)]).objections,
         [],
         "it carried nothing"
     );
     land(&mut l, vec![volume(1, "all", &[1, 2, 3, 4])]);
     let mut a = Admission::open(&l, 5.0);
-    a.set_unfit(3, Some(Beside::Gone));
-    let o = opinion(&mut l, &mut a, vec![stage(1, Stage::Going)]);
-    assert!(!o.against.is_empty(), "{o:?}");
+    a.set_unavailable(3, Some(ExclusionReason::Removed));
+    let o = verdict(&mut l, &mut a, vec![stage(1, Stage::Draining)]);
+    assert!(!o.objections.is_empty(), "{o:?}");
     let told = Reason::Meanwhile {
         gone: vec![3],
         by: 40.0,
@@ -314,29 +314,29 @@
     );
     let mut a = Admission::open(&l, 2.0);
     a.refresh(ALL);
-    assert!((a.missing().short - 60.0).abs() < 0.1);
+    assert!((a.shortfall().short - 60.0).abs() < 0.1);
     assert_eq!(
-        opinion(&mut l, &mut a, vec![volume(6, "basic", &[1])]),
-        Opinion::default(),
+        verdict(&mut l, &mut a, vec![volume(6, "basic", &[1])]),
+        AdmissionVerdict::default(),
         "better"
     );
     assert_eq!(
-        opinion(&mut l, &mut a, vec![volume(8, "none", &[3])]),
-        Opinion::default(),
+        verdict(&mut l, &mut a, vec![volume(8, "none", &[3])]),
+        AdmissionVerdict::default(),
         "no worse"
     );
-    let worse = opinion(&mut l, &mut a, vec![volume(8, "basic", &[1])]);
+    let worse = verdict(&mut l, &mut a, vec![volume(8, "basic", &[1])]);
     assert!(
-        matches!(worse.against[..], [Reason::Short { .. }]),
+        matches!(worse.objections[..], [Reason::Short { .. }]),
         "{worse:?}"
     );
     // And what lands is the new measure.
     land(&mut l, vec![volume(8, "basic", &[1])]);
     a.land(&l, &[volume(8, "basic", &[1])], ALL);
-    assert!((a.missing().short - 80.0).abs() < 0.1);
+    assert!((a.shortfall().short - 80.0).abs() < 0.1);
     assert_eq!(
-        opinion(&mut l, &mut a, vec![volume(8, "none", &[1])]),
-        Opinion::default()
+        verdict(&mut l, &mut a, vec![volume(8, "none", &[1])]),
+        AdmissionVerdict::default()
     );
 }
 
@@ -345,7 +345,7 @@
     let mut l = catalog();
     land(&mut l, vec![node(1, "a", 0.0), plan("gold", 80.0)]);
     let mut a = Admission::open(&l, 2.0);
-    assert!(opinion(&mut l, &mut a, vec![volume(1, "gold", &[1])]).blind);
+    assert!(verdict(&mut l, &mut a, vec![volume(1, "gold", &[1])]).blind);
     let mut l = begun();
     let mut a = Admission::open(&l, 2.0);
     a.refresh(ALL);
@@ -401,13 +401,15 @@
                 },
                 _ => volume(rng.random_range(1..9), name, &shards),
             };
-            let Ok(entry) = l.propose(l.version(), Asks::default(), vec![change.clone()]) else {
+            let Ok(revision) =
+                l.propose(l.version(), ChangeContext::default(), vec![change.clone()])
+            else {
                 continue;
             };
-            l.take(entry).unwrap();
+            l.apply(revision).unwrap();
             let o = a.land(&l, std::slice::from_ref(&change), rng.random_range(0..9));
-            if !o.against.is_empty() && rng.random_range(0..2) == 0 {
-                l.take_back();
+            if !o.objections.is_empty() && rng.random_range(0..2) == 0 {
+                l.revert_last();
                 a.undo(&l, &[change]);
             }
             let out = l
@@ -416,7 +418,7 @@
                 .map(|(n, _)| n)
                 .collect();
             let v = check(&a.site(&l), &out);
-            let seen = a.missing();
+            let seen = a.shortfall();
             assert!(
                 (seen.short - (v.asked - v.carried)).abs() < 0.05,
                 "seed {seed}: {seen:?} {v:?}"
