--- a/crates/plans/tests/changes.rs
+++ b/crates/plans/tests/changes.rs
@@ -81,22 +81,22 @@
     }
 }
 
-fn by<'a>(who: &'a str, why: &'a str) -> Asks<'a> {
-    Asks {
-        who,
-        why,
-        ..Asks::default()
+fn by<'a>(author: &'a str, reason: &'a str) -> ChangeContext<'a> {
+    ChangeContext {
+        author,
+        reason,
+        ..ChangeContext::default()
     }
 }
 
-fn catalog(max_trail: usize) -> Catalog {
+fn catalog(max_audit_log: usize) -> Catalog {
     let hosts = ["h", "i", "j"].map(Name::from).into();
     Catalog::new(
-        Facts {
+        Deployment {
             hosts,
             max_dispatch_delay: Duration::from_millis(250),
         },
-        max_trail,
+        max_audit_log,
     )
 }
 
@@ -104,9 +104,9 @@
     Change::Volume { id, to: None }
 }
 
-fn land(l: &mut Catalog, changes: Vec<Change>) -> Result<Version, Refused> {
-    let entry = l.propose(l.version(), by("clerk", "test"), changes)?;
-    l.take(entry).expect("the next");
+fn land(l: &mut Catalog, changes: Vec<Change>) -> Result<Version, ChangeError> {
+    let revision = l.propose(l.version(), by("clerk", "test"), changes)?;
+    l.apply(revision).expect("the next");
     Ok(l.version())
 }
 
@@ -144,12 +144,12 @@
     if let Change::Volume { to: Some(v), .. } = &mut far {
         v.shards = [1, 7].into();
     }
-    let timed = |changes| Change::Timed {
+    let scheduled = |changes| Change::Scheduled {
         id: 1,
-        to: Some(Timed {
+        to: Some(ScheduledChange {
             at: Duration::ZERO,
-            who: "c".into(),
-            why: "".into(),
+            author: "c".into(),
+            reason: "".into(),
             force: false,
             changes,
             expects: vec![],
@@ -220,15 +220,15 @@
             "drain of node 4 does not exist",
         ),
         (
-            vec![Change::Timed { id: 4, to: None }],
+            vec![Change::Scheduled { id: 4, to: None }],
             "timed change 4 does not exist",
         ),
         (
-            vec![timed(vec![timed(vec![])])],
+            vec![scheduled(vec![scheduled(vec![])])],
             "timed change 1: a timed change within a timed change",
         ),
         (
-            vec![timed(vec![through(9, "basic", &[])])],
+            vec![scheduled(vec![through(9, "basic", &[])])],
             "volume 9: works through no host",
         ),
         (
@@ -243,11 +243,11 @@
             "target t does not exist",
         ),
     ];
-    for (changes, why) in cases {
+    for (changes, reason) in cases {
         let mut l = begun();
         assert_eq!(
             land(&mut l, changes.clone()).unwrap_err().to_string(),
-            why,
+            reason,
             "{changes:?}"
         );
         assert_eq!(l, begun(), "nothing of it is done");
@@ -292,7 +292,7 @@
             .collect()
     )
     .is_ok());
-    for (changes, why) in [
+    for (changes, reason) in [
         (
             vec![Change::Node { id: 4, to: None }],
             "node 4 is in use by drain of node 4",
@@ -307,7 +307,7 @@
         ),
         (vec![retired(2)], "volume 2 is in use by target t"),
     ] {
-        assert_eq!(land(&mut l, changes).unwrap_err().to_string(), why);
+        assert_eq!(land(&mut l, changes).unwrap_err().to_string(), reason);
     }
     assert!(land(&mut l, vec![retired(2), target("t", &[1])]).is_ok());
 }
@@ -340,7 +340,7 @@
     );
     let refused = [
         (
-            vec![stage(Empty)],
+            vec![stage(Drained)],
             "drain of node 4: cannot go from none to empty",
         ),
         (
@@ -356,8 +356,8 @@
             "node 6: its name, 77, is a number and might be another's",
         ),
     ];
-    for (changes, why) in refused {
-        assert_eq!(land(&mut l, changes).unwrap_err().to_string(), why);
+    for (changes, reason) in refused {
+        assert_eq!(land(&mut l, changes).unwrap_err().to_string(), reason);
     }
     land(&mut l, vec![named(4, "box5"), named(5, "box4")]).expect("they change places");
     assert_eq!(
@@ -366,18 +366,18 @@
     );
     for (next, fine) in [
         (Queued, true),
-        (Going, true),
+        (Draining, true),
         (Queued, false),
-        (Empty, true),
-        (Going, false),
-        (Out, true),
+        (Drained, true),
+        (Draining, false),
+        (Removed, true),
     ] {
         assert_eq!(land(&mut l, vec![stage(next)]).is_ok(), fine, "{next:?}");
     }
     land(&mut l, vec![Change::Drain { node: 4, to: None }]).unwrap();
     land(&mut l, vec![Change::Node { id: 4, to: None }]).unwrap();
     assert_eq!(l.node_called("box5"), None);
-    l.take_back();
+    l.revert_last();
     assert_eq!(l.node_called("box5"), Some(4));
 }
 
@@ -470,9 +470,9 @@
         vec![volume(8, "capped")],
         true,
     );
-    for (what, changes, lowers) in cases.into_iter().chain([again]) {
-        let entry = l.propose(l.version(), by("c", what), changes).unwrap();
-        assert_eq!(entry.lowers, lowers, "{what}");
+    for (what, changes, lowers_limits) in cases.into_iter().chain([again]) {
+        let revision = l.propose(l.version(), by("c", what), changes).unwrap();
+        assert_eq!(revision.lowers_limits, lowers_limits, "{what}");
     }
 }
 
@@ -493,14 +493,14 @@
     )
     .unwrap();
     let after = l.clone();
-    assert!(l.take_back().is_some());
+    assert!(l.revert_last().is_some());
     let all = |l: &Catalog| l.state().collect::<Vec<_>>();
     assert_eq!((all(&l), l.version()), (all(&before), before.version()));
     for (from, to) in [(&before, &after), (&after, &before)] {
         let mut l = from.clone();
-        land(&mut l, from.towards(to)).unwrap();
+        land(&mut l, from.changes_towards(to)).unwrap();
         assert_eq!(all(&l), all(to));
-        assert!(l.towards(to).is_empty());
+        assert!(l.changes_towards(to).is_empty());
     }
 }
 
@@ -539,15 +539,15 @@
     ];
     for (first, second, collides) in cases {
         let mut l = begun();
-        let looked_at = l.version();
+        let base_version = l.version();
         land(&mut l, first.clone()).unwrap();
         let with = l.version();
-        let second = l.propose(looked_at, by("other", "at once"), second.clone());
+        let second = l.propose(base_version, by("other", "at once"), second.clone());
         match (collides, second) {
-            (None, Ok(entry)) => assert_eq!(entry.version.0, with.0 + 1),
+            (None, Ok(revision)) => assert_eq!(revision.version.0, with.0 + 1),
             (
                 Some(subject),
-                Err(Refused::Collision {
+                Err(ChangeError::Collision {
                     subject: s,
                     with: w,
                     ..
@@ -577,7 +577,7 @@
     .unwrap();
     land(&mut l, vec![volume(7, "basic")]).unwrap();
     let undo = l.undo(moved, by("clerk", "was wrong")).unwrap();
-    l.take(undo.clone()).unwrap();
+    l.apply(undo.clone()).unwrap();
     assert_eq!(
         (
             l.volume(1).unwrap().plan.to_string(),
@@ -592,7 +592,7 @@
     );
     // And undone again.
     let redo = l.undo(undo.version, by("clerk", "was right")).unwrap();
-    l.take(redo).unwrap();
+    l.apply(redo).unwrap();
     assert_eq!(
         (l.volume(1).unwrap().plan.to_string(), l.volume(2).is_some()),
         ("priority".to_string(), false)
@@ -602,41 +602,41 @@
 /// A feed that comes late, twice, or was set back: entries are taken once and in order, or not at all.
 #[test]
 fn a_follower_never_goes_back_and_never_skips() {
-    let mut source = begun();
-    let mut entries: Vec<Entry> = source.trail().cloned().collect();
+    let mut leader = begun();
+    let mut revisions: Vec<Revision> = leader.audit_log().cloned().collect();
     for n in 0..40 {
-        land(&mut source, vec![volume(100 + n, "basic")]).unwrap();
-        entries.push(source.trail().last().unwrap().clone());
+        land(&mut leader, vec![volume(100 + n, "basic")]).unwrap();
+        revisions.push(leader.audit_log().last().unwrap().clone());
     }
     for seed in 0..50 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut host = catalog(5);
-        while host.version() < source.version() {
-            let at = rng.random_range(0..entries.len());
+        while host.version() < leader.version() {
+            let at = rng.random_range(0..revisions.len());
             let before = host.version();
-            match host.take(entries[at].clone()) {
+            match host.apply(revisions[at].clone()) {
                 Ok(()) => assert_eq!(host.version().0, before.0 + 1),
-                Err(OutOfOrder::Older) => assert!(entries[at].version <= before),
-                Err(OutOfOrder::Gap { wants }) => assert!(wants < entries[at].version),
+                Err(OutOfOrder::Older) => assert!(revisions[at].version <= before),
+                Err(OutOfOrder::Gap { expected }) => assert!(expected < revisions[at].version),
             }
         }
         assert_eq!(
-            (host.volume(139), host.trail().count()),
-            (source.volume(139), 5)
+            (host.volume(139), host.audit_log().count()),
+            (leader.volume(139), 5)
         );
     }
 }
 
 /// What is known of long ago is bounded, and who looked at that is told.
 #[test]
-fn beyond_the_trail_a_change_is_asked_again() {
+fn beyond_the_audit_log_a_change_is_asked_again() {
     let mut l = catalog(3);
     land(&mut l, vec![plan("basic", 1.0)]).unwrap();
     for n in 0..5 {
         land(&mut l, vec![volume(n, "basic")]).unwrap();
     }
     let propose = |at: u64| l.propose(Version(at), by("c", ""), vec![volume(50, "basic")]);
-    assert_eq!(propose(2), Err(Refused::TooOld { oldest: Version(4) }));
+    assert_eq!(propose(2), Err(ChangeError::TooOld { oldest: Version(4) }));
     assert!(propose(3).is_ok());
 }
 
@@ -706,7 +706,7 @@
         }
         while let Some(version) = landed.pop() {
             let wanted = l
-                .trail()
+                .audit_log()
                 .find(|e| e.version == version)
                 .expect("kept")
                 .before
@@ -714,7 +714,7 @@
             let undo = l
                 .propose(l.version(), by("c", "back"), wanted)
                 .expect("it was so before");
-            l.take(undo).unwrap();
+            l.apply(undo).unwrap();
         }
         assert!(
             (0..6).all(|id| l.volume(id).is_none())
--- a/crates/plans/tests/feed.rs
+++ b/crates/plans/tests/feed.rs
@@ -4,7 +4,9 @@
 //! send together is at most the limit of the settled version. Bugs planted on purpose must be found.
 
 use grebecleat_plans::changes::Version;
-use grebecleat_plans::feed::{part, Answer, Follower, HostNo, Leases, Lowerings, Says};
+use grebecleat_plans::feed::{
+    quota, FollowerLease, HostNumber, Leases, LimitReductions, LimitTerms, PollDecision,
+};
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
 
@@ -20,17 +22,17 @@
 
 /// What a version says: limit and reservation of the volume, and which hosts it works through.
 #[derive(Debug, Clone, Copy)]
-struct Kept {
+struct Persisted {
     limit: f64,
     reservation: f64,
     hosts: [bool; HOSTS],
 }
 
-impl Kept {
-    fn says(&self, host: usize) -> Says {
+impl Persisted {
+    fn says(&self, host: usize) -> LimitTerms {
         let hosts = self.hosts.iter().filter(|h| **h).count();
         let (reservation, limit) = (self.reservation, self.limit);
-        Says {
+        LimitTerms {
             reservation,
             limit,
             burst: limit,
@@ -39,8 +41,8 @@
         }
     }
 
-    fn lowers(&self, before: &Kept) -> bool {
-        let floor = |k: &Kept, h: usize| {
+    fn lowers_limits(&self, before: &Persisted) -> bool {
+        let floor = |k: &Persisted, h: usize| {
             let s = k.says(h);
             match (s.limit > 0.0, s.mine) {
                 (false, _) => f64::INFINITY,
@@ -53,33 +55,45 @@
 }
 
 /// Changes one after the other, by what makes each of them dangerous.
-const STORIES: [(&str, &[Kept]); 6] = {
+const STORIES: [(&str, &[Persisted]); 6] = {
     const BOTH: [bool; 2] = [true, true];
-    const fn kept(limit: f64, reservation: f64, hosts: [bool; 2]) -> Kept {
-        Kept {
+    const fn persisted(limit: f64, reservation: f64, hosts: [bool; 2]) -> Persisted {
+        Persisted {
             limit,
             reservation,
             hosts,
         }
     }
     [
-        ("lowered", &[kept(6.0, 1.0, BOTH), kept(2.0, 1.0, BOTH)]),
-        ("raised", &[kept(2.0, 1.0, BOTH), kept(6.0, 1.0, BOTH)]),
+        (
+            "lowered",
+            &[persisted(6.0, 1.0, BOTH), persisted(2.0, 1.0, BOTH)],
+        ),
+        (
+            "raised",
+            &[persisted(2.0, 1.0, BOTH), persisted(6.0, 1.0, BOTH)],
+        ),
         (
             "given a limit",
-            &[kept(0.0, 1.0, BOTH), kept(2.0, 1.0, BOTH)],
+            &[persisted(0.0, 1.0, BOTH), persisted(2.0, 1.0, BOTH)],
         ),
         (
             "a host comes in",
-            &[kept(4.0, 2.0, [true, false]), kept(4.0, 2.0, BOTH)],
+            &[
+                persisted(4.0, 2.0, [true, false]),
+                persisted(4.0, 2.0, BOTH),
+            ],
         ),
         (
             "moved to the other host",
-            &[kept(4.0, 2.0, [true, false]), kept(4.0, 2.0, [false, true])],
+            &[
+                persisted(4.0, 2.0, [true, false]),
+                persisted(4.0, 2.0, [false, true]),
+            ],
         ),
         (
             "its reservation lowered below",
-            &[kept(6.0, 4.0, BOTH), kept(2.0, 1.0, BOTH)],
+            &[persisted(6.0, 4.0, BOTH), persisted(2.0, 1.0, BOTH)],
         ),
     ]
 };
@@ -107,7 +121,7 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Host {
-    follower: Follower,
+    follower_lease: FollowerLease,
     /// Ticks that its clock has lost.
     lost: u64,
     /// It is down, and the operator has said so.
@@ -123,14 +137,14 @@
     now: u64,
     latest: u64,
     leases: Leases,
-    settled: Version,
+    stable: Version,
     /// A source or a host that started anew, a clock that lost a tick, a host that is gone: so many so far.
     mishaps: u8,
     hosts: [Host; HOSTS],
 }
 
 struct Model {
-    kept: &'static [Kept],
+    persisted: &'static [Persisted],
     bug: Bug,
     /// Mishaps of one run; requests and answers may be lost or late beside them as often as they like.
     mishaps: u8,
@@ -144,11 +158,15 @@
         ticks(if self.bug == Bug::NoMargin { 0 } else { MARGIN })
     }
 
-    fn lowerings(&self, latest: u64) -> Lowerings {
-        let mut l = Lowerings::new(Version(1));
+    fn limit_reductions(&self, latest: u64) -> LimitReductions {
+        let mut l = LimitReductions::new(Version(1));
         for v in 2..=latest {
-            let lowers = self.kept[v as usize - 1].lowers(&self.kept[v as usize - 2]);
-            l.add(Version(v), lowers && self.bug != Bug::FloorsForgotten);
+            let lowers_limits =
+                self.persisted[v as usize - 1].lowers_limits(&self.persisted[v as usize - 2]);
+            l.add(
+                Version(v),
+                lowers_limits && self.bug != Bug::FloorsForgotten,
+            );
         }
         l
     }
@@ -156,11 +174,11 @@
     /// Both hosts have the first version, and no lease.
     fn first(&self) -> State {
         let first = Some(Version(1));
-        let all = (0..HOSTS as u32).map(|h| (HostNo(h), first));
+        let all = (0..HOSTS as u32).map(|h| (HostNumber(h), first));
         let leases = Leases::new(ticks(LEASE), self.margin(), Duration::ZERO, Version(1), all);
-        let follower = Follower::kept(Version(1), Version(1));
+        let follower_lease = FollowerLease::persisted(Version(1), Version(1));
         let host = Host {
-            follower,
+            follower_lease,
             ..Host::default()
         };
         let hosts = [host.clone(), host];
@@ -168,7 +186,7 @@
             now: 0,
             latest: 1,
             leases,
-            settled: Version(1),
+            stable: Version(1),
             mishaps: 0,
             hosts,
         }
@@ -176,9 +194,11 @@
 
     /// The source looks at its leases whenever something happens.
     fn settle(&self, mut s: State) -> State {
-        s.settled = s
-            .leases
-            .settled(ticks(s.now), &self.lowerings(s.latest), Version(s.latest));
+        s.stable = s.leases.stable(
+            ticks(s.now),
+            &self.limit_reductions(s.latest),
+            Version(s.latest),
+        );
         s
     }
 
@@ -193,7 +213,7 @@
         if s.now < LAST_TICK {
             push(&|s| s.now += 1);
         }
-        if (s.latest as usize) < self.kept.len() {
+        if (s.latest as usize) < self.persisted.len() {
             push(&|s| s.latest += 1);
         }
         if s.mishaps < self.mishaps {
@@ -201,14 +221,14 @@
                 s.mishaps += 1;
                 // It knows what hosts last said, and what it has called settled: both are kept before they
                 // count.
-                let had = |h: u32| (HostNo(h), s.leases.has(HostNo(h)));
+                let had = |h: u32| (HostNumber(h), s.leases.applied(HostNumber(h)));
                 let had: Vec<_> = (0..HOSTS as u32).map(had).collect();
                 let again = if self.bug == Bug::ForgetsLeases {
                     ticks(s.now).saturating_sub(ticks(9))
                 } else {
                     ticks(s.now)
                 };
-                s.leases = Leases::new(ticks(LEASE), self.margin(), again, s.settled, had);
+                s.leases = Leases::new(ticks(LEASE), self.margin(), again, s.stable, had);
             });
         }
         for (i, h) in s.hosts.iter().enumerate() {
@@ -225,7 +245,10 @@
                     s.mishaps += 1;
                     let h = &mut s.hosts[i];
                     if self.bug != Bug::KeepsItsLease {
-                        h.follower = Follower::kept(h.follower.has, h.follower.settled);
+                        h.follower_lease = FollowerLease::persisted(
+                            h.follower_lease.applied,
+                            h.follower_lease.stable,
+                        );
                     }
                     // By a clock that begins anew the old lease would be the longest.
                     h.lost = s.now;
@@ -235,7 +258,7 @@
             if i == 0 && s.mishaps < self.mishaps {
                 push(&|s| {
                     s.mishaps += 1;
-                    s.leases.gone(HostNo(0));
+                    s.leases.gone(HostNumber(0));
                     s.hosts[0] = Host {
                         gone: true,
                         ..Host::default()
@@ -244,7 +267,7 @@
             }
             if i == 1 && self.prompt {
                 push(&|s| {
-                    let answer = self.answer(s, i, clock, h.follower.has);
+                    let answer = self.answer(s, i, clock, h.follower_lease.applied);
                     answer
                         .into_iter()
                         .for_each(|a| self.arrive(&mut s.hosts[i], clock, a));
@@ -252,11 +275,11 @@
                 continue;
             }
             // A new request stands for one that was lost, too.
-            push(&|s| s.hosts[i].request = Some((clock, h.follower.has)));
-            if let Some((sent, has)) = h.request.filter(|_| h.answers.len() < 2) {
+            push(&|s| s.hosts[i].request = Some((clock, h.follower_lease.applied)));
+            if let Some((sent, applied)) = h.request.filter(|_| h.answers.len() < 2) {
                 push(&|s| {
                     s.hosts[i].request = None;
-                    let answer = self.answer(s, i, sent, has);
+                    let answer = self.answer(s, i, sent, applied);
                     s.hosts[i].answers.extend(answer);
                     s.hosts[i].answers.sort_unstable();
                 });
@@ -276,52 +299,54 @@
         s: &mut State,
         host: usize,
         sent: u64,
-        has: Version,
+        applied: Version,
     ) -> Option<(u64, Version, Version)> {
-        let (now, host, latest) = (ticks(s.now), HostNo(host as u32), Version(s.latest));
-        let has = if self.bug == Bug::SentIsHad {
+        let (now, host, latest) = (ticks(s.now), HostNumber(host as u32), Version(s.latest));
+        let applied = if self.bug == Bug::SentIsHad {
             latest
         } else {
-            has
+            applied
         };
-        match s.leases.asked(now, host, has, latest) {
-            Answer::Grant { .. } => {
-                let settled = s
-                    .leases
-                    .settled(now, &self.lowerings(s.latest), Version(s.latest));
-                Some((sent, latest, settled))
+        match s.leases.asked(now, host, applied, latest) {
+            PollDecision::Grant { .. } => {
+                let stable =
+                    s.leases
+                        .stable(now, &self.limit_reductions(s.latest), Version(s.latest));
+                Some((sent, latest, stable))
             }
             _ => None,
         }
     }
 
-    fn arrive(&self, h: &mut Host, clock: u64, (sent, version, settled): (u64, Version, Version)) {
+    fn arrive(&self, h: &mut Host, clock: u64, (sent, version, stable): (u64, Version, Version)) {
         let from = if self.bug == Bug::FromArrival {
             clock
         } else {
             sent
         };
         if self.bug == Bug::GoesBack {
-            h.follower = Follower::default();
+            h.follower_lease = FollowerLease::default();
         }
-        h.follower.told(ticks(from), version, settled, ticks(LEASE));
+        h.follower_lease
+            .told(ticks(from), version, stable, ticks(LEASE));
     }
 
     /// What both hosts may send together, and the limit that is in force.
     fn sums(&self, s: &State) -> (f64, f64) {
         let of = |i: usize, h: &Host| {
-            let f = &h.follower;
+            let f = &h.follower_lease;
             let from = if self.bug == Bug::NewestAlone {
-                f.has
+                f.applied
             } else {
-                f.settled
+                f.stable
             };
-            let window = (from.0.max(1)..=f.has.0).map(|v| self.kept[v as usize - 1].says(i));
-            part(window, f.leased(ticks(s.now - h.lost))).map_or(f64::INFINITY, |p| p.rate)
+            let window =
+                (from.0.max(1)..=f.applied.0).map(|v| self.persisted[v as usize - 1].says(i));
+            quota(window, f.leased(ticks(s.now - h.lost))).map_or(f64::INFINITY, |p| p.rate)
         };
         let hosts = s.hosts.iter().enumerate().filter(|(_, h)| !h.gone);
         let sent = hosts.map(|(i, h)| of(i, h)).sum();
-        let limit = self.kept[s.settled.0.max(1) as usize - 1].limit;
+        let limit = self.persisted[s.stable.0.max(1) as usize - 1].limit;
         (sent, if limit > 0.0 { limit } else { f64::INFINITY })
     }
 
@@ -342,9 +367,9 @@
 }
 
 impl Model {
-    fn short(kept: &'static [Kept], bug: Bug) -> Self {
+    fn short(persisted: &'static [Persisted], bug: Bug) -> Self {
         Model {
-            kept,
+            persisted,
             bug,
             mishaps: 1,
             prompt: true,
@@ -365,8 +390,8 @@
         Bug::KeepsItsLease,
     ];
     for bug in bugs {
-        let found = STORIES.iter().find_map(|(story, kept)| {
-            let (visited, found) = Model::short(kept, bug).explore();
+        let found = STORIES.iter().find_map(|(story, persisted)| {
+            let (visited, found) = Model::short(persisted, bug).explore();
             found.map(|_| (story, visited))
         });
         let (story, visited) = found.unwrap_or_else(|| panic!("{bug:?} is not found"));
@@ -375,9 +400,9 @@
 }
 
 #[test]
-fn no_state_sends_more_than_the_limit_of_the_settled_version() {
-    for (story, kept) in STORIES {
-        let (visited, found) = Model::short(kept, Bug::None).explore();
+fn no_state_sends_more_than_the_limit_of_the_stable_version() {
+    for (story, persisted) in STORIES {
+        let (visited, found) = Model::short(persisted, Bug::None).explore();
         println!("{story}: {visited} states visited");
         assert_eq!(found, None, "{story}");
     }
@@ -388,9 +413,9 @@
 #[ignore = "minutes; CI plays the short form"]
 fn no_state_with_two_mishaps_or_with_two_slow_hosts() {
     for (mishaps, prompt) in [(2, true), (0, false)] {
-        for (story, kept) in STORIES {
+        for (story, persisted) in STORIES {
             let (visited, found) = Model {
-                kept,
+                persisted,
                 bug: Bug::None,
                 mishaps,
                 prompt,
--- a/crates/plans/tests/fleet.rs
+++ b/crates/plans/tests/fleet.rs
@@ -4,9 +4,9 @@
 //! as landed stays landed; no host goes back. Once the faults stop, everybody follows the newest.
 
 use grebecleat_plans::changes::*;
-use grebecleat_plans::feed::HostNo;
-use grebecleat_plans::follow::{self, Came, Follow};
-use grebecleat_plans::source::{self, for_host, is_for, Call, Era, Proposal, Source};
+use grebecleat_plans::feed::HostNumber;
+use grebecleat_plans::follower::{self, Follower, Update};
+use grebecleat_plans::leader::{self, for_host, is_for, CallId, Epoch, Leader, Proposal};
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -24,8 +24,8 @@
     Duration::from_millis(n)
 }
 
-fn facts() -> Facts {
-    Facts {
+fn facts() -> Deployment {
+    Deployment {
         hosts: HOSTS.iter().map(|h| Name::from(*h)).collect(),
         max_dispatch_delay: MAX_DISPATCH_DELAY,
     }
@@ -34,52 +34,53 @@
 /// What the service's disk holds.
 #[derive(Clone)]
 struct Disk {
-    start: source::Start,
+    start: leader::InitialState,
 }
 
 impl Disk {
-    fn new(era: u64) -> Self {
-        let (catalog, has, hosts) = (
+    fn new(epoch: u64) -> Self {
+        let (catalog, applied, hosts) = (
             Catalog::new(facts(), 30),
             BTreeMap::new(),
             HOSTS.map(Name::from).to_vec(),
         );
-        let (settled, era, eras, prevailed) = (Version(0), Era(era), Vec::new(), Version(0));
+        let (stable, epoch, epochs, epoch_forced_at) =
+            (Version(0), Epoch(epoch), Vec::new(), Version(0));
         Disk {
-            start: source::Start {
+            start: leader::InitialState {
                 catalog,
-                settled,
-                has,
+                stable,
+                applied,
                 hosts,
-                era,
-                eras,
-                prevailed,
+                epoch,
+                epochs,
+                epoch_forced_at,
             },
         }
     }
 
-    fn keep(&mut self, what: source::Keep) {
+    fn keep(&mut self, what: leader::Persist) {
         match what {
-            source::Keep::Entry(e) => self.start.catalog.take(e).expect("the next"),
-            source::Keep::Settled(v) => {
-                self.start.settled = v;
+            leader::Persist::Revision(e) => self.start.catalog.apply(e).expect("the next"),
+            leader::Persist::Stable(v) => {
+                self.start.stable = v;
                 self.start.catalog.need(v);
             }
-            source::Keep::Has(h, v) => _ = self.start.has.insert(h, v),
-            source::Keep::Prevails(e) => {
-                self.start.prevailed = e.version;
-                self.start.catalog.take(e).expect("further on");
+            leader::Persist::Has(h, v) => _ = self.start.applied.insert(h, v),
+            leader::Persist::EpochForced(e) => {
+                self.start.epoch_forced_at = e.version;
+                self.start.catalog.apply(e).expect("further on");
             }
         }
     }
 
     /// As it was, in a new era. Hosts that it does not know of may have joined since.
-    fn restored(&self, era: u64) -> Self {
+    fn restored(&self, epoch: u64) -> Self {
         let mut start = self.start.clone();
-        start.eras.push((start.era, start.catalog.version()));
-        start.era = Era(era);
+        start.epochs.push((start.epoch, start.catalog.version()));
+        start.epoch = Epoch(epoch);
         for h in 0..HOSTS.len() as u32 {
-            start.has.entry(HostNo(h)).or_insert(Version(0));
+            start.applied.entry(HostNumber(h)).or_insert(Version(0));
         }
         Disk { start }
     }
@@ -87,27 +88,27 @@
 
 /// What a host's disk holds.
 #[derive(Clone, Default)]
-struct HostDisk(Option<follow::Start>);
+struct HostDisk(Option<follower::InitialState>);
 
 impl HostDisk {
-    fn start(&self) -> follow::Start {
-        self.0.clone().unwrap_or_else(|| follow::Start {
-            catalog: Follow::catalog_of(facts()),
+    fn start(&self) -> follower::InitialState {
+        self.0.clone().unwrap_or_else(|| follower::InitialState {
+            catalog: Follower::catalog_of(facts()),
             ..Default::default()
         })
     }
 
-    fn keep(&mut self, k: &follow::Keep, whole: &Catalog) {
+    fn keep(&mut self, k: &follower::PersistRequest, snapshot: &Catalog) {
         let mut start = self.start();
-        if k.whole {
-            start.catalog = whole.clone();
+        if k.snapshot {
+            start.catalog = snapshot.clone();
         } else {
-            k.entries
+            k.revisions
                 .iter()
-                .for_each(|e| start.catalog.take(e.clone()).expect("the next"));
+                .for_each(|e| start.catalog.apply(e.clone()).expect("the next"));
         }
-        start.catalog.forget(k.settled);
-        (start.settled, start.era) = (k.settled, k.era);
+        start.catalog.forget(k.stable);
+        (start.stable, start.epoch) = (k.stable, k.epoch);
         self.0 = Some(start);
     }
 }
@@ -115,29 +116,29 @@
 enum Message {
     Ask {
         host: usize,
-        call: Call,
-        era: Era,
-        has: Version,
-        settled: Version,
-        sure: Version,
+        call: CallId,
+        epoch: Epoch,
+        applied: Version,
+        stable: Version,
+        acknowledged: Version,
     },
     Confirm {
         host: usize,
-        era: Era,
-        has: Version,
+        epoch: Epoch,
+        applied: Version,
     },
     Told {
         host: usize,
-        event: follow::Event,
+        event: follower::Event,
     },
 }
 
 struct Host {
-    follow: Follow,
+    follow: Follower,
     disk: HostDisk,
     /// Keeps on their way, and the state that a whole one means.
-    keeping: Vec<(follow::Keep, Catalog)>,
-    terms: BTreeMap<u64, follow::Terms>,
+    keeping: Vec<(follower::PersistRequest, Catalog)>,
+    terms: BTreeMap<u64, follower::Terms>,
     calls: u64,
     newest: Version,
     up: bool,
@@ -148,13 +149,13 @@
     now: Duration,
     disk: Disk,
     snapshot: Disk,
-    source: Source,
-    keeping: Vec<(u64, source::Keep)>,
+    leader: Leader,
+    keeping: Vec<(u64, leader::Persist)>,
     hosts: Vec<Host>,
     /// In flight, with when they arrive.
     wire: Vec<(Duration, u64, Message)>,
     /// Which host's call each of the service's calls is.
-    calls: BTreeMap<u64, (usize, Call)>,
+    calls: BTreeMap<u64, (usize, CallId)>,
     next: u64,
     operators: BTreeMap<u64, Vec<Change>>,
     landed: BTreeMap<Version, Vec<Change>>,
@@ -169,7 +170,7 @@
         let (disk, now) = (Disk::new(1), ms(1000));
         let mut w = World {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            source: Source::new(disk.start.clone(), LEASE, MARGIN, 2.0, now),
+            leader: Leader::new(disk.start.clone(), LEASE, MARGIN, 2.0, now),
             snapshot: disk.clone(),
             disk,
             now,
@@ -205,29 +206,29 @@
         self.wire.push((at, self.next, m));
     }
 
-    fn source_step(&mut self, events: Vec<source::Event>) {
+    fn source_step(&mut self, events: Vec<leader::Event>) {
         // The wall clock steps now and then.
         let wall = self.now + ms(1_000_000) - if self.chance(50) { ms(3000) } else { ms(0) };
-        for action in self.source.step(self.now, wall, events) {
+        for action in self.leader.step(self.now, wall, events) {
             match action {
-                source::Action::Keep { number, what } => self.keeping.push((number, what)),
-                source::Action::Grant {
+                leader::Action::Persist { number, what } => self.keeping.push((number, what)),
+                leader::Action::Grant {
                     call,
                     from,
                     to,
-                    whole,
-                    settled,
+                    snapshot,
+                    stable,
                     lease,
                 } => {
                     let (host, back) = self.calls[&call.0];
                     let name = Name::from(HOSTS[host]);
-                    let catalog = self.source.catalog();
-                    let entries = catalog
+                    let catalog = self.leader.catalog();
+                    let revisions = catalog
                         .since(from)
                         .expect("the trail reaches back")
                         .filter(|e| e.version <= to);
-                    let entries = entries
-                        .map(|e| for_host(catalog, settled, e, &name))
+                    let revisions = revisions
+                        .map(|e| for_host(catalog, stable, e, &name))
                         .collect();
                     let state = || {
                         catalog
@@ -235,102 +236,104 @@
                             .filter(|c| is_for(c, &name))
                             .collect()
                     };
-                    let came = match whole {
-                        true => Came::Whole {
+                    let came = match snapshot {
+                        true => Update::Whole {
                             at: from,
                             state: state(),
-                            entries,
+                            revisions,
                         },
-                        false => Came::Entries(entries),
+                        false => Update::Entries(revisions),
                     };
-                    self.counts[0] += u32::from(whole);
-                    let (era, version) = (self.disk.start.era, to);
-                    let event = follow::Event::Granted {
+                    self.counts[0] += u32::from(snapshot);
+                    let (epoch, version) = (self.disk.start.epoch, to);
+                    let event = follower::Event::Granted {
                         call: back,
-                        era,
+                        epoch,
                         version,
-                        settled,
+                        stable,
                         lease,
                         came,
                     };
                     self.send(Message::Told { host, event });
                 }
-                source::Action::Behind { call, .. } => {
+                leader::Action::Behind { call, .. } => {
                     let (host, back) = self.calls[&call.0];
                     self.counts[1] += 1;
                     self.send(Message::Told {
                         host,
-                        event: follow::Event::Behind { call: back },
+                        event: follower::Event::Behind { call: back },
                     });
                 }
-                source::Action::Landed { call, version, .. } => {
+                leader::Action::Committed { call, version, .. } => {
                     if let Some(changes) = self.operators.remove(&call.0) {
                         self.landed.insert(version, changes);
                     }
                 }
-                source::Action::Refused { call, .. } => {
+                leader::Action::Reject { call, .. } => {
                     if let Some((host, back)) = self.calls.get(&call.0).copied() {
-                        let event = follow::Event::Refused {
+                        let event = follower::Event::PollRejected {
                             call: back,
-                            why: "no".into(),
+                            reason: "no".into(),
                         };
                         self.send(Message::Told { host, event });
                     }
                 }
-                source::Action::Would { .. } | source::Action::Note { .. } => {}
+                leader::Action::Preview { .. } | leader::Action::Note { .. } => {}
             }
         }
     }
 
-    fn host_step(&mut self, i: usize, events: Vec<follow::Event>) {
+    fn host_step(&mut self, i: usize, events: Vec<follower::Event>) {
         let now = self.now;
         let h = &mut self.hosts[i];
         let actions = h.follow.step(now, events);
-        let has = h.follow.catalog().version();
+        let applied = h.follow.catalog().version();
         assert!(
-            has >= h.newest,
-            "{} went back from {:?} to {has:?}",
+            applied >= h.newest,
+            "{} went back from {:?} to {applied:?}",
             HOSTS[i],
             h.newest
         );
-        h.newest = has;
+        h.newest = applied;
         for action in actions {
             match action {
-                follow::Action::Ask {
+                follower::Action::Poll {
                     call,
-                    era,
-                    has,
-                    settled,
-                    sure,
+                    epoch,
+                    applied,
+                    stable,
+                    acknowledged,
                 } => {
                     self.send(Message::Ask {
                         host: i,
                         call,
-                        era,
-                        has,
-                        settled,
-                        sure,
+                        epoch,
+                        applied,
+                        stable,
+                        acknowledged,
                     });
                 }
-                follow::Action::Confirm { era, has } => {
-                    self.send(Message::Confirm { host: i, era, has })
+                follower::Action::Acknowledge { epoch, applied } => self.send(Message::Confirm {
+                    host: i,
+                    epoch,
+                    applied,
+                }),
+                follower::Action::Persist(k) => {
+                    let snapshot = self.hosts[i].follow.catalog().clone();
+                    self.hosts[i].keeping.push((k, snapshot));
                 }
-                follow::Action::Keep(k) => {
-                    let whole = self.hosts[i].follow.catalog().clone();
-                    self.hosts[i].keeping.push((k, whole));
-                }
-                follow::Action::Volume { id, terms: Some(t) } => {
+                follower::Action::Volume { id, terms: Some(t) } => {
                     _ = self.hosts[i].terms.insert(id, t)
                 }
-                follow::Action::Volume { id, terms: None } => _ = self.hosts[i].terms.remove(&id),
-                follow::Action::Plan { .. } | follow::Action::Note { .. } => {}
+                follower::Action::Volume { id, terms: None } => _ = self.hosts[i].terms.remove(&id),
+                follower::Action::Plan { .. } | follower::Action::Note { .. } => {}
             }
         }
     }
 
     fn operator(&mut self) {
         self.next += 1;
-        let call = Call(1 << 40 | self.next);
+        let call = CallId(1 << 40 | self.next);
         let plan = |rng: &mut Pcg64Mcg| {
             let name = ["a", "b"].choose(rng).expect("two").to_string();
             let limit = f64::from(rng.random_range(0..4) * 6);
@@ -385,22 +388,22 @@
                 }
             })
             .collect();
-        let looked_at = self.source.kept();
+        let base_version = self.leader.persisted();
         let at = (self.rng.random_range(0..6) == 0)
             .then(|| self.now + ms(1_000_000) + ms(self.rng.random_range(0..900)));
         let proposal = Proposal {
-            who: "op".into(),
-            why: "test".into(),
-            looked_at,
+            author: "op".into(),
+            reason: "test".into(),
+            base_version,
             changes: changes.clone(),
             at,
             force: false,
-            only_look: false,
+            dry_run: false,
         };
         if at.is_none() {
             self.operators.insert(call.0, changes);
         }
-        self.source_step(vec![source::Event::Proposed { call, proposal }]);
+        self.source_step(vec![leader::Event::Proposed { call, proposal }]);
     }
 
     fn restart_source(&mut self, disk: Option<Disk>) {
@@ -420,10 +423,10 @@
                 self.mended = false;
             }
         }
-        self.source = Source::new(self.disk.start.clone(), LEASE, MARGIN, 2.0, self.now);
+        self.leader = Leader::new(self.disk.start.clone(), LEASE, MARGIN, 2.0, self.now);
         (self.operators, self.counts[2]) = (BTreeMap::new(), self.counts[2] + 1);
         for i in 0..HOSTS.len() {
-            self.host_step(i, vec![follow::Event::Down, follow::Event::Up]);
+            self.host_step(i, vec![follower::Event::Down, follower::Event::Up]);
         }
     }
 
@@ -433,7 +436,7 @@
         let (disk, sent) = (&mut h.disk, std::mem::take(&mut h.keeping));
         sent.iter()
             .take(n)
-            .for_each(|(k, whole)| disk.keep(k, whole));
+            .for_each(|(k, snapshot)| disk.keep(k, snapshot));
         let (calls, disk) = (h.calls, h.disk.clone());
         self.hosts[i] = Host::new(HOSTS[i], disk);
         self.hosts[i].calls = calls;
@@ -448,9 +451,9 @@
                 // What rests on the first fails after it, and what comes meanwhile does not.
                 let failed: Vec<u64> = self.keeping.drain(..).map(|k| k.0).collect();
                 for number in failed {
-                    self.source_step(vec![source::Event::NotKept {
+                    self.source_step(vec![leader::Event::PersistFailed {
                         number,
-                        why: "full".into(),
+                        reason: "full".into(),
                     }]);
                     if self.rng.random() {
                         self.operator();
@@ -464,18 +467,23 @@
                 self.disk.keep(what);
                 upto = number;
             }
-            self.source_step(vec![source::Event::Kept { upto }]);
+            self.source_step(vec![leader::Event::Persisted { upto }]);
         }
         for i in 0..HOSTS.len() {
             if self.hosts[i].keeping.is_empty() || self.rng.random_range(0..3) == 0 {
                 continue;
             }
-            let (k, whole) = self.hosts[i].keeping.remove(0);
+            let (k, snapshot) = self.hosts[i].keeping.remove(0);
             if self.chance(20) {
-                self.host_step(i, vec![follow::Event::NotKept { why: "full".into() }]);
+                self.host_step(
+                    i,
+                    vec![follower::Event::PersistFailed {
+                        reason: "full".into(),
+                    }],
+                );
             } else {
-                self.hosts[i].disk.keep(&k, &whole);
-                self.host_step(i, vec![follow::Event::Kept { number: k.number }]);
+                self.hosts[i].disk.keep(&k, &snapshot);
+                self.host_step(i, vec![follower::Event::Persisted { number: k.number }]);
             }
         }
     }
@@ -487,8 +495,8 @@
                 0..25 => self.operator(),
                 25..28 => self.restart_source(None),
                 28 => {
-                    let era = self.rng.random();
-                    let disk = self.snapshot.restored(era);
+                    let epoch = self.rng.random();
+                    let disk = self.snapshot.restored(epoch);
                     self.restart_source(Some(disk));
                 }
                 29 => self.snapshot = self.disk.clone(),
@@ -498,14 +506,18 @@
                 }
                 33..36 => {
                     let i = self.rng.random_range(0..HOSTS.len());
-                    self.host_step(i, vec![follow::Event::Down]);
+                    self.host_step(i, vec![follower::Event::Down]);
                     self.hosts[i].up = false;
                 }
                 36..39 => {
                     self.next += 1;
-                    let call = Call(1 << 41 | self.next);
-                    let (who, why) = ("op".to_string(), "restored".to_string());
-                    self.source_step(vec![source::Event::Prevail { call, who, why }]);
+                    let call = CallId(1 << 41 | self.next);
+                    let (author, reason) = ("op".to_string(), "restored".to_string());
+                    self.source_step(vec![leader::Event::ForceEpoch {
+                        call,
+                        author,
+                        reason,
+                    }]);
                 }
                 _ => {}
             }
@@ -513,7 +525,7 @@
         for i in 0..HOSTS.len() {
             if !self.hosts[i].up && (!self.faults || self.rng.random_range(0..30) == 0) {
                 self.hosts[i].up = true;
-                self.host_step(i, vec![follow::Event::Up]);
+                self.host_step(i, vec![follower::Event::Up]);
             }
         }
         self.disks();
@@ -526,29 +538,33 @@
                 Message::Ask {
                     host,
                     call,
-                    era,
-                    has,
-                    settled,
-                    sure,
+                    epoch,
+                    applied,
+                    stable,
+                    acknowledged,
                 } => {
                     self.next += 1;
-                    let own = Call(self.next);
+                    let own = CallId(self.next);
                     self.calls.insert(own.0, (host, call));
-                    let host = HostNo(host as u32);
-                    self.source_step(vec![source::Event::Asked {
+                    let host = HostNumber(host as u32);
+                    self.source_step(vec![leader::Event::Polled {
                         call: own,
                         host,
-                        era,
-                        has,
-                        settled,
-                        sure,
+                        epoch,
+                        applied,
+                        stable,
+                        acknowledged,
                     }]);
                 }
-                Message::Confirm { host, era, has } => {
-                    self.source_step(vec![source::Event::Confirmed {
-                        host: HostNo(host as u32),
-                        era,
-                        has,
+                Message::Confirm {
+                    host,
+                    epoch,
+                    applied,
+                } => {
+                    self.source_step(vec![leader::Event::Acknowledged {
+                        host: HostNumber(host as u32),
+                        epoch,
+                        applied,
                     }]);
                 }
                 Message::Told { host, event } => self.host_step(host, vec![event]),
@@ -563,19 +579,19 @@
 
     /// No volume may be sent more of than the limit of the settled version.
     fn judge(&mut self) {
-        let catalog = self.source.catalog();
-        let settled = self.source.settled();
+        let catalog = self.leader.catalog();
+        let stable = self.leader.stable();
         // After a restore two histories are under way, and no limit of one of them bounds both, until the one
         // that counts has come everywhere.
-        let era = self.disk.start.era;
+        let epoch = self.disk.start.epoch;
         self.mended |=
-            settled == catalog.version() && self.hosts.iter().all(|h| h.follow.era() == era);
+            stable == catalog.version() && self.hosts.iter().all(|h| h.follow.epoch() == epoch);
         if !self.mended {
             return;
         }
         let mut then =
-            Catalog::new(facts(), 1).restored(settled, catalog.state_at(settled), Vec::new());
-        then.forget(settled);
+            Catalog::new(facts(), 1).restored(stable, catalog.state_at(stable), Vec::new());
+        then.forget(stable);
         for id in VOLUMES {
             let Some(v) = then.volume(id) else { continue };
             let plan = then.plan(&v.plan).expect("its plan");
@@ -587,7 +603,7 @@
                 .iter()
                 .filter_map(|h| h.terms.get(&id))
                 .filter(|t| t.mine);
-            let parts: Vec<_> = parts.map(|t| t.part).collect();
+            let parts: Vec<_> = parts.map(|t| t.quota).collect();
             let rate: f64 = parts
                 .iter()
                 .map(|p| p.map_or(f64::INFINITY, |p| p.rate))
@@ -598,12 +614,12 @@
                 .sum();
             assert!(
                 rate <= plan.limit + 1e-9 && burst <= plan.burst + 1e-9,
-                "volume {id} at {:?}: {rate} of {}, {burst} of {}; settled {settled:?}, latest {:?}\n{:#?}",
+                "volume {id} at {:?}: {rate} of {}, {burst} of {}; settled {stable:?}, latest {:?}\n{:#?}",
                 self.now,
                 plan.limit,
                 plan.burst,
                 catalog.version(),
-                self.hosts.iter().map(|h| (h.follow.follower(), h.terms.get(&id))).collect::<Vec<_>>()
+                self.hosts.iter().map(|h| (h.follow.follower_lease(), h.terms.get(&id))).collect::<Vec<_>>()
             );
             self.counts[5] += u32::from(parts.len() > 1);
         }
@@ -612,7 +628,7 @@
 
 impl Host {
     fn new(name: &str, disk: HostDisk) -> Self {
-        let follow = Follow::new(name.into(), disk.start(), MAX_DISPATCH_DELAY);
+        let follow = Follower::new(name.into(), disk.start(), MAX_DISPATCH_DELAY);
         let (keeping, terms) = (Vec::new(), BTreeMap::new());
         Host {
             follow,
@@ -640,32 +656,32 @@
         }),
     });
     let proposal = Proposal {
-        who: "op".into(),
-        why: "declared".into(),
-        looked_at: Version(0),
+        author: "op".into(),
+        reason: "declared".into(),
+        base_version: Version(0),
         changes: declared.into(),
         at: None,
         force: false,
-        only_look: false,
+        dry_run: false,
     };
-    w.source_step(vec![source::Event::Proposed {
-        call: Call(1 << 42),
+    w.source_step(vec![leader::Event::Proposed {
+        call: CallId(1 << 42),
         proposal,
     }]);
     for _ in 0..ticks {
         w.tick();
         // What was told as landed is there.
-        let kept: BTreeMap<Version, &Vec<Change>> = w
+        let persisted: BTreeMap<Version, &Vec<Change>> = w
             .disk
             .start
             .catalog
-            .trail()
+            .audit_log()
             .map(|e| (e.version, &e.changes))
             .collect();
-        let first = kept.keys().next().copied().unwrap_or_default();
+        let first = persisted.keys().next().copied().unwrap_or_default();
         for (v, changes) in w.landed.iter().filter(|l| *l.0 >= first) {
             assert_eq!(
-                kept.get(v),
+                persisted.get(v),
                 Some(&changes),
                 "seed {seed}: {v:?} was told as landed"
             );
@@ -675,28 +691,32 @@
     // A host that was cut off through a restore may show only now that it has followed something else.
     for n in 0..500 {
         if n % 100 == 50 {
-            let (who, why, call) = ("op".to_string(), "at last".to_string(), Call(1 << 43));
-            w.source_step(vec![source::Event::Prevail { call, who, why }]);
+            let (author, reason, call) = ("op".to_string(), "at last".to_string(), CallId(1 << 43));
+            w.source_step(vec![leader::Event::ForceEpoch {
+                call,
+                author,
+                reason,
+            }]);
         }
         w.tick();
     }
-    let latest = w.source.kept();
+    let latest = w.leader.persisted();
     assert_eq!(
         latest,
-        w.source.catalog().version(),
+        w.leader.catalog().version(),
         "seed {seed}: nothing waits for the disk"
     );
     for (i, h) in w.hosts.iter().enumerate() {
-        let f = h.follow.follower();
+        let f = h.follow.follower_lease();
         assert_eq!(
-            (f.has, f.settled, h.follow.leased()),
+            (f.applied, f.stable, h.follow.leased()),
             (latest, latest, true),
             "seed {seed}: {}",
             HOSTS[i]
         );
         for id in VOLUMES {
             let own = w
-                .source
+                .leader
                 .catalog()
                 .volume(id)
                 .filter(|v| v.hosts.contains(&Name::from(HOSTS[i])));
--- a/crates/plans/tests/follow.rs
+++ b/crates/plans/tests/follower.rs
@@ -1,17 +1,17 @@
 //! A host's side of the feed, case by case.
 
 use grebecleat_plans::changes::*;
-use grebecleat_plans::feed::Part;
-use grebecleat_plans::follow::*;
-use grebecleat_plans::source::{for_host, Call, Era};
+use grebecleat_plans::feed::Quota;
+use grebecleat_plans::follower::*;
+use grebecleat_plans::leader::{for_host, CallId, Epoch};
 use std::time::Duration;
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-fn facts() -> Facts {
-    Facts {
+fn facts() -> Deployment {
+    Deployment {
         hosts: ["h1", "h2", "h3"].map(Name::from).into(),
         max_dispatch_delay: ms(100),
     }
@@ -47,11 +47,11 @@
 
 /// A service that answers at once, and a host that asks it.
 struct Rig {
-    source: Catalog,
-    host: Follow,
+    leader: Catalog,
+    host: Follower,
     now: Duration,
-    call: Option<(Call, Version)>,
-    keeps: Vec<Keep>,
+    call: Option<(CallId, Version)>,
+    keeps: Vec<PersistRequest>,
     confirmed: Vec<u64>,
     told: Vec<(u64, Option<Terms>)>,
     notes: Vec<String>,
@@ -59,13 +59,13 @@
 
 impl Rig {
     fn new() -> Rig {
-        let start = Start {
-            catalog: Follow::catalog_of(facts()),
-            ..Start::default()
+        let start = InitialState {
+            catalog: Follower::catalog_of(facts()),
+            ..InitialState::default()
         };
         let mut r = Rig {
-            source: Catalog::new(facts(), 100),
-            host: Follow::new("h3".into(), start, ms(100)),
+            leader: Catalog::new(facts(), 100),
+            host: Follower::new("h3".into(), start, ms(100)),
             now: ms(1000),
             call: None,
             keeps: Vec::new(),
@@ -83,19 +83,19 @@
     }
 
     fn land(&mut self, changes: Vec<Change>) {
-        let entry = self
-            .source
-            .propose(self.source.version(), Asks::default(), changes)
+        let revision = self
+            .leader
+            .propose(self.leader.version(), ChangeContext::default(), changes)
             .expect("in order");
-        self.source.take(entry).expect("the next");
+        self.leader.apply(revision).expect("the next");
     }
 
     fn step(&mut self, events: Vec<Event>) {
         for action in self.host.step(self.now, events) {
             match action {
-                Action::Ask { call, has, .. } => self.call = Some((call, has)),
-                Action::Confirm { has, .. } => self.confirmed.push(has.0),
-                Action::Keep(k) => self.keeps.push(k),
+                Action::Poll { call, applied, .. } => self.call = Some((call, applied)),
+                Action::Acknowledge { applied, .. } => self.confirmed.push(applied.0),
+                Action::Persist(k) => self.keeps.push(k),
                 Action::Volume { id, terms } => self.told.push((id, terms)),
                 Action::Plan { .. } => {}
                 Action::Note { text } => self.notes.push(text),
@@ -104,19 +104,19 @@
     }
 
     /// The service answers with all there is, and says what is settled.
-    fn grant(&mut self, settled: u64) {
-        let (call, has) = self.call.take().expect("it asks");
-        let (settled, me) = (Version(settled), Name::from("h3"));
-        let entries = self.source.since(has).expect("all are there");
-        let entries = entries
-            .map(|e| for_host(&self.source, settled, e, &me))
+    fn grant(&mut self, stable: u64) {
+        let (call, applied) = self.call.take().expect("it asks");
+        let (stable, me) = (Version(stable), Name::from("h3"));
+        let revisions = self.leader.since(applied).expect("all are there");
+        let revisions = revisions
+            .map(|e| for_host(&self.leader, stable, e, &me))
             .collect();
-        let (version, lease, came) = (self.source.version(), ms(3000), Came::Entries(entries));
+        let (version, lease, came) = (self.leader.version(), ms(3000), Update::Entries(revisions));
         self.step(vec![Event::Granted {
             call,
-            era: Era(1),
+            epoch: Epoch(1),
             version,
-            settled,
+            stable,
             lease,
             came,
         }]);
@@ -124,23 +124,23 @@
 
     fn keep(&mut self) {
         for number in std::mem::take(&mut self.keeps).iter().map(|k| k.number) {
-            self.step(vec![Event::Kept { number }]);
+            self.step(vec![Event::Persisted { number }]);
         }
     }
 
-    fn part(&self, id: u64) -> Option<Part> {
+    fn quota(&self, id: u64) -> Option<Quota> {
         let last = self
             .told
             .iter()
             .rev()
             .find(|t| t.0 == id)
             .and_then(|t| t.1.clone());
-        last.expect("told of it").part
+        last.expect("told of it").quota
     }
 }
 
-fn rate(part: Option<Part>) -> Option<f64> {
-    part.map(|p| p.rate)
+fn rate(quota: Option<Quota>) -> Option<f64> {
+    quota.map(|p| p.rate)
 }
 
 /// What went elsewhere, was changed there, and came back: the host never heard of the state in between, and
@@ -150,38 +150,38 @@
     let mut r = Rig::new();
     r.land(vec![volume(1, "free", &["h3"])]);
     r.grant(2);
-    assert_eq!(r.part(1), None);
+    assert_eq!(r.quota(1), None);
     r.land(vec![volume(1, "free", &["h1"])]); // 3
     r.land(vec![volume(1, "twelve", &["h1"])]); // 4
     r.land(vec![volume(1, "free", &["h1"])]); // 5
     r.land(vec![volume(1, "free", &["h3"])]); // 6
     r.grant(2);
     assert_eq!(
-        rate(r.part(1)),
+        rate(r.quota(1)),
         Some(0.0),
         "who follows 4 sends all that the limit allows"
     );
     r.land(vec![plan("other", 0.0)]);
     r.grant(4);
-    assert_eq!(rate(r.part(1)), Some(0.0));
+    assert_eq!(rate(r.quota(1)), Some(0.0));
     r.grant(5);
-    assert_eq!(r.part(1), None);
+    assert_eq!(r.quota(1), None);
 }
 
 #[test]
-fn lowered_at_once_raised_when_settled_and_the_reservation_without_a_lease() {
+fn lowered_at_once_raised_when_stable_and_the_reservation_without_a_lease() {
     let mut r = Rig::new();
     r.land(vec![volume(1, "twelve", &["h1", "h3"])]);
     r.grant(2);
-    assert_eq!(rate(r.part(1)), Some(6.0));
+    assert_eq!(rate(r.quota(1)), Some(6.0));
     r.land(vec![volume(1, "six", &["h1", "h3"])]);
     r.grant(2);
-    assert_eq!(rate(r.part(1)), Some(3.0));
+    assert_eq!(rate(r.quota(1)), Some(3.0));
     r.land(vec![plan("six", 24.0)]);
     r.grant(3);
-    assert_eq!(rate(r.part(1)), Some(3.0));
+    assert_eq!(rate(r.quota(1)), Some(3.0));
     r.grant(4);
-    assert_eq!(rate(r.part(1)), Some(12.0));
+    assert_eq!(rate(r.quota(1)), Some(12.0));
     r.keep();
     assert_eq!(
         r.host.wake_at(),
@@ -190,10 +190,10 @@
     );
     r.now = ms(4000);
     r.step(vec![]);
-    assert_eq!(rate(r.part(1)), Some(1.5));
+    assert_eq!(rate(r.quota(1)), Some(1.5));
     assert!(r.notes[0].contains("lease"), "{:?}", r.notes);
     r.grant(4);
-    assert_eq!(rate(r.part(1)), Some(12.0));
+    assert_eq!(rate(r.quota(1)), Some(12.0));
 }
 
 /// It says that it has a version once that is kept, and what was decided before has crossed or never will.
@@ -217,18 +217,20 @@
     // A disk that fails: it follows, and does not say that it has.
     r.land(vec![volume(1, "twelve", &["h3"])]);
     r.grant(3);
-    r.step(vec![Event::NotKept { why: "full".into() }]);
+    r.step(vec![Event::PersistFailed {
+        reason: "full".into(),
+    }]);
     r.now += ms(200);
     r.step(vec![]);
     assert_eq!(
-        (r.confirmed.clone(), rate(r.part(1))),
+        (r.confirmed.clone(), rate(r.quota(1))),
         (vec![2, 3], Some(6.0))
     );
     r.now += ms(1000);
     r.keeps.clear();
     r.step(vec![]);
     assert!(
-        r.keeps[0].whole,
+        r.keeps[0].snapshot,
         "of what was on its way nobody knows how much arrived"
     );
     r.keep();
@@ -242,15 +244,15 @@
     r.land(vec![volume(1, "six", &["h3"])]);
     r.land(vec![volume(2, "six", &["h3"])]);
     let (call, _) = r.call.take().unwrap();
-    let last = r.source.trail().last().unwrap().clone();
-    let (version, settled, lease) = (Version(3), Version(3), ms(3000));
+    let last = r.leader.audit_log().last().unwrap().clone();
+    let (version, stable, lease) = (Version(3), Version(3), ms(3000));
     r.step(vec![Event::Granted {
         call,
-        era: Era(1),
+        epoch: Epoch(1),
         version,
-        settled,
+        stable,
         lease,
-        came: Came::Entries(vec![last]),
+        came: Update::Entries(vec![last]),
     }]);
     assert_eq!((r.host.catalog().version(), r.told.len()), (Version(1), 0));
     assert!(
@@ -264,12 +266,12 @@
     assert_eq!(r.host.catalog().version(), Version(3));
     // An answer to what was not asked, or long ago, is nobody's.
     r.step(vec![Event::Granted {
-        call: Call(999),
-        era: Era(1),
+        call: CallId(999),
+        epoch: Epoch(1),
         version,
-        settled,
+        stable,
         lease,
-        came: Came::Entries(vec![]),
+        came: Update::Entries(vec![]),
     }]);
-    assert_eq!(r.host.follower().settled, Version(1));
+    assert_eq!(r.host.follower_lease().stable, Version(1));
 }
--- a/crates/plans/tests/standing.rs
+++ b/crates/plans/tests/incremental_flow.rs
@@ -1,7 +1,7 @@
 //! A site asked again and again says what a planner says that works it out anew, whatever was changed.
 
+use grebecleat_plans::incremental_flow::IncrementalFlow;
 use grebecleat_plans::planner::{check, Node, Site, Volume};
-use grebecleat_plans::standing::Standing;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
@@ -10,8 +10,8 @@
     let homes: BTreeSet<u32> = (0..rng.random_range(1..5))
         .map(|_| rng.random_range(0..nodes))
         .collect();
-    let part = 1.0 / homes.len() as f64;
-    let homes = homes.into_iter().map(|n| (n, part)).collect();
+    let quota = 1.0 / homes.len() as f64;
+    let homes = homes.into_iter().map(|n| (n, quota)).collect();
     Volume {
         id,
         reserve: f64::from(rng.random_range(0..12)),
@@ -36,7 +36,7 @@
             volumes: (0..10).map(|id| volume(&mut rng, id, nodes)).collect(),
             spread: [1.0, 1.5, 3.0][seed as usize % 3],
         };
-        let (mut s, mut down) = (Standing::of(&site), BTreeSet::new());
+        let (mut s, mut down) = (IncrementalFlow::of(&site), BTreeSet::new());
         for _ in 0..30 {
             match rng.random_range(0..10) {
                 0 => {
@@ -67,7 +67,7 @@
             let two = BTreeSet::from([rng.random_range(0..nodes), rng.random_range(0..nodes)]);
             for out in [BTreeSet::new(), one, two] {
                 let seen = if out.is_empty() {
-                    s.missing()
+                    s.shortfall()
                 } else {
                     s.without(&out)
                 };
@@ -104,9 +104,14 @@
         weight: 1.0,
         homes: vec![(1, 0.5), (2, 0.5)],
     });
-    let mut s = Standing::of(&site);
+    let mut s = IncrementalFlow::of(&site);
     // Each home's most is rounded up by a thousandth.
-    let seen = |s: &Standing| (s.missing().short.round(), s.missing().out_of_reach.round());
+    let seen = |s: &IncrementalFlow| {
+        (
+            s.shortfall().short.round(),
+            s.shortfall().out_of_reach.round(),
+        )
+    };
     assert_eq!(seen(&s), (0.0, 40.0), "nobody knows its other home");
     s.set_node(Node {
         id: 2,
--- a/crates/plans/tests/source.rs
+++ b/crates/plans/tests/leader.rs
@@ -1,8 +1,8 @@
 //! The state service's decisions, case by case.
 
 use grebecleat_plans::changes::*;
-use grebecleat_plans::feed::HostNo;
-use grebecleat_plans::source::*;
+use grebecleat_plans::feed::HostNumber;
+use grebecleat_plans::leader::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -50,36 +50,36 @@
 
 /// A service with a disk that keeps when it is told to.
 struct Rig {
-    s: Source,
+    s: Leader,
     now: Duration,
-    sent: Vec<(u64, Keep)>,
+    sent: Vec<(u64, Persist)>,
     said: Vec<Action>,
     calls: u64,
 }
 
 impl Rig {
     fn new() -> Rig {
-        let facts = Facts {
+        let facts = Deployment {
             hosts: ["h1", "h2"].map(Name::from).into(),
             max_dispatch_delay: Duration::ZERO,
         };
         let catalog = Catalog::new(facts, 50);
-        let (has, hosts, eras) = (
+        let (applied, hosts, epochs) = (
             BTreeMap::new(),
             ["h1", "h2"].map(Name::from).to_vec(),
             Vec::new(),
         );
-        let (settled, era, prevailed) = (Version(0), Era(7), Version(0));
-        let start = Start {
+        let (stable, epoch, epoch_forced_at) = (Version(0), Epoch(7), Version(0));
+        let start = InitialState {
             catalog,
-            settled,
-            has,
+            stable,
+            applied,
             hosts,
-            era,
-            eras,
-            prevailed,
+            epoch,
+            epochs,
+            epoch_forced_at,
         };
-        let s = Source::new(start, ms(3000), ms(500), 2.0, ms(1000));
+        let s = Leader::new(start, ms(3000), ms(500), 2.0, ms(1000));
         Rig {
             s,
             now: ms(1000),
@@ -106,29 +106,29 @@
     fn step(&mut self, events: Vec<Event>) {
         for action in self.s.step(self.now, self.now + ms(1_000_000), events) {
             match action {
-                Action::Keep { number, what } => self.sent.push((number, what)),
+                Action::Persist { number, what } => self.sent.push((number, what)),
                 other => self.said.push(other),
             }
         }
     }
 
-    fn call(&mut self) -> Call {
+    fn call(&mut self) -> CallId {
         self.calls += 1;
-        Call(self.calls)
+        CallId(self.calls)
     }
 
-    fn propose(&mut self, changes: Vec<Change>, with: impl FnOnce(&mut Proposal)) -> Call {
+    fn propose(&mut self, changes: Vec<Change>, with: impl FnOnce(&mut Proposal)) -> CallId {
         let call = self.call();
-        let looked_at = self.s.kept();
-        let (who, why) = ("clerk".to_string(), "test".to_string());
+        let base_version = self.s.persisted();
+        let (author, reason) = ("clerk".to_string(), "test".to_string());
         let mut proposal = Proposal {
-            who,
-            why,
-            looked_at,
+            author,
+            reason,
+            base_version,
             changes,
             at: None,
             force: false,
-            only_look: false,
+            dry_run: false,
         };
         with(&mut proposal);
         self.step(vec![Event::Proposed { call, proposal }]);
@@ -138,21 +138,24 @@
     fn keep(&mut self) {
         while let Some((upto, _)) = self.sent.last().map(|s| (s.0, ())) {
             self.sent.clear();
-            self.step(vec![Event::Kept { upto }]);
+            self.step(vec![Event::Persisted { upto }]);
         }
     }
 
-    fn ask(&mut self, host: u32, has: u64, settled: u64) -> Call {
+    fn ask(&mut self, host: u32, applied: u64, stable: u64) -> CallId {
         let call = self.call();
-        let (host, era) = (HostNo(host), if has == 0 { Era(0) } else { Era(7) });
-        let (has, settled) = (Version(has), Version(settled));
-        self.step(vec![Event::Asked {
+        let (host, epoch) = (
+            HostNumber(host),
+            if applied == 0 { Epoch(0) } else { Epoch(7) },
+        );
+        let (applied, stable) = (Version(applied), Version(stable));
+        self.step(vec![Event::Polled {
             call,
             host,
-            era,
-            has,
-            settled,
-            sure: has,
+            epoch,
+            applied,
+            stable,
+            acknowledged: applied,
         }]);
         call
     }
@@ -164,8 +167,8 @@
                 call,
                 from,
                 to,
-                whole,
-                settled,
+                snapshot,
+                stable,
                 ..
             } => {
                 format!(
@@ -173,29 +176,29 @@
                     call.0,
                     from.0,
                     to.0,
-                    settled.0,
-                    if whole { ", whole" } else { "" }
+                    stable.0,
+                    if snapshot { ", whole" } else { "" }
                 )
             }
-            Action::Behind { call, has } => format!("{}: behind {}", call.0, has.0),
-            Action::Landed {
+            Action::Behind { call, applied } => format!("{}: behind {}", call.0, applied.0),
+            Action::Committed {
                 call,
                 version,
-                opinion,
+                verdict,
             } => {
-                let warned = said(&opinion.warnings);
+                let warned = said(&verdict.warnings);
                 format!("{}: landed {} {warned}", call.0, version.0)
                     .trim_end()
                     .to_string()
             }
-            Action::Refused { call, why } => format!("{}: {why}", call.0),
-            Action::Would { call, opinion } => {
-                format!("{}: would {}", call.0, said(&opinion.against))
+            Action::Reject { call, reason } => format!("{}: {reason}", call.0),
+            Action::Preview { call, verdict } => {
+                format!("{}: would {}", call.0, said(&verdict.objections))
                     .trim_end()
                     .to_string()
             }
             Action::Note { text } => text,
-            Action::Keep { .. } => unreachable!("taken out"),
+            Action::Persist { .. } => unreachable!("taken out"),
         };
         std::mem::take(&mut self.said)
             .into_iter()
@@ -205,11 +208,11 @@
 }
 
 #[test]
-fn nobody_is_told_of_what_is_not_kept() {
+fn nobody_is_told_of_what_is_not_persisted() {
     let mut r = Rig::begun();
     let a = r.propose(vec![volume(1, "gold")], |_| ());
     let b = r.propose(vec![plan("more", 1.0)], |_| ());
-    assert_eq!((r.said(), r.s.kept()), (vec![], Version(2)));
+    assert_eq!((r.said(), r.s.persisted()), (vec![], Version(2)));
     // Two are on their way at once, and are kept together.
     r.keep();
     assert_eq!(
@@ -218,12 +221,12 @@
     );
     // What rests on one that cannot be kept falls with it.
     let a = r.propose(vec![plan("x", 1.0)], |_| ());
-    let b = r.propose(vec![volume(3, "x")], |p| p.looked_at = Version(5));
+    let b = r.propose(vec![volume(3, "x")], |p| p.base_version = Version(5));
     let number = r.sent[0].0;
     r.sent.clear();
-    r.step(vec![Event::NotKept {
+    r.step(vec![Event::PersistFailed {
         number,
-        why: "disk full".into(),
+        reason: "disk full".into(),
     }]);
     let told = r.said();
     assert!(
@@ -239,9 +242,9 @@
         (Version(4), None)
     );
     // What the disk says later of what was taken back counts for nothing.
-    r.step(vec![Event::NotKept {
+    r.step(vec![Event::PersistFailed {
         number: number + 1,
-        why: "it rests on the first".into(),
+        reason: "it rests on the first".into(),
     }]);
     assert!(r.said().is_empty());
     // And can be asked again once there is room.
@@ -256,9 +259,9 @@
     let mut r = Rig::begun();
     let a = r.propose(vec![volume(1, "gold")], |_| ());
     let b = r.propose(vec![volume(1, "basic"), plan("basic", 11.0)], |p| {
-        p.who = "other".into()
+        p.author = "other".into()
     });
-    let c = r.propose(vec![volume(2, "gold")], |p| p.who = "other".into());
+    let c = r.propose(vec![volume(2, "gold")], |p| p.author = "other".into());
     r.keep();
     let told = r.said();
     assert!(
@@ -278,47 +281,47 @@
     let mut r = Rig::begun();
     let more = vec![volume(3, "gold"), volume(4, "gold"), volume(5, "gold")];
     let a = r.propose(more.clone(), |_| ());
-    let why = "40.0 units a second of reserves cannot be met; what gives way: volume 5 by 40.0";
-    assert_eq!(r.said(), [format!("{}: {why}", a.0)]);
+    let reason = "40.0 units a second of reserves cannot be met; what gives way: volume 5 by 40.0";
+    assert_eq!(r.said(), [format!("{}: {reason}", a.0)]);
     assert!(r.s.catalog().volume(3).is_none() && r.sent.is_empty());
     // Whoever only looks is told the same, and nothing lands, not even what nothing speaks against.
-    let looks = r.propose(more.clone(), |p| p.only_look = true);
-    let fine = r.propose(vec![volume(3, "gold")], |p| p.only_look = true);
+    let looks = r.propose(more.clone(), |p| p.dry_run = true);
+    let fine = r.propose(vec![volume(3, "gold")], |p| p.dry_run = true);
     assert_eq!(
         r.said(),
         [
-            format!("{}: would {why}", looks.0),
+            format!("{}: would {reason}", looks.0),
             format!("{}: would", fine.0)
         ]
     );
     assert!(
         r.s.catalog().volume(3).is_none()
             && r.sent.is_empty()
-            && r.s.admission().missing().short == 0.0
+            && r.s.admission().shortfall().short == 0.0
     );
     let b = r.propose(more, |p| p.force = true);
     r.keep();
     assert_eq!(r.said(), [format!("{}: landed 3", b.0)]);
     assert_eq!(
-        r.s.catalog().trail().last().unwrap().against,
-        why,
+        r.s.catalog().audit_log().last().unwrap().objections,
+        reason,
         "and the trail says so"
     );
     let c = r.call();
-    let (who, why) = ("clerk".to_string(), "too much".to_string());
+    let (author, reason) = ("clerk".to_string(), "too much".to_string());
     r.step(vec![Event::Undo {
         call: c,
-        who,
-        why,
-        entry: Version(3),
+        author,
+        reason,
+        revision: Version(3),
         force: false,
     }]);
     r.keep();
-    assert!(r.s.catalog().volume(3).is_none() && r.s.admission().missing().short == 0.0);
+    assert!(r.s.catalog().volume(3).is_none() && r.s.admission().shortfall().short == 0.0);
 }
 
 #[test]
-fn a_timed_change_lands_lapses_or_is_called_off() {
+fn a_scheduled_change_lands_lapses_or_is_called_off() {
     let mut r = Rig::begun();
     let at = |after: u64| Some(ms(1_000_000) + ms(1000 + after));
     r.propose(vec![volume(1, "gold")], |p| p.at = at(5000));
@@ -334,7 +337,7 @@
     assert_eq!(r.s.wake_at(), Some(ms(6000)));
     // Somebody changes one of them first, and calls another off.
     r.propose(vec![Change::Volume { id: 2, to: None }], |_| ());
-    r.propose(vec![Change::Timed { id: 3, to: None }], |_| ());
+    r.propose(vec![Change::Scheduled { id: 3, to: None }], |_| ());
     r.keep();
     r.said();
     r.now = ms(6000);
@@ -348,31 +351,31 @@
         ["timed change 2 of clerk lapses: volume 2 has changed since it was asked for"]
     );
     assert_eq!(
-        (r.s.catalog().timed().count(), r.s.catalog().volume(2)),
+        (r.s.catalog().scheduled().count(), r.s.catalog().volume(2)),
         (0, None)
     );
     assert_eq!(r.s.catalog().plan("gold").unwrap().reservation, 40.0);
-    let last = r.s.catalog().trail().last().unwrap();
-    assert!(last.why.starts_with("lapsed"), "{last:?}");
+    let last = r.s.catalog().audit_log().last().unwrap();
+    assert!(last.reason.starts_with("lapsed"), "{last:?}");
     // Undoing what landed does not bring its time back.
     let landed =
         r.s.catalog()
-            .trail()
+            .audit_log()
             .find(|e| e.changes.contains(&volume(1, "gold")))
             .unwrap()
             .version;
     let call = r.call();
     r.step(vec![Event::Undo {
         call,
-        who: "clerk".into(),
-        why: "".into(),
-        entry: landed,
+        author: "clerk".into(),
+        reason: "".into(),
+        revision: landed,
         force: false,
     }]);
     r.keep();
     assert_eq!(
         (
-            r.s.catalog().timed().count(),
+            r.s.catalog().scheduled().count(),
             &*r.s.catalog().volume(1).unwrap().plan
         ),
         (0, "basic")
@@ -385,7 +388,11 @@
     let a = r.ask(0, 0, 0);
     // That it was ever heard of is kept before it is granted anything.
     assert!(
-        r.said().is_empty() && matches!(r.sent[..], [.., (_, Keep::Has(HostNo(0), Version(0)))])
+        r.said().is_empty()
+            && matches!(
+                r.sent[..],
+                [.., (_, Persist::Has(HostNumber(0), Version(0)))]
+            )
     );
     r.keep();
     assert_eq!(r.said(), [format!("{}: 2 to 2, settled 2, whole", a.0)]);
@@ -409,13 +416,13 @@
     r.keep();
     assert_eq!(r.said(), [format!("{}: 3 to 3, settled 3", d.0)]);
     let e = r.call();
-    r.step(vec![Event::Asked {
+    r.step(vec![Event::Polled {
         call: e,
-        host: HostNo(9),
-        era: Era(7),
-        has: Version(3),
-        settled: Version(3),
-        sure: Version(3),
+        host: HostNumber(9),
+        epoch: Epoch(7),
+        applied: Version(3),
+        stable: Version(3),
+        acknowledged: Version(3),
     }]);
     assert_eq!(
         r.said(),
@@ -452,25 +459,25 @@
     r.keep();
     r.ask(0, 4, 2);
     r.keep();
-    assert_eq!(r.s.settled(), Version(2));
+    assert_eq!(r.s.stable(), Version(2));
     assert_eq!(r.s.waits_for(Version(4)), [("h2".into(), false)]);
     // Its lease runs out: what it need not hear of is over, the new limit is not.
     r.now += ms(3600);
     r.step(vec![]);
     r.keep();
     assert_eq!(
-        (r.s.settled(), r.s.waits_for(Version(4))),
+        (r.s.stable(), r.s.waits_for(Version(4))),
         (Version(3), vec![("h2".into(), true)])
     );
     let call = r.call();
-    r.step(vec![Event::Gone {
+    r.step(vec![Event::HostRemoved {
         call,
-        host: HostNo(1),
-        who: "clerk".into(),
+        host: HostNumber(1),
+        author: "clerk".into(),
     }]);
     r.keep();
     assert_eq!(
-        (r.s.settled(), r.s.waits_for(Version(4))),
+        (r.s.stable(), r.s.waits_for(Version(4))),
         (Version(4), vec![])
     );
     // A volume's name is not used again before its end is over everywhere.
@@ -493,13 +500,13 @@
 fn a_host_of_another_history_is_not_believed_before_somebody_has_looked() {
     let mut r = Rig::begun();
     let a = r.call();
-    let asked = |call, era, has| Event::Asked {
+    let asked = |call, epoch, applied| Event::Polled {
         call,
-        host: HostNo(0),
-        era: Era(era),
-        has: Version(has),
-        settled: Version(0),
-        sure: Version(has),
+        host: HostNumber(0),
+        epoch: Epoch(epoch),
+        applied: Version(applied),
+        stable: Version(0),
+        acknowledged: Version(applied),
     };
     r.step(vec![asked(a, 6, 2)]);
     assert_eq!(
@@ -514,10 +521,10 @@
         "nobody is granted anything"
     );
     let c = r.call();
-    r.step(vec![Event::Prevail {
+    r.step(vec![Event::ForceEpoch {
         call: c,
-        who: "clerk".into(),
-        why: "restored".into(),
+        author: "clerk".into(),
+        reason: "restored".into(),
     }]);
     r.keep();
     assert_eq!(r.said(), [format!("{}: landed 3", c.0)]);
--- a/crates/plans/tests/moves.rs
+++ b/crates/plans/tests/moves.rs
@@ -106,7 +106,7 @@
         let mut on: BTreeMap<u32, i64> = v
             .homes
             .iter()
-            .map(|(n, part)| (*n, (part * extents as f64).round() as i64))
+            .map(|(n, quota)| (*n, (quota * extents as f64).round() as i64))
             .collect();
         for m in moves.iter().filter(|m| m.volume == v.id) {
             *on.entry(m.from).or_default() -= m.extents as i64;
@@ -145,7 +145,7 @@
             assert_eq!(best, Some(0), "seed {seed}: nothing proposed");
             continue;
         };
-        assert!(p.whole, "seed {seed}");
+        assert!(p.snapshot, "seed {seed}");
         let then = after(&s, &p.moves, EXTENTS);
         assert!(
             then.volumes
--- a/crates/plans/tests/planner.rs
+++ b/crates/plans/tests/planner.rs
@@ -21,8 +21,8 @@
             .map(|_| rng.random_range(0..nodes.len() as u32))
             .collect();
         homes.insert(rng.random_range(0..nodes.len() as u32));
-        let part = 1.0 / homes.len() as f64;
-        let homes = homes.into_iter().map(|n| (n, part)).collect();
+        let quota = 1.0 / homes.len() as f64;
+        let homes = homes.into_iter().map(|n| (n, quota)).collect();
         let (reserve, weight) = (
             f64::from(rng.random_range(0..9)),
             f64::from(rng.random_range(1..4)),
@@ -46,14 +46,14 @@
 /// The most that can be carried, by every cut there is: nodes of one side, and volumes that reach beyond it.
 fn by_brute_force(s: &Site, reserves: &[f64]) -> f64 {
     let cut = |side: u32| {
-        let has = |n: u32| side & 1 << n != 0;
+        let applied = |n: u32| side & 1 << n != 0;
         let nodes: f64 = s
             .nodes
             .iter()
-            .filter(|n| has(n.id))
+            .filter(|n| applied(n.id))
             .map(|n| n.capacity)
             .sum();
-        let beyond = |v: &Volume| !v.homes.iter().all(|h| has(h.0));
+        let beyond = |v: &Volume| !v.homes.iter().all(|h| applied(h.0));
         let volumes = s
             .volumes
             .iter()
@@ -174,12 +174,12 @@
         capacity: 100.0,
     };
     let volume = |id, homes: &[u32]| {
-        let part = 1.0 / homes.len() as f64;
+        let quota = 1.0 / homes.len() as f64;
         Volume {
             id,
             reserve: 80.0,
             weight: id as f64,
-            homes: homes.iter().map(|n| (*n, part)).collect(),
+            homes: homes.iter().map(|n| (*n, quota)).collect(),
         }
     };
     let s = Site {
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -1339,7 +1339,7 @@
             Output::DialList { conn } => self.dial(conn, self.discovery, true),
             Output::Note { text } => self.say(&text),
             // No disk, no state service, no peers here.
-            Output::Remember { .. } | Output::DialState { .. } | Output::Keep { .. } => {}
+            Output::Remember { .. } | Output::DialState { .. } | Output::Record { .. } => {}
             Output::Tell { .. } | Output::Ended => {}
         }
     }
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -95,7 +95,7 @@
     pub margin: Duration,
     /// How far a volume's load may gather on a part of its nodes: 1 is spread alike.
     pub spread: f64,
-    pub max_trail: u64,
+    pub max_audit_log: u64,
     pub snapshot_every: Duration,
 }
 
@@ -666,7 +666,7 @@
         lease: f.span("lease", Some(ms(6000)), DAY),
         margin: f.span("margin", Some(ms(1000)), DAY),
         spread: f.number("spread", Some(2.0), (1.0, 1000.0)),
-        max_trail: f.whole("most_trail", Some(100_000), (100, 10_000_000)),
+        max_audit_log: f.whole("most_trail", Some(100_000), (100, 10_000_000)),
         snapshot_every: f.span("snapshot_every", Some(ms(600_000)), DAY),
     };
     if spec.lease < ms(100) {
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -40,14 +40,14 @@
     pub wrong_content: u64,
     /// First tries that found no host.
     pub unreached: u64,
-    /// By plan: pieces, done in their Latency objective, done late.
+    /// By plan: pieces, done in their latency objective, done late.
     pub plans: BTreeMap<usize, (u64, u64, u64)>,
-    /// By place of a volume and second: pieces, and of these done in their Latency objective.
+    /// By place of a volume and second: pieces, and of these done in their latency objective.
     pub seconds: BTreeMap<(usize, u64), (u64, u64)>,
 }
 
 impl Tally {
-    /// The part of a volume's pieces that were done in their Latency objective, of those that began in a span of
+    /// The part of a volume's pieces that were done in their latency objective, of those that began in a span of
     /// seconds.
     pub fn timely(&self, volume: usize, seconds: std::ops::Range<u64>) -> Option<f64> {
         let all = self
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -147,8 +147,11 @@
             match h {
                 Heard::Up { at: LIST, line, .. } => {
                     let entries = seats.values().map(|s| entry(s, now));
-                    entries
-                        .for_each(|e| line.put(Body::Announce(pb::Announce { endpoint: Some(e) })));
+                    entries.for_each(|e| {
+                        line.put(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
+                            endpoint: Some(e),
+                        }))
+                    });
                     list_line = Some(line);
                 }
                 Heard::Up {
@@ -290,7 +293,7 @@
         }
     }
     if let Some(list) = list {
-        list.put(Body::Announce(pb::Announce {
+        list.put(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
             endpoint: Some(entry(seat, now)),
         }));
     }
@@ -325,7 +328,7 @@
                     watching.remove(&conn);
                 }
                 Heard::Frame {
-                    body: Body::Announce(a),
+                    body: Body::AnnounceEndpoint(a),
                     ..
                 } => {
                     let entry = a.endpoint.unwrap_or_default();
--- a/crates/state/src/words.rs
+++ b/crates/state/src/change_syntax.rs
@@ -25,18 +25,18 @@
 
 /// What is wrong with a line, and where.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NoWords {
+pub struct SyntaxError {
     pub line: String,
     pub what: String,
 }
 
-impl Display for NoWords {
+impl Display for SyntaxError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{:?}: {}", self.line, self.what)
     }
 }
 
-impl std::error::Error for NoWords {}
+impl std::error::Error for SyntaxError {}
 
 /// Fields of a line that nobody has read yet.
 struct Fields<'a> {
@@ -114,7 +114,7 @@
 ///
 /// ```
 /// use grebecleat_plans::changes::{Change, Catalog, Plan};
-/// use grebecleat_state::words::change;
+/// use grebecleat_state::change_syntax::change;
 /// let l = Catalog::default();
 /// let to = Plan { rate: 12.0, weight: 3.0, price: 1.0, ..Plan::default() };
 /// let plan = Change::Plan { name: "basic".into(), to: Some(to) };
@@ -123,9 +123,9 @@
 /// assert_eq!(told, "\"plan basic rat=12\": rat is not known here; expected some of rate, reservation, limit, \
 ///                   burst, slack, weight, price");
 /// ```
-pub fn change(catalog: &Catalog, line: &str) -> Result<Change, NoWords> {
+pub fn change(catalog: &Catalog, line: &str) -> Result<Change, SyntaxError> {
     let words: Vec<&str> = line.split_whitespace().collect();
-    of(catalog, &words).map_err(|what| NoWords {
+    of(catalog, &words).map_err(|what| SyntaxError {
         line: line.into(),
         what,
     })
@@ -227,7 +227,7 @@
                 None => (
                     catalog
                         .drain(node)
-                        .map_or(Stage::Going, |d| d.stage.max(Stage::Going)),
+                        .map_or(Stage::Draining, |d| d.stage.max(Stage::Draining)),
                     rest,
                 ),
             };
@@ -261,7 +261,7 @@
                 to: Some(volumes),
             })
         }
-        ("timed", ["off"]) => Ok(Change::Timed {
+        ("timed", ["off"]) => Ok(Change::Scheduled {
             id: read("timed", name)?,
             to: None,
         }),
@@ -276,7 +276,7 @@
 ///
 /// ```
 /// use grebecleat_plans::changes::Catalog;
-/// use grebecleat_state::words::{change, said};
+/// use grebecleat_state::change_syntax::{change, said};
 /// let line = "volume 7 plan=gold hosts=h1,h2 cells=1,2 blocks=64";
 /// assert_eq!(said(&change(&Catalog::default(), line).unwrap()), line);
 /// ```
@@ -310,7 +310,7 @@
         }
         Change::Drain { node, to: None } => format!("undrain {node}"),
         Change::Drain { node, to: Some(d) } => {
-            let stage = if d.stage == Stage::Going {
+            let stage = if d.stage == Stage::Draining {
                 ""
             } else {
                 d.stage.name()
@@ -337,13 +337,13 @@
                 list(&mut t.iter().map(|v| v.to_string()))
             )
         }
-        Change::Timed { id, to: None } => format!("timed {id} off"),
-        Change::Timed { id, to: Some(t) } => {
+        Change::Scheduled { id, to: None } => format!("timed {id} off"),
+        Change::Scheduled { id, to: Some(t) } => {
             let inner: Vec<String> = t.changes.iter().map(said).collect();
             format!(
                 "timed {id} at {} of {}: {}",
                 date(t.at),
-                t.who,
+                t.author,
                 inner.join("; ")
             )
         }
@@ -354,7 +354,7 @@
 ///
 /// ```
 /// use grebecleat_plans::changes::Catalog;
-/// use grebecleat_state::words::{change, differences};
+/// use grebecleat_state::change_syntax::{change, differences};
 /// let of = |line| change(&Catalog::default(), line).unwrap();
 /// let told = |now, was| differences(&[of(now)], &[of(was)]);
 /// assert_eq!(told("drain 3", "drain 3 queued within=1m"), ["drain 3: no longer queued no longer within=1m"]);
@@ -396,7 +396,7 @@
 /// A moment since 1970 as date and time of day, in UTC.
 ///
 /// ```
-/// use grebecleat_state::words::{date, moment};
+/// use grebecleat_state::change_syntax::{date, moment};
 /// use std::time::Duration;
 /// let at = Duration::from_secs(1_796_083_200);
 /// assert_eq!(date(at), "2026-12-01T00:00:00Z");
--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -1,9 +1,9 @@
 //! An operator's side of the state service's wire: one connection, one question at a time.
 
-use crate::codec::{changes_of, entry_of};
-use grebecleat_plans::changes::{Change, Entry, Version};
-use grebecleat_plans::source::Era;
-use grebecleat_wire::pb::{self, frame::Body, look::What};
+use crate::codec::{changes_from_proto, revision_from_proto};
+use grebecleat_plans::changes::{Change, Revision, Version};
+use grebecleat_plans::leader::Epoch;
+use grebecleat_wire::pb::{self, frame::Body, query::What};
 use grebecleat_wire::{clock, frame, VERSION};
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -20,23 +20,23 @@
 
 /// What came of a change.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Came {
-    Landed(pb::Landed),
-    Refused(String),
+pub enum Reply {
+    Committed(pb::ChangeCommitted),
+    Rejected(String),
     /// It was only looked at.
-    Would(pb::Would),
+    Would(pb::ChangePreview),
 }
 
 /// What the service shows, put together.
 #[derive(Debug, Clone, Default)]
-pub struct Shown {
+pub struct QueryResult {
     pub version: Version,
-    pub settled: Version,
-    pub era: Era,
+    pub stable: Version,
+    pub epoch: Epoch,
     pub state: Vec<Change>,
-    pub entries: Vec<Entry>,
+    pub revisions: Vec<Revision>,
     /// The last part as it came: hosts, what is missing, moves, trouble.
-    pub last: pb::Shown,
+    pub last: pb::QueryResult,
 }
 
 impl Client {
@@ -102,10 +102,10 @@
         loop {
             let answer = self.read()?;
             let of = match &answer {
-                Body::Landed(l) => l.call,
-                Body::Refused(r) => r.call,
-                Body::Would(w) => w.call,
-                Body::Shown(s) => s.call,
+                Body::ChangeCommitted(l) => l.call,
+                Body::ChangeRejected(r) => r.call,
+                Body::ChangePreview(w) => w.call,
+                Body::QueryResult(s) => s.call,
                 _ => continue,
             };
             if of == call {
@@ -115,25 +115,25 @@
     }
 
     /// A change, an undo, or an operator's word; `body` gets the number of the question.
-    pub fn change(&mut self, body: impl FnOnce(u64) -> Body) -> io::Result<Came> {
+    pub fn change(&mut self, body: impl FnOnce(u64) -> Body) -> io::Result<Reply> {
         match self.ask(body)? {
-            Body::Landed(l) => Ok(Came::Landed(l)),
-            Body::Refused(r) => Ok(Came::Refused(r.why)),
-            Body::Would(w) => Ok(Came::Would(w)),
+            Body::ChangeCommitted(l) => Ok(Reply::Committed(l)),
+            Body::ChangeRejected(r) => Ok(Reply::Rejected(r.reason)),
+            Body::ChangePreview(w) => Ok(Reply::Would(w)),
             _ => Err(io::Error::other("an answer to something else")),
         }
     }
 
-    pub fn look(
+    pub fn query(
         &mut self,
         what: What,
         after: u64,
         most: u32,
         empty: Vec<u32>,
-    ) -> io::Result<Shown> {
-        let mut shown = Shown::default();
+    ) -> io::Result<QueryResult> {
+        let mut shown = QueryResult::default();
         let mut answer = self.ask(|call| {
-            Body::Look(pb::Look {
+            Body::Query(pb::Query {
                 call,
                 what: what.into(),
                 after,
@@ -142,19 +142,24 @@
             })
         })?;
         loop {
-            let Body::Shown(mut part) = answer else {
+            let Body::QueryResult(mut part) = answer else {
                 return Err(io::Error::other("an answer to something else"));
             };
-            let bad = |e: crate::codec::NoChange| io::Error::other(e.to_string());
+            let bad = |e: crate::codec::DecodeError| io::Error::other(e.to_string());
             shown
                 .state
-                .extend(changes_of(std::mem::take(&mut part.state)).map_err(bad)?);
-            let entries = std::mem::take(&mut part.entries).into_iter().map(entry_of);
+                .extend(changes_from_proto(std::mem::take(&mut part.state)).map_err(bad)?);
+            let revisions = std::mem::take(&mut part.revisions)
+                .into_iter()
+                .map(revision_from_proto);
             shown
-                .entries
-                .extend(entries.collect::<Result<Vec<_>, _>>().map_err(bad)?);
-            (shown.version, shown.settled, shown.era) =
-                (Version(part.version), Version(part.settled), Era(part.era));
+                .revisions
+                .extend(revisions.collect::<Result<Vec<_>, _>>().map_err(bad)?);
+            (shown.version, shown.stable, shown.epoch) = (
+                Version(part.version),
+                Version(part.stable),
+                Epoch(part.epoch),
+            );
             if !part.more {
                 shown.last = part;
                 return Ok(shown);
--- a/crates/state/src/codec.rs
+++ b/crates/state/src/codec.rs
@@ -4,7 +4,7 @@
 //! and nothing of it is taken.
 
 use grebecleat_plans::changes::{
-    Change, Drain, Entry, Name, Node, Plan, Stage, Timed, Version, Volume,
+    Change, Drain, Name, Node, Plan, Revision, ScheduledChange, Stage, Version, Volume,
 };
 use grebecleat_wire::pb::{self, change};
 use std::sync::Arc;
@@ -16,48 +16,48 @@
 
 /// A message that is no change, and what is wrong with it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct NoChange(pub String);
+pub struct DecodeError(pub String);
 
-impl std::fmt::Display for NoChange {
+impl std::fmt::Display for DecodeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "no change: {}", self.0)
     }
 }
 
-fn timed_pb(t: &Timed) -> pb::TimedFacts {
-    pb::TimedFacts {
+fn scheduled_pb(t: &ScheduledChange) -> pb::ScheduledChange {
+    pb::ScheduledChange {
         at_us: micros(t.at),
-        who: t.who.clone(),
-        why: t.why.clone(),
+        author: t.author.clone(),
+        reason: t.reason.clone(),
         force: t.force,
-        changes: t.changes.iter().map(change_pb).collect(),
-        expects: t.expects.iter().map(change_pb).collect(),
+        changes: t.changes.iter().map(change_to_proto).collect(),
+        expects: t.expects.iter().map(change_to_proto).collect(),
     }
 }
 
 fn stage_pb(stage: Stage) -> pb::DrainStage {
     match stage {
         Stage::Queued => pb::DrainStage::Queued,
-        Stage::Going => pb::DrainStage::Going,
-        Stage::Empty => pb::DrainStage::Empty,
-        Stage::Out => pb::DrainStage::Out,
+        Stage::Draining => pb::DrainStage::Draining,
+        Stage::Drained => pb::DrainStage::Drained,
+        Stage::Removed => pb::DrainStage::Removed,
     }
 }
 
 fn stage_of(stage: pb::DrainStage) -> Stage {
     match stage {
         pb::DrainStage::Queued => Stage::Queued,
-        pb::DrainStage::Going => Stage::Going,
-        pb::DrainStage::Empty => Stage::Empty,
-        pb::DrainStage::Out => Stage::Out,
+        pb::DrainStage::Draining => Stage::Draining,
+        pb::DrainStage::Drained => Stage::Drained,
+        pb::DrainStage::Removed => Stage::Removed,
     }
 }
 
-pub fn change_pb(c: &Change) -> pb::Change {
+pub fn change_to_proto(c: &Change) -> pb::Change {
     use change::{Subject, To};
     let (subject, to) = match c {
         Change::Plan { name, to } => {
-            let figures = |p: &Plan| pb::PlanFigures {
+            let figures = |p: &Plan| pb::PlanConfig {
                 rate: p.rate,
                 reservation: p.reservation,
                 limit: p.limit,
@@ -72,7 +72,7 @@
             )
         }
         Change::Volume { id, to } => {
-            let facts = |v: &Volume| pb::VolumeFacts {
+            let facts = |v: &Volume| pb::VolumeConfig {
                 plan: v.plan.to_string(),
                 hosts: v.hosts.iter().map(|h| h.to_string()).collect(),
                 shards: v.shards.to_vec(),
@@ -84,7 +84,7 @@
             )
         }
         Change::Node { id, to } => {
-            let facts = |n: &Node| pb::NodeFacts {
+            let facts = |n: &Node| pb::NodeConfig {
                 name: n.name.to_string(),
                 zone: n.zone.to_string(),
                 shard: n.shard,
@@ -96,10 +96,10 @@
             )
         }
         Change::Drain { node, to } => {
-            let facts = |d: &Drain| pb::DrainFacts {
+            let facts = |d: &Drain| pb::DrainRecord {
                 within_us: micros(d.within),
                 stage: stage_pb(d.stage).into(),
-                who: d.who.to_string(),
+                author: d.author.to_string(),
                 asked_us: micros(d.asked),
                 since_us: micros(d.since),
             };
@@ -109,7 +109,7 @@
             )
         }
         Change::Target { name, to } => {
-            let facts = |v: &Arc<[u64]>| pb::TargetFacts {
+            let facts = |v: &Arc<[u64]>| pb::TargetConfig {
                 volumes: v.to_vec(),
             };
             (
@@ -117,9 +117,9 @@
                 to.as_ref().map(|v| To::TargetTo(facts(v))),
             )
         }
-        Change::Timed { id, to } => (
-            Subject::Timed(*id),
-            to.as_ref().map(|t| To::TimedTo(timed_pb(t))),
+        Change::Scheduled { id, to } => (
+            Subject::Scheduled(*id),
+            to.as_ref().map(|t| To::ScheduledTo(scheduled_pb(t))),
         ),
     };
     pb::Change {
@@ -128,12 +128,12 @@
     }
 }
 
-pub fn change_of(c: pb::Change) -> Result<Change, NoChange> {
+pub fn change_from_proto(c: pb::Change) -> Result<Change, DecodeError> {
     use change::{Subject, To};
     let names = |all: Vec<String>| all.into_iter().map(Name::from).collect::<Arc<[Name]>>();
     let change = match (c.subject, c.to) {
         (Some(Subject::Plan(name)), to @ (None | Some(To::PlanTo(_)))) => {
-            let figures = |p: pb::PlanFigures| Plan {
+            let figures = |p: pb::PlanConfig| Plan {
                 rate: p.rate,
                 reservation: p.reservation,
                 limit: p.limit,
@@ -155,7 +155,7 @@
             }
         }
         (Some(Subject::Volume(id)), to @ (None | Some(To::VolumeTo(_)))) => {
-            let facts = |v: pb::VolumeFacts| Volume {
+            let facts = |v: pb::VolumeConfig| Volume {
                 plan: v.plan.into(),
                 hosts: names(v.hosts),
                 shards: v.shards.into(),
@@ -173,7 +173,7 @@
             }
         }
         (Some(Subject::Node(id)), to @ (None | Some(To::NodeTo(_)))) => {
-            let facts = |n: pb::NodeFacts| Node {
+            let facts = |n: pb::NodeConfig| Node {
                 name: n.name.into(),
                 zone: n.zone.into(),
                 shard: n.shard,
@@ -191,10 +191,10 @@
             }
         }
         (Some(Subject::Drain(node)), to @ (None | Some(To::DrainTo(_)))) => {
-            let facts = |d: pb::DrainFacts| Drain {
+            let facts = |d: pb::DrainRecord| Drain {
                 stage: stage_of(d.stage()),
                 within: Duration::from_micros(d.within_us),
-                who: d.who.as_str().into(),
+                author: d.author.as_str().into(),
                 asked: Duration::from_micros(d.asked_us),
                 since: Duration::from_micros(d.since_us),
             };
@@ -222,24 +222,24 @@
                 to,
             }
         }
-        (Some(Subject::Timed(id)), None) => Change::Timed { id, to: None },
-        (Some(Subject::Timed(id)), Some(To::TimedTo(t))) => {
-            let timed = Timed {
+        (Some(Subject::Scheduled(id)), None) => Change::Scheduled { id, to: None },
+        (Some(Subject::Scheduled(id)), Some(To::ScheduledTo(t))) => {
+            let scheduled = ScheduledChange {
                 at: Duration::from_micros(t.at_us),
-                who: t.who,
-                why: t.why,
+                author: t.author,
+                reason: t.reason,
                 force: t.force,
-                changes: changes_of(t.changes)?,
-                expects: changes_of(t.expects)?,
+                changes: changes_from_proto(t.changes)?,
+                expects: changes_from_proto(t.expects)?,
             };
-            Change::Timed {
+            Change::Scheduled {
                 id,
-                to: Some(timed),
+                to: Some(scheduled),
             }
         }
-        (None, _) => return Err(NoChange("it names nothing".into())),
+        (None, _) => return Err(DecodeError("it names nothing".into())),
         (Some(subject), Some(_)) => {
-            return Err(NoChange(format!(
+            return Err(DecodeError(format!(
                 "{subject:?} gets what is none of its kind"
             )))
         }
@@ -247,53 +247,56 @@
     Ok(change)
 }
 
-pub fn changes_of(all: Vec<pb::Change>) -> Result<Vec<Change>, NoChange> {
-    all.into_iter().map(change_of).collect()
+pub fn changes_from_proto(all: Vec<pb::Change>) -> Result<Vec<Change>, DecodeError> {
+    all.into_iter().map(change_from_proto).collect()
 }
 
-pub fn entry_pb(e: &Entry) -> pb::ChangeEntry {
+pub fn revision_to_proto(e: &Revision) -> pb::Revision {
     let also = |(version, c): &(Version, Change)| pb::EarlierChange {
         version: version.0,
-        change: Some(change_pb(c)),
+        change: Some(change_to_proto(c)),
     };
-    pb::ChangeEntry {
+    pb::Revision {
         version: e.version.0,
         from: e.from.0,
         at_us: micros(e.at),
-        who: e.who.clone(),
-        why: e.why.clone(),
-        against: e.against.clone(),
-        changes: e.changes.iter().map(change_pb).collect(),
-        before: e.before.iter().map(change_pb).collect(),
-        lowers: e.lowers,
+        author: e.author.clone(),
+        reason: e.reason.clone(),
+        objections: e.objections.clone(),
+        changes: e.changes.iter().map(change_to_proto).collect(),
+        before: e.before.iter().map(change_to_proto).collect(),
+        lowers_limits: e.lowers_limits,
         also: e.also.iter().map(also).collect(),
     }
 }
 
-pub fn entry_of(e: pb::ChangeEntry) -> Result<Entry, NoChange> {
+pub fn revision_from_proto(e: pb::Revision) -> Result<Revision, DecodeError> {
     let also = |a: pb::EarlierChange| {
         let change = a
             .change
-            .ok_or_else(|| NoChange("an earlier one is empty".into()))?;
-        Ok((Version(a.version), change_of(change)?))
+            .ok_or_else(|| DecodeError("an earlier one is empty".into()))?;
+        Ok((Version(a.version), change_from_proto(change)?))
     };
     if e.from >= e.version {
-        return Err(NoChange(format!("entry {} follows {}", e.version, e.from)));
+        return Err(DecodeError(format!(
+            "entry {} follows {}",
+            e.version, e.from
+        )));
     }
-    Ok(Entry {
+    Ok(Revision {
         version: Version(e.version),
         from: Version(e.from),
         at: Duration::from_micros(e.at_us),
-        who: e.who,
-        why: e.why,
-        against: e.against,
-        changes: changes_of(e.changes)?,
-        before: changes_of(e.before)?,
-        lowers: e.lowers,
+        author: e.author,
+        reason: e.reason,
+        objections: e.objections,
+        changes: changes_from_proto(e.changes)?,
+        before: changes_from_proto(e.before)?,
+        lowers_limits: e.lowers_limits,
         also: e
             .also
             .into_iter()
             .map(also)
-            .collect::<Result<_, NoChange>>()?,
+            .collect::<Result<_, DecodeError>>()?,
     })
 }
--- a/crates/state/src/declared.rs
+++ b/crates/state/src/declared_config.rs
@@ -1,16 +1,16 @@
 //! What a settings file declares, as changes that would make it.
 
-use grebecleat_plans::changes::{Change, Facts, Name, Node, Plan, Volume};
+use grebecleat_plans::changes::{Change, Deployment, Name, Node, Plan, Volume};
 use grebecleat_settings::Settings;
 
 /// What no change touches: hosts, and how long an attempt may take to cross.
-pub fn facts(s: &Settings) -> Facts {
+pub fn deployment(s: &Settings) -> Deployment {
     let hosts = s
         .hosts
         .iter()
         .map(|h| Name::from(h.name.as_str()))
         .collect();
-    Facts {
+    Deployment {
         hosts,
         max_dispatch_delay: s.bounds.max_dispatch_delay,
     }
--- a/crates/state/src/keeper.rs
+++ b/crates/state/src/group_commit.rs
@@ -6,7 +6,7 @@
 //! things were handed over.
 
 use crate::extents::Extents;
-use crate::store::{Keep, Kept, Store, StoreFault};
+use crate::store::{Record, Store, StoreFault, StoredState};
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::sync::mpsc::{self, Sender};
@@ -16,28 +16,28 @@
 const AT_ONCE: usize = 8192;
 
 type Done = Box<dyn FnOnce(Result<(), StoreFault>) + Send>;
-type Seen = Box<dyn FnOnce(Result<(Kept, BTreeMap<u64, Extents>), StoreFault>) + Send>;
+type Seen = Box<dyn FnOnce(Result<(StoredState, BTreeMap<u64, Extents>), StoreFault>) + Send>;
 
 enum Job {
-    Keep(Vec<Keep>, Done),
+    Record(Vec<Record>, Done),
     Read(Seen),
 }
 
 /// Hands things to the thread; it ends with the last of its handles.
 #[derive(Clone)]
-pub struct Keeper(Sender<Job>);
+pub struct GroupCommit(Sender<Job>);
 
-impl Keeper {
+impl GroupCommit {
     /// Opens the store and starts its thread; what was in it is answered.
     pub fn open(
         path: &Path,
-        max_trail: u64,
-    ) -> Result<(Keeper, Kept, BTreeMap<u64, Extents>), StoreFault> {
-        let (store, kept, places) = Store::open(path, max_trail)?;
-        Ok((Keeper::start(store), kept, places))
+        max_audit_log: u64,
+    ) -> Result<(GroupCommit, StoredState, BTreeMap<u64, Extents>), StoreFault> {
+        let (store, persisted, places) = Store::open(path, max_audit_log)?;
+        Ok((GroupCommit::start(store), persisted, places))
     }
 
-    pub fn start(mut store: Store) -> Keeper {
+    pub fn start(mut store: Store) -> GroupCommit {
         let (to, from) = mpsc::channel::<Job>();
         let run = move || {
             while let Ok(first) = from.recv() {
@@ -45,7 +45,7 @@
                 let mut next = Some(first);
                 while let Some(job) = next.take() {
                     match job {
-                        Job::Keep(keeps, done) => {
+                        Job::Record(keeps, done) => {
                             records += keeps.len();
                             jobs.push((keeps, done));
                             if records < AT_ONCE {
@@ -65,33 +65,33 @@
             .name("keeper".into())
             .spawn(run)
             .expect("a thread can be started");
-        Keeper(to)
+        GroupCommit(to)
     }
 
     /// `done` is called on the keeper's thread, and must not wait.
     pub fn keep(
         &self,
-        keeps: Vec<Keep>,
+        keeps: Vec<Record>,
         done: impl FnOnce(Result<(), StoreFault>) + Send + 'static,
     ) {
-        let _ = self.0.send(Job::Keep(keeps, Box::new(done)));
+        let _ = self.0.send(Job::Record(keeps, Box::new(done)));
     }
 
     /// Everything as it is on the disk, after all that was handed over before.
     pub fn read(
         &self,
-        seen: impl FnOnce(Result<(Kept, BTreeMap<u64, Extents>), StoreFault>) + Send + 'static,
+        seen: impl FnOnce(Result<(StoredState, BTreeMap<u64, Extents>), StoreFault>) + Send + 'static,
     ) {
         let _ = self.0.send(Job::Read(Box::new(seen)));
     }
 }
 
-fn commit(store: &mut Store, jobs: Vec<(Vec<Keep>, Done)>) {
+fn commit(store: &mut Store, jobs: Vec<(Vec<Record>, Done)>) {
     if jobs.is_empty() {
         return;
     }
     let alone = jobs.len() == 1;
-    let all: Vec<Keep> = jobs.iter().flat_map(|j| j.0.iter().cloned()).collect();
+    let all: Vec<Record> = jobs.iter().flat_map(|j| j.0.iter().cloned()).collect();
     match store.keep(&all) {
         Ok(()) => jobs.into_iter().for_each(|(_, done)| done(Ok(()))),
         Err(fault) if alone => {
@@ -101,11 +101,11 @@
         }
         Err(_) => {
             for (keeps, done) in jobs {
-                let kept = store.keep(&keeps);
-                if let Err(fault) = &kept {
+                let persisted = store.keep(&keeps);
+                if let Err(fault) = &persisted {
                     warn!("the store: {fault}");
                 }
-                done(kept);
+                done(persisted);
             }
         }
     }
--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -5,13 +5,13 @@
 //! little memory. It must never decide where one goes, which change lands, nor over any request. Begin with
 //! [`store`].
 
-pub mod attending;
+pub mod change_syntax;
 pub mod client;
 pub mod codec;
-pub mod declared;
+pub mod declared_config;
 pub mod extents;
-pub mod keeper;
+pub mod group_commit;
 pub mod serve;
 pub mod snapshot;
 pub mod store;
-pub mod words;
+pub mod subscription;
--- a/crates/state/src/serve.rs
+++ b/crates/state/src/serve.rs
@@ -1,33 +1,33 @@
 //! The state service on its sockets.
 //!
-//! One thread owns [`Source`]; each connection has one that reads and one that writes. Hosts and operators
+//! One thread owns [`Leader`]; each connection has one that reads and one that writes. Hosts and operators
 //! speak the same frames as everybody else (`plans.proto`). What the decisions want kept goes to the
-//! [`Keeper`], one commit for all of a step. Nothing is decided here but when to hang up on a peer.
+//! [`GroupCommit`], one commit for all of a step. Nothing is decided here but when to hang up on a peer.
 //!
 //! Bounds: [`MOST_CONNECTIONS`]; a reader hands over one frame at a time to a queue of [`QUEUE`], and waits
 //! when it is full; a writer's queue holds [`QUEUE`] frames of at most [`PART`] bytes or one record, and who
 //! leaves them unread is hung up on. Snapshots are written beside the store, by a thread of their own.
 
-use crate::attending::{Attending, Notes, Present, SPACING};
-use crate::codec::{change_pb, changes_of, entry_pb};
-use crate::declared::{declared, facts};
-use crate::keeper::Keeper;
+use crate::codec::{change_to_proto, changes_from_proto, revision_to_proto};
+use crate::declared_config::{declared, deployment};
+use crate::group_commit::GroupCommit;
 use crate::snapshot;
-use crate::store::{Keep as Record, Kept, StoreFault};
+use crate::store::{Record, StoreFault, StoredState};
+use crate::subscription::{EventLog, Present, Subscription, SPACING};
 use grebecleat_membership::drains::{
-    Action as Wanted, Ask, Event as Seen, Facts, Membership, Sight,
+    Action as Wanted, Ask, Event as Seen, Membership, NodeFacts, Sight,
 };
-use grebecleat_membership::life::{Answers, Word};
+use grebecleat_membership::node_status::{Answers, ListedState};
 use grebecleat_plans::admission::Reason;
-use grebecleat_plans::changes::{Catalog, Change, Entry, Name, Version};
-use grebecleat_plans::feed::HostNo;
-use grebecleat_plans::moves::{self, Size};
-use grebecleat_plans::source::{
-    for_host, is_for, Action, Call, Era, Event, Keep, Proposal, Source, Start,
+use grebecleat_plans::changes::{Catalog, Change, Name, Revision, Version};
+use grebecleat_plans::feed::HostNumber;
+use grebecleat_plans::leader::{
+    for_host, is_for, Action, CallId, Epoch, Event, InitialState, Leader, Persist, Proposal,
 };
+use grebecleat_plans::moves::{self, Size};
 use grebecleat_settings::{Settings, StateSpec};
 use grebecleat_wire::delay::Delay;
-use grebecleat_wire::pb::{self, frame::Body, look::What};
+use grebecleat_wire::pb::{self, frame::Body, query::What};
 use grebecleat_wire::trace::Tracer;
 use grebecleat_wire::{clock, frame, VERSION};
 use prost::Message;
@@ -88,16 +88,16 @@
     Gone {
         conn: u64,
     },
-    Kept {
+    StoredState {
         upto: u64,
     },
-    NotKept {
+    PersistFailed {
         number: u64,
-        why: String,
+        reason: String,
     },
-    Shown {
+    QueryResult {
         conn: u64,
-        shown: Box<pb::Shown>,
+        shown: Box<pb::QueryResult>,
     },
     Stop,
 }
@@ -127,15 +127,15 @@
     line: Line,
     name: String,
     /// None: an operator.
-    host: Option<HostNo>,
+    host: Option<HostNumber>,
     /// The same host has dialled anew.
     stale: bool,
 }
 
 /// What a store held, as the decisions want it at a start.
-fn start(kept: Kept, settings: &Settings, spec: &StateSpec) -> Start {
-    let catalog = Catalog::new(facts(settings), spec.max_trail as usize);
-    let catalog = catalog.restored(kept.version, kept.state, kept.trail);
+fn start(persisted: StoredState, settings: &Settings, spec: &StateSpec) -> InitialState {
+    let catalog = Catalog::new(deployment(settings), spec.max_audit_log as usize);
+    let catalog = catalog.restored(persisted.version, persisted.state, persisted.audit_log);
     let hosts: Vec<Name> = settings
         .hosts
         .iter()
@@ -145,34 +145,40 @@
         hosts
             .iter()
             .position(|h| h == name)
-            .map(|at| HostNo(at as u32))
+            .map(|at| HostNumber(at as u32))
     };
-    let mut has: BTreeMap<HostNo, Version> = kept
+    let mut applied: BTreeMap<HostNumber, Version> = persisted
         .hosts
         .iter()
-        .filter_map(|(name, has)| Some((number(name)?, *has)))
+        .filter_map(|(name, applied)| Some((number(name)?, *applied)))
         .collect();
-    if kept.restored {
-        (0..hosts.len() as u32).for_each(|h| _ = has.entry(HostNo(h)).or_insert(Version(0)));
+    if persisted.restored {
+        (0..hosts.len() as u32)
+            .for_each(|h| _ = applied.entry(HostNumber(h)).or_insert(Version(0)));
     }
-    let (settled, era, eras, prevailed) = (kept.settled, kept.era, kept.eras, kept.prevailed);
-    Start {
+    let (stable, epoch, epochs, epoch_forced_at) = (
+        persisted.stable,
+        persisted.epoch,
+        persisted.epochs,
+        persisted.epoch_forced_at,
+    );
+    InitialState {
         catalog,
-        settled,
-        has,
+        stable,
+        applied,
         hosts,
-        era,
-        eras,
-        prevailed,
+        epoch,
+        epochs,
+        epoch_forced_at,
     }
 }
 
 /// A number that names a history; nobody else's is the same.
-pub fn new_era() -> Era {
+pub fn new_epoch() -> Epoch {
     let now = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
         .unwrap_or_default();
-    Era((now.as_nanos() as u64) ^ u64::from(std::process::id()) << 48 | 1)
+    Epoch((now.as_nanos() as u64) ^ u64::from(std::process::id()) << 48 | 1)
 }
 
 /// Serves until it is told to stop. `started` gets the address it listens on.
@@ -183,17 +189,23 @@
         .clone()
         .ok_or("the settings name no state_service()")?;
     let told = |e: StoreFault| format!("store {}: {e}", o.store.display());
-    let (keeper, mut kept, _) = Keeper::open(&o.store, spec.max_trail).map_err(told)?;
-    if kept.era == Era(0) {
-        kept.era = new_era();
-        let (done, kept_it) = mpsc::channel();
-        keeper.keep(vec![Record::Era(kept.era)], move |r| drop(done.send(r)));
-        kept_it.recv().map_err(|e| e.to_string())?.map_err(told)?;
+    let (group_commit, mut persisted, _) =
+        GroupCommit::open(&o.store, spec.max_audit_log).map_err(told)?;
+    if persisted.epoch == Epoch(0) {
+        persisted.epoch = new_epoch();
+        let (done, persisted_it) = mpsc::channel();
+        group_commit.keep(vec![Record::Epoch(persisted.epoch)], move |r| {
+            drop(done.send(r))
+        });
+        persisted_it
+            .recv()
+            .map_err(|e| e.to_string())?
+            .map_err(told)?;
     }
-    let (era, fresh) = (kept.era, kept.version == Version(0));
+    let (epoch, fresh) = (persisted.epoch, persisted.version == Version(0));
     let now = clock::now();
-    let source = Source::new(
-        start(kept, &o.settings, &spec),
+    let leader = Leader::new(
+        start(persisted, &o.settings, &spec),
         spec.lease,
         spec.margin,
         spec.spread,
@@ -206,27 +218,27 @@
         .map(|s| s.deadline)
         .max()
         .unwrap_or_default();
-    let hosts = (0..o.settings.hosts.len() as u32).map(HostNo);
+    let hosts = (0..o.settings.hosts.len() as u32).map(HostNumber);
     let members = Membership::new(now, o.settings.rules.cold.warm_up_time, longest, hosts);
     let listener =
         TcpListener::bind(o.listen).map_err(|e| format!("cannot listen on {}: {e}", o.listen))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     let (to, heard) = mpsc::channel();
     let mut owner = Owner {
-        source,
+        leader,
         members,
         shown: Version(0),
-        sure: BTreeMap::new(),
+        acknowledged: BTreeMap::new(),
         asks: BTreeMap::new(),
-        notes: Notes::default(),
-        attending: BTreeMap::new(),
-        era,
-        keeper,
+        notes: EventLog::default(),
+        subscription: BTreeMap::new(),
+        epoch,
+        group_commit,
         to: to.clone(),
         peers: BTreeMap::new(),
         calls: BTreeMap::new(),
         next: 1,
-        trouble: String::new(),
+        store_fault: String::new(),
         snapshot_at: Instant::now() + spec.snapshot_every,
         snapshot_of: Version(u64::MAX),
         stopping: false,
@@ -245,24 +257,24 @@
 }
 
 struct Owner<'a> {
-    source: Source,
+    leader: Leader,
     members: Membership,
     /// Up to where the members know the catalog, and what hosts have said to have.
     shown: Version,
-    sure: BTreeMap<HostNo, Option<Version>>,
+    acknowledged: BTreeMap<HostNumber, Option<Version>>,
     /// Calls of theirs.
-    asks: BTreeMap<Call, Ask>,
-    notes: Notes,
-    attending: BTreeMap<u64, Attending>,
-    era: Era,
-    keeper: Keeper,
+    asks: BTreeMap<CallId, Ask>,
+    notes: EventLog,
+    subscription: BTreeMap<u64, Subscription>,
+    epoch: Epoch,
+    group_commit: GroupCommit,
     to: Sender<Heard>,
     peers: BTreeMap<u64, Peer>,
     /// Whose call, by which number, each of ours is.
-    calls: BTreeMap<Call, (u64, u64)>,
+    calls: BTreeMap<CallId, (u64, u64)>,
     next: u64,
     /// What the store last complained of.
-    trouble: String,
+    store_fault: String,
     snapshot_at: Instant,
     snapshot_of: Version,
     stopping: bool,
@@ -281,46 +293,47 @@
 impl Owner<'_> {
     /// The first entry is what the settings declare.
     fn declare(&mut self) -> Result<(), String> {
-        let (who, why) = (
+        let (author, reason) = (
             "settings".to_string(),
             format!("declared in {}", self.o.file),
         );
-        let (changes, at, force, looked_at) = (declared(&self.o.settings), None, true, Version(0));
+        let (changes, at, force, base_version) =
+            (declared(&self.o.settings), None, true, Version(0));
         let proposal = Proposal {
-            who,
-            why,
-            looked_at,
+            author,
+            reason,
+            base_version,
             changes,
             at,
             force,
-            only_look: false,
+            dry_run: false,
         };
-        let call = Call(0);
+        let call = CallId(0);
         let mut refused = None;
-        for action in self.source.step(
+        for action in self.leader.step(
             clock::now(),
             wall(),
             vec![Event::Proposed { call, proposal }],
         ) {
             match action {
-                Action::Refused { why, .. } => refused = Some(why),
+                Action::Reject { reason, .. } => refused = Some(reason),
                 other => {
                     self.carry_out(vec![other]);
                 }
             }
         }
-        refused.map_or(Ok(()), |why| Err(format!("{}: {why}", self.o.file)))
+        refused.map_or(Ok(()), |reason| Err(format!("{}: {reason}", self.o.file)))
     }
 
     fn run(&mut self, heard: &Receiver<Heard>) {
         loop {
             let now = clock::now();
-            let wake = [self.source.wake_at(), self.members.wake_at()]
+            let wake = [self.leader.wake_at(), self.members.wake_at()]
                 .into_iter()
                 .flatten()
                 .min();
             let wake = wake.map_or(IDLE, |at| at.saturating_sub(now).min(IDLE));
-            let wake = if self.attending.is_empty() {
+            let wake = if self.subscription.is_empty() {
                 wake
             } else {
                 wake.min(SPACING)
@@ -334,7 +347,7 @@
             for h in first.into_iter().chain(heard.try_iter().take(ONE_STEP)) {
                 self.hear(h, &mut events, &mut seen);
             }
-            let actions = self.source.step(clock::now(), wall(), events);
+            let actions = self.leader.step(clock::now(), wall(), events);
             seen.extend(self.carry_out(actions));
             self.tell_members(seen);
             self.tell_attending();
@@ -349,45 +362,49 @@
     /// they want is brought before the catalog, which may answer at once.
     fn tell_members(&mut self, mut seen: Vec<Seen>) {
         for _ in 0..ROUNDS {
-            let kept = self.source.kept();
-            if kept > self.shown {
+            let persisted = self.leader.persisted();
+            if persisted > self.shown {
                 let anew =
-                    self.source.catalog().since(self.shown).is_none() || self.shown == Version(0);
-                let changes: Vec<(Version, Change)> = match self.source.catalog().since(self.shown)
+                    self.leader.catalog().since(self.shown).is_none() || self.shown == Version(0);
+                let changes: Vec<(Version, Change)> = match self.leader.catalog().since(self.shown)
                 {
-                    Some(entries) if !anew => {
-                        let kept = entries.filter(|e| e.version <= kept);
-                        kept.flat_map(|e| e.changes.iter().map(|c| (e.version, c.clone())))
+                    Some(revisions) if !anew => {
+                        let persisted = revisions.filter(|e| e.version <= persisted);
+                        persisted
+                            .flat_map(|e| e.changes.iter().map(|c| (e.version, c.clone())))
                             .collect()
                     }
                     _ => {
                         let at = |c: &Change| {
-                            self.source.catalog().touched(&c.subject()).unwrap_or(kept)
+                            self.leader
+                                .catalog()
+                                .last_changed(&c.subject())
+                                .unwrap_or(persisted)
                         };
-                        self.source
+                        self.leader
                             .catalog()
-                            .state_at(kept)
+                            .state_at(persisted)
                             .map(|c| (at(&c), c))
                             .collect()
                     }
                 };
-                seen.push(Seen::Kept { version: kept });
+                seen.push(Seen::Persisted { version: persisted });
                 seen.extend(
                     changes
                         .into_iter()
                         .filter_map(|(version, c)| member_event(version, c)),
                 );
-                self.shown = kept;
+                self.shown = persisted;
             }
-            let follows: Vec<(HostNo, Option<Version>)> = self
-                .source
+            let follows: Vec<(HostNumber, Option<Version>)> = self
+                .leader
                 .follows()
                 .enumerate()
-                .map(|(i, (_, has))| (HostNo(i as u32), has))
+                .map(|(i, (_, applied))| (HostNumber(i as u32), applied))
                 .collect();
             for (host, version) in follows {
-                if self.sure.insert(host, version) != Some(version) {
-                    seen.push(Seen::Sure { host, version });
+                if self.acknowledged.insert(host, version) != Some(version) {
+                    seen.push(Seen::Acknowledged { host, version });
                 }
             }
             let due = self.members.wake_at().is_some_and(|at| at <= clock::now());
@@ -404,26 +421,28 @@
                         ask,
                         node,
                         to,
-                        looked_at,
-                        why,
+                        base_version,
+                        reason,
                     } => {
                         self.next += 1;
-                        let call = Call(self.next);
+                        let call = CallId(self.next);
                         self.asks.insert(call, ask);
-                        let (who, changes) =
+                        let (author, changes) =
                             ("drains".to_string(), vec![Change::Drain { node, to }]);
                         let proposal = Proposal {
-                            who,
-                            why,
-                            looked_at,
+                            author,
+                            reason,
+                            base_version,
                             changes,
                             at: None,
                             force: false,
-                            only_look: false,
+                            dry_run: false,
                         };
                         events.push(Event::Proposed { call, proposal });
                     }
-                    Wanted::Unfit { node, how } => events.push(Event::Unfit { node, how }),
+                    Wanted::Unfit { node, how } => {
+                        events.push(Event::NodeUnavailable { node, how })
+                    }
                     Wanted::Note { node, text } => {
                         info!(node, "{text}");
                         self.notes.add(wall(), Some(node), text);
@@ -431,39 +450,39 @@
                 }
             }
             if !events.is_empty() {
-                let actions = self.source.step(clock::now(), wall(), events);
+                let actions = self.leader.step(clock::now(), wall(), events);
                 seen.extend(self.carry_out(actions));
             }
         }
     }
 
     fn tell_attending(&mut self) {
-        if self.attending.is_empty() {
+        if self.subscription.is_empty() {
             return;
         }
         let hosts = self.host_status();
         let present = Present {
-            source: &self.source,
+            leader: &self.leader,
             members: &self.members,
             notes: &self.notes,
-            era: self.era.0,
-            trouble: &self.trouble,
+            epoch: self.epoch.0,
+            store_fault: &self.store_fault,
             hosts: &hosts,
         };
-        for (conn, attending) in &mut self.attending {
+        for (conn, subscription) in &mut self.subscription {
             let Some(peer) = self.peers.get(conn) else {
                 continue;
             };
-            attending.tell(&present, Instant::now(), |a| {
-                peer.line.put(Body::Attended(a))
+            subscription.tell(&present, Instant::now(), |a| {
+                peer.line.put(Body::SubscriptionUpdate(a))
             });
         }
     }
 
     fn host_status(&self) -> Vec<pb::HostStatus> {
         let waits: BTreeMap<Name, bool> = self
-            .source
-            .waits_for(self.source.kept())
+            .leader
+            .waits_for(self.leader.persisted())
             .into_iter()
             .collect();
         let up: BTreeSet<&str> = self
@@ -472,10 +491,10 @@
             .filter(|p| p.host.is_some())
             .map(|p| p.name.as_str())
             .collect();
-        let hosts = self.source.follows().map(|(name, has)| pb::HostStatus {
+        let hosts = self.leader.follows().map(|(name, applied)| pb::HostStatus {
             name: name.to_string(),
-            heard_of: has.is_some(),
-            has: has.unwrap_or_default().0,
+            heard_of: applied.is_some(),
+            applied: applied.unwrap_or_default().0,
             holds_up: waits.contains_key(name),
             silent: waits.get(name).copied().unwrap_or(false),
             up: up.contains(&**name),
@@ -483,10 +502,10 @@
         hosts.collect()
     }
 
-    fn call(&mut self, conn: u64, theirs: u64) -> Call {
+    fn call(&mut self, conn: u64, theirs: u64) -> CallId {
         self.next += 1;
-        self.calls.insert(Call(self.next), (conn, theirs));
-        Call(self.next)
+        self.calls.insert(CallId(self.next), (conn, theirs));
+        CallId(self.next)
     }
 
     fn hear(&mut self, heard: Heard, events: &mut Vec<Event>, seen: &mut Vec<Seen>) {
@@ -500,7 +519,7 @@
                     .position(|h| h.name == them.name);
                 let host = match (them.role(), at) {
                     (pb::Role::Operator, _) => None,
-                    (pb::Role::Host, Some(at)) => Some(HostNo(at as u32)),
+                    (pb::Role::Host, Some(at)) => Some(HostNumber(at as u32)),
                     _ => {
                         warn!(name = %them.name, "neither an operator nor a host of these settings");
                         return line.hang_up();
@@ -533,14 +552,14 @@
                 );
             }
             Heard::Gone { conn } => {
-                self.attending.remove(&conn);
+                self.subscription.remove(&conn);
                 let lost = self
                     .peers
                     .remove(&conn)
                     .filter(|p| !p.stale)
                     .and_then(|p| p.host);
                 seen.extend(lost.map(|host| Seen::Lost { host }));
-                let gone: Vec<Call> = self
+                let gone: Vec<CallId> = self
                     .calls
                     .iter()
                     .filter(|c| c.1 .0 == conn)
@@ -548,26 +567,26 @@
                     .collect();
                 for call in gone {
                     self.calls.remove(&call);
-                    events.push(Event::Hung { call });
+                    events.push(Event::CallerDisconnected { call });
                 }
             }
             Heard::Frame { conn, body } => self.frame(conn, *body, events, seen),
-            Heard::Kept { upto } => {
-                self.trouble.clear();
+            Heard::StoredState { upto } => {
+                self.store_fault.clear();
                 self.unkept.retain(|n| *n > upto);
-                events.push(Event::Kept { upto });
+                events.push(Event::Persisted { upto });
             }
-            Heard::NotKept { number, why } => {
-                error!("not kept: {why}");
-                self.trouble = why.clone();
+            Heard::PersistFailed { number, reason } => {
+                error!("not kept: {reason}");
+                self.store_fault = reason.clone();
                 self.unkept.retain(|n| *n > number);
-                events.push(Event::NotKept { number, why });
+                events.push(Event::PersistFailed { number, reason });
             }
-            Heard::Shown { conn, shown } => {
+            Heard::QueryResult { conn, shown } => {
                 self.peers
                     .get(&conn)
                     .into_iter()
-                    .for_each(|p| p.line.put(Body::Shown(*shown.clone())));
+                    .for_each(|p| p.line.put(Body::QueryResult(*shown.clone())));
             }
             Heard::Stop => {
                 info!("ending: {} records wait to be kept", self.unkept.len());
@@ -581,51 +600,58 @@
             return;
         };
         match (body, peer.host) {
-            (Body::Sighted(s), Some(host)) => {
+            (Body::NodeObservations(s), Some(host)) => {
                 let each = s.nodes.into_iter().map(|n| (n.node, sight_of(&n)));
                 seen.extend(each.map(|(node, sight)| Seen::Seen { host, node, sight }));
             }
-            (Body::Attend(a), None) => drop(self.attending.insert(conn, Attending::new(a.call))),
-            (Body::Follow(f), Some(host)) => {
+            (Body::Subscribe(a), None) => {
+                drop(self.subscription.insert(conn, Subscription::new(a.call)))
+            }
+            (Body::FollowRequest(f), Some(host)) => {
                 let call = self.call(conn, f.call);
-                let (has, settled, sure) = (Version(f.has), Version(f.settled), Version(f.sure));
-                events.push(Event::Asked {
+                let (applied, stable, acknowledged) = (
+                    Version(f.applied),
+                    Version(f.stable),
+                    Version(f.acknowledged),
+                );
+                events.push(Event::Polled {
                     call,
                     host,
-                    era: Era(f.era),
-                    has,
-                    settled,
-                    sure,
+                    epoch: Epoch(f.epoch),
+                    applied,
+                    stable,
+                    acknowledged,
                 });
             }
-            (Body::Confirm(c), Some(host)) => {
-                events.push(Event::Confirmed {
+            (Body::Acknowledge(c), Some(host)) => {
+                events.push(Event::Acknowledged {
                     host,
-                    era: Era(c.era),
-                    has: Version(c.has),
+                    epoch: Epoch(c.epoch),
+                    applied: Version(c.applied),
                 });
             }
             (Body::Propose(p), None) => {
                 let call = self.call(conn, p.call);
-                match changes_of(p.changes) {
-                    Err(why) => {
-                        self.carry_out(vec![Action::Refused {
+                match changes_from_proto(p.changes) {
+                    Err(reason) => {
+                        self.carry_out(vec![Action::Reject {
                             call,
-                            why: why.to_string(),
+                            reason: reason.to_string(),
                         }]);
                     }
                     Ok(changes) => {
-                        let looked_at =
-                            p.looked_at.map_or(self.source.catalog().version(), Version);
+                        let base_version = p
+                            .base_version
+                            .map_or(self.leader.catalog().version(), Version);
                         let at = p.at_us.map(Duration::from_micros);
                         let proposal = Proposal {
-                            who: p.who,
-                            why: p.why,
-                            looked_at,
+                            author: p.author,
+                            reason: p.reason,
+                            base_version,
                             changes,
                             at,
                             force: p.force,
-                            only_look: p.only_look,
+                            dry_run: p.dry_run,
                         };
                         events.push(Event::Proposed { call, proposal });
                     }
@@ -635,9 +661,9 @@
                 let call = self.call(conn, u.call);
                 events.push(Event::Undo {
                     call,
-                    who: u.who,
-                    why: u.why,
-                    entry: Version(u.entry),
+                    author: u.author,
+                    reason: u.reason,
+                    revision: Version(u.revision),
                     force: u.force,
                 });
             }
@@ -646,29 +672,29 @@
                 let at = self.o.settings.hosts.iter().position(|h| h.name == g.host);
                 match at {
                     Some(at) => {
-                        let host = HostNo(at as u32);
-                        events.push(Event::Gone {
+                        let host = HostNumber(at as u32);
+                        events.push(Event::HostRemoved {
                             call,
                             host,
-                            who: g.who,
+                            author: g.author,
                         });
-                        seen.push(Seen::Gone { host });
+                        seen.push(Seen::HostRemoved { host });
                     }
                     None => {
-                        let why = format!("{} is no host here", g.host);
-                        self.carry_out(vec![Action::Refused { call, why }]);
+                        let reason = format!("{} is no host here", g.host);
+                        self.carry_out(vec![Action::Reject { call, reason }]);
                     }
                 }
             }
-            (Body::Prevail(p), None) => {
+            (Body::ForceEpoch(p), None) => {
                 let call = self.call(conn, p.call);
-                events.push(Event::Prevail {
+                events.push(Event::ForceEpoch {
                     call,
-                    who: p.who,
-                    why: p.why,
+                    author: p.author,
+                    reason: p.reason,
                 });
             }
-            (Body::Look(l), None) => self.look(conn, l),
+            (Body::Query(l), None) => self.query(conn, l),
             (Body::GoingAway(_), _) => {}
             _ => {
                 warn!(name = %peer.name, "said what is not for it to say");
@@ -677,55 +703,55 @@
         }
     }
 
-    fn look(&mut self, conn: u64, l: pb::Look) {
+    fn query(&mut self, conn: u64, l: pb::Query) {
         let line = self.peers[&conn].line.clone();
-        let (version, settled) = (self.source.kept(), self.source.settled());
-        let head = pb::Shown {
+        let (version, stable) = (self.leader.persisted(), self.leader.stable());
+        let head = pb::QueryResult {
             call: l.call,
             version: version.0,
-            settled: settled.0,
-            era: self.era.0,
-            trouble: self.trouble.clone(),
-            ..pb::Shown::default()
+            stable: stable.0,
+            epoch: self.epoch.0,
+            store_fault: self.store_fault.clone(),
+            ..pb::QueryResult::default()
         };
         match l.what() {
             What::State => {
                 let state = self
-                    .source
+                    .leader
                     .catalog()
                     .state_at(version)
-                    .map(|c| change_pb(&c));
+                    .map(|c| change_to_proto(&c));
                 in_parts(state, |state, more| {
-                    line.put(Body::Shown(pb::Shown {
+                    line.put(Body::QueryResult(pb::QueryResult {
                         state,
                         more,
                         ..head.clone()
                     }));
                 });
             }
-            What::Trail => {
+            What::AuditLog => {
                 let all = self
-                    .source
+                    .leader
                     .catalog()
-                    .trail()
+                    .audit_log()
                     .filter(|e| e.version <= version && e.version.0 > l.after);
                 let n = all.clone().count();
                 let most = if l.most == 0 { n } else { l.most as usize };
-                let entries = all.skip(n.saturating_sub(most)).map(entry_pb);
-                in_parts(entries, |entries, more| {
-                    line.put(Body::Shown(pb::Shown {
-                        entries,
+                let revisions = all.skip(n.saturating_sub(most)).map(revision_to_proto);
+                in_parts(revisions, |revisions, more| {
+                    line.put(Body::QueryResult(pb::QueryResult {
+                        revisions,
                         more,
                         ..head.clone()
                     }));
                 });
             }
             What::Status | What::Unknown => {
-                let missing = self.source.admission().missing();
-                let (short, out_of_reach) = (missing.short, missing.out_of_reach);
-                let behind = self.source.behind().map(|v| v.0);
+                let shortfall = self.leader.admission().shortfall();
+                let (short, out_of_reach) = (shortfall.short, shortfall.out_of_reach);
+                let behind = self.leader.behind().map(|v| v.0);
                 let hosts = self.host_status();
-                line.put(Body::Shown(pb::Shown {
+                line.put(Body::QueryResult(pb::QueryResult {
                     hosts,
                     short,
                     out_of_reach,
@@ -735,11 +761,11 @@
             }
             What::Proposal => {
                 // It may take seconds, and hosts must not wait for it.
-                let site = self.source.admission().site(self.source.catalog());
+                let site = self.leader.admission().site(self.leader.catalog());
                 let mut empty: BTreeSet<u32> = l.empty.into_iter().collect();
-                empty.extend(self.source.admission().drains());
+                empty.extend(self.leader.admission().drains());
                 let sizes: BTreeMap<u64, u64> = self
-                    .source
+                    .leader
                     .catalog()
                     .volumes()
                     .map(|(id, v)| (id, v.blocks * 512))
@@ -752,19 +778,19 @@
                         bytes,
                     };
                     let p = moves::propose(&site, &empty, size).unwrap_or_default();
-                    let each = |m: &moves::Move| pb::MoveExtents {
+                    let each = |m: &moves::Move| pb::ExtentMove {
                         volume: m.volume,
                         from: m.from,
                         to: m.to,
                         extents: m.extents,
                         bytes: m.bytes,
                     };
-                    let shown = pb::Shown {
+                    let shown = pb::QueryResult {
                         moves: p.moves.iter().map(each).collect(),
                         short: p.short,
                         ..head
                     };
-                    let _ = to.send(Heard::Shown {
+                    let _ = to.send(Heard::QueryResult {
                         conn,
                         shown: Box::new(shown),
                     });
@@ -787,7 +813,7 @@
         let mut answered = Vec::new();
         for action in actions {
             match action {
-                Action::Keep { number, what } => {
+                Action::Persist { number, what } => {
                     numbers = (
                         if records.is_empty() {
                             number
@@ -803,41 +829,41 @@
                     call,
                     from,
                     to,
-                    whole,
-                    settled,
+                    snapshot,
+                    stable,
                     lease,
                 } => {
-                    self.grant(call, (from, to), whole, settled, lease);
+                    self.grant(call, (from, to), snapshot, stable, lease);
                 }
-                Action::Behind { call, has } => {
-                    warn!("a host has followed entry {}, which is not known here; an operator must say what counts", has.0);
-                    self.say(call, |call| Body::FeedBehind(pb::FeedBehind { call }));
+                Action::Behind { call, applied } => {
+                    warn!("a host has followed entry {}, which is not known here; an operator must say what counts", applied.0);
+                    self.say(call, |call| Body::LeaderBehind(pb::LeaderBehind { call }));
                 }
-                Action::Landed { call, .. } if self.asks.contains_key(&call) => {
-                    answered.extend(self.asks.remove(&call).map(|ask| Seen::Landed { ask }));
+                Action::Committed { call, .. } if self.asks.contains_key(&call) => {
+                    answered.extend(self.asks.remove(&call).map(|ask| Seen::Committed { ask }));
                 }
-                Action::Refused { call, why } if self.asks.contains_key(&call) => {
+                Action::Reject { call, reason } if self.asks.contains_key(&call) => {
                     answered.extend(
                         self.asks
                             .remove(&call)
-                            .map(|ask| Seen::Refused { ask, why }),
+                            .map(|ask| Seen::Rejected { ask, reason }),
                     );
                 }
-                Action::Landed {
+                Action::Committed {
                     call,
                     version,
-                    opinion,
+                    verdict,
                 } => {
-                    let waits = self.source.waits_for(version);
+                    let waits = self.leader.waits_for(version);
                     let waits_for = waits
                         .iter()
                         .filter(|w| w.1)
                         .map(|w| w.0.to_string())
                         .collect();
-                    let warnings = opinion.warnings.iter().map(|w| w.to_string()).collect();
-                    let (unseen, blind) = (opinion.unseen as u32, opinion.blind);
+                    let warnings = verdict.warnings.iter().map(|w| w.to_string()).collect();
+                    let (unseen, blind) = (verdict.unseen as u32, verdict.blind);
                     self.say(call, |call| {
-                        Body::Landed(pb::Landed {
+                        Body::ChangeCommitted(pb::ChangeCommitted {
                             call,
                             version: version.0,
                             warnings,
@@ -847,19 +873,20 @@
                         })
                     });
                 }
-                Action::Refused { call, why } => {
-                    self.say(call, |call| Body::Refused(pb::Refused { call, why }))
-                }
-                Action::Would { call, opinion } => {
-                    let version = self.source.catalog().version().0;
+                Action::Reject { call, reason } => self.say(call, |call| {
+                    Body::ChangeRejected(pb::ChangeRejected { call, reason })
+                }),
+                Action::Preview { call, verdict } => {
+                    let version = self.leader.catalog().version().0;
                     let words = |all: &[Reason]| all.iter().map(|r| r.to_string()).collect();
-                    let (against, warnings) = (words(&opinion.against), words(&opinion.warnings));
-                    let (unseen, blind) = (opinion.unseen as u32, opinion.blind);
+                    let (objections, warnings) =
+                        (words(&verdict.objections), words(&verdict.warnings));
+                    let (unseen, blind) = (verdict.unseen as u32, verdict.blind);
                     self.say(call, |call| {
-                        Body::Would(pb::Would {
+                        Body::ChangePreview(pb::ChangePreview {
                             call,
                             version,
-                            against,
+                            objections,
                             warnings,
                             unseen,
                             blind,
@@ -871,13 +898,13 @@
         }
         if !records.is_empty() {
             let (to, (first, last)) = (self.to.clone(), numbers);
-            self.keeper.keep(records, move |done| {
+            self.group_commit.keep(records, move |done| {
                 let _ = to.send(match done {
-                    Ok(()) => Heard::Kept { upto: last },
+                    Ok(()) => Heard::StoredState { upto: last },
                     // All of them are one commit: with the first nothing is kept.
-                    Err(why) => Heard::NotKept {
+                    Err(reason) => Heard::PersistFailed {
                         number: first,
-                        why: why.to_string(),
+                        reason: reason.to_string(),
                     },
                 });
             });
@@ -885,19 +912,19 @@
         answered
     }
 
-    fn record(&self, what: Keep) -> Record {
+    fn record(&self, what: Persist) -> Record {
         match what {
-            Keep::Entry(e) => Record::Entry(e),
-            Keep::Prevails(e) => Record::Prevails(e),
-            Keep::Settled(v) => Record::Settled(v),
-            Keep::Has(host, has) => Record::Has(
+            Persist::Revision(e) => Record::Revision(e),
+            Persist::EpochForced(e) => Record::EpochForced(e),
+            Persist::Stable(v) => Record::Stable(v),
+            Persist::Has(host, applied) => Record::Has(
                 self.o.settings.hosts[host.0 as usize].name.as_str().into(),
-                has,
+                applied,
             ),
         }
     }
 
-    fn say(&mut self, call: Call, body: impl FnOnce(u64) -> Body) {
+    fn say(&mut self, call: CallId, body: impl FnOnce(u64) -> Body) {
         let Some((conn, theirs)) = self.calls.remove(&call) else {
             return;
         };
@@ -908,10 +935,10 @@
 
     fn grant(
         &mut self,
-        call: Call,
+        call: CallId,
         (from, to): (Version, Version),
-        whole: bool,
-        settled: Version,
+        snapshot: bool,
+        stable: Version,
         lease: Duration,
     ) {
         let Some((conn, theirs)) = self.calls.remove(&call) else {
@@ -921,39 +948,40 @@
             return;
         };
         let me = Name::from(peer.name.as_str());
-        let catalog = self.source.catalog();
-        let head = pb::Feed {
+        let catalog = self.leader.catalog();
+        let head = pb::ConfigUpdate {
             call: theirs,
-            era: self.era.0,
+            epoch: self.epoch.0,
             version: to.0,
-            settled: settled.0,
+            stable: stable.0,
             lease_us: clock::micros(lease),
-            whole,
+            snapshot,
             at: from.0,
-            ..pb::Feed::default()
+            ..pb::ConfigUpdate::default()
         };
-        if whole {
+        if snapshot {
             let state = catalog
                 .state_at(from)
                 .filter(|c| is_for(c, &me))
-                .map(|c| change_pb(&c));
+                .map(|c| change_to_proto(&c));
             in_parts(state, |state, _| {
-                peer.line.put(Body::Feed(pb::Feed {
+                peer.line.put(Body::ConfigUpdate(pb::ConfigUpdate {
                     state,
                     more: true,
                     ..head.clone()
                 }));
             });
         }
-        let entries = catalog
+        let revisions = catalog
             .since(from)
             .into_iter()
             .flatten()
             .filter(|e| e.version <= to);
-        let entries = entries.map(|e: &Entry| entry_pb(&for_host(catalog, settled, e, &me)));
-        in_parts(entries, |entries, more| {
-            peer.line.put(Body::Feed(pb::Feed {
-                entries,
+        let revisions =
+            revisions.map(|e: &Revision| revision_to_proto(&for_host(catalog, stable, e, &me)));
+        in_parts(revisions, |revisions, more| {
+            peer.line.put(Body::ConfigUpdate(pb::ConfigUpdate {
+                revisions,
                 more,
                 ..head.clone()
             }));
@@ -962,20 +990,20 @@
 
     /// A snapshot when it is time and something has changed.
     fn snapshot(&mut self) {
-        let version = self.source.kept();
+        let version = self.leader.persisted();
         if Instant::now() < self.snapshot_at || version == self.snapshot_of {
             return;
         }
         self.snapshot_at = Instant::now() + self.spec.snapshot_every;
         self.snapshot_of = version;
         let path = self.o.store.with_extension("snapshot");
-        self.keeper.read(move |all| {
+        self.group_commit.read(move |all| {
             std::thread::spawn(move || {
                 let written = all
                     .and_then(|all| snapshot::write(&path, &all, wall()).map(|()| all.0.version));
                 match written {
                     Ok(version) => info!(version = version.0, "snapshot in {}", path.display()),
-                    Err(why) => error!("no snapshot: {why}"),
+                    Err(reason) => error!("no snapshot: {reason}"),
                 }
             });
         });
@@ -986,7 +1014,7 @@
 fn member_event(version: Version, change: Change) -> Option<Seen> {
     match change {
         Change::Node { id, to } => {
-            let to = to.map(|n| Facts {
+            let to = to.map(|n| NodeFacts {
                 name: n.name,
                 zone: n.zone,
                 shard: n.shard,
@@ -998,12 +1026,12 @@
     }
 }
 
-fn sight_of(n: &pb::NodeSight) -> Sight {
+fn sight_of(n: &pb::NodeObservation) -> Sight {
     let word = match n.listed() {
-        pb::NodeState::NodeUnknown => Word::Never,
-        pb::NodeState::Ready => Word::Ready,
-        pb::NodeState::Draining => Word::Draining,
-        pb::NodeState::Gone => Word::Gone,
+        pb::NodeState::NodeUnknown => ListedState::Never,
+        pb::NodeState::Ready => ListedState::Ready,
+        pb::NodeState::Draining => ListedState::Draining,
+        pb::NodeState::Gone => ListedState::Gone,
     };
     let answers = match n.answers() {
         pb::Answering::NotAsked => Answers::None,
@@ -1184,7 +1212,7 @@
 /// What a store's file and its settings disagree in, for whoever looks at it without a service.
 pub fn differences(settings: &Settings, state: impl IntoIterator<Item = Change>) -> Vec<Change> {
     let catalog = |state: Vec<Change>| {
-        Catalog::new(facts(settings), 1).restored(Version(1), state, Vec::new())
+        Catalog::new(deployment(settings), 1).restored(Version(1), state, Vec::new())
     };
-    catalog(declared(settings)).towards(&catalog(state.into_iter().collect()))
+    catalog(declared(settings)).changes_towards(&catalog(state.into_iter().collect()))
 }
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -5,11 +5,11 @@
 //! short is seen for what it is. Restoring builds a new store beside the old one, which is moved aside and
 //! never deleted, and begins a new era, since hosts may have followed what the snapshot does not know.
 
-use crate::codec::{change_of, change_pb, entry_of, entry_pb};
+use crate::codec::{change_from_proto, change_to_proto, revision_from_proto, revision_to_proto};
 use crate::extents::Extents;
-use crate::store::{Keep, Kept, Store, StoreFault};
+use crate::store::{Record, Store, StoreFault, StoredState};
 use grebecleat_plans::changes::Version;
-use grebecleat_plans::source::Era;
+use grebecleat_plans::leader::Epoch;
 use grebecleat_wire::{frame, pb};
 use pb::snapshot::Part;
 use prost::Message;
@@ -26,7 +26,7 @@
 const AT_ONCE: usize = 20_000;
 
 /// What is in a store.
-pub type All = (Kept, BTreeMap<u64, Extents>);
+pub type All = (StoredState, BTreeMap<u64, Extents>);
 
 fn disk(path: &Path, e: &io::Error) -> StoreFault {
     StoreFault::Disk {
@@ -60,14 +60,14 @@
 }
 
 /// Writes a snapshot; at every moment the file is the old one or the new one. `at`: since 1970.
-pub fn write(path: &Path, (kept, places): &All, at: Duration) -> Result<(), StoreFault> {
-    let beside = path.with_extension("writing");
-    let written = write_file(&beside, kept, places, at);
+pub fn write(path: &Path, (persisted, places): &All, at: Duration) -> Result<(), StoreFault> {
+    let exclusion_reason = path.with_extension("writing");
+    let written = write_file(&exclusion_reason, persisted, places, at);
     let moved = written
-        .and_then(|()| std::fs::rename(&beside, path))
+        .and_then(|()| std::fs::rename(&exclusion_reason, path))
         .and_then(|()| sync_folder(path));
     moved.map_err(|e| {
-        let _ = std::fs::remove_file(&beside);
+        let _ = std::fs::remove_file(&exclusion_reason);
         disk(path, &e)
     })
 }
@@ -82,7 +82,7 @@
 
 fn write_file(
     path: &Path,
-    kept: &Kept,
+    persisted: &StoredState,
     places: &BTreeMap<u64, Extents>,
     at: Duration,
 ) -> io::Result<()> {
@@ -94,29 +94,31 @@
     };
     w.put(Part::Head(pb::SnapshotHead {
         format: FORMAT,
-        version: kept.version.0,
-        settled: kept.settled.0,
-        prevailed: kept.prevailed.0,
-        era: kept.era.0,
-        eras: kept
-            .eras
+        version: persisted.version.0,
+        stable: persisted.stable.0,
+        epoch_forced_at: persisted.epoch_forced_at.0,
+        epoch: persisted.epoch.0,
+        epochs: persisted
+            .epochs
             .iter()
-            .map(|(era, upto)| (era.0, upto.0))
+            .map(|(epoch, upto)| (epoch.0, upto.0))
             .collect(),
-        hosts: kept
+        hosts: persisted
             .hosts
             .iter()
-            .map(|(name, has)| (name.to_string(), has.0))
+            .map(|(name, applied)| (name.to_string(), applied.0))
             .collect(),
-        ceiling: kept.ceiling,
+        ceiling: persisted.ceiling,
         at_us: grebecleat_wire::clock::micros(at),
     }))?;
-    kept.state
+    persisted
+        .state
         .iter()
-        .try_for_each(|c| w.put(Part::State(change_pb(c))))?;
-    kept.trail
+        .try_for_each(|c| w.put(Part::State(change_to_proto(c))))?;
+    persisted
+        .audit_log
         .iter()
-        .try_for_each(|e| w.put(Part::Entry(entry_pb(e))))?;
+        .try_for_each(|e| w.put(Part::Revision(revision_to_proto(e))))?;
     for (volume, lies) in places {
         for (first, extents, shard) in lies.iter() {
             w.put(Part::Extents(pb::SnapshotExtents {
@@ -137,7 +139,7 @@
 pub fn read(path: &Path) -> Result<All, StoreFault> {
     let mut file = File::open(path).map_err(|e| disk(path, &e))?;
     let mut reader = frame::Reader::new(MAX_PART);
-    let (mut kept, mut places) = (Kept::default(), BTreeMap::<u64, Extents>::new());
+    let (mut persisted, mut places) = (StoredState::default(), BTreeMap::<u64, Extents>::new());
     let (mut parts, mut crc, mut over) = (0, 0, false);
     loop {
         let part = match reader
@@ -161,27 +163,30 @@
                         schema: u64::from(h.format),
                     });
                 }
-                (kept.version, kept.settled) = (Version(h.version), Version(h.settled));
-                (kept.prevailed, kept.era, kept.ceiling) =
-                    (Version(h.prevailed), Era(h.era), h.ceiling);
-                kept.eras = h
-                    .eras
+                (persisted.version, persisted.stable) = (Version(h.version), Version(h.stable));
+                (
+                    persisted.epoch_forced_at,
+                    persisted.epoch,
+                    persisted.ceiling,
+                ) = (Version(h.epoch_forced_at), Epoch(h.epoch), h.ceiling);
+                persisted.epochs = h
+                    .epochs
                     .into_iter()
-                    .map(|(era, upto)| (Era(era), Version(upto)))
+                    .map(|(epoch, upto)| (Epoch(epoch), Version(upto)))
                     .collect();
-                kept.eras.sort_unstable();
-                kept.hosts = h
+                persisted.epochs.sort_unstable();
+                persisted.hosts = h
                     .hosts
                     .into_iter()
-                    .map(|(name, has)| (name.into(), Version(has)))
+                    .map(|(name, applied)| (name.into(), Version(applied)))
                     .collect();
             }
-            Some(Part::State(c)) if parts > 0 => {
-                kept.state.push(change_of(c).map_err(|e| damaged(path, e))?)
-            }
-            Some(Part::Entry(e)) if parts > 0 => {
-                kept.trail.push(entry_of(e).map_err(|e| damaged(path, e))?)
-            }
+            Some(Part::State(c)) if parts > 0 => persisted
+                .state
+                .push(change_from_proto(c).map_err(|e| damaged(path, e))?),
+            Some(Part::Revision(e)) if parts > 0 => persisted
+                .audit_log
+                .push(revision_from_proto(e).map_err(|e| damaged(path, e))?),
             Some(Part::Extents(e)) if parts > 0 => {
                 let lies = places.entry(e.volume).or_default();
                 let end = e
@@ -202,17 +207,17 @@
         crc = crc32c::crc32c_append(crc, &bytes);
     }
     match over {
-        true => Ok((kept, places)),
+        true => Ok((persisted, places)),
         false => Err(damaged(path, "it ends early")),
     }
 }
 
 /// Builds a store from a snapshot, in a new era. Where one was it is moved aside; answers to where.
-pub fn restore(snapshot: &Path, store: &Path, era: Era) -> Result<Option<PathBuf>, StoreFault> {
-    let (kept, places) = read(snapshot)?;
-    let beside = store.with_extension("restoring");
-    let _ = std::fs::remove_file(&beside);
-    fill(&beside, &kept, &places, era)?;
+pub fn restore(snapshot: &Path, store: &Path, epoch: Epoch) -> Result<Option<PathBuf>, StoreFault> {
+    let (persisted, places) = read(snapshot)?;
+    let exclusion_reason = store.with_extension("restoring");
+    let _ = std::fs::remove_file(&exclusion_reason);
+    fill(&exclusion_reason, &persisted, &places, epoch)?;
     let mut aside = None;
     if store.exists() {
         let n = (1..)
@@ -222,45 +227,55 @@
         std::fs::rename(store, &to).map_err(|e| disk(store, &e))?;
         aside = Some(to);
     }
-    let moved = std::fs::rename(&beside, store).and_then(|()| sync_folder(store));
+    let moved = std::fs::rename(&exclusion_reason, store).and_then(|()| sync_folder(store));
     moved.map_err(|e| disk(store, &e))?;
     Ok(aside)
 }
 
 fn fill(
     path: &Path,
-    kept: &Kept,
+    persisted: &StoredState,
     places: &BTreeMap<u64, Extents>,
-    era: Era,
+    epoch: Epoch,
 ) -> Result<(), StoreFault> {
     let (mut store, ..) = Store::open(path, u64::MAX)?;
-    let (version, state, trail) = (kept.version, kept.state.clone(), kept.trail.clone());
+    let (version, state, audit_log) = (
+        persisted.version,
+        persisted.state.clone(),
+        persisted.audit_log.clone(),
+    );
     let mut batch = vec![
-        Keep::Whole {
+        Record::Whole {
             version,
             state,
-            trail,
+            audit_log,
         },
-        Keep::Settled(kept.settled),
-        Keep::Prevailed(kept.prevailed),
-        Keep::Ceiling(kept.ceiling),
-        Keep::Past(kept.era, kept.version),
-        Keep::Era(era),
+        Record::Stable(persisted.stable),
+        Record::Prevailed(persisted.epoch_forced_at),
+        Record::Ceiling(persisted.ceiling),
+        Record::Past(persisted.epoch, persisted.version),
+        Record::Epoch(epoch),
     ];
-    batch.extend(kept.eras.iter().map(|(era, upto)| Keep::Past(*era, *upto)));
-    // Of hosts that it does not name nobody knows whether they joined since: see `Keep::Restored`.
-    batch.push(Keep::Restored);
     batch.extend(
-        kept.hosts
+        persisted
+            .epochs
+            .iter()
+            .map(|(epoch, upto)| Record::Past(*epoch, *upto)),
+    );
+    // Of hosts that it does not name nobody knows whether they joined since: see `Record::Restored`.
+    batch.push(Record::Restored);
+    batch.extend(
+        persisted
+            .hosts
             .iter()
-            .map(|(name, has)| Keep::Has(name.clone(), *has)),
+            .map(|(name, applied)| Record::Has(name.clone(), *applied)),
     );
     store.keep(&batch)?;
     let runs = places
         .iter()
         .flat_map(|(volume, lies)| lies.iter().map(move |run| (*volume, run)));
     let each = runs.flat_map(|(volume, (first, n, shard))| {
-        (first..first + n).map(move |extent| Keep::Place {
+        (first..first + n).map(move |extent| Record::Place {
             volume,
             extent,
             shard,
--- a/crates/state/src/store.rs
+++ b/crates/state/src/store.rs
@@ -16,10 +16,10 @@
 //!
 //! Memory: what the caller keeps of it, and a cache of [`CACHE`] bytes.
 
-use crate::codec::{change_of, change_pb, entry_of, entry_pb};
+use crate::codec::{change_from_proto, change_to_proto, revision_from_proto, revision_to_proto};
 use crate::extents::Extents;
-use grebecleat_plans::changes::{Change, Entry, Name, Subject, Version};
-use grebecleat_plans::source::Era;
+use grebecleat_plans::changes::{Change, Name, Revision, Subject, Version};
+use grebecleat_plans::leader::Epoch;
 use grebecleat_wire::pb;
 use prost::Message;
 use redb::{
@@ -40,8 +40,8 @@
 const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 /// Records of the catalog by subject, see [`key`].
 const STATE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("state");
-const TRAIL: TableDefinition<u64, &[u8]> = TableDefinition::new("trail");
-const ERAS: TableDefinition<u64, u64> = TableDefinition::new("eras");
+const AUDIT_LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("trail");
+const EPOCHS: TableDefinition<u64, u64> = TableDefinition::new("eras");
 const HOSTS: TableDefinition<&str, u64> = TableDefinition::new("hosts");
 const EXTENTS: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("extents");
 /// Of schema 1.
@@ -116,16 +116,16 @@
 
 /// What is to be on the disk.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Keep {
-    Entry(Entry),
+pub enum Record {
+    Revision(Revision),
     /// An entry from which on the state prevails over all others.
-    Prevails(Entry),
-    Settled(Version),
+    EpochForced(Revision),
+    Stable(Version),
     /// What a host said to have.
     Has(Name, Version),
-    Era(Era),
+    Epoch(Epoch),
     /// An earlier era, and up to which version it is part of this history.
-    Past(Era, Version),
+    Past(Epoch, Version),
     Prevailed(Version),
     /// It was put back from a snapshot: hosts that it does not name may be there.
     Restored,
@@ -133,7 +133,7 @@
     Whole {
         version: Version,
         state: Vec<Change>,
-        trail: Vec<Entry>,
+        audit_log: Vec<Revision>,
     },
     Place {
         volume: u64,
@@ -146,14 +146,14 @@
 
 /// Everything of a store but where extents lie.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Kept {
+pub struct StoredState {
     pub version: Version,
     pub state: Vec<Change>,
-    pub trail: Vec<Entry>,
-    pub settled: Version,
-    pub prevailed: Version,
-    pub era: Era,
-    pub eras: Vec<(Era, Version)>,
+    pub audit_log: Vec<Revision>,
+    pub stable: Version,
+    pub epoch_forced_at: Version,
+    pub epoch: Epoch,
+    pub epochs: Vec<(Epoch, Version)>,
     pub hosts: BTreeMap<Name, Version>,
     pub ceiling: u64,
     /// It was put back from a snapshot: a host that is not named may have followed what is not known here.
@@ -196,7 +196,7 @@
     way: Way,
     /// None after a failure, until it could be opened again.
     db: Option<Database>,
-    max_trail: u64,
+    max_audit_log: u64,
     /// What the caller was told to be on the disk.
     version: Version,
 }
@@ -230,7 +230,7 @@
         Subject::Volume(id) => (2, id.to_be_bytes().to_vec()),
         Subject::Drain(id) => (3, id.to_be_bytes().to_vec()),
         Subject::Target(name) => (4, name.as_bytes().to_vec()),
-        Subject::Timed(id) => (5, id.to_be_bytes().to_vec()),
+        Subject::Scheduled(id) => (5, id.to_be_bytes().to_vec()),
     };
     [vec![kind], name].concat()
 }
@@ -299,7 +299,7 @@
 
     fn state(&mut self, c: &Change) -> Told<()> {
         let mut table = self.write.open_table(STATE)?;
-        let (key, bytes) = (key(&c.subject()), change_pb(c).encode_to_vec());
+        let (key, bytes) = (key(&c.subject()), change_to_proto(c).encode_to_vec());
         self.put(
             &mut table,
             0,
@@ -309,9 +309,9 @@
         )
     }
 
-    fn trail(&mut self, e: &Entry) -> Told<()> {
-        let mut table = self.write.open_table(TRAIL)?;
-        let bytes = entry_pb(e).encode_to_vec();
+    fn audit_log(&mut self, e: &Revision) -> Told<()> {
+        let mut table = self.write.open_table(AUDIT_LOG)?;
+        let bytes = revision_to_proto(e).encode_to_vec();
         self.put(
             &mut table,
             1,
@@ -322,7 +322,7 @@
     }
 
     fn untrail(&mut self, version: u64) -> Told<()> {
-        let mut table = self.write.open_table(TRAIL)?;
+        let mut table = self.write.open_table(AUDIT_LOG)?;
         self.put(&mut table, 1, version, &version.to_be_bytes(), None)
     }
 
@@ -341,9 +341,9 @@
         Ok(())
     }
 
-    fn host(&mut self, name: &str, has: u64) -> Told<()> {
+    fn host(&mut self, name: &str, applied: u64) -> Told<()> {
         let mut table = self.write.open_table(HOSTS)?;
-        let old = table.insert(name, has)?.map(|v| v.value());
+        let old = table.insert(name, applied)?.map(|v| v.value());
         if let Some(old) = old {
             self.sum = self
                 .sum
@@ -351,20 +351,20 @@
         }
         self.sum = self
             .sum
-            .wrapping_add(part(4, name.as_bytes(), &has.to_be_bytes()));
+            .wrapping_add(part(4, name.as_bytes(), &applied.to_be_bytes()));
         Ok(())
     }
 
-    fn era(&mut self, era: u64, upto: u64) -> Told<()> {
-        let mut table = self.write.open_table(ERAS)?;
-        if let Some(old) = table.insert(era, upto)?.map(|v| v.value()) {
+    fn epoch(&mut self, epoch: u64, upto: u64) -> Told<()> {
+        let mut table = self.write.open_table(EPOCHS)?;
+        if let Some(old) = table.insert(epoch, upto)?.map(|v| v.value()) {
             self.sum = self
                 .sum
-                .wrapping_sub(part(5, &era.to_be_bytes(), &old.to_be_bytes()));
+                .wrapping_sub(part(5, &epoch.to_be_bytes(), &old.to_be_bytes()));
         }
         self.sum = self
             .sum
-            .wrapping_add(part(5, &era.to_be_bytes(), &upto.to_be_bytes()));
+            .wrapping_add(part(5, &epoch.to_be_bytes(), &upto.to_be_bytes()));
         Ok(())
     }
 
@@ -396,47 +396,53 @@
 }
 
 impl Store {
-    /// Opens the file, or makes it, and reads all that is in it. `most_trail`: entries that are kept of the
+    /// Opens the file, or makes it, and reads all that is in it. `max_audit_log`: entries that are kept of the
     /// trail, and all that are not settled.
-    pub fn open(path: &Path, max_trail: u64) -> Told<(Store, Kept, BTreeMap<u64, Extents>)> {
-        Store::open_way(Way::File(path.to_path_buf()), max_trail)
+    pub fn open(
+        path: &Path,
+        max_audit_log: u64,
+    ) -> Told<(Store, StoredState, BTreeMap<u64, Extents>)> {
+        Store::open_way(Way::File(path.to_path_buf()), max_audit_log)
     }
 
     /// The same on a disk that a test makes.
     pub fn open_on(
         disk: impl Fn() -> Box<dyn StorageBackend> + Send + 'static,
-        max_trail: u64,
-    ) -> Told<(Store, Kept, BTreeMap<u64, Extents>)> {
-        Store::open_way(Way::Backend(Box::new(disk)), max_trail)
+        max_audit_log: u64,
+    ) -> Told<(Store, StoredState, BTreeMap<u64, Extents>)> {
+        Store::open_way(Way::Backend(Box::new(disk)), max_audit_log)
     }
 
-    fn open_way(way: Way, max_trail: u64) -> Told<(Store, Kept, BTreeMap<u64, Extents>)> {
+    fn open_way(
+        way: Way,
+        max_audit_log: u64,
+    ) -> Told<(Store, StoredState, BTreeMap<u64, Extents>)> {
         caught(move || {
             let mut db = database(&way)?;
             migrate(&mut db)?;
-            let (kept, places) = read(&db)?;
-            let version = kept.version;
+            let (persisted, places) = read(&db)?;
+            let version = persisted.version;
             Ok((
                 Store {
                     way,
                     db: Some(db),
-                    max_trail,
+                    max_audit_log,
                     version,
                 },
-                kept,
+                persisted,
                 places,
             ))
         })
     }
 
     /// Puts all of it on the disk, whole or not at all. After a fault it may be called again.
-    pub fn keep(&mut self, batch: &[Keep]) -> Told<()> {
+    pub fn keep(&mut self, batch: &[Record]) -> Told<()> {
         let told = self.version;
         let db = match self.db.take() {
             Some(db) => db,
             None => database(&self.way)?,
         };
-        let after = caught(|| commit(&db, batch, told, self.max_trail));
+        let after = caught(|| commit(&db, batch, told, self.max_audit_log));
         match after {
             Ok(version) => {
                 (self.version, self.db) = (version, Some(db));
@@ -445,8 +451,8 @@
             Err(StoreFault::Disk { what }) => {
                 drop(db);
                 let last = batch.iter().rev().find_map(|k| match k {
-                    Keep::Entry(e) | Keep::Prevails(e) => Some(e.version),
-                    Keep::Whole { version, .. } => Some(*version),
+                    Record::Revision(e) | Record::EpochForced(e) => Some(e.version),
+                    Record::Whole { version, .. } => Some(*version),
                     _ => None,
                 });
                 let again = caught(|| {
@@ -475,7 +481,7 @@
     }
 
     /// Everything again, as it is on the disk.
-    pub fn read(&mut self) -> Told<(Kept, BTreeMap<u64, Extents>)> {
+    pub fn read(&mut self) -> Told<(StoredState, BTreeMap<u64, Extents>)> {
         let db = match self.db.take() {
             Some(db) => db,
             None => database(&self.way)?,
@@ -490,12 +496,14 @@
 fn caught<T>(f: impl FnOnce() -> Told<T>) -> Told<T> {
     match std::panic::catch_unwind(AssertUnwindSafe(f)) {
         Ok(told) => told,
-        Err(why) => {
-            let why = why
+        Err(reason) => {
+            let reason = reason
                 .downcast_ref::<String>()
                 .cloned()
-                .or_else(|| why.downcast_ref::<&str>().map(|s| s.to_string()));
-            Err(damaged(why.unwrap_or_else(|| "it cannot be read".into())))
+                .or_else(|| reason.downcast_ref::<&str>().map(|s| s.to_string()));
+            Err(damaged(
+                reason.unwrap_or_else(|| "it cannot be read".into()),
+            ))
         }
     }
 }
@@ -541,8 +549,8 @@
             sum: 0,
         };
         let mut chunks: BTreeMap<(u64, u64), Vec<(u64, u32)>> = BTreeMap::new();
-        for entry in write.open_table(PLACES)?.iter()? {
-            let (at, shard) = entry?;
+        for revision in write.open_table(PLACES)?.iter()? {
+            let (at, shard) = revision?;
             let (volume, extent) = at.value();
             chunks
                 .entry((volume, extent / CHUNK))
@@ -557,8 +565,8 @@
             batch.number("ceiling", ceiling)?;
         }
         write.open_table(STATE)?;
-        write.open_table(TRAIL)?;
-        write.open_table(ERAS)?;
+        write.open_table(AUDIT_LOG)?;
+        write.open_table(EPOCHS)?;
         write.open_table(HOSTS)?;
         write.open_table(EXTENTS)?;
         batch.meta("sum", batch.sum)?;
@@ -571,12 +579,12 @@
 }
 
 /// Reads and checks everything.
-fn read(db: &Database) -> Told<(Kept, BTreeMap<u64, Extents>)> {
+fn read(db: &Database) -> Told<(StoredState, BTreeMap<u64, Extents>)> {
     let read = db.begin_read()?;
-    let (mut kept, mut sum) = (Kept::default(), 0u64);
+    let (mut persisted, mut sum) = (StoredState::default(), 0u64);
     let mut told = None;
-    for entry in read.open_table(META)?.iter()? {
-        let (name, value) = entry?;
+    for revision in read.open_table(META)?.iter()? {
+        let (name, value) = revision?;
         let (name, value) = (name.value(), value.value());
         match name {
             "schema" => continue,
@@ -584,23 +592,23 @@
                 told = Some(value);
                 continue;
             }
-            "version" => kept.version = Version(value),
-            "settled" => kept.settled = Version(value),
-            "prevailed" => kept.prevailed = Version(value),
-            "era" => kept.era = Era(value),
-            "ceiling" => kept.ceiling = value,
-            "restored" => kept.restored = value > 0,
+            "version" => persisted.version = Version(value),
+            "settled" => persisted.stable = Version(value),
+            "prevailed" => persisted.epoch_forced_at = Version(value),
+            "era" => persisted.epoch = Epoch(value),
+            "ceiling" => persisted.ceiling = value,
+            "restored" => persisted.restored = value > 0,
             other => return Err(damaged(format!("a figure named {other}"))),
         }
         sum = sum.wrapping_add(part(3, name.as_bytes(), &value.to_be_bytes()));
     }
-    for entry in read.open_table(STATE)?.iter()? {
-        let (at, bytes) = entry?;
+    for revision in read.open_table(STATE)?.iter()? {
+        let (at, bytes) = revision?;
         let (at, bytes) = (at.value(), bytes.value());
         let what = || format!("a record of kind {:?}", at.first());
         let value = opened(at, bytes, &what)?;
         let change = pb::Change::decode(value).map_err(|e| damaged(format!("{}: {e}", what())))?;
-        let change = change_of(change).map_err(|e| damaged(format!("{}: {e}", what())))?;
+        let change = change_from_proto(change).map_err(|e| damaged(format!("{}: {e}", what())))?;
         if key(&change.subject()) != at || change.ends() {
             return Err(damaged(format!(
                 "{} stands in the place of another",
@@ -608,49 +616,65 @@
             )));
         }
         sum = sum.wrapping_add(part(0, at, bytes));
-        kept.state.push(change);
+        persisted.state.push(change);
     }
-    for entry in read.open_table(TRAIL)?.iter()? {
-        let (version, bytes) = entry?;
+    for revision in read.open_table(AUDIT_LOG)?.iter()? {
+        let (version, bytes) = revision?;
         let (version, bytes) = (version.value(), bytes.value());
         let what = || format!("entry {version} of the trail");
         let value = opened(&version.to_be_bytes(), bytes, &what)?;
-        let entry =
-            pb::ChangeEntry::decode(value).map_err(|e| damaged(format!("{}: {e}", what())))?;
-        let entry = entry_of(entry).map_err(|e| damaged(format!("{}: {e}", what())))?;
-        let follows = kept.trail.last().is_none_or(|l| l.version == entry.from);
-        if entry.version.0 != version || !follows {
+        let revision =
+            pb::Revision::decode(value).map_err(|e| damaged(format!("{}: {e}", what())))?;
+        let revision =
+            revision_from_proto(revision).map_err(|e| damaged(format!("{}: {e}", what())))?;
+        let follows = persisted
+            .audit_log
+            .last()
+            .is_none_or(|l| l.version == revision.from);
+        if revision.version.0 != version || !follows {
             return Err(damaged(format!(
                 "{} does not follow the one before it",
                 what()
             )));
         }
         sum = sum.wrapping_add(part(1, &version.to_be_bytes(), bytes));
-        kept.trail.push(entry);
+        persisted.audit_log.push(revision);
     }
-    if kept.trail.last().is_some_and(|l| l.version != kept.version) {
+    if persisted
+        .audit_log
+        .last()
+        .is_some_and(|l| l.version != persisted.version)
+    {
         return Err(damaged(format!(
             "the trail ends before version {}",
-            kept.version.0
+            persisted.version.0
         )));
     }
-    for entry in read.open_table(ERAS)?.iter()? {
-        let (era, upto) = entry?;
+    for revision in read.open_table(EPOCHS)?.iter()? {
+        let (epoch, upto) = revision?;
         sum = sum.wrapping_add(part(
             5,
-            &era.value().to_be_bytes(),
+            &epoch.value().to_be_bytes(),
             &upto.value().to_be_bytes(),
         ));
-        kept.eras.push((Era(era.value()), Version(upto.value())));
+        persisted
+            .epochs
+            .push((Epoch(epoch.value()), Version(upto.value())));
     }
-    for entry in read.open_table(HOSTS)?.iter()? {
-        let (name, has) = entry?;
-        sum = sum.wrapping_add(part(4, name.value().as_bytes(), &has.value().to_be_bytes()));
-        kept.hosts.insert(name.value().into(), Version(has.value()));
+    for revision in read.open_table(HOSTS)?.iter()? {
+        let (name, applied) = revision?;
+        sum = sum.wrapping_add(part(
+            4,
+            name.value().as_bytes(),
+            &applied.value().to_be_bytes(),
+        ));
+        persisted
+            .hosts
+            .insert(name.value().into(), Version(applied.value()));
     }
     let mut places: BTreeMap<u64, Extents> = BTreeMap::new();
-    for entry in read.open_table(EXTENTS)?.iter()? {
-        let (at, bytes) = entry?;
+    for revision in read.open_table(EXTENTS)?.iter()? {
+        let (at, bytes) = revision?;
         let ((volume, chunk), bytes) = (at.value(), bytes.value());
         let what = || {
             format!(
@@ -673,11 +697,11 @@
     if told != Some(sum) {
         return Err(damaged("records are missing, or older than the rest"));
     }
-    Ok((kept, places))
+    Ok((persisted, places))
 }
 
 /// One batch; answers the version that is then there.
-fn commit(db: &Database, batch: &[Keep], told: Version, max_trail: u64) -> Told<Version> {
+fn commit(db: &Database, batch: &[Record], told: Version, max_audit_log: u64) -> Told<Version> {
     let write = db.begin_write()?;
     let version = {
         let figure = |name: &str| -> Told<u64> {
@@ -687,33 +711,33 @@
             write: &write,
             sum: figure("sum")?,
         };
-        let (mut version, mut settled) = (figure("version")?, figure("settled")?);
+        let (mut version, mut stable) = (figure("version")?, figure("settled")?);
         // An earlier commit arrived, though it was told that it failed.
-        let anew = batch.iter().any(|k| matches!(k, Keep::Whole { .. }));
+        let anew = batch.iter().any(|k| matches!(k, Record::Whole { .. }));
         while version > told.0 && !anew {
             let last = write
-                .open_table(TRAIL)?
+                .open_table(AUDIT_LOG)?
                 .get(version)?
                 .map(|v| v.value().to_vec());
             let last = last.ok_or_else(|| damaged(format!("entry {version} is missing")))?;
             let value = opened(&version.to_be_bytes(), &last, &|| {
                 format!("entry {version} of the trail")
             })?;
-            let entry = pb::ChangeEntry::decode(value).map_err(damaged)?;
-            let entry = entry_of(entry).map_err(damaged)?;
-            for c in &entry.before {
+            let revision = pb::Revision::decode(value).map_err(damaged)?;
+            let revision = revision_from_proto(revision).map_err(damaged)?;
+            for c in &revision.before {
                 b.state(c)?;
             }
             b.untrail(version)?;
-            version = entry.from.0;
-            if entry.version != entry.from.next() {
+            version = revision.from.0;
+            if revision.version != revision.from.next() {
                 b.number("prevailed", 0)?; // an operator is asked again
             }
         }
         let mut chunks: BTreeMap<(u64, u64), Vec<(u64, u32)>> = BTreeMap::new();
         for keep in batch {
             match keep {
-                Keep::Entry(e) | Keep::Prevails(e) => {
+                Record::Revision(e) | Record::EpochForced(e) => {
                     if e.from.0 != version {
                         let what =
                             format!("entry {} does not follow version {version}", e.version.0);
@@ -722,33 +746,33 @@
                     for c in &e.changes {
                         b.state(c)?;
                     }
-                    b.trail(e)?;
+                    b.audit_log(e)?;
                     version = e.version.0;
-                    if matches!(keep, Keep::Prevails(_)) {
+                    if matches!(keep, Record::EpochForced(_)) {
                         b.number("prevailed", version)?;
                     }
                 }
-                Keep::Settled(v) => settled = v.0,
-                Keep::Has(name, v) => b.host(name, v.0)?,
-                Keep::Era(era) => b.number("era", era.0)?,
-                Keep::Past(era, upto) => b.era(era.0, upto.0)?,
-                Keep::Prevailed(v) => b.number("prevailed", v.0)?,
-                Keep::Restored => b.number("restored", 1)?,
-                Keep::Whole {
+                Record::Stable(v) => stable = v.0,
+                Record::Has(name, v) => b.host(name, v.0)?,
+                Record::Epoch(epoch) => b.number("era", epoch.0)?,
+                Record::Past(epoch, upto) => b.epoch(epoch.0, upto.0)?,
+                Record::Prevailed(v) => b.number("prevailed", v.0)?,
+                Record::Restored => b.number("restored", 1)?,
+                Record::Whole {
                     version: v,
                     state,
-                    trail,
+                    audit_log,
                 } => {
                     clear(&mut b)?;
                     for c in state {
                         b.state(c)?;
                     }
-                    for e in trail {
-                        b.trail(e)?;
+                    for e in audit_log {
+                        b.audit_log(e)?;
                     }
                     version = v.0;
                 }
-                Keep::Place {
+                Record::Place {
                     volume,
                     extent,
                     shard,
@@ -758,23 +782,26 @@
                         .or_default()
                         .push((*extent, *shard));
                 }
-                Keep::Ceiling(c) => b.number("ceiling", *c)?,
+                Record::Ceiling(c) => b.number("ceiling", *c)?,
             }
         }
         for ((volume, chunk), placed) in chunks {
             b.places(volume, chunk, &placed)?;
         }
         // The trail is as long as it may be, and longer only by what is not settled.
-        let before = version.saturating_sub(max_trail).min(settled);
+        let before = version.saturating_sub(max_audit_log).min(stable);
         loop {
-            let first = write.open_table(TRAIL)?.first()?.map(|(v, _)| v.value());
+            let first = write
+                .open_table(AUDIT_LOG)?
+                .first()?
+                .map(|(v, _)| v.value());
             match first.filter(|v| *v <= before) {
                 Some(v) => b.untrail(v)?,
                 None => break,
             }
         }
         b.number("version", version)?;
-        b.number("settled", settled)?;
+        b.number("settled", stable)?;
         b.meta("sum", b.sum)?;
         version
     };
@@ -796,7 +823,7 @@
     }
     let versions: Vec<u64> = b
         .write
-        .open_table(TRAIL)?
+        .open_table(AUDIT_LOG)?
         .iter()?
         .map(|e| e.map(|(v, _)| v.value()))
         .collect::<Result<_, _>>()?;
