--- a/crates/state/src/attending.rs
+++ b/crates/state/src/subscription.rs
@@ -5,12 +5,12 @@
 //! that reads slowly is told less often and nothing twice. Memory: for each that attends what it was last
 //! told of nodes, and the last [`MOST_NOTES`] events.
 
-use crate::codec::{change_pb, entry_pb};
-use grebecleat_membership::drains::{Membership, Phase, Shown, ShownDrain};
-use grebecleat_membership::life::Life;
-use grebecleat_plans::changes::{Entry, Version};
-use grebecleat_plans::feed::HostNo;
-use grebecleat_plans::source::Source;
+use crate::codec::{change_to_proto, revision_to_proto};
+use grebecleat_membership::drains::{DrainView, Membership, NodeView, Phase};
+use grebecleat_membership::node_status::NodeStatus;
+use grebecleat_plans::changes::{Revision, Version};
+use grebecleat_plans::feed::HostNumber;
+use grebecleat_plans::leader::Leader;
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
 use std::collections::{BTreeMap, VecDeque};
@@ -22,14 +22,14 @@
 
 /// Events of nodes, the newest last, each by its number.
 #[derive(Default)]
-pub struct Notes {
+pub struct EventLog {
     first: u64,
-    notes: VecDeque<pb::Happened>,
+    notes: VecDeque<pb::EventLogEntry>,
 }
 
-impl Notes {
+impl EventLog {
     pub fn add(&mut self, at: Duration, node: Option<u32>, text: String) {
-        self.notes.push_back(pb::Happened {
+        self.notes.push_back(pb::EventLogEntry {
             at_us: micros(at),
             node,
             text,
@@ -44,40 +44,40 @@
         self.first + self.notes.len() as u64
     }
 
-    fn since(&self, number: u64) -> Vec<pb::Happened> {
+    fn since(&self, number: u64) -> Vec<pb::EventLogEntry> {
         let skip = number.saturating_sub(self.first) as usize;
         self.notes.iter().skip(skip).cloned().collect()
     }
 }
 
 /// One that attends.
-pub struct Attending {
+pub struct Subscription {
     call: u64,
     version: Option<Version>,
-    settled: Version,
-    nodes: BTreeMap<u32, pb::NodeShown>,
-    head: Option<pb::Attended>,
+    stable: Version,
+    nodes: BTreeMap<u32, pb::NodeReport>,
+    head: Option<pb::SubscriptionUpdate>,
     notes: u64,
     told: Option<Instant>,
 }
 
 /// What all that attend are told of, beside the source and the members.
 pub struct Present<'a> {
-    pub source: &'a Source,
+    pub leader: &'a Leader,
     pub members: &'a Membership,
-    pub notes: &'a Notes,
-    pub era: u64,
-    pub trouble: &'a str,
+    pub notes: &'a EventLog,
+    pub epoch: u64,
+    pub store_fault: &'a str,
     pub hosts: &'a [pb::HostStatus],
 }
 
-impl Attending {
+impl Subscription {
     pub fn new(call: u64) -> Self {
-        let (nodes, head, settled) = (BTreeMap::new(), None, Version(0));
-        Attending {
+        let (nodes, head, stable) = (BTreeMap::new(), None, Version(0));
+        Subscription {
             call,
             version: None,
-            settled,
+            stable,
             nodes,
             head,
             notes: 0,
@@ -91,32 +91,37 @@
     }
 
     /// What is new to it, in `give`; nothing if nothing is.
-    pub fn tell(&mut self, p: &Present, now: Instant, mut give: impl FnMut(pb::Attended)) {
+    pub fn tell(
+        &mut self,
+        p: &Present,
+        now: Instant,
+        mut give: impl FnMut(pb::SubscriptionUpdate),
+    ) {
         if self.due().is_some_and(|at| now < at) {
             return;
         }
-        let (version, settled) = (p.source.kept(), p.source.settled());
-        let missing = p.source.admission().missing();
-        let mut head = pb::Attended {
+        let (version, stable) = (p.leader.persisted(), p.leader.stable());
+        let shortfall = p.leader.admission().shortfall();
+        let mut head = pb::SubscriptionUpdate {
             call: self.call,
             version: version.0,
-            settled: settled.0,
-            era: p.era,
+            stable: stable.0,
+            epoch: p.epoch,
             hosts: p.hosts.to_vec(),
-            short: missing.short,
-            out_of_reach: missing.out_of_reach,
-            behind: p.source.behind().map(|v| v.0),
-            trouble: p.trouble.to_string(),
-            ..pb::Attended::default()
+            short: shortfall.short,
+            out_of_reach: shortfall.out_of_reach,
+            behind: p.leader.behind().map(|v| v.0),
+            store_fault: p.store_fault.to_string(),
+            ..pb::SubscriptionUpdate::default()
         };
-        let names = |h: &HostNo| {
+        let names = |h: &HostNumber| {
             p.hosts
                 .get(h.0 as usize)
                 .map(|h| h.name.clone())
                 .unwrap_or_default()
         };
         let mut changed = Vec::new();
-        for shown in p.members.shown(missing.short + missing.out_of_reach) {
+        for shown in p.members.shown(shortfall.short + shortfall.out_of_reach) {
             let node = node_pb(&shown, &names);
             if self
                 .nodes
@@ -128,39 +133,43 @@
             }
         }
         let happened = p.notes.since(self.notes);
-        let entries: Option<Vec<&Entry>> = self
+        let revisions: Option<Vec<&Revision>> = self
             .version
-            .and_then(|v| p.source.catalog().since(v))
+            .and_then(|v| p.leader.catalog().since(v))
             .map(Iterator::collect);
         let news = self.head.as_ref() != Some(&head) || !changed.is_empty() || !happened.is_empty();
-        if !news && self.version == Some(version) && self.settled == settled {
+        if !news && self.version == Some(version) && self.stable == stable {
             return;
         }
         (self.head, self.notes, self.told) = (Some(head.clone()), p.notes.end(), Some(now));
-        (self.settled, head.nodes, head.happened) = (settled, changed, happened);
-        match entries {
-            Some(entries) => {
-                head.entries = entries
+        (self.stable, head.nodes, head.happened) = (stable, changed, happened);
+        match revisions {
+            Some(revisions) => {
+                head.revisions = revisions
                     .into_iter()
                     .filter(|e| e.version <= version)
-                    .map(entry_pb)
+                    .map(revision_to_proto)
                     .collect();
                 give(head);
             }
             // At first, and where the trail no longer reaches back so far.
             None => {
-                let state = p.source.catalog().state_at(version).map(|c| change_pb(&c));
-                let first = pb::Attended {
-                    whole: true,
+                let state = p
+                    .leader
+                    .catalog()
+                    .state_at(version)
+                    .map(|c| change_to_proto(&c));
+                let first = pb::SubscriptionUpdate {
+                    snapshot: true,
                     ..head.clone()
                 };
                 let mut first = Some(first);
                 crate::serve::in_parts(state, |state, more| {
-                    let part = first.take().unwrap_or(pb::Attended {
+                    let part = first.take().unwrap_or(pb::SubscriptionUpdate {
                         call: self.call,
                         ..Default::default()
                     });
-                    give(pb::Attended {
+                    give(pb::SubscriptionUpdate {
                         state,
                         more,
                         ..part
@@ -173,14 +182,14 @@
 }
 
 /// Whether nothing but spans that run by themselves has changed.
-fn alike(told: &pb::NodeShown, now: &pb::NodeShown) -> bool {
-    let still = |n: &pb::NodeShown| {
-        let drain = n.drain.clone().map(|d| pb::DrainShown {
+fn alike(told: &pb::NodeReport, now: &pb::NodeReport) -> bool {
+    let still = |n: &pb::NodeReport| {
+        let drain = n.drain.clone().map(|d| pb::DrainStatus {
             left_us: None,
             unsure_us: 0,
             ..d
         });
-        pb::NodeShown {
+        pb::NodeReport {
             up_us: None,
             drain,
             ..n.clone()
@@ -189,33 +198,33 @@
     still(told) == still(now)
 }
 
-pub fn life_pb(life: Life) -> pb::LifeKind {
-    match life {
-        Life::Unknown => pb::LifeKind::Unknown,
-        Life::Warming => pb::LifeKind::Warming,
-        Life::Ready => pb::LifeKind::IsReady,
-        Life::Draining => pb::LifeKind::IsDraining,
-        Life::Empty => pb::LifeKind::IsEmpty,
-        Life::Out => pb::LifeKind::IsOut,
-        Life::Suspect => pb::LifeKind::Suspect,
-        Life::Back => pb::LifeKind::Back,
+pub fn node_status_to_proto(status: NodeStatus) -> pb::NodeStatusKind {
+    match status {
+        NodeStatus::Unknown => pb::NodeStatusKind::Unknown,
+        NodeStatus::Warming => pb::NodeStatusKind::Warming,
+        NodeStatus::Ready => pb::NodeStatusKind::IsReady,
+        NodeStatus::Draining => pb::NodeStatusKind::IsDraining,
+        NodeStatus::Empty => pb::NodeStatusKind::IsEmpty,
+        NodeStatus::Out => pb::NodeStatusKind::IsOut,
+        NodeStatus::Suspect => pb::NodeStatusKind::Suspect,
+        NodeStatus::Back => pb::NodeStatusKind::Back,
     }
 }
 
-pub fn life_of(life: pb::LifeKind) -> Life {
-    let all = Life::NAMES.iter().map(|l| l.0);
+pub fn node_status_from_proto(status: pb::NodeStatusKind) -> NodeStatus {
+    let all = NodeStatus::NAMES.iter().map(|l| l.0);
     all.into_iter()
-        .find(|l| life_pb(*l) == life)
+        .find(|l| node_status_to_proto(*l) == status)
         .unwrap_or_default()
 }
 
-fn node_pb(n: &Shown, names: &dyn Fn(&HostNo) -> String) -> pb::NodeShown {
-    pb::NodeShown {
+fn node_pb(n: &NodeView, names: &dyn Fn(&HostNumber) -> String) -> pb::NodeReport {
+    pb::NodeReport {
         node: n.node,
         name: n.facts.name.to_string(),
         zone: n.facts.zone.to_string(),
         shard: n.facts.shard,
-        life: life_pb(n.life).into(),
+        status: node_status_to_proto(n.node_status).into(),
         by: n.wins.to_string(),
         up_us: n.up.map(micros),
         start: n.reading.start,
@@ -223,18 +232,18 @@
     }
 }
 
-fn drain_pb(d: &ShownDrain, names: &dyn Fn(&HostNo) -> String) -> pb::DrainShown {
-    let mut shown = pb::DrainShown {
-        who: d.who.to_string(),
+fn drain_pb(d: &DrainView, names: &dyn Fn(&HostNumber) -> String) -> pb::DrainStatus {
+    let mut shown = pb::DrainStatus {
+        author: d.author.to_string(),
         asked_us: micros(d.asked),
         since_us: micros(d.since),
         left_us: d.left.map(micros),
         extents: d.extents,
-        ..pb::DrainShown::default()
+        ..pb::DrainStatus::default()
     };
     let phase = match &d.phase {
-        Phase::Waits { why } => {
-            shown.against = vec![why.clone()];
+        Phase::Waits { reason } => {
+            shown.objections = vec![reason.clone()];
             pb::DrainPhase::Waits
         }
         Phase::Telling { hosts } => {
@@ -254,8 +263,8 @@
             (shown.attempts, shown.most, shown.unsure_us) = (*attempts, *most, micros(*unsure));
             pb::DrainPhase::Quiescing
         }
-        Phase::Empty { against } => {
-            shown.against = against.clone();
+        Phase::Empty { objections } => {
+            shown.objections = objections.clone();
             pb::DrainPhase::NowEmpty
         }
         Phase::Out => pb::DrainPhase::TakenOut,
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -89,14 +89,14 @@
         let mut inner = self.0.lock().unwrap();
         let op = inner.ops;
         inner.ops += 1;
-        let why = match inner.fails {
+        let reason = match inner.fails {
             Some(Fails::DiesAt(at)) if op >= at => "the machine died",
             Some(Fails::OnceAt(at)) if op == at => "input/output error",
             Some(Fails::FullFrom(at, n)) if op >= at && op < at + n => "no space left on device",
             Some(Fails::ReadOnly) => "read-only file system",
             _ => return Ok(done(&mut inner)),
         };
-        Err(io::Error::other(why))
+        Err(io::Error::other(reason))
     }
 }
 
--- a/crates/state/tests/faults.rs
+++ b/crates/state/tests/faults.rs
@@ -5,21 +5,21 @@
 
 use common::{Disk, Fails};
 use grebecleat_plans::changes::*;
-use grebecleat_plans::source::Era;
+use grebecleat_plans::leader::Epoch;
 use grebecleat_state::extents::Extents;
-use grebecleat_state::store::{Keep, Kept, Store, StoreFault};
+use grebecleat_state::store::{Record, Store, StoreFault, StoredState};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const TRAIL: u64 = 6;
+const AUDIT_LOG: u64 = 6;
 
 /// What should be in the store.
 #[derive(Clone)]
 struct Model {
     catalog: Catalog,
-    settled: Version,
+    stable: Version,
     hosts: BTreeMap<Name, Version>,
     places: BTreeMap<(u64, u64), u32>,
     rng: Pcg64Mcg,
@@ -27,15 +27,15 @@
 
 impl Model {
     fn new(seed: u64) -> Self {
-        let facts = Facts {
+        let facts = Deployment {
             hosts: ["h1", "h2"].map(Name::from).into(),
             max_dispatch_delay: Duration::ZERO,
         };
-        let (settled, hosts, places) = (Version(0), BTreeMap::new(), BTreeMap::new());
+        let (stable, hosts, places) = (Version(0), BTreeMap::new(), BTreeMap::new());
         let rng = Pcg64Mcg::seed_from_u64(seed);
         Model {
             catalog: Catalog::new(facts, 1000),
-            settled,
+            stable,
             hosts,
             places,
             rng,
@@ -70,18 +70,18 @@
     }
 
     /// The next batch, laid over the model.
-    fn batch(&mut self) -> Vec<Keep> {
+    fn batch(&mut self) -> Vec<Record> {
         let mut batch = Vec::new();
         for _ in 0..self.rng.random_range(1..4) {
             let changes = self.change();
-            let by = Asks {
-                who: "op",
-                why: "test",
-                ..Asks::default()
+            let by = ChangeContext {
+                author: "op",
+                reason: "test",
+                ..ChangeContext::default()
             };
-            if let Ok(entry) = self.catalog.propose(self.catalog.version(), by, changes) {
-                self.catalog.take(entry.clone()).unwrap();
-                batch.push(Keep::Entry(entry));
+            if let Ok(revision) = self.catalog.propose(self.catalog.version(), by, changes) {
+                self.catalog.apply(revision.clone()).unwrap();
+                batch.push(Record::Revision(revision));
             }
             let (volume, extent, shard) = (
                 self.rng.random_range(0..3),
@@ -89,31 +89,35 @@
                 self.rng.random_range(0..5),
             );
             self.places.insert((volume, extent), shard);
-            batch.push(Keep::Place {
+            batch.push(Record::Place {
                 volume,
                 extent,
                 shard,
             });
         }
         if self.rng.random() {
-            self.settled = Version(
+            self.stable = Version(
                 self.rng
-                    .random_range(self.settled.0..=self.catalog.version().0),
+                    .random_range(self.stable.0..=self.catalog.version().0),
             );
-            batch.push(Keep::Settled(self.settled));
+            batch.push(Record::Stable(self.stable));
         }
         if self.rng.random() {
-            let (host, has) = (Name::from("h1"), self.catalog.version());
-            self.hosts.insert(host.clone(), has);
-            batch.push(Keep::Has(host, has));
+            let (host, applied) = (Name::from("h1"), self.catalog.version());
+            self.hosts.insert(host.clone(), applied);
+            batch.push(Record::Has(host, applied));
         }
         batch
     }
 
     /// Whether that is what is in the store.
-    fn is(&self, kept: &Kept, places: &BTreeMap<u64, Extents>) -> Result<(), String> {
+    fn is(&self, persisted: &StoredState, places: &BTreeMap<u64, Extents>) -> Result<(), String> {
         let then = Catalog::new(self.catalog.facts().clone(), 1000);
-        let then = then.restored(kept.version, kept.state.clone(), kept.trail.clone());
+        let then = then.restored(
+            persisted.version,
+            persisted.state.clone(),
+            persisted.audit_log.clone(),
+        );
         let all = |l: &Catalog| l.state().collect::<Vec<_>>();
         let lies: BTreeMap<(u64, u64), u32> = places
             .iter()
@@ -125,23 +129,26 @@
             .collect();
         let own = (
             self.catalog.version(),
-            self.settled,
+            self.stable,
             &self.hosts,
             &self.places,
         );
-        let found = (kept.version, kept.settled, &kept.hosts, &lies);
+        let found = (persisted.version, persisted.stable, &persisted.hosts, &lies);
         if own != found || all(&then) != all(&self.catalog) {
             return Err(format!(
                 "version {:?} and not {:?}, or not the same in it",
-                kept.version,
+                persisted.version,
                 self.catalog.version()
             ));
         }
         // The trail leads from where it begins to the state, and holds what is not settled.
-        let first = kept.trail.first().map_or(kept.version, |e| e.from);
-        if first > self.settled
-            || kept
-                .trail
+        let first = persisted
+            .audit_log
+            .first()
+            .map_or(persisted.version, |e| e.from);
+        if first > self.stable
+            || persisted
+                .audit_log
                 .iter()
                 .zip(self.catalog.since(first).unwrap())
                 .any(|(a, b)| a != b)
@@ -152,9 +159,9 @@
     }
 }
 
-fn open(disk: &Disk) -> Result<(Store, Kept, BTreeMap<u64, Extents>), StoreFault> {
+fn open(disk: &Disk) -> Result<(Store, StoredState, BTreeMap<u64, Extents>), StoreFault> {
     let disk = disk.clone();
-    Store::open_on(move || disk.backend(), TRAIL)
+    Store::open_on(move || disk.backend(), AUDIT_LOG)
 }
 
 /// Batches until one is not kept; the states that may be found then.
@@ -175,11 +182,11 @@
 
 #[test]
 fn the_machine_dies_at_every_write_and_every_sync_in_turn() {
-    let whole = Disk::default();
-    run(1, 8, &whole);
+    let snapshot = Disk::default();
+    run(1, 8, &snapshot);
     let made = Disk::default();
     drop(open(&made));
-    let (from, to) = (made.ops(), whole.ops());
+    let (from, to) = (made.ops(), snapshot.ops());
     assert!(to - from > 60, "{from} to {to}");
     let mut found = [0, 0];
     for at in 0..to {
@@ -188,26 +195,28 @@
         let may_be = run(1, 8, &disk);
         for seed in 0..4 {
             let disk = Disk::of(disk.after_death(at * 100 + seed));
-            let (mut store, kept, places) = match open(&disk) {
+            let (mut store, persisted, places) = match open(&disk) {
                 Ok(opened) => opened,
                 // Of a store whose making was cut off nothing was ever said to be kept.
                 Err(_) if at < from => continue,
                 Err(fault) => panic!("died at {at}, seed {seed}: {fault}"),
             };
-            let which = may_be.iter().position(|m| m.is(&kept, &places).is_ok());
+            let which = may_be
+                .iter()
+                .position(|m| m.is(&persisted, &places).is_ok());
             let which = which.unwrap_or_else(|| {
                 panic!(
                     "died at {at}, seed {seed}: {:?}",
-                    may_be[0].is(&kept, &places)
+                    may_be[0].is(&persisted, &places)
                 )
             });
             found[which] += 1;
             // And it goes on from there.
             let mut model = may_be[which].clone();
             store.keep(&model.batch()).expect("the disk is well");
-            let (kept, places) = store.read().unwrap();
+            let (persisted, places) = store.read().unwrap();
             model
-                .is(&kept, &places)
+                .is(&persisted, &places)
                 .unwrap_or_else(|e| panic!("died at {at}, seed {seed}, gone on: {e}"));
         }
     }
@@ -222,12 +231,12 @@
 /// One operation fails and the process lives on: whether the batch arrived or not, what is told then holds.
 #[test]
 fn every_operation_fails_once_and_the_process_goes_on() {
-    let whole = Disk::default();
-    run(2, 8, &whole);
+    let snapshot = Disk::default();
+    run(2, 8, &snapshot);
     let made = Disk::default();
     drop(open(&made));
     let (mut failed, mut unknown) = (0, 0);
-    for at in made.ops()..whole.ops() {
+    for at in made.ops()..snapshot.ops() {
         for fails in [Fails::OnceAt(at), Fails::FullFrom(at, 12)] {
             let disk = Disk::default();
             let (mut store, ..) = open(&disk).unwrap();
@@ -249,7 +258,7 @@
                     };
                     // Places and what hosts have may stand there: nobody was told that they do.
                     for keep in &batch {
-                        if let Keep::Place { volume, extent, .. } = keep {
+                        if let Record::Place { volume, extent, .. } = keep {
                             model.places.remove(&(*volume, *extent));
                         }
                     }
@@ -257,14 +266,14 @@
             }
             disk.fails(Fails::Never);
             store.keep(&[]).unwrap_or_else(|e| panic!("{fails:?}: {e}"));
-            let (kept, places) = store.read().unwrap_or_else(|e| panic!("{fails:?}: {e}"));
+            let (persisted, places) = store.read().unwrap_or_else(|e| panic!("{fails:?}: {e}"));
             model
-                .like(&kept, &places)
+                .like(&persisted, &places)
                 .unwrap_or_else(|e| panic!("{fails:?}: {e}"));
             drop(store);
-            let (_, kept, places) = open(&disk).unwrap_or_else(|e| panic!("{fails:?}: {e}"));
+            let (_, persisted, places) = open(&disk).unwrap_or_else(|e| panic!("{fails:?}: {e}"));
             model
-                .like(&kept, &places)
+                .like(&persisted, &places)
                 .unwrap_or_else(|e| panic!("{fails:?}, after a start: {e}"));
         }
     }
@@ -276,13 +285,19 @@
 
 impl Model {
     /// The catalog is as told; what else stands there may be more than was told.
-    fn like(&self, kept: &Kept, places: &BTreeMap<u64, Extents>) -> Result<(), String> {
+    fn like(&self, persisted: &StoredState, places: &BTreeMap<u64, Extents>) -> Result<(), String> {
         let then = Catalog::new(self.catalog.facts().clone(), 1000);
-        let then = then.restored(kept.version, kept.state.clone(), kept.trail.clone());
-        if kept.version != self.catalog.version() || !then.towards(&self.catalog).is_empty() {
+        let then = then.restored(
+            persisted.version,
+            persisted.state.clone(),
+            persisted.audit_log.clone(),
+        );
+        if persisted.version != self.catalog.version()
+            || !then.changes_towards(&self.catalog).is_empty()
+        {
             return Err(format!(
                 "version {:?} and not {:?}",
-                kept.version,
+                persisted.version,
                 self.catalog.version()
             ));
         }
@@ -309,8 +324,8 @@
     let fault = store.keep(&model.clone().batch()).unwrap_err();
     assert!(fault.to_string().contains("no space left"), "{fault}");
     disk.fails(Fails::Never);
-    let (kept, places) = store.read().unwrap();
-    model.is(&kept, &places).unwrap();
+    let (persisted, places) = store.read().unwrap();
+    model.is(&persisted, &places).unwrap();
     let mut model = model;
     store.keep(&model.batch()).unwrap();
 }
@@ -323,7 +338,7 @@
     let disk = Disk::default();
     let mut model = Model::new(4);
     let (mut store, ..) = open(&disk).unwrap();
-    let all: Vec<Keep> = (0..150).flat_map(|_| model.batch()).collect();
+    let all: Vec<Record> = (0..150).flat_map(|_| model.batch()).collect();
     store.keep(&all).unwrap();
     drop(store);
     let bytes = disk.bytes();
@@ -336,8 +351,8 @@
         rotten[at] ^= 1 << rng.random_range(0..8);
         let disk = Disk::of(rotten.clone());
         match open(&disk) {
-            Ok((_, kept, places)) => {
-                assert_eq!(model.is(&kept, &places), Ok(()), "byte {at}, look {n}");
+            Ok((_, persisted, places)) => {
+                assert_eq!(model.is(&persisted, &places), Ok(()), "byte {at}, look {n}");
             }
             Err(fault) => {
                 told += 1;
@@ -401,8 +416,8 @@
     write.commit().unwrap();
     drop(db);
     for _ in 0..2 {
-        let (store, kept, places) = open(&disk).unwrap();
-        assert_eq!((kept.ceiling, places[&7].len()), (77, 200));
+        let (store, persisted, places) = open(&disk).unwrap();
+        assert_eq!((persisted.ceiling, places[&7].len()), (77, 200));
         assert!((0..200u64).all(|x| places[&7].get(x * 3) == Some((x % 4) as u32)));
         drop(store);
     }
@@ -414,44 +429,48 @@
         disk.fails(Fails::DiesAt(at));
         drop(open(&disk));
         let disk = Disk::of(disk.after_death(at));
-        let (_, kept, places) = open(&disk).unwrap_or_else(|e| panic!("died at {at}: {e}"));
-        assert_eq!((kept.ceiling, places[&7].len()), (77, 200), "died at {at}");
+        let (_, persisted, places) = open(&disk).unwrap_or_else(|e| panic!("died at {at}: {e}"));
+        assert_eq!(
+            (persisted.ceiling, places[&7].len()),
+            (77, 200),
+            "died at {at}"
+        );
         old += 1;
     }
     assert_eq!(old, 40);
 }
 
 #[test]
-fn the_trail_is_as_long_as_it_may_be_and_keeps_what_is_not_settled() {
+fn the_audit_log_is_as_long_as_it_may_be_and_keeps_what_is_not_stable() {
     let disk = Disk::default();
     let (mut store, ..) = open(&disk).unwrap();
     let mut model = Model::new(6);
     while model.catalog.version() < Version(40) {
-        let batch: Vec<Keep> = model
+        let batch: Vec<Record> = model
             .batch()
             .into_iter()
-            .filter(|k| !matches!(k, Keep::Settled(_)))
+            .filter(|k| !matches!(k, Record::Stable(_)))
             .collect();
         store.keep(&batch).unwrap();
     }
     assert_eq!(
-        store.read().unwrap().0.trail.len() as u64,
+        store.read().unwrap().0.audit_log.len() as u64,
         model.catalog.version().0,
         "nothing is settled"
     );
     store
-        .keep(&[Keep::Settled(Version(30)), Keep::Era(Era(4))])
+        .keep(&[Record::Stable(Version(30)), Record::Epoch(Epoch(4))])
         .unwrap();
-    let (kept, _) = store.read().unwrap();
-    assert_eq!(kept.trail.first().unwrap().version, Version(31));
+    let (persisted, _) = store.read().unwrap();
+    assert_eq!(persisted.audit_log.first().unwrap().version, Version(31));
     store
-        .keep(&[Keep::Settled(model.catalog.version())])
+        .keep(&[Record::Stable(model.catalog.version())])
         .unwrap();
     assert_eq!(
         (
-            store.read().unwrap().0.trail.len() as u64,
-            store.read().unwrap().0.era
+            store.read().unwrap().0.audit_log.len() as u64,
+            store.read().unwrap().0.epoch
         ),
-        (TRAIL, Era(4))
+        (AUDIT_LOG, Epoch(4))
     );
 }
--- a/crates/state/tests/snapshots.rs
+++ b/crates/state/tests/snapshots.rs
@@ -1,10 +1,10 @@
 //! Snapshots, whole and cut; restoring beside what was there; one thread that keeps for many.
 
 use grebecleat_plans::changes::*;
-use grebecleat_plans::source::Era;
-use grebecleat_state::keeper::Keeper;
+use grebecleat_plans::leader::Epoch;
+use grebecleat_state::group_commit::GroupCommit;
 use grebecleat_state::snapshot;
-use grebecleat_state::store::{Keep, Store, StoreFault};
+use grebecleat_state::store::{Record, Store, StoreFault};
 use std::path::Path;
 use std::sync::mpsc;
 use std::time::Duration;
@@ -19,23 +19,23 @@
     }
 }
 
-fn entry(l: &mut Catalog, changes: Vec<Change>) -> Entry {
-    let by = Asks {
-        who: "op",
-        why: "test",
+fn entry(l: &mut Catalog, changes: Vec<Change>) -> Revision {
+    let by = ChangeContext {
+        author: "op",
+        reason: "test",
         at: Duration::from_secs(7),
-        ..Asks::default()
+        ..ChangeContext::default()
     };
-    let entry = l.propose(l.version(), by, changes).unwrap();
-    l.take(entry.clone()).unwrap();
-    entry
+    let revision = l.propose(l.version(), by, changes).unwrap();
+    l.apply(revision.clone()).unwrap();
+    revision
 }
 
 /// A store with some of everything in it.
 fn filled(path: &Path) -> Catalog {
     let hosts = ["h1".into()].into();
     let mut l = Catalog::new(
-        Facts {
+        Deployment {
             hosts,
             max_dispatch_delay: Duration::ZERO,
         },
@@ -43,9 +43,9 @@
     );
     let (mut store, ..) = Store::open(path, 100).unwrap();
     let mut batch = vec![
-        Keep::Era(Era(5)),
-        Keep::Past(Era(4), Version(1)),
-        Keep::Ceiling(99),
+        Record::Epoch(Epoch(5)),
+        Record::Past(Epoch(4), Version(1)),
+        Record::Ceiling(99),
     ];
     let volume = |id| Volume {
         plan: "p".into(),
@@ -57,7 +57,7 @@
         id,
         to: Some(volume(id)),
     });
-    batch.push(Keep::Entry(entry(
+    batch.push(Record::Revision(entry(
         &mut l,
         [plan("p", 3.0)].into_iter().chain(volumes).collect(),
     )));
@@ -71,7 +71,7 @@
         id: 1,
         to: Some(node),
     };
-    batch.push(Keep::Entry(entry(
+    batch.push(Record::Revision(entry(
         &mut l,
         vec![
             node,
@@ -89,7 +89,7 @@
     let drain = |stage| Drain {
         stage,
         within: s(9),
-        who: "ann".into(),
+        author: "ann".into(),
         asked: s(5),
         since: s(7),
     };
@@ -102,31 +102,31 @@
         to: Some([1, 2].into()),
     };
     let (changes, expects) = (vec![plan("p", 4.0)], vec![plan("p", 3.0)]);
-    let timed = Timed {
+    let scheduled = ScheduledChange {
         at: Duration::from_secs(1 << 32),
-        who: "n".into(),
-        why: "night".into(),
+        author: "n".into(),
+        reason: "night".into(),
         force: true,
         changes,
         expects,
     };
-    let timed = Change::Timed {
+    let scheduled = Change::Scheduled {
         id: 1,
-        to: Some(timed),
+        to: Some(scheduled),
     };
-    batch.push(Keep::Entry(entry(
+    batch.push(Record::Revision(entry(
         &mut l,
-        vec![drain(Stage::Going), target, timed],
+        vec![drain(Stage::Draining), target, scheduled],
     )));
-    batch.push(Keep::Entry(entry(&mut l, vec![drain(Stage::Empty)])));
-    batch.extend((0..500).map(|x| Keep::Place {
+    batch.push(Record::Revision(entry(&mut l, vec![drain(Stage::Drained)])));
+    batch.extend((0..500).map(|x| Record::Place {
         volume: 1 + x % 3,
         extent: x * 7 % 300,
         shard: (x % 5) as u32,
     }));
     batch.extend([
-        Keep::Has("h1".into(), Version(2)),
-        Keep::Settled(Version(2)),
+        Record::Has("h1".into(), Version(2)),
+        Record::Stable(Version(2)),
     ]);
     store.keep(&batch).unwrap();
     l
@@ -149,17 +149,23 @@
     assert_eq!(runs(&read.1), runs(&all.1));
     // What comes after the snapshot is not in it, and is kept aside.
     let (mut store, ..) = Store::open(&path, 100).unwrap();
-    store.keep(&[Keep::Ceiling(1000)]).unwrap();
+    store.keep(&[Record::Ceiling(1000)]).unwrap();
     drop(store);
-    let aside = snapshot::restore(&snap, &path, Era(6))
+    let aside = snapshot::restore(&snap, &path, Epoch(6))
         .unwrap()
         .expect("there was one");
-    let (_, kept, places) = Store::open(&path, 100).unwrap();
-    assert_eq!((kept.era, kept.ceiling, kept.restored), (Era(6), 99, true));
-    assert_eq!(kept.eras, [(Era(4), Version(1)), (Era(5), Version(4))]);
+    let (_, persisted, places) = Store::open(&path, 100).unwrap();
     assert_eq!(
-        (&kept.state, &kept.trail, &kept.hosts),
-        (&all.0.state, &all.0.trail, &all.0.hosts)
+        (persisted.epoch, persisted.ceiling, persisted.restored),
+        (Epoch(6), 99, true)
+    );
+    assert_eq!(
+        persisted.epochs,
+        [(Epoch(4), Version(1)), (Epoch(5), Version(4))]
+    );
+    assert_eq!(
+        (&persisted.state, &persisted.audit_log, &persisted.hosts),
+        (&all.0.state, &all.0.audit_log, &all.0.hosts)
     );
     assert_eq!(runs(&places), runs(&all.1));
     assert_eq!(Store::open(&aside, 100).unwrap().1.ceiling, 1000);
@@ -175,8 +181,8 @@
     snapshot::write(&snap, &all, Duration::ZERO).unwrap();
     let bytes = std::fs::read(&snap).unwrap();
     let bad = dir.path().join("bad");
-    let whole = bytes.len();
-    for n in (0..whole).step_by(whole / 97) {
+    let snapshot = bytes.len();
+    for n in (0..snapshot).step_by(snapshot / 97) {
         std::fs::write(&bad, &bytes[..n]).unwrap();
         let fault = snapshot::read(&bad).unwrap_err();
         assert!(
@@ -191,7 +197,7 @@
     std::fs::write(&bad, [&bytes[..], &bytes[..]].concat()).unwrap();
     assert!(snapshot::read(&bad).is_err());
     // And the store stays as it was.
-    assert!(snapshot::restore(&bad, &path, Era(9)).is_err());
+    assert!(snapshot::restore(&bad, &path, Epoch(9)).is_err());
     assert_eq!(Store::open(&path, 100).unwrap().1, all.0);
     // One that cannot be written leaves the last one.
     let fault =
@@ -211,10 +217,10 @@
 #[test]
 fn nobody_falls_with_anothers_fault() {
     let dir = tempfile::tempdir().unwrap();
-    let (keeper, ..) = Keeper::open(&dir.path().join("s.store"), 100).unwrap();
+    let (group_commit, ..) = GroupCommit::open(&dir.path().join("s.store"), 100).unwrap();
     let hosts = ["h1".into()].into();
     let mut l = Catalog::new(
-        Facts {
+        Deployment {
             hosts,
             max_dispatch_delay: Duration::ZERO,
         },
@@ -227,21 +233,24 @@
             13 => {
                 let mut wrong = entry(&mut l.clone(), vec![plan("x", 1.0)]);
                 (wrong.version, wrong.from) = (Version(500), Version(499));
-                vec![Keep::Entry(wrong)]
+                vec![Record::Revision(wrong)]
             }
-            n if n % 2 == 0 => vec![Keep::Entry(entry(&mut l, vec![plan("p", n as f64 + 1.0)]))],
-            n => vec![Keep::Place {
+            n if n % 2 == 0 => vec![Record::Revision(entry(
+                &mut l,
+                vec![plan("p", n as f64 + 1.0)],
+            ))],
+            n => vec![Record::Place {
                 volume: 1,
                 extent: n,
                 shard: 2,
             }],
         };
-        keeper.keep(keeps, move |done| to.send((n, done.is_ok())).unwrap());
+        group_commit.keep(keeps, move |done| to.send((n, done.is_ok())).unwrap());
     }
     let told: Vec<(u64, bool)> = from.iter().take(30).collect();
     assert_eq!(told, (0..30).map(|n| (n, n != 13)).collect::<Vec<_>>());
     let (seen, all) = mpsc::channel();
-    keeper.read(move |all| seen.send(all.unwrap()).unwrap());
-    let (kept, places) = all.recv().unwrap();
-    assert_eq!((kept.version, places[&1].len()), (l.version(), 14));
+    group_commit.read(move |all| seen.send(all.unwrap()).unwrap());
+    let (persisted, places) = all.recv().unwrap();
+    assert_eq!((persisted.version, places[&1].len()), (l.version(), 14));
 }
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -518,7 +518,7 @@
                 }
                 no
             }
-            (tsih, Some((no, has))) if tsih == has => {
+            (tsih, Some((no, applied))) if tsih == applied => {
                 let s = &self.sessions[&no];
                 if let Some(old) = s.conns.get(&cid).copied() {
                     // The same connection again: the old one is gone (section 6.3.4).
--- a/crates/target/src/portal.rs
+++ b/crates/target/src/portal.rs
@@ -18,8 +18,8 @@
 use grebecleat_iscsi::scsi::Unit;
 use grebecleat_settings::{PortalSpec, Settings};
 use grebecleat_state::extents::Extents;
-use grebecleat_state::keeper::Keeper;
-use grebecleat_state::store::{Keep, StoreFault};
+use grebecleat_state::group_commit::GroupCommit;
+use grebecleat_state::store::{Record, StoreFault};
 use grebecleat_wire::pb::{self, frame::Body, record::Kind, Outcome};
 use grebecleat_wire::{clock, pb::Response, trace::Tracer};
 use may::go;
@@ -113,7 +113,7 @@
 
 /// Where extents lie, and what is kept beside them, as it was at this start.
 pub struct Places<'a> {
-    pub keeper: &'a Keeper,
+    pub keeper: &'a GroupCommit,
     pub places: &'a BTreeMap<u64, Extents>,
     pub ceiling: u64,
 }
@@ -262,7 +262,7 @@
     local: grebecleat_host::run::Local,
     told: Arc<AtomicBool>,
     /// None once it can no longer be written.
-    keeper: Option<Keeper>,
+    keeper: Option<GroupCommit>,
     to: Sender<Event>,
     lines: BTreeMap<ConnNo, Arc<Line>>,
     /// Tells this start's requests from another's.
@@ -354,7 +354,7 @@
                 *self.shards.entry(shard).or_default() += 1;
                 self.news = true;
                 self.keep(
-                    Keep::Place {
+                    Record::Place {
                         volume,
                         extent,
                         shard,
@@ -363,14 +363,14 @@
                 );
             }
             Output::Reserve { ceiling } => {
-                self.keep(Keep::Ceiling(ceiling), Input::Reserved { ceiling })
+                self.keep(Record::Ceiling(ceiling), Input::Reserved { ceiling })
             }
             Output::Note { text } => info!("{text}"),
         }
     }
 
     /// Hands something to the keeper; the engine hears of it once it is on the disk.
-    fn keep(&self, keep: Keep, kept: Input) {
+    fn keep(&self, keep: Record, kept: Input) {
         let to = self.to.clone();
         let told = move |done: Result<(), StoreFault>| {
             let event = done.map_or_else(
--- a/crates/wire/build.rs
+++ b/crates/wire/build.rs
@@ -8,7 +8,7 @@
         .bytes(["."])
         .btree_map(["."])
         // Many times as large as any other frame, and rare.
-        .boxed(".grebecleat.wire.v1.Frame.body.figures")
+        .boxed(".grebecleat.wire.v1.Frame.body.host_metrics")
         .compile_fds(files)
         .expect("the messages become Rust");
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -44,7 +44,7 @@
 ///
 /// ```
 /// use grebecleat_wire::{frame, pb};
-/// let sent = pb::Frame { sent_us: 7, body: Some(pb::frame::Body::FetchList(pb::FetchList {})) };
+/// let sent = pb::Frame { sent_us: 7, body: Some(pb::frame::Body::FetchEndpoints(pb::FetchEndpoints {})) };
 /// let mut bytes = Vec::new();
 /// frame::write(&sent, &mut bytes);
 /// let mut reader = frame::Reader::new(1024);
--- a/src/control.rs
+++ b/src/control.rs
@@ -81,7 +81,7 @@
     }
 }
 
-/// Units that this host may have out at a node: the learned rate over part of the tightest Latency objective, at least
+/// Units that this host may have out at a node: the learned rate over part of the tightest latency objective, at least
 /// a few large requests (fewer where all hosts' floors would pass the most of one), at most so many in all.
 pub fn bound(rate: f64, tightest: Duration, mean_units: f64, hosts: usize) -> f64 {
     let (mean, part) = (mean_units.max(0.1), MAX_OUT / hosts.max(1) as f64);
@@ -260,7 +260,7 @@
         if let (true, Some(key)) = (stream.ordered, x.key) {
             self.bk.keys.join(key, id);
         }
-        // A client's later try has less time left than a first one, and its Latency objective began with the first:
+        // A client's later try has less time left than a first one, and its latency objective began with the first:
         // it must not pass as fresh before requests that can still be in time.
         let left = x.deadline.saturating_sub(self.bk.now);
         let longest = self.bk.longest.entry(x.traffic_class).or_default();
@@ -355,7 +355,7 @@
             nd.answers.add(units, late);
             (nd.heard, nd.bad_row) = (now, 0);
             // Late answers of any cause (slow node, strangers' load, other hosts) shrink the bound below
-            // the design's floor, which alone would queue past the Latency objective.
+            // the design's floor, which alone would queue past the latency objective.
             nd.brake = (nd.brake * if late { BRAKE_DOWN } else { BRAKE_UP }).clamp(BRAKE_LEAST, 1.0);
         } else if end == AttemptOutcome::QueueFull {
             nd.answers.full += 1.0;
@@ -664,7 +664,7 @@
     }
 
     /// The best of a line that may go: of those that can be in time the earliest, else of the late ones.
-    /// None can be in time whose Latency objective comes before `soonest`.
+    /// None can be in time whose latency objective comes before `soonest`.
     fn first(
         &self, line: &Line, node: NodeId, soonest: Duration,
     ) -> Option<(f64, Reverse<Duration>, RequestId)> {
--- a/src/held.rs
+++ b/src/held.rs
@@ -1,4 +1,4 @@
-//! Held requests in lines of one volume, traffic class and draw on the limit, each by Latency objective.
+//! Held requests in lines of one volume, traffic class and draw on the limit, each by latency objective.
 //!
 //! All of a line are worth the same but for their lateness, so that the next to go is found at the front of
 //! a few lines and not by looking at each request: a host may hold thousands, and looks with every answer.
@@ -11,7 +11,7 @@
 /// A volume, a traffic class, and whether the limit's units are drawn.
 pub type LineKey = (VolumeId, TrafficClassId, bool);
 
-/// The earliest Latency objective first, and of one time the highest id.
+/// The earliest latency objective first, and of one time the highest id.
 pub type Line = BTreeSet<(Duration, Reverse<RequestId>)>;
 
 /// ```
