--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -263,7 +263,7 @@
             settings::units(&p)?,
             settings::host_limits(&p)?,
         )
-        .under(
+        .with_rules(
             settings::cold(&p)?,
             settings::list(&p)?,
             settings::retry_budget(&p)?,
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -59,7 +59,7 @@
         s.units.clone(),
         s.host_limits.clone(),
     )
-    .under(s.rules.cold.clone(), list, None, ms(200));
+    .with_rules(s.rules.cold.clone(), list, None, ms(200));
     let entry = |n: u32| Endpoint {
         node: NodeId(n + 1),
         zone: ZoneId(0),
--- a/crates/endpoint/src/lib.rs
+++ /dev/null
@@ -1,3 +0,0 @@
-//! The control endpoint.
-pub mod accounts;
-pub mod ring;
--- a/crates/host/src/desk.rs
+++ b/crates/host/src/desk.rs
@@ -356,7 +356,7 @@
             s.units.clone(),
             s.host_limits.clone(),
         )
-        .under(
+        .with_rules(
             rules.cold.clone(),
             // The list is asked for in either case: where it pushes, one watch is the asking.
             DiscoveryPolicy {
@@ -1970,12 +1970,12 @@
         let (now, since) = (self.now, |at: Duration| self.now.saturating_sub(at));
         let mut heard = BTreeMap::new();
         for f in self.control.nodes() {
-            let lately = (!f.heard.is_zero()).then(|| since(f.heard));
+            let lately = (!f.last_success.is_zero()).then(|| since(f.last_success));
             heard.insert(
                 f.node,
                 Heard {
-                    ease: f.ease,
-                    bad_row: f.bad_row,
+                    ease: f.admission_level,
+                    bad_row: f.consecutive_failures,
                     since: lately,
                 },
             );
--- a/crates/host/src/figures.rs
+++ b/crates/host/src/figures.rs
@@ -10,8 +10,8 @@
 //! Memory: a record for each volume, shard and second of which something changed since the last figures, and
 //! of the nodes what was last told.
 
+use grebecleat::control::inspection::{NodeMetrics, QueueMetrics};
 use grebecleat::control::Control;
-use grebecleat::figures::{HeldFigures, NodeFigures};
 use grebecleat::interface::{BlockReason, NodeId, NodeState};
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
@@ -72,7 +72,7 @@
             let units = done.remove(&f.node).unwrap_or_default();
             let row = node_pb(&f, now, starts(f.node), units);
             let still = |r: &pb::NodeMetrics| pb::NodeMetrics {
-                heard_us: None,
+                last_success_us: None,
                 up_us: None,
                 ..*r
             };
@@ -86,7 +86,7 @@
             }
         }
         let held = control
-            .held(LINES)
+            .queued(LINES)
             .iter()
             .map(|h| held_pb(h, now))
             .collect();
@@ -122,7 +122,7 @@
     (x * scale).round() / scale
 }
 
-fn node_pb(f: &NodeFigures, now: Duration, start: u64, done: f64) -> pb::NodeMetrics {
+fn node_pb(f: &NodeMetrics, now: Duration, start: u64, done: f64) -> pb::NodeMetrics {
     let state = match f.state {
         NodeState::Ready => pb::NodeState::Ready,
         NodeState::Draining => pb::NodeState::Draining,
@@ -135,21 +135,21 @@
         start,
         up_us: f.started.map(since),
         attempts: f.attempts as u32,
-        out: round(f.out),
-        held: f.held as u32,
+        outstanding: round(f.outstanding),
+        queued: f.queued as u32,
         estimate: round(f.estimate),
-        rate: round(f.rate),
-        brake: round(f.brake),
-        ease: round(f.ease),
-        late: round(f.late),
-        cold: f.cold,
-        heard_us: (!f.heard.is_zero()).then(|| since(f.heard)),
+        learned_rate: round(f.learned_rate),
+        concurrency_factor: round(f.concurrency_factor),
+        admission_level: round(f.admission_level),
+        late_fraction: round(f.late_fraction),
+        slow_start: f.slow_start,
+        last_success_us: (!f.last_success.is_zero()).then(|| since(f.last_success)),
         done: round(done),
     }
 }
 
-fn held_pb(h: &HeldFigures, now: Duration) -> pb::QueueMetrics {
-    let block_reason = match h.rejection {
+fn held_pb(h: &QueueMetrics, now: Duration) -> pb::QueueMetrics {
+    let block_reason = match h.block_reason {
         BlockReason::RetryDelay => pb::BlockReason::RetryDelay,
         BlockReason::KeyOrder => pb::BlockReason::KeyOrder,
         BlockReason::RetryBudget => pb::BlockReason::RetryBudget,
--- a/crates/platform/src/account.rs
+++ b/crates/platform/src/account.rs
@@ -4,9 +4,9 @@
 //! host gives up is an accident, what three hundred do is a cause. Memory: one row for each second, and one
 //! count for each cause met in it.
 
-use grebecleat::account::{Cause, Pays, Why, AGES};
 use grebecleat::control::Control;
 use grebecleat::interface::NodeState;
+use grebecleat::rejection_stats::{PaidBy, RejectionCause, RejectionReason, LAST_SUCCESS_STEPS};
 use grebecleat_host::desk::Counts;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -19,18 +19,18 @@
     told: Counts,
 }
 
-fn cause(c: &Cause, kinds: &[String]) -> String {
-    let why = match c.why {
-        Why::Rejected(rejection) => format!("{rejection:?}"),
+fn cause(c: &RejectionCause, kinds: &[String]) -> String {
+    let why = match c.reason {
+        RejectionReason::Blocked(rejection) => format!("{rejection:?}"),
         other => format!("{other:?}"),
     };
-    let pays = match c.pays {
-        Pays::Reserve => "reserve",
-        Pays::Share => "share",
-        Pays::Nobody => "nobody",
+    let pays = match c.paid_by {
+        PaidBy::Reservation => "reserve",
+        PaidBy::Share => "share",
+        PaidBy::Nothing => "nobody",
     };
-    let heard = AGES
-        .get(c.heard)
+    let heard = LAST_SUCCESS_STEPS
+        .get(c.last_success)
         .map_or("never".into(), |age| format!("{}ms", age.as_millis()));
     let kind = kinds.get(c.traffic_class.0).map_or("?", String::as_str);
     format!("{why}/{kind}/{pays}/{heard}")
@@ -63,21 +63,25 @@
         // Only nodes that this host has had to do with: of the others it knows nothing.
         let known: Vec<_> = control
             .nodes()
-            .filter(|n| n.state == NodeState::Ready && !n.sent.is_zero())
+            .filter(|n| n.state == NodeState::Ready && !n.last_sent.is_zero())
             .collect();
-        let count = |of: &dyn Fn(f64) -> bool| known.iter().filter(|n| of(n.ease)).count();
+        let count =
+            |of: &dyn Fn(f64) -> bool| known.iter().filter(|n| of(n.admission_level)).count();
         let nodes = [
             ("nodes", known.len()),
             ("shut", count(&|ease| ease <= 0.05)),
             ("tight", count(&|ease| ease > 0.05 && ease < 0.5)),
             ("eased", count(&|ease| (0.5..0.9).contains(&ease))),
-            ("cold", known.iter().filter(|n| n.cold).count()),
-            ("braked", known.iter().filter(|n| n.brake < 0.5).count()),
+            ("cold", known.iter().filter(|n| n.slow_start).count()),
+            (
+                "braked",
+                known.iter().filter(|n| n.concurrency_factor < 0.5).count(),
+            ),
         ];
         for (name, n) in nodes {
             let _ = write!(line, " {name}={n}");
         }
-        for (c, n) in control.account() {
+        for (c, n) in control.take_rejections() {
             let _ = write!(line, " {}={n}", cause(&c, kinds));
         }
         line
--- a/crates/wire/build.rs
+++ b/crates/wire/build.rs
@@ -2,8 +2,8 @@
 
 fn main() {
     println!("cargo:rerun-if-changed=proto");
-    let files = protox::compile(["proto/grebecleat.proto", "proto/console.proto"], ["proto"])
-        .expect("the messages compile");
+    let files =
+        protox::compile(["proto/grebecleat.proto"], ["proto"]).expect("the messages compile");
     prost_build::Config::new()
         .bytes(["."])
         .btree_map(["."])
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,7 @@
 //! What crosses the sockets, and the record of it.
 //!
-//! For: the messages between clients, hosts, nodes and the list ([`pb`]), their frames ([`frame`]), the
-//! estimate of what a frame waited on its way ([`delay`]), and trace files ([`trace`]); and what consoles and
-//! the control endpoint say to each other ([`console`]). It must never decide
+//! The messages between clients, hosts, nodes, discovery and the state service ([`pb`]), their frames ([`frame`]), the
+//! estimate of what a frame waited on its way ([`delay`]), and trace files ([`trace`]). Nothing here decides
 //! anything about a request. Begin with `proto/grebecleat.proto`.
 
 pub mod clock;
@@ -18,16 +17,8 @@
             include!(concat!(env!("OUT_DIR"), "/grebecleat.wire.v1.rs"));
         }
     }
-    pub mod console {
-        pub mod v1 {
-            #![allow(clippy::all)]
-            include!(concat!(env!("OUT_DIR"), "/grebecleat.console.v1.rs"));
-        }
-    }
 }
 
-/// The messages of `proto/console.proto`.
-pub use grebecleat::console::v1 as console;
 /// The messages of `proto/grebecleat.proto` and `proto/plans.proto`.
 pub use grebecleat::wire::v1 as pb;
 
--- a/src/histogram.rs
+++ b/src/histogram.rs
@@ -2,82 +2,76 @@
 
 use std::time::Duration;
 
-/// Counts in bins whose edges grow by a constant factor.
+/// Counts in bins whose edges grow by a constant factor; the last bin has no upper edge.
 ///
 /// ```
 /// use grebecleat::histogram::Histogram;
 /// use std::time::Duration;
-/// let mut h = Histogram::new(Duration::from_millis(10), 2.0, 4);
-/// assert_eq!(h.quantile(0.5), None);
+/// let mut histogram = Histogram::new(Duration::from_millis(10), 2.0, 4);
+/// assert_eq!(histogram.quantile(0.5), None);
 /// for ms in [5, 15, 15, 35] {
-///     h.add(Duration::from_millis(ms));
+///     histogram.add(Duration::from_millis(ms));
 /// }
-/// assert_eq!(h.quantile(0.5), Some(Duration::from_millis(15)));
-/// assert_eq!(h.above(0.012), (0.25, 0.5));
-/// h.halve();
-/// assert_eq!(h.total(), 2.0);
+/// assert_eq!(histogram.quantile(0.5), Some(Duration::from_millis(15)));
+/// histogram.halve();
+/// assert_eq!(histogram.total(), 2.0);
 /// ```
 #[derive(Debug, Clone)]
 pub struct Histogram {
-    first: f64,
+    first_edge: f64,
     factor: f64,
-    bins: Vec<f64>,
+    counts: Vec<f64>,
 }
 
 impl Histogram {
-    pub fn new(first: Duration, factor: f64, bins: usize) -> Self {
-        Histogram { first: first.as_secs_f64(), factor, bins: vec![0.0; bins.max(1)] }
+    /// `first_edge`: upper edge of the first bin; `factor`: of each edge to the one before (over 1).
+    pub fn new(first_edge: Duration, factor: f64, bins: usize) -> Self {
+        Histogram { first_edge: first_edge.as_secs_f64(), factor, counts: vec![0.0; bins.max(1)] }
     }
 
+    /// Counts a time.
     pub fn add(&mut self, time: Duration) {
-        self.weigh(time.as_secs_f64(), 1.0);
+        let bin = self.bin(time.as_secs_f64());
+        self.counts[bin] += 1.0;
     }
 
-    fn bin(&self, figure: f64) -> usize {
-        let steps = (figure / self.first).max(1.0).ln() / self.factor.ln();
-        let bin = if figure < self.first { 0 } else { 1 + steps as usize };
-        bin.min(self.bins.len() - 1)
-    }
-
-    /// Counts a plain figure, the edges read as plain figures too.
-    pub fn weigh(&mut self, figure: f64, weight: f64) {
-        let bin = self.bin(figure);
-        self.bins[bin] += weight;
-    }
-
-    /// Which parts of the counts lie in bins above the figure's own, and in its own.
-    pub fn above(&self, figure: f64) -> (f64, f64) {
-        let (bin, total) = (self.bin(figure), self.total().max(1e-9));
-        (self.bins[bin + 1..].iter().sum::<f64>() / total, self.bins[bin] / total)
+    fn bin(&self, seconds: f64) -> usize {
+        let steps = (seconds / self.first_edge).max(1.0).ln() / self.factor.ln();
+        let bin = if seconds < self.first_edge { 0 } else { 1 + steps as usize };
+        bin.min(self.counts.len() - 1)
     }
 
+    /// Halves all counts, so that later times weigh more.
     pub fn halve(&mut self) {
-        self.bins.iter_mut().for_each(|b| *b /= 2.0);
+        for count in &mut self.counts {
+            *count /= 2.0;
+        }
     }
 
-    /// Halves once more than so much is counted.
-    pub fn halve_above(&mut self, most: f64) {
-        if self.total() > most {
+    /// Halves all counts once their sum exceeds `total`.
+    pub fn halve_above(&mut self, total: f64) {
+        if self.total() > total {
             self.halve();
         }
     }
 
+    /// The sum of all counts.
     pub fn total(&self) -> f64 {
-        self.bins.iter().sum()
+        self.counts.iter().sum()
     }
 
-    /// The middle of the bin in which the given part of the counts is reached.
-    pub fn quantile(&self, part: f64) -> Option<Duration> {
+    /// The middle of the bin in which the given fraction of the counts is reached; None: nothing was counted.
+    pub fn quantile(&self, fraction: f64) -> Option<Duration> {
         let total = self.total();
         if total <= 0.0 {
             return None;
         }
         let mut seen = 0.0;
         let mut low = 0.0;
-        let mut high = self.first;
-        for count in &self.bins {
+        let mut high = self.first_edge;
+        for count in &self.counts {
             seen += count;
-            if seen >= part * total {
+            if seen >= fraction * total {
                 break;
             }
             low = high;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,9 @@
-//! The messages between the decision module and its host: events in, actions out, and the settings that both share.
+//! The messages between the decision module and its host: events in, actions out, and the settings that both
+//! share.
 //!
 //! [`Event`] and [`Action`] are the whole vocabulary of [`crate::control::Control::step`]. Nothing is decided
-//! here. Rates are units a second, where a unit is the settings' measure of node work; times are spans since the
-//! host's start unless stated otherwise.
+//! here. Rates are units a second, where a unit is the settings' measure of node work; times are spans since
+//! the host's start unless stated otherwise.
 
 use std::time::Duration;
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,21 +1,24 @@
-//! grebecleat decides, on each host of a storage gateway, which requests go to their
-//! storage node now, which are held, and which are turned away.
+//! grebecleat decides, on each host of a storage gateway, which requests go to their storage node now, which
+//! are queued, and which are rejected.
 //!
-//! [`control`] holds every decision on a request, [`window`] the search for a node's capacity. [`interface`]
-//! holds what goes in and out of it, [`figures`] and [`account`] what is shown of it; [`state`] the records it
-//! keeps; [`bucket`], [`filling`], [`held`], [`histogram`], [`lines`], [`ranking`] and [`spans`] are mechanical
-//! helpers whose numbers come from the caller.
+//! [`control`] and [`probing_window`] hold every decision on a request; begin with
+//! [`control::Control::step`]. [`interface`] holds the events that go in and the actions that come out,
+//! [`state`] the records the decisions keep. [`token_bucket`], [`max_min_fair_share`], [`request_queue`],
+//! [`key_order`], [`reading`], [`histogram`], [`rates`] and [`rendezvous_hash`] are mechanical helpers whose
+//! numbers come from the caller; [`rejection_stats`] is for operators.
+
+#![warn(missing_docs)]
 
-pub mod account;
-pub mod bucket;
 pub mod control;
-pub mod figures;
-pub mod filling;
-pub mod held;
 pub mod histogram;
 pub mod interface;
-pub mod lines;
-pub mod ranking;
-pub mod spans;
+pub mod key_order;
+pub mod max_min_fair_share;
+pub mod probing_window;
+pub mod rates;
+pub mod reading;
+pub mod rejection_stats;
+pub mod rendezvous_hash;
+pub mod request_queue;
 pub mod state;
-pub mod window;
+pub mod token_bucket;
--- /dev/null
+++ b/src/rates.rs
@@ -0,0 +1,106 @@
+//! Arithmetic of times and rates, and counts of what happened within the last span of time.
+
+use std::collections::VecDeque;
+use std::time::Duration;
+
+/// The longest time that [`queueing_time`] gives, in seconds: a rate that has died away must not overflow.
+const MAX_QUEUEING_SECONDS: f64 = 3600.0;
+
+/// Moments, counted over a span that the caller names. Memory: one moment each until
+/// [`RecentEvents::expire`].
+///
+/// ```
+/// use grebecleat::rates::RecentEvents;
+/// use std::time::Duration;
+/// let ms = Duration::from_millis;
+/// let mut events = RecentEvents::default();
+/// events.add(ms(10));
+/// events.add(ms(30));
+/// assert_eq!(events.within(ms(20), ms(35)), 1);
+/// assert_eq!(events.within(ms(20), ms(60)), 0);
+/// ```
+#[derive(Debug, Default)]
+pub struct RecentEvents(VecDeque<Duration>);
+
+impl RecentEvents {
+    /// Counts one event; times never go back.
+    pub fn add(&mut self, at: Duration) {
+        self.0.push_back(at);
+    }
+
+    /// How many happened less than `span` before `now`.
+    pub fn within(&self, span: Duration, now: Duration) -> usize {
+        self.0.len() - self.0.partition_point(|at| *at + span <= now)
+    }
+
+    /// Drops those that happened `span` before `now` or earlier.
+    pub fn expire(&mut self, span: Duration, now: Duration) {
+        self.0.drain(..self.0.partition_point(|at| *at + span <= now));
+    }
+}
+
+/// Units over time, both halved once the time exceeds a span: a mean rate that forgets.
+///
+/// ```
+/// use grebecleat::rates::MeanRate;
+/// let mut rate = MeanRate::default();
+/// assert_eq!(rate.per_second(), 0.0);
+/// for _ in 0..8 {
+///     rate.add(3.0, 1.0, 4.0);
+/// }
+/// assert_eq!((rate.per_second(), rate.scaled(0.5).per_second()), (3.0, 1.5));
+/// ```
+#[derive(Debug, Default)]
+pub struct MeanRate {
+    units: f64,
+    seconds: f64,
+}
+
+impl MeanRate {
+    /// Adds units and the seconds in which they were done; `span`: seconds after which both are halved.
+    pub fn add(&mut self, units: f64, seconds: f64, span: f64) {
+        self.units += units;
+        self.seconds += seconds;
+        if self.seconds > span {
+            self.units /= 2.0;
+            self.seconds /= 2.0;
+        }
+    }
+
+    /// The same time with a fraction of the units.
+    pub fn scaled(&self, fraction: f64) -> Self {
+        MeanRate { units: self.units * fraction, seconds: self.seconds }
+    }
+
+    /// Units a second; 0 before any time has passed.
+    pub fn per_second(&self) -> f64 {
+        if self.seconds > 0.0 {
+            self.units / self.seconds
+        } else {
+            0.0
+        }
+    }
+}
+
+/// A time in seconds.
+pub fn seconds(time: Duration) -> f64 {
+    time.as_secs_f64()
+}
+
+/// The exponential moving average after one more value, which has the given weight (0 to 1).
+pub fn moving_average(average: f64, value: f64, weight: f64) -> f64 {
+    average + weight * (value - average)
+}
+
+/// The time in which so many units are done at `rate` units a second; zero where the rate is unknown (0).
+///
+/// ```
+/// use grebecleat::rates::queueing_time;
+/// assert_eq!(queueing_time(4.0, 2.0).as_secs(), 2);
+/// assert_eq!(queueing_time(4.0, 1e-300).as_secs(), 3600);
+/// assert_eq!(queueing_time(4.0, 0.0).as_secs(), 0);
+/// ```
+pub fn queueing_time(units: f64, rate: f64) -> Duration {
+    let seconds = if rate > 0.0 { (units / rate).min(MAX_QUEUEING_SECONDS) } else { 0.0 };
+    Duration::from_secs_f64(seconds)
+}
--- a/tests/changes.rs
+++ b/tests/changes.rs
@@ -157,8 +157,8 @@
         })
     };
     // Fill the node so that both volumes have something held.
-    let fill: Vec<Event> = (100..140).map(|n| other(n, 9000)).collect();
-    at(&mut c, 1010, fill);
+    let allocate: Vec<Event> = (100..140).map(|n| other(n, 9000)).collect();
+    at(&mut c, 1010, allocate);
     let both: Vec<Event> = (1..=5)
         .flat_map(|n| {
             [
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -44,7 +44,7 @@
         poll_interval: ms(10_000),
     };
     let (traffic_classes, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
-    let mut c = Control::new(seed, traffic_classes, plans, units(), host_limits()).under(
+    let mut c = Control::new(seed, traffic_classes, plans, units(), host_limits()).with_rules(
         rule,
         listing,
         None,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -119,7 +119,7 @@
         polled: false,
         poll_interval: ms(10_000),
     };
-    let mut c = Control::new(7, traffic_classes, plans, units(), host_limits()).under(
+    let mut c = Control::new(7, traffic_classes, plans, units(), host_limits()).with_rules(
         slow_start_policy(),
         listing,
         attempts,
--- a/tests/design.rs
+++ b/tests/design.rs
@@ -2,12 +2,13 @@
 
 mod common;
 use common::*;
-use grebecleat::bucket::TokenBucket;
 use grebecleat::control::*;
-use grebecleat::filling::fill;
 use grebecleat::interface::*;
-use grebecleat::state::*;
-use grebecleat::window::*;
+use grebecleat::max_min_fair_share::{allocate, FlowDemand};
+use grebecleat::probing_window::*;
+use grebecleat::reading::Reading;
+use grebecleat::state::FlowSample;
+use grebecleat::token_bucket::TokenBucket;
 
 fn near(a: f64, b: f64) -> bool {
     (a - b).abs() < 1e-6
@@ -22,8 +23,14 @@
         (4.0, 1.0, 6.0, 2.0, 16.0),
         (0.0, 2.0, 9.0, 0.0, 2.0),
     ];
-    for (used, backlog, queued, out, wanted) in cases {
-        assert_eq!(demand(used, backlog, queued, out), wanted);
+    for (used, backlog, queued, outstanding, wanted) in cases {
+        let flow = FlowSample {
+            used,
+            backlog,
+            queued,
+            outstanding,
+        };
+        assert_eq!(demand(&flow), wanted);
     }
 }
 
@@ -41,7 +48,7 @@
     ];
     for (own, done, all, hosts, wanted) in cases {
         assert!(
-            near(host_part(own, done, all, hosts), wanted),
+            near(reservation_fraction(own, done, all, hosts), wanted),
             "{own} {done} {all:?} {hosts}"
         );
     }
@@ -49,7 +56,7 @@
 
 #[test]
 fn reservations_fill_first_and_the_rest_goes_by_weight() {
-    let ask = |demand, reservation, weight| Ask {
+    let ask = |demand, reservation, weight| FlowDemand {
         demand,
         reservation,
         weight,
@@ -80,12 +87,12 @@
         (5.0, vec![], vec![]),
     ];
     for (capacity, asks, wanted) in cases {
-        let got = fill(capacity, &asks);
+        let got = allocate(capacity, &asks);
         assert_eq!(got.len(), wanted.len());
         assert!(
             got.iter()
                 .zip(&wanted)
-                .all(|(g, w)| near(g.0, w.0) && near(g.1, w.1)),
+                .all(|(g, w)| near(g.reserved, w.0) && near(g.spare, w.1)),
             "{got:?}"
         );
     }
@@ -104,39 +111,39 @@
 fn the_window_moves_phase_by_phase() {
     let clear = || reading(false, false, 4.0);
     let slow = || reading(true, false, 4.0);
-    let mut w = Window::new(10.0, 110.0);
-    w.read(&clear());
+    let mut w = ProbingWindow::new(10.0, 110.0);
+    w.observe(&clear());
     assert_eq!((w.low, w.estimate, w.high), (10.0, 60.0, 110.0));
-    w.read(&clear());
+    w.observe(&clear());
     assert_eq!((w.low, w.estimate), (60.0, 85.0));
     for _ in 0..2 {
-        w.read(&slow());
+        w.observe(&slow());
         assert_eq!(w.estimate, 85.0, "two readings could be one pause or flush");
     }
-    w.read(&clear());
+    w.observe(&clear());
     assert_eq!(w.estimate, 97.5, "a clear reading starts the count anew");
     for _ in 0..3 {
-        w.read(&slow());
+        w.observe(&slow());
     }
     assert_eq!((w.low, w.estimate, w.high), (85.0, 85.0, 97.5));
-    w.read(&reading(false, true, 4.0));
+    w.observe(&reading(false, true, 4.0));
     assert_eq!((w.phase, w.high), (Phase::Wait, 85.0));
-    w.read(&reading(true, true, 4.0));
+    w.observe(&reading(true, true, 4.0));
     assert_eq!(
         (w.phase, w.estimate),
         (Phase::Wait, 85.0),
         "no raise until reservations are met"
     );
-    w.read(&clear());
+    w.observe(&clear());
     assert_eq!(w.phase, Phase::Stable { outstanding: 4.0 });
-    w.read(&reading(false, false, 9.0));
+    w.observe(&reading(false, false, 9.0));
     assert!(
         w.estimate < 85.0,
         "more outstanding than at the stable start lowers it"
     );
-    w.read(&reading(false, false, 4.0));
+    w.observe(&reading(false, false, 4.0));
     let settled = w.estimate;
-    w.read(&Reading {
+    w.observe(&Reading {
         mix: vec![0.55, 0.45],
         ..clear()
     });
@@ -144,7 +151,7 @@
         w.estimate, settled,
         "a mix change of less than a tenth is no change"
     );
-    w.read(&Reading {
+    w.observe(&Reading {
         mix: vec![0.7, 0.3],
         ..clear()
     });
@@ -154,7 +161,7 @@
 #[test]
 fn the_bound_is_a_few_large_requests_at_least_and_thirty_two_at_most() {
     // learned rate, wanted units at a mean of 2
-    let floor = bound(0.0, ms(200), 2.0, 1);
+    let floor = concurrency_limit(0.0, ms(200), 2.0, 1);
     assert!(floor >= 12.0);
     let cases = [
         (1.0, floor),
@@ -163,7 +170,7 @@
         (f64::MAX, 64.0),
     ];
     for (rate, wanted) in cases {
-        assert_eq!(bound(rate, ms(200), 2.0, 1), wanted, "{rate}");
+        assert_eq!(concurrency_limit(rate, ms(200), 2.0, 1), wanted, "{rate}");
     }
 }
 
@@ -180,24 +187,28 @@
         (16, 4.0),
         (300, 4.0),
     ] {
-        assert_eq!(bound(0.0, ms(200), 2.0, hosts), wanted, "{hosts}");
+        assert_eq!(
+            concurrency_limit(0.0, ms(200), 2.0, hosts),
+            wanted,
+            "{hosts}"
+        );
     }
 }
 
 #[test]
 fn a_bucket_holds_its_depth_and_takes_debt() {
     let mut tok = TokenBucket::new(5.0, 5.0, f64::INFINITY);
-    assert_eq!(tok.held(), 0.0, "an infinite figure counts as none");
+    assert_eq!(tok.level(), 0.0, "an infinite figure counts as none");
     for _ in 0..100 {
         tok.refill(0.01);
     }
-    assert!(near(tok.held(), 5.0));
+    assert!(near(tok.level(), 5.0));
     tok.take(8.0);
     tok.refill(0.2);
-    assert!(near(tok.held(), -2.0));
-    tok.retune(f64::NAN, 1.0);
+    assert!(near(tok.level(), -2.0));
+    tok.reconfigure(f64::NAN, 1.0);
     tok.refill(1.0);
-    assert!(near(tok.held(), -2.0) && tok.rate() == 0.0);
+    assert!(near(tok.level(), -2.0) && tok.rate() == 0.0);
 }
 
 #[test]
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,7 +4,7 @@
 use common::*;
 use grebecleat::control::*;
 use grebecleat::interface::*;
-use grebecleat::state::Ran;
+use grebecleat::state::PriorAttempt;
 
 const KEYED: Idempotency = Idempotency::WithKey {
     scope: DeduplicationScope::Shard,
@@ -96,7 +96,7 @@
 
 #[test]
 fn repeats_follow_the_kind_of_stream_type() {
-    let ran = Some(Ran {
+    let ran = Some(PriorAttempt {
         zone: ZoneId(0),
         shard: ShardId(1),
         sent: ms(1000),
@@ -121,11 +121,11 @@
     ];
     for (kind, ran, zone, shard, now, goes_on, defers) in cases {
         assert_eq!(
-            may_resend(kind, ran, (ZoneId(zone), ShardId(shard)), ms(now)),
+            may_resend(kind, ran, ZoneId(zone), ShardId(shard), ms(now)),
             goes_on,
             "{kind:?}"
         );
-        assert_eq!(may_defer(kind, ran.is_some()), defers, "{kind:?}");
+        assert_eq!(may_reject(kind, ran.is_some()), defers, "{kind:?}");
     }
 }
 
@@ -201,7 +201,7 @@
         (100.0, 10_000, 540.0),
     ];
     for (rate, age, wanted) in cases {
-        let got = cold_part(&rule, rate, ms(age));
+        let got = slow_start_quota(&rule, rate, ms(age));
         assert!((got - wanted).abs() < 1e-6, "{rate} {age} {got}");
     }
     let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(1.0)], None);
@@ -294,7 +294,7 @@
     let same = units_to_a_new_node(20, 0.0, 1);
     let reserved = units_to_a_new_node(0, 80.0, 3);
     // The rule's own bound at the end of that span, of which no host may have more than its own rate's part.
-    let most = cold_part(&slow_start_policy(), 40.0, ms(2420)) + 2.0;
+    let most = slow_start_quota(&slow_start_policy(), 40.0, ms(2420)) + 2.0;
     assert!(
         heir > always && heir < same && same <= most,
         "{always} {heir} {same} {most}"
@@ -547,7 +547,7 @@
         units(),
         host_limits(),
     )
-    .under(slow_start_policy(), listing, None, ms(0));
+    .with_rules(slow_start_policy(), listing, None, ms(0));
     let mut watched = Vec::new();
     for t in (1000..40_000).step_by(10) {
         let failed = watched.last() == Some(&(t - 10)) && watched.len() < 6;
@@ -576,8 +576,11 @@
 fn odd_figures_are_taken_calmly() {
     let odd = [0.0, f64::INFINITY, f64::NAN, -3.0];
     for x in odd {
-        assert!(bound(x, ms(0), x, 0).is_nan() || bound(x, ms(0), x, 0) <= f64::INFINITY);
-        assert!(host_part(0.0, 0.0, Some(0.0), 0) == 1.0);
+        assert!(
+            concurrency_limit(x, ms(0), x, 0).is_nan()
+                || concurrency_limit(x, ms(0), x, 0) <= f64::INFINITY
+        );
+        assert!(reservation_fraction(0.0, 0.0, Some(0.0), 0) == 1.0);
         let zero = Plan {
             weight: 0.0,
             base_rate: 0.0,
@@ -633,7 +636,7 @@
             poll_interval: ms(10_000),
         };
         let (traffic_classes, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
-        let mut c = Control::new(seed, traffic_classes, plans, units(), host_limits()).under(
+        let mut c = Control::new(seed, traffic_classes, plans, units(), host_limits()).with_rules(
             rule.clone(),
             listing,
             None,
@@ -724,7 +727,7 @@
             units(),
             host_limits(),
         )
-        .under(rule, listing, None, ms(0));
+        .with_rules(rule, listing, None, ms(0));
         let endpoints = (1..=nodes)
             .map(|n| entry(n, NodeState::Ready, Some(ms(900))))
             .collect();
@@ -877,7 +880,12 @@
 /// is on its way it counts as any other.
 #[test]
 fn an_attempt_counts_as_late_from_when_it_is_on_its_way() {
-    let ease = |c: &Control| c.nodes().find(|n| n.node == NodeId(1)).unwrap().ease;
+    let ease = |c: &Control| {
+        c.nodes()
+            .find(|n| n.node == NodeId(1))
+            .unwrap()
+            .admission_level
+    };
     for (told, crosses_at, cut) in [(false, 0, true), (true, 5000, false), (true, 2310, true)] {
         let mut c = host(
             vec![stream(Idempotency::Idempotent)],
