--- a/crates/host/src/figures.rs
+++ b/crates/host/src/figures.rs
@@ -10,8 +10,8 @@
 //! Memory: a record for each volume, shard and second of which something changed since the last figures, and
 //! of the nodes what was last told.
 
+use grebecleat::control::inspection::{NodeMetrics, QueueMetrics};
 use grebecleat::control::Control;
-use grebecleat::figures::{HeldFigures, NodeFigures};
 use grebecleat::interface::{BlockReason, NodeId, NodeState};
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
@@ -29,7 +29,7 @@
 pub struct Service {
     counts: HashMap<Key, (f64, f64, f64)>,
     done: HashMap<NodeId, f64>,
-    told: BTreeMap<NodeId, pb::NodeFigure>,
+    told: BTreeMap<NodeId, pb::NodeMetrics>,
 }
 
 impl Service {
@@ -64,15 +64,15 @@
         now: Duration,
         control: &Control,
         starts: impl Fn(NodeId) -> u64,
-        head: pb::Figures,
-    ) -> pb::Figures {
+        head: pb::HostMetrics,
+    ) -> pb::HostMetrics {
         let mut done = std::mem::take(&mut self.done);
         let mut nodes = Vec::new();
         for f in control.nodes() {
             let units = done.remove(&f.node).unwrap_or_default();
             let row = node_pb(&f, now, starts(f.node), units);
-            let still = |r: &pb::NodeFigure| pb::NodeFigure {
-                heard_us: None,
+            let still = |r: &pb::NodeMetrics| pb::NodeMetrics {
+                last_success_us: None,
                 up_us: None,
                 ..*r
             };
@@ -86,14 +86,14 @@
             }
         }
         let held = control
-            .held(LINES)
+            .queued(LINES)
             .iter()
             .map(|h| held_pb(h, now))
             .collect();
         let service = std::mem::take(&mut self.counts).into_iter();
         let service =
             service.map(
-                |((second, volume, shard), (asked, timely, late))| pb::ServiceFigure {
+                |((second, volume, shard), (asked, timely, late))| pb::ServiceMetrics {
                     second,
                     volume,
                     shard,
@@ -103,9 +103,9 @@
                 },
             );
         let service = service.collect();
-        pb::Figures {
+        pb::HostMetrics {
             nodes,
-            held,
+            queued: held,
             service,
             at_us: micros(now),
             ..head
@@ -122,34 +122,34 @@
     (x * scale).round() / scale
 }
 
-fn node_pb(f: &NodeFigures, now: Duration, start: u64, done: f64) -> pb::NodeFigure {
+fn node_pb(f: &NodeMetrics, now: Duration, start: u64, done: f64) -> pb::NodeMetrics {
     let state = match f.state {
         NodeState::Ready => pb::NodeState::Ready,
         NodeState::Draining => pb::NodeState::Draining,
         NodeState::Gone => pb::NodeState::Gone,
     };
     let since = |at: Duration| micros(now.saturating_sub(at));
-    pb::NodeFigure {
+    pb::NodeMetrics {
         node: f.node.0,
         state: state.into(),
         start,
         up_us: f.started.map(since),
         attempts: f.attempts as u32,
-        out: round(f.out),
-        held: f.held as u32,
+        outstanding: round(f.outstanding),
+        queued: f.queued as u32,
         estimate: round(f.estimate),
-        rate: round(f.rate),
-        brake: round(f.brake),
-        ease: round(f.ease),
-        late: round(f.late),
-        cold: f.cold,
-        heard_us: (!f.heard.is_zero()).then(|| since(f.heard)),
+        learned_rate: round(f.learned_rate),
+        concurrency_factor: round(f.concurrency_factor),
+        admission_level: round(f.admission_level),
+        late_fraction: round(f.late_fraction),
+        slow_start: f.slow_start,
+        last_success_us: (!f.last_success.is_zero()).then(|| since(f.last_success)),
         done: round(done),
     }
 }
 
-fn held_pb(h: &HeldFigures, now: Duration) -> pb::HeldFigure {
-    let block_reason = match h.rejection {
+fn held_pb(h: &QueueMetrics, now: Duration) -> pb::QueueMetrics {
+    let block_reason = match h.block_reason {
         BlockReason::RetryDelay => pb::BlockReason::RetryDelay,
         BlockReason::KeyOrder => pb::BlockReason::KeyOrder,
         BlockReason::RetryBudget => pb::BlockReason::RetryBudget,
@@ -161,7 +161,7 @@
         BlockReason::Concurrency => pb::BlockReason::Concurrency,
         BlockReason::NoCapacity => pb::BlockReason::NoCapacity,
     };
-    pb::HeldFigure {
+    pb::QueueMetrics {
         volume: h.volume.0,
         node: h.node.map(|n| n.0),
         block_reason: block_reason.into(),
