--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -47,8 +47,8 @@
             [] => breach(v, 1, format!("{name}: no answer from {host}"), &[&a.seen]),
             [(seen, f)] => {
                 match f.outcome() {
-                    Outcome::Done => v.done += 1,
-                    Outcome::Deferred => v.deferred += 1,
+                    Outcome::Completed => v.done += 1,
+                    Outcome::Rejected => v.deferred += 1,
                     _ => v.abandoned += 1,
                 }
                 // What counts is when the answer left the host: the client's machine may be slow to read.
@@ -96,8 +96,8 @@
                     );
                 }
                 Some((_, f)) => match f.outcome() {
-                    Outcome::Done => v.done += 1,
-                    Outcome::Deferred => v.deferred += 1,
+                    Outcome::Completed => v.done += 1,
+                    Outcome::Rejected => v.deferred += 1,
                     _ => v.abandoned += 1,
                 },
             }
@@ -176,7 +176,7 @@
             for (seen, f) in t
                 .finals
                 .iter()
-                .filter(|f| f.1.outcome() == Outcome::Deferred && !harmless)
+                .filter(|f| f.1.outcome() == Outcome::Rejected && !harmless)
             {
                 let ran = attempts
                     .iter()
--- a/crates/audit/tests/doctored.rs
+++ b/crates/audit/tests/doctored.rs
@@ -215,7 +215,7 @@
     }
 }
 
-use pb::Outcome::{Abandoned, Deferred, Done};
+use pb::Outcome::{Completed, Failed, Rejected};
 use pb::Result::{Error, Full, Ok};
 
 #[test]
@@ -223,19 +223,19 @@
     both(1, |t, missing| {
         t.take(10, 1, READ);
         if !missing {
-            t.answer(20, 1, Deferred);
+            t.answer(20, 1, Rejected);
         }
     });
     both(1, |t, late| {
         t.take(10, 1, READ);
-        t.answer(if late { 2019 } else { 2017 }, 1, Deferred);
+        t.answer(if late { 2019 } else { 2017 }, 1, Rejected);
     });
     for (doubled, expected) in [(false, 0), (true, 2)] {
         let mut t = Traces::new();
         t.take(10, 1, READ);
-        t.answer(20, 1, Deferred);
+        t.answer(20, 1, Rejected);
         if doubled {
-            t.answer(30, 1, Done);
+            t.answer(30, 1, Completed);
         }
         assert_eq!(
             t.judge().breaches.len(),
@@ -250,7 +250,7 @@
     both(1, |t, after| {
         t.take(10, 1, READ);
         t.attempt(if after { 25 } else { 15 }, 1, 1, 0);
-        t.answer(20, 1, Abandoned);
+        t.answer(20, 1, Failed);
     });
 }
 
@@ -272,7 +272,7 @@
             t.mark(100, What::Stopped);
             t.mark(4000, What::Continued);
         }
-        t.answer(4010, 1, Deferred);
+        t.answer(4010, 1, Rejected);
         assert_eq!(t.judge().breaches.len(), broken);
     }
 }
@@ -285,21 +285,21 @@
         t.back(30, 20, if ran { Error } else { Full });
         t.attempt(40, 1, 1, 1);
         t.back(50, 40, Ok);
-        t.answer(51, 1, Done);
+        t.answer(51, 1, Completed);
     });
     both(2, |t, outside| {
         t.take(10, 1, KEYED);
         t.attempt(20, 1, 1, 0);
         t.back(30, 20, Error);
         t.attempt(40, 1, if outside { 2 } else { 1 }, 1);
-        t.answer(50, 1, Abandoned);
+        t.answer(50, 1, Failed);
     });
     both(2, |t, forgotten| {
         t.take(10, 1, KEYED);
         t.attempt(20, 1, 1, 0);
         t.back(30, 20, Error);
         t.attempt(if forgotten { 1021 } else { 1019 }, 1, 1, 1);
-        t.answer(1030, 1, Abandoned);
+        t.answer(1030, 1, Failed);
     });
     // No answer is no proof either.
     both(2, |t, silent| {
@@ -309,7 +309,7 @@
             t.back(30, 20, Full);
         }
         t.attempt(40, 1, 1, 1);
-        t.answer(50, 1, Abandoned);
+        t.answer(50, 1, Failed);
     });
 }
 
@@ -318,7 +318,7 @@
     both(2, |t, deferred| {
         t.take(10, 1, ONCE);
         t.attempt(20, 1, 1, 0);
-        t.answer(30, 1, if deferred { Deferred } else { Abandoned });
+        t.answer(30, 1, if deferred { Rejected } else { Failed });
     });
 }
 
@@ -328,7 +328,7 @@
         t.take(10, 1, ONCE);
         t.attempt(20, 1, 1, 0);
         t.back(30, 20, Ok);
-        t.answer(31, 1, Done);
+        t.answer(31, 1, Completed);
         for at in if twice { vec![25, 26] } else { vec![25] } {
             let mark = pb::Marked {
                 what: What::Effect.into(),
@@ -353,7 +353,7 @@
             t.list(100, state, 1);
             t.take(110, 1, READ);
             t.attempt(if late { 601 } else { 600 }, 1, 1, 0);
-            t.answer(700, 1, Deferred);
+            t.answer(700, 1, Rejected);
         });
     }
 }
@@ -367,7 +367,7 @@
         for n in 0..if much { 7 } else { 5 } {
             t.take(110 + u64::from(n), n, READ);
             t.attempt(130 + u64::from(n), n, 1, 0);
-            t.answer(200, n, Deferred);
+            t.answer(200, n, Rejected);
         }
     });
     both(4, |t, told| {
@@ -378,7 +378,7 @@
         t.take(110, 1, READ);
         t.attempt(120, 1, 1, 0);
         t.mark(130, What::Fell);
-        t.answer(200, 1, Deferred);
+        t.answer(200, 1, Rejected);
     });
 }
 
@@ -389,26 +389,26 @@
         t.take(11, 2, ROW);
         t.attempt(20, 1, 1, 0);
         t.back(40, 20, Ok);
-        t.answer(40, 1, Done);
+        t.answer(40, 1, Completed);
         t.attempt(if early { 39 } else { 41 }, 2, 1, 0);
-        t.answer(60, 2, Done);
+        t.answer(60, 2, Completed);
     });
     // The first was never sent, and is deferred long after.
     both(5, |t, early| {
         t.take(10, 1, ROW);
         t.take(11, 2, ROW);
         t.attempt(if early { 20 } else { 90 }, 2, 1, 0);
-        t.answer(91, 1, Deferred);
-        t.answer(92, 2, Deferred);
+        t.answer(91, 1, Rejected);
+        t.answer(92, 2, Rejected);
     });
     // Its time was up without an answer: the key rests 200 ms more, from 1020 on.
     both(5, |t, unrested| {
         t.take(10, 1, ROW);
         t.take(11, 2, ROW);
         t.attempt(20, 1, 1, 0);
-        t.answer(1021, 1, Deferred);
+        t.answer(1021, 1, Rejected);
         t.attempt(if unrested { 1219 } else { 1221 }, 2, 1, 0);
-        t.answer(1300, 2, Deferred);
+        t.answer(1300, 2, Rejected);
     });
 }
 
@@ -423,7 +423,7 @@
         for n in 0..if more { 4 } else { 3 } {
             t.attempt(200 + u64::from(n), n, 1, 1);
         }
-        (0..4).for_each(|n| t.answer(300, n, Deferred));
+        (0..4).for_each(|n| t.answer(300, n, Rejected));
     });
 }
 
@@ -434,7 +434,7 @@
         for n in 0..if more { 13 } else { 12 } {
             t.take(10, n, READ);
             t.attempt(20, n, 1 + u32::from(n) % 2, 0);
-            t.answer(30, n, Deferred);
+            t.answer(30, n, Rejected);
         }
     });
 }
--- a/crates/audit/tests/plans.rs
+++ b/crates/audit/tests/plans.rs
@@ -136,7 +136,7 @@
         };
         let done = pb::Response {
             id,
-            outcome: pb::Outcome::Done.into(),
+            outcome: pb::Outcome::Completed.into(),
             ..Default::default()
         };
         let records = &mut self.hosts[host];
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use grebecleat::control::Control;
 use grebecleat::interface::*;
-use grebecleat_host::desk::{ConnId, Desk, Input, Output};
 use grebecleat_host::outbox::Outbox;
+use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::{HashMap, VecDeque};
@@ -26,8 +26,8 @@
         for open in [1, 100, 10_000] {
             for batch in [1, 32] {
                 let (alone, held) = decisions(nodes, open, batch, span);
-                let desk = desk(nodes, open, batch, span);
-                println!("| {nodes} | {open} | {held} | {batch} | {alone:.0} | {desk:.0} |");
+                let router = router(nodes, open, batch, span);
+                println!("| {nodes} | {open} | {held} | {batch} | {alone:.0} | {router:.0} |");
             }
         }
     }
@@ -145,8 +145,8 @@
 }
 
 /// The desk with the decisions inside, its outboxes pulled as writers would.
-fn desk(nodes: u32, open: usize, batch: usize, span: Duration) -> f64 {
-    let mut desk = Desk::new(Arc::new(settings(nodes)), 1);
+fn router(nodes: u32, open: usize, batch: usize, span: Duration) -> f64 {
+    let mut router = RequestRouter::new(Arc::new(settings(nodes)), 1);
     let mut now = ms(1000);
     let entry = |n: u32| pb::Endpoint {
         node: n + 1,
@@ -187,7 +187,7 @@
         }
     };
     let mut inputs = vec![
-        Input::Remembered { list },
+        Input::CachedEndpoints { list },
         Input::ClientUp {
             conn: client,
             outbox: to_client.clone(),
@@ -201,7 +201,7 @@
     let (mut started, mut requests, mut warm) = (Instant::now(), 0u64, false);
     while !warm || started.elapsed() < span {
         let mut ups = Vec::new();
-        for output in desk.step(now, inputs) {
+        for output in router.step(now, inputs) {
             if let Output::Dial { conn, .. } = output {
                 let rung = rung.clone();
                 let ring = move || rung.lock().expect("one thread").push(conn);
@@ -211,18 +211,18 @@
             }
         }
         let dialled = !ups.is_empty();
-        desk.step(now, ups);
-        let answered = to_client.pull(|| now, usize::MAX).frames.len();
-        to_client.wrote();
+        router.step(now, ups);
+        let answered = to_client.take_batch(|| now, usize::MAX).frames.len();
+        to_client.batch_written();
         // Only connections with something to write are looked at, as a bell wakes their writers.
         for conn in std::mem::take(&mut *rung.lock().expect("one thread")) {
             let outbox = &boxes[&conn];
-            let attempts = outbox.pull(|| now, usize::MAX).frames.into_iter();
+            let attempts = outbox.take_batch(|| now, usize::MAX).frames.into_iter();
             out.extend(attempts.filter_map(|f| match f.body {
                 Some(Body::Attempt(l)) => Some((conn, l.attempt)),
                 _ => None,
             }));
-            outbox.wrote();
+            outbox.batch_written();
         }
         if !warm && !dialled && requests > 2000.min(open as u64 * 20) {
             (started, requests, warm) = (Instant::now(), 0, true);
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -320,7 +320,7 @@
     match body {
         Body::Response(f) => {
             let number = std::str::from_utf8(&f.id).ok()?.parse().ok()?;
-            Some((number, f.outcome() == Outcome::Done))
+            Some((number, f.outcome() == Outcome::Completed))
         }
         Body::AttemptResponse(a) => Some((a.attempt, a.result() == pb::Result::Ok)),
         _ => None,
--- a/crates/cli/tests/peers.rs
+++ b/crates/cli/tests/peers.rs
@@ -208,7 +208,7 @@
                 };
                 while let Ok(Some(f)) = reader.next::<pb::Frame>() {
                     if let Some(Body::Response(f)) = f.body {
-                        done += u64::from(f.outcome() == Outcome::Done);
+                        done += u64::from(f.outcome() == Outcome::Completed);
                     }
                 }
                 if gone {
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -381,7 +381,7 @@
     fn until_done(&mut self) {
         let done = (0..300).any(|_| {
             std::thread::sleep(Duration::from_millis(10));
-            self.read() == Some(Outcome::Done)
+            self.read() == Some(Outcome::Completed)
         });
         assert!(done, "nothing was ever done");
     }
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -771,7 +771,7 @@
     }
 
     /// Ends the traffic and the hosts, and adds up what crossed.
-    pub fn stop(mut self) -> Counts {
+    pub fn stop(mut self) -> Counters {
         self.ended.store(true, Ordering::SeqCst);
         self.clients.drain(..).for_each(|c| c.join().unwrap());
         let mut crashed = Vec::new();
@@ -796,7 +796,7 @@
         }
         let asked = std::mem::take(&mut *lock(&self.asked));
         let nodes: Vec<Node> = self.nodes.iter().chain(&self.left).cloned().collect();
-        Counts::of(&asked, &nodes, &self.hosts, crashed, log, self.list.clone())
+        Counters::of(&asked, &nodes, &self.hosts, crashed, log, self.list.clone())
     }
 }
 
@@ -931,7 +931,7 @@
 // What crossed
 
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct Counters {
     pub asked: usize,
     pub done: usize,
     pub deferred: usize,
@@ -956,7 +956,7 @@
     pub crossed: Vec<(String, Seen)>,
 }
 
-impl Counts {
+impl Counters {
     fn of(
         asked: &[Asked],
         nodes: &[Node],
@@ -964,13 +964,13 @@
         crashed: Vec<usize>,
         log: String,
         _list: List,
-    ) -> Counts {
-        let mut c = Counts {
+    ) -> Counters {
+        let mut c = Counters {
             asked: asked.len(),
             crashed,
             log,
             answers: asked.to_vec(),
-            ..Counts::default()
+            ..Counters::default()
         };
         for n in nodes {
             c.crossed
--- a/crates/host/src/listing.rs
+++ b/crates/host/src/endpoint_list.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct KnownEndpoint {
     pub address: Option<SocketAddr>,
     pub state: NodeState,
     pub start: u64,
@@ -24,11 +24,11 @@
 
 /// All nodes the list has named. Nodes stay known after they are gone; the bound is the list's own length.
 #[derive(Debug, Default)]
-pub struct Listing {
-    pub nodes: BTreeMap<NodeId, Known>,
+pub struct EndpointList {
+    pub nodes: BTreeMap<NodeId, KnownEndpoint>,
 }
 
-impl Listing {
+impl EndpointList {
     /// Reads one entry; None where it makes no sense.
     pub fn read(&mut self, e: &pb::Endpoint, now: Duration, revision: u64) -> Option<Endpoint> {
         let state = match e.state() {
@@ -48,7 +48,7 @@
         let started = before.map_or(reckoned, |k| k.started);
         let (zone, shard) = (ZoneId(e.zone), ShardId(e.shard));
         let address = e.address.parse().ok();
-        let known = Known {
+        let known = KnownEndpoint {
             address,
             state,
             start: e.start,
@@ -68,7 +68,7 @@
     }
 
     /// Nodes that a whole list no longer names are gone; answers which.
-    pub fn only(&mut self, named: &[Endpoint], revision: u64) -> Vec<NodeId> {
+    pub fn retain_listed(&mut self, named: &[Endpoint], revision: u64) -> Vec<NodeId> {
         let there = |id: &NodeId| named.iter().any(|e| e.node == *id);
         let gone = self
             .nodes
--- a/crates/host/src/listing/tests.rs
+++ b/crates/host/src/endpoint_list/tests.rs
@@ -11,7 +11,7 @@
         up_us: Some(up * 1_000_000),
         ..Default::default()
     };
-    let mut l = Listing::default();
+    let mut l = EndpointList::default();
     assert_eq!(l.read(&entry(1, 4), s(10), 1).unwrap().started, Some(s(6)));
     assert_eq!(
         l.read(&entry(1, 4), s(11), 1).unwrap().started,
@@ -21,10 +21,10 @@
     assert_eq!(l.read(&entry(2, 0), s(12), 2).unwrap().started, Some(s(12)));
     let bytes = l.to_bytes(s(13));
     assert_eq!(
-        Listing::from_bytes(&bytes).unwrap().endpoints[0].up_us,
+        EndpointList::from_bytes(&bytes).unwrap().endpoints[0].up_us,
         Some(1_000_000)
     );
-    assert!(Listing::from_bytes(&bytes[..bytes.len() - 1]).is_err());
-    assert_eq!(l.only(&[], 3), [NodeId(3)]);
-    assert!(l.only(&[], 3).is_empty());
+    assert!(EndpointList::from_bytes(&bytes[..bytes.len() - 1]).is_err());
+    assert_eq!(l.retain_listed(&[], 3), [NodeId(3)]);
+    assert!(l.retain_listed(&[], 3).is_empty());
 }
--- /dev/null
+++ b/crates/host/src/metrics.rs
@@ -0,0 +1,230 @@
+//! The metrics that this host sends to subscribers every second: nodes, what is queued and why, and what each volume
+//! requested and got.
+//!
+//! Called by the router with every request that comes in and completes; [`MetricsCollector::collect`] makes a second's
+//! message. Nothing is counted while nobody subscribes. What a volume requested is reported under the second in which
+//! it came in, and what has come of it under the same second, whenever that is; the subscriber adds it up. Latency
+//! objectives count from when a request came in here: a client's later try is one of its own, since this host is not
+//! told of its first.
+//!
+//! Memory: a record for each volume, shard and second of which something changed since the last message, and the last
+//! reported row of each node.
+
+use grebecleat::control::inspection::{NodeMetrics, QueueMetrics};
+use grebecleat::control::Control;
+use grebecleat::interface::{BlockReason, NodeId, NodeState};
+use grebecleat_wire::clock::micros;
+use grebecleat_wire::pb;
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+
+/// Time between two messages.
+pub const INTERVAL: Duration = Duration::from_secs(1);
+/// Lines of queued requests that are looked at for one message.
+const MAX_LINES: usize = 512;
+/// Decimal digits of a figure that count: what hardly changes is not sent again and again.
+const SIGNIFICANT_DIGITS: f64 = 3.0;
+
+/// What service is counted by.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+struct ServiceKey {
+    /// In which the request came in, of this host's clock.
+    second: u64,
+    volume: u64,
+    shard: Option<u32>,
+}
+
+impl ServiceKey {
+    fn of(received: Duration, message: &pb::SubmitRequest) -> Self {
+        ServiceKey {
+            second: received.as_secs(),
+            volume: message.volume,
+            shard: message.shard,
+        }
+    }
+}
+
+/// Units since the last message.
+#[derive(Debug, Clone, Copy, Default)]
+struct ServiceCounts {
+    requested: f64,
+    in_time: f64,
+    late: f64,
+}
+
+/// Counts service and nodes' work between two messages.
+#[derive(Debug, Default)]
+pub struct MetricsCollector {
+    service: HashMap<ServiceKey, ServiceCounts>,
+    completed_units: HashMap<NodeId, f64>,
+    reported_nodes: BTreeMap<NodeId, pb::NodeMetrics>,
+}
+
+impl MetricsCollector {
+    /// A new subscriber is sent all nodes.
+    pub fn report_all_nodes(&mut self) {
+        self.reported_nodes.clear();
+    }
+
+    fn counts(&mut self, received: Duration, message: &pb::SubmitRequest) -> &mut ServiceCounts {
+        let key = ServiceKey::of(received, message);
+        self.service.entry(key).or_default()
+    }
+
+    /// Counts a request that has come in.
+    pub fn request_received(&mut self, received: Duration, message: &pb::SubmitRequest) {
+        self.counts(received, message).requested += message.units;
+    }
+
+    /// Counts a request that completed, within its latency objective or late.
+    pub fn request_completed(
+        &mut self,
+        received: Duration,
+        message: &pb::SubmitRequest,
+        in_time: bool,
+    ) {
+        let counts = self.counts(received, message);
+        match in_time {
+            true => counts.in_time += message.units,
+            false => counts.late += message.units,
+        }
+    }
+
+    /// Counts units that a node completed.
+    pub fn units_completed(&mut self, node: NodeId, units: f64) {
+        *self.completed_units.entry(node).or_default() += units;
+    }
+
+    /// The message of one interval. `start_of`: which start of a node's process the endpoint list names; `head`: the
+    /// host's own figures.
+    pub fn collect(
+        &mut self,
+        now: Duration,
+        control: &Control,
+        start_of: impl Fn(NodeId) -> u64,
+        head: pb::HostMetrics,
+    ) -> pb::HostMetrics {
+        let nodes = self.changed_nodes(now, control, start_of);
+        let queued = control.queued(MAX_LINES);
+        let service = std::mem::take(&mut self.service);
+        pb::HostMetrics {
+            nodes,
+            queued: queued
+                .iter()
+                .map(|metrics| queue_to_proto(metrics, now))
+                .collect(),
+            service: service
+                .into_iter()
+                .map(|(key, counts)| service_to_proto(key, counts))
+                .collect(),
+            at_us: micros(now),
+            ..head
+        }
+    }
+
+    fn changed_nodes(
+        &mut self,
+        now: Duration,
+        control: &Control,
+        start_of: impl Fn(NodeId) -> u64,
+    ) -> Vec<pb::NodeMetrics> {
+        let mut completed = std::mem::take(&mut self.completed_units);
+        let mut changed = Vec::new();
+        for node in control.nodes() {
+            let units = completed.remove(&node.node).unwrap_or_default();
+            let row = node_to_proto(&node, now, start_of(node.node), units);
+            let reported = self.reported_nodes.get(&node.node);
+            if reported.is_none_or(|reported| without_ages(reported) != without_ages(&row)) {
+                self.reported_nodes.insert(node.node, row);
+                changed.push(row);
+            }
+        }
+        changed
+    }
+}
+
+/// A row without what changes by itself.
+fn without_ages(row: &pb::NodeMetrics) -> pb::NodeMetrics {
+    pb::NodeMetrics {
+        last_success_us: None,
+        up_us: None,
+        ..*row
+    }
+}
+
+fn round(figure: f64) -> f64 {
+    if figure == 0.0 || !figure.is_finite() {
+        return 0.0;
+    }
+    let digits = SIGNIFICANT_DIGITS - 1.0 - figure.abs().log10().floor();
+    let scale = 10f64.powf(digits);
+    (figure * scale).round() / scale
+}
+
+fn service_to_proto(key: ServiceKey, counts: ServiceCounts) -> pb::ServiceMetrics {
+    pb::ServiceMetrics {
+        second: key.second,
+        volume: key.volume,
+        shard: key.shard,
+        asked: counts.requested,
+        timely: counts.in_time,
+        late: counts.late,
+    }
+}
+
+fn node_to_proto(
+    metrics: &NodeMetrics,
+    now: Duration,
+    start: u64,
+    completed_units: f64,
+) -> pb::NodeMetrics {
+    let state = match metrics.state {
+        NodeState::Ready => pb::NodeState::Ready,
+        NodeState::Draining => pb::NodeState::Draining,
+        NodeState::Gone => pb::NodeState::Gone,
+    };
+    let age = |at: Duration| micros(now.saturating_sub(at));
+    let succeeded = !metrics.last_success.is_zero();
+    pb::NodeMetrics {
+        node: metrics.node.0,
+        state: state.into(),
+        start,
+        up_us: metrics.started.map(age),
+        attempts: metrics.attempts as u32,
+        outstanding: round(metrics.outstanding),
+        queued: metrics.queued as u32,
+        estimate: round(metrics.estimate),
+        learned_rate: round(metrics.learned_rate),
+        concurrency_factor: round(metrics.concurrency_factor),
+        admission_level: round(metrics.admission_level),
+        late_fraction: round(metrics.late_fraction),
+        slow_start: metrics.slow_start,
+        last_success_us: succeeded.then(|| age(metrics.last_success)),
+        done: round(completed_units),
+    }
+}
+
+fn queue_to_proto(metrics: &QueueMetrics, now: Duration) -> pb::QueueMetrics {
+    let block_reason = match metrics.block_reason {
+        BlockReason::RetryDelay => pb::BlockReason::RetryDelay,
+        BlockReason::KeyOrder => pb::BlockReason::KeyOrder,
+        BlockReason::RetryBudget => pb::BlockReason::RetryBudget,
+        BlockReason::RateLimit => pb::BlockReason::RateLimit,
+        BlockReason::SlowStart => pb::BlockReason::SlowStart,
+        BlockReason::Idempotency => pb::BlockReason::Idempotency,
+        BlockReason::Share => pb::BlockReason::Share,
+        BlockReason::Throttled => pb::BlockReason::Throttled,
+        BlockReason::Concurrency => pb::BlockReason::Concurrency,
+        BlockReason::NoCapacity => pb::BlockReason::NoCapacity,
+    };
+    pb::QueueMetrics {
+        volume: metrics.volume.0,
+        node: metrics.node.map(|node| node.0),
+        block_reason: block_reason.into(),
+        requests: metrics.requests as u32,
+        since_us: micros(now.saturating_sub(metrics.since)),
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/host/src/sights/tests.rs
+++ b/crates/host/src/observations/tests.rs
@@ -9,14 +9,14 @@
         ..Default::default()
     };
     let nodes = |rows: &[pb::NodeObservation]| rows.iter().map(|r| r.node).collect::<Vec<_>>();
-    let mut s = Sights::default();
-    assert_eq!(nodes(&s.news([row(1, 0, 0), row(2, 3, 0)])), [1, 2]);
-    assert_eq!(nodes(&s.news([row(1, 0, 0), row(2, 2, 900)])), [2]);
+    let mut s = ObservationReport::default();
+    assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 3, 0)])), [1, 2]);
+    assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 2, 900)])), [2]);
     assert!(
-        s.news([row(1, 0, 0), row(2, 2, 100)]).is_empty(),
+        s.changes([row(1, 0, 0), row(2, 2, 100)]).is_empty(),
         "that runs by itself"
     );
-    assert_eq!(nodes(&s.news([row(1, 0, 0), row(2, 2, 0)])), [2]);
+    assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 2, 0)])), [2]);
     s.forget();
-    assert_eq!(nodes(&s.news([row(1, 0, 0), row(2, 2, 0)])), [1, 2]);
+    assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 2, 0)])), [1, 2]);
 }
--- a/crates/host/src/outbox.rs
+++ b/crates/host/src/outbox.rs
@@ -29,7 +29,7 @@
 }
 
 #[derive(Debug)]
-struct Waiting {
+struct QueuedAttempt {
     frame: pb::Frame,
     size: usize,
     put: Duration,
@@ -38,30 +38,30 @@
     client: Option<Arc<Outbox>>,
 }
 
-impl Waiting {
+impl QueuedAttempt {
     fn is_wanted(&self, now: Duration) -> bool {
         let id = match &self.frame.body {
             Some(Body::Attempt(m)) => &m.id,
             _ => return now < self.until,
         };
-        now < self.until && self.client.as_ref().is_none_or(|c| c.waits_for(id))
+        now < self.until && self.client.as_ref().is_none_or(|c| c.wants(id))
     }
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    line: VecDeque<Item>,
-    attempts: BTreeMap<AttemptId, Waiting>,
+    queue: VecDeque<Item>,
+    attempts: BTreeMap<AttemptId, QueuedAttempt>,
     bytes: usize,
     writing: bool,
     closed: bool,
     /// Withdrawn by the client, and not yet heard of by the owner.
-    withdrawn: HashSet<Bytes>,
+    cancelled: HashSet<Bytes>,
 }
 
 /// What a writer is to write now.
 #[derive(Debug, Default, PartialEq)]
-pub struct Pulled {
+pub struct Batch {
     /// When they were taken: of two pulls, the later has the later moment, whichever connections they are
     /// for.
     pub at: Duration,
@@ -103,7 +103,7 @@
         let size = frame_size(&frame);
         let mut inner = self.lock();
         inner.bytes += size;
-        inner.line.push_back(Item::Plain(frame, size));
+        inner.queue.push_back(Item::Plain(frame, size));
         drop(inner);
         (self.wake)();
     }
@@ -131,10 +131,10 @@
         let size = frame_size(&frame);
         let mut inner = self.lock();
         inner.bytes += size;
-        inner.line.push_back(Item::Attempt(attempt));
+        inner.queue.push_back(Item::Attempt(attempt));
         inner.attempts.insert(
             attempt,
-            Waiting {
+            QueuedAttempt {
                 frame,
                 size,
                 put: now,
@@ -147,22 +147,22 @@
     }
 
     /// What a client says as it is read, before its owner hears it.
-    pub fn said(&self, frames: &[pb::Frame]) {
+    pub fn note_cancels(&self, frames: &[pb::Frame]) {
         for f in frames {
             if let Some(Body::CancelRequest(w)) = &f.body {
-                self.lock().withdrawn.insert(w.id.clone());
+                self.lock().cancelled.insert(w.id.clone());
             }
         }
     }
 
     /// The owner has heard that the client withdrew it, and takes its attempts back by itself from now on.
-    pub fn heard(&self, id: &Bytes) {
-        self.lock().withdrawn.remove(id);
+    pub fn cancel_handled(&self, id: &Bytes) {
+        self.lock().cancelled.remove(id);
     }
 
-    fn waits_for(&self, id: &Bytes) -> bool {
+    fn wants(&self, id: &Bytes) -> bool {
         let inner = self.lock();
-        !inner.closed && !inner.withdrawn.contains(id)
+        !inner.closed && !inner.cancelled.contains(id)
     }
 
     /// Takes an attempt back; whether it had not yet gone to the socket, and now never will.
@@ -174,7 +174,7 @@
     }
 
     /// An attempt that has not gone to the socket.
-    pub fn is_held(&self, attempt: AttemptId) -> bool {
+    pub fn is_queued(&self, attempt: AttemptId) -> bool {
         self.lock().attempts.contains_key(&attempt)
     }
 
@@ -191,11 +191,11 @@
 
     /// What goes to the socket now, at most about `most` bytes. From here on it counts as crossed; attempts whose
     /// time is up, or whose client has left, stay out, and are for the owner's next look.
-    pub fn pull(&self, clock: impl FnOnce() -> Duration, most: usize) -> Pulled {
+    pub fn take_batch(&self, clock: impl FnOnce() -> Duration, most: usize) -> Batch {
         let mut inner = self.lock();
         let now = clock();
-        let (mut pulled, mut size) = (
-            Pulled {
+        let (mut batch, mut size) = (
+            Batch {
                 at: now,
                 closed: inner.closed,
                 frames: Vec::new(),
@@ -205,11 +205,11 @@
         let mut late = VecDeque::new();
         let sent_us = grebecleat_wire::clock::micros(now);
         while size < most {
-            match inner.line.pop_front() {
+            match inner.queue.pop_front() {
                 None => break,
                 Some(Item::Plain(frame, s)) => {
                     size += s;
-                    pulled.frames.push(pb::Frame { sent_us, ..frame });
+                    batch.frames.push(pb::Frame { sent_us, ..frame });
                 }
                 Some(Item::Attempt(attempt)) => match inner.attempts.remove(&attempt) {
                     None => {}
@@ -223,20 +223,20 @@
                         if let Some(Body::Attempt(m)) = &mut w.frame.body {
                             m.left_us = grebecleat_wire::clock::micros(w.until - now);
                         }
-                        pulled.frames.push(pb::Frame { sent_us, ..w.frame });
+                        batch.frames.push(pb::Frame { sent_us, ..w.frame });
                     }
                 },
             }
         }
-        late.append(&mut inner.line);
-        inner.line = late;
+        late.append(&mut inner.queue);
+        inner.queue = late;
         inner.bytes -= size;
-        inner.writing = !pulled.frames.is_empty();
-        pulled
+        inner.writing = !batch.frames.is_empty();
+        batch
     }
 
     /// The writer is done with what it pulled last.
-    pub fn wrote(&self) {
+    pub fn batch_written(&self) {
         self.lock().writing = false;
     }
 
@@ -252,7 +252,7 @@
     /// Nothing waits and nothing is being written.
     pub fn is_flushed(&self) -> bool {
         let inner = self.lock();
-        inner.line.is_empty() && !inner.writing
+        inner.queue.is_empty() && !inner.writing
     }
 
     pub fn close(&self) {
--- a/crates/host/src/outbox/tests.rs
+++ b/crates/host/src/outbox/tests.rs
@@ -15,7 +15,7 @@
     }
 }
 
-fn attempts_of(p: &Pulled) -> Vec<(u64, u64)> {
+fn attempts_of(p: &Batch) -> Vec<(u64, u64)> {
     let each = p.frames.iter().filter_map(|f| match &f.body {
         Some(Body::Attempt(m)) => Some((m.attempt, m.left_us)),
         _ => None,
@@ -30,14 +30,17 @@
     assert!(out.revoke(AttemptId(2)) && !out.revoke(AttemptId(2)));
     assert_eq!(out.stale(ms(2), ms(50)), [AttemptId(1)]);
     assert!(out.revoke(AttemptId(1)));
-    assert_eq!(attempts_of(&out.pull(|| ms(60), 1)), [(3, 40_000)]);
+    assert_eq!(attempts_of(&out.take_batch(|| ms(60), 1)), [(3, 40_000)]);
     assert!(!out.revoke(AttemptId(3)), "it went to the socket");
     // The rest's time comes while the socket has no room.
-    assert_eq!(attempts_of(&out.pull(|| ms(100), 1000)), []);
+    assert_eq!(attempts_of(&out.take_batch(|| ms(100), 1000)), []);
     assert_eq!(out.stale(ms(0), ms(100)), [AttemptId(4)]);
     assert!(out.revoke(AttemptId(4)));
     assert_eq!(
-        (out.bytes(), attempts_of(&out.pull(|| ms(101), 1000)).len()),
+        (
+            out.bytes(),
+            attempts_of(&out.take_batch(|| ms(101), 1000)).len()
+        ),
         (0, 0)
     );
     assert!(out.is_flushed());
@@ -50,14 +53,14 @@
     let id = bytes::Bytes::from_static(b"an id");
     let withdraws = |outbox: &Outbox| {
         let id = bytes::Bytes::from_static(b"an id");
-        outbox.said(&[pb::Frame {
+        outbox.note_cancels(&[pb::Frame {
             sent_us: 0,
             body: Some(Body::CancelRequest(pb::CancelRequest { id })),
         }]);
     };
     let other = |outbox: &Outbox| {
         let id = bytes::Bytes::from_static(b"another");
-        outbox.said(&[pb::Frame {
+        outbox.note_cancels(&[pb::Frame {
             sent_us: 0,
             body: Some(Body::CancelRequest(pb::CancelRequest { id })),
         }]);
@@ -83,12 +86,12 @@
         out.put_attempt_of(AttemptId(1), attempt, ms(1), ms(100), Some(client.clone()));
         does(&client);
         assert_eq!(
-            attempts_of(&out.pull(|| ms(2), 1000)).len(),
+            attempts_of(&out.take_batch(|| ms(2), 1000)).len(),
             usize::from(written),
             "{what}"
         );
         assert_eq!(out.revoke(AttemptId(1)), !written, "{what}: it never ran");
-        client.heard(&id);
-        assert!(client.lock().withdrawn.len() <= 1, "{what}");
+        client.cancel_handled(&id);
+        assert!(client.lock().cancelled.len() <= 1, "{what}");
     }
 }
--- a/crates/host/src/renewal.rs
+++ b/crates/host/src/poll_deadline.rs
@@ -1,7 +1,7 @@
 //! When the list is called again at the latest, so that a change is known in time whatever call fails.
 //!
 //! The decisions space calls after failures, further and further, which spares a list that has too many
-//! callers. They don't know how long the calls themselves took. [`Renewal`] does, and calls for them where
+//! callers. They don't know how long the calls themselves took. [`PollDeadline`] does, and calls for them where
 //! their wait would be too long for the term in which a change has to be known.
 //!
 //! The argument. Let T be when the list has the change and can be reached again. Of the calls from T on, the
@@ -50,7 +50,7 @@
     /// A call was begun; where it needs a connection, its dial.
     Called,
     /// The list told something: all that it had is known, and a watch begins.
-    Told,
+    Answered,
     /// The call failed, was refused or given up.
     Failed,
 }
@@ -61,7 +61,7 @@
 }
 
 #[derive(Debug)]
-pub struct Renewal {
+pub struct PollDeadline {
     rng: Pcg64Mcg,
     /// From a call's beginning to the latest one of the second after it.
     two: Duration,
@@ -75,12 +75,12 @@
     by: Option<Duration>,
 }
 
-impl Renewal {
+impl PollDeadline {
     pub fn new(term: Duration, call: Duration, seed: u64) -> Self {
         let two = term.saturating_sub(call + LOOKS);
         let one = two.saturating_sub(call + SPREAD);
         let rng = Pcg64Mcg::seed_from_u64(seed);
-        Renewal {
+        PollDeadline {
             rng,
             two,
             one,
@@ -98,7 +98,7 @@
     pub fn step(&mut self, now: Duration, event: Option<Event>) -> Option<Action> {
         match event {
             Some(Event::Called) => (self.before, self.last, self.by) = (self.last, Some(now), None),
-            Some(Event::Told) => (self.before, self.last, self.by) = (None, Some(now), None),
+            Some(Event::Answered) => (self.before, self.last, self.by) = (None, Some(now), None),
             Some(Event::Failed) => {
                 let after = |at: Option<Duration>, span| at.map(|at| at + span);
                 let latest = [after(self.before, self.two), after(self.last, self.one)];
--- a/crates/host/src/pool.rs
+++ b/crates/host/src/pool.rs
@@ -1,7 +1,7 @@
 //! The connections to one node: how many there should be, and when to try again.
 //!
 //! Called by the desk: `wanted` after each change, and told of what became of dials. It keeps the wanted
-//! state (connections that should be up for the attempts there are) and answers the difference as one [`Step`].
+//! state (connections that should be up for the attempts there are) and answers the difference as one [`PoolAction`].
 //! A node whose port is dead is dialled ever more rarely, with jitter, since every host dials it; while that
 //! waits, its attempts are told at once that there is no connection, and the decisions judge the node by that.
 //! Harm: a node that comes back is found up to `MOST_WAIT` late, if the list says nothing.
@@ -10,14 +10,14 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-const FIRST_WAIT: Duration = Duration::from_millis(20);
-const MAX_WAIT: Duration = Duration::from_millis(500);
+const FIRST_BACKOFF: Duration = Duration::from_millis(20);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// Dials that are late, beside which another is made.
-pub const MAX_LATE: usize = 2;
+pub const MAX_LATE_DIALS: usize = 2;
 
 /// What one look at the pool asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum PoolAction {
     Nothing,
     Dial,
     /// Nothing is up, nothing may be dialled yet: attempts that wait have no connection.
@@ -26,7 +26,7 @@
 
 /// What there is. Attempts are those out or waiting at this node.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Present {
+pub struct PoolStatus {
     pub up: usize,
     pub dialling: usize,
     /// Dials, of these, that take longer than a handshake should.
@@ -39,7 +39,7 @@
 pub struct Pool {
     per_connection: usize,
     most: usize,
-    bad: u32,
+    failures: u32,
     not_before: Duration,
     rng: Pcg64Mcg,
 }
@@ -50,22 +50,22 @@
         Pool {
             per_connection,
             most,
-            bad: 0,
+            failures: 0,
             not_before: Duration::ZERO,
             rng,
         }
     }
 
-    pub fn wanted(&self, now: Duration, p: Present) -> Step {
+    pub fn wanted(&self, now: Duration, p: PoolStatus) -> PoolAction {
         let want = p.attempts.div_ceil(self.per_connection).min(self.most);
         match p {
-            Present { waiting: 0, .. } => Step::Nothing,
+            PoolStatus { waiting: 0, .. } => PoolAction::Nothing,
             // As many dials at a time as are up, so that attempts don't queue behind one another's handshakes,
             // and no more: a node that just came up must not see every host's whole pool at once. One that is
             // late is no word on the others: behind a lone late dial all that a host had for a node waited.
             // Where dials have failed, it is not the dial: no other is made beside it. Harm: a node that falls
             // silent is dialled up to three times by each host that has something for it, once.
-            Present {
+            PoolStatus {
                 dialling,
                 late,
                 up,
@@ -73,31 +73,31 @@
                 ..
             } if up + dialling - late < want
                 && dialling - late < waiting.min(up.max(1))
-                && (late == 0 || late <= MAX_LATE && self.bad == 0)
+                && (late == 0 || late <= MAX_LATE_DIALS && self.failures == 0)
                 && now >= self.not_before =>
             {
-                Step::Dial
+                PoolAction::Dial
             }
-            Present {
+            PoolStatus {
                 dialling: 0, up: 0, ..
-            } => Step::Fail,
-            _ => Step::Nothing,
+            } => PoolAction::Fail,
+            _ => PoolAction::Nothing,
         }
     }
 
-    pub fn came_up(&mut self) {
-        (self.bad, self.not_before) = (0, Duration::ZERO);
+    pub fn dial_succeeded(&mut self) {
+        (self.failures, self.not_before) = (0, Duration::ZERO);
     }
 
-    pub fn failed(&mut self, now: Duration) {
-        let wait = (FIRST_WAIT * 2u32.pow(self.bad.min(8))).min(MAX_WAIT);
-        self.bad += 1;
+    pub fn dial_failed(&mut self, now: Duration) {
+        let wait = (FIRST_BACKOFF * 2u32.pow(self.failures.min(8))).min(MAX_BACKOFF);
+        self.failures += 1;
         self.not_before = now + wait / 2 + wait.mul_f64(self.rng.random::<f64>() / 2.0);
     }
 
     /// The list tells of a new start or another address: what was seen before says nothing of it.
-    pub fn renew(&mut self) {
-        self.came_up();
+    pub fn forget_failures(&mut self) {
+        self.dial_succeeded();
     }
 }
 
--- a/crates/host/src/pool/tests.rs
+++ b/crates/host/src/pool/tests.rs
@@ -3,7 +3,7 @@
 #[test]
 fn as_many_dials_as_attempts_wait_and_connections_are_up() {
     let (now, pool) = (Duration::from_secs(10), Pool::new(1, 8, 1));
-    let look = |up, dialling, waiting| Present {
+    let look = |up, dialling, waiting| PoolStatus {
         up,
         dialling,
         late: 0,
@@ -11,13 +11,13 @@
         waiting,
     };
     let cases = [
-        (look(0, 0, 5), Step::Dial),
-        (look(0, 1, 5), Step::Nothing),
-        (look(3, 2, 5), Step::Dial),
-        (look(3, 3, 5), Step::Nothing),
-        (look(3, 2, 2), Step::Nothing),
-        (look(7, 0, 5), Step::Dial),
-        (look(7, 1, 5), Step::Nothing),
+        (look(0, 0, 5), PoolAction::Dial),
+        (look(0, 1, 5), PoolAction::Nothing),
+        (look(3, 2, 5), PoolAction::Dial),
+        (look(3, 3, 5), PoolAction::Nothing),
+        (look(3, 2, 2), PoolAction::Nothing),
+        (look(7, 0, 5), PoolAction::Dial),
+        (look(7, 1, 5), PoolAction::Nothing),
     ];
     for (present, step) in cases {
         assert_eq!(pool.wanted(now, present), step, "{present:?}");
@@ -28,7 +28,7 @@
 fn one_dial_at_a_time_and_fewer_after_failures() {
     let now = Duration::from_secs(10);
     let mut pool = Pool::new(10, 2, 1);
-    let look = |up, dialling, attempts, waiting| Present {
+    let look = |up, dialling, attempts, waiting| PoolStatus {
         up,
         dialling,
         late: 0,
@@ -36,29 +36,35 @@
         waiting,
     };
     let cases = [
-        (look(0, 0, 0, 0), Step::Nothing),
-        (look(0, 0, 1, 1), Step::Dial),
-        (look(0, 1, 5, 5), Step::Nothing),
-        (look(1, 1, 12, 2), Step::Nothing),
-        (look(1, 0, 11, 1), Step::Dial),
-        (look(2, 0, 40, 20), Step::Nothing),
+        (look(0, 0, 0, 0), PoolAction::Nothing),
+        (look(0, 0, 1, 1), PoolAction::Dial),
+        (look(0, 1, 5, 5), PoolAction::Nothing),
+        (look(1, 1, 12, 2), PoolAction::Nothing),
+        (look(1, 0, 11, 1), PoolAction::Dial),
+        (look(2, 0, 40, 20), PoolAction::Nothing),
     ];
     for (present, step) in cases {
         assert_eq!(pool.wanted(now, present), step, "{present:?}");
     }
-    pool.failed(now);
-    assert_eq!(pool.wanted(now, look(0, 0, 1, 1)), Step::Fail);
-    assert_eq!(pool.wanted(now, look(1, 0, 11, 1)), Step::Nothing);
-    assert_eq!(pool.wanted(now + FIRST_WAIT, look(0, 0, 1, 1)), Step::Dial);
-    (0..50).for_each(|_| pool.failed(now));
-    assert_eq!(pool.wanted(now + MAX_WAIT, look(0, 0, 1, 1)), Step::Dial);
+    pool.dial_failed(now);
+    assert_eq!(pool.wanted(now, look(0, 0, 1, 1)), PoolAction::Fail);
+    assert_eq!(pool.wanted(now, look(1, 0, 11, 1)), PoolAction::Nothing);
+    assert_eq!(
+        pool.wanted(now + FIRST_BACKOFF, look(0, 0, 1, 1)),
+        PoolAction::Dial
+    );
+    (0..50).for_each(|_| pool.dial_failed(now));
+    assert_eq!(
+        pool.wanted(now + MAX_BACKOFF, look(0, 0, 1, 1)),
+        PoolAction::Dial
+    );
 }
 
 /// Attempts waited for a second and a half behind one dial, and its node was taken to be slow.
 #[test]
 fn beside_a_late_dial_another_is_made_unless_dials_have_failed() {
     let now = Duration::from_secs(10);
-    let look = |up, dialling, late, waiting| Present {
+    let look = |up, dialling, late, waiting| PoolStatus {
         up,
         dialling,
         late,
@@ -67,26 +73,26 @@
     };
     // what there is, whether a dial had failed before, what is done
     let cases = [
-        (look(0, 1, 0, 1), false, Step::Nothing),
-        (look(0, 1, 1, 1), false, Step::Dial),
-        (look(0, 2, 1, 1), false, Step::Nothing),
-        (look(0, 2, 2, 5), false, Step::Dial),
-        (look(0, 3, 3, 5), false, Step::Nothing),
-        (look(0, 1, 1, 0), false, Step::Nothing),
-        (look(2, 3, 1, 5), false, Step::Nothing),
-        (look(3, 3, 1, 5), false, Step::Dial),
-        (look(0, 1, 1, 5), true, Step::Nothing),
-        (look(3, 1, 0, 5), true, Step::Dial),
+        (look(0, 1, 0, 1), false, PoolAction::Nothing),
+        (look(0, 1, 1, 1), false, PoolAction::Dial),
+        (look(0, 2, 1, 1), false, PoolAction::Nothing),
+        (look(0, 2, 2, 5), false, PoolAction::Dial),
+        (look(0, 3, 3, 5), false, PoolAction::Nothing),
+        (look(0, 1, 1, 0), false, PoolAction::Nothing),
+        (look(2, 3, 1, 5), false, PoolAction::Nothing),
+        (look(3, 3, 1, 5), false, PoolAction::Dial),
+        (look(0, 1, 1, 5), true, PoolAction::Nothing),
+        (look(3, 1, 0, 5), true, PoolAction::Dial),
     ];
-    for (present, failed, step) in cases {
+    for (present, dial_failed, step) in cases {
         let mut pool = Pool::new(1, 8, 1);
-        if failed {
-            pool.failed(now - MAX_WAIT);
+        if dial_failed {
+            pool.dial_failed(now - MAX_BACKOFF);
         }
         assert_eq!(
             pool.wanted(now, present),
             step,
-            "{present:?}, failed before: {failed}"
+            "{present:?}, failed before: {dial_failed}"
         );
     }
 }
--- /dev/null
+++ b/crates/host/src/quota_sharing.rs
@@ -0,0 +1,297 @@
+//! This host's part in what hosts share: quotas of limits, and outlier detection over the whole fleet.
+//!
+//! Called by the router: what it receives, completes and sends goes in as it happens, what it learns of plans and of the
+//! endpoint list when that changes, and [`QuotaSharing::step`] returns what the decisions, the peers and the log are to
+//! be told. What is decided is decided in [`grebecleat_fleet`]; here is only the translation: a quota of a limit becomes
+//! a volume's terms, and a node to be avoided one that drains.
+//!
+//! Memory: the terms of each volume with a limit that is shared.
+
+use grebecleat::interface::{
+    AttemptOutcome, Event, LimitQuota, NodeId, PeerId, Plan, PlanId, VolumeId, VolumeTerms,
+};
+use grebecleat_fleet::budget::Spans;
+use grebecleat_fleet::fleet::{self, Action, Fleet, Rules};
+use grebecleat_fleet::judgement::Belief;
+use grebecleat_fleet::{HostNumber, Incarnation};
+use grebecleat_settings::Settings;
+use grebecleat_wire::clock::micros;
+use grebecleat_wire::pb;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+/// What is to be done beyond telling the decisions.
+#[derive(Debug, Default)]
+pub struct SharingOutcome {
+    /// Messages to peers.
+    pub messages: Vec<(PeerId, Vec<u8>)>,
+    /// Lines for the log.
+    pub log: Vec<String>,
+    /// Nodes of which it changed whether they are avoided.
+    pub changed_nodes: Vec<NodeId>,
+}
+
+/// A volume with a limit that hosts share.
+#[derive(Debug, Clone, Copy)]
+struct SharedVolume {
+    /// Its terms with an even quota.
+    terms: VolumeTerms,
+    /// How much of the even quota this host may use: over 1 where others lease theirs to it.
+    times: f64,
+}
+
+/// This host's part in what hosts share.
+#[derive(Debug)]
+pub struct QuotaSharing {
+    fleet: Fleet,
+    volumes: BTreeMap<VolumeId, SharedVolume>,
+    pending: Vec<fleet::Event>,
+    avoided: BTreeSet<NodeId>,
+}
+
+/// Terms with so many times the rate; the burst stays, but for a host that must use nothing.
+fn scaled_limit(terms: VolumeTerms, times: f64) -> VolumeTerms {
+    let burst_times = f64::from(u8::from(times > 0.0));
+    VolumeTerms {
+        limit: terms.limit.map(|quota| LimitQuota {
+            rate: quota.rate * times,
+            burst: quota.burst * burst_times,
+        }),
+        ..terms
+    }
+}
+
+impl QuotaSharing {
+    /// None where the settings name no fleet, or there are no peers.
+    pub fn of(
+        now: Duration,
+        settings: &Settings,
+        host_index: usize,
+        peers: &[PeerId],
+        incarnation: u64,
+        seed: u64,
+    ) -> Option<QuotaSharing> {
+        let spec = settings.fleet.filter(|_| !peers.is_empty())?;
+        let rules = Rules {
+            every: spec.every,
+            loans: Spans {
+                span: spec.loan,
+                margin: spec.margin,
+            },
+        };
+        let peers: Vec<HostNumber> = peers.iter().map(|peer| HostNumber(peer.0)).collect();
+        let fleet = Fleet::new(
+            now,
+            HostNumber(host_index as u32),
+            Incarnation(incarnation),
+            peers,
+            rules,
+            seed,
+        );
+        Some(QuotaSharing {
+            fleet,
+            volumes: BTreeMap::new(),
+            pending: Vec::new(),
+            avoided: BTreeSet::new(),
+        })
+    }
+
+    /// Takes the volumes that the settings declare, where no state service does.
+    pub fn declared(&mut self, settings: &Settings) {
+        for volume in &settings.volumes {
+            let plan: &Plan = &settings.plans[volume.plan].facts;
+            let terms = VolumeTerms::even(PlanId(volume.plan), plan, volume.hosts.len());
+            let hosts = volume.hosts.iter().map(|host| HostNumber(*host as u32));
+            self.volume_changed(VolumeId(volume.id), Some(terms), hosts.collect());
+        }
+    }
+
+    /// Takes a volume's terms as this host follows them, and returns those to go by. `hosts`: through which it works.
+    pub fn volume_changed(
+        &mut self,
+        volume: VolumeId,
+        terms: Option<VolumeTerms>,
+        hosts: BTreeSet<HostNumber>,
+    ) -> Option<VolumeTerms> {
+        let limited = terms.and_then(|terms| Some((terms, terms.limit?)));
+        let Some((terms, quota)) = limited else {
+            self.volumes.remove(&volume);
+            self.pending.push(fleet::Event::Volume {
+                volume: volume.0,
+                sharers: BTreeSet::new(),
+                limit: 0.0,
+            });
+            return terms;
+        };
+        self.pending.push(fleet::Event::Volume {
+            volume: volume.0,
+            sharers: hosts,
+            limit: quota.rate * terms.hosts.max(1) as f64,
+        });
+        // What it may use of it stays until the fleet says otherwise, which it does in the same step.
+        let times = self.volumes.get(&volume).map_or(1.0, |shared| shared.times);
+        self.volumes.insert(volume, SharedVolume { terms, times });
+        Some(scaled_limit(terms, times))
+    }
+
+    /// A peer's message; `waited`: how long it was on its way.
+    pub fn message_received(&mut self, from: PeerId, waited: Duration, bytes: &[u8]) {
+        self.pending.push(fleet::Event::Told {
+            from: HostNumber(from.0),
+            waited,
+            bytes: bytes.to_vec(),
+        });
+    }
+
+    /// A request of a volume has come in.
+    pub fn request_received(&mut self, volume: u64, units: f64) {
+        self.pending.push(fleet::Event::Asked { volume, units });
+    }
+
+    /// Units a second that a volume is served over all hosts, by their own counts: behind, if anything.
+    pub fn served_everywhere(&self, now: Duration, volume: u64) -> f64 {
+        self.fleet.served_everywhere(now, volume)
+    }
+
+    /// A request of a volume has completed.
+    pub fn request_completed(&mut self, volume: u64, units: f64) {
+        self.pending.push(fleet::Event::Served { volume, units });
+    }
+
+    /// How an attempt ended; what says nothing of the node is no evidence.
+    pub fn attempt_ended(&mut self, node: NodeId, outcome: AttemptOutcome) {
+        let bad = match outcome {
+            AttemptOutcome::Completed | AttemptOutcome::QueueFull => false,
+            AttemptOutcome::Failed
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::ConnectFailed
+            | AttemptOutcome::ConnectionReset => true,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return,
+        };
+        self.pending.push(fleet::Event::Tried { node: node.0, bad });
+    }
+
+    /// The nodes that the endpoint list and the operators have in use, with the starts of their processes.
+    pub fn nodes_in_use(&mut self, nodes: BTreeMap<u32, u64>) {
+        self.pending.push(fleet::Event::Nodes(nodes));
+    }
+
+    /// Whether the fleet finds the node bad.
+    pub fn is_avoided(&self, node: NodeId) -> bool {
+        self.avoided.contains(&node)
+    }
+
+    /// Adds what operators see of peers, quotas and outlier detection to a host's metrics.
+    pub fn metrics(
+        &self,
+        now: Duration,
+        settings: &Settings,
+        head: pb::HostMetrics,
+    ) -> pb::HostMetrics {
+        let host_name = |host: HostNumber| {
+            let host = settings.hosts.get(host.0 as usize);
+            host.map(|host| host.name.clone()).unwrap_or_default()
+        };
+        let peers = self.fleet.peers(now).into_iter();
+        let quotas = self.fleet.parts(now).into_iter();
+        pb::HostMetrics {
+            incarnation: self.fleet.incarnation().0,
+            peers: peers
+                .map(|peer| pb::PeerMetrics {
+                    host: host_name(peer.host),
+                    incarnation: peer.incarnation.0,
+                    age_us: micros(peer.age),
+                    tried: peer.tried,
+                    badly: peer.badly,
+                })
+                .collect(),
+            quotas: quotas
+                .map(|quota| pb::QuotaMetrics {
+                    volume: quota.volume,
+                    sharers: quota.sharers as u32,
+                    part: quota.part,
+                    base: quota.settled,
+                    lent: quota.lent,
+                    borrowed: quota.borrowed,
+                })
+                .collect(),
+            endpoint_policies: self.endpoint_policies(),
+            ..head
+        }
+    }
+
+    fn endpoint_policies(&self) -> Vec<pb::EndpointPolicyMetrics> {
+        let findings = self.fleet.beliefs().into_iter();
+        let metrics = findings.map(|(node, finding, policy)| pb::EndpointPolicyMetrics {
+            node,
+            policy: match policy {
+                Belief::AsToday => pb::EndpointPolicy::AsToday,
+                Belief::OwnWay => pb::EndpointPolicy::OwnWay,
+                Belief::Avoid => pb::EndpointPolicy::Avoid,
+                Belief::Look => pb::EndpointPolicy::Look,
+            }
+            .into(),
+            verdict: finding.verdict.name().into(),
+            well: finding.well.0 as u32,
+            well_weight: finding.well.1,
+            badly: finding.badly.0 as u32,
+            badly_weight: finding.badly.1,
+        });
+        metrics.collect()
+    }
+
+    /// When what this host may use next changes by itself.
+    pub fn quota_changes_at(&self) -> Duration {
+        self.fleet.parts_at()
+    }
+
+    /// When `step` must be called again if nothing happens before.
+    pub fn wake_at(&self) -> Duration {
+        self.fleet.wake_at()
+    }
+
+    /// Takes in what has happened since; adds what the decisions are to be told to `events`.
+    pub fn step(&mut self, now: Duration, events: &mut Vec<Event>) -> SharingOutcome {
+        let mut outcome = SharingOutcome::default();
+        for action in self.fleet.step(now, std::mem::take(&mut self.pending)) {
+            match action {
+                Action::Tell { to, bytes } => outcome.messages.push((PeerId(to.0), bytes)),
+                Action::Part { volume, times } => {
+                    events.extend(self.quota_changed(VolumeId(volume), times));
+                }
+                Action::Belief { node, belief } => {
+                    self.policy_changed(NodeId(node), belief, &mut outcome)
+                }
+                Action::Note { text } => outcome.log.push(text),
+            }
+        }
+        outcome
+    }
+
+    fn quota_changed(&mut self, volume: VolumeId, times: f64) -> Option<Event> {
+        let shared = self.volumes.get_mut(&volume)?;
+        shared.times = times;
+        let terms = Some(scaled_limit(shared.terms, times));
+        Some(Event::VolumeChanged { volume, terms })
+    }
+
+    fn policy_changed(&mut self, node: NodeId, policy: Belief, outcome: &mut SharingOutcome) {
+        let changed = match policy {
+            Belief::Avoid => self.avoided.insert(node),
+            _ => self.avoided.remove(&node),
+        };
+        if changed {
+            outcome.changed_nodes.push(node);
+        }
+        let what = match policy {
+            Belief::Avoid => "is avoided: others find it bad",
+            Belief::Look => "is avoided by others; this host looks whether it answers",
+            Belief::OwnWay => "answers others: this host's own way there is bad",
+            Belief::AsToday => "is judged by this host alone",
+        };
+        outcome.log.push(format!("node {} {what}", node.0));
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/host/src/sharing/tests.rs
+++ b/crates/host/src/quota_sharing/tests.rs
@@ -10,7 +10,7 @@
             burst: 20.0,
         }),
     };
-    let half = limit_times(terms, 0.5);
+    let half = scaled_limit(terms, 0.5);
     assert_eq!(
         (half.plan, half.hosts, half.limit),
         (
@@ -23,14 +23,14 @@
         )
     );
     assert_eq!(
-        limit_times(terms, 0.0).limit,
+        scaled_limit(terms, 0.0).limit,
         Some(LimitQuota {
             rate: 0.0,
             burst: 0.0
         })
     );
     assert_eq!(
-        limit_times(
+        scaled_limit(
             VolumeTerms {
                 limit: None,
                 ..terms
--- /dev/null
+++ b/crates/host/src/router.rs
@@ -0,0 +1,513 @@
+//! Routes one host's requests, attempts and connections between the sockets and the decisions.
+//!
+//! State machine: [`RequestRouter::step`] takes what has happened and returns what the sockets are to do beyond what
+//! lies in the outboxes; [`RequestRouter::wake_at`] says when it must be called again. No I/O and no clock. Called by
+//! the owner's loop ([`crate::run`], or the platform's). Every event and action of `grebecleat::interface` is carried
+//! here:
+//!
+//! - a request is answered once: by its first attempt that completes, else by the decisions, else not at all (its
+//!   client has left); what comes later is counted as stray and dropped;
+//! - an attempt ends once, by the first of: its node's answer, its deadline, a reset, a cancel, or being revoked from
+//!   an outbox, which alone is reported as "never ran";
+//! - what the endpoint list says of a node, or a drain, revokes every attempt to it that has not crossed. The decisions
+//!   hear of a node that is drained as the list would tell of one that drains.
+//!
+//! Files: `clients` (requests and their answers), `attempts`, `node_connections`, `discovery`, `configuration` (state
+//! service, quotas and gossip), `reporting` (sweep, observations, metrics). Which volumes are served, and on what
+//! terms, [`crate::config_follower`] says; what of a limit this host may use, and which nodes all hosts find bad,
+//! [`crate::quota_sharing`], where it is on.
+//!
+//! Memory: requests and their bytes as the settings' bounds allow, connections likewise, and a record for each node.
+
+mod attempts;
+mod clients;
+mod configuration;
+mod discovery;
+mod node_connections;
+mod reporting;
+mod types;
+
+pub use types::{ConnId, Counters, Input, OpenWork, Output, WireMode};
+
+use crate::config_follower::ConfigFollower;
+use crate::endpoint_list::EndpointList;
+use crate::metrics::MetricsCollector;
+use crate::observations::ObservationReport;
+use crate::outbox::{AttemptId, Outbox};
+use crate::poll_deadline::PollDeadline;
+use crate::process_pause::ProcessPauses;
+use crate::quota_sharing::QuotaSharing;
+use grebecleat::control::Control;
+use grebecleat::interface::*;
+use grebecleat_plans::follower::{Follower, InitialState};
+use grebecleat_settings::{Bounds, Settings};
+use grebecleat_wire::clock;
+use grebecleat_wire::pb::{self, frame::Body};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::sync::Arc;
+use std::time::Duration;
+use types::{
+    frame, request_id, ClientConnection, DiscoveryLink, FormerDiscoveryLink, NodeConnection,
+    NodePool, OpenRequest, OutstandingAttempt,
+};
+
+/// The longest sleep while anything is open, so that a pause of the process is seen for what it is.
+const MAX_SLEEP: Duration = Duration::from_millis(50);
+/// The longest sleep while nothing is open.
+const MAX_IDLE_SLEEP: Duration = Duration::from_secs(1);
+/// Lines of the log that name one bad peer; after them it is only counted.
+const MAX_LOG_LINES_PER_PEER: u32 = 3;
+/// Where a connection carries one exchange at a time, it rests so long after an answer before the next attempt: an
+/// answer that came twice is some milliseconds late, and would be taken for that attempt's. Harm: where all
+/// connections to a node have just answered, an attempt waits, or one more is dialled.
+const REST_AFTER_ANSWER: Duration = Duration::from_millis(10);
+/// Fraction of the tightest latency objective that a handshake may take before another is begun beside it. Two of
+/// them in turn are about what the decisions let an attempt be late before they doubt its node.
+const HANDSHAKE_FRACTION: f64 = 0.1;
+
+/// One host's requests, attempts and connections.
+pub struct RequestRouter {
+    control: Control,
+    settings: Arc<Settings>,
+    /// This host's index among the settings' hosts.
+    host_index: usize,
+    config: ConfigFollower,
+    /// None: this host shares nothing with its peers.
+    sharing: Option<QuotaSharing>,
+    wire_mode: WireMode,
+    seed: u64,
+    now: Duration,
+    /// When the last [`RequestRouter::wake_at`] asked to be called.
+    requested_wake: Duration,
+    sweep_at: Duration,
+    pauses: ProcessPauses,
+    requests: HashMap<RequestId, OpenRequest>,
+    request_bytes: usize,
+    clients: BTreeMap<ConnId, ClientConnection>,
+    attempts: HashMap<AttemptId, OutstandingAttempt>,
+    deadlines: BTreeSet<(Duration, AttemptId)>,
+    conns: BTreeMap<ConnId, NodeConnection>,
+    pools: BTreeMap<NodeId, NodePool>,
+    /// Nodes whose pool may want something.
+    changed_pools: BTreeSet<NodeId>,
+    /// When a connection that rests may be used where an attempt waits for it, or a dial there is late.
+    pool_checks: BTreeSet<(Duration, NodeId)>,
+    /// A dial that takes longer is late.
+    handshake: Duration,
+    endpoints: EndpointList,
+    /// Nodes that are drained, whatever the endpoint list says.
+    drained: BTreeSet<NodeId>,
+    /// Attempts to each node that are not over.
+    attempts_at: HashMap<NodeId, u32>,
+    /// Until when what ended without an answer may still run at a node.
+    may_run_until: HashMap<NodeId, Duration>,
+    /// Extents by shard, where a portal has told.
+    extents_by_shard: Option<BTreeMap<u32, u64>>,
+    observations: ObservationReport,
+    subscribers: BTreeMap<ConnId, Arc<Outbox>>,
+    metrics: MetricsCollector,
+    metrics_at: Duration,
+    /// The longest that a request may take.
+    longest_deadline: Duration,
+    endpoints_changed: bool,
+    discovery: DiscoveryLink,
+    former_discovery: Option<FormerDiscoveryLink>,
+    /// None: after a failure discovery is called when the decisions say, however long that is.
+    poll_deadline: Option<PollDeadline>,
+    health_checks: HashMap<u64, (NodeId, ConnId)>,
+    timers: BTreeSet<(Duration, u64)>,
+    events: Vec<Event>,
+    outputs: Vec<Output>,
+    last_number: u64,
+    /// The last moment of a graceful shutdown, where one has begun.
+    shutdown_by: Option<Duration>,
+    shutdown_complete: bool,
+    /// Lines logged of each bad peer.
+    bad_peers: BTreeMap<ConnId, u32>,
+    counters: Counters,
+}
+
+impl RequestRouter {
+    /// A host with the volumes that its settings declare. `seed` is new at each start of the host.
+    pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
+        let classes = &settings.traffic_classes;
+        let longest_deadline = classes.iter().map(|class| class.deadline).max();
+        let tightest_objective = classes
+            .iter()
+            .map(|class| class.facts.latency_objective)
+            .min();
+        let handshake = tightest_objective
+            .unwrap_or_default()
+            .mul_f64(HANDSHAKE_FRACTION)
+            .max(REST_AFTER_ANSWER);
+        RequestRouter {
+            control: control(&settings, seed),
+            host_index: 0,
+            config: ConfigFollower::declared(&settings),
+            sharing: None,
+            wire_mode: WireMode::default(),
+            seed,
+            now: Duration::ZERO,
+            requested_wake: Duration::MAX,
+            sweep_at: Duration::ZERO,
+            pauses: ProcessPauses::default(),
+            requests: HashMap::new(),
+            request_bytes: 0,
+            clients: BTreeMap::new(),
+            attempts: HashMap::new(),
+            deadlines: BTreeSet::new(),
+            conns: BTreeMap::new(),
+            pools: BTreeMap::new(),
+            changed_pools: BTreeSet::new(),
+            pool_checks: BTreeSet::new(),
+            handshake,
+            endpoints: EndpointList::default(),
+            drained: BTreeSet::new(),
+            attempts_at: HashMap::new(),
+            may_run_until: HashMap::new(),
+            extents_by_shard: None,
+            observations: ObservationReport::default(),
+            subscribers: BTreeMap::new(),
+            metrics: MetricsCollector::default(),
+            metrics_at: Duration::ZERO,
+            longest_deadline: longest_deadline.unwrap_or_default(),
+            endpoints_changed: false,
+            discovery: DiscoveryLink::default(),
+            former_discovery: None,
+            poll_deadline: None,
+            health_checks: HashMap::new(),
+            timers: BTreeSet::new(),
+            events: Vec::new(),
+            outputs: Vec::new(),
+            last_number: 1,
+            shutdown_by: None,
+            shutdown_complete: false,
+            bad_peers: BTreeMap::new(),
+            counters: Counters::default(),
+            settings,
+        }
+    }
+
+    /// Sets this host's index among the settings' hosts.
+    pub fn with_host_index(mut self, index: usize) -> Self {
+        self.host_index = index;
+        self
+    }
+
+    /// Follows a state service, from what was last persisted of it.
+    pub fn following(mut self, host: &str, start: InitialState) -> Self {
+        self.config = ConfigFollower::of(&self.settings, host, start, self.seed);
+        // What it persisted of drains counts from the first endpoint list on.
+        self.drained = self.config.drained().into_iter().map(NodeId).collect();
+        self
+    }
+
+    /// Shares observations and quotas with its peers. Called after [`RequestRouter::following`].
+    pub fn sharing(mut self, now: Duration, peers: &[PeerId], incarnation: u64) -> Self {
+        let index = self.host_index;
+        self.sharing = QuotaSharing::of(now, &self.settings, index, peers, incarnation, self.seed);
+        if let (Some(sharing), false) = (&mut self.sharing, self.config.is_on()) {
+            sharing.declared(&self.settings);
+        }
+        self
+    }
+
+    /// Speaks the platform's wire: see [`WireMode::Exclusive`].
+    pub fn with_exclusive_connections(mut self) -> Self {
+        self.wire_mode = WireMode::Exclusive;
+        self
+    }
+
+    /// What discovery has to tell is known within `term`, also where calls fail; one may take `call`, its dial
+    /// included.
+    pub fn with_poll_deadline(mut self, term: Duration, call: Duration) -> Self {
+        self.poll_deadline = Some(PollDeadline::new(term, call, self.seed));
+        self
+    }
+
+    fn bounds(&self) -> &Bounds {
+        &self.settings.bounds
+    }
+
+    fn next_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
+    }
+
+    /// The settings that it was made with.
+    pub fn settings(&self) -> &Settings {
+        &self.settings
+    }
+
+    /// What it follows of a state service. Panics where there is none.
+    pub fn follower(&self) -> &Follower {
+        self.config.follower().expect("it follows a state service")
+    }
+
+    /// The decisions, for inspection.
+    pub fn control(&mut self) -> &mut Control {
+        &mut self.control
+    }
+
+    /// Counts since the start.
+    pub fn counters(&self) -> Counters {
+        self.counters
+    }
+
+    /// Whether anything of a request is open or out.
+    pub fn is_open(&self, id: &[u8]) -> bool {
+        request_id(id).is_some_and(|id| self.requests.contains_key(&id))
+    }
+
+    /// The clients of the attempts that wait to be written on a node's connection.
+    pub fn clients_waiting_on(&self, conn: ConnId) -> impl Iterator<Item = ConnId> + '_ {
+        let up = self.conns.get(&conn).filter(|conn| conn.is_up());
+        let unsent = up.into_iter().flat_map(|conn| {
+            let outbox = conn.outbox.as_ref().expect("it is up");
+            conn.attempts
+                .iter()
+                .filter(|attempt| outbox.is_queued(**attempt))
+        });
+        unsent.filter_map(|attempt| {
+            let id = &self.attempts.get(attempt)?.id;
+            Some(self.requests.get(id)?.client)
+        })
+    }
+
+    /// What is open now.
+    pub fn open_work(&self) -> OpenWork {
+        OpenWork {
+            requests: self.requests.len(),
+            attempts: self.attempts.len(),
+            bytes: self.request_bytes,
+        }
+    }
+
+    /// Whether this process has just stood still: the caller then first reads what waits in its sockets, since answers
+    /// that came meanwhile must be heard before silence is judged.
+    pub fn detect_pause(&mut self, now: Duration) -> bool {
+        let paused = self.pauses.woke(self.requested_wake.max(self.now), now);
+        if paused {
+            self.counters.pauses += 1;
+            self.requested_wake = now;
+        }
+        paused
+    }
+
+    /// When `step` must be called again if nothing happens before.
+    pub fn wake_at(&mut self) -> Duration {
+        let idle = self.requests.is_empty() && self.shutdown_by.is_none();
+        let latest = self.now + if idle { MAX_IDLE_SLEEP } else { MAX_SLEEP };
+        let wakes = [
+            self.timers.first().map(|(at, _)| *at),
+            self.deadlines.first().map(|(at, _)| *at),
+            self.pool_checks.first().map(|(at, _)| *at),
+            self.config.wake_at(),
+            (!self.subscribers.is_empty()).then_some(self.metrics_at),
+            self.sharing.as_ref().map(QuotaSharing::wake_at),
+            self.discovery.answer_by,
+            self.poll_deadline.as_ref().and_then(PollDeadline::wake_at),
+        ];
+        let wake = wakes.into_iter().flatten().fold(latest, Duration::min);
+        self.requested_wake = wake.max(self.now);
+        self.requested_wake
+    }
+
+    /// Takes in what has happened up to `now` and returns what to do.
+    pub fn step(&mut self, now: Duration, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
+        self.now = now.max(self.now);
+        self.counters.steps += 1;
+        self.expire_quota_leases();
+        for input in inputs {
+            self.handle_input(input);
+        }
+        self.follow_configuration();
+        self.exchange_gossip();
+        self.expire_attempts();
+        self.check_pools();
+        self.fire_timers();
+        if self.now >= self.sweep_at {
+            self.sweep();
+        }
+        if self.discovery.answer_by.is_some_and(|by| self.now >= by) {
+            self.discovery_lost("no answer");
+        }
+        // What the decisions ask for can at once come to an end (nothing to send on, already over).
+        while !self.events.is_empty() {
+            let events = std::mem::take(&mut self.events);
+            self.counters.events += events.len() as u64;
+            for action in self.control.step(self.now, events) {
+                self.perform(action);
+            }
+            self.adjust_pools();
+        }
+        self.poll_before_deadline(None);
+        self.adjust_pools();
+        self.complete_shutdown();
+        std::mem::take(&mut self.outputs)
+    }
+
+    fn check_pools(&mut self) {
+        while let Some(&(at, node)) = self.pool_checks.first() {
+            if at > self.now {
+                return;
+            }
+            self.pool_checks.remove(&(at, node));
+            self.assign_waiting(node);
+        }
+    }
+
+    /// However many timers a pause has let come due, the decisions are called once.
+    fn fire_timers(&mut self) {
+        let mut fired = None;
+        while let Some(&(at, tag)) = self.timers.first().filter(|(at, _)| *at <= self.now) {
+            self.timers.remove(&(at, tag));
+            fired = Some(tag);
+        }
+        if let Some(tag) = fired {
+            self.events.push(Event::TimerFired { tag: TimerTag(tag) });
+        }
+    }
+
+    fn handle_input(&mut self, input: Input) {
+        match input {
+            Input::ClientUp { conn, outbox } => self.client_connected(conn, outbox),
+            Input::ClientFrames { conn, at, frames } => {
+                for frame in frames {
+                    self.handle_client_frame(conn, at, frame);
+                }
+            }
+            Input::ClientGone { conn } => self.client_disconnected(conn),
+            Input::NodeUp { conn, outbox } => self.node_connected(conn, outbox),
+            Input::NodeFrames { conn, at, frames } => {
+                for frame in frames {
+                    self.handle_node_frame(conn, at, frame);
+                }
+            }
+            Input::NodeGone { conn } => self.node_disconnected(conn),
+            Input::DiscoveryUp { conn, outbox } => self.discovery_connected(conn, outbox),
+            Input::DiscoveryFrames { conn, frames } => self.handle_discovery_frames(conn, frames),
+            Input::DiscoveryGone { conn } => self.discovery_disconnected(conn),
+            Input::DiscoveryMoved => self.discovery_moved(),
+            Input::StateServiceUp { conn, outbox } => {
+                self.observations.forget();
+                self.config.connected(conn, outbox);
+            }
+            Input::StateServiceFrames { conn, frames } => {
+                self.handle_state_service_frames(conn, frames)
+            }
+            Input::StateServiceGone { conn } => self.config.disconnected(conn, self.now),
+            Input::Persisted { number, done } => self.config.persisted(number, done),
+            Input::CachedEndpoints { list } => {
+                self.apply_endpoints(EndpointUpdateKind::Cached, &list.endpoints, 0)
+            }
+            Input::PeerMessage {
+                from,
+                waited,
+                bytes,
+            } => self.handle_peer_message(from, waited, bytes),
+            Input::ExtentsByShard { shards } => self.extents_by_shard = Some(shards),
+            Input::SubscriberUp { conn, outbox } => {
+                self.metrics.report_all_nodes();
+                self.subscribers.insert(conn, outbox);
+            }
+            Input::Shutdown => self.begin_shutdown(),
+        }
+    }
+
+    fn perform(&mut self, action: Action) {
+        match action {
+            Action::SendAttempt { id, node, deadline } => self.start_attempt(id, node, deadline),
+            Action::Reject { id, retry_after } => {
+                let response = pb::Response {
+                    retry_after_us: retry_after.map(clock::micros),
+                    ..pb::Response::default()
+                };
+                self.finish_request(id, pb::Outcome::Rejected, response);
+            }
+            Action::Fail { id } => {
+                self.finish_request(id, pb::Outcome::Failed, pb::Response::default())
+            }
+            Action::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
+            Action::SetTimer { after, tag } => {
+                self.timers.insert((self.now + after, tag.0));
+            }
+            Action::HealthCheck { node } => self.check_health(node),
+            Action::CloseIdleConnections { node } => self.close_idle(node, self.now),
+            Action::SendToPeer { to, bytes } => self.outputs.push(Output::SendToPeer { to, bytes }),
+            Action::Log { text } => self.log(text),
+            Action::WatchEndpoints { on } => self.call_discovery(Body::Watch(pb::Watch { on })),
+            Action::FetchEndpoints => {
+                self.call_discovery(Body::FetchEndpoints(pb::FetchEndpoints {}))
+            }
+        }
+    }
+
+    fn log(&mut self, text: String) {
+        self.outputs.push(Output::Log { text });
+    }
+
+    fn log_bad_peer(&mut self, conn: ConnId, reason: &str) {
+        let lines = self.bad_peers.entry(conn).or_default();
+        *lines += 1;
+        if *lines <= MAX_LOG_LINES_PER_PEER {
+            self.log(format!("connection {}: {reason}", conn.0));
+        }
+    }
+
+    fn begin_shutdown(&mut self) {
+        if self.shutdown_by.is_some() {
+            return;
+        }
+        let deadlines = self.requests.values().map(|request| request.deadline);
+        let longest = deadlines.max().unwrap_or(self.now);
+        self.shutdown_by = Some(longest + self.bounds().patience);
+        self.log(format!("draining: {} transfers held", self.requests.len()));
+        for client in self.clients.values() {
+            client.outbox.put(frame(Body::GoingAway(pb::GoingAway {})));
+        }
+    }
+
+    /// A client that reads nothing must not keep a host up that shuts down: there is a last moment.
+    fn complete_shutdown(&mut self) {
+        let Some(last) = self.shutdown_by.filter(|_| !self.shutdown_complete) else {
+            return;
+        };
+        let answered = self.requests.values().all(|request| request.answered);
+        let written = || {
+            self.clients
+                .values()
+                .all(|client| client.outbox.is_flushed())
+        };
+        if self.now >= last || (answered && written()) {
+            self.shutdown_complete = true;
+            self.outputs.push(Output::ShutdownComplete);
+        }
+    }
+}
+
+fn control(settings: &Settings, seed: u64) -> Control {
+    let classes = settings.traffic_classes.iter();
+    let plans = settings.plans.iter();
+    let rules = &settings.rules;
+    Control::new(
+        seed,
+        classes.map(|class| class.facts.clone()).collect(),
+        plans.map(|plan| plan.facts.clone()).collect(),
+        settings.units.clone(),
+        settings.host_limits.clone(),
+    )
+    .with_rules(
+        rules.cold.clone(),
+        // Discovery is asked in either case: where it pushes, one watch is the asking.
+        DiscoveryPolicy {
+            polled: true,
+            poll_interval: settings.list.rule.poll_interval,
+        },
+        rules.attempts.clone(),
+        rules.key_rest,
+    )
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/host/src/router/attempts.rs
@@ -0,0 +1,372 @@
+//! Attempts: from the decision to send one until its end, of which there is exactly one.
+
+use super::types::{frame, NodeConnection, NodePool, OutstandingAttempt};
+use super::{ConnId, RequestRouter, REST_AFTER_ANSWER};
+use crate::outbox::AttemptId;
+use crate::pool::{Pool, MAX_LATE_DIALS};
+use grebecleat::interface::*;
+use grebecleat_wire::pb::{self, frame::Body};
+use std::cmp::Reverse;
+use std::collections::VecDeque;
+use std::time::Duration;
+
+fn may_still_run(outcome: AttemptOutcome) -> bool {
+    use AttemptOutcome::{Cancelled, ConnectionReset, TimedOut};
+    matches!(outcome, TimedOut | Cancelled | ConnectionReset)
+}
+
+impl RequestRouter {
+    pub(super) fn start_attempt(&mut self, id: RequestId, node: NodeId, deadline: Duration) {
+        let attempt = AttemptId(self.next_number());
+        let now = self.now;
+        self.counters.attempts += 1;
+        let Some(request) = self.requests.get_mut(&id) else {
+            return;
+        };
+        let outstanding = OutstandingAttempt {
+            id,
+            number: request.attempts,
+            node,
+            conn: None,
+            sent: now,
+            deadline,
+            reassigned: false,
+        };
+        request.attempts += 1;
+        request.out.push(attempt);
+        let answered = request.answered;
+        self.attempts.insert(attempt, outstanding);
+        *self.attempts_at.entry(node).or_default() += 1;
+        let listed = self.endpoints.nodes.get(&node).map(|known| known.state);
+        let ready = listed.is_some_and(|listed| self.node_state(node, listed) == NodeState::Ready);
+        if answered || !ready {
+            return self.end_attempt(attempt, AttemptOutcome::NotSent, now, None);
+        }
+        self.deadlines.insert((deadline, attempt));
+        self.pool_of(node).waiting.push_back(attempt);
+        self.assign_waiting(node);
+        let waits = |outstanding: &OutstandingAttempt| outstanding.conn.is_none();
+        if self.wire_mode.is_exclusive() && self.attempts.get(&attempt).is_some_and(waits) {
+            // Until as many dials as may be made at a time have had theirs, it is the dial and not the node.
+            let at = now + self.handshake * (MAX_LATE_DIALS as u32 + 1);
+            self.events.push(Event::AttemptSent { id, node, at });
+        }
+    }
+
+    fn pool_of(&mut self, node: NodeId) -> &mut NodePool {
+        let bounds = &self.settings.bounds;
+        let per_connection = bounds.attempts_per_connection;
+        let connections = bounds.connections_per_node;
+        let seed = self.seed ^ u64::from(node.0);
+        self.pools.entry(node).or_insert_with(|| NodePool {
+            pool: Pool::new(per_connection, connections, seed),
+            conns: Vec::new(),
+            waiting: VecDeque::new(),
+        })
+    }
+
+    /// Gives waiting attempts of a node to connections with capacity, the emptiest first.
+    pub(super) fn assign_waiting(&mut self, node: NodeId) {
+        self.changed_pools.insert(node);
+        while let Some(attempt) = self.first_waiting(node) {
+            let Some(conn) = self.emptiest_connection(node) else {
+                return;
+            };
+            let pool = self.pools.get_mut(&node).expect("an attempt waits there");
+            pool.waiting.pop_front();
+            self.assign(attempt, conn);
+        }
+    }
+
+    fn first_waiting(&self, node: NodeId) -> Option<AttemptId> {
+        self.pools.get(&node)?.waiting.front().copied()
+    }
+
+    /// The connection that takes a node's next attempt; where all that could have to rest, the node is looked at again
+    /// when the first has.
+    fn emptiest_connection(&mut self, node: NodeId) -> Option<ConnId> {
+        let capacity = self.bounds().attempts_per_connection;
+        let mut emptiest = None;
+        let mut rested_at: Option<Duration> = None;
+        for id in &self.pools.get(&node)?.conns {
+            let Some(conn) = self.conns.get(id) else {
+                continue;
+            };
+            if !conn.is_up() || conn.going_away || conn.attempts.len() >= capacity {
+                continue;
+            }
+            if conn.rests_until > self.now {
+                let earlier = rested_at.map_or(conn.rests_until, |at| at.min(conn.rests_until));
+                rested_at = Some(earlier);
+                continue;
+            }
+            // Of idle ones the last used: the others grow old enough to be closed.
+            let rank = (conn.attempts.len(), Reverse(conn.idle_since));
+            if emptiest.is_none_or(|(best, _)| rank < best) {
+                emptiest = Some((rank, *id));
+            }
+        }
+        let Some((_, conn)) = emptiest else {
+            self.pool_checks.extend(rested_at.map(|at| (at, node)));
+            return None;
+        };
+        Some(conn)
+    }
+
+    /// Puts an attempt into a connection's outbox.
+    fn assign(&mut self, attempt: AttemptId, conn: ConnId) {
+        let outstanding = self.attempts.get_mut(&attempt).expect("it waits");
+        outstanding.conn = Some(conn);
+        let (id, node) = (outstanding.id, outstanding.node);
+        // What it waited for a connection says nothing of what its node can do.
+        let waited_since = std::mem::replace(&mut outstanding.sent, self.now);
+        let (number, deadline) = (outstanding.number, outstanding.deadline);
+        if waited_since < self.now {
+            let at = self.now;
+            self.events.push(Event::AttemptSent { id, node, at });
+        }
+        let request = &self.requests[&id];
+        let client = self.clients.get(&request.client);
+        let client = client.map(|client| client.outbox.clone());
+        let message = self.attempt_message(attempt, number, node, id);
+        let connection = self.conns.get_mut(&conn).expect("found above");
+        connection.attempts.insert(attempt);
+        let outbox = connection.outbox.as_ref().expect("found up");
+        outbox.put_attempt_of(
+            attempt,
+            frame(Body::Attempt(message)),
+            self.now,
+            deadline,
+            client,
+        );
+    }
+
+    fn attempt_message(
+        &self,
+        attempt: AttemptId,
+        number: u32,
+        node: NodeId,
+        id: RequestId,
+    ) -> pb::Attempt {
+        let request = &self.requests[&id];
+        let message = &request.message;
+        pb::Attempt {
+            attempt: attempt.0,
+            id: message.id.clone(),
+            number,
+            node: node.0,
+            traffic_class: message.traffic_class,
+            plan: request.plan.0 as u32,
+            plan_rate: self.config.rate(request.plan),
+            volume: message.volume,
+            key: message.key,
+            units: message.units,
+            left_us: 0, // set when it is written
+            extent: message.extent,
+            length: message.length,
+            write: message.write,
+            piece: message.piece.clone(),
+            data: message.data.clone(),
+            offset: message.offset,
+            version: message.version,
+        }
+    }
+
+    /// Revokes an attempt if it has not crossed; whether it now never will. One that is written in part takes its
+    /// connection with it, or its node would have the rest whenever it reads again.
+    pub(super) fn revoke(&mut self, attempt: AttemptId) -> bool {
+        let Some(outstanding) = self.attempts.get(&attempt) else {
+            return false;
+        };
+        let conn = outstanding.conn.and_then(|conn| self.conns.get(&conn));
+        let revoked = match conn.and_then(|conn| conn.outbox.as_ref()) {
+            None => true,
+            Some(outbox) if outbox.revoke(attempt) => true,
+            Some(outbox) if self.wire_mode.is_exclusive() && outbox.is_writing() => {
+                outbox.close();
+                true
+            }
+            Some(_) => false,
+        };
+        self.counters.unsent += u64::from(revoked);
+        revoked
+    }
+
+    /// The one place where an attempt ends, and the decisions are told how.
+    pub(super) fn end_attempt(
+        &mut self,
+        attempt: AttemptId,
+        outcome: AttemptOutcome,
+        at: Duration,
+        response: Option<pb::AttemptResponse>,
+    ) {
+        let Some(ended) = self.attempts.remove(&attempt) else {
+            return;
+        };
+        self.release_attempt(attempt, &ended, outcome, response.is_some());
+        let at = at.max(ended.sent);
+        let elapsed = (at - ended.sent).saturating_sub(self.pauses.within(ended.sent, at));
+        let (id, node) = (ended.id, ended.node);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.out.retain(|other| *other != attempt);
+            request.may_still_run |= may_still_run(outcome);
+        }
+        let response = response.unwrap_or_default();
+        self.count_outcome(id, node, outcome);
+        if outcome == AttemptOutcome::Completed {
+            let known = self.endpoints.nodes.get(&node);
+            let done = pb::Response {
+                shard: known.map(|known| known.shard.0),
+                data: response.data,
+                superseded: response.superseded,
+                ..pb::Response::default()
+            };
+            self.finish_request(id, pb::Outcome::Completed, done);
+        }
+        let request = self.requests.get(&id);
+        let answered = request.is_none_or(|request| request.answered);
+        let reported = response
+            .reported
+            .map(|percent| self.reported_usage(id, percent));
+        self.events.push(Event::AttemptEnded(AttemptEnd {
+            id,
+            attempt: ended.number,
+            node,
+            outcome,
+            elapsed,
+            answered,
+            reported,
+            others: response.others,
+            busy: response.busy,
+        }));
+        self.release_request(id);
+        self.close_after_attempt(ended.conn, outcome);
+        self.assign_waiting(node);
+    }
+
+    /// Takes an attempt that is over out of the records of its connection, or of those that wait.
+    fn release_attempt(
+        &mut self,
+        attempt: AttemptId,
+        ended: &OutstandingAttempt,
+        outcome: AttemptOutcome,
+        answered: bool,
+    ) {
+        self.deadlines.remove(&(ended.deadline, attempt));
+        if let Some(count) = self.attempts_at.get_mut(&ended.node) {
+            *count -= 1;
+        }
+        if may_still_run(outcome) {
+            let until = self.now + self.longest_deadline;
+            let known = self.may_run_until.entry(ended.node).or_insert(until);
+            *known = until.max(*known);
+        }
+        let conn = ended.conn.and_then(|conn| self.conns.get_mut(&conn));
+        if let Some(conn) = conn {
+            conn.attempts.remove(&attempt);
+            conn.idle_since = self.now;
+            if self.wire_mode.is_exclusive() && answered {
+                conn.rests_until = self.now + REST_AFTER_ANSWER;
+            }
+        } else if let Some(pool) = self.pools.get_mut(&ended.node) {
+            pool.waiting.retain(|other| *other != attempt);
+        }
+    }
+
+    fn count_outcome(&mut self, id: RequestId, node: NodeId, outcome: AttemptOutcome) {
+        let completed = outcome == AttemptOutcome::Completed;
+        let request = self.requests.get(&id);
+        if let Some(sharing) = &mut self.sharing {
+            sharing.attempt_ended(node, outcome);
+            if let (true, Some(request)) = (completed, request) {
+                sharing.request_completed(request.message.volume, request.message.units);
+            }
+        }
+        if completed && !self.subscribers.is_empty() {
+            let units = request.map_or(0.0, |request| request.message.units);
+            self.metrics.units_completed(node, units);
+        }
+    }
+
+    /// The volume's usage everywhere, in percent of its plan's rate: as the node reported it, or as the peers know it
+    /// where that is more.
+    fn reported_usage(&self, id: RequestId, percent: f64) -> f64 {
+        let (Some(sharing), Some(request)) = (&self.sharing, self.requests.get(&id)) else {
+            return percent;
+        };
+        let rate = self.config.rate(request.plan).max(1e-9);
+        percent.max(sharing.served_everywhere(self.now, request.message.volume) / rate * 100.0)
+    }
+
+    /// Where a connection carries one exchange at a time, one that was given up ends with its attempt.
+    fn close_after_attempt(&mut self, conn: Option<ConnId>, outcome: AttemptOutcome) {
+        use AttemptOutcome::{Cancelled, TimedOut};
+        let given_up = matches!(outcome, TimedOut | Cancelled);
+        let Some(conn) = conn.filter(|_| self.wire_mode.is_exclusive()) else {
+            return;
+        };
+        let closed = |conn: &NodeConnection| {
+            let outbox = conn.outbox.as_ref();
+            outbox.is_some_and(|outbox| outbox.is_closed())
+        };
+        let ends = |conn: &NodeConnection| given_up || closed(conn);
+        if self.conns.get(&conn).is_some_and(ends) {
+            self.node_disconnected(conn);
+        }
+    }
+
+    /// Ends attempts whose deadline has passed. One that never crossed never ran.
+    pub(super) fn expire_attempts(&mut self) {
+        while let Some(&(at, attempt)) = self.deadlines.first() {
+            if at > self.now {
+                return;
+            }
+            self.deadlines.remove(&(at, attempt));
+            let outcome = match self.revoke(attempt) {
+                true => AttemptOutcome::NotSent,
+                false => AttemptOutcome::TimedOut,
+            };
+            self.end_attempt(attempt, outcome, self.now, None);
+        }
+    }
+
+    /// Calls off the attempt of that number of a request.
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
+        let is_it = |attempt: &&AttemptId| {
+            let outstanding = self.attempts.get(attempt);
+            outstanding.is_some_and(|outstanding| outstanding.number == number)
+        };
+        let request = self.requests.get(&id);
+        let Some(attempt) = request.and_then(|request| request.out.iter().find(is_it).copied())
+        else {
+            return;
+        };
+        if self.revoke(attempt) {
+            return self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None);
+        }
+        let conn = self.attempts.get(&attempt).and_then(|attempt| attempt.conn);
+        let conn = conn.and_then(|conn| self.conns.get(&conn));
+        if let Some(outbox) = conn.and_then(|conn| conn.outbox.as_ref()) {
+            let cancel = pb::CancelAttempt { attempt: attempt.0 };
+            outbox.put(frame(Body::CancelAttempt(cancel)));
+        }
+        self.end_attempt(attempt, AttemptOutcome::Cancelled, self.now, None);
+    }
+
+    /// Revokes all attempts to a node that have not crossed: what was decided before we heard of it must not cross
+    /// after.
+    pub(super) fn revoke_attempts_to(&mut self, node: NodeId) {
+        let Some(pool) = self.pools.get(&node) else {
+            return;
+        };
+        let mut attempts: Vec<AttemptId> = pool.waiting.iter().copied().collect();
+        for conn in pool.conns.iter().filter_map(|conn| self.conns.get(conn)) {
+            attempts.extend(&conn.attempts);
+        }
+        for attempt in attempts {
+            if self.revoke(attempt) {
+                self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/host/src/router/clients.rs
@@ -0,0 +1,346 @@
+//! Clients: their requests, from the first byte to the one final answer.
+
+use super::types::{frame, request_id, ClientConnection, OpenRequest};
+use super::{ConnId, RequestRouter};
+use crate::admission::{admit, Load, Refusal};
+use crate::config_follower::VolumePlacement;
+use crate::outbox::{AttemptId, Outbox};
+use grebecleat::interface::*;
+use grebecleat_wire::clock;
+use grebecleat_wire::delay::Delay;
+use grebecleat_wire::pb::{self, frame::Body};
+use std::collections::BTreeSet;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// What the settings say of a request that has just come in.
+struct RequestTerms {
+    id: RequestId,
+    plan: PlanId,
+    hosts: usize,
+    /// The longest that a request of its class may take.
+    class_deadline: Duration,
+}
+
+/// Why a request is not taken up.
+enum Unserved {
+    /// No client of sound mind sends this: its connection is closed.
+    Invalid(&'static str),
+    /// This host does not serve the volume.
+    NotHere(VolumePlacement),
+}
+
+impl RequestRouter {
+    pub(super) fn client_connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
+        if self.shutdown_by.is_some() {
+            outbox.put(frame(Body::GoingAway(pb::GoingAway {})));
+        }
+        let client = ClientConnection {
+            outbox,
+            delay: Delay::default(),
+            open: BTreeSet::new(),
+        };
+        self.clients.insert(conn, client);
+    }
+
+    pub(super) fn handle_client_frame(&mut self, conn: ConnId, at: Duration, frame: pb::Frame) {
+        let Some(client) = self.clients.get_mut(&conn) else {
+            return;
+        };
+        let waited = client.delay.waited(frame.sent_us, at);
+        match frame.body {
+            Some(Body::SubmitRequest(message)) => self.receive_request(conn, at, waited, message),
+            Some(Body::CancelRequest(message)) => {
+                client.outbox.cancel_handled(&message.id);
+                let own = |id: &RequestId| {
+                    let request = self.requests.get(id);
+                    request.is_some_and(|request| request.client == conn)
+                };
+                if let Some(id) = request_id(&message.id).filter(own) {
+                    self.counters.cancelled += 1;
+                    self.cancel_request(id);
+                }
+            }
+            Some(Body::GoingAway(_)) => {}
+            _ => self.disconnect(conn, "client sent what only hosts and nodes send"),
+        }
+    }
+
+    fn receive_request(
+        &mut self,
+        conn: ConnId,
+        at: Duration,
+        waited: Duration,
+        message: pb::SubmitRequest,
+    ) {
+        let terms = match self.terms_of(&message) {
+            Ok(terms) => terms,
+            Err(Unserved::Invalid(reason)) => return self.disconnect(conn, reason),
+            // Its client may know less than we do of what changed, or more: it is told, and not disconnected.
+            Err(Unserved::NotHere(placement)) => {
+                return self.reject_not_here(conn, message, placement)
+            }
+        };
+        let load = Load {
+            open: self.requests.len(),
+            bytes: self.request_bytes,
+            draining: self.shutdown_by.is_some(),
+        };
+        if let Err(refusal) = admit(load, message.data.len(), self.bounds()) {
+            return self.refuse(conn, message, refusal);
+        }
+        let left = Duration::from_micros(message.left_us).min(terms.class_deadline);
+        // What the frame waited on its way to us is gone from the client's time, as is what the answer needs.
+        let margin = self.settings.rules.answer_margin;
+        let deadline = (at + left).saturating_sub(waited + margin);
+        self.open_request(conn, message, &terms, at.saturating_sub(waited), deadline);
+    }
+
+    /// Checks a request against the settings.
+    fn terms_of(&self, message: &pb::SubmitRequest) -> Result<RequestTerms, Unserved> {
+        let Some(id) = request_id(&message.id) else {
+            return Err(Unserved::Invalid("transfer without a proper id"));
+        };
+        if self.requests.contains_key(&id) {
+            return Err(Unserved::Invalid("transfer with an id that is still open"));
+        }
+        let classes = &self.settings.traffic_classes;
+        let Some(class) = classes.get(message.traffic_class as usize) else {
+            return Err(Unserved::Invalid("transfer of an unknown stream type"));
+        };
+        let stated = message.plan.zip(message.hosts);
+        let placement = match stated.filter(|_| self.wire_mode.terms_from_requests()) {
+            Some((plan, hosts)) => VolumePlacement::Here {
+                plan: PlanId(plan as usize),
+                hosts: hosts as usize,
+            },
+            None => self.config.placement(VolumeId(message.volume)),
+        };
+        let (plan, hosts) = match placement {
+            VolumePlacement::Here { plan, .. } if plan.0 >= self.settings.plans.len() => {
+                return Err(Unserved::Invalid("transfer of an unknown plan"));
+            }
+            VolumePlacement::Here { plan, hosts } => (plan, hosts),
+            VolumePlacement::Unknown if !self.config.is_on() => {
+                return Err(Unserved::Invalid("transfer of an unknown volume"));
+            }
+            other => return Err(Unserved::NotHere(other)),
+        };
+        let units = message.units;
+        if !(units.is_finite() && units > 0.0 && units <= self.settings.units.largest) {
+            let reason = "transfer of a size that the settings do not know";
+            return Err(Unserved::Invalid(reason));
+        }
+        Ok(RequestTerms {
+            id,
+            plan,
+            hosts,
+            class_deadline: class.deadline,
+        })
+    }
+
+    /// Hands a request to the decisions.
+    fn open_request(
+        &mut self,
+        conn: ConnId,
+        message: pb::SubmitRequest,
+        terms: &RequestTerms,
+        received: Duration,
+        deadline: Duration,
+    ) {
+        self.counters.received += 1;
+        if !self.subscribers.is_empty() {
+            self.metrics.request_received(received, &message);
+        }
+        self.request_bytes += message.data.len();
+        if let Some(sharing) = &mut self.sharing {
+            sharing.request_received(message.volume, message.units);
+        }
+        let client = self.clients.get_mut(&conn).expect("it sent the request");
+        client.open.insert(terms.id);
+        self.events.push(Event::RequestReceived(Request {
+            id: terms.id,
+            units: message.units,
+            shard: message.shard.map(ShardId),
+            traffic_class: TrafficClassId(message.traffic_class as usize),
+            plan: terms.plan,
+            hosts: terms.hosts,
+            key: message.key.map(KeyId),
+            deadline,
+            volume: VolumeId(message.volume),
+        }));
+        let request = OpenRequest {
+            client: conn,
+            message,
+            plan: terms.plan,
+            received,
+            deadline,
+            answered: false,
+            may_still_run: false,
+            attempts: 0,
+            out: Vec::new(),
+        };
+        self.requests.insert(terms.id, request);
+    }
+
+    /// Rejects a request on arrival: it never ran, and its client may come again.
+    fn refuse(&mut self, conn: ConnId, message: pb::SubmitRequest, refusal: Refusal) {
+        self.counters.refused += 1;
+        let longest = self.settings.host_limits.max_retry_after;
+        let retry_after = longest.map(|longest| refusal.retry_after().min(longest));
+        let response = pb::Response {
+            id: message.id,
+            outcome: pb::Outcome::Rejected.into(),
+            retry_after_us: retry_after.map(clock::micros),
+            ..pb::Response::default()
+        };
+        self.respond(conn, response);
+    }
+
+    /// A request of a volume that this host does not serve never runs here.
+    fn reject_not_here(
+        &mut self,
+        conn: ConnId,
+        message: pb::SubmitRequest,
+        placement: VolumePlacement,
+    ) {
+        self.counters.refused += 1;
+        // Elsewhere, or later, it may; of a volume that is no more there is nothing to come back for.
+        let outcome = match placement {
+            VolumePlacement::Unknown => pb::Outcome::Failed,
+            _ => pb::Outcome::Rejected,
+        };
+        let longest = self
+            .settings
+            .host_limits
+            .max_retry_after
+            .unwrap_or_default();
+        let retry_after = Refusal::Draining.retry_after().min(longest);
+        let stated = outcome == pb::Outcome::Rejected && !retry_after.is_zero();
+        let response = pb::Response {
+            id: message.id,
+            outcome: outcome.into(),
+            retry_after_us: stated.then(|| clock::micros(retry_after)),
+            ..pb::Response::default()
+        };
+        self.respond(conn, response);
+    }
+
+    fn respond(&mut self, conn: ConnId, response: pb::Response) {
+        let Some(client) = self.clients.get(&conn) else {
+            return;
+        };
+        client.outbox.put(frame(Body::Response(response)));
+        // A client that never reads must not hold our memory; its requests are then dropped.
+        if client.outbox.bytes() > self.bounds().max_unread {
+            self.disconnect(conn, "client leaves its answers unread");
+        }
+    }
+
+    /// The one place where a request gets its final answer.
+    pub(super) fn finish_request(
+        &mut self,
+        id: RequestId,
+        outcome: pb::Outcome,
+        response: pb::Response,
+    ) {
+        let open = self.requests.get_mut(&id);
+        let Some(request) = open.filter(|request| !request.answered) else {
+            return;
+        };
+        request.answered = true;
+        let client = request.client;
+        let message_id = request.message.id.clone();
+        let may_still_run = request.may_still_run;
+        let out = request.out.clone();
+        self.count_finished(id, outcome);
+        // The answer says whether an effect may still come, so what can be revoked is revoked first.
+        let (revoked, crossed): (Vec<AttemptId>, Vec<AttemptId>) =
+            out.into_iter().partition(|attempt| self.revoke(*attempt));
+        let unsure = outcome != pb::Outcome::Completed && (may_still_run || !crossed.is_empty());
+        let response = pb::Response {
+            id: message_id,
+            outcome: outcome.into(),
+            unsure,
+            ..response
+        };
+        self.respond(client, response);
+        for attempt in revoked {
+            self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None);
+        }
+        self.release_request(id);
+    }
+
+    fn count_finished(&mut self, id: RequestId, outcome: pb::Outcome) {
+        let request = &self.requests[&id];
+        if outcome == pb::Outcome::Completed && !self.subscribers.is_empty() {
+            let class = &self.settings.traffic_classes[request.message.traffic_class as usize];
+            let in_time = self.now <= request.received + class.facts.latency_objective;
+            self.metrics
+                .request_completed(request.received, &request.message, in_time);
+        }
+        match outcome {
+            pb::Outcome::Completed => self.counters.completed += 1,
+            pb::Outcome::Rejected => self.counters.rejected += 1,
+            _ => self.counters.failed += 1,
+        }
+    }
+
+    /// After a request is answered: attempts of it that have not crossed never do, and its record goes with the last.
+    pub(super) fn release_request(&mut self, id: RequestId) {
+        let answered = self.requests.get(&id).filter(|request| request.answered);
+        let Some(out) = answered.map(|request| request.out.clone()) else {
+            return;
+        };
+        for attempt in out {
+            if self.revoke(attempt) {
+                self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None);
+            }
+        }
+        let over = self
+            .requests
+            .get(&id)
+            .is_some_and(|request| request.out.is_empty());
+        if !over {
+            return;
+        }
+        let request = self.requests.remove(&id).expect("looked up above");
+        self.request_bytes -= request.message.data.len();
+        if let Some(client) = self.clients.get_mut(&request.client) {
+            client.open.remove(&id);
+        }
+    }
+
+    fn cancel_request(&mut self, id: RequestId) {
+        let open = self.requests.get_mut(&id);
+        let Some(request) = open.filter(|request| !request.answered) else {
+            return;
+        };
+        request.answered = true;
+        self.events.push(Event::RequestCancelled { id });
+        self.release_request(id);
+    }
+
+    pub(super) fn client_disconnected(&mut self, conn: ConnId) {
+        if let Some(outbox) = self.subscribers.remove(&conn) {
+            outbox.close();
+        }
+        let Some(client) = self.clients.remove(&conn) else {
+            return;
+        };
+        client.outbox.close();
+        self.bad_peers.remove(&conn);
+        for id in client.open {
+            let open = self.requests.get(&id);
+            let waiting = open.is_some_and(|request| !request.answered);
+            self.counters.cancelled += u64::from(waiting);
+            self.cancel_request(id);
+        }
+    }
+
+    /// Closes a bad client's connection, and logs why.
+    pub(super) fn disconnect(&mut self, conn: ConnId, reason: &str) {
+        self.log_bad_peer(conn, reason);
+        self.client_disconnected(conn);
+    }
+}
--- /dev/null
+++ b/crates/host/src/router/discovery.rs
@@ -0,0 +1,232 @@
+//! Discovery: the connection to it, and what its updates change of nodes and attempts.
+
+use super::types::{frame, DiscoveryLink, FormerDiscoveryLink};
+use super::{ConnId, Output, RequestRouter};
+use crate::endpoint_list::KnownEndpoint;
+use crate::outbox::Outbox;
+use crate::poll_deadline;
+use grebecleat::interface::*;
+use grebecleat_wire::pb::{self, frame::Body};
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// What tells one process of a node from another.
+type Process = (u64, Option<SocketAddr>);
+
+fn process_of(known: &KnownEndpoint) -> Process {
+    (known.start, known.address)
+}
+
+impl RequestRouter {
+    pub(super) fn discovery_connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
+        if self.discovery.conn != Some(conn) {
+            return outbox.close();
+        }
+        self.discovery.outbox = Some(outbox);
+        self.dial_or_send_to_discovery();
+    }
+
+    pub(super) fn handle_discovery_frames(&mut self, conn: ConnId, frames: Vec<pb::Frame>) {
+        let current = self.discovery.conn == Some(conn);
+        let former = self.is_former_discovery(conn);
+        for frame in frames {
+            let Some(Body::EndpointUpdate(update)) = frame.body.filter(|_| current || former)
+            else {
+                self.log_bad_peer(conn, "list sent something that is no list");
+                continue;
+            };
+            if current {
+                self.discovery.answer_by = None;
+                self.close_former_discovery();
+            }
+            self.handle_endpoint_update(update);
+            if current {
+                self.poll_before_deadline(Some(poll_deadline::Event::Answered));
+            }
+        }
+    }
+
+    fn close_former_discovery(&mut self) {
+        if let Some(former) = self.former_discovery.take() {
+            former.outbox.close();
+        }
+    }
+
+    fn is_former_discovery(&self, conn: ConnId) -> bool {
+        let former = self.former_discovery.as_ref();
+        former.is_some_and(|former| former.conn == conn)
+    }
+
+    pub(super) fn discovery_disconnected(&mut self, conn: ConnId) {
+        if self.discovery.conn == Some(conn) {
+            self.discovery_lost("connection lost");
+        } else if self.is_former_discovery(conn) {
+            self.former_discovery = None;
+        }
+    }
+
+    /// Discovery answers elsewhere. Not a failure: the decisions keep what they have, and the new one is dialled at
+    /// once.
+    pub(super) fn discovery_moved(&mut self) {
+        let before = std::mem::take(&mut self.discovery);
+        if let (Some(conn), Some(outbox)) = (before.conn, before.outbox) {
+            if self.former_discovery.is_none() {
+                self.former_discovery = Some(FormerDiscoveryLink { conn, outbox });
+            } else {
+                outbox.close(); // it has moved again before it was heard there
+            }
+        }
+        // How often another one has failed says nothing of this one: no changes, but an answer.
+        self.events.push(Event::EndpointUpdate {
+            kind: EndpointUpdateKind::Delta,
+            endpoints: Vec::new(),
+        });
+        self.call_discovery(Body::Watch(pb::Watch { on: true }));
+    }
+
+    pub(super) fn call_discovery(&mut self, call: Body) {
+        self.discovery.pending.push(call);
+        self.dial_or_send_to_discovery();
+    }
+
+    fn dial_or_send_to_discovery(&mut self) {
+        let answer_by = self.now + self.discovery_timeout();
+        let Some(outbox) = self.discovery.outbox.clone() else {
+            if self.discovery.conn.is_none() {
+                let conn = ConnId(self.next_number());
+                self.discovery.conn = Some(conn);
+                self.discovery.answer_by = Some(answer_by);
+                self.outputs.push(Output::DialDiscovery { conn });
+                self.poll_before_deadline(Some(poll_deadline::Event::Called));
+            }
+            return;
+        };
+        for body in std::mem::take(&mut self.discovery.pending) {
+            if let Body::Watch(watch) = &body {
+                // One that is open needs no second: its answer may be longer in coming than that of a call.
+                let was_watching = std::mem::replace(&mut self.discovery.watching, watch.on);
+                if was_watching && watch.on {
+                    continue;
+                }
+            }
+            outbox.put(frame(body));
+            // One span for dial and call: two in a row would be twice as long where both are slow.
+            self.discovery.answer_by.get_or_insert(answer_by);
+        }
+    }
+
+    /// A host that has no endpoints yet serves no request, and no term runs: it waits for a slow answer rather than
+    /// call again. Guards a start against a discovery that takes longer than a call may take later, which would never
+    /// be had. Harm: a call that is lost then is found so much later.
+    fn discovery_timeout(&self) -> Duration {
+        let served = !self.endpoints.nodes.is_empty();
+        let poll_deadline = self.poll_deadline.as_ref().filter(|_| served);
+        poll_deadline.map_or(self.bounds().patience, |deadline| deadline.call)
+    }
+
+    /// Calls discovery where the decisions would wait for too long. What they ask for later finds the watch.
+    pub(super) fn poll_before_deadline(&mut self, event: Option<poll_deadline::Event>) {
+        let served = !self.endpoints.nodes.is_empty();
+        let Some(poll_deadline) = self.poll_deadline.as_mut().filter(|_| served) else {
+            return;
+        };
+        let due = poll_deadline.step(self.now, event);
+        if due.is_some() && self.discovery.conn.is_none() {
+            self.call_discovery(Body::Watch(pb::Watch { on: true }));
+        }
+    }
+
+    pub(super) fn discovery_lost(&mut self, reason: &str) {
+        if let Some(outbox) = self.discovery.outbox.take() {
+            outbox.close();
+        }
+        self.discovery = DiscoveryLink::default();
+        self.log(format!("list of nodes: {reason}"));
+        self.poll_before_deadline(Some(poll_deadline::Event::Failed));
+        self.fetch_failed();
+    }
+
+    fn fetch_failed(&mut self) {
+        self.events.push(Event::EndpointUpdate {
+            kind: EndpointUpdateKind::FetchFailed,
+            endpoints: Vec::new(),
+        });
+    }
+
+    fn handle_endpoint_update(&mut self, update: pb::EndpointUpdate) {
+        let kind = match update.kind() {
+            pb::EndpointUpdateKind::Delta => EndpointUpdateKind::Delta,
+            pb::EndpointUpdateKind::Snapshot => EndpointUpdateKind::Snapshot,
+            _ => return self.fetch_failed(),
+        };
+        self.apply_endpoints(kind, &update.endpoints, update.revision);
+    }
+
+    pub(super) fn apply_endpoints(
+        &mut self,
+        kind: EndpointUpdateKind,
+        endpoints: &[pb::Endpoint],
+        revision: u64,
+    ) {
+        let known = self.endpoints.nodes.iter();
+        let before: BTreeMap<NodeId, Process> =
+            known.map(|(id, known)| (*id, process_of(known))).collect();
+        let mut read = self.read_endpoints(endpoints, revision);
+        let mut left = match kind {
+            EndpointUpdateKind::Delta => Vec::new(),
+            _ => self.endpoints.retain_listed(&read, revision),
+        };
+        for endpoint in &mut read {
+            endpoint.state = self.node_state(endpoint.node, endpoint.state);
+        }
+        for endpoint in &read {
+            let process = process_of(&self.endpoints.nodes[&endpoint.node]);
+            let renewed = before
+                .get(&endpoint.node)
+                .is_some_and(|was| *was != process);
+            if endpoint.state != NodeState::Ready || renewed {
+                left.push(endpoint.node);
+            }
+            if renewed {
+                self.node_restarted(endpoint.node);
+            }
+            // What is open leads to a process that is no more.
+            if renewed || endpoint.state == NodeState::Gone {
+                self.close_idle(endpoint.node, self.now);
+            }
+        }
+        self.events.push(Event::EndpointUpdate {
+            kind,
+            endpoints: read,
+        });
+        for node in left {
+            self.revoke_attempts_to(node);
+        }
+        self.endpoints_changed = kind != EndpointUpdateKind::Cached;
+        self.share_known_nodes();
+    }
+
+    fn read_endpoints(&mut self, endpoints: &[pb::Endpoint], revision: u64) -> Vec<Endpoint> {
+        let now = self.now;
+        let read = endpoints
+            .iter()
+            .filter_map(|endpoint| self.endpoints.read(endpoint, now, revision));
+        let read: Vec<Endpoint> = read.collect();
+        let unread = endpoints.len() - read.len();
+        if unread > 0 {
+            self.log(format!("list of nodes: {unread} entries without a state"));
+        }
+        read
+    }
+
+    /// Another process knows nothing of what the last one ran, and dials to that one are of no use.
+    fn node_restarted(&mut self, node: NodeId) {
+        self.may_run_until.remove(&node);
+        if let Some(pool) = self.pools.get_mut(&node) {
+            pool.pool.forget_failures();
+        }
+        self.forget_dials(node);
+    }
+}
--- a/crates/host/src/desk/tests.rs
+++ b/crates/host/src/router/tests.rs
@@ -14,7 +14,7 @@
         } else {
             Vec::new()
         };
-        r.desk.act(Action::CancelAttempt {
+        r.router.perform(Action::CancelAttempt {
             id: RequestId([1; 36]),
             attempt: 0,
         });
@@ -27,9 +27,9 @@
         );
         // It never ran, so trying again is harmless; or nobody knows.
         let end = if crossed {
-            pb::Outcome::Abandoned
+            pb::Outcome::Failed
         } else {
-            pb::Outcome::Deferred
+            pb::Outcome::Rejected
         };
         assert_eq!(r.finals(), [(1, end)]);
     }
@@ -52,15 +52,15 @@
     r.wait(ms(4000));
     assert_eq!(r.finals(), [], "it belongs to the client");
     r.node_answers(conn, attempt, pb::Result::Ok);
-    assert_eq!(r.finals(), [(1, pb::Outcome::Done)]);
+    assert_eq!(r.finals(), [(1, pb::Outcome::Completed)]);
 }
 
 #[test]
 fn a_probe_goes_out_where_there_is_a_connection_and_idle_ones_close() {
     let mut r = Rig::with("");
-    r.desk.act(Action::HealthCheck { node: NodeId(1) });
+    r.router.perform(Action::HealthCheck { node: NodeId(1) });
     assert!(matches!(
-        r.desk.events[..],
+        r.router.events[..],
         [Event::HealthChecked {
             outcome: AttemptOutcome::ConnectFailed,
             ..
@@ -69,10 +69,11 @@
     r.take(1, 0);
     let conn = r.connect();
     let attempt = r.attempts(conn)[0].attempt;
-    r.desk.act(Action::CloseIdleConnections { node: NodeId(1) });
+    r.router
+        .perform(Action::CloseIdleConnections { node: NodeId(1) });
     assert!(!r.boxes[&conn].is_closed(), "a leg is out");
     r.node_answers(conn, attempt, pb::Result::Ok);
-    r.desk.act(Action::HealthCheck { node: NodeId(1) });
+    r.router.perform(Action::HealthCheck { node: NodeId(1) });
     let probe = match &r.cross(conn)[..] {
         [Body::HealthCheck(p)] => p.probe,
         other => panic!("{other:?}"),
@@ -84,26 +85,27 @@
             result: pb::Result::Ok.into(),
         }),
     );
-    assert!(r.desk.probes.is_empty());
-    r.desk.act(Action::CloseIdleConnections { node: NodeId(1) });
+    assert!(r.router.health_checks.is_empty());
+    r.router
+        .perform(Action::CloseIdleConnections { node: NodeId(1) });
     assert!(r.boxes[&conn].is_closed());
 }
 
 #[test]
 fn words_go_to_one_host_or_all_and_are_heard() {
     let mut r = Rig::with("");
-    r.desk.act(Action::SendToPeer {
+    r.router.perform(Action::SendToPeer {
         to: Some(PeerId(2)),
         bytes: b"hi".to_vec(),
     });
-    let told = Output::Tell {
+    let told = Output::SendToPeer {
         to: Some(PeerId(2)),
         bytes: b"hi".to_vec(),
     };
     assert_eq!(
-        r.desk.step(
+        r.router.step(
             ms(100_000),
-            [Input::Word {
+            [Input::PeerMessage {
                 from: PeerId(1),
                 waited: ms(0),
                 bytes: vec![]
--- /dev/null
+++ b/crates/host/src/router/types.rs
@@ -0,0 +1,376 @@
+//! What goes in and out of the router, and the records that it keeps of requests, attempts and connections.
+
+use crate::outbox::{AttemptId, Outbox};
+use crate::pool::Pool;
+use grebecleat::interface::{NodeId, PeerId, PlanId, RequestId};
+use grebecleat_state::store::Record;
+use grebecleat_wire::delay::Delay;
+use grebecleat_wire::pb::{self, frame::Body};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// Identifies one connection of this process; never used twice.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnId(pub u64);
+
+/// What has happened at the sockets and on the disk.
+#[derive(Debug)]
+pub enum Input {
+    /// A client has connected.
+    ClientUp {
+        /// Its connection.
+        conn: ConnId,
+        /// What is to be written to it.
+        outbox: Arc<Outbox>,
+    },
+    /// Frames of a client.
+    ClientFrames {
+        /// Its connection.
+        conn: ConnId,
+        /// When they were read.
+        at: Duration,
+        /// In order.
+        frames: Vec<pb::Frame>,
+    },
+    /// A client's connection has ended.
+    ClientGone {
+        /// Its connection.
+        conn: ConnId,
+    },
+    /// A dial to a node has succeeded.
+    NodeUp {
+        /// The dialled connection.
+        conn: ConnId,
+        /// What is to be written to it.
+        outbox: Arc<Outbox>,
+    },
+    /// Frames of a node.
+    NodeFrames {
+        /// Its connection.
+        conn: ConnId,
+        /// When they were read.
+        at: Duration,
+        /// In order.
+        frames: Vec<pb::Frame>,
+    },
+    /// A node's connection has ended, or a dial has failed.
+    NodeGone {
+        /// The connection.
+        conn: ConnId,
+    },
+    /// The dial to discovery has succeeded.
+    DiscoveryUp {
+        /// The dialled connection.
+        conn: ConnId,
+        /// What is to be written to it.
+        outbox: Arc<Outbox>,
+    },
+    /// Frames of discovery.
+    DiscoveryFrames {
+        /// Its connection.
+        conn: ConnId,
+        /// In order.
+        frames: Vec<pb::Frame>,
+    },
+    /// Discovery's connection has ended, or its dial has failed.
+    DiscoveryGone {
+        /// The connection.
+        conn: ConnId,
+    },
+    /// Discovery answers at another address from now on.
+    DiscoveryMoved,
+    /// The dial to the state service has succeeded.
+    StateServiceUp {
+        /// The dialled connection.
+        conn: ConnId,
+        /// What is to be written to it.
+        outbox: Arc<Outbox>,
+    },
+    /// Frames of the state service.
+    StateServiceFrames {
+        /// Its connection.
+        conn: ConnId,
+        /// In order.
+        frames: Vec<pb::Frame>,
+    },
+    /// The state service's connection has ended, or its dial has failed.
+    StateServiceGone {
+        /// The connection.
+        conn: ConnId,
+    },
+    /// What [`Output::Persist`] asked for is on the disk, or why not.
+    Persisted {
+        /// The number of the request.
+        number: u64,
+        /// The disk's error, for operators.
+        done: Result<(), String>,
+    },
+    /// The endpoint list that this host stored before its restart.
+    CachedEndpoints {
+        /// The list.
+        list: pb::EndpointUpdate,
+    },
+    /// A message of another host.
+    PeerMessage {
+        /// Its sender.
+        from: PeerId,
+        /// How long it was on its way, as far as that is known.
+        waited: Duration,
+        /// Its text; empty: this host's own first message to itself.
+        bytes: Vec<u8>,
+    },
+    /// How many extents the portal of this process knows to lie in each shard.
+    ExtentsByShard {
+        /// Extents by shard.
+        shards: BTreeMap<u32, u64>,
+    },
+    /// An operator's program has subscribed to metrics.
+    SubscriberUp {
+        /// Its connection.
+        conn: ConnId,
+        /// What is to be written to it.
+        outbox: Arc<Outbox>,
+    },
+    /// Shut down gracefully: take no more, answer what is open, then end.
+    Shutdown,
+}
+
+/// What the sockets and the disk are to do.
+#[derive(Debug, PartialEq)]
+pub enum Output {
+    /// Connect to a node.
+    Dial {
+        /// The new connection.
+        conn: ConnId,
+        /// The node.
+        node: NodeId,
+        /// Its address.
+        address: SocketAddr,
+    },
+    /// Connect to discovery.
+    DialDiscovery {
+        /// The new connection.
+        conn: ConnId,
+    },
+    /// Connect to the state service.
+    DialStateService {
+        /// The new connection.
+        conn: ConnId,
+    },
+    /// Write records to the store, all or none.
+    Persist {
+        /// Comes back with [`Input::Persisted`].
+        number: u64,
+        /// The records.
+        records: Vec<Record>,
+    },
+    /// Send a message to other hosts.
+    SendToPeer {
+        /// To whom; None: to all.
+        to: Option<PeerId>,
+        /// Its text.
+        bytes: Vec<u8>,
+    },
+    /// Store the endpoint list for the next start.
+    CacheEndpoints {
+        /// The file's bytes.
+        bytes: Vec<u8>,
+    },
+    /// Write a change of state to the log.
+    Log {
+        /// The line.
+        text: String,
+    },
+    /// The shutdown is complete: nothing is open and every answer is written.
+    ShutdownComplete,
+}
+
+/// Counts since the start.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct Counters {
+    /// Requests handed to the decisions.
+    pub received: u64,
+    /// Requests answered as done.
+    pub completed: u64,
+    /// Requests that the decisions rejected.
+    pub rejected: u64,
+    /// Requests that failed.
+    pub failed: u64,
+    /// Requests turned away on arrival, before the decisions heard of them.
+    pub refused: u64,
+    /// Requests whose client has left.
+    pub cancelled: u64,
+    /// Attempts decided.
+    pub attempts: u64,
+    /// Attempts that were decided and never crossed a socket.
+    pub unsent: u64,
+    /// Answers to attempts that were over, unknown, or another connection's.
+    pub stray_responses: u64,
+    /// Times in which this process stood still.
+    pub pauses: u64,
+    /// Steps of the router.
+    pub steps: u64,
+    /// Events handed to the decisions.
+    pub events: u64,
+}
+
+/// What is open now.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct OpenWork {
+    /// Requests without a final answer, or with an attempt out.
+    pub requests: usize,
+    /// Attempts out or waiting for a connection.
+    pub attempts: usize,
+    /// Bytes of request bodies.
+    pub bytes: usize,
+}
+
+/// How a connection to a node is used, and who says on what terms a volume is served.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
+pub enum WireMode {
+    /// The host's own protocol: many attempts share a connection, and terms come from the settings or the state
+    /// service.
+    #[default]
+    Multiplexed,
+    /// The platform's: a connection carries one exchange at a time, and clients say with each request on what
+    /// terms its volume is served. An attempt that is given up takes its connection with it: what its node may yet
+    /// answer must not be read as the next attempt's, and a closed connection is the only way to call one off.
+    Exclusive,
+}
+
+impl WireMode {
+    /// A connection carries one exchange at a time, and ends with one that is given up.
+    pub fn is_exclusive(self) -> bool {
+        self == WireMode::Exclusive
+    }
+
+    /// Clients say on what terms their volumes are served.
+    pub fn terms_from_requests(self) -> bool {
+        self == WireMode::Exclusive
+    }
+}
+
+/// A request without a final answer, or with an attempt out.
+#[derive(Debug)]
+pub(super) struct OpenRequest {
+    pub client: ConnId,
+    pub message: pb::SubmitRequest,
+    /// The volume's plan when the request came in.
+    pub plan: PlanId,
+    pub received: Duration,
+    pub deadline: Duration,
+    /// It has had its final answer, or its client has left.
+    pub answered: bool,
+    /// An attempt of it ended without an answer from its node: it may still run.
+    pub may_still_run: bool,
+    /// Attempts so far.
+    pub attempts: u32,
+    /// Those that are not over.
+    pub out: Vec<AttemptId>,
+}
+
+/// An attempt that is not over.
+#[derive(Debug)]
+pub(super) struct OutstandingAttempt {
+    pub id: RequestId,
+    /// Among the request's attempts, from 0.
+    pub number: u32,
+    pub node: NodeId,
+    /// None while it waits for a connection.
+    pub conn: Option<ConnId>,
+    pub sent: Duration,
+    pub deadline: Duration,
+    /// Its connection had ended before the attempt was given to it, and it has been given to another.
+    pub reassigned: bool,
+}
+
+/// A client's connection.
+#[derive(Debug)]
+pub(super) struct ClientConnection {
+    pub outbox: Arc<Outbox>,
+    pub delay: Delay,
+    pub open: BTreeSet<RequestId>,
+}
+
+/// A connection to a node, or a dial.
+#[derive(Debug)]
+pub(super) struct NodeConnection {
+    pub node: NodeId,
+    /// None: it is being dialled.
+    pub outbox: Option<Arc<Outbox>>,
+    pub attempts: BTreeSet<AttemptId>,
+    pub dialled: Duration,
+    pub idle_since: Duration,
+    /// Not used for another attempt before then.
+    pub rests_until: Duration,
+    /// Its node takes nothing more on it.
+    pub going_away: bool,
+}
+
+impl NodeConnection {
+    pub fn dialling(node: NodeId, now: Duration) -> Self {
+        NodeConnection {
+            node,
+            outbox: None,
+            attempts: BTreeSet::new(),
+            dialled: now,
+            idle_since: now,
+            rests_until: Duration::ZERO,
+            going_away: false,
+        }
+    }
+
+    pub fn is_up(&self) -> bool {
+        self.outbox.is_some()
+    }
+
+    pub fn is_idle(&self) -> bool {
+        self.is_up() && self.attempts.is_empty()
+    }
+}
+
+/// The connections to one node, and the attempts that wait for one.
+#[derive(Debug)]
+pub(super) struct NodePool {
+    pub pool: Pool,
+    pub conns: Vec<ConnId>,
+    pub waiting: VecDeque<AttemptId>,
+}
+
+/// The connection to discovery.
+#[derive(Debug, Default)]
+pub(super) struct DiscoveryLink {
+    /// None: neither up nor being dialled.
+    pub conn: Option<ConnId>,
+    /// None: not up.
+    pub outbox: Option<Arc<Outbox>>,
+    /// To be sent once it is up.
+    pub pending: Vec<Body>,
+    /// A watch is open on it.
+    pub watching: bool,
+    /// When a call, or the dial, is given up.
+    pub answer_by: Option<Duration>,
+}
+
+/// Discovery's connection from before it moved, which is heard until the new one has answered: what it tells counts
+/// as told, and the new one may be long in coming.
+#[derive(Debug)]
+pub(super) struct FormerDiscoveryLink {
+    pub conn: ConnId,
+    pub outbox: Arc<Outbox>,
+}
+
+/// A frame whose time is set when it is written.
+pub(super) fn frame(body: Body) -> pb::Frame {
+    pb::Frame {
+        sent_us: 0,
+        body: Some(body),
+    }
+}
+
+/// The id of a request, where its bytes are as many as an id has.
+pub(super) fn request_id(id: &[u8]) -> Option<RequestId> {
+    id.try_into().map(RequestId).ok()
+}
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -7,9 +7,9 @@
 //! stands still blocks its own two coroutines and nobody else. Nothing here decides more than when to hang up
 //! on a peer that breaks the wire.
 
-use crate::desk::{ConnId, Counts, Desk, Input, Output};
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 use crate::outbox::Outbox;
+use crate::router::{ConnId, Counters, Input, Output, RequestRouter};
 use grebecleat::interface::PeerId;
 use grebecleat_plans::follower::InitialState;
 use grebecleat_settings::{Bounds, Settings};
@@ -131,7 +131,7 @@
             })
             .collect();
         self.tracer.read(self.conn.0, at, &frames);
-        self.outbox.said(&frames);
+        self.outbox.note_cancels(&frames);
         let _ = self.to_owner.send(Input::ClientFrames {
             conn: self.conn,
             at,
@@ -141,9 +141,9 @@
 
     /// What has come since the last look.
     pub fn read(&self) -> Vec<Body> {
-        let pulled = self.outbox.pull(clock::now, usize::MAX);
+        let pulled = self.outbox.take_batch(clock::now, usize::MAX);
         self.tracer.written(self.conn.0, pulled.at, &pulled.frames);
-        self.outbox.wrote();
+        self.outbox.batch_written();
         pulled.frames.into_iter().filter_map(|f| f.body).collect()
     }
 }
@@ -173,17 +173,17 @@
     }
 
     pub fn drain(&self) {
-        let _ = self.to_owner.send(Input::Drain);
+        let _ = self.to_owner.send(Input::Shutdown);
     }
 
     /// How many extents lie in each shard, as far as this process knows.
     pub fn holds(&self, shards: BTreeMap<u32, u64>) {
-        let _ = self.to_owner.send(Input::Holds { shards });
+        let _ = self.to_owner.send(Input::ExtentsByShard { shards });
     }
 }
 
 /// Runs a host until it has drained. `started` gets the address it listens on and a handle.
-pub fn run(options: Options, started: impl FnOnce(SocketAddr, Handle)) -> io::Result<Counts> {
+pub fn run(options: Options, started: impl FnOnce(SocketAddr, Handle)) -> io::Result<Counters> {
     may::config()
         .set_workers(options.workers.max(1))
         .set_stack_size(CONNECTION_STACK);
@@ -207,7 +207,7 @@
         talks: Arc::default(),
     };
     if let Some(list) = shared.options.remember.as_deref().and_then(remembered) {
-        let _ = to_owner.send(Input::Remembered { list });
+        let _ = to_owner.send(Input::CachedEndpoints { list });
     }
     let accepting = shared.clone();
     go!(move || accept(&listener, &accepting));
@@ -270,7 +270,7 @@
 
 fn remembered(path: &Path) -> Option<pb::EndpointUpdate> {
     let bytes = std::fs::read(path).ok()?;
-    match Listing::from_bytes(&bytes) {
+    match EndpointList::from_bytes(&bytes) {
         Ok(list) => Some(list),
         Err(fault) => {
             warn!("remembered list {} not taken: {fault}", path.display());
@@ -280,23 +280,23 @@
 }
 
 /// The loop of the one owner of the decisions.
-fn own(shared: &Shared, inputs: &Receiver<Input>) -> Counts {
-    let mut desk =
-        Desk::new(shared.options.settings.clone(), shared.options.seed).at(shared.options.host);
+fn own(shared: &Shared, inputs: &Receiver<Input>) -> Counters {
+    let mut router = RequestRouter::new(shared.options.settings.clone(), shared.options.seed)
+        .with_host_index(shared.options.host);
     if let Some(link) = &shared.options.state {
-        desk = desk.following(&shared.me.name, link.start.clone());
+        router = router.following(&shared.me.name, link.start.clone());
     }
     let peers: Vec<PeerId> = shared.options.peers.iter().map(|p| p.0).collect();
-    desk = desk.sharing(clock::now(), &peers, shared.options.life);
+    router = router.sharing(clock::now(), &peers, shared.options.life);
     let (mut batch, mut alive) = (Vec::new(), true);
     // A first step, so that the decisions ask for the list without waiting for a client.
-    batch.push(Input::Word {
+    batch.push(Input::PeerMessage {
         from: PeerId(u32::MAX),
         waited: Duration::ZERO,
         bytes: Vec::new(),
     });
     while alive {
-        let wait = desk.wake_at().saturating_sub(clock::now());
+        let wait = router.wake_at().saturating_sub(clock::now());
         if batch.is_empty() && !wait.is_zero() {
             match inputs.recv_timeout(wait) {
                 Ok(input) => batch.push(input),
@@ -304,7 +304,7 @@
                 Err(RecvTimeoutError::Disconnected) => break,
             }
         }
-        if desk.stood_still(clock::now()) {
+        if router.detect_pause(clock::now()) {
             warn!("this host stood still; its own lateness is not laid on the nodes");
             std::thread::sleep(CATCH_UP);
         }
@@ -314,11 +314,11 @@
                 Err(_) => break,
             }
         }
-        for output in desk.step(clock::now(), batch.drain(..)) {
+        for output in router.step(clock::now(), batch.drain(..)) {
             alive &= !carry_out(shared, output);
         }
     }
-    desk.counts()
+    router.counters()
 }
 
 /// Answers whether the host has ended.
@@ -337,9 +337,9 @@
                 Input::NodeGone { conn },
             );
         }
-        Output::DialList { conn } => {
-            let up = move |outbox| Input::ListUp { conn, outbox };
-            let frames = move |_, frames| Input::ListFrames { conn, frames };
+        Output::DialDiscovery { conn } => {
+            let up = move |outbox| Input::DiscoveryUp { conn, outbox };
+            let frames = move |_, frames| Input::DiscoveryFrames { conn, frames };
             dial(
                 shared,
                 conn,
@@ -347,15 +347,15 @@
                 pb::Role::List,
                 up,
                 frames,
-                Input::ListGone { conn },
+                Input::DiscoveryGone { conn },
             );
         }
-        Output::DialState { conn } => {
+        Output::DialStateService { conn } => {
             let Some(link) = &shared.options.state else {
                 return false;
             };
-            let up = move |outbox| Input::StateUp { conn, outbox };
-            let frames = move |_, frames| Input::StateFrames { conn, frames };
+            let up = move |outbox| Input::StateServiceUp { conn, outbox };
+            let frames = move |_, frames| Input::StateServiceFrames { conn, frames };
             dial(
                 shared,
                 conn,
@@ -363,20 +363,20 @@
                 pb::Role::State,
                 up,
                 frames,
-                Input::StateGone { conn },
+                Input::StateServiceGone { conn },
             );
         }
-        Output::Record { number, records } => {
+        Output::Persist { number, records } => {
             let Some(link) = &shared.options.state else {
                 return false;
             };
             let to_owner = shared.to_owner.clone();
             link.keeper.keep(records, move |done| {
                 let done = done.map_err(|why| why.to_string());
-                let _ = to_owner.send(Input::Kept { number, done });
+                let _ = to_owner.send(Input::Persisted { number, done });
             });
         }
-        Output::Tell { to, bytes } => {
+        Output::SendToPeer { to, bytes } => {
             let peers = shared
                 .options
                 .peers
@@ -384,7 +384,7 @@
                 .filter(|(p, _)| to.is_none_or(|to| to == *p));
             peers.for_each(|(peer, address)| say(shared, *peer, *address, &bytes));
         }
-        Output::Remember { bytes } => {
+        Output::CacheEndpoints { bytes } => {
             if let Some(path) = shared.options.remember.clone() {
                 // Files block; coroutines must not.
                 std::thread::spawn(move || {
@@ -394,7 +394,7 @@
                 });
             }
         }
-        Output::Note { text } => {
+        Output::Log { text } => {
             let word = text
                 .strip_prefix("node ")
                 .and_then(|rest| rest.split(' ').next());
@@ -403,7 +403,7 @@
                 None => info!(host = %shared.me.name, "{text}"),
             }
         }
-        Output::Ended => return true,
+        Output::ShutdownComplete => return true,
     }
     false
 }
@@ -512,7 +512,7 @@
                     let Some(Body::GossipMessage(w)) = f.body else {
                         return Err("a host sent no word".into());
                     };
-                    let _ = shared.to_owner.send(Input::Word {
+                    let _ = shared.to_owner.send(Input::PeerMessage {
                         from,
                         waited,
                         bytes: w.text.to_vec(),
@@ -522,7 +522,7 @@
             })
         }
         pb::Role::Operator => {
-            let up = |outbox| Input::WatcherUp { conn, outbox };
+            let up = |outbox| Input::SubscriberUp { conn, outbox };
             let frames = |at, frames| Input::ClientFrames { conn, at, frames };
             converse(shared, conn, stream, reader, &them, up, frames)
         }
@@ -665,7 +665,7 @@
         shared.bounds().patience,
         |at, read| {
             tracer.read(conn.0, at, &read);
-            outbox.said(&read);
+            outbox.note_cancels(&read);
             shared
                 .to_owner
                 .send(frames(at, read))
@@ -738,7 +738,7 @@
         let mut bytes = Vec::new();
         loop {
             bell.0.store(false, Ordering::Release);
-            let pulled = out.pull(clock::now, ONE_WRITE);
+            let pulled = out.take_batch(clock::now, ONE_WRITE);
             if pulled.frames.is_empty() {
                 if pulled.closed {
                     break;
@@ -754,7 +754,7 @@
             if stream.write_all(&bytes).is_err() {
                 break;
             }
-            out.wrote();
+            out.batch_written();
             if bytes.capacity() > 4 * ONE_WRITE {
                 bytes = Vec::new(); // one large frame must not be paid for by every idle connection
             }
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -3,8 +3,8 @@
 
 use bytes::Bytes;
 use grebecleat::interface::PeerId;
-use grebecleat_host::desk::{ConnId, Desk, Input, Output};
 use grebecleat_host::outbox::Outbox;
+use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
 use grebecleat_plans::changes::ChangeContext;
 use grebecleat_plans::follower::{Follower, InitialState};
 use grebecleat_settings::Settings;
@@ -36,7 +36,7 @@
 
 /// A desk and the peers around it. Time stands still unless moved.
 pub struct Rig {
-    pub desk: Desk,
+    pub router: RequestRouter,
     pub now: Duration,
     pub boxes: BTreeMap<ConnId, Arc<Outbox>>,
     pub dialled: Vec<(ConnId, u32)>,
@@ -59,21 +59,24 @@
     pub fn with(more: &str) -> Self {
         let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"))
             .expect("good settings");
-        Rig::of(Desk::new(Arc::new(settings), 7))
+        Rig::of(RequestRouter::new(Arc::new(settings), 7))
     }
 
     /// A desk whose connections to nodes carry one attempt at a time, and end with one that is given up.
     pub fn one_at_a_time(more: &str) -> Self {
         let one = "bounds(legs_per_connection = 1, linger = s(10), dial_timeout = s(10), patience = s(2))";
         let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{one}\n{more}"));
-        Rig::of(Desk::new(Arc::new(settings.expect("good settings")), 7).one_at_a_time())
+        Rig::of(
+            RequestRouter::new(Arc::new(settings.expect("good settings")), 7)
+                .with_exclusive_connections(),
+        )
     }
 
     /// A desk that has one peer.
     pub fn sharing(more: &str) -> Self {
         let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"));
-        let desk = Desk::new(Arc::new(settings.expect("good settings")), 7);
-        Rig::of(desk.sharing(ms(100_000), &[PeerId(1)], 1))
+        let router = RequestRouter::new(Arc::new(settings.expect("good settings")), 7);
+        Rig::of(router.sharing(ms(100_000), &[PeerId(1)], 1))
     }
 
     /// A desk that follows a state service, and has kept nothing of it.
@@ -93,17 +96,17 @@
     pub fn started(more: &str, start: InitialState) -> Self {
         let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"))
             .expect("good settings");
-        let mut rig = Rig::of(Desk::new(Arc::new(settings), 7).following("h", start));
+        let mut rig = Rig::of(RequestRouter::new(Arc::new(settings), 7).following("h", start));
         rig.wait(ms(10));
         let conn = rig.state.expect("it dials");
         let outbox = rig.outbox(conn);
-        rig.feed(vec![Input::StateUp { conn, outbox }]);
+        rig.feed(vec![Input::StateServiceUp { conn, outbox }]);
         rig
     }
 
-    fn of(desk: Desk) -> Self {
+    fn of(router: RequestRouter) -> Self {
         let mut rig = Rig {
-            desk,
+            router,
             now: ms(100_000),
             boxes: BTreeMap::new(),
             dialled: Vec::new(),
@@ -115,7 +118,7 @@
             keeps: Vec::new(),
             words: Vec::new(),
         };
-        rig.feed(vec![Input::Remembered {
+        rig.feed(vec![Input::CachedEndpoints {
             list: list(&[(1, pb::NodeState::Ready), (2, pb::NodeState::Ready)]),
         }]);
         let outbox = rig.outbox(CLIENT);
@@ -133,25 +136,25 @@
     }
 
     pub fn feed(&mut self, inputs: Vec<Input>) {
-        for out in self.desk.step(self.now, inputs) {
+        for out in self.router.step(self.now, inputs) {
             match out {
                 Output::Dial { conn, node, .. } => self.dialled.push((conn, node.0)),
-                Output::DialList { conn } => self.lists.push((self.now, conn)),
-                Output::Note { text } => self.notes.push(text),
-                Output::Ended => self.ended = true,
-                Output::DialState { conn } => self.state = Some(conn),
-                Output::Record { number, records } => self.keeps.push((number, records)),
-                Output::Tell { bytes, .. } => self.words.push(bytes),
+                Output::DialDiscovery { conn } => self.lists.push((self.now, conn)),
+                Output::Log { text } => self.notes.push(text),
+                Output::ShutdownComplete => self.ended = true,
+                Output::DialStateService { conn } => self.state = Some(conn),
+                Output::Persist { number, records } => self.keeps.push((number, records)),
+                Output::SendToPeer { bytes, .. } => self.words.push(bytes),
                 _ => {}
             }
         }
-        self.desk.wake_at();
+        self.router.wake_at();
     }
 
     pub fn wait(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
-            self.now = self.desk.wake_at().max(self.now + ms(1)).min(end);
+            self.now = self.router.wake_at().max(self.now + ms(1)).min(end);
             self.feed(vec![]);
         }
     }
@@ -212,11 +215,11 @@
         let ask = self.asks();
         let (conn, mut l) = (
             self.state.expect("dialled"),
-            Follower::catalog_of(deployment(self.desk.settings())),
+            Follower::catalog_of(deployment(self.router.settings())),
         );
         l = l.restored(
-            self.desk.plans().catalog().version(),
-            self.desk.plans().catalog().state(),
+            self.router.follower().catalog().version(),
+            self.router.follower().catalog().state(),
             Vec::new(),
         );
         let mut entries = Vec::new();
@@ -245,9 +248,9 @@
             sent_us: 0,
             body: Some(Body::ConfigUpdate(feed)),
         }];
-        self.feed(vec![Input::StateFrames { conn, frames }]);
+        self.feed(vec![Input::StateServiceFrames { conn, frames }]);
         for (number, _) in std::mem::take(&mut self.keeps) {
-            self.feed(vec![Input::Kept {
+            self.feed(vec![Input::Persisted {
                 number,
                 done: Ok(()),
             }]);
@@ -264,8 +267,8 @@
 
     /// What a connection's writer now puts on the socket.
     pub fn cross(&mut self, conn: ConnId) -> Vec<Body> {
-        let pulled = self.boxes[&conn].pull(|| self.now, usize::MAX);
-        self.boxes[&conn].wrote();
+        let pulled = self.boxes[&conn].take_batch(|| self.now, usize::MAX);
+        self.boxes[&conn].batch_written();
         let told: Vec<Body> = pulled.frames.into_iter().filter_map(|f| f.body).collect();
         let follow = |b: &Body| {
             if let Body::FollowRequest(f) = b {
@@ -330,7 +333,7 @@
         }
         let conn = self.lists.last().expect("it asks for the list").1;
         let outbox = self.outbox(conn);
-        self.feed(vec![Input::ListUp { conn, outbox }]);
+        self.feed(vec![Input::DiscoveryUp { conn, outbox }]);
         conn
     }
 
@@ -350,12 +353,12 @@
             sent_us: 0,
             body: Some(Body::EndpointUpdate(list)),
         }];
-        self.feed(vec![Input::ListFrames { conn, frames }]);
+        self.feed(vec![Input::DiscoveryFrames { conn, frames }]);
     }
 
     pub fn listed(&mut self, endpoints: &[(u32, pb::NodeState)]) {
         // A change as the list tells it; where it came from does not matter here.
-        self.feed(vec![Input::Remembered {
+        self.feed(vec![Input::CachedEndpoints {
             list: list(endpoints),
         }]);
     }
--- a/crates/host/tests/following.rs
+++ b/crates/host/tests/config_follower.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ms, Rig};
-use grebecleat_host::desk::Input;
+use grebecleat_host::router::Input;
 use grebecleat_plans::changes::Version;
 use grebecleat_plans::follower::{Follower, InitialState};
 use grebecleat_plans::leader::Epoch;
@@ -18,7 +18,7 @@
     r.take(1, 0);
     assert_eq!(
         r.finals(),
-        [(1, Outcome::Deferred)],
+        [(1, Outcome::Rejected)],
         "it may be told of it in a moment"
     );
     r.told(&["plan p rate=1000 reservation=1000", VOLUME], 1);
@@ -32,15 +32,15 @@
     r.told(&["volume 5 retire"], 2);
     let told = r.finals();
     assert!(
-        !told.is_empty() && told.iter().all(|(n, o)| *n > 2 && *o == Outcome::Deferred),
+        !told.is_empty() && told.iter().all(|(n, o)| *n > 2 && *o == Outcome::Rejected),
         "{told:?}"
     );
     r.node_answers(conn, out[0].attempt, pb::Result::Ok);
-    assert_eq!(r.finals(), [(2, Outcome::Done)]);
+    assert_eq!(r.finals(), [(2, Outcome::Completed)]);
     r.take(99, 0);
     assert_eq!(
         r.finals(),
-        [(99, Outcome::Abandoned)],
+        [(99, Outcome::Failed)],
         "there is nothing to come back for"
     );
 }
@@ -57,7 +57,7 @@
     );
     r.told(&["volume 5 hosts=i"], 1);
     r.take(1, 0);
-    assert_eq!(r.finals(), [(1, Outcome::Deferred)]);
+    assert_eq!(r.finals(), [(1, Outcome::Rejected)]);
     r.told(&["volume 5 hosts=h"], 3);
     r.take(2, 0);
     let conn = r.connect();
@@ -104,7 +104,7 @@
     let at_sixty = attempts(&mut r, 160, 1000);
     assert!(at_sixty >= 25, "{at_sixty}");
     // Cut off until its lease is over: the part of the reservation, 2 a second.
-    r.feed(vec![Input::StateGone {
+    r.feed(vec![Input::StateServiceGone {
         conn: r.state.unwrap(),
     }]);
     r.wait(ms(3000));
@@ -158,7 +158,7 @@
         .collect();
     let versions: Vec<[&str; 1]> = versions.iter().map(|v| [v.as_str()]).collect();
     r.told_all(&versions.iter().map(|v| &v[..]).collect::<Vec<_>>(), 1);
-    let terms = r.desk.plans().catalog().plan("p").map(|p| p.limit);
+    let terms = r.router.follower().catalog().plan("p").map(|p| p.limit);
     assert_eq!(terms, Some(80.0));
     let unsettled = attempts(&mut r, 2000);
     assert!(
@@ -196,16 +196,16 @@
     assert_eq!(
         r.finals(),
         [
-            (2, Outcome::Deferred),
-            (3, Outcome::Deferred),
-            (4, Outcome::Deferred)
+            (2, Outcome::Rejected),
+            (3, Outcome::Rejected),
+            (4, Outcome::Rejected)
         ]
     );
     // The list tells of it anew, and of a restart: it stays as it is.
     r.listed(&[(1, pb::NodeState::Gone)]);
     r.listed(&[(1, pb::NodeState::Ready), (2, pb::NodeState::Ready)]);
     r.take(5, 0);
-    assert_eq!(r.finals(), [(5, Outcome::Deferred)]);
+    assert_eq!(r.finals(), [(5, Outcome::Rejected)]);
     let sights = |r: &mut Rig| {
         r.wait(ms(60));
         let told = r.cross(r.state.unwrap()).into_iter();
@@ -245,8 +245,8 @@
         ],
         1,
     );
-    let catalog = r.desk.plans().catalog();
-    let kept = Follower::catalog_of(deployment(r.desk.settings())).restored(
+    let catalog = r.router.follower().catalog();
+    let kept = Follower::catalog_of(deployment(r.router.settings())).restored(
         catalog.version(),
         catalog.state(),
         vec![],
@@ -260,7 +260,7 @@
     r.take(1, 0);
     assert_eq!(
         (r.finals(), r.dialled.len()),
-        (vec![(1, Outcome::Deferred)], 0)
+        (vec![(1, Outcome::Rejected)], 0)
     );
 }
 
@@ -286,7 +286,7 @@
         sent_us: 0,
         body: Some(Body::ConfigUpdate(feed)),
     }];
-    r.feed(vec![Input::StateFrames { conn, frames }]);
+    r.feed(vec![Input::StateServiceFrames { conn, frames }]);
     assert!(
         r.boxes[&conn].is_closed() && r.notes.iter().any(|n| n.contains("no change")),
         "{:?}",
@@ -344,17 +344,17 @@
             body: Some(Body::ConfigUpdate(feed)),
         }]
     };
-    r.feed(vec![Input::StateFrames {
+    r.feed(vec![Input::StateServiceFrames {
         conn,
         frames: part(vec![plan, volume(5)], true),
     }]);
     r.take(1, 0);
-    assert_eq!(r.finals(), [(1, Outcome::Deferred)]);
-    r.feed(vec![Input::StateFrames {
+    assert_eq!(r.finals(), [(1, Outcome::Rejected)]);
+    r.feed(vec![Input::StateServiceFrames {
         conn,
         frames: part(vec![volume(6)], false),
     }]);
-    assert_eq!(r.desk.plans().catalog().volumes().count(), 2);
+    assert_eq!(r.router.follower().catalog().volumes().count(), 2);
     r.take(2, 0);
     let node = r.connect();
     assert_eq!(r.attempts(node).len(), 1);
--- a/crates/host/tests/ends.rs
+++ b/crates/host/tests/exclusive_connections.rs
@@ -3,11 +3,11 @@
 
 mod common;
 use common::*;
-use grebecleat_host::desk::{ConnId, Input};
+use grebecleat_host::router::{ConnId, Input, OpenWork};
 use grebecleat_wire::pb::{self, frame::Body};
 use pb::EndpointUpdateKind::{Delta, Snapshot};
 use pb::NodeState::{Draining, Ready};
-use pb::Outcome::{Abandoned, Deferred, Done};
+use pb::Outcome::{Completed, Failed, Rejected};
 
 /// What was written of it is in the node's hands, and the rest would follow whenever the node reads again.
 #[test]
@@ -23,9 +23,9 @@
         (
             "its node drains",
             |r| r.listed(&[(1, Draining), (2, Ready)]),
-            &[(1, Deferred)],
+            &[(1, Rejected)],
         ),
-        ("its time is up", |r| r.wait(ms(2000)), &[(1, Deferred)]),
+        ("its time is up", |r| r.wait(ms(2000)), &[(1, Rejected)]),
     ];
     for (what, end, finals) in cases {
         for whole in [false, true] {
@@ -33,9 +33,9 @@
             r.take(1, 1);
             let conn = r.connect();
             let outbox = r.boxes[&conn].clone();
-            assert_eq!(outbox.pull(|| r.now, usize::MAX).frames.len(), 1);
+            assert_eq!(outbox.take_batch(|| r.now, usize::MAX).frames.len(), 1);
             if whole {
-                outbox.wrote();
+                outbox.batch_written();
             }
             end(&mut r);
             if whole {
@@ -45,8 +45,8 @@
             }
             assert!(outbox.is_closed(), "{what}");
             assert_eq!(
-                (r.desk.counts().unsent, r.desk.held()),
-                (1, (0, 0, 0)),
+                (r.router.counters().unsent, r.router.open_work()),
+                (1, OpenWork::default()),
                 "{what}"
             );
             assert_eq!(r.finals(), finals, "{what}: it never ran");
@@ -62,7 +62,7 @@
     let conn = r.connect();
     let attempt = r.attempts(conn)[0].attempt;
     r.node_answers(conn, attempt, pb::Result::Ok);
-    assert_eq!(r.finals(), [(1, Done)]);
+    assert_eq!(r.finals(), [(1, Completed)]);
     r.wait(ms(100));
     r.take(2, 1);
     // It lies in the outbox, and the end is heard before it is written.
@@ -85,7 +85,7 @@
     );
     // Written whole, it may have run.
     r.feed(vec![Input::NodeGone { conn: third }]);
-    assert_eq!(r.finals(), [(2, Abandoned)]);
+    assert_eq!(r.finals(), [(2, Failed)]);
 }
 
 /// A second answer to the attempt before would be taken for the next attempt's.
@@ -114,7 +114,10 @@
             (1, 2, 1 + usize::from(comes_twice))
         );
         r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
-        assert_eq!((r.finals(), r.desk.counts().strays), (vec![(2, Done)], 0));
+        assert_eq!(
+            (r.finals(), r.router.counters().stray_responses),
+            (vec![(2, Completed)], 0)
+        );
     }
 }
 
@@ -139,13 +142,13 @@
     let mut r = Rig::one_at_a_time("");
     let old = r.list_up();
     r.list_tells(old, Snapshot, &[(1, Ready), (2, Ready)]);
-    r.feed(vec![Input::ListMoved]);
+    r.feed(vec![Input::DiscoveryMoved]);
     let new = r.list_up();
     assert!(new != old && !r.boxes[&old].is_closed());
     // The new one has been called and is silent; what the old one tells counts.
     r.list_tells(old, Delta, &[(1, Draining)]);
     r.take(1, 1);
-    assert_eq!((r.finals(), r.dialled.len()), (vec![(1, Deferred)], 0));
+    assert_eq!((r.finals(), r.dialled.len()), (vec![(1, Rejected)], 0));
     r.list_tells(new, Snapshot, &[(1, Ready), (2, Draining)]);
     assert!(r.boxes[&old].is_closed());
     // From now on the new one alone.
@@ -158,12 +161,12 @@
 #[test]
 fn a_list_that_moved_is_not_kept_waiting_for_the_failures_of_the_former() {
     let mut r = Rig::one_at_a_time("");
-    let gone = |r: &mut Rig, conn: ConnId| r.feed(vec![Input::ListGone { conn }]);
+    let gone = |r: &mut Rig, conn: ConnId| r.feed(vec![Input::DiscoveryGone { conn }]);
     for _ in 0..8 {
         let conn = r.list_up();
         gone(&mut r, conn);
     }
-    r.feed(vec![Input::ListMoved]);
+    r.feed(vec![Input::DiscoveryMoved]);
     let (at, conn) = *r.lists.last().unwrap();
     assert_eq!(at, r.now, "dialled at once");
     r.outbox(conn);
@@ -184,7 +187,7 @@
         r.node_answers(conn, attempt, pb::Result::Ok);
         let mut told = list(&[(1, state), (2, Ready)]);
         told.endpoints[0].start = 2;
-        r.feed(vec![Input::Remembered { list: told }]);
+        r.feed(vec![Input::CachedEndpoints { list: told }]);
         assert!(r.boxes[&conn].is_closed(), "{state:?}");
     }
 }
@@ -196,7 +199,7 @@
     let renewed = |r: &mut Rig| {
         let mut told = list(&[(1, Ready), (2, Ready)]);
         told.endpoints[0].start = 2;
-        r.feed(vec![Input::Remembered { list: told }]);
+        r.feed(vec![Input::CachedEndpoints { list: told }]);
     };
     let cases: [Case; 4] = [
         ("its transfer is over", |r| r.withdraw(1), false),
@@ -232,9 +235,9 @@
 fn a_watch_that_stands_is_not_asked_for_again() {
     let mut r = Rig::one_at_a_time("");
     let conn = r.list_up();
-    r.feed(vec![Input::ListGone { conn }]);
+    r.feed(vec![Input::DiscoveryGone { conn }]);
     // The decisions will ask again; the list moves first, and is asked at once.
-    r.feed(vec![Input::ListMoved]);
+    r.feed(vec![Input::DiscoveryMoved]);
     let conn = r.list_up();
     r.list_tells(conn, Snapshot, &[(1, Ready), (2, Ready)]);
     r.wait(ms(2900));
@@ -252,7 +255,7 @@
     let conn = r.connect();
     let attempt = r.attempts(conn)[0].attempt;
     r.withdraw(1);
-    assert!(r.desk.holds(&[1; 36]));
+    assert!(r.router.is_open(&[1; 36]));
     r.frames(
         conn,
         Body::AttemptResponse(pb::AttemptResponse {
@@ -260,7 +263,7 @@
             ..Default::default()
         }),
     );
-    assert!(!r.desk.holds(&[1; 36]));
+    assert!(!r.router.is_open(&[1; 36]));
 }
 
 /// A third of the connections came up late, and whatever a host had for their nodes waited behind one dial.
--- a/crates/host/tests/explore.rs
+++ b/crates/host/tests/explore.rs
@@ -6,7 +6,7 @@
 mod common;
 use bytes::Bytes;
 use common::*;
-use grebecleat_host::desk::{ConnId, Input};
+use grebecleat_host::router::{ConnId, Input, OpenWork};
 use grebecleat_wire::pb::{self, frame::Body, NodeState, Outcome};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -51,7 +51,7 @@
             assert!(!s.withdrawn, "{n} answered though its client had left it");
             let may_have_run = s.crossed.iter().any(|c| !c.1);
             assert!(
-                !(s.stream == ONCE && outcome == Outcome::Deferred && may_have_run),
+                !(s.stream == ONCE && outcome == Outcome::Rejected && may_have_run),
                 "{n} deferred after a run"
             );
         }
@@ -210,10 +210,9 @@
             crossed += s.crossed.len();
         }
         requests += w.seen.len();
-        let (open, attempts, bytes) = w.rig.desk.held();
         assert_eq!(
-            (open, attempts, bytes),
-            (0, 0, 0),
+            w.rig.router.open_work(),
+            OpenWork::default(),
             "seed {seed} leaves something behind"
         );
     }
--- a/crates/host/tests/former_version.rs
+++ b/crates/host/tests/former_version.rs
@@ -1,12 +1,12 @@
 //! An endpoint list that an earlier version remembered (`tests/data`) is taken as it stands.
 
-use grebecleat_host::listing::Listing;
+use grebecleat_host::endpoint_list::EndpointList;
 use grebecleat_wire::pb;
 
 #[test]
 fn a_remembered_list_of_the_former_version_names_its_nodes() {
     let bytes = include_bytes!("../../../tests/data/host.list");
-    let list = Listing::from_bytes(bytes).unwrap();
+    let list = EndpointList::from_bytes(bytes).unwrap();
     assert_eq!(list.kind(), pb::EndpointUpdateKind::Snapshot);
     let seen: Vec<(u32, u32, u32, pb::NodeState)> = list
         .endpoints
--- a/crates/host/tests/renewal.rs
+++ b/crates/host/tests/poll_deadline.rs
@@ -1,7 +1,7 @@
 //! Between the beginnings of three calls in a row lies less than the term, whatever the calls themselves take
 //! and however long the decisions would wait; and failures that come fast are left to the decisions.
 
-use grebecleat_host::renewal::{Action, Event, Renewal};
+use grebecleat_host::poll_deadline::{Action, Event, PollDeadline};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
@@ -46,8 +46,8 @@
     ];
     for (what, failures, (first, last)) in cases {
         for seed in 0..20 {
-            let (mut r, mut due) = (Renewal::new(TERM, CALL, seed), None);
-            r.step(ms(0), Some(Event::Told));
+            let (mut r, mut due) = (PollDeadline::new(TERM, CALL, seed), None);
+            r.step(ms(0), Some(Event::Answered));
             for (n, (begun, ended)) in failures.iter().enumerate() {
                 if n > 0 || *begun > 0 {
                     r.step(ms(*begun), Some(Event::Called));
@@ -75,9 +75,9 @@
 fn any_three_calls_in_a_row_are_begun_within_the_term_less_one_answer() {
     for seed in 0..2000 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut r = Renewal::new(TERM, CALL, seed);
+        let mut r = PollDeadline::new(TERM, CALL, seed);
         let (mut now, mut begun) = (ms(100_000), vec![ms(100_000)]);
-        r.step(now, Some(Event::Told));
+        r.step(now, Some(Event::Answered));
         for n in 0..12 {
             let longest = if n == 0 { WATCH } else { CALL };
             let took = [ms(1), longest, longest.mul_f64(rng.random())][rng.random_range(0..3)];
@@ -99,7 +99,7 @@
 #[test]
 fn failures_that_come_fast_are_left_to_the_decisions() {
     for seed in 0..200 {
-        let mut r = Renewal::new(TERM, CALL, seed);
+        let mut r = PollDeadline::new(TERM, CALL, seed);
         let mut now = ms(100_000);
         r.step(now, Some(Event::Called));
         for _ in 0..20 {
--- a/crates/host/tests/sharing.rs
+++ b/crates/host/tests/quota_sharing.rs
@@ -7,7 +7,7 @@
 use grebecleat_fleet::budget::Spans;
 use grebecleat_fleet::fleet::{Action, Event, Fleet, Rules};
 use grebecleat_fleet::{HostNumber, Incarnation};
-use grebecleat_host::desk::{ConnId, Input};
+use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -88,7 +88,7 @@
         let events: Vec<Event> = self.to_peer.drain(..).chain(heard).collect();
         for action in self.peer.step(self.rig.now, events) {
             if let Action::Tell { bytes, .. } = action {
-                self.rig.feed(vec![Input::Word {
+                self.rig.feed(vec![Input::PeerMessage {
                     from: PeerId(1),
                     waited: ms(0),
                     bytes,
--- a/crates/host/tests/desk.rs
+++ b/crates/host/tests/router.rs
@@ -3,10 +3,10 @@
 mod common;
 use bytes::Bytes;
 use common::*;
-use grebecleat_host::desk::{ConnId, Input, Output};
+use grebecleat_host::router::{ConnId, Input, OpenWork, Output};
 use grebecleat_wire::pb::{self, frame::Body};
 use pb::NodeState::{Draining, Gone, Ready};
-use pb::Outcome::{Abandoned, Deferred, Done};
+use pb::Outcome::{Completed, Failed, Rejected};
 
 #[test]
 fn a_request_goes_out_and_comes_back_once() {
@@ -20,12 +20,15 @@
     );
     r.now += ms(10);
     r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
-    assert_eq!(r.finals(), [(1, Done)]);
+    assert_eq!(r.finals(), [(1, Completed)]);
     // Twice, and of an attempt that nobody sent.
     r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
     r.node_answers(conn, 99, pb::Result::Error);
-    assert_eq!((r.finals(), r.desk.counts().strays), (vec![], 2));
-    assert_eq!(r.desk.held(), (0, 0, 0));
+    assert_eq!(
+        (r.finals(), r.router.counters().stray_responses),
+        (vec![], 2)
+    );
+    assert_eq!(r.router.open_work(), OpenWork::default());
 }
 
 #[test]
@@ -40,8 +43,8 @@
         }
         // The decisions know that it never ran: the non-idempotent request is deferred, not abandoned.
         assert_eq!(
-            (r.finals(), r.desk.counts().unsent),
-            (vec![(1, Deferred)], 1)
+            (r.finals(), r.router.counters().unsent),
+            (vec![(1, Rejected)], 1)
         );
     }
 }
@@ -52,8 +55,11 @@
     r.take(1, 1);
     let conn = r.connect();
     r.wait(ms(1990));
-    assert_eq!(r.finals(), [(1, Deferred)]);
-    assert_eq!((r.attempts(conn).len(), r.desk.held()), (0, (0, 0, 0)));
+    assert_eq!(r.finals(), [(1, Rejected)]);
+    assert_eq!(
+        (r.attempts(conn).len(), r.router.open_work()),
+        (0, OpenWork::default())
+    );
 }
 
 /// A client that must not let a late effect pass unseen is told when there may be one.
@@ -100,7 +106,7 @@
             .cross(CLIENT)
             .into_iter()
             .filter_map(|b| match b {
-                Body::Response(f) => Some((f.outcome() == Done, f.unsure)),
+                Body::Response(f) => Some((f.outcome() == Completed, f.unsure)),
                 _ => None,
             })
             .collect();
@@ -116,7 +122,7 @@
     r.wait(ms(300));
     assert_eq!(
         (r.attempts(conn).len(), r.finals()),
-        (0, vec![(1, Deferred)])
+        (0, vec![(1, Rejected)])
     );
 }
 
@@ -132,8 +138,8 @@
         }),
     );
     assert_eq!(
-        (r.attempts(conn).len(), r.finals(), r.desk.held()),
-        (0, vec![], (0, 0, 0))
+        (r.attempts(conn).len(), r.finals(), r.router.open_work()),
+        (0, vec![], OpenWork::default())
     );
 }
 
@@ -144,9 +150,12 @@
     let conn = r.connect();
     let attempts = r.attempts(conn);
     r.wait(ms(1990));
-    assert_eq!(r.finals(), [(1, Abandoned)], "it may have run");
+    assert_eq!(r.finals(), [(1, Failed)], "it may have run");
     r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
-    assert_eq!((r.finals(), r.desk.counts().strays), (vec![], 1));
+    assert_eq!(
+        (r.finals(), r.router.counters().stray_responses),
+        (vec![], 1)
+    );
 }
 
 #[test]
@@ -161,7 +170,7 @@
     finals.sort_by_key(|f| f.0);
     let sent = |n: u8| crossed.iter().any(|l| l.id[0] == n);
     let expected: Vec<_> = (1..=5)
-        .map(|n| (n, if sent(n) { Abandoned } else { Deferred }))
+        .map(|n| (n, if sent(n) { Failed } else { Rejected }))
         .collect();
     assert_eq!(finals, expected);
     r.node_answers(conn, crossed[0].attempt, pb::Result::Ok);
@@ -179,7 +188,7 @@
         4,
         "a dial that reports nothing is given up"
     );
-    assert_eq!(r.desk.held(), (0, 0, 0));
+    assert_eq!(r.router.open_work(), OpenWork::default());
 }
 
 #[test]
@@ -222,7 +231,7 @@
     }]);
     r.wait(ms(95));
     assert!(
-        r.finals().contains(&(2, Deferred)),
+        r.finals().contains(&(2, Rejected)),
         "answered before its client gives up"
     );
 }
@@ -234,14 +243,14 @@
     let conn = r.connect();
     let attempts = r.attempts(conn);
     r.wait(ms(10));
-    let steps = r.desk.counts().events;
+    let steps = r.router.counters().events;
     r.now += ms(900);
-    assert!(r.desk.stood_still(r.now));
+    assert!(r.router.detect_pause(r.now));
     // The answer had lain in the socket; it and one timer are all that is heard.
     r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
     assert_eq!(
-        (r.finals(), r.desk.counts().events - steps),
-        (vec![(1, Done)], 2)
+        (r.finals(), r.router.counters().events - steps),
+        (vec![(1, Completed)], 2)
     );
     assert!(!r.notes.iter().any(|n| n.contains("shut")), "{:?}", r.notes);
 }
@@ -251,7 +260,7 @@
     let mut r = Rig::with("");
     (1..=20).for_each(|n| r.take(n, 0));
     r.now += ms(5000);
-    assert!(r.desk.stood_still(r.now));
+    assert!(r.router.detect_pause(r.now));
     r.feed(vec![]);
     assert_eq!(r.finals().len(), 20);
 }
@@ -262,13 +271,13 @@
     r.take(1, 0);
     let conn = r.connect();
     let attempts = r.attempts(conn);
-    r.feed(vec![Input::Drain]);
+    r.feed(vec![Input::Shutdown]);
     r.take(2, 0);
     assert!(!r.ended);
-    assert_eq!(r.finals(), [(2, Deferred)]);
+    assert_eq!(r.finals(), [(2, Rejected)]);
     r.node_answers(conn, attempts[0].attempt, pb::Result::Ok);
     assert!(!r.ended, "the answer is not written yet");
-    assert_eq!(r.finals(), [(1, Done)]);
+    assert_eq!(r.finals(), [(1, Completed)]);
     r.wait(ms(200));
     assert!(r.ended);
 }
@@ -280,10 +289,10 @@
     let turned: Vec<u8> = r
         .finals()
         .into_iter()
-        .filter(|f| f.1 == Deferred)
+        .filter(|f| f.1 == Rejected)
         .map(|f| f.0)
         .collect();
-    assert_eq!((turned, r.desk.held().0), (vec![4, 5], 3));
+    assert_eq!((turned, r.router.open_work().requests), (vec![4, 5], 3));
 }
 
 #[test]
@@ -292,7 +301,12 @@
     r.take(200, 0);
     (1..=199).for_each(|n| r.take(n, 0));
     assert!(r.boxes[&CLIENT].is_closed());
-    assert_eq!(r.desk.held(), (0, 0, 0), "{:?}", r.desk.counts());
+    assert_eq!(
+        r.router.open_work(),
+        OpenWork::default(),
+        "{:?}",
+        r.router.counters()
+    );
     assert!(
         r.notes.iter().any(|n| n.contains("unread")),
         "{:?}",
@@ -353,7 +367,7 @@
             r.boxes[&other].is_closed() && !r.boxes[&CLIENT].is_closed(),
             "{bad:?}"
         );
-        assert_eq!(r.desk.held().0, 1);
+        assert_eq!(r.router.open_work().requests, 1);
     }
 }
 
@@ -376,7 +390,7 @@
     let dials = |out: Vec<Output>| -> Vec<ConnId> {
         out.into_iter()
             .filter_map(|o| {
-                if let Output::DialList { conn } = o {
+                if let Output::DialDiscovery { conn } = o {
                     Some(conn)
                 } else {
                     None
@@ -387,15 +401,16 @@
     let mut seen = Vec::new();
     let end = r.now + ms(4000);
     while r.now < end {
-        r.now = r.desk.wake_at().clamp(r.now + ms(1), end);
-        let out = r.desk.step(r.now, vec![]);
+        r.now = r.router.wake_at().clamp(r.now + ms(1), end);
+        let out = r.router.step(r.now, vec![]);
         for conn in dials(out) {
             seen.push(conn);
             match seen.len() {
-                1 => drop(r.desk.step(r.now, vec![Input::ListGone { conn }])),
+                1 => drop(r.router.step(r.now, vec![Input::DiscoveryGone { conn }])),
                 _ => {
                     let outbox = r.outbox(conn); // comes up and never answers
-                    r.desk.step(r.now, vec![Input::ListUp { conn, outbox }]);
+                    r.router
+                        .step(r.now, vec![Input::DiscoveryUp { conn, outbox }]);
                 }
             }
         }
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -67,7 +67,7 @@
     let mut c = Client::new(host);
     let known = (0..200).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
-        c.read(1) == Outcome::Done
+        c.read(1) == Outcome::Completed
     });
     assert!(known, "the host never learnt of its node");
     (list, host, handle)
@@ -206,9 +206,9 @@
     for (what, bytes) in cases {
         let mut bad = TcpStream::connect(host).unwrap();
         bad.write_all(&bytes).unwrap();
-        assert_eq!(good.read(1), Outcome::Done, "beside {what}");
+        assert_eq!(good.read(1), Outcome::Completed, "beside {what}");
         hung_up(bad);
-        assert_eq!(good.read(1), Outcome::Done, "after {what}");
+        assert_eq!(good.read(1), Outcome::Completed, "after {what}");
     }
 }
 
@@ -217,7 +217,7 @@
     let (_, host, _) = start();
     let mut good = Client::new(host);
     let id = good.take(1, true, Bytes::from(vec![7; 64 << 10]));
-    assert_eq!(good.answer(&id).outcome(), Outcome::Done);
+    assert_eq!(good.answer(&id).outcome(), Outcome::Completed);
     let mut deaf = Client::new(host);
     deaf.stream
         .set_write_timeout(Some(Duration::from_millis(200)))
@@ -252,7 +252,7 @@
         std::thread::sleep(Duration::from_millis(2));
     }
     for _ in 0..20 {
-        assert_eq!(good.read(1), Outcome::Done);
+        assert_eq!(good.read(1), Outcome::Completed);
     }
     hung_up(deaf.stream);
 }
@@ -311,14 +311,14 @@
         let big = Bytes::from(vec![1; 512 << 10]);
         let ids: Vec<Bytes> = (0..12).map(|_| stuck.take(2, true, big.clone())).collect();
         for _ in 0..30 {
-            assert_eq!(good.read(1), Outcome::Done, "greets: {greets}");
+            assert_eq!(good.read(1), Outcome::Completed, "greets: {greets}");
         }
         // Every request to it has its one answer, whatever lay in which buffer.
         let mut answered: Vec<Bytes> = ids
             .iter()
             .map(|_| match stuck.get() {
                 Body::Response(f) => {
-                    assert_ne!(f.outcome(), Outcome::Done);
+                    assert_ne!(f.outcome(), Outcome::Completed);
                     f.id
                 }
                 other => panic!("{other:?}"),
@@ -374,7 +374,7 @@
     std::thread::sleep(Duration::from_millis(200));
     let mut c = Client::new(host);
     for _ in 0..50 {
-        assert_eq!(c.read(2), Outcome::Done);
-        assert_eq!(c.read(1), Outcome::Done);
+        assert_eq!(c.read(2), Outcome::Completed);
+        assert_eq!(c.read(1), Outcome::Completed);
     }
 }
--- a/crates/membership/src/node_status.rs
+++ b/crates/membership/src/node_status.rs
@@ -35,13 +35,13 @@
 
 /// What a host's decisions hold of a node's answers.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Heard {
+pub struct NodeHealth {
     /// In one: what it takes by benefit; none while it is shut.
-    pub ease: f64,
+    pub admission_level: f64,
     /// Bad answers in a row.
-    pub bad_row: u32,
+    pub consecutive_failures: u32,
     /// Since it last answered well; None: never.
-    pub since: Option<Duration>,
+    pub since_success: Option<Duration>,
 }
 
 /// Below the first it is shut or nearly so; it must be above the second before it is trusted again, since
@@ -56,22 +56,22 @@
     /// What a host is to say of a node's answers, after what it said before.
     ///
     /// ```
-    /// use grebecleat_membership::node_status::{Answers, Heard};
+    /// use grebecleat_membership::node_status::{Answers, NodeHealth};
     /// use std::time::Duration;
-    /// let heard = |ease, bad_row, s| Heard { ease, bad_row, since: Some(Duration::from_secs(s)) };
+    /// let heard = |admission_level, consecutive_failures, s| NodeHealth { admission_level, consecutive_failures, since_success: Some(Duration::from_secs(s)) };
     /// assert_eq!(Answers::of(heard(1.0, 0, 3), Answers::None), Answers::Good);
     /// assert_eq!(Answers::of(heard(0.0, 0, 3), Answers::Good), Answers::Bad);
     /// assert_eq!(Answers::of(heard(0.3, 0, 3), Answers::Bad), Answers::Bad);
     /// assert_eq!(Answers::of(heard(0.6, 0, 30), Answers::Bad), Answers::None);
     /// ```
-    pub fn of(h: Heard, before: Answers) -> Answers {
+    pub fn of(h: NodeHealth, before: Answers) -> Answers {
         let least = if before == Answers::Bad {
             SHUT.1
         } else {
             SHUT.0
         };
-        match h.since {
-            _ if h.ease < least || h.bad_row >= BAD_ROW => Answers::Bad,
+        match h.since_success {
+            _ if h.admission_level < least || h.consecutive_failures >= BAD_ROW => Answers::Bad,
             Some(since) if since < LATELY => Answers::Good,
             _ => Answers::None,
         }
--- a/crates/platform/src/account.rs
+++ b/crates/platform/src/account.rs
@@ -7,7 +7,7 @@
 use grebecleat::control::Control;
 use grebecleat::interface::NodeState;
 use grebecleat::rejection_stats::{PaidBy, RejectionCause, RejectionReason, LAST_SUCCESS_STEPS};
-use grebecleat_host::desk::Counts;
+use grebecleat_host::router::Counters;
 use std::collections::BTreeMap;
 use std::fmt::Write;
 
@@ -16,7 +16,7 @@
 
 #[derive(Debug, Default)]
 pub struct Teller {
-    told: Counts,
+    told: Counters,
 }
 
 fn cause(c: &RejectionCause, kinds: &[String]) -> String {
@@ -41,21 +41,21 @@
     pub fn line(
         &mut self,
         second: u64,
-        counts: Counts,
+        counts: Counters,
         control: &mut Control,
         kinds: &[String],
     ) -> String {
         let before = std::mem::replace(&mut self.told, counts);
         let mut line = format!("{MARK}{second}");
         let since = [
-            ("taken", counts.taken, before.taken),
+            ("taken", counts.received, before.received),
             ("legs", counts.attempts, before.attempts),
             ("unsent", counts.unsent, before.unsent),
-            ("done", counts.done, before.done),
-            ("deferred", counts.deferred, before.deferred),
-            ("abandoned", counts.abandoned, before.abandoned),
-            ("turned_away", counts.turned_away, before.turned_away),
-            ("withdrawn", counts.withdrawn, before.withdrawn),
+            ("done", counts.completed, before.completed),
+            ("deferred", counts.rejected, before.rejected),
+            ("abandoned", counts.failed, before.failed),
+            ("turned_away", counts.refused, before.refused),
+            ("withdrawn", counts.cancelled, before.cancelled),
         ];
         for (name, now, then) in since {
             let _ = write!(line, " {name}={}", now - then);
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -229,8 +229,8 @@
 /// A final answer, as the client reads it. An abandoned request must not read as a deferred one.
 pub fn put_final(to: &mut Vec<u8>, told: &pb::Response, keep: bool) {
     match told.outcome() {
-        pb::Outcome::Done => http::put_response(to, 200, "", keep, &told.data),
-        pb::Outcome::Deferred => {
+        pb::Outcome::Completed => http::put_response(to, 200, "", keep, &told.data),
+        pb::Outcome::Rejected => {
             let wait = told.retry_after_us.map(Duration::from_micros);
             let more = wait.map_or(String::new(), |w| {
                 format!("Retry-After: {:.3}\r\n", w.as_secs_f64())
--- a/crates/platform/src/clients/tests.rs
+++ b/crates/platform/src/clients/tests.rs
@@ -151,15 +151,15 @@
 fn each_outcome_reads_as_itself() {
     let cases = [
         (
-            pb::Outcome::Done,
+            pb::Outcome::Completed,
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi",
         ),
         (
-            pb::Outcome::Deferred,
+            pb::Outcome::Rejected,
             "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.250\r\n\r\n",
         ),
         (
-            pb::Outcome::Abandoned,
+            pb::Outcome::Failed,
             "HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n",
         ),
     ];
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -22,8 +22,8 @@
 use crate::nodes;
 use bytes::Bytes;
 use grebecleat::interface::PeerId;
-use grebecleat_host::desk::{ConnId, Counts, Desk, Input, Output};
 use grebecleat_host::outbox::Outbox;
+use grebecleat_host::router::{ConnId, Counters, Input, Output, RequestRouter};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
 use may::go;
@@ -449,7 +449,7 @@
     file: Option<PathBuf>,
     words: Words,
     names: Names,
-    desk: Desk,
+    router: RequestRouter,
     conns: BTreeMap<ConnId, Conn>,
     /// Closed by us; their readers have yet to end.
     leaving: BTreeSet<ConnId>,
@@ -485,7 +485,7 @@
 }
 
 /// Runs the host until SIGTERM has ended it. `started` gets the address it listens on.
-pub fn run(options: Options, started: impl FnOnce(SocketAddr)) -> io::Result<Counts> {
+pub fn run(options: Options, started: impl FnOnce(SocketAddr)) -> io::Result<Counters> {
     may::config()
         .set_workers(1)
         .set_stack_size(STACK)
@@ -516,7 +516,7 @@
     go!(move || accept(&listener, &room, &to_owner));
     started(address);
     host.own(&notes);
-    Ok(host.desk.counts())
+    Ok(host.router.counters())
 }
 
 fn signals(to_owner: Sender<Note>) -> io::Result<()> {
@@ -545,13 +545,14 @@
 impl Host {
     fn new(options: Options, room: Arc<Room>, listener: RawFd, to_owner: Sender<Note>) -> Self {
         let Options { config, file } = options;
-        let desk = Desk::new(config.settings.clone(), config.seed).one_at_a_time();
-        let desk = desk.list_within(SILENCE, calls::ANSWER);
+        let router =
+            RequestRouter::new(config.settings.clone(), config.seed).with_exclusive_connections();
+        let router = router.with_poll_deadline(SILENCE, calls::ANSWER);
         let now = clock::now();
         let mut host = Host {
             words: Words::of(&config),
             names: Names::default(),
-            desk,
+            router,
             conns: BTreeMap::new(),
             leaving: BTreeSet::new(),
             dials: Vec::new(),
@@ -591,7 +592,7 @@
         match self.names.read(&known, unix_ms()) {
             Ok(read) => {
                 self.known = !read.list.endpoints.is_empty();
-                self.inputs.push(Input::Remembered { list: read.list });
+                self.inputs.push(Input::CachedEndpoints { list: read.list });
             }
             Err(why) => self.say(&format!("known: not taken: {why}")),
         }
@@ -613,7 +614,7 @@
 
     fn own(&mut self, notes: &Receiver<Note>) {
         // A first step, so that the decisions ask for the list without waiting for a client.
-        self.inputs.push(Input::Word {
+        self.inputs.push(Input::PeerMessage {
             from: PeerId(u32::MAX),
             waited: Duration::ZERO,
             bytes: Vec::new(),
@@ -621,7 +622,7 @@
         self.step();
         loop {
             let now = clock::now();
-            let mut wake = self.desk.wake_at().min(self.sweep_at);
+            let mut wake = self.router.wake_at().min(self.sweep_at);
             if !(self.dials.is_empty() && self.held.is_empty() && self.blocked.is_empty()) {
                 wake = wake.min(now + ms(2));
             }
@@ -637,7 +638,7 @@
                     Err(RecvTimeoutError::Disconnected) => return,
                 }
             }
-            if self.desk.stood_still(clock::now()) {
+            if self.router.detect_pause(clock::now()) {
                 self.say("this host stood still; its own lateness is not laid on the nodes");
                 std::thread::sleep(CATCH_UP);
             }
@@ -660,7 +661,7 @@
 
     fn step(&mut self) {
         let inputs = std::mem::take(&mut self.inputs);
-        for output in self.desk.step(clock::now(), inputs) {
+        for output in self.router.step(clock::now(), inputs) {
             self.carry_out(output);
         }
         self.flush_all();
@@ -744,7 +745,7 @@
             ..
         }) = c.role
         {
-            forget(&mut self.ids, &mut self.left, &self.desk, id, request);
+            forget(&mut self.ids, &mut self.left, &self.router, id, request);
         }
         self.blocked.remove(&conn);
         // SAFETY: the number is its own until `Note::Ended` has brought the stream.
@@ -761,7 +762,7 @@
         self.inputs.push(match c.role {
             Role::Client(_) => Input::ClientGone { conn },
             Role::Node(_) => Input::NodeGone { conn },
-            Role::List(_) => Input::ListGone { conn },
+            Role::List(_) => Input::DiscoveryGone { conn },
         });
         self.close(conn);
     }
@@ -1159,7 +1160,7 @@
             Err(e) => {
                 tracing::debug!(%address, "cannot dial: {e}");
                 self.inputs.push(if list {
-                    Input::ListGone { conn }
+                    Input::DiscoveryGone { conn }
                 } else {
                     Input::NodeGone { conn }
                 });
@@ -1219,7 +1220,7 @@
             if !up {
                 self.to_nodes.remove(&conn);
                 self.inputs.push(if list {
-                    Input::ListGone { conn }
+                    Input::DiscoveryGone { conn }
                 } else {
                     Input::NodeGone { conn }
                 });
@@ -1236,7 +1237,7 @@
             let outbox = self.add(conn, role, fd, gate.clone(), now);
             start_reader(stream, conn, gate, self.to_owner.clone());
             self.inputs.push(match list {
-                true => Input::ListUp { conn, outbox },
+                true => Input::DiscoveryUp { conn, outbox },
                 false => Input::NodeUp { conn, outbox },
             });
         }
@@ -1268,7 +1269,7 @@
             Ok(read) => {
                 self.listed = true;
                 let frames = vec![frame(Body::EndpointUpdate(read.list), clock::now())];
-                self.inputs.push(Input::ListFrames { conn, frames });
+                self.inputs.push(Input::DiscoveryFrames { conn, frames });
                 if read.spoilt > 0 {
                     self.say(&format!(
                         "list of nodes: {} entries cannot be read",
@@ -1321,7 +1322,7 @@
             Ok(new) => {
                 if new.discovery != self.discovery {
                     self.discovery = new.discovery;
-                    self.inputs.push(Input::ListMoved);
+                    self.inputs.push(Input::DiscoveryMoved);
                 }
                 self.say("configuration read again");
             }
@@ -1336,11 +1337,13 @@
     fn carry_out(&mut self, output: Output) {
         match output {
             Output::Dial { conn, address, .. } => self.dial(conn, address, false),
-            Output::DialList { conn } => self.dial(conn, self.discovery, true),
-            Output::Note { text } => self.say(&text),
+            Output::DialDiscovery { conn } => self.dial(conn, self.discovery, true),
+            Output::Log { text } => self.say(&text),
             // No disk, no state service, no peers here.
-            Output::Remember { .. } | Output::DialState { .. } | Output::Record { .. } => {}
-            Output::Tell { .. } | Output::Ended => {}
+            Output::CacheEndpoints { .. }
+            | Output::DialStateService { .. }
+            | Output::Persist { .. } => {}
+            Output::SendToPeer { .. } | Output::ShutdownComplete => {}
         }
     }
 
@@ -1391,7 +1394,7 @@
                     unsafe { libc::shutdown(c.fd, libc::SHUT_WR) };
                 }
             }
-            c.outbox.wrote();
+            c.outbox.batch_written();
             // Its node has ended it, or says more than it was asked for: an attempt written now would be reset, or
             // be taken to have that answer. It is still ours, and goes elsewhere.
             if let (Role::Node(Doing::Nothing), false) = (&c.role, c.outbox.is_flushed()) {
@@ -1405,7 +1408,7 @@
             let Some(c) = self.conns.get_mut(&conn) else {
                 return;
             };
-            let pulled = c.outbox.pull(clock::now, ONE_WRITE);
+            let pulled = c.outbox.take_batch(clock::now, ONE_WRITE);
             if pulled.frames.is_empty() {
                 if pulled.closed {
                     self.close(conn);
@@ -1430,7 +1433,7 @@
     /// socket for each attempt.
     fn nobody_waits(&mut self, conn: ConnId) -> bool {
         let left = |client: &ConnId| self.conns.get(client).is_none_or(|c| has_left(c.fd));
-        let Some(client) = self.desk.clients_at(conn).find(left) else {
+        let Some(client) = self.router.clients_waiting_on(conn).find(left) else {
             return false;
         };
         self.lost(client);
@@ -1454,7 +1457,7 @@
                 if !keep {
                     client.discard = Some((now + DISCARD.0, DISCARD.1));
                 }
-                forget(&mut self.ids, &mut self.left, &self.desk, id, request);
+                forget(&mut self.ids, &mut self.left, &self.router, id, request);
                 put_final(&mut c.outward, &told, keep);
                 if keep && !c.inward.is_empty() {
                     // What waited behind it; the answer goes first, since it stands in the buffer.
@@ -1572,7 +1575,7 @@
             self.shut_listener(now);
         }
         self.left.retain(|(id, request)| {
-            let out = self.desk.holds(request);
+            let out = self.router.is_open(request);
             if !out {
                 self.ids.remove(id);
             }
@@ -1586,12 +1589,12 @@
 
     fn tell_account(&mut self) {
         if tracing::enabled!(tracing::Level::DEBUG) {
-            let (second, counts) = ((unix_ms() / 1000.0) as u64, self.desk.counts());
+            let (second, counts) = ((unix_ms() / 1000.0) as u64, self.router.counters());
             let kinds: Vec<String> = self.config.kinds.iter().map(|k| k.name.clone()).collect();
             tracing::debug!(
                 "{}",
                 self.teller
-                    .line(second, counts, self.desk.control(), &kinds)
+                    .line(second, counts, self.router.control(), &kinds)
             );
         }
     }
@@ -1648,11 +1651,11 @@
 fn forget(
     ids: &mut HashSet<String>,
     left: &mut Vec<(String, Bytes)>,
-    desk: &Desk,
+    router: &RequestRouter,
     id: String,
     request: Bytes,
 ) {
-    if desk.holds(&request) {
+    if router.is_open(&request) {
         left.push((id, request));
     } else {
         ids.remove(&id);
--- a/crates/platform/src/run/tests.rs
+++ b/crates/platform/src/run/tests.rs
@@ -62,8 +62,8 @@
         });
     };
     (0..(most + more) as u64).for_each(|n| dial(&mut host, n));
-    host.carry_out(Output::DialList { conn: ConnId(90) });
-    host.carry_out(Output::DialList { conn: ConnId(91) });
+    host.carry_out(Output::DialDiscovery { conn: ConnId(90) });
+    host.carry_out(Output::DialDiscovery { conn: ConnId(91) });
     let lists = |host: &Host| {
         host.dials
             .iter()
@@ -286,7 +286,7 @@
             endpoints: vec![entry],
             ..pb::EndpointUpdate::default()
         };
-        host.inputs.push(Input::Remembered { list });
+        host.inputs.push(Input::CachedEndpoints { list });
         let conn = ConnId(ACCEPTED + 1);
         host.hear(Note::Accepted {
             conn,
@@ -315,7 +315,7 @@
             "{what}"
         );
         assert_eq!(
-            host.desk.held().0,
+            host.router.open_work().requests,
             usize::from(written),
             "{what}: the transfer is nobody's"
         );
@@ -364,7 +364,7 @@
         assert_eq!(
             (
                 node.read(&mut [0; 64]).is_ok_and(|n| n > 0),
-                outbox.is_held(AttemptId(1))
+                outbox.is_queued(AttemptId(1))
             ),
             (written, !written),
             "{what}"
--- a/crates/platform/tests/renewal.rs
+++ b/crates/platform/tests/renewal.rs
@@ -4,8 +4,8 @@
 //! the desk's bound (`before`) and with it.
 
 use grebecleat::interface::PeerId;
-use grebecleat_host::desk::{ConnId, Desk, Input, Output};
 use grebecleat_host::outbox::Outbox;
+use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
 use grebecleat_platform::calls::{self, Action, Calls};
 use grebecleat_platform::config::{Config, SILENCE};
 use grebecleat_settings::Settings;
@@ -137,7 +137,7 @@
 }
 
 struct Host {
-    desk: Desk,
+    router: RequestRouter,
     link: Option<Link>,
     /// The connection that was dialled last; the desk has given up on those before.
     dialled: u64,
@@ -233,14 +233,15 @@
     }
 
     fn host(&mut self, settings: &Arc<Settings>) -> Host {
-        let desk = Desk::new(settings.clone(), self.rng.random()).one_at_a_time();
-        let desk = if self.bounded {
-            desk.list_within(SILENCE, calls::ANSWER)
+        let router =
+            RequestRouter::new(settings.clone(), self.rng.random()).with_exclusive_connections();
+        let router = if self.bounded {
+            router.with_poll_deadline(SILENCE, calls::ANSWER)
         } else {
-            desk
+            router
         };
         Host {
-            desk,
+            router,
             link: None,
             dialled: 0,
             wake: Duration::ZERO,
@@ -266,7 +267,7 @@
         let is_up = |h: &Host, conn| h.link.as_ref().is_some_and(|l| l.conn == conn);
         match what {
             What::Begin => {
-                let word = Input::Word {
+                let word = Input::PeerMessage {
                     from: PeerId(u32::MAX),
                     waited: Duration::ZERO,
                     bytes: Vec::new(),
@@ -292,7 +293,7 @@
                 self.hosts[host].link = Some(link);
                 self.step(
                     host,
-                    vec![Input::ListUp {
+                    vec![Input::DiscoveryUp {
                         conn: ConnId(conn),
                         outbox,
                     }],
@@ -335,7 +336,7 @@
                 self.call(host, conn, call);
                 self.step(
                     host,
-                    vec![Input::ListFrames {
+                    vec![Input::DiscoveryFrames {
                         conn: ConnId(conn),
                         frames,
                     }],
@@ -356,7 +357,7 @@
                 self.hosts[host] = new;
                 self.at(self.now, host, What::Begin);
             }
-            What::Moves => self.step(host, vec![Input::ListMoved]),
+            What::Moves => self.step(host, vec![Input::DiscoveryMoved]),
             What::Changes => {
                 self.revision += 1;
                 if self.down().is_none() {
@@ -382,12 +383,12 @@
     }
 
     fn step(&mut self, host: usize, inputs: Vec<Input>) {
-        for out in self.hosts[host].desk.step(self.now, inputs) {
-            if matches!(&out, Output::Note { text } if text.starts_with("list of nodes: ")) {
+        for out in self.hosts[host].router.step(self.now, inputs) {
+            if matches!(&out, Output::Log { text } if text.starts_with("list of nodes: ")) {
                 let h = &mut self.hosts[host];
                 h.failed += u32::from(h.began >= BEGIN + self.w.had_at && h.told.is_none());
             }
-            if let Output::DialList { conn } = out {
+            if let Output::DialDiscovery { conn } = out {
                 (self.hosts[host].dialled, self.hosts[host].began) = (conn.0, self.now);
                 // A dial alone may take so long that its call has little left.
                 let slow = self
@@ -405,8 +406,8 @@
         let (now, mut call) = (self.now, None);
         let h = &mut self.hosts[host];
         if let Some(link) = &mut h.link {
-            let pulled = link.outbox.pull(|| now, usize::MAX);
-            link.outbox.wrote();
+            let pulled = link.outbox.take_batch(|| now, usize::MAX);
+            link.outbox.batch_written();
             for body in pulled.frames.into_iter().filter_map(|f| f.body) {
                 if let Body::Watch(w) = body {
                     let asked = link
@@ -422,7 +423,7 @@
             self.call(host, conn, call);
         }
         let h = &mut self.hosts[host];
-        h.wake = h.desk.wake_at().max(now + ms(1));
+        h.wake = h.router.wake_at().max(now + ms(1));
         let wake = h.wake;
         self.at(wake, host, What::Wake);
     }
@@ -573,7 +574,7 @@
 }
 
 fn gone(conn: u64) -> Input {
-    Input::ListGone { conn: ConnId(conn) }
+    Input::DiscoveryGone { conn: ConnId(conn) }
 }
 
 fn worlds() -> Vec<(&'static str, World)> {
