--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -465,12 +465,12 @@
         let now = self.now();
         let outcome = f.outcome();
         match outcome {
-            Outcome::Done => self.tally.done += 1,
-            Outcome::Deferred => self.tally.deferred += 1,
+            Outcome::Completed => self.tally.done += 1,
+            Outcome::Rejected => self.tally.deferred += 1,
             _ => self.tally.abandoned += 1,
         }
         let p = &self.pieces[t.piece];
-        if outcome == Outcome::Done {
+        if outcome == Outcome::Completed {
             let stream = &self.settings.traffic_classes[p.stream];
             let plan = self.settings.volumes[p.volume].plan;
             let line = self.tally.plans.entry(plan).or_default();
@@ -517,7 +517,7 @@
     fn again(&mut self, piece: usize, outcome: Outcome, wait: Duration, until: Duration) {
         use grebecleat_settings::Idempotency;
         let p = &self.pieces[piece];
-        let harmless = outcome == Outcome::Deferred
+        let harmless = outcome == Outcome::Rejected
             || self.settings.traffic_classes[p.stream].facts.idempotency == Idempotency::Idempotent;
         let at = self.now() + wait;
         if harmless && p.tries <= self.script.retries && at < until {
--- a/crates/state/src/codec.rs
+++ b/crates/state/src/codec.rs
@@ -18,6 +18,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecodeError(pub String);
 
+impl std::error::Error for DecodeError {}
+
 impl std::fmt::Display for DecodeError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "no change: {}", self.0)
--- a/crates/target/src/portal.rs
+++ b/crates/target/src/portal.rs
@@ -424,13 +424,13 @@
 fn answer_of(f: Response) -> Answer {
     let unsure = f.unsure;
     match (f.outcome(), f.superseded) {
-        (Outcome::Done, Some(there)) => Answer::Superseded(there),
-        (Outcome::Done, None) => Answer::Done(f.data),
-        (Outcome::Deferred, _) => Answer::Deferred {
+        (Outcome::Completed, Some(there)) => Answer::Superseded(there),
+        (Outcome::Completed, None) => Answer::Done(f.data),
+        (Outcome::Rejected, _) => Answer::Deferred {
             retry_after: f.retry_after_us.map(Duration::from_micros),
             unsure,
         },
-        (Outcome::Abandoned | Outcome::Unknown, _) => Answer::Abandoned { unsure },
+        (Outcome::Failed | Outcome::Unknown, _) => Answer::Abandoned { unsure },
     }
 }
 
