--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -65,12 +65,12 @@
             id,
             to: Some(volume(id)),
         }));
-        let whole = Record::Whole {
+        let whole = Record::Snapshot {
             version: Version(1),
             state: all.collect(),
             audit_log: Vec::new(),
         };
-        store.keep(&[whole]).map_err(told)?;
+        store.commit(&[whole]).map_err(told)?;
         let mut rng = Pcg64Mcg::seed_from_u64(5);
         let (mut batch, mut shard, mut left) = (Vec::new(), 0, 0);
         for n in 0..extents {
@@ -81,25 +81,25 @@
                 );
             }
             left -= 1;
-            batch.push(Record::Place {
+            batch.push(Record::ExtentPlacement {
                 volume: n / 10_000,
                 extent: n % 10_000,
                 shard,
             });
             if batch.len() == 100_000 || n + 1 == extents {
-                store.keep(&std::mem::take(&mut batch)).map_err(told)?;
+                store.commit(&std::mem::take(&mut batch)).map_err(told)?;
             }
         }
     }
     let filled = begun.elapsed();
     let before = resident();
     let begun = Instant::now();
-    let (store, kept, places) = Store::open(&path, 1000).map_err(told)?;
+    let (store, contents) = Store::open(&path, 1000).map_err(told)?;
     let opened = begun.elapsed();
-    let held: u64 = places.values().map(|p| p.len()).sum();
+    let held: u64 = contents.extents.values().map(|p| p.len()).sum();
     println!(
         "| {} | {held} | {run} | {:.0} | {:.1} | {:.2} | {:.0} |",
-        kept.state.len() - 100,
+        contents.state.state.len() - 100,
         std::fs::metadata(&path)?.len() as f64 / 1e6,
         filled.as_secs_f64(),
         opened.as_secs_f64(),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -17,13 +17,11 @@
 use grebecleat_standin::clients::Tally;
 use grebecleat_standin::{net, rehearse, serve};
 use grebecleat_state::{
-    declared_config::deployment, extents::Extents, group_commit::GroupCommit, serve as service,
-    store::StoredState,
+    declared_config::deployment, group_commit::GroupCommit, service, store::StoreContents,
 };
 use grebecleat_target::portal::{self, Places};
 use grebecleat_wire::{clock, pb, trace::Tracer};
 use indicatif::{ProgressBar, ProgressStyle};
-use std::collections::BTreeMap;
 use std::io::{IsTerminal, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
@@ -135,7 +133,7 @@
 /// Entries that a store keeps of its trail.
 const MAX_TRAIL: u64 = 100_000;
 
-fn open_store(path: &Path) -> Result<(GroupCommit, StoredState, BTreeMap<u64, Extents>), Stop> {
+fn open_store(path: &Path) -> Result<(GroupCommit, StoreContents), Stop> {
     GroupCommit::open(path, MAX_TRAIL)
         .map_err(|e| Stop::Failed(format!("store {}: {e}", path.display())))
 }
@@ -223,7 +221,8 @@
                 "--store: needed, since the settings name a state_service()".into(),
             ));
         }
-        (Some(spec), Some((keeper, kept, _))) => {
+        (Some(spec), Some((keeper, contents))) => {
+            let kept = &contents.state;
             let address = here(a.state, spec.address, "--state")?;
             let catalog = Follower::catalog_of(deployment(&settings));
             let catalog =
@@ -255,13 +254,13 @@
     };
     let counts = host::run(options, |address, handle| {
         for spec in &portals {
-            let Some((keeper, kept, places)) = &store else {
+            let Some((keeper, contents)) = &store else {
                 continue;
             };
             let places = Places {
                 keeper,
-                places,
-                ceiling: kept.ceiling,
+                places: &contents.extents,
+                ceiling: contents.state.ceiling,
             };
             match portal::start(&settings, spec, &handle, places) {
                 Ok(at) => info!(host = %name, portal = %at, "iscsi portal up"),
@@ -332,7 +331,7 @@
         info!(%address, "state service up");
         host::on_signals_do(move || handle.stop());
     };
-    service::serve(options, started).map_err(Stop::Failed)?;
+    service::serve(options, started).map_err(|error| Stop::Failed(error.to_string()))?;
     info!("state service ended");
     Ok(())
 }
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -3,16 +3,17 @@
 use crate::args::{Change as How, Format, PlansArgs, PlansCommand};
 use crate::{bad, load, Stop};
 use grebecleat_plans::changes::{Catalog, Change, Deployment, Subject, Version};
-use grebecleat_state::change_syntax::{change, date, differences as told, moment, said};
+use grebecleat_state::change_syntax::{
+    format_change, format_differences, format_time, parse_change, parse_time,
+};
 use grebecleat_state::client::{Client, QueryResult, Reply};
 use grebecleat_state::codec::change_to_proto;
-use grebecleat_state::declared_config::deployment;
-use grebecleat_state::serve::{differences, new_epoch};
-use grebecleat_state::store::{Store, StoredState};
-use grebecleat_state::{snapshot, store::StoreFault};
+use grebecleat_state::declared_config::{changes_from_declared, declared_changes, deployment};
+use grebecleat_state::service::new_epoch;
+use grebecleat_state::snapshot;
+use grebecleat_state::store::{Store, StoreContents, StoreFault, StoredState};
 use grebecleat_wire::pb::{self, frame::Body, query::What};
 use serde_json::{json, Value};
-use std::collections::BTreeMap;
 use std::io::Write;
 use std::path::Path;
 use std::time::{Duration, SystemTime};
@@ -139,11 +140,11 @@
             "name": &*n.name, "zone": &*n.zone, "cell": n.shard, "capacity": n.capacity })) }),
         Change::Drain { node, to } => json!({ "drain": node, "to": to.as_ref().map(|d| json!({
             "stage": d.stage.name(), "within_s": d.within.as_secs_f64(), "who": &*d.author,
-            "asked": date(d.asked), "since": date(d.since) })) }),
+            "asked": format_time(d.asked), "since": format_time(d.since) })) }),
         Change::Target { name, to } => json!({ "target": &**name, "to": to.as_ref().map(|t| json!({
             "volumes": &**t })) }),
         Change::Scheduled { id, to } => json!({ "timed": id, "to": to.as_ref().map(|t| json!({
-            "at": date(t.at), "who": t.author, "why": t.reason, "force": t.force,
+            "at": format_time(t.at), "who": t.author, "why": t.reason, "force": t.force,
             "changes": t.changes.iter().map(as_json).collect::<Vec<_>>() })) }),
     }
 }
@@ -153,7 +154,10 @@
     let head = format!("entry {}, settled {}", s.version.0, s.stable.0);
     let all: Vec<Value> = s.state.iter().map(as_json).collect();
     let value = json!({ "version": s.version.0, "settled": s.stable.0, "state": all });
-    out.put([head].into_iter().chain(s.state.iter().map(said)), value);
+    out.put(
+        [head].into_iter().chain(s.state.iter().map(format_change)),
+        value,
+    );
     Ok(())
 }
 
@@ -194,7 +198,7 @@
             "last changed by entry {} of {}, {}",
             e.version.0,
             e.author,
-            date(e.at)
+            format_time(e.at)
         )
     });
     let on = |c: &&Change| matches!((c, &subject), (Change::Volume { to: Some(v), .. }, Subject::Plan(p)) if v.plan == *p);
@@ -202,7 +206,10 @@
     let standing =
         matches!(subject, Subject::Plan(_)).then(|| format!("{standing} volumes stand on it"));
     out.put(
-        [said(change)].into_iter().chain(standing).chain(last),
+        [format_change(change)]
+            .into_iter()
+            .chain(standing)
+            .chain(last),
         as_json(change),
     );
     Ok(())
@@ -215,7 +222,7 @@
             eprintln!("refused: {reason}");
             Err(Stop::Broken)
         }
-        Reply::Would(w) => {
+        Reply::Preview(w) => {
             let mut lines: Vec<String> = w
                 .objections
                 .iter()
@@ -270,7 +277,7 @@
     let l = catalog(&s);
     let changes = lines
         .iter()
-        .map(|line| change(&l, line))
+        .map(|line| parse_change(&l, line))
         .collect::<Result<Vec<_>, _>>();
     let changes = changes.map_err(|e| bad(e.to_string()))?;
     let at = match at {
@@ -278,7 +285,7 @@
         Some(text) => {
             let expected = "expected a moment such as 2026-12-01T22:00:00Z or +90m";
             Some(
-                moment(&text, now())
+                parse_time(&text, now())
                     .ok_or_else(|| bad(format!("--at-time: {expected}, found {text}")))?,
             )
         }
@@ -335,13 +342,13 @@
         };
         let objections =
             (!e.objections.is_empty()).then(|| format!("    forced against: {}", e.objections));
-        let what = told(&e.changes, &e.before)
+        let what = format_differences(&e.changes, &e.before)
             .into_iter()
             .map(|l| format!("    {l}"));
         let head = format!(
             "{} {} {}{stable}{reason}",
             e.version.0,
-            date(e.at),
+            format_time(e.at),
             e.author
         );
         [head]
@@ -351,7 +358,7 @@
             .collect::<Vec<_>>()
     });
     let value = revisions.iter().map(|e| {
-        json!({ "version": e.version.0, "at": date(e.at), "who": e.author, "why": e.reason, "against": e.objections,
+        json!({ "version": e.version.0, "at": format_time(e.at), "who": e.author, "why": e.reason, "against": e.objections,
             "changes": e.changes.iter().map(as_json).collect::<Vec<_>>(),
             "before": e.before.iter().map(as_json).collect::<Vec<_>>() })
     });
@@ -363,10 +370,10 @@
     let settings = load(file)?;
     let s = state(c)?;
     let here = catalog(&s);
-    let apart = differences(&settings, s.state);
+    let apart = changes_from_declared(&settings, s.state);
     let declared = Catalog::new(deployment(&settings), 1).restored(
         Version(1),
-        grebecleat_state::declared_config::declared(&settings),
+        declared_changes(&settings),
         Vec::new(),
     );
     let lines: Vec<String> = apart
@@ -374,11 +381,14 @@
         .flat_map(|c| {
             let was = declared.now(&c.subject());
             match (was.ends(), c.ends()) {
-                (true, _) => vec![format!("only in service:  {}", said(c))],
-                (_, true) => vec![format!("only in the file: {}", said(&was))],
+                (true, _) => vec![format!("only in service:  {}", format_change(c))],
+                (_, true) => vec![format!("only in the file: {}", format_change(&was))],
                 _ => vec![
-                    format!("in the file:      {}", said(&was)),
-                    format!("in service:       {}", said(&here.now(&c.subject()))),
+                    format!("in the file:      {}", format_change(&was)),
+                    format!(
+                        "in service:       {}",
+                        format_change(&here.now(&c.subject()))
+                    ),
                 ],
             }
         })
@@ -397,7 +407,7 @@
     // Drains and timed changes are nobody's declaration, and stay.
     let keep = |c: &Change| matches!(c, Change::Drain { .. } | Change::Scheduled { .. });
     let here = catalog(&s);
-    let declared = grebecleat_state::declared_config::declared(&settings);
+    let declared = declared_changes(&settings);
     let declared =
         Catalog::new(deployment(&settings), 1).restored(Version(1), declared, Vec::new());
     let changes: Vec<pb::Change> = here
@@ -535,7 +545,11 @@
         hosts: hosts.collect(),
         ..StoredState::default()
     };
-    snapshot::write(file, &(kept, BTreeMap::new()), now()).map_err(failed)?;
+    let contents = StoreContents {
+        state: kept,
+        ..StoreContents::default()
+    };
+    snapshot::write(file, &contents, now()).map_err(failed)?;
     out.put(
         [format!("entry {} in {}", version.0, file.display())],
         json!({ "version": version.0 }),
@@ -551,10 +565,13 @@
     let is_snapshot = file.extension().is_some_and(|e| e == "snapshot");
     let read = match is_snapshot {
         true => snapshot::read(file),
-        false => Store::open(file, u64::MAX).map(|(_, kept, places)| (kept, places)),
+        false => Store::open(file, u64::MAX).map(|(_, contents)| contents),
     };
     match read {
-        Ok((kept, places)) => {
+        Ok(StoreContents {
+            state: kept,
+            extents: places,
+        }) => {
             let extents: u64 = places.values().map(|p| p.len()).sum();
             let line = format!(
                 "{}: in order: entry {}, {} records, {} entries of the trail, {extents} extents of {} volumes",
--- a/crates/host/src/following.rs
+++ b/crates/host/src/following.rs
@@ -341,7 +341,7 @@
                     if k.snapshot {
                         let (version, audit_log) =
                             (catalog.version(), catalog.audit_log().cloned().collect());
-                        records.push(Record::Whole {
+                        records.push(Record::Snapshot {
                             version,
                             state: catalog.state().collect(),
                             audit_log,
--- a/crates/host/src/run.rs
+++ b/crates/host/src/run.rs
@@ -371,7 +371,7 @@
                 return false;
             };
             let to_owner = shared.to_owner.clone();
-            link.keeper.keep(records, move |done| {
+            link.keeper.commit(records, move |done| {
                 let done = done.map_err(|why| why.to_string());
                 let _ = to_owner.send(Input::Kept { number, done });
             });
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use grebecleat_plans::changes::ChangeContext;
 use grebecleat_plans::follower::{Follower, InitialState};
 use grebecleat_settings::Settings;
-use grebecleat_state::change_syntax::change;
+use grebecleat_state::change_syntax::parse_change;
 use grebecleat_state::codec::revision_to_proto;
 use grebecleat_state::declared_config::deployment;
 use grebecleat_state::store::Record;
@@ -223,7 +223,7 @@
         for words in all {
             let changes: Vec<_> = words
                 .iter()
-                .map(|w| change(&l, w).expect("good words"))
+                .map(|w| parse_change(&l, w).expect("good words"))
                 .collect();
             let entry = l
                 .propose(l.version(), ChangeContext::default(), changes)
--- /dev/null
+++ b/crates/state/src/change_syntax/fields.rs
@@ -0,0 +1,84 @@
+//! The fields of a line: words of the form `name=value`.
+
+use super::error::SyntaxFault;
+use std::str::FromStr;
+use std::sync::Arc;
+
+/// Fields of a line that were not read yet.
+pub(super) struct Fields<'a> {
+    unread: Vec<Field<'a>>,
+}
+
+struct Field<'a> {
+    name: &'a str,
+    value: &'a str,
+}
+
+impl<'a> Fields<'a> {
+    pub fn parse(words: &[&'a str]) -> Result<Self, SyntaxFault> {
+        let mut unread = Vec::with_capacity(words.len());
+        for word in words {
+            let Some((name, value)) = word.split_once('=') else {
+                let word = word.to_string();
+                return Err(SyntaxFault::NotAField { word });
+            };
+            unread.push(Field { name, value });
+        }
+        Ok(Fields { unread })
+    }
+
+    /// Takes the value of a field; None if the line does not have it.
+    pub fn take(&mut self, name: &str) -> Option<&'a str> {
+        let index = self.unread.iter().position(|field| field.name == name)?;
+        Some(self.unread.remove(index).value)
+    }
+
+    /// Takes a field into `to`, which stays as it is if the line does not have the field.
+    pub fn read<T: FromStr>(&mut self, name: &'static str, to: &mut T) -> Result<(), SyntaxFault> {
+        if let Some(text) = self.take(name) {
+            *to = parse_value(name, text)?;
+        }
+        Ok(())
+    }
+
+    /// Takes a field of values that are separated by commas into `to`, as [`Fields::read`] does.
+    pub fn read_list<T: FromStr>(
+        &mut self,
+        name: &'static str,
+        to: &mut Arc<[T]>,
+    ) -> Result<(), SyntaxFault> {
+        let Some(text) = self.take(name) else {
+            return Ok(());
+        };
+        let mut values = Vec::new();
+        for value in list_items(text) {
+            values.push(parse_value(name, value)?);
+        }
+        *to = values.into();
+        Ok(())
+    }
+
+    /// Ends the line; a fault if it has a field that was not read. `expected`: the names of all fields.
+    pub fn end(self, expected: &'static str) -> Result<(), SyntaxFault> {
+        match self.unread.first() {
+            Some(field) => Err(SyntaxFault::UnknownField {
+                name: field.name.to_string(),
+                expected,
+            }),
+            None => Ok(()),
+        }
+    }
+}
+
+/// The values of a list, without empty ones.
+pub(super) fn list_items(text: &str) -> impl Iterator<Item = &str> {
+    text.split(',').filter(|item| !item.is_empty())
+}
+
+/// A value of a field, or of the name of a subject.
+pub(super) fn parse_value<T: FromStr>(name: &'static str, text: &str) -> Result<T, SyntaxFault> {
+    text.parse().map_err(|_| SyntaxFault::BadValue {
+        name,
+        text: text.to_string(),
+    })
+}
--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -1,6 +1,9 @@
-//! An operator's side of the state service's wire: one connection, one question at a time.
+//! An operator's side of the state service's protocol: one connection, one call at a time.
+//!
+//! Called by the operator's commands and by the benchmark. Blocks: a call that is not answered within
+//! [`IO_TIMEOUT`] fails. A connection after an error is in no known state: connect again.
 
-use crate::codec::{changes_from_proto, revision_from_proto};
+use crate::codec::{changes_from_proto, revision_from_proto, DecodeError};
 use grebecleat_plans::changes::{Change, Revision, Version};
 use grebecleat_plans::leader::Epoch;
 use grebecleat_wire::pb::{self, frame::Body, query::What};
@@ -9,121 +12,122 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const MAX_FRAME: usize = 16 << 20;
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Bytes of the largest frame that is accepted.
+const MAX_FRAME_BYTES: usize = 16 << 20;
+/// How long to wait for the connection, and for each read.
+pub const IO_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// A connection to the state service.
 pub struct Client {
     stream: TcpStream,
     reader: frame::Reader,
-    next: u64,
+    last_call: u64,
 }
 
-/// What came of a change.
+/// The result of a change.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
+    /// It is in force, or scheduled.
     Committed(pb::ChangeCommitted),
+    /// Nothing has changed; the reason, for the operator.
     Rejected(String),
-    /// It was only looked at.
-    Would(pb::ChangePreview),
+    /// It was a dry run: what speaks against the change.
+    Preview(pb::ChangePreview),
 }
 
-/// What the service shows, put together.
+/// The result of a query, put together from its parts.
 #[derive(Debug, Clone, Default)]
 pub struct QueryResult {
+    /// Version of the catalog.
     pub version: Version,
+    /// The version that every host has acknowledged.
     pub stable: Version,
+    /// The epoch of the catalog's history.
     pub epoch: Epoch,
+    /// One change for each subject that exists, if the state was queried.
     pub state: Vec<Change>,
+    /// Revisions, oldest first, if the audit log was queried.
     pub revisions: Vec<Revision>,
-    /// The last part as it came: hosts, what is missing, moves, trouble.
+    /// The last part as it came: hosts, unmet reservations, moves, faults of the store.
     pub last: pb::QueryResult,
 }
 
 impl Client {
+    /// Connects to a state service; `name` is how the service's trace names this client.
     pub fn connect(address: SocketAddr, name: &str) -> io::Result<Client> {
-        let stream = TcpStream::connect_timeout(&address, PATIENCE)?;
+        let stream = TcpStream::connect_timeout(&address, IO_TIMEOUT)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
-        let mut c = Client {
+        stream.set_read_timeout(Some(IO_TIMEOUT))?;
+        let mut client = Client {
             stream,
-            reader: frame::Reader::new(MAX_FRAME),
-            next: 0,
+            reader: frame::Reader::new(MAX_FRAME_BYTES),
+            last_call: 0,
         };
-        c.put(Body::Hello(pb::Hello {
+        client.write(Body::Hello(pb::Hello {
             version: VERSION,
             role: pb::Role::Operator.into(),
             name: name.into(),
             incarnation: u64::from(std::process::id()),
-            max_frame: MAX_FRAME as u32,
+            max_frame: MAX_FRAME_BYTES as u32,
         }))?;
-        match c.read()? {
-            Body::Hello(them) if them.role() == pb::Role::State => Ok(c),
+        match client.read()? {
+            Body::Hello(hello) if hello.role() == pb::Role::State => Ok(client),
             _ => Err(io::Error::other(format!("{address} is no state service"))),
         }
     }
 
-    fn put(&mut self, body: Body) -> io::Result<()> {
+    fn write(&mut self, body: Body) -> io::Result<()> {
+        let frame = pb::Frame {
+            sent_us: clock::micros(clock::now()),
+            body: Some(body),
+        };
         let mut bytes = Vec::new();
-        frame::write(
-            &pb::Frame {
-                sent_us: clock::micros(clock::now()),
-                body: Some(body),
-            },
-            &mut bytes,
-        );
+        frame::write(&frame, &mut bytes);
         self.stream.write_all(&bytes)
     }
 
     fn read(&mut self) -> io::Result<Body> {
         loop {
-            match self
-                .reader
-                .next::<pb::Frame>()
-                .map_err(|e| io::Error::other(e.to_string()))?
-            {
-                Some(f) => {
-                    return f
-                        .body
-                        .ok_or_else(|| io::Error::other("a frame without a body"))
-                }
-                None if self.reader.fill(&mut self.stream)? == 0 => {
-                    return Err(io::Error::other("the state service hung up"));
-                }
-                None => {}
+            let frame = self.reader.next::<pb::Frame>();
+            let frame = frame.map_err(|error| io::Error::other(error.to_string()))?;
+            if let Some(frame) = frame {
+                return frame
+                    .body
+                    .ok_or_else(|| io::Error::other("a frame without a body"));
+            }
+            if self.reader.fill(&mut self.stream)? == 0 {
+                return Err(io::Error::other("the state service hung up"));
             }
         }
     }
 
-    /// Asks, and reads until the answer to that.
-    fn ask(&mut self, body: impl FnOnce(u64) -> Body) -> io::Result<Body> {
-        self.next += 1;
-        let call = self.next;
-        self.put(body(call))?;
+    /// Sends a call, and reads until the first frame of its answer.
+    fn call(&mut self, body: impl FnOnce(u64) -> Body) -> io::Result<Body> {
+        self.last_call += 1;
+        let call = self.last_call;
+        self.write(body(call))?;
         loop {
             let answer = self.read()?;
-            let of = match &answer {
-                Body::ChangeCommitted(l) => l.call,
-                Body::ChangeRejected(r) => r.call,
-                Body::ChangePreview(w) => w.call,
-                Body::QueryResult(s) => s.call,
-                _ => continue,
-            };
-            if of == call {
+            if answered_call(&answer) == Some(call) {
                 return Ok(answer);
             }
         }
     }
 
-    /// A change, an undo, or an operator's word; `body` gets the number of the question.
+    /// Sends a change, an undo, or another decision of an operator; `body` gets the number of the call.
     pub fn change(&mut self, body: impl FnOnce(u64) -> Body) -> io::Result<Reply> {
-        match self.ask(body)? {
-            Body::ChangeCommitted(l) => Ok(Reply::Committed(l)),
-            Body::ChangeRejected(r) => Ok(Reply::Rejected(r.reason)),
-            Body::ChangePreview(w) => Ok(Reply::Would(w)),
-            _ => Err(io::Error::other("an answer to something else")),
+        match self.call(body)? {
+            Body::ChangeCommitted(committed) => Ok(Reply::Committed(committed)),
+            Body::ChangeRejected(rejected) => Ok(Reply::Rejected(rejected.reason)),
+            Body::ChangePreview(preview) => Ok(Reply::Preview(preview)),
+            _ => Err(unexpected_answer()),
         }
     }
 
+    /// Queries the service.
+    ///
+    /// `after`, `most`: of the audit log, the newest `most` revisions after that version (0: all).
+    /// `empty`: of a proposal of moves, the nodes that shall become empty.
     pub fn query(
         &mut self,
         what: What,
@@ -131,8 +135,8 @@
         most: u32,
         empty: Vec<u32>,
     ) -> io::Result<QueryResult> {
-        let mut shown = QueryResult::default();
-        let mut answer = self.ask(|call| {
+        let mut result = QueryResult::default();
+        let mut answer = self.call(|call| {
             Body::Query(pb::Query {
                 call,
                 what: what.into(),
@@ -142,29 +146,49 @@
             })
         })?;
         loop {
-            let Body::QueryResult(mut part) = answer else {
-                return Err(io::Error::other("an answer to something else"));
+            let Body::QueryResult(part) = answer else {
+                return Err(unexpected_answer());
             };
-            let bad = |e: crate::codec::DecodeError| io::Error::other(e.to_string());
-            shown
-                .state
-                .extend(changes_from_proto(std::mem::take(&mut part.state)).map_err(bad)?);
-            let revisions = std::mem::take(&mut part.revisions)
-                .into_iter()
-                .map(revision_from_proto);
-            shown
-                .revisions
-                .extend(revisions.collect::<Result<Vec<_>, _>>().map_err(bad)?);
-            (shown.version, shown.stable, shown.epoch) = (
-                Version(part.version),
-                Version(part.stable),
-                Epoch(part.epoch),
-            );
-            if !part.more {
-                shown.last = part;
-                return Ok(shown);
+            let more = part.more;
+            result
+                .add(part)
+                .map_err(|error| io::Error::other(error.to_string()))?;
+            if !more {
+                return Ok(result);
             }
             answer = self.read()?;
         }
     }
 }
+
+impl QueryResult {
+    fn add(&mut self, mut part: pb::QueryResult) -> Result<(), DecodeError> {
+        let state = changes_from_proto(std::mem::take(&mut part.state))?;
+        self.state.extend(state);
+        for revision in std::mem::take(&mut part.revisions) {
+            self.revisions.push(revision_from_proto(revision)?);
+        }
+        self.version = Version(part.version);
+        self.stable = Version(part.stable);
+        self.epoch = Epoch(part.epoch);
+        if !part.more {
+            self.last = part;
+        }
+        Ok(())
+    }
+}
+
+/// The number of the call that a frame answers; None if it answers none.
+fn answered_call(answer: &Body) -> Option<u64> {
+    match answer {
+        Body::ChangeCommitted(committed) => Some(committed.call),
+        Body::ChangeRejected(rejected) => Some(rejected.call),
+        Body::ChangePreview(preview) => Some(preview.call),
+        Body::QueryResult(result) => Some(result.call),
+        _ => None,
+    }
+}
+
+fn unexpected_answer() -> io::Error {
+    io::Error::other("an answer to something else")
+}
--- a/crates/state/src/declared_config.rs
+++ b/crates/state/src/declared_config.rs
@@ -1,74 +1,101 @@
-//! What a settings file declares, as changes that would make it.
+//! What a settings file declares, as the changes that would make it.
+//!
+//! Called by the state service for the first revision of a new store, and by the operator's commands that
+//! compare a file with the state. No state, no I/O.
 
-use grebecleat_plans::changes::{Change, Deployment, Name, Node, Plan, Volume};
+use grebecleat_plans::changes::{Catalog, Change, Deployment, Name, Node, Plan, Version, Volume};
 use grebecleat_settings::Settings;
 
-/// What no change touches: hosts, and how long an attempt may take to cross.
-pub fn deployment(s: &Settings) -> Deployment {
-    let hosts = s
-        .hosts
-        .iter()
-        .map(|h| Name::from(h.name.as_str()))
-        .collect();
+/// What no change touches: the hosts, and how long an attempt may take to be dispatched.
+pub fn deployment(settings: &Settings) -> Deployment {
+    let hosts = settings.hosts.iter();
     Deployment {
-        hosts,
-        max_dispatch_delay: s.bounds.max_dispatch_delay,
+        hosts: hosts.map(|host| Name::from(host.name.as_str())).collect(),
+        max_dispatch_delay: settings.bounds.max_dispatch_delay,
     }
 }
 
-/// Plans, nodes, volumes and targets of a settings file, in an order in which each rests on what came before.
-pub fn declared(s: &Settings) -> Vec<Change> {
-    let plans = s.plans.iter().map(|p| {
-        let f = &p.facts;
+/// Plans, nodes, volumes and targets of a settings file, in an order in which each refers only to earlier ones.
+pub fn declared_changes(settings: &Settings) -> Vec<Change> {
+    let mut changes = Vec::new();
+    changes.extend(plans(settings));
+    changes.extend(nodes(settings));
+    changes.extend(volumes(settings));
+    changes.extend(targets(settings));
+    changes
+}
+
+/// The changes that lead from what a settings file declares to `state`, for commands without a service.
+pub fn changes_from_declared(
+    settings: &Settings,
+    state: impl IntoIterator<Item = Change>,
+) -> Vec<Change> {
+    let catalog = |state: Vec<Change>| {
+        Catalog::new(deployment(settings), 1).restored(Version(1), state, Vec::new())
+    };
+    let declared = catalog(declared_changes(settings));
+    declared.changes_towards(&catalog(state.into_iter().collect()))
+}
+
+fn plans(settings: &Settings) -> impl Iterator<Item = Change> + '_ {
+    settings.plans.iter().map(|plan| {
+        let facts = &plan.facts;
         let to = Plan {
-            rate: f.base_rate,
-            reservation: f.reservation,
-            limit: f.limit,
-            burst: f.limit_burst,
-            slack: f.limit_slack,
-            weight: f.weight,
-            price: f.price,
+            rate: facts.base_rate,
+            reservation: facts.reservation,
+            limit: facts.limit,
+            burst: facts.limit_burst,
+            slack: facts.limit_slack,
+            weight: facts.weight,
+            price: facts.price,
         };
         Change::Plan {
-            name: p.name.as_str().into(),
+            name: plan.name.as_str().into(),
             to: Some(to),
         }
-    });
-    let nodes = s.nodes.iter().map(|n| {
-        let (name, zone) = (n.name.as_str().into(), s.zones[n.zone].as_str().into());
+    })
+}
+
+fn nodes(settings: &Settings) -> impl Iterator<Item = Change> + '_ {
+    settings.nodes.iter().map(|node| {
         let to = Node {
-            name,
-            zone,
-            shard: n.shard,
-            capacity: n.capacity,
+            name: node.name.as_str().into(),
+            zone: settings.zones[node.zone].as_str().into(),
+            shard: node.shard,
+            capacity: node.capacity,
         };
         Change::Node {
-            id: n.id,
+            id: node.id,
             to: Some(to),
         }
-    });
-    let volumes = s.volumes.iter().map(|v| {
+    })
+}
+
+fn volumes(settings: &Settings) -> impl Iterator<Item = Change> + '_ {
+    settings.volumes.iter().map(|volume| {
+        let hosts = volume.hosts.iter();
         let to = Volume {
-            plan: s.plans[v.plan].name.as_str().into(),
-            hosts: v
-                .hosts
-                .iter()
-                .map(|h| Name::from(s.hosts[*h].name.as_str()))
+            plan: settings.plans[volume.plan].name.as_str().into(),
+            hosts: hosts
+                .map(|host| Name::from(settings.hosts[*host].name.as_str()))
                 .collect(),
-            shards: v.shards.clone().into(),
-            blocks: v.blocks,
+            shards: volume.shards.clone().into(),
+            blocks: volume.blocks,
         };
         Change::Volume {
-            id: v.id,
+            id: volume.id,
             to: Some(to),
         }
-    });
-    let targets = s.targets.iter().map(|t| {
-        let volumes = t.volumes.iter().map(|v| s.volumes[*v].id).collect();
+    })
+}
+
+fn targets(settings: &Settings) -> impl Iterator<Item = Change> + '_ {
+    settings.targets.iter().map(|target| {
+        let volumes = target.volumes.iter();
+        let ids = volumes.map(|volume| settings.volumes[*volume].id).collect();
         Change::Target {
-            name: t.name.as_str().into(),
-            to: Some(volumes),
+            name: target.name.as_str().into(),
+            to: Some(ids),
         }
-    });
-    plans.chain(nodes).chain(volumes).chain(targets).collect()
+    })
 }
--- a/crates/state/src/extents.rs
+++ b/crates/state/src/extents.rs
@@ -1,42 +1,64 @@
-//! Where the extents of a volume lie: an index for runs.
+//! Placement of a volume's extents on shards: an index over runs.
 //!
 //! Extents are numbers that mostly come in runs on one shard, since new ones go to the first node of their
-//! volume's ranking until that has enough. So what is kept is runs, of twelve bytes, in chunks of at most
-//! [`MOST`], found by their first extent in an ordered map. A look-up is one step in the map and one binary
-//! search in a chunk. Memory: twelve bytes a run, a chunk at least half full after a split; a plain ordered
-//! map takes some fourteen bytes an extent. Without any runs it is no smaller than that (measured by
-//! `grebecleat-bench extents`).
+//! volume's ranking until that is full enough. So the index stores runs, of twelve bytes, in chunks of at most
+//! [`MAX_RUNS_PER_CHUNK`], found by their first extent in an ordered map. A look-up is one step in the map and
+//! one binary search in a chunk. Memory: twelve bytes a run, a chunk at least half full after a split; a plain
+//! ordered map takes some fourteen bytes an extent. Where every run is one extent long it is no smaller than
+//! that (measured by `grebecleat-bench extents`). No I/O.
 
 use std::collections::BTreeMap;
 
-/// Runs of one chunk.
-pub const MOST: usize = 256;
+/// Runs of one chunk; one with more is split.
+pub const MAX_RUNS_PER_CHUNK: usize = 256;
+/// Runs for which a chunk has room after a split, beyond those that remain in it.
+const SPARE_RUNS: usize = 8;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Run {
-    /// From the chunk's base.
+    /// Offset of its first extent from the chunk's base.
     start: u32,
     length: u32,
     shard: u32,
 }
 
 impl Run {
+    fn single(start: u32, shard: u32) -> Run {
+        Run {
+            start,
+            length: 1,
+            shard,
+        }
+    }
+
+    /// The offset after its last extent.
     fn end(&self) -> u64 {
         u64::from(self.start) + u64::from(self.length)
     }
 }
 
+/// Extents that follow each other on one shard, as [`Extents::iter`] returns them.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ExtentRun {
+    /// Number of the first extent.
+    pub first: u64,
+    /// Number of extents; at least one.
+    pub length: u64,
+    /// The shard on which they lie.
+    pub shard: u32,
+}
+
 /// Shards by extent.
 ///
 /// ```
-/// use grebecleat_state::extents::Extents;
-/// let mut e = Extents::default();
-/// (0..1000).for_each(|extent| e.insert(extent, 7));
-/// e.insert(500, 8);
-/// assert_eq!((e.get(499), e.get(500), e.get(1000)), (Some(7), Some(8), None));
-/// assert_eq!((e.len(), e.runs()), (1000, 3));
-/// let runs: Vec<_> = e.iter().collect();
-/// assert_eq!(runs, [(0, 500, 7), (500, 1, 8), (501, 499, 7)]);
+/// use grebecleat_state::extents::{ExtentRun, Extents};
+/// let mut extents: Extents = (0..1000).map(|extent| (extent, 7)).collect();
+/// extents.insert(500, 8);
+/// assert_eq!((extents.get(499), extents.get(500), extents.get(1000)), (Some(7), Some(8), None));
+/// assert_eq!((extents.len(), extents.runs()), (1000, 3));
+/// let run = |first, length, shard| ExtentRun { first, length, shard };
+/// let runs: Vec<_> = extents.iter().collect();
+/// assert_eq!(runs, [run(0, 500, 7), run(500, 1, 8), run(501, 499, 7)]);
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Extents {
@@ -47,150 +69,171 @@
 }
 
 impl Extents {
+    /// The shard of an extent; None if it is not placed.
     pub fn get(&self, extent: u64) -> Option<u32> {
         let (base, chunk) = self.chunks.range(..=extent).next_back()?;
-        let at = extent - base;
-        let place = chunk.partition_point(|r| u64::from(r.start) <= at);
-        chunk
-            .get(place.checked_sub(1)?)
-            .filter(|r| at < r.end())
-            .map(|r| r.shard)
+        let offset = extent - base;
+        let after = chunk.partition_point(|run| u64::from(run.start) <= offset);
+        let run = chunk.get(after.checked_sub(1)?)?;
+        (offset < run.end()).then_some(run.shard)
     }
 
-    /// Puts an extent on a shard, wherever it lay.
+    /// Puts an extent on a shard, wherever it lay before.
     pub fn insert(&mut self, extent: u64, shard: u32) {
-        let Some(base) = self.home(extent) else {
-            self.chunks.insert(
-                extent,
-                vec![Run {
-                    start: 0,
-                    length: 1,
-                    shard,
-                }],
-            );
-            (self.extents, self.runs) = (self.extents + 1, self.runs + 1);
+        let Some(base) = self.chunk_base(extent) else {
+            self.chunks.insert(extent, vec![Run::single(0, shard)]);
+            self.extents += 1;
+            self.runs += 1;
             return;
         };
         let chunk = self.chunks.get_mut(&base).expect("found above");
-        let (before, at) = (chunk.len(), (extent - base) as u32);
-        let place = chunk.partition_point(|r| r.start <= at);
-        let inside = place
-            .checked_sub(1)
-            .filter(|p| u64::from(at) < chunk[*p].end());
-        match inside {
-            Some(p) if chunk[p].shard == shard => return,
-            Some(p) => {
-                let Run {
-                    start,
-                    length,
-                    shard: old,
-                } = chunk[p];
-                let left = Run {
-                    start,
-                    length: at - start,
-                    shard: old,
-                };
-                let right = Run {
-                    start: at + 1,
-                    length: length - (at - start) - 1,
-                    shard: old,
-                };
-                let one = Run {
-                    start: at,
-                    length: 1,
-                    shard,
-                };
-                let parts = [left, one, right].into_iter().filter(|r| r.length > 0);
-                chunk.splice(p..=p, parts);
-            }
-            None => {
-                self.extents += 1;
-                chunk.insert(
-                    place,
-                    Run {
-                        start: at,
-                        length: 1,
-                        shard,
-                    },
-                );
-            }
+        let runs_before = chunk.len();
+        let offset = (extent - base) as u32;
+        match insert_run(chunk, offset, shard) {
+            Inserted::Unchanged => return,
+            Inserted::Moved => {}
+            Inserted::Added => self.extents += 1,
         }
-        // The new run is at most one place on; it and its neighbours may now be one.
-        let new = chunk.partition_point(|r| r.start <= at) - 1;
-        join(chunk, new);
-        if let Some(p) = new.checked_sub(1) {
-            join(chunk, p);
+        // The new run is at most one index further; it and its neighbours may now be one run.
+        let new = chunk.partition_point(|run| run.start <= offset) - 1;
+        join_with_next(chunk, new);
+        if let Some(previous) = new.checked_sub(1) {
+            join_with_next(chunk, previous);
         }
-        self.runs = self.runs + chunk.len() - before;
-        if chunk.len() > MOST {
-            let mut upper = chunk.split_off(MOST / 2);
-            chunk.shrink_to(MOST / 2 + 8);
-            let first = upper[0].start;
-            upper.iter_mut().for_each(|r| r.start -= first);
-            self.chunks.insert(base + u64::from(first), upper);
+        self.runs = self.runs + chunk.len() - runs_before;
+        if chunk.len() > MAX_RUNS_PER_CHUNK {
+            let upper = split(chunk);
+            self.chunks
+                .insert(base + u64::from(upper.first), upper.runs);
         }
     }
 
-    /// The base of the chunk that the extent belongs into; None where it must begin one.
-    fn home(&mut self, extent: u64) -> Option<u64> {
-        let near = |base: &u64| extent - base < u64::from(u32::MAX);
+    /// The base of the chunk that the extent belongs to; None where it must begin one.
+    fn chunk_base(&mut self, extent: u64) -> Option<u64> {
         if let Some((base, _)) = self.chunks.range(..=extent).next_back() {
-            return Some(*base).filter(near);
+            return (extent - base < u64::from(u32::MAX)).then_some(*base);
         }
-        // Below all: the first chunk begins earlier from here on, as long as its numbers allow it.
+        // Below all: the first chunk begins earlier from here on, as long as its offsets fit.
         let (base, chunk) = self.chunks.first_key_value()?;
-        let (base, down) = (*base, base - extent);
-        let reach = chunk.last().map_or(0, Run::end);
-        if reach + down >= u64::from(u32::MAX) {
+        let base = *base;
+        let shift = base - extent;
+        let end = chunk.last().map_or(0, Run::end);
+        if end + shift >= u64::from(u32::MAX) {
             return None;
         }
         let mut chunk = self.chunks.remove(&base).expect("looked up above");
-        chunk.iter_mut().for_each(|r| r.start += down as u32);
+        for run in &mut chunk {
+            run.start += shift as u32;
+        }
         self.chunks.insert(extent, chunk);
         Some(extent)
     }
 
+    /// Number of extents that are placed.
     pub fn len(&self) -> u64 {
         self.extents
     }
 
+    /// Whether no extent is placed.
     pub fn is_empty(&self) -> bool {
         self.extents == 0
     }
 
+    /// Number of runs.
     pub fn runs(&self) -> usize {
         self.runs
     }
 
-    /// Runs in order: first extent, how many, shard. Two that follow each other on one shard may stand apart
-    /// where a chunk ends.
-    pub fn iter(&self) -> impl Iterator<Item = (u64, u64, u32)> + '_ {
+    /// Runs in order. Two that follow each other on one shard may be separate where a chunk ends.
+    pub fn iter(&self) -> impl Iterator<Item = ExtentRun> + '_ {
         let runs = self
             .chunks
             .iter()
-            .flat_map(|(base, chunk)| chunk.iter().map(move |r| (base, r)));
-        runs.map(|(base, r)| (base + u64::from(r.start), u64::from(r.length), r.shard))
+            .flat_map(|(base, chunk)| chunk.iter().map(move |run| (base, run)));
+        runs.map(|(base, run)| ExtentRun {
+            first: base + u64::from(run.start),
+            length: u64::from(run.length),
+            shard: run.shard,
+        })
     }
 }
 
 impl FromIterator<(u64, u32)> for Extents {
-    fn from_iter<T: IntoIterator<Item = (u64, u32)>>(all: T) -> Self {
+    fn from_iter<T: IntoIterator<Item = (u64, u32)>>(placements: T) -> Self {
         let mut extents = Extents::default();
-        all.into_iter()
-            .for_each(|(extent, shard)| extents.insert(extent, shard));
+        for (extent, shard) in placements {
+            extents.insert(extent, shard);
+        }
         extents
     }
 }
 
-/// Makes one of a run and the next, where they are.
-fn join(chunk: &mut Vec<Run>, p: usize) {
-    if let [a, b, ..] = chunk[p..] {
-        if a.shard == b.shard && a.end() == u64::from(b.start) {
-            chunk[p].length += b.length;
-            chunk.remove(p + 1);
+/// What the insertion of an extent changed in its chunk.
+enum Inserted {
+    /// It lay on that shard already.
+    Unchanged,
+    /// It lay on another shard.
+    Moved,
+    /// It was not placed before.
+    Added,
+}
+
+/// Puts the extent at `offset` of a chunk on a shard, as a run of its own.
+fn insert_run(chunk: &mut Vec<Run>, offset: u32, shard: u32) -> Inserted {
+    let after = chunk.partition_point(|run| run.start <= offset);
+    let containing = after
+        .checked_sub(1)
+        .filter(|index| u64::from(offset) < chunk[*index].end());
+    let Some(index) = containing else {
+        chunk.insert(after, Run::single(offset, shard));
+        return Inserted::Added;
+    };
+    let former = chunk[index];
+    if former.shard == shard {
+        return Inserted::Unchanged;
+    }
+    let left_length = offset - former.start;
+    let left = Run {
+        length: left_length,
+        ..former
+    };
+    let right = Run {
+        start: offset + 1,
+        length: former.length - left_length - 1,
+        shard: former.shard,
+    };
+    let parts = [left, Run::single(offset, shard), right];
+    let parts = parts.into_iter().filter(|run| run.length > 0);
+    chunk.splice(index..=index, parts);
+    Inserted::Moved
+}
+
+/// Makes one of a run and the next, where they touch on one shard.
+fn join_with_next(chunk: &mut Vec<Run>, index: usize) {
+    if let [run, next, ..] = chunk[index..] {
+        if run.shard == next.shard && run.end() == u64::from(next.start) {
+            chunk[index].length += next.length;
+            chunk.remove(index + 1);
         }
     }
 }
 
+/// The upper half of a chunk that was split.
+struct UpperHalf {
+    /// Its base, from the base of the chunk that was split.
+    first: u32,
+    runs: Vec<Run>,
+}
+
+fn split(chunk: &mut Vec<Run>) -> UpperHalf {
+    let mut runs = chunk.split_off(MAX_RUNS_PER_CHUNK / 2);
+    chunk.shrink_to(MAX_RUNS_PER_CHUNK / 2 + SPARE_RUNS);
+    let first = runs[0].start;
+    for run in &mut runs {
+        run.start -= first;
+    }
+    UpperHalf { first, runs }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/state/src/extents/tests.rs
+++ b/crates/state/src/extents/tests.rs
@@ -2,10 +2,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// In any order, near and far apart, moved again: it answers as an ordered map does, and its counts and
-/// runs are right.
+/// Extents in any order, near and far apart, and moved again; the counts and runs are right as well.
 #[test]
-fn it_answers_as_an_ordered_map_does() {
+fn it_has_the_same_contents_as_an_ordered_map() {
     for seed in 0..120 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut e, mut plain) = (Extents::default(), BTreeMap::new());
@@ -29,15 +28,18 @@
         assert_eq!(runs.len(), e.runs());
         let all: Vec<(u64, u32)> = runs
             .iter()
-            .flat_map(|(from, n, shard)| (0..*n).map(move |i| (from + i, *shard)))
+            .flat_map(|run| (0..run.length).map(move |offset| (run.first + offset, run.shard)))
             .collect();
         assert!(all.into_iter().eq(plain.into_iter()), "seed {seed}");
-        assert!(e.chunks.values().all(|c| !c.is_empty() && c.len() <= MOST));
+        assert!(e
+            .chunks
+            .values()
+            .all(|c| !c.is_empty() && c.len() <= MAX_RUNS_PER_CHUNK));
     }
 }
 
 #[test]
-fn descending_and_alternating_extents_keep_to_few_chunks() {
+fn descending_and_alternating_extents_need_few_chunks() {
     let down: Extents = (0..100_000u64).rev().map(|n| (n, 1)).collect();
     assert_eq!(
         (down.len(), down.runs(), down.chunks.len()),
@@ -46,7 +48,7 @@
     let by_turns: Extents = (0..100_000u64).map(|n| (n, (n % 2) as u32)).collect();
     assert_eq!(by_turns.runs(), 100_000);
     assert!(
-        by_turns.chunks.len() < 2 * 100_000 / (MOST / 2),
+        by_turns.chunks.len() < 2 * 100_000 / (MAX_RUNS_PER_CHUNK / 2),
         "{} chunks",
         by_turns.chunks.len()
     );
--- a/crates/state/src/group_commit.rs
+++ b/crates/state/src/group_commit.rs
@@ -1,112 +1,136 @@
 //! The one thread of a process that writes its store.
 //!
-//! Commits block, and coroutines and owners of decisions must not. Whoever has something to keep hands it
-//! over with what to call once it is on the disk or not; what has come meanwhile goes into one commit. Where
-//! that fails, each is tried by itself, so that nobody falls with another's. Calls come in the order in which
-//! things were handed over.
+//! Commits block, and coroutines and owners of decisions must not. A caller hands over its records with a
+//! callback for the result; what has arrived meanwhile goes into one commit. Where that fails, each caller's
+//! records are committed by themselves, so that no caller fails with another's fault. Callbacks are called in
+//! the order in which the records were handed over.
+//!
+//! State: the open store, and an unbounded queue; the callers bound what they have outstanding.
 
-use crate::extents::Extents;
-use crate::store::{Record, Store, StoreFault, StoredState};
-use std::collections::BTreeMap;
+use crate::store::{Record, Store, StoreContents, StoreFault};
 use std::path::Path;
-use std::sync::mpsc::{self, Sender};
+use std::sync::mpsc::{self, Receiver, Sender};
 use tracing::warn;
 
-/// Records of one commit; more wait for the next.
-const AT_ONCE: usize = 8192;
+/// Records of one commit; further ones wait for the next.
+const MAX_RECORDS_PER_COMMIT: usize = 8192;
 
-type Done = Box<dyn FnOnce(Result<(), StoreFault>) + Send>;
-type Seen = Box<dyn FnOnce(Result<(StoredState, BTreeMap<u64, Extents>), StoreFault>) + Send>;
+type CommitCallback = Box<dyn FnOnce(Result<(), StoreFault>) + Send>;
+type ReadCallback = Box<dyn FnOnce(Result<StoreContents, StoreFault>) + Send>;
 
 enum Job {
-    Record(Vec<Record>, Done),
-    Read(Seen),
+    Commit(CommitJob),
+    Read(ReadCallback),
+}
+
+struct CommitJob {
+    records: Vec<Record>,
+    done: CommitCallback,
 }
 
-/// Hands things to the thread; it ends with the last of its handles.
+/// A handle to the thread, which ends with the last handle.
 #[derive(Clone)]
-pub struct GroupCommit(Sender<Job>);
+pub struct GroupCommit {
+    jobs: Sender<Job>,
+}
 
 impl GroupCommit {
-    /// Opens the store and starts its thread; what was in it is answered.
+    /// Opens the store, starts its thread, and returns what is in the store.
+    ///
+    /// `max_audit_log` and the faults: as of [`Store::open`].
     pub fn open(
         path: &Path,
         max_audit_log: u64,
-    ) -> Result<(GroupCommit, StoredState, BTreeMap<u64, Extents>), StoreFault> {
-        let (store, persisted, places) = Store::open(path, max_audit_log)?;
-        Ok((GroupCommit::start(store), persisted, places))
+    ) -> Result<(GroupCommit, StoreContents), StoreFault> {
+        let (store, contents) = Store::open(path, max_audit_log)?;
+        Ok((GroupCommit::start(store), contents))
     }
 
+    /// Starts the thread of an open store.
     pub fn start(mut store: Store) -> GroupCommit {
-        let (to, from) = mpsc::channel::<Job>();
-        let run = move || {
-            while let Ok(first) = from.recv() {
-                let (mut jobs, mut records) = (Vec::new(), 0);
-                let mut next = Some(first);
-                while let Some(job) = next.take() {
-                    match job {
-                        Job::Record(keeps, done) => {
-                            records += keeps.len();
-                            jobs.push((keeps, done));
-                            if records < AT_ONCE {
-                                next = from.try_recv().ok();
-                            }
-                        }
-                        Job::Read(seen) => {
-                            commit(&mut store, std::mem::take(&mut jobs));
-                            seen(store.read());
-                        }
-                    }
-                }
-                commit(&mut store, jobs);
-            }
-        };
+        let (sender, jobs) = mpsc::channel();
         std::thread::Builder::new()
-            .name("keeper".into())
-            .spawn(run)
+            .name("group-commit".into())
+            .spawn(move || run(&mut store, &jobs))
             .expect("a thread can be started");
-        GroupCommit(to)
+        GroupCommit { jobs: sender }
     }
 
-    /// `done` is called on the keeper's thread, and must not wait.
-    pub fn keep(
+    /// Commits records, whole or not at all. `done` gets the result on the thread of the store, and must not
+    /// block.
+    pub fn commit(
         &self,
-        keeps: Vec<Record>,
+        records: Vec<Record>,
         done: impl FnOnce(Result<(), StoreFault>) + Send + 'static,
     ) {
-        let _ = self.0.send(Job::Record(keeps, Box::new(done)));
+        let done = Box::new(done);
+        let _ = self.jobs.send(Job::Commit(CommitJob { records, done }));
     }
 
-    /// Everything as it is on the disk, after all that was handed over before.
-    pub fn read(
-        &self,
-        seen: impl FnOnce(Result<(StoredState, BTreeMap<u64, Extents>), StoreFault>) + Send + 'static,
-    ) {
-        let _ = self.0.send(Job::Read(Box::new(seen)));
+    /// Reads everything as it is stored, after all that was handed over before. `done` gets the contents on
+    /// the thread of the store, and must not block.
+    pub fn read(&self, done: impl FnOnce(Result<StoreContents, StoreFault>) + Send + 'static) {
+        let _ = self.jobs.send(Job::Read(Box::new(done)));
     }
 }
 
-fn commit(store: &mut Store, jobs: Vec<(Vec<Record>, Done)>) {
-    if jobs.is_empty() {
+fn run(store: &mut Store, jobs: &Receiver<Job>) {
+    while let Ok(first) = jobs.recv() {
+        let mut group = Vec::new();
+        let mut records = 0;
+        let mut next = Some(first);
+        while let Some(job) = next.take() {
+            match job {
+                Job::Commit(job) => {
+                    records += job.records.len();
+                    group.push(job);
+                    if records < MAX_RECORDS_PER_COMMIT {
+                        next = jobs.try_recv().ok();
+                    }
+                }
+                Job::Read(done) => {
+                    commit_group(store, std::mem::take(&mut group));
+                    done(store.read());
+                }
+            }
+        }
+        commit_group(store, group);
+    }
+}
+
+fn commit_group(store: &mut Store, group: Vec<CommitJob>) {
+    if group.is_empty() {
         return;
     }
-    let alone = jobs.len() == 1;
-    let all: Vec<Record> = jobs.iter().flat_map(|j| j.0.iter().cloned()).collect();
-    match store.keep(&all) {
-        Ok(()) => jobs.into_iter().for_each(|(_, done)| done(Ok(()))),
-        Err(fault) if alone => {
-            warn!("the store: {fault}");
-            jobs.into_iter()
-                .for_each(|(_, done)| done(Err(fault.clone())));
+    let single = group.len() == 1;
+    let mut all = Vec::new();
+    for job in &group {
+        all.extend(job.records.iter().cloned());
+    }
+    match store.commit(&all) {
+        Ok(()) => {
+            for job in group {
+                (job.done)(Ok(()));
+            }
+        }
+        Err(fault) if single => {
+            warn_of(&fault);
+            for job in group {
+                (job.done)(Err(fault.clone()));
+            }
         }
         Err(_) => {
-            for (keeps, done) in jobs {
-                let persisted = store.keep(&keeps);
-                if let Err(fault) = &persisted {
-                    warn!("the store: {fault}");
+            for job in group {
+                let committed = store.commit(&job.records);
+                if let Err(fault) = &committed {
+                    warn_of(fault);
                 }
-                done(persisted);
+                (job.done)(committed);
             }
         }
     }
 }
+
+fn warn_of(fault: &StoreFault) {
+    warn!(%fault, "store commit failed");
+}
--- /dev/null
+++ b/crates/state/src/service/connection.rs
@@ -0,0 +1,190 @@
+//! One connection: a thread that reads its frames, and one that writes them.
+
+use super::event::ServiceEvent;
+use grebecleat_wire::pb::{self, frame::Body};
+use grebecleat_wire::trace::Tracer;
+use grebecleat_wire::{clock, frame, VERSION};
+use std::io::{self, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::mpsc::{self, Receiver, Sender, SyncSender, TrySendError};
+use std::sync::Arc;
+use std::time::Duration;
+use tracing::warn;
+
+/// Frames that wait to be written; a peer that leaves more unread is disconnected.
+pub(super) const MAX_QUEUED_FRAMES: usize = 1024;
+/// Bytes of the largest frame that is accepted.
+const MAX_FRAME_BYTES: usize = 16 << 20;
+/// Frames that are written at once.
+const MAX_FRAMES_PER_WRITE: usize = 16;
+/// How long a peer may take to say hello, and a write may block.
+const IO_TIMEOUT: Duration = Duration::from_secs(5);
+
+/// The owner's side of a connection.
+#[derive(Clone)]
+pub(super) struct Connection {
+    frames: SyncSender<Body>,
+    stream: Arc<TcpStream>,
+}
+
+impl Connection {
+    /// Queues a frame; disconnects a peer that leaves too many unread.
+    pub fn send(&self, body: Body) {
+        if let Err(TrySendError::Full(_)) = self.frames.try_send(body) {
+            warn!(
+                frames = MAX_QUEUED_FRAMES,
+                "slow consumer: peer leaves its answers unread"
+            );
+            self.disconnect();
+        }
+    }
+
+    /// Closes the connection, which ends both of its threads.
+    pub fn disconnect(&self) {
+        let _ = self.stream.shutdown(Shutdown::Both);
+    }
+}
+
+/// Reads a connection's frames until it ends. An error if the peer breaks the protocol before or after its
+/// hello, or is silent before it.
+pub(super) fn run_connection(
+    mut stream: TcpStream,
+    conn: u64,
+    tracer: &Tracer,
+    to_owner: &Sender<ServiceEvent>,
+) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    stream.set_read_timeout(Some(IO_TIMEOUT))?;
+    stream.set_write_timeout(Some(IO_TIMEOUT))?;
+    send_hello(&mut stream)?;
+    let mut frames = frame::Reader::new(MAX_FRAME_BYTES);
+    let mut reader = ConnectionReader {
+        conn,
+        tracer,
+        to_owner,
+        stream: Arc::new(stream.try_clone()?),
+        peer: None,
+    };
+    loop {
+        reader.handle_frames(&mut frames)?;
+        match frames.fill(&mut stream) {
+            Ok(0) => break,
+            Ok(_) => {}
+            // Disconnected, by the peer or by this service.
+            Err(_) if reader.peer.is_some() => break,
+            Err(error) => return Err(error),
+        }
+    }
+    tracer.closed(conn, reader.peer.as_deref().unwrap_or_default());
+    Ok(())
+}
+
+fn send_hello(stream: &mut TcpStream) -> io::Result<()> {
+    let hello = pb::Hello {
+        version: VERSION,
+        role: pb::Role::State.into(),
+        name: "state".into(),
+        incarnation: 1,
+        max_frame: MAX_FRAME_BYTES as u32,
+    };
+    let hello = pb::Frame {
+        sent_us: clock::micros(clock::now()),
+        body: Some(Body::Hello(hello)),
+    };
+    let mut bytes = Vec::new();
+    frame::write(&hello, &mut bytes);
+    stream.write_all(&bytes)
+}
+
+struct ConnectionReader<'a> {
+    conn: u64,
+    tracer: &'a Tracer,
+    to_owner: &'a Sender<ServiceEvent>,
+    stream: Arc<TcpStream>,
+    /// Name of the peer; None until its hello.
+    peer: Option<String>,
+}
+
+impl ConnectionReader<'_> {
+    /// Hands over the complete frames that were read so far.
+    fn handle_frames(&mut self, frames: &mut frame::Reader) -> io::Result<()> {
+        let now = clock::now();
+        let mut read = Vec::new();
+        while let Some(frame) = frames
+            .next::<pb::Frame>()
+            .map_err(|error| io::Error::other(error.to_string()))?
+        {
+            read.push(frame);
+        }
+        self.tracer.read(self.conn, now, &read);
+        for frame in read {
+            self.handle_frame(frame)?;
+        }
+        Ok(())
+    }
+
+    fn handle_frame(&mut self, frame: pb::Frame) -> io::Result<()> {
+        match (frame.body, &self.peer) {
+            (Some(Body::Hello(hello)), None) if hello.version == VERSION => {
+                self.handle_hello(hello)
+            }
+            (Some(body), Some(_)) => {
+                let _ = self.to_owner.send(ServiceEvent::Frame {
+                    conn: self.conn,
+                    body: Box::new(body),
+                });
+                Ok(())
+            }
+            _ => Err(io::Error::other(
+                "no proper greeting, or a frame without a body",
+            )),
+        }
+    }
+
+    /// The peer may be silent from now on; starts the thread that writes.
+    fn handle_hello(&mut self, hello: pb::Hello) -> io::Result<()> {
+        self.stream.set_read_timeout(None)?;
+        self.tracer.opened(self.conn, &hello.name);
+        self.peer = Some(hello.name.clone());
+        let (sender, frames) = mpsc::sync_channel(MAX_QUEUED_FRAMES);
+        let conn = self.conn;
+        let stream = self.stream.clone();
+        let tracer = self.tracer.clone();
+        std::thread::spawn(move || write_frames(&stream, conn, &tracer, &frames));
+        let _ = self.to_owner.send(ServiceEvent::Connected {
+            conn,
+            hello: Box::new(hello),
+            connection: Connection {
+                frames: sender,
+                stream: self.stream.clone(),
+            },
+        });
+        Ok(())
+    }
+}
+
+/// Writes queued frames, several at once, until the queue ends or a write fails.
+fn write_frames(mut stream: &TcpStream, conn: u64, tracer: &Tracer, queue: &Receiver<Body>) {
+    let mut bytes = Vec::new();
+    while let Ok(first) = queue.recv() {
+        let now = clock::now();
+        let sent_us = clock::micros(now);
+        let further = queue.try_iter().take(MAX_FRAMES_PER_WRITE - 1);
+        let frames: Vec<pb::Frame> = std::iter::once(first)
+            .chain(further)
+            .map(|body| pb::Frame {
+                sent_us,
+                body: Some(body),
+            })
+            .collect();
+        tracer.written(conn, now, &frames);
+        bytes.clear();
+        for frame in &frames {
+            frame::write(frame, &mut bytes);
+        }
+        if stream.write_all(&bytes).is_err() {
+            break;
+        }
+    }
+    let _ = stream.shutdown(Shutdown::Both);
+}
--- /dev/null
+++ b/crates/state/src/service/membership.rs
@@ -0,0 +1,172 @@
+//! Connects the leader with the membership: each learns what the other decides.
+
+use super::owner::Owner;
+use super::wall_time;
+use grebecleat_membership::drains::{
+    Action as MembershipAction, Ask, Event as MembershipEvent, Membership, NodeFacts,
+};
+use grebecleat_plans::changes::{Change, Version};
+use grebecleat_plans::feed::HostNumber;
+use grebecleat_plans::leader::{CallId, Event as LeaderEvent, Proposal};
+use grebecleat_wire::clock;
+use std::collections::BTreeMap;
+use std::time::Duration;
+use tracing::info;
+
+/// Rounds between the leader and the membership in one step; the rest waits for the next step.
+const MAX_ROUNDS_PER_STEP: usize = 16;
+/// Author of the membership's own proposals in the audit log.
+const AUTHOR: &str = "drains";
+
+/// The membership, and what it has been told.
+pub(super) struct MembershipLink {
+    membership: Membership,
+    /// The version up to which the membership knows the catalog.
+    known: Version,
+    /// What the membership knows of the version that each host has acknowledged.
+    acknowledged: BTreeMap<HostNumber, Option<Version>>,
+    /// The membership's own proposals that wait for their result.
+    proposals: BTreeMap<CallId, Ask>,
+}
+
+impl MembershipLink {
+    pub fn new(membership: Membership) -> Self {
+        MembershipLink {
+            membership,
+            known: Version(0),
+            acknowledged: BTreeMap::new(),
+            proposals: BTreeMap::new(),
+        }
+    }
+
+    pub fn state(&self) -> &Membership {
+        &self.membership
+    }
+
+    /// When the membership must be stepped next.
+    pub fn wake_at(&self) -> Option<Duration> {
+        self.membership.wake_at()
+    }
+
+    /// The membership's proposal under that call, which then has its result.
+    pub fn take_proposal(&mut self, call: CallId) -> Option<Ask> {
+        self.proposals.remove(&call)
+    }
+}
+
+impl Owner<'_> {
+    /// Steps the membership with `events` and with what is new in the catalog, and the leader with what the
+    /// membership proposes, which may have its result at once, until both have nothing new.
+    pub(super) fn step_membership(&mut self, mut events: Vec<MembershipEvent>) {
+        for _ in 0..MAX_ROUNDS_PER_STEP {
+            self.add_catalog_events(&mut events);
+            self.add_acknowledgements(&mut events);
+            let wake_at = self.membership.wake_at();
+            let due = wake_at.is_some_and(|at| at <= clock::now());
+            if events.is_empty() && !due {
+                return;
+            }
+            let membership = &mut self.membership.membership;
+            let actions = membership.step(clock::now(), wall_time(), std::mem::take(&mut events));
+            let mut leader_events = Vec::new();
+            for action in actions {
+                self.perform_membership_action(action, &mut leader_events);
+            }
+            if !leader_events.is_empty() {
+                let actions = self.leader.step(clock::now(), wall_time(), leader_events);
+                events.extend(self.perform(actions));
+            }
+        }
+    }
+
+    /// Adds what is stored of the catalog beyond what the membership knows.
+    fn add_catalog_events(&mut self, events: &mut Vec<MembershipEvent>) {
+        let persisted = self.leader.persisted();
+        let known = self.membership.known;
+        if persisted <= known {
+            return;
+        }
+        events.push(MembershipEvent::Persisted { version: persisted });
+        let catalog = self.leader.catalog();
+        match catalog.since(known) {
+            Some(revisions) if known != Version(0) => {
+                for revision in revisions.filter(|revision| revision.version <= persisted) {
+                    for change in &revision.changes {
+                        events.extend(membership_event(revision.version, change.clone()));
+                    }
+                }
+            }
+            // At first, and where the audit log no longer reaches back so far: the whole state.
+            _ => {
+                for change in catalog.state_at(persisted) {
+                    let version = catalog.last_changed(&change.subject());
+                    events.extend(membership_event(version.unwrap_or(persisted), change));
+                }
+            }
+        }
+        self.membership.known = persisted;
+    }
+
+    /// Adds the versions that hosts have acknowledged since the membership last learnt of them.
+    fn add_acknowledgements(&mut self, events: &mut Vec<MembershipEvent>) {
+        for (index, (_, version)) in self.leader.follows().enumerate() {
+            let host = HostNumber(index as u32);
+            let known = self.membership.acknowledged.insert(host, version);
+            if known != Some(version) {
+                events.push(MembershipEvent::Acknowledged { host, version });
+            }
+        }
+    }
+
+    fn perform_membership_action(
+        &mut self,
+        action: MembershipAction,
+        leader_events: &mut Vec<LeaderEvent>,
+    ) {
+        match action {
+            MembershipAction::Propose {
+                ask,
+                node,
+                to,
+                base_version,
+                reason,
+            } => {
+                let call = self.new_call();
+                self.membership.proposals.insert(call, ask);
+                let proposal = Proposal {
+                    author: AUTHOR.to_string(),
+                    reason,
+                    base_version,
+                    changes: vec![Change::Drain { node, to }],
+                    at: None,
+                    force: false,
+                    dry_run: false,
+                };
+                leader_events.push(LeaderEvent::Proposed { call, proposal });
+            }
+            MembershipAction::Unfit { node, how } => {
+                leader_events.push(LeaderEvent::NodeUnavailable { node, how });
+            }
+            MembershipAction::Note { node, text } => {
+                info!(node, "{text}");
+                self.event_log.add(wall_time(), Some(node), text);
+            }
+        }
+    }
+}
+
+/// What the membership is told of a stored change; None: it does not concern it.
+fn membership_event(version: Version, change: Change) -> Option<MembershipEvent> {
+    match change {
+        Change::Node { id, to } => {
+            let to = to.map(|node| NodeFacts {
+                name: node.name,
+                zone: node.zone,
+                shard: node.shard,
+            });
+            Some(MembershipEvent::Node { node: id, to })
+        }
+        Change::Drain { node, to } => Some(MembershipEvent::Drain { node, to, version }),
+        _ => None,
+    }
+}
--- /dev/null
+++ b/crates/state/src/snapshot/restore.rs
@@ -0,0 +1,86 @@
+//! Builds a store from a snapshot.
+
+use super::{disk, read, sync_folder};
+use crate::store::{Record, Store, StoreContents, StoreFault};
+use grebecleat_plans::leader::Epoch;
+use std::path::{Path, PathBuf};
+
+/// Placements of extents of one commit.
+const PLACEMENTS_PER_COMMIT: usize = 20_000;
+
+/// Builds a store from a snapshot, in a new epoch. Returns where a store that was there was moved to.
+///
+/// A fault if the snapshot cannot be read or the store not be written; the store that was there then stays.
+pub fn restore(snapshot: &Path, store: &Path, epoch: Epoch) -> Result<Option<PathBuf>, StoreFault> {
+    let contents = read(snapshot)?;
+    let temporary = store.with_extension("restoring");
+    let _ = std::fs::remove_file(&temporary);
+    fill(&temporary, contents, epoch)?;
+    let mut former = None;
+    if store.exists() {
+        let unused = unused_path(store);
+        std::fs::rename(store, &unused).map_err(|error| disk(store, &error))?;
+        former = Some(unused);
+    }
+    std::fs::rename(&temporary, store)
+        .and_then(|()| sync_folder(store))
+        .map_err(|error| disk(store, &error))?;
+    Ok(former)
+}
+
+/// The first numbered name beside the store that no file has.
+fn unused_path(store: &Path) -> PathBuf {
+    let mut number = 1u64;
+    loop {
+        let path = store.with_extension(format!("before-{number}"));
+        if !path.exists() {
+            return path;
+        }
+        number += 1;
+    }
+}
+
+fn fill(path: &Path, contents: StoreContents, epoch: Epoch) -> Result<(), StoreFault> {
+    let (mut store, _) = Store::open(path, u64::MAX)?;
+    let StoreContents { state, extents } = contents;
+    let mut batch = vec![
+        Record::Snapshot {
+            version: state.version,
+            state: state.state,
+            audit_log: state.audit_log,
+        },
+        Record::Stable(state.stable),
+        Record::EpochForcedAt(state.epoch_forced_at),
+        Record::Ceiling(state.ceiling),
+        Record::PastEpoch {
+            epoch: state.epoch,
+            up_to: state.version,
+        },
+        Record::Epoch(epoch),
+    ];
+    for (epoch, up_to) in state.epochs {
+        batch.push(Record::PastEpoch { epoch, up_to });
+    }
+    // Hosts that the snapshot does not name may have joined since: see `Record::Restored`.
+    batch.push(Record::Restored);
+    for (host, version) in state.hosts {
+        batch.push(Record::HostApplied { host, version });
+    }
+    store.commit(&batch)?;
+    let mut batch = Vec::new();
+    for (volume, extents) in &extents {
+        for run in extents.iter() {
+            for extent in run.first..run.first + run.length {
+                batch.push(Record::ExtentPlacement {
+                    volume: *volume,
+                    extent,
+                    shard: run.shard,
+                });
+                if batch.len() == PLACEMENTS_PER_COMMIT {
+                    store.commit(&std::mem::take(&mut batch))?;
+                }
+            }
+        }
+    }
+    store.commit(&batch)
+}
--- /dev/null
+++ b/crates/state/src/store/backend.rs
@@ -0,0 +1,85 @@
+//! How the database is opened: on a file, or on a disk that a test provides.
+
+use super::fault::{damaged, disk, StoreResult};
+use super::schema::migrate;
+use redb::{Builder, Database, StorageBackend};
+use std::panic::AssertUnwindSafe;
+use std::path::{Path, PathBuf};
+
+/// Bytes of the database's page cache.
+const CACHE_BYTES: usize = 64 << 20;
+
+/// Where the database lies, to open it again after it failed.
+pub(super) enum Backend {
+    File(PathBuf),
+    /// Provided by a test: each call returns the same disk.
+    Custom(Box<dyn Fn() -> Box<dyn StorageBackend> + Send>),
+}
+
+/// A boxed backend as a backend.
+#[derive(Debug)]
+struct BoxedBackend(Box<dyn StorageBackend>);
+
+impl StorageBackend for BoxedBackend {
+    fn len(&self) -> Result<u64, std::io::Error> {
+        self.0.len()
+    }
+    fn read(&self, offset: u64, out: &mut [u8]) -> Result<(), std::io::Error> {
+        self.0.read(offset, out)
+    }
+    fn set_len(&self, len: u64) -> Result<(), std::io::Error> {
+        self.0.set_len(len)
+    }
+    fn sync_data(&self) -> Result<(), std::io::Error> {
+        self.0.sync_data()
+    }
+    fn write(&self, offset: u64, data: &[u8]) -> Result<(), std::io::Error> {
+        self.0.write(offset, data)
+    }
+    fn close(&self) -> Result<(), std::io::Error> {
+        self.0.close()
+    }
+}
+
+impl Backend {
+    /// Opens the database and checks all its pages; a file that does not exist is created.
+    pub fn open(&self) -> StoreResult<Database> {
+        let mut builder = Builder::new();
+        builder.set_cache_size(CACHE_BYTES);
+        // Every page is checked, since a plain opening trusts what it finds and may fail much later.
+        builder.set_check_integrity_on_open(true);
+        match self {
+            Backend::File(path) => {
+                if !path.exists() {
+                    create_file(&builder, path)?;
+                }
+                Ok(builder.open(path)?)
+            }
+            Backend::Custom(backend) => Ok(builder.create_with_backend(BoxedBackend(backend()))?),
+        }
+    }
+}
+
+/// Creates a file under another name and moves it, so that one whose creation was cut off is never taken for
+/// a store.
+fn create_file(builder: &Builder, path: &Path) -> StoreResult<()> {
+    let temporary = path.with_extension("making");
+    let _ = std::fs::remove_file(&temporary);
+    migrate(&mut builder.create(&temporary)?)?;
+    std::fs::rename(&temporary, path).map_err(disk)
+}
+
+/// Turns a panic into a fault: on a damaged file the database library can panic.
+pub(super) fn catch_panic<T>(operation: impl FnOnce() -> StoreResult<T>) -> StoreResult<T> {
+    let payload = match std::panic::catch_unwind(AssertUnwindSafe(operation)) {
+        Ok(result) => return result,
+        Err(payload) => payload,
+    };
+    if let Some(message) = payload.downcast_ref::<String>() {
+        return Err(damaged(message));
+    }
+    if let Some(message) = payload.downcast_ref::<&str>() {
+        return Err(damaged(message));
+    }
+    Err(damaged("it cannot be read"))
+}
--- /dev/null
+++ b/crates/state/src/store/commit.rs
@@ -0,0 +1,168 @@
+//! One batch of records in one transaction.
+
+use super::batch::{Batch, ExtentPlacements};
+use super::checksum::unseal;
+use super::fault::{damaged, disk, StoreResult};
+use super::record::Record;
+use super::schema::{figure, read_figure, AUDIT_LOG};
+use crate::codec::revision_from_proto;
+use grebecleat_plans::changes::{Revision, Version};
+use grebecleat_wire::pb;
+use prost::Message;
+use redb::{Database, ReadableTable};
+
+/// Stores a batch whole or not at all, and returns the version of the catalog after it.
+///
+/// `reported`: the version that the caller knows to be stored. What is stored beyond it came with a commit
+/// that was reported as failed and arrived nevertheless; it is rolled back first.
+/// `max_audit_log`: revisions of the audit log that remain, besides those that are not yet stable.
+pub(super) fn commit(
+    database: &Database,
+    batch: &[Record],
+    reported: Version,
+    max_audit_log: u64,
+) -> StoreResult<Version> {
+    let write = database.begin_write()?;
+    let mut transaction = Transaction {
+        batch: Batch::new(&write, read_figure(&write, figure::CHECKSUM)?),
+        version: read_figure(&write, figure::VERSION)?,
+        stable: read_figure(&write, figure::STABLE)?,
+        placements: ExtentPlacements::default(),
+    };
+    let replaces_catalog = batch
+        .iter()
+        .any(|record| matches!(record, Record::Snapshot { .. }));
+    if !replaces_catalog {
+        transaction.roll_back_to(reported)?;
+    }
+    for record in batch {
+        transaction.apply(record)?;
+    }
+    let version = transaction.finish(max_audit_log)?;
+    write.commit()?;
+    Ok(Version(version))
+}
+
+struct Transaction<'a> {
+    batch: Batch<'a>,
+    /// Version of the catalog as the batch is applied.
+    version: u64,
+    stable: u64,
+    placements: ExtentPlacements,
+}
+
+impl Transaction<'_> {
+    /// Undoes the revisions after `reported`: an earlier commit arrived though it was reported as failed.
+    fn roll_back_to(&mut self, reported: Version) -> StoreResult<()> {
+        while self.version > reported.0 {
+            let revision = self.stored_revision(self.version)?;
+            for change in &revision.before {
+                self.batch.put_change(change)?;
+            }
+            self.batch.remove_revision(self.version)?;
+            self.version = revision.from.0;
+            if revision.version != revision.from.next() {
+                // It forced a new epoch: the operator is asked again.
+                self.batch.put_figure(figure::EPOCH_FORCED_AT, 0)?;
+            }
+        }
+        Ok(())
+    }
+
+    fn stored_revision(&self, version: u64) -> StoreResult<Revision> {
+        let table = self.batch.write().open_table(AUDIT_LOG)?;
+        let bytes = table.get(version)?.map(|bytes| bytes.value().to_vec());
+        let bytes = bytes.ok_or_else(|| damaged(format!("entry {version} is missing")))?;
+        let place = || format!("entry {version} of the trail");
+        let value = unseal(&version.to_be_bytes(), &bytes, &place)?;
+        let revision = pb::Revision::decode(value).map_err(damaged)?;
+        revision_from_proto(revision).map_err(damaged)
+    }
+
+    fn apply(&mut self, record: &Record) -> StoreResult<()> {
+        match record {
+            Record::Revision(revision) => self.apply_revision(revision),
+            Record::EpochForced(revision) => {
+                self.apply_revision(revision)?;
+                self.batch.put_figure(figure::EPOCH_FORCED_AT, self.version)
+            }
+            Record::Stable(version) => {
+                self.stable = version.0;
+                Ok(())
+            }
+            Record::HostApplied { host, version } => self.batch.put_host(host, version.0),
+            Record::Epoch(epoch) => self.batch.put_figure(figure::EPOCH, epoch.0),
+            Record::PastEpoch { epoch, up_to } => self.batch.put_past_epoch(epoch.0, up_to.0),
+            Record::EpochForcedAt(version) => {
+                self.batch.put_figure(figure::EPOCH_FORCED_AT, version.0)
+            }
+            Record::Restored => self.batch.put_figure(figure::RESTORED, 1),
+            Record::Snapshot {
+                version,
+                state,
+                audit_log,
+            } => {
+                self.batch.clear_catalog()?;
+                for change in state {
+                    self.batch.put_change(change)?;
+                }
+                for revision in audit_log {
+                    self.batch.put_revision(revision)?;
+                }
+                self.version = version.0;
+                Ok(())
+            }
+            Record::ExtentPlacement {
+                volume,
+                extent,
+                shard,
+            } => {
+                self.placements.add(*volume, *extent, *shard);
+                Ok(())
+            }
+            Record::Ceiling(ceiling) => self.batch.put_figure(figure::CEILING, *ceiling),
+        }
+    }
+
+    fn apply_revision(&mut self, revision: &Revision) -> StoreResult<()> {
+        if revision.from.0 != self.version {
+            return Err(disk(format!(
+                "entry {} does not follow version {}",
+                revision.version.0, self.version
+            )));
+        }
+        for change in &revision.changes {
+            self.batch.put_change(change)?;
+        }
+        self.batch.put_revision(revision)?;
+        self.version = revision.version.0;
+        Ok(())
+    }
+
+    /// Stores what the batch gathered, and returns the version of the catalog.
+    fn finish(mut self, max_audit_log: u64) -> StoreResult<u64> {
+        self.batch
+            .put_placements(std::mem::take(&mut self.placements))?;
+        self.trim_audit_log(max_audit_log)?;
+        self.batch.put_figure(figure::VERSION, self.version)?;
+        self.batch.put_figure(figure::STABLE, self.stable)?;
+        self.batch.put_checksum()?;
+        Ok(self.version)
+    }
+
+    /// The audit log has its maximum length, and is longer only by revisions that are not yet stable.
+    fn trim_audit_log(&mut self, max_audit_log: u64) -> StoreResult<()> {
+        let last_removed = self.version.saturating_sub(max_audit_log).min(self.stable);
+        loop {
+            let oldest = {
+                let table = self.batch.write().open_table(AUDIT_LOG)?;
+                let first = table.first()?;
+                first.map(|(version, _)| version.value())
+            };
+            match oldest {
+                Some(version) if version <= last_removed => self.batch.remove_revision(version)?,
+                _ => return Ok(()),
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/state/src/store/extent_chunk.rs
@@ -0,0 +1,82 @@
+//! The record of one chunk of extents: runs of extents on one shard.
+//!
+//! Record layout: six bytes a run: its first extent within the chunk, its length, and its shard in
+//! little-endian order.
+
+use super::fault::{damaged, StoreResult};
+use crate::extents::Extents;
+
+/// Extents of one record: a placement rewrites one, and ten million extents are some 160,000 of them.
+pub(super) const EXTENTS_PER_CHUNK: u64 = 64;
+/// Bytes of one run.
+const RUN_BYTES: usize = 6;
+
+/// Extents of a chunk that follow each other on one shard.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct ChunkRun {
+    /// First extent, from the chunk's first; below [`EXTENTS_PER_CHUNK`].
+    start: u8,
+    /// Number of extents; at least one.
+    length: u8,
+    shard: u32,
+}
+
+impl ChunkRun {
+    /// Puts the extents of the run, of a chunk that begins at `first`, on their shard.
+    pub fn insert_into(&self, extents: &mut Extents, first: u64) {
+        for offset in 0..u64::from(self.length) {
+            extents.insert(first + u64::from(self.start) + offset, self.shard);
+        }
+    }
+}
+
+/// The key of a chunk's record, as its checksum covers it.
+pub(super) fn chunk_key(volume: u64, chunk: u64) -> Vec<u8> {
+    [volume.to_be_bytes(), chunk.to_be_bytes()].concat()
+}
+
+/// How faults name the record of a chunk.
+pub(super) fn chunk_place(volume: u64, chunk: u64) -> String {
+    format!(
+        "the record of extents {} on of volume {volume}",
+        chunk.saturating_mul(EXTENTS_PER_CHUNK)
+    )
+}
+
+/// The fault of a chunk's record whose checksum is right and whose runs are not.
+pub(super) fn senseless(place: &dyn Fn() -> String) -> super::fault::StoreFault {
+    damaged(format!("{} makes no sense", place()))
+}
+
+/// The runs of a record's value.
+pub(super) fn decode_runs(value: &[u8], place: &dyn Fn() -> String) -> StoreResult<Vec<ChunkRun>> {
+    let mut runs = Vec::with_capacity(value.len() / RUN_BYTES);
+    for bytes in value.chunks(RUN_BYTES) {
+        let run = decode_run(bytes).ok_or_else(|| senseless(place))?;
+        runs.push(run);
+    }
+    Ok(runs)
+}
+
+fn decode_run(bytes: &[u8]) -> Option<ChunkRun> {
+    let [start, length, shard @ ..] = bytes else {
+        return None;
+    };
+    let run = ChunkRun {
+        start: *start,
+        length: *length,
+        shard: u32::from_le_bytes(shard.try_into().ok()?),
+    };
+    let end = u64::from(run.start) + u64::from(run.length);
+    (end <= EXTENTS_PER_CHUNK && run.length > 0).then_some(run)
+}
+
+/// The value of the record of a chunk's extents, numbered from the chunk's first.
+pub(super) fn encode_runs(extents: &Extents) -> Vec<u8> {
+    let mut bytes = Vec::new();
+    for run in extents.iter() {
+        bytes.extend_from_slice(&[run.first as u8, run.length as u8]);
+        bytes.extend_from_slice(&run.shard.to_le_bytes());
+    }
+    bytes
+}
--- /dev/null
+++ b/crates/state/src/subscription/mod.rs
@@ -0,0 +1,174 @@
+//! Watch subscriptions of operators: everything at first, then what has changed.
+//!
+//! Called by the state service's loop: [`EventLog::add`] with what has happened, and [`Subscription::update`]
+//! with the present state, which sends the frames for one subscriber. Each update is the difference to what
+//! was sent before, so that a slow subscriber gets fewer updates, and nothing twice. State, for each
+//! subscriber: the last report of every node. No I/O.
+
+mod event_log;
+mod node_report;
+
+pub use event_log::EventLog;
+
+use crate::codec::{change_to_proto, revision_to_proto};
+use crate::parts::send_in_parts;
+use grebecleat_membership::drains::Membership;
+use grebecleat_plans::changes::Version;
+use grebecleat_plans::leader::Leader;
+use grebecleat_wire::pb;
+use node_report::{node_to_proto, same_but_for_time};
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// The least time between two updates of one subscriber.
+pub const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
+
+/// One subscriber.
+pub struct Subscription {
+    /// The subscriber's number of its call.
+    call: u64,
+    /// Version of the catalog that was sent last; None before the first update.
+    version: Option<Version>,
+    stable: Version,
+    /// The last report of each node.
+    nodes: BTreeMap<u32, pb::NodeReport>,
+    /// The head of the last update, without what follows from the other fields.
+    head: Option<pb::SubscriptionUpdate>,
+    /// Number of the next event to send.
+    next_event: u64,
+    updated_at: Option<Instant>,
+}
+
+/// The present state, as all subscribers learn it.
+pub struct ServiceView<'a> {
+    /// The catalog and its followers.
+    pub leader: &'a Leader,
+    /// The nodes and their drains.
+    pub membership: &'a Membership,
+    /// What has happened to nodes.
+    pub event_log: &'a EventLog,
+    /// The epoch of the catalog's history.
+    pub epoch: u64,
+    /// The last failure of the store; empty if it works.
+    pub store_fault: &'a str,
+    /// What each host has applied, by the hosts' numbers.
+    pub hosts: &'a [pb::HostStatus],
+}
+
+impl Subscription {
+    /// A subscription that has sent nothing; `call`: the subscriber's number of its call.
+    pub fn new(call: u64) -> Self {
+        Subscription {
+            call,
+            version: None,
+            stable: Version(0),
+            nodes: BTreeMap::new(),
+            head: None,
+            next_event: 0,
+            updated_at: None,
+        }
+    }
+
+    /// When the next update may be sent; None: at once.
+    fn due_at(&self) -> Option<Instant> {
+        Some(self.updated_at? + MIN_UPDATE_INTERVAL)
+    }
+
+    /// Passes what is new to `send`; calls it not at all if nothing is, or if it is too early.
+    pub fn update(
+        &mut self,
+        view: &ServiceView,
+        now: Instant,
+        send: impl FnMut(pb::SubscriptionUpdate),
+    ) {
+        if self.due_at().is_some_and(|at| now < at) {
+            return;
+        }
+        let version = view.leader.persisted();
+        let stable = view.leader.stable();
+        let head = self.head(view);
+        let nodes = self.changed_nodes(view);
+        let happened = view.event_log.since(self.next_event);
+        let same_head = self.head.as_ref() == Some(&head);
+        let same_catalog = self.version == Some(version) && self.stable == stable;
+        if same_head && same_catalog && nodes.is_empty() && happened.is_empty() {
+            return;
+        }
+        self.head = Some(head.clone());
+        self.next_event = view.event_log.end();
+        self.updated_at = Some(now);
+        self.stable = stable;
+        let update = pb::SubscriptionUpdate {
+            nodes,
+            happened,
+            ..head
+        };
+        self.send_update(view, version, update, send);
+        self.version = Some(version);
+    }
+
+    fn head(&self, view: &ServiceView) -> pb::SubscriptionUpdate {
+        let shortfall = view.leader.admission().shortfall();
+        pb::SubscriptionUpdate {
+            call: self.call,
+            version: view.leader.persisted().0,
+            stable: view.leader.stable().0,
+            epoch: view.epoch,
+            hosts: view.hosts.to_vec(),
+            short: shortfall.short,
+            out_of_reach: shortfall.out_of_reach,
+            behind: view.leader.behind().map(|version| version.0),
+            store_fault: view.store_fault.to_string(),
+            ..pb::SubscriptionUpdate::default()
+        }
+    }
+
+    /// Reports of the nodes that have changed since the last update.
+    fn changed_nodes(&mut self, view: &ServiceView) -> Vec<pb::NodeReport> {
+        let shortfall = view.leader.admission().shortfall();
+        let missing = shortfall.short + shortfall.out_of_reach;
+        let mut changed = Vec::new();
+        for node in view.membership.shown(missing) {
+            let report = node_to_proto(&node, view.hosts);
+            let sent = self.nodes.get(&node.node);
+            if sent.is_none_or(|sent| !same_but_for_time(sent, &report)) {
+                self.nodes.insert(node.node, report.clone());
+                changed.push(report);
+            }
+        }
+        changed
+    }
+
+    /// Sends an update with the revisions after the last one, or with the whole state.
+    fn send_update(
+        &self,
+        view: &ServiceView,
+        version: Version,
+        mut update: pb::SubscriptionUpdate,
+        mut send: impl FnMut(pb::SubscriptionUpdate),
+    ) {
+        let catalog = view.leader.catalog();
+        if let Some(revisions) = self.version.and_then(|version| catalog.since(version)) {
+            let revisions = revisions.filter(|revision| revision.version <= version);
+            update.revisions = revisions.map(revision_to_proto).collect();
+            return send(update);
+        }
+        // At first, and where the audit log no longer reaches back so far.
+        let state = catalog
+            .state_at(version)
+            .map(|change| change_to_proto(&change));
+        update.snapshot = true;
+        let mut first = Some(update);
+        send_in_parts(state, |state, more| {
+            let part = first.take().unwrap_or(pb::SubscriptionUpdate {
+                call: self.call,
+                ..pb::SubscriptionUpdate::default()
+            });
+            send(pb::SubscriptionUpdate {
+                state,
+                more,
+                ..part
+            });
+        });
+    }
+}
--- /dev/null
+++ b/crates/state/src/subscription/node_report.rs
@@ -0,0 +1,105 @@
+//! What subscribers learn of a node and its drain.
+
+use grebecleat_membership::drains::{DrainView, NodeView, Phase};
+use grebecleat_membership::node_status::NodeStatus;
+use grebecleat_plans::feed::HostNumber;
+use grebecleat_wire::clock::micros;
+use grebecleat_wire::pb;
+
+/// Whether two reports differ in nothing but in times that pass by themselves.
+pub(super) fn same_but_for_time(sent: &pb::NodeReport, now: &pb::NodeReport) -> bool {
+    without_times(sent) == without_times(now)
+}
+
+fn without_times(report: &pb::NodeReport) -> pb::NodeReport {
+    let drain = report.drain.clone().map(|drain| pb::DrainStatus {
+        left_us: None,
+        unsure_us: 0,
+        ..drain
+    });
+    pb::NodeReport {
+        up_us: None,
+        drain,
+        ..report.clone()
+    }
+}
+
+/// The report of a node; `hosts`: the hosts by their numbers.
+pub(super) fn node_to_proto(node: &NodeView, hosts: &[pb::HostStatus]) -> pb::NodeReport {
+    pb::NodeReport {
+        node: node.node,
+        name: node.facts.name.to_string(),
+        zone: node.facts.zone.to_string(),
+        shard: node.facts.shard,
+        status: node_status_to_proto(node.node_status).into(),
+        by: node.wins.to_string(),
+        up_us: node.up.map(micros),
+        start: node.reading.start,
+        drain: node
+            .drain
+            .as_ref()
+            .map(|drain| drain_to_proto(drain, hosts)),
+    }
+}
+
+fn node_status_to_proto(status: NodeStatus) -> pb::NodeStatusKind {
+    match status {
+        NodeStatus::Unknown => pb::NodeStatusKind::Unknown,
+        NodeStatus::Warming => pb::NodeStatusKind::Warming,
+        NodeStatus::Ready => pb::NodeStatusKind::IsReady,
+        NodeStatus::Draining => pb::NodeStatusKind::IsDraining,
+        NodeStatus::Empty => pb::NodeStatusKind::IsEmpty,
+        NodeStatus::Out => pb::NodeStatusKind::IsOut,
+        NodeStatus::Suspect => pb::NodeStatusKind::Suspect,
+        NodeStatus::Back => pb::NodeStatusKind::Back,
+    }
+}
+
+fn drain_to_proto(drain: &DrainView, hosts: &[pb::HostStatus]) -> pb::DrainStatus {
+    let mut status = pb::DrainStatus {
+        author: drain.author.to_string(),
+        asked_us: micros(drain.asked),
+        since_us: micros(drain.since),
+        left_us: drain.left.map(micros),
+        extents: drain.extents,
+        ..pb::DrainStatus::default()
+    };
+    let phase = match &drain.phase {
+        Phase::Waits { reason } => {
+            status.objections = vec![reason.clone()];
+            pb::DrainPhase::Waits
+        }
+        Phase::Telling { hosts: waiting } => {
+            for (host, connected) in waiting {
+                let name = host_name(*host, hosts);
+                if !connected {
+                    status.lost.push(name.clone());
+                }
+                status.untold.push(name);
+            }
+            pb::DrainPhase::Telling
+        }
+        Phase::Quiescing {
+            attempts,
+            most,
+            unsure,
+        } => {
+            status.attempts = *attempts;
+            status.most = *most;
+            status.unsure_us = micros(*unsure);
+            pb::DrainPhase::Quiescing
+        }
+        Phase::Empty { objections } => {
+            status.objections = objections.clone();
+            pb::DrainPhase::NowEmpty
+        }
+        Phase::Out => pb::DrainPhase::TakenOut,
+    };
+    status.phase = phase.into();
+    status
+}
+
+fn host_name(host: HostNumber, hosts: &[pb::HostStatus]) -> String {
+    let status = hosts.get(host.0 as usize);
+    status.map(|status| status.name.clone()).unwrap_or_default()
+}
--- a/crates/state/tests/faults.rs
+++ b/crates/state/tests/faults.rs
@@ -1,13 +1,14 @@
-//! The store on disks that die, fail, fill up and rot: after each start the state is the one before or the
-//! one after, nothing that was said to be kept is lost, the trail agrees with the state, and damage is told.
+//! The store on disks that lose power, fail, fill up and rot: after each start the state is the one before or
+//! the one after the last batch, nothing that was reported as stored is lost, the audit log agrees with the
+//! state, and damage is reported.
 
 mod common;
 
 use common::{Disk, Fails};
 use grebecleat_plans::changes::*;
 use grebecleat_plans::leader::Epoch;
-use grebecleat_state::extents::Extents;
-use grebecleat_state::store::{Record, Store, StoreFault, StoredState};
+use grebecleat_state::extents::ExtentRun;
+use grebecleat_state::store::{ExtentsByVolume, Record, Store, StoreContents, StoreFault};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
@@ -89,7 +90,7 @@
                 self.rng.random_range(0..5),
             );
             self.places.insert((volume, extent), shard);
-            batch.push(Record::Place {
+            batch.push(Record::ExtentPlacement {
                 volume,
                 extent,
                 shard,
@@ -105,13 +106,17 @@
         if self.rng.random() {
             let (host, applied) = (Name::from("h1"), self.catalog.version());
             self.hosts.insert(host.clone(), applied);
-            batch.push(Record::Has(host, applied));
+            batch.push(Record::HostApplied {
+                host,
+                version: applied,
+            });
         }
         batch
     }
 
-    /// Whether that is what is in the store.
-    fn is(&self, persisted: &StoredState, places: &BTreeMap<u64, Extents>) -> Result<(), String> {
+    /// Whether exactly this is in the store.
+    fn check_equal(&self, contents: &StoreContents) -> Result<(), String> {
+        let persisted = &contents.state;
         let then = Catalog::new(self.catalog.facts().clone(), 1000);
         let then = then.restored(
             persisted.version,
@@ -119,21 +124,19 @@
             persisted.audit_log.clone(),
         );
         let all = |l: &Catalog| l.state().collect::<Vec<_>>();
-        let lies: BTreeMap<(u64, u64), u32> = places
-            .iter()
-            .flat_map(|(v, e)| {
-                e.iter().flat_map(move |(from, n, shard)| {
-                    (from..from + n).map(move |x| ((*v, x), shard))
-                })
-            })
-            .collect();
+        let places = placements(&contents.extents);
         let own = (
             self.catalog.version(),
             self.stable,
             &self.hosts,
             &self.places,
         );
-        let found = (persisted.version, persisted.stable, &persisted.hosts, &lies);
+        let found = (
+            persisted.version,
+            persisted.stable,
+            &persisted.hosts,
+            &places,
+        );
         if own != found || all(&then) != all(&self.catalog) {
             return Err(format!(
                 "version {:?} and not {:?}, or not the same in it",
@@ -141,7 +144,7 @@
                 self.catalog.version()
             ));
         }
-        // The trail leads from where it begins to the state, and holds what is not settled.
+        // The audit log leads from its first revision to the state, and has all that is not yet stable.
         let first = persisted
             .audit_log
             .first()
@@ -153,18 +156,36 @@
                 .zip(self.catalog.since(first).unwrap())
                 .any(|(a, b)| a != b)
         {
-            return Err("another trail".into());
+            return Err("another audit log".into());
         }
         Ok(())
     }
 }
 
-fn open(disk: &Disk) -> Result<(Store, StoredState, BTreeMap<u64, Extents>), StoreFault> {
+/// Shards by volume and extent.
+fn placements(extents: &ExtentsByVolume) -> BTreeMap<(u64, u64), u32> {
+    let mut placements = BTreeMap::new();
+    for (volume, extents) in extents {
+        for run in extents.iter() {
+            let ExtentRun {
+                first,
+                length,
+                shard,
+            } = run;
+            for extent in first..first + length {
+                placements.insert((*volume, extent), shard);
+            }
+        }
+    }
+    placements
+}
+
+fn open(disk: &Disk) -> Result<(Store, StoreContents), StoreFault> {
     let disk = disk.clone();
     Store::open_on(move || disk.backend(), AUDIT_LOG)
 }
 
-/// Batches until one is not kept; the states that may be found then.
+/// Commits batches until one fails; returns the states that may be found then.
 fn run(seed: u64, batches: usize, disk: &Disk) -> Vec<Model> {
     let mut model = Model::new(seed);
     let Ok((mut store, ..)) = open(disk) else {
@@ -173,7 +194,7 @@
     for _ in 0..batches {
         let before = model.clone();
         let batch = model.batch();
-        if store.keep(&batch).is_err() {
+        if store.commit(&batch).is_err() {
             return vec![before, model];
         }
     }
@@ -181,7 +202,7 @@
 }
 
 #[test]
-fn the_machine_dies_at_every_write_and_every_sync_in_turn() {
+fn after_power_loss_at_any_write_or_sync_the_state_is_before_or_after_the_batch() {
     let snapshot = Disk::default();
     run(1, 8, &snapshot);
     let made = Disk::default();
@@ -195,28 +216,28 @@
         let may_be = run(1, 8, &disk);
         for seed in 0..4 {
             let disk = Disk::of(disk.after_death(at * 100 + seed));
-            let (mut store, persisted, places) = match open(&disk) {
+            let (mut store, contents) = match open(&disk) {
                 Ok(opened) => opened,
-                // Of a store whose making was cut off nothing was ever said to be kept.
+                // Nothing was ever reported as stored in a store whose creation was cut off.
                 Err(_) if at < from => continue,
                 Err(fault) => panic!("died at {at}, seed {seed}: {fault}"),
             };
             let which = may_be
                 .iter()
-                .position(|m| m.is(&persisted, &places).is_ok());
+                .position(|model| model.check_equal(&contents).is_ok());
             let which = which.unwrap_or_else(|| {
                 panic!(
                     "died at {at}, seed {seed}: {:?}",
-                    may_be[0].is(&persisted, &places)
+                    may_be[0].check_equal(&contents)
                 )
             });
             found[which] += 1;
-            // And it goes on from there.
+            // And the store continues from there.
             let mut model = may_be[which].clone();
-            store.keep(&model.batch()).expect("the disk is well");
-            let (persisted, places) = store.read().unwrap();
+            store.commit(&model.batch()).expect("the disk is well");
+            let contents = store.read().unwrap();
             model
-                .is(&persisted, &places)
+                .check_equal(&contents)
                 .unwrap_or_else(|e| panic!("died at {at}, seed {seed}, gone on: {e}"));
         }
     }
@@ -228,9 +249,9 @@
     );
 }
 
-/// One operation fails and the process lives on: whether the batch arrived or not, what is told then holds.
+/// One operation fails and the process continues: whether the batch arrived or not, the report is right.
 #[test]
-fn every_operation_fails_once_and_the_process_goes_on() {
+fn after_any_single_disk_failure_the_store_has_what_was_reported() {
     let snapshot = Disk::default();
     run(2, 8, &snapshot);
     let made = Disk::default();
@@ -245,35 +266,37 @@
             for n in 0..10 {
                 let before = model.clone();
                 let batch = model.batch();
-                if let Err(fault) = store.keep(&batch) {
+                if let Err(fault) = store.commit(&batch) {
                     match fault {
                         StoreFault::Disk { .. } => failed += 1,
                         StoreFault::Unknown { .. } => unknown += 1,
                         other => panic!("{fails:?}, batch {n}: {other:?}"),
                     }
-                    // It was told that nothing of it was kept; what comes next is another batch.
+                    // It was reported that nothing of it is stored; the next batch is another one.
                     model = Model {
                         rng: model.rng,
                         ..before
                     };
-                    // Places and what hosts have may stand there: nobody was told that they do.
-                    for keep in &batch {
-                        if let Record::Place { volume, extent, .. } = keep {
+                    // Placements and hosts' versions may be stored: it was not reported that they are.
+                    for record in &batch {
+                        if let Record::ExtentPlacement { volume, extent, .. } = record {
                             model.places.remove(&(*volume, *extent));
                         }
                     }
                 }
             }
             disk.fails(Fails::Never);
-            store.keep(&[]).unwrap_or_else(|e| panic!("{fails:?}: {e}"));
-            let (persisted, places) = store.read().unwrap_or_else(|e| panic!("{fails:?}: {e}"));
+            store
+                .commit(&[])
+                .unwrap_or_else(|e| panic!("{fails:?}: {e}"));
+            let contents = store.read().unwrap_or_else(|e| panic!("{fails:?}: {e}"));
             model
-                .like(&persisted, &places)
+                .check_contains(&contents)
                 .unwrap_or_else(|e| panic!("{fails:?}: {e}"));
             drop(store);
-            let (_, persisted, places) = open(&disk).unwrap_or_else(|e| panic!("{fails:?}: {e}"));
+            let (_, contents) = open(&disk).unwrap_or_else(|e| panic!("{fails:?}: {e}"));
             model
-                .like(&persisted, &places)
+                .check_contains(&contents)
                 .unwrap_or_else(|e| panic!("{fails:?}, after a start: {e}"));
         }
     }
@@ -284,8 +307,9 @@
 }
 
 impl Model {
-    /// The catalog is as told; what else stands there may be more than was told.
-    fn like(&self, persisted: &StoredState, places: &BTreeMap<u64, Extents>) -> Result<(), String> {
+    /// The catalog is exactly this; the other contents may be more than was reported.
+    fn check_contains(&self, contents: &StoreContents) -> Result<(), String> {
+        let persisted = &contents.state;
         let then = Catalog::new(self.catalog.facts().clone(), 1000);
         let then = then.restored(
             persisted.version,
@@ -301,10 +325,10 @@
                 self.catalog.version()
             ));
         }
-        let lost = self
-            .places
-            .iter()
-            .find(|((v, x), shard)| places.get(v).and_then(|e| e.get(*x)) != Some(**shard));
+        let lost = self.places.iter().find(|((volume, extent), shard)| {
+            let extents = contents.extents.get(volume);
+            extents.and_then(|extents| extents.get(*extent)) != Some(**shard)
+        });
         match lost {
             Some(lost) => Err(format!("{lost:?} is lost")),
             None => Ok(()),
@@ -313,37 +337,35 @@
 }
 
 #[test]
-fn a_read_only_disk_and_a_full_one_are_told_and_nothing_is_lost() {
+fn a_read_only_disk_and_a_full_one_are_reported_and_nothing_is_lost() {
     let disk = Disk::default();
     let model = run(3, 6, &disk).remove(0);
     let (mut store, ..) = open(&disk).unwrap();
     disk.fails(Fails::ReadOnly);
-    let fault = store.keep(&model.clone().batch()).unwrap_err();
+    let fault = store.commit(&model.clone().batch()).unwrap_err();
     assert!(fault.to_string().contains("read-only"), "{fault}");
     disk.fails(Fails::FullFrom(0, u64::MAX));
-    let fault = store.keep(&model.clone().batch()).unwrap_err();
+    let fault = store.commit(&model.clone().batch()).unwrap_err();
     assert!(fault.to_string().contains("no space left"), "{fault}");
     disk.fails(Fails::Never);
-    let (persisted, places) = store.read().unwrap();
-    model.is(&persisted, &places).unwrap();
+    model.check_equal(&store.read().unwrap()).unwrap();
     let mut model = model;
-    store.keep(&model.batch()).unwrap();
+    store.commit(&model.batch()).unwrap();
 }
 
-/// Whatever byte rots, the store says so or still has everything; it never serves something else, and never
-/// writes to what it cannot read.
+/// Whatever byte rots, the store reports it or still has everything; it never serves something else, and
+/// never writes to what it cannot read.
 #[test]
-fn a_byte_that_rots_is_told_or_does_not_matter() {
-    //HOOK
+fn a_byte_that_rots_is_reported_or_does_not_matter() {
     let disk = Disk::default();
     let mut model = Model::new(4);
     let (mut store, ..) = open(&disk).unwrap();
     let all: Vec<Record> = (0..150).flat_map(|_| model.batch()).collect();
-    store.keep(&all).unwrap();
+    store.commit(&all).unwrap();
     drop(store);
     let bytes = disk.bytes();
     let mut rng = Pcg64Mcg::seed_from_u64(5);
-    let (mut told, mut written) = (0, 0);
+    let (mut reported, mut written) = (0, 0);
     let used: Vec<usize> = (0..bytes.len()).filter(|i| bytes[*i] != 0).collect();
     for n in 0..1500 {
         let at = used[rng.random_range(0..used.len())];
@@ -351,11 +373,11 @@
         rotten[at] ^= 1 << rng.random_range(0..8);
         let disk = Disk::of(rotten.clone());
         match open(&disk) {
-            Ok((_, persisted, places)) => {
-                assert_eq!(model.is(&persisted, &places), Ok(()), "byte {at}, look {n}");
+            Ok((_, contents)) => {
+                assert_eq!(model.check_equal(&contents), Ok(()), "byte {at}, look {n}");
             }
             Err(fault) => {
-                told += 1;
+                reported += 1;
                 written += u32::from(disk.bytes() != rotten);
                 assert!(
                     matches!(
@@ -369,12 +391,15 @@
             }
         }
     }
-    assert!(told > 200, "{told} of 1500 mattered and were told");
+    assert!(
+        reported > 200,
+        "{reported} of 1500 mattered and were reported"
+    );
     assert_eq!(written, 0, "and nothing was written to what was damaged");
 }
 
 #[test]
-fn a_newer_file_and_one_that_is_none_are_told() {
+fn a_newer_file_and_one_that_is_no_store_are_reported() {
     let disk = Disk::default();
     run(5, 2, &disk);
     let db = redb::Builder::new()
@@ -396,7 +421,7 @@
 }
 
 #[test]
-fn an_older_file_is_brought_to_todays_form() {
+fn a_file_of_schema_1_is_migrated() {
     let disk = Disk::default();
     let db = redb::Builder::new()
         .create_with_backend(disk.clone())
@@ -416,12 +441,13 @@
     write.commit().unwrap();
     drop(db);
     for _ in 0..2 {
-        let (store, persisted, places) = open(&disk).unwrap();
+        let (store, contents) = open(&disk).unwrap();
+        let (persisted, places) = (contents.state, contents.extents);
         assert_eq!((persisted.ceiling, places[&7].len()), (77, 200));
         assert!((0..200u64).all(|x| places[&7].get(x * 3) == Some((x % 4) as u32)));
         drop(store);
     }
-    // And at every operation of it the machine may die.
+    // And the machine may lose power at every operation of the migration.
     let before = disk.bytes();
     let mut old = 0;
     for at in 0..40 {
@@ -429,7 +455,8 @@
         disk.fails(Fails::DiesAt(at));
         drop(open(&disk));
         let disk = Disk::of(disk.after_death(at));
-        let (_, persisted, places) = open(&disk).unwrap_or_else(|e| panic!("died at {at}: {e}"));
+        let (_, contents) = open(&disk).unwrap_or_else(|e| panic!("died at {at}: {e}"));
+        let (persisted, places) = (contents.state, contents.extents);
         assert_eq!(
             (persisted.ceiling, places[&7].len()),
             (77, 200),
@@ -441,7 +468,7 @@
 }
 
 #[test]
-fn the_audit_log_is_as_long_as_it_may_be_and_keeps_what_is_not_stable() {
+fn the_audit_log_has_its_maximum_length_and_all_that_is_not_stable() {
     let disk = Disk::default();
     let (mut store, ..) = open(&disk).unwrap();
     let mut model = Model::new(6);
@@ -451,25 +478,25 @@
             .into_iter()
             .filter(|k| !matches!(k, Record::Stable(_)))
             .collect();
-        store.keep(&batch).unwrap();
+        store.commit(&batch).unwrap();
     }
     assert_eq!(
-        store.read().unwrap().0.audit_log.len() as u64,
+        store.read().unwrap().state.audit_log.len() as u64,
         model.catalog.version().0,
-        "nothing is settled"
+        "nothing is stable"
     );
     store
-        .keep(&[Record::Stable(Version(30)), Record::Epoch(Epoch(4))])
+        .commit(&[Record::Stable(Version(30)), Record::Epoch(Epoch(4))])
         .unwrap();
-    let (persisted, _) = store.read().unwrap();
+    let persisted = store.read().unwrap().state;
     assert_eq!(persisted.audit_log.first().unwrap().version, Version(31));
     store
-        .keep(&[Record::Stable(model.catalog.version())])
+        .commit(&[Record::Stable(model.catalog.version())])
         .unwrap();
     assert_eq!(
         (
-            store.read().unwrap().0.audit_log.len() as u64,
-            store.read().unwrap().0.epoch
+            store.read().unwrap().state.audit_log.len() as u64,
+            store.read().unwrap().state.epoch
         ),
         (AUDIT_LOG, Epoch(4))
     );
--- a/crates/state/tests/former_version.rs
+++ b/crates/state/tests/former_version.rs
@@ -1,9 +1,9 @@
 //! Stores and snapshots that an earlier version wrote (`tests/data`) are read as it wrote them.
 
 use grebecleat_plans::changes::Version;
-use grebecleat_state::change_syntax::said;
+use grebecleat_state::change_syntax::format_change;
 use grebecleat_state::snapshot;
-use grebecleat_state::store::{Store, StoredState};
+use grebecleat_state::store::{Store, StoreContents, StoredState};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -23,14 +23,14 @@
 }
 
 fn lines(state: &StoredState) -> BTreeSet<String> {
-    state.state.iter().map(said).collect()
+    state.state.iter().map(format_change).collect()
 }
 
 #[test]
-fn a_store_of_the_former_version_is_read_as_that_version_showed_it() {
+fn a_store_of_an_earlier_version_is_read_as_that_version_listed_it() {
     let dir = tempfile::tempdir().unwrap();
-    let (_store, state, extents) =
-        Store::open(&copy_of("state.store", &dir), MAX_AUDIT_LOG).unwrap();
+    let (_store, contents) = Store::open(&copy_of("state.store", &dir), MAX_AUDIT_LOG).unwrap();
+    let StoreContents { state, extents } = contents;
     let shown = std::fs::read_to_string(data("state.txt")).unwrap();
     let mut shown = shown.lines();
     assert_eq!(shown.next(), Some("entry 12, settled 12"));
@@ -49,14 +49,14 @@
     assert_eq!(last.author, "clerk");
     assert_eq!((last.changes.len(), last.before.len()), (1, 1));
     assert_eq!(
-        said(&last.changes[0]),
+        format_change(&last.changes[0]),
         "plan capped rate=20 reservation=4 limit=10 burst=20 slack=4 weight=1 price=1"
     );
 }
 
 #[test]
-fn a_snapshot_of_the_former_version_is_read_and_restored() {
-    let (state, extents) = snapshot::read(&data("state.snapshot")).unwrap();
+fn a_snapshot_of_an_earlier_version_is_read_and_restored() {
+    let StoreContents { state, extents } = snapshot::read(&data("state.snapshot")).unwrap();
     assert!(extents.is_empty());
     assert!(state.version > Version(1) && state.version < Version(12));
     assert_eq!(state.state.len(), 27);
@@ -64,19 +64,20 @@
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("restored.store");
     let epoch = grebecleat_plans::leader::Epoch(7);
-    let aside = snapshot::restore(&data("state.snapshot"), &path, epoch).unwrap();
-    assert_eq!(aside, None);
-    let (_store, restored, _) = Store::open(&path, MAX_AUDIT_LOG).unwrap();
+    let moved_to = snapshot::restore(&data("state.snapshot"), &path, epoch).unwrap();
+    assert_eq!(moved_to, None);
+    let (_store, contents) = Store::open(&path, MAX_AUDIT_LOG).unwrap();
+    let restored = contents.state;
     assert_eq!(lines(&restored), lines(&state));
     assert_eq!(restored.audit_log, state.audit_log);
     assert_eq!((restored.epoch, restored.restored), (epoch, true));
 }
 
 #[test]
-fn a_hosts_store_of_the_former_version_tells_where_its_extents_lie() {
+fn a_host_store_of_an_earlier_version_is_read_with_its_extent_placements() {
     let dir = tempfile::tempdir().unwrap();
-    let (_store, state, extents) =
-        Store::open(&copy_of("portal.store", &dir), MAX_AUDIT_LOG).unwrap();
+    let (_store, contents) = Store::open(&copy_of("portal.store", &dir), MAX_AUDIT_LOG).unwrap();
+    let StoreContents { state, extents } = contents;
     assert_eq!(extents.len(), 4);
     assert_eq!(extents.values().map(|of| of.len()).sum::<u64>(), 80);
     assert!(state.ceiling > 0);
--- a/crates/state/tests/snapshots.rs
+++ b/crates/state/tests/snapshots.rs
@@ -1,10 +1,10 @@
-//! Snapshots, whole and cut; restoring beside what was there; one thread that keeps for many.
+//! Snapshots, complete and cut; restoring where a store was; group commits of many callers.
 
 use grebecleat_plans::changes::*;
 use grebecleat_plans::leader::Epoch;
 use grebecleat_state::group_commit::GroupCommit;
 use grebecleat_state::snapshot;
-use grebecleat_state::store::{Record, Store, StoreFault};
+use grebecleat_state::store::{ExtentsByVolume, Record, Store, StoreFault};
 use std::path::Path;
 use std::sync::mpsc;
 use std::time::Duration;
@@ -44,7 +44,10 @@
     let (mut store, ..) = Store::open(path, 100).unwrap();
     let mut batch = vec![
         Record::Epoch(Epoch(5)),
-        Record::Past(Epoch(4), Version(1)),
+        Record::PastEpoch {
+            epoch: Epoch(4),
+            up_to: Version(1),
+        },
         Record::Ceiling(99),
     ];
     let volume = |id| Volume {
@@ -119,42 +122,46 @@
         vec![drain(Stage::Draining), target, scheduled],
     )));
     batch.push(Record::Revision(entry(&mut l, vec![drain(Stage::Drained)])));
-    batch.extend((0..500).map(|x| Record::Place {
+    batch.extend((0..500).map(|x| Record::ExtentPlacement {
         volume: 1 + x % 3,
         extent: x * 7 % 300,
         shard: (x % 5) as u32,
     }));
     batch.extend([
-        Record::Has("h1".into(), Version(2)),
+        Record::HostApplied {
+            host: "h1".into(),
+            version: Version(2),
+        },
         Record::Stable(Version(2)),
     ]);
-    store.keep(&batch).unwrap();
+    store.commit(&batch).unwrap();
     l
 }
 
 #[test]
-fn a_snapshot_holds_everything_and_a_restore_puts_the_old_store_aside() {
+fn a_snapshot_has_everything_and_a_restore_moves_the_old_store() {
     let dir = tempfile::tempdir().unwrap();
     let (path, snap) = (dir.path().join("s.store"), dir.path().join("s.snapshot"));
     filled(&path);
     let all = Store::open(&path, 100).unwrap().0.read().unwrap();
     snapshot::write(&snap, &all, Duration::from_secs(3)).unwrap();
     let read = snapshot::read(&snap).unwrap();
-    assert_eq!(read.0, all.0);
-    let runs = |p: &std::collections::BTreeMap<u64, grebecleat_state::extents::Extents>| {
+    assert_eq!(read.state, all.state);
+    let runs = |p: &ExtentsByVolume| {
         p.iter()
             .map(|(v, e)| (*v, e.iter().collect::<Vec<_>>()))
             .collect::<Vec<_>>()
     };
-    assert_eq!(runs(&read.1), runs(&all.1));
-    // What comes after the snapshot is not in it, and is kept aside.
+    assert_eq!(runs(&read.extents), runs(&all.extents));
+    // What comes after the snapshot is not in it, and remains in the store that was there.
     let (mut store, ..) = Store::open(&path, 100).unwrap();
-    store.keep(&[Record::Ceiling(1000)]).unwrap();
+    store.commit(&[Record::Ceiling(1000)]).unwrap();
     drop(store);
-    let aside = snapshot::restore(&snap, &path, Epoch(6))
+    let moved_to = snapshot::restore(&snap, &path, Epoch(6))
         .unwrap()
         .expect("there was one");
-    let (_, persisted, places) = Store::open(&path, 100).unwrap();
+    let (_, contents) = Store::open(&path, 100).unwrap();
+    let (persisted, places) = (contents.state, contents.extents);
     assert_eq!(
         (persisted.epoch, persisted.ceiling, persisted.restored),
         (Epoch(6), 99, true)
@@ -165,15 +172,15 @@
     );
     assert_eq!(
         (&persisted.state, &persisted.audit_log, &persisted.hosts),
-        (&all.0.state, &all.0.audit_log, &all.0.hosts)
+        (&all.state.state, &all.state.audit_log, &all.state.hosts)
     );
-    assert_eq!(runs(&places), runs(&all.1));
-    assert_eq!(Store::open(&aside, 100).unwrap().1.ceiling, 1000);
+    assert_eq!(runs(&places), runs(&all.extents));
+    assert_eq!(Store::open(&moved_to, 100).unwrap().1.state.ceiling, 1000);
     assert!(!path.with_extension("restoring").exists());
 }
 
 #[test]
-fn of_a_snapshot_that_is_cut_or_rotten_nothing_is_taken() {
+fn nothing_is_read_from_a_snapshot_that_is_cut_or_damaged() {
     let dir = tempfile::tempdir().unwrap();
     let (path, snap) = (dir.path().join("s.store"), dir.path().join("s.snapshot"));
     filled(&path);
@@ -198,7 +205,7 @@
     assert!(snapshot::read(&bad).is_err());
     // And the store stays as it was.
     assert!(snapshot::restore(&bad, &path, Epoch(9)).is_err());
-    assert_eq!(Store::open(&path, 100).unwrap().1, all.0);
+    assert_eq!(Store::open(&path, 100).unwrap().1.state, all.state);
     // One that cannot be written leaves the last one.
     let fault =
         snapshot::write(&dir.path().join("no/such/folder"), &all, Duration::ZERO).unwrap_err();
@@ -206,16 +213,16 @@
 }
 
 #[test]
-fn another_process_is_told_that_the_store_is_in_use() {
+fn a_store_in_use_is_reported_as_locked() {
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("s.store");
-    let _held = Store::open(&path, 100).unwrap();
+    let _in_use = Store::open(&path, 100).unwrap();
     assert_eq!(Store::open(&path, 100).err(), Some(StoreFault::Locked));
 }
 
-/// Of many that are kept together one makes no sense: it alone is told so, and the order stands.
+/// Of many callers in one group commit one has a wrong revision: only that one fails, and the order stays.
 #[test]
-fn nobody_falls_with_anothers_fault() {
+fn no_caller_fails_with_another_callers_fault() {
     let dir = tempfile::tempdir().unwrap();
     let (group_commit, ..) = GroupCommit::open(&dir.path().join("s.store"), 100).unwrap();
     let hosts = ["h1".into()].into();
@@ -229,7 +236,7 @@
     let (to, from) = mpsc::channel();
     for n in 0..30u64 {
         let to = to.clone();
-        let keeps = match n {
+        let records = match n {
             13 => {
                 let mut wrong = entry(&mut l.clone(), vec![plan("x", 1.0)]);
                 (wrong.version, wrong.from) = (Version(500), Version(499));
@@ -239,18 +246,19 @@
                 &mut l,
                 vec![plan("p", n as f64 + 1.0)],
             ))],
-            n => vec![Record::Place {
+            n => vec![Record::ExtentPlacement {
                 volume: 1,
                 extent: n,
                 shard: 2,
             }],
         };
-        group_commit.keep(keeps, move |done| to.send((n, done.is_ok())).unwrap());
+        group_commit.commit(records, move |done| to.send((n, done.is_ok())).unwrap());
     }
-    let told: Vec<(u64, bool)> = from.iter().take(30).collect();
-    assert_eq!(told, (0..30).map(|n| (n, n != 13)).collect::<Vec<_>>());
+    let results: Vec<(u64, bool)> = from.iter().take(30).collect();
+    assert_eq!(results, (0..30).map(|n| (n, n != 13)).collect::<Vec<_>>());
     let (seen, all) = mpsc::channel();
     group_commit.read(move |all| seen.send(all.unwrap()).unwrap());
-    let (persisted, places) = all.recv().unwrap();
+    let contents = all.recv().unwrap();
+    let (persisted, places) = (contents.state, contents.extents);
     assert_eq!((persisted.version, places[&1].len()), (l.version(), 14));
 }
--- a/crates/target/src/portal.rs
+++ b/crates/target/src/portal.rs
@@ -246,8 +246,8 @@
 /// Extents by the shard in which they lie.
 fn shards_of(store: &Places) -> BTreeMap<u32, u64> {
     let mut shards = BTreeMap::new();
-    for (_, extents, shard) in store.places.values().flat_map(Extents::iter) {
-        *shards.entry(shard).or_default() += extents;
+    for run in store.places.values().flat_map(Extents::iter) {
+        *shards.entry(run.shard).or_default() += run.length;
     }
     shards
 }
@@ -354,7 +354,7 @@
                 *self.shards.entry(shard).or_default() += 1;
                 self.news = true;
                 self.keep(
-                    Record::Place {
+                    Record::ExtentPlacement {
                         volume,
                         extent,
                         shard,
@@ -380,7 +380,7 @@
             let _ = to.send(event);
         };
         if let Some(keeper) = &self.keeper {
-            keeper.keep(vec![keep], told);
+            keeper.commit(vec![keep], told);
         }
     }
 
