--- a/crates/state/src/change_syntax/error.rs
+++ b/crates/state/src/change_syntax/error.rs
@@ -19,11 +19,11 @@
     /// Its kind of subject is unknown, or has no such form.
     #[error("expected plan, volume, node, drain, undrain, target or timed, and what is to be so")]
     UnknownForm,
-    /// A word is no field.
-    #[error("expected name=value, found {word}")]
+    /// A token is no field.
+    #[error("expected name=value, found {token}")]
     NotAField {
-        /// The word.
-        word: String,
+        /// The token.
+        token: String,
     },
     /// The subject has no such field.
     #[error("{name} is not known here; expected some of {expected}")]
--- a/crates/state/src/change_syntax/fields.rs
+++ b/crates/state/src/change_syntax/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of a line: words of the form `name=value`.
+//! The fields of a line: tokens of the form `name=value`.
 
 use super::error::SyntaxFault;
 use std::str::FromStr;
@@ -15,12 +15,13 @@
 }
 
 impl<'a> Fields<'a> {
-    pub fn parse(words: &[&'a str]) -> Result<Self, SyntaxFault> {
-        let mut unread = Vec::with_capacity(words.len());
-        for word in words {
-            let Some((name, value)) = word.split_once('=') else {
-                let word = word.to_string();
-                return Err(SyntaxFault::NotAField { word });
+    /// The fields of a line; a fault if a token has no `=`.
+    pub fn parse(tokens: &[&'a str]) -> Result<Self, SyntaxFault> {
+        let mut unread = Vec::with_capacity(tokens.len());
+        for token in tokens {
+            let Some((name, value)) = token.split_once('=') else {
+                let token = token.to_string();
+                return Err(SyntaxFault::NotAField { token });
             };
             unread.push(Field { name, value });
         }
@@ -58,7 +59,8 @@
         Ok(())
     }
 
-    /// Ends the line; a fault if it has a field that was not read. `expected`: the names of all fields.
+    /// Ends the line; a fault if it has a field that was not read. `expected`: the names of all
+    /// fields.
     pub fn end(self, expected: &'static str) -> Result<(), SyntaxFault> {
         match self.unread.first() {
             Some(field) => Err(SyntaxFault::UnknownField {
--- a/crates/state/src/change_syntax/format.rs
+++ b/crates/state/src/change_syntax/format.rs
@@ -98,7 +98,8 @@
 /// use grebecleat_state::change_syntax::{format_differences, parse_change};
 /// let parse = |line| parse_change(&Catalog::default(), line).unwrap();
 /// let lines = |now, before| format_differences(&[parse(now)], &[parse(before)]);
-/// assert_eq!(lines("drain 3", "drain 3 queued within=1m"), ["drain 3: no longer queued no longer within=1m"]);
+/// let line = "drain 3: no longer queued no longer within=1m";
+/// assert_eq!(lines("drain 3", "drain 3 queued within=1m"), [line]);
 /// assert_eq!(lines("drain 3 empty", "drain 3"), ["drain 3: empty (was none)"]);
 /// ```
 pub fn format_differences(changes: &[Change], before: &[Change]) -> Vec<String> {
@@ -118,10 +119,10 @@
 fn format_difference(change: &Change, before: &Change) -> String {
     let new_line = format_change(change);
     let old_line = format_change(before);
-    let new_words: Vec<&str> = new_line.split(' ').collect();
-    let old_words: Vec<&str> = old_line.split(' ').collect();
+    let new_tokens: Vec<&str> = new_line.split(' ').collect();
+    let old_tokens: Vec<&str> = old_line.split(' ').collect();
     // Each line begins with its kind and name.
-    let (new_fields, old_fields) = (&new_words[2..], &old_words[2..]);
+    let (new_fields, old_fields) = (&new_tokens[2..], &old_tokens[2..]);
     let mut differences = Vec::new();
     for new in new_fields {
         if old_fields.contains(new) {
@@ -144,13 +145,13 @@
     }
     format!(
         "{} {}: {}",
-        new_words[0],
-        new_words[1],
+        new_tokens[0],
+        new_tokens[1],
         differences.join(" ")
     )
 }
 
-/// The name of a field; None of a word without a value, such as the stage of a drain.
-fn field_name(word: &str) -> Option<&str> {
-    word.split_once('=').map(|(name, _)| name)
+/// The name of a field; None of a token without a value, such as the stage of a drain.
+fn field_name(token: &str) -> Option<&str> {
+    token.split_once('=').map(|(name, _)| name)
 }
--- a/crates/state/src/change_syntax/parse.rs
+++ b/crates/state/src/change_syntax/parse.rs
@@ -5,7 +5,8 @@
 use grebecleat_plans::changes::{Catalog, Change, Drain, Name, Node, Plan, Stage, Volume};
 use std::sync::Arc;
 
-/// The change that a line means, against the present catalog: fields that it does not name stay as they are.
+/// The change that a line means, against the present catalog: fields that it does not name stay as
+/// they are.
 ///
 /// ```
 /// use grebecleat_plans::changes::{Change, Catalog, Plan};
@@ -15,19 +16,19 @@
 /// let plan = Change::Plan { name: "basic".into(), to: Some(to) };
 /// assert_eq!(parse_change(&catalog, "plan basic rate=12 weight=3"), Ok(plan));
 /// let error = parse_change(&catalog, "plan basic rat=12").unwrap_err().to_string();
-/// assert_eq!(error, "\"plan basic rat=12\": rat is not known here; expected some of rate, reservation, \
-///                    limit, burst, slack, weight, price");
+/// assert_eq!(error, "\"plan basic rat=12\": rat is not known here; expected some of rate, \
+///                    reservation, limit, burst, slack, weight, price");
 /// ```
 pub fn parse_change(catalog: &Catalog, line: &str) -> Result<Change, SyntaxError> {
-    let words: Vec<&str> = line.split_whitespace().collect();
-    parse_words(catalog, &words).map_err(|fault| SyntaxError {
+    let tokens: Vec<&str> = line.split_whitespace().collect();
+    parse_tokens(catalog, &tokens).map_err(|fault| SyntaxError {
         line: line.into(),
         fault,
     })
 }
 
-fn parse_words(catalog: &Catalog, words: &[&str]) -> Result<Change, SyntaxFault> {
-    let [kind, name, rest @ ..] = words else {
+fn parse_tokens(catalog: &Catalog, tokens: &[&str]) -> Result<Change, SyntaxFault> {
+    let [kind, name, rest @ ..] = tokens else {
         return Err(SyntaxFault::NoSubject);
     };
     match (*kind, rest) {
@@ -46,7 +47,7 @@
             to: None,
         }),
         ("node", fields) => parse_node(catalog, name, fields),
-        ("drain", words) => parse_drain(catalog, name, words),
+        ("drain", tokens) => parse_drain(catalog, name, tokens),
         ("undrain", []) => Ok(Change::Drain {
             node: find_node(catalog, name)?,
             to: None,
@@ -64,13 +65,13 @@
     }
 }
 
-fn parse_plan(catalog: &Catalog, name: &str, words: &[&str]) -> Result<Change, SyntaxFault> {
+fn parse_plan(catalog: &Catalog, name: &str, tokens: &[&str]) -> Result<Change, SyntaxFault> {
     let mut plan = catalog.plan(name).cloned().unwrap_or(Plan {
         weight: 1.0,
         price: 1.0,
         ..Plan::default()
     });
-    let mut fields = Fields::parse(words)?;
+    let mut fields = Fields::parse(tokens)?;
     fields.read("rate", &mut plan.rate)?;
     fields.read("reservation", &mut plan.reservation)?;
     fields.read("limit", &mut plan.limit)?;
@@ -85,10 +86,10 @@
     })
 }
 
-fn parse_volume(catalog: &Catalog, name: &str, words: &[&str]) -> Result<Change, SyntaxFault> {
+fn parse_volume(catalog: &Catalog, name: &str, tokens: &[&str]) -> Result<Change, SyntaxFault> {
     let id = parse_value("volume", name)?;
     let known = catalog.volume(id);
-    let mut fields = Fields::parse(words)?;
+    let mut fields = Fields::parse(tokens)?;
     let mut volume = known.cloned().unwrap_or_else(|| Volume {
         plan: "".into(),
         hosts: [].into(),
@@ -117,9 +118,9 @@
     })
 }
 
-fn parse_node(catalog: &Catalog, name: &str, words: &[&str]) -> Result<Change, SyntaxFault> {
+fn parse_node(catalog: &Catalog, name: &str, tokens: &[&str]) -> Result<Change, SyntaxFault> {
     let id = parse_value("node", name)?;
-    let mut fields = Fields::parse(words)?;
+    let mut fields = Fields::parse(tokens)?;
     let mut node = catalog.node(id).cloned().unwrap_or_else(|| Node {
         shard: id,
         ..Node::default()
@@ -139,22 +140,22 @@
     Ok(Change::Node { id, to: Some(node) })
 }
 
-fn parse_drain(catalog: &Catalog, name: &str, words: &[&str]) -> Result<Change, SyntaxFault> {
+fn parse_drain(catalog: &Catalog, name: &str, tokens: &[&str]) -> Result<Change, SyntaxFault> {
     let node = find_node(catalog, name)?;
     let known = catalog.drain(node);
-    let named_stage = words.first().and_then(|word| stage_named(word));
-    let (stage, words) = match named_stage {
-        Some(stage) => (stage, &words[1..]),
+    let named_stage = tokens.first().and_then(|token| stage_named(token));
+    let (stage, tokens) = match named_stage {
+        Some(stage) => (stage, &tokens[1..]),
         None => {
             let present = known.map_or(Stage::Draining, |drain| drain.stage);
-            (present.max(Stage::Draining), words)
+            (present.max(Stage::Draining), tokens)
         }
     };
     let mut drain = Drain {
         stage,
         ..known.cloned().unwrap_or_default()
     };
-    let mut fields = Fields::parse(words)?;
+    let mut fields = Fields::parse(tokens)?;
     if let Some(text) = fields.take("within") {
         drain.within = humantime::parse_duration(text).map_err(|_| SyntaxFault::BadDuration {
             text: text.to_string(),
@@ -167,8 +168,8 @@
     })
 }
 
-fn parse_target(name: &str, words: &[&str]) -> Result<Change, SyntaxFault> {
-    let mut fields = Fields::parse(words)?;
+fn parse_target(name: &str, tokens: &[&str]) -> Result<Change, SyntaxFault> {
+    let mut fields = Fields::parse(tokens)?;
     let mut volumes = Arc::from([]);
     fields.read_list("volumes", &mut volumes)?;
     fields.end("volumes")?;
@@ -184,7 +185,8 @@
     Some(*stage)
 }
 
-/// A node by its name or number. A number need not be a known node's: the leader rejects what makes no sense.
+/// A node by its name or number. A number need not be a known node's: the leader rejects what makes
+/// no sense.
 fn find_node(catalog: &Catalog, name: &str) -> Result<u32, SyntaxFault> {
     if let Some(node) = catalog.node_called(name) {
         return Ok(node);
--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -1,7 +1,7 @@
 //! An operator's side of the state service's protocol: one connection, one call at a time.
 //!
-//! Called by the operator's commands and by the benchmark. Blocks: a call that is not answered within
-//! [`IO_TIMEOUT`] fails. A connection after an error is in no known state: connect again.
+//! Called by the operator's commands and by the benchmark. Blocks: a call that is not answered
+//! within [`IO_TIMEOUT`] fails. A connection after an error is in no known state: connect again.
 
 use crate::codec::{changes_from_proto, revision_from_proto, DecodeError};
 use grebecleat_plans::changes::{Change, Revision, Version};
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Sends a change, an undo, or another decision of an operator; `body` gets the number of the call.
+    /// Sends a change, an undo, or another decision of an operator; `body` gets the number of the
+    /// call.
     pub fn change(&mut self, body: impl FnOnce(u64) -> Body) -> io::Result<Reply> {
         match self.call(body)? {
             Body::ChangeCommitted(committed) => Ok(Reply::Committed(committed)),
--- a/crates/state/src/codec/mod.rs
+++ b/crates/state/src/codec/mod.rs
@@ -1,7 +1,7 @@
 //! Changes and revisions as protobuf messages, for the store and for the wire, and back.
 //!
-//! What is decoded may be damaged or forged: everything that makes no sense is a [`DecodeError`] with its
-//! place, and nothing of the message is accepted. No state, no I/O.
+//! What is decoded may be damaged or forged: everything that makes no sense is a [`DecodeError`]
+//! with its place, and nothing of the message is accepted. No state, no I/O.
 
 mod decode;
 mod encode;
--- a/crates/state/src/declared_config.rs
+++ b/crates/state/src/declared_config.rs
@@ -1,7 +1,7 @@
 //! What a settings file declares, as the changes that would make it.
 //!
-//! Called by the state service for the first revision of a new store, and by the operator's commands that
-//! compare a file with the state. No state, no I/O.
+//! Called by the state service for the first revision of a new store, and by the operator's
+//! commands that compare a file with the state. No state, no I/O.
 
 use grebecleat_plans::changes::{Catalog, Change, Deployment, Name, Node, Plan, Version, Volume};
 use grebecleat_settings::Settings;
@@ -15,7 +15,8 @@
     }
 }
 
-/// Plans, nodes, volumes and targets of a settings file, in an order in which each refers only to earlier ones.
+/// Plans, nodes, volumes and targets of a settings file, in an order in which each refers only to
+/// earlier ones.
 pub fn declared_changes(settings: &Settings) -> Vec<Change> {
     let mut changes = Vec::new();
     changes.extend(plans(settings));
@@ -25,7 +26,8 @@
     changes
 }
 
-/// The changes that lead from what a settings file declares to `state`, for commands without a service.
+/// The changes that lead from what a settings file declares to `state`, for commands without a
+/// service.
 pub fn changes_from_declared(
     settings: &Settings,
     state: impl IntoIterator<Item = Change>,
--- a/crates/state/src/extents.rs
+++ b/crates/state/src/extents.rs
@@ -1,11 +1,12 @@
 //! Placement of a volume's extents on shards: an index over runs.
 //!
-//! Extents are numbers that mostly come in runs on one shard, since new ones go to the first node of their
-//! volume's ranking until that is full enough. So the index stores runs, of twelve bytes, in chunks of at most
-//! [`MAX_RUNS_PER_CHUNK`], found by their first extent in an ordered map. A look-up is one step in the map and
-//! one binary search in a chunk. Memory: twelve bytes a run, a chunk at least half full after a split; a plain
-//! ordered map takes some fourteen bytes an extent. Where every run is one extent long it is no smaller than
-//! that (measured by `grebecleat-bench extents`). No I/O.
+//! Extents are numbers that mostly come in runs on one shard, since new ones go to the first node
+//! of their volume's ranking until that is full enough. So the index stores runs, of twelve bytes,
+//! in chunks of at most [`MAX_RUNS_PER_CHUNK`], found by their first extent in an ordered map. A
+//! look-up is one step in the map and one binary search in a chunk. Memory: twelve bytes a run, a
+//! chunk at least half full after a split; a plain ordered map takes some fourteen bytes an extent.
+//! Where every run is one extent long it is no smaller than that (measured by
+//! `grebecleat-bench extents`). No I/O.
 
 use std::collections::BTreeMap;
 
--- a/crates/state/src/extents/tests.rs
+++ b/crates/state/src/extents/tests.rs
@@ -2,7 +2,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Extents in any order, near and far apart, and moved again; the counts and runs are right as well.
+/// Extents in any order, near and far apart, and moved again; the counts and runs are right as
+/// well.
 #[test]
 fn it_has_the_same_contents_as_an_ordered_map() {
     for seed in 0..120 {
--- a/crates/state/src/group_commit.rs
+++ b/crates/state/src/group_commit.rs
@@ -1,9 +1,9 @@
 //! The one thread of a process that writes its store.
 //!
-//! Commits block, and coroutines and owners of decisions must not. A caller hands over its records with a
-//! callback for the result; what has arrived meanwhile goes into one commit. Where that fails, each caller's
-//! records are committed by themselves, so that no caller fails with another's fault. Callbacks are called in
-//! the order in which the records were handed over.
+//! Commits block, and coroutines and owners of decisions must not. A caller hands over its records
+//! with a callback for the result; what has arrived meanwhile goes into one commit. Where that
+//! fails, each caller's records are committed by themselves, so that no caller fails with another's
+//! fault. Callbacks are called in the order in which the records were handed over.
 //!
 //! State: the open store, and an unbounded queue; the callers bound what they have outstanding.
 
@@ -56,8 +56,8 @@
         GroupCommit { jobs: sender }
     }
 
-    /// Commits records, whole or not at all. `done` gets the result on the thread of the store, and must not
-    /// block.
+    /// Commits records, completely or not at all. `done` gets the result on the thread of the
+    /// store, and must not block.
     pub fn commit(
         &self,
         records: Vec<Record>,
@@ -67,8 +67,8 @@
         let _ = self.jobs.send(Job::Commit(CommitJob { records, done }));
     }
 
-    /// Reads everything as it is stored, after all that was handed over before. `done` gets the contents on
-    /// the thread of the store, and must not block.
+    /// Reads everything as it is stored, after all that was handed over before. `done` gets the
+    /// contents on the thread of the store, and must not block.
     pub fn read(&self, done: impl FnOnce(Result<StoreContents, StoreFault>) + Send + 'static) {
         let _ = self.jobs.send(Job::Read(Box::new(done)));
     }
--- a/crates/state/src/parts.rs
+++ b/crates/state/src/parts.rs
@@ -7,7 +7,8 @@
 
 /// Sends records in parts of at most [`PART_BYTES`], or of one record that is larger.
 ///
-/// `send` gets each part, and whether another follows. There is always at least one part, if an empty one.
+/// `send` gets each part, and whether another follows. There is always at least one part, if an
+/// empty one.
 pub(crate) fn send_in_parts<T: Message>(
     records: impl Iterator<Item = T>,
     mut send: impl FnMut(Vec<T>, bool),
--- a/crates/state/src/service/actions.rs
+++ b/crates/state/src/service/actions.rs
@@ -29,7 +29,7 @@
     /// The host gets the revisions after `from` and up to `to`.
     from: Version,
     to: Version,
-    /// The host does not have `from`: the whole state as of then comes first.
+    /// The host does not have `from`: the complete state as of then comes first.
     snapshot: bool,
     stable: Version,
     lease: Duration,
@@ -189,7 +189,7 @@
                 .filter(|change| is_for(change, &host))
                 .map(|change| change_to_proto(&change));
             send_in_parts(state, |state, _| {
-                peer.connection.send(Body::ConfigUpdate(pb::ConfigUpdate {
+                peer.frames.send(Body::ConfigUpdate(pb::ConfigUpdate {
                     state,
                     // The revisions follow, if none but an empty part.
                     more: true,
@@ -202,7 +202,7 @@
             .filter(|revision| revision.version <= grant.to)
             .map(|revision| revision_to_proto(&for_host(catalog, grant.stable, revision, &host)));
         send_in_parts(revisions, |revisions, more| {
-            peer.connection.send(Body::ConfigUpdate(pb::ConfigUpdate {
+            peer.frames.send(Body::ConfigUpdate(pb::ConfigUpdate {
                 revisions,
                 more,
                 ..head.clone()
--- a/crates/state/src/service/connection.rs
+++ b/crates/state/src/service/connection.rs
@@ -1,18 +1,16 @@
 //! One connection: a thread that reads its frames, and one that writes them.
 
 use super::event::ServiceEvent;
+use super::frame_sender::{FrameSender, MAX_QUEUED_FRAMES};
 use grebecleat_wire::pb::{self, frame::Body};
 use grebecleat_wire::trace::Tracer;
 use grebecleat_wire::{clock, frame, VERSION};
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpStream};
-use std::sync::mpsc::{self, Receiver, Sender, SyncSender, TrySendError};
+use std::sync::mpsc::{self, Receiver, Sender};
 use std::sync::Arc;
 use std::time::Duration;
-use tracing::warn;
 
-/// Frames that wait to be written; a peer that leaves more unread is disconnected.
-pub(super) const MAX_QUEUED_FRAMES: usize = 1024;
 /// Bytes of the largest frame that is accepted.
 const MAX_FRAME_BYTES: usize = 16 << 20;
 /// Frames that are written at once.
@@ -20,33 +18,8 @@
 /// How long a peer may take to say hello, and a write may block.
 const IO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// The owner's side of a connection.
-#[derive(Clone)]
-pub(super) struct Connection {
-    frames: SyncSender<Body>,
-    stream: Arc<TcpStream>,
-}
-
-impl Connection {
-    /// Queues a frame; disconnects a peer that leaves too many unread.
-    pub fn send(&self, body: Body) {
-        if let Err(TrySendError::Full(_)) = self.frames.try_send(body) {
-            warn!(
-                frames = MAX_QUEUED_FRAMES,
-                "slow consumer: peer leaves its answers unread"
-            );
-            self.disconnect();
-        }
-    }
-
-    /// Closes the connection, which ends both of its threads.
-    pub fn disconnect(&self) {
-        let _ = self.stream.shutdown(Shutdown::Both);
-    }
-}
-
-/// Reads a connection's frames until it ends. An error if the peer breaks the protocol before or after its
-/// hello, or is silent before it.
+/// Reads a connection's frames until it ends. An error if the peer breaks the protocol before or
+/// after its hello, or is silent before it.
 pub(super) fn run_connection(
     mut stream: TcpStream,
     conn: u64,
@@ -154,10 +127,7 @@
         let _ = self.to_owner.send(ServiceEvent::Connected {
             conn,
             hello: Box::new(hello),
-            connection: Connection {
-                frames: sender,
-                stream: self.stream.clone(),
-            },
+            frames: FrameSender::new(sender, self.stream.clone()),
         });
         Ok(())
     }
--- a/crates/state/src/service/event.rs
+++ b/crates/state/src/service/event.rs
@@ -1,6 +1,6 @@
-//! What the owner of the state is told by the other threads.
+//! What the other threads report to the owner of the state.
 
-use super::connection::Connection;
+use super::frame_sender::FrameSender;
 use grebecleat_wire::pb::{self, frame::Body};
 
 /// An event for the owner of the state.
@@ -9,7 +9,7 @@
     Connected {
         conn: u64,
         hello: Box<pb::Hello>,
-        connection: Connection,
+        frames: FrameSender,
     },
     /// A peer sent a frame.
     Frame { conn: u64, body: Box<Body> },
--- /dev/null
+++ b/crates/state/src/service/frame_sender.rs
@@ -0,0 +1,40 @@
+//! The owner's side of a connection: sends frames to its writer thread, without blocking.
+
+use grebecleat_wire::pb::frame::Body;
+use std::net::{Shutdown, TcpStream};
+use std::sync::mpsc::{SyncSender, TrySendError};
+use std::sync::Arc;
+use tracing::warn;
+
+/// Frames that wait to be written; a peer that leaves more unread is disconnected.
+pub(super) const MAX_QUEUED_FRAMES: usize = 1024;
+
+/// The owner's side of a connection.
+#[derive(Clone)]
+pub(super) struct FrameSender {
+    queue: SyncSender<Body>,
+    stream: Arc<TcpStream>,
+}
+
+impl FrameSender {
+    /// `queue`: what the connection's writer thread reads.
+    pub fn new(queue: SyncSender<Body>, stream: Arc<TcpStream>) -> Self {
+        FrameSender { queue, stream }
+    }
+
+    /// Queues a frame; disconnects a peer that leaves too many unread.
+    pub fn send(&self, body: Body) {
+        if let Err(TrySendError::Full(_)) = self.queue.try_send(body) {
+            warn!(
+                frames = MAX_QUEUED_FRAMES,
+                "slow consumer: peer leaves its answers unread"
+            );
+            self.disconnect();
+        }
+    }
+
+    /// Closes the connection, which ends both of its threads.
+    pub fn disconnect(&self) {
+        let _ = self.stream.shutdown(Shutdown::Both);
+    }
+}
--- a/crates/state/src/service/frames.rs
+++ b/crates/state/src/service/frames.rs
@@ -44,7 +44,7 @@
             (Body::GoingAway(_), _) => {}
             _ => {
                 warn!(name = %peer.name, "peer sent a frame that is not of its role");
-                peer.connection.disconnect();
+                peer.frames.disconnect();
             }
         }
     }
@@ -128,10 +128,11 @@
             return;
         };
         if let Some(peer) = self.peers.get(&peer_call.conn) {
-            peer.connection.send(body(peer_call.call));
+            peer.frames.send(body(peer_call.call));
         }
     }
 
+    /// Rejects an operator's change.
     pub(super) fn reject(&mut self, call: CallId, reason: String) {
         self.reply(call, |call| {
             Body::ChangeRejected(pb::ChangeRejected { call, reason })
--- a/crates/state/src/service/membership.rs
+++ b/crates/state/src/service/membership.rs
@@ -1,16 +1,14 @@
 //! Connects the leader with the membership: each learns what the other decides.
 
 use super::owner::Owner;
-use super::wall_time;
+use super::wall_time::wall_time;
 use grebecleat_membership::drains::{
-    Action as MembershipAction, Ask, Event as MembershipEvent, Membership, NodeFacts,
+    Action as MembershipAction, Event as MembershipEvent, NodeFacts,
 };
 use grebecleat_plans::changes::{Change, Version};
 use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::leader::{CallId, Event as LeaderEvent, Proposal};
+use grebecleat_plans::leader::{Event as LeaderEvent, Proposal};
 use grebecleat_wire::clock;
-use std::collections::BTreeMap;
-use std::time::Duration;
 use tracing::info;
 
 /// Rounds between the leader and the membership in one step; the rest waits for the next step.
@@ -18,45 +16,10 @@
 /// Author of the membership's own proposals in the audit log.
 const AUTHOR: &str = "drains";
 
-/// The membership, and what it has been told.
-pub(super) struct MembershipLink {
-    membership: Membership,
-    /// The version up to which the membership knows the catalog.
-    known: Version,
-    /// What the membership knows of the version that each host has acknowledged.
-    acknowledged: BTreeMap<HostNumber, Option<Version>>,
-    /// The membership's own proposals that wait for their result.
-    proposals: BTreeMap<CallId, Ask>,
-}
-
-impl MembershipLink {
-    pub fn new(membership: Membership) -> Self {
-        MembershipLink {
-            membership,
-            known: Version(0),
-            acknowledged: BTreeMap::new(),
-            proposals: BTreeMap::new(),
-        }
-    }
-
-    pub fn state(&self) -> &Membership {
-        &self.membership
-    }
-
-    /// When the membership must be stepped next.
-    pub fn wake_at(&self) -> Option<Duration> {
-        self.membership.wake_at()
-    }
-
-    /// The membership's proposal under that call, which then has its result.
-    pub fn take_proposal(&mut self, call: CallId) -> Option<Ask> {
-        self.proposals.remove(&call)
-    }
-}
-
 impl Owner<'_> {
-    /// Steps the membership with `events` and with what is new in the catalog, and the leader with what the
-    /// membership proposes, which may have its result at once, until both have nothing new.
+    /// Steps the membership with `events` and with what is new in the catalog, and the leader with
+    /// what the membership proposes, which may have its result at once, until both have nothing
+    /// new.
     pub(super) fn step_membership(&mut self, mut events: Vec<MembershipEvent>) {
         for _ in 0..MAX_ROUNDS_PER_STEP {
             self.add_catalog_events(&mut events);
@@ -96,7 +59,7 @@
                     }
                 }
             }
-            // At first, and where the audit log no longer reaches back so far: the whole state.
+            // At first, and where the audit log no longer reaches back so far: the complete state.
             _ => {
                 for change in catalog.state_at(persisted) {
                     let version = catalog.last_changed(&change.subject());
@@ -155,7 +118,7 @@
     }
 }
 
-/// What the membership is told of a stored change; None: it does not concern it.
+/// The event of a stored change; None if it is of no node and no drain.
 fn membership_event(version: Version, change: Change) -> Option<MembershipEvent> {
     match change {
         Change::Node { id, to } => {
--- a/crates/state/src/service/mod.rs
+++ b/crates/state/src/service/mod.rs
@@ -1,32 +1,44 @@
 //! The state service on its sockets.
 //!
-//! One thread, the owner, has the [`Leader`] and all other state; each connection has one thread that reads
-//! and one that writes. Hosts and operators speak frames of `plans.proto`. What the decisions want stored goes
-//! to the [`GroupCommit`], one commit for all of a step. Nothing is decided here but when to disconnect a peer.
+//! One thread, the owner, has the [`Leader`] and all other state; each connection has one thread
+//! that reads and one that writes. Hosts and operators speak frames of `plans.proto`. What the
+//! decisions want stored goes to the [`GroupCommit`], one commit for all of a step. Nothing is
+//! decided here but when to disconnect a peer.
 //!
 //! - `listener`: accepts connections. `connection`: the reader and writer threads.
-//! - `owner`: the loop; `frames`: what peers ask; `actions`: what the leader decides; `membership`: what the
-//!   drains' state machine decides; `query`: what operators look at; `snapshots`: the regular snapshot.
+//! - `owner`: the loop; `frames`: what peers ask; `actions`: what the leader decides; `membership`:
+//!   what the drains' state machine decides; `query`: what operators look at; `snapshots`: the
+//!   regular snapshot.
 //!
-//! Called by the command `state-service`, as [`serve`], which returns once [`Handle::stop`] was called.
+//! Called by the command `state-service`, as [`serve`], which returns once [`Handle::stop`] was
+//! called.
 //!
-//! Bounds: 1,024 connections; a writer's queue has 1,024 frames, each of at most some 128 KiB or one record,
-//! and a peer that leaves more unread is disconnected. Snapshots are written beside the store, by a thread of
-//! their own.
+//! Bounds: 1,024 connections; a writer's queue has 1,024 frames, each of at most some 128 KiB or
+//! one record, and a peer that leaves more unread is disconnected. Snapshots are written beside the
+//! store, by a thread of their own.
 
 mod actions;
 mod connection;
+mod error;
 mod event;
+mod frame_sender;
 mod frames;
 mod listener;
 mod membership;
+mod membership_link;
+mod options;
 mod owner;
 mod query;
+mod snapshot_schedule;
 mod snapshots;
+mod wall_time;
+
+pub use error::ServiceError;
+pub use options::Options;
 
 use crate::declared_config::deployment;
 use crate::group_commit::GroupCommit;
-use crate::store::{Record, StoreFault, StoredState};
+use crate::store::{Record, StoredState};
 use event::ServiceEvent;
 use grebecleat_membership::drains::Membership;
 use grebecleat_plans::changes::{Catalog, Name, Version};
@@ -34,67 +46,12 @@
 use grebecleat_plans::leader::{Epoch, InitialState, Leader};
 use grebecleat_settings::{Settings, StateSpec};
 use grebecleat_wire::clock;
-use grebecleat_wire::trace::Tracer;
 use owner::{Owner, OwnerStart};
 use std::collections::BTreeMap;
-use std::io;
 use std::net::{SocketAddr, TcpListener};
-use std::path::PathBuf;
-use std::sync::mpsc::{self, RecvError, Sender};
-use std::sync::Arc;
-use std::time::{Duration, SystemTime};
-
-/// What a service is started with.
-pub struct Options {
-    /// The settings; they must name a `state_service()`.
-    pub settings: Arc<Settings>,
-    /// How the settings file is named in the audit log.
-    pub file: String,
-    /// Path of the store, which is created if it does not exist.
-    pub store: PathBuf,
-    /// Address to listen on; port 0 takes any.
-    pub listen: SocketAddr,
-    /// Records all frames, if it is on.
-    pub tracer: Tracer,
-}
-
-/// Why a service did not start. Its text is what operators see.
-#[derive(Debug, thiserror::Error)]
-pub enum ServiceError {
-    /// The settings have no state service.
-    #[error("the settings name no state_service()")]
-    NotInSettings,
-    /// The store cannot serve.
-    #[error("store {}: {fault}", path.display())]
-    Store {
-        /// Path of the store.
-        path: PathBuf,
-        /// What is wrong with it.
-        fault: StoreFault,
-    },
-    /// The thread of the store ended.
-    #[error(transparent)]
-    StoreThreadEnded(#[from] RecvError),
-    /// The first revision, of what the settings declare, was rejected.
-    #[error("{file}: {reason}")]
-    DeclarationRejected {
-        /// The settings file.
-        file: String,
-        /// Why it was rejected.
-        reason: String,
-    },
-    /// The address cannot be listened on.
-    #[error("cannot listen on {address}: {error}")]
-    Listen {
-        /// The address.
-        address: SocketAddr,
-        /// The system's error.
-        error: io::Error,
-    },
-    /// The system does not name the address that the service listens on.
-    #[error(transparent)]
-    LocalAddress(io::Error),
-}
+use std::sync::mpsc::{self, Sender};
+use std::time::Duration;
+use wall_time::wall_time;
 
 /// Stops a running service.
 #[derive(Clone)]
@@ -114,13 +71,6 @@
     Epoch((wall_time().as_nanos() as u64) ^ u64::from(std::process::id()) << 48 | 1)
 }
 
-/// Time since 1970 by the system's clock.
-fn wall_time() -> Duration {
-    SystemTime::now()
-        .duration_since(SystemTime::UNIX_EPOCH)
-        .unwrap_or_default()
-}
-
 /// Serves until [`Handle::stop`]. `started` gets the address that the service listens on.
 pub fn serve(
     options: Options,
--- a/crates/state/src/service/owner.rs
+++ b/crates/state/src/service/owner.rs
@@ -1,10 +1,12 @@
 //! The owner of the state: one thread with the leader, the membership and the peers.
 
-use super::connection::Connection;
+use super::error::ServiceError;
 use super::event::ServiceEvent;
-use super::membership::MembershipLink;
-use super::snapshots::SnapshotSchedule;
-use super::{wall_time, Options, ServiceError};
+use super::frame_sender::FrameSender;
+use super::membership_link::MembershipLink;
+use super::options::Options;
+use super::snapshot_schedule::SnapshotSchedule;
+use super::wall_time::wall_time;
 use crate::declared_config::declared_changes;
 use crate::group_commit::GroupCommit;
 use crate::subscription::{EventLog, ServiceView, Subscription, MIN_UPDATE_INTERVAL};
@@ -27,7 +29,9 @@
 
 /// A connected host or operator.
 pub(super) struct Peer {
-    pub connection: Connection,
+    /// Where its frames are sent.
+    pub frames: FrameSender,
+    /// The name of its hello.
     pub name: String,
     /// None: an operator.
     pub host: Option<HostNumber>,
@@ -38,6 +42,7 @@
 /// A call of a peer that waits for its answer.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PeerCall {
+    /// The peer's connection.
     pub conn: u64,
     /// The peer's number of the call.
     pub call: u64,
@@ -61,6 +66,7 @@
     pub to_owner: Sender<ServiceEvent>,
 }
 
+/// The leader, the membership, and everything about peers and commits that the loop needs.
 pub(super) struct Owner<'a> {
     pub options: &'a Options,
     pub leader: Leader,
@@ -75,6 +81,7 @@
     pub peers: BTreeMap<u64, Peer>,
     /// Calls of peers by the number under which the leader has them.
     pub calls: BTreeMap<CallId, PeerCall>,
+    /// The last number that was given to a call.
     pub last_call: u64,
     /// The last failure of the store; empty once a commit succeeds.
     pub store_fault: String,
@@ -85,6 +92,7 @@
 }
 
 impl<'a> Owner<'a> {
+    /// An owner without peers.
     pub fn new(start: OwnerStart<'a>) -> Self {
         Owner {
             options: start.options,
@@ -181,8 +189,8 @@
             ServiceEvent::Connected {
                 conn,
                 hello,
-                connection,
-            } => self.handle_connected(conn, *hello, connection, input),
+                frames,
+            } => self.handle_connected(conn, *hello, frames, input),
             ServiceEvent::Disconnected { conn } => self.handle_disconnected(conn, input),
             ServiceEvent::Frame { conn, body } => self.handle_frame(conn, *body, input),
             ServiceEvent::Persisted { up_to } => {
@@ -200,7 +208,7 @@
             }
             ServiceEvent::QueryResult { conn, result } => {
                 if let Some(peer) = self.peers.get(&conn) {
-                    peer.connection.send(Body::QueryResult(*result));
+                    peer.frames.send(Body::QueryResult(*result));
                 }
             }
             ServiceEvent::Stop => {
@@ -214,22 +222,22 @@
         &mut self,
         conn: u64,
         hello: pb::Hello,
-        connection: Connection,
+        frames: FrameSender,
         input: &mut StepInput,
     ) {
         let host = match (hello.role(), self.host_number(&hello.name)) {
             (pb::Role::Operator, _) => None,
             (pb::Role::Host, Some(host)) => Some(host),
             _ => {
-                warn!(name = %hello.name, "peer is neither an operator nor a host of these settings");
-                return connection.disconnect();
+                warn!(name = %hello.name, "peer is neither an operator nor a host of the settings");
+                return frames.disconnect();
             }
         };
         if let Some(host) = host {
             // Of a host that connects again only the new connection counts.
             for peer in self.peers.values_mut() {
                 if peer.host == Some(host) {
-                    peer.connection.disconnect();
+                    peer.frames.disconnect();
                     peer.superseded = true;
                 }
             }
@@ -239,7 +247,7 @@
             });
         }
         let peer = Peer {
-            connection,
+            frames,
             name: hello.name,
             host,
             superseded: false,
@@ -296,7 +304,7 @@
         let hosts = self.host_status();
         let view = ServiceView {
             leader: &self.leader,
-            membership: self.membership.state(),
+            membership: &self.membership.membership,
             event_log: &self.event_log,
             epoch: self.epoch.0,
             store_fault: &self.store_fault,
@@ -307,7 +315,7 @@
                 continue;
             };
             subscription.update(&view, Instant::now(), |update| {
-                peer.connection.send(Body::SubscriptionUpdate(update))
+                peer.frames.send(Body::SubscriptionUpdate(update))
             });
         }
     }
--- a/crates/state/src/service/query.rs
+++ b/crates/state/src/service/query.rs
@@ -34,7 +34,7 @@
 
     fn send_result(&self, conn: u64, result: pb::QueryResult) {
         if let Some(peer) = self.peers.get(&conn) {
-            peer.connection.send(Body::QueryResult(result));
+            peer.frames.send(Body::QueryResult(result));
         }
     }
 
@@ -88,8 +88,8 @@
         self.send_result(conn, result);
     }
 
-    /// Works out moves of extents that would meet the reservations without the nodes in `empty`, in a thread
-    /// of its own: it may take seconds, and hosts must not wait for it.
+    /// Works out moves of extents that would meet the reservations without the nodes in `empty`, in
+    /// a thread of its own: it may take seconds, and hosts must not wait for it.
     fn propose_moves(&self, conn: u64, empty: Vec<u32>, head: pb::QueryResult) {
         let catalog = self.leader.catalog();
         let admission = self.leader.admission();
--- a/crates/state/src/snapshot/read.rs
+++ b/crates/state/src/snapshot/read.rs
@@ -1,6 +1,6 @@
 //! Reads a snapshot.
 
-use super::{damaged, disk, FORMAT, MAX_PART_BYTES};
+use super::file::{damaged, disk, FORMAT, MAX_PART_BYTES};
 use crate::codec::{change_from_proto, revision_from_proto};
 use crate::store::{StoreContents, StoreFault, StoredState};
 use grebecleat_plans::changes::Version;
@@ -11,7 +11,7 @@
 use std::fs::File;
 use std::path::Path;
 
-/// Reads a whole snapshot; of one that is damaged or cut short nothing is returned.
+/// Reads a complete snapshot; of one that is damaged or cut short nothing is returned.
 pub fn read(path: &Path) -> Result<StoreContents, StoreFault> {
     let mut file = File::open(path).map_err(|error| disk(path, &error))?;
     let mut frames = frame::Reader::new(MAX_PART_BYTES);
--- a/crates/state/src/snapshot/restore.rs
+++ b/crates/state/src/snapshot/restore.rs
@@ -1,6 +1,7 @@
 //! Builds a store from a snapshot.
 
-use super::{disk, read, sync_folder};
+use super::file::{disk, sync_folder};
+use super::read::read;
 use crate::store::{Record, Store, StoreContents, StoreFault};
 use grebecleat_plans::leader::Epoch;
 use std::path::{Path, PathBuf};
@@ -8,9 +9,11 @@
 /// Placements of extents of one commit.
 const PLACEMENTS_PER_COMMIT: usize = 20_000;
 
-/// Builds a store from a snapshot, in a new epoch. Returns where a store that was there was moved to.
+/// Builds a store from a snapshot, in a new epoch. Returns where a store that was there was moved
+/// to.
 ///
-/// A fault if the snapshot cannot be read or the store not be written; the store that was there then stays.
+/// A fault if the snapshot cannot be read or the store not be written; the store that was there
+/// then stays.
 pub fn restore(snapshot: &Path, store: &Path, epoch: Epoch) -> Result<Option<PathBuf>, StoreFault> {
     let contents = read(snapshot)?;
     let temporary = store.with_extension("restoring");
--- a/crates/state/src/snapshot/write.rs
+++ b/crates/state/src/snapshot/write.rs
@@ -1,6 +1,6 @@
 //! Writes a snapshot.
 
-use super::{disk, sync_folder, FORMAT};
+use super::file::{disk, sync_folder, FORMAT};
 use crate::codec::{change_to_proto, revision_to_proto};
 use crate::store::{StoreContents, StoreFault, StoredState};
 use grebecleat_wire::{clock, frame, pb};
--- a/crates/state/src/store/backend.rs
+++ b/crates/state/src/store/backend.rs
@@ -1,7 +1,7 @@
 //! How the database is opened: on a file, or on a disk that a test provides.
 
 use super::fault::{damaged, disk, StoreResult};
-use super::schema::migrate;
+use super::migrate::migrate;
 use redb::{Builder, Database, StorageBackend};
 use std::panic::AssertUnwindSafe;
 use std::path::{Path, PathBuf};
@@ -46,7 +46,8 @@
     pub fn open(&self) -> StoreResult<Database> {
         let mut builder = Builder::new();
         builder.set_cache_size(CACHE_BYTES);
-        // Every page is checked, since a plain opening trusts what it finds and may fail much later.
+        // Every page is checked, since a plain opening trusts what it finds and may fail much
+        // later.
         builder.set_check_integrity_on_open(true);
         match self {
             Backend::File(path) => {
@@ -60,8 +61,8 @@
     }
 }
 
-/// Creates a file under another name and moves it, so that one whose creation was cut off is never taken for
-/// a store.
+/// Creates a file under another name and moves it, so that one whose creation was cut off is never
+/// taken for a store.
 fn create_file(builder: &Builder, path: &Path) -> StoreResult<()> {
     let temporary = path.with_extension("making");
     let _ = std::fs::remove_file(&temporary);
--- a/crates/state/src/store/batch.rs
+++ b/crates/state/src/store/batch.rs
@@ -1,7 +1,7 @@
 //! A write transaction that maintains the checksum over the file.
 //!
-//! Used by [`super::commit`] and by the migration. Every record is written through one of these functions, so
-//! that no write can miss the sum.
+//! Used by [`super::commit`] and by the migration. Every record is written through one of these
+//! functions, so that no write can miss the sum.
 
 use super::checksum::{seal, unseal, FileChecksum, TableNumber};
 use super::extent_chunk::{chunk_key, chunk_place, decode_runs, encode_runs, EXTENTS_PER_CHUNK};
@@ -33,6 +33,7 @@
 }
 
 impl ExtentPlacements {
+    /// The extent lies on that shard from now on.
     pub fn add(&mut self, volume: u64, extent: u64, shard: u32) {
         let chunk = extent / EXTENTS_PER_CHUNK;
         let chunk = self.by_chunk.entry(ChunkId { volume, chunk });
@@ -40,6 +41,15 @@
     }
 }
 
+/// A figure within a transaction; 0 if it is not stored.
+pub(super) fn read_figure(write: &WriteTransaction, name: &str) -> StoreResult<u64> {
+    let value = write
+        .open_table(META)?
+        .get(name)?
+        .map(|value| value.value());
+    Ok(value.unwrap_or(0))
+}
+
 /// A transaction, with the sum over all records as it changes.
 pub(super) struct Batch<'a> {
     write: &'a WriteTransaction,
@@ -55,6 +65,7 @@
         }
     }
 
+    /// The transaction, to read from.
     pub fn write(&self) -> &'a WriteTransaction {
         self.write
     }
@@ -198,7 +209,7 @@
     }
 
     /// Removes all records of the catalog: its state and its audit log.
-    pub fn clear_catalog(&mut self) -> StoreResult<()> {
+    pub fn remove_catalog(&mut self) -> StoreResult<()> {
         let mut keys = Vec::new();
         for entry in self.write.open_table(STATE)?.iter()? {
             let (key, _) = entry?;
--- a/crates/state/src/store/checksum.rs
+++ b/crates/state/src/store/checksum.rs
@@ -1,12 +1,13 @@
-//! Checksums of single records and of the whole file.
+//! Checksums of single records and of the file.
 //!
-//! Every record carries a checksum of its key and value, so that a byte that rots is found with its place. The
-//! file carries one sum over all records, so that a record that goes missing, or one that returns from an
-//! older page with a checksum that is right in itself, is found as well.
+//! Every record carries a checksum of its key and value, so that a byte that rots is found with its
+//! place. The file carries one sum over all records, so that a record that goes missing, or one
+//! that returns from an older page with a checksum that is right in itself, is found as well.
 
 use super::fault::{damaged, StoreResult};
 
-/// Which table a record's contribution to the sum belongs to. The numbers are part of the file format.
+/// Which table a record's contribution to the sum belongs to. The numbers are part of the file
+/// format.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum TableNumber {
     State = 0,
@@ -48,10 +49,12 @@
 pub(super) struct FileChecksum(pub u64);
 
 impl FileChecksum {
+    /// Adds a record.
     pub fn add(&mut self, table: TableNumber, key: &[u8], bytes: &[u8]) {
         self.0 = self.0.wrapping_add(contribution(table, key, bytes));
     }
 
+    /// Takes out a record that was added.
     pub fn remove(&mut self, table: TableNumber, key: &[u8], bytes: &[u8]) {
         self.0 = self.0.wrapping_sub(contribution(table, key, bytes));
     }
--- a/crates/state/src/store/commit.rs
+++ b/crates/state/src/store/commit.rs
@@ -1,20 +1,20 @@
 //! One batch of records in one transaction.
 
-use super::batch::{Batch, ExtentPlacements};
+use super::batch::{read_figure, Batch, ExtentPlacements};
 use super::checksum::unseal;
 use super::fault::{damaged, disk, StoreResult};
 use super::record::Record;
-use super::schema::{figure, read_figure, AUDIT_LOG};
+use super::schema::{figure, AUDIT_LOG};
 use crate::codec::revision_from_proto;
 use grebecleat_plans::changes::{Revision, Version};
 use grebecleat_wire::pb;
 use prost::Message;
 use redb::{Database, ReadableTable};
 
-/// Stores a batch whole or not at all, and returns the version of the catalog after it.
+/// Stores a batch completely or not at all, and returns the version of the catalog after it.
 ///
-/// `reported`: the version that the caller knows to be stored. What is stored beyond it came with a commit
-/// that was reported as failed and arrived nevertheless; it is rolled back first.
+/// `reported`: the version that the caller knows to be stored. What is stored beyond it came with a
+/// commit that was reported as failed and arrived nevertheless; it is rolled back first.
 /// `max_audit_log`: revisions of the audit log that remain, besides those that are not yet stable.
 pub(super) fn commit(
     database: &Database,
@@ -52,7 +52,8 @@
 }
 
 impl Transaction<'_> {
-    /// Undoes the revisions after `reported`: an earlier commit arrived though it was reported as failed.
+    /// Undoes the revisions after `reported`: an earlier commit arrived though it was reported as
+    /// failed.
     fn roll_back_to(&mut self, reported: Version) -> StoreResult<()> {
         while self.version > reported.0 {
             let revision = self.stored_revision(self.version)?;
@@ -102,7 +103,7 @@
                 state,
                 audit_log,
             } => {
-                self.batch.clear_catalog()?;
+                self.batch.remove_catalog()?;
                 for change in state {
                     self.batch.put_change(change)?;
                 }
@@ -150,7 +151,8 @@
         Ok(self.version)
     }
 
-    /// The audit log has its maximum length, and is longer only by revisions that are not yet stable.
+    /// The audit log has its maximum length, and is longer only by revisions that are not yet
+    /// stable.
     fn trim_audit_log(&mut self, max_audit_log: u64) -> StoreResult<()> {
         let last_removed = self.version.saturating_sub(max_audit_log).min(self.stable);
         loop {
--- a/crates/state/src/store/extent_chunk.rs
+++ b/crates/state/src/store/extent_chunk.rs
@@ -6,7 +6,8 @@
 use super::fault::{damaged, StoreResult};
 use crate::extents::Extents;
 
-/// Extents of one record: a placement rewrites one, and ten million extents are some 160,000 of them.
+/// Extents of one record: a placement rewrites one, and ten million extents are some 160,000 of
+/// them.
 pub(super) const EXTENTS_PER_CHUNK: u64 = 64;
 /// Bytes of one run.
 const RUN_BYTES: usize = 6;
--- a/crates/state/src/store/fault.rs
+++ b/crates/state/src/store/fault.rs
@@ -1,7 +1,7 @@
 //! Why a store cannot serve.
 //!
-//! Returned by every operation of [`crate::store::Store`] and of [`crate::snapshot`]; shown to operators as it
-//! is. Every error of the database library is translated here, and only here.
+//! Returned by every operation of [`crate::store::Store`] and of [`crate::snapshot`]; shown to
+//! operators as it is. Every error of the database library is translated here, and only here.
 
 use super::schema::SCHEMA;
 use std::fmt;
--- a/crates/state/src/store/mod.rs
+++ b/crates/state/src/store/mod.rs
@@ -1,18 +1,20 @@
 //! The catalog, its audit log and the placement of extents, in one file that survives crashes.
 //!
-//! Called as [`Store::open`] at a start, which reads and returns everything, and then [`Store::commit`] with
-//! batches of [`Record`]s, each of which is stored whole or not at all when it returns. `redb` is the database:
-//! one file, copy on write, atomic commits, no thread and no log of its own. Considered instead: SQLite, which
-//! is C and needs its own build; a log of our own, which would be a database written again.
+//! Called as [`Store::open`] at a start, which reads and returns everything, and then
+//! [`Store::commit`] with batches of [`Record`]s, each of which is stored completely or not at all
+//! when it returns. `redb` is the database: one file, copy on write, atomic commits, no thread and
+//! no log of its own. Considered instead: SQLite, which is C and needs its own build; a log of our
+//! own, which would be a database written again.
 //!
-//! What `redb` does not promise is added here. Every record carries a checksum of its key and value, and the
-//! file one sum over all of them, so that a byte that rots, a record that goes missing or one that returns from
-//! an older page is found at the next start and reported with its place, instead of served. All pages are
-//! checked when the file is opened, and nothing is written to a file in which something is wrong.
+//! What `redb` does not promise is added here. Every record carries a checksum of its key and
+//! value, and the file one sum over all of them, so that a byte that rots, a record that goes
+//! missing or one that returns from an older page is found at the next start and reported with its
+//! place, instead of served. All pages are checked when the file is opened, and nothing is written
+//! to a file in which something is wrong.
 //!
-//! After a commit that failed it is unknown whether it is stored. The file is opened again to see; where even
-//! that fails, [`StoreFault::Unknown`] says so, and what is then stored beyond what the caller knows is rolled
-//! back with the next batch.
+//! After a commit that failed it is unknown whether it is stored. The file is opened again to see;
+//! where even that fails, [`StoreFault::Unknown`] says so, and what is then stored beyond what the
+//! caller knows is rolled back with the next batch.
 //!
 //! Memory: what the caller retains of the contents, and the database's cache of 64 MiB.
 
@@ -23,6 +25,7 @@
 mod extent_chunk;
 mod fault;
 mod load;
+mod migrate;
 mod record;
 mod schema;
 
@@ -49,8 +52,8 @@
 impl Store {
     /// Opens the file, or creates it, and reads everything in it.
     ///
-    /// `max_audit_log`: revisions that remain in the audit log, besides all that are not yet stable. Any
-    /// [`StoreFault`] but `Unknown` is possible.
+    /// `max_audit_log`: revisions that remain in the audit log, besides all that are not yet
+    /// stable. Any [`StoreFault`] but `Unknown` is possible.
     pub fn open(path: &Path, max_audit_log: u64) -> Result<(Store, StoreContents), StoreFault> {
         Store::open_backend(Backend::File(path.to_path_buf()), max_audit_log)
     }
@@ -66,7 +69,7 @@
     fn open_backend(backend: Backend, max_audit_log: u64) -> StoreResult<(Store, StoreContents)> {
         catch_panic(move || {
             let mut database = backend.open()?;
-            schema::migrate(&mut database)?;
+            migrate::migrate(&mut database)?;
             let contents = load::load(&database)?;
             let store = Store {
                 backend,
@@ -78,7 +81,7 @@
         })
     }
 
-    /// Stores a batch, whole or not at all. After a fault it may be called again.
+    /// Stores a batch, completely or not at all. After a fault it may be called again.
     pub fn commit(&mut self, batch: &[Record]) -> Result<(), StoreFault> {
         let database = self.take_database()?;
         let committed =
--- a/crates/state/src/store/record.rs
+++ b/crates/state/src/store/record.rs
@@ -5,7 +5,7 @@
 use grebecleat_plans::leader::Epoch;
 use std::collections::BTreeMap;
 
-/// One thing to store. A batch of records is stored whole or not at all.
+/// One thing to store. A batch of records is stored completely or not at all.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
     /// A revision of the catalog; it must follow the stored version.
@@ -34,7 +34,7 @@
     EpochForcedAt(Version),
     /// The store was restored from a snapshot: hosts that the snapshot does not name may exist.
     Restored,
-    /// The whole catalog, in place of everything of it that is stored.
+    /// The complete catalog, in place of everything of it that is stored.
     Snapshot {
         /// Version of the state.
         version: Version,
--- a/crates/state/src/subscription/mod.rs
+++ b/crates/state/src/subscription/mod.rs
@@ -1,9 +1,9 @@
 //! Watch subscriptions of operators: everything at first, then what has changed.
 //!
-//! Called by the state service's loop: [`EventLog::add`] with what has happened, and [`Subscription::update`]
-//! with the present state, which sends the frames for one subscriber. Each update is the difference to what
-//! was sent before, so that a slow subscriber gets fewer updates, and nothing twice. State, for each
-//! subscriber: the last report of every node. No I/O.
+//! Called by the state service's loop: [`EventLog::add`] with what has happened, and
+//! [`Subscription::update`] with the present state, which sends the frames for one subscriber. Each
+//! update is the difference to what was sent before, so that a slow subscriber gets fewer updates,
+//! and nothing twice. State, for each subscriber: the last report of every node. No I/O.
 
 mod event_log;
 mod node_report;
@@ -139,7 +139,7 @@
         changed
     }
 
-    /// Sends an update with the revisions after the last one, or with the whole state.
+    /// Sends an update with the revisions after the last one, or with the complete state.
     fn send_update(
         &self,
         view: &ServiceView,
--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -1,4 +1,7 @@
-//! A disk that loses what was not synced, tears what was being written, fills up, and fails when told to.
+//! A disk that loses what was not synced, tears what was being written, fills up, and fails when
+//! set to.
+
+pub mod model;
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -6,7 +9,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// What a disk writes in one piece.
+/// Bytes that a disk writes atomically.
 const SECTOR: usize = 512;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/state/tests/faults.rs
+++ b/crates/state/tests/faults.rs
@@ -1,205 +1,16 @@
-//! The store on disks that lose power, fail, fill up and rot: after each start the state is the one before or
-//! the one after the last batch, nothing that was reported as stored is lost, the audit log agrees with the
-//! state, and damage is reported.
+//! The store on disks that lose power, fail, fill up and rot: after each start the state is the one
+//! before or the one after the last batch, nothing that was reported as stored is lost, the audit
+//! log agrees with the state, and damage is reported.
 
 mod common;
 
+use common::model::{open, run, Model, AUDIT_LOG};
 use common::{Disk, Fails};
-use grebecleat_plans::changes::*;
+use grebecleat_plans::changes::Version;
 use grebecleat_plans::leader::Epoch;
-use grebecleat_state::extents::ExtentRun;
-use grebecleat_state::store::{ExtentsByVolume, Record, Store, StoreContents, StoreFault};
+use grebecleat_state::store::{Record, StoreFault};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::collections::BTreeMap;
-use std::time::Duration;
-
-const AUDIT_LOG: u64 = 6;
-
-/// What should be in the store.
-#[derive(Clone)]
-struct Model {
-    catalog: Catalog,
-    stable: Version,
-    hosts: BTreeMap<Name, Version>,
-    places: BTreeMap<(u64, u64), u32>,
-    rng: Pcg64Mcg,
-}
-
-impl Model {
-    fn new(seed: u64) -> Self {
-        let facts = Deployment {
-            hosts: ["h1", "h2"].map(Name::from).into(),
-            max_dispatch_delay: Duration::ZERO,
-        };
-        let (stable, hosts, places) = (Version(0), BTreeMap::new(), BTreeMap::new());
-        let rng = Pcg64Mcg::seed_from_u64(seed);
-        Model {
-            catalog: Catalog::new(facts, 1000),
-            stable,
-            hosts,
-            places,
-            rng,
-        }
-    }
-
-    fn change(&mut self) -> Vec<Change> {
-        let name: Name =
-            ["basic", "gold", "a plan with a longer name"][self.rng.random_range(0..3)].into();
-        let reservation = f64::from(self.rng.random_range(0..1000));
-        let to = Some(Plan {
-            rate: 1.0,
-            reservation,
-            ..Plan::default()
-        });
-        let plan = Change::Plan {
-            name: name.clone(),
-            to,
-        };
-        let id = self.rng.random_range(0..20);
-        let hosts = ["h1".into(), "h2".into()].into();
-        let to = Volume {
-            plan: name,
-            hosts,
-            shards: (0..self.rng.random_range(1..40)).collect(),
-            blocks: 8,
-        };
-        match self.rng.random_range(0..6) {
-            0 => vec![Change::Volume { id, to: None }],
-            _ => vec![plan, Change::Volume { id, to: Some(to) }],
-        }
-    }
-
-    /// The next batch, laid over the model.
-    fn batch(&mut self) -> Vec<Record> {
-        let mut batch = Vec::new();
-        for _ in 0..self.rng.random_range(1..4) {
-            let changes = self.change();
-            let by = ChangeContext {
-                author: "op",
-                reason: "test",
-                ..ChangeContext::default()
-            };
-            if let Ok(revision) = self.catalog.propose(self.catalog.version(), by, changes) {
-                self.catalog.apply(revision.clone()).unwrap();
-                batch.push(Record::Revision(revision));
-            }
-            let (volume, extent, shard) = (
-                self.rng.random_range(0..3),
-                self.rng.random_range(0..300),
-                self.rng.random_range(0..5),
-            );
-            self.places.insert((volume, extent), shard);
-            batch.push(Record::ExtentPlacement {
-                volume,
-                extent,
-                shard,
-            });
-        }
-        if self.rng.random() {
-            self.stable = Version(
-                self.rng
-                    .random_range(self.stable.0..=self.catalog.version().0),
-            );
-            batch.push(Record::Stable(self.stable));
-        }
-        if self.rng.random() {
-            let (host, applied) = (Name::from("h1"), self.catalog.version());
-            self.hosts.insert(host.clone(), applied);
-            batch.push(Record::HostApplied {
-                host,
-                version: applied,
-            });
-        }
-        batch
-    }
-
-    /// Whether exactly this is in the store.
-    fn check_equal(&self, contents: &StoreContents) -> Result<(), String> {
-        let persisted = &contents.state;
-        let then = Catalog::new(self.catalog.facts().clone(), 1000);
-        let then = then.restored(
-            persisted.version,
-            persisted.state.clone(),
-            persisted.audit_log.clone(),
-        );
-        let all = |l: &Catalog| l.state().collect::<Vec<_>>();
-        let places = placements(&contents.extents);
-        let own = (
-            self.catalog.version(),
-            self.stable,
-            &self.hosts,
-            &self.places,
-        );
-        let found = (
-            persisted.version,
-            persisted.stable,
-            &persisted.hosts,
-            &places,
-        );
-        if own != found || all(&then) != all(&self.catalog) {
-            return Err(format!(
-                "version {:?} and not {:?}, or not the same in it",
-                persisted.version,
-                self.catalog.version()
-            ));
-        }
-        // The audit log leads from its first revision to the state, and has all that is not yet stable.
-        let first = persisted
-            .audit_log
-            .first()
-            .map_or(persisted.version, |e| e.from);
-        if first > self.stable
-            || persisted
-                .audit_log
-                .iter()
-                .zip(self.catalog.since(first).unwrap())
-                .any(|(a, b)| a != b)
-        {
-            return Err("another audit log".into());
-        }
-        Ok(())
-    }
-}
-
-/// Shards by volume and extent.
-fn placements(extents: &ExtentsByVolume) -> BTreeMap<(u64, u64), u32> {
-    let mut placements = BTreeMap::new();
-    for (volume, extents) in extents {
-        for run in extents.iter() {
-            let ExtentRun {
-                first,
-                length,
-                shard,
-            } = run;
-            for extent in first..first + length {
-                placements.insert((*volume, extent), shard);
-            }
-        }
-    }
-    placements
-}
-
-fn open(disk: &Disk) -> Result<(Store, StoreContents), StoreFault> {
-    let disk = disk.clone();
-    Store::open_on(move || disk.backend(), AUDIT_LOG)
-}
-
-/// Commits batches until one fails; returns the states that may be found then.
-fn run(seed: u64, batches: usize, disk: &Disk) -> Vec<Model> {
-    let mut model = Model::new(seed);
-    let Ok((mut store, ..)) = open(disk) else {
-        return vec![model];
-    };
-    for _ in 0..batches {
-        let before = model.clone();
-        let batch = model.batch();
-        if store.commit(&batch).is_err() {
-            return vec![before, model];
-        }
-    }
-    vec![model]
-}
 
 #[test]
 fn after_power_loss_at_any_write_or_sync_the_state_is_before_or_after_the_batch() {
@@ -249,7 +60,8 @@
     );
 }
 
-/// One operation fails and the process continues: whether the batch arrived or not, the report is right.
+/// One operation fails and the process continues: whether the batch arrived or not, the report is
+/// right.
 #[test]
 fn after_any_single_disk_failure_the_store_has_what_was_reported() {
     let snapshot = Disk::default();
@@ -277,7 +89,8 @@
                         rng: model.rng,
                         ..before
                     };
-                    // Placements and hosts' versions may be stored: it was not reported that they are.
+                    // Placements and hosts' versions may be stored: it was not reported that they
+                    // are.
                     for record in &batch {
                         if let Record::ExtentPlacement { volume, extent, .. } = record {
                             model.places.remove(&(*volume, *extent));
@@ -306,36 +119,6 @@
     );
 }
 
-impl Model {
-    /// The catalog is exactly this; the other contents may be more than was reported.
-    fn check_contains(&self, contents: &StoreContents) -> Result<(), String> {
-        let persisted = &contents.state;
-        let then = Catalog::new(self.catalog.facts().clone(), 1000);
-        let then = then.restored(
-            persisted.version,
-            persisted.state.clone(),
-            persisted.audit_log.clone(),
-        );
-        if persisted.version != self.catalog.version()
-            || !then.changes_towards(&self.catalog).is_empty()
-        {
-            return Err(format!(
-                "version {:?} and not {:?}",
-                persisted.version,
-                self.catalog.version()
-            ));
-        }
-        let lost = self.places.iter().find(|((volume, extent), shard)| {
-            let extents = contents.extents.get(volume);
-            extents.and_then(|extents| extents.get(*extent)) != Some(**shard)
-        });
-        match lost {
-            Some(lost) => Err(format!("{lost:?} is lost")),
-            None => Ok(()),
-        }
-    }
-}
-
 #[test]
 fn a_read_only_disk_and_a_full_one_are_reported_and_nothing_is_lost() {
     let disk = Disk::default();
@@ -353,8 +136,8 @@
     store.commit(&model.batch()).unwrap();
 }
 
-/// Whatever byte rots, the store reports it or still has everything; it never serves something else, and
-/// never writes to what it cannot read.
+/// Whatever byte rots, the store reports it or still has everything; it never serves something
+/// else, and never writes to what it cannot read.
 #[test]
 fn a_byte_that_rots_is_reported_or_does_not_matter() {
     let disk = Disk::default();
@@ -431,7 +214,9 @@
         let mut places = write
             .open_table(redb::TableDefinition::<(u64, u64), u32>::new("places"))
             .unwrap();
-        (0..200u64).for_each(|x| _ = places.insert((7, x * 3), (x % 4) as u32).unwrap());
+        for x in 0..200u64 {
+            places.insert((7, x * 3), (x % 4) as u32).unwrap();
+        }
         write
             .open_table(redb::TableDefinition::<(), u64>::new("ceiling"))
             .unwrap()
--- a/crates/state/tests/snapshots.rs
+++ b/crates/state/tests/snapshots.rs
@@ -19,22 +19,23 @@
     }
 }
 
-fn entry(l: &mut Catalog, changes: Vec<Change>) -> Revision {
+/// Applies a revision with these changes to the catalog.
+fn next_revision(catalog: &mut Catalog, changes: Vec<Change>) -> Revision {
     let by = ChangeContext {
         author: "op",
         reason: "test",
         at: Duration::from_secs(7),
         ..ChangeContext::default()
     };
-    let revision = l.propose(l.version(), by, changes).unwrap();
-    l.apply(revision.clone()).unwrap();
+    let revision = catalog.propose(catalog.version(), by, changes).unwrap();
+    catalog.apply(revision.clone()).unwrap();
     revision
 }
 
 /// A store with some of everything in it.
 fn filled(path: &Path) -> Catalog {
     let hosts = ["h1".into()].into();
-    let mut l = Catalog::new(
+    let mut catalog = Catalog::new(
         Deployment {
             hosts,
             max_dispatch_delay: Duration::ZERO,
@@ -60,8 +61,8 @@
         id,
         to: Some(volume(id)),
     });
-    batch.push(Record::Revision(entry(
-        &mut l,
+    batch.push(Record::Revision(next_revision(
+        &mut catalog,
         [plan("p", 3.0)].into_iter().chain(volumes).collect(),
     )));
     let node = Node {
@@ -74,8 +75,8 @@
         id: 1,
         to: Some(node),
     };
-    batch.push(Record::Revision(entry(
-        &mut l,
+    batch.push(Record::Revision(next_revision(
+        &mut catalog,
         vec![
             node,
             Change::Node {
@@ -117,11 +118,14 @@
         id: 1,
         to: Some(scheduled),
     };
-    batch.push(Record::Revision(entry(
-        &mut l,
+    batch.push(Record::Revision(next_revision(
+        &mut catalog,
         vec![drain(Stage::Draining), target, scheduled],
     )));
-    batch.push(Record::Revision(entry(&mut l, vec![drain(Stage::Drained)])));
+    batch.push(Record::Revision(next_revision(
+        &mut catalog,
+        vec![drain(Stage::Drained)],
+    )));
     batch.extend((0..500).map(|x| Record::ExtentPlacement {
         volume: 1 + x % 3,
         extent: x * 7 % 300,
@@ -135,7 +139,7 @@
         Record::Stable(Version(2)),
     ]);
     store.commit(&batch).unwrap();
-    l
+    catalog
 }
 
 #[test]
@@ -220,13 +224,14 @@
     assert_eq!(Store::open(&path, 100).err(), Some(StoreFault::Locked));
 }
 
-/// Of many callers in one group commit one has a wrong revision: only that one fails, and the order stays.
+/// Of many callers in one group commit one has a wrong revision: only that one fails, and the order
+/// stays.
 #[test]
 fn no_caller_fails_with_another_callers_fault() {
     let dir = tempfile::tempdir().unwrap();
     let (group_commit, ..) = GroupCommit::open(&dir.path().join("s.store"), 100).unwrap();
     let hosts = ["h1".into()].into();
-    let mut l = Catalog::new(
+    let mut catalog = Catalog::new(
         Deployment {
             hosts,
             max_dispatch_delay: Duration::ZERO,
@@ -238,12 +243,12 @@
         let to = to.clone();
         let records = match n {
             13 => {
-                let mut wrong = entry(&mut l.clone(), vec![plan("x", 1.0)]);
+                let mut wrong = next_revision(&mut catalog.clone(), vec![plan("x", 1.0)]);
                 (wrong.version, wrong.from) = (Version(500), Version(499));
                 vec![Record::Revision(wrong)]
             }
-            n if n % 2 == 0 => vec![Record::Revision(entry(
-                &mut l,
+            n if n % 2 == 0 => vec![Record::Revision(next_revision(
+                &mut catalog,
                 vec![plan("p", n as f64 + 1.0)],
             ))],
             n => vec![Record::ExtentPlacement {
@@ -260,5 +265,8 @@
     group_commit.read(move |all| seen.send(all.unwrap()).unwrap());
     let contents = all.recv().unwrap();
     let (persisted, places) = (contents.state, contents.extents);
-    assert_eq!((persisted.version, places[&1].len()), (l.version(), 14));
+    assert_eq!(
+        (persisted.version, places[&1].len()),
+        (catalog.version(), 14)
+    );
 }
