--- a/crates/state/tests/common/mod.rs
+++ b/crates/state/tests/common/mod.rs
@@ -15,21 +15,21 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fails {
     Never,
-    /// The machine dies at that operation: it, and all after it, come to nothing.
-    DiesAt(u64),
+    /// The machine loses power at that operation: it, and all after it, have no effect.
+    PowerLossAt(u64),
     /// That one operation fails, with nothing done.
     OnceAt(u64),
-    /// From that operation on nothing can be written, for so many.
+    /// From that operation on nothing can be written, for that number of operations.
     FullFrom(u64, u64),
     ReadOnly,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// What a machine that starts anew finds for certain.
+    /// What a machine certainly finds after a restart.
     durable: Vec<u8>,
-    /// What the running one sees.
-    seen: Vec<u8>,
+    /// What the running machine reads.
+    visible: Vec<u8>,
     /// Writes since the last sync, by sector, oldest first; and lengths.
     pending: Vec<(usize, Vec<u8>)>,
     ops: u64,
@@ -40,36 +40,38 @@
 pub struct Disk(Arc<Mutex<Inner>>);
 
 impl Disk {
+    /// A disk with these contents, all of them durable.
     pub fn of(bytes: Vec<u8>) -> Disk {
         Disk(Arc::new(Mutex::new(Inner {
             durable: bytes.clone(),
-            seen: bytes,
+            visible: bytes,
             ..Inner::default()
         })))
     }
 
+    /// How the disk fails from now on.
     pub fn fails(&self, fails: Fails) {
         self.0.lock().unwrap().fails = Some(fails);
     }
 
-    /// Operations so far that change it: writes, lengths and syncs.
+    /// Number of operations so far that change the disk: writes, changes of its length, and syncs.
     pub fn ops(&self) -> u64 {
         self.0.lock().unwrap().ops
     }
 
     pub fn bytes(&self) -> Vec<u8> {
-        self.0.lock().unwrap().seen.clone()
+        self.0.lock().unwrap().visible.clone()
     }
 
-    /// What is found after the machine died: all that was synced, and any sectors of the rest.
-    pub fn after_death(&self, seed: u64) -> Vec<u8> {
+    /// What is found after a power loss: all that was synced, and any sectors of the rest.
+    pub fn after_power_loss(&self, seed: u64) -> Vec<u8> {
         let inner = self.0.lock().unwrap();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut bytes = inner.durable.clone();
         // The file's length changes at once or not at all; what was never written reads as zeroes.
         bytes.resize(
             if rng.random() {
-                inner.seen.len().max(bytes.len())
+                inner.visible.len().max(bytes.len())
             } else {
                 bytes.len()
             },
@@ -93,7 +95,7 @@
         let op = inner.ops;
         inner.ops += 1;
         let reason = match inner.fails {
-            Some(Fails::DiesAt(at)) if op >= at => "the machine died",
+            Some(Fails::PowerLossAt(at)) if op >= at => "power was lost",
             Some(Fails::OnceAt(at)) if op == at => "input/output error",
             Some(Fails::FullFrom(at, n)) if op >= at && op < at + n => "no space left on device",
             Some(Fails::ReadOnly) => "read-only file system",
@@ -105,14 +107,14 @@
 
 impl StorageBackend for Disk {
     fn len(&self) -> io::Result<u64> {
-        Ok(self.0.lock().unwrap().seen.len() as u64)
+        Ok(self.0.lock().unwrap().visible.len() as u64)
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
         let inner = self.0.lock().unwrap();
         let (from, to) = (offset as usize, offset as usize + out.len());
         let bytes = inner
-            .seen
+            .visible
             .get(from..to)
             .ok_or_else(|| io::Error::other("read beyond the end"))?;
         out.copy_from_slice(bytes);
@@ -120,38 +122,38 @@
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.op(|inner| inner.seen.resize(len as usize, 0))
+        self.op(|inner| inner.visible.resize(len as usize, 0))
     }
 
     fn sync_data(&self) -> io::Result<()> {
         self.op(|inner| {
-            inner.durable = inner.seen.clone();
+            inner.durable = inner.visible.clone();
             inner.pending.clear();
         })
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        // What was being written when the machine died may lie there in part.
+        // What was being written when the power was lost may lie there in part.
         {
             let mut inner = self.0.lock().unwrap();
-            if matches!(inner.fails, Some(Fails::DiesAt(at)) if inner.ops == at) {
+            if matches!(inner.fails, Some(Fails::PowerLossAt(at)) if inner.ops == at) {
                 let sectors = data.chunks(SECTOR).enumerate();
                 let torn: Vec<_> = sectors
-                    .map(|(i, s)| (offset as usize + i * SECTOR, s.to_vec()))
+                    .map(|(index, sector)| (offset as usize + index * SECTOR, sector.to_vec()))
                     .collect();
                 inner.pending.extend(torn);
             }
         }
         self.op(|inner| {
             let at = offset as usize;
-            if inner.seen.len() < at + data.len() {
-                inner.seen.resize(at + data.len(), 0);
+            if inner.visible.len() < at + data.len() {
+                inner.visible.resize(at + data.len(), 0);
             }
-            inner.seen[at..at + data.len()].copy_from_slice(data);
+            inner.visible[at..at + data.len()].copy_from_slice(data);
             let sectors = data.chunks(SECTOR).enumerate();
             inner
                 .pending
-                .extend(sectors.map(|(i, s)| (at + i * SECTOR, s.to_vec())));
+                .extend(sectors.map(|(index, sector)| (at + index * SECTOR, sector.to_vec())));
         })
     }
 }
--- a/crates/state/tests/faults.rs
+++ b/crates/state/tests/faults.rs
@@ -14,42 +14,42 @@
 
 #[test]
 fn after_power_loss_at_any_write_or_sync_the_state_is_before_or_after_the_batch() {
-    let snapshot = Disk::default();
-    run(1, 8, &snapshot);
-    let made = Disk::default();
-    drop(open(&made));
-    let (from, to) = (made.ops(), snapshot.ops());
+    let full_run = Disk::default();
+    run(1, 8, &full_run);
+    let created = Disk::default();
+    drop(open(&created));
+    let (from, to) = (created.ops(), full_run.ops());
     assert!(to - from > 60, "{from} to {to}");
     let mut found = [0, 0];
     for at in 0..to {
         let disk = Disk::default();
-        disk.fails(Fails::DiesAt(at));
-        let may_be = run(1, 8, &disk);
+        disk.fails(Fails::PowerLossAt(at));
+        let candidates = run(1, 8, &disk);
         for seed in 0..4 {
-            let disk = Disk::of(disk.after_death(at * 100 + seed));
+            let disk = Disk::of(disk.after_power_loss(at * 100 + seed));
             let (mut store, contents) = match open(&disk) {
                 Ok(opened) => opened,
                 // Nothing was ever reported as stored in a store whose creation was cut off.
                 Err(_) if at < from => continue,
-                Err(fault) => panic!("died at {at}, seed {seed}: {fault}"),
+                Err(fault) => panic!("power lost at {at}, seed {seed}: {fault}"),
             };
-            let which = may_be
+            let which = candidates
                 .iter()
                 .position(|model| model.check_equal(&contents).is_ok());
             let which = which.unwrap_or_else(|| {
                 panic!(
-                    "died at {at}, seed {seed}: {:?}",
-                    may_be[0].check_equal(&contents)
+                    "power lost at {at}, seed {seed}: {:?}",
+                    candidates[0].check_equal(&contents)
                 )
             });
             found[which] += 1;
             // And the store continues from there.
-            let mut model = may_be[which].clone();
-            store.commit(&model.batch()).expect("the disk is well");
+            let mut model = candidates[which].clone();
+            store.commit(&model.batch()).expect("the disk works");
             let contents = store.read().unwrap();
-            model
-                .check_equal(&contents)
-                .unwrap_or_else(|e| panic!("died at {at}, seed {seed}, gone on: {e}"));
+            model.check_equal(&contents).unwrap_or_else(|error| {
+                panic!("power lost at {at}, seed {seed}, continued: {error}")
+            });
         }
     }
     assert!(
@@ -64,25 +64,25 @@
 /// right.
 #[test]
 fn after_any_single_disk_failure_the_store_has_what_was_reported() {
-    let snapshot = Disk::default();
-    run(2, 8, &snapshot);
-    let made = Disk::default();
-    drop(open(&made));
+    let full_run = Disk::default();
+    run(2, 8, &full_run);
+    let created = Disk::default();
+    drop(open(&created));
     let (mut failed, mut unknown) = (0, 0);
-    for at in made.ops()..snapshot.ops() {
+    for at in created.ops()..full_run.ops() {
         for fails in [Fails::OnceAt(at), Fails::FullFrom(at, 12)] {
             let disk = Disk::default();
             let (mut store, ..) = open(&disk).unwrap();
             disk.fails(fails);
             let mut model = Model::new(2);
-            for n in 0..10 {
+            for number in 0..10 {
                 let before = model.clone();
                 let batch = model.batch();
                 if let Err(fault) = store.commit(&batch) {
                     match fault {
                         StoreFault::Disk { .. } => failed += 1,
                         StoreFault::Unknown { .. } => unknown += 1,
-                        other => panic!("{fails:?}, batch {n}: {other:?}"),
+                        other => panic!("{fails:?}, batch {number}: {other:?}"),
                     }
                     // It was reported that nothing of it is stored; the next batch is another one.
                     model = Model {
@@ -101,16 +101,18 @@
             disk.fails(Fails::Never);
             store
                 .commit(&[])
-                .unwrap_or_else(|e| panic!("{fails:?}: {e}"));
-            let contents = store.read().unwrap_or_else(|e| panic!("{fails:?}: {e}"));
+                .unwrap_or_else(|error| panic!("{fails:?}: {error}"));
+            let contents = store
+                .read()
+                .unwrap_or_else(|error| panic!("{fails:?}: {error}"));
             model
                 .check_contains(&contents)
-                .unwrap_or_else(|e| panic!("{fails:?}: {e}"));
+                .unwrap_or_else(|error| panic!("{fails:?}: {error}"));
             drop(store);
-            let (_, contents) = open(&disk).unwrap_or_else(|e| panic!("{fails:?}: {e}"));
+            let (_, contents) = open(&disk).unwrap_or_else(|error| panic!("{fails:?}: {error}"));
             model
                 .check_contains(&contents)
-                .unwrap_or_else(|e| panic!("{fails:?}, after a start: {e}"));
+                .unwrap_or_else(|error| panic!("{fails:?}, after a start: {error}"));
         }
     }
     assert!(
@@ -237,15 +239,16 @@
     let mut old = 0;
     for at in 0..40 {
         let disk = Disk::of(before.clone());
-        disk.fails(Fails::DiesAt(at));
+        disk.fails(Fails::PowerLossAt(at));
         drop(open(&disk));
-        let disk = Disk::of(disk.after_death(at));
-        let (_, contents) = open(&disk).unwrap_or_else(|e| panic!("died at {at}: {e}"));
+        let disk = Disk::of(disk.after_power_loss(at));
+        let (_, contents) =
+            open(&disk).unwrap_or_else(|error| panic!("power lost at {at}: {error}"));
         let (persisted, places) = (contents.state, contents.extents);
         assert_eq!(
             (persisted.ceiling, places[&7].len()),
             (77, 200),
-            "died at {at}"
+            "power lost at {at}"
         );
         old += 1;
     }
--- a/crates/state/tests/snapshots.rs
+++ b/crates/state/tests/snapshots.rs
@@ -32,121 +32,110 @@
     revision
 }
 
-/// A store with some of everything in it.
-fn filled(path: &Path) -> Catalog {
-    let hosts = ["h1".into()].into();
-    let mut catalog = Catalog::new(
-        Deployment {
-            hosts,
-            max_dispatch_delay: Duration::ZERO,
-        },
-        100,
-    );
-    let (mut store, ..) = Store::open(path, 100).unwrap();
-    let mut batch = vec![
-        Record::Epoch(Epoch(5)),
-        Record::PastEpoch {
-            epoch: Epoch(4),
-            up_to: Version(1),
-        },
-        Record::Ceiling(99),
-    ];
-    let volume = |id| Volume {
+fn volume(id: u64) -> Change {
+    let to = Volume {
         plan: "p".into(),
         hosts: ["h1".into()].into(),
         shards: [1, 2].into(),
         blocks: id,
     };
-    let volumes = (1..40).map(|id| Change::Volume {
-        id,
-        to: Some(volume(id)),
-    });
-    batch.push(Record::Revision(next_revision(
-        &mut catalog,
-        [plan("p", 3.0)].into_iter().chain(volumes).collect(),
-    )));
-    let node = Node {
-        name: "box1.example.org".into(),
-        zone: "a".into(),
-        shard: 1,
-        capacity: 5.5,
-    };
-    let node = Change::Node {
-        id: 1,
-        to: Some(node),
+    Change::Volume { id, to: Some(to) }
+}
+
+fn node(id: u32, name: &str, zone: &str, capacity: f64) -> Change {
+    let to = Node {
+        name: name.into(),
+        zone: zone.into(),
+        shard: id,
+        capacity,
     };
-    batch.push(Record::Revision(next_revision(
-        &mut catalog,
-        vec![
-            node,
-            Change::Node {
-                id: 2,
-                to: Some(Node {
-                    zone: "b".into(),
-                    shard: 2,
-                    ..Node::default()
-                }),
-            },
-        ],
-    )));
-    let s = Duration::from_secs;
-    let drain = |stage| Drain {
+    Change::Node { id, to: Some(to) }
+}
+
+fn drain(stage: Stage) -> Change {
+    let to = Drain {
         stage,
-        within: s(9),
+        within: Duration::from_secs(9),
         author: "ann".into(),
-        asked: s(5),
-        since: s(7),
+        asked: Duration::from_secs(5),
+        since: Duration::from_secs(7),
     };
-    let drain = |stage| Change::Drain {
+    Change::Drain {
         node: 1,
-        to: Some(drain(stage)),
-    };
-    let target = Change::Target {
-        name: "iqn.x".into(),
-        to: Some([1, 2].into()),
-    };
-    let (changes, expects) = (vec![plan("p", 4.0)], vec![plan("p", 3.0)]);
-    let scheduled = ScheduledChange {
+        to: Some(to),
+    }
+}
+
+fn scheduled() -> Change {
+    let to = ScheduledChange {
         at: Duration::from_secs(1 << 32),
         author: "n".into(),
         reason: "night".into(),
         force: true,
-        changes,
-        expects,
+        changes: vec![plan("p", 4.0)],
+        expects: vec![plan("p", 3.0)],
     };
-    let scheduled = Change::Scheduled {
+    Change::Scheduled {
         id: 1,
-        to: Some(scheduled),
+        to: Some(to),
+    }
+}
+
+fn empty_catalog() -> Catalog {
+    let deployment = Deployment {
+        hosts: ["h1".into()].into(),
+        max_dispatch_delay: Duration::ZERO,
+    };
+    Catalog::new(deployment, 100)
+}
+
+/// Fills a store with some of everything.
+fn fill(path: &Path) {
+    let mut catalog = empty_catalog();
+    let target = Change::Target {
+        name: "iqn.x".into(),
+        to: Some([1, 2].into()),
     };
-    batch.push(Record::Revision(next_revision(
-        &mut catalog,
-        vec![drain(Stage::Draining), target, scheduled],
-    )));
-    batch.push(Record::Revision(next_revision(
-        &mut catalog,
+    let revisions = [
+        std::iter::once(plan("p", 3.0))
+            .chain((1..40).map(volume))
+            .collect(),
+        vec![node(1, "box1.example.org", "a", 5.5), node(2, "", "b", 0.0)],
+        vec![drain(Stage::Draining), target, scheduled()],
         vec![drain(Stage::Drained)],
-    )));
-    batch.extend((0..500).map(|x| Record::ExtentPlacement {
-        volume: 1 + x % 3,
-        extent: x * 7 % 300,
-        shard: (x % 5) as u32,
-    }));
-    batch.extend([
-        Record::HostApplied {
-            host: "h1".into(),
-            version: Version(2),
+    ];
+    let mut batch = vec![
+        Record::Epoch(Epoch(5)),
+        Record::PastEpoch {
+            epoch: Epoch(4),
+            up_to: Version(1),
         },
-        Record::Stable(Version(2)),
-    ]);
+        Record::Ceiling(99),
+    ];
+    for changes in revisions {
+        batch.push(Record::Revision(next_revision(&mut catalog, changes)));
+    }
+    for number in 0..500 {
+        batch.push(Record::ExtentPlacement {
+            volume: 1 + number % 3,
+            extent: number * 7 % 300,
+            shard: (number % 5) as u32,
+        });
+    }
+    batch.push(Record::HostApplied {
+        host: "h1".into(),
+        version: Version(2),
+    });
+    batch.push(Record::Stable(Version(2)));
+    let (mut store, _) = Store::open(path, 100).unwrap();
     store.commit(&batch).unwrap();
-    catalog
 }
 
 #[test]
 fn a_snapshot_has_everything_and_a_restore_moves_the_old_store() {
     let dir = tempfile::tempdir().unwrap();
     let (path, snap) = (dir.path().join("s.store"), dir.path().join("s.snapshot"));
-    filled(&path);
+    fill(&path);
     let all = Store::open(&path, 100).unwrap().0.read().unwrap();
     snapshot::write(&snap, &all, Duration::from_secs(3)).unwrap();
     let read = snapshot::read(&snap).unwrap();
@@ -187,22 +176,22 @@
 fn nothing_is_read_from_a_snapshot_that_is_cut_or_damaged() {
     let dir = tempfile::tempdir().unwrap();
     let (path, snap) = (dir.path().join("s.store"), dir.path().join("s.snapshot"));
-    filled(&path);
+    fill(&path);
     let all = Store::open(&path, 100).unwrap().0.read().unwrap();
     snapshot::write(&snap, &all, Duration::ZERO).unwrap();
     let bytes = std::fs::read(&snap).unwrap();
     let bad = dir.path().join("bad");
-    let snapshot = bytes.len();
-    for n in (0..snapshot).step_by(snapshot / 97) {
+    let length = bytes.len();
+    for n in (0..length).step_by(length / 97) {
         std::fs::write(&bad, &bytes[..n]).unwrap();
         let fault = snapshot::read(&bad).unwrap_err();
         assert!(
             matches!(fault, StoreFault::Damaged { .. }),
             "cut at {n}: {fault}"
         );
-        let mut rotten = bytes.clone();
-        rotten[n] ^= 0x10;
-        std::fs::write(&bad, rotten).unwrap();
+        let mut damaged = bytes.clone();
+        damaged[n] ^= 0x10;
+        std::fs::write(&bad, damaged).unwrap();
         assert!(snapshot::read(&bad).is_err(), "byte {n}");
     }
     std::fs::write(&bad, [&bytes[..], &bytes[..]].concat()).unwrap();
@@ -230,14 +219,7 @@
 fn no_caller_fails_with_another_callers_fault() {
     let dir = tempfile::tempdir().unwrap();
     let (group_commit, ..) = GroupCommit::open(&dir.path().join("s.store"), 100).unwrap();
-    let hosts = ["h1".into()].into();
-    let mut catalog = Catalog::new(
-        Deployment {
-            hosts,
-            max_dispatch_delay: Duration::ZERO,
-        },
-        100,
-    );
+    let mut catalog = empty_catalog();
     let (to, from) = mpsc::channel();
     for n in 0..30u64 {
         let to = to.clone();
