--- a/crates/state/src/client.rs
+++ b/crates/state/src/client.rs
@@ -1,7 +1,8 @@
 //! An operator's side of the state service's protocol: one connection, one call at a time.
 //!
 //! Called by the operator's commands and by the benchmark. Blocks: a call that is not answered
-//! within [`IO_TIMEOUT`] fails. A connection after an error is in no known state: connect again.
+//! within thirty seconds fails. After an error the state of the connection is unknown: connect
+//! again.
 
 use crate::codec::{changes_from_proto, revision_from_proto, DecodeError};
 use grebecleat_plans::changes::{Change, Revision, Version};
@@ -15,7 +16,7 @@
 /// Bytes of the largest frame that is accepted.
 const MAX_FRAME_BYTES: usize = 16 << 20;
 /// How long to wait for the connection, and for each read.
-pub const IO_TIMEOUT: Duration = Duration::from_secs(30);
+const IO_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// A connection to the state service.
 pub struct Client {
--- a/crates/state/src/group_commit.rs
+++ b/crates/state/src/group_commit.rs
@@ -47,7 +47,7 @@
     }
 
     /// Starts the thread of an open store.
-    pub fn start(mut store: Store) -> GroupCommit {
+    fn start(mut store: Store) -> GroupCommit {
         let (sender, jobs) = mpsc::channel();
         std::thread::Builder::new()
             .name("group-commit".into())
--- a/crates/state/src/store/commit.rs
+++ b/crates/state/src/store/commit.rs
@@ -4,7 +4,7 @@
 use super::checksum::unseal;
 use super::fault::{damaged, disk, StoreResult};
 use super::record::Record;
-use super::schema::{figure, AUDIT_LOG};
+use super::schema::{figure, revision_place, AUDIT_LOG};
 use crate::codec::revision_from_proto;
 use grebecleat_plans::changes::{Revision, Version};
 use grebecleat_wire::pb;
@@ -74,7 +74,7 @@
         let table = self.batch.write().open_table(AUDIT_LOG)?;
         let bytes = table.get(version)?.map(|bytes| bytes.value().to_vec());
         let bytes = bytes.ok_or_else(|| damaged(format!("entry {version} is missing")))?;
-        let place = || format!("entry {version} of the trail");
+        let place = || revision_place(version);
         let value = unseal(&version.to_be_bytes(), &bytes, &place)?;
         let revision = pb::Revision::decode(value).map_err(damaged)?;
         revision_from_proto(revision).map_err(damaged)
--- a/crates/state/src/store/load.rs
+++ b/crates/state/src/store/load.rs
@@ -4,7 +4,9 @@
 use super::extent_chunk::{chunk_key, chunk_place, decode_runs, senseless, EXTENTS_PER_CHUNK};
 use super::fault::{damaged, StoreResult};
 use super::record::StoreContents;
-use super::schema::{figure, subject_key, AUDIT_LOG, EPOCHS, EXTENTS, HOSTS, META, STATE};
+use super::schema::{
+    figure, revision_place, subject_key, AUDIT_LOG, EPOCHS, EXTENTS, HOSTS, META, STATE,
+};
 use crate::codec::{change_from_proto, revision_from_proto};
 use grebecleat_plans::changes::{Change, Revision, Version};
 use grebecleat_plans::leader::Epoch;
@@ -173,7 +175,7 @@
     bytes: &[u8],
     previous: Option<&Revision>,
 ) -> StoreResult<Revision> {
-    let place = || format!("entry {version} of the trail");
+    let place = || revision_place(version);
     let value = unseal(&version.to_be_bytes(), bytes, &place)?;
     let revision =
         pb::Revision::decode(value).map_err(|error| damaged(format!("{}: {error}", place())))?;
--- a/crates/state/src/store/mod.rs
+++ b/crates/state/src/store/mod.rs
@@ -31,7 +31,6 @@
 
 pub use fault::StoreFault;
 pub use record::{ExtentsByVolume, Record, StoreContents, StoredState};
-pub use schema::SCHEMA;
 
 use backend::{catch_panic, Backend};
 use fault::StoreResult;
--- a/crates/state/src/store/schema.rs
+++ b/crates/state/src/store/schema.rs
@@ -6,7 +6,7 @@
 use redb::TableDefinition;
 
 /// Schema number of the file. 1: placement of extents one by one, and nothing else. 2: as here.
-pub const SCHEMA: u64 = 2;
+pub(super) const SCHEMA: u64 = 2;
 
 /// Figures by name, see [`figure`].
 pub(super) const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
@@ -57,3 +57,8 @@
     };
     [vec![kind], name].concat()
 }
+
+/// How faults name a record of the audit log.
+pub(super) fn revision_place(version: u64) -> String {
+    format!("entry {version} of the trail")
+}
