--- a/crates/state/src/service/mod.rs
+++ b/crates/state/src/service/mod.rs
@@ -6,9 +6,9 @@
 //! decided here but when to disconnect a peer.
 //!
 //! - `listener`: accepts connections. `connection`: the reader and writer threads.
-//! - `owner`: the loop; `frames`: what peers ask; `actions`: what the leader decides; `membership`:
-//!   what the drains' state machine decides; `query`: what operators look at; `snapshots`: the
-//!   regular snapshot.
+//! - `owner`: the loop; `peers`: who is connected; `frames`: what peers ask; `actions`: what the
+//!   leader decides; `membership`: what the drains' state machine decides; `query`: what operators
+//!   look at; `snapshots`: the regular snapshot.
 //!
 //! Called by the command `state-service`, as [`serve`], which returns once [`Handle::stop`] was
 //! called.
@@ -28,6 +28,8 @@
 mod membership_link;
 mod options;
 mod owner;
+mod peer;
+mod peers;
 mod query;
 mod snapshot_schedule;
 mod snapshots;
--- a/crates/state/src/service/owner.rs
+++ b/crates/state/src/service/owner.rs
@@ -2,52 +2,30 @@
 
 use super::error::ServiceError;
 use super::event::ServiceEvent;
-use super::frame_sender::FrameSender;
 use super::membership_link::MembershipLink;
 use super::options::Options;
+use super::peer::{Peer, PeerCall};
 use super::snapshot_schedule::SnapshotSchedule;
 use super::wall_time::wall_time;
 use crate::declared_config::declared_changes;
 use crate::group_commit::GroupCommit;
-use crate::subscription::{EventLog, ServiceView, Subscription, MIN_UPDATE_INTERVAL};
+use crate::subscription::{EventLog, Subscription, MIN_UPDATE_INTERVAL};
 use grebecleat_membership::drains::{Event as MembershipEvent, Membership};
-use grebecleat_plans::changes::{Name, Version};
-use grebecleat_plans::feed::HostNumber;
+use grebecleat_plans::changes::Version;
 use grebecleat_plans::leader::{Action, CallId, Epoch, Event as LeaderEvent, Leader, Proposal};
 use grebecleat_settings::StateSpec;
 use grebecleat_wire::clock;
-use grebecleat_wire::pb::{self, frame::Body};
+use grebecleat_wire::pb::frame::Body;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender};
-use std::time::{Duration, Instant};
-use tracing::{error, info, warn};
+use std::time::Duration;
+use tracing::{error, info};
 
 /// Events that are handled in one step, beyond the first.
 const MAX_EVENTS_PER_STEP: usize = 512;
 /// The longest time between two steps.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A connected host or operator.
-pub(super) struct Peer {
-    /// Where its frames are sent.
-    pub frames: FrameSender,
-    /// The name of its hello.
-    pub name: String,
-    /// None: an operator.
-    pub host: Option<HostNumber>,
-    /// The same host has connected again; frames on this connection no longer count.
-    pub superseded: bool,
-}
-
-/// A call of a peer that waits for its answer.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct PeerCall {
-    /// The peer's connection.
-    pub conn: u64,
-    /// The peer's number of the call.
-    pub call: u64,
-}
-
 /// What one step passes to the two state machines.
 #[derive(Default)]
 pub(super) struct StepInput {
@@ -58,11 +36,14 @@
 /// What the owner starts with.
 pub(super) struct OwnerStart<'a> {
     pub options: &'a Options,
+    /// The state service of the settings.
     pub spec: StateSpec,
     pub leader: Leader,
     pub membership: Membership,
+    /// The epoch of the catalog's history.
     pub epoch: Epoch,
     pub group_commit: GroupCommit,
+    /// The way to the owner, for the other threads.
     pub to_owner: Sender<ServiceEvent>,
 }
 
@@ -71,6 +52,7 @@
     pub options: &'a Options,
     pub leader: Leader,
     pub membership: MembershipLink,
+    /// What has happened to nodes, for subscribers.
     pub event_log: EventLog,
     /// By connection.
     pub subscriptions: BTreeMap<u64, Subscription>,
@@ -217,130 +199,4 @@
             }
         }
     }
-
-    fn handle_connected(
-        &mut self,
-        conn: u64,
-        hello: pb::Hello,
-        frames: FrameSender,
-        input: &mut StepInput,
-    ) {
-        let host = match (hello.role(), self.host_number(&hello.name)) {
-            (pb::Role::Operator, _) => None,
-            (pb::Role::Host, Some(host)) => Some(host),
-            _ => {
-                warn!(name = %hello.name, "peer is neither an operator nor a host of the settings");
-                return frames.disconnect();
-            }
-        };
-        if let Some(host) = host {
-            // Of a host that connects again only the new connection counts.
-            for peer in self.peers.values_mut() {
-                if peer.host == Some(host) {
-                    peer.frames.disconnect();
-                    peer.superseded = true;
-                }
-            }
-            input.membership.push(MembershipEvent::Up {
-                host,
-                process: hello.incarnation,
-            });
-        }
-        let peer = Peer {
-            frames,
-            name: hello.name,
-            host,
-            superseded: false,
-        };
-        self.peers.insert(conn, peer);
-    }
-
-    fn handle_disconnected(&mut self, conn: u64, input: &mut StepInput) {
-        self.subscriptions.remove(&conn);
-        if let Some(peer) = self.peers.remove(&conn) {
-            match peer.host {
-                Some(host) if !peer.superseded => {
-                    input.membership.push(MembershipEvent::Lost { host });
-                }
-                _ => {}
-            }
-        }
-        let mut disconnected = Vec::new();
-        for (call, peer_call) in &self.calls {
-            if peer_call.conn == conn {
-                disconnected.push(*call);
-            }
-        }
-        for call in disconnected {
-            self.calls.remove(&call);
-            input.leader.push(LeaderEvent::CallerDisconnected { call });
-        }
-    }
-
-    /// The number of a host of the settings.
-    pub fn host_number(&self, name: &str) -> Option<HostNumber> {
-        let hosts = &self.options.settings.hosts;
-        let index = hosts.iter().position(|host| host.name == name)?;
-        Some(HostNumber(index as u32))
-    }
-
-    /// A number for a call of this service.
-    pub fn new_call(&mut self) -> CallId {
-        self.last_call += 1;
-        CallId(self.last_call)
-    }
-
-    /// A number for a peer's call.
-    pub fn register_call(&mut self, conn: u64, call: u64) -> CallId {
-        let id = self.new_call();
-        self.calls.insert(id, PeerCall { conn, call });
-        id
-    }
-
-    fn update_subscriptions(&mut self) {
-        if self.subscriptions.is_empty() {
-            return;
-        }
-        let hosts = self.host_status();
-        let view = ServiceView {
-            leader: &self.leader,
-            membership: &self.membership.membership,
-            event_log: &self.event_log,
-            epoch: self.epoch.0,
-            store_fault: &self.store_fault,
-            hosts: &hosts,
-        };
-        for (conn, subscription) in &mut self.subscriptions {
-            let Some(peer) = self.peers.get(conn) else {
-                continue;
-            };
-            subscription.update(&view, Instant::now(), |update| {
-                peer.frames.send(Body::SubscriptionUpdate(update))
-            });
-        }
-    }
-
-    /// What each host has applied, and what waits for it.
-    pub fn host_status(&self) -> Vec<pb::HostStatus> {
-        let waits = self.leader.waits_for(self.leader.persisted());
-        let waits: BTreeMap<Name, bool> = waits.into_iter().collect();
-        let connected: BTreeSet<&str> = self
-            .peers
-            .values()
-            .filter(|peer| peer.host.is_some())
-            .map(|peer| peer.name.as_str())
-            .collect();
-        let mut hosts = Vec::new();
-        for (name, applied) in self.leader.follows() {
-            hosts.push(pb::HostStatus {
-                name: name.to_string(),
-                heard_of: applied.is_some(),
-                applied: applied.unwrap_or_default().0,
-                holds_up: waits.contains_key(name),
-                silent: waits.get(name).copied().unwrap_or(false),
-                up: connected.contains(&**name),
-            });
-        }
-        hosts
-    }
 }
