--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -10,7 +10,7 @@
 };
 use clap::{CommandFactory, Parser};
 use grebecleat_audit::{Case, Verdict, RULES};
-use grebecleat_host::run as host;
+use grebecleat_host::server as host;
 use grebecleat_plans::follower::{Follower, InitialState};
 use grebecleat_platform::{account::Sums, config::Config, run as platform};
 use grebecleat_settings::{Kind, Settings};
@@ -234,7 +234,7 @@
             };
             Some(host::StateLink {
                 address,
-                keeper: keeper.clone(),
+                store: keeper.clone(),
                 start,
             })
         }
@@ -246,7 +246,7 @@
         list,
         state,
         peers,
-        life: started.as_millis() as u64,
+        incarnation: started.as_millis() as u64,
         tracer,
         remember: a.remember,
         seed,
--- a/crates/host/src/endpoint_list.rs
+++ b/crates/host/src/endpoint_list.rs
@@ -1,8 +1,10 @@
-//! What the list of nodes said, as the decisions read it, and as it is remembered over a restart.
+//! The endpoint list: as discovery told it, as the decisions read it, and as it is stored over a restart.
 //!
-//! The list gives ages, since nobody's clocks are compared; an age read twice gives two moments that differ
-//! by what the messages waited. Each start of a node therefore keeps the moment reckoned first, or the
-//! decisions would see a restart in every list.
+//! Discovery gives ages, since no two clocks are compared; an age read twice gives two moments that differ by what the
+//! messages waited. Each start of a node therefore keeps the moment that was worked out first, or the decisions would
+//! see a restart in every list.
+//!
+//! Memory: nodes stay known after they are gone; the bound is the list's own length.
 
 use grebecleat::interface::{Endpoint, NodeId, NodeState, ShardId, ZoneId};
 use grebecleat_wire::{clock, frame, pb};
@@ -10,108 +12,109 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// What is known of a node.
 #[derive(Debug, Clone)]
 pub struct KnownEndpoint {
+    /// Where it is dialled; None: its address makes no sense.
     pub address: Option<SocketAddr>,
+    /// Its state.
     pub state: NodeState,
+    /// Tells one start of its process from another.
     pub start: u64,
+    /// Its zone.
     pub zone: ZoneId,
+    /// The shard that it holds.
     pub shard: ShardId,
+    /// When its process started; None: long ago.
     pub started: Option<Duration>,
-    /// Of the list that told it; 0: it is remembered.
+    /// Revision of the list that told it; 0: it comes from the stored list.
     pub revision: u64,
 }
 
-/// All nodes the list has named. Nodes stay known after they are gone; the bound is the list's own length.
+/// All nodes that discovery has named.
 #[derive(Debug, Default)]
 pub struct EndpointList {
+    /// By their ids.
     pub nodes: BTreeMap<NodeId, KnownEndpoint>,
 }
 
 impl EndpointList {
-    /// Reads one entry; None where it makes no sense.
-    pub fn read(&mut self, e: &pb::Endpoint, now: Duration, revision: u64) -> Option<Endpoint> {
-        let state = match e.state() {
+    /// Takes one endpoint, and returns it as the decisions read it; None where it has no state.
+    pub fn read(
+        &mut self,
+        endpoint: &pb::Endpoint,
+        now: Duration,
+        revision: u64,
+    ) -> Option<Endpoint> {
+        let state = match endpoint.state() {
             pb::NodeState::Ready => NodeState::Ready,
             pb::NodeState::Draining => NodeState::Draining,
             pb::NodeState::Gone => NodeState::Gone,
             pb::NodeState::NodeUnknown => return None,
         };
-        let node = NodeId(e.node);
-        let reckoned = e
-            .up_us
-            .map(|us| now.saturating_sub(Duration::from_micros(us)));
-        let before = self
-            .nodes
-            .get(&node)
-            .filter(|k| k.start == e.start && k.started.is_some());
-        let started = before.map_or(reckoned, |k| k.started);
-        let (zone, shard) = (ZoneId(e.zone), ShardId(e.shard));
-        let address = e.address.parse().ok();
+        let node = NodeId(endpoint.node);
         let known = KnownEndpoint {
-            address,
+            address: endpoint.address.parse().ok(),
             state,
-            start: e.start,
-            zone,
-            shard,
-            started,
+            start: endpoint.start,
+            zone: ZoneId(endpoint.zone),
+            shard: ShardId(endpoint.shard),
+            started: self.start_time(node, endpoint, now),
             revision,
         };
-        self.nodes.insert(node, known);
-        Some(Endpoint {
+        let read = Endpoint {
             node,
-            zone,
-            shard,
+            zone: known.zone,
+            shard: known.shard,
             state,
-            started,
-        })
+            started: known.started,
+        };
+        self.nodes.insert(node, known);
+        Some(read)
     }
 
-    /// Nodes that a whole list no longer names are gone; answers which.
-    pub fn retain_listed(&mut self, named: &[Endpoint], revision: u64) -> Vec<NodeId> {
-        let there = |id: &NodeId| named.iter().any(|e| e.node == *id);
-        let gone = self
-            .nodes
-            .iter_mut()
-            .filter(|(id, k)| k.state != NodeState::Gone && !there(id));
-        gone.map(|(id, k)| {
-            (k.state, k.revision) = (NodeState::Gone, revision);
-            *id
-        })
-        .collect()
+    /// When the endpoint's process started: as worked out when that start was first told.
+    fn start_time(&self, node: NodeId, endpoint: &pb::Endpoint, now: Duration) -> Option<Duration> {
+        let known = self.nodes.get(&node);
+        let same_start = known.filter(|known| known.start == endpoint.start);
+        if let Some(started) = same_start.and_then(|known| known.started) {
+            return Some(started);
+        }
+        let uptime = endpoint.up_us.map(Duration::from_micros)?;
+        Some(now.saturating_sub(uptime))
     }
 
-    /// The list as a file's bytes, to be remembered.
-    pub fn to_bytes(&self, now: Duration) -> Vec<u8> {
-        let there = self
-            .nodes
-            .iter()
-            .filter(|(_, k)| k.state != NodeState::Gone);
-        let endpoints = there.map(|(id, k)| pb::Endpoint {
-            node: id.0,
-            zone: k.zone.0,
-            shard: k.shard.0,
-            state: if k.state == NodeState::Ready {
-                pb::NodeState::Ready
-            } else {
-                pb::NodeState::Draining
+    /// Nodes that a complete list no longer names are gone; returns them.
+    pub fn retain_listed(&mut self, listed: &[Endpoint], revision: u64) -> Vec<NodeId> {
+        let mut gone = Vec::new();
+        for (id, known) in &mut self.nodes {
+            let is_listed = listed.iter().any(|endpoint| endpoint.node == *id);
+            if known.state != NodeState::Gone && !is_listed {
+                known.state = NodeState::Gone;
+                known.revision = revision;
+                gone.push(*id);
             }
-            .into(),
-            address: k.address.map(|a| a.to_string()).unwrap_or_default(),
-            start: k.start,
-            up_us: k.started.map(|s| clock::micros(now.saturating_sub(s))),
-        });
+        }
+        gone
+    }
+
+    /// The list as the bytes of a file.
+    pub fn to_bytes(&self, now: Duration) -> Vec<u8> {
+        let here = self.nodes.iter();
+        let here = here.filter(|(_, known)| known.state != NodeState::Gone);
         let list = pb::EndpointUpdate {
             kind: pb::EndpointUpdateKind::Snapshot.into(),
             revision: 0,
-            endpoints: endpoints.collect(),
+            endpoints: here
+                .map(|(id, known)| stored_endpoint(*id, known, now))
+                .collect(),
         };
         let mut bytes = Vec::new();
         frame::write(&list, &mut bytes);
         bytes
     }
 
-    /// What a file remembers. Of a damaged one nothing is taken: a list half read would hide nodes.
+    /// Reads a file's bytes. Of a damaged one nothing is taken: a list half read would hide nodes.
     pub fn from_bytes(bytes: &[u8]) -> Result<pb::EndpointUpdate, frame::FrameFault> {
         let mut reader = frame::Reader::new(bytes.len());
         reader.push(bytes);
@@ -121,5 +124,25 @@
     }
 }
 
+fn stored_endpoint(id: NodeId, known: &KnownEndpoint, now: Duration) -> pb::Endpoint {
+    let state = match known.state {
+        NodeState::Ready => pb::NodeState::Ready,
+        NodeState::Draining | NodeState::Gone => pb::NodeState::Draining,
+    };
+    let uptime = |started: Duration| clock::micros(now.saturating_sub(started));
+    pb::Endpoint {
+        node: id.0,
+        zone: known.zone.0,
+        shard: known.shard.0,
+        state: state.into(),
+        address: known
+            .address
+            .map(|address| address.to_string())
+            .unwrap_or_default(),
+        start: known.start,
+        up_us: known.started.map(uptime),
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/host/src/outbox.rs
+++ b/crates/host/src/outbox.rs
@@ -1,12 +1,13 @@
 //! What is to be written on one connection, until the moment it is written.
 //!
-//! The owner of the decisions puts frames in; the connection's writer takes them out when the socket has
-//! room. An attempt stays revocable until its writer took it: whoever revokes it is told truly whether it crossed.
-//! Without this an attempt could cross seconds after its node was told to drain, or its client was answered.
-//! Nor is it written once its client's reader has seen that the client withdrew it or ended, however much the
-//! owner has to hear before that: the reader notes it in the client's own outbox, and the writer looks there.
-//! Memory: what is inside is bounded by the attempts a connection carries and, for clients, by `bytes`, which the
-//! owner compares with its bound on unread answers.
+//! The owner of the decisions puts frames in; the connection's writer takes them out when the socket has room. An
+//! attempt stays revocable until its writer took it: whoever revokes it is told truly whether it crossed. Without this an
+//! attempt could cross seconds after its node was told to drain, or its client was answered. Nor is it written once its
+//! client's reader has seen that the client cancelled it or ended, however much the owner has to hear before that: the
+//! reader notes it in the client's own outbox, and the writer looks there.
+//!
+//! Memory: bounded by the attempts that a connection carries and, for clients, by [`Outbox::bytes`], which the owner
+//! compares with its bound on unread answers.
 
 use bytes::Bytes;
 use grebecleat_wire::frame::HEADER;
@@ -16,7 +17,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// An attempt's number, by this host; never used twice.
+/// Identifies an attempt of this host; never used twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
@@ -24,27 +25,41 @@
 #[allow(clippy::large_enum_variant)]
 #[derive(Debug)]
 enum Item {
+    /// A frame, and its size in bytes.
     Plain(pb::Frame, usize),
+    /// An attempt of [`Inner::attempts`]; one that is not there any more was revoked.
     Attempt(AttemptId),
 }
 
 #[derive(Debug)]
 struct QueuedAttempt {
     frame: pb::Frame,
+    /// In bytes.
     size: usize,
+    /// When it was put in.
     put: Duration,
-    until: Duration,
+    /// It is not written from then on.
+    deadline: Duration,
     /// Where its client's answers go.
     client: Option<Arc<Outbox>>,
 }
 
 impl QueuedAttempt {
+    /// Its frame with the time that is left to the node: what the wait here took is none of it.
+    fn stamped(self, now: Duration) -> pb::Frame {
+        let mut frame = self.frame;
+        if let Some(Body::Attempt(message)) = &mut frame.body {
+            message.left_us = grebecleat_wire::clock::micros(self.deadline - now);
+        }
+        frame
+    }
+
     fn is_wanted(&self, now: Duration) -> bool {
         let id = match &self.frame.body {
             Some(Body::Attempt(m)) => &m.id,
-            _ => return now < self.until,
+            _ => return now < self.deadline,
         };
-        now < self.until && self.client.as_ref().is_none_or(|c| c.wants(id))
+        now < self.deadline && self.client.as_ref().is_none_or(|c| c.wants(id))
     }
 }
 
@@ -55,20 +70,22 @@
     bytes: usize,
     writing: bool,
     closed: bool,
-    /// Withdrawn by the client, and not yet heard of by the owner.
+    /// Cancelled by the client, and not yet handled by the owner.
     cancelled: HashSet<Bytes>,
 }
 
 /// What a writer is to write now.
 #[derive(Debug, Default, PartialEq)]
 pub struct Batch {
-    /// When they were taken: of two pulls, the later has the later moment, whichever connections they are
-    /// for.
+    /// When it was taken: of two batches, the later has the later moment, whichever connections they are for.
     pub at: Duration,
+    /// In order.
     pub frames: Vec<pb::Frame>,
+    /// The outbox is closed: after this batch the writer ends.
     pub closed: bool,
 }
 
+/// The frames that wait for one connection's writer.
 pub struct Outbox {
     inner: Mutex<Inner>,
     wake: Box<dyn Fn() + Send + Sync>,
@@ -99,6 +116,7 @@
         self.inner.lock().unwrap_or_else(|e| e.into_inner())
     }
 
+    /// Adds a frame.
     pub fn put(&self, frame: pb::Frame) {
         let size = frame_size(&frame);
         let mut inner = self.lock();
@@ -108,24 +126,24 @@
         (self.wake)();
     }
 
-    /// An attempt, which is not written from `until` on.
+    /// Adds an attempt, which is not written from `deadline` on.
     pub fn put_attempt(
         &self,
         attempt: AttemptId,
         frame: pb::Frame,
         now: Duration,
-        until: Duration,
+        deadline: Duration,
     ) {
-        self.put_attempt_of(attempt, frame, now, until, None);
+        self.put_attempt_of(attempt, frame, now, deadline, None);
     }
 
-    /// The same, and not once its client is known to have left it.
+    /// The same, and not once its client is known to have cancelled it; `client`: where that one's answers go.
     pub fn put_attempt_of(
         &self,
         attempt: AttemptId,
         frame: pb::Frame,
         now: Duration,
-        until: Duration,
+        deadline: Duration,
         client: Option<Arc<Outbox>>,
     ) {
         let size = frame_size(&frame);
@@ -138,7 +156,7 @@
                 frame,
                 size,
                 put: now,
-                until,
+                deadline,
                 client,
             },
         );
@@ -146,7 +164,7 @@
         (self.wake)();
     }
 
-    /// What a client says as it is read, before its owner hears it.
+    /// Notes what a client cancels as it is read, before the owner handles it.
     pub fn note_cancels(&self, frames: &[pb::Frame]) {
         for f in frames {
             if let Some(Body::CancelRequest(w)) = &f.body {
@@ -155,7 +173,7 @@
         }
     }
 
-    /// The owner has heard that the client withdrew it, and takes its attempts back by itself from now on.
+    /// The owner has handled a cancel, and revokes the request's attempts by itself from now on.
     pub fn cancel_handled(&self, id: &Bytes) {
         self.lock().cancelled.remove(id);
     }
@@ -165,7 +183,7 @@
         !inner.closed && !inner.cancelled.contains(id)
     }
 
-    /// Takes an attempt back; whether it had not yet gone to the socket, and now never will.
+    /// Revokes an attempt; whether it had not yet gone to the socket, and now never will.
     pub fn revoke(&self, attempt: AttemptId) -> bool {
         let mut inner = self.lock();
         let taken = inner.attempts.remove(&attempt);
@@ -173,88 +191,84 @@
         taken.is_some()
     }
 
-    /// An attempt that has not gone to the socket.
+    /// Whether an attempt has not gone to the socket.
     pub fn is_queued(&self, attempt: AttemptId) -> bool {
         self.lock().attempts.contains_key(&attempt)
     }
 
-    /// The attempts put before `before`, or whose time is up.
+    /// The attempts put in before `before`, or whose deadline has passed.
     pub fn stale(&self, before: Duration, now: Duration) -> Vec<AttemptId> {
         let inner = self.lock();
         inner
             .attempts
             .iter()
-            .filter(|(_, w)| w.put < before || w.until <= now)
+            .filter(|(_, w)| w.put < before || w.deadline <= now)
             .map(|(attempt, _)| *attempt)
             .collect()
     }
 
-    /// What goes to the socket now, at most about `most` bytes. From here on it counts as crossed; attempts whose
-    /// time is up, or whose client has left, stay out, and are for the owner's next look.
-    pub fn take_batch(&self, clock: impl FnOnce() -> Duration, most: usize) -> Batch {
+    /// Takes what goes to the socket now, at most about `max_bytes`. From here on it counts as crossed; attempts whose
+    /// deadline has passed, or whose client has left, stay, and are for the owner's next sweep.
+    pub fn take_batch(&self, clock: impl FnOnce() -> Duration, max_bytes: usize) -> Batch {
         let mut inner = self.lock();
         let now = clock();
-        let (mut batch, mut size) = (
-            Batch {
-                at: now,
-                closed: inner.closed,
-                frames: Vec::new(),
-            },
-            0,
-        );
-        let mut late = VecDeque::new();
         let sent_us = grebecleat_wire::clock::micros(now);
-        while size < most {
-            match inner.queue.pop_front() {
+        let mut frames = Vec::new();
+        let mut bytes = 0;
+        let mut kept_back = VecDeque::new();
+        while bytes < max_bytes {
+            let (frame, size) = match inner.queue.pop_front() {
                 None => break,
-                Some(Item::Plain(frame, s)) => {
-                    size += s;
-                    batch.frames.push(pb::Frame { sent_us, ..frame });
-                }
+                Some(Item::Plain(frame, size)) => (frame, size),
                 Some(Item::Attempt(attempt)) => match inner.attempts.remove(&attempt) {
-                    None => {}
-                    Some(w) if !w.is_wanted(now) => {
-                        late.push_back(Item::Attempt(attempt));
-                        inner.attempts.insert(attempt, w);
+                    None => continue,
+                    Some(queued) if !queued.is_wanted(now) => {
+                        kept_back.push_back(Item::Attempt(attempt));
+                        inner.attempts.insert(attempt, queued);
+                        continue;
                     }
-                    Some(mut w) => {
-                        size += w.size;
-                        // What the wait here took is no longer left to the node.
-                        if let Some(Body::Attempt(m)) = &mut w.frame.body {
-                            m.left_us = grebecleat_wire::clock::micros(w.until - now);
-                        }
-                        batch.frames.push(pb::Frame { sent_us, ..w.frame });
+                    Some(queued) => {
+                        let size = queued.size;
+                        (queued.stamped(now), size)
                     }
                 },
-            }
+            };
+            bytes += size;
+            frames.push(pb::Frame { sent_us, ..frame });
+        }
+        kept_back.append(&mut inner.queue);
+        inner.queue = kept_back;
+        inner.bytes -= bytes;
+        inner.writing = !frames.is_empty();
+        Batch {
+            at: now,
+            frames,
+            closed: inner.closed,
         }
-        late.append(&mut inner.queue);
-        inner.queue = late;
-        inner.bytes -= size;
-        inner.writing = !batch.frames.is_empty();
-        batch
     }
 
-    /// The writer is done with what it pulled last.
+    /// The writer has written its last batch whole.
     pub fn batch_written(&self) {
         self.lock().writing = false;
     }
 
-    /// What was pulled last has not been written whole.
+    /// Whether the last batch has not been written whole.
     pub fn is_writing(&self) -> bool {
         self.lock().writing
     }
 
+    /// Bytes that wait.
     pub fn bytes(&self) -> usize {
         self.lock().bytes
     }
 
-    /// Nothing waits and nothing is being written.
+    /// Whether nothing waits and nothing is being written.
     pub fn is_flushed(&self) -> bool {
         let inner = self.lock();
         inner.queue.is_empty() && !inner.writing
     }
 
+    /// Ends the connection: what waits is written if the peer reads, and nothing after it.
     pub fn close(&self) {
         if !std::mem::replace(&mut self.lock().closed, true) {
             (self.hang_up)();
@@ -262,6 +276,7 @@
         }
     }
 
+    /// Whether it is closed.
     pub fn is_closed(&self) -> bool {
         self.lock().closed
     }
--- a/crates/host/src/outbox/tests.rs
+++ b/crates/host/src/outbox/tests.rs
@@ -50,16 +50,16 @@
 #[test]
 fn an_attempt_is_not_written_once_its_client_has_withdrawn_it_or_ended() {
     type Case = (&'static str, fn(&Outbox), bool);
-    let id = bytes::Bytes::from_static(b"an id");
+    let id = Bytes::from_static(b"an id");
     let withdraws = |outbox: &Outbox| {
-        let id = bytes::Bytes::from_static(b"an id");
+        let id = Bytes::from_static(b"an id");
         outbox.note_cancels(&[pb::Frame {
             sent_us: 0,
             body: Some(Body::CancelRequest(pb::CancelRequest { id })),
         }]);
     };
     let other = |outbox: &Outbox| {
-        let id = bytes::Bytes::from_static(b"another");
+        let id = Bytes::from_static(b"another");
         outbox.note_cancels(&[pb::Frame {
             sent_us: 0,
             body: Some(Body::CancelRequest(pb::CancelRequest { id })),
--- /dev/null
+++ b/crates/host/src/server/owner.rs
@@ -0,0 +1,133 @@
+//! The loop of the one thread that owns the decisions.
+
+use super::{dial, Shared};
+use crate::router::{Counters, Input, Output, RequestRouter};
+use grebecleat::interface::PeerId;
+use grebecleat_state::store::Record;
+use grebecleat_wire::clock;
+use std::fs::File;
+use std::io::{self, Write};
+use std::path::Path;
+use std::sync::mpsc::{Receiver, RecvTimeoutError};
+use std::time::Duration;
+use tracing::{info, warn};
+
+/// Inputs that go into one step, so that a flood cannot keep timers waiting.
+const MAX_INPUTS_PER_STEP: usize = 4096;
+/// After a pause of the process: time for the readers to bring what waits in the sockets.
+const CATCH_UP: Duration = Duration::from_millis(5);
+
+/// Whether the loop goes on.
+#[derive(PartialEq)]
+enum Loop {
+    Continue,
+    End,
+}
+
+/// Steps the router until its shutdown is complete.
+pub(super) fn run(shared: &Shared, inputs: &Receiver<Input>) -> Counters {
+    let mut router = router(shared);
+    // A first step, so that the decisions ask for the endpoint list without waiting for a client.
+    let mut batch = vec![Input::PeerMessage {
+        from: PeerId(u32::MAX),
+        waited: Duration::ZERO,
+        bytes: Vec::new(),
+    }];
+    let mut state = Loop::Continue;
+    while state == Loop::Continue {
+        let wait = router.wake_at().saturating_sub(clock::now());
+        if batch.is_empty() && !wait.is_zero() {
+            match inputs.recv_timeout(wait) {
+                Ok(input) => batch.push(input),
+                Err(RecvTimeoutError::Timeout) => {}
+                Err(RecvTimeoutError::Disconnected) => break,
+            }
+        }
+        if router.detect_pause(clock::now()) {
+            warn!("this host stood still; its own lateness is not laid on the nodes");
+            std::thread::sleep(CATCH_UP);
+        }
+        let room = MAX_INPUTS_PER_STEP.saturating_sub(batch.len());
+        batch.extend(inputs.try_iter().take(room));
+        for output in router.step(clock::now(), batch.drain(..)) {
+            if carry_out(shared, output) == Loop::End {
+                state = Loop::End;
+            }
+        }
+    }
+    router.counters()
+}
+
+fn router(shared: &Shared) -> RequestRouter {
+    let options = &shared.options;
+    let mut router =
+        RequestRouter::new(options.settings.clone(), options.seed).with_host_index(options.host);
+    if let Some(link) = &options.state {
+        router = router.following(&shared.hello.name, link.start.clone());
+    }
+    let peers: Vec<PeerId> = options.peers.iter().map(|(peer, _)| *peer).collect();
+    router.sharing(clock::now(), &peers, options.incarnation)
+}
+
+fn carry_out(shared: &Shared, output: Output) -> Loop {
+    match output {
+        Output::Dial { conn, address, .. } => dial::node(shared, conn, address),
+        Output::DialDiscovery { conn } => dial::discovery(shared, conn),
+        Output::DialStateService { conn } => dial::state_service(shared, conn),
+        Output::Persist { number, records } => persist(shared, number, records),
+        Output::SendToPeer { to, bytes } => {
+            for (peer, address) in &shared.options.peers {
+                if to.is_none_or(|to| to == *peer) {
+                    shared.peers.send(shared, *peer, *address, &bytes);
+                }
+            }
+        }
+        Output::CacheEndpoints { bytes } => cache_endpoints(shared, bytes),
+        Output::Log { text } => log(&shared.hello.name, &text),
+        Output::ShutdownComplete => return Loop::End,
+    }
+    Loop::Continue
+}
+
+fn persist(shared: &Shared, number: u64, records: Vec<Record>) {
+    let Some(link) = &shared.options.state else {
+        return;
+    };
+    let to_owner = shared.to_owner.clone();
+    link.store.commit(records, move |done| {
+        let done = done.map_err(|fault| fault.to_string());
+        let _ = to_owner.send(Input::Persisted { number, done });
+    });
+}
+
+fn cache_endpoints(shared: &Shared, bytes: Vec<u8>) {
+    let Some(path) = shared.options.remember.clone() else {
+        return;
+    };
+    // Files block; coroutines must not.
+    std::thread::spawn(move || {
+        if let Err(error) = replace_file(&path, &bytes) {
+            warn!("the list cannot be kept in {}: {error}", path.display());
+        }
+    });
+}
+
+/// The old file stays complete until the new one is.
+fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
+    let new = path.with_extension("new");
+    let mut file = File::create(&new)?;
+    file.write_all(bytes)?;
+    file.sync_all()?;
+    std::fs::rename(new, path)
+}
+
+/// A line that begins with a node's number has it as a field too.
+fn log(host: &str, text: &str) {
+    let node = text
+        .strip_prefix("node ")
+        .and_then(|rest| rest.split(' ').next());
+    match node.and_then(|number| number.parse::<u32>().ok()) {
+        Some(node) => info!(host = %host, node, "{text}"),
+        None => info!(host = %host, "{text}"),
+    }
+}
--- a/crates/host/tests/explore.rs
+++ b/crates/host/tests/explore.rs
@@ -105,6 +105,7 @@
         self.rig.node_answers(conn, attempt, result);
     }
 
+    #[allow(clippy::too_many_lines)] // a table of what may happen next
     fn act(&mut self, next: &mut u8) {
         let conns: Vec<ConnId> = self.up.keys().copied().collect();
         let some = (!conns.is_empty()).then(|| conns[self.rng.random_range(0..conns.len())]);
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -1,7 +1,7 @@
 //! Peers that misbehave on real sockets, each beside a client that must not notice.
 
 use bytes::Bytes;
-use grebecleat_host::run::{run, Handle, Options};
+use grebecleat_host::server::{run, Handle, Options};
 use grebecleat_settings::Settings;
 use grebecleat_standin::net::hello;
 use grebecleat_standin::serve::{self, Stage};
@@ -55,7 +55,7 @@
         list,
         state: None,
         peers: Vec::new(),
-        life: 1,
+        incarnation: 1,
         tracer: Tracer::default(),
         remember: None,
         seed: 3,
--- a/crates/target/src/portal.rs
+++ b/crates/target/src/portal.rs
@@ -11,7 +11,7 @@
 use crate::pressure::Figures;
 use crate::versions::Versions;
 use bytes::Bytes;
-use grebecleat_host::run::Handle;
+use grebecleat_host::server::Handle;
 use grebecleat_iscsi::keys::parse;
 use grebecleat_iscsi::login::{Portal, Secret, Target};
 use grebecleat_iscsi::pdu::{self, Digests, Opcode, Pdu, Reader};
@@ -142,7 +142,7 @@
     let most = spec.commands.2 as usize * (MAX_READ + 4096);
     go!(move || accept(&listener, &accepting, &tracer, most));
     let shards = shards_of(&store);
-    host.holds(shards.clone());
+    host.extents_by_shard(shards.clone());
     let owner = Owner {
         engine,
         host: host.clone(),
@@ -259,7 +259,7 @@
     shards: BTreeMap<u32, u64>,
     told_at: Duration,
     news: bool,
-    local: grebecleat_host::run::Local,
+    local: grebecleat_host::server::LocalClient,
     told: Arc<AtomicBool>,
     /// None once it can no longer be written.
     keeper: Option<GroupCommit>,
@@ -321,7 +321,7 @@
             }
             if self.news && clock::now() >= self.told_at + IDLE {
                 (self.news, self.told_at) = (false, clock::now());
-                self.host.holds(self.shards.clone());
+                self.host.extents_by_shard(self.shards.clone());
             }
         }
     }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -70,6 +70,7 @@
 }
 
 /// The largest sum of units in any window of the rule, in mean requests.
+#[allow(clippy::too_many_lines)] // one scene, read from top to bottom
 fn largest_sum(wave: Wave, seed: u64) -> f64 {
     let fresh = |n: u64, now| Busy {
         control: started(seed * 1000 + n + now * 7919, now, wave.hosts),
