--- a/src/control/discovery.rs
+++ b/src/control/discovery.rs
@@ -60,7 +60,7 @@
             // A bucket passes one request into debt; many hosts' at once push a node over. A random debt
             // spreads them, a lapse of what is full keeps them so. Harm: few hosts wait.
             node.slow_start = Some(TokenBucket::lapsing(self.units.mean, self.rng.random()));
-            self.state.log(format!("node {} came back cold", id.0));
+            self.state.log(format!("node {} warming up", id.0));
         }
     }
 }
--- a/src/state/node.rs
+++ b/src/state/node.rs
@@ -279,7 +279,7 @@
     pub fn eject(&mut self, actions: &mut Vec<Action>, reason: String) {
         let level = std::mem::take(&mut self.admission_level);
         if level > 0.0 {
-            actions.push(Action::Log { text: format!("node {} shut: {reason}", self.id.0) });
+            actions.push(Action::Log { text: format!("node {} ejected: {reason}", self.id.0) });
         }
     }
 
