--- a/src/control/outcomes.rs
+++ b/src/control/outcomes.rs
@@ -36,7 +36,8 @@
         if failed && !matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::ConnectionReset) {
             adjust_admission(node, &mut state.late_fraction, now, true);
             if node.consecutive_failures >= EJECT_AFTER {
-                let what = if outcome == AttemptOutcome::QueueFull { "queue full" } else { "connection failed" };
+                let what =
+                    if outcome == AttemptOutcome::QueueFull { "queue full" } else { "connection failed" };
                 let reason = format!("{what} after {} failures in a row", node.consecutive_failures);
                 node.eject(&mut state.actions, reason);
             }
