--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/budget.rs
@@ -23,7 +23,7 @@
 //! add up to the burst, nothing is ever filled by a move, and a host that has lent nearly all can still serve
 //! at once what comes to it.
 //!
-//! Memory: [`MOST_LOANS`] loans given and taken each, and as many open asks.
+//! Memory: [`MAX_LOANS`] loans given and taken each, and as many open asks.
 
 use crate::{HostNumber, Incarnation};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/shared.rs
@@ -5,7 +5,7 @@
 //! rotation (Demers 1987): what is new is passed on a few times at once, and beside it each word carries
 //! other entries in turn, so that in the end everything is heard whatever was lost.
 //!
-//! Bound, whatever the fleet's size: [`TOLD`] words of at most [`MOST_ENTRIES`] entries in a round, and a
+//! Bound, whatever the fleet's size: [`TOLD`] words of at most [`MAX_ENTRIES`] entries in a round, and a
 //! round every `every` at most, or four times as often while there is news. Memory: an entry for each host.
 //!
 //! Age is what an entry's facts were old when they came, and the time since: of the way between hosts nothing
--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -2,7 +2,7 @@
 //!
 //! State machine: [`RequestRouter::step`] takes what has happened and returns what the sockets are to do beyond what
 //! lies in the outboxes; [`RequestRouter::wake_at`] says when it must be called again. No I/O and no clock. Called by
-//! the owner's loop ([`crate::run`], or the platform's). Every event and action of `grebecleat::interface` is carried
+//! the owner's loop ([`crate::server`], or the platform's). Every event and action of `grebecleat::interface` is carried
 //! here:
 //!
 //! - a request is answered once: by its first attempt that completes, else by the decisions, else not at all (its
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -5,7 +5,7 @@
 //! Secrets and names come from [`Target`]s; challenges from the caller, who has the source of chance.
 //!
 //! A login that never ends is the caller's to cut off, by time and by how many are open; here each is bounded
-//! in text ([`MOST_TEXT`]) and in requests ([`MOST_REQUESTS`]).
+//! in text ([`MAX_TEXT`]) and in requests ([`MAX_REQUESTS`]).
 
 use crate::chap::{from_text, same, to_text, Algorithm};
 use crate::keys::{format, parse, KeyFault, Negotiation, Params, Wishes, MAX_TEXT};
--- a/crates/iscsi/src/session.rs
+++ b/crates/iscsi/src/session.rs
@@ -5,7 +5,7 @@
 //! solicited), splits that of reads, numbers and keeps responses until they are acknowledged, and carries out
 //! task management. What a command means is the device's, to which [`Act::Start`] hands it whole.
 //!
-//! Memory: commands wait within the window; a write's data is kept up to [`Limits::most_data`]; a response
+//! Memory: commands wait within the window; a write's data is kept up to [`Limits::max_data`]; a response
 //! and a read's data are kept until ExpStatSN acknowledges them.
 
 use crate::keys::{parse, Params};
--- a/crates/target/src/blocks.rs
+++ b/crates/target/src/blocks.rs
@@ -1,7 +1,7 @@
 //! A command on blocks, in pieces of extents and back.
 //!
 //! A volume's blocks lie in extents of a fixed number of blocks, and a request touches one extent.
-//! [`Pieces::of`] splits a range; [`Gather`] takes the pieces' answers, in any order, and makes the one
+//! [`Layout::pieces`] splits a range; [`Gather`] takes the pieces' answers, in any order, and makes the one
 //! answer of the command:
 //!
 //! | pieces | command | why |
