--- a/crates/plans/src/changes.rs
+++ b/crates/plans/src/changes.rs
@@ -119,8 +119,8 @@
     /// ```
     /// use grebecleat_plans::changes::Stage::{self, *};
     /// assert!(Stage::may_follow(None, Some(Queued)) && Stage::may_follow(Some(Queued), Some(Draining)));
-    /// assert!(!Stage::may_follow(Some(Empty), Some(Draining)) && !Stage::may_follow(None, Some(Empty)));
-    /// assert!(Stage::may_follow(Some(Out), None));
+    /// assert!(!Stage::may_follow(Some(Drained), Some(Draining)) && !Stage::may_follow(None, Some(Drained)));
+    /// assert!(Stage::may_follow(Some(Removed), None));
     /// ```
     pub fn may_follow(was: Option<Stage>, is: Option<Stage>) -> bool {
         match (was, is) {
