--- /dev/null
+++ b/crates/plans/src/audit_log.rs
@@ -0,0 +1,143 @@
+//! The last revisions of the catalog, oldest first, and which of them last changed each subject.
+//!
+//! Owned by [`crate::catalog`]. Bounded by the length that it is made with, except that revisions which are
+//! still needed are never dropped; [`AuditLog::is_full`] then tells the leader to accept no more.
+
+use crate::change::{Change, Revision, Subject};
+use crate::records::Version;
+use std::collections::hash_map::Entry;
+use std::collections::{HashMap, VecDeque};
+
+/// See the module.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub(crate) struct AuditLog {
+    revisions: VecDeque<Revision>,
+    max_len: usize,
+    /// Revisions after this one are not dropped.
+    needed_after: Version,
+    /// The last revision here that touched a subject.
+    last_changed: HashMap<Subject, Version>,
+}
+
+impl AuditLog {
+    /// `max_len`: how many revisions are held, at least 1.
+    pub fn new(max_len: usize) -> Self {
+        AuditLog {
+            max_len: max_len.max(1),
+            needed_after: Version(u64::MAX),
+            ..AuditLog::default()
+        }
+    }
+
+    /// From here on revisions after that version are not dropped, however many there are.
+    pub fn need(&mut self, after: Version) {
+        self.needed_after = after;
+    }
+
+    pub fn iter(
+        &self,
+    ) -> impl DoubleEndedIterator<Item = &Revision> + ExactSizeIterator + Clone + '_ {
+        self.revisions.iter()
+    }
+
+    pub fn oldest(&self) -> Option<&Revision> {
+        self.revisions.front()
+    }
+
+    /// Whether it is as long as it may be, with only revisions that are still needed.
+    pub fn is_full(&self) -> bool {
+        let oldest_needed = |oldest: &Revision| oldest.version > self.needed_after;
+        self.revisions.len() >= self.max_len && self.oldest().is_some_and(oldest_needed)
+    }
+
+    /// Revisions after that version.
+    pub fn after(&self, version: Version) -> impl Iterator<Item = &Revision> + '_ {
+        let start = self
+            .revisions
+            .partition_point(|revision| revision.version <= version);
+        self.revisions.range(start..)
+    }
+
+    pub fn get(&self, version: Version) -> Option<&Revision> {
+        self.revisions
+            .iter()
+            .rev()
+            .find(|revision| revision.version == version)
+    }
+
+    /// The last revision here that touched a subject.
+    pub fn last_changed(&self, subject: &Subject) -> Option<Version> {
+        self.last_changed.get(subject).copied()
+    }
+
+    /// Adds the newest revision, and drops the oldest ones that are beyond the length and not needed.
+    pub fn push(&mut self, revision: Revision) {
+        for change in &revision.changes {
+            self.last_changed.insert(change.subject(), revision.version);
+        }
+        for (version, earlier) in &revision.also {
+            self.add_before(*version, earlier);
+        }
+        self.revisions.push_back(revision);
+        while self.revisions.len() > self.max_len {
+            let may_drop = |oldest: &mut Revision| oldest.version <= self.needed_after;
+            let Some(dropped) = self.revisions.pop_front_if(may_drop) else {
+                break;
+            };
+            self.forget_subjects(&dropped);
+        }
+    }
+
+    fn add_before(&mut self, version: Version, earlier: &Change) {
+        let place = self
+            .revisions
+            .binary_search_by_key(&version, |revision| revision.version);
+        if let Ok(place) = place {
+            self.revisions[place].before.push(earlier.clone());
+        }
+    }
+
+    /// Takes the newest revision back.
+    pub fn pop(&mut self) -> Option<Revision> {
+        let revision = self.revisions.pop_back()?;
+        for change in &revision.changes {
+            let subject = change.subject();
+            let touches = |earlier: &&Revision| {
+                earlier
+                    .changes
+                    .iter()
+                    .any(|other| other.subject() == subject)
+            };
+            let earlier = self.revisions.iter().rev().find(touches);
+            match earlier.map(|earlier| earlier.version) {
+                Some(version) => _ = self.last_changed.insert(subject, version),
+                None => _ = self.last_changed.remove(&subject),
+            }
+        }
+        Some(revision)
+    }
+
+    /// Drops revisions up to that version, and returns them.
+    pub fn drop_upto(&mut self, upto: Version) -> Vec<Revision> {
+        let count = self
+            .revisions
+            .partition_point(|revision| revision.version <= upto);
+        let dropped: Vec<Revision> = self.revisions.drain(..count).collect();
+        for revision in &dropped {
+            self.forget_subjects(revision);
+        }
+        dropped
+    }
+
+    /// A revision was dropped: when the subjects that nothing later touched last changed is now unknown.
+    fn forget_subjects(&mut self, dropped: &Revision) {
+        for change in &dropped.changes {
+            let Entry::Occupied(entry) = self.last_changed.entry(change.subject()) else {
+                continue;
+            };
+            if *entry.get() == dropped.version {
+                entry.remove();
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/plans/src/catalog_state.rs
@@ -0,0 +1,83 @@
+//! The catalog's whole state as changes: now, at an earlier version, and the difference between two states.
+//!
+//! Used to send a host its first state, to write snapshots, and to compare with a declared configuration.
+
+use crate::catalog::Catalog;
+use crate::change::{Change, Subject};
+use crate::records::Version;
+use std::collections::{BTreeMap, BTreeSet};
+
+impl Catalog {
+    /// Everything, as changes that would make it from nothing.
+    pub fn state(&self) -> impl Iterator<Item = Change> + '_ {
+        let plans = self.plans().map(|(name, plan)| Change::Plan {
+            name: name.clone(),
+            to: Some(plan.clone()),
+        });
+        let nodes = self.nodes().map(|(id, node)| Change::Node {
+            id,
+            to: Some(node.clone()),
+        });
+        let volumes = self.volumes().map(|(id, volume)| Change::Volume {
+            id,
+            to: Some(volume.clone()),
+        });
+        let drains = self.drains().map(|(node, drain)| Change::Drain {
+            node,
+            to: Some(drain.clone()),
+        });
+        let targets = self.targets().map(|(name, volumes)| Change::Target {
+            name: name.clone(),
+            to: Some(volumes.clone()),
+        });
+        let scheduled = self.scheduled().map(|(id, scheduled)| Change::Scheduled {
+            id,
+            to: Some(scheduled.clone()),
+        });
+        plans
+            .chain(nodes)
+            .chain(volumes)
+            .chain(drains)
+            .chain(targets)
+            .chain(scheduled)
+    }
+
+    /// The same as it was at a version that the audit log reaches back to.
+    pub fn state_at(&self, version: Version) -> impl Iterator<Item = Change> + '_ {
+        let mut earlier: BTreeMap<Subject, Change> = BTreeMap::new();
+        let undone = self
+            .audit_log()
+            .rev()
+            .take_while(|revision| revision.version > version);
+        for revision in undone {
+            for change in &revision.before {
+                earlier.insert(change.subject(), change.clone());
+            }
+        }
+        let changed: BTreeSet<Subject> = earlier.keys().cloned().collect();
+        let unchanged = self
+            .state()
+            .filter(move |change| !changed.contains(&change.subject()));
+        earlier
+            .into_values()
+            .filter(|change| !change.ends())
+            .chain(unchanged)
+    }
+
+    /// Changes that would make this state the other one; empty where they are equal.
+    pub fn changes_towards(&self, other: &Catalog) -> Vec<Change> {
+        let mut changes: Vec<Change> = other
+            .state()
+            .filter(|change| self.now(&change.subject()) != *change)
+            .collect();
+        let mut removed: Vec<Change> = self
+            .state()
+            .map(|change| other.now(&change.subject()))
+            .filter(Change::ends)
+            .collect();
+        // What refers to something is removed before it, and is made after it.
+        removed.reverse();
+        changes.extend(removed);
+        changes
+    }
+}
--- /dev/null
+++ b/crates/plans/src/limit_lowering.rs
@@ -0,0 +1,52 @@
+//! Whether a revision lowers what a host that does not know it yet may hold itself entitled to.
+//!
+//! Called by [`crate::propose`]. Such a revision is stable only once hosts have acknowledged it: see
+//! [`crate::feed`]. What a host keeps without a lease, its quota of the reservation and of the burst, must never
+//! shrink without its knowledge.
+
+use crate::change::{Change, Subject};
+use crate::overlay::Overlay;
+use crate::records::{Name, Plan};
+
+/// Whether a host that knows only the state before may hold itself entitled to more of a limited volume than
+/// it is after the changes.
+pub(crate) fn lowers_limits(after: &Overlay) -> bool {
+    after.changes().any(|(_, change)| match change {
+        Change::Plan { name, .. } => plan_lowers(after, name),
+        Change::Volume { id, .. } => volume_lowers(after, *id),
+        _ => false,
+    })
+}
+
+fn plan_lowers(after: &Overlay, name: &Name) -> bool {
+    let Some(new) = after.plan(name).filter(|plan| plan.limit > 0.0) else {
+        return false;
+    };
+    let Some(old) = after.base.plan(name) else {
+        return false;
+    };
+    is_lower(old, new) && after.base.volumes_of_plan(name).next().is_some()
+}
+
+fn volume_lowers(after: &Overlay, id: u64) -> bool {
+    let Some(new) = after.volume(id) else {
+        return false;
+    };
+    let Some(new_plan) = after.plan(&new.plan).filter(|plan| plan.limit > 0.0) else {
+        return false;
+    };
+    let Some(old) = after.base.volume(id) else {
+        // A volume of that number may have been there before, and a host may still know that one.
+        return after.base.last_changed(&Subject::Volume(id)).is_some();
+    };
+    let host_removed = old.hosts.iter().any(|host| !new.hosts.contains(host));
+    if host_removed || new.hosts.len() > old.hosts.len() {
+        return true;
+    }
+    let old_plan = after.base.plan(&old.plan);
+    old_plan.is_none_or(|old_plan| is_lower(old_plan, new_plan))
+}
+
+fn is_lower(old: &Plan, new: &Plan) -> bool {
+    old.limit <= 0.0 || new.reservation < old.reservation || new.burst < old.burst
+}
