--- a/crates/plans/src/feed.rs
+++ b/crates/plans/src/feed.rs
@@ -147,31 +147,31 @@
     }
 
     /// A host asks, says what it has, and is answered at once; `latest` is the catalog's version.
-    pub fn asked(
+    pub fn poll(
         &mut self,
         now: Duration,
         host: HostNumber,
         applied: Version,
         latest: Version,
     ) -> PollDecision {
-        self.heard(host, applied, latest);
+        self.acknowledge(host, applied, latest);
         self.grant(now, host)
     }
 
     /// Some host has followed what is not known here.
-    pub fn is_behind(&mut self, applied: Version) {
+    pub fn set_behind(&mut self, applied: Version) {
         self.behind = self.behind.max(Some(applied));
     }
 
     /// A host says what it has and uses.
-    pub fn heard(&mut self, host: HostNumber, applied: Version, latest: Version) {
+    pub fn acknowledge(&mut self, host: HostNumber, applied: Version, latest: Version) {
         let Some(held) = self.hosts.get_mut(&host) else {
             return;
         };
         if applied <= latest {
             held.applied = held.applied.max(Some(applied));
         } else {
-            self.is_behind(applied);
+            self.set_behind(applied);
         }
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Somebody answers for it that this host sends nothing until it asks again.
-    pub fn gone(&mut self, host: HostNumber) {
+    pub fn set_gone(&mut self, host: HostNumber) {
         self.hosts
             .get_mut(&host)
             .into_iter()
@@ -265,7 +265,7 @@
     }
 
     /// Somebody has looked, and what is to count now has a version after all that hosts have.
-    pub fn caught_up(&mut self) {
+    pub fn clear_behind(&mut self) {
         self.behind = None;
     }
 }
@@ -291,7 +291,7 @@
 
     /// An answer to what was asked at `sent`, by this host's clock. An older one than what it has is not
     /// followed, nor is its lease.
-    pub fn told(&mut self, sent: Duration, version: Version, stable: Version, lease: Duration) {
+    pub fn granted(&mut self, sent: Duration, version: Version, stable: Version, lease: Duration) {
         if version >= self.applied {
             self.until = if version > self.applied {
                 sent + lease
--- a/crates/plans/src/follower.rs
+++ b/crates/plans/src/follower.rs
@@ -290,7 +290,7 @@
                 self.lease = lease;
                 let fits = self.come(epoch, version, came);
                 if fits {
-                    self.follower_lease.told(sent, version, stable, lease);
+                    self.follower_lease.granted(sent, version, stable, lease);
                     self.settle();
                 } else {
                     self.not_before = self.now + AGAIN;
--- a/crates/plans/tests/feed.rs
+++ b/crates/plans/tests/feed.rs
@@ -258,7 +258,7 @@
             if i == 0 && s.mishaps < self.mishaps {
                 push(&|s| {
                     s.mishaps += 1;
-                    s.leases.gone(HostNumber(0));
+                    s.leases.set_gone(HostNumber(0));
                     s.hosts[0] = Host {
                         gone: true,
                         ..Host::default()
@@ -307,7 +307,7 @@
         } else {
             applied
         };
-        match s.leases.asked(now, host, applied, latest) {
+        match s.leases.poll(now, host, applied, latest) {
             PollDecision::Grant { .. } => {
                 let stable =
                     s.leases
@@ -328,7 +328,7 @@
             h.follower_lease = FollowerLease::default();
         }
         h.follower_lease
-            .told(ticks(from), version, stable, ticks(LEASE));
+            .granted(ticks(from), version, stable, ticks(LEASE));
     }
 
     /// What both hosts may send together, and the limit that is in force.
--- a/crates/plans/tests/leader.rs
+++ b/crates/plans/tests/leader.rs
@@ -186,14 +186,14 @@
                 version,
                 verdict,
             } => {
-                let warned = said(&verdict.warnings);
+                let warned = join_reasons(&verdict.warnings);
                 format!("{}: landed {} {warned}", call.0, version.0)
                     .trim_end()
                     .to_string()
             }
             Action::Reject { call, reason } => format!("{}: {reason}", call.0),
             Action::Preview { call, verdict } => {
-                format!("{}: would {}", call.0, said(&verdict.objections))
+                format!("{}: would {}", call.0, join_reasons(&verdict.objections))
                     .trim_end()
                     .to_string()
             }
