--- a/crates/host/src/following.rs
+++ b/crates/host/src/following.rs
@@ -126,7 +126,7 @@
                 hosts: *hosts,
             },
             (Some(_), _) => Standing::Elsewhere,
-            (None, Some(f)) if !f.knows() => Standing::Untold,
+            (None, Some(f)) if !f.has_state() => Standing::Untold,
             (None, _) => Standing::Nowhere,
         }
     }
@@ -250,11 +250,11 @@
             .map(revision_from_proto)
             .collect::<Result<Vec<_>, _>>();
         let revisions = revisions.map_err(|e| e.to_string())?;
-        let came = match whole.snapshot {
-            false => Update::Entries(revisions),
+        let update = match whole.snapshot {
+            false => Update::Revisions(revisions),
             true => {
                 let state = changes_from_proto(whole.state).map_err(|e| e.to_string())?;
-                Update::Whole {
+                Update::Snapshot {
                     at: Version(whole.at),
                     state,
                     revisions,
@@ -267,7 +267,7 @@
             version: Version(whole.version),
             stable: Version(whole.stable),
             lease: Duration::from_micros(whole.lease_us),
-            came,
+            update,
         });
         Ok(())
     }
--- a/crates/plans/src/follower.rs
+++ b/crates/plans/src/follower.rs
@@ -1,570 +1,404 @@
-//! A host's side of the feed: what it asks for, what it keeps, and what its decisions are told of each
-//! volume.
+//! A host's side of the change feed: what it polls, persists and acknowledges, and on what terms it serves
+//! each volume.
 //!
-//! Called as `step(now, events)` for every batch of what happened on the way to the state service and to the
-//! disk, which answers what to ask, keep, and tell; [`Follower::wake_at`] says when it must be called again.
-//! Wanted at any time: an open question to the service, everything that came on the disk, a word to the
-//! service once nothing of an older version can cross any more, and the decisions on the terms that follow
-//! from all versions that must be reckoned with ([`crate::feed::quota`]). `bring` diffs these against what is
-//! so.
+//! State machine: `step(now, events)` returns the actions to perform; [`Follower::wake_at`] says when it must
+//! be called again. No I/O. The host's shell calls it for every batch of events from the connection to the
+//! leader and from the disk. Each step reconciles: one poll is open at the leader, everything received is on
+//! the disk, the leader has an acknowledgement once nothing decided on an older version can be sent any more,
+//! and the host's decisions have the terms that follow from all versions that must be reckoned with
+//! ([`crate::feed::quota`]).
 //!
-//! - What comes is followed at once and kept beside; only once it is kept, and what was decided before has
-//!   crossed or never will, does the host say that it has it. A host that dies in between has less than it
-//!   followed, which is what the service believes.
+//! - An update is followed at once and persisted at the same time; only once it is persisted, and what was
+//!   decided before has been sent or never will be, does the host acknowledge it. A host that crashes in
+//!   between has less than it followed, which is what the leader believes.
 //! - A host that starts has no lease: until the first answer it sends of limited volumes what no change can
-//!   have taken from it, by what it kept. One that kept nothing knows of no volume.
+//!   have taken from it, by what it persisted. One that persisted nothing knows of no volume.
 //!
-//! Without input or output. Memory: the catalog of volumes that work through this host, the last terms of
-//! each, and at most [`MOST_OPEN`] entries that are not settled.
+//! Memory: the catalog of volumes that are served through this host, the last terms of each, and at most
+//! [`MAX_OPEN`] revisions that are not stable.
 
-use crate::changes::{Catalog, Change, Deployment, Name, Plan, Revision, Subject, Version, Volume};
-use crate::feed::{quota, FollowerLease, LimitTerms, Quota};
+mod messages;
+mod terms;
+mod updates;
+
+pub use messages::{Action, Event, InitialState, PersistRequest, Terms, Update};
+
+use crate::catalog::Catalog;
+use crate::change::{Revision, Subject};
+use crate::feed::FollowerLease;
 use crate::leader::{CallId, Epoch};
+use crate::records::{Deployment, Name, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Entries that must still be reckoned with; with more the host follows nothing new until some are settled.
+/// Most revisions that must still be reckoned with; with more the host follows nothing new until some are
+/// stable.
 pub const MAX_OPEN: usize = 1 << 16;
-/// How long the first answer may take; later ones may take as long as the last lease, which the service holds
-/// them back by a third of at most. Guards against an answer that got lost on a way that still stands.
-const FIRST: Duration = Duration::from_secs(1);
-/// What could not be kept is tried again after this.
-const AGAIN: Duration = Duration::from_secs(1);
-
-/// What came from the service.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Update {
-    /// What follows what this host has.
-    Entries(Vec<Revision>),
-    /// Everything as it was at a settled version, and what followed.
-    Whole {
-        at: Version,
-        state: Vec<Change>,
-        revisions: Vec<Revision>,
-    },
-}
-
-#[derive(Debug, Clone, PartialEq)]
-pub enum Event {
-    /// There is a way to the service, or none any more.
-    Up,
-    Down,
-    Granted {
-        call: CallId,
-        epoch: Epoch,
-        version: Version,
-        stable: Version,
-        lease: Duration,
-        came: Update,
-    },
-    /// The service knows less than this host.
-    Behind {
-        call: CallId,
-    },
-    PollRejected {
-        call: CallId,
-        reason: String,
-    },
-    Persisted {
-        number: u64,
-    },
-    PersistFailed {
-        reason: String,
-    },
-}
-
-/// What is to be on the disk, together or not at all.
-#[derive(Debug, Clone, PartialEq)]
-pub struct PersistRequest {
-    pub number: u64,
-    pub epoch: Epoch,
-    pub stable: Version,
-    /// Entries to add, with what puts them back.
-    pub revisions: Vec<Revision>,
-    /// In place of all that was kept, where steps are missing.
-    pub snapshot: bool,
-}
+/// How long the first answer may take; later ones may take as long as the last lease, of which the leader
+/// delays them by a third at most. Guards against an answer that was lost on a connection that is still up.
+const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long nothing is asked or written after that has failed.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// On what terms this host serves a volume.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Terms {
-    pub plan: Name,
-    pub hosts: usize,
-    /// It works through this host.
-    pub mine: bool,
-    /// This host's part of the limit; None: there is none.
-    pub quota: Option<Quota>,
+/// A poll that the leader has not answered.
+#[derive(Debug, Clone, Copy)]
+struct PendingPoll {
+    call: CallId,
+    sent: Duration,
 }
 
-#[derive(Debug, Clone, PartialEq)]
-pub enum Action {
-    /// `acknowledged`: as in [`Action::Acknowledge`].
-    Poll {
-        call: CallId,
-        epoch: Epoch,
-        applied: Version,
-        stable: Version,
-        acknowledged: Version,
-    },
-    /// Nothing of an older version crosses from here any more.
-    Acknowledge {
-        epoch: Epoch,
-        applied: Version,
-    },
-    Persist(PersistRequest),
-    /// A plan's figures; its limit is in the terms of each volume.
-    Plan {
-        name: Name,
-        plan: Plan,
-    },
-    /// None: the volume is no more, or not here.
-    Volume {
-        id: u64,
-        terms: Option<Terms>,
-    },
-    Note {
-        text: String,
-    },
+/// The last write to the disk, while it is not answered.
+#[derive(Debug, Clone, Copy)]
+struct PendingPersist {
+    number: u64,
+    version: Version,
 }
 
-/// What the host was when it last was.
-#[derive(Debug, Clone, Default)]
-pub struct InitialState {
-    pub catalog: Catalog,
-    pub stable: Version,
-    pub epoch: Epoch,
+/// A version, and since when it is followed.
+#[derive(Debug, Clone, Copy)]
+struct Followed {
+    version: Version,
+    since: Duration,
 }
 
+/// A host's state machine; see the module.
 #[derive(Debug)]
 pub struct Follower {
-    me: Name,
+    /// Name of this host.
+    host: Name,
     max_dispatch_delay: Duration,
     catalog: Catalog,
     follower_lease: FollowerLease,
     epoch: Epoch,
     now: Duration,
-    up: bool,
-    asked: Option<(CallId, Duration)>,
-    lease: Duration,
-    /// The last keep: its number, and the version that it brings.
-    keeping: Option<(u64, Version)>,
+    /// Whether there is a connection to the leader.
+    connected: bool,
+    pending_poll: Option<PendingPoll>,
+    poll_timeout: Duration,
+    pending_persist: Option<PendingPersist>,
     persisted: Version,
-    /// What came since the last keep.
-    unkept: Vec<Revision>,
-    snapshot: bool,
+    /// What was received since the last write.
+    unpersisted: Vec<Revision>,
+    /// The next write replaces all that is stored.
+    needs_snapshot: bool,
     stable_persisted: Version,
-    /// Versions with when they were followed, oldest first, of which the service has not been told.
-    followed: Vec<(Version, Duration)>,
-    /// Of which nothing older can cross any more, and up to where the service was told so.
+    /// Versions that are not acknowledged, oldest first.
+    followed: Vec<Followed>,
+    /// Nothing decided on an older version is sent any more.
     acknowledged: Version,
-    confirmed: Version,
+    /// The last acknowledgement on this connection.
+    acknowledgement_sent: Version,
     leased: bool,
-    not_before: Duration,
-    /// Plans whose figures the decisions have not been told.
-    plans: BTreeSet<Name>,
-    told: BTreeMap<u64, Terms>,
-    dirty: BTreeSet<u64>,
-    next: u64,
-    out: Vec<Action>,
+    /// Nothing is asked or written before that time.
+    retry_at: Duration,
+    /// Plans whose new values were not announced.
+    dirty_plans: BTreeSet<Name>,
+    /// Volumes whose terms may differ from those announced.
+    dirty_volumes: BTreeSet<u64>,
+    /// The last terms of each volume that were announced.
+    announced: BTreeMap<u64, Terms>,
+    /// Number of the last poll or write.
+    last_number: u64,
+    actions: Vec<Action>,
 }
 
 impl Follower {
-    /// `max_dispatch_delay`: how long what was decided may take to cross.
-    pub fn new(me: Name, start: InitialState, max_dispatch_delay: Duration) -> Self {
+    /// `host`: the name of this one. `max_dispatch_delay`: longest time between a decision and its sending.
+    pub fn new(host: Name, start: InitialState, max_dispatch_delay: Duration) -> Self {
         let InitialState {
             catalog,
             stable,
             epoch,
         } = start;
         let applied = catalog.version();
-        let plans = catalog.plans().map(|(name, _)| name.clone()).collect();
-        let dirty = catalog.volumes().map(|(id, _)| id).collect();
         Follower {
-            me,
+            host,
             max_dispatch_delay,
             follower_lease: FollowerLease::persisted(applied, stable),
-            catalog,
             epoch,
             now: Duration::ZERO,
-            up: false,
-            asked: None,
-            lease: FIRST,
-            keeping: None,
+            connected: false,
+            pending_poll: None,
+            poll_timeout: FIRST_POLL_TIMEOUT,
+            pending_persist: None,
             persisted: applied,
-            unkept: Vec::new(),
-            snapshot: false,
+            unpersisted: Vec::new(),
+            needs_snapshot: false,
             stable_persisted: stable,
-            followed: vec![(applied, Duration::ZERO)],
+            followed: vec![Followed {
+                version: applied,
+                since: Duration::ZERO,
+            }],
             acknowledged: Version(0),
-            confirmed: Version(0),
+            acknowledgement_sent: Version(0),
             leased: false,
-            not_before: Duration::ZERO,
-            plans,
-            told: BTreeMap::new(),
-            dirty,
-            next: 0,
-            out: Vec::new(),
+            retry_at: Duration::ZERO,
+            dirty_plans: catalog.plans().map(|(name, _)| name.clone()).collect(),
+            dirty_volumes: catalog.volumes().map(|(id, _)| id).collect(),
+            announced: BTreeMap::new(),
+            last_number: 0,
+            actions: Vec::new(),
+            catalog,
         }
     }
 
-    /// A catalog for a host's own part of the state.
+    /// An empty catalog for a host's part of the state.
     pub fn catalog_of(facts: Deployment) -> Catalog {
         Catalog::new(facts, MAX_OPEN)
     }
 
+    /// What this host follows.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
+    /// Versions that it reckons with, and its lease.
     pub fn follower_lease(&self) -> &FollowerLease {
         &self.follower_lease
     }
 
-    /// Whether it has ever followed anything: until then nobody can say that a volume does not exist.
-    pub fn knows(&self) -> bool {
+    /// Whether it has ever followed anything: until then it cannot be said that a volume does not exist.
+    pub fn has_state(&self) -> bool {
         self.catalog.version() > Version(0)
     }
 
+    /// Whether it had a lease at the last step.
     pub fn leased(&self) -> bool {
         self.leased
     }
 
-    /// In which history it stands.
+    /// The epoch of its versions.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
+    /// Subjects that were changed by revisions that are not stable.
+    pub fn open(&self) -> impl Iterator<Item = Subject> + '_ {
+        self.catalog
+            .audit_log()
+            .flat_map(|revision| revision.changes.iter().map(|change| change.subject()))
+    }
+
+    /// Handles events, and returns the actions to perform, in order. `now`: a clock that never goes back.
     pub fn step(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.now = now.max(self.now);
-        events.into_iter().for_each(|e| self.hear(e));
-        let leased = self.follower_lease.leased(self.now);
-        if leased != std::mem::replace(&mut self.leased, leased) {
-            // Only limits depend on it.
-            self.dirty.extend(
-                self.told
-                    .iter()
-                    .filter(|(_, t)| t.quota.is_some())
-                    .map(|(id, _)| *id),
-            );
-            if !leased {
-                self.note(
-                    "the lease on plans has run out: limited volumes keep to their reservations"
-                        .into(),
-                );
-            }
+        for event in events {
+            self.handle(event);
         }
-        self.bring();
-        std::mem::take(&mut self.out)
+        self.update_leased();
+        self.announce_plans();
+        self.announce_volumes();
+        self.persist();
+        if self.connected {
+            self.acknowledge();
+            self.poll();
+        }
+        std::mem::take(&mut self.actions)
     }
 
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&self) -> Option<Duration> {
         let lease = self.leased.then(|| self.follower_lease.until());
-        let confirm = self
+        let acknowledge = self
             .followed
             .iter()
-            .filter(|f| f.0 <= self.persisted)
-            .map(|f| f.1 + self.max_dispatch_delay)
+            .filter(|followed| followed.version <= self.persisted)
+            .map(|followed| followed.since + self.max_dispatch_delay)
             .min();
-        let confirm = confirm.filter(|_| self.up);
-        let again = (self.not_before > self.now).then_some(self.not_before);
-        let answer = self.asked.map(|a| a.1 + self.lease);
-        [lease, confirm, again, answer].into_iter().flatten().min()
+        let acknowledge = acknowledge.filter(|_| self.connected);
+        let retry = (self.retry_at > self.now).then_some(self.retry_at);
+        let poll = self
+            .pending_poll
+            .map(|pending| pending.sent + self.poll_timeout);
+        [lease, acknowledge, retry, poll]
+            .into_iter()
+            .flatten()
+            .min()
     }
 
-    fn hear(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
-            Event::Up => (self.up, self.asked, self.confirmed) = (true, None, Version(0)),
-            Event::Down => (self.up, self.asked) = (false, None),
+            Event::Up => {
+                self.connected = true;
+                self.pending_poll = None;
+                self.acknowledgement_sent = Version(0);
+            }
+            Event::Down => {
+                self.connected = false;
+                self.pending_poll = None;
+            }
             Event::Granted {
                 call,
                 epoch,
                 version,
                 stable,
                 lease,
-                came,
+                update,
             } => {
-                let Some((_, sent)) = self.asked.take_if(|a| a.0 == call) else {
+                let Some(poll) = self.take_poll(call) else {
                     return;
                 };
-                self.lease = lease;
-                let fits = self.come(epoch, version, came);
-                if fits {
-                    self.follower_lease.granted(sent, version, stable, lease);
-                    self.settle();
-                } else {
-                    self.not_before = self.now + AGAIN;
+                self.poll_timeout = lease;
+                match self.apply_update(epoch, version, update) {
+                    Ok(()) => {
+                        self.follower_lease
+                            .granted(poll.sent, version, stable, lease);
+                        self.forget_stable();
+                    }
+                    Err(error) => self.note_and_retry(error.to_string()),
                 }
             }
-            Event::Behind { call } if self.asked.take_if(|a| a.0 == call).is_some() => {
-                self.note(
-                    "the state service knows less than this host; an operator must look".into(),
-                );
-                self.not_before = self.now + AGAIN;
+            Event::Behind { call } => {
+                if self.take_poll(call).is_some() {
+                    let text = "the state service knows less than this host; an operator must look";
+                    self.note_and_retry(text.into());
+                }
             }
-            Event::PollRejected { call, reason }
-                if self.asked.take_if(|a| a.0 == call).is_some() =>
-            {
-                self.note(format!("the state service refuses: {reason}"));
-                self.not_before = self.now + AGAIN;
+            Event::PollRejected { call, reason } => {
+                if self.take_poll(call).is_some() {
+                    self.note_and_retry(format!("the state service refuses: {reason}"));
+                }
             }
-            Event::Behind { .. } | Event::PollRejected { .. } => {}
             Event::Persisted { number } => {
-                if let Some((_, version)) = self.keeping.take_if(|k| k.0 == number) {
-                    self.persisted = version;
+                let persisted = self
+                    .pending_persist
+                    .take_if(|pending| pending.number == number);
+                if let Some(persisted) = persisted {
+                    self.persisted = persisted.version;
                 }
             }
             Event::PersistFailed { reason } => {
-                self.note(format!("plans cannot be kept: {reason}"));
-                // Of what was on its way nobody knows how much arrived; all of it goes again.
-                if self.keeping.take().is_some() {
-                    self.snapshot = true;
+                // How much of the last write arrived is unknown; all of it is written again.
+                if self.pending_persist.take().is_some() {
+                    self.needs_snapshot = true;
                 }
-                self.not_before = self.now + AGAIN;
+                self.note_and_retry(format!("plans cannot be kept: {reason}"));
             }
         }
     }
 
-    /// Takes what came, if it follows what is here.
-    fn come(&mut self, epoch: Epoch, version: Version, came: Update) -> bool {
-        let before = self.catalog.version();
-        let (at, snapshot, revisions) = match came {
-            Update::Entries(revisions) => (before, None, revisions),
-            Update::Whole {
-                at,
-                state,
-                revisions,
-            } => (at, Some(state), revisions),
-        };
-        // All of it or nothing: half of it would be a state that nobody ever decided.
-        let last = revisions.iter().try_fold(at, |v, e| {
-            (e.from == v && e.version > v).then_some(e.version)
-        });
-        if last != Some(version) || version < before {
-            self.note(format!(
-                "what came does not lead from {} to {}",
-                at.0, version.0
-            ));
-            return false;
-        }
-        let open = if snapshot.is_some() {
-            0
-        } else {
-            self.catalog.audit_log().len()
-        };
-        if open + revisions.len() > MAX_OPEN {
-            self.note("too many changes wait for other hosts; nothing new is followed".into());
-            return false;
-        }
-        if let Some(state) = snapshot {
-            self.dirty.extend(self.told.keys());
-            let facts = self.catalog.facts().clone();
-            self.catalog = Follower::catalog_of(facts).restored(at, state, Vec::new());
-            self.dirty.extend(self.catalog.volumes().map(|(id, _)| id));
-            self.plans
-                .extend(self.catalog.plans().map(|(name, _)| name.clone()));
-            self.unkept.clear();
-            self.snapshot = true;
-            // In another history the numbers of the last one mean nothing, nor what is still on its way to
-            // the disk of it.
-            self.follower_lease = FollowerLease::persisted(at, at);
-            (
-                self.persisted,
-                self.acknowledged,
-                self.confirmed,
-                self.keeping,
-            ) = Default::default();
-            self.followed.clear();
-        }
-        if self.epoch != epoch {
-            (self.epoch, self.snapshot) = (epoch, true);
-        }
-        for revision in revisions {
-            let revision = self.completed(revision);
-            self.dirty
-                .extend(revision.also.iter().filter_map(|(_, c)| match c {
-                    Change::Volume { id, .. } => Some(*id),
-                    _ => None,
-                }));
-            self.catalog
-                .apply(revision.clone())
-                .expect("looked at above");
-            self.touch(&revision);
-            self.unkept.push(revision);
-        }
-        if self.catalog.version() > before || self.followed.is_empty() {
-            self.followed.push((self.catalog.version(), self.now));
-        }
-        true
-    }
-
-    /// An entry with what puts it back here, and how that was which did not work through this host.
-    fn completed(&self, revision: Revision) -> Revision {
-        // What this host has of a volume that went elsewhere may be old.
-        let told = |s: &Subject| revision.before.iter().find(|c| c.subject() == *s).cloned();
-        let was = |c: &Change| told(&c.subject()).unwrap_or_else(|| self.catalog.now(&c.subject()));
-        let before = revision.changes.iter().rev().map(was).collect();
-        Revision { before, ..revision }
+    fn take_poll(&mut self, call: CallId) -> Option<PendingPoll> {
+        self.pending_poll.take_if(|pending| pending.call == call)
     }
 
-    /// Volumes whose terms an entry may change.
-    fn touch(&mut self, revision: &Revision) {
-        for change in revision.changes.iter().chain(&revision.before) {
-            match change {
-                Change::Volume { id, .. } => _ = self.dirty.insert(*id),
-                Change::Plan { name, .. } => {
-                    self.plans.insert(name.clone());
-                    self.dirty.extend(self.catalog.volumes_of_plan(name));
-                }
-                _ => {}
-            }
+    /// Revisions that are stable need not be reckoned with any more.
+    fn forget_stable(&mut self) {
+        for revision in self.catalog.forget(self.follower_lease.stable) {
+            self.mark_dirty(&revision);
         }
     }
 
-    /// What is settled need not be reckoned with any more.
-    fn settle(&mut self) {
-        let stable = self.follower_lease.stable;
-        for revision in self.catalog.forget(stable) {
-            self.touch(&revision);
+    fn update_leased(&mut self) {
+        let leased = self.follower_lease.leased(self.now);
+        if leased == self.leased {
+            return;
+        }
+        self.leased = leased;
+        // Only limits depend on it.
+        let limited = self
+            .announced
+            .iter()
+            .filter(|(_, terms)| terms.quota.is_some());
+        self.dirty_volumes.extend(limited.map(|(id, _)| *id));
+        if !leased {
+            self.note(
+                "the lease on plans has run out: limited volumes keep to their reservations".into(),
+            );
         }
     }
 
-    /// What each version that must be reckoned with says of a volume, the newest first.
-    fn window(&self, id: u64) -> Vec<LimitTerms> {
-        let mut volume: Option<Volume> = self.catalog.volume(id).cloned();
-        let mut plans: BTreeMap<Name, Option<Plan>> = BTreeMap::new();
-        let mut all = Vec::new();
-        let says = |volume: &Option<Volume>, plans: &BTreeMap<Name, Option<Plan>>| {
-            let v = volume.as_ref()?;
-            let plan = plans
-                .get(&v.plan)
-                .cloned()
-                .unwrap_or_else(|| self.catalog.plan(&v.plan).cloned())?;
-            let (hosts, mine) = (v.hosts.len(), v.hosts.contains(&self.me));
-            Some(LimitTerms {
-                reservation: plan.reservation,
-                limit: plan.limit,
-                burst: plan.burst,
-                hosts,
-                mine,
-            })
-        };
-        all.extend(says(&volume, &plans));
-        for revision in self.catalog.audit_log().rev() {
-            let mut last_changed = false;
-            for change in &revision.before {
-                match change {
-                    Change::Volume { id: other, to } if *other == id => {
-                        (volume, last_changed) = (to.clone(), true);
-                    }
-                    Change::Plan { name, to } => {
-                        plans.insert(name.clone(), to.clone());
-                        last_changed |= volume.as_ref().is_some_and(|v| v.plan == *name);
-                    }
-                    _ => {}
-                }
-            }
-            if last_changed {
-                all.extend(says(&volume, &plans));
+    fn announce_plans(&mut self) {
+        for name in std::mem::take(&mut self.dirty_plans) {
+            if let Some(plan) = self.catalog.plan(&name).cloned() {
+                self.actions.push(Action::Plan { name, plan });
             }
         }
-        all
-    }
-
-    fn terms(&self, id: u64) -> Option<Terms> {
-        let v = self.catalog.volume(id)?;
-        let quota = quota(self.window(id), self.leased);
-        Some(Terms {
-            plan: v.plan.clone(),
-            hosts: v.hosts.len(),
-            mine: v.hosts.contains(&self.me),
-            quota,
-        })
     }
 
-    /// Brings what is asked, kept and told into line with what is wanted.
-    fn bring(&mut self) {
-        for name in std::mem::take(&mut self.plans) {
-            let plan = self.catalog.plan(&name).cloned();
-            self.out
-                .extend(plan.map(|plan| Action::Plan { name, plan }));
-        }
-        for id in std::mem::take(&mut self.dirty) {
+    fn announce_volumes(&mut self) {
+        for id in std::mem::take(&mut self.dirty_volumes) {
             let terms = self.terms(id);
-            if self.told.get(&id) == terms.as_ref() {
+            if self.announced.get(&id) == terms.as_ref() {
                 continue;
             }
             match &terms {
-                Some(t) => _ = self.told.insert(id, t.clone()),
-                None => _ = self.told.remove(&id),
+                Some(terms) => _ = self.announced.insert(id, terms.clone()),
+                None => _ = self.announced.remove(&id),
             }
-            self.out.push(Action::Volume { id, terms });
+            self.actions.push(Action::Volume { id, terms });
         }
-        let news = !self.unkept.is_empty()
-            || self.snapshot
-            || self.follower_lease.stable > self.stable_persisted;
-        if news && self.keeping.is_none() && self.now >= self.not_before {
-            self.next += 1;
-            let (number, epoch, stable) = (self.next, self.epoch, self.follower_lease.stable);
-            let (revisions, snapshot) = (
-                std::mem::take(&mut self.unkept),
-                std::mem::take(&mut self.snapshot),
-            );
-            self.out.push(Action::Persist(PersistRequest {
-                number,
-                epoch,
-                stable,
-                revisions,
-                snapshot,
-            }));
-            self.keeping = Some((number, self.catalog.version()));
-            self.stable_persisted = stable;
-        }
-        if !self.up {
+    }
+
+    fn persist(&mut self) {
+        let stable = self.follower_lease.stable;
+        let is_needed =
+            !self.unpersisted.is_empty() || self.needs_snapshot || stable > self.stable_persisted;
+        if !is_needed || self.pending_persist.is_some() || self.now < self.retry_at {
             return;
         }
-        // What was decided on an older version may still cross for so long.
-        let crossed = |f: &&(Version, Duration)| {
-            f.0 <= self.persisted && f.1 + self.max_dispatch_delay <= self.now
-        };
-        self.acknowledged = self
-            .followed
-            .iter()
-            .filter(crossed)
-            .map(|f| f.0)
-            .fold(self.acknowledged, Version::max);
-        self.followed.retain(|f| f.0 > self.acknowledged);
-        if self.acknowledged > self.confirmed {
-            self.confirmed = self.acknowledged;
-            self.out.push(Action::Acknowledge {
-                epoch: self.epoch,
-                applied: self.acknowledged,
-            });
+        self.last_number += 1;
+        self.actions.push(Action::Persist(PersistRequest {
+            number: self.last_number,
+            epoch: self.epoch,
+            stable,
+            revisions: std::mem::take(&mut self.unpersisted),
+            snapshot: std::mem::take(&mut self.needs_snapshot),
+        }));
+        self.pending_persist = Some(PendingPersist {
+            number: self.last_number,
+            version: self.catalog.version(),
+        });
+        self.stable_persisted = stable;
+    }
+
+    /// Acknowledges the newest version that is persisted, and on an older one than which nothing decided can
+    /// be sent any more.
+    fn acknowledge(&mut self) {
+        for followed in &self.followed {
+            let is_sent = followed.since + self.max_dispatch_delay <= self.now;
+            if followed.version <= self.persisted && is_sent {
+                self.acknowledged = self.acknowledged.max(followed.version);
+            }
         }
-        self.asked.take_if(|a| self.now >= a.1 + self.lease);
-        if self.asked.is_none() && self.now >= self.not_before {
-            self.next += 1;
-            let call = CallId(self.next);
-            self.asked = Some((call, self.now));
-            let (applied, stable) = (self.catalog.version(), self.follower_lease.stable);
-            self.out.push(Action::Poll {
-                call,
+        let acknowledged = self.acknowledged;
+        self.followed
+            .retain(|followed| followed.version > acknowledged);
+        if acknowledged > self.acknowledgement_sent {
+            self.acknowledgement_sent = acknowledged;
+            self.actions.push(Action::Acknowledge {
                 epoch: self.epoch,
-                applied,
-                stable,
-                acknowledged: self.acknowledged,
+                applied: acknowledged,
             });
         }
     }
 
-    fn note(&mut self, text: String) {
-        self.out.push(Action::Note { text });
+    fn poll(&mut self) {
+        self.pending_poll
+            .take_if(|pending| self.now >= pending.sent + self.poll_timeout);
+        if self.pending_poll.is_some() || self.now < self.retry_at {
+            return;
+        }
+        self.last_number += 1;
+        let call = CallId(self.last_number);
+        self.pending_poll = Some(PendingPoll {
+            call,
+            sent: self.now,
+        });
+        self.actions.push(Action::Poll {
+            call,
+            epoch: self.epoch,
+            applied: self.catalog.version(),
+            stable: self.follower_lease.stable,
+            acknowledged: self.acknowledged,
+        });
     }
 
-    /// Subjects that changes touched and that are not settled, for whoever shows it.
-    pub fn open(&self) -> impl Iterator<Item = Subject> + '_ {
-        self.catalog
-            .audit_log()
-            .flat_map(|e| e.changes.iter().map(|c| c.subject()))
+    fn note_and_retry(&mut self, text: String) {
+        self.note(text);
+        self.retry_at = self.now + RETRY_DELAY;
+    }
+
+    fn note(&mut self, text: String) {
+        self.actions.push(Action::Note { text });
     }
 }
--- a/crates/plans/tests/fleet.rs
+++ b/crates/plans/tests/fleet.rs
@@ -236,13 +236,13 @@
                             .filter(|c| is_for(c, &name))
                             .collect()
                     };
-                    let came = match snapshot {
-                        true => Update::Whole {
+                    let update = match snapshot {
+                        true => Update::Snapshot {
                             at: from,
                             state: state(),
                             revisions,
                         },
-                        false => Update::Entries(revisions),
+                        false => Update::Revisions(revisions),
                     };
                     self.counts[0] += u32::from(snapshot);
                     let (epoch, version) = (self.disk.start.epoch, to);
@@ -252,7 +252,7 @@
                         version,
                         stable,
                         lease,
-                        came,
+                        update,
                     };
                     self.send(Message::Told { host, event });
                 }
--- a/crates/plans/tests/follower.rs
+++ b/crates/plans/tests/follower.rs
@@ -111,14 +111,18 @@
         let revisions = revisions
             .map(|e| for_host(&self.leader, stable, e, &me))
             .collect();
-        let (version, lease, came) = (self.leader.version(), ms(3000), Update::Entries(revisions));
+        let (version, lease, update) = (
+            self.leader.version(),
+            ms(3000),
+            Update::Revisions(revisions),
+        );
         self.step(vec![Event::Granted {
             call,
             epoch: Epoch(1),
             version,
             stable,
             lease,
-            came,
+            update,
         }]);
     }
 
@@ -252,7 +256,7 @@
         version,
         stable,
         lease,
-        came: Update::Entries(vec![last]),
+        update: Update::Revisions(vec![last]),
     }]);
     assert_eq!((r.host.catalog().version(), r.told.len()), (Version(1), 0));
     assert!(
@@ -271,7 +275,7 @@
         version,
         stable,
         lease,
-        came: Update::Entries(vec![]),
+        update: Update::Revisions(vec![]),
     }]);
     assert_eq!(r.host.follower_lease().stable, Version(1));
 }
