--- a/crates/plans/src/flow.rs
+++ b/crates/plans/src/flow.rs
@@ -1,291 +1,389 @@
-//! A flow from volumes to the nodes that hold their extents, which grows and shrinks where it stands.
+//! A maximum flow from groups of volumes to the nodes that have their extents, which is updated in place as
+//! amounts and capacities change.
 //!
-//! Called by [`crate::planner`] volume by volume, and by [`crate::incremental_flow`] as a site changes: `offer` raises
-//! what volumes with like homes may put on each, `fill` carries as much of an amount as it can, by the
-//! shortest ways and moving what lies there already (Ford and Fulkerson, with breadth first as by Edmonds and
-//! Karp). A solver would have to begin anew each time; this goes on from what is carried. All that it changes
-//! is noted while a mark is set, and can be taken back.
+//! Called by [`crate::planner`] volume by volume, and by [`crate::incremental_flow`] as a site changes:
+//! [`Flow::offer`] raises what a group may put on each of its homes, [`Flow::fill`] carries as much of an amount
+//! as possible along shortest augmenting paths (Ford and Fulkerson, with breadth first search as by Edmonds and
+//! Karp). A solver would have to begin anew each time; this goes on from what is carried. Changes after
+//! [`Flow::begin_trial`] are recorded, and [`Flow::undo_trial`] takes them back.
 //!
 //! Amounts are whole thousandths of units a second. Memory: a few words for each home of each group.
 
 use std::collections::HashMap;
 
-/// Volumes with like homes: how much of them lies on each home, and may.
+/// Volumes with the same homes: how much of them each home carries, and may carry.
 #[derive(Debug, Clone)]
 pub struct Group {
+    /// Nodes, by their places.
     pub homes: Vec<usize>,
-    pub on: Vec<u64>,
-    pub most: Vec<u64>,
+    /// What each home carries.
+    pub loads: Vec<u64>,
+    /// The most that each home may carry.
+    pub max_loads: Vec<u64>,
 }
 
-/// What a note puts back.
+/// A home of a group.
 #[derive(Debug, Clone, Copy)]
-enum Note {
-    On(usize, usize, u64),
-    Most(usize, usize, u64),
-    Room(usize, u64),
+struct Home {
+    group: usize,
+    /// Place among the group's homes.
+    place: usize,
 }
 
-/// A step of a search: from which node, through whose volumes, from and to which of their homes.
-type Step = (usize, usize, usize, usize);
+/// A former value, recorded during a trial.
+#[derive(Debug, Clone, Copy)]
+enum Former {
+    Load { home: Home, value: u64 },
+    MaxLoad { home: Home, value: u64 },
+    Spare { node: usize, value: u64 },
+}
+
+/// A step of an augmenting path: load of a group moves from one of its homes to another.
+#[derive(Debug, Clone, Copy)]
+struct Step {
+    /// The node of the first home.
+    node: usize,
+    group: usize,
+    /// Places among the group's homes.
+    from: usize,
+    to: usize,
+}
+
+/// An augmenting path.
+struct Path {
+    /// The node on which the group's own load arrives.
+    first: usize,
+    /// The steps that make room there, the last one first.
+    steps: Vec<Step>,
+}
 
+/// How a node was last reached.
+#[derive(Debug, Clone, Copy, Default)]
+struct Visit {
+    /// Number of the search.
+    search: u64,
+    /// None: as a home of the group that is searched for.
+    step: Option<Step>,
+}
+
+/// The flow; see the module.
 #[derive(Debug, Clone, Default)]
 pub struct Flow {
-    room: Vec<u64>,
+    /// By node: capacity that nothing uses.
+    spare: Vec<u64>,
     groups: Vec<Group>,
-    of_homes: HashMap<Vec<usize>, usize>,
-    /// By node: which groups have a home there, and as which of their homes.
-    at: Vec<Vec<(usize, usize)>>,
-    /// Nodes from which nothing leads to room. True until room is freed or a group may put more somewhere,
-    /// so that a search does not go again and again through what is full.
-    shut: Vec<bool>,
-    notes: Option<Vec<Note>>,
-    /// Of a search: by which step each node was come to, and in which search.
-    from: Vec<(u64, Option<Step>)>,
+    group_by_homes: HashMap<Vec<usize>, usize>,
+    /// By node: the homes that groups have there.
+    homes_at: Vec<Vec<Home>>,
+    /// Nodes from which no path leads to spare capacity. True until capacity is freed or a group may put more
+    /// somewhere, so that searches do not go through full nodes again and again.
+    saturated: Vec<bool>,
+    trial: Option<Vec<Former>>,
+    visits: Vec<Visit>,
+    /// Number of searches so far.
     searches: u64,
 }
 
 impl Flow {
+    /// Nodes of these capacities, without groups.
     pub fn new(capacity: &[u64]) -> Self {
-        let n = capacity.len();
-        let (at, shut, from) = (vec![Vec::new(); n], vec![false; n], vec![(0, None); n]);
+        let nodes = capacity.len();
         Flow {
-            room: capacity.to_vec(),
-            at,
-            shut,
-            from,
+            spare: capacity.to_vec(),
+            homes_at: vec![Vec::new(); nodes],
+            saturated: vec![false; nodes],
+            visits: vec![Visit::default(); nodes],
             ..Flow::default()
         }
     }
 
-    pub fn room(&self, node: usize) -> u64 {
-        self.room[node]
+    /// Capacity of a node that nothing uses.
+    pub fn spare(&self, node: usize) -> u64 {
+        self.spare[node]
     }
 
-    pub fn group(&self, g: usize) -> &Group {
-        &self.groups[g]
+    /// A group, by its number.
+    pub fn group(&self, group: usize) -> &Group {
+        &self.groups[group]
     }
 
-    /// The group of volumes with those homes.
+    /// Number of the group of volumes with those homes, which is added if it is new.
     pub fn group_of(&mut self, homes: &[usize]) -> usize {
-        if let Some(g) = self.of_homes.get(homes) {
-            return *g;
+        if let Some(group) = self.group_by_homes.get(homes) {
+            return *group;
+        }
+        let group = self.groups.len();
+        self.group_by_homes.insert(homes.to_vec(), group);
+        for (place, node) in homes.iter().enumerate() {
+            self.homes_at[*node].push(Home { group, place });
         }
-        let g = self.groups.len();
-        self.of_homes.insert(homes.to_vec(), g);
-        homes
-            .iter()
-            .enumerate()
-            .for_each(|(i, n)| self.at[*n].push((g, i)));
-        let none = vec![0; homes.len()];
         self.groups.push(Group {
             homes: homes.to_vec(),
-            on: none.clone(),
-            most: none,
+            loads: vec![0; homes.len()],
+            max_loads: vec![0; homes.len()],
         });
-        g
+        group
     }
 
-    /// Groups with a home there.
+    /// Groups with a home on a node.
     pub fn groups_at(&self, node: usize) -> impl Iterator<Item = usize> + '_ {
-        self.at[node].iter().map(|a| a.0)
-    }
-
-    /// Whether nothing leads from there to room, as far as has been looked.
-    pub fn is_shut(&self, node: usize) -> bool {
-        self.shut[node]
+        self.homes_at[node].iter().map(|home| home.group)
     }
 
-    fn note(&mut self, note: Note) {
-        self.notes.iter_mut().for_each(|n| n.push(note));
+    /// Whether no path leads from a node to spare capacity, as far as was searched.
+    pub fn is_saturated(&self, node: usize) -> bool {
+        self.saturated[node]
     }
 
-    fn set_on(&mut self, g: usize, i: usize, to: u64) {
-        self.note(Note::On(g, i, self.groups[g].on[i]));
-        self.groups[g].on[i] = to;
-    }
-
-    fn set_room(&mut self, node: usize, to: u64) {
-        self.note(Note::Room(node, self.room[node]));
-        if to > self.room[node] {
-            self.shut.fill(false);
-        }
-        self.room[node] = to;
-    }
-
-    /// What a group may put on each of its homes; what lies there beyond that is dropped, and answered.
-    pub fn set_most(&mut self, g: usize, most: &[u64]) -> u64 {
+    /// Sets the most that a group may put on each of its homes; what they carry beyond that is dropped.
+    /// Returns how much.
+    pub fn set_max_loads(&mut self, group: usize, max_loads: &[u64]) -> u64 {
         let mut dropped = 0;
-        for (i, to) in most.iter().enumerate() {
-            let old = self.groups[g].most[i];
-            if *to == old {
+        for (place, max_load) in max_loads.iter().enumerate() {
+            let home = Home { group, place };
+            let former = self.groups[group].max_loads[place];
+            if *max_load == former {
                 continue;
             }
-            self.note(Note::Most(g, i, old));
-            self.groups[g].most[i] = *to;
-            let over = self.groups[g].on[i].saturating_sub(*to);
-            dropped += over;
-            self.drop_on(g, i, over);
-            // More may now gather on a home that was as full of these as it might be: what was shut behind
-            // that home no longer is, if any of these lies where nothing led on.
-            let grp = &self.groups[g];
-            let lies_shut = |(n, on): (&usize, &u64)| *on > 0 && self.shut[*n];
-            if *to > old && !self.shut[grp.homes[i]] && grp.homes.iter().zip(&grp.on).any(lies_shut)
-            {
-                self.shut.fill(false);
+            self.record(Former::MaxLoad {
+                home,
+                value: former,
+            });
+            self.groups[group].max_loads[place] = *max_load;
+            let excess = self.groups[group].loads[place].saturating_sub(*max_load);
+            dropped += excess;
+            self.drop_load(home, excess);
+            if *max_load > former {
+                self.reopen_behind(home);
             }
         }
         dropped
     }
 
-    /// Raises what a group may put on each of its homes.
-    pub fn offer(&mut self, g: usize, more: impl Iterator<Item = u64>) {
-        let most: Vec<u64> = self.groups[g]
-            .most
+    /// A home may carry more of its group. Saturated nodes whose load of this group can now move there are not
+    /// saturated any more.
+    fn reopen_behind(&mut self, home: Home) {
+        let group = &self.groups[home.group];
+        if self.saturated[group.homes[home.place]] {
+            return;
+        }
+        let mut loads = group.homes.iter().zip(&group.loads);
+        if loads.any(|(node, load)| *load > 0 && self.saturated[*node]) {
+            self.saturated.fill(false);
+        }
+    }
+
+    /// Raises the most that a group may put on each of its homes.
+    pub fn offer(&mut self, group: usize, more: impl Iterator<Item = u64>) {
+        let former = &self.groups[group].max_loads;
+        let raised: Vec<u64> = former
             .iter()
             .zip(more)
-            .map(|(m, more)| m + more)
+            .map(|(former, more)| former + more)
             .collect();
-        self.set_most(g, &most);
-    }
-
-    fn drop_on(&mut self, g: usize, i: usize, much: u64) {
-        if much > 0 {
-            let (node, on) = (self.groups[g].homes[i], self.groups[g].on[i]);
-            self.set_on(g, i, on - much);
-            self.set_room(node, self.room[node] + much);
-        }
+        self.set_max_loads(group, &raised);
     }
 
     /// Carries that much less of a group, wherever it lies.
-    pub fn drop_some(&mut self, g: usize, mut much: u64) {
-        for i in 0..self.groups[g].on.len() {
-            let here = much.min(self.groups[g].on[i]);
-            self.drop_on(g, i, here);
-            much -= here;
+    pub fn drop_some(&mut self, group: usize, mut amount: u64) {
+        for place in 0..self.groups[group].loads.len() {
+            let here = amount.min(self.groups[group].loads[place]);
+            self.drop_load(Home { group, place }, here);
+            amount -= here;
         }
     }
 
-    /// Takes a node's capacity away or gives it back; what no longer finds room there is dropped. Answers how
-    /// much of which group.
-    pub fn set_capacity(&mut self, node: usize, was: u64, is: u64) -> Vec<(usize, u64)> {
-        let used = was - self.room[node];
-        if used <= is {
-            self.set_room(node, is - used);
+    /// Changes a node's capacity; what has no place there any more is dropped. Returns how much of which
+    /// group.
+    pub fn set_capacity(&mut self, node: usize, former: u64, capacity: u64) -> Vec<(usize, u64)> {
+        let used = former - self.spare[node];
+        if used <= capacity {
+            self.set_spare(node, capacity - used);
             return Vec::new();
         }
-        let mut over = used - is;
+        let mut excess = used - capacity;
         let mut dropped = Vec::new();
-        for (g, i) in self.at[node].clone() {
-            let here = over.min(self.groups[g].on[i]);
+        for home in self.homes_at[node].clone() {
+            let load = self.groups[home.group].loads[home.place];
+            let here = excess.min(load);
             if here > 0 {
-                self.set_on(g, i, self.groups[g].on[i] - here);
-                dropped.push((g, here));
-                over -= here;
+                self.set_load(home, load - here);
+                dropped.push((home.group, here));
+                excess -= here;
             }
         }
-        self.set_room(node, 0);
+        self.set_spare(node, 0);
         dropped
     }
 
-    /// Carries as much of a group as it can of an amount; answers what is left over.
-    pub fn fill(&mut self, g: usize, amount: u64) -> u64 {
+    /// Carries as much of a group as possible of an amount; returns what is left over.
+    pub fn fill(&mut self, group: usize, amount: u64) -> u64 {
         let mut left = amount;
         while left > 0 {
-            match self.search(g) {
-                Some((first, path)) => left -= self.carry(g, first, &path, left),
-                None => break,
-            }
+            let Some(path) = self.search(group) else {
+                break;
+            };
+            left -= self.augment(group, &path, left);
         }
         left
     }
 
-    /// The shortest way from these volumes to a node with room: which of their homes, and what must move on
-    /// from there.
-    fn search(&mut self, g: usize) -> Option<(usize, Vec<Step>)> {
+    /// The shortest augmenting path from a group to a node with spare capacity.
+    fn search(&mut self, group: usize) -> Option<Path> {
         self.searches += 1;
-        let now = self.searches;
-        let mut seen: Vec<usize> = Vec::new();
-        let Group { homes, on, most } = &self.groups[g];
-        for (i, n) in homes.iter().enumerate() {
-            if on[i] < most[i] && !self.shut[*n] {
-                self.from[*n] = (now, None);
-                seen.push(*n);
+        let search = self.searches;
+        let mut reached: Vec<usize> = Vec::new();
+        let Group {
+            homes,
+            loads,
+            max_loads,
+        } = &self.groups[group];
+        for (place, node) in homes.iter().enumerate() {
+            if loads[place] < max_loads[place] && !self.saturated[*node] {
+                self.visits[*node] = Visit { search, step: None };
+                reached.push(*node);
             }
         }
         let mut next = 0;
-        while let Some(n) = seen.get(next).copied() {
+        while let Some(node) = reached.get(next).copied() {
             next += 1;
-            if self.room[n] > 0 {
-                let (mut path, mut at) = (Vec::new(), n);
-                while let (_, Some(step)) = self.from[at] {
-                    path.push(step);
-                    at = step.0;
-                }
-                return Some((at, path));
+            if self.spare[node] > 0 {
+                return Some(self.path_to(node));
             }
-            for (h, here) in &self.at[n] {
-                let a = &self.groups[*h];
-                if a.on[*here] == 0 {
-                    continue;
-                }
-                for (there, m) in a.homes.iter().enumerate() {
-                    if self.from[*m].0 != now && a.on[there] < a.most[there] && !self.shut[*m] {
-                        self.from[*m] = (now, Some((n, *h, *here, there)));
-                        seen.push(*m);
-                    }
+            self.visit_neighbours(node, search, &mut reached);
+        }
+        for node in reached {
+            self.saturated[node] = true;
+        }
+        None
+    }
+
+    /// Reaches the nodes to which load of this one can move.
+    fn visit_neighbours(&mut self, node: usize, search: u64, reached: &mut Vec<usize>) {
+        for home in &self.homes_at[node] {
+            let group = &self.groups[home.group];
+            if group.loads[home.place] == 0 {
+                continue;
+            }
+            for (to, other) in group.homes.iter().enumerate() {
+                let is_new = self.visits[*other].search != search;
+                let is_open = group.loads[to] < group.max_loads[to] && !self.saturated[*other];
+                if is_new && is_open {
+                    let step = Step {
+                        node,
+                        group: home.group,
+                        from: home.place,
+                        to,
+                    };
+                    self.visits[*other] = Visit {
+                        search,
+                        step: Some(step),
+                    };
+                    reached.push(*other);
                 }
             }
         }
-        seen.into_iter().for_each(|n| self.shut[n] = true);
-        None
     }
 
-    /// Carries along a way what its narrowest step lets through.
-    fn carry(&mut self, g: usize, first: usize, path: &[Step], wanted: u64) -> u64 {
-        let own = self.groups[g]
+    fn path_to(&self, end: usize) -> Path {
+        let mut steps = Vec::new();
+        let mut first = end;
+        while let Some(step) = self.visits[first].step {
+            steps.push(step);
+            first = step.node;
+        }
+        Path { first, steps }
+    }
+
+    /// Carries along a path what its narrowest step lets through; returns how much.
+    fn augment(&mut self, group: usize, path: &Path, wanted: u64) -> u64 {
+        let own = &self.groups[group];
+        let place = own
             .homes
             .iter()
-            .position(|n| *n == first)
-            .expect("its own home");
+            .position(|node| *node == path.first)
+            .expect("a path begins on a home of its group");
         let end = path
+            .steps
             .first()
-            .map_or(first, |(_, h, _, there)| self.groups[*h].homes[*there]);
-        let mut much = wanted
-            .min(self.room[end])
-            .min(self.groups[g].most[own] - self.groups[g].on[own]);
-        for (_, h, here, there) in path {
-            let a = &self.groups[*h];
-            much = much.min(a.on[*here]).min(a.most[*there] - a.on[*there]);
+            .map_or(path.first, |step| self.groups[step.group].homes[step.to]);
+        let mut amount = wanted
+            .min(self.spare[end])
+            .min(own.max_loads[place] - own.loads[place]);
+        for step in &path.steps {
+            let moved = &self.groups[step.group];
+            amount = amount
+                .min(moved.loads[step.from])
+                .min(moved.max_loads[step.to] - moved.loads[step.to]);
         }
-        self.set_on(g, own, self.groups[g].on[own] + much);
-        for (_, h, here, there) in path {
-            self.set_on(*h, *here, self.groups[*h].on[*here] - much);
-            self.set_on(*h, *there, self.groups[*h].on[*there] + much);
+        let own_home = Home { group, place };
+        self.set_load(own_home, self.load(own_home) + amount);
+        for step in &path.steps {
+            let from = Home {
+                group: step.group,
+                place: step.from,
+            };
+            let to = Home {
+                group: step.group,
+                place: step.to,
+            };
+            self.set_load(from, self.load(from) - amount);
+            self.set_load(to, self.load(to) + amount);
         }
-        self.set_room(end, self.room[end] - much);
-        much
+        self.set_spare(end, self.spare[end] - amount);
+        amount
     }
 
-    /// From here on all that changes is noted.
-    pub fn mark(&mut self) {
-        self.notes = Some(Vec::new());
+    /// From here on all changes are recorded.
+    pub fn begin_trial(&mut self) {
+        self.trial = Some(Vec::new());
     }
 
-    /// Everything is again as it was at the mark.
-    pub fn back(&mut self) {
-        for note in self.notes.take().into_iter().flatten().rev() {
-            match note {
-                Note::On(g, i, was) => self.groups[g].on[i] = was,
-                Note::Most(g, i, was) => self.groups[g].most[i] = was,
-                Note::Room(n, was) => self.room[n] = was,
+    /// Takes back all changes since the trial began.
+    pub fn undo_trial(&mut self) {
+        for former in self.trial.take().unwrap_or_default().into_iter().rev() {
+            match former {
+                Former::Load { home, value } => self.groups[home.group].loads[home.place] = value,
+                Former::MaxLoad { home, value } => {
+                    self.groups[home.group].max_loads[home.place] = value
+                }
+                Former::Spare { node, value } => self.spare[node] = value,
             }
         }
-        self.shut.fill(false);
+        self.saturated.fill(false);
+    }
+
+    fn record(&mut self, former: Former) {
+        if let Some(trial) = &mut self.trial {
+            trial.push(former);
+        }
+    }
+
+    fn load(&self, home: Home) -> u64 {
+        self.groups[home.group].loads[home.place]
+    }
+
+    fn set_load(&mut self, home: Home, load: u64) {
+        let value = self.load(home);
+        self.record(Former::Load { home, value });
+        self.groups[home.group].loads[home.place] = load;
+    }
+
+    fn set_spare(&mut self, node: usize, spare: u64) {
+        let value = self.spare[node];
+        self.record(Former::Spare { node, value });
+        if spare > value {
+            self.saturated.fill(false);
+        }
+        self.spare[node] = spare;
     }
 
-    /// Nothing is noted any more, and what was stays.
-    pub fn stay(&mut self) {
-        self.notes = None;
+    fn drop_load(&mut self, home: Home, amount: u64) {
+        if amount == 0 {
+            return;
+        }
+        let node = self.groups[home.group].homes[home.place];
+        self.set_load(home, self.load(home) - amount);
+        self.set_spare(node, self.spare[node] + amount);
     }
 }
--- a/crates/plans/src/moves.rs
+++ b/crates/plans/src/moves.rs
@@ -1,359 +1,129 @@
-//! Which extents to move so that promises hold again, at the least bytes.
+//! Which extents to move so that reservations can be met again, at the least bytes.
 //!
-//! Called with a site, the nodes that are to be emptied, and how large volumes are; the answer names whole
-//! extents, from where to where, or says what stays short whatever is moved. A linear program (by `microlp`)
-//! weighs what each volume could put on each node against the bytes that it would cost to let it. Extents are
-//! whole: on a small site the program is told so; on a larger one, where an extent is little, its parts are
-//! rounded up, the answer is checked by the flow, and where rounding has filled a node, the program is asked
-//! again with a little less room. Without input or output.
+//! Called by the state service for an operator, with a site, the nodes that are to be emptied, and the sizes
+//! of volumes; the answer names whole extents, from where to where, or says what stays short whatever is
+//! moved. A linear program (by `microlp`) weighs what each volume could put on each node against the bytes
+//! that it would cost. Extents are whole: on a small site the program is told so; on a larger one, where an
+//! extent is little, its parts are rounded up, the answer is checked by the flow, and where rounding has
+//! filled a node, the program is solved again with a little less capacity. Pure functions.
 //!
-//! Of a large site only a part goes into the program, or it would take minutes: volumes with a home where
-//! nothing leads to room, the cheapest to move first, and nodes with the most room. The answer is then good
-//! and not proven the least; [`Proposal::snapshot`] says which.
+//! Of a large site only a part goes into the program, or it would take minutes: volumes with a home from which
+//! nothing leads to spare capacity, the cheapest to move first, and nodes with the most spare capacity. The
+//! answer is then good and not proven the least; [`Proposal::is_complete`] says which.
 //!
 //! Memory: for the time of the call, a few words for each volume and node that goes in.
 
-use crate::incremental_flow::IncrementalFlow;
-use crate::planner::{Node, Site, Volume};
-use microlp::{ComparisonOp, LinearExpr, OptimizationDirection, Problem, SolveOptions, Variable};
-use std::collections::{BTreeMap, BTreeSet};
-
-/// Volumes and targets that go into the program, beside those of nodes to be emptied.
-const MAX_VOLUMES: usize = 300;
-const MAX_TARGETS: usize = 6;
-/// Room that is kept back for rounding, as a part of each node, from one try to the next.
-const PERSISTED_BACK: [f64; 4] = [0.0, 0.005, 0.02, 0.05];
-/// Numbers of extents up to which the program is told that they are whole, and how long it may search then.
-const MAX_WHOLE: usize = 400;
-const MAX_SEARCH: u64 = 5_000;
-/// A part below this is none.
-const NOTHING: f64 = 1e-7;
+mod program;
+mod rounding;
+mod scope;
+mod types;
 
-/// What it costs to move a volume.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Size {
-    pub extents: u64,
-    /// Of one extent.
-    pub bytes: u64,
-}
+pub use types::{Move, Proposal, Size};
 
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Move {
-    pub volume: u64,
-    pub from: u32,
-    pub to: u32,
-    pub extents: u64,
-    pub bytes: u64,
-}
+use crate::incremental_flow::{IncrementalFlow, Shortfall};
+use crate::planner::{Site, Volume};
+use program::Attempt;
+use scope::Scope;
+use std::collections::{BTreeMap, BTreeSet};
+use types::EPSILON;
 
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct Proposal {
-    pub moves: Vec<Move>,
-    pub bytes: u64,
-    /// The program's own optimum, below which no answer with whole extents can lie, of what went into it.
-    pub least: f64,
-    /// Reserves that stay unmet.
-    pub short: f64,
-    /// Everything went into the program.
-    pub snapshot: bool,
-}
+/// Capacity of each node that is left unused for rounding, as a part of it, from one try to the next.
+const ROUNDING_MARGINS: [f64; 4] = [0.0, 0.005, 0.02, 0.05];
+/// Number of variables up to which the program is told that extents are whole.
+const MAX_INTEGER_VARIABLES: usize = 400;
 
 /// What would mend the site, with these nodes emptied; None: nothing needs to move.
 pub fn propose(site: &Site, empty: &BTreeSet<u32>, size: impl Fn(u64) -> Size) -> Option<Proposal> {
-    let mut volumes_of_plan = IncrementalFlow::of(site);
-    empty.iter().for_each(|n| volumes_of_plan.set_up(*n, false));
-    let leaves = |v: &Volume| v.homes.iter().any(|h| empty.contains(&h.0));
-    if volumes_of_plan.shortfall().short <= volumes_of_plan.slack()
-        && !site.volumes.iter().any(leaves)
-    {
+    let mut flow = IncrementalFlow::of(site);
+    for node in empty {
+        flow.set_up(*node, false);
+    }
+    let is_short = flow.shortfall().short > flow.slack();
+    let must_leave = |volume: &Volume| volume.homes.iter().any(|home| empty.contains(&home.0));
+    if !is_short && !site.volumes.iter().any(must_leave) {
         return None;
     }
-    let scope = Scope::of(site, &volumes_of_plan, empty, &size);
+    let scope = Scope::of(site, &flow, empty, &size);
     let mut least = None;
-    let numbers = scope
-        .volumes
-        .iter()
-        .map(|v| v.homes.len() + scope.targets.len())
-        .sum::<usize>();
-    let snapshot = (scope.snapshot && numbers <= MAX_WHOLE).then_some((0.0, true));
-    for (persisted_back, snapshot) in snapshot
-        .into_iter()
-        .chain(PERSISTED_BACK.map(|k| (k, false)))
-    {
-        least = least.or_else(|| Some(scope.solve(0.0, false, &size)?.1));
-        let Some((parts, _)) = scope.solve(persisted_back, snapshot, &size) else {
+    for attempt in attempts(&scope) {
+        if least.is_none() {
+            let relaxed = scope.solve(Attempt::default());
+            least = relaxed.map(|solution| solution.bytes);
+        }
+        let Some(solution) = scope.solve(attempt) else {
             continue;
         };
-        let moves = scope.whole_extents(&parts, &size);
-        let mut after = volumes_of_plan.clone();
-        after.set_volumes(
-            scope
-                .volumes
-                .iter()
-                .map(|v| (v.id, Some(moved(v, &moves, &size)))),
-        );
-        let short = after.shortfall().short;
-        if short <= after.slack() {
-            let bytes = moves.iter().map(|m| m.bytes).sum();
-            let least = least.unwrap_or_default();
+        let moves = scope.whole_extents(&solution.changes);
+        let short = shortfall_after(&flow, &scope, &moves).short;
+        if short <= flow.slack() {
             return Some(Proposal {
+                bytes: total_bytes(&moves),
                 moves,
-                bytes,
-                least,
+                least: least.unwrap_or_default(),
                 short: 0.0,
-                snapshot: scope.snapshot,
+                is_complete: scope.is_complete,
             });
         }
     }
-    // What is to be emptied goes anyway, to wherever most room is; the rest stays short.
-    let moves = scope.anyhow(&size);
-    let mut after = volumes_of_plan.clone();
-    after.set_volumes(
-        scope
-            .volumes
-            .iter()
-            .map(|v| (v.id, Some(moved(v, &moves, &size)))),
-    );
-    let bytes: u64 = moves.iter().map(|m| m.bytes).sum();
-    let (short, snapshot) = (after.shortfall().short, scope.snapshot);
+    // Nodes are emptied anyway, to wherever most capacity is spare; the rest stays short.
+    let moves = scope.evacuation();
+    let bytes = total_bytes(&moves);
     Some(Proposal {
+        short: shortfall_after(&flow, &scope, &moves).short,
         moves,
         bytes,
         least: bytes as f64,
-        short,
-        snapshot,
+        is_complete: scope.is_complete,
     })
 }
 
-/// A volume as it lies after the moves.
-fn moved(v: &Volume, moves: &[Move], size: impl Fn(u64) -> Size) -> Volume {
-    let mut homes: BTreeMap<u32, f64> = v.homes.iter().copied().collect();
-    for m in moves.iter().filter(|m| m.volume == v.id) {
-        let quota = m.extents as f64 / size(v.id).extents.max(1) as f64;
-        *homes.entry(m.from).or_default() -= quota;
-        *homes.entry(m.to).or_default() += quota;
-    }
-    Volume {
-        homes: homes.into_iter().filter(|h| h.1 > NOTHING).collect(),
-        ..v.clone()
+/// The programs to solve, one after the other until one gives an answer that holds.
+fn attempts(scope: &Scope) -> Vec<Attempt> {
+    let variables: usize = scope
+        .volumes
+        .iter()
+        .map(|volume| volume.homes.len() + scope.targets.len())
+        .sum();
+    let mut attempts = Vec::new();
+    if scope.is_complete && variables <= MAX_INTEGER_VARIABLES {
+        attempts.push(Attempt {
+            margin: 0.0,
+            is_integer: true,
+        });
     }
+    attempts.extend(ROUNDING_MARGINS.map(|margin| Attempt {
+        margin,
+        is_integer: false,
+    }));
+    attempts
 }
 
-/// What goes into the program.
-struct Scope<'a> {
-    volumes: Vec<&'a Volume>,
-    targets: Vec<u32>,
-    empty: &'a BTreeSet<u32>,
-    /// Room of nodes beside what the volumes left out carry there.
-    room: BTreeMap<u32, f64>,
-    spread: f64,
-    snapshot: bool,
+fn total_bytes(moves: &[Move]) -> u64 {
+    moves.iter().map(|extents| extents.bytes).sum()
 }
 
-/// Extents that leave and extents that come in, by volume and node.
-type Parts = BTreeMap<(u64, u32), (f64, f64)>;
+fn shortfall_after(flow: &IncrementalFlow, scope: &Scope, moves: &[Move]) -> Shortfall {
+    let mut after = flow.clone();
+    after.set_volumes(scope.volumes.iter().map(|volume| {
+        let extents = (scope.size)(volume.id).extents;
+        (volume.id, Some(moved(volume, moves, extents)))
+    }));
+    after.shortfall()
+}
 
-impl<'a> Scope<'a> {
-    fn of(
-        site: &'a Site,
-        volumes_of_plan: &IncrementalFlow,
-        empty: &'a BTreeSet<u32>,
-        size: impl Fn(u64) -> Size,
-    ) -> Self {
-        let up = |n: &&Node| !empty.contains(&n.id) && n.capacity > 0.0;
-        let leaves = |v: &Volume| v.homes.iter().any(|h| empty.contains(&h.0));
-        let small = site.volumes.len() <= MAX_VOLUMES && site.nodes.len() <= 4 * MAX_TARGETS;
-        let mut targets: Vec<&Node> = site.nodes.iter().filter(up).collect();
-        targets.sort_by(|a, b| {
-            volumes_of_plan
-                .room(b.id)
-                .total_cmp(&volumes_of_plan.room(a.id))
-                .then(a.id.cmp(&b.id))
-        });
-        if !small {
-            targets.truncate(MAX_TARGETS);
-        }
-        let tight = |v: &Volume| v.homes.iter().any(|h| volumes_of_plan.is_tight(h.0));
-        // Bytes that it costs to take a unit a second off a node.
-        let cost = |v: &&Volume| {
-            let s = size(v.id);
-            (s.extents * s.bytes) as f64 / v.reserve.max(1e-3)
-        };
-        let (mut volumes, mut others): (Vec<&Volume>, Vec<&Volume>) =
-            site.volumes.iter().partition(|v| small || leaves(v));
-        others.retain(|v| tight(v) && v.reserve > 0.0);
-        others.sort_by(|a, b| cost(a).total_cmp(&cost(b)).then(a.id.cmp(&b.id)));
-        volumes.extend(others.into_iter().take(MAX_VOLUMES));
-        let inside: BTreeSet<u64> = volumes.iter().map(|v| v.id).collect();
-        let carried = volumes_of_plan.carried_beside(&inside);
-        let room = site.nodes.iter().filter(up);
-        let room = room.map(|n| {
-            (
-                n.id,
-                (n.capacity - carried.get(&n.id).copied().unwrap_or(0.0)).max(0.0),
-            )
-        });
-        let targets = targets.iter().map(|n| n.id).collect();
-        Scope {
-            volumes,
-            targets,
-            empty,
-            room: room.collect(),
-            spread: site.spread,
-            snapshot: small,
-        }
+/// A volume of so many extents as it lies after the moves.
+fn moved(volume: &Volume, moves: &[Move], extents: u64) -> Volume {
+    let mut homes: BTreeMap<u32, f64> = volume.homes.iter().copied().collect();
+    for step in moves.iter().filter(|step| step.volume == volume.id) {
+        let part = step.extents as f64 / extents.max(1) as f64;
+        *homes.entry(step.from).or_default() -= part;
+        *homes.entry(step.to).or_default() += part;
     }
-
-    /// Extents to move at the least bytes, and these; None where no moves would do.
-    fn solve(
-        &self,
-        persisted_back: f64,
-        snapshot: bool,
-        size: impl Fn(u64) -> Size,
-    ) -> Option<(Parts, f64)> {
-        let mut p = Problem::new(OptimizationDirection::Minimize);
-        let mut on: BTreeMap<u32, LinearExpr> = BTreeMap::new();
-        let mut vars: BTreeMap<(u64, u32), (Option<Variable>, Option<Variable>)> = BTreeMap::new();
-        // Costs in parts of the largest volume: the solver wants figures of like size.
-        let bytes = |v: &Volume| (size(v.id).extents * size(v.id).bytes) as f64;
-        let largest = self.volumes.iter().map(|v| bytes(v)).fold(1.0, f64::max);
-        for v in &self.volumes {
-            let lies: BTreeMap<u32, f64> = v.homes.iter().copied().collect();
-            let nodes: BTreeSet<u32> = lies.keys().chain(&self.targets).copied().collect();
-            let (mut balance, mut carried, mut stuck) =
-                (LinearExpr::empty(), LinearExpr::empty(), 0.0);
-            for n in nodes {
-                let quota = lies.get(&n).copied().unwrap_or(0.0);
-                let leaves = self.empty.contains(&n);
-                if !leaves && !self.room.contains_key(&n) {
-                    stuck += quota; // nobody knows the node, and nobody can read what lies there
-                    continue;
-                }
-                let all = size(v.id).extents.max(1) as f64;
-                let here = (quota * all).round();
-                let least = if leaves { here } else { 0.0 };
-                let mut extents = |cost: f64, from: f64, to: f64| match snapshot {
-                    true => p.add_integer_var(cost, (from as i32, to as i32)),
-                    false => p.add_var(cost, (from, to)),
-                };
-                let out = (here > 0.0).then(|| extents(bytes(v) / all / largest, least, here));
-                let target = self.targets.contains(&n) && !leaves;
-                let comes = target.then(|| extents(0.0, 0.0, all));
-                out.into_iter().for_each(|o| balance.add(o, 1.0));
-                comes.into_iter().for_each(|i| balance.add(i, -1.0));
-                vars.insert((v.id, n), (out, comes));
-                if leaves {
-                    continue;
-                }
-                let load = p.add_var(0.0, (0.0, v.reserve));
-                let each = v.reserve * self.spread;
-                let mut within = LinearExpr::empty();
-                within.add(load, 1.0);
-                out.into_iter().for_each(|o| within.add(o, each / all));
-                comes.into_iter().for_each(|i| within.add(i, -each / all));
-                p.add_constraint(within, ComparisonOp::Le, each * quota);
-                carried.add(load, 1.0);
-                on.entry(n).or_insert_with(LinearExpr::empty).add(load, 1.0);
-            }
-            p.add_constraint(balance, ComparisonOp::Eq, 0.0);
-            p.add_constraint(
-                carried,
-                ComparisonOp::Ge,
-                v.reserve * (1.0 - stuck).max(0.0),
-            );
-        }
-        for (n, sum) in on {
-            p.add_constraint(
-                sum,
-                ComparisonOp::Le,
-                self.room[&n] * (1.0 - persisted_back) + NOTHING,
-            );
-        }
-        let mut options = SolveOptions::default();
-        options.node_limit = Some(MAX_SEARCH); // and no time limit: the same site gets the same answer
-        let found = p.solve_with(options).ok()?.into_solution().ok()?;
-        let value = |v: Option<Variable>| v.map_or(0.0, |v| found.var_value(v).max(0.0));
-        let parts = vars
+    Volume {
+        homes: homes
             .into_iter()
-            .map(|(at, (out, comes))| (at, (value(out), value(comes))));
-        Some((parts.collect(), found.objective() * largest))
-    }
-
-    /// Whole extents, at least as many as the program says.
-    fn whole_extents(&self, parts: &Parts, size: impl Fn(u64) -> Size) -> Vec<Move> {
-        let mut moves = Vec::new();
-        for v in &self.volumes {
-            let s = size(v.id);
-            let of = |n: u32| parts.get(&(v.id, n)).copied().unwrap_or_default();
-            let nodes = parts
-                .range((v.id, 0)..=(v.id, u32::MAX))
-                .map(|(k, p)| (k.1, *p));
-            // What comes in beyond what leaves is wanted; the reverse leaves for others.
-            let net = |(o, i): (f64, f64)| i - o;
-            let up = |extents: f64| (extents - 1e-4).ceil().max(0.0) as u64;
-            let mut expected: Vec<(u32, f64)> = nodes
-                .filter(|(_, p)| net(*p) > NOTHING)
-                .map(|(n, p)| (n, net(p)))
-                .collect();
-            expected.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cmp(&b.0)));
-            for (from, quota) in &v.homes {
-                let here = (quota * s.extents as f64).round();
-                let leaves = if self.empty.contains(from) {
-                    here
-                } else {
-                    -net(of(*from))
-                };
-                let mut left = up(leaves).min(here as u64);
-                while left > 0 {
-                    let Some(want) = expected.first_mut() else {
-                        break;
-                    };
-                    let extents = left.min(up(want.1).max(1));
-                    let bytes = extents * s.bytes;
-                    moves.push(Move {
-                        volume: v.id,
-                        from: *from,
-                        to: want.0,
-                        extents,
-                        bytes,
-                    });
-                    left -= extents;
-                    want.1 -= extents as f64;
-                    if want.1 <= NOTHING && expected.len() > 1 {
-                        expected.remove(0);
-                    }
-                }
-            }
-        }
-        moves
-    }
-
-    /// Everything off the nodes to be emptied, spread over the targets with most room.
-    fn anyhow(&self, size: impl Fn(u64) -> Size) -> Vec<Move> {
-        let mut room: BTreeMap<u32, f64> =
-            self.targets.iter().map(|t| (*t, self.room[t])).collect();
-        let mut moves = Vec::new();
-        for v in &self.volumes {
-            let s = size(v.id);
-            for (from, quota) in v.homes.iter().filter(|h| self.empty.contains(&h.0)) {
-                let best = room
-                    .iter()
-                    .max_by(|a, b| a.1.total_cmp(b.1))
-                    .map(|(n, _)| *n);
-                let extents = (quota * s.extents as f64).round() as u64;
-                let Some(to) = best.filter(|_| extents > 0) else {
-                    continue;
-                };
-                room.entry(to).and_modify(|r| *r -= v.reserve * quota);
-                moves.push(Move {
-                    volume: v.id,
-                    from: *from,
-                    to,
-                    extents,
-                    bytes: extents * s.bytes,
-                });
-            }
-        }
-        moves
+            .filter(|(_, part)| *part > EPSILON)
+            .collect(),
+        ..volume.clone()
     }
 }
--- /dev/null
+++ b/crates/plans/src/moves/rounding.rs
@@ -0,0 +1,121 @@
+//! Moves of whole extents from the program's solution, or without one.
+
+use super::program::{ExtentChange, ExtentChanges};
+use super::scope::Scope;
+use super::types::{Move, EPSILON};
+use crate::planner::Volume;
+use std::collections::BTreeMap;
+
+/// Parts of an extent below this are the solver's rounding, and are not rounded up to a whole one.
+const SOLVER_TOLERANCE: f64 = 1e-4;
+
+/// Extents that a node is still to get.
+struct Arrival {
+    node: u32,
+    extents: f64,
+}
+
+impl ExtentChange {
+    /// Extents that arrive beyond those that leave.
+    fn net(&self) -> f64 {
+        self.arriving - self.leaving
+    }
+}
+
+impl Scope<'_> {
+    /// Moves of whole extents, at least as many as the program says.
+    pub fn whole_extents(&self, changes: &ExtentChanges) -> Vec<Move> {
+        let mut moves = Vec::new();
+        for volume in &self.volumes {
+            self.round_volume(volume, changes, &mut moves);
+        }
+        moves
+    }
+
+    fn round_volume(&self, volume: &Volume, changes: &ExtentChanges, moves: &mut Vec<Move>) {
+        let size = self.size_of(volume);
+        let mut arrivals = arrivals(volume, changes);
+        for (from, part) in &volume.homes {
+            let here = (part * size.extents as f64).round();
+            let leaving = if self.empty.contains(from) {
+                here
+            } else {
+                let change = changes.get(&(volume.id, *from));
+                -change.copied().unwrap_or_default().net()
+            };
+            let mut left = round_up(leaving).min(here as u64);
+            while left > 0 {
+                let Some(arrival) = arrivals.first_mut() else {
+                    break;
+                };
+                let extents = left.min(round_up(arrival.extents).max(1));
+                moves.push(Move {
+                    volume: volume.id,
+                    from: *from,
+                    to: arrival.node,
+                    extents,
+                    bytes: extents * size.bytes,
+                });
+                left -= extents;
+                arrival.extents -= extents as f64;
+                if arrival.extents <= EPSILON && arrivals.len() > 1 {
+                    arrivals.remove(0);
+                }
+            }
+        }
+    }
+
+    /// Moves everything off the nodes to be emptied, to the targets with the most spare capacity.
+    pub fn evacuation(&self) -> Vec<Move> {
+        let available = |node: &u32| (*node, self.available[node]);
+        let mut spare: BTreeMap<u32, f64> = self.targets.iter().map(available).collect();
+        let mut moves = Vec::new();
+        for volume in &self.volumes {
+            let size = self.size_of(volume);
+            for (from, part) in volume
+                .homes
+                .iter()
+                .filter(|home| self.empty.contains(&home.0))
+            {
+                let most_spare = spare
+                    .iter_mut()
+                    .max_by(|left, right| left.1.total_cmp(right.1));
+                let extents = (part * size.extents as f64).round() as u64;
+                let Some((to, spare)) = most_spare.filter(|_| extents > 0) else {
+                    continue;
+                };
+                *spare -= volume.reserve * part;
+                moves.push(Move {
+                    volume: volume.id,
+                    from: *from,
+                    to: *to,
+                    extents,
+                    bytes: extents * size.bytes,
+                });
+            }
+        }
+        moves
+    }
+}
+
+/// Nodes that get more extents of a volume than leave them, the most first. Those that lose more are where
+/// extents come from.
+fn arrivals(volume: &Volume, changes: &ExtentChanges) -> Vec<Arrival> {
+    let mut arrivals: Vec<Arrival> = changes
+        .range((volume.id, 0)..=(volume.id, u32::MAX))
+        .map(|((_, node), change)| Arrival {
+            node: *node,
+            extents: change.net(),
+        })
+        .filter(|arrival| arrival.extents > EPSILON)
+        .collect();
+    arrivals.sort_by(|left, right| {
+        let by_extents = right.extents.total_cmp(&left.extents);
+        by_extents.then(left.node.cmp(&right.node))
+    });
+    arrivals
+}
+
+fn round_up(extents: f64) -> u64 {
+    (extents - SOLVER_TOLERANCE).ceil().max(0.0) as u64
+}
--- a/crates/plans/src/planner.rs
+++ b/crates/plans/src/planner.rs
@@ -1,101 +1,137 @@
-//! Whether the reserves that were promised can all be met at once.
+//! Whether all reservations of a site can be met at once.
 //!
-//! Called with a site, its nodes' capacities and its volumes' reserves and homes, and with the nodes that are
-//! taken out of it; the answer says how much can be carried, and which volumes give way where not all can. A
-//! maximum flow from volumes to nodes tells (Ford and Fulkerson; by petgraph's Dinic). Without input or
-//! output.
+//! Called with a site (its nodes' capacities, its volumes' reservations and homes) and the nodes that are taken
+//! out of it; the answer says how much can be carried, and which volumes give way where not all can. By a
+//! maximum flow from volumes to nodes (Ford and Fulkerson; petgraph's Dinic). Pure functions; memory for the
+//! time of the call.
 //!
 //! A volume can be served only where its extents lie. How far its load may gather on some of them is the
-//! site's `spread`: 1 is load spread over its extents alike, more lets a node carry that many times its part; the more,
-//! the more hopeful the answer. What lies on a node that is out is out of reach, and its part of the reserve
-//! is told by itself: nobody can carry it.
+//! site's `spread`: 1 is load spread over its extents alike, more lets a node carry that many times its part;
+//! the more, the more hopeful the answer. What lies on a node that is out is out of reach, and its part of the
+//! reservation is reported by itself: nothing can carry it.
 //!
-//! Who gives way is decided by weight, the lightest first, and among the equally heavy the higher number:
-//! what can be carried in sum does not depend on the order (the carried sums form a polymatroid), so the
-//! least gives way whatever the order. Volumes with like homes are one in the network; who gives way is found
-//! by a flow that grows volume by volume.
+//! Which volumes give way is decided by weight, the lightest first, and among the equally heavy the higher
+//! number: how much can be carried in sum does not depend on the order (the carried sums form a polymatroid),
+//! so the least gives way whatever the order. Volumes with the same homes are one in the network; which of them
+//! give way is found by a flow that grows volume by volume.
 
 use crate::flow::Flow;
 use petgraph::algo::maximum_flow::dinics;
 use petgraph::graph::{DiGraph, NodeIndex};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// Flows are counted in thousandths of units a second.
+/// Parts of a unit a second in which flows are counted.
 pub(crate) const PARTS: f64 = 1000.0;
 
+/// A node of a site.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Node {
+    /// Its number.
     pub id: u32,
+    /// Number of its zone.
     pub zone: u32,
     /// Units a second.
     pub capacity: f64,
 }
 
+/// A volume of a site.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Volume {
+    /// Its number.
     pub id: u64,
-    /// Units a second.
+    /// Its reservation, units a second.
     pub reserve: f64,
+    /// Its priority weight: the lightest give way first.
     pub weight: f64,
     /// Nodes with the part of its extents that lies on each; the parts add up to one.
     pub homes: Vec<(u32, f64)>,
 }
 
+/// Nodes and volumes, as far as promises depend on them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Site {
+    /// All nodes.
     pub nodes: Vec<Node>,
+    /// All volumes.
     pub volumes: Vec<Volume>,
+    /// By how many times its part of the extents a home may carry of a volume's load; at least 1.
     pub spread: f64,
 }
 
+/// Whether reservations can be met. Amounts are units a second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Feasibility {
-    /// Reserves of what can be reached, and how much of them can be carried at once.
+    /// Reservations of what can be reached.
     pub asked: f64,
+    /// How much of them can be carried at once.
     pub carried: f64,
-    /// Reserves of what lies on nodes that are out.
+    /// Reservations of what lies on nodes that are out.
     pub out_of_reach: f64,
     /// Volumes that must give way, and by how much.
     pub short: Vec<(u64, f64)>,
 }
 
 impl Feasibility {
+    /// Whether no volume must give way.
     pub fn holds(&self) -> bool {
         self.short.is_empty()
     }
 }
 
-/// What is taken out of a site to see whether the rest still bears its promises.
+/// What is taken out of a site to see whether the rest can meet its promises.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Out {
+    /// Nothing.
     Nothing,
+    /// One node, by its number.
     Node(u32),
+    /// All nodes of a zone, by its number.
     Zone(u32),
 }
 
-/// A volume's reserve where it can still be served, and the most that each of its homes may carry.
+/// A volume's load in parts: its reservation where it can be served, and the most that each home may carry.
 pub(crate) struct Load {
     pub reserve: u64,
+    /// Places of homes, with the most that each may carry.
     pub homes: Vec<(usize, u64)>,
 }
 
 impl Load {
     /// `up`: the places of a volume's homes that can serve it, with the part that lies on each.
-    pub fn of(v: &Volume, up: Vec<(usize, f64)>, spread: f64) -> Load {
-        let reached = v.reserve * up.iter().map(|h| h.1).sum::<f64>().min(1.0);
-        let most = |quota: f64| snapshot(reached).min(snapshot(v.reserve * quota * spread) + 1);
+    pub fn of(volume: &Volume, up: Vec<(usize, f64)>, spread: f64) -> Load {
+        let part_up: f64 = up.iter().map(|(_, part)| part).sum();
+        let reached = volume.reserve * part_up.min(1.0);
+        let max_load = |part: f64| {
+            let gathered = to_parts(volume.reserve * part * spread) + 1;
+            to_parts(reached).min(gathered)
+        };
         Load {
-            reserve: snapshot(reached),
-            homes: up.iter().map(|(n, quota)| (*n, most(*quota))).collect(),
+            reserve: to_parts(reached),
+            homes: up
+                .iter()
+                .map(|(place, part)| (*place, max_load(*part)))
+                .collect(),
         }
     }
 }
 
-pub(crate) fn snapshot(units: f64) -> u64 {
+/// Units a second in whole parts.
+pub(crate) fn to_parts(units: f64) -> u64 {
     (units * PARTS).round().max(0.0) as u64
 }
 
-/// A site with its nodes out, ready to be asked about any of its volumes.
+fn to_units(parts: u64) -> f64 {
+    parts as f64 / PARTS
+}
+
+/// Volumes with the same homes, as one in the network.
+#[derive(Default)]
+struct Alike {
+    amount: u64,
+    max_loads: Vec<u64>,
+}
+
+/// A site with nodes out, ready to be asked about any of its volumes.
 struct Network<'a> {
     site: &'a Site,
     capacity: Vec<u64>,
@@ -104,112 +140,124 @@
 
 impl<'a> Network<'a> {
     fn new(site: &'a Site, out: &BTreeSet<u32>) -> Self {
-        let place: HashMap<u32, usize> = site
-            .nodes
-            .iter()
-            .enumerate()
-            .map(|(i, n)| (n.id, i))
-            .collect();
-        let capacity = site.nodes.iter().map(|n| {
-            if out.contains(&n.id) {
+        let numbered = site.nodes.iter().enumerate();
+        let places: HashMap<u32, usize> = numbered.map(|(place, node)| (node.id, place)).collect();
+        let capacity = |node: &Node| {
+            if out.contains(&node.id) {
                 0
             } else {
-                snapshot(n.capacity)
+                to_parts(node.capacity)
             }
-        });
-        let load = |v: &Volume| {
-            let up = |(id, quota): &(u32, f64)| {
-                let place = place.get(id).copied().filter(|_| !out.contains(id))?;
-                Some((place, *quota))
-            };
-            Load::of(v, v.homes.iter().filter_map(up).collect(), site.spread)
+        };
+        let load = |volume: &Volume| {
+            let up = volume
+                .homes
+                .iter()
+                .filter(|(id, _)| !out.contains(id))
+                .filter_map(|(id, part)| Some((places.get(id).copied()?, *part)))
+                .collect();
+            Load::of(volume, up, site.spread)
         };
         Network {
             site,
-            capacity: capacity.collect(),
+            capacity: site.nodes.iter().map(capacity).collect(),
             loads: site.volumes.iter().map(load).collect(),
         }
     }
 
-    /// The most that can be carried of these amounts of volumes.
+    /// The most that can be carried of these amounts of volumes, which are given by their places.
     fn carried(&self, amounts: &[(usize, u64)]) -> u64 {
-        // Alike volumes are one: what each may put on a node adds up.
-        let mut alike: BTreeMap<Vec<usize>, (u64, Vec<u64>)> = BTreeMap::new();
-        for (v, amount) in amounts {
-            let homes = &self.loads[*v].homes;
-            let of = alike
-                .entry(homes.iter().map(|h| h.0).collect())
-                .or_default();
-            of.0 += amount;
-            of.1.resize(homes.len(), 0);
-            of.1.iter_mut()
-                .zip(homes)
-                .for_each(|(sum, h)| *sum += h.1.min(*amount));
-        }
-        let mut g: DiGraph<(), u64> = DiGraph::new();
-        let (leader, sink) = (g.add_node(()), g.add_node(()));
-        let nodes: Vec<NodeIndex> = self.capacity.iter().map(|_| g.add_node(())).collect();
+        let mut graph: DiGraph<(), u64> = DiGraph::new();
+        let source = graph.add_node(());
+        let sink = graph.add_node(());
+        let nodes: Vec<NodeIndex> = self.capacity.iter().map(|_| graph.add_node(())).collect();
         for (node, capacity) in nodes.iter().zip(&self.capacity) {
-            g.add_edge(*node, sink, *capacity);
+            graph.add_edge(*node, sink, *capacity);
+        }
+        for (homes, alike) in self.alike(amounts) {
+            let volume = graph.add_node(());
+            graph.add_edge(source, volume, alike.amount);
+            for (place, max_load) in homes.iter().zip(alike.max_loads) {
+                graph.add_edge(volume, nodes[*place], max_load);
+            }
         }
-        for (homes, (amount, most)) in alike {
-            let volume = g.add_node(());
-            g.add_edge(leader, volume, amount);
-            for (n, most) in homes.iter().zip(most) {
-                g.add_edge(volume, nodes[*n], most);
+        dinics(&graph, source, sink).0
+    }
+
+    /// Volumes by their homes: what volumes with the same homes may put on a node adds up.
+    fn alike(&self, amounts: &[(usize, u64)]) -> BTreeMap<Vec<usize>, Alike> {
+        let mut by_homes: BTreeMap<Vec<usize>, Alike> = BTreeMap::new();
+        for (volume, amount) in amounts {
+            let homes = &self.loads[*volume].homes;
+            let places: Vec<usize> = homes.iter().map(|(place, _)| *place).collect();
+            let alike = by_homes.entry(places).or_default();
+            alike.amount += amount;
+            alike.max_loads.resize(homes.len(), 0);
+            for (sum, (_, max_load)) in alike.max_loads.iter_mut().zip(homes) {
+                *sum += max_load.min(amount);
             }
         }
-        dinics(&g, leader, sink).0
+        by_homes
     }
 
     fn verdict(&self) -> Feasibility {
-        let all: Vec<(usize, u64)> = self.loads.iter().map(|l| l.reserve).enumerate().collect();
-        let asked: u64 = all.iter().map(|a| a.1).sum();
-        let carried = self.carried(&all);
-        let units = |n: u64| n as f64 / PARTS;
-        let reserves: f64 = self.site.volumes.iter().map(|v| v.reserve).sum();
-        // Each home's most is rounded up: a thousandth for each volume is no shortage.
+        let amounts: Vec<(usize, u64)> = self
+            .loads
+            .iter()
+            .map(|load| load.reserve)
+            .enumerate()
+            .collect();
+        let asked: u64 = amounts.iter().map(|(_, amount)| amount).sum();
+        let carried = self.carried(&amounts);
+        let reservations: f64 = self.site.volumes.iter().map(|volume| volume.reserve).sum();
+        // The most of each home is rounded up: one part for each volume is no shortage.
         let slack = self.loads.len() as u64;
         let short = if carried + slack >= asked {
             Vec::new()
         } else {
-            self.gives_way(all)
-        };
-        let out_of_reach = (reserves - units(asked)).max(0.0);
-        let out_of_reach = if out_of_reach < units(slack) {
-            0.0
-        } else {
-            out_of_reach
+            self.volumes_that_give_way(amounts)
         };
+        let out_of_reach = (reservations - to_units(asked)).max(0.0);
         Feasibility {
-            asked: units(asked),
-            carried: units(carried.min(asked)),
-            out_of_reach,
+            asked: to_units(asked),
+            carried: to_units(carried.min(asked)),
+            out_of_reach: if out_of_reach < to_units(slack) {
+                0.0
+            } else {
+                out_of_reach
+            },
             short,
         }
     }
 
-    /// The heaviest first, each as far as it can go beside all before it.
-    fn gives_way(&self, mut all: Vec<(usize, u64)>) -> Vec<(u64, f64)> {
+    /// Fills the heaviest volumes first, each as far as possible with all before it, and returns what is left.
+    fn volumes_that_give_way(&self, mut amounts: Vec<(usize, u64)>) -> Vec<(u64, f64)> {
         let volumes = &self.site.volumes;
-        all.sort_by(|(a, _), (b, _)| {
-            let (a, b) = (&volumes[*a], &volumes[*b]);
-            b.weight.total_cmp(&a.weight).then(a.id.cmp(&b.id))
+        amounts.sort_by(|(left, _), (right, _)| {
+            let (left, right) = (&volumes[*left], &volumes[*right]);
+            let by_weight = right.weight.total_cmp(&left.weight);
+            by_weight.then(left.id.cmp(&right.id))
         });
         let mut flow = Flow::new(&self.capacity);
-        let left = all.into_iter().map(|(v, amount)| {
-            let homes = &self.loads[v].homes;
-            let g = flow.group_of(&homes.iter().map(|h| h.0).collect::<Vec<_>>());
-            flow.offer(g, homes.iter().map(|h| h.1.min(amount)));
-            (v, flow.fill(g, amount))
-        });
-        left.filter(|(_, left)| *left > 0)
-            .map(|(v, left)| (volumes[v].id, left as f64 / PARTS))
-            .collect()
+        let mut short = Vec::new();
+        for (volume, amount) in amounts {
+            let homes = &self.loads[volume].homes;
+            let places: Vec<usize> = homes.iter().map(|(place, _)| *place).collect();
+            let group = flow.group_of(&places);
+            flow.offer(
+                group,
+                homes.iter().map(|(_, max_load)| *max_load.min(&amount)),
+            );
+            let left = flow.fill(group, amount);
+            if left > 0 {
+                short.push((volumes[volume].id, to_units(left)));
+            }
+        }
+        short
     }
 }
 
-/// Whether the reserves hold with these nodes out.
+/// Whether the reservations can be met with these nodes out.
 ///
 /// ```
 /// use grebecleat_plans::planner::{check, Node, Site, Volume};
@@ -217,7 +265,7 @@
 /// let volume = |id, reserve, nodes: &[u32]| Volume {
 ///     id, reserve, weight: 1.0, homes: nodes.iter().map(|n| (*n, 1.0 / nodes.len() as f64)).collect(),
 /// };
-/// // Each could be carried with most room left by itself; together the first must leave node 1 to the second.
+/// // Each could be carried by itself; together the first must leave node 1 to the second.
 /// let mut site = Site {
 ///     nodes: vec![node(1), node(2)],
 ///     volumes: vec![volume(7, 100.0, &[1, 2]), volume(8, 90.0, &[1])],
@@ -233,21 +281,26 @@
 
 /// The site as it is, with any one node out, and with any one zone out.
 pub fn survey(site: &Site) -> Vec<(Out, Feasibility)> {
-    let zones: BTreeSet<u32> = site.nodes.iter().map(|n| n.zone).collect();
-    let all = [Out::Nothing]
+    let zones: BTreeSet<u32> = site.nodes.iter().map(|node| node.zone).collect();
+    let mut cases = vec![Out::Nothing];
+    cases.extend(site.nodes.iter().map(|node| Out::Node(node.id)));
+    cases.extend(zones.into_iter().map(Out::Zone));
+    cases
         .into_iter()
-        .chain(site.nodes.iter().map(|n| Out::Node(n.id)));
-    all.chain(zones.into_iter().map(Out::Zone))
         .map(|out| (out, check(site, &nodes_of(site, out))))
         .collect()
 }
 
 /// Nodes that are out with it.
 pub fn nodes_of(site: &Site, out: Out) -> BTreeSet<u32> {
-    let hit = |n: &&Node| match out {
+    let is_out = |node: &&Node| match out {
         Out::Nothing => false,
-        Out::Node(id) => n.id == id,
-        Out::Zone(zone) => n.zone == zone,
+        Out::Node(id) => node.id == id,
+        Out::Zone(zone) => node.zone == zone,
     };
-    site.nodes.iter().filter(hit).map(|n| n.id).collect()
+    site.nodes
+        .iter()
+        .filter(is_out)
+        .map(|node| node.id)
+        .collect()
 }
--- a/crates/plans/tests/moves.rs
+++ b/crates/plans/tests/moves.rs
@@ -145,7 +145,7 @@
             assert_eq!(best, Some(0), "seed {seed}: nothing proposed");
             continue;
         };
-        assert!(p.snapshot, "seed {seed}");
+        assert!(p.is_complete, "seed {seed}");
         let then = after(&s, &p.moves, EXTENTS);
         assert!(
             then.volumes
