--- a/crates/bench/src/planner.rs
+++ b/crates/bench/src/planner.rs
@@ -4,8 +4,8 @@
 use grebecleat_plans::admission::Admission;
 use grebecleat_plans::catalog::Catalog;
 use grebecleat_plans::change::{Change, ChangeContext};
-use grebecleat_plans::records::{self, Deployment};
 use grebecleat_plans::planner::{check, Node, Site, Volume};
+use grebecleat_plans::records::{self, Deployment};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
--- a/crates/host/src/following.rs
+++ b/crates/host/src/following.rs
@@ -11,9 +11,9 @@
 use crate::desk::ConnId;
 use crate::outbox::Outbox;
 use grebecleat::interface::{Event, LimitQuota, Plan, PlanId, VolumeId, VolumeTerms};
-use grebecleat_plans::records::{self, Name, Version};
 use grebecleat_plans::follower::{self, Action, Follower, InitialState, Update};
 use grebecleat_plans::leader::{CallId, Epoch};
+use grebecleat_plans::records::{self, Name, Version};
 use grebecleat_settings::Settings;
 use grebecleat_state::codec::{changes_from_proto, revision_from_proto};
 use grebecleat_state::store::Record;
--- a/crates/host/tests/following.rs
+++ b/crates/host/tests/following.rs
@@ -4,9 +4,9 @@
 
 use common::{ms, Rig};
 use grebecleat_host::desk::Input;
-use grebecleat_plans::records::Version;
 use grebecleat_plans::follower::{Follower, InitialState};
 use grebecleat_plans::leader::Epoch;
+use grebecleat_plans::records::Version;
 use grebecleat_state::declared_config::deployment;
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 
--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -32,8 +32,8 @@
 
 use crate::node_status::{node_status, Answers, ListedState, NodeStatus, Reading, Said, Wins};
 use grebecleat_plans::admission::{exclusion_reason, ExclusionReason};
-use grebecleat_plans::records::{Drain, Name, Stage, Version};
 use grebecleat_plans::feed::HostNumber;
+use grebecleat_plans::records::{Drain, Name, Stage, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
--- a/crates/membership/tests/drains.rs
+++ b/crates/membership/tests/drains.rs
@@ -5,8 +5,8 @@
     node_status, Answers, ListedState, NodeStatus, Said, Wins,
 };
 use grebecleat_plans::admission::ExclusionReason;
-use grebecleat_plans::records::{Drain, Stage, Version};
 use grebecleat_plans::feed::HostNumber;
+use grebecleat_plans::records::{Drain, Stage, Version};
 use std::time::Duration;
 
 const fn s(n: u64) -> Duration {
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -10,8 +10,8 @@
 use grebecleat_membership::drains::{Action, Event, Membership, NodeFacts, Sight};
 use grebecleat_membership::node_status::{Answers, ListedState, NodeStatus};
 use grebecleat_plans::admission::{exclusion_reason, ExclusionReason};
-use grebecleat_plans::records::{Drain, Stage, Version};
 use grebecleat_plans::feed::HostNumber;
+use grebecleat_plans::records::{Drain, Stage, Version};
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
