--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -31,7 +31,7 @@
 //! Without input or output. Memory: a few words for each node and host, and for each node that is known.
 
 use crate::node_status::{node_status, Answers, ListedState, NodeStatus, Reading, Said, Wins};
-use grebecleat_plans::admission::{exclusion_reason, ExclusionReason};
+use grebecleat_plans::admission::{excluded_in_zone, ExclusionReason};
 use grebecleat_plans::feed::HostNumber;
 use grebecleat_plans::records::{Drain, Name, Stage, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -612,7 +612,7 @@
                 }?,
             ))
         });
-        exclusion_reason(node, zone, others)
+        excluded_in_zone(node, zone, others)
     }
 
     /// Whether one that waits in the same zone asked before it.
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -9,7 +9,7 @@
 
 use grebecleat_membership::drains::{Action, Event, Membership, NodeFacts, Sight};
 use grebecleat_membership::node_status::{Answers, ListedState, NodeStatus};
-use grebecleat_plans::admission::{exclusion_reason, ExclusionReason};
+use grebecleat_plans::admission::{excluded_in_zone, ExclusionReason};
 use grebecleat_plans::feed::HostNumber;
 use grebecleat_plans::records::{Drain, Stage, Version};
 use std::collections::HashSet;
@@ -220,7 +220,7 @@
                 .filter(|o| holds(w.drains[*o]))
                 .map(|o| (o as u32, ExclusionReason::Drains));
             let unfit = (0..NODES).filter_map(|o| Some((o as u32, w.unfit[o]?)));
-            if !exclusion_reason(n as u32, |_| 'a', drains.chain(unfit)).is_empty() {
+            if !excluded_in_zone(n as u32, |_| 'a', drains.chain(unfit)).is_empty() {
                 return Err("coincides".into());
             }
         }
--- a/crates/plans/src/admission.rs
+++ b/crates/plans/src/admission.rs
@@ -26,7 +26,7 @@
 mod reasons;
 mod site;
 
-pub use reasons::{exclusion_reason, join_reasons, AdmissionVerdict, ExclusionReason, Reason};
+pub use reasons::{excluded_in_zone, join_reasons, AdmissionVerdict, ExclusionReason, Reason};
 
 use crate::catalog::Catalog;
 use crate::change::Change;
@@ -71,7 +71,7 @@
         admission
     }
 
-    /// What hosts observe of a node, which keeps a drain in its zone from starting; None: it is
+    /// What hosts observe of a node, which prevents a drain in its zone from starting; None: it is
     /// available.
     pub fn set_unavailable(&mut self, node: u32, how: Option<ExclusionReason>) {
         match how {
@@ -209,7 +209,7 @@
             .filter(|(other, _)| !self.draining.contains(other))
             .map(|(other, how)| (*other, *how));
         let zone = |id: u32| after.node(id).map(|node| node.zone.clone());
-        let with = exclusion_reason(node, zone, draining.chain(unavailable));
+        let with = excluded_in_zone(node, zone, draining.chain(unavailable));
         (!with.is_empty()).then(|| Reason::Coincides {
             node,
             zone: zone(node).unwrap_or_default(),
--- a/crates/plans/src/admission/reasons.rs
+++ b/crates/plans/src/admission/reasons.rs
@@ -84,12 +84,12 @@
 /// Of these unavailable nodes, those in the zone of a node, except itself.
 ///
 /// ```
-/// use grebecleat_plans::admission::{exclusion_reason, ExclusionReason::*};
+/// use grebecleat_plans::admission::{excluded_in_zone, ExclusionReason::*};
 /// let zone = |n: u32| if n < 10 { 'a' } else { 'b' };
 /// let others = [(1, Drains), (2, Cold), (11, Removed), (3, Drains)];
-/// assert_eq!(exclusion_reason(3, zone, others), [(1, Drains), (2, Cold)]);
+/// assert_eq!(excluded_in_zone(3, zone, others), [(1, Drains), (2, Cold)]);
 /// ```
-pub fn exclusion_reason<Z: PartialEq>(
+pub fn excluded_in_zone<Z: PartialEq>(
     node: u32,
     zone: impl Fn(u32) -> Z,
     others: impl IntoIterator<Item = (u32, ExclusionReason)>,
@@ -170,7 +170,7 @@
 pub struct AdmissionVerdict {
     /// The change is rejected for these, unless it is forced.
     pub objections: Vec<Reason>,
-    /// The change lands; the author is told of these.
+    /// The change lands; the author reads these.
     pub warnings: Vec<Reason>,
     /// Number of losses that were not examined, since it would have taken too long.
     pub unseen: usize,
--- a/crates/plans/src/audit_log.rs
+++ b/crates/plans/src/audit_log.rs
@@ -21,7 +21,7 @@
 }
 
 impl AuditLog {
-    /// `max_len`: how many revisions are held, at least 1.
+    /// `max_len`: how many revisions are remembered, at least 1.
     pub fn new(max_len: usize) -> Self {
         AuditLog {
             max_len: max_len.max(1),
--- a/crates/plans/src/feed.rs
+++ b/crates/plans/src/feed.rs
@@ -10,8 +10,8 @@
 //!
 //! - A host uses the least that any version allows, from the stable one, as far as it knows, to the
 //!   newest it has. The stable version itself lies in every host's window, so all quotas add up to
-//!   no more than that version's limit, whoever knows what.
-//! - An answer carries the revisions and a lease together, so whoever has the lease has the
+//!   no more than that version's limit, whatever each of them knows.
+//! - An answer carries the revisions and a lease together, so a host with the lease has the
 //!   revisions.
 //! - A host counts its lease from when it asked; the leader counts it from when it answered, which
 //!   is later, and a margin longer: no delay, and no clock that runs slower by less than the
--- a/crates/plans/src/follower/messages.rs
+++ b/crates/plans/src/follower/messages.rs
@@ -1,4 +1,4 @@
-//! What a follower is told and what it returns: events, actions, and the state that it starts with.
+//! A follower's input and output: events, actions, and the state that it starts with.
 //!
 //! Plain data, made and carried out by the host's shell. Owns no state.
 
--- a/crates/plans/src/leader/messages.rs
+++ b/crates/plans/src/leader/messages.rs
@@ -1,4 +1,4 @@
-//! What the leader is told and what it returns: events, actions, and the state that it starts with.
+//! The leader's input and output: events, actions, and the state that it starts with.
 //!
 //! Plain data, made and carried out by the state service's shell. Owns no state.
 
--- a/crates/plans/src/leader/persistence.rs
+++ b/crates/plans/src/leader/persistence.rs
@@ -2,7 +2,7 @@
 //!
 //! Revisions, the stable version and what hosts have acknowledged are written in order under
 //! consecutive numbers. If a write fails, it and all after it never happened: the catalog goes
-//! back, and those who asked are told.
+//! back, and the callers are rejected.
 
 use super::messages::{Action, Persist};
 use super::pending::{PendingApplied, PendingCommit, PendingStable};
@@ -80,7 +80,7 @@
         self.note(Rejection::PersistFailed { reason }.to_string());
     }
 
-    /// Persists the stable version before a host is told of it. Of versions that are on their way
+    /// Persists the stable version before a host learns of it. Of versions that are on their way
     /// to the disk no host knows, so none of them is stable.
     pub(super) fn persist_stable(&mut self) {
         let version = self
--- a/crates/plans/src/limit_lowering.rs
+++ b/crates/plans/src/limit_lowering.rs
@@ -1,8 +1,8 @@
 //! Whether a revision lowers what a host that does not know it yet may hold itself entitled to.
 //!
 //! Called by [`crate::propose`]. Such a revision is stable only once hosts have acknowledged it:
-//! see [`crate::feed`]. What a host keeps without a lease, its quota of the reservation and of the
-//! burst, must never shrink without its knowledge.
+//! see [`crate::feed`]. What a host may use without a lease, its quota of the reservation and of
+//! the burst, must never shrink without its knowledge.
 
 use crate::change::{Change, Subject};
 use crate::overlay::Overlay;
--- a/crates/plans/src/moves.rs
+++ b/crates/plans/src/moves.rs
@@ -4,7 +4,7 @@
 //! the sizes of volumes; the answer names whole extents, from where to where, or says what stays
 //! short whatever is moved. A linear program (by `microlp`) weighs what each volume could put on
 //! each node against the bytes that it would cost. Extents are whole: on a small site the program
-//! is told so; on a larger one, where an extent is little, its parts are rounded up, the answer is
+//! knows that; on a larger one, where an extent is little, its parts are rounded up, the answer is
 //! checked by the flow, and where rounding has filled a node, the program is solved again with a
 //! little less capacity. Pure functions.
 //!
@@ -32,7 +32,7 @@
 /// Capacity of each node that is left unused for rounding, as a part of it, from one try to the
 /// next.
 const ROUNDING_MARGINS: [f64; 4] = [0.0, 0.005, 0.02, 0.05];
-/// Number of variables up to which the program is told that extents are whole.
+/// Number of variables up to which the program is made one of whole numbers.
 const MAX_INTEGER_VARIABLES: usize = 400;
 
 /// What would mend the site, with these nodes emptied; None: nothing needs to move.
--- a/crates/plans/src/moves/scope.rs
+++ b/crates/plans/src/moves/scope.rs
@@ -5,7 +5,7 @@
 use crate::planner::{Node, Site, Volume};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most volumes that go into the program, beside those on nodes to be emptied.
+/// Most volumes that go into the program, in addition to those on nodes to be emptied.
 const MAX_VOLUMES: usize = 300;
 /// Most nodes that extents may move to, on a large site.
 const MAX_TARGETS: usize = 6;
@@ -21,7 +21,7 @@
     pub targets: Vec<u32>,
     /// Nodes to be emptied.
     pub empty: &'a BTreeSet<u32>,
-    /// By node: capacity beside what the volumes left out use there.
+    /// By node: capacity without what the volumes left out use there.
     pub available: BTreeMap<u32, f64>,
     /// See [`Site`].
     pub spread: f64,
--- a/crates/plans/tests/admission.rs
+++ b/crates/plans/tests/admission.rs
@@ -1,4 +1,4 @@
-//! What speaks against a change, case by case, and that nothing of an opinion depends on how it came about.
+//! Objections to changes, case by case, and that a verdict does not depend on the changes before.
 
 use grebecleat_plans::admission::{Admission, AdmissionVerdict, ExclusionReason, Reason};
 use grebecleat_plans::catalog::*;
@@ -145,15 +145,16 @@
         (
             "as much as holds, and no node to spare",
             vec![volume(5, "gold", &[1, 2]), volume(6, "gold", &[1, 2])],
-            // With node 1 out, half of what lies on both must be carried by node 2, and the rest is out of
-            // reach.
+            // With node 1 out, half of what lies on both must be carried by node 2, and the rest is
+            // out of reach.
             &[],
         ),
         (
             "what holds with all there and not without",
             vec![volume(5, "big", &[1, 2, 3]), volume(6, "big", &[1, 2, 3]), volume(7, "big", &[1, 2, 3])],
             &[
-                // Without node 4, volumes 1 to 4 lie on the three nodes of the large ones, which ask for 255.
+                // Without node 4, volumes 1 to 4 lie on the three nodes of the large ones, which
+                // ask for 255.
                 "warns: with zone a out, 5.0 units a second of reserves could not be met",
                 "warns: with zone b out, 10.0 units a second of reserves could not be met",
                 "warns: with node 4 out, 15.0 units a second of reserves could not be met",
@@ -184,7 +185,7 @@
     }
 }
 
-/// Drains beside what else a zone is without; each case with what is so before it.
+/// Drains while a zone is without other nodes; each case with what was so before it.
 #[test]
 fn objections_to_a_drain() {
     use Stage::*;
@@ -320,7 +321,8 @@
     );
 }
 
-/// What is broken already does not keep anybody from mending it, or from what has nothing to do with it.
+/// Reservations that were short before are no reason against mending them, or against unrelated
+/// changes.
 #[test]
 fn a_change_that_makes_a_broken_site_no_worse_is_admitted() {
     let mut catalog = two_zones();
@@ -385,7 +387,8 @@
             }
         )
     };
-    // Node 1 shares nothing with them, and its loss, which would be told too, is looked at last.
+    // Node 1 shares nothing with them, and its loss, which would be a warning too, is examined
+    // last.
     assert!(
         found.unseen == 1 && found.warnings.len() == 2 && found.warnings.iter().all(zones),
         "{found:?}"
@@ -393,7 +396,6 @@
     assert_eq!((admission.refresh(0), admission.refresh(ALL)), (1, 0));
 }
 
-/// After any changes, landed or taken back, what is missing is what the planner says of the catalog.
 #[test]
 fn the_shortfall_is_that_of_the_planner_after_any_changes() {
     for seed in 0..120 {
--- a/crates/plans/tests/catalog.rs
+++ b/crates/plans/tests/catalog.rs
@@ -1,5 +1,5 @@
-//! The catalog: collisions, undo, order, and the state compared with a simple model under any sequence
-//! of changes.
+//! The catalog: collisions, undo, order, and the state compared with a simple model under any
+//! sequence of changes.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Which entries must be heard of by every host before they are over.
+/// Which revisions every host must acknowledge before they are stable.
 #[test]
 fn revisions_that_lower_limits_are_marked() {
     let mut catalog = sample_catalog();
@@ -109,7 +109,6 @@
     }
 }
 
-/// What was never kept is taken back, and one state is brought to another.
 #[test]
 fn a_reverted_revision_leaves_no_trace_and_states_can_be_turned_into_each_other() {
     let mut catalog = sample_catalog();
@@ -140,8 +139,8 @@
     }
 }
 
-/// Two sessions that looked at the same version: the second is told what it collided with, or lands if they
-/// have nothing to do with each other.
+/// Two sessions that looked at the same version: the second learns what it collided with, or lands
+/// if the changes have nothing to do with each other.
 #[test]
 fn of_two_concurrent_changes_the_second_is_rejected_if_they_collide() {
     let cases: [(Vec<Change>, Vec<Change>, Option<&str>); 6] = [
@@ -245,7 +244,8 @@
     );
 }
 
-/// A feed that comes late, twice, or was set back: entries are taken once and in order, or not at all.
+/// A feed that is late, repeats, or was reset: revisions are applied once and in order, or not at
+/// all.
 #[test]
 fn revisions_are_applied_once_and_in_order() {
     let mut leader = sample_catalog();
@@ -273,7 +273,6 @@
     }
 }
 
-/// What is known of long ago is bounded, and who looked at that is told.
 #[test]
 fn a_change_based_on_a_version_older_than_the_audit_log_is_rejected() {
     let mut catalog = empty_catalog(3);
@@ -287,8 +286,9 @@
     assert!(propose(3).is_ok());
 }
 
-/// Any sequence of changes beside a plain model: what lands lands whole, what is refused changes nothing,
-/// every volume stands on a plan that there is, and undoing all from the last to the first leads back.
+/// Any sequence of changes compared with a simple model: a change lands completely, a rejected one
+/// changes nothing, every volume is on a plan that exists, and undoing all from the last to the
+/// first restores the first state.
 #[test]
 fn any_sequence_of_changes_matches_a_simple_model() {
     for seed in 0..200 {
--- a/crates/plans/tests/feed.rs
+++ b/crates/plans/tests/feed.rs
@@ -1,7 +1,7 @@
-//! All that can happen to changes on their way to two hosts, explored: requests and answers that cross in any
-//! order, late or never, clocks that lose a tick, a source that starts anew, hosts that start anew, changes
-//! at any moment, an operator who says that a host is gone and is right. In each state what both hosts may
-//! send together is at most the limit of the settled version. Bugs planted on purpose must be found.
+//! Explores every state of a leader and two hosts: requests and answers that arrive in any order,
+//! late or never, clocks that lose a tick, a leader that restarts, hosts that restart, changes at
+//! any moment, an operator who rightly reports a host as gone. In each state what both hosts may
+//! send together is at most the limit of the stable version. Bugs planted on purpose must be found.
 
 use grebecleat_plans::feed::{
     quota, FollowerLease, HostNumber, Leases, LimitReductions, LimitTerms, PollDecision,
@@ -20,15 +20,15 @@
     Duration::from_secs(count)
 }
 
-/// What a version says: limit and reservation of the volume, and which hosts it works through.
+/// What a version says: limit and reservation of the volume, and which hosts serve it.
 #[derive(Debug, Clone, Copy)]
-struct Persisted {
+struct VolumeTerms {
     limit: f64,
     reservation: f64,
     hosts: [bool; HOSTS],
 }
 
-impl Persisted {
+impl VolumeTerms {
     fn limit_terms(&self, host: usize) -> LimitTerms {
         let hosts = self.hosts.iter().filter(|host| **host).count();
         let (reservation, limit) = (self.reservation, self.limit);
@@ -41,12 +41,12 @@
         }
     }
 
-    fn lowers_limits(&self, before: &Persisted) -> bool {
-        let floor = |k: &Persisted, host: usize| {
-            let state = k.limit_terms(host);
-            match (state.limit > 0.0, state.mine) {
+    fn lowers_limits(&self, before: &VolumeTerms) -> bool {
+        let floor = |volume: &VolumeTerms, host: usize| {
+            let terms = volume.limit_terms(host);
+            match (terms.limit > 0.0, terms.mine) {
                 (false, _) => f64::INFINITY,
-                (true, true) => state.reservation / state.hosts as f64,
+                (true, true) => terms.reservation / terms.hosts as f64,
                 (true, false) => 0.0,
             }
         };
@@ -55,45 +55,36 @@
 }
 
 /// Changes one after the other, by what makes each of them dangerous.
-const SCENARIOS: [(&str, &[Persisted]); 6] = {
+const SCENARIOS: [(&str, &[VolumeTerms]); 6] = {
     const BOTH: [bool; 2] = [true, true];
-    const fn persisted(limit: f64, reservation: f64, hosts: [bool; 2]) -> Persisted {
-        Persisted {
+    const fn terms(limit: f64, reservation: f64, hosts: [bool; 2]) -> VolumeTerms {
+        VolumeTerms {
             limit,
             reservation,
             hosts,
         }
     }
     [
-        (
-            "lowered",
-            &[persisted(6.0, 1.0, BOTH), persisted(2.0, 1.0, BOTH)],
-        ),
-        (
-            "raised",
-            &[persisted(2.0, 1.0, BOTH), persisted(6.0, 1.0, BOTH)],
-        ),
+        ("lowered", &[terms(6.0, 1.0, BOTH), terms(2.0, 1.0, BOTH)]),
+        ("raised", &[terms(2.0, 1.0, BOTH), terms(6.0, 1.0, BOTH)]),
         (
             "given a limit",
-            &[persisted(0.0, 1.0, BOTH), persisted(2.0, 1.0, BOTH)],
+            &[terms(0.0, 1.0, BOTH), terms(2.0, 1.0, BOTH)],
         ),
         (
             "a host comes in",
-            &[
-                persisted(4.0, 2.0, [true, false]),
-                persisted(4.0, 2.0, BOTH),
-            ],
+            &[terms(4.0, 2.0, [true, false]), terms(4.0, 2.0, BOTH)],
         ),
         (
             "moved to the other host",
             &[
-                persisted(4.0, 2.0, [true, false]),
-                persisted(4.0, 2.0, [false, true]),
+                terms(4.0, 2.0, [true, false]),
+                terms(4.0, 2.0, [false, true]),
             ],
         ),
         (
             "its reservation lowered below",
-            &[persisted(6.0, 4.0, BOTH), persisted(2.0, 1.0, BOTH)],
+            &[terms(6.0, 4.0, BOTH), terms(2.0, 1.0, BOTH)],
         ),
     ]
 };
@@ -103,17 +94,17 @@
     None,
     /// A host counts its lease from when the answer came.
     FromArrival,
-    /// The source takes a host that was sent a version for one that has it.
+    /// The leader counts a version that was sent as applied.
     SentCountsAsApplied,
-    /// The source forgets at its start that leases may be out.
+    /// The leader forgets at its start that leases may still run.
     ForgetsRunningLeases,
-    /// The source counts no margin.
+    /// The leader counts no margin.
     NoMargin,
-    /// A host takes what comes, though it has something newer.
+    /// A host applies what arrives, though it has a newer version.
     TakesOlderVersions,
     /// A host follows the newest that it has, whatever others may still follow.
     NewestAlone,
-    /// The source does not wait for hosts without a lease.
+    /// The leader does not wait for hosts without a lease.
     IgnoresReductions,
     /// A host starts with the lease that it had.
     LeaseSurvivesRestart,
@@ -124,11 +115,11 @@
     follower_lease: FollowerLease,
     /// Ticks that its clock has lost.
     lost: u64,
-    /// It is down, and the operator has said so.
+    /// It is down, and the operator has reported it as gone.
     gone: bool,
-    /// On the way to the source: when it was sent, by the host's clock, and what the host had.
+    /// On the way to the leader: when it was sent, by the host's clock, and what the host had.
     request: Option<(u64, Version)>,
-    /// On the way back: of which request, up to which version, and what was settled then.
+    /// On the way back: of which request, up to which version, and the stable version then.
     answers: Vec<(u64, Version, Version)>,
 }
 
@@ -138,18 +129,19 @@
     latest: u64,
     leases: Leases,
     stable: Version,
-    /// A source or a host that started anew, a clock that lost a tick, a host that is gone: so many so far.
+    /// Restarts of the leader or a host, clocks that lost a tick and hosts that are gone, so far.
     mishaps: u8,
     hosts: [Host; HOSTS],
 }
 
 struct Model {
-    persisted: &'static [Persisted],
+    versions: &'static [VolumeTerms],
     bug: Bug,
-    /// Mishaps of one run; requests and answers may be lost or late beside them as often as they like.
+    /// Mishaps of one run; requests and answers may in addition be lost or late any number of
+    /// times.
     mishaps: u8,
-    /// The second host is answered at once or not at all. Hosts meet only in what the source believes of
-    /// them, so one whose messages cross in all ways beside one that is prompt shows most of what can happen.
+    /// The second host is answered at once or not at all. Hosts interact only through what the
+    /// leader knows of them, so one prompt host and one whose messages cross show most cases.
     prompt: bool,
 }
 
@@ -162,7 +154,7 @@
         let mut reductions = LimitReductions::new(Version(1));
         for v in 2..=latest {
             let lowers_limits =
-                self.persisted[v as usize - 1].lowers_limits(&self.persisted[v as usize - 2]);
+                self.versions[v as usize - 1].lowers_limits(&self.versions[v as usize - 2]);
             reductions.add(
                 Version(v),
                 lowers_limits && self.bug != Bug::IgnoresReductions,
@@ -192,7 +184,7 @@
         }
     }
 
-    /// The source looks at its leases whenever something happens.
+    /// The leader updates the stable version whenever something happens.
     fn update_stable(&self, mut state: State) -> State {
         state.stable = state.leases.stable(
             ticks(state.now),
@@ -213,13 +205,13 @@
         if state.now < LAST_TICK {
             push(&|state| state.now += 1);
         }
-        if (state.latest as usize) < self.persisted.len() {
+        if (state.latest as usize) < self.versions.len() {
             push(&|state| state.latest += 1);
         }
         if state.mishaps < self.mishaps {
             push(&|state| {
                 state.mishaps += 1;
-                // It knows what hosts last said, and what it has called settled: both are kept before they
+                // What hosts have acknowledged and the stable version are persisted before they
                 // count.
                 let had = |host: u32| (HostNumber(host), state.leases.applied(HostNumber(host)));
                 let had: Vec<_> = (0..HOSTS as u32).map(had).collect();
@@ -274,7 +266,7 @@
                 });
                 continue;
             }
-            // A new request stands for one that was lost, too.
+            // A new request also replaces one that was lost.
             push(&|state| state.hosts[i].request = Some((clock, host.follower_lease.applied)));
             if let Some((sent, applied)) = host.request.filter(|_| host.answers.len() < 2) {
                 push(&|state| {
@@ -352,7 +344,7 @@
                 follower_lease.stable
             };
             let window = (from.0.max(1)..=follower_lease.applied.0)
-                .map(|v| self.persisted[v as usize - 1].limit_terms(i));
+                .map(|v| self.versions[v as usize - 1].limit_terms(i));
             quota(window, follower_lease.leased(ticks(state.now - host.lost)))
                 .map_or(f64::INFINITY, |p| p.rate)
         };
@@ -362,7 +354,7 @@
             .enumerate()
             .filter(|(_, host)| !host.gone);
         let sent = hosts.map(|(i, host)| of(i, host)).sum();
-        let limit = self.persisted[state.stable.0.max(1) as usize - 1].limit;
+        let limit = self.versions[state.stable.0.max(1) as usize - 1].limit;
         (sent, if limit > 0.0 { limit } else { f64::INFINITY })
     }
 
@@ -379,7 +371,7 @@
             queue.extend(
                 self.next(&state)
                     .into_iter()
-                    .filter(|count| seen.insert(count.clone())),
+                    .filter(|next| seen.insert(next.clone())),
             );
         }
         (seen.len(), None)
@@ -387,9 +379,9 @@
 }
 
 impl Model {
-    fn short(persisted: &'static [Persisted], bug: Bug) -> Self {
+    fn short(versions: &'static [VolumeTerms], bug: Bug) -> Self {
         Model {
-            persisted,
+            versions,
             bug,
             mishaps: 1,
             prompt: true,
@@ -410,8 +402,8 @@
         Bug::LeaseSurvivesRestart,
     ];
     for bug in bugs {
-        let found = SCENARIOS.iter().find_map(|(scenario, persisted)| {
-            let (visited, found) = Model::short(persisted, bug).explore();
+        let found = SCENARIOS.iter().find_map(|(scenario, versions)| {
+            let (visited, found) = Model::short(versions, bug).explore();
             found.map(|_| (scenario, visited))
         });
         let (scenario, visited) = found.unwrap_or_else(|| panic!("{bug:?} is not found"));
@@ -421,8 +413,8 @@
 
 #[test]
 fn no_state_sends_more_than_the_limit_of_the_stable_version() {
-    for (scenario, persisted) in SCENARIOS {
-        let (visited, found) = Model::short(persisted, Bug::None).explore();
+    for (scenario, versions) in SCENARIOS {
+        let (visited, found) = Model::short(versions, Bug::None).explore();
         println!("{scenario}: {visited} states visited");
         assert_eq!(found, None, "{scenario}");
     }
@@ -433,9 +425,9 @@
 #[ignore = "minutes; CI plays the short form"]
 fn no_state_with_two_mishaps_or_with_two_slow_hosts() {
     for (mishaps, prompt) in [(2, true), (0, false)] {
-        for (scenario, persisted) in SCENARIOS {
+        for (scenario, versions) in SCENARIOS {
             let (visited, found) = Model {
-                persisted,
+                versions,
                 bug: Bug::None,
                 mishaps,
                 prompt,
--- a/crates/plans/tests/fleet/disk.rs
+++ b/crates/plans/tests/fleet/disk.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// What the service's disk holds.
+/// The leader's disk.
 #[derive(Clone)]
 pub struct Disk {
     pub start: leader::InitialState,
@@ -45,7 +45,8 @@
         }
     }
 
-    /// As it was, in a new era. Hosts that it does not know of may have joined since.
+    /// Restored from a snapshot, in a new epoch. Hosts that it does not know of may have joined
+    /// since.
     pub fn restored(&self, epoch: u64) -> Self {
         let mut start = self.start.clone();
         start.epochs.push((start.epoch, start.catalog.version()));
@@ -57,7 +58,7 @@
     }
 }
 
-/// What a host's disk holds.
+/// A host's disk.
 #[derive(Clone, Default)]
 pub struct HostDisk(Option<follower::InitialState>);
 
--- a/crates/plans/tests/fleet/limits.rs
+++ b/crates/plans/tests/fleet/limits.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 impl World {
-    /// No volume may be sent more of than the limit of the settled version.
+    /// No volume may be sent more of than the limit of the stable version.
     pub fn check_limits(&mut self) {
         let catalog = self.leader.catalog();
         let stable = self.leader.stable();
-        // After a restore two histories are under way, and no limit of one of them bounds both, until the one
-        // that counts has come everywhere.
+        // After a restore two histories are under way, and no limit of one of them bounds both,
+        // until the one that counts has come everywhere.
         let epoch = self.disk.start.epoch;
         self.converged |= stable == catalog.version()
             && self.hosts.iter().all(|host| host.follower.epoch() == epoch);
--- a/crates/plans/tests/fleet/main.rs
+++ b/crates/plans/tests/fleet/main.rs
@@ -1,7 +1,8 @@
-//! A state service and three hosts in one small world: messages late, lost and out of order, disks that fail,
-//! processes that die between any two steps, a store put back from a snapshot, operators who change plans all
-//! the while. At every moment no volume may be sent more of than the settled version's limit; what was told
-//! as landed stays landed; no host goes back. Once the faults stop, everybody follows the newest.
+//! A leader and three hosts in a simulated world: messages late, lost and out of order, disks that
+//! fail, processes that die between any two steps, a store restored from a snapshot, operators who
+//! change plans all the while. At every moment no volume may be sent more of than the stable
+//! version's limit; a change that was announced as landed stays; no host goes back. Once the faults
+//! stop, all hosts follow the newest version.
 
 mod disk;
 mod faults;
@@ -63,7 +64,7 @@
 struct Host {
     follower: Follower,
     disk: HostDisk,
-    /// Keeps on their way, and the state that a whole one means.
+    /// Writes on their way to the disk, each with the state at that time, for a snapshot.
     pending_writes: Vec<(follower::PersistRequest, Catalog)>,
     terms: BTreeMap<u64, follower::Terms>,
     calls: u64,
@@ -81,13 +82,13 @@
     hosts: Vec<Host>,
     /// In flight, with when they arrive.
     wire: Vec<(Duration, u64, Message)>,
-    /// Which host's call each of the service's calls is.
+    /// The host and its call for each of the leader's calls.
     calls: BTreeMap<u64, (usize, CallId)>,
     next: u64,
     operators: BTreeMap<u64, Vec<Change>>,
     landed: BTreeMap<Version, Vec<Change>>,
     faults: bool,
-    /// No restore is still being got over.
+    /// All hosts have the history that counts since the last restore.
     converged: bool,
     counts: [u32; 6],
 }
@@ -136,7 +137,7 @@
     }]);
     for _ in 0..ticks {
         world.tick();
-        // What was told as landed is there.
+        // What was announced as landed is there.
         let persisted: BTreeMap<Version, &Vec<Change>> = world
             .disk
             .start
@@ -154,7 +155,8 @@
         }
     }
     world.faults = false;
-    // A host that was cut off through a restore may show only now that it has followed something else.
+    // A host that was cut off through a restore may show only now that it has followed something
+    // else.
     for n in 0..500 {
         if n % 100 == 50 {
             let (author, reason, call) = ("op".to_string(), "at last".to_string(), CallId(1 << 43));
@@ -204,7 +206,7 @@
         let counts = play(seed, 600);
         sum.iter_mut().zip(counts).for_each(|(s, c)| *s += c);
     }
-    // Whole states told, hosts told that the service knows less, its starts, its restores, starts of hosts,
-    // volumes judged over several hosts.
+    // Snapshots sent, hosts that learnt that the leader is behind, starts and restores of the
+    // leader, starts of hosts, volumes checked over several hosts.
     assert!(sum.iter().all(|n| *n > 100), "{sum:?}");
 }
--- a/crates/plans/tests/follower.rs
+++ b/crates/plans/tests/follower.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// A service that answers at once, and a host that asks it.
+/// A leader that answers at once, and a host that polls it.
 struct Rig {
     leader: Catalog,
     host: Follower,
@@ -105,7 +105,7 @@
         }
     }
 
-    /// The service answers with all there is, and says what is settled.
+    /// The leader answers with all revisions and the stable version.
     fn grant(&mut self, stable: u64) {
         let (call, applied) = self.call.take().expect("it asks");
         let (stable, me) = (Version(stable), Name::from("h3"));
@@ -152,8 +152,8 @@
     quota.map(|p| p.rate)
 }
 
-/// What went elsewhere, was changed there, and came back: the host never heard of the state in between, and
-/// must keep to it as long as others may.
+/// A volume moved to another host, was changed there, and returned: the host did not follow the
+/// versions in between, and must reckon with them as long as others may follow them.
 #[test]
 fn a_returning_volume_is_limited_by_its_versions_in_between() {
     let mut rig = Rig::new();
@@ -205,7 +205,6 @@
     assert_eq!(rate(rig.quota(1)), Some(12.0));
 }
 
-/// It says that it has a version once that is kept, and what was decided before has crossed or never will.
 #[test]
 fn a_version_is_acknowledged_once_persisted_and_earlier_decisions_are_sent() {
     let mut rig = Rig::new();
@@ -227,7 +226,7 @@
     rig.now += ms(100);
     rig.step(vec![]);
     assert_eq!(rig.acknowledged, [2, 3]);
-    // A disk that fails: it follows, and does not say that it has.
+    // The disk fails: the host follows the version, and does not acknowledge it.
     rig.land(vec![volume(1, "twelve", &["h3"])]);
     rig.grant(3);
     rig.step(vec![Event::PersistFailed {
@@ -280,7 +279,7 @@
     rig.step(vec![]);
     rig.grant(1);
     assert_eq!(rig.host.catalog().version(), Version(3));
-    // An answer to what was not asked, or long ago, is nobody's.
+    // An answer to an unknown or former poll is ignored.
     rig.step(vec![Event::Granted {
         call: CallId(999),
         epoch: Epoch(1),
--- a/crates/plans/tests/incremental_flow.rs
+++ b/crates/plans/tests/incremental_flow.rs
@@ -1,4 +1,4 @@
-//! A site asked again and again says what a planner says that works it out anew, whatever was changed.
+//! The incremental flow gives the same answers as the planner, which works them out anew.
 
 use grebecleat_plans::incremental_flow::IncrementalFlow;
 use grebecleat_plans::planner::{check, Node, Site, Volume};
--- a/crates/plans/tests/leader/main.rs
+++ b/crates/plans/tests/leader/main.rs
@@ -17,7 +17,7 @@
         (rig.answers(), rig.leader.persisted()),
         (vec![], Version(2))
     );
-    // Two are on their way at once, and are kept together.
+    // Two are on their way to the disk at once, and are persisted together.
     rig.persist();
     assert_eq!(
         rig.answers(),
@@ -26,7 +26,7 @@
             format!("{}: landed 4", second.0)
         ]
     );
-    // What rests on one that cannot be kept falls with it.
+    // A change that depends on one that cannot be persisted fails with it.
     let first = rig.propose(vec![plan("x", 1.0)], |_| ());
     let second = rig.propose(vec![volume(3, "x")], |p| p.base_version = Version(5));
     let number = rig.sent[0].0;
@@ -51,13 +51,13 @@
         ),
         (Version(4), None)
     );
-    // What the disk says later of what was taken back counts for nothing.
+    // Later answers of the disk to what was taken back are ignored.
     rig.step(vec![Event::PersistFailed {
         number: number + 1,
         reason: "it rests on the first".into(),
     }]);
     assert!(rig.answers().is_empty());
-    // And can be asked again once there is room.
+    // The change can be proposed again once the disk has space.
     rig.now += ms(2000);
     let first = rig.propose(vec![plan("x", 1.0)], |_| ());
     rig.persist();
@@ -94,7 +94,7 @@
     let reason = "40.0 units a second of reserves cannot be met; what gives way: volume 5 by 40.0";
     assert_eq!(rig.answers(), [format!("{}: {reason}", first.0)]);
     assert!(rig.leader.catalog().volume(3).is_none() && rig.sent.is_empty());
-    // Whoever only looks is told the same, and nothing lands, not even what nothing speaks against.
+    // A dry run gives the same reasons, and nothing lands, not even an admitted change.
     let preview = rig.propose(more.clone(), |p| p.dry_run = true);
     let allowed = rig.propose(vec![volume(3, "gold")], |p| p.dry_run = true);
     assert_eq!(
@@ -147,7 +147,7 @@
         "told now and not at night: {answers:?}"
     );
     assert_eq!(rig.leader.wake_at(), Some(ms(6000)));
-    // Somebody changes one of them first, and calls another off.
+    // An operator changes the subject of one of them first, and cancels another.
     rig.propose(vec![Change::Volume { id: 2, to: None }], |_| ());
     rig.propose(vec![Change::Scheduled { id: 3, to: None }], |_| ());
     rig.persist();
@@ -202,7 +202,7 @@
 fn a_host_is_answered_when_there_is_news_or_a_third_of_its_lease_is_over() {
     let mut rig = Rig::with_two_volumes();
     let first = rig.poll(0, 0, 0);
-    // That it was ever heard of is kept before it is granted anything.
+    // That the host is known is persisted before it is granted anything.
     assert!(
         rig.answers().is_empty()
             && matches!(
@@ -230,7 +230,7 @@
         answers.contains(&format!("{}: 2 to 3, settled 2", third.0)),
         "{answers:?}"
     );
-    // Its word settles it, and the next answer says so.
+    // Its acknowledgement makes the version stable, and the next answer carries that.
     let fourth = rig.poll(0, 3, 2);
     rig.persist();
     assert_eq!(rig.answers(), [format!("{}: 3 to 3, settled 3", fourth.0)]);
@@ -249,7 +249,8 @@
     );
 }
 
-/// A change that takes of what a host has unheard waits for its word, or an operator's.
+/// A change that lowers what a host may use without a lease waits for its acknowledgement, or for
+/// an operator's guarantee.
 #[test]
 fn a_silent_host_delays_the_stable_version_of_a_lowered_limit() {
     let mut rig = Rig::with_two_volumes();
@@ -280,7 +281,7 @@
     rig.persist();
     assert_eq!(rig.leader.stable(), Version(2));
     assert_eq!(rig.leader.waits_for(Version(4)), [("h2".into(), false)]);
-    // Its lease runs out: what it need not hear of is over, the new limit is not.
+    // Its lease ends: the version that takes nothing from it is stable, the new limit is not.
     rig.now += ms(3600);
     rig.step(vec![]);
     rig.persist();
--- a/crates/plans/tests/leader/rig.rs
+++ b/crates/plans/tests/leader/rig.rs
@@ -1,4 +1,4 @@
-//! A leader with a disk that answers when it is told to, and builders for its changes.
+//! A leader with a disk that answers on request, and builders for its changes.
 
 use grebecleat_plans::admission::join_reasons;
 use grebecleat_plans::catalog::*;
@@ -51,7 +51,7 @@
     }
 }
 
-/// A service with a disk that keeps when it is told to.
+/// A leader with a disk that answers on request.
 pub struct Rig {
     pub leader: Leader,
     pub now: Duration,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Three plans and two volumes, kept.
+    /// Two plans, a node and two volumes, persisted.
     pub fn with_two_volumes() -> Rig {
         let mut rig = Rig::new();
         rig.propose(
@@ -163,7 +163,7 @@
         call
     }
 
-    /// What was said since the last look, in short.
+    /// The actions since the last call, in short.
     pub fn answers(&mut self) -> Vec<String> {
         let short = |action: Action| match action {
             Action::Grant {
--- a/crates/plans/tests/moves.rs
+++ b/crates/plans/tests/moves.rs
@@ -1,4 +1,4 @@
-//! Proposals beside every way of laying whole extents, on small sites; and a drain at a larger one.
+//! Proposals compared with every placement of extents, on small sites; and a drain at a larger one.
 
 use grebecleat_plans::moves::{propose, Move, Size};
 use grebecleat_plans::planner::{check, Node, Site, Volume};
@@ -64,7 +64,7 @@
     [5, 1, 3][id as usize]
 }
 
-/// The least bytes with which all reserves can be met, by looking at every way.
+/// The least bytes with which all reserves can be met, by trying every placement.
 fn by_brute_force(
     site: &Site,
     extents_by_volume: &[[u64; 3]],
@@ -184,7 +184,8 @@
     );
 }
 
-/// On a larger site: the drained node is empty afterwards, promises hold, and nothing but what lay there moves.
+/// On a larger site: the drained node is empty afterwards, reservations are met, and only its
+/// extents move.
 #[test]
 fn a_drain_at_a_larger_site_moves_only_what_lies_on_the_node() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
--- a/crates/plans/tests/planner.rs
+++ b/crates/plans/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner beside brute force on small sites, and beside the plain greedy answer.
+//! The planner compared with brute force on small sites, and with a greedy answer.
 
 use grebecleat_plans::planner::*;
 use rand::{Rng, SeedableRng};
@@ -43,7 +43,8 @@
     }
 }
 
-/// The most that can be carried, by every cut there is: nodes of one side, and volumes that reach beyond it.
+/// The most that can be carried, by every cut there is: nodes of one side, and volumes that reach
+/// beyond it.
 fn by_brute_force(site: &Site, reserves: &[f64]) -> f64 {
     let cut = |side: u32| {
         let is_inside = |n: u32| side & 1 << n != 0;
@@ -68,7 +69,7 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-/// Each volume in turn on the homes with most room left.
+/// Each volume in turn on the homes with most capacity left.
 fn by_greed(site: &Site) -> f64 {
     let mut spare: Vec<f64> = site.nodes.iter().map(|n| n.capacity).collect();
     let mut carried = 0.0;
@@ -123,7 +124,7 @@
             (by_brute_force(&site, &after) - after.iter().sum::<f64>()).abs() < 1e-6,
             "seed {seed}"
         );
-        // Nobody gives way who could have kept more if all lighter ones had nothing.
+        // No volume gives way that could have more if all lighter ones had nothing.
         for (id, by) in &verdict.short {
             let own = site
                 .volumes
@@ -158,8 +159,8 @@
     );
 }
 
-/// Where a volume's load may gather only so far: what gives way, found volume by volume, is what the flow
-/// over all of them at once says is missing.
+/// Where a volume's load may gather only so far: what gives way, found volume by volume, is what
+/// the flow over all of them at once says is missing.
 #[test]
 fn what_gives_way_is_the_shortfall_at_any_spread() {
     let mut broken = 0;
--- a/crates/plans/tests/validation.rs
+++ b/crates/plans/tests/validation.rs
@@ -194,7 +194,6 @@
     assert!(land(&mut catalog, vec![removal(2), target("t", &[1])]).is_ok());
 }
 
-/// Drains go one way, and nodes have names of their own.
 #[test]
 fn a_drain_never_goes_back_and_node_names_are_unique() {
     use Stage::*;
