--- a/crates/plans/src/admission.rs
+++ b/crates/plans/src/admission.rs
@@ -145,18 +145,11 @@
         is_wanted: impl Fn(&Drain) -> bool,
     ) -> BTreeSet<u32> {
         let mut nodes = BTreeSet::new();
-        for change in changes {
-            let Change::Drain {
-                node,
-                to: Some(drain),
-            } = change
-            else {
-                continue;
-            };
-            let stage = self.stages.get(node);
+        for (node, drain) in drains_of(changes) {
+            let stage = self.stages.get(&node);
             let was_drained = stage.is_some_and(|stage| *stage != Stage::Queued);
             if is_wanted(drain) && !was_drained {
-                nodes.insert(*node);
+                nodes.insert(node);
             }
         }
         nodes
@@ -165,18 +158,11 @@
     /// Nodes that are to be taken out and were never empty.
     fn removed_before_empty(&self, changes: &[Change]) -> Vec<u32> {
         let mut nodes = Vec::new();
-        for change in changes {
-            let Change::Drain {
-                node,
-                to: Some(drain),
-            } = change
-            else {
-                continue;
-            };
-            let stage = self.stages.get(node);
+        for (node, drain) in drains_of(changes) {
+            let stage = self.stages.get(&node);
             let was_empty = stage.is_some_and(|stage| *stage >= Stage::Drained);
             if drain.stage == Stage::Removed && !was_empty {
-                nodes.push(*node);
+                nodes.push(node);
             }
         }
         nodes
@@ -285,3 +271,14 @@
         }
     }
 }
+
+/// The drains that these changes set, with their nodes.
+fn drains_of(changes: &[Change]) -> impl Iterator<Item = (u32, &Drain)> {
+    changes.iter().filter_map(|change| match change {
+        Change::Drain {
+            node,
+            to: Some(drain),
+        } => Some((*node, drain)),
+        _ => None,
+    })
+}
--- a/crates/plans/tests/leader/main.rs
+++ b/crates/plans/tests/leader/main.rs
@@ -1,5 +1,7 @@
 //! The leader's decisions, case by case.
 
+#[path = "../common/mod.rs"]
+mod common;
 mod rig;
 
 use grebecleat_plans::change::*;
--- a/crates/plans/tests/leader/rig.rs
+++ b/crates/plans/tests/leader/rig.rs
@@ -1,5 +1,6 @@
 //! A leader with a disk that answers on request, and builders for its changes.
 
+pub use crate::common::plan;
 use grebecleat_plans::admission::join_reasons;
 use grebecleat_plans::catalog::*;
 use grebecleat_plans::change::*;
@@ -13,19 +14,6 @@
     Duration::from_millis(millis)
 }
 
-pub fn plan(name: &str, reservation: f64) -> Change {
-    let to = Some(Plan {
-        rate: 100.0,
-        reservation,
-        weight: 1.0,
-        ..Plan::default()
-    });
-    Change::Plan {
-        name: name.into(),
-        to,
-    }
-}
-
 pub fn volume(id: u64, plan: &str) -> Change {
     let (plan, hosts, shards) = (plan.into(), ["h1".into(), "h2".into()].into(), [1].into());
     Change::Volume {
