--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use grebecleat::interface::PeerId;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
-use grebecleat_plans::changes::ChangeContext;
+use grebecleat_plans::change::ChangeContext;
 use grebecleat_plans::follower::{Follower, InitialState};
 use grebecleat_settings::Settings;
 use grebecleat_state::change_syntax::parse_change;
