--- a/crates/host/src/observations.rs
+++ b/crates/host/src/observations.rs
@@ -4,7 +4,7 @@
 //! send. What changes by itself (ages, the time that is left to what may still run) is no change, but for its end. A
 //! new connection is sent all rows. Memory: a row for each node of the endpoint list.
 
-use grebecleat_membership::node_status::Answers;
+use grebecleat_membership::answers::Answers;
 use grebecleat_wire::pb;
 use std::collections::BTreeMap;
 
--- a/crates/host/src/router/reporting.rs
+++ b/crates/host/src/router/reporting.rs
@@ -7,7 +7,7 @@
 use crate::metrics;
 use crate::outbox::AttemptId;
 use grebecleat::interface::*;
-use grebecleat_membership::node_status::{Answers, NodeHealth};
+use grebecleat_membership::answers::{Answers, NodeHealth};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::BTreeMap;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,14 @@
-//! Which nodes there are, how they are, and how they are drained, without input or output.
+//! The state of the storage nodes, and how nodes are drained. Free of input and output.
 //!
-//! For: whoever must say of a node whether it can be counted on, and bring one to rest so that it can be
-//! taken out. [`node_status`] is the table of who is believed about a node; [`drains`] are the decisions, called as
-//! `step(now, wall, events)`. What a drain may coincide with is judged where drains land, in
-//! [`grebecleat_plans::admission`]; where a single request goes is decided by nobody here. Begin with
-//! [`node_status`].
+//! For whoever must tell whether a node can be relied on, and empty a node before it is taken out.
+//! Begin with [`node_status`], the table of precedence between what operators, the endpoint list
+//! and a node's answers say; [`drains`] is the state machine, called as `step(now, wall, events)`.
+//! Which drains may coincide is judged where they are committed, in
+//! [`grebecleat_plans::admission`]; where a single request goes is not decided here.
 
+#![warn(missing_docs)]
+
+pub mod answers;
 pub mod drains;
+pub mod list_reading;
 pub mod node_status;
--- a/crates/membership/tests/drains.rs
+++ b/crates/membership/tests/drains.rs
@@ -1,9 +1,11 @@
-//! Drains and lives of nodes, case by case.
+//! Drains and the status of nodes, case by case.
 
+#![allow(clippy::too_many_lines)] // tables of cases
+
+use grebecleat_membership::answers::Answers;
 use grebecleat_membership::drains::*;
-use grebecleat_membership::node_status::{
-    node_status, Answers, ListedState, NodeStatus, Said, Wins,
-};
+use grebecleat_membership::list_reading::ListedState;
+use grebecleat_membership::node_status::{node_status, Authority, Evidence, NodeStatus};
 use grebecleat_plans::admission::ExclusionReason;
 use grebecleat_plans::feed::HostNumber;
 use grebecleat_plans::records::{Drain, Stage, Version};
@@ -19,37 +21,37 @@
 
 /// Two hosts, four nodes in two zones, and a catalog that takes whatever is proposed, unless it is told not
 /// to.
-struct Rig {
-    m: Membership,
+struct Fixture {
+    membership: Membership,
     now: Duration,
     /// What the wall clock is ahead of ours.
     wall: Duration,
     version: u64,
-    refuses: Option<&'static str>,
-    landed: Vec<(u32, Option<Stage>, String)>,
-    unfit: Vec<(u32, Option<ExclusionReason>)>,
-    notes: Vec<(u32, String)>,
+    rejects_with: Option<&'static str>,
+    committed: Vec<(u32, Option<Stage>, String)>,
+    exclusions: Vec<(u32, Option<ExclusionReason>)>,
+    notices: Vec<(u32, String)>,
 }
 
-impl Rig {
-    fn new() -> Rig {
-        let mut r = Rig {
-            m: Membership::new(s(0), s(20), s(3), [H1, H2]),
+impl Fixture {
+    fn new() -> Fixture {
+        let mut fixture = Fixture {
+            membership: Membership::new(s(0), s(20), s(3), [H1, H2]),
             now: s(990),
             wall: s(WALL),
             version: 1,
-            refuses: None,
-            landed: Vec::new(),
-            unfit: Vec::new(),
-            notes: Vec::new(),
+            rejects_with: None,
+            committed: Vec::new(),
+            exclusions: Vec::new(),
+            notices: Vec::new(),
         };
-        r.begin();
+        fixture.start();
         // What hosts that come up may have had out before is over.
-        r.wait(s(10));
-        r
+        fixture.wait(s(10));
+        fixture
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         let node = |n: u32| {
             let name = format!("box{n}.example.org").as_str().into();
             let zone = if n < 3 { "room-a" } else { "room-b" }.into();
@@ -63,28 +65,36 @@
             }
         };
         self.step((1..5).map(node).collect());
-        let sure = |host| Event::Acknowledged {
+        let acknowledged = |host| Event::Acknowledged {
             host,
             version: Some(Version(self.version)),
         };
-        let up = |host| Event::Up { host, process: 1 };
-        self.step(vec![sure(H1), sure(H2), up(H1), up(H2)]);
+        let connected = |host| Event::HostConnected {
+            host,
+            incarnation: 1,
+        };
+        self.step(vec![
+            acknowledged(H1),
+            acknowledged(H2),
+            connected(H1),
+            connected(H2),
+        ]);
         for n in 1..5 {
-            self.sees(H1, n, |_| ());
-            self.sees(H2, n, |_| ());
+            self.report(H1, n, |_| ());
+            self.report(H2, n, |_| ());
         }
     }
 
     fn step(&mut self, events: Vec<Event>) {
         let mut events = events;
         loop {
-            let actions = self
-                .m
-                .step(self.now, self.now + self.wall, std::mem::take(&mut events));
+            let actions =
+                self.membership
+                    .step(self.now, self.now + self.wall, std::mem::take(&mut events));
             for a in actions {
                 match a {
                     Action::Propose {
-                        ask,
+                        proposal,
                         node,
                         to,
                         base_version,
@@ -94,20 +104,20 @@
                             base_version.0, self.version,
                             "it has looked at the newest that is kept"
                         );
-                        if let Some(reason) = self.refuses {
+                        if let Some(reason) = self.rejects_with {
                             events.push(Event::Rejected {
-                                ask,
+                                proposal,
                                 reason: reason.into(),
                             });
                             continue;
                         }
-                        self.landed
+                        self.committed
                             .push((node, to.as_ref().map(|d| d.stage), reason));
-                        events.extend(self.lands(node, to));
-                        events.push(Event::Committed { ask });
+                        events.extend(self.commit(node, to));
+                        events.push(Event::Committed { proposal });
                     }
-                    Action::Unfit { node, how } => self.unfit.push((node, how)),
-                    Action::Note { node, text } => self.notes.push((node, text)),
+                    Action::SetExclusion { node, reason } => self.exclusions.push((node, reason)),
+                    Action::Notify { node, text } => self.notices.push((node, text)),
                 }
             }
             if events.is_empty() {
@@ -116,7 +126,7 @@
         }
     }
 
-    fn lands(&mut self, node: u32, to: Option<Drain>) -> Vec<Event> {
+    fn commit(&mut self, node: u32, to: Option<Drain>) -> Vec<Event> {
         self.version += 1;
         let (version, since) = (Version(self.version), self.now + self.wall);
         let to = to.map(|d| Drain { since, ..d });
@@ -136,25 +146,29 @@
             asked,
             since: asked,
         };
-        let events = self.lands(node, stage.map(drain));
+        let events = self.commit(node, stage.map(drain));
         self.step(events);
     }
 
-    /// A host's sight of a node that is ready and long up, but for what is said.
-    fn sees(&mut self, host: HostNumber, node: u32, but: impl Fn(&mut Sight)) {
-        let follows = Version(self.version);
-        let mut sight = Sight {
-            word: ListedState::Ready,
-            start: 1,
+    /// A host's observation of a node that is ready and long up, but for what is said.
+    fn report(&mut self, host: HostNumber, node: u32, but: impl Fn(&mut NodeObservation)) {
+        let catalog_version = Version(self.version);
+        let mut observation = NodeObservation {
+            listed: ListedState::Ready,
+            incarnation: 1,
             revision: 1,
-            follows,
-            ..Sight::default()
+            catalog_version,
+            ..NodeObservation::default()
         };
-        but(&mut sight);
-        self.step(vec![Event::Seen { host, node, sight }]);
+        but(&mut observation);
+        self.step(vec![Event::Observed {
+            host,
+            node,
+            observation,
+        }]);
     }
 
-    fn sure(&mut self, host: HostNumber) {
+    fn acknowledge(&mut self, host: HostNumber) {
         self.step(vec![Event::Acknowledged {
             host,
             version: Some(Version(self.version)),
@@ -163,7 +177,7 @@
 
     fn wait(&mut self, span: Duration) {
         let end = self.now + span;
-        while let Some(at) = self.m.wake_at().filter(|at| *at <= end) {
+        while let Some(at) = self.membership.wake_at().filter(|at| *at <= end) {
             assert!(at > self.now, "it sleeps");
             self.now = at;
             self.step(vec![]);
@@ -172,24 +186,50 @@
         self.step(vec![]);
     }
 
-    fn shown(&self, node: u32) -> (NodeStatus, Option<Phase>) {
-        let shown = self.m.show_one(node, 0.0).expect("known");
-        (shown.node_status, shown.drain.map(|d| d.phase))
+    fn status_and_phase(&self, node: u32) -> (NodeStatus, Option<Phase>) {
+        let view = self.membership.node(node, 0.0).expect("known");
+        (view.status, view.drain.map(|drain| drain.phase))
     }
 
     fn phase(&self, node: u32) -> Phase {
-        self.shown(node).1.expect("it is drained")
+        self.status_and_phase(node).1.expect("it is drained")
+    }
+}
+
+fn waiting(reason: &str) -> Phase {
+    Phase::Waiting {
+        reason: reason.into(),
+    }
+}
+
+fn notifying(hosts: &[(HostNumber, bool)]) -> Phase {
+    Phase::Notifying {
+        hosts: hosts.to_vec(),
+    }
+}
+
+fn quiescing(attempts: u32, peak_attempts: u32, unresolved_seconds: u64) -> Phase {
+    Phase::Quiescing {
+        attempts,
+        peak_attempts,
+        unresolved_for: s(unresolved_seconds),
+    }
+}
+
+fn drained(objections: &[&str]) -> Phase {
+    Phase::Drained {
+        objections: objections.iter().map(|text| text.to_string()).collect(),
     }
 }
 
 /// Who is believed where they disagree.
 #[test]
-fn the_table_of_lives() {
+fn the_order_of_precedence() {
     use Answers::{Bad, Good};
     use ListedState::{Draining as D, Gone as G, Never, Ready as R};
     use Stage::*;
     let cases = [
-        // wish, list, answers, cold, anew -> what it is, and who says so
+        // drain, list, answers, warming, restarted -> its status, and who says so
         (
             None,
             Never,
@@ -197,7 +237,7 @@
             false,
             false,
             NodeStatus::Unknown,
-            Wins::List,
+            Authority::EndpointList,
         ),
         (
             None,
@@ -206,7 +246,7 @@
             false,
             false,
             NodeStatus::Ready,
-            Wins::List,
+            Authority::EndpointList,
         ),
         (
             None,
@@ -215,9 +255,17 @@
             false,
             false,
             NodeStatus::Ready,
-            Wins::Answers,
+            Authority::Answers,
+        ),
+        (
+            None,
+            R,
+            Good,
+            true,
+            false,
+            NodeStatus::Warming,
+            Authority::EndpointList,
         ),
-        (None, R, Good, true, false, NodeStatus::Warming, Wins::List),
         (
             None,
             R,
@@ -225,7 +273,7 @@
             true,
             false,
             NodeStatus::Suspect,
-            Wins::Answers,
+            Authority::Answers,
         ),
         (
             None,
@@ -234,9 +282,17 @@
             false,
             false,
             NodeStatus::Draining,
-            Wins::List,
+            Authority::EndpointList,
+        ),
+        (
+            None,
+            G,
+            Good,
+            false,
+            false,
+            NodeStatus::Removed,
+            Authority::EndpointList,
         ),
-        (None, G, Good, false, false, NodeStatus::Out, Wins::List),
         (
             Some(Queued),
             R,
@@ -244,7 +300,7 @@
             false,
             false,
             NodeStatus::Ready,
-            Wins::Answers,
+            Authority::Answers,
         ),
         (
             Some(Queued),
@@ -252,8 +308,8 @@
             Good,
             false,
             false,
-            NodeStatus::Out,
-            Wins::List,
+            NodeStatus::Removed,
+            Authority::EndpointList,
         ),
         (
             Some(Draining),
@@ -262,7 +318,7 @@
             true,
             true,
             NodeStatus::Draining,
-            Wins::Operators,
+            Authority::Operators,
         ),
         (
             Some(Draining),
@@ -271,7 +327,7 @@
             false,
             false,
             NodeStatus::Draining,
-            Wins::Operators,
+            Authority::Operators,
         ),
         (
             Some(Drained),
@@ -279,8 +335,8 @@
             Bad,
             false,
             false,
-            NodeStatus::Empty,
-            Wins::Operators,
+            NodeStatus::Drained,
+            Authority::Operators,
         ),
         (
             Some(Removed),
@@ -288,8 +344,8 @@
             Answers::None,
             false,
             false,
-            NodeStatus::Out,
-            Wins::Operators,
+            NodeStatus::Removed,
+            Authority::Operators,
         ),
         (
             Some(Removed),
@@ -297,8 +353,8 @@
             Answers::None,
             false,
             false,
-            NodeStatus::Out,
-            Wins::Operators,
+            NodeStatus::Removed,
+            Authority::Operators,
         ),
         (
             Some(Removed),
@@ -306,8 +362,8 @@
             Answers::None,
             true,
             true,
-            NodeStatus::Back,
-            Wins::List,
+            NodeStatus::Returned,
+            Authority::EndpointList,
         ),
         (
             Some(Removed),
@@ -315,70 +371,46 @@
             Answers::None,
             true,
             true,
-            NodeStatus::Out,
-            Wins::Operators,
+            NodeStatus::Removed,
+            Authority::Operators,
         ),
     ];
-    for (wish, word, answers, cold, anew, is, wins) in cases {
-        let said = Said {
-            wish,
-            word,
+    for (drain, listed, answers, warming, restarted, status, authority) in cases {
+        let evidence = Evidence {
+            drain,
+            listed,
             answers,
-            cold,
-            anew,
+            warming,
+            restarted,
         };
-        assert_eq!(node_status(&said), (is, wins), "{said:?}");
+        assert_eq!(node_status(&evidence), (status, authority), "{evidence:?}");
     }
 }
 
 #[test]
-fn a_drain_from_the_asking_to_the_taking_out() {
-    let mut r = Rig::new();
+fn a_drain_from_the_request_to_the_removal() {
+    let mut fixture = Fixture::new();
     for h in [H1, H2] {
-        r.sees(h, 1, |s| s.attempts = 3);
+        fixture.report(h, 1, |s| s.attempts = 3);
     }
-    r.drain(1, Some(Stage::Draining), s(0));
-    assert_eq!(
-        r.phase(1),
-        Phase::Telling {
-            hosts: vec![(H1, true), (H2, true)]
-        }
-    );
-    r.sure(H1);
-    r.sees(H1, 1, |s| s.attempts = 2);
-    assert_eq!(
-        r.phase(1),
-        Phase::Telling {
-            hosts: vec![(H2, true)]
-        }
-    );
-    r.sure(H2);
+    fixture.drain(1, Some(Stage::Draining), s(0));
+    assert_eq!(fixture.phase(1), notifying(&[(H1, true), (H2, true)]));
+    fixture.acknowledge(H1);
+    fixture.report(H1, 1, |s| s.attempts = 2);
+    assert_eq!(fixture.phase(1), notifying(&[(H2, true)]));
+    fixture.acknowledge(H2);
     // What it counted before it followed says nothing.
-    assert_eq!(
-        r.phase(1),
-        Phase::Quiescing {
-            attempts: 5,
-            most: 5,
-            unsure: s(0)
-        }
-    );
-    r.sees(H2, 1, |s| {
-        (s.attempts, s.unsure) = (0, Duration::from_secs(2))
+    assert_eq!(fixture.phase(1), quiescing(5, 5, 0));
+    fixture.report(H2, 1, |s| {
+        (s.attempts, s.unresolved_for) = (0, Duration::from_secs(2))
     });
-    r.sees(H1, 1, |s| s.attempts = 0);
-    assert_eq!(
-        r.phase(1),
-        Phase::Quiescing {
-            attempts: 0,
-            most: 5,
-            unsure: s(2)
-        }
-    );
-    r.wait(s(1));
-    assert_eq!(r.landed, []);
-    r.wait(s(1));
+    fixture.report(H1, 1, |s| s.attempts = 0);
+    assert_eq!(fixture.phase(1), quiescing(0, 5, 2));
+    fixture.wait(s(1));
+    assert_eq!(fixture.committed, []);
+    fixture.wait(s(1));
     assert_eq!(
-        r.landed,
+        fixture.committed,
         [(
             1,
             Some(Stage::Drained),
@@ -387,148 +419,140 @@
     );
     let unknown = "whether data lies there alone is not known here".to_string();
     assert_eq!(
-        r.shown(1),
+        fixture.status_and_phase(1),
         (
-            NodeStatus::Empty,
-            Some(Phase::Empty {
+            NodeStatus::Drained,
+            Some(Phase::Drained {
                 objections: vec![unknown]
             })
         )
     );
-    r.sees(H1, 1, |s| s.extents = Some(7));
+    fixture.report(H1, 1, |s| s.extents = Some(7));
     assert_eq!(
-        r.phase(1),
-        Phase::Empty {
-            objections: vec!["7 extents lie there and nowhere else".into()]
-        }
+        fixture.phase(1),
+        drained(&["7 extents lie there and nowhere else"])
     );
-    r.sees(H1, 1, |s| s.extents = Some(0));
-    assert_eq!(r.phase(1), Phase::Empty { objections: vec![] });
+    fixture.report(H1, 1, |s| s.extents = Some(0));
+    assert_eq!(fixture.phase(1), drained(&[]));
     // Its process ends, and the list says so.
-    r.sees(H1, 1, |s| (s.word, s.revision) = (ListedState::Gone, 2));
-    assert_eq!(r.shown(1), (NodeStatus::Out, Some(Phase::Out)));
+    fixture.report(H1, 1, |s| (s.listed, s.revision) = (ListedState::Gone, 2));
+    assert_eq!(
+        fixture.status_and_phase(1),
+        (NodeStatus::Removed, Some(Phase::Removed))
+    );
     // The other host's list is late, and then the box is put back: nobody sends it anything before it is
     // returned.
-    r.sees(H2, 1, |_| ());
-    assert_eq!(r.shown(1).0, NodeStatus::Out);
-    r.wait(s(60));
-    r.sees(H1, 1, |s| {
-        (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(4)), 3)
+    fixture.report(H2, 1, |_| ());
+    assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Removed);
+    fixture.wait(s(60));
+    fixture.report(H1, 1, |s| {
+        (s.incarnation, s.age, s.revision) = (2, Some(Duration::from_secs(4)), 3)
     });
-    assert_eq!((r.shown(1).0, r.m.holds(1)), (NodeStatus::Back, true));
-    r.drain(1, None, s(0));
     assert_eq!(
-        (r.shown(1), r.m.holds(1)),
+        (
+            fixture.status_and_phase(1).0,
+            fixture.membership.blocks_new_requests(1)
+        ),
+        (NodeStatus::Returned, true)
+    );
+    fixture.drain(1, None, s(0));
+    assert_eq!(
+        (
+            fixture.status_and_phase(1),
+            fixture.membership.blocks_new_requests(1)
+        ),
         ((NodeStatus::Warming, None), false)
     );
-    r.wait(s(16));
-    assert_eq!(r.shown(1).0, NodeStatus::Ready);
-    assert_eq!(r.unfit, [(1, Some(ExclusionReason::Cold)), (1, None)]);
+    fixture.wait(s(16));
+    assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Ready);
+    assert_eq!(
+        fixture.exclusions,
+        [(1, Some(ExclusionReason::Cold)), (1, None)]
+    );
 }
 
 /// A node restarts under its number while it drains: the wish is for the box.
 #[test]
 fn a_node_that_comes_back_while_it_drains_goes_on_draining() {
-    let mut r = Rig::new();
-    r.drain(1, Some(Stage::Draining), s(0));
-    r.sees(H1, 1, |s| {
-        (s.word, s.attempts, s.revision) = (ListedState::Gone, 1, 2)
+    let mut fixture = Fixture::new();
+    fixture.drain(1, Some(Stage::Draining), s(0));
+    fixture.report(H1, 1, |s| {
+        (s.listed, s.attempts, s.revision) = (ListedState::Gone, 1, 2)
     });
-    assert_eq!(r.shown(1).0, NodeStatus::Draining);
-    r.sees(H1, 1, |s| {
-        (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(0)), 3)
+    assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Draining);
+    fixture.report(H1, 1, |s| {
+        (s.incarnation, s.age, s.revision) = (2, Some(Duration::from_secs(0)), 3)
     });
-    assert_eq!(r.shown(1).0, NodeStatus::Draining);
-    r.sure(H1);
-    r.sure(H2);
-    r.sees(H2, 1, |_| ());
-    assert_eq!(r.shown(1).0, NodeStatus::Empty);
+    assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Draining);
+    fixture.acknowledge(H1);
+    fixture.acknowledge(H2);
+    fixture.report(H2, 1, |_| ());
+    assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Drained);
     // It is empty and runs: it was not taken out.
-    r.wait(s(60));
-    assert_eq!(r.landed.len(), 1);
+    fixture.wait(s(60));
+    assert_eq!(fixture.committed.len(), 1);
 }
 
 #[test]
 fn one_of_a_zone_after_the_other_in_the_order_asked() {
-    let mut r = Rig::new();
-    r.drain(2, Some(Stage::Draining), s(0));
-    r.wait(s(1));
-    r.drain(1, Some(Stage::Queued), s(0));
-    assert_eq!(
-        r.phase(1),
-        Phase::Waits {
-            reason: "node 2 drains".into()
-        }
-    );
+    let mut fixture = Fixture::new();
+    fixture.drain(2, Some(Stage::Draining), s(0));
+    fixture.wait(s(1));
+    fixture.drain(1, Some(Stage::Queued), s(0));
+    assert_eq!(fixture.phase(1), waiting("node 2 drains"));
     assert_eq!(
-        r.shown(1).0,
+        fixture.status_and_phase(1).0,
         NodeStatus::Ready,
         "it serves until its turn comes"
     );
     // Of another zone: at once, as far as is known here, and admission has the last word.
-    r.refuses = Some("9.0 units a second of reserves lie out of reach");
-    r.drain(3, Some(Stage::Queued), s(0));
+    fixture.rejects_with = Some("9.0 units a second of reserves lie out of reach");
+    fixture.drain(3, Some(Stage::Queued), s(0));
     assert_eq!(
-        r.phase(3),
-        Phase::Waits {
-            reason: "9.0 units a second of reserves lie out of reach".into()
-        }
+        fixture.phase(3),
+        waiting("9.0 units a second of reserves lie out of reach")
     );
-    r.refuses = None;
-    r.wait(s(6));
+    fixture.rejects_with = None;
+    fixture.wait(s(6));
     assert_eq!(
-        r.landed,
+        fixture.committed,
         [(3, Some(Stage::Draining), "its turn has come".into())]
     );
-    r.wait(s(1));
-    r.drain(4, Some(Stage::Queued), s(0));
-    assert_eq!(
-        r.phase(4),
-        Phase::Waits {
-            reason: "node 3 drains".into()
-        }
-    );
-    r.landed.clear();
+    fixture.wait(s(1));
+    fixture.drain(4, Some(Stage::Queued), s(0));
+    assert_eq!(fixture.phase(4), waiting("node 3 drains"));
+    fixture.committed.clear();
     // A node that is suspect in the zone keeps it waiting when the drain before it is over.
-    r.sees(H1, 3, |s| s.answers = Answers::Bad);
-    r.drain(3, None, s(0));
+    fixture.report(H1, 3, |s| s.answers = Answers::Bad);
+    fixture.drain(3, None, s(0));
     assert_eq!(
-        (r.phase(4), r.landed.len()),
-        (
-            Phase::Waits {
-                reason: "node 3 does not answer as it should".into()
-            },
-            0
-        )
+        (fixture.phase(4), fixture.committed.len()),
+        (waiting("node 3 does not answer as it should"), 0)
     );
-    r.sees(H1, 3, |s| s.answers = Answers::Good);
+    fixture.report(H1, 3, |s| s.answers = Answers::Good);
     assert_eq!(
-        r.landed,
+        fixture.committed,
         [(4, Some(Stage::Draining), "its turn has come".into())]
     );
     // Two wait in one zone: who asked first goes first, and the other says on whom it waits.
-    let mut r = Rig::new();
-    r.sees(H1, 2, |s| {
-        (s.start, s.age, s.revision) = (2, Some(Duration::from_secs(18)), 2)
+    let mut fixture = Fixture::new();
+    fixture.report(H1, 2, |s| {
+        (s.incarnation, s.age, s.revision) = (2, Some(Duration::from_secs(18)), 2)
     });
-    r.drain(1, Some(Stage::Queued), s(0));
-    r.wait(s(1));
-    r.drain(2, Some(Stage::Queued), s(0));
+    fixture.drain(1, Some(Stage::Queued), s(0));
+    fixture.wait(s(1));
+    fixture.drain(2, Some(Stage::Queued), s(0));
     assert_eq!(
-        r.phase(1),
-        Phase::Waits {
-            reason: "node 2 has just started and is cold".into()
-        }
+        fixture.phase(1),
+        waiting("node 2 has just started and is cold")
     );
     assert_eq!(
-        r.phase(2),
-        Phase::Waits {
-            reason: "node 1 of its zone asked before it".into()
-        }
+        fixture.phase(2),
+        waiting("node 1 of its zone asked before it")
     );
-    r.wait(s(2));
+    fixture.wait(s(2));
     assert_eq!(
-        r.landed,
+        fixture.committed,
         [(1, Some(Stage::Draining), "its turn has come".into())]
     );
 }
@@ -536,125 +560,112 @@
 /// A host that is cut off holds a drain up, since it may send on what it knew, until somebody answers for it.
 #[test]
 fn a_host_that_is_not_heard_of() {
-    let mut r = Rig::new();
-    r.sees(H2, 1, |s| s.attempts = 4);
-    r.step(vec![Event::Lost { host: H2 }]);
-    r.drain(1, Some(Stage::Draining), s(0));
-    r.sure(H1);
-    r.sees(H1, 1, |_| ());
-    r.wait(s(100));
-    assert_eq!(
-        r.phase(1),
-        Phase::Telling {
-            hosts: vec![(H2, false)]
-        }
-    );
-    r.step(vec![Event::HostRemoved { host: H2 }]);
-    assert_eq!(r.shown(1).0, NodeStatus::Empty);
+    let mut fixture = Fixture::new();
+    fixture.report(H2, 1, |s| s.attempts = 4);
+    fixture.step(vec![Event::HostDisconnected { host: H2 }]);
+    fixture.drain(1, Some(Stage::Draining), s(0));
+    fixture.acknowledge(H1);
+    fixture.report(H1, 1, |_| ());
+    fixture.wait(s(100));
+    assert_eq!(fixture.phase(1), notifying(&[(H2, false)]));
+    fixture.step(vec![Event::HostRemoved { host: H2 }]);
+    assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Drained);
     // Lost just now, its attempts are given their time.
-    let mut r = Rig::new();
-    r.drain(1, Some(Stage::Draining), s(0));
+    let mut fixture = Fixture::new();
+    fixture.drain(1, Some(Stage::Draining), s(0));
     for h in [H1, H2] {
-        r.sure(h);
-        r.sees(h, 1, |s| s.attempts = u32::from(h == H2));
+        fixture.acknowledge(h);
+        fixture.report(h, 1, |s| s.attempts = u32::from(h == H2));
     }
-    r.step(vec![Event::Lost { host: H2 }]);
-    assert_eq!(
-        r.phase(1),
-        Phase::Quiescing {
-            attempts: 0,
-            most: 1,
-            unsure: s(6)
-        }
-    );
-    r.wait(s(5));
+    fixture.step(vec![Event::HostDisconnected { host: H2 }]);
+    assert_eq!(fixture.phase(1), quiescing(0, 1, 6));
+    fixture.wait(s(5));
     // Found by the explorer: cut off, it went on sending, and died only just before its next process came.
-    r.step(vec![Event::Up {
+    fixture.step(vec![Event::HostConnected {
         host: H2,
-        process: 2,
+        incarnation: 2,
     }]);
-    r.sees(H2, 1, |_| ());
-    r.wait(s(5));
-    assert_eq!(r.shown(1).0, NodeStatus::Draining);
-    r.wait(s(1));
-    assert_eq!(r.shown(1).0, NodeStatus::Empty);
+    fixture.report(H2, 1, |_| ());
+    fixture.wait(s(5));
+    assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Draining);
+    fixture.wait(s(1));
+    assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Drained);
     // The same process counts what it has out by itself.
-    let mut r = Rig::new();
-    r.step(vec![Event::Lost { host: H2 }]);
-    r.wait(s(7));
-    r.step(vec![Event::Up {
+    let mut fixture = Fixture::new();
+    fixture.step(vec![Event::HostDisconnected { host: H2 }]);
+    fixture.wait(s(7));
+    fixture.step(vec![Event::HostConnected {
         host: H2,
-        process: 1,
+        incarnation: 1,
     }]);
-    r.drain(1, Some(Stage::Draining), s(0));
+    fixture.drain(1, Some(Stage::Draining), s(0));
     for h in [H1, H2] {
-        r.sure(h);
-        r.sees(h, 1, |_| ());
+        fixture.acknowledge(h);
+        fixture.report(h, 1, |_| ());
     }
-    assert_eq!(r.shown(1).0, NodeStatus::Empty);
+    assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Drained);
     // One that was never heard of has followed nothing, and is not waited for.
-    let mut r = Rig::new();
-    r.step(vec![Event::Acknowledged {
+    let mut fixture = Fixture::new();
+    fixture.step(vec![Event::Acknowledged {
         host: H2,
         version: None,
     }]);
-    r.drain(1, Some(Stage::Draining), s(0));
-    r.sure(H1);
-    r.sees(H1, 1, |_| ());
-    assert_eq!(r.shown(1).0, NodeStatus::Empty);
+    fixture.drain(1, Some(Stage::Draining), s(0));
+    fixture.acknowledge(H1);
+    fixture.report(H1, 1, |_| ());
+    assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Drained);
 }
 
 /// Found by the explorer: what an earlier process of a host counted was taken for what the next one had out,
 /// which had started without the drain, sent, and then followed it.
 #[test]
 fn what_an_earlier_process_counted_says_nothing_of_the_next() {
-    let mut r = Rig::new();
-    r.drain(1, Some(Stage::Draining), s(0));
-    r.sure(H2);
-    r.sees(H2, 1, |_| ());
+    let mut fixture = Fixture::new();
+    fixture.drain(1, Some(Stage::Draining), s(0));
+    fixture.acknowledge(H2);
+    fixture.report(H2, 1, |_| ());
     // It follows, has nothing out, and dies before that is kept.
-    r.sees(H1, 1, |_| ());
-    r.step(vec![
-        Event::Lost { host: H1 },
-        Event::Up {
+    fixture.report(H1, 1, |_| ());
+    fixture.step(vec![
+        Event::HostDisconnected { host: H1 },
+        Event::HostConnected {
             host: H1,
-            process: 2,
+            incarnation: 2,
         },
     ]);
-    r.wait(s(10));
-    r.sure(H1);
+    fixture.wait(s(10));
+    fixture.acknowledge(H1);
     assert!(
-        matches!(r.phase(1), Phase::Quiescing { .. }),
+        matches!(fixture.phase(1), Phase::Quiescing { .. }),
         "its successor has not counted yet"
     );
-    r.sees(H1, 1, |s| s.attempts = 1);
-    assert_eq!(
-        r.phase(1),
-        Phase::Quiescing {
-            attempts: 1,
-            most: 1,
-            unsure: s(0)
-        }
-    );
+    fixture.report(H1, 1, |s| s.attempts = 1);
+    assert_eq!(fixture.phase(1), quiescing(1, 1, 0));
 }
 
 #[test]
 fn a_drain_that_never_comes_to_an_end_is_given_up() {
-    let mut r = Rig::new();
-    r.drain(1, Some(Stage::Draining), s(30));
-    r.sure(H1);
-    r.sure(H2);
-    r.sees(H2, 1, |_| ());
-    r.sees(H1, 1, |s| s.attempts = 1);
-    r.wait(s(29));
-    assert_eq!((r.landed.len(), r.shown(1).0), (0, NodeStatus::Draining));
-    r.wait(s(1));
+    let mut fixture = Fixture::new();
+    fixture.drain(1, Some(Stage::Draining), s(30));
+    fixture.acknowledge(H1);
+    fixture.acknowledge(H2);
+    fixture.report(H2, 1, |_| ());
+    fixture.report(H1, 1, |s| s.attempts = 1);
+    fixture.wait(s(29));
     assert_eq!(
-        r.landed,
+        (fixture.committed.len(), fixture.status_and_phase(1).0),
+        (0, NodeStatus::Draining)
+    );
+    fixture.wait(s(1));
+    assert_eq!(
+        fixture.committed,
         [(1, None, "given up: not empty within 30 s".into())]
     );
     assert_eq!(
-        (r.shown(1), r.m.holds(1)),
+        (
+            fixture.status_and_phase(1),
+            fixture.membership.blocks_new_requests(1)
+        ),
         ((NodeStatus::Ready, None), false)
     );
 }
@@ -677,7 +688,7 @@
         }
     };
     let start = |drain| {
-        let sure = |host| Event::Acknowledged {
+        let acknowledged = |host| Event::Acknowledged {
             host,
             version: Some(Version(5)),
         };
@@ -686,34 +697,28 @@
                 version: Version(5),
             },
             drain,
-            sure(H1),
-            sure(H2),
+            acknowledged(H1),
+            acknowledged(H2),
         ]
     };
     // Asked 10 s ago; the clock stepped back by an hour, on by an hour.
     for (since, left) in [(WALL + 990, 20), (WALL + 4600, 30), (WALL - 2600, 10)] {
-        let mut r = Rig::new();
-        r.version = 5;
-        r.m = Membership::new(r.now, s(20), s(3), [H1, H2]);
-        r.step(start(drain(Stage::Draining, since)));
-        r.begin();
-        let shown =
-            r.m.show_one(1, 0.0)
-                .and_then(|n| n.drain)
-                .and_then(|d| d.left);
-        assert_eq!(shown, Some(s(left)));
+        let mut fixture = Fixture::new();
+        fixture.version = 5;
+        fixture.membership = Membership::new(fixture.now, s(20), s(3), [H1, H2]);
+        fixture.step(start(drain(Stage::Draining, since)));
+        fixture.start();
+        let time_left = fixture
+            .membership
+            .node(1, 0.0)
+            .and_then(|n| n.drain)
+            .and_then(|d| d.time_left);
+        assert_eq!(time_left, Some(s(left)));
         // What hosts had out before it was there is given its time, though they count nothing.
+        assert_eq!(fixture.phase(1), quiescing(0, 0, 6));
+        fixture.wait(s(6));
         assert_eq!(
-            r.phase(1),
-            Phase::Quiescing {
-                attempts: 0,
-                most: 0,
-                unsure: s(6)
-            }
-        );
-        r.wait(s(6));
-        assert_eq!(
-            r.landed,
+            fixture.committed,
             [(
                 1,
                 Some(Stage::Drained),
@@ -723,61 +728,56 @@
     }
     for (stage, is) in [
         (Stage::Queued, NodeStatus::Draining),
-        (Stage::Drained, NodeStatus::Empty),
-        (Stage::Removed, NodeStatus::Out),
+        (Stage::Drained, NodeStatus::Drained),
+        (Stage::Removed, NodeStatus::Removed),
     ] {
-        let mut r = Rig::new();
-        r.version = 5;
-        r.m = Membership::new(r.now, s(20), s(3), [H1, H2]);
-        r.step(start(drain(stage, WALL + 999)));
-        r.begin();
-        r.wait(s(1));
-        assert_eq!(r.shown(1).0, is, "{stage:?}");
+        let mut fixture = Fixture::new();
+        fixture.version = 5;
+        fixture.membership = Membership::new(fixture.now, s(20), s(3), [H1, H2]);
+        fixture.step(start(drain(stage, WALL + 999)));
+        fixture.start();
+        fixture.wait(s(1));
+        assert_eq!(fixture.status_and_phase(1).0, is, "{stage:?}");
     }
 }
 
-/// What was asked of the catalog when something else landed first counts for nothing, and is asked anew.
+/// What was asked of the catalog when something else committed first counts for nothing, and is asked anew.
 #[test]
 fn an_answer_that_comes_too_late_is_not_mistaken() {
-    let mut r = Rig::new();
-    r.drain(1, Some(Stage::Draining), s(0));
-    r.sure(H1);
-    r.sure(H2);
-    r.sees(H1, 1, |_| ());
-    let follows = Version(r.version);
-    let sight = Sight {
-        word: ListedState::Ready,
-        start: 1,
+    let mut fixture = Fixture::new();
+    fixture.drain(1, Some(Stage::Draining), s(0));
+    fixture.acknowledge(H1);
+    fixture.acknowledge(H2);
+    fixture.report(H1, 1, |_| ());
+    let catalog_version = Version(fixture.version);
+    let observation = NodeObservation {
+        listed: ListedState::Ready,
+        incarnation: 1,
         revision: 1,
-        follows,
-        ..Sight::default()
+        catalog_version,
+        ..NodeObservation::default()
     };
-    let asked = r.m.step(
-        r.now,
-        r.now + r.wall,
-        vec![Event::Seen {
+    let actions = fixture.membership.step(
+        fixture.now,
+        fixture.now + fixture.wall,
+        vec![Event::Observed {
             host: H2,
             node: 1,
-            sight,
+            observation,
         }],
     );
-    let Some(Action::Propose { ask, .. }) = asked
+    let Some(Action::Propose { proposal, .. }) = actions
         .into_iter()
         .find(|a| matches!(a, Action::Propose { .. }))
     else {
         panic!("it is empty");
     };
     // Meanwhile the operator has called it off, and drains it again.
-    r.drain(1, None, s(0));
-    r.drain(1, Some(Stage::Draining), s(0));
-    r.step(vec![Event::Rejected {
-        ask,
+    fixture.drain(1, None, s(0));
+    fixture.drain(1, Some(Stage::Draining), s(0));
+    fixture.step(vec![Event::Rejected {
+        proposal,
         reason: "changed meanwhile".into(),
     }]);
-    assert_eq!(
-        r.phase(1),
-        Phase::Telling {
-            hosts: vec![(H1, true), (H2, true)]
-        }
-    );
+    assert_eq!(fixture.phase(1), notifying(&[(H1, true), (H2, true)]));
 }
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -1,5 +1,5 @@
 //! All that can happen to drains of two nodes of one zone, explored: two operators, one of whom may have
-//! looked at an older state, hosts that follow, keep and say so in steps of their own, sights that come late,
+//! looked at an older state, hosts that follow, keep and say so in steps of their own, observations that come late,
 //! a list that lags, attempts that end in time or without a word, hosts and a state service that die and start
 //! anew, ways that are cut, nodes that restart. In every state the invariants of [`World::check`] hold, and
 //! from a sample of them, once nothing goes wrong any more, every drain that goes comes to be empty. Worlds
@@ -7,8 +7,10 @@
 //!
 //! Attempts go to the first node alone: nodes meet only in what their drains may coincide with.
 
-use grebecleat_membership::drains::{Action, Event, Membership, NodeFacts, Sight};
-use grebecleat_membership::node_status::{Answers, ListedState, NodeStatus};
+use grebecleat_membership::answers::Answers;
+use grebecleat_membership::drains::{Action, Event, Membership, NodeFacts, NodeObservation};
+use grebecleat_membership::list_reading::ListedState;
+use grebecleat_membership::node_status::NodeStatus;
 use grebecleat_plans::admission::{excluded_in_zone, ExclusionReason};
 use grebecleat_plans::feed::HostNumber;
 use grebecleat_plans::records::{Drain, Stage, Version};
@@ -34,11 +36,11 @@
     /// A host counts its attempts and then says that it followed what came after.
     CountsThenFollows,
     /// Attempts that ended without a word are taken for over.
-    ForgetsTheUnsure,
+    ForgetsTheUnresolved,
     /// The service does not tell that the way to a host is lost.
     LossUntold,
     /// A service that starts anew takes it that nothing is out.
-    StartsInTheDark,
+    StartsWithoutWaiting,
     /// Admission does not look at what a drain coincides with.
     NoAdmission,
     /// A host that follows a drain sends all the same.
@@ -47,14 +49,14 @@
 
 type Drains = [Option<Stage>; NODES];
 
-fn holds(stage: Option<Stage>) -> bool {
+fn blocks_new_requests(stage: Option<Stage>) -> bool {
     stage.is_some_and(|s| s != Stage::Queued)
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Host {
     alive: bool,
-    process: u64,
+    incarnation: u64,
     /// What this host and the service think of the way between them.
     linked: bool,
     heard: bool,
@@ -62,11 +64,11 @@
     kept: (u64, Drains),
     /// Said, and on its way.
     said: Option<u64>,
-    /// Its last sight on this way, and whether that has come.
-    sights: Option<([Sight; NODES], bool)>,
+    /// Its last observation on this way, and whether that has come.
+    observations: Option<([NodeObservation; NODES], bool)>,
     /// When the attempt out was sent, and until when an earlier one may run.
     attempt: Option<u64>,
-    unsure: u64,
+    unresolved: u64,
     /// What its list last said of the first node.
     list: (ListedState, u64),
 }
@@ -87,14 +89,14 @@
     drains: Drains,
     touched: [(u64, u8); NODES],
     unfit: [Option<ExclusionReason>; NODES],
-    members: Membership,
+    membership: Membership,
     applied: Vec<Option<u64>>,
     hosts: Vec<Host>,
     node: Node,
     /// What the second operator has looked at.
     looked: u64,
     acts: u8,
-    mishaps: u8,
+    failures: u8,
     /// Attempts that were sent.
     sent: u8,
 }
@@ -104,15 +106,47 @@
     hosts: usize,
     last_tick: u64,
     acts: u8,
-    mishaps: u8,
+    failures: u8,
     attempts: u8,
     /// Whether the node restarts as well.
     restarts: bool,
 }
 
+/// The states that can follow one.
+struct Successors<'a> {
+    from: &'a World,
+    worlds: Vec<World>,
+}
+
+impl<'a> Successors<'a> {
+    fn of(from: &'a World) -> Self {
+        Successors {
+            from,
+            worlds: Vec::new(),
+        }
+    }
+
+    fn add(&mut self, change: impl FnOnce(&mut World)) {
+        let mut world = self.from.clone();
+        change(&mut world);
+        self.worlds.push(world);
+    }
+}
+
+/// A host's observations, as they arrive.
+fn observed(host: usize, observations: &[NodeObservation; NODES]) -> Vec<Event> {
+    let numbered = observations.iter().enumerate();
+    let event = |(node, observation): (usize, &NodeObservation)| Event::Observed {
+        host: HostNumber(host as u32),
+        node: node as u32,
+        observation: *observation,
+    };
+    numbered.map(event).collect()
+}
+
 const MACHINE: u8 = 9;
 
-/// What operators ask for: who, of which node, and what.
+/// What operators proposal for: who, of which node, and what.
 const ACTS: [(u8, usize, Option<Stage>); 5] = [
     (0, 0, Some(Stage::Draining)),
     (0, 0, None),
@@ -139,7 +173,7 @@
             drains: [None; NODES],
             touched: [(0, 0); NODES],
             unfit: [None; NODES],
-            members: Membership::new(ticks(0), ticks(WARM), ticks(LONGEST), []),
+            membership: Membership::new(ticks(0), ticks(WARM), ticks(LONGEST), []),
             applied: vec![Some(1); self.hosts],
             hosts: vec![host; self.hosts],
             node: Node {
@@ -149,23 +183,23 @@
             },
             looked: 1,
             acts: 0,
-            mishaps: 0,
+            failures: 0,
             sent: 0,
         };
         self.start_service(&mut w, ticks(0));
         let up = (0..self.hosts as u32)
-            .map(|h| Event::Up {
+            .map(|h| Event::HostConnected {
                 host: HostNumber(h),
-                process: 0,
+                incarnation: 0,
             })
             .collect();
-        self.tell(&mut w, up);
+        self.apply(&mut w, up);
         w
     }
 
     fn start_service(&self, w: &mut World, now: Duration) {
         let hosts = (0..self.hosts as u32).map(HostNumber);
-        w.members = Membership::new(now, ticks(WARM), ticks(LONGEST), hosts);
+        w.membership = Membership::new(now, ticks(WARM), ticks(LONGEST), hosts);
         w.unfit = [None; NODES];
         let mut events = vec![Event::Persisted {
             version: Version(w.version),
@@ -197,7 +231,7 @@
                 version: applied.map(Version),
             });
         }
-        self.tell(w, events);
+        self.apply(w, events);
     }
 
     /// The catalog: optimistic versions, drains that go one way, and admission's look at the zone.
@@ -215,9 +249,12 @@
         if w.drains[n] == to || !Stage::may_follow(w.drains[n], to) {
             return Err("nothing to change".into());
         }
-        if holds(to) && !holds(w.drains[n]) && self.fault != Fault::NoAdmission {
+        if blocks_new_requests(to)
+            && !blocks_new_requests(w.drains[n])
+            && self.fault != Fault::NoAdmission
+        {
             let drains = (0..NODES)
-                .filter(|o| holds(w.drains[*o]))
+                .filter(|o| blocks_new_requests(w.drains[*o]))
                 .map(|o| (o as u32, ExclusionReason::Drains));
             let unfit = (0..NODES).filter_map(|o| Some((o as u32, w.unfit[o]?)));
             if !excluded_in_zone(n as u32, |_| 'a', drains.chain(unfit)).is_empty() {
@@ -230,15 +267,15 @@
     }
 
     /// The decisions hear something, and what they do is done.
-    fn tell(&self, w: &mut World, mut events: Vec<Event>) {
+    fn apply(&self, w: &mut World, mut events: Vec<Event>) {
         for _ in 0..20 {
-            let actions = w
-                .members
-                .step(ticks(w.now), ticks(w.now), std::mem::take(&mut events));
+            let actions =
+                w.membership
+                    .step(ticks(w.now), ticks(w.now), std::mem::take(&mut events));
             for a in actions {
                 match a {
                     Action::Propose {
-                        ask,
+                        proposal,
                         node,
                         to,
                         base_version,
@@ -248,13 +285,13 @@
                         match self.propose(w, MACHINE, node as usize, to, base_version.0) {
                             Ok(()) => {
                                 events.extend(landed(w, node as usize));
-                                events.push(Event::Committed { ask });
+                                events.push(Event::Committed { proposal });
                             }
-                            Err(reason) => events.push(Event::Rejected { ask, reason }),
+                            Err(reason) => events.push(Event::Rejected { proposal, reason }),
                         }
                     }
-                    Action::Unfit { node, how } => w.unfit[node as usize] = how,
-                    Action::Note { .. } => {}
+                    Action::SetExclusion { node, reason } => w.unfit[node as usize] = reason,
+                    Action::Notify { .. } => {}
                 }
             }
             if events.is_empty() {
@@ -264,242 +301,269 @@
         panic!("the decisions never come to rest");
     }
 
-    fn sight(&self, w: &World, h: usize) -> [Sight; NODES] {
+    fn observation(&self, w: &World, h: usize) -> [NodeObservation; NODES] {
         let host = &w.hosts[h];
         let follows = Version(host.follows.0);
-        let (word, start) = host.list;
+        let (listed, start) = host.list;
         let started = w.node.started.filter(|_| w.node.start == start);
-        let unsure = match self.fault {
-            Fault::ForgetsTheUnsure => Duration::ZERO,
-            _ => ticks(host.unsure.saturating_sub(w.now)),
+        let unresolved = match self.fault {
+            Fault::ForgetsTheUnresolved => Duration::ZERO,
+            _ => ticks(host.unresolved.saturating_sub(w.now)),
         };
-        let first = Sight {
-            word,
-            start,
+        let first = NodeObservation {
+            listed,
+            incarnation: start,
             age: started.map(|s| ticks(w.now - s)),
-            revision: start * 2 + u64::from(word == ListedState::Gone),
+            revision: start * 2 + u64::from(listed == ListedState::Gone),
             answers: Answers::None,
-            follows,
+            catalog_version: follows,
             attempts: u32::from(host.attempt.is_some()),
-            unsure,
+            unresolved_for: unresolved,
             extents: None,
         };
         [
             first,
-            Sight {
-                word: ListedState::Ready,
-                start: 1,
+            NodeObservation {
+                listed: ListedState::Ready,
+                incarnation: 1,
                 revision: 1,
-                follows,
-                ..Sight::default()
+                catalog_version: follows,
+                ..NodeObservation::default()
             },
         ]
     }
 
     fn lose(&self, w: &mut World, h: usize) {
         if std::mem::take(&mut w.hosts[h].heard) && self.fault != Fault::LossUntold {
-            self.tell(
+            self.apply(
                 w,
-                vec![Event::Lost {
+                vec![Event::HostDisconnected {
                     host: HostNumber(h as u32),
                 }],
             );
         }
     }
 
-    /// Everything that can happen next.
-    fn next(&self, w: &World) -> Vec<World> {
-        let mut all = Vec::new();
-        let mut go = |f: &dyn Fn(&mut World)| {
-            let mut next = w.clone();
-            f(&mut next);
-            all.push(next);
+    /// Every state that can come next.
+    fn next(&self, world: &World) -> Vec<World> {
+        let mut next = Successors::of(world);
+        if world.now < BEGIN + self.last_tick {
+            next.add(|w| self.tick(w));
+        }
+        for host in 0..self.hosts {
+            self.host_sends(host, &mut next);
+            self.host_follows(host, &mut next);
+            self.host_reports(host, &mut next);
+            self.host_connects(host, &mut next);
+            self.host_fails(host, &mut next);
+        }
+        self.service_restarts(&mut next);
+        self.node_restarts(&mut next);
+        self.operators_act(&mut next);
+        next.worlds
+    }
+
+    fn host_sends(&self, h: usize, next: &mut Successors) {
+        let (world, host) = (next.from, &next.from.hosts[h]);
+        let blocked = blocks_new_requests(host.follows.1[0]) && self.fault != Fault::SendsAfterAll;
+        let may = host.alive && world.node.up && host.attempt.is_none();
+        let listed_ready = host.list.0 == ListedState::Ready;
+        if may && world.sent < self.attempts && listed_ready && !blocked {
+            next.add(|w| (w.hosts[h].attempt, w.sent) = (Some(w.now), w.sent + 1));
+        }
+        if host.attempt.is_some() {
+            next.add(|w| w.hosts[h].attempt = None);
+        }
+        let listed = world.listed();
+        if host.alive && host.list != listed {
+            next.add(|w| w.hosts[h].list = listed);
+        }
+    }
+
+    /// A host follows the catalog, persists it and acknowledges it.
+    fn host_follows(&self, h: usize, next: &mut Successors) {
+        let (world, host) = (next.from, &next.from.hosts[h]);
+        if host.linked && host.heard && host.follows.0 < world.version {
+            next.add(|w| self.follow(w, h));
+        }
+        if host.alive && host.kept.0 < host.follows.0 {
+            next.add(|w| w.hosts[h].kept = w.hosts[h].follows);
+        }
+        let says = match self.fault {
+            Fault::SaysBeforeItKeeps => host.follows.0,
+            _ => host.kept.0,
         };
-        if w.now < BEGIN + self.last_tick {
-            go(&|w| self.tick(w));
+        if host.linked && host.said.is_none() && world.applied[h] < Some(says) {
+            next.add(|w| w.hosts[h].said = Some(says));
         }
-        let listed = (
-            if w.node.up {
-                ListedState::Ready
-            } else {
-                ListedState::Gone
-            },
-            w.node.start,
-        );
-        for h in 0..self.hosts {
-            let (host, no) = (&w.hosts[h], HostNumber(h as u32));
-            let held = holds(host.follows.1[0]) && self.fault != Fault::SendsAfterAll;
-            let may = host.alive && w.node.up && host.attempt.is_none() && w.sent < self.attempts;
-            if may && host.list.0 == ListedState::Ready && !held {
-                go(&|w| (w.hosts[h].attempt, w.sent) = (Some(w.now), w.sent + 1));
-            }
-            if host.attempt.is_some() {
-                go(&|w| w.hosts[h].attempt = None);
-            }
-            if host.alive && host.list != listed {
-                go(&|w| w.hosts[h].list = listed);
-            }
-            if host.linked && host.heard && host.follows.0 < w.version {
-                go(&|w| {
-                    w.hosts[h].follows = (w.version, w.drains);
-                    if self.fault == Fault::CountsThenFollows {
-                        let (follows, sights) = (Version(w.version), w.hosts[h].sights.iter_mut());
-                        sights
-                            .flat_map(|s| &mut s.0)
-                            .for_each(|s| s.follows = follows);
-                    }
-                });
-            }
-            if host.alive && host.kept.0 < host.follows.0 {
-                go(&|w| w.hosts[h].kept = w.hosts[h].follows);
-            }
-            let says = if self.fault == Fault::SaysBeforeItKeeps {
-                host.follows.0
-            } else {
-                host.kept.0
-            };
-            if host.linked && host.said.is_none() && w.applied[h] < Some(says) {
-                go(&|w| w.hosts[h].said = Some(says));
-            }
-            if let Some(said) = host.said.filter(|_| host.heard) {
-                go(&|w| {
-                    (w.hosts[h].said, w.applied[h]) = (None, Some(said));
-                    self.tell(
-                        w,
-                        vec![Event::Acknowledged {
-                            host: no,
-                            version: Some(Version(said)),
-                        }],
-                    );
-                });
-            }
-            let sight = self.sight(w, h);
-            if host.linked && host.sights.is_none_or(|(last, come)| come && last != sight) {
-                go(&|w| w.hosts[h].sights = Some((sight, false)));
-            }
-            if let Some((sights, false)) = host.sights.filter(|_| host.heard) {
-                go(&|w| {
-                    w.hosts[h].sights = Some((sights, true));
-                    let see = |n: usize| Event::Seen {
-                        host: no,
-                        node: n as u32,
-                        sight: sights[n],
-                    };
-                    self.tell(w, vec![see(0), see(1)]);
-                });
-            }
-            if host.heard && !host.linked {
-                go(&|w| self.lose(w, h));
-            }
-            if host.alive && !host.linked {
-                go(&|w| self.link(w, h));
-            }
-            if !host.alive {
-                go(&|w| {
-                    let (kept, heard, process) =
-                        (w.hosts[h].kept, w.hosts[h].heard, w.hosts[h].process + 1);
-                    w.hosts[h] = Host {
-                        alive: true,
-                        process,
-                        heard,
-                        follows: kept,
-                        kept,
-                        list: listed,
-                        ..Host::default()
-                    };
-                });
-            }
-            if w.mishaps < self.mishaps && host.alive {
-                go(&|w| {
-                    w.mishaps += 1;
-                    // What it had out may yet come to the node and run there.
-                    let host = &mut w.hosts[h];
-                    if host.attempt.take().is_some() {
-                        w.node.runs = w.node.runs.max(w.now + 2 * LONGEST);
-                    }
-                    (host.alive, host.linked, host.unsure) = (false, false, 0);
-                });
-            }
-            if w.mishaps < self.mishaps && host.linked {
-                go(&|w| {
-                    w.mishaps += 1;
-                    w.hosts[h].linked = false;
-                });
+        if let Some(said) = host.said.filter(|_| host.heard) {
+            next.add(|w| {
+                (w.hosts[h].said, w.applied[h]) = (None, Some(said));
+                let acknowledged = Event::Acknowledged {
+                    host: HostNumber(h as u32),
+                    version: Some(Version(said)),
+                };
+                self.apply(w, vec![acknowledged]);
+            });
+        }
+    }
+
+    fn follow(&self, w: &mut World, h: usize) {
+        let version = Version(w.version);
+        let host = &mut w.hosts[h];
+        host.follows = (w.version, w.drains);
+        if self.fault == Fault::CountsThenFollows {
+            for observation in host.observations.iter_mut().flat_map(|sent| &mut sent.0) {
+                observation.catalog_version = version;
             }
         }
-        if w.mishaps < self.mishaps {
-            go(&|w| {
-                w.mishaps += 1;
-                let now = if self.fault == Fault::StartsInTheDark {
-                    ticks(0)
-                } else {
-                    ticks(w.now)
-                };
-                for host in &mut w.hosts {
-                    (host.linked, host.heard, host.said, host.sights) = (false, false, None, None);
-                }
-                self.start_service(w, now);
+    }
+
+    /// A host sends what it observes, and that arrives.
+    fn host_reports(&self, h: usize, next: &mut Successors) {
+        let host = &next.from.hosts[h];
+        let now = self.observation(next.from, h);
+        let changed = |(last, arrived)| arrived && last != now;
+        if host.linked && host.observations.is_none_or(changed) {
+            next.add(|w| w.hosts[h].observations = Some((now, false)));
+        }
+        if let Some((observations, false)) = host.observations.filter(|_| host.heard) {
+            next.add(|w| {
+                w.hosts[h].observations = Some((observations, true));
+                self.apply(w, observed(h, &observations));
             });
         }
-        if self.restarts && (w.mishaps < self.mishaps || !w.node.up) {
-            go(&|w| {
-                w.mishaps += u8::from(w.node.up);
-                let n = &mut w.node;
-                *n = match n.up {
-                    true => Node {
-                        up: false,
-                        runs: 0,
-                        ..n.clone()
-                    },
-                    false => Node {
-                        up: true,
-                        start: n.start + 1,
-                        started: Some(w.now),
-                        runs: 0,
-                    },
+    }
+
+    fn host_connects(&self, h: usize, next: &mut Successors) {
+        let host = &next.from.hosts[h];
+        if host.heard && !host.linked {
+            next.add(|w| self.lose(w, h));
+        }
+        if host.alive && !host.linked {
+            next.add(|w| self.link(w, h));
+        }
+        if !host.alive {
+            next.add(|w| {
+                let listed = w.listed();
+                let before = &w.hosts[h];
+                w.hosts[h] = Host {
+                    alive: true,
+                    incarnation: before.incarnation + 1,
+                    heard: before.heard,
+                    follows: before.kept,
+                    kept: before.kept,
+                    list: listed,
+                    ..Host::default()
                 };
-                for h in &mut w.hosts {
-                    if h.attempt.take().is_some() {
-                        h.unsure = w.now + LONGEST; // a reset: as far as the host knows, it may have run
-                    }
+            });
+        }
+    }
+
+    /// A host dies, or its connection breaks.
+    fn host_fails(&self, h: usize, next: &mut Successors) {
+        let (world, host) = (next.from, &next.from.hosts[h]);
+        if world.failures >= self.failures {
+            return;
+        }
+        if host.alive {
+            next.add(|w| {
+                w.failures += 1;
+                // What it had out may yet come to the node and run there.
+                let host = &mut w.hosts[h];
+                if host.attempt.take().is_some() {
+                    w.node.runs = w.node.runs.max(w.now + 2 * LONGEST);
                 }
+                (host.alive, host.linked, host.unresolved) = (false, false, 0);
             });
         }
-        if w.looked < w.version {
-            go(&|w| w.looked = w.version);
-        }
-        if w.acts < self.acts {
-            for (by, n, to) in ACTS {
-                let looked = if by == 0 { w.version } else { w.looked };
-                let mut next = w.clone();
-                match self.propose(&mut next, by, n, to, looked) {
-                    Ok(()) => {
-                        next.acts += 1;
-                        let events = landed(&next, n);
-                        self.tell(&mut next, events);
-                        all.push(next);
-                    }
-                    // Whoever looked at an older state is told who changed it.
-                    Err(reason) if w.touched[n].0 > looked => {
-                        assert_eq!(reason, format!("changed meanwhile by {}", w.touched[n].1));
-                    }
-                    Err(_) => {}
+        if host.linked {
+            next.add(|w| {
+                w.failures += 1;
+                w.hosts[h].linked = false;
+            });
+        }
+    }
+
+    fn service_restarts(&self, next: &mut Successors) {
+        if next.from.failures >= self.failures {
+            return;
+        }
+        next.add(|w| {
+            w.failures += 1;
+            let now = match self.fault {
+                Fault::StartsWithoutWaiting => ticks(0),
+                _ => ticks(w.now),
+            };
+            for host in &mut w.hosts {
+                (host.linked, host.heard) = (false, false);
+                (host.said, host.observations) = (None, None);
+            }
+            self.start_service(w, now);
+        });
+    }
+
+    /// The node's process ends, or starts again.
+    fn node_restarts(&self, next: &mut Successors) {
+        let world = next.from;
+        if !self.restarts || (world.failures >= self.failures && world.node.up) {
+            return;
+        }
+        next.add(|w| {
+            w.failures += u8::from(w.node.up);
+            w.node.runs = 0;
+            w.node.up = !w.node.up;
+            if w.node.up {
+                w.node.start += 1;
+                w.node.started = Some(w.now);
+            }
+            for host in &mut w.hosts {
+                if host.attempt.take().is_some() {
+                    // A reset: as far as the host knows, it may have run.
+                    host.unresolved = w.now + LONGEST;
+                }
+            }
+        });
+    }
+
+    fn operators_act(&self, next: &mut Successors) {
+        let world = next.from;
+        if world.looked < world.version {
+            next.add(|w| w.looked = w.version);
+        }
+        if world.acts >= self.acts {
+            return;
+        }
+        for (by, n, to) in ACTS {
+            let looked = if by == 0 { world.version } else { world.looked };
+            let mut after = world.clone();
+            match self.propose(&mut after, by, n, to, looked) {
+                Ok(()) => {
+                    after.acts += 1;
+                    let events = landed(&after, n);
+                    self.apply(&mut after, events);
+                    next.worlds.push(after);
+                }
+                // Whoever looked at an older state is told who changed it.
+                Err(reason) if world.touched[n].0 > looked => {
+                    let changed_by = world.touched[n].1;
+                    assert_eq!(reason, format!("changed meanwhile by {changed_by}"));
                 }
+                Err(_) => {}
             }
         }
-        all
     }
 
     fn link(&self, w: &mut World, h: usize) {
         self.lose(w, h);
         let host = &mut w.hosts[h];
-        (host.linked, host.heard, host.said, host.sights) = (true, true, None, None);
-        let process = host.process;
-        self.tell(
+        (host.linked, host.heard, host.said, host.observations) = (true, true, None, None);
+        let incarnation = host.incarnation;
+        self.apply(
             w,
-            vec![Event::Up {
+            vec![Event::HostConnected {
                 host: HostNumber(h as u32),
-                process,
+                incarnation,
             }],
         );
     }
@@ -508,11 +572,11 @@
         w.now += 1;
         for h in &mut w.hosts {
             if h.attempt.is_some_and(|sent| w.now >= sent + LONGEST) {
-                (h.attempt, h.unsure) = (None, w.now + LONGEST);
+                (h.attempt, h.unresolved) = (None, w.now + LONGEST);
                 w.node.runs = w.node.runs.max(w.now + LONGEST);
             }
         }
-        self.tell(w, Vec::new());
+        self.apply(w, Vec::new());
     }
 
     /// Visits all states; how many there are, and the first in which something is wrong.
@@ -544,7 +608,8 @@
                 let no = HostNumber(h as u32);
                 let host = &mut w.hosts[h];
                 if !host.alive {
-                    (host.alive, host.follows, host.process) = (true, host.kept, host.process + 1);
+                    (host.alive, host.follows, host.incarnation) =
+                        (true, host.kept, host.incarnation + 1);
                 }
                 if !(host.linked && host.heard) {
                     self.link(&mut w, h);
@@ -552,17 +617,12 @@
                 let host = &mut w.hosts[h];
                 (host.attempt, host.follows) = (None, (w.version, w.drains));
                 (host.kept, w.applied[h]) = (host.follows, Some(w.version));
-                let sight = self.sight(&w, h);
-                let see = |n: usize| Event::Seen {
-                    host: no,
-                    node: n as u32,
-                    sight: sight[n],
-                };
-                let sure = Event::Acknowledged {
+                let mut events = vec![Event::Acknowledged {
                     host: no,
                     version: Some(Version(w.version)),
-                };
-                self.tell(&mut w, vec![sure, see(0), see(1)]);
+                }];
+                events.extend(observed(h, &self.observation(&w, h)));
+                self.apply(&mut w, events);
             }
         }
         let stuck = w.drains.contains(&Some(Stage::Draining));
@@ -598,8 +658,17 @@
 }
 
 impl World {
+    /// What the endpoint list says of the node, and of which start.
+    fn listed(&self) -> (ListedState, u64) {
+        let state = match self.node.up {
+            true => ListedState::Ready,
+            false => ListedState::Gone,
+        };
+        (state, self.node.start)
+    }
+
     fn check(&self) -> Option<String> {
-        if self.drains.iter().all(|d| holds(*d)) {
+        if self.drains.iter().all(|d| blocks_new_requests(*d)) {
             return Some(format!("both nodes of the zone are drained: {self:?}"));
         }
         if matches!(self.drains[0], Some(Stage::Drained | Stage::Removed)) {
@@ -611,8 +680,8 @@
             }
         }
         for n in 0..NODES {
-            let node_status = self.members.node_status(n as u32);
-            if holds(self.drains[n])
+            let node_status = self.membership.node_status(n as u32);
+            if blocks_new_requests(self.drains[n])
                 && matches!(
                     node_status,
                     NodeStatus::Ready | NodeStatus::Warming | NodeStatus::Suspect
@@ -622,7 +691,8 @@
                     "node {n} is drained and called {node_status}: {self:?}"
                 ));
             }
-            if holds(self.drains[n]) != self.members.holds(n as u32) {
+            if blocks_new_requests(self.drains[n]) != self.membership.blocks_new_requests(n as u32)
+            {
                 return Some(format!(
                     "node {n}: the decisions know of another drain: {self:?}"
                 ));
@@ -637,7 +707,7 @@
     hosts: 1,
     last_tick: 2,
     acts: 1,
-    mishaps: 1,
+    failures: 1,
     attempts: 1,
     restarts: false,
 };
@@ -668,13 +738,13 @@
 #[test]
 fn no_state_is_wrong() {
     let models = [
-        ("one act, one mishap", SHORT),
+        ("one act, one failure", SHORT),
         (
             "two operators, none",
             Model {
                 acts: 2,
                 last_tick: 3,
-                mishaps: 0,
+                failures: 0,
                 ..SHORT
             },
         ),
@@ -690,7 +760,7 @@
 fn no_state_is_wrong_with_more_of_everything() {
     let models = [
         (
-            "two operators, one mishap",
+            "two operators, one failure",
             Model {
                 acts: 2,
                 last_tick: 3,
@@ -706,17 +776,17 @@
             },
         ),
         (
-            "two mishaps",
+            "two failures",
             Model {
-                mishaps: 2,
+                failures: 2,
                 ..SHORT
             },
         ),
         (
-            "two hosts, no mishap",
+            "two hosts, no failure",
             Model {
                 hosts: 2,
-                mishaps: 0,
+                failures: 0,
                 ..SHORT
             },
         ),
@@ -745,9 +815,9 @@
             },
         ),
         (
-            "forgets the unsure",
+            "forgets the unresolved",
             Model {
-                fault: ForgetsTheUnsure,
+                fault: ForgetsTheUnresolved,
                 ..SHORT
             },
         ),
@@ -759,9 +829,9 @@
             },
         ),
         (
-            "starts in the dark",
+            "starts without waiting",
             Model {
-                fault: StartsInTheDark,
+                fault: StartsWithoutWaiting,
                 ..SHORT
             },
         ),
--- a/crates/state/src/service/actions.rs
+++ b/crates/state/src/service/actions.rs
@@ -71,11 +71,11 @@
                     version,
                     verdict,
                 } => match self.membership.take_proposal(call) {
-                    Some(ask) => results.push(MembershipEvent::Committed { ask }),
+                    Some(proposal) => results.push(MembershipEvent::Committed { proposal }),
                     None => self.report_committed(call, version, &verdict),
                 },
                 Action::Reject { call, reason } => match self.membership.take_proposal(call) {
-                    Some(ask) => results.push(MembershipEvent::Rejected { ask, reason }),
+                    Some(proposal) => results.push(MembershipEvent::Rejected { proposal, reason }),
                     None => self.reject(call, reason),
                 },
                 Action::Preview { call, verdict } => self.report_preview(call, &verdict),
--- a/crates/state/src/service/frames.rs
+++ b/crates/state/src/service/frames.rs
@@ -3,8 +3,9 @@
 use super::owner::{Owner, StepInput};
 use crate::codec::changes_from_proto;
 use crate::subscription::Subscription;
-use grebecleat_membership::drains::{Event as MembershipEvent, Sight};
-use grebecleat_membership::node_status::{Answers, ListedState};
+use grebecleat_membership::answers::Answers;
+use grebecleat_membership::drains::{Event as MembershipEvent, NodeObservation};
+use grebecleat_membership::list_reading::ListedState;
 use grebecleat_plans::feed::HostNumber;
 use grebecleat_plans::leader::{CallId, Epoch, Event as LeaderEvent, Proposal};
 use grebecleat_plans::records::Version;
@@ -146,16 +147,16 @@
     input: &mut StepInput,
 ) {
     for observation in observations.nodes {
-        input.membership.push(MembershipEvent::Seen {
+        input.membership.push(MembershipEvent::Observed {
             host,
             node: observation.node,
-            sight: observation_from_proto(&observation),
+            observation: observation_from_proto(&observation),
         });
     }
 }
 
 /// What a host observes of a node.
-fn observation_from_proto(observation: &pb::NodeObservation) -> Sight {
+fn observation_from_proto(observation: &pb::NodeObservation) -> NodeObservation {
     let listed = match observation.listed() {
         pb::NodeState::NodeUnknown => ListedState::Never,
         pb::NodeState::Ready => ListedState::Ready,
@@ -167,15 +168,15 @@
         pb::Answering::Well => Answers::Good,
         pb::Answering::Badly => Answers::Bad,
     };
-    Sight {
-        word: listed,
-        start: observation.start,
+    NodeObservation {
+        listed,
+        incarnation: observation.start,
         age: observation.up_us.map(Duration::from_micros),
         revision: observation.revision,
         answers,
-        follows: Version(observation.follows),
+        catalog_version: Version(observation.follows),
         attempts: observation.attempts,
-        unsure: Duration::from_micros(observation.unsure_us),
+        unresolved_for: Duration::from_micros(observation.unsure_us),
         extents: observation.extents,
     }
 }
--- a/crates/state/src/service/membership.rs
+++ b/crates/state/src/service/membership.rs
@@ -89,14 +89,14 @@
     ) {
         match action {
             MembershipAction::Propose {
-                ask,
+                proposal: id,
                 node,
                 to,
                 base_version,
                 reason,
             } => {
                 let call = self.new_call();
-                self.membership.proposals.insert(call, ask);
+                self.membership.proposals.insert(call, id);
                 let proposal = Proposal {
                     author: AUTHOR.to_string(),
                     reason,
@@ -108,10 +108,10 @@
                 };
                 leader_events.push(LeaderEvent::Proposed { call, proposal });
             }
-            MembershipAction::Unfit { node, how } => {
-                leader_events.push(LeaderEvent::NodeUnavailable { node, how });
+            MembershipAction::SetExclusion { node, reason } => {
+                leader_events.push(LeaderEvent::NodeUnavailable { node, how: reason });
             }
-            MembershipAction::Note { node, text } => {
+            MembershipAction::Notify { node, text } => {
                 info!(node, "{text}");
                 self.event_log.add(wall_time(), Some(node), text);
             }
--- a/crates/state/src/service/membership_link.rs
+++ b/crates/state/src/service/membership_link.rs
@@ -1,6 +1,6 @@
 //! The membership's state machine, and what it knows of the leader's state.
 
-use grebecleat_membership::drains::{Ask, Membership};
+use grebecleat_membership::drains::{Membership, ProposalId};
 use grebecleat_plans::feed::HostNumber;
 use grebecleat_plans::leader::CallId;
 use grebecleat_plans::records::Version;
@@ -16,7 +16,7 @@
     /// What the membership knows of the version that each host has acknowledged.
     pub acknowledged: BTreeMap<HostNumber, Option<Version>>,
     /// The membership's own proposals that wait for their result.
-    pub proposals: BTreeMap<CallId, Ask>,
+    pub proposals: BTreeMap<CallId, ProposalId>,
 }
 
 impl MembershipLink {
@@ -36,7 +36,7 @@
     }
 
     /// The membership's proposal under that call, which then has its result.
-    pub fn take_proposal(&mut self, call: CallId) -> Option<Ask> {
+    pub fn take_proposal(&mut self, call: CallId) -> Option<ProposalId> {
         self.proposals.remove(&call)
     }
 }
--- a/crates/state/src/service/peers.rs
+++ b/crates/state/src/service/peers.rs
@@ -38,9 +38,9 @@
                     peer.superseded = true;
                 }
             }
-            input.membership.push(MembershipEvent::Up {
+            input.membership.push(MembershipEvent::HostConnected {
                 host,
-                process: hello.incarnation,
+                incarnation: hello.incarnation,
             });
         }
         let peer = Peer {
@@ -58,7 +58,9 @@
         if let Some(peer) = self.peers.remove(&conn) {
             match peer.host {
                 Some(host) if !peer.superseded => {
-                    input.membership.push(MembershipEvent::Lost { host });
+                    input
+                        .membership
+                        .push(MembershipEvent::HostDisconnected { host });
                 }
                 _ => {}
             }
--- a/crates/state/src/subscription/mod.rs
+++ b/crates/state/src/subscription/mod.rs
@@ -128,7 +128,7 @@
         let shortfall = view.leader.admission().shortfall();
         let missing = shortfall.short + shortfall.out_of_reach;
         let mut changed = Vec::new();
-        for node in view.membership.shown(missing) {
+        for node in view.membership.nodes(missing) {
             let report = node_to_proto(&node, view.hosts);
             let sent = self.nodes.get(&node.node);
             if sent.is_none_or(|sent| !same_but_for_time(sent, &report)) {
--- a/crates/state/src/subscription/node_report.rs
+++ b/crates/state/src/subscription/node_report.rs
@@ -31,10 +31,10 @@
         name: node.facts.name.to_string(),
         zone: node.facts.zone.to_string(),
         shard: node.facts.shard,
-        status: node_status_to_proto(node.node_status).into(),
-        by: node.wins.to_string(),
-        up_us: node.up.map(micros),
-        start: node.reading.start,
+        status: node_status_to_proto(node.status).into(),
+        by: node.authority.to_string(),
+        up_us: node.uptime.map(micros),
+        start: node.list_reading.incarnation,
         drain: node
             .drain
             .as_ref()
@@ -48,28 +48,28 @@
         NodeStatus::Warming => pb::NodeStatusKind::Warming,
         NodeStatus::Ready => pb::NodeStatusKind::IsReady,
         NodeStatus::Draining => pb::NodeStatusKind::IsDraining,
-        NodeStatus::Empty => pb::NodeStatusKind::IsEmpty,
-        NodeStatus::Out => pb::NodeStatusKind::IsOut,
+        NodeStatus::Drained => pb::NodeStatusKind::IsEmpty,
+        NodeStatus::Removed => pb::NodeStatusKind::IsOut,
         NodeStatus::Suspect => pb::NodeStatusKind::Suspect,
-        NodeStatus::Back => pb::NodeStatusKind::Back,
+        NodeStatus::Returned => pb::NodeStatusKind::Back,
     }
 }
 
 fn drain_to_proto(drain: &DrainView, hosts: &[pb::HostStatus]) -> pb::DrainStatus {
     let mut status = pb::DrainStatus {
         author: drain.author.to_string(),
-        asked_us: micros(drain.asked),
+        asked_us: micros(drain.requested_at),
         since_us: micros(drain.since),
-        left_us: drain.left.map(micros),
-        extents: drain.extents,
+        left_us: drain.time_left.map(micros),
+        extents: drain.sole_extents,
         ..pb::DrainStatus::default()
     };
     let phase = match &drain.phase {
-        Phase::Waits { reason } => {
+        Phase::Waiting { reason } => {
             status.objections = vec![reason.clone()];
             pb::DrainPhase::Waits
         }
-        Phase::Telling { hosts: waiting } => {
+        Phase::Notifying { hosts: waiting } => {
             for (host, connected) in waiting {
                 let name = host_name(*host, hosts);
                 if !connected {
@@ -81,19 +81,19 @@
         }
         Phase::Quiescing {
             attempts,
-            most,
-            unsure,
+            peak_attempts,
+            unresolved_for,
         } => {
             status.attempts = *attempts;
-            status.most = *most;
-            status.unsure_us = micros(*unsure);
+            status.most = *peak_attempts;
+            status.unsure_us = micros(*unresolved_for);
             pb::DrainPhase::Quiescing
         }
-        Phase::Empty { objections } => {
+        Phase::Drained { objections } => {
             status.objections = objections.clone();
             pb::DrainPhase::NowEmpty
         }
-        Phase::Out => pb::DrainPhase::TakenOut,
+        Phase::Removed => pb::DrainPhase::TakenOut,
     };
     status.phase = phase.into();
     status
