--- a/crates/host/src/config_follower.rs
+++ b/crates/host/src/config_follower.rs
@@ -421,7 +421,7 @@
         let catalog = follower.catalog();
         let mut records = vec![Record::Epoch(request.epoch)];
         if request.snapshot {
-            records.push(Record::Whole {
+            records.push(Record::Snapshot {
                 version: catalog.version(),
                 state: catalog.state().collect(),
                 audit_log: catalog.audit_log().cloned().collect(),
