--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -12,7 +12,7 @@
 use grebecleat_audit::{Case, Verdict, RULES};
 use grebecleat_host::run as host;
 use grebecleat_plans::follower::{Follower, InitialState};
-use grebecleat_platform::{account::Sums, config::Config, run as platform};
+use grebecleat_platform::{config::Config, run as platform, statistics::StatisticsTable};
 use grebecleat_settings::{Kind, Settings};
 use grebecleat_standin::clients::Tally;
 use grebecleat_standin::{net, rehearse, serve};
@@ -279,7 +279,7 @@
 }
 
 fn on_platform() -> Result<(), Stop> {
-    let (file, config) = Config::from_env().map_err(bad)?;
+    let (file, config) = Config::from_env().map_err(|error| bad(error.to_string()))?;
     let name = config.name.clone();
     let options = platform::Options {
         config,
@@ -291,19 +291,19 @@
 }
 
 fn account(logs: &[PathBuf], every: u64, parts: usize) -> Result<(), Stop> {
-    let (mut sums, mut lines) = (Sums::default(), 0usize);
+    let (mut table, mut lines) = (StatisticsTable::default(), 0usize);
     for log in logs {
         let text =
             std::fs::read(log).map_err(|e| bad(format!("{}: cannot read: {e}", log.display())))?;
         let text = String::from_utf8_lossy(&text);
-        lines += text.lines().filter(|line| sums.read(line)).count();
+        lines += text.lines().filter(|line| table.read(line)).count();
     }
     if lines == 0 {
         return Err(bad(
             "no account in these logs; a host tells it at debug level".into(),
         ));
     }
-    print!("{}", sums.table(every, parts));
+    print!("{}", table.format(every, parts));
     Ok(())
 }
 
--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,243 +1,204 @@
-//! A client's exchange and the request it asks for.
+//! A client's exchange and the request it asks for. Pure functions.
 //!
-//! [`Words::read`] turns a whole request into a take, or says what is wrong with it; [`put_final`] turns a
-//! final answer into a response. What cannot be understood, or does not exist, is answered here and never
-//! becomes a request, so nothing of it can reach a node.
+//! [`RequestParser::parse`] turns a complete HTTP request into a request for the router, or says what is wrong
+//! with it; [`put_final`] turns a final answer into a response. What cannot be understood, or does not exist, is
+//! answered here and never becomes a request, so nothing of it can reach a node. Called by the owner's
+//! `client_conn` and `writer`.
 
-use crate::config::{Config, Kind};
-use crate::http::{self, Fault, Request};
+mod fields;
+
+use crate::config::{ClassProtocol, Config};
+use crate::http::{self, HttpError, Request};
 use bytes::Bytes;
+use fields::{decimal, header_readings, hex16, path_readings, position, Placement};
 use grebecleat_wire::pb;
 use std::fmt::Write;
 use std::time::Duration;
 
+/// The path that says whether this host is ready for requests.
 pub const READY: &str = "/health/ready";
+/// What nodes and discovery are called in a head.
+pub const SERVICE: &str = "backend.local";
+/// Bytes of a client's id at most.
 const MAX_ID: usize = 512;
 
-/// What a client wants.
+/// What a client asks for.
 #[derive(Debug)]
-pub enum Wish {
+pub enum ClientRequest {
+    /// Whether this host is ready for requests.
     Ready,
-    /// The take lacks its id, which the host gives. `id` is the client's own.
-    Take {
+    /// A request for a node.
+    Submit {
+        /// The client's own id of it.
         id: String,
-        take: Box<pb::SubmitRequest>,
+        /// The request; it lacks its id, which the host gives.
+        submit: Box<pb::SubmitRequest>,
     },
 }
 
-/// The words that a deployment knows.
+/// Parses requests by the names that a deployment's settings declare.
 #[derive(Debug)]
-pub struct Words {
-    kinds: Vec<Kind>,
+pub struct RequestParser {
+    traffic_classes: Vec<ClassProtocol>,
     plans: Vec<String>,
-    largest: f64,
-}
-
-const fn bad(what: &'static str) -> Fault {
-    Fault { status: 400, what }
-}
-
-/// The place of the name that was told among the settings'. Settings may have been through the simulator's
-/// wire, where spaces and commas are rewritten: that counts only where no name is told as it stands. The
-/// other ways to read it are looked at only where it is none of the names letter by letter.
-fn place<'n>(
-    names: impl Iterator<Item = &'n str> + Clone,
-    plain: &[u8],
-    read: impl FnOnce() -> Vec<String>,
-) -> Option<usize> {
-    names
-        .clone()
-        .position(|name| name.as_bytes() == plain)
-        .or_else(|| {
-            let told = read();
-            let is = |name: &str| told.iter().any(|t| t == name.trim());
-            let rewritten = |name: &str| told.iter().any(|t| t.replace([' ', ','], "_") == name);
-            names
-                .clone()
-                .position(is)
-                .or_else(|| names.clone().position(rewritten))
-        })
-}
-
-/// A part of a path, as it stands and percent-decoded.
-fn in_path(part: &str) -> Vec<String> {
-    let decoded = percent_encoding::percent_decode_str(part).decode_utf8();
-    [part.to_string()]
-        .into_iter()
-        .chain(decoded.map(|d| d.into_owned()))
-        .collect()
-}
-
-/// A header's value: some clients write letters beyond ASCII in one way, and some in another.
-fn in_header(value: &[u8]) -> Vec<String> {
-    let latin = value.iter().map(|b| char::from(*b)).collect();
-    String::from_utf8(value.to_vec())
-        .into_iter()
-        .chain([latin])
-        .collect()
-}
-
-/// Digits alone, so that no sign or space passes.
-fn whole(text: &str) -> Option<u64> {
-    (!text.is_empty() && text.len() <= 15 && text.bytes().all(|b| b.is_ascii_digit()))
-        .then(|| text.parse().ok())
-        .flatten()
-}
-
-fn hex16(text: &str) -> Option<u64> {
-    let good = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    good.then(|| u64::from_str_radix(text, 16).ok()).flatten()
+    /// The most units of one request.
+    max_units: f64,
 }
 
-struct Placement {
-    volume: u64,
-    units: f64,
-    shard: Option<u32>,
-    hosts: u32,
+const fn bad_request(reason: &'static str) -> HttpError {
+    HttpError {
+        status: 400,
+        reason,
+    }
 }
 
-fn placement(text: &str) -> Option<Placement> {
-    let (mut volume, mut units, mut shard, mut hosts) = (None, None, None, None);
-    for part in text.split(',') {
-        let (name, value) = part.trim().split_once('=')?;
-        // A second telling of the same is a fault as well: which one counts?
-        let twice = match name {
-            "volume" => volume.replace(hex16(value)?).is_some(),
-            "units" => units.replace(value.parse::<f64>().ok()?).is_some(),
-            "shard" if value == "-1" => shard.replace(None).is_some(),
-            "shard" => shard
-                .replace(Some(u32::try_from(whole(value)?).ok()?))
-                .is_some(),
-            "hosts" => hosts.replace(u32::try_from(whole(value)?).ok()?).is_some(),
-            _ => false,
-        };
-        if twice {
-            return None;
-        }
-    }
-    Some(Placement {
-        volume: volume?,
-        units: units?,
-        shard: shard?,
-        hosts: hosts?,
-    })
+const UNKNOWN_PATH: HttpError = HttpError {
+    status: 404,
+    reason: "a path that is not known here",
+};
+const UNKNOWN_METHOD: HttpError = HttpError {
+    status: 405,
+    reason: "neither GET nor PUT",
+};
+const WRONG_METHOD: HttpError = HttpError {
+    status: 405,
+    reason: "a method that is not this path's",
+};
+
+/// What a request's path names.
+struct Target {
+    /// Index of the traffic class.
+    traffic_class: usize,
+    key: u64,
 }
 
-impl Words {
-    pub fn of(config: &Config) -> Self {
-        Words {
-            kinds: config.kinds.clone(),
-            plans: config
-                .settings
-                .plans
-                .iter()
-                .map(|p| p.name.clone())
-                .collect(),
-            largest: config.settings.units.largest,
+impl RequestParser {
+    /// By a configuration.
+    pub fn new(config: &Config) -> Self {
+        let plans = config.settings.plans.iter();
+        RequestParser {
+            traffic_classes: config.traffic_classes.clone(),
+            plans: plans.map(|plan| plan.name.clone()).collect(),
+            max_units: config.settings.units.largest,
         }
     }
 
-    pub fn read(&self, r: &Request) -> Result<Wish, Fault> {
-        let path = r.target.split(['?', '#']).next().unwrap_or_default();
-        if path == READY && r.method == "GET" {
-            return Ok(Wish::Ready);
-        }
-        if !matches!(r.method, "GET" | "PUT") {
-            return Err(Fault {
-                status: 405,
-                what: "neither GET nor PUT",
-            });
-        }
-        let absent = Fault {
-            status: 404,
-            what: "a path that is not known here",
-        };
-        let mut parts = path.strip_prefix('/').ok_or(absent)?.split('/');
-        let (first, last) = (
-            parts.next().ok_or(absent)?,
-            parts.next_back().ok_or(absent)?,
-        );
-        let kinds = self.kinds.iter().map(|k| k.name.as_str());
-        let traffic_class = place(kinds, first.as_bytes(), || in_path(first));
-        let traffic_class = traffic_class.ok_or(absent)?;
-        let kind = &self.kinds[traffic_class];
-        let key = hex16(last).ok_or(bad("a path that does not end in 16 hex digits"))?;
-        let write = r.method == "PUT";
-        if kind.write.is_some_and(|w| w != write) {
-            return Err(Fault {
-                status: 405,
-                what: "a method that is not this path's",
-            });
-        }
-        let h = &r.headers;
-        let id = h
-            .one("x-txn")?
-            .filter(|id| !id.is_empty() && id.len() <= MAX_ID);
-        let id = id.ok_or(bad("no X-Txn"))?;
-        let plan = h.one_raw("x-qos-policy")?;
-        let plans = self.plans.iter().map(String::as_str);
-        let plan = plan.and_then(|told| place(plans, told, || in_header(told)));
-        let plan = plan.ok_or(bad("X-Qos-Policy names no plan"))?;
-        let left = h.one("x-remaining-ms")?.and_then(whole);
-        let left = left.ok_or(bad("X-Remaining-Ms is no span"))?;
-        let placed = h.one("x-placement")?.and_then(placement);
-        let placed = placed.ok_or(bad("X-Placement cannot be read"))?;
-        if !(placed.units > 0.0 && placed.units <= self.largest) {
-            return Err(bad("X-Placement with units out of range"));
+    /// What a complete HTTP request asks for.
+    ///
+    /// Errors: the answer to a request that cannot be understood, or names what does not exist.
+    pub fn parse(&self, request: &Request) -> Result<ClientRequest, HttpError> {
+        let path = request.target.split(['?', '#']).next().unwrap_or_default();
+        if path == READY && request.method == "GET" {
+            return Ok(ClientRequest::Ready);
         }
-        if placed.hosts == 0 {
-            return Err(bad("X-Placement with no hosts"));
+        if !matches!(request.method, "GET" | "PUT") {
+            return Err(UNKNOWN_METHOD);
         }
-        let repeat = h.one("idempotency-key")?.filter(|k| !k.is_empty());
-        if kind.keyed && repeat.is_none() {
-            return Err(bad("no Idempotency-Key"));
+        let write = request.method == "PUT";
+        let target = self.target(path)?;
+        let class = &self.traffic_classes[target.traffic_class];
+        if class.write.is_some_and(|class_write| class_write != write) {
+            return Err(WRONG_METHOD);
         }
-        let mut head = format!(
-            "{} {} HTTP/1.1\r\nHost: {SERVICE}\r\nX-Txn: {id}\r\n",
-            r.method, r.target
-        );
-        if let Some(k) = repeat {
-            let _ = write!(head, "Idempotency-Key: {k}\r\n");
+        let id = client_id(request)?;
+        let plan = self.plan(request)?;
+        let left_ms = request.headers.one("x-remaining-ms")?.and_then(decimal);
+        let left_ms = left_ms.ok_or(bad_request("X-Remaining-Ms is no span"))?;
+        let placement = self.placement(request)?;
+        let idempotency_key = request
+            .headers
+            .one("idempotency-key")?
+            .filter(|key| !key.is_empty());
+        if class.requires_key && idempotency_key.is_none() {
+            return Err(bad_request("no Idempotency-Key"));
         }
-        if write || !r.body.is_empty() {
-            let _ = write!(head, "Content-Length: {}\r\n", r.body.len());
-        }
-        let take = pb::SubmitRequest {
-            piece: Bytes::from(head),
-            traffic_class: traffic_class as u32,
-            volume: placed.volume,
-            shard: placed.shard,
-            key: Some(key),
-            units: placed.units,
-            left_us: left * 1000,
+        let submit = pb::SubmitRequest {
+            piece: Bytes::from(node_head(request, id, idempotency_key, write)),
+            traffic_class: target.traffic_class as u32,
+            volume: placement.volume,
+            shard: placement.shard,
+            key: Some(target.key),
+            units: placement.units,
+            left_us: left_ms * 1000,
             write,
-            data: Bytes::copy_from_slice(&r.body),
+            data: Bytes::copy_from_slice(&request.body),
             plan: Some(plan as u32),
-            hosts: Some(placed.hosts),
+            hosts: Some(placement.hosts),
             ..pb::SubmitRequest::default()
         };
-        Ok(Wish::Take {
+        Ok(ClientRequest::Submit {
             id: id.to_string(),
-            take: Box::new(take),
+            submit: Box::new(submit),
         })
     }
+
+    /// The traffic class is the first part of the path, the key the last.
+    fn target(&self, path: &str) -> Result<Target, HttpError> {
+        let mut parts = path.strip_prefix('/').ok_or(UNKNOWN_PATH)?.split('/');
+        let first = parts.next().ok_or(UNKNOWN_PATH)?;
+        let last = parts.next_back().ok_or(UNKNOWN_PATH)?;
+        let names = self.traffic_classes.iter().map(|class| class.name.as_str());
+        let traffic_class = position(names, first.as_bytes(), || path_readings(first));
+        let traffic_class = traffic_class.ok_or(UNKNOWN_PATH)?;
+        let key = hex16(last).ok_or(bad_request("a path that does not end in 16 hex digits"))?;
+        Ok(Target { traffic_class, key })
+    }
+
+    /// The index of the plan.
+    fn plan(&self, request: &Request) -> Result<usize, HttpError> {
+        let value = request.headers.one_raw("x-qos-policy")?;
+        let names = self.plans.iter().map(String::as_str);
+        let plan = value.and_then(|value| position(names, value, || header_readings(value)));
+        plan.ok_or(bad_request("X-Qos-Policy names no plan"))
+    }
+
+    fn placement(&self, request: &Request) -> Result<Placement, HttpError> {
+        let text = request.headers.one("x-placement")?;
+        let placement = text.and_then(Placement::parse);
+        let placement = placement.ok_or(bad_request("X-Placement cannot be read"))?;
+        if !(placement.units > 0.0 && placement.units <= self.max_units) {
+            return Err(bad_request("X-Placement with units out of range"));
+        }
+        if placement.hosts == 0 {
+            return Err(bad_request("X-Placement with no hosts"));
+        }
+        Ok(placement)
+    }
 }
 
-/// What nodes and the list are called in a head.
-pub const SERVICE: &str = "backend.local";
+fn client_id<'b>(request: &Request<'b>) -> Result<&'b str, HttpError> {
+    let id = request.headers.one("x-txn")?;
+    id.filter(|id| !id.is_empty() && id.len() <= MAX_ID)
+        .ok_or(bad_request("no X-Txn"))
+}
+
+/// The head of the request as nodes are sent it, without its end.
+fn node_head(request: &Request, id: &str, idempotency_key: Option<&str>, write: bool) -> String {
+    let mut head = format!(
+        "{} {} HTTP/1.1\r\nHost: {SERVICE}\r\nX-Txn: {id}\r\n",
+        request.method, request.target
+    );
+    if let Some(key) = idempotency_key {
+        let _ = write!(head, "Idempotency-Key: {key}\r\n");
+    }
+    if write || !request.body.is_empty() {
+        let _ = write!(head, "Content-Length: {}\r\n", request.body.len());
+    }
+    head
+}
 
-/// A final answer, as the client reads it. An abandoned request must not read as a deferred one.
-pub fn put_final(to: &mut Vec<u8>, told: &pb::Response, keep: bool) {
-    match told.outcome() {
-        pb::Outcome::Completed => http::put_response(to, 200, "", keep, &told.data),
+/// Appends a final answer, as the client reads it. A failed request must not read as a rejected one.
+pub fn put_final(to: &mut Vec<u8>, response: &pb::Response, keep_alive: bool) {
+    match response.outcome() {
+        pb::Outcome::Completed => http::put_response(to, 200, "", keep_alive, &response.data),
         pb::Outcome::Rejected => {
-            let wait = told.retry_after_us.map(Duration::from_micros);
-            let more = wait.map_or(String::new(), |w| {
-                format!("Retry-After: {:.3}\r\n", w.as_secs_f64())
+            let retry_after = response.retry_after_us.map(Duration::from_micros);
+            let header = retry_after.map_or(String::new(), |after| {
+                format!("Retry-After: {:.3}\r\n", after.as_secs_f64())
             });
-            http::put_response(to, 503, &more, keep, b"");
+            http::put_response(to, 503, &header, keep_alive, b"");
         }
-        _ => http::put_response(to, 502, "", keep, b""),
+        _ => http::put_response(to, 502, "", keep_alive, b""),
     }
 }
 
--- /dev/null
+++ b/crates/platform/src/clients/fields.rs
@@ -0,0 +1,117 @@
+//! The parts of a client's request: names, numbers and the placement header. Pure functions.
+
+/// The position of the name that a client sent among the settings'. Settings may have been through the
+/// simulator's wire, where spaces and commas are rewritten: that counts only where no name matches as it
+/// stands. The other `readings` are looked at only where it is none of the names letter by letter.
+pub(super) fn position<'n>(
+    names: impl Iterator<Item = &'n str> + Clone,
+    sent: &[u8],
+    readings: impl FnOnce() -> Vec<String>,
+) -> Option<usize> {
+    let exact = names.clone().position(|name| name.as_bytes() == sent);
+    if exact.is_some() {
+        return exact;
+    }
+    let readings = readings();
+    let is_reading = |name: &str| readings.iter().any(|reading| reading == name.trim());
+    let is_rewritten = |name: &str| {
+        readings
+            .iter()
+            .any(|reading| reading.replace([' ', ','], "_") == name)
+    };
+    let read = names.clone().position(is_reading);
+    read.or_else(|| names.clone().position(is_rewritten))
+}
+
+/// A part of a path, as it stands and percent-decoded.
+pub(super) fn path_readings(part: &str) -> Vec<String> {
+    let mut readings = vec![part.to_string()];
+    if let Ok(decoded) = percent_encoding::percent_decode_str(part).decode_utf8() {
+        readings.push(decoded.into_owned());
+    }
+    readings
+}
+
+/// A header's value: some clients write letters beyond ASCII in UTF-8, and some in Latin-1.
+pub(super) fn header_readings(value: &[u8]) -> Vec<String> {
+    let mut readings = Vec::new();
+    if let Ok(text) = String::from_utf8(value.to_vec()) {
+        readings.push(text);
+    }
+    readings.push(value.iter().map(|byte| char::from(*byte)).collect());
+    readings
+}
+
+/// The longest decimal number.
+const MAX_DECIMAL_DIGITS: usize = 15;
+
+/// Digits alone, so that no sign or space passes.
+pub(super) fn decimal(text: &str) -> Option<u64> {
+    let is_decimal = !text.is_empty()
+        && text.len() <= MAX_DECIMAL_DIGITS
+        && text.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_decimal {
+        return None;
+    }
+    text.parse().ok()
+}
+
+/// Exactly 16 hexadecimal digits.
+pub(super) fn hex16(text: &str) -> Option<u64> {
+    let is_hex16 = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+    if !is_hex16 {
+        return None;
+    }
+    u64::from_str_radix(text, 16).ok()
+}
+
+/// Where a request's data lies, as the client says.
+pub(super) struct Placement {
+    pub(super) volume: u64,
+    /// Size of the request.
+    pub(super) units: f64,
+    /// None: not placed yet.
+    pub(super) shard: Option<u32>,
+    /// Hosts that the volume's clients use.
+    pub(super) hosts: u32,
+}
+
+impl Placement {
+    /// None: a part is absent, cannot be read, or stands twice (which one would count?).
+    pub(super) fn parse(text: &str) -> Option<Self> {
+        let mut volume = None;
+        let mut units = None;
+        let mut shard = None;
+        let mut hosts = None;
+        for part in text.split(',') {
+            let (name, value) = part.trim().split_once('=')?;
+            let stands_twice = match name {
+                "volume" => volume.replace(hex16(value)?).is_some(),
+                "units" => units.replace(value.parse::<f64>().ok()?).is_some(),
+                "shard" => shard.replace(parse_shard(value)?).is_some(),
+                "hosts" => hosts
+                    .replace(u32::try_from(decimal(value)?).ok()?)
+                    .is_some(),
+                _ => false,
+            };
+            if stands_twice {
+                return None;
+            }
+        }
+        Some(Placement {
+            volume: volume?,
+            units: units?,
+            shard: shard?,
+            hosts: hosts?,
+        })
+    }
+}
+
+/// `Some(None)`: not placed yet.
+fn parse_shard(value: &str) -> Option<Option<u32>> {
+    if value == "-1" {
+        return Some(None);
+    }
+    let shard = u32::try_from(decimal(value)?).ok()?;
+    Some(Some(shard))
+}
--- a/crates/platform/src/clients/tests.rs
+++ b/crates/platform/src/clients/tests.rs
@@ -1,15 +1,15 @@
 use super::*;
 
-fn words() -> Words {
-    let kind = |name: &str, keyed, write| Kind {
+fn parser() -> RequestParser {
+    let class = |name: &str, requires_key, write| ClassProtocol {
         name: name.into(),
-        keyed,
+        requires_key,
         write: Some(write),
     };
-    Words {
-        kinds: vec![kind("read", false, false), kind("row", true, true)],
+    RequestParser {
+        traffic_classes: vec![class("read", false, false), class("row", true, true)],
         plans: vec!["basic".into(), "gold".into()],
-        largest: 6.0,
+        max_units: 6.0,
     }
 }
 
@@ -18,40 +18,46 @@
         X-Remaining-Ms: 480\r\nContent-Length: 2\r\nIdempotency-Key: k1\r\n\
         X-Placement: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n\r\nhi";
 
-fn read(text: &str) -> Result<Wish, Fault> {
-    words().read(&http::request(text.as_bytes())?.expect("whole").0)
+fn read(text: &str) -> Result<ClientRequest, HttpError> {
+    let (request, _) = http::request(text.as_bytes())?.expect("it is complete");
+    parser().parse(&request)
 }
 
 #[test]
-fn a_whole_request_is_a_take_and_passes_on_unchanged() {
-    let Ok(Wish::Take { id, take: t }) = read(GOOD) else {
+fn a_complete_request_is_submitted_with_its_head_unchanged() {
+    let Ok(ClientRequest::Submit { id, submit }) = read(GOOD) else {
         panic!("a good request")
     };
     assert_eq!(
-        (id.as_str(), t.traffic_class, t.plan, t.hosts),
+        (id.as_str(), submit.traffic_class, submit.plan, submit.hosts),
         ("9b", 1, Some(1), Some(3))
     );
     assert_eq!(
-        (t.volume, t.units, t.shard, t.key),
+        (submit.volume, submit.units, submit.shard, submit.key),
         (0x3b4d60021, 2.0, Some(5), Some(0x7f3a9c21e0b4d655))
     );
-    assert_eq!((t.left_us, &*t.data, t.write), (480_000, &b"hi"[..], true));
+    assert_eq!(
+        (submit.left_us, &*submit.data, submit.write),
+        (480_000, &b"hi"[..], true)
+    );
     let head = "PUT /row/7f3a9c21e0b4d655?a=1 HTTP/1.1\r\nHost: backend.local\r\nX-Txn: 9b\r\n\
             Idempotency-Key: k1\r\nContent-Length: 2\r\n";
-    assert_eq!(t.piece, head);
+    assert_eq!(submit.piece, head);
     // Its time is up: for the decisions, not a fault.
     assert!(
-        matches!(read(&GOOD.replace("480", "0")), Ok(Wish::Take { take, .. }) if take.left_us == 0)
+        matches!(read(&GOOD.replace("480", "0")), Ok(ClientRequest::Submit { submit, .. }) if submit.left_us == 0)
     );
     let new = GOOD.replace("shard=5", "shard=-1");
-    assert!(matches!(read(&new), Ok(Wish::Take { take, .. }) if take.shard.is_none()));
+    assert!(
+        matches!(read(&new), Ok(ClientRequest::Submit { submit, .. }) if submit.shard.is_none())
+    );
 }
 
 #[test]
-fn names_are_the_settings_own_whatever_signs_are_in_them() {
-    let kind = |name: &str| Kind {
+fn names_match_the_settings_whatever_characters_they_hold() {
+    let class = |name: &str| ClassProtocol {
         name: name.into(),
-        keyed: false,
+        requires_key: false,
         write: None,
     };
     let names = [
@@ -62,10 +68,10 @@
         "plain",
         "over_wire_",
     ];
-    let w = Words {
-        kinds: names.iter().map(|n| kind(n)).collect(),
+    let parser = RequestParser {
+        traffic_classes: names.iter().map(|name| class(name)).collect(),
         plans: names.iter().map(|n| n.to_string()).collect(),
-        largest: 6.0,
+        max_units: 6.0,
     };
     let cases: [(&str, &[u8], usize); 9] = [
         ("map%20read", b"map read", 0),
@@ -78,28 +84,29 @@
         ("plain", b"plain", 4),
         ("over%20wire,", b"over wire,", 5),
     ];
-    for (path, plan, place) in cases {
+    for (path, plan, index) in cases {
         let (before, after) = GOOD.split_once("gold").unwrap();
         let before = before.replace("/row/", &format!("/{path}/"));
-        let whole = [before.as_bytes(), plan, after.as_bytes()].concat();
-        let Ok(Wish::Take { take: t, .. }) = w.read(&http::request(&whole).unwrap().unwrap().0)
+        let message = [before.as_bytes(), plan, after.as_bytes()].concat();
+        let Ok(ClientRequest::Submit { submit, .. }) =
+            parser.parse(&http::request(&message).unwrap().unwrap().0)
         else {
             panic!("{path}")
         };
         assert_eq!(
-            (t.traffic_class as usize, t.plan),
-            (place, Some(place as u32)),
+            (submit.traffic_class as usize, submit.plan),
+            (index, Some(index as u32)),
             "{path}"
         );
         assert!(
-            t.piece.starts_with(format!("PUT /{path}/").as_bytes()),
+            submit.piece.starts_with(format!("PUT /{path}/").as_bytes()),
             "it passes on unchanged"
         );
     }
 }
 
 #[test]
-fn what_makes_no_sense_is_a_clients_fault() {
+fn a_malformed_request_is_answered_with_a_client_error() {
     let cases = [
         ("/row/", "/nothing/", 404),
         ("/row/7f3a9c21e0b4d655", "/row", 404),
@@ -148,7 +155,7 @@
 }
 
 #[test]
-fn each_outcome_reads_as_itself() {
+fn each_outcome_has_its_own_response() {
     let cases = [
         (
             pb::Outcome::Completed,
@@ -164,14 +171,14 @@
         ),
     ];
     for (outcome, text) in cases {
-        let told = pb::Response {
+        let response = pb::Response {
             outcome: outcome.into(),
             retry_after_us: Some(250_000),
             data: Bytes::from_static(b"hi"),
             ..pb::Response::default()
         };
         let mut to = Vec::new();
-        put_final(&mut to, &told, true);
+        put_final(&mut to, &response, true);
         assert_eq!(String::from_utf8(to).unwrap(), text);
     }
 }
--- /dev/null
+++ b/crates/platform/src/config/settings.rs
@@ -0,0 +1,229 @@
+//! The platform's settings, as the host's own. Pure functions; called by [`super::Config::read`] alone.
+
+use super::error::SettingsError;
+use super::{ClassProtocol, Descriptors};
+use grebecleat::interface::*;
+use grebecleat_adapter::settings::{self as bench, Pairs};
+use grebecleat_settings::{Bounds, HostSpec, ListSpec, NamedPlan, Rules, Settings, Stream};
+use std::fmt::Display;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Subtracted from every deadline: for our own queue, for the write, and for the way to the client.
+const ANSWER_MARGIN: Duration = Duration::from_millis(12);
+/// A connection is closed so long before its node would, since an attempt that crosses that close is reset.
+const IDLE_MARGIN: Duration = Duration::from_millis(1000);
+/// How long a node leaves an idle connection open, where the settings do not say.
+const DEFAULT_NODE_IDLE: Duration = Duration::from_secs(10);
+/// How long a dial may take, where the settings do not say.
+const DEFAULT_DIAL_TIMEOUT: Duration = Duration::from_millis(250);
+/// One part in so many of the memory is for bodies of open requests.
+const BODIES_DIVISOR: usize = 8;
+/// How long an attempt may wait here before it is taken back.
+const MAX_DISPATCH_DELAY: Duration = Duration::from_millis(250);
+/// Two looks at what waits, every 25 ms.
+const CROSSING_MARGIN: Duration = Duration::from_millis(50);
+/// How long a peer may take to go on with what it has begun.
+const PATIENCE: Duration = Duration::from_millis(2000);
+/// Bytes of one frame; and of what a client leaves unread.
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
+/// Whatever the settings say of polling, what a silent discovery misses is known within this: watches and
+/// waits after failed calls are reckoned from no more.
+pub const DISCOVERY_TERM: Duration = Duration::from_millis(6000);
+
+/// What the settings are completed with.
+pub(super) struct Process<'a> {
+    pub(super) name: &'a str,
+    pub(super) listen: SocketAddr,
+    pub(super) discovery: SocketAddr,
+    pub(super) memory_mb: usize,
+    pub(super) descriptors: Descriptors,
+}
+
+/// What was read.
+pub(super) struct ReadSettings {
+    pub(super) traffic_classes: Vec<ClassProtocol>,
+    pub(super) settings: Settings,
+}
+
+fn bench_error(error: impl Display) -> SettingsError {
+    SettingsError::Bench(error.to_string())
+}
+
+/// The spans and counts of the object `caps`, with defaults where they are absent.
+struct Caps {
+    dial_timeout: Duration,
+    max_open: usize,
+    /// How long a node leaves an idle connection open.
+    node_idle: Duration,
+}
+
+fn default_if_zero(span: Duration, default: Duration) -> Duration {
+    if span.is_zero() {
+        default
+    } else {
+        span
+    }
+}
+
+pub(super) fn read_settings(
+    process: &Process,
+    pairs: &Pairs,
+) -> Result<ReadSettings, SettingsError> {
+    let classes = bench::traffic_classes(pairs).map_err(bench_error)?;
+    let plans = bench::plans(pairs).map_err(bench_error)?;
+    let lists = [
+        ("profiles", classes.is_empty()),
+        ("plans", plans.is_empty()),
+    ];
+    for (list, is_empty) in lists {
+        if is_empty {
+            return Err(SettingsError::Empty { list });
+        }
+    }
+    // Read in this order, so that of several faults the same one is reported.
+    let dial_timeout = pairs.time("caps.dial-timeout-ms").map_err(bench_error)?;
+    let dial_timeout = default_if_zero(dial_timeout, DEFAULT_DIAL_TIMEOUT);
+    let (protocols, streams) = read_classes(pairs, classes, dial_timeout)?;
+    let plans = name_plans(pairs, plans)?;
+    let units = bench::units(pairs).map_err(bench_error)?;
+    if units.largest <= 0.0 || units.mean <= 0.0 {
+        return Err(SettingsError::NoUnits);
+    }
+    let max_open = pairs.count("caps.max-open").map_err(bench_error)?;
+    let node_idle = pairs.time("caps.conn-idle-ms").map_err(bench_error)?;
+    let caps = Caps {
+        dial_timeout,
+        max_open: if max_open == 0 { usize::MAX } else { max_open },
+        node_idle: default_if_zero(node_idle, DEFAULT_NODE_IDLE),
+    };
+    let rules = read_rules(pairs)?;
+    let settings = Settings {
+        name: process.name.to_string(),
+        zones: pairs.word("zones").split(',').map(String::from).collect(),
+        traffic_classes: streams,
+        plans,
+        volumes: Vec::new(),
+        nodes: Vec::new(),
+        hosts: vec![HostSpec {
+            name: process.name.to_string(),
+            zone: 0,
+            listen: Some(process.listen),
+        }],
+        list: ListSpec {
+            address: Some(process.discovery),
+            rule: discovery_policy(pairs)?,
+            lag: Duration::ZERO,
+            fails: 0.0,
+        },
+        state: None,
+        fleet: None,
+        units,
+        host_limits: bench::host_limits(pairs).map_err(bench_error)?,
+        rules,
+        bounds: bounds(process, &caps),
+        portals: Vec::new(),
+        targets: Vec::new(),
+        rehearsal: None,
+    };
+    Ok(ReadSettings {
+        traffic_classes: protocols,
+        settings,
+    })
+}
+
+fn read_classes(
+    pairs: &Pairs,
+    classes: Vec<TrafficClass>,
+    dial_timeout: Duration,
+) -> Result<(Vec<ClassProtocol>, Vec<Stream>), SettingsError> {
+    let writes: Vec<&str> = pairs.word("family-info.writes").split(',').collect();
+    let mut protocols = Vec::new();
+    let mut streams = Vec::new();
+    // An attempt that follows one that may have run must have crossed while that one is remembered, and it may
+    // wait for its connection after it was decided.
+    let crossing = dial_timeout.max(MAX_DISPATCH_DELAY) + CROSSING_MARGIN;
+    for (index, mut facts) in classes.into_iter().enumerate() {
+        if let Idempotency::WithKey { window, .. } = &mut facts.idempotency {
+            *window = window.saturating_sub(crossing);
+        }
+        let name = read_name(pairs, "profiles", index)?;
+        let path = format!("profiles.{index}.deadline-ms");
+        let deadline = pairs.time(&path).map_err(bench_error)?;
+        if deadline.is_zero() {
+            return Err(SettingsError::ZeroSpan { path });
+        }
+        let write = writes.get(index).and_then(|text| text.parse().ok());
+        protocols.push(ClassProtocol {
+            name: name.clone(),
+            requires_key: matches!(facts.idempotency, Idempotency::WithKey { .. }),
+            write,
+        });
+        streams.push(Stream {
+            name,
+            facts,
+            deadline,
+            write: write.unwrap_or(false),
+            share: 0.0,
+            unit_work: Duration::ZERO,
+        });
+    }
+    Ok((protocols, streams))
+}
+
+fn name_plans(pairs: &Pairs, plans: Vec<Plan>) -> Result<Vec<NamedPlan>, SettingsError> {
+    let mut named = Vec::new();
+    for (index, facts) in plans.into_iter().enumerate() {
+        let name = read_name(pairs, "plans", index)?;
+        named.push(NamedPlan { name, facts });
+    }
+    Ok(named)
+}
+
+fn read_name(pairs: &Pairs, list: &str, index: usize) -> Result<String, SettingsError> {
+    let path = format!("{list}.{index}.name");
+    match pairs.word(&path) {
+        "" => Err(SettingsError::MissingName { path }),
+        name => Ok(name.to_string()),
+    }
+}
+
+fn read_rules(pairs: &Pairs) -> Result<Rules, SettingsError> {
+    Ok(Rules {
+        drain_grace: pairs.time("rules.drain-grace-ms").map_err(bench_error)?,
+        cold: bench::cold(pairs).map_err(bench_error)?,
+        attempts: bench::retry_budget(pairs).map_err(bench_error)?,
+        key_rest: bench::key_rest(pairs).map_err(bench_error)?,
+        answer_margin: ANSWER_MARGIN,
+    })
+}
+
+fn bounds(process: &Process, caps: &Caps) -> Bounds {
+    let descriptors = process.descriptors;
+    Bounds {
+        max_open: caps.max_open.min(descriptors.clients),
+        max_held_bytes: (process.memory_mb << 20) / BODIES_DIVISOR,
+        max_frame: MAX_BUFFERED_BYTES,
+        max_clients: descriptors.clients,
+        max_unread: MAX_BUFFERED_BYTES,
+        attempts_per_connection: 1,
+        connections_per_node: descriptors.nodes,
+        node_connections: descriptors.nodes,
+        dial_timeout: caps.dial_timeout,
+        idle: caps
+            .node_idle
+            .saturating_sub(IDLE_MARGIN)
+            .max(caps.node_idle / 2),
+        max_dispatch_delay: MAX_DISPATCH_DELAY,
+        patience: PATIENCE,
+    }
+}
+
+fn discovery_policy(pairs: &Pairs) -> Result<DiscoveryPolicy, SettingsError> {
+    let policy = bench::list(pairs).map_err(bench_error)?;
+    let poll_interval = default_if_zero(policy.poll_interval, DISCOVERY_TERM).min(DISCOVERY_TERM);
+    Ok(DiscoveryPolicy {
+        poll_interval,
+        ..policy
+    })
+}
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -1,7 +1,14 @@
 use super::*;
+use grebecleat::interface::{DeduplicationScope, Idempotency};
 use serde_json::json;
+use std::time::Duration;
 
-pub(crate) fn whole() -> Value {
+const fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+/// A configuration with all that a host needs.
+pub(crate) fn complete() -> Value {
     json!({
         "name": "n3", "listen": "127.0.0.4:3000", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
@@ -21,72 +28,87 @@
     })
 }
 
-fn read(v: &Value) -> Result<Config, String> {
-    Config::read("c.json".as_ref(), v.to_string().as_bytes())
+fn read(document: &Value) -> Result<Config, String> {
+    let text = document.to_string();
+    Config::read("c.json".as_ref(), text.as_bytes()).map_err(|error| error.to_string())
 }
 
 #[test]
-fn the_settings_are_those_that_the_bench_would_give() {
-    let c = read(&whole()).unwrap();
-    let s = &c.settings;
+fn the_settings_equal_those_that_the_bench_gives_its_adapter() {
+    let config = read(&complete()).unwrap();
+    let settings = &config.settings;
     assert_eq!(
         (
-            c.name.as_str(),
-            c.seed,
-            s.traffic_classes.len(),
-            s.plans.len()
+            config.name.as_str(),
+            config.seed,
+            settings.traffic_classes.len(),
+            settings.plans.len()
         ),
         ("n3", 0x8c1f30d27a5be964, 2, 1)
     );
-    assert_eq!(s.host_limits.max_retry_after, Some(ms(500)));
+    assert_eq!(settings.host_limits.max_retry_after, Some(ms(500)));
     assert_eq!(
-        (s.rules.cold.hosts, s.rules.attempts.as_ref().unwrap().ratio),
+        (
+            settings.rules.cold.hosts,
+            settings.rules.attempts.as_ref().unwrap().ratio
+        ),
         (4, 0.25)
     );
     assert_eq!(
-        (s.bounds.idle, s.bounds.attempts_per_connection),
+        (
+            settings.bounds.idle,
+            settings.bounds.attempts_per_connection
+        ),
         (ms(29_000), 1)
     );
     assert_eq!(
-        (c.kinds[1].keyed, c.kinds[1].write, c.kinds[0].write),
+        (
+            config.traffic_classes[1].requires_key,
+            config.traffic_classes[1].write,
+            config.traffic_classes[0].write
+        ),
         (true, Some(true), Some(false))
     );
 }
 
 #[test]
-fn names_and_fields_of_any_kind_are_taken_as_they_stand() {
-    let mut v = whole();
-    v["settings"]["profiles"][0]["name"] = json!("map read, a=b");
-    v["settings"]["plans"][0]["name"] = json!("gr\u{f6}\u{df}e L");
-    v["settings"]["a field, with = signs"] = json!({"and more": [1, {"b c": "d e"}], "none": null});
-    v["settings"]["profiles"][1]["idempotency"] = json!("some new word");
-    v["settings"]["profiles"][1]
+fn names_and_unknown_fields_may_hold_any_characters() {
+    let mut document = complete();
+    document["settings"]["profiles"][0]["name"] = json!("map read, a=b");
+    document["settings"]["plans"][0]["name"] = json!("gr\u{f6}\u{df}e L");
+    document["settings"]["a field, with = signs"] =
+        json!({"and more": [1, {"b c": "d e"}], "none": null});
+    document["settings"]["profiles"][1]["idempotency"] = json!("some new word");
+    document["settings"]["profiles"][1]
         .as_object_mut()
         .unwrap()
         .remove("key-scope");
-    let c = read(&v).unwrap();
+    let config = read(&document).unwrap();
     assert_eq!(
-        (c.kinds[0].name.as_str(), c.settings.plans[0].name.as_str()),
+        (
+            config.traffic_classes[0].name.as_str(),
+            config.settings.plans[0].name.as_str()
+        ),
         ("map read, a=b", "gr\u{f6}\u{df}e L")
     );
     assert_eq!(
-        c.settings.traffic_classes[1].facts.idempotency,
+        config.settings.traffic_classes[1].facts.idempotency,
         Idempotency::NonIdempotent,
         "what is not known is not repeated"
     );
 }
 
 #[test]
-fn what_follows_an_attempt_that_may_have_run_has_crossed_while_that_is_remembered() {
+fn the_deduplication_window_is_shortened_by_the_time_an_attempt_takes_to_arrive() {
     for (dial, left) in [
         (json!(100), 1200),
         (json!(null), 1200),
         (json!(700), 750),
         (json!(2000), 0),
     ] {
-        let mut v = whole();
-        v["settings"]["caps"]["dial-timeout-ms"] = dial;
-        let idempotency = read(&v).unwrap().settings.traffic_classes[1]
+        let mut document = complete();
+        document["settings"]["caps"]["dial-timeout-ms"] = dial;
+        let idempotency = read(&document).unwrap().settings.traffic_classes[1]
             .facts
             .idempotency;
         assert_eq!(
@@ -100,21 +122,24 @@
 }
 
 #[test]
-fn waits_for_the_list_stay_within_what_counts_as_told() {
-    for (told, kept) in [
+fn the_poll_interval_never_exceeds_the_discovery_term() {
+    for (setting, poll_interval) in [
         (json!(9000), ms(6000)),
         (json!(2500), ms(2500)),
         (json!(0), ms(6000)),
         (json!(null), ms(6000)),
     ] {
-        let mut v = whole();
-        v["settings"]["rules"]["ask-every-ms"] = told;
-        assert_eq!(read(&v).unwrap().settings.list.rule.poll_interval, kept);
+        let mut document = complete();
+        document["settings"]["rules"]["ask-every-ms"] = setting;
+        assert_eq!(
+            read(&document).unwrap().settings.list.rule.poll_interval,
+            poll_interval
+        );
     }
 }
 
 #[test]
-fn a_fault_names_the_file_and_the_path() {
+fn an_error_names_the_file_and_the_path() {
     let cases: [(&str, Value, &str); 9] = [
         ("/name", json!(7), "c.json: name: expected a text, found 7"),
         (
@@ -158,12 +183,13 @@
             "c.json: settings: setting caps.max-attempts has a bad value: many",
         ),
     ];
-    for (path, value, told) in cases {
-        let mut v = whole();
-        *v.pointer_mut(path).unwrap() = value;
-        assert_eq!(read(&v).unwrap_err(), told);
+    for (path, value, message) in cases {
+        let mut document = complete();
+        *document.pointer_mut(path).unwrap() = value;
+        assert_eq!(read(&document).unwrap_err(), message);
     }
     assert!(Config::read("c.json".as_ref(), b"{")
         .unwrap_err()
+        .to_string()
         .starts_with("c.json: is no JSON"));
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,125 +1,166 @@
-//! The platform's list of nodes, as the host's list messages, and the numbers that stand for its names.
+//! The platform's list of nodes, as the host's endpoint updates, and the numbers that stand for its names.
 //!
-//! Begin with [`Names::read`]. The host's decisions know nodes and zones by number; a name keeps its number
-//! for the life of this process. Memory: one name for each node that was ever listed, [`MOST_NAMES`] at most;
-//! past that the list is not taken any more.
+//! Begin with [`EndpointNames::read`], called by the owner for each answer of discovery. The host's decisions
+//! know nodes and zones by number; a name has the same number as long as this process runs. Memory: one name
+//! for each node that was ever listed, [`MAX_NAMES`] at most; entries with further names are not read.
 
-use crate::calls::Action;
+use crate::discovery_calls::Call;
+use crate::http::HttpError;
 use grebecleat_wire::pb;
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::fmt::Write;
 use std::net::SocketAddr;
 
+/// The path of the list at discovery.
 pub const PATH: &str = "/registry/instances";
 /// More than a day of replacements, every few seconds.
 const MAX_NAMES: usize = 100_000;
 
+/// The list in the platform's form.
 #[derive(Deserialize)]
-struct Told {
-    rev: u64,
+struct ListDocument {
+    #[serde(rename = "rev")]
+    revision: u64,
+    /// These are all targets, not changes alone.
     all: bool,
     targets: Vec<serde_json::Value>,
 }
 
+/// One node in the platform's form.
 #[derive(Deserialize)]
 struct Target {
     uid: String,
     endpoint: Option<String>,
-    az: Option<String>,
-    pod_group: u32,
+    #[serde(rename = "az")]
+    zone: Option<String>,
+    #[serde(rename = "pod_group")]
+    shard: u32,
     state: String,
-    #[serde(default)]
-    boot_ms: f64,
+    /// When it started, in milliseconds of the wall clock; zero: not known.
+    #[serde(default, rename = "boot_ms")]
+    started_ms: f64,
 }
 
-/// What was read: the list, its revision, and how many endpoints made no sense.
+/// Why an answer of discovery is of no use.
+#[derive(Debug, thiserror::Error)]
+pub enum DiscoveryError {
+    /// Another status than 200.
+    #[error("status {0}")]
+    Status(u16),
+    /// It is no HTTP answer.
+    #[error(transparent)]
+    Http(#[from] HttpError),
+    /// Its body is not the list's form.
+    #[error(transparent)]
+    Format(#[from] serde_json::Error),
+    /// A complete list without one entry that can be read.
+    #[error("none of {count} endpoints can be read")]
+    NoneReadable {
+        /// How many entries it has.
+        count: usize,
+    },
+}
+
+/// What was read.
 #[derive(Debug)]
-pub struct Read {
+pub struct ReadEndpoints {
+    /// The list, or the changes.
     pub list: pb::EndpointUpdate,
+    /// Its revision.
     pub revision: u64,
-    pub spoilt: usize,
+    /// How many entries cannot be read.
+    pub malformed: usize,
 }
 
+/// The numbers of the names that discovery has listed.
 #[derive(Debug, Default)]
-pub struct Names {
+pub struct EndpointNames {
     nodes: HashMap<String, u32>,
     zones: HashMap<String, u32>,
 }
 
-fn number(of: &mut HashMap<String, u32>, name: &str) -> Option<u32> {
-    if let Some(n) = of.get(name) {
-        return Some(*n);
+/// None: there are too many names.
+fn number(numbers: &mut HashMap<String, u32>, name: &str) -> Option<u32> {
+    if let Some(number) = numbers.get(name) {
+        return Some(*number);
+    }
+    if numbers.len() >= MAX_NAMES {
+        return None;
     }
-    let n = of.len() as u32;
-    (of.len() < MAX_NAMES).then(|| of.insert(name.to_string(), n))?;
-    Some(n)
+    let number = numbers.len() as u32;
+    numbers.insert(name.to_string(), number);
+    Some(number)
 }
 
-impl Names {
-    /// `unix_ms` is the wall clock, by which the list tells when nodes started.
+impl EndpointNames {
+    /// Reads a list or its changes. `unix_ms` is the wall clock, by which the list says when nodes started.
     ///
-    /// A whole list with an entry that makes no sense counts as changes, or the node behind that entry would
-    /// pass for gone.
-    pub fn read(&mut self, body: &[u8], unix_ms: f64) -> Result<Read, String> {
-        let told: Told = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-        let all = told.targets.len();
-        let endpoints: Vec<pb::Endpoint> = told
+    /// A complete list with an entry that cannot be read counts as changes, or the node behind that entry would
+    /// pass for gone. Errors: see [`DiscoveryError`].
+    pub fn read(&mut self, body: &[u8], unix_ms: f64) -> Result<ReadEndpoints, DiscoveryError> {
+        let document: ListDocument = serde_json::from_slice(body)?;
+        let count = document.targets.len();
+        let endpoints: Vec<pb::Endpoint> = document
             .targets
             .into_iter()
-            .filter_map(|t| self.entry(t, unix_ms))
+            .filter_map(|target| self.endpoint(target, unix_ms))
             .collect();
-        let spoilt = all - endpoints.len();
-        if told.all && endpoints.is_empty() && spoilt > 0 {
-            return Err(format!("none of {spoilt} endpoints can be read"));
+        let malformed = count - endpoints.len();
+        if document.all && endpoints.is_empty() && malformed > 0 {
+            return Err(DiscoveryError::NoneReadable { count: malformed });
         }
-        let kind = if told.all && spoilt == 0 {
+        let kind = if document.all && malformed == 0 {
             pb::EndpointUpdateKind::Snapshot
         } else {
             pb::EndpointUpdateKind::Delta
         };
+        let revision = document.revision;
         let list = pb::EndpointUpdate {
             kind: kind.into(),
-            revision: told.rev,
+            revision,
             endpoints,
         };
-        Ok(Read {
+        Ok(ReadEndpoints {
             list,
-            revision: told.rev,
-            spoilt,
+            revision,
+            malformed,
         })
     }
 
-    fn entry(&mut self, told: serde_json::Value, unix_ms: f64) -> Option<pb::Endpoint> {
-        let t: Target = serde_json::from_value(told).ok()?;
-        let state = match t.state.as_str() {
+    /// None: the entry cannot be read.
+    fn endpoint(&mut self, entry: serde_json::Value, unix_ms: f64) -> Option<pb::Endpoint> {
+        let target: Target = serde_json::from_value(entry).ok()?;
+        let state = match target.state.as_str() {
             "ready" => pb::NodeState::Ready,
             "draining" => pb::NodeState::Draining,
             "gone" => pb::NodeState::Gone,
             _ => return None,
         };
-        let address = t.endpoint.unwrap_or_default();
+        let address = target.endpoint.unwrap_or_default();
         if address.parse::<SocketAddr>().is_err() && state != pb::NodeState::Gone {
             return None;
         }
-        let zone = number(&mut self.zones, t.az.as_deref().unwrap_or_default())?;
-        let up = (t.boot_ms > 0.0).then(|| (unix_ms - t.boot_ms).max(0.0) * 1000.0);
+        let zone = number(&mut self.zones, target.zone.as_deref().unwrap_or_default())?;
+        let node = number(&mut self.nodes, &target.uid)?;
+        let started_ms = target.started_ms;
+        let up_us = (started_ms > 0.0).then(|| (unix_ms - started_ms).max(0.0) * 1000.0);
         Some(pb::Endpoint {
-            node: number(&mut self.nodes, &t.uid)?,
+            node,
             zone,
-            shard: t.pod_group,
+            shard: target.shard,
             state: state.into(),
             address,
-            start: t.boot_ms.max(0.0) as u64,
-            up_us: up.map(|us| us as u64),
+            start: started_ms.max(0.0) as u64,
+            up_us: up_us.map(|us| us as u64),
         })
     }
 }
 
-/// The call for the whole list, or for what is newer than a revision once there is something.
-pub fn ask(service: &str, call: Action) -> Vec<u8> {
+/// The HTTP request for a call.
+pub fn call(service: &str, call: Call) -> Vec<u8> {
     let mut text = format!("GET {PATH}");
-    if let Action::Newer { revision, wait } = call {
+    if let Call::Newer { revision, wait } = call {
         let _ = write!(text, "?since={revision}&timeout_ms={}", wait.as_millis());
     }
     let _ = write!(text, " HTTP/1.1\r\nHost: {service}\r\n\r\n");
--- a/crates/platform/src/discovery/tests.rs
+++ b/crates/platform/src/discovery/tests.rs
@@ -12,25 +12,32 @@
 }
 
 #[test]
-fn names_keep_their_numbers_and_a_spoilt_entry_wipes_nothing() {
-    let mut names = Names::default();
+fn names_keep_their_numbers_and_a_malformed_entry_removes_no_node() {
+    let mut names = EndpointNames::default();
     let other = ONE
         .replace("\"a\"", "\"b\"")
         .replace("\"boot_ms\":0", "\"boot_ms\":4000");
     let read = names.read(&list(true, &[ONE, &other]), 5000.0).unwrap();
     assert_eq!(
-        (read.revision, read.spoilt, read.list.kind()),
+        (read.revision, read.malformed, read.list.kind()),
         (7, 0, pb::EndpointUpdateKind::Snapshot)
     );
     let seen: Vec<_> = read
         .list
         .endpoints
         .iter()
-        .map(|e| (e.node, e.shard, e.up_us, e.start))
+        .map(|endpoint| {
+            (
+                endpoint.node,
+                endpoint.shard,
+                endpoint.up_us,
+                endpoint.start,
+            )
+        })
         .collect();
     assert_eq!(seen, [(0, 3, None, 0), (1, 3, Some(1_000_000), 4000)]);
-    let half = r#"{"uid":"a","state":"read"#;
-    assert!(names.read(half.as_bytes(), 0.0).is_err());
+    let truncated = r#"{"uid":"a","state":"read"#;
+    assert!(names.read(truncated.as_bytes(), 0.0).is_err());
     let bad = [
         r#"{"uid":"c","state":"ready"}"#,
         r#"{"uid":"a","endpoint":"nowhere","pod_group":1,"state":"ready"}"#,
@@ -40,7 +47,7 @@
     for bad in bad {
         let read = names.read(&list(true, &[bad, &other]), 5000.0).unwrap();
         assert_eq!(
-            (read.spoilt, read.list.kind()),
+            (read.malformed, read.list.kind()),
             (1, pb::EndpointUpdateKind::Delta),
             "{bad}"
         );
--- /dev/null
+++ b/crates/platform/src/discovery_calls.rs
@@ -0,0 +1,111 @@
+//! The calls on one connection to discovery, one after the other: which comes next, and how long it may take.
+//!
+//! State machine: [`DiscoveryCalls::step`] takes what is wanted or was answered and returns the call to write
+//! now, if any. No I/O and no clock. When discovery is called anew after a failure is not decided here, but by
+//! the decisions and `grebecleat_host::poll_deadline`.
+
+use std::time::Duration;
+
+/// The least that a call for changes may wait at discovery.
+const MIN_WATCH_WAIT: Duration = Duration::from_millis(1000);
+/// The most that it may wait there. A watch that falls silent is found by this and [`CALL_TIMEOUT`] alone, and
+/// what it has missed is known soon after. Harm: more calls, mostly empty.
+const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
+/// What a call may take beyond its wait there; of one on a new connection, its dial included.
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
+
+/// What has happened.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Event {
+    /// Changes are asked for from now on, or no longer.
+    Watch {
+        /// From now on.
+        on: bool,
+    },
+    /// The complete list is asked for once.
+    Fetch,
+    /// An answer came.
+    Answered {
+        /// The list's revision in it.
+        revision: u64,
+    },
+}
+
+/// A call to write.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Call {
+    /// For the complete list.
+    Complete,
+    /// For what is newer than a revision, once there is something or the wait is over.
+    Newer {
+        /// The revision that is known.
+        revision: u64,
+        /// How long discovery may wait for a change.
+        wait: Duration,
+    },
+}
+
+/// The calls on one connection.
+#[derive(Debug)]
+pub struct DiscoveryCalls {
+    /// What the next call for the complete list may take.
+    complete_timeout: Duration,
+    watching: bool,
+    fetch: bool,
+    revision: Option<u64>,
+    /// A call is out, and must be answered by then.
+    answer_by: Option<Duration>,
+}
+
+impl DiscoveryCalls {
+    /// `first_timeout`: what the first call may take at most; the router, which knows when it dialled, may end
+    /// it sooner.
+    pub fn new(first_timeout: Duration) -> Self {
+        DiscoveryCalls {
+            complete_timeout: first_timeout,
+            watching: false,
+            fetch: false,
+            revision: None,
+            answer_by: None,
+        }
+    }
+
+    /// When the call that is out must be answered; None: no call is out.
+    pub fn answer_by(&self) -> Option<Duration> {
+        self.answer_by
+    }
+
+    /// Takes in an event; `poll_interval`: how often the settings ask for the list.
+    pub fn step(&mut self, now: Duration, poll_interval: Duration, event: Event) -> Option<Call> {
+        match event {
+            Event::Watch { on } => self.watching = on,
+            Event::Fetch => self.fetch = true,
+            Event::Answered { revision } => self.answered(revision),
+        }
+        if self.answer_by.is_some() {
+            return None;
+        }
+        // A fetch that is asked for before any answer stays asked for.
+        let fetch_again = self.revision.is_some() && std::mem::take(&mut self.fetch);
+        // The next call follows at once, or what changes meanwhile would be taken as known.
+        let Some(revision) = self.revision.filter(|_| !fetch_again) else {
+            self.answer_by = Some(now + self.complete_timeout);
+            return Some(Call::Complete);
+        };
+        if !self.watching {
+            return None;
+        }
+        let wait = (poll_interval / 2).clamp(MIN_WATCH_WAIT, MAX_WATCH_WAIT);
+        self.answer_by = Some(now + wait + CALL_TIMEOUT);
+        Some(Call::Newer { revision, wait })
+    }
+
+    /// Revisions only grow; one that does not is of a service that has lost its own, and what has changed since
+    /// cannot be known from it: the next call is for the complete list.
+    fn answered(&mut self, revision: u64) {
+        let went_back = self.revision.is_some_and(|known| revision < known);
+        self.answer_by = None;
+        self.revision = if went_back { None } else { Some(revision) };
+        self.complete_timeout = CALL_TIMEOUT;
+    }
+}
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,209 +1,258 @@
 //! HTTP/1.1 heads and bodies, in both directions: pure functions on bytes.
 //!
-//! Begin with [`request`] and [`response`]: each is given all that has come so far and answers a whole
-//! message and its length, nothing (more must come), or a fault, after which the connection is of no further
-//! use. What two readers of one stream could take differently (both lengths, repeated or signed ones) is a
-//! fault, since it may hide a second message. Nothing here keeps more than it is given; heads and bodies are
-//! bounded.
+//! Begin with [`request`] and [`response`]: each is given all that has come so far and returns a complete
+//! message and its length, nothing (more must come), or an error, after which the connection is of no further
+//! use. What two readers of one stream could take differently (both lengths, repeated or signed ones) is an
+//! error, since it may hide a second message (request smuggling). No state; heads and bodies are bounded.
 
 use std::borrow::Cow;
 use std::io::Write;
 
+/// Bytes of a head at most.
 pub const MAX_HEAD: usize = 16 << 10;
-/// Of a client's.
+/// Bytes of a request's body at most.
 pub const MAX_BODY: usize = 64 << 10;
-/// Of an answer's: nodes were seen to give 200 KB, and what is dropped here has run for nothing.
+/// Bytes of an answer's body at most: nodes were seen to give 200 KB, and what is dropped here has run in vain.
 pub const MAX_ANSWER: usize = 512 << 10;
+/// Headers of one head at most.
 const MAX_HEADERS: usize = 64;
+/// Headers of a chunked body's trailer at most.
+const MAX_TRAILER_HEADERS: usize = 8;
 /// Interim heads before an answer.
 const MAX_INTERIM: usize = 8;
-/// A chunked body may take this much for its own marks.
-const CHUNK_MARKS: usize = 4 << 10;
+/// Bytes that a chunked body may take for its sizes and line ends; and one size line or trailer at most.
+const CHUNK_OVERHEAD: usize = 4 << 10;
+/// Digits of a length at most.
+const MAX_LENGTH_DIGITS: usize = 18;
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Fault {
-    /// What a client is answered.
+/// Why a message is no use.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("{reason}")]
+pub struct HttpError {
+    /// The status that a client is answered.
     pub status: u16,
-    pub what: &'static str,
+    /// What is wrong.
+    pub reason: &'static str,
 }
 
-/// Something whole and how many bytes it took; None: more must come.
-pub type Whole<T> = Option<(T, usize)>;
+/// Something complete and how many bytes it took; None: more must come.
+pub type Parsed<T> = Option<(T, usize)>;
 
-const fn fault(status: u16, what: &'static str) -> Fault {
-    Fault { status, what }
+const fn error(status: u16, reason: &'static str) -> HttpError {
+    HttpError { status, reason }
 }
 
+const UNREADABLE_HEAD: HttpError = error(400, "a head that cannot be read");
+const UNREADABLE_ANSWER_HEAD: HttpError = error(502, "a head that cannot be read");
+const BODY_TOO_LARGE: HttpError = error(413, "a body that is too large");
+const LENGTH_IS_NO_NUMBER: HttpError = error(400, "a length that is no number");
+
+/// The headers of one message.
 #[derive(Debug, PartialEq)]
 pub struct Headers<'b>(Vec<(&'b str, &'b [u8])>);
 
 impl<'b> Headers<'b> {
     fn of(headers: &[httparse::Header<'b>]) -> Self {
-        Headers(headers.iter().map(|h| (h.name, h.value)).collect())
+        let headers = headers.iter();
+        Headers(headers.map(|header| (header.name, header.value)).collect())
     }
 
     fn all(&self, name: &'static str) -> impl Iterator<Item = &'b [u8]> + '_ {
         self.0
             .iter()
-            .filter(move |(n, _)| n.eq_ignore_ascii_case(name))
-            .map(|(_, v)| v.trim_ascii())
+            .filter(move |(other, _)| other.eq_ignore_ascii_case(name))
+            .map(|(_, value)| value.trim_ascii())
     }
 
-    /// The value of a header that stands once.
-    pub fn one(&self, name: &'static str) -> Result<Option<&'b str>, Fault> {
-        let text = |v| std::str::from_utf8(v).map_err(|_| fault(400, "a header that is no text"));
-        self.one_raw(name)?.map(text).transpose()
+    /// The value of a header that stands at most once, as text.
+    ///
+    /// Errors: it stands more than once, or is not UTF-8.
+    pub fn one(&self, name: &'static str) -> Result<Option<&'b str>, HttpError> {
+        let Some(value) = self.one_raw(name)? else {
+            return Ok(None);
+        };
+        let text = std::str::from_utf8(value);
+        text.map(Some)
+            .map_err(|_| error(400, "a header that is no text"))
     }
 
-    /// The same, whatever it is written in.
-    pub fn one_raw(&self, name: &'static str) -> Result<Option<&'b [u8]>, Fault> {
+    /// The value of a header that stands at most once, in whatever encoding.
+    ///
+    /// Errors: it stands more than once.
+    pub fn one_raw(&self, name: &'static str) -> Result<Option<&'b [u8]>, HttpError> {
         let mut all = self.all(name);
         let first = all.next();
         match all.next() {
             None => Ok(first),
-            Some(_) => Err(fault(400, "a header that must stand once stands twice")),
+            Some(_) => Err(error(400, "a header that must stand once stands twice")),
         }
     }
 
     fn has_token(&self, name: &'static str, token: &str) -> bool {
-        let is = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
-        self.all(name).any(|v| v.split(|b| *b == b',').any(is))
+        let is_token = |part: &[u8]| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes());
+        self.all(name)
+            .any(|value| value.split(|byte| *byte == b',').any(is_token))
     }
 }
 
+/// A client's message.
 #[derive(Debug, PartialEq)]
 pub struct Request<'b> {
+    /// Its method, as sent.
     pub method: &'b str,
+    /// Its path and query, as sent.
     pub target: &'b str,
+    /// Its headers.
     pub headers: Headers<'b>,
+    /// Its body, without chunks.
     pub body: Cow<'b, [u8]>,
-    /// Whether the client keeps the connection.
-    pub keep: bool,
+    /// Whether the client lets the connection stay open.
+    pub keep_alive: bool,
 }
 
+/// A node's or discovery's answer.
 #[derive(Debug, PartialEq)]
 pub struct Response<'b> {
+    /// Its status.
     pub status: u16,
+    /// Its headers.
     pub headers: Headers<'b>,
+    /// Its body, without chunks.
     pub body: Cow<'b, [u8]>,
-    pub keep: bool,
+    /// Whether the connection stays open.
+    pub keep_alive: bool,
 }
 
-/// How the length of a body is told.
-enum Length {
+/// How a head declares the length of its body.
+enum BodyLength {
     None,
-    Is(usize),
+    Bytes(usize),
     Chunked,
 }
 
-fn length(headers: &Headers, most: usize) -> Result<Length, Fault> {
-    let told = headers
+fn body_length(headers: &Headers, most: usize) -> Result<BodyLength, HttpError> {
+    let length = headers
         .one("content-length")
-        .map_err(|_| fault(400, "more than one length"))?;
+        .map_err(|_| error(400, "more than one length"))?;
     let mut codings = headers.all("transfer-encoding");
-    match (told, codings.next(), codings.next()) {
-        (None, None, _) => Ok(Length::None),
-        (Some(_), Some(_), _) => Err(fault(400, "both a length and a transfer coding")),
-        (None, Some(c), None) if c.eq_ignore_ascii_case(b"chunked") => Ok(Length::Chunked),
-        (None, ..) => Err(fault(400, "a transfer coding that is not known here")),
-        (Some(text), ..) => {
-            if text.is_empty() || text.len() > 18 || !text.bytes().all(|b| b.is_ascii_digit()) {
-                return Err(fault(400, "a length that is no number"));
-            }
-            let n: u64 = text
-                .parse()
-                .map_err(|_| fault(400, "a length that is no number"))?;
-            match usize::try_from(n) {
-                Ok(n) if n <= most => Ok(Length::Is(n)),
-                _ => Err(fault(413, "a body that is too large")),
-            }
+    match (length, codings.next(), codings.next()) {
+        (None, None, _) => Ok(BodyLength::None),
+        (Some(_), Some(_), _) => Err(error(400, "both a length and a transfer coding")),
+        (None, Some(coding), None) if coding.eq_ignore_ascii_case(b"chunked") => {
+            Ok(BodyLength::Chunked)
         }
+        (None, ..) => Err(error(400, "a transfer coding that is not known here")),
+        (Some(text), ..) => Ok(BodyLength::Bytes(parse_length(text, most)?)),
+    }
+}
+
+/// Digits alone: two readers could take a sign or a space differently.
+fn parse_length(text: &str, most: usize) -> Result<usize, HttpError> {
+    let is_decimal = !text.is_empty()
+        && text.len() <= MAX_LENGTH_DIGITS
+        && text.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_decimal {
+        return Err(LENGTH_IS_NO_NUMBER);
+    }
+    let length: u64 = text.parse().map_err(|_| LENGTH_IS_NO_NUMBER)?;
+    match usize::try_from(length) {
+        Ok(length) if length <= most => Ok(length),
+        _ => Err(BODY_TOO_LARGE),
     }
 }
 
 /// The body that begins where the head ended, and how long it is on the wire; None: more must come.
-fn body(rest: &[u8], length: Length, most: usize) -> Result<Whole<Cow<'_, [u8]>>, Fault> {
+fn body(rest: &[u8], length: BodyLength, most: usize) -> Result<Parsed<Cow<'_, [u8]>>, HttpError> {
     match length {
-        Length::None => Ok(Some((Cow::Borrowed(&[]), 0))),
-        Length::Is(n) => Ok(rest.get(..n).map(|b| (Cow::Borrowed(b), n))),
-        Length::Chunked => chunked(rest, most),
+        BodyLength::None => Ok(Some((Cow::Borrowed(&[]), 0))),
+        BodyLength::Bytes(length) => {
+            Ok(rest.get(..length).map(|body| (Cow::Borrowed(body), length)))
+        }
+        BodyLength::Chunked => chunked_body(rest, most),
     }
 }
 
-fn chunked(rest: &[u8], most: usize) -> Result<Whole<Cow<'_, [u8]>>, Fault> {
-    let (mut whole, mut at) = (Vec::new(), 0);
+fn chunked_body(rest: &[u8], most: usize) -> Result<Parsed<Cow<'_, [u8]>>, HttpError> {
+    let mut body = Vec::new();
+    let mut at = 0;
     loop {
-        if at > most + CHUNK_MARKS {
-            return Err(fault(413, "a body that is too large"));
+        if at > most + CHUNK_OVERHEAD {
+            return Err(BODY_TOO_LARGE);
         }
         let size = httparse::parse_chunk_size(&rest[at..]);
-        let (mark, n) = match size.map_err(|_| fault(400, "a chunk without a size"))? {
-            httparse::Status::Partial if rest.len() - at > CHUNK_MARKS => {
-                return Err(fault(400, "a chunk's size without end"));
+        let (size_line, size) = match size.map_err(|_| error(400, "a chunk without a size"))? {
+            httparse::Status::Partial if rest.len() - at > CHUNK_OVERHEAD => {
+                return Err(error(400, "a chunk's size without end"));
             }
             httparse::Status::Partial => return Ok(None),
             httparse::Status::Complete(size) => size,
         };
-        if n > (most - whole.len()) as u64 {
-            return Err(fault(413, "a body that is too large"));
+        if size > (most - body.len()) as u64 {
+            return Err(BODY_TOO_LARGE);
         }
-        at += mark;
-        if n == 0 {
-            return trailer(rest, at, whole);
+        at += size_line;
+        if size == 0 {
+            return trailer(rest, at, body);
         }
-        let n = n as usize;
-        let Some(chunk) = rest.get(at..at + n) else {
+        let end = at + size as usize;
+        let Some(chunk) = rest.get(at..end) else {
             return Ok(None);
         };
-        whole.extend_from_slice(chunk);
-        match rest.get(at + n..at + n + 2) {
+        body.extend_from_slice(chunk);
+        match rest.get(end..end + 2) {
             None => return Ok(None),
-            Some(b"\r\n") => at += n + 2,
-            Some(_) => return Err(fault(400, "a chunk longer than its size")),
+            Some(b"\r\n") => at = end + 2,
+            Some(_) => return Err(error(400, "a chunk longer than its size")),
         }
     }
 }
 
-fn trailer(rest: &[u8], at: usize, whole: Vec<u8>) -> Result<Whole<Cow<'_, [u8]>>, Fault> {
-    let mut headers = [httparse::EMPTY_HEADER; 8];
+fn trailer(rest: &[u8], at: usize, body: Vec<u8>) -> Result<Parsed<Cow<'_, [u8]>>, HttpError> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_TRAILER_HEADERS];
     match httparse::parse_headers(&rest[at..], &mut headers) {
-        Ok(httparse::Status::Complete((used, _))) => Ok(Some((Cow::Owned(whole), at + used))),
-        Ok(httparse::Status::Partial) if rest.len() - at <= CHUNK_MARKS => Ok(None),
-        _ => Err(fault(400, "a trailer that cannot be read")),
+        Ok(httparse::Status::Complete((used, _))) => Ok(Some((Cow::Owned(body), at + used))),
+        Ok(httparse::Status::Partial) if rest.len() - at <= CHUNK_OVERHEAD => Ok(None),
+        _ => Err(error(400, "a trailer that cannot be read")),
     }
 }
 
-/// A client's message.
+/// Parses a client's message.
+///
+/// Errors: what the client is answered; the connection is of no further use.
 ///
 /// ```
 /// use grebecleat_platform::http::request;
-/// let whole = b"PUT /a/1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
-/// let (r, used) = request(whole).unwrap().unwrap();
-/// assert_eq!((r.method, r.target, &*r.body, used, r.keep), ("PUT", "/a/1", &b"hi"[..], whole.len(), true));
-/// assert!((0..whole.len()).all(|n| request(&whole[..n]).unwrap().is_none()));
+/// let message = b"PUT /a/1 HTTP/1.1\r\nContent-Length: 2\r\n\r\nhi";
+/// let (parsed, used) = request(message).unwrap().unwrap();
+/// assert_eq!(
+///     (parsed.method, parsed.target, &*parsed.body, used, parsed.keep_alive),
+///     ("PUT", "/a/1", &b"hi"[..], message.len(), true)
+/// );
+/// assert!((0..message.len()).all(|n| request(&message[..n]).unwrap().is_none()));
 /// assert_eq!(request(b"PUT /a HTTP/1.1\r\nContent-Length: +2\r\n\r\nhi").unwrap_err().status, 400);
 /// ```
-pub fn request(bytes: &[u8]) -> Result<Whole<Request<'_>>, Fault> {
+pub fn request(bytes: &[u8]) -> Result<Parsed<Request<'_>>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut headers);
     let used = match head.parse(&bytes[..bytes.len().min(MAX_HEAD)]) {
         Ok(httparse::Status::Complete(used)) => used,
         Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD => {
-            return Err(fault(431, "a head without end"))
+            return Err(error(431, "a head without end"))
         }
         Ok(httparse::Status::Partial) => return Ok(None),
-        Err(httparse::Error::TooManyHeaders) => return Err(fault(431, "too many headers")),
+        Err(httparse::Error::TooManyHeaders) => return Err(error(431, "too many headers")),
         Err(httparse::Error::Version) => {
-            return Err(fault(400, "a version that is not known here"))
+            return Err(error(400, "a version that is not known here"))
         }
-        Err(_) => return Err(fault(400, "a head that cannot be read")),
+        Err(_) => return Err(UNREADABLE_HEAD),
     };
     let (Some(method), Some(target), Some(version)) = (head.method, head.path, head.version) else {
-        return Err(fault(400, "a head that cannot be read"));
+        return Err(UNREADABLE_HEAD);
     };
     let headers = Headers::of(head.headers);
-    let keep = keeps(version, &headers);
-    let Some((body, more)) = body(&bytes[used..], length(&headers, MAX_BODY)?, MAX_BODY)? else {
+    let keep_alive = keeps_alive(version, &headers);
+    let Some((body, more)) = body(&bytes[used..], body_length(&headers, MAX_BODY)?, MAX_BODY)?
+    else {
         return Ok(None);
     };
     Ok(Some((
@@ -212,27 +261,28 @@
             target,
             headers,
             body,
-            keep,
+            keep_alive,
         },
         used + more,
     )))
 }
 
-fn keeps(version: u8, headers: &Headers) -> bool {
+fn keeps_alive(version: u8, headers: &Headers) -> bool {
     version == 1 && !headers.has_token("connection", "close")
 }
 
-/// A node's or the list's answer, past interim heads. One without a length has no end that could be told from
-/// a break, and is a fault.
+/// Parses a node's or discovery's answer, past interim heads.
+///
+/// Errors: it cannot be read; or it has no length, so that its end would look like a break.
 ///
 /// ```
 /// use grebecleat_platform::http::response;
-/// let told = b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 2";
-/// let (r, used) = response(told).unwrap().unwrap();
-/// assert_eq!((r.status, &*r.body, told.len() - used), (200, &b"hi"[..], 10));
+/// let bytes = b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 2";
+/// let (parsed, used) = response(bytes).unwrap().unwrap();
+/// assert_eq!((parsed.status, &*parsed.body, bytes.len() - used), (200, &b"hi"[..], 10));
 /// assert!(response(b"HTTP/1.1 200 OK\r\n\r\nhi").is_err());
 /// ```
-pub fn response(bytes: &[u8]) -> Result<Whole<Response<'_>>, Fault> {
+pub fn response(bytes: &[u8]) -> Result<Parsed<Response<'_>>, HttpError> {
     let mut at = 0;
     for _ in 0..=MAX_INTERIM {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -241,19 +291,21 @@
         let used = match head.parse(&rest[..rest.len().min(MAX_HEAD)]) {
             Ok(httparse::Status::Complete(used)) => used,
             Ok(httparse::Status::Partial) if rest.len() < MAX_HEAD => return Ok(None),
-            _ => return Err(fault(502, "a head that cannot be read")),
+            _ => return Err(UNREADABLE_ANSWER_HEAD),
         };
         let (Some(status), Some(version)) = (head.code, head.version) else {
-            return Err(fault(502, "a head that cannot be read"));
+            return Err(UNREADABLE_ANSWER_HEAD);
         };
         if (100..200).contains(&status) && status != 101 {
             at += used;
             continue;
         }
         let headers = Headers::of(head.headers);
-        let keep = keeps(version, &headers);
-        let length = match length(&headers, MAX_ANSWER)? {
-            Length::None if !matches!(status, 204 | 304) => return Err(fault(502, "no length")),
+        let keep_alive = keeps_alive(version, &headers);
+        let length = match body_length(&headers, MAX_ANSWER)? {
+            BodyLength::None if !matches!(status, 204 | 304) => {
+                return Err(error(502, "no length"))
+            }
             length => length,
         };
         let Some((body, more)) = body(&bytes[at + used..], length, MAX_ANSWER)? else {
@@ -264,15 +316,15 @@
                 status,
                 headers,
                 body,
-                keep,
+                keep_alive,
             },
             at + used + more,
         )));
     }
-    Err(fault(502, "interim answers without end"))
+    Err(error(502, "interim answers without end"))
 }
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
         400 => "Bad Request",
@@ -288,15 +340,19 @@
     }
 }
 
-/// Appends an answer. `more`: further header lines, each with its end.
-pub fn put_response(to: &mut Vec<u8>, status: u16, more: &str, keep: bool, body: &[u8]) {
-    let close = if keep { "" } else { "Connection: close\r\n" };
+/// Appends an answer. `headers`: further header lines, each with its end.
+pub fn put_response(to: &mut Vec<u8>, status: u16, headers: &str, keep_alive: bool, body: &[u8]) {
+    let close = if keep_alive {
+        ""
+    } else {
+        "Connection: close\r\n"
+    };
     let length = body.len();
+    let reason = reason_phrase(status);
     // Writing to memory cannot fail.
     let _ = write!(
         to,
-        "HTTP/1.1 {status} {}\r\nContent-Length: {length}\r\n{close}{more}\r\n",
-        reason(status)
+        "HTTP/1.1 {status} {reason}\r\nContent-Length: {length}\r\n{close}{headers}\r\n"
     );
     to.extend_from_slice(body);
 }
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -1,4 +1,6 @@
-//! An attempt and the exchange with its node.
+//! An attempt and the exchange with its node, as HTTP. Pure functions.
+//!
+//! Called by the owner's `writer` and `node_conn`.
 
 use crate::clients::SERVICE;
 use crate::http::Response;
@@ -6,7 +8,7 @@
 use grebecleat_wire::pb;
 use std::io::Write;
 
-/// The attempt as its node reads it. `piece` is the head that the client's exchange was given.
+/// Appends the attempt as its node reads it. Its `piece` is the head of the client's request.
 pub fn put_attempt(to: &mut Vec<u8>, attempt: &pb::Attempt) {
     to.extend_from_slice(&attempt.piece);
     // Writing to memory cannot fail.
@@ -18,42 +20,44 @@
     to.extend_from_slice(&attempt.data);
 }
 
+/// Appends a health check.
 pub fn put_probe(to: &mut Vec<u8>) {
     let _ = write!(to, "GET /health/live HTTP/1.1\r\nHost: {SERVICE}\r\n\r\n");
 }
 
-/// A figure that cannot be read is absent; the answer still counts.
-fn figure(r: &Response, name: &'static str) -> Option<f64> {
-    let text = r.headers.one(name).ok().flatten()?;
+/// A measurement in a header. One that cannot be read is absent; the answer still counts.
+fn measurement(response: &Response, header: &'static str) -> Option<f64> {
+    let text = response.headers.one(header).ok().flatten()?;
     text.parse::<f64>()
         .ok()
-        .filter(|n| n.is_finite() && *n >= 0.0)
+        .filter(|value| value.is_finite() && *value >= 0.0)
 }
 
-/// What a whole answer says of an attempt. Only a turned-away one proves that it never ran.
-pub fn answer(attempt: u64, r: &Response) -> pb::AttemptResponse {
-    let away = matches!(r.headers.one("x-turned-away"), Ok(Some("1")));
-    let result = match r.status {
+/// What a complete answer means for an attempt. Only a rejected one proves that it never ran.
+pub fn attempt_response(attempt: u64, response: &Response) -> pb::AttemptResponse {
+    let rejected = matches!(response.headers.one("x-turned-away"), Ok(Some("1")));
+    let result = match response.status {
         200 => pb::Result::Ok,
-        503 | 504 if away => pb::Result::Full,
+        503 | 504 if rejected => pb::Result::Full,
         _ => pb::Result::Error,
     };
+    let data = if response.status == 200 {
+        Bytes::copy_from_slice(&response.body)
+    } else {
+        Bytes::new()
+    };
     pb::AttemptResponse {
         attempt,
         result: result.into(),
-        reported: figure(r, "x-iops-used"),
-        others: figure(r, "x-rho").unwrap_or(0.0),
-        data: if r.status == 200 {
-            Bytes::copy_from_slice(&r.body)
-        } else {
-            Bytes::new()
-        },
+        reported: measurement(response, "x-iops-used"),
+        others: measurement(response, "x-rho").unwrap_or(0.0),
+        data,
         ..pb::AttemptResponse::default()
     }
 }
 
-/// What is told of an attempt whose answer is of no use: it has run.
-pub fn spoilt(attempt: u64) -> pb::AttemptResponse {
+/// What a malformed or incomplete answer means for an attempt: it has run.
+pub fn failed_attempt_response(attempt: u64) -> pb::AttemptResponse {
     pb::AttemptResponse {
         attempt,
         result: pb::Result::Error.into(),
--- a/crates/platform/src/nodes/tests.rs
+++ b/crates/platform/src/nodes/tests.rs
@@ -2,7 +2,7 @@
 use crate::http::response;
 
 #[test]
-fn only_a_turned_away_attempt_never_ran() {
+fn only_a_rejected_attempt_counts_as_never_run() {
     let cases = [
         (
             "200 OK",
@@ -32,16 +32,16 @@
         ("500 No", "X-Turned-Away: 1", pb::Result::Error, None, 0.0),
         ("404 No", "A: b", pb::Result::Error, None, 0.0),
     ];
-    for (status, more, result, reported, others) in cases {
-        let text = format!("HTTP/1.1 {status}\r\n{more}\r\nContent-Length: 2\r\n\r\nhi");
-        let a = answer(9, &response(text.as_bytes()).unwrap().unwrap().0);
+    for (status, headers, result, reported, others) in cases {
+        let text = format!("HTTP/1.1 {status}\r\n{headers}\r\nContent-Length: 2\r\n\r\nhi");
+        let read = attempt_response(9, &response(text.as_bytes()).unwrap().unwrap().0);
         assert_eq!(
-            (a.attempt, a.result(), a.reported, a.others),
+            (read.attempt, read.result(), read.reported, read.others),
             (9, result, reported, others),
             "{text}"
         );
         assert_eq!(
-            &*a.data,
+            &*read.data,
             if result == pb::Result::Ok {
                 &b"hi"[..]
             } else {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_attempt_says_how_long_we_wait() {
+fn an_attempt_carries_the_time_that_is_left() {
     let attempt = pb::Attempt {
         piece: Bytes::from_static(b"GET /a HTTP/1.1\r\n"),
         left_us: 479_100,
--- /dev/null
+++ b/crates/platform/src/run/owner/discovery_conn.rs
@@ -0,0 +1,122 @@
+//! The connection to discovery: calls for the endpoint list, one after the other.
+//!
+//! State: the [`crate::discovery_calls`] of the connection, and whether discovery has answered at all.
+
+use super::super::connection::Role;
+use super::{frame, unix_ms, Owner};
+use crate::clients::SERVICE;
+use crate::discovery::{self, DiscoveryError, EndpointNames, ReadEndpoints};
+use crate::discovery_calls::Event;
+use crate::http;
+use grebecleat_host::router::{ConnId, Input};
+use grebecleat_wire::clock;
+use grebecleat_wire::pb::frame::Body;
+use tracing::info;
+
+/// A complete answer of discovery.
+struct DiscoveryAnswer {
+    endpoints: ReadEndpoints,
+    /// Whether another call may follow on the connection.
+    keep_alive: bool,
+}
+
+/// None: more must come.
+fn read_answer(
+    bytes: &[u8],
+    names: &mut EndpointNames,
+) -> Result<Option<DiscoveryAnswer>, DiscoveryError> {
+    let Some((response, used)) = http::response(bytes)? else {
+        return Ok(None);
+    };
+    if response.status != 200 {
+        return Err(DiscoveryError::Status(response.status));
+    }
+    Ok(Some(DiscoveryAnswer {
+        endpoints: names.read(&response.body, unix_ms())?,
+        keep_alive: response.keep_alive && used == bytes.len(),
+    }))
+}
+
+impl Owner {
+    /// The endpoint list as the platform last saw it here. One that cannot be read is ignored.
+    pub(super) fn load_cached_endpoints(&mut self) {
+        let Some(cached) = self.config.cached_endpoints.take() else {
+            return;
+        };
+        match self.endpoint_names.read(&cached, unix_ms()) {
+            Ok(read) => {
+                self.has_cached_endpoints = !read.list.endpoints.is_empty();
+                self.inputs.push(Input::CachedEndpoints { list: read.list });
+            }
+            Err(error) => {
+                if self.may_log() {
+                    info!(%error, "cached endpoint list ignored");
+                }
+            }
+        }
+    }
+
+    pub(super) fn handle_discovery_answer(&mut self, conn: ConnId) {
+        let Some(connection) = self.connections.get_mut(&conn) else {
+            return;
+        };
+        let Role::Discovery(calls) = &mut connection.role else {
+            return;
+        };
+        if calls.answer_by().is_none() {
+            return self.connection_lost(conn);
+        }
+        let answer = match read_answer(&connection.read_buffer, &mut self.endpoint_names) {
+            Ok(None) => return,
+            Ok(Some(answer)) => Ok(answer),
+            Err(error) => Err(error),
+        };
+        connection.read_buffer = Vec::new();
+        match answer {
+            Ok(answer) => self.take_endpoints(conn, answer),
+            Err(error) => {
+                if self.may_log() {
+                    info!("list of nodes: {error}");
+                }
+                self.connection_lost(conn);
+            }
+        }
+    }
+
+    fn take_endpoints(&mut self, conn: ConnId, answer: DiscoveryAnswer) {
+        let DiscoveryAnswer {
+            endpoints,
+            keep_alive,
+        } = answer;
+        self.discovery_answered = true;
+        let frames = vec![frame(Body::EndpointUpdate(endpoints.list), clock::now())];
+        self.inputs.push(Input::DiscoveryFrames { conn, frames });
+        if endpoints.malformed > 0 && self.may_log() {
+            let malformed = endpoints.malformed;
+            info!("list of nodes: {malformed} entries cannot be read");
+        }
+        if keep_alive {
+            let revision = endpoints.revision;
+            self.call_discovery(conn, Event::Answered { revision });
+        } else {
+            self.connection_lost(conn);
+        }
+    }
+
+    pub(super) fn call_discovery(&mut self, conn: ConnId, event: Event) {
+        let Some(connection) = self.connections.get_mut(&conn) else {
+            return;
+        };
+        let Role::Discovery(calls) = &mut connection.role else {
+            return;
+        };
+        let poll_interval = self.config.settings.list.rule.poll_interval;
+        let Some(call) = calls.step(clock::now(), poll_interval, event) else {
+            return;
+        };
+        connection
+            .write_buffer
+            .extend_from_slice(&discovery::call(SERVICE, call));
+        self.flush(conn);
+    }
+}
--- /dev/null
+++ b/crates/platform/src/run/owner/tests.rs
@@ -0,0 +1,403 @@
+use super::super::connection::{Discard, NodeExchange};
+use super::sweep::NEW_CLIENT_GRACE;
+use super::*;
+use grebecleat::interface::NodeId;
+use grebecleat_host::outbox::AttemptId;
+use std::io::{Read, Write};
+use std::os::fd::AsRawFd;
+use std::os::unix::net::UnixStream;
+use std::sync::mpsc;
+
+const fn ms(n: u64) -> Duration {
+    Duration::from_millis(n)
+}
+
+const REQUEST: &str = "GET /read/7f3a9c21e0b4d655 HTTP/1.1\r\nX-Txn: 9b\r\nX-Qos-Policy: basic\r\n\
+    X-Remaining-Ms: 480\r\nX-Placement: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n\r\n";
+
+/// An owner whose loop does not run: it processes what the test passes, one event after the other.
+fn owner() -> Owner {
+    owner_with_sockets(256, mpsc::channel().0)
+}
+
+fn owner_with_sockets(sockets: usize, to_owner: Sender<OwnerEvent>) -> Owner {
+    let mut text = crate::config::tests::complete();
+    text["limits"]["sockets"] = sockets.into();
+    let config = Config::read("c.json".as_ref(), text.to_string().as_bytes()).unwrap();
+    let slots = Arc::new(ClientSlots::new(9));
+    Owner::new(Options { config, file: None }, slots, -1, to_owner)
+}
+
+/// Accepts a client over `fd`, as the listener would.
+fn accept(owner: &mut Owner, number: u64, fd: RawFd) -> ConnId {
+    let conn = ConnId(LAST_DIALED_CONN + number);
+    let gate = ReadGate::new();
+    owner.handle_event(OwnerEvent::Accepted { conn, fd, gate });
+    conn
+}
+
+fn client(owner: &mut Owner, number: u64) -> (ConnId, UnixStream, UnixStream) {
+    let (ours, theirs) = UnixStream::pair().unwrap();
+    let conn = accept(owner, number, ours.as_raw_fd());
+    (conn, ours, theirs)
+}
+
+/// A client whose first request its reader has read.
+fn client_with_request(owner: &mut Owner) -> (ConnId, UnixStream, UnixStream) {
+    let (conn, ours, theirs) = client(owner, 1);
+    let gate = owner.connections[&conn].gate.clone();
+    gate.lock().ahead = REQUEST.len();
+    (conn, ours, theirs)
+}
+
+fn deliver_request(owner: &mut Owner, conn: ConnId) {
+    owner.handle_event(OwnerEvent::Read {
+        conn,
+        at: clock::now(),
+        bytes: REQUEST.into(),
+    });
+}
+
+fn client_state(owner: &mut Owner, conn: ConnId) -> &mut ClientState {
+    match &mut owner.connections.get_mut(&conn).unwrap().role {
+        Role::Client(client) => client,
+        _ => panic!("a client"),
+    }
+}
+
+fn nodes_up(owner: &Owner) -> usize {
+    let connections = owner.connections.values();
+    connections
+        .filter(|connection| matches!(connection.role, Role::Node(_)))
+        .count()
+}
+
+fn discovery_dials(owner: &Owner) -> Vec<u64> {
+    let dials = owner.pending_dials.iter();
+    dials
+        .filter(|dial| dial.target == DialTarget::Discovery)
+        .map(|dial| dial.conn.0)
+        .collect()
+}
+
+/// Checks the dials until none is pending.
+fn complete_dials(owner: &mut Owner) {
+    while !owner.pending_dials.is_empty() {
+        owner.check_dials();
+    }
+}
+
+/// A connection whose end the owner has yet to process has its descriptor, and so does a dial that was given
+/// up: those beyond the nodes' part wait, and discovery's does not.
+#[test]
+fn dials_to_nodes_wait_for_a_descriptor_and_the_one_to_discovery_does_not() {
+    let (to_owner, events) = mpsc::channel();
+    let mut owner = owner_with_sockets(48, to_owner);
+    let most = owner.config.descriptors.nodes;
+    let more = 4;
+    let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    owner.discovery = address;
+    for number in 0..(most + more) as u64 {
+        owner.perform(Output::Dial {
+            conn: ConnId(number),
+            node: NodeId(0),
+            address,
+        });
+    }
+    owner.perform(Output::DialDiscovery { conn: ConnId(90) });
+    owner.perform(Output::DialDiscovery { conn: ConnId(91) });
+    assert_eq!(
+        (
+            owner.pending_dials.len(),
+            discovery_dials(&owner),
+            owner.queued_dials.len()
+        ),
+        (most + 1, vec![91], more)
+    );
+    // However slow this machine is.
+    set_queued_deadlines(&mut owner, Duration::MAX);
+    complete_dials(&mut owner);
+    assert_eq!((nodes_up(&owner), owner.queued_dials.len()), (most, more));
+    // Closed, and their descriptors not free yet.
+    owner.close(ConnId(0));
+    owner.close(ConnId(1));
+    owner.check_dials();
+    assert_eq!(
+        (
+            nodes_up(&owner),
+            owner.pending_dials.len(),
+            owner.queued_dials.len()
+        ),
+        (most - 2, 0, more)
+    );
+    for freed in 1..=2 {
+        owner.handle_event(events.recv_timeout(ms(10_000)).unwrap());
+        owner.check_dials();
+        assert_eq!(owner.queued_dials.len(), more - freed);
+    }
+    // What finds no descriptor within the time of its dial has failed as one.
+    set_queued_deadlines(&mut owner, Duration::ZERO);
+    owner.inputs.clear();
+    owner.check_dials();
+    assert_eq!(
+        (nodes_gone(&owner), owner.queued_dials.len()),
+        (vec![most as u64 + 2, most as u64 + 3], 0)
+    );
+}
+
+fn set_queued_deadlines(owner: &mut Owner, deadline: Duration) {
+    for dial in &mut owner.queued_dials {
+        dial.deadline = deadline;
+    }
+}
+
+/// The connections to nodes that the router is to learn are gone.
+fn nodes_gone(owner: &Owner) -> Vec<u64> {
+    let gone = owner.inputs.iter().filter_map(|input| match input {
+        Input::NodeGone { conn } => Some(conn.0),
+        _ => None,
+    });
+    gone.collect()
+}
+
+/// A client whose answer is not written completely keeps its connection, where room is made and where idle
+/// clients are limited: closed then, the rest would be lost.
+#[test]
+fn no_connection_is_closed_for_room_before_its_answer_is_written() {
+    type Case = (&'static str, fn(&mut ClientState), fn(&mut Owner));
+    let cases: [Case; 4] = [
+        ("an answer, for room", |_| (), Owner::make_room),
+        (
+            "the last answer, for room",
+            |client| {
+                client.discard = Some(Discard {
+                    until: Duration::MAX,
+                    bytes_left: 9,
+                })
+            },
+            Owner::make_room,
+        ),
+        (
+            "idle for long, for room",
+            |client| client.since = Duration::ZERO,
+            Owner::make_room,
+        ),
+        (
+            "an answer, to limit idle clients",
+            |_| (),
+            Owner::limit_idle_clients,
+        ),
+    ];
+    for (what, prepare, close_some) in cases {
+        for written in [false, true] {
+            let mut owner = owner();
+            owner.config.descriptors.idle_clients = 0;
+            let (conn, _ours, _theirs) = client(&mut owner, 1);
+            client_state(&mut owner, conn).has_sent = true;
+            prepare(client_state(&mut owner, conn));
+            let connection = owner.connections.get_mut(&conn).unwrap();
+            connection.write_buffer = vec![0; 2];
+            connection.written = 1 + usize::from(written);
+            close_some(&mut owner);
+            assert_eq!(
+                owner.connections.contains_key(&conn),
+                !written,
+                "{what}, written completely: {written}"
+            );
+        }
+    }
+}
+
+/// During a shutdown it keeps as many of those that have sent requests as it ever may, and closes the others
+/// for those that come: the one idle the longest first.
+#[test]
+fn a_host_that_shuts_down_makes_room_down_to_the_idle_clients_that_it_may_keep() {
+    for (draining, idle_clients, left) in [
+        (false, 2, vec![]),
+        (true, 2, vec![3, 4]),
+        (true, 9, vec![1, 2, 3, 4]),
+    ] {
+        let mut owner = owner();
+        owner.config.descriptors.idle_clients = idle_clients;
+        owner.draining_since = draining.then(clock::now);
+        let all: Vec<_> = (1..=4).map(|number| client(&mut owner, number)).collect();
+        for (number, (conn, ..)) in (1..).zip(&all) {
+            let client = client_state(&mut owner, *conn);
+            client.has_sent = true;
+            client.since = clock::now() + ms(number);
+        }
+        for _ in 0..9 {
+            owner.make_room();
+        }
+        let open = owner.connections.keys();
+        let open: Vec<u64> = open.map(|conn| conn.0 - LAST_DIALED_CONN).collect();
+        assert_eq!(open, left, "draining: {draining}, may keep {idle_clients}");
+    }
+}
+
+/// A client that waited in the listener's queue for long, and has sent nothing there, makes room as soon as it
+/// is accepted; one that has just connected, or has sent something by then, does not.
+#[test]
+fn a_client_that_was_silent_in_the_queue_is_not_treated_as_a_new_one() {
+    for (waits, sends, stays) in [
+        (true, false, false),
+        (true, true, true),
+        (false, false, true),
+    ] {
+        let mut owner = owner();
+        let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let mut theirs = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
+        if waits {
+            std::thread::sleep(NEW_CLIENT_GRACE * 2);
+        }
+        if sends {
+            theirs.write_all(b"GET ").unwrap();
+        }
+        let (ours, _) = listener.accept().unwrap();
+        let conn = accept(&mut owner, 1, ours.as_raw_fd());
+        owner.make_room();
+        assert_eq!(
+            owner.connections.contains_key(&conn),
+            stays,
+            "waits: {waits}, sends: {sends}"
+        );
+    }
+}
+
+/// Its request has been read, and its end has yet to be processed.
+#[test]
+fn a_first_request_whose_client_has_left_is_not_submitted() {
+    for has_left in [false, true] {
+        let mut owner = owner();
+        let (conn, _ours, theirs) = client_with_request(&mut owner);
+        if has_left {
+            theirs.shutdown(std::net::Shutdown::Both).unwrap();
+        }
+        deliver_request(&mut owner, conn);
+        let inputs = owner.inputs.iter();
+        let submitted = inputs
+            .filter(|input| matches!(input, Input::ClientFrames { .. }))
+            .count();
+        assert_eq!(
+            (submitted, owner.connections.contains_key(&conn)),
+            (usize::from(!has_left), !has_left)
+        );
+    }
+}
+
+/// A list of one node, which listens there.
+fn one_endpoint(address: SocketAddr) -> pb::EndpointUpdate {
+    let endpoint = pb::Endpoint {
+        node: 1,
+        shard: 5,
+        state: pb::NodeState::Ready.into(),
+        address: address.to_string(),
+        ..pb::Endpoint::default()
+    };
+    pb::EndpointUpdate {
+        kind: pb::EndpointUpdateKind::Snapshot.into(),
+        endpoints: vec![endpoint],
+        ..pb::EndpointUpdate::default()
+    }
+}
+
+/// Decided while its client waited; by the time that its connection is up the client has left, and the owner
+/// has yet to process that, behind whatever else it has to process.
+#[test]
+fn no_attempt_is_written_once_its_client_has_left() {
+    type Case = (&'static str, fn(&mut UnixStream), bool);
+    let cases: [Case; 4] = [
+        ("it waits", |_| (), true),
+        (
+            "it has sent more",
+            |client| client.write_all(b"GET /read/").unwrap(),
+            true,
+        ),
+        (
+            "it has left",
+            |client| client.shutdown(std::net::Shutdown::Both).unwrap(),
+            false,
+        ),
+        (
+            "it has sent more and left",
+            |client| {
+                client.write_all(b"GET /read/").unwrap();
+                client.shutdown(std::net::Shutdown::Write).unwrap();
+            },
+            false,
+        ),
+    ];
+    for (what, act, written) in cases {
+        let mut owner = owner();
+        let node = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
+        let list = one_endpoint(node.local_addr().unwrap());
+        owner.inputs.push(Input::CachedEndpoints { list });
+        let (conn, _ours, mut client) = client_with_request(&mut owner);
+        deliver_request(&mut owner, conn);
+        owner.step();
+        assert_eq!(owner.pending_dials.len(), 1, "{what}");
+        let (mut accepted, _) = node.accept().unwrap();
+        act(&mut client);
+        complete_dials(&mut owner);
+        for _ in 0..3 {
+            owner.step();
+        }
+        accepted.set_nonblocking(true).unwrap();
+        assert_eq!(
+            accepted.read(&mut [0; 64]).is_ok_and(|read| read > 0),
+            written,
+            "{what}"
+        );
+        assert_eq!(
+            owner.router.open_work().requests,
+            usize::from(written),
+            "{what}: the request is not open any more"
+        );
+    }
+}
+
+/// What a node sends or ends before an attempt is written is seen, though its reader has not reported it yet.
+#[test]
+fn no_attempt_is_written_to_a_connection_on_which_its_node_has_sent_or_ended() {
+    type Case = (&'static str, fn(&mut UnixStream), bool);
+    let cases: [Case; 3] = [
+        ("nothing", |_| (), true),
+        (
+            "a second answer",
+            |node| node.write_all(b"HTTP/1.1 200 OK\r\n").unwrap(),
+            false,
+        ),
+        (
+            "its end",
+            |node| node.shutdown(std::net::Shutdown::Write).unwrap(),
+            false,
+        ),
+    ];
+    for (what, act, written) in cases {
+        let mut owner = owner();
+        let (ours, mut node) = UnixStream::pair().unwrap();
+        let conn = ConnId(7);
+        let now = clock::now();
+        let role = Role::Node(NodeExchange::Idle);
+        let outbox = owner.add_connection(conn, role, ours.as_raw_fd(), ReadGate::new(), now);
+        act(&mut node);
+        let attempt = Body::Attempt(pb::Attempt {
+            attempt: 1,
+            ..pb::Attempt::default()
+        });
+        outbox.put_attempt(AttemptId(1), frame(attempt, now), now, now + ms(900));
+        owner.flush_all();
+        node.set_nonblocking(true).unwrap();
+        // It stays in the outbox, where the router takes it back.
+        assert_eq!(
+            (
+                node.read(&mut [0; 64]).is_ok_and(|read| read > 0),
+                outbox.is_queued(AttemptId(1))
+            ),
+            (written, !written),
+            "{what}"
+        );
+        assert_eq!(owner.connections.contains_key(&conn), written, "{what}");
+    }
+}
--- /dev/null
+++ b/crates/platform/src/run/reader/tests.rs
@@ -0,0 +1,65 @@
+use super::*;
+use std::io::Write;
+use std::os::unix::net::UnixStream;
+
+/// What a client has sent is never dropped with its idle connection: neither what waits in the socket nor
+/// what its reader has taken and its owner has yet to process. After the close nothing is read any more.
+#[test]
+fn an_idle_connection_closes_only_when_nothing_was_sent_on_it() {
+    struct Case {
+        sends: bool,
+        reads: bool,
+        processes: bool,
+        ends: bool,
+    }
+    let case = |sends, reads, processes, ends| Case {
+        sends,
+        reads,
+        processes,
+        ends,
+    };
+    let mut buffer = [0; READ_SIZE];
+    for Case {
+        sends,
+        reads,
+        processes,
+        ends,
+    } in [
+        case(false, false, false, false),
+        case(true, false, false, false),
+        case(true, true, false, false),
+        case(true, true, true, false),
+        case(false, false, false, true),
+    ] {
+        let (host, mut client) = UnixStream::pair().unwrap();
+        let fd = host.as_raw_fd();
+        let gate = ReadGate::new();
+        if sends {
+            client.write_all(b"hello").unwrap();
+        }
+        if reads {
+            let outcome = gate.read(fd, &mut buffer);
+            assert!(matches!(outcome, ReadOutcome::Bytes(bytes) if bytes == b"hello"));
+        }
+        if processes {
+            gate.consumed(5);
+        }
+        if ends {
+            client.shutdown(std::net::Shutdown::Both).unwrap();
+        }
+        let idle = sends == processes;
+        assert_eq!(gate.is_quiet(fd), idle && !ends);
+        assert_eq!(
+            gate.close_unless_input(fd),
+            idle,
+            "{sends} {reads} {processes} {ends}"
+        );
+        if idle && !ends {
+            client.write_all(b"late").unwrap();
+            assert!(
+                matches!(gate.read(fd, &mut buffer), ReadOutcome::End),
+                "it crosses the close, unread"
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform/src/run/socket.rs
@@ -0,0 +1,89 @@
+//! Questions to the system about a socket, by its descriptor. Nothing here waits or takes bytes away.
+//!
+//! Each caller owns the descriptor that it passes, so its number cannot belong to another socket by then.
+
+use std::io;
+use std::os::fd::RawFd;
+use std::time::Duration;
+
+/// What lies unread in a socket.
+#[derive(Debug, PartialEq)]
+pub(super) enum PendingInput {
+    Nothing,
+    Bytes,
+    /// Its peer has ended it, or it has failed.
+    End,
+}
+
+pub(super) fn pending_input(fd: RawFd) -> PendingInput {
+    let mut one = 0u8;
+    // SAFETY: the pointer is of one live byte; the caller owns the number.
+    let received = unsafe {
+        libc::recv(
+            fd,
+            (&raw mut one).cast(),
+            1,
+            libc::MSG_PEEK | libc::MSG_DONTWAIT,
+        )
+    };
+    match received {
+        1.. => PendingInput::Bytes,
+        0 => PendingInput::End,
+        _ if io::Error::last_os_error().kind() == io::ErrorKind::WouldBlock => {
+            PendingInput::Nothing
+        }
+        _ => PendingInput::End,
+    }
+}
+
+/// Whether its peer has ended it, also behind bytes that are still unread.
+pub(super) fn peer_has_closed(fd: RawFd) -> bool {
+    match pending_input(fd) {
+        PendingInput::Nothing => false,
+        PendingInput::End => true,
+        PendingInput::Bytes => poll_now(fd, libc::POLLRDHUP) & libc::POLLRDHUP != 0,
+    }
+}
+
+/// Whether a connection waits in a listener's queue.
+pub(super) fn has_connection_queued(listener: RawFd) -> bool {
+    poll_now(listener, libc::POLLIN) != 0
+}
+
+/// The events of a socket, of those asked for and of faults, that have happened; zero: none.
+fn poll_now(fd: RawFd, events: libc::c_short) -> libc::c_short {
+    let mut polled = libc::pollfd {
+        fd,
+        events,
+        revents: 0,
+    };
+    // SAFETY: the pointer is of one live record.
+    let ready = unsafe { libc::poll(&raw mut polled, 1, 0) };
+    if ready > 0 {
+        polled.revents
+    } else {
+        0
+    }
+}
+
+/// How long a connection has brought nothing, also while it waited to be accepted: since it came up, if it
+/// never has. Zero where the system does not report it.
+pub(super) fn silent_for(fd: RawFd) -> Duration {
+    // SAFETY: all zero is a value of this plain struct.
+    let mut info: libc::tcp_info = unsafe { std::mem::zeroed() };
+    let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
+    // SAFETY: the pointers are of live values, the length is the first one's; the caller owns the number.
+    let failed = unsafe {
+        libc::getsockopt(
+            fd,
+            libc::IPPROTO_TCP,
+            libc::TCP_INFO,
+            (&raw mut info).cast(),
+            &raw mut length,
+        )
+    };
+    if failed != 0 {
+        return Duration::ZERO;
+    }
+    Duration::from_millis(u64::from(info.tcpi_last_data_recv))
+}
--- /dev/null
+++ b/crates/platform/src/statistics.rs
@@ -0,0 +1,246 @@
+//! One line a second that says what this host received, sent, completed and rejected, and why; at debug level
+//! alone.
+//!
+//! [`StatisticsReporter::line`] composes it, [`StatisticsTable`] reads lines of many hosts back and adds them
+//! up by second: what one host rejects is an accident, what three hundred do is a cause. The names of the
+//! line's fields are those that operators know (docs/operators/platform.md). Memory: one row for each second,
+//! and one count for each cause met in it.
+
+use grebecleat::control::Control;
+use grebecleat::interface::NodeState;
+use grebecleat::rejection_stats::{PaidBy, RejectionCause, RejectionReason, LAST_SUCCESS_STEPS};
+use grebecleat_host::router::Counters;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write;
+
+/// What a line of the log begins with.
+const PREFIX: &str = "account at=";
+/// At most this admission level: a node gets next to nothing.
+const CLOSED_LEVEL: f64 = 0.05;
+/// Below this admission level a node gets little.
+const LOW_LEVEL: f64 = 0.5;
+/// Below this admission level a node gets less than it could.
+const REDUCED_LEVEL: f64 = 0.9;
+/// Below this factor a node's concurrency counts as reduced.
+const REDUCED_CONCURRENCY: f64 = 0.5;
+
+/// The fields of a line that are no causes, in the order of the table.
+const COLUMNS: [&str; 14] = [
+    "taken",
+    "legs",
+    "unsent",
+    "done",
+    "deferred",
+    "abandoned",
+    "turned_away",
+    "withdrawn",
+    "nodes",
+    "shut",
+    "tight",
+    "eased",
+    "cold",
+    "braked",
+];
+
+/// Composes a host's lines: each reports what was counted since the one before.
+#[derive(Debug, Default)]
+pub struct StatisticsReporter {
+    reported: Counters,
+}
+
+fn cause_name(cause: &RejectionCause, class_names: &[String]) -> String {
+    let reason = match cause.reason {
+        RejectionReason::Blocked(block) => format!("{block:?}"),
+        other => format!("{other:?}"),
+    };
+    let payer = match cause.paid_by {
+        PaidBy::Reservation => "reserve",
+        PaidBy::Share => "share",
+        PaidBy::Nothing => "nobody",
+    };
+    let last_success = LAST_SUCCESS_STEPS
+        .get(cause.last_success)
+        .map_or("never".into(), |age| format!("{}ms", age.as_millis()));
+    let class = class_names
+        .get(cause.traffic_class.0)
+        .map_or("?", String::as_str);
+    format!("{reason}/{class}/{payer}/{last_success}")
+}
+
+/// Nodes by how much they are sent.
+#[derive(Default)]
+struct NodeCounts {
+    known: usize,
+    closed: usize,
+    low: usize,
+    reduced: usize,
+    slow_start: usize,
+    reduced_concurrency: usize,
+}
+
+impl NodeCounts {
+    /// Only nodes that this host has sent to: of the others it knows nothing.
+    fn of(control: &Control) -> Self {
+        let mut counts = NodeCounts::default();
+        for node in control.nodes() {
+            if node.state != NodeState::Ready || node.last_sent.is_zero() {
+                continue;
+            }
+            counts.known += 1;
+            let level = node.admission_level;
+            counts.closed += usize::from(level <= CLOSED_LEVEL);
+            counts.low += usize::from(level > CLOSED_LEVEL && level < LOW_LEVEL);
+            counts.reduced += usize::from((LOW_LEVEL..REDUCED_LEVEL).contains(&level));
+            counts.slow_start += usize::from(node.slow_start);
+            counts.reduced_concurrency +=
+                usize::from(node.concurrency_factor < REDUCED_CONCURRENCY);
+        }
+        counts
+    }
+
+    fn write(&self, line: &mut String) {
+        let fields = [
+            ("nodes", self.known),
+            ("shut", self.closed),
+            ("tight", self.low),
+            ("eased", self.reduced),
+            ("cold", self.slow_start),
+            ("braked", self.reduced_concurrency),
+        ];
+        for (name, count) in fields {
+            let _ = write!(line, " {name}={count}");
+        }
+    }
+}
+
+impl StatisticsReporter {
+    /// The line for what was counted since the last one. `second`: of the wall clock, so that the lines of
+    /// several hosts can be laid side by side. `class_names`: of the traffic classes, in the settings' order.
+    pub fn line(
+        &mut self,
+        second: u64,
+        counters: Counters,
+        control: &mut Control,
+        class_names: &[String],
+    ) -> String {
+        let before = std::mem::replace(&mut self.reported, counters);
+        let mut line = format!("{PREFIX}{second}");
+        let fields = [
+            ("taken", counters.received, before.received),
+            ("legs", counters.attempts, before.attempts),
+            ("unsent", counters.unsent, before.unsent),
+            ("done", counters.completed, before.completed),
+            ("deferred", counters.rejected, before.rejected),
+            ("abandoned", counters.failed, before.failed),
+            ("turned_away", counters.refused, before.refused),
+            ("withdrawn", counters.cancelled, before.cancelled),
+        ];
+        for (name, now, before) in fields {
+            let _ = write!(line, " {name}={}", now - before);
+        }
+        NodeCounts::of(control).write(&mut line);
+        for (cause, count) in control.take_rejections() {
+            let _ = write!(line, " {}={count}", cause_name(&cause, class_names));
+        }
+        line
+    }
+}
+
+/// Lines of several hosts, added up by second.
+///
+/// ```
+/// use grebecleat_platform::statistics::StatisticsTable;
+/// let mut table = StatisticsTable::default();
+/// for line in ["x account at=70 taken=4 Ease/read/share/1000ms=3", "account at=70 taken=2", "account at=72"] {
+///     assert!(table.read(line));
+/// }
+/// assert!(!table.read("client: no X-Txn"));
+/// let text = table.format(1, 0);
+/// assert!(text.lines().nth(1).unwrap().starts_with("0 6 "), "{text}");
+/// assert!(text.contains("Ease/read/share/1000ms 3"), "{text}");
+/// ```
+#[derive(Debug, Default)]
+pub struct StatisticsTable {
+    seconds: BTreeMap<u64, BTreeMap<String, u64>>,
+}
+
+/// Sums of the lines, by row and by cause.
+#[derive(Default)]
+struct Sums<'a> {
+    /// By the row's number and the field's name, or the first part of a cause's.
+    rows: BTreeMap<u64, BTreeMap<&'a str, u64>>,
+    causes: BTreeMap<String, u64>,
+}
+
+/// The first parts of a cause's name; zero: all of them.
+fn cause_group(name: &str, parts: usize) -> String {
+    if parts == 0 {
+        return name.to_string();
+    }
+    let group: Vec<&str> = name.splitn(parts + 1, '/').take(parts).collect();
+    group.join("/")
+}
+
+impl StatisticsTable {
+    /// Adds a line of a log; whether it was one of statistics.
+    pub fn read(&mut self, line: &str) -> bool {
+        let Some(at) = line.find(PREFIX) else {
+            return false;
+        };
+        let mut fields = line[at + PREFIX.len()..].split(' ');
+        let Some(second) = fields.next().and_then(|text| text.trim().parse().ok()) else {
+            return false;
+        };
+        let row: &mut BTreeMap<String, u64> = self.seconds.entry(second).or_default();
+        for (name, count) in fields.filter_map(|field| field.trim().split_once('=')) {
+            *row.entry(name.to_string()).or_default() += count.parse().unwrap_or(0);
+        }
+        true
+    }
+
+    /// A row for each `every` seconds from the first one, then the causes, by the first `parts` parts of their
+    /// names (zero: all of them), the most frequent first.
+    pub fn format(&self, every: u64, parts: usize) -> String {
+        let every = every.max(1);
+        let sums = self.sums(every, parts);
+        let mut reasons = BTreeSet::new();
+        for row in sums.rows.values() {
+            reasons.extend(row.keys().copied().filter(|name| !COLUMNS.contains(name)));
+        }
+        let columns: Vec<&str> = COLUMNS.into_iter().chain(reasons).collect();
+        let mut text = format!("second {}\n", columns.join(" "));
+        for (number, row) in &sums.rows {
+            let _ = write!(text, "{}", number * every);
+            for column in &columns {
+                let count = row.get(column).copied().unwrap_or(0);
+                let _ = write!(text, " {count}");
+            }
+            text.push('\n');
+        }
+        let causes = sums.causes.into_iter();
+        let mut causes: Vec<(u64, String)> = causes.map(|(name, count)| (count, name)).collect();
+        causes.sort_unstable_by(|a, b| b.cmp(a));
+        for (count, name) in causes {
+            let _ = writeln!(text, "{name} {count}");
+        }
+        text
+    }
+
+    fn sums(&self, every: u64, parts: usize) -> Sums<'_> {
+        let first = self.seconds.keys().next().copied().unwrap_or_default();
+        let mut sums = Sums::default();
+        for (second, fields) in &self.seconds {
+            let row = sums.rows.entry((second - first) / every).or_default();
+            for (name, count) in fields {
+                if COLUMNS.contains(&name.as_str()) {
+                    *row.entry(name).or_default() += count;
+                    continue;
+                }
+                let reason = name.split('/').next().unwrap_or_default();
+                *row.entry(reason).or_default() += count;
+                *sums.causes.entry(cause_group(name, parts)).or_default() += count;
+            }
+        }
+        sums
+    }
+}
--- a/crates/platform/tests/http.rs
+++ b/crates/platform/tests/http.rs
@@ -1,6 +1,6 @@
-//! Any bytes give a message, a fault or 'more', never a panic; and where a stream is cut changes nothing.
+//! Any bytes give a message, an error or 'more must come', never a panic; where a stream is cut changes nothing.
 
-use grebecleat_platform::discovery::Names;
+use grebecleat_platform::discovery::EndpointNames;
 use grebecleat_platform::http::{request, response, MAX_BODY, MAX_HEAD};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -18,11 +18,13 @@
 ];
 
 #[test]
-fn a_message_is_the_same_wherever_its_stream_is_cut() {
+fn a_message_is_read_alike_wherever_its_stream_is_cut() {
     for text in REQUESTS {
         let bytes = text.as_bytes();
-        (0..bytes.len())
-            .for_each(|n| assert!(matches!(request(&bytes[..n]), Ok(None)), "{text} at {n}"));
+        for end in 0..bytes.len() {
+            let parsed = request(&bytes[..end]);
+            assert!(matches!(parsed, Ok(None)), "{text} at {end}");
+        }
         assert_eq!(request(bytes).unwrap().unwrap().1, bytes.len(), "{text}");
         let twice = [bytes, bytes].concat();
         assert_eq!(
@@ -33,16 +35,18 @@
     }
     for text in RESPONSES {
         let bytes = text.as_bytes();
-        (0..bytes.len())
-            .for_each(|n| assert!(matches!(response(&bytes[..n]), Ok(None)), "{text} at {n}"));
+        for end in 0..bytes.len() {
+            let parsed = response(&bytes[..end]);
+            assert!(matches!(parsed, Ok(None)), "{text} at {end}");
+        }
         assert_eq!(response(bytes).unwrap().unwrap().1, bytes.len(), "{text}");
     }
 }
 
 #[test]
-fn no_bytes_make_it_panic_and_what_is_taken_is_bounded() {
+fn no_bytes_cause_a_panic_and_what_is_read_is_bounded() {
     let mut rng = Pcg64Mcg::seed_from_u64(11);
-    let bits: [&[u8]; 8] = [
+    let fragments: [&[u8]; 8] = [
         b"\r\n",
         b"\r",
         b"\n\n",
@@ -53,8 +57,12 @@
         b" ",
     ];
     for _ in 0..60_000 {
-        let of = rng.random_range(0..REQUESTS.len() + RESPONSES.len());
-        let text = REQUESTS.iter().chain(&RESPONSES).nth(of).expect("within");
+        let index = rng.random_range(0..REQUESTS.len() + RESPONSES.len());
+        let text = REQUESTS
+            .iter()
+            .chain(&RESPONSES)
+            .nth(index)
+            .expect("within");
         let mut bytes = text.as_bytes().to_vec();
         for _ in 0..rng.random_range(1..5) {
             let at = rng.random_range(0..=bytes.len());
@@ -64,23 +72,25 @@
                 _ => {
                     _ = bytes.splice(
                         at..at,
-                        bits[rng.random_range(0..bits.len())].iter().copied(),
+                        fragments[rng.random_range(0..fragments.len())]
+                            .iter()
+                            .copied(),
                     )
                 }
             }
         }
-        if let Ok(Some((r, used))) = request(&bytes) {
-            assert!(used <= bytes.len() && r.body.len() <= MAX_BODY);
+        if let Ok(Some((parsed, used))) = request(&bytes) {
+            assert!(used <= bytes.len() && parsed.body.len() <= MAX_BODY);
         }
         if let Ok(Some((_, used))) = response(&bytes) {
             assert!(used <= bytes.len());
         }
-        let _ = Names::default().read(&bytes, 0.0);
+        let _ = EndpointNames::default().read(&bytes, 0.0);
     }
 }
 
 #[test]
-fn what_has_no_end_is_a_fault_in_the_end() {
+fn a_message_without_end_is_an_error() {
     let head = [b"GET / HTTP/1.1\r\nA: ".to_vec(), vec![b'x'; MAX_HEAD]].concat();
     assert_eq!(request(&head).unwrap_err().status, 431);
     let many = format!("GET / HTTP/1.1\r\n{}\r\n", "A: b\r\n".repeat(200));
--- a/crates/platform/tests/renewal.rs
+++ b/crates/platform/tests/renewal.rs
@@ -6,8 +6,8 @@
 use grebecleat::interface::PeerId;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
-use grebecleat_platform::calls::{self, Action, Calls};
-use grebecleat_platform::config::{Config, SILENCE};
+use grebecleat_platform::config::{Config, DISCOVERY_TERM};
+use grebecleat_platform::discovery_calls::{Call, DiscoveryCalls, Event, CALL_TIMEOUT};
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
 use rand::{Rng, SeedableRng};
@@ -133,7 +133,7 @@
 struct Link {
     conn: u64,
     outbox: Arc<Outbox>,
-    calls: Calls,
+    calls: DiscoveryCalls,
 }
 
 struct Host {
@@ -236,7 +236,7 @@
         let router =
             RequestRouter::new(settings.clone(), self.rng.random()).with_exclusive_connections();
         let router = if self.bounded {
-            router.with_poll_deadline(SILENCE, calls::ANSWER)
+            router.with_poll_deadline(DISCOVERY_TERM, CALL_TIMEOUT)
         } else {
             router
         };
@@ -283,12 +283,12 @@
                 let first = if self.bounded {
                     settings.bounds.patience
                 } else {
-                    calls::ANSWER
+                    CALL_TIMEOUT
                 };
                 let link = Link {
                     conn,
                     outbox: outbox.clone(),
-                    calls: Calls::new(first),
+                    calls: DiscoveryCalls::new(first),
                 };
                 self.hosts[host].link = Some(link);
                 self.step(
@@ -332,7 +332,7 @@
                 let link = self.hosts[host].link.as_mut().expect("looked up above");
                 let call = link
                     .calls
-                    .step(self.now, SILENCE, calls::Event::Told { revision });
+                    .step(self.now, DISCOVERY_TERM, Event::Answered { revision });
                 self.call(host, conn, call);
                 self.step(
                     host,
@@ -347,7 +347,7 @@
                     .link
                     .as_ref()
                     .filter(|l| l.conn == conn)
-                    .and_then(|l| l.calls.by());
+                    .and_then(|l| l.calls.answer_by());
                 if by.is_some_and(|by| self.now >= by) {
                     self.loses(host, conn);
                 }
@@ -412,7 +412,7 @@
                 if let Body::Watch(w) = body {
                     let asked = link
                         .calls
-                        .step(now, SILENCE, calls::Event::Watch { on: w.on });
+                        .step(now, DISCOVERY_TERM, Event::Watch { on: w.on });
                     call = call.or(asked);
                 }
             }
@@ -429,19 +429,19 @@
     }
 
     /// The list is called.
-    fn call(&mut self, host: usize, conn: u64, call: Option<Action>) {
+    fn call(&mut self, host: usize, conn: u64, call: Option<Call>) {
         let Some(call) = call else { return };
         self.calls.push(self.now);
         let by = self.hosts[host]
             .link
             .as_ref()
-            .and_then(|l| l.calls.by())
+            .and_then(|l| l.calls.answer_by())
             .unwrap_or(self.now);
         let late = SWEEP.mul_f64(self.rng.random());
         self.at(by + late, host, What::Sweep { conn });
         // The desk ends a call on a new connection a span after its dial.
-        let dialled = self.hosts[host].began + calls::ANSWER;
-        let by = if self.bounded && call == Action::Whole {
+        let dialled = self.hosts[host].began + CALL_TIMEOUT;
+        let by = if self.bounded && call == Call::Complete {
             by.min(dialled)
         } else {
             by
@@ -487,7 +487,7 @@
         }
         self.free = begins + self.w.cost;
         match call {
-            Action::Newer { revision, wait } if revision >= self.revision => {
+            Call::Newer { revision, wait } if revision >= self.revision => {
                 let until = self.free + wait;
                 let open_at = |at: Duration| self.now < at && at <= until;
                 let silent = self.w.silent_at.is_some_and(|at| open_at(BEGIN + at));
@@ -563,11 +563,11 @@
             vain: later.len() - self.heard,
             busiest: later.iter().step_by(7).map(second).max().unwrap_or(0),
             slowest: all.iter().copied().max().unwrap_or_default(),
-            late: all.iter().filter(|t| **t > SILENCE).count(),
+            late: all.iter().filter(|t| **t > DISCOVERY_TERM).count(),
             unexcused: self
                 .hosts
                 .iter()
-                .filter(|h| took(h) > SILENCE && h.failed <= 1)
+                .filter(|h| took(h) > DISCOVERY_TERM && h.failed <= 1)
                 .count(),
         }
     }
@@ -720,7 +720,7 @@
         "calls in vain, before and after: {vain:?}"
     );
     assert!(
-        slowest > SILENCE - ms(400),
+        slowest > DISCOVERY_TERM - ms(400),
         "it is not made as bad as it can be: {slowest:?}"
     );
     assert!(unguarded > 100, "{unguarded} hosts too late without it");
