--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,9 +1,9 @@
 //! A client's exchange and the request it asks for. Pure functions.
 //!
-//! [`RequestParser::parse`] turns a complete HTTP request into a request for the router, or says what is wrong
-//! with it; [`put_final`] turns a final answer into a response. What cannot be understood, or does not exist, is
-//! answered here and never becomes a request, so nothing of it can reach a node. Called by the owner's
-//! `client_conn` and `writer`.
+//! [`RequestParser::parse`] turns a complete HTTP request into a request for the router, or says
+//! what is wrong with it; [`put_final`] turns a final answer into a response. What cannot be
+//! understood, or does not exist, is answered here and never becomes a request, so nothing of it
+//! can reach a node. Called by the owner's `client_conn` and `writer`.
 
 mod fields;
 
@@ -187,7 +187,8 @@
     head
 }
 
-/// Appends a final answer, as the client reads it. A failed request must not read as a rejected one.
+/// Appends a final answer, as the client reads it. A failed request must not read as a rejected
+/// one.
 pub fn put_final(to: &mut Vec<u8>, response: &pb::Response, keep_alive: bool) {
     match response.outcome() {
         pb::Outcome::Completed => http::put_response(to, 200, "", keep_alive, &response.data),
--- a/crates/platform/src/clients/fields.rs
+++ b/crates/platform/src/clients/fields.rs
@@ -1,8 +1,9 @@
 //! The parts of a client's request: names, numbers and the placement header. Pure functions.
 
-/// The position of the name that a client sent among the settings'. Settings may have been through the
-/// simulator's wire, where spaces and commas are rewritten: that counts only where no name matches as it
-/// stands. The other `readings` are looked at only where it is none of the names letter by letter.
+/// The position of the name that a client sent among the settings'. Settings may have been through
+/// the simulator's wire, where spaces and commas are rewritten: that counts only where no name
+/// matches as it stands. The other `readings` are looked at only where it is none of the names
+/// letter by letter.
 pub(super) fn position<'n>(
     names: impl Iterator<Item = &'n str> + Clone,
     sent: &[u8],
--- a/crates/platform/src/clients/tests.rs
+++ b/crates/platform/src/clients/tests.rs
@@ -44,9 +44,8 @@
             Idempotency-Key: k1\r\nContent-Length: 2\r\n";
     assert_eq!(submit.piece, head);
     // Its time is up: for the decisions, not a fault.
-    assert!(
-        matches!(read(&GOOD.replace("480", "0")), Ok(ClientRequest::Submit { submit, .. }) if submit.left_us == 0)
-    );
+    let expired = read(&GOOD.replace("480", "0"));
+    assert!(matches!(expired, Ok(ClientRequest::Submit { submit, .. }) if submit.left_us == 0));
     let new = GOOD.replace("shard=5", "shard=-1");
     assert!(
         matches!(read(&new), Ok(ClientRequest::Submit { submit, .. }) if submit.shard.is_none())
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,9 +1,10 @@
 //! What the platform passes to a host at its start: a variable, and the file that it names.
 //!
-//! Begin with [`Config::read`]. The settings are the object that the users' bench gives its adapter; they are
-//! flattened to the bench's pairs (`document`) and read by the adapter's own reader (`settings`), so that no
-//! default can differ between the two. What is not there (names, waits, limits of this process) is read here,
-//! and a file is taken completely or not at all. An error names the file, the path in it, and what is wrong.
+//! Begin with [`Config::read`]. The settings are the object that the users' bench gives its
+//! adapter; they are flattened to the bench's pairs (`document`) and read by the adapter's own
+//! reader (`settings`), so that no default can differ between the two. What is not there (names,
+//! waits, limits of this process) is read here, and a file is taken completely or not at all. An
+//! error names the file, the path in it, and what is wrong.
 
 mod document;
 mod error;
@@ -18,23 +19,25 @@
 use serde_json::Value;
 use settings::{read_settings, Process};
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
 /// The variable that names the configuration's file.
 const FILE_VARIABLE: &str = "LB_CONFIG";
 /// Megabytes of memory that the platform may allow a host.
-const MEMORY_RANGE_MB: (u64, u64) = (8, 1 << 24);
+const MEMORY_RANGE_MB: RangeInclusive<u64> = 8..=1 << 24;
 /// Descriptors that the platform may allow a host.
-const SOCKETS_RANGE: (u64, u64) = (48, 1 << 20);
+const SOCKETS_RANGE: RangeInclusive<u64> = 48..=1 << 20;
 
-/// Descriptors for what is neither a client's nor a node's: standard streams, the runtime's, the signals',
-/// the listener, discovery's old and new connection.
+/// Descriptors for what is neither a client's nor a node's: standard streams, the runtime's, the
+/// signals', the listener, discovery's old and new connection.
 const RESERVED_DESCRIPTORS: usize = 24;
 /// Of the rest, the fraction that clients may take.
 const CLIENTS_FRACTION: f64 = 0.55;
-/// One in so many of all is for clients that have sent requests and keep their connections: the platform lets
-/// them keep a third, and a client that has sent one and stays for good takes the place of one that would send.
+/// One in so many of all is for clients that have sent requests and leave their connections open:
+/// the platform allows them a third, and a client that has sent one and stays for good takes the
+/// place of one that would send.
 const IDLE_CLIENTS_DIVISOR: usize = 5;
 
 /// How the file's descriptors are shared out.
@@ -44,7 +47,8 @@
     pub clients: usize,
     /// Nodes' connections at most.
     pub nodes: usize,
-    /// Of the clients', those that have sent requests; past that the one idle the longest is closed.
+    /// Of the clients', those that have sent requests; past that the one idle the longest is
+    /// closed.
     pub idle_clients: usize,
 }
 
@@ -53,7 +57,8 @@
     ///
     /// ```
     /// use grebecleat_platform::config::Descriptors;
-    /// assert_eq!(Descriptors::of(256), Descriptors { clients: 127, nodes: 105, idle_clients: 51 });
+    /// let shared = Descriptors { clients: 127, nodes: 105, idle_clients: 51 };
+    /// assert_eq!(Descriptors::of(256), shared);
     /// ```
     pub fn of(sockets: usize) -> Self {
         let shared = sockets.saturating_sub(RESERVED_DESCRIPTORS).max(2);
--- a/crates/platform/src/config/document.rs
+++ b/crates/platform/src/config/document.rs
@@ -3,6 +3,7 @@
 use super::error::{ConfigError, ValueError};
 use serde_json::Value;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::Path;
 
 /// A path and the value there, as the bench writes them.
@@ -100,8 +101,12 @@
     }
 
     /// The number at a path, its fraction cut off; both ends of the range count.
-    pub(super) fn number(&self, path: &[&str], range: (u64, u64)) -> Result<u64, ConfigError> {
-        let (least, most) = range;
+    pub(super) fn number(
+        &self,
+        path: &[&str],
+        range: RangeInclusive<u64>,
+    ) -> Result<u64, ConfigError> {
+        let (least, most) = (*range.start(), *range.end());
         let mut value = Some(&self.root);
         for name in path {
             value = value.and_then(|value| value.get(name));
--- a/crates/platform/src/config/settings.rs
+++ b/crates/platform/src/config/settings.rs
@@ -1,4 +1,5 @@
-//! The platform's settings, as the host's own. Pure functions; called by [`super::Config::read`] alone.
+//! The platform's settings, as the host's own. Pure functions; called by [`super::Config::read`]
+//! alone.
 
 use super::error::SettingsError;
 use super::{ClassProtocol, Descriptors};
@@ -11,7 +12,8 @@
 
 /// Subtracted from every deadline: for our own queue, for the write, and for the way to the client.
 const ANSWER_MARGIN: Duration = Duration::from_millis(12);
-/// A connection is closed so long before its node would, since an attempt that crosses that close is reset.
+/// A connection is closed so long before its node would, since an attempt that crosses that close
+/// is reset.
 const IDLE_MARGIN: Duration = Duration::from_millis(1000);
 /// How long a node leaves an idle connection open, where the settings do not say.
 const DEFAULT_NODE_IDLE: Duration = Duration::from_secs(10);
@@ -27,8 +29,8 @@
 const PATIENCE: Duration = Duration::from_millis(2000);
 /// Bytes of one frame; and of what a client leaves unread.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
-/// Whatever the settings say of polling, what a silent discovery misses is known within this: watches and
-/// waits after failed calls are reckoned from no more.
+/// Whatever the settings say of polling, what a silent discovery misses is known within this:
+/// watches and waits after failed calls are reckoned from no more.
 pub const DISCOVERY_TERM: Duration = Duration::from_millis(6000);
 
 /// What the settings are completed with.
@@ -66,6 +68,7 @@
     }
 }
 
+/// Errors are looked for in the order of this function; the first one is reported.
 pub(super) fn read_settings(
     process: &Process,
     pairs: &Pairs,
@@ -81,7 +84,6 @@
             return Err(SettingsError::Empty { list });
         }
     }
-    // Read in this order, so that of several faults the same one is reported.
     let dial_timeout = pairs.time("caps.dial-timeout-ms").map_err(bench_error)?;
     let dial_timeout = default_if_zero(dial_timeout, DEFAULT_DIAL_TIMEOUT);
     let (protocols, streams) = read_classes(pairs, classes, dial_timeout)?;
@@ -90,14 +92,10 @@
     if units.largest <= 0.0 || units.mean <= 0.0 {
         return Err(SettingsError::NoUnits);
     }
-    let max_open = pairs.count("caps.max-open").map_err(bench_error)?;
-    let node_idle = pairs.time("caps.conn-idle-ms").map_err(bench_error)?;
-    let caps = Caps {
-        dial_timeout,
-        max_open: if max_open == 0 { usize::MAX } else { max_open },
-        node_idle: default_if_zero(node_idle, DEFAULT_NODE_IDLE),
-    };
+    let caps = read_caps(pairs, dial_timeout)?;
     let rules = read_rules(pairs)?;
+    let rule = discovery_policy(pairs)?;
+    let host_limits = bench::host_limits(pairs).map_err(bench_error)?;
     let settings = Settings {
         name: process.name.to_string(),
         zones: pairs.word("zones").split(',').map(String::from).collect(),
@@ -112,14 +110,14 @@
         }],
         list: ListSpec {
             address: Some(process.discovery),
-            rule: discovery_policy(pairs)?,
+            rule,
             lag: Duration::ZERO,
             fails: 0.0,
         },
         state: None,
         fleet: None,
         units,
-        host_limits: bench::host_limits(pairs).map_err(bench_error)?,
+        host_limits,
         rules,
         bounds: bounds(process, &caps),
         portals: Vec::new(),
@@ -132,6 +130,16 @@
     })
 }
 
+fn read_caps(pairs: &Pairs, dial_timeout: Duration) -> Result<Caps, SettingsError> {
+    let max_open = pairs.count("caps.max-open").map_err(bench_error)?;
+    let node_idle = pairs.time("caps.conn-idle-ms").map_err(bench_error)?;
+    Ok(Caps {
+        dial_timeout,
+        max_open: if max_open == 0 { usize::MAX } else { max_open },
+        node_idle: default_if_zero(node_idle, DEFAULT_NODE_IDLE),
+    })
+}
+
 fn read_classes(
     pairs: &Pairs,
     classes: Vec<TrafficClass>,
@@ -140,8 +148,8 @@
     let writes: Vec<&str> = pairs.word("family-info.writes").split(',').collect();
     let mut protocols = Vec::new();
     let mut streams = Vec::new();
-    // An attempt that follows one that may have run must have crossed while that one is remembered, and it may
-    // wait for its connection after it was decided.
+    // An attempt that follows one that may have run must have crossed while that one is remembered,
+    // and it may wait for its connection after it was decided.
     let crossing = dial_timeout.max(MAX_DISPATCH_DELAY) + CROSSING_MARGIN;
     for (index, mut facts) in classes.into_iter().enumerate() {
         if let Idempotency::WithKey { window, .. } = &mut facts.idempotency {
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -10,19 +10,24 @@
 /// A configuration with all that a host needs.
 pub(crate) fn complete() -> Value {
     json!({
-        "name": "n3", "listen": "127.0.0.4:3000", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
+        "name": "n3", "listen": "127.0.0.4:3000", "discovery": "127.0.0.1:8500",
+        "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
         "known": {"rev": 1, "all": true, "targets": []},
         "settings": {
             "balancers": 4, "registry-mode": "on_request", "zones": ["a"],
-            "caps": {"max-attempts": 3, "retry-after": true, "max-retry-after-ms": 500, "conn-idle-ms": 30000.0},
+            "caps": {"max-attempts": 3, "retry-after": true, "max-retry-after-ms": 500,
+                     "conn-idle-ms": 30000.0},
             "family-info": {"largest": 6, "mean-units": 2.1, "writes": [false, true]},
             "profiles": [
-                {"name": "read", "objective-ms": 200, "deadline-ms": 1200, "idempotency": "free", "worth": 3},
+                {"name": "read", "objective-ms": 200, "deadline-ms": 1200, "idempotency": "free",
+                 "worth": 3},
                 {"name": "row", "objective-ms": 200, "deadline-ms": 1000, "idempotency": "guarded",
                  "key-scope": "cell", "dedup-window-ms": 1500, "worth": 3}],
-            "plans": [{"name": "basic", "base-rate": 5, "guaranteed": 0, "proportion": 1, "price": 1}],
-            "rules": {"answer-slack-ms": 60.0, "ask-every-ms": 9000, "extra-floor": 3, "further-ratio": 0.25,
+            "plans": [{"name": "basic", "base-rate": 5, "guaranteed": 0, "proportion": 1,
+                       "price": 1}],
+            "rules": {"answer-slack-ms": 60.0, "ask-every-ms": 9000, "extra-floor": 3,
+                      "further-ratio": 0.25,
                       "extra-window-ms": 5000, "cold-from": 0.2, "cold-ms": 9000}
         }
     })
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,8 +1,10 @@
-//! The platform's list of nodes, as the host's endpoint updates, and the numbers that stand for its names.
+//! The platform's list of nodes, as the host's endpoint updates, and the numbers that stand for its
+//! names.
 //!
-//! Begin with [`EndpointNames::read`], called by the owner for each answer of discovery. The host's decisions
-//! know nodes and zones by number; a name has the same number as long as this process runs. Memory: one name
-//! for each node that was ever listed, [`MAX_NAMES`] at most; entries with further names are not read.
+//! Begin with [`EndpointNames::read`], called by the owner for each answer of discovery. The host's
+//! decisions know nodes and zones by number; a name has the same number as long as this process
+//! runs. Memory: one name for each node that was ever listed, `MAX_NAMES` at most; entries with
+//! further names are not read.
 
 use crate::discovery_calls::Call;
 use crate::http::HttpError;
@@ -94,10 +96,11 @@
 }
 
 impl EndpointNames {
-    /// Reads a list or its changes. `unix_ms` is the wall clock, by which the list says when nodes started.
+    /// Reads a list or its changes. `unix_ms` is the wall clock, by which the list says when nodes
+    /// started.
     ///
-    /// A complete list with an entry that cannot be read counts as changes, or the node behind that entry would
-    /// pass for gone. Errors: see [`DiscoveryError`].
+    /// A complete list with an entry that cannot be read counts as changes, or the node behind that
+    /// entry would pass for gone. Errors: see [`DiscoveryError`].
     pub fn read(&mut self, body: &[u8], unix_ms: f64) -> Result<ReadEndpoints, DiscoveryError> {
         let document: ListDocument = serde_json::from_slice(body)?;
         let count = document.targets.len();
--- a/crates/platform/src/discovery/tests.rs
+++ b/crates/platform/src/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-const ONE: &str = r#"{"uid":"a","endpoint":"127.0.0.1:9","az":"x","model":"m","pod_group":3,"state":"ready",
-        "capacity_hint":1.0,"boot_ms":0}"#;
+const ONE: &str = r#"{"uid":"a","endpoint":"127.0.0.1:9","az":"x","model":"m","pod_group":3,
+        "state":"ready","capacity_hint":1.0,"boot_ms":0}"#;
 
 fn list(all: bool, targets: &[&str]) -> Vec<u8> {
     format!(
--- a/crates/platform/src/discovery_calls.rs
+++ b/crates/platform/src/discovery_calls.rs
@@ -1,15 +1,16 @@
-//! The calls on one connection to discovery, one after the other: which comes next, and how long it may take.
+//! The calls on one connection to discovery, one after the other: which comes next, and how long it
+//! may take.
 //!
-//! State machine: [`DiscoveryCalls::step`] takes what is wanted or was answered and returns the call to write
-//! now, if any. No I/O and no clock. When discovery is called anew after a failure is not decided here, but by
-//! the decisions and `grebecleat_host::poll_deadline`.
+//! State machine: [`DiscoveryCalls::step`] takes what is wanted or was answered and returns the
+//! call to write now, if any. No I/O and no clock. When discovery is called anew after a failure is
+//! not decided here, but by the decisions and `grebecleat_host::poll_deadline`.
 
 use std::time::Duration;
 
 /// The least that a call for changes may wait at discovery.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// The most that it may wait there. A watch that falls silent is found by this and [`CALL_TIMEOUT`] alone, and
-/// what it has missed is known soon after. Harm: more calls, mostly empty.
+/// The most that it may wait there. A watch that falls silent is found by this and [`CALL_TIMEOUT`]
+/// alone, and what it has missed is known soon after. Harm: more calls, mostly empty.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
 /// What a call may take beyond its wait there; of one on a new connection, its dial included.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
@@ -58,8 +59,8 @@
 }
 
 impl DiscoveryCalls {
-    /// `first_timeout`: what the first call may take at most; the router, which knows when it dialled, may end
-    /// it sooner.
+    /// `first_timeout`: what the first call may take at most; the router, which knows when it
+    /// dialled, may end it sooner.
     pub fn new(first_timeout: Duration) -> Self {
         DiscoveryCalls {
             complete_timeout: first_timeout,
@@ -100,8 +101,8 @@
         Some(Call::Newer { revision, wait })
     }
 
-    /// Revisions only grow; one that does not is of a service that has lost its own, and what has changed since
-    /// cannot be known from it: the next call is for the complete list.
+    /// Revisions only grow; one that does not is of a service that has lost its own, and what has
+    /// changed since cannot be known from it: the next call is for the complete list.
     fn answered(&mut self, revision: u64) {
         let went_back = self.revision.is_some_and(|known| revision < known);
         self.answer_by = None;
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,9 +1,10 @@
 //! HTTP/1.1 heads and bodies, in both directions: pure functions on bytes.
 //!
-//! Begin with [`request`] and [`response`]: each is given all that has come so far and returns a complete
-//! message and its length, nothing (more must come), or an error, after which the connection is of no further
-//! use. What two readers of one stream could take differently (both lengths, repeated or signed ones) is an
-//! error, since it may hide a second message (request smuggling). No state; heads and bodies are bounded.
+//! Begin with [`request`] and [`response`]: each is given all that has come so far and returns a
+//! complete message and its length, nothing (more must come), or an error, after which the
+//! connection is of no further use. What two readers of one stream could take differently (both
+//! lengths, repeated or signed ones) is an error, since it may hide a second message (request
+//! smuggling). No state; heads and bodies are bounded.
 
 use std::borrow::Cow;
 use std::io::Write;
@@ -12,7 +13,8 @@
 pub const MAX_HEAD: usize = 16 << 10;
 /// Bytes of a request's body at most.
 pub const MAX_BODY: usize = 64 << 10;
-/// Bytes of an answer's body at most: nodes were seen to give 200 KB, and what is dropped here has run in vain.
+/// Bytes of an answer's body at most: nodes were seen to give 200 KB, and what is dropped here has
+/// run in vain.
 pub const MAX_ANSWER: usize = 512 << 10;
 /// Headers of one head at most.
 const MAX_HEADERS: usize = 64;
@@ -20,7 +22,8 @@
 const MAX_TRAILER_HEADERS: usize = 8;
 /// Interim heads before an answer.
 const MAX_INTERIM: usize = 8;
-/// Bytes that a chunked body may take for its sizes and line ends; and one size line or trailer at most.
+/// Bytes that a chunked body may take for its sizes and line ends; and one size line or trailer at
+/// most.
 const CHUNK_OVERHEAD: usize = 4 << 10;
 /// Digits of a length at most.
 const MAX_LENGTH_DIGITS: usize = 18;
@@ -229,7 +232,8 @@
 ///     ("PUT", "/a/1", &b"hi"[..], message.len(), true)
 /// );
 /// assert!((0..message.len()).all(|n| request(&message[..n]).unwrap().is_none()));
-/// assert_eq!(request(b"PUT /a HTTP/1.1\r\nContent-Length: +2\r\n\r\nhi").unwrap_err().status, 400);
+/// let signed_length = b"PUT /a HTTP/1.1\r\nContent-Length: +2\r\n\r\nhi";
+/// assert_eq!(request(signed_length).unwrap_err().status, 400);
 /// ```
 pub fn request(bytes: &[u8]) -> Result<Parsed<Request<'_>>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -277,7 +281,8 @@
 ///
 /// ```
 /// use grebecleat_platform::http::response;
-/// let bytes = b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhiHTTP/1.1 2";
+/// let bytes = b"HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi\
+///     HTTP/1.1 2";
 /// let (parsed, used) = response(bytes).unwrap().unwrap();
 /// assert_eq!((parsed.status, &*parsed.body, bytes.len() - used), (200, &b"hi"[..], 10));
 /// assert!(response(b"HTTP/1.1 200 OK\r\n\r\nhi").is_err());
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -1,15 +1,17 @@
 //! The running host on the platform: its sockets, and the loop of the one owner of all state.
 //!
-//! Called by the command line. One thread owns the host's `RequestRouter` and every connection's state
-//! (`owner`). Each connection has one `may` coroutine (`reader`), which reads and reports what came; complete
-//! messages are parsed by the owner, and what the router puts into an outbox is written by the owner at once,
-//! without waiting. `listener` accepts clients; `socket` asks the system about a socket.
+//! Called by the command line. One thread owns the host's `RequestRouter` and every connection's
+//! state (`owner`). Each connection has one `may` coroutine (`reader`), which reads and reports
+//! what came; complete messages are parsed by the owner, and what the router puts into an outbox is
+//! written by the owner at once, without waiting. `listener` accepts clients; `socket` asks the
+//! system about a socket.
 //!
-//! Bounds. Descriptors: [`crate::config::Descriptors`], clients and nodes apart, each counted until its socket
-//! is closed, and discovery's set aside from both: when one part is used up, the others keep theirs. How long
-//! a client with a request may wait for a slot: see `owner/eviction.rs`. Memory of a connection: its
-//! coroutine's stack, one message read, what is being written, and what its reader is ahead (`reader`). Times:
-//! no `may` timer is used; the owner's sweep closes what is slow, silent or idle.
+//! Bounds. Descriptors: [`crate::config::Descriptors`], clients and nodes apart, each counted until
+//! its socket is closed, and discovery's set aside from both: when one part is used up, the others
+//! are not touched. How long a client with a request may wait for a slot: see `owner/eviction.rs`.
+//! Memory of a connection: its coroutine's stack, one message read, what is being written, and what
+//! its reader is ahead (`reader`). Times: no `may` timer is used; the owner's sweep closes what is
+//! slow, silent or idle.
 
 mod client_ids;
 mod connection;
@@ -34,8 +36,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Coroutine stacks kept for connections to come. `may` makes a thousand at the start and touches each, which
-/// was 8 of the 10 MB that an idle host had; what is needed beyond these is made when it is needed.
+/// Coroutine stacks kept for connections to come. `may` makes a thousand at the start and touches
+/// each, which was 8 of the 10 MB that an idle host had; what is needed beyond these is made when
+/// it is needed.
 const SPARE_STACKS: usize = 32;
 /// Size of a coroutine's stack in words of eight bytes. Only a read and a send happen on it.
 const STACK_WORDS: usize = 4 << 10;
@@ -80,8 +83,8 @@
         .set_workers(1)
         .set_stack_size(STACK_WORDS)
         .set_timeout_ns(POLL_INTERVAL.as_nanos() as u64);
-    // Its one worker would be bound to the first core, as that of every other host on the machine: what keeps
-    // that core busy keeps all of them from reading, whatever the other cores do.
+    // Its one worker would be bound to the first core, as that of every other host on the machine:
+    // what keeps that core busy keeps all of them from reading, whatever the other cores do.
     may::config()
         .set_pool_capacity(SPARE_STACKS)
         .set_worker_pin(false);
--- a/crates/platform/src/run/client_ids.rs
+++ b/crates/platform/src/run/client_ids.rs
@@ -1,7 +1,8 @@
 //! Which ids of clients' requests are taken.
 //!
-//! A client's id is free once nothing of its request is out: until then a node could meet the id of an
-//! attempt that it has, and take it for a second copy. Bound: the open requests and the attempts that are out.
+//! A client's id is free once nothing of its request is out: until then a node could meet the id of
+//! an attempt that it has, and take it for a second copy. Bound: the open requests and the attempts
+//! that are out.
 
 use super::connection::ClientExchange;
 use bytes::Bytes;
@@ -29,7 +30,8 @@
         self.taken.insert(client_id);
     }
 
-    /// The exchange is over for its client; `is_open` says whether something of its request is still out.
+    /// The exchange is over for its client; `is_open` says whether something of its request is
+    /// still out.
     pub(super) fn release(&mut self, exchange: ClientExchange, is_open: bool) {
         if is_open {
             self.lingering.push(Lingering {
--- a/crates/platform/src/run/connection.rs
+++ b/crates/platform/src/run/connection.rs
@@ -1,6 +1,7 @@
 //! What the owner knows of one connection, and the dials that are to become one. No I/O.
 //!
-//! Used by every module of the owner. Bounds: one message read and one being written for each connection.
+//! Used by every module of the owner. Bounds: one message read and one being written for each
+//! connection.
 
 use super::reader::ReadGate;
 use crate::discovery_calls::DiscoveryCalls;
@@ -13,7 +14,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// After an error, what its client still sends is dropped for this long, or the error would be lost to a reset.
+/// After an error, what its client still sends is dropped for this long, or the error would be lost
+/// to a reset.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 /// After an error, so many bytes of its client are dropped.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
@@ -69,7 +71,7 @@
     HealthCheck(u64),
 }
 
-/// Who is at the other end.
+/// Which kind of peer is at the other end.
 pub(super) enum Role {
     Client(ClientState),
     Node(NodeExchange),
--- a/crates/platform/src/run/listener.rs
+++ b/crates/platform/src/run/listener.rs
@@ -1,7 +1,7 @@
 //! The coroutine that accepts clients, as many as have a descriptor.
 //!
-//! State shared with the owner: [`ClientSlots`]. Where none is free it reports so and waits until the owner
-//! wakes it; clients then wait in the listener's queue.
+//! State shared with the owner: [`ClientSlots`]. Where none is free it reports so and waits until
+//! the owner wakes it; clients then wait in the listener's queue.
 
 use super::reader::{start_reader, OwnerEvent, ReadGate};
 use grebecleat_host::router::ConnId;
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -1,8 +1,9 @@
 //! The loop of the one owner: the router, and the state of every connection.
 //!
-//! [`Owner::run`] takes what the readers, the listener and signals report, steps the router and carries out
-//! what it returns, until a shutdown is complete. Files: `client_conn`, `eviction` (which clients' connections
-//! are closed for others), `node_conn`, `discovery_conn`, `dials`, `writer`, `sweep`, `shutdown`, `reload`.
+//! [`Owner::run`] takes what the readers, the listener and signals report, steps the router and
+//! carries out what it returns, until a shutdown is complete. Files: `client_conn`, `eviction`
+//! (which clients' connections are closed for others), `node_conn`, `discovery_conn`, `dials`,
+//! `writer`, `sweep`, `shutdown`, `reload`.
 //!
 //! Bounds: [`MAX_EVENTS_PER_STEP`] events go into one step, so that a flood cannot delay timers.
 
@@ -42,7 +43,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tracing::info;
 
-/// Events that go into one step, so that a flood cannot keep timers waiting.
+/// Events that go into one step, so that a flood cannot delay timers.
 const MAX_EVENTS_PER_STEP: usize = 512;
 /// After a pause of this process: time for the readers to bring what waits in the sockets.
 const CATCH_UP_TIME: Duration = Duration::from_millis(3);
@@ -62,7 +63,8 @@
     closing: BTreeSet<ConnId>,
     pending_dials: Vec<PendingDial>,
     queued_dials: VecDeque<QueuedDial>,
-    /// Connections to nodes that have a descriptor: dialled, up, or closed with a reader that has yet to end.
+    /// Connections to nodes that have a descriptor: dialled, up, or closed with a reader that has
+    /// yet to end.
     node_descriptors: BTreeSet<ConnId>,
     /// What the router's next step takes in.
     inputs: Vec<Input>,
@@ -145,7 +147,8 @@
 
     /// Runs until a shutdown is complete, or every sender of events is gone.
     pub(super) fn run(&mut self, events: &Receiver<OwnerEvent>) {
-        // A first step, so that the decisions ask for the endpoint list without waiting for a client.
+        // A first step, so that the decisions ask for the endpoint list without waiting for a
+        // client.
         self.inputs.push(Input::PeerMessage {
             from: PeerId(u32::MAX),
             waited: Duration::ZERO,
@@ -195,7 +198,8 @@
         wake.saturating_sub(now)
     }
 
-    /// Answers that came during a pause of this process are read before a node's silence is judged.
+    /// Answers that came during a pause of this process are read before a node's silence is
+    /// evaluated.
     fn catch_up_after_pause(&mut self) {
         if !self.router.detect_pause(clock::now()) {
             return;
@@ -300,7 +304,8 @@
         outbox
     }
 
-    /// Closes a connection without a word to the router; its reader ends, and with it the descriptor.
+    /// Closes a connection without reporting it to the router; its reader ends, and with it the
+    /// descriptor.
     fn close(&mut self, conn: ConnId) {
         let Some(connection) = self.connections.remove(&conn) else {
             return;
--- a/crates/platform/src/run/owner/client_conn.rs
+++ b/crates/platform/src/run/owner/client_conn.rs
@@ -1,14 +1,15 @@
 //! Connections of clients: what they send becomes requests, one exchange at a time.
 //!
-//! State: [`ClientState`] of each connection. Bounds: [`MAX_PIPELINED_BYTES`] behind an open exchange.
+//! State: [`ClientState`] of each connection. Bounds: [`MAX_PIPELINED_BYTES`] behind an open
+//! exchange.
 
-use super::super::connection::{consume, ClientExchange, ClientState, Discard, Role};
-use super::super::reader::ReadGate;
-use super::super::socket::{pending_input, PendingInput};
 use super::shutdown::LAST_ANSWER_MARGIN;
 use super::{frame, Owner};
 use crate::clients::ClientRequest;
 use crate::http::{self, put_response, HttpError};
+use crate::run::connection::{consume, ClientExchange, ClientState, Discard, Role};
+use crate::run::reader::ReadGate;
+use crate::run::socket::{pending_input, PendingInput};
 use bytes::Bytes;
 use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::clock;
@@ -116,10 +117,11 @@
         }))
     }
 
-    /// With a cached endpoint list it is of use at once: the freshness of what has changed since is known only
-    /// a term after discovery could be reached, and discovery may be down or have too many callers just when
-    /// most hosts start. Without any, all that it was sent would be rejected, so it waits for the list. Harm:
-    /// what it sends to nodes that are gone finds no connection.
+    /// With a cached endpoint list it is of use at once: the freshness of what has changed since is
+    /// known only a term after discovery could be reached, and discovery may be down or have too
+    /// many callers just when most hosts start. Without any, all that it was sent would be
+    /// rejected, so it waits for the list. Harm: what it sends to nodes that are gone finds no
+    /// connection.
     fn answer_readiness(&mut self, conn: ConnId, at: Duration, keep_alive: bool, used: usize) {
         let ready = self.discovery_answered || self.has_cached_endpoints;
         let status = if ready { 200 } else { 503 };
@@ -195,9 +197,9 @@
         self.flush(conn);
     }
 
-    /// Ends a client's connection that only waits, unless the client has sent something that is not processed
-    /// yet: closed now, its request would be lost. Then nothing is done, and the next sweep finds it. Whether
-    /// it was ended.
+    /// Ends a client's connection that only waits, unless the client has sent something that is not
+    /// processed yet: closed now, its request would be lost. Then nothing is done, and the next
+    /// sweep finds it. Whether it was ended.
     pub(super) fn close_if_quiet(&mut self, conn: ConnId) -> bool {
         let closed = self
             .connections
--- a/crates/platform/src/run/owner/dials.rs
+++ b/crates/platform/src/run/owner/dials.rs
@@ -1,12 +1,12 @@
 //! Dials to nodes and to discovery, without waiting.
 //!
-//! State: the dials whose outcome is not known, those that wait for a descriptor, and which connections to
-//! nodes have one. Bound: the nodes' part of the descriptors.
+//! State: the dials whose outcome is not known, those that wait for a descriptor, and which
+//! connections to nodes have one. Bound: the nodes' part of the descriptors.
 
-use super::super::connection::{DialTarget, NodeExchange, PendingDial, QueuedDial, Role};
-use super::super::reader::{start_reader, ReadGate};
 use super::Owner;
 use crate::discovery_calls::DiscoveryCalls;
+use crate::run::connection::{DialTarget, NodeExchange, PendingDial, QueuedDial, Role};
+use crate::run::reader::{start_reader, ReadGate};
 use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::clock;
 use may::net::TcpStream;
@@ -16,9 +16,9 @@
 use std::os::fd::{AsRawFd, FromRawFd, IntoRawFd};
 use std::time::Duration;
 
-/// Bytes to a node that the system may take before the node reads them. What is there can't be taken back when
-/// a client leaves, and goes out whenever the node reads again; what is here can. Harm: a large request takes
-/// several writes.
+/// Bytes to a node that the system may take before the node reads them. What is there can't be
+/// taken back when a client leaves, and goes out whenever the node reads again; what is here can.
+/// Harm: a large request takes several writes.
 const NODE_SEND_BUFFER: usize = 16 << 10;
 
 fn begin_dial(address: SocketAddr, target: DialTarget) -> io::Result<Socket> {
@@ -60,12 +60,13 @@
 }
 
 impl Owner {
-    /// The router stops counting a connection when it gives it up, and its descriptor is free a little later:
-    /// many that end together, with as many dials in their place, would take the descriptors of all others,
-    /// and discovery or a client would find none. So what is beyond the nodes' part waits for the first that
-    /// is closed, within the time of its dial. Discovery's own are at most one that is up, one from before a
-    /// move and one dial, for which descriptors are set aside: it is dialled as soon as the decisions ask.
-    /// Harm: an attempt may wait for a dial that is queued; it is swept as behind a slow one.
+    /// The router stops counting a connection when it gives it up, and its descriptor is free a
+    /// little later: many that end together, with as many dials in their place, would take the
+    /// descriptors of all others, and discovery or a client would find none. So what is beyond the
+    /// nodes' part waits for the first that is closed, within the time of its dial. Discovery's own
+    /// are at most one that is up, one from before a move and one dial, for which descriptors are
+    /// set aside: it is dialled as soon as the decisions ask. Harm: an attempt may wait for a dial
+    /// that is queued; it is swept as behind a slow one.
     pub(super) fn dial(&mut self, conn: ConnId, address: SocketAddr, target: DialTarget) {
         let deadline = clock::now() + self.config.settings.bounds.dial_timeout;
         if target == DialTarget::Discovery {
@@ -83,8 +84,8 @@
         self.connect(conn, address, target, deadline);
     }
 
-    /// Without waiting: on this machine and near it a connection is up or refused at once, and what is
-    /// neither is looked at again.
+    /// Without waiting: on this machine and near it a connection is up or refused at once, and what
+    /// is neither is looked at again.
     fn connect(
         &mut self,
         conn: ConnId,
--- a/crates/platform/src/run/owner/discovery_conn.rs
+++ b/crates/platform/src/run/owner/discovery_conn.rs
@@ -1,13 +1,14 @@
 //! The connection to discovery: calls for the endpoint list, one after the other.
 //!
-//! State: the [`crate::discovery_calls`] of the connection, and whether discovery has answered at all.
+//! State: the [`crate::discovery_calls`] of the connection, and whether discovery has answered at
+//! all.
 
-use super::super::connection::Role;
 use super::{frame, unix_ms, Owner};
 use crate::clients::SERVICE;
 use crate::discovery::{self, DiscoveryError, EndpointNames, ReadEndpoints};
 use crate::discovery_calls::Event;
 use crate::http;
+use crate::run::connection::Role;
 use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::frame::Body;
--- a/crates/platform/src/run/owner/eviction.rs
+++ b/crates/platform/src/run/owner/eviction.rs
@@ -2,10 +2,10 @@
 //!
 //! Called when the listener reports that it has no slot, and at each sweep.
 
-use super::super::connection::{ClientState, Connection, Role};
-use super::super::socket::silent_for;
 use super::sweep::{IDLE_TIMEOUT, NEW_CLIENT_GRACE};
 use super::Owner;
+use crate::run::connection::{ClientState, Connection, Role};
+use crate::run::socket::silent_for;
 use grebecleat_host::router::ConnId;
 use grebecleat_wire::clock;
 use std::cmp::Reverse;
@@ -69,28 +69,30 @@
 }
 
 impl Owner {
-    /// Where clients have all the slots that they may: the silent go first, then those that have been idle for
-    /// long.
+    /// Where clients have all the slots that they may: the silent go first, then those that have
+    /// been idle for long.
     ///
-    /// How long a client with a request waits for a slot: those before it in the listener's queue came before
-    /// it. Once it has waited for [`NEW_CLIENT_GRACE`], all of them are older than that, and each that is
-    /// silent is closed at the look that follows its being accepted: from the next sweep on the queue moves as
-    /// fast as we accept and close, however many are in it, and whoever dials again is queued last. Reckoned
-    /// from their being accepted, each round of as many as there are slots would cost that span anew. For
-    /// longer a slot is taken only by a client that has sent something: by an open request until its deadline,
-    /// an answer that is not read within the sweep's timeout, half an exchange likewise. Harm: what a slow
-    /// client sends may cross the close, and it comes again.
+    /// How long a client with a request waits for a slot: those before it in the listener's queue
+    /// came before it. Once it has waited for [`NEW_CLIENT_GRACE`], all of them are older than
+    /// that, and each that is silent is closed at the look that follows its being accepted: from
+    /// the next sweep on the queue moves as fast as we accept and close, however many are in it,
+    /// and whoever dials again is queued last. Reckoned from their being accepted, each round of as
+    /// many as there are slots would cost that span anew. For longer a slot is taken only by a
+    /// client that has sent something: by an open request until its deadline, an answer that is not
+    /// read within the sweep's timeout, half an exchange likewise. Harm: what a slow client sends
+    /// may cross the close, and it comes again.
     pub(super) fn make_room(&mut self) {
         let candidates = self.eviction_candidates();
-        // A host that shuts down keeps as many of those that have sent requests as it may ever keep: late in
-        // its shutdown they get no other connection here. But no more, or clients that come now get none.
+        // A host that shuts down keeps as many of those that have sent requests as it may ever
+        // keep: late in its shutdown they get no other connection here. But no more, or clients
+        // that come now get none.
         let mut excess = if self.draining_since.is_some() {
             self.excess_idle_clients()
         } else {
             usize::MAX
         };
-        // A few at a time. A connection that turns out to have sent something is none of them, or one that is
-        // yet to be processed would leave the listener waiting for the next sweep.
+        // A few at a time. A connection that turns out to have sent something is none of them, or
+        // one that is yet to be processed would leave the listener waiting for the next sweep.
         let mut closings_left = 1 + self.slots.limit / SLOTS_PER_EVICTION;
         for candidate in candidates {
             let conn = candidate.conn;
@@ -138,16 +140,17 @@
 
     /// How many more clients that have sent requests keep connections than may.
     fn excess_idle_clients(&self) -> usize {
-        let kept = self.connections.values().filter(
+        let staying = self.connections.values().filter(
             |connection| matches!(&connection.role, Role::Client(client) if may_stay(client)),
         );
-        kept.count()
+        staying
+            .count()
             .saturating_sub(self.config.descriptors.idle_clients)
     }
 
-    /// Where more clients keep connections than may, those go that have been idle the longest: a client that
-    /// sends again and again is among the last. Guards against many that send once and stay, and keep others
-    /// out. Harm: with very many clients in turn each dials anew.
+    /// Where more clients keep connections than may, those go that have been idle the longest: a
+    /// client that sends again and again is among the last. Guards against many that send once and
+    /// stay, and keep others out. Harm: with very many clients in turn each dials anew.
     pub(super) fn limit_idle_clients(&mut self) {
         let mut idle: Vec<(Duration, ConnId)> = Vec::new();
         for (conn, connection) in &self.connections {
--- a/crates/platform/src/run/owner/node_conn.rs
+++ b/crates/platform/src/run/owner/node_conn.rs
@@ -1,18 +1,19 @@
 //! Connections to nodes: answers to attempts and health checks, one exchange at a time.
 //!
-//! State: [`NodeExchange`] of each connection. Bounds: answers beyond [`SMALL_ANSWER`] only within the memory
-//! that open requests may take.
+//! State: [`NodeExchange`] of each connection. Bounds: answers beyond [`SMALL_ANSWER`] only within
+//! the memory that open requests may take.
 
-use super::super::connection::{Connection, NodeExchange, Role};
 use super::{frame, Owner};
 use crate::http;
 use crate::nodes;
+use crate::run::connection::{Connection, NodeExchange, Role};
 use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::time::Duration;
 
-/// An answer may take more memory than this only while all that are being read take no more than their part.
+/// An answer may take more memory than this only while all that are being read take no more than
+/// their part.
 const SMALL_ANSWER: usize = 64 << 10;
 /// The status that stands for an answer that cannot be read.
 const BAD_GATEWAY: u16 = 502;
@@ -56,7 +57,8 @@
         }
     };
     let partly_sent = connection.has_unwritten();
-    // What answers an attempt that has not been sent completely is meant for another, unless it is a rejection.
+    // What answers an attempt that has not been sent completely is meant for another, unless it is
+    // a rejection.
     if partly_sent && !is_rejection(&body) {
         return Err(AnswerError::Unexpected);
     }
@@ -113,7 +115,8 @@
         }
     }
 
-    /// Reports to the router how an exchange with a node ended, and that the connection goes, where it does.
+    /// Reports to the router how an exchange with a node ended, and that the connection goes, where
+    /// it does.
     fn finish_exchange(&mut self, conn: ConnId, answer: NodeAnswer, at: Duration) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
@@ -144,7 +147,8 @@
         nodes.map(|connection| connection.read_buffer.len()).sum()
     }
 
-    /// An answer that will never be complete: what it was for has run, and the connection is of no further use.
+    /// An answer that will never be complete: what it was for has run, and the connection is of no
+    /// further use.
     pub(super) fn answer_malformed(&mut self, conn: ConnId) {
         let Some(connection) = self.connections.get(&conn) else {
             return;
--- a/crates/platform/src/run/owner/reload.rs
+++ b/crates/platform/src/run/owner/reload.rs
@@ -1,4 +1,5 @@
-//! Reads the configuration again on SIGHUP. Only where discovery is may change; a bad file changes nothing.
+//! Reads the configuration again on SIGHUP. Only where discovery is may change; a bad file changes
+//! nothing.
 
 use super::Owner;
 use crate::config::Config;
--- a/crates/platform/src/run/owner/shutdown.rs
+++ b/crates/platform/src/run/owner/shutdown.rs
@@ -1,13 +1,14 @@
 //! The course of a shutdown: serving on, closing connections, closing the listener, the end.
 //!
-//! After SIGTERM clients go on with the connections that they have, and the process is killed no sooner than
-//! the longest deadline, of which no more than [`MAX_COUNTED_DEADLINE`] counts, and [`KILL_GRACE`]. It serves
-//! until [`LAST_REQUEST_MARGIN`] before that, and has answered by [`LAST_ANSWER_MARGIN`] before it.
+//! After SIGTERM clients go on with the connections that they have, and the process is killed no
+//! sooner than the longest deadline, of which no more than [`MAX_COUNTED_DEADLINE`] counts, and
+//! [`KILL_GRACE`]. It serves until [`LAST_REQUEST_MARGIN`] before that, and has answered by
+//! [`LAST_ANSWER_MARGIN`] before it.
 
-use super::super::connection::{Connection, Role};
-use super::super::socket::{has_connection_queued, pending_input, PendingInput};
 use super::sweep::NEW_CLIENT_GRACE;
 use super::Owner;
+use crate::run::connection::{Connection, Role};
+use crate::run::socket::{has_connection_queued, pending_input, PendingInput};
 use grebecleat_wire::clock;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -32,8 +33,8 @@
         Some(self.draining_since? + counted + KILL_GRACE)
     }
 
-    /// Whether answers now end their connections. Until then a host that shuts down serves on: its clients
-    /// would find no other host there before the next start.
+    /// Whether answers now end their connections. Until then a host that shuts down serves on: its
+    /// clients would find no other host there before the next start.
     pub(super) fn closes_after_answer(&self) -> bool {
         self.kill_at()
             .is_some_and(|kill_at| clock::now() + LAST_REQUEST_MARGIN >= kill_at)
@@ -56,9 +57,9 @@
         has_begun || is_new || !connection.gate.is_quiet(connection.fd)
     }
 
-    /// A client whose exchange crossed the close of an idle connection comes again, so the listener stays until
-    /// the last answers are due, and until no client is in its queue: one that is there would be reset with what
-    /// it has sent.
+    /// A client whose exchange crossed the close of an idle connection comes again, so the listener
+    /// stays until the last answers are due, and until no client is in its queue: one that is there
+    /// would be reset with what it has sent.
     pub(super) fn close_listener_when_due(&mut self, now: Duration) {
         if self.listener_closed_at.is_some() {
             return;
--- a/crates/platform/src/run/owner/sweep.rs
+++ b/crates/platform/src/run/owner/sweep.rs
@@ -1,24 +1,29 @@
-//! Closes what is slow, silent or idle, every [`SWEEP_INTERVAL`]; no timer of the coroutines is used.
+//! Closes what is slow, silent or idle, every [`SWEEP_INTERVAL`]; no timer of the coroutines is
+//! used.
 
-use super::super::connection::{ClientState, Connection, Role};
 use super::{unix_ms, Owner};
 use crate::http::HttpError;
+use crate::run::connection::{ClientState, Connection, Role};
 use grebecleat_host::router::ConnId;
 use grebecleat_wire::clock;
 use std::time::Duration;
 
 const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
-/// A client that has sent nothing, or only part of its first exchange, is closed so long after it was accepted.
+/// A client that has sent nothing, or only part of its first exchange, is closed so long after it
+/// was accepted.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2400);
 /// The rest of a later exchange that has begun must come within this.
 const REQUEST_REST_TIMEOUT: Duration = Duration::from_millis(2000);
-/// A connection without an open exchange is closed after this. Harm: a client that comes back later dials again.
+/// A connection without an open exchange is closed after this. Harm: a client that comes back later
+/// dials again.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Clients younger than this may be about to send; from their connecting on, not from their being accepted.
+/// Clients younger than this may be about to send; from their connecting on, not from their being
+/// accepted.
 pub(super) const NEW_CLIENT_GRACE: Duration = Duration::from_millis(100);
-/// A node's answer that has begun must go on within this. Guards against answers that are said to be longer
-/// than they are, whose connection stays open: without it such an attempt delays its request until the deadline.
-/// Harm: a complete answer over a link that stalls for longer counts as malformed.
+/// A node's answer that has begun must go on within this. Guards against answers that are said to
+/// be longer than they are, whose connection stays open: without it such an attempt delays its
+/// request until the deadline. Harm: a complete answer over a link that stalls for longer counts as
+/// malformed.
 const ANSWER_REST_TIMEOUT: Duration = Duration::from_millis(100);
 /// How long a client may take to read its answer.
 const ANSWER_READ_TIMEOUT: Duration = Duration::from_millis(5000);
@@ -131,7 +136,8 @@
                     }
                 }
                 Expiry::Idle(at) => {
-                    // A host that shuts down keeps what it has: its clients get no other connection here.
+                    // A host that shuts down keeps what it has: its clients get no other connection
+                    // here.
                     let is_due = now >= at && self.draining_since.is_none();
                     if closes_after_answer || is_due {
                         expired.idle.push(*conn);
--- a/crates/platform/src/run/owner/tests.rs
+++ b/crates/platform/src/run/owner/tests.rs
@@ -1,6 +1,6 @@
-use super::super::connection::{Discard, NodeExchange};
 use super::sweep::NEW_CLIENT_GRACE;
 use super::*;
+use crate::run::connection::{Discard, NodeExchange};
 use grebecleat::interface::NodeId;
 use grebecleat_host::outbox::AttemptId;
 use std::io::{Read, Write};
@@ -87,8 +87,8 @@
     }
 }
 
-/// A connection whose end the owner has yet to process has its descriptor, and so does a dial that was given
-/// up: those beyond the nodes' part wait, and discovery's does not.
+/// A connection whose end the owner has yet to process has its descriptor, and so does a dial that
+/// was given up: those beyond the nodes' part wait, and discovery's does not.
 #[test]
 fn dials_to_nodes_wait_for_a_descriptor_and_the_one_to_discovery_does_not() {
     let (to_owner, events) = mpsc::channel();
@@ -161,8 +161,8 @@
     gone.collect()
 }
 
-/// A client whose answer is not written completely keeps its connection, where room is made and where idle
-/// clients are limited: closed then, the rest would be lost.
+/// A client whose answer is not written completely keeps its connection, where room is made and
+/// where idle clients are limited: closed then, the rest would be lost.
 #[test]
 fn no_connection_is_closed_for_room_before_its_answer_is_written() {
     type Case = (&'static str, fn(&mut ClientState), fn(&mut Owner));
@@ -209,8 +209,8 @@
     }
 }
 
-/// During a shutdown it keeps as many of those that have sent requests as it ever may, and closes the others
-/// for those that come: the one idle the longest first.
+/// During a shutdown it keeps as many of those that have sent requests as it ever may, and closes
+/// the others for those that come: the one idle the longest first.
 #[test]
 fn a_host_that_shuts_down_makes_room_down_to_the_idle_clients_that_it_may_keep() {
     for (draining, idle_clients, left) in [
@@ -236,8 +236,8 @@
     }
 }
 
-/// A client that waited in the listener's queue for long, and has sent nothing there, makes room as soon as it
-/// is accepted; one that has just connected, or has sent something by then, does not.
+/// A client that waited in the listener's queue for long, and has sent nothing there, makes room as
+/// soon as it is accepted; one that has just connected, or has sent something by then, does not.
 #[test]
 fn a_client_that_was_silent_in_the_queue_is_not_treated_as_a_new_one() {
     for (waits, sends, stays) in [
@@ -302,8 +302,8 @@
     }
 }
 
-/// Decided while its client waited; by the time that its connection is up the client has left, and the owner
-/// has yet to process that, behind whatever else it has to process.
+/// Decided while its client waited; by the time that its connection is up the client has left, and
+/// the owner has yet to process that, behind whatever else it has to process.
 #[test]
 fn no_attempt_is_written_once_its_client_has_left() {
     type Case = (&'static str, fn(&mut UnixStream), bool);
@@ -357,7 +357,8 @@
     }
 }
 
-/// What a node sends or ends before an attempt is written is seen, though its reader has not reported it yet.
+/// What a node sends or ends before an attempt is written is seen, though its reader has not
+/// reported it yet.
 #[test]
 fn no_attempt_is_written_to_a_connection_on_which_its_node_has_sent_or_ended() {
     type Case = (&'static str, fn(&mut UnixStream), bool);
--- a/crates/platform/src/run/owner/writer.rs
+++ b/crates/platform/src/run/owner/writer.rs
@@ -1,16 +1,17 @@
 //! Writes what the router has put into the outboxes, without waiting.
 //!
-//! An attempt that is decided is on the wire before anything else is processed, and whether its last byte was
-//! written is known without asking another thread. What a socket does not take at once is tried again at the
-//! next step. Bounds: [`MAX_WRITE`] bytes are taken from an outbox at once.
+//! An attempt that is decided is on the wire before anything else is processed, and whether its
+//! last byte was written is known without asking another thread. What a socket does not take at
+//! once is tried again at the next step. Bounds: [`MAX_WRITE`] bytes are taken from an outbox at
+//! once.
 
-use super::super::connection::{consume, ClientState, Discard, NodeExchange, Role};
-use super::super::socket::peer_has_closed;
 use super::node_conn::health_check_result;
 use super::{frame, Owner};
 use crate::clients::put_final;
 use crate::discovery_calls::Event;
 use crate::nodes;
+use crate::run::connection::{consume, ClientState, Discard, NodeExchange, Role};
+use crate::run::socket::peer_has_closed;
 use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -79,7 +80,8 @@
         while connection.has_unwritten() {
             let rest = &connection.write_buffer[connection.written..];
             let flags = libc::MSG_DONTWAIT | libc::MSG_NOSIGNAL;
-            // SAFETY: the pointer and the length are of one live slice; the number is still its own.
+            // SAFETY: the pointer and the length are of one live slice; the number is still its
+            // own.
             let sent =
                 unsafe { libc::send(connection.fd, rest.as_ptr().cast(), rest.len(), flags) };
             if let Ok(sent) = usize::try_from(sent) {
@@ -119,8 +121,8 @@
         let Some(connection) = self.connections.get(&conn) else {
             return false;
         };
-        // Its node has ended it, or sends more than it was asked for: an attempt written now would be reset, or
-        // be taken to have that answer. It is still ours, and goes elsewhere.
+        // Its node has ended it, or sends more than it was asked for: an attempt written now would
+        // be reset, or be taken to have that answer. It is still ours, and goes elsewhere.
         let is_idle = matches!(connection.role, Role::Node(NodeExchange::Idle));
         if is_idle && !connection.outbox.is_flushed() && !connection.gate.is_quiet(connection.fd) {
             self.connection_lost(conn);
@@ -129,14 +131,14 @@
         !self.close_departed_client(conn)
     }
 
-    /// Whether an attempt lies in a node's outbox whose client has gone: its end may lie in the socket, or with
-    /// its reader, behind all that the owner has yet to process. No client waits for the attempt's answer, and
-    /// it stays where the router takes it back.
+    /// Whether an attempt lies in a node's outbox whose client has gone: its end may lie in the
+    /// socket, or with its reader, behind all that the owner has yet to process. No client waits
+    /// for the attempt's answer, and it stays where the router takes it back.
     ///
-    /// So no attempt begins later than its client's end has come to this machine, however long the owner is
-    /// busy, a dial took or a retry waited: the look is made at the last instant, and nothing lies between it
-    /// and the write. Guards as well against attempts of a client that was hung up on. Harm: a look at the
-    /// client's socket for each attempt.
+    /// So no attempt begins later than its client's end has come to this machine, however long the
+    /// owner is busy, a dial took or a retry waited: the look is made at the last instant, and
+    /// nothing lies between it and the write. Guards as well against attempts of a client that was
+    /// hung up on. Harm: a look at the client's socket for each attempt.
     fn close_departed_client(&mut self, conn: ConnId) -> bool {
         let has_departed = |client: &ConnId| {
             self.connections
--- a/crates/platform/src/run/reader.rs
+++ b/crates/platform/src/run/reader.rs
@@ -1,7 +1,8 @@
 //! The reader coroutine of each connection, and the gate between it and the owner.
 //!
-//! A reader takes bytes off its socket and sends them to the owner as [`OwnerEvent`]s. State: [`ReadGate`],
-//! how far the reader is ahead of the owner. Bounds: [`MAX_AHEAD`] bytes and one read; past that it waits.
+//! A reader takes bytes off its socket and sends them to the owner as [`OwnerEvent`]s. State:
+//! [`ReadGate`], how far the reader is ahead of the owner. Bounds: [`MAX_AHEAD`] bytes and one
+//! read; past that it waits.
 
 use super::socket::{pending_input, PendingInput};
 use grebecleat_host::router::ConnId;
@@ -37,8 +38,8 @@
         at: Duration,
         bytes: Vec<u8>,
     },
-    /// A reader has ended. The stream comes along, so that its number stays its own until the owner has
-    /// dropped it.
+    /// A reader has ended. The stream comes along, so that its number stays its own until the owner
+    /// has dropped it.
     Ended { conn: ConnId, stream: TcpStream },
     /// The listener waits for a free slot.
     SlotsExhausted,
@@ -46,10 +47,10 @@
     Signal(i32),
 }
 
-/// Between a connection's reader and the owner: how far ahead the reader is. The reader takes bytes off the
-/// socket under this lock alone, so that the owner can close a connection of which it knows that nothing was
-/// read and not processed: what is still in the socket then crosses the close, as the platform allows, and
-/// what has been read is answered.
+/// Between a connection's reader and the owner: how far ahead the reader is. The reader takes bytes
+/// off the socket under this lock alone, so that the owner can close a connection of which it knows
+/// that nothing was read and not processed: what is still in the socket then crosses the close, as
+/// the platform allows, and what has been read is answered.
 pub(super) struct ReadGate {
     state: Mutex<ReadState>,
     wake: Semphore,
@@ -129,8 +130,8 @@
         }
     }
 
-    /// Nothing has been read that the owner has not processed, and nothing waits in the socket: its end
-    /// included.
+    /// Nothing has been read that the owner has not processed, and nothing waits in the socket: its
+    /// end included.
     pub(super) fn is_quiet(&self, fd: RawFd) -> bool {
         self.lock().ahead == 0 && pending_input(fd) == PendingInput::Nothing
     }
--- a/crates/platform/src/run/reader/tests.rs
+++ b/crates/platform/src/run/reader/tests.rs
@@ -2,8 +2,9 @@
 use std::io::Write;
 use std::os::unix::net::UnixStream;
 
-/// What a client has sent is never dropped with its idle connection: neither what waits in the socket nor
-/// what its reader has taken and its owner has yet to process. After the close nothing is read any more.
+/// What a client has sent is never dropped with its idle connection: neither what waits in the
+/// socket nor what its reader has taken and its owner has yet to process. After the close nothing
+/// is read any more.
 #[test]
 fn an_idle_connection_closes_only_when_nothing_was_sent_on_it() {
     struct Case {
--- a/crates/platform/src/run/socket.rs
+++ b/crates/platform/src/run/socket.rs
@@ -1,6 +1,8 @@
-//! Questions to the system about a socket, by its descriptor. Nothing here waits or takes bytes away.
+//! Questions to the system about a socket, by its descriptor. Nothing here waits or takes bytes
+//! away.
 //!
-//! Each caller owns the descriptor that it passes, so its number cannot belong to another socket by then.
+//! Each caller owns the descriptor that it passes, so its number cannot belong to another socket by
+//! then.
 
 use std::io;
 use std::os::fd::RawFd;
@@ -66,13 +68,14 @@
     }
 }
 
-/// How long a connection has brought nothing, also while it waited to be accepted: since it came up, if it
-/// never has. Zero where the system does not report it.
+/// How long a connection has brought nothing, also while it waited to be accepted: since it came
+/// up, if it never has. Zero where the system does not report it.
 pub(super) fn silent_for(fd: RawFd) -> Duration {
     // SAFETY: all zero is a value of this plain struct.
     let mut info: libc::tcp_info = unsafe { std::mem::zeroed() };
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
-    // SAFETY: the pointers are of live values, the length is the first one's; the caller owns the number.
+    // SAFETY: the pointers are of live values, the length is the first one's; the caller owns the
+    // number.
     let failed = unsafe {
         libc::getsockopt(
             fd,
--- a/crates/platform/src/statistics.rs
+++ b/crates/platform/src/statistics.rs
@@ -1,10 +1,10 @@
-//! One line a second that says what this host received, sent, completed and rejected, and why; at debug level
-//! alone.
+//! One line a second that says what this host received, sent, completed and rejected, and why; at
+//! debug level alone.
 //!
-//! [`StatisticsReporter::line`] composes it, [`StatisticsTable`] reads lines of many hosts back and adds them
-//! up by second: what one host rejects is an accident, what three hundred do is a cause. The names of the
-//! line's fields are those that operators know (docs/operators/platform.md). Memory: one row for each second,
-//! and one count for each cause met in it.
+//! [`StatisticsReporter::line`] composes it, [`StatisticsTable`] reads lines of many hosts back and
+//! adds them up by second: what one host rejects is an accident, what three hundred do is a cause.
+//! The names of the line's fields are those that operators know (docs/operators/platform.md).
+//! Memory: one row for each second, and one count for each cause met in it.
 
 use grebecleat::control::Control;
 use grebecleat::interface::NodeState;
@@ -114,8 +114,9 @@
 }
 
 impl StatisticsReporter {
-    /// The line for what was counted since the last one. `second`: of the wall clock, so that the lines of
-    /// several hosts can be laid side by side. `class_names`: of the traffic classes, in the settings' order.
+    /// The line for what was counted since the last one. `second`: of the wall clock, so that the
+    /// lines of several hosts can be laid side by side. `class_names`: of the traffic classes, in
+    /// the settings' order.
     pub fn line(
         &mut self,
         second: u64,
@@ -151,7 +152,11 @@
 /// ```
 /// use grebecleat_platform::statistics::StatisticsTable;
 /// let mut table = StatisticsTable::default();
-/// for line in ["x account at=70 taken=4 Ease/read/share/1000ms=3", "account at=70 taken=2", "account at=72"] {
+/// for line in [
+///     "x account at=70 taken=4 Ease/read/share/1000ms=3",
+///     "account at=70 taken=2",
+///     "account at=72",
+/// ] {
 ///     assert!(table.read(line));
 /// }
 /// assert!(!table.read("client: no X-Txn"));
@@ -198,8 +203,8 @@
         true
     }
 
-    /// A row for each `every` seconds from the first one, then the causes, by the first `parts` parts of their
-    /// names (zero: all of them), the most frequent first.
+    /// A row for each `every` seconds from the first one, then the causes, by the first `parts`
+    /// parts of their names (zero: all of them), the most frequent first.
     pub fn format(&self, every: u64, parts: usize) -> String {
         let every = every.max(1);
         let sums = self.sums(every, parts);
--- a/crates/platform/tests/renewal.rs
+++ b/crates/platform/tests/renewal.rs
@@ -1,7 +1,7 @@
-//! How soon a change of the list is known to every host, and how many calls that takes: whole fleets of the
-//! real `Desk`, decisions and `Calls`, on a clock of the test's, against a list that goes down, falls silent,
-//! loses answers, and refuses whatever it cannot serve in time. Each run is of one seed, and is made without
-//! the desk's bound (`before`) and with it.
+//! How soon a change of the list is known to every host, and how many calls that takes: whole
+//! fleets of the real `Desk`, decisions and `Calls`, on a clock of the test's, against a list that
+//! goes down, falls silent, loses answers, and refuses whatever it cannot serve in time. Each run
+//! is of one seed, and is made without the desk's bound (`before`) and with it.
 
 use grebecleat::interface::PeerId;
 use grebecleat_host::outbox::Outbox;
@@ -83,8 +83,8 @@
     restart: Option<(Duration, f64)>,
     /// The list moves then, for all hosts: their calls there are new ones.
     moves_at: Option<Duration>,
-    /// From when the list has the change, so many calls of each host fail, in every way, as late as they can;
-    /// and the answers come as late as they may.
+    /// From when the list has the change, so many calls of each host fail, in every way, as late as
+    /// they can; and the answers come as late as they may.
     fails: Option<u32>,
     /// When the list has the change that is looked at, and can be reached.
     had_at: Duration,
@@ -492,7 +492,8 @@
                 let open_at = |at: Duration| self.now < at && at <= until;
                 let silent = self.w.silent_at.is_some_and(|at| open_at(BEGIN + at));
                 let (mut ends, mut silent) = (None, silent);
-                // The system of one that goes down ends what is open; a machine that vanishes does not.
+                // The system of one that goes down ends what is open; a machine that vanishes does
+                // not.
                 if let Some((kind, at, _)) = self.w.down.filter(|d| open_at(BEGIN + d.1)) {
                     let says = !matches!(kind, Down::Silent | Down::Hangs);
                     (ends, silent) = (says.then_some(BEGIN + at), true);
@@ -677,8 +678,8 @@
     ]
 }
 
-/// Whatever befalls the call that is out when the list has a change, and the one after it, the change is
-/// known within the term; without what guards that, it is not.
+/// Whatever befalls the call that is out when the list has a change, and the one after it, the
+/// change is known within the term; without what guards that, it is not.
 #[test]
 fn a_change_is_known_within_the_term_when_one_call_is_lost_and_the_next_one_fails() {
     let (mut unguarded, mut slowest) = (0, Duration::ZERO);
@@ -694,7 +695,8 @@
             } else {
                 Duration::ZERO
             });
-            // Calls that bring nothing are the fleet's price; those that follow an answer come with it.
+            // Calls that bring nothing are the fleet's price; those that follow an answer come with
+            // it.
             calls = (calls.0 + before.calls, calls.1 + after.calls);
             vain = (vain.0 + before.vain, vain.1 + after.vain);
             let most = before.vain + before.vain / 12;
@@ -704,8 +706,8 @@
                 "{what}, seed {seed}: {} in vain, {most}",
                 after.vain
             );
-            // No second is busier than before by more than one draw from another, nor than that in which an
-            // ordinary change is told to all.
+            // No second is busier than before by more than one draw from another, nor than that in
+            // which an ordinary change is told to all.
             let most = (before.busiest + before.busiest / 20).max(CALM.hosts * 3 / 2);
             assert!(
                 after.busiest <= most,
