--- /dev/null
+++ b/crates/platform/tests/poll_deadline/discovery.rs
@@ -0,0 +1,173 @@
+//! The model of discovery: it handles calls in turn, and fails as its scenario says.
+
+use super::fleet::{Fleet, Incident, BEGIN, LATENCY};
+use super::ms;
+use super::scenarios::OutageKind;
+use grebecleat_platform::discovery_calls::{Call, CALL_TIMEOUT};
+use rand::Rng;
+use std::time::Duration;
+
+/// A call that would wait for longer than this is refused: at once, or when it has waited.
+const QUEUE_TIMEOUT: Duration = ms(900);
+/// Of the platform's own looks at its connections.
+const SWEEP_INTERVAL: Duration = ms(50);
+/// An answer that comes as late as it may is so much early.
+const LAST_MOMENT: Duration = ms(5);
+
+/// A call that waits for a change.
+pub struct Watch {
+    host: usize,
+    conn: u64,
+    revision: u64,
+    /// It is never answered.
+    silent: bool,
+}
+
+impl Fleet {
+    pub fn outage(&self) -> Option<OutageKind> {
+        let outage = self.scenario.outage?;
+        let span = BEGIN + outage.from..BEGIN + outage.until;
+        span.contains(&self.now).then_some(outage.kind)
+    }
+
+    /// Whether the host's next call is to fail.
+    pub fn must_fail(&self, host: usize) -> bool {
+        let Some(failures) = self.scenario.forced_failures else {
+            return false;
+        };
+        let has_change = self.now >= BEGIN + self.scenario.change_at;
+        has_change && self.hosts[host].forced_failures < failures
+    }
+
+    pub fn change_list(&mut self) {
+        self.revision += 1;
+        if self.outage().is_some() {
+            return;
+        }
+        for watch in std::mem::take(&mut self.watches).into_values() {
+            if !watch.silent {
+                self.answer(watch.host, watch.conn, self.now, self.revision);
+            }
+        }
+    }
+
+    pub fn watch_over(&mut self, watch: usize) {
+        let Some(watch) = self.watches.remove(&watch) else {
+            return;
+        };
+        if !watch.silent {
+            self.answer(watch.host, watch.conn, self.now, watch.revision);
+        }
+    }
+
+    fn answer(&mut self, host: usize, conn: u64, at: Duration, revision: u64) {
+        if self.rng.random::<f64>() < self.scenario.lost {
+            return;
+        }
+        let answer = Incident::Answer {
+            conn,
+            revision: Some(revision),
+        };
+        self.schedule(at + LATENCY, host, answer);
+    }
+
+    fn refuse(&mut self, host: usize, conn: u64, at: Duration) {
+        let refusal = Incident::Answer {
+            conn,
+            revision: None,
+        };
+        self.schedule(at, host, refusal);
+    }
+
+    /// A host calls discovery.
+    pub fn make_call(&mut self, host: usize, conn: u64, call: Option<Call>) {
+        let Some(call) = call else { return };
+        self.calls.push(self.now);
+        let answer_by = self.schedule_sweep(host, conn, call);
+        match self.outage() {
+            Some(OutageKind::Refuses) => return self.refuse(host, conn, self.now + LATENCY),
+            Some(_) => return,
+            None => {}
+        }
+        if self.must_fail(host) {
+            return self.fail(host, conn, answer_by);
+        }
+        let begins = self.free_at.max(self.now);
+        if begins > self.now + QUEUE_TIMEOUT {
+            let after = if self.scenario.refuses_late {
+                QUEUE_TIMEOUT
+            } else {
+                LATENCY
+            };
+            return self.refuse(host, conn, self.now + after);
+        }
+        self.free_at = begins + self.scenario.cost;
+        match call {
+            Call::Newer { revision, wait } if revision >= self.revision => {
+                self.open_watch(host, conn, revision, wait);
+            }
+            _ => {
+                // As late as it may, where all is made as bad as can be.
+                let worst_case = self.scenario.forced_failures.is_some()
+                    && self.now >= BEGIN + self.scenario.change_at;
+                let at = if worst_case {
+                    answer_by - LAST_MOMENT
+                } else {
+                    self.free_at
+                };
+                self.answer(host, conn, at, self.revision);
+            }
+        }
+    }
+
+    /// When the call must be answered; the host's sweep ends it a little later.
+    fn schedule_sweep(&mut self, host: usize, conn: u64, call: Call) -> Duration {
+        let state = &self.hosts[host];
+        let link = state.link.as_ref();
+        let answer_by = link.and_then(|link| link.calls.answer_by());
+        let answer_by = answer_by.unwrap_or(self.now);
+        // The router ends a call on a new connection a span after its dial.
+        let after_dial = state.call_begun_at + CALL_TIMEOUT;
+        let late = SWEEP_INTERVAL.mul_f64(self.rng.random());
+        self.schedule(answer_by + late, host, Incident::Sweep { conn });
+        if self.bounded && call == Call::Complete {
+            answer_by.min(after_dial)
+        } else {
+            answer_by
+        }
+    }
+
+    /// The call fails: it is never answered, or refused at once or as late as it may be.
+    fn fail(&mut self, host: usize, conn: u64, answer_by: Duration) {
+        self.hosts[host].forced_failures += 1;
+        match self.rng.random_range(0..3) {
+            0 => {}
+            1 => self.refuse(host, conn, self.now + LATENCY),
+            _ => self.refuse(host, conn, answer_by - LAST_MOMENT),
+        }
+    }
+
+    fn open_watch(&mut self, host: usize, conn: u64, revision: u64, wait: Duration) {
+        let until = self.free_at + wait;
+        let is_open_at = |at: Duration| self.now < at && at <= until;
+        let silent_at = self.scenario.silent_at;
+        let mut silent = silent_at.is_some_and(|at| is_open_at(BEGIN + at));
+        let outage = self.scenario.outage;
+        if let Some(outage) = outage.filter(|outage| is_open_at(BEGIN + outage.from)) {
+            silent = true;
+            // The system of one that goes down ends what is open; a machine that vanishes does not.
+            if !matches!(outage.kind, OutageKind::Silent | OutageKind::Hangs) {
+                self.refuse(host, conn, BEGIN + outage.from);
+            }
+        }
+        let number = self.calls.len();
+        let watch = Watch {
+            host,
+            conn,
+            revision,
+            silent,
+        };
+        self.watches.insert(number, watch);
+        self.schedule(until, host, Incident::WatchOver { watch: number });
+    }
+}
--- /dev/null
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -0,0 +1,412 @@
+//! A fleet of hosts' routers and discovery calls, on a clock of the test's.
+
+use super::discovery::Watch;
+use super::ms;
+use super::scenarios::{OutageKind, Scenario};
+use grebecleat::interface::PeerId;
+use grebecleat_host::outbox::Outbox;
+use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
+use grebecleat_platform::config::{Config, DISCOVERY_TERM};
+use grebecleat_platform::discovery_calls::{DiscoveryCalls, Event, CALL_TIMEOUT};
+use grebecleat_settings::Settings;
+use grebecleat_wire::pb::{self, frame::Body};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use serde_json::json;
+use std::cmp::Reverse;
+use std::collections::{BTreeMap, BinaryHeap};
+use std::sync::Arc;
+use std::time::Duration;
+
+/// What a message takes on its way.
+pub const LATENCY: Duration = ms(1);
+/// A dial that is not answered is given up after this.
+pub const DIAL_TIMEOUT: Duration = ms(250);
+/// When the run begins, on its clock.
+pub const BEGIN: Duration = ms(100_000);
+/// From then on calls are counted: what begins with all hosts' start is the same in all runs.
+const COUNTED_AFTER: Duration = ms(5000);
+
+fn settings() -> Arc<Settings> {
+    let config = json!({
+        "name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "7",
+        "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 256},
+        "settings": {
+            "balancers": 300, "registry-mode": "on_request", "zones": ["a"],
+            "caps": {"max-attempts": 3, "retry-after": true, "max-retry-after-ms": 500.0},
+            "family-info": {"largest": 6, "mean-units": 2.0, "writes": [false]},
+            "profiles": [{"name": "read", "objective-ms": 200.0, "deadline-ms": 1500.0,
+                          "idempotency": "free", "worth": 3.0}],
+            "plans": [{"name": "gold", "base-rate": 60.0, "guaranteed": 60.0, "proportion": 1.0,
+                       "price": 1.0}],
+            "rules": {"answer-slack-ms": 58.0, "ask-every-ms": 9000.0}
+        }
+    });
+    let text = config.to_string();
+    Config::read("c.json".as_ref(), text.as_bytes())
+        .unwrap()
+        .settings
+}
+
+/// What happens at a host. The order decides what comes first of what happens at one moment.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Incident {
+    /// The first step, as the platform's loop makes it.
+    Begin,
+    Wake,
+    DialEnds {
+        conn: u64,
+        up: bool,
+    },
+    /// A revision, or a refusal.
+    Answer {
+        conn: u64,
+        revision: Option<u64>,
+    },
+    Sweep {
+        conn: u64,
+    },
+    Restart,
+    Moves,
+    Changes,
+    /// A watch has waited for as long as it was to.
+    WatchOver {
+        watch: usize,
+    },
+}
+
+/// A host's connection to discovery.
+pub struct Link {
+    pub conn: u64,
+    pub outbox: Arc<Outbox>,
+    pub calls: DiscoveryCalls,
+}
+
+pub struct Host {
+    pub router: RequestRouter,
+    pub link: Option<Link>,
+    /// The connection that was dialled last; the router has given up those before.
+    dialled: u64,
+    wake: Duration,
+    /// When it first knew of the change.
+    informed_at: Option<Duration>,
+    /// When its last call was begun.
+    pub call_begun_at: Duration,
+    /// Calls begun since discovery had the change that have failed.
+    failed: u32,
+    /// Calls that were made to fail.
+    pub forced_failures: u32,
+}
+
+/// What came of a run.
+#[derive(Debug, Default, PartialEq, Eq)]
+pub struct Outcome {
+    pub calls: usize,
+    /// Of these, those that brought nothing.
+    pub fruitless: usize,
+    pub busiest: usize,
+    /// From when discovery had the change and could be reached until the last host had it.
+    pub slowest: Duration,
+    /// Hosts that had it later than the term.
+    pub late: usize,
+    /// Of these, those of whose calls that were begun since then no more than one has failed.
+    pub unexcused: usize,
+}
+
+pub struct Fleet {
+    pub scenario: Scenario,
+    /// The routers have a poll deadline.
+    pub bounded: bool,
+    pub rng: Pcg64Mcg,
+    pub now: Duration,
+    pub hosts: Vec<Host>,
+    settings: Arc<Settings>,
+    incidents: BinaryHeap<Reverse<(Duration, usize, Incident)>>,
+    /// When discovery has handled the calls that it has.
+    pub free_at: Duration,
+    pub revision: u64,
+    pub watches: BTreeMap<usize, Watch>,
+    /// When each call was made.
+    pub calls: Vec<Duration>,
+    /// Answers that came.
+    answers: usize,
+}
+
+impl Fleet {
+    /// Runs the scenario to its end.
+    pub fn run(scenario: &Scenario, bounded: bool, seed: u64) -> Outcome {
+        let mut fleet = Fleet {
+            scenario: scenario.clone(),
+            bounded,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            now: BEGIN,
+            hosts: Vec::new(),
+            settings: settings(),
+            incidents: BinaryHeap::new(),
+            free_at: BEGIN,
+            revision: 1,
+            watches: BTreeMap::new(),
+            calls: Vec::new(),
+            answers: 0,
+        };
+        fleet.schedule_scenario();
+        while let Some(Reverse((at, host, incident))) = fleet.incidents.pop() {
+            if at > BEGIN + scenario.until {
+                break;
+            }
+            fleet.now = at;
+            fleet.handle(host, incident);
+        }
+        fleet.outcome()
+    }
+
+    fn schedule_scenario(&mut self) {
+        for host in 0..self.scenario.hosts {
+            let new = self.new_host();
+            self.hosts.push(new);
+            self.schedule(BEGIN, host, Incident::Begin);
+            if let Some(restart) = self.scenario.restart {
+                if self.rng.random::<f64>() < restart.fraction {
+                    self.schedule(BEGIN + restart.at, host, Incident::Restart);
+                }
+            }
+            if let Some(at) = self.scenario.moves_at {
+                self.schedule(BEGIN + at, host, Incident::Moves);
+            }
+        }
+        let change_at = self.scenario.change_at;
+        // What was changed while it was down is there when it is back.
+        let made_at = match self.scenario.outage {
+            Some(outage) if outage.until == change_at => change_at - ms(1),
+            _ => change_at,
+        };
+        self.schedule(BEGIN + made_at, 0, Incident::Changes);
+    }
+
+    fn new_host(&mut self) -> Host {
+        let seed = self.rng.random();
+        let mut router =
+            RequestRouter::new(self.settings.clone(), seed).with_exclusive_connections();
+        if self.bounded {
+            router = router.with_poll_deadline(DISCOVERY_TERM, CALL_TIMEOUT);
+        }
+        Host {
+            router,
+            link: None,
+            dialled: 0,
+            wake: Duration::ZERO,
+            informed_at: None,
+            call_begun_at: BEGIN,
+            failed: 0,
+            forced_failures: 0,
+        }
+    }
+
+    pub fn schedule(&mut self, at: Duration, host: usize, incident: Incident) {
+        self.incidents.push(Reverse((at, host, incident)));
+    }
+
+    fn has_link(&self, host: usize, conn: u64) -> bool {
+        let link = self.hosts[host].link.as_ref();
+        link.is_some_and(|link| link.conn == conn)
+    }
+
+    fn handle(&mut self, host: usize, incident: Incident) {
+        match incident {
+            Incident::Begin => {
+                let first = Input::PeerMessage {
+                    from: PeerId(u32::MAX),
+                    waited: Duration::ZERO,
+                    bytes: Vec::new(),
+                };
+                self.step(host, vec![first]);
+            }
+            Incident::Wake => {
+                if self.hosts[host].wake <= self.now {
+                    self.step(host, vec![]);
+                }
+            }
+            Incident::DialEnds { conn, up } => {
+                if self.hosts[host].dialled == conn {
+                    self.dial_ended(host, conn, up);
+                }
+            }
+            Incident::Answer { conn, revision } => {
+                if self.has_link(host, conn) {
+                    match revision {
+                        Some(revision) => self.answered(host, conn, revision),
+                        None => self.lose_link(host, conn),
+                    }
+                }
+            }
+            Incident::Sweep { conn } => {
+                let link = self.hosts[host].link.as_ref();
+                let answer_by = link
+                    .filter(|link| link.conn == conn)
+                    .and_then(|link| link.calls.answer_by());
+                if answer_by.is_some_and(|answer_by| self.now >= answer_by) {
+                    self.lose_link(host, conn);
+                }
+            }
+            Incident::Restart => {
+                let new = self.new_host();
+                self.hosts[host] = new;
+                self.schedule(self.now, host, Incident::Begin);
+            }
+            Incident::Moves => self.step(host, vec![Input::DiscoveryMoved]),
+            Incident::Changes => self.change_list(),
+            Incident::WatchOver { watch } => self.watch_over(watch),
+        }
+    }
+
+    fn dial_ended(&mut self, host: usize, conn: u64, up: bool) {
+        if !up {
+            return self.step(host, vec![gone(conn)]);
+        }
+        let outbox = Arc::new(Outbox::new(|| (), || ()));
+        let first_timeout = if self.bounded {
+            self.settings.bounds.patience
+        } else {
+            CALL_TIMEOUT
+        };
+        self.hosts[host].link = Some(Link {
+            conn,
+            outbox: outbox.clone(),
+            calls: DiscoveryCalls::new(first_timeout),
+        });
+        let up = Input::DiscoveryUp {
+            conn: ConnId(conn),
+            outbox,
+        };
+        self.step(host, vec![up]);
+    }
+
+    fn answered(&mut self, host: usize, conn: u64, revision: u64) {
+        self.answers += usize::from(self.now > BEGIN + COUNTED_AFTER);
+        if revision > 1 {
+            self.hosts[host].informed_at.get_or_insert(self.now);
+        }
+        let endpoint = pb::Endpoint {
+            node: 1,
+            state: pb::NodeState::Ready.into(),
+            address: "127.0.0.1:9".into(),
+            ..pb::Endpoint::default()
+        };
+        let list = pb::EndpointUpdate {
+            kind: pb::EndpointUpdateKind::Snapshot.into(),
+            revision,
+            endpoints: vec![endpoint],
+        };
+        let frames = vec![pb::Frame {
+            sent_us: 0,
+            body: Some(Body::EndpointUpdate(list)),
+        }];
+        self.hosts[host].call_begun_at = self.now;
+        let link = self.hosts[host].link.as_mut().expect("looked up before");
+        let event = Event::Answered { revision };
+        let call = link.calls.step(self.now, DISCOVERY_TERM, event);
+        self.make_call(host, conn, call);
+        let conn = ConnId(conn);
+        self.step(host, vec![Input::DiscoveryFrames { conn, frames }]);
+    }
+
+    fn lose_link(&mut self, host: usize, conn: u64) {
+        self.hosts[host].link = None;
+        self.step(host, vec![gone(conn)]);
+    }
+
+    fn step(&mut self, host: usize, inputs: Vec<Input>) {
+        for output in self.hosts[host].router.step(self.now, inputs) {
+            self.perform(host, output);
+        }
+        self.write_outbox(host);
+        let state = &mut self.hosts[host];
+        state.wake = state.router.wake_at().max(self.now + ms(1));
+        let wake = state.wake;
+        self.schedule(wake, host, Incident::Wake);
+    }
+
+    fn perform(&mut self, host: usize, output: Output) {
+        match output {
+            Output::Log { text } if text.starts_with("list of nodes: ") => {
+                let change_at = BEGIN + self.scenario.change_at;
+                let state = &mut self.hosts[host];
+                let counts = state.call_begun_at >= change_at && state.informed_at.is_none();
+                state.failed += u32::from(counts);
+            }
+            Output::DialDiscovery { conn } => self.dial(host, conn),
+            _ => {}
+        }
+    }
+
+    fn dial(&mut self, host: usize, conn: ConnId) {
+        self.hosts[host].dialled = conn.0;
+        self.hosts[host].call_begun_at = self.now;
+        // A dial alone may take so long that its call has little left.
+        let slow = if self.must_fail(host) {
+            Some([LATENCY, DIAL_TIMEOUT, ms(900)][self.rng.random_range(0..3)])
+        } else {
+            None
+        };
+        let (after, up) = match self.outage() {
+            None => (slow.unwrap_or(LATENCY), true),
+            Some(OutageKind::Refuses | OutageKind::Hangs) => (LATENCY, true),
+            Some(OutageKind::Closed) => (LATENCY, false),
+            Some(OutageKind::Silent) => (DIAL_TIMEOUT, false),
+        };
+        let ends = Incident::DialEnds { conn: conn.0, up };
+        self.schedule(self.now + after, host, ends);
+    }
+
+    /// Takes what the router has put into the outbox to discovery.
+    fn write_outbox(&mut self, host: usize) {
+        let now = self.now;
+        let state = &mut self.hosts[host];
+        let Some(link) = &mut state.link else {
+            return;
+        };
+        let batch = link.outbox.take_batch(|| now, usize::MAX);
+        link.outbox.batch_written();
+        let mut call = None;
+        for body in batch.frames.into_iter().filter_map(|frame| frame.body) {
+            if let Body::Watch(watch) = body {
+                let event = Event::Watch { on: watch.on };
+                let next = link.calls.step(now, DISCOVERY_TERM, event);
+                call = call.or(next);
+            }
+        }
+        let conn = link.conn;
+        if batch.closed {
+            state.link = None;
+        }
+        self.make_call(host, conn, call);
+    }
+
+    fn outcome(&self) -> Outcome {
+        let change_at = BEGIN + self.scenario.change_at;
+        let delay = |host: &Host| match host.informed_at {
+            Some(at) => at.saturating_sub(change_at),
+            None => self.scenario.until,
+        };
+        let is_late = |host: &&Host| delay(host) > DISCOVERY_TERM;
+        let counted = self.calls.iter().copied();
+        let counted: Vec<Duration> = counted.filter(|at| *at > BEGIN + COUNTED_AFTER).collect();
+        let in_second = |from: &Duration| {
+            let second = *from..*from + ms(1000);
+            counted.iter().filter(|at| second.contains(at)).count()
+        };
+        let late: Vec<&Host> = self.hosts.iter().filter(is_late).collect();
+        Outcome {
+            calls: counted.len(),
+            fruitless: counted.len() - self.answers,
+            busiest: counted.iter().step_by(7).map(in_second).max().unwrap_or(0),
+            slowest: self.hosts.iter().map(delay).max().unwrap_or_default(),
+            late: late.len(),
+            unexcused: late.iter().filter(|host| host.failed <= 1).count(),
+        }
+    }
+}
+
+fn gone(conn: u64) -> Input {
+    Input::DiscoveryGone { conn: ConnId(conn) }
+}
