--- a/crates/platform/src/config/settings.rs
+++ b/crates/platform/src/config/settings.rs
@@ -1,8 +1,8 @@
 //! The platform's settings, as the host's own. Pure functions; called by [`super::Config::read`]
 //! alone.
 
+use super::descriptors::Descriptors;
 use super::error::SettingsError;
-use super::{ClassProtocol, Descriptors};
 use grebecleat::interface::*;
 use grebecleat_adapter::settings::{self as bench, Pairs};
 use grebecleat_settings::{Bounds, HostSpec, ListSpec, NamedPlan, Rules, Settings, Stream};
@@ -33,6 +33,17 @@
 /// watches and waits after failed calls are reckoned from no more.
 pub const DISCOVERY_TERM: Duration = Duration::from_millis(6000);
 
+/// What the platform requires of a traffic class's requests, beside what the decisions know of it.
+#[derive(Debug, Clone)]
+pub struct ClassProtocol {
+    /// Its name: the first part of a request's path.
+    pub name: String,
+    /// Its requests carry an idempotency key.
+    pub requires_key: bool,
+    /// Its requests are writes (PUT) or reads (GET); None: either.
+    pub write: Option<bool>,
+}
+
 /// What the settings are completed with.
 pub(super) struct Process<'a> {
     pub(super) name: &'a str,
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -21,7 +21,7 @@
 }
 
 /// Appends a health check.
-pub fn put_probe(to: &mut Vec<u8>) {
+pub fn put_health_check(to: &mut Vec<u8>) {
     let _ = write!(to, "GET /health/live HTTP/1.1\r\nHost: {SERVICE}\r\n\r\n");
 }
 
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -67,7 +67,8 @@
     let address = listener.local_addr()?;
     let slots = Arc::new(ClientSlots::new(options.config.descriptors.clients));
     let mut owner = Owner::new(
-        options,
+        options.config,
+        options.file,
         slots.clone(),
         listener.as_raw_fd(),
         to_owner.clone(),
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -22,7 +22,6 @@
 use super::listener::{ClientSlots, LAST_DIALED_CONN};
 use super::log_limiter::LogLimiter;
 use super::reader::{OwnerEvent, ReadGate};
-use super::Options;
 use crate::clients::RequestParser;
 use crate::config::{Config, DISCOVERY_TERM};
 use crate::discovery::EndpointNames;
@@ -97,12 +96,12 @@
 
 impl Owner {
     pub(super) fn new(
-        options: Options,
+        config: Config,
+        config_file: Option<PathBuf>,
         slots: Arc<ClientSlots>,
         listener: RawFd,
         to_owner: Sender<OwnerEvent>,
     ) -> Self {
-        let Options { config, file } = options;
         let router = RequestRouter::new(config.settings.clone(), config.seed)
             .with_exclusive_connections()
             .with_poll_deadline(DISCOVERY_TERM, CALL_TIMEOUT);
@@ -134,7 +133,7 @@
             log_limiter: LogLimiter::new(now),
             statistics: StatisticsReporter::default(),
             statistics_at: now,
-            config_file: file,
+            config_file,
             config,
         };
         owner.load_cached_endpoints();
--- a/crates/platform/src/run/owner/client_conn.rs
+++ b/crates/platform/src/run/owner/client_conn.rs
@@ -27,7 +27,7 @@
 };
 
 /// What was parsed of a client's bytes.
-struct Parsed {
+struct ParsedRequest {
     request: ClientRequest,
     /// Whether the client lets the connection stay open.
     keep_alive: bool,
@@ -104,13 +104,13 @@
         }
     }
 
-    fn parse_request(&self, bytes: &[u8]) -> Result<Option<Parsed>, HttpError> {
+    fn parse_request(&self, bytes: &[u8]) -> Result<Option<ParsedRequest>, HttpError> {
         let Some((request, used)) = http::request(bytes)? else {
             return Ok(None);
         };
         let keep_alive = request.keep_alive;
         let request = self.request_parser.parse(&request)?;
-        Ok(Some(Parsed {
+        Ok(Some(ParsedRequest {
             request,
             keep_alive,
             used,
--- a/crates/platform/src/run/owner/tests.rs
+++ b/crates/platform/src/run/owner/tests.rs
@@ -25,7 +25,7 @@
     text["limits"]["sockets"] = sockets.into();
     let config = Config::read("c.json".as_ref(), text.to_string().as_bytes()).unwrap();
     let slots = Arc::new(ClientSlots::new(9));
-    Owner::new(Options { config, file: None }, slots, -1, to_owner)
+    Owner::new(config, None, slots, -1, to_owner)
 }
 
 /// Accepts a client over `fd`, as the listener would.
--- a/crates/platform/src/run/owner/writer.rs
+++ b/crates/platform/src/run/owner/writer.rs
@@ -166,7 +166,7 @@
             }
             (Role::Node(exchange @ NodeExchange::Idle), Body::HealthCheck(check)) => {
                 *exchange = NodeExchange::HealthCheck(check.probe);
-                nodes::put_probe(&mut connection.write_buffer);
+                nodes::put_health_check(&mut connection.write_buffer);
             }
             (Role::Node(_), Body::HealthCheck(check)) => {
                 let at = clock::now();
