--- a/crates/host/src/poll_deadline.rs
+++ b/crates/host/src/poll_deadline.rs
@@ -12,8 +12,8 @@
 //! know: it holds for any three calls in a row. A watch begins with the answer before it.
 //!
 //! ```text
-//!     watch, silent from its beginning    2.0 s   calls::WATCH
-//!       what it may take beyond           1.0     calls::ANSWER
+//!     watch, silent from its beginning    2.0 s   discovery_calls::MAX_WATCH_WAIT
+//!       what it may take beyond           1.0     discovery_calls::CALL_TIMEOUT
 //!       the look that ends it            0.05     the platform's sweep
 //!     wait                         up to 0.50     what is left but for the next two lines and SPREAD
 //!     dial and call, refused as late as can be    1.0   the call's span, from its dial on
@@ -28,7 +28,7 @@
 //!
 //! Failures that come fast leave the decisions' own waits as they are (two of them are 4.5 s at most), so a discovery
 //! that refuses at once sees no more calls than before. Harm: one that takes calls and never answers is called more
-//! often, by a twentieth in the model fleets of `platform/tests/renewal.rs`. A second failure of a call begun after T is
+//! often, by a twentieth in the model fleets of `platform/tests/poll_deadline`. A second failure of a call begun after T is
 //! not covered: that needs either more calls all the time or less time for each.
 //!
 //! A discovery that moves is a call begun anew there, and the one at the former address counts as failed. Pushed lists
--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -11,16 +11,17 @@
 //! the drain where it was; what lies between them only hosts know, and they report it again to a
 //! process that starts anew:
 //!
-//! - a host is *notified* once it has acknowledged the catalog up to the drain, and that nothing decided
-//!   before can still be sent. A host that was never heard of serves nothing; one that is dead
-//! holds the   drain up until it is back or an operator vouches for it, since it might send again
-//! by what it knew;
-//! - a node is *quiet* at a host that counted its attempts after it followed the drain and found none, once
-//!   those that ended without an answer have had the longest time that any may take. What a host
-//! had in   flight when its connection was lost, or what an earlier incarnation of it had up to
-//! when the next one   came, is given twice that time: to end at the host, and to be over at the
-//! node;
-//! - a node is *drained* when every host is notified and quiet. It does not go back: nobody sends to it.
+//! - a host is *notified* once it has acknowledged the catalog up to the drain, and that nothing
+//!   decided before can still be sent. A host that was never heard of serves nothing; one that is
+//!   dead holds the drain up until it is back or an operator vouches for it, since it might send
+//!   again by what it knew;
+//! - a node is *quiet* at a host that counted its attempts after it followed the drain and found
+//!   none, once those that ended without an answer have had the longest time that any may take.
+//!   What a host had in flight when its connection was lost, or what an earlier incarnation of it
+//!   had up to when the next one came, is given twice that time: to end at the host, and to be over
+//!   at the node;
+//! - a node is *drained* when every host is notified and quiet. It does not go back: nobody sends
+//!   to it.
 //!
 //! A queued drain is proposed when nothing in its zone is known to conflict with it, the earliest
 //! request of a zone first; admission has the last word, at each try anew. A drain that is not
