--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,6 +1,6 @@
 //! What one running host knows of the fleet, as it tells whoever watches it.
 
-use crate::Stop;
+use crate::exit::{could_not_run, CommandError};
 use grebecleat_standin::net::hello;
 use grebecleat_wire::pb::{self, frame::Body};
 use grebecleat_wire::{clock, frame};
@@ -97,8 +97,8 @@
     out
 }
 
-pub fn show(at: SocketAddr) -> Result<(), Stop> {
-    let f = figures(at).map_err(|e| Stop::Failed(format!("{at}: {e}")))?;
+pub fn show(at: SocketAddr) -> Result<(), CommandError> {
+    let f = figures(at).map_err(|e| could_not_run(format!("{at}: {e}")))?;
     print!("{}", table(&f));
     Ok(())
 }
--- /dev/null
+++ b/crates/cli/src/plans/output.rs
@@ -0,0 +1,27 @@
+//! What a command prints: lines of text, or one JSON value.
+
+use crate::args::Format;
+use serde_json::Value;
+use std::io::Write;
+
+/// Prints results in the form that was asked for.
+pub struct Output {
+    format: Format,
+}
+
+impl Output {
+    pub fn new(format: Format) -> Self {
+        Output { format }
+    }
+
+    pub fn print(&self, lines: impl IntoIterator<Item = String>, value: Value) {
+        let mut out = std::io::stdout().lock();
+        // An error means that whoever reads it has seen enough.
+        let _ = match self.format {
+            Format::Text => lines
+                .into_iter()
+                .try_for_each(|line| writeln!(out, "{line}")),
+            Format::Json => writeln!(out, "{value:#}"),
+        };
+    }
+}
--- /dev/null
+++ b/crates/cli/src/rehearsal.rs
@@ -0,0 +1,128 @@
+//! `grebecleat rehearse`: plays a scripted day on the loopback and audits it.
+
+use crate::args::RehearseArgs;
+use crate::audit;
+use crate::common::load;
+use crate::exit::{invalid, CommandError};
+use crate::rehearsal_report::{print_changes, print_clients, print_disks};
+use crate::standins::fault_kinds;
+use grebecleat_audit::Verdict;
+use grebecleat_settings::{Kind, Rehearsal, Settings};
+use grebecleat_standin::rehearse::{self, Seen};
+use indicatif::{ProgressBar, ProgressStyle};
+use std::io::IsTerminal;
+use std::path::{Path, PathBuf};
+use std::time::Duration;
+
+/// The bad day that comes with the program.
+const BAD_DAY: &str = include_str!("../../../examples/bad-day.star");
+const BAD_DAY_FILE: &str = "bad-day.star";
+
+pub fn run(args: RehearseArgs) -> Result<(), CommandError> {
+    let dir = args.dir.clone().unwrap_or_else(rehearse::folder);
+    std::fs::create_dir_all(&dir)?;
+    let script = script_in(&args.script, &dir)?;
+    let mut settings = load(&script)?;
+    let kinds = kinds(&args)?;
+    rehearse::play(&mut settings, &kinds, args.seed);
+    let Some(plan) = &settings.rehearsal else {
+        let script = script.display();
+        return Err(invalid(format!("{script}: no rehearsal() in the file")));
+    };
+    print_plan(&settings, plan);
+    let bar = progress_bar(plan.length);
+    let program = std::env::current_exe()?;
+    let seen = rehearse::rehearse(rehearse::Options {
+        settings: &settings,
+        script: &script,
+        kinds: &kinds,
+        seed: args.seed,
+        dir: &dir,
+        program: &program,
+        progress: Box::new(|now, tally| {
+            bar.set_position(now.as_millis() as u64);
+            bar.set_message(format!("{} done, {} deferred", tally.done, tally.deferred));
+        }),
+    })?;
+    bar.finish_and_clear();
+    print_clients(&settings, &seen.tally);
+    print_changes(&settings, &seen.tally, &seen.changes);
+    let verdict = audit::judge(&dir, &settings)?;
+    audit::print_verdict(&verdict, &dir);
+    let passed = passed(&seen, &verdict);
+    if passed && args.dir.is_none() && !args.keep {
+        std::fs::remove_dir_all(&dir)?;
+    } else {
+        println!("traces and logs: {}", dir.display());
+    }
+    print_disks(&seen.disks);
+    println!("{}", verdict.line());
+    if passed {
+        Ok(())
+    } else {
+        Err(CommandError::CheckFailed)
+    }
+}
+
+/// Whether no rule was broken, and no client or initiator got a wrong, missing or second answer.
+fn passed(seen: &Seen, verdict: &Verdict) -> bool {
+    let clients_passed = seen.tally.wrong_content == 0 && seen.tally.doubled == 0;
+    let disks = &seen.disks;
+    let disks_passed = disks.wrong == 0 && disks.missing == 0 && disks.doubled == 0;
+    audit::passed(verdict) && clients_passed && disks_passed
+}
+
+/// The script's path; the embedded one is written into the folder where no file of that name is at hand.
+fn script_in(script: &Path, dir: &Path) -> Result<PathBuf, CommandError> {
+    if script.exists() || !script.ends_with(BAD_DAY_FILE) {
+        return Ok(script.to_path_buf());
+    }
+    let path = dir.join(BAD_DAY_FILE);
+    std::fs::write(&path, BAD_DAY)?;
+    Ok(path)
+}
+
+/// The kinds of faults to play in place of the script's own; none: the script's.
+fn kinds(args: &RehearseArgs) -> Result<Vec<Kind>, CommandError> {
+    let kinds = fault_kinds(args.kinds.as_deref())?;
+    let Some(journal) = &args.journal else {
+        return Ok(kinds);
+    };
+    let file = journal.display();
+    let text = std::fs::read_to_string(journal)
+        .map_err(|error| invalid(format!("--journal: cannot read {file}: {error}")))?;
+    let kinds = Kind::find(&text);
+    if kinds.is_empty() {
+        return Err(invalid(format!(
+            "--journal: {file} names no kinds of trouble"
+        )));
+    }
+    Ok(kinds)
+}
+
+fn print_plan(settings: &Settings, plan: &Rehearsal) {
+    let faults = plan.troubles.iter();
+    let names: Vec<&str> = faults.map(|fault| fault.kind.name()).collect();
+    let names = if names.is_empty() {
+        "none".into()
+    } else {
+        names.join("+")
+    };
+    println!(
+        "{}: {} hosts, {} nodes, {:?}, seed {}, troubles {names}",
+        settings.name,
+        settings.hosts.len(),
+        settings.nodes.len(),
+        plan.length,
+        plan.seed,
+    );
+}
+
+fn progress_bar(length: Duration) -> ProgressBar {
+    if !std::io::stderr().is_terminal() {
+        return ProgressBar::hidden();
+    }
+    let bar = ProgressBar::new(length.as_millis() as u64);
+    let style = ProgressStyle::with_template("{bar:30} {percent}% {msg}");
+    bar.with_style(style.unwrap_or_else(|_| ProgressStyle::default_bar()))
+}
--- /dev/null
+++ b/crates/cli/src/rehearsal_report.rs
@@ -0,0 +1,90 @@
+//! What a rehearsal prints of its clients, its changes of plans and its initiators.
+
+use grebecleat_settings::Settings;
+use grebecleat_standin::clients::Tally;
+use grebecleat_standin::disks::Disks;
+use grebecleat_standin::rehearse::Played;
+use std::ops::Range;
+
+/// Seconds before and after a change over which its volumes' service is compared.
+const COMPARED_SECONDS: u64 = 4;
+
+pub fn print_clients(settings: &Settings, tally: &Tally) {
+    println!(
+        "clients: {} tries, {} done, {} deferred, {} abandoned; {} lost with their host, \
+         {} unanswered, {} answered twice, {} reads with wrong content, {} found no host",
+        tally.tries,
+        tally.done,
+        tally.deferred,
+        tally.abandoned,
+        tally.lost,
+        tally.unanswered,
+        tally.doubled,
+        tally.wrong_content,
+        tally.unreached
+    );
+    for (plan, (all, timely, late)) in &tally.plans {
+        let percent = |count: u64| 100.0 * count as f64 / (*all).max(1) as f64;
+        println!(
+            "plan {:<10} {all:>7} pieces of work, {:>5.1}% in their SLO time, {:>4.1}% late",
+            settings.plans[*plan].name,
+            percent(*timely),
+            percent(*late)
+        );
+    }
+}
+
+/// What came of the script's changes, and how the volumes they name were served before and after.
+pub fn print_changes(settings: &Settings, tally: &Tally, changes: &[Played]) {
+    for change in changes {
+        let words = change.words.join(", ");
+        println!("at {:?}: {words} -> {}", change.at, change.said);
+        for id in change.words.iter().filter_map(|word| volume_id(word)) {
+            let index = settings.volumes.iter().position(|volume| volume.id == id);
+            if let Some(index) = index {
+                print_volume(tally, index, id, change.at.as_secs());
+            }
+        }
+    }
+}
+
+fn print_volume(tally: &Tally, index: usize, id: u64, at: u64) {
+    let percent = |span: Range<u64>| match tally.timely(index, span) {
+        Some(fraction) => format!("{:.0}%", 100.0 * fraction),
+        None => "nothing asked".into(),
+    };
+    let before = percent(at.saturating_sub(COMPARED_SECONDS)..at);
+    // Placing a volume anew may take a second.
+    let after = percent(at + 1..at + 1 + COMPARED_SECONDS);
+    println!(
+        "    volume {id}: in its SLO time in the {COMPARED_SECONDS} s before {before}, \
+         from 1 s after {after}"
+    );
+}
+
+/// The volume that a change of a volume names.
+fn volume_id(change: &str) -> Option<u64> {
+    let rest = change.strip_prefix("volume ")?;
+    rest.split(' ').next()?.parse().ok()
+}
+
+pub fn print_disks(disks: &Disks) {
+    if disks.commands == 0 {
+        return;
+    }
+    println!(
+        "iscsi: {} good, {} busy, {} of unknown outcome, {} logins, {} aborted and sent again; \
+         {} blocks checked, {} wrong",
+        disks.good,
+        disks.busy,
+        disks.unknown,
+        disks.logins,
+        disks.aborted,
+        disks.blocks_checked,
+        disks.wrong
+    );
+    println!(
+        "commands {}, answered {}, missing {}, doubled {}",
+        disks.commands, disks.answered, disks.missing, disks.doubled
+    );
+}
--- /dev/null
+++ b/crates/cli/src/standins.rs
@@ -0,0 +1,58 @@
+//! `grebecleat node` and `grebecleat list-service`: the stand-ins, which play a script's faults.
+
+use crate::args::{ListArgs, NodeArgs, Stage as StageArgs};
+use crate::common::{address, load, print_listening, tracer};
+use crate::exit::{could_not_run, invalid, CommandError};
+use grebecleat_settings::Kind;
+use grebecleat_standin::{net, rehearse, serve};
+use grebecleat_wire::{clock, pb};
+use std::net::TcpListener;
+use std::sync::Arc;
+use std::time::Duration;
+
+pub fn nodes(args: NodeArgs) -> Result<(), CommandError> {
+    let stage = stage(&args.stage, pb::Role::Node, "nodes")?;
+    let known = |id: &u32| stage.settings.nodes.iter().any(|node| node.id == *id);
+    if let Some(id) = args.ids.iter().find(|id| !known(id)) {
+        let file = args.stage.file.display();
+        return Err(invalid(format!("--ids: {file} has no node {id}")));
+    }
+    serve::nodes(&stage, &args.ids, args.list, |count| {
+        print_listening(format_args!("with {count} nodes"))
+    })?;
+    Ok(())
+}
+
+pub fn list(args: ListArgs) -> Result<(), CommandError> {
+    let stage = stage(&args.stage, pb::Role::List, "list")?;
+    let listen = address(args.listen, stage.settings.list.address, "--listen")?;
+    let listener = TcpListener::bind(listen)
+        .map_err(|error| could_not_run(format!("cannot listen on {listen}: {error}")))?;
+    print_listening(listener.local_addr()?);
+    serve::list(&stage, listener)?;
+    Ok(())
+}
+
+fn stage(args: &StageArgs, role: pb::Role, name: &str) -> Result<serve::Stage, CommandError> {
+    let mut settings = load(&args.file)?;
+    let kinds = fault_kinds(args.kinds.as_deref())?;
+    rehearse::play(&mut settings, &kinds, args.seed);
+    let tracer = tracer(args.trace.clone(), net::hello(role, name, 1))?;
+    Ok(serve::Stage {
+        settings: Arc::new(settings),
+        t0: args.t0.map_or_else(clock::now, Duration::from_nanos),
+        tracer,
+    })
+}
+
+/// The kinds of faults that `--kinds` names, joined by `+`.
+pub fn fault_kinds(text: Option<&str>) -> Result<Vec<Kind>, CommandError> {
+    let Some(text) = text else {
+        return Ok(Vec::new());
+    };
+    Kind::read(text).map_err(|name| {
+        let known: Vec<&str> = Kind::ALL.iter().map(|(name, _)| *name).collect();
+        let known = known.join(", ");
+        invalid(format!("--kinds: expected some of {known}, found {name}"))
+    })
+}
