--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -8,10 +8,12 @@
 //!
 //! Memory: an entry for each host, a row for each node and for each volume with a limit that is shared.
 
-use crate::budget::{Budget, Say, Spans, WHOLE};
-use crate::judgement::{Belief, Finding, Judge, Witness};
-use crate::shared::{Common, Facts, Mark, Offer, Served, Sight};
-use crate::word::{Word, MAX_FACTS, MAX_SAYS};
+use crate::gossip_message::{GossipMessage, MAX_FACTS, MAX_SAYS};
+use crate::gossip_state::{
+    GossipState, HostReport, LeaseOffer, Observation, ServedUnits, VersionStamp,
+};
+use crate::outlier_detection::{EndpointPolicy, Finding, Observer, OutlierDetector};
+use crate::quota_lease::{LeaseMessage, LeaseTerms, QuotaLeases, WHOLE_LIMIT};
 use crate::{HostNumber, Incarnation};
 use rand::seq::SliceRandom;
 use rand::SeedableRng;
@@ -33,36 +35,36 @@
 pub struct Rules {
     /// Between two rounds.
     pub every: Duration,
-    pub loans: Spans,
+    pub leases: LeaseTerms,
 }
 
 #[derive(Debug, Clone)]
 pub enum Event {
     /// `waited`: on the way, as far as that is known.
-    Told {
+    MessageReceived {
         from: HostNumber,
         waited: Duration,
         bytes: Vec<u8>,
     },
     /// The nodes of the list that are to be used, with the starts of their processes.
-    Nodes(BTreeMap<u32, u64>),
+    NodesInUse(BTreeMap<u32, u64>),
     /// An attempt to a node ended in a way that says something of it.
-    Tried {
+    AttemptEnded {
         node: u32,
         bad: bool,
     },
     /// Units that clients asked of a volume, and that it was served, here.
-    Asked {
+    UnitsRequested {
         volume: u64,
         units: f64,
     },
-    Served {
+    UnitsServed {
         volume: u64,
         units: f64,
     },
     /// Through which hosts a volume with a limit works, and how much that is, in units a second; no host: it
     /// has none, or works here no more.
-    Volume {
+    VolumeChanged {
         volume: u64,
         sharers: BTreeSet<HostNumber>,
         limit: f64,
@@ -71,27 +73,27 @@
 
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    Tell {
+    Send {
         to: HostNumber,
         bytes: Vec<u8>,
     },
     /// What this host may use of a volume's limit, times its settled part of it.
-    Part {
+    QuotaChanged {
         volume: u64,
         times: f64,
     },
-    Belief {
+    PolicyChanged {
         node: u32,
-        belief: Belief,
+        policy: EndpointPolicy,
     },
-    Note {
+    Log {
         text: String,
     },
 }
 
 #[derive(Debug)]
 struct Shared {
-    budget: Budget,
+    budget: QuotaLeases,
     limit: f64,
     asked: f64,
     /// Units a second that clients ask for here.
@@ -108,13 +110,13 @@
     bad: u32,
     last: Duration,
     /// When it last answered here while it was condemned.
-    clears: Option<Duration>,
+    contradicts_ejection: Option<Duration>,
 }
 
 /// What a volume was served through one host, and how fast that grows.
 #[derive(Debug, Clone, Copy)]
 struct Pace {
-    mark: Mark,
+    version: VersionStamp,
     units: u64,
     at: Duration,
     rate: f64,
@@ -122,7 +124,7 @@
 
 /// What this host knows of another, for whoever shows it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PeerFigures {
+pub struct PeerMetrics {
     pub host: HostNumber,
     pub incarnation: Incarnation,
     pub age: Duration,
@@ -132,11 +134,11 @@
 
 /// A volume's limit as this host has it now: parts of the whole.
 #[derive(Debug, Clone, PartialEq)]
-pub struct PartFigures {
+pub struct QuotaMetrics {
     pub volume: u64,
     pub sharers: usize,
     pub part: f64,
-    pub settled: f64,
+    pub base_quota: f64,
     pub lent: f64,
     pub borrowed: f64,
 }
@@ -145,8 +147,8 @@
 pub struct Fleet {
     me: HostNumber,
     rules: Rules,
-    common: Common,
-    judge: Judge,
+    common: GossipState,
+    judge: OutlierDetector,
     rng: Pcg64Mcg,
     nodes: BTreeMap<u32, u64>,
     tries: BTreeMap<u32, Tries>,
@@ -161,7 +163,7 @@
     stirred: BTreeSet<u64>,
     parts_at: Duration,
     out: Vec<Action>,
-    says: BTreeMap<HostNumber, Vec<(u64, u32, Say)>>,
+    lease_messages: BTreeMap<HostNumber, Vec<(u64, u32, LeaseMessage)>>,
 }
 
 impl Fleet {
@@ -176,13 +178,14 @@
     ) -> Self {
         let hosts = peers.len() + 1;
         // Twice the time in which one host could pass on what all say.
-        let each = (crate::shared::TOLD * crate::word::MAX_ENTRIES) as u32;
-        let within = crate::judgement::EVIDENCE + rules.every * 2 * hosts as u32 / each;
+        let each = (crate::gossip_state::GOSSIP_FANOUT * crate::gossip_message::MAX_ENTRIES) as u32;
+        let within =
+            crate::outlier_detection::EVIDENCE_WINDOW + rules.every * 2 * hosts as u32 / each;
         Fleet {
             me,
             rules,
-            common: Common::new(now, me, incarnation, rules.every, peers, seed),
-            judge: Judge::new(me, hosts, within, seed ^ 0x6a75),
+            common: GossipState::new(now, me, incarnation, rules.every, peers, seed),
+            judge: OutlierDetector::new(me, hosts, within, seed ^ 0x6a75),
             rng: Pcg64Mcg::seed_from_u64(seed ^ 0x666c),
             nodes: BTreeMap::new(),
             tries: BTreeMap::new(),
@@ -195,7 +198,7 @@
             stirred: BTreeSet::new(),
             parts_at: now,
             out: Vec::new(),
-            says: BTreeMap::new(),
+            lease_messages: BTreeMap::new(),
         }
     }
 
@@ -234,18 +237,18 @@
             self.raised();
         }
         for (to, mut word) in words {
-            word.says = self.says_for(to);
+            word.lease_messages = self.says_for(to);
             self.tell(to, &word);
         }
-        for to in self.says.keys().copied().collect::<Vec<_>>() {
-            let (incarnation, says) = (self.common.incarnation(), self.says_for(to));
+        for to in self.lease_messages.keys().copied().collect::<Vec<_>>() {
+            let (incarnation, lease_messages) = (self.common.incarnation(), self.says_for(to));
             self.tell(
                 to,
-                &Word {
+                &GossipMessage {
                     incarnation,
-                    asks: false,
+                    requests_sync: false,
                     entries: Vec::new(),
-                    says,
+                    lease_messages,
                 },
             );
         }
@@ -253,24 +256,24 @@
         std::mem::take(&mut self.out)
     }
 
-    fn says_for(&mut self, to: HostNumber) -> Vec<(u64, u32, Say)> {
-        let Some(says) = self.says.get_mut(&to) else {
+    fn says_for(&mut self, to: HostNumber) -> Vec<(u64, u32, LeaseMessage)> {
+        let Some(lease_messages) = self.lease_messages.get_mut(&to) else {
             return Vec::new();
         };
-        let rest = says.split_off(says.len().min(MAX_SAYS));
-        let now = std::mem::replace(says, rest);
-        self.says.retain(|_, s| !s.is_empty());
+        let rest = lease_messages.split_off(lease_messages.len().min(MAX_SAYS));
+        let now = std::mem::replace(lease_messages, rest);
+        self.lease_messages.retain(|_, s| !s.is_empty());
         now
     }
 
-    fn tell(&mut self, to: HostNumber, word: &Word) {
-        self.out.push(Action::Tell {
+    fn tell(&mut self, to: HostNumber, word: &GossipMessage) {
+        self.out.push(Action::Send {
             to,
             bytes: word.to_bytes(),
         });
     }
 
-    fn say(&mut self, volume: u64, says: Vec<(HostNumber, Say)>) {
+    fn say(&mut self, volume: u64, lease_messages: Vec<(HostNumber, LeaseMessage)>) {
         let Some(sharers) = self
             .volumes
             .get(&volume)
@@ -278,8 +281,8 @@
         else {
             return;
         };
-        for (to, say) in says {
-            self.says
+        for (to, say) in lease_messages {
+            self.lease_messages
                 .entry(to)
                 .or_default()
                 .push((volume, sharers, say));
@@ -288,18 +291,18 @@
 
     fn hear(&mut self, now: Duration, event: Event) {
         match event {
-            Event::Told {
+            Event::MessageReceived {
                 from,
                 waited,
                 bytes,
-            } => match Word::from_bytes(&bytes) {
+            } => match GossipMessage::from_bytes(&bytes) {
                 Ok(mut word) => {
                     word.entries.iter_mut().for_each(|e| e.age += waited);
                     self.told(now, from, &word);
                 }
                 Err(why) => self.complain(from, &why),
             },
-            Event::Nodes(nodes) => {
+            Event::NodesInUse(nodes) => {
                 // Another process of a node knows nothing of what the last one did.
                 let same = |node: &u32| {
                     nodes.contains_key(node) && nodes.get(node) == self.nodes.get(node)
@@ -307,7 +310,7 @@
                 self.tries.retain(|node, _| same(node));
                 self.nodes = nodes;
             }
-            Event::Tried { node, bad } => {
+            Event::AttemptEnded { node, bad } => {
                 let t = self.tries.entry(node).or_default();
                 let (this, other) = if bad {
                     (&mut t.bad, &mut t.well)
@@ -317,34 +320,36 @@
                 (*this, *other) = (this.saturating_add(1), *other / 2);
                 t.last = now;
                 if !bad && self.judge.condemns(node) {
-                    t.clears = Some(now);
+                    t.contradicts_ejection = Some(now);
                 }
-                if bad || t.clears == Some(now) {
+                if bad || t.contradicts_ejection == Some(now) {
                     self.write_if_turned(now, node);
                 }
             }
-            Event::Asked { volume, units } => {
+            Event::UnitsRequested { volume, units } => {
                 self.volumes
                     .get_mut(&volume)
                     .into_iter()
                     .for_each(|v| v.asked += units);
             }
-            Event::Served { volume, units } => self.served.entry(volume).or_default().0 += units,
-            Event::Volume {
+            Event::UnitsServed { volume, units } => {
+                self.served.entry(volume).or_default().0 += units
+            }
+            Event::VolumeChanged {
                 volume,
                 sharers,
                 limit,
             } => {
                 if !sharers.contains(&self.me) || sharers.len() < 2 || limit <= 0.0 {
                     if self.volumes.remove(&volume).is_some() {
-                        self.out.push(Action::Part { volume, times: 1.0 });
+                        self.out.push(Action::QuotaChanged { volume, times: 1.0 });
                     }
                     return;
                 }
                 let (me, incarnation, spans) =
-                    (self.me, self.common.incarnation(), self.rules.loans);
+                    (self.me, self.common.incarnation(), self.rules.leases);
                 let new = || {
-                    let budget = Budget::new(now, me, incarnation, spans, sharers.clone());
+                    let budget = QuotaLeases::new(now, me, incarnation, spans, sharers.clone());
                     Shared {
                         budget,
                         limit,
@@ -361,7 +366,7 @@
         }
     }
 
-    fn told(&mut self, now: Duration, from: HostNumber, word: &Word) {
+    fn told(&mut self, now: Duration, from: HostNumber, word: &GossipMessage) {
         let joined = self.common.hear(now, from, word);
         if joined.refused > 0 {
             self.complain(
@@ -382,9 +387,9 @@
             let Some(v) = self.volumes.get_mut(&volume) else {
                 continue;
             };
-            let says = v.budget.hear(now, heard);
+            let lease_messages = v.budget.hear(now, heard);
             self.stirred.insert(volume);
-            self.say(volume, says);
+            self.say(volume, lease_messages);
         }
     }
 
@@ -394,7 +399,7 @@
             .values_mut()
             .for_each(|v| v.budget.lives_on(incarnation));
         self.stirred.extend(self.volumes.keys());
-        self.out.push(Action::Note {
+        self.out.push(Action::Log {
             text: format!("goes on as life {} of this host", incarnation.0),
         });
     }
@@ -403,7 +408,7 @@
         let lines = self.complaints.entry(from).or_default();
         *lines += 1;
         if *lines <= LINES_A_PEER {
-            self.out.push(Action::Note {
+            self.out.push(Action::Log {
                 text: format!("word of host {}: {why}", from.0),
             });
         }
@@ -427,56 +432,59 @@
         });
     }
 
-    fn sight(&self, now: Duration, node: u32) -> Option<Sight> {
+    fn observation(&self, now: Duration, node: u32) -> Option<Observation> {
         let (t, start) = (self.tries.get(&node)?, *self.nodes.get(&node)?);
-        let clears = t.bad == 0
-            && t.clears
-                .is_some_and(|at| now < at + crate::judgement::EVIDENCE);
-        Some(Sight {
+        let contradicts_ejection = t.bad == 0
+            && t.contradicts_ejection
+                .is_some_and(|at| now < at + crate::outlier_detection::EVIDENCE_WINDOW);
+        Some(Observation {
             node,
             start,
             sent: t.well.saturating_add(t.bad),
             bad: t.bad,
-            ago: now.saturating_sub(t.last),
-            clears,
+            age: now.saturating_sub(t.last),
+            contradicts_ejection,
         })
     }
 
-    fn sights(&self, now: Duration) -> impl Iterator<Item = Sight> + '_ {
+    fn observations(&self, now: Duration) -> impl Iterator<Item = Observation> + '_ {
         self.tries
             .keys()
-            .filter_map(move |node| self.sight(now, *node))
+            .filter_map(move |node| self.observation(now, *node))
     }
 
     /// What this host says of itself: of nodes first those that answer badly, then those that others say ill
     /// of and that answer here, since that is what can clear them; then what it has over, and has served.
-    fn facts(&self, now: Duration) -> Facts {
-        let mut sights: Vec<Sight> = self.sights(now).collect();
-        let tried = sights.len() as u32;
-        let badly = sights.iter().filter(|s| crate::judgement::bad(s)).count() as u32;
+    fn report(&self, now: Duration) -> HostReport {
+        let mut observations: Vec<Observation> = self.observations(now).collect();
+        let tried = observations.len() as u32;
+        let badly = observations
+            .iter()
+            .filter(|s| crate::outlier_detection::bad(s))
+            .count() as u32;
         let said_bad = |node: u32| {
             self.judge
                 .findings()
                 .get(&node)
                 .is_some_and(|f| f.badly.0 > 0)
         };
-        sights.sort_by_key(|s| {
+        observations.sort_by_key(|s| {
             let rank = match () {
-                _ if s.clears || crate::judgement::bad(s) => 0,
+                _ if s.contradicts_ejection || crate::outlier_detection::bad(s) => 0,
                 _ if said_bad(s.node) => 1,
                 _ => 2,
             };
             (rank, std::cmp::Reverse(s.sent))
         });
-        sights.truncate(MAX_FACTS);
+        observations.truncate(MAX_FACTS);
         let spare = |(volume, v): (&u64, &Shared)| {
             let spare = v.budget.spare(now);
-            (spare > 0).then_some(Offer {
+            (spare > 0).then_some(LeaseOffer {
                 volume: *volume,
                 spare,
             })
         };
-        let mut offers: Vec<Offer> = self.volumes.iter().filter_map(spare).collect();
+        let mut offers: Vec<LeaseOffer> = self.volumes.iter().filter_map(spare).collect();
         offers.sort_by_key(|o| std::cmp::Reverse(o.spare));
         offers.truncate(MAX_FACTS);
         // The busiest: of the others the reports in answers are good enough.
@@ -485,36 +493,36 @@
         served.sort_by(|a, b| b.1 .2.total_cmp(&a.1 .2));
         let served = served.into_iter().take(MAX_FACTS);
         let served = served
-            .map(|(volume, s)| Served {
+            .map(|(volume, s)| ServedUnits {
                 volume: *volume,
                 units: s.0 as u64,
             })
             .collect();
-        Facts {
+        HostReport {
             tried,
             badly,
-            sights,
+            observations,
             offers,
             served,
         }
     }
 
     fn write(&mut self, now: Duration) {
-        let facts = self.facts(now);
-        let turned = facts.turned();
+        let report = self.report(now);
+        let turned = report.turned();
         // What is not said any more is no news: it is old, and nobody needs to hear that at once.
         let news = !turned.is_subset(&self.turned);
         self.turned = turned;
-        self.common.write(now, facts, news);
+        self.common.write(now, report, news);
     }
 
     /// News that a node has begun to answer badly, or well where it was condemned, does not wait.
     fn write_if_turned(&mut self, now: Duration, node: u32) {
-        let news = |s: &Sight| s.clears || crate::judgement::bad(s);
+        let news = |s: &Observation| s.contradicts_ejection || crate::outlier_detection::bad(s);
         let news = self
-            .sight(now, node)
+            .observation(now, node)
             .filter(news)
-            .map(|s| (node, s.start, s.clears));
+            .map(|s| (node, s.start, s.contradicts_ejection));
         if news.is_some_and(|n| !self.turned.contains(&n)) {
             self.write(now);
         }
@@ -524,15 +532,15 @@
         let every = self.rules.every.as_secs_f64().max(1e-3);
         let aside = self.common.aside();
         let mut offers: BTreeMap<u64, Vec<(HostNumber, u32)>> = BTreeMap::new();
-        for (host, _, facts) in self.common.all(now).filter(|(h, ..)| *h != self.me) {
-            for o in &facts.offers {
+        for (host, _, report) in self.common.all(now).filter(|(h, ..)| *h != self.me) {
+            for o in &report.offers {
                 offers.entry(o.volume).or_default().push((host, o.spare));
             }
         }
         for volume in self.volumes.keys().copied().collect::<Vec<_>>() {
             let v = self.volumes.get_mut(&volume).expect("one of its keys");
             v.rate += FOLLOWS * (std::mem::take(&mut v.asked) / every - v.rate);
-            let wanted = v.rate * HEADROOM / v.limit * f64::from(WHOLE);
+            let wanted = v.rate * HEADROOM / v.limit * f64::from(WHOLE_LIMIT);
             v.budget.want(wanted as u32);
             v.budget.yields(aside);
             self.stirred.insert(volume);
@@ -540,24 +548,27 @@
             // All who need more hear of the same offers: without a shuffle all would ask the same host.
             offers.shuffle(&mut self.rng);
             offers.sort_by_key(|o| std::cmp::Reverse(o.1.max(1).ilog2()));
-            let says = v.budget.tend(now, &offers);
-            self.say(volume, says);
+            let lease_messages = v.budget.tend(now, &offers);
+            self.say(volume, lease_messages);
         }
     }
 
     fn judge(&mut self, now: Duration) {
-        let own = Facts {
-            sights: self.sights(now).collect(),
-            ..Facts::default()
+        let own = HostReport {
+            observations: self.observations(now).collect(),
+            ..HostReport::default()
         };
-        let others: Vec<Witness> = self
+        let others: Vec<Observer> = self
             .common
             .all(now)
-            .map(|(host, age, facts)| Witness { host, age, facts })
+            .map(|(host, age, report)| Observer { host, age, report })
             .collect();
         let changed = self.judge.judge(now, &self.nodes, &own, &others);
         for (node, belief) in changed {
-            self.out.push(Action::Belief { node, belief });
+            self.out.push(Action::PolicyChanged {
+                node,
+                policy: belief,
+            });
         }
     }
 
@@ -573,26 +584,26 @@
                 changes.min(self.parts_at)
             };
             let part = v.budget.part(now);
-            let settled = v.budget.settled();
-            if v.told != Some((part, settled)) {
-                v.told = Some((part, settled));
-                let times = f64::from(part) / f64::from(settled.max(1));
-                self.out.push(Action::Part { volume, times });
+            let base_quota = v.budget.base_quota();
+            if v.told != Some((part, base_quota)) {
+                v.told = Some((part, base_quota));
+                let times = f64::from(part) / f64::from(base_quota.max(1));
+                self.out.push(Action::QuotaChanged { volume, times });
             }
         }
     }
 
     fn pace(&mut self, now: Duration, host: HostNumber) {
-        let Some((_, mark)) = self.common.marks().find(|(h, _)| *h == host) else {
+        let Some((_, version)) = self.common.versions().find(|(h, _)| *h == host) else {
             return;
         };
-        let Some((_, age, facts)) = self.common.all(now).find(|(h, ..)| *h == host) else {
+        let Some((_, age, report)) = self.common.all(now).find(|(h, ..)| *h == host) else {
             return;
         };
         let at = now.saturating_sub(age);
-        for s in &facts.served {
+        for s in &report.served {
             let new = Pace {
-                mark,
+                version,
                 units: s.units,
                 at,
                 rate: 0.0,
@@ -604,7 +615,7 @@
                 .entry(host)
                 .or_insert(new);
             let span = at.saturating_sub(p.at).as_secs_f64();
-            if p.mark.incarnation != mark.incarnation || s.units < p.units {
+            if p.version.incarnation != version.incarnation || s.units < p.units {
                 *p = new;
             } else if span > 0.0 {
                 let rate = (s.units - p.units) as f64 / span;
@@ -616,7 +627,7 @@
     /// Units a second that a volume is served through the other hosts, by their own counts. What is behind
     /// leaves some out: it is at most what they serve, but for the last change of their pace.
     pub fn served_elsewhere(&self, now: Duration, volume: u64) -> f64 {
-        let fresh = |p: &Pace| now < p.at + crate::judgement::EVIDENCE;
+        let fresh = |p: &Pace| now < p.at + crate::outlier_detection::EVIDENCE_WINDOW;
         let hosts = self.paces.get(&volume).into_iter().flatten();
         hosts.filter(|(_, p)| fresh(p)).map(|(_, p)| p.rate).sum()
     }
@@ -626,11 +637,13 @@
         self.served.get(&volume).map_or(0.0, |s| s.2) + self.served_elsewhere(now, volume)
     }
 
-    pub fn peers(&self, now: Duration) -> Vec<PeerFigures> {
-        let marks: BTreeMap<HostNumber, Mark> = self.common.marks().collect();
-        let row = |(host, age, f): (HostNumber, Duration, &Facts)| {
-            let incarnation = marks.get(&host).map_or(Incarnation(0), |m| m.incarnation);
-            PeerFigures {
+    pub fn peers(&self, now: Duration) -> Vec<PeerMetrics> {
+        let versions: BTreeMap<HostNumber, VersionStamp> = self.common.versions().collect();
+        let row = |(host, age, f): (HostNumber, Duration, &HostReport)| {
+            let incarnation = versions
+                .get(&host)
+                .map_or(Incarnation(0), |m| m.incarnation);
+            PeerMetrics {
                 host,
                 incarnation,
                 age,
@@ -645,15 +658,15 @@
             .collect()
     }
 
-    pub fn parts(&self, now: Duration) -> Vec<PartFigures> {
-        let of = |n: u32| f64::from(n) / f64::from(WHOLE);
+    pub fn parts(&self, now: Duration) -> Vec<QuotaMetrics> {
+        let of = |n: u32| f64::from(n) / f64::from(WHOLE_LIMIT);
         let row = |(volume, v): (&u64, &Shared)| {
-            let (lent, borrowed) = v.budget.loans(now);
-            PartFigures {
+            let (lent, borrowed) = v.budget.leases(now);
+            QuotaMetrics {
                 volume: *volume,
                 sharers: v.budget.sharers().len(),
                 part: of(v.budget.part(now)),
-                settled: of(v.budget.settled()),
+                base_quota: of(v.budget.base_quota()),
                 lent: of(lent),
                 borrowed: of(borrowed),
             }
@@ -662,7 +675,7 @@
     }
 
     /// Of each node that somebody has tried: what all say, and what this host makes of it.
-    pub fn beliefs(&self) -> Vec<(u32, Finding, Belief)> {
+    pub fn policies(&self) -> Vec<(u32, Finding, EndpointPolicy)> {
         let findings = self.judge.findings();
         findings
             .iter()
@@ -670,7 +683,7 @@
             .collect()
     }
 
-    pub fn belief_of(&self, node: u32) -> Belief {
+    pub fn policy_of(&self, node: u32) -> EndpointPolicy {
         self.judge.belief(node)
     }
 
--- a/crates/fleet/src/word.rs
+++ b/crates/fleet/src/gossip_message.rs
@@ -1,11 +1,13 @@
-//! What crosses between hosts, inside the frames' `Word`; a host that does not know it drops it.
+//! What crosses between hosts, inside the frames' `GossipMessage`; a host that does not know it drops it.
 //!
 //! A word is taken whole or refused whole with one reason: half a word, or one with numbers near the end of
 //! their range, could otherwise be joined and never be overtaken. What cannot be checked is who wrote an
 //! entry that another passes on: hosts are trusted to be hosts of this fleet, not to be right.
 
-use crate::budget::{Heard, Say, WHOLE};
-use crate::shared::{Entry, Facts, Mark, Offer, Served, Sight};
+use crate::gossip_state::{
+    GossipEntry, HostReport, LeaseOffer, Observation, ServedUnits, VersionStamp,
+};
+use crate::quota_lease::{LeaseMessage, ReceivedLeaseMessage, WHOLE_LIMIT};
 use crate::{HostNumber, Incarnation};
 use prost::Message;
 use std::time::Duration;
@@ -22,7 +24,7 @@
 const MAX_AGE: u64 = 1 << 32;
 
 #[derive(Clone, PartialEq, Message)]
-struct WireSight {
+struct WireObservation {
     #[prost(uint32, tag = "1")]
     node: u32,
     #[prost(uint64, tag = "2")]
@@ -34,7 +36,7 @@
     #[prost(uint32, tag = "5")]
     ago_ms: u32,
     #[prost(bool, tag = "6")]
-    clears: bool,
+    contradicts_ejection: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -46,7 +48,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireServed {
+struct WireServedUnits {
     #[prost(uint64, tag = "1")]
     volume: u64,
     #[prost(uint64, tag = "2")]
@@ -68,15 +70,15 @@
     #[prost(uint32, tag = "6")]
     badly: u32,
     #[prost(message, repeated, tag = "7")]
-    sights: Vec<WireSight>,
+    observations: Vec<WireObservation>,
     #[prost(message, repeated, tag = "8")]
     offers: Vec<WireOffer>,
     #[prost(message, repeated, tag = "9")]
-    served: Vec<WireServed>,
+    served: Vec<WireServedUnits>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireSay {
+struct WireLeaseMessage {
     #[prost(uint64, tag = "1")]
     volume: u64,
     #[prost(uint32, tag = "2")]
@@ -94,55 +96,55 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireWord {
+struct WireGossipMessage {
     #[prost(uint32, tag = "1")]
     format: u32,
     #[prost(uint64, tag = "2")]
     incarnation: u64,
     #[prost(bool, tag = "3")]
-    asks: bool,
+    requests_sync: bool,
     #[prost(message, repeated, tag = "4")]
     entries: Vec<WireEntry>,
     #[prost(message, repeated, tag = "5")]
-    says: Vec<WireSay>,
+    lease_messages: Vec<WireLeaseMessage>,
 }
 
 /// What one host tells another at a time.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Word {
+pub struct GossipMessage {
     /// The sender's.
     pub incarnation: Incarnation,
     /// It has just started, and wants to hear what is known, of itself too.
-    pub asks: bool,
-    pub entries: Vec<Entry>,
+    pub requests_sync: bool,
+    pub entries: Vec<GossipEntry>,
     /// By budget, with the number of its sharers.
-    pub says: Vec<(u64, u32, Say)>,
+    pub lease_messages: Vec<(u64, u32, LeaseMessage)>,
 }
 
-impl Word {
+impl GossipMessage {
     pub fn to_bytes(&self) -> Vec<u8> {
         let entries = self.entries.iter().map(|e| WireEntry {
             writer: e.writer.0,
-            incarnation: e.mark.incarnation.0,
-            count: e.mark.count,
+            incarnation: e.version.incarnation.0,
+            count: e.version.count,
             age_ms: e.age.as_millis() as u64,
-            tried: e.facts.tried,
-            badly: e.facts.badly,
-            sights: e
-                .facts
-                .sights
+            tried: e.report.tried,
+            badly: e.report.badly,
+            observations: e
+                .report
+                .observations
                 .iter()
-                .map(|s| WireSight {
+                .map(|s| WireObservation {
                     node: s.node,
                     start: s.start,
                     sent: s.sent,
                     bad: s.bad,
-                    ago_ms: s.ago.as_millis().min(u128::from(u32::MAX)) as u32,
-                    clears: s.clears,
+                    ago_ms: s.age.as_millis().min(u128::from(u32::MAX)) as u32,
+                    contradicts_ejection: s.contradicts_ejection,
                 })
                 .collect(),
             offers: e
-                .facts
+                .report
                 .offers
                 .iter()
                 .map(|o| WireOffer {
@@ -151,24 +153,24 @@
                 })
                 .collect(),
             served: e
-                .facts
+                .report
                 .served
                 .iter()
-                .map(|s| WireServed {
+                .map(|s| WireServedUnits {
                     volume: s.volume,
                     units: s.units,
                 })
                 .collect(),
         });
-        let says = self.says.iter().map(|(volume, sharers, say)| {
+        let lease_messages = self.lease_messages.iter().map(|(volume, sharers, say)| {
             let (kind, number, loan, amount) = match *say {
-                Say::Want { ask, loan, amount } => (1, ask, loan, amount),
-                Say::Lend { ask, of, amount } => (2, ask, of.0, amount),
-                Say::Home { loan } => (3, 0, loan, 0),
-                Say::Clear { of } => (4, of.0, 0, 0),
-                Say::Born => (5, 0, 0, 0),
+                LeaseMessage::Request { ask, loan, amount } => (1, ask, loan, amount),
+                LeaseMessage::Grant { ask, of, amount } => (2, ask, of.0, amount),
+                LeaseMessage::Release { loan } => (3, 0, loan, 0),
+                LeaseMessage::Cleared { of } => (4, of.0, 0, 0),
+                LeaseMessage::Recovered => (5, 0, 0, 0),
             };
-            WireSay {
+            WireLeaseMessage {
                 volume: *volume,
                 sharers: *sharers,
                 kind,
@@ -177,60 +179,69 @@
                 amount,
             }
         });
-        let (entries, says) = (entries.collect(), says.collect());
-        WireWord {
+        let (entries, lease_messages) = (entries.collect(), lease_messages.collect());
+        WireGossipMessage {
             format: FORMAT,
             incarnation: self.incarnation.0,
-            asks: self.asks,
+            requests_sync: self.requests_sync,
             entries,
-            says,
+            lease_messages,
         }
         .encode_to_vec()
     }
 
     /// Why it is refused, where it is.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Word, String> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<GossipMessage, String> {
         if bytes.len() > MAX_BYTES {
             return Err(format!(
                 "{} bytes, expected at most {MAX_BYTES}",
                 bytes.len()
             ));
         }
-        let w = WireWord::decode(bytes).map_err(|e| format!("no word: {e}"))?;
+        let w = WireGossipMessage::decode(bytes).map_err(|e| format!("no word: {e}"))?;
         if w.format != FORMAT {
             return Err(format!("format {}, expected {FORMAT}", w.format));
         }
         let incarnation = incarnation_of(w.incarnation)?;
         within("entries", w.entries.len(), MAX_ENTRIES)?;
-        within("says", w.says.len(), MAX_SAYS)?;
+        within("says", w.lease_messages.len(), MAX_SAYS)?;
         let entries = w
             .entries
             .into_iter()
             .map(entry_of)
             .collect::<Result<_, _>>()?;
-        let says = w.says.into_iter().map(say_of).collect::<Result<_, _>>()?;
-        Ok(Word {
+        let lease_messages = w
+            .lease_messages
+            .into_iter()
+            .map(say_of)
+            .collect::<Result<_, _>>()?;
+        Ok(GossipMessage {
             incarnation,
-            asks: w.asks,
+            requests_sync: w.requests_sync,
             entries,
-            says,
+            lease_messages,
         })
     }
 
     /// What it says of budgets, as their budgets hear it.
-    pub fn heard(&self, from: HostNumber) -> impl Iterator<Item = (u64, Heard)> + '_ {
+    pub fn heard(
+        &self,
+        from: HostNumber,
+    ) -> impl Iterator<Item = (u64, ReceivedLeaseMessage)> + '_ {
         let incarnation = self.incarnation;
-        self.says.iter().map(move |(volume, sharers, say)| {
-            (
-                *volume,
-                Heard {
-                    from,
-                    incarnation,
-                    sharers: *sharers,
-                    say: *say,
-                },
-            )
-        })
+        self.lease_messages
+            .iter()
+            .map(move |(volume, sharers, say)| {
+                (
+                    *volume,
+                    ReceivedLeaseMessage {
+                        from,
+                        incarnation,
+                        sharers: *sharers,
+                        say: *say,
+                    },
+                )
+            })
     }
 }
 
@@ -251,8 +262,8 @@
     Ok(Incarnation(incarnation))
 }
 
-fn entry_of(e: WireEntry) -> Result<Entry, String> {
-    let mark = Mark {
+fn entry_of(e: WireEntry) -> Result<GossipEntry, String> {
+    let version = VersionStamp {
         incarnation: incarnation_of(e.incarnation)?,
         count: e.count,
     };
@@ -263,40 +274,40 @@
         ));
     }
     for (what, n) in [
-        ("sights", e.sights.len()),
+        ("sights", e.observations.len()),
         ("offers", e.offers.len()),
         ("served", e.served.len()),
     ] {
         within(what, n, MAX_FACTS)?;
     }
-    if e.badly > e.tried || e.sights.iter().any(|s| s.bad > s.sent) {
+    if e.badly > e.tried || e.observations.iter().any(|s| s.bad > s.sent) {
         return Err(format!("entry of host {}: more bad than sent", e.writer));
     }
-    if e.offers.iter().any(|o| o.spare > WHOLE) {
+    if e.offers.iter().any(|o| o.spare > WHOLE_LIMIT) {
         return Err(format!(
             "entry of host {}: more offered than there is",
             e.writer
         ));
     }
-    let sights = e.sights.into_iter().map(|s| {
+    let observations = e.observations.into_iter().map(|s| {
         let ago = Duration::from_millis(u64::from(s.ago_ms));
-        Sight {
+        Observation {
             node: s.node,
             start: s.start,
             sent: s.sent,
             bad: s.bad,
-            ago,
-            clears: s.clears,
+            age: ago,
+            contradicts_ejection: s.contradicts_ejection,
         }
     });
-    let facts = Facts {
+    let report = HostReport {
         tried: e.tried,
         badly: e.badly,
-        sights: sights.collect(),
+        observations: observations.collect(),
         offers: e
             .offers
             .into_iter()
-            .map(|o| Offer {
+            .map(|o| LeaseOffer {
                 volume: o.volume,
                 spare: o.spare,
             })
@@ -304,43 +315,43 @@
         served: e
             .served
             .into_iter()
-            .map(|s| Served {
+            .map(|s| ServedUnits {
                 volume: s.volume,
                 units: s.units,
             })
             .collect(),
     };
-    Ok(Entry {
+    Ok(GossipEntry {
         writer: HostNumber(e.writer),
-        mark,
+        version,
         age: Duration::from_millis(e.age_ms),
-        facts,
+        report,
     })
 }
 
-fn say_of(s: WireSay) -> Result<(u64, u32, Say), String> {
-    if s.amount > WHOLE || s.sharers == 0 {
+fn say_of(s: WireLeaseMessage) -> Result<(u64, u32, LeaseMessage), String> {
+    if s.amount > WHOLE_LIMIT || s.sharers == 0 {
         return Err(format!(
-            "volume {}: {} of {WHOLE} by {} sharers",
+            "volume {}: {} of {WHOLE_LIMIT} by {} sharers",
             s.volume, s.amount, s.sharers
         ));
     }
     let say = match s.kind {
-        1 => Say::Want {
+        1 => LeaseMessage::Request {
             ask: s.number,
             loan: s.loan,
             amount: s.amount,
         },
-        2 => Say::Lend {
+        2 => LeaseMessage::Grant {
             ask: s.number,
             of: incarnation_of(s.loan)?,
             amount: s.amount,
         },
-        3 => Say::Home { loan: s.loan },
-        4 => Say::Clear {
+        3 => LeaseMessage::Release { loan: s.loan },
+        4 => LeaseMessage::Cleared {
             of: incarnation_of(s.number)?,
         },
-        5 => Say::Born,
+        5 => LeaseMessage::Recovered,
         kind => {
             return Err(format!(
                 "volume {}: says {kind}, which is nothing",
--- a/crates/fleet/src/shared.rs
+++ b/crates/fleet/src/gossip_state.rs
@@ -1,25 +1,25 @@
 //! Entries that hosts hold in common: one writer each, joined by the larger mark, aged by spans.
 //!
-//! Called by the fleet's step: [`Common::write`] for what this host says of itself, [`Common::hear`] for what
-//! came, [`Common::round`] when its time has come, which answers whom to tell what. Spread is by rumour and
+//! Called by the fleet's step: [`GossipState::write`] for what this host says of itself, [`GossipState::hear`] for what
+//! came, [`GossipState::round`] when its time has come, which answers whom to tell what. Spread is by rumour and
 //! rotation (Demers 1987): what is new is passed on a few times at once, and beside it each word carries
 //! other entries in turn, so that in the end everything is heard whatever was lost.
 //!
-//! Bound, whatever the fleet's size: [`TOLD`] words of at most [`MAX_ENTRIES`] entries in a round, and a
+//! Bound, whatever the fleet's size: [`GOSSIP_FANOUT`] words of at most [`MAX_ENTRIES`] entries in a round, and a
 //! round every `every` at most, or four times as often while there is news. Memory: an entry for each host.
 //!
 //! Age is what an entry's facts were old when they came, and the time since: of the way between hosts nothing
 //! is known, so each hop counts a millisecond, lest an entry that goes round and round stays young. What is
-//! older than [`FORGET`] is refused and dropped: it cannot come back through a slow peer, since its age came
+//! older than [`ENTRY_TIMEOUT`] is refused and dropped: it cannot come back through a slow peer, since its age came
 //! with it.
 //!
 //! A host's lives. A start number tells them apart; of one host's entries those of the later life count. Who
 //! starts asks its peers first, and writes when it has heard what they know of it, or nothing for
-//! [`ASK_FIRST`]. Who later hears of a life of its own that is as late, and not its own, steps aside: either
+//! [`SYNC_TIMEOUT`]. Who later hears of a life of its own that is as late, and not its own, steps aside: either
 //! it is the earlier process, or its number is too low. It stays aside as long as the other's count grows,
 //! and then goes on above it.
 
-use crate::word::{Word, MAX_ENTRIES, MAX_FACTS};
+use crate::gossip_message::{GossipMessage, MAX_ENTRIES, MAX_FACTS};
 use crate::{HostNumber, Incarnation};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -28,10 +28,10 @@
 use std::time::Duration;
 
 /// Hosts told in a round.
-pub const TOLD: usize = 2;
+pub const GOSSIP_FANOUT: usize = 2;
 /// A host that was not heard of for so long is forgotten.
-pub const FORGET: Duration = Duration::from_secs(60);
-pub const ASK_FIRST: Duration = Duration::from_millis(600);
+pub const ENTRY_TIMEOUT: Duration = Duration::from_secs(60);
+pub const SYNC_TIMEOUT: Duration = Duration::from_millis(600);
 /// Without a new count of another process of this host for so long, it is taken for gone.
 const ASIDE: Duration = Duration::from_secs(10);
 const HOP: Duration = Duration::from_millis(1);
@@ -39,96 +39,96 @@
 const RENEW: u32 = 5;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Mark {
+pub struct VersionStamp {
     pub incarnation: Incarnation,
     pub count: u64,
 }
 
 /// How a node answered one host of late. Attempts of the last seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Sight {
+pub struct Observation {
     pub node: u32,
     /// Of the node's process, as the list tells it.
     pub start: u64,
     pub sent: u32,
     pub bad: u32,
     /// How long ago the last of them ended, when this was written.
-    pub ago: Duration,
+    pub age: Duration,
     /// Others find it bad, and here it answers.
-    pub clears: bool,
+    pub contradicts_ejection: bool,
 }
 
-/// What a host could lend of a budget, in parts of [`crate::budget::WHOLE`].
+/// What a host could lend of a budget, in parts of [`crate::quota_lease::WHOLE_LIMIT`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Offer {
+pub struct LeaseOffer {
     pub volume: u64,
     pub spare: u32,
 }
 
 /// What a volume was served through one host in this life of it, in units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Served {
+pub struct ServedUnits {
     pub volume: u64,
     pub units: u64,
 }
 
 /// What a host says of itself and of what it tried itself; never what it heard.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Facts {
+pub struct HostReport {
     /// Nodes that it sent to of late, and those of them that answered badly.
     pub tried: u32,
     pub badly: u32,
-    pub sights: Vec<Sight>,
-    pub offers: Vec<Offer>,
-    pub served: Vec<Served>,
+    pub observations: Vec<Observation>,
+    pub offers: Vec<LeaseOffer>,
+    pub served: Vec<ServedUnits>,
 }
 
-impl Facts {
+impl HostReport {
     /// What others should hear at once: processes of nodes that it finds bad, or that answer it though others
     /// find them bad.
     pub fn turned(&self) -> BTreeSet<(u32, u64, bool)> {
-        let news = |s: &&Sight| s.clears || crate::judgement::bad(s);
-        self.sights
+        let news = |s: &&Observation| s.contradicts_ejection || crate::outlier_detection::bad(s);
+        self.observations
             .iter()
             .filter(news)
-            .map(|s| (s.node, s.start, s.clears))
+            .map(|s| (s.node, s.start, s.contradicts_ejection))
             .collect()
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Entry {
+pub struct GossipEntry {
     pub writer: HostNumber,
-    pub mark: Mark,
+    pub version: VersionStamp,
     pub age: Duration,
-    pub facts: Facts,
+    pub report: HostReport,
 }
 
 #[derive(Debug, Clone)]
-struct Held {
-    mark: Mark,
+struct StoredEntry {
+    version: VersionStamp,
     /// When its facts held, by our clock; before our start for the oldest.
     at: i128,
-    facts: Facts,
+    report: HostReport,
     /// How often it is still to be passed on as news.
     news: u32,
 }
 
 #[derive(Debug)]
-pub struct Common {
+pub struct GossipState {
     me: HostNumber,
     incarnation: Incarnation,
     count: u64,
     every: Duration,
     peers: Vec<HostNumber>,
-    entries: BTreeMap<HostNumber, Held>,
-    own: Facts,
+    entries: BTreeMap<HostNumber, StoredEntry>,
+    own: HostReport,
     own_news: bool,
     since_written: u32,
     /// Until when it listens before it writes.
     listens: Duration,
     /// Another process of this host: its mark, and when that last grew.
-    other: Option<(Mark, Duration)>,
+    other: Option<(VersionStamp, Duration)>,
     turn: usize,
     next: Duration,
     last: Option<Duration>,
@@ -139,7 +139,7 @@
 
 /// What hearing a word changed.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Joined {
+pub struct MergeOutcome {
     pub newer: Vec<HostNumber>,
     /// Entries of hosts that nobody here knows, or older than anything is kept.
     pub refused: usize,
@@ -151,7 +151,7 @@
     d.as_nanos() as i128
 }
 
-impl Common {
+impl GossipState {
     /// `incarnation` is a guess, such as the wall clock's; peers may know better.
     pub fn new(
         now: Duration,
@@ -167,16 +167,16 @@
         let listens = if peers.is_empty() {
             now
         } else {
-            now + ASK_FIRST
+            now + SYNC_TIMEOUT
         };
-        Common {
+        GossipState {
             me,
             incarnation,
             count: 0,
             every,
             peers,
             entries: BTreeMap::new(),
-            own: Facts::default(),
+            own: HostReport::default(),
             own_news: false,
             since_written: 0,
             listens,
@@ -203,16 +203,16 @@
     }
 
     /// What this host says of itself from now on. `news`: others should hear it at once.
-    pub fn write(&mut self, now: Duration, facts: Facts, news: bool) {
+    pub fn write(&mut self, now: Duration, report: HostReport, news: bool) {
         debug_assert!(
-            facts
-                .sights
+            report
+                .observations
                 .len()
-                .max(facts.offers.len())
-                .max(facts.served.len())
+                .max(report.offers.len())
+                .max(report.served.len())
                 <= MAX_FACTS
         );
-        self.own = facts;
+        self.own = report;
         if news {
             self.own_news = true;
             self.hurry(now);
@@ -226,15 +226,15 @@
     }
 
     /// What hosts say, with its age; hosts that were forgotten are not among them.
-    pub fn all(&self, now: Duration) -> impl Iterator<Item = (HostNumber, Duration, &Facts)> {
+    pub fn all(&self, now: Duration) -> impl Iterator<Item = (HostNumber, Duration, &HostReport)> {
         self.entries.iter().filter_map(move |(h, e)| {
             let age = Duration::from_nanos((nanos(now) - e.at).max(0) as u64);
-            (age < FORGET).then_some((*h, age, &e.facts))
+            (age < ENTRY_TIMEOUT).then_some((*h, age, &e.report))
         })
     }
 
-    pub fn marks(&self) -> impl Iterator<Item = (HostNumber, Mark)> + '_ {
-        self.entries.iter().map(|(h, e)| (*h, e.mark))
+    pub fn versions(&self) -> impl Iterator<Item = (HostNumber, VersionStamp)> + '_ {
+        self.entries.iter().map(|(h, e)| (*h, e.version))
     }
 
     /// How often news is passed on by one host: a few times more than a rumour needs to reach all.
@@ -242,33 +242,33 @@
         (usize::BITS - self.peers.len().leading_zeros()).div_ceil(2) + 1
     }
 
-    pub fn hear(&mut self, now: Duration, from: HostNumber, word: &Word) -> Joined {
-        let mut joined = Joined::default();
-        if word.asks {
+    pub fn hear(&mut self, now: Duration, from: HostNumber, word: &GossipMessage) -> MergeOutcome {
+        let mut joined = MergeOutcome::default();
+        if word.requests_sync {
             self.asked.insert(from);
             self.hurry(now);
         }
         for e in &word.entries {
             if e.writer == self.me {
-                joined.raised |= self.hear_of_me(now, e.mark);
+                joined.raised |= self.hear_of_me(now, e.version);
                 continue;
             }
-            if self.peers.binary_search(&e.writer).is_err() || e.age >= FORGET {
+            if self.peers.binary_search(&e.writer).is_err() || e.age >= ENTRY_TIMEOUT {
                 joined.refused += 1;
                 continue;
             }
             let before = self.entries.get(&e.writer);
-            if before.is_some_and(|b| b.mark >= e.mark) {
+            if before.is_some_and(|b| b.version >= e.version) {
                 continue;
             }
             // Who merely says again what it said, or less, is no news; a sight that turned is.
-            let turned = before.is_none_or(|b| !e.facts.turned().is_subset(&b.facts.turned()));
+            let turned = before.is_none_or(|b| !e.report.turned().is_subset(&b.report.turned()));
             let at = nanos(now) - nanos(e.age + HOP);
             let news = if turned { self.tells() } else { 0 };
-            let held = Held {
-                mark: e.mark,
+            let held = StoredEntry {
+                version: e.version,
                 at,
-                facts: e.facts.clone(),
+                report: e.report.clone(),
                 news,
             };
             self.entries.insert(e.writer, held);
@@ -281,45 +281,45 @@
     }
 
     /// Somebody holds an entry of this host that this process did not write.
-    fn hear_of_me(&mut self, now: Duration, mark: Mark) -> bool {
-        if mark
-            < (Mark {
+    fn hear_of_me(&mut self, now: Duration, version: VersionStamp) -> bool {
+        if version
+            < (VersionStamp {
                 incarnation: self.incarnation,
                 count: 0,
             })
-            || (mark.incarnation == self.incarnation && mark.count <= self.count)
+            || (version.incarnation == self.incarnation && version.count <= self.count)
         {
             return false;
         }
         if now < self.listens && self.count == 0 {
             // A former life, heard of before anything was written.
-            self.incarnation = Incarnation(mark.incarnation.0 + 1);
+            self.incarnation = Incarnation(version.incarnation.0 + 1);
             return true;
         }
-        let grew = self.other.is_none_or(|(m, _)| mark > m);
+        let grew = self.other.is_none_or(|(m, _)| version > m);
         if grew {
-            self.other = Some((mark, now));
+            self.other = Some((version, now));
         }
         false
     }
 
     /// Whom to tell what, where it is time; `true` where this host's number was raised.
-    pub fn round(&mut self, now: Duration) -> (Vec<(HostNumber, Word)>, bool) {
+    pub fn round(&mut self, now: Duration) -> (Vec<(HostNumber, GossipMessage)>, bool) {
         if now < self.next {
             return (Vec::new(), false);
         }
         let jitter = 0.75 + self.rng.random::<f64>() / 2.0;
         (self.next, self.last) = (now + self.every.mul_f64(jitter), Some(now));
         let mut raised = false;
-        if let Some((mark, since)) = self.other {
+        if let Some((version, since)) = self.other {
             if now >= since + ASIDE {
                 (self.incarnation, self.count, self.other) =
-                    (Incarnation(mark.incarnation.0 + 1), 0, None);
+                    (Incarnation(version.incarnation.0 + 1), 0, None);
                 raised = true;
             }
         }
         self.entries
-            .retain(|_, e| nanos(now) - e.at < nanos(FORGET));
+            .retain(|_, e| nanos(now) - e.at < nanos(ENTRY_TIMEOUT));
         let listens = now < self.listens;
         if !listens && self.other.is_none() {
             self.since_written += 1;
@@ -330,23 +330,23 @@
                     1
                 };
                 (self.count, self.since_written) = (self.count + 1, 0);
-                let mark = Mark {
+                let version = VersionStamp {
                     incarnation: self.incarnation,
                     count: self.count,
                 };
-                let own = Held {
-                    mark,
+                let own = StoredEntry {
+                    version,
                     at: nanos(now),
-                    facts: self.own.clone(),
+                    report: self.own.clone(),
                     news,
                 };
                 self.entries.insert(self.me, own);
             }
         }
-        let mut to: Vec<HostNumber> = self.asked.iter().take(TOLD).copied().collect();
+        let mut to: Vec<HostNumber> = self.asked.iter().take(GOSSIP_FANOUT).copied().collect();
         self.asked.retain(|h| !to.contains(h));
         let mut others = self.peers.clone();
-        let (some, _) = others.partial_shuffle(&mut self.rng, TOLD - to.len());
+        let (some, _) = others.partial_shuffle(&mut self.rng, GOSSIP_FANOUT - to.len());
         to.extend_from_slice(some);
         let words = to
             .into_iter()
@@ -358,8 +358,8 @@
         (words, raised)
     }
 
-    fn word(&mut self, now: Duration, to: HostNumber, asks: bool) -> Word {
-        let own = Mark {
+    fn word(&mut self, now: Duration, to: HostNumber, requests_sync: bool) -> GossipMessage {
+        let own = VersionStamp {
             incarnation: self.incarnation,
             count: self.count,
         };
@@ -369,7 +369,7 @@
         chosen.extend(
             self.entries
                 .get(&self.me)
-                .filter(|e| e.mark == own)
+                .filter(|e| e.version == own)
                 .map(|_| self.me),
         );
         let mut fresh: Vec<HostNumber> = self
@@ -395,18 +395,18 @@
             let e = self.entries.get_mut(&h).expect("chosen among them");
             e.news = e.news.saturating_sub(1);
             let age = Duration::from_nanos((nanos(now) - e.at).max(0) as u64);
-            Entry {
+            GossipEntry {
                 writer: h,
-                mark: e.mark,
+                version: e.version,
                 age,
-                facts: e.facts.clone(),
+                report: e.report.clone(),
             }
         });
-        Word {
+        GossipMessage {
             incarnation: self.incarnation,
-            asks,
+            requests_sync,
             entries: entries.collect(),
-            says: Vec::new(),
+            lease_messages: Vec::new(),
         }
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -11,11 +11,11 @@
 //! A host that hears nobody, and one alone, decides as one without this package: nothing here is a condition
 //! of service, and nothing that is heard makes a host bolder than the sum over all hosts allows.
 
-pub mod budget;
 pub mod fleet;
-pub mod judgement;
-pub mod shared;
-pub mod word;
+pub mod gossip_message;
+pub mod gossip_state;
+pub mod outlier_detection;
+pub mod quota_lease;
 
 /// A host's place among the settings' hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/fleet/src/judgement.rs
+++ b/crates/fleet/src/outlier_detection.rs
@@ -1,12 +1,12 @@
 //! What all hosts' evidence says of a node, and what this host makes of it.
 //!
-//! Called by the fleet's step: [`Judge::judge`] with what this host has tried and what others say that they
+//! Called by the fleet's step: [`OutlierDetector::judge`] with what this host has tried and what others say that they
 //! have; it answers the nodes of which this host's belief has changed. Free of time but for `now`.
 //!
-//! Evidence is what hosts tried themselves, of one process of the node, not older than [`EVIDENCE`]. Each
+//! Evidence is what hosts tried themselves, of one process of the node, not older than [`EVIDENCE_WINDOW`]. Each
 //! host's weighs as much as it sent, up to a bound, damped by how badly it finds *other* nodes that its peers
 //! find well: whoever finds everything bad is itself ill (Lifeguard, Dadgar 2018). It fades with its age.
-//! A node is condemned by [`SIDES`] hosts at least and twice the weight that speaks for it; where at most
+//! A node is condemned by [`MIN_OBSERVERS`] hosts at least and twice the weight that speaks for it; where at most
 //! half of the hosts are heard, or too much is condemned, the judgement is doubted and this host is left to itself.
 //!
 //! | this host's own evidence | all evidence | belief |
@@ -19,11 +19,11 @@
 //! | none, or old | anything else | `AsToday` |
 //!
 //! Condemned is cleared by newer evidence that it answers, by another start of the node, or by this host's
-//! own; never by silence, so some must look: each host draws, once in [`LOOK`], whether it looks, so that
-//! [`LOOKERS`] of all do on average. The exception is a host that hears too few: after [`LAPSE`] what it was
+//! own; never by silence, so some must look: each host draws, once in [`PROBE_INTERVAL`], whether it looks, so that
+//! [`PROBERS`] of all do on average. The exception is a host that hears too few: after [`EJECTION_TIMEOUT`] what it was
 //! told is nothing any more, and it finds out by itself as one alone.
 
-use crate::shared::{Facts, Sight};
+use crate::gossip_state::{HostReport, Observation};
 use crate::HostNumber;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -31,11 +31,11 @@
 use std::time::Duration;
 
 /// Well over the time in which news is with all hosts, and under that in which a node starts anew.
-pub const EVIDENCE: Duration = Duration::from_secs(4);
-pub const SIDES: usize = 3;
-pub const LOOK: Duration = Duration::from_secs(1);
-pub const LOOKERS: f64 = 2.0;
-pub const LAPSE: Duration = Duration::from_secs(5);
+pub const EVIDENCE_WINDOW: Duration = Duration::from_secs(4);
+pub const MIN_OBSERVERS: usize = 3;
+pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+pub const PROBERS: f64 = 2.0;
+pub const EJECTION_TIMEOUT: Duration = Duration::from_secs(5);
 /// Attempts that one host's evidence weighs at most: a busy host is still one side.
 const MAX_WEIGHT: f64 = 8.0;
 /// Of all nodes that are tried, as a panic threshold.
@@ -44,12 +44,12 @@
 const LEAST_OWN: u32 = 2;
 
 /// Whether a sight speaks against its node; a node that is merely slow or full answers.
-pub fn bad(s: &Sight) -> bool {
+pub fn bad(s: &Observation) -> bool {
     s.bad * 2 > s.sent
 }
 
 /// Whether it speaks for it.
-pub fn good(s: &Sight) -> bool {
+pub fn good(s: &Observation) -> bool {
     s.sent > s.bad && s.bad * 4 <= s.sent
 }
 
@@ -57,44 +57,44 @@
 pub enum Verdict {
     /// Nobody, or too few, have tried it of late.
     Unknown,
-    Well,
+    Healthy,
     /// Some reach it and some do not: the ways there are bad, not the node.
     Split,
-    Condemned,
+    Ejected,
     /// It would be condemned, but so would too much, or too few are heard.
-    Doubted,
+    Distrusted,
 }
 
 impl Verdict {
     pub fn name(self) -> &'static str {
         match self {
             Verdict::Unknown => "unknown",
-            Verdict::Well => "well",
+            Verdict::Healthy => "well",
             Verdict::Split => "split",
-            Verdict::Condemned => "condemned",
-            Verdict::Doubted => "doubted",
+            Verdict::Ejected => "condemned",
+            Verdict::Distrusted => "doubted",
         }
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Belief {
+pub enum EndpointPolicy {
     /// As a host without peers.
-    AsToday,
+    OwnEvidence,
     /// Others reach it: it is this host's way there that is bad.
-    OwnWay,
+    BadPath,
     /// Nothing goes there.
     Avoid,
     /// It is condemned, and it is this host's turn to look.
-    Look,
+    Probe,
 }
 
 /// What one host says of nodes.
 #[derive(Debug, Clone)]
-pub struct Witness<'a> {
+pub struct Observer<'a> {
     pub host: HostNumber,
     pub age: Duration,
-    pub facts: &'a Facts,
+    pub report: &'a HostReport,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -117,7 +117,7 @@
 }
 
 #[derive(Debug)]
-pub struct Judge {
+pub struct OutlierDetector {
     me: HostNumber,
     /// How many hosts there are.
     fleet: usize,
@@ -128,14 +128,16 @@
     condemned: BTreeMap<u32, Condemned>,
     /// Those that it looks at, and until when; and until when it does not.
     looks: BTreeMap<u32, (Duration, bool)>,
-    told: BTreeMap<u32, Belief>,
+    told: BTreeMap<u32, EndpointPolicy>,
     findings: BTreeMap<u32, Finding>,
 }
 
 /// How sound each host is, from how it and the others find the same nodes.
-pub fn soundness(sights: &BTreeMap<u32, Vec<(HostNumber, Sight)>>) -> BTreeMap<HostNumber, f64> {
+pub fn soundness(
+    observations: &BTreeMap<u32, Vec<(HostNumber, Observation)>>,
+) -> BTreeMap<HostNumber, f64> {
     let mut tally: BTreeMap<HostNumber, (f64, f64)> = BTreeMap::new();
-    for all in sights.values() {
+    for all in observations.values() {
         let well = all.iter().filter(|(_, s)| good(s)).count();
         for (host, s) in all {
             let others_well = well - usize::from(good(s));
@@ -148,9 +150,9 @@
     tally.into_iter().map(|(h, t)| (h, sound(t))).collect()
 }
 
-impl Judge {
+impl OutlierDetector {
     pub fn new(me: HostNumber, fleet: usize, heard_within: Duration, seed: u64) -> Self {
-        Judge {
+        OutlierDetector {
             me,
             fleet,
             heard_within,
@@ -170,8 +172,11 @@
         self.condemned.contains_key(&node)
     }
 
-    pub fn belief(&self, node: u32) -> Belief {
-        self.told.get(&node).copied().unwrap_or(Belief::AsToday)
+    pub fn belief(&self, node: u32) -> EndpointPolicy {
+        self.told
+            .get(&node)
+            .copied()
+            .unwrap_or(EndpointPolicy::OwnEvidence)
     }
 
     /// `nodes`: those of the list, with their starts. `own` are this host's sights, `others` what its peers say.
@@ -179,41 +184,41 @@
         &mut self,
         now: Duration,
         nodes: &BTreeMap<u32, u64>,
-        own: &Facts,
-        others: &[Witness],
-    ) -> Vec<(u32, Belief)> {
+        own: &HostReport,
+        others: &[Observer],
+    ) -> Vec<(u32, EndpointPolicy)> {
         let (me, fleet) = (self.me, self.fleet);
         let fresh = others
             .iter()
             .filter(|w| w.host != me)
-            .map(|w| (w.host, w.age, w.facts));
+            .map(|w| (w.host, w.age, w.report));
         let heard = others
             .iter()
             .filter(|w| w.age < self.heard_within && w.host != me)
             .map(|w| w.host);
         let heard = 1 + heard.collect::<BTreeSet<_>>().len();
-        let mut sights: BTreeMap<u32, Vec<(HostNumber, Sight)>> = BTreeMap::new();
-        let facts = fresh.chain([(me, Duration::ZERO, own)]);
+        let mut observations: BTreeMap<u32, Vec<(HostNumber, Observation)>> = BTreeMap::new();
+        let report = fresh.chain([(me, Duration::ZERO, own)]);
         for (host, age, s) in
-            facts.flat_map(|(h, age, f)| f.sights.iter().map(move |s| (h, age, *s)))
+            report.flat_map(|(h, age, f)| f.observations.iter().map(move |s| (h, age, *s)))
         {
-            let ago = s.ago + age;
-            if nodes.get(&s.node) == Some(&s.start) && ago < EVIDENCE {
-                sights
+            let ago = s.age + age;
+            if nodes.get(&s.node) == Some(&s.start) && ago < EVIDENCE_WINDOW {
+                observations
                     .entry(s.node)
                     .or_default()
-                    .push((host, Sight { ago, ..s }));
+                    .push((host, Observation { age: ago, ..s }));
             }
         }
-        let sound = soundness(&sights);
-        let weight = |h: &HostNumber, s: &Sight| {
-            let fresh = 1.0 - s.ago.as_secs_f64() / EVIDENCE.as_secs_f64();
+        let sound = soundness(&observations);
+        let weight = |h: &HostNumber, s: &Observation| {
+            let fresh = 1.0 - s.age.as_secs_f64() / EVIDENCE_WINDOW.as_secs_f64();
             f64::from(s.sent).min(MAX_WEIGHT) * fresh * sound.get(h).copied().unwrap_or(1.0)
         };
-        let sides = SIDES.min(fleet.saturating_sub(1)).max(2);
+        let sides = MIN_OBSERVERS.min(fleet.saturating_sub(1)).max(2);
         self.findings.clear();
-        for (node, all) in &sights {
-            let sum = |of: &dyn Fn(&Sight) -> bool| {
+        for (node, all) in &observations {
+            let sum = |of: &dyn Fn(&Observation) -> bool| {
                 let some = all.iter().filter(|(_, s)| of(s));
                 (
                     some.clone().count(),
@@ -223,14 +228,14 @@
             let (well, badly) = (sum(&good), sum(&bad));
             let verdict = match () {
                 _ if badly.0 >= sides && badly.1 >= 2.0 * well.1 && badly.1 > 0.0 => {
-                    Verdict::Condemned
+                    Verdict::Ejected
                 }
                 _ if badly.0 > 0 && well.0 > 0 => Verdict::Split,
-                _ if well.0 > 0 => Verdict::Well,
+                _ if well.0 > 0 => Verdict::Healthy,
                 _ => Verdict::Unknown,
             };
-            let last = |of: &dyn Fn(&Sight) -> bool| {
-                let ago = all.iter().filter(|(_, s)| of(s)).map(|(_, s)| s.ago).min();
+            let last = |of: &dyn Fn(&Observation) -> bool| {
+                let ago = all.iter().filter(|(_, s)| of(s)).map(|(_, s)| s.age).min();
                 ago.map(|ago| now.saturating_sub(ago))
             };
             let last = (last(&good), last(&bad));
@@ -245,13 +250,13 @@
             );
         }
         let few = heard * 2 <= fleet;
-        let known = sights.len()
+        let known = observations.len()
             + self
                 .condemned
                 .keys()
-                .filter(|n| !sights.contains_key(n))
+                .filter(|n| !observations.contains_key(n))
                 .count();
-        let is = |f: &Finding| f.verdict == Verdict::Condemned;
+        let is = |f: &Finding| f.verdict == Verdict::Ejected;
         let held = self
             .condemned
             .keys()
@@ -262,8 +267,8 @@
             let doubted = self
                 .findings
                 .values_mut()
-                .filter(|f| f.verdict == Verdict::Condemned);
-            doubted.for_each(|f| f.verdict = Verdict::Doubted);
+                .filter(|f| f.verdict == Verdict::Ejected);
+            doubted.for_each(|f| f.verdict = Verdict::Distrusted);
         }
         self.uphold(now, nodes, few);
         self.believe(now, nodes, own)
@@ -272,7 +277,7 @@
     fn uphold(&mut self, now: Duration, nodes: &BTreeMap<u32, u64>, few: bool) {
         for (node, f) in &self.findings {
             match f.verdict {
-                Verdict::Condemned => {
+                Verdict::Ejected => {
                     let (start, seen) = (nodes[node], f.last.1.unwrap_or(now));
                     self.condemned.insert(
                         *node,
@@ -285,24 +290,24 @@
                 }
                 // Evidence that it answers, and of later than what condemned it: what hosts found before it
                 // failed is on its way for some time yet.
-                Verdict::Well | Verdict::Split => {
+                Verdict::Healthy | Verdict::Split => {
                     let since = |c: &mut Condemned| f.last.0.is_some_and(|well| well > c.seen);
                     let cleared = self.condemned.get_mut(node).is_some_and(since);
                     cleared.then(|| self.condemned.remove(node));
                 }
-                Verdict::Unknown | Verdict::Doubted => {}
+                Verdict::Unknown | Verdict::Distrusted => {}
             }
         }
         let findings = &self.findings;
         self.condemned.retain(|node, c| {
             let doubted = findings
                 .get(node)
-                .is_some_and(|f| f.verdict == Verdict::Doubted);
+                .is_some_and(|f| f.verdict == Verdict::Distrusted);
             // Silence upholds it where the others are heard: somebody is looking.
             if !few && !doubted {
                 c.upheld = now;
             }
-            nodes.get(node) == Some(&c.start) && now < c.upheld + LAPSE
+            nodes.get(node) == Some(&c.start) && now < c.upheld + EJECTION_TIMEOUT
         });
     }
 
@@ -310,16 +315,16 @@
         &mut self,
         now: Duration,
         nodes: &BTreeMap<u32, u64>,
-        own: &Facts,
-    ) -> Vec<(u32, Belief)> {
-        let chance = (LOOKERS / self.fleet.max(1) as f64).min(1.0);
+        own: &HostReport,
+    ) -> Vec<(u32, EndpointPolicy)> {
+        let chance = (PROBERS / self.fleet.max(1) as f64).min(1.0);
         let (condemned, rng) = (&self.condemned, &mut self.rng);
         self.looks.retain(|node, _| condemned.contains_key(node));
         for node in condemned.keys() {
             let due = self.looks.get(node).is_none_or(|(until, _)| now >= *until);
             if due {
                 // At other moments on each host, or all who look would look at one.
-                let until = now + LOOK.mul_f64(0.5 + rng.random::<f64>());
+                let until = now + PROBE_INTERVAL.mul_f64(0.5 + rng.random::<f64>());
                 self.looks
                     .insert(*node, (until, rng.random::<f64>() < chance));
             }
@@ -327,7 +332,7 @@
         let mut changed = Vec::new();
         for node in nodes.keys() {
             let mine = own
-                .sights
+                .observations
                 .iter()
                 .find(|s| s.node == *node && nodes[node] == s.start);
             let (fine, ill) = (
@@ -338,11 +343,11 @@
                 self.condemned.contains_key(node),
                 self.findings.get(node).map(|f| f.verdict),
             ) {
-                _ if fine => Belief::AsToday,
-                (true, _) if self.looks.get(node).is_some_and(|l| l.1) => Belief::Look,
-                (true, _) => Belief::Avoid,
-                (false, Some(Verdict::Well | Verdict::Split)) if ill => Belief::OwnWay,
-                _ => Belief::AsToday,
+                _ if fine => EndpointPolicy::OwnEvidence,
+                (true, _) if self.looks.get(node).is_some_and(|l| l.1) => EndpointPolicy::Probe,
+                (true, _) => EndpointPolicy::Avoid,
+                (false, Some(Verdict::Healthy | Verdict::Split)) if ill => EndpointPolicy::BadPath,
+                _ => EndpointPolicy::OwnEvidence,
             };
             if self.belief(*node) != belief {
                 self.told.insert(*node, belief);
--- a/crates/fleet/src/budget.rs
+++ b/crates/fleet/src/quota_lease.rs
@@ -1,7 +1,7 @@
 //! Parts of a common whole, lent for a time; the sum of all parts never passes the whole.
 //!
-//! Called by the fleet's step, once for each budget: [`Budget::hear`] for what another host says of it,
-//! [`Budget::tend`] at every round, both of which answer what to say; [`Budget::part`] is what this host may
+//! Called by the fleet's step, once for each budget: [`QuotaLeases::hear`] for what another host says of it,
+//! [`QuotaLeases::tend`] at every round, both of which answer what to say; [`QuotaLeases::part`] is what this host may
 //! use now. It is escrow (O'Neil 1986; bounded counters, Balegas 2015) with loans in place of requests, so
 //! that what is lent goes home by itself when nobody renews it.
 //!
@@ -17,21 +17,21 @@
 //!   life after the borrower's own end: both are refused by the life;
 //! - settled parts change with the number of sharers: what was borrowed under another number is void at once,
 //!   what was lent under it stays lent to its end;
-//! - two processes of one host: the earlier one uses nothing (see [`crate::shared`]).
+//! - two processes of one host: the earlier one uses nothing (see [`crate::gossip_state`]).
 //!
 //! What is lent is the rate of a limit and not its burst: each host's bucket keeps its depth, so all depths
 //! add up to the burst, nothing is ever filled by a move, and a host that has lent nearly all can still serve
 //! at once what comes to it.
 //!
-//! Memory: [`MAX_LOANS`] loans given and taken each, and as many open asks.
+//! Memory: [`MAX_LEASES`] loans given and taken each, and as many open asks.
 
 use crate::{HostNumber, Incarnation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 /// Parts are counted in these, so that sums are exact.
-pub const WHOLE: u32 = 1 << 20;
-pub const MAX_LOANS: usize = 64;
+pub const WHOLE_LIMIT: u32 = 1 << 20;
+pub const MAX_LEASES: usize = 64;
 /// Less than an eighth of a settled part is not worth words. Harm: so much stays where nobody needs it.
 const WORTH: u32 = 8;
 /// What is never lent, of a settled part: what a host uses that does not know what it lent.
@@ -41,42 +41,42 @@
 
 /// For how long parts are lent, and by how much clocks may run apart in that time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Spans {
-    pub span: Duration,
+pub struct LeaseTerms {
+    pub duration: Duration,
     pub margin: Duration,
 }
 
 /// What hosts say to each other of one budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum Say {
+pub enum LeaseMessage {
     /// "Lend me that; or renew this loan." Asks and loans are numbered by the borrower.
-    Want { ask: u64, loan: u64, amount: u32 },
+    Request { ask: u64, loan: u64, amount: u32 },
     /// "You, in that life, have it from when you asked." Zero: "I need it myself". Asks of two lives have the
     /// same numbers, and the former's would count from before it was asked.
-    Lend {
+    Grant {
         ask: u64,
         of: Incarnation,
         amount: u32,
     },
     /// "I use that loan no more."
-    Home { loan: u64 },
+    Release { loan: u64 },
     /// "I hold nothing that an earlier life of yours than this one lent."
-    Clear { of: Incarnation },
+    Cleared { of: Incarnation },
     /// "Whoever holds something of an earlier life of mine: have you let it go?"
-    Born,
+    Recovered,
 }
 
 /// What is heard from one life of a host, about a budget with so many sharers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct Heard {
+pub struct ReceivedLeaseMessage {
     pub from: HostNumber,
     pub incarnation: Incarnation,
     pub sharers: u32,
-    pub say: Say,
+    pub say: LeaseMessage,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Lent {
+struct GrantedLease {
     amount: u32,
     /// Among how many the whole was shared then.
     sharers: u32,
@@ -84,7 +84,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Got {
+struct BorrowedLease {
     lender: HostNumber,
     amount: u32,
     until: Duration,
@@ -98,17 +98,17 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Budget {
+pub struct QuotaLeases {
     me: HostNumber,
     incarnation: Incarnation,
     born: Duration,
-    spans: Spans,
+    spans: LeaseTerms,
     sharers: BTreeSet<HostNumber>,
     /// Sharers that hold nothing of an earlier life.
     clear: BTreeSet<HostNumber>,
     incarnations: BTreeMap<HostNumber, Incarnation>,
-    lent: BTreeMap<(HostNumber, Incarnation, u64), Lent>,
-    got: BTreeMap<u64, Got>,
+    lent: BTreeMap<(HostNumber, Incarnation, u64), GrantedLease>,
+    got: BTreeMap<u64, BorrowedLease>,
     asks: BTreeMap<u64, Ask>,
     next: u64,
     wanted: u32,
@@ -116,15 +116,15 @@
     yields: bool,
 }
 
-impl Budget {
+impl QuotaLeases {
     pub fn new(
         now: Duration,
         me: HostNumber,
         incarnation: Incarnation,
-        spans: Spans,
+        spans: LeaseTerms,
         sharers: BTreeSet<HostNumber>,
     ) -> Self {
-        Budget {
+        QuotaLeases {
             me,
             incarnation,
             born: now,
@@ -144,9 +144,9 @@
     }
 
     /// The part that is this host's own when nothing is lent.
-    pub fn settled(&self) -> u32 {
+    pub fn base_quota(&self) -> u32 {
         if self.sharers.contains(&self.me) {
-            WHOLE / self.sharers.len() as u32
+            WHOLE_LIMIT / self.sharers.len() as u32
         } else {
             0
         }
@@ -172,7 +172,7 @@
     }
 
     /// What is lent out, and what is borrowed, now.
-    pub fn loans(&self, now: Duration) -> (u32, u32) {
+    pub fn leases(&self, now: Duration) -> (u32, u32) {
         let lent = self
             .lent
             .values()
@@ -196,14 +196,15 @@
             .values()
             .map(|l| l.until)
             .chain(self.got.values().map(|g| g.until));
-        let knows = (!self.knows(now)).then_some(self.born + self.spans.span + self.spans.margin);
+        let knows =
+            (!self.knows(now)).then_some(self.born + self.spans.duration + self.spans.margin);
         ends.chain(knows).filter(|at| *at > now).min()
     }
 
     /// Whether this host knows what it has lent.
     pub fn knows(&self, now: Duration) -> bool {
         let others = || self.sharers.iter().filter(|h| **h != self.me);
-        now >= self.born + self.spans.span + self.spans.margin
+        now >= self.born + self.spans.duration + self.spans.margin
             || others().all(|h| self.clear.contains(h))
     }
 
@@ -216,16 +217,16 @@
         let lent = lent
             .map(|l| (u64::from(l.amount) * n.max(u64::from(l.sharers))).div_ceil(n.max(1)))
             .sum::<u64>();
-        let left = u64::from(self.settled()).saturating_sub(lent) as u32;
+        let left = u64::from(self.base_quota()).saturating_sub(lent) as u32;
         if self.knows(now) {
             left
         } else {
-            left.min(self.settled() / NEVER_LENT)
+            left.min(self.base_quota() / NEVER_LENT)
         }
     }
 
     fn least(&self) -> u32 {
-        (self.settled() / WORTH).max(1)
+        (self.base_quota() / WORTH).max(1)
     }
 
     /// What it could lend beyond what it needs itself.
@@ -233,9 +234,9 @@
         if self.yields || !self.knows(now) {
             return 0;
         }
-        let lendable = self.own(now).saturating_sub(self.settled() / NEVER_LENT);
+        let lendable = self.own(now).saturating_sub(self.base_quota() / NEVER_LENT);
         let spare = lendable.min(self.part(now).saturating_sub(self.wanted));
-        if spare < self.least() || self.lent.len() >= MAX_LOANS {
+        if spare < self.least() || self.lent.len() >= MAX_LEASES {
             0
         } else {
             spare
@@ -244,7 +245,7 @@
 
     /// How much of the whole this host could use.
     pub fn want(&mut self, wanted: u32) {
-        self.wanted = wanted.min(WHOLE);
+        self.wanted = wanted.min(WHOLE_LIMIT);
     }
 
     /// Whether a later process of this host is known, which alone may then use its part.
@@ -268,8 +269,12 @@
         self.asks.clear();
     }
 
-    pub fn hear(&mut self, now: Duration, heard: Heard) -> Vec<(HostNumber, Say)> {
-        let Heard {
+    pub fn hear(
+        &mut self,
+        now: Duration,
+        heard: ReceivedLeaseMessage,
+    ) -> Vec<(HostNumber, LeaseMessage)> {
+        let ReceivedLeaseMessage {
             from,
             incarnation,
             sharers,
@@ -291,31 +296,31 @@
             self.forget(from);
         }
         match say {
-            Say::Born => {
+            LeaseMessage::Recovered => {
                 self.forget(from);
-                out.push((from, Say::Clear { of: incarnation }));
+                out.push((from, LeaseMessage::Cleared { of: incarnation }));
             }
-            Say::Clear { of } if of == self.incarnation => _ = self.clear.insert(from),
-            Say::Clear { .. } => {}
-            Say::Want { ask, loan, amount } => {
+            LeaseMessage::Cleared { of } if of == self.incarnation => _ = self.clear.insert(from),
+            LeaseMessage::Cleared { .. } => {}
+            LeaseMessage::Request { ask, loan, amount } => {
                 let lent = self.lend(now, (from, incarnation, loan), amount);
                 out.push((
                     from,
-                    Say::Lend {
+                    LeaseMessage::Grant {
                         ask,
                         of: incarnation,
                         amount: lent,
                     },
                 ));
             }
-            Say::Lend { of, .. } if of != self.incarnation => {}
-            Say::Lend { ask, amount, .. } => {
+            LeaseMessage::Grant { of, .. } if of != self.incarnation => {}
+            LeaseMessage::Grant { ask, amount, .. } => {
                 let Some(a) = self.asks.remove(&ask).filter(|a| a.to == from) else {
                     return out;
                 };
-                let until = a.at + self.spans.span;
+                let until = a.at + self.spans.duration;
                 if amount > 0 && now < until {
-                    let new = Got {
+                    let new = BorrowedLease {
                         lender: from,
                         amount,
                         until,
@@ -327,7 +332,7 @@
                     }
                 }
             }
-            Say::Home { loan } => _ = self.lent.remove(&(from, incarnation, loan)),
+            LeaseMessage::Release { loan } => _ = self.lent.remove(&(from, incarnation, loan)),
         }
         out
     }
@@ -340,7 +345,7 @@
 
     /// Lends, or renews; what is agreed.
     fn lend(&mut self, now: Duration, loan: (HostNumber, Incarnation, u64), amount: u32) -> u32 {
-        let until = now + self.spans.span + self.spans.margin;
+        let until = now + self.spans.duration + self.spans.margin;
         let (spare, short, least) = (self.spare(now), self.part(now) < self.wanted, self.least());
         match self.lent.get_mut(&loan).filter(|l| now < l.until) {
             // Who needs its own part lets the loan run out. Zero is safe to say: nothing changes by it.
@@ -357,7 +362,7 @@
                 let sharers = self.sharers.len() as u32;
                 self.lent.insert(
                     loan,
-                    Lent {
+                    GrantedLease {
                         amount,
                         sharers,
                         until,
@@ -370,12 +375,17 @@
 
     /// The round: what has run out goes, what is needed is asked for, what is not goes home. `offers` are
     /// what others last said they could lend, the likeliest first.
-    pub fn tend(&mut self, now: Duration, offers: &[(HostNumber, u32)]) -> Vec<(HostNumber, Say)> {
+    pub fn tend(
+        &mut self,
+        now: Duration,
+        offers: &[(HostNumber, u32)],
+    ) -> Vec<(HostNumber, LeaseMessage)> {
         self.lent.retain(|_, l| now < l.until);
         self.got.retain(|_, g| now < g.until);
-        self.asks.retain(|_, a| now < a.at + self.spans.span / 4);
+        self.asks
+            .retain(|_, a| now < a.at + self.spans.duration / 4);
         let mut out = Vec::new();
-        if self.yields || self.settled() == 0 {
+        if self.yields || self.base_quota() == 0 {
             return out;
         }
         if !self.knows(now) {
@@ -383,14 +393,19 @@
                 .sharers
                 .iter()
                 .filter(|h| **h != self.me && !self.clear.contains(h));
-            out.extend(unclear.take(MAX_LOANS).map(|h| (*h, Say::Born)));
+            out.extend(
+                unclear
+                    .take(MAX_LEASES)
+                    .map(|h| (*h, LeaseMessage::Recovered)),
+            );
         }
         let part = self.part(now);
         let least = self.least();
         // A little more than is wanted is kept, or what goes home now would be asked for in the next round.
-        let mut over = part.saturating_sub(self.settled().max(self.wanted.saturating_add(least)));
+        let mut over =
+            part.saturating_sub(self.base_quota().max(self.wanted.saturating_add(least)));
         let homeward: Vec<u64> = {
-            let fits = |(loan, g): (&u64, &Got)| {
+            let fits = |(loan, g): (&u64, &BorrowedLease)| {
                 let fits = g.amount <= over;
                 over -= if fits { g.amount } else { 0 };
                 fits.then_some(*loan)
@@ -403,10 +418,10 @@
                 continue;
             };
             self.asks.retain(|_, a| a.loan != loan);
-            out.push((g.lender, Say::Home { loan }));
+            out.push((g.lender, LeaseMessage::Release { loan }));
         }
         let asked = |asks: &BTreeMap<u64, Ask>, loan: u64| asks.values().any(|a| a.loan == loan);
-        let due = |g: &Got| now + self.spans.span / 2 >= g.until;
+        let due = |g: &BorrowedLease| now + self.spans.duration / 2 >= g.until;
         let renew: Vec<_> = self
             .got
             .iter()
@@ -420,7 +435,7 @@
         let mut need = self.wanted.saturating_sub(part);
         let mut asks = renew;
         if need >= least && !self.asks.values().any(open) {
-            let room = MAX_LOANS.saturating_sub(self.got.len());
+            let room = MAX_LEASES.saturating_sub(self.got.len());
             for (to, spare) in offers
                 .iter()
                 .filter(|(h, _)| self.sharers.contains(h))
@@ -439,7 +454,7 @@
             self.asks.insert(self.next, Ask { to, loan, at: now });
             out.push((
                 to,
-                Say::Want {
+                LeaseMessage::Request {
                     ask: self.next,
                     loan,
                     amount,
--- a/crates/fleet/tests/worlds.rs
+++ b/crates/fleet/tests/fleet_simulation.rs
@@ -2,9 +2,9 @@
 //! hears whom, hosts die, start anew without memory, and stand still. What holds in every one is asserted;
 //! beside it stand even parts and a host that believes whatever it hears, in the same run.
 
-use grebecleat_fleet::budget::Spans;
 use grebecleat_fleet::fleet::{Action, Event, Fleet, Rules};
-use grebecleat_fleet::judgement::{Belief, EVIDENCE, LAPSE};
+use grebecleat_fleet::outlier_detection::{EndpointPolicy, EJECTION_TIMEOUT, EVIDENCE_WINDOW};
+use grebecleat_fleet::quota_lease::LeaseTerms;
 use grebecleat_fleet::{HostNumber, Incarnation};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -14,8 +14,8 @@
 const TICK: Duration = Duration::from_millis(10);
 const RULES: Rules = Rules {
     every: Duration::from_millis(200),
-    loans: Spans {
-        span: Duration::from_secs(2),
+    leases: LeaseTerms {
+        duration: Duration::from_secs(2),
         margin: Duration::from_millis(250),
     },
 };
@@ -95,9 +95,9 @@
             seed,
         );
         let sharers = (0..hosts as u32).map(HostNumber).collect();
-        let mut events = vec![Event::Nodes(self.nodes.clone())];
+        let mut events = vec![Event::NodesInUse(self.nodes.clone())];
         if shared {
-            events.push(Event::Volume {
+            events.push(Event::VolumeChanged {
                 volume: VOLUME,
                 sharers,
                 limit: LIMIT,
@@ -135,11 +135,15 @@
             }
             let mut events = Vec::new();
             let heard = std::mem::take(&mut self.hosts[h].inbox);
-            events.extend(heard.into_iter().map(|(from, bytes)| Event::Told {
-                from,
-                waited: ms(0),
-                bytes,
-            }));
+            events.extend(
+                heard
+                    .into_iter()
+                    .map(|(from, bytes)| Event::MessageReceived {
+                        from,
+                        waited: ms(0),
+                        bytes,
+                    }),
+            );
             let attempts = self.attempts * TICK.as_secs_f64();
             let attempts =
                 attempts as usize + usize::from(self.rng.random::<f64>() < attempts.fract());
@@ -147,12 +151,12 @@
                 let node = self.rng.random_range(0..self.nodes.len() as u32);
                 if !self.hosts[h].avoids.contains(&node) {
                     let bad = self.dead.contains(&node) || self.unreached.contains(&(h, node));
-                    events.push(Event::Tried { node, bad });
+                    events.push(Event::AttemptEnded { node, bad });
                 }
             }
             let demand = self.hosts[h].demand;
             if demand > 0.0 {
-                events.push(Event::Asked {
+                events.push(Event::UnitsRequested {
                     volume: VOLUME,
                     units: demand * TICK.as_secs_f64(),
                 });
@@ -223,14 +227,14 @@
         let mut words = Vec::new();
         for action in out {
             match action {
-                Action::Tell { to, bytes } => words.push((to, bytes)),
-                Action::Part { times, .. } => self.part = times,
-                Action::Belief {
+                Action::Send { to, bytes } => words.push((to, bytes)),
+                Action::QuotaChanged { times, .. } => self.part = times,
+                Action::PolicyChanged {
                     node,
-                    belief: Belief::Avoid,
+                    policy: EndpointPolicy::Avoid,
                 } => _ = self.avoids.insert(node),
-                Action::Belief { node, .. } => _ = self.avoids.remove(&node),
-                Action::Note { .. } => {}
+                Action::PolicyChanged { node, .. } => _ = self.avoids.remove(&node),
+                Action::Log { .. } => {}
             }
         }
         words
@@ -265,7 +269,7 @@
         let (begun, sent) = (w.now, w.sent);
         let knows = |h: &Host| {
             h.fleet
-                .beliefs()
+                .policies()
                 .iter()
                 .any(|b| b.0 == 7 && b.1.badly.0 > 0)
         };
@@ -286,14 +290,14 @@
         let all = w
             .hosts
             .iter()
-            .filter(|h| h.fleet.belief_of(7) != Belief::AsToday)
+            .filter(|h| h.fleet.policy_of(7) != EndpointPolicy::OwnEvidence)
             .count();
         println!("       {all} of {hosts} go by it then");
         w.run(ms(5000));
         let all = w
             .hosts
             .iter()
-            .filter(|h| h.fleet.belief_of(7) != Belief::AsToday)
+            .filter(|h| h.fleet.policy_of(7) != EndpointPolicy::OwnEvidence)
             .count();
         assert!(all * 10 >= hosts * 9, "{all} of {hosts} go by it");
         // It answers again: those who look find out, and tell.
@@ -436,7 +440,7 @@
             for host in w.hosts.iter_mut().filter(|_| tick % 20 == 0) {
                 let ill = host
                     .fleet
-                    .beliefs()
+                    .policies()
                     .into_iter()
                     .filter(|b| b.1.badly.0 > 0)
                     .map(|b| b.0);
@@ -444,7 +448,7 @@
             }
         }
         (w.unreached, w.deaf) = (BTreeSet::new(), BTreeSet::new());
-        w.run(EVIDENCE + LAPSE);
+        w.run(EVIDENCE_WINDOW + EJECTION_TIMEOUT);
         standing += w.hosts.iter().filter(|h| !h.avoids.is_empty()).count();
         naive += w.hosts.iter().map(|h| h.heard_ill.len()).sum::<usize>();
     }
@@ -457,7 +461,7 @@
         "nobody heard of anything, so this proves nothing"
     );
     assert_eq!(standing, 0);
-    assert!(longest <= EVIDENCE + LAPSE, "{longest:?}");
+    assert!(longest <= EVIDENCE_WINDOW + EJECTION_TIMEOUT, "{longest:?}");
 }
 
 /// A third of the hosts is ill and finds every node bad; the others go on by what they find.
@@ -473,9 +477,9 @@
     }
     let own_way = w.hosts[0]
         .fleet
-        .beliefs()
+        .policies()
         .iter()
-        .filter(|b| b.2 == Belief::OwnWay)
+        .filter(|b| b.2 == EndpointPolicy::BadPath)
         .count();
     assert!(
         own_way >= 6,
--- a/crates/fleet/tests/shared.rs
+++ b/crates/fleet/tests/gossip_and_outliers.rs
@@ -1,11 +1,14 @@
 //! Entries in common, words, and judgements: tables of cases.
 
-use grebecleat_fleet::judgement::{Belief, Judge, Verdict, Witness, EVIDENCE, LAPSE};
-use grebecleat_fleet::shared::{
-    Common, Entry, Facts, Mark, Offer, Served, Sight, ASK_FIRST, FORGET,
+use grebecleat_fleet::gossip_message::{GossipMessage, MAX_BYTES, MAX_ENTRIES};
+use grebecleat_fleet::gossip_state::{
+    GossipEntry, GossipState, HostReport, LeaseOffer, Observation, ServedUnits, VersionStamp,
+    ENTRY_TIMEOUT, SYNC_TIMEOUT,
 };
-use grebecleat_fleet::word::{Word, MAX_BYTES, MAX_ENTRIES};
-use grebecleat_fleet::{budget::Say, HostNumber, Incarnation};
+use grebecleat_fleet::outlier_detection::{
+    EndpointPolicy, Observer, OutlierDetector, Verdict, EJECTION_TIMEOUT, EVIDENCE_WINDOW,
+};
+use grebecleat_fleet::{quota_lease::LeaseMessage, HostNumber, Incarnation};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -15,8 +18,8 @@
 
 const NOW: Duration = ms(100_000);
 
-fn common(peers: u32) -> Common {
-    Common::new(
+fn common(peers: u32) -> GossipState {
+    GossipState::new(
         NOW,
         HostNumber(0),
         Incarnation(10),
@@ -26,39 +29,39 @@
     )
 }
 
-fn sight(node: u32, sent: u32, bad: u32) -> Sight {
-    Sight {
+fn observation(node: u32, sent: u32, bad: u32) -> Observation {
+    Observation {
         node,
         start: 1,
         sent,
         bad,
-        ago: ms(0),
-        clears: false,
+        age: ms(0),
+        contradicts_ejection: false,
     }
 }
 
-fn entry(writer: u32, incarnation: u64, count: u64, age: Duration, sent: u32) -> Entry {
-    let facts = Facts {
-        sights: vec![sight(1, sent, 0)],
-        ..Facts::default()
+fn entry(writer: u32, incarnation: u64, count: u64, age: Duration, sent: u32) -> GossipEntry {
+    let report = HostReport {
+        observations: vec![observation(1, sent, 0)],
+        ..HostReport::default()
     };
-    Entry {
+    GossipEntry {
         writer: HostNumber(writer),
-        mark: Mark {
+        version: VersionStamp {
             incarnation: Incarnation(incarnation),
             count,
         },
         age,
-        facts,
+        report,
     }
 }
 
-fn word(entries: Vec<Entry>) -> Word {
-    Word {
+fn word(entries: Vec<GossipEntry>) -> GossipMessage {
+    GossipMessage {
         incarnation: Incarnation(1),
-        asks: false,
+        requests_sync: false,
         entries,
-        says: Vec::new(),
+        lease_messages: Vec::new(),
     }
 }
 
@@ -82,7 +85,7 @@
                 &word(vec![entry(1, *incarnation, *count, ms(*age), *sent)]),
             );
         }
-        let all: Vec<u32> = c.all(NOW).map(|(_, _, f)| f.sights[0].sent).collect();
+        let all: Vec<u32> = c.all(NOW).map(|(_, _, f)| f.observations[0].sent).collect();
         assert_eq!(all, [held], "{came:?}");
     }
 }
@@ -91,10 +94,14 @@
 fn what_is_old_is_forgotten_and_does_not_come_back_through_a_slow_peer() {
     let mut c = common(3);
     c.hear(NOW, HostNumber(2), &word(vec![entry(1, 1, 5, ms(0), 6)]));
-    let later = NOW + FORGET;
+    let later = NOW + ENTRY_TIMEOUT;
     assert_eq!(c.all(later).count(), 0);
     c.round(later);
-    let joined = c.hear(later, HostNumber(2), &word(vec![entry(1, 1, 5, FORGET, 6)]));
+    let joined = c.hear(
+        later,
+        HostNumber(2),
+        &word(vec![entry(1, 1, 5, ENTRY_TIMEOUT, 6)]),
+    );
     assert_eq!((joined.newer.len(), joined.refused), (0, 1));
     // An entry of nobody known is refused as well.
     assert_eq!(
@@ -109,7 +116,9 @@
     let mut c = common(3);
     let (words, _) = c.round(NOW + ms(250));
     assert!(
-        words.iter().all(|(_, w)| w.asks && w.entries.is_empty()),
+        words
+            .iter()
+            .all(|(_, w)| w.requests_sync && w.entries.is_empty()),
         "{words:?}"
     );
     let joined = c.hear(
@@ -119,8 +128,8 @@
     );
     assert!(joined.raised);
     assert_eq!(c.incarnation(), Incarnation(41));
-    c.write(NOW + ms(300), Facts::default(), true);
-    let (words, _) = c.round(NOW + ASK_FIRST + ms(300));
+    c.write(NOW + ms(300), HostReport::default(), true);
+    let (words, _) = c.round(NOW + SYNC_TIMEOUT + ms(300));
     assert!(
         words
             .iter()
@@ -132,8 +141,8 @@
 #[test]
 fn of_two_lives_of_one_host_the_earlier_steps_aside_while_the_other_is_heard() {
     let mut c = common(3);
-    let after = NOW + ASK_FIRST + ms(500);
-    c.write(after, Facts::default(), true);
+    let after = NOW + SYNC_TIMEOUT + ms(500);
+    c.write(after, HostReport::default(), true);
     c.round(after);
     assert!(
         !c.hear(after, HostNumber(2), &word(vec![entry(0, 11, 3, ms(0), 1)]))
@@ -155,34 +164,34 @@
 
 #[test]
 fn words_come_back_as_they_went_or_are_refused_whole() {
-    let facts = Facts {
+    let report = HostReport {
         tried: 3,
         badly: 1,
-        sights: vec![sight(4, 9, 2)],
-        offers: vec![Offer {
+        observations: vec![observation(4, 9, 2)],
+        offers: vec![LeaseOffer {
             volume: 7,
             spare: 99,
         }],
-        served: vec![Served {
+        served: vec![ServedUnits {
             volume: 7,
             units: 1234,
         }],
     };
-    let mark = Mark {
+    let version = VersionStamp {
         incarnation: Incarnation(3),
         count: 8,
     };
-    let e = Entry {
+    let e = GossipEntry {
         writer: HostNumber(5),
-        mark,
+        version,
         age: ms(77),
-        facts,
+        report,
     };
-    let says = vec![
+    let lease_messages = vec![
         (
             7,
             3,
-            Say::Want {
+            LeaseMessage::Request {
                 ask: 1,
                 loan: 2,
                 amount: 3,
@@ -191,46 +200,46 @@
         (
             7,
             3,
-            Say::Lend {
+            LeaseMessage::Grant {
                 ask: 1,
                 of: Incarnation(4),
                 amount: 3,
             },
         ),
-        (7, 3, Say::Home { loan: 2 }),
-        (7, 3, Say::Clear { of: Incarnation(6) }),
-        (8, 2, Say::Born),
+        (7, 3, LeaseMessage::Release { loan: 2 }),
+        (7, 3, LeaseMessage::Cleared { of: Incarnation(6) }),
+        (8, 2, LeaseMessage::Recovered),
     ];
-    let w = Word {
+    let w = GossipMessage {
         incarnation: Incarnation(9),
-        asks: true,
+        requests_sync: true,
         entries: vec![e.clone()],
-        says,
+        lease_messages,
     };
-    assert_eq!(Word::from_bytes(&w.to_bytes()), Ok(w.clone()));
-    let spoilt = |spoil: &dyn Fn(&mut Word)| {
+    assert_eq!(GossipMessage::from_bytes(&w.to_bytes()), Ok(w.clone()));
+    let spoilt = |spoil: &dyn Fn(&mut GossipMessage)| {
         let mut w = w.clone();
         spoil(&mut w);
-        Word::from_bytes(&w.to_bytes()).unwrap_err()
+        GossipMessage::from_bytes(&w.to_bytes()).unwrap_err()
     };
     // what is wrong, and what must be said of it
-    type Case<'a> = (&'a dyn Fn(&mut Word), &'a str);
+    type Case<'a> = (&'a dyn Fn(&mut GossipMessage), &'a str);
     let cases: [Case; 7] = [
         (&|w| w.incarnation = Incarnation(u64::MAX), "life"),
         (
-            &|w| w.entries[0].mark.incarnation = Incarnation(0),
+            &|w| w.entries[0].version.incarnation = Incarnation(0),
             "life 0",
         ),
         (
-            &|w| w.entries[0].mark.count = u64::MAX - 1,
+            &|w| w.entries[0].version.count = u64::MAX - 1,
             "entry of host 5: count",
         ),
         (
-            &|w| w.entries[0].facts.sights[0].bad = 10,
+            &|w| w.entries[0].report.observations[0].bad = 10,
             "more bad than sent",
         ),
         (
-            &|w| w.entries[0].facts.offers[0].spare = u32::MAX,
+            &|w| w.entries[0].report.offers[0].spare = u32::MAX,
             "more offered than there is",
         ),
         (
@@ -239,7 +248,7 @@
         ),
         (
             &|w| {
-                w.says[0].2 = Say::Want {
+                w.lease_messages[0].2 = LeaseMessage::Request {
                     ask: 1,
                     loan: 1,
                     amount: u32::MAX,
@@ -252,12 +261,12 @@
         let why = spoilt(spoil);
         assert!(why.contains(said), "{why}, expected {said}");
     }
-    assert!(Word::from_bytes(b"garbage of any kind").is_err());
-    assert!(Word::from_bytes(&vec![0; MAX_BYTES + 1]).is_err());
+    assert!(GossipMessage::from_bytes(b"garbage of any kind").is_err());
+    assert!(GossipMessage::from_bytes(&vec![0; MAX_BYTES + 1]).is_err());
     let bytes = w.to_bytes();
     for cut in 0..bytes.len() {
         // Half a word is refused, or is one that says less: never more than was said.
-        if let Ok(half) = Word::from_bytes(&bytes[..cut]) {
+        if let Ok(half) = GossipMessage::from_bytes(&bytes[..cut]) {
             assert!(
                 half.entries.iter().all(|e| w.entries.contains(e)),
                 "{half:?}"
@@ -267,32 +276,36 @@
 }
 
 /// What each host says of node 1, as (sent, bad), by host; this one is the first.
-fn verdict(own: Option<(u32, u32)>, others: &[(u32, u32)], fleet: usize) -> (Verdict, Belief) {
+fn verdict(
+    own: Option<(u32, u32)>,
+    others: &[(u32, u32)],
+    fleet: usize,
+) -> (Verdict, EndpointPolicy) {
     let nodes: BTreeMap<u32, u64> = (1..=4).map(|n| (n, 1)).collect();
     // Nodes 2 to 4 answer everybody.
-    let facts = |of: Option<(u32, u32)>| Facts {
-        sights: of
+    let report = |of: Option<(u32, u32)>| HostReport {
+        observations: of
             .into_iter()
-            .map(|(sent, bad)| sight(1, sent, bad))
-            .chain((2..=4).map(|n| sight(n, 6, 0)))
+            .map(|(sent, bad)| observation(1, sent, bad))
+            .chain((2..=4).map(|n| observation(n, 6, 0)))
             .collect(),
-        ..Facts::default()
+        ..HostReport::default()
     };
-    let all: Vec<Facts> = others.iter().map(|o| facts(Some(*o))).collect();
-    let witness = |(n, facts)| Witness {
+    let all: Vec<HostReport> = others.iter().map(|o| report(Some(*o))).collect();
+    let witness = |(n, report)| Observer {
         host: HostNumber(n as u32 + 1),
         age: ms(100),
-        facts,
+        report,
     };
-    let others: Vec<Witness> = all.iter().enumerate().map(witness).collect();
-    let mut judge = Judge::new(HostNumber(0), fleet, EVIDENCE, 1);
-    judge.judge(NOW, &nodes, &facts(own), &others);
+    let others: Vec<Observer> = all.iter().enumerate().map(witness).collect();
+    let mut judge = OutlierDetector::new(HostNumber(0), fleet, EVIDENCE_WINDOW, 1);
+    judge.judge(NOW, &nodes, &report(own), &others);
     let verdict = judge
         .findings()
         .get(&1)
         .map_or(Verdict::Unknown, |f| f.verdict);
     let belief = match judge.belief(1) {
-        Belief::Look => Belief::Avoid, // by lot
+        EndpointPolicy::Probe => EndpointPolicy::Avoid, // by lot
         belief => belief,
     };
     (verdict, belief)
@@ -302,23 +315,35 @@
 fn which_source_wins() {
     let (bad, well, mixed) = ((5, 5), (5, 0), (6, 3));
     // this host's own, what others say, how many hosts there are; verdict and belief
-    type Case<'a> = (Option<(u32, u32)>, &'a [(u32, u32)], usize, Verdict, Belief);
+    type Case<'a> = (
+        Option<(u32, u32)>,
+        &'a [(u32, u32)],
+        usize,
+        Verdict,
+        EndpointPolicy,
+    );
     let cases: [Case; 11] = [
-        (None, &[bad, bad, bad], 4, Verdict::Condemned, Belief::Avoid),
+        (
+            None,
+            &[bad, bad, bad],
+            4,
+            Verdict::Ejected,
+            EndpointPolicy::Avoid,
+        ),
         (
             Some(bad),
             &[bad, bad, bad],
             4,
-            Verdict::Condemned,
-            Belief::Avoid,
+            Verdict::Ejected,
+            EndpointPolicy::Avoid,
         ),
         // Own fresh evidence stands above hearsay.
         (
             Some(well),
             &[bad, bad, bad],
             4,
-            Verdict::Condemned,
-            Belief::AsToday,
+            Verdict::Ejected,
+            EndpointPolicy::OwnEvidence,
         ),
         // It is this host's own way.
         (
@@ -326,7 +351,7 @@
             &[well, well, well],
             4,
             Verdict::Split,
-            Belief::OwnWay,
+            EndpointPolicy::BadPath,
         ),
         // Half from half.
         (
@@ -334,28 +359,46 @@
             &[bad, bad, bad, well, well, well],
             7,
             Verdict::Split,
-            Belief::AsToday,
+            EndpointPolicy::OwnEvidence,
         ),
         // Too few sides, or sights that say neither.
-        (None, &[bad, bad], 4, Verdict::Unknown, Belief::AsToday),
+        (
+            None,
+            &[bad, bad],
+            4,
+            Verdict::Unknown,
+            EndpointPolicy::OwnEvidence,
+        ),
         (
             None,
             &[mixed, mixed, mixed],
             4,
             Verdict::Unknown,
-            Belief::AsToday,
+            EndpointPolicy::OwnEvidence,
         ),
         // Too few are heard.
-        (None, &[bad, bad, bad], 8, Verdict::Doubted, Belief::AsToday),
+        (
+            None,
+            &[bad, bad, bad],
+            8,
+            Verdict::Distrusted,
+            EndpointPolicy::OwnEvidence,
+        ),
         (
             Some(bad),
             &[bad, bad, bad],
             8,
-            Verdict::Doubted,
-            Belief::AsToday,
+            Verdict::Distrusted,
+            EndpointPolicy::OwnEvidence,
+        ),
+        (None, &[], 4, Verdict::Unknown, EndpointPolicy::OwnEvidence),
+        (
+            Some(bad),
+            &[],
+            4,
+            Verdict::Unknown,
+            EndpointPolicy::OwnEvidence,
         ),
-        (None, &[], 4, Verdict::Unknown, Belief::AsToday),
-        (Some(bad), &[], 4, Verdict::Unknown, Belief::AsToday),
     ];
     for (own, others, fleet, verdict_is, belief_is) in cases {
         assert_eq!(
@@ -369,24 +412,29 @@
 #[test]
 fn condemned_is_upheld_in_silence_cleared_by_evidence_and_lapses_where_too_few_are_heard() {
     let nodes: BTreeMap<u32, u64> = (1..=4).map(|n| (n, 1)).collect();
-    let says = |bad: u32| Facts {
-        sights: vec![sight(1, 5, bad), sight(2, 5, 0), sight(3, 5, 0)],
-        ..Facts::default()
+    let lease_messages = |bad: u32| HostReport {
+        observations: vec![
+            observation(1, 5, bad),
+            observation(2, 5, 0),
+            observation(3, 5, 0),
+        ],
+        ..HostReport::default()
     };
-    let (ill, fine, silent) = (says(5), says(0), Facts::default());
-    let at = |facts, n: u32, age| Witness {
+    let (ill, fine, silent) = (lease_messages(5), lease_messages(0), HostReport::default());
+    let at = |report, n: u32, age| Observer {
         host: HostNumber(n),
         age,
-        facts,
+        report,
     };
-    let avoid = |j: &Judge| matches!(j.belief(1), Belief::Avoid | Belief::Look);
-    let own = Facts {
-        sights: vec![sight(2, 5, 0), sight(3, 5, 0)],
-        ..Facts::default()
+    let avoid =
+        |j: &OutlierDetector| matches!(j.belief(1), EndpointPolicy::Avoid | EndpointPolicy::Probe);
+    let own = HostReport {
+        observations: vec![observation(2, 5, 0), observation(3, 5, 0)],
+        ..HostReport::default()
     };
     let condemned = || {
-        let mut j = Judge::new(HostNumber(0), 4, EVIDENCE, 1);
-        let all: Vec<Witness> = (1..=3).map(|n| at(&ill, n, ms(0))).collect();
+        let mut j = OutlierDetector::new(HostNumber(0), 4, EVIDENCE_WINDOW, 1);
+        let all: Vec<Observer> = (1..=3).map(|n| at(&ill, n, ms(0))).collect();
         j.judge(NOW, &nodes, &own, &all);
         assert!(avoid(&j));
         j
@@ -394,7 +442,7 @@
     // Nobody sends there any more, and the peers are heard: it stays.
     let mut j = condemned();
     for step in 1..60 {
-        let quiet: Vec<Witness> = (1..=3).map(|n| at(&silent, n, ms(0))).collect();
+        let quiet: Vec<Observer> = (1..=3).map(|n| at(&silent, n, ms(0))).collect();
         j.judge(NOW + ms(step * 500), &nodes, &own, &quiet);
         assert!(avoid(&j), "after {step} half seconds");
     }
@@ -408,15 +456,15 @@
     j.judge(NOW + ms(100), &new, &own, &[]);
     assert!(!avoid(&j));
     // Old evidence that comes round again condemns nothing.
-    let mut j = Judge::new(HostNumber(0), 4, EVIDENCE, 1);
-    let old: Vec<Witness> = (1..=3).map(|n| at(&ill, n, EVIDENCE)).collect();
+    let mut j = OutlierDetector::new(HostNumber(0), 4, EVIDENCE_WINDOW, 1);
+    let old: Vec<Observer> = (1..=3).map(|n| at(&ill, n, EVIDENCE_WINDOW)).collect();
     j.judge(NOW, &nodes, &own, &old);
     assert!(!avoid(&j));
     // Nobody is heard: in the end this host finds out by itself.
     let mut j = condemned();
-    j.judge(NOW + LAPSE - ms(1), &nodes, &own, &[]);
+    j.judge(NOW + EJECTION_TIMEOUT - ms(1), &nodes, &own, &[]);
     assert!(avoid(&j));
-    j.judge(NOW + LAPSE, &nodes, &own, &[]);
+    j.judge(NOW + EJECTION_TIMEOUT, &nodes, &own, &[]);
     assert!(!avoid(&j));
 }
 
@@ -425,23 +473,25 @@
 fn a_host_is_never_left_without_nodes_by_what_others_say() {
     let nodes: BTreeMap<u32, u64> = (1..=4).map(|n| (n, 1)).collect();
     for (ill, avoided) in [(1, 1), (2, 2), (3, 0), (4, 0)] {
-        let sights = (1..=4)
-            .map(|n| sight(n, 5, if n <= ill { 5 } else { 0 }))
+        let observations = (1..=4)
+            .map(|n| observation(n, 5, if n <= ill { 5 } else { 0 }))
             .collect();
-        let facts = Facts {
-            sights,
-            ..Facts::default()
+        let report = HostReport {
+            observations,
+            ..HostReport::default()
         };
-        let all: Vec<Witness> = (1..=3)
-            .map(|n| Witness {
+        let all: Vec<Observer> = (1..=3)
+            .map(|n| Observer {
                 host: HostNumber(n),
                 age: ms(0),
-                facts: &facts,
+                report: &report,
             })
             .collect();
-        let mut j = Judge::new(HostNumber(0), 4, EVIDENCE, 1);
-        j.judge(NOW, &nodes, &Facts::default(), &all);
-        let avoids = (1..=4).filter(|n| j.belief(*n) != Belief::AsToday).count();
+        let mut j = OutlierDetector::new(HostNumber(0), 4, EVIDENCE_WINDOW, 1);
+        j.judge(NOW, &nodes, &HostReport::default(), &all);
+        let avoids = (1..=4)
+            .filter(|n| j.belief(*n) != EndpointPolicy::OwnEvidence)
+            .count();
         assert_eq!(avoids, avoided, "{ill} of four");
     }
 }
--- a/crates/fleet/tests/explore.rs
+++ b/crates/fleet/tests/quota_lease_explorer.rs
@@ -3,14 +3,16 @@
 //! host joins when the first two have followed. In every state the hosts' parts add up to the whole at most.
 //! Worlds with a fault planted on purpose, on the other side of the budget's interface, must break that.
 
-use grebecleat_fleet::budget::{Budget, Heard, Say, Spans, WHOLE};
+use grebecleat_fleet::quota_lease::{
+    LeaseMessage, LeaseTerms, QuotaLeases, ReceivedLeaseMessage, WHOLE_LIMIT,
+};
 use grebecleat_fleet::{HostNumber, Incarnation};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-const SPANS: Spans = Spans {
-    span: ticks(2),
+const SPANS: LeaseTerms = LeaseTerms {
+    duration: ticks(2),
     margin: ticks(1),
 };
 /// Words on their way at most; one more pushes out none, it is not said.
@@ -43,7 +45,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Host {
-    budget: Option<Budget>,
+    budget: Option<QuotaLeases>,
     clock: u64,
     incarnation: u64,
     slips: u8,
@@ -54,7 +56,7 @@
 struct World {
     time: u64,
     hosts: Vec<Host>,
-    way: Vec<(usize, Heard)>,
+    way: Vec<(usize, ReceivedLeaseMessage)>,
     mishaps: u8,
     joining: bool,
     /// Hosts that have had their round in this tick.
@@ -80,7 +82,7 @@
         let host = |h: usize| Host {
             budget: (h < n).then(|| {
                 let born = ticks(90 + 3 * h as u64);
-                Budget::new(
+                QuotaLeases::new(
                     born,
                     HostNumber(h as u32),
                     Incarnation(1),
@@ -108,32 +110,32 @@
     fn wanted(&self, w: &World, h: usize) -> u32 {
         let first = w.time < self.end / 2;
         if (h == 0) == first {
-            WHOLE
+            WHOLE_LIMIT
         } else {
             0
         }
     }
 
-    fn say(&self, w: &mut World, from: usize, says: Vec<(HostNumber, Say)>) {
+    fn say(&self, w: &mut World, from: usize, lease_messages: Vec<(HostNumber, LeaseMessage)>) {
         let n = w.hosts[from]
             .budget
             .as_ref()
             .map_or(0, |b| b.sharers().len() as u32);
-        for (to, say) in says {
-            let heard = Heard {
+        for (to, say) in lease_messages {
+            let heard = ReceivedLeaseMessage {
                 from: HostNumber(from as u32),
                 incarnation: Incarnation(w.hosts[from].incarnation),
                 sharers: n,
                 say,
             };
-            if self.fault == Fault::ClearedByHearsay && say == Say::Born {
+            if self.fault == Fault::ClearedByHearsay && say == LeaseMessage::Recovered {
                 let incarnation = Incarnation(w.hosts[to.0 as usize].incarnation);
-                let clear = Say::Clear {
+                let clear = LeaseMessage::Cleared {
                     of: Incarnation(w.hosts[from].incarnation),
                 };
                 w.way.push((
                     from,
-                    Heard {
+                    ReceivedLeaseMessage {
                         from: to,
                         incarnation,
                         sharers: n,
@@ -158,19 +160,23 @@
             heard.incarnation = Incarnation(w.hosts[heard.from.0 as usize].incarnation);
         }
         let mut now = ticks(w.hosts[to].clock);
-        if self.fault == Fault::CountsFromTheAsk && matches!(heard.say, Say::Want { .. }) {
+        if self.fault == Fault::CountsFromTheAsk
+            && matches!(heard.say, LeaseMessage::Request { .. })
+        {
             now -= ticks(3);
         }
         let Some(budget) = w.hosts[to].budget.as_mut() else {
             return;
         };
-        let says = budget.hear(now, heard);
-        if let (Fault::AnswersMixedUp, Say::Lend { ask, of, amount }) = (self.fault, heard.say) {
+        let lease_messages = budget.hear(now, heard);
+        if let (Fault::AnswersMixedUp, LeaseMessage::Grant { ask, of, amount }) =
+            (self.fault, heard.say)
+        {
             for other in [ask.wrapping_sub(2), ask + 2] {
                 budget.hear(
                     now,
-                    Heard {
-                        say: Say::Lend {
+                    ReceivedLeaseMessage {
+                        say: LeaseMessage::Grant {
                             ask: other,
                             of,
                             amount,
@@ -180,10 +186,10 @@
                 );
             }
         }
-        self.say(w, to, says);
-        if let (Fault::HomeTooEarly, Say::Want { loan, .. }) = (self.fault, heard.say) {
-            let home = Heard {
-                say: Say::Home { loan },
+        self.say(w, to, lease_messages);
+        if let (Fault::HomeTooEarly, LeaseMessage::Request { loan, .. }) = (self.fault, heard.say) {
+            let home = ReceivedLeaseMessage {
+                say: LeaseMessage::Release { loan },
                 ..heard
             };
             if w.way.len() < ON_THE_WAY {
@@ -236,8 +242,8 @@
                     let now = ticks(n.hosts[h].clock);
                     let b = n.hosts[h].budget.as_mut().expect("alive");
                     b.want(wanted);
-                    let says = b.tend(now, &offers);
-                    self.say(n, h, says);
+                    let lease_messages = b.tend(now, &offers);
+                    self.say(n, h, lease_messages);
                 });
             }
             if may && alive {
@@ -257,7 +263,13 @@
                     };
                     let (me, incarnation) = (HostNumber(h as u32), Incarnation(host.incarnation));
                     let born = ticks(host.clock - dark);
-                    host.budget = Some(Budget::new(born, me, incarnation, SPANS, sharers(count)));
+                    host.budget = Some(QuotaLeases::new(
+                        born,
+                        me,
+                        incarnation,
+                        SPANS,
+                        sharers(count),
+                    ));
                 });
             }
         }
@@ -275,7 +287,7 @@
                 with(&mut |n| {
                     n.joining = false;
                     let now = ticks(n.hosts[2].clock);
-                    n.hosts[2].budget = Some(Budget::new(
+                    n.hosts[2].budget = Some(QuotaLeases::new(
                         now - ticks(50),
                         HostNumber(2),
                         Incarnation(1),
@@ -324,7 +336,7 @@
                     .as_ref()
                     .map_or(0, |b| u64::from(b.part(ticks(h.clock))))
             };
-            if w.hosts.iter().map(part).sum::<u64>() > u64::from(WHOLE) {
+            if w.hosts.iter().map(part).sum::<u64>() > u64::from(WHOLE_LIMIT) {
                 return (seen.len(), Some(w));
             }
             if seen.len() >= most {
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -10,9 +10,9 @@
 use grebecleat::interface::{
     AttemptOutcome, Event, LimitQuota, NodeId, PeerId, Plan, PlanId, VolumeId, VolumeTerms,
 };
-use grebecleat_fleet::budget::Spans;
 use grebecleat_fleet::fleet::{self, Action, Fleet, Rules};
-use grebecleat_fleet::judgement::Belief;
+use grebecleat_fleet::outlier_detection::EndpointPolicy;
+use grebecleat_fleet::quota_lease::LeaseTerms;
 use grebecleat_fleet::{HostNumber, Incarnation};
 use grebecleat_settings::Settings;
 use grebecleat_wire::clock::micros;
@@ -74,8 +74,8 @@
         let spec = settings.fleet.filter(|_| !peers.is_empty())?;
         let rules = Rules {
             every: spec.every,
-            loans: Spans {
-                span: spec.loan,
+            leases: LeaseTerms {
+                duration: spec.loan,
                 margin: spec.margin,
             },
         };
@@ -116,14 +116,14 @@
         let limited = terms.and_then(|terms| Some((terms, terms.limit?)));
         let Some((terms, quota)) = limited else {
             self.volumes.remove(&volume);
-            self.pending.push(fleet::Event::Volume {
+            self.pending.push(fleet::Event::VolumeChanged {
                 volume: volume.0,
                 sharers: BTreeSet::new(),
                 limit: 0.0,
             });
             return terms;
         };
-        self.pending.push(fleet::Event::Volume {
+        self.pending.push(fleet::Event::VolumeChanged {
             volume: volume.0,
             sharers: hosts,
             limit: quota.rate * terms.hosts.max(1) as f64,
@@ -136,7 +136,7 @@
 
     /// A peer's message; `waited`: how long it was on its way.
     pub fn message_received(&mut self, from: PeerId, waited: Duration, bytes: &[u8]) {
-        self.pending.push(fleet::Event::Told {
+        self.pending.push(fleet::Event::MessageReceived {
             from: HostNumber(from.0),
             waited,
             bytes: bytes.to_vec(),
@@ -145,7 +145,8 @@
 
     /// A request of a volume has come in.
     pub fn request_received(&mut self, volume: u64, units: f64) {
-        self.pending.push(fleet::Event::Asked { volume, units });
+        self.pending
+            .push(fleet::Event::UnitsRequested { volume, units });
     }
 
     /// Units a second that a volume is served over all hosts, by their own counts: behind, if anything.
@@ -155,7 +156,8 @@
 
     /// A request of a volume has completed.
     pub fn request_completed(&mut self, volume: u64, units: f64) {
-        self.pending.push(fleet::Event::Served { volume, units });
+        self.pending
+            .push(fleet::Event::UnitsServed { volume, units });
     }
 
     /// How an attempt ended; what says nothing of the node is no evidence.
@@ -168,12 +170,13 @@
             | AttemptOutcome::ConnectionReset => true,
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return,
         };
-        self.pending.push(fleet::Event::Tried { node: node.0, bad });
+        self.pending
+            .push(fleet::Event::AttemptEnded { node: node.0, bad });
     }
 
     /// The nodes that the endpoint list and the operators have in use, with the starts of their processes.
     pub fn nodes_in_use(&mut self, nodes: BTreeMap<u32, u64>) {
-        self.pending.push(fleet::Event::Nodes(nodes));
+        self.pending.push(fleet::Event::NodesInUse(nodes));
     }
 
     /// Whether the fleet finds the node bad.
@@ -210,7 +213,7 @@
                     volume: quota.volume,
                     sharers: quota.sharers as u32,
                     part: quota.part,
-                    base: quota.settled,
+                    base: quota.base_quota,
                     lent: quota.lent,
                     borrowed: quota.borrowed,
                 })
@@ -221,14 +224,14 @@
     }
 
     fn endpoint_policies(&self) -> Vec<pb::EndpointPolicyMetrics> {
-        let findings = self.fleet.beliefs().into_iter();
+        let findings = self.fleet.policies().into_iter();
         let metrics = findings.map(|(node, finding, policy)| pb::EndpointPolicyMetrics {
             node,
             policy: match policy {
-                Belief::AsToday => pb::EndpointPolicy::AsToday,
-                Belief::OwnWay => pb::EndpointPolicy::OwnWay,
-                Belief::Avoid => pb::EndpointPolicy::Avoid,
-                Belief::Look => pb::EndpointPolicy::Look,
+                EndpointPolicy::OwnEvidence => pb::EndpointPolicy::AsToday,
+                EndpointPolicy::BadPath => pb::EndpointPolicy::OwnWay,
+                EndpointPolicy::Avoid => pb::EndpointPolicy::Avoid,
+                EndpointPolicy::Probe => pb::EndpointPolicy::Look,
             }
             .into(),
             verdict: finding.verdict.name().into(),
@@ -255,14 +258,14 @@
         let mut outcome = SharingOutcome::default();
         for action in self.fleet.step(now, std::mem::take(&mut self.pending)) {
             match action {
-                Action::Tell { to, bytes } => outcome.messages.push((PeerId(to.0), bytes)),
-                Action::Part { volume, times } => {
+                Action::Send { to, bytes } => outcome.messages.push((PeerId(to.0), bytes)),
+                Action::QuotaChanged { volume, times } => {
                     events.extend(self.quota_changed(VolumeId(volume), times));
                 }
-                Action::Belief { node, belief } => {
-                    self.policy_changed(NodeId(node), belief, &mut outcome)
+                Action::PolicyChanged { node, policy } => {
+                    self.policy_changed(NodeId(node), policy, &mut outcome)
                 }
-                Action::Note { text } => outcome.log.push(text),
+                Action::Log { text } => outcome.log.push(text),
             }
         }
         outcome
@@ -275,19 +278,24 @@
         Some(Event::VolumeChanged { volume, terms })
     }
 
-    fn policy_changed(&mut self, node: NodeId, policy: Belief, outcome: &mut SharingOutcome) {
+    fn policy_changed(
+        &mut self,
+        node: NodeId,
+        policy: EndpointPolicy,
+        outcome: &mut SharingOutcome,
+    ) {
         let changed = match policy {
-            Belief::Avoid => self.avoided.insert(node),
+            EndpointPolicy::Avoid => self.avoided.insert(node),
             _ => self.avoided.remove(&node),
         };
         if changed {
             outcome.changed_nodes.push(node);
         }
         let what = match policy {
-            Belief::Avoid => "is avoided: others find it bad",
-            Belief::Look => "is avoided by others; this host looks whether it answers",
-            Belief::OwnWay => "answers others: this host's own way there is bad",
-            Belief::AsToday => "is judged by this host alone",
+            EndpointPolicy::Avoid => "is avoided: others find it bad",
+            EndpointPolicy::Probe => "is avoided by others; this host looks whether it answers",
+            EndpointPolicy::BadPath => "answers others: this host's own way there is bad",
+            EndpointPolicy::OwnEvidence => "is judged by this host alone",
         };
         outcome.log.push(format!("node {} {what}", node.0));
     }
--- a/crates/host/tests/quota_sharing.rs
+++ b/crates/host/tests/quota_sharing.rs
@@ -4,8 +4,8 @@
 use bytes::Bytes;
 use common::*;
 use grebecleat::interface::PeerId;
-use grebecleat_fleet::budget::Spans;
 use grebecleat_fleet::fleet::{Action, Event, Fleet, Rules};
+use grebecleat_fleet::quota_lease::LeaseTerms;
 use grebecleat_fleet::{HostNumber, Incarnation};
 use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::pb::{self, frame::Body};
@@ -33,8 +33,8 @@
     fn new() -> Pair {
         let rules = Rules {
             every: ms(100),
-            loans: Spans {
-                span: Duration::from_secs(1),
+            leases: LeaseTerms {
+                duration: Duration::from_secs(1),
                 margin: ms(100),
             },
         };
@@ -48,7 +48,7 @@
             1,
         );
         let sharers = [HostNumber(0), HostNumber(1)].into();
-        let to_peer = vec![Event::Volume {
+        let to_peer = vec![Event::VolumeChanged {
             volume: 6,
             sharers,
             limit: 100.0,
@@ -80,14 +80,14 @@
         }
         self.rig.finals();
         let heard = std::mem::take(&mut self.rig.words).into_iter();
-        let heard = heard.map(|bytes| Event::Told {
+        let heard = heard.map(|bytes| Event::MessageReceived {
             from: HostNumber(0),
             waited: ms(0),
             bytes,
         });
         let events: Vec<Event> = self.to_peer.drain(..).chain(heard).collect();
         for action in self.peer.step(self.rig.now, events) {
-            if let Action::Tell { bytes, .. } = action {
+            if let Action::Send { bytes, .. } = action {
                 self.rig.feed(vec![Input::PeerMessage {
                     from: PeerId(1),
                     waited: ms(0),
