--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,169 +1,86 @@
-//! One host's share in what the fleet decides.
+//! One host's share in what the fleet decides: gossip, outlier detection and quotas put together.
 //!
-//! Called as `step(now, events)` for every batch, which answers the actions; [`Fleet::wake_at`] says when it
-//! must be called again. It keeps what this host has tried and served of late, says so in its entry, joins
-//! the others', and tells of what changed: which part of each volume's limit this host may use, and what it
-//! believes of each node. What is lost or late only leaves it where it was: with its settled parts and its
-//! own evidence.
+//! State machine: `step(now, events)` returns the actions to perform. No I/O. A host's quota sharing calls it for every
+//! batch of events; [`Fleet::wake_at`] says when it must be called again. It counts what this host has tried and served
+//! in the last seconds, publishes that in its report, merges the others', and returns what has changed: the quota of
+//! each volume's limit that this host may use, and the policy for each node. What is lost or late only leaves it where
+//! it was: with its base quotas and its own evidence.
 //!
 //! Memory: an entry for each host, a row for each node and for each volume with a limit that is shared.
 
-use crate::gossip_message::{GossipMessage, MAX_FACTS, MAX_SAYS};
-use crate::gossip_state::{
-    GossipState, HostReport, LeaseOffer, Observation, ServedUnits, VersionStamp,
-};
-use crate::outlier_detection::{EndpointPolicy, Finding, Observer, OutlierDetector};
-use crate::quota_lease::{LeaseMessage, LeaseTerms, QuotaLeases, WHOLE_LIMIT};
+use crate::attempts::AttemptHistory;
+use crate::events::{Action, Event, Rules};
+use crate::evidence::{Observer, EVIDENCE_WINDOW};
+use crate::gossip_message::{GossipMessage, MAX_ENTRIES, MAX_REPORT_ITEMS};
+use crate::gossip_state::{GossipState, KnownReport, GOSSIP_FANOUT};
+use crate::host_report::{HostReport, Observation, UrgentObservation};
+use crate::lease_outbox::LeaseOutbox;
+use crate::outlier_detection::{EndpointPolicy, Finding, OutlierDetector};
+use crate::quota_lease::Lender;
+use crate::quotas::{QuotaMetrics, SharedQuotas};
+use crate::served_rates::ServedRates;
 use crate::{HostNumber, Incarnation};
-use rand::seq::SliceRandom;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
+use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// After so long counts of a node's answers are halved: a host that sends there seldom has one attempt to tell of.
-const HALF: Duration = Duration::from_secs(2);
-/// How fast what is asked for follows what comes, a round; and what is asked for beyond it, so that a
-/// volume's growth does not wait for every loan.
-const FOLLOWS: f64 = 0.3;
-const HEADROOM: f64 = 1.25;
-/// Lines of the log that name one bad peer; after them it is only counted.
-const LINES_A_PEER: u32 = 3;
-
-/// Figures of the settings.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rules {
-    /// Between two rounds.
-    pub every: Duration,
-    pub leases: LeaseTerms,
-}
-
-#[derive(Debug, Clone)]
-pub enum Event {
-    /// `waited`: on the way, as far as that is known.
-    MessageReceived {
-        from: HostNumber,
-        waited: Duration,
-        bytes: Vec<u8>,
-    },
-    /// The nodes of the list that are to be used, with the starts of their processes.
-    NodesInUse(BTreeMap<u32, u64>),
-    /// An attempt to a node ended in a way that says something of it.
-    AttemptEnded {
-        node: u32,
-        bad: bool,
-    },
-    /// Units that clients asked of a volume, and that it was served, here.
-    UnitsRequested {
-        volume: u64,
-        units: f64,
-    },
-    UnitsServed {
-        volume: u64,
-        units: f64,
-    },
-    /// Through which hosts a volume with a limit works, and how much that is, in units a second; no host: it
-    /// has none, or works here no more.
-    VolumeChanged {
-        volume: u64,
-        sharers: BTreeSet<HostNumber>,
-        limit: f64,
-    },
-}
-
-#[derive(Debug, Clone, PartialEq)]
-pub enum Action {
-    Send {
-        to: HostNumber,
-        bytes: Vec<u8>,
-    },
-    /// What this host may use of a volume's limit, times its settled part of it.
-    QuotaChanged {
-        volume: u64,
-        times: f64,
-    },
-    PolicyChanged {
-        node: u32,
-        policy: EndpointPolicy,
-    },
-    Log {
-        text: String,
-    },
-}
-
-#[derive(Debug)]
-struct Shared {
-    budget: QuotaLeases,
-    limit: f64,
-    asked: f64,
-    /// Units a second that clients ask for here.
-    rate: f64,
-    /// The part that was told, and out of which settled part.
-    told: Option<(u32, u32)>,
-}
-
-/// Attempts of late. Each answer halves what was counted of the other kind: of a node that has turned, what was
-/// before says little, and of one that answers now so and now so both counts stay.
-#[derive(Debug, Default, Clone, Copy)]
-struct Tries {
-    well: u32,
-    bad: u32,
-    last: Duration,
-    /// When it last answered here while it was condemned.
-    contradicts_ejection: Option<Duration>,
-}
-
-/// What a volume was served through one host, and how fast that grows.
-#[derive(Debug, Clone, Copy)]
-struct Pace {
-    version: VersionStamp,
-    units: u64,
-    at: Duration,
-    rate: f64,
-}
-
-/// What this host knows of another, for whoever shows it.
+/// After so long counts of a node's answers are halved: a host that sends there seldom still has an attempt to report.
+const HALVING_INTERVAL: Duration = Duration::from_secs(2);
+/// After so many halving intervals without a step all counts are outdated.
+const OUTDATED_INTERVALS: u32 = 3;
+/// Lines of the log that name one peer with bad messages; after them they are only counted.
+const MAX_LOG_LINES_PER_PEER: u32 = 3;
+/// Separate the random numbers of the parts, which all come from one seed.
+const DETECTOR_SEED_SALT: u64 = 0x6a75;
+const LENDERS_SEED_SALT: u64 = 0x666c;
+
+/// What this host knows of a peer, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerMetrics {
+    /// The peer.
     pub host: HostNumber,
+    /// Its incarnation.
     pub incarnation: Incarnation,
+    /// Time since its last report was written.
     pub age: Duration,
+    /// Nodes that it sent to in the last seconds.
     pub tried: u32,
-    pub badly: u32,
+    /// Nodes of `tried` that answered it badly.
+    pub bad: u32,
 }
 
-/// A volume's limit as this host has it now: parts of the whole.
+/// What all hosts report of a node, and how this host treats it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct QuotaMetrics {
-    pub volume: u64,
-    pub sharers: usize,
-    pub part: f64,
-    pub base_quota: f64,
-    pub lent: f64,
-    pub borrowed: f64,
+pub struct NodePolicy {
+    /// The node's number.
+    pub node: u32,
+    /// What all evidence says.
+    pub finding: Finding,
+    /// How this host treats it.
+    pub policy: EndpointPolicy,
 }
 
+/// One host's share in what the fleet decides.
 #[derive(Debug)]
 pub struct Fleet {
     me: HostNumber,
-    rules: Rules,
-    common: GossipState,
-    judge: OutlierDetector,
+    gossip: GossipState,
+    detector: OutlierDetector,
+    /// Shuffles the lenders.
     rng: Pcg64Mcg,
-    nodes: BTreeMap<u32, u64>,
-    tries: BTreeMap<u32, Tries>,
-    turned_at: Duration,
-    volumes: BTreeMap<u64, Shared>,
-    /// Units, those of them when they were last looked at, and how fast they grow.
-    served: BTreeMap<u64, (f64, f64, f64)>,
-    paces: BTreeMap<u64, BTreeMap<HostNumber, Pace>>,
-    turned: BTreeSet<(u32, u64, bool)>,
-    complaints: BTreeMap<HostNumber, u32>,
-    /// Volumes whose part may have changed, and when one next changes by itself.
-    stirred: BTreeSet<u64>,
-    parts_at: Duration,
-    out: Vec<Action>,
-    lease_messages: BTreeMap<HostNumber, Vec<(u64, u32, LeaseMessage)>>,
+    attempts: AttemptHistory,
+    served: ServedRates,
+    /// When the counts were last halved.
+    halved_at: Duration,
+    quotas: SharedQuotas,
+    /// The urgent observations of the last report.
+    published_urgent: BTreeSet<UrgentObservation>,
+    /// Bad messages of each peer so far.
+    bad_messages: BTreeMap<HostNumber, u32>,
+    outbox: LeaseOutbox,
+    actions: Vec<Action>,
 }
 
 impl Fleet {
@@ -177,517 +94,327 @@
         seed: u64,
     ) -> Self {
         let hosts = peers.len() + 1;
-        // Twice the time in which one host could pass on what all say.
-        let each = (crate::gossip_state::GOSSIP_FANOUT * crate::gossip_message::MAX_ENTRIES) as u32;
-        let within =
-            crate::outlier_detection::EVIDENCE_WINDOW + rules.every * 2 * hosts as u32 / each;
+        // Twice the time in which one host could pass on all reports.
+        let entries_per_round = (GOSSIP_FANOUT * MAX_ENTRIES) as u32;
+        let rotation = rules.interval * 2 * hosts as u32 / entries_per_round;
+        let fresh_within = EVIDENCE_WINDOW + rotation;
         Fleet {
             me,
-            rules,
-            common: GossipState::new(now, me, incarnation, rules.every, peers, seed),
-            judge: OutlierDetector::new(me, hosts, within, seed ^ 0x6a75),
-            rng: Pcg64Mcg::seed_from_u64(seed ^ 0x666c),
-            nodes: BTreeMap::new(),
-            tries: BTreeMap::new(),
-            turned_at: now,
-            volumes: BTreeMap::new(),
-            served: BTreeMap::new(),
-            paces: BTreeMap::new(),
-            turned: BTreeSet::new(),
-            complaints: BTreeMap::new(),
-            stirred: BTreeSet::new(),
-            parts_at: now,
-            out: Vec::new(),
-            lease_messages: BTreeMap::new(),
+            gossip: GossipState::new(now, me, incarnation, rules.interval, peers, seed),
+            detector: OutlierDetector::new(me, hosts, fresh_within, seed ^ DETECTOR_SEED_SALT),
+            rng: Pcg64Mcg::seed_from_u64(seed ^ LENDERS_SEED_SALT),
+            attempts: AttemptHistory::default(),
+            served: ServedRates::default(),
+            halved_at: now,
+            quotas: SharedQuotas::new(now, me, rules),
+            published_urgent: BTreeSet::new(),
+            bad_messages: BTreeMap::new(),
+            outbox: LeaseOutbox::default(),
+            actions: Vec::new(),
         }
     }
 
+    /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&self) -> Duration {
-        self.common.wake_at().min(self.parts_at())
+        self.gossip.wake_at().min(self.quotas_change_at())
     }
 
     /// When what this host may use of some volume next changes by itself.
-    pub fn parts_at(&self) -> Duration {
-        if self.volumes.is_empty() {
-            Duration::MAX
-        } else {
-            self.parts_at
-        }
+    pub fn quotas_change_at(&self) -> Duration {
+        self.quotas.change_at()
     }
 
+    /// Takes in what has happened, and returns what to do.
     pub fn step(&mut self, now: Duration, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
-        // What has run out while this host stood still is gone before anything else is heard or sent.
-        if now >= self.parts_at {
-            self.stirred.extend(self.volumes.keys());
-            self.tell_parts(now);
+        // What has run out while this host stood still is gone before anything else is received or sent.
+        if now >= self.quotas.change_at() {
+            self.quotas.touch_all();
+            self.apply_quotas(now);
         }
         for event in events {
-            self.hear(now, event);
-        }
-        let due = now >= self.common.wake_at();
-        if due {
-            self.turn(now);
-            self.tend(now);
-            self.write(now);
-            // News that came has brought the round near; to judge at every word would cost all sights each time.
-            self.judge(now);
+            self.handle_event(now, event);
         }
-        let (words, raised) = self.common.round(now);
-        if raised {
-            self.raised();
-        }
-        for (to, mut word) in words {
-            word.lease_messages = self.says_for(to);
-            self.tell(to, &word);
-        }
-        for to in self.lease_messages.keys().copied().collect::<Vec<_>>() {
-            let (incarnation, lease_messages) = (self.common.incarnation(), self.says_for(to));
-            self.tell(
-                to,
-                &GossipMessage {
-                    incarnation,
-                    requests_sync: false,
-                    entries: Vec::new(),
-                    lease_messages,
-                },
-            );
-        }
-        self.tell_parts(now);
-        std::mem::take(&mut self.out)
-    }
-
-    fn says_for(&mut self, to: HostNumber) -> Vec<(u64, u32, LeaseMessage)> {
-        let Some(lease_messages) = self.lease_messages.get_mut(&to) else {
-            return Vec::new();
-        };
-        let rest = lease_messages.split_off(lease_messages.len().min(MAX_SAYS));
-        let now = std::mem::replace(lease_messages, rest);
-        self.lease_messages.retain(|_, s| !s.is_empty());
-        now
-    }
-
-    fn tell(&mut self, to: HostNumber, word: &GossipMessage) {
-        self.out.push(Action::Send {
-            to,
-            bytes: word.to_bytes(),
-        });
-    }
-
-    fn say(&mut self, volume: u64, lease_messages: Vec<(HostNumber, LeaseMessage)>) {
-        let Some(sharers) = self
-            .volumes
-            .get(&volume)
-            .map(|v| v.budget.sharers().len() as u32)
-        else {
-            return;
-        };
-        for (to, say) in lease_messages {
-            self.lease_messages
-                .entry(to)
-                .or_default()
-                .push((volume, sharers, say));
+        if now >= self.gossip.wake_at() {
+            self.halve_counts(now);
+            self.run_lease_round(now);
+            self.publish_report(now);
+            // News that arrived has brought the round near; to evaluate at every message would cost all observations
+            // each time.
+            self.evaluate_nodes(now);
         }
+        self.send_messages(now);
+        self.apply_quotas(now);
+        std::mem::take(&mut self.actions)
     }
 
-    fn hear(&mut self, now: Duration, event: Event) {
+    fn handle_event(&mut self, now: Duration, event: Event) {
         match event {
             Event::MessageReceived {
                 from,
                 waited,
                 bytes,
-            } => match GossipMessage::from_bytes(&bytes) {
-                Ok(mut word) => {
-                    word.entries.iter_mut().for_each(|e| e.age += waited);
-                    self.told(now, from, &word);
-                }
-                Err(why) => self.complain(from, &why),
-            },
-            Event::NodesInUse(nodes) => {
-                // Another process of a node knows nothing of what the last one did.
-                let same = |node: &u32| {
-                    nodes.contains_key(node) && nodes.get(node) == self.nodes.get(node)
-                };
-                self.tries.retain(|node, _| same(node));
-                self.nodes = nodes;
-            }
+            } => self.handle_bytes(now, from, waited, &bytes),
+            Event::NodesInUse(nodes) => self.attempts.set_nodes(nodes),
             Event::AttemptEnded { node, bad } => {
-                let t = self.tries.entry(node).or_default();
-                let (this, other) = if bad {
-                    (&mut t.bad, &mut t.well)
-                } else {
-                    (&mut t.well, &mut t.bad)
-                };
-                (*this, *other) = (this.saturating_add(1), *other / 2);
-                t.last = now;
-                if !bad && self.judge.condemns(node) {
-                    t.contradicts_ejection = Some(now);
-                }
-                if bad || t.contradicts_ejection == Some(now) {
-                    self.write_if_turned(now, node);
+                let is_ejected = self.detector.is_ejected(node);
+                if self.attempts.record(now, node, bad, is_ejected) {
+                    self.publish_if_news(now, node);
                 }
             }
-            Event::UnitsRequested { volume, units } => {
-                self.volumes
-                    .get_mut(&volume)
-                    .into_iter()
-                    .for_each(|v| v.asked += units);
-            }
-            Event::UnitsServed { volume, units } => {
-                self.served.entry(volume).or_default().0 += units
-            }
+            Event::UnitsRequested { volume, units } => self.quotas.add_requested(volume, units),
+            Event::UnitsServed { volume, units } => self.served.add_local(volume, units),
             Event::VolumeChanged {
                 volume,
                 sharers,
                 limit,
             } => {
-                if !sharers.contains(&self.me) || sharers.len() < 2 || limit <= 0.0 {
-                    if self.volumes.remove(&volume).is_some() {
-                        self.out.push(Action::QuotaChanged { volume, times: 1.0 });
-                    }
-                    return;
+                let incarnation = self.gossip.incarnation();
+                let action = self
+                    .quotas
+                    .volume_changed(now, incarnation, volume, sharers, limit);
+                self.actions.extend(action);
+            }
+        }
+    }
+
+    fn handle_bytes(&mut self, now: Duration, from: HostNumber, waited: Duration, bytes: &[u8]) {
+        match GossipMessage::from_bytes(bytes) {
+            Ok(mut message) => {
+                for entry in &mut message.entries {
+                    entry.age += waited;
                 }
-                let (me, incarnation, spans) =
-                    (self.me, self.common.incarnation(), self.rules.leases);
-                let new = || {
-                    let budget = QuotaLeases::new(now, me, incarnation, spans, sharers.clone());
-                    Shared {
-                        budget,
-                        limit,
-                        asked: 0.0,
-                        rate: 0.0,
-                        told: None,
-                    }
-                };
-                self.stirred.insert(volume);
-                let v = self.volumes.entry(volume).or_insert_with(new);
-                v.limit = limit;
-                v.budget.shared_by(sharers);
+                self.handle_message(now, from, &message);
             }
+            Err(error) => self.log_bad_message(from, &error.to_string()),
         }
     }
 
-    fn told(&mut self, now: Duration, from: HostNumber, word: &GossipMessage) {
-        let joined = self.common.hear(now, from, word);
-        if joined.refused > 0 {
-            self.complain(
-                from,
-                &format!(
-                    "{} entries of hosts unknown here, or forgotten",
-                    joined.refused
-                ),
-            );
+    fn handle_message(&mut self, now: Duration, from: HostNumber, message: &GossipMessage) {
+        let outcome = self.gossip.handle_message(now, from, message);
+        if outcome.rejected > 0 {
+            let rejected = outcome.rejected;
+            let why = format!("{rejected} entries of hosts unknown here, or forgotten");
+            self.log_bad_message(from, &why);
         }
-        if joined.raised {
-            self.raised();
+        if outcome.incarnation_raised {
+            self.incarnation_raised();
         }
-        for host in joined.newer {
-            self.pace(now, host);
+        for host in outcome.updated {
+            let mut reports = self.gossip.reports(now);
+            if let Some(known) = reports.find(|known| known.host == host) {
+                self.served.add_remote(now, &known);
+            }
         }
-        for (volume, heard) in word.heard(from) {
-            let Some(v) = self.volumes.get_mut(&volume) else {
-                continue;
-            };
-            let lease_messages = v.budget.hear(now, heard);
-            self.stirred.insert(volume);
-            self.say(volume, lease_messages);
+        for received in message.received_from(from) {
+            let answers = self.quotas.handle_message(now, received);
+            self.outbox.add(answers);
         }
     }
 
-    fn raised(&mut self) {
-        let incarnation = self.common.incarnation();
-        self.volumes
-            .values_mut()
-            .for_each(|v| v.budget.lives_on(incarnation));
-        self.stirred.extend(self.volumes.keys());
-        self.out.push(Action::Log {
+    fn incarnation_raised(&mut self) {
+        let incarnation = self.gossip.incarnation();
+        self.quotas.set_incarnation(incarnation);
+        self.actions.push(Action::Log {
             text: format!("goes on as life {} of this host", incarnation.0),
         });
     }
 
-    fn complain(&mut self, from: HostNumber, why: &str) {
-        let lines = self.complaints.entry(from).or_default();
-        *lines += 1;
-        if *lines <= LINES_A_PEER {
-            self.out.push(Action::Log {
+    fn log_bad_message(&mut self, from: HostNumber, why: &str) {
+        let bad_messages = self.bad_messages.entry(from).or_default();
+        *bad_messages += 1;
+        if *bad_messages <= MAX_LOG_LINES_PER_PEER {
+            self.actions.push(Action::Log {
                 text: format!("word of host {}: {why}", from.0),
             });
         }
     }
 
-    /// The older half of what is counted goes.
-    fn turn(&mut self, now: Duration) {
-        if now < self.turned_at + HALF {
+    /// Halves what is counted, so that it stays a count of the last seconds.
+    fn halve_counts(&mut self, now: Duration) {
+        if now < self.halved_at + HALVING_INTERVAL {
             return;
         }
-        let span = (now - self.turned_at).as_secs_f64();
-        self.served.values_mut().for_each(|(units, before, rate)| {
-            (*rate, *before) = ((*units - *before) / span, *units);
-        });
-        // After a stand-still all of it is old.
-        let old = now >= self.turned_at + HALF * 3;
-        self.turned_at = now;
-        self.tries.retain(|_, t| {
-            (t.well, t.bad) = (t.well / 2, t.bad / 2);
-            !old && t.well + t.bad > 0
-        });
+        self.served
+            .measure_local((now - self.halved_at).as_secs_f64());
+        // After this host stood still all of it is old.
+        let is_outdated = now >= self.halved_at + HALVING_INTERVAL * OUTDATED_INTERVALS;
+        self.halved_at = now;
+        self.attempts.halve(is_outdated);
     }
 
-    fn observation(&self, now: Duration, node: u32) -> Option<Observation> {
-        let (t, start) = (self.tries.get(&node)?, *self.nodes.get(&node)?);
-        let contradicts_ejection = t.bad == 0
-            && t.contradicts_ejection
-                .is_some_and(|at| now < at + crate::outlier_detection::EVIDENCE_WINDOW);
-        Some(Observation {
-            node,
-            start,
-            sent: t.well.saturating_add(t.bad),
-            bad: t.bad,
-            age: now.saturating_sub(t.last),
-            contradicts_ejection,
-        })
-    }
-
-    fn observations(&self, now: Duration) -> impl Iterator<Item = Observation> + '_ {
-        self.tries
-            .keys()
-            .filter_map(move |node| self.observation(now, *node))
+    fn run_lease_round(&mut self, now: Duration) {
+        let superseded = self.gossip.is_superseded();
+        let mut lenders: BTreeMap<u64, Vec<Lender>> = BTreeMap::new();
+        for known in peer_reports(&self.gossip, self.me, now) {
+            for offer in &known.report.offers {
+                lenders.entry(offer.volume).or_default().push(Lender {
+                    host: known.host,
+                    spare: offer.spare,
+                });
+            }
+        }
+        let messages = self
+            .quotas
+            .run_round(now, superseded, lenders, &mut self.rng);
+        self.outbox.add(messages);
     }
 
-    /// What this host says of itself: of nodes first those that answer badly, then those that others say ill
-    /// of and that answer here, since that is what can clear them; then what it has over, and has served.
-    fn report(&self, now: Duration) -> HostReport {
-        let mut observations: Vec<Observation> = self.observations(now).collect();
+    /// What this host reports of itself.
+    fn own_report(&self, now: Duration) -> HostReport {
+        let mut observations: Vec<Observation> = self.attempts.observations(now).collect();
         let tried = observations.len() as u32;
-        let badly = observations
-            .iter()
-            .filter(|s| crate::outlier_detection::bad(s))
-            .count() as u32;
-        let said_bad = |node: u32| {
-            self.judge
-                .findings()
-                .get(&node)
-                .is_some_and(|f| f.badly.0 > 0)
-        };
-        observations.sort_by_key(|s| {
-            let rank = match () {
-                _ if s.contradicts_ejection || crate::outlier_detection::bad(s) => 0,
-                _ if said_bad(s.node) => 1,
-                _ => 2,
-            };
-            (rank, std::cmp::Reverse(s.sent))
-        });
-        observations.truncate(MAX_FACTS);
-        let spare = |(volume, v): (&u64, &Shared)| {
-            let spare = v.budget.spare(now);
-            (spare > 0).then_some(LeaseOffer {
-                volume: *volume,
-                spare,
-            })
-        };
-        let mut offers: Vec<LeaseOffer> = self.volumes.iter().filter_map(spare).collect();
-        offers.sort_by_key(|o| std::cmp::Reverse(o.spare));
-        offers.truncate(MAX_FACTS);
-        // The busiest: of the others the reports in answers are good enough.
-        let mut served: Vec<(&u64, &(f64, f64, f64))> =
-            self.served.iter().filter(|s| s.1 .2 > 0.0).collect();
-        served.sort_by(|a, b| b.1 .2.total_cmp(&a.1 .2));
-        let served = served.into_iter().take(MAX_FACTS);
-        let served = served
-            .map(|(volume, s)| ServedUnits {
-                volume: *volume,
-                units: s.0 as u64,
-            })
-            .collect();
+        let bad = observations.iter().filter(|seen| seen.is_bad()).count() as u32;
+        observations.sort_by_key(|seen| (self.report_rank(seen), Reverse(seen.sent)));
+        observations.truncate(MAX_REPORT_ITEMS);
         HostReport {
             tried,
-            badly,
+            bad,
             observations,
-            offers,
-            served,
+            offers: self.quotas.offers(now),
+            served: self.served.busiest(),
         }
     }
 
-    fn write(&mut self, now: Duration) {
-        let report = self.report(now);
-        let turned = report.turned();
-        // What is not said any more is no news: it is old, and nobody needs to hear that at once.
-        let news = !turned.is_subset(&self.turned);
-        self.turned = turned;
-        self.common.write(now, report, news);
+    /// Urgent observations come first, then those of nodes that others find bad and that answer here, since those can
+    /// end an ejection.
+    fn report_rank(&self, seen: &Observation) -> u32 {
+        let finding = self.detector.findings().get(&seen.node);
+        if seen.is_urgent() {
+            0
+        } else if finding.is_some_and(|finding| finding.bad.hosts > 0) {
+            1
+        } else {
+            2
+        }
     }
 
-    /// News that a node has begun to answer badly, or well where it was condemned, does not wait.
-    fn write_if_turned(&mut self, now: Duration, node: u32) {
-        let news = |s: &Observation| s.contradicts_ejection || crate::outlier_detection::bad(s);
-        let news = self
-            .observation(now, node)
-            .filter(news)
-            .map(|s| (node, s.start, s.contradicts_ejection));
-        if news.is_some_and(|n| !self.turned.contains(&n)) {
-            self.write(now);
-        }
+    fn publish_report(&mut self, now: Duration) {
+        let report = self.own_report(now);
+        let urgent = report.urgent();
+        // What is no longer reported is no news: it is old, and no peer needs to know that at once.
+        let news = !urgent.is_subset(&self.published_urgent);
+        self.published_urgent = urgent;
+        self.gossip.publish(now, report, news);
     }
 
-    fn tend(&mut self, now: Duration) {
-        let every = self.rules.every.as_secs_f64().max(1e-3);
-        let aside = self.common.aside();
-        let mut offers: BTreeMap<u64, Vec<(HostNumber, u32)>> = BTreeMap::new();
-        for (host, _, report) in self.common.all(now).filter(|(h, ..)| *h != self.me) {
-            for o in &report.offers {
-                offers.entry(o.volume).or_default().push((host, o.spare));
-            }
-        }
-        for volume in self.volumes.keys().copied().collect::<Vec<_>>() {
-            let v = self.volumes.get_mut(&volume).expect("one of its keys");
-            v.rate += FOLLOWS * (std::mem::take(&mut v.asked) / every - v.rate);
-            let wanted = v.rate * HEADROOM / v.limit * f64::from(WHOLE_LIMIT);
-            v.budget.want(wanted as u32);
-            v.budget.yields(aside);
-            self.stirred.insert(volume);
-            let mut offers = offers.remove(&volume).unwrap_or_default();
-            // All who need more hear of the same offers: without a shuffle all would ask the same host.
-            offers.shuffle(&mut self.rng);
-            offers.sort_by_key(|o| std::cmp::Reverse(o.1.max(1).ilog2()));
-            let lease_messages = v.budget.tend(now, &offers);
-            self.say(volume, lease_messages);
+    /// News that a node has begun to answer badly, or well where it was ejected, does not wait.
+    fn publish_if_news(&mut self, now: Duration, node: u32) {
+        let observation = self.attempts.observation(now, node);
+        let Some(urgent) = observation.filter(Observation::is_urgent) else {
+            return;
+        };
+        if !self.published_urgent.contains(&urgent.urgent_key()) {
+            self.publish_report(now);
         }
     }
 
-    fn judge(&mut self, now: Duration) {
+    fn evaluate_nodes(&mut self, now: Duration) {
         let own = HostReport {
-            observations: self.observations(now).collect(),
+            observations: self.attempts.observations(now).collect(),
             ..HostReport::default()
         };
-        let others: Vec<Observer> = self
-            .common
-            .all(now)
-            .map(|(host, age, report)| Observer { host, age, report })
+        let peers: Vec<Observer> = peer_reports(&self.gossip, self.me, now)
+            .map(|known| Observer {
+                host: known.host,
+                age: known.age,
+                report: known.report,
+            })
             .collect();
-        let changed = self.judge.judge(now, &self.nodes, &own, &others);
-        for (node, belief) in changed {
-            self.out.push(Action::PolicyChanged {
-                node,
-                policy: belief,
-            });
+        let nodes = self.attempts.nodes();
+        for (node, policy) in self.detector.evaluate(now, nodes, &own, &peers) {
+            self.actions.push(Action::PolicyChanged { node, policy });
         }
     }
 
-    fn tell_parts(&mut self, now: Duration) {
-        for volume in std::mem::take(&mut self.stirred) {
-            let Some(v) = self.volumes.get_mut(&volume) else {
-                continue;
-            };
-            let changes = v.budget.changes_at(now).unwrap_or(now + self.rules.every);
-            self.parts_at = if self.parts_at <= now {
-                changes
-            } else {
-                changes.min(self.parts_at)
+    /// Sends the round's messages where one is due, and lease messages at once.
+    fn send_messages(&mut self, now: Duration) {
+        let round = self.gossip.run_round(now);
+        if round.incarnation_raised {
+            self.incarnation_raised();
+        }
+        for (to, mut message) in round.messages {
+            message.lease_messages = self.outbox.take_for(to);
+            self.send(to, &message);
+        }
+        for to in self.outbox.receivers() {
+            let message = GossipMessage {
+                incarnation: self.gossip.incarnation(),
+                requests_sync: false,
+                entries: Vec::new(),
+                lease_messages: self.outbox.take_for(to),
             };
-            let part = v.budget.part(now);
-            let base_quota = v.budget.base_quota();
-            if v.told != Some((part, base_quota)) {
-                v.told = Some((part, base_quota));
-                let times = f64::from(part) / f64::from(base_quota.max(1));
-                self.out.push(Action::QuotaChanged { volume, times });
-            }
+            self.send(to, &message);
         }
     }
 
-    fn pace(&mut self, now: Duration, host: HostNumber) {
-        let Some((_, version)) = self.common.versions().find(|(h, _)| *h == host) else {
-            return;
-        };
-        let Some((_, age, report)) = self.common.all(now).find(|(h, ..)| *h == host) else {
-            return;
-        };
-        let at = now.saturating_sub(age);
-        for s in &report.served {
-            let new = Pace {
-                version,
-                units: s.units,
-                at,
-                rate: 0.0,
-            };
-            let p = self
-                .paces
-                .entry(s.volume)
-                .or_default()
-                .entry(host)
-                .or_insert(new);
-            let span = at.saturating_sub(p.at).as_secs_f64();
-            if p.version.incarnation != version.incarnation || s.units < p.units {
-                *p = new;
-            } else if span > 0.0 {
-                let rate = (s.units - p.units) as f64 / span;
-                *p = Pace { rate, ..new };
-            }
-        }
+    fn send(&mut self, to: HostNumber, message: &GossipMessage) {
+        let bytes = message.to_bytes();
+        self.actions.push(Action::Send { to, bytes });
     }
 
-    /// Units a second that a volume is served through the other hosts, by their own counts. What is behind
-    /// leaves some out: it is at most what they serve, but for the last change of their pace.
+    fn apply_quotas(&mut self, now: Duration) {
+        let changes = self.quotas.take_changes(now);
+        self.actions.extend(changes);
+    }
+
+    /// Units a second that a volume is served through the other hosts, by their own counts. Reports that are late leave
+    /// some out: it is at most what they serve, but for the last change of their rate.
     pub fn served_elsewhere(&self, now: Duration, volume: u64) -> f64 {
-        let fresh = |p: &Pace| now < p.at + crate::outlier_detection::EVIDENCE_WINDOW;
-        let hosts = self.paces.get(&volume).into_iter().flatten();
-        hosts.filter(|(_, p)| fresh(p)).map(|(_, p)| p.rate).sum()
+        self.served.elsewhere(now, volume)
     }
 
-    /// The same over all hosts, this one with them.
+    /// The same over all hosts, with this one.
     pub fn served_everywhere(&self, now: Duration, volume: u64) -> f64 {
-        self.served.get(&volume).map_or(0.0, |s| s.2) + self.served_elsewhere(now, volume)
+        self.served.everywhere(now, volume)
     }
 
+    /// What this host knows of its peers.
     pub fn peers(&self, now: Duration) -> Vec<PeerMetrics> {
-        let versions: BTreeMap<HostNumber, VersionStamp> = self.common.versions().collect();
-        let row = |(host, age, f): (HostNumber, Duration, &HostReport)| {
-            let incarnation = versions
-                .get(&host)
-                .map_or(Incarnation(0), |m| m.incarnation);
-            PeerMetrics {
-                host,
-                incarnation,
-                age,
-                tried: f.tried,
-                badly: f.badly,
-            }
-        };
-        self.common
-            .all(now)
-            .filter(|(h, ..)| *h != self.me)
-            .map(row)
+        peer_reports(&self.gossip, self.me, now)
+            .map(|known| PeerMetrics {
+                host: known.host,
+                incarnation: known.version.incarnation,
+                age: known.age,
+                tried: known.report.tried,
+                bad: known.report.bad,
+            })
             .collect()
     }
 
-    pub fn parts(&self, now: Duration) -> Vec<QuotaMetrics> {
-        let of = |n: u32| f64::from(n) / f64::from(WHOLE_LIMIT);
-        let row = |(volume, v): (&u64, &Shared)| {
-            let (lent, borrowed) = v.budget.leases(now);
-            QuotaMetrics {
-                volume: *volume,
-                sharers: v.budget.sharers().len(),
-                part: of(v.budget.part(now)),
-                base_quota: of(v.budget.base_quota()),
-                lent: of(lent),
-                borrowed: of(borrowed),
-            }
-        };
-        self.volumes.iter().map(row).collect()
+    /// The quotas of all shared volumes.
+    pub fn quotas(&self, now: Duration) -> Vec<QuotaMetrics> {
+        self.quotas.metrics(now)
     }
 
-    /// Of each node that somebody has tried: what all say, and what this host makes of it.
-    pub fn policies(&self) -> Vec<(u32, Finding, EndpointPolicy)> {
-        let findings = self.judge.findings();
+    /// Of each node that some host has tried: what all report, and how this host treats it.
+    pub fn policies(&self) -> Vec<NodePolicy> {
+        let findings = self.detector.findings();
         findings
             .iter()
-            .map(|(node, f)| (*node, f.clone(), self.judge.belief(*node)))
+            .map(|(node, finding)| NodePolicy {
+                node: *node,
+                finding: finding.clone(),
+                policy: self.detector.policy(*node),
+            })
             .collect()
     }
 
+    /// How this host treats a node.
     pub fn policy_of(&self, node: u32) -> EndpointPolicy {
-        self.judge.belief(node)
+        self.detector.policy(node)
     }
 
+    /// This host's incarnation.
     pub fn incarnation(&self) -> Incarnation {
-        self.common.incarnation()
+        self.gossip.incarnation()
     }
 }
+
+/// The reports of all hosts but `me`.
+fn peer_reports(
+    gossip: &GossipState,
+    me: HostNumber,
+    now: Duration,
+) -> impl Iterator<Item = KnownReport<'_>> {
+    gossip.reports(now).filter(move |known| known.host != me)
+}
--- a/crates/fleet/src/gossip_state.rs
+++ b/crates/fleet/src/gossip_state.rs
@@ -1,25 +1,26 @@
-//! Entries that hosts hold in common: one writer each, joined by the larger mark, aged by spans.
+//! Gossip state: one report of each host, merged by the larger version stamp and aged by time spans.
 //!
-//! Called by the fleet's step: [`GossipState::write`] for what this host says of itself, [`GossipState::hear`] for what
-//! came, [`GossipState::round`] when its time has come, which answers whom to tell what. Spread is by rumour and
-//! rotation (Demers 1987): what is new is passed on a few times at once, and beside it each word carries
-//! other entries in turn, so that in the end everything is heard whatever was lost.
+//! Called by [`crate::fleet`]: [`GossipState::publish`] for what this host reports of itself,
+//! [`GossipState::handle_message`] for what was received, [`GossipState::run_round`] when its time has come, which
+//! returns the messages to send. No I/O. Spread is by rumour and rotation (Demers 1987): what is new is passed on a few
+//! times at once, and besides each message carries other entries in turn, so that in the end every host receives
+//! everything, whatever was lost.
 //!
-//! Bound, whatever the fleet's size: [`GOSSIP_FANOUT`] words of at most [`MAX_ENTRIES`] entries in a round, and a
-//! round every `every` at most, or four times as often while there is news. Memory: an entry for each host.
+//! Bound, whatever the fleet's size: [`GOSSIP_FANOUT`] messages of at most [`MAX_ENTRIES`] entries in a round, and a
+//! round in each interval at most, or four times as often while there is news. Memory: an entry for each host.
 //!
-//! Age is what an entry's facts were old when they came, and the time since: of the way between hosts nothing
-//! is known, so each hop counts a millisecond, lest an entry that goes round and round stays young. What is
-//! older than [`ENTRY_TIMEOUT`] is refused and dropped: it cannot come back through a slow peer, since its age came
-//! with it.
+//! An entry's age is its report's age when it arrived, and the time since: nothing is known of the way between hosts,
+//! so each hop counts a millisecond, lest an entry that goes round and round stays young. What is older than
+//! [`ENTRY_TIMEOUT`] is rejected and dropped: it cannot come back through a slow peer, since its age comes with it.
 //!
-//! A host's lives. A start number tells them apart; of one host's entries those of the later life count. Who
-//! starts asks its peers first, and writes when it has heard what they know of it, or nothing for
-//! [`SYNC_TIMEOUT`]. Who later hears of a life of its own that is as late, and not its own, steps aside: either
-//! it is the earlier process, or its number is too low. It stays aside as long as the other's count grows,
-//! and then goes on above it.
+//! Incarnations tell the processes of one host apart; of one host's entries those of the later incarnation count. A
+//! host that starts asks its peers first, and publishes when it has received what they know of it, or nothing for
+//! [`SYNC_TIMEOUT`]. A host that later receives a report of itself that is as late, and not its own, is superseded:
+//! either it is the earlier process, or its incarnation is too low. It stays so as long as the other's count grows,
+//! and then continues with a higher incarnation.
 
-use crate::gossip_message::{GossipMessage, MAX_ENTRIES, MAX_FACTS};
+use crate::gossip_message::{GossipMessage, MAX_ENTRIES, MAX_REPORT_ITEMS};
+use crate::host_report::{GossipEntry, HostReport, VersionStamp};
 use crate::{HostNumber, Incarnation};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
@@ -27,144 +28,123 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Hosts told in a round.
+/// Peers that are sent a message in a round.
 pub const GOSSIP_FANOUT: usize = 2;
-/// A host that was not heard of for so long is forgotten.
+/// A host without a new report for so long is forgotten.
 pub const ENTRY_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long a host that has started waits for what its peers know of it.
 pub const SYNC_TIMEOUT: Duration = Duration::from_millis(600);
-/// Without a new count of another process of this host for so long, it is taken for gone.
-const ASIDE: Duration = Duration::from_secs(10);
-const HOP: Duration = Duration::from_millis(1);
-/// A host's entry is written anew at least so often in rounds, so that others know it to be there.
-const RENEW: u32 = 5;
+/// Without a new report of another process of this host for so long, that process is taken for gone.
+const SUPERSEDED_TIMEOUT: Duration = Duration::from_secs(10);
+/// What an entry ages at least on its way from host to host.
+const HOP_DELAY: Duration = Duration::from_millis(1);
+/// A host's own entry is written anew at least once in so many rounds, so that others know that it is alive.
+const REFRESH_ROUNDS: u32 = 5;
+/// A round that has news to spread comes after this fraction of the interval.
+const URGENT_INTERVAL_DIVISOR: u32 = 4;
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct VersionStamp {
-    pub incarnation: Incarnation,
-    pub count: u64,
-}
-
-/// How a node answered one host of late. Attempts of the last seconds.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Observation {
-    pub node: u32,
-    /// Of the node's process, as the list tells it.
-    pub start: u64,
-    pub sent: u32,
-    pub bad: u32,
-    /// How long ago the last of them ended, when this was written.
-    pub age: Duration,
-    /// Others find it bad, and here it answers.
-    pub contradicts_ejection: bool,
-}
-
-/// What a host could lend of a budget, in parts of [`crate::quota_lease::WHOLE_LIMIT`].
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct LeaseOffer {
-    pub volume: u64,
-    pub spare: u32,
-}
-
-/// What a volume was served through one host in this life of it, in units.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct ServedUnits {
-    pub volume: u64,
-    pub units: u64,
-}
-
-/// What a host says of itself and of what it tried itself; never what it heard.
-#[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct HostReport {
-    /// Nodes that it sent to of late, and those of them that answered badly.
-    pub tried: u32,
-    pub badly: u32,
-    pub observations: Vec<Observation>,
-    pub offers: Vec<LeaseOffer>,
-    pub served: Vec<ServedUnits>,
+/// A host's report as this host stores it.
+#[derive(Debug, Clone)]
+struct StoredEntry {
+    version: VersionStamp,
+    /// When it was written, in nanoseconds of this host's clock; before this host's start for the oldest.
+    written_at: i128,
+    report: HostReport,
+    /// How often it is still to be passed on as news.
+    retransmissions: u32,
 }
 
-impl HostReport {
-    /// What others should hear at once: processes of nodes that it finds bad, or that answer it though others
-    /// find them bad.
-    pub fn turned(&self) -> BTreeSet<(u32, u64, bool)> {
-        let news = |s: &&Observation| s.contradicts_ejection || crate::outlier_detection::bad(s);
-        self.observations
-            .iter()
-            .filter(news)
-            .map(|s| (s.node, s.start, s.contradicts_ejection))
-            .collect()
+impl StoredEntry {
+    fn age(&self, now: Duration) -> Duration {
+        Duration::from_nanos((nanos(now) - self.written_at).max(0) as u64)
     }
 }
 
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GossipEntry {
-    pub writer: HostNumber,
-    pub version: VersionStamp,
-    pub age: Duration,
-    pub report: HostReport,
-}
-
-#[derive(Debug, Clone)]
-struct StoredEntry {
+/// Another process of this host, as peers report it.
+#[derive(Debug, Clone, Copy)]
+struct OtherProcess {
     version: VersionStamp,
-    /// When its facts held, by our clock; before our start for the oldest.
-    at: i128,
-    report: HostReport,
-    /// How often it is still to be passed on as news.
-    news: u32,
+    /// When its version last grew.
+    since: Duration,
 }
 
+/// The reports of all hosts, as far as this host knows them.
 #[derive(Debug)]
 pub struct GossipState {
     me: HostNumber,
     incarnation: Incarnation,
+    /// Reports that this incarnation has written.
     count: u64,
-    every: Duration,
+    interval: Duration,
+    /// Sorted.
     peers: Vec<HostNumber>,
     entries: BTreeMap<HostNumber, StoredEntry>,
-    own: HostReport,
-    own_news: bool,
-    since_written: u32,
-    /// Until when it listens before it writes.
-    listens: Duration,
-    /// Another process of this host: its mark, and when that last grew.
-    other: Option<(VersionStamp, Duration)>,
-    turn: usize,
-    next: Duration,
-    last: Option<Duration>,
-    /// Who asked for all that is known.
-    asked: BTreeSet<HostNumber>,
+    own_report: HostReport,
+    own_is_news: bool,
+    rounds_since_refresh: u32,
+    /// Until when this host asks its peers before it writes.
+    syncs_until: Duration,
+    other_process: Option<OtherProcess>,
+    /// The last entry that was passed on in turn, by its place among all.
+    rotation: usize,
+    next_round: Duration,
+    last_round: Option<Duration>,
+    /// Peers that asked for what is known.
+    sync_requests: BTreeSet<HostNumber>,
     rng: Pcg64Mcg,
 }
 
-/// What hearing a word changed.
+/// A host's report with its age now.
+#[derive(Debug, Clone)]
+pub struct KnownReport<'a> {
+    /// The host that wrote it.
+    pub host: HostNumber,
+    /// Orders the host's reports.
+    pub version: VersionStamp,
+    /// Time since it was written.
+    pub age: Duration,
+    /// What it reports.
+    pub report: &'a HostReport,
+}
+
+/// What a message changed.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
-    pub newer: Vec<HostNumber>,
-    /// Entries of hosts that nobody here knows, or older than anything is kept.
-    pub refused: usize,
-    /// This host's own number was as low as another's.
-    pub raised: bool,
+    /// Hosts of which a later report was taken.
+    pub updated: Vec<HostNumber>,
+    /// Entries of hosts that are unknown here, or older than [`ENTRY_TIMEOUT`].
+    pub rejected: usize,
+    /// This host's own incarnation was too low, and has been raised.
+    pub incarnation_raised: bool,
 }
 
-fn nanos(d: Duration) -> i128 {
-    d.as_nanos() as i128
+/// What a round sends.
+#[derive(Debug, Default)]
+pub struct RoundOutcome {
+    /// Messages by receiver.
+    pub messages: Vec<(HostNumber, GossipMessage)>,
+    /// Another process of this host is gone, and this host's incarnation has been raised above it.
+    pub incarnation_raised: bool,
+}
+
+fn nanos(duration: Duration) -> i128 {
+    duration.as_nanos() as i128
 }
 
 impl GossipState {
-    /// `incarnation` is a guess, such as the wall clock's; peers may know better.
+    /// `incarnation` is a guess, such as the wall clock's; peers may know better. `interval`: between two rounds.
     pub fn new(
         now: Duration,
         me: HostNumber,
         incarnation: Incarnation,
-        every: Duration,
+        interval: Duration,
         mut peers: Vec<HostNumber>,
         seed: u64,
     ) -> Self {
         peers.sort_unstable();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let next = now + every.mul_f64(rng.random::<f64>());
-        let listens = if peers.is_empty() {
+        let next_round = now + interval.mul_f64(rng.random::<f64>());
+        let syncs_until = if peers.is_empty() {
             now
         } else {
             now + SYNC_TIMEOUT
@@ -173,240 +153,297 @@
             me,
             incarnation,
             count: 0,
-            every,
+            interval,
             peers,
             entries: BTreeMap::new(),
-            own: HostReport::default(),
-            own_news: false,
-            since_written: 0,
-            listens,
-            other: None,
-            turn: 0,
-            next,
-            last: None,
-            asked: BTreeSet::new(),
+            own_report: HostReport::default(),
+            own_is_news: false,
+            rounds_since_refresh: 0,
+            syncs_until,
+            other_process: None,
+            rotation: 0,
+            next_round,
+            last_round: None,
+            sync_requests: BTreeSet::new(),
             rng,
         }
     }
 
+    /// This host's incarnation; it grows where peers know of a later one.
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// Whether a process of this host that may be a later one is at work.
-    pub fn aside(&self) -> bool {
-        self.other.is_some()
+    /// Whether another process of this host, which may be a later one, is at work.
+    pub fn is_superseded(&self) -> bool {
+        self.other_process.is_some()
     }
 
+    /// When the next round is due.
     pub fn wake_at(&self) -> Duration {
-        self.next
+        self.next_round
     }
 
-    /// What this host says of itself from now on. `news`: others should hear it at once.
-    pub fn write(&mut self, now: Duration, report: HostReport, news: bool) {
-        debug_assert!(
-            report
-                .observations
-                .len()
-                .max(report.offers.len())
-                .max(report.served.len())
-                <= MAX_FACTS
-        );
-        self.own = report;
+    /// Replaces what this host reports of itself. `news`: peers should receive it at once.
+    pub fn publish(&mut self, now: Duration, report: HostReport, news: bool) {
+        debug_assert!(report.observations.len() <= MAX_REPORT_ITEMS);
+        debug_assert!(report.offers.len() <= MAX_REPORT_ITEMS);
+        debug_assert!(report.served.len() <= MAX_REPORT_ITEMS);
+        self.own_report = report;
         if news {
-            self.own_news = true;
-            self.hurry(now);
+            self.own_is_news = true;
+            self.schedule_soon(now);
         }
     }
 
-    /// The next round comes soon, though no sooner than a quarter of the usual time after the last.
-    fn hurry(&mut self, now: Duration) {
-        let soonest = self.last.map_or(now, |last| last + self.every / 4);
-        self.next = self.next.min(soonest.max(now));
-    }
-
-    /// What hosts say, with its age; hosts that were forgotten are not among them.
-    pub fn all(&self, now: Duration) -> impl Iterator<Item = (HostNumber, Duration, &HostReport)> {
-        self.entries.iter().filter_map(move |(h, e)| {
-            let age = Duration::from_nanos((nanos(now) - e.at).max(0) as u64);
-            (age < ENTRY_TIMEOUT).then_some((*h, age, &e.report))
-        })
+    /// The next round comes soon, though no sooner than a quarter of the interval after the last.
+    fn schedule_soon(&mut self, now: Duration) {
+        let soonest = self
+            .last_round
+            .map_or(now, |last| last + self.interval / URGENT_INTERVAL_DIVISOR);
+        self.next_round = self.next_round.min(soonest.max(now));
     }
 
-    pub fn versions(&self) -> impl Iterator<Item = (HostNumber, VersionStamp)> + '_ {
-        self.entries.iter().map(|(h, e)| (*h, e.version))
+    /// The reports of all hosts, this one's own among them; hosts that were forgotten are left out.
+    pub fn reports(&self, now: Duration) -> impl Iterator<Item = KnownReport<'_>> {
+        self.entries
+            .iter()
+            .map(move |(host, entry)| KnownReport {
+                host: *host,
+                version: entry.version,
+                age: entry.age(now),
+                report: &entry.report,
+            })
+            .filter(|known| known.age < ENTRY_TIMEOUT)
     }
 
-    /// How often news is passed on by one host: a few times more than a rumour needs to reach all.
-    fn tells(&self) -> u32 {
+    /// How often one host passes on news: a few times more than a rumour needs to reach all.
+    fn retransmissions(&self) -> u32 {
         (usize::BITS - self.peers.len().leading_zeros()).div_ceil(2) + 1
     }
 
-    pub fn hear(&mut self, now: Duration, from: HostNumber, word: &GossipMessage) -> MergeOutcome {
-        let mut joined = MergeOutcome::default();
-        if word.requests_sync {
-            self.asked.insert(from);
-            self.hurry(now);
+    /// Merges a peer's message.
+    pub fn handle_message(
+        &mut self,
+        now: Duration,
+        from: HostNumber,
+        message: &GossipMessage,
+    ) -> MergeOutcome {
+        let mut outcome = MergeOutcome::default();
+        if message.requests_sync {
+            self.sync_requests.insert(from);
+            self.schedule_soon(now);
         }
-        for e in &word.entries {
-            if e.writer == self.me {
-                joined.raised |= self.hear_of_me(now, e.version);
-                continue;
-            }
-            if self.peers.binary_search(&e.writer).is_err() || e.age >= ENTRY_TIMEOUT {
-                joined.refused += 1;
+        for entry in &message.entries {
+            if entry.writer == self.me {
+                outcome.incarnation_raised |= self.handle_own_entry(now, entry.version);
                 continue;
             }
-            let before = self.entries.get(&e.writer);
-            if before.is_some_and(|b| b.version >= e.version) {
+            if self.peers.binary_search(&entry.writer).is_err() || entry.age >= ENTRY_TIMEOUT {
+                outcome.rejected += 1;
                 continue;
             }
-            // Who merely says again what it said, or less, is no news; a sight that turned is.
-            let turned = before.is_none_or(|b| !e.report.turned().is_subset(&b.report.turned()));
-            let at = nanos(now) - nanos(e.age + HOP);
-            let news = if turned { self.tells() } else { 0 };
-            let held = StoredEntry {
-                version: e.version,
-                at,
-                report: e.report.clone(),
-                news,
-            };
-            self.entries.insert(e.writer, held);
-            joined.newer.push(e.writer);
-            if turned {
-                self.hurry(now);
+            if self.merge_entry(now, entry) {
+                outcome.updated.push(entry.writer);
             }
         }
-        joined
+        outcome
     }
 
-    /// Somebody holds an entry of this host that this process did not write.
-    fn hear_of_me(&mut self, now: Duration, version: VersionStamp) -> bool {
-        if version
-            < (VersionStamp {
-                incarnation: self.incarnation,
-                count: 0,
-            })
-            || (version.incarnation == self.incarnation && version.count <= self.count)
-        {
+    /// Takes a peer's entry if it is later than the one stored; whether it is.
+    fn merge_entry(&mut self, now: Duration, entry: &GossipEntry) -> bool {
+        let before = self.entries.get(&entry.writer);
+        if before.is_some_and(|before| before.version >= entry.version) {
+            return false;
+        }
+        // A host that merely repeats what it reported, or less, is no news; a new urgent observation is.
+        let news = before.is_none_or(|before| {
+            let urgent = entry.report.urgent();
+            !urgent.is_subset(&before.report.urgent())
+        });
+        let stored = StoredEntry {
+            version: entry.version,
+            written_at: nanos(now) - nanos(entry.age + HOP_DELAY),
+            report: entry.report.clone(),
+            retransmissions: if news { self.retransmissions() } else { 0 },
+        };
+        self.entries.insert(entry.writer, stored);
+        if news {
+            self.schedule_soon(now);
+        }
+        true
+    }
+
+    /// A peer has an entry of this host. Whether this host's incarnation had to be raised above it.
+    fn handle_own_entry(&mut self, now: Duration, version: VersionStamp) -> bool {
+        let start = VersionStamp {
+            incarnation: self.incarnation,
+            count: 0,
+        };
+        let written_here = version.incarnation == self.incarnation && version.count <= self.count;
+        if version < start || written_here {
             return false;
         }
-        if now < self.listens && self.count == 0 {
-            // A former life, heard of before anything was written.
+        if now < self.syncs_until && self.count == 0 {
+            // An earlier incarnation, received before anything was written.
             self.incarnation = Incarnation(version.incarnation.0 + 1);
             return true;
         }
-        let grew = self.other.is_none_or(|(m, _)| version > m);
-        if grew {
-            self.other = Some((version, now));
+        if self
+            .other_process
+            .is_none_or(|other| version > other.version)
+        {
+            self.other_process = Some(OtherProcess {
+                version,
+                since: now,
+            });
         }
         false
     }
 
-    /// Whom to tell what, where it is time; `true` where this host's number was raised.
-    pub fn round(&mut self, now: Duration) -> (Vec<(HostNumber, GossipMessage)>, bool) {
-        if now < self.next {
-            return (Vec::new(), false);
+    /// The messages to send, where a round is due.
+    pub fn run_round(&mut self, now: Duration) -> RoundOutcome {
+        if now < self.next_round {
+            return RoundOutcome::default();
         }
         let jitter = 0.75 + self.rng.random::<f64>() / 2.0;
-        (self.next, self.last) = (now + self.every.mul_f64(jitter), Some(now));
-        let mut raised = false;
-        if let Some((version, since)) = self.other {
-            if now >= since + ASIDE {
-                (self.incarnation, self.count, self.other) =
-                    (Incarnation(version.incarnation.0 + 1), 0, None);
-                raised = true;
-            }
-        }
+        self.next_round = now + self.interval.mul_f64(jitter);
+        self.last_round = Some(now);
+        let incarnation_raised = self.outlive_other_process(now);
         self.entries
-            .retain(|_, e| nanos(now) - e.at < nanos(ENTRY_TIMEOUT));
-        let listens = now < self.listens;
-        if !listens && self.other.is_none() {
-            self.since_written += 1;
-            if self.own_news || self.since_written >= RENEW {
-                let news = if std::mem::take(&mut self.own_news) {
-                    self.tells()
-                } else {
-                    1
-                };
-                (self.count, self.since_written) = (self.count + 1, 0);
-                let version = VersionStamp {
-                    incarnation: self.incarnation,
-                    count: self.count,
-                };
-                let own = StoredEntry {
-                    version,
-                    at: nanos(now),
-                    report: self.own.clone(),
-                    news,
-                };
-                self.entries.insert(self.me, own);
-            }
+            .retain(|_, entry| nanos(now) - entry.written_at < nanos(ENTRY_TIMEOUT));
+        let syncs = now < self.syncs_until;
+        if !syncs && self.other_process.is_none() {
+            self.refresh_own_entry(now);
         }
-        let mut to: Vec<HostNumber> = self.asked.iter().take(GOSSIP_FANOUT).copied().collect();
-        self.asked.retain(|h| !to.contains(h));
-        let mut others = self.peers.clone();
-        let (some, _) = others.partial_shuffle(&mut self.rng, GOSSIP_FANOUT - to.len());
-        to.extend_from_slice(some);
-        let words = to
-            .into_iter()
-            .map(|to| (to, self.word(now, to, listens)))
-            .collect();
-        if self.entries.values().any(|e| e.news > 0) {
-            self.hurry(now);
+        let mut messages = Vec::new();
+        for receiver in self.choose_receivers() {
+            messages.push((receiver, self.message_for(now, receiver, syncs)));
+        }
+        if self.entries.values().any(|entry| entry.retransmissions > 0) {
+            self.schedule_soon(now);
+        }
+        RoundOutcome {
+            messages,
+            incarnation_raised,
         }
-        (words, raised)
     }
 
-    fn word(&mut self, now: Duration, to: HostNumber, requests_sync: bool) -> GossipMessage {
-        let own = VersionStamp {
+    /// Continues above another process of this host that is gone; whether there was one.
+    fn outlive_other_process(&mut self, now: Duration) -> bool {
+        let Some(other) = self.other_process else {
+            return false;
+        };
+        if now < other.since + SUPERSEDED_TIMEOUT {
+            return false;
+        }
+        self.incarnation = Incarnation(other.version.incarnation.0 + 1);
+        self.count = 0;
+        self.other_process = None;
+        true
+    }
+
+    /// Writes this host's own entry where it has news, or none was written for a while.
+    fn refresh_own_entry(&mut self, now: Duration) {
+        self.rounds_since_refresh += 1;
+        if !self.own_is_news && self.rounds_since_refresh < REFRESH_ROUNDS {
+            return;
+        }
+        let retransmissions = if self.own_is_news {
+            self.retransmissions()
+        } else {
+            1
+        };
+        self.own_is_news = false;
+        self.count += 1;
+        self.rounds_since_refresh = 0;
+        let own = StoredEntry {
+            version: self.own_version(),
+            written_at: nanos(now),
+            report: self.own_report.clone(),
+            retransmissions,
+        };
+        self.entries.insert(self.me, own);
+    }
+
+    fn own_version(&self) -> VersionStamp {
+        VersionStamp {
             incarnation: self.incarnation,
             count: self.count,
-        };
+        }
+    }
+
+    /// Peers that asked for what is known come first, then others by chance.
+    fn choose_receivers(&mut self) -> Vec<HostNumber> {
+        let mut receivers: Vec<HostNumber> = self
+            .sync_requests
+            .iter()
+            .take(GOSSIP_FANOUT)
+            .copied()
+            .collect();
+        self.sync_requests.retain(|host| !receivers.contains(host));
+        let mut others = self.peers.clone();
+        let (chosen, _) = others.partial_shuffle(&mut self.rng, GOSSIP_FANOUT - receivers.len());
+        receivers.extend_from_slice(chosen);
+        receivers
+    }
+
+    fn message_for(
+        &mut self,
+        now: Duration,
+        receiver: HostNumber,
+        requests_sync: bool,
+    ) -> GossipMessage {
+        let mut entries = Vec::new();
+        for writer in self.choose_entries(receiver) {
+            let stored = self.entries.get_mut(&writer).expect("chosen among them");
+            stored.retransmissions = stored.retransmissions.saturating_sub(1);
+            entries.push(GossipEntry {
+                writer,
+                version: stored.version,
+                age: stored.age(now),
+                report: stored.report.clone(),
+            });
+        }
+        GossipMessage {
+            incarnation: self.incarnation,
+            requests_sync,
+            entries,
+            lease_messages: Vec::new(),
+        }
+    }
+
+    /// At most [`MAX_ENTRIES`]: the receiver's own, this host's, news, and then others in turn.
+    fn choose_entries(&mut self, receiver: HostNumber) -> BTreeSet<HostNumber> {
         let mut chosen: BTreeSet<HostNumber> = BTreeSet::new();
-        // Before anything else what the other may not know of itself, where it asks.
-        chosen.extend(self.entries.contains_key(&to).then_some(to));
-        chosen.extend(
-            self.entries
-                .get(&self.me)
-                .filter(|e| e.version == own)
-                .map(|_| self.me),
-        );
-        let mut fresh: Vec<HostNumber> = self
+        // Before anything else what the receiver may not know of itself, where it asks.
+        if self.entries.contains_key(&receiver) {
+            chosen.insert(receiver);
+        }
+        let own_version = self.own_version();
+        let own = self.entries.get(&self.me);
+        if own.is_some_and(|own| own.version == own_version) {
+            chosen.insert(self.me);
+        }
+        let mut news: Vec<HostNumber> = self
             .entries
             .iter()
-            .filter(|(_, e)| e.news > 0)
-            .map(|(h, _)| *h)
+            .filter(|(_, entry)| entry.retransmissions > 0)
+            .map(|(host, _)| *host)
             .collect();
-        if fresh.len() > MAX_ENTRIES {
-            // More news than a word takes: any of it, so that together hosts tell all of it.
-            fresh = fresh.partial_shuffle(&mut self.rng, MAX_ENTRIES).0.to_vec();
+        if news.len() > MAX_ENTRIES {
+            // More news than a message takes: any of it, so that together hosts pass on all of it.
+            news = news.partial_shuffle(&mut self.rng, MAX_ENTRIES).0.to_vec();
         }
-        chosen.extend(fresh.into_iter().take(MAX_ENTRIES - chosen.len()));
+        chosen.extend(news.into_iter().take(MAX_ENTRIES - chosen.len()));
         let all: Vec<HostNumber> = self.entries.keys().copied().collect();
         for _ in 0..all.len() {
             if chosen.len() >= MAX_ENTRIES {
                 break;
             }
-            self.turn = (self.turn + 1) % all.len();
-            chosen.insert(all[self.turn]);
-        }
-        let entries = chosen.into_iter().map(|h| {
-            let e = self.entries.get_mut(&h).expect("chosen among them");
-            e.news = e.news.saturating_sub(1);
-            let age = Duration::from_nanos((nanos(now) - e.at).max(0) as u64);
-            GossipEntry {
-                writer: h,
-                version: e.version,
-                age,
-                report: e.report.clone(),
-            }
-        });
-        GossipMessage {
-            incarnation: self.incarnation,
-            requests_sync,
-            entries: entries.collect(),
-            lease_messages: Vec::new(),
+            self.rotation = (self.rotation + 1) % all.len();
+            chosen.insert(all[self.rotation]);
         }
+        chosen
     }
 }
--- a/crates/fleet/src/outlier_detection.rs
+++ b/crates/fleet/src/outlier_detection.rs
@@ -1,71 +1,67 @@
-//! What all hosts' evidence says of a node, and what this host makes of it.
+//! Outlier detection: what all hosts' evidence says of a node, and which policy this host follows for it.
 //!
-//! Called by the fleet's step: [`OutlierDetector::judge`] with what this host has tried and what others say that they
-//! have; it answers the nodes of which this host's belief has changed. Free of time but for `now`.
+//! State machine: [`OutlierDetector::evaluate`] takes what this host has tried and what its peers report, and returns
+//! the nodes of which this host's policy has changed. Called by [`crate::fleet`] at every round. No I/O. Memory: a row
+//! for each node of the list.
 //!
-//! Evidence is what hosts tried themselves, of one process of the node, not older than [`EVIDENCE_WINDOW`]. Each
-//! host's weighs as much as it sent, up to a bound, damped by how badly it finds *other* nodes that its peers
-//! find well: whoever finds everything bad is itself ill (Lifeguard, Dadgar 2018). It fades with its age.
-//! A node is condemned by [`MIN_OBSERVERS`] hosts at least and twice the weight that speaks for it; where at most
-//! half of the hosts are heard, or too much is condemned, the judgement is doubted and this host is left to itself.
+//! A node is ejected where at least [`MIN_OBSERVERS`] hosts find it bad, with twice the weight that speaks for it; where
+//! reports of at most half of the hosts are fresh, or too many nodes would be ejected, the verdict is distrusted and
+//! this host goes by its own evidence.
 //!
-//! | this host's own evidence | all evidence | belief |
+//! | this host's own evidence | all evidence | policy |
 //! | --- | --- | --- |
-//! | answers well | any | `AsToday` |
-//! | answers badly | well, split | `OwnWay`: the module's own ease and row of bad answers say the rest |
-//! | answers badly | condemned | `Avoid`, or `Look` in turn |
-//! | answers badly | too little, doubted | `AsToday` |
-//! | none, or old | condemned | `Avoid`, or `Look` in turn |
-//! | none, or old | anything else | `AsToday` |
+//! | good | any | `OwnEvidence` |
+//! | bad | good, split | `BadPath`: the module's own backoff and count of bad answers decide |
+//! | bad | ejected | `Avoid`, or `Probe` in turn |
+//! | bad | too little, distrusted | `OwnEvidence` |
+//! | none, or old | ejected | `Avoid`, or `Probe` in turn |
+//! | none, or old | anything else | `OwnEvidence` |
 //!
-//! Condemned is cleared by newer evidence that it answers, by another start of the node, or by this host's
-//! own; never by silence, so some must look: each host draws, once in [`PROBE_INTERVAL`], whether it looks, so that
-//! [`PROBERS`] of all do on average. The exception is a host that hears too few: after [`EJECTION_TIMEOUT`] what it was
-//! told is nothing any more, and it finds out by itself as one alone.
+//! An ejection ends by newer evidence that the node answers, by another start of the node, or by this host's own
+//! evidence; never by silence, so some hosts must probe: each host draws, once in [`PROBE_INTERVAL`], whether it
+//! probes, so that [`PROBERS`] of all do on average. The exception is a host that receives too few reports: after
+//! [`EJECTION_TIMEOUT`] it drops what it was told, and finds out by itself like one without peers.
 
-use crate::gossip_state::{HostReport, Observation};
+use crate::evidence::{self, EvidenceByNode, EvidenceTally, NodeEvidence, Observer};
+use crate::host_report::{HostReport, Observation};
 use crate::HostNumber;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Well over the time in which news is with all hosts, and under that in which a node starts anew.
-pub const EVIDENCE_WINDOW: Duration = Duration::from_secs(4);
+/// Hosts that must find a node bad; fewer, though at least 2, in a fleet that has no more.
 pub const MIN_OBSERVERS: usize = 3;
+/// How long a host probes, or does not, on average.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Hosts that probe an ejected node at a time, on average.
 pub const PROBERS: f64 = 2.0;
+/// How long an ejection lasts without a verdict that is trusted.
 pub const EJECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Attempts that one host's evidence weighs at most: a busy host is still one side.
-const MAX_WEIGHT: f64 = 8.0;
-/// Of all nodes that are tried, as a panic threshold.
-const TOO_MUCH: f64 = 0.5;
-/// Attempts of its own in a row of bad ones, below which a host says nothing of its own way.
-const LEAST_OWN: u32 = 2;
-
-/// Whether a sight speaks against its node; a node that is merely slow or full answers.
-pub fn bad(s: &Observation) -> bool {
-    s.bad * 2 > s.sent
-}
-
-/// Whether it speaks for it.
-pub fn good(s: &Observation) -> bool {
-    s.sent > s.bad && s.bad * 4 <= s.sent
-}
+/// The fraction of all observed nodes that may be ejected, as a panic threshold.
+const MAX_EJECTED_FRACTION: f64 = 0.5;
+/// How many times the weight for a node the weight against it must be.
+const EJECTION_WEIGHT_RATIO: f64 = 2.0;
+/// Bad attempts of its own below which a host does not take its own path for bad.
+const MIN_OWN_BAD: u32 = 2;
 
+/// What all evidence says of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nobody, or too few, have tried it of late.
+    /// No host, or too few, have tried it in the last seconds.
     Unknown,
+    /// It answers.
     Healthy,
-    /// Some reach it and some do not: the ways there are bad, not the node.
+    /// Some reach it and some do not: the paths there are bad, not the node.
     Split,
+    /// It is an outlier.
     Ejected,
-    /// It would be condemned, but so would too much, or too few are heard.
+    /// It would be ejected, but so would too many, or too few reports are fresh.
     Distrusted,
 }
 
 impl Verdict {
+    /// Its name as operators see it.
     pub fn name(self) -> &'static str {
         match self {
             Verdict::Unknown => "unknown",
@@ -77,284 +73,273 @@
     }
 }
 
+/// How this host treats a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointPolicy {
-    /// As a host without peers.
+    /// As a host without peers does.
     OwnEvidence,
-    /// Others reach it: it is this host's way there that is bad.
+    /// Others reach it: it is this host's path there that is bad.
     BadPath,
-    /// Nothing goes there.
+    /// Nothing is sent there.
     Avoid,
-    /// It is condemned, and it is this host's turn to look.
+    /// It is ejected, and it is this host's turn to probe it.
     Probe,
 }
 
-/// What one host says of nodes.
-#[derive(Debug, Clone)]
-pub struct Observer<'a> {
-    pub host: HostNumber,
-    pub age: Duration,
-    pub report: &'a HostReport,
-}
-
+/// What all evidence says of a node, with the evidence.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
+    /// What follows from it.
     pub verdict: Verdict,
-    /// Hosts and weights for it and against it.
-    pub well: (usize, f64),
-    pub badly: (usize, f64),
-    /// When the last of either was seen.
-    pub last: (Option<Duration>, Option<Duration>),
+    /// The evidence for the node.
+    pub good: EvidenceTally,
+    /// The evidence against it.
+    pub bad: EvidenceTally,
+    /// When the last evidence for it was observed.
+    pub last_good: Option<Duration>,
+    /// When the last evidence against it was observed.
+    pub last_bad: Option<Duration>,
 }
 
 #[derive(Debug, Clone)]
-struct Condemned {
+struct Ejection {
+    /// Start of the node's process.
     start: u64,
-    /// When the last evidence against it was seen.
-    seen: Duration,
-    /// When this host last had a verdict on it that was not doubted.
-    upheld: Duration,
+    /// When the last evidence against it was observed.
+    last_bad: Duration,
+    /// When this host last had a verdict on it that was trusted.
+    confirmed_at: Duration,
+}
+
+/// Whether this host probes a node, until it draws again.
+#[derive(Debug, Clone, Copy)]
+struct ProbeTurn {
+    until: Duration,
+    probes: bool,
 }
 
+/// One host's outlier detection.
 #[derive(Debug)]
 pub struct OutlierDetector {
     me: HostNumber,
     /// How many hosts there are.
-    fleet: usize,
-    /// How old the last word of one may be that counts as heard: in a large fleet all words take longer to come
-    /// round than news.
-    heard_within: Duration,
+    fleet_size: usize,
+    /// A report is fresh below this age: in a large fleet all reports take longer to come round than news.
+    fresh_within: Duration,
     rng: Pcg64Mcg,
-    condemned: BTreeMap<u32, Condemned>,
-    /// Those that it looks at, and until when; and until when it does not.
-    looks: BTreeMap<u32, (Duration, bool)>,
-    told: BTreeMap<u32, EndpointPolicy>,
+    ejections: BTreeMap<u32, Ejection>,
+    probe_turns: BTreeMap<u32, ProbeTurn>,
+    /// The last policies returned.
+    policies: BTreeMap<u32, EndpointPolicy>,
     findings: BTreeMap<u32, Finding>,
 }
 
-/// How sound each host is, from how it and the others find the same nodes.
-pub fn soundness(
-    observations: &BTreeMap<u32, Vec<(HostNumber, Observation)>>,
-) -> BTreeMap<HostNumber, f64> {
-    let mut tally: BTreeMap<HostNumber, (f64, f64)> = BTreeMap::new();
-    for all in observations.values() {
-        let well = all.iter().filter(|(_, s)| good(s)).count();
-        for (host, s) in all {
-            let others_well = well - usize::from(good(s));
-            let alone = bad(s) && others_well > all.len() / 2;
-            let t = tally.entry(*host).or_default();
-            (t.0, t.1) = (t.0 + 1.0, t.1 + f64::from(u8::from(alone)));
-        }
-    }
-    let sound = |(tried, alone): (f64, f64)| (1.0 - alone / tried).powi(2);
-    tally.into_iter().map(|(h, t)| (h, sound(t))).collect()
-}
-
 impl OutlierDetector {
-    pub fn new(me: HostNumber, fleet: usize, heard_within: Duration, seed: u64) -> Self {
+    /// `fleet_size`: hosts of the fleet, with this one. `fresh_within`: below which age a report counts as fresh.
+    pub fn new(me: HostNumber, fleet_size: usize, fresh_within: Duration, seed: u64) -> Self {
         OutlierDetector {
             me,
-            fleet,
-            heard_within,
+            fleet_size,
+            fresh_within,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            condemned: BTreeMap::new(),
-            looks: BTreeMap::new(),
-            told: BTreeMap::new(),
+            ejections: BTreeMap::new(),
+            probe_turns: BTreeMap::new(),
+            policies: BTreeMap::new(),
             findings: BTreeMap::new(),
         }
     }
 
+    /// What the last evaluation found of each node that some host has tried.
     pub fn findings(&self) -> &BTreeMap<u32, Finding> {
         &self.findings
     }
 
-    pub fn condemns(&self, node: u32) -> bool {
-        self.condemned.contains_key(&node)
+    /// Whether this host has the node ejected.
+    pub fn is_ejected(&self, node: u32) -> bool {
+        self.ejections.contains_key(&node)
     }
 
-    pub fn belief(&self, node: u32) -> EndpointPolicy {
-        self.told
-            .get(&node)
-            .copied()
-            .unwrap_or(EndpointPolicy::OwnEvidence)
+    /// How this host treats the node.
+    pub fn policy(&self, node: u32) -> EndpointPolicy {
+        let policy = self.policies.get(&node).copied();
+        policy.unwrap_or(EndpointPolicy::OwnEvidence)
     }
 
-    /// `nodes`: those of the list, with their starts. `own` are this host's sights, `others` what its peers say.
-    pub fn judge(
+    /// Evaluates all evidence, and returns the policies that have changed. `nodes`: those of the list, with the starts
+    /// of their processes. `own` is what this host has tried, `peers` what the others report.
+    pub fn evaluate(
         &mut self,
         now: Duration,
         nodes: &BTreeMap<u32, u64>,
         own: &HostReport,
-        others: &[Observer],
+        peers: &[Observer],
     ) -> Vec<(u32, EndpointPolicy)> {
-        let (me, fleet) = (self.me, self.fleet);
-        let fresh = others
-            .iter()
-            .filter(|w| w.host != me)
-            .map(|w| (w.host, w.age, w.report));
-        let heard = others
-            .iter()
-            .filter(|w| w.age < self.heard_within && w.host != me)
-            .map(|w| w.host);
-        let heard = 1 + heard.collect::<BTreeSet<_>>().len();
-        let mut observations: BTreeMap<u32, Vec<(HostNumber, Observation)>> = BTreeMap::new();
-        let report = fresh.chain([(me, Duration::ZERO, own)]);
-        for (host, age, s) in
-            report.flat_map(|(h, age, f)| f.observations.iter().map(move |s| (h, age, *s)))
-        {
-            let ago = s.age + age;
-            if nodes.get(&s.node) == Some(&s.start) && ago < EVIDENCE_WINDOW {
-                observations
-                    .entry(s.node)
-                    .or_default()
-                    .push((host, Observation { age: ago, ..s }));
-            }
-        }
-        let sound = soundness(&observations);
-        let weight = |h: &HostNumber, s: &Observation| {
-            let fresh = 1.0 - s.age.as_secs_f64() / EVIDENCE_WINDOW.as_secs_f64();
-            f64::from(s.sent).min(MAX_WEIGHT) * fresh * sound.get(h).copied().unwrap_or(1.0)
+        let others = || peers.iter().filter(|peer| peer.host != self.me);
+        let fresh: BTreeSet<HostNumber> = others()
+            .filter(|peer| peer.age < self.fresh_within)
+            .map(|peer| peer.host)
+            .collect();
+        let too_few_fresh = (1 + fresh.len()) * 2 <= self.fleet_size;
+        let own_observer = Observer {
+            host: self.me,
+            age: Duration::ZERO,
+            report: own,
         };
-        let sides = MIN_OBSERVERS.min(fleet.saturating_sub(1)).max(2);
+        let by_node = evidence::collect(nodes, others().cloned().chain([own_observer]));
+        self.update_findings(now, &by_node);
+        if too_few_fresh || self.ejects_too_many() {
+            self.distrust_ejections();
+        }
+        self.update_ejections(now, nodes, too_few_fresh);
+        self.draw_probe_turns(now);
+        self.update_policies(nodes, own)
+    }
+
+    fn update_findings(&mut self, now: Duration, by_node: &EvidenceByNode) {
+        let health = evidence::local_health(by_node);
         self.findings.clear();
-        for (node, all) in &observations {
-            let sum = |of: &dyn Fn(&Observation) -> bool| {
-                let some = all.iter().filter(|(_, s)| of(s));
-                (
-                    some.clone().count(),
-                    some.map(|(h, s)| weight(h, s)).sum::<f64>(),
-                )
-            };
-            let (well, badly) = (sum(&good), sum(&bad));
-            let verdict = match () {
-                _ if badly.0 >= sides && badly.1 >= 2.0 * well.1 && badly.1 > 0.0 => {
-                    Verdict::Ejected
-                }
-                _ if badly.0 > 0 && well.0 > 0 => Verdict::Split,
-                _ if well.0 > 0 => Verdict::Healthy,
-                _ => Verdict::Unknown,
+        for (node, all) in by_node {
+            let evidence = evidence::weigh(now, all, &health);
+            let finding = Finding {
+                verdict: self.verdict(&evidence),
+                good: evidence.good,
+                bad: evidence.bad,
+                last_good: evidence.last_good,
+                last_bad: evidence.last_bad,
             };
-            let last = |of: &dyn Fn(&Observation) -> bool| {
-                let ago = all.iter().filter(|(_, s)| of(s)).map(|(_, s)| s.age).min();
-                ago.map(|ago| now.saturating_sub(ago))
-            };
-            let last = (last(&good), last(&bad));
-            self.findings.insert(
-                *node,
-                Finding {
-                    verdict,
-                    well,
-                    badly,
-                    last,
-                },
-            );
+            self.findings.insert(*node, finding);
         }
-        let few = heard * 2 <= fleet;
-        let known = observations.len()
-            + self
-                .condemned
-                .keys()
-                .filter(|n| !observations.contains_key(n))
-                .count();
-        let is = |f: &Finding| f.verdict == Verdict::Ejected;
-        let held = self
-            .condemned
-            .keys()
-            .filter(|n| self.findings.get(n).is_none_or(|f| !is(f)))
-            .count();
-        let bad_now = held + self.findings.values().filter(|f| is(f)).count();
-        if few || bad_now as f64 > TOO_MUCH * known as f64 {
-            let doubted = self
-                .findings
-                .values_mut()
-                .filter(|f| f.verdict == Verdict::Ejected);
-            doubted.for_each(|f| f.verdict = Verdict::Distrusted);
+    }
+
+    fn verdict(&self, evidence: &NodeEvidence) -> Verdict {
+        let NodeEvidence { good, bad, .. } = *evidence;
+        let others = self.fleet_size.saturating_sub(1);
+        let min_observers = MIN_OBSERVERS.min(others).max(2);
+        let outweighs = bad.weight >= EJECTION_WEIGHT_RATIO * good.weight && bad.weight > 0.0;
+        if bad.hosts >= min_observers && outweighs {
+            Verdict::Ejected
+        } else if bad.hosts > 0 && good.hosts > 0 {
+            Verdict::Split
+        } else if good.hosts > 0 {
+            Verdict::Healthy
+        } else {
+            Verdict::Unknown
         }
-        self.uphold(now, nodes, few);
-        self.believe(now, nodes, own)
     }
 
-    fn uphold(&mut self, now: Duration, nodes: &BTreeMap<u32, u64>, few: bool) {
-        for (node, f) in &self.findings {
-            match f.verdict {
+    /// Whether more than the allowed fraction of all known nodes is ejected, or would be by the findings.
+    fn ejects_too_many(&self) -> bool {
+        let is_ejected = |finding: &Finding| finding.verdict == Verdict::Ejected;
+        let ejections = || self.ejections.keys();
+        let unobserved = ejections().filter(|node| !self.findings.contains_key(node));
+        let known = self.findings.len() + unobserved.count();
+        let not_found_again =
+            ejections().filter(|node| !self.findings.get(node).is_some_and(is_ejected));
+        let found = self.findings.values().filter(|finding| is_ejected(finding));
+        let ejected = not_found_again.count() + found.count();
+        ejected as f64 > MAX_EJECTED_FRACTION * known as f64
+    }
+
+    fn distrust_ejections(&mut self) {
+        for finding in self.findings.values_mut() {
+            if finding.verdict == Verdict::Ejected {
+                finding.verdict = Verdict::Distrusted;
+            }
+        }
+    }
+
+    /// Ejects, and ends ejections, by the findings.
+    fn update_ejections(&mut self, now: Duration, nodes: &BTreeMap<u32, u64>, too_few_fresh: bool) {
+        for (node, finding) in &self.findings {
+            match finding.verdict {
                 Verdict::Ejected => {
-                    let (start, seen) = (nodes[node], f.last.1.unwrap_or(now));
-                    self.condemned.insert(
-                        *node,
-                        Condemned {
-                            start,
-                            seen,
-                            upheld: now,
-                        },
-                    );
+                    let ejection = Ejection {
+                        start: nodes[node],
+                        last_bad: finding.last_bad.unwrap_or(now),
+                        confirmed_at: now,
+                    };
+                    self.ejections.insert(*node, ejection);
                 }
-                // Evidence that it answers, and of later than what condemned it: what hosts found before it
+                // It must be evidence that the node answers of later than what ejected it: what hosts found before it
                 // failed is on its way for some time yet.
                 Verdict::Healthy | Verdict::Split => {
-                    let since = |c: &mut Condemned| f.last.0.is_some_and(|well| well > c.seen);
-                    let cleared = self.condemned.get_mut(node).is_some_and(since);
-                    cleared.then(|| self.condemned.remove(node));
+                    let ejection = self.ejections.get(node);
+                    let answers_again = ejection.is_some_and(|ejection| {
+                        finding.last_good.is_some_and(|at| at > ejection.last_bad)
+                    });
+                    if answers_again {
+                        self.ejections.remove(node);
+                    }
                 }
                 Verdict::Unknown | Verdict::Distrusted => {}
             }
         }
         let findings = &self.findings;
-        self.condemned.retain(|node, c| {
-            let doubted = findings
-                .get(node)
-                .is_some_and(|f| f.verdict == Verdict::Distrusted);
-            // Silence upholds it where the others are heard: somebody is looking.
-            if !few && !doubted {
-                c.upheld = now;
+        self.ejections.retain(|node, ejection| {
+            let finding = findings.get(node);
+            let distrusted = finding.is_some_and(|finding| finding.verdict == Verdict::Distrusted);
+            // Silence confirms it where the others' reports are fresh: some host probes.
+            if !too_few_fresh && !distrusted {
+                ejection.confirmed_at = now;
             }
-            nodes.get(node) == Some(&c.start) && now < c.upheld + EJECTION_TIMEOUT
+            let is_same_process = nodes.get(node) == Some(&ejection.start);
+            is_same_process && now < ejection.confirmed_at + EJECTION_TIMEOUT
         });
     }
 
-    fn believe(
+    fn draw_probe_turns(&mut self, now: Duration) {
+        let chance = (PROBERS / self.fleet_size.max(1) as f64).min(1.0);
+        let ejections = &self.ejections;
+        self.probe_turns
+            .retain(|node, _| ejections.contains_key(node));
+        for node in ejections.keys() {
+            let turn = self.probe_turns.get(node);
+            if turn.is_none_or(|turn| now >= turn.until) {
+                // At other moments on each host, or all that probe would probe at the same time.
+                let until = now + PROBE_INTERVAL.mul_f64(0.5 + self.rng.random::<f64>());
+                let probes = self.rng.random::<f64>() < chance;
+                self.probe_turns.insert(*node, ProbeTurn { until, probes });
+            }
+        }
+    }
+
+    fn update_policies(
         &mut self,
-        now: Duration,
         nodes: &BTreeMap<u32, u64>,
         own: &HostReport,
     ) -> Vec<(u32, EndpointPolicy)> {
-        let chance = (PROBERS / self.fleet.max(1) as f64).min(1.0);
-        let (condemned, rng) = (&self.condemned, &mut self.rng);
-        self.looks.retain(|node, _| condemned.contains_key(node));
-        for node in condemned.keys() {
-            let due = self.looks.get(node).is_none_or(|(until, _)| now >= *until);
-            if due {
-                // At other moments on each host, or all who look would look at one.
-                let until = now + PROBE_INTERVAL.mul_f64(0.5 + rng.random::<f64>());
-                self.looks
-                    .insert(*node, (until, rng.random::<f64>() < chance));
-            }
-        }
         let mut changed = Vec::new();
-        for node in nodes.keys() {
-            let mine = own
-                .observations
-                .iter()
-                .find(|s| s.node == *node && nodes[node] == s.start);
-            let (fine, ill) = (
-                mine.is_some_and(good),
-                mine.is_some_and(|s| bad(s) && s.bad >= LEAST_OWN),
-            );
-            let belief = match (
-                self.condemned.contains_key(node),
-                self.findings.get(node).map(|f| f.verdict),
-            ) {
-                _ if fine => EndpointPolicy::OwnEvidence,
-                (true, _) if self.looks.get(node).is_some_and(|l| l.1) => EndpointPolicy::Probe,
-                (true, _) => EndpointPolicy::Avoid,
-                (false, Some(Verdict::Healthy | Verdict::Split)) if ill => EndpointPolicy::BadPath,
-                _ => EndpointPolicy::OwnEvidence,
-            };
-            if self.belief(*node) != belief {
-                self.told.insert(*node, belief);
-                changed.push((*node, belief));
+        for (node, start) in nodes {
+            let is_present = |seen: &&Observation| seen.node == *node && seen.start == *start;
+            let policy = self.choose_policy(*node, own.observations.iter().find(is_present));
+            if self.policy(*node) != policy {
+                self.policies.insert(*node, policy);
+                changed.push((*node, policy));
             }
         }
-        self.told.retain(|node, _| nodes.contains_key(node));
+        self.policies.retain(|node, _| nodes.contains_key(node));
         changed
     }
+
+    fn choose_policy(&self, node: u32, own: Option<&Observation>) -> EndpointPolicy {
+        if own.is_some_and(Observation::is_good) {
+            return EndpointPolicy::OwnEvidence;
+        }
+        if self.is_ejected(node) {
+            let turn = self.probe_turns.get(&node);
+            return if turn.is_some_and(|turn| turn.probes) {
+                EndpointPolicy::Probe
+            } else {
+                EndpointPolicy::Avoid
+            };
+        }
+        let own_is_bad = own.is_some_and(|own| own.is_bad() && own.bad >= MIN_OWN_BAD);
+        let verdict = self.findings.get(&node).map(|finding| finding.verdict);
+        let others_reach_it = matches!(verdict, Some(Verdict::Healthy | Verdict::Split));
+        if own_is_bad && others_reach_it {
+            EndpointPolicy::BadPath
+        } else {
+            EndpointPolicy::OwnEvidence
+        }
+    }
 }
--- a/crates/fleet/src/quota_lease.rs
+++ b/crates/fleet/src/quota_lease.rs
@@ -1,84 +1,63 @@
-//! Parts of a common whole, lent for a time; the sum of all parts never passes the whole.
+//! Quota leases: hosts share one limit by quotas, and lease parts of them to each other; the sum of all quotas never
+//! passes the whole limit.
 //!
-//! Called by the fleet's step, once for each budget: [`QuotaLeases::hear`] for what another host says of it,
-//! [`QuotaLeases::tend`] at every round, both of which answer what to say; [`QuotaLeases::part`] is what this host may
-//! use now. It is escrow (O'Neil 1986; bounded counters, Balegas 2015) with loans in place of requests, so
-//! that what is lent goes home by itself when nobody renews it.
+//! State machine, no I/O. [`crate::quotas`] owns one for each shared limit and calls [`QuotaLeases::handle_message`]
+//! for what another host sent about it and [`QuotaLeases::run_round`] at every round, both of which return the messages
+//! to send; [`QuotaLeases::quota`] is what this host may use now. It is escrow (O'Neil 1986; bounded counters, Balegas
+//! 2015) with leases (Gray and Cheriton 1989) in place of transfers, so that what is leased returns by itself when it is
+//! not renewed.
 //!
-//! Why the sum holds, whoever hears what. Each host has a settled part, and all settled parts add up to the
-//! whole at most. A loan leaves its lender before the borrower hears of it, and comes home `span + margin`
-//! after the lender last agreed; the borrower counts `span` from when it *asked*, which was earlier. So no
-//! unit is held twice, as long as clocks run apart by less than `margin` in one `span`; what is asked, agreed,
-//! lost, doubled or late changes only who waits. Four things could break it, each met by a rule:
+//! Why the sum stays within the limit, whatever messages arrive. Each host has a base quota, and all base quotas add up
+//! to the whole limit at most. A lease leaves its lender before the borrower learns of it, and returns
+//! `duration + margin` after the lender last granted it; the borrower counts `duration` from when it sent the
+//! *request*, which was earlier. So no unit is used twice, as long as clocks run apart by less than `margin` in one
+//! `duration`; messages that are lost, doubled or late change only who waits. Four things could break it, each
+//! prevented by a rule:
 //!
-//! - a host that lost its memory does not know what it lent: until each sharer has said that it holds nothing
-//!   of an earlier life, or until every such loan has run out, it uses what is never lent;
-//! - a loan by an earlier life can come after its borrower has said that it holds none, and one to an earlier
-//!   life after the borrower's own end: both are refused by the life;
-//! - settled parts change with the number of sharers: what was borrowed under another number is void at once,
-//!   what was lent under it stays lent to its end;
+//! - a host that lost its memory does not know what it granted: until each sharer has sent that it uses nothing of an
+//!   earlier incarnation, or until every such lease has run out, it uses only the reserve that is never leased;
+//! - a grant by an earlier incarnation can arrive after its borrower has sent that it uses none, and one to an earlier
+//!   incarnation after the borrower's restart: both are rejected by the incarnation;
+//! - base quotas change with the number of sharers: what was borrowed under another number is void at once, what was
+//!   granted under it stays granted to its end;
 //! - two processes of one host: the earlier one uses nothing (see [`crate::gossip_state`]).
 //!
-//! What is lent is the rate of a limit and not its burst: each host's bucket keeps its depth, so all depths
-//! add up to the burst, nothing is ever filled by a move, and a host that has lent nearly all can still serve
-//! at once what comes to it.
+//! What is leased is the rate of a limit and not its burst: each host's bucket has its own depth, so all depths add up
+//! to the burst, nothing is ever filled by a lease, and a host that has leased out nearly all can still serve at once
+//! what comes to it.
 //!
-//! Memory: [`MAX_LEASES`] loans given and taken each, and as many open asks.
+//! Memory: [`MAX_LEASES`] leases granted and borrowed each, and as many pending requests.
 
+use crate::lease_message::{LeaseMessage, LeaseTerms, ReceivedLeaseMessage, WHOLE_LIMIT};
 use crate::{HostNumber, Incarnation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Parts are counted in these, so that sums are exact.
-pub const WHOLE_LIMIT: u32 = 1 << 20;
+/// Leases that a host grants, and that it borrows, at most.
 pub const MAX_LEASES: usize = 64;
-/// Less than an eighth of a settled part is not worth words. Harm: so much stays where nobody needs it.
-const WORTH: u32 = 8;
-/// What is never lent, of a settled part: what a host uses that does not know what it lent.
-const NEVER_LENT: u32 = 8;
-/// Hosts that are asked at a time.
-const ASKED: usize = 8;
-
-/// For how long parts are lent, and by how much clocks may run apart in that time.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct LeaseTerms {
-    pub duration: Duration,
-    pub margin: Duration,
-}
-
-/// What hosts say to each other of one budget.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub enum LeaseMessage {
-    /// "Lend me that; or renew this loan." Asks and loans are numbered by the borrower.
-    Request { ask: u64, loan: u64, amount: u32 },
-    /// "You, in that life, have it from when you asked." Zero: "I need it myself". Asks of two lives have the
-    /// same numbers, and the former's would count from before it was asked.
-    Grant {
-        ask: u64,
-        of: Incarnation,
-        amount: u32,
-    },
-    /// "I use that loan no more."
-    Release { loan: u64 },
-    /// "I hold nothing that an earlier life of yours than this one lent."
-    Cleared { of: Incarnation },
-    /// "Whoever holds something of an earlier life of mine: have you let it go?"
-    Recovered,
-}
+/// Less than this fraction of a base quota is not worth a lease. Harm: so much stays where it is not needed.
+const MIN_LEASE_DIVISOR: u32 = 8;
+/// The fraction of a base quota that is never leased: what a host uses that does not know what it granted.
+const RESERVE_DIVISOR: u32 = 8;
+/// Hosts that are asked for a lease at a time.
+const MAX_LENDERS_ASKED: usize = 8;
+/// A request without an answer is dropped after this fraction of a lease's duration.
+const REQUEST_TIMEOUT_DIVISOR: u32 = 4;
+/// A lease is renewed when less than this fraction of its duration is left.
+const RENEWAL_DIVISOR: u32 = 2;
 
-/// What is heard from one life of a host, about a budget with so many sharers.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct ReceivedLeaseMessage {
-    pub from: HostNumber,
-    pub incarnation: Incarnation,
-    pub sharers: u32,
-    pub say: LeaseMessage,
+/// Identifies a lease for its lender.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct LeaseKey {
+    borrower: HostNumber,
+    incarnation: Incarnation,
+    lease: u64,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct GrantedLease {
     amount: u32,
-    /// Among how many the whole was shared then.
+    /// Among how many hosts the limit was shared then.
     sharers: u32,
     until: Duration,
 }
@@ -91,59 +70,99 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Ask {
-    to: HostNumber,
-    loan: u64,
-    at: Duration,
+struct PendingRequest {
+    lender: HostNumber,
+    lease: u64,
+    sent_at: Duration,
+}
+
+/// A request that is about to be sent.
+#[derive(Debug, Clone, Copy)]
+struct LeaseRequest {
+    lender: HostNumber,
+    lease: u64,
+    amount: u32,
 }
 
+/// What one host could lease to others of one limit.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Lender {
+    /// The host.
+    pub host: HostNumber,
+    /// What it last reported to have to spare, in fractions of [`WHOLE_LIMIT`].
+    pub spare: u32,
+}
+
+/// A lease message to send.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct OutgoingLeaseMessage {
+    /// The receiver.
+    pub to: HostNumber,
+    /// What it is sent.
+    pub message: LeaseMessage,
+}
+
+/// What a host has leased, in fractions of [`WHOLE_LIMIT`].
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct LeasedAmounts {
+    /// To others.
+    pub granted: u32,
+    /// From others.
+    pub borrowed: u32,
+}
+
+/// One host's quota of one limit, with what it has granted and borrowed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct QuotaLeases {
     me: HostNumber,
     incarnation: Incarnation,
-    born: Duration,
-    spans: LeaseTerms,
+    started_at: Duration,
+    terms: LeaseTerms,
     sharers: BTreeSet<HostNumber>,
-    /// Sharers that hold nothing of an earlier life.
-    clear: BTreeSet<HostNumber>,
+    /// Sharers that use nothing of an earlier incarnation of this host.
+    cleared: BTreeSet<HostNumber>,
+    /// The latest incarnation of each sharer that a message came from.
     incarnations: BTreeMap<HostNumber, Incarnation>,
-    lent: BTreeMap<(HostNumber, Incarnation, u64), GrantedLease>,
-    got: BTreeMap<u64, BorrowedLease>,
-    asks: BTreeMap<u64, Ask>,
-    next: u64,
-    wanted: u32,
+    granted: BTreeMap<LeaseKey, GrantedLease>,
+    borrowed: BTreeMap<u64, BorrowedLease>,
+    /// By their numbers.
+    requests: BTreeMap<u64, PendingRequest>,
+    /// The last number given to a lease or a request.
+    last_number: u64,
+    demand: u32,
     /// Another, later process of this host is known.
-    yields: bool,
+    superseded: bool,
 }
 
 impl QuotaLeases {
+    /// The state of a host that does not know what an earlier incarnation granted.
     pub fn new(
         now: Duration,
         me: HostNumber,
         incarnation: Incarnation,
-        spans: LeaseTerms,
+        terms: LeaseTerms,
         sharers: BTreeSet<HostNumber>,
     ) -> Self {
         QuotaLeases {
             me,
             incarnation,
-            born: now,
-            spans,
+            started_at: now,
+            terms,
             sharers,
-            clear: BTreeSet::new(),
+            cleared: BTreeSet::new(),
             incarnations: BTreeMap::new(),
-            lent: BTreeMap::new(),
-            got: BTreeMap::new(),
-            asks: BTreeMap::new(),
-            // A volume that goes and comes back begins anew in the same life; numbers used before it went must not
-            // come again, or late answers to them would be taken for answers to new asks.
-            next: now.as_micros() as u64,
-            wanted: 0,
-            yields: false,
+            granted: BTreeMap::new(),
+            borrowed: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            // A volume that goes and comes back begins anew in the same incarnation; numbers used before it went must
+            // not be used again, or late answers to them would be taken for answers to new requests.
+            last_number: now.as_micros() as u64,
+            demand: 0,
+            superseded: false,
         }
     }
 
-    /// The part that is this host's own when nothing is lent.
+    /// This host's own quota where nothing is leased, in fractions of [`WHOLE_LIMIT`].
     pub fn base_quota(&self) -> u32 {
         if self.sharers.contains(&self.me) {
             WHOLE_LIMIT / self.sharers.len() as u32
@@ -152,315 +171,384 @@
         }
     }
 
+    /// The hosts that share the limit.
     pub fn sharers(&self) -> &BTreeSet<HostNumber> {
         &self.sharers
     }
 
-    /// What this host may use now.
-    pub fn part(&self, now: Duration) -> u32 {
-        let got: u32 = self
-            .got
-            .values()
-            .filter(|g| now < g.until)
-            .map(|g| g.amount)
-            .sum();
-        if self.yields {
+    /// What this host may use now, in fractions of [`WHOLE_LIMIT`].
+    pub fn quota(&self, now: Duration) -> u32 {
+        if self.superseded {
             0
         } else {
-            self.own(now) + got
+            self.own_remainder(now) + self.leased(now).borrowed
         }
     }
 
-    /// What is lent out, and what is borrowed, now.
-    pub fn leases(&self, now: Duration) -> (u32, u32) {
-        let lent = self
-            .lent
-            .values()
-            .filter(|l| now < l.until)
-            .map(|l| l.amount)
-            .sum();
-        (
-            lent,
-            self.got
-                .values()
-                .filter(|g| now < g.until)
-                .map(|g| g.amount)
-                .sum(),
-        )
+    /// What is leased now.
+    pub fn leased(&self, now: Duration) -> LeasedAmounts {
+        let granted = self.granted.values().filter(|lease| now < lease.until);
+        let borrowed = self.borrowed.values().filter(|lease| now < lease.until);
+        LeasedAmounts {
+            granted: granted.map(|lease| lease.amount).sum(),
+            borrowed: borrowed.map(|lease| lease.amount).sum(),
+        }
     }
 
-    /// When its part next changes by itself.
+    /// When the quota next changes by itself.
     pub fn changes_at(&self, now: Duration) -> Option<Duration> {
-        let ends = self
-            .lent
-            .values()
-            .map(|l| l.until)
-            .chain(self.got.values().map(|g| g.until));
-        let knows =
-            (!self.knows(now)).then_some(self.born + self.spans.duration + self.spans.margin);
-        ends.chain(knows).filter(|at| *at > now).min()
+        let granted = self.granted.values().map(|lease| lease.until);
+        let borrowed = self.borrowed.values().map(|lease| lease.until);
+        let recovers = (!self.knows_granted(now)).then(|| self.recovered_at());
+        let ends = granted.chain(borrowed).chain(recovers);
+        ends.filter(|at| *at > now).min()
+    }
+
+    /// When every lease of an earlier incarnation has run out.
+    fn recovered_at(&self) -> Duration {
+        self.started_at + self.terms.duration + self.terms.margin
     }
 
-    /// Whether this host knows what it has lent.
-    pub fn knows(&self, now: Duration) -> bool {
-        let others = || self.sharers.iter().filter(|h| **h != self.me);
-        now >= self.born + self.spans.duration + self.spans.margin
-            || others().all(|h| self.clear.contains(h))
+    /// Whether this host knows what it has granted.
+    pub fn knows_granted(&self, now: Duration) -> bool {
+        now >= self.recovered_at() || self.uncleared().next().is_none()
     }
 
-    /// Its own part, less what is lent of it.
-    fn own(&self, now: Duration) -> u32 {
-        // A part of the limit that is reckoned by fewer sharers may still be that of more (the least of all
-        // versions that may be in force), and what is lent is then a larger part of it.
-        let n = self.sharers.len() as u64;
-        let lent = self.lent.values().filter(|l| now < l.until);
-        let lent = lent
-            .map(|l| (u64::from(l.amount) * n.max(u64::from(l.sharers))).div_ceil(n.max(1)))
-            .sum::<u64>();
-        let left = u64::from(self.base_quota()).saturating_sub(lent) as u32;
-        if self.knows(now) {
-            left
+    /// Other sharers that may use a lease of an earlier incarnation of this host.
+    fn uncleared(&self) -> impl Iterator<Item = HostNumber> + '_ {
+        let others = self.sharers.iter().filter(|host| **host != self.me);
+        others.filter(|host| !self.cleared.contains(host)).copied()
+    }
+
+    /// Its base quota, less what is granted of it.
+    fn own_remainder(&self, now: Duration) -> u32 {
+        // A quota that is computed with fewer sharers may still be applied with more (the least of all versions that
+        // may be in force), and what is granted is then a larger fraction of it.
+        let sharers = self.sharers.len() as u64;
+        let granted: u64 = self
+            .granted
+            .values()
+            .filter(|lease| now < lease.until)
+            .map(|lease| {
+                let most_sharers = sharers.max(u64::from(lease.sharers));
+                (u64::from(lease.amount) * most_sharers).div_ceil(sharers.max(1))
+            })
+            .sum();
+        let remainder = u64::from(self.base_quota()).saturating_sub(granted) as u32;
+        if self.knows_granted(now) {
+            remainder
         } else {
-            left.min(self.base_quota() / NEVER_LENT)
+            remainder.min(self.reserve())
         }
     }
 
-    fn least(&self) -> u32 {
-        (self.base_quota() / WORTH).max(1)
+    /// What is never leased.
+    fn reserve(&self) -> u32 {
+        self.base_quota() / RESERVE_DIVISOR
+    }
+
+    /// The smallest lease worth its messages.
+    fn min_lease(&self) -> u32 {
+        (self.base_quota() / MIN_LEASE_DIVISOR).max(1)
     }
 
-    /// What it could lend beyond what it needs itself.
+    /// What it could lease to others beyond what it needs itself, in fractions of [`WHOLE_LIMIT`].
     pub fn spare(&self, now: Duration) -> u32 {
-        if self.yields || !self.knows(now) {
+        if self.superseded || !self.knows_granted(now) {
             return 0;
         }
-        let lendable = self.own(now).saturating_sub(self.base_quota() / NEVER_LENT);
-        let spare = lendable.min(self.part(now).saturating_sub(self.wanted));
-        if spare < self.least() || self.lent.len() >= MAX_LEASES {
+        let lendable = self.own_remainder(now).saturating_sub(self.reserve());
+        let spare = lendable.min(self.quota(now).saturating_sub(self.demand));
+        if spare < self.min_lease() || self.granted.len() >= MAX_LEASES {
             0
         } else {
             spare
         }
     }
 
-    /// How much of the whole this host could use.
-    pub fn want(&mut self, wanted: u32) {
-        self.wanted = wanted.min(WHOLE_LIMIT);
+    /// Sets how much of the whole limit this host could use, in fractions of [`WHOLE_LIMIT`].
+    pub fn set_demand(&mut self, demand: u32) {
+        self.demand = demand.min(WHOLE_LIMIT);
     }
 
-    /// Whether a later process of this host is known, which alone may then use its part.
-    pub fn yields(&mut self, yields: bool) {
-        self.yields = yields;
+    /// Sets whether a later process of this host is known, which alone may then use its quota.
+    pub fn set_superseded(&mut self, superseded: bool) {
+        self.superseded = superseded;
     }
 
-    /// Other hosts share it from now on.
-    pub fn shared_by(&mut self, sharers: BTreeSet<HostNumber>) {
+    /// Sets the hosts that share the limit from now on.
+    pub fn set_sharers(&mut self, sharers: BTreeSet<HostNumber>) {
         if sharers == self.sharers {
             return;
         }
-        // Settled parts of another size: what was borrowed of them is not to be had any more.
-        (self.sharers, self.got, self.asks) = (sharers, BTreeMap::new(), BTreeMap::new());
+        self.sharers = sharers;
+        // Base quotas of another size: what was borrowed of them is void.
+        self.borrowed.clear();
+        self.requests.clear();
     }
 
-    /// A new number of this host's own life, after it has heard of one as late.
-    pub fn lives_on(&mut self, incarnation: Incarnation) {
+    /// Sets this host's own incarnation, after it has learned of one as late.
+    pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
-        // What was asked under the old number is answered to nobody.
-        self.asks.clear();
+        // Grants to requests of the earlier incarnation are rejected.
+        self.requests.clear();
     }
 
-    pub fn hear(
+    /// Handles a message of another host, and returns the answers.
+    pub fn handle_message(
         &mut self,
         now: Duration,
-        heard: ReceivedLeaseMessage,
-    ) -> Vec<(HostNumber, LeaseMessage)> {
-        let ReceivedLeaseMessage {
-            from,
-            incarnation,
-            sharers,
-            say,
-        } = heard;
-        let mut out = Vec::new();
-        if from == self.me
-            || !self.sharers.contains(&from)
-            || sharers as usize != self.sharers.len()
-        {
-            return out;
-        }
-        let known = self.incarnations.entry(from).or_insert(incarnation);
-        if incarnation < *known {
-            return out; // a former life speaks: too late for anything
+        received: ReceivedLeaseMessage,
+    ) -> Vec<OutgoingLeaseMessage> {
+        let from = received.from;
+        if !self.admits(&received) {
+            return Vec::new();
         }
-        if incarnation > *known {
-            *known = incarnation;
-            self.forget(from);
-        }
-        match say {
+        let answer = match received.message {
             LeaseMessage::Recovered => {
-                self.forget(from);
-                out.push((from, LeaseMessage::Cleared { of: incarnation }));
+                self.drop_leases_from(from);
+                Some(LeaseMessage::Cleared {
+                    recovered_incarnation: received.incarnation,
+                })
             }
-            LeaseMessage::Cleared { of } if of == self.incarnation => _ = self.clear.insert(from),
-            LeaseMessage::Cleared { .. } => {}
-            LeaseMessage::Request { ask, loan, amount } => {
-                let lent = self.lend(now, (from, incarnation, loan), amount);
-                out.push((
-                    from,
-                    LeaseMessage::Grant {
-                        ask,
-                        of: incarnation,
-                        amount: lent,
-                    },
-                ));
+            LeaseMessage::Cleared {
+                recovered_incarnation,
+            } => {
+                if recovered_incarnation == self.incarnation {
+                    self.cleared.insert(from);
+                }
+                None
             }
-            LeaseMessage::Grant { of, .. } if of != self.incarnation => {}
-            LeaseMessage::Grant { ask, amount, .. } => {
-                let Some(a) = self.asks.remove(&ask).filter(|a| a.to == from) else {
-                    return out;
+            LeaseMessage::Request {
+                request,
+                lease,
+                amount,
+            } => {
+                let key = LeaseKey {
+                    borrower: from,
+                    incarnation: received.incarnation,
+                    lease,
                 };
-                let until = a.at + self.spans.duration;
-                if amount > 0 && now < until {
-                    let new = BorrowedLease {
-                        lender: from,
-                        amount,
-                        until,
-                    };
-                    match self.got.get_mut(&a.loan).filter(|g| now < g.until) {
-                        // Answers can overtake each other, and only make a loan longer.
-                        Some(g) => (g.until, g.amount) = (until.max(g.until), amount.min(g.amount)),
-                        None => _ = self.got.insert(a.loan, new),
-                    }
+                Some(LeaseMessage::Grant {
+                    request,
+                    borrower_incarnation: received.incarnation,
+                    amount: self.grant(now, key, amount),
+                })
+            }
+            LeaseMessage::Grant {
+                request,
+                borrower_incarnation,
+                amount,
+            } => {
+                if borrower_incarnation == self.incarnation {
+                    self.handle_grant(now, from, request, amount);
                 }
+                None
             }
-            LeaseMessage::Release { loan } => _ = self.lent.remove(&(from, incarnation, loan)),
+            LeaseMessage::Release { lease } => {
+                self.granted.remove(&LeaseKey {
+                    borrower: from,
+                    incarnation: received.incarnation,
+                    lease,
+                });
+                None
+            }
+        };
+        let answer = answer.map(|message| OutgoingLeaseMessage { to: from, message });
+        answer.into_iter().collect()
+    }
+
+    /// Whether a message comes from another sharer's latest incarnation that shares the limit among as many hosts.
+    /// What a sharer's earlier incarnation had granted is dropped.
+    fn admits(&mut self, received: &ReceivedLeaseMessage) -> bool {
+        let from = received.from;
+        if from == self.me
+            || !self.sharers.contains(&from)
+            || received.sharers as usize != self.sharers.len()
+        {
+            return false;
         }
-        out
+        let known = self
+            .incarnations
+            .entry(from)
+            .or_insert(received.incarnation);
+        if received.incarnation < *known {
+            return false; // an earlier incarnation: too late for anything
+        }
+        if received.incarnation > *known {
+            *known = received.incarnation;
+            self.drop_leases_from(from);
+        }
+        true
     }
 
-    /// What an earlier life of a host lent, and was asked for, is nobody's any more.
-    fn forget(&mut self, lender: HostNumber) {
-        self.got.retain(|_, g| g.lender != lender);
-        self.asks.retain(|_, a| a.to != lender);
+    fn handle_grant(&mut self, now: Duration, lender: HostNumber, request: u64, amount: u32) {
+        let pending = self.requests.remove(&request);
+        let Some(pending) = pending.filter(|pending| pending.lender == lender) else {
+            return;
+        };
+        let until = pending.sent_at + self.terms.duration;
+        if amount == 0 || now >= until {
+            return;
+        }
+        let borrowed = self.borrowed.get_mut(&pending.lease);
+        if let Some(borrowed) = borrowed.filter(|lease| now < lease.until) {
+            // Grants can overtake each other, and only make a lease longer.
+            borrowed.until = until.max(borrowed.until);
+            borrowed.amount = amount.min(borrowed.amount);
+            return;
+        }
+        let borrowed = BorrowedLease {
+            lender,
+            amount,
+            until,
+        };
+        self.borrowed.insert(pending.lease, borrowed);
     }
 
-    /// Lends, or renews; what is agreed.
-    fn lend(&mut self, now: Duration, loan: (HostNumber, Incarnation, u64), amount: u32) -> u32 {
-        let until = now + self.spans.duration + self.spans.margin;
-        let (spare, short, least) = (self.spare(now), self.part(now) < self.wanted, self.least());
-        match self.lent.get_mut(&loan).filter(|l| now < l.until) {
-            // Who needs its own part lets the loan run out. Zero is safe to say: nothing changes by it.
-            Some(_) if short => 0,
-            Some(l) => {
-                l.until = until;
-                l.amount
-            }
-            None => {
-                let amount = amount.min(spare);
-                if amount < least {
-                    return 0;
-                }
-                let sharers = self.sharers.len() as u32;
-                self.lent.insert(
-                    loan,
-                    GrantedLease {
-                        amount,
-                        sharers,
-                        until,
-                    },
-                );
-                amount
+    /// What an earlier incarnation of a host granted, and was asked for, is void.
+    fn drop_leases_from(&mut self, lender: HostNumber) {
+        self.borrowed.retain(|_, lease| lease.lender != lender);
+        self.requests.retain(|_, request| request.lender != lender);
+    }
+
+    /// Grants a new lease or renews one; returns the amount granted.
+    fn grant(&mut self, now: Duration, key: LeaseKey, amount: u32) -> u32 {
+        let until = now + self.terms.duration + self.terms.margin;
+        let needs_own_quota = self.quota(now) < self.demand;
+        let amount = amount.min(self.spare(now));
+        let min_lease = self.min_lease();
+        let granted = self.granted.get_mut(&key);
+        if let Some(granted) = granted.filter(|lease| now < lease.until) {
+            if needs_own_quota {
+                // The lease runs out. Sending zero is safe: nothing changes by it.
+                return 0;
             }
+            granted.until = until;
+            return granted.amount;
+        }
+        if amount < min_lease {
+            return 0;
         }
+        let granted = GrantedLease {
+            amount,
+            sharers: self.sharers.len() as u32,
+            until,
+        };
+        self.granted.insert(key, granted);
+        amount
     }
 
-    /// The round: what has run out goes, what is needed is asked for, what is not goes home. `offers` are
-    /// what others last said they could lend, the likeliest first.
-    pub fn tend(
-        &mut self,
-        now: Duration,
-        offers: &[(HostNumber, u32)],
-    ) -> Vec<(HostNumber, LeaseMessage)> {
-        self.lent.retain(|_, l| now < l.until);
-        self.got.retain(|_, g| now < g.until);
-        self.asks
-            .retain(|_, a| now < a.at + self.spans.duration / 4);
+    /// The round: drops what has run out, asks for what is needed, releases what is not, and returns the messages to
+    /// send. `lenders` are what others last offered, the likeliest first.
+    pub fn run_round(&mut self, now: Duration, lenders: &[Lender]) -> Vec<OutgoingLeaseMessage> {
+        self.drop_expired(now);
         let mut out = Vec::new();
-        if self.yields || self.base_quota() == 0 {
+        if self.superseded || self.base_quota() == 0 {
             return out;
         }
-        if !self.knows(now) {
-            let unclear = self
-                .sharers
-                .iter()
-                .filter(|h| **h != self.me && !self.clear.contains(h));
-            out.extend(
-                unclear
-                    .take(MAX_LEASES)
-                    .map(|h| (*h, LeaseMessage::Recovered)),
-            );
+        if !self.knows_granted(now) {
+            let uncleared = self.uncleared().take(MAX_LEASES);
+            out.extend(uncleared.map(|to| OutgoingLeaseMessage {
+                to,
+                message: LeaseMessage::Recovered,
+            }));
         }
-        let part = self.part(now);
-        let least = self.least();
-        // A little more than is wanted is kept, or what goes home now would be asked for in the next round.
-        let mut over =
-            part.saturating_sub(self.base_quota().max(self.wanted.saturating_add(least)));
-        let homeward: Vec<u64> = {
-            let fits = |(loan, g): (&u64, &BorrowedLease)| {
-                let fits = g.amount <= over;
-                over -= if fits { g.amount } else { 0 };
-                fits.then_some(*loan)
+        let quota = self.quota(now);
+        self.release_surplus(quota, &mut out);
+        let mut requests = self.renewals(now);
+        self.request_more(quota, lenders, &mut requests);
+        for request in requests {
+            self.last_number += 1;
+            let pending = PendingRequest {
+                lender: request.lender,
+                lease: request.lease,
+                sent_at: now,
             };
-            self.got.iter().filter_map(fits).collect()
-        };
-        for loan in homeward {
-            // Let go of before it is said: the word may be late or lost, never early.
-            let Some(g) = self.got.remove(&loan) else {
-                continue;
-            };
-            self.asks.retain(|_, a| a.loan != loan);
-            out.push((g.lender, LeaseMessage::Release { loan }));
+            self.requests.insert(self.last_number, pending);
+            out.push(OutgoingLeaseMessage {
+                to: request.lender,
+                message: LeaseMessage::Request {
+                    request: self.last_number,
+                    lease: request.lease,
+                    amount: request.amount,
+                },
+            });
         }
-        let asked = |asks: &BTreeMap<u64, Ask>, loan: u64| asks.values().any(|a| a.loan == loan);
-        let due = |g: &BorrowedLease| now + self.spans.duration / 2 >= g.until;
-        let renew: Vec<_> = self
-            .got
-            .iter()
-            .filter(|(loan, g)| due(g) && !asked(&self.asks, **loan))
-            .collect();
-        let renew: Vec<_> = renew
-            .into_iter()
-            .map(|(loan, g)| (g.lender, *loan, g.amount))
-            .collect();
-        let open = |a: &Ask| !self.got.contains_key(&a.loan);
-        let mut need = self.wanted.saturating_sub(part);
-        let mut asks = renew;
-        if need >= least && !self.asks.values().any(open) {
-            let room = MAX_LEASES.saturating_sub(self.got.len());
-            for (to, spare) in offers
-                .iter()
-                .filter(|(h, _)| self.sharers.contains(h))
-                .take(ASKED.min(room))
-            {
-                let amount = need.min(*spare);
-                if amount >= least {
-                    self.next += 1;
-                    asks.push((*to, self.next, amount));
-                    need -= amount;
-                }
+        out
+    }
+
+    fn drop_expired(&mut self, now: Duration) {
+        let request_timeout = self.terms.duration / REQUEST_TIMEOUT_DIVISOR;
+        self.granted.retain(|_, lease| now < lease.until);
+        self.borrowed.retain(|_, lease| now < lease.until);
+        self.requests
+            .retain(|_, request| now < request.sent_at + request_timeout);
+    }
+
+    /// Releases borrowed leases that fit into what is over.
+    fn release_surplus(&mut self, quota: u32, out: &mut Vec<OutgoingLeaseMessage>) {
+        // A little more than the demand stays borrowed, or what is released now would be asked for in the next round.
+        let enough = self.demand.saturating_add(self.min_lease());
+        let mut surplus = quota.saturating_sub(self.base_quota().max(enough));
+        let mut released = Vec::new();
+        for (lease, borrowed) in &self.borrowed {
+            if borrowed.amount <= surplus {
+                surplus -= borrowed.amount;
+                released.push((*lease, borrowed.lender));
             }
         }
-        for (to, loan, amount) in asks {
-            self.next += 1;
-            self.asks.insert(self.next, Ask { to, loan, at: now });
-            out.push((
-                to,
-                LeaseMessage::Request {
-                    ask: self.next,
-                    loan,
+        for (lease, lender) in released {
+            // Dropped before the message is sent: the message may be late or lost, never early.
+            self.borrowed.remove(&lease);
+            self.requests.retain(|_, request| request.lease != lease);
+            out.push(OutgoingLeaseMessage {
+                to: lender,
+                message: LeaseMessage::Release { lease },
+            });
+        }
+    }
+
+    /// Renewals of leases that are in their second half.
+    fn renewals(&self, now: Duration) -> Vec<LeaseRequest> {
+        let due_before = now + self.terms.duration / RENEWAL_DIVISOR;
+        let is_requested = |lease: u64| self.requests.values().any(|r| r.lease == lease);
+        self.borrowed
+            .iter()
+            .filter(|(lease, borrowed)| due_before >= borrowed.until && !is_requested(**lease))
+            .map(|(lease, borrowed)| LeaseRequest {
+                lender: borrowed.lender,
+                lease: *lease,
+                amount: borrowed.amount,
+            })
+            .collect()
+    }
+
+    /// Requests of new leases for the demand beyond the quota, unless some are pending.
+    fn request_more(&mut self, quota: u32, lenders: &[Lender], out: &mut Vec<LeaseRequest>) {
+        let min_lease = self.min_lease();
+        let mut missing = self.demand.saturating_sub(quota);
+        let mut pending = self.requests.values();
+        let is_pending = pending.any(|request| !self.borrowed.contains_key(&request.lease));
+        if missing < min_lease || is_pending {
+            return;
+        }
+        let room = MAX_LEASES.saturating_sub(self.borrowed.len());
+        let lenders = lenders
+            .iter()
+            .filter(|lender| self.sharers.contains(&lender.host))
+            .take(MAX_LENDERS_ASKED.min(room));
+        for lender in lenders {
+            let amount = missing.min(lender.spare);
+            if amount >= min_lease {
+                self.last_number += 1;
+                missing -= amount;
+                out.push(LeaseRequest {
+                    lender: lender.host,
+                    lease: self.last_number,
                     amount,
-                },
-            ));
+                });
+            }
         }
-        out
     }
 }
--- /dev/null
+++ b/crates/fleet/src/served_rates.rs
@@ -0,0 +1,109 @@
+//! How many units a second each volume is served, here and through the other hosts.
+//!
+//! Owned by [`crate::fleet`]: it counts what is served here, and takes the counts of the others' reports. Memory: a row
+//! for each volume that is served here, and one for each host and volume that is reported.
+
+use crate::evidence::EVIDENCE_WINDOW;
+use crate::gossip_message::MAX_REPORT_ITEMS;
+use crate::gossip_state::KnownReport;
+use crate::host_report::{ServedUnits, VersionStamp};
+use crate::HostNumber;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+#[derive(Debug, Default, Clone, Copy)]
+struct LocalRate {
+    units: f64,
+    /// `units` when the rate was last measured.
+    units_measured: f64,
+    /// Units a second.
+    rate: f64,
+}
+
+/// What a volume was served through another host, and how fast that grows.
+#[derive(Debug, Clone, Copy)]
+struct RemoteRate {
+    version: VersionStamp,
+    units: u64,
+    /// When the host reported `units`.
+    reported_at: Duration,
+    /// Units a second.
+    rate: f64,
+}
+
+/// Rates by volume.
+#[derive(Debug, Default)]
+pub(crate) struct ServedRates {
+    local: BTreeMap<u64, LocalRate>,
+    remote: BTreeMap<u64, BTreeMap<HostNumber, RemoteRate>>,
+}
+
+impl ServedRates {
+    /// Counts units that a volume was served here.
+    pub fn add_local(&mut self, volume: u64, units: f64) {
+        self.local.entry(volume).or_default().units += units;
+    }
+
+    /// Measures the rates of what was served here in the last `seconds`.
+    pub fn measure_local(&mut self, seconds: f64) {
+        for local in self.local.values_mut() {
+            local.rate = (local.units - local.units_measured) / seconds;
+            local.units_measured = local.units;
+        }
+    }
+
+    /// Takes the counts of another host's report.
+    pub fn add_remote(&mut self, now: Duration, known: &KnownReport) {
+        let reported_at = now.saturating_sub(known.age);
+        for served in &known.report.served {
+            let new = RemoteRate {
+                version: known.version,
+                units: served.units,
+                reported_at,
+                rate: 0.0,
+            };
+            let hosts = self.remote.entry(served.volume).or_default();
+            let remote = hosts.entry(known.host).or_insert(new);
+            let seconds = reported_at.saturating_sub(remote.reported_at).as_secs_f64();
+            let restarted = remote.version.incarnation != known.version.incarnation;
+            if restarted || served.units < remote.units {
+                *remote = new;
+            } else if seconds > 0.0 {
+                let rate = (served.units - remote.units) as f64 / seconds;
+                *remote = RemoteRate { rate, ..new };
+            }
+        }
+    }
+
+    /// The busiest volumes here, for this host's report: of the others the reports in answers are good enough.
+    pub fn busiest(&self) -> Vec<ServedUnits> {
+        let mut busy: Vec<(&u64, &LocalRate)> = self
+            .local
+            .iter()
+            .filter(|(_, local)| local.rate > 0.0)
+            .collect();
+        busy.sort_by(|(_, a), (_, b)| b.rate.total_cmp(&a.rate));
+        busy.into_iter()
+            .take(MAX_REPORT_ITEMS)
+            .map(|(volume, local)| ServedUnits {
+                volume: *volume,
+                units: local.units as u64,
+            })
+            .collect()
+    }
+
+    /// Units a second that a volume is served through the other hosts.
+    pub fn elsewhere(&self, now: Duration, volume: u64) -> f64 {
+        let hosts = self.remote.get(&volume).into_iter().flatten();
+        hosts
+            .filter(|(_, remote)| now < remote.reported_at + EVIDENCE_WINDOW)
+            .map(|(_, remote)| remote.rate)
+            .sum()
+    }
+
+    /// Units a second that a volume is served through all hosts.
+    pub fn everywhere(&self, now: Duration, volume: u64) -> f64 {
+        let local = self.local.get(&volume).map_or(0.0, |local| local.rate);
+        local + self.elsewhere(now, volume)
+    }
+}
--- a/crates/fleet/tests/fleet_simulation.rs
+++ b/crates/fleet/tests/fleet_simulation.rs
@@ -2,9 +2,11 @@
 //! hears whom, hosts die, start anew without memory, and stand still. What holds in every one is asserted;
 //! beside it stand even parts and a host that believes whatever it hears, in the same run.
 
-use grebecleat_fleet::fleet::{Action, Event, Fleet, Rules};
-use grebecleat_fleet::outlier_detection::{EndpointPolicy, EJECTION_TIMEOUT, EVIDENCE_WINDOW};
-use grebecleat_fleet::quota_lease::LeaseTerms;
+use grebecleat_fleet::events::{Action, Event, Rules};
+use grebecleat_fleet::evidence::EVIDENCE_WINDOW;
+use grebecleat_fleet::fleet::Fleet;
+use grebecleat_fleet::lease_message::LeaseTerms;
+use grebecleat_fleet::outlier_detection::{EndpointPolicy, EJECTION_TIMEOUT};
 use grebecleat_fleet::{HostNumber, Incarnation};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -13,7 +15,7 @@
 
 const TICK: Duration = Duration::from_millis(10);
 const RULES: Rules = Rules {
-    every: Duration::from_millis(200),
+    interval: Duration::from_millis(200),
     leases: LeaseTerms {
         duration: Duration::from_secs(2),
         margin: Duration::from_millis(250),
@@ -271,7 +273,7 @@
             h.fleet
                 .policies()
                 .iter()
-                .any(|b| b.0 == 7 && b.1.badly.0 > 0)
+                .any(|b| b.node == 7 && b.finding.bad.hosts > 0)
         };
         while !w.hosts.iter().all(knows) {
             w.tick();
@@ -442,8 +444,8 @@
                     .fleet
                     .policies()
                     .into_iter()
-                    .filter(|b| b.1.badly.0 > 0)
-                    .map(|b| b.0);
+                    .filter(|b| b.finding.bad.hosts > 0)
+                    .map(|b| b.node);
                 host.heard_ill.extend(ill);
             }
         }
@@ -479,7 +481,7 @@
         .fleet
         .policies()
         .iter()
-        .filter(|b| b.2 == EndpointPolicy::BadPath)
+        .filter(|b| b.policy == EndpointPolicy::BadPath)
         .count();
     assert!(
         own_way >= 6,
--- /dev/null
+++ b/crates/fleet/tests/gossip_codec.rs
@@ -0,0 +1,160 @@
+//! The encoded gossip message: its bytes, and what of it is rejected.
+
+mod common;
+
+use common::{ms, observation};
+use grebecleat_fleet::gossip_message::{GossipMessage, VolumeLeaseMessage, MAX_BYTES, MAX_ENTRIES};
+use grebecleat_fleet::host_report::{
+    GossipEntry, HostReport, LeaseOffer, Observation, ServedUnits, VersionStamp,
+};
+use grebecleat_fleet::lease_message::LeaseMessage;
+use grebecleat_fleet::{HostNumber, Incarnation};
+
+/// The entry and the lease messages of `message`, byte by byte.
+const ENCODED: &str = "0801100918012227080510031808204d280330013a0c0804100118092002283730014204080710634a\
+                       05080710d2092a0c0807100318012001280230032a0c0807100318022001280430032a08080710031803\
+                       28022a0808071003180420062a06080810021805";
+
+fn entry() -> GossipEntry {
+    let report = HostReport {
+        tried: 3,
+        bad: 1,
+        observations: vec![observation(4, 9, 2)],
+        offers: vec![LeaseOffer {
+            volume: 7,
+            spare: 99,
+        }],
+        served: vec![ServedUnits {
+            volume: 7,
+            units: 1234,
+        }],
+    };
+    GossipEntry {
+        writer: HostNumber(5),
+        version: VersionStamp {
+            incarnation: Incarnation(3),
+            count: 8,
+        },
+        age: ms(77),
+        report,
+    }
+}
+
+fn about(volume: u64, sharers: u32, message: LeaseMessage) -> VolumeLeaseMessage {
+    VolumeLeaseMessage {
+        volume,
+        sharers,
+        message,
+    }
+}
+
+fn request(amount: u32) -> LeaseMessage {
+    LeaseMessage::Request {
+        request: 1,
+        lease: 2,
+        amount,
+    }
+}
+
+/// A message with something of every kind.
+fn message() -> GossipMessage {
+    let grant = LeaseMessage::Grant {
+        request: 1,
+        borrower_incarnation: Incarnation(4),
+        amount: 3,
+    };
+    let cleared = LeaseMessage::Cleared {
+        recovered_incarnation: Incarnation(6),
+    };
+    GossipMessage {
+        incarnation: Incarnation(9),
+        requests_sync: true,
+        entries: vec![entry()],
+        lease_messages: vec![
+            about(7, 3, request(3)),
+            about(7, 3, grant),
+            about(7, 3, LeaseMessage::Release { lease: 2 }),
+            about(7, 3, cleared),
+            about(8, 2, LeaseMessage::Recovered),
+        ],
+    }
+}
+
+#[test]
+fn a_message_is_encoded_to_the_same_bytes_in_every_version() {
+    let mut message = message();
+    message.entries[0].report.observations[0] = Observation {
+        age: ms(55),
+        contradicts_ejection: true,
+        ..observation(4, 9, 2)
+    };
+    let bytes = message.to_bytes();
+    let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
+    assert_eq!(hex, ENCODED);
+}
+
+#[test]
+fn a_message_is_decoded_to_what_was_sent() {
+    let message = message();
+    let decoded = GossipMessage::from_bytes(&message.to_bytes());
+    assert_eq!(decoded, Ok(message));
+}
+
+#[test]
+fn a_message_with_a_number_out_of_range_is_rejected_whole() {
+    // what is wrong, and what the error must say
+    type Case<'a> = (&'a dyn Fn(&mut GossipMessage), &'a str);
+    let cases: [Case; 7] = [
+        (&|m| m.incarnation = Incarnation(u64::MAX), "life"),
+        (
+            &|m| m.entries[0].version.incarnation = Incarnation(0),
+            "life 0",
+        ),
+        (
+            &|m| m.entries[0].version.count = u64::MAX - 1,
+            "entry of host 5: count",
+        ),
+        (
+            &|m| m.entries[0].report.observations[0].bad = 10,
+            "more bad than sent",
+        ),
+        (
+            &|m| m.entries[0].report.offers[0].spare = u32::MAX,
+            "more offered than there is",
+        ),
+        (
+            &|m| m.entries = vec![entry(); MAX_ENTRIES + 1],
+            "17 entries, expected at most 16",
+        ),
+        (
+            &|m| m.lease_messages[0].message = request(u32::MAX),
+            "volume 7",
+        ),
+    ];
+    for (corrupt, expected) in cases {
+        let mut message = message();
+        corrupt(&mut message);
+        let error = GossipMessage::from_bytes(&message.to_bytes()).unwrap_err();
+        let text = error.to_string();
+        assert!(text.contains(expected), "{text}, expected {expected}");
+    }
+}
+
+#[test]
+fn bytes_that_are_no_message_are_rejected_and_half_a_message_holds_no_more_than_the_whole() {
+    assert!(GossipMessage::from_bytes(b"garbage of any kind").is_err());
+    assert!(GossipMessage::from_bytes(&vec![0; MAX_BYTES + 1]).is_err());
+    let message = message();
+    let bytes = message.to_bytes();
+    for length in 0..bytes.len() {
+        // Half a message is rejected, or is one with fewer entries: never with others than were sent.
+        if let Ok(half) = GossipMessage::from_bytes(&bytes[..length]) {
+            assert!(
+                half.entries
+                    .iter()
+                    .all(|entry| message.entries.contains(entry)),
+                "{half:?}"
+            );
+        }
+    }
+}
--- /dev/null
+++ b/crates/fleet/tests/gossip_state.rs
@@ -0,0 +1,130 @@
+//! Gossip state: which reports are taken, forgotten and passed on, and what a host does about its own incarnation.
+
+mod common;
+
+use common::{ms, observation, NOW};
+use grebecleat_fleet::gossip_message::GossipMessage;
+use grebecleat_fleet::gossip_state::{GossipState, MergeOutcome, ENTRY_TIMEOUT, SYNC_TIMEOUT};
+use grebecleat_fleet::host_report::{GossipEntry, HostReport, VersionStamp};
+use grebecleat_fleet::{HostNumber, Incarnation};
+use std::time::Duration;
+
+/// The state of host 0 in its tenth incarnation.
+fn gossip_state(peers: u32) -> GossipState {
+    GossipState::new(
+        NOW,
+        HostNumber(0),
+        Incarnation(10),
+        ms(200),
+        (1..=peers).map(HostNumber).collect(),
+        3,
+    )
+}
+
+fn entry(writer: u32, incarnation: u64, count: u64, age: Duration, sent: u32) -> GossipEntry {
+    let report = HostReport {
+        observations: vec![observation(1, sent, 0)],
+        ..HostReport::default()
+    };
+    GossipEntry {
+        writer: HostNumber(writer),
+        version: VersionStamp {
+            incarnation: Incarnation(incarnation),
+            count,
+        },
+        age,
+        report,
+    }
+}
+
+/// Has the state handle a message of host 2 with one entry.
+fn handle_entry(state: &mut GossipState, now: Duration, entry: GossipEntry) -> MergeOutcome {
+    let message = GossipMessage {
+        incarnation: Incarnation(1),
+        requests_sync: false,
+        entries: vec![entry],
+        lease_messages: Vec::new(),
+    };
+    state.handle_message(now, HostNumber(2), &message)
+}
+
+#[test]
+fn the_larger_version_is_taken_whatever_the_order() {
+    // (incarnation, count, age in ms, sent) of the entries received, and which is stored in the end, by what it sent
+    type Case<'a> = (&'a [(u64, u64, u64, u32)], u32);
+    let cases: [Case; 5] = [
+        (&[(1, 1, 0, 5), (1, 2, 0, 6)], 6),
+        (&[(1, 2, 0, 6), (1, 1, 0, 5)], 6),
+        (&[(1, 2, 0, 6), (1, 2, 0, 9)], 6),      // doubled
+        (&[(1, 900, 0, 5), (2, 1, 0, 6)], 6),    // a later incarnation
+        (&[(1, 2, 0, 6), (2, 1, 60_000, 7)], 6), // too old to be taken
+    ];
+    for (received, stored) in cases {
+        let mut state = gossip_state(3);
+        for (incarnation, count, age, sent) in received {
+            let entry = entry(1, *incarnation, *count, ms(*age), *sent);
+            handle_entry(&mut state, NOW, entry);
+        }
+        let reports = state.reports(NOW);
+        let all: Vec<u32> = reports
+            .map(|known| known.report.observations[0].sent)
+            .collect();
+        assert_eq!(all, [stored], "{received:?}");
+    }
+}
+
+#[test]
+fn an_old_entry_is_forgotten_and_does_not_come_back_through_a_slow_peer() {
+    let mut state = gossip_state(3);
+    handle_entry(&mut state, NOW, entry(1, 1, 5, ms(0), 6));
+    let later = NOW + ENTRY_TIMEOUT;
+    assert_eq!(state.reports(later).count(), 0);
+    state.run_round(later);
+    let outcome = handle_entry(&mut state, later, entry(1, 1, 5, ENTRY_TIMEOUT, 6));
+    assert_eq!((outcome.updated.len(), outcome.rejected), (0, 1));
+    // An entry of an unknown host is rejected as well.
+    let outcome = handle_entry(&mut state, later, entry(77, 1, 5, ms(0), 6));
+    assert_eq!(outcome.rejected, 1);
+}
+
+#[test]
+fn a_host_that_lost_its_incarnation_asks_before_it_publishes_and_goes_above_it() {
+    let mut state = gossip_state(3);
+    let messages = state.run_round(NOW + ms(250)).messages;
+    assert!(
+        messages
+            .iter()
+            .all(|(_, message)| message.requests_sync && message.entries.is_empty()),
+        "{messages:?}"
+    );
+    let outcome = handle_entry(&mut state, NOW + ms(300), entry(0, 40, 7, ms(0), 1));
+    assert!(outcome.incarnation_raised);
+    assert_eq!(state.incarnation(), Incarnation(41));
+    state.publish(NOW + ms(300), HostReport::default(), true);
+    let messages = state.run_round(NOW + SYNC_TIMEOUT + ms(300)).messages;
+    let is_own = |entry: &GossipEntry| entry.writer == HostNumber(0);
+    assert!(
+        messages
+            .iter()
+            .any(|(_, message)| message.entries.iter().any(is_own)),
+        "{messages:?}"
+    );
+}
+
+#[test]
+fn of_two_processes_of_one_host_the_earlier_is_superseded_while_the_other_is_heard_of() {
+    let mut state = gossip_state(3);
+    let after = NOW + SYNC_TIMEOUT + ms(500);
+    state.publish(after, HostReport::default(), true);
+    state.run_round(after);
+    let outcome = handle_entry(&mut state, after, entry(0, 11, 3, ms(0), 1));
+    assert!(!outcome.incarnation_raised);
+    assert!(state.is_superseded());
+    // Its own former reports change nothing; as long as the other's count grows it stays superseded.
+    handle_entry(&mut state, after + ms(9000), entry(0, 11, 40, ms(0), 1));
+    assert!(!state.run_round(after + ms(12_000)).incarnation_raised);
+    assert!(state.is_superseded());
+    let raised = state.run_round(after + ms(19_500)).incarnation_raised;
+    assert!(raised && !state.is_superseded());
+    assert_eq!(state.incarnation(), Incarnation(12));
+}
--- /dev/null
+++ b/crates/fleet/tests/outlier_detection.rs
@@ -0,0 +1,215 @@
+//! Outlier detection: which evidence decides, how long an ejection lasts, and how many nodes may be ejected.
+
+mod common;
+
+use common::{ms, observation, NOW};
+use grebecleat_fleet::evidence::{Observer, EVIDENCE_WINDOW};
+use grebecleat_fleet::host_report::HostReport;
+use grebecleat_fleet::outlier_detection::{
+    EndpointPolicy, OutlierDetector, Verdict, EJECTION_TIMEOUT,
+};
+use grebecleat_fleet::HostNumber;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Nodes 1 to 4, with the starts of their processes.
+fn nodes(start: u64) -> BTreeMap<u32, u64> {
+    (1..=4).map(|node| (node, start)).collect()
+}
+
+fn detector(fleet_size: usize) -> OutlierDetector {
+    OutlierDetector::new(HostNumber(0), fleet_size, EVIDENCE_WINDOW, 1)
+}
+
+/// Hosts 1 to 3 with the same report.
+fn three_observers(report: &HostReport, age: Duration) -> Vec<Observer<'_>> {
+    (1..=3).map(|host| observer(host, report, age)).collect()
+}
+
+fn observer(host: u32, report: &HostReport, age: Duration) -> Observer<'_> {
+    Observer {
+        host: HostNumber(host),
+        age,
+        report,
+    }
+}
+
+/// What hosts observe of node 1, as (sent, bad), this host and its peers; nodes 2 to 4 answer every host.
+fn verdict_and_policy(
+    own: Option<(u32, u32)>,
+    peers: &[(u32, u32)],
+    fleet_size: usize,
+) -> (Verdict, EndpointPolicy) {
+    let report = |of_node_1: Option<(u32, u32)>| {
+        let of_node_1 = of_node_1.map(|(sent, bad)| observation(1, sent, bad));
+        let of_others = (2..=4).map(|node| observation(node, 6, 0));
+        HostReport {
+            observations: of_node_1.into_iter().chain(of_others).collect(),
+            ..HostReport::default()
+        }
+    };
+    let reports: Vec<HostReport> = peers.iter().map(|peer| report(Some(*peer))).collect();
+    let observers: Vec<Observer> = (1..)
+        .zip(&reports)
+        .map(|(host, report)| observer(host, report, ms(100)))
+        .collect();
+    let mut detector = detector(fleet_size);
+    detector.evaluate(NOW, &nodes(1), &report(own), &observers);
+    let finding = detector.findings().get(&1);
+    let verdict = finding.map_or(Verdict::Unknown, |finding| finding.verdict);
+    let policy = match detector.policy(1) {
+        EndpointPolicy::Probe => EndpointPolicy::Avoid, // by chance
+        policy => policy,
+    };
+    (verdict, policy)
+}
+
+#[test]
+fn own_evidence_decides_before_that_of_peers_and_an_ejection_needs_enough_observers() {
+    let bad = (5, 5);
+    let good = (5, 0);
+    let mixed = (6, 3);
+    // this host's own, what its peers observe, how many hosts there are; verdict and policy
+    type Case<'a> = (
+        Option<(u32, u32)>,
+        &'a [(u32, u32)],
+        usize,
+        Verdict,
+        EndpointPolicy,
+    );
+    use EndpointPolicy::{Avoid, BadPath, OwnEvidence};
+    use Verdict::{Distrusted, Ejected, Split, Unknown};
+    let cases: [Case; 11] = [
+        (None, &[bad, bad, bad], 4, Ejected, Avoid),
+        (Some(bad), &[bad, bad, bad], 4, Ejected, Avoid),
+        // Own fresh evidence decides before that of peers.
+        (Some(good), &[bad, bad, bad], 4, Ejected, OwnEvidence),
+        // It is this host's own path.
+        (Some(bad), &[good, good, good], 4, Split, BadPath),
+        // Half from half.
+        (
+            None,
+            &[bad, bad, bad, good, good, good],
+            7,
+            Split,
+            OwnEvidence,
+        ),
+        // Too few observers, or observations that are neither good nor bad.
+        (None, &[bad, bad], 4, Unknown, OwnEvidence),
+        (None, &[mixed, mixed, mixed], 4, Unknown, OwnEvidence),
+        // Too few reports are fresh.
+        (None, &[bad, bad, bad], 8, Distrusted, OwnEvidence),
+        (Some(bad), &[bad, bad, bad], 8, Distrusted, OwnEvidence),
+        (None, &[], 4, Unknown, OwnEvidence),
+        (Some(bad), &[], 4, Unknown, OwnEvidence),
+    ];
+    for (own, peers, fleet_size, verdict, policy) in cases {
+        assert_eq!(
+            verdict_and_policy(own, peers, fleet_size),
+            (verdict, policy),
+            "{own:?} {peers:?} of {fleet_size}"
+        );
+    }
+}
+
+/// A report with node 1 as given, and nodes 2 and 3 good.
+fn report_of_node_1(bad: u32) -> HostReport {
+    HostReport {
+        observations: vec![
+            observation(1, 5, bad),
+            observation(2, 5, 0),
+            observation(3, 5, 0),
+        ],
+        ..HostReport::default()
+    }
+}
+
+/// This host's own report, without node 1.
+fn own_report() -> HostReport {
+    HostReport {
+        observations: vec![observation(2, 5, 0), observation(3, 5, 0)],
+        ..HostReport::default()
+    }
+}
+
+fn avoids_node_1(detector: &OutlierDetector) -> bool {
+    matches!(
+        detector.policy(1),
+        EndpointPolicy::Avoid | EndpointPolicy::Probe
+    )
+}
+
+/// A detector that has ejected node 1.
+fn ejecting_detector() -> OutlierDetector {
+    let mut detector = detector(4);
+    let bad = report_of_node_1(5);
+    let observers = three_observers(&bad, ms(0));
+    detector.evaluate(NOW, &nodes(1), &own_report(), &observers);
+    assert!(avoids_node_1(&detector));
+    detector
+}
+
+#[test]
+fn an_ejection_lasts_in_silence_and_ends_by_newer_evidence() {
+    let silent = HostReport::default();
+    // No host sends there any more, and the peers' reports are fresh: it stays.
+    let mut detector = ejecting_detector();
+    for step in 1..60 {
+        let quiet = three_observers(&silent, ms(0));
+        detector.evaluate(NOW + ms(step * 500), &nodes(1), &own_report(), &quiet);
+        assert!(avoids_node_1(&detector), "after {step} half seconds");
+    }
+    // One that probes finds that it answers.
+    let good = report_of_node_1(0);
+    let one = [observer(1, &good, ms(0)), observer(2, &silent, ms(0))];
+    detector.evaluate(NOW + ms(30_000), &nodes(1), &own_report(), &one);
+    assert!(!avoids_node_1(&detector));
+}
+
+#[test]
+fn an_ejection_ends_with_another_process_of_the_node() {
+    let mut detector = ejecting_detector();
+    detector.evaluate(NOW + ms(100), &nodes(2), &own_report(), &[]);
+    assert!(!avoids_node_1(&detector));
+}
+
+#[test]
+fn old_evidence_that_comes_round_again_ejects_nothing() {
+    let mut detector = detector(4);
+    let bad = report_of_node_1(5);
+    let old = three_observers(&bad, EVIDENCE_WINDOW);
+    detector.evaluate(NOW, &nodes(1), &own_report(), &old);
+    assert!(!avoids_node_1(&detector));
+}
+
+#[test]
+fn an_ejection_times_out_where_too_few_reports_are_fresh() {
+    let mut detector = ejecting_detector();
+    let just_before = NOW + EJECTION_TIMEOUT - ms(1);
+    detector.evaluate(just_before, &nodes(1), &own_report(), &[]);
+    assert!(avoids_node_1(&detector));
+    detector.evaluate(NOW + EJECTION_TIMEOUT, &nodes(1), &own_report(), &[]);
+    assert!(!avoids_node_1(&detector));
+}
+
+/// Where most of what is tried would be ejected, the verdicts are distrusted.
+#[test]
+fn a_host_is_never_left_without_nodes_by_what_its_peers_report() {
+    for (bad_nodes, avoided) in [(1, 1), (2, 2), (3, 0), (4, 0)] {
+        let observations = (1..=4).map(|node| {
+            let bad = if node <= bad_nodes { 5 } else { 0 };
+            observation(node, 5, bad)
+        });
+        let report = HostReport {
+            observations: observations.collect(),
+            ..HostReport::default()
+        };
+        let observers = three_observers(&report, ms(0));
+        let mut detector = detector(4);
+        detector.evaluate(NOW, &nodes(1), &HostReport::default(), &observers);
+        let avoids = (1..=4)
+            .filter(|node| detector.policy(*node) != EndpointPolicy::OwnEvidence)
+            .count();
+        assert_eq!(avoids, avoided, "{bad_nodes} of four");
+    }
+}
--- a/crates/fleet/tests/quota_lease_explorer.rs
+++ b/crates/fleet/tests/quota_lease_explorer.rs
@@ -1,96 +1,163 @@
-//! All that can happen to one budget of three hosts, explored: words are lost, doubled, overtaken, or come
-//! after their sender's life; hosts die and start anew without their memory; a clock loses a tick; the third
-//! host joins when the first two have followed. In every state the hosts' parts add up to the whole at most.
-//! Worlds with a fault planted on purpose, on the other side of the budget's interface, must break that.
+//! All that can happen to the leases of one limit among three hosts, explored: messages are lost, doubled, overtaken, or
+//! arrive after their sender's incarnation; hosts die and start anew without their memory; a clock loses a tick; the
+//! third host joins when the first two have followed. In every state the hosts' quotas add up to the whole limit at
+//! most. Worlds with a fault planted on purpose, on the other side of the leases' interface, must break that.
 
-use grebecleat_fleet::quota_lease::{
-    LeaseMessage, LeaseTerms, QuotaLeases, ReceivedLeaseMessage, WHOLE_LIMIT,
+use grebecleat_fleet::lease_message::{
+    LeaseMessage, LeaseTerms, ReceivedLeaseMessage, WHOLE_LIMIT,
 };
+use grebecleat_fleet::quota_lease::{Lender, OutgoingLeaseMessage, QuotaLeases};
 use grebecleat_fleet::{HostNumber, Incarnation};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
-const SPANS: LeaseTerms = LeaseTerms {
+const TERMS: LeaseTerms = LeaseTerms {
     duration: ticks(2),
     margin: ticks(1),
 };
-/// Words on their way at most; one more pushes out none, it is not said.
-const ON_THE_WAY: usize = 2;
+/// Messages in flight at most; a further one is not sent.
+const MAX_IN_FLIGHT: usize = 2;
+/// How long ago a host has started that is past its recovery.
+const LONG_AGO: u64 = 50;
+/// States that are visited, at most, where a world is larger.
+const MAX_STATES: usize = 250_000;
 
-const fn ticks(n: u64) -> Duration {
-    Duration::from_secs(n)
+const fn ticks(count: u64) -> Duration {
+    Duration::from_secs(count)
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A host that starts anew takes it that it has lent nothing.
-    StartsInTheDark,
-    /// Somebody says for a host that it holds nothing, who does not know.
-    ClearedByHearsay,
-    /// Words are taken for those of their sender's present life.
-    LivesMixedUp,
+    /// A host that starts anew takes it that it has granted nothing.
+    SkipsRecovery,
+    /// One host sends in another's name that it uses nothing, without knowing it.
+    ClearedByThirdHost,
+    /// Messages are taken for those of their sender's present incarnation.
+    IncarnationsMixedUp,
     /// A clock loses more than the margin.
     SlowClock,
-    /// The lender counts from when it was asked, and not from when it agreed.
-    CountsFromTheAsk,
-    /// A word that a loan is home comes before its borrower has let it go.
-    HomeTooEarly,
-    /// One agreement is taken for the answer to another ask as well.
-    AnswersMixedUp,
+    /// The lender counts from when the request was sent, and not from when it granted.
+    CountsFromRequest,
+    /// A release is sent before its borrower has dropped the lease.
+    ReleasedTooEarly,
+    /// One grant is taken for the answer to another request as well.
+    GrantsMixedUp,
     /// The third host begins before the first two have followed.
     JoinsTooEarly,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Host {
-    budget: Option<QuotaLeases>,
+    leases: Option<QuotaLeases>,
     clock: u64,
     incarnation: u64,
     slips: u8,
     follows: bool,
 }
 
+impl Host {
+    fn now(&self) -> Duration {
+        ticks(self.clock)
+    }
+
+    fn quota(&self) -> u64 {
+        let leases = self.leases.as_ref();
+        leases.map_or(0, |leases| u64::from(leases.quota(self.now())))
+    }
+
+    fn sharer_count(&self) -> Option<usize> {
+        let leases = self.leases.as_ref();
+        leases.map(|leases| leases.sharers().len())
+    }
+}
+
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct World {
     time: u64,
     hosts: Vec<Host>,
-    way: Vec<(usize, ReceivedLeaseMessage)>,
+    /// Receivers and what they receive.
+    in_flight: Vec<(usize, ReceivedLeaseMessage)>,
     mishaps: u8,
     joining: bool,
     /// Hosts that have had their round in this tick.
-    tended: Vec<bool>,
+    had_round: Vec<bool>,
+}
+
+impl World {
+    /// Takes a message in flight; a doubled one stays for another delivery.
+    fn take_message(&mut self, at: usize, doubled: bool) -> (usize, ReceivedLeaseMessage) {
+        let message = self.in_flight[at];
+        if !doubled {
+            self.in_flight.remove(at);
+        }
+        message
+    }
+
+    fn tick(&mut self) {
+        self.time += 1;
+        self.had_round.fill(false);
+    }
+
+    fn sum_of_quotas(&self) -> u64 {
+        self.hosts.iter().map(Host::quota).sum()
+    }
+}
+
+/// The worlds that follow on one.
+struct Successors<'a> {
+    world: &'a World,
+    found: Vec<World>,
+}
+
+impl Successors<'_> {
+    /// Adds the world after a change, if it changes anything.
+    fn add(&mut self, change: impl FnOnce(&mut World)) {
+        let mut next = self.world.clone();
+        change(&mut next);
+        if next != *self.world {
+            self.found.push(next);
+        }
+    }
+
+    /// Adds the world after a mishap.
+    fn add_mishap(&mut self, change: impl FnOnce(&mut World)) {
+        self.add(|next| {
+            next.mishaps += 1;
+            change(next);
+        });
+    }
 }
 
 struct Model {
     fault: Fault,
     hosts: usize,
     end: u64,
-    mishaps: u8,
+    max_mishaps: u8,
     joins: bool,
 }
 
-fn sharers(n: usize) -> BTreeSet<HostNumber> {
-    (0..n as u32).map(HostNumber).collect()
+fn sharers(count: usize) -> BTreeSet<HostNumber> {
+    (0..count as u32).map(HostNumber).collect()
 }
 
 impl Model {
     fn start(&self) -> World {
-        let n = if self.joins { 2 } else { self.hosts };
-        // Clocks begin apart, far enough from zero that nobody's start is near it.
-        let host = |h: usize| Host {
-            budget: (h < n).then(|| {
-                let born = ticks(90 + 3 * h as u64);
+        let sharer_count = if self.joins { 2 } else { self.hosts };
+        // Clocks begin apart, far enough from zero that no host's start is near it.
+        let host = |index: usize| Host {
+            leases: (index < sharer_count).then(|| {
+                let started_at = ticks(90 + 3 * index as u64);
                 QuotaLeases::new(
-                    born,
-                    HostNumber(h as u32),
+                    started_at,
+                    HostNumber(index as u32),
                     Incarnation(1),
-                    SPANS,
-                    sharers(n),
+                    TERMS,
+                    sharers(sharer_count),
                 )
             }),
-            clock: 100 + 3 * h as u64,
+            clock: 100 + 3 * index as u64,
             incarnation: 1,
             slips: 0,
             follows: false,
@@ -99,279 +166,285 @@
         World {
             time: 0,
             hosts,
-            way: Vec::new(),
+            in_flight: Vec::new(),
             mishaps: 0,
             joining: self.joins,
-            tended: vec![false; self.hosts],
+            had_round: vec![false; self.hosts],
         }
     }
 
     /// Demand moves from the first host to the second in the middle.
-    fn wanted(&self, w: &World, h: usize) -> u32 {
-        let first = w.time < self.end / 2;
-        if (h == 0) == first {
+    fn demand(&self, world: &World, host: usize) -> u32 {
+        let first_half = world.time < self.end / 2;
+        if (host == 0) == first_half {
             WHOLE_LIMIT
         } else {
             0
         }
     }
 
-    fn say(&self, w: &mut World, from: usize, lease_messages: Vec<(HostNumber, LeaseMessage)>) {
-        let n = w.hosts[from]
-            .budget
-            .as_ref()
-            .map_or(0, |b| b.sharers().len() as u32);
-        for (to, say) in lease_messages {
-            let heard = ReceivedLeaseMessage {
+    fn send(&self, world: &mut World, from: usize, messages: Vec<OutgoingLeaseMessage>) {
+        let sharers = world.hosts[from].sharer_count().unwrap_or(0) as u32;
+        let incarnation = Incarnation(world.hosts[from].incarnation);
+        for OutgoingLeaseMessage { to, message } in messages {
+            let received = ReceivedLeaseMessage {
                 from: HostNumber(from as u32),
-                incarnation: Incarnation(w.hosts[from].incarnation),
-                sharers: n,
-                say,
+                incarnation,
+                sharers,
+                message,
             };
-            if self.fault == Fault::ClearedByHearsay && say == LeaseMessage::Recovered {
-                let incarnation = Incarnation(w.hosts[to.0 as usize].incarnation);
-                let clear = LeaseMessage::Cleared {
-                    of: Incarnation(w.hosts[from].incarnation),
-                };
-                w.way.push((
-                    from,
-                    ReceivedLeaseMessage {
-                        from: to,
-                        incarnation,
-                        sharers: n,
-                        say: clear,
+            if self.fault == Fault::ClearedByThirdHost && message == LeaseMessage::Recovered {
+                let cleared = ReceivedLeaseMessage {
+                    from: to,
+                    incarnation: Incarnation(world.hosts[to.0 as usize].incarnation),
+                    sharers,
+                    message: LeaseMessage::Cleared {
+                        recovered_incarnation: incarnation,
                     },
-                ));
+                };
+                world.in_flight.push((from, cleared));
             }
-            if w.way.len() < ON_THE_WAY {
-                w.way.push((to.0 as usize, heard));
+            if world.in_flight.len() < MAX_IN_FLIGHT {
+                world.in_flight.push((to.0 as usize, received));
             }
         }
-        w.way.sort_unstable();
-        w.way.dedup();
+        world.in_flight.sort_unstable();
+        world.in_flight.dedup();
     }
 
-    fn deliver(&self, w: &mut World, at: usize, keep: bool) {
-        let (to, mut heard) = w.way[at];
-        if !keep {
-            w.way.remove(at);
+    fn deliver(&self, world: &mut World, at: usize, doubled: bool) {
+        let (to, mut received) = world.take_message(at, doubled);
+        if self.fault == Fault::IncarnationsMixedUp {
+            let sender = &world.hosts[received.from.0 as usize];
+            received.incarnation = Incarnation(sender.incarnation);
         }
-        if self.fault == Fault::LivesMixedUp {
-            heard.incarnation = Incarnation(w.hosts[heard.from.0 as usize].incarnation);
-        }
-        let mut now = ticks(w.hosts[to].clock);
-        if self.fault == Fault::CountsFromTheAsk
-            && matches!(heard.say, LeaseMessage::Request { .. })
-        {
+        let mut now = world.hosts[to].now();
+        let is_request = matches!(received.message, LeaseMessage::Request { .. });
+        if self.fault == Fault::CountsFromRequest && is_request {
             now -= ticks(3);
         }
-        let Some(budget) = w.hosts[to].budget.as_mut() else {
+        let Some(leases) = world.hosts[to].leases.as_mut() else {
             return;
         };
-        let lease_messages = budget.hear(now, heard);
-        if let (Fault::AnswersMixedUp, LeaseMessage::Grant { ask, of, amount }) =
-            (self.fault, heard.say)
-        {
-            for other in [ask.wrapping_sub(2), ask + 2] {
-                budget.hear(
-                    now,
-                    ReceivedLeaseMessage {
-                        say: LeaseMessage::Grant {
-                            ask: other,
-                            of,
-                            amount,
-                        },
-                        ..heard
-                    },
-                );
-            }
+        let answers = leases.handle_message(now, received);
+        if self.fault == Fault::GrantsMixedUp {
+            grant_other_requests(leases, now, received);
         }
-        self.say(w, to, lease_messages);
-        if let (Fault::HomeTooEarly, LeaseMessage::Request { loan, .. }) = (self.fault, heard.say) {
-            let home = ReceivedLeaseMessage {
-                say: LeaseMessage::Release { loan },
-                ..heard
+        self.send(world, to, answers);
+        if let (Fault::ReleasedTooEarly, LeaseMessage::Request { lease, .. }) =
+            (self.fault, received.message)
+        {
+            let release = ReceivedLeaseMessage {
+                message: LeaseMessage::Release { lease },
+                ..received
             };
-            if w.way.len() < ON_THE_WAY {
-                w.way.push((to, home));
+            if world.in_flight.len() < MAX_IN_FLIGHT {
+                world.in_flight.push((to, release));
             }
         }
     }
 
-    fn next(&self, w: &World) -> Vec<World> {
-        let mut all = Vec::new();
-        let mut with = |change: &mut dyn FnMut(&mut World)| {
-            let mut next = w.clone();
-            change(&mut next);
-            if next != *w {
-                all.push(next);
-            }
-        };
-        let may = w.mishaps < self.mishaps;
-        for at in 0..w.way.len() {
-            with(&mut |n| self.deliver(n, at, false));
-            if may {
-                with(&mut |n| {
-                    n.mishaps += 1;
-                    self.deliver(n, at, true);
-                });
-                with(&mut |n| {
-                    n.mishaps += 1;
-                    n.way.remove(at);
+    fn run_round(&self, world: &mut World, index: usize) {
+        world.had_round[index] = true;
+        let demand = self.demand(world, index);
+        let mut lenders = Vec::new();
+        for (other, host) in world.hosts.iter().enumerate() {
+            if let Some(leases) = host.leases.as_ref().filter(|_| other != index) {
+                lenders.push(Lender {
+                    host: HostNumber(other as u32),
+                    spare: leases.spare(host.now()),
                 });
             }
         }
-        for h in 0..self.hosts {
-            let alive = w.hosts[h].budget.is_some();
-            if alive && !w.tended[h] {
-                with(&mut |n| {
-                    n.tended[h] = true;
-                    let wanted = self.wanted(n, h);
-                    let offers: Vec<(HostNumber, u32)> = n
-                        .hosts
-                        .iter()
-                        .enumerate()
-                        .filter(|(o, _)| *o != h)
-                        .filter_map(|(o, x)| {
-                            Some((
-                                HostNumber(o as u32),
-                                x.budget.as_ref()?.spare(ticks(x.clock)),
-                            ))
-                        })
-                        .collect();
-                    let now = ticks(n.hosts[h].clock);
-                    let b = n.hosts[h].budget.as_mut().expect("alive");
-                    b.want(wanted);
-                    let lease_messages = b.tend(now, &offers);
-                    self.say(n, h, lease_messages);
-                });
+        let now = world.hosts[index].now();
+        let leases = world.hosts[index].leases.as_mut().expect("alive");
+        leases.set_demand(demand);
+        let messages = leases.run_round(now, &lenders);
+        self.send(world, index, messages);
+    }
+
+    /// A host dies and is back before any clock moves: the worst time.
+    fn restart(&self, world: &mut World, index: usize) {
+        let host = &mut world.hosts[index];
+        let sharer_count = host.sharer_count().unwrap_or(self.hosts);
+        host.incarnation += 1;
+        let skipped = if self.fault == Fault::SkipsRecovery {
+            LONG_AGO
+        } else {
+            0
+        };
+        host.leases = Some(QuotaLeases::new(
+            ticks(host.clock - skipped),
+            HostNumber(index as u32),
+            Incarnation(host.incarnation),
+            TERMS,
+            sharers(sharer_count),
+        ));
+    }
+
+    fn next(&self, world: &World) -> Vec<World> {
+        let mut successors = Successors {
+            world,
+            found: Vec::new(),
+        };
+        let mishaps_left = world.mishaps < self.max_mishaps;
+        self.add_deliveries(&mut successors, mishaps_left);
+        for host in 0..self.hosts {
+            let alive = world.hosts[host].leases.is_some();
+            if alive && !world.had_round[host] {
+                successors.add(|next| self.run_round(next, host));
             }
-            if may && alive {
-                with(&mut |n| {
-                    n.mishaps += 1;
-                    let host = &mut n.hosts[h];
-                    let count = host
-                        .budget
-                        .as_ref()
-                        .map_or(self.hosts, |b| b.sharers().len());
-                    host.incarnation += 1;
-                    // It dies and is back before anybody's clock moves: the worst time.
-                    let dark = if self.fault == Fault::StartsInTheDark {
-                        50
-                    } else {
-                        0
-                    };
-                    let (me, incarnation) = (HostNumber(h as u32), Incarnation(host.incarnation));
-                    let born = ticks(host.clock - dark);
-                    host.budget = Some(QuotaLeases::new(
-                        born,
-                        me,
-                        incarnation,
-                        SPANS,
-                        sharers(count),
-                    ));
-                });
+            if mishaps_left && alive {
+                successors.add_mishap(|next| self.restart(next, host));
             }
         }
-        if w.joining {
-            for h in 0..2 {
-                with(&mut |n| {
-                    n.hosts[h].follows = true;
-                    n.hosts[h]
-                        .budget
-                        .iter_mut()
-                        .for_each(|b| b.shared_by(sharers(3)));
-                });
-            }
-            if (w.hosts[0].follows && w.hosts[1].follows) || self.fault == Fault::JoinsTooEarly {
-                with(&mut |n| {
-                    n.joining = false;
-                    let now = ticks(n.hosts[2].clock);
-                    n.hosts[2].budget = Some(QuotaLeases::new(
-                        now - ticks(50),
-                        HostNumber(2),
-                        Incarnation(1),
-                        SPANS,
-                        sharers(3),
-                    ));
+        if world.joining {
+            self.add_joins(&mut successors);
+        }
+        if world.time < self.end {
+            self.add_ticks(&mut successors, mishaps_left);
+        }
+        successors.found
+    }
+
+    /// Messages arrive once, or twice, or never.
+    fn add_deliveries(&self, successors: &mut Successors, mishaps_left: bool) {
+        for at in 0..successors.world.in_flight.len() {
+            successors.add(|next| self.deliver(next, at, false));
+            if mishaps_left {
+                successors.add_mishap(|next| self.deliver(next, at, true));
+                successors.add_mishap(|next| {
+                    next.in_flight.remove(at);
                 });
             }
         }
-        if w.time < self.end {
-            with(&mut |n| {
-                (n.time, n.tended) = (n.time + 1, vec![false; self.hosts]);
-                n.hosts.iter_mut().for_each(|h| h.clock += 1);
-            });
-            let slips = if self.fault == Fault::SlowClock { 3 } else { 1 };
-            for h in 0..self.hosts {
-                if w.hosts[h].slips < slips && may {
-                    with(&mut |n| {
-                        (n.time, n.tended) = (n.time + 1, vec![false; self.hosts]);
-                        n.mishaps += u8::from(self.fault != Fault::SlowClock);
-                        n.hosts[h].slips += 1;
-                        n.hosts
-                            .iter_mut()
-                            .enumerate()
-                            .filter(|(o, _)| *o != h)
-                            .for_each(|(_, x)| x.clock += 1);
-                    });
+    }
+
+    /// The first two hosts follow, and the third joins.
+    fn add_joins(&self, successors: &mut Successors) {
+        for host in 0..2 {
+            successors.add(|next| {
+                next.hosts[host].follows = true;
+                if let Some(leases) = &mut next.hosts[host].leases {
+                    leases.set_sharers(sharers(3));
                 }
+            });
+        }
+        let both_follow = successors.world.hosts[..2].iter().all(|host| host.follows);
+        if both_follow || self.fault == Fault::JoinsTooEarly {
+            successors.add(|next| {
+                next.joining = false;
+                let now = next.hosts[2].now();
+                next.hosts[2].leases = Some(QuotaLeases::new(
+                    now - ticks(LONG_AGO),
+                    HostNumber(2),
+                    Incarnation(1),
+                    TERMS,
+                    sharers(3),
+                ));
+            });
+        }
+    }
+
+    /// All clocks move, or all but one.
+    fn add_ticks(&self, successors: &mut Successors, mishaps_left: bool) {
+        successors.add(|next| {
+            next.tick();
+            for host in &mut next.hosts {
+                host.clock += 1;
+            }
+        });
+        let is_slow = self.fault == Fault::SlowClock;
+        let max_slips = if is_slow { 3 } else { 1 };
+        for slow in 0..self.hosts {
+            if successors.world.hosts[slow].slips >= max_slips || !mishaps_left {
+                continue;
             }
+            successors.add(|next| {
+                next.tick();
+                next.mishaps += u8::from(!is_slow);
+                next.hosts[slow].slips += 1;
+                for (index, host) in next.hosts.iter_mut().enumerate() {
+                    host.clock += u64::from(index != slow);
+                }
+            });
         }
-        all
     }
 
-    /// The states seen, and the first in which the parts are more than the whole.
-    fn explore(&self, most: usize) -> (usize, Option<World>) {
-        let mut seen: HashSet<u64> = HashSet::new();
+    /// How many states were visited, and the first in which the quotas are more than the whole limit.
+    fn explore(&self, max_states: usize) -> (usize, Option<World>) {
+        let mut visited: HashSet<u64> = HashSet::new();
         let mut open = VecDeque::from([self.start()]);
-        while let Some(w) = open.pop_front() {
+        while let Some(world) = open.pop_front() {
             let mut hasher = DefaultHasher::new();
-            w.hash(&mut hasher);
-            if !seen.insert(hasher.finish()) {
+            world.hash(&mut hasher);
+            if !visited.insert(hasher.finish()) {
                 continue;
             }
-            let part = |h: &Host| {
-                h.budget
-                    .as_ref()
-                    .map_or(0, |b| u64::from(b.part(ticks(h.clock))))
-            };
-            if w.hosts.iter().map(part).sum::<u64>() > u64::from(WHOLE_LIMIT) {
-                return (seen.len(), Some(w));
+            if world.sum_of_quotas() > u64::from(WHOLE_LIMIT) {
+                return (visited.len(), Some(world));
             }
-            if seen.len() >= most {
+            if visited.len() >= max_states {
                 break;
             }
-            open.extend(self.next(&w));
+            open.extend(self.next(&world));
         }
-        (seen.len(), None)
+        (visited.len(), None)
     }
 }
 
-/// States that are looked at, at most, where a world is larger.
-const MOST: usize = 250_000;
+/// Takes a grant for the answer to the requests before and after its own as well.
+fn grant_other_requests(leases: &mut QuotaLeases, now: Duration, received: ReceivedLeaseMessage) {
+    let LeaseMessage::Grant {
+        request,
+        borrower_incarnation,
+        amount,
+    } = received.message
+    else {
+        return;
+    };
+    for other in [request.wrapping_sub(2), request + 2] {
+        let message = LeaseMessage::Grant {
+            request: other,
+            borrower_incarnation,
+            amount,
+        };
+        leases.handle_message(
+            now,
+            ReceivedLeaseMessage {
+                message,
+                ..received
+            },
+        );
+    }
+}
 
 #[test]
-fn the_parts_of_a_budget_never_add_up_to_more_than_the_whole() {
-    for (hosts, end, mishaps, joins) in [
+fn the_quotas_of_a_limit_never_add_up_to_more_than_the_whole() {
+    for (hosts, end, max_mishaps, joins) in [
         (2, 4, 1, false),
         (2, 6, 1, false),
         (2, 4, 2, false),
         (3, 4, 1, true),
     ] {
-        let (seen, broken) = Model {
+        let (visited, broken) = Model {
             fault: Fault::None,
             hosts,
             end,
-            mishaps,
+            max_mishaps,
             joins,
         }
-        .explore(MOST);
-        let whole = if seen < MOST { "all" } else { "the first" };
+        .explore(MAX_STATES);
+        let which = if visited < MAX_STATES {
+            "all"
+        } else {
+            "the first"
+        };
         println!(
-            "{hosts} hosts, {end} ticks, {mishaps} mishaps, joins {joins}: {whole} {seen} states"
+            "{hosts} hosts, {end} ticks, {max_mishaps} mishaps, joins {joins}: \
+             {which} {visited} states"
         );
-        assert!(seen > 1_000, "{seen} states are no exploration");
+        assert!(visited > 1_000, "{visited} states are no exploration");
         assert!(broken.is_none(), "{broken:#?}");
     }
 }
@@ -379,26 +452,29 @@
 #[test]
 fn planted_faults_are_found() {
     let faults = [
-        Fault::StartsInTheDark,
-        Fault::ClearedByHearsay,
-        Fault::LivesMixedUp,
+        Fault::SkipsRecovery,
+        Fault::ClearedByThirdHost,
+        Fault::IncarnationsMixedUp,
         Fault::SlowClock,
-        Fault::CountsFromTheAsk,
-        Fault::HomeTooEarly,
-        Fault::AnswersMixedUp,
+        Fault::CountsFromRequest,
+        Fault::ReleasedTooEarly,
+        Fault::GrantsMixedUp,
         Fault::JoinsTooEarly,
     ];
     for fault in faults {
         let joins = fault == Fault::JoinsTooEarly;
-        let (seen, broken) = Model {
+        let (visited, broken) = Model {
             fault,
             hosts: if joins { 3 } else { 2 },
             end: 6,
-            mishaps: 2,
+            max_mishaps: 2,
             joins,
         }
-        .explore(8 * MOST);
-        println!("{fault:?}: after {seen} states");
-        assert!(broken.is_some(), "{fault:?} is not found in {seen} states");
+        .explore(8 * MAX_STATES);
+        println!("{fault:?}: after {visited} states");
+        assert!(
+            broken.is_some(),
+            "{fault:?} is not found in {visited} states"
+        );
     }
 }
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -10,9 +10,10 @@
 use grebecleat::interface::{
     AttemptOutcome, Event, LimitQuota, NodeId, PeerId, Plan, PlanId, VolumeId, VolumeTerms,
 };
-use grebecleat_fleet::fleet::{self, Action, Fleet, Rules};
+use grebecleat_fleet::events::{self, Action, Rules};
+use grebecleat_fleet::fleet::{Fleet, NodePolicy};
+use grebecleat_fleet::lease_message::LeaseTerms;
 use grebecleat_fleet::outlier_detection::EndpointPolicy;
-use grebecleat_fleet::quota_lease::LeaseTerms;
 use grebecleat_fleet::{HostNumber, Incarnation};
 use grebecleat_settings::Settings;
 use grebecleat_wire::clock::micros;
@@ -45,7 +46,7 @@
 pub struct QuotaSharing {
     fleet: Fleet,
     volumes: BTreeMap<VolumeId, SharedVolume>,
-    pending: Vec<fleet::Event>,
+    pending: Vec<events::Event>,
     avoided: BTreeSet<NodeId>,
 }
 
@@ -73,7 +74,7 @@
     ) -> Option<QuotaSharing> {
         let spec = settings.fleet.filter(|_| !peers.is_empty())?;
         let rules = Rules {
-            every: spec.every,
+            interval: spec.every,
             leases: LeaseTerms {
                 duration: spec.loan,
                 margin: spec.margin,
@@ -116,14 +117,14 @@
         let limited = terms.and_then(|terms| Some((terms, terms.limit?)));
         let Some((terms, quota)) = limited else {
             self.volumes.remove(&volume);
-            self.pending.push(fleet::Event::VolumeChanged {
+            self.pending.push(events::Event::VolumeChanged {
                 volume: volume.0,
                 sharers: BTreeSet::new(),
                 limit: 0.0,
             });
             return terms;
         };
-        self.pending.push(fleet::Event::VolumeChanged {
+        self.pending.push(events::Event::VolumeChanged {
             volume: volume.0,
             sharers: hosts,
             limit: quota.rate * terms.hosts.max(1) as f64,
@@ -136,7 +137,7 @@
 
     /// A peer's message; `waited`: how long it was on its way.
     pub fn message_received(&mut self, from: PeerId, waited: Duration, bytes: &[u8]) {
-        self.pending.push(fleet::Event::MessageReceived {
+        self.pending.push(events::Event::MessageReceived {
             from: HostNumber(from.0),
             waited,
             bytes: bytes.to_vec(),
@@ -146,7 +147,7 @@
     /// A request of a volume has come in.
     pub fn request_received(&mut self, volume: u64, units: f64) {
         self.pending
-            .push(fleet::Event::UnitsRequested { volume, units });
+            .push(events::Event::UnitsRequested { volume, units });
     }
 
     /// Units a second that a volume is served over all hosts, by their own counts: behind, if anything.
@@ -157,7 +158,7 @@
     /// A request of a volume has completed.
     pub fn request_completed(&mut self, volume: u64, units: f64) {
         self.pending
-            .push(fleet::Event::UnitsServed { volume, units });
+            .push(events::Event::UnitsServed { volume, units });
     }
 
     /// How an attempt ended; what says nothing of the node is no evidence.
@@ -171,12 +172,12 @@
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return,
         };
         self.pending
-            .push(fleet::Event::AttemptEnded { node: node.0, bad });
+            .push(events::Event::AttemptEnded { node: node.0, bad });
     }
 
     /// The nodes that the endpoint list and the operators have in use, with the starts of their processes.
     pub fn nodes_in_use(&mut self, nodes: BTreeMap<u32, u64>) {
-        self.pending.push(fleet::Event::NodesInUse(nodes));
+        self.pending.push(events::Event::NodesInUse(nodes));
     }
 
     /// Whether the fleet finds the node bad.
@@ -196,7 +197,7 @@
             host.map(|host| host.name.clone()).unwrap_or_default()
         };
         let peers = self.fleet.peers(now).into_iter();
-        let quotas = self.fleet.parts(now).into_iter();
+        let quotas = self.fleet.quotas(now).into_iter();
         pb::HostMetrics {
             incarnation: self.fleet.incarnation().0,
             peers: peers
@@ -205,16 +206,16 @@
                     incarnation: peer.incarnation.0,
                     age_us: micros(peer.age),
                     tried: peer.tried,
-                    badly: peer.badly,
+                    badly: peer.bad,
                 })
                 .collect(),
             quotas: quotas
                 .map(|quota| pb::QuotaMetrics {
                     volume: quota.volume,
                     sharers: quota.sharers as u32,
-                    part: quota.part,
+                    part: quota.quota,
                     base: quota.base_quota,
-                    lent: quota.lent,
+                    lent: quota.granted,
                     borrowed: quota.borrowed,
                 })
                 .collect(),
@@ -224,8 +225,8 @@
     }
 
     fn endpoint_policies(&self) -> Vec<pb::EndpointPolicyMetrics> {
-        let findings = self.fleet.policies().into_iter();
-        let metrics = findings.map(|(node, finding, policy)| pb::EndpointPolicyMetrics {
+        let policies = self.fleet.policies().into_iter();
+        let metrics = policies.map(|NodePolicy { node, finding, policy }| pb::EndpointPolicyMetrics {
             node,
             policy: match policy {
                 EndpointPolicy::OwnEvidence => pb::EndpointPolicy::AsToday,
@@ -235,17 +236,17 @@
             }
             .into(),
             verdict: finding.verdict.name().into(),
-            well: finding.well.0 as u32,
-            well_weight: finding.well.1,
-            badly: finding.badly.0 as u32,
-            badly_weight: finding.badly.1,
+            well: finding.good.hosts as u32,
+            well_weight: finding.good.weight,
+            badly: finding.bad.hosts as u32,
+            badly_weight: finding.bad.weight,
         });
         metrics.collect()
     }
 
     /// When what this host may use next changes by itself.
     pub fn quota_changes_at(&self) -> Duration {
-        self.fleet.parts_at()
+        self.fleet.quotas_change_at()
     }
 
     /// When `step` must be called again if nothing happens before.
--- a/crates/host/tests/quota_sharing.rs
+++ b/crates/host/tests/quota_sharing.rs
@@ -4,8 +4,9 @@
 use bytes::Bytes;
 use common::*;
 use grebecleat::interface::PeerId;
-use grebecleat_fleet::fleet::{Action, Event, Fleet, Rules};
-use grebecleat_fleet::quota_lease::LeaseTerms;
+use grebecleat_fleet::events::{Action, Event, Rules};
+use grebecleat_fleet::fleet::Fleet;
+use grebecleat_fleet::lease_message::LeaseTerms;
 use grebecleat_fleet::{HostNumber, Incarnation};
 use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::pb::{self, frame::Body};
@@ -32,7 +33,7 @@
 impl Pair {
     fn new() -> Pair {
         let rules = Rules {
-            every: ms(100),
+            interval: ms(100),
             leases: LeaseTerms {
                 duration: Duration::from_secs(1),
                 margin: ms(100),
