--- a/crates/fleet/src/attempts.rs
+++ b/crates/fleet/src/attempts.rs
@@ -1,15 +1,16 @@
 //! Attempts that this host made in the last seconds, by node, as observations for its report.
 //!
-//! Owned by [`crate::fleet`], which counts each attempt here and halves the counts as time passes. Memory: a row for each
-//! node in use.
+//! Owned by [`crate::fleet`], which counts each attempt here and halves the counts as time passes.
+//! Memory: a row for each node in use.
 
 use crate::evidence::EVIDENCE_WINDOW;
 use crate::host_report::Observation;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Attempts of the last seconds to one node. Each answer halves the count of the other kind: of a node that has changed,
-/// what was before says little, and of one that answers sometimes well and sometimes badly both counts stay.
+/// Attempts of the last seconds to one node. Each answer halves the count of the other kind: of a
+/// node that has changed, what was before says little, and of one that answers sometimes well and
+/// sometimes badly both counts stay.
 #[derive(Debug, Default, Clone, Copy)]
 struct AttemptCounts {
     good: u32,
@@ -42,7 +43,8 @@
         self.nodes = nodes;
     }
 
-    /// Counts an attempt; whether it may be news for the peers. `is_ejected`: whether this host has the node ejected.
+    /// Counts an attempt; whether it may be news for the peers. `is_ejected`: whether this host has
+    /// the node ejected.
     pub fn record(&mut self, now: Duration, node: u32, bad: bool, is_ejected: bool) -> bool {
         let counts = self.counts.entry(node).or_default();
         if bad {
--- /dev/null
+++ b/crates/fleet/src/borrowed_leases.rs
@@ -0,0 +1,243 @@
+//! The borrower's side of one limit's leases: what is borrowed, and which requests wait for an
+//! answer.
+//!
+//! State machine, owned by [`crate::quota_lease`]. No I/O. Memory: [`MAX_LEASES`] leases, and as
+//! many pending requests.
+
+use crate::lease_message::LeaseMessage;
+use crate::HostNumber;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// Leases that a host grants, and that it borrows, at most.
+pub const MAX_LEASES: usize = 64;
+/// Hosts that are asked for a lease at a time.
+const MAX_LENDERS_ASKED: usize = 8;
+/// A request without an answer is dropped after this fraction of a lease's duration.
+const REQUEST_TIMEOUT_DIVISOR: u32 = 4;
+/// A lease is renewed when less than this fraction of its duration is left.
+const RENEWAL_DIVISOR: u32 = 2;
+
+/// What one host could lease to others of one limit.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Lender {
+    /// The host.
+    pub host: HostNumber,
+    /// What it last reported to have to spare, in fractions of
+    /// [`crate::lease_message::WHOLE_LIMIT`].
+    pub spare: u32,
+}
+
+/// A lease message to send.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct OutgoingLeaseMessage {
+    /// The receiver.
+    pub to: HostNumber,
+    /// What it is sent.
+    pub message: LeaseMessage,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct BorrowedLease {
+    lender: HostNumber,
+    amount: u32,
+    until: Duration,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+struct PendingRequest {
+    lender: HostNumber,
+    lease: u64,
+    sent_at: Duration,
+}
+
+/// A request that is about to be sent.
+#[derive(Debug, Clone, Copy)]
+struct LeaseRequest {
+    lender: HostNumber,
+    lease: u64,
+    amount: u32,
+}
+
+/// What one host borrows of one limit.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(crate) struct BorrowedLeases {
+    /// How long a lease lasts from its request.
+    duration: Duration,
+    /// By their numbers.
+    leases: BTreeMap<u64, BorrowedLease>,
+    /// By their numbers.
+    requests: BTreeMap<u64, PendingRequest>,
+    /// The last number given to a lease or a request.
+    last_number: u64,
+}
+
+impl BorrowedLeases {
+    /// Nothing borrowed; numbers begin after `last_number`.
+    pub fn new(duration: Duration, last_number: u64) -> Self {
+        BorrowedLeases {
+            duration,
+            leases: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            last_number,
+        }
+    }
+
+    /// What is borrowed now.
+    pub fn amount(&self, now: Duration) -> u32 {
+        let leases = self.leases.values().filter(|lease| now < lease.until);
+        leases.map(|lease| lease.amount).sum()
+    }
+
+    /// When each lease runs out.
+    pub fn ends(&self) -> impl Iterator<Item = Duration> + '_ {
+        self.leases.values().map(|lease| lease.until)
+    }
+
+    /// Drops all leases and requests.
+    pub fn void_all(&mut self) {
+        self.leases.clear();
+        self.requests.clear();
+    }
+
+    /// Drops all requests, so that answers to them are rejected.
+    pub fn drop_requests(&mut self) {
+        self.requests.clear();
+    }
+
+    /// Drops what an earlier incarnation of a host granted, and was asked for.
+    pub fn void_from(&mut self, lender: HostNumber) {
+        self.leases.retain(|_, lease| lease.lender != lender);
+        self.requests.retain(|_, request| request.lender != lender);
+    }
+
+    /// Drops what has run out.
+    pub fn drop_expired(&mut self, now: Duration) {
+        let request_timeout = self.duration / REQUEST_TIMEOUT_DIVISOR;
+        self.leases.retain(|_, lease| now < lease.until);
+        self.requests
+            .retain(|_, request| now < request.sent_at + request_timeout);
+    }
+
+    /// Takes the answer to a request. `amount`: 0 where nothing is granted.
+    pub fn handle_grant(&mut self, now: Duration, lender: HostNumber, request: u64, amount: u32) {
+        let pending = self.requests.remove(&request);
+        let Some(pending) = pending.filter(|pending| pending.lender == lender) else {
+            return;
+        };
+        let until = pending.sent_at + self.duration;
+        if amount == 0 || now >= until {
+            return;
+        }
+        let lease = self.leases.get_mut(&pending.lease);
+        if let Some(lease) = lease.filter(|lease| now < lease.until) {
+            // Grants can overtake each other, and only make a lease longer.
+            lease.until = until.max(lease.until);
+            lease.amount = amount.min(lease.amount);
+            return;
+        }
+        let lease = BorrowedLease {
+            lender,
+            amount,
+            until,
+        };
+        self.leases.insert(pending.lease, lease);
+    }
+
+    /// Releases leases that fit into the surplus, and returns the messages to send.
+    pub fn release(&mut self, mut surplus: u32) -> Vec<OutgoingLeaseMessage> {
+        let mut released = Vec::new();
+        for (lease, borrowed) in &self.leases {
+            if borrowed.amount <= surplus {
+                surplus -= borrowed.amount;
+                released.push((*lease, borrowed.lender));
+            }
+        }
+        let mut out = Vec::new();
+        for (lease, lender) in released {
+            // Dropped before the message is sent: the message may be late or lost, never early.
+            self.leases.remove(&lease);
+            self.requests.retain(|_, request| request.lease != lease);
+            out.push(OutgoingLeaseMessage {
+                to: lender,
+                message: LeaseMessage::Release { lease },
+            });
+        }
+        out
+    }
+
+    /// Requests renewals, and new leases for what is missing; returns the messages to send.
+    /// `min_lease`: the smallest lease worth its messages. `lenders`: the likeliest first.
+    pub fn request<'a>(
+        &mut self,
+        now: Duration,
+        missing: u32,
+        min_lease: u32,
+        lenders: impl Iterator<Item = &'a Lender>,
+    ) -> Vec<OutgoingLeaseMessage> {
+        let mut requests = self.renewals(now);
+        let mut pending = self.requests.values();
+        let is_pending = pending.any(|request| !self.leases.contains_key(&request.lease));
+        if missing >= min_lease && !is_pending {
+            requests.extend(self.new_leases(missing, min_lease, lenders));
+        }
+        let mut out = Vec::new();
+        for request in requests {
+            self.last_number += 1;
+            let pending = PendingRequest {
+                lender: request.lender,
+                lease: request.lease,
+                sent_at: now,
+            };
+            self.requests.insert(self.last_number, pending);
+            out.push(OutgoingLeaseMessage {
+                to: request.lender,
+                message: LeaseMessage::Request {
+                    request: self.last_number,
+                    lease: request.lease,
+                    amount: request.amount,
+                },
+            });
+        }
+        out
+    }
+
+    /// Renewals of leases that are in their second half.
+    fn renewals(&self, now: Duration) -> Vec<LeaseRequest> {
+        let due_before = now + self.duration / RENEWAL_DIVISOR;
+        let is_requested = |lease: u64| self.requests.values().any(|r| r.lease == lease);
+        self.leases
+            .iter()
+            .filter(|(lease, borrowed)| due_before >= borrowed.until && !is_requested(**lease))
+            .map(|(lease, borrowed)| LeaseRequest {
+                lender: borrowed.lender,
+                lease: *lease,
+                amount: borrowed.amount,
+            })
+            .collect()
+    }
+
+    /// Spreads what is missing over the lenders.
+    fn new_leases<'a>(
+        &mut self,
+        mut missing: u32,
+        min_lease: u32,
+        lenders: impl Iterator<Item = &'a Lender>,
+    ) -> Vec<LeaseRequest> {
+        let room = MAX_LEASES.saturating_sub(self.leases.len());
+        let mut requests = Vec::new();
+        for lender in lenders.take(MAX_LENDERS_ASKED.min(room)) {
+            let amount = missing.min(lender.spare);
+            if amount >= min_lease {
+                self.last_number += 1;
+                missing -= amount;
+                requests.push(LeaseRequest {
+                    lender: lender.host,
+                    lease: self.last_number,
+                    amount,
+                });
+            }
+        }
+        requests
+    }
+}
--- a/crates/fleet/src/evidence.rs
+++ b/crates/fleet/src/evidence.rs
@@ -1,8 +1,9 @@
 //! What all hosts' observations say of each node: their evidence for and against it, weighed.
 //!
-//! Pure functions, called by [`crate::outlier_detection`] in each evaluation. Evidence is what hosts tried themselves,
-//! of one process of the node, not older than [`EVIDENCE_WINDOW`]. Each host's weighs as much as it sent, up to a
-//! bound, scaled by the host's local health, and fades with its age.
+//! Pure functions, called by [`crate::outlier_detection`] in each evaluation. Evidence is what
+//! hosts tried themselves, of one process of the node, not older than [`EVIDENCE_WINDOW`]. Each
+//! host's weighs as much as it sent, up to a bound, scaled by the host's local health, and fades
+//! with its age.
 
 use crate::host_report::{HostReport, Observation};
 use crate::HostNumber;
@@ -54,7 +55,8 @@
     pub last_bad: Option<Duration>,
 }
 
-/// The fresh observations of the nodes' present processes. `nodes`: with the starts of their processes.
+/// The fresh observations of the nodes' present processes. `nodes`: with the starts of their
+/// processes.
 pub(crate) fn collect<'a>(
     nodes: &BTreeMap<u32, u64>,
     observers: impl Iterator<Item = Observer<'a>>,
@@ -85,8 +87,8 @@
     alone: f64,
 }
 
-/// The local health of each host, 0 to 1: a host that finds bad what its peers find good is itself ill (Lifeguard,
-/// Dadgar 2018).
+/// The local health of each host, 0 to 1: a host that finds bad what its peers find good is itself
+/// ill (Lifeguard, Dadgar 2018).
 pub(crate) fn local_health(by_node: &EvidenceByNode) -> BTreeMap<HostNumber, f64> {
     let mut comparisons: BTreeMap<HostNumber, PeerComparison> = BTreeMap::new();
     for all in by_node.values() {
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,14 +1,17 @@
 //! One host's share in what the fleet decides: gossip, outlier detection and quotas put together.
 //!
-//! State machine: `step(now, events)` returns the actions to perform. No I/O. A host's quota sharing calls it for every
-//! batch of events; [`Fleet::wake_at`] says when it must be called again. It counts what this host has tried and served
-//! in the last seconds, publishes that in its report, merges the others', and returns what has changed: the quota of
-//! each volume's limit that this host may use, and the policy for each node. What is lost or late only leaves it where
-//! it was: with its base quotas and its own evidence.
+//! State machine: `step(now, events)` returns the actions to perform. No I/O. A host's quota
+//! sharing calls it for every batch of events; [`Fleet::wake_at`] says when it must be called
+//! again. It counts what this host has tried and served in the last seconds, publishes that in its
+//! report, merges the others', and returns what has changed: the quota of each volume's limit that
+//! this host may use, and the policy for each node. What is lost or late only leaves it where it
+//! was: with its base quotas and its own evidence.
 //!
-//! Memory: an entry for each host, a row for each node and for each volume with a limit that is shared.
+//! Memory: an entry for each host, a row for each node and for each volume with a limit that is
+//! shared.
 
 use crate::attempts::AttemptHistory;
+use crate::borrowed_leases::Lender;
 use crate::events::{Action, Event, Rules};
 use crate::evidence::{Observer, EVIDENCE_WINDOW};
 use crate::gossip_message::{GossipMessage, MAX_ENTRIES, MAX_REPORT_ITEMS};
@@ -16,7 +19,6 @@
 use crate::host_report::{HostReport, Observation, UrgentObservation};
 use crate::lease_outbox::LeaseOutbox;
 use crate::outlier_detection::{EndpointPolicy, Finding, OutlierDetector};
-use crate::quota_lease::Lender;
 use crate::quotas::{QuotaMetrics, SharedQuotas};
 use crate::served_rates::ServedRates;
 use crate::{HostNumber, Incarnation};
@@ -26,7 +28,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// After so long counts of a node's answers are halved: a host that sends there seldom still has an attempt to report.
+/// After so long counts of a node's answers are halved: a host that sends there seldom still has an
+/// attempt to report.
 const HALVING_INTERVAL: Duration = Duration::from_secs(2);
 /// After so many halving intervals without a step all counts are outdated.
 const OUTDATED_INTERVALS: u32 = 3;
@@ -84,7 +87,8 @@
 }
 
 impl Fleet {
-    /// `incarnation`: a number that grows from start to start as far as this host can know; `seed` is new at each.
+    /// `incarnation`: a number that grows from start to start as far as this host can know; `seed`
+    /// is new at each.
     pub fn new(
         now: Duration,
         me: HostNumber,
@@ -126,7 +130,8 @@
 
     /// Takes in what has happened, and returns what to do.
     pub fn step(&mut self, now: Duration, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
-        // What has run out while this host stood still is gone before anything else is received or sent.
+        // What has run out while this host stood still is gone before anything else is received or
+        // sent.
         if now >= self.quotas.change_at() {
             self.quotas.touch_all();
             self.apply_quotas(now);
@@ -138,8 +143,8 @@
             self.halve_counts(now);
             self.run_lease_round(now);
             self.publish_report(now);
-            // News that arrived has brought the round near; to evaluate at every message would cost all observations
-            // each time.
+            // News that arrived has brought the round near; to evaluate at every message would cost
+            // all observations each time.
             self.evaluate_nodes(now);
         }
         self.send_messages(now);
@@ -275,8 +280,8 @@
         }
     }
 
-    /// Urgent observations come first, then those of nodes that others find bad and that answer here, since those can
-    /// end an ejection.
+    /// Urgent observations come first, then those of nodes that others find bad and that answer
+    /// here, since those can end an ejection.
     fn report_rank(&self, seen: &Observation) -> u32 {
         let finding = self.detector.findings().get(&seen.node);
         if seen.is_urgent() {
@@ -357,8 +362,9 @@
         self.actions.extend(changes);
     }
 
-    /// Units a second that a volume is served through the other hosts, by their own counts. Reports that are late leave
-    /// some out: it is at most what they serve, but for the last change of their rate.
+    /// Units a second that a volume is served through the other hosts, by their own counts. Reports
+    /// that are late leave some out: it is at most what they serve, but for the last change of
+    /// their rate.
     pub fn served_elsewhere(&self, now: Duration, volume: u64) -> f64 {
         self.served.elsewhere(now, volume)
     }
--- a/crates/fleet/src/gossip_codec.rs
+++ b/crates/fleet/src/gossip_codec.rs
@@ -1,9 +1,10 @@
 //! Encodes and decodes gossip messages, and rejects those with numbers out of range.
 //!
-//! The bytes travel inside the frames that hosts exchange; a host that does not know them drops them. A message is
-//! accepted whole or rejected whole with one reason: half a message, or one with numbers near the end of their range,
-//! could otherwise be merged and never be superseded. What cannot be checked is who wrote an entry that another host
-//! passes on: hosts are trusted to be hosts of this fleet, not to be right.
+//! The bytes travel inside the frames that hosts exchange; a host that does not know them drops
+//! them. A message is accepted whole or rejected whole with one reason: half a message, or one with
+//! numbers near the end of their range, could otherwise be merged and never be superseded. What
+//! cannot be checked is who wrote an entry that another host passes on: hosts are trusted to be
+//! hosts of this fleet, not to be right.
 
 use crate::gossip_message::{
     GossipMessage, VolumeLeaseMessage, MAX_BYTES, MAX_ENTRIES, MAX_LEASE_MESSAGES, MAX_REPORT_ITEMS,
@@ -18,7 +19,8 @@
 
 /// Version of the encoding.
 const FORMAT: u32 = 1;
-/// Larger incarnations and counts than any host comes to are noise; accepted, they could never be superseded.
+/// Larger incarnations and counts than any host comes to are noise; accepted, they could never be
+/// superseded.
 const MAX_INCARNATION: u64 = 1 << 48;
 const MAX_COUNT: u64 = 1 << 40;
 /// In milliseconds.
--- a/crates/fleet/src/gossip_state.rs
+++ b/crates/fleet/src/gossip_state.rs
@@ -1,23 +1,27 @@
-//! Gossip state: one report of each host, merged by the larger version stamp and aged by time spans.
+//! Gossip state: one report of each host, merged by the larger version stamp and aged by time
+//! spans.
 //!
 //! Called by [`crate::fleet`]: [`GossipState::publish`] for what this host reports of itself,
-//! [`GossipState::handle_message`] for what was received, [`GossipState::run_round`] when its time has come, which
-//! returns the messages to send. No I/O. Spread is by rumour and rotation (Demers 1987): what is new is passed on a few
-//! times at once, and besides each message carries other entries in turn, so that in the end every host receives
-//! everything, whatever was lost.
+//! [`GossipState::handle_message`] for what was received, [`GossipState::run_round`] when its time
+//! has come, which returns the messages to send. No I/O. Spread is by rumour and rotation (Demers
+//! 1987): what is new is passed on a few times at once, and besides each message carries other
+//! entries in turn, so that in the end every host receives everything, whatever was lost.
 //!
-//! Bound, whatever the fleet's size: [`GOSSIP_FANOUT`] messages of at most [`MAX_ENTRIES`] entries in a round, and a
-//! round in each interval at most, or four times as often while there is news. Memory: an entry for each host.
+//! Bound, whatever the fleet's size: [`GOSSIP_FANOUT`] messages of at most [`MAX_ENTRIES`] entries
+//! in a round, and a round in each interval at most, or four times as often while there is news.
+//! Memory: an entry for each host.
 //!
-//! An entry's age is its report's age when it arrived, and the time since: nothing is known of the way between hosts,
-//! so each hop counts a millisecond, lest an entry that goes round and round stays young. What is older than
-//! [`ENTRY_TIMEOUT`] is rejected and dropped: it cannot come back through a slow peer, since its age comes with it.
+//! An entry's age is its report's age when it arrived, and the time since: nothing is known of the
+//! way between hosts, so each hop counts a millisecond, lest an entry that goes round and round
+//! stays young. What is older than [`ENTRY_TIMEOUT`] is rejected and dropped: it cannot come back
+//! through a slow peer, since its age comes with it.
 //!
-//! Incarnations tell the processes of one host apart; of one host's entries those of the later incarnation count. A
-//! host that starts asks its peers first, and publishes when it has received what they know of it, or nothing for
-//! [`SYNC_TIMEOUT`]. A host that later receives a report of itself that is as late, and not its own, is superseded:
-//! either it is the earlier process, or its incarnation is too low. It stays so as long as the other's count grows,
-//! and then continues with a higher incarnation.
+//! Incarnations tell the processes of one host apart; of one host's entries those of the later
+//! incarnation count. A host that starts asks its peers first, and publishes when it has received
+//! what they know of it, or nothing for [`SYNC_TIMEOUT`]. A host that later receives a report of
+//! itself that is as late, and not its own, is superseded: either it is the earlier process, or its
+//! incarnation is too low. It stays so as long as the other's count grows, and then continues with
+//! a higher incarnation.
 
 use crate::gossip_message::{GossipMessage, MAX_ENTRIES, MAX_REPORT_ITEMS};
 use crate::host_report::{GossipEntry, HostReport, VersionStamp};
@@ -34,11 +38,13 @@
 pub const ENTRY_TIMEOUT: Duration = Duration::from_secs(60);
 /// How long a host that has started waits for what its peers know of it.
 pub const SYNC_TIMEOUT: Duration = Duration::from_millis(600);
-/// Without a new report of another process of this host for so long, that process is taken for gone.
+/// Without a new report of another process of this host for so long, that process is taken for
+/// gone.
 const SUPERSEDED_TIMEOUT: Duration = Duration::from_secs(10);
 /// What an entry ages at least on its way from host to host.
 const HOP_DELAY: Duration = Duration::from_millis(1);
-/// A host's own entry is written anew at least once in so many rounds, so that others know that it is alive.
+/// A host's own entry is written anew at least once in so many rounds, so that others know that it
+/// is alive.
 const REFRESH_ROUNDS: u32 = 5;
 /// A round that has news to spread comes after this fraction of the interval.
 const URGENT_INTERVAL_DIVISOR: u32 = 4;
@@ -47,7 +53,8 @@
 #[derive(Debug, Clone)]
 struct StoredEntry {
     version: VersionStamp,
-    /// When it was written, in nanoseconds of this host's clock; before this host's start for the oldest.
+    /// When it was written, in nanoseconds of this host's clock; before this host's start for the
+    /// oldest.
     written_at: i128,
     report: HostReport,
     /// How often it is still to be passed on as news.
@@ -132,7 +139,8 @@
 }
 
 impl GossipState {
-    /// `incarnation` is a guess, such as the wall clock's; peers may know better. `interval`: between two rounds.
+    /// `incarnation` is a guess, such as the wall clock's; peers may know better. `interval`:
+    /// between two rounds.
     pub fn new(
         now: Duration,
         me: HostNumber,
@@ -256,7 +264,8 @@
         if before.is_some_and(|before| before.version >= entry.version) {
             return false;
         }
-        // A host that merely repeats what it reported, or less, is no news; a new urgent observation is.
+        // A host that merely repeats what it reported, or less, is no news; a new urgent
+        // observation is.
         let news = before.is_none_or(|before| {
             let urgent = entry.report.urgent();
             !urgent.is_subset(&before.report.urgent())
--- a/crates/fleet/src/host_report.rs
+++ b/crates/fleet/src/host_report.rs
@@ -1,7 +1,8 @@
 //! What one host reports of itself to its peers, with the version that orders its reports.
 //!
-//! Plain data, used by the gossip state, the encoded messages, outlier detection and the quotas. A report holds what
-//! its writer observed itself, never what it was told; its age travels with it, so that no clocks are compared.
+//! Plain data, used by the gossip state, the encoded messages, outlier detection and the quotas. A
+//! report holds what its writer observed itself, never what it was told; its age travels with it,
+//! so that no clocks are compared.
 
 use crate::{HostNumber, Incarnation};
 use std::collections::BTreeSet;
@@ -104,8 +105,8 @@
 }
 
 impl HostReport {
-    /// What peers should receive at once: processes of nodes that it finds bad, or that answer it though they are
-    /// ejected.
+    /// What peers should receive at once: processes of nodes that it finds bad, or that answer it
+    /// though they are ejected.
     pub fn urgent(&self) -> BTreeSet<UrgentObservation> {
         self.observations
             .iter()
--- a/crates/fleet/src/lease_message.rs
+++ b/crates/fleet/src/lease_message.rs
@@ -13,7 +13,8 @@
 pub struct LeaseTerms {
     /// How long a lease lasts for its borrower, from its request.
     pub duration: Duration,
-    /// How much longer it lasts for its lender: the drift of clocks within one `duration` must stay below it.
+    /// How much longer it lasts for its lender: the drift of clocks within one `duration` must stay
+    /// below it.
     pub margin: Duration,
 }
 
@@ -33,8 +34,8 @@
     Grant {
         /// Number of the request.
         request: u64,
-        /// The borrower's incarnation. Two incarnations use the same numbers, and a grant to the earlier one would
-        /// count from a time before the later one's request.
+        /// The borrower's incarnation. Two incarnations use the same numbers, and a grant to the
+        /// earlier one would count from a time before the later one's request.
         borrower_incarnation: Incarnation,
         /// What is granted; 0: nothing, or the lender needs it itself and lets the lease run out.
         amount: u32,
@@ -49,8 +50,8 @@
         /// The receiver's incarnation that has recovered.
         recovered_incarnation: Incarnation,
     },
-    /// The sender has started without its memory: whoever uses a lease of an earlier incarnation must drop it and
-    /// answer with `Cleared`.
+    /// The sender has started without its memory: whoever uses a lease of an earlier incarnation
+    /// must drop it and answer with `Cleared`.
     Recovered,
 }
 
--- a/crates/fleet/src/lease_outbox.rs
+++ b/crates/fleet/src/lease_outbox.rs
@@ -1,7 +1,7 @@
 //! Lease messages that wait to be sent, by receiver.
 //!
-//! Owned by [`crate::fleet`], which adds them to gossip messages. Memory: what one step produces, and what exceeds
-//! [`MAX_LEASE_MESSAGES`] for one receiver, until a later step sends it.
+//! Owned by [`crate::fleet`], which adds them to gossip messages. Memory: what one step produces,
+//! and what exceeds [`MAX_LEASE_MESSAGES`] for one receiver, until a later step sends it.
 
 use crate::gossip_message::{VolumeLeaseMessage, MAX_LEASE_MESSAGES};
 use crate::quotas::AddressedLeaseMessage;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,20 +1,25 @@
 //! What hosts of one fleet share and decide together: gossip, outlier detection and quota leases.
 //!
-//! Free of I/O: [`fleet::Fleet`] is called as `step(now, events)` and returns actions; the transport of its messages may
-//! lose, double, delay and reorder them. Begin there. Its parts:
+//! Free of I/O: [`fleet::Fleet`] is called as `step(now, events)` and returns actions; the
+//! transport of its messages may lose, double, delay and reorder them. Begin there. Its parts:
 //!
 //! - [`events`]: what goes into it and what comes out;
 //! - [`gossip_state`]: a report of each host ([`host_report`]), merged by the later version;
-//! - [`outlier_detection`]: what all hosts' [`evidence`] says of a node, and how this host treats it;
-//! - [`quotas`] and [`quota_lease`]: quotas of a limit, leased for a time, whose sum never passes the limit;
-//! - [`gossip_message`], [`lease_message`] and [`gossip_codec`]: what hosts exchange, and what of it is rejected.
+//! - [`outlier_detection`]: what all hosts' [`evidence`] says of a node, and how this host treats
+//!   it;
+//! - [`quotas`], [`quota_lease`] and [`borrowed_leases`]: quotas of a limit, leased for a time,
+//!   whose sum never passes the limit;
+//! - [`gossip_message`], [`lease_message`] and [`gossip_codec`]: what hosts exchange, and what of
+//!   it is rejected.
 //!
-//! A host that receives nothing, and one alone, decides as one without this package: nothing here is a condition of
-//! service, and nothing that is received lets a host use more than the sum over all hosts allows.
+//! A host that receives nothing, and one alone, decides as one without this package: nothing here
+//! is a condition of service, and nothing that is received lets a host use more than the sum over
+//! all hosts allows.
 
 #![warn(missing_docs)]
 
 mod attempts;
+pub mod borrowed_leases;
 pub mod events;
 pub mod evidence;
 pub mod fleet;
--- a/crates/fleet/src/outlier_detection.rs
+++ b/crates/fleet/src/outlier_detection.rs
@@ -1,12 +1,13 @@
-//! Outlier detection: what all hosts' evidence says of a node, and which policy this host follows for it.
+//! Outlier detection: what all hosts' evidence says of a node, and which policy this host follows
+//! for it.
 //!
-//! State machine: [`OutlierDetector::evaluate`] takes what this host has tried and what its peers report, and returns
-//! the nodes of which this host's policy has changed. Called by [`crate::fleet`] at every round. No I/O. Memory: a row
-//! for each node of the list.
+//! State machine: [`OutlierDetector::evaluate`] takes what this host has tried and what its peers
+//! report, and returns the nodes of which this host's policy has changed. Called by
+//! [`crate::fleet`] at every round. No I/O. Memory: a row for each node of the list.
 //!
-//! A node is ejected where at least [`MIN_OBSERVERS`] hosts find it bad, with twice the weight that speaks for it; where
-//! reports of at most half of the hosts are fresh, or too many nodes would be ejected, the verdict is distrusted and
-//! this host goes by its own evidence.
+//! A node is ejected where at least [`MIN_OBSERVERS`] hosts find it bad, with twice the weight that
+//! speaks for it; where reports of at most half of the hosts are fresh, or too many nodes would be
+//! ejected, the verdict is distrusted and this host goes by its own evidence.
 //!
 //! | this host's own evidence | all evidence | policy |
 //! | --- | --- | --- |
@@ -17,10 +18,11 @@
 //! | none, or old | ejected | `Avoid`, or `Probe` in turn |
 //! | none, or old | anything else | `OwnEvidence` |
 //!
-//! An ejection ends by newer evidence that the node answers, by another start of the node, or by this host's own
-//! evidence; never by silence, so some hosts must probe: each host draws, once in [`PROBE_INTERVAL`], whether it
-//! probes, so that [`PROBERS`] of all do on average. The exception is a host that receives too few reports: after
-//! [`EJECTION_TIMEOUT`] it drops what it was told, and finds out by itself like one without peers.
+//! An ejection ends by newer evidence that the node answers, by another start of the node, or by
+//! this host's own evidence; never by silence, so some hosts must probe: each host draws, once in
+//! [`PROBE_INTERVAL`], whether it probes, so that [`PROBERS`] of all do on average. The exception
+//! is a host that receives too few reports: after [`EJECTION_TIMEOUT`] it drops what it was told,
+//! and finds out by itself like one without peers.
 
 use crate::evidence::{self, EvidenceByNode, EvidenceTally, NodeEvidence, Observer};
 use crate::host_report::{HostReport, Observation};
@@ -124,7 +126,8 @@
     me: HostNumber,
     /// How many hosts there are.
     fleet_size: usize,
-    /// A report is fresh below this age: in a large fleet all reports take longer to come round than news.
+    /// A report is fresh below this age: in a large fleet all reports take longer to come round
+    /// than news.
     fresh_within: Duration,
     rng: Pcg64Mcg,
     ejections: BTreeMap<u32, Ejection>,
@@ -135,7 +138,8 @@
 }
 
 impl OutlierDetector {
-    /// `fleet_size`: hosts of the fleet, with this one. `fresh_within`: below which age a report counts as fresh.
+    /// `fleet_size`: hosts of the fleet, with this one. `fresh_within`: below which age a report
+    /// counts as fresh.
     pub fn new(me: HostNumber, fleet_size: usize, fresh_within: Duration, seed: u64) -> Self {
         OutlierDetector {
             me,
@@ -165,8 +169,9 @@
         policy.unwrap_or(EndpointPolicy::OwnEvidence)
     }
 
-    /// Evaluates all evidence, and returns the policies that have changed. `nodes`: those of the list, with the starts
-    /// of their processes. `own` is what this host has tried, `peers` what the others report.
+    /// Evaluates all evidence, and returns the policies that have changed. `nodes`: those of the
+    /// list, with the starts of their processes. `own` is what this host has tried, `peers` what
+    /// the others report.
     pub fn evaluate(
         &mut self,
         now: Duration,
@@ -227,7 +232,8 @@
         }
     }
 
-    /// Whether more than the allowed fraction of all known nodes is ejected, or would be by the findings.
+    /// Whether more than the allowed fraction of all known nodes is ejected, or would be by the
+    /// findings.
     fn ejects_too_many(&self) -> bool {
         let is_ejected = |finding: &Finding| finding.verdict == Verdict::Ejected;
         let ejections = || self.ejections.keys();
@@ -260,8 +266,8 @@
                     };
                     self.ejections.insert(*node, ejection);
                 }
-                // It must be evidence that the node answers of later than what ejected it: what hosts found before it
-                // failed is on its way for some time yet.
+                // It must be evidence that the node answers of later than what ejected it: what
+                // hosts found before it failed is on its way for some time yet.
                 Verdict::Healthy | Verdict::Split => {
                     let ejection = self.ejections.get(node);
                     let answers_again = ejection.is_some_and(|ejection| {
--- a/crates/fleet/src/quota_lease.rs
+++ b/crates/fleet/src/quota_lease.rs
@@ -1,50 +1,48 @@
-//! Quota leases: hosts share one limit by quotas, and lease parts of them to each other; the sum of all quotas never
-//! passes the whole limit.
+//! Quota leases: hosts share one limit by quotas, and lease parts of them to each other; the sum of
+//! all quotas never passes the whole limit.
 //!
-//! State machine, no I/O. [`crate::quotas`] owns one for each shared limit and calls [`QuotaLeases::handle_message`]
-//! for what another host sent about it and [`QuotaLeases::run_round`] at every round, both of which return the messages
-//! to send; [`QuotaLeases::quota`] is what this host may use now. It is escrow (O'Neil 1986; bounded counters, Balegas
-//! 2015) with leases (Gray and Cheriton 1989) in place of transfers, so that what is leased returns by itself when it is
-//! not renewed.
+//! State machine, no I/O. [`crate::quotas`] owns one for each shared limit and calls
+//! [`QuotaLeases::handle_message`] for what another host sent about it and
+//! [`QuotaLeases::run_round`] at every round, both of which return the messages to send;
+//! [`QuotaLeases::quota`] is what this host may use now. It is escrow (O'Neil 1986; bounded
+//! counters, Balegas 2015) with leases (Gray and Cheriton 1989) in place of transfers, so that what
+//! is leased returns by itself when it is not renewed.
 //!
-//! Why the sum stays within the limit, whatever messages arrive. Each host has a base quota, and all base quotas add up
-//! to the whole limit at most. A lease leaves its lender before the borrower learns of it, and returns
-//! `duration + margin` after the lender last granted it; the borrower counts `duration` from when it sent the
-//! *request*, which was earlier. So no unit is used twice, as long as clocks run apart by less than `margin` in one
-//! `duration`; messages that are lost, doubled or late change only who waits. Four things could break it, each
-//! prevented by a rule:
+//! Why the sum stays within the limit, whatever messages arrive. Each host has a base quota, and
+//! all base quotas add up to the whole limit at most. A lease leaves its lender before the borrower
+//! learns of it, and returns `duration + margin` after the lender last granted it; the borrower
+//! counts `duration` from when it sent the *request*, which was earlier. So no unit is used twice,
+//! as long as clocks run apart by less than `margin` in one `duration`; messages that are lost,
+//! doubled or late change only who waits. Four things could break it, each prevented by a rule:
 //!
-//! - a host that lost its memory does not know what it granted: until each sharer has sent that it uses nothing of an
-//!   earlier incarnation, or until every such lease has run out, it uses only the reserve that is never leased;
-//! - a grant by an earlier incarnation can arrive after its borrower has sent that it uses none, and one to an earlier
-//!   incarnation after the borrower's restart: both are rejected by the incarnation;
-//! - base quotas change with the number of sharers: what was borrowed under another number is void at once, what was
-//!   granted under it stays granted to its end;
+//! - a host that lost its memory does not know what it granted: until each sharer has sent that it
+//!   uses nothing of an earlier incarnation, or until every such lease has run out, it uses only
+//!   the reserve that is never leased;
+//! - a grant by an earlier incarnation can arrive after its borrower has sent that it uses none,
+//!   and one to an earlier incarnation after the borrower's restart: both are rejected by the
+//!   incarnation;
+//! - base quotas change with the number of sharers: what was borrowed under another number is void
+//!   at once, what was granted under it stays granted to its end;
 //! - two processes of one host: the earlier one uses nothing (see [`crate::gossip_state`]).
 //!
-//! What is leased is the rate of a limit and not its burst: each host's bucket has its own depth, so all depths add up
-//! to the burst, nothing is ever filled by a lease, and a host that has leased out nearly all can still serve at once
-//! what comes to it.
+//! What is leased is the rate of a limit and not its burst: each host's bucket has its own depth,
+//! so all depths add up to the burst, nothing is ever filled by a lease, and a host that has leased
+//! out nearly all can still serve at once what comes to it.
 //!
 //! Memory: [`MAX_LEASES`] leases granted and borrowed each, and as many pending requests.
 
+use crate::borrowed_leases::{BorrowedLeases, Lender, OutgoingLeaseMessage, MAX_LEASES};
 use crate::lease_message::{LeaseMessage, LeaseTerms, ReceivedLeaseMessage, WHOLE_LIMIT};
 use crate::{HostNumber, Incarnation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Leases that a host grants, and that it borrows, at most.
-pub const MAX_LEASES: usize = 64;
-/// Less than this fraction of a base quota is not worth a lease. Harm: so much stays where it is not needed.
+/// Less than this fraction of a base quota is not worth a lease. Harm: so much stays where it is
+/// not needed.
 const MIN_LEASE_DIVISOR: u32 = 8;
-/// The fraction of a base quota that is never leased: what a host uses that does not know what it granted.
+/// The fraction of a base quota that is never leased: what a host uses that does not know what it
+/// granted.
 const RESERVE_DIVISOR: u32 = 8;
-/// Hosts that are asked for a lease at a time.
-const MAX_LENDERS_ASKED: usize = 8;
-/// A request without an answer is dropped after this fraction of a lease's duration.
-const REQUEST_TIMEOUT_DIVISOR: u32 = 4;
-/// A lease is renewed when less than this fraction of its duration is left.
-const RENEWAL_DIVISOR: u32 = 2;
 
 /// Identifies a lease for its lender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -62,46 +60,6 @@
     until: Duration,
 }
 
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct BorrowedLease {
-    lender: HostNumber,
-    amount: u32,
-    until: Duration,
-}
-
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct PendingRequest {
-    lender: HostNumber,
-    lease: u64,
-    sent_at: Duration,
-}
-
-/// A request that is about to be sent.
-#[derive(Debug, Clone, Copy)]
-struct LeaseRequest {
-    lender: HostNumber,
-    lease: u64,
-    amount: u32,
-}
-
-/// What one host could lease to others of one limit.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Lender {
-    /// The host.
-    pub host: HostNumber,
-    /// What it last reported to have to spare, in fractions of [`WHOLE_LIMIT`].
-    pub spare: u32,
-}
-
-/// A lease message to send.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OutgoingLeaseMessage {
-    /// The receiver.
-    pub to: HostNumber,
-    /// What it is sent.
-    pub message: LeaseMessage,
-}
-
 /// What a host has leased, in fractions of [`WHOLE_LIMIT`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeasedAmounts {
@@ -124,11 +82,7 @@
     /// The latest incarnation of each sharer that a message came from.
     incarnations: BTreeMap<HostNumber, Incarnation>,
     granted: BTreeMap<LeaseKey, GrantedLease>,
-    borrowed: BTreeMap<u64, BorrowedLease>,
-    /// By their numbers.
-    requests: BTreeMap<u64, PendingRequest>,
-    /// The last number given to a lease or a request.
-    last_number: u64,
+    borrowed: BorrowedLeases,
     demand: u32,
     /// Another, later process of this host is known.
     superseded: bool,
@@ -152,11 +106,10 @@
             cleared: BTreeSet::new(),
             incarnations: BTreeMap::new(),
             granted: BTreeMap::new(),
-            borrowed: BTreeMap::new(),
-            requests: BTreeMap::new(),
-            // A volume that goes and comes back begins anew in the same incarnation; numbers used before it went must
-            // not be used again, or late answers to them would be taken for answers to new requests.
-            last_number: now.as_micros() as u64,
+            // A volume that goes and comes back begins anew in the same incarnation; numbers used
+            // before it went must not be used again, or late answers to them would be taken for
+            // answers to new requests.
+            borrowed: BorrowedLeases::new(terms.duration, now.as_micros() as u64),
             demand: 0,
             superseded: false,
         }
@@ -188,19 +141,17 @@
     /// What is leased now.
     pub fn leased(&self, now: Duration) -> LeasedAmounts {
         let granted = self.granted.values().filter(|lease| now < lease.until);
-        let borrowed = self.borrowed.values().filter(|lease| now < lease.until);
         LeasedAmounts {
             granted: granted.map(|lease| lease.amount).sum(),
-            borrowed: borrowed.map(|lease| lease.amount).sum(),
+            borrowed: self.borrowed.amount(now),
         }
     }
 
     /// When the quota next changes by itself.
     pub fn changes_at(&self, now: Duration) -> Option<Duration> {
         let granted = self.granted.values().map(|lease| lease.until);
-        let borrowed = self.borrowed.values().map(|lease| lease.until);
         let recovers = (!self.knows_granted(now)).then(|| self.recovered_at());
-        let ends = granted.chain(borrowed).chain(recovers);
+        let ends = granted.chain(self.borrowed.ends()).chain(recovers);
         ends.filter(|at| *at > now).min()
     }
 
@@ -222,8 +173,8 @@
 
     /// Its base quota, less what is granted of it.
     fn own_remainder(&self, now: Duration) -> u32 {
-        // A quota that is computed with fewer sharers may still be applied with more (the least of all versions that
-        // may be in force), and what is granted is then a larger fraction of it.
+        // A quota that is computed with fewer sharers may still be applied with more (the least of
+        // all versions that may be in force), and what is granted is then a larger fraction of it.
         let sharers = self.sharers.len() as u64;
         let granted: u64 = self
             .granted
@@ -283,15 +234,14 @@
         }
         self.sharers = sharers;
         // Base quotas of another size: what was borrowed of them is void.
-        self.borrowed.clear();
-        self.requests.clear();
+        self.borrowed.void_all();
     }
 
     /// Sets this host's own incarnation, after it has learned of one as late.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         // Grants to requests of the earlier incarnation are rejected.
-        self.requests.clear();
+        self.borrowed.drop_requests();
     }
 
     /// Handles a message of another host, and returns the answers.
@@ -306,7 +256,7 @@
         }
         let answer = match received.message {
             LeaseMessage::Recovered => {
-                self.drop_leases_from(from);
+                self.borrowed.void_from(from);
                 Some(LeaseMessage::Cleared {
                     recovered_incarnation: received.incarnation,
                 })
@@ -329,11 +279,7 @@
                     incarnation: received.incarnation,
                     lease,
                 };
-                Some(LeaseMessage::Grant {
-                    request,
-                    borrower_incarnation: received.incarnation,
-                    amount: self.grant(now, key, amount),
-                })
+                Some(self.handle_request(now, key, request, amount))
             }
             LeaseMessage::Grant {
                 request,
@@ -341,7 +287,7 @@
                 amount,
             } => {
                 if borrower_incarnation == self.incarnation {
-                    self.handle_grant(now, from, request, amount);
+                    self.borrowed.handle_grant(now, from, request, amount);
                 }
                 None
             }
@@ -358,8 +304,8 @@
         answer.into_iter().collect()
     }
 
-    /// Whether a message comes from another sharer's latest incarnation that shares the limit among as many hosts.
-    /// What a sharer's earlier incarnation had granted is dropped.
+    /// Whether a message comes from another sharer's latest incarnation that shares the limit among
+    /// as many hosts. What a sharer's earlier incarnation had granted is dropped.
     fn admits(&mut self, received: &ReceivedLeaseMessage) -> bool {
         let from = received.from;
         if from == self.me
@@ -377,39 +323,23 @@
         }
         if received.incarnation > *known {
             *known = received.incarnation;
-            self.drop_leases_from(from);
+            self.borrowed.void_from(from);
         }
         true
     }
 
-    fn handle_grant(&mut self, now: Duration, lender: HostNumber, request: u64, amount: u32) {
-        let pending = self.requests.remove(&request);
-        let Some(pending) = pending.filter(|pending| pending.lender == lender) else {
-            return;
-        };
-        let until = pending.sent_at + self.terms.duration;
-        if amount == 0 || now >= until {
-            return;
-        }
-        let borrowed = self.borrowed.get_mut(&pending.lease);
-        if let Some(borrowed) = borrowed.filter(|lease| now < lease.until) {
-            // Grants can overtake each other, and only make a lease longer.
-            borrowed.until = until.max(borrowed.until);
-            borrowed.amount = amount.min(borrowed.amount);
-            return;
+    fn handle_request(
+        &mut self,
+        now: Duration,
+        key: LeaseKey,
+        request: u64,
+        amount: u32,
+    ) -> LeaseMessage {
+        LeaseMessage::Grant {
+            request,
+            borrower_incarnation: key.incarnation,
+            amount: self.grant(now, key, amount),
         }
-        let borrowed = BorrowedLease {
-            lender,
-            amount,
-            until,
-        };
-        self.borrowed.insert(pending.lease, borrowed);
-    }
-
-    /// What an earlier incarnation of a host granted, and was asked for, is void.
-    fn drop_leases_from(&mut self, lender: HostNumber) {
-        self.borrowed.retain(|_, lease| lease.lender != lender);
-        self.requests.retain(|_, request| request.lender != lender);
     }
 
     /// Grants a new lease or renews one; returns the amount granted.
@@ -439,10 +369,11 @@
         amount
     }
 
-    /// The round: drops what has run out, asks for what is needed, releases what is not, and returns the messages to
-    /// send. `lenders` are what others last offered, the likeliest first.
+    /// The round: drops what has run out, asks for what is needed, releases what is not, and
+    /// returns the messages to send. `lenders` are what others last offered, the likeliest first.
     pub fn run_round(&mut self, now: Duration, lenders: &[Lender]) -> Vec<OutgoingLeaseMessage> {
-        self.drop_expired(now);
+        self.granted.retain(|_, lease| now < lease.until);
+        self.borrowed.drop_expired(now);
         let mut out = Vec::new();
         if self.superseded || self.base_quota() == 0 {
             return out;
@@ -455,100 +386,17 @@
             }));
         }
         let quota = self.quota(now);
-        self.release_surplus(quota, &mut out);
-        let mut requests = self.renewals(now);
-        self.request_more(quota, lenders, &mut requests);
-        for request in requests {
-            self.last_number += 1;
-            let pending = PendingRequest {
-                lender: request.lender,
-                lease: request.lease,
-                sent_at: now,
-            };
-            self.requests.insert(self.last_number, pending);
-            out.push(OutgoingLeaseMessage {
-                to: request.lender,
-                message: LeaseMessage::Request {
-                    request: self.last_number,
-                    lease: request.lease,
-                    amount: request.amount,
-                },
-            });
-        }
-        out
-    }
-
-    fn drop_expired(&mut self, now: Duration) {
-        let request_timeout = self.terms.duration / REQUEST_TIMEOUT_DIVISOR;
-        self.granted.retain(|_, lease| now < lease.until);
-        self.borrowed.retain(|_, lease| now < lease.until);
-        self.requests
-            .retain(|_, request| now < request.sent_at + request_timeout);
-    }
-
-    /// Releases borrowed leases that fit into what is over.
-    fn release_surplus(&mut self, quota: u32, out: &mut Vec<OutgoingLeaseMessage>) {
-        // A little more than the demand stays borrowed, or what is released now would be asked for in the next round.
-        let enough = self.demand.saturating_add(self.min_lease());
-        let mut surplus = quota.saturating_sub(self.base_quota().max(enough));
-        let mut released = Vec::new();
-        for (lease, borrowed) in &self.borrowed {
-            if borrowed.amount <= surplus {
-                surplus -= borrowed.amount;
-                released.push((*lease, borrowed.lender));
-            }
-        }
-        for (lease, lender) in released {
-            // Dropped before the message is sent: the message may be late or lost, never early.
-            self.borrowed.remove(&lease);
-            self.requests.retain(|_, request| request.lease != lease);
-            out.push(OutgoingLeaseMessage {
-                to: lender,
-                message: LeaseMessage::Release { lease },
-            });
-        }
-    }
-
-    /// Renewals of leases that are in their second half.
-    fn renewals(&self, now: Duration) -> Vec<LeaseRequest> {
-        let due_before = now + self.terms.duration / RENEWAL_DIVISOR;
-        let is_requested = |lease: u64| self.requests.values().any(|r| r.lease == lease);
-        self.borrowed
-            .iter()
-            .filter(|(lease, borrowed)| due_before >= borrowed.until && !is_requested(**lease))
-            .map(|(lease, borrowed)| LeaseRequest {
-                lender: borrowed.lender,
-                lease: *lease,
-                amount: borrowed.amount,
-            })
-            .collect()
-    }
-
-    /// Requests of new leases for the demand beyond the quota, unless some are pending.
-    fn request_more(&mut self, quota: u32, lenders: &[Lender], out: &mut Vec<LeaseRequest>) {
         let min_lease = self.min_lease();
-        let mut missing = self.demand.saturating_sub(quota);
-        let mut pending = self.requests.values();
-        let is_pending = pending.any(|request| !self.borrowed.contains_key(&request.lease));
-        if missing < min_lease || is_pending {
-            return;
-        }
-        let room = MAX_LEASES.saturating_sub(self.borrowed.len());
+        // A little more than the demand stays borrowed, or what is released now would be asked for
+        // in the next round.
+        let enough = self.base_quota().max(self.demand.saturating_add(min_lease));
+        out.extend(self.borrowed.release(quota.saturating_sub(enough)));
+        let missing = self.demand.saturating_sub(quota);
         let lenders = lenders
             .iter()
-            .filter(|lender| self.sharers.contains(&lender.host))
-            .take(MAX_LENDERS_ASKED.min(room));
-        for lender in lenders {
-            let amount = missing.min(lender.spare);
-            if amount >= min_lease {
-                self.last_number += 1;
-                missing -= amount;
-                out.push(LeaseRequest {
-                    lender: lender.host,
-                    lease: self.last_number,
-                    amount,
-                });
-            }
-        }
+            .filter(|lender| self.sharers.contains(&lender.host));
+        let requests = self.borrowed.request(now, missing, min_lease, lenders);
+        out.extend(requests);
+        out
     }
 }
--- a/crates/fleet/src/quotas.rs
+++ b/crates/fleet/src/quotas.rs
@@ -1,14 +1,15 @@
 //! This host's quotas of all limits that it shares: demand, leases, and which quotas have changed.
 //!
-//! State machine, owned by [`crate::fleet`]. No I/O. Each volume has its own [`QuotaLeases`]; what is kept here besides
-//! is the demand by which they ask for leases, and the quota that was last returned. Memory: a row for each volume with
-//! a limit that is shared.
+//! State machine, owned by [`crate::fleet`]. No I/O. Each volume has its own [`QuotaLeases`]; what
+//! is kept here besides is the demand by which they ask for leases, and the quota that was last
+//! returned. Memory: a row for each volume with a limit that is shared.
 
+use crate::borrowed_leases::{Lender, OutgoingLeaseMessage};
 use crate::events::{Action, Rules};
 use crate::gossip_message::{VolumeLeaseMessage, VolumeReceived, MAX_REPORT_ITEMS};
 use crate::host_report::LeaseOffer;
 use crate::lease_message::WHOLE_LIMIT;
-use crate::quota_lease::{Lender, OutgoingLeaseMessage, QuotaLeases};
+use crate::quota_lease::QuotaLeases;
 use crate::{HostNumber, Incarnation};
 use rand::seq::SliceRandom;
 use rand_pcg::Pcg64Mcg;
@@ -18,7 +19,8 @@
 
 /// The weight of the last round in the demand's moving average.
 const DEMAND_SMOOTHING: f64 = 0.3;
-/// What is asked for as a multiple of the demand, so that a volume's growth does not wait for every lease.
+/// What is asked for as a multiple of the demand, so that a volume's growth does not wait for every
+/// lease.
 const DEMAND_HEADROOM: f64 = 1.25;
 /// An interval is counted as at least so many seconds.
 const MIN_INTERVAL_SECONDS: f64 = 1e-3;
@@ -160,8 +162,8 @@
         self.touched.extend(self.volumes.keys());
     }
 
-    /// The round: updates the demands, and returns the messages to send. `lenders`: what other hosts offer, by volume;
-    /// `superseded`: whether a later process of this host is known.
+    /// The round: updates the demands, and returns the messages to send. `lenders`: what other
+    /// hosts offer, by volume; `superseded`: whether a later process of this host is known.
     pub fn run_round(
         &mut self,
         now: Duration,
@@ -179,7 +181,8 @@
             shared.leases.set_superseded(superseded);
             self.touched.insert(*volume);
             let mut lenders = lenders.remove(volume).unwrap_or_default();
-            // All hosts that need more know the same offers: without a shuffle all would ask the same host.
+            // All hosts that need more know the same offers: without a shuffle all would ask the
+            // same host.
             lenders.shuffle(rng);
             lenders.sort_by_key(|lender| Reverse(lender.spare.max(1).ilog2()));
             let messages = shared.leases.run_round(now, &lenders);
--- a/crates/fleet/src/served_rates.rs
+++ b/crates/fleet/src/served_rates.rs
@@ -1,7 +1,8 @@
 //! How many units a second each volume is served, here and through the other hosts.
 //!
-//! Owned by [`crate::fleet`]: it counts what is served here, and takes the counts of the others' reports. Memory: a row
-//! for each volume that is served here, and one for each host and volume that is reported.
+//! Owned by [`crate::fleet`]: it counts what is served here, and takes the counts of the others'
+//! reports. Memory: a row for each volume that is served here, and one for each host and volume
+//! that is reported.
 
 use crate::evidence::EVIDENCE_WINDOW;
 use crate::gossip_message::MAX_REPORT_ITEMS;
@@ -75,7 +76,8 @@
         }
     }
 
-    /// The busiest volumes here, for this host's report: of the others the reports in answers are good enough.
+    /// The busiest volumes here, for this host's report: of the others the reports in answers are
+    /// good enough.
     pub fn busiest(&self) -> Vec<ServedUnits> {
         let mut busy: Vec<(&u64, &LocalRate)> = self
             .local
--- a/crates/fleet/tests/gossip_codec.rs
+++ b/crates/fleet/tests/gossip_codec.rs
@@ -147,7 +147,8 @@
     let message = message();
     let bytes = message.to_bytes();
     for length in 0..bytes.len() {
-        // Half a message is rejected, or is one with fewer entries: never with others than were sent.
+        // Half a message is rejected, or is one with fewer entries: never with others than were
+        // sent.
         if let Ok(half) = GossipMessage::from_bytes(&bytes[..length]) {
             assert!(
                 half.entries
--- a/crates/fleet/tests/gossip_state.rs
+++ b/crates/fleet/tests/gossip_state.rs
@@ -1,4 +1,5 @@
-//! Gossip state: which reports are taken, forgotten and passed on, and what a host does about its own incarnation.
+//! Gossip state: which reports are taken, forgotten and passed on, and what a host does about its
+//! own incarnation.
 
 mod common;
 
@@ -50,7 +51,8 @@
 
 #[test]
 fn the_larger_version_is_taken_whatever_the_order() {
-    // (incarnation, count, age in ms, sent) of the entries received, and which is stored in the end, by what it sent
+    // (incarnation, count, age in ms, sent) of the entries received, and which is stored in the
+    // end, by what it sent
     type Case<'a> = (&'a [(u64, u64, u64, u32)], u32);
     let cases: [Case; 5] = [
         (&[(1, 1, 0, 5), (1, 2, 0, 6)], 6),
@@ -120,7 +122,8 @@
     let outcome = handle_entry(&mut state, after, entry(0, 11, 3, ms(0), 1));
     assert!(!outcome.incarnation_raised);
     assert!(state.is_superseded());
-    // Its own former reports change nothing; as long as the other's count grows it stays superseded.
+    // Its own former reports change nothing; as long as the other's count grows it stays
+    // superseded.
     handle_entry(&mut state, after + ms(9000), entry(0, 11, 40, ms(0), 1));
     assert!(!state.run_round(after + ms(12_000)).incarnation_raised);
     assert!(state.is_superseded());
--- a/crates/fleet/tests/outlier_detection.rs
+++ b/crates/fleet/tests/outlier_detection.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: which evidence decides, how long an ejection lasts, and how many nodes may be ejected.
+//! Outlier detection: which evidence decides, how long an ejection lasts, and how many nodes may be
+//! ejected.
 
 mod common;
 
@@ -34,7 +35,8 @@
     }
 }
 
-/// What hosts observe of node 1, as (sent, bad), this host and its peers; nodes 2 to 4 answer every host.
+/// What hosts observe of node 1, as (sent, bad), this host and its peers; nodes 2 to 4 answer every
+/// host.
 fn verdict_and_policy(
     own: Option<(u32, u32)>,
     peers: &[(u32, u32)],
--- a/crates/fleet/tests/quota_lease.rs
+++ b/crates/fleet/tests/quota_lease.rs
@@ -1,9 +1,10 @@
 //! Quota leases of one limit: what is granted, renewed, released and rejected.
 
+use grebecleat_fleet::borrowed_leases::{Lender, OutgoingLeaseMessage};
 use grebecleat_fleet::lease_message::{
     LeaseMessage, LeaseTerms, ReceivedLeaseMessage, WHOLE_LIMIT,
 };
-use grebecleat_fleet::quota_lease::{Lender, OutgoingLeaseMessage, QuotaLeases};
+use grebecleat_fleet::quota_lease::QuotaLeases;
 use grebecleat_fleet::{HostNumber, Incarnation};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -87,7 +88,8 @@
     a.leased(now).borrowed - before
 }
 
-/// Has the host request a quarter of the limit from B; the number of its only request, and the amount.
+/// Has the host request a quarter of the limit from B; the number of its only request, and the
+/// amount.
 fn request_a_quarter(a: &mut QuotaLeases, now: Duration) -> (u64, u32) {
     a.set_demand(WHOLE_LIMIT);
     let sent = a.run_round(now, &[lender(B, WHOLE_LIMIT / 4)]);
@@ -236,7 +238,8 @@
         (a.quota(s(11)), b.quota(s(11))),
         (WHOLE_LIMIT / 3, (WHOLE_LIMIT / 3).saturating_sub(granted))
     );
-    // Of a quota that is still applied among three, what was granted then is as much, with two as well.
+    // Of a quota that is still applied among three, what was granted then is as much, with two as
+    // well.
     let mut b = leases(B, 3);
     b.handle_message(s(10), received(A, 1, 3, request(WHOLE_LIMIT / 10)));
     b.set_sharers(sharers(2));
--- a/crates/fleet/tests/quota_lease_explorer.rs
+++ b/crates/fleet/tests/quota_lease_explorer.rs
@@ -1,12 +1,14 @@
-//! All that can happen to the leases of one limit among three hosts, explored: messages are lost, doubled, overtaken, or
-//! arrive after their sender's incarnation; hosts die and start anew without their memory; a clock loses a tick; the
-//! third host joins when the first two have followed. In every state the hosts' quotas add up to the whole limit at
-//! most. Worlds with a fault planted on purpose, on the other side of the leases' interface, must break that.
+//! All that can happen to the leases of one limit among three hosts, explored: messages are lost,
+//! doubled, overtaken, or arrive after their sender's incarnation; hosts die and start anew without
+//! their memory; a clock loses a tick; the third host joins when the first two have followed. In
+//! every state the hosts' quotas add up to the whole limit at most. Worlds with a fault planted on
+//! purpose, on the other side of the leases' interface, must break that.
 
+use grebecleat_fleet::borrowed_leases::{Lender, OutgoingLeaseMessage};
 use grebecleat_fleet::lease_message::{
     LeaseMessage, LeaseTerms, ReceivedLeaseMessage, WHOLE_LIMIT,
 };
-use grebecleat_fleet::quota_lease::{Lender, OutgoingLeaseMessage, QuotaLeases};
+use grebecleat_fleet::quota_lease::QuotaLeases;
 use grebecleat_fleet::{HostNumber, Incarnation};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -371,7 +373,8 @@
         }
     }
 
-    /// How many states were visited, and the first in which the quotas are more than the whole limit.
+    /// How many states were visited, and the first in which the quotas are more than the whole
+    /// limit.
     fn explore(&self, max_states: usize) -> (usize, Option<World>) {
         let mut visited: HashSet<u64> = HashSet::new();
         let mut open = VecDeque::from([self.start()]);
