--- /dev/null
+++ b/crates/fleet/tests/simulation/mod.rs
@@ -0,0 +1,295 @@
+//! A whole fleet in one process: hosts, nodes, and a network that delays, loses and doubles
+//! messages.
+
+use grebecleat_fleet::events::{Action, Event, Rules};
+use grebecleat_fleet::fleet::Fleet;
+use grebecleat_fleet::lease_message::LeaseTerms;
+use grebecleat_fleet::outlier_detection::EndpointPolicy;
+use grebecleat_fleet::{HostNumber, Incarnation};
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
+use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
+
+pub const TICK: Duration = ms(10);
+pub const RULES: Rules = Rules {
+    interval: ms(200),
+    leases: LeaseTerms {
+        duration: ms(2000),
+        margin: ms(250),
+    },
+};
+const VOLUME: u64 = 7;
+/// Units a second.
+pub const LIMIT: f64 = 1000.0;
+/// Most milliseconds that a message is on its way, without loss and with it.
+const MAX_DELAY_MS: u64 = 5;
+const MAX_DELAY_WITH_LOSS_MS: u64 = 400;
+
+pub const fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
+}
+
+/// One host, and what is true for it.
+pub struct Host {
+    pub fleet: Fleet,
+    incarnation: u64,
+    inbox: Vec<(HostNumber, Vec<u8>)>,
+    /// Until when its process stands still.
+    pub paused_until: Duration,
+    /// Its quota as a multiple of its base quota.
+    pub quota: f64,
+    pub avoided: BTreeSet<u32>,
+    /// Nodes that some host has ever reported bad to it, as one that avoids on every report would.
+    pub reported_bad: BTreeSet<u32>,
+    /// Units a second that clients request.
+    pub demand: f64,
+}
+
+struct InFlight {
+    from: HostNumber,
+    to: usize,
+    bytes: Vec<u8>,
+}
+
+pub struct World {
+    pub now: Duration,
+    pub rng: Pcg64Mcg,
+    pub hosts: Vec<Host>,
+    /// With the starts of their processes.
+    nodes: BTreeMap<u32, u64>,
+    /// Attempts a second of each host.
+    attempt_rate: f64,
+    /// By arrival and number.
+    in_flight: BTreeMap<(Duration, u64), InFlight>,
+    /// Messages and their bytes so far.
+    pub sent: u64,
+    pub sent_bytes: u64,
+    /// Pairs of hosts of which the first does not reach the second.
+    pub cut: BTreeSet<(usize, usize)>,
+    /// The chance that a message is lost, and that it is doubled.
+    pub loss: f64,
+    /// Nodes that no host reaches, and those that one host does not.
+    pub dead: BTreeSet<u32>,
+    pub unreached: BTreeSet<(usize, u32)>,
+}
+
+impl World {
+    pub fn new(hosts: usize, nodes: u32, attempt_rate: f64, shared: bool, seed: u64) -> World {
+        let mut world = World {
+            now: ms(5000),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            hosts: Vec::new(),
+            nodes: (0..nodes).map(|node| (node, 1)).collect(),
+            attempt_rate,
+            in_flight: BTreeMap::new(),
+            sent: 0,
+            sent_bytes: 0,
+            cut: BTreeSet::new(),
+            loss: 0.0,
+            dead: BTreeSet::new(),
+            unreached: BTreeSet::new(),
+        };
+        for index in 0..hosts {
+            let host = world.start_host(index, hosts, 1, shared);
+            world.hosts.push(host);
+        }
+        world
+    }
+
+    fn start_host(&mut self, index: usize, hosts: usize, incarnation: u64, shared: bool) -> Host {
+        let me = HostNumber(index as u32);
+        let all = || (0..hosts as u32).map(HostNumber);
+        let seed = self.rng.random();
+        let fleet = Fleet::new(
+            self.now,
+            me,
+            Incarnation(incarnation),
+            all().filter(|host| *host != me).collect(),
+            RULES,
+            seed,
+        );
+        let mut host = Host {
+            fleet,
+            incarnation,
+            inbox: Vec::new(),
+            paused_until: Duration::ZERO,
+            quota: if shared { 1.0 } else { 0.0 },
+            avoided: BTreeSet::new(),
+            reported_bad: BTreeSet::new(),
+            demand: 0.0,
+        };
+        let mut events = vec![Event::NodesInUse(self.nodes.clone())];
+        if shared {
+            events.push(Event::VolumeChanged {
+                volume: VOLUME,
+                sharers: all().collect(),
+                limit: LIMIT,
+            });
+        }
+        let messages = host.step(self.now, events);
+        assert!(
+            messages.is_empty(),
+            "no host is sent anything before the first round"
+        );
+        host
+    }
+
+    pub fn tick(&mut self) {
+        self.now += TICK;
+        self.deliver();
+        for index in 0..self.hosts.len() {
+            if self.now < self.hosts[index].paused_until {
+                continue;
+            }
+            let events = self.events_of(index);
+            let is_due = self.now >= self.hosts[index].fleet.wake_at();
+            if events.is_empty() && !is_due {
+                continue;
+            }
+            for (to, bytes) in self.hosts[index].step(self.now, events) {
+                self.send(index, to.0 as usize, bytes);
+            }
+        }
+    }
+
+    fn deliver(&mut self) {
+        while let Some(first) = self.in_flight.first_entry() {
+            if first.key().0 > self.now {
+                break;
+            }
+            let message = first.remove();
+            let inbox = &mut self.hosts[message.to].inbox;
+            inbox.push((message.from, message.bytes));
+        }
+    }
+
+    /// What happens to a host in a tick: messages arrive, attempts end, and clients send requests.
+    fn events_of(&mut self, index: usize) -> Vec<Event> {
+        let mut events = Vec::new();
+        for (from, bytes) in std::mem::take(&mut self.hosts[index].inbox) {
+            events.push(Event::MessageReceived {
+                from,
+                waited: ms(0),
+                bytes,
+            });
+        }
+        let attempts = self.attempt_rate * TICK.as_secs_f64();
+        let one_more = self.rng.random::<f64>() < attempts.fract();
+        for _ in 0..attempts as usize + usize::from(one_more) {
+            let node = self.rng.random_range(0..self.nodes.len() as u32);
+            if !self.hosts[index].avoided.contains(&node) {
+                let bad = self.dead.contains(&node) || self.unreached.contains(&(index, node));
+                events.push(Event::AttemptEnded { node, bad });
+            }
+        }
+        let demand = self.hosts[index].demand;
+        if demand > 0.0 {
+            events.push(Event::UnitsRequested {
+                volume: VOLUME,
+                units: demand * TICK.as_secs_f64(),
+            });
+        }
+        events
+    }
+
+    fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
+        self.sent += 1;
+        self.sent_bytes += bytes.len() as u64;
+        if self.cut.contains(&(from, to)) || self.rng.random::<f64>() < self.loss {
+            return;
+        }
+        let doubled = self.rng.random::<f64>() < self.loss;
+        let max_delay = if self.loss > 0.0 {
+            MAX_DELAY_WITH_LOSS_MS
+        } else {
+            MAX_DELAY_MS
+        };
+        for _ in 0..1 + usize::from(doubled) {
+            let delay = ms(self.rng.random_range(0..max_delay));
+            let number = self.sent * 2 + u64::from(self.rng.random::<bool>());
+            let message = InFlight {
+                from: HostNumber(from as u32),
+                to,
+                bytes: bytes.clone(),
+            };
+            self.in_flight.insert((self.now + delay, number), message);
+        }
+    }
+
+    /// Runs for a while, and asserts in each tick that the quotas stay within the limit.
+    pub fn run(&mut self, span: Duration) {
+        let until = self.now + span;
+        while self.now < until {
+            self.tick();
+            self.check_quotas();
+        }
+    }
+
+    /// The sum of all quotas as a fraction of the whole limit. Hosts that stand still send nothing,
+    /// and first drop what has run out when they go on.
+    pub fn sum_of_quotas(&self) -> f64 {
+        let running = self
+            .hosts
+            .iter()
+            .filter(|host| self.now >= host.paused_until);
+        running.map(|host| host.quota).sum::<f64>() / self.hosts.len() as f64
+    }
+
+    pub fn check_quotas(&self) {
+        let quotas = self.sum_of_quotas();
+        assert!(
+            quotas <= 1.0 + 1e-6,
+            "quotas of {quotas} of the whole limit at {:?}",
+            self.now
+        );
+    }
+
+    /// Restarts a host: whatever it knew is lost; its clock may even have gone back.
+    pub fn restart(&mut self, index: usize) {
+        let incarnation = self.hosts[index].incarnation + self.rng.random_range(0..2);
+        let demand = self.hosts[index].demand;
+        let hosts = self.hosts.len();
+        let mut new = self.start_host(index, hosts, incarnation.max(1), true);
+        new.demand = demand;
+        self.hosts[index] = new;
+    }
+
+    /// How many hosts do not treat the node by their own evidence.
+    pub fn hosts_with_a_policy_for(&self, node: u32) -> usize {
+        let policies = self.hosts.iter().map(|host| host.fleet.policy_of(node));
+        policies
+            .filter(|policy| *policy != EndpointPolicy::OwnEvidence)
+            .count()
+    }
+}
+
+impl Host {
+    /// Has it take in events, and returns the messages that it sends.
+    fn step(&mut self, now: Duration, events: Vec<Event>) -> Vec<(HostNumber, Vec<u8>)> {
+        let mut messages = Vec::new();
+        for action in self.fleet.step(now, events) {
+            match action {
+                Action::Send { to, bytes } => messages.push((to, bytes)),
+                Action::QuotaChanged { times, .. } => self.quota = times,
+                Action::PolicyChanged { node, policy } => {
+                    if policy == EndpointPolicy::Avoid {
+                        self.avoided.insert(node);
+                    } else {
+                        self.avoided.remove(&node);
+                    }
+                }
+                Action::Log { .. } => {}
+            }
+        }
+        messages
+    }
+
+    /// Nodes that some host finds bad, as far as this one knows.
+    pub fn nodes_found_bad(&self) -> impl Iterator<Item = u32> {
+        let policies = self.fleet.policies().into_iter();
+        policies
+            .filter(|known| known.finding.bad.hosts > 0)
+            .map(|known| known.node)
+    }
+}
