--- a/crates/fleet/src/attempts.rs
+++ b/crates/fleet/src/attempts.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 /// Attempts of the last seconds to one node. Each answer halves the count of the other kind: of a
-/// node that has changed, what was before says little, and of one that answers sometimes well and
-/// sometimes badly both counts stay.
+/// node that has changed, earlier answers are little evidence, and of one that answers sometimes
+/// well and sometimes badly both counts stay.
 #[derive(Debug, Default, Clone, Copy)]
 struct AttemptCounts {
     good: u32,
--- a/crates/fleet/src/events.rs
+++ b/crates/fleet/src/events.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the settings say of the fleet.
+/// The figures of the settings for the fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rules {
     /// Between two gossip rounds.
@@ -32,7 +32,7 @@
     },
     /// The nodes of the endpoint list that are to be used, with the starts of their processes.
     NodesInUse(BTreeMap<u32, u64>),
-    /// An attempt to a node ended in a way that says something of it.
+    /// An attempt to a node ended with a result that is evidence on the node.
     AttemptEnded {
         /// The node's number.
         node: u32,
--- a/crates/fleet/src/evidence.rs
+++ b/crates/fleet/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What all hosts' observations say of each node: their evidence for and against it, weighed.
+//! Weighs all hosts' observations of each node: the evidence for it and against it.
 //!
 //! Pure functions, called by [`crate::outlier_detection`] in each evaluation. Evidence is what
 //! hosts tried themselves, of one process of the node, not older than [`EVIDENCE_WINDOW`]. Each
@@ -29,7 +29,9 @@
 /// An observation with the host that made it.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Evidence {
+    /// The host that observed.
     pub observer: HostNumber,
+    /// What it observed, with its age now.
     pub observation: Observation,
 }
 
@@ -48,10 +50,13 @@
 /// All evidence on one node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct NodeEvidence {
+    /// The evidence for it.
     pub good: EvidenceTally,
+    /// The evidence against it.
     pub bad: EvidenceTally,
-    /// When the last good attempt was observed, and the last bad one.
+    /// When the last evidence for it was observed.
     pub last_good: Option<Duration>,
+    /// When the last evidence against it was observed.
     pub last_bad: Option<Duration>,
 }
 
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -35,7 +35,7 @@
 const OUTDATED_INTERVALS: u32 = 3;
 /// Lines of the log that name one peer with bad messages; after them they are only counted.
 const MAX_LOG_LINES_PER_PEER: u32 = 3;
-/// Separate the random numbers of the parts, which all come from one seed.
+/// Separate the random numbers of the components, which all come from one seed.
 const DETECTOR_SEED_SALT: u64 = 0x6a75;
 const LENDERS_SEED_SALT: u64 = 0x666c;
 
@@ -59,7 +59,7 @@
 pub struct NodePolicy {
     /// The node's number.
     pub node: u32,
-    /// What all evidence says.
+    /// The verdict from all evidence.
     pub finding: Finding,
     /// How this host treats it.
     pub policy: EndpointPolicy,
--- a/crates/fleet/src/host_report.rs
+++ b/crates/fleet/src/host_report.rs
@@ -1,8 +1,8 @@
 //! What one host reports of itself to its peers, with the version that orders its reports.
 //!
 //! Plain data, used by the gossip state, the encoded messages, outlier detection and the quotas. A
-//! report holds what its writer observed itself, never what it was told; its age travels with it,
-//! so that no clocks are compared.
+//! report holds what its writer observed itself, never what it received from others; its age
+//! travels with it, so that no clocks are compared.
 
 use crate::{HostNumber, Incarnation};
 use std::collections::BTreeSet;
@@ -89,7 +89,7 @@
     pub units: u64,
 }
 
-/// What a host reports of itself and of what it tried itself; never what it was told.
+/// What a host reports of itself and of what it tried itself; never what it received from others.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct HostReport {
     /// Nodes that it sent to in the last seconds.
--- a/crates/fleet/src/lease_outbox.rs
+++ b/crates/fleet/src/lease_outbox.rs
@@ -8,6 +8,7 @@
 use crate::HostNumber;
 use std::collections::BTreeMap;
 
+/// Lease messages that wait to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseOutbox {
     /// No receiver has an empty list.
@@ -15,6 +16,7 @@
 }
 
 impl LeaseOutbox {
+    /// Adds messages behind those that wait.
     pub fn add(&mut self, messages: Vec<AddressedLeaseMessage>) {
         for addressed in messages {
             let waiting = self.waiting.entry(addressed.to).or_default();
@@ -27,7 +29,7 @@
         self.waiting.keys().copied().collect()
     }
 
-    /// Takes the first messages for a host, as many as one gossip message holds.
+    /// Takes the first messages for a host, as many as fit into one gossip message.
     pub fn take_for(&mut self, to: HostNumber) -> Vec<VolumeLeaseMessage> {
         let Some(mut messages) = self.waiting.remove(&to) else {
             return Vec::new();
--- a/crates/fleet/src/outlier_detection.rs
+++ b/crates/fleet/src/outlier_detection.rs
@@ -21,7 +21,7 @@
 //! An ejection ends by newer evidence that the node answers, by another start of the node, or by
 //! this host's own evidence; never by silence, so some hosts must probe: each host draws, once in
 //! [`PROBE_INTERVAL`], whether it probes, so that [`PROBERS`] of all do on average. The exception
-//! is a host that receives too few reports: after [`EJECTION_TIMEOUT`] it drops what it was told,
+//! is a host that receives too few reports: after [`EJECTION_TIMEOUT`] it drops what it received,
 //! and finds out by itself like one without peers.
 
 use crate::evidence::{self, EvidenceByNode, EvidenceTally, NodeEvidence, Observer};
@@ -47,7 +47,7 @@
 /// Bad attempts of its own below which a host does not take its own path for bad.
 const MIN_OWN_BAD: u32 = 2;
 
-/// What all evidence says of a node.
+/// The conclusion from all evidence on a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// No host, or too few, have tried it in the last seconds.
@@ -88,7 +88,7 @@
     Probe,
 }
 
-/// What all evidence says of a node, with the evidence.
+/// The verdict on a node, with the evidence for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
     /// What follows from it.
--- a/crates/fleet/src/quotas.rs
+++ b/crates/fleet/src/quotas.rs
@@ -1,7 +1,7 @@
 //! This host's quotas of all limits that it shares: demand, leases, and which quotas have changed.
 //!
 //! State machine, owned by [`crate::fleet`]. No I/O. Each volume has its own [`QuotaLeases`]; what
-//! is kept here besides is the demand by which they ask for leases, and the quota that was last
+//! is stored here besides is the demand by which they ask for leases, and the quota that was last
 //! returned. Memory: a row for each volume with a limit that is shared.
 
 use crate::borrowed_leases::{Lender, OutgoingLeaseMessage};
@@ -48,7 +48,9 @@
 /// A lease message to send, with its receiver.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AddressedLeaseMessage {
+    /// The receiver.
     pub to: HostNumber,
+    /// What it is sent.
     pub message: VolumeLeaseMessage,
 }
 
@@ -82,6 +84,7 @@
 }
 
 impl SharedQuotas {
+    /// Shares nothing yet.
     pub fn new(now: Duration, me: HostNumber, rules: Rules) -> Self {
         SharedQuotas {
             me,
@@ -176,8 +179,8 @@
         for (volume, shared) in &mut self.volumes {
             let requested = std::mem::take(&mut shared.requested);
             shared.demand += DEMAND_SMOOTHING * (requested / interval - shared.demand);
-            let wanted = shared.demand * DEMAND_HEADROOM / shared.limit * f64::from(WHOLE_LIMIT);
-            shared.leases.set_demand(wanted as u32);
+            let demand = shared.demand * DEMAND_HEADROOM / shared.limit * f64::from(WHOLE_LIMIT);
+            shared.leases.set_demand(demand as u32);
             shared.leases.set_superseded(superseded);
             self.touched.insert(*volume);
             let mut lenders = lenders.remove(volume).unwrap_or_default();
--- a/crates/fleet/tests/gossip_codec.rs
+++ b/crates/fleet/tests/gossip_codec.rs
@@ -11,9 +11,11 @@
 use grebecleat_fleet::{HostNumber, Incarnation};
 
 /// The entry and the lease messages of `message`, byte by byte.
-const ENCODED: &str = "0801100918012227080510031808204d280330013a0c0804100118092002283730014204080710634a\
-                       05080710d2092a0c0807100318012001280230032a0c0807100318022001280430032a08080710031803\
-                       28022a0808071003180420062a06080810021805";
+const ENCODED: &str = "\
+    0801100918012227080510031808204d280330013a0c0804100118092002283730014204080710634a050807\
+    10d2092a0c0807100318012001280230032a0c0807100318022001280430032a0808071003180328022a0808\
+    071003180420062a06080810021805\
+    ";
 
 fn entry() -> GossipEntry {
     let report = HostReport {
@@ -102,7 +104,7 @@
 
 #[test]
 fn a_message_with_a_number_out_of_range_is_rejected_whole() {
-    // what is wrong, and what the error must say
+    // what is wrong, and what the error text must contain
     type Case<'a> = (&'a dyn Fn(&mut GossipMessage), &'a str);
     let cases: [Case; 7] = [
         (&|m| m.incarnation = Incarnation(u64::MAX), "life"),
--- a/crates/fleet/tests/gossip_state.rs
+++ b/crates/fleet/tests/gossip_state.rs
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn of_two_processes_of_one_host_the_earlier_is_superseded_while_the_other_is_heard_of() {
+fn of_two_processes_of_one_host_the_earlier_is_superseded_while_the_other_reports() {
     let mut state = gossip_state(3);
     let after = NOW + SYNC_TIMEOUT + ms(500);
     state.publish(after, HostReport::default(), true);
