--- a/crates/fleet/src/gossip_codec.rs
+++ b/crates/fleet/src/gossip_codec.rs
@@ -26,7 +26,7 @@
 /// In milliseconds.
 const MAX_AGE_MS: u64 = 1 << 32;
 
-/// `WireLeaseMessage::kind` of each lease message.
+/// `WireSay::kind` of each lease message.
 const KIND_REQUEST: u32 = 1;
 const KIND_GRANT: u32 = 2;
 const KIND_RELEASE: u32 = 3;
@@ -109,8 +109,11 @@
     },
 }
 
+// The names of the wire messages and of their fields are part of the text of `Malformed`, which
+// operators read in the log: they stay as they are.
+
 #[derive(Clone, PartialEq, Message)]
-struct WireObservation {
+struct WireSight {
     #[prost(uint32, tag = "1")]
     node: u32,
     #[prost(uint64, tag = "2")]
@@ -120,9 +123,9 @@
     #[prost(uint32, tag = "4")]
     bad: u32,
     #[prost(uint32, tag = "5")]
-    age_ms: u32,
+    ago_ms: u32,
     #[prost(bool, tag = "6")]
-    contradicts_ejection: bool,
+    clears: bool,
 }
 
 #[derive(Clone, PartialEq, Message)]
@@ -134,7 +137,7 @@
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireServedUnits {
+struct WireServed {
     #[prost(uint64, tag = "1")]
     volume: u64,
     #[prost(uint64, tag = "2")]
@@ -154,17 +157,17 @@
     #[prost(uint32, tag = "5")]
     tried: u32,
     #[prost(uint32, tag = "6")]
-    bad: u32,
+    badly: u32,
     #[prost(message, repeated, tag = "7")]
-    observations: Vec<WireObservation>,
+    sights: Vec<WireSight>,
     #[prost(message, repeated, tag = "8")]
     offers: Vec<WireOffer>,
     #[prost(message, repeated, tag = "9")]
-    served: Vec<WireServedUnits>,
+    served: Vec<WireServed>,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireLeaseMessage {
+struct WireSay {
     #[prost(uint64, tag = "1")]
     volume: u64,
     #[prost(uint32, tag = "2")]
@@ -176,34 +179,34 @@
     number: u64,
     /// The lease, or the borrower's incarnation.
     #[prost(uint64, tag = "5")]
-    lease: u64,
+    loan: u64,
     #[prost(uint32, tag = "6")]
     amount: u32,
 }
 
 #[derive(Clone, PartialEq, Message)]
-struct WireGossipMessage {
+struct WireWord {
     #[prost(uint32, tag = "1")]
     format: u32,
     #[prost(uint64, tag = "2")]
     incarnation: u64,
     #[prost(bool, tag = "3")]
-    requests_sync: bool,
+    asks: bool,
     #[prost(message, repeated, tag = "4")]
     entries: Vec<WireEntry>,
     #[prost(message, repeated, tag = "5")]
-    lease_messages: Vec<WireLeaseMessage>,
+    says: Vec<WireSay>,
 }
 
 impl GossipMessage {
     /// The encoded message.
     pub fn to_bytes(&self) -> Vec<u8> {
-        let wire = WireGossipMessage {
+        let wire = WireWord {
             format: FORMAT,
             incarnation: self.incarnation.0,
-            requests_sync: self.requests_sync,
+            asks: self.requests_sync,
             entries: self.entries.iter().map(encode_entry).collect(),
-            lease_messages: self.lease_messages.iter().map(encode_lease).collect(),
+            says: self.lease_messages.iter().map(encode_lease).collect(),
         };
         wire.encode_to_vec()
     }
@@ -213,21 +216,21 @@
         if bytes.len() > MAX_BYTES {
             return Err(GossipDecodeError::TooLong { bytes: bytes.len() });
         }
-        let wire = WireGossipMessage::decode(bytes)?;
+        let wire = WireWord::decode(bytes)?;
         if wire.format != FORMAT {
             let format = wire.format;
             return Err(GossipDecodeError::Format { format });
         }
         let incarnation = decode_incarnation(wire.incarnation)?;
         check_count("entries", wire.entries.len(), MAX_ENTRIES)?;
-        check_count("says", wire.lease_messages.len(), MAX_LEASE_MESSAGES)?;
+        check_count("says", wire.says.len(), MAX_LEASE_MESSAGES)?;
         let entries = wire.entries.into_iter().map(decode_entry);
         let entries = entries.collect::<Result<_, _>>()?;
-        let lease_messages = wire.lease_messages.into_iter().map(decode_lease);
+        let lease_messages = wire.says.into_iter().map(decode_lease);
         let lease_messages = lease_messages.collect::<Result<_, _>>()?;
         Ok(GossipMessage {
             incarnation,
-            requests_sync: wire.requests_sync,
+            requests_sync: wire.asks,
             entries,
             lease_messages,
         })
@@ -240,7 +243,7 @@
         volume: offer.volume,
         spare: offer.spare,
     });
-    let served = report.served.iter().map(|served| WireServedUnits {
+    let served = report.served.iter().map(|served| WireServed {
         volume: served.volume,
         units: served.units,
     });
@@ -250,40 +253,40 @@
         count: entry.version.count,
         age_ms: entry.age.as_millis() as u64,
         tried: report.tried,
-        bad: report.bad,
-        observations: report.observations.iter().map(encode_observation).collect(),
+        badly: report.bad,
+        sights: report.observations.iter().map(encode_observation).collect(),
         offers: offers.collect(),
         served: served.collect(),
     }
 }
 
-fn encode_observation(observation: &Observation) -> WireObservation {
-    let age_ms = observation.age.as_millis().min(u128::from(u32::MAX));
-    WireObservation {
+fn encode_observation(observation: &Observation) -> WireSight {
+    let ago_ms = observation.age.as_millis().min(u128::from(u32::MAX));
+    WireSight {
         node: observation.node,
         start: observation.start,
         sent: observation.sent,
         bad: observation.bad,
-        age_ms: age_ms as u32,
-        contradicts_ejection: observation.contradicts_ejection,
+        ago_ms: ago_ms as u32,
+        clears: observation.contradicts_ejection,
     }
 }
 
-fn encode_lease(lease: &VolumeLeaseMessage) -> WireLeaseMessage {
-    let empty = WireLeaseMessage {
+fn encode_lease(lease: &VolumeLeaseMessage) -> WireSay {
+    let empty = WireSay {
         volume: lease.volume,
         sharers: lease.sharers,
-        ..WireLeaseMessage::default()
+        ..WireSay::default()
     };
     match lease.message {
         LeaseMessage::Request {
             request,
             lease,
             amount,
-        } => WireLeaseMessage {
+        } => WireSay {
             kind: KIND_REQUEST,
             number: request,
-            lease,
+            loan: lease,
             amount,
             ..empty
         },
@@ -291,26 +294,26 @@
             request,
             borrower_incarnation,
             amount,
-        } => WireLeaseMessage {
+        } => WireSay {
             kind: KIND_GRANT,
             number: request,
-            lease: borrower_incarnation.0,
+            loan: borrower_incarnation.0,
             amount,
             ..empty
         },
-        LeaseMessage::Release { lease } => WireLeaseMessage {
+        LeaseMessage::Release { lease } => WireSay {
             kind: KIND_RELEASE,
-            lease,
+            loan: lease,
             ..empty
         },
         LeaseMessage::Cleared {
             recovered_incarnation,
-        } => WireLeaseMessage {
+        } => WireSay {
             kind: KIND_CLEARED,
             number: recovered_incarnation.0,
             ..empty
         },
-        LeaseMessage::Recovered => WireLeaseMessage {
+        LeaseMessage::Recovered => WireSay {
             kind: KIND_RECOVERED,
             ..empty
         },
@@ -337,7 +340,7 @@
         count: wire.count,
     };
     check_entry(&wire)?;
-    let observations = wire.observations.into_iter().map(decode_observation);
+    let observations = wire.sights.into_iter().map(decode_observation);
     let offers = wire.offers.into_iter().map(|offer| LeaseOffer {
         volume: offer.volume,
         spare: offer.spare,
@@ -348,7 +351,7 @@
     });
     let report = HostReport {
         tried: wire.tried,
-        bad: wire.bad,
+        bad: wire.badly,
         observations: observations.collect(),
         offers: offers.collect(),
         served: served.collect(),
@@ -370,11 +373,11 @@
             age_ms: wire.age_ms,
         });
     }
-    check_count("sights", wire.observations.len(), MAX_REPORT_ITEMS)?;
+    check_count("sights", wire.sights.len(), MAX_REPORT_ITEMS)?;
     check_count("offers", wire.offers.len(), MAX_REPORT_ITEMS)?;
     check_count("served", wire.served.len(), MAX_REPORT_ITEMS)?;
-    let mut observations = wire.observations.iter();
-    if wire.bad > wire.tried || observations.any(|observed| observed.bad > observed.sent) {
+    let mut observations = wire.sights.iter();
+    if wire.badly > wire.tried || observations.any(|observed| observed.bad > observed.sent) {
         return Err(GossipDecodeError::MoreBadThanSent { writer });
     }
     if wire.offers.iter().any(|offer| offer.spare > WHOLE_LIMIT) {
@@ -383,18 +386,18 @@
     Ok(())
 }
 
-fn decode_observation(wire: WireObservation) -> Observation {
+fn decode_observation(wire: WireSight) -> Observation {
     Observation {
         node: wire.node,
         start: wire.start,
         sent: wire.sent,
         bad: wire.bad,
-        age: Duration::from_millis(u64::from(wire.age_ms)),
-        contradicts_ejection: wire.contradicts_ejection,
+        age: Duration::from_millis(u64::from(wire.ago_ms)),
+        contradicts_ejection: wire.clears,
     }
 }
 
-fn decode_lease(wire: WireLeaseMessage) -> Result<VolumeLeaseMessage, GossipDecodeError> {
+fn decode_lease(wire: WireSay) -> Result<VolumeLeaseMessage, GossipDecodeError> {
     if wire.amount > WHOLE_LIMIT || wire.sharers == 0 {
         return Err(GossipDecodeError::LeaseNumbers {
             volume: wire.volume,
@@ -405,15 +408,15 @@
     let message = match wire.kind {
         KIND_REQUEST => LeaseMessage::Request {
             request: wire.number,
-            lease: wire.lease,
+            lease: wire.loan,
             amount: wire.amount,
         },
         KIND_GRANT => LeaseMessage::Grant {
             request: wire.number,
-            borrower_incarnation: decode_incarnation(wire.lease)?,
+            borrower_incarnation: decode_incarnation(wire.loan)?,
             amount: wire.amount,
         },
-        KIND_RELEASE => LeaseMessage::Release { lease: wire.lease },
+        KIND_RELEASE => LeaseMessage::Release { lease: wire.loan },
         KIND_CLEARED => LeaseMessage::Cleared {
             recovered_incarnation: decode_incarnation(wire.number)?,
         },
--- a/crates/fleet/tests/gossip_codec.rs
+++ b/crates/fleet/tests/gossip_codec.rs
@@ -161,3 +161,12 @@
         }
     }
 }
+
+#[test]
+fn the_text_of_a_malformed_message_names_its_fields_as_it_always_has() {
+    let says_with_a_bad_wire_type = [42, 1, 7];
+    let error = GossipMessage::from_bytes(&says_with_a_bad_wire_type).unwrap_err();
+    let text = error.to_string();
+    let expected = "no word: failed to decode Protobuf message: WireWord.says: ";
+    assert!(text.starts_with(expected), "{text}");
+}
