--- a/crates/bench/src/commands.rs
+++ b/crates/bench/src/commands.rs
@@ -7,9 +7,11 @@
 use grebecleat_iscsi::login::{Portal, Target};
 use grebecleat_iscsi::pdu::{self, Digests, Header, Opcode, Pdu, Reader};
 use grebecleat_iscsi::scsi::Unit;
-use grebecleat_target::blocks::Answer;
-use grebecleat_target::engine::{ConnNo, Engine, Input, Output, Request, TargetFacts, VolumeFacts};
-use grebecleat_target::pressure::Figures;
+use grebecleat_target::blocks::RequestOutcome;
+use grebecleat_target::engine::{
+    ConnNo, Engine, EngineConfig, Input, Output, Request, TargetFacts, VolumeFacts,
+};
+use grebecleat_target::pressure::WindowLimits;
 use grebecleat_target::versions::Versions;
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -100,20 +102,21 @@
             name: NAME.into(),
             luns: vec![0],
         }];
-        let figures = Figures {
-            first: 128.0,
-            most: 128.0,
-            max_each: 128,
+        let window_limits = WindowLimits {
+            initial: 128.0,
+            maximum: 128.0,
+            max_per_session: 128,
         };
-        let versions = (figures, Duration::from_secs(1), Versions::new(0, 1));
-        let engine = Engine::new(
+        let engine = Engine::new(EngineConfig {
             portal,
-            vec![],
-            facts,
-            vec![volume],
-            versions,
-            Box::new(|| [7; 17]),
-        );
+            addresses: vec![],
+            targets: facts,
+            volumes: vec![volume],
+            window_limits,
+            late_write_time: Duration::from_secs(1),
+            versions: Versions::new(0, 1),
+            challenges: Box::new(|| [7; 17]),
+        });
         let (reader, now) = (Reader::new(256 << 10), Duration::ZERO);
         let mut p = Path {
             engine,
@@ -123,7 +126,7 @@
             out: Vec::with_capacity(1 << 20),
             data,
         };
-        p.step(vec![Input::Up { conn: CONN }]);
+        p.step(vec![Input::ConnectionOpened { conn: CONN }]);
         let digest = if digests { "CRC32C" } else { "None" };
         let keys = [
             ("InitiatorName", "iqn.i"),
@@ -159,19 +162,21 @@
             let mut again = Vec::new();
             for output in self.engine.step(self.now, inputs) {
                 match output {
-                    Output::Take(Request { no, write, .. }) => {
+                    Output::Submit(Request { no, write, .. }) => {
                         let data = if write {
                             Bytes::new()
                         } else {
                             self.data.clone()
                         };
-                        again.push(Input::Final {
+                        again.push(Input::RequestFinished {
                             no,
-                            answer: Answer::Done(data),
+                            outcome: RequestOutcome::Completed(data),
                             shard: Some(1),
                         });
                     }
-                    Output::Reserve { ceiling } => again.push(Input::Reserved { ceiling }),
+                    Output::PersistCeiling { ceiling } => {
+                        again.push(Input::CeilingPersisted { ceiling })
+                    }
                     Output::Send { pdu, digests, .. } => {
                         // As the portal writes it: large data is not copied.
                         self.out.clear();
--- a/crates/target/src/blocks.rs
+++ b/crates/target/src/blocks.rs
@@ -70,21 +70,21 @@
 
 /// What a piece's request came to.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Answer {
+pub enum RequestOutcome {
     /// Data of reads; less than asked for is zeroes from there on, for blocks that nobody wrote.
-    Done(Bytes),
-    /// Not done, or nobody knows. `unsure`: it may still have an effect, later than this answer.
-    Deferred {
+    Completed(Bytes),
+    /// Not done, or nobody knows. `may_still_apply`: it may still have an effect, later than this answer.
+    Rejected {
         retry_after: Option<Duration>,
-        unsure: bool,
+        may_still_apply: bool,
     },
-    Abandoned {
-        unsure: bool,
+    Failed {
+        may_still_apply: bool,
     },
     /// Done, but for blocks of which the node holds that newer version.
     Superseded(u64),
     /// Done, but it cannot be kept where.
-    Unkept,
+    NotPersisted,
 }
 
 /// The answers of one command's pieces, as they come.
@@ -101,16 +101,16 @@
     deferred: bool,
     abandoned: bool,
     unkept: bool,
-    unsure: bool,
+    may_still_apply: bool,
 }
 
 /// A command's answer, and after which time a BUSY one may come again.
 #[derive(Debug, PartialEq)]
-pub struct Whole {
+pub struct Gathered {
     pub outcome: Outcome,
     pub retry_after: Option<Duration>,
     /// A write of which a part may still have its effect.
-    pub unsure: bool,
+    pub may_still_apply: bool,
 }
 
 impl Gather {
@@ -118,7 +118,7 @@
         let bytes = pieces.iter().map(|p| p.length as usize).sum();
         let (data, one) = (BytesMut::new(), None);
         let (open, left) = (pieces.len(), pieces.into_iter().map(Some).collect());
-        let (deferred, abandoned, unkept, unsure) = (false, false, false, false);
+        let (deferred, abandoned, unkept, may_still_apply) = (false, false, false, false);
         Gather {
             left,
             open,
@@ -130,7 +130,7 @@
             deferred,
             abandoned,
             unkept,
-            unsure,
+            may_still_apply,
         }
     }
 
@@ -141,43 +141,43 @@
 
     /// One piece's answer, by its place; the command's, once it is the last. A second answer to one changes
     /// nothing.
-    pub fn take(&mut self, place: usize, answer: Answer) -> Option<Whole> {
+    pub fn take(&mut self, place: usize, answer: RequestOutcome) -> Option<Gathered> {
         let piece = self.left.get_mut(place)?.take()?;
         self.open -= 1;
         match answer {
             // The whole of the command in one: nothing is to be put together, nor copied.
-            Answer::Done(data)
+            RequestOutcome::Completed(data)
                 if self.reads && self.left.len() == 1 && data.len() >= piece.length as usize =>
             {
                 self.one = Some(data.slice(..piece.length as usize));
             }
-            Answer::Done(data) if self.reads => {
+            RequestOutcome::Completed(data) if self.reads => {
                 if self.data.is_empty() {
                     self.data = BytesMut::zeroed(self.bytes);
                 }
                 let n = data.len().min(piece.length as usize);
                 self.data[piece.at..piece.at + n].copy_from_slice(&data[..n]);
             }
-            Answer::Done(_) => {}
-            Answer::Deferred {
+            RequestOutcome::Completed(_) => {}
+            RequestOutcome::Rejected {
                 retry_after,
-                unsure,
+                may_still_apply,
             } => {
                 self.deferred = true;
                 self.retry_after = self.retry_after.max(retry_after);
-                self.unsure |= unsure && !self.reads;
+                self.may_still_apply |= may_still_apply && !self.reads;
             }
-            Answer::Abandoned { unsure } => {
+            RequestOutcome::Failed { may_still_apply } => {
                 self.abandoned = true;
-                self.unsure |= unsure && !self.reads;
+                self.may_still_apply |= may_still_apply && !self.reads;
             }
-            Answer::Superseded(_) => self.abandoned = true,
-            Answer::Unkept => self.unkept = true,
+            RequestOutcome::Superseded(_) => self.abandoned = true,
+            RequestOutcome::NotPersisted => self.unkept = true,
         }
         self.is_whole().then(|| self.whole())
     }
 
-    pub fn whole(&mut self) -> Whole {
+    pub fn whole(&mut self) -> Gathered {
         let outcome = match (self.unkept, self.abandoned, self.deferred) {
             (true, ..) => Outcome::check(Sense::WRITE_ERROR),
             (_, true, _) => Outcome::check(Sense::OUTCOME_UNKNOWN),
@@ -189,10 +189,10 @@
             ),
         };
         let busy = outcome.status == Status::Busy;
-        Whole {
+        Gathered {
             outcome,
             retry_after: self.retry_after.filter(|_| busy),
-            unsure: self.unsure,
+            may_still_apply: self.may_still_apply,
         }
     }
 }
--- a/crates/target/src/blocks/tests.rs
+++ b/crates/target/src/blocks/tests.rs
@@ -25,12 +25,14 @@
 
 #[test]
 fn the_command_is_what_its_worst_piece_is_and_only_when_the_last_is_in() {
-    let done = || Answer::Done(Bytes::new());
-    let deferred = |n| Answer::Deferred {
+    let done = || RequestOutcome::Completed(Bytes::new());
+    let deferred = |n| RequestOutcome::Rejected {
         retry_after: Some(ms(n)),
-        unsure: false,
+        may_still_apply: false,
+    };
+    let lost = || RequestOutcome::Failed {
+        may_still_apply: true,
     };
-    let lost = || Answer::Abandoned { unsure: true };
     let cases = [
         (vec![done(), done(), done()], Status::Good, None),
         (
@@ -40,9 +42,9 @@
         ),
         (
             vec![
-                Answer::Deferred {
+                RequestOutcome::Rejected {
                     retry_after: None,
-                    unsure: false,
+                    may_still_apply: false,
                 },
                 done(),
                 done(),
@@ -73,9 +75,15 @@
 #[test]
 fn a_read_is_put_together_and_what_nobody_wrote_is_zeroes() {
     let mut g = Gather::new(LAYOUT.pieces(3, 6).collect(), true);
-    assert!(g.take(2, Answer::Done(Bytes::from(vec![3; 512]))).is_none());
-    assert!(g.take(0, Answer::Done(Bytes::from(vec![1; 512]))).is_none());
-    let whole = g.take(1, Answer::Done(Bytes::from(vec![2; 100]))).unwrap();
+    assert!(g
+        .take(2, RequestOutcome::Completed(Bytes::from(vec![3; 512])))
+        .is_none());
+    assert!(g
+        .take(0, RequestOutcome::Completed(Bytes::from(vec![1; 512])))
+        .is_none());
+    let whole = g
+        .take(1, RequestOutcome::Completed(Bytes::from(vec![2; 100])))
+        .unwrap();
     let d = whole.outcome.data;
     assert_eq!(
         (d.len(), d[0], d[512], d[611], d[612], d[2560]),
--- a/crates/target/src/engine/block_commands.rs
+++ b/crates/target/src/engine/block_commands.rs
@@ -1,133 +1,174 @@
-//! Commands on blocks: their checks, and their order among those that overlap.
+//! Commands on blocks: their checks against the unit, and their order among those that overlap.
+//!
+//! Called for what a unit does not answer by itself. A command that passes the checks is recorded as open; it
+//! starts at once, or when the commands that it must wait for have ended.
 
-use super::*;
+use super::records::{BlockAction, BlockCommand, OpenCommand, ScsiCommand, Step};
+use super::Engine;
+use crate::overlaps::Range;
+use crate::pressure::SessionNo;
+use bytes::{Bytes, BytesMut};
+use grebecleat_iscsi::scsi::{unmap_ranges, Command, Sense, Unit};
+use grebecleat_iscsi::session::Outcome;
+
+/// What the checks of a command come to.
+enum Checked {
+    /// It needs the blocks.
+    Blocks(BlockCommand),
+    /// It is answered at once.
+    Answered(Outcome),
+}
+
+fn check(sense: Sense) -> Checked {
+    Checked::Answered(Outcome::check(sense))
+}
+
+fn bytes_of(unit: &Unit, blocks: u64) -> usize {
+    (blocks * u64::from(unit.block_size)) as usize
+}
+
+fn on_range(lba: u64, blocks: u64, action: BlockAction) -> Checked {
+    Checked::Blocks(BlockCommand {
+        lba,
+        blocks,
+        action,
+    })
+}
+
+fn parse(unit: &Unit, command: &Command, data: Bytes) -> Checked {
+    match *command {
+        Command::Read { lba, blocks, .. } => on_range(lba, blocks, BlockAction::Read),
+        Command::Write { lba, blocks, .. } => on_range(lba, blocks, BlockAction::Write(data)),
+        Command::Verify { lba, blocks, bytes } => {
+            on_range(lba, blocks, BlockAction::Verify(bytes.then_some(data)))
+        }
+        // A write that was GOOD is durable: there is no cache to write back.
+        Command::SynchronizeCache { lba, blocks, .. } => match unit.within(lba, blocks) {
+            Ok(()) => Checked::Answered(Outcome::good(Bytes::new())),
+            Err(sense) => check(sense),
+        },
+        Command::CompareAndWrite { lba, blocks } => {
+            let half = bytes_of(unit, blocks);
+            if data.len() != 2 * half {
+                return check(Sense::INVALID_FIELD_IN_CDB);
+            }
+            let action = BlockAction::CompareAndWrite {
+                expected: data.slice(..half),
+                replacement: data.slice(half..),
+            };
+            on_range(lba, blocks, action)
+        }
+        Command::WriteSame {
+            lba,
+            blocks,
+            data: has_data,
+            ..
+        } => {
+            let block = has_data.then_some(data);
+            write_same(unit, lba, blocks, block)
+        }
+        Command::Unmap { length } => unmap(unit, &data[..data.len().min(length)]),
+        _ => check(Sense::INVALID_OPCODE),
+    }
+}
+
+/// One block, or zeroes, on a whole range; no blocks are all up to the end of the unit.
+fn write_same(unit: &Unit, lba: u64, blocks: u64, block: Option<Bytes>) -> Checked {
+    let blocks = match blocks {
+        0 => unit.blocks.saturating_sub(lba),
+        _ => blocks,
+    };
+    let block_bytes = bytes_of(unit, 1);
+    let block = block.unwrap_or_else(|| Bytes::from(vec![0; block_bytes]));
+    if block.len() != block_bytes || blocks > u64::from(unit.max_blocks) {
+        return check(Sense::INVALID_FIELD_IN_CDB);
+    }
+    let mut data = BytesMut::with_capacity(bytes_of(unit, blocks));
+    for _ in 0..blocks {
+        data.extend_from_slice(&block);
+    }
+    on_range(lba, blocks, BlockAction::Write(data.freeze()))
+}
+
+/// One range becomes zeroes. More than the block limits page reports are refused (SBC-3, 5.28).
+fn unmap(unit: &Unit, parameters: &[u8]) -> Checked {
+    let ranges = match unmap_ranges(parameters) {
+        Ok(ranges) => ranges,
+        Err(sense) => return check(sense),
+    };
+    match ranges[..] {
+        [] => Checked::Answered(Outcome::good(Bytes::new())),
+        [(lba, blocks)] if blocks <= u64::from(unit.max_blocks) => {
+            let zeroes = Bytes::from(vec![0; bytes_of(unit, blocks)]);
+            on_range(lba, blocks, BlockAction::Write(zeroes))
+        }
+        _ => check(Sense::INVALID_FIELD_IN_PARAMETERS),
+    }
+}
+
+/// The outcome of a command whose range or data does not fit the unit, or that has no blocks.
+fn check_range(unit: &Unit, command: &BlockCommand, max_in: u32) -> Option<Outcome> {
+    let BlockCommand {
+        lba,
+        blocks,
+        action,
+    } = command;
+    if let Err(sense) = unit.within(*lba, *blocks) {
+        return Some(Outcome::check(sense));
+    }
+    if *blocks > u64::from(unit.max_blocks) {
+        return Some(Outcome::check(Sense::INVALID_FIELD_IN_CDB));
+    }
+    let bytes = bytes_of(unit, *blocks);
+    let data_misfits = match action {
+        BlockAction::Write(data) | BlockAction::Verify(Some(data)) => data.len() != bytes,
+        BlockAction::Read => max_in == 0 && bytes > 0,
+        _ => false,
+    };
+    if data_misfits || (action.writes() && unit.read_only) {
+        return Some(Outcome::check(Sense::INVALID_FIELD_IN_CDB));
+    }
+    (*blocks == 0).then(|| Outcome::good(Bytes::new()))
+}
 
 impl Engine {
-    pub(super) fn on_blocks(
+    /// Starts a command on blocks; its outcome if it is answered at once.
+    pub(super) fn start_on_blocks(
         &mut self,
-        session: u64,
-        task: TaskNo,
+        scsi: ScsiCommand,
         volume: usize,
         command: Command,
-        data: Bytes,
-        max_in: u32,
     ) -> Option<Outcome> {
-        let check = |s| Some(Outcome::check(s));
         let unit = &self.volumes[volume].facts.unit;
-        let bytes = |blocks: u64| (blocks * u64::from(unit.block_size)) as usize;
-        let (lba, blocks, deed) = match command {
-            Command::Read { lba, blocks, .. } => (lba, blocks, Deed::Read),
-            Command::Write { lba, blocks, .. } => (lba, blocks, Deed::Write(data)),
-            Command::Verify { lba, blocks, bytes } => {
-                (lba, blocks, Deed::Verify(bytes.then_some(data)))
-            }
-            // A write that was GOOD is kept: there is no cache to bring down.
-            Command::SynchronizeCache { lba, blocks, .. } => {
-                let fine = unit.within(lba, blocks);
-                return Some(fine.map_or_else(Outcome::check, |()| Outcome::good(Bytes::new())));
-            }
-            Command::CompareAndWrite { lba, blocks } => {
-                let half = bytes(blocks);
-                if data.len() != 2 * half {
-                    return check(Sense::INVALID_FIELD_IN_CDB);
-                }
-                (
-                    lba,
-                    blocks,
-                    Deed::Compare {
-                        with: data.slice(..half),
-                        then: data.slice(half..),
-                    },
-                )
-            }
-            Command::WriteSame {
-                lba,
-                blocks,
-                data: given,
-                ..
-            } => {
-                let blocks = if blocks == 0 {
-                    unit.blocks.saturating_sub(lba)
-                } else {
-                    blocks
-                };
-                let one = if given {
-                    data
-                } else {
-                    Bytes::from(vec![0; bytes(1)])
-                };
-                if one.len() != bytes(1) || blocks > u64::from(unit.max_blocks) {
-                    return check(Sense::INVALID_FIELD_IN_CDB);
-                }
-                let all: BytesMut = std::iter::repeat_n(&one[..], blocks as usize)
-                    .flatten()
-                    .copied()
-                    .collect();
-                (lba, blocks, Deed::Write(all.freeze()))
-            }
-            Command::Unmap { length } => match unmap_ranges(&data[..data.len().min(length)]) {
-                Err(sense) => return check(sense),
-                Ok(ranges) if ranges.is_empty() => return Some(Outcome::good(Bytes::new())),
-                // One range becomes zeroes. More than the block limits page tells of are refused (SBC-3,
-                // 5.28).
-                Ok(ranges) => match ranges[..] {
-                    [(lba, blocks)] if blocks <= u64::from(unit.max_blocks) => (
-                        lba,
-                        blocks,
-                        Deed::Write(Bytes::from(vec![0; bytes(blocks)])),
-                    ),
-                    _ => return check(Sense::INVALID_FIELD_IN_PARAMETERS),
-                },
-            },
-            _ => return check(Sense::INVALID_OPCODE),
+        let command = match parse(unit, &command, scsi.data) {
+            Checked::Blocks(command) => command,
+            Checked::Answered(outcome) => return Some(outcome),
         };
-        if let Err(sense) = unit.within(lba, blocks) {
-            return check(sense);
+        if let Some(outcome) = check_range(unit, &command, scsi.max_in) {
+            return Some(outcome);
         }
-        if blocks > u64::from(unit.max_blocks) {
-            return check(Sense::INVALID_FIELD_IN_CDB);
-        }
-        let writes = matches!(deed, Deed::Write(_) | Deed::Compare { .. });
-        let short = match &deed {
-            Deed::Write(d) | Deed::Verify(Some(d)) => d.len() != bytes(blocks),
-            Deed::Read => (max_in as usize) < bytes(blocks) && max_in == 0 && blocks > 0,
-            _ => false,
+        let number = self.next_number();
+        let state = &mut self.volumes[volume];
+        state.pressure.opened(SessionNo(scsi.session));
+        self.changed_windows.insert(volume);
+        let range = Range {
+            start: command.lba,
+            end: command.lba + command.blocks,
+            writes: command.action.writes(),
+            reads: command.action.reads(),
         };
-        if short || (writes && unit.read_only) {
-            return check(Sense::INVALID_FIELD_IN_CDB);
-        }
-        if blocks == 0 {
-            return Some(Outcome::good(Bytes::new()));
-        }
-        let no = self.number();
-        let v = &mut self.volumes[volume];
-        v.pressure.opened(SessionNo(session));
-        self.pressed.insert(volume);
-        let reads = !matches!(deed, Deed::Write(_));
-        let goes = v.overlaps.open(
-            no,
-            Range {
-                start: lba,
-                end: lba + blocks,
-                writes,
-                reads,
-            },
-        );
-        self.ops.insert(
-            no,
-            Op {
-                session,
-                task,
-                volume,
-                deed,
-                lba,
-                blocks,
-                gather: None,
-                ended: false,
-            },
-        );
-        if goes {
-            self.launch(no, false);
+        let ready = state.overlaps.open(number, range);
+        let open = OpenCommand {
+            session: scsi.session,
+            task: scsi.task,
+            volume,
+            command,
+            gather: None,
+            aborted: false,
+        };
+        self.commands.insert(number, open);
+        if ready {
+            self.launch(number, Step::First);
         }
         None
     }
--- a/crates/target/src/engine/commands.rs
+++ b/crates/target/src/engine/commands.rs
@@ -1,119 +1,157 @@
-//! SCSI commands: what is answered at once, and what needs the blocks of a volume.
+//! SCSI commands: what can be answered at once, is; what needs the blocks of a volume becomes requests.
+//!
+//! Called for each command that a session starts. The order of the checks is SAM-5's: the logical unit, unit
+//! attentions, reservations, then the command itself.
 
-use super::*;
+use super::records::ScsiCommand;
+use super::Engine;
+use bytes::Bytes;
+use grebecleat_iscsi::reservations::{Nexus, Refused};
+use grebecleat_iscsi::scsi::{decode, Command, Sense, Status};
+use grebecleat_iscsi::session::Outcome;
 
-impl Engine {
-    pub(super) fn answer(&mut self, session: u64, task: TaskNo, outcome: Outcome) {
-        if let Some(s) = self.sessions.get_mut(&session) {
-            let acts = s.session.done(task, outcome);
-            self.acts(session, acts);
-        }
+/// Standard INQUIRY data of a LUN without a unit: qualifier and type "not supported", SPC-4, 31 more bytes.
+const NO_UNIT_INQUIRY: [u8; 5] = [0x7f, 0, 0x06, 0x02, 31];
+const INQUIRY_BYTES: usize = 36;
+
+/// Commands that are carried out although a unit attention is pending (SAM-5, 5.14).
+fn passes_attention(command: &Command) -> bool {
+    matches!(
+        command,
+        Command::Inquiry { .. } | Command::ReportLuns { .. } | Command::RequestSense { .. }
+    )
+}
+
+fn outcome_of(answer: Result<Vec<u8>, Sense>) -> Outcome {
+    match answer {
+        Ok(data) => Outcome::good(data),
+        Err(sense) => Outcome::check(sense),
     }
+}
 
-    pub(super) fn start(
-        &mut self,
-        session: u64,
-        task: TaskNo,
-        lun: u64,
-        cdb: [u8; 16],
-        data: Bytes,
-        max_in: u32,
-    ) {
-        let outcome = self.begin(session, task, lun, cdb, data, max_in);
-        if let Some(outcome) = outcome {
-            self.answer(session, task, outcome);
+impl Engine {
+    pub(super) fn start(&mut self, scsi: ScsiCommand) {
+        let session = scsi.session;
+        let task = scsi.task;
+        let Some(outcome) = self.begin(scsi) else {
+            return;
+        };
+        if let Some(state) = self.sessions.get_mut(&session) {
+            let acts = state.session.done(task, outcome);
+            self.perform(session, acts);
         }
     }
 
-    /// What can be answered at once, is; None where requests are under way.
-    pub(super) fn begin(
-        &mut self,
-        session: u64,
-        task: TaskNo,
-        lun: u64,
-        cdb: [u8; 16],
-        data: Bytes,
-        max_in: u32,
-    ) -> Option<Outcome> {
-        let check = |s| Some(Outcome::check(s));
-        let command = match decode(&cdb) {
+    /// The outcome of a command that is answered at once; none where requests are in progress.
+    fn begin(&mut self, scsi: ScsiCommand) -> Option<Outcome> {
+        let command = match decode(&scsi.cdb) {
             Ok(command) => command,
-            Err(sense) => return check(sense),
+            Err(sense) => return Some(Outcome::check(sense)),
         };
-        let s = self.sessions.get_mut(&session)?;
-        let target = s.target?;
+        let target = self.sessions.get(&scsi.session)?.target?;
         let luns: Vec<u64> = (0..self.targets[target].luns.len())
-            .map(|i| (i as u64) << 48)
+            .map(|index| (index as u64) << 48)
             .collect();
-        let Some(volume) = self.unit_of(target, lun) else {
-            return match command {
-                Command::Inquiry { page: None, most } => {
-                    let mut none = vec![0x7f, 0, 0x06, 0x02, 31];
-                    none.resize(36, 0);
-                    none.truncate(most);
-                    Some(Outcome::good(none))
-                }
-                Command::ReportLuns { .. } => {
-                    let unit = &self.volumes[*self.targets[target].luns.first()?].facts.unit;
-                    unit.answer(&command, &luns, Sense::NONE)
-                        .map(|a| a.map_or_else(Outcome::check, Outcome::good))
-                }
-                _ => check(Sense::LUN_NOT_SUPPORTED),
-            };
+        let Some(volume) = self.unit_of(target, scsi.lun) else {
+            return self.without_unit(target, &command, &luns);
         };
-        let s = self.sessions.get_mut(&session)?;
-        let held = s.attentions.entry(volume).or_default();
-        let pending = match command {
-            Command::RequestSense { .. } => held.pop_front().unwrap_or(Sense::NONE),
-            _ if attention_passes(&command) => Sense::NONE,
-            _ => match held.pop_front() {
-                Some(sense) => return check(sense),
-                None => Sense::NONE,
-            },
+        let pending = match self.take_attention(scsi.session, volume, &command)? {
+            Ok(pending) => pending,
+            Err(sense) => return Some(Outcome::check(sense)),
         };
-        let (nexus, v) = (Nexus(session), &mut self.volumes[volume]);
-        if !v.reservations.allows(nexus, &command) {
+        let unit = &self.volumes[volume];
+        if !unit.reservations.allows(Nexus(scsi.session), &command) {
             return Some(Outcome::status(Status::ReservationConflict));
         }
-        if let Some(answer) = v.facts.unit.answer(&command, &luns, pending) {
-            return Some(answer.map_or_else(Outcome::check, Outcome::good));
+        if let Some(answer) = unit.facts.unit.answer(&command, &luns, pending) {
+            return Some(outcome_of(answer));
         }
         match command {
             Command::ReserveIn { action, most } => {
-                let told = v.reservations.tell(action);
-                Some(told.map_or_else(Outcome::check, |mut b| {
-                    b.truncate(most);
-                    Outcome::good(b)
-                }))
+                let mut answer = unit.reservations.tell(action);
+                if let Ok(data) = &mut answer {
+                    data.truncate(most);
+                }
+                Some(outcome_of(answer))
+            }
+            Command::ReserveOut { length, .. } if scsi.data.len() >= length => {
+                Some(self.reserve(scsi.session, volume, &command, &scsi.data[..length]))
             }
-            Command::ReserveOut {
-                action,
-                scope,
-                kind,
-                length,
-            } if data.len() >= length => {
-                match v
-                    .reservations
-                    .change(nexus, action, scope, kind, &data[..length])
-                {
-                    Ok(told) => {
-                        told.attentions
-                            .iter()
-                            .for_each(|(n, s)| self.attend(n.0, volume, *s));
-                        for n in told.aborted {
-                            let hit = |o: &&Op| o.session == n.0 && o.volume == volume;
-                            let tasks: Vec<TaskNo> =
-                                self.ops.values().filter(hit).map(|o| o.task).collect();
-                            self.abort(n.0, &tasks);
-                        }
-                        Some(Outcome::good(Bytes::new()))
-                    }
-                    Err(Refused::Conflict) => Some(Outcome::status(Status::ReservationConflict)),
-                    Err(Refused::Check(sense)) => check(sense),
+            Command::ReserveOut { .. } => Some(Outcome::check(Sense::PARAMETER_LIST_LENGTH)),
+            _ => self.start_on_blocks(scsi, volume, command),
+        }
+    }
+
+    /// Commands to a LUN that has no unit (SAM-5, 4.7.4).
+    fn without_unit(&self, target: usize, command: &Command, luns: &[u64]) -> Option<Outcome> {
+        match command {
+            Command::Inquiry { page: None, most } => {
+                let mut data = NO_UNIT_INQUIRY.to_vec();
+                data.resize(INQUIRY_BYTES, 0);
+                data.truncate(*most);
+                Some(Outcome::good(data))
+            }
+            Command::ReportLuns { .. } => {
+                let first = *self.targets[target].luns.first()?;
+                let unit = &self.volumes[first].facts.unit;
+                unit.answer(command, luns, Sense::NONE).map(outcome_of)
+            }
+            _ => Some(Outcome::check(Sense::LUN_NOT_SUPPORTED)),
+        }
+    }
+
+    /// The sense data for REQUEST SENSE, or as the error the attention that this command reports; none
+    /// without a session.
+    fn take_attention(
+        &mut self,
+        session: u64,
+        volume: usize,
+        command: &Command,
+    ) -> Option<Result<Sense, Sense>> {
+        let state = self.sessions.get_mut(&session)?;
+        let attentions = state.attentions.entry(volume).or_default();
+        if matches!(command, Command::RequestSense { .. }) {
+            return Some(Ok(attentions.pop_front().unwrap_or(Sense::NONE)));
+        }
+        if passes_attention(command) {
+            return Some(Ok(Sense::NONE));
+        }
+        Some(match attentions.pop_front() {
+            Some(sense) => Err(sense),
+            None => Ok(Sense::NONE),
+        })
+    }
+
+    /// PERSISTENT RESERVE OUT; commands and attentions of other sessions that it changes.
+    fn reserve(
+        &mut self,
+        session: u64,
+        volume: usize,
+        command: &Command,
+        parameters: &[u8],
+    ) -> Outcome {
+        let Command::ReserveOut {
+            action,
+            scope,
+            kind,
+            ..
+        } = *command
+        else {
+            return Outcome::check(Sense::INVALID_OPCODE);
+        };
+        let reservations = &mut self.volumes[volume].reservations;
+        match reservations.change(Nexus(session), action, scope, kind, parameters) {
+            Ok(effects) => {
+                for (other, sense) in &effects.attentions {
+                    self.add_attention(other.0, volume, *sense);
+                }
+                for other in effects.aborted {
+                    self.abort_at(other.0, &[volume]);
                 }
+                Outcome::good(Bytes::new())
             }
-            Command::ReserveOut { .. } => check(Sense::PARAMETER_LIST_LENGTH),
-            _ => self.on_blocks(session, task, volume, command, data, max_in),
+            Err(Refused::Conflict) => Outcome::status(Status::ReservationConflict),
+            Err(Refused::Check(sense)) => Outcome::check(sense),
         }
     }
 }
--- a/crates/target/src/engine/completion.rs
+++ b/crates/target/src/engine/completion.rs
@@ -1,72 +1,96 @@
 //! The end of a command: its outcome from those of its requests, and what may start after it.
+//!
+//! Called when the last request of a command's step has ended, or when a waiting command is aborted.
 
-use super::*;
+use super::records::{BlockAction, LateWrite, Step};
+use super::Engine;
+use crate::blocks::Gathered;
+use crate::pressure::{CommandResult, SessionNo};
+use bytes::Bytes;
+use grebecleat_iscsi::scsi::{Sense, Status};
+use grebecleat_iscsi::session::Outcome;
+
+/// The outcome of a comparison; the first byte that differs is in the sense data.
+fn compare(expected: &[u8], found: &[u8]) -> Outcome {
+    let mut pairs = expected.iter().zip(found);
+    match pairs.position(|(expected, found)| expected != found) {
+        Some(at) => Outcome::check(Sense::MISCOMPARE.at(at as u64)),
+        None => Outcome::good(Bytes::new()),
+    }
+}
 
 impl Engine {
-    /// All requests of a command's step are answered.
-    pub(super) fn over(&mut self, no: u64, whole: Whole) {
-        let Some(op) = self.ops.get(&no) else { return };
-        let Whole {
-            outcome,
-            retry_after,
-            unsure,
-        } = whole;
-        let good = outcome.status == Status::Good;
-        let at = |a: &[u8], b: &[u8]| a.iter().zip(b).position(|(x, y)| x != y).map(|i| i as u64);
-        let outcome = match &op.deed {
-            Deed::Verify(Some(with)) if good => match at(with, &outcome.data) {
-                Some(i) => Outcome::check(Sense::MISCOMPARE.at(i)),
-                None => Outcome::good(Bytes::new()),
-            },
-            Deed::Verify(None) if good => Outcome::good(Bytes::new()),
-            Deed::Compare { with, .. } if good && !outcome.data.is_empty() => {
-                match at(with, &outcome.data) {
-                    Some(i) => Outcome::check(Sense::MISCOMPARE.at(i)),
-                    None if op.ended => outcome,
-                    None => return self.launch(no, true),
+    /// All requests of a command's step have ended.
+    pub(super) fn step_over(&mut self, number: u64, gathered: Gathered) {
+        let Some(open) = self.commands.get(&number) else {
+            return;
+        };
+        let mut outcome = gathered.outcome;
+        if outcome.status == Status::Good {
+            match &open.command.action {
+                BlockAction::Verify(Some(expected)) => outcome = compare(expected, &outcome.data),
+                BlockAction::Verify(None) => outcome = Outcome::good(Bytes::new()),
+                // The second step, which writes, has no data.
+                BlockAction::CompareAndWrite { expected, .. } if !outcome.data.is_empty() => {
+                    let compared = compare(expected, &outcome.data);
+                    if compared.status != Status::Good {
+                        outcome = compared;
+                    } else if !open.aborted {
+                        return self.launch(number, Step::WriteAfterCompare);
+                    }
                 }
+                _ => {}
             }
-            _ => outcome,
-        };
-        let ended = match outcome.status {
-            Status::Good => Ended::Done,
-            Status::Busy => Ended::Deferred {
-                retry_after: retry_after.unwrap_or(self.rest),
+        }
+        let result = match outcome.status {
+            Status::Good => CommandResult::Completed,
+            Status::Busy => CommandResult::Rejected {
+                retry_after: gathered.retry_after.unwrap_or(self.late_write_time),
             },
-            _ => Ended::Other,
+            _ => CommandResult::Other,
         };
-        self.end(no, Some(outcome), ended, unsure);
+        self.end_command(number, Some(outcome), result, gathered.may_still_apply);
     }
 
-    /// A command has ended; answered, unless it was aborted. `unsure`: it may still have an effect.
-    pub(super) fn end(&mut self, no: u64, outcome: Option<Outcome>, ended: Ended, unsure: bool) {
-        let Some(op) = self.ops.remove(&no) else {
+    /// Ends a command; it is answered, unless it was aborted. `may_still_apply`: a part of its write may take
+    /// effect later.
+    pub(super) fn end_command(
+        &mut self,
+        number: u64,
+        outcome: Option<Outcome>,
+        result: CommandResult,
+        may_still_apply: bool,
+    ) {
+        let Some(open) = self.commands.remove(&number) else {
             return;
         };
-        self.volumes[op.volume]
+        let volume = &mut self.volumes[open.volume];
+        volume
             .pressure
-            .closed(self.now, SessionNo(op.session), ended);
-        self.pressed.insert(op.volume);
-        let wrote =
-            ended == Ended::Done && matches!(op.deed, Deed::Write(_) | Deed::Compare { .. });
-        let overlaps = &mut self.volumes[op.volume].overlaps;
-        let free = match (unsure, wrote) {
-            (true, _) => {
-                self.resting
-                    .push_back((self.now + self.rest, op.volume, no));
-                overlaps.rest(no)
-            }
-            (false, true) => overlaps.cover(no),
-            (false, false) => overlaps.close(no),
+            .closed(self.now, SessionNo(open.session), result);
+        self.changed_windows.insert(open.volume);
+        let wrote = result == CommandResult::Completed && open.command.action.writes();
+        let ready = if may_still_apply {
+            self.late_writes.push_back(LateWrite {
+                until: self.now + self.late_write_time,
+                volume: open.volume,
+                command: number,
+            });
+            volume.overlaps.rest(number)
+        } else if wrote {
+            volume.overlaps.cover(number)
+        } else {
+            volume.overlaps.close(number)
         };
-        free.into_iter().for_each(|no| self.launch(no, false));
-        if let Some(s) = self.sessions.get_mut(&op.session) {
-            let acts = match outcome.filter(|_| !op.ended) {
-                Some(outcome) => s.session.done(op.task, outcome),
-                None => s.session.gone(op.task),
-            };
-            self.acts(op.session, acts);
-            self.forget_session(op.session);
-        }
+        self.launch_all(ready);
+        let Some(state) = self.sessions.get_mut(&open.session) else {
+            return;
+        };
+        let acts = match outcome {
+            Some(outcome) if !open.aborted => state.session.done(open.task, outcome),
+            _ => state.session.gone(open.task),
+        };
+        self.perform(open.session, acts);
+        self.forget_session_if_over(open.session);
     }
 }
--- a/crates/target/src/engine/connections.rs
+++ b/crates/target/src/engine/connections.rs
@@ -1,138 +1,147 @@
-//! Connections and their logins: from the accepted socket to full feature phase, and its loss.
+//! Connections and their logins: from the accepted socket to the full feature phase, and their loss.
+//!
+//! Called by the engine's `step`. Logins in progress are bounded: beyond, the oldest is closed, since it is
+//! the likeliest to be left behind by its initiator.
 
-use super::*;
+use super::messages::{ConnNo, Output};
+use super::records::{Connection, PendingLogin, Phase};
+use super::Engine;
+use grebecleat_iscsi::login::{LoggedIn, Login, Standing};
+use grebecleat_iscsi::pdu::{Digests, Fault, Opcode, Pdu};
+
+/// Connections that have not come through their login; beyond, the oldest is closed.
+const MAX_LOGINS: usize = 256;
+/// Commands that a login response allows behind its own CmdSN.
+const LOGIN_WINDOW: u32 = 31;
+/// Bytes of a login response that hold the status class and detail (RFC 7143, 11.13).
+const STATUS_CLASS: usize = 36;
+const STATUS_DETAIL: usize = 37;
 
 impl Engine {
-    pub(super) fn up(&mut self, conn: ConnNo) {
-        if let Some((_, oldest)) = self
-            .logins
-            .first()
-            .copied()
-            .filter(|_| self.logins.len() >= MAX_LOGINS)
-        {
-            self.refuse(oldest, "too many logins at once");
+    pub(super) fn connection_opened(&mut self, conn: ConnNo) {
+        if self.logins.len() >= MAX_LOGINS {
+            if let Some(oldest) = self.logins.first().copied() {
+                self.refuse(oldest.conn, "too many logins at once");
+            }
         }
-        self.logins.insert((self.now, conn));
-        let phase = Phase::Login(Box::new(Login::new(self.portal.clone())));
-        self.conns.insert(
+        let opened_at = self.now;
+        self.logins.insert(PendingLogin {
+            since: opened_at,
             conn,
-            Conn {
-                phase,
-                since: self.now,
-                stat_sn: 1,
-                digests: Digests::default(),
-            },
-        );
+        });
+        let connection = Connection {
+            phase: Phase::Login(Box::new(Login::new(self.portal.clone()))),
+            opened_at,
+            stat_sn: 1,
+            digests: Digests::default(),
+        };
+        self.connections.insert(conn, connection);
     }
 
-    pub(super) fn refuse(&mut self, conn: ConnNo, why: &str) {
-        self.note(format!("iscsi connection {}: {why}", conn.0));
-        self.out.push(Output::Close { conn });
-        self.forget(conn);
+    pub(super) fn refuse(&mut self, conn: ConnNo, reason: &str) {
+        self.log(format!("iscsi connection {}: {reason}", conn.0));
+        self.outputs.push(Output::Close { conn });
+        self.forget_connection(conn);
     }
 
-    pub(super) fn forget(&mut self, conn: ConnNo) -> Option<Conn> {
-        let c = self.conns.remove(&conn)?;
-        self.logins.remove(&(c.since, conn));
-        Some(c)
+    fn forget_connection(&mut self, conn: ConnNo) -> Option<Connection> {
+        let connection = self.connections.remove(&conn)?;
+        self.logins.remove(&PendingLogin {
+            since: connection.opened_at,
+            conn,
+        });
+        Some(connection)
     }
 
-    pub(super) fn read(&mut self, conn: ConnNo, read: Result<Pdu, Fault>) {
-        let Some(c) = self.conns.get_mut(&conn) else {
+    pub(super) fn receive(&mut self, conn: ConnNo, read: Result<Pdu, Fault>) {
+        let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        match (&mut c.phase, read) {
+        match (&mut connection.phase, read) {
             (Phase::Full { session, cid }, read) => {
                 let (session, cid) = (*session, *cid);
                 if let Err(fault) = &read {
-                    self.note(format!("iscsi connection {}: {fault}", conn.0));
+                    self.log(format!("iscsi connection {}: {fault}", conn.0));
                 }
-                if let Some(s) = self.sessions.get_mut(&session) {
-                    let acts = s.session.hear(cid, read);
-                    self.acts(session, acts);
+                if let Some(state) = self.sessions.get_mut(&session) {
+                    let acts = state.session.hear(cid, read);
+                    self.perform(session, acts);
                 }
             }
             (Phase::Login(_), Err(fault)) => self.refuse(conn, &fault.to_string()),
             (Phase::Login(login), Ok(pdu)) => {
-                let opcode = pdu.header.opcode();
-                if opcode != Some(grebecleat_iscsi::pdu::Opcode::LoginRequest) {
+                if pdu.header.opcode() != Some(Opcode::LoginRequest) {
                     return self.refuse(conn, "no login");
                 }
-                let sn = pdu.header.cmd_sn();
-                let sns = (c.stat_sn, sn, sn.wrapping_add(31));
-                c.stat_sn += 1;
-                let (answer, standing) = login.request(&pdu, (self.chance)(), sns);
-                self.logged(conn, answer, standing, sn);
+                let cmd_sn = pdu.header.cmd_sn();
+                let numbers = (
+                    connection.stat_sn,
+                    cmd_sn,
+                    cmd_sn.wrapping_add(LOGIN_WINDOW),
+                );
+                connection.stat_sn += 1;
+                let (response, standing) = login.request(&pdu, (self.challenges)(), numbers);
+                self.login_answered(conn, response, standing, cmd_sn);
             }
         }
     }
 
-    pub(super) fn logged(
-        &mut self,
-        conn: ConnNo,
-        mut answer: Pdu,
-        standing: Standing,
-        cmd_sn: u32,
-    ) {
-        let plain = Digests::default();
+    fn login_answered(&mut self, conn: ConnNo, response: Pdu, standing: Standing, cmd_sn: u32) {
         match standing {
-            Standing::Goes => self.out.push(Output::Send {
-                conn,
-                pdu: answer,
-                digests: plain,
-            }),
-            Standing::Failed(status, why) => {
-                self.out.push(Output::Send {
+            Standing::Goes => self.send_login_response(conn, response),
+            Standing::Failed(status, reason) => {
+                self.send_login_response(conn, response);
+                self.refuse(conn, &format!("login refused ({status:?}): {reason}"));
+            }
+            Standing::Done(identity) => self.login_done(conn, response, *identity, cmd_sn),
+        }
+    }
+
+    fn login_done(&mut self, conn: ConnNo, mut response: Pdu, identity: LoggedIn, cmd_sn: u32) {
+        match self.admit(conn, identity, cmd_sn) {
+            Ok(tsih) => {
+                response.header = response.header.set_tsih(tsih);
+                self.outputs.push(Output::SetReader {
                     conn,
-                    pdu: answer,
-                    digests: plain,
+                    digests: self.connections[&conn].digests,
+                    max_data: self.portal.wishes.our_segment as usize,
                 });
-                self.refuse(conn, &format!("login refused ({status:?}): {why}"));
+                self.send_login_response(conn, response);
+            }
+            Err(status) => {
+                let code = status as u16;
+                response.header = response
+                    .header
+                    .set_byte(STATUS_CLASS, (code >> 8) as u8)
+                    .set_byte(STATUS_DETAIL, code as u8);
+                self.send_login_response(conn, response);
+                self.refuse(conn, &format!("login refused ({status:?})"));
             }
-            Standing::Done(who) => match self.admit(conn, *who, cmd_sn) {
-                Ok(tsih) => {
-                    answer.header = answer.header.set_tsih(tsih);
-                    let c = &self.conns[&conn];
-                    let (digests, most) = (c.digests, self.portal.wishes.our_segment as usize);
-                    self.out.push(Output::Reads {
-                        conn,
-                        digests,
-                        most,
-                    });
-                    self.out.push(Output::Send {
-                        conn,
-                        pdu: answer,
-                        digests: plain,
-                    });
-                }
-                Err(status) => {
-                    let code = status as u16;
-                    answer.header = answer
-                        .header
-                        .set_byte(36, (code >> 8) as u8)
-                        .set_byte(37, code as u8);
-                    self.out.push(Output::Send {
-                        conn,
-                        pdu: answer,
-                        digests: plain,
-                    });
-                    self.refuse(conn, &format!("login refused ({status:?})"));
-                }
-            },
         }
     }
 
-    pub(super) fn gone(&mut self, conn: ConnNo) {
-        let Some(c) = self.forget(conn) else { return };
-        let Phase::Full { session, cid } = c.phase else {
+    /// Login responses have no digests: what was negotiated is in force behind the last of them.
+    fn send_login_response(&mut self, conn: ConnNo, pdu: Pdu) {
+        self.outputs.push(Output::Send {
+            conn,
+            pdu,
+            digests: Digests::default(),
+        });
+    }
+
+    pub(super) fn connection_closed(&mut self, conn: ConnNo) {
+        let Some(connection) = self.forget_connection(conn) else {
+            return;
+        };
+        let Phase::Full { session, cid } = connection.phase else {
             return;
         };
-        let Some(s) = self.sessions.get_mut(&session) else {
+        let Some(state) = self.sessions.get_mut(&session) else {
             return;
         };
-        s.conns.remove(&cid);
-        let acts = s.session.lost(cid);
-        self.acts(session, acts);
-        self.forget_session(session);
+        state.connections.remove(&cid);
+        let acts = state.session.lost(cid);
+        self.perform(session, acts);
+        self.forget_session_if_over(session);
     }
 }
--- a/crates/target/src/engine/requests.rs
+++ b/crates/target/src/engine/requests.rs
@@ -1,184 +1,216 @@
-//! A command's requests: sent to where extents lie, answered, placed for the first time, retried.
+//! The requests of a command: sent to where extents lie, answered, placed for the first time, sent again.
+//!
+//! Called when a command may start and for each answer of the host or the store. A request ends in
+//! `finish_request`, exactly once.
 
-use super::*;
+use super::messages::{Output, Request, RequestNumber};
+use super::records::{BlockAction, OpenRequest, Step};
+use super::Engine;
+use crate::blocks::{Gather, Piece, RequestOutcome};
+use bytes::Bytes;
+use std::collections::VecDeque;
+
+/// How often a write goes again above a version that it found at its node.
+const MAX_RETRIES: u32 = 4;
 
 impl Engine {
     /// Sends a command's requests; of COMPARE AND WRITE first those that read, then those that write.
-    pub(super) fn launch(&mut self, no: u64, second: bool) {
-        let Some(op) = self.ops.get_mut(&no) else {
+    pub(super) fn launch(&mut self, number: u64, step: Step) {
+        let Some(open) = self.commands.get_mut(&number) else {
             return;
         };
-        let data = match (&op.deed, second) {
-            (Deed::Write(data), _) => Some(data.clone()),
-            (Deed::Compare { then, .. }, true) => Some(then.clone()),
+        let data = match (&open.command.action, step) {
+            (BlockAction::Write(data), _) => Some(data.clone()),
+            (BlockAction::CompareAndWrite { replacement, .. }, Step::WriteAfterCompare) => {
+                Some(replacement.clone())
+            }
             _ => None,
         };
-        let (volume, write) = (op.volume, data.is_some());
-        let pieces: Vec<Piece> = self.volumes[volume]
+        let volume = &self.volumes[open.volume];
+        let volume_id = volume.facts.volume;
+        let pieces: Vec<Piece> = volume
             .layout
-            .pieces(op.lba, op.blocks)
+            .pieces(open.command.lba, open.command.blocks)
             .collect();
-        op.gather = Some(Gather::new(pieces.clone(), !write));
-        for (place, p) in pieces.into_iter().enumerate() {
-            let number = RequestNumber(self.number());
-            let part = data
-                .as_ref()
-                .map(|d| d.slice(p.at..p.at + p.length as usize))
-                .unwrap_or_default();
+        open.gather = Some(Gather::new(pieces.clone(), data.is_none()));
+        for (index, piece) in pieces.into_iter().enumerate() {
+            let no = RequestNumber(self.next_number());
+            let part = match &data {
+                Some(data) => data.slice(piece.at..piece.at + piece.length as usize),
+                None => Bytes::new(),
+            };
             let request = Request {
-                no: number,
-                volume: self.volumes[volume].facts.volume,
-                extent: p.extent,
+                no,
+                volume: volume_id,
+                extent: piece.extent,
                 shard: None,
-                write,
-                offset: p.offset,
-                length: p.length,
+                write: data.is_some(),
+                offset: piece.offset,
+                length: piece.length,
                 data: part,
                 version: None,
             };
-            self.requests.insert(
-                number,
-                OpenRequest {
-                    op: no,
-                    place,
-                    request,
-                    places: false,
-                    shard: None,
-                    tries: 0,
-                },
-            );
-            self.send(number);
+            let open_request = OpenRequest {
+                command: number,
+                piece: index,
+                request,
+                first_write: false,
+                persisting_shard: None,
+                retries: 0,
+            };
+            self.requests.insert(no, open_request);
+            self.send(no);
         }
     }
 
     /// Sends a request to where its extent lies, a write with the next version. Of an extent that lies
     /// nowhere, reads are zeroes, and the first write goes alone.
-    pub(super) fn send(&mut self, no: RequestNumber) {
-        let Some(x) = self.requests.get_mut(&no) else {
+    fn send(&mut self, no: RequestNumber) {
+        let Some(open) = self.requests.get_mut(&no) else {
             return;
         };
-        let v = &mut self.volumes[self.ops[&x.op].volume];
-        let extent = x.request.extent;
-        match v.facts.placed.get(extent) {
-            Some(shard) => x.request.shard = Some(shard),
-            None if !x.request.write => return self.answered(no, Answer::Done(Bytes::new()), None),
-            None if x.places => {}
+        let volume = &mut self.volumes[self.commands[&open.command].volume];
+        let extent = open.request.extent;
+        match volume.facts.placed.get(extent) {
+            Some(shard) => open.request.shard = Some(shard),
+            None if !open.request.write => {
+                return self.request_finished(no, RequestOutcome::Completed(Bytes::new()), None);
+            }
+            None if open.first_write => {}
             None => {
-                if let Some(waiting) = v.placing.get_mut(&extent) {
+                if let Some(waiting) = volume.placing.get_mut(&extent) {
                     return waiting.push_back(no);
                 }
-                v.placing.insert(extent, VecDeque::new());
-                x.places = true;
+                volume.placing.insert(extent, VecDeque::new());
+                open.first_write = true;
             }
         }
-        if x.places && !self.keeps {
-            return self.settle(no, Answer::Unkept);
+        if open.first_write && !self.store_available {
+            return self.finish_request(no, RequestOutcome::NotPersisted);
         }
-        if x.request.write {
-            x.request.version = self.versions.next();
-            match (x.request.version, self.keeps) {
-                (Some(_), _) => {}
-                (None, true) => return self.unnumbered.push(no),
-                (None, false) => return self.settle(no, Answer::Unkept),
+        if open.request.write {
+            open.request.version = self.versions.next();
+            if open.request.version.is_none() && self.store_available {
+                return self.awaiting_version.push(no);
+            }
+            if open.request.version.is_none() {
+                return self.finish_request(no, RequestOutcome::NotPersisted);
             }
         }
-        self.out.push(Output::Take(x.request.clone()));
+        self.outputs.push(Output::Submit(open.request.clone()));
+    }
+
+    /// Sends what waits for a version: there is one now, or there will be none.
+    pub(super) fn send_awaiting_version(&mut self) {
+        for no in std::mem::take(&mut self.awaiting_version) {
+            self.send(no);
+        }
     }
 
-    pub(super) fn answered(&mut self, no: RequestNumber, answer: Answer, shard: Option<u32>) {
-        let Some(x) = self.requests.get_mut(&no).filter(|x| x.shard.is_none()) else {
+    pub(super) fn request_finished(
+        &mut self,
+        no: RequestNumber,
+        outcome: RequestOutcome,
+        shard: Option<u32>,
+    ) {
+        let Some(open) = self.requests.get_mut(&no) else {
             return;
         };
-        if let Answer::Superseded(there) = answer {
-            return self.again(no, there, shard);
+        if open.persisting_shard.is_some() {
+            return;
         }
-        if let (true, Answer::Done(_), Some(shard)) = (x.places, &answer, shard) {
-            if !self.keeps {
-                return self.settle(no, Answer::Unkept);
-            }
-            x.shard = Some(shard);
-            let (volume, extent) = (x.request.volume, x.request.extent);
-            return self.out.push(Output::Store {
-                no,
-                volume,
-                extent,
-                shard,
-            });
+        if let RequestOutcome::Superseded(found) = outcome {
+            return self.retry_above(no, found, shard);
+        }
+        let Some(shard) = shard else {
+            return self.finish_request(no, outcome);
+        };
+        if !open.first_write || !matches!(outcome, RequestOutcome::Completed(_)) {
+            return self.finish_request(no, outcome);
         }
-        self.settle(no, answer);
+        if !self.store_available {
+            return self.finish_request(no, RequestOutcome::NotPersisted);
+        }
+        open.persisting_shard = Some(shard);
+        self.outputs.push(Output::PersistPlacement {
+            no,
+            volume: open.request.volume,
+            extent: open.request.extent,
+            shard,
+        });
     }
 
-    /// A write found a newer version at its node. No other write of these blocks is under way here, so that
-    /// one is another host's, or of a start that could keep nothing: this one goes again, above it, as a new
-    /// piece of work.
-    pub(super) fn again(&mut self, no: RequestNumber, there: u64, shard: Option<u32>) {
-        let Some(x) = self.requests.get(&no) else {
+    /// A write found a newer version at its node. No other write of these blocks is in progress here, so that
+    /// one is another host's, or of a start that could persist nothing: this one goes again, above it, as a
+    /// new request.
+    fn retry_above(&mut self, no: RequestNumber, found: u64, shard: Option<u32>) {
+        let Some(open) = self.requests.get(&no) else {
             return;
         };
-        let wanted = self.ops.get(&x.op).is_some_and(|op| !op.ended);
-        if !self.versions.learn(there) || x.tries >= MAX_TRIES || !wanted {
-            return self.settle(no, Answer::Superseded(there));
+        let command = self.commands.get(&open.command);
+        let wanted = command.is_some_and(|command| !command.aborted);
+        if !self.versions.observe(found) || open.retries >= MAX_RETRIES || !wanted {
+            return self.finish_request(no, RequestOutcome::Superseded(found));
         }
-        let (again, mut x) = (
-            RequestNumber(self.number()),
-            self.requests.remove(&no).expect("looked up above"),
-        );
-        (x.tries, x.request.no) = (x.tries + 1, again);
-        x.request.shard = x.request.shard.or(shard);
-        self.requests.insert(again, x);
-        self.send(again);
+        let retry = RequestNumber(self.next_number());
+        let mut open = self.requests.remove(&no).expect("looked up above");
+        open.retries += 1;
+        open.request.no = retry;
+        open.request.shard = open.request.shard.or(shard);
+        self.requests.insert(retry, open);
+        self.send(retry);
     }
 
-    pub(super) fn stored(&mut self, no: RequestNumber) {
-        let Some((x, shard)) = self.requests.get(&no).and_then(|x| Some((x, x.shard?))) else {
+    pub(super) fn placement_persisted(&mut self, no: RequestNumber) {
+        let Some(open) = self.requests.get(&no) else {
+            return;
+        };
+        let Some(shard) = open.persisting_shard else {
             return;
         };
-        let volume = self.ops[&x.op].volume;
-        self.volumes[volume]
-            .facts
-            .placed
-            .insert(x.request.extent, shard);
-        self.settle(no, Answer::Done(Bytes::new()));
+        let volume = self.commands[&open.command].volume;
+        let placed = &mut self.volumes[volume].facts.placed;
+        placed.insert(open.request.extent, shard);
+        self.finish_request(no, RequestOutcome::Completed(Bytes::new()));
     }
 
-    /// From here on no place and no ceiling is kept: what waits for one is answered, and extents that lie
+    /// From here on no place and no ceiling is persisted: what waits for one is answered, and extents that lie
     /// somewhere are still read, and written while versions last.
-    pub(super) fn store_gone(&mut self) {
-        self.keeps = false;
-        let waits = |x: &OpenRequest| x.shard.is_some();
+    pub(super) fn store_failed(&mut self) {
+        self.store_available = false;
         let waiting: Vec<RequestNumber> = self
             .requests
             .iter()
-            .filter(|(_, x)| waits(x))
+            .filter(|(_, open)| open.persisting_shard.is_some())
             .map(|(no, _)| *no)
             .collect();
-        waiting
-            .into_iter()
-            .for_each(|no| self.settle(no, Answer::Unkept));
-        std::mem::take(&mut self.unnumbered)
-            .into_iter()
-            .for_each(|no| self.send(no));
+        for no in waiting {
+            self.finish_request(no, RequestOutcome::NotPersisted);
+        }
+        self.send_awaiting_version();
     }
 
-    pub(super) fn settle(&mut self, no: RequestNumber, answer: Answer) {
-        let Some(x) = self.requests.remove(&no) else {
+    /// Ends a request; its command too, if it was the last. What waited for its extent's place goes there, or
+    /// the next of it finds one.
+    fn finish_request(&mut self, no: RequestNumber, outcome: RequestOutcome) {
+        let Some(open) = self.requests.remove(&no) else {
             return;
         };
-        let Some(op) = self.ops.get_mut(&x.op) else {
+        let Some(command) = self.commands.get_mut(&open.command) else {
             return;
         };
-        let volume = op.volume;
-        let whole = op.gather.as_mut().and_then(|g| g.take(x.place, answer));
-        if x.places {
-            // What waited for the place goes there, or the next of it finds one.
-            let waiting = self.volumes[volume]
-                .placing
-                .remove(&x.request.extent)
-                .unwrap_or_default();
-            waiting.into_iter().for_each(|w| self.send(w));
+        let volume = command.volume;
+        let gather = command.gather.as_mut();
+        let gathered = gather.and_then(|gather| gather.take(open.piece, outcome));
+        if open.first_write {
+            let placing = &mut self.volumes[volume].placing;
+            let waiting = placing.remove(&open.request.extent).unwrap_or_default();
+            for no in waiting {
+                self.send(no);
+            }
         }
-        if let Some(whole) = whole {
-            self.over(x.op, whole);
+        if let Some(gathered) = gathered {
+            self.step_over(open.command, gathered);
         }
     }
 }
--- a/crates/target/src/engine/sessions.rs
+++ b/crates/target/src/engine/sessions.rs
@@ -1,155 +1,190 @@
-//! Sessions: admission after a login, reinstatement, their end, and what they ask of the target.
+//! Sessions: their admission after a login, reinstatement and end, and what they ask of the target.
+//!
+//! Called by the connections' logins and by every module that hands something to a session, whose acts are
+//! performed here. A session without connections stays only while its commands end.
 
-use super::*;
+use super::messages::{ConnNo, Output};
+use super::records::{PendingLogin, Phase, ScsiCommand, SessionState};
+use super::Engine;
+use crate::pressure::SessionNo;
+use grebecleat_iscsi::login::{LoggedIn, Status as LoginStatus, Target};
+use grebecleat_iscsi::pdu::Digests;
+use grebecleat_iscsi::scsi::Sense;
+use grebecleat_iscsi::session::{Act, Cid, Limits, Session};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Data of one command, in bytes, and PDUs that a session stores for retransmission.
+const LIMITS: Limits = Limits {
+    max_data: 1 << 20,
+    max_kept: 1024,
+};
+/// Commands that a new session may have open, before its volumes' windows are known.
+const FIRST_WINDOW: u32 = 32;
 
 impl Engine {
     /// A new session, one more connection of one, or a session in place of the old one (section 6.3.5).
     pub(super) fn admit(
         &mut self,
         conn: ConnNo,
-        who: LoggedIn,
+        identity: LoggedIn,
         cmd_sn: u32,
     ) -> Result<u16, LoginStatus> {
-        let target = who
-            .target
-            .as_ref()
-            .and_then(|t| self.targets.iter().position(|x| x.name == *t));
-        let same = |s: &&SessionState| {
-            s.who.initiator == who.initiator && s.who.isid == who.isid && s.who.target == who.target
-        };
-        let old = self
-            .sessions
-            .iter()
-            .find(|(_, s)| same(s))
-            .map(|(no, s)| (*no, s.tsih));
         let digests = Digests {
-            header: who.params.header_digest,
-            data: who.params.data_digest,
+            header: identity.params.header_digest,
+            data: identity.params.data_digest,
         };
-        let cid = Cid(who.cid);
-        let session = match (who.tsih, old) {
-            (0, old) => {
-                if let Some((old, _)) = old {
-                    self.note(format!("session of {} reinstated", who.initiator));
+        let cid = Cid(identity.cid);
+        let params = identity.params.clone();
+        let existing = self.find_session(&identity);
+        let session = match existing {
+            _ if identity.tsih == 0 => {
+                if let Some(old) = existing {
+                    self.log(format!("session of {} reinstated", identity.initiator));
                     self.end_session(old);
                 }
-                let no = self.number();
-                self.next_tsih = self.next_tsih.checked_add(1).unwrap_or(1);
-                let listing = self.listing(&who.initiator);
-                let session = Session::new(who.target.clone(), listing, LIMITS, cmd_sn, 32);
-                let attentions = target.iter().flat_map(|t| self.targets[*t].luns.iter());
-                let attentions = attentions
-                    .map(|v| (*v, VecDeque::from([Sense::POWER_ON])))
-                    .collect();
-                let conns = BTreeMap::new();
-                let (who, tsih) = (who.clone(), self.next_tsih);
-                let allowed = BTreeMap::new();
-                let state = SessionState {
-                    session,
-                    who,
-                    tsih,
-                    target,
-                    conns,
-                    attentions,
-                    allowed,
-                };
-                self.sessions.insert(no, state);
-                for v in target.iter().flat_map(|t| self.targets[*t].luns.clone()) {
-                    self.volumes[v].pressure.join(SessionNo(no));
-                    self.pressed.insert(v);
-                }
-                no
+                self.create_session(identity, cmd_sn)
             }
-            (tsih, Some((no, applied))) if tsih == applied => {
-                let s = &self.sessions[&no];
-                if let Some(old) = s.conns.get(&cid).copied() {
-                    // The same connection again: the old one is gone (section 6.3.4).
-                    self.out.push(Output::Close { conn: old });
-                    self.gone(old);
-                } else if s.conns.len() >= s.who.params.max_connections as usize {
-                    return Err(LoginStatus::TooManyConnections);
-                }
-                no
+            Some(session) if identity.tsih == self.sessions[&session].tsih => {
+                self.make_room_for(session, cid)?;
+                session
             }
             _ => return Err(LoginStatus::SessionDoesNotExist),
         };
-        let c = self.conns.get_mut(&conn).expect("it has just logged in");
-        (c.phase, c.digests) = (Phase::Full { session, cid }, digests);
-        self.logins.remove(&(c.since, conn));
-        let s = self
+        let connection = self
+            .connections
+            .get_mut(&conn)
+            .expect("it has just logged in");
+        connection.phase = Phase::Full { session, cid };
+        connection.digests = digests;
+        let stat_sn = connection.stat_sn;
+        let since = connection.opened_at;
+        self.logins.remove(&PendingLogin { since, conn });
+        let state = self
             .sessions
             .get_mut(&session)
             .ok_or(LoginStatus::SessionDoesNotExist)?;
-        s.session.join(cid, who.params.clone(), c.stat_sn);
-        s.conns.insert(cid, conn);
-        Ok(s.tsih)
+        state.session.join(cid, params, stat_sn);
+        state.connections.insert(cid, conn);
+        Ok(state.tsih)
     }
 
-    /// Targets that an initiator may see.
-    pub(super) fn listing(&self, initiator: &str) -> Vec<(String, Vec<String>)> {
-        let may = |t: &&grebecleat_iscsi::login::Target| {
-            t.initiators
-                .as_ref()
-                .is_none_or(|all| all.iter().any(|i| i == initiator))
+    fn find_session(&self, identity: &LoggedIn) -> Option<u64> {
+        let same = |other: &LoggedIn| {
+            other.initiator == identity.initiator
+                && other.isid == identity.isid
+                && other.target == identity.target
         };
-        let seen = self.portal.targets.iter().filter(may);
-        seen.map(|t| (t.name.clone(), self.addresses.clone()))
-            .collect()
+        self.sessions
+            .iter()
+            .find(|(_, state)| same(&state.identity))
+            .map(|(session, _)| *session)
     }
 
-    pub(super) fn end_session(&mut self, no: u64) {
-        let conns: Vec<ConnNo> = self
-            .sessions
-            .get(&no)
+    fn create_session(&mut self, identity: LoggedIn, cmd_sn: u32) -> u64 {
+        let target = identity
+            .target
+            .as_ref()
+            .and_then(|name| self.targets.iter().position(|facts| facts.name == *name));
+        let units = target.map_or_else(Vec::new, |target| self.targets[target].luns.clone());
+        let number = self.next_number();
+        self.last_tsih = self.last_tsih.checked_add(1).unwrap_or(1);
+        let listing = self.listing(&identity.initiator);
+        let attentions = units
             .iter()
-            .flat_map(|s| s.conns.values())
-            .copied()
+            .map(|unit| (*unit, VecDeque::from([Sense::POWER_ON])))
             .collect();
-        for conn in conns {
-            self.out.push(Output::Close { conn });
-            self.gone(conn);
+        let state = SessionState {
+            session: Session::new(
+                identity.target.clone(),
+                listing,
+                LIMITS,
+                cmd_sn,
+                FIRST_WINDOW,
+            ),
+            identity,
+            tsih: self.last_tsih,
+            target,
+            connections: BTreeMap::new(),
+            attentions,
+            allowed: BTreeMap::new(),
+        };
+        self.sessions.insert(number, state);
+        for unit in units {
+            self.volumes[unit].pressure.join(SessionNo(number));
+            self.changed_windows.insert(unit);
         }
-        self.forget_session(no);
+        number
+    }
+
+    /// The same connection again replaces the old one (section 6.3.4); another needs a free place.
+    fn make_room_for(&mut self, session: u64, cid: Cid) -> Result<(), LoginStatus> {
+        let state = &self.sessions[&session];
+        if let Some(old) = state.connections.get(&cid).copied() {
+            self.outputs.push(Output::Close { conn: old });
+            self.connection_closed(old);
+        } else if state.connections.len() >= state.identity.params.max_connections as usize {
+            return Err(LoginStatus::TooManyConnections);
+        }
+        Ok(())
+    }
+
+    /// Targets that an initiator may see, each with the portal's addresses.
+    fn listing(&self, initiator: &str) -> Vec<(String, Vec<String>)> {
+        let visible = |target: &&Target| match &target.initiators {
+            None => true,
+            Some(allowed) => allowed.iter().any(|name| name == initiator),
+        };
+        let targets = self.portal.targets.iter().filter(visible);
+        targets
+            .map(|target| (target.name.clone(), self.addresses.clone()))
+            .collect()
+    }
+
+    fn end_session(&mut self, session: u64) {
+        let connections: Vec<ConnNo> = match self.sessions.get(&session) {
+            Some(state) => state.connections.values().copied().collect(),
+            None => Vec::new(),
+        };
+        for conn in connections {
+            self.outputs.push(Output::Close { conn });
+            self.connection_closed(conn);
+        }
+        self.forget_session_if_over(session);
     }
 
     /// A session without connections stays only while its commands end.
-    pub(super) fn forget_session(&mut self, no: u64) {
-        let done = |s: &SessionState| s.session.is_empty() && s.session.tasks() == 0;
-        if self.sessions.get(&no).is_some_and(done) {
-            self.sessions.remove(&no);
-            self.volumes
-                .iter_mut()
-                .for_each(|v| v.pressure.leave(SessionNo(no)));
-            self.pressed.extend(0..self.volumes.len());
+    pub(super) fn forget_session_if_over(&mut self, session: u64) {
+        let Some(state) = self.sessions.get(&session) else {
+            return;
+        };
+        if !state.session.is_empty() || state.session.tasks() != 0 {
+            return;
+        }
+        self.sessions.remove(&session);
+        for volume in &mut self.volumes {
+            volume.pressure.leave(SessionNo(session));
         }
+        self.changed_windows.extend(0..self.volumes.len());
     }
 
-    pub(super) fn acts(&mut self, session: u64, acts: Vec<Act>) {
+    /// Performs what a session asks for, in its order.
+    pub(super) fn perform(&mut self, session: u64, acts: Vec<Act>) {
         for act in acts {
             match act {
                 Act::Send { cid, pdu } => {
-                    let conn = self
-                        .sessions
-                        .get(&session)
-                        .and_then(|s| s.conns.get(&cid))
-                        .copied();
-                    if let Some((conn, c)) = conn.and_then(|n| Some((n, self.conns.get(&n)?))) {
-                        self.out.push(Output::Send {
-                            conn,
-                            pdu,
-                            digests: c.digests,
-                        });
-                    }
+                    let Some(conn) = self.connection_of(session, cid) else {
+                        continue;
+                    };
+                    let Some(connection) = self.connections.get(&conn) else {
+                        continue;
+                    };
+                    let digests = connection.digests;
+                    self.outputs.push(Output::Send { conn, pdu, digests });
                 }
                 Act::Close { cid } => {
-                    let conn = self
-                        .sessions
-                        .get(&session)
-                        .and_then(|s| s.conns.get(&cid))
-                        .copied();
-                    if let Some(conn) = conn {
-                        self.out.push(Output::Close { conn });
-                        self.gone(conn);
+                    if let Some(conn) = self.connection_of(session, cid) {
+                        self.outputs.push(Output::Close { conn });
+                        self.connection_closed(conn);
                     }
                 }
                 Act::Start {
@@ -158,29 +193,40 @@
                     cdb,
                     data,
                     max_in,
-                } => self.start(session, task, lun, cdb, data, max_in),
+                } => self.start(ScsiCommand {
+                    session,
+                    task,
+                    lun,
+                    cdb,
+                    data,
+                    max_in,
+                }),
                 Act::Abort { tasks, .. } => self.abort(session, &tasks),
                 Act::Reset { lun, why } => self.reset(session, lun, why),
             }
         }
     }
 
-    pub(super) fn press(&mut self) {
-        let pressed = std::mem::take(&mut self.pressed);
+    fn connection_of(&self, session: u64, cid: Cid) -> Option<ConnNo> {
+        self.sessions.get(&session)?.connections.get(&cid).copied()
+    }
+
+    /// Gives sessions the windows that have changed. A window is a session's, over all its units: it is the
+    /// sum of what each allows.
+    pub(super) fn update_windows(&mut self) {
         let mut changed = BTreeSet::new();
-        for v in pressed {
-            for (session, size) in self.volumes[v].pressure.step() {
-                if let Some(s) = self.sessions.get_mut(&session.0) {
-                    s.allowed.insert(v, size);
+        for volume in std::mem::take(&mut self.changed_windows) {
+            for (session, size) in self.volumes[volume].pressure.step() {
+                if let Some(state) = self.sessions.get_mut(&session.0) {
+                    state.allowed.insert(volume, size);
                     changed.insert(session.0);
                 }
             }
         }
-        // A window is a session's, over all its units: it is the sum of what each allows.
-        for no in changed {
-            if let Some(s) = self.sessions.get_mut(&no) {
-                let acts = s.session.allow(s.allowed.values().sum());
-                self.acts(no, acts);
+        for session in changed {
+            if let Some(state) = self.sessions.get_mut(&session) {
+                let acts = state.session.allow(state.allowed.values().sum());
+                self.perform(session, acts);
             }
         }
     }
--- a/crates/target/src/engine/task_management.rs
+++ b/crates/target/src/engine/task_management.rs
@@ -1,29 +1,51 @@
-//! Task management: aborts, resets and the unit attentions that other sessions get from them.
+//! Task management: aborts and resets, and the unit attentions that other sessions get from them.
+//!
+//! Called for the acts of sessions and by persistent reservations.
 
-use super::*;
+use super::records::OpenCommand;
+use super::Engine;
+use crate::pressure::CommandResult;
+use grebecleat_iscsi::scsi::Sense;
+use grebecleat_iscsi::session::{TaskNo, Why};
+
+/// Pending unit attentions of one session at one unit (SAM-5 lets a device store few).
+const MAX_ATTENTIONS: usize = 4;
 
 impl Engine {
     /// Aborted commands that wait for their turn end at once, others with their last request.
     pub(super) fn abort(&mut self, session: u64, tasks: &[TaskNo]) {
-        let hit = |o: &Op| o.session == session && tasks.contains(&o.task);
-        let ops: Vec<u64> = self
-            .ops
+        let aborted = |open: &OpenCommand| open.session == session && tasks.contains(&open.task);
+        let numbers: Vec<u64> = self
+            .commands
             .iter()
-            .filter(|(_, o)| hit(o))
-            .map(|(no, _)| *no)
+            .filter(|(_, open)| aborted(open))
+            .map(|(number, _)| *number)
             .collect();
-        for no in ops {
-            let op = self.ops.get_mut(&no).expect("listed above");
-            op.ended = true;
-            if op.gather.is_none() {
-                self.end(no, None, Ended::Other, false);
+        for number in numbers {
+            let open = self.commands.get_mut(&number).expect("listed above");
+            open.aborted = true;
+            if open.gather.is_none() {
+                self.end_command(number, None, CommandResult::Other, false);
             }
         }
     }
 
-    /// Commands of other sessions at the same units end too, and they are told.
+    /// Aborts a session's commands at some volumes; which those were.
+    pub(super) fn abort_at(&mut self, session: u64, volumes: &[usize]) -> Vec<TaskNo> {
+        let hit = |open: &&OpenCommand| open.session == session && volumes.contains(&open.volume);
+        let tasks: Vec<TaskNo> = self
+            .commands
+            .values()
+            .filter(hit)
+            .map(|open| open.task)
+            .collect();
+        self.abort(session, &tasks);
+        tasks
+    }
+
+    /// Commands of other sessions at the same units end too, and their initiators get a unit attention.
     pub(super) fn reset(&mut self, by: u64, lun: Option<u64>, why: Why) {
-        let Some(target) = self.sessions.get(&by).and_then(|s| s.target) else {
+        let Some(target) = self.sessions.get(&by).and_then(|state| state.target) else {
             return;
         };
         let units: Vec<usize> = match lun {
@@ -35,42 +57,41 @@
         } else {
             Sense::BUS_DEVICE_RESET
         };
-        let others: Vec<u64> = self.sessions.keys().copied().filter(|s| *s != by).collect();
+        let sessions = self.sessions.keys().copied();
+        let others: Vec<u64> = sessions.filter(|session| *session != by).collect();
         for session in others {
-            let hit = |o: &&Op| o.session == session && units.contains(&o.volume);
-            let tasks: Vec<TaskNo> = self.ops.values().filter(hit).map(|o| o.task).collect();
-            self.abort(session, &tasks);
-            if why != Why::ClearTaskSet || !tasks.is_empty() {
-                units.iter().for_each(|u| self.attend(session, *u, sense));
+            let tasks = self.abort_at(session, &units);
+            if why == Why::ClearTaskSet && tasks.is_empty() {
+                continue;
+            }
+            for unit in &units {
+                self.add_attention(session, *unit, sense);
             }
         }
     }
 
-    pub(super) fn attend(&mut self, session: u64, unit: usize, sense: Sense) {
-        let Some(s) = self.sessions.get_mut(&session) else {
+    pub(super) fn add_attention(&mut self, session: u64, unit: usize, sense: Sense) {
+        let Some(state) = self.sessions.get_mut(&session) else {
+            return;
+        };
+        let Some(pending) = state.attentions.get_mut(&unit) else {
             return;
         };
-        if let Some(held) = s
-            .attentions
-            .get_mut(&unit)
-            .filter(|h| h.len() < MAX_ATTENTIONS)
-        {
-            held.push_back(sense);
+        if pending.len() < MAX_ATTENTIONS {
+            pending.push_back(sense);
         }
     }
 
     /// The volume of a LUN in peripheral or flat addressing (SAM-5, 4.7).
     pub(super) fn unit_of(&self, target: usize, lun: u64) -> Option<usize> {
-        let (first, rest) = ((lun >> 48) as u16, lun & 0xffff_ffff_ffff);
+        let first = (lun >> 48) as u16;
+        let lower_levels = lun & 0xffff_ffff_ffff;
         let index = match first >> 14 {
             0 if first < 0x100 => usize::from(first),
             1 => usize::from(first & 0x3fff),
             _ => return None,
         };
-        self.targets[target]
-            .luns
-            .get(index)
-            .copied()
-            .filter(|_| rest == 0)
+        let volume = self.targets[target].luns.get(index).copied();
+        volume.filter(|_| lower_levels == 0)
     }
 }
--- /dev/null
+++ b/crates/target/src/portal/connection.rs
@@ -0,0 +1,205 @@
+//! A connection's sockets: accepting, reading PDUs into events, and writing what lies in its line.
+//!
+//! Each connection has a coroutine that reads and one that writes; neither touches the engine.
+
+use super::line::{Line, OutgoingPdu, ReaderLimits};
+use super::owner::Event;
+use crate::engine::{ConnNo, Input};
+use grebecleat_iscsi::keys::parse;
+use grebecleat_iscsi::pdu::{self, Digests, Fault, Opcode, Pdu, Reader};
+use grebecleat_wire::pb::record::Kind;
+use grebecleat_wire::trace::Tracer;
+use may::go;
+use may::net::{TcpListener, TcpStream};
+use std::collections::VecDeque;
+use std::io::{self, IoSlice, Write};
+use std::net::Shutdown;
+use std::os::fd::AsRawFd;
+use std::sync::atomic::{AtomicU64, Ordering};
+use std::sync::mpsc::Sender;
+use std::sync::Arc;
+use std::time::Duration;
+use tracing::{info, warn};
+
+/// Data of that many bytes is not copied into the write buffer.
+const DIRECT_WRITE: usize = 16 << 10;
+/// A write buffer that grew beyond is freed.
+const MAX_IDLE_BUFFER: usize = 256 << 10;
+/// Before the login is through, a segment is the standard's default length at most.
+const LOGIN_SEGMENT: usize = 8192;
+/// Pause after a failed accept: out of descriptors, it would fail again at once.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+
+/// Accepts connections for as long as the process runs.
+pub(super) fn accept(
+    listener: &TcpListener,
+    events: &Sender<Event>,
+    tracer: &Tracer,
+    max_unsent: usize,
+) {
+    static NUMBERS: AtomicU64 = AtomicU64::new(1);
+    loop {
+        match listener.accept() {
+            Ok((stream, from)) => {
+                let events = events.clone();
+                let tracer = tracer.clone();
+                go!(move || {
+                    let conn = ConnNo(NUMBERS.fetch_add(1, Ordering::Relaxed));
+                    if let Err(why) = serve(stream, conn, &events, &tracer, max_unsent) {
+                        info!(conn = conn.0, %from, "iscsi connection over: {why}");
+                    }
+                    tracer.line_closed(conn.0);
+                    let _ = events.send(Event::Input(Input::ConnectionClosed { conn }));
+                });
+            }
+            Err(why) => {
+                warn!("portal cannot accept: {why}");
+                may::coroutine::sleep(ACCEPT_PAUSE);
+            }
+        }
+    }
+}
+
+fn serve(
+    stream: TcpStream,
+    conn: ConnNo,
+    events: &Sender<Event>,
+    tracer: &Tracer,
+    max_unsent: usize,
+) -> io::Result<()> {
+    stream.set_nodelay(true)?;
+    let writer = stream.try_clone()?;
+    let limits = ReaderLimits {
+        digests: Digests::default(),
+        max_data: LOGIN_SEGMENT,
+    };
+    let line = Arc::new(Line::new(writer.as_raw_fd(), max_unsent, limits));
+    let _ = events.send(Event::Opened(conn, line.clone()));
+    go!({
+        let line = line.clone();
+        let tracer = tracer.clone();
+        move || write_until_closed(writer, &line, conn, &tracer)
+    });
+    let ended = read_until_closed(stream, &line, conn, events, tracer);
+    line.finish();
+    ended
+}
+
+fn read_until_closed(
+    mut stream: TcpStream,
+    line: &Line,
+    conn: ConnNo,
+    events: &Sender<Event>,
+    tracer: &Tracer,
+) -> io::Result<()> {
+    let mut reader = Reader::new(LOGIN_SEGMENT);
+    loop {
+        if reader.fill(&mut stream)? == 0 {
+            return Ok(());
+        }
+        let mut inputs = Vec::new();
+        let mut unreadable = false;
+        while !unreadable {
+            // An initiator sends by what was agreed on only after it has our answer, which follows this.
+            let limits = line.reader();
+            reader.digests = limits.digests;
+            reader.max_data = limits.max_data;
+            let read = match reader.next() {
+                Ok(None) => break,
+                Ok(Some(pdu)) => {
+                    record(tracer, Kind::PduIn, conn, &pdu);
+                    Ok(pdu)
+                }
+                Err(fault) => Err(fault),
+            };
+            unreadable = matches!(&read, Err(fault) if !matches!(fault, Fault::DataDigest(_)));
+            inputs.push(Input::Pdu { conn, read });
+        }
+        if !inputs.is_empty() {
+            let _ = events.send(Event::Read(inputs));
+        }
+        if unreadable {
+            return Err(io::Error::other("bytes that are no PDU"));
+        }
+    }
+}
+
+fn write_until_closed(mut stream: TcpStream, line: &Line, conn: ConnNo, tracer: &Tracer) {
+    let mut buffer = Vec::new();
+    loop {
+        let batch = line.take();
+        if batch.pdus.is_empty() {
+            if batch.last {
+                break;
+            }
+            line.wait();
+            continue;
+        }
+        buffer.clear();
+        for outgoing in &batch.pdus {
+            record(tracer, Kind::PduOut, conn, &outgoing.pdu);
+        }
+        if write_all(&mut stream, &batch.pdus, &mut buffer).is_err() {
+            break;
+        }
+        if buffer.capacity() > MAX_IDLE_BUFFER {
+            // One large answer must not cost every idle connection its memory.
+            buffer = Vec::new();
+        }
+    }
+    line.forget_socket();
+    let _ = stream.shutdown(Shutdown::Both);
+}
+
+/// Large data goes straight to the socket: a copy would cost more than the call that it saves.
+fn write_all(
+    stream: &mut TcpStream,
+    pdus: &VecDeque<OutgoingPdu>,
+    buffer: &mut Vec<u8>,
+) -> io::Result<()> {
+    for OutgoingPdu { pdu, digests } in pdus {
+        pdu::write_head(pdu, *digests, buffer);
+        if pdu.data.len() >= DIRECT_WRITE {
+            let head = buffer.len();
+            let slices = [IoSlice::new(buffer), IoSlice::new(&pdu.data)];
+            let written = stream.write_vectored(&slices)?;
+            stream.write_all(&buffer[written.min(head)..])?;
+            stream.write_all(&pdu.data[written.saturating_sub(head)..])?;
+            buffer.clear();
+        } else {
+            buffer.extend_from_slice(&pdu.data);
+        }
+        pdu::write_tail(pdu, *digests, buffer);
+    }
+    stream.write_all(buffer)
+}
+
+/// Records a PDU for the trace; of a login also the target, by which traces are filtered.
+fn record(tracer: &Tracer, kind: Kind, conn: ConnNo, pdu: &Pdu) {
+    if !tracer.is_on() {
+        return;
+    }
+    let opcode = pdu.header.opcode();
+    let moves_data = matches!(
+        opcode,
+        Some(Opcode::ScsiCommand | Opcode::DataOut | Opcode::DataIn)
+    );
+    let target = match opcode {
+        Some(Opcode::LoginRequest) => target_name(pdu),
+        _ => None,
+    };
+    tracer.pdu(
+        kind,
+        conn.0,
+        &pdu.header.0,
+        &pdu.data,
+        moves_data,
+        target.as_deref(),
+    );
+}
+
+fn target_name(login: &Pdu) -> Option<String> {
+    let keys = parse(&login.data).ok()?;
+    let target = keys.into_iter().find(|(key, _)| key == "TargetName");
+    target.map(|(_, name)| name)
+}
--- a/crates/target/src/pressure.rs
+++ b/crates/target/src/pressure.rs
@@ -26,19 +26,19 @@
 
 /// What became of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
-    Done,
-    Deferred { retry_after: Duration },
+pub enum CommandResult {
+    Completed,
+    Rejected { retry_after: Duration },
     Other,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Figures {
+pub struct WindowLimits {
     /// Commands of one volume, over all its sessions, at the start and at the most.
-    pub first: f64,
-    pub most: f64,
+    pub initial: f64,
+    pub maximum: f64,
     /// Of one session.
-    pub max_each: u32,
+    pub max_per_session: u32,
 }
 
 #[derive(Debug, Default)]
@@ -52,7 +52,7 @@
 /// What the sessions of one volume may have open. Its memory is a few words for each session.
 #[derive(Debug)]
 pub struct Pressure {
-    figures: Figures,
+    window_limits: WindowLimits,
     budget: f64,
     /// Deferrals before that moment belong to a fall that was made.
     deaf_until: Duration,
@@ -65,11 +65,11 @@
 }
 
 impl Pressure {
-    pub fn new(figures: Figures) -> Self {
+    pub fn new(window_limits: WindowLimits) -> Self {
         let (sessions, deaf_until) = (BTreeMap::new(), Duration::ZERO);
         Pressure {
-            figures,
-            budget: figures.first,
+            window_limits,
+            budget: window_limits.initial,
             deaf_until,
             sessions,
             open: 0,
@@ -102,17 +102,17 @@
         }
     }
 
-    pub fn closed(&mut self, now: Duration, session: SessionNo, ended: Ended) {
+    pub fn closed(&mut self, now: Duration, session: SessionNo, ended: CommandResult) {
         let (open, before) = (self.open, self.budget.floor());
         if let Some(s) = self.sessions.get_mut(&session).filter(|s| s.open > 0) {
             (s.open, self.open) = (s.open - 1, self.open - 1);
         }
         match ended {
             // A budget that nobody uses up says nothing of what the volume could bear.
-            Ended::Done if f64::from(open) >= before => {
-                self.budget = (self.budget + 1.0 / self.budget).min(self.figures.most);
+            CommandResult::Completed if f64::from(open) >= before => {
+                self.budget = (self.budget + 1.0 / self.budget).min(self.window_limits.maximum);
             }
-            Ended::Deferred { retry_after } if now >= self.deaf_until => {
+            CommandResult::Rejected { retry_after } if now >= self.deaf_until => {
                 self.budget = (self.budget * DOWN).max(self.sessions.len().max(1) as f64);
                 self.deaf_until = now + retry_after;
             }
@@ -136,7 +136,7 @@
             return Vec::new();
         }
         let whole = self.budget.floor() as u32;
-        let most = self.figures.max_each.max(LEAST_EACH);
+        let most = self.window_limits.max_per_session.max(LEAST_EACH);
         let asks: Vec<u32> = self.sessions.values().map(|s| self.asks(s)).collect();
         let given = fair(whole, &asks);
         // What nobody asks for is dealt out too: who begins a burst should not have to ask first.
@@ -170,7 +170,10 @@
         } else {
             s.peak + 1
         };
-        more.clamp(LEAST_EACH, self.figures.max_each.max(LEAST_EACH))
+        more.clamp(
+            LEAST_EACH,
+            self.window_limits.max_per_session.max(LEAST_EACH),
+        )
     }
 }
 
--- a/crates/target/src/pressure/tests.rs
+++ b/crates/target/src/pressure/tests.rs
@@ -5,10 +5,10 @@
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
-const FIGURES: Figures = Figures {
-    first: 16.0,
-    most: 64.0,
-    max_each: 32,
+const LIMITS: WindowLimits = WindowLimits {
+    initial: 16.0,
+    maximum: 64.0,
+    max_per_session: 32,
 };
 
 fn sum(p: &Pressure) -> u32 {
@@ -17,9 +17,9 @@
 
 #[test]
 fn deferrals_of_one_moment_count_once_and_done_commands_open_it_again() {
-    let (mut p, a) = (Pressure::new(FIGURES), SessionNo(1));
+    let (mut p, a) = (Pressure::new(LIMITS), SessionNo(1));
     (0..16).for_each(|_| p.opened(a));
-    let deferred = Ended::Deferred {
+    let deferred = CommandResult::Rejected {
         retry_after: ms(500),
     };
     (0..10).for_each(|i| p.closed(ms(1000 + i), a, deferred));
@@ -29,24 +29,24 @@
     let low = p.budget();
     for t in 2000..2200 {
         (0..20).for_each(|_| p.opened(a));
-        (0..20).for_each(|_| p.closed(ms(t), a, Ended::Done));
+        (0..20).for_each(|_| p.closed(ms(t), a, CommandResult::Completed));
     }
     assert!(p.budget() > low * 2.0 && p.budget() <= 64.0);
 }
 
 #[test]
 fn an_unused_budget_does_not_grow() {
-    let (mut p, a) = (Pressure::new(FIGURES), SessionNo(1));
+    let (mut p, a) = (Pressure::new(LIMITS), SessionNo(1));
     for t in 0..1000 {
         p.opened(a);
-        p.closed(ms(t), a, Ended::Done);
+        p.closed(ms(t), a, CommandResult::Completed);
     }
     assert_eq!(p.budget(), 16.0);
 }
 
 #[test]
 fn a_greedy_session_leaves_the_others_their_part() {
-    let (mut p, greedy, modest) = (Pressure::new(FIGURES), SessionNo(1), SessionNo(2));
+    let (mut p, greedy, modest) = (Pressure::new(LIMITS), SessionNo(1), SessionNo(2));
     p.join(modest);
     for round in 0..6 {
         for _ in 0..32 {
@@ -54,8 +54,8 @@
         }
         (0..3).for_each(|_| p.opened(modest));
         p.step();
-        (0..32).for_each(|_| p.closed(ms(round), greedy, Ended::Other));
-        (0..3).for_each(|_| p.closed(ms(round), modest, Ended::Other));
+        (0..32).for_each(|_| p.closed(ms(round), greedy, CommandResult::Other));
+        (0..3).for_each(|_| p.closed(ms(round), modest, CommandResult::Other));
     }
     let told = |s: SessionNo| p.sessions[&s].told;
     assert!(
@@ -71,14 +71,14 @@
 fn windows_never_pass_the_budget_but_for_the_one_that_each_keeps() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut p = Pressure::new(FIGURES);
+        let mut p = Pressure::new(LIMITS);
         for t in 0..200 {
             let s = SessionNo(rng.random_range(0..30));
             match rng.random_range(0..6) {
                 0 => p.join(s),
                 1 => p.leave(s),
-                2 => p.closed(ms(t), s, Ended::Deferred { retry_after: ms(3) }),
-                3 => p.closed(ms(t), s, Ended::Done),
+                2 => p.closed(ms(t), s, CommandResult::Rejected { retry_after: ms(3) }),
+                3 => p.closed(ms(t), s, CommandResult::Completed),
                 _ => p.opened(s),
             }
             p.step();
--- a/crates/target/src/versions.rs
+++ b/crates/target/src/versions.rs
@@ -37,11 +37,11 @@
     /// use grebecleat_target::versions::Versions;
     /// let mut v = Versions::new(500, 200);
     /// assert_eq!(v.next(), None, "nothing is reserved yet");
-    /// let ceiling = v.wants().unwrap();
-    /// assert!(v.wants().is_none(), "asked for once");
-    /// v.kept(ceiling);
+    /// let ceiling = v.reservation_due().unwrap();
+    /// assert!(v.reservation_due().is_none(), "asked for once");
+    /// v.reserve(ceiling);
     /// assert_eq!((v.next(), v.next()), (Some(500), Some(501)));
-    /// v.learn(7000);
+    /// v.observe(7000);
     /// assert_eq!(v.next(), Some(7001));
     /// ```
     pub fn new(kept: u64, clock: u64) -> Self {
@@ -64,7 +64,7 @@
     }
 
     /// A node holds that version; whether it is believed.
-    pub fn learn(&mut self, there: u64) -> bool {
+    pub fn observe(&mut self, there: u64) -> bool {
         let believed = there < MOST;
         if believed {
             self.next = self.next.max(there + 1);
@@ -73,7 +73,7 @@
     }
 
     /// A ceiling that is to be kept now.
-    pub fn wants(&mut self) -> Option<u64> {
+    pub fn reservation_due(&mut self) -> Option<u64> {
         let short = self.asked < self.next + RESERVED / 2;
         short.then(|| {
             self.asked = self.next + RESERVED;
@@ -81,7 +81,7 @@
         })
     }
 
-    pub fn kept(&mut self, ceiling: u64) {
+    pub fn reserve(&mut self, ceiling: u64) {
         self.ceiling = self.ceiling.max(ceiling);
     }
 }
--- a/crates/target/src/versions/tests.rs
+++ b/crates/target/src/versions/tests.rs
@@ -14,13 +14,13 @@
             let mut asked = Vec::new();
             for _ in 0..rng.random_range(0..200) {
                 match rng.random_range(0..5) {
-                    0 => asked.extend(v.wants()),
+                    0 => asked.extend(v.reservation_due()),
                     1 if !asked.is_empty() => {
                         durable = durable.max(asked.remove(0));
-                        v.kept(durable);
+                        v.reserve(durable);
                     }
                     2 if rng.random_range(0..9) == 0 => {
-                        v.learn(rng.random_range(0..1 << 52));
+                        v.observe(rng.random_range(0..1 << 52));
                     }
                     _ => {
                         if let Some(n) = v.next() {
@@ -37,7 +37,7 @@
 #[test]
 fn a_version_near_the_end_is_not_believed() {
     let mut v = Versions::new(0, 10);
-    assert!(!v.learn(u64::MAX) && v.learn(20));
-    v.wants().into_iter().for_each(|c| v.kept(c));
+    assert!(!v.observe(u64::MAX) && v.observe(20));
+    v.reservation_due().into_iter().for_each(|c| v.reserve(c));
     assert_eq!(v.next(), Some(21));
 }
--- a/crates/target/tests/engine.rs
+++ b/crates/target/tests/engine.rs
@@ -6,9 +6,9 @@
 use grebecleat_iscsi::login::{Portal, Target};
 use grebecleat_iscsi::pdu::{Header, Opcode, Pdu, NO_TAG};
 use grebecleat_iscsi::scsi::Unit;
-use grebecleat_target::blocks::Answer;
+use grebecleat_target::blocks::RequestOutcome;
 use grebecleat_target::engine::*;
-use grebecleat_target::pressure::Figures;
+use grebecleat_target::pressure::WindowLimits;
 use grebecleat_target::versions::Versions;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -17,11 +17,13 @@
 
 const NAME: &str = "iqn.2026-12.org.example:v";
 const BLOCK: usize = 512;
-const BUSY: Answer = Answer::Deferred {
+const BUSY: RequestOutcome = RequestOutcome::Rejected {
     retry_after: None,
-    unsure: false,
+    may_still_apply: false,
+};
+const LOST: RequestOutcome = RequestOutcome::Failed {
+    may_still_apply: true,
 };
-const LOST: Answer = Answer::Abandoned { unsure: true };
 const REST: Duration = Duration::from_millis(300);
 
 fn ms(n: u64) -> Duration {
@@ -82,26 +84,28 @@
             name: NAME.into(),
             luns: vec![0],
         }];
-        let figures = Figures {
-            first: 64.0,
-            most: 128.0,
-            max_each: 64,
+        let window_limits = WindowLimits {
+            initial: 64.0,
+            maximum: 128.0,
+            max_per_session: 64,
         };
         let mut n = 0u8;
-        let chance = Box::new(move || {
+        let challenges = Box::new(move || {
             n = n.wrapping_add(1);
             [n; 17]
         });
         let addresses = vec!["127.0.0.1:3260,1".to_string()];
         Rig {
-            e: Engine::new(
+            e: Engine::new(EngineConfig {
                 portal,
                 addresses,
                 targets,
-                vec![volume],
-                (figures, REST, versions),
-                chance,
-            ),
+                volumes: vec![volume],
+                window_limits,
+                late_write_time: REST,
+                versions,
+                challenges,
+            }),
             now: ms(1000),
             open: Vec::new(),
             kept: HashMap::new(),
@@ -150,21 +154,21 @@
                         self.pdus.push((conn, pdu));
                     }
                     Output::Close { conn } => self.closed.push(conn),
-                    Output::Take(r) => self.open.push(r),
-                    Output::Store {
+                    Output::Submit(r) => self.open.push(r),
+                    Output::PersistPlacement {
                         no, extent, shard, ..
                     } if self.store_at_once => {
                         self.stores.push((no, extent, shard));
-                        again.push(Input::Stored { no });
+                        again.push(Input::PlacementPersisted { no });
                     }
-                    Output::Store {
+                    Output::PersistPlacement {
                         no, extent, shard, ..
                     } => self.stores.push((no, extent, shard)),
-                    Output::Reserve { ceiling } => {
+                    Output::PersistCeiling { ceiling } => {
                         self.ceiling = ceiling;
-                        again.push(Input::Reserved { ceiling });
+                        again.push(Input::CeilingPersisted { ceiling });
                     }
-                    Output::Reads { .. } | Output::Note { .. } => {}
+                    Output::SetReader { .. } | Output::Log { .. } => {}
                 }
             }
             inputs = again;
@@ -183,7 +187,7 @@
                 .min(end);
             for out in self.e.step(self.now, []) {
                 match out {
-                    Output::Take(r) => self.open.push(r),
+                    Output::Submit(r) => self.open.push(r),
                     Output::Send { conn, pdu, .. } => {
                         self.most.insert(conn, pdu.header.word32());
                         self.pdus.push((conn, pdu));
@@ -196,7 +200,7 @@
 
     fn login(&mut self, conn: u64, isid: u8) -> ConnNo {
         let conn = ConnNo(conn);
-        self.feed(Input::Up { conn });
+        self.feed(Input::ConnectionOpened { conn });
         let keys = [
             ("InitiatorName", "iqn.i"),
             ("TargetName", NAME),
@@ -283,13 +287,13 @@
     }
 
     /// The host carries out one open request, or does not.
-    fn host(&mut self, at: usize, answer: Option<Answer>) {
+    fn host(&mut self, at: usize, answer: Option<RequestOutcome>) {
         let r = self.open.remove(at);
         let no = r.no;
         if let Some(answer) = answer {
-            return self.feed(Input::Final {
+            return self.feed(Input::RequestFinished {
                 no,
-                answer,
+                outcome: answer,
                 shard: None,
             });
         }
@@ -298,20 +302,21 @@
             self.next_shard
         });
         let answer = match r.write {
-            true => self
-                .node(&r, shard)
-                .map_or(Answer::Done(Bytes::new()), Answer::Superseded),
+            true => self.node(&r, shard).map_or(
+                RequestOutcome::Completed(Bytes::new()),
+                RequestOutcome::Superseded,
+            ),
             false => {
                 let kept = self.kept.entry((r.extent, shard)).or_default();
                 let to = ((r.offset + r.length) as usize).min(kept.len());
-                Answer::Done(Bytes::copy_from_slice(
+                RequestOutcome::Completed(Bytes::copy_from_slice(
                     kept.get(r.offset as usize..to).unwrap_or_default(),
                 ))
             }
         };
-        self.feed(Input::Final {
+        self.feed(Input::RequestFinished {
             no,
-            answer,
+            outcome: answer,
             shard: Some(shard),
         });
     }
@@ -388,7 +393,7 @@
     r.host(0, None);
     assert!(r.got(c).is_empty() && r.open.is_empty() && r.stores.len() == 1);
     let (no, _, shard) = r.stores[0];
-    r.feed(Input::Stored { no });
+    r.feed(Input::PlacementPersisted { no });
     assert_eq!(
         (r.one(c).0, r.open.len(), r.open[0].shard),
         (0, 1, Some(shard))
@@ -404,9 +409,9 @@
 
 #[test]
 fn deferred_is_busy_and_abandoned_an_unknown_outcome() {
-    let later = Answer::Deferred {
+    let later = RequestOutcome::Rejected {
         retry_after: Some(ms(250)),
-        unsure: false,
+        may_still_apply: false,
     };
     let cases = [(later, 8, 3), (BUSY, 8, 0), (LOST, 2, 0)];
     for (answer, status, steps) in cases {
@@ -549,12 +554,12 @@
     r.write(c, 6, 0, &fill(1, 1));
     r.host(0, None);
     let (no, ..) = r.stores[0];
-    r.feed(Input::Stored { no });
+    r.feed(Input::PlacementPersisted { no });
     assert_eq!(r.one(c).0, 0);
     r.write(c, 7, 32, &fill(2, 1));
     r.host(0, None);
     assert!(r.got(c).is_empty(), "its place is being kept");
-    r.feed(Input::StoreGone);
+    r.feed(Input::StoreFailed);
     let got = r.got(c);
     assert_eq!(
         (got[0].header.byte(3), got[0].data[4], got[0].data[14]),
@@ -764,15 +769,15 @@
 fn half_open_logins_are_bounded_and_end_in_time() {
     let mut r = Rig::new();
     let c = r.login(100_000, 1);
-    (0..5000).for_each(|n| r.feed(Input::Up { conn: ConnNo(n) }));
+    (0..5000).for_each(|n| r.feed(Input::ConnectionOpened { conn: ConnNo(n) }));
     assert!(r.closed.len() >= 4700, "{} closed", r.closed.len());
     r.read(c, 8, 2000, 1);
     assert_eq!(r.one(c).0, 0, "who is in is not harmed");
     r.now += Duration::from_secs(16);
-    r.feed(Input::Gone { conn: ConnNo(0) });
+    r.feed(Input::ConnectionClosed { conn: ConnNo(0) });
     assert_eq!(r.closed.len(), 5000);
     // Something else than a login.
-    r.feed(Input::Up { conn: ConnNo(7000) });
+    r.feed(Input::ConnectionOpened { conn: ConnNo(7000) });
     let nop = Header::new(Opcode::NopOut).set_itt(3).set_ttt(NO_TAG);
     r.feed(Input::Pdu {
         conn: ConnNo(7000),
@@ -816,26 +821,30 @@
             } else if !r.open.is_empty() {
                 let at = rng.random_range(0..r.open.len());
                 let answer = match rng.random_range(0..12) {
-                    0 => Some(Answer::Deferred {
+                    0 => Some(RequestOutcome::Rejected {
                         retry_after: Some(ms(50)),
-                        unsure: rng.random(),
+                        may_still_apply: rng.random(),
                     }),
-                    1 => Some(Answer::Abandoned {
-                        unsure: rng.random(),
+                    1 => Some(RequestOutcome::Failed {
+                        may_still_apply: rng.random(),
                     }),
                     _ => None,
                 };
-                // What was not done may have been carried out, and what is unsure may be at any later time.
-                let unsure = match answer {
-                    Some(Answer::Deferred { unsure, .. }) => Some(unsure),
-                    Some(Answer::Abandoned { unsure }) => Some(unsure || rng.random()),
+                // What was not done may have been carried out, and what is may_still_apply may be at any later time.
+                let may_still_apply = match answer {
+                    Some(RequestOutcome::Rejected {
+                        may_still_apply, ..
+                    }) => Some(may_still_apply),
+                    Some(RequestOutcome::Failed { may_still_apply }) => {
+                        Some(may_still_apply || rng.random())
+                    }
                     _ => None,
                 };
                 let q = r.open[at].clone();
-                match (unsure, q.shard) {
+                match (may_still_apply, q.shard) {
                     (Some(true), Some(shard)) if q.write && rng.random() => drop(r.node(&q, shard)),
                     (Some(true), Some(_))
-                        if q.write && matches!(answer, Some(Answer::Abandoned { .. })) =>
+                        if q.write && matches!(answer, Some(RequestOutcome::Failed { .. })) =>
                     {
                         late.push(q);
                     }
--- a/crates/target/tests/script/mod.rs
+++ b/crates/target/tests/script/mod.rs
@@ -6,9 +6,9 @@
 use grebecleat_iscsi::login::{Portal, Target};
 use grebecleat_iscsi::pdu::{Fault, Header, Opcode, Pdu, NO_TAG};
 use grebecleat_iscsi::scsi::Unit;
-use grebecleat_target::blocks::Answer;
+use grebecleat_target::blocks::RequestOutcome;
 use grebecleat_target::engine::*;
-use grebecleat_target::pressure::Figures;
+use grebecleat_target::pressure::WindowLimits;
 use grebecleat_target::versions::Versions;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -73,21 +73,21 @@
             name: NAME.into(),
             luns: vec![0, 1],
         }];
-        let figures = Figures {
-            first: 4.0,
-            most: 16.0,
-            max_each: 8,
+        let window_limits = WindowLimits {
+            initial: 4.0,
+            maximum: 16.0,
+            max_per_session: 8,
         };
-        let own = (figures, REST, Versions::new(0, 1));
-        let chance = Box::new(|| [7; 17]);
-        let e = Engine::new(
+        let e = Engine::new(EngineConfig {
             portal,
-            vec![],
-            facts,
-            vec![volume(1), volume(2)],
-            own,
-            chance,
-        );
+            addresses: vec![],
+            targets: facts,
+            volumes: vec![volume(1), volume(2)],
+            window_limits,
+            late_write_time: REST,
+            versions: Versions::new(0, 1),
+            challenges: Box::new(|| [7; CHALLENGE_BYTES]),
+        });
         let (next, sent) = (BTreeMap::new(), BTreeMap::new());
         Stage {
             e,
@@ -105,7 +105,7 @@
             let mut again = Vec::new();
             for output in self.e.step(self.now, inputs) {
                 match output {
-                    Output::Take(r) => {
+                    Output::Submit(r) => {
                         assert!(r.no.0 > self.taken, "a transfer's number came twice");
                         assert!(
                             r.write == r.version.is_some()
@@ -114,8 +114,12 @@
                         self.taken = r.no.0;
                         self.open.push(r);
                     }
-                    Output::Store { no, .. } => again.push(Input::Stored { no }),
-                    Output::Reserve { ceiling } => again.push(Input::Reserved { ceiling }),
+                    Output::PersistPlacement { no, .. } => {
+                        again.push(Input::PlacementPersisted { no })
+                    }
+                    Output::PersistCeiling { ceiling } => {
+                        again.push(Input::CeilingPersisted { ceiling })
+                    }
                     Output::Send { conn, pdu, .. } => self.sees(conn, &pdu),
                     _ => {}
                 }
@@ -157,9 +161,9 @@
     }
 
     fn login(&mut self, conn: ConnNo, isid: u8) {
-        self.feed(Input::Gone { conn });
+        self.feed(Input::ConnectionClosed { conn });
         self.sent.retain(|(c, _), _| *c != conn);
-        self.feed(Input::Up { conn });
+        self.feed(Input::ConnectionOpened { conn });
         let keys = [
             ("InitiatorName", "iqn.i"),
             ("TargetName", NAME),
@@ -243,23 +247,25 @@
             }
             6..=8 if !self.open.is_empty() => {
                 let r = self.open.remove(usize::from(s.byte()) % self.open.len());
-                let unsure = s.byte() & 1 == 0;
+                let may_still_apply = s.byte() & 1 == 0;
                 let answer = match s.byte() % 8 {
-                    0 => Answer::Deferred {
+                    0 => RequestOutcome::Rejected {
                         retry_after: None,
-                        unsure,
+                        may_still_apply,
                     },
-                    1 => Answer::Abandoned { unsure },
-                    2 if r.write => Answer::Superseded(u64::from(s.byte()) << (s.byte() % 57)),
-                    _ if r.write => Answer::Done(Bytes::new()),
-                    _ => Answer::Done(
+                    1 => RequestOutcome::Failed { may_still_apply },
+                    2 if r.write => {
+                        RequestOutcome::Superseded(u64::from(s.byte()) << (s.byte() % 57))
+                    }
+                    _ if r.write => RequestOutcome::Completed(Bytes::new()),
+                    _ => RequestOutcome::Completed(
                         vec![what; r.length as usize - usize::from(s.byte()) % 9].into(),
                     ),
                 };
                 let shard = r.shard.or(Some(2));
-                self.feed(Input::Final {
+                self.feed(Input::RequestFinished {
                     no: r.no,
-                    answer,
+                    outcome: answer,
                     shard,
                 });
             }
@@ -273,15 +279,15 @@
             }
             10 => self.now += Duration::from_millis(u64::from(s.byte()) * 4),
             11 => match s.byte() % 5 {
-                0 => self.feed(Input::Gone { conn }),
+                0 => self.feed(Input::ConnectionClosed { conn }),
                 1 => {
                     let h = Header::new(Opcode::LogoutRequest)
                         .set_immediate(true)
                         .set_flags(0x80 | (s.byte() % 3));
                     self.pdu(conn, numbered(h, 0), Bytes::new());
                 }
-                2 => self.feed(Input::StoreGone),
-                _ => self.feed(Input::Up {
+                2 => self.feed(Input::StoreFailed),
+                _ => self.feed(Input::ConnectionOpened {
                     conn: ConnNo(CONNS + u64::from(s.byte() % 8)),
                 }),
             },
@@ -321,20 +327,22 @@
         }
         stage.step(&mut script);
     }
-    (0..256).for_each(|c| stage.feed(Input::Gone { conn: ConnNo(c) }));
+    (0..256).for_each(|c| stage.feed(Input::ConnectionClosed { conn: ConnNo(c) }));
     while let Some(r) = stage.open.pop() {
-        stage.feed(Input::Final {
+        stage.feed(Input::RequestFinished {
             no: r.no,
-            answer: Answer::Abandoned { unsure: false },
+            outcome: RequestOutcome::Failed {
+                may_still_apply: false,
+            },
             shard: r.shard,
         });
         if stage.open.is_empty() {
             stage.now += REST * 2;
-            stage.feed(Input::Up { conn: ConnNo(1000) });
+            stage.feed(Input::ConnectionOpened { conn: ConnNo(1000) });
         }
     }
     stage.now += REST * 2;
-    stage.feed(Input::Gone { conn: ConnNo(1000) });
+    stage.feed(Input::ConnectionClosed { conn: ConnNo(1000) });
     assert!(stage.open.is_empty());
     assert_eq!(stage.e.open(), (0, 0), "something stays behind");
 }
