--- a/crates/target/src/blocks/tests.rs
+++ b/crates/target/src/blocks/tests.rs
@@ -24,19 +24,23 @@
 }
 
 #[test]
-fn the_command_is_what_its_worst_piece_is_and_only_when_the_last_is_in() {
-    let done = || RequestOutcome::Completed(Bytes::new());
-    let deferred = |n| RequestOutcome::Rejected {
+fn the_outcome_is_that_of_the_worst_piece_and_comes_with_the_last() {
+    let completed = || RequestOutcome::Completed(Bytes::new());
+    let rejected = |n| RequestOutcome::Rejected {
         retry_after: Some(ms(n)),
         may_still_apply: false,
     };
-    let lost = || RequestOutcome::Failed {
+    let failed = || RequestOutcome::Failed {
         may_still_apply: true,
     };
     let cases = [
-        (vec![done(), done(), done()], Status::Good, None),
         (
-            vec![done(), deferred(200), deferred(90)],
+            vec![completed(), completed(), completed()],
+            Status::Good,
+            None,
+        ),
+        (
+            vec![completed(), rejected(200), rejected(90)],
             Status::Busy,
             Some(ms(200)),
         ),
@@ -46,45 +50,45 @@
                     retry_after: None,
                     may_still_apply: false,
                 },
-                done(),
-                done(),
+                completed(),
+                completed(),
             ],
             Status::Busy,
             None,
         ),
         (
-            vec![deferred(200), lost(), done()],
+            vec![rejected(200), failed(), completed()],
             Status::CheckCondition,
             None,
         ),
     ];
-    for (answers, status, retry_after) in cases {
+    for (outcomes, status, retry_after) in cases {
         let mut g = Gather::new(LAYOUT.pieces(2, 8).collect(), false);
-        let last = answers.len() - 1;
-        for (i, a) in answers.into_iter().enumerate() {
-            let whole = g.take(i, a);
-            assert_eq!(whole.is_some(), i == last);
-            if let Some(w) = whole {
+        let last = outcomes.len() - 1;
+        for (i, a) in outcomes.into_iter().enumerate() {
+            let gathered = g.add(i, a);
+            assert_eq!(gathered.is_some(), i == last);
+            if let Some(w) = gathered {
                 assert_eq!((w.outcome.status, w.retry_after), (status, retry_after));
             }
         }
-        assert_eq!(g.take(0, lost()), None, "answered once");
+        assert_eq!(g.add(0, failed()), None, "answered once");
     }
 }
 
 #[test]
-fn a_read_is_put_together_and_what_nobody_wrote_is_zeroes() {
+fn a_read_is_assembled_and_unwritten_blocks_are_zeroes() {
     let mut g = Gather::new(LAYOUT.pieces(3, 6).collect(), true);
     assert!(g
-        .take(2, RequestOutcome::Completed(Bytes::from(vec![3; 512])))
+        .add(2, RequestOutcome::Completed(Bytes::from(vec![3; 512])))
         .is_none());
     assert!(g
-        .take(0, RequestOutcome::Completed(Bytes::from(vec![1; 512])))
+        .add(0, RequestOutcome::Completed(Bytes::from(vec![1; 512])))
         .is_none());
-    let whole = g
-        .take(1, RequestOutcome::Completed(Bytes::from(vec![2; 100])))
+    let gathered = g
+        .add(1, RequestOutcome::Completed(Bytes::from(vec![2; 100])))
         .unwrap();
-    let d = whole.outcome.data;
+    let d = gathered.outcome.data;
     assert_eq!(
         (d.len(), d[0], d[512], d[611], d[612], d[2560]),
         (3072, 1, 2, 2, 0, 3)
--- a/crates/target/src/engine/completion.rs
+++ b/crates/target/src/engine/completion.rs
@@ -76,9 +76,9 @@
                 volume: open.volume,
                 command: number,
             });
-            volume.overlaps.rest(number)
+            volume.overlaps.set_late(number)
         } else if wrote {
-            volume.overlaps.cover(number)
+            volume.overlaps.close_covering(number)
         } else {
             volume.overlaps.close(number)
         };
--- a/crates/target/src/engine/requests.rs
+++ b/crates/target/src/engine/requests.rs
@@ -201,7 +201,7 @@
         };
         let volume = command.volume;
         let gather = command.gather.as_mut();
-        let gathered = gather.and_then(|gather| gather.take(open.piece, outcome));
+        let gathered = gather.and_then(|gather| gather.add(open.piece, outcome));
         if open.first_write {
             let placing = &mut self.volumes[volume].placing;
             let waiting = placing.remove(&open.request.extent).unwrap_or_default();
--- a/crates/target/src/overlaps/tests.rs
+++ b/crates/target/src/overlaps/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn writes_pass_what_rests_and_reads_wait_until_it_is_covered_or_over() {
+fn writes_pass_a_late_write_and_reads_wait_until_it_is_covered_or_over() {
     let mut o = Overlaps::default();
     let both = Range {
         reads: true,
@@ -42,36 +42,41 @@
     assert!(o.open(1, range(0, 8, true)));
     assert!(!o.open(2, range(2, 4, false)) && !o.open(3, range(0, 4, true)) && !o.open(4, both));
     assert!(
-        o.rest(1).is_empty(),
+        o.set_late(1).is_empty(),
         "the write is behind the read of its blocks"
     );
     assert!(o.open(5, range(6, 8, true)) && !o.open(6, range(7, 9, false)));
-    assert!(o.cover(5).is_empty(), "the rest is not covered whole");
+    assert!(
+        o.close_covering(5).is_empty(),
+        "the late write is not covered whole"
+    );
     assert_eq!(o.close(1), [2, 6], "over: the reads go");
     assert_eq!(
         (o.close(2), o.close(3), o.close(4)),
         (vec![3], vec![4], vec![])
     );
     o.close(6);
-    // Covered by a later write that was carried out, or by one that rests in its turn.
+    // Covered by a later write that was carried out, or by one that is late in its turn.
     assert!(o.open(10, range(0, 4, true)) && !o.open(11, range(0, 8, true)));
-    assert_eq!(o.rest(10), [11]);
+    assert_eq!(o.set_late(10), [11]);
     assert!(!o.open(12, range(1, 2, false)));
-    assert_eq!(o.cover(11), [12]);
+    assert_eq!(o.close_covering(11), [12]);
     assert!(
         o.close(10).is_empty() && o.close(12).is_empty() && o.is_empty(),
-        "nothing rests any more"
+        "nothing is late any more"
     );
 }
 
 #[test]
-fn it_orders_as_a_plain_list_does() {
+fn the_order_is_that_of_a_plain_list() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut o, mut plain, mut running) =
             (Overlaps::default(), Vec::<(u64, Range)>::new(), Vec::new());
         let may_go = |plain: &[(u64, Range)], at: usize| {
-            plain[..at].iter().all(|e| !e.1.meets(&plain[at].1))
+            plain[..at]
+                .iter()
+                .all(|e| !e.1.conflicts_with(&plain[at].1))
         };
         for no in 0..120 {
             if rng.random_range(0..3) > 0 || running.is_empty() {
@@ -98,7 +103,7 @@
 }
 
 #[test]
-fn a_look_visits_what_is_near_and_not_all_that_is_open() {
+fn a_lookup_visits_nearby_ranges_and_not_all_that_are_open() {
     let mut o = Overlaps::default();
     (0..10_000).for_each(|n| assert!(o.open(n, range(n * 100, n * 100 + 8, true))));
     o.visited = 0;
--- a/crates/target/src/pressure.rs
+++ b/crates/target/src/pressure.rs
@@ -1,15 +1,15 @@
 //! How many commands each session of a volume may have open: back-pressure by the command window.
 //!
-//! Called by the target: `opened` and `closed` for each command, `step` after them, which answers the
-//! sessions that may have more or fewer open; each session's window is what is left of that. The wanted state
-//! is one budget of open commands for each volume, dealt out among its sessions by max-min fairness; `step`
-//! diffs it against what was last told.
+//! Called by the engine: `opened` and `closed` for each command, `step` after them, which returns the
+//! sessions that may have more or fewer open; each session's window is what is left of that. The desired
+//! state is one budget of open commands for each volume, divided among its sessions by max-min fairness;
+//! `step` compares it with what was last granted.
 //!
-//! The budget learns by answers and not by intervals: it grows by one for each budget's worth of done
-//! commands while it is what holds sessions back, and falls when commands are deferred, once for each
-//! come-back time, since all deferrals of one moment tell the same. Guards against initiators that fill a
-//! volume's queue only to have most of it sent back as BUSY. Harm: after a short jam a volume is slow for
-//! some round trips.
+//! The budget learns by outcomes and not by intervals: it grows by one for each budget's worth of completed
+//! commands while it is what limits the sessions, and falls when commands are rejected, once for each
+//! retry-after time, since all rejections of one moment have one cause. Guards against initiators that fill a
+//! volume's queue only to have most of it sent back as BUSY. Harm: after a short congestion a volume is slow
+//! for some round trips.
 //!
 //! A window that was granted is not taken back (RFC 7143, 4.2.2.1); a session learns of less as it uses it
 //! up.
@@ -17,8 +17,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const DOWN: f64 = 0.7; // of the budget, on deferrals; a half would empty short queues at each jam
-const LEAST_EACH: u32 = 1; // a session without any window could never learn that it is open again
+/// Part of the budget that is left after rejections; a half would empty short queues at each congestion.
+const DECREASE_FACTOR: f64 = 0.7;
+/// A session without any window could never learn that it is open again.
+const MIN_WINDOW: u32 = 1;
 
 /// A session, by its owner's number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -27,158 +29,181 @@
 /// What became of a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandResult {
+    /// Carried out.
     Completed,
-    Rejected { retry_after: Duration },
+    /// Turned away by the host: the volume is overloaded.
+    Rejected {
+        /// When it may be sent again; further rejections before have the same cause.
+        retry_after: Duration,
+    },
+    /// Anything else, which is no measure of the volume's load.
     Other,
 }
 
+/// Bounds of the commands that one volume may have open.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowLimits {
-    /// Commands of one volume, over all its sessions, at the start and at the most.
+    /// The budget at the start, over all sessions; at least 1.
     pub initial: f64,
+    /// The largest budget, over all sessions; at least `initial`.
     pub maximum: f64,
-    /// Of one session.
+    /// The most that one session may have open.
     pub max_per_session: u32,
 }
 
 #[derive(Debug, Default)]
 struct Session {
     open: u32,
-    /// The most it has had open lately: what it asks for.
+    /// The most it has had open lately: what it needs.
     peak: u32,
-    told: u32,
+    granted: u32,
+}
+
+impl Session {
+    /// What a session could use: one that fills its window twice of it, one that does not what it had open at
+    /// most, and one more.
+    fn demand(&self, max_window: u32) -> u32 {
+        let demand = if self.peak >= self.granted.max(1) {
+            self.peak.saturating_mul(2)
+        } else {
+            self.peak + 1
+        };
+        demand.clamp(MIN_WINDOW, max_window)
+    }
 }
 
 /// What the sessions of one volume may have open. Its memory is a few words for each session.
 #[derive(Debug)]
 pub struct Pressure {
-    window_limits: WindowLimits,
+    limits: WindowLimits,
     budget: f64,
-    /// Deferrals before that moment belong to a fall that was made.
-    deaf_until: Duration,
+    /// Rejections before that time belong to a decrease that was made.
+    no_decrease_before: Duration,
     sessions: BTreeMap<SessionNo, Session>,
     open: u32,
-    /// Commands that have ended since peaks were last brought down.
+    /// Commands that have ended since peaks last decayed.
     ended: u32,
-    /// Something has changed that what was told depends on.
-    stirred: bool,
+    /// Something has changed that grants depend on.
+    changed: bool,
 }
 
 impl Pressure {
-    pub fn new(window_limits: WindowLimits) -> Self {
-        let (sessions, deaf_until) = (BTreeMap::new(), Duration::ZERO);
+    /// A volume without sessions.
+    pub fn new(limits: WindowLimits) -> Self {
         Pressure {
-            window_limits,
-            budget: window_limits.initial,
-            deaf_until,
-            sessions,
+            limits,
+            budget: limits.initial,
+            no_decrease_before: Duration::ZERO,
+            sessions: BTreeMap::new(),
             open: 0,
             ended: 0,
-            stirred: false,
+            changed: false,
         }
     }
 
+    /// Commands that all sessions together may have open.
     pub fn budget(&self) -> f64 {
         self.budget
     }
 
+    /// A session uses the volume from now on.
     pub fn join(&mut self, session: SessionNo) {
         self.sessions.entry(session).or_default();
-        self.stirred = true;
+        self.changed = true;
     }
 
+    /// A session is over; its commands count no longer.
     pub fn leave(&mut self, session: SessionNo) {
-        if let Some(s) = self.sessions.remove(&session) {
-            self.open -= s.open;
-            self.stirred = true;
+        if let Some(state) = self.sessions.remove(&session) {
+            self.open -= state.open;
+            self.changed = true;
         }
     }
 
+    /// A command of a session has begun.
     pub fn opened(&mut self, session: SessionNo) {
-        let s = self.sessions.entry(session).or_default();
-        (s.open, self.open) = (s.open + 1, self.open + 1);
-        if s.open > s.peak {
-            (s.peak, self.stirred) = (s.open, true);
+        let state = self.sessions.entry(session).or_default();
+        state.open += 1;
+        self.open += 1;
+        if state.open > state.peak {
+            state.peak = state.open;
+            self.changed = true;
         }
     }
 
-    pub fn closed(&mut self, now: Duration, session: SessionNo, ended: CommandResult) {
-        let (open, before) = (self.open, self.budget.floor());
-        if let Some(s) = self.sessions.get_mut(&session).filter(|s| s.open > 0) {
-            (s.open, self.open) = (s.open - 1, self.open - 1);
+    /// A command of a session has ended.
+    pub fn closed(&mut self, now: Duration, session: SessionNo, result: CommandResult) {
+        let open_before = self.open;
+        let whole_before = self.budget.floor();
+        if let Some(state) = self.sessions.get_mut(&session) {
+            if state.open > 0 {
+                state.open -= 1;
+                self.open -= 1;
+            }
         }
-        match ended {
-            // A budget that nobody uses up says nothing of what the volume could bear.
-            CommandResult::Completed if f64::from(open) >= before => {
-                self.budget = (self.budget + 1.0 / self.budget).min(self.window_limits.maximum);
+        match result {
+            // A budget that is not used up shows nothing of what the volume could bear.
+            CommandResult::Completed if f64::from(open_before) >= whole_before => {
+                self.budget = (self.budget + 1.0 / self.budget).min(self.limits.maximum);
             }
-            CommandResult::Rejected { retry_after } if now >= self.deaf_until => {
-                self.budget = (self.budget * DOWN).max(self.sessions.len().max(1) as f64);
-                self.deaf_until = now + retry_after;
+            CommandResult::Rejected { retry_after } if now >= self.no_decrease_before => {
+                let min_budget = self.sessions.len().max(1) as f64;
+                self.budget = (self.budget * DECREASE_FACTOR).max(min_budget);
+                self.no_decrease_before = now + retry_after;
             }
             _ => {}
         }
-        self.stirred |= self.budget.floor() != before;
+        self.changed |= self.budget.floor() != whole_before;
         self.ended += 1;
-        // A peak is forgotten by half for each budget's worth of commands: one that no longer asks for much
-        // leaves it to others, and one that pauses between bursts does not find its window shut.
         if f64::from(self.ended) >= self.budget {
             self.ended = 0;
-            for s in self.sessions.values_mut().filter(|s| s.peak > s.open) {
-                (s.peak, self.stirred) = (s.peak - (s.peak - s.open).div_ceil(2), true);
+            self.decay_peaks();
+        }
+    }
+
+    /// A peak falls by half for each budget's worth of commands: a session that no longer needs much leaves
+    /// it to others, and one that pauses between bursts does not find its window closed.
+    fn decay_peaks(&mut self) {
+        for state in self.sessions.values_mut() {
+            if state.peak > state.open {
+                state.peak -= (state.peak - state.open).div_ceil(2);
+                self.changed = true;
             }
         }
     }
 
     /// How many commands each session may have open from here on, where that has changed.
     pub fn step(&mut self) -> Vec<(SessionNo, u32)> {
-        if !std::mem::take(&mut self.stirred) {
+        if !std::mem::take(&mut self.changed) {
             return Vec::new();
         }
-        let whole = self.budget.floor() as u32;
-        let most = self.window_limits.max_per_session.max(LEAST_EACH);
-        let asks: Vec<u32> = self.sessions.values().map(|s| self.asks(s)).collect();
-        let given = fair(whole, &asks);
-        // What nobody asks for is dealt out too: who begins a burst should not have to ask first.
-        let over = fair(
-            whole - given.iter().sum::<u32>(),
-            &given
-                .iter()
-                .map(|g| most.saturating_sub(*g))
-                .collect::<Vec<u32>>(),
-        );
-        let mut sizes = Vec::new();
-        for ((id, s), given) in self
-            .sessions
-            .iter_mut()
-            .zip(given.iter().zip(over).map(|(g, o)| g + o))
-        {
-            let size = given.clamp(LEAST_EACH, most);
-            if size != s.told {
-                s.told = size;
-                sizes.push((*id, size));
+        let budget = self.budget.floor() as u32;
+        let max_window = self.limits.max_per_session.max(MIN_WINDOW);
+        let sessions = self.sessions.values();
+        let demands: Vec<u32> = sessions.map(|state| state.demand(max_window)).collect();
+        let shares = fair(budget, &demands);
+        // What is left is divided too: a session that begins a burst should not have to ask first.
+        let unused = budget - shares.iter().sum::<u32>();
+        let headroom: Vec<u32> = shares
+            .iter()
+            .map(|share| max_window.saturating_sub(*share))
+            .collect();
+        let extras = fair(unused, &headroom);
+        let windows = shares.iter().zip(extras);
+        let mut changes = Vec::new();
+        for ((session, state), (share, extra)) in self.sessions.iter_mut().zip(windows) {
+            let window = (share + extra).clamp(MIN_WINDOW, max_window);
+            if window != state.granted {
+                state.granted = window;
+                changes.push((*session, window));
             }
         }
-        sizes
-    }
-
-    /// What a session could use: one that fills what it may asks for twice of it, one that does not for what
-    /// it had open at most, and one more.
-    fn asks(&self, s: &Session) -> u32 {
-        let more = if s.peak >= s.told.max(1) {
-            s.peak.saturating_mul(2)
-        } else {
-            s.peak + 1
-        };
-        more.clamp(
-            LEAST_EACH,
-            self.window_limits.max_per_session.max(LEAST_EACH),
-        )
+        changes
     }
 }
 
-/// Deals out so many by max-min fairness: nobody gets more than it asks, and what one leaves goes to the
-/// others evenly. What cannot be dealt evenly goes to those that ask most.
+/// Divides a total by max-min fairness: no share is above its demand, and what one leaves goes to the others
+/// evenly. What cannot be divided evenly goes to those with the highest demand.
 ///
 /// ```
 /// use grebecleat_target::pressure::fair;
@@ -187,16 +212,17 @@
 /// assert_eq!(fair(100, &[1, 2]), [1, 2]);
 /// assert_eq!(fair(1, &[5, 5]), [0, 1]);
 /// ```
-pub fn fair(whole: u32, asks: &[u32]) -> Vec<u32> {
-    let mut order: Vec<usize> = (0..asks.len()).collect();
-    order.sort_by_key(|i| asks[*i]);
-    let (mut left, mut given) = (whole, vec![0; asks.len()]);
-    for (at, i) in order.iter().enumerate() {
-        let share = left / (asks.len() - at) as u32;
-        given[*i] = asks[*i].min(share);
-        left -= given[*i];
+pub fn fair(total: u32, demands: &[u32]) -> Vec<u32> {
+    let mut rising: Vec<usize> = (0..demands.len()).collect();
+    rising.sort_by_key(|index| demands[*index]);
+    let mut left = total;
+    let mut shares = vec![0; demands.len()];
+    for (done, index) in rising.into_iter().enumerate() {
+        let even_share = left / (demands.len() - done) as u32;
+        shares[index] = demands[index].min(even_share);
+        left -= shares[index];
     }
-    given
+    shares
 }
 
 #[cfg(test)]
--- a/crates/target/src/pressure/tests.rs
+++ b/crates/target/src/pressure/tests.rs
@@ -12,19 +12,19 @@
 };
 
 fn sum(p: &Pressure) -> u32 {
-    p.sessions.values().map(|s| s.told).sum()
+    p.sessions.values().map(|s| s.granted).sum()
 }
 
 #[test]
-fn deferrals_of_one_moment_count_once_and_done_commands_open_it_again() {
+fn rejections_of_one_moment_count_once_and_completed_commands_raise_the_budget() {
     let (mut p, a) = (Pressure::new(LIMITS), SessionNo(1));
     (0..16).for_each(|_| p.opened(a));
-    let deferred = CommandResult::Rejected {
+    let rejected = CommandResult::Rejected {
         retry_after: ms(500),
     };
-    (0..10).for_each(|i| p.closed(ms(1000 + i), a, deferred));
+    (0..10).for_each(|i| p.closed(ms(1000 + i), a, rejected));
     assert!((p.budget() - 11.2).abs() < 1e-9, "{}", p.budget());
-    p.closed(ms(1500), a, deferred);
+    p.closed(ms(1500), a, rejected);
     assert!(p.budget() < 8.0);
     let low = p.budget();
     for t in 2000..2200 {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_greedy_session_leaves_the_others_their_part() {
+fn a_greedy_session_leaves_the_others_their_share() {
     let (mut p, greedy, modest) = (Pressure::new(LIMITS), SessionNo(1), SessionNo(2));
     p.join(modest);
     for round in 0..6 {
@@ -57,18 +57,18 @@
         (0..32).for_each(|_| p.closed(ms(round), greedy, CommandResult::Other));
         (0..3).for_each(|_| p.closed(ms(round), modest, CommandResult::Other));
     }
-    let told = |s: SessionNo| p.sessions[&s].told;
+    let granted = |s: SessionNo| p.sessions[&s].granted;
     assert!(
-        told(modest) >= 4 && told(greedy) >= 10,
+        granted(modest) >= 4 && granted(greedy) >= 10,
         "{} {}",
-        told(modest),
-        told(greedy)
+        granted(modest),
+        granted(greedy)
     );
     assert!(sum(&p) <= 16);
 }
 
 #[test]
-fn windows_never_pass_the_budget_but_for_the_one_that_each_keeps() {
+fn windows_never_exceed_the_budget_except_for_the_minimum_of_each() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut p = Pressure::new(LIMITS);
@@ -83,7 +83,7 @@
             }
             p.step();
             let n = p.sessions.len() as u32;
-            assert!(p.sessions.values().all(|s| (1..=32).contains(&s.told)));
+            assert!(p.sessions.values().all(|s| (1..=32).contains(&s.granted)));
             assert!(
                 sum(&p) <= (p.budget().floor() as u32).max(n) + n,
                 "seed {seed}"
@@ -93,30 +93,30 @@
 }
 
 #[test]
-fn fair_shares_are_whole_and_nobody_gets_more_than_it_asks() {
+fn fair_shares_use_the_whole_total_and_never_exceed_the_demand() {
     for seed in 0..500 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let asks: Vec<u32> = (0..rng.random_range(1..12))
+        let demands: Vec<u32> = (0..rng.random_range(1..12))
             .map(|_| rng.random_range(0..20))
             .collect();
-        let whole = rng.random_range(0..100);
-        let given = fair(whole, &asks);
+        let total = rng.random_range(0..100);
+        let shares = fair(total, &demands);
         assert_eq!(
-            given.iter().sum::<u32>(),
-            whole.min(asks.iter().sum()),
-            "{whole} {asks:?}"
+            shares.iter().sum::<u32>(),
+            total.min(demands.iter().sum()),
+            "{total} {demands:?}"
         );
-        assert!(given.iter().zip(&asks).all(|(g, a)| g <= a));
-        // Who got less than it asks got no less than anyone, but for the one that could not be halved.
-        let short = given
+        assert!(shares.iter().zip(&demands).all(|(g, a)| g <= a));
+        // Who got less than it demands got no less than any other, but for the one that could not be halved.
+        let short = shares
             .iter()
-            .zip(&asks)
+            .zip(&demands)
             .filter(|(g, a)| g < a)
             .map(|(g, _)| *g)
             .min();
         assert!(
-            short.is_none_or(|s| given.iter().all(|g| *g <= s + 1)),
-            "{whole} {asks:?} {given:?}"
+            short.is_none_or(|s| shares.iter().all(|g| *g <= s + 1)),
+            "{total} {demands:?} {shares:?}"
         );
     }
 }
--- a/crates/target/src/versions/tests.rs
+++ b/crates/target/src/versions/tests.rs
@@ -2,7 +2,7 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Starts, clocks that step either way, ceilings kept late or never: no version is given twice or after a
+/// Starts, clocks that step either way, ceilings persisted late or never: no version is given twice or after a
 /// higher one.
 #[test]
 fn versions_grow_over_starts_whatever_the_clock_does() {
@@ -11,12 +11,12 @@
         let (mut durable, mut last) = (0, 0);
         for _ in 0..20 {
             let mut v = Versions::new(durable, rng.random_range(0..1 << 50));
-            let mut asked = Vec::new();
+            let mut requested = Vec::new();
             for _ in 0..rng.random_range(0..200) {
                 match rng.random_range(0..5) {
-                    0 => asked.extend(v.reservation_due()),
-                    1 if !asked.is_empty() => {
-                        durable = durable.max(asked.remove(0));
+                    0 => requested.extend(v.reservation_due()),
+                    1 if !requested.is_empty() => {
+                        durable = durable.max(requested.remove(0));
                         v.reserve(durable);
                     }
                     2 if rng.random_range(0..9) == 0 => {
@@ -35,9 +35,11 @@
 }
 
 #[test]
-fn a_version_near_the_end_is_not_believed() {
+fn a_version_near_the_end_of_the_numbers_is_ignored() {
     let mut v = Versions::new(0, 10);
     assert!(!v.observe(u64::MAX) && v.observe(20));
-    v.reservation_due().into_iter().for_each(|c| v.reserve(c));
+    if let Some(ceiling) = v.reservation_due() {
+        v.reserve(ceiling);
+    }
     assert_eq!(v.next(), Some(21));
 }
