--- a/crates/target/tests/script/mod.rs
+++ b/crates/target/tests/script/mod.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 const NAME: &str = "iqn.2026-12.org.example:v";
-const REST: Duration = Duration::from_millis(300);
+const LATE_WRITE_TIME: Duration = Duration::from_millis(300);
 const CONNS: u64 = 4;
 /// Steps of one script: a long one is cut.
 const MAX_STEPS: usize = 3000;
@@ -33,18 +33,52 @@
     }
 }
 
-struct Stage {
-    e: Engine,
+/// What the next PDUs of a connection carry.
+#[derive(Default)]
+struct NextTags {
+    cmd_sn: u32,
+    /// The target transfer tag of the last R2T.
+    ttt: u32,
+}
+
+/// Commands sent and statuses seen for one task tag.
+#[derive(Default)]
+struct Counts {
+    sent: u64,
+    seen: u64,
+}
+
+/// What every step draws first.
+#[derive(Clone, Copy)]
+struct Drawn {
+    action: u8,
+    conn: ConnNo,
+    itt: u32,
+    cmd_sn: u32,
+}
+
+impl Drawn {
+    fn number(self, header: Header, ahead: u32) -> Header {
+        header
+            .set_itt(self.itt)
+            .set_cmd_sn(self.cmd_sn.wrapping_add(ahead))
+            .set_exp_stat_sn(1)
+    }
+}
+
+/// The engine, a host that lets requests wait, and initiators that follow a script.
+struct Simulation {
+    engine: Engine,
     now: Duration,
+    /// Requests at the host.
     open: Vec<Request>,
-    taken: u64,
-    /// The next CmdSN of each connection's session, and the request tag that it was asked with last.
-    next: BTreeMap<ConnNo, (u32, u32)>,
-    /// Commands sent and statuses seen, by connection and tag.
-    sent: BTreeMap<(ConnNo, u32), (u64, u64)>,
+    last_request: u64,
+    next: BTreeMap<ConnNo, NextTags>,
+    /// By connection and task tag.
+    counts: BTreeMap<(ConnNo, u32), Counts>,
 }
 
-impl Stage {
+impl Simulation {
     fn new() -> Self {
         let target = Target {
             name: NAME.into(),
@@ -78,24 +112,23 @@
             maximum: 16.0,
             max_per_session: 8,
         };
-        let e = Engine::new(EngineConfig {
+        let engine = Engine::new(EngineConfig {
             portal,
             addresses: vec![],
             targets: facts,
             volumes: vec![volume(1), volume(2)],
             window_limits,
-            late_write_time: REST,
+            late_write_time: LATE_WRITE_TIME,
             versions: Versions::new(0, 1),
             challenges: Box::new(|| [7; CHALLENGE_BYTES]),
         });
-        let (next, sent) = (BTreeMap::new(), BTreeMap::new());
-        Stage {
-            e,
-            now: REST,
+        Simulation {
+            engine,
+            now: LATE_WRITE_TIME,
             open: Vec::new(),
-            taken: 0,
-            next,
-            sent,
+            last_request: 0,
+            next: BTreeMap::new(),
+            counts: BTreeMap::new(),
         }
     }
 
@@ -103,16 +136,20 @@
         let mut inputs = vec![input];
         while !inputs.is_empty() {
             let mut again = Vec::new();
-            for output in self.e.step(self.now, inputs) {
+            for output in self.engine.step(self.now, inputs) {
                 match output {
-                    Output::Submit(r) => {
-                        assert!(r.no.0 > self.taken, "a transfer's number came twice");
+                    Output::Submit(request) => {
                         assert!(
-                            r.write == r.version.is_some()
-                                && (!r.write || r.data.len() == r.length as usize)
+                            request.no.0 > self.last_request,
+                            "a request's number came twice"
                         );
-                        self.taken = r.no.0;
-                        self.open.push(r);
+                        assert!(
+                            request.write == request.version.is_some()
+                                && (!request.write
+                                    || request.data.len() == request.length as usize)
+                        );
+                        self.last_request = request.no.0;
+                        self.open.push(request);
                     }
                     Output::PersistPlacement { no, .. } => {
                         again.push(Input::PlacementPersisted { no })
@@ -120,49 +157,52 @@
                     Output::PersistCeiling { ceiling } => {
                         again.push(Input::CeilingPersisted { ceiling })
                     }
-                    Output::Send { conn, pdu, .. } => self.sees(conn, &pdu),
+                    Output::Send { conn, pdu, .. } => self.receive(conn, &pdu),
                     _ => {}
                 }
             }
             inputs = again;
         }
         assert!(
-            self.e.wake_at().is_none_or(|at| at > self.now),
+            self.engine.wake_at().is_none_or(|at| at > self.now),
             "what is due was done"
         );
     }
 
-    fn sees(&mut self, conn: ConnNo, pdu: &Pdu) {
-        let h = pdu.header;
-        let status = match h.opcode() {
+    fn receive(&mut self, conn: ConnNo, pdu: &Pdu) {
+        let header = pdu.header;
+        let status = match header.opcode() {
             Some(Opcode::ScsiResponse) => true,
-            Some(Opcode::DataIn) => h.flags() & 1 != 0,
+            Some(Opcode::DataIn) => header.flags() & 1 != 0,
             Some(Opcode::R2t) => {
-                self.next.entry(conn).or_default().1 = h.ttt();
+                self.next.entry(conn).or_default().ttt = header.ttt();
                 false
             }
             _ => false,
         };
         if status {
-            let (sent, seen) = self.sent.entry((conn, h.itt())).or_default();
-            *seen += 1;
-            assert!(*seen <= *sent, "a status to no command: {h:?}");
+            let counts = self.counts.entry((conn, header.itt())).or_default();
+            counts.seen += 1;
+            assert!(
+                counts.seen <= counts.sent,
+                "a status to no command: {header:?}"
+            );
         }
     }
 
-    fn pdu(&mut self, conn: ConnNo, h: Header, data: Bytes) {
-        if h.opcode() == Some(Opcode::ScsiCommand) {
-            self.sent.entry((conn, h.itt())).or_default().0 += 1;
+    fn pdu(&mut self, conn: ConnNo, header: Header, data: Bytes) {
+        if header.opcode() == Some(Opcode::ScsiCommand) {
+            self.counts.entry((conn, header.itt())).or_default().sent += 1;
         }
         self.feed(Input::Pdu {
             conn,
-            read: Ok(Pdu::new(h, data)),
+            read: Ok(Pdu::new(header, data)),
         });
     }
 
     fn login(&mut self, conn: ConnNo, isid: u8) {
         self.feed(Input::ConnectionClosed { conn });
-        self.sent.retain(|(c, _), _| *c != conn);
+        self.counts.retain(|(other, _), _| *other != conn);
         self.feed(Input::ConnectionOpened { conn });
         let keys = [
             ("InitiatorName", "iqn.i"),
@@ -172,177 +212,209 @@
         ];
         let keys: Vec<(String, String)> = keys
             .iter()
-            .map(|(k, v)| (k.to_string(), v.to_string()))
+            .map(|(key, value)| (key.to_string(), value.to_string()))
             .collect();
-        let h = Header::new(Opcode::LoginRequest)
+        let header = Header::new(Opcode::LoginRequest)
             .set_immediate(true)
             .set_flags(0x87);
         self.pdu(
             conn,
-            h.set_isid([0, 0, 0, 0, 0, isid]).set_itt(1).set_cmd_sn(1),
+            header
+                .set_isid([0, 0, 0, 0, 0, isid])
+                .set_itt(1)
+                .set_cmd_sn(1),
             format(&keys).into(),
         );
-        self.next.insert(conn, (1, 0));
+        self.next.insert(conn, NextTags { cmd_sn: 1, ttt: 0 });
     }
 
-    /// One step by the script; every number it draws is small, so that what it names often exists.
-    fn step(&mut self, s: &mut Script) {
-        let what = s.byte();
-        let conn = ConnNo(u64::from(s.byte()) % CONNS);
-        let (itt, sn) = (
-            u32::from(s.byte() % 8),
-            self.next.get(&conn).map_or(1, |n| n.0),
-        );
-        let numbered = |h: Header, by: u32| {
-            h.set_itt(itt)
-                .set_cmd_sn(sn.wrapping_add(by))
-                .set_exp_stat_sn(1)
+    /// One step by the script; every number it draws is small, so that what it names often exists. Bytes are
+    /// drawn in a fixed order, since stored scripts depend on it.
+    fn step(&mut self, script: &mut Script) {
+        let action = script.byte();
+        let conn = ConnNo(u64::from(script.byte()) % CONNS);
+        let itt = u32::from(script.byte() % 8);
+        let cmd_sn = self.next.get(&conn).map_or(1, |next| next.cmd_sn);
+        let drawn = Drawn {
+            action,
+            conn,
+            itt,
+            cmd_sn,
         };
-        match what % 14 {
+        match action % 14 {
             0 => {
-                let isid = s.byte() % 3;
+                let isid = script.byte() % 3;
                 self.login(conn, isid);
             }
-            1..=4 => {
-                let (writes, lba, blocks, lun) =
-                    (what & 16 != 0, s.byte(), s.byte() % 40, s.byte() & 1);
-                let code = match (what & 32 != 0, writes) {
-                    (true, _) => s.byte(),
-                    (false, true) => 0x8a,
-                    (false, false) => 0x88,
-                };
-                let mut cdb = [0; 16];
-                (cdb[0], cdb[9], cdb[13]) = (code, lba, blocks);
-                let flags = if writes { 0x20 } else { 0x40 } | s.byte() & 0x80;
-                let length = u32::from(blocks) * 512;
-                let now = if writes {
-                    length.min(u32::from(s.byte()) * 64)
-                } else {
-                    0
-                };
-                let h = Header::new(Opcode::ScsiCommand)
-                    .set_flags(flags)
-                    .set_lun(u64::from(lun) << 48);
-                let by = u32::from(s.byte() % 16 / 14);
-                let h = numbered(h, by).set_ttt(length).set_cdb(cdb);
-                self.next.entry(conn).or_default().0 = sn.wrapping_add(1);
-                self.pdu(conn, h, vec![s.byte(); now as usize].into());
-            }
-            5 => {
-                let (offset, length) = (u32::from(s.byte()) * 64, usize::from(s.byte()) * 32);
-                let ttt = if s.byte() & 1 == 0 {
-                    NO_TAG
-                } else {
-                    self.next.get(&conn).map_or(0, |n| n.1)
-                };
-                let h = Header::new(Opcode::DataOut)
-                    .set_flags(s.byte() & 0x80)
-                    .set_itt(itt)
-                    .set_ttt(ttt);
-                let h = h
-                    .set_exp_stat_sn(1)
-                    .set_word36(u32::from(s.byte() % 3))
-                    .set_word40(offset);
-                self.pdu(conn, h, vec![what; length].into());
-            }
-            6..=8 if !self.open.is_empty() => {
-                let r = self.open.remove(usize::from(s.byte()) % self.open.len());
-                let may_still_apply = s.byte() & 1 == 0;
-                let answer = match s.byte() % 8 {
-                    0 => RequestOutcome::Rejected {
-                        retry_after: None,
-                        may_still_apply,
-                    },
-                    1 => RequestOutcome::Failed { may_still_apply },
-                    2 if r.write => {
-                        RequestOutcome::Superseded(u64::from(s.byte()) << (s.byte() % 57))
-                    }
-                    _ if r.write => RequestOutcome::Completed(Bytes::new()),
-                    _ => RequestOutcome::Completed(
-                        vec![what; r.length as usize - usize::from(s.byte()) % 9].into(),
-                    ),
-                };
-                let shard = r.shard.or(Some(2));
-                self.feed(Input::RequestFinished {
-                    no: r.no,
-                    outcome: answer,
-                    shard,
-                });
-            }
-            9 => {
-                let h = Header::new(Opcode::TaskManagement).set_immediate(s.byte() & 1 == 0);
-                let h = numbered(h, 0)
-                    .set_flags(0x80 | (s.byte() % 9))
-                    .set_itt(itt + 100)
-                    .set_ttt(u32::from(s.byte() % 8));
-                self.pdu(conn, h, Bytes::new());
-            }
-            10 => self.now += Duration::from_millis(u64::from(s.byte()) * 4),
-            11 => match s.byte() % 5 {
-                0 => self.feed(Input::ConnectionClosed { conn }),
-                1 => {
-                    let h = Header::new(Opcode::LogoutRequest)
-                        .set_immediate(true)
-                        .set_flags(0x80 | (s.byte() % 3));
-                    self.pdu(conn, numbered(h, 0), Bytes::new());
-                }
-                2 => self.feed(Input::StoreFailed),
-                _ => self.feed(Input::ConnectionOpened {
-                    conn: ConnNo(CONNS + u64::from(s.byte() % 8)),
-                }),
+            1..=4 => self.scsi_command(script, drawn),
+            5 => self.data_out(script, drawn),
+            6..=8 if !self.open.is_empty() => self.answer_request(script, action),
+            9 => self.task_management(script, drawn),
+            10 => self.now += Duration::from_millis(u64::from(script.byte()) * 4),
+            11 => self.end_of_something(script, drawn),
+            12 => self.malformed_pdu(script, drawn),
+            _ => self.random_pdu(script, drawn),
+        }
+    }
+
+    fn scsi_command(&mut self, script: &mut Script, drawn: Drawn) {
+        let writes = drawn.action & 16 != 0;
+        let lba = script.byte();
+        let blocks = script.byte() % 40;
+        let lun = script.byte() & 1;
+        let code = match (drawn.action & 32 != 0, writes) {
+            (true, _) => script.byte(),
+            (false, true) => 0x8a,
+            (false, false) => 0x88,
+        };
+        let mut cdb = [0; 16];
+        cdb[0] = code;
+        cdb[9] = lba;
+        cdb[13] = blocks;
+        let direction = if writes { 0x20 } else { 0x40 };
+        let flags = direction | script.byte() & 0x80;
+        let length = u32::from(blocks) * 512;
+        let immediate = if writes {
+            length.min(u32::from(script.byte()) * 64)
+        } else {
+            0
+        };
+        let header = Header::new(Opcode::ScsiCommand)
+            .set_flags(flags)
+            .set_lun(u64::from(lun) << 48);
+        let ahead = u32::from(script.byte() % 16 / 14);
+        let header = drawn.number(header, ahead).set_ttt(length).set_cdb(cdb);
+        self.next.entry(drawn.conn).or_default().cmd_sn = drawn.cmd_sn.wrapping_add(1);
+        let data = vec![script.byte(); immediate as usize];
+        self.pdu(drawn.conn, header, data.into());
+    }
+
+    fn data_out(&mut self, script: &mut Script, drawn: Drawn) {
+        let offset = u32::from(script.byte()) * 64;
+        let length = usize::from(script.byte()) * 32;
+        let ttt = if script.byte() & 1 == 0 {
+            NO_TAG
+        } else {
+            self.next.get(&drawn.conn).map_or(0, |next| next.ttt)
+        };
+        let header = Header::new(Opcode::DataOut)
+            .set_flags(script.byte() & 0x80)
+            .set_itt(drawn.itt)
+            .set_ttt(ttt)
+            .set_exp_stat_sn(1)
+            .set_word36(u32::from(script.byte() % 3))
+            .set_word40(offset);
+        self.pdu(drawn.conn, header, vec![drawn.action; length].into());
+    }
+
+    fn answer_request(&mut self, script: &mut Script, fill: u8) {
+        let at = usize::from(script.byte()) % self.open.len();
+        let request = self.open.remove(at);
+        let may_still_apply = script.byte() & 1 == 0;
+        let outcome = match script.byte() % 8 {
+            0 => RequestOutcome::Rejected {
+                retry_after: None,
+                may_still_apply,
             },
-            12 => {
-                let h = Header(s.take::<48>()).set_itt(itt);
-                let read = if s.byte() & 1 == 0 {
-                    Fault::DataDigest(h)
-                } else {
-                    Fault::HeaderDigest
-                };
-                self.feed(Input::Pdu {
-                    conn,
-                    read: Err(read),
-                });
+            1 => RequestOutcome::Failed { may_still_apply },
+            2 if request.write => {
+                RequestOutcome::Superseded(u64::from(script.byte()) << (script.byte() % 57))
             }
+            _ if request.write => RequestOutcome::Completed(Bytes::new()),
             _ => {
-                let opcode = Opcode::ALL[usize::from(s.byte()) % Opcode::ALL.len()];
-                let h = Header(s.take::<48>()).set_byte(0, opcode as u8 | s.byte() & 0x40);
-                let length = usize::from(s.byte());
-                self.pdu(
-                    conn,
-                    numbered(h, 0),
-                    s.0.iter().copied().take(length).collect(),
-                );
+                let missing = usize::from(script.byte()) % 9;
+                let data = vec![fill; request.length as usize - missing];
+                RequestOutcome::Completed(data.into())
+            }
+        };
+        self.feed(Input::RequestFinished {
+            no: request.no,
+            outcome,
+            shard: request.shard.or(Some(2)),
+        });
+    }
+
+    fn task_management(&mut self, script: &mut Script, drawn: Drawn) {
+        let header = Header::new(Opcode::TaskManagement).set_immediate(script.byte() & 1 == 0);
+        let header = drawn
+            .number(header, 0)
+            .set_flags(0x80 | (script.byte() % 9))
+            .set_itt(drawn.itt + 100)
+            .set_ttt(u32::from(script.byte() % 8));
+        self.pdu(drawn.conn, header, Bytes::new());
+    }
+
+    /// A connection lost or logged out, the store failed, or one more connection.
+    fn end_of_something(&mut self, script: &mut Script, drawn: Drawn) {
+        match script.byte() % 5 {
+            0 => self.feed(Input::ConnectionClosed { conn: drawn.conn }),
+            1 => {
+                let header = Header::new(Opcode::LogoutRequest)
+                    .set_immediate(true)
+                    .set_flags(0x80 | (script.byte() % 3));
+                self.pdu(drawn.conn, drawn.number(header, 0), Bytes::new());
             }
+            2 => self.feed(Input::StoreFailed),
+            _ => self.feed(Input::ConnectionOpened {
+                conn: ConnNo(CONNS + u64::from(script.byte() % 8)),
+            }),
         }
     }
+
+    fn malformed_pdu(&mut self, script: &mut Script, drawn: Drawn) {
+        let header = Header(script.take::<48>()).set_itt(drawn.itt);
+        let fault = if script.byte() & 1 == 0 {
+            Fault::DataDigest(header)
+        } else {
+            Fault::HeaderDigest
+        };
+        self.feed(Input::Pdu {
+            conn: drawn.conn,
+            read: Err(fault),
+        });
+    }
+
+    fn random_pdu(&mut self, script: &mut Script, drawn: Drawn) {
+        let opcode = Opcode::ALL[usize::from(script.byte()) % Opcode::ALL.len()];
+        let header = Header(script.take::<48>());
+        let header = header.set_byte(0, opcode as u8 | script.byte() & 0x40);
+        let length = usize::from(script.byte());
+        let data = script.0.iter().copied().take(length).collect();
+        self.pdu(drawn.conn, drawn.number(header, 0), data);
+    }
 }
 
 /// Plays a script and then lets everything end: each command had at most one status, and nothing stays behind.
 pub fn play(bytes: &[u8]) {
-    let (mut stage, mut script) = (Stage::new(), Script(bytes));
-    (0..CONNS).for_each(|c| stage.login(ConnNo(c), c as u8));
+    let mut simulation = Simulation::new();
+    let mut script = Script(bytes);
+    for conn in 0..CONNS {
+        simulation.login(ConnNo(conn), conn as u8);
+    }
     for _ in 0..MAX_STEPS {
         if script.0.is_empty() {
             break;
         }
-        stage.step(&mut script);
+        simulation.step(&mut script);
+    }
+    for conn in 0..256 {
+        simulation.feed(Input::ConnectionClosed { conn: ConnNo(conn) });
     }
-    (0..256).for_each(|c| stage.feed(Input::ConnectionClosed { conn: ConnNo(c) }));
-    while let Some(r) = stage.open.pop() {
-        stage.feed(Input::RequestFinished {
-            no: r.no,
+    while let Some(request) = simulation.open.pop() {
+        simulation.feed(Input::RequestFinished {
+            no: request.no,
             outcome: RequestOutcome::Failed {
                 may_still_apply: false,
             },
-            shard: r.shard,
+            shard: request.shard,
         });
-        if stage.open.is_empty() {
-            stage.now += REST * 2;
-            stage.feed(Input::ConnectionOpened { conn: ConnNo(1000) });
+        if simulation.open.is_empty() {
+            simulation.now += LATE_WRITE_TIME * 2;
+            simulation.feed(Input::ConnectionOpened { conn: ConnNo(1000) });
         }
     }
-    stage.now += REST * 2;
-    stage.feed(Input::ConnectionClosed { conn: ConnNo(1000) });
-    assert!(stage.open.is_empty());
-    assert_eq!(stage.e.open(), (0, 0), "something stays behind");
+    simulation.now += LATE_WRITE_TIME * 2;
+    simulation.feed(Input::ConnectionClosed { conn: ConnNo(1000) });
+    assert!(simulation.open.is_empty());
+    assert_eq!(simulation.engine.open(), (0, 0), "something stays behind");
 }
