--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -226,21 +226,27 @@
 
     fn endpoint_policies(&self) -> Vec<pb::EndpointPolicyMetrics> {
         let policies = self.fleet.policies().into_iter();
-        let metrics = policies.map(|NodePolicy { node, finding, policy }| pb::EndpointPolicyMetrics {
-            node,
-            policy: match policy {
-                EndpointPolicy::OwnEvidence => pb::EndpointPolicy::AsToday,
-                EndpointPolicy::BadPath => pb::EndpointPolicy::OwnWay,
-                EndpointPolicy::Avoid => pb::EndpointPolicy::Avoid,
-                EndpointPolicy::Probe => pb::EndpointPolicy::Look,
-            }
-            .into(),
-            verdict: finding.verdict.name().into(),
-            well: finding.good.hosts as u32,
-            well_weight: finding.good.weight,
-            badly: finding.bad.hosts as u32,
-            badly_weight: finding.bad.weight,
-        });
+        let metrics = policies.map(
+            |NodePolicy {
+                 node,
+                 finding,
+                 policy,
+             }| pb::EndpointPolicyMetrics {
+                node,
+                policy: match policy {
+                    EndpointPolicy::OwnEvidence => pb::EndpointPolicy::AsToday,
+                    EndpointPolicy::BadPath => pb::EndpointPolicy::OwnWay,
+                    EndpointPolicy::Avoid => pb::EndpointPolicy::Avoid,
+                    EndpointPolicy::Probe => pb::EndpointPolicy::Look,
+                }
+                .into(),
+                verdict: finding.verdict.name().into(),
+                well: finding.good.hosts as u32,
+                well_weight: finding.good.weight,
+                badly: finding.bad.hosts as u32,
+                badly_weight: finding.bad.weight,
+            },
+        );
         metrics.collect()
     }
 
--- /dev/null
+++ b/crates/target/src/engine/completion.rs
@@ -0,0 +1,96 @@
+//! The end of a command: its outcome from those of its requests, and what may start after it.
+//!
+//! Called when the last request of a command's step has ended, or when a waiting command is aborted.
+
+use super::records::{BlockAction, LateWrite, Step};
+use super::Engine;
+use crate::blocks::Gathered;
+use crate::pressure::{CommandResult, SessionNo};
+use bytes::Bytes;
+use grebecleat_iscsi::scsi::{Sense, Status};
+use grebecleat_iscsi::session::Outcome;
+
+/// The outcome of a comparison; the first byte that differs is in the sense data.
+fn compare(expected: &[u8], found: &[u8]) -> Outcome {
+    let mut pairs = expected.iter().zip(found);
+    match pairs.position(|(expected, found)| expected != found) {
+        Some(at) => Outcome::check(Sense::MISCOMPARE.at(at as u64)),
+        None => Outcome::good(Bytes::new()),
+    }
+}
+
+impl Engine {
+    /// All requests of a command's step have ended.
+    pub(super) fn step_over(&mut self, number: u64, gathered: Gathered) {
+        let Some(open) = self.commands.get(&number) else {
+            return;
+        };
+        let mut outcome = gathered.outcome;
+        if outcome.status == Status::Good {
+            match &open.command.action {
+                BlockAction::Verify(Some(expected)) => outcome = compare(expected, &outcome.data),
+                BlockAction::Verify(None) => outcome = Outcome::good(Bytes::new()),
+                // The second step, which writes, has no data.
+                BlockAction::CompareAndWrite { expected, .. } if !outcome.data.is_empty() => {
+                    let compared = compare(expected, &outcome.data);
+                    if compared.status != Status::Good {
+                        outcome = compared;
+                    } else if !open.aborted {
+                        return self.launch(number, Step::WriteAfterCompare);
+                    }
+                }
+                _ => {}
+            }
+        }
+        let result = match outcome.status {
+            Status::Good => CommandResult::Completed,
+            Status::Busy => CommandResult::Rejected {
+                retry_after: gathered.retry_after.unwrap_or(self.late_write_time),
+            },
+            _ => CommandResult::Other,
+        };
+        self.end_command(number, Some(outcome), result, gathered.may_still_apply);
+    }
+
+    /// Ends a command; it is answered, unless it was aborted. `may_still_apply`: a part of its write may take
+    /// effect later.
+    pub(super) fn end_command(
+        &mut self,
+        number: u64,
+        outcome: Option<Outcome>,
+        result: CommandResult,
+        may_still_apply: bool,
+    ) {
+        let Some(open) = self.commands.remove(&number) else {
+            return;
+        };
+        let volume = &mut self.volumes[open.volume];
+        volume
+            .pressure
+            .closed(self.now, SessionNo(open.session), result);
+        self.changed_windows.insert(open.volume);
+        let wrote = result == CommandResult::Completed && open.command.action.writes();
+        let ready = if may_still_apply {
+            self.late_writes.push_back(LateWrite {
+                until: self.now + self.late_write_time,
+                volume: open.volume,
+                command: number,
+            });
+            volume.overlaps.set_late(number)
+        } else if wrote {
+            volume.overlaps.close_covering(number)
+        } else {
+            volume.overlaps.close(number)
+        };
+        self.launch_all(ready);
+        let Some(state) = self.sessions.get_mut(&open.session) else {
+            return;
+        };
+        let acts = match outcome {
+            Some(outcome) if !open.aborted => state.session.done(open.task, outcome),
+            _ => state.session.gone(open.task),
+        };
+        self.perform(open.session, acts);
+        self.forget_session_if_over(open.session);
+    }
+}
