--- /dev/null
+++ b/crates/state/src/store/schema.rs
@@ -0,0 +1,64 @@
+//! The tables of the file, and the keys of their records.
+//!
+//! The names of the tables and figures are part of the file format and never change.
+
+use grebecleat_plans::changes::Subject;
+use redb::TableDefinition;
+
+/// Schema number of the file. 1: placement of extents one by one, and nothing else. 2: as here.
+pub(super) const SCHEMA: u64 = 2;
+
+/// Figures by name, see [`figure`].
+pub(super) const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
+/// Records of the catalog by subject, see [`subject_key`].
+pub(super) const STATE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("state");
+/// Revisions by version.
+pub(super) const AUDIT_LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("trail");
+/// Earlier epochs, each with its last version that belongs to this history.
+pub(super) const EPOCHS: TableDefinition<u64, u64> = TableDefinition::new("eras");
+/// Applied versions by the name of the host.
+pub(super) const HOSTS: TableDefinition<&str, u64> = TableDefinition::new("hosts");
+/// Chunks of extents by volume and chunk number, see [`super::extent_chunk`].
+pub(super) const EXTENTS: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("extents");
+/// Of schema 1: shards by volume and extent.
+pub(super) const PLACES_V1: TableDefinition<(u64, u64), u32> = TableDefinition::new("places");
+/// Of schema 1: the version ceiling.
+pub(super) const CEILING_V1: TableDefinition<(), u64> = TableDefinition::new("ceiling");
+
+/// Names of the figures in [`META`].
+pub(super) mod figure {
+    /// The schema number; not part of the checksum over the file.
+    pub const SCHEMA: &str = "schema";
+    /// The checksum over all records.
+    pub const CHECKSUM: &str = "sum";
+    /// Version of the catalog.
+    pub const VERSION: &str = "version";
+    /// The stable version.
+    pub const STABLE: &str = "settled";
+    /// The version at which a new epoch was last forced.
+    pub const EPOCH_FORCED_AT: &str = "prevailed";
+    /// The epoch of this history.
+    pub const EPOCH: &str = "era";
+    /// Every version number that a write may have used lies below this one.
+    pub const CEILING: &str = "ceiling";
+    /// Above 0 if the store was restored from a snapshot.
+    pub const RESTORED: &str = "restored";
+}
+
+/// The key of a subject's record: its kind, then its name or number.
+pub(super) fn subject_key(subject: &Subject) -> Vec<u8> {
+    let (kind, name) = match subject {
+        Subject::Plan(name) => (0, name.as_bytes().to_vec()),
+        Subject::Node(id) => (1, id.to_be_bytes().to_vec()),
+        Subject::Volume(id) => (2, id.to_be_bytes().to_vec()),
+        Subject::Drain(id) => (3, id.to_be_bytes().to_vec()),
+        Subject::Target(name) => (4, name.as_bytes().to_vec()),
+        Subject::Scheduled(id) => (5, id.to_be_bytes().to_vec()),
+    };
+    [vec![kind], name].concat()
+}
+
+/// How faults name a record of the audit log.
+pub(super) fn revision_place(version: u64) -> String {
+    format!("entry {version} of the trail")
+}
