--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -2,7 +2,9 @@
 
 use crate::args::{Change as How, Format, PlansArgs, PlansCommand};
 use crate::{bad, load, Stop};
-use grebecleat_plans::changes::{Catalog, Change, Deployment, Subject, Version};
+use grebecleat_plans::catalog::Catalog;
+use grebecleat_plans::change::{Change, Subject};
+use grebecleat_plans::records::{Deployment, Version};
 use grebecleat_state::change_syntax::{
     format_change, format_differences, format_time, parse_change, parse_time,
 };
@@ -323,7 +325,7 @@
             Vec::new(),
         )
         .map_err(failed)?;
-    let wanted = |e: &&grebecleat_plans::changes::Revision| {
+    let wanted = |e: &&grebecleat_plans::change::Revision| {
         of.as_ref()
             .is_none_or(|s| e.changes.iter().any(|c| c.subject() == *s))
     };
@@ -380,7 +382,7 @@
         .iter()
         .flat_map(|c| {
             let was = declared.now(&c.subject());
-            match (was.ends(), c.ends()) {
+            match (was.is_removal(), c.is_removal()) {
                 (true, _) => vec![format!("only in service:  {}", format_change(c))],
                 (_, true) => vec![format!("only in the file: {}", format_change(&was))],
                 _ => vec![
--- a/crates/host/src/config_follower.rs
+++ b/crates/host/src/config_follower.rs
@@ -11,11 +11,11 @@
 use crate::outbox::Outbox;
 use crate::router::ConnId;
 use grebecleat::interface::{Event, LimitQuota, Plan, PlanId, VolumeId, VolumeTerms};
-use grebecleat_plans::changes::{self, Name, Version};
 use grebecleat_plans::follower::{
     self, Action, Follower, InitialState, PersistRequest, Terms, Update,
 };
 use grebecleat_plans::leader::{CallId, Epoch};
+use grebecleat_plans::records::{self, Name, Version};
 use grebecleat_settings::Settings;
 use grebecleat_state::codec::{changes_from_proto, revision_from_proto, DecodeError};
 use grebecleat_state::store::Record;
@@ -179,7 +179,7 @@
             };
         }
         let follower = self.follower.as_ref();
-        match follower.is_some_and(|follower| !follower.knows()) {
+        match follower.is_some_and(|follower| !follower.has_state()) {
             true => VolumePlacement::NotYetKnown,
             false => VolumePlacement::Unknown,
         }
@@ -302,9 +302,9 @@
         }
         let revisions = update.revisions.into_iter().map(revision_from_proto);
         let revisions = revisions.collect::<Result<Vec<_>, _>>()?;
-        let came = match update.snapshot {
-            false => Update::Entries(revisions),
-            true => Update::Whole {
+        let granted = match update.snapshot {
+            false => Update::Revisions(revisions),
+            true => Update::Snapshot {
                 at: Version(update.at),
                 state: changes_from_proto(update.state)?,
                 revisions,
@@ -316,7 +316,7 @@
             version: Version(update.version),
             stable: Version(update.stable),
             lease: Duration::from_micros(update.lease_us),
-            came,
+            update: granted,
         });
         Ok(())
     }
@@ -436,7 +436,7 @@
         }
     }
 
-    fn plan_changed(&mut self, name: Name, plan: changes::Plan) -> Event {
+    fn plan_changed(&mut self, name: Name, plan: records::Plan) -> Event {
         let next = PlanId(self.plans.len());
         let id = *self.plans.entry(name).or_insert(next);
         self.rates.resize(self.plans.len(), 0.0);
--- a/crates/host/src/router/configuration.rs
+++ b/crates/host/src/router/configuration.rs
@@ -7,7 +7,7 @@
 use crate::quota_sharing::SharingOutcome;
 use grebecleat::interface::*;
 use grebecleat_fleet::HostNumber;
-use grebecleat_plans::changes::Name;
+use grebecleat_plans::records::Name;
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb;
 use std::collections::BTreeSet;
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use grebecleat::interface::PeerId;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
-use grebecleat_plans::changes::ChangeContext;
+use grebecleat_plans::change::ChangeContext;
 use grebecleat_plans::follower::{Follower, InitialState};
 use grebecleat_settings::Settings;
 use grebecleat_state::change_syntax::parse_change;
@@ -86,7 +86,7 @@
         Rig::started(
             more,
             InitialState {
-                catalog: Follower::catalog_of(facts),
+                catalog: Follower::empty_catalog(facts),
                 ..InitialState::default()
             },
         )
@@ -215,7 +215,7 @@
         let ask = self.asks();
         let (conn, mut l) = (
             self.state.expect("dialled"),
-            Follower::catalog_of(deployment(self.router.settings())),
+            Follower::empty_catalog(deployment(self.router.settings())),
         );
         l = l.restored(
             self.router.follower().catalog().version(),
--- a/crates/state/src/service/peers.rs
+++ b/crates/state/src/service/peers.rs
@@ -5,9 +5,9 @@
 use super::peer::{Peer, PeerCall};
 use crate::subscription::ServiceView;
 use grebecleat_membership::drains::Event as MembershipEvent;
-use grebecleat_plans::changes::Name;
 use grebecleat_plans::feed::HostNumber;
 use grebecleat_plans::leader::{CallId, Event as LeaderEvent};
+use grebecleat_plans::records::Name;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -38,9 +38,9 @@
                     peer.superseded = true;
                 }
             }
-            input.membership.push(MembershipEvent::Up {
+            input.membership.push(MembershipEvent::HostConnected {
                 host,
-                process: hello.incarnation,
+                incarnation: hello.incarnation,
             });
         }
         let peer = Peer {
@@ -58,7 +58,9 @@
         if let Some(peer) = self.peers.remove(&conn) {
             match peer.host {
                 Some(host) if !peer.superseded => {
-                    input.membership.push(MembershipEvent::Lost { host });
+                    input
+                        .membership
+                        .push(MembershipEvent::HostDisconnected { host });
                 }
                 _ => {}
             }
--- a/crates/state/src/subscription/mod.rs
+++ b/crates/state/src/subscription/mod.rs
@@ -13,8 +13,8 @@
 use crate::codec::{change_to_proto, revision_to_proto};
 use crate::parts::send_in_parts;
 use grebecleat_membership::drains::Membership;
-use grebecleat_plans::changes::Version;
 use grebecleat_plans::leader::Leader;
+use grebecleat_plans::records::Version;
 use grebecleat_wire::pb;
 use node_report::{node_to_proto, same_but_for_time};
 use std::collections::BTreeMap;
@@ -128,7 +128,7 @@
         let shortfall = view.leader.admission().shortfall();
         let missing = shortfall.short + shortfall.out_of_reach;
         let mut changed = Vec::new();
-        for node in view.membership.shown(missing) {
+        for node in view.membership.nodes(missing) {
             let report = node_to_proto(&node, view.hosts);
             let sent = self.nodes.get(&node.node);
             if sent.is_none_or(|sent| !same_but_for_time(sent, &report)) {
