--- /dev/null
+++ b/crates/target/src/engine/block_commands.rs
@@ -0,0 +1,175 @@
+//! Commands on blocks: their checks against the unit, and their order among those that overlap.
+//!
+//! Called for what a unit does not answer by itself. A command that passes the checks is recorded as open; it
+//! starts at once, or when the commands that it must wait for have ended.
+
+use super::records::{BlockAction, BlockCommand, OpenCommand, ScsiCommand, Step};
+use super::Engine;
+use crate::overlaps::Range;
+use crate::pressure::SessionNo;
+use bytes::{Bytes, BytesMut};
+use grebecleat_iscsi::scsi::{unmap_ranges, Command, Sense, Unit};
+use grebecleat_iscsi::session::Outcome;
+
+/// What the checks of a command come to.
+enum Checked {
+    /// It needs the blocks.
+    Blocks(BlockCommand),
+    /// It is answered at once.
+    Answered(Outcome),
+}
+
+fn check(sense: Sense) -> Checked {
+    Checked::Answered(Outcome::check(sense))
+}
+
+fn bytes_of(unit: &Unit, blocks: u64) -> usize {
+    (blocks * u64::from(unit.block_size)) as usize
+}
+
+fn on_range(lba: u64, blocks: u64, action: BlockAction) -> Checked {
+    Checked::Blocks(BlockCommand {
+        lba,
+        blocks,
+        action,
+    })
+}
+
+fn parse(unit: &Unit, command: &Command, data: Bytes) -> Checked {
+    match *command {
+        Command::Read { lba, blocks, .. } => on_range(lba, blocks, BlockAction::Read),
+        Command::Write { lba, blocks, .. } => on_range(lba, blocks, BlockAction::Write(data)),
+        Command::Verify { lba, blocks, bytes } => {
+            on_range(lba, blocks, BlockAction::Verify(bytes.then_some(data)))
+        }
+        // A write that was GOOD is durable: there is no cache to write back.
+        Command::SynchronizeCache { lba, blocks, .. } => match unit.within(lba, blocks) {
+            Ok(()) => Checked::Answered(Outcome::good(Bytes::new())),
+            Err(sense) => check(sense),
+        },
+        Command::CompareAndWrite { lba, blocks } => {
+            let half = bytes_of(unit, blocks);
+            if data.len() != 2 * half {
+                return check(Sense::INVALID_FIELD_IN_CDB);
+            }
+            let action = BlockAction::CompareAndWrite {
+                expected: data.slice(..half),
+                replacement: data.slice(half..),
+            };
+            on_range(lba, blocks, action)
+        }
+        Command::WriteSame {
+            lba,
+            blocks,
+            data: has_data,
+            ..
+        } => {
+            let block = has_data.then_some(data);
+            write_same(unit, lba, blocks, block)
+        }
+        Command::Unmap { length } => unmap(unit, &data[..data.len().min(length)]),
+        _ => check(Sense::INVALID_OPCODE),
+    }
+}
+
+/// One block, or zeroes, on a whole range; no blocks are all up to the end of the unit.
+fn write_same(unit: &Unit, lba: u64, blocks: u64, block: Option<Bytes>) -> Checked {
+    let blocks = match blocks {
+        0 => unit.blocks.saturating_sub(lba),
+        _ => blocks,
+    };
+    let block_bytes = bytes_of(unit, 1);
+    let block = block.unwrap_or_else(|| Bytes::from(vec![0; block_bytes]));
+    if block.len() != block_bytes || blocks > u64::from(unit.max_blocks) {
+        return check(Sense::INVALID_FIELD_IN_CDB);
+    }
+    let mut data = BytesMut::with_capacity(bytes_of(unit, blocks));
+    for _ in 0..blocks {
+        data.extend_from_slice(&block);
+    }
+    on_range(lba, blocks, BlockAction::Write(data.freeze()))
+}
+
+/// One range becomes zeroes. More than the block limits page reports are refused (SBC-3, 5.28).
+fn unmap(unit: &Unit, parameters: &[u8]) -> Checked {
+    let ranges = match unmap_ranges(parameters) {
+        Ok(ranges) => ranges,
+        Err(sense) => return check(sense),
+    };
+    match ranges[..] {
+        [] => Checked::Answered(Outcome::good(Bytes::new())),
+        [(lba, blocks)] if blocks <= u64::from(unit.max_blocks) => {
+            let zeroes = Bytes::from(vec![0; bytes_of(unit, blocks)]);
+            on_range(lba, blocks, BlockAction::Write(zeroes))
+        }
+        _ => check(Sense::INVALID_FIELD_IN_PARAMETERS),
+    }
+}
+
+/// The outcome of a command whose range or data does not fit the unit, or that has no blocks.
+fn check_range(unit: &Unit, command: &BlockCommand, max_in: u32) -> Option<Outcome> {
+    let BlockCommand {
+        lba,
+        blocks,
+        action,
+    } = command;
+    if let Err(sense) = unit.within(*lba, *blocks) {
+        return Some(Outcome::check(sense));
+    }
+    if *blocks > u64::from(unit.max_blocks) {
+        return Some(Outcome::check(Sense::INVALID_FIELD_IN_CDB));
+    }
+    let bytes = bytes_of(unit, *blocks);
+    let data_misfits = match action {
+        BlockAction::Write(data) | BlockAction::Verify(Some(data)) => data.len() != bytes,
+        BlockAction::Read => max_in == 0 && bytes > 0,
+        _ => false,
+    };
+    if data_misfits || (action.writes() && unit.read_only) {
+        return Some(Outcome::check(Sense::INVALID_FIELD_IN_CDB));
+    }
+    (*blocks == 0).then(|| Outcome::good(Bytes::new()))
+}
+
+impl Engine {
+    /// Starts a command on blocks; its outcome if it is answered at once.
+    pub(super) fn start_on_blocks(
+        &mut self,
+        scsi: ScsiCommand,
+        volume: usize,
+        command: Command,
+    ) -> Option<Outcome> {
+        let unit = &self.volumes[volume].facts.unit;
+        let command = match parse(unit, &command, scsi.data) {
+            Checked::Blocks(command) => command,
+            Checked::Answered(outcome) => return Some(outcome),
+        };
+        if let Some(outcome) = check_range(unit, &command, scsi.max_in) {
+            return Some(outcome);
+        }
+        let number = self.next_number();
+        let state = &mut self.volumes[volume];
+        state.pressure.opened(SessionNo(scsi.session));
+        self.changed_windows.insert(volume);
+        let range = Range {
+            start: command.lba,
+            end: command.lba + command.blocks,
+            writes: command.action.writes(),
+            reads: command.action.reads(),
+        };
+        let ready = state.overlaps.open(number, range);
+        let open = OpenCommand {
+            session: scsi.session,
+            task: scsi.task,
+            volume,
+            command,
+            gather: None,
+            aborted: false,
+        };
+        self.commands.insert(number, open);
+        if ready {
+            self.launch(number, Step::First);
+        }
+        None
+    }
+}
