--- a/crates/audit/src/commands.rs
+++ b/crates/audit/src/commands.rs
@@ -1,10 +1,10 @@
-//! Commands of iSCSI sessions, counted from the PDUs that crossed a portal's sockets, and every block's
-//! history of reads and writes put in order.
+//! Commands of iSCSI sessions, counted from the PDUs that crossed a portal's sockets, and every
+//! block's history of reads and writes put in order.
 //!
-//! It reads headers by itself (RFC 7143, section 11) and asks neither the target nor the initiators. A
-//! command is answered once: by a SCSI Response, or by Data-In with status. One that is open when its
-//! connection ends, its host is killed or task management ends it, needs no answer, and may take effect at
-//! any later time.
+//! It reads headers by itself (RFC 7143, section 11) and asks neither the target nor the
+//! initiators. A command is answered once: by a SCSI Response, or by Data-In with status. One that
+//! is open when its connection ends, its host is killed or task management ends it, needs no
+//! answer, and may take effect at any later time.
 
 use crate::history::{check, Deed, Found, Op};
 use grebecleat_settings::Settings;
--- a/crates/audit/src/drains.rs
+++ b/crates/audit/src/drains.rs
@@ -1,4 +1,5 @@
-//! How drains went that somebody asked for: from the asking to the last new attempt, by frames and marks alone.
+//! How drains went that somebody asked for: from the asking to the last new attempt, by frames and
+//! marks alone.
 
 use crate::run::{drain_of, Run};
 use grebecleat_wire::pb::{frame::Body, marked::What, record::Kind, Record};
@@ -43,8 +44,8 @@
     all
 }
 
-/// Every drain that hosts were told of, in the order told: from the first host that hears of one to the first
-/// that hears that it is over.
+/// Every drain that hosts were told of, in the order told: from the first host that hears of one to
+/// the first that hears that it is over.
 pub fn drains(run: &Run, asked: &[(Duration, u32)]) -> Vec<Drained> {
     let mut words: Vec<(u32, Duration, bool)> = Vec::new();
     for (node, told) in run.hosts.iter().flat_map(|h| &h.wished) {
@@ -71,7 +72,8 @@
             .iter()
             .filter(|a| a.1 == node && a.0 <= first)
             .map(|a| a.0);
-        // The act at the console comes before the change at the service: of those close by the first.
+        // The act at the console comes before the change at the service: of those close by the
+        // first.
         let near = before.clone().max().map(|at| at.saturating_sub(NEAR));
         let asked = before.filter(|a| near.is_some_and(|n| *a >= n)).min();
         let from = asked.unwrap_or(first);
--- a/crates/audit/src/history.rs
+++ b/crates/audit/src/history.rs
@@ -1,11 +1,13 @@
-//! Whether what reads of one block saw can have come about by reads and writes that each took effect at one
-//! moment between their beginning and their end (linearizability; Herlihy and Wing, 1990).
+//! Whether what reads of one block saw can have come about by reads and writes that each took
+//! effect at one moment between their beginning and their end (linearizability; Herlihy and Wing,
+//! 1990).
 //!
-//! The moments are found just in time: going through beginnings and ends in order, all states that the block
-//! can be in are kept, each with which of the open commands have had their effect in it. At an end the
-//! command must have had its own; others go before it only where they help. A state is left out where another
-//! holds the same with fewer commands used up that need never have had it. A command that nobody answered, or
-//! of which nobody knows the outcome, may have its effect at any later time or never: it has no end.
+//! The moments are found just in time: going through beginnings and ends in order, all states that
+//! the block can be in are kept, each with which of the open commands have had their effect in it.
+//! At an end the command must have had its own; others go before it only where they help. A state
+//! is left out where another holds the same with fewer commands used up that need never have had
+//! it. A command that nobody answered, or of which nobody knows the outcome, may have its effect at
+//! any later time or never: it has no end.
 
 use std::collections::{BTreeSet, HashSet};
 use std::time::Duration;
@@ -132,8 +134,9 @@
     Found::InOrder
 }
 
-/// Without those that another makes needless: it holds the same and has used up only some of the same, of
-/// which the rest need never have an effect. One that must yet have its effect is no gain while it is open.
+/// Without those that another makes needless: it holds the same and has used up only some of the
+/// same, of which the rest need never have an effect. One that must yet have its effect is no gain
+/// while it is open.
 fn least(mut states: Vec<State>, ops: &[Op]) -> Vec<State> {
     states.sort_by_key(|s| s.used.len());
     let mut kept: Vec<State> = Vec::new();
--- a/crates/audit/src/history/tests.rs
+++ b/crates/audit/src/history/tests.rs
@@ -82,8 +82,8 @@
     }
 }
 
-/// A block that does what it should, with commands that take effect somewhere inside their time: always
-/// in order, and never once a read is made to have seen what was long overwritten.
+/// A block that does what it should, with commands that take effect somewhere inside their time:
+/// always in order, and never once a read is made to have seen what was long overwritten.
 #[test]
 fn a_true_block_is_in_order_and_a_stale_read_is_not() {
     for seed in 0..30 {
--- a/crates/audit/src/lib.rs
+++ b/crates/audit/src/lib.rs
@@ -1,11 +1,12 @@
 //! Judges the seven rules from what crossed the sockets.
 //!
-//! For: reading the traces of clients, hosts and nodes of one run, and finding every place where a rule was
-//! broken, with the frames that show it. It never asks a host for its own counts, and shares nothing with it
-//! but the wire. All processes of a machine record one clock. Begin with [`Case::judge`]; each rule is a
-//! function of [`rules`]; [`run`] is the run as read from the traces. [`commands`] counts iSCSI commands and
-//! puts every block's reads and writes in order, by [`history`]. [`plans`] says which limits were in force
-//! when, [`drains`] how a drain went that somebody asked for.
+//! For: reading the traces of clients, hosts and nodes of one run, and finding every place where a
+//! rule was broken, with the frames that show it. It never asks a host for its own counts, and
+//! shares nothing with it but the wire. All processes of a machine record one clock. Begin with
+//! [`Case::judge`]; each rule is a function of [`rules`]; [`run`] is the run as read from the
+//! traces. [`commands`] counts iSCSI commands and puts every block's reads and writes in order, by
+//! [`history`]. [`plans`] says which limits were in force when, [`drains`] how a drain went that
+//! somebody asked for.
 
 pub mod commands;
 pub mod drains;
@@ -56,7 +57,8 @@
     pub drain_ms: f64,
     /// Of portals, where there were any.
     pub commands: commands::Commands,
-    /// How long each change of plans took from when it was first told to when it was over everywhere.
+    /// How long each change of plans took from when it was first told to when it was over
+    /// everywhere.
     pub settled: Vec<(u64, std::time::Duration)>,
     /// Drains that were asked for while it ran.
     pub drained: Vec<drains::Drained>,
--- a/crates/audit/src/plans.rs
+++ b/crates/audit/src/plans.rs
@@ -1,13 +1,15 @@
-//! Plans as they were told: which limit was in force when, from the frames of the state service alone.
+//! Plans as they were told: which limit was in force when, from the frames of the state service
+//! alone.
 //!
-//! What a version says is put together from the entries and states that hosts were sent; what was settled,
-//! from the first answer that says so. The limit in force is that of the settled version. Whether it was
-//! right to call it settled is judged as well: every host that may have followed an older version, by its
-//! last words and answers, must not thereby have held itself entitled to more than the settled version gives
-//! it.
+//! What a version says is put together from the entries and states that hosts were sent; what was
+//! settled, from the first answer that says so. The limit in force is that of the settled version.
+//! Whether it was right to call it settled is judged as well: every host that may have followed an
+//! older version, by its last words and answers, must not thereby have held itself entitled to more
+//! than the settled version gives it.
 //!
-//! After a store was put back from a snapshot two histories are under way: until the one that counts is
-//! settled to its end, the larger of both limits is in force, and nothing is said of what was settled.
+//! After a store was put back from a snapshot two histories are under way: until the one that
+//! counts is settled to its end, the larger of both limits is in force, and nothing is said of what
+//! was settled.
 
 use crate::run::Host;
 use crate::{Breach, Verdict};
@@ -16,7 +18,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Terms of one volume over all hosts: units a second, units at once, and by how much it may be passed.
+/// Terms of one volume over all hosts: units a second, units at once, and by how much it may be
+/// passed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
     pub rate: f64,
@@ -168,7 +171,8 @@
         self.told.is_empty()
     }
 
-    /// What a version says of something: by the history it belongs to, or the one that it came out of.
+    /// What a version says of something: by the history it belongs to, or the one that it came out
+    /// of.
     fn look<T: Clone>(
         &self,
         epoch: u64,
@@ -377,7 +381,8 @@
         for (moment, units, show) in attempts {
             while let Some((from, new)) = next.next_if(|n| n.0 <= moment) {
                 level = match (limit, new) {
-                    // A store of its own, which is full; or one that goes on, and holds no more than it may.
+                    // A store of its own, which is full; or one that goes on, and holds no more
+                    // than it may.
                     (None, Some(new)) => new.burst,
                     (Some(old), Some(new)) => {
                         let filled = (*from).saturating_sub(at).as_secs_f64() * old.rate;
--- a/crates/audit/src/rules.rs
+++ b/crates/audit/src/rules.rs
@@ -11,7 +11,8 @@
 const CATCH_UP: Duration = Duration::from_millis(500);
 /// Chance in where a span of the cold rule begins.
 const COLD_SLACK: f64 = 1.1;
-/// Two sockets of a host are written by two writers: what was decided first may be recorded this much later.
+/// Two sockets of a host are written by two writers: what was decided first may be recorded this
+/// much later.
 const SKEW: Duration = Duration::from_millis(50);
 /// Breaches of one rule that are listed; more of the same tell nothing new.
 const LISTED: usize = 20;
@@ -51,7 +52,8 @@
                     Outcome::Rejected => v.deferred += 1,
                     _ => v.abandoned += 1,
                 }
-                // What counts is when the answer left the host: the client's machine may be slow to read.
+                // What counts is when the answer left the host: the client's machine may be slow to
+                // read.
                 let left = run
                     .hosts
                     .iter()
@@ -74,7 +76,8 @@
         }
     }
     for h in &run.hosts {
-        // What came by another protocol has no client's trace: the host's own tells when it came and went.
+        // What came by another protocol has no client's trace: the host's own tells when it came
+        // and went.
         for t in h.taken.iter().filter(|t| h.inside.contains(&t.conn)) {
             let deadline =
                 t.seen.at + Duration::from_micros(t.take.left_us) + s.host_limits.answer_slack;
@@ -127,7 +130,8 @@
     }
 }
 
-/// Rule 2: repeats only as far as the traffic class allows, deferrals only where trying again is harmless.
+/// Rule 2: repeats only as far as the traffic class allows, deferrals only where trying again is
+/// harmless.
 pub fn twice(s: &Settings, run: &Run, v: &mut Verdict) {
     let place: HashMap<u32, (usize, u32)> =
         s.nodes.iter().map(|n| (n.id, (n.zone, n.shard))).collect();
@@ -229,8 +233,8 @@
     }
 }
 
-/// Rule 4: what hosts that were told of a node's start send it stays under the rule's multiple of what it
-/// can do, in every span of the rule; and none falls over by it.
+/// Rule 4: what hosts that were told of a node's start send it stays under the rule's multiple of
+/// what it can do, in every span of the rule; and none falls over by it.
 pub fn cold(s: &Settings, run: &Run, v: &mut Verdict) {
     let rule = &s.rules.cold;
     let marks = |what: What| run.marks.iter().filter(move |m| m.1.what() == what);
@@ -303,7 +307,8 @@
     }
 }
 
-/// Rule 5 of the list: requests of ordered traffic classes with one key run one at a time, in the order taken.
+/// Rule 5 of the list: requests of ordered traffic classes with one key run one at a time, in the
+/// order taken.
 pub fn order(s: &Settings, run: &Run, v: &mut Verdict) {
     let ordered = |t: &Taken| {
         s.traffic_classes
--- a/crates/audit/src/run.rs
+++ b/crates/audit/src/run.rs
@@ -71,8 +71,8 @@
     pub told: BTreeMap<u32, Vec<(Duration, pb::NodeState, u64)>>,
     /// When it was told that somebody wants a node empty, or no longer.
     pub wished: BTreeMap<u32, Vec<(Duration, bool)>>,
-    /// An answer of the state service that comes in parts: drains of its state, and what its entries say of
-    /// them.
+    /// An answer of the state service that comes in parts: drains of its state, and what its
+    /// entries say of them.
     part: (bool, BTreeSet<u32>, Vec<(u32, bool)>),
 }
 
@@ -286,8 +286,8 @@
         }
     }
 
-    /// The later end of a span, where its host was stopped from outside meanwhile: a stopped host does not
-    /// run, and owes its answers once it goes on.
+    /// The later end of a span, where its host was stopped from outside meanwhile: a stopped host
+    /// does not run, and owes its answers once it goes on.
     pub fn extended(
         &self,
         host: &str,
@@ -369,8 +369,8 @@
         }
     }
 
-    /// Since when this host has been told, by the list or as somebody's wish, that the node takes nothing
-    /// new.
+    /// Since when this host has been told, by the list or as somebody's wish, that the node takes
+    /// nothing new.
     pub fn told_off(&self, node: u32, at: Duration) -> Option<Duration> {
         let listed = self.told.get(&node).into_iter().flatten();
         let listed = listed.map(|t| (t.0, Some(t.1 != pb::NodeState::Ready), None));
--- a/crates/audit/tests/doctored.rs
+++ b/crates/audit/tests/doctored.rs
@@ -360,7 +360,8 @@
 
 #[test]
 fn a_cold_node_sent_more_than_it_bears() {
-    // It can do 10 units a second warm, a fifth of that cold; twice that over 2 s is 8, and 10 always go.
+    // It can do 10 units a second warm, a fifth of that cold; twice that over 2 s is 8, and 10
+    // always go.
     both(4, |t, much| {
         t.mark(50, What::Started);
         t.list(100, pb::NodeState::Ready, 2);
@@ -429,7 +430,8 @@
 
 #[test]
 fn a_volume_sent_more_than_its_limit() {
-    // Its store holds 20, fills by 10 a second and may go 5 below: 12 requests of 2 units pass, 13 do not.
+    // Its store holds 20, fills by 10 a second and may go 5 below: 12 requests of 2 units pass, 13
+    // do not.
     both(7, |t, more| {
         for n in 0..if more { 13 } else { 12 } {
             t.take(10, n, READ);
--- a/crates/audit/tests/plans.rs
+++ b/crates/audit/tests/plans.rs
@@ -1,5 +1,5 @@
-//! Limits that change: traces as they should be, and doctored so that the limit in force is passed, or a
-//! change is called settled too early.
+//! Limits that change: traces as they should be, and doctored so that the limit in force is passed,
+//! or a change is called settled too early.
 
 use bytes::Bytes;
 use grebecleat_audit::{Case, Verdict};
--- a/crates/bench/src/commands.rs
+++ b/crates/bench/src/commands.rs
@@ -1,6 +1,6 @@
-//! What one command costs the iSCSI path in allocations, from the bytes of its PDU to those of its answer:
-//! reader, engine and writer, with a host that answers at once. Bytes that are allocated beyond a command's
-//! data tell of copies, since every copy needs somewhere to go.
+//! What one command costs the iSCSI path in allocations, from the bytes of its PDU to those of its
+//! answer: reader, engine and writer, with a host that answers at once. Bytes that are allocated
+//! beyond a command's data tell of copies, since every copy needs somewhere to go.
 
 use bytes::Bytes;
 use grebecleat_iscsi::keys::format;
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -1,5 +1,5 @@
-//! Nanoseconds that one request costs the decisions, and the desk with them, in a closed loop: each answer
-//! brings a new request, so that the numbers out and held stay.
+//! Nanoseconds that one request costs the decisions, and the desk with them, in a closed loop: each
+//! answer brings a new request, so that the numbers out and held stay.
 
 use crate::site;
 use bytes::Bytes;
--- a/crates/bench/src/deferral.rs
+++ b/crates/bench/src/deferral.rs
@@ -1,5 +1,6 @@
-//! Deferral in use: twice what the nodes can do, from initiators that heed BUSY's retry delay and from ones
-//! that do not. Volumes with a reserve ask for less than it; the others ask for all the rest and more.
+//! Deferral in use: twice what the nodes can do, from initiators that heed BUSY's retry delay and
+//! from ones that do not. Volumes with a reserve ask for less than it; the others ask for all the
+//! rest and more.
 
 use crate::sockets::{stay_on, Stage};
 use grebecleat_standin::initiator::{cdb16, Initiator, Wish};
@@ -150,7 +151,8 @@
                     seen.busy += 1;
                     number += 1;
                     let told = answer.retry.filter(|_| self.heeds);
-                    // Spread over the delay's step, or all that were sent away together come back together.
+                    // Spread over the delay's step, or all that were sent away together come back
+                    // together.
                     let wait = told.map_or(PLAIN_RETRY, |t| t.mul_f64(rng.random_range(0.9..1.3)));
                     later.insert((now + wait, number), since);
                 }
@@ -162,7 +164,8 @@
     }
 }
 
-/// Without `window` a portal takes all that comes: the window is so wide that deferrals hardly narrow it.
+/// Without `window` a portal takes all that comes: the window is so wide that deferrals hardly
+/// narrow it.
 fn site(portal: SocketAddr, window: bool) -> String {
     let commands = if window {
         ""
--- a/crates/bench/src/extents.rs
+++ b/crates/bench/src/extents.rs
@@ -1,4 +1,5 @@
-//! The index of extents beside the standard ordered map: memory, and time for a look-up, by length of runs.
+//! The index of extents beside the standard ordered map: memory, and time for a look-up, by length
+//! of runs.
 
 use crate::commands::held;
 use grebecleat_state::extents::Extents;
--- a/crates/bench/src/iscsi.rs
+++ b/crates/bench/src/iscsi.rs
@@ -1,5 +1,5 @@
-//! Commands through a portal beside requests through the same host: reads in closed loops, the host held to
-//! one core, initiators, clients and nodes on the others.
+//! Commands through a portal beside requests through the same host: reads in closed loops, the host
+//! held to one core, initiators, clients and nodes on the others.
 
 use crate::sockets::{prepare, stay_on, targets, together, used, Stage, LINES};
 use grebecleat_standin::initiator::{cdb16, Initiator, Wish};
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,11 +1,11 @@
 //! Measurements of the host, outside CI. Each prints a table for `docs/reports/host.md`.
 //!
-//! `decisions`: the decision module and the desk alone, without sockets, at numbers of nodes and of held
-//! requests. `sockets`: a host process on one core, between clients and stand-in nodes on the others:
-//! requests a second, time added beside a client that talks to the same stand-in directly, memory.
-//! `iscsi`: the same host behind a portal, beside its plain path; `commands`: allocations of one command in
-//! the iSCSI path, in this process. `planner`, `extents`, `state`: plans as data, for
-//! `docs/reports/plans.md`.
+//! `decisions`: the decision module and the desk alone, without sockets, at numbers of nodes and of
+//! held requests. `sockets`: a host process on one core, between clients and stand-in nodes on the
+//! others: requests a second, time added beside a client that talks to the same stand-in directly,
+//! memory. `iscsi`: the same host behind a portal, beside its plain path; `commands`: allocations
+//! of one command in the iSCSI path, in this process. `planner`, `extents`, `state`: plans as data,
+//! for `docs/reports/plans.md`.
 
 mod commands;
 mod decisions;
--- a/crates/bench/src/planner.rs
+++ b/crates/bench/src/planner.rs
@@ -1,5 +1,5 @@
-//! How long the planner takes, by the size of a site, whose promises hold and whose do not; and how long it
-//! takes to say whether one change may land, with every node and zone out in turn.
+//! How long the planner takes, by the size of a site, whose promises hold and whose do not; and how
+//! long it takes to say whether one change may land, with every node and zone out in turn.
 
 use grebecleat_plans::admission::Admission;
 use grebecleat_plans::catalog::Catalog;
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -1,7 +1,8 @@
 //! A host process held to one core, between clients in this process and stand-in nodes in another.
 //!
-//! Closed loops give requests a second; open loops at half that rate give the time added, beside the same
-//! reads sent to the stand-in nodes directly. Loopback only; every loop ends with its span.
+//! Closed loops give requests a second; open loops at half that rate give the time added, beside
+//! the same reads sent to the stand-in nodes directly. Loopback only; every loop ends with its
+//! span.
 
 use crate::site;
 use bytes::Bytes;
@@ -109,7 +110,8 @@
         Stage::with(program, nodes, more, &[])
     }
 
-    /// `own` are arguments of the host's alone; `PLACES` stands for a new file in the stage's folder.
+    /// `own` are arguments of the host's alone; `PLACES` stands for a new file in the stage's
+    /// folder.
     pub fn with(program: &Path, nodes: u32, more: &str, own: &[&str]) -> io::Result<Self> {
         Stage::of(program, &(site(nodes, 30) + more), nodes, own)
     }
@@ -356,7 +358,8 @@
         )
     }
 
-    /// Keeps `open` requests open for a span; how many were done a second, and the part that was not done.
+    /// Keeps `open` requests open for a span; how many were done a second, and the part that was
+    /// not done.
     pub fn closed(&self, open: usize, span: Duration) -> io::Result<(f64, f64)> {
         let (mut stream, mut reader) = self.connect()?;
         let draw = || self.body(&Work::draw(&self.nodes, self.length, false));
@@ -591,7 +594,8 @@
     Ok(())
 }
 
-/// Resident bytes for each request that is out, and each that is held, at nodes that answer nothing.
+/// Resident bytes for each request that is out, and each that is held, at nodes that answer
+/// nothing.
 fn memory(program: &Path) -> io::Result<()> {
     println!("| nodes | open | resident before | with them open | bytes for each |");
     println!("| ---: | ---: | ---: | ---: | ---: |");
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -1,5 +1,5 @@
-//! The store and the state service at size: how long a large store takes to open, and how many changes a
-//! second land through sockets, each on the disk before it is told.
+//! The store and the state service at size: how long a large store takes to open, and how many
+//! changes a second land through sockets, each on the disk before it is told.
 
 use grebecleat_plans::change::Change;
 use grebecleat_plans::records::{Plan, Version, Volume};
@@ -159,7 +159,8 @@
     Ok(Service(child, at))
 }
 
-/// Changes of volumes through so many connections, one after the other on each, as fast as they land.
+/// Changes of volumes through so many connections, one after the other on each, as fast as they
+/// land.
 pub fn changes(
     program: &Path,
     span: Duration,
--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -44,10 +44,11 @@
 pub enum Command {
     /// Runs one host of a deployment until SIGTERM has drained it; a second signal ends it at once.
     Run(HostArgs),
-    /// Runs one host on the users' platform, as its variables and configuration say (LB_CONFIG), until
-    /// SIGTERM has ended it; SIGHUP reads the configuration again.
+    /// Runs one host on the users' platform, as its variables and configuration say (LB_CONFIG),
+    /// until SIGTERM has ended it; SIGHUP reads the configuration again.
     Platform,
-    /// Adds up what hosts on the platform gave up and why, by second, from their logs at debug level.
+    /// Adds up what hosts on the platform gave up and why, by second, from their logs at debug
+    /// level.
     Account {
         /// Logs of hosts (`grebecleat --log-level grebecleat_platform=debug platform`).
         #[arg(required = true)]
@@ -55,8 +56,8 @@
         /// Seconds in one row.
         #[arg(long, default_value_t = 1)]
         every: u64,
-        /// By how many parts of a cause's name: why, traffic class, paying bucket, age of the node's last answer;
-        /// 0: all of them.
+        /// By how many parts of a cause's name: why, traffic class, paying bucket, age of the
+        /// node's last answer; 0: all of them.
         #[arg(long, default_value_t = 1)]
         parts: usize,
     },
@@ -64,7 +65,8 @@
     StateService(StateArgs),
     /// Shows and changes plans and volumes while they are in service.
     Plans(PlansArgs),
-    /// Shows what a running host knows of the fleet: its peers, what it believes of nodes, its parts of limits.
+    /// Shows what a running host knows of the fleet: its peers, what it believes of nodes, its
+    /// parts of limits.
     Fleet {
         /// Where the host listens.
         #[arg(long)]
@@ -72,7 +74,8 @@
     },
     /// Checks a settings file whole, and says what is wrong with it and where.
     Check { file: PathBuf },
-    /// Plays a scripted day on this machine's loopback: list, nodes, hosts, clients; then the audit.
+    /// Plays a scripted day on this machine's loopback: list, nodes, hosts, clients; then the
+    /// audit.
     Rehearse(RehearseArgs),
     /// Judges the seven rules from the traces of a run.
     Audit {
@@ -88,7 +91,8 @@
         #[arg(long, default_value = "")]
         with: String,
     },
-    /// Stand-in: runs the deployment's nodes, which keep bytes in memory and play the script's troubles.
+    /// Stand-in: runs the deployment's nodes, which keep bytes in memory and play the script's
+    /// troubles.
     Node(NodeArgs),
     /// Stand-in: runs the list of nodes.
     ListService(ListArgs),
@@ -112,7 +116,8 @@
     /// Where the state service answers; overrides the settings.
     #[arg(long)]
     pub state: Option<SocketAddr>,
-    /// Where another host answers to its peers, as NAME=ADDRESS; overrides the settings. May be given again.
+    /// Where another host answers to its peers, as NAME=ADDRESS; overrides the settings. May be
+    /// given again.
     #[arg(long = "peer")]
     pub peers: Vec<String>,
     /// Records every frame that crosses a socket.
@@ -124,8 +129,8 @@
     /// Where this host's iSCSI portal listens; overrides the settings.
     #[arg(long)]
     pub portal: Option<SocketAddr>,
-    /// Keeps what must outlive this process: where extents lie, for an iSCSI portal, and plans as they were
-    /// last told.
+    /// Keeps what must outlive this process: where extents lie, for an iSCSI portal, and plans as
+    /// they were last told.
     #[arg(long)]
     pub store: Option<PathBuf>,
     /// Seed of the decisions; new at each start if left out.
@@ -246,7 +251,8 @@
     List,
     /// One of them: plan NAME, volume ID, node ID, target NAME.
     Show { kind: String, name: String },
-    /// Changes them, all that is given as one: 'plan basic limit=20' 'volume 103 plan=gold' 'drain 5' ...
+    /// Changes them, all that is given as one: 'plan basic limit=20' 'volume 103 plan=gold' 'drain
+    /// 5' ...
     Set {
         /// One change each; see the operators' page for all forms.
         #[arg(required = true)]
@@ -254,7 +260,8 @@
         /// To land later: 2026-12-01T22:00:00Z, or +90m from now.
         #[arg(long)]
         at_time: Option<String>,
-        /// Refused if anything it touches has changed since that entry; since it was read, if left out.
+        /// Refused if anything it touches has changed since that entry; since it was read, if left
+        /// out.
         #[arg(long = "looked-at")]
         base_version: Option<u64>,
         #[command(flatten)]
@@ -301,7 +308,8 @@
     },
     /// Writes everything that the service has into a file.
     Snapshot { file: PathBuf },
-    /// Reads a store or a snapshot whole, and says what is in it or what is wrong. The service must not run.
+    /// Reads a store or a snapshot whole, and says what is in it or what is wrong. The service must
+    /// not run.
     Check { file: PathBuf },
     /// Builds a store from a snapshot; the old one is moved aside. The service must not run.
     Restore { snapshot: PathBuf, store: PathBuf },
--- a/crates/cli/src/audit.rs
+++ b/crates/cli/src/audit.rs
@@ -1,4 +1,5 @@
-//! `grebecleat audit` and `grebecleat show`: the verdict on a run's traces, and the traces themselves.
+//! `grebecleat audit` and `grebecleat show`: the verdict on a run's traces, and the traces
+//! themselves.
 
 use crate::common::load;
 use crate::exit::{could_not_run, CommandError};
--- a/crates/cli/src/common.rs
+++ b/crates/cli/src/common.rs
@@ -1,4 +1,5 @@
-//! What several commands need: settings, traces, the store, and the line that says where a process listens.
+//! What several commands need: settings, traces, the store, and the line that says where a process
+//! listens.
 
 use crate::exit::{could_not_run, invalid, CommandError};
 use grebecleat_settings::Settings;
@@ -26,7 +27,8 @@
         .map_err(|error| could_not_run(format!("cannot record to {}: {error}", path.display())))
 }
 
-/// Prints the one line on standard output by which whoever started the process learns where it listens.
+/// Prints the one line on standard output by which whoever started the process learns where it
+/// listens.
 pub fn print_listening(address: impl std::fmt::Display) {
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "listening {address}").and_then(|()| out.flush());
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,6 +1,6 @@
-//! The `grebecleat` program: arguments, logs and exit codes. A module for each command, which has no logic
-//! of its own: `run`, `platform` (and `account`), `state_service`, `plans`, `fleet`, `standins` (`node` and
-//! `list-service`), `rehearsal`, `audit` (and `show`).
+//! The `grebecleat` program: arguments, logs and exit codes. A module for each command, which has
+//! no logic of its own: `run`, `platform` (and `account`), `state_service`, `plans`, `fleet`,
+//! `standins` (`node` and `list-service`), `rehearsal`, `audit` (and `show`).
 
 #![deny(clippy::too_many_lines, clippy::cognitive_complexity)]
 
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -1,4 +1,5 @@
-//! `grebecleat plans`: shows and changes plans and volumes through the state service, as text or as JSON.
+//! `grebecleat plans`: shows and changes plans and volumes through the state service, as text or as
+//! JSON.
 
 mod changes;
 mod files;
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,4 +1,5 @@
-//! `grebecleat platform`: one host on the users' platform; `grebecleat account`: what such hosts rejected.
+//! `grebecleat platform`: one host on the users' platform; `grebecleat account`: what such hosts
+//! rejected.
 
 use crate::exit::{invalid, CommandError};
 use grebecleat_platform::{config::Config, run as platform, statistics::StatisticsTable};
@@ -17,7 +18,8 @@
     Ok(())
 }
 
-/// Adds up the statistics lines of the logs: a row for each `every` seconds, causes by their first `parts` parts.
+/// Adds up the statistics lines of the logs: a row for each `every` seconds, causes by their first
+/// `parts` parts.
 pub fn account(logs: &[PathBuf], every: u64, parts: usize) -> Result<(), CommandError> {
     let mut table = StatisticsTable::default();
     let mut lines = 0;
--- a/crates/cli/src/rehearsal.rs
+++ b/crates/cli/src/rehearsal.rs
@@ -72,7 +72,8 @@
     audit::passed(verdict) && clients_passed && disks_passed
 }
 
-/// The script's path; the embedded one is written into the folder where no file of that name is at hand.
+/// The script's path; the embedded one is written into the folder where no file of that name is at
+/// hand.
 fn script_in(script: &Path, dir: &Path) -> Result<PathBuf, CommandError> {
     if script.exists() || !script.ends_with(BAD_DAY_FILE) {
         return Ok(script.to_path_buf());
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -83,7 +83,8 @@
     hosts.map(|host| host.name.as_str()).collect()
 }
 
-/// The indexes of the other hosts and where they answer: as given by `--peer`, else as in the settings.
+/// The indexes of the other hosts and where they answer: as given by `--peer`, else as in the
+/// settings.
 fn peers(
     settings: &Settings,
     host: usize,
--- a/crates/cli/tests/cold.rs
+++ b/crates/cli/tests/cold.rs
@@ -1,5 +1,5 @@
-//! Thirty processes and one node that has just started: nobody wants it for some seconds, then all at once.
-//! What reaches it is judged by the node's own count of what came whole.
+//! Thirty processes and one node that has just started: nobody wants it for some seconds, then all
+//! at once. What reaches it is judged by the node's own count of what came whole.
 
 mod rig;
 
@@ -28,7 +28,8 @@
     Live::begin_with(list.address, 256, settings, fields)
 }
 
-/// Thirty of them sent one each as soon as they were asked, since each had long paid the debt it began with.
+/// Thirty of them sent one each as soon as they were asked, since each had long paid the debt it
+/// began with.
 #[test]
 fn thirty_hosts_that_all_want_a_cold_node_at_once_keep_to_what_it_bears() {
     let came: Arc<Mutex<Vec<Instant>>> = Arc::default();
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,8 +1,9 @@
-//! One process at its limit of descriptors, with more clients that say nothing than it may hold: the list,
-//! the nodes, and whoever has something to say get theirs all the same.
+//! One process at its limit of descriptors, with more clients that say nothing than it may hold:
+//! the list, the nodes, and whoever has something to say get theirs all the same.
 //!
-//! The system itself holds each process to its limit here (`rig::live`). The idle come again as often as they
-//! are closed. Verdicts are counts: calls to the list, answers, and what came to the nodes.
+//! The system itself holds each process to its limit here (`rig::live`). The idle come again as
+//! often as they are closed. Verdicts are counts: calls to the list, answers, and what came to the
+//! nodes.
 
 mod rig;
 
@@ -21,7 +22,8 @@
 /// How long a client waits for its answer, as each of its requests says.
 const LEFT: u64 = 2900;
 
-/// Clients that say nothing, or one thing when they have dialled, and dial again when they are closed.
+/// Clients that say nothing, or one thing when they have dialled, and dial again when they are
+/// closed.
 struct Idle {
     ended: Arc<AtomicBool>,
     /// Connections made in all.
--- a/crates/cli/tests/ends.rs
+++ b/crates/cli/tests/ends.rs
@@ -1,8 +1,9 @@
-//! One process and the instants in which something ends while something is still owed: clients that leave,
-//! connections that close, lists that move or fall silent, the end of the process.
+//! One process and the instants in which something ends while something is still owed: clients that
+//! leave, connections that close, lists that move or fall silent, the end of the process.
 //!
-//! No sleep decides an order: the test's own node, list or client holds a message until the other thing has
-//! been seen. That the host has heard a client leave is seen by the host's own end of that connection.
+//! No sleep decides an order: the test's own node, list or client holds a message until the other
+//! thing has been seen. That the host has heard a client leave is seen by the host's own end of
+//! that connection.
 
 mod rig;
 
@@ -99,8 +100,8 @@
     );
 }
 
-/// An attempt that has not come whole has not run: whatever is said on its connection was made for another, and it
-/// goes to the node anew.
+/// An attempt that has not come whole has not run: whatever is said on its connection was made for
+/// another, and it goes to the node anew.
 #[test]
 fn an_answer_to_an_attempt_that_has_not_come_whole_is_not_its_answer() {
     for (said, status) in [
@@ -213,8 +214,8 @@
 
 // Answers
 
-/// The host stands still while the second answer and the next request come: whichever it hears first, the
-/// answer is not taken for that request's.
+/// The host stands still while the second answer and the next request come: whichever it hears
+/// first, the answer is not taken for that request's.
 #[test]
 fn a_second_answer_is_never_taken_for_the_next_attempts() {
     let (node, _list, live) = one_hand();
@@ -393,9 +394,9 @@
     }
 }
 
-/// The worst that the term allows: a call is out when the list has the change, and nobody answers it; the
-/// next one fails as late as it can; the third is answered as late as it may. The settings' seed is one with which
-/// the decisions alone would wait for long after both.
+/// The worst that the term allows: a call is out when the list has the change, and nobody answers
+/// it; the next one fails as late as it can; the third is answered as late as it may. The settings'
+/// seed is one with which the decisions alone would wait for long after both.
 #[test]
 fn a_node_that_drains_gets_nothing_after_the_term_whatever_calls_fail() {
     type Case = (&'static str, &'static str, fn(&mut Came, &Hand));
@@ -544,14 +545,14 @@
 
 // The end of the process
 
-/// An idle connection is closed, and its client comes again with what crossed that: it is answered. Further
-/// signals change nothing.
+/// An idle connection is closed, and its client comes again with what crossed that: it is answered.
+/// Further signals change nothing.
 #[test]
 fn who_comes_again_after_the_close_of_an_idle_connection_is_answered() {
     let node = node(|_| says(GOOD));
     let list = discovery(json!([target("s-1", &node, 0, "ready")]));
-    // It listens until 0.2 s before it may be killed, which is 0.6 and 0.7 s after the signal. On a machine
-    // that is so busy that all come later than that, nothing is seen: again then.
+    // It listens until 0.2 s before it may be killed, which is 0.6 and 0.7 s after the signal. On a
+    // machine that is so busy that all come later than that, nothing is seen: again then.
     let came = (0..5).any(|_| {
         let mut live = Live::begin(list.address, 256, settings_with_deadline(600));
         live.is_ready();
@@ -609,7 +610,8 @@
     assert!(live.ends());
 }
 
-/// All that was sent behind one another and read is answered, though answers end their connections by then.
+/// All that was sent behind one another and read is answered, though answers end their connections
+/// by then.
 #[test]
 fn what_was_sent_behind_one_another_is_answered_before_the_end() {
     let (node, _list, mut live) = one_hand();
--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Eight and more processes of the live host together while parts of the system fail. Each test counts what
-//! crossed, over all hosts; what a host does alone and harmlessly adds up here.
+//! Eight and more processes of the live host together while parts of the system fail. Each test
+//! counts what crossed, over all hosts; what a host does alone and harmlessly adds up here.
 
 mod rig;
 
@@ -12,8 +12,8 @@
 const HOSTS: usize = 10;
 const NODES: usize = 12;
 
-/// Seven in ten hosts are killed at once and start again, while the list has too many callers: it takes most of
-/// a second for each call, and turns away at once what would wait for more than that.
+/// Seven in ten hosts are killed at once and start again, while the list has too many callers: it
+/// takes most of a second for each call, and turns away at once what would wait for more than that.
 #[test]
 fn max_hosts_killed_at_once_come_back_without_a_rush_to_the_list() {
     let _alone = alone();
@@ -32,8 +32,8 @@
     sleep(ms(1500));
     let c = f.stop();
     c.keep_the_rules();
-    // Ten hosts in 4.3 s, each with one watch of 2 s at most after another, or a call that fails and is made
-    // again after a wait that doubles.
+    // Ten hosts in 4.3 s, each with one watch of 2 s at most after another, or a call that fails
+    // and is made again after a wait that doubles.
     assert!(calls <= 10 * 6, "{calls} calls to the list");
     let (asked, done) = c.since(better);
     assert!(
@@ -67,7 +67,8 @@
     c.keep_the_rules();
     let came = c.came(|uid| names.iter().any(|n| n == uid), back..well);
     assert!(came > 0, "nobody came back to the zone");
-    // One connection for an attempt that is out at a time, and no more than the attempts that were sent need.
+    // One connection for an attempt that is out at a time, and no more than the attempts that were
+    // sent need.
     assert!(
         dials <= came + 2 * HOSTS * zone.len(),
         "{dials} dials for {came} legs"
@@ -76,8 +77,8 @@
     assert!(done * 10 >= asked * 7, "{done} of {asked} done in the end");
 }
 
-/// A zone is cut off from half of the hosts, the list comes late, answers get lost and connections are reset
-/// under requests.
+/// A zone is cut off from half of the hosts, the list comes late, answers get lost and connections
+/// are reset under requests.
 #[test]
 fn under_a_cut_lost_answers_and_resets_no_effect_happens_twice() {
     let _alone = alone();
@@ -110,15 +111,16 @@
         c.abandoned > 0,
         "nothing was in doubt, so this proves nothing"
     );
-    // Into a node that says nothing each host sends trials, not its whole demand: over four seconds, of some
-    // 280 requests for the zone from these hosts.
+    // Into a node that says nothing each host sends trials, not its whole demand: over four
+    // seconds, of some 280 requests for the zone from these hosts.
     let spent = (healed - cut).as_secs() as usize;
     assert!(dials <= zone.len() * HOSTS * 8 * spent, "{dials} dials");
     let (asked, done) = c.since(last);
     assert!(done * 10 >= asked * 8, "{done} of {asked} done in the end");
 }
 
-/// Six in ten nodes are replaced by new ones within three seconds, under bad clients and spoilt answers.
+/// Six in ten nodes are replaced by new ones within three seconds, under bad clients and spoilt
+/// answers.
 #[test]
 fn new_nodes_in_most_places_are_served_and_the_old_get_nothing_more() {
     let _alone = alone();
@@ -155,7 +157,8 @@
     assert!(done * 10 >= asked * 5, "{done} of {asked} done in the end");
 }
 
-/// All hosts are restarted one after the other by SIGTERM; in between SIGHUP moves them to another list.
+/// All hosts are restarted one after the other by SIGTERM; in between SIGHUP moves them to another
+/// list.
 #[test]
 fn a_rolling_restart_under_load_loses_nothing_and_follows_the_moved_list() {
     let _alone = alone();
--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -1,5 +1,7 @@
-//! iSCSI over TCP through the whole program: initiator, portal, decisions, nodes; and after the host is
-//! killed.
+//! iSCSI over TCP through the whole program: initiator, portal, decisions, nodes; and after the
+//! host is killed.
+
+mod process;
 
 use bytes::Bytes;
 use grebecleat_iscsi::pdu::{self, Digests, Header, Opcode, Pdu};
@@ -8,12 +10,13 @@
 use grebecleat_standin::versions::Versions;
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
+use process::Started;
 use std::collections::BTreeMap;
 use std::fs;
-use std::io::{BufRead, BufReader, Read, Write};
+use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Stdio};
+use std::process::{Command, Stdio};
 use std::sync::atomic::{AtomicU8, Ordering};
 use std::sync::mpsc;
 use std::time::Duration;
@@ -21,34 +24,8 @@
 const PROGRAM: &str = env!("CARGO_BIN_EXE_grebecleat");
 const NAME: &str = "iqn.2026-12.org.example:bookings";
 
-struct Started(Child, String);
-
-impl Drop for Started {
-    fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-    }
-}
-
 fn start(args: &[&str]) -> Started {
-    let mut command = Command::new(PROGRAM);
-    let mut child = command
-        .args(args)
-        .stdin(Stdio::null())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::null())
-        .spawn()
-        .unwrap();
-    let mut line = String::new();
-    BufReader::new(child.stdout.take().unwrap())
-        .read_line(&mut line)
-        .unwrap();
-    let said = line
-        .trim()
-        .strip_prefix("listening ")
-        .expect("it listens")
-        .to_string();
-    Started(child, said)
+    process::start(Command::new(PROGRAM).args(args), Stdio::null())
 }
 
 /// The last part of a portal's address.
@@ -74,7 +51,8 @@
             std::env::temp_dir().join(format!("grebecleat-iscsi-{}-{name}", std::process::id()));
         let _ = fs::remove_dir_all(&dir);
         fs::create_dir_all(&dir).unwrap();
-        // On the address that all dial from, somebody's outgoing connection may have the port by then.
+        // On the address that all dial from, somebody's outgoing connection may have the port by
+        // then.
         let own = NEXT.fetch_add(1, Ordering::SeqCst);
         let own = Ipv4Addr::new(127, 10, (std::process::id() % 250) as u8, own);
         let portal = TcpListener::bind((own, 0)).unwrap().local_addr().unwrap();
@@ -297,8 +275,8 @@
     site.initiator(1, true);
 }
 
-/// A node that keeps one write back, whichever holds this byte, until it is told to carry it out, however
-/// late.
+/// A node that keeps one write back, whichever holds this byte, until it is told to carry it out,
+/// however late.
 struct SlowNode {
     heard: mpsc::Receiver<Heard>,
     lines: BTreeMap<u64, Line>,
@@ -419,8 +397,8 @@
     }
 }
 
-/// Exactly one attempt is delayed: its command was aborted, or its host killed, and newer writes of the same
-/// blocks were acknowledged since. Then it runs.
+/// Exactly one attempt is delayed: its command was aborted, or its host killed, and newer writes of
+/// the same blocks were acknowledged since. Then it runs.
 #[test]
 fn an_attempt_that_runs_late_never_overwrites_a_newer_acknowledged_write() {
     let site = Site::with("late", false);
@@ -470,8 +448,8 @@
     node.serve(|| assert!(read(&mut site.initiator(2, true), 0, 8, 2) == block(3)));
 }
 
-/// Bytes that are no PDU, wrong digests, lengths and keys beyond all bounds, logins that are never finished:
-/// each is refused or hung up on, and a session beside them goes on.
+/// Bytes that are no PDU, wrong digests, lengths and keys beyond all bounds, logins that are never
+/// finished: each is refused or hung up on, and a session beside them goes on.
 #[test]
 fn initiators_that_lie_harm_nobody_else() {
     let site = Site::new("liars");
@@ -624,7 +602,8 @@
         said.contains(" wrong") && said.contains(", 0 wrong"),
         "{said}"
     );
-    // The audit counts PDUs, where a command sent again is another, and puts every block's history in order.
+    // The audit counts PDUs, where a command sent again is another, and puts every block's history
+    // in order.
     let audit = lines
         .iter()
         .find(|l| l.starts_with("audit: commands "))
--- a/crates/cli/tests/peers.rs
+++ b/crates/cli/tests/peers.rs
@@ -1,17 +1,20 @@
-//! Hosts as processes that tell each other what they see and lend each other parts of limits, with faults
-//! between them. Verdicts come from what crossed to the nodes, as their process recorded it.
+//! Hosts as processes that tell each other what they see and lend each other parts of limits, with
+//! faults between them. Verdicts come from what crossed to the nodes, as their process recorded it.
+
+mod process;
 
 use grebecleat_standin::links::Links;
 use grebecleat_standin::net::hello;
 use grebecleat_wire::pb::{self, frame::Body, record::Kind, Outcome};
 use grebecleat_wire::trace::read_file;
 use grebecleat_wire::{clock, frame};
+use process::Started;
 use std::collections::BTreeSet;
 use std::fs;
-use std::io::{BufRead, BufReader, Write};
+use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::path::PathBuf;
-use std::process::{Child, Command, Stdio};
+use std::process::Command;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread::sleep;
@@ -47,39 +50,13 @@
 "#;
 const FLEET: &str = "fleet(every = ms(100), loan = ms(1500), margin = ms(250))\n";
 
-struct Started(Child, String);
-
-impl Drop for Started {
-    fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-    }
-}
-
 fn start(args: &[String], log: &std::path::Path) -> Started {
     let log = fs::File::options()
         .create(true)
         .append(true)
         .open(log)
         .unwrap();
-    let mut command = Command::new(PROGRAM);
-    let mut child = command
-        .args(args)
-        .stdin(Stdio::null())
-        .stdout(Stdio::piped())
-        .stderr(log)
-        .spawn()
-        .unwrap();
-    let mut line = String::new();
-    BufReader::new(child.stdout.take().unwrap())
-        .read_line(&mut line)
-        .unwrap();
-    let said = line
-        .trim()
-        .strip_prefix("listening ")
-        .expect(&line)
-        .to_string();
-    Started(child, said)
+    process::start(Command::new(PROGRAM).args(args), log.into())
 }
 
 struct Site {
@@ -304,9 +281,9 @@
         .collect()
 }
 
-/// A volume that is asked for through one host gets nearly its whole limit there, where even parts give a
-/// quarter; and never more over all hosts, while that host is cut off, stands still for longer than its loans,
-/// and is killed and comes back without knowing what it had.
+/// A volume that is asked for through one host gets nearly its whole limit there, where even parts
+/// give a quarter; and never more over all hosts, while that host is cut off, stands still for
+/// longer than its loans, and is killed and comes back without knowing what it had.
 #[test]
 fn parts_of_a_limit_follow_demand_and_the_limit_holds_through_cuts_stops_and_kills() {
     let _alone = alone();
@@ -392,8 +369,8 @@
     sleep(ms(4000));
     ended.store(true, Ordering::SeqCst);
     let done: Vec<u64> = asks.into_iter().map(|a| a.join().unwrap()).collect();
-    // Of 12 units a second each, for four seconds; the two that hear only each other wait for loans that no
-    // one holds, and then have their own.
+    // Of 12 units a second each, for four seconds; the two that hear only each other wait for loans
+    // that no one holds, and then have their own.
     assert!(done.iter().all(|d| *d >= 16), "{done:?}");
     assert!(site.over() <= 0.0, "{:.1} over the limit", site.over());
 }
--- a/crates/cli/tests/plans.rs
+++ b/crates/cli/tests/plans.rs
@@ -1,5 +1,5 @@
-//! The state service and `grebecleat plans` as operators use them: real processes, real files, and a day on
-//! which plans change under load.
+//! The state service and `grebecleat plans` as operators use them: real processes, real files, and
+//! a day on which plans change under load.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// What never ran may be tried again or deferred, whatever the traffic class; what may have run, never for one
-/// that is unrepeatable.
+/// What never ran may be tried again or deferred, whatever the traffic class; what may have run,
+/// never for one that is unrepeatable.
 #[test]
 fn only_what_proves_that_an_attempt_never_ran_lets_an_unrepeatable_request_be_sent_again() {
     let stalled = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood";
@@ -307,8 +307,8 @@
         .unwrap();
     assert_eq!(answer(&mut open).map(|a| a.0), Some(200));
     assert_eq!(answer(&mut late).map(|a| a.0), Some(200));
-    // Its clients go on with what they have, until shortly before it may be killed: 3 s and 0.7 s after the
-    // signal.
+    // Its clients go on with what they have, until shortly before it may be killed: 3 s and 0.7 s
+    // after the signal.
     sleep(ms(2400).saturating_sub(told.elapsed()));
     open.write_all(request("once", "c", 0, 3, 2500).as_bytes())
         .unwrap();
@@ -407,7 +407,8 @@
     let _ = std::fs::remove_file(path);
 }
 
-/// Bound to one of the machine's processors, all hosts there would wait for whatever keeps that one busy.
+/// Bound to one of the machine's processors, all hosts there would wait for whatever keeps that one
+/// busy.
 #[test]
 fn every_thread_may_run_wherever_the_process_may() {
     let (_node, _list, live) = one_node(|_| says(GOOD));
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -1,13 +1,17 @@
-//! The program as its users start it: settings, exit codes, rehearsals with faults, signals, descriptors.
+//! The program as its users start it: settings, exit codes, rehearsals with faults, signals,
+//! descriptors.
+
+mod process;
 
 use grebecleat_standin::net::hello;
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 use grebecleat_wire::{clock, frame};
+use process::Started;
 use std::fs;
-use std::io::{BufRead, BufReader, Write};
+use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, Output, Stdio};
+use std::process::{Command, Output, Stdio};
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
@@ -257,33 +261,8 @@
     assert_eq!(missing.status.code(), Some(2));
 }
 
-/// A program in the background, and where it said that it listens.
-struct Started(Child, String);
-
-impl Drop for Started {
-    fn drop(&mut self) {
-        let _ = self.0.kill();
-        let _ = self.0.wait();
-    }
-}
-
 fn start(command: &mut Command) -> Started {
-    let mut child = command
-        .stdin(Stdio::null())
-        .stdout(Stdio::piped())
-        .stderr(Stdio::null())
-        .spawn()
-        .unwrap();
-    let mut line = String::new();
-    BufReader::new(child.stdout.take().unwrap())
-        .read_line(&mut line)
-        .unwrap();
-    let said = line
-        .trim()
-        .strip_prefix("listening ")
-        .expect(&line)
-        .to_string();
-    Started(child, said)
+    process::start(command, Stdio::null())
 }
 
 /// List, nodes, and the first host, with as many descriptors as given.
@@ -413,7 +392,8 @@
     assert_eq!(host.0.wait().unwrap().code(), Some(0));
 }
 
-/// Bound to some of the machine's processors, all hosts there would wait for whatever keeps those busy.
+/// Bound to some of the machine's processors, all hosts there would wait for whatever keeps those
+/// busy.
 #[test]
 fn no_thread_of_a_host_is_bound_to_a_processor() {
     let _alone = alone();
--- a/crates/cli/tests/ready.rs
+++ b/crates/cli/tests/ready.rs
@@ -1,5 +1,6 @@
-//! Thirty processes of `grebecleat platform` started at once, as after a release, while the list they ask is
-//! in trouble: how many are ready within ten seconds of their start, which is the platform's own bound.
+//! Thirty processes of `grebecleat platform` started at once, as after a release, while the list
+//! they ask is in trouble: how many are ready within ten seconds of their start, which is the
+//! platform's own bound.
 
 mod rig;
 
@@ -117,8 +118,8 @@
     }
 }
 
-/// A process, from its start until it is ready or its time is up: when that was, and whether the list had
-/// answered anybody by then.
+/// A process, from its start until it is ready or its time is up: when that was, and whether the
+/// list had answered anybody by then.
 fn until_ready(
     list: &List,
     address: SocketAddr,
@@ -151,8 +152,8 @@
 fn nine_in_ten_of_thirty_started_at_once_are_ready_in_time() {
     let node = node(|_| says(GOOD));
     let targets = json!([target("s-1", &node, 0, "ready")]);
-    // With a remembered list nobody waits for the list, however long that takes; without, nobody can be of
-    // use before it has answered.
+    // With a remembered list nobody waits for the list, however long that takes; without, nobody
+    // can be of use before it has answered.
     let cases = [
         (Trouble::Slow(ms(700)), false),
         (Trouble::Slow(ms(1500)), false),
@@ -167,7 +168,8 @@
         let (list, address) = List::start(trouble, targets.clone());
         let known = json!({"rev": 1, "all": true, "targets": if remembers { targets.clone() } else { json!([]) }});
         let all: Vec<_> = std::thread::scope(|s| {
-            // Each on an address of its own, where nobody's outgoing connection can take its port meanwhile.
+            // Each on an address of its own, where nobody's outgoing connection can take its port
+            // meanwhile.
             let free = |n| {
                 TcpListener::bind((Ipv4Addr::new(127, 9, case as u8, n), 0))
                     .unwrap()
--- a/crates/cli/tests/rig/live.rs
+++ b/crates/cli/tests/rig/live.rs
@@ -229,7 +229,8 @@
                 .for_each(|(name, value)| whole[name] = value.clone());
             std::fs::write(&config, whole.to_string()).unwrap();
         }
-        // The system holds it to its limit: one descriptor more than the settings grant fails there and then.
+        // The system holds it to its limit: one descriptor more than the settings grant fails there
+        // and then.
         let mut command = Command::new("sh");
         command
             .args(["-c", "ulimit -n $0 && exec \"$1\" platform"])
@@ -361,7 +362,8 @@
         let (to_test, came) = channel();
         std::thread::spawn(move || {
             for (conn, stream) in listener.incoming().flatten().enumerate() {
-                // What it says is on its way when that has been said, and does not wait for the host's word.
+                // What it says is on its way when that has been said, and does not wait for the
+                // host's word.
                 stream.set_nodelay(true).unwrap();
                 let to_test = to_test.clone();
                 std::thread::spawn(move || hand_on(stream, conn, &to_test));
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -1,9 +1,10 @@
-//! Several processes of `grebecleat platform` on loopback, with nodes, list and clients that count what
-//! crosses. Verdicts come from counts of what came whole, never from how long something took.
+//! Several processes of `grebecleat platform` on loopback, with nodes, list and clients that count
+//! what crosses. Verdicts come from counts of what came whole, never from how long something took.
 //!
-//! [`Fleet::start`] starts it; its parts are there to be troubled: a [`Node`] is killed and comes back cold, is
-//! cut from some hosts, loses or spoils answers, resets connections; the [`List`] is slow or moves; hosts end by
-//! [`Fleet::kill`] and [`Fleet::end`]. [`Fleet::stop`] ends the traffic and gives the [`Counts`].
+//! [`Fleet::start`] starts it; its parts are there to be troubled: a [`Node`] is killed and comes
+//! back cold, is cut from some hosts, loses or spoils answers, resets connections; the [`List`] is
+//! slow or moves; hosts end by [`Fleet::kill`] and [`Fleet::end`]. [`Fleet::stop`] ends the traffic
+//! and gives the [`Counts`].
 
 #![allow(dead_code)]
 
@@ -21,8 +22,8 @@
 use std::thread::{sleep, JoinHandle};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Where something may listen in a moment, on an address of its own: on the one that all dial from, somebody's
-/// outgoing connection may have the port by then.
+/// Where something may listen in a moment, on an address of its own: on the one that all dial from,
+/// somebody's outgoing connection may have the port by then.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let (n, process) = (NEXT.fetch_add(1, Ordering::SeqCst), std::process::id());
@@ -137,7 +138,8 @@
         (STARTS_AT + (1.0 - STARTS_AT) * (age.as_secs_f64() / WARM.as_secs_f64())).min(1.0)
     }
 
-    /// All hosts' units within the rule's span until now, against what the rule lets a node of that age bear.
+    /// All hosts' units within the rule's span until now, against what the rule lets a node of that
+    /// age bear.
     fn falls(&self, now: Instant) -> bool {
         let cold = self.booted.is_some_and(|b| now < b + WARM);
         let first = self
@@ -514,7 +516,8 @@
     pub address: SocketAddr,
     config: PathBuf,
     log: PathBuf,
-    /// Since when it is up, and whether it was killed outright meanwhile: what it had then is nobody's.
+    /// Since when it is up, and whether it was killed outright meanwhile: what it had then is
+    /// nobody's.
     kills: Mutex<Vec<(Instant, Instant)>>,
 }
 
@@ -756,7 +759,8 @@
         self.hosts[host].signal("-HUP");
     }
 
-    /// Another node takes the place of one, whose process ends; the list is told later, by [`Fleet::tell`].
+    /// Another node takes the place of one, whose process ends; the list is told later, by
+    /// [`Fleet::tell`].
     pub fn replace(&mut self, n: usize) {
         let old = self.nodes[n].clone();
         let uid = format!("{}+", old.uid);
--- a/crates/host/src/admission.rs
+++ b/crates/host/src/admission.rs
@@ -1,9 +1,10 @@
 //! Whether a request is taken at all.
 //!
-//! Called by the router for each one that arrives, before the decisions hear of it. What is refused here never ran and
-//! is rejected: a host that shuts down, or whose memory is spoken for, must still give a clear final answer. Guards
-//! against clients that send more than they wait for. Harm: a reserved volume's request can meet the bound that a surge
-//! of another filled; the bound is for memory and stands far above what the decisions queue in service.
+//! Called by the router for each one that arrives, before the decisions hear of it. What is refused
+//! here never ran and is rejected: a host that shuts down, or whose memory is spoken for, must
+//! still give a clear final answer. Guards against clients that send more than they wait for. Harm:
+//! a reserved volume's request can meet the bound that a surge of another filled; the bound is for
+//! memory and stands far above what the decisions queue in service.
 
 use grebecleat_settings::Bounds;
 use std::time::Duration;
--- a/crates/host/src/config_follower.rs
+++ b/crates/host/src/config_follower.rs
@@ -1,12 +1,13 @@
 //! This host's connection to the state service, and what its decisions know of plans and volumes.
 //!
-//! Called by the router: what came on the connection and from the disk goes in, and [`ConfigFollower::step`] returns
-//! what the sockets, the disk and the decisions are to be told. What is followed, persisted and believed is decided in
-//! [`grebecleat_plans::follower`]; here is only when to dial again, and the assembly of answers that come in parts. A
-//! host without a state service serves what its settings say, for good.
+//! Called by the router: what came on the connection and from the disk goes in, and
+//! [`ConfigFollower::step`] returns what the sockets, the disk and the decisions are to be told.
+//! What is followed, persisted and believed is decided in [`grebecleat_plans::follower`]; here is
+//! only when to dial again, and the assembly of answers that come in parts. A host without a state
+//! service serves what its settings say, for good.
 //!
-//! Memory: the catalog of volumes that work through this host, and one answer being assembled, of at most
-//! [`MAX_RECORDS`] records.
+//! Memory: the catalog of volumes that work through this host, and one answer being assembled, of
+//! at most [`MAX_RECORDS`] records.
 
 use crate::outbox::Outbox;
 use crate::router::ConnId;
@@ -344,7 +345,8 @@
         [follower.wake_at(), link].into_iter().flatten().min()
     }
 
-    /// Adds what the decisions are to be told to `events`. `next_number` gives connections their numbers.
+    /// Adds what the decisions are to be told to `events`. `next_number` gives connections their
+    /// numbers.
     pub fn step(
         &mut self,
         now: Duration,
--- a/crates/host/src/endpoint_list.rs
+++ b/crates/host/src/endpoint_list.rs
@@ -1,8 +1,9 @@
-//! The endpoint list: as discovery told it, as the decisions read it, and as it is stored over a restart.
+//! The endpoint list: as discovery told it, as the decisions read it, and as it is stored over a
+//! restart.
 //!
-//! Discovery gives ages, since no two clocks are compared; an age read twice gives two moments that differ by what the
-//! messages waited. Each start of a node therefore keeps the moment that was worked out first, or the decisions would
-//! see a restart in every list.
+//! Discovery gives ages, since no two clocks are compared; an age read twice gives two moments that
+//! differ by what the messages waited. Each start of a node therefore keeps the moment that was
+//! worked out first, or the decisions would see a restart in every list.
 //!
 //! Memory: nodes stay known after they are gone; the bound is the list's own length.
 
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,11 +1,12 @@
 //! The running host.
 //!
-//! It feeds the decisions with what really happens and carries out what they return. All that can be stepped by a test
-//! or an emulator is free of sockets and clocks: [`router`] (requests, attempts and connections as seen from the
-//! decisions), and beside it what this package must itself decide: [`admission`], [`pool`], [`poll_deadline`],
-//! [`process_pause`], [`observations`], [`quota_sharing`]; [`metrics`] is what is shown. [`outbox`] is the seam to the
-//! sockets; [`server`] holds the sockets, on `may` coroutines. Nothing here may choose which request goes where: that is
-//! `grebecleat::control` alone. Begin with [`router`].
+//! It feeds the decisions with what really happens and carries out what they return. All that can
+//! be stepped by a test or an emulator is free of sockets and clocks: [`router`] (requests,
+//! attempts and connections as seen from the decisions), and beside it what this package must
+//! itself decide: [`admission`], [`pool`], [`poll_deadline`], [`process_pause`], [`observations`],
+//! [`quota_sharing`]; [`metrics`] is what is shown. [`outbox`] is the seam to the sockets;
+//! [`server`] holds the sockets, on `may` coroutines. Nothing here may choose which request goes
+//! where: that is `grebecleat::control` alone. Begin with [`router`].
 
 #![warn(missing_docs)]
 
--- a/crates/host/src/metrics.rs
+++ b/crates/host/src/metrics.rs
@@ -1,14 +1,15 @@
-//! The metrics that this host sends to subscribers every second: nodes, what is queued and why, and what each volume
-//! requested and got.
+//! The metrics that this host sends to subscribers every second: nodes, what is queued and why, and
+//! what each volume requested and got.
 //!
-//! Called by the router with every request that comes in and completes; [`MetricsCollector::collect`] makes a second's
-//! message. Nothing is counted while nobody subscribes. What a volume requested is reported under the second in which
-//! it came in, and what has come of it under the same second, whenever that is; the subscriber adds it up. Latency
-//! objectives count from when a request came in here: a client's later try is one of its own, since this host is not
-//! told of its first.
+//! Called by the router with every request that comes in and completes;
+//! [`MetricsCollector::collect`] makes a second's message. Nothing is counted while nobody
+//! subscribes. What a volume requested is reported under the second in which it came in, and what
+//! has come of it under the same second, whenever that is; the subscriber adds it up. Latency
+//! objectives count from when a request came in here: a client's later try is one of its own, since
+//! this host is not told of its first.
 //!
-//! Memory: a record for each volume, shard and second of which something changed since the last message, and the last
-//! reported row of each node.
+//! Memory: a record for each volume, shard and second of which something changed since the last
+//! message, and the last reported row of each node.
 
 use grebecleat::control::inspection::{NodeMetrics, QueueMetrics};
 use grebecleat::control::Control;
@@ -95,8 +96,8 @@
         *self.completed_units.entry(node).or_default() += units;
     }
 
-    /// The message of one interval. `start_of`: which start of a node's process the endpoint list names; `head`: the
-    /// host's own figures.
+    /// The message of one interval. `start_of`: which start of a node's process the endpoint list
+    /// names; `head`: the host's own figures.
     pub fn collect(
         &mut self,
         now: Duration,
--- a/crates/host/src/observations.rs
+++ b/crates/host/src/observations.rs
@@ -1,8 +1,10 @@
-//! How this host sees nodes, as it reports it to the state service: only what has changed since the last report.
+//! How this host sees nodes, as it reports it to the state service: only what has changed since the
+//! last report.
 //!
-//! Called by the router at every sweep with a row for each node; [`ObservationReport::changes`] returns the rows to
-//! send. What changes by itself (ages, the time that is left to what may still run) is no change, but for its end. A
-//! new connection is sent all rows. Memory: a row for each node of the endpoint list.
+//! Called by the router at every sweep with a row for each node; [`ObservationReport::changes`]
+//! returns the rows to send. What changes by itself (ages, the time that is left to what may still
+//! run) is no change, but for its end. A new connection is sent all rows. Memory: a row for each
+//! node of the endpoint list.
 
 use grebecleat_membership::answers::Answers;
 use grebecleat_wire::pb;
--- a/crates/host/src/outbox.rs
+++ b/crates/host/src/outbox.rs
@@ -1,13 +1,14 @@
 //! What is to be written on one connection, until the moment it is written.
 //!
-//! The owner of the decisions puts frames in; the connection's writer takes them out when the socket has room. An
-//! attempt stays revocable until its writer took it: whoever revokes it is told truly whether it crossed. Without this an
-//! attempt could cross seconds after its node was told to drain, or its client was answered. Nor is it written once its
-//! client's reader has seen that the client cancelled it or ended, however much the owner has to hear before that: the
-//! reader notes it in the client's own outbox, and the writer looks there.
+//! The owner of the decisions puts frames in; the connection's writer takes them out when the
+//! socket has room. An attempt stays revocable until its writer took it: whoever revokes it is told
+//! truly whether it crossed. Without this an attempt could cross seconds after its node was told to
+//! drain, or its client was answered. Nor is it written once its client's reader has seen that the
+//! client cancelled it or ended, however much the owner has to hear before that: the reader notes
+//! it in the client's own outbox, and the writer looks there.
 //!
-//! Memory: bounded by the attempts that a connection carries and, for clients, by [`Outbox::bytes`], which the owner
-//! compares with its bound on unread answers.
+//! Memory: bounded by the attempts that a connection carries and, for clients, by
+//! [`Outbox::bytes`], which the owner compares with its bound on unread answers.
 
 use bytes::Bytes;
 use grebecleat_wire::frame::HEADER;
@@ -77,7 +78,8 @@
 /// What a writer is to write now.
 #[derive(Debug, Default, PartialEq)]
 pub struct Batch {
-    /// When it was taken: of two batches, the later has the later moment, whichever connections they are for.
+    /// When it was taken: of two batches, the later has the later moment, whichever connections
+    /// they are for.
     pub at: Duration,
     /// In order.
     pub frames: Vec<pb::Frame>,
@@ -99,8 +101,8 @@
 }
 
 impl Outbox {
-    /// `wake` is called whenever the writer has something new to look at, `hang_up` when it is to end even if
-    /// its peer reads nothing.
+    /// `wake` is called whenever the writer has something new to look at, `hang_up` when it is to
+    /// end even if its peer reads nothing.
     pub fn new(
         wake: impl Fn() + Send + Sync + 'static,
         hang_up: impl Fn() + Send + Sync + 'static,
@@ -137,7 +139,8 @@
         self.put_attempt_of(attempt, frame, now, deadline, None);
     }
 
-    /// The same, and not once its client is known to have cancelled it; `client`: where that one's answers go.
+    /// The same, and not once its client is known to have cancelled it; `client`: where that one's
+    /// answers go.
     pub fn put_attempt_of(
         &self,
         attempt: AttemptId,
@@ -207,8 +210,9 @@
             .collect()
     }
 
-    /// Takes what goes to the socket now, at most about `max_bytes`. From here on it counts as crossed; attempts whose
-    /// deadline has passed, or whose client has left, stay, and are for the owner's next sweep.
+    /// Takes what goes to the socket now, at most about `max_bytes`. From here on it counts as
+    /// crossed; attempts whose deadline has passed, or whose client has left, stay, and are for the
+    /// owner's next sweep.
     pub fn take_batch(&self, clock: impl FnOnce() -> Duration, max_bytes: usize) -> Batch {
         let mut inner = self.lock();
         let now = clock();
--- a/crates/host/src/outbox/tests.rs
+++ b/crates/host/src/outbox/tests.rs
@@ -46,7 +46,8 @@
     assert!(out.is_flushed());
 }
 
-/// The owner may have much to hear before it hears of a client's end; the writer does not wait for that.
+/// The owner may have much to hear before it hears of a client's end; the writer does not wait for
+/// that.
 #[test]
 fn an_attempt_is_not_written_once_its_client_has_withdrawn_it_or_ended() {
     type Case = (&'static str, fn(&Outbox), bool);
--- a/crates/host/src/poll_deadline.rs
+++ b/crates/host/src/poll_deadline.rs
@@ -1,15 +1,19 @@
-//! When discovery is polled again at the latest, so that a change is known in time whatever call fails.
+//! When discovery is polled again at the latest, so that a change is known in time whatever call
+//! fails.
 //!
-//! The decisions space calls after failures, further and further, which spares a discovery that has too many callers.
-//! They don't know how long the calls themselves took. [`PollDeadline`] does, and calls for them where their wait would
-//! be too long for the term in which a change has to be known.
+//! The decisions space calls after failures, further and further, which spares a discovery that has
+//! too many callers. They don't know how long the calls themselves took. [`PollDeadline`] does, and
+//! calls for them where their wait would be too long for the term in which a change has to be
+//! known.
 //!
-//! The argument. Let T be when discovery has the change and can be reached again. Of the calls from T on, the first may
-//! have been begun before T and then is lost; the second may fail too, in whatever way and however late a call can fail
-//! (refused, reset, given up, a dial that never comes up); the third is answered. (Where T falls between two calls, the
-//! earlier one was begun before T all the same.) Each beginning is known here, and the first is at T or before, so the
-//! third must be answered within the term from the first one's *beginning*. That says nothing of T, which a host can't
-//! know: it holds for any three calls in a row. A watch begins with the answer before it.
+//! The argument. Let T be when discovery has the change and can be reached again. Of the calls from
+//! T on, the first may have been begun before T and then is lost; the second may fail too, in
+//! whatever way and however late a call can fail (refused, reset, given up, a dial that never comes
+//! up); the third is answered. (Where T falls between two calls, the earlier one was begun before T
+//! all the same.) Each beginning is known here, and the first is at T or before, so the third must
+//! be answered within the term from the first one's *beginning*. That says nothing of T, which a
+//! host can't know: it holds for any three calls in a row. A watch begins with the answer before
+//! it.
 //!
 //! ```text
 //!     watch, silent from its beginning    2.0 s   discovery_calls::MAX_WATCH_WAIT
@@ -22,17 +26,20 @@
 //!     at most                             5.9 s   the term is 6 s, WAKES for our own wakes
 //! ```
 //!
-//! Before, each wait was the decisions' alone (up to 0.6 s after a first failure, 1.2 after a second, 2.25 later) and a
-//! call's span began when its dial was up: 3.05 + 0.6 + 1.3 + 1.2 + 1.3 = 7.45 s after a silent watch, and
-//! 1.3 + 2.25 + 1.3 + 2.25 + 1.3 = 8.4 s in the middle of an outage.
+//! Before, each wait was the decisions' alone (up to 0.6 s after a first failure, 1.2 after a
+//! second, 2.25 later) and a call's span began when its dial was up: 3.05 + 0.6 + 1.3 + 1.2 + 1.3 =
+//! 7.45 s after a silent watch, and 1.3 + 2.25 + 1.3 + 2.25 + 1.3 = 8.4 s in the middle of an
+//! outage.
 //!
-//! Failures that come fast leave the decisions' own waits as they are (two of them are 4.5 s at most), so a discovery
-//! that refuses at once sees no more calls than before. Harm: one that takes calls and never answers is called more
-//! often, by a twentieth in the model fleets of `platform/tests/poll_deadline`. A second failure of a call begun after T is
-//! not covered: that needs either more calls all the time or less time for each.
+//! Failures that come fast leave the decisions' own waits as they are (two of them are 4.5 s at
+//! most), so a discovery that refuses at once sees no more calls than before. Harm: one that takes
+//! calls and never answers is called more often, by a twentieth in the model fleets of
+//! `platform/tests/poll_deadline`. A second failure of a call begun after T is not covered: that
+//! needs either more calls all the time or less time for each.
 //!
-//! A discovery that moves is a call begun anew there, and the one at the former address counts as failed. Pushed lists
-//! come by the same watches. Shorter waits (settings that want more polls) shorten the sum.
+//! A discovery that moves is a call begun anew there, and the one at the former address counts as
+//! failed. Pushed lists come by the same watches. Shorter waits (settings that want more polls)
+//! shorten the sum.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -79,7 +86,8 @@
 }
 
 impl PollDeadline {
-    /// `term`: in which a change has to be known; `call`: what a call may take, its dial included; `seed`: of the spread.
+    /// `term`: in which a change has to be known; `call`: what a call may take, its dial included;
+    /// `seed`: of the spread.
     pub fn new(term: Duration, call: Duration, seed: u64) -> Self {
         let second_after = term.saturating_sub(call + WAKES);
         PollDeadline {
--- a/crates/host/src/pool.rs
+++ b/crates/host/src/pool.rs
@@ -1,9 +1,10 @@
 //! The connections to one node: how many there should be, and when to dial again.
 //!
-//! Called by the router: [`Pool::wanted`] after each change, and told of what became of dials. It keeps the wanted state
-//! (connections that should be up for the attempts there are) and returns the difference as one [`PoolAction`]. A node
-//! whose port is dead is dialled ever more rarely, with jitter, since every host dials it; while that waits, its attempts
-//! are told at once that there is no connection, and the decisions judge the node by that. Harm: a node that comes back
+//! Called by the router: [`Pool::wanted`] after each change, and told of what became of dials. It
+//! keeps the wanted state (connections that should be up for the attempts there are) and returns
+//! the difference as one [`PoolAction`]. A node whose port is dead is dialled ever more rarely,
+//! with jitter, since every host dials it; while that waits, its attempts are told at once that
+//! there is no connection, and the decisions judge the node by that. Harm: a node that comes back
 //! is found up to [`MAX_BACKOFF`] late, if the endpoint list says nothing.
 
 use rand::{Rng, SeedableRng};
@@ -81,11 +82,12 @@
         PoolAction::Nothing
     }
 
-    /// As many dials at a time as are up, so that attempts don't queue behind one another's handshakes, and no more: a
-    /// node that just came up must not see every host's whole pool at once. One that is late says nothing of the
-    /// others: behind a lone late dial all that a host had for a node waited. Where dials have failed, it is not the
-    /// dial: no other is made beside it. Harm: a node that falls silent is dialled up to three times by each host that
-    /// has something for it, once.
+    /// As many dials at a time as are up, so that attempts don't queue behind one another's
+    /// handshakes, and no more: a node that just came up must not see every host's whole pool at
+    /// once. One that is late says nothing of the others: behind a lone late dial all that a host
+    /// had for a node waited. Where dials have failed, it is not the dial: no other is made beside
+    /// it. Harm: a node that falls silent is dialled up to three times by each host that has
+    /// something for it, once.
     fn may_dial(&self, now: Duration, status: PoolStatus) -> bool {
         let PoolStatus { up, late, .. } = status;
         let wanted = status.attempts.div_ceil(self.attempts_per_connection);
@@ -111,7 +113,8 @@
         self.not_before = now + backoff / 2 + jitter;
     }
 
-    /// The endpoint list tells of a new start or another address: what was seen before says nothing of it.
+    /// The endpoint list tells of a new start or another address: what was seen before says nothing
+    /// of it.
     pub fn forget_failures(&mut self) {
         self.failed_dials = 0;
         self.not_before = Duration::ZERO;
--- a/crates/host/src/process_pause.rs
+++ b/crates/host/src/process_pause.rs
@@ -1,9 +1,10 @@
 //! Times in which this process itself stood still.
 //!
-//! Called by the owner's loop each time it wakes, with when it wanted to. A process that was stopped (a signal, a
-//! starved machine) finds old answers in its sockets; their lateness is its own, and a node must not be judged by it.
-//! Guards also against long pauses of the disk under a trace. Harm: a node that was slow during our pause looks quicker
-//! than it was, until its next answers.
+//! Called by the owner's loop each time it wakes, with when it wanted to. A process that was
+//! stopped (a signal, a starved machine) finds old answers in its sockets; their lateness is its
+//! own, and a node must not be judged by it. Guards also against long pauses of the disk under a
+//! trace. Harm: a node that was slow during our pause looks quicker than it was, until its next
+//! answers.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -24,7 +25,8 @@
 pub struct ProcessPauses(VecDeque<Pause>);
 
 impl ProcessPauses {
-    /// Notes a wake that was wanted at `wanted` and came at `now`; whether there was a pause between.
+    /// Notes a wake that was wanted at `wanted` and came at `now`; whether there was a pause
+    /// between.
     ///
     /// ```
     /// use grebecleat_host::process_pause::ProcessPauses;
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -1,9 +1,11 @@
-//! This host's part in what hosts share: quotas of limits, and outlier detection over the whole fleet.
+//! This host's part in what hosts share: quotas of limits, and outlier detection over the whole
+//! fleet.
 //!
-//! Called by the router: what it receives, completes and sends goes in as it happens, what it learns of plans and of the
-//! endpoint list when that changes, and [`QuotaSharing::step`] returns what the decisions, the peers and the log are to
-//! be told. What is decided is decided in [`grebecleat_fleet`]; here is only the translation: a quota of a limit becomes
-//! a volume's terms, and a node to be avoided one that drains.
+//! Called by the router: what it receives, completes and sends goes in as it happens, what it
+//! learns of plans and of the endpoint list when that changes, and [`QuotaSharing::step`] returns
+//! what the decisions, the peers and the log are to be told. What is decided is decided in
+//! [`grebecleat_fleet`]; here is only the translation: a quota of a limit becomes a volume's terms,
+//! and a node to be avoided one that drains.
 //!
 //! Memory: the terms of each volume with a limit that is shared.
 
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Takes a volume's terms as this host follows them, and returns those to go by. `hosts`: through which it works.
+    /// Takes a volume's terms as this host follows them, and returns those to go by. `hosts`:
+    /// through which it works.
     pub fn volume_changed(
         &mut self,
         volume: VolumeId,
@@ -129,7 +132,8 @@
             sharers: hosts,
             limit: quota.rate * terms.hosts.max(1) as f64,
         });
-        // What it may use of it stays until the fleet says otherwise, which it does in the same step.
+        // What it may use of it stays until the fleet says otherwise, which it does in the same
+        // step.
         let times = self.volumes.get(&volume).map_or(1.0, |shared| shared.times);
         self.volumes.insert(volume, SharedVolume { terms, times });
         Some(scaled_limit(terms, times))
@@ -150,7 +154,8 @@
             .push(events::Event::UnitsRequested { volume, units });
     }
 
-    /// Units a second that a volume is served over all hosts, by their own counts: behind, if anything.
+    /// Units a second that a volume is served over all hosts, by their own counts: behind, if
+    /// anything.
     pub fn served_everywhere(&self, now: Duration, volume: u64) -> f64 {
         self.fleet.served_everywhere(now, volume)
     }
@@ -175,7 +180,8 @@
             .push(events::Event::AttemptEnded { node: node.0, bad });
     }
 
-    /// The nodes that the endpoint list and the operators have in use, with the starts of their processes.
+    /// The nodes that the endpoint list and the operators have in use, with the starts of their
+    /// processes.
     pub fn nodes_in_use(&mut self, nodes: BTreeMap<u32, u64>) {
         self.pending.push(events::Event::NodesInUse(nodes));
     }
--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -1,27 +1,31 @@
 //! Routes one host's requests, attempts and connections between the sockets and the decisions.
 //!
-//! State machine: [`RequestRouter::step`] takes what has happened and returns what the sockets are to do beyond what
-//! lies in the outboxes; [`RequestRouter::wake_at`] says when it must be called again. No I/O and no clock. Called by
-//! the owner's loop ([`crate::server`], or the platform's). Every event and action of `grebecleat::interface` is carried
-//! here:
+//! State machine: [`RequestRouter::step`] takes what has happened and returns what the sockets are
+//! to do beyond what lies in the outboxes; [`RequestRouter::wake_at`] says when it must be called
+//! again. No I/O and no clock. Called by the owner's loop ([`crate::server`], or the platform's).
+//! Every event and action of `grebecleat::interface` is carried here:
 //!
-//! - a request is answered once: by its first attempt that completes, else by the decisions, else not at all (its
-//!   client has left); what comes later is counted as stray and dropped;
-//! - an attempt ends once, by the first of: its node's answer, its deadline, a reset, a cancel, or being revoked from
-//!   an outbox, which alone is reported as "never ran";
-//! - what the endpoint list says of a node, or a drain, revokes every attempt to it that has not crossed. The decisions
-//!   hear of a node that is drained as the list would tell of one that drains.
+//! - a request is answered once: by its first attempt that completes, else by the decisions, else
+//!   not at all (its client has left); what comes later is counted as stray and dropped;
+//! - an attempt ends once, by the first of: its node's answer, its deadline, a reset, a cancel, or
+//!   being revoked from an outbox, which alone is reported as "never ran";
+//! - what the endpoint list says of a node, or a drain, revokes every attempt to it that has not
+//!   crossed. The decisions hear of a node that is drained as the list would tell of one that
+//!   drains.
 //!
-//! Files: `clients` (requests and their answers), `attempts`, `node_connections`, `discovery`, `configuration` (state
-//! service, quotas and gossip), `reporting` (sweep, observations, metrics). Which volumes are served, and on what
-//! terms, [`crate::config_follower`] says; what of a limit this host may use, and which nodes all hosts find bad,
-//! [`crate::quota_sharing`], where it is on.
+//! Files: `clients` (requests and their answers), `attempts`, `node_connections`, `discovery`,
+//! `configuration` (state service, quotas and gossip), `decisions` (how they are set up),
+//! `reporting` (sweep, observations, metrics). Which volumes are served, and on what terms,
+//! [`crate::config_follower`] says; what of a limit this host may use, and which nodes all hosts
+//! find bad, [`crate::quota_sharing`], where it is on.
 //!
-//! Memory: requests and their bytes as the settings' bounds allow, connections likewise, and a record for each node.
+//! Memory: requests and their bytes as the settings' bounds allow, connections likewise, and a
+//! record for each node.
 
 mod attempts;
 mod clients;
 mod configuration;
+mod decisions;
 mod discovery;
 mod node_connections;
 mod reporting;
@@ -57,12 +61,14 @@
 const MAX_IDLE_SLEEP: Duration = Duration::from_secs(1);
 /// Lines of the log that name one bad peer; after them it is only counted.
 const MAX_LOG_LINES_PER_PEER: u32 = 3;
-/// Where a connection carries one exchange at a time, it rests so long after an answer before the next attempt: an
-/// answer that came twice is some milliseconds late, and would be taken for that attempt's. Harm: where all
-/// connections to a node have just answered, an attempt waits, or one more is dialled.
+/// Where a connection carries one exchange at a time, it rests so long after an answer before the
+/// next attempt: an answer that came twice is some milliseconds late, and would be taken for that
+/// attempt's. Harm: where all connections to a node have just answered, an attempt waits, or one
+/// more is dialled.
 const REST_AFTER_ANSWER: Duration = Duration::from_millis(10);
-/// Fraction of the tightest latency objective that a handshake may take before another is begun beside it. Two of
-/// them in turn are about what the decisions let an attempt be late before they doubt its node.
+/// Fraction of the tightest latency objective that a handshake may take before another is begun
+/// beside it. Two of them in turn are about what the decisions let an attempt be late before they
+/// doubt its node.
 const HANDSHAKE_FRACTION: f64 = 0.1;
 
 /// One host's requests, attempts and connections.
@@ -90,7 +96,8 @@
     pools: BTreeMap<NodeId, NodePool>,
     /// Nodes whose pool may want something.
     changed_pools: BTreeSet<NodeId>,
-    /// When a connection that rests may be used where an attempt waits for it, or a dial there is late.
+    /// When a connection that rests may be used where an attempt waits for it, or a dial there is
+    /// late.
     pool_checks: BTreeSet<(Duration, NodeId)>,
     /// A dial that takes longer is late.
     handshake: Duration,
@@ -131,7 +138,6 @@
     /// A host with the volumes that its settings declare. `seed` is new at each start of the host.
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
         let classes = &settings.traffic_classes;
-        let longest_deadline = classes.iter().map(|class| class.deadline).max();
         let tightest_objective = classes
             .iter()
             .map(|class| class.facts.latency_objective)
@@ -141,7 +147,7 @@
             .mul_f64(HANDSHAKE_FRACTION)
             .max(REST_AFTER_ANSWER);
         RequestRouter {
-            control: control(&settings, seed),
+            control: decisions::control(&settings, seed),
             host_index: 0,
             config: ConfigFollower::declared(&settings),
             sharing: None,
@@ -170,7 +176,7 @@
             subscribers: BTreeMap::new(),
             metrics: MetricsCollector::default(),
             metrics_at: Duration::ZERO,
-            longest_deadline: longest_deadline.unwrap_or_default(),
+            longest_deadline: settings.longest_deadline(),
             endpoints_changed: false,
             discovery: DiscoveryLink::default(),
             former_discovery: None,
@@ -218,8 +224,8 @@
         self
     }
 
-    /// What discovery has to tell is known within `term`, also where calls fail; one may take `call`, its dial
-    /// included.
+    /// What discovery has to tell is known within `term`, also where calls fail; one may take
+    /// `call`, its dial included.
     pub fn with_poll_deadline(mut self, term: Duration, call: Duration) -> Self {
         self.poll_deadline = Some(PollDeadline::new(term, call, self.seed));
         self
@@ -283,8 +289,8 @@
         }
     }
 
-    /// Whether this process has just stood still: the caller then first reads what waits in its sockets, since answers
-    /// that came meanwhile must be heard before silence is judged.
+    /// Whether this process has just stood still: the caller then first reads what waits in its
+    /// sockets, since answers that came meanwhile must be heard before silence is judged.
     pub fn detect_pause(&mut self, now: Duration) -> bool {
         let paused = self.pauses.woke(self.requested_wake.max(self.now), now);
         if paused {
@@ -486,28 +492,5 @@
     }
 }
 
-fn control(settings: &Settings, seed: u64) -> Control {
-    let classes = settings.traffic_classes.iter();
-    let plans = settings.plans.iter();
-    let rules = &settings.rules;
-    Control::new(
-        seed,
-        classes.map(|class| class.facts.clone()).collect(),
-        plans.map(|plan| plan.facts.clone()).collect(),
-        settings.units.clone(),
-        settings.host_limits.clone(),
-    )
-    .with_rules(
-        rules.cold.clone(),
-        // Discovery is asked in either case: where it pushes, one watch is the asking.
-        DiscoveryPolicy {
-            polled: true,
-            poll_interval: settings.list.rule.poll_interval,
-        },
-        rules.attempts.clone(),
-        rules.key_rest,
-    )
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/host/src/router/attempts.rs
+++ b/crates/host/src/router/attempts.rs
@@ -47,7 +47,8 @@
         self.assign_waiting(node);
         let waits = |outstanding: &OutstandingAttempt| outstanding.conn.is_none();
         if self.wire_mode.is_exclusive() && self.attempts.get(&attempt).is_some_and(waits) {
-            // Until as many dials as may be made at a time have had theirs, it is the dial and not the node.
+            // Until as many dials as may be made at a time have had theirs, it is the dial and not
+            // the node.
             let at = now + self.handshake * (MAX_LATE_DIALS as u32 + 1);
             self.events.push(Event::AttemptSent { id, node, at });
         }
@@ -82,8 +83,8 @@
         self.pools.get(&node)?.waiting.front().copied()
     }
 
-    /// The connection that takes a node's next attempt; where all that could have to rest, the node is looked at again
-    /// when the first has.
+    /// The connection that takes a node's next attempt; where all that could have to rest, the node
+    /// is looked at again when the first has.
     fn emptiest_connection(&mut self, node: NodeId) -> Option<ConnId> {
         let capacity = self.bounds().attempts_per_connection;
         let mut emptiest = None;
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Revokes an attempt if it has not crossed; whether it now never will. One that is written in part takes its
-    /// connection with it, or its node would have the rest whenever it reads again.
+    /// Revokes an attempt if it has not crossed; whether it now never will. One that is written in
+    /// part takes its connection with it, or its node would have the rest whenever it reads again.
     pub(super) fn revoke(&mut self, attempt: AttemptId) -> bool {
         let Some(outstanding) = self.attempts.get(&attempt) else {
             return false;
@@ -288,8 +289,8 @@
         }
     }
 
-    /// The volume's usage everywhere, in percent of its plan's rate: as the node reported it, or as the peers know it
-    /// where that is more.
+    /// The volume's usage everywhere, in percent of its plan's rate: as the node reported it, or as
+    /// the peers know it where that is more.
     fn reported_usage(&self, id: RequestId, percent: f64) -> f64 {
         let (Some(sharing), Some(request)) = (&self.sharing, self.requests.get(&id)) else {
             return percent;
@@ -298,7 +299,8 @@
         percent.max(sharing.served_everywhere(self.now, request.message.volume) / rate * 100.0)
     }
 
-    /// Where a connection carries one exchange at a time, one that was given up ends with its attempt.
+    /// Where a connection carries one exchange at a time, one that was given up ends with its
+    /// attempt.
     fn close_after_attempt(&mut self, conn: Option<ConnId>, outcome: AttemptOutcome) {
         use AttemptOutcome::{Cancelled, TimedOut};
         let given_up = matches!(outcome, TimedOut | Cancelled);
@@ -353,8 +355,8 @@
         self.end_attempt(attempt, AttemptOutcome::Cancelled, self.now, None);
     }
 
-    /// Revokes all attempts to a node that have not crossed: what was decided before we heard of it must not cross
-    /// after.
+    /// Revokes all attempts to a node that have not crossed: what was decided before we heard of it
+    /// must not cross after.
     pub(super) fn revoke_attempts_to(&mut self, node: NodeId) {
         let Some(pool) = self.pools.get(&node) else {
             return;
--- a/crates/host/src/router/clients.rs
+++ b/crates/host/src/router/clients.rs
@@ -76,7 +76,8 @@
         let terms = match self.terms_of(&message) {
             Ok(terms) => terms,
             Err(Unserved::Invalid(reason)) => return self.disconnect(conn, reason),
-            // Its client may know less than we do of what changed, or more: it is told, and not disconnected.
+            // Its client may know less than we do of what changed, or more: it is told, and not
+            // disconnected.
             Err(Unserved::NotHere(placement)) => {
                 return self.reject_not_here(conn, message, placement)
             }
@@ -90,7 +91,8 @@
             return self.refuse(conn, message, refusal);
         }
         let left = Duration::from_micros(message.left_us).min(terms.class_deadline);
-        // What the frame waited on its way to us is gone from the client's time, as is what the answer needs.
+        // What the frame waited on its way to us is gone from the client's time, as is what the
+        // answer needs.
         let margin = self.settings.rules.answer_margin;
         let deadline = (at + left).saturating_sub(waited + margin);
         self.open_request(conn, message, &terms, at.saturating_sub(waited), deadline);
@@ -205,7 +207,8 @@
         placement: VolumePlacement,
     ) {
         self.counters.refused += 1;
-        // Elsewhere, or later, it may; of a volume that is no more there is nothing to come back for.
+        // Elsewhere, or later, it may; of a volume that is no more there is nothing to come back
+        // for.
         let outcome = match placement {
             VolumePlacement::Unknown => pb::Outcome::Failed,
             _ => pb::Outcome::Rejected,
@@ -254,7 +257,8 @@
         let may_still_run = request.may_still_run;
         let out = request.out.clone();
         self.count_finished(id, outcome);
-        // The answer says whether an effect may still come, so what can be revoked is revoked first.
+        // The answer says whether an effect may still come, so what can be revoked is revoked
+        // first.
         let (revoked, crossed): (Vec<AttemptId>, Vec<AttemptId>) =
             out.into_iter().partition(|attempt| self.revoke(*attempt));
         let unsure = outcome != pb::Outcome::Completed && (may_still_run || !crossed.is_empty());
@@ -286,7 +290,8 @@
         }
     }
 
-    /// After a request is answered: attempts of it that have not crossed never do, and its record goes with the last.
+    /// After a request is answered: attempts of it that have not crossed never do, and its record
+    /// goes with the last.
     pub(super) fn release_request(&mut self, id: RequestId) {
         let answered = self.requests.get(&id).filter(|request| request.answered);
         let Some(out) = answered.map(|request| request.out.clone()) else {
--- a/crates/host/src/router/configuration.rs
+++ b/crates/host/src/router/configuration.rs
@@ -1,5 +1,5 @@
-//! What the state service, operators and peers change: plans and volumes, drains, quotas of limits, and nodes that
-//! all hosts find bad.
+//! What the state service, operators and peers change: plans and volumes, drains, quotas of limits,
+//! and nodes that all hosts find bad.
 
 use super::{ConnId, Output, RequestRouter};
 use crate::config_follower::{ConfigAction, ConfigFollower};
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Tells the decisions what has changed of plans and volumes, and the disk and the service what they must know.
+    /// Tells the decisions what has changed of plans and volumes, and the disk and the service what
+    /// they must know.
     pub(super) fn follow_configuration(&mut self) {
         let mut last_number = self.last_number;
         let next_number = || {
@@ -87,9 +88,10 @@
         self.share_known_nodes();
     }
 
-    /// Quota that was leased to this host and ran out during a pause of the process ended then, and not now: the
-    /// decisions fill their buckets by the time that has gone by, and would do it by a rate that others have long had
-    /// again. Before anything is taken in, since what peers request counts from now on.
+    /// Quota that was leased to this host and ran out during a pause of the process ended then, and
+    /// not now: the decisions fill their buckets by the time that has gone by, and would do it by a
+    /// rate that others have long had again. Before anything is taken in, since what peers request
+    /// counts from now on.
     pub(super) fn expire_quota_leases(&mut self) {
         // Leases end one after the other; the last of them well within so many looks.
         for _ in 0..MAX_EXPIRIES_PER_STEP {
@@ -145,7 +147,8 @@
         sharing.is_some_and(|sharing| sharing.is_avoided(node))
     }
 
-    /// Tells the fleet's outlier detection which nodes the endpoint list and the operators have in use.
+    /// Tells the fleet's outlier detection which nodes the endpoint list and the operators have in
+    /// use.
     pub(super) fn share_known_nodes(&mut self) {
         let Some(sharing) = &mut self.sharing else {
             return;
@@ -167,7 +170,8 @@
         }
     }
 
-    /// These nodes are excluded, or no longer: the decisions hear of it as if the endpoint list had told.
+    /// These nodes are excluded, or no longer: the decisions hear of it as if the endpoint list had
+    /// told.
     fn apply_exclusions(
         &mut self,
         nodes: &[NodeId],
--- a/crates/host/src/router/discovery.rs
+++ b/crates/host/src/router/discovery.rs
@@ -67,8 +67,8 @@
         }
     }
 
-    /// Discovery answers elsewhere. Not a failure: the decisions keep what they have, and the new one is dialled at
-    /// once.
+    /// Discovery answers elsewhere. Not a failure: the decisions keep what they have, and the new
+    /// one is dialled at once.
     pub(super) fn discovery_moved(&mut self) {
         let before = std::mem::take(&mut self.discovery);
         if let (Some(conn), Some(outbox)) = (before.conn, before.outbox) {
@@ -105,7 +105,8 @@
         };
         for body in std::mem::take(&mut self.discovery.pending) {
             if let Body::Watch(watch) = &body {
-                // One that is open needs no second: its answer may be longer in coming than that of a call.
+                // One that is open needs no second: its answer may be longer in coming than that of
+                // a call.
                 let was_watching = std::mem::replace(&mut self.discovery.watching, watch.on);
                 if was_watching && watch.on {
                     continue;
@@ -117,16 +118,18 @@
         }
     }
 
-    /// A host that has no endpoints yet serves no request, and no term runs: it waits for a slow answer rather than
-    /// call again. Guards a start against a discovery that takes longer than a call may take later, which would never
-    /// be had. Harm: a call that is lost then is found so much later.
+    /// A host that has no endpoints yet serves no request, and no term runs: it waits for a slow
+    /// answer rather than call again. Guards a start against a discovery that takes longer than a
+    /// call may take later, which would never be had. Harm: a call that is lost then is found so
+    /// much later.
     fn discovery_timeout(&self) -> Duration {
         let served = !self.endpoints.nodes.is_empty();
         let poll_deadline = self.poll_deadline.as_ref().filter(|_| served);
         poll_deadline.map_or(self.bounds().patience, |deadline| deadline.call)
     }
 
-    /// Calls discovery where the decisions would wait for too long. What they ask for later finds the watch.
+    /// Calls discovery where the decisions would wait for too long. What they ask for later finds
+    /// the watch.
     pub(super) fn poll_before_deadline(&mut self, event: Option<poll_deadline::Event>) {
         let served = !self.endpoints.nodes.is_empty();
         let Some(poll_deadline) = self.poll_deadline.as_mut().filter(|_| served) else {
--- a/crates/host/src/router/node_connections.rs
+++ b/crates/host/src/router/node_connections.rs
@@ -1,4 +1,5 @@
-//! Connections to nodes: dials, what nodes send, and what becomes of attempts when a connection ends.
+//! Connections to nodes: dials, what nodes send, and what becomes of attempts when a connection
+//! ends.
 
 use super::types::{frame, NodeConnection};
 use super::{ConnId, Output, RequestRouter};
@@ -64,7 +65,8 @@
         response: pb::AttemptResponse,
     ) {
         let attempt = AttemptId(response.attempt);
-        // After its end, twice, of an attempt that was never sent, or of an earlier connection's: dropped.
+        // After its end, twice, of an attempt that was never sent, or of an earlier connection's:
+        // dropped.
         if !self.is_on(attempt, conn) {
             self.counters.stray_responses += 1;
             return;
@@ -104,7 +106,8 @@
     }
 
     pub(super) fn node_disconnected(&mut self, conn: ConnId) {
-        // Out of the pool before any attempt ends: an end lets others go, and they must not go here.
+        // Out of the pool before any attempt ends: an end lets others go, and they must not go
+        // here.
         let Some(connection) = self.conns.remove(&conn) else {
             return;
         };
@@ -149,8 +152,9 @@
         self.end_attempt(attempt, outcome, self.now, None);
     }
 
-    /// An attempt that was given to a connection whose end we had yet to hear of goes to another one, once: an end under
-    /// a connection that was idle says nothing of its node. Whether it does.
+    /// An attempt that was given to a connection whose end we had yet to hear of goes to another
+    /// one, once: an end under a connection that was idle says nothing of its node. Whether it
+    /// does.
     fn reassign(&mut self, attempt: AttemptId) -> bool {
         let now = self.now;
         let outstanding = self.attempts.get_mut(&attempt);
@@ -176,7 +180,8 @@
             let known = self.endpoints.nodes.get(&node);
             match (wanted, known.and_then(|known| known.address)) {
                 (PoolAction::Nothing, _) => {}
-                // Where there is no room for another, its attempts wait, and are swept if for too long.
+                // Where there is no room for another, its attempts wait, and are swept if for too
+                // long.
                 (PoolAction::Dial, Some(address)) => {
                     if self.make_room_for_dial() {
                         self.dial(node, address);
@@ -233,8 +238,8 @@
         });
     }
 
-    /// Whether there may be one more connection to nodes; where all are in use, the one that has been idle the longest
-    /// makes room.
+    /// Whether there may be one more connection to nodes; where all are in use, the one that has
+    /// been idle the longest makes room.
     fn make_room_for_dial(&mut self) -> bool {
         if self.conns.len() < self.bounds().node_connections {
             return true;
@@ -296,7 +301,8 @@
         self.health_checks.insert(probe, (node, conn));
     }
 
-    /// Ends dials that report nothing, for whatever reason: they must not keep their nodes' attempts waiting.
+    /// Ends dials that report nothing, for whatever reason: they must not keep their nodes'
+    /// attempts waiting.
     pub(super) fn end_lost_dials(&mut self) {
         let since = self.now.saturating_sub(self.bounds().dial_timeout * 2);
         let lost = |conn: &NodeConnection| !conn.is_up() && conn.idle_since < since;
--- a/crates/host/src/router/reporting.rs
+++ b/crates/host/src/router/reporting.rs
@@ -1,5 +1,5 @@
-//! What is done at every sweep: attempts and connections that have waited too long, and what is reported to the state
-//! service, to subscribers and to the disk.
+//! What is done at every sweep: attempts and connections that have waited too long, and what is
+//! reported to the state service, to subscribers and to the disk.
 
 use super::types::frame;
 use super::{ConnId, Output, RequestRouter};
@@ -34,7 +34,8 @@
 
     /// Ends attempts that have waited too long for their connection, or in its outbox.
     fn end_stale_attempts(&mut self) {
-        // Each end lets others go, maybe one that is listed here: only what is now revoked never crossed.
+        // Each end lets others go, maybe one that is listed here: only what is now revoked never
+        // crossed.
         for attempt in self.stale_attempts() {
             if !self.revoke(attempt) {
                 continue;
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -1,4 +1,5 @@
-//! What goes in and out of the router, and the records that it keeps of requests, attempts and connections.
+//! What goes in and out of the router, and the records that it keeps of requests, attempts and
+//! connections.
 
 use crate::outbox::{AttemptId, Outbox};
 use crate::pool::Pool;
@@ -230,13 +231,14 @@
 /// How a connection to a node is used, and who says on what terms a volume is served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum WireMode {
-    /// The host's own protocol: many attempts share a connection, and terms come from the settings or the state
-    /// service.
+    /// The host's own protocol: many attempts share a connection, and terms come from the settings
+    /// or the state service.
     #[default]
     Multiplexed,
-    /// The platform's: a connection carries one exchange at a time, and clients say with each request on what
-    /// terms its volume is served. An attempt that is given up takes its connection with it: what its node may yet
-    /// answer must not be read as the next attempt's, and a closed connection is the only way to call one off.
+    /// The platform's: a connection carries one exchange at a time, and clients say with each
+    /// request on what terms its volume is served. An attempt that is given up takes its connection
+    /// with it: what its node may yet answer must not be read as the next attempt's, and a closed
+    /// connection is the only way to call one off.
     Exclusive,
 }
 
@@ -282,7 +284,8 @@
     pub conn: Option<ConnId>,
     pub sent: Duration,
     pub deadline: Duration,
-    /// Its connection had ended before the attempt was given to it, and it has been given to another.
+    /// Its connection had ended before the attempt was given to it, and it has been given to
+    /// another.
     pub reassigned: bool,
 }
 
@@ -354,8 +357,8 @@
     pub answer_by: Option<Duration>,
 }
 
-/// Discovery's connection from before it moved, which is heard until the new one has answered: what it tells counts
-/// as told, and the new one may be long in coming.
+/// Discovery's connection from before it moved, which is heard until the new one has answered: what
+/// it tells counts as told, and the new one may be long in coming.
 #[derive(Debug)]
 pub(super) struct FormerDiscoveryLink {
     pub conn: ConnId,
--- a/crates/host/src/server.rs
+++ b/crates/host/src/server.rs
@@ -1,11 +1,12 @@
 //! The running host: its sockets, on `may` coroutines.
 //!
-//! One thread (`owner`) owns the [`RequestRouter`] and with it the decisions; it is no coroutine, since its clock must
-//! be right and `may`'s timers, kept by length, can lose one (docs/design/host.md). Each connection has one coroutine
-//! that reads and one that writes (`connection`); the `listener` and the dials (`dial`) have their own. Readers hand
-//! whole frames to the owner; the owner puts frames into outboxes, from which writers take them. So a peer that sends
-//! garbage, reads nothing or stands still blocks its own two coroutines and nobody else. Nothing here decides more than
-//! when to disconnect a peer that breaks the wire.
+//! One thread (`owner`) owns the [`RequestRouter`] and with it the decisions; it is no coroutine,
+//! since its clock must be right and `may`'s timers, kept by length, can lose one
+//! (docs/design/host.md). Each connection has one coroutine that reads and one that writes
+//! (`connection`); the `listener` and the dials (`dial`) have their own. Readers hand whole frames
+//! to the owner; the owner puts frames into outboxes, from which writers take them. So a peer that
+//! sends garbage, reads nothing or stands still blocks its own two coroutines and nobody else.
+//! Nothing here decides more than when to disconnect a peer that breaks the wire.
 //!
 //! [`RequestRouter`]: crate::router::RequestRouter
 
@@ -41,7 +42,8 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Numbers below are of connections that the router dials, from here on of those that the listener accepts.
+/// Numbers below are of connections that the router dials, from here on of those that the listener
+/// accepts.
 const FIRST_ACCEPTED: u64 = 1 << 48;
 /// How long a worker without events waits before it looks by itself.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
@@ -159,8 +161,8 @@
     }
 }
 
-/// A client inside this process: what it sends and gets passes no socket, but is recorded as if it did, so that the
-/// audit sees one host whatever its clients speak.
+/// A client inside this process: what it sends and gets passes no socket, but is recorded as if it
+/// did, so that the audit sees one host whatever its clients speak.
 pub struct LocalClient {
     conn: ConnId,
     outbox: Arc<Outbox>,
@@ -197,7 +199,8 @@
     }
 }
 
-/// Runs a host until its shutdown is complete. `started` gets the address that it listens on and a handle.
+/// Runs a host until its shutdown is complete. `started` gets the address that it listens on and a
+/// handle.
 pub fn run(options: Options, started: impl FnOnce(SocketAddr, Handle)) -> io::Result<Counters> {
     configure_workers(options.workers);
     let listener = TcpListener::bind(options.listen)?;
@@ -237,11 +240,13 @@
     may::config()
         .set_workers(workers.max(1))
         .set_stack_size(CONNECTION_STACK);
-    // Bound, as the runtime has it, the n-th worker of every host on a machine shares the n-th processor, and what
-    // keeps that one busy keeps all of them from hearing any peer, whatever the others do.
+    // Bound, as the runtime has it, the n-th worker of every host on a machine shares the n-th
+    // processor, and what keeps that one busy keeps all of them from hearing any peer, whatever the
+    // others do.
     may::config().set_worker_pin(false);
-    // A wake-up from the owner's thread is at times only seen when the worker polls again: with `may`'s own 10 ms that
-    // was the 99th percentile. Harm: an idle worker wakes a thousand times a second.
+    // A wake-up from the owner's thread is at times only seen when the worker polls again: with
+    // `may`'s own 10 ms that was the 99th percentile. Harm: an idle worker wakes a thousand times a
+    // second.
     may::config().set_timeout_ns(POLL_INTERVAL.as_nanos() as u64);
 }
 
--- a/crates/host/src/server/listener.rs
+++ b/crates/host/src/server/listener.rs
@@ -20,8 +20,8 @@
 
 /// Accepts connections until the process ends.
 pub(super) fn accept(listener: &TcpListener, shared: &Shared) {
-    // One descriptor is kept back: when all are used up, it lets a caller in to be closed, where a listener without
-    // one would spin on a caller that it can neither take nor refuse.
+    // One descriptor is kept back: when all are used up, it lets a caller in to be closed, where a
+    // listener without one would spin on a caller that it can neither take nor refuse.
     let mut spare = File::open("/dev/null").ok();
     loop {
         match listener.accept() {
--- a/crates/host/src/server/peers.rs
+++ b/crates/host/src/server/peers.rs
@@ -1,6 +1,8 @@
-//! Gossip to other hosts: one connection to each, opened when there is something to send and closed when there is not.
+//! Gossip to other hosts: one connection to each, opened when there is something to send and closed
+//! when there is not.
 //!
-//! Messages may be lost: one that cannot be written soon is of no use. Memory: [`MAX_QUEUED`] messages for each peer.
+//! Messages may be lost: one that cannot be written soon is of no use. Memory: [`MAX_QUEUED`]
+//! messages for each peer.
 
 use super::connection::{greet, ConnectionError};
 use super::Shared;
@@ -59,7 +61,8 @@
     }
 }
 
-/// Writes messages over one connection, until there is none for a while, or it cannot be written to.
+/// Writes messages over one connection, until there is none for a while, or it cannot be written
+/// to.
 fn write_messages(
     shared: &Shared,
     address: SocketAddr,
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -62,7 +62,8 @@
         Rig::of(RequestRouter::new(Arc::new(settings), 7))
     }
 
-    /// A desk whose connections to nodes carry one attempt at a time, and end with one that is given up.
+    /// A desk whose connections to nodes carry one attempt at a time, and end with one that is
+    /// given up.
     pub fn one_at_a_time(more: &str) -> Self {
         let one = "bounds(legs_per_connection = 1, linger = s(10), dial_timeout = s(10), patience = s(2))";
         let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{one}\n{more}"));
--- a/crates/host/tests/config_follower.rs
+++ b/crates/host/tests/config_follower.rs
@@ -115,9 +115,9 @@
     assert!(r.notes.iter().any(|n| n.contains("lease")), "{:?}", r.notes);
 }
 
-/// The feed stands still for a minute, on a connection that stays up, and then forty versions come in one
-/// answer: while it stands the host keeps to its part of the reservation, and then to the least that any of
-/// them says.
+/// The feed stands still for a minute, on a connection that stays up, and then forty versions come
+/// in one answer: while it stands the host keeps to its part of the reservation, and then to the
+/// least that any of them says.
 #[test]
 fn a_feed_that_stands_still_for_a_minute_and_then_brings_forty_versions() {
     let mut r = Rig::following("host(name = \"i\")");
@@ -171,9 +171,9 @@
     assert!(stable >= 30, "{stable}");
 }
 
-/// A drain that somebody asks for: nothing new crosses, what lies in a send buffer does not, and the service
-/// hears what is still under way. What the list says of it meanwhile changes nothing, nor does a restart with
-/// what was kept.
+/// A drain that somebody asks for: nothing new crosses, what lies in a send buffer does not, and
+/// the service hears what is still under way. What the list says of it meanwhile changes nothing,
+/// nor does a restart with what was kept.
 #[test]
 fn a_node_that_somebody_wants_empty() {
     let mut r = Rig::following("");
--- a/crates/host/tests/exclusive_connections.rs
+++ b/crates/host/tests/exclusive_connections.rs
@@ -1,5 +1,5 @@
-//! Attempts, connections and lists that end while something is still owed: where a connection carries one attempt at
-//! a time, and where the list moves.
+//! Attempts, connections and lists that end while something is still owed: where a connection
+//! carries one attempt at a time, and where the list moves.
 
 mod common;
 use common::*;
@@ -9,7 +9,8 @@
 use pb::NodeState::{Draining, Ready};
 use pb::Outcome::{Completed, Failed, Rejected};
 
-/// What was written of it is in the node's hands, and the rest would follow whenever the node reads again.
+/// What was written of it is in the node's hands, and the rest would follow whenever the node reads
+/// again.
 #[test]
 fn an_attempt_written_in_part_never_crosses_whatever_ends_it() {
     type Case = (&'static str, fn(&mut Rig), &'static [(u8, pb::Outcome)]);
@@ -54,7 +55,8 @@
     }
 }
 
-/// A node may end a connection that stands idle just as an attempt is given to it: that says nothing of the node.
+/// A node may end a connection that stands idle just as an attempt is given to it: that says
+/// nothing of the node.
 #[test]
 fn an_attempt_given_to_a_connection_that_has_ended_goes_to_another_one_once() {
     let mut r = Rig::one_at_a_time("legs(most = 2)");
@@ -176,7 +178,8 @@
     assert!(waited <= ms(600), "{waited:?}, as after a first failure");
 }
 
-/// Nodes that the list tells to be another process, or gone, have no connection that leads anywhere.
+/// Nodes that the list tells to be another process, or gone, have no connection that leads
+/// anywhere.
 #[test]
 fn idle_connections_go_with_the_process_they_led_to() {
     for state in [Ready, pb::NodeState::Gone] {
@@ -192,7 +195,8 @@
     }
 }
 
-/// A dial is up after its request, its node or the process it was meant for is gone: no attempt goes there.
+/// A dial is up after its request, its node or the process it was meant for is gone: no attempt
+/// goes there.
 #[test]
 fn a_dial_that_is_up_late_carries_nothing_to_what_it_was_not_meant_for() {
     type Case = (&'static str, fn(&mut Rig), bool);
@@ -266,7 +270,8 @@
     assert!(!r.router.is_open(&[1; 36]));
 }
 
-/// A third of the connections came up late, and whatever a host had for their nodes waited behind one dial.
+/// A third of the connections came up late, and whatever a host had for their nodes waited behind
+/// one dial.
 #[test]
 fn an_attempt_does_not_wait_for_a_late_dial_alone() {
     let mut r = Rig::one_at_a_time("");
--- a/crates/host/tests/explore.rs
+++ b/crates/host/tests/explore.rs
@@ -1,7 +1,7 @@
-//! Random walks through what clients, nodes, list and time can do to a desk, each from its seed, with what
-//! must hold in every one: one answer for each request, before its deadline; nothing crosses after the answer,
-//! nor to a node that drains; a non-idempotent request never crosses again once it may have run; nothing is
-//! kept.
+//! Random walks through what clients, nodes, list and time can do to a desk, each from its seed,
+//! with what must hold in every one: one answer for each request, before its deadline; nothing
+//! crosses after the answer, nor to a node that drains; a non-idempotent request never crosses
+//! again once it may have run; nothing is kept.
 
 mod common;
 use bytes::Bytes;
--- a/crates/host/tests/poll_deadline.rs
+++ b/crates/host/tests/poll_deadline.rs
@@ -1,5 +1,6 @@
-//! Between the beginnings of three calls in a row lies less than the term, whatever the calls themselves take
-//! and however long the decisions would wait; and failures that come fast are left to the decisions.
+//! Between the beginnings of three calls in a row lies less than the term, whatever the calls
+//! themselves take and however long the decisions would wait; and failures that come fast are left
+//! to the decisions.
 
 use grebecleat_host::poll_deadline::{Action, Event, PollDeadline};
 use rand::{Rng, SeedableRng};
@@ -16,10 +17,12 @@
 const WATCH: Duration = ms(3050);
 const WAIT: Duration = ms(2250);
 
-/// What failures of given spans are followed by, when nobody else calls: by when the next call was made.
+/// What failures of given spans are followed by, when nobody else calls: by when the next call was
+/// made.
 #[test]
 fn a_call_is_made_by_the_latest_time_that_leaves_room_for_one_more() {
-    // Failures after the last word, each with its beginning and end; from when to when the next call is made.
+    // Failures after the last word, each with its beginning and end; from when to when the next
+    // call is made.
     type Case = (&'static str, &'static [(u64, u64)], (u64, u64));
     let cases: [Case; 5] = [
         ("a watch fell silent", &[(0, 3050)], (3200, 3550)),
--- a/crates/host/tests/quota_sharing.rs
+++ b/crates/host/tests/quota_sharing.rs
@@ -134,7 +134,8 @@
         rate > 80.0,
         "{rate} units a second of 100, with a peer that asks for nothing"
     );
-    // Three seconds, of which the loan had at most one left: 94 units for that one, and 50 for each of the rest.
+    // Three seconds, of which the loan had at most one left: 94 units for that one, and 50 for each
+    // of the rest.
     p.rig.now += ms(3000);
     let before = p.sent;
     (0..80).for_each(|_| p.take(8.0));
--- a/crates/host/tests/router.rs
+++ b/crates/host/tests/router.rs
@@ -1,4 +1,5 @@
-//! The hard cases between decisions and sockets, each caused without a socket: the test is the network.
+//! The hard cases between decisions and sockets, each caused without a socket: the test is the
+//! network.
 
 mod common;
 use bytes::Bytes;
@@ -41,7 +42,8 @@
         if let Some(conn) = conn {
             assert_eq!(r.attempts(conn).len(), 0);
         }
-        // The decisions know that it never ran: the non-idempotent request is deferred, not abandoned.
+        // The decisions know that it never ran: the non-idempotent request is deferred, not
+        // abandoned.
         assert_eq!(
             (r.finals(), r.router.counters().unsent),
             (vec![(1, Rejected)], 1)
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -32,7 +32,8 @@
     Arc::new(Settings::read("sockets.star".as_ref(), SETTINGS.into()).expect("good settings"))
 }
 
-/// A list, node 1 and a host; node 2 is the caller's to play. Answers where the list and the host listen.
+/// A list, node 1 and a host; node 2 is the caller's to play. Answers where the list and the host
+/// listen.
 fn start() -> (SocketAddr, SocketAddr, Handle) {
     let settings = peer_settings();
     let stage = Stage {
@@ -160,7 +161,8 @@
     }
 }
 
-/// What a peer is left with once the host has hung up on it; nothing may be read before that but a greeting.
+/// What a peer is left with once the host has hung up on it; nothing may be read before that but a
+/// greeting.
 fn hung_up(mut s: TcpStream) {
     s.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
     let mut bytes = Vec::new();
--- a/crates/iscsi/src/chap.rs
+++ b/crates/iscsi/src/chap.rs
@@ -1,9 +1,9 @@
 //! CHAP (RFC 1994), as iSCSI uses it in the security stage (RFC 7143, section 12.1.3).
 //!
-//! The response is the hash over the identifier, the secret and the challenge. Secrets of under 12 bytes are
-//! refused (section 9.2.1: at least 96 bits of randomness). A target that authenticates itself must not
-//! answer with a secret that the initiator could have used to be answered its own challenge: reflections are
-//! refused.
+//! The response is the hash over the identifier, the secret and the challenge. Secrets of under 12
+//! bytes are refused (section 9.2.1: at least 96 bits of randomness). A target that authenticates
+//! itself must not answer with a secret that the initiator could have used to be answered its own
+//! challenge: reflections are refused.
 
 use md5::Md5;
 use sha2::{Digest, Sha256};
--- a/crates/iscsi/src/keys.rs
+++ b/crates/iscsi/src/keys.rs
@@ -1,7 +1,8 @@
 //! Text keys and their negotiation (RFC 7143, sections 6.1, 6.2 and 13).
 //!
-//! [`TABLE`] stands beside section 13: for each key its kind, its range, its result function and where it may
-//! be used. [`Negotiation`] answers an initiator's offers by that table and keeps what is agreed.
+//! [`TABLE`] stands beside section 13: for each key its kind, its range, its result function and
+//! where it may be used. [`Negotiation`] answers an initiator's offers by that table and keeps what
+//! is agreed.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -432,8 +433,8 @@
         }
     }
 
-    /// Answers one offered pair: what to send back, if anything is due. Reserved words in answer to an offer
-    /// of ours are for whoever made the offer, not for here.
+    /// Answers one offered pair: what to send back, if anything is due. Reserved words in answer to
+    /// an offer of ours are for whoever made the offer, not for here.
     pub fn offer(&mut self, name: &str, value: &str) -> Result<Option<(String, String)>, KeyFault> {
         let said = |v: &str| Ok(Some((name.to_string(), v.to_string())));
         if !self.seen.insert(name.to_string()) {
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -1,11 +1,12 @@
 //! The login phase of one connection, target side (RFC 7143, sections 6.3 and 11.12, 11.13).
 //!
-//! [`Login::request`] takes each login request and answers the response and where the login stands. The
-//! stages and the transitions between them are [`MAY_MOVE`]; whatever is not in it is an initiator error.
-//! Secrets and names come from [`Target`]s; challenges from the caller, who has the source of chance.
+//! [`Login::request`] takes each login request and answers the response and where the login stands.
+//! The stages and the transitions between them are [`MAY_MOVE`]; whatever is not in it is an
+//! initiator error. Secrets and names come from [`Target`]s; challenges from the caller, who has
+//! the source of chance.
 //!
-//! A login that never ends is the caller's to cut off, by time and by how many are open; here each is bounded
-//! in text ([`MAX_TEXT`]) and in requests ([`MAX_REQUESTS`]).
+//! A login that never ends is the caller's to cut off, by time and by how many are open; here each
+//! is bounded in text ([`MAX_TEXT`]) and in requests ([`MAX_REQUESTS`]).
 
 use crate::chap::{from_text, same, to_text, Algorithm};
 use crate::keys::{format, parse, KeyFault, Negotiation, Params, Wishes, MAX_TEXT};
@@ -157,8 +158,8 @@
         }
     }
 
-    /// Answers one login request. `chance` is 17 bytes of it, new for each call; `stat_sn`, `exp_cmd_sn` and
-    /// `max_cmd_sn` go into the response.
+    /// Answers one login request. `chance` is 17 bytes of it, new for each call; `stat_sn`,
+    /// `exp_cmd_sn` and `max_cmd_sn` go into the response.
     pub fn request(
         &mut self,
         pdu: &Pdu,
@@ -260,7 +261,8 @@
             Stage::Security => self.secure(&pairs, chance)?,
             _ => self.operate(&pairs)?,
         };
-        // Nobody passes the security stage who has not proven what is asked, and nobody passes by it.
+        // Nobody passes the security stage who has not proven what is asked, and nobody passes by
+        // it.
         if (to.is_some() || self.stage == Stage::Operational) && !self.is_proven() {
             let settled = !matches!(self.chap, Chap::Agreed | Chap::Challenged { .. });
             if to.is_none() || settled {
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -1,9 +1,9 @@
 //! Protocol data units (RFC 7143, section 11).
 //!
-//! A PDU is a basic header segment of 48 bytes, additional header segments, a header digest, data padded to
-//! four bytes, and a data digest. Numbers are big-endian. [`Reader`] takes bytes as they come and gives whole
-//! PDUs; a length is judged before anything is kept for it. Digests are CRC32C (section 13.1), sent least
-//! byte first as in the standard's examples (RFC 3720, appendix B.4).
+//! A PDU is a basic header segment of 48 bytes, additional header segments, a header digest, data
+//! padded to four bytes, and a data digest. Numbers are big-endian. [`Reader`] takes bytes as they
+//! come and gives whole PDUs; a length is judged before anything is kept for it. Digests are CRC32C
+//! (section 13.1), sent least byte first as in the standard's examples (RFC 3720, appendix B.4).
 
 use bytes::{Buf, Bytes, BytesMut};
 use std::{fmt, io};
@@ -69,8 +69,8 @@
 /// The initiator task tag that stands for none (section 11.2.1.8).
 pub const NO_TAG: u32 = 0xffff_ffff;
 
-/// A basic header segment as its 48 bytes, with its fields by name. Fields that several PDUs place alike have
-/// one accessor; what they mean in each is for the state machines.
+/// A basic header segment as its 48 bytes, with its fields by name. Fields that several PDUs place
+/// alike have one accessor; what they mean in each is for the state machines.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Header(pub [u8; BHS]);
 
@@ -276,7 +276,8 @@
 pub enum Fault {
     /// Nothing after it can be found: the connection ends (section 7.7).
     HeaderDigest,
-    /// The PDU is whole but its data is not what was sent (section 7.8): its header tells what to do.
+    /// The PDU is whole but its data is not what was sent (section 7.8): its header tells what to
+    /// do.
     DataDigest(Header),
     /// More data than was declared as MaxRecvDataSegmentLength, or than this reader ever takes.
     TooLong { length: usize, most: usize },
@@ -320,7 +321,8 @@
     write_tail(pdu, digests, to);
 }
 
-/// What stands before a PDU's data. Who writes head, data and tail one by one needs no copy of the data.
+/// What stands before a PDU's data. Who writes head, data and tail one by one needs no copy of the
+/// data.
 pub fn write_head(pdu: &Pdu, digests: Digests, to: &mut Vec<u8>) {
     let ahs = padded(pdu.ahs.len());
     let mut header = pdu.header.0;
@@ -371,7 +373,8 @@
         self.held.extend_from_slice(bytes);
     }
 
-    /// Reads once from a stream, straight to where the PDU is put together; answers how many bytes came.
+    /// Reads once from a stream, straight to where the PDU is put together; answers how many bytes
+    /// came.
     pub fn fill(&mut self, from: &mut impl io::Read) -> io::Result<usize> {
         let held = self.held.len();
         let header = self.held.first_chunk::<BHS>().map(|h| Header(*h));
@@ -391,8 +394,8 @@
         self.held.len()
     }
 
-    /// The next whole PDU; None until more bytes have come. A data digest fault has taken its PDU off, so
-    /// that reading can go on; after any other fault it cannot.
+    /// The next whole PDU; None until more bytes have come. A data digest fault has taken its PDU
+    /// off, so that reading can go on; after any other fault it cannot.
     #[allow(clippy::should_implement_trait)]
     pub fn next(&mut self) -> Result<Option<Pdu>, Fault> {
         let Some(first) = self.held.first_chunk::<BHS>() else {
--- a/crates/iscsi/src/reservations.rs
+++ b/crates/iscsi/src/reservations.rs
@@ -1,7 +1,8 @@
 //! Persistent reservations of one logical unit (SPC-4, 5.13).
 //!
-//! Registrations and the one reservation, and what each nexus may do under it. `Nexus` is an I_T nexus as its
-//! owner names it. Registrants of a nexus that is gone stay: a reservation outlives sessions.
+//! Registrations and the one reservation, and what each nexus may do under it. `Nexus` is an I_T
+//! nexus as its owner names it. Registrants of a nexus that is gone stay: a reservation outlives
+//! sessions.
 
 use crate::scsi::{Command, Sense};
 use std::collections::{BTreeMap, BTreeSet};
@@ -140,7 +141,8 @@
             return check(Sense::INVALID_FIELD_IN_CDB);
         }
         let own = self.keys.get(&who).copied();
-        // REGISTER AND IGNORE EXISTING KEY asks for no key, all others for the one that is registered.
+        // REGISTER AND IGNORE EXISTING KEY asks for no key, all others for the one that is
+        // registered.
         if action != 6 && own.unwrap_or(0) != key {
             return Err(Refused::Conflict);
         }
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -1,8 +1,8 @@
 //! SCSI commands of a disk, as bytes and as what they ask (SPC-4, SBC-3, SAM-5).
 //!
 //! [`decode`] reads a command descriptor block into a [`Command`] or the sense that refuses it;
-//! [`Unit::answer`] answers those that need no data of the disk (INQUIRY and its pages, capacity, mode pages,
-//! ...). What reads and writes mean for a gateway is not decided here.
+//! [`Unit::answer`] answers those that need no data of the disk (INQUIRY and its pages, capacity,
+//! mode pages, ...). What reads and writes mean for a gateway is not decided here.
 
 /// Status codes (SAM-5, table 31).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -56,7 +56,8 @@
     pub const PROTOCOL_CRC: Sense = sense(0xb, 0x47, 0x05);
     pub const UNEXPECTED_UNSOLICITED_DATA: Sense = sense(0xb, 0x0c, 0x0c);
     pub const NOT_ENOUGH_UNSOLICITED_DATA: Sense = sense(0xb, 0x0c, 0x0d);
-    /// ABORTED COMMAND, COMMAND TIMEOUT DURING PROCESSING DUE TO ERROR RECOVERY: the outcome is not known.
+    /// ABORTED COMMAND, COMMAND TIMEOUT DURING PROCESSING DUE TO ERROR RECOVERY: the outcome is not
+    /// known.
     pub const OUTCOME_UNKNOWN: Sense = sense(0xb, 0x2e, 0x02);
     pub const WRITE_ERROR: Sense = sense(0x3, 0x0c, 0x00);
     pub const MISCOMPARE: Sense = sense(0xe, 0x1d, 0x00);
@@ -79,7 +80,8 @@
         b
     }
 
-    /// Descriptor format (SPC-4, 4.5.2), with an information descriptor where there is something to tell.
+    /// Descriptor format (SPC-4, 4.5.2), with an information descriptor where there is something to
+    /// tell.
     pub fn descriptor(&self) -> Vec<u8> {
         let mut b = vec![0x72, self.key, self.asc, self.ascq, 0, 0, 0, 0];
         if let Some(i) = self.information {
@@ -91,8 +93,8 @@
     }
 }
 
-/// The status qualifier of BUSY (SAM-5, 5.3.2): for this initiator at this unit (scope 0), how long to wait
-/// in steps of 100 ms, upwards; 0 tells nothing.
+/// The status qualifier of BUSY (SAM-5, 5.3.2): for this initiator at this unit (scope 0), how long
+/// to wait in steps of 100 ms, upwards; 0 tells nothing.
 ///
 /// ```
 /// use grebecleat_iscsi::scsi::retry_delay;
@@ -250,7 +252,8 @@
             if blocks == 0 { 256 } else { blocks },
         )
     };
-    // The group in an operation code tells how long its block is, and so where block and length stand.
+    // The group in an operation code tells how long its block is, and so where block and length
+    // stand.
     let range = || match cdb[0] >> 5 {
         4 => (be(&cdb[2..10]), len16),
         5 => (be(&cdb[2..6]), be(&cdb[6..10])),
@@ -405,7 +408,8 @@
 const PAGES: [u8; 6] = [0x00, 0x80, 0x83, 0xb0, 0xb1, 0xb2];
 
 impl Unit {
-    /// Whether a command stays inside the disk (SBC-3, 4.5); a length of none is no fault at the end itself.
+    /// Whether a command stays inside the disk (SBC-3, 4.5); a length of none is no fault at the
+    /// end itself.
     pub fn within(&self, lba: u64, blocks: u64) -> Result<(), Sense> {
         match lba.checked_add(blocks) {
             Some(end) if end <= self.blocks => Ok(()),
@@ -413,8 +417,8 @@
         }
     }
 
-    /// Answers a command that needs nothing but this; None for one that does. `luns` lists the units of the
-    /// target for REPORT LUNS, `pending` is what REQUEST SENSE tells.
+    /// Answers a command that needs nothing but this; None for one that does. `luns` lists the
+    /// units of the target for REPORT LUNS, `pending` is what REQUEST SENSE tells.
     pub fn answer(
         &self,
         command: &Command,
--- a/crates/iscsi/src/session.rs
+++ b/crates/iscsi/src/session.rs
@@ -1,12 +1,13 @@
 //! The full feature phase of one session, target side (RFC 7143, sections 4.2, 7 and 11).
 //!
-//! Called with each PDU of each of its connections and with what became of its tasks; answers [`Act`]s. It
-//! keeps commands in CmdSN order over all connections, gathers the data of writes (immediate, unsolicited,
-//! solicited), splits that of reads, numbers and keeps responses until they are acknowledged, and carries out
-//! task management. What a command means is the device's, to which [`Act::Start`] hands it whole.
+//! Called with each PDU of each of its connections and with what became of its tasks; answers
+//! [`Act`]s. It keeps commands in CmdSN order over all connections, gathers the data of writes
+//! (immediate, unsolicited, solicited), splits that of reads, numbers and keeps responses until
+//! they are acknowledged, and carries out task management. What a command means is the device's, to
+//! which [`Act::Start`] hands it whole.
 //!
-//! Memory: commands wait within the window; a write's data is kept up to [`Limits::max_data`]; a response
-//! and a read's data are kept until ExpStatSN acknowledges them.
+//! Memory: commands wait within the window; a write's data is kept up to [`Limits::max_data`]; a
+//! response and a read's data are kept until ExpStatSN acknowledges them.
 
 use crate::keys::{parse, Params};
 use crate::pdu::{Fault, Header, Opcode, Pdu, NO_TAG};
@@ -283,9 +284,9 @@
         self.window.room()
     }
 
-    /// So many tasks may be open from here on. An initiator that sits before a closed window, with nothing on
-    /// its way to it that could tell it otherwise, is told by a NOP-In that asks for no answer (section
-    /// 11.19).
+    /// So many tasks may be open from here on. An initiator that sits before a closed window, with
+    /// nothing on its way to it that could tell it otherwise, is told by a NOP-In that asks for no
+    /// answer (section 11.19).
     pub fn allow(&mut self, tasks: u32) -> Vec<Act> {
         self.allowance = tasks;
         let closed = self.window.room() == 0;
@@ -301,8 +302,8 @@
         std::mem::take(&mut self.acts)
     }
 
-    /// Every response tells how many more commands may come: what is allowed less what is open. Commands that
-    /// wait for an earlier one are inside the window still.
+    /// Every response tells how many more commands may come: what is allowed less what is open.
+    /// Commands that wait for an earlier one are inside the window still.
     fn regrant(&mut self) {
         let open = self.tasks.len().saturating_sub(self.window.waiting()) as u32;
         self.window.grant(self.allowance.saturating_sub(open));
@@ -406,7 +407,8 @@
             return self.reject(cid, Reason::Protocol, &h);
         }
         let sn = Sn(h.cmd_sn());
-        // A repeat of a command that came already is the same command (section 7.2.1), and says nothing new.
+        // A repeat of a command that came already is the same command (section 7.2.1), and says
+        // nothing new.
         if !h.immediate() && (sn.before(self.window.expected()) || self.window.most().before(sn)) {
             return;
         }
@@ -464,8 +466,8 @@
         };
         let first = params.first_burst.min(length);
         let came = immediate.len() as u32;
-        // More than was agreed on, or data of a command that writes nothing, ends the command (section
-        // 11.3.4).
+        // More than was agreed on, or data of a command that writes nothing, ends the command
+        // (section 11.3.4).
         let wrong = (came > 0 && (!params.immediate_data || !writes || came > first))
             || (!is_final && (params.initial_r2t || !writes));
         if wrong {
@@ -613,8 +615,9 @@
         }
     }
 
-    /// A PDU whose data was damaged (section 7.8). Of Data-Out, the lost range is asked for again where
-    /// recovery within a command was agreed on; else its command ends. All else the initiator sends again.
+    /// A PDU whose data was damaged (section 7.8). Of Data-Out, the lost range is asked for again
+    /// where recovery within a command was agreed on; else its command ends. All else the initiator
+    /// sends again.
     fn damaged(&mut self, cid: Cid, h: Header) {
         self.reject(cid, Reason::DataDigest, &h);
         if h.opcode() != Some(Opcode::DataOut) {
@@ -643,7 +646,8 @@
         self.advance(h.itt());
     }
 
-    /// A device's answer. One to a task that is being aborted, or is unknown, says only that it has ended.
+    /// A device's answer. One to a task that is being aborted, or is unknown, says only that it has
+    /// ended.
     pub fn done(&mut self, task: TaskNo, outcome: Outcome) -> Vec<Act> {
         if let Some(itt) = self.tags.get(&task).copied() {
             match self.tasks.get(&itt).map(|t| &t.state) {
@@ -697,7 +701,8 @@
         let sent = outcome
             .data
             .slice(..outcome.data.len().min(wanted as usize));
-        // What was expected and what there was (section 11.4.5): of reads the data, of writes all of it.
+        // What was expected and what there was (section 11.4.5): of reads the data, of writes all
+        // of it.
         let moved = if t.reads() || !good {
             outcome.data.len() as u64
         } else {
@@ -819,8 +824,8 @@
         self.respond(cid, Pdu::new(header, Bytes::new()));
     }
 
-    /// Task management (sections 11.5 and 11.6). The response waits until the tasks have ended at the device:
-    /// an initiator that has it may rely on nothing of them being done any more.
+    /// Task management (sections 11.5 and 11.6). The response waits until the tasks have ended at
+    /// the device: an initiator that has it may rely on nothing of them being done any more.
     fn manage(&mut self, cid: Cid, h: &Header) {
         let (lun, tag) = (h.lun(), h.ttt());
         let (why, reset) = match h.flags() & 0x7f {
--- a/crates/iscsi/src/window.rs
+++ b/crates/iscsi/src/window.rs
@@ -1,8 +1,9 @@
 //! Command numbering and the command window (RFC 7143, section 4.2.2.1).
 //!
-//! An initiator numbers its commands over all connections of a session; the target delivers them in that
-//! order and tells by ExpCmdSN and MaxCmdSN which it is ready for. Numbers wrap; they are compared by serial
-//! arithmetic (RFC 1982). Memory: at most a window's worth of commands wait for an earlier one.
+//! An initiator numbers its commands over all connections of a session; the target delivers them in
+//! that order and tells by ExpCmdSN and MaxCmdSN which it is ready for. Numbers wrap; they are
+//! compared by serial arithmetic (RFC 1982). Memory: at most a window's worth of commands wait for
+//! an earlier one.
 
 use std::collections::BTreeMap;
 
@@ -76,7 +77,8 @@
         self.most.plus(1).since(self.expected)
     }
 
-    /// The target is ready for so many commands from the expected one on; what was granted stays granted.
+    /// The target is ready for so many commands from the expected one on; what was granted stays
+    /// granted.
     pub fn grant(&mut self, size: u32) {
         let most = self.expected.plus(size).plus(u32::MAX);
         if self.most.before(most) {
--- a/crates/iscsi/tests/login.rs
+++ b/crates/iscsi/tests/login.rs
@@ -1,4 +1,5 @@
-//! Logins as initiators do them, and as they must not: each row of the tables is one whole login or offer.
+//! Logins as initiators do them, and as they must not: each row of the tables is one whole login or
+//! offer.
 
 use grebecleat_iscsi::chap::{from_text, to_text, Algorithm};
 use grebecleat_iscsi::keys::{format, parse, KeyFault, Negotiation, Params, Wishes, MAX_TEXT};
--- a/crates/iscsi/tests/pdus.rs
+++ b/crates/iscsi/tests/pdus.rs
@@ -1,4 +1,5 @@
-//! PDUs cut anywhere come out whole; damage is told where the standard wants it told; noise never panics.
+//! PDUs cut anywhere come out whole; damage is told where the standard wants it told; noise never
+//! panics.
 
 use grebecleat_iscsi::login::{Login, Portal};
 use grebecleat_iscsi::pdu::{write, Digests, Fault, Header, Opcode, Pdu, Reader};
--- a/crates/iscsi/tests/session.rs
+++ b/crates/iscsi/tests/session.rs
@@ -323,7 +323,8 @@
     let h = r.header(7, WRITE, 4096);
     r.hear(C1, Pdu::new(h, Bytes::new()));
     assert_eq!(r.status(), (check, 0x0c, 0x0c));
-    // Beyond the burst, out of order, misnumbered, of a burst nobody asked for, short of what was asked.
+    // Beyond the burst, out of order, misnumbered, of a burst nobody asked for, short of what was
+    // asked.
     let cases: [(u32, u32, usize, bool, bool); 5] = [
         (0, 0, 5000, true, true),
         (0, 10, 100, true, true),
@@ -607,7 +608,8 @@
     r.sn -= 1;
     r.command(3, READ, 8, &[]);
     assert_eq!((r.started().len(), r.s.sns()), (1, (4, 4)));
-    // Every response grants what its task leaves, until nothing is allowed any more; what was granted stays.
+    // Every response grants what its task leaves, until nothing is allowed any more; what was
+    // granted stays.
     r.s.allow(1);
     let most: Vec<u32> = (1..=3)
         .map(|task| {
@@ -720,8 +722,8 @@
     );
 }
 
-/// Whole sessions of malformed and reordered PDUs, seeded: whatever comes, no more good statuses go out than
-/// the device gave, and nothing stays behind at the device.
+/// Whole sessions of malformed and reordered PDUs, seeded: whatever comes, no more good statuses go
+/// out than the device gave, and nothing stays behind at the device.
 #[test]
 fn noise_over_whole_sessions() {
     for seed in 0..300 {
--- a/crates/membership/tests/drains.rs
+++ b/crates/membership/tests/drains.rs
@@ -19,8 +19,8 @@
 const H2: HostNumber = HostNumber(1);
 const WALL: u64 = 1_000_000;
 
-/// Two hosts, four nodes in two zones, and a catalog that takes whatever is proposed, unless it is told not
-/// to.
+/// Two hosts, four nodes in two zones, and a catalog that takes whatever is proposed, unless it is
+/// told not to.
 struct Fixture {
     membership: Membership,
     now: Duration,
@@ -440,8 +440,8 @@
         fixture.status_and_phase(1),
         (NodeStatus::Removed, Some(Phase::Removed))
     );
-    // The other host's list is late, and then the box is put back: nobody sends it anything before it is
-    // returned.
+    // The other host's list is late, and then the box is put back: nobody sends it anything before
+    // it is returned.
     fixture.report(H2, 1, |_| ());
     assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Removed);
     fixture.wait(s(60));
@@ -557,7 +557,8 @@
     );
 }
 
-/// A host that is cut off holds a drain up, since it may send on what it knew, until somebody answers for it.
+/// A host that is cut off holds a drain up, since it may send on what it knew, until somebody
+/// answers for it.
 #[test]
 fn a_host_that_is_not_heard_of() {
     let mut fixture = Fixture::new();
@@ -580,7 +581,8 @@
     fixture.step(vec![Event::HostDisconnected { host: H2 }]);
     assert_eq!(fixture.phase(1), quiescing(0, 1, 6));
     fixture.wait(s(5));
-    // Found by the explorer: cut off, it went on sending, and died only just before its next process came.
+    // Found by the explorer: cut off, it went on sending, and died only just before its next
+    // process came.
     fixture.step(vec![Event::HostConnected {
         host: H2,
         incarnation: 2,
@@ -616,8 +618,8 @@
     assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Drained);
 }
 
-/// Found by the explorer: what an earlier process of a host counted was taken for what the next one had out,
-/// which had started without the drain, sent, and then followed it.
+/// Found by the explorer: what an earlier process of a host counted was taken for what the next one
+/// had out, which had started without the drain, sent, and then followed it.
 #[test]
 fn what_an_earlier_process_counted_says_nothing_of_the_next() {
     let mut fixture = Fixture::new();
@@ -741,7 +743,8 @@
     }
 }
 
-/// What was asked of the catalog when something else committed first counts for nothing, and is asked anew.
+/// What was asked of the catalog when something else committed first counts for nothing, and is
+/// asked anew.
 #[test]
 fn an_answer_that_comes_too_late_is_not_mistaken() {
     let mut fixture = Fixture::new();
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -1,9 +1,10 @@
-//! All that can happen to drains of two nodes of one zone, explored: two operators, one of whom may have
-//! looked at an older state, hosts that follow, keep and say so in steps of their own, observations that come late,
-//! a list that lags, attempts that end in time or without a word, hosts and a state service that die and start
-//! anew, ways that are cut, nodes that restart. In every state the invariants of [`World::check`] hold, and
-//! from a sample of them, once nothing goes wrong any more, every drain that goes comes to be empty. Worlds
-//! with a fault planted on purpose must show it.
+//! All that can happen to drains of two nodes of one zone, explored: two operators, one of whom may
+//! have looked at an older state, hosts that follow, keep and say so in steps of their own,
+//! observations that come late, a list that lags, attempts that end in time or without a word,
+//! hosts and a state service that die and start anew, ways that are cut, nodes that restart. In
+//! every state the invariants of [`World::check`] hold, and from a sample of them, once nothing
+//! goes wrong any more, every drain that goes comes to be empty. Worlds with a fault planted on
+//! purpose must show it.
 //!
 //! Attempts go to the first node alone: nodes meet only in what their drains may coincide with.
 
@@ -754,7 +755,8 @@
         .for_each(|(what, _, wrong)| assert_eq!(wrong, None, "{what}"));
 }
 
-/// The long forms: `cargo test --release -p grebecleat-membership --test explore -- --ignored --nocapture`.
+/// The long forms: `cargo test --release -p grebecleat-membership --test explore -- --ignored
+/// --nocapture`.
 #[test]
 #[ignore = "minutes; CI plays the short forms"]
 fn no_state_is_wrong_with_more_of_everything() {
--- a/crates/plans/src/leader.rs
+++ b/crates/plans/src/leader.rs
@@ -14,8 +14,8 @@
 //! - While a host has followed what is not known here, hosts are granted nothing, until an operator
 //!   has said that the state here counts (a new epoch).
 //!
-//! Memory: the catalog, the flow, one poll for each host, and at most [`MAX_PENDING_COMMITS`] changes on
-//! their way to the disk.
+//! Memory: the catalog, the flow, one poll for each host, and at most [`MAX_PENDING_COMMITS`]
+//! changes on their way to the disk.
 
 mod epochs;
 mod host_view;
@@ -28,7 +28,7 @@
 mod scheduled;
 
 pub use host_view::{for_host, is_for};
-pub use messages::{Action, CallId, Epoch, Event, InitialState, Persist, Proposal};
+pub use messages::{Action, CallId, Epoch, Event, Grant, InitialState, Persist, Proposal};
 pub use rejection::MAX_PENDING_COMMITS;
 
 use crate::admission::{Admission, AdmissionVerdict};
--- a/crates/plans/src/leader/messages.rs
+++ b/crates/plans/src/leader/messages.rs
@@ -142,6 +142,23 @@
     EpochForced(Revision),
 }
 
+/// What a host's poll is answered: all revisions after `from` and up to `to`, with a lease.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Grant {
+    /// The host's poll.
+    pub call: CallId,
+    /// The version that the revisions follow.
+    pub from: Version,
+    /// The last version to send.
+    pub to: Version,
+    /// The host does not have `from`: send it the whole state of that version first.
+    pub snapshot: bool,
+    /// The stable version.
+    pub stable: Version,
+    /// How long the host may follow this, from when it asked.
+    pub lease: Duration,
+}
+
 /// What the shell has to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
@@ -152,21 +169,8 @@
         /// What to write.
         what: Persist,
     },
-    /// Send a host all revisions after `from` and up to `to`, with a lease.
-    Grant {
-        /// The host's poll.
-        call: CallId,
-        /// The version that the revisions follow.
-        from: Version,
-        /// The last version to send.
-        to: Version,
-        /// The host does not have `from`: send it the whole state of that version first.
-        snapshot: bool,
-        /// The stable version.
-        stable: Version,
-        /// How long the host may follow this, from when it asked.
-        lease: Duration,
-    },
+    /// Answer a host's poll.
+    Grant(Grant),
     /// Tell a host that a host has a version which is not known here.
     Behind {
         /// The host's poll.
--- a/crates/plans/src/leader/polls.rs
+++ b/crates/plans/src/leader/polls.rs
@@ -3,7 +3,7 @@
 //! A host that has everything is answered only when there is something new, or a third of its lease
 //! is over: it learns by answers, and not by asking again and again.
 
-use super::messages::{Action, Epoch};
+use super::messages::{Action, Epoch, Grant};
 use super::pending::PendingPoll;
 use super::rejection::Rejection;
 use super::Leader;
@@ -97,14 +97,14 @@
         } else {
             poll.applied
         };
-        self.actions.push(Action::Grant {
+        self.actions.push(Action::Grant(Grant {
             call: poll.call,
             from,
             to: self.persisted,
             snapshot,
             stable: self.stable_persisted,
             lease,
-        });
+        }));
         self.polls.remove(&host);
     }
 }
--- a/crates/plans/tests/fleet/steps.rs
+++ b/crates/plans/tests/fleet/steps.rs
@@ -13,46 +13,38 @@
                 leader::Action::Persist { number, what } => {
                     self.pending_writes.push((number, what))
                 }
-                leader::Action::Grant {
-                    call,
-                    from,
-                    to,
-                    snapshot,
-                    stable,
-                    lease,
-                } => {
-                    let (host, host_call) = self.calls[&call.0];
+                leader::Action::Grant(grant) => {
+                    let (host, host_call) = self.calls[&grant.call.0];
                     let name = Name::from(HOSTS[host]);
                     let catalog = self.leader.catalog();
                     let revisions = catalog
-                        .since(from)
+                        .since(grant.from)
                         .expect("the trail reaches back")
-                        .filter(|e| e.version <= to);
+                        .filter(|e| e.version <= grant.to);
                     let revisions = revisions
-                        .map(|e| for_host(catalog, stable, e, &name))
+                        .map(|e| for_host(catalog, grant.stable, e, &name))
                         .collect();
                     let state = || {
                         catalog
-                            .state_at(from)
+                            .state_at(grant.from)
                             .filter(|c| is_for(c, &name))
                             .collect()
                     };
-                    let update = match snapshot {
+                    let update = match grant.snapshot {
                         true => Update::Snapshot {
-                            at: from,
+                            at: grant.from,
                             state: state(),
                             revisions,
                         },
                         false => Update::Revisions(revisions),
                     };
-                    self.counts[0] += u32::from(snapshot);
-                    let (epoch, version) = (self.disk.start.epoch, to);
+                    self.counts[0] += u32::from(grant.snapshot);
                     let event = follower::Event::Granted {
                         call: host_call,
-                        epoch,
-                        version,
-                        stable,
-                        lease,
+                        epoch: self.disk.start.epoch,
+                        version: grant.to,
+                        stable: grant.stable,
+                        lease: grant.lease,
                         update,
                     };
                     self.send(Message::Answer { host, event });
--- a/crates/plans/tests/leader/rig.rs
+++ b/crates/plans/tests/leader/rig.rs
@@ -154,21 +154,14 @@
     /// The actions since the last call, in short.
     pub fn answers(&mut self) -> Vec<String> {
         let short = |action: Action| match action {
-            Action::Grant {
-                call,
-                from,
-                to,
-                snapshot,
-                stable,
-                ..
-            } => {
+            Action::Grant(grant) => {
                 format!(
                     "{}: {} to {}, settled {}{}",
-                    call.0,
-                    from.0,
-                    to.0,
-                    stable.0,
-                    if snapshot { ", whole" } else { "" }
+                    grant.call.0,
+                    grant.from.0,
+                    grant.to.0,
+                    grant.stable.0,
+                    if grant.snapshot { ", whole" } else { "" }
                 )
             }
             Action::Behind { call, applied } => format!("{}: behind {}", call.0, applied.0),
--- a/crates/platform/src/run/owner/shutdown.rs
+++ b/crates/platform/src/run/owner/shutdown.rs
@@ -27,9 +27,8 @@
 impl Owner {
     /// When this process may be killed, once it was asked to shut down.
     pub(super) fn kill_at(&self) -> Option<Duration> {
-        let classes = &self.config.settings.traffic_classes;
-        let longest = classes.iter().map(|class| class.deadline).max();
-        let counted = longest.unwrap_or_default().min(MAX_COUNTED_DEADLINE);
+        let longest = self.config.settings.longest_deadline();
+        let counted = longest.min(MAX_COUNTED_DEADLINE);
         Some(self.draining_since? + counted + KILL_GRACE)
     }
 
--- a/crates/platform/tests/poll_deadline/main.rs
+++ b/crates/platform/tests/poll_deadline/main.rs
@@ -1,8 +1,8 @@
-//! How soon a change of the endpoint list is known to every host, and how many calls that takes: fleets
-//! of the real `RequestRouter`, decisions and `DiscoveryCalls`, on a clock of the test's, against a
-//! discovery that goes down, falls silent, loses answers, and refuses whatever it cannot serve in time.
-//! Each run is of one seed, and is made without the router's poll deadline (`before`) and with it
-//! (`after`).
+//! How soon a change of the endpoint list is known to every host, and how many calls that takes:
+//! fleets of the real `RequestRouter`, decisions and `DiscoveryCalls`, on a clock of the test's,
+//! against a discovery that goes down, falls silent, loses answers, and refuses whatever it cannot
+//! serve in time. Each run is of one seed, and is made without the router's poll deadline
+//! (`before`) and with it (`after`).
 
 mod discovery;
 mod fleet;
@@ -53,8 +53,8 @@
     );
 }
 
-/// Whatever befalls the call that is out when discovery has a change, and the one after it, the change is
-/// known within the term; without what guards that, it is not.
+/// Whatever befalls the call that is out when discovery has a change, and the one after it, the
+/// change is known within the term; without what guards that, it is not.
 #[test]
 fn a_change_is_known_within_the_term_when_one_call_is_lost_and_the_next_one_fails() {
     let mut slowest = Duration::ZERO;
--- a/crates/platform/tests/poll_deadline/scenarios.rs
+++ b/crates/platform/tests/poll_deadline/scenarios.rs
@@ -48,8 +48,8 @@
     pub restart: Option<Restart>,
     /// Discovery moves then, for all hosts: their calls there are new ones.
     pub moves_at: Option<Duration>,
-    /// From when discovery has the change, so many calls of each host fail, in every way, as late as
-    /// they can; and the answers come as late as they may.
+    /// From when discovery has the change, so many calls of each host fail, in every way, as late
+    /// as they can; and the answers come as late as they may.
     pub forced_failures: Option<u32>,
     /// When discovery has the change that is looked at, and can be reached.
     pub change_at: Duration,
--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,4 +1,5 @@
-//! Checks on the fields of one call: each says what it expected and goes on, so that all faults come at once.
+//! Checks on the fields of one call: each says what it expected and goes on, so that all faults
+//! come at once.
 
 use serde_json::{Map, Value as Json};
 use std::collections::BTreeSet;
--- a/crates/settings/src/kinds.rs
+++ b/crates/settings/src/kinds.rs
@@ -1,7 +1,8 @@
-//! Kinds of trouble, by the names that the bench's journal writes, and those of the state service and
-//! between hosts, which the bench does not know.
+//! Kinds of trouble, by the names that the bench's journal writes, and those of the state service
+//! and between hosts, which the bench does not know.
 
-/// What goes wrong in a rehearsal. Each struck node or host, and the strength, come from the script's seed.
+/// What goes wrong in a rehearsal. Each struck node or host, and the strength, come from the
+/// script's seed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
     FastErrors,
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -1,8 +1,9 @@
-//! Runs a script and collects its calls. Nothing is understood here beyond the words of the language.
+//! Runs a script and collects its calls. Nothing is understood here beyond the words of the
+//! language.
 //!
-//! Each call such as `node(id = 1, zone = "a")` is kept with its place. `ms(250)` and `s(2)` make spans;
-//! `keyed(group = "zone", remembered = s(2))` makes a kind of repeat. A file may `load` another one beside
-//! it, whose calls come first.
+//! Each call such as `node(id = 1, zone = "a")` is kept with its place. `ms(250)` and `s(2)` make
+//! spans; `keyed(group = "zone", remembered = s(2))` makes a kind of repeat. A file may `load`
+//! another one beside it, whose calls come first.
 
 use crate::fields::{Call, Fault, Place};
 use serde_json::{json, Map, Value as Json};
@@ -189,7 +190,8 @@
     })
 }
 
-/// All calls of a script in order, or why it cannot run. `path` names it in faults and finds what it loads.
+/// All calls of a script in order, or why it cannot run. `path` names it in faults and finds what
+/// it loads.
 pub fn calls_of(path: &Path, text: String) -> Result<Vec<Call>, Fault> {
     let calls = Calls::default();
     run(path, text, &calls, 0)?;
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -232,6 +232,12 @@
 }
 
 impl Settings {
+    /// The longest deadline of any traffic class; zero where there is none.
+    pub fn longest_deadline(&self) -> Duration {
+        let deadlines = self.traffic_classes.iter().map(|class| class.deadline);
+        deadlines.max().unwrap_or_default()
+    }
+
     /// Reads a file; all its faults where it has any, and then nothing may be started by it.
     pub fn load(path: &Path) -> Result<Self, Vec<Fault>> {
         let text = std::fs::read_to_string(path).map_err(|e| {
@@ -399,8 +405,9 @@
         let hosts_n = hosts.len();
         let rules = self.once("rules", |f| rules(f, hosts_n));
         let bounds = self.once("bounds", bounds);
-        // Attempts are drawn from a limit when they are decided and cross up to `max_dispatch_delay` later, so a burst can
-        // reach the nodes by the rate over that time too much.
+        // Attempts are drawn from a limit when they are decided and cross up to
+        // `max_dispatch_delay` later, so a burst can reach the nodes by the rate over that time too
+        // much.
         let slack_short = |p: &NamedPlan| {
             p.facts.limit > 0.0 && {
                 p.facts.limit_slack < p.facts.limit * bounds.max_dispatch_delay.as_secs_f64()
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a rehearsal: they draw work, wait no longer than their time, come again, and check what they
-//! read. One loop for all of them; each host has one connection.
+//! Clients of a rehearsal: they draw work, wait no longer than their time, come again, and check
+//! what they read. One loop for all of them; each host has one connection.
 
 use crate::draw::{source, strikes, Strike};
 use crate::net::{self, hello, Heard, Line};
@@ -47,8 +47,8 @@
 }
 
 impl Tally {
-    /// The part of a volume's pieces that were done in their latency objective, of those that began in a span of
-    /// seconds.
+    /// The part of a volume's pieces that were done in their latency objective, of those that began
+    /// in a span of seconds.
     pub fn timely(&self, volume: usize, seconds: std::ops::Range<u64>) -> Option<f64> {
         let all = self
             .seconds
@@ -213,13 +213,7 @@
                 );
             }
         }
-        let longest = self
-            .settings
-            .traffic_classes
-            .iter()
-            .map(|s| s.deadline)
-            .max()
-            .unwrap_or_default();
+        let longest = self.settings.longest_deadline();
         let (end, last) = (self.script.length, self.script.length + longest * 2);
         let mut told = Duration::ZERO;
         loop {
--- a/crates/standin/src/disks.rs
+++ b/crates/standin/src/disks.rs
@@ -1,8 +1,9 @@
-//! Initiators of a rehearsal: sessions that write and read their own blocks through a portal's troubles, come
-//! again when their connection goes, and check every block they read against what they wrote.
+//! Initiators of a rehearsal: sessions that write and read their own blocks through a portal's
+//! troubles, come again when their connection goes, and check every block they read against what
+//! they wrote.
 //!
-//! A command that loses its connection, or takes so long that it is aborted, is sent again and counts as the
-//! same command: it is answered once that one is.
+//! A command that loses its connection, or takes so long that it is aborted, is sent again and
+//! counts as the same command: it is answered once that one is.
 
 use crate::draw::source;
 use crate::initiator::{cdb16, Answer, Initiator, Wish};
@@ -213,9 +214,10 @@
     }
 }
 
-/// Commands that are out together may take effect in either order (SAM-5's simple tasks). So a write that was
-/// GOOD rules out what was answered before it was sent, and nothing else; what was BUSY or of unknown outcome
-/// may be there or not until then, and never after: that is the late write.
+/// Commands that are out together may take effect in either order (SAM-5's simple tasks). So a
+/// write that was GOOD rules out what was answered before it was sent, and nothing else; what was
+/// BUSY or of unknown outcome may be there or not until then, and never after: that is the late
+/// write.
 fn judge(
     work: &Work,
     answer: &Answer,
--- a/crates/standin/src/draw.rs
+++ b/crates/standin/src/draw.rs
@@ -1,4 +1,5 @@
-//! What a script leaves open, drawn from its seed: the same script gives the same draw in every process.
+//! What a script leaves open, drawn from its seed: the same script gives the same draw in every
+//! process.
 
 use grebecleat_settings::{Kind, Rehearsal, Settings, Trouble};
 use rand::seq::SliceRandom;
--- a/crates/standin/src/initiator.rs
+++ b/crates/standin/src/initiator.rs
@@ -1,8 +1,8 @@
-//! An iSCSI initiator over TCP: logs in, sends commands, gathers their answers. Small: one connection a
-//! session.
+//! An iSCSI initiator over TCP: logs in, sends commands, gathers their answers. Small: one
+//! connection a session.
 //!
-//! It shares the PDU codec with the target and nothing else; numbering, login and data are its own, so that a
-//! misreading on one side shows.
+//! It shares the PDU codec with the target and nothing else; numbering, login and data are its own,
+//! so that a misreading on one side shows.
 
 use grebecleat_iscsi::chap::{from_text, to_text, Algorithm};
 use grebecleat_iscsi::pdu::{write, Digests, Header, Opcode, Pdu, Reader, NO_TAG};
@@ -53,7 +53,8 @@
     /// The task management request that was answered last.
     managed: Option<u32>,
     open: BTreeMap<u32, Command>,
-    /// In the order they came: a read that was answered before a write saw what was there before it.
+    /// In the order they came: a read that was answered before a write saw what was there before
+    /// it.
     done: VecDeque<(u32, Answer)>,
     /// Answers that came a second time, or to nothing.
     pub strays: u64,
@@ -327,7 +328,8 @@
         }
     }
 
-    /// ABORT TASK, and waits for its response. False: the command was answered before, and its answer stands.
+    /// ABORT TASK, and waits for its response. False: the command was answered before, and its
+    /// answer stands.
     pub fn abort(&mut self, itt: u32) -> io::Result<bool> {
         self.itt += 1;
         let h = Header::new(Opcode::TaskManagement)
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,12 +1,11 @@
 //! Stand-ins for what surrounds a host, on loopback.
 //!
-//! For: rehearsals and tests. [`node`] and [`list`] are models without sockets, stepped with a time;
-//! [`draw`] turns a script's troubles and load into who is struck when, the same each time; [`net`] and
-//! [`serve`] put the models on sockets; [`clients`] are the clients; [`initiator`] is an
-//! iSCSI initiator; [`rehearse`] runs it all as processes.
-//! [`relay`] lies between hosts and the state service;
-//! [`versions`] is how a node keeps late writes from overwriting newer ones.
-//! They share only the wire and the settings with the host, and must never look into it.
+//! For: rehearsals and tests. [`node`] and [`list`] are models without sockets, stepped with a
+//! time; [`draw`] turns a script's troubles and load into who is struck when, the same each time;
+//! [`net`] and [`serve`] put the models on sockets; [`clients`] are the clients; [`initiator`] is
+//! an iSCSI initiator; [`rehearse`] runs it all as processes. [`relay`] lies between hosts and the
+//! state service; [`versions`] is how a node keeps late writes from overwriting newer ones. They
+//! share only the wire and the settings with the host, and must never look into it.
 
 pub mod clients;
 pub mod disks;
--- a/crates/standin/src/links.rs
+++ b/crates/standin/src/links.rs
@@ -1,8 +1,10 @@
-//! What lies between hosts that tell each other something: for each ordered pair it can be cut by itself.
+//! What lies between hosts that tell each other something: for each ordered pair it can be cut by
+//! itself.
 //!
-//! One listener leads to each host. Who calls says so in its greeting, by which the pair is known; while that
-//! is cut, what is open between the two is hung up on and calls are dropped. A way that is cut in one
-//! direction alone carries the other's words: each host dials for what it says itself.
+//! One listener leads to each host. Who calls says so in its greeting, by which the pair is known;
+//! while that is cut, what is open between the two is hung up on and calls are dropped. A way that
+//! is cut in one direction alone carries the other's words: each host dials for what it says
+//! itself.
 
 use grebecleat_wire::frame::Reader;
 use grebecleat_wire::pb::{self, frame::Body};
--- a/crates/standin/src/net.rs
+++ b/crates/standin/src/net.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// Listens; every caller that greets properly is heard of. While `shut` is set callers are hung up on.
+/// Listens; every caller that greets properly is heard of. While `shut` is set callers are hung up
+/// on.
 pub fn listen(
     listener: TcpListener,
     at: u32,
--- a/crates/standin/src/node.rs
+++ b/crates/standin/src/node.rs
@@ -1,8 +1,8 @@
 //! A node that keeps bytes and does its work in time, without sockets.
 //!
-//! It has cores, a queue that turns away when full, pauses, work of writes put off and done in one go, less
-//! work on data among the last few it took, a cold start during which it can be pushed over, and troubles.
-//! `take`, `advance` and `due` are all of it; times are those of the rehearsal.
+//! It has cores, a queue that turns away when full, pauses, work of writes put off and done in one
+//! go, less work on data among the last few it took, a cold start during which it can be pushed
+//! over, and troubles. `take`, `advance` and `due` are all of it; times are those of the rehearsal.
 
 use crate::draw::{lot, Strike};
 use crate::versions::Versions;
@@ -494,8 +494,9 @@
         to.push(Deed::Answer { conn, answer });
     }
 
-    /// Carries out a write where nothing newer lies; the newest that kept a part of it out. One that was kept
-    /// out whole had no effect and is not remembered: it may come again with another version.
+    /// Carries out a write where nothing newer lies; the newest that kept a part of it out. One
+    /// that was kept out whole had no effect and is not remembered: it may come again with another
+    /// version.
     fn write(&mut self, attempt: &pb::Attempt, now: Duration, to: &mut Vec<Deed>) -> Option<u64> {
         let place = (attempt.volume, attempt.extent);
         let (at, length) = (attempt.offset.unwrap_or(0), attempt.data.len() as u32);
--- a/crates/standin/src/rehearse.rs
+++ b/crates/standin/src/rehearse.rs
@@ -1,8 +1,8 @@
-//! A rehearsal: list, nodes and hosts as processes of this program, clients in this one, and the script's
-//! troubles played on them.
+//! A rehearsal: list, nodes and hosts as processes of this program, clients in this one, and the
+//! script's troubles played on them.
 //!
-//! Everything is on loopback and ends with the script. Each process records what crosses its sockets into the
-//! rehearsal's folder; judging it is the audit's work, not ours.
+//! Everything is on loopback and ends with the script. Each process records what crosses its
+//! sockets into the rehearsal's folder; judging it is the audit's work, not ours.
 
 use crate::clients::{Clients, Progress, Tally};
 use crate::disks::{self, Disks};
@@ -272,7 +272,8 @@
                 ));
             }
             child = self.state_service(n as u32 + 1)?;
-            // An operator sees that hosts know more, and says what counts; perhaps one shows only later.
+            // An operator sees that hosts know more, and says what counts; perhaps one shows only
+            // later.
             for _ in 0..20 {
                 std::thread::sleep(Duration::from_millis(250));
                 self.plans(&["prevail", "--why", "restored"])?;
@@ -428,7 +429,8 @@
     Err(io::Error::other("a player panicked"))
 }
 
-/// A port for each host that has a portal: free now, and asked for again at every start of the host.
+/// A port for each host that has a portal: free now, and asked for again at every start of the
+/// host.
 fn portals(settings: &Settings) -> io::Result<Vec<Option<SocketAddr>>> {
     let has = |place: usize| settings.portals.iter().any(|p| p.host == place);
     let free = || TcpListener::bind(("127.0.0.1", 0)).and_then(|l| l.local_addr());
@@ -549,13 +551,7 @@
         )
     });
     let (seen, service) = seen?;
-    let longest = o
-        .settings
-        .traffic_classes
-        .iter()
-        .map(|s| s.deadline)
-        .max()
-        .unwrap_or_default();
+    let longest = o.settings.longest_deadline();
     for (place, child) in ended.into_iter().enumerate() {
         let (mut child, name) = (child?, &o.settings.hosts[place].name);
         child.signal("TERM")?;
--- a/crates/standin/src/relay.rs
+++ b/crates/standin/src/relay.rs
@@ -1,8 +1,9 @@
-//! A way between two sockets that can be cut and made late: what lies between a host and the state service.
+//! A way between two sockets that can be cut and made late: what lies between a host and the state
+//! service.
 //!
-//! One listener; each connection is carried on to where the relay points, in both directions. While it is
-//! cut, what is open is hung up on and callers are refused; while it is late, bytes wait that long on their
-//! way.
+//! One listener; each connection is carried on to where the relay points, in both directions. While
+//! it is cut, what is open is hung up on and callers are refused; while it is late, bytes wait that
+//! long on their way.
 
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
--- a/crates/standin/src/serve.rs
+++ b/crates/standin/src/serve.rs
@@ -1,4 +1,5 @@
-//! The models of nodes and list on sockets: one loop each, with the model's next moment as its timer.
+//! The models of nodes and list on sockets: one loop each, with the model's next moment as its
+//! timer.
 
 use crate::draw::{source, strikes, Strike};
 use crate::list::List;
--- a/crates/standin/src/versions.rs
+++ b/crates/standin/src/versions.rs
@@ -1,14 +1,16 @@
-//! Versions of an extent's bytes at a node: the last writer by version stays, whatever order writes come in
-//! (Thomas's write rule, by byte). A write that is late by any time changes only what nothing newer wrote.
+//! Versions of an extent's bytes at a node: the last writer by version stays, whatever order writes
+//! come in (Thomas's write rule, by byte). A write that is late by any time changes only what
+//! nothing newer wrote.
 
-/// Which version wrote which bytes: spans in order, without overlap. Its memory is a span for each part that
-/// was last written by another version, at most one for each block of the extent.
+/// Which version wrote which bytes: spans in order, without overlap. Its memory is a span for each
+/// part that was last written by another version, at most one for each block of the extent.
 #[derive(Debug, Clone, Default)]
 pub struct Versions(Vec<(u32, u32, u64)>);
 
 impl Versions {
-    /// The parts of `from..end` that a write of that version may change, which it now holds; and the newest
-    /// version that kept it from the rest. Its own version is no hindrance: a repeat writes the same.
+    /// The parts of `from..end` that a write of that version may change, which it now holds; and
+    /// the newest version that kept it from the rest. Its own version is no hindrance: a repeat
+    /// writes the same.
     ///
     /// ```
     /// use grebecleat_standin::versions::Versions;
--- a/crates/state/src/service/actions.rs
+++ b/crates/state/src/service/actions.rs
@@ -7,11 +7,10 @@
 use crate::store::Record;
 use grebecleat_membership::drains::Event as MembershipEvent;
 use grebecleat_plans::admission::{AdmissionVerdict, Reason};
-use grebecleat_plans::leader::{for_host, is_for, Action, CallId, Persist};
+use grebecleat_plans::leader::{for_host, is_for, Action, CallId, Grant, Persist};
 use grebecleat_plans::records::{Name, Version};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
-use std::time::Duration;
 use tracing::{info, warn};
 
 /// What one step stores, in one commit.
@@ -23,18 +22,6 @@
     last: u64,
 }
 
-/// What a host is granted.
-struct Grant {
-    call: CallId,
-    /// The host gets the revisions after `from` and up to `to`.
-    from: Version,
-    to: Version,
-    /// The host does not have `from`: the complete state as of then comes first.
-    snapshot: bool,
-    stable: Version,
-    lease: Duration,
-}
-
 impl Owner<'_> {
     /// Performs the leader's actions. Returns the results of the membership's own proposals.
     pub(super) fn perform(&mut self, actions: Vec<Action>) -> Vec<MembershipEvent> {
@@ -50,21 +37,7 @@
                     self.uncommitted.insert(number);
                     pending.records.push(self.record(what));
                 }
-                Action::Grant {
-                    call,
-                    from,
-                    to,
-                    snapshot,
-                    stable,
-                    lease,
-                } => self.send_grant(&Grant {
-                    call,
-                    from,
-                    to,
-                    snapshot,
-                    stable,
-                    lease,
-                }),
+                Action::Grant(grant) => self.send_grant(&grant),
                 Action::Behind { call, applied } => self.report_behind(call, applied),
                 Action::Committed {
                     call,
--- a/crates/state/src/service/mod.rs
+++ b/crates/state/src/service/mod.rs
@@ -175,13 +175,11 @@
 }
 
 fn new_membership(settings: &Settings, now: Duration) -> Membership {
-    let deadlines = settings.traffic_classes.iter().map(|class| class.deadline);
-    let longest_deadline = deadlines.max().unwrap_or_default();
     let hosts = (0..settings.hosts.len() as u32).map(HostNumber);
     Membership::new(
         now,
         settings.rules.cold.warm_up_time,
-        longest_deadline,
+        settings.longest_deadline(),
         hosts,
     )
 }
--- a/crates/target/src/blocks.rs
+++ b/crates/target/src/blocks.rs
@@ -1,8 +1,8 @@
 //! A command on blocks, split by extent, and its outcome from those of the pieces.
 //!
-//! Called by the engine. A volume's blocks lie in extents of a fixed number of blocks, and a request touches
-//! one extent. [`Layout::pieces`] splits a range; [`Gather`] takes the pieces' outcomes, in any order, and
-//! makes the one outcome of the command, that of its worst piece:
+//! Called by the engine. A volume's blocks lie in extents of a fixed number of blocks, and a
+//! request touches one extent. [`Layout::pieces`] splits a range; [`Gather`] takes the pieces'
+//! outcomes, in any order, and makes the one outcome of the command, that of its worst piece:
 //!
 //! | pieces | command | why |
 //! | --- | --- | --- |
@@ -11,8 +11,9 @@
 //! | any failed | CHECK CONDITION, outcome unknown | neither success nor failure is certain |
 //! | any not persisted | CHECK CONDITION, write error | its place would be lost with this process |
 //!
-//! The outcome is given when the last piece has its own: until then an attempt may be in progress, and an
-//! answer that came before it could be overtaken by its effect. A read's memory is its data, once.
+//! The outcome is given when the last piece has its own: until then an attempt may be in progress,
+//! and an answer that came before it could be overtaken by its effect. A read's memory is its data,
+//! once.
 
 use bytes::{Bytes, BytesMut};
 use grebecleat_iscsi::scsi::{Sense, Status};
@@ -79,7 +80,8 @@
 /// What became of a piece's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Done. Data of reads; less than asked for is zeroes from there on, for blocks that were never written.
+    /// Done. Data of reads; less than asked for is zeroes from there on, for blocks that were never
+    /// written.
     Completed(Bytes),
     /// Turned away before it was done, as far as is known.
     Rejected {
@@ -153,8 +155,8 @@
         }
     }
 
-    /// Takes the outcome of the piece with that index; the command's outcome, once it is the last. A second
-    /// outcome of one piece changes nothing.
+    /// Takes the outcome of the piece with that index; the command's outcome, once it is the last.
+    /// A second outcome of one piece changes nothing.
     pub fn add(&mut self, index: usize, outcome: RequestOutcome) -> Option<Gathered> {
         let piece = self.missing.get_mut(index)?.take()?;
         self.open -= 1;
--- a/crates/target/src/engine.rs
+++ b/crates/target/src/engine.rs
@@ -1,17 +1,21 @@
-//! The target's engine: connections, logins, sessions and commands, between the sockets and the host.
+//! The target's engine: connections, logins, sessions and commands, between the sockets and the
+//! host.
 //!
-//! State machine: `step(now, inputs)` returns the actions to perform. No I/O. Called by the portal's thread
-//! alone. A command on blocks becomes a request for each extent it touches; the host answers each by its
-//! number. Three guarantees:
+//! State machine: `step(now, inputs)` returns the actions to perform. No I/O. Called by the
+//! portal's thread alone. A command on blocks becomes a request for each extent it touches; the
+//! host answers each by its number. Three guarantees:
 //!
-//! - a command is answered when the last of its requests is, and an aborted one ends then too: the response
-//!   to an abort or a reset means that nothing of the command is still in progress at the host;
-//! - each write carries a version, higher than those of all writes before, and a node stores the newest: an
-//!   attempt that is still queued somewhere, of this start or an earlier one, cannot overwrite what is
-//!   written after. Reads of its blocks wait until it can no longer appear;
-//! - an extent is first written by one request alone, and GOOD follows only once its place is persisted.
+//! - a command is answered when the last of its requests is, and an aborted one ends then too: the
+//!   response to an abort or a reset means that nothing of the command is still in progress at the
+//!   host;
+//! - each write carries a version, higher than those of all writes before, and a node stores the
+//!   newest: an attempt that is still queued somewhere, of this start or an earlier one, cannot
+//!   overwrite what is written after. Reads of its blocks wait until it can no longer appear;
+//! - an extent is first written by one request alone, and GOOD follows only once its place is
+//!   persisted.
 //!
-//! Bounds: logins in progress, commands of a session (its window), unit attentions and retries of a write.
+//! Bounds: logins in progress, commands of a session (its window), unit attentions and retries of a
+//! write.
 
 mod block_commands;
 mod commands;
--- a/crates/target/src/engine/block_commands.rs
+++ b/crates/target/src/engine/block_commands.rs
@@ -1,7 +1,7 @@
 //! Commands on blocks: their checks against the unit, and their order among those that overlap.
 //!
-//! Called for what a unit does not answer by itself. A command that passes the checks is recorded as open; it
-//! starts at once, or when the commands that it must wait for have ended.
+//! Called for what a unit does not answer by itself. A command that passes the checks is recorded
+//! as open; it starts at once, or when the commands that it must wait for have ended.
 
 use super::records::{BlockAction, BlockCommand, OpenCommand, ScsiCommand, Step};
 use super::Engine;
--- a/crates/target/src/engine/commands.rs
+++ b/crates/target/src/engine/commands.rs
@@ -1,7 +1,8 @@
-//! SCSI commands: what can be answered at once, is; what needs the blocks of a volume becomes requests.
+//! SCSI commands: what can be answered at once, is; what needs the blocks of a volume becomes
+//! requests.
 //!
-//! Called for each command that a session starts. The order of the checks is SAM-5's: the logical unit, unit
-//! attentions, reservations, then the command itself.
+//! Called for each command that a session starts. The order of the checks is SAM-5's: the logical
+//! unit, unit attentions, reservations, then the command itself.
 
 use super::records::ScsiCommand;
 use super::Engine;
@@ -10,7 +11,8 @@
 use grebecleat_iscsi::scsi::{decode, Command, Sense, Status};
 use grebecleat_iscsi::session::Outcome;
 
-/// Standard INQUIRY data of a LUN without a unit: qualifier and type "not supported", SPC-4, 31 more bytes.
+/// Standard INQUIRY data of a LUN without a unit: qualifier and type "not supported", SPC-4, 31
+/// more bytes.
 const NO_UNIT_INQUIRY: [u8; 5] = [0x7f, 0, 0x06, 0x02, 31];
 const INQUIRY_BYTES: usize = 36;
 
@@ -100,8 +102,8 @@
         }
     }
 
-    /// The sense data for REQUEST SENSE, or as the error the attention that this command reports; none
-    /// without a session.
+    /// The sense data for REQUEST SENSE, or as the error the attention that this command reports;
+    /// none without a session.
     fn take_attention(
         &mut self,
         session: u64,
--- a/crates/target/src/engine/completion.rs
+++ b/crates/target/src/engine/completion.rs
@@ -1,6 +1,7 @@
 //! The end of a command: its outcome from those of its requests, and what may start after it.
 //!
-//! Called when the last request of a command's step has ended, or when a waiting command is aborted.
+//! Called when the last request of a command's step has ended, or when a waiting command is
+//! aborted.
 
 use super::records::{BlockAction, LateWrite, Step};
 use super::Engine;
@@ -52,8 +53,8 @@
         self.end_command(number, Some(outcome), result, gathered.may_still_apply);
     }
 
-    /// Ends a command; it is answered, unless it was aborted. `may_still_apply`: a part of its write may take
-    /// effect later.
+    /// Ends a command; it is answered, unless it was aborted. `may_still_apply`: a part of its
+    /// write may take effect later.
     pub(super) fn end_command(
         &mut self,
         number: u64,
--- a/crates/target/src/engine/connections.rs
+++ b/crates/target/src/engine/connections.rs
@@ -1,7 +1,8 @@
-//! Connections and their logins: from the accepted socket to the full feature phase, and their loss.
+//! Connections and their logins: from the accepted socket to the full feature phase, and their
+//! loss.
 //!
-//! Called by the engine's `step`. Logins in progress are bounded: beyond, the oldest is closed, since it is
-//! the likeliest to be left behind by its initiator.
+//! Called by the engine's `step`. Logins in progress are bounded: beyond, the oldest is closed,
+//! since it is the likeliest to be left behind by its initiator.
 
 use super::messages::{ConnNo, Output};
 use super::records::{Connection, PendingLogin, Phase};
--- a/crates/target/src/engine/messages.rs
+++ b/crates/target/src/engine/messages.rs
@@ -1,7 +1,7 @@
 //! What the engine takes and gives: inputs, outputs, and the facts about volumes and targets.
 //!
-//! The portal makes inputs of PDUs, of the host's answers and of the store's acknowledgements, and carries
-//! the outputs out in their order. Plain data, without behaviour.
+//! The portal makes inputs of PDUs, of the host's answers and of the store's acknowledgements, and
+//! carries the outputs out in their order. Plain data, without behaviour.
 
 use crate::blocks::RequestOutcome;
 use bytes::Bytes;
--- a/crates/target/src/engine/records.rs
+++ b/crates/target/src/engine/records.rs
@@ -130,7 +130,8 @@
     pub aborted: bool,
 }
 
-/// The step of a command whose requests are sent: COMPARE AND WRITE has both, others the first alone.
+/// The step of a command whose requests are sent: COMPARE AND WRITE has both, others the first
+/// alone.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Step {
     First,
