--- a/crates/target/src/engine/requests.rs
+++ b/crates/target/src/engine/requests.rs
@@ -1,4 +1,5 @@
-//! The requests of a command: sent to where extents lie, answered, placed for the first time, sent again.
+//! The requests of a command: sent to where extents lie, answered, placed for the first time, sent
+//! again.
 //!
 //! Called when a command may start and for each answer of the host or the store. A request ends in
 //! `finish_request`, exactly once.
@@ -14,7 +15,8 @@
 const MAX_RETRIES: u32 = 4;
 
 impl Engine {
-    /// Sends a command's requests; of COMPARE AND WRITE first those that read, then those that write.
+    /// Sends a command's requests; of COMPARE AND WRITE first those that read, then those that
+    /// write.
     pub(super) fn launch(&mut self, number: u64, step: Step) {
         let Some(open) = self.commands.get_mut(&number) else {
             return;
@@ -63,8 +65,8 @@
         }
     }
 
-    /// Sends a request to where its extent lies, a write with the next version. Of an extent that lies
-    /// nowhere, reads are zeroes, and the first write goes alone.
+    /// Sends a request to where its extent lies, a write with the next version. Of an extent that
+    /// lies nowhere, reads are zeroes, and the first write goes alone.
     fn send(&mut self, no: RequestNumber) {
         let Some(open) = self.requests.get_mut(&no) else {
             return;
@@ -140,9 +142,9 @@
         });
     }
 
-    /// A write found a newer version at its node. No other write of these blocks is in progress here, so that
-    /// one is another host's, or of a start that could persist nothing: this one goes again, above it, as a
-    /// new request.
+    /// A write found a newer version at its node. No other write of these blocks is in progress
+    /// here, so that one is another host's, or of a start that could persist nothing: this one goes
+    /// again, above it, as a new request.
     fn retry_above(&mut self, no: RequestNumber, found: u64, shard: Option<u32>) {
         let Some(open) = self.requests.get(&no) else {
             return;
@@ -174,8 +176,8 @@
         self.finish_request(no, RequestOutcome::Completed(Bytes::new()));
     }
 
-    /// From here on no place and no ceiling is persisted: what waits for one is answered, and extents that lie
-    /// somewhere are still read, and written while versions last.
+    /// From here on no place and no ceiling is persisted: what waits for one is answered, and
+    /// extents that lie somewhere are still read, and written while versions last.
     pub(super) fn store_failed(&mut self) {
         self.store_available = false;
         let waiting: Vec<RequestNumber> = self
@@ -190,8 +192,8 @@
         self.send_awaiting_version();
     }
 
-    /// Ends a request; its command too, if it was the last. What waited for its extent's place goes there, or
-    /// the next of it finds one.
+    /// Ends a request; its command too, if it was the last. What waited for its extent's place goes
+    /// there, or the next of it finds one.
     fn finish_request(&mut self, no: RequestNumber, outcome: RequestOutcome) {
         let Some(open) = self.requests.remove(&no) else {
             return;
--- a/crates/target/src/engine/sessions.rs
+++ b/crates/target/src/engine/sessions.rs
@@ -1,7 +1,7 @@
 //! Sessions: their admission after a login, reinstatement and end, and what they ask of the target.
 //!
-//! Called by the connections' logins and by every module that hands something to a session, whose acts are
-//! performed here. A session without connections stays only while its commands end.
+//! Called by the connections' logins and by every module that hands something to a session, whose
+//! acts are performed here. A session without connections stays only while its commands end.
 
 use super::messages::{ConnNo, Output};
 use super::records::{PendingLogin, Phase, ScsiCommand, SessionState};
@@ -22,7 +22,8 @@
 const FIRST_WINDOW: u32 = 32;
 
 impl Engine {
-    /// A new session, one more connection of one, or a session in place of the old one (section 6.3.5).
+    /// A new session, one more connection of one, or a session in place of the old one (section
+    /// 6.3.5).
     pub(super) fn admit(
         &mut self,
         conn: ConnNo,
@@ -211,8 +212,8 @@
         self.sessions.get(&session)?.connections.get(&cid).copied()
     }
 
-    /// Gives sessions the windows that have changed. A window is a session's, over all its units: it is the
-    /// sum of what each allows.
+    /// Gives sessions the windows that have changed. A window is a session's, over all its units:
+    /// it is the sum of what each allows.
     pub(super) fn update_windows(&mut self) {
         let mut changed = BTreeSet::new();
         for volume in std::mem::take(&mut self.changed_windows) {
--- a/crates/target/src/engine/task_management.rs
+++ b/crates/target/src/engine/task_management.rs
@@ -43,7 +43,8 @@
         tasks
     }
 
-    /// Commands of other sessions at the same units end too, and their initiators get a unit attention.
+    /// Commands of other sessions at the same units end too, and their initiators get a unit
+    /// attention.
     pub(super) fn reset(&mut self, by: u64, lun: Option<u64>, why: Why) {
         let Some(target) = self.sessions.get(&by).and_then(|state| state.target) else {
             return;
--- a/crates/target/src/overlaps.rs
+++ b/crates/target/src/overlaps.rs
@@ -1,18 +1,19 @@
-//! Which commands of one volume must wait for which: those whose blocks overlap, where at least one writes.
+//! Which commands of one volume must wait for which: those whose blocks overlap, where at least one
+//! writes.
 //!
-//! Called by the engine when a command begins and ends. SAM-5 lets simple tasks pass each other, but initiators
-//! that send a read behind a write of the same blocks in one window expect it to see the write, and two writes
-//! that race through different attempts could end in either order on different extents. So overlapping ones
-//! go in the order they came. A command that waits also delays later ones that overlap it, or a stream of
-//! reads could starve a write.
+//! Called by the engine when a command begins and ends. SAM-5 lets simple tasks pass each other,
+//! but initiators that send a read behind a write of the same blocks in one window expect it to see
+//! the write, and two writes that race through different attempts could end in either order on
+//! different extents. So overlapping ones go in the order they came. A command that waits also
+//! delays later ones that overlap it, or a stream of reads could starve a write.
 //!
-//! A write that has ended, but of which an attempt may still run, is *late*: later writes pass it, since a
-//! node recognizes the old one by its version, and reads wait, or they could see it appear between two of
-//! them. Once a later write has covered it, nothing of it can appear any more.
+//! A write that has ended, but of which an attempt may still run, is *late*: later writes pass it,
+//! since a node recognizes the old one by its version, and reads wait, or they could see it appear
+//! between two of them. Once a later write has covered it, nothing of it can appear any more.
 //!
-//! Ranges are ordered by their first block. A look-up for `[a, b)` goes from the first range that can reach
-//! `a`, given the longest range there is, which SCSI's block limits bound; the tests count what it visits
-//! against a plain list.
+//! Ranges are ordered by their first block. A look-up for `[a, b)` goes from the first range that
+//! can reach `a`, given the longest range there is, which SCSI's block limits bound; the tests
+//! count what it visits against a plain list.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -99,8 +100,8 @@
         self.release(entry.waiters)
     }
 
-    /// A write was completed and has ended: late writes that it covers are over too. Which commands may go
-    /// now, in the order they came.
+    /// A write was completed and has ended: late writes that it covers are over too. Which commands
+    /// may go now, in the order they came.
     pub fn close_covering(&mut self, no: u64) -> Vec<u64> {
         let Some(entry) = self.open.get(&no) else {
             return Vec::new();
@@ -123,8 +124,8 @@
         ready
     }
 
-    /// A write has ended and may still take effect: it stays until it is closed or covered. Which writes may
-    /// go now, in the order they came.
+    /// A write has ended and may still take effect: it stays until it is closed or covered. Which
+    /// writes may go now, in the order they came.
     pub fn set_late(&mut self, no: u64) -> Vec<u64> {
         let Some(entry) = self.open.get_mut(&no) else {
             return Vec::new();
--- a/crates/target/src/portal.rs
+++ b/crates/target/src/portal.rs
@@ -1,9 +1,9 @@
 //! The iSCSI portal: sockets on one side, the host on the other, the engine between.
 //!
-//! One thread owns the engine; each connection has a coroutine that reads and one that writes, as the host's
-//! own connections have. Towards the host the engine is a client inside the process: its requests go through
-//! the same scheduling as any other's, with ids of their own. Called once for each portal at the start of a
-//! host process.
+//! One thread owns the engine; each connection has a coroutine that reads and one that writes, as
+//! the host's own connections have. Towards the host the engine is a client inside the process: its
+//! requests go through the same scheduling as any other's, with ids of their own. Called once for
+//! each portal at the start of a host process.
 
 mod connection;
 mod line;
@@ -72,7 +72,8 @@
     })?;
     let address = listener.local_addr()?;
     let engine = setup::engine(settings, spec, address, &store);
-    // One event for all answers that come until they are read: one for each would wake the owner for nothing.
+    // One event for all answers that come until they are read: one for each would wake the owner
+    // for nothing.
     let answers_pending = Arc::new(AtomicBool::new(false));
     let local = host.local({
         let events = events.clone();
--- a/crates/target/src/portal/connection.rs
+++ b/crates/target/src/portal/connection.rs
@@ -100,7 +100,8 @@
         let mut inputs = Vec::new();
         let mut unreadable = false;
         while !unreadable {
-            // An initiator sends by what was agreed on only after it has our answer, which follows this.
+            // An initiator sends by what was agreed on only after it has our answer, which follows
+            // this.
             let limits = line.reader();
             reader.digests = limits.digests;
             reader.max_data = limits.max_data;
--- a/crates/target/src/portal/line.rs
+++ b/crates/target/src/portal/line.rs
@@ -1,7 +1,8 @@
-//! The outgoing side of one connection: a queue of PDUs between the owner's thread and the writing coroutine.
+//! The outgoing side of one connection: a queue of PDUs between the owner's thread and the writing
+//! coroutine.
 //!
-//! The owner puts PDUs in, the writer takes all of them at once. Bounded by `max_unsent`: an initiator that
-//! leaves more unread is disconnected.
+//! The owner puts PDUs in, the writer takes all of them at once. Bounded by `max_unsent`: an
+//! initiator that leaves more unread is disconnected.
 
 use grebecleat_iscsi::pdu::{self, Digests, Pdu};
 use may::sync::Semphore;
@@ -43,13 +44,14 @@
 /// The way out of one connection, and what its reader expects.
 pub(super) struct Line {
     unsent: Mutex<Unsent>,
-    /// Set from a wake-up until the writer looks: one post of the semaphore is enough for all between.
+    /// Set from a wake-up until the writer looks: one post of the semaphore is enough for all
+    /// between.
     woken: AtomicBool,
     wake_up: Semphore,
     /// The socket; none once it is closed.
     fd: Mutex<Option<i32>>,
-    /// PDU bytes that it may leave unread: what all commands that it may have open can read. Less would
-    /// disconnect an initiator that only uses its window.
+    /// PDU bytes that it may leave unread: what all commands that it may have open can read. Less
+    /// would disconnect an initiator that only uses its window.
     max_unsent: usize,
     reader: Mutex<ReaderLimits>,
 }
@@ -105,7 +107,8 @@
         }
     }
 
-    /// For the writer: all that is to be written. A wake-up after this call is for what comes later.
+    /// For the writer: all that is to be written. A wake-up after this call is for what comes
+    /// later.
     pub fn take(&self) -> Batch {
         self.woken.store(false, Ordering::Release);
         let mut unsent = lock(&self.unsent);
--- a/crates/target/src/portal/owner.rs
+++ b/crates/target/src/portal/owner.rs
@@ -1,7 +1,7 @@
 //! The thread that owns a portal's engine: events in, actions out.
 //!
-//! It waits for events of connections, of the host and of the store, steps the engine with all that are
-//! there, bounded by `MAX_EVENTS`, and performs the actions in their order.
+//! It waits for events of connections, of the host and of the store, steps the engine with all that
+//! are there, bounded by `MAX_EVENTS`, and performs the actions in their order.
 
 use super::line::{Line, ReaderLimits};
 use super::requests::{finished, RequestBuilder};
--- a/crates/target/src/portal/requests.rs
+++ b/crates/target/src/portal/requests.rs
@@ -1,6 +1,7 @@
 //! The engine's requests as frames to the host, and the host's answers as the engine's inputs.
 //!
-//! Called by the owner for each; the only state is what tells this start's request ids from another's.
+//! Called by the owner for each; the only state is what tells this start's request ids from
+//! another's.
 
 use crate::blocks::RequestOutcome;
 use crate::engine::{Input, Request, RequestNumber};
--- a/crates/target/src/portal/setup.rs
+++ b/crates/target/src/portal/setup.rs
@@ -95,11 +95,10 @@
         .collect()
 }
 
-/// As long as an attempt of a request that has failed may still begin at a node, and then the time for which
-/// its key stays in use.
+/// As long as an attempt of a request that has failed may still begin at a node, and then the time
+/// for which its key stays in use.
 fn late_write_time(settings: &Settings) -> Duration {
-    let deadlines = settings.traffic_classes.iter().map(|class| class.deadline);
-    deadlines.max().unwrap_or_default() + settings.rules.key_rest
+    settings.longest_deadline() + settings.rules.key_rest
 }
 
 fn unix_micros() -> u64 {
--- a/crates/target/src/pressure.rs
+++ b/crates/target/src/pressure.rs
@@ -1,23 +1,24 @@
 //! How many commands each session of a volume may have open: back-pressure by the command window.
 //!
-//! Called by the engine: `opened` and `closed` for each command, `step` after them, which returns the
-//! sessions that may have more or fewer open; each session's window is what is left of that. The desired
-//! state is one budget of open commands for each volume, divided among its sessions by max-min fairness;
-//! `step` compares it with what was last granted.
+//! Called by the engine: `opened` and `closed` for each command, `step` after them, which returns
+//! the sessions that may have more or fewer open; each session's window is what is left of that.
+//! The desired state is one budget of open commands for each volume, divided among its sessions by
+//! max-min fairness; `step` compares it with what was last granted.
 //!
-//! The budget learns by outcomes and not by intervals: it grows by one for each budget's worth of completed
-//! commands while it is what limits the sessions, and falls when commands are rejected, once for each
-//! retry-after time, since all rejections of one moment have one cause. Guards against initiators that fill a
-//! volume's queue only to have most of it sent back as BUSY. Harm: after a short congestion a volume is slow
-//! for some round trips.
+//! The budget learns by outcomes and not by intervals: it grows by one for each budget's worth of
+//! completed commands while it is what limits the sessions, and falls when commands are rejected,
+//! once for each retry-after time, since all rejections of one moment have one cause. Guards
+//! against initiators that fill a volume's queue only to have most of it sent back as BUSY. Harm:
+//! after a short congestion a volume is slow for some round trips.
 //!
-//! A window that was granted is not taken back (RFC 7143, 4.2.2.1); a session learns of less as it uses it
-//! up.
+//! A window that was granted is not taken back (RFC 7143, 4.2.2.1); a session learns of less as it
+//! uses it up.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Part of the budget that is left after rejections; a half would empty short queues at each congestion.
+/// Part of the budget that is left after rejections; a half would empty short queues at each
+/// congestion.
 const DECREASE_FACTOR: f64 = 0.7;
 /// A session without any window could never learn that it is open again.
 const MIN_WINDOW: u32 = 1;
@@ -60,8 +61,8 @@
 }
 
 impl Session {
-    /// What a session could use: one that fills its window twice of it, one that does not what it had open at
-    /// most, and one more.
+    /// What a session could use: one that fills its window twice of it, one that does not what it
+    /// had open at most, and one more.
     fn demand(&self, max_window: u32) -> u32 {
         let demand = if self.peak >= self.granted.max(1) {
             self.peak.saturating_mul(2)
@@ -161,8 +162,9 @@
         }
     }
 
-    /// A peak falls by half for each budget's worth of commands: a session that no longer needs much leaves
-    /// it to others, and one that pauses between bursts does not find its window closed.
+    /// A peak falls by half for each budget's worth of commands: a session that no longer needs
+    /// much leaves it to others, and one that pauses between bursts does not find its window
+    /// closed.
     fn decay_peaks(&mut self) {
         for state in self.sessions.values_mut() {
             if state.peak > state.open {
@@ -202,8 +204,8 @@
     }
 }
 
-/// Divides a total by max-min fairness: no share is above its demand, and what one leaves goes to the others
-/// evenly. What cannot be divided evenly goes to those with the highest demand.
+/// Divides a total by max-min fairness: no share is above its demand, and what one leaves goes to
+/// the others evenly. What cannot be divided evenly goes to those with the highest demand.
 ///
 /// ```
 /// use grebecleat_target::pressure::fair;
--- a/crates/target/src/pressure/tests.rs
+++ b/crates/target/src/pressure/tests.rs
@@ -107,7 +107,8 @@
             "{total} {demands:?}"
         );
         assert!(shares.iter().zip(&demands).all(|(g, a)| g <= a));
-        // Who got less than it demands got no less than any other, but for the one that could not be halved.
+        // Who got less than it demands got no less than any other, but for the one that could not
+        // be halved.
         let short = shares
             .iter()
             .zip(&demands)
--- a/crates/target/src/versions.rs
+++ b/crates/target/src/versions.rs
@@ -1,22 +1,23 @@
 //! Versions of writes: by what a node recognizes an old write among newer ones of the same blocks.
 //!
-//! Called by the engine: `next` for each write that goes out, `observe` when a node reports a newer one,
-//! `reservation_due` after either, `reserve` when a ceiling is durable. Versions only grow:
+//! Called by the engine: `next` for each write that goes out, `observe` when a node reports a newer
+//! one, `reservation_due` after either, `reserve` when a ceiling is durable. Versions only grow:
 //!
 //! - within a start, by counting;
-//! - from one start to the next, by a ceiling that is persisted before versions up to it are used. A late
-//!   write of an earlier start then has a lower version than any of this one, whatever became of the clock;
-//! - from one host to another, by where counting begins: the microseconds of the world's clock. Hosts' clocks
-//!   may differ, so that is only a good first guess: a write that finds a newer version at its node comes
-//!   back with it, and goes again above it. Overlapping writes of one host never race, so a current write
-//!   that was superseded can only mean another host.
+//! - from one start to the next, by a ceiling that is persisted before versions up to it are used.
+//!   A late write of an earlier start then has a lower version than any of this one, whatever
+//!   became of the clock;
+//! - from one host to another, by where counting begins: the microseconds of the world's clock.
+//!   Hosts' clocks may differ, so that is only a good first guess: a write that finds a newer
+//!   version at its node comes back with it, and goes again above it. Overlapping writes of one
+//!   host never race, so a current write that was superseded can only mean another host.
 //!
-//! Harm: a node that reports a version near the end of the numbers would use them up; such a one is ignored.
-//! Where hosts' clocks differ by more than a write can be late, one that follows another on a volume must
-//! wait for so long before it first writes.
+//! Harm: a node that reports a version near the end of the numbers would use them up; such a one is
+//! ignored. Where hosts' clocks differ by more than a write can be late, one that follows another
+//! on a volume must wait for so long before it first writes.
 
-/// How many versions a ceiling reserves beyond the next: about a minute's at a million a second, so that
-/// starts in quick succession stay near the clock.
+/// How many versions a ceiling reserves beyond the next: about a minute's at a million a second, so
+/// that starts in quick succession stay near the clock.
 const RESERVED: u64 = 1 << 26;
 /// Versions from here on are ignored: the clock reaches this in the year 20,000.
 const MAX_VERSION: u64 = 1 << 59;
--- a/crates/target/tests/engine/data.rs
+++ b/crates/target/tests/engine/data.rs
@@ -1,4 +1,5 @@
-//! Data of reads and writes: across extents, placements, failures, UNMAP, COMPARE AND WRITE, reservations.
+//! Data of reads and writes: across extents, placements, failures, UNMAP, COMPARE AND WRITE,
+//! reservations.
 
 use super::harness::*;
 use grebecleat_target::blocks::RequestOutcome;
--- a/crates/target/tests/engine/harness.rs
+++ b/crates/target/tests/engine/harness.rs
@@ -1,5 +1,5 @@
-//! The engine under test, between initiators and a host that the test plays: it stores bytes by extent, answers
-//! in any order, rejects and fails.
+//! The engine under test, between initiators and a host that the test plays: it stores bytes by
+//! extent, answers in any order, rejects and fails.
 
 use bytes::Bytes;
 use grebecleat_iscsi::keys::format;
--- a/crates/target/tests/engine/history.rs
+++ b/crates/target/tests/engine/history.rs
@@ -122,7 +122,8 @@
             }),
             _ => None,
         };
-        // What has failed may have been carried out, and what may still apply may be at any later time.
+        // What has failed may have been carried out, and what may still apply may be at any later
+        // time.
         let applies = match outcome {
             Some(RequestOutcome::Rejected {
                 may_still_apply, ..
@@ -211,9 +212,9 @@
     }
 }
 
-/// Many sessions, overlapping reads and writes, a host that answers in any order, rejects and fails: every
-/// command gets one answer, and every block that is read holds what the last write that was GOOD put there,
-/// or what one put there since whose outcome is unknown.
+/// Many sessions, overlapping reads and writes, a host that answers in any order, rejects and
+/// fails: every command gets one answer, and every block that is read holds what the last write
+/// that was GOOD put there, or what one put there since whose outcome is unknown.
 #[test]
 fn every_read_is_checked_against_the_history_of_writes() {
     let mut checked_blocks = 0;
--- a/crates/target/tests/engine/late_writes.rs
+++ b/crates/target/tests/engine/late_writes.rs
@@ -2,8 +2,8 @@
 
 use super::harness::*;
 
-/// The old attempt runs after the newer write was GOOD, by any delay: it changes nothing. Reads of its blocks
-/// wait as long as it could be seen, and a newer write ends that wait.
+/// The old attempt runs after the newer write was GOOD, by any delay: it changes nothing. Reads of
+/// its blocks wait as long as it could be seen, and a newer write ends that wait.
 #[test]
 fn a_late_write_never_overwrites_a_newer_one_and_is_not_seen_between_two_reads() {
     let mut harness = Harness::new();
@@ -89,7 +89,8 @@
     assert_eq!(again.status(conn), (0, fill(2, 1)));
 }
 
-/// Another host, whose clock is ahead, has written here: the write observes its version and is retried above.
+/// Another host, whose clock is ahead, has written here: the write observes its version and is
+/// retried above.
 #[test]
 fn a_write_that_finds_a_newer_version_is_retried_above_it() {
     let mut harness = Harness::new();
--- a/crates/target/tests/engine/sessions.rs
+++ b/crates/target/tests/engine/sessions.rs
@@ -6,7 +6,8 @@
 use grebecleat_target::engine::{ConnNo, Input};
 use std::time::Duration;
 
-/// A window that stays as large is granted again as it is used up, though no command is in progress.
+/// A window that stays as large is granted again as it is used up, though no command is in
+/// progress.
 #[test]
 fn a_session_that_sends_one_command_after_another_never_runs_out_of_window() {
     let mut harness = Harness::new();
@@ -61,8 +62,8 @@
         ),
         (1, Some(Opcode::TaskManagementResponse), 0)
     );
-    // The same initiator port logs in again while a write is in progress: the old session is gone, its write is
-    // not answered, and the repeat in the new session goes behind it.
+    // The same initiator port logs in again while a write is in progress: the old session is gone,
+    // its write is not answered, and the repeat in the new session goes behind it.
     harness.write(conn, 9, 3, &fill(5, 1));
     let again = harness.login(2, 1);
     assert_eq!(harness.closed, [conn]);
--- a/crates/target/tests/script/mod.rs
+++ b/crates/target/tests/script/mod.rs
@@ -1,5 +1,5 @@
-//! Bytes as a script of whole sessions: logins, commands, data, malformed PDUs, task management, losses and the
-//! host's answers, in any order. For the seeded run beside it and for `cargo fuzz`.
+//! Bytes as a script of whole sessions: logins, commands, data, malformed PDUs, task management,
+//! losses and the host's answers, in any order. For the seeded run beside it and for `cargo fuzz`.
 
 use bytes::Bytes;
 use grebecleat_iscsi::keys::format;
@@ -228,8 +228,8 @@
         self.next.insert(conn, NextTags { cmd_sn: 1, ttt: 0 });
     }
 
-    /// One step by the script; every number it draws is small, so that what it names often exists. Bytes are
-    /// drawn in a fixed order, since stored scripts depend on it.
+    /// One step by the script; every number it draws is small, so that what it names often exists.
+    /// Bytes are drawn in a fixed order, since stored scripts depend on it.
     fn step(&mut self, script: &mut Script) {
         let action = script.byte();
         let conn = ConnNo(u64::from(script.byte()) % CONNS);
@@ -384,7 +384,8 @@
     }
 }
 
-/// Plays a script and then lets everything end: each command had at most one status, and nothing stays behind.
+/// Plays a script and then lets everything end: each command had at most one status, and nothing
+/// stays behind.
 pub fn play(bytes: &[u8]) {
     let mut simulation = Simulation::new();
     let mut script = Script(bytes);
--- a/crates/wire/src/clock.rs
+++ b/crates/wire/src/clock.rs
@@ -1,4 +1,5 @@
-//! The machine's monotonic clock, which steps of the wall clock do not touch and all processes share.
+//! The machine's monotonic clock, which steps of the wall clock do not touch and all processes
+//! share.
 
 use std::time::Duration;
 
@@ -8,7 +9,8 @@
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: the pointer is to a live timespec, and the clock's number is a constant of the platform.
+    // SAFETY: the pointer is to a live timespec, and the clock's number is a constant of the
+    // platform.
     unsafe { libc::clock_gettime(libc::CLOCK_MONOTONIC, &mut t) };
     Duration::new(t.tv_sec as u64, t.tv_nsec as u32)
 }
--- a/crates/wire/src/delay.rs
+++ b/crates/wire/src/delay.rs
@@ -1,9 +1,9 @@
 //! How long a frame waited on its way, told without comparing clocks.
 //!
-//! A receiver that stood still, a full socket buffer or a slow reader lets frames wait before they are read,
-//! and the time that a client or host still gives is then less than the frame says. The difference between
-//! the two ends' clocks is unknown but constant, so the least difference seen stands for "did not wait"
-//! (as one-way delay is used in RFC 6817, section 3).
+//! A receiver that stood still, a full socket buffer or a slow reader lets frames wait before they
+//! are read, and the time that a client or host still gives is then less than the frame says. The
+//! difference between the two ends' clocks is unknown but constant, so the least difference seen
+//! stands for "did not wait" (as one-way delay is used in RFC 6817, section 3).
 
 use std::time::Duration;
 
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,8 +1,8 @@
 //! Frames: a length, a checksum and a message.
 //!
-//! Eight bytes of header, both numbers little-endian: the length of the message, and the CRC32C of the
-//! message. The length is checked against the bound before anything is kept for it, and memory is taken only
-//! as bytes arrive, so a header that claims 4 GiB costs eight bytes.
+//! Eight bytes of header, both numbers little-endian: the length of the message, and the CRC32C of
+//! the message. The length is checked against the bound before anything is kept for it, and memory
+//! is taken only as bytes arrive, so a header that claims 4 GiB costs eight bytes.
 
 use bytes::{Buf, Bytes, BytesMut};
 use prost::Message;
@@ -108,7 +108,8 @@
         self.held.len()
     }
 
-    /// The next whole message; None until more bytes have come. After a fault every later call is one too.
+    /// The next whole message; None until more bytes have come. After a fault every later call is
+    /// one too.
     #[allow(clippy::should_implement_trait)]
     pub fn next<M: Message + Default>(&mut self) -> Result<Option<M>, FrameFault> {
         let Some(header) = self.held.first_chunk::<HEADER>() else {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
 //! What crosses the sockets, and the record of it.
 //!
-//! The messages between clients, hosts, nodes, discovery and the state service ([`pb`]), their frames ([`frame`]), the
-//! estimate of what a frame waited on its way ([`delay`]), and trace files ([`trace`]). Nothing here decides
-//! anything about a request. Begin with `proto/grebecleat.proto`.
+//! The messages between clients, hosts, nodes, discovery and the state service ([`pb`]), their
+//! frames ([`frame`]), the estimate of what a frame waited on its way ([`delay`]), and trace files
+//! ([`trace`]). Nothing here decides anything about a request. Begin with `proto/grebecleat.proto`.
 
 pub mod clock;
 pub mod delay;
--- a/crates/wire/src/trace.rs
+++ b/crates/wire/src/trace.rs
@@ -1,9 +1,9 @@
 //! Trace files: what crossed the sockets of one process, for the audit.
 //!
-//! A frame is recorded before it is written and after it is read, and each record goes to the file at once:
-//! a process that is killed leaves all that it may have sent. Data is left out but for its length and
-//! checksum. The file has a bound; at the bound a last record says that it was cut, and the audit then
-//! refuses to judge.
+//! A frame is recorded before it is written and after it is read, and each record goes to the file
+//! at once: a process that is killed leaves all that it may have sent. Data is left out but for its
+//! length and checksum. The file has a bound; at the bound a last record says that it was cut, and
+//! the audit then refuses to judge.
 
 use crate::pb::{self, frame::Body, record::Kind, Record};
 use crate::{clock, frame};
@@ -88,8 +88,8 @@
         }]);
     }
 
-    /// A PDU read from a portal's connection, or one that can no longer be kept from it. `blocks`: its data
-    /// is a command's.
+    /// A PDU read from a portal's connection, or one that can no longer be kept from it. `blocks`:
+    /// its data is a command's.
     pub fn pdu(
         &self,
         kind: Kind,
@@ -177,7 +177,8 @@
 /// Blocks that are summed one by one.
 pub const BLOCK: usize = 512;
 
-/// What tells one block's content from another's in a trace; not proof against who wants them alike.
+/// What tells one block's content from another's in a trace; not proof against who wants them
+/// alike.
 pub fn block_sum(block: &[u8]) -> u64 {
     let mut sum = DefaultHasher::new(); // with its fixed keys: alike in all processes of one build
     sum.write(block);
@@ -205,7 +206,8 @@
     }
 }
 
-/// All records of a file. A torn last record, as a kill leaves it, is dropped; other damage is a fault.
+/// All records of a file. A torn last record, as a kill leaves it, is dropped; other damage is a
+/// fault.
 pub fn read_file(path: &Path) -> io::Result<Vec<Record>> {
     let mut reader = frame::Reader::new(64 << 20);
     let mut bytes = Vec::new();
--- a/crates/wire/tests/former_version.rs
+++ b/crates/wire/tests/former_version.rs
@@ -1,4 +1,5 @@
-//! Frames that an earlier version sent (`tests/data`) are decoded whole: encoded again, they are the same bytes.
+//! Frames that an earlier version sent (`tests/data`) are decoded whole: encoded again, they are
+//! the same bytes.
 
 use grebecleat_wire::frame::HEADER;
 use grebecleat_wire::pb::{self, frame::Body};
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Properties of frames: whole messages come out as they went in, however the bytes are cut; damage is told.
+//! Properties of frames: whole messages come out as they went in, however the bytes are cut; damage
+//! is told.
 
 use grebecleat_wire::frame::{write, FrameFault, Reader};
 use grebecleat_wire::pb::{self, frame::Body};
--- a/fuzz/fuzz_targets/pdu.rs
+++ b/fuzz/fuzz_targets/pdu.rs
@@ -1,5 +1,5 @@
-//! Bytes in pieces of any size into the PDU reader: it never panics, holds no more than a PDU may take, and what
-//! it reads is written back as the same bytes' meaning.
+//! Bytes in pieces of any size into the PDU reader: it never panics, holds no more than a PDU may
+//! take, and what it reads is written back as the same bytes' meaning.
 #![no_main]
 
 use grebecleat_iscsi::pdu::{write, Digests, Fault, Reader};
