--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,5 @@
 //! Reads batches of events from standard input and writes the actions that grebecleat answers.
-//! Translation only: every decision is made in the library's `control` module.
+//! Translation only: every decision is made in the library's `scheduler` module.
 
 mod wire;
 
--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -1,6 +1,6 @@
 //! The start-up settings of the wire, as the library's groups of figures.
 
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use std::time::Duration;
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -2,9 +2,9 @@
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
-use grebecleat::control::Control;
-use grebecleat::interface::*;
 use grebecleat_adapter::settings::{self, time, Pairs};
+use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::scheduler::Scheduler;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 use std::str::FromStr;
@@ -33,7 +33,7 @@
 }
 
 struct Host {
-    control: Control,
+    scheduler: Scheduler,
     traffic_classes: usize,
     plans: usize,
     busy: Option<usize>,
@@ -256,7 +256,7 @@
         let p = Pairs::read(parts.next().unwrap_or(""))?;
         let (traffic_classes, plans) = (settings::traffic_classes(&p)?, settings::plans(&p)?);
         let counts = (traffic_classes.len(), plans.len());
-        let control = Control::new(
+        let scheduler = Scheduler::new(
             seed,
             traffic_classes,
             plans,
@@ -271,7 +271,7 @@
         );
         let busy = settings::report_place(&p, "utilization");
         let host_new = Host {
-            control,
+            scheduler,
             traffic_classes: counts.0,
             plans: counts.1,
             busy,
@@ -393,7 +393,7 @@
         let (now, serial) = self.batch.take()?;
         let mut text = String::new();
         for (name, host) in self.hosts.iter_mut().filter(|(_, h)| !h.events.is_empty()) {
-            for action in host.control.step(now, std::mem::take(&mut host.events)) {
+            for action in host.scheduler.step(now, std::mem::take(&mut host.events)) {
                 write_action(&mut text, name, &action);
             }
         }
--- a/crates/bench/src/commands.rs
+++ b/crates/bench/src/commands.rs
@@ -7,12 +7,12 @@
 use grebecleat_iscsi::login::{Portal, Target};
 use grebecleat_iscsi::pdu::{self, Digests, Header, Opcode, Pdu, Reader};
 use grebecleat_iscsi::scsi::Unit;
-use grebecleat_target::blocks::RequestOutcome;
-use grebecleat_target::engine::{
+use grebecleat_iscsi_target::blocks::RequestOutcome;
+use grebecleat_iscsi_target::engine::{
     ConnNo, Engine, EngineConfig, Input, Output, Request, TargetFacts, VolumeFacts,
 };
-use grebecleat_target::pressure::WindowLimits;
-use grebecleat_target::versions::Versions;
+use grebecleat_iscsi_target::pressure::WindowLimits;
+use grebecleat_iscsi_target::versions::Versions;
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -3,10 +3,10 @@
 
 use crate::site;
 use bytes::Bytes;
-use grebecleat::control::Control;
-use grebecleat::interface::*;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
+use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::{HashMap, VecDeque};
@@ -53,7 +53,7 @@
         poll_interval: ms(10_000),
         lease: None,
     };
-    let mut control = Control::new(
+    let mut scheduler = Scheduler::new(
         1,
         traffic_classes,
         plans,
@@ -70,7 +70,7 @@
     };
     let endpoints = (0..nodes).map(entry).collect();
     let mut now = ms(1000);
-    control.step(
+    scheduler.step(
         now,
         vec![Event::EndpointUpdate {
             kind: EndpointUpdateKind::Snapshot,
@@ -97,7 +97,7 @@
     let mut run =
         |events: Vec<Event>, now: Duration, out: &mut VecDeque<(RequestId, NodeId)>| -> usize {
             let mut gone = 0;
-            for action in control.step(now, events) {
+            for action in scheduler.step(now, events) {
                 match action {
                     Action::SendAttempt { id, node, .. } => out.push_back((id, node)),
                     Action::Reject { .. } | Action::Fail { .. } => gone += 1,
--- a/crates/bench/src/deferral.rs
+++ b/crates/bench/src/deferral.rs
@@ -3,7 +3,7 @@
 //! rest and more.
 
 use crate::sockets::{stay_on, Stage};
-use grebecleat_standin::initiator::{cdb16, Initiator, Wish};
+use grebecleat_testbed::initiator::{cdb16, Initiator, Wish};
 use grebecleat_wire::clock;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/bench/src/extents.rs
+++ b/crates/bench/src/extents.rs
@@ -2,7 +2,7 @@
 //! of runs.
 
 use crate::commands::held;
-use grebecleat_state::extents::Extents;
+use grebecleat_catalog_service::extents::Extents;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
--- a/crates/bench/src/iscsi.rs
+++ b/crates/bench/src/iscsi.rs
@@ -2,7 +2,7 @@
 //! held to one core, initiators, clients and nodes on the others.
 
 use crate::sockets::{prepare, stay_on, targets, together, used, Stage, LINES};
-use grebecleat_standin::initiator::{cdb16, Initiator, Wish};
+use grebecleat_testbed::initiator::{cdb16, Initiator, Wish};
 use grebecleat_wire::clock;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
--- a/crates/bench/src/planner.rs
+++ b/crates/bench/src/planner.rs
@@ -1,11 +1,11 @@
 //! How long the planner takes, by the size of a site, whose promises hold and whose do not; and how
 //! long it takes to say whether one change may land, with every node and zone out in turn.
 
-use grebecleat_plans::admission::Admission;
-use grebecleat_plans::catalog::Catalog;
-use grebecleat_plans::change::{Change, ChangeContext};
-use grebecleat_plans::planner::{check, Node, Site, Volume};
-use grebecleat_plans::records::{self, Deployment};
+use grebecleat_catalog::admission::Admission;
+use grebecleat_catalog::catalog::Catalog;
+use grebecleat_catalog::change::{Change, ChangeContext};
+use grebecleat_catalog::planner::{check, Node, Site, Volume};
+use grebecleat_catalog::records::{self, Deployment};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -6,7 +6,7 @@
 
 use crate::site;
 use bytes::Bytes;
-use grebecleat_standin::net::hello;
+use grebecleat_testbed::net::hello;
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 use grebecleat_wire::{clock, frame};
 use hdrhistogram::Histogram;
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -1,11 +1,11 @@
 //! The store and the state service at size: how long a large store takes to open, and how many
 //! changes a second land through sockets, each on the disk before it is told.
 
-use grebecleat_plans::change::Change;
-use grebecleat_plans::records::{Plan, Version, Volume};
-use grebecleat_state::client::{Client, Reply};
-use grebecleat_state::codec::change_to_proto;
-use grebecleat_state::store::{Record, Store};
+use grebecleat_catalog::change::Change;
+use grebecleat_catalog::records::{Plan, Version, Volume};
+use grebecleat_catalog_service::client::{Client, Reply};
+use grebecleat_catalog_service::codec::change_to_proto;
+use grebecleat_catalog_service::store::{Record, Store};
 use grebecleat_wire::pb::{self, frame::Body};
 use hdrhistogram::Histogram;
 use rand::{Rng, SeedableRng};
@@ -43,7 +43,8 @@
     let dir = std::env::temp_dir().join(format!("grebecleat-bench-state-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     let path = dir.join("large.store");
-    let told = |e: grebecleat_state::store::StoreFault| std::io::Error::other(e.to_string());
+    let told =
+        |e: grebecleat_catalog_service::store::StoreFault| std::io::Error::other(e.to_string());
     let begun = Instant::now();
     {
         let (mut store, ..) = Store::open(&path, 1000).map_err(told)?;
--- a/crates/state/src/change_syntax/format.rs
+++ b/crates/catalog-service/src/change_syntax/format.rs
@@ -1,15 +1,15 @@
 //! Changes as lines.
 
 use super::time::format_time;
-use grebecleat_plans::change::{Change, ScheduledChange, Subject};
-use grebecleat_plans::records::{Drain, Node, Plan, Stage, Volume};
+use grebecleat_catalog::change::{Change, ScheduledChange, Subject};
+use grebecleat_catalog::records::{Drain, Node, Plan, Stage, Volume};
 use std::fmt::Display;
 
 /// The line that would make a change.
 ///
 /// ```
-/// use grebecleat_plans::catalog::Catalog;
-/// use grebecleat_state::change_syntax::{format_change, parse_change};
+/// use grebecleat_catalog::catalog::Catalog;
+/// use grebecleat_catalog_service::change_syntax::{format_change, parse_change};
 /// let line = "volume 7 plan=gold hosts=h1,h2 cells=1,2 blocks=64";
 /// assert_eq!(format_change(&parse_change(&Catalog::default(), line).unwrap()), line);
 /// ```
@@ -93,8 +93,8 @@
 /// What a revision did, a line for each change, each field with its value before.
 ///
 /// ```
-/// use grebecleat_plans::catalog::Catalog;
-/// use grebecleat_state::change_syntax::{format_differences, parse_change};
+/// use grebecleat_catalog::catalog::Catalog;
+/// use grebecleat_catalog_service::change_syntax::{format_differences, parse_change};
 /// let parse = |line| parse_change(&Catalog::default(), line).unwrap();
 /// let lines = |now, before| format_differences(&[parse(now)], &[parse(before)]);
 /// let line = "drain 3: no longer queued no longer within=1m";
--- a/crates/state/src/change_syntax/parse.rs
+++ b/crates/catalog-service/src/change_syntax/parse.rs
@@ -2,19 +2,19 @@
 
 use super::error::{SyntaxError, SyntaxFault};
 use super::fields::{list_items, parse_value, Fields};
-use grebecleat_plans::catalog::Catalog;
-use grebecleat_plans::change::Change;
-use grebecleat_plans::records::{Drain, Name, Node, Plan, Stage, Volume};
+use grebecleat_catalog::catalog::Catalog;
+use grebecleat_catalog::change::Change;
+use grebecleat_catalog::records::{Drain, Name, Node, Plan, Stage, Volume};
 use std::sync::Arc;
 
 /// The change that a line means, against the present catalog: fields that it does not name stay as
 /// they are.
 ///
 /// ```
-/// use grebecleat_plans::catalog::Catalog;
-/// use grebecleat_plans::change::Change;
-/// use grebecleat_plans::records::Plan;
-/// use grebecleat_state::change_syntax::parse_change;
+/// use grebecleat_catalog::catalog::Catalog;
+/// use grebecleat_catalog::change::Change;
+/// use grebecleat_catalog::records::Plan;
+/// use grebecleat_catalog_service::change_syntax::parse_change;
 /// let catalog = Catalog::default();
 /// let to = Plan { rate: 12.0, weight: 3.0, price: 1.0, ..Plan::default() };
 /// let plan = Change::Plan { name: "basic".into(), to: Some(to) };
--- a/crates/state/src/change_syntax/time.rs
+++ b/crates/catalog-service/src/change_syntax/time.rs
@@ -8,7 +8,7 @@
 /// A time since 1970 as date and time of day in UTC.
 ///
 /// ```
-/// use grebecleat_state::change_syntax::{format_time, parse_time};
+/// use grebecleat_catalog_service::change_syntax::{format_time, parse_time};
 /// use std::time::Duration;
 /// let at = Duration::from_secs(1_796_083_200);
 /// assert_eq!(format_time(at), "2026-12-01T00:00:00Z");
--- a/crates/state/src/client.rs
+++ b/crates/catalog-service/src/client.rs
@@ -5,9 +5,9 @@
 //! again.
 
 use crate::codec::{changes_from_proto, revision_from_proto, DecodeError};
-use grebecleat_plans::change::{Change, Revision};
-use grebecleat_plans::leader::Epoch;
-use grebecleat_plans::records::Version;
+use grebecleat_catalog::change::{Change, Revision};
+use grebecleat_catalog::leader::Epoch;
+use grebecleat_catalog::records::Version;
 use grebecleat_wire::pb::{self, frame::Body, query::What};
 use grebecleat_wire::{clock, frame, VERSION};
 use std::io::{self, Write};
--- a/crates/state/src/codec/decode.rs
+++ b/crates/catalog-service/src/codec/decode.rs
@@ -1,7 +1,7 @@
 //! Changes and revisions from protobuf messages.
 
-use grebecleat_plans::change::{Change, Revision, ScheduledChange};
-use grebecleat_plans::records::{Drain, Name, Node, Plan, Stage, Version, Volume};
+use grebecleat_catalog::change::{Change, Revision, ScheduledChange};
+use grebecleat_catalog::records::{Drain, Name, Node, Plan, Stage, Version, Volume};
 use grebecleat_wire::pb::{
     self,
     change::{Subject, To},
--- a/crates/state/src/codec/encode.rs
+++ b/crates/catalog-service/src/codec/encode.rs
@@ -1,7 +1,7 @@
 //! Changes and revisions as protobuf messages.
 
-use grebecleat_plans::change::{Change, Revision, ScheduledChange};
-use grebecleat_plans::records::{Drain, Node, Plan, Stage, Version, Volume};
+use grebecleat_catalog::change::{Change, Revision, ScheduledChange};
+use grebecleat_catalog::records::{Drain, Node, Plan, Stage, Version, Volume};
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb::{
     self,
--- a/crates/state/src/declared_config.rs
+++ b/crates/catalog-service/src/declared_config.rs
@@ -3,9 +3,9 @@
 //! Called by the state service for the first revision of a new store, and by the operator's
 //! commands that compare a file with the state. No state, no I/O.
 
-use grebecleat_plans::catalog::Catalog;
-use grebecleat_plans::change::Change;
-use grebecleat_plans::records::{Deployment, Name, Node, Plan, Version, Volume};
+use grebecleat_catalog::catalog::Catalog;
+use grebecleat_catalog::change::Change;
+use grebecleat_catalog::records::{Deployment, Name, Node, Plan, Version, Volume};
 use grebecleat_settings::Settings;
 
 /// What no change touches: the hosts, and how long an attempt may take to be dispatched.
--- a/crates/state/src/extents.rs
+++ b/crates/catalog-service/src/extents.rs
@@ -52,7 +52,7 @@
 /// Shards by extent.
 ///
 /// ```
-/// use grebecleat_state::extents::{ExtentRun, Extents};
+/// use grebecleat_catalog_service::extents::{ExtentRun, Extents};
 /// let mut extents: Extents = (0..1000).map(|extent| (extent, 7)).collect();
 /// extents.insert(500, 8);
 /// assert_eq!((extents.get(499), extents.get(500), extents.get(1000)), (Some(7), Some(8), None));
--- a/crates/state/src/service/frames.rs
+++ b/crates/catalog-service/src/service/frames.rs
@@ -3,12 +3,12 @@
 use super::owner::{Owner, StepInput};
 use crate::codec::changes_from_proto;
 use crate::subscription::Subscription;
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::leader::{CallId, Epoch, Event as LeaderEvent, Proposal};
+use grebecleat_catalog::records::Version;
 use grebecleat_membership::answers::Answers;
 use grebecleat_membership::drains::{Event as MembershipEvent, NodeObservation};
 use grebecleat_membership::list_reading::ListedState;
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::leader::{CallId, Epoch, Event as LeaderEvent, Proposal};
-use grebecleat_plans::records::Version;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::time::Duration;
 use tracing::warn;
--- a/crates/state/src/service/membership.rs
+++ b/crates/catalog-service/src/service/membership.rs
@@ -2,13 +2,13 @@
 
 use super::owner::Owner;
 use super::wall_time::wall_time;
+use grebecleat_catalog::change::Change;
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::leader::{Event as LeaderEvent, Proposal};
+use grebecleat_catalog::records::Version;
 use grebecleat_membership::drains::{
     Action as MembershipAction, Event as MembershipEvent, NodeFacts,
 };
-use grebecleat_plans::change::Change;
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::leader::{Event as LeaderEvent, Proposal};
-use grebecleat_plans::records::Version;
 use grebecleat_wire::clock;
 use tracing::info;
 
--- a/crates/state/src/service/membership_link.rs
+++ b/crates/catalog-service/src/service/membership_link.rs
@@ -1,9 +1,9 @@
 //! The membership's state machine, and what it knows of the leader's state.
 
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::leader::CallId;
+use grebecleat_catalog::records::Version;
 use grebecleat_membership::drains::{Membership, ProposalId};
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::leader::CallId;
-use grebecleat_plans::records::Version;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/state/src/service/peer.rs
+++ b/crates/catalog-service/src/service/peer.rs
@@ -1,7 +1,7 @@
 //! A connected peer, and a call of a peer.
 
 use super::frame_sender::FrameSender;
-use grebecleat_plans::feed::HostNumber;
+use grebecleat_catalog::feed::HostNumber;
 
 /// A connected host or operator.
 pub(super) struct Peer {
--- a/crates/state/src/service/query.rs
+++ b/crates/catalog-service/src/service/query.rs
@@ -4,7 +4,7 @@
 use super::owner::Owner;
 use crate::codec::{change_to_proto, revision_to_proto};
 use crate::parts::send_in_parts;
-use grebecleat_plans::moves::{self, Size};
+use grebecleat_catalog::moves::{self, Size};
 use grebecleat_wire::pb::{self, frame::Body, query::What};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/state/src/service/snapshot_schedule.rs
+++ b/crates/catalog-service/src/service/snapshot_schedule.rs
@@ -1,6 +1,6 @@
 //! When the regular snapshot is due.
 
-use grebecleat_plans::records::Version;
+use grebecleat_catalog::records::Version;
 use std::time::{Duration, Instant};
 
 /// When the next snapshot is due.
--- a/crates/state/src/snapshot/read.rs
+++ b/crates/catalog-service/src/snapshot/read.rs
@@ -3,8 +3,8 @@
 use super::file::{damaged, disk, FORMAT, MAX_PART_BYTES};
 use crate::codec::{change_from_proto, revision_from_proto};
 use crate::store::{StoreContents, StoreFault, StoredState};
-use grebecleat_plans::leader::Epoch;
-use grebecleat_plans::records::Version;
+use grebecleat_catalog::leader::Epoch;
+use grebecleat_catalog::records::Version;
 use grebecleat_wire::{frame, pb};
 use pb::snapshot::Part;
 use prost::Message;
--- a/crates/state/src/snapshot/restore.rs
+++ b/crates/catalog-service/src/snapshot/restore.rs
@@ -3,7 +3,7 @@
 use super::file::{disk, sync_folder};
 use super::read::read;
 use crate::store::{Record, Store, StoreContents, StoreFault};
-use grebecleat_plans::leader::Epoch;
+use grebecleat_catalog::leader::Epoch;
 use std::path::{Path, PathBuf};
 
 /// Placements of extents of one commit.
--- a/crates/state/src/store/batch.rs
+++ b/crates/catalog-service/src/store/batch.rs
@@ -9,7 +9,7 @@
 use super::schema::{figure, subject_key, AUDIT_LOG, EPOCHS, EXTENTS, HOSTS, META, STATE};
 use crate::codec::{change_to_proto, revision_to_proto};
 use crate::extents::Extents;
-use grebecleat_plans::change::{Change, Revision};
+use grebecleat_catalog::change::{Change, Revision};
 use prost::Message;
 use redb::{ReadableTable, Table, WriteTransaction};
 use std::collections::BTreeMap;
--- a/crates/state/src/store/load.rs
+++ b/crates/catalog-service/src/store/load.rs
@@ -8,9 +8,9 @@
     figure, revision_place, subject_key, AUDIT_LOG, EPOCHS, EXTENTS, HOSTS, META, STATE,
 };
 use crate::codec::{change_from_proto, revision_from_proto};
-use grebecleat_plans::change::{Change, Revision};
-use grebecleat_plans::leader::Epoch;
-use grebecleat_plans::records::Version;
+use grebecleat_catalog::change::{Change, Revision};
+use grebecleat_catalog::leader::Epoch;
+use grebecleat_catalog::records::Version;
 use grebecleat_wire::pb;
 use prost::Message;
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable};
--- a/crates/state/src/store/mod.rs
+++ b/crates/catalog-service/src/store/mod.rs
@@ -34,7 +34,7 @@
 
 use backend::{catch_panic, Backend};
 use fault::StoreResult;
-use grebecleat_plans::records::Version;
+use grebecleat_catalog::records::Version;
 use redb::{Database, StorageBackend};
 use std::path::Path;
 
--- a/crates/state/src/store/record.rs
+++ b/crates/catalog-service/src/store/record.rs
@@ -1,9 +1,9 @@
 //! What callers store and what they get back: the records of a batch, and the contents of a store.
 
 use crate::extents::Extents;
-use grebecleat_plans::change::{Change, Revision};
-use grebecleat_plans::leader::Epoch;
-use grebecleat_plans::records::{Name, Version};
+use grebecleat_catalog::change::{Change, Revision};
+use grebecleat_catalog::leader::Epoch;
+use grebecleat_catalog::records::{Name, Version};
 use std::collections::BTreeMap;
 
 /// One thing to store. A batch of records is stored completely or not at all.
--- a/crates/state/src/store/schema.rs
+++ b/crates/catalog-service/src/store/schema.rs
@@ -2,7 +2,7 @@
 //!
 //! The names of the tables and figures are part of the file format and never change.
 
-use grebecleat_plans::change::Subject;
+use grebecleat_catalog::change::Subject;
 use redb::TableDefinition;
 
 /// Schema number of the file. 1: placement of extents one by one, and nothing else. 2: as here.
--- a/crates/state/src/subscription/mod.rs
+++ b/crates/catalog-service/src/subscription/mod.rs
@@ -12,9 +12,9 @@
 
 use crate::codec::{change_to_proto, revision_to_proto};
 use crate::parts::send_in_parts;
+use grebecleat_catalog::leader::Leader;
+use grebecleat_catalog::records::Version;
 use grebecleat_membership::drains::Membership;
-use grebecleat_plans::leader::Leader;
-use grebecleat_plans::records::Version;
 use grebecleat_wire::pb;
 use node_report::{node_to_proto, same_but_for_time};
 use std::collections::BTreeMap;
--- a/crates/state/src/subscription/node_report.rs
+++ b/crates/catalog-service/src/subscription/node_report.rs
@@ -1,8 +1,8 @@
 //! What subscribers learn of a node and its drain.
 
+use grebecleat_catalog::feed::HostNumber;
 use grebecleat_membership::drains::{DrainView, NodeView, Phase};
 use grebecleat_membership::node_status::NodeStatus;
-use grebecleat_plans::feed::HostNumber;
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
 
--- a/crates/state/tests/common/model.rs
+++ b/crates/catalog-service/tests/common/model.rs
@@ -2,11 +2,13 @@
 //! stored.
 
 use super::Disk;
-use grebecleat_plans::catalog::*;
-use grebecleat_plans::change::*;
-use grebecleat_plans::records::*;
-use grebecleat_state::extents::ExtentRun;
-use grebecleat_state::store::{ExtentsByVolume, Record, Store, StoreContents, StoreFault};
+use grebecleat_catalog::catalog::*;
+use grebecleat_catalog::change::*;
+use grebecleat_catalog::records::*;
+use grebecleat_catalog_service::extents::ExtentRun;
+use grebecleat_catalog_service::store::{
+    ExtentsByVolume, Record, Store, StoreContents, StoreFault,
+};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
--- a/crates/state/tests/faults.rs
+++ b/crates/catalog-service/tests/faults.rs
@@ -6,9 +6,9 @@
 
 use common::model::{open, run, Model, AUDIT_LOG};
 use common::{Disk, Fails};
-use grebecleat_plans::leader::Epoch;
-use grebecleat_plans::records::Version;
-use grebecleat_state::store::{Record, StoreFault};
+use grebecleat_catalog::leader::Epoch;
+use grebecleat_catalog::records::Version;
+use grebecleat_catalog_service::store::{Record, StoreFault};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/crates/state/tests/former_version.rs
+++ b/crates/catalog-service/tests/former_version.rs
@@ -1,9 +1,9 @@
 //! Stores and snapshots that an earlier version wrote (`tests/data`) are read as it wrote them.
 
-use grebecleat_plans::records::Version;
-use grebecleat_state::change_syntax::format_change;
-use grebecleat_state::snapshot;
-use grebecleat_state::store::{Store, StoreContents, StoredState};
+use grebecleat_catalog::records::Version;
+use grebecleat_catalog_service::change_syntax::format_change;
+use grebecleat_catalog_service::snapshot;
+use grebecleat_catalog_service::store::{Store, StoreContents, StoredState};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -63,7 +63,7 @@
 
     let dir = tempfile::tempdir().unwrap();
     let path = dir.path().join("restored.store");
-    let epoch = grebecleat_plans::leader::Epoch(7);
+    let epoch = grebecleat_catalog::leader::Epoch(7);
     let moved_to = snapshot::restore(&data("state.snapshot"), &path, epoch).unwrap();
     assert_eq!(moved_to, None);
     let (_store, contents) = Store::open(&path, MAX_AUDIT_LOG).unwrap();
--- a/crates/state/tests/snapshots.rs
+++ b/crates/catalog-service/tests/snapshots.rs
@@ -1,12 +1,12 @@
 //! Snapshots, complete and cut; restoring where a store was; group commits of many callers.
 
-use grebecleat_plans::catalog::*;
-use grebecleat_plans::change::*;
-use grebecleat_plans::leader::Epoch;
-use grebecleat_plans::records::*;
-use grebecleat_state::group_commit::GroupCommit;
-use grebecleat_state::snapshot;
-use grebecleat_state::store::{ExtentsByVolume, Record, Store, StoreFault};
+use grebecleat_catalog::catalog::*;
+use grebecleat_catalog::change::*;
+use grebecleat_catalog::leader::Epoch;
+use grebecleat_catalog::records::*;
+use grebecleat_catalog_service::group_commit::GroupCommit;
+use grebecleat_catalog_service::snapshot;
+use grebecleat_catalog_service::store::{ExtentsByVolume, Record, Store, StoreFault};
 use std::path::Path;
 use std::sync::mpsc;
 use std::time::Duration;
--- a/crates/plans/src/admission/reasons.rs
+++ b/crates/catalog/src/admission/reasons.rs
@@ -84,7 +84,7 @@
 /// Of these unavailable nodes, those in the zone of a node, except itself.
 ///
 /// ```
-/// use grebecleat_plans::admission::{excluded_in_zone, ExclusionReason::*};
+/// use grebecleat_catalog::admission::{excluded_in_zone, ExclusionReason::*};
 /// let zone = |n: u32| if n < 10 { 'a' } else { 'b' };
 /// let others = [(1, Drains), (2, Cold), (11, Removed), (3, Drains)];
 /// assert_eq!(excluded_in_zone(3, zone, others), [(1, Drains), (2, Cold)]);
--- a/crates/plans/src/feed/quota.rs
+++ b/crates/catalog/src/feed/quota.rs
@@ -52,7 +52,7 @@
 /// version in which the volume does not exist has no terms.
 ///
 /// ```
-/// use grebecleat_plans::feed::{quota, Quota, LimitTerms};
+/// use grebecleat_catalog::feed::{quota, Quota, LimitTerms};
 /// let terms = |limit, hosts| LimitTerms {
 ///     reservation: 4.0,
 ///     limit,
--- a/crates/plans/src/incremental_flow.rs
+++ b/crates/catalog/src/incremental_flow.rs
@@ -73,8 +73,8 @@
     /// The flow of a site.
     ///
     /// ```
-    /// use grebecleat_plans::planner::{Node, Site, Volume};
-    /// use grebecleat_plans::incremental_flow::IncrementalFlow;
+    /// use grebecleat_catalog::planner::{Node, Site, Volume};
+    /// use grebecleat_catalog::incremental_flow::IncrementalFlow;
     /// let node = |id| Node { id, zone: 1, capacity: 100.0 };
     /// let homes = || vec![(1, 0.5), (2, 0.5)];
     /// let volume = |id, reserve| Volume { id, reserve, weight: 1.0, homes: homes() };
--- a/crates/plans/src/planner.rs
+++ b/crates/catalog/src/planner.rs
@@ -262,7 +262,7 @@
 /// Whether the reservations can be met with these nodes out.
 ///
 /// ```
-/// use grebecleat_plans::planner::{check, Node, Site, Volume};
+/// use grebecleat_catalog::planner::{check, Node, Site, Volume};
 /// let node = |id| Node { id, zone: 1, capacity: 100.0 };
 /// let volume = |id, reserve, nodes: &[u32]| Volume {
 ///     id,
--- a/crates/plans/src/records.rs
+++ b/crates/catalog/src/records.rs
@@ -126,7 +126,7 @@
     /// that back. A node that was removed is returned first, and perhaps drained anew.
     ///
     /// ```
-    /// use grebecleat_plans::records::Stage::{self, *};
+    /// use grebecleat_catalog::records::Stage::{self, *};
     /// assert!(Stage::may_follow(None, Some(Queued)));
     /// assert!(Stage::may_follow(Some(Queued), Some(Draining)));
     /// assert!(!Stage::may_follow(Some(Drained), Some(Draining)));
--- a/crates/plans/tests/admission.rs
+++ b/crates/catalog/tests/admission.rs
@@ -2,11 +2,11 @@
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
-use grebecleat_plans::admission::{Admission, AdmissionVerdict, ExclusionReason, Reason};
-use grebecleat_plans::catalog::*;
-use grebecleat_plans::change::*;
-use grebecleat_plans::planner::{check, Out};
-use grebecleat_plans::records::*;
+use grebecleat_catalog::admission::{Admission, AdmissionVerdict, ExclusionReason, Reason};
+use grebecleat_catalog::catalog::*;
+use grebecleat_catalog::change::*;
+use grebecleat_catalog::planner::{check, Out};
+use grebecleat_catalog::records::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
--- a/crates/plans/tests/catalog.rs
+++ b/crates/catalog/tests/catalog.rs
@@ -6,10 +6,10 @@
 mod common;
 
 use common::*;
-use grebecleat_plans::catalog::*;
-use grebecleat_plans::change::*;
-use grebecleat_plans::errors::*;
-use grebecleat_plans::records::*;
+use grebecleat_catalog::catalog::*;
+use grebecleat_catalog::change::*;
+use grebecleat_catalog::errors::*;
+use grebecleat_catalog::records::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
--- a/crates/plans/tests/common/mod.rs
+++ b/crates/catalog/tests/common/mod.rs
@@ -1,10 +1,10 @@
 //! Builders for changes and catalogs. Each test program uses some of them.
 #![allow(dead_code)]
 
-use grebecleat_plans::catalog::*;
-use grebecleat_plans::change::*;
-use grebecleat_plans::errors::*;
-use grebecleat_plans::records::*;
+use grebecleat_catalog::catalog::*;
+use grebecleat_catalog::change::*;
+use grebecleat_catalog::errors::*;
+use grebecleat_catalog::records::*;
 use std::time::Duration;
 
 pub fn plan(name: &str, reservation: f64) -> Change {
--- a/crates/plans/tests/feed.rs
+++ b/crates/catalog/tests/feed.rs
@@ -5,10 +5,10 @@
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
-use grebecleat_plans::feed::{
+use grebecleat_catalog::feed::{
     quota, FollowerLease, HostNumber, Leases, LimitReductions, LimitTerms, PollDecision,
 };
-use grebecleat_plans::records::Version;
+use grebecleat_catalog::records::Version;
 use std::collections::{HashSet, VecDeque};
 use std::time::Duration;
 
@@ -422,7 +422,7 @@
     }
 }
 
-/// The long form: `cargo test --release -p grebecleat-plans --test feed -- --ignored --nocapture`.
+/// The long form: `cargo test --release -p grebecleat-catalog --test feed -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes; CI plays the short form"]
 fn no_state_with_two_mishaps_or_with_two_slow_hosts() {
--- a/crates/plans/tests/fleet/main.rs
+++ b/crates/catalog/tests/fleet/main.rs
@@ -13,12 +13,12 @@
 mod world;
 
 use disk::{Disk, HostDisk};
-use grebecleat_plans::catalog::*;
-use grebecleat_plans::change::*;
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::follower::{self, Follower, Update};
-use grebecleat_plans::leader::{self, for_host, is_for, CallId, Epoch, Leader, Proposal};
-use grebecleat_plans::records::*;
+use grebecleat_catalog::catalog::*;
+use grebecleat_catalog::change::*;
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::follower::{self, Follower, Update};
+use grebecleat_catalog::leader::{self, for_host, is_for, CallId, Epoch, Leader, Proposal};
+use grebecleat_catalog::records::*;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/plans/tests/follower.rs
+++ b/crates/catalog/tests/follower.rs
@@ -1,11 +1,11 @@
 //! A host's side of the feed, case by case.
 
-use grebecleat_plans::catalog::*;
-use grebecleat_plans::change::*;
-use grebecleat_plans::feed::Quota;
-use grebecleat_plans::follower::*;
-use grebecleat_plans::leader::{for_host, CallId, Epoch};
-use grebecleat_plans::records::*;
+use grebecleat_catalog::catalog::*;
+use grebecleat_catalog::change::*;
+use grebecleat_catalog::feed::Quota;
+use grebecleat_catalog::follower::*;
+use grebecleat_catalog::leader::{for_host, CallId, Epoch};
+use grebecleat_catalog::records::*;
 use std::time::Duration;
 
 fn ms(millis: u64) -> Duration {
--- a/crates/plans/tests/leader/main.rs
+++ b/crates/catalog/tests/leader/main.rs
@@ -4,10 +4,10 @@
 mod common;
 mod rig;
 
-use grebecleat_plans::change::*;
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::leader::*;
-use grebecleat_plans::records::*;
+use grebecleat_catalog::change::*;
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::leader::*;
+use grebecleat_catalog::records::*;
 use rig::*;
 
 #[test]
--- a/crates/plans/tests/leader/rig.rs
+++ b/crates/catalog/tests/leader/rig.rs
@@ -1,12 +1,12 @@
 //! A leader with a disk that answers on request, and builders for its changes.
 
 pub use crate::common::plan;
-use grebecleat_plans::admission::join_reasons;
-use grebecleat_plans::catalog::*;
-use grebecleat_plans::change::*;
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::leader::*;
-use grebecleat_plans::records::*;
+use grebecleat_catalog::admission::join_reasons;
+use grebecleat_catalog::catalog::*;
+use grebecleat_catalog::change::*;
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::leader::*;
+use grebecleat_catalog::records::*;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/plans/tests/moves.rs
+++ b/crates/catalog/tests/moves.rs
@@ -2,8 +2,8 @@
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
-use grebecleat_plans::moves::{propose, Move, Size};
-use grebecleat_plans::planner::{check, Node, Site, Volume};
+use grebecleat_catalog::moves::{propose, Move, Size};
+use grebecleat_catalog::planner::{check, Node, Site, Volume};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/plans/tests/planner.rs
+++ b/crates/catalog/tests/planner.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
-use grebecleat_plans::planner::*;
+use grebecleat_catalog::planner::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeSet;
--- a/crates/plans/tests/validation.rs
+++ b/crates/catalog/tests/validation.rs
@@ -5,8 +5,8 @@
 mod common;
 
 use common::*;
-use grebecleat_plans::change::*;
-use grebecleat_plans::records::*;
+use grebecleat_catalog::change::*;
+use grebecleat_catalog::records::*;
 use std::time::Duration;
 
 #[test]
--- a/crates/cli/src/audit.rs
+++ b/crates/cli/src/audit.rs
@@ -3,8 +3,8 @@
 
 use crate::common::load;
 use crate::exit::{could_not_run, CommandError};
-use grebecleat_audit::{Case, Verdict, RULES};
 use grebecleat_settings::Settings;
+use grebecleat_trace_checker::{Case, Verdict, RULES};
 use grebecleat_wire::trace;
 use std::io::Write;
 use std::path::Path;
@@ -76,7 +76,7 @@
 pub fn show_trace(file: &Path, text: &str) -> Result<(), CommandError> {
     let mut out = std::io::stdout().lock();
     for record in trace::read_file(file)? {
-        let line = grebecleat_audit::run::show("", &record);
+        let line = grebecleat_trace_checker::run::show("", &record);
         if line.contains(text) && writeln!(out, "{line}").is_err() {
             // Nobody reads any more.
             return Ok(());
--- a/crates/cli/src/common.rs
+++ b/crates/cli/src/common.rs
@@ -2,9 +2,9 @@
 //! listens.
 
 use crate::exit::{could_not_run, invalid, CommandError};
+use grebecleat_catalog_service::{group_commit::GroupCommit, store::StoreContents};
 use grebecleat_settings::Settings;
-use grebecleat_standin::rehearse;
-use grebecleat_state::{group_commit::GroupCommit, store::StoreContents};
+use grebecleat_testbed::rehearse;
 use grebecleat_wire::{pb, trace::Tracer};
 use std::io::Write;
 use std::net::SocketAddr;
--- a/crates/cli/src/fleet.rs
+++ b/crates/cli/src/fleet.rs
@@ -1,7 +1,7 @@
 //! What one running host knows of the fleet, as it tells whoever watches it.
 
 use crate::exit::{could_not_run, CommandError};
-use grebecleat_standin::net::hello;
+use grebecleat_testbed::net::hello;
 use grebecleat_wire::pb::{self, frame::Body};
 use grebecleat_wire::{clock, frame};
 use std::fmt::Write as _;
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -9,10 +9,10 @@
 
 use crate::args::{PlansArgs, PlansCommand};
 use crate::exit::{could_not_run, invalid, CommandError};
-use grebecleat_plans::catalog::Catalog;
-use grebecleat_plans::change::Subject;
-use grebecleat_plans::records::Deployment;
-use grebecleat_state::client::{Client, QueryResult};
+use grebecleat_catalog::catalog::Catalog;
+use grebecleat_catalog::change::Subject;
+use grebecleat_catalog::records::Deployment;
+use grebecleat_catalog_service::client::{Client, QueryResult};
 use grebecleat_wire::pb::query::What;
 use output::Output;
 use std::net::SocketAddr;
--- a/crates/cli/src/plans/files.rs
+++ b/crates/cli/src/plans/files.rs
@@ -3,10 +3,10 @@
 use super::output::Output;
 use super::{now, Session};
 use crate::exit::{could_not_run, CommandError};
-use grebecleat_plans::records::Version;
-use grebecleat_state::service::new_epoch;
-use grebecleat_state::snapshot;
-use grebecleat_state::store::{Store, StoreContents, StoreFault, StoredState};
+use grebecleat_catalog::records::Version;
+use grebecleat_catalog_service::service::new_epoch;
+use grebecleat_catalog_service::snapshot;
+use grebecleat_catalog_service::store::{Store, StoreContents, StoreFault, StoredState};
 use grebecleat_wire::pb::query::What;
 use serde_json::json;
 use std::path::Path;
--- a/crates/cli/src/plans/json.rs
+++ b/crates/cli/src/plans/json.rs
@@ -1,8 +1,8 @@
 //! The JSON form of a change.
 
-use grebecleat_plans::change::{Change, ScheduledChange};
-use grebecleat_plans::records::{Drain, Node, Plan, Volume};
-use grebecleat_state::change_syntax::format_time;
+use grebecleat_catalog::change::{Change, ScheduledChange};
+use grebecleat_catalog::records::{Drain, Node, Plan, Volume};
+use grebecleat_catalog_service::change_syntax::format_time;
 use serde_json::{json, Value};
 
 pub fn changes_to_json(changes: &[Change]) -> Value {
--- a/crates/cli/src/plans/queries.rs
+++ b/crates/cli/src/plans/queries.rs
@@ -4,12 +4,14 @@
 use super::{catalog, subject, Session};
 use crate::common::load;
 use crate::exit::{could_not_run, invalid, CommandError};
-use grebecleat_plans::catalog::Catalog;
-use grebecleat_plans::change::{Change, Revision, Subject};
-use grebecleat_plans::records::Version;
-use grebecleat_state::change_syntax::{format_change, format_differences, format_time};
-use grebecleat_state::client::QueryResult;
-use grebecleat_state::declared_config::{changes_from_declared, declared_changes, deployment};
+use grebecleat_catalog::catalog::Catalog;
+use grebecleat_catalog::change::{Change, Revision, Subject};
+use grebecleat_catalog::records::Version;
+use grebecleat_catalog_service::change_syntax::{format_change, format_differences, format_time};
+use grebecleat_catalog_service::client::QueryResult;
+use grebecleat_catalog_service::declared_config::{
+    changes_from_declared, declared_changes, deployment,
+};
 use grebecleat_wire::pb::{self, query::What};
 use serde_json::{json, Value};
 use std::path::Path;
--- a/crates/cli/src/rehearsal_report.rs
+++ b/crates/cli/src/rehearsal_report.rs
@@ -1,9 +1,9 @@
 //! What a rehearsal prints of its clients, its changes of plans and its initiators.
 
 use grebecleat_settings::Settings;
-use grebecleat_standin::clients::Tally;
-use grebecleat_standin::disks::Disks;
-use grebecleat_standin::rehearse::Played;
+use grebecleat_testbed::clients::Tally;
+use grebecleat_testbed::disks::Disks;
+use grebecleat_testbed::rehearse::Played;
 use std::ops::Range;
 
 /// Seconds before and after a change over which its volumes' service is compared.
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -3,14 +3,14 @@
 use crate::args::HostArgs;
 use crate::common::{address, load, open_store, print_listening, tracer};
 use crate::exit::{invalid, CommandError, COULD_NOT_RUN};
-use grebecleat_host::server as host;
-use grebecleat_plans::follower::{Follower, InitialState};
-use grebecleat_settings::{PortalSpec, Settings};
-use grebecleat_standin::net;
-use grebecleat_state::{
+use grebecleat_catalog::follower::{Follower, InitialState};
+use grebecleat_catalog_service::{
     declared_config::deployment, group_commit::GroupCommit, store::StoreContents,
 };
-use grebecleat_target::portal::{self, Places};
+use grebecleat_host::server as host;
+use grebecleat_iscsi_target::portal::{self, Places};
+use grebecleat_settings::{PortalSpec, Settings};
+use grebecleat_testbed::net;
 use grebecleat_wire::{clock, pb};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/cli/src/standins.rs
+++ b/crates/cli/src/standins.rs
@@ -4,7 +4,7 @@
 use crate::common::{address, load, print_listening, tracer};
 use crate::exit::{could_not_run, invalid, CommandError};
 use grebecleat_settings::Kind;
-use grebecleat_standin::{net, rehearse, serve};
+use grebecleat_testbed::{net, rehearse, serve};
 use grebecleat_wire::{clock, pb};
 use std::net::TcpListener;
 use std::sync::Arc;
--- a/crates/cli/src/state_service.rs
+++ b/crates/cli/src/state_service.rs
@@ -3,9 +3,9 @@
 use crate::args::StateArgs;
 use crate::common::{address, load, print_listening, tracer};
 use crate::exit::{could_not_run, invalid, CommandError};
+use grebecleat_catalog_service::service;
 use grebecleat_host::server as host;
-use grebecleat_standin::net;
-use grebecleat_state::service;
+use grebecleat_testbed::net;
 use grebecleat_wire::pb;
 use std::sync::Arc;
 use tracing::info;
--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -5,9 +5,9 @@
 
 use bytes::Bytes;
 use grebecleat_iscsi::pdu::{self, Digests, Header, Opcode, Pdu};
-use grebecleat_standin::initiator::{cdb16, Initiator, Wish};
-use grebecleat_standin::net::{self, Heard, Line};
-use grebecleat_standin::versions::Versions;
+use grebecleat_testbed::initiator::{cdb16, Initiator, Wish};
+use grebecleat_testbed::net::{self, Heard, Line};
+use grebecleat_testbed::versions::Versions;
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
 use process::Started;
--- a/crates/cli/tests/peers.rs
+++ b/crates/cli/tests/peers.rs
@@ -3,8 +3,8 @@
 
 mod process;
 
-use grebecleat_standin::links::Links;
-use grebecleat_standin::net::hello;
+use grebecleat_testbed::links::Links;
+use grebecleat_testbed::net::hello;
 use grebecleat_wire::pb::{self, frame::Body, record::Kind, Outcome};
 use grebecleat_wire::trace::read_file;
 use grebecleat_wire::{clock, frame};
--- a/crates/cli/tests/plans.rs
+++ b/crates/cli/tests/plans.rs
@@ -45,7 +45,7 @@
 impl Service {
     fn new(name: &str) -> Service {
         let dir =
-            std::env::temp_dir().join(format!("grebecleat-plans-{}-{name}", std::process::id()));
+            std::env::temp_dir().join(format!("grebecleat-catalog-{}-{name}", std::process::id()));
         fs::create_dir_all(&dir).unwrap();
         fs::write(dir.join("site.star"), SITE).unwrap();
         let mut s = Service {
@@ -339,7 +339,7 @@
 #[test]
 fn plans_change_under_load_while_the_feed_and_its_service_fail() {
     let _alone = alone();
-    let dir = std::env::temp_dir().join(format!("grebecleat-plans-{}-day", std::process::id()));
+    let dir = std::env::temp_dir().join(format!("grebecleat-catalog-{}-day", std::process::id()));
     fs::create_dir_all(&dir).unwrap();
     let script = dir.join("day.star");
     let day = r#"
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -3,7 +3,7 @@
 
 mod process;
 
-use grebecleat_standin::net::hello;
+use grebecleat_testbed::net::hello;
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 use grebecleat_wire::{clock, frame};
 use process::Started;
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -658,7 +658,10 @@
         let all: Vec<Host> = (0..hosts)
             .map(|n| {
                 let address = free_address();
-                let name = format!("grebecleat-fleet-{}-{number}-{n}", std::process::id());
+                let name = format!(
+                    "grebecleat-coordination-{}-{number}-{n}",
+                    std::process::id()
+                );
                 let (config, log) = (
                     tmp.join(format!("{name}.json")),
                     tmp.join(format!("{name}.log")),
--- a/crates/fleet/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! What tests of the fleet share.
 #![allow(dead_code)] // each test file uses some of it
 
-use grebecleat_fleet::host_report::Observation;
+use grebecleat_coordination::host_report::Observation;
 use std::time::Duration;
 
 pub const NOW: Duration = ms(100_000);
--- a/crates/fleet/tests/fleet_simulation.rs
+++ b/crates/coordination/tests/fleet_simulation.rs
@@ -5,8 +5,8 @@
 
 mod simulation;
 
-use grebecleat_fleet::evidence::EVIDENCE_WINDOW;
-use grebecleat_fleet::outlier_detection::{EndpointPolicy, EJECTION_TIMEOUT};
+use grebecleat_coordination::evidence::EVIDENCE_WINDOW;
+use grebecleat_coordination::outlier_detection::{EndpointPolicy, EJECTION_TIMEOUT};
 use rand::Rng;
 use simulation::{ms, Host, World, LIMIT};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/fleet/tests/gossip_codec.rs
+++ b/crates/coordination/tests/gossip_codec.rs
@@ -3,12 +3,14 @@
 mod common;
 
 use common::{ms, observation};
-use grebecleat_fleet::gossip_message::{GossipMessage, VolumeLeaseMessage, MAX_BYTES, MAX_ENTRIES};
-use grebecleat_fleet::host_report::{
+use grebecleat_coordination::gossip_message::{
+    GossipMessage, VolumeLeaseMessage, MAX_BYTES, MAX_ENTRIES,
+};
+use grebecleat_coordination::host_report::{
     GossipEntry, HostReport, LeaseOffer, Observation, ServedUnits, VersionStamp,
 };
-use grebecleat_fleet::lease_message::LeaseMessage;
-use grebecleat_fleet::{HostNumber, Incarnation};
+use grebecleat_coordination::lease_message::LeaseMessage;
+use grebecleat_coordination::{HostNumber, Incarnation};
 
 /// The entry and the lease messages of `message`, byte by byte.
 const ENCODED: &str = "\
--- a/crates/fleet/tests/gossip_state.rs
+++ b/crates/coordination/tests/gossip_state.rs
@@ -4,10 +4,12 @@
 mod common;
 
 use common::{ms, observation, NOW};
-use grebecleat_fleet::gossip_message::GossipMessage;
-use grebecleat_fleet::gossip_state::{GossipState, MergeOutcome, ENTRY_TIMEOUT, SYNC_TIMEOUT};
-use grebecleat_fleet::host_report::{GossipEntry, HostReport, VersionStamp};
-use grebecleat_fleet::{HostNumber, Incarnation};
+use grebecleat_coordination::gossip_message::GossipMessage;
+use grebecleat_coordination::gossip_state::{
+    GossipState, MergeOutcome, ENTRY_TIMEOUT, SYNC_TIMEOUT,
+};
+use grebecleat_coordination::host_report::{GossipEntry, HostReport, VersionStamp};
+use grebecleat_coordination::{HostNumber, Incarnation};
 use std::time::Duration;
 
 /// The state of host 0 in its tenth incarnation.
--- a/crates/fleet/tests/outlier_detection.rs
+++ b/crates/coordination/tests/outlier_detection.rs
@@ -4,12 +4,12 @@
 mod common;
 
 use common::{ms, observation, NOW};
-use grebecleat_fleet::evidence::{Observer, EVIDENCE_WINDOW};
-use grebecleat_fleet::host_report::HostReport;
-use grebecleat_fleet::outlier_detection::{
+use grebecleat_coordination::evidence::{Observer, EVIDENCE_WINDOW};
+use grebecleat_coordination::host_report::HostReport;
+use grebecleat_coordination::outlier_detection::{
     EndpointPolicy, OutlierDetector, Verdict, EJECTION_TIMEOUT,
 };
-use grebecleat_fleet::HostNumber;
+use grebecleat_coordination::HostNumber;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/fleet/tests/quota_lease.rs
+++ b/crates/coordination/tests/quota_lease.rs
@@ -1,11 +1,11 @@
 //! Quota leases of one limit: what is granted, renewed, released and rejected.
 
-use grebecleat_fleet::borrowed_leases::{Lender, OutgoingLeaseMessage};
-use grebecleat_fleet::lease_message::{
+use grebecleat_coordination::borrowed_leases::{Lender, OutgoingLeaseMessage};
+use grebecleat_coordination::lease_message::{
     LeaseMessage, LeaseTerms, ReceivedLeaseMessage, WHOLE_LIMIT,
 };
-use grebecleat_fleet::quota_lease::QuotaLeases;
-use grebecleat_fleet::{HostNumber, Incarnation};
+use grebecleat_coordination::quota_lease::QuotaLeases;
+use grebecleat_coordination::{HostNumber, Incarnation};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/fleet/tests/quota_lease_explorer.rs
+++ b/crates/coordination/tests/quota_lease_explorer.rs
@@ -4,12 +4,12 @@
 //! every state the hosts' quotas add up to the whole limit at most. Worlds with a fault planted on
 //! purpose, on the other side of the leases' interface, must break that.
 
-use grebecleat_fleet::borrowed_leases::{Lender, OutgoingLeaseMessage};
-use grebecleat_fleet::lease_message::{
+use grebecleat_coordination::borrowed_leases::{Lender, OutgoingLeaseMessage};
+use grebecleat_coordination::lease_message::{
     LeaseMessage, LeaseTerms, ReceivedLeaseMessage, WHOLE_LIMIT,
 };
-use grebecleat_fleet::quota_lease::QuotaLeases;
-use grebecleat_fleet::{HostNumber, Incarnation};
+use grebecleat_coordination::quota_lease::QuotaLeases;
+use grebecleat_coordination::{HostNumber, Incarnation};
 use std::collections::{BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
--- a/crates/fleet/tests/simulation/mod.rs
+++ b/crates/coordination/tests/simulation/mod.rs
@@ -1,11 +1,11 @@
 //! A whole fleet in one process: hosts, nodes, and a network that delays, loses and doubles
 //! messages.
 
-use grebecleat_fleet::events::{Action, Event, Rules};
-use grebecleat_fleet::fleet::Fleet;
-use grebecleat_fleet::lease_message::LeaseTerms;
-use grebecleat_fleet::outlier_detection::EndpointPolicy;
-use grebecleat_fleet::{HostNumber, Incarnation};
+use grebecleat_coordination::events::{Action, Event, Rules};
+use grebecleat_coordination::fleet::Fleet;
+use grebecleat_coordination::lease_message::LeaseTerms;
+use grebecleat_coordination::outlier_detection::EndpointPolicy;
+use grebecleat_coordination::{HostNumber, Incarnation};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/host/src/config_follower.rs
+++ b/crates/host/src/config_follower.rs
@@ -2,7 +2,7 @@
 //!
 //! Called by the router: what came on the connection and from the disk goes in, and
 //! [`ConfigFollower::step`] returns what the sockets, the disk and the decisions are to be told.
-//! What is followed, persisted and believed is decided in [`grebecleat_plans::follower`]; here is
+//! What is followed, persisted and believed is decided in [`grebecleat_catalog::follower`]; here is
 //! only when to dial again, and the assembly of answers that come in parts. A host without a state
 //! service serves what its settings say, for good.
 //!
@@ -11,15 +11,15 @@
 
 use crate::outbox::Outbox;
 use crate::router::ConnId;
-use grebecleat::interface::{Event, LimitQuota, Plan, PlanId, VolumeId, VolumeTerms};
-use grebecleat_plans::follower::{
+use grebecleat_catalog::follower::{
     self, Action, Follower, InitialState, PersistRequest, Terms, Update,
 };
-use grebecleat_plans::leader::{CallId, Epoch};
-use grebecleat_plans::records::{self, Name, Version};
+use grebecleat_catalog::leader::{CallId, Epoch};
+use grebecleat_catalog::records::{self, Name, Version};
+use grebecleat_catalog_service::codec::{changes_from_proto, revision_from_proto, DecodeError};
+use grebecleat_catalog_service::store::Record;
+use grebecleat_scheduler::api::{Event, LimitQuota, Plan, PlanId, VolumeId, VolumeTerms};
 use grebecleat_settings::Settings;
-use grebecleat_state::codec::{changes_from_proto, revision_from_proto, DecodeError};
-use grebecleat_state::store::Record;
 use grebecleat_wire::pb::{self, frame::Body};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/host/src/endpoint_list.rs
+++ b/crates/host/src/endpoint_list.rs
@@ -7,7 +7,7 @@
 //!
 //! Memory: nodes stay known after they are gone; the bound is the list's own length.
 
-use grebecleat::interface::{Endpoint, NodeId, NodeState, ShardId, ZoneId};
+use grebecleat_scheduler::api::{Endpoint, NodeId, NodeState, ShardId, ZoneId};
 use grebecleat_wire::{clock, frame, pb};
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -6,7 +6,7 @@
 //! itself decide: [`admission`], [`pool`], [`poll_deadline`], [`process_pause`], [`observations`],
 //! [`quota_sharing`]; [`metrics`] is what is shown. [`outbox`] is the seam to the sockets;
 //! [`server`] holds the sockets, on `may` coroutines. Nothing here may choose which request goes
-//! where: that is `grebecleat::control` alone. Begin with [`router`].
+//! where: that is `grebecleat_scheduler::scheduler` alone. Begin with [`router`].
 
 #![warn(missing_docs)]
 
--- a/crates/host/src/metrics.rs
+++ b/crates/host/src/metrics.rs
@@ -11,9 +11,9 @@
 //! Memory: a record for each volume, shard and second of which something changed since the last
 //! message, and the last reported row of each node.
 
-use grebecleat::control::inspection::{NodeMetrics, QueueMetrics};
-use grebecleat::control::Control;
-use grebecleat::interface::{BlockReason, NodeId, NodeState};
+use grebecleat_scheduler::api::{BlockReason, NodeId, NodeState};
+use grebecleat_scheduler::scheduler::inspection::{NodeMetrics, QueueMetrics};
+use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
 use std::collections::{BTreeMap, HashMap};
@@ -101,12 +101,12 @@
     pub fn collect(
         &mut self,
         now: Duration,
-        control: &Control,
+        scheduler: &Scheduler,
         start_of: impl Fn(NodeId) -> u64,
         head: pb::HostMetrics,
     ) -> pb::HostMetrics {
-        let nodes = self.changed_nodes(now, control, start_of);
-        let queued = control.queued(MAX_LINES);
+        let nodes = self.changed_nodes(now, scheduler, start_of);
+        let queued = scheduler.queued(MAX_LINES);
         let service = std::mem::take(&mut self.service);
         pb::HostMetrics {
             nodes,
@@ -126,12 +126,12 @@
     fn changed_nodes(
         &mut self,
         now: Duration,
-        control: &Control,
+        scheduler: &Scheduler,
         start_of: impl Fn(NodeId) -> u64,
     ) -> Vec<pb::NodeMetrics> {
         let mut completed = std::mem::take(&mut self.completed_units);
         let mut changed = Vec::new();
-        for node in control.nodes() {
+        for node in scheduler.nodes() {
             let units = completed.remove(&node.node).unwrap_or_default();
             let row = node_to_proto(&node, now, start_of(node.node), units);
             let reported = self.reported_nodes.get(&node.node);
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -4,19 +4,19 @@
 //! Called by the router: what it receives, completes and sends goes in as it happens, what it
 //! learns of plans and of the endpoint list when that changes, and [`QuotaSharing::step`] returns
 //! what the decisions, the peers and the log are to be told. What is decided is decided in
-//! [`grebecleat_fleet`]; here is only the translation: a quota of a limit becomes a volume's terms,
+//! [`grebecleat_coordination`]; here is only the translation: a quota of a limit becomes a volume's terms,
 //! and a node to be avoided one that drains.
 //!
 //! Memory: the terms of each volume with a limit that is shared.
 
-use grebecleat::interface::{
+use grebecleat_coordination::events::{self, Action, Rules};
+use grebecleat_coordination::fleet::{Fleet, NodePolicy};
+use grebecleat_coordination::lease_message::LeaseTerms;
+use grebecleat_coordination::outlier_detection::EndpointPolicy;
+use grebecleat_coordination::{HostNumber, Incarnation};
+use grebecleat_scheduler::api::{
     AttemptOutcome, Event, LimitQuota, NodeId, PeerId, Plan, PlanId, VolumeId, VolumeTerms,
 };
-use grebecleat_fleet::events::{self, Action, Rules};
-use grebecleat_fleet::fleet::{Fleet, NodePolicy};
-use grebecleat_fleet::lease_message::LeaseTerms;
-use grebecleat_fleet::outlier_detection::EndpointPolicy;
-use grebecleat_fleet::{HostNumber, Incarnation};
 use grebecleat_settings::Settings;
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -3,7 +3,7 @@
 //! State machine: [`RequestRouter::step`] takes what has happened and returns what the sockets are
 //! to do beyond what lies in the outboxes; [`RequestRouter::wake_at`] says when it must be called
 //! again. No I/O and no clock. Called by the owner's loop ([`crate::server`], or the platform's).
-//! Every event and action of `grebecleat::interface` is carried here:
+//! Every event and action of `grebecleat_scheduler::api` is carried here:
 //!
 //! - a request is answered once: by its first attempt that completes, else by the decisions, else
 //!   not at all (its client has left); what comes later is counted as stray and dropped;
@@ -43,9 +43,9 @@
 use crate::poll_deadline::PollDeadline;
 use crate::process_pause::ProcessPauses;
 use crate::quota_sharing::QuotaSharing;
-use grebecleat::control::Control;
-use grebecleat::interface::*;
-use grebecleat_plans::follower::{Follower, InitialState};
+use grebecleat_catalog::follower::{Follower, InitialState};
+use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_settings::{Bounds, Settings};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -76,7 +76,7 @@
 
 /// One host's requests, attempts and connections.
 pub struct RequestRouter {
-    control: Control,
+    scheduler: Scheduler,
     settings: Arc<Settings>,
     /// This host's index among the settings' hosts.
     host_index: usize,
@@ -151,7 +151,7 @@
             .mul_f64(HANDSHAKE_FRACTION)
             .max(REST_AFTER_ANSWER);
         RequestRouter {
-            control: decisions::control(&settings, seed),
+            scheduler: decisions::scheduler(&settings, seed),
             host_index: 0,
             config: ConfigFollower::declared(&settings),
             sharing: None,
@@ -256,8 +256,8 @@
     }
 
     /// The decisions, for inspection.
-    pub fn control(&mut self) -> &mut Control {
-        &mut self.control
+    pub fn scheduler(&mut self) -> &mut Scheduler {
+        &mut self.scheduler
     }
 
     /// Counts since the start.
@@ -347,7 +347,7 @@
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
             self.counters.events += events.len() as u64;
-            let actions = self.control.step(self.now, events);
+            let actions = self.scheduler.step(self.now, events);
             self.log_rejections();
             for action in actions {
                 self.perform(action);
@@ -361,7 +361,7 @@
     }
 
     fn log_rejections(&self) {
-        for rejected in self.control.rejected_in_step() {
+        for rejected in self.scheduler.rejected_in_step() {
             let request = request_label(&rejected.id.0);
             debug!(request, cause = ?rejected.cause, "request rejected or failed");
         }
--- a/crates/host/src/router/attempts.rs
+++ b/crates/host/src/router/attempts.rs
@@ -4,7 +4,7 @@
 use super::{ConnId, RequestRouter, REST_AFTER_ANSWER};
 use crate::outbox::AttemptId;
 use crate::pool::{Pool, MAX_LATE_DIALS};
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::cmp::Reverse;
 use std::collections::VecDeque;
--- a/crates/host/src/router/clients.rs
+++ b/crates/host/src/router/clients.rs
@@ -5,7 +5,7 @@
 use crate::admission::{admit, Load, Refusal};
 use crate::config_follower::VolumePlacement;
 use crate::outbox::{AttemptId, Outbox};
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
 use grebecleat_wire::clock;
 use grebecleat_wire::delay::Delay;
 use grebecleat_wire::pb::{self, frame::Body};
--- a/crates/host/src/router/configuration.rs
+++ b/crates/host/src/router/configuration.rs
@@ -5,9 +5,9 @@
 use crate::config_follower::{ConfigAction, ConfigFollower};
 use crate::endpoint_list::KnownEndpoint;
 use crate::quota_sharing::SharingOutcome;
-use grebecleat::interface::*;
-use grebecleat_fleet::HostNumber;
-use grebecleat_plans::records::Name;
+use grebecleat_catalog::records::Name;
+use grebecleat_coordination::HostNumber;
+use grebecleat_scheduler::api::*;
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb;
 use std::collections::BTreeSet;
@@ -107,7 +107,7 @@
             if events.is_empty() {
                 continue;
             }
-            for action in self.control.step(at, events) {
+            for action in self.scheduler.step(at, events) {
                 self.perform(action);
             }
         }
--- a/crates/host/src/router/decisions.rs
+++ b/crates/host/src/router/decisions.rs
@@ -1,15 +1,15 @@
 //! The decisions, as the settings ask for them.
 
-use grebecleat::control::Control;
-use grebecleat::interface::DiscoveryPolicy;
+use grebecleat_scheduler::api::DiscoveryPolicy;
+use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_settings::Settings;
 
 /// The decisions of a host with these settings. `seed`: of their random choices.
-pub(super) fn control(settings: &Settings, seed: u64) -> Control {
+pub(super) fn scheduler(settings: &Settings, seed: u64) -> Scheduler {
     let classes = settings.traffic_classes.iter();
     let plans = settings.plans.iter();
     let rules = &settings.rules;
-    Control::new(
+    Scheduler::new(
         seed,
         classes.map(|class| class.facts.clone()).collect(),
         plans.map(|plan| plan.facts.clone()).collect(),
--- a/crates/host/src/router/discovery.rs
+++ b/crates/host/src/router/discovery.rs
@@ -4,7 +4,7 @@
 use super::{ConnId, Output, RequestRouter};
 use crate::outbox::Outbox;
 use crate::poll_deadline::{self, PollDeadline};
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::sync::Arc;
 use std::time::Duration;
--- a/crates/host/src/router/endpoints.rs
+++ b/crates/host/src/router/endpoints.rs
@@ -2,7 +2,7 @@
 
 use super::RequestRouter;
 use crate::endpoint_list::KnownEndpoint;
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
 use grebecleat_wire::pb;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/crates/host/src/router/node_connections.rs
+++ b/crates/host/src/router/node_connections.rs
@@ -5,7 +5,7 @@
 use super::{ConnId, Output, RequestRouter};
 use crate::outbox::{AttemptId, Outbox};
 use crate::pool::{PoolAction, PoolStatus};
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/host/src/router/reporting.rs
+++ b/crates/host/src/router/reporting.rs
@@ -6,8 +6,8 @@
 use crate::endpoint_list::KnownEndpoint;
 use crate::metrics;
 use crate::outbox::AttemptId;
-use grebecleat::interface::*;
 use grebecleat_membership::answers::{Answers, NodeHealth};
+use grebecleat_scheduler::api::*;
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
     }
 
     fn node_health(&self) -> BTreeMap<NodeId, NodeHealth> {
-        let health = self.control.nodes().map(|node| {
+        let health = self.scheduler.nodes().map(|node| {
             let succeeded = !node.last_success.is_zero();
             let since_success = self.now.saturating_sub(node.last_success);
             let health = NodeHealth {
@@ -151,7 +151,7 @@
         let start_of = |node: NodeId| endpoints.nodes.get(&node).map_or(0, |known| known.start);
         let metrics = self
             .metrics
-            .collect(self.now, &self.control, start_of, head);
+            .collect(self.now, &self.scheduler, start_of, head);
         let subscribers = self.subscribers.iter();
         let unread = subscribers.filter(|(_, outbox)| outbox.bytes() > MAX_UNREAD_METRICS);
         let slow: Vec<ConnId> = unread.map(|(conn, _)| *conn).collect();
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -3,8 +3,8 @@
 
 use crate::outbox::{AttemptId, Outbox};
 use crate::pool::Pool;
-use grebecleat::interface::{NodeId, PeerId, PlanId, RequestId};
-use grebecleat_state::store::Record;
+use grebecleat_catalog_service::store::Record;
+use grebecleat_scheduler::api::{NodeId, PeerId, PlanId, RequestId};
 use grebecleat_wire::delay::Delay;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/host/src/server/listener.rs
+++ b/crates/host/src/server/listener.rs
@@ -3,7 +3,7 @@
 use super::connection::{greet, read_frames, serve, ConnectionError};
 use super::Shared;
 use crate::router::{ConnId, Input};
-use grebecleat::interface::PeerId;
+use grebecleat_scheduler::api::PeerId;
 use grebecleat_wire::delay::Delay;
 use grebecleat_wire::frame;
 use grebecleat_wire::pb::{self, frame::Body};
--- a/crates/host/src/server/owner.rs
+++ b/crates/host/src/server/owner.rs
@@ -2,8 +2,8 @@
 
 use super::{dial, Shared};
 use crate::router::{Counters, Input, Output, RequestRouter};
-use grebecleat::interface::PeerId;
-use grebecleat_state::store::Record;
+use grebecleat_catalog_service::store::Record;
+use grebecleat_scheduler::api::PeerId;
 use grebecleat_wire::clock;
 use std::fs::File;
 use std::io::{self, Write};
--- a/crates/host/src/server/peers.rs
+++ b/crates/host/src/server/peers.rs
@@ -6,7 +6,7 @@
 
 use super::connection::{greet, ConnectionError};
 use super::Shared;
-use grebecleat::interface::PeerId;
+use grebecleat_scheduler::api::PeerId;
 use grebecleat_wire::pb::{self, frame::Body};
 use grebecleat_wire::{clock, frame};
 use may::go;
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -2,16 +2,16 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use grebecleat::interface::PeerId;
+use grebecleat_catalog::change::ChangeContext;
+use grebecleat_catalog::follower::{Follower, InitialState};
+use grebecleat_catalog_service::change_syntax::parse_change;
+use grebecleat_catalog_service::codec::revision_to_proto;
+use grebecleat_catalog_service::declared_config::deployment;
+use grebecleat_catalog_service::store::Record;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
-use grebecleat_plans::change::ChangeContext;
-use grebecleat_plans::follower::{Follower, InitialState};
+use grebecleat_scheduler::api::PeerId;
 use grebecleat_settings::Settings;
-use grebecleat_state::change_syntax::parse_change;
-use grebecleat_state::codec::revision_to_proto;
-use grebecleat_state::declared_config::deployment;
-use grebecleat_state::store::Record;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/host/tests/config_follower.rs
+++ b/crates/host/tests/config_follower.rs
@@ -3,11 +3,11 @@
 mod common;
 
 use common::{ms, Rig};
+use grebecleat_catalog::follower::{Follower, InitialState};
+use grebecleat_catalog::leader::Epoch;
+use grebecleat_catalog::records::Version;
+use grebecleat_catalog_service::declared_config::deployment;
 use grebecleat_host::router::Input;
-use grebecleat_plans::follower::{Follower, InitialState};
-use grebecleat_plans::leader::Epoch;
-use grebecleat_plans::records::Version;
-use grebecleat_state::declared_config::deployment;
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 
 const VOLUME: &str = "volume 5 plan=p hosts=h cells=1 blocks=64";
--- a/crates/host/tests/quota_sharing.rs
+++ b/crates/host/tests/quota_sharing.rs
@@ -3,12 +3,12 @@
 mod common;
 use bytes::Bytes;
 use common::*;
-use grebecleat::interface::PeerId;
-use grebecleat_fleet::events::{Action, Event, Rules};
-use grebecleat_fleet::fleet::Fleet;
-use grebecleat_fleet::lease_message::LeaseTerms;
-use grebecleat_fleet::{HostNumber, Incarnation};
+use grebecleat_coordination::events::{Action, Event, Rules};
+use grebecleat_coordination::fleet::Fleet;
+use grebecleat_coordination::lease_message::LeaseTerms;
+use grebecleat_coordination::{HostNumber, Incarnation};
 use grebecleat_host::router::{ConnId, Input};
+use grebecleat_scheduler::api::PeerId;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::BTreeSet;
 use std::time::Duration;
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 use grebecleat_host::server::{run, Handle, Options};
 use grebecleat_settings::Settings;
-use grebecleat_standin::net::hello;
-use grebecleat_standin::serve::{self, Stage};
+use grebecleat_testbed::net::hello;
+use grebecleat_testbed::serve::{self, Stage};
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 use grebecleat_wire::trace::Tracer;
 use grebecleat_wire::{clock, frame};
--- a/crates/target/src/blocks.rs
+++ b/crates/iscsi-target/src/blocks.rs
@@ -46,7 +46,7 @@
     /// The pieces of a range of blocks, in order.
     ///
     /// ```
-    /// use grebecleat_target::blocks::{Layout, Piece};
+    /// use grebecleat_iscsi_target::blocks::{Layout, Piece};
     /// let layout = Layout { block_size: 512, extent_blocks: 8 };
     /// let pieces: Vec<Piece> = layout.pieces(6, 12).collect();
     /// assert_eq!(pieces[0], Piece { extent: 0, offset: 3072, at: 0, length: 1024 });
--- a/crates/target/src/engine/messages.rs
+++ b/crates/iscsi-target/src/engine/messages.rs
@@ -5,9 +5,9 @@
 
 use crate::blocks::RequestOutcome;
 use bytes::Bytes;
+use grebecleat_catalog_service::extents::Extents;
 use grebecleat_iscsi::pdu::{Digests, Fault, Pdu};
 use grebecleat_iscsi::scsi::Unit;
-use grebecleat_state::extents::Extents;
 
 /// A connection, by the number that the portal gave it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/target/src/portal.rs
+++ b/crates/iscsi-target/src/portal.rs
@@ -12,10 +12,10 @@
 mod setup;
 
 use connection::accept;
+use grebecleat_catalog_service::extents::Extents;
+use grebecleat_catalog_service::group_commit::GroupCommit;
 use grebecleat_host::server::Handle;
 use grebecleat_settings::{PortalSpec, Settings};
-use grebecleat_state::extents::Extents;
-use grebecleat_state::group_commit::GroupCommit;
 use may::go;
 use may::net::TcpListener;
 use owner::{Event, Owner, ShardCounts};
--- a/crates/target/src/portal/owner.rs
+++ b/crates/iscsi-target/src/portal/owner.rs
@@ -6,10 +6,10 @@
 use super::line::{Line, ReaderLimits};
 use super::requests::{finished, RequestBuilder};
 use crate::engine::{ConnNo, Engine, Input, Output};
+use grebecleat_catalog_service::extents::Extents;
+use grebecleat_catalog_service::group_commit::GroupCommit;
+use grebecleat_catalog_service::store::{Record, StoreFault};
 use grebecleat_host::server::{Handle, LocalClient};
-use grebecleat_state::extents::Extents;
-use grebecleat_state::group_commit::GroupCommit;
-use grebecleat_state::store::{Record, StoreFault};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::frame::Body;
 use std::collections::BTreeMap;
--- a/crates/target/src/pressure.rs
+++ b/crates/iscsi-target/src/pressure.rs
@@ -208,7 +208,7 @@
 /// the others evenly. What cannot be divided evenly goes to those with the highest demand.
 ///
 /// ```
-/// use grebecleat_target::pressure::fair;
+/// use grebecleat_iscsi_target::pressure::fair;
 /// assert_eq!(fair(10, &[2, 20, 20]), [2, 4, 4]);
 /// assert_eq!(fair(7, &[9, 9, 9]), [2, 2, 3]);
 /// assert_eq!(fair(100, &[1, 2]), [1, 2]);
--- a/crates/target/src/versions.rs
+++ b/crates/iscsi-target/src/versions.rs
@@ -36,7 +36,7 @@
     /// `persisted` is the ceiling of the starts before, `clock` the microseconds since 1970.
     ///
     /// ```
-    /// use grebecleat_target::versions::Versions;
+    /// use grebecleat_iscsi_target::versions::Versions;
     /// let mut versions = Versions::new(500, 200);
     /// assert_eq!(versions.next(), None, "nothing is reserved yet");
     /// let ceiling = versions.reservation_due().unwrap();
--- a/crates/target/tests/engine/data.rs
+++ b/crates/iscsi-target/tests/engine/data.rs
@@ -2,8 +2,8 @@
 //! reservations.
 
 use super::harness::*;
-use grebecleat_target::blocks::RequestOutcome;
-use grebecleat_target::engine::Input;
+use grebecleat_iscsi_target::blocks::RequestOutcome;
+use grebecleat_iscsi_target::engine::Input;
 
 #[test]
 fn written_data_is_read_back_across_extents_and_after_a_restart() {
--- a/crates/target/tests/engine/harness.rs
+++ b/crates/iscsi-target/tests/engine/harness.rs
@@ -6,10 +6,10 @@
 use grebecleat_iscsi::login::{Portal, Target};
 use grebecleat_iscsi::pdu::{Header, Opcode, Pdu};
 use grebecleat_iscsi::scsi::Unit;
-use grebecleat_target::blocks::RequestOutcome;
-use grebecleat_target::engine::*;
-use grebecleat_target::pressure::WindowLimits;
-use grebecleat_target::versions::Versions;
+use grebecleat_iscsi_target::blocks::RequestOutcome;
+use grebecleat_iscsi_target::engine::*;
+use grebecleat_iscsi_target::pressure::WindowLimits;
+use grebecleat_iscsi_target::versions::Versions;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     /// Bytes of each extent at a shard, as its node stores them.
     pub stored: HashMap<(u64, u32), Vec<u8>>,
     /// Versions of those bytes.
-    pub node_versions: HashMap<(u64, u32), grebecleat_standin::versions::Versions>,
+    pub node_versions: HashMap<(u64, u32), grebecleat_testbed::versions::Versions>,
     /// The last ceiling that was persisted.
     pub ceiling: u64,
     next_shard: u32,
--- a/crates/target/tests/engine/history.rs
+++ b/crates/iscsi-target/tests/engine/history.rs
@@ -2,8 +2,8 @@
 
 use super::harness::*;
 use grebecleat_iscsi::pdu::{Opcode, Pdu};
-use grebecleat_target::blocks::RequestOutcome;
-use grebecleat_target::engine::{ConnNo, Request};
+use grebecleat_iscsi_target::blocks::RequestOutcome;
+use grebecleat_iscsi_target::engine::{ConnNo, Request};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, HashMap};
--- a/crates/target/tests/engine/sessions.rs
+++ b/crates/iscsi-target/tests/engine/sessions.rs
@@ -3,7 +3,7 @@
 use super::harness::*;
 use bytes::Bytes;
 use grebecleat_iscsi::pdu::{Header, Opcode, Pdu, NO_TAG};
-use grebecleat_target::engine::{ConnNo, Input};
+use grebecleat_iscsi_target::engine::{ConnNo, Input};
 use std::time::Duration;
 
 /// A window that stays as large is granted again as it is used up, though no command is in
--- a/crates/target/tests/script/mod.rs
+++ b/crates/iscsi-target/tests/script/mod.rs
@@ -6,10 +6,10 @@
 use grebecleat_iscsi::login::{Portal, Target};
 use grebecleat_iscsi::pdu::{Fault, Header, Opcode, Pdu, NO_TAG};
 use grebecleat_iscsi::scsi::Unit;
-use grebecleat_target::blocks::RequestOutcome;
-use grebecleat_target::engine::*;
-use grebecleat_target::pressure::WindowLimits;
-use grebecleat_target::versions::Versions;
+use grebecleat_iscsi_target::blocks::RequestOutcome;
+use grebecleat_iscsi_target::engine::*;
+use grebecleat_iscsi_target::pressure::WindowLimits;
+use grebecleat_iscsi_target::versions::Versions;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -45,8 +45,8 @@
 pub use messages::{Action, Event, NodeFacts, NodeObservation, ProposalId};
 pub use view::{DrainView, NodeView, Phase};
 
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::records::{Stage, Version};
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::records::{Stage, Version};
 use records::{Host, Node};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
--- a/crates/membership/src/drains/events.rs
+++ b/crates/membership/src/drains/events.rs
@@ -4,8 +4,8 @@
 use super::records::{DrainState, Node, Report};
 use super::{Membership, MIN_TIME_AFTER_RESTART, RETRY_INTERVAL};
 use crate::answers::Answers;
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::records::{Drain, Stage, Version};
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::records::{Drain, Stage, Version};
 use std::time::Duration;
 
 impl Membership {
--- a/crates/membership/src/drains/messages.rs
+++ b/crates/membership/src/drains/messages.rs
@@ -2,9 +2,9 @@
 
 use crate::answers::Answers;
 use crate::list_reading::ListedState;
-use grebecleat_plans::admission::ExclusionReason;
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::records::{Drain, Name, Version};
+use grebecleat_catalog::admission::ExclusionReason;
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::records::{Drain, Name, Version};
 use std::time::Duration;
 
 /// What one host observes of a node.
--- a/crates/membership/src/drains/records.rs
+++ b/crates/membership/src/drains/records.rs
@@ -3,9 +3,9 @@
 use super::messages::{NodeFacts, NodeObservation, ProposalId};
 use crate::list_reading::{ListReading, ListedState};
 use crate::node_status::{Authority, NodeStatus};
-use grebecleat_plans::admission::ExclusionReason;
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::records::{Name, Stage, Version};
+use grebecleat_catalog::admission::ExclusionReason;
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::records::{Name, Stage, Version};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/crates/membership/src/drains/stages.rs
+++ b/crates/membership/src/drains/stages.rs
@@ -4,9 +4,9 @@
 use super::records::{DrainState, Host, Node, Pending};
 use super::{Membership, RETRY_INTERVAL};
 use crate::list_reading::ListedState;
-use grebecleat_plans::admission::{excluded_in_zone, ExclusionReason};
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::records::{Drain, Stage, Version};
+use grebecleat_catalog::admission::{excluded_in_zone, ExclusionReason};
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::records::{Drain, Stage, Version};
 use std::time::Duration;
 
 /// A step of a drain, as it is to be proposed.
--- a/crates/membership/src/drains/status.rs
+++ b/crates/membership/src/drains/status.rs
@@ -6,8 +6,8 @@
 use crate::answers::Answers;
 use crate::list_reading::ListReading;
 use crate::node_status::{node_status, Evidence, NodeStatus};
-use grebecleat_plans::admission::ExclusionReason;
-use grebecleat_plans::records::Stage;
+use grebecleat_catalog::admission::ExclusionReason;
+use grebecleat_catalog::records::Stage;
 use std::time::Duration;
 
 impl Membership {
--- a/crates/membership/src/drains/view.rs
+++ b/crates/membership/src/drains/view.rs
@@ -5,8 +5,8 @@
 use super::Membership;
 use crate::list_reading::ListReading;
 use crate::node_status::{Authority, NodeStatus};
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::records::Stage;
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::records::Stage;
 use std::time::Duration;
 
 /// How far a drain is.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,7 +4,7 @@
 //! Begin with [`node_status`], the table of precedence between what operators, the endpoint list
 //! and a node's answers say; [`drains`] is the state machine, called as `step(now, wall, events)`.
 //! Which drains may coincide is judged where they are committed, in
-//! [`grebecleat_plans::admission`]; where a single request goes is not decided here.
+//! [`grebecleat_catalog::admission`]; where a single request goes is not decided here.
 
 #![warn(missing_docs)]
 
--- a/crates/membership/src/node_status.rs
+++ b/crates/membership/src/node_status.rs
@@ -10,7 +10,7 @@
 
 use crate::answers::Answers;
 use crate::list_reading::ListedState;
-use grebecleat_plans::records::Stage;
+use grebecleat_catalog::records::Stage;
 use std::fmt;
 
 /// The status of a node.
@@ -161,7 +161,7 @@
 /// use grebecleat_membership::answers::Answers;
 /// use grebecleat_membership::list_reading::ListedState;
 /// use grebecleat_membership::node_status::{node_status, Authority, Evidence, NodeStatus};
-/// use grebecleat_plans::records::Stage;
+/// use grebecleat_catalog::records::Stage;
 /// let evidence = Evidence {
 ///     listed: ListedState::Ready,
 ///     answers: Answers::Bad,
--- a/crates/membership/tests/drains.rs
+++ b/crates/membership/tests/drains.rs
@@ -2,13 +2,13 @@
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
+use grebecleat_catalog::admission::ExclusionReason;
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::records::{Drain, Stage, Version};
 use grebecleat_membership::answers::Answers;
 use grebecleat_membership::drains::*;
 use grebecleat_membership::list_reading::ListedState;
 use grebecleat_membership::node_status::{node_status, Authority, Evidence, NodeStatus};
-use grebecleat_plans::admission::ExclusionReason;
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::records::{Drain, Stage, Version};
 use std::time::Duration;
 
 const fn s(n: u64) -> Duration {
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -8,13 +8,13 @@
 //!
 //! Attempts go to the first node alone: nodes meet only in what their drains may coincide with.
 
+use grebecleat_catalog::admission::{excluded_in_zone, ExclusionReason};
+use grebecleat_catalog::feed::HostNumber;
+use grebecleat_catalog::records::{Drain, Stage, Version};
 use grebecleat_membership::answers::Answers;
 use grebecleat_membership::drains::{Action, Event, Membership, NodeFacts, NodeObservation};
 use grebecleat_membership::list_reading::ListedState;
 use grebecleat_membership::node_status::NodeStatus;
-use grebecleat_plans::admission::{excluded_in_zone, ExclusionReason};
-use grebecleat_plans::feed::HostNumber;
-use grebecleat_plans::records::{Drain, Stage, Version};
 use std::collections::HashSet;
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
--- a/crates/platform/src/config/settings.rs
+++ b/crates/platform/src/config/settings.rs
@@ -3,8 +3,8 @@
 
 use super::descriptors::Descriptors;
 use super::error::SettingsError;
-use grebecleat::interface::*;
 use grebecleat_adapter::settings::{self as bench, Pairs};
+use grebecleat_scheduler::api::*;
 use grebecleat_settings::{Bounds, HostSpec, ListSpec, NamedPlan, Rules, Settings, Stream};
 use std::fmt::Display;
 use std::net::SocketAddr;
--- a/crates/platform/src/config/tests.rs
+++ b/crates/platform/src/config/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use grebecleat::interface::{DeduplicationScope, Idempotency};
+use grebecleat_scheduler::api::{DeduplicationScope, Idempotency};
 use serde_json::json;
 use std::time::Duration;
 
--- a/crates/platform/src/run/owner/sweep.rs
+++ b/crates/platform/src/run/owner/sweep.rs
@@ -174,8 +174,8 @@
         let counters = self.router.counters();
         let classes = self.config.traffic_classes.iter();
         let names: Vec<String> = classes.map(|class| class.name.clone()).collect();
-        let control = self.router.control();
-        let line = self.statistics.line(second, counters, control, &names);
+        let scheduler = self.router.scheduler();
+        let line = self.statistics.line(second, counters, scheduler, &names);
         tracing::debug!("{line}");
     }
 }
--- a/crates/platform/src/run/owner/tests.rs
+++ b/crates/platform/src/run/owner/tests.rs
@@ -1,8 +1,8 @@
 use super::sweep::NEW_CLIENT_GRACE;
 use super::*;
 use crate::run::connection::{Discard, NodeExchange};
-use grebecleat::interface::NodeId;
 use grebecleat_host::outbox::AttemptId;
+use grebecleat_scheduler::api::NodeId;
 use std::io::{Read, Write};
 use std::os::fd::AsRawFd;
 use std::os::unix::net::UnixStream;
--- a/crates/platform/src/statistics.rs
+++ b/crates/platform/src/statistics.rs
@@ -6,10 +6,12 @@
 //! The names of the line's fields are those that operators know (docs/operators/platform.md).
 //! Memory: one row for each second, and one count for each cause met in it.
 
-use grebecleat::control::Control;
-use grebecleat::interface::NodeState;
-use grebecleat::rejection_stats::{PaidBy, RejectionCause, RejectionReason, LAST_SUCCESS_STEPS};
 use grebecleat_host::router::Counters;
+use grebecleat_scheduler::api::NodeState;
+use grebecleat_scheduler::rejection_stats::{
+    PaidBy, RejectionCause, RejectionReason, LAST_SUCCESS_STEPS,
+};
+use grebecleat_scheduler::scheduler::Scheduler;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
@@ -80,9 +82,9 @@
 
 impl NodeCounts {
     /// Only nodes that this host has sent to: of the others it knows nothing.
-    fn of(control: &Control) -> Self {
+    fn of(scheduler: &Scheduler) -> Self {
         let mut counts = NodeCounts::default();
-        for node in control.nodes() {
+        for node in scheduler.nodes() {
             if node.state != NodeState::Ready || node.last_sent.is_zero() {
                 continue;
             }
@@ -121,7 +123,7 @@
         &mut self,
         second: u64,
         counters: Counters,
-        control: &mut Control,
+        scheduler: &mut Scheduler,
         class_names: &[String],
     ) -> String {
         let before = std::mem::replace(&mut self.reported, counters);
@@ -139,8 +141,8 @@
         for (name, now, before) in fields {
             let _ = write!(line, " {name}={}", now - before);
         }
-        NodeCounts::of(control).write(&mut line);
-        for (cause, count) in control.take_rejections() {
+        NodeCounts::of(scheduler).write(&mut line);
+        for (cause, count) in scheduler.take_rejections() {
             let _ = write!(line, " {}={count}", cause_name(&cause, class_names));
         }
         line
--- a/crates/platform/tests/poll_deadline/fleet.rs
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -3,11 +3,11 @@
 use super::discovery::Watch;
 use super::ms;
 use super::scenarios::{OutageKind, Scenario};
-use grebecleat::interface::PeerId;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
 use grebecleat_platform::config::{Config, DISCOVERY_TERM};
 use grebecleat_platform::discovery_calls::{DiscoveryCalls, Event, CALL_TIMEOUT};
+use grebecleat_scheduler::api::PeerId;
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
 use rand::{Rng, SeedableRng};
--- a/src/interface.rs
+++ b/crates/scheduler/src/api.rs
@@ -1,7 +1,7 @@
 //! The messages between the decision module and its host: events in, actions out, and the settings that both
 //! share.
 //!
-//! [`Event`] and [`Action`] are the whole vocabulary of [`crate::control::Control::step`]. Nothing is decided
+//! [`Event`] and [`Action`] are the whole vocabulary of [`crate::scheduler::Scheduler::step`]. Nothing is decided
 //! here. Rates are units a second, where a unit is the settings' measure of node work; times are spans since
 //! the host's start unless stated otherwise.
 
@@ -451,7 +451,7 @@
         /// Which of its attempts.
         attempt: u32,
     },
-    /// Call [`crate::control::Control::step`] again, with this timer's event, after a time.
+    /// Call [`crate::scheduler::Scheduler::step`] again, with this timer's event, after a time.
     SetTimer {
         /// From now.
         after: Duration,
--- a/src/histogram.rs
+++ b/crates/scheduler/src/histogram.rs
@@ -5,7 +5,7 @@
 /// Counts in bins whose edges grow by a constant factor; the last bin has no upper edge.
 ///
 /// ```
-/// use grebecleat::histogram::Histogram;
+/// use grebecleat_scheduler::histogram::Histogram;
 /// use std::time::Duration;
 /// let mut histogram = Histogram::new(Duration::from_millis(10), 2.0, 4);
 /// assert_eq!(histogram.quantile(0.5), None);
--- a/src/key_order.rs
+++ b/crates/scheduler/src/key_order.rs
@@ -1,6 +1,6 @@
 //! Order among the requests of one key: one at a time, as they came, with a cool-down after an unclear end.
 
-use crate::interface::{KeyId, RequestId};
+use crate::api::{KeyId, RequestId};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -18,8 +18,8 @@
 /// Memory: one entry for each key with an open request or a cool-down.
 ///
 /// ```
-/// use grebecleat::interface::{KeyId, RequestId};
-/// use grebecleat::key_order::KeyOrder;
+/// use grebecleat_scheduler::api::{KeyId, RequestId};
+/// use grebecleat_scheduler::key_order::KeyOrder;
 /// use std::time::Duration;
 /// let (key, first, second) = (KeyId(1), RequestId([1; 36]), RequestId([2; 36]));
 /// let ms = Duration::from_millis;
--- a/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,17 +1,16 @@
 //! grebecleat decides, on each host of a storage gateway, which requests go to their storage node now, which
 //! are queued, and which are rejected.
 //!
-//! [`control`] and [`probing_window`] hold every decision on a request; begin with
-//! [`control::Control::step`]. [`interface`] holds the events that go in and the actions that come out,
+//! [`scheduler`] and [`probing_window`] hold every decision on a request; begin with
+//! [`scheduler::Scheduler::step`]. [`api`] holds the events that go in and the actions that come out,
 //! [`state`] the records the decisions keep. [`token_bucket`], [`max_min_fair_share`], [`request_queue`],
 //! [`key_order`], [`reading`], [`histogram`], [`rates`] and [`rendezvous_hash`] are mechanical helpers whose
 //! numbers come from the caller; [`rejection_stats`] is for operators.
 
 #![warn(missing_docs)]
 
-pub mod control;
+pub mod api;
 pub mod histogram;
-pub mod interface;
 pub mod key_order;
 pub mod max_min_fair_share;
 pub mod probing_window;
@@ -20,5 +19,6 @@
 pub mod rejection_stats;
 pub mod rendezvous_hash;
 pub mod request_queue;
+pub mod scheduler;
 pub mod state;
 pub mod token_bucket;
--- a/src/rates.rs
+++ b/crates/scheduler/src/rates.rs
@@ -10,7 +10,7 @@
 /// [`RecentEvents::expire`].
 ///
 /// ```
-/// use grebecleat::rates::RecentEvents;
+/// use grebecleat_scheduler::rates::RecentEvents;
 /// use std::time::Duration;
 /// let ms = Duration::from_millis;
 /// let mut events = RecentEvents::default();
@@ -42,7 +42,7 @@
 /// Units over time, both halved once the time exceeds a span: a mean rate that forgets.
 ///
 /// ```
-/// use grebecleat::rates::MeanRate;
+/// use grebecleat_scheduler::rates::MeanRate;
 /// let mut rate = MeanRate::default();
 /// assert_eq!(rate.per_second(), 0.0);
 /// for _ in 0..8 {
@@ -95,7 +95,7 @@
 /// The time in which so many units are done at `rate` units a second; zero where the rate is unknown (0).
 ///
 /// ```
-/// use grebecleat::rates::queueing_time;
+/// use grebecleat_scheduler::rates::queueing_time;
 /// assert_eq!(queueing_time(4.0, 2.0).as_secs(), 2);
 /// assert_eq!(queueing_time(4.0, 1e-300).as_secs(), 3600);
 /// assert_eq!(queueing_time(4.0, 0.0).as_secs(), 0);
--- a/src/rejection_stats.rs
+++ b/crates/scheduler/src/rejection_stats.rs
@@ -1,6 +1,6 @@
 //! What was rejected or failed and why, counted for operators. Nothing is decided by it.
 
-use crate::interface::{BlockReason, RequestId, TrafficClassId};
+use crate::api::{BlockReason, RequestId, TrafficClassId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
--- a/src/rendezvous_hash.rs
+++ b/crates/scheduler/src/rendezvous_hash.rs
@@ -1,12 +1,12 @@
 //! Rendezvous hashing (highest random weight): a fixed order of nodes for each volume.
 
-use crate::interface::{NodeId, VolumeId};
+use crate::api::{NodeId, VolumeId};
 
 /// A node's weight for a volume: the node with the highest comes first. It depends on the two ids alone.
 ///
 /// ```
-/// use grebecleat::interface::{NodeId, VolumeId};
-/// use grebecleat::rendezvous_hash::rendezvous_weight;
+/// use grebecleat_scheduler::api::{NodeId, VolumeId};
+/// use grebecleat_scheduler::rendezvous_hash::rendezvous_weight;
 /// let weight = |node: &u32| rendezvous_weight(VolumeId(7), NodeId(*node));
 /// let first = |nodes: &[u32]| nodes.iter().copied().max_by_key(weight);
 /// let all = first(&[1, 2, 3, 4]).unwrap();
--- a/src/request_queue.rs
+++ b/crates/scheduler/src/request_queue.rs
@@ -3,7 +3,7 @@
 //! The next to go is found at the front of a few lines and not by looking at each request: a host may queue
 //! thousands, and looks with every answer.
 
-use crate::interface::{RequestId, TrafficClassId, VolumeId};
+use crate::api::{RequestId, TrafficClassId, VolumeId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -82,8 +82,8 @@
 /// All requests queued at a node.
 ///
 /// ```
-/// use grebecleat::interface::{RequestId, TrafficClassId, VolumeId};
-/// use grebecleat::request_queue::{LineKey, RequestQueue};
+/// use grebecleat_scheduler::api::{RequestId, TrafficClassId, VolumeId};
+/// use grebecleat_scheduler::request_queue::{LineKey, RequestQueue};
 /// use std::time::Duration;
 /// let ms = Duration::from_millis;
 /// let line = LineKey { volume: VolumeId(1), traffic_class: TrafficClassId(0), limit_drawn: false };
--- a/src/control.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,10 +1,10 @@
 //! The decisions of one host: which requests go to a storage node now, which wait, and which are rejected.
 //!
-//! State machine: [`Control::step`] takes the time and what has happened since, and returns the actions to
-//! perform ([`crate::interface`]). No I/O, no clock of its own; chance comes from the given seed. This file
+//! State machine: [`Scheduler::step`] takes the time and what has happened since, and returns the actions to
+//! perform ([`crate::api`]). No I/O, no clock of its own; chance comes from the given seed. This file
 //! is its shell, which hands each event to the mechanism that it concerns and decides nothing; the
 //! mechanisms, each with its constants and the danger that it guards against, are the files of the folder
-//! `control`:
+//! `scheduler`:
 //!
 //! - `requests`: what becomes of a request that comes in, and how one is answered that will not be sent;
 //! - `fair_share`: demand, reservations, learnt rates and shares, once a control interval (docs/design.md);
@@ -39,8 +39,8 @@
 pub use slow_start::slow_start_quota;
 pub use throttle::credibility;
 
+use crate::api::*;
 use crate::histogram::Histogram;
-use crate::interface::*;
 use crate::rates::seconds;
 use crate::state::{FlowSample, PendingRequest, SchedulerState, Volume};
 use dispatch::{ticks_per_ranking, value_range};
@@ -58,7 +58,7 @@
 
 /// The decisions of one host.
 #[derive(Debug)]
-pub struct Control {
+pub struct Scheduler {
     rng: Pcg64Mcg,
     traffic_classes: Vec<TrafficClass>,
     plans: Vec<Plan>,
@@ -73,14 +73,14 @@
     state: SchedulerState,
 }
 
-impl Control {
+impl Scheduler {
     /// A host without rules; its first step is its start.
     pub fn new(
         seed: u64, traffic_classes: Vec<TrafficClass>, plans: Vec<Plan>, units: UnitSettings,
         limits: HostLimits,
     ) -> Self {
         let value_range = value_range(&traffic_classes, &plans, &units);
-        Control {
+        Scheduler {
             rng: Pcg64Mcg::seed_from_u64(seed),
             tightest_objective: tightest_objective(&traffic_classes),
             time_per_unit: requests::time_per_unit(),
--- a/src/control/concurrency.rs
+++ b/crates/scheduler/src/scheduler/concurrency.rs
@@ -3,8 +3,8 @@
 //! Guards against queues at the node that eat up the latency objective. The back-off is multiplicative both
 //! ways: late answers of any cause (a slow node, other hosts) shrink the limit below the design's floor.
 
-use super::Control;
-use crate::interface::{NodeId, NodeState};
+use super::Scheduler;
+use crate::api::{NodeId, NodeState};
 use crate::{rates::seconds, state::Node};
 use std::time::Duration;
 
@@ -35,7 +35,7 @@
     node.concurrency_factor = (node.concurrency_factor * DECREASE * DECREASE).max(MIN_FACTOR);
 }
 
-impl Control {
+impl Scheduler {
     /// The node's learnt rate, or that of the others where it is not known yet.
     pub(super) fn rate_of(&self, node: &Node) -> f64 {
         if node.learned_rate > 0.0 {
--- a/src/control/discovery.rs
+++ b/crates/scheduler/src/scheduler/discovery.rs
@@ -1,7 +1,7 @@
 //! Discovery: what an update of the endpoint list means for nodes and for what is queued at them.
 
-use super::{concurrency::MAX_OUTSTANDING, fair_share::TICK, Control};
-use crate::interface::{Endpoint, EndpointUpdateKind, NodeId};
+use super::{concurrency::MAX_OUTSTANDING, fair_share::TICK, Scheduler};
+use crate::api::{Endpoint, EndpointUpdateKind, NodeId};
 use crate::{histogram::Histogram, probing_window::ProbingWindow, rates::seconds};
 use crate::{state::Node, token_bucket::TokenBucket};
 use rand::Rng;
@@ -13,7 +13,7 @@
 const INHERITED_USAGE: f64 = 0.5; // a successor may be slower by that; the rule forgives nothing
 const MAX_FIRST_USE_DELAY: Duration = Duration::from_millis(400); // well under the rules' spans
 
-impl Control {
+impl Scheduler {
     pub(super) fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) {
         if kind == EndpointUpdateKind::FetchFailed {
             return self.back_off_fetch();
--- a/src/control/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,7 +1,7 @@
 //! Dispatch: which queued request goes to a node next, and what keeps one from going.
 
-use super::{may_resend, Control};
-use crate::interface::{BlockReason, NodeId, Plan, RequestId, TrafficClass, UnitSettings};
+use super::{may_resend, Scheduler};
+use crate::api::{BlockReason, NodeId, Plan, RequestId, TrafficClass, UnitSettings};
 use crate::request_queue::{best_candidate, best_of_line, sort_by_value, Candidate, Line};
 use crate::state::{PendingRequest, ValueRange};
 use std::{cmp::Reverse, time::Duration};
@@ -30,7 +30,7 @@
     ValueRange { least: least.max(best * 1e-3), best }
 }
 
-impl Control {
+impl Scheduler {
     /// Value of a unit at the node (None: at any), sent now.
     pub(super) fn value(&self, pending: &PendingRequest, node: Option<NodeId>) -> Value {
         let in_time = self.value_in_time(pending, node);
--- a/src/control/endpoint_lease.rs
+++ b/crates/scheduler/src/scheduler/endpoint_lease.rs
@@ -12,8 +12,8 @@
 //! Limit: a process that is replaced between two requests of this host passes for the former one, and so does
 //! one that completes requests for longer than [`DRAIN_NOTICE`] after it was said to drain.
 
-use super::Control;
-use crate::interface::AttemptOutcome;
+use super::Scheduler;
+use crate::api::AttemptOutcome;
 use crate::state::Node;
 use std::time::Duration;
 
@@ -25,7 +25,7 @@
 /// After discovery has moved, what it has counts as told after 4 s, and the last answer came before that.
 const MOVED_LEASE: Duration = Duration::from_millis(3750);
 
-impl Control {
+impl Scheduler {
     /// Whether the node may be sent to by what is known of it now.
     pub(super) fn is_confirmed(&self, node: &Node) -> bool {
         let Some(lease) = self.discovery.lease else { return true };
--- a/src/control/fair_share.rs
+++ b/crates/scheduler/src/scheduler/fair_share.rs
@@ -1,10 +1,10 @@
 //! What the control interval learns and sets: demands, this host's part of reservations, probing windows
 //! ("End-to-end Performance Isolation through Virtual Datacenters", section 4).
 
-use super::Control;
+use super::Scheduler;
 use crate::rates::moving_average;
 use crate::state::{FlowSample, Node, ReportedUsage};
-use crate::{interface::VolumeId, reading::Reading};
+use crate::{api::VolumeId, reading::Reading};
 use std::{collections::BTreeMap, time::Duration};
 
 pub(super) const TICK: Duration = Duration::from_millis(10); // between two refills, as in the design
@@ -41,7 +41,7 @@
     (own_demand / (own_demand + others)).max(even / 2.0)
 }
 
-impl Control {
+impl Scheduler {
     pub(super) fn split_reservations(&mut self, demands: &BTreeMap<VolumeId, f64>, interval: f64) {
         for (id, volume) in &mut self.state.volumes {
             let done_rate = std::mem::take(&mut volume.done) / interval;
--- a/src/control/inspection.rs
+++ b/crates/scheduler/src/scheduler/inspection.rs
@@ -1,8 +1,8 @@
 //! What the decisions know, for operators to look at: metrics of nodes and queues, and causes of rejections.
 //! Nothing is decided here, and nothing here is decided by.
 
-use super::Control;
-use crate::interface::{BlockReason, NodeId, NodeState, RequestId, VolumeId};
+use super::Scheduler;
+use crate::api::{BlockReason, NodeId, NodeState, RequestId, VolumeId};
 use crate::rejection_stats::{
     PaidBy, RejectedRequest, RejectionCause, RejectionCounts, RejectionReason, LAST_SUCCESS_STEPS,
 };
@@ -60,7 +60,7 @@
     pub since: Duration,
 }
 
-impl Control {
+impl Scheduler {
     /// All nodes ever listed.
     pub fn nodes(&self) -> impl Iterator<Item = NodeMetrics> + '_ {
         self.state.nodes.values().map(node_metrics)
--- a/src/control/outcomes.rs
+++ b/crates/scheduler/src/scheduler/outcomes.rs
@@ -2,11 +2,11 @@
 
 use super::concurrency::{adjust_factor, cut_factor, QUEUEING_FRACTION};
 use super::throttle::{adjust_admission, EJECT_AFTER, UNQUEUED_QUANTILE};
-use super::{endpoint_lease::record_contact, Control};
-use crate::interface::{AttemptEnd, AttemptOutcome};
+use super::{endpoint_lease::record_contact, Scheduler};
+use crate::api::{AttemptEnd, AttemptOutcome};
 use crate::state::PriorAttempt;
 
-impl Control {
+impl Scheduler {
     pub(super) fn record_outcome(&mut self, end: &AttemptEnd) {
         let (now, outcome, state) = (self.state.now, end.outcome, &mut self.state);
         let Some(pending) = state.requests.get_mut(&end.id) else { return };
--- a/src/control/placement.rs
+++ b/crates/scheduler/src/scheduler/placement.rs
@@ -3,8 +3,8 @@
 
 use super::dispatch::{ticks_per_ranking, RANKED_AT_ONCE};
 use super::throttle::{EJECT_AFTER, OPEN};
-use super::{fair_share::TICK, requests::MIN_RETRY_AFTER, Control};
-use crate::interface::NodeId;
+use super::{fair_share::TICK, requests::MIN_RETRY_AFTER, Scheduler};
+use crate::api::NodeId;
 use crate::state::{Node, PendingRequest};
 use crate::{rates::queueing_time, rendezvous_hash::rendezvous_weight};
 
@@ -26,7 +26,7 @@
     }
 }
 
-impl Control {
+impl Scheduler {
     pub(super) fn assign_unassigned(&mut self, ticked: bool, tick: u32) {
         let every = ticks_per_ranking(self.state.unassigned.len());
         let next_look = TICK * (every - 1);
--- a/src/control/requests.rs
+++ b/crates/scheduler/src/scheduler/requests.rs
@@ -1,8 +1,8 @@
 //! Where a request is queued, how one is answered that will not be sent, and how long an attempt should take.
 
-use super::{fair_share::TICK, may_reject, Control};
+use super::{fair_share::TICK, may_reject, Scheduler};
+use crate::api::{NodeId, RequestId};
 use crate::histogram::Histogram;
-use crate::interface::{NodeId, RequestId};
 use crate::state::DesiredState;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     Histogram::new(TICK / 5, 1.4, 16)
 }
 
-impl Control {
+impl Scheduler {
     /// Queues a request at the node that has its data, or among those that any may take. One whose time is
     /// up, or whose node is absent, is rejected at once: its client may know better.
     pub(super) fn enqueue(&mut self, id: RequestId) {
--- a/src/control/retries.rs
+++ b/crates/scheduler/src/scheduler/retries.rs
@@ -1,7 +1,7 @@
 //! Retries: whether a failed attempt may be followed by another, under idempotency, budget and time left.
 
-use super::{fair_share::TICK, requests::MIN_RETRY_AFTER, Control};
-use crate::interface::{AttemptEnd, AttemptOutcome, DeduplicationScope, Idempotency, ShardId, ZoneId};
+use super::{fair_share::TICK, requests::MIN_RETRY_AFTER, Scheduler};
+use crate::api::{AttemptEnd, AttemptOutcome, DeduplicationScope, Idempotency, ShardId, ZoneId};
 use crate::state::PriorAttempt;
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
     !may_have_run || idempotency == Idempotency::Idempotent || recognised
 }
 
-impl Control {
+impl Scheduler {
     /// After an attempt: closes the request, queues it for a retry, or rejects it.
     pub(super) fn retry_or_answer(&mut self, end: &AttemptEnd) {
         let Some(pending) = self.state.requests.get_mut(&end.id) else { return };
--- a/src/control/shedding.rs
+++ b/crates/scheduler/src/scheduler/shedding.rs
@@ -1,12 +1,12 @@
 //! Load shedding: queued requests that cannot be in time are rejected at once: their clients may ask again.
 
 use super::fair_share::{INTERVAL, TICK};
-use super::{requests::MIN_RETRY_AFTER, Control};
+use super::{requests::MIN_RETRY_AFTER, Scheduler};
 use crate::rates::{queueing_time, seconds};
-use crate::{interface::NodeId, state::PendingRequest};
+use crate::{api::NodeId, state::PendingRequest};
 use std::time::Duration;
 
-impl Control {
+impl Scheduler {
     /// Rejects what cannot be in time behind what goes first; at the latest when the next look, so much
     /// later, would find its time up.
     pub(super) fn shed_load(&mut self, id: NodeId, next_look: Duration) {
--- a/src/control/slow_start.rs
+++ b/crates/scheduler/src/scheduler/slow_start.rs
@@ -2,8 +2,8 @@
 //!
 //! Guards against all hosts together overloading a node that warms up. Harm: few hosts use less of it.
 
-use super::Control;
-use crate::{interface::SlowStartPolicy, rates::seconds};
+use super::Scheduler;
+use crate::{api::SlowStartPolicy, rates::seconds};
 use std::time::Duration;
 
 const USED_FRACTION: f64 = 0.9; // of what the rule allows: the rest, and the chance it forgives, are for luck
@@ -18,7 +18,7 @@
     USED_FRACTION * bearable.max(policy.units / policy.hosts.max(1) as f64)
 }
 
-impl Control {
+impl Scheduler {
     /// Sets the quotas by the nodes' present ages, and drops those of nodes that are warm.
     pub(super) fn update_slow_start(&mut self) {
         let window = seconds(self.slow_start.overload_window).max(1e-3);
--- a/src/control/throttle.rs
+++ b/crates/scheduler/src/scheduler/throttle.rs
@@ -4,7 +4,7 @@
 //! Guards against nodes that are late by others' doing, hang, or fail fast. Harm: a jam ejects one for
 //! seconds.
 
-use super::{concurrency::QUEUEING_FRACTION, Control};
+use super::{concurrency::QUEUEING_FRACTION, Scheduler};
 use crate::{rates::seconds, state::Node};
 use std::time::Duration;
 
@@ -50,7 +50,7 @@
         (node.admission_level + rate.clamp(MIN_RECOVERY, MAX_RECOVERY) * interval).min(1.0);
 }
 
-impl Control {
+impl Scheduler {
     /// Whether the node's admission level lets a request of that value go. The scale is the settings', alike
     /// on all hosts: measured against what it is itself offered, a host with nothing but a surge would rank
     /// the surge as high as another host its reservations.
--- a/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,6 +1,6 @@
 //! What the decisions know: volumes, nodes and requests, and the bookkeeping on them.
 //!
-//! Owned by [`crate::control::Control`], which decides what the figures mean and what follows from them.
+//! Owned by [`crate::scheduler::Scheduler`], which decides what the figures mean and what follows from them.
 //! Nothing is decided here.
 
 mod node;
--- a/src/state/node.rs
+++ b/crates/scheduler/src/state/node.rs
@@ -1,7 +1,7 @@
 //! A storage node, as one host sees it.
 
+use crate::api::{Action, Endpoint, NodeId, NodeState, Request, RequestId, ShardId, VolumeId, ZoneId};
 use crate::histogram::Histogram;
-use crate::interface::{Action, Endpoint, NodeId, NodeState, Request, RequestId, ShardId, VolumeId, ZoneId};
 use crate::probing_window::ProbingWindow;
 use crate::rates::MeanRate;
 use crate::request_queue::RequestQueue;
--- a/src/state/request.rs
+++ b/crates/scheduler/src/state/request.rs
@@ -1,6 +1,6 @@
 //! A request that has no final answer yet, or an attempt of which is still out.
 
-use crate::interface::{NodeId, Request, ShardId, ZoneId};
+use crate::api::{NodeId, Request, ShardId, ZoneId};
 use crate::request_queue::LineKey;
 use std::time::Duration;
 
--- a/src/state/scheduler_state.rs
+++ b/crates/scheduler/src/state/scheduler_state.rs
@@ -1,6 +1,6 @@
 //! Everything a host knows: what is so, and what is wanted but not yet brought about.
 
-use crate::interface::{
+use crate::api::{
     Action, Endpoint, NodeId, NodeState, PlanId, Request, RequestId, ShardId, TimerTag, TrafficClassId,
     VolumeId,
 };
--- a/src/state/volume.rs
+++ b/crates/scheduler/src/state/volume.rs
@@ -1,6 +1,6 @@
 //! A volume, as one host serves it.
 
-use crate::interface::{LimitQuota, PlanId, VolumeTerms};
+use crate::api::{LimitQuota, PlanId, VolumeTerms};
 use crate::token_bucket::TokenBucket;
 use std::time::Duration;
 
--- a/src/token_bucket.rs
+++ b/crates/scheduler/src/token_bucket.rs
@@ -6,7 +6,7 @@
 /// Tokens that fill at a rate, up to a depth.
 ///
 /// ```
-/// use grebecleat::token_bucket::TokenBucket;
+/// use grebecleat_scheduler::token_bucket::TokenBucket;
 /// let mut bucket = TokenBucket::new(2.0, 4.0, 0.0);
 /// bucket.refill(0.5);
 /// assert_eq!(bucket.level(), 1.0);
@@ -40,7 +40,7 @@
     /// spread.
     ///
     /// ```
-    /// use grebecleat::token_bucket::TokenBucket;
+    /// use grebecleat_scheduler::token_bucket::TokenBucket;
     /// let mut bucket = TokenBucket::lapsing(4.0, 0.25);
     /// bucket.reconfigure(2.0, 5.0);
     /// bucket.refill(2.0);
--- a/tests/changes.rs
+++ b/crates/scheduler/tests/changes.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use grebecleat::control::Control;
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::scheduler::Scheduler;
 
 fn limited(limit: f64, burst: f64) -> Plan {
     Plan {
@@ -27,7 +27,7 @@
 }
 
 /// Tells a host things, and answers each attempt at once, as long as it sends more; units sent.
-fn answered(c: &mut Control, t: u64, events: Vec<Event>) -> f64 {
+fn answered(c: &mut Scheduler, t: u64, events: Vec<Event>) -> f64 {
     let (mut events, mut units) = (events, 0.0);
     for n in 0.. {
         let (sent, ..) = at(c, t + n / 100, events);
@@ -44,7 +44,7 @@
 }
 
 /// Asks for two units every 10 ms; units sent from one moment to another.
-fn press(c: &mut Control, from: u64, to: u64) -> f64 {
+fn press(c: &mut Scheduler, from: u64, to: u64) -> f64 {
     let ask = |t: u64| {
         vec![Event::RequestReceived(request(
             ((t / 10) % 250) as u8,
--- a/tests/cold.rs
+++ b/crates/scheduler/tests/cold.rs
@@ -4,8 +4,8 @@
 
 mod common;
 use common::*;
-use grebecleat::control::*;
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::scheduler::*;
 use std::collections::BTreeMap;
 
 const MEAN: f64 = 2.0;
@@ -34,7 +34,7 @@
     eager: 1,
 };
 
-fn started(seed: u64, now: u64, hosts: u64) -> Control {
+fn started(seed: u64, now: u64, hosts: u64) -> Scheduler {
     let rule = SlowStartPolicy {
         hosts: hosts as usize,
         ..slow_start_policy()
@@ -45,7 +45,7 @@
         lease: None,
     };
     let (traffic_classes, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
-    let mut c = Control::new(seed, traffic_classes, plans, units(), host_limits()).with_rules(
+    let mut c = Scheduler::new(seed, traffic_classes, plans, units(), host_limits()).with_rules(
         rule,
         listing,
         None,
@@ -64,7 +64,7 @@
 
 /// One host and what its clients want.
 struct Busy {
-    control: Control,
+    scheduler: Scheduler,
     /// Units of what is with the host.
     with: BTreeMap<RequestId, f64>,
     out: Vec<RequestId>,
@@ -74,7 +74,7 @@
 #[allow(clippy::too_many_lines)] // one scene, read from top to bottom
 fn largest_sum(wave: Wave, seed: u64) -> f64 {
     let fresh = |n: u64, now| Busy {
-        control: started(seed * 1000 + n + now * 7919, now, wave.hosts),
+        scheduler: started(seed * 1000 + n + now * 7919, now, wave.hosts),
         with: BTreeMap::new(),
         out: Vec::new(),
     };
@@ -119,7 +119,7 @@
                     ..request(0, ms(now + 3000))
                 }));
             }
-            let (out, deferred, abandoned) = at(&mut host.control, now, events);
+            let (out, deferred, abandoned) = at(&mut host.scheduler, now, events);
             for id in deferred.into_iter().chain(abandoned) {
                 host.with.remove(&id);
             }
--- a/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A host with plain settings, and short ways to tell it things.
 #![allow(dead_code)]
 
-use grebecleat::control::Control;
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::scheduler::Scheduler;
 use std::time::Duration;
 
 pub const fn ms(n: u64) -> Duration {
@@ -114,13 +114,13 @@
     traffic_classes: Vec<TrafficClass>,
     plans: Vec<Plan>,
     attempts: Option<RetryBudget>,
-) -> Control {
+) -> Scheduler {
     let listing = DiscoveryPolicy {
         polled: false,
         poll_interval: ms(10_000),
         lease: None,
     };
-    let mut c = Control::new(7, traffic_classes, plans, units(), host_limits()).with_rules(
+    let mut c = Scheduler::new(7, traffic_classes, plans, units(), host_limits()).with_rules(
         slow_start_policy(),
         listing,
         attempts,
@@ -136,7 +136,7 @@
 
 /// Tells a host things at a moment; answers what was sent, deferred and abandoned.
 pub fn at(
-    c: &mut Control,
+    c: &mut Scheduler,
     now: u64,
     events: Vec<Event>,
 ) -> (Vec<(RequestId, NodeId)>, Vec<RequestId>, Vec<RequestId>) {
--- a/tests/design.rs
+++ b/crates/scheduler/tests/design.rs
@@ -2,13 +2,13 @@
 
 mod common;
 use common::*;
-use grebecleat::control::*;
-use grebecleat::interface::*;
-use grebecleat::max_min_fair_share::{allocate, FlowDemand};
-use grebecleat::probing_window::*;
-use grebecleat::reading::Reading;
-use grebecleat::state::FlowSample;
-use grebecleat::token_bucket::TokenBucket;
+use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::max_min_fair_share::{allocate, FlowDemand};
+use grebecleat_scheduler::probing_window::*;
+use grebecleat_scheduler::reading::Reading;
+use grebecleat_scheduler::scheduler::*;
+use grebecleat_scheduler::state::FlowSample;
+use grebecleat_scheduler::token_bucket::TokenBucket;
 
 fn near(a: f64, b: f64) -> bool {
     (a - b).abs() < 1e-6
--- a/tests/endpoint_lease.rs
+++ b/crates/scheduler/tests/endpoint_lease.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::*;
-use grebecleat::control::Control;
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::scheduler::Scheduler;
 use std::time::Duration;
 
 const LEASE: Duration = ms(5750);
@@ -12,7 +12,7 @@
 const ANSWERED: u64 = 2000;
 const LEASE_ENDS: u64 = 7750;
 
-fn leased_host() -> Control {
+fn leased_host() -> Scheduler {
     let discovery = DiscoveryPolicy {
         polled: true,
         poll_interval: ms(6000),
@@ -20,7 +20,7 @@
     };
     let classes = vec![stream(Idempotency::Idempotent)];
     let plans = vec![plan(100.0)];
-    Control::new(7, classes, plans, units(), host_limits()).with_rules(
+    Scheduler::new(7, classes, plans, units(), host_limits()).with_rules(
         slow_start_policy(),
         discovery,
         None,
@@ -34,7 +34,7 @@
 }
 
 /// A host that discovery has answered once.
-fn answered_host() -> Control {
+fn answered_host() -> Scheduler {
     let mut host = leased_host();
     host.step(ms(1000), vec![]);
     let list = list(EndpointUpdateKind::Snapshot, both_ready());
@@ -43,7 +43,7 @@
 }
 
 /// Whether a request that comes in then goes to node 1, by when its second is over; it has no other.
-fn is_sent(host: &mut Control, number: u8, now: u64) -> bool {
+fn is_sent(host: &mut Scheduler, number: u8, now: u64) -> bool {
     let request = request(number, ms(now + 1000));
     let (sent, ..) = at(host, now, vec![Event::RequestReceived(request)]);
     let mut sent = sent.len();
@@ -54,7 +54,7 @@
 }
 
 /// Sends a request then, which ends so 10 ms later.
-fn attempt_that_ends(host: &mut Control, number: u8, now: u64, outcome: AttemptOutcome) {
+fn attempt_that_ends(host: &mut Scheduler, number: u8, now: u64, outcome: AttemptOutcome) {
     let request = request(number, ms(now + 1000));
     let (sent, ..) = at(host, now, vec![Event::RequestReceived(request)]);
     assert_eq!(sent.len(), 1, "request {number} is sent at {now}");
--- a/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -2,9 +2,9 @@
 
 mod common;
 use common::*;
-use grebecleat::control::*;
-use grebecleat::interface::*;
-use grebecleat::state::PriorAttempt;
+use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::scheduler::*;
+use grebecleat_scheduler::state::PriorAttempt;
 
 const KEYED: Idempotency = Idempotency::WithKey {
     scope: DeduplicationScope::Shard,
@@ -541,7 +541,7 @@
         poll_interval: ms(10_000),
         lease: None,
     };
-    let mut c = Control::new(
+    let mut c = Scheduler::new(
         3,
         vec![stream(KEYED)],
         vec![plan(1.0)],
@@ -638,12 +638,8 @@
             lease: None,
         };
         let (traffic_classes, plans) = (vec![stream(Idempotency::Idempotent)], vec![plan(1.0)]);
-        let mut c = Control::new(seed, traffic_classes, plans, units(), host_limits()).with_rules(
-            rule.clone(),
-            listing,
-            None,
-            ms(0),
-        );
+        let mut c = Scheduler::new(seed, traffic_classes, plans, units(), host_limits())
+            .with_rules(rule.clone(), listing, None, ms(0));
         at(
             &mut c,
             1000,
@@ -723,7 +719,7 @@
             poll_interval: ms(10_000),
             lease: None,
         };
-        let mut c = Control::new(
+        let mut c = Scheduler::new(
             1,
             vec![stream(KEYED)],
             vec![plan(1.0)],
@@ -883,7 +879,7 @@
 /// is on its way it counts as any other.
 #[test]
 fn an_attempt_counts_as_late_from_when_it_is_on_its_way() {
-    let ease = |c: &Control| {
+    let ease = |c: &Scheduler| {
         c.nodes()
             .find(|n| n.node == NodeId(1))
             .unwrap()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -11,6 +11,6 @@
 pub mod settings;
 
 pub use fields::Fault;
-pub use grebecleat::interface::{DeduplicationScope, Idempotency};
+pub use grebecleat_scheduler::api::{DeduplicationScope, Idempotency};
 pub use kinds::Kind;
 pub use settings::*;
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::fields::{span_of, Call, Fault, Fields, Place};
 use crate::kinds::Kind;
 use crate::script::calls_of;
-use grebecleat::interface::*;
+use grebecleat_scheduler::api::*;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/standin/src/versions.rs
+++ b/crates/testbed/src/versions.rs
@@ -13,7 +13,7 @@
     /// writes the same.
     ///
     /// ```
-    /// use grebecleat_standin::versions::Versions;
+    /// use grebecleat_testbed::versions::Versions;
     /// let mut v = Versions::default();
     /// assert_eq!(v.write(0, 100, 5), (vec![(0, 100)], None));
     /// assert_eq!(v.write(50, 150, 4), (vec![(100, 150)], Some(5)));
--- a/crates/audit/src/history.rs
+++ b/crates/trace-checker/src/history.rs
@@ -76,7 +76,7 @@
 /// Judges one block's history, which begins with that content.
 ///
 /// ```
-/// use grebecleat_audit::history::{check, Deed, Found, Op};
+/// use grebecleat_trace_checker::history::{check, Deed, Found, Op};
 /// use std::time::Duration;
 /// let op = |from, to, deed| Op {
 ///     from: Duration::from_millis(from), to: Some(Duration::from_millis(to)), deed,
--- a/crates/audit/tests/commands.rs
+++ b/crates/trace-checker/tests/commands.rs
@@ -1,7 +1,7 @@
 //! Commands of a portal from PDUs as they should be, and doctored so that each fault is found.
 
-use grebecleat_audit::{commands::Commands, Case};
 use grebecleat_settings::Settings;
+use grebecleat_trace_checker::{commands::Commands, Case};
 use grebecleat_wire::pb::{self, marked::What, record::Kind, Record};
 use grebecleat_wire::trace::block_sum;
 
--- a/crates/audit/tests/doctored.rs
+++ b/crates/trace-checker/tests/doctored.rs
@@ -1,8 +1,8 @@
 //! Each rule's traces twice: as they should be, and doctored so that the rule is broken and caught.
 
 use bytes::Bytes;
-use grebecleat_audit::{Case, Verdict};
 use grebecleat_settings::Settings;
+use grebecleat_trace_checker::{Case, Verdict};
 use grebecleat_wire::pb::{self, frame::Body, marked::What, record::Kind, Record};
 
 const SETTINGS: &str = r#"
--- a/crates/audit/tests/plans.rs
+++ b/crates/trace-checker/tests/plans.rs
@@ -2,8 +2,8 @@
 //! or a change is called settled too early.
 
 use bytes::Bytes;
-use grebecleat_audit::{Case, Verdict};
 use grebecleat_settings::Settings;
+use grebecleat_trace_checker::{Case, Verdict};
 use grebecleat_wire::pb::{self, change, frame::Body, record::Kind, Record};
 
 const SETTINGS: &str = r#"
