--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -133,9 +133,15 @@
     pub fn even(id: PlanId, plan: &Plan, hosts: usize) -> Self {
         let hosts = hosts.max(1);
         let quota = |of: f64| of / hosts as f64;
-        let limit = (plan.limit > 0.0)
-            .then(|| LimitQuota { rate: quota(plan.limit), burst: quota(plan.limit_burst) });
-        VolumeTerms { plan: id, hosts, limit }
+        let limit = (plan.limit > 0.0).then(|| LimitQuota {
+            rate: quota(plan.limit),
+            burst: quota(plan.limit_burst),
+        });
+        VolumeTerms {
+            plan: id,
+            hosts,
+            limit,
+        }
     }
 }
 
--- a/crates/scheduler/src/histogram.rs
+++ b/crates/scheduler/src/histogram.rs
@@ -26,7 +26,11 @@
 impl Histogram {
     /// `first_edge`: upper edge of the first bin; `factor`: of each edge to the one before (over 1).
     pub fn new(first_edge: Duration, factor: f64, bins: usize) -> Self {
-        Histogram { first_edge: first_edge.as_secs_f64(), factor, counts: vec![0.0; bins.max(1)] }
+        Histogram {
+            first_edge: first_edge.as_secs_f64(),
+            factor,
+            counts: vec![0.0; bins.max(1)],
+        }
     }
 
     /// Counts a time.
@@ -37,7 +41,11 @@
 
     fn bin(&self, seconds: f64) -> usize {
         let steps = (seconds / self.first_edge).max(1.0).ln() / self.factor.ln();
-        let bin = if seconds < self.first_edge { 0 } else { 1 + steps as usize };
+        let bin = if seconds < self.first_edge {
+            0
+        } else {
+            1 + steps as usize
+        };
         bin.min(self.counts.len() - 1)
     }
 
--- a/crates/scheduler/src/key_order.rs
+++ b/crates/scheduler/src/key_order.rs
@@ -57,13 +57,16 @@
 
     /// Whether the request is first of its key, and the key has cooled down for it.
     pub fn may_run(&self, key: KeyId, id: RequestId, now: Duration) -> bool {
-        let Some(queue) = self.0.get(&key) else { return true };
+        let Some(queue) = self.0.get(&key) else {
+            return true;
+        };
         let first = queue.open.front().is_none_or(|front| *front == id);
         first && (now >= queue.cooldown_until || queue.exempt == Some(id))
     }
 
     /// Drops keys without open requests that have cooled down.
     pub fn remove_idle(&mut self, now: Duration) {
-        self.0.retain(|_, queue| !queue.open.is_empty() || now < queue.cooldown_until);
+        self.0
+            .retain(|_, queue| !queue.open.is_empty() || now < queue.cooldown_until);
     }
 }
--- a/crates/scheduler/src/max_min_fair_share.rs
+++ b/crates/scheduler/src/max_min_fair_share.rs
@@ -35,7 +35,10 @@
 
 /// Divides `capacity` among the flows, in their order. Where the reservations exceed it, all are cut alike.
 pub fn allocate(capacity: f64, flows: &[FlowDemand]) -> Vec<Allocation> {
-    let reserve = |flow: &FlowDemand| Allocation { reserved: flow.demand.min(flow.reservation), spare: 0.0 };
+    let reserve = |flow: &FlowDemand| Allocation {
+        reserved: flow.demand.min(flow.reservation),
+        spare: 0.0,
+    };
     let mut allocations: Vec<Allocation> = flows.iter().map(reserve).collect();
     let reserved: f64 = allocations.iter().map(|a| a.reserved).sum();
     if reserved > capacity && reserved > 0.0 {
@@ -46,7 +49,10 @@
     }
     let mut left = capacity - reserved;
     loop {
-        let hungry = allocations.iter().zip(flows).filter(|(given, flow)| given.wants_more(flow));
+        let hungry = allocations
+            .iter()
+            .zip(flows)
+            .filter(|(given, flow)| given.wants_more(flow));
         let weights: f64 = hungry.map(|(_, flow)| flow.weight).sum();
         if weights <= 0.0 || left <= NEGLIGIBLE {
             return allocations;
--- a/crates/scheduler/src/probing_window.rs
+++ b/crates/scheduler/src/probing_window.rs
@@ -59,7 +59,11 @@
 
     /// Takes one reading. One pause or flush slows a single reading; only the third in a row is believed.
     pub fn observe(&mut self, reading: &Reading) {
-        self.congested_readings = if reading.congested { self.congested_readings + 1 } else { 0 };
+        self.congested_readings = if reading.congested {
+            self.congested_readings + 1
+        } else {
+            0
+        };
         match self.phase {
             Phase::Wait if reading.below_reservation => {}
             Phase::Stable { outstanding } => self.follow_outstanding(reading, outstanding),
@@ -67,7 +71,11 @@
                 self.congested_readings = 0;
                 self.high = self.estimate.max(self.low);
                 self.estimate = self.low;
-                self.phase = if reading.below_reservation { Phase::Wait } else { Phase::Search };
+                self.phase = if reading.below_reservation {
+                    Phase::Wait
+                } else {
+                    Phase::Search
+                };
                 self.settle(reading);
             }
             _ if reading.congested => {}
@@ -94,7 +102,9 @@
 
     fn settle(&mut self, reading: &Reading) {
         if self.phase == Phase::Search && self.high - self.low <= STABLE_WITHIN * self.highest {
-            self.phase = Phase::Stable { outstanding: reading.outstanding };
+            self.phase = Phase::Stable {
+                outstanding: reading.outstanding,
+            };
             self.stable_mix = reading.mix.clone();
         }
     }
--- a/crates/scheduler/src/rates.rs
+++ b/crates/scheduler/src/rates.rs
@@ -35,7 +35,8 @@
 
     /// Drops those that happened `span` before `now` or earlier.
     pub fn expire(&mut self, span: Duration, now: Duration) {
-        self.0.drain(..self.0.partition_point(|at| *at + span <= now));
+        self.0
+            .drain(..self.0.partition_point(|at| *at + span <= now));
     }
 }
 
@@ -69,7 +70,10 @@
 
     /// The same time with a fraction of the units.
     pub fn scaled(&self, fraction: f64) -> Self {
-        MeanRate { units: self.units * fraction, seconds: self.seconds }
+        MeanRate {
+            units: self.units * fraction,
+            seconds: self.seconds,
+        }
     }
 
     /// Units a second; 0 before any time has passed.
@@ -101,6 +105,10 @@
 /// assert_eq!(queueing_time(4.0, 0.0).as_secs(), 0);
 /// ```
 pub fn queueing_time(units: f64, rate: f64) -> Duration {
-    let seconds = if rate > 0.0 { (units / rate).min(MAX_QUEUEING_SECONDS) } else { 0.0 };
+    let seconds = if rate > 0.0 {
+        (units / rate).min(MAX_QUEUEING_SECONDS)
+    } else {
+        0.0
+    };
     Duration::from_secs_f64(seconds)
 }
--- a/crates/scheduler/src/rejection_stats.rs
+++ b/crates/scheduler/src/rejection_stats.rs
@@ -29,8 +29,12 @@
 }
 
 /// Upper edges of the steps by which [`RejectionCause::last_success`] counts.
-pub const LAST_SUCCESS_STEPS: [Duration; 4] =
-    [Duration::from_millis(300), Duration::from_secs(1), Duration::from_secs(3), Duration::from_secs(10)];
+pub const LAST_SUCCESS_STEPS: [Duration; 4] = [
+    Duration::from_millis(300),
+    Duration::from_secs(1),
+    Duration::from_secs(3),
+    Duration::from_secs(10),
+];
 
 /// What rejected requests of one count have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
--- a/crates/scheduler/src/request_queue.rs
+++ b/crates/scheduler/src/request_queue.rs
@@ -31,7 +31,10 @@
 impl QueueEntry {
     /// An entry that comes before every other with that objective.
     pub fn first_at(objective_at: Duration) -> Self {
-        QueueEntry { objective_at, id: Reverse(RequestId([u8::MAX; 36])) }
+        QueueEntry {
+            objective_at,
+            id: Reverse(RequestId([u8::MAX; 36])),
+        }
     }
 }
 
@@ -56,7 +59,8 @@
 
 /// The ids by their values, the highest value first and of one value the highest id; values must be finite.
 pub fn sort_by_value(
-    ids: impl Iterator<Item = RequestId>, value: impl Fn(&RequestId) -> f64,
+    ids: impl Iterator<Item = RequestId>,
+    value: impl Fn(&RequestId) -> f64,
 ) -> Vec<RequestId> {
     let mut order: Vec<(f64, RequestId)> = ids.map(|id| (value(&id), id)).collect();
     order.sort_unstable_by(|a, b| b.partial_cmp(a).expect("values are finite"));
@@ -67,7 +71,10 @@
 /// objective comes before `soonest` can be in time; one that is worth `full_value` is not bettered by those
 /// behind it.
 pub fn best_of_line(
-    line: &Line, soonest: Duration, full_value: f64, candidate: impl Fn(&QueueEntry) -> Option<Candidate>,
+    line: &Line,
+    soonest: Duration,
+    full_value: f64,
+    candidate: impl Fn(&QueueEntry) -> Option<Candidate>,
 ) -> Option<Candidate> {
     let split = QueueEntry::first_at(soonest);
     let late = line.range(..split).find_map(&candidate);
@@ -103,14 +110,22 @@
 impl RequestQueue {
     /// Adds a request to a line.
     pub fn add(&mut self, line: LineKey, objective_at: Duration, id: RequestId) {
-        let added = self.lines.entry(line).or_default().insert(QueueEntry { objective_at, id: Reverse(id) });
+        let added = self.lines.entry(line).or_default().insert(QueueEntry {
+            objective_at,
+            id: Reverse(id),
+        });
         self.len += usize::from(added);
     }
 
     /// Takes a request out of a line; whether it was there.
     pub fn remove(&mut self, line: LineKey, objective_at: Duration, id: RequestId) -> bool {
-        let Some(entries) = self.lines.get_mut(&line) else { return false };
-        let removed = entries.remove(&QueueEntry { objective_at, id: Reverse(id) });
+        let Some(entries) = self.lines.get_mut(&line) else {
+            return false;
+        };
+        let removed = entries.remove(&QueueEntry {
+            objective_at,
+            id: Reverse(id),
+        });
         if entries.is_empty() {
             self.lines.remove(&line);
         }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -53,7 +53,10 @@
 /// The shortest latency objective that a host can keep to.
 fn tightest_objective(classes: &[TrafficClass]) -> Duration {
     let objectives = classes.iter().map(|class| class.latency_objective);
-    objectives.filter(|objective| *objective > TICK).min().unwrap_or(INTERVAL)
+    objectives
+        .filter(|objective| *objective > TICK)
+        .min()
+        .unwrap_or(INTERVAL)
 }
 
 /// The decisions of one host.
@@ -76,7 +79,10 @@
 impl Scheduler {
     /// A host without rules; its first step is its start.
     pub fn new(
-        seed: u64, traffic_classes: Vec<TrafficClass>, plans: Vec<Plan>, units: UnitSettings,
+        seed: u64,
+        traffic_classes: Vec<TrafficClass>,
+        plans: Vec<Plan>,
+        units: UnitSettings,
         limits: HostLimits,
     ) -> Self {
         let value_range = value_range(&traffic_classes, &plans, &units);
@@ -92,13 +98,19 @@
             discovery: DiscoveryPolicy::default(),
             retry_budget: None,
             key_cooldown: Duration::ZERO,
-            state: SchedulerState { value_range, ..SchedulerState::default() },
+            state: SchedulerState {
+                value_range,
+                ..SchedulerState::default()
+            },
         }
     }
 
     /// Sets the rules. `key_cooldown`: how long a key rests after an attempt that may still run.
     pub fn with_rules(
-        mut self, slow_start: SlowStartPolicy, discovery: DiscoveryPolicy, retry_budget: Option<RetryBudget>,
+        mut self,
+        slow_start: SlowStartPolicy,
+        discovery: DiscoveryPolicy,
+        retry_budget: Option<RetryBudget>,
         key_cooldown: Duration,
     ) -> Self {
         self.slow_start = slow_start;
@@ -115,7 +127,8 @@
         }
         self.state.now = now;
         self.state.rejected.clear();
-        let ticks = (now.saturating_sub(self.state.last_tick).as_micros() / TICK.as_micros()) as u32;
+        let ticks =
+            (now.saturating_sub(self.state.last_tick).as_micros() / TICK.as_micros()) as u32;
         self.state.refill(ticks, TICK);
         for event in events {
             self.handle_event(event);
@@ -155,16 +168,28 @@
             Event::AttemptSent { id, node, at } => self.state.set_sent(id, node, at),
             Event::RequestCancelled { id } => self.state.close(id),
             Event::PlanChanged { plan, facts } => {
-                self.plans.resize(self.plans.len().max(plan.0 + 1), Plan::default());
+                self.plans
+                    .resize(self.plans.len().max(plan.0 + 1), Plan::default());
                 self.plans[plan.0] = facts;
-                self.state.value_range = value_range(&self.traffic_classes, &self.plans, &self.units);
+                self.state.value_range =
+                    value_range(&self.traffic_classes, &self.plans, &self.units);
             }
-            Event::VolumeChanged { volume, terms: Some(terms) } => {
+            Event::VolumeChanged {
+                volume,
+                terms: Some(terms),
+            } => {
                 let new = || Volume::new(terms, self.plans[terms.plan.0].reservation);
                 self.state.retired.remove(&volume);
-                self.state.volumes.entry(volume).or_insert_with(new).set_terms(terms);
+                self.state
+                    .volumes
+                    .entry(volume)
+                    .or_insert_with(new)
+                    .set_terms(terms);
             }
-            Event::VolumeChanged { volume, terms: None } => {
+            Event::VolumeChanged {
+                volume,
+                terms: None,
+            } => {
                 self.reject_queued(volume);
                 self.state.retired.insert(volume);
             }
@@ -179,9 +204,16 @@
     fn receive_request(&mut self, request: Request) {
         let class = &self.traffic_classes[request.traffic_class.0];
         let plan = &self.plans[request.plan.0];
-        let new_volume =
-            || Volume::new(VolumeTerms::even(request.plan, plan, request.hosts), plan.reservation);
-        self.state.volumes.entry(request.volume).or_insert_with(new_volume);
+        let new_volume = || {
+            Volume::new(
+                VolumeTerms::even(request.plan, plan, request.hosts),
+                plan.reservation,
+            )
+        };
+        self.state
+            .volumes
+            .entry(request.volume)
+            .or_insert_with(new_volume);
         if let (true, Some(key)) = (class.ordered, request.key) {
             self.state.key_order.push(key, request.id);
         }
@@ -207,19 +239,27 @@
     fn run_control_interval(&mut self) {
         let interval = seconds(self.state.now - self.state.last_interval);
         self.state.last_interval = self.state.now;
-        let smoothed = |mean: f64, sample: FlowSample| fair_share::smoothed_demand(mean, &sample, interval);
-        let demands = self.state.measure_demands(interval / seconds(TICK), fair_share::MIN_DEMAND, smoothed);
+        let smoothed =
+            |mean: f64, sample: FlowSample| fair_share::smoothed_demand(mean, &sample, interval);
+        let demands =
+            self.state
+                .measure_demands(interval / seconds(TICK), fair_share::MIN_DEMAND, smoothed);
         self.split_reservations(&demands, interval);
         for node in self.state.nodes.values_mut() {
             fair_share::learn_capacity(node, interval);
             throttle::recover_admission(node, self.units.mean, interval);
         }
-        self.state.allocate_shares(&demands, |plan| self.plans[plan.0].weight);
+        self.state
+            .allocate_shares(&demands, |plan| self.plans[plan.0].weight);
         self.state.update_mean_learned_rate();
         self.log_endpoint_lease();
         self.update_slow_start();
         self.state.key_order.remove_idle(self.state.now);
-        self.state.expire(self.retry_budget.as_ref().map_or(INTERVAL, |budget| budget.window + INTERVAL));
+        self.state.expire(
+            self.retry_budget
+                .as_ref()
+                .map_or(INTERVAL, |budget| budget.window + INTERVAL),
+        );
         self.time_per_unit.halve_above(fair_share::MAX_TIMES);
     }
 
@@ -245,7 +285,8 @@
     /// Brings what is out, answered and timed into line with what is wanted.
     fn reconcile(&mut self) -> Vec<Action> {
         let now = self.state.now;
-        self.state.act_on_changed_requests(self.limits.max_retry_after);
+        self.state
+            .act_on_changed_requests(self.limits.max_retry_after);
         if self.state.watch_at.take_if(|at| now >= *at).is_some() {
             self.state.actions.push(Action::WatchEndpoints { on: true });
         }
@@ -253,7 +294,10 @@
             true => self.state.last_tick + TICK,
             false => self.state.last_interval + INTERVAL,
         };
-        self.state.wake_at(next.min(self.state.watch_at.unwrap_or(next)).max(now + TICK / 10));
+        self.state.wake_at(
+            next.min(self.state.watch_at.unwrap_or(next))
+                .max(now + TICK / 10),
+        );
         std::mem::take(&mut self.state.actions)
     }
 }
--- a/crates/scheduler/src/scheduler/concurrency.rs
+++ b/crates/scheduler/src/scheduler/concurrency.rs
@@ -18,10 +18,17 @@
 
 /// Units that this host may have out at a node: the learnt rate over part of the tightest latency objective,
 /// at least a few large requests (fewer where all hosts' floors would pass the most of one), within a cap.
-pub fn concurrency_limit(rate: f64, tightest_objective: Duration, mean_units: f64, hosts: usize) -> f64 {
+pub fn concurrency_limit(
+    rate: f64,
+    tightest_objective: Duration,
+    mean_units: f64,
+    hosts: usize,
+) -> f64 {
     let mean = mean_units.max(0.1);
     let floor = (MAX_OUTSTANDING / hosts.max(1) as f64).clamp(MIN_FLOOR, MAX_FLOOR) * mean;
-    (rate * QUEUEING_FRACTION * seconds(tightest_objective)).max(floor).min(MAX_OUTSTANDING * mean)
+    (rate * QUEUEING_FRACTION * seconds(tightest_objective))
+        .max(floor)
+        .min(MAX_OUTSTANDING * mean)
 }
 
 /// Moves the limit's factor after a completed attempt.
@@ -67,6 +74,7 @@
     }
 
     pub(super) fn has_capacity(&self, node: NodeId, units: f64) -> bool {
-        self.capacity_available_at(node, units).is_some_and(|at| at <= self.state.now)
+        self.capacity_available_at(node, units)
+            .is_some_and(|at| at <= self.state.now)
     }
 }
--- a/crates/scheduler/src/scheduler/discovery.rs
+++ b/crates/scheduler/src/scheduler/discovery.rs
@@ -76,10 +76,14 @@
     fn node_came_up(&mut self, id: NodeId, first: bool) {
         let now = self.state.now;
         // All hosts learn of it about together; without the delay each would send first.
-        let delay = MAX_FIRST_USE_DELAY.mul_f64(f64::from(u8::from(!first)) * self.rng.random::<f64>());
+        let delay =
+            MAX_FIRST_USE_DELAY.mul_f64(f64::from(u8::from(!first)) * self.rng.random::<f64>());
         let node = self.state.nodes.get_mut(&id).expect("updated just now");
         node.reset(now, now + delay);
-        if node.started.is_some_and(|started| now < started + self.slow_start.warm_up_time) {
+        if node
+            .started
+            .is_some_and(|started| now < started + self.slow_start.warm_up_time)
+        {
             // A bucket passes one request into debt; many hosts' at once push a node over. A random debt
             // spreads them, a lapse of what is full keeps them so. Harm: few hosts wait.
             node.slow_start = Some(TokenBucket::lapsing(self.units.mean, self.rng.random()));
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -23,20 +23,33 @@
 }
 
 /// The least and the best value that a unit can bring.
-pub(super) fn value_range(classes: &[TrafficClass], plans: &[Plan], units: &UnitSettings) -> ValueRange {
-    let values = classes.iter().flat_map(|class| plans.iter().map(|plan| class.priority_weight * plan.price));
+pub(super) fn value_range(
+    classes: &[TrafficClass],
+    plans: &[Plan],
+    units: &UnitSettings,
+) -> ValueRange {
+    let values = classes
+        .iter()
+        .flat_map(|class| plans.iter().map(|plan| class.priority_weight * plan.price));
     let best = values.clone().fold(1e-6, f64::max);
     let least = values.fold(best, f64::min) * units.spare_fraction.clamp(0.01, 0.9);
-    ValueRange { least: least.max(best * 1e-3), best }
+    ValueRange {
+        least: least.max(best * 1e-3),
+        best,
+    }
 }
 
 impl Scheduler {
     /// Value of a unit at the node (None: at any), sent now.
     pub(super) fn value(&self, pending: &PendingRequest, node: Option<NodeId>) -> Value {
         let in_time = self.value_in_time(pending, node);
-        let late = self.state.now + self.expected_time(node, pending.request.units) > pending.objective_at;
+        let late =
+            self.state.now + self.expected_time(node, pending.request.units) > pending.objective_at;
         let class = &self.traffic_classes[pending.request.traffic_class.0];
-        Value { amount: in_time.amount * if late { class.late_fraction } else { 1.0 }, ..in_time }
+        Value {
+            amount: in_time.amount * if late { class.late_fraction } else { 1.0 },
+            ..in_time
+        }
     }
 
     /// The same, were it in time: alike for all of one volume and traffic class.
@@ -49,7 +62,10 @@
             Some(spare) if spare.level() <= 0.0 => (self.units.spare_fraction, false),
             _ => (self.units.share_fraction, true),
         };
-        Value { amount: fraction * class.priority_weight * self.plans[volume.plan.0].price, paid }
+        Value {
+            amount: fraction * class.priority_weight * self.plans[volume.plan.0].price,
+            paid,
+        }
     }
 
     /// Which of the rules and the buckets keeps a request from going to the node now; None: it may go.
@@ -66,14 +82,27 @@
         if pending.attempts > 0 && !self.retry_budget_allows() {
             return Some(BlockReason::RetryBudget);
         }
-        let limit = self.state.volumes[&request.volume].limit.as_ref().filter(|_| !pending.limit_drawn);
+        let limit = self.state.volumes[&request.volume]
+            .limit
+            .as_ref()
+            .filter(|_| !pending.limit_drawn);
         if limit.is_some_and(|limit| limit.level() < request.units) {
             return Some(BlockReason::RateLimit);
         }
-        if node.slow_start.as_ref().is_some_and(|quota| quota.level() <= 0.0) {
+        if node
+            .slow_start
+            .as_ref()
+            .is_some_and(|quota| quota.level() <= 0.0)
+        {
             return Some(BlockReason::SlowStart);
         }
-        if !may_resend(class.idempotency, pending.prior_attempt, node.zone, node.shard, now) {
+        if !may_resend(
+            class.idempotency,
+            pending.prior_attempt,
+            node.zone,
+            node.shard,
+            now,
+        ) {
             return Some(BlockReason::Idempotency);
         }
         if !self.is_confirmed(node) {
@@ -83,7 +112,8 @@
         if !value.paid && node.tokens.level() <= 0.0 {
             return Some(BlockReason::Share);
         }
-        (!self.throttle_admits(node, value.amount, pending.tie_breaker)).then_some(BlockReason::Throttled)
+        (!self.throttle_admits(node, value.amount, pending.tie_breaker))
+            .then_some(BlockReason::Throttled)
     }
 
     /// The queued request that goes to the node now.
@@ -102,7 +132,9 @@
 
     /// Whether the node has capacity; where time alone will bring it, the node is looked at again then.
     fn has_capacity_or_waits(&mut self, node: NodeId, units: f64) -> bool {
-        let Some(at) = self.capacity_available_at(node, units) else { return false };
+        let Some(at) = self.capacity_available_at(node, units) else {
+            return false;
+        };
         if at > self.state.now {
             self.state.due.insert((at, node));
         }
@@ -122,25 +154,39 @@
         let any = &self.state.requests[&line.first()?.id.0];
         // What blocks the luckiest of a line blocks all of it, however long it is.
         let value = self.value_in_time(any, Some(id));
-        let limit = self.state.volumes[&any.request.volume].limit.as_ref().filter(|_| !any.limit_drawn);
-        let spent = limit.is_some_and(|limit| limit.level() < self.state.smallest_units.unwrap_or(0.0));
+        let limit = self.state.volumes[&any.request.volume]
+            .limit
+            .as_ref()
+            .filter(|_| !any.limit_drawn);
+        let spent =
+            limit.is_some_and(|limit| limit.level() < self.state.smallest_units.unwrap_or(0.0));
         let payable = value.paid || node.tokens.level() > 0.0;
         if spent || !payable || !self.throttle_admits(node, value.amount, 1.0) {
             return None;
         }
         best_of_line(line, soonest, value.amount, |entry| {
             let pending = &self.state.requests[&entry.id.0];
-            self.block_reason(pending, id).is_none().then(|| self.candidate(pending, id))
+            self.block_reason(pending, id)
+                .is_none()
+                .then(|| self.candidate(pending, id))
         })
     }
 
     pub(super) fn candidate(&self, pending: &PendingRequest, node: NodeId) -> Candidate {
         let value = self.value(pending, Some(node)).amount;
-        Candidate { value, objective_at: Reverse(pending.objective_at), id: pending.request.id }
+        Candidate {
+            value,
+            objective_at: Reverse(pending.objective_at),
+            id: pending.request.id,
+        }
     }
 
     /// Queued requests, the best first.
-    pub(super) fn ranked(&self, ids: impl Iterator<Item = RequestId>, at: Option<NodeId>) -> Vec<RequestId> {
+    pub(super) fn ranked(
+        &self,
+        ids: impl Iterator<Item = RequestId>,
+        at: Option<NodeId>,
+    ) -> Vec<RequestId> {
         sort_by_value(ids, |id| self.value(&self.state.requests[id], at).amount)
     }
 
--- a/crates/scheduler/src/scheduler/endpoint_lease.rs
+++ b/crates/scheduler/src/scheduler/endpoint_lease.rs
@@ -28,11 +28,14 @@
 impl Scheduler {
     /// Whether the node may be sent to by what is known of it now.
     pub(super) fn is_confirmed(&self, node: &Node) -> bool {
-        let Some(lease) = self.discovery.lease else { return true };
+        let Some(lease) = self.discovery.lease else {
+            return true;
+        };
         let (now, listed) = (self.state.now, self.state.endpoints_confirmed);
         let same_process = node.not_reached.max(node.connection_lost) <= listed;
         let takes_requests = node.last_served > node.turned_away;
-        let still_serves = same_process && takes_requests && now + DRAIN_NOTICE < node.last_served + lease;
+        let still_serves =
+            same_process && takes_requests && now + DRAIN_NOTICE < node.last_served + lease;
         now < self.state.endpoints_valid_until || still_serves
     }
 
@@ -76,7 +79,12 @@
 }
 
 /// What the end of an attempt that was sent then says of whether its node takes requests.
-pub(super) fn record_contact(node: &mut Node, outcome: AttemptOutcome, sent: Duration, now: Duration) {
+pub(super) fn record_contact(
+    node: &mut Node,
+    outcome: AttemptOutcome,
+    sent: Duration,
+    now: Duration,
+) {
     match outcome {
         AttemptOutcome::Completed => {
             node.last_served = node.last_served.max(sent);
--- a/crates/scheduler/src/scheduler/fair_share.rs
+++ b/crates/scheduler/src/scheduler/fair_share.rs
@@ -18,7 +18,11 @@
 
 /// Units that a flow could use in the next interval (paper, equation 6), before smoothing.
 pub fn demand(flow: &FlowSample) -> f64 {
-    let scaled = if flow.outstanding > 0.0 { flow.queued * flow.used / flow.outstanding } else { 0.0 };
+    let scaled = if flow.outstanding > 0.0 {
+        flow.queued * flow.used / flow.outstanding
+    } else {
+        0.0
+    };
     flow.used + flow.backlog.max(scaled)
 }
 
@@ -29,7 +33,12 @@
 
 /// A host's fraction of a volume's reservation. Late reports can say that less was done everywhere than we
 /// know to have been done here; a split built on that would starve one host, so it falls to even.
-pub fn reservation_fraction(own_demand: f64, own_rate: f64, reported: Option<f64>, hosts: usize) -> f64 {
+pub fn reservation_fraction(
+    own_demand: f64,
+    own_rate: f64,
+    reported: Option<f64>,
+    hosts: usize,
+) -> f64 {
     let even = 1.0 / hosts.max(1) as f64;
     let Some(everywhere) = reported.filter(|all| own_rate <= all * REPORT_TOLERANCE + 1e-9) else {
         return even;
@@ -47,10 +56,12 @@
             let done_rate = std::mem::take(&mut volume.done) / interval;
             volume.done_rate = moving_average(volume.done_rate, done_rate, SMOOTHING);
             // A report that no later one has replaced says nothing of now.
-            let fresh = |usage: &ReportedUsage| self.state.now < usage.at + self.units.meter * 3 + INTERVAL;
+            let fresh =
+                |usage: &ReportedUsage| self.state.now < usage.at + self.units.meter * 3 + INTERVAL;
             let reported = volume.reported.filter(fresh).map(|usage| usage.rate);
             let own_demand = demands.get(id).copied().unwrap_or(0.0);
-            let fraction = reservation_fraction(own_demand, volume.done_rate, reported, volume.hosts);
+            let fraction =
+                reservation_fraction(own_demand, volume.done_rate, reported, volume.hosts);
             let rate = self.plans[volume.plan.0].reservation * fraction;
             volume.reservation.reconfigure(rate, rate);
         }
@@ -64,7 +75,11 @@
     // A cold node's rate says nothing of what it will do, and its quota is reckoned from before.
     let warm = node.slow_start.is_none();
     let counted = f64::from(u8::from(warm));
-    node.usage.add(stats.completed_units * counted, interval * counted, USAGE_SPAN);
+    node.usage.add(
+        stats.completed_units * counted,
+        interval * counted,
+        USAGE_SPAN,
+    );
     if warm && (stats.had_queue || done_rate > node.learned_rate) {
         node.learned_rate = moving_average(node.learned_rate, done_rate, SMOOTHING);
     }
@@ -76,5 +91,6 @@
         mix: node.mix_fractions(),
     });
     node.fade(MIX_RETENTION);
-    node.tokens.reconfigure(node.window.estimate, node.window.estimate);
+    node.tokens
+        .reconfigure(node.window.estimate, node.window.estimate);
 }
--- a/crates/scheduler/src/scheduler/inspection.rs
+++ b/crates/scheduler/src/scheduler/inspection.rs
@@ -69,19 +69,30 @@
     /// What is queued and why, of at most so many lines of requests that are worth the same, and of so many
     /// unassigned ones; of each line the first stands for all.
     pub fn queued(&self, lines: usize) -> Vec<QueueMetrics> {
-        let mut all: BTreeMap<(VolumeId, Option<NodeId>, BlockReason), QueueMetrics> = BTreeMap::new();
+        let mut all: BTreeMap<(VolumeId, Option<NodeId>, BlockReason), QueueMetrics> =
+            BTreeMap::new();
         let mut add = |metrics: QueueMetrics| {
             let key = (metrics.volume, metrics.node, metrics.block_reason);
-            let sum = all.entry(key).or_insert(QueueMetrics { requests: 0, ..metrics });
+            let sum = all.entry(key).or_insert(QueueMetrics {
+                requests: 0,
+                ..metrics
+            });
             sum.requests += metrics.requests;
             sum.since = sum.since.min(metrics.since);
         };
-        let queued =
-            self.state.nodes.values().flat_map(|node| node.queue.lines().map(move |line| (node.id, line)));
+        let queued = self
+            .state
+            .nodes
+            .values()
+            .flat_map(|node| node.queue.lines().map(move |line| (node.id, line)));
         for (node, line) in queued.take(lines) {
-            let first = line.first().and_then(|entry| self.state.requests.get(&entry.id.0));
+            let first = line
+                .first()
+                .and_then(|entry| self.state.requests.get(&entry.id.0));
             let Some(pending) = first else { continue };
-            let Some(block_reason) = self.block_reason_or_concurrency(pending, node) else { continue };
+            let Some(block_reason) = self.block_reason_or_concurrency(pending, node) else {
+                continue;
+            };
             add(QueueMetrics {
                 volume: pending.request.volume,
                 node: Some(node),
@@ -91,7 +102,9 @@
             });
         }
         for id in self.state.unassigned.iter().take(lines) {
-            let Some(pending) = self.state.requests.get(id) else { continue };
+            let Some(pending) = self.state.requests.get(id) else {
+                continue;
+            };
             add(QueueMetrics {
                 volume: pending.request.volume,
                 node: None,
@@ -115,9 +128,23 @@
 
     /// Counts a request that is about to be rejected, under what blocks it now.
     pub(super) fn count_rejection(&mut self, id: RequestId) {
-        let Some(pending) = self.state.requests.get(&id).filter(|pending| !pending.answered) else { return };
-        let endpoint = pending.request.shard.and_then(|shard| self.state.node_of_shard(shard));
-        let node = pending.queued_at.or(pending.last_node).or(endpoint).map(|id| &self.state.nodes[&id]);
+        let Some(pending) = self
+            .state
+            .requests
+            .get(&id)
+            .filter(|pending| !pending.answered)
+        else {
+            return;
+        };
+        let endpoint = pending
+            .request
+            .shard
+            .and_then(|shard| self.state.node_of_shard(shard));
+        let node = pending
+            .queued_at
+            .or(pending.last_node)
+            .or(endpoint)
+            .map(|id| &self.state.nodes[&id]);
         let cause = RejectionCause {
             reason: self.rejection_reason(pending, endpoint),
             traffic_class: pending.request.traffic_class,
@@ -142,12 +169,21 @@
 
     fn last_success_step(&self, node: Option<&Node>) -> usize {
         let never = LAST_SUCCESS_STEPS.len();
-        let Some(node) = node.filter(|node| !node.last_sent.is_zero()) else { return never };
+        let Some(node) = node.filter(|node| !node.last_sent.is_zero()) else {
+            return never;
+        };
         let age = self.state.now.saturating_sub(node.last_success);
-        LAST_SUCCESS_STEPS.iter().position(|step| age <= *step).unwrap_or(never)
+        LAST_SUCCESS_STEPS
+            .iter()
+            .position(|step| age <= *step)
+            .unwrap_or(never)
     }
 
-    fn rejection_reason(&self, pending: &PendingRequest, endpoint: Option<NodeId>) -> RejectionReason {
+    fn rejection_reason(
+        &self,
+        pending: &PendingRequest,
+        endpoint: Option<NodeId>,
+    ) -> RejectionReason {
         if matches!(pending.desired, DesiredState::Sent(_)) {
             return RejectionReason::AttemptFailed;
         }
@@ -162,9 +198,14 @@
         blocked.map_or(RejectionReason::QueuedTooLong, RejectionReason::Blocked)
     }
 
-    fn block_reason_or_concurrency(&self, pending: &PendingRequest, node: NodeId) -> Option<BlockReason> {
+    fn block_reason_or_concurrency(
+        &self,
+        pending: &PendingRequest,
+        node: NodeId,
+    ) -> Option<BlockReason> {
         let at_limit = !self.has_capacity(node, pending.request.units);
-        self.block_reason(pending, node).or(at_limit.then_some(BlockReason::Concurrency))
+        self.block_reason(pending, node)
+            .or(at_limit.then_some(BlockReason::Concurrency))
     }
 }
 
@@ -185,7 +226,11 @@
         late_fraction: node.late_fraction,
         slow_start: node.slow_start.is_some(),
         consecutive_failures: node.consecutive_failures,
-        last_success: if used { node.last_success } else { Duration::ZERO },
+        last_success: if used {
+            node.last_success
+        } else {
+            Duration::ZERO
+        },
         last_sent: node.last_sent,
     }
 }
--- a/crates/scheduler/src/scheduler/outcomes.rs
+++ b/crates/scheduler/src/scheduler/outcomes.rs
@@ -9,44 +9,82 @@
 impl Scheduler {
     pub(super) fn record_outcome(&mut self, end: &AttemptEnd) {
         let (now, outcome, state) = (self.state.now, end.outcome, &mut self.state);
-        let Some(pending) = state.requests.get_mut(&end.id) else { return };
-        let Some(node) = state.nodes.get_mut(&end.node) else { return };
-        let volume = state.volumes.get_mut(&pending.request.volume).expect("made when the request came in");
+        let Some(pending) = state.requests.get_mut(&end.id) else {
+            return;
+        };
+        let Some(node) = state.nodes.get_mut(&end.node) else {
+            return;
+        };
+        let volume = state
+            .volumes
+            .get_mut(&pending.request.volume)
+            .expect("made when the request came in");
         if let Some(percent) = end.reported {
             volume.report_usage(percent, self.plans[volume.plan.0].base_rate, now);
         }
-        let sent = node.attempt_ended(&pending.request).unwrap_or(now.saturating_sub(end.elapsed));
+        let sent = node
+            .attempt_ended(&pending.request)
+            .unwrap_or(now.saturating_sub(end.elapsed));
         state.changed_nodes.insert(end.node);
         record_contact(node, outcome, sent, now);
         // A limit counts what crosses, when it crosses. What was never sent gives its units back; what found
         // no connection draws them again when it goes, or units drawn long before would add to a full
         // bucket's. Harm: where the rule counts an attempt without a connection, as much is lost.
-        let undone = matches!(outcome, AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed);
+        let undone = matches!(
+            outcome,
+            AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed
+        );
         if pending.attempts == 1 && undone {
             pending.limit_drawn = false;
-            volume.refund_limit(if outcome == AttemptOutcome::NotSent { pending.request.units } else { 0.0 });
+            volume.refund_limit(if outcome == AttemptOutcome::NotSent {
+                pending.request.units
+            } else {
+                0.0
+            });
         }
-        if may_have_run(outcome) && outcome != AttemptOutcome::Completed && pending.prior_attempt.is_none() {
-            pending.prior_attempt = Some(PriorAttempt { zone: node.zone, shard: node.shard, sent });
+        if may_have_run(outcome)
+            && outcome != AttemptOutcome::Completed
+            && pending.prior_attempt.is_none()
+        {
+            pending.prior_attempt = Some(PriorAttempt {
+                zone: node.zone,
+                shard: node.shard,
+                sent,
+            });
         }
         // What fails fast looks idle and would draw all that may go anywhere. Some failures in a row keep new
         // objects away; dead ports and full queues also eject the node, while errors may spare some requests
         // whose data is there, and a reset may be its connection's alone: a node that died has a dead port.
         let failed = is_failure(outcome);
         node.consecutive_failures += u32::from(failed);
-        if failed && !matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::ConnectionReset) {
+        if failed
+            && !matches!(
+                outcome,
+                AttemptOutcome::Failed | AttemptOutcome::ConnectionReset
+            )
+        {
             adjust_admission(node, &mut state.late_fraction, now, true);
             if node.consecutive_failures >= EJECT_AFTER {
-                let what =
-                    if outcome == AttemptOutcome::QueueFull { "queue full" } else { "connection failed" };
-                let reason = format!("{what} after {} failures in a row", node.consecutive_failures);
+                let what = if outcome == AttemptOutcome::QueueFull {
+                    "queue full"
+                } else {
+                    "connection failed"
+                };
+                let reason = format!(
+                    "{what} after {} failures in a row",
+                    node.consecutive_failures
+                );
                 node.eject(&mut state.actions, reason);
             }
         }
         if outcome == AttemptOutcome::Completed {
             let units = pending.request.units;
             self.time_per_unit.add(end.elapsed.div_f64(units.max(0.5)));
-            let work = self.time_per_unit.quantile(UNQUEUED_QUANTILE).unwrap_or_default().mul_f64(units);
+            let work = self
+                .time_per_unit
+                .quantile(UNQUEUED_QUANTILE)
+                .unwrap_or_default()
+                .mul_f64(units);
             let late = end.elapsed > work + self.tightest_objective.mul_f64(QUEUEING_FRACTION);
             node.delays.add(end.elapsed.saturating_sub(work));
             if !late || !pending.lateness_counted {
@@ -63,7 +101,10 @@
 }
 
 fn may_have_run(outcome: AttemptOutcome) -> bool {
-    !matches!(outcome, AttemptOutcome::QueueFull | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
+    !matches!(
+        outcome,
+        AttemptOutcome::QueueFull | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+    )
 }
 
 /// Whether the outcome counts against the node.
--- a/crates/scheduler/src/scheduler/placement.rs
+++ b/crates/scheduler/src/scheduler/placement.rs
@@ -42,7 +42,8 @@
             let all_nodes = self.state.mean_learned_rate * self.state.nodes.len() as f64;
             let wait = queueing_time(units_ahead, all_nodes);
             let ready = self.state.now + wait + self.expected_time(None, units) + next_look;
-            let hopeless = ready > pending.request.deadline || self.queued_too_long(pending, next_look);
+            let hopeless =
+                ready > pending.request.deadline || self.queued_too_long(pending, next_look);
             match self.node_for(pending, &mut with_capacity) {
                 Some(node) => self.send_attempt(id, node),
                 None if ticked && hopeless => self.reject_or_fail(id, wait.max(MIN_RETRY_AFTER)),
@@ -53,21 +54,37 @@
 
     /// The node that takes a new object now. `with_capacity`: nodes that had capacity when that was first
     /// asked for.
-    fn node_for(&self, pending: &PendingRequest, with_capacity: &mut Option<Vec<NodeId>>) -> Option<NodeId> {
+    fn node_for(
+        &self,
+        pending: &PendingRequest,
+        with_capacity: &mut Option<Vec<NodeId>>,
+    ) -> Option<NodeId> {
         let (state, units) = (&self.state, pending.request.units);
-        let healthy = || state.nodes.values().filter(|node| node.consecutive_failures < EJECT_AFTER);
+        let healthy = || {
+            state
+                .nodes
+                .values()
+                .filter(|node| node.consecutive_failures < EJECT_AFTER)
+        };
         // The first is nearly always the one; only where it is not are all gone through.
         let first = healthy().map(|node| preference(pending, node)).max()?.node;
         if self.has_capacity(first, units) && self.is_best_for(pending, first) {
             return Some(first);
         }
         let smallest = state.smallest_units.unwrap_or(0.0);
-        let open = healthy().map(|node| node.id).filter(|node| self.has_capacity(*node, smallest));
+        let open = healthy()
+            .map(|node| node.id)
+            .filter(|node| self.has_capacity(*node, smallest));
         let open = with_capacity.get_or_insert_with(|| open.collect()).iter();
-        let open = open.filter(|node| self.has_capacity(**node, units)).map(|node| &state.nodes[node]);
+        let open = open
+            .filter(|node| self.has_capacity(**node, units))
+            .map(|node| &state.nodes[node]);
         let mut order: Vec<_> = open.map(|node| preference(pending, node)).collect();
         order.sort_unstable_by(|a, b| b.cmp(a));
-        order.into_iter().map(|preference| preference.node).find(|node| self.is_best_for(pending, *node))
+        order
+            .into_iter()
+            .map(|preference| preference.node)
+            .find(|node| self.is_best_for(pending, *node))
     }
 
     /// Nothing blocks it there, and nothing better is queued there.
--- a/crates/scheduler/src/scheduler/requests.rs
+++ b/crates/scheduler/src/scheduler/requests.rs
@@ -18,7 +18,9 @@
     /// up, or whose node is absent, is rejected at once: its client may know better.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let request = &self.state.requests[&id].request;
-        let node = request.shard.and_then(|shard| self.state.node_of_shard(shard));
+        let node = request
+            .shard
+            .and_then(|shard| self.state.node_of_shard(shard));
         let absent = request.shard.is_some() && node.is_none();
         if absent || self.state.now + self.expected_time(node, request.units) >= request.deadline {
             return self.reject_or_fail(id, MIN_RETRY_AFTER);
@@ -29,7 +31,9 @@
     /// Answers a request that will not be sent: rejected where its client may try again, else failed.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, retry_after: Duration) {
         self.count_rejection(id);
-        let Some(pending) = self.state.requests.get_mut(&id) else { return };
+        let Some(pending) = self.state.requests.get_mut(&id) else {
+            return;
+        };
         let idempotency = self.traffic_classes[pending.request.traffic_class.0].idempotency;
         pending.desired = match may_reject(idempotency, pending.prior_attempt.is_some()) {
             true => DesiredState::Rejected(retry_after),
@@ -40,8 +44,14 @@
 
     /// Time that an attempt of this size should take: the node's usual delay, and the usual time for work.
     pub(super) fn expected_time(&self, node: Option<NodeId>, units: f64) -> Duration {
-        let delay = node.and_then(|id| self.state.nodes.get(&id)).and_then(|node| node.delays.quantile(0.5));
-        let work = self.time_per_unit.quantile(0.5).unwrap_or_default().mul_f64(units);
+        let delay = node
+            .and_then(|id| self.state.nodes.get(&id))
+            .and_then(|node| node.delays.quantile(0.5));
+        let work = self
+            .time_per_unit
+            .quantile(0.5)
+            .unwrap_or_default()
+            .mul_f64(units);
         // Never nothing: a host that has yet to hear an answer must still reject before the deadline.
         (delay.unwrap_or_default() + work).max(TICK * 2)
     }
--- a/crates/scheduler/src/scheduler/shedding.rs
+++ b/crates/scheduler/src/scheduler/shedding.rs
@@ -12,7 +12,9 @@
     pub(super) fn shed_load(&mut self, id: NodeId, next_look: Duration) {
         let (node, now) = (&self.state.nodes[&id], self.state.now);
         let limit = self.limit_of(node);
-        let rate = self.rate_of(node).max(limit / seconds(self.expected_time(Some(id), self.units.mean)));
+        let rate = self
+            .rate_of(node)
+            .max(limit / seconds(self.expected_time(Some(id), self.units.mean)));
         let (mut units_ahead, mut below_reservation, mut hopeless) = (0.0, false, Vec::new());
         for request in self.ranked(node.queue.ids(), Some(id)) {
             let pending = &self.state.requests[&request];
@@ -27,7 +29,10 @@
                 continue;
             }
             units_ahead += pending.request.units;
-            let reserved = self.state.volumes[&pending.request.volume].reservation.level() > 0.0;
+            let reserved = self.state.volumes[&pending.request.volume]
+                .reservation
+                .level()
+                > 0.0;
             below_reservation |= reserved && now > pending.received + INTERVAL / 2;
         }
         for (request, retry_after) in hopeless {
--- a/crates/scheduler/src/scheduler/slow_start.rs
+++ b/crates/scheduler/src/scheduler/slow_start.rs
@@ -23,15 +23,21 @@
     pub(super) fn update_slow_start(&mut self) {
         let window = seconds(self.slow_start.overload_window).max(1e-3);
         for node in self.state.nodes.values_mut() {
-            let Some(bucket) = &mut node.slow_start else { continue };
-            let age = self.state.now.saturating_sub(node.started.unwrap_or_default());
+            let Some(bucket) = &mut node.slow_start else {
+                continue;
+            };
+            let age = self
+                .state
+                .now
+                .saturating_sub(node.started.unwrap_or_default());
             // What a host did there, not what it could do: of the latter all hosts' sum is no bound.
             let own_rate = (node.usage.per_second() + node.reserved_rate) / 2.0;
             let quota = slow_start_quota(&self.slow_start, own_rate, age);
             // A full bucket and its refill together stay inside one window of the rule.
             let burst = quota * BURST_FRACTION;
             bucket.reconfigure((quota - burst) / window, burst);
-            node.slow_start.take_if(|_| age >= self.slow_start.warm_up_time);
+            node.slow_start
+                .take_if(|_| age >= self.slow_start.warm_up_time);
         }
     }
 }
--- a/crates/scheduler/src/scheduler/throttle.rs
+++ b/crates/scheduler/src/scheduler/throttle.rs
@@ -30,8 +30,14 @@
 }
 
 /// Moves a node's admission level after an answer, in time or late (or bad), for the time since then.
-pub(super) fn adjust_admission(node: &mut Node, late_everywhere: &mut f64, now: Duration, late: bool) {
-    let speaks_for = seconds(now.saturating_sub(node.admission_changed)).clamp(MIN_WEIGHT, MAX_WEIGHT);
+pub(super) fn adjust_admission(
+    node: &mut Node,
+    late_everywhere: &mut f64,
+    now: Duration,
+    late: bool,
+) {
+    let speaks_for =
+        seconds(now.saturating_sub(node.admission_changed)).clamp(MIN_WEIGHT, MAX_WEIGHT);
     let rate = match late {
         true => DECREASE * credibility(late_everywhere.max(node.late_fraction)),
         false => INCREASE,
@@ -65,18 +71,30 @@
     /// alone there.
     pub(super) fn detect_silence(&mut self) {
         let now = self.state.now;
-        let time_per_unit = self.time_per_unit.quantile(UNQUEUED_QUANTILE).unwrap_or(self.tightest_objective);
+        let time_per_unit = self
+            .time_per_unit
+            .quantile(UNQUEUED_QUANTILE)
+            .unwrap_or(self.tightest_objective);
         let queueing = self.tightest_objective.mul_f64(QUEUEING_FRACTION);
         self.state.prune_active_nodes();
         for id in &self.state.active_nodes {
-            let Some(node) = self.state.nodes.get_mut(id) else { continue };
+            let Some(node) = self.state.nodes.get_mut(id) else {
+                continue;
+            };
             for _ in 0..node.count_overdue(&mut self.state.requests, now, time_per_unit, queueing) {
                 adjust_admission(node, &mut self.state.late_fraction, now, true);
             }
             node.stats.had_queue |= !node.queue.is_empty();
-            let silent_since = node.attempts.values().min().map_or(now, |sent| node.last_success.max(*sent));
+            let silent_since = node
+                .attempts
+                .values()
+                .min()
+                .map_or(now, |sent| node.last_success.max(*sent));
             if now > silent_since + self.tightest_objective * SILENT_OBJECTIVES {
-                node.eject(&mut self.state.actions, format!("no answer for {:?}", now - silent_since));
+                node.eject(
+                    &mut self.state.actions,
+                    format!("no answer for {:?}", now - silent_since),
+                );
             }
         }
     }
--- a/crates/scheduler/src/state/node.rs
+++ b/crates/scheduler/src/state/node.rs
@@ -1,6 +1,8 @@
 //! A storage node, as one host sees it.
 
-use crate::api::{Action, Endpoint, NodeId, NodeState, Request, RequestId, ShardId, VolumeId, ZoneId};
+use crate::api::{
+    Action, Endpoint, NodeId, NodeState, Request, RequestId, ShardId, VolumeId, ZoneId,
+};
 use crate::histogram::Histogram;
 use crate::probing_window::ProbingWindow;
 use crate::rates::MeanRate;
@@ -162,7 +164,10 @@
 impl Node {
     /// A node not heard of before: gone until its endpoint is read. `usage`: what stands for its own.
     pub fn new(
-        endpoint: &Endpoint, window: ProbingWindow, delays: Histogram, traffic_classes: usize,
+        endpoint: &Endpoint,
+        window: ProbingWindow,
+        delays: Histogram,
+        traffic_classes: usize,
         usage: MeanRate,
     ) -> Self {
         Node {
@@ -273,12 +278,18 @@
     /// Marks the attempts out here that are late by now, and returns how many were not marked before. One is
     /// late after `time_per_unit` for each unit and `queueing` beside that.
     pub fn count_overdue(
-        &self, requests: &mut BTreeMap<RequestId, PendingRequest>, now: Duration, time_per_unit: Duration,
+        &self,
+        requests: &mut BTreeMap<RequestId, PendingRequest>,
+        now: Duration,
+        time_per_unit: Duration,
         queueing: Duration,
     ) -> usize {
         let mut overdue = 0;
         for (id, sent) in &self.attempts {
-            let Some(pending) = requests.get_mut(id).filter(|pending| !pending.lateness_counted) else {
+            let Some(pending) = requests
+                .get_mut(id)
+                .filter(|pending| !pending.lateness_counted)
+            else {
                 continue;
             };
             let work = time_per_unit.mul_f64(pending.request.units);
@@ -292,19 +303,24 @@
     pub fn eject(&mut self, actions: &mut Vec<Action>, reason: String) {
         let level = std::mem::take(&mut self.admission_level);
         if level > 0.0 {
-            actions.push(Action::Log { text: format!("node {} ejected: {reason}", self.id.0) });
+            actions.push(Action::Log {
+                text: format!("node {} ejected: {reason}", self.id.0),
+            });
         }
     }
 
     /// Queues a request here.
     pub fn enqueue(&mut self, pending: &PendingRequest) {
-        self.queue.add(pending.line(), pending.objective_at, pending.request.id);
+        self.queue
+            .add(pending.line(), pending.objective_at, pending.request.id);
         self.flows.entry(pending.request.volume).or_default().queued += pending.request.units;
     }
 
     /// Takes a request out of the queue; whether it was there.
     pub fn dequeue(&mut self, pending: &PendingRequest) -> bool {
-        let removed = self.queue.remove(pending.line(), pending.objective_at, pending.request.id);
+        let removed = self
+            .queue
+            .remove(pending.line(), pending.objective_at, pending.request.id);
         if removed {
             self.flows.entry(pending.request.volume).or_default().queued -= pending.request.units;
         }
--- a/crates/scheduler/src/state/request.rs
+++ b/crates/scheduler/src/state/request.rs
@@ -65,7 +65,12 @@
 
 impl PendingRequest {
     /// A request that has just come in.
-    pub fn new(request: Request, received: Duration, objective_at: Duration, tie_breaker: f64) -> Self {
+    pub fn new(
+        request: Request,
+        received: Duration,
+        objective_at: Duration,
+        tie_breaker: f64,
+    ) -> Self {
         PendingRequest {
             request,
             received,
--- a/crates/scheduler/src/state/scheduler_state.rs
+++ b/crates/scheduler/src/state/scheduler_state.rs
@@ -1,8 +1,8 @@
 //! Everything a host knows: what is so, and what is wanted but not yet brought about.
 
 use crate::api::{
-    Action, Endpoint, NodeId, NodeState, PlanId, Request, RequestId, ShardId, TimerTag, TrafficClassId,
-    VolumeId,
+    Action, Endpoint, NodeId, NodeState, PlanId, Request, RequestId, ShardId, TimerTag,
+    TrafficClassId, VolumeId,
 };
 use crate::key_order::KeyOrder;
 use crate::max_min_fair_share::{allocate, FlowDemand};
@@ -119,9 +119,14 @@
     pub fn count_received(&mut self, request: &Request) -> Duration {
         self.received.add(self.now);
         let left = request.deadline.saturating_sub(self.now);
-        let longest = self.longest_deadline.entry(request.traffic_class).or_default();
+        let longest = self
+            .longest_deadline
+            .entry(request.traffic_class)
+            .or_default();
         *longest = left.max(*longest);
-        let smallest = self.smallest_units.map_or(request.units, |least| least.min(request.units));
+        let smallest = self
+            .smallest_units
+            .map_or(request.units, |least| least.min(request.units));
         self.smallest_units = Some(smallest);
         *longest - left
     }
@@ -130,11 +135,20 @@
     /// To `new_node` goes what stands for its usage: a fraction of what this host did at the node of its
     /// shard that it used last.
     pub fn update_node(
-        &mut self, endpoint: &Endpoint, inherited: f64, new_node: impl FnOnce(MeanRate) -> Node,
+        &mut self,
+        endpoint: &Endpoint,
+        inherited: f64,
+        new_node: impl FnOnce(MeanRate) -> Node,
     ) -> bool {
         let usage = self.predecessor_usage(endpoint, inherited);
-        let node = self.nodes.entry(endpoint.node).or_insert_with(|| new_node(usage));
-        self.shards.entry(endpoint.shard).or_default().insert(endpoint.node);
+        let node = self
+            .nodes
+            .entry(endpoint.node)
+            .or_insert_with(|| new_node(usage));
+        self.shards
+            .entry(endpoint.shard)
+            .or_default()
+            .insert(endpoint.node);
         node.update(endpoint)
     }
 
@@ -144,7 +158,9 @@
             return MeanRate::default();
         }
         let same_shard = self.shards.get(&endpoint.shard).into_iter().flatten();
-        let last_used = same_shard.filter_map(|id| self.nodes.get(id)).max_by_key(|node| node.last_sent);
+        let last_used = same_shard
+            .filter_map(|id| self.nodes.get(id))
+            .max_by_key(|node| node.last_sent);
         last_used.map_or_else(MeanRate::default, |node| node.usage.scaled(inherited))
     }
 
@@ -160,13 +176,20 @@
 
     /// Requests queued at nodes that take none.
     pub fn queued_at_unready(&self) -> Vec<RequestId> {
-        let unready = self.nodes.values().filter(|node| node.state != NodeState::Ready);
+        let unready = self
+            .nodes
+            .values()
+            .filter(|node| node.state != NodeState::Ready);
         unready.flat_map(|node| node.queue.ids()).collect()
     }
 
     /// The node that has a shard's data: of several, the one that started last.
     pub fn node_of_shard(&self, shard: ShardId) -> Option<NodeId> {
-        let there = self.shards.get(&shard)?.iter().filter_map(|id| self.nodes.get(id));
+        let there = self
+            .shards
+            .get(&shard)?
+            .iter()
+            .filter_map(|id| self.nodes.get(id));
         let ready = there.filter(|node| node.shard == shard && node.state == NodeState::Ready);
         ready.max_by_key(|node| node.started).map(|node| node.id)
     }
@@ -178,7 +201,9 @@
 
     /// Queues a request at a node, or among those that any may take.
     pub fn enqueue(&mut self, id: RequestId, at: Option<NodeId>) {
-        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
         pending.desired = DesiredState::Queued;
         pending.queued_at = at;
         let Some(node) = at.and_then(|id| self.nodes.get_mut(&id)) else {
@@ -196,8 +221,14 @@
 
     /// Takes a request out of the queue that it is in.
     pub fn dequeue(&mut self, id: RequestId) {
-        let Some(pending) = self.requests.get_mut(&id) else { return };
-        match pending.queued_at.take().and_then(|node| self.nodes.get_mut(&node)) {
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
+        match pending
+            .queued_at
+            .take()
+            .and_then(|node| self.nodes.get_mut(&node))
+        {
             Some(node) => self.queued -= usize::from(node.dequeue(pending)),
             None if pending.request.shard.is_none() => self.unassigned.retain(|other| *other != id),
             None => {}
@@ -215,12 +246,20 @@
         let queued = |pending: &PendingRequest| {
             pending.request.volume == volume && pending.desired == DesiredState::Queued
         };
-        self.requests.iter().filter(|(_, pending)| queued(pending)).map(|(id, _)| *id).collect()
+        self.requests
+            .iter()
+            .filter(|(_, pending)| queued(pending))
+            .map(|(id, _)| *id)
+            .collect()
     }
 
     /// An attempt that is out counts as sent then.
     pub fn set_sent(&mut self, id: RequestId, node: NodeId, at: Duration) {
-        if let Some(sent) = self.nodes.get_mut(&node).and_then(|node| node.attempts.get_mut(&id)) {
+        if let Some(sent) = self
+            .nodes
+            .get_mut(&node)
+            .and_then(|node| node.attempts.get_mut(&id))
+        {
             *sent = at;
         }
     }
@@ -230,10 +269,19 @@
     pub fn record_sent(&mut self, id: RequestId, node_id: NodeId, paid: bool, alone: bool) {
         self.mark_changed(id);
         let pending = self.requests.get_mut(&id).expect("queued, so known");
-        let volume = self.volumes.get_mut(&pending.request.volume).expect("made when the request came in");
-        let node = self.nodes.get_mut(&node_id).expect("looked up by the caller");
+        let volume = self
+            .volumes
+            .get_mut(&pending.request.volume)
+            .expect("made when the request came in");
+        let node = self
+            .nodes
+            .get_mut(&node_id)
+            .expect("looked up by the caller");
         let units = pending.request.units;
-        let spare = node.flows.get_mut(&pending.request.volume).and_then(|flow| flow.spare.as_mut());
+        let spare = node
+            .flows
+            .get_mut(&pending.request.volume)
+            .and_then(|flow| flow.spare.as_mut());
         if volume.reservation.level() > 0.0 {
             volume.reservation.take(units);
         } else if let (true, Some(spare)) = (paid, spare) {
@@ -257,7 +305,10 @@
     /// Samples every flow over so many ticks and smooths its demand; returns each volume's demand over all
     /// nodes. Flows with less than `min_demand` (units a second) and nothing queued or out are forgotten.
     pub fn measure_demands(
-        &mut self, ticks: f64, min_demand: f64, smoothed: impl Fn(f64, FlowSample) -> f64,
+        &mut self,
+        ticks: f64,
+        min_demand: f64,
+        smoothed: impl Fn(f64, FlowSample) -> f64,
     ) -> BTreeMap<VolumeId, f64> {
         let mut demands: BTreeMap<VolumeId, f64> = BTreeMap::new();
         for node in self.nodes.values_mut() {
@@ -265,28 +316,43 @@
                 flow.demand = smoothed(flow.demand, flow.take_sample(ticks));
                 *demands.entry(*volume).or_default() += flow.demand;
             }
-            node.flows
-                .retain(|_, flow| flow.demand > min_demand || flow.outstanding > 0.0 || flow.queued > 0.0);
+            node.flows.retain(|_, flow| {
+                flow.demand > min_demand || flow.outstanding > 0.0 || flow.queued > 0.0
+            });
         }
         demands
     }
 
     /// Divides each node's estimate among its flows by their demands and their volumes' reservations and
     /// weights.
-    pub fn allocate_shares(&mut self, demands: &BTreeMap<VolumeId, f64>, weight: impl Fn(PlanId) -> f64) {
+    pub fn allocate_shares(
+        &mut self,
+        demands: &BTreeMap<VolumeId, f64>,
+        weight: impl Fn(PlanId) -> f64,
+    ) {
         let volumes = &self.volumes;
         let flow_demand = |(id, flow): (&VolumeId, &Flow)| {
             let volume = &volumes[id];
             let everywhere = demands.get(id).copied().unwrap_or(0.0).max(MIN_DIVISOR);
             let reservation = volume.reservation.rate() * flow.demand / everywhere;
-            FlowDemand { demand: flow.demand, reservation, weight: weight(volume.plan) }
+            FlowDemand {
+                demand: flow.demand,
+                reservation,
+                weight: weight(volume.plan),
+            }
         };
         for node in self.nodes.values_mut() {
             let flows: Vec<FlowDemand> = node.flows.iter().map(flow_demand).collect();
             node.reserved_rate = flows.iter().map(|flow| flow.reservation).sum();
-            for (flow, given) in node.flows.values_mut().zip(allocate(node.window.estimate, &flows)) {
+            for (flow, given) in node
+                .flows
+                .values_mut()
+                .zip(allocate(node.window.estimate, &flows))
+            {
                 let rate = given.spare;
-                let spare = flow.spare.get_or_insert_with(|| TokenBucket::new(rate, rate, rate));
+                let spare = flow
+                    .spare
+                    .get_or_insert_with(|| TokenBucket::new(rate, rate, rate));
                 spare.reconfigure(rate, rate);
             }
         }
@@ -294,7 +360,11 @@
 
     /// Takes the mean of the rates that were learnt of nodes; 0: of none yet.
     pub fn update_mean_learned_rate(&mut self) {
-        let learned = self.nodes.values().map(|node| node.learned_rate).filter(|rate| *rate > 0.0);
+        let learned = self
+            .nodes
+            .values()
+            .map(|node| node.learned_rate)
+            .filter(|rate| *rate > 0.0);
         self.mean_learned_rate = learned.clone().sum::<f64>() / learned.count().max(1) as f64;
     }
 
@@ -307,20 +377,28 @@
     pub fn prune_active_nodes(&mut self) {
         let nodes = &self.nodes;
         let active = |node: &Node| !node.queue.is_empty() || !node.attempts.is_empty();
-        self.active_nodes.retain(|id| nodes.get(id).is_some_and(active));
+        self.active_nodes
+            .retain(|id| nodes.get(id).is_some_and(active));
     }
 
     /// The request needs no further answer; its record stays while an attempt is out.
     pub fn close(&mut self, id: RequestId) {
         self.dequeue(id);
-        let Some(pending) = self.requests.get_mut(&id) else { return };
+        let Some(pending) = self.requests.get_mut(&id) else {
+            return;
+        };
         pending.answered = true;
         if pending.out_at.is_some() {
             return;
         }
-        let next = pending.request.key.and_then(|key| self.key_order.remove(key, id));
+        let next = pending
+            .request
+            .key
+            .and_then(|key| self.key_order.remove(key, id));
         self.requests.remove(&id);
-        let next_at = next.and_then(|next| self.requests.get(&next)).and_then(|pending| pending.queued_at);
+        let next_at = next
+            .and_then(|next| self.requests.get(&next))
+            .and_then(|pending| pending.queued_at);
         self.changed_nodes.extend(next_at);
     }
 
@@ -329,7 +407,11 @@
         if self.retired.is_empty() {
             return;
         }
-        let open: BTreeSet<VolumeId> = self.requests.values().map(|pending| pending.request.volume).collect();
+        let open: BTreeSet<VolumeId> = self
+            .requests
+            .values()
+            .map(|pending| pending.request.volume)
+            .collect();
         for id in std::mem::take(&mut self.retired) {
             if open.contains(&id) {
                 self.retired.insert(id);
@@ -352,7 +434,10 @@
         if all {
             return self.active_nodes.iter().copied().collect();
         }
-        changed.into_iter().filter(|node| self.active_nodes.contains(node)).collect()
+        changed
+            .into_iter()
+            .filter(|node| self.active_nodes.contains(node))
+            .collect()
     }
 
     /// Forgets events older than the span, and volumes that are served no more.
@@ -371,14 +456,19 @@
     /// client may be told; None: it is told none.
     pub fn act_on_changed_requests(&mut self, max_retry_after: Option<Duration>) {
         for id in std::mem::take(&mut self.changed_requests) {
-            let Some(pending) = self.requests.get_mut(&id).filter(|pending| !pending.answered) else {
+            let Some(pending) = self
+                .requests
+                .get_mut(&id)
+                .filter(|pending| !pending.answered)
+            else {
                 continue;
             };
             match pending.desired {
                 DesiredState::Sent(node) if pending.out_at.is_none() => {
                     pending.out_at = Some(node);
                     let deadline = pending.request.deadline;
-                    self.actions.push(Action::SendAttempt { id, node, deadline });
+                    self.actions
+                        .push(Action::SendAttempt { id, node, deadline });
                 }
                 DesiredState::Rejected(wait) => {
                     let retry_after = max_retry_after.map(|longest| wait.min(longest));
@@ -399,7 +489,10 @@
         if self.timer_at.is_none_or(|set| set <= self.now || set > at) {
             self.timer_at = Some(at);
             self.timer_tag += 1;
-            self.actions.push(Action::SetTimer { after: at - self.now, tag: TimerTag(self.timer_tag) });
+            self.actions.push(Action::SetTimer {
+                after: at - self.now,
+                tag: TimerTag(self.timer_tag),
+            });
         }
     }
 }
--- a/crates/scheduler/src/state/volume.rs
+++ b/crates/scheduler/src/state/volume.rs
@@ -68,7 +68,10 @@
         self.plan = terms.plan;
         self.hosts = terms.hosts;
         self.limit = terms.limit.map(|LimitQuota { rate, burst }| {
-            let mut limit = self.limit.take().unwrap_or_else(|| TokenBucket::new(rate, burst, 0.0));
+            let mut limit = self
+                .limit
+                .take()
+                .unwrap_or_else(|| TokenBucket::new(rate, burst, 0.0));
             limit.reconfigure(rate, burst);
             limit
         });
--- a/crates/scheduler/src/token_bucket.rs
+++ b/crates/scheduler/src/token_bucket.rs
@@ -32,7 +32,12 @@
     /// not finite count as 0.
     pub fn new(rate: f64, depth: f64, level: f64) -> Self {
         let (rate, depth) = (finite(rate), finite(depth));
-        TokenBucket { rate, depth, level: finite(level).min(depth), lapse: 0.0 }
+        TokenBucket {
+            rate,
+            depth,
+            level: finite(level).min(depth),
+            lapse: 0.0,
+        }
     }
 
     /// A bucket without a rate yet, in debt by the fraction `owed` of `lapse` tokens. Whenever it is full it
@@ -50,7 +55,12 @@
     /// ```
     pub fn lapsing(lapse: f64, owed: f64) -> Self {
         let lapse = finite(lapse);
-        TokenBucket { rate: 0.0, depth: 0.0, level: -lapse * finite(owed), lapse }
+        TokenBucket {
+            rate: 0.0,
+            depth: 0.0,
+            level: -lapse * finite(owed),
+            lapse,
+        }
     }
 
     /// Sets the rate (tokens a second) and the depth; the level stays, cut to the depth.
