--- a/crates/coordination/src/attempts.rs
+++ b/crates/coordination/src/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts that this host made in the last seconds, by node, as observations for its report.
 //!
-//! Owned by [`crate::fleet`], which counts each attempt here and halves the counts as time passes.
+//! Owned by [`crate::coordinator`], which counts each attempt here and halves the counts as time passes.
 //! Memory: a row for each node in use.
 
 use crate::evidence::EVIDENCE_WINDOW;
--- a/crates/coordination/src/fleet.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,7 +1,7 @@
 //! One host's share in what the fleet decides: gossip, outlier detection and quotas put together.
 //!
 //! State machine: `step(now, events)` returns the actions to perform. No I/O. A host's quota
-//! sharing calls it for every batch of events; [`Fleet::wake_at`] says when it must be called
+//! sharing calls it for every batch of events; [`Coordinator::wake_at`] says when it must be called
 //! again. It counts what this host has tried and served in the last seconds, publishes that in its
 //! report, merges the others', and returns what has changed: the quota of each volume's limit that
 //! this host may use, and the policy for each node. What is lost or late only leaves it where it
@@ -67,7 +67,7 @@
 
 /// One host's share in what the fleet decides.
 #[derive(Debug)]
-pub struct Fleet {
+pub struct Coordinator {
     me: HostNumber,
     gossip: GossipState,
     detector: OutlierDetector,
@@ -86,7 +86,7 @@
     actions: Vec<Action>,
 }
 
-impl Fleet {
+impl Coordinator {
     /// `incarnation`: a number that grows from start to start as far as this host can know; `seed`
     /// is new at each.
     pub fn new(
@@ -102,7 +102,7 @@
         let entries_per_round = (GOSSIP_FANOUT * MAX_ENTRIES) as u32;
         let rotation = rules.interval * 2 * hosts as u32 / entries_per_round;
         let fresh_within = EVIDENCE_WINDOW + rotation;
-        Fleet {
+        Coordinator {
             me,
             gossip: GossipState::new(now, me, incarnation, rules.interval, peers, seed),
             detector: OutlierDetector::new(me, hosts, fresh_within, seed ^ DETECTOR_SEED_SALT),
--- a/crates/coordination/src/events.rs
+++ b/crates/coordination/src/events.rs
@@ -1,7 +1,7 @@
 //! What goes into the fleet's state machine and what comes out of it.
 //!
 //! Plain data: a host turns what happens into [`Event`]s, and carries out the [`Action`]s of
-//! [`crate::fleet`].
+//! [`crate::coordinator`].
 
 use crate::lease_message::LeaseTerms;
 use crate::outlier_detection::EndpointPolicy;
--- a/crates/coordination/src/gossip_state.rs
+++ b/crates/coordination/src/gossip_state.rs
@@ -1,7 +1,7 @@
 //! Gossip state: one report of each host, merged by the larger version stamp and aged by time
 //! spans.
 //!
-//! Called by [`crate::fleet`]: [`GossipState::publish`] for what this host reports of itself,
+//! Called by [`crate::coordinator`]: [`GossipState::publish`] for what this host reports of itself,
 //! [`GossipState::handle_message`] for what was received, [`GossipState::run_round`] when its time
 //! has come, which returns the messages to send. No I/O. Spread is by rumour and rotation (Demers
 //! 1987): what is new is passed on a few times at once, and besides each message carries other
--- a/crates/coordination/src/lease_outbox.rs
+++ b/crates/coordination/src/lease_outbox.rs
@@ -1,6 +1,6 @@
 //! Lease messages that wait to be sent, by receiver.
 //!
-//! Owned by [`crate::fleet`], which adds them to gossip messages. Memory: what one step produces,
+//! Owned by [`crate::coordinator`], which adds them to gossip messages. Memory: what one step produces,
 //! and what exceeds [`MAX_LEASE_MESSAGES`] for one receiver, until a later step sends it.
 
 use crate::gossip_message::{VolumeLeaseMessage, MAX_LEASE_MESSAGES};
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,6 +1,6 @@
 //! What hosts of one fleet share and decide together: gossip, outlier detection and quota leases.
 //!
-//! Free of I/O: [`fleet::Fleet`] is called as `step(now, events)` and returns actions; the
+//! Free of I/O: [`coordinator::Coordinator`] is called as `step(now, events)` and returns actions; the
 //! transport of its messages may lose, double, delay and reorder them. Begin there. Its parts:
 //!
 //! - [`events`]: what goes into it and what comes out;
@@ -20,9 +20,9 @@
 
 mod attempts;
 pub mod borrowed_leases;
+pub mod coordinator;
 pub mod events;
 pub mod evidence;
-pub mod fleet;
 pub mod gossip_codec;
 pub mod gossip_message;
 pub mod gossip_state;
--- a/crates/coordination/src/outlier_detection.rs
+++ b/crates/coordination/src/outlier_detection.rs
@@ -3,7 +3,7 @@
 //!
 //! State machine: [`OutlierDetector::evaluate`] takes what this host has tried and what its peers
 //! report, and returns the nodes of which this host's policy has changed. Called by
-//! [`crate::fleet`] at every round. No I/O. Memory: a row for each node of the list.
+//! [`crate::coordinator`] at every round. No I/O. Memory: a row for each node of the list.
 //!
 //! A node is ejected where at least [`MIN_OBSERVERS`] hosts find it bad, with twice the weight that
 //! speaks for it; where reports of at most half of the hosts are fresh, or too many nodes would be
--- a/crates/coordination/src/quotas.rs
+++ b/crates/coordination/src/quotas.rs
@@ -1,6 +1,6 @@
 //! This host's quotas of all limits that it shares: demand, leases, and which quotas have changed.
 //!
-//! State machine, owned by [`crate::fleet`]. No I/O. Each volume has its own [`QuotaLeases`]; what
+//! State machine, owned by [`crate::coordinator`]. No I/O. Each volume has its own [`QuotaLeases`]; what
 //! is stored here besides is the demand by which they ask for leases, and the quota that was last
 //! returned. Memory: a row for each volume with a limit that is shared.
 
--- a/crates/coordination/src/served_rates.rs
+++ b/crates/coordination/src/served_rates.rs
@@ -1,6 +1,6 @@
 //! How many units a second each volume is served, here and through the other hosts.
 //!
-//! Owned by [`crate::fleet`]: it counts what is served here, and takes the counts of the others'
+//! Owned by [`crate::coordinator`]: it counts what is served here, and takes the counts of the others'
 //! reports. Memory: a row for each volume that is served here, and one for each host and volume
 //! that is reported.
 
--- a/crates/coordination/tests/fleet_simulation.rs
+++ b/crates/coordination/tests/fleet_simulation.rs
@@ -271,7 +271,7 @@
         let misled = others.filter(|host| !host.avoided.is_empty()).count();
         assert_eq!(misled, 0, "at {:?}", world.now);
     }
-    let policies = world.hosts[0].fleet.policies().into_iter();
+    let policies = world.hosts[0].coordinator.policies().into_iter();
     let bad_paths = policies
         .filter(|known| known.policy == EndpointPolicy::BadPath)
         .count();
--- a/crates/coordination/tests/simulation/mod.rs
+++ b/crates/coordination/tests/simulation/mod.rs
@@ -1,8 +1,8 @@
 //! A whole fleet in one process: hosts, nodes, and a network that delays, loses and doubles
 //! messages.
 
+use grebecleat_coordination::coordinator::Coordinator;
 use grebecleat_coordination::events::{Action, Event, Rules};
-use grebecleat_coordination::fleet::Fleet;
 use grebecleat_coordination::lease_message::LeaseTerms;
 use grebecleat_coordination::outlier_detection::EndpointPolicy;
 use grebecleat_coordination::{HostNumber, Incarnation};
@@ -32,7 +32,7 @@
 
 /// One host, and what is true for it.
 pub struct Host {
-    pub fleet: Fleet,
+    pub coordinator: Coordinator,
     incarnation: u64,
     inbox: Vec<(HostNumber, Vec<u8>)>,
     /// Until when its process stands still.
@@ -101,7 +101,7 @@
         let me = HostNumber(index as u32);
         let all = || (0..hosts as u32).map(HostNumber);
         let seed = self.rng.random();
-        let fleet = Fleet::new(
+        let coordinator = Coordinator::new(
             self.now,
             me,
             Incarnation(incarnation),
@@ -110,7 +110,7 @@
             seed,
         );
         let mut host = Host {
-            fleet,
+            coordinator,
             incarnation,
             inbox: Vec::new(),
             paused_until: Duration::ZERO,
@@ -143,7 +143,7 @@
                 continue;
             }
             let events = self.events_of(index);
-            let is_due = self.now >= self.hosts[index].fleet.wake_at();
+            let is_due = self.now >= self.hosts[index].coordinator.wake_at();
             if events.is_empty() && !is_due {
                 continue;
             }
@@ -257,7 +257,10 @@
 
     /// How many hosts do not treat the node by their own evidence.
     pub fn hosts_with_a_policy_for(&self, node: u32) -> usize {
-        let policies = self.hosts.iter().map(|host| host.fleet.policy_of(node));
+        let policies = self
+            .hosts
+            .iter()
+            .map(|host| host.coordinator.policy_of(node));
         policies
             .filter(|policy| *policy != EndpointPolicy::OwnEvidence)
             .count()
@@ -268,7 +271,7 @@
     /// Has it take in events, and returns the messages that it sends.
     fn step(&mut self, now: Duration, events: Vec<Event>) -> Vec<(HostNumber, Vec<u8>)> {
         let mut messages = Vec::new();
-        for action in self.fleet.step(now, events) {
+        for action in self.coordinator.step(now, events) {
             match action {
                 Action::Send { to, bytes } => messages.push((to, bytes)),
                 Action::QuotaChanged { times, .. } => self.quota = times,
@@ -287,7 +290,7 @@
 
     /// Nodes that some host finds bad, as far as this one knows.
     pub fn nodes_found_bad(&self) -> impl Iterator<Item = u32> {
-        let policies = self.fleet.policies().into_iter();
+        let policies = self.coordinator.policies().into_iter();
         policies
             .filter(|known| known.finding.bad.hosts > 0)
             .map(|known| known.node)
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -9,8 +9,8 @@
 //!
 //! Memory: the terms of each volume with a limit that is shared.
 
+use grebecleat_coordination::coordinator::{Coordinator, NodePolicy};
 use grebecleat_coordination::events::{self, Action, Rules};
-use grebecleat_coordination::fleet::{Fleet, NodePolicy};
 use grebecleat_coordination::lease_message::LeaseTerms;
 use grebecleat_coordination::outlier_detection::EndpointPolicy;
 use grebecleat_coordination::{HostNumber, Incarnation};
@@ -46,7 +46,7 @@
 /// This host's part in what hosts share.
 #[derive(Debug)]
 pub struct QuotaSharing {
-    fleet: Fleet,
+    fleet: Coordinator,
     volumes: BTreeMap<VolumeId, SharedVolume>,
     pending: Vec<events::Event>,
     avoided: BTreeSet<NodeId>,
@@ -83,7 +83,7 @@
             },
         };
         let peers: Vec<HostNumber> = peers.iter().map(|peer| HostNumber(peer.0)).collect();
-        let fleet = Fleet::new(
+        let fleet = Coordinator::new(
             now,
             HostNumber(host_index as u32),
             Incarnation(incarnation),
--- a/crates/host/tests/quota_sharing.rs
+++ b/crates/host/tests/quota_sharing.rs
@@ -3,8 +3,8 @@
 mod common;
 use bytes::Bytes;
 use common::*;
+use grebecleat_coordination::coordinator::Coordinator;
 use grebecleat_coordination::events::{Action, Event, Rules};
-use grebecleat_coordination::fleet::Fleet;
 use grebecleat_coordination::lease_message::LeaseTerms;
 use grebecleat_coordination::{HostNumber, Incarnation};
 use grebecleat_host::router::{ConnId, Input};
@@ -22,7 +22,7 @@
 
 struct Pair {
     rig: Rig,
-    peer: Fleet,
+    peer: Coordinator,
     to_peer: Vec<Event>,
     up: BTreeSet<ConnId>,
     taken: u64,
@@ -40,7 +40,7 @@
             },
         };
         let rig = Rig::sharing(MORE);
-        let peer = Fleet::new(
+        let peer = Coordinator::new(
             rig.now,
             HostNumber(1),
             Incarnation(1),
