--- a/crates/catalog-service/src/change_syntax/error.rs
+++ b/crates/catalog-service/src/change_syntax/error.rs
@@ -1,22 +1,22 @@
-//! What can be wrong with a line.
+//! The errors of a line.
 
-/// A line that is no change. Its text is what operators see.
+/// The error of a line that is no change. Operators see its text.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{line:?}: {fault}")]
 pub struct SyntaxError {
     /// The line.
     pub line: String,
-    /// What is wrong with it.
+    /// The fault of the line.
     pub fault: SyntaxFault,
 }
 
-/// What is wrong with a line.
+/// The fault of a line.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SyntaxFault {
-    /// It has no kind and name of a subject.
+    /// The line has no kind and name of a subject.
     #[error("expected what it is of and its name, such as: volume 103 plan=priority")]
     NoSubject,
-    /// Its kind of subject is unknown, or has no such form.
+    /// The kind of the subject is unknown, or has no such form.
     #[error("expected plan, volume, node, drain, undrain, target or timed, and what is to be so")]
     UnknownForm,
     /// A token is no field.
@@ -33,7 +33,7 @@
         /// The names of the subject's fields.
         expected: &'static str,
     },
-    /// A value is none of its field's type.
+    /// A value is not of its field's type.
     #[error("{name}: {text} makes no sense there")]
     BadValue {
         /// Name of the field.
--- a/crates/catalog-service/src/change_syntax/fields.rs
+++ b/crates/catalog-service/src/change_syntax/fields.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// Fields of a line that were not read yet.
+/// The fields of a line that are not read yet.
 pub(super) struct Fields<'a> {
     unread: Vec<Field<'a>>,
 }
@@ -15,7 +15,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The fields of a line; a fault if a token has no `=`.
+    /// Returns the fields of a line. Returns a fault if a token has no `=`.
     pub fn parse(tokens: &[&'a str]) -> Result<Self, SyntaxFault> {
         let mut unread = Vec::with_capacity(tokens.len());
         for token in tokens {
@@ -28,13 +28,14 @@
         Ok(Fields { unread })
     }
 
-    /// Takes the value of a field; None if the line does not have it.
+    /// Removes and returns the value of a field; None if the line does not have the field.
     pub fn take(&mut self, name: &str) -> Option<&'a str> {
         let index = self.unread.iter().position(|field| field.name == name)?;
         Some(self.unread.remove(index).value)
     }
 
-    /// Takes a field into `to`, which stays as it is if the line does not have the field.
+    /// Moves the value of a field into `to`. Does not change `to` if the line does not have the
+    /// field.
     pub fn read<T: FromStr>(&mut self, name: &'static str, to: &mut T) -> Result<(), SyntaxFault> {
         if let Some(text) = self.take(name) {
             *to = parse_value(name, text)?;
@@ -42,7 +43,7 @@
         Ok(())
     }
 
-    /// Takes a field of values that are separated by commas into `to`, as [`Fields::read`] does.
+    /// Moves the values of a field, separated by commas, into `to`, as [`Fields::read`] does.
     pub fn read_list<T: FromStr>(
         &mut self,
         name: &'static str,
@@ -59,8 +60,8 @@
         Ok(())
     }
 
-    /// Ends the line; a fault if it has a field that was not read. `expected`: the names of all
-    /// fields.
+    /// Ends the line. Returns a fault if the line has a field that was not read. `expected`: the
+    /// names of all fields.
     pub fn end(self, expected: &'static str) -> Result<(), SyntaxFault> {
         match self.unread.first() {
             Some(field) => Err(SyntaxFault::UnknownField {
@@ -72,12 +73,12 @@
     }
 }
 
-/// The values of a list, without empty ones.
+/// Returns the values of a list, without empty ones.
 pub(super) fn list_items(text: &str) -> impl Iterator<Item = &str> {
     text.split(',').filter(|item| !item.is_empty())
 }
 
-/// A value of a field, or of the name of a subject.
+/// Returns the value of a field, or of the name of a subject.
 pub(super) fn parse_value<T: FromStr>(name: &'static str, text: &str) -> Result<T, SyntaxFault> {
     text.parse().map_err(|_| SyntaxFault::BadValue {
         name,
--- a/crates/catalog-service/src/change_syntax/format.rs
+++ b/crates/catalog-service/src/change_syntax/format.rs
@@ -1,11 +1,11 @@
-//! Changes as lines.
+//! Formats changes as lines.
 
 use super::time::format_time;
 use grebecleat_catalog::change::{Change, ScheduledChange, Subject};
 use grebecleat_catalog::records::{Drain, Node, Plan, Stage, Volume};
 use std::fmt::Display;
 
-/// The line that would make a change.
+/// Returns the line that would make a change.
 ///
 /// ```
 /// use grebecleat_catalog::catalog::Catalog;
@@ -90,7 +90,7 @@
     items.join(",")
 }
 
-/// What a revision did, a line for each change, each field with its value before.
+/// Returns one line for each change of a revision, with the former value of each field.
 ///
 /// ```
 /// use grebecleat_catalog::catalog::Catalog;
@@ -116,7 +116,7 @@
     lines
 }
 
-/// One subject that was and still is: the fields that differ.
+/// Returns the fields that differ, for a subject that existed before and still exists.
 fn format_difference(change: &Change, before: &Change) -> String {
     let new_line = format_change(change);
     let old_line = format_change(before);
@@ -152,7 +152,7 @@
     )
 }
 
-/// The name of a field; None of a token without a value, such as the stage of a drain.
+/// Returns the name of a field; None for a token without a value, such as the stage of a drain.
 fn field_name(token: &str) -> Option<&str> {
     token.split_once('=').map(|(name, _)| name)
 }
--- a/crates/catalog-service/src/change_syntax/mod.rs
+++ b/crates/catalog-service/src/change_syntax/mod.rs
@@ -1,6 +1,6 @@
-//! Changes as text, as operators type and read them.
+//! The change syntax: changes as operators type and read them.
 //!
-//! One change is one line: its subject, then what it shall be:
+//! One change is one line. It has the subject, and then the subject's new value:
 //!
 //! ```text
 //! plan basic limit=20 burst=40 slack=5      fields that are not named stay as they are
@@ -18,7 +18,7 @@
 //! timed 4 off                               calls off a scheduled change
 //! ```
 //!
-//! Called by the operator's commands. No state, no I/O.
+//! The operator's commands call it. No state, no I/O.
 
 mod error;
 mod fields;
--- a/crates/catalog-service/src/change_syntax/parse.rs
+++ b/crates/catalog-service/src/change_syntax/parse.rs
@@ -1,4 +1,4 @@
-//! A line as a change.
+//! Parses a line as a change.
 
 use super::error::{SyntaxError, SyntaxFault};
 use super::fields::{list_items, parse_value, Fields};
@@ -7,8 +7,8 @@
 use grebecleat_catalog::records::{Drain, Name, Node, Plan, Stage, Volume};
 use std::sync::Arc;
 
-/// The change that a line means, against the present catalog: fields that it does not name stay as
-/// they are.
+/// Returns the change that a line describes, relative to the present catalog: fields that the line
+/// does not name stay as they are.
 ///
 /// ```
 /// use grebecleat_catalog::catalog::Catalog;
@@ -91,8 +91,8 @@
 }
 
 fn parse_volume(catalog: &Catalog, name: &str, tokens: &[&str]) -> Result<Change, SyntaxFault> {
-    let id = parse_value("volume", name)?;
-    let known = catalog.volume(id);
+    let volume_id = parse_value("volume", name)?;
+    let known = catalog.volume(volume_id);
     let mut fields = Fields::parse(tokens)?;
     let mut volume = known.cloned().unwrap_or_else(|| Volume {
         plan: "".into(),
@@ -117,16 +117,16 @@
         return Err(SyntaxFault::IncompleteVolume);
     }
     Ok(Change::Volume {
-        id,
+        id: volume_id,
         to: Some(volume),
     })
 }
 
 fn parse_node(catalog: &Catalog, name: &str, tokens: &[&str]) -> Result<Change, SyntaxFault> {
-    let id = parse_value("node", name)?;
+    let node_id = parse_value("node", name)?;
     let mut fields = Fields::parse(tokens)?;
-    let mut node = catalog.node(id).cloned().unwrap_or_else(|| Node {
-        shard: id,
+    let mut node = catalog.node(node_id).cloned().unwrap_or_else(|| Node {
+        shard: node_id,
         ..Node::default()
     });
     if let Some(name) = fields.take("name") {
@@ -141,7 +141,10 @@
     if node.zone.is_empty() {
         return Err(SyntaxFault::MissingZone);
     }
-    Ok(Change::Node { id, to: Some(node) })
+    Ok(Change::Node {
+        id: node_id,
+        to: Some(node),
+    })
 }
 
 fn parse_drain(catalog: &Catalog, name: &str, tokens: &[&str]) -> Result<Change, SyntaxFault> {
@@ -189,8 +192,8 @@
     Some(*stage)
 }
 
-/// A node by its name or number. A number need not be a known node's: the leader rejects what makes
-/// no sense.
+/// Returns a node by its name or number. The number may be unknown here: the leader rejects changes
+/// of unknown nodes.
 fn find_node(catalog: &Catalog, name: &str) -> Result<u32, SyntaxFault> {
     if let Some(node) = catalog.node_by_name_or_number(name) {
         return Ok(node);
--- a/crates/catalog-service/src/change_syntax/time.rs
+++ b/crates/catalog-service/src/change_syntax/time.rs
@@ -1,11 +1,11 @@
-//! Points in time as text.
+//! Formats and parses points in time.
 
 use std::time::{Duration, SystemTime};
 
-/// The last second of the year 9999, since 1970; beyond it the formatting crate panics.
+/// The last second of the year 9999, since 1970. The formatting crate panics on a later time.
 const MAX_TIME: Duration = Duration::from_secs(253_402_300_799);
 
-/// A time since 1970 as date and time of day in UTC.
+/// Returns a time since 1970 as date and time of day in UTC.
 ///
 /// ```
 /// use grebecleat_catalog_service::change_syntax::{format_time, parse_time};
@@ -17,15 +17,16 @@
 /// assert_eq!(parse_time("tonight", at), None);
 /// ```
 pub fn format_time(at: Duration) -> String {
-    let at = SystemTime::UNIX_EPOCH + at.min(MAX_TIME);
-    humantime::format_rfc3339_seconds(at).to_string()
+    let system_time = SystemTime::UNIX_EPOCH + at.min(MAX_TIME);
+    humantime::format_rfc3339_seconds(system_time).to_string()
 }
 
-/// A time since 1970, as [`format_time`] writes it, or as a duration from `now` such as `+90s`.
+/// Returns the time since 1970 of a text as [`format_time`] writes it, or of a duration from `now`
+/// such as `+90s`. Returns None for any other text.
 pub fn parse_time(text: &str, now: Duration) -> Option<Duration> {
     if let Some(duration) = text.strip_prefix('+') {
         return Some(now + humantime::parse_duration(duration).ok()?);
     }
-    let at = humantime::parse_rfc3339(text).ok()?;
-    at.duration_since(SystemTime::UNIX_EPOCH).ok()
+    let system_time = humantime::parse_rfc3339(text).ok()?;
+    system_time.duration_since(SystemTime::UNIX_EPOCH).ok()
 }
--- a/crates/catalog-service/src/client.rs
+++ b/crates/catalog-service/src/client.rs
@@ -1,24 +1,59 @@
 //! An operator's side of the state service's protocol: one connection, one call at a time.
 //!
-//! Called by the operator's commands and by the benchmark. Blocks: a call that is not answered
-//! within thirty seconds fails. After an error the state of the connection is unknown: connect
-//! again.
+//! The operator's commands and the benchmark call it. It blocks: a call without an answer for
+//! thirty seconds fails. After an error the state of the connection is unknown, and the caller has
+//! to connect again.
 
 use crate::codec::{changes_from_proto, revision_from_proto, DecodeError};
 use grebecleat_catalog::change::{Change, Revision};
 use grebecleat_catalog::leader::Epoch;
 use grebecleat_catalog::records::Version;
+use grebecleat_wire::frame::FrameFault;
 use grebecleat_wire::pb::{self, frame::Body, query::What};
 use grebecleat_wire::{clock, frame, VERSION};
 use std::io::{self, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Bytes of the largest frame that is accepted.
+/// Bytes of the largest frame that is accepted. The service sends frames of about 128 KiB, or one
+/// record; a smaller limit would fail on large records.
 const MAX_FRAME_BYTES: usize = 16 << 20;
-/// How long to wait for the connection, and for each read.
+/// The longest wait for the connection, and for each read. A shorter time fails while the service
+/// computes moves; with a longer one an operator waits longer for a service that does not answer.
 const IO_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// The reason why the service's answer is not accepted. Operators see its text.
+#[derive(Debug, thiserror::Error)]
+pub enum ProtocolError {
+    /// The peer's hello is not a state service's.
+    #[error("{address} is no state service")]
+    NotStateService {
+        /// The peer's address.
+        address: SocketAddr,
+    },
+    /// The service closed the connection.
+    #[error("the state service hung up")]
+    Disconnected,
+    /// A frame is invalid.
+    #[error(transparent)]
+    Frame(#[from] FrameFault),
+    /// A frame has no body.
+    #[error("a frame without a body")]
+    MissingBody,
+    /// A frame is no answer to the call.
+    #[error("an answer to something else")]
+    UnexpectedAnswer,
+    /// A change or a revision of an answer is invalid.
+    #[error(transparent)]
+    Content(#[from] DecodeError),
+}
+
+impl From<ProtocolError> for io::Error {
+    fn from(error: ProtocolError) -> Self {
+        io::Error::other(error)
+    }
+}
+
 /// A connection to the state service.
 pub struct Client {
     stream: TcpStream,
@@ -29,33 +64,33 @@
 /// The result of a change.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reply {
-    /// It is in force, or scheduled.
+    /// The change is in force, or scheduled.
     Committed(pb::ChangeCommitted),
-    /// Nothing has changed; the reason, for the operator.
+    /// The change is rejected, and nothing has changed; the reason, for the operator.
     Rejected(String),
-    /// It was a dry run: what speaks against the change.
+    /// The call was a dry run; the objections to the change.
     Preview(pb::ChangePreview),
 }
 
-/// The result of a query, put together from its parts.
+/// The result of a query, assembled from its parts.
 #[derive(Debug, Clone, Default)]
 pub struct QueryResult {
     /// Version of the catalog.
     pub version: Version,
-    /// The version that every host has acknowledged.
+    /// The stable version: every host has acknowledged it, or its lease is over.
     pub stable: Version,
     /// The epoch of the catalog's history.
     pub epoch: Epoch,
-    /// One change for each subject that exists, if the state was queried.
+    /// One change for each subject that exists, for a query of the state.
     pub state: Vec<Change>,
-    /// Revisions, oldest first, if the audit log was queried.
+    /// Revisions, oldest first, for a query of the audit log.
     pub revisions: Vec<Revision>,
-    /// The last part as it came: hosts, unmet reservations, moves, faults of the store.
+    /// The last part as received: hosts, unmet reservations, moves, faults of the store.
     pub last: pb::QueryResult,
 }
 
 impl Client {
-    /// Connects to a state service; `name` is how the service's trace names this client.
+    /// Connects to a state service. `name`: the name of this client in the service's trace.
     pub fn connect(address: SocketAddr, name: &str) -> io::Result<Client> {
         let stream = TcpStream::connect_timeout(&address, IO_TIMEOUT)?;
         stream.set_nodelay(true)?;
@@ -74,7 +109,7 @@
         }))?;
         match client.read()? {
             Body::Hello(hello) if hello.role() == pb::Role::State => Ok(client),
-            _ => Err(io::Error::other(format!("{address} is no state service"))),
+            _ => Err(ProtocolError::NotStateService { address }.into()),
         }
     }
 
@@ -91,19 +126,16 @@
     fn read(&mut self) -> io::Result<Body> {
         loop {
             let frame = self.reader.next::<pb::Frame>();
-            let frame = frame.map_err(|error| io::Error::other(error.to_string()))?;
-            if let Some(frame) = frame {
-                return frame
-                    .body
-                    .ok_or_else(|| io::Error::other("a frame without a body"));
+            if let Some(frame) = frame.map_err(ProtocolError::Frame)? {
+                return Ok(frame.body.ok_or(ProtocolError::MissingBody)?);
             }
             if self.reader.fill(&mut self.stream)? == 0 {
-                return Err(io::Error::other("the state service hung up"));
+                return Err(ProtocolError::Disconnected.into());
             }
         }
     }
 
-    /// Sends a call, and reads until the first frame of its answer.
+    /// Sends a call, and reads until the first frame of the answer to it.
     fn call(&mut self, body: impl FnOnce(u64) -> Body) -> io::Result<Body> {
         self.last_call += 1;
         let call = self.last_call;
@@ -116,21 +148,21 @@
         }
     }
 
-    /// Sends a change, an undo, or another decision of an operator; `body` gets the number of the
-    /// call.
+    /// Sends a change, an undo, or another decision of an operator. `body`: receives the number of
+    /// the call.
     pub fn change(&mut self, body: impl FnOnce(u64) -> Body) -> io::Result<Reply> {
         match self.call(body)? {
             Body::ChangeCommitted(committed) => Ok(Reply::Committed(committed)),
             Body::ChangeRejected(rejected) => Ok(Reply::Rejected(rejected.reason)),
             Body::ChangePreview(preview) => Ok(Reply::Preview(preview)),
-            _ => Err(unexpected_answer()),
+            _ => Err(ProtocolError::UnexpectedAnswer.into()),
         }
     }
 
     /// Queries the service.
     ///
-    /// `after`, `most`: of the audit log, the newest `most` revisions after that version (0: all).
-    /// `empty`: of a proposal of moves, the nodes that shall become empty.
+    /// `after`, `most`: for the audit log, the newest `most` revisions after that version (0: all).
+    /// `empty`: for a proposal of moves, the nodes that have to become empty.
     pub fn query(
         &mut self,
         what: What,
@@ -150,12 +182,10 @@
         })?;
         loop {
             let Body::QueryResult(part) = answer else {
-                return Err(unexpected_answer());
+                return Err(ProtocolError::UnexpectedAnswer.into());
             };
             let more = part.more;
-            result
-                .add(part)
-                .map_err(|error| io::Error::other(error.to_string()))?;
+            result.add(part).map_err(ProtocolError::Content)?;
             if !more {
                 return Ok(result);
             }
@@ -165,6 +195,7 @@
 }
 
 impl QueryResult {
+    /// Adds a part of the answer.
     fn add(&mut self, mut part: pb::QueryResult) -> Result<(), DecodeError> {
         let state = changes_from_proto(std::mem::take(&mut part.state))?;
         self.state.extend(state);
@@ -181,7 +212,7 @@
     }
 }
 
-/// The number of the call that a frame answers; None if it answers none.
+/// Returns the number of the call that a frame answers; None if it answers none.
 fn answered_call(answer: &Body) -> Option<u64> {
     match answer {
         Body::ChangeCommitted(committed) => Some(committed.call),
@@ -191,7 +222,3 @@
         _ => None,
     }
 }
-
-fn unexpected_answer() -> io::Error {
-    io::Error::other("an answer to something else")
-}
--- a/crates/catalog-service/src/codec/decode.rs
+++ b/crates/catalog-service/src/codec/decode.rs
@@ -1,4 +1,4 @@
-//! Changes and revisions from protobuf messages.
+//! Decodes changes and revisions from protobuf messages.
 
 use grebecleat_catalog::change::{Change, Revision, ScheduledChange};
 use grebecleat_catalog::records::{Drain, Name, Node, Plan, Stage, Version, Volume};
@@ -8,7 +8,7 @@
 };
 use std::time::Duration;
 
-/// What is wrong with a message that should be a change or a revision.
+/// The reason why a message is no change or no revision.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// A change names no subject.
@@ -33,33 +33,33 @@
     },
 }
 
-/// A change from a message.
+/// Returns a change from a message.
 pub fn change_from_proto(change: pb::Change) -> Result<Change, DecodeError> {
     let subject = change.subject.ok_or(DecodeError::NoSubject)?;
-    let to = change.to;
+    let value = change.to;
     let change = match &subject {
         Subject::Plan(name) => Change::Plan {
             name: name.as_str().into(),
-            to: value_of_kind(&subject, to, plan_from_proto)?,
+            to: value_of_kind(&subject, value, plan_from_proto)?,
         },
         Subject::Volume(id) => Change::Volume {
             id: *id,
-            to: value_of_kind(&subject, to, volume_from_proto)?,
+            to: value_of_kind(&subject, value, volume_from_proto)?,
         },
         Subject::Node(id) => Change::Node {
             id: *id,
-            to: value_of_kind(&subject, to, node_from_proto)?,
+            to: value_of_kind(&subject, value, node_from_proto)?,
         },
         Subject::Drain(node) => Change::Drain {
             node: *node,
-            to: value_of_kind(&subject, to, drain_from_proto)?,
+            to: value_of_kind(&subject, value, drain_from_proto)?,
         },
         Subject::Target(name) => Change::Target {
             name: name.as_str().into(),
-            to: value_of_kind(&subject, to, target_from_proto)?.map(Into::into),
+            to: value_of_kind(&subject, value, target_from_proto)?.map(Into::into),
         },
         Subject::Scheduled(id) => {
-            let scheduled = value_of_kind(&subject, to, scheduled_message)?;
+            let scheduled = value_of_kind(&subject, value, scheduled_message)?;
             Change::Scheduled {
                 id: *id,
                 to: scheduled.map(scheduled_from_proto).transpose()?,
@@ -69,12 +69,13 @@
     Ok(change)
 }
 
-/// Changes from messages; the error of the first that is wrong.
+/// Returns changes from messages, or the error of the first invalid one.
 pub fn changes_from_proto(changes: Vec<pb::Change>) -> Result<Vec<Change>, DecodeError> {
     changes.into_iter().map(change_from_proto).collect()
 }
 
-/// The new value of a subject, which `decode` accepts if it is of the subject's kind.
+/// Returns the new value of a subject; None if the change ends the subject. `decode`: accepts a
+/// value of the subject's kind.
 fn value_of_kind<T>(
     subject: &Subject,
     to: Option<To>,
@@ -177,7 +178,7 @@
     }
 }
 
-/// A revision from a message.
+/// Returns a revision from a message.
 pub fn revision_from_proto(revision: pb::Revision) -> Result<Revision, DecodeError> {
     if revision.from >= revision.version {
         return Err(DecodeError::WrongOrder {
--- a/crates/catalog-service/src/codec/encode.rs
+++ b/crates/catalog-service/src/codec/encode.rs
@@ -1,4 +1,4 @@
-//! Changes and revisions as protobuf messages.
+//! Encodes changes and revisions as protobuf messages.
 
 use grebecleat_catalog::change::{Change, Revision, ScheduledChange};
 use grebecleat_catalog::records::{Drain, Node, Plan, Stage, Version, Volume};
@@ -8,7 +8,7 @@
     change::{Subject, To},
 };
 
-/// A change as a message.
+/// Returns a change as a message.
 pub fn change_to_proto(change: &Change) -> pb::Change {
     let (subject, to) = match change {
         Change::Plan { name, to } => (
@@ -98,7 +98,7 @@
     }
 }
 
-/// A revision as a message.
+/// Returns a revision as a message.
 pub fn revision_to_proto(revision: &Revision) -> pb::Revision {
     let earlier_change = |(version, change): &(Version, Change)| pb::EarlierChange {
         version: version.0,
--- a/crates/catalog-service/src/codec/mod.rs
+++ b/crates/catalog-service/src/codec/mod.rs
@@ -1,7 +1,8 @@
-//! Changes and revisions as protobuf messages, for the store and for the wire, and back.
+//! Encodes changes and revisions as protobuf messages, for the store and for the wire, and decodes
+//! them.
 //!
-//! What is decoded may be damaged or forged: everything that makes no sense is a [`DecodeError`]
-//! with its place, and nothing of the message is accepted. No state, no I/O.
+//! A message may be damaged or forged. Decoding returns a [`DecodeError`] with the place of the
+//! first invalid value, and accepts no part of the message. No state, no I/O.
 
 mod decode;
 mod encode;
--- a/crates/catalog-service/src/declared_config.rs
+++ b/crates/catalog-service/src/declared_config.rs
@@ -1,14 +1,15 @@
-//! What a settings file declares, as the changes that would make it.
+//! The configuration that a settings file declares, as the changes that would produce it.
 //!
-//! Called by the state service for the first revision of a new store, and by the operator's
-//! commands that compare a file with the state. No state, no I/O.
+//! The state service calls it for the first revision of a new store; the operator's commands call
+//! it to compare a file with the state. No state, no I/O.
 
 use grebecleat_catalog::catalog::Catalog;
 use grebecleat_catalog::change::Change;
 use grebecleat_catalog::records::{Deployment, Name, Node, Plan, Version, Volume};
 use grebecleat_settings::Settings;
 
-/// What no change touches: the hosts, and how long an attempt may take to be dispatched.
+/// Returns the part of the settings that no change affects: the hosts, and the maximum dispatch
+/// delay of an attempt.
 pub fn deployment(settings: &Settings) -> Deployment {
     let hosts = settings.hosts.iter();
     Deployment {
@@ -17,8 +18,8 @@
     }
 }
 
-/// Plans, nodes, volumes and targets of a settings file, in an order in which each refers only to
-/// earlier ones.
+/// Returns the plans, nodes, volumes and targets of a settings file, in an order in which each
+/// refers only to earlier ones.
 pub fn declared_changes(settings: &Settings) -> Vec<Change> {
     let mut changes = Vec::new();
     changes.extend(plans(settings));
@@ -28,8 +29,8 @@
     changes
 }
 
-/// The changes that lead from what a settings file declares to `state`, for commands without a
-/// service.
+/// Returns the changes that lead from the declaration of a settings file to `state`, for commands
+/// without a service.
 pub fn changes_from_declared(
     settings: &Settings,
     state: impl IntoIterator<Item = Change>,
@@ -44,7 +45,7 @@
 fn plans(settings: &Settings) -> impl Iterator<Item = Change> + '_ {
     settings.plans.iter().map(|plan| {
         let facts = &plan.facts;
-        let to = Plan {
+        let declared = Plan {
             rate: facts.base_rate,
             reservation: facts.reservation,
             limit: facts.limit,
@@ -55,14 +56,14 @@
         };
         Change::Plan {
             name: plan.name.as_str().into(),
-            to: Some(to),
+            to: Some(declared),
         }
     })
 }
 
 fn nodes(settings: &Settings) -> impl Iterator<Item = Change> + '_ {
     settings.nodes.iter().map(|node| {
-        let to = Node {
+        let declared = Node {
             name: node.name.as_str().into(),
             zone: settings.zones[node.zone].as_str().into(),
             shard: node.shard,
@@ -70,7 +71,7 @@
         };
         Change::Node {
             id: node.id,
-            to: Some(to),
+            to: Some(declared),
         }
     })
 }
@@ -78,7 +79,7 @@
 fn volumes(settings: &Settings) -> impl Iterator<Item = Change> + '_ {
     settings.volumes.iter().map(|volume| {
         let hosts = volume.hosts.iter();
-        let to = Volume {
+        let declared = Volume {
             plan: settings.plans[volume.plan].name.as_str().into(),
             hosts: hosts
                 .map(|host| Name::from(settings.hosts[*host].name.as_str()))
@@ -88,7 +89,7 @@
         };
         Change::Volume {
             id: volume.id,
-            to: Some(to),
+            to: Some(declared),
         }
     })
 }
--- a/crates/catalog-service/src/extents.rs
+++ b/crates/catalog-service/src/extents.rs
@@ -1,23 +1,26 @@
 //! Placement of a volume's extents on shards: an index over runs.
 //!
-//! Extents are numbers that mostly come in runs on one shard, since new ones go to the first node
-//! of their volume's ranking until that is full enough. So the index stores runs, of twelve bytes,
-//! in chunks of at most [`MAX_RUNS_PER_CHUNK`], found by their first extent in an ordered map. A
-//! look-up is one step in the map and one binary search in a chunk. Memory: twelve bytes a run, a
-//! chunk at least half full after a split; a plain ordered map takes some fourteen bytes an extent.
-//! Where every run is one extent long it is no smaller than that (measured by
-//! `grebecleat-bench extents`). No I/O.
+//! Extents are numbers that mostly come in runs on one shard, because new extents are placed on the
+//! first node of their volume's ranking until that node is full enough. The index therefore stores
+//! runs, of twelve bytes each, in chunks of at most [`MAX_RUNS_PER_CHUNK`]. An ordered map finds a
+//! chunk by its first extent. A look-up is one step in the map and one binary search in a chunk.
+//!
+//! Memory: twelve bytes a run, and a chunk is at least half full after a split. A plain ordered map
+//! takes about fourteen bytes an extent. If every run is one extent long, the index is no smaller
+//! than that (measured by `grebecleat-bench extents`). No I/O.
 
 use std::collections::BTreeMap;
 
-/// Runs of one chunk; one with more is split.
+/// Runs of one chunk, at most; a chunk with more is split. A larger chunk costs more for each
+/// insertion, which moves its runs; a smaller one costs more map entries.
 pub const MAX_RUNS_PER_CHUNK: usize = 256;
-/// Runs for which a chunk has room after a split, beyond those that remain in it.
+/// Runs for which a chunk reserves memory after a split, beyond the runs that remain in it. More
+/// wastes memory in chunks that never grow; fewer costs an allocation at the next insertion.
 const SPARE_RUNS: usize = 8;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Run {
-    /// Offset of its first extent from the chunk's base.
+    /// Offset of the run's first extent from the chunk's base.
     start: u32,
     length: u32,
     shard: u32,
@@ -32,24 +35,24 @@
         }
     }
 
-    /// The offset after its last extent.
+    /// Returns the offset after the run's last extent.
     fn end(&self) -> u64 {
         u64::from(self.start) + u64::from(self.length)
     }
 }
 
-/// Extents that follow each other on one shard, as [`Extents::iter`] returns them.
+/// Consecutive extents on one shard, as [`Extents::iter`] returns them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ExtentRun {
     /// Number of the first extent.
     pub first: u64,
     /// Number of extents; at least one.
     pub length: u64,
-    /// The shard on which they lie.
+    /// The shard on which the extents lie.
     pub shard: u32,
 }
 
-/// Shards by extent.
+/// The shard of each extent of a volume.
 ///
 /// ```
 /// use grebecleat_catalog_service::extents::{ExtentRun, Extents};
@@ -63,14 +66,14 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Extents {
-    /// Chunks by their first extent; none is empty, and none reaches into the next.
+    /// Chunks by their first extent. No chunk is empty, and no chunk reaches into the next one.
     chunks: BTreeMap<u64, Vec<Run>>,
     extents: u64,
     runs: usize,
 }
 
 impl Extents {
-    /// The shard of an extent; None if it is not placed.
+    /// Returns the shard of an extent; None if the extent is not placed.
     pub fn get(&self, extent: u64) -> Option<u32> {
         let (base, chunk) = self.chunks.range(..=extent).next_back()?;
         let offset = extent - base;
@@ -79,7 +82,7 @@
         (offset < run.end()).then_some(run.shard)
     }
 
-    /// Puts an extent on a shard, wherever it lay before.
+    /// Places an extent on a shard; an earlier placement of the extent ends.
     pub fn insert(&mut self, extent: u64, shard: u32) {
         let Some(base) = self.chunk_base(extent) else {
             self.chunks.insert(extent, vec![Run::single(0, shard)]);
@@ -95,7 +98,7 @@
             Inserted::Moved => {}
             Inserted::Added => self.extents += 1,
         }
-        // The new run is at most one index further; it and its neighbours may now be one run.
+        // The new run is at most one index further. The run and its neighbours may now be one run.
         let new = chunk.partition_point(|run| run.start <= offset) - 1;
         join_with_next(chunk, new);
         if let Some(previous) = new.checked_sub(1) {
@@ -109,12 +112,12 @@
         }
     }
 
-    /// The base of the chunk that the extent belongs to; None where it must begin one.
+    /// Returns the base of the extent's chunk; None if the extent must begin a new chunk.
     fn chunk_base(&mut self, extent: u64) -> Option<u64> {
         if let Some((base, _)) = self.chunks.range(..=extent).next_back() {
             return (extent - base < u64::from(u32::MAX)).then_some(*base);
         }
-        // Below all: the first chunk begins earlier from here on, as long as its offsets fit.
+        // The extent lies below all chunks: the first chunk now begins earlier, if its offsets fit.
         let (base, chunk) = self.chunks.first_key_value()?;
         let base = *base;
         let shift = base - extent;
@@ -130,22 +133,22 @@
         Some(extent)
     }
 
-    /// Number of extents that are placed.
+    /// Returns the number of extents that are placed.
     pub fn len(&self) -> u64 {
         self.extents
     }
 
-    /// Whether no extent is placed.
+    /// Returns whether no extent is placed.
     pub fn is_empty(&self) -> bool {
         self.extents == 0
     }
 
-    /// Number of runs.
+    /// Returns the number of runs.
     pub fn runs(&self) -> usize {
         self.runs
     }
 
-    /// Runs in order. Two that follow each other on one shard may be separate where a chunk ends.
+    /// Returns the runs in order. Two consecutive runs may have the same shard where a chunk ends.
     pub fn iter(&self) -> impl Iterator<Item = ExtentRun> + '_ {
         let runs = self
             .chunks
@@ -169,17 +172,17 @@
     }
 }
 
-/// What the insertion of an extent changed in its chunk.
+/// The effect of an insertion on the extent's chunk.
 enum Inserted {
-    /// It lay on that shard already.
+    /// The extent lay on that shard already.
     Unchanged,
-    /// It lay on another shard.
+    /// The extent lay on another shard.
     Moved,
-    /// It was not placed before.
+    /// The extent was not placed before.
     Added,
 }
 
-/// Puts the extent at `offset` of a chunk on a shard, as a run of its own.
+/// Places the extent at `offset` of a chunk on a shard, as a run of its own.
 fn insert_run(chunk: &mut Vec<Run>, offset: u32, shard: u32) -> Inserted {
     let after = chunk.partition_point(|run| run.start <= offset);
     let containing = after
@@ -209,7 +212,7 @@
     Inserted::Moved
 }
 
-/// Makes one of a run and the next, where they touch on one shard.
+/// Joins a run with the next one if the two are adjacent and on one shard.
 fn join_with_next(chunk: &mut Vec<Run>, index: usize) {
     if let [run, next, ..] = chunk[index..] {
         if run.shard == next.shard && run.end() == u64::from(next.start) {
@@ -221,7 +224,7 @@
 
 /// The upper half of a chunk that was split.
 struct UpperHalf {
-    /// Its base, from the base of the chunk that was split.
+    /// The base of the upper half, relative to the base of the chunk that was split.
     first: u32,
     runs: Vec<Run>,
 }
--- a/crates/catalog-service/src/extents/tests.rs
+++ b/crates/catalog-service/src/extents/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the extent index against an ordered map.
+
 use super::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/catalog-service/src/group_commit.rs
+++ b/crates/catalog-service/src/group_commit.rs
@@ -1,18 +1,21 @@
 //! The one thread of a process that writes its store.
 //!
-//! Commits block, and coroutines and owners of decisions must not. A caller hands over its records
-//! with a callback for the result; what has arrived meanwhile goes into one commit. Where that
-//! fails, each caller's records are committed by themselves, so that no caller fails with another's
-//! fault. Callbacks are called in the order in which the records were handed over.
+//! A commit blocks; coroutines and the threads that own decisions must not block. A caller hands
+//! over its records with a callback for the result. All records that arrive while a commit runs go
+//! into the next commit together. If that commit fails, the thread commits each caller's records
+//! separately, so that no caller fails with the fault of another. Callbacks run in the order in
+//! which the records were handed over.
 //!
-//! State: the open store, and an unbounded queue; the callers bound what they have outstanding.
+//! State: the open store, and an unbounded queue; each caller bounds its own outstanding records.
 
 use crate::store::{Record, Store, StoreContents, StoreFault};
 use std::path::Path;
 use std::sync::mpsc::{self, Receiver, Sender};
 use tracing::warn;
 
-/// Records of one commit; further ones wait for the next.
+/// Records of one commit, at most; further ones wait for the next commit. With a larger number the
+/// first caller of a commit waits longer; with a smaller one each sync to disk serves fewer
+/// callers.
 const MAX_RECORDS_PER_COMMIT: usize = 8192;
 
 type CommitCallback = Box<dyn FnOnce(Result<(), StoreFault>) + Send>;
@@ -28,16 +31,16 @@
     done: CommitCallback,
 }
 
-/// A handle to the thread, which ends with the last handle.
+/// A handle to the thread. The thread ends after the last handle is dropped.
 #[derive(Clone)]
 pub struct GroupCommit {
     jobs: Sender<Job>,
 }
 
 impl GroupCommit {
-    /// Opens the store, starts its thread, and returns what is in the store.
+    /// Opens the store, starts its thread, and returns the store's contents.
     ///
-    /// `max_audit_log` and the faults: as of [`Store::open`].
+    /// `max_audit_log` and the faults: as for [`Store::open`].
     pub fn open(
         path: &Path,
         max_audit_log: u64,
@@ -46,7 +49,7 @@
         Ok((GroupCommit::start(store), contents))
     }
 
-    /// Starts the thread of an open store.
+    /// Starts the thread for an open store.
     fn start(mut store: Store) -> GroupCommit {
         let (sender, jobs) = mpsc::channel();
         std::thread::Builder::new()
@@ -56,8 +59,8 @@
         GroupCommit { jobs: sender }
     }
 
-    /// Commits records, completely or not at all. `done` gets the result on the thread of the
-    /// store, and must not block.
+    /// Commits records, completely or not at all. `done` receives the result on the store's thread,
+    /// and must not block.
     pub fn commit(
         &self,
         records: Vec<Record>,
@@ -67,8 +70,8 @@
         let _ = self.jobs.send(Job::Commit(CommitJob { records, done }));
     }
 
-    /// Reads everything as it is stored, after all that was handed over before. `done` gets the
-    /// contents on the thread of the store, and must not block.
+    /// Reads the stored contents, after all records that were handed over before. `done` receives
+    /// the contents on the store's thread, and must not block.
     pub fn read(&self, done: impl FnOnce(Result<StoreContents, StoreFault>) + Send + 'static) {
         let _ = self.jobs.send(Job::Read(Box::new(done)));
     }
@@ -114,7 +117,7 @@
             }
         }
         Err(fault) if single => {
-            warn_of(&fault);
+            log_fault(&fault);
             for job in group {
                 (job.done)(Err(fault.clone()));
             }
@@ -123,7 +126,7 @@
             for job in group {
                 let committed = store.commit(&job.records);
                 if let Err(fault) = &committed {
-                    warn_of(fault);
+                    log_fault(fault);
                 }
                 (job.done)(committed);
             }
@@ -131,6 +134,6 @@
     }
 }
 
-fn warn_of(fault: &StoreFault) {
-    warn!(%fault, "store commit failed");
+fn log_fault(fault: &StoreFault) {
+    warn!(error = %fault, "store commit failed");
 }
--- a/crates/catalog-service/src/parts.rs
+++ b/crates/catalog-service/src/parts.rs
@@ -2,13 +2,14 @@
 
 use prost::Message;
 
-/// Bytes after which an answer continues in another frame.
+/// Bytes after which an answer continues in another frame. A larger part delays other frames of the
+/// connection; a smaller one costs more frames.
 const PART_BYTES: usize = 128 << 10;
 
 /// Sends records in parts of at most [`PART_BYTES`], or of one record that is larger.
 ///
-/// `send` gets each part, and whether another follows. There is always at least one part, if an
-/// empty one.
+/// `send` receives each part, and whether another part follows. Without records there is one empty
+/// part.
 pub(crate) fn send_in_parts<T: Message>(
     records: impl Iterator<Item = T>,
     mut send: impl FnMut(Vec<T>, bool),
--- a/crates/catalog-service/src/service/connection.rs
+++ b/crates/catalog-service/src/service/connection.rs
@@ -1,7 +1,11 @@
 //! One connection: a thread that reads its frames, and one that writes them.
+//!
+//! The listener calls [`run_connection`] on a thread of its own. State: the stream, and the frames
+//! that are read in part. Bounds: [`MAX_FRAME_BYTES`], [`MAX_QUEUED_FRAMES`] and [`IO_TIMEOUT`].
 
 use super::event::ServiceEvent;
 use super::frame_sender::{FrameSender, MAX_QUEUED_FRAMES};
+use grebecleat_wire::frame::FrameFault;
 use grebecleat_wire::pb::{self, frame::Body};
 use grebecleat_wire::trace::Tracer;
 use grebecleat_wire::{clock, frame, VERSION};
@@ -11,21 +15,41 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes of the largest frame that is accepted.
+/// Bytes of the largest frame that is accepted. A smaller limit rejects large proposals; a larger
+/// one lets a peer occupy more memory.
 const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Frames that are written at once.
+/// Frames that are written with one system call. It bounds the bytes that wait in the writer's
+/// buffer.
 const MAX_FRAMES_PER_WRITE: usize = 16;
-/// How long a peer may take to say hello, and a write may block.
+/// The longest time until a peer's hello, and for which a write may block. A shorter time
+/// disconnects slow peers; with a longer one a silent peer occupies its connection for longer.
 const IO_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads a connection's frames until it ends. An error if the peer breaks the protocol before or
-/// after its hello, or is silent before it.
+/// The reason why a connection ended with an error.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ConnectionError {
+    /// The socket failed, or the hello did not arrive in time.
+    #[error(transparent)]
+    Socket(#[from] io::Error),
+    /// A frame is invalid.
+    #[error(transparent)]
+    Frame(#[from] FrameFault),
+    /// The first frame is no hello of this protocol version.
+    #[error("the first frame is no hello of version {VERSION}")]
+    NoHello,
+    /// A frame has no body.
+    #[error("a frame without a body")]
+    MissingBody,
+}
+
+/// Reads a connection's frames until the connection ends. Returns an error if the peer breaks the
+/// protocol before or after its hello, or if the hello does not arrive in time.
 pub(super) fn run_connection(
     mut stream: TcpStream,
     conn: u64,
     tracer: &Tracer,
     to_owner: &Sender<ServiceEvent>,
-) -> io::Result<()> {
+) -> Result<(), ConnectionError> {
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(IO_TIMEOUT))?;
     stream.set_write_timeout(Some(IO_TIMEOUT))?;
@@ -45,7 +69,7 @@
             Ok(_) => {}
             // Disconnected, by the peer or by this service.
             Err(_) if reader.peer.is_some() => break,
-            Err(error) => return Err(error),
+            Err(error) => return Err(error.into()),
         }
     }
     tracer.closed(conn, reader.peer.as_deref().unwrap_or_default());
@@ -79,14 +103,11 @@
 }
 
 impl ConnectionReader<'_> {
-    /// Hands over the complete frames that were read so far.
-    fn handle_frames(&mut self, frames: &mut frame::Reader) -> io::Result<()> {
+    /// Sends the owner the complete frames that were read so far.
+    fn handle_frames(&mut self, frames: &mut frame::Reader) -> Result<(), ConnectionError> {
         let now = clock::now();
         let mut read = Vec::new();
-        while let Some(frame) = frames
-            .next::<pb::Frame>()
-            .map_err(|error| io::Error::other(error.to_string()))?
-        {
+        while let Some(frame) = frames.next::<pb::Frame>()? {
             read.push(frame);
         }
         self.tracer.read(self.conn, now, &read);
@@ -96,10 +117,10 @@
         Ok(())
     }
 
-    fn handle_frame(&mut self, frame: pb::Frame) -> io::Result<()> {
+    fn handle_frame(&mut self, frame: pb::Frame) -> Result<(), ConnectionError> {
         match (frame.body, &self.peer) {
             (Some(Body::Hello(hello)), None) if hello.version == VERSION => {
-                self.handle_hello(hello)
+                Ok(self.handle_hello(hello)?)
             }
             (Some(body), Some(_)) => {
                 let _ = self.to_owner.send(ServiceEvent::Frame {
@@ -108,13 +129,12 @@
                 });
                 Ok(())
             }
-            _ => Err(io::Error::other(
-                "no proper greeting, or a frame without a body",
-            )),
+            (Some(_), None) => Err(ConnectionError::NoHello),
+            (None, _) => Err(ConnectionError::MissingBody),
         }
     }
 
-    /// The peer may be silent from now on; starts the thread that writes.
+    /// Starts the thread that writes. From now on the peer may be silent.
     fn handle_hello(&mut self, hello: pb::Hello) -> io::Result<()> {
         self.stream.set_read_timeout(None)?;
         self.tracer.opened(self.conn, &hello.name);
--- a/crates/catalog-service/src/service/error.rs
+++ b/crates/catalog-service/src/service/error.rs
@@ -1,4 +1,4 @@
-//! Why the state service did not start.
+//! The errors of the state service's start.
 
 use crate::store::StoreFault;
 use std::io;
@@ -6,37 +6,39 @@
 use std::path::PathBuf;
 use std::sync::mpsc::RecvError;
 
-/// Why a service did not start. Its text is what operators see.
+/// The reason why a service did not start. Operators see its text.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
     /// The settings have no state service.
     #[error("the settings name no state_service()")]
     NotInSettings,
-    /// The store cannot serve.
+    /// The store cannot be used.
     #[error("store {}: {fault}", path.display())]
     Store {
         /// Path of the store.
         path: PathBuf,
-        /// What is wrong with it.
+        /// The store's fault.
+        #[source]
         fault: StoreFault,
     },
     /// The thread of the store ended.
     #[error(transparent)]
     StoreThreadEnded(#[from] RecvError),
-    /// The first revision, of what the settings declare, was rejected.
+    /// The first revision, which the settings declare, was rejected.
     #[error("{file}: {reason}")]
     DeclarationRejected {
         /// The settings file.
         file: String,
-        /// Why it was rejected.
+        /// The reason, as the leader states it.
         reason: String,
     },
-    /// The address cannot be listened on.
+    /// The service cannot listen on the address.
     #[error("cannot listen on {address}: {error}")]
     Listen {
         /// The address.
         address: SocketAddr,
         /// The system's error.
+        #[source]
         error: io::Error,
     },
     /// The system does not name the address that the service listens on.
--- a/crates/catalog-service/src/service/event.rs
+++ b/crates/catalog-service/src/service/event.rs
@@ -1,11 +1,11 @@
-//! What the other threads report to the owner of the state.
+//! The events that the other threads send to the owner of the state.
 
 use super::frame_sender::FrameSender;
 use grebecleat_wire::pb::{self, frame::Body};
 
 /// An event for the owner of the state.
 pub(super) enum ServiceEvent {
-    /// A peer has connected and said hello.
+    /// A peer has connected and sent its hello.
     Connected {
         conn: u64,
         hello: Box<pb::Hello>,
@@ -15,15 +15,15 @@
     Frame { conn: u64, body: Box<Body> },
     /// A connection has ended.
     Disconnected { conn: u64 },
-    /// Everything up to that number is stored.
+    /// All records up to that number are stored.
     Persisted { up_to: u64 },
-    /// What has that number, and everything after it, is not stored.
+    /// The record of that number, and all records after it, are not stored.
     PersistFailed { number: u64, reason: String },
-    /// The result of a query that was worked on by a thread of its own.
+    /// The result of a query that a thread of its own has computed.
     QueryResult {
         conn: u64,
         result: Box<pb::QueryResult>,
     },
-    /// The service shall end.
+    /// The service has to end.
     Stop,
 }
--- a/crates/catalog-service/src/service/frame_sender.rs
+++ b/crates/catalog-service/src/service/frame_sender.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a connection: sends frames to its writer thread, without blocking.
+//! The owner's side of a connection: sends frames to the writer thread, without blocking.
 
 use grebecleat_wire::pb::frame::Body;
 use std::net::{Shutdown, TcpStream};
@@ -6,7 +6,9 @@
 use std::sync::Arc;
 use tracing::warn;
 
-/// Frames that wait to be written; a peer that leaves more unread is disconnected.
+/// Frames that wait to be written, at most; a peer that leaves more unread is disconnected. A
+/// smaller limit disconnects peers that read long answers; a larger one costs memory for each slow
+/// peer.
 pub(super) const MAX_QUEUED_FRAMES: usize = 1024;
 
 /// The owner's side of a connection.
@@ -17,7 +19,7 @@
 }
 
 impl FrameSender {
-    /// `queue`: what the connection's writer thread reads.
+    /// Returns a sender. `queue`: the queue that the connection's writer thread reads.
     pub fn new(queue: SyncSender<Body>, stream: Arc<TcpStream>) -> Self {
         FrameSender { queue, stream }
     }
@@ -27,7 +29,7 @@
         if let Err(TrySendError::Full(_)) = self.queue.try_send(body) {
             warn!(
                 frames = MAX_QUEUED_FRAMES,
-                "slow consumer: peer leaves its answers unread"
+                "slow consumer disconnected: its queue of unread frames is full"
             );
             self.disconnect();
         }
--- a/crates/catalog-service/src/service/listener.rs
+++ b/crates/catalog-service/src/service/listener.rs
@@ -10,9 +10,11 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Connections at a time; further ones are closed at once.
+/// Open connections, at most; further ones are closed at once. Each has two threads and a queue: a
+/// larger limit costs memory, a smaller one locks out hosts of a large site.
 pub(super) const MAX_CONNECTIONS: usize = 1024;
-/// Pause after a connection could not be accepted, such as without free file descriptors.
+/// Pause after an error of `accept`, for instance for lack of file descriptors. A shorter pause
+/// spins; a longer one delays the next connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Starts the thread that accepts connections.
@@ -28,14 +30,17 @@
         let stream = match stream {
             Ok(stream) => stream,
             Err(error) => {
-                warn!(%error, "cannot accept a connection");
+                warn!(%error, "accept failed");
                 std::thread::sleep(ACCEPT_RETRY_DELAY);
                 continue;
             }
         };
         if open.fetch_add(1, Ordering::Relaxed) >= MAX_CONNECTIONS {
             open.fetch_sub(1, Ordering::Relaxed);
-            warn!(connections = MAX_CONNECTIONS, "connection limit reached");
+            warn!(
+                connections = MAX_CONNECTIONS,
+                "connection limit reached; connection closed"
+            );
             continue;
         }
         let tracer = tracer.clone();
--- a/crates/catalog-service/src/service/mod.rs
+++ b/crates/catalog-service/src/service/mod.rs
@@ -1,38 +1,44 @@
 //! The state service on its sockets.
 //!
-//! One thread, the owner, has the [`Leader`] and all other state; each connection has one thread
-//! that reads and one that writes. Hosts and operators speak frames of `plans.proto`. What the
-//! decisions want stored goes to the [`GroupCommit`], one commit for all of a step. Nothing is
-//! decided here but when to disconnect a peer.
+//! One thread, the owner, has the [`Leader`] and all other state. Each connection has one thread
+//! that reads and one that writes. Hosts and operators exchange frames of `plans.proto` with the
+//! service. The records of all decisions of one step go to the [`GroupCommit`] as one commit. This
+//! module decides only when to disconnect a peer.
 //!
-//! - `listener`: accepts connections. `connection`: the reader and writer threads.
-//! - `owner`: the loop; `peers`: who is connected; `frames`: what peers ask; `actions`: what the
-//!   leader decides; `membership`: what the drains' state machine decides; `query`: what operators
-//!   look at; `snapshots`: the regular snapshot.
+//! - `owner`: the loop, which orders the steps of the parts that follow.
+//! - `peer_table`, `call_table`: the connected peers, and their calls without an answer.
+//! - `requests`: translates frames into events; `query_handler`: answers queries.
+//! - `leader_actions`, `config_update`: perform the leader's decisions.
+//! - `membership_link`: connects the drains' state machine with the leader.
+//! - `commit_pipeline`: the records on their way to the disk; `snapshot_scheduler`: the regular
+//!   snapshot.
+//! - `subscriptions`: the operators that watch; `service_state`: the state that they read.
+//! - `listener`: accepts connections; `connection`: the reader and writer threads.
 //!
-//! Called by the command `state-service`, as [`serve`], which returns once [`Handle::stop`] was
-//! called.
+//! The command `state-service` calls [`serve`], which returns after [`Handle::stop`].
 //!
-//! Bounds: 1,024 connections; a writer's queue has 1,024 frames, each of at most some 128 KiB or
-//! one record, and a peer that leaves more unread is disconnected. Snapshots are written beside the
-//! store, by a thread of their own.
+//! Bounds: 1,024 connections. The queue of a writer has 1,024 frames, each of at most about 128 KiB
+//! or one record; a peer that leaves more frames unread is disconnected. A thread of its own writes
+//! the snapshots, into the store's folder.
 
-mod actions;
+mod call_table;
+mod commit_pipeline;
+mod config_update;
 mod connection;
 mod error;
 mod event;
 mod frame_sender;
-mod frames;
+mod leader_actions;
 mod listener;
-mod membership;
 mod membership_link;
 mod options;
 mod owner;
-mod peer;
-mod peers;
-mod query;
-mod snapshot_schedule;
-mod snapshots;
+mod peer_table;
+mod query_handler;
+mod requests;
+mod service_state;
+mod snapshot_scheduler;
+mod subscriptions;
 mod wall_time;
 
 pub use error::ServiceError;
@@ -56,25 +62,28 @@
 use std::time::Duration;
 use wall_time::wall_time;
 
-/// Stops a running service.
+/// A handle that stops a running service.
 #[derive(Clone)]
 pub struct Handle {
     to_owner: Sender<ServiceEvent>,
 }
 
 impl Handle {
-    /// Makes the service end once everything that it has decided is stored.
+    /// Makes the service end after all its decisions are stored.
     pub fn stop(&self) {
         let _ = self.to_owner.send(ServiceEvent::Stop);
     }
 }
 
-/// A number for a new epoch, which differs from every other service's.
+/// Returns a number for a new epoch. The wall clock and the process number make it differ from the
+/// epochs of all other services.
 pub fn new_epoch() -> Epoch {
     Epoch((wall_time().as_nanos() as u64) ^ u64::from(std::process::id()) << 48 | 1)
 }
 
-/// Serves until [`Handle::stop`]. `started` gets the address that the service listens on.
+/// Serves until [`Handle::stop`]. `started` receives the address that the service listens on.
+///
+/// Returns an error if the service cannot start: see [`ServiceError`].
 pub fn serve(
     options: Options,
     started: impl FnOnce(SocketAddr, Handle),
@@ -112,7 +121,7 @@
         to_owner: to_owner.clone(),
     });
     if is_new {
-        owner.declare_settings()?;
+        owner.declare_settings(&options)?;
     }
     owner.step_membership(Vec::new());
     listener::accept(listener, &options.tracer, to_owner.clone());
@@ -121,7 +130,7 @@
     Ok(())
 }
 
-/// Opens the store, and gives a new one its first epoch.
+/// Opens the store, and stores the first epoch in a new one.
 fn open_store(
     options: &Options,
     spec: &StateSpec,
@@ -144,22 +153,19 @@
     Ok((group_commit, stored))
 }
 
-/// The contents of a store as the leader starts with them.
+/// Returns the contents of a store as the leader starts with them.
 fn initial_state(stored: StoredState, settings: &Settings, spec: &StateSpec) -> InitialState {
     let catalog = Catalog::new(deployment(settings), spec.max_audit_log as usize);
     let catalog = catalog.restored(stored.version, stored.state, stored.audit_log);
-    let hosts: Vec<Name> = settings
-        .hosts
-        .iter()
-        .map(|host| Name::from(host.name.as_str()))
-        .collect();
+    let hosts = host_names(settings);
     let mut applied: BTreeMap<HostNumber, Version> = BTreeMap::new();
     for (index, name) in hosts.iter().enumerate() {
         let host = HostNumber(index as u32);
         if let Some(version) = stored.hosts.get(name) {
             applied.insert(host, *version);
         } else if stored.restored {
-            // It may have joined after the snapshot: it counts as known, with nothing applied.
+            // The host may have joined after the snapshot: it counts as known, with nothing
+            // applied.
             applied.insert(host, Version(0));
         }
     }
@@ -174,6 +180,12 @@
     }
 }
 
+/// Returns the names of the settings' hosts by the hosts' numbers.
+fn host_names(settings: &Settings) -> Vec<Name> {
+    let hosts = settings.hosts.iter();
+    hosts.map(|host| Name::from(host.name.as_str())).collect()
+}
+
 fn new_membership(settings: &Settings, now: Duration) -> Membership {
     let hosts = (0..settings.hosts.len() as u32).map(HostNumber);
     Membership::new(
--- a/crates/catalog-service/src/service/options.rs
+++ b/crates/catalog-service/src/service/options.rs
@@ -1,4 +1,4 @@
-//! What the state service is started with.
+//! The options with which the state service starts.
 
 use grebecleat_settings::Settings;
 use grebecleat_wire::trace::Tracer;
@@ -6,16 +6,16 @@
 use std::path::PathBuf;
 use std::sync::Arc;
 
-/// What a service is started with.
+/// The options with which a service starts.
 pub struct Options {
     /// The settings; they must name a `state_service()`.
     pub settings: Arc<Settings>,
-    /// How the settings file is named in the audit log.
+    /// Name of the settings file, as the audit log has it.
     pub file: String,
     /// Path of the store, which is created if it does not exist.
     pub store: PathBuf,
-    /// Address to listen on; port 0 takes any.
+    /// Address to listen on; with port 0 the system chooses a free port.
     pub listen: SocketAddr,
-    /// Records all frames, if it is on.
+    /// The tracer, which records all frames if it is on.
     pub tracer: Tracer,
 }
--- a/crates/catalog-service/src/service/owner.rs
+++ b/crates/catalog-service/src/service/owner.rs
@@ -1,114 +1,124 @@
 //! The owner of the state: one thread with the leader, the membership and the peers.
+//!
+//! The owner only orders the steps. Each part owns its own state: [`PeerTable`],
+//! [`CommitPipeline`], [`MembershipLink`], [`SubscriptionTable`], [`QueryHandler`] and
+//! [`SnapshotScheduler`].
 
+use super::commit_pipeline::CommitPipeline;
 use super::error::ServiceError;
 use super::event::ServiceEvent;
+use super::frame_sender::FrameSender;
+use super::host_names;
+use super::leader_actions::ActionPerformer;
 use super::membership_link::MembershipLink;
 use super::options::Options;
-use super::peer::{Peer, PeerCall};
-use super::snapshot_schedule::SnapshotSchedule;
+use super::peer_table::{PeerRole, PeerTable};
+use super::query_handler::QueryHandler;
+use super::requests::RequestHandler;
+use super::service_state::ServiceState;
+use super::snapshot_scheduler::SnapshotScheduler;
+use super::subscriptions::SubscriptionTable;
 use super::wall_time::wall_time;
 use crate::declared_config::declared_changes;
 use crate::group_commit::GroupCommit;
-use crate::subscription::{EventLog, Subscription, MIN_UPDATE_INTERVAL};
+use crate::subscription::MIN_UPDATE_INTERVAL;
 use grebecleat_catalog::leader::{Action, CallId, Epoch, Event as LeaderEvent, Leader, Proposal};
 use grebecleat_catalog::records::Version;
 use grebecleat_membership::drains::{Event as MembershipEvent, Membership};
 use grebecleat_settings::StateSpec;
 use grebecleat_wire::clock;
-use grebecleat_wire::pb::frame::Body;
-use std::collections::{BTreeMap, BTreeSet};
+use grebecleat_wire::pb::{self, frame::Body};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender};
 use std::time::Duration;
-use tracing::{error, info};
+use tracing::info;
 
-/// Events that are handled in one step, beyond the first.
+/// Events that are handled in one step, beyond the first. With a larger number one commit takes
+/// more changes, and its first caller waits longer.
 const MAX_EVENTS_PER_STEP: usize = 512;
-/// The longest time between two steps.
+/// The longest time between two steps. It bounds how late a regular snapshot is.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
+/// Rounds between the leader and the membership in one step. It bounds how long other peers wait
+/// if the two never agree.
+const MAX_ROUNDS_PER_STEP: usize = 16;
+/// Author of the first revision of a new store.
+const DECLARATION_AUTHOR: &str = "settings";
+/// The number of the settings' declaration, which no peer's call has.
+const DECLARATION_CALL: CallId = CallId(0);
 
-/// What one step passes to the two state machines.
+/// The events that one step passes to the two state machines.
 #[derive(Default)]
 pub(super) struct StepInput {
+    /// Events of the leader.
     pub leader: Vec<LeaderEvent>,
+    /// Events of the membership.
     pub membership: Vec<MembershipEvent>,
 }
 
-/// What the owner starts with.
+/// The parts that an owner starts with.
 pub(super) struct OwnerStart<'a> {
+    /// The service's options.
     pub options: &'a Options,
     /// The state service of the settings.
     pub spec: StateSpec,
+    /// The leader, with the stored catalog.
     pub leader: Leader,
+    /// The membership, which knows nothing of the catalog yet.
     pub membership: Membership,
     /// The epoch of the catalog's history.
     pub epoch: Epoch,
+    /// The store's thread.
     pub group_commit: GroupCommit,
     /// The way to the owner, for the other threads.
     pub to_owner: Sender<ServiceEvent>,
 }
 
-/// The leader, the membership, and everything about peers and commits that the loop needs.
-pub(super) struct Owner<'a> {
-    pub options: &'a Options,
-    pub leader: Leader,
-    pub membership: MembershipLink,
-    /// What has happened to nodes, for subscribers.
-    pub event_log: EventLog,
-    /// By connection.
-    pub subscriptions: BTreeMap<u64, Subscription>,
-    pub epoch: Epoch,
-    pub group_commit: GroupCommit,
-    pub to_owner: Sender<ServiceEvent>,
-    /// By connection.
-    pub peers: BTreeMap<u64, Peer>,
-    /// Calls of peers by the number under which the leader has them.
-    pub calls: BTreeMap<CallId, PeerCall>,
-    /// The last number that was given to a call.
-    pub last_call: u64,
-    /// The last failure of the store; empty once a commit succeeds.
-    pub store_fault: String,
-    pub snapshots: SnapshotSchedule,
-    /// Numbers of what is on its way to the disk.
-    pub uncommitted: BTreeSet<u64>,
+/// Orders the steps of the service's parts.
+pub(super) struct Owner {
+    leader: Leader,
+    /// The epoch of the catalog's history.
+    epoch: Epoch,
+    membership: MembershipLink,
+    peers: PeerTable,
+    subscriptions: SubscriptionTable,
+    queries: QueryHandler,
+    commits: CommitPipeline,
+    snapshots: SnapshotScheduler,
     stopping: bool,
 }
 
-impl<'a> Owner<'a> {
-    /// An owner without peers.
-    pub fn new(start: OwnerStart<'a>) -> Self {
+impl Owner {
+    /// Returns an owner without peers.
+    pub fn new(start: OwnerStart) -> Self {
+        let settings = &start.options.settings;
         Owner {
-            options: start.options,
             leader: start.leader,
-            membership: MembershipLink::new(start.membership),
-            event_log: EventLog::default(),
-            subscriptions: BTreeMap::new(),
             epoch: start.epoch,
-            group_commit: start.group_commit,
-            to_owner: start.to_owner,
-            peers: BTreeMap::new(),
-            calls: BTreeMap::new(),
-            last_call: 1,
-            store_fault: String::new(),
-            snapshots: SnapshotSchedule::new(start.spec.snapshot_every),
-            uncommitted: BTreeSet::new(),
+            membership: MembershipLink::new(start.membership),
+            peers: PeerTable::new(host_names(settings)),
+            subscriptions: SubscriptionTable::default(),
+            queries: QueryHandler::new(settings, start.to_owner.clone()),
+            commits: CommitPipeline::new(start.group_commit, start.to_owner),
+            snapshots: SnapshotScheduler::new(&start.options.store, start.spec.snapshot_every),
             stopping: false,
         }
     }
 
-    /// Proposes what the settings declare, as the first revision of a new store.
-    pub fn declare_settings(&mut self) -> Result<(), ServiceError> {
-        let file = &self.options.file;
+    /// Proposes the configuration of the settings, as the first revision of a new store.
+    pub fn declare_settings(&mut self, options: &Options) -> Result<(), ServiceError> {
+        let file = &options.file;
         let proposal = Proposal {
-            author: "settings".to_string(),
+            author: DECLARATION_AUTHOR.to_string(),
             reason: format!("declared in {file}"),
             base_version: Version(0),
-            changes: declared_changes(&self.options.settings),
+            changes: declared_changes(&options.settings),
             at: None,
             force: true,
             dry_run: false,
         };
-        let call = CallId(0);
-        let proposed = LeaderEvent::Proposed { call, proposal };
+        let proposed = LeaderEvent::Proposed {
+            call: DECLARATION_CALL,
+            proposal,
+        };
         let actions = self.leader.step(clock::now(), wall_time(), vec![proposed]);
         let mut rejected = None;
         for action in actions {
@@ -141,13 +151,13 @@
             for event in first.into_iter().chain(further) {
                 self.handle_event(event, &mut input);
             }
-            let actions = self.leader.step(clock::now(), wall_time(), input.leader);
             let mut membership_events = input.membership;
-            membership_events.extend(self.perform(actions));
+            membership_events.extend(self.step_leader(input.leader));
             self.step_membership(membership_events);
             self.update_subscriptions();
-            self.write_snapshot_if_due();
-            if self.stopping && self.uncommitted.is_empty() {
+            let persisted = self.leader.persisted();
+            self.snapshots.write_if_due(persisted, &self.commits);
+            if self.stopping && self.commits.uncommitted() == 0 {
                 return;
             }
         }
@@ -172,31 +182,117 @@
                 conn,
                 hello,
                 frames,
-            } => self.handle_connected(conn, *hello, frames, input),
+            } => self.handle_connected(conn, &hello, frames, input),
             ServiceEvent::Disconnected { conn } => self.handle_disconnected(conn, input),
             ServiceEvent::Frame { conn, body } => self.handle_frame(conn, *body, input),
             ServiceEvent::Persisted { up_to } => {
-                self.store_fault.clear();
-                self.uncommitted.retain(|number| *number > up_to);
+                self.commits.persisted(up_to);
                 input.leader.push(LeaderEvent::Persisted { upto: up_to });
             }
             ServiceEvent::PersistFailed { number, reason } => {
-                error!("not kept: {reason}");
-                self.store_fault = reason.clone();
-                self.uncommitted.retain(|other| *other > number);
-                input
-                    .leader
-                    .push(LeaderEvent::PersistFailed { number, reason });
+                self.commits.persist_failed(number, &reason);
+                let failed = LeaderEvent::PersistFailed { number, reason };
+                input.leader.push(failed);
             }
             ServiceEvent::QueryResult { conn, result } => {
-                if let Some(peer) = self.peers.get(&conn) {
-                    peer.frames.send(Body::QueryResult(*result));
-                }
+                self.peers.send(conn, Body::QueryResult(*result));
             }
             ServiceEvent::Stop => {
-                info!(uncommitted = self.uncommitted.len(), "stopping");
+                info!(uncommitted = self.commits.uncommitted(), "stopping");
                 self.stopping = true;
             }
         }
     }
+
+    fn handle_connected(
+        &mut self,
+        conn: u64,
+        hello: &pb::Hello,
+        frames: FrameSender,
+        input: &mut StepInput,
+    ) {
+        if let Some(PeerRole::Host(host)) = self.peers.connect(conn, hello, frames) {
+            input.membership.push(MembershipEvent::HostConnected {
+                host,
+                incarnation: hello.incarnation,
+            });
+        }
+    }
+
+    fn handle_disconnected(&mut self, conn: u64, input: &mut StepInput) {
+        self.subscriptions.unsubscribe(conn);
+        let disconnected = self.peers.remove(conn);
+        if let Some(host) = disconnected.host {
+            let event = MembershipEvent::HostDisconnected { host };
+            input.membership.push(event);
+        }
+        for call in disconnected.calls {
+            input.leader.push(LeaderEvent::CallerDisconnected { call });
+        }
+    }
+
+    fn handle_frame(&mut self, conn: u64, body: Body, input: &mut StepInput) {
+        let state = ServiceState {
+            leader: &self.leader,
+            epoch: self.epoch,
+            store_fault: self.commits.store_fault(),
+        };
+        let mut handler = RequestHandler {
+            conn,
+            state,
+            peers: &mut self.peers,
+            subscriptions: &mut self.subscriptions,
+            queries: &self.queries,
+            input,
+        };
+        handler.handle(body);
+    }
+
+    /// Steps the leader and performs its actions. Returns the results of the membership's own
+    /// proposals.
+    fn step_leader(&mut self, events: Vec<LeaderEvent>) -> Vec<MembershipEvent> {
+        let actions = self.leader.step(clock::now(), wall_time(), events);
+        self.perform(actions)
+    }
+
+    fn perform(&mut self, actions: Vec<Action>) -> Vec<MembershipEvent> {
+        let mut performer = ActionPerformer {
+            leader: &self.leader,
+            epoch: self.epoch,
+            peers: &mut self.peers,
+            commits: &mut self.commits,
+            membership: &mut self.membership,
+        };
+        performer.perform(actions)
+    }
+
+    /// Steps the membership with `events` and with everything new in the catalog, and the leader
+    /// with the membership's proposals, until both have nothing new. The leader may decide on a
+    /// proposal at once; its result is an event of the membership's next round.
+    pub fn step_membership(&mut self, mut events: Vec<MembershipEvent>) {
+        for _ in 0..MAX_ROUNDS_PER_STEP {
+            let peers = &mut self.peers;
+            let allocate_call = || peers.allocate_call();
+            let stepped = self.membership.step(&self.leader, events, allocate_call);
+            let Some(outcome) = stepped else {
+                return;
+            };
+            self.subscriptions.add_notices(outcome.notices);
+            events = if outcome.leader_events.is_empty() {
+                Vec::new()
+            } else {
+                self.step_leader(outcome.leader_events)
+            };
+        }
+    }
+
+    fn update_subscriptions(&mut self) {
+        let state = ServiceState {
+            leader: &self.leader,
+            epoch: self.epoch,
+            store_fault: self.commits.store_fault(),
+        };
+        let membership = self.membership.membership();
+        self.subscriptions.update(&state, membership, &self.peers);
+    }
 }
--- a/crates/catalog-service/src/service/wall_time.rs
+++ b/crates/catalog-service/src/service/wall_time.rs
@@ -1,8 +1,8 @@
-//! The system's clock, for what operators read; nothing is measured by it.
+//! The system's clock, for the times that operators read. No duration is measured by it.
 
 use std::time::{Duration, SystemTime};
 
-/// Time since 1970 by the system's clock.
+/// Returns the time since 1970 by the system's clock; zero if the clock is set before 1970.
 pub(super) fn wall_time() -> Duration {
     SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/catalog-service/src/snapshot/mod.rs
+++ b/crates/catalog-service/src/snapshot/mod.rs
@@ -1,12 +1,15 @@
-//! A store as one plain file, and back.
+//! Snapshots: writes a store as one plain file, and restores a store from it.
 //!
-//! A snapshot is written under another name and moved once it is complete on the disk, so that the
-//! last complete one exists at every moment. It consists of frames with checksums, and of a tail
-//! that counts them: one that was cut short is recognised. Restoring builds a new store under
-//! another name; the old store is moved aside and never deleted. A restored store begins a new
-//! epoch, since hosts may have followed versions that the snapshot does not know.
+//! A snapshot is written under a temporary name, and renamed after it is complete on the disk. The
+//! last complete snapshot therefore exists at every moment. A snapshot consists of frames with
+//! checksums, and a tail that counts them; the reader thus recognises a file that was cut short.
 //!
-//! Called by the state service for its regular snapshots, and by the operator's commands. No state.
+//! A restore builds a new store under a temporary name. It renames the old store and never deletes
+//! it. A restored store begins a new epoch, because hosts may have followed versions that the
+//! snapshot does not contain.
+//!
+//! The state service calls it for its regular snapshots, and the operator's commands call it. No
+//! state.
 
 mod file;
 mod read;
--- a/crates/catalog-service/src/snapshot/read.rs
+++ b/crates/catalog-service/src/snapshot/read.rs
@@ -11,7 +11,7 @@
 use std::fs::File;
 use std::path::Path;
 
-/// Reads a complete snapshot; of one that is damaged or cut short nothing is returned.
+/// Reads a complete snapshot. Returns a fault, and no contents, if it is damaged or cut short.
 pub fn read(path: &Path) -> Result<StoreContents, StoreFault> {
     let mut file = File::open(path).map_err(|error| disk(path, &error))?;
     let mut frames = frame::Reader::new(MAX_PART_BYTES);
@@ -45,10 +45,11 @@
 struct PartReader<'a> {
     path: &'a Path,
     contents: StoreContents,
-    /// Parts that were read so far, and their checksum.
+    /// Number of parts that were read so far.
     parts: u64,
+    /// Checksum over the parts that were read so far.
     crc: u32,
-    /// The tail was read: nothing may follow.
+    /// The tail was read; no part may follow it.
     complete: bool,
 }
 
--- a/crates/catalog-service/src/snapshot/restore.rs
+++ b/crates/catalog-service/src/snapshot/restore.rs
@@ -6,14 +6,15 @@
 use grebecleat_catalog::leader::Epoch;
 use std::path::{Path, PathBuf};
 
-/// Placements of extents of one commit.
+/// Placements of extents in one commit. A larger number takes more memory for a commit; a smaller
+/// one makes the restore slower, since each commit waits for the disk.
 const PLACEMENTS_PER_COMMIT: usize = 20_000;
 
-/// Builds a store from a snapshot, in a new epoch. Returns where a store that was there was moved
-/// to.
+/// Builds a store from a snapshot, in a new epoch. Returns the new path of the former store, if
+/// there was one.
 ///
-/// A fault if the snapshot cannot be read or the store not be written; the store that was there
-/// then stays.
+/// Returns a fault if the snapshot cannot be read or the store cannot be written; the former store
+/// then stays in its place.
 pub fn restore(snapshot: &Path, store: &Path, epoch: Epoch) -> Result<Option<PathBuf>, StoreFault> {
     let contents = read(snapshot)?;
     let temporary = store.with_extension("restoring");
@@ -31,7 +32,7 @@
     Ok(former)
 }
 
-/// The first numbered name beside the store that no file has.
+/// Returns the first numbered name in the store's folder that no file has.
 fn unused_path(store: &Path) -> PathBuf {
     let mut number = 1u64;
     loop {
@@ -64,7 +65,7 @@
     for (epoch, up_to) in state.epochs {
         batch.push(Record::PastEpoch { epoch, up_to });
     }
-    // Hosts that the snapshot does not name may have joined since: see `Record::Restored`.
+    // Hosts that the snapshot does not name may have joined after it; see `Record::Restored`.
     batch.push(Record::Restored);
     for (host, version) in state.hosts {
         batch.push(Record::HostApplied { host, version });
--- a/crates/catalog-service/src/snapshot/write.rs
+++ b/crates/catalog-service/src/snapshot/write.rs
@@ -11,9 +11,10 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Writes a snapshot; at every moment the file is the old one or the new one.
+/// Writes a snapshot. At every moment the file is either the old snapshot or the new one.
 ///
-/// `at`: when the contents were read, since 1970. [`StoreFault::Disk`] if it cannot be written.
+/// `at`: the time since 1970 at which the contents were read. Returns [`StoreFault::Disk`] if the
+/// file cannot be written.
 pub fn write(path: &Path, contents: &StoreContents, at: Duration) -> Result<(), StoreFault> {
     let temporary = path.with_extension("writing");
     let moved = write_file(&temporary, contents, at)
@@ -76,12 +77,12 @@
     }
 }
 
-/// Writes parts as frames, and maintains their number and checksum.
+/// Writes parts as frames, and counts and checksums them.
 struct PartWriter<W: Write> {
     to: W,
     parts: u64,
     crc: u32,
-    /// The frame of one part; its allocation is used again.
+    /// The frame of one part. Each part reuses the allocation.
     bytes: Vec<u8>,
 }
 
--- a/crates/catalog-service/src/store/backend.rs
+++ b/crates/catalog-service/src/store/backend.rs
@@ -1,4 +1,4 @@
-//! How the database is opened: on a file, or on a disk that a test provides.
+//! Opens the database, on a file or on a disk that a test provides.
 
 use super::fault::{damaged, disk, StoreResult};
 use super::migrate::migrate;
@@ -6,17 +6,18 @@
 use std::panic::AssertUnwindSafe;
 use std::path::{Path, PathBuf};
 
-/// Bytes of the database's page cache.
+/// Bytes of the database's page cache. A smaller cache reads pages from the disk more often; a
+/// larger one takes memory from the rest of the process.
 const CACHE_BYTES: usize = 64 << 20;
 
-/// Where the database lies, to open it again after it failed.
+/// The place of the database, from which it can be opened again after a failure.
 pub(super) enum Backend {
     File(PathBuf),
-    /// Provided by a test: each call returns the same disk.
+    /// A disk that a test provides: each call returns the same disk.
     Custom(Box<dyn Fn() -> Box<dyn StorageBackend> + Send>),
 }
 
-/// A boxed backend as a backend.
+/// Makes a boxed backend usable as a backend.
 #[derive(Debug)]
 struct BoxedBackend(Box<dyn StorageBackend>);
 
@@ -42,12 +43,12 @@
 }
 
 impl Backend {
-    /// Opens the database and checks all its pages; a file that does not exist is created.
+    /// Opens the database and checks all its pages. Creates the file if it does not exist.
     pub fn open(&self) -> StoreResult<Database> {
         let mut builder = Builder::new();
         builder.set_cache_size(CACHE_BYTES);
-        // Every page is checked, since a plain opening trusts what it finds and may fail much
-        // later.
+        // Checks every page: without the check, opening trusts the pages, and damage may fail an
+        // operation much later.
         builder.set_check_integrity_on_open(true);
         match self {
             Backend::File(path) => {
@@ -61,8 +62,8 @@
     }
 }
 
-/// Creates a file under another name and moves it, so that one whose creation was cut off is never
-/// taken for a store.
+/// Creates a file under another name and then renames it, so that a file whose creation was
+/// interrupted is never taken for a store.
 fn create_file(builder: &Builder, path: &Path) -> StoreResult<()> {
     let temporary = path.with_extension("making");
     let _ = std::fs::remove_file(&temporary);
@@ -70,7 +71,7 @@
     std::fs::rename(&temporary, path).map_err(disk)
 }
 
-/// Turns a panic into a fault: on a damaged file the database library can panic.
+/// Turns a panic into a fault: the database library can panic on a damaged file.
 pub(super) fn catch_panic<T>(operation: impl FnOnce() -> StoreResult<T>) -> StoreResult<T> {
     let payload = match std::panic::catch_unwind(AssertUnwindSafe(operation)) {
         Ok(result) => return result,
--- a/crates/catalog-service/src/store/batch.rs
+++ b/crates/catalog-service/src/store/batch.rs
@@ -1,7 +1,7 @@
 //! A write transaction that maintains the checksum over the file.
 //!
-//! Used by [`super::commit`] and by the migration. Every record is written through one of these
-//! functions, so that no write can miss the sum.
+//! [`super::commit`] and the migration write every record through one of these functions, so that
+//! no write can miss the sum.
 
 use super::checksum::{seal, unseal, FileChecksum, TableNumber};
 use super::extent_chunk::{chunk_key, chunk_place, decode_runs, encode_runs, EXTENTS_PER_CHUNK};
@@ -14,7 +14,7 @@
 use redb::{ReadableTable, Table, WriteTransaction};
 use std::collections::BTreeMap;
 
-/// New placements of extents, gathered by chunk so that each chunk's record is written once.
+/// New placements of extents, grouped by chunk, so that each chunk's record is written once.
 #[derive(Debug, Default)]
 pub(super) struct ExtentPlacements {
     by_chunk: BTreeMap<ChunkId, Vec<Placement>>,
@@ -33,7 +33,7 @@
 }
 
 impl ExtentPlacements {
-    /// The extent lies on that shard from now on.
+    /// Adds the placement of an extent on a shard.
     pub fn add(&mut self, volume: u64, extent: u64, shard: u32) {
         let chunk = extent / EXTENTS_PER_CHUNK;
         let chunk = self.by_chunk.entry(ChunkId { volume, chunk });
@@ -41,7 +41,7 @@
     }
 }
 
-/// A figure within a transaction; 0 if it is not stored.
+/// Returns a figure within a transaction; 0 if it is not stored.
 pub(super) fn read_figure(write: &WriteTransaction, name: &str) -> StoreResult<u64> {
     let value = write
         .open_table(META)?
@@ -50,14 +50,14 @@
     Ok(value.unwrap_or(0))
 }
 
-/// A transaction, with the sum over all records as it changes.
+/// A transaction, and the sum over all records after each of its writes.
 pub(super) struct Batch<'a> {
     write: &'a WriteTransaction,
     checksum: FileChecksum,
 }
 
 impl<'a> Batch<'a> {
-    /// `checksum`: the sum over the records before the transaction.
+    /// Returns a batch without writes. `checksum`: the sum over the records before the transaction.
     pub fn new(write: &'a WriteTransaction, checksum: u64) -> Self {
         Batch {
             write,
@@ -65,12 +65,12 @@
         }
     }
 
-    /// The transaction, to read from.
+    /// Returns the transaction, to read from.
     pub fn write(&self) -> &'a WriteTransaction {
         self.write
     }
 
-    /// Stores the sum, after all other records.
+    /// Stores the sum. It must be the last write but the schema number.
     pub fn put_checksum(&self) -> StoreResult<()> {
         self.put_unsummed(figure::CHECKSUM, self.checksum.0)
     }
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    /// Stores or, without a value, removes one sealed record.
+    /// Stores one sealed record, or removes it if there is no value.
     fn put_sealed<K: redb::Key + 'static>(
         &mut self,
         table: &mut Table<K, &'static [u8]>,
@@ -108,7 +108,7 @@
         Ok(())
     }
 
-    /// Replaces the contribution of a plain number in the sum.
+    /// Replaces the contribution of a plain number to the sum.
     fn resum(&mut self, number: TableNumber, key: &[u8], former: Option<u64>, value: u64) {
         if let Some(former) = former {
             self.checksum.remove(number, key, &former.to_be_bytes());
@@ -116,7 +116,7 @@
         self.checksum.add(number, key, &value.to_be_bytes());
     }
 
-    /// Stores the record of a subject, or removes it where the change ends the subject.
+    /// Stores the record of a subject, or removes it if the change ends the subject.
     pub fn put_change(&mut self, change: &Change) -> StoreResult<()> {
         let mut table = self.write.open_table(STATE)?;
         let key = subject_key(&change.subject());
@@ -152,7 +152,7 @@
         self.put_sealed(&mut table, TableNumber::AuditLog, version, &key, None)
     }
 
-    /// Stores a figure under its name, see [`figure`].
+    /// Stores a figure under its name; see [`figure`].
     pub fn put_figure(&mut self, name: &str, value: u64) -> StoreResult<()> {
         let mut table = self.write.open_table(META)?;
         let former = table.insert(name, value)?.map(|former| former.value());
--- a/crates/catalog-service/src/store/checksum.rs
+++ b/crates/catalog-service/src/store/checksum.rs
@@ -1,13 +1,13 @@
 //! Checksums of single records and of the file.
 //!
-//! Every record carries a checksum of its key and value, so that a byte that rots is found with its
-//! place. The file carries one sum over all records, so that a record that goes missing, or one
-//! that returns from an older page with a checksum that is right in itself, is found as well.
+//! Every record carries a checksum of its key and value: it finds a byte that rots, and names the
+//! place. The file carries one sum over all records: it finds a record that goes missing, and a
+//! record that returns from an older page with a valid checksum of its own.
 
 use super::fault::{damaged, StoreResult};
 
-/// Which table a record's contribution to the sum belongs to. The numbers are part of the file
-/// format.
+/// The table of a record, as the record's contribution to the sum covers it. The numbers are part
+/// of the file format.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum TableNumber {
     State = 0,
@@ -18,14 +18,16 @@
     Epochs = 5,
 }
 
-/// A record's bytes: a checksum of its key and value, then the value.
+/// Returns a record's bytes: a checksum of its key and value, then the value.
 pub(super) fn seal(key: &[u8], value: &[u8]) -> Vec<u8> {
     let mut bytes = record_checksum(key, value).to_le_bytes().to_vec();
     bytes.extend_from_slice(value);
     bytes
 }
 
-/// The value of a record's bytes, if its checksum is right. `place` names the record in the fault.
+/// Returns the value of a record's bytes. `place`: names the record in the fault.
+///
+/// Returns [`super::StoreFault::Damaged`] if the record is too short or its checksum is wrong.
 pub(super) fn unseal<'a>(
     key: &[u8],
     bytes: &'a [u8],
@@ -54,15 +56,15 @@
         self.0 = self.0.wrapping_add(contribution(table, key, bytes));
     }
 
-    /// Takes out a record that was added.
+    /// Removes a record that was added.
     pub fn remove(&mut self, table: TableNumber, key: &[u8], bytes: &[u8]) {
         self.0 = self.0.wrapping_sub(contribution(table, key, bytes));
     }
 }
 
-/// One record's contribution to the sum.
+/// Returns one record's contribution to the sum.
 fn contribution(table: TableNumber, key: &[u8], bytes: &[u8]) -> u64 {
-    // The golden ratio in 64 bits, which spreads the 32 bits of the checksum over all of them.
+    // The golden ratio in 64 bits: the product spreads the checksum's 32 bits over all 64.
     const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
     let checksum = crc32c::crc32c(&[table as u8]);
     let checksum = crc32c::crc32c_append(checksum, key);
--- a/crates/catalog-service/src/store/commit.rs
+++ b/crates/catalog-service/src/store/commit.rs
@@ -1,4 +1,4 @@
-//! One batch of records in one transaction.
+//! Commits one batch of records in one transaction.
 
 use super::batch::{read_figure, Batch, ExtentPlacements};
 use super::checksum::unseal;
@@ -14,9 +14,10 @@
 
 /// Stores a batch completely or not at all, and returns the version of the catalog after it.
 ///
-/// `reported`: the version that the caller knows to be stored. What is stored beyond it came with a
-/// commit that was reported as failed and arrived nevertheless; it is rolled back first.
-/// `max_audit_log`: revisions of the audit log that remain, besides those that are not yet stable.
+/// `reported`: the version that the caller knows to be stored. Revisions that are stored beyond it
+/// belong to a commit that was reported as failed and is stored nevertheless; the batch first rolls
+/// them back. `max_audit_log`: revisions of the audit log that remain, in addition to all revisions
+/// that are not yet stable.
 pub(super) fn commit(
     database: &Database,
     batch: &[Record],
@@ -46,15 +47,15 @@
 
 struct Transaction<'a> {
     batch: Batch<'a>,
-    /// Version of the catalog as the batch is applied.
+    /// Version of the catalog after the records that were applied so far.
     version: u64,
     stable: u64,
     placements: ExtentPlacements,
 }
 
 impl Transaction<'_> {
-    /// Undoes the revisions after `reported`: an earlier commit arrived though it was reported as
-    /// failed.
+    /// Undoes the revisions after `reported`: an earlier commit is stored although it was reported
+    /// as failed.
     fn roll_back_to(&mut self, reported: Version) -> StoreResult<()> {
         while self.version > reported.0 {
             let revision = self.stored_revision(self.version)?;
@@ -64,7 +65,7 @@
             self.batch.remove_revision(self.version)?;
             self.version = revision.from.0;
             if revision.version != revision.from.next() {
-                // It forced a new epoch: the operator is asked again.
+                // The revision forced a new epoch: the operator has to decide again.
                 self.batch.put_figure(figure::EPOCH_FORCED_AT, 0)?;
             }
         }
@@ -141,7 +142,7 @@
         Ok(())
     }
 
-    /// Stores what the batch gathered, and returns the version of the catalog.
+    /// Stores the placements, the figures and the sum, and returns the version of the catalog.
     fn finish(mut self, max_audit_log: u64) -> StoreResult<u64> {
         self.batch
             .put_placements(std::mem::take(&mut self.placements))?;
@@ -152,8 +153,8 @@
         Ok(self.version)
     }
 
-    /// The audit log has its maximum length, and is longer only by revisions that are not yet
-    /// stable.
+    /// Removes the oldest revisions beyond the audit log's maximum length, except those that are
+    /// not yet stable.
     fn trim_audit_log(&mut self, max_audit_log: u64) -> StoreResult<()> {
         let last_removed = self.version.saturating_sub(max_audit_log).min(self.stable);
         loop {
--- a/crates/catalog-service/src/store/extent_chunk.rs
+++ b/crates/catalog-service/src/store/extent_chunk.rs
@@ -1,21 +1,22 @@
-//! The record of one chunk of extents: runs of extents on one shard.
+//! The record of one chunk of extents, as runs of extents on one shard.
 //!
-//! Record layout: six bytes a run: its first extent within the chunk, its length, and its shard in
-//! little-endian order.
+//! Layout: each run has six bytes. These are its first extent within the chunk, its length, and its
+//! shard in little-endian order.
 
 use super::fault::{damaged, StoreResult};
 use crate::extents::Extents;
 
-/// Extents of one record: a placement rewrites one, and ten million extents are some 160,000 of
-/// them.
+/// Extents of one record. A placement rewrites one record, so a larger chunk writes more bytes for
+/// each placement; a smaller one needs more records (ten million extents have about 160,000 now).
+/// The number is part of the file format.
 pub(super) const EXTENTS_PER_CHUNK: u64 = 64;
 /// Bytes of one run.
 const RUN_BYTES: usize = 6;
 
-/// Extents of a chunk that follow each other on one shard.
+/// Consecutive extents of a chunk on one shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct ChunkRun {
-    /// First extent, from the chunk's first; below [`EXTENTS_PER_CHUNK`].
+    /// First extent, relative to the chunk's first; below [`EXTENTS_PER_CHUNK`].
     start: u8,
     /// Number of extents; at least one.
     length: u8,
@@ -23,7 +24,7 @@
 }
 
 impl ChunkRun {
-    /// Puts the extents of the run, of a chunk that begins at `first`, on their shard.
+    /// Places the run's extents on their shard. `first`: the first extent of the run's chunk.
     pub fn insert_into(&self, extents: &mut Extents, first: u64) {
         for offset in 0..u64::from(self.length) {
             extents.insert(first + u64::from(self.start) + offset, self.shard);
@@ -31,12 +32,12 @@
     }
 }
 
-/// The key of a chunk's record, as its checksum covers it.
+/// Returns the key of a chunk's record, as the record's checksum covers it.
 pub(super) fn chunk_key(volume: u64, chunk: u64) -> Vec<u8> {
     [volume.to_be_bytes(), chunk.to_be_bytes()].concat()
 }
 
-/// How faults name the record of a chunk.
+/// Returns the name of a chunk's record in faults.
 pub(super) fn chunk_place(volume: u64, chunk: u64) -> String {
     format!(
         "the record of extents {} on of volume {volume}",
@@ -44,12 +45,12 @@
     )
 }
 
-/// The fault of a chunk's record whose checksum is right and whose runs are not.
+/// Returns the fault of a chunk's record with a valid checksum and invalid runs.
 pub(super) fn senseless(place: &dyn Fn() -> String) -> super::fault::StoreFault {
     damaged(format!("{} makes no sense", place()))
 }
 
-/// The runs of a record's value.
+/// Returns the runs of a record's value.
 pub(super) fn decode_runs(value: &[u8], place: &dyn Fn() -> String) -> StoreResult<Vec<ChunkRun>> {
     let mut runs = Vec::with_capacity(value.len() / RUN_BYTES);
     for bytes in value.chunks(RUN_BYTES) {
@@ -72,7 +73,7 @@
     (end <= EXTENTS_PER_CHUNK && run.length > 0).then_some(run)
 }
 
-/// The value of the record of a chunk's extents, numbered from the chunk's first.
+/// Returns the value of a chunk's record. `extents`: the chunk's extents, numbered from its first.
 pub(super) fn encode_runs(extents: &Extents) -> Vec<u8> {
     let mut bytes = Vec::new();
     for run in extents.iter() {
--- a/crates/catalog-service/src/store/fault.rs
+++ b/crates/catalog-service/src/store/fault.rs
@@ -1,12 +1,12 @@
-//! Why a store cannot serve.
+//! The faults of a store.
 //!
-//! Returned by every operation of [`crate::store::Store`] and of [`crate::snapshot`]; shown to
-//! operators as it is. Every error of the database library is translated here, and only here.
+//! Every operation of [`crate::store::Store`] and of [`crate::snapshot`] returns them, and
+//! operators read their texts. This module alone translates the errors of the database library.
 
 use super::schema::SCHEMA;
 use std::fmt;
 
-/// Why a store cannot serve. Its text is what operators see.
+/// The reason why a store cannot serve. Operators see its text.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StoreFault {
     /// Another process has the file open.
@@ -18,19 +18,20 @@
         /// Schema number (of a snapshot: its format number) found in the file.
         schema: u64,
     },
-    /// The contents cannot be what was written: a bad checksum, a missing or an older record.
+    /// The contents differ from those that were written: a bad checksum, a missing or an older
+    /// record.
     #[error("damaged: {what}; restore it from a snapshot")]
     Damaged {
-        /// The place and what is wrong there.
+        /// The place and the damage.
         what: String,
     },
-    /// The disk is full, read-only or failing. Nothing of the batch is stored.
+    /// The disk is full, read-only or failing. No record of the batch is stored.
     #[error("{what}")]
     Disk {
         /// The error of the disk.
         what: String,
     },
-    /// The disk failed, and whether the batch is stored is known only once the disk works again.
+    /// The disk failed. Whether the batch is stored is unknown until the disk works again.
     #[error("{what}; whether it arrived shows when the disk works again")]
     Unknown {
         /// The error of the disk.
@@ -38,17 +39,17 @@
     },
 }
 
-/// Result of an operation on a store.
+/// The result of an operation on a store.
 pub(crate) type StoreResult<T> = Result<T, StoreFault>;
 
-/// The fault of contents that cannot be what was written.
+/// Returns the fault of contents that differ from those that were written.
 pub(super) fn damaged(what: impl fmt::Display) -> StoreFault {
     StoreFault::Damaged {
         what: what.to_string(),
     }
 }
 
-/// The fault of a disk that fails.
+/// Returns the fault of a disk that fails.
 pub(super) fn disk(what: impl fmt::Display) -> StoreFault {
     StoreFault::Disk {
         what: what.to_string(),
--- a/crates/catalog-service/src/store/load.rs
+++ b/crates/catalog-service/src/store/load.rs
@@ -1,4 +1,4 @@
-//! Reads and checks everything in the file: recovery at a start, and the contents for a snapshot.
+//! Reads and checks all contents of the file, for the recovery at a start and for a snapshot.
 
 use super::checksum::{unseal, FileChecksum, TableNumber};
 use super::extent_chunk::{chunk_key, chunk_place, decode_runs, senseless, EXTENTS_PER_CHUNK};
@@ -15,7 +15,8 @@
 use prost::Message;
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable};
 
-/// Everything in the file. A fault if any record is damaged, missing, or older than the rest.
+/// Returns all contents of the file. Returns a fault if any record is damaged, missing, or older
+/// than the rest.
 pub(super) fn load(database: &Database) -> StoreResult<StoreContents> {
     let mut loader = Loader {
         read: database.begin_read()?,
@@ -35,7 +36,7 @@
     Ok(loader.contents)
 }
 
-/// The version of the catalog that is stored, without reading anything else.
+/// Returns the stored version of the catalog, and reads nothing else.
 pub(super) fn load_version(database: &Database) -> StoreResult<Version> {
     let table = database.begin_read()?.open_table(META)?;
     let version = table.get(figure::VERSION)?.map(|version| version.value());
@@ -45,7 +46,7 @@
 struct Loader {
     read: ReadTransaction,
     contents: StoreContents,
-    /// Sum over the records that were read so far.
+    /// The sum over the records that were read so far.
     checksum: FileChecksum,
     /// The sum that the file states.
     stored_checksum: Option<FileChecksum>,
--- a/crates/catalog-service/src/store/mod.rs
+++ b/crates/catalog-service/src/store/mod.rs
@@ -1,22 +1,24 @@
 //! The catalog, its audit log and the placement of extents, in one file that survives crashes.
 //!
-//! Called as [`Store::open`] at a start, which reads and returns everything, and then
-//! [`Store::commit`] with batches of [`Record`]s, each of which is stored completely or not at all
-//! when it returns. `redb` is the database: one file, copy on write, atomic commits, no thread and
-//! no log of its own. Considered instead: SQLite, which is C and needs its own build; a log of our
-//! own, which would be a database written again.
+//! A caller opens the store with [`Store::open`], which reads and returns all contents. It then
+//! calls [`Store::commit`] with batches of [`Record`]s. When a commit returns, its batch is stored
+//! completely or not at all.
 //!
-//! What `redb` does not promise is added here. Every record carries a checksum of its key and
-//! value, and the file one sum over all of them, so that a byte that rots, a record that goes
-//! missing or one that returns from an older page is found at the next start and reported with its
-//! place, instead of served. All pages are checked when the file is opened, and nothing is written
-//! to a file in which something is wrong.
+//! The database is `redb`: one file, copy on write, atomic commits, no thread and no log of its
+//! own. Alternatives that were considered: SQLite, which is written in C and needs its own build; a
+//! log of this project's own, which would amount to writing a database again.
 //!
-//! After a commit that failed it is unknown whether it is stored. The file is opened again to see;
-//! where even that fails, [`StoreFault::Unknown`] says so, and what is then stored beyond what the
-//! caller knows is rolled back with the next batch.
+//! This module adds integrity checks that `redb` does not promise. Every record carries a checksum
+//! of its key and value, and the file carries one sum over all records. The next start therefore
+//! finds a byte that rots, a record that goes missing, and a record that returns from an older
+//! page. It reports the place, and does not serve the contents. Opening the file checks all its
+//! pages. The store writes nothing to a file in which it has found damage.
 //!
-//! Memory: what the caller retains of the contents, and the database's cache of 64 MiB.
+//! After a commit that failed, it is unknown whether the batch is stored. The store opens the file
+//! again to find out. If that fails too, the result is [`StoreFault::Unknown`]; the next batch then
+//! rolls back all stored revisions that the caller does not know.
+//!
+//! Memory: the contents that the caller retains, and the database's cache of 64 MiB.
 
 mod backend;
 mod batch;
@@ -38,26 +40,27 @@
 use redb::{Database, StorageBackend};
 use std::path::Path;
 
-/// An open store. One process at a time has a file open.
+/// An open store. Only one process at a time can have a file open.
 pub struct Store {
     backend: Backend,
-    /// None after a failure, until it could be opened again.
+    /// The open database; None after a failure, until the file could be opened again.
     database: Option<Database>,
     max_audit_log: u64,
-    /// The version that the caller knows to be stored.
+    /// The version that the caller knows to be stored. The next batch rolls back any revision that
+    /// is stored beyond it.
     version: Version,
 }
 
 impl Store {
-    /// Opens the file, or creates it, and reads everything in it.
+    /// Opens the file, or creates it, and reads all its contents.
     ///
-    /// `max_audit_log`: revisions that remain in the audit log, besides all that are not yet
-    /// stable. Any [`StoreFault`] but `Unknown` is possible.
+    /// `max_audit_log`: revisions that remain in the audit log, in addition to all revisions that
+    /// are not yet stable. Any [`StoreFault`] except `Unknown` is possible.
     pub fn open(path: &Path, max_audit_log: u64) -> Result<(Store, StoreContents), StoreFault> {
         Store::open_backend(Backend::File(path.to_path_buf()), max_audit_log)
     }
 
-    /// The same on a disk that a test provides.
+    /// Opens a store on a disk that a test provides, as [`Store::open`] does on a file.
     pub fn open_on(
         disk: impl Fn() -> Box<dyn StorageBackend> + Send + 'static,
         max_audit_log: u64,
@@ -80,7 +83,7 @@
         })
     }
 
-    /// Stores a batch, completely or not at all. After a fault it may be called again.
+    /// Stores a batch, completely or not at all. The caller may commit again after a fault.
     pub fn commit(&mut self, batch: &[Record]) -> Result<(), StoreFault> {
         let database = self.take_database()?;
         let committed =
@@ -99,7 +102,8 @@
         }
     }
 
-    /// Opens the file again after a disk fault, to see whether the batch arrived nevertheless.
+    /// Opens the file again after a disk fault, to find out whether the batch is stored
+    /// nevertheless.
     fn resolve_failed_commit(&mut self, batch: &[Record], what: String) -> StoreResult<()> {
         let reopened = catch_panic(|| {
             let database = self.backend.open()?;
@@ -119,7 +123,7 @@
         }
     }
 
-    /// Reads and checks everything again, as it is stored.
+    /// Reads and checks all stored contents again.
     pub fn read(&mut self) -> Result<StoreContents, StoreFault> {
         let database = self.take_database()?;
         let contents = catch_panic(|| load::load(&database));
@@ -135,7 +139,7 @@
     }
 }
 
-/// The version of the catalog that a batch leads to; None if it does not change the catalog.
+/// Returns the version of the catalog after a batch; None if the batch does not change the catalog.
 fn last_version(batch: &[Record]) -> Option<Version> {
     batch.iter().rev().find_map(|record| match record {
         Record::Revision(revision) | Record::EpochForced(revision) => Some(revision.version),
--- a/crates/catalog-service/src/store/record.rs
+++ b/crates/catalog-service/src/store/record.rs
@@ -1,4 +1,4 @@
-//! What callers store and what they get back: the records of a batch, and the contents of a store.
+//! The records of a batch, which callers store, and the contents of a store, which they read back.
 
 use crate::extents::Extents;
 use grebecleat_catalog::change::{Change, Revision};
@@ -6,14 +6,15 @@
 use grebecleat_catalog::records::{Name, Version};
 use std::collections::BTreeMap;
 
-/// One thing to store. A batch of records is stored completely or not at all.
+/// One record to store. A batch of records is stored completely or not at all.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Record {
     /// A revision of the catalog; it must follow the stored version.
     Revision(Revision),
-    /// A revision from which on the state counts over every other history: a forced new epoch.
+    /// A revision that forces a new epoch: from it on, the state takes precedence over every other
+    /// history.
     EpochForced(Revision),
-    /// The stable version: every follower has acknowledged it.
+    /// The stable version, which every follower has acknowledged.
     Stable(Version),
     /// The version that a host last reported as applied.
     HostApplied {
@@ -35,7 +36,7 @@
     EpochForcedAt(Version),
     /// The store was restored from a snapshot: hosts that the snapshot does not name may exist.
     Restored,
-    /// The complete catalog, in place of everything of it that is stored.
+    /// The complete catalog, which replaces the stored catalog.
     Snapshot {
         /// Version of the state.
         version: Version,
@@ -53,11 +54,11 @@
         /// Number of the shard.
         shard: u32,
     },
-    /// Every version number that a write may have used lies below this one.
+    /// The ceiling: every version number that a write may have used is below it.
     Ceiling(u64),
 }
 
-/// Everything in a store but the placement of extents.
+/// All contents of a store except the placement of extents.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StoredState {
     /// Version of the catalog; 0 for a new store.
@@ -76,19 +77,20 @@
     pub epochs: Vec<(Epoch, Version)>,
     /// By host, the version that it last reported as applied.
     pub hosts: BTreeMap<Name, Version>,
-    /// Every version number that a write may have used lies below this one.
+    /// The ceiling: every version number that a write may have used is below it.
     pub ceiling: u64,
-    /// Restored from a snapshot: a host that is not named may have followed versions unknown here.
+    /// The store was restored from a snapshot: a host that it does not name may have followed
+    /// versions that are unknown here.
     pub restored: bool,
 }
 
 /// Placement of extents by volume number.
 pub type ExtentsByVolume = BTreeMap<u64, Extents>;
 
-/// Everything in a store or a snapshot.
+/// All contents of a store or a snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct StoreContents {
-    /// All but the placement of extents.
+    /// All contents except the placement of extents.
     pub state: StoredState,
     /// Placement of extents by volume number.
     pub extents: ExtentsByVolume,
--- a/crates/catalog-service/src/store/schema.rs
+++ b/crates/catalog-service/src/store/schema.rs
@@ -1,16 +1,17 @@
 //! The tables of the file, and the keys of their records.
 //!
-//! The names of the tables and figures are part of the file format and never change.
+//! The names of the tables and figures are part of the file format, and never change.
 
 use grebecleat_catalog::change::Subject;
 use redb::TableDefinition;
 
-/// Schema number of the file. 1: placement of extents one by one, and nothing else. 2: as here.
+/// Schema number of the file. Schema 1 has the placement of single extents, and nothing else.
+/// Schema 2 is the present one.
 pub(super) const SCHEMA: u64 = 2;
 
-/// Figures by name, see [`figure`].
+/// Figures by name; see [`figure`].
 pub(super) const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
-/// Records of the catalog by subject, see [`subject_key`].
+/// Records of the catalog by subject; see [`subject_key`].
 pub(super) const STATE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("state");
 /// Revisions by version.
 pub(super) const AUDIT_LOG: TableDefinition<u64, &[u8]> = TableDefinition::new("trail");
@@ -18,16 +19,16 @@
 pub(super) const EPOCHS: TableDefinition<u64, u64> = TableDefinition::new("eras");
 /// Applied versions by the name of the host.
 pub(super) const HOSTS: TableDefinition<&str, u64> = TableDefinition::new("hosts");
-/// Chunks of extents by volume and chunk number, see [`super::extent_chunk`].
+/// Chunks of extents by volume and chunk number; see [`super::extent_chunk`].
 pub(super) const EXTENTS: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("extents");
-/// Of schema 1: shards by volume and extent.
+/// Shards by volume and extent, in schema 1.
 pub(super) const PLACES_V1: TableDefinition<(u64, u64), u32> = TableDefinition::new("places");
-/// Of schema 1: the version ceiling.
+/// The version ceiling, in schema 1.
 pub(super) const CEILING_V1: TableDefinition<(), u64> = TableDefinition::new("ceiling");
 
 /// Names of the figures in [`META`].
 pub(super) mod figure {
-    /// The schema number; not part of the checksum over the file.
+    /// The schema number. The checksum over the file does not cover it.
     pub const SCHEMA: &str = "schema";
     /// The checksum over all records.
     pub const CHECKSUM: &str = "sum";
@@ -39,13 +40,13 @@
     pub const EPOCH_FORCED_AT: &str = "prevailed";
     /// The epoch of this history.
     pub const EPOCH: &str = "era";
-    /// Every version number that a write may have used lies below this one.
+    /// The ceiling: every version number that a write may have used is below it.
     pub const CEILING: &str = "ceiling";
-    /// Above 0 if the store was restored from a snapshot.
+    /// A number above 0 if the store was restored from a snapshot.
     pub const RESTORED: &str = "restored";
 }
 
-/// The key of a subject's record: its kind, then its name or number.
+/// Returns the key of a subject's record: the subject's kind, then its name or number.
 pub(super) fn subject_key(subject: &Subject) -> Vec<u8> {
     let (kind, name) = match subject {
         Subject::Plan(name) => (0, name.as_bytes().to_vec()),
@@ -58,7 +59,7 @@
     [vec![kind], name].concat()
 }
 
-/// How faults name a record of the audit log.
+/// Returns the name of a record of the audit log in faults.
 pub(super) fn revision_place(version: u64) -> String {
     format!("entry {version} of the trail")
 }
--- a/crates/catalog-service/src/subscription/event_log.rs
+++ b/crates/catalog-service/src/subscription/event_log.rs
@@ -1,11 +1,12 @@
-//! The last events of nodes, for subscribers.
+//! The event log: the last events of nodes, for subscribers.
 
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Events that are retained; older ones are dropped.
+/// Events that are retained, at most; older ones are dropped. With a smaller number a slow
+/// subscriber misses events; a larger one takes memory.
 const MAX_EVENTS: usize = 1000;
 
 /// The last events of nodes, the newest last, each with a number.
@@ -17,7 +18,7 @@
 }
 
 impl EventLog {
-    /// Adds an event. `at`: since 1970; `node`: None if it is of no single node.
+    /// Adds an event. `at`: the time since 1970. `node`: None if the event concerns no single node.
     pub fn add(&mut self, at: Duration, node: Option<u32>, text: String) {
         self.entries.push_back(pb::EventLogEntry {
             at_us: micros(at),
@@ -30,12 +31,12 @@
         }
     }
 
-    /// Number of the next event.
+    /// Returns the number of the next event.
     pub(super) fn end(&self) -> u64 {
         self.first + self.entries.len() as u64
     }
 
-    /// The retained events from a number on.
+    /// Returns the retained events from a number on.
     pub(super) fn since(&self, number: u64) -> Vec<pb::EventLogEntry> {
         let skip = number.saturating_sub(self.first) as usize;
         self.entries.iter().skip(skip).cloned().collect()
--- a/crates/catalog-service/src/subscription/mod.rs
+++ b/crates/catalog-service/src/subscription/mod.rs
@@ -1,9 +1,10 @@
-//! Watch subscriptions of operators: everything at first, then what has changed.
+//! Watch subscriptions of operators: a subscriber receives the complete state first, and then the
+//! changes.
 //!
-//! Called by the state service's loop: [`EventLog::add`] with what has happened, and
-//! [`Subscription::update`] with the present state, which sends the frames for one subscriber. Each
-//! update is the difference to what was sent before, so that a slow subscriber gets fewer updates,
-//! and nothing twice. State, for each subscriber: the last report of every node. No I/O.
+//! The state service's loop calls [`EventLog::add`] with each event, and [`Subscription::update`]
+//! with the present state, which sends the frames for one subscriber. Each update is the difference
+//! to the updates before. A slow subscriber therefore receives fewer updates, and no change twice.
+//! State, for each subscriber: the last report of every node. No I/O.
 
 mod event_log;
 mod node_report;
@@ -20,7 +21,8 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The least time between two updates of one subscriber.
+/// The least time between two updates of one subscriber. A shorter time costs the service work for
+/// each subscriber; a longer one delays what an operator sees.
 pub const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
 /// One subscriber.
@@ -32,31 +34,31 @@
     stable: Version,
     /// The last report of each node.
     nodes: BTreeMap<u32, pb::NodeReport>,
-    /// The head of the last update, without what follows from the other fields.
+    /// The head of the last update, without its revisions, nodes and events.
     head: Option<pb::SubscriptionUpdate>,
     /// Number of the next event to send.
     next_event: u64,
     updated_at: Option<Instant>,
 }
 
-/// The present state, as all subscribers learn it.
+/// The present state of the service, which all subscribers watch.
 pub struct ServiceView<'a> {
     /// The catalog and its followers.
     pub leader: &'a Leader,
     /// The nodes and their drains.
     pub membership: &'a Membership,
-    /// What has happened to nodes.
+    /// The last events of nodes.
     pub event_log: &'a EventLog,
     /// The epoch of the catalog's history.
     pub epoch: u64,
     /// The last failure of the store; empty if it works.
     pub store_fault: &'a str,
-    /// What each host has applied, by the hosts' numbers.
+    /// The status of each host, by the hosts' numbers.
     pub hosts: &'a [pb::HostStatus],
 }
 
 impl Subscription {
-    /// A subscription that has sent nothing; `call`: the subscriber's number of its call.
+    /// Returns a subscription that has sent nothing. `call`: the subscriber's number of its call.
     pub fn new(call: u64) -> Self {
         Subscription {
             call,
@@ -69,12 +71,13 @@
         }
     }
 
-    /// When the next update may be sent; None: at once.
+    /// Returns when the next update may be sent; None if it may be sent at once.
     fn due_at(&self) -> Option<Instant> {
         Some(self.updated_at? + MIN_UPDATE_INTERVAL)
     }
 
-    /// Passes what is new to `send`; calls it not at all if nothing is, or if it is too early.
+    /// Passes the frames of an update to `send`. Does not call `send` if nothing has changed, or if
+    /// the update is not due yet.
     pub fn update(
         &mut self,
         view: &ServiceView,
@@ -123,7 +126,7 @@
         }
     }
 
-    /// Reports of the nodes that have changed since the last update.
+    /// Returns the reports of the nodes that have changed since the last update.
     fn changed_nodes(&mut self, view: &ServiceView) -> Vec<pb::NodeReport> {
         let shortfall = view.leader.admission().shortfall();
         let missing = shortfall.short + shortfall.out_of_reach;
@@ -139,7 +142,7 @@
         changed
     }
 
-    /// Sends an update with the revisions after the last one, or with the complete state.
+    /// Sends an update with the revisions after the last update, or with the complete state.
     fn send_update(
         &self,
         view: &ServiceView,
@@ -153,7 +156,7 @@
             update.revisions = revisions.map(revision_to_proto).collect();
             return send(update);
         }
-        // At first, and where the audit log no longer reaches back so far.
+        // The complete state: at first, and where the audit log no longer reaches back so far.
         let state = catalog
             .state_at(version)
             .map(|change| change_to_proto(&change));
--- a/crates/catalog-service/src/subscription/node_report.rs
+++ b/crates/catalog-service/src/subscription/node_report.rs
@@ -1,4 +1,4 @@
-//! What subscribers learn of a node and its drain.
+//! The report of a node and its drain, as subscribers receive it.
 
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_membership::drains::{DrainView, NodeView, Phase};
@@ -6,7 +6,7 @@
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
 
-/// Whether two reports differ in nothing but in times that pass by themselves.
+/// Returns whether two reports differ at most in times that pass by themselves.
 pub(super) fn same_but_for_time(sent: &pb::NodeReport, now: &pb::NodeReport) -> bool {
     without_times(sent) == without_times(now)
 }
@@ -24,7 +24,7 @@
     }
 }
 
-/// The report of a node; `hosts`: the hosts by their numbers.
+/// Returns the report of a node. `hosts`: the status of the hosts, by their numbers.
 pub(super) fn node_to_proto(node: &NodeView, hosts: &[pb::HostStatus]) -> pb::NodeReport {
     pb::NodeReport {
         node: node.node,
--- a/crates/catalog-service/tests/common/mod.rs
+++ b/crates/catalog-service/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A disk that loses what was not synced, tears what was being written, fills up, and fails when
-//! set to.
+//! A simulated disk: it loses writes that were not synced, tears the write that a power loss
+//! interrupts, fills up, and fails on request.
 
 pub mod model;
 
@@ -26,9 +26,9 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// What a machine certainly finds after a restart.
+    /// The bytes that a machine certainly finds after a restart.
     durable: Vec<u8>,
-    /// What the running machine reads.
+    /// The bytes that the running machine reads.
     visible: Vec<u8>,
     /// Writes since the last sync, by sector, oldest first; and lengths.
     pending: Vec<(usize, Vec<u8>)>,
@@ -40,7 +40,7 @@
 pub struct Disk(Arc<Mutex<Inner>>);
 
 impl Disk {
-    /// A disk with these contents, all of them durable.
+    /// Returns a disk with these contents, all of them durable.
     pub fn of(bytes: Vec<u8>) -> Disk {
         Disk(Arc::new(Mutex::new(Inner {
             durable: bytes.clone(),
@@ -49,12 +49,13 @@
         })))
     }
 
-    /// How the disk fails from now on.
+    /// Sets how the disk fails from now on.
     pub fn fails(&self, fails: Fails) {
         self.0.lock().unwrap().fails = Some(fails);
     }
 
-    /// Number of operations so far that change the disk: writes, changes of its length, and syncs.
+    /// Returns the number of operations that changed the disk: writes, changes of its length, and
+    /// syncs.
     pub fn ops(&self) -> u64 {
         self.0.lock().unwrap().ops
     }
@@ -63,12 +64,12 @@
         self.0.lock().unwrap().visible.clone()
     }
 
-    /// What is found after a power loss: all that was synced, and any sectors of the rest.
+    /// Returns the contents after a power loss: all synced bytes, and any sectors of the rest.
     pub fn after_power_loss(&self, seed: u64) -> Vec<u8> {
         let inner = self.0.lock().unwrap();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut bytes = inner.durable.clone();
-        // The file's length changes at once or not at all; what was never written reads as zeroes.
+        // The file's length changes at once or not at all; bytes that were never written are zero.
         bytes.resize(
             if rng.random() {
                 inner.visible.len().max(bytes.len())
@@ -133,7 +134,7 @@
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        // What was being written when the power was lost may lie there in part.
+        // A part of the write that the power loss interrupts may be on the disk.
         {
             let mut inner = self.0.lock().unwrap();
             if matches!(inner.fails, Some(Fails::PowerLossAt(at)) if inner.ops == at) {
--- a/crates/catalog-service/tests/common/model.rs
+++ b/crates/catalog-service/tests/common/model.rs
@@ -2,9 +2,9 @@
 //! stored.
 
 use super::Disk;
-use grebecleat_catalog::catalog::*;
-use grebecleat_catalog::change::*;
-use grebecleat_catalog::records::*;
+use grebecleat_catalog::catalog::Catalog;
+use grebecleat_catalog::change::{Change, ChangeContext};
+use grebecleat_catalog::records::{Deployment, Name, Plan, Version, Volume};
 use grebecleat_catalog_service::extents::ExtentRun;
 use grebecleat_catalog_service::store::{
     ExtentsByVolume, Record, Store, StoreContents, StoreFault,
@@ -17,7 +17,7 @@
 /// Revisions that the store retains in its audit log.
 pub const AUDIT_LOG: u64 = 6;
 
-/// What should be in the store.
+/// The contents that the store should have.
 #[derive(Clone)]
 pub struct Model {
     pub catalog: Catalog,
@@ -28,7 +28,7 @@
 }
 
 impl Model {
-    /// An empty store; `seed` determines all its batches.
+    /// Returns the model of an empty store. `seed`: determines all its batches.
     pub fn new(seed: u64) -> Self {
         let facts = Deployment {
             hosts: ["h1", "h2"].map(Name::from).into(),
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Changes that the catalog may accept or reject.
+    /// Returns changes that the catalog may accept or reject.
     fn change(&mut self) -> Vec<Change> {
         let name: Name =
             ["basic", "gold", "a plan with a longer name"][self.rng.random_range(0..3)].into();
@@ -71,7 +71,7 @@
         }
     }
 
-    /// The next batch, which is applied to the model as well.
+    /// Returns the next batch, after applying it to the model.
     pub fn batch(&mut self) -> Vec<Record> {
         let mut batch = Vec::new();
         for _ in 0..self.rng.random_range(1..4) {
@@ -115,7 +115,7 @@
         batch
     }
 
-    /// Whether exactly this is in the store.
+    /// Returns an error if the contents are not exactly the model's.
     pub fn check_equal(&self, contents: &StoreContents) -> Result<(), String> {
         let persisted = &contents.state;
         let found_catalog = Catalog::new(self.catalog.facts().clone(), 1000);
@@ -145,8 +145,8 @@
                 self.catalog.version()
             ));
         }
-        // The audit log leads from its first revision to the state, and has all that is not yet
-        // stable.
+        // The audit log leads from its first revision to the state, and has all revisions that are
+        // not yet stable.
         let first = persisted
             .audit_log
             .first()
@@ -163,7 +163,8 @@
         Ok(())
     }
 
-    /// The catalog is exactly this; the other contents may be more than was reported.
+    /// Returns an error if the catalog is not exactly the model's, or if a placement is lost. The
+    /// other contents may be more than was reported.
     pub fn check_contains(&self, contents: &StoreContents) -> Result<(), String> {
         let persisted = &contents.state;
         let found_catalog = Catalog::new(self.catalog.facts().clone(), 1000);
@@ -192,7 +193,7 @@
     }
 }
 
-/// Shards by volume and extent.
+/// Returns shards by volume and extent.
 fn placements(extents: &ExtentsByVolume) -> BTreeMap<(u64, u64), u32> {
     let mut placements = BTreeMap::new();
     for (volume, extents) in extents {
@@ -216,7 +217,7 @@
     Store::open_on(move || disk.backend(), AUDIT_LOG)
 }
 
-/// Commits batches until one fails; returns the states that may be found then.
+/// Commits batches until one fails, and returns the states that the store may then have.
 pub fn run(seed: u64, batches: usize, disk: &Disk) -> Vec<Model> {
     let mut model = Model::new(seed);
     let Ok((mut store, ..)) = open(disk) else {
--- a/crates/catalog-service/tests/faults.rs
+++ b/crates/catalog-service/tests/faults.rs
@@ -1,6 +1,6 @@
-//! The store on disks that lose power, fail, fill up and rot: after each start the state is the one
-//! before or the one after the last batch, nothing that was reported as stored is lost, the audit
-//! log agrees with the state, and damage is reported.
+//! The store on disks that lose power, fail, fill up and rot. After each start the state is the one
+//! before or the one after the last batch. No batch that was reported as stored is lost. The audit
+//! log agrees with the state. Damage is reported.
 
 mod common;
 
@@ -18,10 +18,11 @@
     run(1, 8, &full_run);
     let created = Disk::default();
     drop(open(&created));
-    let (from, to) = (created.ops(), full_run.ops());
-    assert!(to - from > 60, "{from} to {to}");
+    let created_at = created.ops();
+    let end = full_run.ops();
+    assert!(end - created_at > 60, "{created_at} to {end}");
     let mut found = [0, 0];
-    for at in 0..to {
+    for at in 0..end {
         let disk = Disk::default();
         disk.fails(Fails::PowerLossAt(at));
         let candidates = run(1, 8, &disk);
@@ -29,8 +30,8 @@
             let disk = Disk::of(disk.after_power_loss(at * 100 + seed));
             let (mut store, contents) = match open(&disk) {
                 Ok(opened) => opened,
-                // Nothing was ever reported as stored in a store whose creation was cut off.
-                Err(_) if at < from => continue,
+                // No batch was reported as stored in a store whose creation was interrupted.
+                Err(_) if at < created_at => continue,
                 Err(fault) => panic!("power lost at {at}, seed {seed}: {fault}"),
             };
             let which = candidates
@@ -43,7 +44,7 @@
                 )
             });
             found[which] += 1;
-            // And the store continues from there.
+            // The store continues from that state.
             let mut model = candidates[which].clone();
             store.commit(&model.batch()).expect("the disk works");
             let contents = store.read().unwrap();
@@ -60,8 +61,24 @@
     );
 }
 
-/// One operation fails and the process continues: whether the batch arrived or not, the report is
-/// right.
+/// Returns the model after a batch that was reported as not stored: the state before it, and
+/// another next batch.
+fn after_unstored_batch(model: Model, before: Model, batch: &[Record]) -> Model {
+    let mut after = Model {
+        rng: model.rng,
+        ..before
+    };
+    // Placements and hosts' versions may be stored, although they were not reported as stored.
+    for record in batch {
+        if let Record::ExtentPlacement { volume, extent, .. } = record {
+            after.places.remove(&(*volume, *extent));
+        }
+    }
+    after
+}
+
+/// One operation fails and the process continues. The report is correct, whether the batch is
+/// stored or not.
 #[test]
 fn after_any_single_disk_failure_the_store_has_what_was_reported() {
     let full_run = Disk::default();
@@ -84,18 +101,7 @@
                         StoreFault::Unknown { .. } => unknown += 1,
                         other => panic!("{fails:?}, batch {number}: {other:?}"),
                     }
-                    // It was reported that nothing of it is stored; the next batch is another one.
-                    model = Model {
-                        rng: model.rng,
-                        ..before
-                    };
-                    // Placements and hosts' versions may be stored: it was not reported that they
-                    // are.
-                    for record in &batch {
-                        if let Record::ExtentPlacement { volume, extent, .. } = record {
-                            model.places.remove(&(*volume, *extent));
-                        }
-                    }
+                    model = after_unstored_batch(model, before, &batch);
                 }
             }
             disk.fails(Fails::Never);
@@ -138,8 +144,8 @@
     store.commit(&model.batch()).unwrap();
 }
 
-/// Whatever byte rots, the store reports it or still has everything; it never serves something
-/// else, and never writes to what it cannot read.
+/// If a byte rots, the store reports it or still has all contents. It never serves other contents,
+/// and never writes to a file that it cannot read.
 #[test]
 fn a_byte_that_rots_is_reported_or_does_not_matter() {
     let disk = Disk::default();
@@ -152,14 +158,18 @@
     let mut rng = Pcg64Mcg::seed_from_u64(5);
     let (mut reported, mut written) = (0, 0);
     let used: Vec<usize> = (0..bytes.len()).filter(|i| bytes[*i] != 0).collect();
-    for n in 0..1500 {
+    for attempt in 0..1500 {
         let at = used[rng.random_range(0..used.len())];
         let mut rotten = bytes.clone();
         rotten[at] ^= 1 << rng.random_range(0..8);
         let disk = Disk::of(rotten.clone());
         match open(&disk) {
             Ok((_, contents)) => {
-                assert_eq!(model.check_equal(&contents), Ok(()), "byte {at}, look {n}");
+                assert_eq!(
+                    model.check_equal(&contents),
+                    Ok(()),
+                    "byte {at}, attempt {attempt}"
+                );
             }
             Err(fault) => {
                 reported += 1;
@@ -187,17 +197,17 @@
 fn a_newer_file_and_one_that_is_no_store_are_reported() {
     let disk = Disk::default();
     run(5, 2, &disk);
-    let db = redb::Builder::new()
+    let database = redb::Builder::new()
         .create_with_backend(disk.clone())
         .unwrap();
-    let write = db.begin_write().unwrap();
+    let write = database.begin_write().unwrap();
     write
         .open_table(redb::TableDefinition::<&str, u64>::new("meta"))
         .unwrap()
         .insert("schema", 9)
         .unwrap();
     write.commit().unwrap();
-    drop(db);
+    drop(database);
     assert_eq!(open(&disk).err(), Some(StoreFault::Newer { schema: 9 }));
     let fault = open(&Disk::of(b"this is a letter to a friend".repeat(400)))
         .err()
@@ -205,19 +215,19 @@
     assert!(matches!(fault, StoreFault::Damaged { .. }), "{fault:?}");
 }
 
-#[test]
-fn a_file_of_schema_1_is_migrated() {
+/// Returns a disk with a file of schema 1: 200 placements, and the ceiling 77.
+fn disk_of_schema_1() -> Disk {
     let disk = Disk::default();
-    let db = redb::Builder::new()
+    let database = redb::Builder::new()
         .create_with_backend(disk.clone())
         .unwrap();
-    let write = db.begin_write().unwrap();
+    let write = database.begin_write().unwrap();
     {
         let mut places = write
             .open_table(redb::TableDefinition::<(u64, u64), u32>::new("places"))
             .unwrap();
-        for x in 0..200u64 {
-            places.insert((7, x * 3), (x % 4) as u32).unwrap();
+        for index in 0..200u64 {
+            places.insert((7, index * 3), (index % 4) as u32).unwrap();
         }
         write
             .open_table(redb::TableDefinition::<(), u64>::new("ceiling"))
@@ -226,17 +236,24 @@
             .unwrap();
     }
     write.commit().unwrap();
-    drop(db);
+    drop(database);
+    disk
+}
+
+#[test]
+fn a_file_of_schema_1_is_migrated() {
+    let disk = disk_of_schema_1();
     for _ in 0..2 {
         let (store, contents) = open(&disk).unwrap();
         let (persisted, places) = (contents.state, contents.extents);
         assert_eq!((persisted.ceiling, places[&7].len()), (77, 200));
-        assert!((0..200u64).all(|x| places[&7].get(x * 3) == Some((x % 4) as u32)));
+        let is_placed = |index: u64| places[&7].get(index * 3) == Some((index % 4) as u32);
+        assert!((0..200u64).all(is_placed));
         drop(store);
     }
-    // And the machine may lose power at every operation of the migration.
+    // The machine may lose power at any operation of the migration.
     let before = disk.bytes();
-    let mut old = 0;
+    let mut migrated = 0;
     for at in 0..40 {
         let disk = Disk::of(before.clone());
         disk.fails(Fails::PowerLossAt(at));
@@ -250,9 +267,9 @@
             (77, 200),
             "power lost at {at}"
         );
-        old += 1;
+        migrated += 1;
     }
-    assert_eq!(old, 40);
+    assert_eq!(migrated, 40);
 }
 
 #[test]
@@ -264,7 +281,7 @@
         let batch: Vec<Record> = model
             .batch()
             .into_iter()
-            .filter(|k| !matches!(k, Record::Stable(_)))
+            .filter(|record| !matches!(record, Record::Stable(_)))
             .collect();
         store.commit(&batch).unwrap();
     }
--- a/crates/catalog-service/tests/snapshots.rs
+++ b/crates/catalog-service/tests/snapshots.rs
@@ -1,9 +1,10 @@
-//! Snapshots, complete and cut; restoring where a store was; group commits of many callers.
+//! Snapshots, complete and cut short; a restore in the place of a store; group commits of many
+//! callers.
 
-use grebecleat_catalog::catalog::*;
-use grebecleat_catalog::change::*;
+use grebecleat_catalog::catalog::Catalog;
+use grebecleat_catalog::change::{Change, ChangeContext, Revision, ScheduledChange};
 use grebecleat_catalog::leader::Epoch;
-use grebecleat_catalog::records::*;
+use grebecleat_catalog::records::{Deployment, Drain, Node, Plan, Stage, Version, Volume};
 use grebecleat_catalog_service::group_commit::GroupCommit;
 use grebecleat_catalog_service::snapshot;
 use grebecleat_catalog_service::store::{ExtentsByVolume, Record, Store, StoreFault};
@@ -21,7 +22,7 @@
     }
 }
 
-/// Applies a revision with these changes to the catalog.
+/// Applies a revision with these changes to the catalog, and returns it.
 fn next_revision(catalog: &mut Catalog, changes: Vec<Change>) -> Revision {
     let by = ChangeContext {
         author: "op",
@@ -91,7 +92,7 @@
     Catalog::new(deployment, 100)
 }
 
-/// Fills a store with some of everything.
+/// Fills a store with records of every kind.
 fn fill(path: &Path) {
     let mut catalog = empty_catalog();
     let target = Change::Target {
@@ -142,13 +143,14 @@
     snapshot::write(&snap, &all, Duration::from_secs(3)).unwrap();
     let read = snapshot::read(&snap).unwrap();
     assert_eq!(read.state, all.state);
-    let runs = |p: &ExtentsByVolume| {
-        p.iter()
-            .map(|(v, e)| (*v, e.iter().collect::<Vec<_>>()))
+    let runs = |placements: &ExtentsByVolume| {
+        placements
+            .iter()
+            .map(|(volume, extents)| (*volume, extents.iter().collect::<Vec<_>>()))
             .collect::<Vec<_>>()
     };
     assert_eq!(runs(&read.extents), runs(&all.extents));
-    // What comes after the snapshot is not in it, and remains in the store that was there.
+    // A record after the snapshot is not in it, and remains in the former store.
     let (mut store, ..) = Store::open(&path, 100).unwrap();
     store.commit(&[Record::Ceiling(1000)]).unwrap();
     drop(store);
@@ -184,24 +186,24 @@
     let bytes = std::fs::read(&snap).unwrap();
     let bad = dir.path().join("bad");
     let length = bytes.len();
-    for n in (0..length).step_by(length / 97) {
-        std::fs::write(&bad, &bytes[..n]).unwrap();
+    for cut_at in (0..length).step_by(length / 97) {
+        std::fs::write(&bad, &bytes[..cut_at]).unwrap();
         let fault = snapshot::read(&bad).unwrap_err();
         assert!(
             matches!(fault, StoreFault::Damaged { .. }),
-            "cut at {n}: {fault}"
+            "cut at {cut_at}: {fault}"
         );
         let mut damaged = bytes.clone();
-        damaged[n] ^= 0x10;
+        damaged[cut_at] ^= 0x10;
         std::fs::write(&bad, damaged).unwrap();
-        assert!(snapshot::read(&bad).is_err(), "byte {n}");
+        assert!(snapshot::read(&bad).is_err(), "byte {cut_at}");
     }
     std::fs::write(&bad, [&bytes[..], &bytes[..]].concat()).unwrap();
     assert!(snapshot::read(&bad).is_err());
-    // And the store stays as it was.
+    // The store stays as it was.
     assert!(snapshot::restore(&bad, &path, Epoch(9)).is_err());
     assert_eq!(Store::open(&path, 100).unwrap().1.state, all.state);
-    // One that cannot be written leaves the last one.
+    // A snapshot that cannot be written is reported.
     let fault =
         snapshot::write(&dir.path().join("no/such/folder"), &all, Duration::ZERO).unwrap_err();
     assert!(matches!(fault, StoreFault::Disk { .. }), "{fault}");
@@ -215,36 +217,39 @@
     assert_eq!(Store::open(&path, 100).err(), Some(StoreFault::Locked));
 }
 
-/// Of many callers in one group commit one has a wrong revision: only that one fails, and the order
-/// stays.
+/// One of many callers in one group commit has a wrong revision: only that caller fails, and the
+/// order stays.
 #[test]
 fn no_caller_fails_with_another_callers_fault() {
     let dir = tempfile::tempdir().unwrap();
     let (group_commit, ..) = GroupCommit::open(&dir.path().join("s.store"), 100).unwrap();
     let mut catalog = empty_catalog();
     let (to, from) = mpsc::channel();
-    for n in 0..30u64 {
+    for caller in 0..30u64 {
         let to = to.clone();
-        let records = match n {
+        let records = match caller {
             13 => {
                 let mut wrong = next_revision(&mut catalog.clone(), vec![plan("x", 1.0)]);
                 (wrong.version, wrong.from) = (Version(500), Version(499));
                 vec![Record::Revision(wrong)]
             }
-            n if n % 2 == 0 => vec![Record::Revision(next_revision(
+            even if even % 2 == 0 => vec![Record::Revision(next_revision(
                 &mut catalog,
-                vec![plan("p", n as f64 + 1.0)],
+                vec![plan("p", even as f64 + 1.0)],
             ))],
-            n => vec![Record::ExtentPlacement {
+            odd => vec![Record::ExtentPlacement {
                 volume: 1,
-                extent: n,
+                extent: odd,
                 shard: 2,
             }],
         };
-        group_commit.commit(records, move |done| to.send((n, done.is_ok())).unwrap());
+        group_commit.commit(records, move |done| {
+            to.send((caller, done.is_ok())).unwrap()
+        });
     }
     let results: Vec<(u64, bool)> = from.iter().take(30).collect();
-    assert_eq!(results, (0..30).map(|n| (n, n != 13)).collect::<Vec<_>>());
+    let expected: Vec<(u64, bool)> = (0..30).map(|caller| (caller, caller != 13)).collect();
+    assert_eq!(results, expected);
     let (seen, all) = mpsc::channel();
     group_commit.read(move |all| seen.send(all.unwrap()).unwrap());
     let contents = all.recv().unwrap();
