--- a/crates/coordination/src/attempts.rs
+++ b/crates/coordination/src/attempts.rs
@@ -1,50 +1,51 @@
-//! Attempts that this host made in the last seconds, by node, as observations for its report.
+//! This host's attempts of the last seconds, by node, as observations for its report.
 //!
-//! Owned by [`crate::coordinator`], which counts each attempt here and halves the counts as time passes.
-//! Memory: a row for each node in use.
+//! Owned by [`crate::coordinator`], which counts each attempt here and halves the counts
+//! regularly. No I/O. Memory: one row for each node in use.
 
 use crate::evidence::EVIDENCE_WINDOW;
 use crate::host_report::Observation;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Attempts of the last seconds to one node. Each answer halves the count of the other kind: of a
-/// node that has changed, earlier answers are little evidence, and of one that answers sometimes
-/// well and sometimes badly both counts stay.
+/// The attempts of the last seconds to one node.
+///
+/// Each result halves the count of the other kind. If a node has changed, its earlier results thus
+/// soon weigh little. If good and bad results alternate, both counts stay.
 #[derive(Debug, Default, Clone, Copy)]
 struct AttemptCounts {
     good: u32,
     bad: u32,
     last: Duration,
-    /// When it last answered here while it was ejected.
+    /// When the node last answered this host while it was ejected.
     answered_ejected: Option<Duration>,
 }
 
-/// The nodes in use, and how they answered this host.
+/// The nodes in use, and the results of this host's attempts to them.
 #[derive(Debug, Default)]
 pub(crate) struct AttemptHistory {
-    /// With the starts of their processes.
+    /// The nodes in use, with the starts of their processes.
     nodes: BTreeMap<u32, u64>,
     counts: BTreeMap<u32, AttemptCounts>,
 }
 
 impl AttemptHistory {
-    /// The nodes in use, with the starts of their processes.
+    /// Returns the nodes in use, with the starts of their processes.
     pub fn nodes(&self) -> &BTreeMap<u32, u64> {
         &self.nodes
     }
 
     /// Replaces the nodes in use.
     pub fn set_nodes(&mut self, nodes: BTreeMap<u32, u64>) {
-        // Another process of a node knows nothing of what the last one did.
+        // The results of a node's former process are no evidence on its new one.
         let before = &self.nodes;
         self.counts
             .retain(|node, _| nodes.contains_key(node) && nodes.get(node) == before.get(node));
         self.nodes = nodes;
     }
 
-    /// Counts an attempt; whether it may be news for the peers. `is_ejected`: whether this host has
-    /// the node ejected.
+    /// Counts an attempt. Returns whether the peers may have to receive its result at once.
+    /// `is_ejected`: whether this host has ejected the node.
     pub fn record(&mut self, now: Duration, node: u32, bad: bool, is_ejected: bool) -> bool {
         let counts = self.counts.entry(node).or_default();
         if bad {
@@ -61,7 +62,7 @@
         bad || counts.answered_ejected == Some(now)
     }
 
-    /// Halves all counts; where `is_outdated`, drops them.
+    /// Halves all counts. Drops them if `is_outdated`.
     pub fn halve(&mut self, is_outdated: bool) {
         self.counts.retain(|_, counts| {
             counts.good /= 2;
@@ -70,7 +71,8 @@
         });
     }
 
-    /// What this host observed of a node in use.
+    /// Returns this host's observation of a node in use; None if it has sent no attempt to the
+    /// node.
     pub fn observation(&self, now: Duration, node: u32) -> Option<Observation> {
         let counts = self.counts.get(&node)?;
         let start = *self.nodes.get(&node)?;
@@ -87,7 +89,7 @@
         })
     }
 
-    /// What this host observed of all nodes in use, in their order.
+    /// Returns this host's observations of all nodes in use, in ascending order of the nodes.
     pub fn observations(&self, now: Duration) -> impl Iterator<Item = Observation> + '_ {
         let nodes = self.counts.keys();
         nodes.filter_map(move |node| self.observation(now, *node))
--- a/crates/coordination/src/borrowed_leases.rs
+++ b/crates/coordination/src/borrowed_leases.rs
@@ -1,5 +1,5 @@
-//! The borrower's side of one limit's leases: what is borrowed, and which requests wait for an
-//! answer.
+//! The borrower's side of one limit's leases: the borrowed leases, and the requests that wait for
+//! an answer.
 //!
 //! State machine, owned by [`crate::quota_lease`]. No I/O. Memory: [`MAX_LEASES`] leases, and as
 //! many pending requests.
@@ -9,22 +9,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Leases that a host grants, and that it borrows, at most.
+/// Leases that a host grants, and leases that it borrows, at most. More cost memory and messages;
+/// with fewer a host cannot use the spare amounts of many lenders.
 pub const MAX_LEASES: usize = 64;
-/// Hosts that are asked for a lease at a time.
-const MAX_LENDERS_ASKED: usize = 8;
-/// A request without an answer is dropped after this fraction of a lease's duration.
+/// Hosts from which a round requests leases, at most. More cost messages; fewer delay the use of
+/// small spare amounts.
+const MAX_LENDERS_PER_ROUND: usize = 8;
+/// The fraction of a lease's duration after which a request without an answer is dropped. A larger
+/// divisor drops requests whose answers are late; a smaller one delays the next request.
 const REQUEST_TIMEOUT_DIVISOR: u32 = 4;
-/// A lease is renewed when less than this fraction of its duration is left.
+/// The remaining fraction of a lease's duration below which the lease is renewed. A larger divisor
+/// leaves less time for a lost renewal; a smaller one costs messages.
 const RENEWAL_DIVISOR: u32 = 2;
 
-/// What one host could lease to others of one limit.
+/// The amount of one limit that one host could lease to others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lender {
     /// The host.
     pub host: HostNumber,
-    /// What it last reported to have to spare, in fractions of
-    /// [`crate::lease_message::WHOLE_LIMIT`].
+    /// The spare amount that it last reported, in fractions of
+    /// [`crate::lease_message::FULL_LIMIT`].
     pub spare: u32,
 }
 
@@ -33,7 +37,7 @@
 pub struct OutgoingLeaseMessage {
     /// The receiver.
     pub to: HostNumber,
-    /// What it is sent.
+    /// The message.
     pub message: LeaseMessage,
 }
 
@@ -59,21 +63,21 @@
     amount: u32,
 }
 
-/// What one host borrows of one limit.
+/// The leases of one limit that one host borrows.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct BorrowedLeases {
     /// How long a lease lasts from its request.
     duration: Duration,
-    /// By their numbers.
+    /// The borrowed leases by their numbers.
     leases: BTreeMap<u64, BorrowedLease>,
-    /// By their numbers.
+    /// The requests without an answer, by their numbers.
     requests: BTreeMap<u64, PendingRequest>,
-    /// The last number given to a lease or a request.
+    /// The last number that was given to a lease or a request.
     last_number: u64,
 }
 
 impl BorrowedLeases {
-    /// Nothing borrowed; numbers begin after `last_number`.
+    /// Returns a state without leases. Numbers begin after `last_number`.
     pub fn new(duration: Duration, last_number: u64) -> Self {
         BorrowedLeases {
             duration,
@@ -83,13 +87,13 @@
         }
     }
 
-    /// What is borrowed now.
+    /// Returns the sum of the borrowed amounts.
     pub fn amount(&self, now: Duration) -> u32 {
         let leases = self.leases.values().filter(|lease| now < lease.until);
         leases.map(|lease| lease.amount).sum()
     }
 
-    /// When each lease runs out.
+    /// Returns when each lease expires.
     pub fn ends(&self) -> impl Iterator<Item = Duration> + '_ {
         self.leases.values().map(|lease| lease.until)
     }
@@ -100,18 +104,18 @@
         self.requests.clear();
     }
 
-    /// Drops all requests, so that answers to them are rejected.
+    /// Drops all requests, so that answers to them are ignored.
     pub fn drop_requests(&mut self) {
         self.requests.clear();
     }
 
-    /// Drops what an earlier incarnation of a host granted, and was asked for.
+    /// Drops the leases that an earlier incarnation of a host granted, and the requests to it.
     pub fn void_from(&mut self, lender: HostNumber) {
         self.leases.retain(|_, lease| lease.lender != lender);
         self.requests.retain(|_, request| request.lender != lender);
     }
 
-    /// Drops what has run out.
+    /// Drops expired leases and requests.
     pub fn drop_expired(&mut self, now: Duration) {
         let request_timeout = self.duration / REQUEST_TIMEOUT_DIVISOR;
         self.leases.retain(|_, lease| now < lease.until);
@@ -119,7 +123,7 @@
             .retain(|_, request| now < request.sent_at + request_timeout);
     }
 
-    /// Takes the answer to a request. `amount`: 0 where nothing is granted.
+    /// Handles the answer to a request. `amount`: 0 if the request is rejected.
     pub fn handle_grant(&mut self, now: Duration, lender: HostNumber, request: u64, amount: u32) {
         let pending = self.requests.remove(&request);
         let Some(pending) = pending.filter(|pending| pending.lender == lender) else {
@@ -131,7 +135,7 @@
         }
         let lease = self.leases.get_mut(&pending.lease);
         if let Some(lease) = lease.filter(|lease| now < lease.until) {
-            // Grants can overtake each other, and only make a lease longer.
+            // Grants can overtake each other; a grant therefore never shortens a lease.
             lease.until = until.max(lease.until);
             lease.amount = amount.min(lease.amount);
             return;
@@ -144,7 +148,7 @@
         self.leases.insert(pending.lease, lease);
     }
 
-    /// Releases leases that fit into the surplus, and returns the messages to send.
+    /// Releases leases whose amounts fit into the surplus, and returns the messages to send.
     pub fn release(&mut self, mut surplus: u32) -> Vec<OutgoingLeaseMessage> {
         let mut released = Vec::new();
         for (lease, borrowed) in &self.leases {
@@ -155,7 +159,8 @@
         }
         let mut out = Vec::new();
         for (lease, lender) in released {
-            // Dropped before the message is sent: the message may be late or lost, never early.
+            // The lease is dropped before its message is sent: the message may be late or lost, but
+            // it never arrives before the drop.
             self.leases.remove(&lease);
             self.requests.retain(|_, request| request.lease != lease);
             out.push(OutgoingLeaseMessage {
@@ -166,8 +171,9 @@
         out
     }
 
-    /// Requests renewals, and new leases for what is missing; returns the messages to send.
-    /// `min_lease`: the smallest lease worth its messages. `lenders`: the likeliest first.
+    /// Requests renewals, and new leases for the missing amount. Returns the messages to send.
+    /// `min_lease`: the amount of the smallest lease that is worth its messages. `lenders`: the
+    /// preferred first.
     pub fn request<'a>(
         &mut self,
         now: Duration,
@@ -202,10 +208,11 @@
         out
     }
 
-    /// Renewals of leases that are in their second half.
+    /// Returns renewals of the leases that are in the second half of their duration.
     fn renewals(&self, now: Duration) -> Vec<LeaseRequest> {
         let due_before = now + self.duration / RENEWAL_DIVISOR;
-        let is_requested = |lease: u64| self.requests.values().any(|r| r.lease == lease);
+        let is_requested =
+            |lease: u64| self.requests.values().any(|request| request.lease == lease);
         self.leases
             .iter()
             .filter(|(lease, borrowed)| due_before >= borrowed.until && !is_requested(**lease))
@@ -217,16 +224,16 @@
             .collect()
     }
 
-    /// Spreads what is missing over the lenders.
+    /// Distributes the missing amount over the lenders.
     fn new_leases<'a>(
         &mut self,
         mut missing: u32,
         min_lease: u32,
         lenders: impl Iterator<Item = &'a Lender>,
     ) -> Vec<LeaseRequest> {
-        let room = MAX_LEASES.saturating_sub(self.leases.len());
+        let capacity = MAX_LEASES.saturating_sub(self.leases.len());
         let mut requests = Vec::new();
-        for lender in lenders.take(MAX_LENDERS_ASKED.min(room)) {
+        for lender in lenders.take(MAX_LENDERS_PER_ROUND.min(capacity)) {
             let amount = missing.min(lender.spare);
             if amount >= min_lease {
                 self.last_number += 1;
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,18 +1,18 @@
-//! One host's share in what the fleet decides: gossip, outlier detection and quotas put together.
+//! The coordinator of one host: combines gossip, outlier detection and quota leases.
 //!
-//! State machine: `step(now, events)` returns the actions to perform. No I/O. A host's quota
-//! sharing calls it for every batch of events; [`Coordinator::wake_at`] says when it must be called
-//! again. It counts what this host has tried and served in the last seconds, publishes that in its
-//! report, merges the others', and returns what has changed: the quota of each volume's limit that
-//! this host may use, and the policy for each node. What is lost or late only leaves it where it
-//! was: with its base quotas and its own evidence.
+//! State machine: `step(now, events)` returns the actions to perform. No I/O. The host's quota
+//! sharing calls it for every batch of events; [`Coordinator::wake_at`] returns when the next call
+//! is due. The coordinator counts this host's attempts and served units of the last seconds,
+//! publishes the counts in its report, and merges the reports of the other hosts. It returns the
+//! changes: the quota of each volume's limit that this host may use, and the policy for each node.
+//! If messages are lost or late, the host stays with its base quotas and its own evidence.
 //!
-//! Memory: an entry for each host, a row for each node and for each volume with a limit that is
-//! shared.
+//! State: the gossip state, the outlier detector, the quotas, and the counts. Memory: one entry for
+//! each host, and one row for each node and for each volume with a shared limit.
 
 use crate::attempts::AttemptHistory;
 use crate::borrowed_leases::Lender;
-use crate::events::{Action, Event, Rules};
+use crate::events::{Action, Event, Notice, RejectReason, Rules};
 use crate::evidence::{Observer, EVIDENCE_WINDOW};
 use crate::gossip_message::{GossipMessage, MAX_ENTRIES, MAX_REPORT_ITEMS};
 use crate::gossip_state::{GossipState, KnownReport, GOSSIP_FANOUT};
@@ -28,44 +28,47 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// After so long counts of a node's answers are halved: a host that sends there seldom still has an
-/// attempt to report.
+/// The time after which the counts of attempts are halved. With a shorter time a host that seldom
+/// sends to a node has no attempt to report; with a longer one the counts follow changes late.
 const HALVING_INTERVAL: Duration = Duration::from_secs(2);
-/// After so many halving intervals without a step all counts are outdated.
+/// Halving intervals without a step after which all counts are outdated. With more of them a host
+/// reports counts from before a pause of its process; with fewer a late step drops valid counts.
 const OUTDATED_INTERVALS: u32 = 3;
-/// Lines of the log that name one peer with bad messages; after them they are only counted.
+/// Log lines about rejected messages of one peer, at most; later ones are only counted. More lines
+/// let a faulty peer fill the log.
 const MAX_LOG_LINES_PER_PEER: u32 = 3;
-/// Separate the random numbers of the components, which all come from one seed.
+/// Separates the detector's random numbers from those of the gossip state, which has the same seed.
 const DETECTOR_SEED_SALT: u64 = 0x6a75;
+/// Separates the random order of the lenders from the other random numbers.
 const LENDERS_SEED_SALT: u64 = 0x666c;
 
-/// What this host knows of a peer, for operators.
+/// The state of a peer as this host knows it, for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PeerMetrics {
     /// The peer.
     pub host: HostNumber,
-    /// Its incarnation.
+    /// The peer's incarnation.
     pub incarnation: Incarnation,
     /// Time since its last report was written.
     pub age: Duration,
-    /// Nodes that it sent to in the last seconds.
+    /// Number of nodes to which it sent attempts in the last seconds.
     pub tried: u32,
-    /// Nodes of `tried` that answered it badly.
+    /// Number of nodes of `tried` that it finds bad.
     pub bad: u32,
 }
 
-/// What all hosts report of a node, and how this host treats it.
+/// The finding of all hosts' reports on a node, and this host's policy for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodePolicy {
     /// The node's number.
     pub node: u32,
     /// The verdict from all evidence.
     pub finding: Finding,
-    /// How this host treats it.
+    /// This host's policy for it.
     pub policy: EndpointPolicy,
 }
 
-/// One host's share in what the fleet decides.
+/// The coordinator of one host.
 #[derive(Debug)]
 pub struct Coordinator {
     me: HostNumber,
@@ -78,17 +81,17 @@
     /// When the counts were last halved.
     halved_at: Duration,
     quotas: SharedQuotas,
-    /// The urgent observations of the last report.
+    /// The urgent observations of the last published report.
     published_urgent: BTreeSet<UrgentObservation>,
-    /// Bad messages of each peer so far.
-    bad_messages: BTreeMap<HostNumber, u32>,
+    /// Number of rejected messages of each peer so far.
+    rejected_messages: BTreeMap<HostNumber, u32>,
     outbox: LeaseOutbox,
     actions: Vec<Action>,
 }
 
 impl Coordinator {
-    /// `incarnation`: a number that grows from start to start as far as this host can know; `seed`
-    /// is new at each.
+    /// Returns the coordinator of a host that knows nothing of its peers. `incarnation`: a number
+    /// that grows from start to start, as far as this host can know. `seed`: new at each start.
     pub fn new(
         now: Duration,
         me: HostNumber,
@@ -98,7 +101,7 @@
         seed: u64,
     ) -> Self {
         let hosts = peers.len() + 1;
-        // Twice the time in which one host could pass on all reports.
+        // The rotation is twice the time in which one host could pass on all reports.
         let entries_per_round = (GOSSIP_FANOUT * MAX_ENTRIES) as u32;
         let rotation = rules.interval * 2 * hosts as u32 / entries_per_round;
         let fresh_within = EVIDENCE_WINDOW + rotation;
@@ -112,26 +115,26 @@
             halved_at: now,
             quotas: SharedQuotas::new(now, me, rules),
             published_urgent: BTreeSet::new(),
-            bad_messages: BTreeMap::new(),
+            rejected_messages: BTreeMap::new(),
             outbox: LeaseOutbox::default(),
             actions: Vec::new(),
         }
     }
 
-    /// When `step` must be called again if nothing happens before.
+    /// Returns when `step` must be called again if there is no event before.
     pub fn wake_at(&self) -> Duration {
         self.gossip.wake_at().min(self.quotas_change_at())
     }
 
-    /// When what this host may use of some volume next changes by itself.
+    /// Returns when some quota of this host next changes without a message.
     pub fn quotas_change_at(&self) -> Duration {
         self.quotas.change_at()
     }
 
-    /// Takes in what has happened, and returns what to do.
+    /// Handles events, and returns the actions to perform.
     pub fn step(&mut self, now: Duration, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
-        // What has run out while this host stood still is gone before anything else is received or
-        // sent.
+        // Leases may have expired during a pause of this process. They end before any message is
+        // handled or sent.
         if now >= self.quotas.change_at() {
             self.quotas.touch_all();
             self.apply_quotas(now);
@@ -143,8 +146,8 @@
             self.halve_counts(now);
             self.run_lease_round(now);
             self.publish_report(now);
-            // News that arrived has brought the round near; to evaluate at every message would cost
-            // all observations each time.
+            // The nodes are evaluated once a round, which a rumor has brought forward: an
+            // evaluation at every message would each time cost a pass over all observations.
             self.evaluate_nodes(now);
         }
         self.send_messages(now);
@@ -163,7 +166,7 @@
             Event::AttemptEnded { node, bad } => {
                 let is_ejected = self.detector.is_ejected(node);
                 if self.attempts.record(now, node, bad, is_ejected) {
-                    self.publish_if_news(now, node);
+                    self.publish_if_urgent(now, node);
                 }
             }
             Event::UnitsRequested { volume, units } => self.quotas.add_requested(volume, units),
@@ -190,16 +193,15 @@
                 }
                 self.handle_message(now, from, &message);
             }
-            Err(error) => self.log_bad_message(from, &error.to_string()),
+            Err(error) => self.log_rejected(from, error.into()),
         }
     }
 
     fn handle_message(&mut self, now: Duration, from: HostNumber, message: &GossipMessage) {
         let outcome = self.gossip.handle_message(now, from, message);
         if outcome.rejected > 0 {
-            let rejected = outcome.rejected;
-            let why = format!("{rejected} entries of hosts unknown here, or forgotten");
-            self.log_bad_message(from, &why);
+            let entries = outcome.rejected;
+            self.log_rejected(from, RejectReason::Entries { entries });
         }
         if outcome.incarnation_raised {
             self.incarnation_raised();
@@ -219,29 +221,29 @@
     fn incarnation_raised(&mut self) {
         let incarnation = self.gossip.incarnation();
         self.quotas.set_incarnation(incarnation);
-        self.actions.push(Action::Log {
-            text: format!("goes on as life {} of this host", incarnation.0),
-        });
+        self.log(Notice::IncarnationRaised { incarnation });
     }
 
-    fn log_bad_message(&mut self, from: HostNumber, why: &str) {
-        let bad_messages = self.bad_messages.entry(from).or_default();
-        *bad_messages += 1;
-        if *bad_messages <= MAX_LOG_LINES_PER_PEER {
-            self.actions.push(Action::Log {
-                text: format!("word of host {}: {why}", from.0),
-            });
+    fn log_rejected(&mut self, from: HostNumber, reason: RejectReason) {
+        let rejected = self.rejected_messages.entry(from).or_default();
+        *rejected += 1;
+        if *rejected <= MAX_LOG_LINES_PER_PEER {
+            self.log(Notice::MessageRejected { from, reason });
         }
     }
 
-    /// Halves what is counted, so that it stays a count of the last seconds.
+    fn log(&mut self, notice: Notice) {
+        self.actions.push(Action::Log { notice });
+    }
+
+    /// Halves the counts if that is due, so that they stay counts of the last seconds.
     fn halve_counts(&mut self, now: Duration) {
         if now < self.halved_at + HALVING_INTERVAL {
             return;
         }
         self.served
             .measure_local((now - self.halved_at).as_secs_f64());
-        // After this host stood still all of it is old.
+        // After a long pause of this process all counts are old.
         let is_outdated = now >= self.halved_at + HALVING_INTERVAL * OUTDATED_INTERVALS;
         self.halved_at = now;
         self.attempts.halve(is_outdated);
@@ -264,12 +266,12 @@
         self.outbox.add(messages);
     }
 
-    /// What this host reports of itself.
+    /// Returns this host's report.
     fn own_report(&self, now: Duration) -> HostReport {
         let mut observations: Vec<Observation> = self.attempts.observations(now).collect();
         let tried = observations.len() as u32;
-        let bad = observations.iter().filter(|seen| seen.is_bad()).count() as u32;
-        observations.sort_by_key(|seen| (self.report_rank(seen), Reverse(seen.sent)));
+        let bad = observations.iter().filter(|one| one.is_bad()).count() as u32;
+        observations.sort_by_key(|one| (self.report_rank(one), Reverse(one.sent)));
         observations.truncate(MAX_REPORT_ITEMS);
         HostReport {
             tried,
@@ -280,11 +282,11 @@
         }
     }
 
-    /// Urgent observations come first, then those of nodes that others find bad and that answer
-    /// here, since those can end an ejection.
-    fn report_rank(&self, seen: &Observation) -> u32 {
-        let finding = self.detector.findings().get(&seen.node);
-        if seen.is_urgent() {
+    /// Returns the rank of an observation in the report. Urgent observations come first.
+    /// Observations of nodes that other hosts find bad come next, since they can end an ejection.
+    fn report_rank(&self, observation: &Observation) -> u32 {
+        let finding = self.detector.findings().get(&observation.node);
+        if observation.is_urgent() {
             0
         } else if finding.is_some_and(|finding| finding.bad.hosts > 0) {
             1
@@ -296,14 +298,15 @@
     fn publish_report(&mut self, now: Duration) {
         let report = self.own_report(now);
         let urgent = report.urgent();
-        // What is no longer reported is no news: it is old, and no peer needs to know that at once.
-        let news = !urgent.is_subset(&self.published_urgent);
+        // An observation that the report no longer contains makes no rumor: it is old, and no peer
+        // needs the change at once.
+        let is_rumor = !urgent.is_subset(&self.published_urgent);
         self.published_urgent = urgent;
-        self.gossip.publish(now, report, news);
+        self.gossip.publish(now, report, is_rumor);
     }
 
-    /// News that a node has begun to answer badly, or well where it was ejected, does not wait.
-    fn publish_if_news(&mut self, now: Duration, node: u32) {
+    /// Publishes a report at once if a node has become bad, or answers although it is ejected.
+    fn publish_if_urgent(&mut self, now: Duration, node: u32) {
         let observation = self.attempts.observation(now, node);
         let Some(urgent) = observation.filter(Observation::is_urgent) else {
             return;
@@ -331,7 +334,7 @@
         }
     }
 
-    /// Sends the round's messages where one is due, and lease messages at once.
+    /// Sends the messages of a round if one is due, and lease messages at once.
     fn send_messages(&mut self, now: Duration) {
         let round = self.gossip.run_round(now);
         if round.incarnation_raised {
@@ -341,14 +344,14 @@
             message.lease_messages = self.outbox.take_for(to);
             self.send(to, &message);
         }
-        for to in self.outbox.receivers() {
+        for receiver in self.outbox.receivers() {
             let message = GossipMessage {
                 incarnation: self.gossip.incarnation(),
                 requests_sync: false,
                 entries: Vec::new(),
-                lease_messages: self.outbox.take_for(to),
+                lease_messages: self.outbox.take_for(receiver),
             };
-            self.send(to, &message);
+            self.send(receiver, &message);
         }
     }
 
@@ -362,19 +365,19 @@
         self.actions.extend(changes);
     }
 
-    /// Units a second that a volume is served through the other hosts, by their own counts. Reports
-    /// that are late leave some out: it is at most what they serve, but for the last change of
-    /// their rate.
+    /// Returns the rate at which the other hosts serve a volume, in units a second, by their own
+    /// counts. Late reports are missing in it: the result is at most the true rate, except for the
+    /// last change of a host's rate.
     pub fn served_elsewhere(&self, now: Duration, volume: u64) -> f64 {
         self.served.elsewhere(now, volume)
     }
 
-    /// The same over all hosts, with this one.
+    /// Returns the rate at which all hosts, including this one, serve a volume, in units a second.
     pub fn served_everywhere(&self, now: Duration, volume: u64) -> f64 {
         self.served.everywhere(now, volume)
     }
 
-    /// What this host knows of its peers.
+    /// Returns the state of the peers as this host knows it.
     pub fn peers(&self, now: Duration) -> Vec<PeerMetrics> {
         peer_reports(&self.gossip, self.me, now)
             .map(|known| PeerMetrics {
@@ -387,12 +390,12 @@
             .collect()
     }
 
-    /// The quotas of all shared volumes.
+    /// Returns the quotas of all shared volumes.
     pub fn quotas(&self, now: Duration) -> Vec<QuotaMetrics> {
         self.quotas.metrics(now)
     }
 
-    /// Of each node that some host has tried: what all report, and how this host treats it.
+    /// Returns the finding and the policy for each node to which some host has sent attempts.
     pub fn policies(&self) -> Vec<NodePolicy> {
         let findings = self.detector.findings();
         findings
@@ -405,18 +408,18 @@
             .collect()
     }
 
-    /// How this host treats a node.
+    /// Returns this host's policy for a node.
     pub fn policy_of(&self, node: u32) -> EndpointPolicy {
         self.detector.policy(node)
     }
 
-    /// This host's incarnation.
+    /// Returns this host's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.gossip.incarnation()
     }
 }
 
-/// The reports of all hosts but `me`.
+/// Returns the reports of all hosts except `me`.
 fn peer_reports(
     gossip: &GossipState,
     me: HostNumber,
--- a/crates/coordination/src/events.rs
+++ b/crates/coordination/src/events.rs
@@ -1,36 +1,37 @@
-//! What goes into the fleet's state machine and what comes out of it.
+//! The events and actions of [`crate::coordinator`].
 //!
-//! Plain data: a host turns what happens into [`Event`]s, and carries out the [`Action`]s of
-//! [`crate::coordinator`].
+//! Plain data: the host's quota sharing passes [`Event`]s, and performs the returned [`Action`]s.
 
+use crate::gossip_codec::GossipDecodeError;
 use crate::lease_message::LeaseTerms;
 use crate::outlier_detection::EndpointPolicy;
-use crate::HostNumber;
+use crate::{HostNumber, Incarnation};
 use std::collections::{BTreeMap, BTreeSet};
+use std::fmt;
 use std::time::Duration;
 
-/// The figures of the settings for the fleet.
+/// The settings of the fleet's coordination.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rules {
-    /// Between two gossip rounds.
+    /// The time between two gossip rounds.
     pub interval: Duration,
-    /// For how long quotas are leased.
+    /// The terms of quota leases.
     pub leases: LeaseTerms,
 }
 
-/// What has happened.
+/// An event at this host.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A peer's message has arrived.
     MessageReceived {
         /// The sender.
         from: HostNumber,
-        /// How long it was on the way, as far as that is known.
+        /// How long the message waited on its way, as far as that is known.
         waited: Duration,
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// The nodes of the endpoint list that are to be used, with the starts of their processes.
+    /// The nodes of the endpoint list that are in use, with the starts of their processes.
     NodesInUse(BTreeMap<u32, u64>),
     /// An attempt to a node ended with a result that is evidence on the node.
     AttemptEnded {
@@ -43,31 +44,32 @@
     UnitsRequested {
         /// The volume's number.
         volume: u64,
-        /// How many.
+        /// Number of units.
         units: f64,
     },
     /// A volume was served units here.
     UnitsServed {
         /// The volume's number.
         volume: u64,
-        /// How many.
+        /// Number of units.
         units: f64,
     },
     /// The sharers or the limit of a volume have changed.
     VolumeChanged {
         /// The volume's number.
         volume: u64,
-        /// The hosts through which it works; none: it has no limit, or no longer works here.
+        /// The hosts that serve the volume. Empty: the volume has no limit, or this host no longer
+        /// serves it.
         sharers: BTreeSet<HostNumber>,
-        /// The whole limit, in units a second.
+        /// The limit over all hosts, in units a second.
         limit: f64,
     },
 }
 
-/// What to do.
+/// An action that the host performs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send a message to a peer; it may be lost, doubled, late or reordered.
+    /// Send a message to a peer. The message may be lost, duplicated, late or reordered.
     Send {
         /// The receiver.
         to: HostNumber,
@@ -78,19 +80,67 @@
     QuotaChanged {
         /// The volume's number.
         volume: u64,
-        /// How many times its base quota this host may use; 0: nothing.
+        /// The quota that this host may use, as a multiple of its base quota; 0: no units.
         times: f64,
     },
-    /// Treat a node in another way.
+    /// Apply another policy to a node.
     PolicyChanged {
         /// The node's number.
         node: u32,
-        /// How to treat it.
+        /// The policy.
         policy: EndpointPolicy,
     },
     /// Write a line to the log.
     Log {
-        /// The line.
-        text: String,
+        /// The notice.
+        notice: Notice,
     },
 }
+
+/// A notice for the log. Its text is the line.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Notice {
+    /// This host's incarnation was too low, for instance because its clock went back.
+    IncarnationRaised {
+        /// The incarnation under which the host continues.
+        incarnation: Incarnation,
+    },
+    /// A peer's message, or a part of it, was rejected.
+    MessageRejected {
+        /// The sender.
+        from: HostNumber,
+        /// The reason.
+        reason: RejectReason,
+    },
+}
+
+/// The reason why a message, or a part of it, was rejected.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+pub enum RejectReason {
+    /// The message cannot be decoded.
+    #[error(transparent)]
+    Decode(#[from] GossipDecodeError),
+    /// Entries concern hosts that are not in the settings, or are too old.
+    #[error("{entries} entries of unknown hosts, or too old")]
+    Entries {
+        /// Number of these entries.
+        entries: usize,
+    },
+}
+
+impl fmt::Display for Notice {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Notice::IncarnationRaised { incarnation } => {
+                write!(formatter, "incarnation raised to {}", incarnation.0)
+            }
+            Notice::MessageRejected { from, reason } => {
+                write!(
+                    formatter,
+                    "gossip message from host {} rejected: {reason}",
+                    from.0
+                )
+            }
+        }
+    }
+}
--- a/crates/coordination/src/evidence.rs
+++ b/crates/coordination/src/evidence.rs
@@ -1,28 +1,31 @@
-//! Weighs all hosts' observations of each node: the evidence for it and against it.
+//! Weighs all hosts' observations of each node, as evidence for the node and against it.
 //!
-//! Pure functions, called by [`crate::outlier_detection`] in each evaluation. Evidence is what
-//! hosts tried themselves, of one process of the node, not older than [`EVIDENCE_WINDOW`]. Each
-//! host's weighs as much as it sent, up to a bound, scaled by the host's local health, and fades
-//! with its age.
+//! Pure functions, which [`crate::outlier_detection`] calls in each evaluation. Evidence consists
+//! of the hosts' own attempts to one process of the node, not older than [`EVIDENCE_WINDOW`]. The
+//! weight of a host's evidence is its number of attempts, up to a bound, scaled by the host's local
+//! health. The weight decreases with the age of the evidence.
 
 use crate::host_report::{HostReport, Observation};
 use crate::HostNumber;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Well over the time in which news reaches all hosts, and under that in which a node starts anew.
+/// The greatest age of evidence. It must be well above the time in which a rumor reaches all hosts;
+/// with a shorter window evidence expires on its way. It must be below the time in which a node
+/// restarts; with a longer one evidence outlives its cause.
 pub const EVIDENCE_WINDOW: Duration = Duration::from_secs(4);
-/// Attempts that one host's evidence weighs at most: a busy host is still one observer.
+/// The greatest weight of one host's evidence, in attempts: a busy host is still one observer. A
+/// larger bound lets one host decide; a smaller one ignores how much a host has sent.
 const MAX_WEIGHT: f64 = 8.0;
 
-/// One host's report of nodes.
+/// One host's report, as evidence on nodes.
 #[derive(Debug, Clone)]
 pub struct Observer<'a> {
     /// The host.
     pub host: HostNumber,
     /// Time since it wrote the report.
     pub age: Duration,
-    /// What it reports.
+    /// The report.
     pub report: &'a HostReport,
 }
 
@@ -31,37 +34,37 @@
 pub(crate) struct Evidence {
     /// The host that observed.
     pub observer: HostNumber,
-    /// What it observed, with its age now.
+    /// The observation, with its present age.
     pub observation: Observation,
 }
 
 /// Fresh evidence by node.
 pub(crate) type EvidenceByNode = BTreeMap<u32, Vec<Evidence>>;
 
-/// How many hosts are for a node, or against it, and how much their evidence weighs.
+/// The number of hosts whose evidence is for a node, or against it, and the weight of the evidence.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct EvidenceTally {
-    /// Hosts.
+    /// Number of hosts.
     pub hosts: usize,
-    /// Their weight together, in attempts that count.
+    /// Sum of the weights, in attempts.
     pub weight: f64,
 }
 
 /// All evidence on one node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct NodeEvidence {
-    /// The evidence for it.
+    /// The evidence for the node.
     pub good: EvidenceTally,
-    /// The evidence against it.
+    /// The evidence against the node.
     pub bad: EvidenceTally,
-    /// When the last evidence for it was observed.
+    /// When the last evidence for the node was observed.
     pub last_good: Option<Duration>,
-    /// When the last evidence against it was observed.
+    /// When the last evidence against the node was observed.
     pub last_bad: Option<Duration>,
 }
 
-/// The fresh observations of the nodes' present processes. `nodes`: with the starts of their
-/// processes.
+/// Returns the fresh observations of the nodes' present processes. `nodes`: the nodes with the
+/// starts of their processes.
 pub(crate) fn collect<'a>(
     nodes: &BTreeMap<u32, u64>,
     observers: impl Iterator<Item = Observer<'a>>,
@@ -83,17 +86,17 @@
     by_node
 }
 
-/// How each host compares with the others on the same nodes.
+/// The comparison of a host's observations with those of the other hosts on the same nodes.
 #[derive(Debug, Clone, Copy, Default)]
 struct PeerComparison {
-    /// Nodes that it observed.
+    /// Number of nodes that the host observed.
     observed: f64,
-    /// Nodes that it alone finds bad.
+    /// Number of nodes that the host finds bad and most others find good.
     alone: f64,
 }
 
-/// The local health of each host, 0 to 1: a host that finds bad what its peers find good is itself
-/// ill (Lifeguard, Dadgar 2018).
+/// Returns the local health of each host, from 0 to 1. A host that finds nodes bad which its peers
+/// find good is itself impaired (Lifeguard, Dadgar 2018).
 pub(crate) fn local_health(by_node: &EvidenceByNode) -> BTreeMap<HostNumber, f64> {
     let mut comparisons: BTreeMap<HostNumber, PeerComparison> = BTreeMap::new();
     for all in by_node.values() {
@@ -113,7 +116,7 @@
         .collect()
 }
 
-/// Adds up the evidence on one node.
+/// Sums up the evidence on one node.
 pub(crate) fn weigh(
     now: Duration,
     all: &[Evidence],
--- a/crates/coordination/src/host_report.rs
+++ b/crates/coordination/src/host_report.rs
@@ -1,56 +1,59 @@
-//! What one host reports of itself to its peers, with the version that orders its reports.
+//! The report of one host to its peers, and the version that orders its reports.
 //!
-//! Plain data, used by the gossip state, the encoded messages, outlier detection and the quotas. A
-//! report holds what its writer observed itself, never what it received from others; its age
-//! travels with it, so that no clocks are compared.
+//! Plain data for the gossip state, the encoded messages, outlier detection and the quotas. A
+//! report contains only its writer's own observations, and never those of other hosts. The report's
+//! age travels with it, so that hosts do not compare clocks.
 
 use crate::{HostNumber, Incarnation};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Orders the reports of one host: the larger stamp is the later report.
+/// The version of a report. It orders the reports of one host: the larger stamp is later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VersionStamp {
     /// The writer's incarnation.
     pub incarnation: Incarnation,
-    /// Reports of this incarnation so far.
+    /// Number of reports of this incarnation so far.
     pub count: u64,
 }
 
-/// How a node answered one host in the last seconds.
+/// The results of one host's attempts of the last seconds to one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Observation {
     /// The node's number.
     pub node: u32,
     /// Start of the node's process, as the endpoint list has it.
     pub start: u64,
-    /// Attempts that were sent.
+    /// Number of attempts that were sent.
     pub sent: u32,
-    /// Attempts of `sent` that ended badly; at most `sent`.
+    /// Number of failed attempts; at most `sent`.
     pub bad: u32,
-    /// Time since the last attempt ended, when this was written.
+    /// Time since the last attempt ended, when the observation was written.
     pub age: Duration,
-    /// The node is ejected, and answers this host.
+    /// The node is ejected, but answers this host.
     pub contradicts_ejection: bool,
 }
 
 impl Observation {
-    /// Whether it speaks against its node; a node that is merely slow or full answers.
+    /// Returns whether the observation is evidence against the node. A node that is merely slow or
+    /// full answers, and is not bad.
     pub fn is_bad(&self) -> bool {
         self.bad * 2 > self.sent
     }
 
-    /// Whether it speaks for its node. An observation may be neither good nor bad.
+    /// Returns whether the observation is evidence for the node. An observation may be neither good
+    /// nor bad.
     pub fn is_good(&self) -> bool {
         self.sent > self.bad && self.bad * 4 <= self.sent
     }
 
-    /// Whether peers should receive it at once.
+    /// Returns whether peers should receive the observation at once.
     pub fn is_urgent(&self) -> bool {
         self.contradicts_ejection || self.is_bad()
     }
 
-    /// What identifies it as news: further counts of the same kind are none.
+    /// Returns the part of the observation that makes it a new rumor. Further attempts with the
+    /// same result do not change that part.
     pub fn urgent_key(&self) -> UrgentObservation {
         UrgentObservation {
             node: self.node,
@@ -67,46 +70,46 @@
     pub node: u32,
     /// Start of the node's process.
     pub start: u64,
-    /// The node is ejected and answers; otherwise it answers badly.
+    /// The node is ejected and answers. If false, the node is bad.
     pub contradicts_ejection: bool,
 }
 
-/// What a host could lease to others of a volume's limit.
+/// The amount of a volume's limit that a host could lease to others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseOffer {
     /// The volume's number.
     pub volume: u64,
-    /// In fractions of [`crate::lease_message::WHOLE_LIMIT`].
+    /// The spare amount, in fractions of [`crate::lease_message::FULL_LIMIT`].
     pub spare: u32,
 }
 
-/// What a volume was served through one host in the host's current incarnation.
+/// The units that one host has served for a volume in the host's present incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ServedUnits {
     /// The volume's number.
     pub volume: u64,
-    /// Units since the host started.
+    /// Number of units since the host started.
     pub units: u64,
 }
 
-/// What a host reports of itself and of what it tried itself; never what it received from others.
+/// A host's report of itself and of its own attempts, without reports of other hosts.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct HostReport {
-    /// Nodes that it sent to in the last seconds.
+    /// Number of nodes to which it sent attempts in the last seconds.
     pub tried: u32,
-    /// Nodes of `tried` that answered badly.
+    /// Number of nodes of `tried` that it finds bad.
     pub bad: u32,
-    /// How nodes answered it; the most important ones where there are too many.
+    /// Its observations of nodes; only the most important ones if there are too many.
     pub observations: Vec<Observation>,
-    /// What it could lease to others.
+    /// The amounts that it could lease to others.
     pub offers: Vec<LeaseOffer>,
-    /// What it served of the busiest volumes.
+    /// The units that it has served for the busiest volumes.
     pub served: Vec<ServedUnits>,
 }
 
 impl HostReport {
-    /// What peers should receive at once: processes of nodes that it finds bad, or that answer it
-    /// though they are ejected.
+    /// Returns the observations that peers should receive at once: of nodes that the host finds
+    /// bad, and of nodes that answer it although they are ejected.
     pub fn urgent(&self) -> BTreeSet<UrgentObservation> {
         self.observations
             .iter()
@@ -116,15 +119,15 @@
     }
 }
 
-/// A host's report as it travels between hosts.
+/// A host's report, as hosts exchange it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GossipEntry {
     /// The host that wrote the report.
     pub writer: HostNumber,
-    /// Orders the writer's reports.
+    /// The version, which orders the writer's reports.
     pub version: VersionStamp,
     /// Time since the report was written, as far as it is known.
     pub age: Duration,
-    /// What the writer reports.
+    /// The report.
     pub report: HostReport,
 }
--- a/crates/coordination/src/lease_outbox.rs
+++ b/crates/coordination/src/lease_outbox.rs
@@ -1,22 +1,23 @@
 //! Lease messages that wait to be sent, by receiver.
 //!
-//! Owned by [`crate::coordinator`], which adds them to gossip messages. Memory: what one step produces,
-//! and what exceeds [`MAX_LEASE_MESSAGES`] for one receiver, until a later step sends it.
+//! Owned by [`crate::coordinator`], which adds them to gossip messages. Memory: the messages of one
+//! step, and the messages for one receiver beyond [`MAX_LEASE_MESSAGES`], until a later step sends
+//! them.
 
 use crate::gossip_message::{VolumeLeaseMessage, MAX_LEASE_MESSAGES};
 use crate::quotas::AddressedLeaseMessage;
 use crate::HostNumber;
 use std::collections::BTreeMap;
 
-/// Lease messages that wait to be sent.
+/// The lease messages that wait to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseOutbox {
-    /// No receiver has an empty list.
+    /// Messages by receiver; no receiver has an empty list.
     waiting: BTreeMap<HostNumber, Vec<VolumeLeaseMessage>>,
 }
 
 impl LeaseOutbox {
-    /// Adds messages behind those that wait.
+    /// Adds messages after those that already wait.
     pub fn add(&mut self, messages: Vec<AddressedLeaseMessage>) {
         for addressed in messages {
             let waiting = self.waiting.entry(addressed.to).or_default();
@@ -24,12 +25,12 @@
         }
     }
 
-    /// Hosts that messages wait for.
+    /// Returns the hosts for which messages wait.
     pub fn receivers(&self) -> Vec<HostNumber> {
         self.waiting.keys().copied().collect()
     }
 
-    /// Takes the first messages for a host, as many as fit into one gossip message.
+    /// Removes and returns the first messages for a host, as many as one gossip message carries.
     pub fn take_for(&mut self, to: HostNumber) -> Vec<VolumeLeaseMessage> {
         let Some(mut messages) = self.waiting.remove(&to) else {
             return Vec::new();
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,43 +1,48 @@
-//! What hosts of one fleet share and decide together: gossip, outlier detection and quota leases.
+//! Coordination among the hosts of one fleet: gossip, outlier detection and quota leases.
 //!
-//! Free of I/O: [`coordinator::Coordinator`] is called as `step(now, events)` and returns actions; the
-//! transport of its messages may lose, double, delay and reorder them. Begin there. Its parts:
+//! No I/O: [`coordinator::Coordinator`] is a state machine, `step(now, events)`, which returns the
+//! actions to perform. Begin there. The transport of its messages may lose, duplicate, delay and
+//! reorder them. Its parts:
 //!
-//! - [`events`]: what goes into it and what comes out;
-//! - [`gossip_state`]: a report of each host ([`host_report`]), merged by the later version;
-//! - [`outlier_detection`]: what all hosts' [`evidence`] says of a node, and how this host treats
-//!   it;
-//! - [`quotas`], [`quota_lease`] and [`borrowed_leases`]: quotas of a limit, leased for a time,
-//!   whose sum never passes the limit;
-//! - [`gossip_message`], [`lease_message`] and [`gossip_codec`]: what hosts exchange, and what of
-//!   it is rejected.
+//! - [`events`]: the events and the actions.
+//! - [`gossip_state`]: the newest report of each host ([`host_report`]), merged by version.
+//! - [`outlier_detection`]: the verdict of all hosts' [`evidence`] on a node, and this host's
+//!   policy for it; `ejections`: the ejected nodes, and the turns to probe them.
+//! - [`quotas`], [`quota_lease`], [`borrowed_leases`] and `granted_leases`: quotas of a limit,
+//!   which hosts lease to each other for a time. The sum of all quotas never exceeds the limit.
+//! - [`gossip_message`], [`lease_message`] and [`gossip_codec`]: the messages, and the reasons why
+//!   a message is rejected.
 //!
-//! A host that receives nothing, and one alone, decides as one without this package: nothing here
-//! is a condition of service, and nothing that is received lets a host use more than the sum over
-//! all hosts allows.
+//! A host that receives no message decides like a host without this package. No service depends on
+//! this package, and no received message lets a host use more than the limit over all hosts allows.
 
 #![warn(missing_docs)]
 
 mod attempts;
 pub mod borrowed_leases;
 pub mod coordinator;
+mod ejections;
 pub mod events;
 pub mod evidence;
 pub mod gossip_codec;
 pub mod gossip_message;
 pub mod gossip_state;
+mod granted_leases;
 pub mod host_report;
 pub mod lease_message;
 mod lease_outbox;
 pub mod outlier_detection;
+mod own_incarnation;
 pub mod quota_lease;
 pub mod quotas;
+mod report_store;
 mod served_rates;
 
-/// A host's place among the settings' hosts.
+/// The number of a host: its position among the settings' hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostNumber(pub u32);
 
-/// Tells the processes of one host apart; of two, the larger is the later.
+/// The incarnation of a host's process. It distinguishes the processes of one host; the larger
+/// incarnation is later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
--- a/crates/coordination/src/outlier_detection.rs
+++ b/crates/coordination/src/outlier_detection.rs
@@ -1,69 +1,65 @@
-//! Outlier detection: what all hosts' evidence says of a node, and which policy this host follows
-//! for it.
+//! Outlier detection: the verdict of all hosts' evidence on a node, and this host's policy for it.
 //!
-//! State machine: [`OutlierDetector::evaluate`] takes what this host has tried and what its peers
-//! report, and returns the nodes of which this host's policy has changed. Called by
-//! [`crate::coordinator`] at every round. No I/O. Memory: a row for each node of the list.
+//! State machine: [`OutlierDetector::evaluate`] takes this host's observations and its peers'
+//! reports, and returns the nodes whose policy has changed. [`crate::coordinator`] calls it in
+//! every round. No I/O. Memory: one row for each node of the endpoint list.
 //!
-//! A node is ejected where at least [`MIN_OBSERVERS`] hosts find it bad, with twice the weight that
-//! speaks for it; where reports of at most half of the hosts are fresh, or too many nodes would be
-//! ejected, the verdict is distrusted and this host goes by its own evidence.
+//! A node is ejected if at least [`MIN_OBSERVERS`] hosts find it bad, and the weight of their
+//! evidence is at least twice the weight of the evidence for the node. The verdict is distrusted if
+//! at most half of the hosts have fresh reports, or if too many nodes would be ejected. This host
+//! then relies on its own evidence.
 //!
 //! | this host's own evidence | all evidence | policy |
 //! | --- | --- | --- |
 //! | good | any | `OwnEvidence` |
-//! | bad | good, split | `BadPath`: the module's own backoff and count of bad answers decide |
+//! | bad | good, split | `BadPath`: the scheduler's own backoff and count of failures decide |
 //! | bad | ejected | `Avoid`, or `Probe` in turn |
 //! | bad | too little, distrusted | `OwnEvidence` |
 //! | none, or old | ejected | `Avoid`, or `Probe` in turn |
 //! | none, or old | anything else | `OwnEvidence` |
 //!
-//! An ejection ends by newer evidence that the node answers, by another start of the node, or by
-//! this host's own evidence; never by silence, so some hosts must probe: each host draws, once in
-//! [`PROBE_INTERVAL`], whether it probes, so that [`PROBERS`] of all do on average. The exception
-//! is a host that receives too few reports: after [`EJECTION_TIMEOUT`] it drops what it received,
-//! and finds out by itself like one without peers.
+//! The module `ejections` states how an ejection ends.
 
+use crate::ejections::{Ejections, ProbeSchedule};
 use crate::evidence::{self, EvidenceByNode, EvidenceTally, NodeEvidence, Observer};
 use crate::host_report::{HostReport, Observation};
 use crate::HostNumber;
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Hosts that must find a node bad; fewer, though at least 2, in a fleet that has no more.
+pub use crate::ejections::{EJECTION_TIMEOUT, PROBERS, PROBE_INTERVAL};
+
+/// Hosts that must find a node bad before it is ejected. A smaller fleet needs all its other hosts,
+/// but at least 2. A larger number ejects later; with a smaller one few bad hosts eject a node.
 pub const MIN_OBSERVERS: usize = 3;
-/// How long a host probes, or does not, on average.
-pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Hosts that probe an ejected node at a time, on average.
-pub const PROBERS: f64 = 2.0;
-/// How long an ejection lasts without a verdict that is trusted.
-pub const EJECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// The fraction of all observed nodes that may be ejected, as a panic threshold.
+/// The fraction of all observed nodes that may be ejected (a panic threshold). A larger one leaves
+/// too few nodes for the load; with a smaller one a failure of many nodes ejects none.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
-/// How many times the weight for a node the weight against it must be.
+/// The least ratio of the weight against a node to the weight for it. A larger ratio ejects later;
+/// with a smaller one evidence that is split ejects.
 const EJECTION_WEIGHT_RATIO: f64 = 2.0;
-/// Bad attempts of its own below which a host does not take its own path for bad.
+/// The least number of a host's own bad attempts after which it considers its own path bad. A
+/// larger number detects a bad path later; with a smaller one a single failure counts as a bad
+/// path.
 const MIN_OWN_BAD: u32 = 2;
 
 /// The conclusion from all evidence on a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// No host, or too few, have tried it in the last seconds.
+    /// No host, or too few hosts, have sent attempts to the node in the last seconds.
     Unknown,
-    /// It answers.
+    /// The node answers.
     Healthy,
-    /// Some reach it and some do not: the paths there are bad, not the node.
+    /// Some hosts reach the node and some do not: the paths to it are bad, not the node.
     Split,
-    /// It is an outlier.
+    /// The node is an outlier.
     Ejected,
-    /// It would be ejected, but so would too many, or too few reports are fresh.
+    /// The node would be ejected, but too many nodes would be, or too few reports are fresh.
     Distrusted,
 }
 
 impl Verdict {
-    /// Its name as operators see it.
+    /// Returns the verdict's name as operators see it.
     pub fn name(self) -> &'static str {
         match self {
             Verdict::Unknown => "unknown",
@@ -75,103 +71,85 @@
     }
 }
 
-/// How this host treats a node.
+/// The way in which this host treats a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointPolicy {
-    /// As a host without peers does.
+    /// The host relies on its own evidence, like a host without peers.
     OwnEvidence,
-    /// Others reach it: it is this host's path there that is bad.
+    /// Other hosts reach the node: this host's path to it is bad.
     BadPath,
-    /// Nothing is sent there.
+    /// The host sends nothing to the node.
     Avoid,
-    /// It is ejected, and it is this host's turn to probe it.
+    /// The node is ejected, and it is this host's turn to probe it.
     Probe,
 }
 
 /// The verdict on a node, with the evidence for it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
-    /// What follows from it.
+    /// The verdict.
     pub verdict: Verdict,
     /// The evidence for the node.
     pub good: EvidenceTally,
-    /// The evidence against it.
+    /// The evidence against the node.
     pub bad: EvidenceTally,
-    /// When the last evidence for it was observed.
+    /// When the last evidence for the node was observed.
     pub last_good: Option<Duration>,
-    /// When the last evidence against it was observed.
+    /// When the last evidence against the node was observed.
     pub last_bad: Option<Duration>,
 }
 
-#[derive(Debug, Clone)]
-struct Ejection {
-    /// Start of the node's process.
-    start: u64,
-    /// When the last evidence against it was observed.
-    last_bad: Duration,
-    /// When this host last had a verdict on it that was trusted.
-    confirmed_at: Duration,
-}
-
-/// Whether this host probes a node, until it draws again.
-#[derive(Debug, Clone, Copy)]
-struct ProbeTurn {
-    until: Duration,
-    probes: bool,
-}
-
 /// One host's outlier detection.
 #[derive(Debug)]
 pub struct OutlierDetector {
     me: HostNumber,
-    /// How many hosts there are.
+    /// Number of hosts, including this one.
     fleet_size: usize,
-    /// A report is fresh below this age: in a large fleet all reports take longer to come round
-    /// than news.
+    /// The age below which a report is fresh. In a large fleet the rotation of all reports takes
+    /// longer than a rumor.
     fresh_within: Duration,
-    rng: Pcg64Mcg,
-    ejections: BTreeMap<u32, Ejection>,
-    probe_turns: BTreeMap<u32, ProbeTurn>,
-    /// The last policies returned.
+    ejections: Ejections,
+    probes: ProbeSchedule,
+    /// The policies that were returned last.
     policies: BTreeMap<u32, EndpointPolicy>,
     findings: BTreeMap<u32, Finding>,
 }
 
 impl OutlierDetector {
-    /// `fleet_size`: hosts of the fleet, with this one. `fresh_within`: below which age a report
-    /// counts as fresh.
+    /// Returns a detector without evidence. `fleet_size`: number of hosts, including this one.
+    /// `fresh_within`: the age below which a report counts as fresh.
     pub fn new(me: HostNumber, fleet_size: usize, fresh_within: Duration, seed: u64) -> Self {
         OutlierDetector {
             me,
             fleet_size,
             fresh_within,
-            rng: Pcg64Mcg::seed_from_u64(seed),
-            ejections: BTreeMap::new(),
-            probe_turns: BTreeMap::new(),
+            ejections: Ejections::default(),
+            probes: ProbeSchedule::new(fleet_size, seed),
             policies: BTreeMap::new(),
             findings: BTreeMap::new(),
         }
     }
 
-    /// What the last evaluation found of each node that some host has tried.
+    /// Returns the findings of the last evaluation, for each node to which some host has sent
+    /// attempts.
     pub fn findings(&self) -> &BTreeMap<u32, Finding> {
         &self.findings
     }
 
-    /// Whether this host has the node ejected.
+    /// Returns whether this host has ejected the node.
     pub fn is_ejected(&self, node: u32) -> bool {
-        self.ejections.contains_key(&node)
+        self.ejections.contains(node)
     }
 
-    /// How this host treats the node.
+    /// Returns this host's policy for the node.
     pub fn policy(&self, node: u32) -> EndpointPolicy {
         let policy = self.policies.get(&node).copied();
         policy.unwrap_or(EndpointPolicy::OwnEvidence)
     }
 
-    /// Evaluates all evidence, and returns the policies that have changed. `nodes`: those of the
-    /// list, with the starts of their processes. `own` is what this host has tried, `peers` what
-    /// the others report.
+    /// Evaluates all evidence, and returns the policies that have changed. `nodes`: the nodes of
+    /// the endpoint list, with the starts of their processes. `own`: this host's observations.
+    /// `peers`: the reports of the other hosts.
     pub fn evaluate(
         &mut self,
         now: Duration,
@@ -195,8 +173,9 @@
         if too_few_fresh || self.ejects_too_many() {
             self.distrust_ejections();
         }
-        self.update_ejections(now, nodes, too_few_fresh);
-        self.draw_probe_turns(now);
+        self.ejections
+            .update(now, nodes, &self.findings, too_few_fresh);
+        self.probes.draw(now, &self.ejections);
         self.update_policies(nodes, own)
     }
 
@@ -232,11 +211,11 @@
         }
     }
 
-    /// Whether more than the allowed fraction of all known nodes is ejected, or would be by the
-    /// findings.
+    /// Returns whether more than the allowed fraction of all known nodes is ejected, or would be
+    /// ejected by the findings.
     fn ejects_too_many(&self) -> bool {
         let is_ejected = |finding: &Finding| finding.verdict == Verdict::Ejected;
-        let ejections = || self.ejections.keys();
+        let ejections = || self.ejections.nodes();
         let unobserved = ejections().filter(|node| !self.findings.contains_key(node));
         let known = self.findings.len() + unobserved.count();
         let not_found_again =
@@ -254,61 +233,6 @@
         }
     }
 
-    /// Ejects, and ends ejections, by the findings.
-    fn update_ejections(&mut self, now: Duration, nodes: &BTreeMap<u32, u64>, too_few_fresh: bool) {
-        for (node, finding) in &self.findings {
-            match finding.verdict {
-                Verdict::Ejected => {
-                    let ejection = Ejection {
-                        start: nodes[node],
-                        last_bad: finding.last_bad.unwrap_or(now),
-                        confirmed_at: now,
-                    };
-                    self.ejections.insert(*node, ejection);
-                }
-                // It must be evidence that the node answers of later than what ejected it: what
-                // hosts found before it failed is on its way for some time yet.
-                Verdict::Healthy | Verdict::Split => {
-                    let ejection = self.ejections.get(node);
-                    let answers_again = ejection.is_some_and(|ejection| {
-                        finding.last_good.is_some_and(|at| at > ejection.last_bad)
-                    });
-                    if answers_again {
-                        self.ejections.remove(node);
-                    }
-                }
-                Verdict::Unknown | Verdict::Distrusted => {}
-            }
-        }
-        let findings = &self.findings;
-        self.ejections.retain(|node, ejection| {
-            let finding = findings.get(node);
-            let distrusted = finding.is_some_and(|finding| finding.verdict == Verdict::Distrusted);
-            // Silence confirms it where the others' reports are fresh: some host probes.
-            if !too_few_fresh && !distrusted {
-                ejection.confirmed_at = now;
-            }
-            let is_same_process = nodes.get(node) == Some(&ejection.start);
-            is_same_process && now < ejection.confirmed_at + EJECTION_TIMEOUT
-        });
-    }
-
-    fn draw_probe_turns(&mut self, now: Duration) {
-        let chance = (PROBERS / self.fleet_size.max(1) as f64).min(1.0);
-        let ejections = &self.ejections;
-        self.probe_turns
-            .retain(|node, _| ejections.contains_key(node));
-        for node in ejections.keys() {
-            let turn = self.probe_turns.get(node);
-            if turn.is_none_or(|turn| now >= turn.until) {
-                // At other moments on each host, or all that probe would probe at the same time.
-                let until = now + PROBE_INTERVAL.mul_f64(0.5 + self.rng.random::<f64>());
-                let probes = self.rng.random::<f64>() < chance;
-                self.probe_turns.insert(*node, ProbeTurn { until, probes });
-            }
-        }
-    }
-
     fn update_policies(
         &mut self,
         nodes: &BTreeMap<u32, u64>,
@@ -332,8 +256,7 @@
             return EndpointPolicy::OwnEvidence;
         }
         if self.is_ejected(node) {
-            let turn = self.probe_turns.get(&node);
-            return if turn.is_some_and(|turn| turn.probes) {
+            return if self.probes.is_probing(node) {
                 EndpointPolicy::Probe
             } else {
                 EndpointPolicy::Avoid
--- a/crates/coordination/src/quota_lease.rs
+++ b/crates/coordination/src/quota_lease.rs
@@ -1,75 +1,63 @@
-//! Quota leases: hosts share one limit by quotas, and lease parts of them to each other; the sum of
-//! all quotas never passes the whole limit.
+//! Quota leases: hosts share one limit by quotas, and lease parts of their quotas to each other.
+//! The sum of all quotas never exceeds the limit.
 //!
-//! State machine, no I/O. [`crate::quotas`] owns one for each shared limit and calls
-//! [`QuotaLeases::handle_message`] for what another host sent about it and
-//! [`QuotaLeases::run_round`] at every round, both of which return the messages to send;
-//! [`QuotaLeases::quota`] is what this host may use now. It is escrow (O'Neil 1986; bounded
-//! counters, Balegas 2015) with leases (Gray and Cheriton 1989) in place of transfers, so that what
-//! is leased returns by itself when it is not renewed.
+//! State machine, no I/O. [`crate::quotas`] owns one for each shared limit. It calls
+//! [`QuotaLeases::handle_message`] with each message of another host about the limit, and
+//! [`QuotaLeases::run_round`] in every round. Both return the messages to send.
+//! [`QuotaLeases::quota`] is the quota that this host may use now. The method is escrow (O'Neil
+//! 1986; bounded counters, Balegas 2015) with leases (Gray and Cheriton 1989) in place of
+//! transfers: a lease that is not renewed returns to its lender without a message.
 //!
-//! Why the sum stays within the limit, whatever messages arrive. Each host has a base quota, and
-//! all base quotas add up to the whole limit at most. A lease leaves its lender before the borrower
-//! learns of it, and returns `duration + margin` after the lender last granted it; the borrower
-//! counts `duration` from when it sent the *request*, which was earlier. So no unit is used twice,
-//! as long as clocks run apart by less than `margin` in one `duration`; messages that are lost,
-//! doubled or late change only who waits. Four things could break it, each prevented by a rule:
+//! # Why the sum stays within the limit, whatever messages arrive
 //!
-//! - a host that lost its memory does not know what it granted: until each sharer has sent that it
-//!   uses nothing of an earlier incarnation, or until every such lease has run out, it uses only
-//!   the reserve that is never leased;
-//! - a grant by an earlier incarnation can arrive after its borrower has sent that it uses none,
-//!   and one to an earlier incarnation after the borrower's restart: both are rejected by the
-//!   incarnation;
-//! - base quotas change with the number of sharers: what was borrowed under another number is void
-//!   at once, what was granted under it stays granted to its end;
-//! - two processes of one host: the earlier one uses nothing (see [`crate::gossip_state`]).
+//! Each host has a base quota. All base quotas add up to at most the limit. The lender stops using
+//! a leased amount before the borrower learns of the lease. The lender uses it again `duration +
+//! margin` after it last granted the lease. The borrower counts `duration` from when it sent the
+//! *request*, which was earlier. Therefore no unit is used twice, if clocks run apart by less than
+//! `margin` in one `duration`. Messages that are lost, duplicated or late change only which host
+//! waits. Four events could break this argument. A rule prevents each:
 //!
-//! What is leased is the rate of a limit and not its burst: each host's bucket has its own depth,
-//! so all depths add up to the burst, nothing is ever filled by a lease, and a host that has leased
-//! out nearly all can still serve at once what comes to it.
+//! - A host that lost its memory does not know its granted leases. It uses only the reserve, which
+//!   is never leased, until each sharer has sent `Cleared`, or until every lease of an earlier
+//!   incarnation has expired. `Cleared` states that its sender uses no lease of an earlier
+//!   incarnation of the receiver.
+//! - A grant by an earlier incarnation can arrive after its borrower has sent `Cleared`. A grant to
+//!   an earlier incarnation can arrive after the borrower's restart. The incarnation in the
+//!   messages makes the receiver reject both.
+//! - Base quotas change with the number of sharers. Leases that were borrowed under another number
+//!   are void at once. Leases that were granted under it stay granted to their end.
+//! - Two processes of one host may run. The earlier one uses nothing (see [`crate::gossip_state`]).
 //!
-//! Memory: [`MAX_LEASES`] leases granted and borrowed each, and as many pending requests.
+//! A lease concerns the rate of a limit and not its burst. Each host's token bucket has its own
+//! depth, and all depths add up to the burst. No lease ever fills a bucket. A host that has leased
+//! out nearly its complete quota can still serve a burst at once.
+//!
+//! Memory: [`MAX_LEASES`] granted leases and as many borrowed ones, and as many pending requests.
 
 use crate::borrowed_leases::{BorrowedLeases, Lender, OutgoingLeaseMessage, MAX_LEASES};
-use crate::lease_message::{LeaseMessage, LeaseTerms, ReceivedLeaseMessage, WHOLE_LIMIT};
+use crate::granted_leases::{GrantedLease, GrantedLeases, LeaseKey};
+use crate::lease_message::{LeaseMessage, LeaseTerms, ReceivedLeaseMessage, FULL_LIMIT};
 use crate::{HostNumber, Incarnation};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Less than this fraction of a base quota is not worth a lease. Harm: so much stays where it is
-/// not needed.
+/// The fraction of a base quota that is the smallest lease. A larger divisor costs messages for
+/// small leases; a smaller one leaves that fraction with hosts that do not need it.
 const MIN_LEASE_DIVISOR: u32 = 8;
-/// The fraction of a base quota that is never leased: what a host uses that does not know what it
-/// granted.
+/// The fraction of a base quota that is never leased: the quota of a host that does not know its
+/// granted leases. A larger divisor leaves less to such a host; a smaller one leaves less to lease.
 const RESERVE_DIVISOR: u32 = 8;
 
-/// Identifies a lease for its lender.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct LeaseKey {
-    borrower: HostNumber,
-    incarnation: Incarnation,
-    lease: u64,
-}
-
-#[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct GrantedLease {
-    amount: u32,
-    /// Among how many hosts the limit was shared then.
-    sharers: u32,
-    until: Duration,
-}
-
-/// What a host has leased, in fractions of [`WHOLE_LIMIT`].
+/// The amounts that a host has leased, in fractions of [`FULL_LIMIT`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeasedAmounts {
-    /// To others.
+    /// The amount that it has granted to other hosts.
     pub granted: u32,
-    /// From others.
+    /// The amount that it has borrowed from other hosts.
     pub borrowed: u32,
 }
 
-/// One host's quota of one limit, with what it has granted and borrowed.
+/// One host's quota of one limit, with its granted and borrowed leases.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct QuotaLeases {
     me: HostNumber,
@@ -77,19 +65,20 @@
     started_at: Duration,
     terms: LeaseTerms,
     sharers: BTreeSet<HostNumber>,
-    /// Sharers that use nothing of an earlier incarnation of this host.
+    /// Sharers that use no lease of an earlier incarnation of this host.
     cleared: BTreeSet<HostNumber>,
-    /// The latest incarnation of each sharer that a message came from.
+    /// The latest incarnation of each sharer from which a message has arrived.
     incarnations: BTreeMap<HostNumber, Incarnation>,
-    granted: BTreeMap<LeaseKey, GrantedLease>,
+    granted: GrantedLeases,
     borrowed: BorrowedLeases,
+    /// The amount that this host could use, in fractions of [`FULL_LIMIT`].
     demand: u32,
-    /// Another, later process of this host is known.
+    /// A later process of this host is known.
     superseded: bool,
 }
 
 impl QuotaLeases {
-    /// The state of a host that does not know what an earlier incarnation granted.
+    /// Returns the state of a host that does not know the leases of its earlier incarnations.
     pub fn new(
         now: Duration,
         me: HostNumber,
@@ -105,31 +94,31 @@
             sharers,
             cleared: BTreeSet::new(),
             incarnations: BTreeMap::new(),
-            granted: BTreeMap::new(),
-            // A volume that goes and comes back begins anew in the same incarnation; numbers used
-            // before it went must not be used again, or late answers to them would be taken for
-            // answers to new requests.
+            granted: GrantedLeases::default(),
+            // A volume that is removed and added again starts with a new state in the same
+            // incarnation. It must not use its former numbers again; otherwise late answers to
+            // them would count as answers to new requests.
             borrowed: BorrowedLeases::new(terms.duration, now.as_micros() as u64),
             demand: 0,
             superseded: false,
         }
     }
 
-    /// This host's own quota where nothing is leased, in fractions of [`WHOLE_LIMIT`].
+    /// Returns this host's quota without any lease, in fractions of [`FULL_LIMIT`].
     pub fn base_quota(&self) -> u32 {
         if self.sharers.contains(&self.me) {
-            WHOLE_LIMIT / self.sharers.len() as u32
+            FULL_LIMIT / self.sharers.len() as u32
         } else {
             0
         }
     }
 
-    /// The hosts that share the limit.
+    /// Returns the hosts that share the limit.
     pub fn sharers(&self) -> &BTreeSet<HostNumber> {
         &self.sharers
     }
 
-    /// What this host may use now, in fractions of [`WHOLE_LIMIT`].
+    /// Returns the quota that this host may use now, in fractions of [`FULL_LIMIT`].
     pub fn quota(&self, now: Duration) -> u32 {
         if self.superseded {
             0
@@ -138,53 +127,42 @@
         }
     }
 
-    /// What is leased now.
+    /// Returns the amounts that are leased now.
     pub fn leased(&self, now: Duration) -> LeasedAmounts {
-        let granted = self.granted.values().filter(|lease| now < lease.until);
         LeasedAmounts {
-            granted: granted.map(|lease| lease.amount).sum(),
+            granted: self.granted.amount(now),
             borrowed: self.borrowed.amount(now),
         }
     }
 
-    /// When the quota next changes by itself.
+    /// Returns when the quota next changes without a message.
     pub fn changes_at(&self, now: Duration) -> Option<Duration> {
-        let granted = self.granted.values().map(|lease| lease.until);
         let recovers = (!self.knows_granted(now)).then(|| self.recovered_at());
-        let ends = granted.chain(self.borrowed.ends()).chain(recovers);
+        let ends = self.granted.ends().chain(self.borrowed.ends());
+        let ends = ends.chain(recovers);
         ends.filter(|at| *at > now).min()
     }
 
-    /// When every lease of an earlier incarnation has run out.
+    /// Returns when every lease of an earlier incarnation has expired.
     fn recovered_at(&self) -> Duration {
         self.started_at + self.terms.duration + self.terms.margin
     }
 
-    /// Whether this host knows what it has granted.
+    /// Returns whether this host knows all leases that its incarnations have granted.
     pub fn knows_granted(&self, now: Duration) -> bool {
         now >= self.recovered_at() || self.uncleared().next().is_none()
     }
 
-    /// Other sharers that may use a lease of an earlier incarnation of this host.
+    /// Returns the other sharers that may use a lease of an earlier incarnation of this host.
     fn uncleared(&self) -> impl Iterator<Item = HostNumber> + '_ {
         let others = self.sharers.iter().filter(|host| **host != self.me);
         others.filter(|host| !self.cleared.contains(host)).copied()
     }
 
-    /// Its base quota, less what is granted of it.
+    /// Returns the base quota minus the granted leases.
     fn own_remainder(&self, now: Duration) -> u32 {
-        // A quota that is computed with fewer sharers may still be applied with more (the least of
-        // all versions that may be in force), and what is granted is then a larger fraction of it.
         let sharers = self.sharers.len() as u64;
-        let granted: u64 = self
-            .granted
-            .values()
-            .filter(|lease| now < lease.until)
-            .map(|lease| {
-                let most_sharers = sharers.max(u64::from(lease.sharers));
-                (u64::from(lease.amount) * most_sharers).div_ceil(sharers.max(1))
-            })
-            .sum();
+        let granted = self.granted.amount_among(now, sharers);
         let remainder = u64::from(self.base_quota()).saturating_sub(granted) as u32;
         if self.knows_granted(now) {
             remainder
@@ -193,36 +171,38 @@
         }
     }
 
-    /// What is never leased.
+    /// Returns the amount that is never leased.
     fn reserve(&self) -> u32 {
         self.base_quota() / RESERVE_DIVISOR
     }
 
-    /// The smallest lease worth its messages.
+    /// Returns the amount of the smallest lease that is worth its messages.
     fn min_lease(&self) -> u32 {
         (self.base_quota() / MIN_LEASE_DIVISOR).max(1)
     }
 
-    /// What it could lease to others beyond what it needs itself, in fractions of [`WHOLE_LIMIT`].
+    /// Returns the amount beyond its own need that this host could lease to others, in fractions of
+    /// [`FULL_LIMIT`].
     pub fn spare(&self, now: Duration) -> u32 {
         if self.superseded || !self.knows_granted(now) {
             return 0;
         }
         let lendable = self.own_remainder(now).saturating_sub(self.reserve());
         let spare = lendable.min(self.quota(now).saturating_sub(self.demand));
-        if spare < self.min_lease() || self.granted.len() >= MAX_LEASES {
+        if spare < self.min_lease() || self.granted.is_full() {
             0
         } else {
             spare
         }
     }
 
-    /// Sets how much of the whole limit this host could use, in fractions of [`WHOLE_LIMIT`].
+    /// Sets the amount that this host could use, in fractions of [`FULL_LIMIT`].
     pub fn set_demand(&mut self, demand: u32) {
-        self.demand = demand.min(WHOLE_LIMIT);
+        self.demand = demand.min(FULL_LIMIT);
     }
 
-    /// Sets whether a later process of this host is known, which alone may then use its quota.
+    /// Sets whether a later process of this host is known. Only that process may then use the
+    /// quota.
     pub fn set_superseded(&mut self, superseded: bool) {
         self.superseded = superseded;
     }
@@ -233,11 +213,11 @@
             return;
         }
         self.sharers = sharers;
-        // Base quotas of another size: what was borrowed of them is void.
+        // The base quotas now have another size, so borrowed leases are void.
         self.borrowed.void_all();
     }
 
-    /// Sets this host's own incarnation, after it has learned of one as late.
+    /// Sets this host's own incarnation, after it was raised.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
         // Grants to requests of the earlier incarnation are rejected.
@@ -250,11 +230,27 @@
         now: Duration,
         received: ReceivedLeaseMessage,
     ) -> Vec<OutgoingLeaseMessage> {
-        let from = received.from;
         if !self.admits(&received) {
             return Vec::new();
         }
-        let answer = match received.message {
+        let sender = received.from;
+        let answer = self.answer(now, received);
+        let answer = answer.map(|message| OutgoingLeaseMessage {
+            to: sender,
+            message,
+        });
+        answer.into_iter().collect()
+    }
+
+    /// Handles an admitted message, and returns the answer to it.
+    fn answer(&mut self, now: Duration, received: ReceivedLeaseMessage) -> Option<LeaseMessage> {
+        let from = received.from;
+        let key = |lease| LeaseKey {
+            borrower: from,
+            incarnation: received.incarnation,
+            lease,
+        };
+        match received.message {
             LeaseMessage::Recovered => {
                 self.borrowed.void_from(from);
                 Some(LeaseMessage::Cleared {
@@ -273,14 +269,11 @@
                 request,
                 lease,
                 amount,
-            } => {
-                let key = LeaseKey {
-                    borrower: from,
-                    incarnation: received.incarnation,
-                    lease,
-                };
-                Some(self.handle_request(now, key, request, amount))
-            }
+            } => Some(LeaseMessage::Grant {
+                request,
+                borrower_incarnation: received.incarnation,
+                amount: self.grant(now, key(lease), amount),
+            }),
             LeaseMessage::Grant {
                 request,
                 borrower_incarnation,
@@ -292,20 +285,15 @@
                 None
             }
             LeaseMessage::Release { lease } => {
-                self.granted.remove(&LeaseKey {
-                    borrower: from,
-                    incarnation: received.incarnation,
-                    lease,
-                });
+                self.granted.remove(&key(lease));
                 None
             }
-        };
-        let answer = answer.map(|message| OutgoingLeaseMessage { to: from, message });
-        answer.into_iter().collect()
+        }
     }
 
-    /// Whether a message comes from another sharer's latest incarnation that shares the limit among
-    /// as many hosts. What a sharer's earlier incarnation had granted is dropped.
+    /// Returns whether a message comes from the latest incarnation of another sharer, and that
+    /// sharer shares the limit among the same number of hosts. Drops the leases that an earlier
+    /// incarnation of the sharer granted.
     fn admits(&mut self, received: &ReceivedLeaseMessage) -> bool {
         let from = received.from;
         if from == self.me
@@ -319,7 +307,7 @@
             .entry(from)
             .or_insert(received.incarnation);
         if received.incarnation < *known {
-            return false; // an earlier incarnation: too late for anything
+            return false;
         }
         if received.incarnation > *known {
             *known = received.incarnation;
@@ -328,30 +316,15 @@
         true
     }
 
-    fn handle_request(
-        &mut self,
-        now: Duration,
-        key: LeaseKey,
-        request: u64,
-        amount: u32,
-    ) -> LeaseMessage {
-        LeaseMessage::Grant {
-            request,
-            borrower_incarnation: key.incarnation,
-            amount: self.grant(now, key, amount),
-        }
-    }
-
-    /// Grants a new lease or renews one; returns the amount granted.
+    /// Grants a new lease or renews one. Returns the granted amount; 0 if the request is rejected.
     fn grant(&mut self, now: Duration, key: LeaseKey, amount: u32) -> u32 {
         let until = now + self.terms.duration + self.terms.margin;
         let needs_own_quota = self.quota(now) < self.demand;
         let amount = amount.min(self.spare(now));
         let min_lease = self.min_lease();
-        let granted = self.granted.get_mut(&key);
-        if let Some(granted) = granted.filter(|lease| now < lease.until) {
+        if let Some(granted) = self.granted.get_mut(now, &key) {
             if needs_own_quota {
-                // The lease runs out. Sending zero is safe: nothing changes by it.
+                // The lease expires at its end. A grant of zero is safe: it changes nothing.
                 return 0;
             }
             granted.until = until;
@@ -369,10 +342,11 @@
         amount
     }
 
-    /// The round: drops what has run out, asks for what is needed, releases what is not, and
-    /// returns the messages to send. `lenders` are what others last offered, the likeliest first.
+    /// Runs a round: drops expired leases, requests missing amounts, releases leases that are not
+    /// needed, and returns the messages to send. `lenders`: the latest offers of other hosts, the
+    /// preferred first.
     pub fn run_round(&mut self, now: Duration, lenders: &[Lender]) -> Vec<OutgoingLeaseMessage> {
-        self.granted.retain(|_, lease| now < lease.until);
+        self.granted.drop_expired(now);
         self.borrowed.drop_expired(now);
         let mut out = Vec::new();
         if self.superseded || self.base_quota() == 0 {
@@ -387,8 +361,8 @@
         }
         let quota = self.quota(now);
         let min_lease = self.min_lease();
-        // A little more than the demand stays borrowed, or what is released now would be asked for
-        // in the next round.
+        // Retains slightly more than the demand; otherwise the next round would request the
+        // released amount again.
         let enough = self.base_quota().max(self.demand.saturating_add(min_lease));
         out.extend(self.borrowed.release(quota.saturating_sub(enough)));
         let missing = self.demand.saturating_sub(quota);
--- a/crates/coordination/src/quotas.rs
+++ b/crates/coordination/src/quotas.rs
@@ -1,14 +1,15 @@
-//! This host's quotas of all limits that it shares: demand, leases, and which quotas have changed.
+//! This host's quotas of all shared limits: the demand, the leases, and the quotas that have
+//! changed.
 //!
-//! State machine, owned by [`crate::coordinator`]. No I/O. Each volume has its own [`QuotaLeases`]; what
-//! is stored here besides is the demand by which they ask for leases, and the quota that was last
-//! returned. Memory: a row for each volume with a limit that is shared.
+//! State machine, owned by [`crate::coordinator`]. No I/O. State, for each volume with a shared
+//! limit: its [`QuotaLeases`], the demand that determines how much they request, and the quota that
+//! was returned last. Memory: one row for each of these volumes.
 
 use crate::borrowed_leases::{Lender, OutgoingLeaseMessage};
 use crate::events::{Action, Rules};
 use crate::gossip_message::{VolumeLeaseMessage, VolumeReceived, MAX_REPORT_ITEMS};
 use crate::host_report::LeaseOffer;
-use crate::lease_message::WHOLE_LIMIT;
+use crate::lease_message::FULL_LIMIT;
 use crate::quota_lease::QuotaLeases;
 use crate::{HostNumber, Incarnation};
 use rand::seq::SliceRandom;
@@ -17,15 +18,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The weight of the last round in the demand's moving average.
+/// The weight of the last round in the demand's moving average. A larger weight follows short
+/// bursts with leases; a smaller one follows growth late.
 const DEMAND_SMOOTHING: f64 = 0.3;
-/// What is asked for as a multiple of the demand, so that a volume's growth does not wait for every
-/// lease.
+/// The requested amount as a multiple of the demand, so that a growing volume does not wait for
+/// each lease. A larger multiple takes amounts that other hosts may need; a smaller one delays
+/// growth.
 const DEMAND_HEADROOM: f64 = 1.25;
-/// An interval is counted as at least so many seconds.
+/// The least interval for the computation of the demand, in seconds. It prevents a division by
+/// zero.
 const MIN_INTERVAL_SECONDS: f64 = 1e-3;
 
-/// A quota, and the base quota that it is a multiple of.
+/// A quota with its base quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct AppliedQuota {
     quota: u32,
@@ -35,13 +39,13 @@
 #[derive(Debug)]
 struct SharedVolume {
     leases: QuotaLeases,
-    /// Units a second.
+    /// The limit, in units a second.
     limit: f64,
-    /// Units requested here since the last round.
+    /// Units that clients requested at this host since the last round.
     requested: f64,
-    /// Units a second that clients request here.
+    /// Units a second that clients request at this host.
     demand: f64,
-    /// What was last returned.
+    /// The quota that was returned last.
     applied: Option<AppliedQuota>,
 }
 
@@ -50,24 +54,24 @@
 pub(crate) struct AddressedLeaseMessage {
     /// The receiver.
     pub to: HostNumber,
-    /// What it is sent.
+    /// The message.
     pub message: VolumeLeaseMessage,
 }
 
-/// A volume's limit as this host has it now; quotas and leases in fractions of the whole limit.
+/// A volume's present quota at this host, in fractions of the complete limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaMetrics {
     /// The volume's number.
     pub volume: u64,
-    /// How many hosts share it.
+    /// Number of hosts that share the limit.
     pub sharers: usize,
-    /// What this host may use.
+    /// The quota that this host may use.
     pub quota: f64,
-    /// What it may use where nothing is leased.
+    /// The quota that it may use without any lease.
     pub base_quota: f64,
-    /// What it has granted to others.
+    /// The amount that it has granted to others.
     pub granted: f64,
-    /// What it has borrowed from others.
+    /// The amount that it has borrowed from others.
     pub borrowed: f64,
 }
 
@@ -79,12 +83,12 @@
     volumes: BTreeMap<u64, SharedVolume>,
     /// Volumes whose quota may have changed.
     touched: BTreeSet<u64>,
-    /// When some quota next changes by itself.
+    /// When some quota next changes without a message.
     next_change: Duration,
 }
 
 impl SharedQuotas {
-    /// Shares nothing yet.
+    /// Returns quotas without any volume.
     pub fn new(now: Duration, me: HostNumber, rules: Rules) -> Self {
         SharedQuotas {
             me,
@@ -95,7 +99,7 @@
         }
     }
 
-    /// When some quota next changes by itself.
+    /// Returns when some quota next changes without a message.
     pub fn change_at(&self) -> Duration {
         if self.volumes.is_empty() {
             Duration::MAX
@@ -104,7 +108,7 @@
         }
     }
 
-    /// Takes a volume's sharers and limit. Returns an action where it is no longer shared.
+    /// Sets a volume's sharers and limit. Returns an action if the limit is no longer shared.
     pub fn volume_changed(
         &mut self,
         now: Duration,
@@ -131,7 +135,7 @@
         None
     }
 
-    /// Counts units that clients requested here.
+    /// Counts units that clients requested at this host.
     pub fn add_requested(&mut self, volume: u64, units: f64) {
         if let Some(shared) = self.volumes.get_mut(&volume) {
             shared.requested += units;
@@ -165,8 +169,8 @@
         self.touched.extend(self.volumes.keys());
     }
 
-    /// The round: updates the demands, and returns the messages to send. `lenders`: what other
-    /// hosts offer, by volume; `superseded`: whether a later process of this host is known.
+    /// Runs a round: updates the demands, and returns the messages to send. `lenders`: the offers
+    /// of other hosts, by volume. `superseded`: whether a later process of this host is known.
     pub fn run_round(
         &mut self,
         now: Duration,
@@ -179,13 +183,13 @@
         for (volume, shared) in &mut self.volumes {
             let requested = std::mem::take(&mut shared.requested);
             shared.demand += DEMAND_SMOOTHING * (requested / interval - shared.demand);
-            let demand = shared.demand * DEMAND_HEADROOM / shared.limit * f64::from(WHOLE_LIMIT);
+            let demand = shared.demand * DEMAND_HEADROOM / shared.limit * f64::from(FULL_LIMIT);
             shared.leases.set_demand(demand as u32);
             shared.leases.set_superseded(superseded);
             self.touched.insert(*volume);
             let mut lenders = lenders.remove(volume).unwrap_or_default();
-            // All hosts that need more know the same offers: without a shuffle all would ask the
-            // same host.
+            // All hosts that need more know the same offers. Without a shuffle all of them would
+            // request from the same host.
             lenders.shuffle(rng);
             lenders.sort_by_key(|lender| Reverse(lender.spare.max(1).ilog2()));
             let messages = shared.leases.run_round(now, &lenders);
@@ -194,7 +198,7 @@
         out
     }
 
-    /// What this host could lease to others, the largest first.
+    /// Returns the amounts that this host could lease to others, the largest first.
     pub fn offers(&self, now: Duration) -> Vec<LeaseOffer> {
         let mut offers = Vec::new();
         for (volume, shared) in &self.volumes {
@@ -209,7 +213,7 @@
         offers
     }
 
-    /// The quotas that have changed since they were last returned.
+    /// Returns the quotas that have changed since they were returned last.
     pub fn take_changes(&mut self, now: Duration) -> Vec<Action> {
         let mut changes = Vec::new();
         for volume in std::mem::take(&mut self.touched) {
@@ -236,9 +240,9 @@
         changes
     }
 
-    /// All quotas, for operators.
+    /// Returns all quotas, for operators.
     pub fn metrics(&self, now: Duration) -> Vec<QuotaMetrics> {
-        let fraction = |amount: u32| f64::from(amount) / f64::from(WHOLE_LIMIT);
+        let fraction = |amount: u32| f64::from(amount) / f64::from(FULL_LIMIT);
         let row = |(volume, shared): (&u64, &SharedVolume)| {
             let leased = shared.leases.leased(now);
             QuotaMetrics {
--- a/crates/coordination/src/served_rates.rs
+++ b/crates/coordination/src/served_rates.rs
@@ -1,8 +1,8 @@
-//! How many units a second each volume is served, here and through the other hosts.
+//! The rate at which each volume is served, at this host and at the other hosts.
 //!
-//! Owned by [`crate::coordinator`]: it counts what is served here, and takes the counts of the others'
-//! reports. Memory: a row for each volume that is served here, and one for each host and volume
-//! that is reported.
+//! Owned by [`crate::coordinator`], which counts the units that this host serves, and adds the
+//! counts of the other hosts' reports. Memory: one row for each volume that this host serves, and
+//! one for each host and volume of a report.
 
 use crate::evidence::EVIDENCE_WINDOW;
 use crate::gossip_message::MAX_REPORT_ITEMS;
@@ -15,24 +15,24 @@
 #[derive(Debug, Default, Clone, Copy)]
 struct LocalRate {
     units: f64,
-    /// `units` when the rate was last measured.
+    /// The value of `units` when the rate was last measured.
     units_measured: f64,
-    /// Units a second.
+    /// The rate, in units a second.
     rate: f64,
 }
 
-/// What a volume was served through another host, and how fast that grows.
+/// The units that another host has served for a volume, and their rate.
 #[derive(Debug, Clone, Copy)]
 struct RemoteRate {
     version: VersionStamp,
     units: u64,
     /// When the host reported `units`.
     reported_at: Duration,
-    /// Units a second.
+    /// The rate, in units a second.
     rate: f64,
 }
 
-/// Rates by volume.
+/// The rates by volume.
 #[derive(Debug, Default)]
 pub(crate) struct ServedRates {
     local: BTreeMap<u64, LocalRate>,
@@ -40,12 +40,12 @@
 }
 
 impl ServedRates {
-    /// Counts units that a volume was served here.
+    /// Counts units that this host has served for a volume.
     pub fn add_local(&mut self, volume: u64, units: f64) {
         self.local.entry(volume).or_default().units += units;
     }
 
-    /// Measures the rates of what was served here in the last `seconds`.
+    /// Measures this host's rates over the last `seconds`.
     pub fn measure_local(&mut self, seconds: f64) {
         for local in self.local.values_mut() {
             local.rate = (local.units - local.units_measured) / seconds;
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes the counts of another host's report.
+    /// Adds the counts of another host's report.
     pub fn add_remote(&mut self, now: Duration, known: &KnownReport) {
         let reported_at = now.saturating_sub(known.age);
         for served in &known.report.served {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// The busiest volumes here, for this host's report: of the others the reports in answers are
-    /// good enough.
+    /// Returns this host's busiest volumes, for its report. For the other volumes the reports in
+    /// answers to clients are accurate enough.
     pub fn busiest(&self) -> Vec<ServedUnits> {
         let mut busy: Vec<(&u64, &LocalRate)> = self
             .local
@@ -94,7 +94,7 @@
             .collect()
     }
 
-    /// Units a second that a volume is served through the other hosts.
+    /// Returns the rate at which the other hosts serve a volume, in units a second.
     pub fn elsewhere(&self, now: Duration, volume: u64) -> f64 {
         let hosts = self.remote.get(&volume).into_iter().flatten();
         hosts
@@ -103,7 +103,7 @@
             .sum()
     }
 
-    /// Units a second that a volume is served through all hosts.
+    /// Returns the rate at which all hosts serve a volume, in units a second.
     pub fn everywhere(&self, now: Duration, volume: u64) -> f64 {
         let local = self.local.get(&volume).map_or(0.0, |local| local.rate);
         local + self.elsewhere(now, volume)
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,16 +1,25 @@
-//! What tests of the fleet share.
-#![allow(dead_code)] // each test file uses some of it
+//! Helpers that the tests of this package share.
+#![allow(dead_code)] // Each test file uses some of the helpers.
 
 use grebecleat_coordination::host_report::Observation;
+use grebecleat_coordination::HostNumber;
+use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// The time of this host's clock when a test begins.
 pub const NOW: Duration = ms(100_000);
 
+/// Returns a duration in milliseconds.
 pub const fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
 }
 
-/// A fresh observation of a node's first process.
+/// Returns the first hosts, which share a limit.
+pub fn sharers(count: usize) -> BTreeSet<HostNumber> {
+    (0..count as u32).map(HostNumber).collect()
+}
+
+/// Returns a fresh observation of a node's first process.
 pub fn observation(node: u32, sent: u32, bad: u32) -> Observation {
     Observation {
         node,
--- a/crates/coordination/tests/fleet_simulation.rs
+++ b/crates/coordination/tests/fleet_simulation.rs
@@ -1,18 +1,20 @@
-//! Whole fleets in one process, each from its seed: messages are late, lost and doubled, an
-//! adversary picks which hosts reach each other, hosts die, start anew without memory, and stand
-//! still. What is true in every one is asserted; besides, the same run measures even quotas and a
-//! host that avoids on every report.
+//! Simulated fleets in one process, each from its seed. Messages are late, lost and duplicated. An
+//! adversary chooses which hosts reach each other. Hosts die, restart without memory, and pause.
+//! The tests assert the invariants of every run. The same runs measure two alternatives for
+//! comparison: even quotas, and a host that avoids nodes on every report.
 
+mod common;
 mod simulation;
 
+use common::ms;
 use grebecleat_coordination::evidence::EVIDENCE_WINDOW;
 use grebecleat_coordination::outlier_detection::{EndpointPolicy, EJECTION_TIMEOUT};
 use rand::Rng;
-use simulation::{ms, Host, World, LIMIT};
+use simulation::{Host, World, LIMIT};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// How many seeds: a few in CI, as many as the environment asks for elsewhere.
+/// Returns the number of seeds: a few by default, or the number in the variable `WORLDS`.
 fn seeds(default: u64) -> u64 {
     std::env::var("WORLDS")
         .ok()
@@ -21,9 +23,9 @@
 }
 
 #[test]
-fn news_of_a_failing_node_reaches_all_hosts_within_a_bounded_cost() {
+fn a_rumor_of_a_failing_node_reaches_all_hosts_within_a_bounded_cost() {
     println!("hosts  last host knows  messages a host and second  bytes a host and second");
-    // A thousand hosts take minutes in one process.
+    // A simulation of a thousand hosts takes minutes in one process.
     let sizes: &[usize] = if seeds(0) > 0 {
         &[10, 100, 300, 1000]
     } else {
@@ -39,27 +41,27 @@
         let quiet_bytes = per_host(world.sent_bytes - sent_bytes);
         world.dead.insert(7);
         let (begun, sent) = (world.now, world.sent);
-        let knows = |host: &Host| host.nodes_found_bad().any(|node| node == 7);
-        while !world.hosts.iter().all(knows) {
+        let has_heard = |host: &Host| host.nodes_found_bad().any(|node| node == 7);
+        while !world.hosts.iter().all(has_heard) {
             world.tick();
             assert!(world.now < begun + ms(8000), "{hosts} hosts: not all know");
         }
         let took = world.now - begun;
         let busy = per_host(world.sent - sent) / took.as_secs_f64();
         println!(
-            "{hosts:>5}  {took:>15?}  {quiet:>6.1}, in the news {busy:>5.1}  {quiet_bytes:>10.0}"
+            "{hosts:>5}  {took:>15?}  {quiet:>6.1}, with a rumor {busy:>5.1}  {quiet_bytes:>10.0}"
         );
-        // Two messages a round, and four times as many rounds where there is news.
+        // Two messages a round, and four times as many rounds with a rumor.
         assert!(
             quiet.max(busy) <= 2.0 * 4.0 / 0.2 * 1.34,
             "{quiet} and {busy} messages"
         );
         let all = world.hosts_with_a_policy_for(7);
-        println!("       {all} of {hosts} go by it then");
+        println!("       {all} of {hosts} follow it then");
         world.run(ms(5000));
         let all = world.hosts_with_a_policy_for(7);
-        assert!(all * 10 >= hosts * 9, "{all} of {hosts} go by it");
-        // It answers again: those that probe find out, and report it.
+        assert!(all * 10 >= hosts * 9, "{all} of {hosts} follow it");
+        // The node answers again. The hosts that probe it observe that, and report it.
         world.dead.clear();
         world.run(ms(8000));
         let avoids = |host: &&Host| host.avoided.contains(&7);
@@ -69,7 +71,7 @@
 }
 
 #[test]
-fn quotas_follow_demand_and_never_add_up_to_more_than_the_whole() {
+fn quotas_follow_demand_and_never_exceed_the_limit() {
     let mut world = World::new(10, 4, 1.0, true, 5);
     for (host, fraction) in [(0, 0.1), (1, 0.1), (2, 0.8)] {
         world.hosts[host].demand = LIMIT * fraction;
@@ -86,7 +88,7 @@
         "used of a limit with demand 1:1:8 over ten hosts: {leased:.2}, with even quotas {even:.2}"
     );
     assert!(leased >= 0.9 && even < 0.35);
-    // The busy host is cut off: it serves on with its own quota, and the others get theirs back.
+    // The busy host is cut off: it continues with its own quota, and the others recover theirs.
     let others = (0..10).filter(|host| *host != 2);
     world.cut = others.flat_map(|host| [(host, 2), (2, host)]).collect();
     world.hosts[5].demand = LIMIT * 0.1;
@@ -97,7 +99,7 @@
         world.hosts[2].quota,
         world.hosts[5].quota
     );
-    // Reached again, it borrows again, of what the others do not need.
+    // After the cut the busy host borrows again the amounts that the others do not need.
     world.cut.clear();
     world.run(ms(5000));
     assert!(
@@ -108,7 +110,7 @@
     );
 }
 
-/// Changes demand, cuts and one host, by chance.
+/// Changes the demand, the cuts and one host at random.
 fn disturb(world: &mut World) {
     let hosts = world.hosts.len();
     for host in 0..hosts {
@@ -136,12 +138,12 @@
     }
 }
 
-/// Cuts that open and close with the period of the leases, hosts that die or stand still for longer
-/// than their leases, and an adversary that picks which hosts reach each other.
+/// Cuts open and close with the period of the leases. Hosts die, or pause for longer than their
+/// leases. An adversary chooses which hosts reach each other.
 #[test]
-fn under_an_adversary_the_quotas_stay_within_the_whole() {
+fn quotas_stay_within_the_limit_under_an_adversary() {
     for (hosts, default_seeds, steps) in [(6, 24, 20), (60, 2, 12), (300, 1, 6)] {
-        let mut most: f64 = 0.0;
+        let mut greatest: f64 = 0.0;
         let is_small = hosts == 6;
         let count = if is_small {
             seeds(default_seeds)
@@ -162,21 +164,24 @@
                 while world.now < until {
                     world.tick();
                     world.check_quotas();
-                    most = most.max(world.sum_of_quotas());
+                    greatest = greatest.max(world.sum_of_quotas());
                 }
             }
         }
-        println!("{hosts} hosts: at most {most:.3} of the whole");
+        println!("{hosts} hosts: at most {greatest:.3} of the limit");
     }
 }
 
+/// Hosts of the simulations with cuts.
 const CUT_HOSTS: usize = 12;
+/// Nodes of the simulations with cuts.
 const CUT_NODES: u32 = 8;
 
-/// A quarter or half of the hosts lose some nodes, some lose each other, some one way only.
+/// Cuts a quarter or half of the hosts from some nodes, and some hosts from each other; some only
+/// in one direction.
 fn cut_by_seed(world: &mut World, seed: u64) {
-    let ill = if seed.is_multiple_of(2) { 3 } else { 6 };
-    for host in 0..ill {
+    let impaired = if seed.is_multiple_of(2) { 3 } else { 6 };
+    for host in 0..impaired {
         for node in 0..world.rng.random_range(1..=CUT_NODES) {
             world.unreached.insert((host, node));
         }
@@ -186,15 +191,15 @@
     }
     for from in 0..CUT_HOSTS {
         for to in 0..CUT_HOSTS {
-            let is_across = (from < ill) != (to < ill);
-            if is_across && (seed % 3 == 1 || from < ill) {
+            let is_across = (from < impaired) != (to < impaired);
+            if is_across && (seed % 3 == 1 || from < impaired) {
                 world.cut.insert((from, to));
             }
         }
     }
 }
 
-/// How long hosts avoid nodes that they reach.
+/// The time for which hosts avoid nodes that they reach.
 #[derive(Default)]
 struct WrongAvoidance {
     since: BTreeMap<(usize, u32), Duration>,
@@ -218,7 +223,7 @@
 }
 
 #[test]
-fn cuts_eject_nothing_that_a_host_reaches_for_longer_than_the_stated_span() {
+fn a_cut_ejects_no_reachable_node_for_longer_than_the_stated_time() {
     let mut longest = Duration::ZERO;
     let mut would_avoid = 0;
     let mut still_avoid = 0;
@@ -257,9 +262,10 @@
     assert!(longest <= EVIDENCE_WINDOW + EJECTION_TIMEOUT, "{longest:?}");
 }
 
-/// A third of the hosts is ill and finds every node bad; the others go on by what they find.
+/// A third of the hosts is impaired and finds every node bad. The others continue by their own
+/// evidence.
 #[test]
-fn hosts_that_find_everything_bad_eject_nothing_for_the_others() {
+fn hosts_that_find_every_node_bad_eject_no_node_for_the_others() {
     let mut world = World::new(12, 8, 40.0, false, 9);
     world.run(ms(1500));
     world.unreached = (0..4)
@@ -277,6 +283,6 @@
         .count();
     assert!(
         bad_paths >= 6,
-        "an ill host finds {bad_paths} of 8 to be its own path"
+        "an impaired host finds {bad_paths} of 8 to be bad paths of its own"
     );
 }
--- a/crates/coordination/tests/gossip_codec.rs
+++ b/crates/coordination/tests/gossip_codec.rs
@@ -1,4 +1,4 @@
-//! The encoded gossip message: its bytes, and what of it is rejected.
+//! The encoded gossip message: its bytes, and the messages that are rejected.
 
 mod common;
 
@@ -44,7 +44,7 @@
     }
 }
 
-fn about(volume: u64, sharers: u32, message: LeaseMessage) -> VolumeLeaseMessage {
+fn volume_message(volume: u64, sharers: u32, message: LeaseMessage) -> VolumeLeaseMessage {
     VolumeLeaseMessage {
         volume,
         sharers,
@@ -60,7 +60,7 @@
     }
 }
 
-/// A message with something of every kind.
+/// Returns a message with items of every kind.
 fn message() -> GossipMessage {
     let grant = LeaseMessage::Grant {
         request: 1,
@@ -75,11 +75,11 @@
         requests_sync: true,
         entries: vec![entry()],
         lease_messages: vec![
-            about(7, 3, request(3)),
-            about(7, 3, grant),
-            about(7, 3, LeaseMessage::Release { lease: 2 }),
-            about(7, 3, cleared),
-            about(8, 2, LeaseMessage::Recovered),
+            volume_message(7, 3, request(3)),
+            volume_message(7, 3, grant),
+            volume_message(7, 3, LeaseMessage::Release { lease: 2 }),
+            volume_message(7, 3, cleared),
+            volume_message(8, 2, LeaseMessage::Recovered),
         ],
     }
 }
@@ -98,15 +98,15 @@
 }
 
 #[test]
-fn a_message_is_decoded_to_what_was_sent() {
+fn a_decoded_message_equals_the_sent_one() {
     let message = message();
     let decoded = GossipMessage::from_bytes(&message.to_bytes());
     assert_eq!(decoded, Ok(message));
 }
 
 #[test]
-fn a_message_with_a_number_out_of_range_is_rejected_whole() {
-    // what is wrong, and what the error text must contain
+fn a_message_with_a_number_out_of_range_is_rejected() {
+    // The corruption, and a part of the error text.
     type Case<'a> = (&'a dyn Fn(&mut GossipMessage), &'a str);
     let cases: [Case; 7] = [
         (&|m| m.incarnation = Incarnation(u64::MAX), "life"),
@@ -145,20 +145,21 @@
 }
 
 #[test]
-fn bytes_that_are_no_message_are_rejected_and_half_a_message_holds_no_more_than_the_whole() {
+fn invalid_bytes_are_rejected_and_a_truncated_message_has_no_other_entries() {
     assert!(GossipMessage::from_bytes(b"garbage of any kind").is_err());
     assert!(GossipMessage::from_bytes(&vec![0; MAX_BYTES + 1]).is_err());
     let message = message();
     let bytes = message.to_bytes();
     for length in 0..bytes.len() {
-        // Half a message is rejected, or is one with fewer entries: never with others than were
+        // A truncated message is rejected, or has fewer entries. It never has entries that were not
         // sent.
-        if let Ok(half) = GossipMessage::from_bytes(&bytes[..length]) {
+        if let Ok(truncated) = GossipMessage::from_bytes(&bytes[..length]) {
             assert!(
-                half.entries
+                truncated
+                    .entries
                     .iter()
                     .all(|entry| message.entries.contains(entry)),
-                "{half:?}"
+                "{truncated:?}"
             );
         }
     }
--- a/crates/coordination/tests/gossip_state.rs
+++ b/crates/coordination/tests/gossip_state.rs
@@ -1,5 +1,5 @@
-//! Gossip state: which reports are taken, forgotten and passed on, and what a host does about its
-//! own incarnation.
+//! Gossip state: which reports a host stores, forgets and passes on, and how it raises its own
+//! incarnation.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use grebecleat_coordination::{HostNumber, Incarnation};
 use std::time::Duration;
 
-/// The state of host 0 in its tenth incarnation.
+/// Returns the state of host 0 in its tenth incarnation.
 fn gossip_state(peers: u32) -> GossipState {
     GossipState::new(
         NOW,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Has the state handle a message of host 2 with one entry.
+/// Passes a message of host 2 with one entry to the state.
 fn handle_entry(state: &mut GossipState, now: Duration, entry: GossipEntry) -> MergeOutcome {
     let message = GossipMessage {
         incarnation: Incarnation(1),
@@ -52,16 +52,16 @@
 }
 
 #[test]
-fn the_larger_version_is_taken_whatever_the_order() {
-    // (incarnation, count, age in ms, sent) of the entries received, and which is stored in the
-    // end, by what it sent
+fn the_larger_version_is_stored_in_any_order_of_arrival() {
+    // The received entries as (incarnation, count, age in ms, sent), and `sent` of the entry that
+    // is stored in the end.
     type Case<'a> = (&'a [(u64, u64, u64, u32)], u32);
     let cases: [Case; 5] = [
         (&[(1, 1, 0, 5), (1, 2, 0, 6)], 6),
         (&[(1, 2, 0, 6), (1, 1, 0, 5)], 6),
-        (&[(1, 2, 0, 6), (1, 2, 0, 9)], 6),      // doubled
+        (&[(1, 2, 0, 6), (1, 2, 0, 9)], 6),      // duplicated
         (&[(1, 900, 0, 5), (2, 1, 0, 6)], 6),    // a later incarnation
-        (&[(1, 2, 0, 6), (2, 1, 60_000, 7)], 6), // too old to be taken
+        (&[(1, 2, 0, 6), (2, 1, 60_000, 7)], 6), // too old to be stored
     ];
     for (received, stored) in cases {
         let mut state = gossip_state(3);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_host_that_lost_its_incarnation_asks_before_it_publishes_and_goes_above_it() {
+fn a_host_that_lost_its_incarnation_syncs_before_it_publishes_and_raises_it() {
     let mut state = gossip_state(3);
     let messages = state.run_round(NOW + ms(250)).messages;
     assert!(
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn of_two_processes_of_one_host_the_earlier_is_superseded_while_the_other_reports() {
+fn an_earlier_process_of_a_host_is_superseded_while_the_later_one_reports() {
     let mut state = gossip_state(3);
     let after = NOW + SYNC_TIMEOUT + ms(500);
     state.publish(after, HostReport::default(), true);
@@ -124,8 +124,7 @@
     let outcome = handle_entry(&mut state, after, entry(0, 11, 3, ms(0), 1));
     assert!(!outcome.incarnation_raised);
     assert!(state.is_superseded());
-    // Its own former reports change nothing; as long as the other's count grows it stays
-    // superseded.
+    // The host stays superseded while the other process's count grows.
     handle_entry(&mut state, after + ms(9000), entry(0, 11, 40, ms(0), 1));
     assert!(!state.run_round(after + ms(12_000)).incarnation_raised);
     assert!(state.is_superseded());
--- a/crates/coordination/tests/outlier_detection.rs
+++ b/crates/coordination/tests/outlier_detection.rs
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Nodes 1 to 4, with the starts of their processes.
+/// Returns nodes 1 to 4, with the starts of their processes.
 fn nodes(start: u64) -> BTreeMap<u32, u64> {
     (1..=4).map(|node| (node, start)).collect()
 }
@@ -22,7 +22,7 @@
     OutlierDetector::new(HostNumber(0), fleet_size, EVIDENCE_WINDOW, 1)
 }
 
-/// Hosts 1 to 3 with the same report.
+/// Returns hosts 1 to 3 with the same report.
 fn three_observers(report: &HostReport, age: Duration) -> Vec<Observer<'_>> {
     (1..=3).map(|host| observer(host, report, age)).collect()
 }
@@ -35,8 +35,8 @@
     }
 }
 
-/// What hosts observe of node 1, as (sent, bad), this host and its peers; nodes 2 to 4 answer every
-/// host.
+/// Returns the verdict on node 1 and the policy for it. `own`, `peers`: the observations of node 1
+/// as (sent, bad), by this host and by its peers. Nodes 2 to 4 answer every host.
 fn verdict_and_policy(
     own: Option<(u32, u32)>,
     peers: &[(u32, u32)],
@@ -60,7 +60,7 @@
     let finding = detector.findings().get(&1);
     let verdict = finding.map_or(Verdict::Unknown, |finding| finding.verdict);
     let policy = match detector.policy(1) {
-        EndpointPolicy::Probe => EndpointPolicy::Avoid, // by chance
+        EndpointPolicy::Probe => EndpointPolicy::Avoid, // a random turn
         policy => policy,
     };
     (verdict, policy)
@@ -71,7 +71,8 @@
     let bad = (5, 5);
     let good = (5, 0);
     let mixed = (6, 3);
-    // this host's own, what its peers observe, how many hosts there are; verdict and policy
+    // This host's own observation, its peers' observations, the number of hosts; verdict and
+    // policy.
     type Case<'a> = (
         Option<(u32, u32)>,
         &'a [(u32, u32)],
@@ -86,9 +87,9 @@
         (Some(bad), &[bad, bad, bad], 4, Ejected, Avoid),
         // Own fresh evidence decides before that of peers.
         (Some(good), &[bad, bad, bad], 4, Ejected, OwnEvidence),
-        // It is this host's own path.
+        // This host's own path is bad.
         (Some(bad), &[good, good, good], 4, Split, BadPath),
-        // Half from half.
+        // Half of the hosts reach the node.
         (
             None,
             &[bad, bad, bad, good, good, good],
@@ -114,7 +115,7 @@
     }
 }
 
-/// A report with node 1 as given, and nodes 2 and 3 good.
+/// Returns a report with good nodes 2 and 3. `bad`: the failed attempts of 5 to node 1.
 fn report_of_node_1(bad: u32) -> HostReport {
     HostReport {
         observations: vec![
@@ -126,7 +127,7 @@
     }
 }
 
-/// This host's own report, without node 1.
+/// Returns this host's own report, without node 1.
 fn own_report() -> HostReport {
     HostReport {
         observations: vec![observation(2, 5, 0), observation(3, 5, 0)],
@@ -141,7 +142,7 @@
     )
 }
 
-/// A detector that has ejected node 1.
+/// Returns a detector that has ejected node 1.
 fn ejecting_detector() -> OutlierDetector {
     let mut detector = detector(4);
     let bad = report_of_node_1(5);
@@ -154,14 +155,14 @@
 #[test]
 fn an_ejection_lasts_in_silence_and_ends_by_newer_evidence() {
     let silent = HostReport::default();
-    // No host sends there any more, and the peers' reports are fresh: it stays.
+    // No host sends to the node, and the peers' reports are fresh: the ejection stays.
     let mut detector = ejecting_detector();
     for step in 1..60 {
         let quiet = three_observers(&silent, ms(0));
         detector.evaluate(NOW + ms(step * 500), &nodes(1), &own_report(), &quiet);
         assert!(avoids_node_1(&detector), "after {step} half seconds");
     }
-    // One that probes finds that it answers.
+    // A host that probes the node observes that it answers.
     let good = report_of_node_1(0);
     let one = [observer(1, &good, ms(0)), observer(2, &silent, ms(0))];
     detector.evaluate(NOW + ms(30_000), &nodes(1), &own_report(), &one);
@@ -176,7 +177,7 @@
 }
 
 #[test]
-fn old_evidence_that_comes_round_again_ejects_nothing() {
+fn expired_evidence_ejects_no_node() {
     let mut detector = detector(4);
     let bad = report_of_node_1(5);
     let old = three_observers(&bad, EVIDENCE_WINDOW);
@@ -194,9 +195,9 @@
     assert!(!avoids_node_1(&detector));
 }
 
-/// Where most of what is tried would be ejected, the verdicts are distrusted.
+/// If most of the observed nodes would be ejected, the verdicts are distrusted.
 #[test]
-fn a_host_is_never_left_without_nodes_by_what_its_peers_report() {
+fn reports_of_peers_never_leave_a_host_without_nodes() {
     for (bad_nodes, avoided) in [(1, 1), (2, 2), (3, 0), (4, 0)] {
         let observations = (1..=4).map(|node| {
             let bad = if node <= bad_nodes { 5 } else { 0 };
--- a/crates/coordination/tests/quota_lease.rs
+++ b/crates/coordination/tests/quota_lease.rs
@@ -1,14 +1,17 @@
-//! Quota leases of one limit: what is granted, renewed, released and rejected.
+//! Quota leases of one limit: which leases are granted, renewed, released and rejected.
 
+mod common;
+
+use common::sharers;
 use grebecleat_coordination::borrowed_leases::{Lender, OutgoingLeaseMessage};
 use grebecleat_coordination::lease_message::{
-    LeaseMessage, LeaseTerms, ReceivedLeaseMessage, WHOLE_LIMIT,
+    LeaseMessage, LeaseTerms, ReceivedLeaseMessage, FULL_LIMIT,
 };
 use grebecleat_coordination::quota_lease::QuotaLeases;
 use grebecleat_coordination::{HostNumber, Incarnation};
-use std::collections::BTreeSet;
 use std::time::Duration;
 
+/// Returns a duration in seconds.
 const fn s(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
@@ -21,12 +24,8 @@
 const B: HostNumber = HostNumber(1);
 const C: HostNumber = HostNumber(2);
 
-fn sharers(count: u32) -> BTreeSet<HostNumber> {
-    (0..count).map(HostNumber).collect()
-}
-
-/// The leases of a host that knows what it has granted.
-fn leases(me: HostNumber, sharer_count: u32) -> QuotaLeases {
+/// Returns the leases of a host that knows its granted leases.
+fn leases(me: HostNumber, sharer_count: usize) -> QuotaLeases {
     QuotaLeases::new(s(0), me, Incarnation(1), TERMS, sharers(sharer_count))
 }
 
@@ -52,7 +51,7 @@
     Lender { host, spare }
 }
 
-/// A grant to A's first incarnation.
+/// Returns a grant to A's first incarnation.
 fn grant(request: u64, amount: u32) -> LeaseMessage {
     LeaseMessage::Grant {
         request,
@@ -75,10 +74,10 @@
     }
 }
 
-/// A requests from B, and receives the grant; returns what it borrowed.
+/// Makes A request from B and receive the grant. Returns the borrowed amount.
 fn borrow(a: &mut QuotaLeases, b: &mut QuotaLeases, now: Duration) -> u32 {
     let before = a.leased(now).borrowed;
-    a.set_demand(WHOLE_LIMIT);
+    a.set_demand(FULL_LIMIT);
     for request in a.run_round(now, &[lender(B, b.spare(now))]) {
         assert_eq!(request.to, B);
         for answer in b.handle_message(now, received(A, 1, 2, request.message)) {
@@ -88,11 +87,11 @@
     a.leased(now).borrowed - before
 }
 
-/// Has the host request a quarter of the limit from B; the number of its only request, and the
-/// amount.
+/// Makes the host request a quarter of the limit from B. Returns the number and the amount of its
+/// only request.
 fn request_a_quarter(a: &mut QuotaLeases, now: Duration) -> (u64, u32) {
-    a.set_demand(WHOLE_LIMIT);
-    let sent = a.run_round(now, &[lender(B, WHOLE_LIMIT / 4)]);
+    a.set_demand(FULL_LIMIT);
+    let sent = a.run_round(now, &[lender(B, FULL_LIMIT / 4)]);
     let [OutgoingLeaseMessage {
         to: B,
         message: LeaseMessage::Request {
@@ -106,36 +105,36 @@
 }
 
 #[test]
-fn a_lease_is_renewed_while_it_is_needed_and_runs_out_otherwise() {
+fn a_lease_is_renewed_while_it_is_needed_and_expires_otherwise() {
     let mut a = leases(A, 2);
     let mut b = leases(B, 2);
     let granted = borrow(&mut a, &mut b, s(10));
-    assert!(granted > WHOLE_LIMIT / 3, "{granted}");
-    assert_eq!(a.quota(s(10)) + b.quota(s(10)), WHOLE_LIMIT);
-    // Requested anew in its second half; both sides go by the later end.
+    assert!(granted > FULL_LIMIT / 3, "{granted}");
+    assert_eq!(a.quota(s(10)) + b.quota(s(10)), FULL_LIMIT);
+    // A renews the lease in its second half; both sides follow the later end.
     borrow(&mut a, &mut b, s(12));
     assert_eq!(
         (a.quota(s(15)), b.quota(s(16))),
-        (WHOLE_LIMIT / 2 + granted, WHOLE_LIMIT / 2 - granted)
+        (FULL_LIMIT / 2 + granted, FULL_LIMIT / 2 - granted)
     );
-    // It is renewed no more: the borrower's end is before the lender's.
+    // A does not renew it again: the borrower's end is before the lender's.
     assert_eq!(
         (a.quota(s(16)), b.quota(s(16))),
-        (WHOLE_LIMIT / 2, WHOLE_LIMIT / 2 - granted)
+        (FULL_LIMIT / 2, FULL_LIMIT / 2 - granted)
     );
-    assert_eq!(b.quota(s(17)), WHOLE_LIMIT / 2);
+    assert_eq!(b.quota(s(17)), FULL_LIMIT / 2);
 }
 
 #[test]
-fn a_lender_that_needs_its_own_quota_lets_the_lease_run_out() {
+fn a_lender_that_needs_its_own_quota_lets_the_lease_expire() {
     let mut a = leases(A, 2);
     let mut b = leases(B, 2);
     borrow(&mut a, &mut b, s(10));
-    b.set_demand(WHOLE_LIMIT);
+    b.set_demand(FULL_LIMIT);
     borrow(&mut a, &mut b, s(12));
     assert_eq!(
         (a.quota(s(14)), b.quota(s(15))),
-        (WHOLE_LIMIT / 2, WHOLE_LIMIT / 2)
+        (FULL_LIMIT / 2, FULL_LIMIT / 2)
     );
 }
 
@@ -146,7 +145,7 @@
     let granted = borrow(&mut a, &mut b, s(10));
     a.set_demand(0);
     let sent = a.run_round(s(11), &[]);
-    assert_eq!(a.quota(s(11)), WHOLE_LIMIT / 2);
+    assert_eq!(a.quota(s(11)), FULL_LIMIT / 2);
     let [OutgoingLeaseMessage {
         to: B,
         message: release @ LeaseMessage::Release { .. },
@@ -154,20 +153,20 @@
     else {
         panic!("{sent:?}")
     };
-    assert_eq!(b.quota(s(11)), WHOLE_LIMIT / 2 - granted);
+    assert_eq!(b.quota(s(11)), FULL_LIMIT / 2 - granted);
     b.handle_message(s(11), received(A, 1, 2, release));
-    assert_eq!(b.quota(s(11)), WHOLE_LIMIT / 2);
+    assert_eq!(b.quota(s(11)), FULL_LIMIT / 2);
 }
 
 #[test]
-fn requests_of_others_than_present_sharers_and_late_or_unknown_grants_are_rejected() {
-    let request = request(WHOLE_LIMIT / 4);
-    // the sender, its incarnation, among how many it shares; and whether it is answered
+fn requests_of_hosts_that_do_not_share_and_late_or_unknown_grants_are_rejected() {
+    let request = request(FULL_LIMIT / 4);
+    // The sender, its incarnation and its number of sharers; and whether it receives an answer.
     let cases = [
         ((A, 1, 2), true),
         ((A, 1, 3), false),             // another number of sharers
-        ((HostNumber(9), 1, 2), false), // it does not share
-        ((B, 1, 2), false),             // oneself
+        ((HostNumber(9), 1, 2), false), // no sharer
+        ((B, 1, 2), false),             // the host itself
     ];
     for ((from, incarnation, sharers), answered) in cases {
         let mut b = leases(B, 2);
@@ -184,20 +183,20 @@
     assert!(b
         .handle_message(s(10), received(A, 1, 2, request))
         .is_empty());
-    // A grant of something never requested, and one that comes after its lease would have run out.
+    // A grant without a request, and a grant that arrives after the end of its lease.
     let mut a = leases(A, 2);
-    a.handle_message(s(10), received(B, 1, 2, grant(7, WHOLE_LIMIT / 4)));
-    assert_eq!(a.quota(s(10)), WHOLE_LIMIT / 2);
+    a.handle_message(s(10), received(B, 1, 2, grant(7, FULL_LIMIT / 4)));
+    assert_eq!(a.quota(s(10)), FULL_LIMIT / 2);
     let (request, amount) = request_a_quarter(&mut a, s(10));
     a.handle_message(s(14), received(B, 1, 2, grant(request, amount)));
-    assert_eq!(a.quota(s(14)), WHOLE_LIMIT / 2);
+    assert_eq!(a.quota(s(14)), FULL_LIMIT / 2);
 }
 
 #[test]
 fn a_host_without_memory_uses_only_its_reserve_until_all_sharers_have_sent_cleared() {
     let mut b = QuotaLeases::new(s(10), B, Incarnation(5), TERMS, sharers(3));
     let reserve = b.quota(s(10));
-    assert!(reserve > 0 && reserve < WHOLE_LIMIT / 20, "{reserve}");
+    assert!(reserve > 0 && reserve < FULL_LIMIT / 20, "{reserve}");
     assert_eq!(b.spare(s(10)), 0);
     let sent = b.run_round(s(10), &[]);
     assert_eq!(
@@ -211,24 +210,24 @@
     b.handle_message(s(10), received(C, 1, 3, cleared(4))); // of another incarnation
     assert_eq!(b.quota(s(10)), reserve);
     b.handle_message(s(10), received(C, 1, 3, cleared(5)));
-    assert_eq!(b.quota(s(10)), WHOLE_LIMIT / 3);
-    // Where one never answers, every lease has run out in the end.
+    assert_eq!(b.quota(s(10)), FULL_LIMIT / 3);
+    // If one sharer never answers, every lease has expired in the end.
     let b = QuotaLeases::new(s(10), B, Incarnation(5), TERMS, sharers(3));
-    assert_eq!((b.quota(s(14)), b.quota(s(15))), (reserve, WHOLE_LIMIT / 3));
+    assert_eq!((b.quota(s(14)), b.quota(s(15))), (reserve, FULL_LIMIT / 3));
 }
 
 #[test]
-fn a_borrower_that_learns_of_a_new_incarnation_of_its_lender_uses_nothing_of_the_earlier() {
+fn a_borrower_drops_leases_of_an_earlier_incarnation_of_its_lender() {
     let mut a = leases(A, 2);
     let mut b = leases(B, 2);
     assert!(borrow(&mut a, &mut b, s(10)) > 0);
     let out = a.handle_message(s(11), received(B, 2, 2, LeaseMessage::Recovered));
     assert_eq!(out, [outgoing(B, cleared(2))]);
-    assert_eq!(a.quota(s(11)), WHOLE_LIMIT / 2);
+    assert_eq!(a.quota(s(11)), FULL_LIMIT / 2);
 }
 
 #[test]
-fn with_another_number_of_sharers_what_was_borrowed_is_void_and_what_was_granted_is_not() {
+fn another_number_of_sharers_voids_borrowed_leases_and_not_granted_ones() {
     let mut a = leases(A, 2);
     let mut b = leases(B, 2);
     let granted = borrow(&mut a, &mut b, s(10));
@@ -236,27 +235,27 @@
     b.set_sharers(sharers(3));
     assert_eq!(
         (a.quota(s(11)), b.quota(s(11))),
-        (WHOLE_LIMIT / 3, (WHOLE_LIMIT / 3).saturating_sub(granted))
+        (FULL_LIMIT / 3, (FULL_LIMIT / 3).saturating_sub(granted))
     );
-    // Of a quota that is still applied among three, what was granted then is as much, with two as
-    // well.
+    // A lease that was granted among three sharers is the same amount among two: a host may still
+    // apply the quota for three.
     let mut b = leases(B, 3);
-    b.handle_message(s(10), received(A, 1, 3, request(WHOLE_LIMIT / 10)));
+    b.handle_message(s(10), received(A, 1, 3, request(FULL_LIMIT / 10)));
     b.set_sharers(sharers(2));
     assert_eq!(
         b.quota(s(10)),
-        WHOLE_LIMIT / 2 - (WHOLE_LIMIT / 10 * 3).div_ceil(2)
+        FULL_LIMIT / 2 - (FULL_LIMIT / 10 * 3).div_ceil(2)
     );
 }
 
 #[test]
-fn a_volume_that_comes_back_in_one_incarnation_takes_no_grant_of_what_it_requested_before() {
+fn a_volume_that_is_added_again_ignores_grants_to_its_former_requests() {
     let mut before = leases(A, 2);
     let (request, amount) = request_a_quarter(&mut before, s(10));
     let mut after = QuotaLeases::new(s(11), A, Incarnation(1), TERMS, sharers(2));
     after.handle_message(s(11), received(B, 1, 2, cleared(1)));
-    after.set_demand(WHOLE_LIMIT);
-    after.run_round(s(11), &[lender(B, WHOLE_LIMIT / 4)]);
+    after.set_demand(FULL_LIMIT);
+    after.run_round(s(11), &[lender(B, FULL_LIMIT / 4)]);
     after.handle_message(s(11), received(B, 1, 2, grant(request, amount)));
-    assert_eq!(after.quota(s(11)), WHOLE_LIMIT / 2);
+    assert_eq!(after.quota(s(11)), FULL_LIMIT / 2);
 }
--- a/crates/coordination/tests/quota_lease_explorer.rs
+++ b/crates/coordination/tests/quota_lease_explorer.rs
@@ -1,16 +1,19 @@
-//! All that can happen to the leases of one limit among three hosts, explored: messages are lost,
-//! doubled, overtaken, or arrive after their sender's incarnation; hosts die and start anew without
-//! their memory; a clock loses a tick; the third host joins when the first two have followed. In
-//! every state the hosts' quotas add up to the whole limit at most. Worlds with a fault planted on
-//! purpose, on the other side of the leases' interface, must break that.
+//! Explores the reachable states of the leases of one limit among up to three hosts. Messages are
+//! lost, duplicated, overtaken, or arrive after the end of their sender's incarnation. Hosts die
+//! and restart without their memory. A clock loses a tick. The third host joins after the first two
+//! have followed. In every state the hosts' quotas add up to at most the limit. Worlds with an
+//! injected fault, on the other side of the leases' interface, must violate that.
 
+mod common;
+
+use common::sharers;
 use grebecleat_coordination::borrowed_leases::{Lender, OutgoingLeaseMessage};
 use grebecleat_coordination::lease_message::{
-    LeaseMessage, LeaseTerms, ReceivedLeaseMessage, WHOLE_LIMIT,
+    LeaseMessage, LeaseTerms, ReceivedLeaseMessage, FULL_LIMIT,
 };
 use grebecleat_coordination::quota_lease::QuotaLeases;
 use grebecleat_coordination::{HostNumber, Incarnation};
-use std::collections::{BTreeSet, HashSet, VecDeque};
+use std::collections::{HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::time::Duration;
 
@@ -18,35 +21,37 @@
     duration: ticks(2),
     margin: ticks(1),
 };
-/// Messages in flight at most; a further one is not sent.
+/// Messages in flight, at most; a further message is not sent.
 const MAX_IN_FLIGHT: usize = 2;
-/// How long ago a host has started that is past its recovery.
+/// The time in ticks since the start of a host whose recovery is over.
 const LONG_AGO: u64 = 50;
-/// States that are visited, at most, where a world is larger.
+/// States that are visited, at most, if a world has more.
 const MAX_STATES: usize = 250_000;
 
+/// Returns a duration in ticks, of one second each.
 const fn ticks(count: u64) -> Duration {
     Duration::from_secs(count)
 }
 
+/// A fault that is injected into a world.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A host that starts anew takes it that it has granted nothing.
+    /// A host that restarts assumes that it has granted no lease.
     SkipsRecovery,
-    /// One host sends in another's name that it uses nothing, without knowing it.
+    /// One host sends `Cleared` in the name of another host, without knowing that host's leases.
     ClearedByThirdHost,
-    /// Messages are taken for those of their sender's present incarnation.
+    /// Messages count as messages of their sender's present incarnation.
     IncarnationsMixedUp,
     /// A clock loses more than the margin.
     SlowClock,
-    /// The lender counts from when the request was sent, and not from when it granted.
+    /// The lender counts the duration from the request, and not from its grant.
     CountsFromRequest,
-    /// A release is sent before its borrower has dropped the lease.
+    /// A release is sent before the borrower has dropped the lease.
     ReleasedTooEarly,
-    /// One grant is taken for the answer to another request as well.
+    /// One grant counts as the answer to another request as well.
     GrantsMixedUp,
-    /// The third host begins before the first two have followed.
+    /// The third host begins before the first two hosts have followed.
     JoinsTooEarly,
 }
 
@@ -88,10 +93,10 @@
 }
 
 impl World {
-    /// Takes a message in flight; a doubled one stays for another delivery.
-    fn take_message(&mut self, at: usize, doubled: bool) -> (usize, ReceivedLeaseMessage) {
+    /// Returns a message in flight, and removes it unless it is duplicated.
+    fn take_message(&mut self, at: usize, duplicated: bool) -> (usize, ReceivedLeaseMessage) {
         let message = self.in_flight[at];
-        if !doubled {
+        if !duplicated {
             self.in_flight.remove(at);
         }
         message
@@ -107,14 +112,14 @@
     }
 }
 
-/// The worlds that follow on one.
+/// The worlds that follow from one world.
 struct Successors<'a> {
     world: &'a World,
     found: Vec<World>,
 }
 
 impl Successors<'_> {
-    /// Adds the world after a change, if it changes anything.
+    /// Adds the world after a change, if the world differs.
     fn add(&mut self, change: impl FnOnce(&mut World)) {
         let mut next = self.world.clone();
         change(&mut next);
@@ -140,10 +145,6 @@
     joins: bool,
 }
 
-fn sharers(count: usize) -> BTreeSet<HostNumber> {
-    (0..count as u32).map(HostNumber).collect()
-}
-
 impl Model {
     fn start(&self) -> World {
         let sharer_count = if self.joins { 2 } else { self.hosts };
@@ -175,11 +176,12 @@
         }
     }
 
-    /// Demand moves from the first host to the second in the middle.
+    /// Returns the demand of a host. The demand moves from the first host to the second at half
+    /// time.
     fn demand(&self, world: &World, host: usize) -> u32 {
         let first_half = world.time < self.end / 2;
         if (host == 0) == first_half {
-            WHOLE_LIMIT
+            FULL_LIMIT
         } else {
             0
         }
@@ -214,8 +216,8 @@
         world.in_flight.dedup();
     }
 
-    fn deliver(&self, world: &mut World, at: usize, doubled: bool) {
-        let (to, mut received) = world.take_message(at, doubled);
+    fn deliver(&self, world: &mut World, at: usize, duplicated: bool) {
+        let (to, mut received) = world.take_message(at, duplicated);
         if self.fault == Fault::IncarnationsMixedUp {
             let sender = &world.hosts[received.from.0 as usize];
             received.incarnation = Incarnation(sender.incarnation);
@@ -265,7 +267,7 @@
         self.send(world, index, messages);
     }
 
-    /// A host dies and is back before any clock moves: the worst time.
+    /// Restarts a host before any clock moves, which is the worst time.
     fn restart(&self, world: &mut World, index: usize) {
         let host = &mut world.hosts[index];
         let sharer_count = host.sharer_count().unwrap_or(self.hosts);
@@ -309,7 +311,7 @@
         successors.found
     }
 
-    /// Messages arrive once, or twice, or never.
+    /// Adds the worlds in which a message arrives once, twice, or never.
     fn add_deliveries(&self, successors: &mut Successors, mishaps_left: bool) {
         for at in 0..successors.world.in_flight.len() {
             successors.add(|next| self.deliver(next, at, false));
@@ -322,7 +324,7 @@
         }
     }
 
-    /// The first two hosts follow, and the third joins.
+    /// Adds the worlds in which one of the first two hosts follows, or the third host joins.
     fn add_joins(&self, successors: &mut Successors) {
         for host in 0..2 {
             successors.add(|next| {
@@ -348,7 +350,7 @@
         }
     }
 
-    /// All clocks move, or all but one.
+    /// Adds the worlds in which all clocks move, or all clocks but one.
     fn add_ticks(&self, successors: &mut Successors, mishaps_left: bool) {
         successors.add(|next| {
             next.tick();
@@ -373,7 +375,7 @@
         }
     }
 
-    /// How many states were visited, and the first in which the quotas are more than the whole
+    /// Returns the number of visited states, and the first state in which the quotas exceed the
     /// limit.
     fn explore(&self, max_states: usize) -> (usize, Option<World>) {
         let mut visited: HashSet<u64> = HashSet::new();
@@ -384,7 +386,7 @@
             if !visited.insert(hasher.finish()) {
                 continue;
             }
-            if world.sum_of_quotas() > u64::from(WHOLE_LIMIT) {
+            if world.sum_of_quotas() > u64::from(FULL_LIMIT) {
                 return (visited.len(), Some(world));
             }
             if visited.len() >= max_states {
@@ -396,7 +398,7 @@
     }
 }
 
-/// Takes a grant for the answer to the requests before and after its own as well.
+/// Handles a grant as the answer to the requests before and after its own as well.
 fn grant_other_requests(leases: &mut QuotaLeases, now: Duration, received: ReceivedLeaseMessage) {
     let LeaseMessage::Grant {
         request,
@@ -423,7 +425,7 @@
 }
 
 #[test]
-fn the_quotas_of_a_limit_never_add_up_to_more_than_the_whole() {
+fn the_quotas_of_a_limit_never_exceed_it() {
     for (hosts, end, max_mishaps, joins) in [
         (2, 4, 1, false),
         (2, 6, 1, false),
@@ -453,7 +455,7 @@
 }
 
 #[test]
-fn planted_faults_are_found() {
+fn injected_faults_are_found() {
     let faults = [
         Fault::SkipsRecovery,
         Fault::ClearedByThirdHost,
--- a/crates/coordination/tests/simulation/mod.rs
+++ b/crates/coordination/tests/simulation/mod.rs
@@ -1,6 +1,7 @@
-//! A whole fleet in one process: hosts, nodes, and a network that delays, loses and doubles
+//! A simulated fleet in one process: hosts, nodes, and a network that delays, loses and duplicates
 //! messages.
 
+use crate::common::ms;
 use grebecleat_coordination::coordinator::Coordinator;
 use grebecleat_coordination::events::{Action, Event, Rules};
 use grebecleat_coordination::lease_message::LeaseTerms;
@@ -20,29 +21,28 @@
     },
 };
 const VOLUME: u64 = 7;
-/// Units a second.
+/// The limit of the volume, in units a second.
 pub const LIMIT: f64 = 1000.0;
-/// Most milliseconds that a message is on its way, without loss and with it.
+/// The greatest delay of a message in milliseconds, without loss.
 const MAX_DELAY_MS: u64 = 5;
+/// The greatest delay of a message in milliseconds, with loss.
 const MAX_DELAY_WITH_LOSS_MS: u64 = 400;
 
-pub const fn ms(milliseconds: u64) -> Duration {
-    Duration::from_millis(milliseconds)
-}
-
-/// One host, and what is true for it.
+/// One host of the simulation.
 pub struct Host {
     pub coordinator: Coordinator,
     incarnation: u64,
     inbox: Vec<(HostNumber, Vec<u8>)>,
-    /// Until when its process stands still.
+    /// The end of its process's pause.
     pub paused_until: Duration,
     /// Its quota as a multiple of its base quota.
     pub quota: f64,
+    /// The nodes that it avoids.
     pub avoided: BTreeSet<u32>,
-    /// Nodes that some host has ever reported bad to it, as one that avoids on every report would.
+    /// Nodes that some host has ever reported to it as bad. A host that avoids nodes on every
+    /// report would avoid all of them.
     pub reported_bad: BTreeSet<u32>,
-    /// Units a second that clients request.
+    /// The demand of its clients, in units a second.
     pub demand: f64,
 }
 
@@ -56,21 +56,23 @@
     pub now: Duration,
     pub rng: Pcg64Mcg,
     pub hosts: Vec<Host>,
-    /// With the starts of their processes.
+    /// The nodes with the starts of their processes.
     nodes: BTreeMap<u32, u64>,
-    /// Attempts a second of each host.
+    /// The rate of each host's attempts, in attempts a second.
     attempt_rate: f64,
-    /// By arrival and number.
+    /// Messages by arrival time and number.
     in_flight: BTreeMap<(Duration, u64), InFlight>,
-    /// Messages and their bytes so far.
+    /// Number of messages so far.
     pub sent: u64,
+    /// Bytes of these messages.
     pub sent_bytes: u64,
-    /// Pairs of hosts of which the first does not reach the second.
+    /// Pairs of hosts: the first host does not reach the second.
     pub cut: BTreeSet<(usize, usize)>,
-    /// The chance that a message is lost, and that it is doubled.
+    /// The chance that a message is lost, and the chance that it is duplicated.
     pub loss: f64,
-    /// Nodes that no host reaches, and those that one host does not.
+    /// Nodes that no host reaches.
     pub dead: BTreeSet<u32>,
+    /// Pairs of a host and a node that the host does not reach.
     pub unreached: BTreeSet<(usize, u32)>,
 }
 
@@ -164,7 +166,8 @@
         }
     }
 
-    /// What happens to a host in a tick: messages arrive, attempts end, and clients send requests.
+    /// Returns the events of a host in a tick: messages arrive, attempts end, and clients send
+    /// requests.
     fn events_of(&mut self, index: usize) -> Vec<Event> {
         let mut events = Vec::new();
         for (from, bytes) in std::mem::take(&mut self.hosts[index].inbox) {
@@ -199,13 +202,13 @@
         if self.cut.contains(&(from, to)) || self.rng.random::<f64>() < self.loss {
             return;
         }
-        let doubled = self.rng.random::<f64>() < self.loss;
+        let duplicated = self.rng.random::<f64>() < self.loss;
         let max_delay = if self.loss > 0.0 {
             MAX_DELAY_WITH_LOSS_MS
         } else {
             MAX_DELAY_MS
         };
-        for _ in 0..1 + usize::from(doubled) {
+        for _ in 0..1 + usize::from(duplicated) {
             let delay = ms(self.rng.random_range(0..max_delay));
             let number = self.sent * 2 + u64::from(self.rng.random::<bool>());
             let message = InFlight {
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Runs for a while, and asserts in each tick that the quotas stay within the limit.
+    /// Runs for a time span, and asserts in each tick that the quotas stay within the limit.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
@@ -226,8 +229,8 @@
         }
     }
 
-    /// The sum of all quotas as a fraction of the whole limit. Hosts that stand still send nothing,
-    /// and first drop what has run out when they go on.
+    /// Returns the sum of all quotas as a fraction of the limit. Paused hosts are left out: they
+    /// send nothing, and drop expired leases before anything else when they continue.
     pub fn sum_of_quotas(&self) -> f64 {
         let running = self
             .hosts
@@ -240,12 +243,12 @@
         let quotas = self.sum_of_quotas();
         assert!(
             quotas <= 1.0 + 1e-6,
-            "quotas of {quotas} of the whole limit at {:?}",
+            "quotas of {quotas} of the limit at {:?}",
             self.now
         );
     }
 
-    /// Restarts a host: whatever it knew is lost; its clock may even have gone back.
+    /// Restarts a host without its memory. Its clock may have gone back.
     pub fn restart(&mut self, index: usize) {
         let incarnation = self.hosts[index].incarnation + self.rng.random_range(0..2);
         let demand = self.hosts[index].demand;
@@ -255,7 +258,7 @@
         self.hosts[index] = new;
     }
 
-    /// How many hosts do not treat the node by their own evidence.
+    /// Returns the number of hosts whose policy for the node is not their own evidence.
     pub fn hosts_with_a_policy_for(&self, node: u32) -> usize {
         let policies = self
             .hosts
@@ -268,7 +271,7 @@
 }
 
 impl Host {
-    /// Has it take in events, and returns the messages that it sends.
+    /// Passes events to the host, and returns the messages that it sends.
     fn step(&mut self, now: Duration, events: Vec<Event>) -> Vec<(HostNumber, Vec<u8>)> {
         let mut messages = Vec::new();
         for action in self.coordinator.step(now, events) {
@@ -288,7 +291,7 @@
         messages
     }
 
-    /// Nodes that some host finds bad, as far as this one knows.
+    /// Returns the nodes that some host finds bad, as far as this host knows.
     pub fn nodes_found_bad(&self) -> impl Iterator<Item = u32> {
         let policies = self.coordinator.policies().into_iter();
         policies
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -278,7 +278,7 @@
                 Action::PolicyChanged { node, policy } => {
                     self.policy_changed(NodeId(node), policy, &mut outcome)
                 }
-                Action::Log { text } => outcome.log.push(text),
+                Action::Log { notice } => outcome.log.push(notice.to_string()),
             }
         }
         outcome
