--- a/crates/wire/src/clock.rs
+++ b/crates/wire/src/clock.rs
@@ -1,21 +1,22 @@
-//! The machine's monotonic clock, which steps of the wall clock do not touch and all processes
-//! share.
+//! The machine's monotonic clock. All processes share it, and steps of the wall clock do not affect
+//! it.
 
 use std::time::Duration;
 
-/// Time since the machine started.
+/// Returns the time since the machine started.
 pub fn now() -> Duration {
-    let mut t = libc::timespec {
+    let mut time = libc::timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: the pointer is to a live timespec, and the clock's number is a constant of the
+    // SAFETY: the pointer refers to a live timespec, and the clock's number is a constant of the
     // platform.
-    unsafe { libc::clock_gettime(libc::CLOCK_MONOTONIC, &mut t) };
-    Duration::new(t.tv_sec as u64, t.tv_nsec as u32)
+    unsafe { libc::clock_gettime(libc::CLOCK_MONOTONIC, &mut time) };
+    Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// Microseconds, as the messages carry them; what does not fit counts as the most.
-pub fn micros(d: Duration) -> u64 {
-    u64::try_from(d.as_micros()).unwrap_or(u64::MAX)
+/// Returns a duration in microseconds, as the messages carry it. A duration that does not fit
+/// becomes the greatest number.
+pub fn micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/wire/src/delay.rs
+++ b/crates/wire/src/delay.rs
@@ -1,35 +1,39 @@
-//! How long a frame waited on its way, told without comparing clocks.
+//! Estimates how long a frame waited on its way, without a comparison of clocks.
 //!
-//! A receiver that stood still, a full socket buffer or a slow reader lets frames wait before they
-//! are read, and the time that a client or host still gives is then less than the frame says. The
-//! difference between the two ends' clocks is unknown but constant, so the least difference seen
-//! stands for "did not wait" (as one-way delay is used in RFC 6817, section 3).
+//! Frames wait before they are read if the receiver was paused, if a socket buffer is full, or if
+//! the reader is slow. The time to the deadline is then shorter than the frame states. The
+//! difference between the clocks of the two ends is unknown but constant. The least difference that
+//! was observed therefore counts as no wait (one-way delay, RFC 6817, section 3).
 
 use std::time::Duration;
 
-/// One connection's frames in one direction.
+/// The delay of one connection's frames in one direction.
 ///
 /// ```
 /// use grebecleat_wire::delay::Delay;
 /// use std::time::Duration;
 /// let ms = Duration::from_millis;
-/// let mut d = Delay::default();
-/// assert_eq!(d.waited(5_000_000, ms(100)), ms(0)); // clocks differ: nothing is known yet
-/// assert_eq!(d.waited(5_010_000, ms(110)), ms(0));
-/// assert_eq!(d.waited(5_020_000, ms(1120)), ms(1000)); // it waited a second
-/// assert_eq!(d.waited(5_030_000, ms(129)), ms(0)); // quicker than ever: the new measure
+/// let mut delay = Delay::default();
+/// assert_eq!(delay.waited(5_000_000, ms(100)), ms(0)); // the clocks differ; no frame to compare
+/// assert_eq!(delay.waited(5_010_000, ms(110)), ms(0));
+/// assert_eq!(delay.waited(5_020_000, ms(1120)), ms(1000)); // the frame waited for a second
+/// assert_eq!(delay.waited(5_030_000, ms(129)), ms(0)); // the least difference so far
 /// ```
 #[derive(Debug, Default, Clone)]
 pub struct Delay {
-    least: Option<i128>,
+    /// The least difference between the two clocks so far, in microseconds.
+    least_difference: Option<i128>,
 }
 
 impl Delay {
-    /// `sent_us` by the sender's clock, `read` by ours.
+    /// Returns how long a frame waited. `sent_us`: when it was sent, in microseconds by the
+    /// sender's clock. `read`: when it was read, by this process's clock.
     pub fn waited(&mut self, sent_us: u64, read: Duration) -> Duration {
-        let apart = read.as_micros() as i128 - i128::from(sent_us);
-        let least = self.least.map_or(apart, |l| l.min(apart));
-        self.least = Some(least);
-        Duration::from_micros((apart - least) as u64)
+        let difference = read.as_micros() as i128 - i128::from(sent_us);
+        let least = self
+            .least_difference
+            .map_or(difference, |least| least.min(difference));
+        self.least_difference = Some(least);
+        Duration::from_micros((difference - least) as u64)
     }
 }
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,50 +1,47 @@
 //! Frames: a length, a checksum and a message.
 //!
-//! Eight bytes of header, both numbers little-endian: the length of the message, and the CRC32C of
-//! the message. The length is checked against the bound before anything is kept for it, and memory
-//! is taken only as bytes arrive, so a header that claims 4 GiB costs eight bytes.
+//! The header has eight bytes: the length of the message, and the CRC32C of the message, both in
+//! little-endian order. The reader checks the length against its bound before it stores any byte of
+//! the message. It allocates memory only for bytes that arrive, so a header that claims 4 GiB costs
+//! eight bytes.
 
 use bytes::{Buf, Bytes, BytesMut};
 use prost::Message;
-use std::fmt;
 
+/// Bytes of a frame's header.
 pub const HEADER: usize = 8;
-/// What one read may bring; a held frame grows by this at a time.
-const ONE_READ: usize = 32 << 10;
+/// Bytes that one read from a stream returns, at most. The buffer grows by this number. A larger
+/// one costs memory for each connection; a smaller one costs more reads.
+const READ_BYTES: usize = 32 << 10;
 
-/// Why a peer's bytes cannot be read; the connection is of no more use.
-#[derive(Debug, Clone, PartialEq, Eq)]
+/// The reason why a peer's bytes are no frame. The connection cannot be used any further.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum FrameFault {
+    /// The frame is longer than the reader accepts.
+    #[error("frame of {length} bytes, at most {most}")]
     TooLong {
+        /// Bytes of the message, as the header states them.
         length: usize,
+        /// Bytes that the reader accepts.
         most: usize,
     },
+    /// The checksum of the message is wrong.
+    #[error("frame with a wrong checksum")]
     Checksum,
+    /// The bytes are no message of the expected type; the decoder's error.
+    #[error("frame that holds no message: {0}")]
     Message(String),
-    /// No body that this version knows.
+    /// This version does not know the message's body.
+    #[error("message of an unknown kind")]
     Unknown,
 }
 
-impl fmt::Display for FrameFault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            FrameFault::TooLong { length, most } => {
-                write!(f, "frame of {length} bytes, at most {most}")
-            }
-            FrameFault::Checksum => write!(f, "frame with a wrong checksum"),
-            FrameFault::Message(why) => write!(f, "frame that holds no message: {why}"),
-            FrameFault::Unknown => write!(f, "message of an unknown kind"),
-        }
-    }
-}
-
-impl std::error::Error for FrameFault {}
-
-/// Appends a message, framed, and answers how many bytes that took.
+/// Appends a message as a frame, and returns the number of bytes of the frame.
 ///
 /// ```
 /// use grebecleat_wire::{frame, pb};
-/// let sent = pb::Frame { sent_us: 7, body: Some(pb::frame::Body::FetchEndpoints(pb::FetchEndpoints {})) };
+/// let sent = pb::Frame { sent_us: 7, body: Some(pb::frame::Body::FetchEndpoints(pb::FetchEndpoints
+/// {})) };
 /// let mut bytes = Vec::new();
 /// frame::write(&sent, &mut bytes);
 /// let mut reader = frame::Reader::new(1024);
@@ -64,75 +61,80 @@
     length + HEADER
 }
 
-/// Takes bytes as they come and gives back whole messages.
+/// Assembles messages from bytes as they arrive.
 #[derive(Debug)]
 pub struct Reader {
-    held: BytesMut,
-    most: usize,
+    /// Bytes that arrived and were not returned as messages.
+    buffered: BytesMut,
+    max_message: usize,
 }
 
 impl Reader {
-    pub fn new(most: usize) -> Self {
+    /// Returns a reader without bytes. `max_message`: bytes of the largest message that it accepts.
+    pub fn new(max_message: usize) -> Self {
         Reader {
-            held: BytesMut::new(),
-            most,
+            buffered: BytesMut::new(),
+            max_message,
         }
     }
 
+    /// Adds bytes that arrived.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.held.extend_from_slice(bytes);
+        self.buffered.extend_from_slice(bytes);
     }
 
-    /// Reads once from a stream; answers how many bytes came.
+    /// Reads once from a stream, and returns the number of bytes that arrived.
     pub fn fill(&mut self, from: &mut impl std::io::Read) -> std::io::Result<usize> {
-        let held = self.held.len();
-        // A large frame is put together where it begins, and not moved each time it grows.
+        let buffered = self.buffered.len();
+        // Reserves the memory of a large frame at once, so that the frame is not moved each time it
+        // grows.
         let length = self
-            .held
+            .buffered
             .first_chunk::<4>()
-            .map_or(0, |h| u32::from_le_bytes(*h) as usize);
-        let missing = if length <= self.most {
-            (length + HEADER).saturating_sub(held)
+            .map_or(0, |length| u32::from_le_bytes(*length) as usize);
+        let missing = if length <= self.max_message {
+            (length + HEADER).saturating_sub(buffered)
         } else {
             0
         };
-        self.held.reserve(missing.max(ONE_READ));
-        self.held.resize(held + ONE_READ, 0);
-        let got = from.read(&mut self.held[held..]);
-        self.held.truncate(held + got.as_ref().map_or(0, |n| *n));
-        got
+        self.buffered.reserve(missing.max(READ_BYTES));
+        self.buffered.resize(buffered + READ_BYTES, 0);
+        let read = from.read(&mut self.buffered[buffered..]);
+        let read_bytes = read.as_ref().map_or(0, |count| *count);
+        self.buffered.truncate(buffered + read_bytes);
+        read
     }
 
-    /// Bytes of a frame that has begun and is not whole.
+    /// Returns the number of bytes of an incomplete frame.
     pub fn partial(&self) -> usize {
-        self.held.len()
+        self.buffered.len()
     }
 
-    /// The next whole message; None until more bytes have come. After a fault every later call is
-    /// one too.
+    /// Returns the next complete message; None until more bytes arrive. After a fault every later
+    /// call returns a fault too.
     #[allow(clippy::should_implement_trait)]
     pub fn next<M: Message + Default>(&mut self) -> Result<Option<M>, FrameFault> {
-        let Some(header) = self.held.first_chunk::<HEADER>() else {
+        let Some(header) = self.buffered.first_chunk::<HEADER>() else {
             return Ok(None);
         };
         let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]) as usize;
         let sum = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
-        if length > self.most {
+        if length > self.max_message {
             return Err(FrameFault::TooLong {
                 length,
-                most: self.most,
+                most: self.max_message,
             });
         }
-        if self.held.len() < HEADER + length {
+        if self.buffered.len() < HEADER + length {
             return Ok(None);
         }
-        if crc32c::crc32c(&self.held[HEADER..HEADER + length]) != sum {
+        if crc32c::crc32c(&self.buffered[HEADER..HEADER + length]) != sum {
             return Err(FrameFault::Checksum);
         }
-        self.held.advance(HEADER);
-        let message: Bytes = self.held.split_to(length).freeze();
+        self.buffered.advance(HEADER);
+        let message: Bytes = self.buffered.split_to(length).freeze();
         M::decode(message)
             .map(Some)
-            .map_err(|e| FrameFault::Message(e.to_string()))
+            .map_err(|error| FrameFault::Message(error.to_string()))
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,19 +1,23 @@
-//! What crosses the sockets, and the record of it.
+//! The messages between clients, hosts, nodes, discovery and the state service, and their traces.
 //!
-//! The messages between clients, hosts, nodes, discovery and the state service ([`pb`]), their
-//! frames ([`frame`]), the estimate of what a frame waited on its way ([`delay`]), and trace files
-//! ([`trace`]). Nothing here decides anything about a request. Begin with `proto/grebecleat.proto`.
+//! - [`pb`]: the messages; [`frame`]: their frames.
+//! - [`delay`]: estimates how long a frame waited on its way; [`clock`]: the monotonic clock.
+//! - [`trace`]: trace files, which record the frames of a process.
+//!
+//! This package decides nothing about a request. Begin with `proto/grebecleat.proto`.
+
+#![warn(missing_docs)]
 
 pub mod clock;
 pub mod delay;
 pub mod frame;
 pub mod trace;
 
-/// As the messages' packages name each other.
+/// The packages of the messages, under the names by which the messages refer to each other.
 mod grebecleat {
     pub mod wire {
         pub mod v1 {
-            #![allow(clippy::all)]
+            #![allow(clippy::all, missing_docs)]
             include!(concat!(env!("OUT_DIR"), "/grebecleat.wire.v1.rs"));
         }
     }
@@ -22,5 +26,5 @@
 /// The messages of `proto/grebecleat.proto` and `proto/plans.proto`.
 pub use grebecleat::wire::v1 as pb;
 
-/// The version of the messages that this program speaks.
+/// The version of the messages that this program sends and accepts.
 pub const VERSION: u32 = 1;
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,12 +1,13 @@
-//! Properties of frames: whole messages come out as they went in, however the bytes are cut; damage
-//! is told.
+//! Properties of frames: complete messages are read as they were written, however the bytes are
+//! split, and damage is reported.
 
 use grebecleat_wire::frame::{write, FrameFault, Reader};
 use grebecleat_wire::pb::{self, frame::Body};
 use rand::{Rng, RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn some_frame(rng: &mut Pcg64Mcg) -> pb::Frame {
+/// Returns a random frame.
+fn random_frame(rng: &mut Pcg64Mcg) -> pb::Frame {
     let mut data = vec![0; rng.random_range(0..300)];
     rng.fill_bytes(&mut data);
     let id = data.iter().copied().take(36).collect::<Vec<u8>>().into();
@@ -52,30 +53,34 @@
 }
 
 #[test]
-fn frames_come_out_as_they_went_in_however_they_are_cut() {
+fn frames_are_read_as_they_were_written_however_they_are_split() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let sent: Vec<pb::Frame> = (0..20).map(|_| some_frame(&mut rng)).collect();
+        let sent: Vec<pb::Frame> = (0..20).map(|_| random_frame(&mut rng)).collect();
         let mut bytes = Vec::new();
-        sent.iter().for_each(|f| _ = write(f, &mut bytes));
-        let (mut reader, mut got, mut at) = (Reader::new(64 << 10), Vec::new(), 0);
-        while at < bytes.len() {
-            let n = rng.random_range(1..200).min(bytes.len() - at);
-            reader.push(&bytes[at..at + n]);
-            at += n;
-            while let Some(f) = reader.next::<pb::Frame>().expect("whole frames") {
-                got.push(f);
+        for frame in &sent {
+            write(frame, &mut bytes);
+        }
+        let mut reader = Reader::new(64 << 10);
+        let mut read = Vec::new();
+        let mut start = 0;
+        while start < bytes.len() {
+            let length = rng.random_range(1..200).min(bytes.len() - start);
+            reader.push(&bytes[start..start + length]);
+            start += length;
+            while let Some(frame) = reader.next::<pb::Frame>().expect("complete frames") {
+                read.push(frame);
             }
         }
-        assert_eq!((got, reader.partial()), (sent, 0), "seed {seed}");
+        assert_eq!((read, reader.partial()), (sent, 0), "seed {seed}");
     }
 }
 
 #[test]
-fn a_changed_byte_is_never_taken_for_the_frame_that_was_sent() {
+fn a_frame_with_a_changed_byte_is_never_accepted() {
     for seed in 0..500 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let sent = some_frame(&mut rng);
+        let sent = random_frame(&mut rng);
         let mut bytes = Vec::new();
         write(&sent, &mut bytes);
         let at = rng.random_range(0..bytes.len());
@@ -91,7 +96,7 @@
 }
 
 #[test]
-fn noise_is_a_fault_or_unfinished_and_keeps_no_more_than_came() {
+fn noise_is_a_fault_or_incomplete_and_buffers_no_more_than_arrived() {
     for seed in 0..500 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut noise = vec![0; rng.random_range(0..2000)];
@@ -104,7 +109,7 @@
 }
 
 #[test]
-fn the_length_is_judged_by_the_header_alone_and_unknown_fields_are_skipped() {
+fn the_header_alone_decides_on_the_length_and_unknown_fields_are_skipped() {
     let mut reader = Reader::new(100);
     reader.push(&[0xff, 0xff, 0xff, 0xff, 0, 0, 0, 0]);
     let most = FrameFault::TooLong {
@@ -112,8 +117,12 @@
         most: 100,
     };
     assert_eq!(reader.next::<pb::Frame>(), Err(most.clone()));
-    assert_eq!(reader.next::<pb::Frame>(), Err(most), "it stays a fault");
-    // A later version's message: a known body, and field 99 beside it.
+    assert_eq!(
+        reader.next::<pb::Frame>(),
+        Err(most),
+        "every later call returns the fault"
+    );
+    // A message of a later version: a known body, and the unknown field 99.
     let message = [0x3a, 0, 0x9a, 0x06, 2, b'h', b'i'];
     let mut bytes = (message.len() as u32).to_le_bytes().to_vec();
     bytes.extend(crc32c::crc32c(&message).to_le_bytes());
