--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,3 +1,8 @@
-//! What the users' bench and their platform share: how start-up settings are read.
+//! The start-up settings of the users' simulator and platform, parsed into the scheduler's types.
+//!
+//! The platform's host and the adapter program use the same parser, so that no default differs
+//! between them.
+
+#![warn(missing_docs)]
 
 pub mod settings;
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,46 +1,49 @@
-//! Reads batches of events from standard input and writes the actions that grebecleat answers.
-//! Translation only: every decision is made in the library's `scheduler` module.
+//! `grebecleat-adapter`: the scheduler on the simulator's wire.
+//!
+//! Reads batches of events from standard input and writes the actions that the scheduler returns.
+//! The program only translates: every decision is made in `grebecleat_scheduler`. A malformed line
+//! ends the process with an error that names the line and the fault.
 
 mod wire;
 
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
-use wire::Fault;
+use wire::{LineError, Session, WireError};
 
-fn run() -> Result<(), Fault> {
+fn main() -> ExitCode {
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("grebecleat-adapter: {error}");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Reads lines until the end of the input, or until the reader of the output has closed it.
+fn run() -> Result<(), LineError> {
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
-    let mut desk = wire::Desk::default();
+    let mut session = Session::default();
     let mut line = Vec::new();
     let mut number = 0u64;
     loop {
         line.clear();
         number += 1;
-        let read = input
+        let at_line = |error: WireError| LineError { number, error };
+        let length = input
             .read_until(b'\n', &mut line)
-            .map_err(|e| Fault::at(number, format!("cannot read: {e}")))?;
-        if read == 0 {
-            return desk.closed().map_err(|f| Fault::at(number, f));
+            .map_err(|error| at_line(error.into()))?;
+        if length == 0 {
+            return session.finish().map_err(at_line);
         }
-        let text = std::str::from_utf8(&line).map_err(|_| Fault::at(number, "not UTF-8".into()))?;
+        let text = std::str::from_utf8(&line).map_err(|_| at_line(WireError::NotUtf8))?;
         let text = text.trim_end_matches(['\n', '\r']);
-        if let Some(reply) = desk.line(text).map_err(|f| Fault::at(number, f))? {
-            let sent = output
-                .write_all(reply.as_bytes())
-                .and_then(|()| output.flush());
-            if sent.is_err() {
-                return Ok(()); // nobody reads any more
+        if let Some(reply) = session.handle_line(text).map_err(at_line)? {
+            let written = output.write_all(reply.as_bytes());
+            if written.and_then(|()| output.flush()).is_err() {
+                return Ok(()); // the reader has closed the output
             }
         }
     }
 }
-
-fn main() -> ExitCode {
-    match run() {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("grebecleat-adapter: {fault}");
-            ExitCode::FAILURE
-        }
-    }
-}
--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -1,172 +1,276 @@
-//! The start-up settings of the wire, as the library's groups of figures.
+//! Start-up settings: pairs of a path and a value, parsed into the scheduler's types.
+//!
+//! Paths are the simulator's own, their parts joined by dots. An absent value counts as zero, false
+//! or empty; a path that is not known here is ignored.
 
-use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::api::{
+    DeduplicationScope, DiscoveryPolicy, HostLimits, Idempotency, Plan, RetryBudget,
+    SlowStartPolicy, TrafficClass, UnitSettings,
+};
 use std::collections::BTreeMap;
 use std::str::FromStr;
 use std::time::Duration;
 
+/// Stands for an absent value.
+const ABSENT: &str = "-";
+/// Longest time that a setting can state, in microseconds: 30,000 years. A longer one would overflow
+/// sums of times.
+const MAX_MICROS: f64 = 1e18;
+
+/// A setting that cannot be parsed.
+#[derive(Debug, thiserror::Error)]
+pub enum SettingError {
+    /// A pair has no equals sign.
+    #[error("setting without '=': {0}")]
+    NoValue(String),
+    /// A value has the wrong form.
+    #[error("setting {path} has a bad value: {value}")]
+    BadValue {
+        /// The setting's path.
+        path: String,
+        /// Its value.
+        value: String,
+    },
+}
+
+/// Settings by their paths.
 pub struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
-    /// Settings that nobody here knows are kept and never looked up.
-    pub fn read(text: &'a str) -> Result<Self, String> {
+    /// Splits a text into pairs `path=value`, separated by blanks.
+    ///
+    /// # Errors
+    ///
+    /// A part has no equals sign.
+    pub fn read(text: &'a str) -> Result<Self, SettingError> {
         let mut pairs = BTreeMap::new();
-        for pair in text.split(' ').filter(|p| !p.is_empty()) {
-            let (path, value) = pair
-                .split_once('=')
-                .ok_or(format!("setting without '=': {pair}"))?;
+        for pair in text.split(' ').filter(|pair| !pair.is_empty()) {
+            let Some((path, value)) = pair.split_once('=') else {
+                return Err(SettingError::NoValue(pair.to_string()));
+            };
             pairs.insert(path, value);
         }
         Ok(Pairs(pairs))
     }
 
-    /// Paths and values as they are, with whatever signs are in them.
+    /// Takes pairs as they are; values may contain any character.
     pub fn of(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         Pairs(pairs.into_iter().collect())
     }
 
-    pub fn get<T: FromStr>(&self, path: &str) -> Result<Option<T>, String> {
-        match self.0.get(path).copied() {
-            None | Some("" | "-") => Ok(None),
-            Some(v) => v
-                .parse()
-                .map(Some)
-                .map_err(|_| format!("setting {path} has a bad value: {v}")),
-        }
+    /// Parses a value; None: it is absent.
+    ///
+    /// # Errors
+    ///
+    /// The value has the wrong form; this holds for all methods of this type.
+    pub fn get<T: FromStr>(&self, path: &str) -> Result<Option<T>, SettingError> {
+        let value = match self.0.get(path).copied() {
+            None | Some("" | ABSENT) => return Ok(None),
+            Some(value) => value,
+        };
+        let parsed = value.parse().map(Some);
+        parsed.map_err(|_| SettingError::BadValue {
+            path: path.to_string(),
+            value: value.to_string(),
+        })
     }
 
-    pub fn number(&self, path: &str) -> Result<f64, String> {
-        Ok(self
-            .get::<f64>(path)?
-            .filter(|n| n.is_finite())
-            .unwrap_or(0.0))
+    /// Parses a number; an absent or infinite one is zero.
+    ///
+    /// # Errors
+    ///
+    /// See [`Pairs::get`].
+    pub fn number(&self, path: &str) -> Result<f64, SettingError> {
+        let number = self.get::<f64>(path)?;
+        Ok(number.filter(|number| number.is_finite()).unwrap_or(0.0))
     }
 
-    pub fn time(&self, path: &str) -> Result<Duration, String> {
-        Ok(time(self.number(path)?))
+    /// Parses a time in milliseconds.
+    ///
+    /// # Errors
+    ///
+    /// See [`Pairs::get`].
+    pub fn duration(&self, path: &str) -> Result<Duration, SettingError> {
+        Ok(duration_from_millis(self.number(path)?))
     }
 
-    pub fn yes(&self, path: &str) -> Result<bool, String> {
-        Ok(self.get::<bool>(path)?.unwrap_or(false))
+    /// Parses `true` or `false`; an absent value is false.
+    ///
+    /// # Errors
+    ///
+    /// See [`Pairs::get`].
+    pub fn flag(&self, path: &str) -> Result<bool, SettingError> {
+        Ok(self.get(path)?.unwrap_or(false))
     }
 
-    pub fn count(&self, path: &str) -> Result<usize, String> {
-        Ok(self.get::<usize>(path)?.unwrap_or(0))
+    /// Parses a count; an absent value is zero.
+    ///
+    /// # Errors
+    ///
+    /// See [`Pairs::get`].
+    pub fn count(&self, path: &str) -> Result<usize, SettingError> {
+        Ok(self.get(path)?.unwrap_or(0))
     }
 
-    pub fn word(&self, path: &str) -> &str {
-        self.0.get(path).copied().unwrap_or("")
+    /// Returns a value as it is; an absent one is empty.
+    pub fn text(&self, path: &str) -> &str {
+        self.0.get(path).copied().unwrap_or_default()
     }
 }
 
-/// Milliseconds to a span; what is not a number or below zero counts as zero.
-pub fn time(ms: f64) -> Duration {
-    const MAX_US: f64 = 1e18;
-    Duration::from_micros((ms * 1000.0).round().clamp(0.0, MAX_US) as u64)
+/// Converts milliseconds to a time. A value that is negative or not a number becomes zero.
+pub fn duration_from_millis(millis: f64) -> Duration {
+    let micros = (millis * 1000.0).round().clamp(0.0, MAX_MICROS);
+    Duration::from_micros(micros as u64)
 }
 
-pub fn traffic_classes(p: &Pairs) -> Result<Vec<TrafficClass>, String> {
-    (0..p.count("profiles.count")?)
-        .map(|i| {
-            let at = |name: &str| format!("profiles.{i}.{name}");
-            let scope = match p.word(&at("key-scope")) {
-                "all" => DeduplicationScope::All,
-                "zone" => DeduplicationScope::Zone,
-                _ => DeduplicationScope::Shard,
-            };
-            let idempotency = match p.word(&at("idempotency")) {
-                "free" => Idempotency::Idempotent,
-                "guarded" => Idempotency::WithKey {
-                    scope,
-                    window: p.time(&at("dedup-window-ms"))?,
-                },
-                _ => Idempotency::NonIdempotent,
-            };
-            Ok(TrafficClass {
-                latency_objective: p.time(&at("objective-ms"))?,
-                idempotency,
-                ordered: p.yes(&at("serial-by-key"))?,
-                priority_weight: p.number(&at("worth"))?,
-                late_fraction: p.number(&at("late-value"))?,
-            })
-        })
+/// Parses the traffic classes.
+///
+/// # Errors
+///
+/// A value has the wrong form.
+pub fn traffic_classes(pairs: &Pairs) -> Result<Vec<TrafficClass>, SettingError> {
+    let count = pairs.count("profiles.count")?;
+    (0..count)
+        .map(|index| traffic_class(pairs, index))
         .collect()
 }
 
-pub fn plans(p: &Pairs) -> Result<Vec<Plan>, String> {
-    (0..p.count("plans.count")?)
-        .map(|i| {
-            let at = |name: &str| p.number(&format!("plans.{i}.{name}"));
-            Ok(Plan {
-                base_rate: at("base-rate")?,
-                reservation: at("guaranteed")?,
-                limit: at("never-over")?,
-                limit_burst: at("most-at-once")?,
-                limit_slack: at("cap-slack")?,
-                weight: at("proportion")?,
-                price: at("price")?,
-            })
-        })
-        .collect()
+fn traffic_class(pairs: &Pairs, index: usize) -> Result<TrafficClass, SettingError> {
+    let path = |name: &str| format!("profiles.{index}.{name}");
+    let scope = match pairs.text(&path("key-scope")) {
+        "all" => DeduplicationScope::All,
+        "zone" => DeduplicationScope::Zone,
+        _ => DeduplicationScope::Shard,
+    };
+    let idempotency = match pairs.text(&path("idempotency")) {
+        "free" => Idempotency::Idempotent,
+        "guarded" => Idempotency::WithKey {
+            scope,
+            window: pairs.duration(&path("dedup-window-ms"))?,
+        },
+        _ => Idempotency::NonIdempotent,
+    };
+    Ok(TrafficClass {
+        latency_objective: pairs.duration(&path("objective-ms"))?,
+        idempotency,
+        ordered: pairs.flag(&path("serial-by-key"))?,
+        priority_weight: pairs.number(&path("worth"))?,
+        late_fraction: pairs.number(&path("late-value"))?,
+    })
+}
+
+/// Parses the plans.
+///
+/// # Errors
+///
+/// A value has the wrong form.
+pub fn plans(pairs: &Pairs) -> Result<Vec<Plan>, SettingError> {
+    let count = pairs.count("plans.count")?;
+    (0..count).map(|index| plan(pairs, index)).collect()
+}
+
+fn plan(pairs: &Pairs, index: usize) -> Result<Plan, SettingError> {
+    let number = |name: &str| pairs.number(&format!("plans.{index}.{name}"));
+    Ok(Plan {
+        base_rate: number("base-rate")?,
+        reservation: number("guaranteed")?,
+        limit: number("never-over")?,
+        limit_burst: number("most-at-once")?,
+        limit_slack: number("cap-slack")?,
+        weight: number("proportion")?,
+        price: number("price")?,
+    })
 }
 
-pub fn units(p: &Pairs) -> Result<UnitSettings, String> {
+/// Parses sizes of requests and the value of units.
+///
+/// # Errors
+///
+/// A value has the wrong form.
+pub fn units(pairs: &Pairs) -> Result<UnitSettings, SettingError> {
     Ok(UnitSettings {
-        mean: p.number("family-info.mean-units")?,
-        largest: p.number("family-info.largest")?,
-        meter: p.time("family-info.meter-ms")?,
-        share_fraction: p.number("family-info.within-share")?,
-        spare_fraction: p.number("family-info.spare-worth")?,
+        mean: pairs.number("family-info.mean-units")?,
+        largest: pairs.number("family-info.largest")?,
+        meter: pairs.duration("family-info.meter-ms")?,
+        share_fraction: pairs.number("family-info.within-share")?,
+        spare_fraction: pairs.number("family-info.spare-worth")?,
     })
 }
 
-pub fn host_limits(p: &Pairs) -> Result<HostLimits, String> {
-    let most = p.get::<f64>("caps.max-attempts")?.filter(|n| n.is_finite());
-    let max_retry_after = p.time("caps.max-retry-after-ms")?;
+/// Parses the limits of one host.
+///
+/// # Errors
+///
+/// A value has the wrong form.
+pub fn host_limits(pairs: &Pairs) -> Result<HostLimits, SettingError> {
+    let max_attempts = pairs.get::<f64>("caps.max-attempts")?;
+    let max_attempts = max_attempts.filter(|attempts| attempts.is_finite());
+    let max_retry_after = pairs.duration("caps.max-retry-after-ms")?;
     Ok(HostLimits {
-        max_attempts: most.map_or(1, |n| n.max(0.0) as u32),
-        probing: p.yes("caps.probing")?,
-        max_retry_after: p.yes("caps.retry-after")?.then_some(max_retry_after),
-        answer_slack: p.time("rules.answer-slack-ms")?,
+        max_attempts: max_attempts.map_or(1, |attempts| attempts.max(0.0) as u32),
+        probing: pairs.flag("caps.probing")?,
+        max_retry_after: pairs.flag("caps.retry-after")?.then_some(max_retry_after),
+        answer_slack: pairs.duration("rules.answer-slack-ms")?,
     })
 }
 
-pub fn cold(p: &Pairs) -> Result<SlowStartPolicy, String> {
+/// Parses the rule on nodes that warm up.
+///
+/// # Errors
+///
+/// A value has the wrong form.
+pub fn slow_start_policy(pairs: &Pairs) -> Result<SlowStartPolicy, SettingError> {
     Ok(SlowStartPolicy {
-        hosts: p.count("balancers")?,
-        units: p.number("family-info.cold-units")?,
-        initial_fraction: p.number("rules.cold-from")?,
-        warm_up_time: p.time("rules.cold-ms")?,
-        overload_window: p.time("rules.fall-ms")?,
-        multiple: p.number("rules.tip-multiple")?,
+        hosts: pairs.count("balancers")?,
+        units: pairs.number("family-info.cold-units")?,
+        initial_fraction: pairs.number("rules.cold-from")?,
+        warm_up_time: pairs.duration("rules.cold-ms")?,
+        overload_window: pairs.duration("rules.fall-ms")?,
+        multiple: pairs.number("rules.tip-multiple")?,
     })
 }
 
-pub fn list(p: &Pairs) -> Result<DiscoveryPolicy, String> {
+/// Parses how the host learns of endpoints.
+///
+/// # Errors
+///
+/// A value has the wrong form.
+pub fn discovery_policy(pairs: &Pairs) -> Result<DiscoveryPolicy, SettingError> {
     Ok(DiscoveryPolicy {
-        polled: p.word("registry-mode") == "on_request",
-        poll_interval: p.time("rules.ask-every-ms")?,
+        polled: pairs.text("registry-mode") == "on_request",
+        poll_interval: pairs.duration("rules.ask-every-ms")?,
         lease: None,
     })
 }
 
-/// The rule asks nothing where its settings are absent.
-pub fn retry_budget(p: &Pairs) -> Result<Option<RetryBudget>, String> {
-    let Some(share) = p.get::<f64>("rules.further-ratio")? else {
+/// Parses the retry budget; None: the settings state none, and retries are not limited.
+///
+/// # Errors
+///
+/// A value has the wrong form.
+pub fn retry_budget(pairs: &Pairs) -> Result<Option<RetryBudget>, SettingError> {
+    let Some(ratio) = pairs.get::<f64>("rules.further-ratio")? else {
         return Ok(None);
     };
     Ok(Some(RetryBudget {
-        min_retries: p.number("rules.extra-floor")?,
-        ratio: share,
-        window: p.time("rules.extra-window-ms")?,
+        min_retries: pairs.number("rules.extra-floor")?,
+        ratio,
+        window: pairs.duration("rules.extra-window-ms")?,
     }))
 }
 
-pub fn key_rest(p: &Pairs) -> Result<Duration, String> {
-    p.time("rules.settle-after-doubt-ms")
+/// Parses how long a key rests after an attempt that may still run.
+///
+/// # Errors
+///
+/// A value has the wrong form.
+pub fn key_cooldown(pairs: &Pairs) -> Result<Duration, SettingError> {
+    pairs.duration("rules.settle-after-doubt-ms")
 }
 
-/// At which place of a load report the named figure stands.
-pub fn report_place(p: &Pairs, name: &str) -> Option<usize> {
-    p.word("report.fields").split(',').position(|f| f == name)
+/// Returns the index of a number in a node's load report; None: nodes do not report it.
+pub fn report_index(pairs: &Pairs, name: &str) -> Option<usize> {
+    let mut fields = pairs.text("report.fields").split(',');
+    fields.position(|field| field == name)
 }
--- a/crates/platform/src/config/error.rs
+++ b/crates/platform/src/config/error.rs
@@ -1,5 +1,6 @@
 //! What can be wrong with a configuration.
 
+use grebecleat_adapter::settings::SettingError;
 use std::io;
 use std::path::PathBuf;
 
@@ -94,7 +95,7 @@
         /// The name's path.
         path: String,
     },
-    /// The bench's reader refuses a value.
-    #[error("{0}")]
-    Bench(String),
+    /// A value that the simulator has too cannot be parsed.
+    #[error(transparent)]
+    Shared(#[from] SettingError),
 }
--- a/crates/platform/src/config/settings.rs
+++ b/crates/platform/src/config/settings.rs
@@ -6,7 +6,6 @@
 use grebecleat_adapter::settings::{self as bench, Pairs};
 use grebecleat_scheduler::api::*;
 use grebecleat_settings::{Bounds, HostSpec, ListSpec, NamedPlan, Rules, Settings, Stream};
-use std::fmt::Display;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -60,10 +59,6 @@
     pub(super) settings: Settings,
 }
 
-fn bench_error(error: impl Display) -> SettingsError {
-    SettingsError::Bench(error.to_string())
-}
-
 /// The spans and counts of the object `caps`, with defaults where they are absent.
 struct Caps {
     dial_timeout: Duration,
@@ -85,8 +80,8 @@
     process: &Process,
     pairs: &Pairs,
 ) -> Result<ReadSettings, SettingsError> {
-    let classes = bench::traffic_classes(pairs).map_err(bench_error)?;
-    let plans = bench::plans(pairs).map_err(bench_error)?;
+    let classes = bench::traffic_classes(pairs)?;
+    let plans = bench::plans(pairs)?;
     let lists = [
         ("profiles", classes.is_empty()),
         ("plans", plans.is_empty()),
@@ -96,21 +91,21 @@
             return Err(SettingsError::Empty { list });
         }
     }
-    let dial_timeout = pairs.time("caps.dial-timeout-ms").map_err(bench_error)?;
+    let dial_timeout = pairs.duration("caps.dial-timeout-ms")?;
     let dial_timeout = default_if_zero(dial_timeout, DEFAULT_DIAL_TIMEOUT);
     let (protocols, streams) = read_classes(pairs, classes, dial_timeout)?;
     let plans = name_plans(pairs, plans)?;
-    let units = bench::units(pairs).map_err(bench_error)?;
+    let units = bench::units(pairs)?;
     if units.largest <= 0.0 || units.mean <= 0.0 {
         return Err(SettingsError::NoUnits);
     }
     let caps = read_caps(pairs, dial_timeout)?;
     let rules = read_rules(pairs)?;
     let rule = discovery_policy(pairs)?;
-    let host_limits = bench::host_limits(pairs).map_err(bench_error)?;
+    let host_limits = bench::host_limits(pairs)?;
     let settings = Settings {
         name: process.name.to_string(),
-        zones: pairs.word("zones").split(',').map(String::from).collect(),
+        zones: pairs.text("zones").split(',').map(String::from).collect(),
         traffic_classes: streams,
         plans,
         volumes: Vec::new(),
@@ -143,8 +138,8 @@
 }
 
 fn read_caps(pairs: &Pairs, dial_timeout: Duration) -> Result<Caps, SettingsError> {
-    let max_open = pairs.count("caps.max-open").map_err(bench_error)?;
-    let node_idle = pairs.time("caps.conn-idle-ms").map_err(bench_error)?;
+    let max_open = pairs.count("caps.max-open")?;
+    let node_idle = pairs.duration("caps.conn-idle-ms")?;
     Ok(Caps {
         dial_timeout,
         max_open: if max_open == 0 { usize::MAX } else { max_open },
@@ -157,7 +152,7 @@
     classes: Vec<TrafficClass>,
     dial_timeout: Duration,
 ) -> Result<(Vec<ClassProtocol>, Vec<Stream>), SettingsError> {
-    let writes: Vec<&str> = pairs.word("family-info.writes").split(',').collect();
+    let writes: Vec<&str> = pairs.text("family-info.writes").split(',').collect();
     let mut protocols = Vec::new();
     let mut streams = Vec::new();
     // An attempt that follows one that may have run must have crossed while that one is remembered,
@@ -169,7 +164,7 @@
         }
         let name = read_name(pairs, "profiles", index)?;
         let path = format!("profiles.{index}.deadline-ms");
-        let deadline = pairs.time(&path).map_err(bench_error)?;
+        let deadline = pairs.duration(&path)?;
         if deadline.is_zero() {
             return Err(SettingsError::ZeroSpan { path });
         }
@@ -202,7 +197,7 @@
 
 fn read_name(pairs: &Pairs, list: &str, index: usize) -> Result<String, SettingsError> {
     let path = format!("{list}.{index}.name");
-    match pairs.word(&path) {
+    match pairs.text(&path) {
         "" => Err(SettingsError::MissingName { path }),
         name => Ok(name.to_string()),
     }
@@ -210,10 +205,10 @@
 
 fn read_rules(pairs: &Pairs) -> Result<Rules, SettingsError> {
     Ok(Rules {
-        drain_grace: pairs.time("rules.drain-grace-ms").map_err(bench_error)?,
-        cold: bench::cold(pairs).map_err(bench_error)?,
-        attempts: bench::retry_budget(pairs).map_err(bench_error)?,
-        key_rest: bench::key_rest(pairs).map_err(bench_error)?,
+        drain_grace: pairs.duration("rules.drain-grace-ms")?,
+        cold: bench::slow_start_policy(pairs)?,
+        attempts: bench::retry_budget(pairs)?,
+        key_rest: bench::key_cooldown(pairs)?,
         answer_margin: ANSWER_MARGIN,
     })
 }
@@ -240,7 +235,7 @@
 }
 
 fn discovery_policy(pairs: &Pairs) -> Result<DiscoveryPolicy, SettingsError> {
-    let policy = bench::list(pairs).map_err(bench_error)?;
+    let policy = bench::discovery_policy(pairs)?;
     let poll_interval = default_if_zero(policy.poll_interval, DISCOVERY_TERM).min(DISCOVERY_TERM);
     Ok(DiscoveryPolicy {
         poll_interval,
