--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -1,11 +1,20 @@
-//! Nanoseconds that one request costs the decisions, and the desk with them, in a closed loop: each
-//! answer brings a new request, so that the numbers out and held stay.
+//! Cost of one request in the scheduler, and in the router with the scheduler inside, in a closed
+//! loop: each response brings a new request, so that the numbers of requests in flight and queued
+//! stay the same. No sockets.
+//!
+//! Nanoseconds depend on the machine's load. With a fixed number of requests
+//! (`decisions --requests N`) the program can be run under `valgrind --tool=callgrind`, whose count
+//! of instructions does not: the difference of two runs, divided by the difference of their
+//! numbers, is the cost of one request.
 
 use crate::site;
 use bytes::Bytes;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
-use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::api::{
+    Action, AttemptEnd, AttemptOutcome, DiscoveryPolicy, Endpoint, EndpointUpdateKind, Event,
+    NodeId, NodeState, PlanId, Request, RequestId, ShardId, TrafficClassId, VolumeId, ZoneId,
+};
 use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -13,106 +22,181 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const fn ms(n: u64) -> Duration {
-    Duration::from_millis(n)
+/// Time of the first request on the loop's own clock.
+const START: Duration = Duration::from_secs(1);
+/// Time between two requests, as at 20,000 a second.
+const REQUEST_INTERVAL: Duration = Duration::from_micros(50);
+/// Time to the deadline of each request, in seconds: none expires in a run.
+const DEADLINE_SECONDS: u32 = 600;
+/// Number of volumes of the site.
+const VOLUMES: u64 = 100;
+/// Requests after which connections are up and the router is measured, at most.
+const MAX_WARM_UP_REQUESTS: u64 = 2000;
+
+/// When a loop ends.
+#[derive(Debug, Clone, Copy)]
+pub enum LoopEnd {
+    /// After a time.
+    After(Duration),
+    /// After a number of requests.
+    Requests(u64),
+}
+
+impl LoopEnd {
+    fn is_reached(self, started: Instant, requests: u64) -> bool {
+        match self {
+            LoopEnd::After(span) => started.elapsed() >= span,
+            LoopEnd::Requests(count) => requests >= count,
+        }
+    }
+}
+
+/// The load of one loop.
+#[derive(Debug, Clone, Copy)]
+pub struct Load {
+    /// Number of nodes.
+    pub nodes: u32,
+    /// Requests open at any time.
+    pub open: usize,
+    /// Responses handed over in one step.
+    pub batch: usize,
+}
+
+/// What is measured with a fixed number of requests.
+#[derive(Debug, Clone, Copy, clap::ValueEnum)]
+pub enum Subject {
+    /// The scheduler alone.
+    Scheduler,
+    /// The router with the scheduler inside.
+    Router,
 }
 
+/// Prints a table of nanoseconds a request, over all loads.
 pub fn measure(span: Duration) {
     println!(
-        "| nodes | open | held | batch | decisions, ns a transfer | desk and decisions, ns a transfer |"
+        "| nodes | open | queued | batch | scheduler, ns a request | router and scheduler, ns a request |"
     );
     println!("| ---: | ---: | ---: | ---: | ---: | ---: |");
+    let end = LoopEnd::After(span);
     for nodes in [10, 100, 1000] {
         for open in [1, 100, 10_000] {
             for batch in [1, 32] {
-                let (alone, held) = decisions(nodes, open, batch, span);
-                let router = router(nodes, open, batch, span);
-                println!("| {nodes} | {open} | {held} | {batch} | {alone:.0} | {router:.0} |");
+                let load = Load { nodes, open, batch };
+                let (scheduler, queued) = run_scheduler(load, end);
+                let router = run_router(load, end);
+                println!(
+                    "| {nodes} | {open} | {queued} | {batch} | {scheduler:.0} | {router:.0} |"
+                );
             }
         }
     }
 }
 
+/// Runs one loop over a fixed number of requests.
+pub fn run_fixed(subject: Subject, load: Load, requests: u64) {
+    let end = LoopEnd::Requests(requests);
+    let nanos = match subject {
+        Subject::Scheduler => run_scheduler(load, end).0,
+        Subject::Router => run_router(load, end),
+    };
+    println!("{subject:?}, {load:?}: {requests} requests, {nanos:.0} ns a request");
+}
+
 fn settings(nodes: u32) -> Settings {
-    Settings::read("bench.star".as_ref(), site(nodes, 600)).expect("good settings")
+    Settings::read("bench.star".as_ref(), site(nodes, DEADLINE_SECONDS)).expect("good settings")
 }
 
-fn id(n: u64) -> RequestId {
+fn request_id(number: u64) -> RequestId {
     let mut id = [b'0'; 36];
-    id[..8].copy_from_slice(&n.to_le_bytes());
+    id[..8].copy_from_slice(&number.to_le_bytes());
     RequestId(id)
 }
 
-/// The decisions alone: virtual time goes on by 50 us for each request, as at 20,000 a second.
-fn decisions(nodes: u32, open: usize, batch: usize, span: Duration) -> (f64, usize) {
-    let s = settings(nodes);
-    let traffic_classes = s.traffic_classes.iter().map(|x| x.facts.clone()).collect();
-    let plans = s.plans.iter().map(|p| p.facts.clone()).collect();
-    let list = DiscoveryPolicy {
-        polled: false,
-        poll_interval: ms(10_000),
-        lease: None,
-    };
-    let mut scheduler = Scheduler::new(
-        1,
-        traffic_classes,
-        plans,
-        s.units.clone(),
-        s.host_limits.clone(),
-    )
-    .with_rules(s.rules.cold.clone(), list, None, ms(200));
-    let entry = |n: u32| Endpoint {
-        node: NodeId(n + 1),
-        zone: ZoneId(0),
-        shard: ShardId(n + 1),
-        state: NodeState::Ready,
-        started: None,
-    };
-    let endpoints = (0..nodes).map(entry).collect();
-    let mut now = ms(1000);
-    scheduler.step(
-        now,
-        vec![Event::EndpointUpdate {
+/// The number of the shard of a request: requests visit the nodes in turn.
+fn shard_of(number: u64, nodes: u32) -> u32 {
+    (number % u64::from(nodes)) as u32 + 1
+}
+
+/// A closed loop around the scheduler.
+struct SchedulerLoop {
+    scheduler: Scheduler,
+    nodes: u32,
+    now: Duration,
+    last_request: u64,
+    in_flight: VecDeque<(RequestId, NodeId)>,
+}
+
+impl SchedulerLoop {
+    fn new(nodes: u32) -> Self {
+        let settings = settings(nodes);
+        let traffic_classes = settings.traffic_classes.iter();
+        let plans = settings.plans.iter();
+        let discovery = DiscoveryPolicy {
+            polled: false,
+            poll_interval: Duration::from_secs(10),
+            lease: None,
+        };
+        let key_cooldown = Duration::from_millis(200);
+        let scheduler = Scheduler::new(
+            1,
+            traffic_classes.map(|class| class.facts.clone()).collect(),
+            plans.map(|plan| plan.facts.clone()).collect(),
+            settings.units.clone(),
+            settings.host_limits.clone(),
+        )
+        .with_rules(settings.rules.cold.clone(), discovery, None, key_cooldown);
+        let mut this = SchedulerLoop {
+            scheduler,
+            nodes,
+            now: START,
+            last_request: 0,
+            in_flight: VecDeque::new(),
+        };
+        this.step(vec![Event::EndpointUpdate {
             kind: EndpointUpdateKind::Snapshot,
-            endpoints,
-        }],
-    );
-    let (mut next, mut out) = (0u64, VecDeque::new());
-    let mut events = Vec::new();
-    let take = |next: &mut u64, now: Duration| {
-        *next += 1;
+            endpoints: (1..=nodes).map(endpoint).collect(),
+        }]);
+        this
+    }
+
+    fn new_request(&mut self) -> Event {
+        self.last_request += 1;
+        let number = self.last_request;
         Event::RequestReceived(Request {
-            id: id(*next),
+            id: request_id(number),
             units: 1.0,
-            shard: Some(ShardId((*next % u64::from(nodes)) as u32 + 1)),
+            shard: Some(ShardId(shard_of(number, self.nodes))),
             traffic_class: TrafficClassId(0),
             plan: PlanId(0),
             hosts: 1,
             key: None,
-            deadline: now + Duration::from_secs(600),
-            volume: VolumeId(*next % 100),
+            deadline: self.now + Duration::from_secs(u64::from(DEADLINE_SECONDS)),
+            volume: VolumeId(number % VOLUMES),
         })
-    };
-    events.extend((0..open).map(|_| take(&mut next, now)));
-    let mut run =
-        |events: Vec<Event>, now: Duration, out: &mut VecDeque<(RequestId, NodeId)>| -> usize {
-            let mut gone = 0;
-            for action in scheduler.step(now, events) {
-                match action {
-                    Action::SendAttempt { id, node, .. } => out.push_back((id, node)),
-                    Action::Reject { .. } | Action::Fail { .. } => gone += 1,
-                    _ => {}
-                }
+    }
+
+    fn new_requests(&mut self, count: usize) -> Vec<Event> {
+        (0..count).map(|_| self.new_request()).collect()
+    }
+
+    /// Steps the scheduler; returns the number of requests that it rejected or failed.
+    fn step(&mut self, events: Vec<Event>) -> usize {
+        let mut ended = 0;
+        for action in self.scheduler.step(self.now, events) {
+            match action {
+                Action::SendAttempt { id, node, .. } => self.in_flight.push_back((id, node)),
+                Action::Reject { .. } | Action::Fail { .. } => ended += 1,
+                _ => {}
             }
-            gone
-        };
-    run(events, now, &mut out);
-    let (started, mut requests, mut open) = (Instant::now(), 0u64, open);
-    while started.elapsed() < span {
-        now += Duration::from_micros(50) * batch as u32;
+        }
+        ended
+    }
+
+    /// Completes the oldest attempts, at most `count`, each followed by a new request.
+    fn complete(&mut self, count: usize) -> Vec<Event> {
         let mut events = Vec::new();
-        for _ in 0..batch {
-            let Some((id, node)) = out.pop_front() else {
+        for _ in 0..count {
+            let Some((id, node)) = self.in_flight.pop_front() else {
                 break;
             };
             events.push(Event::AttemptEnded(AttemptEnd {
@@ -120,143 +204,231 @@
                 attempt: 0,
                 node,
                 outcome: AttemptOutcome::Completed,
-                elapsed: ms(1),
+                elapsed: Duration::from_millis(1),
                 answered: true,
                 reported: None,
                 others: 0.0,
                 busy: None,
             }));
-            events.push(take(&mut next, now));
-            requests += 1;
+            events.push(self.new_request());
         }
-        let gone = run(events, now, &mut out);
-        open -= gone.min(open);
-        // What was given up is replaced, or nothing would be held after a while.
-        if gone > 0 {
-            let again = (0..gone).map(|_| take(&mut next, now)).collect();
-            open += gone;
-            open -= run(again, now, &mut out).min(open);
+        events
+    }
+}
+
+fn endpoint(number: u32) -> Endpoint {
+    Endpoint {
+        node: NodeId(number),
+        zone: ZoneId(0),
+        shard: ShardId(number),
+        state: NodeState::Ready,
+        started: None,
+    }
+}
+
+/// Runs the scheduler's loop; returns nanoseconds a request and the number of queued requests at
+/// the end.
+fn run_scheduler(load: Load, end: LoopEnd) -> (f64, usize) {
+    let mut run = SchedulerLoop::new(load.nodes);
+    let first = run.new_requests(load.open);
+    run.step(first);
+    let started = Instant::now();
+    let mut open = load.open;
+    let mut requests = 0u64;
+    while !end.is_reached(started, requests) {
+        run.now += REQUEST_INTERVAL * load.batch as u32;
+        let events = run.complete(load.batch);
+        requests += events.len() as u64 / 2;
+        let ended = run.step(events);
+        open -= ended.min(open);
+        // Rejected requests are replaced, or nothing would be queued after a while.
+        if ended > 0 {
+            let replacements = run.new_requests(ended);
+            open += ended;
+            open -= run.step(replacements).min(open);
         }
     }
-    let held = open.saturating_sub(out.len());
-    (
-        started.elapsed().as_nanos() as f64 / requests.max(1) as f64,
-        held,
-    )
+    let nanos = started.elapsed().as_nanos() as f64 / requests.max(1) as f64;
+    (nanos, open.saturating_sub(run.in_flight.len()))
 }
 
-/// The desk with the decisions inside, its outboxes pulled as writers would.
-fn router(nodes: u32, open: usize, batch: usize, span: Duration) -> f64 {
-    let mut router = RequestRouter::new(Arc::new(settings(nodes)), 1);
-    let mut now = ms(1000);
-    let entry = |n: u32| pb::Endpoint {
-        node: n + 1,
-        shard: n + 1,
-        state: pb::NodeState::Ready.into(),
-        address: "127.0.0.1:9".into(),
-        start: 1,
-        ..Default::default()
-    };
-    let list = pb::EndpointUpdate {
-        kind: pb::EndpointUpdateKind::Snapshot.into(),
-        revision: 1,
-        endpoints: (0..nodes).map(entry).collect(),
-    };
-    let client = ConnId(1 << 50);
-    let to_client = Arc::new(Outbox::new(|| (), || ()));
-    let mut boxes: HashMap<ConnId, Arc<Outbox>> = HashMap::new();
-    let rung: Arc<Mutex<Vec<ConnId>>> = Arc::default();
-    let mut out: VecDeque<(ConnId, u64)> = VecDeque::new();
-    let mut next = 0u64;
-    let mut take = |now: Duration| {
-        next += 1;
-        let id = Bytes::copy_from_slice(&id(next).0);
-        let shard = Some((next % u64::from(nodes)) as u32 + 1);
-        let take = pb::SubmitRequest {
+/// A closed loop around the router, which reads its outboxes as the writers of connections do.
+struct RouterLoop {
+    router: RequestRouter,
+    nodes: u32,
+    now: Duration,
+    last_request: u64,
+    client_outbox: Arc<Outbox>,
+    node_outboxes: HashMap<ConnId, Arc<Outbox>>,
+    /// Connections with something to write, as their outboxes notify.
+    writable: Arc<Mutex<Vec<ConnId>>>,
+    in_flight: VecDeque<(ConnId, u64)>,
+}
+
+/// The client's connection.
+const CLIENT: ConnId = ConnId(1 << 50);
+
+impl RouterLoop {
+    fn new(nodes: u32) -> Self {
+        RouterLoop {
+            router: RequestRouter::new(Arc::new(settings(nodes)), 1),
+            nodes,
+            now: START,
+            last_request: 0,
+            client_outbox: Arc::new(Outbox::new(|| (), || ())),
+            node_outboxes: HashMap::new(),
+            writable: Arc::default(),
+            in_flight: VecDeque::new(),
+        }
+    }
+
+    fn first_inputs(&mut self, open: usize) -> Vec<Input> {
+        let list = pb::EndpointUpdate {
+            kind: pb::EndpointUpdateKind::Snapshot.into(),
+            revision: 1,
+            endpoints: (1..=self.nodes).map(endpoint_message).collect(),
+        };
+        let client_up = Input::ClientUp {
+            conn: CLIENT,
+            outbox: self.client_outbox.clone(),
+        };
+        let requests = self.new_requests(open);
+        vec![Input::CachedEndpoints { list }, client_up, requests]
+    }
+
+    fn new_requests(&mut self, count: usize) -> Input {
+        Input::ClientFrames {
+            conn: CLIENT,
+            at: self.now,
+            frames: (0..count).map(|_| self.new_request()).collect(),
+        }
+    }
+
+    fn new_request(&mut self) -> pb::Frame {
+        self.last_request += 1;
+        let number = self.last_request;
+        let id = Bytes::copy_from_slice(&request_id(number).0);
+        let request = pb::SubmitRequest {
             piece: id.clone(),
             id,
-            volume: next % 100,
-            shard,
+            volume: number % VOLUMES,
+            shard: Some(shard_of(number, self.nodes)),
             units: 1.0,
-            left_us: 600_000_000,
+            left_us: u64::from(DEADLINE_SECONDS) * 1_000_000,
             length: 512,
             ..Default::default()
         };
         pb::Frame {
-            sent_us: now.as_micros() as u64,
-            body: Some(Body::SubmitRequest(take)),
+            sent_us: self.now.as_micros() as u64,
+            body: Some(Body::SubmitRequest(request)),
         }
-    };
-    let mut inputs = vec![
-        Input::CachedEndpoints { list },
-        Input::ClientUp {
-            conn: client,
-            outbox: to_client.clone(),
-        },
-        Input::ClientFrames {
-            conn: client,
-            at: now,
-            frames: (0..open).map(|_| take(now)).collect(),
-        },
-    ];
-    let (mut started, mut requests, mut warm) = (Instant::now(), 0u64, false);
-    while !warm || started.elapsed() < span {
-        let mut ups = Vec::new();
-        for output in router.step(now, inputs) {
+    }
+
+    /// Steps the router and connects what it dials; returns whether it dialled.
+    fn step(&mut self, inputs: Vec<Input>) -> bool {
+        let mut connected = Vec::new();
+        for output in self.router.step(self.now, inputs) {
             if let Output::Dial { conn, .. } = output {
-                let rung = rung.clone();
-                let ring = move || rung.lock().expect("one thread").push(conn);
-                let outbox = Arc::new(Outbox::new(ring, || ()));
-                boxes.insert(conn, outbox.clone());
-                ups.push(Input::NodeUp { conn, outbox });
+                let outbox = self.new_outbox(conn);
+                connected.push(Input::NodeUp { conn, outbox });
             }
         }
-        let dialled = !ups.is_empty();
-        router.step(now, ups);
-        let answered = to_client.take_batch(|| now, usize::MAX).frames.len();
-        to_client.batch_written();
-        // Only connections with something to write are looked at, as a bell wakes their writers.
-        for conn in std::mem::take(&mut *rung.lock().expect("one thread")) {
-            let outbox = &boxes[&conn];
-            let attempts = outbox.take_batch(|| now, usize::MAX).frames.into_iter();
-            out.extend(attempts.filter_map(|f| match f.body {
-                Some(Body::Attempt(l)) => Some((conn, l.attempt)),
-                _ => None,
-            }));
+        let dialled = !connected.is_empty();
+        self.router.step(self.now, connected);
+        dialled
+    }
+
+    fn new_outbox(&mut self, conn: ConnId) -> Arc<Outbox> {
+        let writable = self.writable.clone();
+        let notify = move || writable.lock().expect("one thread").push(conn);
+        let outbox = Arc::new(Outbox::new(notify, || ()));
+        self.node_outboxes.insert(conn, outbox.clone());
+        outbox
+    }
+
+    /// Takes the responses to the client; returns how many they are.
+    fn read_responses(&mut self) -> usize {
+        let now = self.now;
+        let responses = self.client_outbox.take_batch(|| now, usize::MAX);
+        self.client_outbox.batch_written();
+        responses.frames.len()
+    }
+
+    /// Takes the attempts to nodes, of connections with something to write alone.
+    fn read_attempts(&mut self) {
+        let now = self.now;
+        let writable = std::mem::take(&mut *self.writable.lock().expect("one thread"));
+        for conn in writable {
+            let outbox = &self.node_outboxes[&conn];
+            let frames = outbox.take_batch(|| now, usize::MAX).frames;
+            for frame in frames {
+                if let Some(Body::Attempt(attempt)) = frame.body {
+                    self.in_flight.push_back((conn, attempt.attempt));
+                }
+            }
             outbox.batch_written();
         }
-        if !warm && !dialled && requests > 2000.min(open as u64 * 20) {
-            (started, requests, warm) = (Instant::now(), 0, true);
-        }
-        now += Duration::from_micros(50) * batch as u32;
-        inputs = Vec::new();
-        for _ in 0..batch {
-            let Some((conn, attempt)) = out.pop_front() else {
+    }
+
+    /// Completes the oldest attempts, at most `count`.
+    fn complete(&mut self, count: usize) -> Vec<Input> {
+        let mut inputs = Vec::new();
+        for _ in 0..count {
+            let Some((conn, attempt)) = self.in_flight.pop_front() else {
                 break;
             };
-            let a = pb::AttemptResponse {
+            let response = pb::AttemptResponse {
                 attempt,
                 result: pb::Result::Ok.into(),
                 ..Default::default()
             };
-            let frames = vec![pb::Frame {
+            let frame = pb::Frame {
                 sent_us: 0,
-                body: Some(Body::AttemptResponse(a)),
-            }];
+                body: Some(Body::AttemptResponse(response)),
+            };
             inputs.push(Input::NodeFrames {
                 conn,
-                at: now,
-                frames,
+                at: self.now,
+                frames: vec![frame],
             });
-            requests += 1;
         }
-        let frames: Vec<_> = (0..answered).map(|_| take(now)).collect();
-        if !frames.is_empty() {
-            inputs.push(Input::ClientFrames {
-                conn: client,
-                at: now,
-                frames,
-            });
+        inputs
+    }
+}
+
+fn endpoint_message(number: u32) -> pb::Endpoint {
+    pb::Endpoint {
+        node: number,
+        shard: number,
+        state: pb::NodeState::Ready.into(),
+        address: "127.0.0.1:9".into(),
+        start: 1,
+        ..Default::default()
+    }
+}
+
+/// Runs the router's loop, and measures it once connections are up; returns nanoseconds a request.
+fn run_router(load: Load, end: LoopEnd) -> f64 {
+    let mut run = RouterLoop::new(load.nodes);
+    let mut inputs = run.first_inputs(load.open);
+    let warm_up_requests = MAX_WARM_UP_REQUESTS.min(load.open as u64 * 20);
+    let mut warm = false;
+    let mut started = Instant::now();
+    let mut requests = 0u64;
+    while !warm || !end.is_reached(started, requests) {
+        let dialled = run.step(inputs);
+        let responses = run.read_responses();
+        run.read_attempts();
+        if !warm && !dialled && requests > warm_up_requests {
+            warm = true;
+            started = Instant::now();
+            requests = 0;
+        }
+        run.now += REQUEST_INTERVAL * load.batch as u32;
+        inputs = run.complete(load.batch);
+        requests += inputs.len() as u64;
+        if responses > 0 {
+            inputs.push(run.new_requests(responses));
         }
     }
     started.elapsed().as_nanos() as f64 / requests.max(1) as f64
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,7 +1,7 @@
 //! Measurements of the host, outside CI. Each prints a table for `docs/reports/host.md`.
 //!
-//! `decisions`: the decision module and the desk alone, without sockets, at numbers of nodes and of
-//! held requests. `sockets`: a host process on one core, between clients and stand-in nodes on the
+//! `decisions`: the scheduler and the router alone, without sockets, at numbers of nodes and of
+//! queued requests. `sockets`: a host process on one core, between clients and stand-in nodes on the
 //! others: requests a second, time added beside a client that talks to the same stand-in directly,
 //! memory. `iscsi`: the same host behind a portal, beside its plain path; `commands`: allocations
 //! of one command in the iSCSI path, in this process. `planner`, `extents`, `state`: plans as data,
@@ -31,10 +31,23 @@
 
 #[derive(Subcommand)]
 enum What {
-    /// The decisions and the desk, without sockets.
+    /// The scheduler and the router, without sockets.
     Decisions {
+        /// Seconds of each row of the table.
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
+        /// Number of requests of one run, in place of the table.
+        #[arg(long)]
+        requests: Option<u64>,
+        /// What the one run measures.
+        #[arg(long, value_enum, default_value = "scheduler")]
+        subject: decisions::Subject,
+        /// Number of nodes of the one run.
+        #[arg(long, default_value_t = 10)]
+        nodes: u32,
+        /// Requests open at any time in the one run.
+        #[arg(long, default_value_t = 1)]
+        open: usize,
     },
     /// Commands through a portal, beside requests through the same host.
     Iscsi {
@@ -107,7 +120,23 @@
 
 fn main() -> std::io::Result<()> {
     match Args::parse().what {
-        What::Decisions { seconds } => decisions::measure(Duration::from_secs_f64(seconds)),
+        What::Decisions {
+            seconds,
+            requests,
+            subject,
+            nodes,
+            open,
+        } => {
+            let load = decisions::Load {
+                nodes,
+                open,
+                batch: 1,
+            };
+            match requests {
+                Some(requests) => decisions::run_fixed(subject, load, requests),
+                None => decisions::measure(Duration::from_secs_f64(seconds)),
+            }
+        }
         What::Iscsi {
             seconds,
             program,
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -126,7 +126,7 @@
         let _ = fs::remove_file(&log);
         let list = start(
             program,
-            &["list-service", file, "--listen", "127.0.0.1:0"],
+            &["discovery-service", file, "--listen", "127.0.0.1:0"],
             &[0, 1, 2],
             &log,
         )?;
