--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -1,17 +1,20 @@
 //! The command line, as `--help` shows it.
+//!
+//! A command that was renamed keeps its former name as an alias, since scripts of operators use it.
 
 use clap::{Args as ClapArgs, Parser, Subcommand, ValueEnum};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 const ABOUT: &str =
-    "A storage gateway: takes reads and writes of many volumes and schedules them over storage \
-                     nodes, so that every volume keeps to its reservation, share and limit.";
+    "A storage gateway: admits reads and writes of many volumes and schedules them over storage \
+     nodes, so that every volume keeps to its reservation, share and limit.";
 const AFTER: &str =
-    "Exit codes: 0 all well; 1 it ran and a rule was broken; 2 bad arguments or settings, \
-                     nothing was started; 3 it could not run.\n\nStart with: grebecleat rehearse \
-                     examples/bad-day.star";
+    "Exit codes: 0 success; 1 the command ran and a rule was broken; 2 invalid arguments or \
+     settings, nothing was started; 3 the command could not run.\n\nStart with: grebecleat \
+     scenario examples/bad-day.star";
 
+/// The arguments of the program.
 #[derive(Parser)]
 #[command(name = "grebecleat", version, about = ABOUT, after_help = AFTER)]
 pub struct Args {
@@ -21,18 +24,22 @@
     pub command: Command,
 }
 
+/// A form of output.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum Format {
+    /// Lines for people.
     Text,
+    /// JSON for programs.
     Json,
 }
 
+/// Options of the log, which every command accepts.
 #[derive(ClapArgs)]
 pub struct Logs {
-    /// How log lines look.
+    /// Format of the log lines.
     #[arg(long, value_enum, default_value = "text", global = true)]
     pub log: Format,
-    /// What is logged: error, warn, info, debug, trace, or filters such as grebecleat_host=debug.
+    /// Log level: error, warn, info, debug, trace, or filters such as grebecleat_host=debug.
     #[arg(
         long,
         env = "GREBECLEAT_LOG",
@@ -40,123 +47,131 @@
         global = true
     )]
     pub log_level: String,
-    /// Appends the log to a file; standard error otherwise.
+    /// File to which the log is appended; standard error if omitted.
     #[arg(long, global = true)]
     pub log_file: Option<PathBuf>,
 }
 
+/// A command of the program.
 #[derive(Subcommand)]
 pub enum Command {
-    /// Runs one host of a deployment until SIGTERM has drained it; a second signal ends it at once.
+    /// Runs one host of a deployment. SIGTERM shuts it down gracefully; a second signal ends it at
+    /// once.
     Run(HostArgs),
-    /// Runs one host on the users' platform, as its variables and configuration say (LB_CONFIG),
-    /// until SIGTERM has ended it; SIGHUP reads the configuration again.
+    /// Runs one host on the users' platform, configured by its environment (LB_CONFIG). SIGTERM
+    /// shuts it down gracefully; SIGHUP reloads the configuration.
     Platform,
-    /// Adds up what hosts on the platform gave up and why, by second, from their logs at debug
+    /// Adds up what hosts on the platform rejected and why, by second, from their logs at debug
     /// level.
-    Account {
+    #[command(visible_alias = "account")]
+    ShedReport {
         /// Logs of hosts (`grebecleat --log-level grebecleat_platform=debug platform`).
         #[arg(required = true)]
         logs: Vec<PathBuf>,
-        /// Seconds in one row.
+        /// Seconds that one row of the report covers.
         #[arg(long, default_value_t = 1)]
         every: u64,
-        /// By how many parts of a cause's name: why, traffic class, paying bucket, age of the
-        /// node's last answer; 0: all of them.
+        /// Number of parts of a cause's name by which rows are grouped: reason, traffic class,
+        /// paying bucket, age of the node's last success; 0: all of them.
         #[arg(long, default_value_t = 1)]
         parts: usize,
     },
-    /// Runs the state service: keeps plans and volumes, and tells hosts what changes.
+    /// Runs the state service: stores plans and volumes, and notifies hosts of changes.
     StateService(StateArgs),
     /// Shows and changes plans and volumes while they are in service.
     Plans(PlansArgs),
-    /// Shows what a running host knows of the fleet: its peers, what it believes of nodes, its
-    /// parts of limits.
+    /// Shows what a running host knows of its fleet: its peers, its policy for each node, its
+    /// quotas of limits.
     Fleet {
-        /// Where the host listens.
+        /// Address on which the host listens.
         #[arg(long)]
         at: SocketAddr,
     },
-    /// Checks a settings file whole, and says what is wrong with it and where.
+    /// Checks a settings file completely, and reports each fault with its place.
     Check { file: PathBuf },
-    /// Plays a scripted day on this machine's loopback: list, nodes, hosts, clients; then the
-    /// audit.
-    Rehearse(RehearseArgs),
-    /// Judges the seven rules from the traces of a run.
-    Audit {
+    /// Runs a scripted scenario with injected faults on the loopback interface: discovery, nodes,
+    /// hosts and clients; then checks its traces.
+    #[command(visible_alias = "rehearse")]
+    Scenario(ScenarioArgs),
+    /// Checks the traces of a run against the seven rules.
+    #[command(visible_alias = "audit")]
+    CheckTraces {
         /// Folder with *.trace files.
         dir: PathBuf,
-        /// The settings that the run had.
+        /// Settings of the run.
         script: PathBuf,
     },
     /// Prints the records of a trace file, one a line.
     Show {
         file: PathBuf,
-        /// Only records that hold this text.
+        /// Prints only records that contain this text.
         #[arg(long, default_value = "")]
         with: String,
     },
-    /// Stand-in: runs the deployment's nodes, which keep bytes in memory and play the script's
-    /// troubles.
+    /// Testbed: runs the deployment's nodes, which store bytes in memory and inject the script's
+    /// faults.
     Node(NodeArgs),
-    /// Stand-in: runs the list of nodes.
-    ListService(ListArgs),
+    /// Testbed: runs the discovery service.
+    #[command(visible_alias = "list-service")]
+    DiscoveryService(DiscoveryServiceArgs),
     /// Prints a completion script for a shell.
     Completions { shell: clap_complete::Shell },
 }
 
+/// Arguments of `run`.
 #[derive(ClapArgs)]
 pub struct HostArgs {
     /// Settings of the deployment.
     pub file: PathBuf,
-    /// Which host of the settings this is; may be left out where there is one.
+    /// Name of this host in the settings; may be omitted where there is one host.
     #[arg(long)]
     pub host: Option<String>,
-    /// Where clients come to; overrides the settings.
+    /// Address on which clients connect; overrides the settings.
     #[arg(long)]
     pub listen: Option<SocketAddr>,
-    /// Where the list of nodes answers; overrides the settings.
+    /// Address of the discovery service; overrides the settings.
     #[arg(long)]
     pub list: Option<SocketAddr>,
-    /// Where the state service answers; overrides the settings.
+    /// Address of the state service; overrides the settings.
     #[arg(long)]
     pub state: Option<SocketAddr>,
-    /// Where another host answers to its peers, as NAME=ADDRESS; overrides the settings. May be
-    /// given again.
+    /// Address of another host for gossip, as NAME=ADDRESS; overrides the settings. May be
+    /// repeated.
     #[arg(long = "peer")]
     pub peers: Vec<String>,
-    /// Records every frame that crosses a socket.
+    /// File that records every frame sent or received.
     #[arg(long)]
     pub trace: Option<PathBuf>,
-    /// Keeps the last list of nodes here for the next start.
+    /// File that caches the last endpoint list for the next start.
     #[arg(long)]
     pub remember: Option<PathBuf>,
-    /// Where this host's iSCSI portal listens; overrides the settings.
+    /// Address of this host's iSCSI portal; overrides the settings.
     #[arg(long)]
     pub portal: Option<SocketAddr>,
-    /// Keeps what must outlive this process: where extents lie, for an iSCSI portal, and plans as
-    /// they were last told.
+    /// File that stores what must survive this process: placement of extents, for an iSCSI portal,
+    /// and the catalog as last received from the state service.
     #[arg(long)]
     pub store: Option<PathBuf>,
-    /// Seed of the decisions; new at each start if left out.
+    /// Seed of the scheduler; new at each start if omitted.
     #[arg(long)]
     pub seed: Option<u64>,
-    /// Threads that carry the connections.
+    /// Number of threads that serve connections.
     #[arg(long, default_value_t = 2)]
     pub workers: usize,
 }
 
+/// Arguments of the testbed's processes.
 #[derive(ClapArgs)]
-pub struct Stage {
+pub struct ScriptArgs {
     /// Settings and script.
     pub file: PathBuf,
-    /// The script's start, in nanoseconds of the machine's monotonic clock; now if left out.
+    /// Start of the script, in nanoseconds of the machine's monotonic clock; now if omitted.
     #[arg(long)]
     pub t0: Option<u64>,
-    /// Records every frame that crosses a socket.
+    /// File that records every frame sent or received.
     #[arg(long)]
     pub trace: Option<PathBuf>,
-    /// Kinds of trouble in place of the script's own, joined by +.
+    /// Kinds of faults in place of the script's own, joined by +.
     #[arg(long)]
     pub kinds: Option<String>,
     /// Seed in place of the script's.
@@ -164,158 +179,168 @@
     pub seed: Option<u64>,
 }
 
+/// Arguments of `node`.
 #[derive(ClapArgs)]
 pub struct NodeArgs {
     #[command(flatten)]
-    pub stage: Stage,
-    /// Where the list of nodes answers.
+    pub script: ScriptArgs,
+    /// Address of the discovery service.
     #[arg(long)]
     pub list: SocketAddr,
-    /// Only these nodes; all of the settings if left out.
+    /// Ids of the nodes to run; all of the settings if omitted.
     #[arg(long, value_delimiter = ',')]
     pub ids: Vec<u32>,
 }
 
+/// Arguments of `discovery-service`.
 #[derive(ClapArgs)]
-pub struct ListArgs {
+pub struct DiscoveryServiceArgs {
     #[command(flatten)]
-    pub stage: Stage,
-    /// Where to listen; overrides the settings.
+    pub script: ScriptArgs,
+    /// Address to listen on; overrides the settings.
     #[arg(long)]
     pub listen: Option<SocketAddr>,
 }
 
+/// Arguments of `scenario`.
 #[derive(ClapArgs)]
-pub struct RehearseArgs {
+pub struct ScenarioArgs {
     /// Settings with a rehearsal().
     #[arg(default_value = "examples/bad-day.star")]
     pub script: PathBuf,
-    /// Kinds of trouble in place of the script's own, as the bench's journal joins them: hang+slow.
+    /// Kinds of faults in place of the script's own, as the bench's journal joins them: hang+slow.
     #[arg(long)]
     pub kinds: Option<String>,
-    /// Draws work and troubles from this seed in place of the script's.
+    /// Seed from which work and faults are drawn, in place of the script's.
     #[arg(long)]
     pub seed: Option<u64>,
-    /// Takes the kinds from a file of the bench's journal.
+    /// File of the bench's journal from which the kinds of faults are read.
     #[arg(long, conflicts_with = "kinds")]
     pub journal: Option<PathBuf>,
-    /// Folder for traces and logs; a new one, removed if all went well, if left out.
+    /// Folder for traces and logs; if omitted, a new one, which is removed after a success.
     #[arg(long)]
     pub dir: Option<PathBuf>,
-    /// Keeps the folder.
+    /// Retains the folder after a success.
     #[arg(long)]
     pub keep: bool,
 }
 
+/// Arguments of `state-service`.
 #[derive(ClapArgs)]
 pub struct StateArgs {
     /// Settings of the deployment, with a state_service().
     pub file: PathBuf,
-    /// Keeps plans, volumes, drains and their trail; snapshots are written beside it.
+    /// File that stores plans, volumes, drains and their audit log; snapshots are written to its
+    /// folder.
     #[arg(long)]
     pub store: PathBuf,
-    /// Where to listen; overrides the settings.
+    /// Address to listen on; overrides the settings.
     #[arg(long)]
     pub listen: Option<SocketAddr>,
-    /// Records every frame that crosses a socket.
+    /// File that records every frame sent or received.
     #[arg(long)]
     pub trace: Option<PathBuf>,
 }
 
+/// Arguments of `plans`.
 #[derive(ClapArgs)]
 pub struct PlansArgs {
-    /// Where the state service answers.
+    /// Address of the state service.
     #[arg(long, env = "GREBECLEAT_STATE", default_value = "127.0.0.1:7070")]
     pub at: SocketAddr,
-    /// Who you are, for the trail; the name you are logged in with if left out.
+    /// Author of changes, for the audit log; your login name if omitted.
     #[arg(long = "who")]
     pub author: Option<String>,
-    /// How it is printed.
+    /// Format of the output.
     #[arg(long, value_enum, default_value = "text")]
     pub output: Format,
     #[command(subcommand)]
     pub command: PlansCommand,
 }
 
+/// Options of a command that changes the catalog.
 #[derive(ClapArgs)]
 pub struct Change {
-    /// Why, for the trail.
+    /// Reason, for the audit log.
     #[arg(long = "why", default_value = "")]
     pub reason: String,
-    /// Whatever speaks against it; what does is kept in the trail.
+    /// Commits the change despite objections; the audit log records them.
     #[arg(long)]
     pub force: bool,
-    /// Nothing lands; says what would speak against it. Not for undo.
+    /// Commits nothing; prints the objections. Not for undo.
     #[arg(long)]
     pub dry_run: bool,
 }
 
+/// A command of `plans`.
 #[derive(Subcommand)]
 pub enum PlansCommand {
-    /// Plans, volumes, nodes, drains, targets and timed changes as they are.
+    /// Lists plans, volumes, nodes, drains, targets and scheduled changes.
     List,
-    /// One of them: plan NAME, volume ID, node ID, target NAME.
+    /// Shows one subject: plan NAME, volume ID, node ID, target NAME.
     Show { kind: String, name: String },
-    /// Changes them, all that is given as one: 'plan basic limit=20' 'volume 103 plan=gold' 'drain
-    /// 5' ...
+    /// Changes the catalog; all arguments are one atomic change: 'plan basic limit=20' 'volume 103
+    /// plan=gold' 'drain 5' ...
     Set {
         /// One change each; see the operators' page for all forms.
         #[arg(required = true)]
         changes: Vec<String>,
-        /// To land later: 2026-12-01T22:00:00Z, or +90m from now.
+        /// Time at which the change is committed: 2026-12-01T22:00:00Z, or +90m from now.
         #[arg(long)]
         at_time: Option<String>,
-        /// Refused if anything it touches has changed since that entry; since it was read, if left
-        /// out.
+        /// Version on which the change rests: the change is rejected if anything it touches has
+        /// changed since; the version read by this command if omitted.
         #[arg(long = "looked-at")]
         base_version: Option<u64>,
         #[command(flatten)]
         change: Change,
     },
-    /// Entries of the trail, the last ones last.
+    /// Prints entries of the audit log, the newest last.
     History {
-        /// How many.
+        /// Number of entries.
         #[arg(long, default_value_t = 20)]
         most: u32,
-        /// Only entries that touch this, such as 'volume 103'.
+        /// Prints only entries that change this subject, such as 'volume 103'.
         #[arg(long)]
         of: Option<String>,
     },
-    /// Puts back what an entry changed, as a new entry.
+    /// Reverts what an entry changed, as a new entry.
     Undo {
         #[arg(value_name = "ENTRY")]
         revision: u64,
         #[command(flatten)]
         change: Change,
     },
-    /// Where a settings file and what is in service differ.
+    /// Shows where a settings file and the catalog in service differ.
     Diff { file: PathBuf },
-    /// Makes what is in service what a settings file declares, as one entry.
+    /// Makes the catalog in service equal to what a settings file declares, as one entry.
     Declare {
         file: PathBuf,
         #[command(flatten)]
         change: Change,
     },
-    /// The service, its store and its hosts; what waits for whom.
+    /// Shows the service, its store and its hosts, and which hosts hold up the stable version.
     Status,
-    /// What extents to move so that promises hold, with some nodes emptied.
+    /// Proposes moves of extents so that reservations hold, with some nodes emptied.
     Moves {
-        /// Nodes that are to be emptied, beside those that drain.
+        /// Nodes to empty in addition to those that drain.
         #[arg(long, value_delimiter = ',')]
         empty: Vec<u32>,
     },
-    /// You answer for it that a host sends nothing: what waits for its word waits no longer.
+    /// Declares that a host sends nothing any more: changes no longer wait for its
+    /// acknowledgement. You vouch for it.
     Gone { host: String },
-    /// After a restore: what is here counts, whatever hosts have followed.
+    /// Forces a new epoch after a restore: the service's state counts, whatever hosts have
+    /// followed.
     Prevail {
         #[arg(long = "why", default_value = "")]
         reason: String,
     },
-    /// Writes everything that the service has into a file.
+    /// Writes the service's complete state into a file.
     Snapshot { file: PathBuf },
-    /// Reads a store or a snapshot whole, and says what is in it or what is wrong. The service must
-    /// not run.
+    /// Reads a store or a snapshot completely, and prints its contents or its faults. The service
+    /// must not run.
     Check { file: PathBuf },
-    /// Builds a store from a snapshot; the old one is moved aside. The service must not run.
+    /// Builds a store from a snapshot; the old store is renamed. The service must not run.
     Restore { snapshot: PathBuf, store: PathBuf },
 }
--- a/crates/cli/src/common.rs
+++ b/crates/cli/src/common.rs
@@ -1,5 +1,4 @@
-//! What several commands need: settings, traces, the store, and the line that says where a process
-//! listens.
+//! Functions that several commands use: settings, traces, the store, and the ready line.
 
 use crate::exit::{could_not_run, invalid, CommandError};
 use grebecleat_catalog_service::{group_commit::GroupCommit, store::StoreContents};
@@ -10,15 +9,18 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Revisions of the audit log that a store keeps.
+/// Number of audit log entries that a store retains. More of them cost memory at the start of a
+/// process; with fewer, the history ends earlier.
 const MAX_AUDIT_LOG: u64 = 100_000;
 
+/// Loads a settings file; the error lists each fault with its place.
 pub fn load(file: &Path) -> Result<Settings, CommandError> {
     Settings::load(file).map_err(|faults| {
         CommandError::InvalidInput(faults.iter().map(|fault| fault.to_string()).collect())
     })
 }
 
+/// Opens the trace file of a process; without a path nothing is recorded.
 pub fn tracer(path: Option<PathBuf>, hello: pb::Hello) -> Result<Tracer, CommandError> {
     let Some(path) = path else {
         return Ok(Tracer::default());
@@ -27,19 +29,20 @@
         .map_err(|error| could_not_run(format!("cannot record to {}: {error}", path.display())))
 }
 
-/// Prints the one line on standard output by which whoever started the process learns where it
-/// listens.
+/// Prints the ready line on standard output: the address on which the process listens. The process
+/// that started this one waits for it.
 pub fn print_listening(address: impl std::fmt::Display) {
     let mut out = std::io::stdout().lock();
     let _ = writeln!(out, "listening {address}").and_then(|()| out.flush());
 }
 
+/// Opens a store and its group-commit writer.
 pub fn open_store(path: &Path) -> Result<(GroupCommit, StoreContents), CommandError> {
     GroupCommit::open(path, MAX_AUDIT_LOG)
         .map_err(|error| could_not_run(format!("store {}: {error}", path.display())))
 }
 
-/// An address given as an option, else the one of the settings.
+/// Returns the address given as an option, else the address of the settings.
 pub fn address(
     given: Option<SocketAddr>,
     in_settings: Option<SocketAddr>,
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -1,27 +1,30 @@
-//! How a command ends beside success, and the exit code of each.
+//! Errors that end a command, and their exit codes.
 
 use std::process::ExitCode;
 
-/// Why a command did not succeed.
+/// The reason why a command did not succeed.
 pub enum CommandError {
-    /// It ran, and what it checks does not hold.
+    /// The command ran, and its check failed.
     CheckFailed,
-    /// Arguments or a settings file are wrong; nothing was started. The lines to print.
+    /// Arguments or a settings file are invalid; nothing was started. Holds the lines to print.
     InvalidInput(Vec<String>),
-    /// The machine, or a service it needs, did not let it run.
+    /// The machine, or a service that the command needs, kept it from running.
     CouldNotRun(String),
 }
 
+/// Exit code of [`CommandError::CheckFailed`].
 const CHECK_FAILED: u8 = 1;
+/// Exit code of [`CommandError::InvalidInput`].
 const INVALID_INPUT: u8 = 2;
+/// Exit code of [`CommandError::CouldNotRun`].
 pub const COULD_NOT_RUN: u8 = 3;
 
-/// An error in the arguments.
+/// Returns an error in the arguments.
 pub fn invalid(message: impl std::fmt::Display) -> CommandError {
     CommandError::InvalidInput(vec![format!("grebecleat: {message}")])
 }
 
-/// An error that kept the command from running.
+/// Returns an error that kept the command from running.
 pub fn could_not_run(error: impl std::fmt::Display) -> CommandError {
     CommandError::CouldNotRun(error.to_string())
 }
--- a/crates/cli/src/host_status.rs
+++ b/crates/cli/src/host_status.rs
@@ -1,4 +1,5 @@
-//! What one running host knows of the fleet, as it tells whoever watches it.
+//! `grebecleat fleet`: what one running host knows of its fleet, from the metrics that it sends to a
+//! subscriber.
 
 use crate::exit::{could_not_run, CommandError};
 use grebecleat_testbed::net::hello;
@@ -9,33 +10,32 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
+/// Largest frame that is read, in bytes. It bounds memory against a peer that is no host.
 const MAX_FRAME: usize = 16 << 20;
-/// Figures come every second.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Time-out of the connection and of each read. A host sends metrics every second, so a shorter one
+/// would fail on a busy host.
+const METRICS_TIMEOUT: Duration = Duration::from_secs(5);
 
-fn figures(at: SocketAddr) -> io::Result<pb::HostMetrics> {
-    let mut stream = TcpStream::connect_timeout(&at, PATIENCE)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    let me = hello(pb::Role::Operator, "fleet", u64::from(std::process::id()));
-    let mut bytes = Vec::new();
-    let sent_us = clock::micros(clock::now());
-    frame::write(
-        &pb::Frame {
-            sent_us,
-            body: Some(Body::Hello(me)),
-        },
-        &mut bytes,
-    );
-    stream.write_all(&bytes)?;
+/// Prints the status of the host that listens at the address.
+pub fn show(at: SocketAddr) -> Result<(), CommandError> {
+    let metrics = fetch_metrics(at).map_err(|error| could_not_run(format!("{at}: {error}")))?;
+    print!("{}", format_metrics(&metrics));
+    Ok(())
+}
+
+/// Connects to a host as a subscriber, and returns the first metrics that it sends.
+fn fetch_metrics(at: SocketAddr) -> io::Result<pb::HostMetrics> {
+    let mut stream = TcpStream::connect_timeout(&at, METRICS_TIMEOUT)?;
+    stream.set_read_timeout(Some(METRICS_TIMEOUT))?;
+    stream.write_all(&hello_frame())?;
     let mut reader = frame::Reader::new(MAX_FRAME);
     loop {
-        match reader
+        let frame = reader
             .next::<pb::Frame>()
-            .map_err(|e| io::Error::other(e.to_string()))?
-            .and_then(|f| f.body)
-        {
-            Some(Body::HostMetrics(f)) => return Ok(*f),
-            Some(Body::Hello(them)) if them.role() != pb::Role::Host => {
+            .map_err(|error| io::Error::other(error.to_string()))?;
+        match frame.and_then(|frame| frame.body) {
+            Some(Body::HostMetrics(metrics)) => return Ok(*metrics),
+            Some(Body::Hello(peer)) if peer.role() != pb::Role::Host => {
                 return Err(io::Error::other("no host answers there"));
             }
             Some(_) => {}
@@ -47,58 +47,80 @@
     }
 }
 
-/// The figures as they are printed.
-pub fn table(f: &pb::HostMetrics) -> String {
-    let mut out = String::new();
-    let mut line = |text: String| writeln!(out, "{text}").expect("a String takes all");
-    if f.incarnation == 0 {
-        line(format!(
+fn hello_frame() -> Vec<u8> {
+    let incarnation = u64::from(std::process::id());
+    let hello = pb::Frame {
+        sent_us: clock::micros(clock::now()),
+        body: Some(Body::Hello(hello(pb::Role::Operator, "fleet", incarnation))),
+    };
+    let mut bytes = Vec::new();
+    frame::write(&hello, &mut bytes);
+    bytes
+}
+
+/// Returns the metrics as the lines to print.
+fn format_metrics(metrics: &pb::HostMetrics) -> String {
+    let mut lines = String::new();
+    let mut add = |line: String| writeln!(lines, "{line}").expect("writing to a String succeeds");
+    if metrics.incarnation == 0 {
+        add(format!(
             "{}: tells its peers nothing; every decision is its own",
-            f.host
+            metrics.host
         ));
-        return out;
+        return lines;
     }
-    line(format!(
+    add(format!(
         "{}: life {}, {} peers heard",
-        f.host,
-        f.incarnation,
-        f.peers.len()
+        metrics.host,
+        metrics.incarnation,
+        metrics.peers.len()
     ));
-    for p in &f.peers {
-        let age = Duration::from_micros(p.age_us).as_secs_f64();
-        line(format!(
-            "  peer {:<12} {age:>6.1} s old, tried {} nodes, {} badly",
-            p.host, p.tried, p.badly
-        ));
+    for peer in &metrics.peers {
+        add(peer_line(peer));
     }
-    for b in &f.endpoint_policies {
-        let belief = match b.policy() {
-            pb::EndpointPolicy::AsToday => "by its own evidence",
-            pb::EndpointPolicy::OwnWay => "its own way there is bad",
-            pb::EndpointPolicy::Avoid => "avoided",
-            pb::EndpointPolicy::Look => "avoided by others, looked at by this host",
-        };
-        line(format!(
-            "  node {:<6} {:<9} {} hosts for it ({:.1}), {} against ({:.1}): {belief}",
-            b.node, b.verdict, b.well, b.well_weight, b.badly, b.badly_weight
-        ));
+    for policy in &metrics.endpoint_policies {
+        add(policy_line(policy));
     }
-    for p in &f.quotas {
-        line(format!(
-            "  volume {:<6} {:>5.1}% of its limit: settled {:.1}% of {} hosts', lent {:.1}%, borrowed {:.1}%",
-            p.volume,
-            100.0 * p.part,
-            100.0 * p.base,
-            p.sharers,
-            100.0 * p.lent,
-            100.0 * p.borrowed
-        ));
+    for quota in &metrics.quotas {
+        add(quota_line(quota));
     }
-    out
+    lines
 }
 
-pub fn show(at: SocketAddr) -> Result<(), CommandError> {
-    let f = figures(at).map_err(|e| could_not_run(format!("{at}: {e}")))?;
-    print!("{}", table(&f));
-    Ok(())
+fn peer_line(peer: &pb::PeerMetrics) -> String {
+    let age = Duration::from_micros(peer.age_us).as_secs_f64();
+    format!(
+        "  peer {:<12} {age:>6.1} s old, tried {} nodes, {} badly",
+        peer.host, peer.tried, peer.badly
+    )
+}
+
+fn policy_line(status: &pb::EndpointPolicyMetrics) -> String {
+    let policy = match status.policy() {
+        pb::EndpointPolicy::AsToday => "by its own evidence",
+        pb::EndpointPolicy::OwnWay => "its own way there is bad",
+        pb::EndpointPolicy::Avoid => "avoided",
+        pb::EndpointPolicy::Look => "avoided by others, looked at by this host",
+    };
+    format!(
+        "  node {:<6} {:<9} {} hosts for it ({:.1}), {} against ({:.1}): {policy}",
+        status.node,
+        status.verdict,
+        status.well,
+        status.well_weight,
+        status.badly,
+        status.badly_weight
+    )
+}
+
+fn quota_line(quota: &pb::QuotaMetrics) -> String {
+    format!(
+        "  volume {:<6} {:>5.1}% of its limit: settled {:.1}% of {} hosts', lent {:.1}%, borrowed {:.1}%",
+        quota.volume,
+        100.0 * quota.part,
+        100.0 * quota.base,
+        quota.sharers,
+        100.0 * quota.lent,
+        100.0 * quota.borrowed
+    )
 }
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -7,15 +7,17 @@
 use tracing_subscriber::fmt::writer::BoxMakeWriter;
 use tracing_subscriber::EnvFilter;
 
+/// Starts the log. Fails if the filter is invalid or the file cannot be opened.
 pub fn start(logs: &Logs) -> io::Result<()> {
     let filter = EnvFilter::try_new(&logs.log_level)
-        .map_err(|e| io::Error::other(format!("--log-level {}: {e}", logs.log_level)))?;
+        .map_err(|error| io::Error::other(format!("--log-level {}: {error}", logs.log_level)))?;
     let writer = match &logs.log_file {
         None => BoxMakeWriter::new(io::stderr),
         Some(path) => {
             let file = OpenOptions::new().create(true).append(true).open(path);
-            let file =
-                file.map_err(|e| io::Error::other(format!("--log-file {}: {e}", path.display())))?;
+            let file = file.map_err(|error| {
+                io::Error::other(format!("--log-file {}: {error}", path.display()))
+            })?;
             BoxMakeWriter::new(Mutex::new(file))
         }
     };
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,22 +1,24 @@
-//! The `grebecleat` program: arguments, logs and exit codes. A module for each command, which has
-//! no logic of its own: `run`, `platform` (and `account`), `state_service`, `plans`, `fleet`,
-//! `standins` (`node` and `list-service`), `rehearsal`, `audit` (and `show`).
+//! The `grebecleat` program: arguments, logs and exit codes.
+//!
+//! One module for each group of commands, without logic of its own: `run`, `platform` (`platform`
+//! and `shed-report`), `state_service`, `plans`, `host_status` (`fleet`), `testbed` (`node` and
+//! `discovery-service`), `scenario`, `trace_checks` (`check-traces` and `show`).
 
 #![deny(clippy::too_many_lines, clippy::cognitive_complexity)]
 
 mod args;
-mod audit;
 mod common;
 mod exit;
-mod fleet;
+mod host_status;
 mod logs;
 mod plans;
 mod platform;
-mod rehearsal;
-mod rehearsal_report;
 mod run;
-mod standins;
+mod scenario;
+mod scenario_report;
 mod state_service;
+mod testbed;
+mod trace_checks;
 
 use args::{Args, Command};
 use clap::{CommandFactory, Parser};
@@ -36,16 +38,16 @@
     match command {
         Command::Run(args) => run::run(args),
         Command::Platform => platform::run(),
-        Command::Account { logs, every, parts } => platform::account(&logs, every, parts),
+        Command::ShedReport { logs, every, parts } => platform::shed_report(&logs, every, parts),
         Command::StateService(args) => state_service::run(args),
         Command::Plans(args) => plans::run(args),
-        Command::Fleet { at } => fleet::show(at),
+        Command::Fleet { at } => host_status::show(at),
         Command::Check { file } => check(&file),
-        Command::Rehearse(args) => rehearsal::run(args),
-        Command::Audit { dir, script } => audit::audit(&dir, &script),
-        Command::Show { file, with } => audit::show_trace(&file, &with),
-        Command::Node(args) => standins::nodes(args),
-        Command::ListService(args) => standins::list(args),
+        Command::Scenario(args) => scenario::run(args),
+        Command::CheckTraces { dir, script } => trace_checks::check(&dir, &script),
+        Command::Show { file, with } => trace_checks::show_trace(&file, &with),
+        Command::Node(args) => testbed::nodes(args),
+        Command::DiscoveryService(args) => testbed::discovery_service(args),
         Command::Completions { shell } => {
             let mut command = Args::command();
             clap_complete::generate(shell, &mut command, "grebecleat", &mut std::io::stdout());
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,11 +1,12 @@
-//! `grebecleat platform`: one host on the users' platform; `grebecleat account`: what such hosts
-//! rejected.
+//! `grebecleat platform`: one host on the users' platform; `grebecleat shed-report`: the requests
+//! that such hosts rejected, by cause.
 
 use crate::exit::{invalid, CommandError};
 use grebecleat_platform::{config::Config, run as platform, statistics::StatisticsTable};
 use std::path::{Path, PathBuf};
 use tracing::info;
 
+/// Runs the host until it has shut down.
 pub fn run() -> Result<(), CommandError> {
     let (file, config) = Config::from_env().map_err(invalid)?;
     let name = config.name.clone();
@@ -18,9 +19,9 @@
     Ok(())
 }
 
-/// Adds up the statistics lines of the logs: a row for each `every` seconds, causes by their first
-/// `parts` parts.
-pub fn account(logs: &[PathBuf], every: u64, parts: usize) -> Result<(), CommandError> {
+/// Prints the sums of the logs' statistics lines: one row for each `every` seconds, grouped by the
+/// first `parts` parts of a cause's name.
+pub fn shed_report(logs: &[PathBuf], every: u64, parts: usize) -> Result<(), CommandError> {
     let mut table = StatisticsTable::default();
     let mut lines = 0;
     for log in logs {
@@ -29,7 +30,7 @@
     }
     if lines == 0 {
         return Err(invalid(
-            "no account in these logs; a host tells it at debug level",
+            "no statistics in these logs; a host logs them at debug level",
         ));
     }
     print!("{}", table.format(every, parts));
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -1,4 +1,5 @@
-//! `grebecleat run`: one host of a deployment, with its portal and its way to the state service.
+//! `grebecleat run`: one host of a deployment, with its iSCSI portals and its connection to the state
+//! service.
 
 use crate::args::HostArgs;
 use crate::common::{address, load, open_store, print_listening, tracer};
@@ -17,9 +18,10 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::info;
 
-/// An opened store, and what was in it at this start.
+/// An opened store, and its contents at this start.
 type OpenStore = (GroupCommit, StoreContents);
 
+/// Runs the host until it has shut down.
 pub fn run(args: HostArgs) -> Result<(), CommandError> {
     let settings = Arc::new(load(&args.file)?);
     let host = host_index(&settings, args.host.as_deref())?;
@@ -64,7 +66,7 @@
     Ok(())
 }
 
-/// Which host of the settings this is; it may be left out where there is one.
+/// Returns this host's index in the settings; its name may be omitted where there is one host.
 fn host_index(settings: &Settings, name: Option<&str>) -> Result<usize, CommandError> {
     let names = host_names(settings);
     let expected = || format!("--host: expected one of {}", names.join(", "));
@@ -83,7 +85,7 @@
     hosts.map(|host| host.name.as_str()).collect()
 }
 
-/// The indexes of the other hosts and where they answer: as given by `--peer`, else as in the
+/// Returns the indexes and addresses of the other hosts: as given by `--peer`, else as in the
 /// settings.
 fn peers(
     settings: &Settings,
@@ -97,7 +99,7 @@
         .iter()
         .map(|text| parse_peer(text, &names))
         .collect::<Result<_, _>>()?;
-    // The first counts where one is given twice.
+    // If a peer is given twice, the first address counts.
     for (index, address) in given.into_iter().rev() {
         addresses[index] = Some(address);
     }
@@ -108,7 +110,7 @@
         .collect())
 }
 
-/// The index of a host and where it answers, from `NAME=ADDRESS`.
+/// Parses `NAME=ADDRESS` into a host's index and its address.
 fn parse_peer(text: &str, names: &[&str]) -> Result<(usize, SocketAddr), CommandError> {
     let parse = || {
         let (name, address) = text.split_once('=')?;
@@ -123,7 +125,7 @@
     })
 }
 
-/// The portals of this host; an address given overrides that of the first.
+/// Returns the portals of this host; an address given overrides that of the first.
 fn portals(settings: &Settings, host: usize, given: Option<SocketAddr>) -> Vec<PortalSpec> {
     let portals = settings.portals.iter();
     let mut portals: Vec<PortalSpec> = portals
@@ -136,7 +138,8 @@
     portals
 }
 
-/// The way to the state service, if the settings name one, and what the store holds of the catalog.
+/// Returns the connection to the state service, if the settings name one, and the catalog that the
+/// store holds.
 fn state_link(
     settings: &Settings,
     given: Option<SocketAddr>,
@@ -193,11 +196,12 @@
     }
 }
 
-/// A seed that differs from start to start.
+/// Returns a seed that differs from start to start.
 fn random_seed() -> u64 {
     clock::now().as_nanos() as u64 ^ u64::from(std::process::id()) << 40
 }
 
+/// Returns the wall clock, in milliseconds since 1970.
 fn millis_since_1970() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.unwrap_or_default().as_millis() as u64
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -1,11 +1,12 @@
-//! `grebecleat rehearse`: plays a scripted day on the loopback and audits it.
+//! `grebecleat scenario`: runs a scripted scenario with injected faults on the loopback interface,
+//! and checks its traces.
 
-use crate::args::RehearseArgs;
-use crate::audit;
+use crate::args::ScenarioArgs;
 use crate::common::load;
 use crate::exit::{invalid, CommandError};
-use crate::rehearsal_report::{print_changes, print_clients, print_disks};
-use crate::standins::fault_kinds;
+use crate::scenario_report::{print_changes, print_clients, print_disks};
+use crate::testbed::fault_kinds;
+use crate::trace_checks;
 use grebecleat_settings::{Kind, Rehearsal, Settings};
 use grebecleat_testbed::rehearse::{self, Seen};
 use grebecleat_trace_checker::Verdict;
@@ -14,11 +15,12 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The bad day that comes with the program.
+/// The script of the scenario that is part of the program.
 const BAD_DAY: &str = include_str!("../../../examples/bad-day.star");
 const BAD_DAY_FILE: &str = "bad-day.star";
 
-pub fn run(args: RehearseArgs) -> Result<(), CommandError> {
+/// Runs the scenario and prints its report.
+pub fn run(args: ScenarioArgs) -> Result<(), CommandError> {
     let dir = args.dir.clone().unwrap_or_else(rehearse::folder);
     std::fs::create_dir_all(&dir)?;
     let script = script_in(&args.script, &dir)?;
@@ -47,8 +49,8 @@
     bar.finish_and_clear();
     print_clients(&settings, &seen.tally);
     print_changes(&settings, &seen.tally, &seen.changes);
-    let verdict = audit::judge(&dir, &settings)?;
-    audit::print_verdict(&verdict, &dir);
+    let verdict = trace_checks::verdict(&dir, &settings)?;
+    trace_checks::print_verdict(&verdict, &dir);
     let passed = passed(&seen, &verdict);
     if passed && args.dir.is_none() && !args.keep {
         std::fs::remove_dir_all(&dir)?;
@@ -64,16 +66,17 @@
     }
 }
 
-/// Whether no rule was broken, and no client or initiator got a wrong, missing or second answer.
+/// Returns whether no rule was broken, and no client or initiator got a wrong, missing or second
+/// answer.
 fn passed(seen: &Seen, verdict: &Verdict) -> bool {
     let clients_passed = seen.tally.wrong_content == 0 && seen.tally.doubled == 0;
     let disks = &seen.disks;
     let disks_passed = disks.wrong == 0 && disks.missing == 0 && disks.doubled == 0;
-    audit::passed(verdict) && clients_passed && disks_passed
+    trace_checks::passed(verdict) && clients_passed && disks_passed
 }
 
-/// The script's path; the embedded one is written into the folder where no file of that name is at
-/// hand.
+/// Returns the script's path. Writes the embedded script into the folder if it is named and does
+/// not exist.
 fn script_in(script: &Path, dir: &Path) -> Result<PathBuf, CommandError> {
     if script.exists() || !script.ends_with(BAD_DAY_FILE) {
         return Ok(script.to_path_buf());
@@ -83,8 +86,8 @@
     Ok(path)
 }
 
-/// The kinds of faults to play in place of the script's own; none: the script's.
-fn kinds(args: &RehearseArgs) -> Result<Vec<Kind>, CommandError> {
+/// Returns the kinds of faults to inject in place of the script's own; none: the script's.
+fn kinds(args: &ScenarioArgs) -> Result<Vec<Kind>, CommandError> {
     let kinds = fault_kinds(args.kinds.as_deref())?;
     let Some(journal) = &args.journal else {
         return Ok(kinds);
--- a/crates/cli/src/scenario_report.rs
+++ b/crates/cli/src/scenario_report.rs
@@ -1,4 +1,4 @@
-//! What a rehearsal prints of its clients, its changes of plans and its initiators.
+//! The report of a scenario: its clients, its changes of the catalog and its initiators.
 
 use grebecleat_settings::Settings;
 use grebecleat_testbed::clients::Tally;
@@ -9,6 +9,7 @@
 /// Seconds before and after a change over which its volumes' service is compared.
 const COMPARED_SECONDS: u64 = 4;
 
+/// Prints counts of requests, and service by plan.
 pub fn print_clients(settings: &Settings, tally: &Tally) {
     println!(
         "clients: {} tries, {} done, {} deferred, {} abandoned; {} lost with their host, \
@@ -34,7 +35,8 @@
     }
 }
 
-/// What came of the script's changes, and how the volumes they name were served before and after.
+/// Prints the result of each of the script's changes, and how the volumes that it names were served
+/// before and after.
 pub fn print_changes(settings: &Settings, tally: &Tally, changes: &[Played]) {
     for change in changes {
         let words = change.words.join(", ");
@@ -54,7 +56,7 @@
         None => "nothing asked".into(),
     };
     let before = percent(at.saturating_sub(COMPARED_SECONDS)..at);
-    // Placing a volume anew may take a second.
+    // Moving a volume may take a second.
     let after = percent(at + 1..at + 1 + COMPARED_SECONDS);
     println!(
         "    volume {id}: in its SLO time in the {COMPARED_SECONDS} s before {before}, \
@@ -62,12 +64,13 @@
     );
 }
 
-/// The volume that a change of a volume names.
+/// Returns the volume that a change names.
 fn volume_id(change: &str) -> Option<u64> {
     let rest = change.strip_prefix("volume ")?;
     rest.split(' ').next()?.parse().ok()
 }
 
+/// Prints counts of the iSCSI initiators.
 pub fn print_disks(disks: &Disks) {
     if disks.commands == 0 {
         return;
--- a/crates/cli/src/state_service.rs
+++ b/crates/cli/src/state_service.rs
@@ -1,4 +1,4 @@
-//! `grebecleat state-service`.
+//! `grebecleat state-service`: the service that stores the catalog.
 
 use crate::args::StateArgs;
 use crate::common::{address, load, print_listening, tracer};
@@ -10,6 +10,7 @@
 use std::sync::Arc;
 use tracing::info;
 
+/// Runs the service until it has shut down.
 pub fn run(args: StateArgs) -> Result<(), CommandError> {
     let settings = Arc::new(load(&args.file)?);
     let file = args.file.display().to_string();
--- a/crates/cli/src/testbed.rs
+++ b/crates/cli/src/testbed.rs
@@ -1,6 +1,7 @@
-//! `grebecleat node` and `grebecleat list-service`: the stand-ins, which play a script's faults.
+//! `grebecleat node` and `grebecleat discovery-service`: processes of the testbed, which inject a
+//! script's faults.
 
-use crate::args::{ListArgs, NodeArgs, Stage as StageArgs};
+use crate::args::{DiscoveryServiceArgs, NodeArgs, ScriptArgs};
 use crate::common::{address, load, print_listening, tracer};
 use crate::exit::{could_not_run, invalid, CommandError};
 use grebecleat_settings::Kind;
@@ -10,11 +11,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Runs nodes of a deployment until the process is ended.
 pub fn nodes(args: NodeArgs) -> Result<(), CommandError> {
-    let stage = stage(&args.stage, pb::Role::Node, "nodes")?;
+    let stage = stage(&args.script, pb::Role::Node, "nodes")?;
     let known = |id: &u32| stage.settings.nodes.iter().any(|node| node.id == *id);
     if let Some(id) = args.ids.iter().find(|id| !known(id)) {
-        let file = args.stage.file.display();
+        let file = args.script.file.display();
         return Err(invalid(format!("--ids: {file} has no node {id}")));
     }
     serve::nodes(&stage, &args.ids, args.list, |count| {
@@ -23,8 +25,9 @@
     Ok(())
 }
 
-pub fn list(args: ListArgs) -> Result<(), CommandError> {
-    let stage = stage(&args.stage, pb::Role::List, "list")?;
+/// Runs the discovery service until the process is ended.
+pub fn discovery_service(args: DiscoveryServiceArgs) -> Result<(), CommandError> {
+    let stage = stage(&args.script, pb::Role::List, "list")?;
     let listen = address(args.listen, stage.settings.list.address, "--listen")?;
     let listener = TcpListener::bind(listen)
         .map_err(|error| could_not_run(format!("cannot listen on {listen}: {error}")))?;
@@ -33,7 +36,7 @@
     Ok(())
 }
 
-fn stage(args: &StageArgs, role: pb::Role, name: &str) -> Result<serve::Stage, CommandError> {
+fn stage(args: &ScriptArgs, role: pb::Role, name: &str) -> Result<serve::Stage, CommandError> {
     let mut settings = load(&args.file)?;
     let kinds = fault_kinds(args.kinds.as_deref())?;
     rehearse::play(&mut settings, &kinds, args.seed);
@@ -45,7 +48,7 @@
     })
 }
 
-/// The kinds of faults that `--kinds` names, joined by `+`.
+/// Parses the kinds of faults that `--kinds` names, joined by `+`.
 pub fn fault_kinds(text: Option<&str>) -> Result<Vec<Kind>, CommandError> {
     let Some(text) = text else {
         return Ok(Vec::new());
--- a/crates/cli/src/trace_checks.rs
+++ b/crates/cli/src/trace_checks.rs
@@ -1,5 +1,5 @@
-//! `grebecleat audit` and `grebecleat show`: the verdict on a run's traces, and the traces
-//! themselves.
+//! `grebecleat check-traces`: checks a run's traces against the rules; `grebecleat show`: prints a
+//! trace.
 
 use crate::common::load;
 use crate::exit::{could_not_run, CommandError};
@@ -11,9 +11,10 @@
 use std::time::Duration;
 use tracing::info;
 
-pub fn audit(dir: &Path, script: &Path) -> Result<(), CommandError> {
+/// Checks the traces in a folder and prints the verdict.
+pub fn check(dir: &Path, script: &Path) -> Result<(), CommandError> {
     let settings = load(script)?;
-    let verdict = judge(dir, &settings)?;
+    let verdict = verdict(dir, &settings)?;
     print_verdict(&verdict, dir);
     println!("{}", verdict.line());
     if passed(&verdict) {
@@ -23,16 +24,17 @@
     }
 }
 
-/// The verdict on the traces in a folder.
-pub fn judge(dir: &Path, settings: &Settings) -> Result<Verdict, CommandError> {
+/// Returns the verdict on the traces in a folder.
+pub fn verdict(dir: &Path, settings: &Settings) -> Result<Verdict, CommandError> {
     Case::open(dir)?.judge(settings).map_err(could_not_run)
 }
 
-/// Whether no rule was broken and no command of an initiator went wrong.
+/// Returns whether no rule was broken and no command of an initiator failed.
 pub fn passed(verdict: &Verdict) -> bool {
     verdict.breaches.is_empty() && verdict.commands.fine()
 }
 
+/// Prints broken rules with their frames, and counts.
 pub fn print_verdict(verdict: &Verdict, dir: &Path) {
     for breach in &verdict.breaches {
         let rule = RULES[usize::from(breach.rule) - 1];
@@ -41,7 +43,7 @@
             println!("    {frame}");
         }
     }
-    info!(dir = %dir.display(), attempts = verdict.attempts, effects = verdict.effects, "audited");
+    info!(dir = %dir.display(), attempts = verdict.attempts, effects = verdict.effects, "traces checked");
     println!(
         "audit: {} legs, {} effects, {} transfers lost with their host; \
          last new leg {:.0} ms after a drain was told",
@@ -56,7 +58,7 @@
     }
 }
 
-/// How long it took until revisions were in force everywhere.
+/// Prints the time from the notification of a revision until it was in force at every host.
 fn print_revision_times(verdict: &Verdict) {
     let mut times: Vec<Duration> = verdict.settled.iter().map(|(_, time)| *time).collect();
     times.sort_unstable();
@@ -78,7 +80,7 @@
     for record in trace::read_file(file)? {
         let line = grebecleat_trace_checker::run::show("", &record);
         if line.contains(text) && writeln!(out, "{line}").is_err() {
-            // Nobody reads any more.
+            // The reader has closed the pipe.
             return Ok(());
         }
     }
--- a/crates/testbed/src/rehearse.rs
+++ b/crates/testbed/src/rehearse.rs
@@ -483,7 +483,7 @@
         tracer,
     };
     let service = stage.state_service(0)?;
-    let mut args = stage.script_args("list-service", "list");
+    let mut args = stage.script_args("discovery-service", "list");
     args.extend(["--listen".into(), "127.0.0.1:0".into()]);
     let (_list, said) = stage.start("list", &args)?;
     stage.list = said.parse().map_err(io::Error::other)?;
--- a/examples/bad-day.star
+++ b/examples/bad-day.star
@@ -1,7 +1,7 @@
 # A bad day at a small site: a rack restarts while the list lags, nodes fail fast, answers get lost, a host is
 # killed and another stands still, and a few volumes ask for far more than their share.
 #
-# Play it with: grebecleat rehearse examples/bad-day.star
+# Play it with: grebecleat scenario examples/bad-day.star
 
 deployment(name = "bad-day")
 
--- a/examples/halves.star
+++ b/examples/halves.star
@@ -3,7 +3,7 @@
 # than its loans, one dies and comes back, some cannot reach nodes that the others reach, and a node fails for all.
 # The audit judges the limits over all hosts from the nodes' frames alone.
 #
-# Play it with: grebecleat rehearse examples/halves.star
+# Play it with: grebecleat scenario examples/halves.star
 
 deployment(name = "halves")
 zone(name = "room-a")
--- a/examples/plan-change.star
+++ b/examples/plan-change.star
@@ -2,7 +2,7 @@
 # hosts and are retired, while hosts are cut off from the state service or hear of it late, it is killed, put back
 # from a snapshot, and a host dies in between. The audit judges the limit in force from the frames alone.
 #
-# Play it with: grebecleat rehearse examples/plan-change.star
+# Play it with: grebecleat scenario examples/plan-change.star
 
 deployment(name = "plan-change")
 zone(name = "room-a")
