--- a/crates/host/src/endpoint_list/tests.rs
+++ b/crates/discovery/tests/endpoint_list.rs
@@ -1,4 +1,9 @@
-use super::*;
+//! The endpoint list keeps the start time of each start, and reads only a complete stored copy.
+
+use grebecleat_discovery::endpoint_list::EndpointList;
+use grebecleat_scheduler::api::NodeId;
+use grebecleat_wire::pb;
+use std::time::Duration;
 
 #[test]
 fn one_start_keeps_its_moment_and_a_damaged_memory_is_refused() {
--- a/crates/host/tests/poll_deadline.rs
+++ b/crates/discovery/tests/poll_deadline.rs
@@ -2,7 +2,7 @@
 //! themselves take and however long the decisions would wait; and failures that come fast are left
 //! to the decisions.
 
-use grebecleat_host::poll_deadline::{Action, Event, PollDeadline};
+use grebecleat_discovery::poll_deadline::{Action, Event, PollDeadline};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
@@ -53,7 +53,7 @@
             r.step(ms(0), Some(Event::Answered));
             for (n, (begun, ended)) in failures.iter().enumerate() {
                 if n > 0 || *begun > 0 {
-                    r.step(ms(*begun), Some(Event::Called));
+                    r.step(ms(*begun), Some(Event::CallStarted));
                 }
                 assert_eq!(r.wake_at(), None, "{what}: a call is out");
                 due = r.step(ms(*ended), Some(Event::Failed));
@@ -90,7 +90,7 @@
             // The decisions, or what calls for them.
             now = (now + wait).min(r.wake_at().unwrap_or(Duration::MAX).max(now));
             begun.push(now);
-            r.step(now, Some(Event::Called));
+            r.step(now, Some(Event::CallStarted));
         }
         let spans = begun.windows(3).map(|b| b[2] - b[0]);
         let longest = spans.max().expect("there are twelve");
@@ -104,13 +104,13 @@
     for seed in 0..200 {
         let mut r = PollDeadline::new(TERM, CALL, seed);
         let mut now = ms(100_000);
-        r.step(now, Some(Event::Called));
+        r.step(now, Some(Event::CallStarted));
         for _ in 0..20 {
             now += ms(2);
             r.step(now, Some(Event::Failed));
             now += WAIT;
             assert_eq!(r.step(now, None), None, "seed {seed}");
-            r.step(now, Some(Event::Called));
+            r.step(now, Some(Event::CallStarted));
         }
     }
 }
@@ -123,7 +123,7 @@
     assert_eq!(r.call_timeout(), patient, "it has not answered yet");
     r.step(ms(0), Some(Event::Answered));
     let refused = |r: &mut PollDeadline, at: Duration| {
-        r.step(at, Some(Event::Called));
+        r.step(at, Some(Event::CallStarted));
         r.step(at, Some(Event::Refused));
         r.step(at, Some(Event::Failed));
     };
--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -14,7 +14,7 @@
 //!   drains.
 //!
 //! Files: `clients` (requests and their answers), `attempts`, `node_connections`, `discovery`,
-//! `endpoints` (what the list changes), `configuration` (state service, quotas and gossip),
+//! `endpoints` (changes of the endpoint list), `configuration` (state service, quotas and gossip),
 //! `decisions` (how they are set up), `reporting` (sweep, observations, metrics), `shutdown`. Which
 //! volumes are served, and on what terms, [`crate::config_follower`] says; what of a limit this host
 //! may use, and which nodes all hosts find bad, [`crate::quota_sharing`], where it is on.
@@ -36,26 +36,25 @@
 pub use types::{request_label, ConnId, Counters, Input, OpenWork, Output, WireMode};
 
 use crate::config_follower::ConfigFollower;
-use crate::endpoint_list::EndpointList;
 use crate::metrics::MetricsCollector;
 use crate::observations::ObservationReport;
 use crate::outbox::{AttemptId, Outbox};
-use crate::poll_deadline::PollDeadline;
 use crate::process_pause::ProcessPauses;
 use crate::quota_sharing::QuotaSharing;
+use discovery::DiscoveryConnections;
 use grebecleat_catalog::follower::{Follower, InitialState};
+use grebecleat_discovery::{DiscoveryClient, Event as DiscoveryEvent};
 use grebecleat_scheduler::api::*;
 use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_settings::{Bounds, Settings};
 use grebecleat_wire::clock;
-use grebecleat_wire::pb::{self, frame::Body};
+use grebecleat_wire::pb;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
 use tracing::debug;
 use types::{
-    request_id, ClientConnection, DiscoveryHistory, DiscoveryLink, HeardDiscoveryLink,
-    NodeConnection, NodePool, OpenRequest, OutstandingAttempt,
+    request_id, ClientConnection, NodeConnection, NodePool, OpenRequest, OutstandingAttempt,
 };
 
 /// The longest sleep while anything is open, so that a pause of the process is seen for what it is.
@@ -104,7 +103,6 @@
     pool_checks: BTreeSet<(Duration, NodeId)>,
     /// A dial that takes longer is late.
     handshake: Duration,
-    endpoints: EndpointList,
     /// Nodes that are drained, whatever the endpoint list says.
     drained: BTreeSet<NodeId>,
     /// Attempts to each node that are not over.
@@ -119,12 +117,9 @@
     metrics_at: Duration,
     /// The longest that a request may take.
     longest_deadline: Duration,
-    endpoints_changed: bool,
-    discovery: DiscoveryLink,
-    heard_discovery: Vec<HeardDiscoveryLink>,
-    discovery_history: DiscoveryHistory,
-    /// None: after a failure discovery is called when the decisions say, however long that is.
-    poll_deadline: Option<PollDeadline>,
+    /// Owns the endpoint list.
+    discovery: DiscoveryClient,
+    discovery_connections: DiscoveryConnections,
     health_checks: HashMap<u64, (NodeId, ConnId)>,
     timers: BTreeSet<(Duration, u64)>,
     events: Vec<Event>,
@@ -171,7 +166,6 @@
             changed_pools: BTreeSet::new(),
             pool_checks: BTreeSet::new(),
             handshake,
-            endpoints: EndpointList::default(),
             drained: BTreeSet::new(),
             attempts_at: HashMap::new(),
             may_run_until: HashMap::new(),
@@ -181,11 +175,8 @@
             metrics: MetricsCollector::default(),
             metrics_at: Duration::ZERO,
             longest_deadline: settings.longest_deadline(),
-            endpoints_changed: false,
-            discovery: DiscoveryLink::default(),
-            heard_discovery: Vec::new(),
-            discovery_history: DiscoveryHistory::default(),
-            poll_deadline: None,
+            discovery: DiscoveryClient::new(settings.bounds.patience),
+            discovery_connections: DiscoveryConnections::default(),
             health_checks: HashMap::new(),
             timers: BTreeSet::new(),
             events: Vec::new(),
@@ -229,10 +220,9 @@
         self
     }
 
-    /// What discovery has to tell is known within `term`, also where calls fail; one may take
-    /// `call`, its dial included.
+    /// Adds a poll deadline, see [`DiscoveryClient::with_poll_deadline`].
     pub fn with_poll_deadline(mut self, term: Duration, call: Duration) -> Self {
-        self.poll_deadline = Some(PollDeadline::new(term, call, self.seed));
+        self.discovery = self.discovery.with_poll_deadline(term, call, self.seed);
         self
     }
 
@@ -316,8 +306,7 @@
             self.config.wake_at(),
             (!self.subscribers.is_empty()).then_some(self.metrics_at),
             self.sharing.as_ref().map(QuotaSharing::wake_at),
-            self.discovery.answer_by,
-            self.poll_deadline.as_ref().and_then(PollDeadline::wake_at),
+            self.discovery.wake_at(),
         ];
         let wake = wakes.into_iter().flatten().fold(latest, Duration::min);
         self.requested_wake = wake.max(self.now);
@@ -340,9 +329,7 @@
         if self.now >= self.sweep_at {
             self.sweep();
         }
-        if self.discovery.answer_by.is_some_and(|by| self.now >= by) {
-            self.discovery_overdue();
-        }
+        self.step_discovery(DiscoveryEvent::CheckTimeout);
         // What the decisions ask for can at once come to an end (nothing to send on, already over).
         while !self.events.is_empty() {
             let events = std::mem::take(&mut self.events);
@@ -354,7 +341,7 @@
             }
             self.adjust_pools();
         }
-        self.poll_before_deadline(None);
+        self.step_discovery(DiscoveryEvent::CheckPollDeadline);
         self.adjust_pools();
         self.complete_shutdown();
         std::mem::take(&mut self.outputs)
@@ -414,12 +401,8 @@
                 up_to_date,
             } => self.discovery_refused(conn, waited, up_to_date),
             Input::DiscoveryEnded { conn } => self.discovery_ended(conn),
-            Input::DiscoveryOverdue { conn } => {
-                if self.discovery.conn == Some(conn) {
-                    self.discovery_overdue();
-                }
-            }
-            Input::DiscoveryMoved => self.discovery_moved(),
+            Input::DiscoveryOverdue { conn } => self.discovery_overdue(conn),
+            Input::DiscoveryMoved => self.step_discovery(DiscoveryEvent::Moved),
             Input::StateServiceUp { conn, outbox } => {
                 self.observations.forget();
                 self.config.connected(conn, outbox);
@@ -430,7 +413,7 @@
             Input::StateServiceGone { conn } => self.config.disconnected(conn, self.now),
             Input::Persisted { number, done } => self.config.persisted(number, done),
             Input::CachedEndpoints { list } => {
-                self.apply_endpoints(EndpointUpdateKind::Cached, &list.endpoints, 0)
+                self.step_discovery(DiscoveryEvent::CachedList { list })
             }
             Input::PeerMessage {
                 from,
@@ -467,10 +450,8 @@
             Action::CloseIdleConnections { node } => self.close_idle(node, self.now),
             Action::SendToPeer { to, bytes } => self.outputs.push(Output::SendToPeer { to, bytes }),
             Action::Log { text } => self.log(text),
-            Action::WatchEndpoints { on } => self.call_discovery(Body::Watch(pb::Watch { on })),
-            Action::FetchEndpoints => {
-                self.call_discovery(Body::FetchEndpoints(pb::FetchEndpoints {}))
-            }
+            Action::WatchEndpoints { on } => self.step_discovery(DiscoveryEvent::Watch { on }),
+            Action::FetchEndpoints => self.step_discovery(DiscoveryEvent::Fetch),
         }
     }
 
--- a/crates/host/src/router/attempts.rs
+++ b/crates/host/src/router/attempts.rs
@@ -38,7 +38,11 @@
         let answered = request.answered;
         self.attempts.insert(attempt, outstanding);
         *self.attempts_at.entry(node).or_default() += 1;
-        let listed = self.endpoints.nodes.get(&node).map(|known| known.state);
+        let listed = self
+            .discovery
+            .endpoints()
+            .get(node)
+            .map(|known| known.state);
         let ready = listed.is_some_and(|listed| self.node_state(node, listed) == NodeState::Ready);
         if answered || !ready {
             return self.end_attempt(attempt, AttemptOutcome::NotSent, now, None);
@@ -222,7 +226,7 @@
         let response = response.unwrap_or_default();
         self.count_outcome(id, node, outcome);
         if outcome == AttemptOutcome::Completed {
-            let known = self.endpoints.nodes.get(&node);
+            let known = self.discovery.endpoints().get(node);
             let done = pb::Response {
                 shard: known.map(|known| known.shard.0),
                 data: response.data,
--- a/crates/host/src/router/configuration.rs
+++ b/crates/host/src/router/configuration.rs
@@ -3,10 +3,10 @@
 
 use super::{ConnId, Output, RequestRouter};
 use crate::config_follower::{ConfigAction, ConfigFollower};
-use crate::endpoint_list::KnownEndpoint;
 use crate::quota_sharing::SharingOutcome;
 use grebecleat_catalog::records::Name;
 use grebecleat_coordination::HostNumber;
+use grebecleat_discovery::endpoint_list::KnownEndpoint;
 use grebecleat_scheduler::api::*;
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb;
@@ -153,11 +153,11 @@
         let Some(sharing) = &mut self.sharing else {
             return;
         };
-        let in_use = |(node, known): (&NodeId, &KnownEndpoint)| {
-            let used = known.state == NodeState::Ready && !self.drained.contains(node);
+        let in_use = |(node, known): (NodeId, &KnownEndpoint)| {
+            let used = known.state == NodeState::Ready && !self.drained.contains(&node);
             used.then_some((node.0, known.start))
         };
-        let nodes = self.endpoints.nodes.iter().filter_map(in_use);
+        let nodes = self.discovery.endpoints().iter().filter_map(in_use);
         sharing.nodes_in_use(nodes.collect());
     }
 
@@ -207,7 +207,7 @@
     }
 
     fn endpoint_of(&self, node: NodeId) -> Option<Endpoint> {
-        let known = self.endpoints.nodes.get(&node)?;
+        let known = self.discovery.endpoints().get(node)?;
         Some(Endpoint {
             node,
             zone: known.zone,
--- a/crates/host/src/router/discovery.rs
+++ b/crates/host/src/router/discovery.rs
@@ -1,269 +1,177 @@
-//! Discovery: the connections to it, its calls, and what becomes of them.
+//! Discovery: carries bytes between its connections and the [`DiscoveryClient`], and performs the
+//! client's actions.
+//!
+//! State: which connection carries which link of the client.
 
-use super::types::{frame, DiscoveryLink, HeardDiscoveryLink};
+use super::types::frame;
 use super::{ConnId, Output, RequestRouter};
 use crate::outbox::Outbox;
-use crate::poll_deadline::{self, PollDeadline};
-use grebecleat_scheduler::api::*;
+use grebecleat_discovery::{Action as DiscoveryAction, Event as DiscoveryEvent, LinkId};
+use grebecleat_scheduler::api::{EndpointUpdateKind, Event};
 use grebecleat_wire::pb::{self, frame::Body};
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections to discovery that are heard beside the one that is called. A call begins a second
-/// after the one before at the least, so an answer is heard that is three seconds late.
-const MAX_HEARD_LINKS: usize = 3;
+/// One connection to discovery, or a dial.
+#[derive(Debug)]
+struct DiscoveryConnection {
+    conn: ConnId,
+    link: LinkId,
+    /// None: the dial has not succeeded yet.
+    outbox: Option<Arc<Outbox>>,
+}
 
-impl RequestRouter {
-    pub(super) fn discovery_connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
-        if self.discovery.conn != Some(conn) {
-            return outbox.close();
-        }
-        self.discovery.outbox = Some(outbox);
-        self.dial_or_send_to_discovery();
-    }
+/// The connections to discovery, of which the client reads few at a time.
+#[derive(Debug, Default)]
+pub(super) struct DiscoveryConnections {
+    connections: Vec<DiscoveryConnection>,
+}
 
-    pub(super) fn handle_discovery_frames(&mut self, conn: ConnId, frames: Vec<pb::Frame>) {
-        self.promote_heard_discovery(conn);
-        let current = self.discovery.conn == Some(conn);
-        let heard = self.heard_discovery.iter().any(|link| link.conn == conn);
-        for frame in frames {
-            let Some(Body::EndpointUpdate(update)) = frame.body.filter(|_| current || heard) else {
-                self.log_bad_peer(conn, "list sent something that is no list");
-                continue;
-            };
-            if current {
-                self.discovery.answer_by = None;
-                self.discovery.answered = true;
-                self.discovery_answered();
-                self.close_heard_discovery();
-            }
-            self.handle_endpoint_update(update);
-            if current {
-                self.events.push(Event::EndpointsConfirmed);
-                self.poll_before_deadline(Some(poll_deadline::Event::Answered));
-            }
-        }
+impl DiscoveryConnections {
+    fn link_of(&self, conn: ConnId) -> Option<LinkId> {
+        let mut connections = self.connections.iter();
+        let found = connections.find(|connection| connection.conn == conn);
+        found.map(|connection| connection.link)
     }
 
-    /// What was called after it may be long in coming, or refused, and is dropped: two calls that
-    /// are served cost discovery twice as much.
-    fn promote_heard_discovery(&mut self, conn: ConnId) {
-        let is_overdue = |link: &HeardDiscoveryLink| link.conn == conn && !link.has_moved;
-        let overdue = self.heard_discovery.iter().position(is_overdue);
-        let Some(index) = overdue.filter(|_| !self.discovery.answered) else {
-            return;
-        };
-        let link = self.heard_discovery.remove(index);
-        let promoted = DiscoveryLink {
-            conn: Some(conn),
-            outbox: Some(link.outbox),
-            watching: true,
-            ..DiscoveryLink::default()
-        };
-        let called_later = std::mem::replace(&mut self.discovery, promoted);
-        if let Some(outbox) = called_later.outbox {
-            outbox.close();
-        }
-        self.log("list of nodes: an overdue call is answered".to_string());
+    fn dialled(&mut self, conn: ConnId, link: LinkId) {
+        self.connections.push(DiscoveryConnection {
+            conn,
+            link,
+            outbox: None,
+        });
     }
 
-    fn close_heard_discovery(&mut self) {
-        for link in std::mem::take(&mut self.heard_discovery) {
-            link.outbox.close();
-        }
+    /// Records that a dial has succeeded. Closes the outbox of a dial that was abandoned.
+    fn connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) -> Option<LinkId> {
+        let mut connections = self.connections.iter_mut();
+        let Some(connection) = connections.find(|connection| connection.conn == conn) else {
+            outbox.close();
+            return None;
+        };
+        connection.outbox = Some(outbox);
+        Some(connection.link)
     }
 
-    pub(super) fn discovery_disconnected(&mut self, conn: ConnId) {
-        if self.discovery.conn == Some(conn) {
-            self.discovery_lost("connection lost");
+    fn send(&self, link: LinkId, request: Body) {
+        let mut connections = self.connections.iter();
+        let connection = connections.find(|connection| connection.link == link);
+        if let Some(outbox) = connection.and_then(|connection| connection.outbox.as_ref()) {
+            outbox.put(frame(request));
         }
-        self.heard_discovery.retain(|link| link.conn != conn);
     }
 
-    /// Discovery answers elsewhere. Not a failure: the decisions keep what they have, and the new
-    /// one is dialled at once.
-    pub(super) fn discovery_moved(&mut self) {
-        let before = std::mem::take(&mut self.discovery);
-        if self.heard_discovery.iter().any(|link| link.has_moved) {
-            // It has moved again before it was heard there.
-            if let Some(outbox) = before.outbox {
+    fn close(&mut self, link: LinkId) {
+        for connection in &self.connections {
+            if let Some(outbox) = connection
+                .outbox
+                .as_ref()
+                .filter(|_| connection.link == link)
+            {
                 outbox.close();
             }
-        } else {
-            self.go_on_hearing(before);
         }
-        for link in &mut self.heard_discovery {
-            link.has_moved = true;
-        }
-        self.events.push(Event::DiscoveryMoved);
-        self.poll_before_deadline(Some(poll_deadline::Event::Moved));
-        self.call_discovery(Body::Watch(pb::Watch { on: true }));
+        self.forget(link);
+    }
+
+    fn forget(&mut self, link: LinkId) {
+        self.connections
+            .retain(|connection| connection.link != link);
     }
 
-    pub(super) fn call_discovery(&mut self, call: Body) {
-        self.discovery.pending.push(call);
-        self.dial_or_send_to_discovery();
+    fn conn_of(&self, link: LinkId) -> Option<ConnId> {
+        let mut connections = self.connections.iter();
+        let found = connections.find(|connection| connection.link == link);
+        found.map(|connection| connection.conn)
     }
+}
 
-    fn dial_or_send_to_discovery(&mut self) {
-        let answer_by = self.now + self.discovery_timeout();
-        let Some(outbox) = self.discovery.outbox.clone() else {
-            if self.discovery.conn.is_none() {
+impl RequestRouter {
+    pub(super) fn step_discovery(&mut self, event: DiscoveryEvent) {
+        for action in self.discovery.step(self.now, event) {
+            self.perform_discovery(action);
+        }
+    }
+
+    fn perform_discovery(&mut self, action: DiscoveryAction) {
+        match action {
+            DiscoveryAction::Dial { link } => {
                 let conn = ConnId(self.next_number());
-                self.discovery.conn = Some(conn);
-                self.discovery.answer_by = Some(answer_by);
+                self.discovery_connections.dialled(conn, link);
                 self.outputs.push(Output::DialDiscovery { conn });
-                self.poll_before_deadline(Some(poll_deadline::Event::Called));
             }
-            return;
-        };
-        for body in std::mem::take(&mut self.discovery.pending) {
-            if let Body::Watch(watch) = &body {
-                // One that is open needs no second: its answer may be longer in coming than that of
-                // a call.
-                let was_watching = std::mem::replace(&mut self.discovery.watching, watch.on);
-                if was_watching && watch.on {
-                    continue;
-                }
+            DiscoveryAction::Send { link, request } => {
+                self.discovery_connections.send(link, request)
+            }
+            DiscoveryAction::Close { link } => self.discovery_connections.close(link),
+            DiscoveryAction::Apply(update) => self.apply_list_update(update),
+            DiscoveryAction::ConfirmList => self.events.push(Event::EndpointsConfirmed),
+            DiscoveryAction::ReportFailure => self.events.push(Event::EndpointUpdate {
+                kind: EndpointUpdateKind::FetchFailed,
+                endpoints: Vec::new(),
+            }),
+            DiscoveryAction::ReportRefusal { waited } => {
+                self.events.push(Event::FetchRefused { waited })
             }
-            outbox.put(frame(body));
-            if self.discovery.continues_watch {
-                self.discovery.answer_by = None;
-                continue;
+            DiscoveryAction::ReportMove => self.events.push(Event::DiscoveryMoved),
+            DiscoveryAction::Store { bytes } => self.outputs.push(Output::CacheEndpoints { bytes }),
+            DiscoveryAction::UnexpectedMessage { link } => {
+                if let Some(conn) = self.discovery_connections.conn_of(link) {
+                    self.log_unexpected_message(conn);
+                }
             }
-            // One span for dial and call: two in a row would be twice as long where both are slow.
-            self.discovery.answer_by.get_or_insert(answer_by);
+            DiscoveryAction::Log(event) => self.outputs.push(Output::LogDiscovery(event)),
         }
     }
 
-    /// A host that has no endpoints yet serves no request, and no term runs: it waits for a slow
-    /// answer rather than call again. Guards a start against a discovery that takes longer than a
-    /// call may take later, which would never be had. Harm: a call that is lost then is found so
-    /// much later.
-    fn discovery_timeout(&self) -> Duration {
-        let served = !self.endpoints.nodes.is_empty();
-        let poll_deadline = self.poll_deadline.as_ref().filter(|_| served);
-        poll_deadline.map_or(self.bounds().patience, PollDeadline::call_timeout)
-    }
-
-    /// No failure: the watch goes on at once on another connection.
-    pub(super) fn discovery_ended(&mut self, conn: ConnId) {
-        self.heard_discovery.retain(|link| link.conn != conn);
-        if self.discovery.conn != Some(conn) {
-            return;
+    pub(super) fn discovery_connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
+        if let Some(link) = self.discovery_connections.connected(conn, outbox) {
+            self.step_discovery(DiscoveryEvent::Connected { link });
         }
-        self.close_discovery();
-        self.discovery.continues_watch = true;
-        self.call_discovery(Body::Watch(pb::Watch { on: true }));
     }
 
-    pub(super) fn discovery_refused(&mut self, conn: ConnId, waited: Duration, up_to_date: bool) {
-        let is_heard = self.heard_discovery.iter().any(|link| link.conn == conn);
-        let is_current = self.discovery.conn == Some(conn);
-        if is_heard || is_current {
-            self.poll_before_deadline(Some(poll_deadline::Event::Refused));
-        }
-        if is_current {
-            if up_to_date {
-                self.events.push(Event::EndpointsConfirmed);
+    pub(super) fn handle_discovery_frames(&mut self, conn: ConnId, frames: Vec<pb::Frame>) {
+        match self.discovery_connections.link_of(conn) {
+            Some(link) => self.step_discovery(DiscoveryEvent::Received { link, frames }),
+            None => {
+                for _ in frames {
+                    self.log_unexpected_message(conn);
+                }
             }
-            self.close_discovery();
-            self.call_failed("refused");
-            self.events.push(Event::FetchRefused { waited });
-        }
-    }
-
-    /// Calls discovery where the decisions would wait for too long. What they ask for later finds
-    /// the watch.
-    pub(super) fn poll_before_deadline(&mut self, event: Option<poll_deadline::Event>) {
-        let served = !self.endpoints.nodes.is_empty();
-        let Some(poll_deadline) = self.poll_deadline.as_mut().filter(|_| served) else {
-            return;
-        };
-        let due = poll_deadline.step(self.now, event);
-        if due.is_some() && self.discovery.conn.is_none() {
-            self.call_discovery(Body::Watch(pb::Watch { on: true }));
         }
     }
 
-    fn discovery_lost(&mut self, reason: &str) {
-        self.close_discovery();
-        self.call_failed(reason);
-        self.fetch_failed();
+    fn log_unexpected_message(&mut self, conn: ConnId) {
+        self.log_bad_peer(conn, "unexpected message from discovery");
     }
 
-    fn close_discovery(&mut self) {
-        let link = std::mem::take(&mut self.discovery);
-        if let Some(outbox) = link.outbox {
-            outbox.close();
+    pub(super) fn discovery_disconnected(&mut self, conn: ConnId) {
+        if let Some(link) = self.discovery_connections.link_of(conn) {
+            self.step_discovery(DiscoveryEvent::Disconnected { link });
+            self.discovery_connections.forget(link);
         }
     }
 
-    /// Another call is made in time, as after one that has failed; but the overdue one goes on being
-    /// heard. Discovery goes on serving what it has taken in and counts its answer as told, however
-    /// late it is written. A host that hangs up just then is told what it does not know.
-    pub(super) fn discovery_overdue(&mut self) {
-        let link = std::mem::take(&mut self.discovery);
-        self.go_on_hearing(link);
-        self.call_failed("no answer in time");
-        self.fetch_failed();
-    }
-
-    /// The oldest goes where there are too many.
-    fn go_on_hearing(&mut self, link: DiscoveryLink) {
-        let (Some(conn), Some(outbox)) = (link.conn, link.outbox) else {
-            return;
-        };
-        self.heard_discovery.push(HeardDiscoveryLink {
-            conn,
-            outbox,
-            has_moved: false,
-        });
-        if self.heard_discovery.len() > MAX_HEARD_LINKS {
-            self.heard_discovery.remove(0).outbox.close();
+    pub(super) fn discovery_ended(&mut self, conn: ConnId) {
+        if let Some(link) = self.discovery_connections.link_of(conn) {
+            self.step_discovery(DiscoveryEvent::Ended { link });
+            self.discovery_connections.forget(link);
         }
     }
 
-    fn call_failed(&mut self, reason: &str) {
-        self.discovery_history.failures += 1;
-        self.log(self.discovery_failure_text(reason));
-        self.poll_before_deadline(Some(poll_deadline::Event::Failed));
-    }
-
-    fn discovery_failure_text(&self, reason: &str) -> String {
-        let history = &self.discovery_history;
-        let age = history
-            .answered_at
-            .map_or("since the start".to_string(), |at| {
-                format!("for {}ms", self.now.saturating_sub(at).as_millis())
+    pub(super) fn discovery_refused(&mut self, conn: ConnId, waited: Duration, up_to_date: bool) {
+        if let Some(link) = self.discovery_connections.link_of(conn) {
+            self.step_discovery(DiscoveryEvent::Refused {
+                link,
+                waited,
+                up_to_date,
             });
-        let failures = history.failures;
-        format!("list of nodes: {reason}; no answer {age}, {failures} failed calls in a row")
-    }
-
-    fn discovery_answered(&mut self) {
-        let failures = std::mem::take(&mut self.discovery_history.failures);
-        if failures > 0 {
-            self.log(format!(
-                "list of nodes: answered after {failures} failed calls"
-            ));
         }
-        self.discovery_history.answered_at = Some(self.now);
     }
 
-    fn fetch_failed(&mut self) {
-        self.events.push(Event::EndpointUpdate {
-            kind: EndpointUpdateKind::FetchFailed,
-            endpoints: Vec::new(),
-        });
-    }
-
-    fn handle_endpoint_update(&mut self, update: pb::EndpointUpdate) {
-        let kind = match update.kind() {
-            pb::EndpointUpdateKind::Delta => EndpointUpdateKind::Delta,
-            pb::EndpointUpdateKind::Snapshot => EndpointUpdateKind::Snapshot,
-            _ => return self.fetch_failed(),
-        };
-        self.apply_endpoints(kind, &update.endpoints, update.revision);
+    pub(super) fn discovery_overdue(&mut self, conn: ConnId) {
+        if let Some(link) = self.discovery_connections.link_of(conn) {
+            self.step_discovery(DiscoveryEvent::Overdue { link });
+        }
     }
 }
--- a/crates/host/src/router/endpoints.rs
+++ b/crates/host/src/router/endpoints.rs
@@ -1,86 +1,46 @@
-//! What an update of the endpoint list changes of nodes, connections and attempts.
+//! Applies a change of the endpoint list to the scheduler, the connections and the attempts.
 
 use super::RequestRouter;
-use crate::endpoint_list::KnownEndpoint;
-use grebecleat_scheduler::api::*;
-use grebecleat_wire::pb;
-use std::collections::BTreeMap;
-use std::net::SocketAddr;
+use grebecleat_discovery::ListUpdate;
+use grebecleat_scheduler::api::{Event, NodeId, NodeState};
 use tracing::debug;
 
-/// What tells one process of a node from another.
-type Process = (u64, Option<SocketAddr>);
-
-fn process_of(known: &KnownEndpoint) -> Process {
-    (known.start, known.address)
-}
-
 impl RequestRouter {
-    pub(super) fn apply_endpoints(
-        &mut self,
-        kind: EndpointUpdateKind,
-        endpoints: &[pb::Endpoint],
-        revision: u64,
-    ) {
-        let before = self.processes_of(endpoints);
-        let mut read = self.read_endpoints(endpoints, revision);
-        let mut left = match kind {
-            EndpointUpdateKind::Delta => Vec::new(),
-            _ => self.endpoints.retain_listed(&read, revision),
-        };
-        for endpoint in &mut read {
+    pub(super) fn apply_list_update(&mut self, update: ListUpdate) {
+        let ListUpdate {
+            kind,
+            revision,
+            mut endpoints,
+            restarted,
+            delisted: mut left,
+        } = update;
+        for endpoint in &mut endpoints {
             endpoint.state = self.node_state(endpoint.node, endpoint.state);
         }
-        for endpoint in &read {
-            let process = process_of(&self.endpoints.nodes[&endpoint.node]);
-            let renewed = before
-                .get(&endpoint.node)
-                .is_some_and(|was| *was != process);
-            if endpoint.state != NodeState::Ready || renewed {
+        for endpoint in &endpoints {
+            let restarted = restarted.contains(&endpoint.node);
+            if endpoint.state != NodeState::Ready || restarted {
                 left.push(endpoint.node);
                 let node = endpoint.node.0;
-                debug!(node, state = ?endpoint.state, renewed, revision, "list of nodes: entry");
+                debug!(node, state = ?endpoint.state, restarted, revision, "endpoint list entry");
             }
-            if renewed {
+            if restarted {
                 self.node_restarted(endpoint.node);
             }
-            // What is open leads to a process that is no more.
-            if renewed || endpoint.state == NodeState::Gone {
+            // The open connections lead to a process that has ended.
+            if restarted || endpoint.state == NodeState::Gone {
                 self.close_idle(endpoint.node, self.now);
             }
         }
-        self.events.push(Event::EndpointUpdate {
-            kind,
-            endpoints: read,
-        });
+        self.events.push(Event::EndpointUpdate { kind, endpoints });
         for node in left {
             self.revoke_attempts_to(node);
         }
-        self.endpoints_changed = kind != EndpointUpdateKind::Cached;
         self.share_known_nodes();
     }
 
-    /// What was known of these nodes until now.
-    fn processes_of(&self, endpoints: &[pb::Endpoint]) -> BTreeMap<NodeId, Process> {
-        let nodes = endpoints.iter().map(|endpoint| NodeId(endpoint.node));
-        let known = nodes.filter_map(|id| Some((id, process_of(self.endpoints.nodes.get(&id)?))));
-        known.collect()
-    }
-
-    fn read_endpoints(&mut self, endpoints: &[pb::Endpoint], revision: u64) -> Vec<Endpoint> {
-        let now = self.now;
-        let read = endpoints
-            .iter()
-            .filter_map(|endpoint| self.endpoints.read(endpoint, now, revision));
-        let read: Vec<Endpoint> = read.collect();
-        let unread = endpoints.len() - read.len();
-        if unread > 0 {
-            self.log(format!("list of nodes: {unread} entries without a state"));
-        }
-        read
-    }
-
-    /// Another process knows nothing of what the last one ran, and dials to that one are of no use.
+    /// Forgets what concerns the former process of the node. The new process runs none of its
+    /// attempts, and dials to the former process are useless.
     fn node_restarted(&mut self, node: NodeId) {
         self.may_run_until.remove(&node);
         if let Some(pool) = self.pools.get_mut(&node) {
--- a/crates/host/src/router/node_connections.rs
+++ b/crates/host/src/router/node_connections.rs
@@ -177,7 +177,7 @@
                 continue;
             };
             let wanted = pool.pool.wanted(self.now, self.pool_status(node));
-            let known = self.endpoints.nodes.get(&node);
+            let known = self.discovery.endpoints().get(node);
             match (wanted, known.and_then(|known| known.address)) {
                 (PoolAction::Nothing, _) => {}
                 // Where there is no room for another, its attempts wait, and are swept if for too
--- a/crates/host/src/router/reporting.rs
+++ b/crates/host/src/router/reporting.rs
@@ -2,10 +2,11 @@
 //! reported to the state service, to subscribers and to the disk.
 
 use super::types::frame;
-use super::{ConnId, Output, RequestRouter};
-use crate::endpoint_list::KnownEndpoint;
+use super::{ConnId, RequestRouter};
 use crate::metrics;
 use crate::outbox::AttemptId;
+use grebecleat_discovery::endpoint_list::KnownEndpoint;
+use grebecleat_discovery::Event as DiscoveryEvent;
 use grebecleat_membership::answers::{Answers, NodeHealth};
 use grebecleat_scheduler::api::*;
 use grebecleat_wire::clock;
@@ -26,10 +27,7 @@
         self.close_long_idle();
         self.publish_observations();
         self.publish_metrics();
-        if std::mem::take(&mut self.endpoints_changed) {
-            let bytes = self.endpoints.to_bytes(self.now);
-            self.outputs.push(Output::CacheEndpoints { bytes });
-        }
+        self.step_discovery(DiscoveryEvent::StoreDue);
     }
 
     /// Ends attempts that have waited too long for their connection, or in its outbox.
@@ -80,9 +78,9 @@
         }
         let applied = follower.catalog().version().0;
         let health: BTreeMap<NodeId, NodeHealth> = self.node_health();
-        let known = self.endpoints.nodes.iter();
+        let known = self.discovery.endpoints().iter();
         let rows: Vec<pb::NodeObservation> = known
-            .map(|(node, known)| self.observation(*node, known, health.get(node), applied))
+            .map(|(node, known)| self.observation(node, known, health.get(&node), applied))
             .collect();
         let nodes = self.observations.changes(rows);
         if !nodes.is_empty() {
@@ -147,8 +145,8 @@
         }
         self.metrics_at = self.now + metrics::INTERVAL;
         let head = self.host_metrics();
-        let endpoints = &self.endpoints;
-        let start_of = |node: NodeId| endpoints.nodes.get(&node).map_or(0, |known| known.start);
+        let endpoints = self.discovery.endpoints();
+        let start_of = |node: NodeId| endpoints.get(node).map_or(0, |known| known.start);
         let metrics = self
             .metrics
             .collect(self.now, &self.scheduler, start_of, head);
--- a/crates/host/src/router/tests.rs
+++ b/crates/host/src/router/tests.rs
@@ -2,6 +2,7 @@
 
 use super::*;
 use crate::common::{ms, Rig, CLIENT};
+use grebecleat_wire::pb::frame::Body;
 
 #[test]
 fn a_cancelled_attempt_in_the_send_buffer_never_crosses_and_one_that_crossed_is_called_off() {
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -4,6 +4,7 @@
 use crate::outbox::{AttemptId, Outbox};
 use crate::pool::Pool;
 use grebecleat_catalog_service::store::Record;
+use grebecleat_discovery::LogEvent;
 use grebecleat_scheduler::api::{NodeId, PeerId, PlanId, RequestId};
 use grebecleat_wire::delay::Delay;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -203,6 +204,8 @@
         /// The line.
         text: String,
     },
+    /// Write an event of the discovery client to the log.
+    LogDiscovery(LogEvent),
     /// The shutdown is complete: nothing is open and every answer is written.
     ShutdownComplete,
 }
@@ -361,46 +364,6 @@
     pub waiting: VecDeque<AttemptId>,
 }
 
-/// The connection to discovery.
-#[derive(Debug, Default)]
-pub(super) struct DiscoveryLink {
-    /// None: neither up nor being dialled.
-    pub conn: Option<ConnId>,
-    /// None: not up.
-    pub outbox: Option<Arc<Outbox>>,
-    /// To be sent once it is up.
-    pub pending: Vec<Body>,
-    /// A watch is open on it.
-    pub watching: bool,
-    /// When a call, or the dial, is overdue.
-    pub answer_by: Option<Duration>,
-    /// Discovery has answered on it.
-    pub answered: bool,
-    /// Its first call goes on with a watch: how long that may take, whoever carries it knows.
-    pub continues_watch: bool,
-}
-
-/// A connection to discovery on which nothing new is asked, and which is heard until the one that
-/// has taken its place is answered: what it tells counts as told, and the new one may be long in
-/// coming.
-#[derive(Debug)]
-pub(super) struct HeardDiscoveryLink {
-    pub conn: ConnId,
-    pub outbox: Arc<Outbox>,
-    /// Discovery has moved since. Otherwise its call is overdue, and it takes its place again once
-    /// it is answered.
-    pub has_moved: bool,
-}
-
-/// What has become of the calls to discovery; for the log.
-#[derive(Debug, Default)]
-pub(super) struct DiscoveryHistory {
-    /// When it last answered; None: not since the start.
-    pub answered_at: Option<Duration>,
-    /// Calls that failed since then.
-    pub failures: u32,
-}
-
 /// The text of a request's id in the log: without the zeros that only fill it up.
 pub fn request_label(id: &[u8]) -> &str {
     let text = std::str::from_utf8(id).unwrap_or("unreadable");
--- a/crates/host/src/server.rs
+++ b/crates/host/src/server.rs
@@ -19,11 +19,11 @@
 
 pub use signals::{on_signals, on_signals_do};
 
-use crate::endpoint_list::EndpointList;
 use crate::outbox::Outbox;
 use crate::router::{ConnId, Counters, Input};
 use grebecleat_catalog::follower::InitialState;
 use grebecleat_catalog_service::group_commit::GroupCommit;
+use grebecleat_discovery::endpoint_list::EndpointList;
 use grebecleat_scheduler::api::PeerId;
 use grebecleat_settings::{Bounds, Settings};
 use grebecleat_wire::pb::{self, frame::Body};
--- a/crates/host/src/server/owner.rs
+++ b/crates/host/src/server/owner.rs
@@ -84,6 +84,7 @@
         }
         Output::CacheEndpoints { bytes } => cache_endpoints(shared, bytes),
         Output::Log { text } => log(&shared.hello.name, &text),
+        Output::LogDiscovery(event) => event.write(Some(&shared.hello.name)),
         Output::ShutdownComplete => return Loop::End,
     }
     Loop::Continue
--- a/crates/host/tests/former_version.rs
+++ b/crates/host/tests/former_version.rs
@@ -1,6 +1,6 @@
 //! An endpoint list that an earlier version remembered (`tests/data`) is taken as it stands.
 
-use grebecleat_host::endpoint_list::EndpointList;
+use grebecleat_discovery::endpoint_list::EndpointList;
 use grebecleat_wire::pb;
 
 #[test]
--- a/crates/platform/src/discovery_calls.rs
+++ b/crates/platform/src/discovery_calls.rs
@@ -3,7 +3,7 @@
 //!
 //! State machine: [`DiscoveryCalls::step`] takes what is wanted or was answered and returns the
 //! call to write now, if any. No I/O and no clock. When discovery is called anew after a failure is
-//! not decided here, but by the decisions and `grebecleat_host::poll_deadline`.
+//! not decided here, but by the decisions and `grebecleat_discovery::poll_deadline`.
 
 use std::time::Duration;
 
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -246,6 +246,11 @@
                     info!("{text}");
                 }
             }
+            Output::LogDiscovery(event) => {
+                if self.may_log() {
+                    event.write(None);
+                }
+            }
             // No disk, no state service, no peers here.
             Output::CacheEndpoints { .. }
             | Output::DialStateService { .. }
--- a/crates/platform/src/run/owner/discovery_conn.rs
+++ b/crates/platform/src/run/owner/discovery_conn.rs
@@ -9,7 +9,7 @@
 use crate::discovery_calls::{Call, DiscoveryCalls, Event, OutstandingCall};
 use crate::http;
 use crate::run::connection::{CloseReason, DiscoveryConnection, KnownRevision, Role};
-use grebecleat_host::poll_deadline::PATIENT_CALL;
+use grebecleat_discovery::poll_deadline::PATIENT_CALL_TIMEOUT;
 use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -125,7 +125,7 @@
         let told_at = known.and_then(|known| known.told_at);
         let continues = told_at.is_some_and(|at| clock::now() < at + CONTINUES_WITHIN);
         // The router, which knows how long it may take, ends it sooner.
-        let first_timeout = PATIENT_CALL;
+        let first_timeout = PATIENT_CALL_TIMEOUT;
         let known = known.map(|known| known.revision);
         DiscoveryConnection {
             calls: DiscoveryCalls::new(first_timeout, known, continues),
--- a/crates/platform/tests/poll_deadline/fleet.rs
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -328,17 +328,20 @@
 
     fn perform(&mut self, host: usize, output: Output) {
         match output {
-            Output::Log { text } if text.starts_with("list of nodes: ") => {
-                let change_at = BEGIN + self.scenario.change_at;
-                let state = &mut self.hosts[host];
-                let counts = state.call_begun_at >= change_at && state.informed_at.is_none();
-                state.failed += u32::from(counts);
-            }
+            Output::LogDiscovery(_) => self.count_failure(host),
+            Output::Log { text } if text.starts_with("list of nodes: ") => self.count_failure(host),
             Output::DialDiscovery { conn } => self.dial(host, conn),
             _ => {}
         }
     }
 
+    fn count_failure(&mut self, host: usize) {
+        let change_at = BEGIN + self.scenario.change_at;
+        let state = &mut self.hosts[host];
+        let counts = state.call_begun_at >= change_at && state.informed_at.is_none();
+        state.failed += u32::from(counts);
+    }
+
     fn dial(&mut self, host: usize, conn: ConnId) {
         self.hosts[host].dialled = conn.0;
         self.hosts[host].call_begun_at = self.now;
