--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -10,7 +10,10 @@
 //!   links that are still read;
 //! - [`poll_deadline`]: the latest time of the next call, so that a change is known in time even if
 //!   calls fail;
-//! - [`events`]: the events, the actions, and the log events.
+//! - [`events`]: the events, the actions, and the log events;
+//! - [`long_polling`] and [`calls`]: the client's watch over a protocol in which discovery responds
+//!   to one call at a time, as on the platform: the next call, its timeout, and the revision from
+//!   which a new connection resumes. The host's own protocol pushes changes and needs neither.
 //!
 //! Two decisions are the scheduler's. `grebecleat_scheduler::scheduler::discovery` decides the
 //! backoff after a failed call. `grebecleat_scheduler::scheduler::endpoint_lease` decides how long
@@ -22,11 +25,13 @@
 
 #![warn(missing_docs)]
 
+pub mod calls;
 mod client;
 pub mod endpoint_list;
 pub mod events;
 mod history;
 mod links;
+pub mod long_polling;
 pub mod poll_deadline;
 
 pub use client::DiscoveryClient;
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -6,8 +6,8 @@
 //! runs. Memory: one name for each node that was ever listed, `MAX_NAMES` at most; entries with
 //! further names are not read.
 
-use crate::discovery_calls::Call;
 use crate::http::HttpError;
+use grebecleat_discovery::calls::Call;
 use grebecleat_wire::pb;
 use serde::Deserialize;
 use std::collections::HashMap;
@@ -91,7 +91,7 @@
         return None;
     }
     let number = numbers.len() as u32;
-    tracing::debug!(number, name, "list of nodes: new name");
+    tracing::debug!(number, name, "endpoint list name numbered");
     numbers.insert(name.to_string(), number);
     Some(number)
 }
--- a/crates/platform/src/run/connection.rs
+++ b/crates/platform/src/run/connection.rs
@@ -4,7 +4,6 @@
 //! connection.
 
 use super::reader::ReadGate;
-use crate::discovery_calls::DiscoveryCalls;
 use bytes::Bytes;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input};
@@ -100,24 +99,7 @@
 pub(super) enum Role {
     Client(ClientState),
     Node(NodeExchange),
-    Discovery(DiscoveryConnection),
-}
-
-/// A connection to discovery.
-pub(super) struct DiscoveryConnection {
-    pub(super) calls: DiscoveryCalls,
-    /// Where it leads.
-    pub(super) address: SocketAddr,
-}
-
-/// The revision of the endpoint list that this host has, of which it missed nothing.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct KnownRevision {
-    pub(super) revision: u64,
-    /// Where the discovery is that counts it; another may count in another way.
-    pub(super) discovery: SocketAddr,
-    /// When it was told; None: before the start.
-    pub(super) told_at: Option<Duration>,
+    Discovery,
 }
 
 /// One open connection.
@@ -141,7 +123,7 @@
         match self {
             Role::Client(_) => "client",
             Role::Node(_) => "node",
-            Role::Discovery(_) => "discovery",
+            Role::Discovery => "discovery",
         }
     }
 }
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -19,7 +19,7 @@
 
 use super::client_ids::ClientIds;
 use super::connection::{
-    ClientState, CloseReason, Connection, DialTarget, KnownRevision, PendingDial, QueuedDial, Role,
+    ClientState, CloseReason, Connection, DialTarget, PendingDial, QueuedDial, Role,
 };
 use super::listener::{ClientSlots, LAST_DIALED_CONN};
 use super::log_limiter::LogLimiter;
@@ -27,15 +27,15 @@
 use crate::clients::RequestParser;
 use crate::config::{Config, DISCOVERY_TERM};
 use crate::discovery::EndpointNames;
-use crate::discovery_calls::CALL_TIMEOUT;
 use crate::statistics::StatisticsReporter;
+use grebecleat_discovery::calls::CALL_TIMEOUT;
+use grebecleat_discovery::long_polling::{Event as PollingEvent, LongPolling, PollConn};
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Counters, Input, Output, RequestRouter};
 use grebecleat_scheduler::api::PeerId;
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::net::SocketAddr;
 use std::os::fd::RawFd;
 use std::path::PathBuf;
 use std::sync::atomic::Ordering;
@@ -76,15 +76,13 @@
     client_ids: ClientIds,
     /// Requests taken since the start; numbers them.
     received: u64,
-    /// Where discovery is.
-    discovery: SocketAddr,
+    /// The calls to discovery.
+    polling: LongPolling,
     slots: Arc<ClientSlots>,
     listener: RawFd,
     /// The listener waits for a slot.
     listener_waits: bool,
     to_owner: Sender<OwnerEvent>,
-    /// None: there is no endpoint list, or part of it could not be read.
-    known_revision: Option<KnownRevision>,
     /// Discovery has answered since the start.
     discovery_answered: bool,
     /// There was an endpoint list from before the start.
@@ -124,12 +122,11 @@
             blocked: BTreeSet::new(),
             client_ids: ClientIds::default(),
             received: 0,
-            discovery: config.discovery,
+            polling: LongPolling::new(config.discovery, config.settings.list.rule.poll_interval),
             slots,
             listener,
             listener_waits: false,
             to_owner,
-            known_revision: None,
             discovery_answered: false,
             has_cached_endpoints: false,
             sweep_at: now,
@@ -239,7 +236,7 @@
         match output {
             Output::Dial { conn, address, .. } => self.dial(conn, address, DialTarget::Node),
             Output::DialDiscovery { conn } => {
-                self.dial(conn, self.discovery, DialTarget::Discovery)
+                self.dial(conn, self.polling.address(), DialTarget::Discovery)
             }
             Output::Log { text } => {
                 if self.may_log() {
@@ -337,6 +334,10 @@
             .saturating_sub(connection.opened_at)
             .as_millis();
         debug!(conn = conn.0, peer, ?reason, open_ms, "connection closed");
+        if matches!(connection.role, Role::Discovery) {
+            let conn = PollConn(conn.0);
+            self.step_polling(PollingEvent::Closed { conn });
+        }
         if let Role::Client(ClientState {
             exchange: Some(exchange),
             ..
@@ -360,7 +361,7 @@
         self.inputs.push(match connection.role {
             Role::Client(_) => Input::ClientGone { conn },
             Role::Node(_) => Input::NodeGone { conn },
-            Role::Discovery(_) => Input::DiscoveryGone { conn },
+            Role::Discovery => Input::DiscoveryGone { conn },
         });
         self.close(conn, reason);
     }
@@ -373,9 +374,9 @@
         match connection.role {
             Role::Client(_) => self.handle_client_bytes(conn, at, bytes),
             Role::Node(_) => self.handle_node_bytes(conn, at, bytes),
-            Role::Discovery(_) => {
+            Role::Discovery => {
                 connection.read_buffer.extend_from_slice(bytes);
-                self.handle_discovery_answer(conn);
+                self.handle_discovery_bytes(conn);
             }
         }
     }
--- a/crates/platform/src/run/owner/dials.rs
+++ b/crates/platform/src/run/owner/dials.rs
@@ -6,6 +6,7 @@
 use super::Owner;
 use crate::run::connection::{DialTarget, NodeExchange, PendingDial, QueuedDial, Role};
 use crate::run::reader::{start_reader, ReadGate};
+use grebecleat_discovery::long_polling::{Event as PollingEvent, PollConn};
 use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::clock;
 use may::net::TcpStream;
@@ -156,7 +157,11 @@
         let gate = ReadGate::new();
         let role = match dial.target {
             DialTarget::Node => Role::Node(NodeExchange::Idle),
-            DialTarget::Discovery => Role::Discovery(self.new_discovery_connection()),
+            DialTarget::Discovery => {
+                let conn = PollConn(conn.0);
+                self.step_polling(PollingEvent::Connected { conn });
+                Role::Discovery
+            }
         };
         let outbox = self.add_connection(conn, role, stream.as_raw_fd(), gate.clone(), now);
         start_reader(stream, conn, gate, self.to_owner.clone());
--- a/crates/platform/src/run/owner/discovery_conn.rs
+++ b/crates/platform/src/run/owner/discovery_conn.rs
@@ -1,103 +1,67 @@
-//! The connection to discovery: calls for the endpoint list, one after the other.
+//! Connections to discovery: carries calls and responses between the sockets and
+//! [`grebecleat_discovery::long_polling`], which decides about them.
 //!
-//! State: the [`crate::discovery_calls`] of the connection, and whether discovery has answered at
-//! all.
+//! State: whether discovery has responded since the start, and whether there was an endpoint list
+//! from before the start.
 
 use super::{frame, unix_ms, Owner};
 use crate::clients::SERVICE;
 use crate::discovery::{self, DiscoveryError, EndpointNames, ReadEndpoints};
-use crate::discovery_calls::{Call, DiscoveryCalls, Event, OutstandingCall};
 use crate::http;
-use crate::run::connection::{CloseReason, DiscoveryConnection, KnownRevision, Role};
-use grebecleat_discovery::poll_deadline::PATIENT_CALL_TIMEOUT;
+use crate::run::connection::{CloseReason, Role};
+use grebecleat_discovery::calls::{Call, OutstandingCall};
+use grebecleat_discovery::long_polling::{
+    Action as PollingAction, Event as PollingEvent, PollConn, Response,
+};
 use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
-use std::fmt;
-use std::net::SocketAddr;
-use std::time::Duration;
 use tracing::{debug, info};
 
-/// The status with which discovery refuses a call that would wait, or has waited, for too long.
+/// The status with which discovery refuses a call that would be queued, or has been queued, for too
+/// long.
 const TOO_MANY_CALLERS: u16 = 503;
 
-/// A watch goes on where its next call comes within this after its last answer: less than the
-/// platform allows, for what is on its way.
-const CONTINUES_WITHIN: Duration = Duration::from_millis(150);
-
-/// A complete answer of discovery.
-struct DiscoveryAnswer {
+/// A complete response of discovery.
+struct DiscoveryResponse {
     endpoints: ReadEndpoints,
     /// Whether another call may follow on the connection.
     keep_alive: bool,
 }
 
-/// What was asked for, and how long ago.
-struct OutstandingCallLog(OutstandingCall);
-
-impl fmt::Display for OutstandingCallLog {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let waited = clock::now().saturating_sub(self.0.begun).as_millis();
-        match self.0.call {
-            Call::Complete => write!(f, "complete for {waited}ms"),
-            Call::Newer { revision, .. } => write!(f, "newer than {revision} for {waited}ms"),
+impl DiscoveryResponse {
+    /// Returns what the calls depend on.
+    fn summary(&self) -> Response {
+        let list = &self.endpoints.list;
+        Response {
+            revision: self.endpoints.revision,
+            is_complete: list.kind() == pb::EndpointUpdateKind::Snapshot,
+            is_well_formed: self.endpoints.malformed == 0,
+            is_empty: list.endpoints.is_empty(),
+            keep_alive: self.keep_alive,
         }
     }
 }
 
-/// What a call has waited at discovery, beyond what it was to wait there for changes.
-fn queueing_time(outstanding: &OutstandingCall, now: Duration) -> Duration {
-    let wait = match outstanding.call {
-        Call::Complete => Duration::ZERO,
-        Call::Newer { wait, .. } => wait,
-    };
-    now.saturating_sub(outstanding.begun).saturating_sub(wait)
-}
-
-/// Whether discovery has nothing new and did not wait for it, as one does that is about to end, or
-/// that knows no watches: called again at once, it would be called without a pause.
-fn is_early(outstanding: &OutstandingCall, answer: &DiscoveryAnswer, now: Duration) -> bool {
-    let Call::Newer { wait, .. } = outstanding.call else {
-        return false;
-    };
-    let has_waited = now >= outstanding.begun + wait / 2;
-    !has_waited && answer.endpoints.list.endpoints.is_empty()
-}
-
-/// None: more must come.
-fn read_answer(
+/// Reads a response; None: more bytes must come.
+fn read_response(
     bytes: &[u8],
     names: &mut EndpointNames,
-) -> Result<Option<DiscoveryAnswer>, DiscoveryError> {
+) -> Result<Option<DiscoveryResponse>, DiscoveryError> {
     let Some((response, used)) = http::response_up_to(bytes, http::MAX_LIST)? else {
         return Ok(None);
     };
     if response.status != 200 {
         return Err(DiscoveryError::Status(response.status));
     }
-    Ok(Some(DiscoveryAnswer {
+    Ok(Some(DiscoveryResponse {
         endpoints: names.read(&response.body, unix_ms())?,
         keep_alive: response.keep_alive && used == bytes.len(),
     }))
 }
 
-/// The revision from which that discovery may go on; None: something in its answer could not be
-/// read, which the next complete list may mend.
-fn complete_revision(
-    read: &ReadEndpoints,
-    discovery: SocketAddr,
-    told_at: Option<Duration>,
-) -> Option<KnownRevision> {
-    let revision = read.revision;
-    (read.malformed == 0).then_some(KnownRevision {
-        revision,
-        discovery,
-        told_at,
-    })
-}
-
 impl Owner {
-    /// The endpoint list as the platform last saw it here. One that cannot be read is ignored.
+    /// Reads the endpoint list as the platform last saw it here. Ignores a list that cannot be read.
     pub(super) fn load_cached_endpoints(&mut self) {
         let Some(cached) = self.config.cached_endpoints.take() else {
             return;
@@ -106,7 +70,10 @@
             Ok(read) => {
                 self.has_cached_endpoints = !read.list.endpoints.is_empty();
                 if self.has_cached_endpoints {
-                    self.known_revision = complete_revision(&read, self.discovery, None);
+                    self.step_polling(PollingEvent::Cached {
+                        revision: read.revision,
+                        is_well_formed: read.malformed == 0,
+                    });
                 }
                 self.inputs.push(Input::CachedEndpoints { list: read.list });
             }
@@ -118,136 +85,132 @@
         }
     }
 
-    /// State of a connection that has just been dialled.
-    pub(super) fn new_discovery_connection(&self) -> DiscoveryConnection {
-        let known = self.known_revision;
-        let known = known.filter(|known| known.discovery == self.discovery);
-        let told_at = known.and_then(|known| known.told_at);
-        let continues = told_at.is_some_and(|at| clock::now() < at + CONTINUES_WITHIN);
-        // The router, which knows how long it may take, ends it sooner.
-        let first_timeout = PATIENT_CALL_TIMEOUT;
-        let known = known.map(|known| known.revision);
-        DiscoveryConnection {
-            calls: DiscoveryCalls::new(first_timeout, known, continues),
-            address: self.discovery,
+    pub(super) fn step_polling(&mut self, event: PollingEvent) {
+        for action in self.polling.step(clock::now(), event) {
+            self.perform_polling(action);
         }
     }
 
-    /// Whether discovery has told changes of an older revision than it had told before: it has lost
-    /// its own, and only a complete list says what has changed since.
-    fn went_back(&self, told: &KnownRevision, endpoints: &ReadEndpoints) -> bool {
-        let before = self.known_revision;
-        let is_complete = endpoints.list.kind() == pb::EndpointUpdateKind::Snapshot;
-        let is_older = before.is_some_and(|before| {
-            before.discovery == told.discovery && told.revision < before.revision
-        });
-        is_older && !is_complete
-    }
-
-    fn discovery_address(&self, conn: ConnId) -> Option<SocketAddr> {
-        match &self.connections.get(&conn)?.role {
-            Role::Discovery(discovery) => Some(discovery.address),
-            _ => None,
+    fn perform_polling(&mut self, action: PollingAction) {
+        match action {
+            PollingAction::Call { conn, call } => self.send_call(ConnId(conn.0), call),
+            PollingAction::ReportOverdue { conn } => {
+                let conn = ConnId(conn.0);
+                self.inputs.push(Input::DiscoveryOverdue { conn });
+            }
+            PollingAction::ReportRefused {
+                conn,
+                waited,
+                up_to_date,
+            } => self.inputs.push(Input::DiscoveryRefused {
+                conn: ConnId(conn.0),
+                waited,
+                up_to_date,
+            }),
+            PollingAction::End { conn } => {
+                let conn = ConnId(conn.0);
+                self.inputs.push(Input::DiscoveryEnded { conn });
+                self.close(conn, CloseReason::AnsweredLast);
+            }
+            PollingAction::Drop { conn } => {
+                self.connection_lost(ConnId(conn.0), CloseReason::AnsweredLast)
+            }
         }
     }
 
-    pub(super) fn handle_discovery_answer(&mut self, conn: ConnId) {
+    fn send_call(&mut self, conn: ConnId, call: Call) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        let Role::Discovery(discovery) = &mut connection.role else {
+        debug!(
+            conn = conn.0,
+            call = call.kind(),
+            known_revision = call.known_revision(),
+            wait_ms = call.wait().as_millis() as u64,
+            "discovery call"
+        );
+        connection
+            .write_buffer
+            .extend_from_slice(&discovery::call(SERVICE, call));
+        self.flush(conn);
+    }
+
+    pub(super) fn handle_discovery_bytes(&mut self, conn: ConnId) {
+        let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
-        let Some(outstanding) = discovery.calls.outstanding() else {
+        if !matches!(connection.role, Role::Discovery) {
+            return;
+        }
+        let Some(outstanding) = self.polling.outstanding(PollConn(conn.0)) else {
             return self.connection_lost(conn, CloseReason::UnexpectedBytes);
         };
         let bytes = connection.read_buffer.len();
-        let answer = match read_answer(&connection.read_buffer, &mut self.endpoint_names) {
+        let response = match read_response(&connection.read_buffer, &mut self.endpoint_names) {
             Ok(None) => return,
-            Ok(Some(answer)) => Ok(answer),
+            Ok(Some(response)) => Ok(response),
             Err(error) => Err(error),
         };
         connection.read_buffer = Vec::new();
-        match answer {
-            Ok(answer) => {
+        match response {
+            Ok(response) => {
+                let elapsed = clock::now().saturating_sub(outstanding.begun);
                 debug!(
                     conn = conn.0,
-                    call = %OutstandingCallLog(outstanding),
+                    call = outstanding.call.kind(),
+                    known_revision = outstanding.call.known_revision(),
+                    elapsed_ms = elapsed.as_millis() as u64,
                     bytes,
-                    revision = answer.endpoints.revision,
-                    entries = answer.endpoints.list.endpoints.len(),
-                    "list of nodes: answer"
+                    revision = response.endpoints.revision,
+                    entries = response.endpoints.list.endpoints.len(),
+                    "discovery response"
                 );
-                self.take_endpoints(conn, outstanding, answer)
-            }
-            Err(error) => {
-                if self.may_log() {
-                    let call = OutstandingCallLog(outstanding);
-                    info!(conn = conn.0, %call, bytes, "list of nodes: {error}");
-                }
-                if matches!(error, DiscoveryError::Status(TOO_MANY_CALLERS)) {
-                    let waited = queueing_time(&outstanding, clock::now());
-                    let up_to_date = outstanding.continues_watch;
-                    self.inputs.push(Input::DiscoveryRefused {
-                        conn,
-                        waited,
-                        up_to_date,
-                    });
-                }
-                self.connection_lost(conn, CloseReason::BadAnswer);
+                self.take_endpoints(conn, response)
             }
+            Err(error) => self.response_unusable(conn, outstanding, bytes, &error),
         }
     }
 
-    fn take_endpoints(
+    fn response_unusable(
         &mut self,
         conn: ConnId,
         outstanding: OutstandingCall,
-        answer: DiscoveryAnswer,
+        bytes: usize,
+        error: &DiscoveryError,
     ) {
-        let early = is_early(&outstanding, &answer, clock::now());
-        let DiscoveryAnswer {
-            endpoints,
-            keep_alive,
-        } = answer;
-        self.discovery_answered = true;
-        if let Some(address) = self.discovery_address(conn) {
-            let told = complete_revision(&endpoints, address, Some(clock::now()));
-            self.known_revision = told.filter(|told| !self.went_back(told, &endpoints));
+        if self.may_log() {
+            let elapsed = clock::now().saturating_sub(outstanding.begun);
+            info!(
+                conn = conn.0,
+                call = outstanding.call.kind(),
+                known_revision = outstanding.call.known_revision(),
+                elapsed_ms = elapsed.as_millis() as u64,
+                bytes,
+                %error,
+                "discovery response unusable"
+            );
         }
+        if matches!(error, DiscoveryError::Status(TOO_MANY_CALLERS)) {
+            let conn = PollConn(conn.0);
+            self.step_polling(PollingEvent::Refused { conn });
+        }
+        self.connection_lost(conn, CloseReason::BadAnswer);
+    }
+
+    fn take_endpoints(&mut self, conn: ConnId, response: DiscoveryResponse) {
+        let summary = response.summary();
+        let endpoints = response.endpoints;
+        self.discovery_answered = true;
         let frames = vec![frame(Body::EndpointUpdate(endpoints.list), clock::now())];
         self.inputs.push(Input::DiscoveryFrames { conn, frames });
         if endpoints.malformed > 0 && self.may_log() {
-            let malformed = endpoints.malformed;
-            info!("list of nodes: {malformed} entries cannot be read");
-        }
-        if keep_alive {
-            let revision = endpoints.revision;
-            self.call_discovery(conn, Event::Answered { revision });
-        } else if early {
-            self.connection_lost(conn, CloseReason::AnsweredLast);
-        } else {
-            self.inputs.push(Input::DiscoveryEnded { conn });
-            self.close(conn, CloseReason::AnsweredLast);
+            let entries = endpoints.malformed;
+            info!(entries, "endpoint list entries unreadable, ignored");
         }
-    }
-
-    pub(super) fn call_discovery(&mut self, conn: ConnId, event: Event) {
-        let Some(connection) = self.connections.get_mut(&conn) else {
-            return;
-        };
-        let Role::Discovery(discovery) = &mut connection.role else {
-            return;
-        };
-        let poll_interval = self.config.settings.list.rule.poll_interval;
-        let calls = &mut discovery.calls;
-        let Some(call) = calls.step(clock::now(), poll_interval, event) else {
-            return;
-        };
-        debug!(conn = conn.0, ?call, "list of nodes: call");
-        connection
-            .write_buffer
-            .extend_from_slice(&discovery::call(SERVICE, call));
-        self.flush(conn);
+        let conn = PollConn(conn.0);
+        self.step_polling(PollingEvent::Answered {
+            conn,
+            response: summary,
+        });
     }
 }
--- a/crates/platform/src/run/owner/reload.rs
+++ b/crates/platform/src/run/owner/reload.rs
@@ -3,6 +3,7 @@
 
 use super::Owner;
 use crate::config::Config;
+use grebecleat_discovery::long_polling::Event as PollingEvent;
 use grebecleat_host::router::Input;
 use tracing::info;
 
@@ -19,8 +20,9 @@
                 }
             }
             Ok(new) => {
-                if new.discovery != self.discovery {
-                    self.discovery = new.discovery;
+                if new.discovery != self.polling.address() {
+                    let address = new.discovery;
+                    self.step_polling(PollingEvent::Moved { address });
                     self.inputs.push(Input::DiscoveryMoved);
                 }
                 if self.may_log() {
--- a/crates/platform/src/run/owner/sweep.rs
+++ b/crates/platform/src/run/owner/sweep.rs
@@ -4,7 +4,8 @@
 use super::{unix_ms, Owner};
 use crate::http::HttpError;
 use crate::run::connection::{ClientState, CloseReason, Connection, Role};
-use grebecleat_host::router::{ConnId, Input};
+use grebecleat_discovery::long_polling::{Event as PollingEvent, LongPolling, PollConn};
+use grebecleat_host::router::ConnId;
 use grebecleat_wire::clock;
 use std::time::Duration;
 
@@ -58,13 +59,13 @@
     incomplete: Vec<ConnId>,
 }
 
-fn expiry(connection: &Connection) -> Expiry {
+fn expiry(conn: ConnId, connection: &Connection, polling: &LongPolling) -> Expiry {
     match &connection.role {
         Role::Node(_) if connection.read_buffer.is_empty() => Expiry::Never,
         Role::Node(_) => Expiry::Malformed(connection.last_read_at + ANSWER_REST_TIMEOUT),
         Role::Client(client) => client_expiry(connection, client),
-        Role::Discovery(discovery) => {
-            let outstanding = discovery.calls.outstanding();
+        Role::Discovery => {
+            let outstanding = polling.outstanding(PollConn(conn.0));
             outstanding.map_or(Expiry::Never, |call| Expiry::Close(call.give_up_at()))
         }
     }
@@ -99,7 +100,7 @@
         self.sweep_at = now + SWEEP_INTERVAL;
         let closes_after_answer = self.closes_after_answer();
         let expired = self.expired(now, closes_after_answer);
-        self.report_overdue_calls(now);
+        self.step_polling(PollingEvent::CheckTimeouts);
         for conn in expired.close {
             self.connection_lost(conn, CloseReason::TimedOut);
         }
@@ -128,21 +129,10 @@
         }
     }
 
-    fn report_overdue_calls(&mut self, now: Duration) {
-        for (conn, connection) in &mut self.connections {
-            let Role::Discovery(discovery) = &mut connection.role else {
-                continue;
-            };
-            if discovery.calls.report_overdue(now) {
-                self.inputs.push(Input::DiscoveryOverdue { conn: *conn });
-            }
-        }
-    }
-
     fn expired(&self, now: Duration, closes_after_answer: bool) -> Expired {
         let mut expired = Expired::default();
         for (conn, connection) in &self.connections {
-            match expiry(connection) {
+            match expiry(*conn, connection, &self.polling) {
                 Expiry::Close(at) if now >= at => expired.close.push(*conn),
                 Expiry::Silent(at) => {
                     let was_given_time = now >= connection.opened_at + NEW_CLIENT_GRACE;
--- a/crates/platform/src/run/owner/tests.rs
+++ b/crates/platform/src/run/owner/tests.rs
@@ -4,6 +4,7 @@
 use grebecleat_host::outbox::AttemptId;
 use grebecleat_scheduler::api::NodeId;
 use std::io::{Read, Write};
+use std::net::SocketAddr;
 use std::os::fd::AsRawFd;
 use std::os::unix::net::UnixStream;
 use std::sync::mpsc;
@@ -97,7 +98,7 @@
     let more = 4;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    owner.discovery = address;
+    owner.step_polling(PollingEvent::Moved { address });
     for number in 0..(most + more) as u64 {
         owner.perform(Output::Dial {
             conn: ConnId(number),
--- a/crates/platform/src/run/owner/writer.rs
+++ b/crates/platform/src/run/owner/writer.rs
@@ -8,10 +8,10 @@
 use super::node_conn::health_check_result;
 use super::{frame, Owner};
 use crate::clients::put_final;
-use crate::discovery_calls::Event;
 use crate::nodes;
 use crate::run::connection::{consume, ClientState, CloseReason, Discard, NodeExchange, Role};
 use crate::run::socket::peer_has_closed;
+use grebecleat_discovery::long_polling::{Event as PollingEvent, PollConn};
 use grebecleat_host::router::{request_label, ConnId, Input};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -183,11 +183,13 @@
                 let frames = vec![frame(health_check_result(check.probe, NO_STATUS), at)];
                 self.inputs.push(Input::NodeFrames { conn, at, frames });
             }
-            (Role::Discovery(_), Body::Watch(watch)) => {
-                self.call_discovery(conn, Event::Watch { on: watch.on })
+            (Role::Discovery, Body::Watch(watch)) => {
+                let conn = PollConn(conn.0);
+                self.step_polling(PollingEvent::Watch { conn, on: watch.on });
             }
-            (Role::Discovery(_), Body::FetchEndpoints(_)) => {
-                self.call_discovery(conn, Event::Fetch)
+            (Role::Discovery, Body::FetchEndpoints(_)) => {
+                let conn = PollConn(conn.0);
+                self.step_polling(PollingEvent::Fetch { conn });
             }
             _ => {}
         }
--- a/crates/platform/tests/poll_deadline/discovery.rs
+++ b/crates/platform/tests/poll_deadline/discovery.rs
@@ -3,7 +3,7 @@
 use super::fleet::{Fleet, Incident, BEGIN, LATENCY};
 use super::ms;
 use super::scenarios::OutageKind;
-use grebecleat_platform::discovery_calls::{Call, CALL_TIMEOUT};
+use grebecleat_discovery::calls::{Call, CALL_TIMEOUT};
 use rand::Rng;
 use std::time::Duration;
 
--- a/crates/platform/tests/poll_deadline/fleet.rs
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -3,10 +3,10 @@
 use super::discovery::Watch;
 use super::ms;
 use super::scenarios::{OutageKind, Scenario};
+use grebecleat_discovery::calls::{CallSequence, Event, CALL_TIMEOUT};
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
 use grebecleat_platform::config::{Config, DISCOVERY_TERM};
-use grebecleat_platform::discovery_calls::{DiscoveryCalls, Event, CALL_TIMEOUT};
 use grebecleat_scheduler::api::PeerId;
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -79,7 +79,7 @@
 pub struct Link {
     pub conn: u64,
     pub outbox: Arc<Outbox>,
-    pub calls: DiscoveryCalls,
+    pub calls: CallSequence,
 }
 
 pub struct Host {
@@ -272,7 +272,7 @@
         self.hosts[host].link = Some(Link {
             conn,
             outbox: outbox.clone(),
-            calls: DiscoveryCalls::new(first_timeout, None, false),
+            calls: CallSequence::new(first_timeout, None, false),
         });
         let up = Input::DiscoveryUp {
             conn: ConnId(conn),
--- a/crates/platform/tests/poll_deadline/main.rs
+++ b/crates/platform/tests/poll_deadline/main.rs
@@ -1,5 +1,5 @@
 //! How soon a change of the endpoint list is known to every host, and how many calls that takes:
-//! fleets of the real `RequestRouter`, decisions and `DiscoveryCalls`, on a clock of the test's,
+//! fleets of the real `RequestRouter`, decisions and `CallSequence`s, on a clock of the test's,
 //! against a discovery that goes down, falls silent, loses answers, and refuses whatever it cannot
 //! serve in time. Each run is of one seed, and is made without the router's poll deadline
 //! (`before`) and with it (`after`).
