--- a/crates/platform/tests/poll_deadline/fleet.rs
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -3,10 +3,10 @@
 use super::discovery::Watch;
 use super::ms;
 use super::scenarios::{OutageKind, Scenario};
+use grebecleat_discovery::calls::{CallSequence, Event, CALL_TIMEOUT};
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
 use grebecleat_platform::config::{Config, DISCOVERY_TERM};
-use grebecleat_platform::discovery_calls::{DiscoveryCalls, Event, CALL_TIMEOUT};
 use grebecleat_scheduler::api::PeerId;
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -79,7 +79,7 @@
 pub struct Link {
     pub conn: u64,
     pub outbox: Arc<Outbox>,
-    pub calls: DiscoveryCalls,
+    pub calls: CallSequence,
 }
 
 pub struct Host {
@@ -272,7 +272,7 @@
         self.hosts[host].link = Some(Link {
             conn,
             outbox: outbox.clone(),
-            calls: DiscoveryCalls::new(first_timeout, None, false),
+            calls: CallSequence::new(first_timeout, None, false),
         });
         let up = Input::DiscoveryUp {
             conn: ConnId(conn),
@@ -328,17 +328,20 @@
 
     fn perform(&mut self, host: usize, output: Output) {
         match output {
-            Output::Log { text } if text.starts_with("list of nodes: ") => {
-                let change_at = BEGIN + self.scenario.change_at;
-                let state = &mut self.hosts[host];
-                let counts = state.call_begun_at >= change_at && state.informed_at.is_none();
-                state.failed += u32::from(counts);
-            }
+            Output::LogDiscovery(_) => self.count_failure(host),
+            Output::Log { text } if text.starts_with("list of nodes: ") => self.count_failure(host),
             Output::DialDiscovery { conn } => self.dial(host, conn),
             _ => {}
         }
     }
 
+    fn count_failure(&mut self, host: usize) {
+        let change_at = BEGIN + self.scenario.change_at;
+        let state = &mut self.hosts[host];
+        let counts = state.call_begun_at >= change_at && state.informed_at.is_none();
+        state.failed += u32::from(counts);
+    }
+
     fn dial(&mut self, host: usize, conn: ConnId) {
         self.hosts[host].dialled = conn.0;
         self.hosts[host].call_begun_at = self.now;
