--- a/crates/bench/src/planner.rs
+++ b/crates/bench/src/planner.rs
@@ -27,14 +27,14 @@
             rng.random_range(0..nodes),
             rng.random_range(1..=6.min(nodes)),
         );
-        let homes = (0..n)
+        let placement = (0..n)
             .map(|i| ((first + i) % nodes, 1.0 / f64::from(n)))
             .collect();
         Volume {
             id,
-            reserve: each * rng.random_range(0.5..1.5),
+            reservation: each * rng.random_range(0.5..1.5),
             weight: f64::from(rng.random_range(1..4)),
-            homes,
+            placement,
         }
     };
     let volumes = (0..volumes).map(volume).collect();
@@ -48,7 +48,7 @@
 /// The same site as a catalog.
 fn catalog(s: &Site) -> Catalog {
     let plan = |v: &Volume| records::Plan {
-        reservation: v.reserve,
+        reservation: v.reservation,
         weight: v.weight,
         ..Default::default()
     };
@@ -61,7 +61,7 @@
     let volume = |v: &Volume| records::Volume {
         plan: v.id.to_string().into(),
         hosts: ["h".into()].into(),
-        shards: v.homes.iter().map(|h| h.0).collect(),
+        shards: v.placement.iter().map(|h| h.0).collect(),
         blocks: 8,
     };
     let nodes = s.nodes.iter().map(|n| Change::Node {
@@ -104,9 +104,9 @@
                 .enumerate()
             {
                 let id = i as u64 * 7;
-                let reserve = s.volumes[id as usize].reserve * 1.2;
+                let reservation = s.volumes[id as usize].reservation * 1.2;
                 let plan = records::Plan {
-                    reservation: reserve,
+                    reservation,
                     weight: 1.0,
                     ..Default::default()
                 };
@@ -121,7 +121,7 @@
                 l.apply(entry).expect("the next");
                 let o = a.land(&l, &change, steps);
                 took[usize::from(steps > 0)].push(begun.elapsed().as_secs_f64() * 1e3);
-                losses = losses.max(o.unseen);
+                losses = losses.max(o.unexamined_losses);
             }
             let median = |of: &mut Vec<f64>| {
                 of.sort_by(f64::total_cmp);
@@ -149,7 +149,7 @@
             println!(
                 "| {volumes} | {nodes} | {filled} | {} | {:.2}% | {} | {took:.1} |",
                 if v.holds() { "yes" } else { "no" },
-                100.0 * v.carried / v.asked,
+                100.0 * v.carried / v.reachable,
                 v.short.len()
             );
         }
--- a/crates/catalog-service/src/change_syntax/format.rs
+++ b/crates/catalog-service/src/change_syntax/format.rs
@@ -67,8 +67,8 @@
         line.push(' ');
         line.push_str(drain.stage.name());
     }
-    if !drain.within.is_zero() {
-        let within = humantime::format_duration(drain.within).to_string();
+    if !drain.timeout.is_zero() {
+        let within = humantime::format_duration(drain.timeout).to_string();
         line.push_str(" within=");
         line.push_str(&within.replace(' ', ""));
     }
--- a/crates/catalog-service/src/change_syntax/parse.rs
+++ b/crates/catalog-service/src/change_syntax/parse.rs
@@ -161,7 +161,7 @@
     };
     let mut fields = Fields::parse(tokens)?;
     if let Some(text) = fields.take("within") {
-        drain.within = humantime::parse_duration(text).map_err(|_| SyntaxFault::BadDuration {
+        drain.timeout = humantime::parse_duration(text).map_err(|_| SyntaxFault::BadDuration {
             text: text.to_string(),
         })?;
     }
--- a/crates/catalog-service/src/codec/decode.rs
+++ b/crates/catalog-service/src/codec/decode.rs
@@ -136,9 +136,9 @@
     };
     Some(Drain {
         stage: stage_from_proto(drain.stage()),
-        within: Duration::from_micros(drain.within_us),
+        timeout: Duration::from_micros(drain.within_us),
         author: drain.author.as_str().into(),
-        asked: Duration::from_micros(drain.asked_us),
+        requested_at: Duration::from_micros(drain.asked_us),
         since: Duration::from_micros(drain.since_us),
     })
 }
--- a/crates/catalog-service/src/codec/encode.rs
+++ b/crates/catalog-service/src/codec/encode.rs
@@ -64,10 +64,10 @@
 
 fn drain_to_proto(drain: &Drain) -> To {
     To::DrainTo(pb::DrainRecord {
-        within_us: micros(drain.within),
+        within_us: micros(drain.timeout),
         stage: stage_to_proto(drain.stage).into(),
         author: drain.author.to_string(),
-        asked_us: micros(drain.asked),
+        asked_us: micros(drain.requested_at),
         since_us: micros(drain.since),
     })
 }
--- a/crates/catalog-service/src/service/actions.rs
+++ b/crates/catalog-service/src/service/actions.rs
@@ -116,8 +116,8 @@
                 call,
                 version: version.0,
                 warnings: reason_texts(&verdict.warnings),
-                unseen: verdict.unseen as u32,
-                blind: verdict.blind,
+                unseen: verdict.unexamined_losses as u32,
+                blind: verdict.capacity_unknown,
                 waits_for,
             })
         });
@@ -131,8 +131,8 @@
                 version,
                 objections: reason_texts(&verdict.objections),
                 warnings: reason_texts(&verdict.warnings),
-                unseen: verdict.unseen as u32,
-                blind: verdict.blind,
+                unseen: verdict.unexamined_losses as u32,
+                blind: verdict.capacity_unknown,
             })
         });
     }
--- a/crates/catalog-service/tests/snapshots.rs
+++ b/crates/catalog-service/tests/snapshots.rs
@@ -57,9 +57,9 @@
 fn drain(stage: Stage) -> Change {
     let to = Drain {
         stage,
-        within: Duration::from_secs(9),
+        timeout: Duration::from_secs(9),
         author: "ann".into(),
-        asked: Duration::from_secs(5),
+        requested_at: Duration::from_secs(5),
         since: Duration::from_secs(7),
     };
     Change::Drain {
--- a/crates/catalog/src/admission.rs
+++ b/crates/catalog/src/admission.rs
@@ -118,7 +118,7 @@
             objections.push(Reason::NotEmpty { node });
         }
         if !self.capacity_known {
-            verdict.blind = true;
+            verdict.capacity_unknown = true;
             return verdict;
         }
         self.check_reservations(after, &queued, &before, objections);
@@ -188,7 +188,7 @@
         let draining = self
             .draining
             .iter()
-            .map(|other| (*other, ExclusionReason::Drains));
+            .map(|other| (*other, ExclusionReason::Draining));
         let unavailable = self
             .unavailable
             .iter()
@@ -251,7 +251,7 @@
     ) {
         let slack = self.flow.slack();
         let order = self.losses_by_relevance(changed_nodes);
-        verdict.unseen = order.len().saturating_sub(steps);
+        verdict.unexamined_losses = order.len().saturating_sub(steps);
         for out in order.into_iter().take(steps) {
             let before = self.losses_before.get(&out);
             let before = before.map_or(Shortfall::default(), |loss| loss.shortfall);
--- a/crates/catalog/src/admission/reasons.rs
+++ b/crates/catalog/src/admission/reasons.rs
@@ -61,9 +61,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ExclusionReason {
     /// It is being drained.
-    Drains,
+    Draining,
     /// It has just started and its cache is empty.
-    Cold,
+    Warming,
     /// It does not answer as it should.
     Suspect,
     /// It is gone.
@@ -73,8 +73,8 @@
 impl fmt::Display for ExclusionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            ExclusionReason::Drains => "drains",
-            ExclusionReason::Cold => "has just started and is cold",
+            ExclusionReason::Draining => "drains",
+            ExclusionReason::Warming => "has just started and is cold",
             ExclusionReason::Suspect => "does not answer as it should",
             ExclusionReason::Removed => "is gone",
         })
@@ -86,8 +86,8 @@
 /// ```
 /// use grebecleat_catalog::admission::{excluded_in_zone, ExclusionReason::*};
 /// let zone = |n: u32| if n < 10 { 'a' } else { 'b' };
-/// let others = [(1, Drains), (2, Cold), (11, Removed), (3, Drains)];
-/// assert_eq!(excluded_in_zone(3, zone, others), [(1, Drains), (2, Cold)]);
+/// let others = [(1, Draining), (2, Warming), (11, Removed), (3, Draining)];
+/// assert_eq!(excluded_in_zone(3, zone, others), [(1, Draining), (2, Warming)]);
 /// ```
 pub fn excluded_in_zone<Z: PartialEq>(
     node: u32,
@@ -173,9 +173,9 @@
     /// The change lands; the author reads these.
     pub warnings: Vec<Reason>,
     /// Number of losses that were not examined, since it would have taken too long.
-    pub unseen: usize,
+    pub unexamined_losses: usize,
     /// No node's capacity is configured, so nothing could be judged.
-    pub blind: bool,
+    pub capacity_unknown: bool,
 }
 
 /// Reasons as one line for operators.
--- a/crates/catalog/src/admission/site.rs
+++ b/crates/catalog/src/admission/site.rs
@@ -143,18 +143,18 @@
         let plan = catalog.plan(&volume.plan);
         let part = 1.0 / volume.shards.len().max(1) as f64;
         let node_of = |shard: &u32| self.nodes_of_shard.get(shard)?.first().copied();
-        let mut homes: Vec<(u32, f64)> = volume
+        let mut placement: Vec<(u32, f64)> = volume
             .shards
             .iter()
             .filter_map(|shard| Some((node_of(shard)?, part)))
             .collect();
-        homes.sort_unstable_by_key(|(node, _)| *node);
-        homes.dedup_by_key(|(node, _)| *node);
+        placement.sort_unstable_by_key(|(node, _)| *node);
+        placement.dedup_by_key(|(node, _)| *node);
         Volume {
             id,
-            reserve: plan.map_or(0.0, |plan| plan.reservation),
+            reservation: plan.map_or(0.0, |plan| plan.reservation),
             weight: plan.map_or(0.0, |plan| plan.weight),
-            homes,
+            placement,
         }
     }
 
@@ -163,10 +163,10 @@
         let mut nodes = BTreeSet::new();
         for change in changes {
             match change {
-                Change::Volume { id, .. } => nodes.extend(self.flow.homes_of(*id)),
+                Change::Volume { id, .. } => nodes.extend(self.flow.nodes_of_volume(*id)),
                 Change::Plan { name, .. } => {
                     for id in catalog.volumes_of_plan(name) {
-                        nodes.extend(self.flow.homes_of(id));
+                        nodes.extend(self.flow.nodes_of_volume(id));
                     }
                 }
                 Change::Node { id, .. } | Change::Drain { node: id, .. } => _ = nodes.insert(*id),
--- a/crates/catalog/src/flow.rs
+++ b/crates/catalog/src/flow.rs
@@ -17,7 +17,7 @@
 #[derive(Debug, Clone)]
 pub struct Group {
     /// Nodes, by their places.
-    pub homes: Vec<usize>,
+    pub nodes: Vec<usize>,
     /// What each home carries.
     pub loads: Vec<u64>,
     /// The most that each home may carry.
@@ -26,17 +26,17 @@
 
 /// A home of a group.
 #[derive(Debug, Clone, Copy)]
-struct Home {
+struct Edge {
     group: usize,
     /// Place among the group's homes.
-    place: usize,
+    index: usize,
 }
 
 /// A former value, recorded during a trial.
 #[derive(Debug, Clone, Copy)]
 enum Former {
-    Load { home: Home, value: u64 },
-    MaxLoad { home: Home, value: u64 },
+    Load { edge: Edge, value: u64 },
+    MaxLoad { edge: Edge, value: u64 },
     Spare { node: usize, value: u64 },
 }
 
@@ -74,9 +74,9 @@
     /// By node: capacity that nothing uses.
     spare: Vec<u64>,
     groups: Vec<Group>,
-    group_by_homes: HashMap<Vec<usize>, usize>,
+    group_by_nodes: HashMap<Vec<usize>, usize>,
     /// By node: the homes that groups have there.
-    homes_at: Vec<Vec<Home>>,
+    edges_at: Vec<Vec<Edge>>,
     /// Nodes from which no path leads to spare capacity. True until capacity is freed or a group
     /// may put more somewhere, so that searches do not go through full nodes again and again.
     saturated: Vec<bool>,
@@ -92,7 +92,7 @@
         let nodes = capacity.len();
         Flow {
             spare: capacity.to_vec(),
-            homes_at: vec![Vec::new(); nodes],
+            edges_at: vec![Vec::new(); nodes],
             saturated: vec![false; nodes],
             visits: vec![Visit::default(); nodes],
             ..Flow::default()
@@ -110,26 +110,26 @@
     }
 
     /// Number of the group of volumes with those homes, which is added if it is new.
-    pub fn group_of(&mut self, homes: &[usize]) -> usize {
-        if let Some(group) = self.group_by_homes.get(homes) {
+    pub fn group_of(&mut self, nodes: &[usize]) -> usize {
+        if let Some(group) = self.group_by_nodes.get(nodes) {
             return *group;
         }
         let group = self.groups.len();
-        self.group_by_homes.insert(homes.to_vec(), group);
-        for (place, node) in homes.iter().enumerate() {
-            self.homes_at[*node].push(Home { group, place });
+        self.group_by_nodes.insert(nodes.to_vec(), group);
+        for (index, node) in nodes.iter().enumerate() {
+            self.edges_at[*node].push(Edge { group, index });
         }
         self.groups.push(Group {
-            homes: homes.to_vec(),
-            loads: vec![0; homes.len()],
-            max_loads: vec![0; homes.len()],
+            nodes: nodes.to_vec(),
+            loads: vec![0; nodes.len()],
+            max_loads: vec![0; nodes.len()],
         });
         group
     }
 
     /// Groups with a home on a node.
     pub fn groups_at(&self, node: usize) -> impl Iterator<Item = usize> + '_ {
-        self.homes_at[node].iter().map(|home| home.group)
+        self.edges_at[node].iter().map(|edge| edge.group)
     }
 
     /// Whether no path leads from a node to spare capacity, as far as was searched.
@@ -141,22 +141,22 @@
     /// dropped. Returns how much.
     pub fn set_max_loads(&mut self, group: usize, max_loads: &[u64]) -> u64 {
         let mut dropped = 0;
-        for (place, max_load) in max_loads.iter().enumerate() {
-            let home = Home { group, place };
-            let former = self.groups[group].max_loads[place];
+        for (index, max_load) in max_loads.iter().enumerate() {
+            let edge = Edge { group, index };
+            let former = self.groups[group].max_loads[index];
             if *max_load == former {
                 continue;
             }
             self.record(Former::MaxLoad {
-                home,
+                edge,
                 value: former,
             });
-            self.groups[group].max_loads[place] = *max_load;
-            let excess = self.groups[group].loads[place].saturating_sub(*max_load);
+            self.groups[group].max_loads[index] = *max_load;
+            let excess = self.groups[group].loads[index].saturating_sub(*max_load);
             dropped += excess;
-            self.drop_load(home, excess);
+            self.drop_load(edge, excess);
             if *max_load > former {
-                self.reopen_behind(home);
+                self.reopen_behind(edge);
             }
         }
         dropped
@@ -164,12 +164,12 @@
 
     /// A home may carry more of its group. Saturated nodes whose load of this group can now move
     /// there are not saturated any more.
-    fn reopen_behind(&mut self, home: Home) {
-        let group = &self.groups[home.group];
-        if self.saturated[group.homes[home.place]] {
+    fn reopen_behind(&mut self, edge: Edge) {
+        let group = &self.groups[edge.group];
+        if self.saturated[group.nodes[edge.index]] {
             return;
         }
-        let mut loads = group.homes.iter().zip(&group.loads);
+        let mut loads = group.nodes.iter().zip(&group.loads);
         if loads.any(|(node, load)| *load > 0 && self.saturated[*node]) {
             self.saturated.fill(false);
         }
@@ -188,9 +188,9 @@
 
     /// Carries that much less of a group, wherever it lies.
     pub fn drop_some(&mut self, group: usize, mut amount: u64) {
-        for place in 0..self.groups[group].loads.len() {
-            let here = amount.min(self.groups[group].loads[place]);
-            self.drop_load(Home { group, place }, here);
+        for index in 0..self.groups[group].loads.len() {
+            let here = amount.min(self.groups[group].loads[index]);
+            self.drop_load(Edge { group, index }, here);
             amount -= here;
         }
     }
@@ -205,12 +205,12 @@
         }
         let mut excess = used - capacity;
         let mut dropped = Vec::new();
-        for home in self.homes_at[node].clone() {
-            let load = self.groups[home.group].loads[home.place];
+        for edge in self.edges_at[node].clone() {
+            let load = self.groups[edge.group].loads[edge.index];
             let here = excess.min(load);
             if here > 0 {
-                self.set_load(home, load - here);
-                dropped.push((home.group, here));
+                self.set_load(edge, load - here);
+                dropped.push((edge.group, here));
                 excess -= here;
             }
         }
@@ -236,12 +236,12 @@
         let search = self.searches;
         let mut reached: Vec<usize> = Vec::new();
         let Group {
-            homes,
+            nodes,
             loads,
             max_loads,
         } = &self.groups[group];
-        for (place, node) in homes.iter().enumerate() {
-            if loads[place] < max_loads[place] && !self.saturated[*node] {
+        for (index, node) in nodes.iter().enumerate() {
+            if loads[index] < max_loads[index] && !self.saturated[*node] {
                 self.visits[*node] = Visit { search, step: None };
                 reached.push(*node);
             }
@@ -262,19 +262,19 @@
 
     /// Reaches the nodes to which load of this one can move.
     fn visit_neighbours(&mut self, node: usize, search: u64, reached: &mut Vec<usize>) {
-        for home in &self.homes_at[node] {
-            let group = &self.groups[home.group];
-            if group.loads[home.place] == 0 {
+        for edge in &self.edges_at[node] {
+            let group = &self.groups[edge.group];
+            if group.loads[edge.index] == 0 {
                 continue;
             }
-            for (to, other) in group.homes.iter().enumerate() {
+            for (to, other) in group.nodes.iter().enumerate() {
                 let is_new = self.visits[*other].search != search;
                 let is_open = group.loads[to] < group.max_loads[to] && !self.saturated[*other];
                 if is_new && is_open {
                     let step = Step {
                         node,
-                        group: home.group,
-                        from: home.place,
+                        group: edge.group,
+                        from: edge.index,
                         to,
                     };
                     self.visits[*other] = Visit {
@@ -300,34 +300,34 @@
     /// Carries along a path what its narrowest step lets through; returns how much.
     fn augment(&mut self, group: usize, path: &Path, wanted: u64) -> u64 {
         let own = &self.groups[group];
-        let place = own
-            .homes
+        let index = own
+            .nodes
             .iter()
             .position(|node| *node == path.first)
             .expect("a path begins on a home of its group");
         let end = path
             .steps
             .first()
-            .map_or(path.first, |step| self.groups[step.group].homes[step.to]);
+            .map_or(path.first, |step| self.groups[step.group].nodes[step.to]);
         let mut amount = wanted
             .min(self.spare[end])
-            .min(own.max_loads[place] - own.loads[place]);
+            .min(own.max_loads[index] - own.loads[index]);
         for step in &path.steps {
             let moved = &self.groups[step.group];
             amount = amount
                 .min(moved.loads[step.from])
                 .min(moved.max_loads[step.to] - moved.loads[step.to]);
         }
-        let own_home = Home { group, place };
+        let own_home = Edge { group, index };
         self.set_load(own_home, self.load(own_home) + amount);
         for step in &path.steps {
-            let from = Home {
+            let from = Edge {
                 group: step.group,
-                place: step.from,
+                index: step.from,
             };
-            let to = Home {
+            let to = Edge {
                 group: step.group,
-                place: step.to,
+                index: step.to,
             };
             self.set_load(from, self.load(from) - amount);
             self.set_load(to, self.load(to) + amount);
@@ -345,9 +345,9 @@
     pub fn undo_trial(&mut self) {
         for former in self.trial.take().unwrap_or_default().into_iter().rev() {
             match former {
-                Former::Load { home, value } => self.groups[home.group].loads[home.place] = value,
-                Former::MaxLoad { home, value } => {
-                    self.groups[home.group].max_loads[home.place] = value
+                Former::Load { edge, value } => self.groups[edge.group].loads[edge.index] = value,
+                Former::MaxLoad { edge, value } => {
+                    self.groups[edge.group].max_loads[edge.index] = value
                 }
                 Former::Spare { node, value } => self.spare[node] = value,
             }
@@ -361,14 +361,14 @@
         }
     }
 
-    fn load(&self, home: Home) -> u64 {
-        self.groups[home.group].loads[home.place]
+    fn load(&self, edge: Edge) -> u64 {
+        self.groups[edge.group].loads[edge.index]
     }
 
-    fn set_load(&mut self, home: Home, load: u64) {
-        let value = self.load(home);
-        self.record(Former::Load { home, value });
-        self.groups[home.group].loads[home.place] = load;
+    fn set_load(&mut self, edge: Edge, load: u64) {
+        let value = self.load(edge);
+        self.record(Former::Load { edge, value });
+        self.groups[edge.group].loads[edge.index] = load;
     }
 
     fn set_spare(&mut self, node: usize, spare: u64) {
@@ -380,12 +380,12 @@
         self.spare[node] = spare;
     }
 
-    fn drop_load(&mut self, home: Home, amount: u64) {
+    fn drop_load(&mut self, edge: Edge, amount: u64) {
         if amount == 0 {
             return;
         }
-        let node = self.groups[home.group].homes[home.place];
-        self.set_load(home, self.load(home) - amount);
+        let node = self.groups[edge.group].nodes[edge.index];
+        self.set_load(edge, self.load(edge) - amount);
         self.set_spare(node, self.spare[node] + amount);
     }
 }
--- a/crates/catalog/src/incremental_flow.rs
+++ b/crates/catalog/src/incremental_flow.rs
@@ -76,8 +76,10 @@
     /// use grebecleat_catalog::planner::{Node, Site, Volume};
     /// use grebecleat_catalog::incremental_flow::IncrementalFlow;
     /// let node = |id| Node { id, zone: 1, capacity: 100.0 };
-    /// let homes = || vec![(1, 0.5), (2, 0.5)];
-    /// let volume = |id, reserve| Volume { id, reserve, weight: 1.0, homes: homes() };
+    /// let placement = || vec![(1, 0.5), (2, 0.5)];
+    /// let volume = |id, reservation| {
+    ///     Volume { id, reservation, weight: 1.0, placement: placement() }
+    /// };
     /// let site = Site {
     ///     nodes: vec![node(1), node(2)],
     ///     volumes: vec![volume(7, 150.0)],
@@ -261,9 +263,9 @@
     }
 
     /// Nodes with data of a volume.
-    pub fn homes_of(&self, id: u64) -> impl Iterator<Item = u32> + '_ {
-        let homes = self.volumes.get(&id).map(|placed| &placed.volume.homes);
-        homes.into_iter().flatten().map(|(node, _)| *node)
+    pub fn nodes_of_volume(&self, id: u64) -> impl Iterator<Item = u32> + '_ {
+        let placement = self.volumes.get(&id).map(|placed| &placed.volume.placement);
+        placement.into_iter().flatten().map(|(node, _)| *node)
     }
 
     /// Units a second that a node could carry in addition.
@@ -293,7 +295,7 @@
                 .sum();
             let part = others as f64 / self.totals[number] as f64;
             let group = self.flow.group(number);
-            for (place, load) in group.homes.iter().zip(&group.loads) {
+            for (place, load) in group.nodes.iter().zip(&group.loads) {
                 let sum = carried.entry(self.nodes[*place].node.id).or_default();
                 *sum += *load as f64 / PARTS * part;
             }
@@ -328,13 +330,13 @@
     fn no_demand(&self, group: usize) -> Demand {
         Demand {
             amount: 0,
-            max_loads: vec![0; self.flow.group(group).homes.len()],
+            max_loads: vec![0; self.flow.group(group).nodes.len()],
         }
     }
 
     fn demand(&self, volume: &Volume) -> Demand {
         let known: Vec<(usize, f64)> = volume
-            .homes
+            .placement
             .iter()
             .filter_map(|(id, part)| Some((self.places.get(id).copied()?, *part)))
             .collect();
@@ -345,23 +347,23 @@
             .collect();
         let load = Load::of(volume, up, self.spread);
         let max_load = |place: usize| {
-            let home = load.homes.iter().find(|home| home.0 == place);
-            home.map_or(0, |(_, max_load)| *max_load)
+            let max_load = load.max_loads.iter().find(|max_load| max_load.0 == place);
+            max_load.map_or(0, |(_, max_load)| *max_load)
         };
         Demand {
-            amount: load.reserve,
+            amount: load.reservation,
             max_loads: known.iter().map(|(place, _)| max_load(*place)).collect(),
         }
     }
 
     /// Adds a volume, with nothing of it carried; returns its group.
     fn place(&mut self, volume: Volume) -> usize {
-        let homes: Vec<usize> = volume
-            .homes
+        let nodes: Vec<usize> = volume
+            .placement
             .iter()
             .filter_map(|(id, _)| self.places.get(id).copied())
             .collect();
-        let group = self.flow.group_of(&homes);
+        let group = self.flow.group_of(&nodes);
         if group == self.members.len() {
             self.members.push(BTreeSet::new());
             self.totals.push(0);
@@ -370,7 +372,7 @@
         self.flow.offer(group, demand.max_loads.iter().copied());
         self.members[group].insert(volume.id);
         self.totals[group] += demand.amount;
-        self.reservations += to_parts(volume.reserve);
+        self.reservations += to_parts(volume.reservation);
         let placed = PlacedVolume {
             group,
             demand,
@@ -384,7 +386,7 @@
     fn remove_demand(&mut self, id: u64, former: &PlacedVolume) {
         let group = former.group;
         self.members[group].remove(&id);
-        self.reservations -= to_parts(former.volume.reserve);
+        self.reservations -= to_parts(former.volume.reservation);
         self.totals[group] -= former.demand.amount;
         let max_loads = &self.flow.group(group).max_loads;
         let lowered: Vec<u64> = max_loads
--- a/crates/catalog/src/leader/proposals.rs
+++ b/crates/catalog/src/leader/proposals.rs
@@ -89,19 +89,19 @@
         };
         let Some(present) = self.catalog.drain(*node) else {
             drain.author = author.into();
-            drain.asked = self.wall;
+            drain.requested_at = self.wall;
             drain.since = self.wall;
             return;
         };
         let Drain {
             stage,
             author,
-            asked,
+            requested_at,
             since,
             ..
         } = present;
         drain.author = author.clone();
-        drain.asked = *asked;
+        drain.requested_at = *requested_at;
         drain.since = if *stage == drain.stage {
             *since
         } else {
@@ -127,7 +127,7 @@
             .admission
             .land(&self.catalog, &revision.changes, self.loss_budget);
         let all_losses = self.admission.losses();
-        let losses_examined = all_losses - verdict.unseen.min(all_losses);
+        let losses_examined = all_losses - verdict.unexamined_losses.min(all_losses);
         self.loss_budget = self.loss_budget.saturating_sub(losses_examined.max(1));
         if let (true, Some(call)) = (mode.dry_run, call) {
             self.catalog.revert_last();
--- a/crates/catalog/src/moves.rs
+++ b/crates/catalog/src/moves.rs
@@ -42,7 +42,7 @@
         flow.set_up(*node, false);
     }
     let is_short = flow.shortfall().short > flow.slack();
-    let must_leave = |volume: &Volume| volume.homes.iter().any(|home| empty.contains(&home.0));
+    let must_leave = |volume: &Volume| volume.placement.iter().any(|home| empty.contains(&home.0));
     if !is_short && !site.volumes.iter().any(must_leave) {
         return None;
     }
@@ -85,7 +85,7 @@
     let variables: usize = scope
         .volumes
         .iter()
-        .map(|volume| volume.homes.len() + scope.targets.len())
+        .map(|volume| volume.placement.len() + scope.targets.len())
         .sum();
     let mut attempts = Vec::new();
     if scope.is_complete && variables <= MAX_INTEGER_VARIABLES {
@@ -116,14 +116,14 @@
 
 /// A volume of so many extents as it lies after the moves.
 fn moved(volume: &Volume, moves: &[Move], extents: u64) -> Volume {
-    let mut homes: BTreeMap<u32, f64> = volume.homes.iter().copied().collect();
+    let mut placement: BTreeMap<u32, f64> = volume.placement.iter().copied().collect();
     for step in moves.iter().filter(|step| step.volume == volume.id) {
         let part = step.extents as f64 / extents.max(1) as f64;
-        *homes.entry(step.from).or_default() -= part;
-        *homes.entry(step.to).or_default() += part;
+        *placement.entry(step.from).or_default() -= part;
+        *placement.entry(step.to).or_default() += part;
     }
     Volume {
-        homes: homes
+        placement: placement
             .into_iter()
             .filter(|(_, part)| *part > EPSILON)
             .collect(),
--- a/crates/catalog/src/moves/program.rs
+++ b/crates/catalog/src/moves/program.rs
@@ -93,7 +93,7 @@
     }
 
     fn add_volume(&mut self, volume: &Volume) {
-        let parts: BTreeMap<u32, f64> = volume.homes.iter().copied().collect();
+        let parts: BTreeMap<u32, f64> = volume.placement.iter().copied().collect();
         let nodes: BTreeSet<u32> = parts.keys().chain(&self.scope.targets).copied().collect();
         let mut sums = VolumeSums {
             balance: LinearExpr::empty(),
@@ -111,7 +111,7 @@
         }
         self.problem
             .add_constraint(sums.balance, ComparisonOp::Eq, 0.0);
-        let reachable = volume.reserve * (1.0 - sums.unreachable).max(0.0);
+        let reachable = volume.reservation * (1.0 - sums.unreachable).max(0.0);
         self.problem
             .add_constraint(sums.carried, ComparisonOp::Ge, reachable);
     }
@@ -144,9 +144,9 @@
         if is_emptied {
             return;
         }
-        let load = self.problem.add_var(0.0, (0.0, volume.reserve));
+        let load = self.problem.add_var(0.0, (0.0, volume.reservation));
         // What all extents together let a node carry.
-        let max_load = volume.reserve * self.scope.spread;
+        let max_load = volume.reservation * self.scope.spread;
         let mut within = LinearExpr::empty();
         within.add(load, 1.0);
         if let Some(leaving) = leaving {
--- a/crates/catalog/src/moves/rounding.rs
+++ b/crates/catalog/src/moves/rounding.rs
@@ -35,7 +35,7 @@
     fn round_volume(&self, volume: &Volume, changes: &ExtentChanges, moves: &mut Vec<Move>) {
         let size = self.size_of(volume);
         let mut arrivals = arrivals(volume, changes);
-        for (from, part) in &volume.homes {
+        for (from, part) in &volume.placement {
             let here = (part * size.extents as f64).round();
             let leaving = if self.empty.contains(from) {
                 here
@@ -73,7 +73,7 @@
         for volume in &self.volumes {
             let size = self.size_of(volume);
             for (from, part) in volume
-                .homes
+                .placement
                 .iter()
                 .filter(|home| self.empty.contains(&home.0))
             {
@@ -84,7 +84,7 @@
                 let Some((to, spare)) = most_spare.filter(|_| extents > 0) else {
                     continue;
                 };
-                *spare -= volume.reserve * part;
+                *spare -= volume.reservation * part;
                 moves.push(Move {
                     volume: volume.id,
                     from: *from,
--- a/crates/catalog/src/moves/scope.rs
+++ b/crates/catalog/src/moves/scope.rs
@@ -87,13 +87,13 @@
     empty: &BTreeSet<u32>,
     size: &dyn Fn(u64) -> Size,
 ) -> Vec<&'a Volume> {
-    let must_leave = |volume: &&Volume| volume.homes.iter().any(|home| empty.contains(&home.0));
-    let is_tight = |volume: &Volume| volume.homes.iter().any(|home| flow.is_tight(home.0));
+    let must_leave = |volume: &&Volume| volume.placement.iter().any(|home| empty.contains(&home.0));
+    let is_tight = |volume: &Volume| volume.placement.iter().any(|home| flow.is_tight(home.0));
     let cost =
-        |volume: &Volume| size(volume.id).total_bytes() / volume.reserve.max(MIN_RESERVATION);
+        |volume: &Volume| size(volume.id).total_bytes() / volume.reservation.max(MIN_RESERVATION);
     let (mut volumes, mut others): (Vec<&Volume>, Vec<&Volume>) =
         site.volumes.iter().partition(must_leave);
-    others.retain(|volume| is_tight(volume) && volume.reserve > 0.0);
+    others.retain(|volume| is_tight(volume) && volume.reservation > 0.0);
     others.sort_by(|left, right| {
         let by_cost = cost(left).total_cmp(&cost(right));
         by_cost.then(left.id.cmp(&right.id))
--- a/crates/catalog/src/planner.rs
+++ b/crates/catalog/src/planner.rs
@@ -40,11 +40,11 @@
     /// Its number.
     pub id: u64,
     /// Its reservation, units a second.
-    pub reserve: f64,
+    pub reservation: f64,
     /// Its priority weight: the lightest give way first.
     pub weight: f64,
     /// Nodes with the part of its extents that lies on each; the parts add up to one.
-    pub homes: Vec<(u32, f64)>,
+    pub placement: Vec<(u32, f64)>,
 }
 
 /// Nodes and volumes, as far as promises depend on them.
@@ -62,7 +62,7 @@
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Feasibility {
     /// Reservations of what can be reached.
-    pub asked: f64,
+    pub reachable: f64,
     /// How much of them can be carried at once.
     pub carried: f64,
     /// Reservations of what lies on nodes that are out.
@@ -92,23 +92,23 @@
 /// A volume's load in parts: its reservation where it can be served, and the most that each home
 /// may carry.
 pub(crate) struct Load {
-    pub reserve: u64,
+    pub reservation: u64,
     /// Places of homes, with the most that each may carry.
-    pub homes: Vec<(usize, u64)>,
+    pub max_loads: Vec<(usize, u64)>,
 }
 
 impl Load {
     /// `up`: the places of a volume's homes that can serve it, with the part that lies on each.
     pub fn of(volume: &Volume, up: Vec<(usize, f64)>, spread: f64) -> Load {
         let part_up: f64 = up.iter().map(|(_, part)| part).sum();
-        let reached = volume.reserve * part_up.min(1.0);
+        let reached = volume.reservation * part_up.min(1.0);
         let max_load = |part: f64| {
-            let gathered = to_parts(volume.reserve * part * spread) + 1;
+            let gathered = to_parts(volume.reservation * part * spread) + 1;
             to_parts(reached).min(gathered)
         };
         Load {
-            reserve: to_parts(reached),
-            homes: up
+            reservation: to_parts(reached),
+            max_loads: up
                 .iter()
                 .map(|(place, part)| (*place, max_load(*part)))
                 .collect(),
@@ -152,7 +152,7 @@
         };
         let load = |volume: &Volume| {
             let up = volume
-                .homes
+                .placement
                 .iter()
                 .filter(|(id, _)| !out.contains(id))
                 .filter_map(|(id, part)| Some((places.get(id).copied()?, *part)))
@@ -175,10 +175,10 @@
         for (node, capacity) in nodes.iter().zip(&self.capacity) {
             graph.add_edge(*node, sink, *capacity);
         }
-        for (homes, alike) in self.alike(amounts) {
+        for (places, alike) in self.alike(amounts) {
             let volume = graph.add_node(());
             graph.add_edge(source, volume, alike.amount);
-            for (place, max_load) in homes.iter().zip(alike.max_loads) {
+            for (place, max_load) in places.iter().zip(alike.max_loads) {
                 graph.add_edge(volume, nodes[*place], max_load);
             }
         }
@@ -189,12 +189,12 @@
     fn alike(&self, amounts: &[(usize, u64)]) -> BTreeMap<Vec<usize>, Alike> {
         let mut by_homes: BTreeMap<Vec<usize>, Alike> = BTreeMap::new();
         for (volume, amount) in amounts {
-            let homes = &self.loads[*volume].homes;
-            let places: Vec<usize> = homes.iter().map(|(place, _)| *place).collect();
+            let max_loads = &self.loads[*volume].max_loads;
+            let places: Vec<usize> = max_loads.iter().map(|(place, _)| *place).collect();
             let alike = by_homes.entry(places).or_default();
             alike.amount += amount;
-            alike.max_loads.resize(homes.len(), 0);
-            for (sum, (_, max_load)) in alike.max_loads.iter_mut().zip(homes) {
+            alike.max_loads.resize(max_loads.len(), 0);
+            for (sum, (_, max_load)) in alike.max_loads.iter_mut().zip(max_loads) {
                 *sum += max_load.min(amount);
             }
         }
@@ -205,23 +205,28 @@
         let amounts: Vec<(usize, u64)> = self
             .loads
             .iter()
-            .map(|load| load.reserve)
+            .map(|load| load.reservation)
             .enumerate()
             .collect();
-        let asked: u64 = amounts.iter().map(|(_, amount)| amount).sum();
+        let reachable: u64 = amounts.iter().map(|(_, amount)| amount).sum();
         let carried = self.carried(&amounts);
-        let reservations: f64 = self.site.volumes.iter().map(|volume| volume.reserve).sum();
+        let reservations: f64 = self
+            .site
+            .volumes
+            .iter()
+            .map(|volume| volume.reservation)
+            .sum();
         // The most of each home is rounded up: one part for each volume is no shortage.
         let slack = self.loads.len() as u64;
-        let short = if carried + slack >= asked {
+        let short = if carried + slack >= reachable {
             Vec::new()
         } else {
             self.volumes_that_give_way(amounts)
         };
-        let out_of_reach = (reservations - to_units(asked)).max(0.0);
+        let out_of_reach = (reservations - to_units(reachable)).max(0.0);
         Feasibility {
-            asked: to_units(asked),
-            carried: to_units(carried.min(asked)),
+            reachable: to_units(reachable),
+            carried: to_units(carried.min(reachable)),
             out_of_reach: if out_of_reach < to_units(slack) {
                 0.0
             } else {
@@ -243,12 +248,12 @@
         let mut flow = Flow::new(&self.capacity);
         let mut short = Vec::new();
         for (volume, amount) in amounts {
-            let homes = &self.loads[volume].homes;
-            let places: Vec<usize> = homes.iter().map(|(place, _)| *place).collect();
+            let max_loads = &self.loads[volume].max_loads;
+            let places: Vec<usize> = max_loads.iter().map(|(place, _)| *place).collect();
             let group = flow.group_of(&places);
             flow.offer(
                 group,
-                homes.iter().map(|(_, max_load)| *max_load.min(&amount)),
+                max_loads.iter().map(|(_, max_load)| *max_load.min(&amount)),
             );
             let left = flow.fill(group, amount);
             if left > 0 {
@@ -264,11 +269,11 @@
 /// ```
 /// use grebecleat_catalog::planner::{check, Node, Site, Volume};
 /// let node = |id| Node { id, zone: 1, capacity: 100.0 };
-/// let volume = |id, reserve, nodes: &[u32]| Volume {
+/// let volume = |id, reservation, nodes: &[u32]| Volume {
 ///     id,
-///     reserve,
+///     reservation,
 ///     weight: 1.0,
-///     homes: nodes.iter().map(|node| (*node, 1.0 / nodes.len() as f64)).collect(),
+///     placement: nodes.iter().map(|node| (*node, 1.0 / nodes.len() as f64)).collect(),
 /// };
 /// // Each could be carried by itself; together the first must leave node 1 to the second.
 /// let mut site = Site {
@@ -277,7 +282,7 @@
 ///     spread: 2.0,
 /// };
 /// assert!(check(&site, &Default::default()).holds());
-/// site.volumes[1].reserve = 110.0;
+/// site.volumes[1].reservation = 110.0;
 /// assert_eq!(check(&site, &Default::default()).short, [(8, 10.0)]);
 /// ```
 pub fn check(site: &Site, out: &BTreeSet<u32>) -> Feasibility {
--- a/crates/catalog/src/records.rs
+++ b/crates/catalog/src/records.rs
@@ -88,11 +88,11 @@
     /// How far it has come.
     pub stage: Stage,
     /// Timeout, counted from the start of draining; zero: none.
-    pub within: Duration,
+    pub timeout: Duration,
     /// Who asked first. The leader fills in this and the next two.
     pub author: Name,
     /// When it was first asked for, since 1970.
-    pub asked: Duration,
+    pub requested_at: Duration,
     /// When the stage last changed, since 1970.
     pub since: Duration,
 }
--- a/crates/catalog/tests/admission.rs
+++ b/crates/catalog/tests/admission.rs
@@ -182,7 +182,7 @@
             .chain(found.warnings.iter().map(|r| format!("warns: {r}")))
             .collect();
         assert_eq!(texts, expected, "{what}");
-        assert!(!found.blind && found.unseen == 0);
+        assert!(!found.capacity_unknown && found.unexamined_losses == 0);
         assert_eq!(admission.shortfall(), before, "{what}: taken back");
     }
 }
@@ -224,11 +224,11 @@
         (
             "beside a cold one",
             free(),
-            &[(2, ExclusionReason::Cold), (3, ExclusionReason::Removed)],
+            &[(2, ExclusionReason::Warming), (3, ExclusionReason::Removed)],
             vec![stage(1, Draining)],
             &["node 1 must not drain while in zone a node 2 has just started and is cold"],
         ),
-        ("cold itself", free(), &[(1, ExclusionReason::Cold)], vec![stage(1, Draining)], &[]),
+        ("cold itself", free(), &[(1, ExclusionReason::Warming)], vec![stage(1, Draining)], &[]),
         (
             "reserved data there, and it would only wait",
             vec![],
@@ -246,7 +246,7 @@
         (
             "out once it is",
             [free(), vec![stage(1, Draining)], vec![stage(1, Drained)]].concat(),
-            &[(2, ExclusionReason::Cold)],
+            &[(2, ExclusionReason::Warming)],
             vec![stage(1, Removed)],
             &[],
         ),
@@ -369,7 +369,7 @@
     let mut catalog = empty_catalog();
     land(&mut catalog, vec![node(1, "a", 0.0), plan("gold", 80.0)]);
     let mut admission = Admission::open(&catalog, 2.0);
-    assert!(verdict(&mut catalog, &mut admission, vec![volume(1, "gold", &[1])]).blind);
+    assert!(verdict(&mut catalog, &mut admission, vec![volume(1, "gold", &[1])]).capacity_unknown);
     let mut catalog = two_zones();
     let mut admission = Admission::open(&catalog, 2.0);
     admission.refresh(ALL);
@@ -392,7 +392,9 @@
     // Node 1 shares nothing with them, and its loss, which would be a warning too, is examined
     // last.
     assert!(
-        found.unseen == 1 && found.warnings.len() == 2 && found.warnings.iter().all(zones),
+        found.unexamined_losses == 1
+            && found.warnings.len() == 2
+            && found.warnings.iter().all(zones),
         "{found:?}"
     );
     assert_eq!((admission.refresh(0), admission.refresh(ALL)), (1, 0));
@@ -450,7 +452,7 @@
             let expected_feasibility = check(&admission.site(&catalog), &out);
             let shortfall = admission.shortfall();
             assert!(
-                (shortfall.short - (expected_feasibility.asked - expected_feasibility.carried))
+                (shortfall.short - (expected_feasibility.reachable - expected_feasibility.carried))
                     .abs()
                     < 0.05,
                 "seed {seed}: {shortfall:?} {expected_feasibility:?}"
--- a/crates/catalog/tests/incremental_flow.rs
+++ b/crates/catalog/tests/incremental_flow.rs
@@ -9,16 +9,16 @@
 use std::collections::BTreeSet;
 
 fn volume(rng: &mut Pcg64Mcg, id: u64, nodes: u32) -> Volume {
-    let homes: BTreeSet<u32> = (0..rng.random_range(1..5))
+    let placement: BTreeSet<u32> = (0..rng.random_range(1..5))
         .map(|_| rng.random_range(0..nodes))
         .collect();
-    let part = 1.0 / homes.len() as f64;
-    let homes = homes.into_iter().map(|n| (n, part)).collect();
+    let part = 1.0 / placement.len() as f64;
+    let placement = placement.into_iter().map(|n| (n, part)).collect();
     Volume {
         id,
-        reserve: f64::from(rng.random_range(0..12)),
+        reservation: f64::from(rng.random_range(0..12)),
         weight: 1.0,
-        homes,
+        placement,
     }
 }
 
@@ -77,7 +77,7 @@
                 let expected = check(&site, &all);
                 let context = format!("seed {seed}, out {all:?}: {shortfall:?}, {expected:?}");
                 assert!(
-                    (shortfall.short - (expected.asked - expected.carried)).abs() < 0.02,
+                    (shortfall.short - (expected.reachable - expected.carried)).abs() < 0.02,
                     "{context}"
                 );
                 assert!(
@@ -108,9 +108,9 @@
     });
     site.volumes.push(Volume {
         id: 1,
-        reserve: 80.0,
+        reservation: 80.0,
         weight: 1.0,
-        homes: vec![(1, 0.5), (2, 0.5)],
+        placement: vec![(1, 0.5), (2, 0.5)],
     });
     let mut flow = IncrementalFlow::of(&site);
     // Each home's most is rounded up by a thousandth.
--- a/crates/catalog/tests/moves.rs
+++ b/crates/catalog/tests/moves.rs
@@ -26,11 +26,11 @@
             extents_on
         })
         .collect();
-    let reserve: Vec<f64> = (0..3).map(|_| f64::from(rng.random_range(1..12))).collect();
+    let reservation: Vec<f64> = (0..3).map(|_| f64::from(rng.random_range(1..12))).collect();
     let volumes = extents_by_volume
         .iter()
         .enumerate()
-        .map(|(id, extents_on)| place_volume(id as u64, reserve[id], extents_on))
+        .map(|(id, extents_on)| place_volume(id as u64, reservation[id], extents_on))
         .collect();
     (
         Site {
@@ -42,16 +42,16 @@
     )
 }
 
-fn place_volume(id: u64, reserve: f64, extents_on: &[u64; 3]) -> Volume {
-    let homes = extents_on.iter().enumerate().filter(|(_, n)| **n > 0);
-    let homes = homes
+fn place_volume(id: u64, reservation: f64, extents_on: &[u64; 3]) -> Volume {
+    let placement = extents_on.iter().enumerate().filter(|(_, n)| **n > 0);
+    let placement = placement
         .map(|(n, extents)| (n as u32, *extents as f64 / EXTENTS as f64))
         .collect();
     Volume {
         id,
-        reserve,
+        reservation,
         weight: 1.0,
-        homes,
+        placement,
     }
 }
 
@@ -87,11 +87,11 @@
                 if best.is_some_and(|best| all >= best) {
                     continue;
                 }
-                let reserve = |id: usize| site.volumes[id].reserve;
+                let reservation = |id: usize| site.volumes[id].reservation;
                 let volumes = [a, b, c]
                     .into_iter()
                     .enumerate()
-                    .map(|(id, way)| place_volume(id as u64, reserve(id), way));
+                    .map(|(id, way)| place_volume(id as u64, reservation(id), way));
                 if check(
                     &Site {
                         volumes: volumes.collect(),
@@ -113,7 +113,7 @@
     let mut random_site = site.clone();
     for volume in &mut random_site.volumes {
         let mut extents_on: BTreeMap<u32, i64> = volume
-            .homes
+            .placement
             .iter()
             .map(|(n, part)| (*n, (part * extents as f64).round() as i64))
             .collect();
@@ -125,7 +125,7 @@
             extents_on.values().all(|n| *n >= 0),
             "more moved than lies there: {moves:?}"
         );
-        volume.homes = extents_on
+        volume.placement = extents_on
             .into_iter()
             .filter(|h| h.1 > 0)
             .map(|(n, e)| (n, e as f64 / extents as f64))
@@ -159,7 +159,7 @@
         assert!(
             then.volumes
                 .iter()
-                .all(|volume| volume.homes.iter().all(|h| !empty.contains(&h.0))),
+                .all(|volume| volume.placement.iter().all(|h| !empty.contains(&h.0))),
             "seed {seed}: {proposal:?}"
         );
         let holds = check(&then, &empty).holds();
@@ -200,12 +200,12 @@
         .collect();
     let volumes = (0..800).map(|id| {
         let first = rng.random_range(0..40);
-        let homes = (0..4).map(|i| ((first + i) % 40, 0.25)).collect();
+        let placement = (0..4).map(|i| ((first + i) % 40, 0.25)).collect();
         Volume {
             id,
-            reserve: rng.random_range(20.0..60.0),
+            reservation: rng.random_range(20.0..60.0),
             weight: 1.0,
-            homes,
+            placement,
         }
     });
     let site = Site {
@@ -244,7 +244,7 @@
     assert!(then
         .volumes
         .iter()
-        .all(|volume| volume.homes.iter().all(|h| h.0 != 7)));
+        .all(|volume| volume.placement.iter().all(|h| h.0 != 7)));
     assert!(
         check(&then, &empty).holds() && proposal.short == 0.0,
         "{:?}",
--- a/crates/catalog/tests/planner.rs
+++ b/crates/catalog/tests/planner.rs
@@ -19,21 +19,21 @@
         })
         .collect();
     let volume = |id| {
-        let mut homes: BTreeSet<u32> = (0..rng.random_range(1..4))
+        let mut placement: BTreeSet<u32> = (0..rng.random_range(1..4))
             .map(|_| rng.random_range(0..nodes.len() as u32))
             .collect();
-        homes.insert(rng.random_range(0..nodes.len() as u32));
-        let part = 1.0 / homes.len() as f64;
-        let homes = homes.into_iter().map(|n| (n, part)).collect();
-        let (reserve, weight) = (
+        placement.insert(rng.random_range(0..nodes.len() as u32));
+        let part = 1.0 / placement.len() as f64;
+        let placement = placement.into_iter().map(|n| (n, part)).collect();
+        let (reservation, weight) = (
             f64::from(rng.random_range(0..9)),
             f64::from(rng.random_range(1..4)),
         );
         Volume {
             id,
-            reserve,
+            reservation,
             weight,
-            homes,
+            placement,
         }
     };
     let volumes = (0..8u64).map(volume).collect();
@@ -56,7 +56,7 @@
             .filter(|n| is_inside(n.id))
             .map(|n| n.capacity)
             .sum();
-        let beyond = |verdict: &Volume| !verdict.homes.iter().all(|h| is_inside(h.0));
+        let beyond = |verdict: &Volume| !verdict.placement.iter().all(|h| is_inside(h.0));
         let volumes = site
             .volumes
             .iter()
@@ -76,10 +76,10 @@
     let mut spare: Vec<f64> = site.nodes.iter().map(|n| n.capacity).collect();
     let mut carried = 0.0;
     for verdict in &site.volumes {
-        let mut left = verdict.reserve;
-        let mut homes: Vec<usize> = verdict.homes.iter().map(|h| h.0 as usize).collect();
-        homes.sort_by(|a, b| spare[*b].total_cmp(&spare[*a]));
-        for n in homes {
+        let mut left = verdict.reservation;
+        let mut placement: Vec<usize> = verdict.placement.iter().map(|h| h.0 as usize).collect();
+        placement.sort_by(|a, b| spare[*b].total_cmp(&spare[*a]));
+        for n in placement {
             let here = left.min(spare[n]);
             (left, spare[n], carried) = (left - here, spare[n] - here, carried + here);
         }
@@ -93,7 +93,11 @@
     for seed in 0..3000 {
         let site = random_site(&mut Pcg64Mcg::seed_from_u64(seed));
         let verdict = check(&site, &BTreeSet::new());
-        let reserves: Vec<f64> = site.volumes.iter().map(|verdict| verdict.reserve).collect();
+        let reserves: Vec<f64> = site
+            .volumes
+            .iter()
+            .map(|verdict| verdict.reservation)
+            .collect();
         let most = by_brute_force(&site, &reserves);
         assert!(
             (verdict.carried - most).abs() < 1e-6,
@@ -102,7 +106,7 @@
         );
         assert_eq!(
             verdict.holds(),
-            (verdict.asked - most).abs() < 0.02,
+            (verdict.reachable - most).abs() < 0.02,
             "seed {seed}"
         );
         greed_wrong += u32::from((by_greed(&site) - most).abs() > 1e-6);
@@ -112,9 +116,12 @@
         broken += 1;
         // What gives way is all that is missing, and without it the rest can be carried.
         let given: f64 = verdict.short.iter().map(|site| site.1).sum();
-        assert!((given - (verdict.asked - most)).abs() < 1e-6, "seed {seed}");
+        assert!(
+            (given - (verdict.reachable - most)).abs() < 1e-6,
+            "seed {seed}"
+        );
         let left = |v2: &Volume| {
-            v2.reserve
+            v2.reservation
                 - verdict
                     .short
                     .iter()
@@ -176,7 +183,7 @@
         let given: f64 = verdict.short.iter().map(|site| site.1).sum();
         broken += u32::from(!verdict.holds());
         assert!(
-            (given - (verdict.asked - verdict.carried)).abs() < 0.02,
+            (given - (verdict.reachable - verdict.carried)).abs() < 0.02,
             "seed {seed}: {given} of {verdict:?}"
         );
     }
@@ -190,13 +197,13 @@
         zone,
         capacity: 100.0,
     };
-    let volume = |id, homes: &[u32]| {
-        let part = 1.0 / homes.len() as f64;
+    let volume = |id, placement: &[u32]| {
+        let part = 1.0 / placement.len() as f64;
         Volume {
             id,
-            reserve: 80.0,
+            reservation: 80.0,
             weight: id as f64,
-            homes: homes.iter().map(|n| (*n, part)).collect(),
+            placement: placement.iter().map(|n| (*n, part)).collect(),
         }
     };
     let site = Site {
@@ -206,7 +213,14 @@
     };
     let found: Vec<(Out, f64, f64, bool)> = survey(&site)
         .into_iter()
-        .map(|(out, verdict)| (out, verdict.asked, verdict.out_of_reach, verdict.holds()))
+        .map(|(out, verdict)| {
+            (
+                out,
+                verdict.reachable,
+                verdict.out_of_reach,
+                verdict.holds(),
+            )
+        })
         .collect();
     // Spread over its extents alike, node 3 is asked for 40, 40 and 80.
     let expected = [
--- a/crates/cli/src/plans/json.rs
+++ b/crates/cli/src/plans/json.rs
@@ -45,8 +45,8 @@
 
 fn drain(drain: &Drain) -> Value {
     json!({
-        "stage": drain.stage.name(), "within_s": drain.within.as_secs_f64(),
-        "who": &*drain.author, "asked": format_time(drain.asked),
+        "stage": drain.stage.name(), "within_s": drain.timeout.as_secs_f64(),
+        "who": &*drain.author, "asked": format_time(drain.requested_at),
         "since": format_time(drain.since),
     })
 }
--- a/crates/membership/src/drains/events.rs
+++ b/crates/membership/src/drains/events.rs
@@ -57,8 +57,8 @@
         };
         node.drain = Some(DrainState {
             stage: drain.stage,
-            within: drain.within,
-            requested_at: drain.asked,
+            timeout: drain.timeout,
+            requested_at: drain.requested_at,
             since: drain.since,
             version,
             expires_at: expires_at.or_else(|| expiry(&drain, now, wall)),
@@ -149,12 +149,12 @@
 /// When a drain is given up. Of one from before this process started, only the wall clock tells how
 /// long it has run.
 fn expiry(drain: &Drain, now: Duration, wall: Duration) -> Option<Duration> {
-    if drain.within.is_zero() {
+    if drain.timeout.is_zero() {
         return None;
     }
-    let most = drain.within.saturating_sub(MIN_TIME_AFTER_RESTART);
+    let most = drain.timeout.saturating_sub(MIN_TIME_AFTER_RESTART);
     let spent = wall.saturating_sub(drain.since).min(most);
-    Some(now + (drain.within - spent))
+    Some(now + (drain.timeout - spent))
 }
 
 fn update_peak_attempts(node: &mut Node) {
--- a/crates/membership/src/drains/records.rs
+++ b/crates/membership/src/drains/records.rs
@@ -85,7 +85,7 @@
 pub(super) struct DrainState {
     pub stage: Stage,
     /// How long it may take; zero: any time.
-    pub within: Duration,
+    pub timeout: Duration,
     pub author: Name,
     pub requested_at: Duration,
     /// Since when it is at this stage.
--- a/crates/membership/src/drains/stages.rs
+++ b/crates/membership/src/drains/stages.rs
@@ -47,9 +47,9 @@
         });
         let to = next.stage.map(|stage| Drain {
             stage,
-            within: drain.within,
+            timeout: drain.timeout,
             author: drain.author.clone(),
-            asked: drain.requested_at,
+            requested_at: drain.requested_at,
             since: drain.since,
         });
         Some(Action::Propose {
@@ -100,7 +100,7 @@
         let expired = drain.expires_at.is_some_and(|at| at <= self.now);
         expired.then(|| NextStage {
             stage: None,
-            reason: format!("given up: not empty within {}", span_text(drain.within)),
+            reason: format!("given up: not empty within {}", span_text(drain.timeout)),
         })
     }
 
@@ -141,7 +141,7 @@
         let excluded = self.nodes.iter().filter_map(|(number, node)| {
             let drains = node
                 .blocks_new_requests()
-                .then_some(ExclusionReason::Drains);
+                .then_some(ExclusionReason::Draining);
             Some((*number, drains.or(node.exclusion)?))
         });
         excluded_in_zone(number, zone, excluded)
--- a/crates/membership/src/drains/status.rs
+++ b/crates/membership/src/drains/status.rs
@@ -91,7 +91,7 @@
 fn exclusion(node: &Node, status: NodeStatus) -> Option<ExclusionReason> {
     match status {
         _ if !node.known => None,
-        NodeStatus::Warming => Some(ExclusionReason::Cold),
+        NodeStatus::Warming => Some(ExclusionReason::Warming),
         NodeStatus::Suspect => Some(ExclusionReason::Suspect),
         // Admission knows from the catalog which nodes are drained.
         NodeStatus::Removed if !node.blocks_new_requests() => Some(ExclusionReason::Removed),
--- a/crates/membership/tests/drains.rs
+++ b/crates/membership/tests/drains.rs
@@ -137,14 +137,14 @@
     }
 
     /// An operator's change.
-    fn drain(&mut self, node: u32, stage: Option<Stage>, within: Duration) {
-        let asked = self.now + self.wall;
+    fn drain(&mut self, node: u32, stage: Option<Stage>, timeout: Duration) {
+        let requested_at = self.now + self.wall;
         let drain = |stage| Drain {
             stage,
-            within,
+            timeout,
             author: "ann".into(),
-            asked,
-            since: asked,
+            requested_at,
+            since: requested_at,
         };
         let events = self.commit(node, stage.map(drain));
         self.step(events);
@@ -467,7 +467,7 @@
     assert_eq!(fixture.status_and_phase(1).0, NodeStatus::Ready);
     assert_eq!(
         fixture.exclusions,
-        [(1, Some(ExclusionReason::Cold)), (1, None)]
+        [(1, Some(ExclusionReason::Warming)), (1, None)]
     );
 }
 
@@ -676,14 +676,14 @@
 #[test]
 fn a_service_that_starts_anew_goes_on_where_it_was() {
     let drain = |stage, since: u64| {
-        let (within, since) = (s(30), s(since));
+        let (timeout, since) = (s(30), s(since));
         Event::Drain {
             node: 1,
             to: Some(Drain {
                 stage,
-                within,
+                timeout,
                 author: "ann".into(),
-                asked: since,
+                requested_at: since,
                 since,
             }),
             version: Version(5),
--- a/crates/membership/tests/explore.rs
+++ b/crates/membership/tests/explore.rs
@@ -256,7 +256,7 @@
         {
             let drains = (0..NODES)
                 .filter(|o| blocks_new_requests(w.drains[*o]))
-                .map(|o| (o as u32, ExclusionReason::Drains));
+                .map(|o| (o as u32, ExclusionReason::Draining));
             let unfit = (0..NODES).filter_map(|o| Some((o as u32, w.unfit[o]?)));
             if !excluded_in_zone(n as u32, |_| 'a', drains.chain(unfit)).is_empty() {
                 return Err("coincides".into());
