--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -451,11 +451,7 @@
             let dest = peer.map_or(-1, |p| i64::from(p.0));
             writeln!(to, "BROADCAST_TO {host} {dest} {}", STANDARD.encode(bytes))
         }
-        Action::Log { text } => writeln!(
-            to,
-            "JOURNAL_LINE {host} {}",
-            text.replace(['\n', '\r'], " ")
-        ),
+        Action::Log { event } => writeln!(to, "JOURNAL_LINE {host} {event}"),
         Action::WatchEndpoints { on } => writeln!(to, "SUBSCRIBE {host} {}", u8::from(*on)),
         Action::FetchEndpoints => writeln!(to, "LIST_ALL {host}"),
     };
--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -466,7 +466,7 @@
             Action::HealthCheck { node } => self.check_health(node),
             Action::CloseIdleConnections { node } => self.close_idle(node, self.now),
             Action::SendToPeer { to, bytes } => self.outputs.push(Output::SendToPeer { to, bytes }),
-            Action::Log { text } => self.log(text),
+            Action::Log { event } => self.log(event.to_string()),
             Action::WatchEndpoints { on } => self.call_discovery(Body::Watch(pb::Watch { on })),
             Action::FetchEndpoints => {
                 self.call_discovery(Body::FetchEndpoints(pb::FetchEndpoints {}))
--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -5,6 +5,7 @@
 //! here. Rates are units a second, where a unit is the settings' measure of node work; times are spans since
 //! the host's start unless stated otherwise.
 
+use std::fmt;
 use std::time::Duration;
 
 /// Identifies a request, by the text under which its client knows it.
@@ -481,10 +482,10 @@
         /// Its text.
         bytes: Vec<u8>,
     },
-    /// Write a line to the log.
+    /// Write an event to the log.
     Log {
-        /// Its text.
-        text: String,
+        /// The event.
+        event: LogEvent,
     },
     /// Open, or close, the watch on the endpoint list.
     WatchEndpoints {
@@ -494,3 +495,73 @@
     /// Fetch the whole endpoint list.
     FetchEndpoints,
 }
+
+/// Reason for which a node was ejected: from then on it gets trial requests only.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum EjectionReason {
+    /// Attempts are outstanding at the node, and it has answered none of them.
+    Silent {
+        /// Time since its last answer, or since the oldest of these attempts was sent.
+        silent_for: Duration,
+    },
+    /// The node's queue was full.
+    QueueFull {
+        /// Consecutive failures of the node.
+        failures: u32,
+    },
+    /// No connection to the node could be opened.
+    ConnectFailed {
+        /// Consecutive failures of the node.
+        failures: u32,
+    },
+}
+
+impl fmt::Display for EjectionReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            EjectionReason::Silent { silent_for } => write!(f, "no answer for {silent_for:?}"),
+            EjectionReason::QueueFull { failures } => {
+                write!(f, "queue full after {failures} failures in a row")
+            }
+            EjectionReason::ConnectFailed { failures } => {
+                write!(f, "connection failed after {failures} failures in a row")
+            }
+        }
+    }
+}
+
+/// Event of the decisions for the host's log.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum LogEvent {
+    /// The lease of the endpoint list has expired: only nodes that complete requests get more.
+    EndpointLeaseExpired,
+    /// Discovery has answered after the lease had expired.
+    EndpointLeaseRenewed,
+    /// A node has started recently and gets only this host's quota until it has warmed up.
+    NodeWarmingUp {
+        /// The node.
+        node: NodeId,
+    },
+    /// A node was ejected.
+    NodeEjected {
+        /// The node.
+        node: NodeId,
+        /// The reason.
+        reason: EjectionReason,
+    },
+}
+
+impl fmt::Display for LogEvent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            LogEvent::EndpointLeaseExpired => {
+                f.write_str("list of nodes: too old, only nodes that answer are used")
+            }
+            LogEvent::EndpointLeaseRenewed => f.write_str("list of nodes: in force again"),
+            LogEvent::NodeWarmingUp { node } => write!(f, "node {} warming up", node.0),
+            LogEvent::NodeEjected { node, reason } => {
+                write!(f, "node {} ejected: {reason}", node.0)
+            }
+        }
+    }
+}
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`scheduler`] and [`probing_window`] hold every decision on a request; begin with
 //! [`scheduler::Scheduler::step`]. [`api`] holds the events that go in and the actions that come out,
-//! [`state`] the records the decisions keep. [`token_bucket`], [`max_min_fair_share`], [`request_queue`],
+//! `state` the records that the decisions work on. [`token_bucket`], [`max_min_fair_share`], [`request_queue`],
 //! [`key_order`], [`reading`], [`histogram`], [`rates`] and [`rendezvous_hash`] are mechanical helpers whose
 //! numbers come from the caller; [`rejection_stats`] is for operators.
 
@@ -20,5 +20,5 @@
 pub mod rendezvous_hash;
 pub mod request_queue;
 pub mod scheduler;
-pub mod state;
+mod state;
 pub mod token_bucket;
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -14,17 +14,20 @@
 //! - `dispatch`, `placement`: which queued request goes to which node, and what blocks it;
 //! - `retries`: whether another attempt may follow one that failed;
 //! - `shedding`: what is rejected early because it cannot be in time;
-//! - `endpoint_lease`: where a request may go whose node's entry of the endpoint list may be out of date;
-//! - `outcomes`, `discovery`: what the end of an attempt, or the endpoint list, says of a node.
+//! - `endpoint_lease`: which nodes may get requests while the endpoint list may be out of date;
+//! - `fetch_backoff`: the time of the next call to discovery;
+//! - `outcomes`, `endpoint_updates`: the effect of an attempt's end, or of the endpoint list, on a node.
 //!
 //! `inspection` shows to operators what the decisions know.
 
 mod concurrency;
-mod discovery;
 mod dispatch;
 mod endpoint_lease;
+mod endpoint_updates;
 mod fair_share;
+mod fetch_backoff;
 pub mod inspection;
+mod jitter;
 mod outcomes;
 mod placement;
 mod requests;
@@ -39,14 +42,18 @@
 pub use slow_start::slow_start_quota;
 pub use throttle::credibility;
 
+pub use crate::state::{FlowSample, PriorAttempt};
+pub(crate) use endpoint_lease::NodeContact;
+
 use crate::api::*;
 use crate::histogram::Histogram;
 use crate::rates::seconds;
-use crate::state::{FlowSample, PendingRequest, SchedulerState, Volume};
+use crate::state::{PendingRequest, SchedulerState, Volume};
 use dispatch::{ticks_per_ranking, value_range};
+use endpoint_lease::EndpointLease;
 use fair_share::{INTERVAL, TICK};
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64Mcg;
+use fetch_backoff::FetchBackoff;
+use jitter::Jitter;
 use requests::MIN_RETRY_AFTER;
 use std::time::Duration;
 
@@ -62,13 +69,14 @@
 /// The decisions of one host.
 #[derive(Debug)]
 pub struct Scheduler {
-    rng: Pcg64Mcg,
+    jitter: Jitter,
     traffic_classes: Vec<TrafficClass>,
     plans: Vec<Plan>,
     units: UnitSettings,
     limits: HostLimits,
     slow_start: SlowStartPolicy,
-    discovery: DiscoveryPolicy,
+    endpoint_lease: EndpointLease,
+    fetch_backoff: FetchBackoff,
     retry_budget: Option<RetryBudget>,
     key_cooldown: Duration,
     tightest_objective: Duration,
@@ -87,7 +95,7 @@
     ) -> Self {
         let value_range = value_range(&traffic_classes, &plans, &units);
         Scheduler {
-            rng: Pcg64Mcg::seed_from_u64(seed),
+            jitter: Jitter::new(seed),
             tightest_objective: tightest_objective(&traffic_classes),
             time_per_unit: requests::time_per_unit(),
             traffic_classes,
@@ -95,7 +103,8 @@
             units,
             limits,
             slow_start: SlowStartPolicy::default(),
-            discovery: DiscoveryPolicy::default(),
+            endpoint_lease: EndpointLease::new(None),
+            fetch_backoff: FetchBackoff::new(&DiscoveryPolicy::default()),
             retry_budget: None,
             key_cooldown: Duration::ZERO,
             state: SchedulerState {
@@ -114,7 +123,8 @@
         key_cooldown: Duration,
     ) -> Self {
         self.slow_start = slow_start;
-        self.discovery = discovery;
+        self.endpoint_lease = EndpointLease::new(discovery.lease);
+        self.fetch_backoff = FetchBackoff::new(&discovery);
         self.retry_budget = retry_budget;
         self.key_cooldown = key_cooldown;
         self
@@ -144,12 +154,7 @@
     fn start(&mut self, now: Duration) {
         self.state.last_tick = now;
         self.state.last_interval = now;
-        // All hosts may start at once, and discovery has capacity for few calls at a time.
-        self.state.watch_at = self.discovery.polled.then(|| now + self.jitter(INTERVAL));
-    }
-
-    fn jitter(&mut self, max: Duration) -> Duration {
-        max.mul_f64(self.rng.random::<f64>())
+        self.fetch_backoff.start(now, &mut self.jitter);
     }
 
     fn handle_event(&mut self, event: Event) {
@@ -194,9 +199,15 @@
                 self.state.retired.insert(volume);
             }
             Event::EndpointUpdate { kind, endpoints } => self.update_endpoints(kind, endpoints),
-            Event::EndpointsConfirmed => self.confirm_endpoints(),
-            Event::DiscoveryMoved => self.discovery_moved(),
-            Event::FetchRefused { waited } => self.back_off_refused_fetch(waited),
+            Event::EndpointsConfirmed => self.endpoint_lease.renew(self.state.now),
+            Event::DiscoveryMoved => {
+                self.fetch_backoff.reset();
+                self.endpoint_lease.discovery_moved(self.state.now);
+            }
+            Event::FetchRefused { waited } => {
+                self.fetch_backoff
+                    .call_refused(waited, self.state.now, &mut self.jitter);
+            }
             Event::TimerFired { .. } | Event::HealthChecked { .. } | Event::PeerMessage { .. } => {}
         }
     }
@@ -221,7 +232,7 @@
         // pass as fresh before requests that can still be in time.
         let spent = self.state.count_received(&request);
         let objective_at = self.state.now + class.latency_objective.saturating_sub(spent);
-        let (id, tie_breaker) = (request.id, self.rng.random());
+        let (id, tie_breaker) = (request.id, self.jitter.fraction());
         let pending = PendingRequest::new(request, self.state.now, objective_at, tie_breaker);
         self.state.requests.insert(id, pending);
         self.enqueue(id);
@@ -252,7 +263,9 @@
         self.state
             .allocate_shares(&demands, |plan| self.plans[plan.0].weight);
         self.state.update_mean_learned_rate();
-        self.log_endpoint_lease();
+        if let Some(event) = self.endpoint_lease.state_change(self.state.now) {
+            self.state.log(event);
+        }
         self.update_slow_start();
         self.state.key_order.remove_idle(self.state.now);
         self.state.expire(
@@ -287,7 +300,7 @@
         let now = self.state.now;
         self.state
             .act_on_changed_requests(self.limits.max_retry_after);
-        if self.state.watch_at.take_if(|at| now >= *at).is_some() {
+        if self.fetch_backoff.take_due(now) {
             self.state.actions.push(Action::WatchEndpoints { on: true });
         }
         let next = match self.state.has_queued() {
@@ -295,7 +308,7 @@
             false => self.state.last_interval + INTERVAL,
         };
         self.state.wake_at(
-            next.min(self.state.watch_at.unwrap_or(next))
+            next.min(self.fetch_backoff.next_call_at().unwrap_or(next))
                 .max(now + TICK / 10),
         );
         std::mem::take(&mut self.state.actions)
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -105,7 +105,7 @@
         ) {
             return Some(BlockReason::Idempotency);
         }
-        if !self.is_confirmed(node) {
+        if !self.endpoint_lease.confirms(&node.contact, now) {
             return Some(BlockReason::Unconfirmed);
         }
         let value = self.value(pending, Some(id));
@@ -122,7 +122,8 @@
         if !self.has_capacity_or_waits(node, self.state.smallest_units?) {
             return None;
         }
-        if !self.is_confirmed(&self.state.nodes[&node]) {
+        let contact = &self.state.nodes[&node].contact;
+        if !self.endpoint_lease.confirms(contact, self.state.now) {
             return None;
         }
         let id = self.best_queued(node)?.id;
--- a/crates/scheduler/src/scheduler/outcomes.rs
+++ b/crates/scheduler/src/scheduler/outcomes.rs
@@ -2,8 +2,8 @@
 
 use super::concurrency::{adjust_factor, cut_factor, QUEUEING_FRACTION};
 use super::throttle::{adjust_admission, EJECT_AFTER, UNQUEUED_QUANTILE};
-use super::{endpoint_lease::record_contact, Scheduler};
-use crate::api::{AttemptEnd, AttemptOutcome};
+use super::Scheduler;
+use crate::api::{AttemptEnd, AttemptOutcome, EjectionReason};
 use crate::state::PriorAttempt;
 
 impl Scheduler {
@@ -26,7 +26,7 @@
             .attempt_ended(&pending.request)
             .unwrap_or(now.saturating_sub(end.elapsed));
         state.changed_nodes.insert(end.node);
-        record_contact(node, outcome, sent, now);
+        node.contact.record(outcome, sent, now);
         // A limit counts what crosses, when it crosses. What was never sent gives its units back; what found
         // no connection draws them again when it goes, or units drawn long before would add to a full
         // bucket's. Harm: where the rule counts an attempt without a connection, as much is lost.
@@ -65,15 +65,11 @@
         {
             adjust_admission(node, &mut state.late_fraction, now, true);
             if node.consecutive_failures >= EJECT_AFTER {
-                let what = if outcome == AttemptOutcome::QueueFull {
-                    "queue full"
-                } else {
-                    "connection failed"
+                let failures = node.consecutive_failures;
+                let reason = match outcome {
+                    AttemptOutcome::QueueFull => EjectionReason::QueueFull { failures },
+                    _ => EjectionReason::ConnectFailed { failures },
                 };
-                let reason = format!(
-                    "{what} after {} failures in a row",
-                    node.consecutive_failures
-                );
                 node.eject(&mut state.actions, reason);
             }
         }
--- a/crates/scheduler/src/scheduler/retries.rs
+++ b/crates/scheduler/src/scheduler/retries.rs
@@ -62,7 +62,7 @@
             return self.state.close(end.id);
         }
         let attempts = pending.attempts;
-        let delay = self.jitter(TICK * 2) + TICK * 2u32.pow(attempts.min(MAX_DOUBLINGS));
+        let delay = self.jitter.up_to(TICK * 2) + TICK * 2u32.pow(attempts.min(MAX_DOUBLINGS));
         let final_outcome = matches!(end.outcome, TimedOut | NotSent | Cancelled);
         if !final_outcome && attempts < self.limits.max_attempts && self.may_retry_in(delay, end) {
             let pending = self
--- a/crates/scheduler/src/scheduler/throttle.rs
+++ b/crates/scheduler/src/scheduler/throttle.rs
@@ -5,7 +5,7 @@
 //! seconds.
 
 use super::{concurrency::QUEUEING_FRACTION, Scheduler};
-use crate::{rates::seconds, state::Node};
+use crate::{api::EjectionReason, rates::seconds, state::Node};
 use std::time::Duration;
 
 const DECREASE: f64 = -0.4; // a second; a host that hears often moves no faster than one that seldom does
@@ -91,10 +91,10 @@
                 .min()
                 .map_or(now, |sent| node.last_success.max(*sent));
             if now > silent_since + self.tightest_objective * SILENT_OBJECTIVES {
-                node.eject(
-                    &mut self.state.actions,
-                    format!("no answer for {:?}", now - silent_since),
-                );
+                let reason = EjectionReason::Silent {
+                    silent_for: now - silent_since,
+                };
+                node.eject(&mut self.state.actions, reason);
             }
         }
     }
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -8,7 +8,7 @@
 mod scheduler_state;
 mod volume;
 
-pub use node::{Flow, FlowSample, IntervalStats, Node};
+pub use node::{Flow, FlowSample, Node};
 pub use request::{DesiredState, PendingRequest, PriorAttempt};
 pub use scheduler_state::{SchedulerState, ValueRange};
 pub use volume::{ReportedUsage, Volume};
--- a/crates/scheduler/src/state/node.rs
+++ b/crates/scheduler/src/state/node.rs
@@ -1,12 +1,14 @@
 //! A storage node, as one host sees it.
 
 use crate::api::{
-    Action, Endpoint, NodeId, NodeState, Request, RequestId, ShardId, VolumeId, ZoneId,
+    Action, EjectionReason, Endpoint, LogEvent, NodeId, NodeState, Request, RequestId, ShardId,
+    VolumeId, ZoneId,
 };
 use crate::histogram::Histogram;
 use crate::probing_window::ProbingWindow;
 use crate::rates::MeanRate;
 use crate::request_queue::RequestQueue;
+use crate::scheduler::NodeContact;
 use crate::state::PendingRequest;
 use crate::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
@@ -150,15 +152,8 @@
     pub consecutive_failures: u32,
     /// When it was last sent something; 0: never.
     pub last_sent: Duration,
-    /// When the last attempt was sent that it completed; 0: none was.
-    pub last_served: Duration,
-    /// When it last turned an attempt away; 0: never.
-    pub turned_away: Duration,
-    /// When no connection to it came up for the last time; 0: never.
-    pub not_reached: Duration,
-    /// When it last dropped an attempt's connection, or fell silent, and has not been shown to be the same
-    /// process since; 0: never.
-    pub connection_lost: Duration,
+    /// Evidence that it accepts requests.
+    pub contact: NodeContact,
 }
 
 impl Node {
@@ -197,10 +192,7 @@
             last_success: Duration::ZERO,
             consecutive_failures: 0,
             last_sent: Duration::ZERO,
-            last_served: Duration::ZERO,
-            turned_away: Duration::ZERO,
-            not_reached: Duration::ZERO,
-            connection_lost: Duration::ZERO,
+            contact: NodeContact::default(),
         }
     }
 
@@ -300,12 +292,14 @@
     }
 
     /// Takes nothing but trials from now on, and logs why unless it was so before.
-    pub fn eject(&mut self, actions: &mut Vec<Action>, reason: String) {
+    pub fn eject(&mut self, actions: &mut Vec<Action>, reason: EjectionReason) {
         let level = std::mem::take(&mut self.admission_level);
         if level > 0.0 {
-            actions.push(Action::Log {
-                text: format!("node {} ejected: {reason}", self.id.0),
-            });
+            let event = LogEvent::NodeEjected {
+                node: self.id,
+                reason,
+            };
+            actions.push(Action::Log { event });
         }
     }
 
--- a/crates/scheduler/src/state/scheduler_state.rs
+++ b/crates/scheduler/src/state/scheduler_state.rs
@@ -1,7 +1,7 @@
 //! Everything a host knows: what is so, and what is wanted but not yet brought about.
 
 use crate::api::{
-    Action, Endpoint, NodeId, NodeState, PlanId, Request, RequestId, ShardId, TimerTag,
+    Action, Endpoint, LogEvent, NodeId, NodeState, PlanId, Request, RequestId, ShardId, TimerTag,
     TrafficClassId, VolumeId,
 };
 use crate::key_order::KeyOrder;
@@ -77,16 +77,6 @@
     pub timer_at: Option<Duration>,
     /// Its tag.
     pub timer_tag: u64,
-    /// When the endpoint list is to be asked for.
-    pub watch_at: Option<Duration>,
-    /// When discovery last answered; 0: not since the start.
-    pub endpoints_confirmed: Duration,
-    /// When the endpoint list's lease ends.
-    pub endpoints_valid_until: Duration,
-    /// Its lease has run out, as the log says.
-    pub endpoints_expired: bool,
-    /// Failed calls for the endpoint list in a row.
-    pub fetch_failures: u32,
     /// Actions of this step.
     pub actions: Vec<Action>,
     /// What was rejected or failed, for operators alone.
@@ -448,8 +438,8 @@
     }
 
     /// Writes a line to the host's log.
-    pub fn log(&mut self, text: String) {
-        self.actions.push(Action::Log { text });
+    pub fn log(&mut self, event: LogEvent) {
+        self.actions.push(Action::Log { event });
     }
 
     /// Acts on the requests of which something new is wanted. `max_retry_after`: the longest delay that a
--- a/crates/scheduler/tests/design.rs
+++ b/crates/scheduler/tests/design.rs
@@ -7,7 +7,6 @@
 use grebecleat_scheduler::probing_window::*;
 use grebecleat_scheduler::reading::Reading;
 use grebecleat_scheduler::scheduler::*;
-use grebecleat_scheduler::state::FlowSample;
 use grebecleat_scheduler::token_bucket::TokenBucket;
 
 fn near(a: f64, b: f64) -> bool {
--- a/crates/scheduler/tests/rules.rs
+++ b/crates/scheduler/tests/rules.rs
@@ -4,7 +4,6 @@
 use common::*;
 use grebecleat_scheduler::api::*;
 use grebecleat_scheduler::scheduler::*;
-use grebecleat_scheduler::state::PriorAttempt;
 
 const KEYED: Idempotency = Idempotency::WithKey {
     scope: DeduplicationScope::Shard,
