--- a/crates/adapter/src/wire/actions.rs
+++ b/crates/adapter/src/wire/actions.rs
@@ -36,10 +36,7 @@
             let contents = STANDARD.encode(bytes);
             writeln!(output, "BROADCAST_TO {host} {peer} {contents}")
         }
-        Action::Log { text } => {
-            let line = text.replace(['\n', '\r'], " ");
-            writeln!(output, "JOURNAL_LINE {host} {line}")
-        }
+        Action::Log { event } => writeln!(output, "JOURNAL_LINE {host} {event}"),
         Action::WatchEndpoints { on } => writeln!(output, "SUBSCRIBE {host} {}", u8::from(*on)),
         Action::FetchEndpoints => writeln!(output, "LIST_ALL {host}"),
     };
