--- a/crates/catalog-service/src/snapshot/file.rs
+++ b/crates/catalog-service/src/snapshot/file.rs
@@ -1,7 +1,6 @@
 //! The constants of the file format, and the functions that its reader and its writers share.
 
-use crate::store::StoreFault;
-use std::fmt::Display;
+use crate::store::{self, Damage, SnapshotDamage, StoreFault};
 use std::fs::File;
 use std::io;
 use std::path::Path;
@@ -20,10 +19,11 @@
 }
 
 /// Returns the fault of a file whose contents differ from those that were written.
-pub(super) fn damaged(path: &Path, what: impl Display) -> StoreFault {
-    StoreFault::Damaged {
-        what: format!("{}: {what}", path.display()),
-    }
+pub(super) fn damaged(path: &Path, damage: impl Into<SnapshotDamage>) -> StoreFault {
+    store::damaged(Damage::Snapshot {
+        path: path.to_path_buf(),
+        damage: damage.into(),
+    })
 }
 
 /// Makes a rename within a file's folder durable.
--- a/crates/catalog-service/src/snapshot/read.rs
+++ b/crates/catalog-service/src/snapshot/read.rs
@@ -2,7 +2,7 @@
 
 use super::file::{damaged, disk, FORMAT, MAX_PART_BYTES};
 use crate::codec::{change_from_proto, revision_from_proto};
-use crate::store::{StoreContents, StoreFault, StoredState};
+use crate::store::{SnapshotDamage, StoreContents, StoreFault, StoredState};
 use grebecleat_catalog::leader::Epoch;
 use grebecleat_catalog::records::Version;
 use grebecleat_wire::{frame, pb};
@@ -24,8 +24,10 @@
     };
     loop {
         let next = frames.next::<pb::Snapshot>();
-        let next =
-            next.map_err(|error| damaged(path, format!("after {} parts: {error}", reader.parts)))?;
+        let next = next.map_err(|fault| {
+            let parts = reader.parts;
+            damaged(path, SnapshotDamage::Frame { parts, fault })
+        })?;
         match next {
             Some(message) => reader.accept(message)?,
             None => {
@@ -37,7 +39,7 @@
         }
     }
     if !reader.complete {
-        return Err(damaged(path, "it ends early"));
+        return Err(damaged(path, SnapshotDamage::CutShort));
     }
     Ok(reader.contents)
 }
@@ -56,7 +58,7 @@
 impl PartReader<'_> {
     fn accept(&mut self, message: pb::Snapshot) -> Result<(), StoreFault> {
         if self.complete {
-            return Err(self.damaged("it goes on after its end"));
+            return Err(self.damaged(SnapshotDamage::PartAfterTail));
         }
         let bytes = message.encode_to_vec();
         match message.part {
@@ -73,11 +75,11 @@
             Some(Part::Extents(run)) if self.parts > 0 => self.accept_extents(&run)?,
             Some(Part::Tail(tail)) if self.parts > 0 => {
                 if tail.parts != self.parts || tail.crc != self.crc {
-                    return Err(self.damaged("parts are missing"));
+                    return Err(self.damaged(SnapshotDamage::MissingParts));
                 }
                 self.complete = true;
             }
-            _ => return Err(self.damaged("it is no snapshot")),
+            _ => return Err(self.damaged(SnapshotDamage::NoSnapshot)),
         }
         self.parts += 1;
         self.crc = crc32c::crc32c_append(self.crc, &bytes);
@@ -115,7 +117,7 @@
         let end = run
             .first
             .checked_add(run.extents)
-            .ok_or_else(|| self.damaged("extents without end"))?;
+            .ok_or_else(|| self.damaged(SnapshotDamage::EndlessExtents))?;
         let extents = self.contents.extents.entry(run.volume).or_default();
         for extent in run.first..end {
             extents.insert(extent, run.shard);
@@ -123,7 +125,7 @@
         Ok(())
     }
 
-    fn damaged(&self, what: impl std::fmt::Display) -> StoreFault {
-        damaged(self.path, what)
+    fn damaged(&self, damage: impl Into<SnapshotDamage>) -> StoreFault {
+        damaged(self.path, damage)
     }
 }
--- a/crates/catalog-service/src/store/backend.rs
+++ b/crates/catalog-service/src/store/backend.rs
@@ -1,5 +1,6 @@
 //! Opens the database, on a file or on a disk that a test provides.
 
+use super::damage::Damage;
 use super::fault::{damaged, disk, StoreResult};
 use super::migrate::migrate;
 use redb::{Builder, Database, StorageBackend};
@@ -78,10 +79,12 @@
         Err(payload) => payload,
     };
     if let Some(message) = payload.downcast_ref::<String>() {
-        return Err(damaged(message));
+        let text = message.clone();
+        return Err(damaged(Damage::Database { text }));
     }
     if let Some(message) = payload.downcast_ref::<&str>() {
-        return Err(damaged(message));
+        let text = message.to_string();
+        return Err(damaged(Damage::Database { text }));
     }
-    Err(damaged("it cannot be read"))
+    Err(damaged(Damage::Unreadable))
 }
--- a/crates/catalog-service/src/store/batch.rs
+++ b/crates/catalog-service/src/store/batch.rs
@@ -188,10 +188,10 @@
         let ChunkId { volume, chunk } = id;
         let mut table = self.write.open_table(EXTENTS)?;
         let key = chunk_key(volume, chunk);
-        let place = || chunk_place(volume, chunk);
+        let place = chunk_place(volume, chunk);
         let mut extents = Extents::default();
         if let Some(former) = table.get((volume, chunk))? {
-            for run in decode_runs(unseal(&key, former.value(), &place)?, &place)? {
+            for run in decode_runs(unseal(&key, former.value(), place)?, place)? {
                 run.insert_into(&mut extents, 0);
             }
         }
--- a/crates/catalog-service/src/store/checksum.rs
+++ b/crates/catalog-service/src/store/checksum.rs
@@ -4,6 +4,7 @@
 //! place. The file carries one sum over all records: it finds a record that goes missing, and a
 //! record that returns from an older page with a valid checksum of its own.
 
+use super::damage::{Damage, RecordPlace};
 use super::fault::{damaged, StoreResult};
 
 /// The table of a record, as the record's contribution to the sum covers it. The numbers are part
@@ -28,16 +29,12 @@
 /// Returns the value of a record's bytes. `place`: names the record in the fault.
 ///
 /// Returns [`super::StoreFault::Damaged`] if the record is too short or its checksum is wrong.
-pub(super) fn unseal<'a>(
-    key: &[u8],
-    bytes: &'a [u8],
-    place: &dyn Fn() -> String,
-) -> StoreResult<&'a [u8]> {
+pub(super) fn unseal<'a>(key: &[u8], bytes: &'a [u8], place: RecordPlace) -> StoreResult<&'a [u8]> {
     let Some((checksum, value)) = bytes.split_first_chunk::<4>() else {
-        return Err(damaged(format!("{} is cut short", place())));
+        return Err(damaged(Damage::CutShort { place }));
     };
     if record_checksum(key, value) != u32::from_le_bytes(*checksum) {
-        return Err(damaged(format!("{} has a wrong checksum", place())));
+        return Err(damaged(Damage::WrongChecksum { place }));
     }
     Ok(value)
 }
--- a/crates/catalog-service/src/store/commit.rs
+++ b/crates/catalog-service/src/store/commit.rs
@@ -2,9 +2,10 @@
 
 use super::batch::{read_figure, Batch, ExtentPlacements};
 use super::checksum::unseal;
+use super::damage::{ContentError, Damage, RecordPlace};
 use super::fault::{damaged, disk, StoreResult};
 use super::record::Record;
-use super::schema::{figure, revision_place, AUDIT_LOG};
+use super::schema::{figure, AUDIT_LOG};
 use crate::codec::revision_from_proto;
 use grebecleat_catalog::change::Revision;
 use grebecleat_catalog::records::Version;
@@ -75,11 +76,14 @@
     fn stored_revision(&self, version: u64) -> StoreResult<Revision> {
         let table = self.batch.write().open_table(AUDIT_LOG)?;
         let bytes = table.get(version)?.map(|bytes| bytes.value().to_vec());
-        let bytes = bytes.ok_or_else(|| damaged(format!("entry {version} is missing")))?;
-        let place = || revision_place(version);
-        let value = unseal(&version.to_be_bytes(), &bytes, &place)?;
-        let revision = pb::Revision::decode(value).map_err(damaged)?;
-        revision_from_proto(revision).map_err(damaged)
+        let bytes = bytes.ok_or_else(|| damaged(Damage::MissingRevision { version }))?;
+        let place = RecordPlace::Revision { version };
+        let value = unseal(&version.to_be_bytes(), &bytes, place)?;
+        let revision = pb::Revision::decode(value).map_err(ContentError::Message);
+        let revision = revision.map_err(damaged)?;
+        revision_from_proto(revision)
+            .map_err(ContentError::Content)
+            .map_err(damaged)
     }
 
     fn apply(&mut self, record: &Record) -> StoreResult<()> {
--- a/crates/catalog-service/src/store/extent_chunk.rs
+++ b/crates/catalog-service/src/store/extent_chunk.rs
@@ -3,7 +3,8 @@
 //! Layout: each run has six bytes. These are its first extent within the chunk, its length, and its
 //! shard in little-endian order.
 
-use super::fault::{damaged, StoreResult};
+use super::damage::{Damage, RecordPlace};
+use super::fault::{damaged, StoreFault, StoreResult};
 use crate::extents::Extents;
 
 /// Extents of one record. A placement rewrites one record, so a larger chunk writes more bytes for
@@ -37,24 +38,24 @@
     [volume.to_be_bytes(), chunk.to_be_bytes()].concat()
 }
 
-/// Returns the name of a chunk's record in faults.
-pub(super) fn chunk_place(volume: u64, chunk: u64) -> String {
-    format!(
-        "the record of extents {} on of volume {volume}",
-        chunk.saturating_mul(EXTENTS_PER_CHUNK)
-    )
+/// Returns the place of a chunk's record, for faults.
+pub(super) fn chunk_place(volume: u64, chunk: u64) -> RecordPlace {
+    RecordPlace::Extents {
+        volume,
+        first: chunk.saturating_mul(EXTENTS_PER_CHUNK),
+    }
 }
 
 /// Returns the fault of a chunk's record with a valid checksum and invalid runs.
-pub(super) fn senseless(place: &dyn Fn() -> String) -> super::fault::StoreFault {
-    damaged(format!("{} makes no sense", place()))
+pub(super) fn invalid(place: RecordPlace) -> StoreFault {
+    damaged(Damage::Invalid { place })
 }
 
 /// Returns the runs of a record's value.
-pub(super) fn decode_runs(value: &[u8], place: &dyn Fn() -> String) -> StoreResult<Vec<ChunkRun>> {
+pub(super) fn decode_runs(value: &[u8], place: RecordPlace) -> StoreResult<Vec<ChunkRun>> {
     let mut runs = Vec::with_capacity(value.len() / RUN_BYTES);
     for bytes in value.chunks(RUN_BYTES) {
-        let run = decode_run(bytes).ok_or_else(|| senseless(place))?;
+        let run = decode_run(bytes).ok_or_else(|| invalid(place))?;
         runs.push(run);
     }
     Ok(runs)
--- a/crates/catalog-service/src/store/fault.rs
+++ b/crates/catalog-service/src/store/fault.rs
@@ -3,11 +3,12 @@
 //! Every operation of [`crate::store::Store`] and of [`crate::snapshot`] returns them, and
 //! operators read their texts. This module alone translates the errors of the database library.
 
+use super::damage::Damage;
 use super::schema::SCHEMA;
 use std::fmt;
 
 /// The reason why a store cannot serve. Operators see its text.
-#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum StoreFault {
     /// Another process has the file open.
     #[error("in use by another process")]
@@ -20,10 +21,11 @@
     },
     /// The contents differ from those that were written: a bad checksum, a missing or an older
     /// record.
-    #[error("damaged: {what}; restore it from a snapshot")]
+    #[error("damaged: {damage}; restore it from a snapshot")]
     Damaged {
-        /// The place and the damage.
-        what: String,
+        /// The damage, with its place.
+        #[source]
+        damage: Damage,
     },
     /// The disk is full, read-only or failing. No record of the batch is stored.
     #[error("{what}")]
@@ -43,12 +45,19 @@
 pub(crate) type StoreResult<T> = Result<T, StoreFault>;
 
 /// Returns the fault of contents that differ from those that were written.
-pub(super) fn damaged(what: impl fmt::Display) -> StoreFault {
+pub(crate) fn damaged(damage: impl Into<Damage>) -> StoreFault {
     StoreFault::Damaged {
-        what: what.to_string(),
+        damage: damage.into(),
     }
 }
 
+/// Returns the fault of a damage that the database library found.
+fn database_damage(text: impl fmt::Display) -> StoreFault {
+    damaged(Damage::Database {
+        text: text.to_string(),
+    })
+}
+
 /// Returns the fault of a disk that fails.
 pub(super) fn disk(what: impl fmt::Display) -> StoreFault {
     StoreFault::Disk {
@@ -60,13 +69,13 @@
     fn from(error: T) -> Self {
         match error.into() {
             redb::Error::DatabaseAlreadyOpen => StoreFault::Locked,
-            redb::Error::Corrupted(what) => damaged(what),
+            redb::Error::Corrupted(what) => database_damage(what),
             redb::Error::Io(error) if error.kind() == std::io::ErrorKind::InvalidData => {
-                damaged("it is no store, or its head is gone")
+                damaged(Damage::NoStore)
             }
             redb::Error::Io(error) => disk(error),
             error @ (redb::Error::TableTypeMismatch { .. }
-            | redb::Error::TypeDefinitionChanged { .. }) => damaged(error),
+            | redb::Error::TypeDefinitionChanged { .. }) => database_damage(error),
             error => disk(error),
         }
     }
--- a/crates/catalog-service/src/store/load.rs
+++ b/crates/catalog-service/src/store/load.rs
@@ -1,12 +1,11 @@
 //! Reads and checks all contents of the file, for the recovery at a start and for a snapshot.
 
 use super::checksum::{unseal, FileChecksum, TableNumber};
-use super::extent_chunk::{chunk_key, chunk_place, decode_runs, senseless, EXTENTS_PER_CHUNK};
-use super::fault::{damaged, StoreResult};
+use super::damage::{ContentError, Damage, RecordPlace};
+use super::extent_chunk::{chunk_key, chunk_place, decode_runs, invalid, EXTENTS_PER_CHUNK};
+use super::fault::{damaged, StoreFault, StoreResult};
 use super::record::StoreContents;
-use super::schema::{
-    figure, revision_place, subject_key, AUDIT_LOG, EPOCHS, EXTENTS, HOSTS, META, STATE,
-};
+use super::schema::{figure, subject_key, AUDIT_LOG, EPOCHS, EXTENTS, HOSTS, META, STATE};
 use crate::codec::{change_from_proto, revision_from_proto};
 use grebecleat_catalog::change::{Change, Revision};
 use grebecleat_catalog::leader::Epoch;
@@ -31,7 +30,7 @@
     loader.load_hosts()?;
     loader.load_extents()?;
     if loader.stored_checksum != Some(loader.checksum) {
-        return Err(damaged("records are missing, or older than the rest"));
+        return Err(damaged(Damage::WrongSum));
     }
     Ok(loader.contents)
 }
@@ -70,7 +69,10 @@
                 figure::EPOCH => state.epoch = Epoch(value),
                 figure::CEILING => state.ceiling = value,
                 figure::RESTORED => state.restored = value > 0,
-                other => return Err(damaged(format!("a figure named {other}"))),
+                other => {
+                    let name = other.to_string();
+                    return Err(damaged(Damage::UnknownFigure { name }));
+                }
             }
             self.checksum
                 .add(TableNumber::Meta, name.as_bytes(), &value.to_be_bytes());
@@ -100,10 +102,9 @@
             state.audit_log.push(revision);
         }
         match state.audit_log.last() {
-            Some(last) if last.version != state.version => Err(damaged(format!(
-                "the trail ends before version {}",
-                state.version.0
-            ))),
+            Some(last) if last.version != state.version => Err(damaged(Damage::ShortAuditLog {
+                version: state.version.0,
+            })),
             _ => Ok(()),
         }
     }
@@ -140,11 +141,11 @@
             let (at, bytes) = entry?;
             let (volume, chunk) = at.value();
             let bytes = bytes.value();
-            let place = || chunk_place(volume, chunk);
+            let place = chunk_place(volume, chunk);
             let key = chunk_key(volume, chunk);
-            let runs = decode_runs(unseal(&key, bytes, &place)?, &place)?;
+            let runs = decode_runs(unseal(&key, bytes, place)?, place)?;
             if chunk >= u64::MAX / EXTENTS_PER_CHUNK {
-                return Err(senseless(&place));
+                return Err(invalid(place));
             }
             self.checksum.add(TableNumber::Extents, &key, bytes);
             let extents = self.contents.extents.entry(volume).or_default();
@@ -156,18 +157,20 @@
     }
 }
 
+fn undecodable(place: RecordPlace, error: impl Into<ContentError>) -> StoreFault {
+    let error = error.into();
+    damaged(Damage::Undecodable { place, error })
+}
+
 fn decode_change(key: &[u8], bytes: &[u8]) -> StoreResult<Change> {
-    let place = || format!("a record of kind {:?}", key.first());
-    let value = unseal(key, bytes, &place)?;
-    let change =
-        pb::Change::decode(value).map_err(|error| damaged(format!("{}: {error}", place())))?;
-    let change =
-        change_from_proto(change).map_err(|error| damaged(format!("{}: {error}", place())))?;
+    let kind = key.first().copied();
+    let place = RecordPlace::Change { kind };
+    let value = unseal(key, bytes, place)?;
+    let change = pb::Change::decode(value).map_err(|error| undecodable(place, error))?;
+    let change = change_from_proto(change).map_err(|error| undecodable(place, error))?;
     if subject_key(&change.subject()) != key || change.is_removal() {
-        return Err(damaged(format!(
-            "{} stands in the place of another",
-            change.subject()
-        )));
+        let subject = change.subject().to_string();
+        return Err(damaged(Damage::WrongKey { subject }));
     }
     Ok(change)
 }
@@ -177,18 +180,13 @@
     bytes: &[u8],
     previous: Option<&Revision>,
 ) -> StoreResult<Revision> {
-    let place = || revision_place(version);
-    let value = unseal(&version.to_be_bytes(), bytes, &place)?;
-    let revision =
-        pb::Revision::decode(value).map_err(|error| damaged(format!("{}: {error}", place())))?;
-    let revision =
-        revision_from_proto(revision).map_err(|error| damaged(format!("{}: {error}", place())))?;
+    let place = RecordPlace::Revision { version };
+    let value = unseal(&version.to_be_bytes(), bytes, place)?;
+    let revision = pb::Revision::decode(value).map_err(|error| undecodable(place, error))?;
+    let revision = revision_from_proto(revision).map_err(|error| undecodable(place, error))?;
     let follows = previous.is_none_or(|previous| previous.version == revision.from);
     if revision.version.0 != version || !follows {
-        return Err(damaged(format!(
-            "{} does not follow the one before it",
-            place()
-        )));
+        return Err(damaged(Damage::WrongOrder { place }));
     }
     Ok(revision)
 }
--- a/crates/catalog-service/src/store/mod.rs
+++ b/crates/catalog-service/src/store/mod.rs
@@ -24,6 +24,7 @@
 mod batch;
 mod checksum;
 mod commit;
+mod damage;
 mod extent_chunk;
 mod fault;
 mod load;
@@ -31,6 +32,8 @@
 mod record;
 mod schema;
 
+pub use damage::{ContentError, Damage, RecordPlace, SnapshotDamage};
+pub(crate) use fault::damaged;
 pub use fault::StoreFault;
 pub use record::{ExtentsByVolume, Record, StoreContents, StoredState};
 
--- a/crates/catalog-service/src/store/schema.rs
+++ b/crates/catalog-service/src/store/schema.rs
@@ -58,8 +58,3 @@
     };
     [vec![kind], name].concat()
 }
-
-/// Returns the name of a record of the audit log in faults.
-pub(super) fn revision_place(version: u64) -> String {
-    format!("entry {version} of the trail")
-}
