--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -1,41 +1,66 @@
-//! Checks on the fields of one call: each says what it expected and goes on, so that all faults
-//! come at once.
+//! Checks the fields of one call. Each check adds a fault with the expected value and continues, so
+//! that a file's faults are all reported together.
 
 use serde_json::{Map, Value as Json};
 use std::collections::BTreeSet;
 use std::fmt;
+use std::path::Path;
 use std::time::Duration;
 
+/// The longest duration that a script can state, in milliseconds: about 32 years. A longer one
+/// could overflow sums of times.
+const MAX_MILLISECONDS: f64 = 1e12;
+
+/// A place in a file.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Place {
+    /// The file, as its reader named it.
     pub file: String,
+    /// The line from 1 on; 0 for the file as such.
     pub line: usize,
 }
 
-/// One fault of a file: where, and what was expected.
+impl Place {
+    /// Returns the place of a file as such.
+    pub(crate) fn file(path: &Path) -> Place {
+        Place {
+            file: path.display().to_string(),
+            line: 0,
+        }
+    }
+}
+
+/// One fault of a file: its place, and the expected value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
+    /// The fault's place.
     pub place: Place,
+    /// The fault, as operators read it.
     pub what: String,
 }
 
 impl fmt::Display for Fault {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.place.line {
-            0 => write!(f, "{}: {}", self.place.file, self.what),
-            line => write!(f, "{}:{line}: {}", self.place.file, self.what),
+            0 => write!(formatter, "{}: {}", self.place.file, self.what),
+            line => write!(formatter, "{}:{line}: {}", self.place.file, self.what),
         }
     }
 }
 
+/// One call of a script, such as `node(id = 1)`.
 #[derive(Debug, Clone)]
 pub struct Call {
+    /// The call's name.
     pub what: &'static str,
+    /// The call's place.
     pub place: Place,
+    /// The values of the call's fields by their names.
     pub fields: Map<String, Json>,
 }
 
-/// Reads one call. A field that is absent takes its default; without one it is a fault.
+/// Reads the fields of one call. An absent field has its default value; without a default it is a
+/// fault.
 #[derive(Debug)]
 pub struct Fields<'a> {
     call: &'a Call,
@@ -44,6 +69,7 @@
 }
 
 impl<'a> Fields<'a> {
+    /// Returns a reader of a call. `faults`: receives the faults.
     pub fn of(call: &'a Call, faults: &'a mut Vec<Fault>) -> Self {
         Fields {
             call,
@@ -52,6 +78,7 @@
         }
     }
 
+    /// Adds a fault of a field.
     pub fn fault(&mut self, field: &str, what: String) {
         let what = format!("{}: field '{field}': {what}", self.call.what);
         self.faults.push(Fault {
@@ -62,7 +89,7 @@
 
     fn get(&mut self, name: &'static str) -> Option<&'a Json> {
         self.known.insert(name);
-        self.call.fields.get(name).filter(|v| !v.is_null())
+        self.call.fields.get(name).filter(|value| !value.is_null())
     }
 
     fn read<T>(
@@ -71,21 +98,22 @@
         default: Option<T>,
         blank: T,
         expected: &str,
-        as_t: impl FnOnce(&Json) -> Option<T>,
+        convert: impl FnOnce(&Json) -> Option<T>,
     ) -> T {
         match (self.get(name), default) {
-            (None, Some(d)) => d,
+            (None, Some(default)) => default,
             (None, None) => {
                 self.fault(name, format!("missing; expected {expected}"));
                 blank
             }
-            (Some(v), _) => as_t(v).unwrap_or_else(|| {
-                self.fault(name, format!("expected {expected}, found {v}"));
+            (Some(value), _) => convert(value).unwrap_or_else(|| {
+                self.fault(name, format!("expected {expected}, found {value}"));
                 blank
             }),
         }
     }
 
+    /// Reads a number within a range.
     pub fn number(&mut self, name: &'static str, default: Option<f64>, range: (f64, f64)) -> f64 {
         let expected = format!("a number from {} to {}", range.0, range.1);
         let fits = |v: &Json| {
@@ -95,12 +123,14 @@
         self.read(name, default, range.0, &expected, fits)
     }
 
-    pub fn whole(&mut self, name: &'static str, default: Option<u64>, range: (u64, u64)) -> u64 {
+    /// Reads an integer within a range.
+    pub fn integer(&mut self, name: &'static str, default: Option<u64>, range: (u64, u64)) -> u64 {
         let expected = format!("a whole number from {} to {}", range.0, range.1);
         let fits = |v: &Json| v.as_u64().filter(|n| (range.0..=range.1).contains(n));
         self.read(name, default, range.0, &expected, fits)
     }
 
+    /// Reads a duration of at most `most`.
     pub fn span(
         &mut self,
         name: &'static str,
@@ -113,10 +143,12 @@
         })
     }
 
+    /// Reads a boolean.
     pub fn flag(&mut self, name: &'static str, default: Option<bool>) -> bool {
         self.read(name, default, false, "True or False", Json::as_bool)
     }
 
+    /// Reads a text that is not empty.
     pub fn text(&mut self, name: &'static str, default: Option<&str>) -> String {
         let fits = |v: &Json| v.as_str().filter(|s| !s.is_empty()).map(str::to_string);
         self.read(
@@ -128,19 +160,20 @@
         )
     }
 
+    /// Reads a text; None if the field is absent or invalid.
     pub fn maybe_text(&mut self, name: &'static str) -> Option<String> {
         self.get(name)?;
         Some(self.text(name, None)).filter(|t| !t.is_empty())
     }
 
-    /// One of the names; answers its place among them.
+    /// Reads one of the names, and returns its index among them.
     pub fn one_of(&mut self, name: &'static str, default: Option<usize>, names: &[&str]) -> usize {
         let expected = format!("one of {}", names.join(", "));
         let fits = |v: &Json| v.as_str().and_then(|s| names.iter().position(|n| *n == s));
         self.read(name, default, 0, &expected, fits)
     }
 
-    /// Several of the names; answers their places.
+    /// Reads a list of some of the names, and returns their indices.
     pub fn some_of(&mut self, name: &'static str, names: &[&str]) -> Vec<usize> {
         let expected = format!("a list of some of {}", names.join(", "));
         let each = |v: &Json| v.as_str().and_then(|s| names.iter().position(|n| *n == s));
@@ -148,6 +181,7 @@
         self.read(name, Some(Vec::new()), Vec::new(), &expected, fits)
     }
 
+    /// Reads a list of integers up to `most`.
     pub fn numbers(&mut self, name: &'static str, most: u64) -> Vec<u64> {
         let expected = format!("a list of whole numbers up to {most}");
         let each = |v: &Json| v.as_u64().filter(|n| *n <= most);
@@ -155,11 +189,13 @@
         self.read(name, Some(Vec::new()), Vec::new(), &expected, fits)
     }
 
+    /// Returns the value of a field without a check.
     pub fn raw(&mut self, name: &'static str) -> Option<&'a Json> {
         self.get(name)
     }
 
-    /// Whatever no reader asked for is a fault, since a misspelt field would be silently lost.
+    /// Ends the call. A field that was not read is a fault; otherwise a misspelt field would be
+    /// ignored silently.
     pub fn end(self) {
         let known = self.known.iter().copied().collect::<Vec<_>>().join(", ");
         for name in self
@@ -180,14 +216,14 @@
     }
 }
 
-/// A span as `ms` and `s` make it.
-pub fn span_of(v: &Json) -> Option<Duration> {
-    let ms = v
+/// Returns a duration as `ms()` and `s()` make it; None for any other value.
+pub fn span_of(value: &Json) -> Option<Duration> {
+    let milliseconds = value
         .as_object()
-        .filter(|o| o.len() == 1)?
+        .filter(|object| object.len() == 1)?
         .get("ms")?
         .as_f64()?;
-    (0.0..=1e12)
-        .contains(&ms)
-        .then(|| Duration::from_secs_f64(ms / 1000.0))
+    (0.0..=MAX_MILLISECONDS)
+        .contains(&milliseconds)
+        .then(|| Duration::from_secs_f64(milliseconds / 1000.0))
 }
--- a/crates/settings/src/kinds.rs
+++ b/crates/settings/src/kinds.rs
@@ -1,38 +1,58 @@
-//! Kinds of trouble, by the names that the bench's journal writes, and those of the state service
-//! and between hosts, which the bench does not know.
+//! The kinds of injected faults. Most names are those of the bench's journal. The faults of the
+//! state service and between hosts are unknown to the bench.
 
-/// What goes wrong in a rehearsal. Each struck node or host, and the strength, come from the
-/// script's seed.
+/// The kind of an injected fault in a rehearsal. The script's seed determines the affected nodes or
+/// hosts, and the strength.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
+    /// Nodes answer some attempts with an error, at once.
     FastErrors,
+    /// Nodes lose some answers after the work.
     AnswerLost,
+    /// Nodes restart.
     MassRestart,
+    /// Nodes hang.
     Hang,
+    /// Nodes are slower by a factor.
     Slow,
+    /// Other load takes a part of the nodes' speed, at intervals.
     Neighbour,
+    /// A small fraction of the attempts takes many times as much work.
     HeavyTail,
+    /// Volumes receive additional requests for one key.
     HotKey,
+    /// Volumes receive additional requests of a scan.
     Scan,
+    /// Clients close their connections and connect again.
     Reconnect,
+    /// The endpoint list is out of date.
     DiscoveryStale,
+    /// Hosts are killed and restarted.
     HostCrash,
+    /// The processes of hosts pause.
     HostStall,
+    /// Nodes become slower over time, and then restart.
     Ageing,
+    /// Nodes drain and return.
     Drain,
-    /// Hosts are cut off from the state service, or hear of it late.
+    /// Hosts are cut off from the state service.
     FeedCut,
+    /// Hosts receive the messages of the state service late.
     FeedLate,
-    /// The state service is killed, and started again; or put back from a snapshot.
+    /// The state service is killed and restarted.
     StateCrash,
+    /// The state service is killed, and restored from a snapshot.
     StateRestored,
-    /// Hosts are cut off from all other hosts, or do not hear them but are heard; or from nodes.
+    /// Hosts are cut off from all other hosts.
     HostCut,
+    /// Hosts receive no messages of other hosts, but other hosts receive theirs.
     HostDeaf,
+    /// Hosts are cut off from nodes.
     WayCut,
 }
 
 impl Kind {
+    /// All kinds by their names.
     pub const ALL: [(&'static str, Kind); 22] = [
         ("fast_errors", Kind::FastErrors),
         ("answer_lost", Kind::AnswerLost),
@@ -58,14 +78,16 @@
         ("way_cut", Kind::WayCut),
     ];
 
+    /// Returns the kind's name.
     pub fn name(self) -> &'static str {
         Self::ALL
             .iter()
-            .find(|(_, k)| *k == self)
+            .find(|(_, kind)| *kind == self)
             .map_or("", |(name, _)| name)
     }
 
-    /// Kinds joined by `+`, as the journal writes them; the name that is unknown where one is.
+    /// Returns the kinds of a text, joined by `+` as the journal writes them. Returns the first
+    /// unknown name as an error.
     ///
     /// ```
     /// use grebecleat_settings::Kind;
@@ -73,14 +95,19 @@
     /// assert_eq!(Kind::read("hang+flood"), Err("flood".to_string()));
     /// ```
     pub fn read(text: &str) -> Result<Vec<Kind>, String> {
-        let of = |name: &str| Self::ALL.iter().find(|(n, _)| *n == name).map(|(_, k)| *k);
         text.split('+')
             .map(str::trim)
-            .map(|n| of(n).ok_or_else(|| n.to_string()))
+            .map(|name| Kind::named(name).ok_or_else(|| name.to_string()))
             .collect()
     }
 
-    /// The longest run of kinds joined by `+` in any text, such as a journal's entry.
+    fn named(name: &str) -> Option<Kind> {
+        let mut kinds = Self::ALL.iter();
+        let (_, kind) = kinds.find(|(kind_name, _)| *kind_name == name)?;
+        Some(*kind)
+    }
+
+    /// Returns the longest run of kinds joined by `+` in any text, such as a journal's entry.
     ///
     /// ```
     /// use grebecleat_settings::Kind;
@@ -90,7 +117,7 @@
     pub fn find(text: &str) -> Vec<Kind> {
         let words = text.split(|c: char| !(c.is_ascii_lowercase() || c == '_' || c == '+'));
         words
-            .filter_map(|w| Kind::read(w).ok())
+            .filter_map(|word| Kind::read(word).ok())
             .max_by_key(Vec::len)
             .unwrap_or_default()
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,12 @@
-//! Settings and scripts in Starlark, checked whole before anything starts.
+//! Settings and scripts in Starlark.
 //!
-//! For: turning a file into [`Settings`], or into the list of all its faults, each with file, line,
-//! field and what was expected. It must never hold a tuned value of the decisions, and never start
-//! anything. Begin with [`settings`] for the meaning of each call, [`script`] for the language,
-//! [`fields`] for the checks.
+//! This package turns a file into [`Settings`], or into the list of all its faults. Each fault has
+//! the file, the line, the field and the expected value. A file is checked completely before any
+//! process starts. The package contains no tuned value of the decisions, and starts nothing. Begin
+//! with [`settings`] for the meaning of each call, [`script`] for the language, and [`fields`] for
+//! the checks.
+
+#![warn(missing_docs)]
 
 pub mod fields;
 pub mod kinds;
@@ -13,4 +16,7 @@
 pub use fields::Fault;
 pub use grebecleat_scheduler::api::{DeduplicationScope, Idempotency};
 pub use kinds::Kind;
-pub use settings::*;
+pub use settings::{
+    Bounds, FleetSpec, HostSpec, ListSpec, NamedPlan, NodeSpec, PortalSpec, Rehearsal, Rules,
+    ScriptedChange, Settings, StateSpec, Stream, TargetSpec, Trouble, VolumeSpec,
+};
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -1,9 +1,9 @@
-//! Runs a script and collects its calls. Nothing is understood here beyond the words of the
-//! language.
+//! Runs a script and collects its calls. This module knows the names of the calls, and not their
+//! meaning.
 //!
-//! Each call such as `node(id = 1, zone = "a")` is kept with its place. `ms(250)` and `s(2)` make
-//! spans; `keyed(group = "zone", remembered = s(2))` makes a kind of repeat. A file may `load`
-//! another one beside it, whose calls come first.
+//! Each call such as `node(id = 1, zone = "a")` is collected with its place. `ms(250)` and `s(2)`
+//! make durations; `keyed(group = "zone", remembered = s(2))` makes an idempotency key's scope and
+//! window. A file may `load` another file of the same folder, whose calls come first.
 
 use crate::fields::{Call, Fault, Place};
 use serde_json::{json, Map, Value as Json};
@@ -18,13 +18,16 @@
 use std::cell::RefCell;
 use std::path::Path;
 
-/// More calls than this are a slip in a loop.
+/// Calls of one script, at most; more calls are probably an error in a loop. A larger number lets
+/// such a script take much memory; a smaller one rejects large deployments.
 const MAX_CALLS: usize = 200_000;
+/// Depth of nested loads, at most. It ends a file that loads itself.
 const MAX_LOADS: usize = 16;
 
 #[derive(Debug, Default, ProvidesStaticType)]
 struct Calls(RefCell<Vec<Call>>);
 
+/// Returns the place of the call that is being evaluated.
 fn place(eval: &Evaluator) -> Place {
     match eval.call_stack_top_location() {
         Some(span) => Place {
@@ -35,7 +38,8 @@
     }
 }
 
-fn keep<'v>(
+/// Collects a call.
+fn collect<'v>(
     what: &'static str,
     fields: SmallMap<String, Value<'v>>,
     eval: &mut Evaluator<'v, '_, '_>,
@@ -45,13 +49,13 @@
     for (name, value) in fields {
         let json = value
             .to_json_value()
-            .map_err(|e| anyhow::anyhow!("{what}: field '{name}': {e}"))?;
+            .map_err(|error| anyhow::anyhow!("{what}: field '{name}': {error}"))?;
         values.insert(name, json);
     }
     let calls = eval
         .extra
-        .and_then(|e| e.downcast_ref::<Calls>())
-        .expect("given to every evaluator");
+        .and_then(|extra| extra.downcast_ref::<Calls>())
+        .expect("every evaluator has the calls");
     let mut calls = calls.0.borrow_mut();
     anyhow::ensure!(calls.len() < MAX_CALLS, "more than {MAX_CALLS} calls");
     calls.push(Call {
@@ -93,7 +97,7 @@
                     #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
                     eval: &mut Evaluator<'v, '_, '_>,
                 ) -> anyhow::Result<NoneType> {
-                    keep(stringify!($name), fields, eval)
+                    collect(stringify!($name), fields, eval)
                 }
             )*
         }
@@ -123,8 +127,8 @@
     change
 );
 
-fn fault(e: &starlark::Error, path: &str) -> Fault {
-    let place = match e.span() {
+fn fault(error: &starlark::Error, path: &str) -> Fault {
+    let place = match error.span() {
         Some(span) => Place {
             file: span.filename().to_string(),
             line: span.resolve_span().begin.line + 1,
@@ -136,13 +140,14 @@
     };
     Fault {
         place,
-        what: e.without_diagnostic().to_string(),
+        what: error.without_diagnostic().to_string(),
     }
 }
 
+/// Runs a file, after the files that it loads.
 fn run(path: &Path, text: String, calls: &Calls, depth: usize) -> Result<FrozenModule, Fault> {
     let name = path.display().to_string();
-    let at = |line: usize, what: String| Fault {
+    let fault_at = |line: usize, what: String| Fault {
         place: Place {
             file: name.clone(),
             line,
@@ -150,24 +155,25 @@
         what,
     };
     if depth > MAX_LOADS {
-        return Err(at(0, format!("loads nest deeper than {MAX_LOADS}")));
+        return Err(fault_at(0, format!("loads nest deeper than {MAX_LOADS}")));
     }
     let dialect = Dialect {
         enable_top_level_stmt: true,
         enable_f_strings: true,
         ..Dialect::Extended
     };
-    let ast = AstModule::parse(&name, text, &dialect).map_err(|e| fault(&e, &name))?;
+    let ast = AstModule::parse(&name, text, &dialect).map_err(|error| fault(&error, &name))?;
     let mut loaded = Vec::new();
     for load in ast.loads() {
         let line = load.span.resolve_span().begin.line + 1;
-        let beside = path.parent().unwrap_or(Path::new("")).join(load.module_id);
-        let text = std::fs::read_to_string(&beside)
-            .map_err(|e| at(line, format!("load: cannot read {}: {e}", beside.display())))?;
-        loaded.push((
-            load.module_id.to_string(),
-            run(&beside, text, calls, depth + 1)?,
-        ));
+        let folder = path.parent().unwrap_or(Path::new(""));
+        let loaded_path = folder.join(load.module_id);
+        let text = std::fs::read_to_string(&loaded_path).map_err(|error| {
+            let what = format!("load: cannot read {}: {error}", loaded_path.display());
+            fault_at(line, what)
+        })?;
+        let module = run(&loaded_path, text, calls, depth + 1)?;
+        loaded.push((load.module_id.to_string(), module));
     }
     let modules = loaded
         .iter()
@@ -184,14 +190,16 @@
             eval.set_loader(&loader);
             eval.extra = Some(calls);
             eval.eval_module(ast, &globals)
-                .map_err(|e| fault(&e, &name))?;
+                .map_err(|error| fault(&error, &name))?;
         }
-        module.freeze().map_err(|e| at(0, format!("{e:?}")))
+        module
+            .freeze()
+            .map_err(|error| fault_at(0, format!("{error:?}")))
     })
 }
 
-/// All calls of a script in order, or why it cannot run. `path` names it in faults and finds what
-/// it loads.
+/// Returns all calls of a script in order, or the fault that ended it. `path`: names the script in
+/// faults, and finds the files that it loads.
 pub fn calls_of(path: &Path, text: String) -> Result<Vec<Call>, Fault> {
     let calls = Calls::default();
     run(path, text, &calls, 0)?;
