--- a/crates/discovery/src/endpoint_list.rs
+++ b/crates/discovery/src/endpoint_list.rs
@@ -16,7 +16,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What distinguishes one process of a node from another: its start number and its address.
+/// Identity of a node's process: its start number and its address.
 type Process = (u64, Option<SocketAddr>);
 
 /// The last known state of a node.
