--- a/crates/cli/tests/ends.rs
+++ b/crates/cli/tests/ends.rs
@@ -512,7 +512,7 @@
     let elsewhere = Hand::start();
     let told = |n: usize| {
         live.signal("-HUP");
-        live.says("not taken", n);
+        live.says("configuration rejected", n);
         assert_eq!(
             live.ask(&request("once", &format!("t{n}"), 0, 7, 2900)),
             Some(200)
@@ -553,7 +553,7 @@
     told(4);
     assert_eq!((elsewhere.now().is_none(), seen(&node).len()), (true, 4));
     let log = std::fs::read_to_string(&live.log).unwrap();
-    assert_eq!(log.matches("not taken").count(), 4, "{log}");
+    assert_eq!(log.matches("configuration rejected").count(), 4, "{log}");
 }
 
 // The end of the process
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -1,29 +1,40 @@
 //! The running host on the platform: its sockets, and the loop of the one owner of all state.
 //!
-//! Called by the command line. One thread owns the host's `RequestRouter` and every connection's
-//! state (`owner`). Each connection has one `may` coroutine (`reader`), which reads and reports
-//! what came; complete messages are parsed by the owner, and what the router puts into an outbox is
-//! written by the owner at once, without waiting. `listener` accepts clients; `socket` asks the
-//! system about a socket.
+//! The command line calls [`run`]. One thread owns the host's `RequestRouter` and the order of
+//! things (`owner`). Each connection has one `may` coroutine (`reader`), which reads bytes and
+//! reports them; the owner parses complete messages, and writes the contents of the outboxes at once,
+//! without waiting. `listener` accepts clients; `socket` queries the system about a socket.
 //!
-//! Bounds. Descriptors: [`crate::config::Descriptors`], clients and nodes apart, each counted until
-//! its socket is closed, and discovery's set aside from both: when one part is used up, the others
-//! are not touched. How long a client with a request may wait for a slot: see `owner/eviction.rs`.
-//! Memory of a connection: its coroutine's stack, one message read, what is being written, and what
-//! its reader is ahead (`reader`). Times: no `may` timer is used; the owner's sweep closes what is
-//! slow, silent or idle.
+//! Bounds. Descriptors: [`crate::config::Descriptors`] has separate parts for clients and nodes, each
+//! descriptor counts until its socket is closed, and discovery's descriptors are reserved apart from both:
+//! when one part is used up, the others are not affected. How long a client with a request may wait
+//! for a slot: see `eviction`. Memory of a connection: its coroutine's stack, one message that is
+//! being read, the bytes that are being written, and the bytes by which its reader is ahead
+//! (`reader`). Times: no `may` timer is used; the owner's sweep closes connections that are slow,
+//! silent or idle.
 
+mod client_conn;
 mod client_ids;
 mod connection;
+mod connection_table;
+mod dials;
+mod discovery_conn;
+mod eviction;
 mod listener;
 mod log_limiter;
+mod node_conn;
 mod owner;
 mod reader;
+mod request_intake;
+mod shutdown;
 mod socket;
+mod statistics_log;
+mod sweep;
+mod wall_clock;
 
 use crate::config::Config;
 use grebecleat_host::router::Counters;
-use listener::{accept, ClientSlots};
+use listener::{accept, ClientSlots, ListenerHandle};
 use may::go;
 use may::net::TcpListener;
 use owner::Owner;
@@ -36,32 +47,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Coroutine stacks kept for connections to come. `may` makes a thousand at the start and touches
-/// each, which was 8 of the 10 MB that an idle host had; what is needed beyond these is made when
-/// it is needed.
+/// Number of coroutine stacks that are retained for new connections. By default, `may` creates a
+/// thousand at the start and touches each of them, which was 8 of the 10 MB of an idle host. Further
+/// stacks are created when they are needed. A larger value costs memory; a smaller one costs
+/// allocations.
 const SPARE_STACKS: usize = 32;
-/// Size of a coroutine's stack in words of eight bytes. Only a read and a send happen on it.
+/// Size of a coroutine's stack in words of eight bytes. The coroutines only read and send. A smaller
+/// value overflows; a larger one costs memory.
 const STACK_WORDS: usize = 4 << 10;
 /// Size of the signal thread's stack in bytes.
 const SIGNAL_STACK_BYTES: usize = 64 << 10;
-/// How long a worker without events waits before it polls by itself; see the host's own loop.
+/// Time after which a worker without events polls by itself; see the host's own loop. A larger value
+/// delays a missed wake; a smaller one costs processing time.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// What [`run`] is to do.
+/// The options of [`run`].
 pub struct Options {
-    /// The configuration to begin with.
+    /// The configuration at the start.
     pub config: Config,
-    /// Its file, read again on SIGHUP; None: SIGHUP does nothing.
+    /// The configuration's file, which is read again on SIGHUP; None: SIGHUP has no effect.
     pub file: Option<PathBuf>,
 }
 
-/// Runs the host until SIGTERM has shut it down. `started` gets the address it listens on.
+/// Runs the host until SIGTERM has shut it down. `started`: gets the address at which it listens.
 ///
-/// Errors: the signals cannot be caught, or the address cannot be listened on.
+/// Errors: the signals cannot be caught, or the address is in use or does not exist.
 pub fn run(options: Options, started: impl FnOnce(SocketAddr)) -> io::Result<Counters> {
     configure_coroutines();
     let (to_owner, events) = mpsc::channel();
-    // Before any peer can see this host as ready.
+    // The signals are caught before a peer can find this host ready.
     forward_signals(to_owner.clone())?;
     let listener = TcpListener::bind(options.config.listen)?;
     let address = listener.local_addr()?;
@@ -69,8 +83,7 @@
     let mut owner = Owner::new(
         options.config,
         options.file,
-        slots.clone(),
-        listener.as_raw_fd(),
+        ListenerHandle::new(slots.clone(), listener.as_raw_fd()),
         to_owner.clone(),
     );
     go!(move || accept(&listener, &slots, &to_owner));
@@ -84,8 +97,8 @@
         .set_workers(1)
         .set_stack_size(STACK_WORDS)
         .set_timeout_ns(POLL_INTERVAL.as_nanos() as u64);
-    // Its one worker would be bound to the first core, as that of every other host on the machine:
-    // what keeps that core busy keeps all of them from reading, whatever the other cores do.
+    // By default, `may` binds its one worker to the first core, on every host of the machine: a busy
+    // first core would keep all hosts from reading, even if the other cores were idle.
     may::config()
         .set_pool_capacity(SPARE_STACKS)
         .set_worker_pin(false);
--- a/crates/platform/src/run/client_ids.rs
+++ b/crates/platform/src/run/client_ids.rs
@@ -1,37 +1,39 @@
-//! Which ids of clients' requests are taken.
+//! The ids of clients' requests that are in use.
 //!
-//! A client's id is free once nothing of its request is out: until then a node could meet the id of
-//! an attempt that it has, and take it for a second copy. Bound: the open requests and the attempts
-//! that are out.
+//! State: the ids of open requests. An id becomes free once no attempt of its request is
+//! outstanding. Before that, a node could receive the id of an attempt that it runs, and take the
+//! new request for a hedged one. Bound: the open requests and the outstanding attempts.
 
 use super::connection::ClientExchange;
 use bytes::Bytes;
 use std::collections::HashSet;
 
-/// A request whose client is gone or answered while an attempt of it is out.
+/// A request whose client has left or has its response, and of which an attempt is outstanding.
 struct Lingering {
     client_id: String,
     request_id: Bytes,
 }
 
-/// Ids of open requests, as the clients gave them.
+/// Ids of open requests, as the clients sent them.
 #[derive(Default)]
 pub(super) struct ClientIds {
-    taken: HashSet<String>,
+    in_use: HashSet<String>,
     lingering: Vec<Lingering>,
 }
 
 impl ClientIds {
+    /// Returns whether the id is in use.
     pub(super) fn contains(&self, client_id: &str) -> bool {
-        self.taken.contains(client_id)
+        self.in_use.contains(client_id)
     }
 
+    /// Records an id.
     pub(super) fn insert(&mut self, client_id: String) {
-        self.taken.insert(client_id);
+        self.in_use.insert(client_id);
     }
 
-    /// The exchange is over for its client; `is_open` says whether something of its request is
-    /// still out.
+    /// Frees the id of an exchange that has ended for its client. `is_open`: whether an attempt of
+    /// its request is outstanding; the id then stays in use.
     pub(super) fn release(&mut self, exchange: ClientExchange, is_open: bool) {
         if is_open {
             self.lingering.push(Lingering {
@@ -39,17 +41,17 @@
                 request_id: exchange.request_id,
             });
         } else {
-            self.taken.remove(&exchange.client_id);
+            self.in_use.remove(&exchange.client_id);
         }
     }
 
-    /// Frees the ids of requests that have ended meanwhile.
+    /// Frees the ids of requests that have ended since the last sweep.
     pub(super) fn sweep(&mut self, is_open: impl Fn(&Bytes) -> bool) {
-        let taken = &mut self.taken;
+        let in_use = &mut self.in_use;
         self.lingering.retain(|lingering| {
             let open = is_open(&lingering.request_id);
             if !open {
-                taken.remove(&lingering.client_id);
+                in_use.remove(&lingering.client_id);
             }
             open
         });
--- a/crates/platform/src/run/connection.rs
+++ b/crates/platform/src/run/connection.rs
@@ -1,45 +1,46 @@
-//! What the owner knows of one connection, and the dials that are to become one. No I/O.
+//! The state of one connection.
 //!
-//! Used by every module of the owner. Bounds: one message read and one being written for each
-//! connection.
+//! [`super::connection_table`] owns the connections; the protocols ([`super::client_conn`],
+//! [`super::node_conn`]) change the state of one connection. No I/O. Bounds: one message that is
+//! being read and one that is being written for each connection.
 
 use super::reader::ReadGate;
 use bytes::Bytes;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input};
-use socket2::Socket;
-use std::net::SocketAddr;
 use std::os::fd::RawFd;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// After an error, what its client still sends is dropped for this long, or the error would be lost
-/// to a reset.
+/// Time after an error for which the client's further bytes are dropped. A smaller value loses the
+/// error to a reset; a larger one lets rejected clients occupy slots.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
-/// After an error, so many bytes of its client are dropped.
+/// Number of the client's bytes that are dropped after an error. Smaller and larger values: as
+/// above.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
 /// A request of a client that awaits its final answer.
 #[derive(Debug)]
 pub(super) struct ClientExchange {
-    /// The id that the client gave it.
+    /// The id that the client sent.
     pub(super) client_id: String,
-    /// The id that this host gave it.
+    /// The id that this host assigned.
     pub(super) request_id: Bytes,
     /// Whether the client lets the connection stay open.
     pub(super) keep_alive: bool,
 }
 
-/// What is dropped of a client that has had its last answer.
+/// The bound on dropping the bytes of a client that has had its last response.
 #[derive(Debug)]
 pub(super) struct Discard {
-    /// The connection is closed then.
+    /// When the connection is closed.
     pub(super) until: Duration,
-    /// The connection is closed after so many more bytes.
+    /// Number of further bytes after which the connection is closed.
     pub(super) bytes_left: usize,
 }
 
 impl Discard {
+    /// Returns the bound for a client whose last response was composed at `now`.
     pub(super) fn from(now: Duration) -> Self {
         Discard {
             until: now + DISCARD_TIMEOUT,
@@ -54,12 +55,24 @@
     pub(super) exchange: Option<ClientExchange>,
     /// Whether the client has sent anything.
     pub(super) has_sent: bool,
-    /// When the exchange that has begun began, or when the connection fell idle.
+    /// When the current exchange began, or when the connection became idle.
     pub(super) since: Duration,
-    /// Present once it has had its last answer.
+    /// Present once the client has had its last response.
     pub(super) discard: Option<Discard>,
 }
 
+impl ClientState {
+    /// Returns the state of a client that was accepted at `now`.
+    pub(super) fn new(now: Duration) -> Self {
+        ClientState {
+            exchange: None,
+            has_sent: false,
+            since: now,
+            discard: None,
+        }
+    }
+}
+
 /// The one exchange that a node's connection carries.
 #[derive(Debug)]
 pub(super) enum NodeExchange {
@@ -77,25 +90,25 @@
     PeerClosed,
     /// The socket takes no more bytes.
     WriteFailed,
-    /// The router has given it up: an attempt on it is over, it was idle, or it moved.
+    /// The router has closed it: an attempt on it has ended, it was idle, or discovery moved.
     ClosedByRouter,
-    /// What it waited for has not come in time.
+    /// The awaited bytes have not come in time.
     TimedOut,
-    /// It waited for nothing, and idled for too long or stood in the way of others.
+    /// It awaited nothing, and was idle for too long or occupied a slot that others need.
     Idle,
-    /// Its last answer said that it would be closed.
+    /// Its last response announced the close.
     AnsweredLast,
-    /// Its peer sent what answers or belongs to nothing.
+    /// Its peer has sent bytes that belong to no request.
     UnexpectedBytes,
-    /// Its peer's answer cannot be read, is no success, or will never be complete.
+    /// Its peer's response cannot be read, is no success, or will never be complete.
     BadAnswer,
-    /// Its client was gone before its request could be sent.
+    /// Its client had left before its request could be sent.
     ClientDeparted,
-    /// Its client sends more than may wait.
+    /// Its client sends more bytes than may wait.
     TooMuchPipelined,
 }
 
-/// Which kind of peer is at the other end.
+/// The peer at the other end, and the state of the protocol with it.
 pub(super) enum Role {
     Client(ClientState),
     Node(NodeExchange),
@@ -113,12 +126,12 @@
     /// Bytes of the write buffer that the socket has taken.
     pub(super) written: usize,
     pub(super) opened_at: Duration,
-    /// When the last bytes of the read buffer came.
+    /// When the last bytes came into the read buffer.
     pub(super) last_read_at: Duration,
 }
 
 impl Role {
-    /// The kind of peer; for the log.
+    /// Returns the kind of peer, as the log names it.
     pub(super) fn name(&self) -> &'static str {
         match self {
             Role::Client(_) => "client",
@@ -129,13 +142,13 @@
 }
 
 impl Connection {
-    /// Whether the socket has yet to take something that was composed.
+    /// Returns whether the socket has yet to take bytes of the write buffer.
     pub(super) fn has_unwritten(&self) -> bool {
         self.written < self.write_buffer.len()
     }
 }
 
-/// What a dial is for.
+/// The peer of a dial.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum DialTarget {
     Node,
@@ -143,7 +156,7 @@
 }
 
 impl DialTarget {
-    /// The router's input for a dial that has failed.
+    /// Returns the router's input for a dial that has failed.
     pub(super) fn gone(self, conn: ConnId) -> Input {
         match self {
             DialTarget::Node => Input::NodeGone { conn },
@@ -151,7 +164,7 @@
         }
     }
 
-    /// The router's input for a dial that has succeeded.
+    /// Returns the router's input for a dial that has succeeded.
     pub(super) fn up(self, conn: ConnId, outbox: Arc<Outbox>) -> Input {
         match self {
             DialTarget::Node => Input::NodeUp { conn, outbox },
@@ -160,23 +173,6 @@
     }
 }
 
-/// A dial whose outcome is not known yet.
-pub(super) struct PendingDial {
-    pub(super) conn: ConnId,
-    pub(super) socket: Socket,
-    /// It has failed then.
-    pub(super) deadline: Duration,
-    pub(super) target: DialTarget,
-}
-
-/// A dial to a node that waits for a descriptor.
-pub(super) struct QueuedDial {
-    pub(super) conn: ConnId,
-    pub(super) address: SocketAddr,
-    /// It has failed then.
-    pub(super) deadline: Duration,
-}
-
 /// Removes the first `used` bytes, and frees the memory once nothing is left.
 pub(super) fn consume(buffer: &mut Vec<u8>, used: usize) {
     if used >= buffer.len() {
--- /dev/null
+++ b/crates/platform/src/run/connection_table.rs
@@ -0,0 +1,181 @@
+//! The open connections, and what their sockets have yet to do.
+//!
+//! The owner calls [`ConnectionTable`]. State: every open connection, the closed connections whose
+//! readers have yet to end, the connections whose outboxes have changed, and the connections whose
+//! sockets did not take all bytes. Bound: the descriptors.
+
+use super::connection::{consume, ClientState, CloseReason, Connection, Role};
+use super::reader::ReadGate;
+use grebecleat_host::outbox::Outbox;
+use grebecleat_host::router::ConnId;
+use std::collections::{BTreeMap, BTreeSet};
+use std::io;
+use std::os::fd::RawFd;
+use std::sync::{Arc, Mutex};
+use std::time::Duration;
+use tracing::debug;
+
+/// The result of writing a connection's write buffer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum WriteOutcome {
+    /// The socket has taken all bytes.
+    Complete,
+    /// The socket takes no more bytes now, or the connection is closed.
+    Blocked,
+    /// The socket takes no more bytes at all.
+    Failed,
+}
+
+/// The open connections.
+#[derive(Default)]
+pub(super) struct ConnectionTable {
+    open: BTreeMap<ConnId, Connection>,
+    /// Closed by this process; their readers have yet to end.
+    closing: BTreeSet<ConnId>,
+    /// Connections whose outboxes have changed.
+    changed_outboxes: Arc<Mutex<Vec<ConnId>>>,
+    /// Connections whose sockets did not take all bytes.
+    blocked: BTreeSet<ConnId>,
+}
+
+impl ConnectionTable {
+    /// Adds a connection and returns its outbox.
+    pub(super) fn add(
+        &mut self,
+        conn: ConnId,
+        role: Role,
+        fd: RawFd,
+        gate: Arc<ReadGate>,
+        now: Duration,
+    ) -> Arc<Outbox> {
+        let changed = self.changed_outboxes.clone();
+        let notify = move || {
+            let mut changed = changed.lock().unwrap_or_else(|error| error.into_inner());
+            changed.push(conn);
+        };
+        // Closing notifies as well, and no coroutine waits in the socket.
+        let outbox = Arc::new(Outbox::new(notify, || ()));
+        let connection = Connection {
+            role,
+            fd,
+            gate,
+            outbox: outbox.clone(),
+            read_buffer: Vec::new(),
+            write_buffer: Vec::new(),
+            written: 0,
+            opened_at: now,
+            last_read_at: now,
+        };
+        self.open.insert(conn, connection);
+        outbox
+    }
+
+    /// Returns an open connection.
+    pub(super) fn get(&self, conn: ConnId) -> Option<&Connection> {
+        self.open.get(&conn)
+    }
+
+    /// Returns an open connection.
+    pub(super) fn get_mut(&mut self, conn: ConnId) -> Option<&mut Connection> {
+        self.open.get_mut(&conn)
+    }
+
+    /// Returns the open connections in the order of their numbers.
+    pub(super) fn iter(&self) -> impl Iterator<Item = (ConnId, &Connection)> {
+        self.open
+            .iter()
+            .map(|(conn, connection)| (*conn, connection))
+    }
+
+    /// Closes a connection; its reader ends, and with it the descriptor. Returns the connection, if
+    /// it was open.
+    pub(super) fn close(
+        &mut self,
+        conn: ConnId,
+        reason: CloseReason,
+        now: Duration,
+    ) -> Option<Connection> {
+        let connection = self.open.remove(&conn)?;
+        let peer = connection.role.name();
+        let open_ms = now.saturating_sub(connection.opened_at).as_millis();
+        debug!(conn = conn.0, peer, ?reason, open_ms, "connection closed");
+        self.blocked.remove(&conn);
+        // SAFETY: the number is its own until `OwnerEvent::Ended` has brought the stream.
+        unsafe { libc::shutdown(connection.fd, libc::SHUT_RDWR) };
+        connection.gate.close();
+        self.closing.insert(conn);
+        Some(connection)
+    }
+
+    /// Records that the reader of a connection has ended; returns whether this process had closed
+    /// the connection.
+    pub(super) fn reader_ended(&mut self, conn: ConnId) -> bool {
+        self.closing.remove(&conn)
+    }
+
+    /// Returns whether a socket did not take all bytes.
+    pub(super) fn has_blocked(&self) -> bool {
+        !self.blocked.is_empty()
+    }
+
+    /// Returns the connections that may have something to write: those with a changed outbox, then
+    /// those with a socket that did not take all bytes.
+    pub(super) fn take_writable(&mut self) -> Vec<ConnId> {
+        let mut changed = self
+            .changed_outboxes
+            .lock()
+            .unwrap_or_else(|error| error.into_inner());
+        let mut writable = std::mem::take(&mut *changed);
+        writable.extend(std::mem::take(&mut self.blocked));
+        writable
+    }
+
+    /// Returns the bytes of nodes' responses that are not complete yet.
+    pub(super) fn unread_node_bytes(&self) -> usize {
+        let nodes = self
+            .open
+            .values()
+            .filter(|connection| matches!(connection.role, Role::Node(_)));
+        nodes.map(|connection| connection.read_buffer.len()).sum()
+    }
+
+    /// Writes the write buffer of a connection without waiting.
+    pub(super) fn write(&mut self, conn: ConnId) -> WriteOutcome {
+        let Some(connection) = self.open.get_mut(&conn) else {
+            return WriteOutcome::Blocked;
+        };
+        while connection.has_unwritten() {
+            let rest = &connection.write_buffer[connection.written..];
+            let flags = libc::MSG_DONTWAIT | libc::MSG_NOSIGNAL;
+            // SAFETY: the pointer and the length are of one live slice; the number is still its
+            // own.
+            let sent =
+                unsafe { libc::send(connection.fd, rest.as_ptr().cast(), rest.len(), flags) };
+            if let Ok(sent) = usize::try_from(sent) {
+                connection.written += sent;
+                continue;
+            }
+            match io::Error::last_os_error().kind() {
+                io::ErrorKind::Interrupted => {}
+                io::ErrorKind::WouldBlock => {
+                    self.blocked.insert(conn);
+                    return WriteOutcome::Blocked;
+                }
+                _ => return WriteOutcome::Failed,
+            }
+        }
+        if !connection.write_buffer.is_empty() {
+            connection.written = 0;
+            consume(&mut connection.write_buffer, usize::MAX);
+            if let Role::Client(ClientState {
+                discard: Some(_), ..
+            }) = connection.role
+            {
+                // SAFETY: the number is still its own.
+                unsafe { libc::shutdown(connection.fd, libc::SHUT_WR) };
+            }
+        }
+        connection.outbox.batch_written();
+        WriteOutcome::Complete
+    }
+}
--- a/crates/platform/src/run/listener.rs
+++ b/crates/platform/src/run/listener.rs
@@ -1,29 +1,33 @@
-//! The coroutine that accepts clients, as many as have a descriptor.
+//! The coroutine that accepts clients, as many as have a descriptor, and the owner's handle on it.
 //!
-//! State shared with the owner: [`ClientSlots`]. Where none is free it reports so and waits until
-//! the owner wakes it; clients then wait in the listener's queue.
+//! State that the coroutine shares with the owner: [`ClientSlots`]. If no slot is free, the
+//! coroutine reports it and waits until the owner wakes it; clients then wait in the listener's
+//! queue.
 
 use super::reader::{start_reader, OwnerEvent, ReadGate};
+use super::socket::has_connection_queued;
 use grebecleat_host::router::ConnId;
 use may::net::TcpListener;
 use may::sync::Semphore;
-use std::os::fd::AsRawFd;
+use std::os::fd::{AsRawFd, RawFd};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::mpsc::Sender;
+use std::sync::Arc;
 
-/// Connections up to this number are the router's own; those above it are accepted ones.
+/// Connections up to this number are dialled by the router; connections above it are accepted. A
+/// smaller value lets the numbers of the two kinds meet.
 pub(super) const LAST_DIALED_CONN: u64 = 1 << 48;
 
-/// Between the listener and the owner: how many client connections there are.
+/// The number of client connections, which the listener and the owner share.
 pub(super) struct ClientSlots {
     /// Accepted connections whose socket is not closed yet.
-    pub(super) used: AtomicUsize,
-    /// The most of them.
-    pub(super) limit: usize,
+    used: AtomicUsize,
+    /// The largest number of them.
+    limit: usize,
     /// Wakes a listener that waits for a slot.
-    pub(super) wake: Semphore,
-    /// The listener ends.
-    pub(super) stopped: AtomicBool,
+    wake: Semphore,
+    /// Whether the listener ends.
+    is_stopped: AtomicBool,
 }
 
 impl ClientSlots {
@@ -32,15 +36,75 @@
             used: AtomicUsize::new(0),
             limit,
             wake: Semphore::new(0),
-            stopped: AtomicBool::new(false),
+            is_stopped: AtomicBool::new(false),
         }
     }
 }
 
+/// The owner's handle on the listener.
+pub(super) struct ListenerHandle {
+    slots: Arc<ClientSlots>,
+    fd: RawFd,
+    /// Whether the listener waits for a slot.
+    is_waiting: bool,
+}
+
+impl ListenerHandle {
+    /// `fd`: of the listener, which stays open in its coroutine until [`ListenerHandle::close`].
+    pub(super) fn new(slots: Arc<ClientSlots>, fd: RawFd) -> Self {
+        ListenerHandle {
+            slots,
+            fd,
+            is_waiting: false,
+        }
+    }
+
+    /// Returns the largest number of client connections.
+    pub(super) fn limit(&self) -> usize {
+        self.slots.limit
+    }
+
+    /// Returns whether the listener waits for a slot.
+    pub(super) fn is_waiting(&self) -> bool {
+        self.is_waiting
+    }
+
+    /// Records that the listener waits for a slot.
+    pub(super) fn slots_exhausted(&mut self) {
+        self.is_waiting = true;
+    }
+
+    /// Frees the slot of a client whose socket is closed, and wakes a listener that waits for it.
+    pub(super) fn slot_freed(&mut self) {
+        self.slots.used.fetch_sub(1, Ordering::AcqRel);
+        if std::mem::take(&mut self.is_waiting) {
+            self.wake();
+        }
+    }
+
+    /// Wakes the listener.
+    pub(super) fn wake(&self) {
+        self.slots.wake.post();
+    }
+
+    /// Returns whether a client waits in the listener's queue.
+    pub(super) fn has_connection_queued(&self) -> bool {
+        has_connection_queued(self.fd)
+    }
+
+    /// Closes the listener.
+    pub(super) fn close(&self) {
+        self.slots.is_stopped.store(true, Ordering::Release);
+        // SAFETY: the listener lives in its coroutine until it sees this.
+        unsafe { libc::shutdown(self.fd, libc::SHUT_RDWR) };
+        self.wake();
+    }
+}
+
 /// Accepts clients until the slots are stopped.
 pub(super) fn accept(listener: &TcpListener, slots: &ClientSlots, to_owner: &Sender<OwnerEvent>) {
     let mut last = LAST_DIALED_CONN;
-    while !slots.stopped.load(Ordering::Acquire) {
+    while !slots.is_stopped.load(Ordering::Acquire) {
         if slots.used.load(Ordering::Acquire) >= slots.limit {
             let _ = to_owner.send(OwnerEvent::SlotsExhausted);
             slots.wake.wait();
@@ -63,7 +127,8 @@
                 }
                 start_reader(stream, conn, gate, to_owner.clone());
             }
-            // Out of descriptors, or the client is gone already: the owner's next sweep wakes us.
+            // No descriptor is free, or the client has left already: the owner's next sweep wakes
+            // this coroutine.
             Err(_) => {
                 let _ = to_owner.send(OwnerEvent::SlotsExhausted);
                 slots.wake.wait();
--- a/crates/platform/src/run/log_limiter.rs
+++ b/crates/platform/src/run/log_limiter.rs
@@ -1,10 +1,12 @@
-//! Bounds the lines of the log that peers or a bad configuration can cause. No clock of its own.
+//! A bound on the lines of the log that peers or a bad configuration can cause. No clock of its own.
 
 use std::time::Duration;
 use tracing::warn;
 
-/// Lines of the log in one interval; further ones are counted.
+/// The largest number of lines in one interval; further lines are counted. A larger value lets a
+/// peer fill the log; a smaller one hides causes.
 const MAX_LINES: u32 = 20;
+/// Length of an interval.
 const INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Counts the lines of the current interval.
@@ -22,11 +24,12 @@
         }
     }
 
-    /// Whether one more line may be logged now.
+    /// Returns whether one more line may be logged now.
     pub(super) fn allow(&mut self, now: Duration) -> bool {
         if now > self.since + INTERVAL {
             if self.lines > MAX_LINES {
-                warn!("{} lines left out", self.lines - MAX_LINES);
+                let lines = self.lines - MAX_LINES;
+                warn!(lines, "log lines suppressed");
             }
             self.since = now;
             self.lines = 0;
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -1,140 +1,101 @@
-//! The loop of the one owner: the router, and the state of every connection.
+//! The loop of the one owner, which keeps the order of things.
 //!
-//! [`Owner::run`] takes what the readers, the listener and signals report, steps the router and
-//! carries out what it returns, until a shutdown is complete. Files: `client_conn`, `eviction`
-//! (which clients' connections are closed for others), `node_conn`, `discovery_conn`, `dials`,
-//! `writer`, `sweep`, `shutdown`, `reload`.
+//! [`Owner::run`] takes the events of the readers, the listener and the signals, steps the router and
+//! performs the router's outputs, until a shutdown is complete. Every other part of the state has its
+//! own owner: the connections ([`ConnectionTable`]), the dials ([`Dialer`]), the clients' requests
+//! ([`RequestIntake`]), discovery ([`DiscoveryPort`]), the listener ([`ListenerHandle`]), the
+//! shutdown ([`Shutdown`]), the log ([`LogLimiter`], [`StatisticsLog`]). Files: `receive` (bytes that
+//! have come), `send` (contents of the outboxes).
 //!
 //! Bounds: [`MAX_EVENTS_PER_STEP`] events go into one step, so that a flood cannot delay timers.
 
-mod client_conn;
-mod dials;
-mod discovery_conn;
-mod eviction;
-mod node_conn;
-mod reload;
-mod shutdown;
-mod sweep;
-mod writer;
+mod receive;
+mod send;
 
-use super::client_ids::ClientIds;
-use super::connection::{
-    ClientState, CloseReason, Connection, DialTarget, PendingDial, QueuedDial, Role,
-};
-use super::listener::{ClientSlots, LAST_DIALED_CONN};
+use super::client_conn;
+use super::connection::{CloseReason, DialTarget, NodeExchange, Role};
+use super::connection_table::ConnectionTable;
+use super::dials::{DialOutcome, Dialer};
+use super::discovery_conn::DiscoveryPort;
+use super::eviction::{self, EvictionClass};
+use super::listener::{ListenerHandle, LAST_DIALED_CONN};
 use super::log_limiter::LogLimiter;
-use super::reader::{OwnerEvent, ReadGate};
-use crate::clients::RequestParser;
+use super::reader::{start_reader, OwnerEvent, ReadGate};
+use super::request_intake::RequestIntake;
+use super::shutdown::{ListenerClosing, Shutdown};
+use super::statistics_log::StatisticsLog;
+use super::sweep::{Expired, ShutdownPhase, REQUEST_TIMEOUT, SWEEP_INTERVAL};
 use crate::config::{Config, DISCOVERY_TERM};
-use crate::discovery::EndpointNames;
-use crate::statistics::StatisticsReporter;
 use grebecleat_discovery::calls::CALL_TIMEOUT;
-use grebecleat_discovery::long_polling::{Event as PollingEvent, LongPolling, PollConn};
-use grebecleat_host::outbox::Outbox;
+use grebecleat_discovery::long_polling::{Event as PollingEvent, PollConn};
 use grebecleat_host::router::{ConnId, Counters, Input, Output, RequestRouter};
 use grebecleat_scheduler::api::PeerId;
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::os::fd::RawFd;
+use may::net::TcpStream;
+use std::net::SocketAddr;
+use std::os::fd::{AsRawFd, FromRawFd, IntoRawFd};
 use std::path::PathBuf;
-use std::sync::atomic::Ordering;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender};
-use std::sync::{Arc, Mutex};
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tracing::{debug, info};
+use std::time::Duration;
+use tracing::info;
 
-/// Events that go into one step, so that a flood cannot delay timers.
+/// The largest number of events in one step. A larger value lets a flood delay timers; a smaller one
+/// costs more steps.
 const MAX_EVENTS_PER_STEP: usize = 512;
-/// After a pause of this process: time for the readers to bring what waits in the sockets.
+/// Time after a pause of this process in which the readers report what is in the sockets. A smaller
+/// value charges nodes with the pause; a larger one prolongs it.
 const CATCH_UP_TIME: Duration = Duration::from_millis(3);
-/// Dials and sockets that did not take all are looked at again after this.
+/// Time after which dials, and sockets that did not take all bytes, are checked again. A larger value
+/// delays attempts; a smaller one costs processing time.
 const RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The router, every connection, and what is to be done about them.
+/// The order of things on the platform: the router, and the parts that serve it.
 pub(super) struct Owner {
     config: Config,
     /// Read again on SIGHUP.
     config_file: Option<PathBuf>,
-    request_parser: RequestParser,
-    endpoint_names: EndpointNames,
     router: RequestRouter,
-    connections: BTreeMap<ConnId, Connection>,
-    /// Closed by us; their readers have yet to end.
-    closing: BTreeSet<ConnId>,
-    pending_dials: Vec<PendingDial>,
-    queued_dials: VecDeque<QueuedDial>,
-    /// Connections to nodes that have a descriptor: dialled, up, or closed with a reader that has
-    /// yet to end.
-    node_descriptors: BTreeSet<ConnId>,
-    /// What the router's next step takes in.
+    /// Inputs of the router's next step.
     inputs: Vec<Input>,
-    /// Connections whose outboxes have something new.
-    changed_outboxes: Arc<Mutex<Vec<ConnId>>>,
-    /// Connections whose sockets did not take all.
-    blocked: BTreeSet<ConnId>,
-    client_ids: ClientIds,
-    /// Requests taken since the start; numbers them.
-    received: u64,
-    /// The calls to discovery.
-    polling: LongPolling,
-    slots: Arc<ClientSlots>,
-    listener: RawFd,
-    /// The listener waits for a slot.
-    listener_waits: bool,
+    connections: ConnectionTable,
+    dialer: Dialer,
+    intake: RequestIntake,
+    discovery: DiscoveryPort,
+    listener: ListenerHandle,
     to_owner: Sender<OwnerEvent>,
-    /// Discovery has answered since the start.
-    discovery_answered: bool,
-    /// There was an endpoint list from before the start.
-    has_cached_endpoints: bool,
+    shutdown: Shutdown,
     sweep_at: Duration,
-    /// When the shutdown was asked for.
-    draining_since: Option<Duration>,
-    listener_closed_at: Option<Duration>,
     log_limiter: LogLimiter,
-    statistics: StatisticsReporter,
-    statistics_at: Duration,
+    statistics: StatisticsLog,
 }
 
 impl Owner {
     pub(super) fn new(
         config: Config,
         config_file: Option<PathBuf>,
-        slots: Arc<ClientSlots>,
-        listener: RawFd,
+        listener: ListenerHandle,
         to_owner: Sender<OwnerEvent>,
     ) -> Self {
         let router = RequestRouter::new(config.settings.clone(), config.seed)
             .with_exclusive_connections()
             .with_poll_deadline(DISCOVERY_TERM, CALL_TIMEOUT);
         let now = clock::now();
+        let settings = &config.settings;
+        let poll_interval = settings.list.rule.poll_interval;
         let mut owner = Owner {
-            request_parser: RequestParser::new(&config),
-            endpoint_names: EndpointNames::default(),
             router,
-            connections: BTreeMap::new(),
-            closing: BTreeSet::new(),
-            pending_dials: Vec::new(),
-            queued_dials: VecDeque::new(),
-            node_descriptors: BTreeSet::new(),
             inputs: Vec::new(),
-            changed_outboxes: Arc::default(),
-            blocked: BTreeSet::new(),
-            client_ids: ClientIds::default(),
-            received: 0,
-            polling: LongPolling::new(config.discovery, config.settings.list.rule.poll_interval),
-            slots,
+            connections: ConnectionTable::default(),
+            dialer: Dialer::new(settings.bounds.dial_timeout, config.descriptors.nodes),
+            intake: RequestIntake::new(&config),
+            discovery: DiscoveryPort::new(config.discovery, poll_interval),
             listener,
-            listener_waits: false,
             to_owner,
-            discovery_answered: false,
-            has_cached_endpoints: false,
+            shutdown: Shutdown::new(settings.longest_deadline()),
             sweep_at: now,
-            draining_since: None,
-            listener_closed_at: None,
             log_limiter: LogLimiter::new(now),
-            statistics: StatisticsReporter::default(),
-            statistics_at: now,
+            statistics: StatisticsLog::new(&config, now),
             config_file,
             config,
         };
@@ -150,7 +111,7 @@
             poll_interval = ?settings.list.rule.poll_interval,
             drain_grace = ?settings.rules.drain_grace,
             hosts = settings.rules.cold.hosts,
-            cached_endpoints = self.has_cached_endpoints,
+            cached_endpoints = self.discovery.has_cached_list(),
             "settings in force"
         );
     }
@@ -161,7 +122,7 @@
 
     /// Runs until a shutdown is complete, or every sender of events is gone.
     pub(super) fn run(&mut self, events: &Receiver<OwnerEvent>) {
-        // A first step, so that the decisions ask for the endpoint list without waiting for a
+        // A first step, so that the scheduler requests the endpoint list without waiting for a
         // client.
         self.inputs.push(Input::PeerMessage {
             from: PeerId(u32::MAX),
@@ -194,7 +155,7 @@
                 self.sweep();
             }
             if self.shutdown_is_complete() {
-                self.log_statistics();
+                self.statistics.write(&mut self.router);
                 return;
             }
         }
@@ -203,23 +164,20 @@
     fn time_to_wake(&mut self) -> Duration {
         let now = clock::now();
         let mut wake = self.router.wake_at().min(self.sweep_at);
-        let nothing_to_retry = self.pending_dials.is_empty()
-            && self.queued_dials.is_empty()
-            && self.blocked.is_empty();
-        if !nothing_to_retry {
+        if !self.dialer.is_idle() || self.connections.has_blocked() {
             wake = wake.min(now + RETRY_INTERVAL);
         }
         wake.saturating_sub(now)
     }
 
-    /// Answers that came during a pause of this process are read before a node's silence is
-    /// evaluated.
+    /// Gives the readers time to report what came during a pause of this process, before the router
+    /// evaluates the silence of nodes.
     fn catch_up_after_pause(&mut self) {
         if !self.router.detect_pause(clock::now()) {
             return;
         }
         if self.may_log() {
-            info!("this process was paused; its own delay is not charged to the nodes");
+            info!("process pause detected, delay not charged to nodes");
         }
         std::thread::sleep(CATCH_UP_TIME);
     }
@@ -236,7 +194,7 @@
         match output {
             Output::Dial { conn, address, .. } => self.dial(conn, address, DialTarget::Node),
             Output::DialDiscovery { conn } => {
-                self.dial(conn, self.polling.address(), DialTarget::Discovery)
+                self.dial(conn, self.discovery.address(), DialTarget::Discovery)
             }
             Output::Log { text } => {
                 if self.may_log() {
@@ -248,7 +206,7 @@
                     event.write(None);
                 }
             }
-            // No disk, no state service, no peers here.
+            // The platform has no disk, no state service and no peers.
             Output::CacheEndpoints { .. }
             | Output::DialStateService { .. }
             | Output::Persist { .. }
@@ -262,100 +220,95 @@
             OwnerEvent::Accepted { conn, fd, gate } => self.client_accepted(conn, fd, gate),
             OwnerEvent::Read { conn, at, bytes } => self.handle_read(conn, at, &bytes),
             OwnerEvent::Ended { conn, stream } => {
-                if !self.closing.remove(&conn) {
+                if !self.connections.reader_ended(conn) {
                     self.connection_lost(conn, CloseReason::PeerClosed);
-                    self.closing.remove(&conn);
+                    self.connections.reader_ended(conn);
                 }
                 drop(stream);
                 self.descriptor_freed(conn);
             }
             OwnerEvent::SlotsExhausted => {
-                self.listener_waits = true;
+                self.listener.slots_exhausted();
                 self.make_room();
             }
             OwnerEvent::Signal(signal_hook::consts::SIGHUP) => self.reload(),
-            OwnerEvent::Signal(_) if self.draining_since.is_none() => {
-                self.draining_since = Some(clock::now());
+            OwnerEvent::Signal(_) if !self.shutdown.is_requested() => {
+                self.shutdown.request(clock::now());
                 if self.may_log() {
-                    info!("shutdown requested: requests are served until shortly before the kill");
+                    info!("shutdown requested, serving until shortly before the kill");
                 }
             }
             OwnerEvent::Signal(_) => {}
         }
     }
 
-    /// The socket of a connection is closed: its descriptor serves another.
+    /// Records that the socket of a connection is closed: its descriptor serves another connection.
     fn descriptor_freed(&mut self, conn: ConnId) {
-        self.node_descriptors.remove(&conn);
-        if conn.0 <= LAST_DIALED_CONN {
-            return;
+        self.dialer.descriptor_freed(conn);
+        if conn.0 > LAST_DIALED_CONN {
+            self.listener.slot_freed();
+        }
+    }
+
+    fn dial(&mut self, conn: ConnId, address: SocketAddr, target: DialTarget) {
+        let outcome = self.dialer.dial(clock::now(), conn, address, target);
+        if let Some(outcome) = outcome {
+            self.dial_ended(outcome, clock::now());
         }
-        self.slots.used.fetch_sub(1, Ordering::AcqRel);
-        if std::mem::take(&mut self.listener_waits) {
-            self.slots.wake.post();
+    }
+
+    fn check_dials(&mut self) {
+        let now = clock::now();
+        for outcome in self.dialer.check(now) {
+            self.dial_ended(outcome, now);
         }
     }
 
-    fn add_connection(
-        &mut self,
-        conn: ConnId,
-        role: Role,
-        fd: RawFd,
-        gate: Arc<ReadGate>,
-        now: Duration,
-    ) -> Arc<Outbox> {
-        let changed = self.changed_outboxes.clone();
-        let notify = move || changed.lock().unwrap_or_else(|e| e.into_inner()).push(conn);
-        // Closing notifies as well, and no coroutine waits in the socket.
-        let outbox = Arc::new(Outbox::new(notify, || ()));
-        let connection = Connection {
-            role,
-            fd,
-            gate,
-            outbox: outbox.clone(),
-            read_buffer: Vec::new(),
-            write_buffer: Vec::new(),
-            written: 0,
-            opened_at: now,
-            last_read_at: now,
+    fn dial_ended(&mut self, outcome: DialOutcome, now: Duration) {
+        let DialOutcome { conn, target, .. } = outcome;
+        let Some(socket) = outcome.socket else {
+            return self.inputs.push(target.gone(conn));
+        };
+        // SAFETY: the number has just been given up by its only owner.
+        let stream = unsafe { TcpStream::from_raw_fd(socket.into_raw_fd()) };
+        let gate = ReadGate::new();
+        let role = match target {
+            DialTarget::Node => Role::Node(NodeExchange::Idle),
+            DialTarget::Discovery => {
+                let conn = PollConn(conn.0);
+                self.step_discovery(PollingEvent::Connected { conn });
+                Role::Discovery
+            }
         };
-        self.connections.insert(conn, connection);
-        outbox
+        let fd = stream.as_raw_fd();
+        let outbox = self.connections.add(conn, role, fd, gate.clone(), now);
+        start_reader(stream, conn, gate, self.to_owner.clone());
+        self.inputs.push(target.up(conn, outbox));
     }
 
-    /// Closes a connection without reporting it to the router; its reader ends, and with it the
-    /// descriptor.
+    /// Closes a connection without reporting it to the router.
     fn close(&mut self, conn: ConnId, reason: CloseReason) {
-        let Some(connection) = self.connections.remove(&conn) else {
+        let Some(connection) = self.connections.close(conn, reason, clock::now()) else {
             return;
         };
-        let peer = connection.role.name();
-        let open_ms = clock::now()
-            .saturating_sub(connection.opened_at)
-            .as_millis();
-        debug!(conn = conn.0, peer, ?reason, open_ms, "connection closed");
-        if matches!(connection.role, Role::Discovery) {
-            let conn = PollConn(conn.0);
-            self.step_polling(PollingEvent::Closed { conn });
-        }
-        if let Role::Client(ClientState {
-            exchange: Some(exchange),
-            ..
-        }) = connection.role
-        {
-            let is_open = self.router.is_open(&exchange.request_id);
-            self.client_ids.release(exchange, is_open);
+        match connection.role {
+            Role::Client(client) => {
+                if let Some(exchange) = client.exchange {
+                    let is_open = self.router.is_open(&exchange.request_id);
+                    self.intake.release(exchange, is_open);
+                }
+            }
+            Role::Node(_) => {}
+            Role::Discovery => {
+                let conn = PollConn(conn.0);
+                self.step_discovery(PollingEvent::Closed { conn });
+            }
         }
-        self.blocked.remove(&conn);
-        // SAFETY: the number is its own until `OwnerEvent::Ended` has brought the stream.
-        unsafe { libc::shutdown(connection.fd, libc::SHUT_RDWR) };
-        connection.gate.close();
-        self.closing.insert(conn);
     }
 
-    /// A connection has ended, or is of no further use.
+    /// Closes a connection that has ended or cannot be used again, and reports it to the router.
     fn connection_lost(&mut self, conn: ConnId, reason: CloseReason) {
-        let Some(connection) = self.connections.get(&conn) else {
+        let Some(connection) = self.connections.get(conn) else {
             return;
         };
         self.inputs.push(match connection.role {
@@ -366,22 +319,159 @@
         self.close(conn, reason);
     }
 
-    fn handle_read(&mut self, conn: ConnId, at: Duration, bytes: &[u8]) {
-        let Some(connection) = self.connections.get_mut(&conn) else {
+    /// Closes a client's connection that awaits nothing, unless the client has sent something that
+    /// is not processed yet: closing it now would lose the request. The next sweep then finds the
+    /// connection again. Returns whether it was closed.
+    fn close_if_quiet(&mut self, conn: ConnId) -> bool {
+        let closed = self
+            .connections
+            .get(conn)
+            .is_some_and(|connection| connection.gate.close_unless_input(connection.fd));
+        if closed {
+            self.connection_lost(conn, CloseReason::Idle);
+        }
+        closed
+    }
+
+    fn sweep(&mut self) {
+        let now = clock::now();
+        self.sweep_at = now + SWEEP_INTERVAL;
+        let phase = ShutdownPhase {
+            is_requested: self.shutdown.is_requested(),
+            closes_after_answer: self.shutdown.closes_after_answer(now),
+        };
+        let expired = Expired::find(&self.connections, &self.discovery, now, phase);
+        self.step_discovery(PollingEvent::CheckTimeouts);
+        for conn in expired.close {
+            self.connection_lost(conn, CloseReason::TimedOut);
+        }
+        for conn in expired.idle {
+            self.close_if_quiet(conn);
+        }
+        self.limit_idle_clients();
+        for conn in expired.malformed {
+            self.answer_malformed(conn);
+        }
+        for conn in expired.incomplete {
+            self.reject(conn, &REQUEST_TIMEOUT);
+        }
+        if self.listener.is_waiting() {
+            self.make_room();
+            self.listener.wake();
+        }
+        if phase.closes_after_answer {
+            self.close_listener_when_due(now);
+        }
+        let router = &self.router;
+        self.intake.sweep(|request| router.is_open(request));
+        self.statistics.write_if_due(now, &mut self.router);
+    }
+
+    /// Closes clients' connections if all slots are in use, see [`eviction`].
+    fn make_room(&mut self) {
+        let candidates = eviction::candidates(&self.connections, clock::now());
+        // A host that shuts down keeps as many clients that have sent requests as it may ever keep:
+        // late in its shutdown, they get no other connection here. It keeps no more than that;
+        // otherwise new clients would get none.
+        let mut excess = if self.shutdown.is_requested() {
+            let max_idle_clients = self.config.descriptors.idle_clients;
+            eviction::excess_idle_clients(&self.connections, max_idle_clients)
+        } else {
+            usize::MAX
+        };
+        // A connection that turns out to have sent something does not count; otherwise one whose
+        // bytes are not processed yet would leave the listener waiting for the next sweep.
+        let mut closings_left = eviction::max_closings(self.listener.limit());
+        for candidate in candidates {
+            let conn = candidate.conn;
+            let closed = match candidate.class {
+                EvictionClass::Rejected => {
+                    self.connection_lost(conn, CloseReason::AnsweredLast);
+                    true
+                }
+                EvictionClass::Silent => self.close_if_quiet(conn),
+                EvictionClass::LongIdle | EvictionClass::Idle if excess > 0 => {
+                    let closed = self.close_if_quiet(conn);
+                    excess -= usize::from(closed);
+                    closed
+                }
+                _ => false,
+            };
+            closings_left -= usize::from(closed);
+            if closings_left == 0 {
+                return;
+            }
+        }
+    }
+
+    /// Closes idle clients if more of them keep connections than may, see
+    /// [`eviction::idle_clients`].
+    fn limit_idle_clients(&mut self) {
+        let max_idle_clients = self.config.descriptors.idle_clients;
+        let excess = eviction::excess_idle_clients(&self.connections, max_idle_clients);
+        if excess == 0 || self.shutdown.is_requested() {
+            return;
+        }
+        let idle = eviction::idle_clients(&self.connections);
+        for conn in idle.into_iter().take(excess) {
+            self.close_if_quiet(conn);
+        }
+    }
+
+    /// Reads the configuration again. Only the address of discovery may change; an invalid file
+    /// changes nothing.
+    fn reload(&mut self) {
+        let Some(file) = &self.config_file else {
             return;
         };
-        connection.gate.consumed(bytes.len());
-        match connection.role {
-            Role::Client(_) => self.handle_client_bytes(conn, at, bytes),
-            Role::Node(_) => self.handle_node_bytes(conn, at, bytes),
-            Role::Discovery => {
-                connection.read_buffer.extend_from_slice(bytes);
-                self.handle_discovery_bytes(conn);
+        match Config::load(file) {
+            Ok(new) if new.name != self.config.name => {
+                if self.may_log() {
+                    let name = new.name;
+                    info!(name, "configuration rejected: it names another host");
+                }
+            }
+            Ok(new) => {
+                if new.discovery != self.discovery.address() {
+                    let address = new.discovery;
+                    self.step_discovery(PollingEvent::Moved { address });
+                    self.inputs.push(Input::DiscoveryMoved);
+                }
+                if self.may_log() {
+                    info!("configuration reloaded");
+                }
+            }
+            Err(error) => {
+                if self.may_log() {
+                    info!(%error, "configuration rejected, current one stays");
+                }
             }
         }
     }
 
-    /// Whether one more line of the log may be written now.
+    fn close_listener_when_due(&mut self, now: Duration) {
+        let is_due = match self.shutdown.listener_closing(now) {
+            ListenerClosing::NotDue => false,
+            ListenerClosing::IfQueueEmpty => !self.listener.has_connection_queued(),
+            ListenerClosing::Due => true,
+        };
+        if is_due {
+            self.shutdown.listener_closed(now);
+            self.listener.close();
+        }
+    }
+
+    fn shutdown_is_complete(&self) -> bool {
+        let now = clock::now();
+        self.shutdown.is_settled(now)
+            && self.inputs.is_empty()
+            && !self
+                .connections
+                .iter()
+                .any(|(_, connection)| client_conn::is_awaiting(connection, now))
+    }
+
+    /// Returns whether one more line of the log may be written now.
     fn may_log(&mut self) -> bool {
         self.log_limiter.allow(clock::now())
     }
@@ -394,12 +484,5 @@
     }
 }
 
-/// The wall clock in milliseconds, by which discovery says when nodes started.
-fn unix_ms() -> f64 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0.0, |since| since.as_secs_f64() * 1000.0)
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/platform/src/run/owner/receive.rs
@@ -0,0 +1,347 @@
+//! Bytes that have come from clients, nodes and discovery: the owner passes them to the protocol of
+//! the connection, and performs the result.
+//!
+//! State: none of its own. Bounds: a large response of a node is only read within the memory that
+//! open requests may take.
+
+use super::{frame, Owner};
+use crate::clients::ClientRequest;
+use crate::clients::SERVICE;
+use crate::discovery::{self, DiscoveryError};
+use crate::http::HttpError;
+use crate::run::client_conn::{self, Received};
+use crate::run::connection::{ClientExchange, ClientState, CloseReason, Role};
+use crate::run::discovery_conn::{is_refusal, DiscoveryResponse};
+use crate::run::node_conn::{self, AnswerError, NodeAnswer};
+use crate::run::reader::ReadGate;
+use crate::run::request_intake::ParsedRequest;
+use crate::run::socket::{pending_input, PendingInput};
+use grebecleat_discovery::calls::{Call, OutstandingCall};
+use grebecleat_discovery::long_polling::{
+    Action as PollingAction, Event as PollingEvent, PollConn,
+};
+use grebecleat_host::router::{request_label, ConnId, Input};
+use grebecleat_wire::clock;
+use grebecleat_wire::pb::{self, frame::Body};
+use std::os::fd::RawFd;
+use std::sync::Arc;
+use std::time::Duration;
+use tracing::{debug, info};
+
+/// Size in bytes up to which a node's response may always be read. A larger response is read only
+/// while all responses that are being read fit into their part of the memory. A larger value exceeds
+/// that part; a smaller one fails responses that would fit.
+const SMALL_ANSWER: usize = 64 << 10;
+
+impl Owner {
+    pub(super) fn client_accepted(&mut self, conn: ConnId, fd: RawFd, gate: Arc<ReadGate>) {
+        let now = clock::now();
+        let role = Role::Client(ClientState::new(now));
+        let outbox = self.connections.add(conn, role, fd, gate, now);
+        self.inputs.push(Input::ClientUp { conn, outbox });
+    }
+
+    pub(super) fn handle_read(&mut self, conn: ConnId, at: Duration, bytes: &[u8]) {
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
+        connection.gate.consumed(bytes.len());
+        match connection.role {
+            Role::Client(_) => match client_conn::receive(connection, at, bytes) {
+                Received::Buffered => self.advance_client(conn, at),
+                Received::Discarded => {}
+                Received::Close(reason) => self.connection_lost(conn, reason),
+            },
+            Role::Node(_) => {
+                connection.last_read_at = at;
+                connection.read_buffer.extend_from_slice(bytes);
+                self.handle_node_bytes(conn, at);
+            }
+            Role::Discovery => {
+                connection.read_buffer.extend_from_slice(bytes);
+                self.handle_discovery_bytes(conn);
+            }
+        }
+    }
+
+    /// Parses and performs the requests in a client's read buffer, up to the first one that awaits
+    /// its final response.
+    pub(super) fn advance_client(&mut self, conn: ConnId, at: Duration) {
+        loop {
+            let Some(connection) = self.connections.get(conn) else {
+                return;
+            };
+            if !client_conn::may_parse(connection) {
+                return;
+            }
+            let parsed = match self.intake.parse(&connection.read_buffer) {
+                Ok(Some(parsed)) => parsed,
+                Ok(None) => return,
+                Err(error) => return self.reject(conn, &error),
+            };
+            let ParsedRequest {
+                request,
+                keep_alive,
+                used,
+            } = parsed;
+            match request {
+                ClientRequest::Ready => self.answer_readiness(conn, at, keep_alive, used),
+                ClientRequest::Submit { id, submit } => {
+                    return self.submit(conn, at, id, *submit, keep_alive, used)
+                }
+            }
+        }
+    }
+
+    fn answer_readiness(&mut self, conn: ConnId, at: Duration, keep_alive: bool, used: usize) {
+        let is_ready = self.discovery.is_ready();
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
+        client_conn::answer_readiness(connection, at, is_ready, keep_alive, used);
+        self.flush(conn);
+    }
+
+    fn submit(
+        &mut self,
+        conn: ConnId,
+        at: Duration,
+        client_id: String,
+        mut submit: pb::SubmitRequest,
+        keep_alive: bool,
+        used: usize,
+    ) {
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
+        let Role::Client(client) = &connection.role else {
+            return;
+        };
+        // A client that has waited in the listener's queue may have left long ago.
+        if client_conn::is_first_exchange(connection, client)
+            && pending_input(connection.fd) == PendingInput::End
+        {
+            return self.connection_lost(conn, CloseReason::ClientDeparted);
+        }
+        if let Err(error) = self.intake.check_id(&client_id) {
+            return self.reject(conn, &error);
+        }
+        let last_answer_at = self.shutdown.last_answer_at();
+        self.intake
+            .admit(&client_id, &mut submit, at, last_answer_at);
+        debug!(
+            request_id = request_label(&submit.id),
+            client_id,
+            conn = conn.0,
+            class = submit.traffic_class,
+            shard = submit.shard,
+            left_ms = submit.left_us / 1000,
+            "request received"
+        );
+        let exchange = ClientExchange {
+            client_id,
+            request_id: submit.id.clone(),
+            keep_alive,
+        };
+        client_conn::begin_exchange(connection, exchange, used);
+        let frames = vec![frame(Body::SubmitRequest(submit), at)];
+        self.inputs.push(Input::ClientFrames { conn, at, frames });
+    }
+
+    /// Responds to a client with an error. The connection is closed once the client has read it.
+    pub(super) fn reject(&mut self, conn: ConnId, error: &HttpError) {
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
+        client_conn::reject(connection, clock::now(), error);
+        debug!(conn = conn.0, status = error.status, %error, "client request rejected");
+        self.flush(conn);
+    }
+
+    fn handle_node_bytes(&mut self, conn: ConnId, at: Duration) {
+        let Some(connection) = self.connections.get(conn) else {
+            return;
+        };
+        let is_large = connection.read_buffer.len() > SMALL_ANSWER;
+        let max_bytes = self.config.settings.bounds.max_held_bytes;
+        if is_large && self.connections.unread_node_bytes() > max_bytes {
+            return self.answer_malformed(conn);
+        }
+        match node_conn::read_answer(conn, connection) {
+            Ok(None) => {}
+            Ok(Some(answer)) => self.finish_node_exchange(conn, answer, at),
+            Err(AnswerError::Unexpected) => {
+                self.connection_lost(conn, CloseReason::UnexpectedBytes)
+            }
+            Err(AnswerError::Malformed) => self.answer_malformed(conn),
+        }
+    }
+
+    /// Ends an exchange whose response will never be complete.
+    pub(super) fn answer_malformed(&mut self, conn: ConnId) {
+        let Some(connection) = self.connections.get(conn) else {
+            return;
+        };
+        match node_conn::malformed_answer(connection) {
+            Ok(answer) => self.finish_node_exchange(conn, answer, clock::now()),
+            Err(reason) => self.connection_lost(conn, reason),
+        }
+    }
+
+    /// Reports the end of an exchange with a node to the router, and the end of the connection if
+    /// it cannot carry another exchange.
+    fn finish_node_exchange(&mut self, conn: ConnId, answer: NodeAnswer, at: Duration) {
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
+        let is_last = answer.is_last;
+        let messages = node_conn::finish_exchange(connection, answer);
+        let frames = messages.into_iter().map(|body| frame(body, at)).collect();
+        self.inputs.push(Input::NodeFrames { conn, at, frames });
+        if is_last {
+            self.connection_lost(conn, CloseReason::AnsweredLast);
+        }
+    }
+
+    /// Reads the endpoint list from before the start. Ignores a list that cannot be read.
+    pub(super) fn load_cached_endpoints(&mut self) {
+        let Some(cached) = self.config.cached_endpoints.take() else {
+            return;
+        };
+        match self.discovery.read_cached(clock::now(), &cached) {
+            Ok(list) => self.inputs.push(Input::CachedEndpoints { list }),
+            Err(error) => {
+                if self.may_log() {
+                    info!(%error, "cached endpoint list ignored");
+                }
+            }
+        }
+    }
+
+    pub(super) fn step_discovery(&mut self, event: PollingEvent) {
+        for action in self.discovery.step(clock::now(), event) {
+            self.perform_discovery(action);
+        }
+    }
+
+    fn perform_discovery(&mut self, action: PollingAction) {
+        match action {
+            PollingAction::Call { conn, call } => self.send_call(ConnId(conn.0), call),
+            PollingAction::ReportOverdue { conn } => {
+                let conn = ConnId(conn.0);
+                self.inputs.push(Input::DiscoveryOverdue { conn });
+            }
+            PollingAction::ReportRefused {
+                conn,
+                waited,
+                up_to_date,
+            } => self.inputs.push(Input::DiscoveryRefused {
+                conn: ConnId(conn.0),
+                waited,
+                up_to_date,
+            }),
+            PollingAction::End { conn } => {
+                let conn = ConnId(conn.0);
+                self.inputs.push(Input::DiscoveryEnded { conn });
+                self.close(conn, CloseReason::AnsweredLast);
+            }
+            PollingAction::Drop { conn } => {
+                self.connection_lost(ConnId(conn.0), CloseReason::AnsweredLast)
+            }
+        }
+    }
+
+    fn send_call(&mut self, conn: ConnId, call: Call) {
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
+        debug!(
+            conn = conn.0,
+            call = call.kind(),
+            known_revision = call.known_revision(),
+            wait_ms = call.wait().as_millis() as u64,
+            "discovery call"
+        );
+        let bytes = discovery::call(SERVICE, call);
+        connection.write_buffer.extend_from_slice(&bytes);
+        self.flush(conn);
+    }
+
+    fn handle_discovery_bytes(&mut self, conn: ConnId) {
+        let Some(connection) = self.connections.get_mut(conn) else {
+            return;
+        };
+        let Some(outstanding) = self.discovery.outstanding(conn) else {
+            return self.connection_lost(conn, CloseReason::UnexpectedBytes);
+        };
+        let read = self.discovery.read_response(&connection.read_buffer);
+        let Some(read) = read.transpose() else {
+            return;
+        };
+        let bytes = connection.read_buffer.len();
+        connection.read_buffer = Vec::new();
+        match read {
+            Ok(response) => self.discovery_answered(conn, &outstanding, bytes, response),
+            Err(error) => self.discovery_failed(conn, &outstanding, bytes, &error),
+        }
+    }
+
+    fn discovery_answered(
+        &mut self,
+        conn: ConnId,
+        outstanding: &OutstandingCall,
+        bytes: usize,
+        response: DiscoveryResponse,
+    ) {
+        let summary = response.summary();
+        let endpoints = response.endpoints;
+        let now = clock::now();
+        debug!(
+            conn = conn.0,
+            call = outstanding.call.kind(),
+            known_revision = outstanding.call.known_revision(),
+            elapsed_ms = now.saturating_sub(outstanding.begun).as_millis() as u64,
+            bytes,
+            revision = endpoints.revision,
+            entries = endpoints.list.endpoints.len(),
+            "discovery response"
+        );
+        let frames = vec![frame(Body::EndpointUpdate(endpoints.list), now)];
+        self.inputs.push(Input::DiscoveryFrames { conn, frames });
+        if endpoints.malformed > 0 && self.may_log() {
+            let entries = endpoints.malformed;
+            info!(entries, "endpoint list entries unreadable, ignored");
+        }
+        let conn = PollConn(conn.0);
+        self.step_discovery(PollingEvent::Answered {
+            conn,
+            response: summary,
+        });
+    }
+
+    fn discovery_failed(
+        &mut self,
+        conn: ConnId,
+        outstanding: &OutstandingCall,
+        bytes: usize,
+        error: &DiscoveryError,
+    ) {
+        if self.may_log() {
+            let elapsed = clock::now().saturating_sub(outstanding.begun);
+            info!(
+                conn = conn.0,
+                call = outstanding.call.kind(),
+                known_revision = outstanding.call.known_revision(),
+                elapsed_ms = elapsed.as_millis() as u64,
+                bytes,
+                %error,
+                "discovery response unusable"
+            );
+        }
+        if is_refusal(error) {
+            let conn = PollConn(conn.0);
+            self.step_discovery(PollingEvent::Refused { conn });
+        }
+        self.connection_lost(conn, CloseReason::BadAnswer);
+    }
+}
--- a/crates/platform/src/run/owner/tests.rs
+++ b/crates/platform/src/run/owner/tests.rs
@@ -1,13 +1,13 @@
-use super::sweep::NEW_CLIENT_GRACE;
 use super::*;
-use crate::run::connection::{Discard, NodeExchange};
+use crate::run::connection::{ClientState, Discard};
+use crate::run::listener::ClientSlots;
+use crate::run::sweep::NEW_CLIENT_GRACE;
 use grebecleat_host::outbox::AttemptId;
 use grebecleat_scheduler::api::NodeId;
 use std::io::{Read, Write};
-use std::net::SocketAddr;
-use std::os::fd::AsRawFd;
+use std::os::fd::RawFd;
 use std::os::unix::net::UnixStream;
-use std::sync::mpsc;
+use std::sync::{mpsc, Arc};
 
 const fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
@@ -16,7 +16,7 @@
 const REQUEST: &str = "GET /read/7f3a9c21e0b4d655 HTTP/1.1\r\nX-Txn: 9b\r\nX-Qos-Policy: basic\r\n\
     X-Remaining-Ms: 480\r\nX-Placement: volume=00000003b4d60021,units=2,shard=5,hosts=3\r\n\r\n";
 
-/// An owner whose loop does not run: it processes what the test passes, one event after the other.
+/// An owner whose loop does not run: it processes the test's events, one after the other.
 fn owner() -> Owner {
     owner_with_sockets(256, mpsc::channel().0)
 }
@@ -25,8 +25,8 @@
     let mut text = crate::config::tests::complete();
     text["limits"]["sockets"] = sockets.into();
     let config = Config::read("c.json".as_ref(), text.to_string().as_bytes()).unwrap();
-    let slots = Arc::new(ClientSlots::new(9));
-    Owner::new(config, None, slots, -1, to_owner)
+    let listener = ListenerHandle::new(Arc::new(ClientSlots::new(9)), -1);
+    Owner::new(config, None, listener, to_owner)
 }
 
 /// Accepts a client over `fd`, as the listener would.
@@ -43,10 +43,10 @@
     (conn, ours, theirs)
 }
 
-/// A client whose first request its reader has read.
+/// A client whose reader has read the first request.
 fn client_with_request(owner: &mut Owner) -> (ConnId, UnixStream, UnixStream) {
     let (conn, ours, theirs) = client(owner, 1);
-    let gate = owner.connections[&conn].gate.clone();
+    let gate = owner.connections.get(conn).unwrap().gate.clone();
     gate.lock().ahead = REQUEST.len();
     (conn, ours, theirs)
 }
@@ -60,36 +60,28 @@
 }
 
 fn client_state(owner: &mut Owner, conn: ConnId) -> &mut ClientState {
-    match &mut owner.connections.get_mut(&conn).unwrap().role {
+    match &mut owner.connections.get_mut(conn).unwrap().role {
         Role::Client(client) => client,
         _ => panic!("a client"),
     }
 }
 
 fn nodes_up(owner: &Owner) -> usize {
-    let connections = owner.connections.values();
+    let connections = owner.connections.iter();
     connections
-        .filter(|connection| matches!(connection.role, Role::Node(_)))
+        .filter(|(_, connection)| matches!(connection.role, Role::Node(_)))
         .count()
 }
 
-fn discovery_dials(owner: &Owner) -> Vec<u64> {
-    let dials = owner.pending_dials.iter();
-    dials
-        .filter(|dial| dial.target == DialTarget::Discovery)
-        .map(|dial| dial.conn.0)
-        .collect()
-}
-
 /// Checks the dials until none is pending.
 fn complete_dials(owner: &mut Owner) {
-    while !owner.pending_dials.is_empty() {
+    while owner.dialer.pending_count() > 0 {
         owner.check_dials();
     }
 }
 
-/// A connection whose end the owner has yet to process has its descriptor, and so does a dial that
-/// was given up: those beyond the nodes' part wait, and discovery's does not.
+/// A connection whose end the owner has yet to process has its descriptor, and so has an abandoned
+/// dial: dials beyond the nodes' part wait, and the dial to discovery does not.
 #[test]
 fn dials_to_nodes_wait_for_a_descriptor_and_the_one_to_discovery_does_not() {
     let (to_owner, events) = mpsc::channel();
@@ -98,7 +90,7 @@
     let more = 4;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    owner.step_polling(PollingEvent::Moved { address });
+    owner.step_discovery(PollingEvent::Moved { address });
     for number in 0..(most + more) as u64 {
         owner.perform(Output::Dial {
             conn: ConnId(number),
@@ -110,50 +102,47 @@
     owner.perform(Output::DialDiscovery { conn: ConnId(91) });
     assert_eq!(
         (
-            owner.pending_dials.len(),
-            discovery_dials(&owner),
-            owner.queued_dials.len()
+            owner.dialer.pending_count(),
+            owner.dialer.discovery_dials(),
+            owner.dialer.queued_count()
         ),
         (most + 1, vec![91], more)
     );
-    // However slow this machine is.
-    set_queued_deadlines(&mut owner, Duration::MAX);
+    // The dials succeed however slow this machine is.
+    owner.dialer.set_queued_deadlines(Duration::MAX);
     complete_dials(&mut owner);
-    assert_eq!((nodes_up(&owner), owner.queued_dials.len()), (most, more));
-    // Closed, and their descriptors not free yet.
+    assert_eq!(
+        (nodes_up(&owner), owner.dialer.queued_count()),
+        (most, more)
+    );
+    // The connections are closed, and their descriptors are not free yet.
     owner.close(ConnId(0), CloseReason::PeerClosed);
     owner.close(ConnId(1), CloseReason::PeerClosed);
     owner.check_dials();
     assert_eq!(
         (
             nodes_up(&owner),
-            owner.pending_dials.len(),
-            owner.queued_dials.len()
+            owner.dialer.pending_count(),
+            owner.dialer.queued_count()
         ),
         (most - 2, 0, more)
     );
     for freed in 1..=2 {
         owner.handle_event(events.recv_timeout(ms(10_000)).unwrap());
         owner.check_dials();
-        assert_eq!(owner.queued_dials.len(), more - freed);
+        assert_eq!(owner.dialer.queued_count(), more - freed);
     }
-    // What finds no descriptor within the time of its dial has failed as one.
-    set_queued_deadlines(&mut owner, Duration::ZERO);
+    // A dial that finds no descriptor within its timeout fails.
+    owner.dialer.set_queued_deadlines(Duration::ZERO);
     owner.inputs.clear();
     owner.check_dials();
     assert_eq!(
-        (nodes_gone(&owner), owner.queued_dials.len()),
+        (nodes_gone(&owner), owner.dialer.queued_count()),
         (vec![most as u64 + 2, most as u64 + 3], 0)
     );
 }
 
-fn set_queued_deadlines(owner: &mut Owner, deadline: Duration) {
-    for dial in &mut owner.queued_dials {
-        dial.deadline = deadline;
-    }
-}
-
-/// The connections to nodes that the router is to learn are gone.
+/// The connections to nodes that the owner reports to the router as gone.
 fn nodes_gone(owner: &Owner) -> Vec<u64> {
     let gone = owner.inputs.iter().filter_map(|input| match input {
         Input::NodeGone { conn } => Some(conn.0),
@@ -162,8 +151,8 @@
     gone.collect()
 }
 
-/// A client whose answer is not written completely keeps its connection, where room is made and
-/// where idle clients are limited: closed then, the rest would be lost.
+/// A client whose response is not written completely keeps its connection, both when room is made
+/// and when idle clients are limited: closing it would lose the rest.
 #[test]
 fn no_connection_is_closed_for_room_before_its_answer_is_written() {
     type Case = (&'static str, fn(&mut ClientState), fn(&mut Owner));
@@ -197,12 +186,12 @@
             let (conn, _ours, _theirs) = client(&mut owner, 1);
             client_state(&mut owner, conn).has_sent = true;
             prepare(client_state(&mut owner, conn));
-            let connection = owner.connections.get_mut(&conn).unwrap();
+            let connection = owner.connections.get_mut(conn).unwrap();
             connection.write_buffer = vec![0; 2];
             connection.written = 1 + usize::from(written);
             close_some(&mut owner);
             assert_eq!(
-                owner.connections.contains_key(&conn),
+                owner.connections.get(conn).is_some(),
                 !written,
                 "{what}, written completely: {written}"
             );
@@ -210,8 +199,8 @@
     }
 }
 
-/// During a shutdown it keeps as many of those that have sent requests as it ever may, and closes
-/// the others for those that come: the one idle the longest first.
+/// During a shutdown, the host keeps as many clients that have sent requests as it ever may, and
+/// closes the others for new clients: the client idle the longest first.
 #[test]
 fn a_host_that_shuts_down_makes_room_down_to_the_idle_clients_that_it_may_keep() {
     for (draining, idle_clients, left) in [
@@ -221,7 +210,9 @@
     ] {
         let mut owner = owner();
         owner.config.descriptors.idle_clients = idle_clients;
-        owner.draining_since = draining.then(clock::now);
+        if draining {
+            owner.shutdown.request(clock::now());
+        }
         let all: Vec<_> = (1..=4).map(|number| client(&mut owner, number)).collect();
         for (number, (conn, ..)) in (1..).zip(&all) {
             let client = client_state(&mut owner, *conn);
@@ -231,14 +222,14 @@
         for _ in 0..9 {
             owner.make_room();
         }
-        let open = owner.connections.keys();
-        let open: Vec<u64> = open.map(|conn| conn.0 - LAST_DIALED_CONN).collect();
+        let open = owner.connections.iter();
+        let open: Vec<u64> = open.map(|(conn, _)| conn.0 - LAST_DIALED_CONN).collect();
         assert_eq!(open, left, "draining: {draining}, may keep {idle_clients}");
     }
 }
 
-/// A client that waited in the listener's queue for long, and has sent nothing there, makes room as
-/// soon as it is accepted; one that has just connected, or has sent something by then, does not.
+/// A client that has waited in the listener's queue for long without sending is closed for others as
+/// soon as it is accepted; a client that has just connected, or has sent something, is not.
 #[test]
 fn a_client_that_was_silent_in_the_queue_is_not_treated_as_a_new_one() {
     for (waits, sends, stays) in [
@@ -259,14 +250,14 @@
         let conn = accept(&mut owner, 1, ours.as_raw_fd());
         owner.make_room();
         assert_eq!(
-            owner.connections.contains_key(&conn),
+            owner.connections.get(conn).is_some(),
             stays,
             "waits: {waits}, sends: {sends}"
         );
     }
 }
 
-/// Its request has been read, and its end has yet to be processed.
+/// The request of the client has been read, and its end has yet to be processed.
 #[test]
 fn a_first_request_whose_client_has_left_is_not_submitted() {
     for has_left in [false, true] {
@@ -281,13 +272,13 @@
             .filter(|input| matches!(input, Input::ClientFrames { .. }))
             .count();
         assert_eq!(
-            (submitted, owner.connections.contains_key(&conn)),
+            (submitted, owner.connections.get(conn).is_some()),
             (usize::from(!has_left), !has_left)
         );
     }
 }
 
-/// A list of one node, which listens there.
+/// A list of one node with the given address.
 fn one_endpoint(address: SocketAddr) -> pb::EndpointUpdate {
     let endpoint = pb::Endpoint {
         node: 1,
@@ -303,8 +294,8 @@
     }
 }
 
-/// Decided while its client waited; by the time that its connection is up the client has left, and
-/// the owner has yet to process that, behind whatever else it has to process.
+/// The attempt is decided while its client waits. When its connection is open, the client has left,
+/// and the owner has yet to process that, after other events.
 #[test]
 fn no_attempt_is_written_once_its_client_has_left() {
     type Case = (&'static str, fn(&mut UnixStream), bool);
@@ -337,7 +328,7 @@
         let (conn, _ours, mut client) = client_with_request(&mut owner);
         deliver_request(&mut owner, conn);
         owner.step();
-        assert_eq!(owner.pending_dials.len(), 1, "{what}");
+        assert_eq!(owner.dialer.pending_count(), 1, "{what}");
         let (mut accepted, _) = node.accept().unwrap();
         act(&mut client);
         complete_dials(&mut owner);
@@ -358,8 +349,8 @@
     }
 }
 
-/// What a node sends or ends before an attempt is written is seen, though its reader has not
-/// reported it yet.
+/// The owner notices bytes and an end that come from a node before an attempt is written, although
+/// the reader has not reported them yet.
 #[test]
 fn no_attempt_is_written_to_a_connection_on_which_its_node_has_sent_or_ended() {
     type Case = (&'static str, fn(&mut UnixStream), bool);
@@ -382,7 +373,9 @@
         let conn = ConnId(7);
         let now = clock::now();
         let role = Role::Node(NodeExchange::Idle);
-        let outbox = owner.add_connection(conn, role, ours.as_raw_fd(), ReadGate::new(), now);
+        let outbox = owner
+            .connections
+            .add(conn, role, ours.as_raw_fd(), ReadGate::new(), now);
         act(&mut node);
         let attempt = Body::Attempt(pb::Attempt {
             attempt: 1,
@@ -391,7 +384,7 @@
         outbox.put_attempt(AttemptId(1), frame(attempt, now), now, now + ms(900));
         owner.flush_all();
         node.set_nonblocking(true).unwrap();
-        // It stays in the outbox, where the router takes it back.
+        // The attempt stays in the outbox, where the router revokes it.
         assert_eq!(
             (
                 node.read(&mut [0; 64]).is_ok_and(|read| read > 0),
@@ -400,6 +393,6 @@
             (written, !written),
             "{what}"
         );
-        assert_eq!(owner.connections.contains_key(&conn), written, "{what}");
+        assert_eq!(owner.connections.get(conn).is_some(), written, "{what}");
     }
 }
--- a/crates/platform/src/run/reader.rs
+++ b/crates/platform/src/run/reader.rs
@@ -1,8 +1,8 @@
 //! The reader coroutine of each connection, and the gate between it and the owner.
 //!
-//! A reader takes bytes off its socket and sends them to the owner as [`OwnerEvent`]s. State:
-//! [`ReadGate`], how far the reader is ahead of the owner. Bounds: [`MAX_AHEAD`] bytes and one
-//! read; past that it waits.
+//! A reader receives bytes from its socket and sends them to the owner as [`OwnerEvent`]s. State:
+//! [`ReadGate`], the number of bytes by which the reader is ahead of the owner. Bounds:
+//! [`MAX_AHEAD`] bytes and one read; beyond that the reader waits.
 
 use super::socket::{pending_input, PendingInput};
 use grebecleat_host::router::ConnId;
@@ -17,14 +17,17 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Bytes of one read.
+/// Number of bytes of one read. A larger value takes more of the coroutine's stack; a smaller one
+/// costs more reads.
 const READ_SIZE: usize = 4 << 10;
-/// Bytes that are read beyond a first full read, without waiting.
+/// Number of bytes that are read after a first full read, without waiting. A larger value takes more
+/// memory for each event; a smaller one costs more events.
 const EXTRA_READ_SIZE: usize = 60 << 10;
-/// Bytes of one connection that its reader may be ahead of the owner.
+/// Number of bytes by which the reader of one connection may be ahead of the owner. A larger value
+/// takes more memory; a smaller one makes readers of large messages wait.
 const MAX_AHEAD: usize = 96 << 10;
 
-/// What the coroutines and signals report to the owner.
+/// An event that the coroutines and the signal thread report to the owner.
 pub(super) enum OwnerEvent {
     /// The listener has accepted a client.
     Accepted {
@@ -32,25 +35,26 @@
         fd: RawFd,
         gate: Arc<ReadGate>,
     },
-    /// Bytes of a peer.
+    /// A peer has sent bytes.
     Read {
         conn: ConnId,
         at: Duration,
         bytes: Vec<u8>,
     },
-    /// A reader has ended. The stream comes along, so that its number stays its own until the owner
-    /// has dropped it.
+    /// A reader has ended. The event carries the stream, so that no other socket gets the number of
+    /// its descriptor before the owner has dropped it.
     Ended { conn: ConnId, stream: TcpStream },
     /// The listener waits for a free slot.
     SlotsExhausted,
-    /// A signal to this process, by number.
+    /// This process has received a signal, given by its number.
     Signal(i32),
 }
 
-/// Between a connection's reader and the owner: how far ahead the reader is. The reader takes bytes
-/// off the socket under this lock alone, so that the owner can close a connection of which it knows
-/// that nothing was read and not processed: what is still in the socket then crosses the close, as
-/// the platform allows, and what has been read is answered.
+/// The number of bytes by which a connection's reader is ahead of the owner, which both share. The
+/// reader receives bytes from the socket only under this lock. The owner can therefore close a
+/// connection of which it knows that every byte that was read is processed: bytes that are still in
+/// the socket then cross the close, which the platform allows, and bytes that were read get their
+/// response.
 pub(super) struct ReadGate {
     state: Mutex<ReadState>,
     wake: Semphore,
@@ -58,12 +62,12 @@
 
 #[derive(Default)]
 pub(super) struct ReadState {
-    /// Bytes read that the owner has not processed.
+    /// Number of bytes that were read and that the owner has not processed.
     pub(super) ahead: usize,
     closed: bool,
 }
 
-/// What one read brought.
+/// The result of one read.
 enum ReadOutcome {
     Bytes(Vec<u8>),
     WouldBlock,
@@ -79,7 +83,7 @@
     }
 
     pub(super) fn lock(&self) -> MutexGuard<'_, ReadState> {
-        self.state.lock().unwrap_or_else(|e| e.into_inner())
+        self.state.lock().unwrap_or_else(|error| error.into_inner())
     }
 
     fn read(&self, fd: RawFd, buffer: &mut [u8; READ_SIZE]) -> ReadOutcome {
@@ -101,7 +105,7 @@
             Ok(received) => {
                 let mut bytes = buffer[..received].to_vec();
                 if received == READ_SIZE {
-                    // Where much comes, many small events would cost more than reading it.
+                    // Many small events would cost more than reading a large message at once.
                     read_more(fd, &mut bytes);
                 }
                 state.ahead += bytes.len();
@@ -109,7 +113,7 @@
             }
             Err(_) => match io::Error::last_os_error().kind() {
                 io::ErrorKind::WouldBlock => ReadOutcome::WouldBlock,
-                // To wait now would be to wait for an event that has been reported already.
+                // Waiting now would wait for an event that the system has already reported.
                 io::ErrorKind::Interrupted => {
                     drop(state);
                     self.read(fd, buffer)
@@ -119,7 +123,7 @@
         }
     }
 
-    /// The owner has taken in so many bytes.
+    /// Records that the owner has processed a number of bytes.
     pub(super) fn consumed(&self, bytes: usize) {
         let mut state = self.lock();
         let before = state.ahead;
@@ -130,19 +134,19 @@
         }
     }
 
-    /// Nothing has been read that the owner has not processed, and nothing waits in the socket: its
-    /// end included.
+    /// Returns whether the owner has processed every byte that was read, and neither bytes nor the
+    /// end of the connection are in the socket.
     pub(super) fn is_quiet(&self, fd: RawFd) -> bool {
         self.lock().ahead == 0 && pending_input(fd) == PendingInput::Nothing
     }
 
-    /// Nothing is read any more.
+    /// Closes the gate: the reader reads no more bytes.
     pub(super) fn close(&self) {
         self.lock().closed = true;
         self.wake.post();
     }
 
-    /// Closes it unless something of its peer's would be lost by that; whether it is closed.
+    /// Closes the gate unless that would lose bytes of the peer; returns whether it is closed.
     pub(super) fn close_unless_input(&self, fd: RawFd) -> bool {
         let mut state = self.lock();
         state.closed |= state.ahead == 0 && pending_input(fd) != PendingInput::Bytes;
@@ -162,7 +166,7 @@
     }
 }
 
-/// An end or a fault is left for the next read to find.
+/// Reads the bytes that are in the socket now. The next read detects an end or a fault.
 fn read_more(fd: RawFd, bytes: &mut Vec<u8>) {
     let before = bytes.len();
     bytes.resize(before + EXTRA_READ_SIZE, 0);
--- a/crates/platform/src/run/reader/tests.rs
+++ b/crates/platform/src/run/reader/tests.rs
@@ -2,9 +2,8 @@
 use std::io::Write;
 use std::os::unix::net::UnixStream;
 
-/// What a client has sent is never dropped with its idle connection: neither what waits in the
-/// socket nor what its reader has taken and its owner has yet to process. After the close nothing
-/// is read any more.
+/// Closing an idle connection never drops a client's bytes: neither bytes in the socket nor bytes that
+/// the reader has read and the owner has yet to process. After the close, no bytes are read.
 #[test]
 fn an_idle_connection_closes_only_when_nothing_was_sent_on_it() {
     struct Case {
--- /dev/null
+++ b/crates/platform/src/run/request_intake.rs
@@ -0,0 +1,102 @@
+//! Requests of clients: their parsing, their numbers, and the ids that are in use.
+//!
+//! The owner calls [`RequestIntake`]. State: the ids in use ([`ClientIds`]) and the number of the
+//! last request. Bound: the open requests and the outstanding attempts.
+
+use super::client_ids::ClientIds;
+use super::connection::ClientExchange;
+use crate::clients::{ClientRequest, RequestParser};
+use crate::config::Config;
+use crate::http::{self, HttpError};
+use bytes::Bytes;
+use grebecleat_wire::clock;
+use grebecleat_wire::pb;
+use std::time::Duration;
+
+/// The response to a request whose id is in use.
+const DUPLICATE_ID: HttpError = HttpError {
+    status: 409,
+    reason: "an id that is open",
+};
+
+/// A request that was parsed from a client's bytes.
+pub(super) struct ParsedRequest {
+    pub(super) request: ClientRequest,
+    /// Whether the client lets the connection stay open.
+    pub(super) keep_alive: bool,
+    /// Number of bytes of the request.
+    pub(super) used: usize,
+}
+
+/// Takes in the requests of clients.
+pub(super) struct RequestIntake {
+    parser: RequestParser,
+    ids: ClientIds,
+    /// Requests received since the start; numbers them.
+    received: u64,
+}
+
+impl RequestIntake {
+    pub(super) fn new(config: &Config) -> Self {
+        RequestIntake {
+            parser: RequestParser::new(config),
+            ids: ClientIds::default(),
+            received: 0,
+        }
+    }
+
+    /// Parses the first request of the bytes; None: more bytes must come.
+    ///
+    /// Errors: the bytes are no request; the client gets the error as a response.
+    pub(super) fn parse(&self, bytes: &[u8]) -> Result<Option<ParsedRequest>, HttpError> {
+        let Some((request, used)) = http::request(bytes)? else {
+            return Ok(None);
+        };
+        let keep_alive = request.keep_alive;
+        let request = self.parser.parse(&request)?;
+        Ok(Some(ParsedRequest {
+            request,
+            keep_alive,
+            used,
+        }))
+    }
+
+    /// Checks that no open request has the client's id.
+    ///
+    /// Errors: the response to a request whose id is in use.
+    pub(super) fn check_id(&self, client_id: &str) -> Result<(), HttpError> {
+        if self.ids.contains(client_id) {
+            return Err(DUPLICATE_ID);
+        }
+        Ok(())
+    }
+
+    /// Numbers a request and records its id. `last_answer_at`: when the last responses are sent, if
+    /// this host shuts down; the request's time left ends there.
+    pub(super) fn admit(
+        &mut self,
+        client_id: &str,
+        submit: &mut pb::SubmitRequest,
+        at: Duration,
+        last_answer_at: Option<Duration>,
+    ) {
+        self.received += 1;
+        if let Some(last_answer_at) = last_answer_at {
+            let left = last_answer_at.saturating_sub(at);
+            submit.left_us = submit.left_us.min(clock::micros(left));
+        }
+        submit.id = Bytes::from(format!("{:036x}", self.received));
+        self.ids.insert(client_id.to_string());
+    }
+
+    /// Frees the id of an exchange that has ended for its client. `is_open`: whether an attempt of
+    /// its request is outstanding.
+    pub(super) fn release(&mut self, exchange: ClientExchange, is_open: bool) {
+        self.ids.release(exchange, is_open);
+    }
+
+    /// Frees the ids of requests that have ended since the last sweep.
+    pub(super) fn sweep(&mut self, is_open: impl Fn(&Bytes) -> bool) {
+        self.ids.sweep(is_open);
+    }
+}
--- a/crates/platform/src/run/socket.rs
+++ b/crates/platform/src/run/socket.rs
@@ -1,22 +1,22 @@
-//! Questions to the system about a socket, by its descriptor. Nothing here waits or takes bytes
-//! away.
+//! Queries to the system about a socket, by its descriptor. No query waits or consumes bytes.
 //!
-//! Each caller owns the descriptor that it passes, so its number cannot belong to another socket by
-//! then.
+//! Each caller owns the descriptor that it passes, so the number cannot belong to another socket
+//! meanwhile.
 
 use std::io;
 use std::os::fd::RawFd;
 use std::time::Duration;
 
-/// What lies unread in a socket.
+/// The unread input of a socket.
 #[derive(Debug, PartialEq)]
 pub(super) enum PendingInput {
     Nothing,
     Bytes,
-    /// Its peer has ended it, or it has failed.
+    /// The peer has ended the connection, or the connection has failed.
     End,
 }
 
+/// Returns the unread input of a socket.
 pub(super) fn pending_input(fd: RawFd) -> PendingInput {
     let mut one = 0u8;
     // SAFETY: the pointer is of one live byte; the caller owns the number.
@@ -38,7 +38,8 @@
     }
 }
 
-/// Whether its peer has ended it, also behind bytes that are still unread.
+/// Returns whether the peer has ended the connection, also if there are unread bytes before the
+/// end.
 pub(super) fn peer_has_closed(fd: RawFd) -> bool {
     match pending_input(fd) {
         PendingInput::Nothing => false,
@@ -47,12 +48,12 @@
     }
 }
 
-/// Whether a connection waits in a listener's queue.
+/// Returns whether a connection is in a listener's queue.
 pub(super) fn has_connection_queued(listener: RawFd) -> bool {
     poll_now(listener, libc::POLLIN) != 0
 }
 
-/// The events of a socket, of those asked for and of faults, that have happened; zero: none.
+/// Returns those of the given events, and of the faults, that a socket has; zero: none.
 fn poll_now(fd: RawFd, events: libc::c_short) -> libc::c_short {
     let mut polled = libc::pollfd {
         fd,
@@ -68,8 +69,9 @@
     }
 }
 
-/// How long a connection has brought nothing, also while it waited to be accepted: since it came
-/// up, if it never has. Zero where the system does not report it.
+/// Returns the time since the last bytes came on a connection, also if it was not accepted yet; if
+/// no bytes have ever come, the time since the connection was established. Zero if the system does
+/// not report it.
 pub(super) fn silent_for(fd: RawFd) -> Duration {
     // SAFETY: all zero is a value of this plain struct.
     let mut info: libc::tcp_info = unsafe { std::mem::zeroed() };
