--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,9 +1,9 @@
-//! A client's exchange and the request it asks for. Pure functions.
+//! Translation between a client's HTTP messages and the router's requests. Pure functions.
 //!
-//! [`RequestParser::parse`] turns a complete HTTP request into a request for the router, or says
-//! what is wrong with it; [`put_final`] turns a final answer into a response. What cannot be
-//! understood, or does not exist, is answered here and never becomes a request, so nothing of it
-//! can reach a node. Called by the owner's `client_conn` and `writer`.
+//! [`RequestParser::parse`] translates a complete HTTP request into a request for the router, or
+//! returns its fault; [`put_final`] translates a final response. A message that cannot be understood,
+//! or that names something unknown, gets its response here and never becomes a request, so nothing of
+//! it can reach a node. `run::request_intake` and `run::client_conn` call these functions.
 
 mod fields;
 
@@ -15,23 +15,24 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// The path that says whether this host is ready for requests.
+/// The path of the readiness check.
 pub const READY: &str = "/health/ready";
-/// What nodes and discovery are called in a head.
+/// The host name of nodes and discovery in a head.
 pub const SERVICE: &str = "backend.local";
-/// Bytes of a client's id at most.
+/// The largest number of bytes of a client's id. A larger value lets clients take memory; a smaller
+/// one rejects requests.
 const MAX_ID: usize = 512;
 
-/// What a client asks for.
+/// A parsed request of a client.
 #[derive(Debug)]
 pub enum ClientRequest {
-    /// Whether this host is ready for requests.
+    /// A readiness check.
     Ready,
     /// A request for a node.
     Submit {
-        /// The client's own id of it.
+        /// The id that the client sent.
         id: String,
-        /// The request; it lacks its id, which the host gives.
+        /// The request, without the id that the host assigns.
         submit: Box<pb::SubmitRequest>,
     },
 }
@@ -41,7 +42,7 @@
 pub struct RequestParser {
     traffic_classes: Vec<ClassProtocol>,
     plans: Vec<String>,
-    /// The most units of one request.
+    /// The largest number of units of one request.
     max_units: f64,
 }
 
@@ -65,7 +66,7 @@
     reason: "a method that is not this path's",
 };
 
-/// What a request's path names.
+/// The traffic class and the key that a request's path names.
 struct Target {
     /// Index of the traffic class.
     traffic_class: usize,
@@ -73,7 +74,7 @@
 }
 
 impl RequestParser {
-    /// By a configuration.
+    /// Returns the parser of a configuration.
     pub fn new(config: &Config) -> Self {
         let plans = config.settings.plans.iter();
         RequestParser {
@@ -83,9 +84,9 @@
         }
     }
 
-    /// What a complete HTTP request asks for.
+    /// Translates a complete HTTP request.
     ///
-    /// Errors: the answer to a request that cannot be understood, or names what does not exist.
+    /// Errors: the response to a request that cannot be understood, or that names something unknown.
     pub fn parse(&self, request: &Request) -> Result<ClientRequest, HttpError> {
         let path = request.target.split(['?', '#']).next().unwrap_or_default();
         if path == READY && request.method == "GET" {
@@ -132,7 +133,8 @@
         })
     }
 
-    /// The traffic class is the first part of the path, the key the last.
+    /// Returns the traffic class, which is the first part of the path, and the key, which is the
+    /// last.
     fn target(&self, path: &str) -> Result<Target, HttpError> {
         let mut parts = path.strip_prefix('/').ok_or(UNKNOWN_PATH)?.split('/');
         let first = parts.next().ok_or(UNKNOWN_PATH)?;
@@ -144,7 +146,7 @@
         Ok(Target { traffic_class, key })
     }
 
-    /// The index of the plan.
+    /// Returns the index of the plan.
     fn plan(&self, request: &Request) -> Result<usize, HttpError> {
         let value = request.headers.one_raw("x-qos-policy")?;
         let names = self.plans.iter().map(String::as_str);
@@ -172,7 +174,7 @@
         .ok_or(bad_request("no X-Txn"))
 }
 
-/// The head of the request as nodes are sent it, without its end.
+/// Returns the head of the request for the nodes, without its end.
 fn node_head(request: &Request, id: &str, idempotency_key: Option<&str>, write: bool) -> String {
     let mut head = format!(
         "{} {} HTTP/1.1\r\nHost: {SERVICE}\r\nX-Txn: {id}\r\n",
@@ -187,8 +189,8 @@
     head
 }
 
-/// Appends a final answer, as the client reads it. A failed request must not read as a rejected
-/// one.
+/// Appends a final response, as the client reads it. The response to a failed request must differ
+/// from the response to a rejected one.
 pub fn put_final(to: &mut Vec<u8>, response: &pb::Response, keep_alive: bool) {
     match response.outcome() {
         pb::Outcome::Completed => http::put_response(to, 200, "", keep_alive, &response.data),
--- a/crates/platform/src/clients/fields.rs
+++ b/crates/platform/src/clients/fields.rs
@@ -1,9 +1,8 @@
 //! The parts of a client's request: names, numbers and the placement header. Pure functions.
 
-/// The position of the name that a client sent among the settings'. Settings may have been through
-/// the simulator's wire, where spaces and commas are rewritten: that counts only where no name
-/// matches as it stands. The other `readings` are looked at only where it is none of the names
-/// letter by letter.
+/// Returns the position, among the settings' names, of the name that a client sent. The settings may
+/// have passed the simulator's wire, which rewrites spaces and commas: a rewritten name matches only
+/// if no name matches unchanged. The other `readings` count only if the sent bytes equal no name.
 pub(super) fn position<'n>(
     names: impl Iterator<Item = &'n str> + Clone,
     sent: &[u8],
@@ -24,7 +23,7 @@
     read.or_else(|| names.clone().position(is_rewritten))
 }
 
-/// A part of a path, as it stands and percent-decoded.
+/// Returns the readings of a part of a path: unchanged and percent-decoded.
 pub(super) fn path_readings(part: &str) -> Vec<String> {
     let mut readings = vec![part.to_string()];
     if let Ok(decoded) = percent_encoding::percent_decode_str(part).decode_utf8() {
@@ -33,7 +32,8 @@
     readings
 }
 
-/// A header's value: some clients write letters beyond ASCII in UTF-8, and some in Latin-1.
+/// Returns the readings of a header's value: some clients encode letters beyond ASCII in UTF-8, and
+/// some in Latin-1.
 pub(super) fn header_readings(value: &[u8]) -> Vec<String> {
     let mut readings = Vec::new();
     if let Ok(text) = String::from_utf8(value.to_vec()) {
@@ -43,10 +43,10 @@
     readings
 }
 
-/// The longest decimal number.
+/// The largest number of digits of a decimal number, so that products of it fit into 64 bits.
 const MAX_DECIMAL_DIGITS: usize = 15;
 
-/// Digits alone, so that no sign or space passes.
+/// Parses a decimal number of digits alone, without a sign or a space.
 pub(super) fn decimal(text: &str) -> Option<u64> {
     let is_decimal = !text.is_empty()
         && text.len() <= MAX_DECIMAL_DIGITS
@@ -57,7 +57,7 @@
     text.parse().ok()
 }
 
-/// Exactly 16 hexadecimal digits.
+/// Parses exactly 16 hexadecimal digits.
 pub(super) fn hex16(text: &str) -> Option<u64> {
     let is_hex16 = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     if !is_hex16 {
@@ -66,19 +66,20 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// Where a request's data lies, as the client says.
+/// The place of a request's data, as the client sent it.
 pub(super) struct Placement {
     pub(super) volume: u64,
-    /// Size of the request.
+    /// Size of the request, in units.
     pub(super) units: f64,
-    /// None: not placed yet.
+    /// The shard of the data; None: the data has no place yet.
     pub(super) shard: Option<u32>,
-    /// Hosts that the volume's clients use.
+    /// Number of hosts that the volume's clients use.
     pub(super) hosts: u32,
 }
 
 impl Placement {
-    /// None: a part is absent, cannot be read, or stands twice (which one would count?).
+    /// Parses the header; None: a part is absent, cannot be read, or occurs twice, so that it is
+    /// unknown which one counts.
     pub(super) fn parse(text: &str) -> Option<Self> {
         let mut volume = None;
         let mut units = None;
@@ -86,7 +87,7 @@
         let mut hosts = None;
         for part in text.split(',') {
             let (name, value) = part.trim().split_once('=')?;
-            let stands_twice = match name {
+            let occurs_twice = match name {
                 "volume" => volume.replace(hex16(value)?).is_some(),
                 "units" => units.replace(value.parse::<f64>().ok()?).is_some(),
                 "shard" => shard.replace(parse_shard(value)?).is_some(),
@@ -95,7 +96,7 @@
                     .is_some(),
                 _ => false,
             };
-            if stands_twice {
+            if occurs_twice {
                 return None;
             }
         }
@@ -108,7 +109,7 @@
     }
 }
 
-/// `Some(None)`: not placed yet.
+/// Parses a shard. `Some(None)`: the data has no place yet.
 fn parse_shard(value: &str) -> Option<Option<u32>> {
     if value == "-1" {
         return Some(None);
--- a/crates/platform/src/clients/tests.rs
+++ b/crates/platform/src/clients/tests.rs
@@ -43,7 +43,7 @@
     let head = "PUT /row/7f3a9c21e0b4d655?a=1 HTTP/1.1\r\nHost: backend.local\r\nX-Txn: 9b\r\n\
             Idempotency-Key: k1\r\nContent-Length: 2\r\n";
     assert_eq!(submit.piece, head);
-    // Its time is up: for the decisions, not a fault.
+    // A request without time left is valid; the scheduler rejects it.
     let expired = read(&GOOD.replace("480", "0"));
     assert!(matches!(expired, Ok(ClientRequest::Submit { submit, .. }) if submit.left_us == 0));
     let new = GOOD.replace("shard=5", "shard=-1");
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,10 +1,11 @@
-//! What the platform passes to a host at its start: a variable, and the file that it names.
+//! The configuration that the platform passes to a host at its start: a variable, and the file that
+//! it names.
 //!
-//! Begin with [`Config::read`]. The settings are the object that the users' bench gives its
-//! adapter; they are flattened to the bench's pairs (`document`) and read by the adapter's own
-//! reader (`settings`), so that no default can differ between the two. What is not there (names,
-//! waits, limits of this process) is read here, and a file is taken completely or not at all. An
-//! error names the file, the path in it, and what is wrong.
+//! Begin with [`Config::read`]. The settings are the object that the users' bench passes to its
+//! adapter. This module flattens them to the bench's pairs (`document`) and reads them with the
+//! adapter's own reader (`settings`), so that no default can differ between the two. It reads the
+//! other values (names, waits, limits of this process) itself. It uses a file completely or not at
+//! all. An error names the file, the path in it, and the fault.
 
 mod descriptors;
 mod document;
@@ -27,9 +28,9 @@
 
 /// The variable that names the configuration's file.
 const FILE_VARIABLE: &str = "LB_CONFIG";
-/// Megabytes of memory that the platform may allow a host.
+/// The range of the memory that the platform allows a host, in megabytes.
 const MEMORY_RANGE_MB: RangeInclusive<u64> = 8..=1 << 24;
-/// Descriptors that the platform may allow a host.
+/// The range of the number of descriptors that the platform allows a host.
 const SOCKETS_RANGE: RangeInclusive<u64> = 48..=1 << 20;
 
 /// A host's configuration.
@@ -37,24 +38,24 @@
 pub struct Config {
     /// The host's name.
     pub name: String,
-    /// Where it listens for clients.
+    /// The address at which it listens for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// The address of discovery.
     pub discovery: SocketAddr,
     /// Seed of its random numbers, new at each start.
     pub seed: u64,
-    /// How its descriptors are shared out.
+    /// The parts of its descriptors.
     pub descriptors: Descriptors,
-    /// The endpoint list as this host last had it, in discovery's form.
+    /// The endpoint list from before the start, in discovery's form.
     pub cached_endpoints: Option<Vec<u8>>,
     /// The traffic classes, in the settings' order.
     pub traffic_classes: Vec<ClassProtocol>,
-    /// The settings of the decisions and the router.
+    /// The settings of the scheduler and the router.
     pub settings: Arc<Settings>,
 }
 
 impl Config {
-    /// From the file that the variable names, which is returned too.
+    /// Reads the file that the variable names; returns the file's path too.
     ///
     /// Errors: see [`ConfigError`].
     pub fn from_env() -> Result<(PathBuf, Self), ConfigError> {
@@ -64,7 +65,7 @@
         Ok((path, config))
     }
 
-    /// From a file.
+    /// Reads a file.
     ///
     /// Errors: see [`ConfigError`].
     pub fn load(file: &Path) -> Result<Self, ConfigError> {
@@ -75,7 +76,7 @@
         Config::read(file, &text)
     }
 
-    /// From a file's text; `file` is named in errors.
+    /// Reads a file's text. `file`: the path that errors name.
     ///
     /// Errors: see [`ConfigError`].
     pub fn read(file: &Path, text: &[u8]) -> Result<Self, ConfigError> {
--- a/crates/platform/src/config/descriptors.rs
+++ b/crates/platform/src/config/descriptors.rs
@@ -1,29 +1,32 @@
-//! How a host's descriptors are shared out, so that neither clients nor nodes can take all of them.
+//! The parts of a host's descriptors, so that neither clients nor nodes can take all of them.
 
-/// Descriptors for what is neither a client's nor a node's: standard streams, the runtime's, the
-/// signals', the listener, discovery's connection and up to three that are heard beside it.
+/// Number of descriptors that belong neither to clients nor to nodes: the standard streams, those of
+/// the runtime and of the signals, the listener, the active connection to discovery and up to three
+/// overdue ones. A smaller value lets clients and nodes take these; a larger one wastes descriptors.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Of the rest, the fraction that clients may take.
+/// The clients' fraction of the other descriptors. A larger value leaves nodes fewer connections; a
+/// smaller one leaves clients fewer.
 const CLIENTS_FRACTION: f64 = 0.55;
-/// One in so many of all is for clients that have sent requests and leave their connections open:
-/// the platform allows them a third, and a client that has sent one and stays for good takes the
-/// place of one that would send.
+/// One in this number of all descriptors is for clients that have sent requests and leave their
+/// connections open. The platform allows them a third. A smaller value lets clients that have sent
+/// one request and never leave occupy the slots of clients that would send; a larger one closes more
+/// idle clients.
 const IDLE_CLIENTS_DIVISOR: usize = 5;
 
-/// How the file's descriptors are shared out.
+/// The parts of the descriptors that the configuration allows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Descriptors {
-    /// Clients' connections at most.
+    /// The largest number of connections of clients.
     pub clients: usize,
-    /// Nodes' connections at most.
+    /// The largest number of connections to nodes.
     pub nodes: usize,
-    /// Of the clients', those that have sent requests; past that the one idle the longest is
-    /// closed.
+    /// The largest number of connections of clients that have sent requests. Beyond it, the client
+    /// that has been idle the longest is closed.
     pub idle_clients: usize,
 }
 
 impl Descriptors {
-    /// Shares out so many descriptors.
+    /// Divides the given number of descriptors.
     ///
     /// ```
     /// use grebecleat_platform::config::Descriptors;
--- a/crates/platform/src/config/document.rs
+++ b/crates/platform/src/config/document.rs
@@ -6,10 +6,10 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// A path and the value there, as the bench writes them.
+/// A path and its value, as the bench writes them.
 pub(super) type Pair = (String, String);
 
-/// The values of the object by their paths, as the bench writes them.
+/// Returns the values of the object by their paths, as the bench writes them.
 pub(super) fn flatten(object: &Value) -> Vec<Pair> {
     let mut pairs = Vec::new();
     flatten_into("", object, &mut pairs);
@@ -47,14 +47,14 @@
 
 fn plain(value: &Value) -> String {
     match value {
-        // As it stands: a name is compared with what clients send.
+        // The text stays unchanged: names are compared with the names that clients send.
         Value::String(text) => text.clone(),
         Value::Null => "-".into(),
         other => other.to_string(),
     }
 }
 
-/// The configuration's document.
+/// The JSON document of a configuration.
 pub(super) struct Document<'a> {
     file: &'a Path,
     root: Value,
@@ -100,13 +100,14 @@
         u64::from_str_radix(text, 16).map_err(|_| self.error(name, ValueError::NotHex(text.into())))
     }
 
-    /// The number at a path, its fraction cut off; both ends of the range count.
+    /// Returns the number at a path, without its fraction. The range includes both ends.
     pub(super) fn number(
         &self,
         path: &[&str],
         range: RangeInclusive<u64>,
     ) -> Result<u64, ConfigError> {
-        let (least, most) = (*range.start(), *range.end());
+        let least = *range.start();
+        let most = *range.end();
         let mut value = Some(&self.root);
         for name in path {
             value = value.and_then(|value| value.get(name));
--- a/crates/platform/src/config/error.rs
+++ b/crates/platform/src/config/error.rs
@@ -1,9 +1,9 @@
-//! What can be wrong with a configuration.
+//! Faults of a configuration.
 
 use std::io;
 use std::path::PathBuf;
 
-/// Why a configuration is not taken.
+/// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The variable that names the file is not set.
@@ -14,7 +14,7 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         source: io::Error,
     },
     /// The file is not JSON.
@@ -22,47 +22,47 @@
     NotJson {
         /// The file.
         file: PathBuf,
-        /// Where, and what was expected.
+        /// The place in the file, and the expected token.
         source: serde_json::Error,
     },
-    /// A value is absent or bad.
+    /// A value is absent or invalid.
     #[error("{}: {path}: {problem}", file.display())]
     Value {
         /// The file.
         file: PathBuf,
-        /// The value's path in it, its parts joined by dots.
+        /// The value's path in the file, its parts joined by dots.
         path: String,
-        /// What is wrong with it.
+        /// The fault.
         problem: ValueError,
     },
 }
 
-/// What is wrong with a value.
+/// Why a value cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ValueError {
-    /// There is none.
+    /// The value is absent.
     #[error("missing")]
     Missing,
-    /// There is no object.
+    /// The object is absent.
     #[error("missing; expected an object")]
     MissingObject,
-    /// It is not a text that holds something.
+    /// The value is not a text, or an empty one.
     #[error("expected a text, found {0}")]
     NotText(serde_json::Value),
-    /// It is not an address with a port.
+    /// The value is not an address with a port.
     #[error("expected an address and port, found {0}")]
     NotAddress(String),
-    /// It is not a hexadecimal number of 64 bits.
+    /// The value is not a hexadecimal number of 64 bits.
     #[error("expected hex digits, found {0}")]
     NotHex(String),
-    /// It is not a number in its range.
+    /// The value is not a number in its range.
     #[error("expected a number from {least} to {most}, found {found}")]
     OutOfRange {
-        /// The least that it may be.
+        /// The least allowed value.
         least: u64,
-        /// The most that it may be.
+        /// The greatest allowed value.
         most: u64,
-        /// What it is.
+        /// The value that was found.
         found: serde_json::Value,
     },
     /// The settings cannot be used.
@@ -70,16 +70,16 @@
     Settings(#[from] SettingsError),
 }
 
-/// Why settings cannot be used. Paths are the settings' own, their parts joined by dots.
+/// Why settings cannot be used. Paths are paths in the settings, their parts joined by dots.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// A list has no entry.
+    /// A list has no entries.
     #[error("{list}: none; expected at least one")]
     Empty {
         /// The list's path.
         list: &'static str,
     },
-    /// A span is zero or absent.
+    /// A time span is zero or absent.
     #[error("{path}: expected a span above zero")]
     ZeroSpan {
         /// The span's path.
@@ -94,7 +94,7 @@
         /// The name's path.
         path: String,
     },
-    /// The bench's reader refuses a value.
+    /// The bench's reader rejects a value.
     #[error("{0}")]
     Bench(String),
 }
--- a/crates/platform/src/config/settings.rs
+++ b/crates/platform/src/config/settings.rs
@@ -1,51 +1,58 @@
-//! The platform's settings, as the host's own. Pure functions; called by [`super::Config::read`]
-//! alone.
+//! Translation of the platform's settings into the host's own. Pure functions, which only
+//! [`super::Config::read`] calls.
 
 use super::descriptors::Descriptors;
 use super::error::SettingsError;
 use grebecleat_adapter::settings::{self as bench, Pairs};
-use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::api::{DiscoveryPolicy, Idempotency, Plan, TrafficClass};
 use grebecleat_settings::{Bounds, HostSpec, ListSpec, NamedPlan, Rules, Settings, Stream};
 use std::fmt::Display;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Subtracted from every deadline: for our own queue, for the write, and for the way to the client.
+/// Time subtracted from every deadline, for this host's queue, the write, and the way to the client.
+/// A smaller value makes responses late; a larger one leaves attempts less time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(12);
-/// A connection is closed so long before its node would, since an attempt that crosses that close
-/// is reset.
+/// Time by which this host closes an idle connection before its node would. An attempt that crosses
+/// the node's close is reset. A smaller value resets attempts; a larger one costs dials.
 const IDLE_MARGIN: Duration = Duration::from_millis(1000);
-/// How long a node leaves an idle connection open, where the settings do not say.
+/// Time for which a node leaves an idle connection open, if the settings do not name it.
 const DEFAULT_NODE_IDLE: Duration = Duration::from_secs(10);
-/// How long a dial may take, where the settings do not say.
+/// Timeout of a dial, if the settings do not name it.
 const DEFAULT_DIAL_TIMEOUT: Duration = Duration::from_millis(250);
-/// One part in so many of the memory is for bodies of open requests.
+/// One in this number of all bytes of memory is for bodies of open requests. A smaller value lets
+/// bodies exceed the memory; a larger one rejects requests that would fit.
 const BODIES_DIVISOR: usize = 8;
-/// How long an attempt may wait here before it is taken back.
+/// Time for which an attempt may wait for its connection before it is revoked. A larger value sends
+/// attempts late; a smaller one fails attempts whose dial is slow.
 const MAX_DISPATCH_DELAY: Duration = Duration::from_millis(250);
-/// Two looks at what waits, every 25 ms.
+/// Bound on the delay of the revocation: two sweeps of the router, one every 25 ms. A smaller value
+/// lets a retry reach its node after the deduplication window; a larger one forbids retries.
 const CROSSING_MARGIN: Duration = Duration::from_millis(50);
-/// How long a peer may take to go on with what it has begun.
+/// Time within which a peer must continue a message that it has begun. A larger value lets slow peers
+/// occupy connections; a smaller one closes them.
 const PATIENCE: Duration = Duration::from_millis(2000);
-/// Bytes of one frame; and of what a client leaves unread.
+/// The largest number of bytes of one frame, and of the bytes that a client leaves unread. A larger
+/// value takes memory; a smaller one rejects frames and closes slow readers.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
-/// Whatever the settings say of polling, what a silent discovery misses is known within this:
-/// watches and waits after failed calls are reckoned from no more, and a list that was not answered
-/// for as long is not acted on, less what an attempt may wait here before it is written.
+/// The time within which this host knows a change that discovery has, whatever polling the settings
+/// name. Watches, and waits after failed calls, are derived from no longer time. The lease of the
+/// endpoint list is this time, less the time for which an attempt may wait before it is written. A
+/// larger value uses stale lists; a smaller one costs discovery more calls.
 pub const DISCOVERY_TERM: Duration = Duration::from_millis(6000);
 
-/// What the platform requires of a traffic class's requests, beside what the decisions know of it.
+/// The platform's requirements on a traffic class's requests, without those that the scheduler knows.
 #[derive(Debug, Clone)]
 pub struct ClassProtocol {
-    /// Its name: the first part of a request's path.
+    /// The name of the class: the first part of a request's path.
     pub name: String,
-    /// Its requests carry an idempotency key.
+    /// Whether its requests must have an idempotency key.
     pub requires_key: bool,
-    /// Its requests are writes (PUT) or reads (GET); None: either.
+    /// Whether its requests are writes (PUT) or reads (GET); None: either.
     pub write: Option<bool>,
 }
 
-/// What the settings are completed with.
+/// The facts about this process that complete the settings.
 pub(super) struct Process<'a> {
     pub(super) name: &'a str,
     pub(super) listen: SocketAddr,
@@ -54,7 +61,7 @@
     pub(super) descriptors: Descriptors,
 }
 
-/// What was read.
+/// The settings that were read.
 pub(super) struct ReadSettings {
     pub(super) traffic_classes: Vec<ClassProtocol>,
     pub(super) settings: Settings,
@@ -64,11 +71,11 @@
     SettingsError::Bench(error.to_string())
 }
 
-/// The spans and counts of the object `caps`, with defaults where they are absent.
+/// The times and counts of the object `caps`, with defaults for absent values.
 struct Caps {
     dial_timeout: Duration,
     max_open: usize,
-    /// How long a node leaves an idle connection open.
+    /// Time for which a node leaves an idle connection open.
     node_idle: Duration,
 }
 
@@ -80,7 +87,7 @@
     }
 }
 
-/// Errors are looked for in the order of this function; the first one is reported.
+/// Reads the settings. The order of this function decides which of several errors is returned.
 pub(super) fn read_settings(
     process: &Process,
     pairs: &Pairs,
@@ -160,8 +167,8 @@
     let writes: Vec<&str> = pairs.word("family-info.writes").split(',').collect();
     let mut protocols = Vec::new();
     let mut streams = Vec::new();
-    // An attempt that follows one that may have run must have crossed while that one is remembered,
-    // and it may wait for its connection after it was decided.
+    // A retry of an attempt that may have run must reach its node while the node remembers the first
+    // attempt, and the retry may wait for its connection after it was decided.
     let crossing = dial_timeout.max(MAX_DISPATCH_DELAY) + CROSSING_MARGIN;
     for (index, mut facts) in classes.into_iter().enumerate() {
         if let Idempotency::WithKey { window, .. } = &mut facts.idempotency {
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,10 +1,10 @@
-//! The platform's list of nodes, as the host's endpoint updates, and the numbers that stand for its
-//! names.
+//! Translation of the platform's endpoint list into the host's endpoint updates, and the numbers of
+//! its names.
 //!
-//! Begin with [`EndpointNames::read`], called by the owner for each answer of discovery. The host's
-//! decisions know nodes and zones by number; a name has the same number as long as this process
-//! runs. Memory: one name for each node that was ever listed, `MAX_NAMES` at most; entries with
-//! further names are not read.
+//! Begin with [`EndpointNames::read`], which `run::discovery_conn` calls for each response of
+//! discovery. The scheduler knows nodes and zones by number; a name has the same number as long as
+//! this process runs. Memory: one name for each node that was ever listed, `MAX_NAMES` at most;
+//! entries with further names are not read.
 
 use crate::http::HttpError;
 use grebecleat_discovery::calls::Call;
@@ -16,15 +16,16 @@
 
 /// The path of the list at discovery.
 pub const PATH: &str = "/registry/instances";
-/// More than a day of replacements, every few seconds.
+/// The largest number of names: more than a day of replacements, one every few seconds. A larger
+/// value takes more memory; with a smaller one, a host that runs for long ignores new nodes.
 const MAX_NAMES: usize = 100_000;
 
-/// The list in the platform's form.
+/// The endpoint list in the platform's form.
 #[derive(Deserialize)]
 struct ListDocument {
     #[serde(rename = "rev")]
     revision: u64,
-    /// These are all targets, not changes alone.
+    /// Whether these are all targets, and not changes alone.
     all: bool,
     targets: Vec<serde_json::Value>,
 }
@@ -39,50 +40,50 @@
     #[serde(rename = "pod_group")]
     shard: u32,
     state: String,
-    /// When it started, in milliseconds of the wall clock; zero: not known.
+    /// When it started, in milliseconds of the wall clock; zero: unknown.
     #[serde(default, rename = "boot_ms")]
     started_ms: f64,
 }
 
-/// Why an answer of discovery is of no use.
+/// Why a response of discovery cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// Another status than 200.
+    /// The response has another status than 200.
     #[error("status {0}")]
     Status(u16),
-    /// It is no HTTP answer.
+    /// The response is not HTTP.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// Its body is not the list's form.
+    /// The response's body does not have the form of the list.
     #[error(transparent)]
     Format(#[from] serde_json::Error),
-    /// A complete list without one entry that can be read.
+    /// No entry of a complete list can be read.
     #[error("none of {count} endpoints can be read")]
     NoneReadable {
-        /// How many entries it has.
+        /// Number of entries of the list.
         count: usize,
     },
 }
 
-/// What was read.
+/// A list, or changes, that were read.
 #[derive(Debug)]
 pub struct ReadEndpoints {
     /// The list, or the changes.
     pub list: pb::EndpointUpdate,
     /// Its revision.
     pub revision: u64,
-    /// How many entries cannot be read.
+    /// Number of entries that cannot be read.
     pub malformed: usize,
 }
 
-/// The numbers of the names that discovery has listed.
+/// The numbers of the names of nodes and zones that discovery has listed.
 #[derive(Debug, Default)]
 pub struct EndpointNames {
     nodes: HashMap<String, u32>,
     zones: HashMap<String, u32>,
 }
 
-/// None: there are too many names.
+/// Returns the number of a name; None: there are too many names.
 fn number(numbers: &mut HashMap<String, u32>, name: &str) -> Option<u32> {
     if let Some(number) = numbers.get(name) {
         return Some(*number);
@@ -97,11 +98,11 @@
 }
 
 impl EndpointNames {
-    /// Reads a list or its changes. `unix_ms` is the wall clock, by which the list says when nodes
+    /// Reads a list or its changes. `unix_ms`: the wall clock, by which the list counts when nodes
     /// started.
     ///
-    /// A complete list with an entry that cannot be read counts as changes, or the node behind that
-    /// entry would pass for gone. Errors: see [`DiscoveryError`].
+    /// A complete list with an entry that cannot be read counts as changes; otherwise the node of
+    /// that entry would count as gone. Errors: see [`DiscoveryError`].
     pub fn read(&mut self, body: &[u8], unix_ms: f64) -> Result<ReadEndpoints, DiscoveryError> {
         let document: ListDocument = serde_json::from_slice(body)?;
         let count = document.targets.len();
@@ -132,7 +133,7 @@
         })
     }
 
-    /// None: the entry cannot be read.
+    /// Reads an entry; None: the entry cannot be read.
     fn endpoint(&mut self, entry: serde_json::Value, unix_ms: f64) -> Option<pb::Endpoint> {
         let target: Target = serde_json::from_value(entry).ok()?;
         let state = match target.state.as_str() {
@@ -161,7 +162,7 @@
     }
 }
 
-/// The HTTP request for a call.
+/// Returns the HTTP request of a call.
 pub fn call(service: &str, call: Call) -> Vec<u8> {
     let mut text = format!("GET {PATH}");
     if let Call::Newer { revision, wait } = call {
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,47 +1,53 @@
 //! HTTP/1.1 heads and bodies, in both directions: pure functions on bytes.
 //!
-//! Begin with [`request`] and [`response`]: each is given all that has come so far and returns a
-//! complete message and its length, nothing (more must come), or an error, after which the
-//! connection is of no further use. What two readers of one stream could take differently (both
-//! lengths, repeated or signed ones) is an error, since it may hide a second message (request
-//! smuggling). No state; heads and bodies are bounded.
+//! Begin with [`request`] and [`response`]: each takes all bytes that have come so far and returns a
+//! complete message and its length, nothing (more bytes must come), or an error, after which the
+//! connection cannot be used again. A message that two readers of one stream could interpret
+//! differently (both kinds of length, repeated or signed lengths) is an error, since it may hide a
+//! second message (request smuggling). No state. Bounds: the constants of this module.
 
 use std::borrow::Cow;
 use std::io::Write;
 
-/// Bytes of a head at most.
+/// The largest number of bytes of a head. A larger value lets peers take memory; a smaller one
+/// rejects long heads.
 pub const MAX_HEAD: usize = 16 << 10;
-/// Bytes of a request's body at most.
+/// The largest number of bytes of a request's body. Larger and smaller values: as for a head.
 pub const MAX_BODY: usize = 64 << 10;
-/// Bytes of an answer's body at most: nodes were seen to give 200 KB, and what is dropped here has
-/// run in vain.
+/// The largest number of bytes of a response's body. Nodes were observed to send 200 KB. A smaller
+/// value drops responses whose attempts have run, so that their work is lost; a larger one lets nodes
+/// take memory.
 pub const MAX_ANSWER: usize = 512 << 10;
-/// Bytes of an endpoint list at most: it is as long as the fleet is large, and may be indented, at
-/// some 210 bytes a node.
+/// The largest number of bytes of an endpoint list. Its length grows with the fleet, and it may be
+/// indented, at some 210 bytes for each node. A smaller value makes the list of a large fleet
+/// unreadable; a larger one lets discovery take memory.
 pub const MAX_LIST: usize = 4 << 20;
-/// Headers of one head at most.
+/// The largest number of headers of one head. A larger value costs stack; a smaller one rejects
+/// messages.
 const MAX_HEADERS: usize = 64;
-/// Headers of a chunked body's trailer at most.
+/// The largest number of headers of a chunked body's trailer. Larger and smaller values: as above.
 const MAX_TRAILER_HEADERS: usize = 8;
-/// Interim heads before an answer.
+/// The largest number of interim heads before a response. A larger value lets a node delay its
+/// response; a smaller one rejects responses.
 const MAX_INTERIM: usize = 8;
-/// Bytes that a chunked body may take for its sizes and line ends; and one size line or trailer at
-/// most.
+/// The largest number of bytes that a chunked body may take for its sizes and line ends, and the
+/// largest number of bytes of one size line or trailer. A larger value lets peers take memory; a
+/// smaller one rejects bodies of many chunks.
 const CHUNK_OVERHEAD: usize = 4 << 10;
-/// Digits of a length at most.
+/// The largest number of digits of a length, so that it fits into 64 bits.
 const MAX_LENGTH_DIGITS: usize = 18;
 
-/// Why a message is no use.
+/// Why a message cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct HttpError {
-    /// The status that a client is answered.
+    /// The status of the response to the client.
     pub status: u16,
-    /// What is wrong.
+    /// The fault, as the response's body names it.
     pub reason: &'static str,
 }
 
-/// Something complete and how many bytes it took; None: more must come.
+/// A complete value and its number of bytes; None: more bytes must come.
 pub type Parsed<T> = Option<(T, usize)>;
 
 const fn error(status: u16, reason: &'static str) -> HttpError {
@@ -70,9 +76,9 @@
             .map(|(_, value)| value.trim_ascii())
     }
 
-    /// The value of a header that stands at most once, as text.
+    /// Returns the value of a header that occurs at most once, as text.
     ///
-    /// Errors: it stands more than once, or is not UTF-8.
+    /// Errors: the header occurs more than once, or is not UTF-8.
     pub fn one(&self, name: &'static str) -> Result<Option<&'b str>, HttpError> {
         let Some(value) = self.one_raw(name)? else {
             return Ok(None);
@@ -82,9 +88,9 @@
             .map_err(|_| error(400, "a header that is no text"))
     }
 
-    /// The value of a header that stands at most once, in whatever encoding.
+    /// Returns the value of a header that occurs at most once, in any encoding.
     ///
-    /// Errors: it stands more than once.
+    /// Errors: the header occurs more than once.
     pub fn one_raw(&self, name: &'static str) -> Result<Option<&'b [u8]>, HttpError> {
         let mut all = self.all(name);
         let first = all.next();
@@ -101,7 +107,7 @@
     }
 }
 
-/// A client's message.
+/// A client's request.
 #[derive(Debug, PartialEq)]
 pub struct Request<'b> {
     /// Its method, as sent.
@@ -116,7 +122,7 @@
     pub keep_alive: bool,
 }
 
-/// A node's or discovery's answer.
+/// A response of a node or of discovery.
 #[derive(Debug, PartialEq)]
 pub struct Response<'b> {
     /// Its status.
@@ -152,7 +158,7 @@
     }
 }
 
-/// Digits alone: two readers could take a sign or a space differently.
+/// Parses a length of digits alone. Two readers could interpret a sign or a space differently.
 fn parse_length(text: &str, most: usize) -> Result<usize, HttpError> {
     let is_decimal = !text.is_empty()
         && text.len() <= MAX_LENGTH_DIGITS
@@ -167,7 +173,7 @@
     }
 }
 
-/// The body that begins where the head ended, and how long it is on the wire; None: more must come.
+/// Returns the body after the head, and its number of bytes on the wire; None: more bytes must come.
 fn body(rest: &[u8], length: BodyLength, most: usize) -> Result<Parsed<Cow<'_, [u8]>>, HttpError> {
     match length {
         BodyLength::None => Ok(Some((Cow::Borrowed(&[]), 0))),
@@ -222,9 +228,9 @@
     }
 }
 
-/// Parses a client's message.
+/// Parses a client's request.
 ///
-/// Errors: what the client is answered; the connection is of no further use.
+/// Errors: the response to the client. The connection cannot be used again.
 ///
 /// ```
 /// use grebecleat_platform::http::request;
@@ -278,9 +284,10 @@
     version == 1 && !headers.has_token("connection", "close")
 }
 
-/// Parses a node's or discovery's answer, past interim heads.
+/// Parses a response of a node or of discovery, and skips interim heads.
 ///
-/// Errors: it cannot be read; or it has no length, so that its end would look like a break.
+/// Errors: the response cannot be read, or has no length. A response without a length ends with its
+/// connection, which cannot be distinguished from a broken connection.
 ///
 /// ```
 /// use grebecleat_platform::http::response;
@@ -294,7 +301,7 @@
     response_up_to(bytes, MAX_ANSWER)
 }
 
-/// The same, with a body of so many bytes at most.
+/// Parses a response with a body of at most `max_body` bytes, see [`response`].
 ///
 /// Errors: as [`response`].
 pub fn response_up_to(bytes: &[u8], max_body: usize) -> Result<Parsed<Response<'_>>, HttpError> {
@@ -355,7 +362,7 @@
     }
 }
 
-/// Appends an answer. `headers`: further header lines, each with its end.
+/// Appends a response. `headers`: further header lines, each with its line end.
 pub fn put_response(to: &mut Vec<u8>, status: u16, headers: &str, keep_alive: bool, body: &[u8]) {
     let close = if keep_alive {
         ""
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,12 +1,11 @@
-//! The users' platform as one more route into the host: clients, nodes and discovery speak
-//! HTTP/1.1.
+//! The host on the users' platform, where clients, nodes and discovery use HTTP/1.1.
 //!
-//! Begin with [`run`], which owns the sockets and the loop around the host's `RequestRouter`; every
-//! request's course is still decided by the one decision module. [`http`], [`clients`], [`nodes`]
+//! Begin with [`run`], which owns the sockets and the loop around the host's `RequestRouter`. The
+//! scheduler decides about every request, as on every other route into the host. [`http`], [`clients`], [`nodes`]
 //! and [`discovery`] are pure translation, `grebecleat_discovery` orders the calls to discovery,
-//! [`config`] reads what the platform passes at the start, [`statistics`] logs at debug level what
-//! was rejected and why. The platform's protocol and settings are translated in this package; no
-//! other one knows them.
+//! [`config`] reads the configuration that the platform passes at the start, [`statistics`] composes
+//! the debug line that counts rejections by cause. This package translates the platform's protocol
+//! and settings; no other package knows them.
 
 #![warn(missing_docs)]
 
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -1,6 +1,6 @@
-//! An attempt and the exchange with its node, as HTTP. Pure functions.
+//! Attempts, health checks and their responses, as HTTP.
 //!
-//! Called by the owner's `writer` and `node_conn`.
+//! Pure functions, which `run::owner::send` and `run::node_conn` call.
 
 use crate::clients::SERVICE;
 use crate::http::Response;
@@ -8,7 +8,8 @@
 use grebecleat_wire::pb;
 use std::io::Write;
 
-/// Appends the attempt as its node reads it. Its `piece` is the head of the client's request.
+/// Appends the attempt as its node reads it. The attempt's `piece` is the head of the client's
+/// request.
 pub fn put_attempt(to: &mut Vec<u8>, attempt: &pb::Attempt) {
     to.extend_from_slice(&attempt.piece);
     // Writing to memory cannot fail.
@@ -25,7 +26,8 @@
     let _ = write!(to, "GET /health/live HTTP/1.1\r\nHost: {SERVICE}\r\n\r\n");
 }
 
-/// A measurement in a header. One that cannot be read is absent; the answer still counts.
+/// Returns a measurement in a header. A measurement that cannot be read counts as absent; the
+/// response still counts.
 fn measurement(response: &Response, header: &'static str) -> Option<f64> {
     let text = response.headers.one(header).ok().flatten()?;
     text.parse::<f64>()
@@ -33,7 +35,8 @@
         .filter(|value| value.is_finite() && *value >= 0.0)
 }
 
-/// What a complete answer means for an attempt. Only a rejected one proves that it never ran.
+/// Returns the meaning of a complete response for an attempt. Only a rejection proves that the
+/// attempt never ran.
 pub fn attempt_response(attempt: u64, response: &Response) -> pb::AttemptResponse {
     let rejected = matches!(response.headers.one("x-turned-away"), Ok(Some("1")));
     let result = match response.status {
@@ -56,7 +59,7 @@
     }
 }
 
-/// What a malformed or incomplete answer means for an attempt: it has run.
+/// Returns the meaning of a malformed or incomplete response for an attempt: the attempt has run.
 pub fn failed_attempt_response(attempt: u64) -> pb::AttemptResponse {
     pb::AttemptResponse {
         attempt,
--- a/crates/platform/src/statistics.rs
+++ b/crates/platform/src/statistics.rs
@@ -1,10 +1,10 @@
-//! One line a second that says what this host received, sent, completed and rejected, and why; at
-//! debug level alone.
+//! The statistics line: the numbers of received, sent, completed and rejected requests of one second,
+//! and the causes of the rejections. The host logs it at debug level alone.
 //!
-//! [`StatisticsReporter::line`] composes it, [`StatisticsTable`] reads lines of many hosts back and
-//! adds them up by second: what one host rejects is an accident, what three hundred do is a cause.
-//! The names of the line's fields are those that operators know (docs/operators/platform.md).
-//! Memory: one row for each second, and one count for each cause met in it.
+//! [`StatisticsReporter::line`] composes the line. [`StatisticsTable`] reads the lines of many hosts
+//! and adds them up by second: the rejections of one host are an accident, those of three hundred
+//! hosts have a common cause. The names of the line's fields are those that operators know
+//! (docs/operators/platform.md). Memory: one row for each second, and one count for each cause in it.
 
 use grebecleat_host::router::Counters;
 use grebecleat_scheduler::api::NodeState;
@@ -15,18 +15,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
 
-/// What a line of the log begins with.
+/// The beginning of the line. `grebecleat account` parses it.
 const PREFIX: &str = "account at=";
-/// At most this admission level: a node gets next to nothing.
+/// Up to this admission level, a node counts as closed: it gets next to no requests.
 const CLOSED_LEVEL: f64 = 0.05;
-/// Below this admission level a node gets little.
+/// Below this admission level, a node counts as low: it gets few requests.
 const LOW_LEVEL: f64 = 0.5;
-/// Below this admission level a node gets less than it could.
+/// Below this admission level, a node counts as reduced: it gets fewer requests than it could serve.
 const REDUCED_LEVEL: f64 = 0.9;
-/// Below this factor a node's concurrency counts as reduced.
+/// Below this factor, a node's concurrency counts as reduced.
 const REDUCED_CONCURRENCY: f64 = 0.5;
 
-/// The fields of a line that are no causes, in the order of the table.
+/// The fields of the line that are not causes, in the order of the table.
 const COLUMNS: [&str; 14] = [
     "taken",
     "legs",
@@ -44,7 +44,7 @@
     "braked",
 ];
 
-/// Composes a host's lines: each reports what was counted since the one before.
+/// Composes a host's lines. Each line reports the counts since the line before it.
 #[derive(Debug, Default)]
 pub struct StatisticsReporter {
     reported: Counters,
@@ -69,7 +69,7 @@
     format!("{reason}/{class}/{payer}/{last_success}")
 }
 
-/// Nodes by how much they are sent.
+/// Numbers of nodes by the requests that they get.
 #[derive(Default)]
 struct NodeCounts {
     known: usize,
@@ -81,7 +81,7 @@
 }
 
 impl NodeCounts {
-    /// Only nodes that this host has sent to: of the others it knows nothing.
+    /// Counts the nodes to which this host has sent requests. It knows nothing of the others.
     fn of(scheduler: &Scheduler) -> Self {
         let mut counts = NodeCounts::default();
         for node in scheduler.nodes() {
@@ -116,9 +116,9 @@
 }
 
 impl StatisticsReporter {
-    /// The line for what was counted since the last one. `second`: of the wall clock, so that the
-    /// lines of several hosts can be laid side by side. `class_names`: of the traffic classes, in
-    /// the settings' order.
+    /// Returns the line for the counts since the last line. `second`: of the wall clock, so that the
+    /// lines of several hosts can be compared. `class_names`: of the traffic classes, in the settings'
+    /// order.
     pub fn line(
         &mut self,
         second: u64,
@@ -149,7 +149,7 @@
     }
 }
 
-/// Lines of several hosts, added up by second.
+/// The lines of several hosts, added up by second.
 ///
 /// ```
 /// use grebecleat_platform::statistics::StatisticsTable;
@@ -174,12 +174,12 @@
 /// Sums of the lines, by row and by cause.
 #[derive(Default)]
 struct Sums<'a> {
-    /// By the row's number and the field's name, or the first part of a cause's.
+    /// By the row's number, and by the field's name or the first part of a cause's name.
     rows: BTreeMap<u64, BTreeMap<&'a str, u64>>,
     causes: BTreeMap<String, u64>,
 }
 
-/// The first parts of a cause's name; zero: all of them.
+/// Returns the first `parts` parts of a cause's name; zero: all parts.
 fn cause_group(name: &str, parts: usize) -> String {
     if parts == 0 {
         return name.to_string();
@@ -189,7 +189,7 @@
 }
 
 impl StatisticsTable {
-    /// Adds a line of a log; whether it was one of statistics.
+    /// Adds a line of a log; returns whether it was a statistics line.
     pub fn read(&mut self, line: &str) -> bool {
         let Some(at) = line.find(PREFIX) else {
             return false;
@@ -205,8 +205,8 @@
         true
     }
 
-    /// A row for each `every` seconds from the first one, then the causes, by the first `parts`
-    /// parts of their names (zero: all of them), the most frequent first.
+    /// Returns one row for each `every` seconds from the first one, then the causes by the first
+    /// `parts` parts of their names (zero: all parts), the most frequent one first.
     pub fn format(&self, every: u64, parts: usize) -> String {
         let every = every.max(1);
         let sums = self.sums(every, parts);
--- a/crates/platform/tests/http.rs
+++ b/crates/platform/tests/http.rs
@@ -1,5 +1,5 @@
-//! Any bytes give a message, an error or 'more must come', never a panic; where a stream is cut
-//! changes nothing.
+//! Any bytes give a message, an error or 'more must come', never a panic. The place at which a stream
+//! is cut makes no difference.
 
 use grebecleat_platform::discovery::EndpointNames;
 use grebecleat_platform::http::{request, response, MAX_BODY, MAX_HEAD};
--- a/crates/platform/tests/poll_deadline/discovery.rs
+++ b/crates/platform/tests/poll_deadline/discovery.rs
@@ -1,4 +1,4 @@
-//! The model of discovery: it handles calls in turn, and fails as its scenario says.
+//! The model of discovery: it handles calls in turn, and fails as its scenario defines.
 
 use super::fleet::{Fleet, Incident, BEGIN, LATENCY};
 use super::ms;
@@ -7,11 +7,12 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// A call that would wait for longer than this is refused: at once, or when it has waited.
+/// The longest queueing time of a call. A call that would be queued for longer is refused: at once,
+/// or after this time.
 const QUEUE_TIMEOUT: Duration = ms(900);
-/// Of the platform's own looks at its connections.
+/// The interval of the platform's sweep.
 const SWEEP_INTERVAL: Duration = ms(50);
-/// An answer that comes as late as it may is so much early.
+/// Time before the timeout at which the latest response comes.
 const LAST_MOMENT: Duration = ms(5);
 
 /// A call that waits for a change.
@@ -19,7 +20,7 @@
     host: usize,
     conn: u64,
     revision: u64,
-    /// It is never answered.
+    /// Whether discovery never responds.
     silent: bool,
 }
 
@@ -30,7 +31,7 @@
         span.contains(&self.now).then_some(outage.kind)
     }
 
-    /// Whether the host's next call is to fail.
+    /// Returns whether the host's next call fails.
     pub fn must_fail(&self, host: usize) -> bool {
         let Some(failures) = self.scenario.forced_failures else {
             return false;
@@ -107,7 +108,7 @@
                 self.open_watch(host, conn, revision, wait);
             }
             _ => {
-                // As late as it may, where all is made as bad as can be.
+                // In the worst case, the response comes as late as possible.
                 let worst_case = self.scenario.forced_failures.is_some()
                     && self.now >= BEGIN + self.scenario.change_at;
                 let at = if worst_case {
@@ -120,13 +121,13 @@
         }
     }
 
-    /// When the call must be answered; the host's sweep ends it a little later.
+    /// Returns the timeout of the call; the host's sweep ends the call a little later.
     fn schedule_sweep(&mut self, host: usize, conn: u64, call: Call) -> Duration {
         let state = &self.hosts[host];
         let link = state.link.as_ref();
         let answer_by = link.and_then(|link| Some(link.calls.outstanding()?.answer_by));
         let answer_by = answer_by.unwrap_or(self.now);
-        // The router ends a call on a new connection a span after its dial.
+        // The timeout of a call on a new connection begins with its dial.
         let after_dial = state.call_begun_at + CALL_TIMEOUT;
         let late = SWEEP_INTERVAL.mul_f64(self.rng.random());
         self.schedule(answer_by + late, host, Incident::Sweep { conn });
@@ -137,7 +138,7 @@
         }
     }
 
-    /// The call fails: it is never answered, or refused at once or as late as it may be.
+    /// Makes the call fail: without a response, or with a refusal at once or as late as possible.
     fn fail(&mut self, host: usize, conn: u64, answer_by: Duration) {
         self.hosts[host].forced_failures += 1;
         match self.rng.random_range(0..3) {
@@ -155,7 +156,7 @@
         let outage = self.scenario.outage;
         if let Some(outage) = outage.filter(|outage| is_open_at(BEGIN + outage.from)) {
             silent = true;
-            // The system of one that goes down ends what is open; a machine that vanishes does not.
+            // A process that ends closes its connections; a machine that vanishes does not.
             if !matches!(outage.kind, OutageKind::Silent | OutageKind::Hangs) {
                 self.refuse(host, conn, BEGIN + outage.from);
             }
--- a/crates/platform/tests/poll_deadline/fleet.rs
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -1,4 +1,4 @@
-//! A fleet of hosts' routers and discovery calls, on a clock of the test's.
+//! A fleet of hosts, each with its router and its calls to discovery, on the test's clock.
 
 use super::discovery::Watch;
 use super::ms;
@@ -18,13 +18,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a message takes on its way.
+/// Time that a message takes on its way.
 pub const LATENCY: Duration = ms(1);
-/// A dial that is not answered is given up after this.
+/// Time after which a dial without an outcome fails.
 pub const DIAL_TIMEOUT: Duration = ms(250);
-/// When the run begins, on its clock.
+/// The beginning of the run, on its clock.
 pub const BEGIN: Duration = ms(100_000);
-/// From then on calls are counted: what begins with all hosts' start is the same in all runs.
+/// Time from the beginning after which calls are counted: the calls of all hosts' start are the same
+/// in all runs.
 const COUNTED_AFTER: Duration = ms(5000);
 
 fn settings() -> Arc<Settings> {
@@ -48,7 +49,7 @@
         .settings
 }
 
-/// What happens at a host. The order decides what comes first of what happens at one moment.
+/// An event at a host. The order of the variants decides the order of simultaneous events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Incident {
     /// The first step, as the platform's loop makes it.
@@ -58,7 +59,7 @@
         conn: u64,
         up: bool,
     },
-    /// A revision, or a refusal.
+    /// A response with a revision; None: a refusal.
     Answer {
         conn: u64,
         revision: Option<u64>,
@@ -69,7 +70,7 @@
     Restart,
     Moves,
     Changes,
-    /// A watch has waited for as long as it was to.
+    /// The wait of a watch is over.
     WatchOver {
         watch: usize,
     },
@@ -85,31 +86,32 @@
 pub struct Host {
     pub router: RequestRouter,
     pub link: Option<Link>,
-    /// The connection that was dialled last; the router has given up those before.
+    /// The connection that was dialled last; the router has abandoned the connections before it.
     dialled: u64,
     wake: Duration,
     /// When it first knew of the change.
     informed_at: Option<Duration>,
-    /// When its last call was begun.
+    /// When its last call began.
     pub call_begun_at: Duration,
-    /// Calls begun since discovery had the change that have failed.
+    /// Failed calls among those that began after discovery had the change.
     failed: u32,
     /// Calls that were made to fail.
     pub forced_failures: u32,
 }
 
-/// What came of a run.
+/// The outcome of a run.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
     pub calls: usize,
-    /// Of these, those that brought nothing.
+    /// Number of these calls without a response.
     pub fruitless: usize,
     pub busiest: usize,
-    /// From when discovery had the change and could be reached until the last host had it.
+    /// Time from discovery's having the change and being reachable until the last host knew it.
     pub slowest: Duration,
-    /// Hosts that had it later than the term.
+    /// Number of hosts that knew it later than the term.
     pub late: usize,
-    /// Of these, those of whose calls that were begun since then no more than one has failed.
+    /// Number of late hosts with at most one failed call among those that began after discovery had
+    /// the change.
     pub unexcused: usize,
 }
 
@@ -122,13 +124,13 @@
     pub hosts: Vec<Host>,
     settings: Arc<Settings>,
     incidents: BinaryHeap<Reverse<(Duration, usize, Incident)>>,
-    /// When discovery has handled the calls that it has.
+    /// When discovery has handled its queued calls.
     pub free_at: Duration,
     pub revision: u64,
     pub watches: BTreeMap<usize, Watch>,
     /// When each call was made.
     pub calls: Vec<Duration>,
-    /// Answers that came.
+    /// Number of responses that reached their hosts.
     answers: usize,
 }
 
@@ -175,7 +177,7 @@
             }
         }
         let change_at = self.scenario.change_at;
-        // What was changed while it was down is there when it is back.
+        // A change during an outage is in the list when discovery is back.
         let made_at = match self.scenario.outage {
             Some(outage) if outage.until == change_at => change_at - ms(1),
             _ => change_at,
@@ -345,7 +347,7 @@
     fn dial(&mut self, host: usize, conn: ConnId) {
         self.hosts[host].dialled = conn.0;
         self.hosts[host].call_begun_at = self.now;
-        // A dial alone may take so long that its call has little left.
+        // A dial may take so long that little time is left for its call.
         let slow = if self.must_fail(host) {
             Some([LATENCY, DIAL_TIMEOUT, ms(900)][self.rng.random_range(0..3)])
         } else {
@@ -361,7 +363,7 @@
         self.schedule(self.now + after, host, ends);
     }
 
-    /// Takes what the router has put into the outbox to discovery.
+    /// Performs the requests in the outbox to discovery.
     fn write_outbox(&mut self, host: usize) {
         let now = self.now;
         let state = &mut self.hosts[host];
--- a/crates/platform/tests/poll_deadline/main.rs
+++ b/crates/platform/tests/poll_deadline/main.rs
@@ -1,8 +1,8 @@
-//! How soon a change of the endpoint list is known to every host, and how many calls that takes:
-//! fleets of the real `RequestRouter`, decisions and `CallSequence`s, on a clock of the test's,
-//! against a discovery that goes down, falls silent, loses answers, and refuses whatever it cannot
-//! serve in time. Each run is of one seed, and is made without the router's poll deadline
-//! (`before`) and with it (`after`).
+//! The time until every host knows a change of the endpoint list, and the number of calls for it:
+//! fleets of the real `RequestRouter`, scheduler and `CallSequence`, on the test's clock, against a
+//! discovery that goes down, falls silent, loses responses, and refuses calls that it cannot serve in
+//! time. Each run has one seed, and is made without the router's poll deadline (`before`) and with it
+//! (`after`).
 
 mod discovery;
 mod fleet;
@@ -35,16 +35,17 @@
 
 fn check_run(run: &str, scenario: &Scenario, before: &Outcome, after: &Outcome) {
     assert_eq!(after.unexcused, 0, "{run}: {after:?}");
-    // Calls that bring nothing are the fleet's price; those that follow an answer come with it.
+    // Calls without a response are the fleet's cost; each response causes the call that follows it.
     let most = before.fruitless + before.fruitless / 12;
-    let drawn = scenario.lost > 0.0; // in which calls answers are lost differs with each call
+    // Which responses are lost differs with each call.
+    let drawn = scenario.lost > 0.0;
     assert!(
         drawn || after.fruitless <= most,
         "{run}: {} fruitless, {most}",
         after.fruitless
     );
-    // No second is busier than before by more than one draw from another, nor than that in which an
-    // ordinary change is sent to all.
+    // No second is busier than before by more than one draw differs from another, or than the second
+    // in which discovery sends an ordinary change to all hosts.
     let most = (before.busiest + before.busiest / 20).max(CALM.hosts * 3 / 2);
     assert!(
         after.busiest <= most,
@@ -53,8 +54,8 @@
     );
 }
 
-/// Whatever befalls the call that is out when discovery has a change, and the one after it, the
-/// change is known within the term; without what guards that, it is not.
+/// Whatever happens to the call that is outstanding when discovery has a change, and to the next
+/// call, the host knows the change within the term. Without the poll deadline, it does not.
 #[test]
 fn a_change_is_known_within_the_term_when_one_call_is_lost_and_the_next_one_fails() {
     let mut slowest = Duration::ZERO;
--- a/crates/platform/tests/poll_deadline/scenarios.rs
+++ b/crates/platform/tests/poll_deadline/scenarios.rs
@@ -1,4 +1,4 @@
-//! What happens to discovery in each run.
+//! The scenarios: what happens to discovery in each run.
 
 use super::ms;
 use std::time::Duration;
@@ -8,15 +8,15 @@
 pub enum OutageKind {
     /// Dials are refused.
     Closed,
-    /// Dials come up, and calls are answered 503.
+    /// Dials succeed, and calls get the response 503.
     Refuses,
-    /// Nothing comes back, neither of a dial nor of a call.
+    /// Neither dials nor calls get a response.
     Silent,
-    /// Dials come up, and calls are never answered.
+    /// Dials succeed, and calls never get a response.
     Hangs,
 }
 
-/// Times are counted from the run's beginning.
+/// An outage of discovery. Times count from the run's beginning.
 #[derive(Debug, Clone, Copy)]
 pub struct Outage {
     pub kind: OutageKind,
@@ -24,34 +24,34 @@
     pub until: Duration,
 }
 
-/// A part of the hosts starts anew, without a cached list.
+/// A restart of a part of the hosts, without a cached list.
 #[derive(Debug, Clone, Copy)]
 pub struct Restart {
     pub at: Duration,
     pub fraction: f64,
 }
 
-/// One run. Times are counted from its beginning.
+/// One run. Times count from its beginning.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub hosts: usize,
     pub until: Duration,
-    /// What one call costs discovery; it handles them in turn.
+    /// Time that discovery takes for one call; it handles calls in turn.
     pub cost: Duration,
-    /// A call that cannot be served in time is refused when it has waited, not at once.
+    /// Whether a call that cannot be served in time is refused after its queueing time, not at once.
     pub refuses_late: bool,
     pub outage: Option<Outage>,
-    /// All watches that are open then fall silent, connections and all.
+    /// When all open watches, and their connections, fall silent.
     pub silent_at: Option<Duration>,
-    /// The fraction of answers that is lost on the way.
+    /// The fraction of responses that is lost on the way.
     pub lost: f64,
     pub restart: Option<Restart>,
-    /// Discovery moves then, for all hosts: their calls there are new ones.
+    /// When discovery moves, for all hosts; their calls at the new address are new ones.
     pub moves_at: Option<Duration>,
-    /// From when discovery has the change, so many calls of each host fail, in every way, as late
-    /// as they can; and the answers come as late as they may.
+    /// Number of calls of each host that fail after discovery has the change, in every way and as
+    /// late as possible; the responses come as late as possible too.
     pub forced_failures: Option<u32>,
-    /// When discovery has the change that is looked at, and can be reached.
+    /// When discovery has the observed change and can be reached.
     pub change_at: Duration,
 }
 
@@ -69,7 +69,7 @@
     change_at: ms(10_000),
 };
 
-/// When every watch falls silent, where it does: just before the change.
+/// The time just before the change, at which every watch falls silent.
 const SILENT_AT: Duration = ms(9999);
 
 fn outage(kind: OutageKind) -> Scenario {
