--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -12,14 +12,15 @@
 //! - `throttle`: what a node that is late by others' doing, hangs or fails fast may still get;
 //! - `slow_start`: what a node that has just started may get;
 //! - `dispatch`, `placement`: which queued request goes to which node, and what blocks it;
-//! - `retries`: whether another attempt may follow one that failed;
+//! - `retry_policy`: whether another attempt may follow one that failed;
 //! - `shedding`: what is rejected early because it cannot be in time;
 //! - `endpoint_lease`: which nodes may get requests while the endpoint list may be out of date;
 //! - `fetch_backoff`: the time of the next call to discovery;
-//! - `outcomes`, `endpoint_updates`: the effect of an attempt's end, or of the endpoint list, on a node.
+//! - `attempt_outcome`, `endpoint_updates`: the effect of an attempt's end, or of the endpoint list, on a node.
 //!
 //! `inspection` shows to operators what the decisions know.
 
+mod attempt_outcome;
 mod concurrency;
 mod dispatch;
 mod endpoint_lease;
@@ -28,22 +29,22 @@
 mod fetch_backoff;
 pub mod inspection;
 mod jitter;
-mod outcomes;
 mod placement;
 mod requests;
-mod retries;
+mod retry_policy;
 mod shedding;
 mod slow_start;
 mod throttle;
 
 pub use concurrency::concurrency_limit;
 pub use fair_share::{demand, reservation_fraction};
-pub use retries::{may_reject, may_resend};
+pub use retry_policy::{may_reject, may_resend, PriorAttempt};
 pub use slow_start::slow_start_quota;
 pub use throttle::credibility;
 
-pub use crate::state::{FlowSample, PriorAttempt};
+pub use crate::state::FlowSample;
 pub(crate) use endpoint_lease::NodeContact;
+pub(crate) use retry_policy::RetryPolicy;
 
 use crate::api::*;
 use crate::histogram::Histogram;
@@ -77,8 +78,7 @@
     slow_start: SlowStartPolicy,
     endpoint_lease: EndpointLease,
     fetch_backoff: FetchBackoff,
-    retry_budget: Option<RetryBudget>,
-    key_cooldown: Duration,
+    retries: RetryPolicy,
     tightest_objective: Duration,
     time_per_unit: Histogram,
     state: SchedulerState,
@@ -101,12 +101,11 @@
             traffic_classes,
             plans,
             units,
-            limits,
             slow_start: SlowStartPolicy::default(),
             endpoint_lease: EndpointLease::new(None),
             fetch_backoff: FetchBackoff::new(&DiscoveryPolicy::default()),
-            retry_budget: None,
-            key_cooldown: Duration::ZERO,
+            retries: RetryPolicy::new(limits.max_attempts, None, Duration::ZERO),
+            limits,
             state: SchedulerState {
                 value_range,
                 ..SchedulerState::default()
@@ -114,7 +113,7 @@
         }
     }
 
-    /// Sets the rules. `key_cooldown`: how long a key rests after an attempt that may still run.
+    /// Sets the rules. `key_cooldown`: time for which a key is blocked after an attempt that may still run.
     pub fn with_rules(
         mut self,
         slow_start: SlowStartPolicy,
@@ -125,8 +124,7 @@
         self.slow_start = slow_start;
         self.endpoint_lease = EndpointLease::new(discovery.lease);
         self.fetch_backoff = FetchBackoff::new(&discovery);
-        self.retry_budget = retry_budget;
-        self.key_cooldown = key_cooldown;
+        self.retries = RetryPolicy::new(self.limits.max_attempts, retry_budget, key_cooldown);
         self
     }
 
@@ -171,7 +169,7 @@
             }
             // A connection that comes up late is no evidence against its node.
             Event::AttemptSent { id, node, at } => self.state.set_sent(id, node, at),
-            Event::RequestCancelled { id } => self.state.close(id),
+            Event::RequestCancelled { id } => self.state.close(id, &mut self.retries),
             Event::PlanChanged { plan, facts } => {
                 self.plans
                     .resize(self.plans.len().max(plan.0 + 1), Plan::default());
@@ -225,9 +223,9 @@
             .volumes
             .entry(request.volume)
             .or_insert_with(new_volume);
-        if let (true, Some(key)) = (class.ordered, request.key) {
-            self.state.key_order.push(key, request.id);
-        }
+        let ordered_key = request.key.filter(|_| class.ordered);
+        self.retries
+            .request_received(request.id, ordered_key, self.state.now);
         // A client's later try has less time left than its first, with which the objective began: it must not
         // pass as fresh before requests that can still be in time.
         let spent = self.state.count_received(&request);
@@ -267,12 +265,8 @@
             self.state.log(event);
         }
         self.update_slow_start();
-        self.state.key_order.remove_idle(self.state.now);
-        self.state.expire(
-            self.retry_budget
-                .as_ref()
-                .map_or(INTERVAL, |budget| budget.window + INTERVAL),
-        );
+        self.retries.expire(self.state.now);
+        self.state.drop_retired_volumes();
         self.time_per_unit.halve_above(fair_share::MAX_TIMES);
     }
 
@@ -299,7 +293,7 @@
     fn reconcile(&mut self) -> Vec<Action> {
         let now = self.state.now;
         self.state
-            .act_on_changed_requests(self.limits.max_retry_after);
+            .act_on_changed_requests(self.limits.max_retry_after, &mut self.retries);
         if self.fetch_backoff.take_due(now) {
             self.state.actions.push(Action::WatchEndpoints { on: true });
         }
--- a/crates/scheduler/src/scheduler/outcomes.rs
+++ b/crates/scheduler/src/scheduler/attempt_outcome.rs
@@ -1,10 +1,12 @@
-//! What the end of an attempt says of its node, its volume and its request.
+//! Attempt outcomes: the effect of an attempt's end on its node, its volume and its request.
 
 use super::concurrency::{adjust_factor, cut_factor, QUEUEING_FRACTION};
+use super::requests::MIN_RETRY_AFTER;
+use super::retry_policy::{may_resend, PriorAttempt};
 use super::throttle::{adjust_admission, EJECT_AFTER, UNQUEUED_QUANTILE};
 use super::Scheduler;
 use crate::api::{AttemptEnd, AttemptOutcome, EjectionReason};
-use crate::state::PriorAttempt;
+use std::time::Duration;
 
 impl Scheduler {
     pub(super) fn record_outcome(&mut self, end: &AttemptEnd) {
@@ -94,6 +96,56 @@
             cut_factor(node);
         }
     }
+
+    /// After an attempt: closes the request, queues it for a retry, or rejects it.
+    pub(super) fn retry_or_answer(&mut self, end: &AttemptEnd) {
+        let now = self.state.now;
+        let Some(pending) = self.state.requests.get_mut(&end.id) else {
+            return;
+        };
+        pending.out_at = None;
+        let class = &self.traffic_classes[pending.request.traffic_class.0];
+        use AttemptOutcome::{Cancelled, ConnectionReset, NotSent, TimedOut};
+        let may_still_run = matches!(end.outcome, TimedOut | ConnectionReset | Cancelled);
+        let ordered_key = pending.request.key.filter(|_| class.ordered);
+        if let Some(key) = ordered_key.filter(|_| may_still_run) {
+            self.retries.cool_down_key(key, end.id, now);
+        }
+        if end.answered || pending.answered || pending.response_started {
+            return self.state.close(end.id, &mut self.retries);
+        }
+        let attempts = pending.attempts;
+        let delay = self.retries.delay(attempts, &mut self.jitter);
+        let final_outcome = matches!(end.outcome, TimedOut | NotSent | Cancelled);
+        if !final_outcome && self.retries.attempts_remain(attempts) && self.may_retry_in(delay, end)
+        {
+            let pending = self
+                .state
+                .requests
+                .get_mut(&end.id)
+                .expect("looked up above");
+            pending.not_before = now + delay;
+            self.enqueue(end.id);
+        } else {
+            self.reject_or_fail(end.id, MIN_RETRY_AFTER);
+        }
+    }
+
+    /// Returns whether the retry budget, idempotency and the time to the deadline allow a retry at the same node
+    /// after the delay.
+    fn may_retry_in(&self, delay: Duration, end: &AttemptEnd) -> bool {
+        let now = self.state.now;
+        let pending = &self.state.requests[&end.id];
+        let Some(node) = self.state.nodes.get(&end.node) else {
+            return false;
+        };
+        let idempotency = self.traffic_classes[pending.request.traffic_class.0].idempotency;
+        let remaining = pending.request.deadline.saturating_sub(now);
+        let prior = pending.prior_attempt;
+        self.retries.budget_allows(now)
+            && may_resend(idempotency, prior, node.zone, node.shard, now)
+            && remaining > self.expected_time(Some(end.node), pending.request.units) + delay
+    }
 }
 
 fn may_have_run(outcome: AttemptOutcome) -> bool {
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,6 +1,6 @@
 //! Dispatch: which queued request goes to a node next, and what keeps one from going.
 
-use super::{may_resend, Scheduler};
+use super::{retry_policy::may_resend, Scheduler};
 use crate::api::{BlockReason, NodeId, Plan, RequestId, TrafficClass, UnitSettings};
 use crate::request_queue::{best_candidate, best_of_line, sort_by_value, Candidate, Line};
 use crate::state::{PendingRequest, ValueRange};
@@ -76,10 +76,10 @@
             return Some(BlockReason::RetryDelay);
         }
         let key = request.key.filter(|_| class.ordered);
-        if key.is_some_and(|key| !self.state.key_order.may_run(key, request.id, now)) {
+        if key.is_some_and(|key| !self.retries.key_allows(key, request.id, now)) {
             return Some(BlockReason::KeyOrder);
         }
-        if pending.attempts > 0 && !self.retry_budget_allows() {
+        if pending.attempts > 0 && !self.retries.budget_allows(now) {
             return Some(BlockReason::RetryBudget);
         }
         let limit = self.state.volumes[&request.volume]
@@ -195,6 +195,8 @@
         let value = self.value(&self.state.requests[&id], Some(node));
         // Late behind others of our own is for the concurrency back-off; late alone is others' doing.
         let alone = self.state.nodes[&node].outstanding <= 0.0;
-        self.state.record_sent(id, node, value.paid, alone);
+        if self.state.record_sent(id, node, value.paid, alone) {
+            self.retries.retry_sent(self.state.now);
+        }
     }
 }
--- a/crates/scheduler/src/scheduler/requests.rs
+++ b/crates/scheduler/src/scheduler/requests.rs
@@ -1,6 +1,6 @@
 //! Where a request is queued, how one is answered that will not be sent, and how long an attempt should take.
 
-use super::{fair_share::TICK, may_reject, Scheduler};
+use super::{fair_share::TICK, retry_policy::may_reject, Scheduler};
 use crate::api::{NodeId, RequestId};
 use crate::histogram::Histogram;
 use crate::state::DesiredState;
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -9,6 +9,6 @@
 mod volume;
 
 pub use node::{Flow, FlowSample, Node};
-pub use request::{DesiredState, PendingRequest, PriorAttempt};
+pub use request::{DesiredState, PendingRequest};
 pub use scheduler_state::{SchedulerState, ValueRange};
 pub use volume::{ReportedUsage, Volume};
--- a/crates/scheduler/src/state/request.rs
+++ b/crates/scheduler/src/state/request.rs
@@ -1,20 +1,10 @@
 //! A request that has no final answer yet, or an attempt of which is still out.
 
-use crate::api::{NodeId, Request, ShardId, ZoneId};
+use crate::api::{NodeId, Request};
 use crate::request_queue::LineKey;
+use crate::scheduler::PriorAttempt;
 use std::time::Duration;
 
-/// Where and when an attempt was sent that may have run.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct PriorAttempt {
-    /// Zone of its node.
-    pub zone: ZoneId,
-    /// Shard of its node.
-    pub shard: ShardId,
-    /// When it was sent.
-    pub sent: Duration,
-}
-
 /// What the decisions want of a request; the host is told where it differs from what is so.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DesiredState {
--- a/crates/scheduler/src/state/scheduler_state.rs
+++ b/crates/scheduler/src/state/scheduler_state.rs
@@ -4,10 +4,10 @@
     Action, Endpoint, LogEvent, NodeId, NodeState, PlanId, Request, RequestId, ShardId, TimerTag,
     TrafficClassId, VolumeId,
 };
-use crate::key_order::KeyOrder;
 use crate::max_min_fair_share::{allocate, FlowDemand};
-use crate::rates::{MeanRate, RecentEvents};
+use crate::rates::MeanRate;
 use crate::rejection_stats::{RejectedRequest, RejectionCounts};
+use crate::scheduler::RetryPolicy;
 use crate::state::{DesiredState, Flow, FlowSample, Node, PendingRequest, Volume};
 use crate::token_bucket::TokenBucket;
 use std::collections::{BTreeMap, BTreeSet};
@@ -63,14 +63,8 @@
     pub requests: BTreeMap<RequestId, PendingRequest>,
     /// Queued requests that any node may take.
     pub unassigned: Vec<RequestId>,
-    /// Order among requests of one key.
-    pub key_order: KeyOrder,
-    /// Requests received.
-    pub received: RecentEvents,
     /// The longest time from receipt to deadline seen in each class.
     pub longest_deadline: BTreeMap<TrafficClassId, Duration>,
-    /// Retries sent.
-    pub retries: RecentEvents,
     /// Requests of which something new is wanted.
     pub changed_requests: Vec<RequestId>,
     /// When the timer runs out that was set last; None: none was yet.
@@ -107,7 +101,6 @@
     /// Counts a request that has come in; returns by how much its deadline is nearer than the longest of its
     /// class.
     pub fn count_received(&mut self, request: &Request) -> Duration {
-        self.received.add(self.now);
         let left = request.deadline.saturating_sub(self.now);
         let longest = self
             .longest_deadline
@@ -255,8 +248,8 @@
     }
 
     /// An attempt of a queued request goes to the node. `paid`: the flow's share pays where the reservation
-    /// does not; `alone`: nothing else of this host is out there.
-    pub fn record_sent(&mut self, id: RequestId, node_id: NodeId, paid: bool, alone: bool) {
+    /// does not; `alone`: nothing else of this host is out there. Returns whether it is a retry.
+    pub fn record_sent(&mut self, id: RequestId, node_id: NodeId, paid: bool, alone: bool) -> bool {
         self.mark_changed(id);
         let pending = self.requests.get_mut(&id).expect("queued, so known");
         let volume = self
@@ -277,9 +270,7 @@
         } else if let (true, Some(spare)) = (paid, spare) {
             spare.take(units);
         }
-        if pending.attempts > 0 {
-            self.retries.add(self.now);
-        }
+        let is_retry = pending.attempts > 0;
         if let (false, Some(limit)) = (pending.limit_drawn, &mut volume.limit) {
             limit.take(units);
         }
@@ -290,6 +281,7 @@
         pending.lateness_counted = !alone;
         node.attempt_sent(&pending.request, self.now);
         self.active_nodes.insert(node_id);
+        is_retry
     }
 
     /// Samples every flow over so many ticks and smooths its demand; returns each volume's demand over all
@@ -372,7 +364,7 @@
     }
 
     /// The request needs no further answer; its record stays while an attempt is out.
-    pub fn close(&mut self, id: RequestId) {
+    pub fn close(&mut self, id: RequestId, retries: &mut RetryPolicy) {
         self.dequeue(id);
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
@@ -384,7 +376,7 @@
         let next = pending
             .request
             .key
-            .and_then(|key| self.key_order.remove(key, id));
+            .and_then(|key| retries.request_closed(key, id));
         self.requests.remove(&id);
         let next_at = next
             .and_then(|next| self.requests.get(&next))
@@ -393,7 +385,7 @@
     }
 
     /// Forgets volumes that are served no more, once nothing of them is left.
-    fn drop_retired_volumes(&mut self) {
+    pub fn drop_retired_volumes(&mut self) {
         if self.retired.is_empty() {
             return;
         }
@@ -430,13 +422,6 @@
             .collect()
     }
 
-    /// Forgets events older than the span, and volumes that are served no more.
-    pub fn expire(&mut self, span: Duration) {
-        self.drop_retired_volumes();
-        self.received.expire(span, self.now);
-        self.retries.expire(span, self.now);
-    }
-
     /// Writes a line to the host's log.
     pub fn log(&mut self, event: LogEvent) {
         self.actions.push(Action::Log { event });
@@ -444,7 +429,11 @@
 
     /// Acts on the requests of which something new is wanted. `max_retry_after`: the longest delay that a
     /// client may be told; None: it is told none.
-    pub fn act_on_changed_requests(&mut self, max_retry_after: Option<Duration>) {
+    pub fn act_on_changed_requests(
+        &mut self,
+        max_retry_after: Option<Duration>,
+        retries: &mut RetryPolicy,
+    ) {
         for id in std::mem::take(&mut self.changed_requests) {
             let Some(pending) = self
                 .requests
@@ -463,11 +452,11 @@
                 DesiredState::Rejected(wait) => {
                     let retry_after = max_retry_after.map(|longest| wait.min(longest));
                     self.actions.push(Action::Reject { id, retry_after });
-                    self.close(id);
+                    self.close(id, retries);
                 }
                 DesiredState::Failed => {
                     self.actions.push(Action::Fail { id });
-                    self.close(id);
+                    self.close(id, retries);
                 }
                 DesiredState::Sent(_) | DesiredState::Queued => {}
             }
