--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -10,6 +10,8 @@
 //! - `fair_share`: demand, reservations, learnt rates and shares, once a control interval (docs/design.md);
 //! - `concurrency`: units out at a node, and the back-off when answers come late;
 //! - `throttle`: what a node that is late by others' doing, hangs or fails fast may still get;
+//! - `outlier_ejection`: which nodes get trial requests only;
+//! - `latency`: the time that an attempt should take, and whether one is late;
 //! - `slow_start`: what a node that has just started may get;
 //! - `dispatch`, `placement`: which queued request goes to which node, and what blocks it;
 //! - `retry_policy`: whether another attempt may follow one that failed;
@@ -29,6 +31,8 @@
 mod fetch_backoff;
 pub mod inspection;
 mod jitter;
+mod latency;
+mod outlier_ejection;
 mod placement;
 mod requests;
 mod retry_policy;
@@ -43,29 +47,28 @@
 pub use throttle::credibility;
 
 pub use crate::state::FlowSample;
+pub(crate) use concurrency::ConcurrencyBackoff;
 pub(crate) use endpoint_lease::NodeContact;
+pub(crate) use latency::NodeDelays;
+pub(crate) use outlier_ejection::FailureStreak;
 pub(crate) use retry_policy::RetryPolicy;
+pub(crate) use slow_start::WarmUp;
+pub(crate) use throttle::AdmissionLevel;
 
 use crate::api::*;
-use crate::histogram::Histogram;
 use crate::rates::seconds;
 use crate::state::{PendingRequest, SchedulerState, Volume};
-use dispatch::{ticks_per_ranking, value_range};
+use concurrency::ConcurrencyLimiter;
+use dispatch::ticks_per_ranking;
 use endpoint_lease::EndpointLease;
 use fair_share::{INTERVAL, TICK};
 use fetch_backoff::FetchBackoff;
 use jitter::Jitter;
+use latency::LatencyModel;
 use requests::MIN_RETRY_AFTER;
+use slow_start::SlowStart;
 use std::time::Duration;
-
-/// The shortest latency objective that a host can keep to.
-fn tightest_objective(classes: &[TrafficClass]) -> Duration {
-    let objectives = classes.iter().map(|class| class.latency_objective);
-    objectives
-        .filter(|objective| *objective > TICK)
-        .min()
-        .unwrap_or(INTERVAL)
-}
+use throttle::AdmissionThrottle;
 
 /// The decisions of one host.
 #[derive(Debug)]
@@ -75,12 +78,13 @@
     plans: Vec<Plan>,
     units: UnitSettings,
     limits: HostLimits,
-    slow_start: SlowStartPolicy,
+    slow_start: SlowStart,
+    concurrency: ConcurrencyLimiter,
+    throttle: AdmissionThrottle,
+    latency: LatencyModel,
     endpoint_lease: EndpointLease,
     fetch_backoff: FetchBackoff,
     retries: RetryPolicy,
-    tightest_objective: Duration,
-    time_per_unit: Histogram,
     state: SchedulerState,
 }
 
@@ -93,23 +97,23 @@
         units: UnitSettings,
         limits: HostLimits,
     ) -> Self {
-        let value_range = value_range(&traffic_classes, &plans, &units);
+        let latency = LatencyModel::new(&traffic_classes);
+        let objective = latency.tightest_objective();
+        let slow_start = SlowStartPolicy::default();
         Scheduler {
             jitter: Jitter::new(seed),
-            tightest_objective: tightest_objective(&traffic_classes),
-            time_per_unit: requests::time_per_unit(),
+            concurrency: ConcurrencyLimiter::new(objective, units.mean, slow_start.hosts),
+            throttle: AdmissionThrottle::new(&traffic_classes, &plans, &units),
+            latency,
+            slow_start: SlowStart::new(slow_start, units.mean),
             traffic_classes,
             plans,
             units,
-            slow_start: SlowStartPolicy::default(),
             endpoint_lease: EndpointLease::new(None),
             fetch_backoff: FetchBackoff::new(&DiscoveryPolicy::default()),
             retries: RetryPolicy::new(limits.max_attempts, None, Duration::ZERO),
             limits,
-            state: SchedulerState {
-                value_range,
-                ..SchedulerState::default()
-            },
+            state: SchedulerState::default(),
         }
     }
 
@@ -121,7 +125,9 @@
         retry_budget: Option<RetryBudget>,
         key_cooldown: Duration,
     ) -> Self {
-        self.slow_start = slow_start;
+        let objective = self.latency.tightest_objective();
+        self.concurrency = ConcurrencyLimiter::new(objective, self.units.mean, slow_start.hosts);
+        self.slow_start = SlowStart::new(slow_start, self.units.mean);
         self.endpoint_lease = EndpointLease::new(discovery.lease);
         self.fetch_backoff = FetchBackoff::new(&discovery);
         self.retries = RetryPolicy::new(self.limits.max_attempts, retry_budget, key_cooldown);
@@ -174,8 +180,8 @@
                 self.plans
                     .resize(self.plans.len().max(plan.0 + 1), Plan::default());
                 self.plans[plan.0] = facts;
-                self.state.value_range =
-                    value_range(&self.traffic_classes, &self.plans, &self.units);
+                self.throttle
+                    .set_values(&self.traffic_classes, &self.plans, &self.units);
             }
             Event::VolumeChanged {
                 volume,
@@ -256,18 +262,20 @@
         self.split_reservations(&demands, interval);
         for node in self.state.nodes.values_mut() {
             fair_share::learn_capacity(node, interval);
-            throttle::recover_admission(node, self.units.mean, interval);
+            let usage = node.usage.per_second();
+            node.admission.recover(usage, self.units.mean, interval);
         }
         self.state
             .allocate_shares(&demands, |plan| self.plans[plan.0].weight);
-        self.state.update_mean_learned_rate();
+        self.concurrency.update_mean_rate(self.state.nodes.values());
         if let Some(event) = self.endpoint_lease.state_change(self.state.now) {
             self.state.log(event);
         }
-        self.update_slow_start();
+        self.slow_start
+            .update(self.state.nodes.values_mut(), self.state.now);
         self.retries.expire(self.state.now);
         self.state.drop_retired_volumes();
-        self.time_per_unit.halve_above(fair_share::MAX_TIMES);
+        self.latency.fade();
     }
 
     /// Between ticks only those nodes are looked at where something changed or a time has come: with many
@@ -289,6 +297,29 @@
         }
     }
 
+    /// Counts overdue attempts as late, and ejects nodes that have been silent for too long.
+    fn detect_silence(&mut self) {
+        let now = self.state.now;
+        let bound = self.latency.overdue_bound();
+        let is_late = |units, sent| bound.is_passed(units, sent, now);
+        self.state.prune_active_nodes();
+        for id in &self.state.active_nodes {
+            let Some(node) = self.state.nodes.get_mut(id) else {
+                continue;
+            };
+            for _ in 0..node.count_overdue(&mut self.state.requests, is_late) {
+                self.throttle.record(&mut node.admission, now, true);
+            }
+            node.stats.had_queue |= !node.queue.is_empty();
+            let oldest_sent = node.attempts.values().min().copied();
+            let objective = self.latency.tightest_objective();
+            let silence = node.failures.silence(oldest_sent, objective, now);
+            let event = silence.and_then(|reason| node.eject(reason));
+            let actions = &mut self.state.actions;
+            actions.extend(event.map(|event| Action::Log { event }));
+        }
+    }
+
     /// Brings what is out, answered and timed into line with what is wanted.
     fn reconcile(&mut self) -> Vec<Action> {
         let now = self.state.now;
--- a/crates/scheduler/src/scheduler/attempt_outcome.rs
+++ b/crates/scheduler/src/scheduler/attempt_outcome.rs
@@ -1,11 +1,10 @@
 //! Attempt outcomes: the effect of an attempt's end on its node, its volume and its request.
 
-use super::concurrency::{adjust_factor, cut_factor, QUEUEING_FRACTION};
+use super::outlier_ejection::{is_failure, is_refusal};
 use super::requests::MIN_RETRY_AFTER;
 use super::retry_policy::{may_resend, PriorAttempt};
-use super::throttle::{adjust_admission, EJECT_AFTER, UNQUEUED_QUANTILE};
 use super::Scheduler;
-use crate::api::{AttemptEnd, AttemptOutcome, EjectionReason};
+use crate::api::{Action, AttemptEnd, AttemptOutcome};
 use std::time::Duration;
 
 impl Scheduler {
@@ -54,46 +53,29 @@
                 sent,
             });
         }
-        // What fails fast looks idle and would draw all that may go anywhere. Some failures in a row keep new
-        // objects away; dead ports and full queues also eject the node, while errors may spare some requests
-        // whose data is there, and a reset may be its connection's alone: a node that died has a dead port.
-        let failed = is_failure(outcome);
-        node.consecutive_failures += u32::from(failed);
-        if failed
-            && !matches!(
-                outcome,
-                AttemptOutcome::Failed | AttemptOutcome::ConnectionReset
-            )
-        {
-            adjust_admission(node, &mut state.late_fraction, now, true);
-            if node.consecutive_failures >= EJECT_AFTER {
-                let failures = node.consecutive_failures;
-                let reason = match outcome {
-                    AttemptOutcome::QueueFull => EjectionReason::QueueFull { failures },
-                    _ => EjectionReason::ConnectFailed { failures },
-                };
-                node.eject(&mut state.actions, reason);
-            }
+        if is_failure(outcome) {
+            node.failures.add();
+        }
+        if is_refusal(outcome) {
+            self.throttle.record(&mut node.admission, now, true);
+            let ejection = node.failures.ejection(outcome);
+            let event = ejection.and_then(|reason| node.eject(reason));
+            state
+                .actions
+                .extend(event.map(|event| Action::Log { event }));
         }
         if outcome == AttemptOutcome::Completed {
             let units = pending.request.units;
-            self.time_per_unit.add(end.elapsed.div_f64(units.max(0.5)));
-            let work = self
-                .time_per_unit
-                .quantile(UNQUEUED_QUANTILE)
-                .unwrap_or_default()
-                .mul_f64(units);
-            let late = end.elapsed > work + self.tightest_objective.mul_f64(QUEUEING_FRACTION);
-            node.delays.add(end.elapsed.saturating_sub(work));
+            let late = self.latency.record(&mut node.delays, units, end.elapsed);
             if !late || !pending.lateness_counted {
-                adjust_admission(node, &mut state.late_fraction, now, late);
+                self.throttle.record(&mut node.admission, now, late);
             }
             volume.done += units;
             node.completed(units, late, now);
-            adjust_factor(node, late);
+            node.concurrency.completed(late);
         } else if outcome == AttemptOutcome::QueueFull {
             node.stats.queue_full += 1.0;
-            cut_factor(node);
+            node.concurrency.queue_full();
         }
     }
 
@@ -154,9 +136,3 @@
         AttemptOutcome::QueueFull | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
     )
 }
-
-/// Whether the outcome counts against the node.
-fn is_failure(outcome: AttemptOutcome) -> bool {
-    use AttemptOutcome::{Cancelled, Completed, NotSent, TimedOut};
-    !matches!(outcome, Completed | TimedOut | Cancelled | NotSent)
-}
--- a/crates/scheduler/src/scheduler/concurrency.rs
+++ b/crates/scheduler/src/scheduler/concurrency.rs
@@ -1,23 +1,38 @@
-//! Concurrency limit: how many units this host may have out at a node, and its back-off under late answers.
+//! Concurrency limit: the units that this host may have outstanding at a node, and its back-off when answers
+//! are late.
 //!
-//! Guards against queues at the node that eat up the latency objective. The back-off is multiplicative both
-//! ways: late answers of any cause (a slow node, other hosts) shrink the limit below the design's floor.
+//! Guards against queues at the node that use up the latency objective. The back-off is multiplicative in both
+//! directions: late answers of any cause (a slow node, other hosts) reduce the limit below the design's floor.
+//!
+//! Called by [`super::Scheduler`]. [`ConcurrencyLimiter`] owns the mean rate of all nodes;
+//! [`ConcurrencyBackoff`], one a node, owns the node's factor.
 
-use super::Scheduler;
-use crate::api::{NodeId, NodeState};
+use super::latency::{LatencyModel, QUEUEING_FRACTION};
+use crate::api::NodeState;
 use crate::{rates::seconds, state::Node};
 use std::time::Duration;
 
-pub(super) const MAX_OUTSTANDING: f64 = 32.0; // in mean requests, as in the design
-pub(super) const QUEUEING_FRACTION: f64 = 0.15; // of the objective, for a queue; the rest is work
-const MIN_FLOOR: f64 = 2.0; // in mean requests: one large request, twice the mean
-const MAX_FLOOR: f64 = 6.0; // three of them
-const DECREASE: f64 = 0.9; // with the next, balances where half are late
+/// Largest limit, in mean requests; as in the design. Larger: one host can fill a node's queue. Smaller: fast
+/// nodes idle between answers.
+pub(super) const MAX_OUTSTANDING: f64 = 32.0;
+/// Smallest floor, in mean requests: one large request, which is twice the mean. Smaller: a large request would
+/// never go.
+const MIN_FLOOR: f64 = 2.0;
+/// Largest floor, in mean requests: three large requests. Larger: the floors of several hosts fill a node's
+/// queue. Smaller: a host without a learned rate uses little of a fast node.
+const MAX_FLOOR: f64 = 6.0;
+/// Factor of a late answer. With [`INCREASE`] it balances where half of the answers are late. Smaller: the
+/// limit falls by a class's uneven work alone.
+const DECREASE: f64 = 0.9;
+/// Factor of a timely answer. Larger: the limit oscillates. Smaller: it stays low after a fault.
 const INCREASE: f64 = 1.1;
-const MIN_FACTOR: f64 = 0.02; // a crowd of hosts needs well below one request each
+/// Smallest factor: a crowd of hosts needs well below one request each. Larger: such a crowd overloads a node.
+/// Smaller: a host waits long before it tries a node again.
+const MIN_FACTOR: f64 = 0.02;
 
-/// Units that this host may have out at a node: the learnt rate over part of the tightest latency objective,
-/// at least a few large requests (fewer where all hosts' floors would pass the most of one), within a cap.
+/// Units that this host may have outstanding at a node: the learned rate over part of the tightest latency
+/// objective; at least a few large requests, and fewer where the floors of all hosts would pass the largest
+/// limit of one; at most the largest limit.
 pub fn concurrency_limit(
     rate: f64,
     tightest_objective: Duration,
@@ -31,50 +46,116 @@
         .min(MAX_OUTSTANDING * mean)
 }
 
-/// Moves the limit's factor after a completed attempt.
-pub(super) fn adjust_factor(node: &mut Node, late: bool) {
-    let change = if late { DECREASE } else { INCREASE };
-    node.concurrency_factor = (node.concurrency_factor * change).clamp(MIN_FACTOR, 1.0);
+/// Back-off of one node's concurrency limit.
+#[derive(Debug)]
+pub(crate) struct ConcurrencyBackoff {
+    /// Factor on the limit, from [`MIN_FACTOR`] to 1.
+    factor: f64,
+}
+
+impl ConcurrencyBackoff {
+    pub(crate) fn new() -> Self {
+        ConcurrencyBackoff { factor: 1.0 }
+    }
+
+    /// Moves the factor after a completed attempt.
+    pub(super) fn completed(&mut self, late: bool) {
+        let change = if late { DECREASE } else { INCREASE };
+        self.factor = (self.factor * change).clamp(MIN_FACTOR, 1.0);
+    }
+
+    /// Reduces the factor after the answer that the node's queue is full.
+    pub(super) fn queue_full(&mut self) {
+        self.factor = (self.factor * DECREASE * DECREASE).max(MIN_FACTOR);
+    }
+
+    pub(super) fn factor(&self) -> f64 {
+        self.factor
+    }
 }
 
-/// Cuts the limit's factor after an answer that the node's queue is full.
-pub(super) fn cut_factor(node: &mut Node) {
-    node.concurrency_factor = (node.concurrency_factor * DECREASE * DECREASE).max(MIN_FACTOR);
+/// Limits of the units outstanding at each node.
+#[derive(Debug)]
+pub(super) struct ConcurrencyLimiter {
+    tightest_objective: Duration,
+    /// Mean size of a request, in units.
+    mean_units: f64,
+    /// Number of hosts that share the nodes.
+    hosts: usize,
+    /// Mean learned rate of the nodes that have one, in units a second; 0: no node has one.
+    mean_learned_rate: f64,
 }
 
-impl Scheduler {
-    /// The node's learnt rate, or that of the others where it is not known yet.
-    pub(super) fn rate_of(&self, node: &Node) -> f64 {
+impl ConcurrencyLimiter {
+    pub(super) fn new(tightest_objective: Duration, mean_units: f64, hosts: usize) -> Self {
+        ConcurrencyLimiter {
+            tightest_objective,
+            mean_units,
+            hosts,
+            mean_learned_rate: 0.0,
+        }
+    }
+
+    /// Updates the mean of the learned rates.
+    pub(super) fn update_mean_rate<'a>(&mut self, nodes: impl Iterator<Item = &'a Node> + Clone) {
+        let learned = nodes
+            .map(|node| node.learned_rate)
+            .filter(|rate| *rate > 0.0);
+        self.mean_learned_rate = learned.clone().sum::<f64>() / learned.count().max(1) as f64;
+    }
+
+    pub(super) fn mean_learned_rate(&self) -> f64 {
+        self.mean_learned_rate
+    }
+
+    /// The node's learned rate, or the mean of the others' while it has none.
+    pub(super) fn rate(&self, node: &Node) -> f64 {
         if node.learned_rate > 0.0 {
             node.learned_rate
         } else {
-            self.state.mean_learned_rate
+            self.mean_learned_rate
         }
     }
 
-    pub(super) fn limit_of(&self, node: &Node) -> f64 {
-        let (rate, mean, hosts) = (self.rate_of(node), self.units.mean, self.slow_start.hosts);
-        concurrency_limit(rate, self.tightest_objective, mean, hosts) * node.concurrency_factor
+    /// Units that may be outstanding at the node.
+    pub(super) fn limit(&self, node: &Node) -> f64 {
+        let rate = self.rate(node);
+        concurrency_limit(rate, self.tightest_objective, self.mean_units, self.hosts)
+            * node.concurrency.factor
     }
 
-    /// From when on the node has capacity for so many units, as far as time alone decides; None where
-    /// something must come back first, or the node must change.
-    pub(super) fn capacity_available_at(&self, id: NodeId, units: f64) -> Option<Duration> {
-        let node = &self.state.nodes[&id];
+    /// Time from which the node has capacity for so many units, as far as time alone decides; None: an answer
+    /// must come first, or the node's state must change.
+    pub(super) fn capacity_available_at(
+        &self,
+        node: &Node,
+        units: f64,
+        latency: &LatencyModel,
+    ) -> Option<Duration> {
         if node.state != NodeState::Ready {
             return None;
         }
-        let limit = self.limit_of(node);
+        let accepts_from = node.warm_up.accepts_from();
+        let limit = self.limit(node);
         if node.outstanding <= 0.0 && units > limit {
-            // Many hosts with one request out each are too many for one node: below one, the limit paces.
-            let gap = self.expected_time(Some(id), units).mul_f64(units / limit);
-            return Some(node.accepts_from.max(node.last_sent + gap));
+            // One outstanding request from each of many hosts is too much for one node. A limit below one
+            // request therefore becomes a pace.
+            let expected = latency.expected_time(Some(&node.delays), units);
+            let gap = expected.mul_f64(units / limit);
+            return Some(accepts_from.max(node.last_sent + gap));
         }
-        (node.outstanding <= 0.0 || node.outstanding + units <= limit).then_some(node.accepts_from)
+        (node.outstanding <= 0.0 || node.outstanding + units <= limit).then_some(accepts_from)
     }
 
-    pub(super) fn has_capacity(&self, node: NodeId, units: f64) -> bool {
-        self.capacity_available_at(node, units)
-            .is_some_and(|at| at <= self.state.now)
+    /// Returns whether the node has capacity for so many units now.
+    pub(super) fn has_capacity(
+        &self,
+        node: &Node,
+        units: f64,
+        latency: &LatencyModel,
+        now: Duration,
+    ) -> bool {
+        self.capacity_available_at(node, units, latency)
+            .is_some_and(|at| at <= now)
     }
 }
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,9 +1,9 @@
 //! Dispatch: which queued request goes to a node next, and what keeps one from going.
 
 use super::{retry_policy::may_resend, Scheduler};
-use crate::api::{BlockReason, NodeId, Plan, RequestId, TrafficClass, UnitSettings};
+use crate::api::{BlockReason, NodeId, RequestId};
 use crate::request_queue::{best_candidate, best_of_line, sort_by_value, Candidate, Line};
-use crate::state::{PendingRequest, ValueRange};
+use crate::state::PendingRequest;
 use std::{cmp::Reverse, time::Duration};
 
 pub(super) const RANKED_AT_ONCE: usize = 256; // queued requests of a node, or unassigned ones, in each tick
@@ -22,23 +22,6 @@
     pub paid: bool,
 }
 
-/// The least and the best value that a unit can bring.
-pub(super) fn value_range(
-    classes: &[TrafficClass],
-    plans: &[Plan],
-    units: &UnitSettings,
-) -> ValueRange {
-    let values = classes
-        .iter()
-        .flat_map(|class| plans.iter().map(|plan| class.priority_weight * plan.price));
-    let best = values.clone().fold(1e-6, f64::max);
-    let least = values.fold(best, f64::min) * units.spare_fraction.clamp(0.01, 0.9);
-    ValueRange {
-        least: least.max(best * 1e-3),
-        best,
-    }
-}
-
 impl Scheduler {
     /// Value of a unit at the node (None: at any), sent now.
     pub(super) fn value(&self, pending: &PendingRequest, node: Option<NodeId>) -> Value {
@@ -89,11 +72,7 @@
         if limit.is_some_and(|limit| limit.level() < request.units) {
             return Some(BlockReason::RateLimit);
         }
-        if node
-            .slow_start
-            .as_ref()
-            .is_some_and(|quota| quota.level() <= 0.0)
-        {
+        if !node.warm_up.allows() {
             return Some(BlockReason::SlowStart);
         }
         if !may_resend(
@@ -112,8 +91,10 @@
         if !value.paid && node.tokens.level() <= 0.0 {
             return Some(BlockReason::Share);
         }
-        (!self.throttle_admits(node, value.amount, pending.tie_breaker))
-            .then_some(BlockReason::Throttled)
+        let admitted = self
+            .throttle
+            .admits(&node.admission, value.amount, pending.tie_breaker);
+        (!admitted).then_some(BlockReason::Throttled)
     }
 
     /// The queued request that goes to the node now.
@@ -133,7 +114,11 @@
 
     /// Whether the node has capacity; where time alone will bring it, the node is looked at again then.
     fn has_capacity_or_waits(&mut self, node: NodeId, units: f64) -> bool {
-        let Some(at) = self.capacity_available_at(node, units) else {
+        let entry = &self.state.nodes[&node];
+        let Some(at) = self
+            .concurrency
+            .capacity_available_at(entry, units, &self.latency)
+        else {
             return false;
         };
         if at > self.state.now {
@@ -162,7 +147,7 @@
         let spent =
             limit.is_some_and(|limit| limit.level() < self.state.smallest_units.unwrap_or(0.0));
         let payable = value.paid || node.tokens.level() > 0.0;
-        if spent || !payable || !self.throttle_admits(node, value.amount, 1.0) {
+        if spent || !payable || !self.throttle.admits(&node.admission, value.amount, 1.0) {
             return None;
         }
         best_of_line(line, soonest, value.amount, |entry| {
--- a/crates/scheduler/src/scheduler/endpoint_updates.rs
+++ b/crates/scheduler/src/scheduler/endpoint_updates.rs
@@ -1,10 +1,8 @@
 //! Endpoint updates: the effect of an update of the endpoint list on nodes and on the requests queued there.
 
-use super::{concurrency::MAX_OUTSTANDING, fair_share::TICK, Scheduler};
+use super::{concurrency::MAX_OUTSTANDING, Scheduler};
 use crate::api::{Endpoint, EndpointUpdateKind, LogEvent, NodeId};
-use crate::{histogram::Histogram, probing_window::ProbingWindow, rates::seconds};
-use crate::{state::Node, token_bucket::TokenBucket};
-use std::time::Duration;
+use crate::{probing_window::ProbingWindow, rates::seconds, state::Node};
 
 /// Rate at which the search for a new node's capacity starts, in mean requests a second. Low, as this host has
 /// no evidence yet. Larger: a new host may overload a slow node. Smaller: it takes longer to use a fast one.
@@ -12,9 +10,6 @@
 /// Fraction of the predecessor's usage that a node of the same shard starts with. Larger: a successor that is
 /// slower by as much is overloaded while it warms up, which the rule does not forgive. Smaller: it stays idle.
 const INHERITED_USAGE: f64 = 0.5;
-/// Bounds the random delay before the first request to a node that has come up. Larger: requests wait longer,
-/// beyond the rules' spans. Smaller: more hosts send their first requests together.
-const MAX_FIRST_USE_DELAY: Duration = Duration::from_millis(400);
 
 impl Scheduler {
     pub(super) fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) {
@@ -32,21 +27,21 @@
                 .call_within(within, now, &mut self.jitter);
         }
         let first = self.state.nodes.is_empty();
+        let objective = self.latency.tightest_objective();
         for endpoint in endpoints {
             let lowest = INITIAL_REQUESTS * self.units.mean;
-            let highest = MAX_OUTSTANDING * self.units.mean / seconds(self.tightest_objective);
+            let highest = MAX_OUTSTANDING * self.units.mean / seconds(objective);
             let classes = self.traffic_classes.len();
             // Most entries are of known nodes.
             let new_node = |usage| {
                 let window = ProbingWindow::new(lowest, highest);
-                let delays = Histogram::new(TICK, 1.5, 16);
-                Node::new(&endpoint, window, delays, classes, usage)
+                Node::new(&endpoint, window, classes, usage)
             };
             if self.state.update_node(&endpoint, INHERITED_USAGE, new_node) {
                 self.node_came_up(endpoint.node, first);
             }
         }
-        self.update_slow_start();
+        self.slow_start.update(self.state.nodes.values_mut(), now);
         for id in self.state.queued_at_unready() {
             self.state.dequeue(id);
             self.enqueue(id);
@@ -55,21 +50,13 @@
 
     fn node_came_up(&mut self, id: NodeId, first: bool) {
         let now = self.state.now;
-        // All hosts learn of the node at about the same time; without the delay each would send at once.
-        let delay =
-            MAX_FIRST_USE_DELAY.mul_f64(f64::from(u8::from(!first)) * self.jitter.fraction());
         let node = self.state.nodes.get_mut(&id).expect("updated just now");
-        node.reset(now, now + delay);
-        if node
-            .started
-            .is_some_and(|started| now < started + self.slow_start.warm_up_time)
-        {
-            // A bucket lets one request into debt, and many hosts that do so together overload a node. A random
-            // initial debt spreads them, and the lapse of a full bucket keeps them apart. Harm: few hosts wait.
-            node.slow_start = Some(TokenBucket::lapsing(
-                self.units.mean,
-                self.jitter.fraction(),
-            ));
+        let warm_up = self
+            .slow_start
+            .start(node.started, first, now, &mut self.jitter);
+        let is_warming = warm_up.is_active();
+        node.reset(now, warm_up);
+        if is_warming {
             self.state.log(LogEvent::NodeWarmingUp { node: id });
         }
     }
--- a/crates/scheduler/src/scheduler/fair_share.rs
+++ b/crates/scheduler/src/scheduler/fair_share.rs
@@ -14,7 +14,6 @@
 const REPORT_TOLERANCE: f64 = 1.25; // by which more may have been done here than is reported of everywhere
 const MIX_RETENTION: f64 = 0.9; // of the traffic mix, over an interval
 const USAGE_SPAN: f64 = 30.0; // seconds; a host that sends seldom needs long to know how much
-pub(super) const MAX_TIMES: f64 = 400.0; // answers of the time for a unit, before they are halved
 
 /// Units that a flow could use in the next interval (paper, equation 6), before smoothing.
 pub fn demand(flow: &FlowSample) -> f64 {
@@ -73,7 +72,7 @@
     let stats = std::mem::take(&mut node.stats);
     let done_rate = stats.completed_units / interval;
     // A cold node's rate says nothing of what it will do, and its quota is reckoned from before.
-    let warm = node.slow_start.is_none();
+    let warm = !node.warm_up.is_active();
     let counted = f64::from(u8::from(warm));
     node.usage.add(
         stats.completed_units * counted,
--- a/crates/scheduler/src/scheduler/inspection.rs
+++ b/crates/scheduler/src/scheduler/inspection.rs
@@ -172,7 +172,7 @@
         let Some(node) = node.filter(|node| !node.last_sent.is_zero()) else {
             return never;
         };
-        let age = self.state.now.saturating_sub(node.last_success);
+        let age = self.state.now.saturating_sub(node.failures.last_success());
         LAST_SUCCESS_STEPS
             .iter()
             .position(|step| age <= *step)
@@ -221,13 +221,13 @@
         queued: node.queue.len(),
         estimate: node.window.estimate,
         learned_rate: node.learned_rate,
-        concurrency_factor: node.concurrency_factor,
-        admission_level: node.admission_level,
-        late_fraction: node.late_fraction,
-        slow_start: node.slow_start.is_some(),
-        consecutive_failures: node.consecutive_failures,
+        concurrency_factor: node.concurrency.factor(),
+        admission_level: node.admission.level(),
+        late_fraction: node.admission.late_fraction(),
+        slow_start: node.warm_up.is_active(),
+        consecutive_failures: node.failures.failures(),
         last_success: if used {
-            node.last_success
+            node.failures.last_success()
         } else {
             Duration::ZERO
         },
--- a/crates/scheduler/src/scheduler/placement.rs
+++ b/crates/scheduler/src/scheduler/placement.rs
@@ -2,7 +2,6 @@
 //! or the next where that is at its limit, has something better queued, or fails fast (and so looks idle).
 
 use super::dispatch::{ticks_per_ranking, RANKED_AT_ONCE};
-use super::throttle::{EJECT_AFTER, OPEN};
 use super::{fair_share::TICK, requests::MIN_RETRY_AFTER, Scheduler};
 use crate::api::NodeId;
 use crate::state::{Node, PendingRequest};
@@ -20,7 +19,7 @@
 fn preference(pending: &PendingRequest, node: &Node) -> Preference {
     Preference {
         untried: pending.last_node != Some(node.id),
-        open: node.admission_level > OPEN,
+        open: node.admission.is_open(),
         weight: rendezvous_weight(pending.request.volume, node.id),
         node: node.id,
     }
@@ -39,7 +38,7 @@
         for id in self.state.first_unassigned(tried) {
             let pending = &self.state.requests[&id];
             let units = pending.request.units;
-            let all_nodes = self.state.mean_learned_rate * self.state.nodes.len() as f64;
+            let all_nodes = self.concurrency.mean_learned_rate() * self.state.nodes.len() as f64;
             let wait = queueing_time(units_ahead, all_nodes);
             let ready = self.state.now + wait + self.expected_time(None, units) + next_look;
             let hopeless =
@@ -64,7 +63,7 @@
             state
                 .nodes
                 .values()
-                .filter(|node| node.consecutive_failures < EJECT_AFTER)
+                .filter(|node| !node.failures.is_outlier())
         };
         // The first is nearly always the one; only where it is not are all gone through.
         let first = healthy().map(|node| preference(pending, node)).max()?.node;
--- a/crates/scheduler/src/scheduler/requests.rs
+++ b/crates/scheduler/src/scheduler/requests.rs
@@ -1,18 +1,12 @@
 //! Where a request is queued, how one is answered that will not be sent, and how long an attempt should take.
 
-use super::{fair_share::TICK, retry_policy::may_reject, Scheduler};
+use super::{retry_policy::may_reject, Scheduler};
 use crate::api::{NodeId, RequestId};
-use crate::histogram::Histogram;
 use crate::state::DesiredState;
 use std::time::Duration;
 
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Times for a unit of work, from 2 ms on.
-pub(super) fn time_per_unit() -> Histogram {
-    Histogram::new(TICK / 5, 1.4, 16)
-}
-
 impl Scheduler {
     /// Queues a request at the node that has its data, or among those that any may take. One whose time is
     /// up, or whose node is absent, is rejected at once: its client may know better.
@@ -42,17 +36,17 @@
         self.state.mark_changed(id);
     }
 
-    /// Time that an attempt of this size should take: the node's usual delay, and the usual time for work.
+    /// Time that an attempt of this size should take at the node; None: at any node.
     pub(super) fn expected_time(&self, node: Option<NodeId>, units: f64) -> Duration {
-        let delay = node
-            .and_then(|id| self.state.nodes.get(&id))
-            .and_then(|node| node.delays.quantile(0.5));
-        let work = self
-            .time_per_unit
-            .quantile(0.5)
-            .unwrap_or_default()
-            .mul_f64(units);
-        // Never nothing: a host that has yet to hear an answer must still reject before the deadline.
-        (delay.unwrap_or_default() + work).max(TICK * 2)
+        let node = node.and_then(|id| self.state.nodes.get(&id));
+        self.latency
+            .expected_time(node.map(|node| &node.delays), units)
+    }
+
+    /// Returns whether the node has capacity for so many units now.
+    pub(super) fn has_capacity(&self, node: NodeId, units: f64) -> bool {
+        let node = &self.state.nodes[&node];
+        self.concurrency
+            .has_capacity(node, units, &self.latency, self.state.now)
     }
 }
--- a/crates/scheduler/src/scheduler/shedding.rs
+++ b/crates/scheduler/src/scheduler/shedding.rs
@@ -11,9 +11,10 @@
     /// later, would find its time up.
     pub(super) fn shed_load(&mut self, id: NodeId, next_look: Duration) {
         let (node, now) = (&self.state.nodes[&id], self.state.now);
-        let limit = self.limit_of(node);
+        let limit = self.concurrency.limit(node);
         let rate = self
-            .rate_of(node)
+            .concurrency
+            .rate(node)
             .max(limit / seconds(self.expected_time(Some(id), self.units.mean)));
         let (mut units_ahead, mut below_reservation, mut hopeless) = (0.0, false, Vec::new());
         for request in self.ranked(node.queue.ids(), Some(id)) {
@@ -21,7 +22,10 @@
             let wait = queueing_time(units_ahead, rate);
             let ready = now + wait + self.expected_time(Some(id), pending.request.units);
             let value = || self.value(pending, Some(id)).amount;
-            let admitted = || self.throttle_admits(node, value(), pending.tie_breaker);
+            let admitted = || {
+                self.throttle
+                    .admits(&node.admission, value(), pending.tie_breaker)
+            };
             let too_late = ready + next_look > pending.request.deadline;
             let too_long = self.queued_too_long(pending, next_look);
             if too_late || too_long || ready > pending.objective_at && !admitted() {
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -10,5 +10,5 @@
 
 pub use node::{Flow, FlowSample, Node};
 pub use request::{DesiredState, PendingRequest};
-pub use scheduler_state::{SchedulerState, ValueRange};
+pub use scheduler_state::SchedulerState;
 pub use volume::{ReportedUsage, Volume};
--- a/crates/scheduler/src/state/node.rs
+++ b/crates/scheduler/src/state/node.rs
@@ -1,14 +1,15 @@
 //! A storage node, as one host sees it.
 
 use crate::api::{
-    Action, EjectionReason, Endpoint, LogEvent, NodeId, NodeState, Request, RequestId, ShardId,
-    VolumeId, ZoneId,
+    EjectionReason, Endpoint, LogEvent, NodeId, NodeState, Request, RequestId, ShardId, VolumeId,
+    ZoneId,
 };
-use crate::histogram::Histogram;
 use crate::probing_window::ProbingWindow;
 use crate::rates::MeanRate;
 use crate::request_queue::RequestQueue;
-use crate::scheduler::NodeContact;
+use crate::scheduler::{
+    AdmissionLevel, ConcurrencyBackoff, FailureStreak, NodeContact, NodeDelays, WarmUp,
+};
 use crate::state::PendingRequest;
 use crate::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
@@ -110,10 +111,8 @@
     pub state: NodeState,
     /// When its process last started; None: long ago.
     pub started: Option<Duration>,
-    /// Nothing goes there before then.
-    pub accepts_from: Duration,
-    /// This host's quota of what it bears while it warms up; None: it is warm.
-    pub slow_start: Option<TokenBucket>,
+    /// Its warm-up.
+    pub warm_up: WarmUp,
     /// Search for the rate that this host can get from it.
     pub window: ProbingWindow,
     /// Bucket of the window's estimate.
@@ -134,22 +133,16 @@
     pub usage: MeanRate,
     /// Rate reserved here through this host.
     pub reserved_rate: f64,
-    /// Times of its answers beyond the work itself.
-    pub delays: Histogram,
+    /// Delays of its answers beyond the work itself.
+    pub delays: NodeDelays,
     /// Units sent by traffic class, smoothed.
     pub traffic_mix: Vec<f64>,
-    /// Factor on its concurrency limit, over 0 to 1.
-    pub concurrency_factor: f64,
-    /// How far down the scale of values it takes requests: 1 all, 0 almost none.
-    pub admission_level: f64,
-    /// When the admission level last moved.
-    pub admission_changed: Duration,
-    /// Fraction of its answers that were late, smoothed.
-    pub late_fraction: f64,
-    /// When it last completed an attempt, or came up.
-    pub last_success: Duration,
-    /// Failures in a row.
-    pub consecutive_failures: u32,
+    /// Back-off of its concurrency limit.
+    pub concurrency: ConcurrencyBackoff,
+    /// Its admission level.
+    pub admission: AdmissionLevel,
+    /// Its consecutive failures and its last success.
+    pub failures: FailureStreak,
     /// When it was last sent something; 0: never.
     pub last_sent: Duration,
     /// Evidence that it accepts requests.
@@ -161,7 +154,6 @@
     pub fn new(
         endpoint: &Endpoint,
         window: ProbingWindow,
-        delays: Histogram,
         traffic_classes: usize,
         usage: MeanRate,
     ) -> Self {
@@ -171,8 +163,7 @@
             shard: endpoint.shard,
             state: NodeState::Gone,
             started: endpoint.started,
-            accepts_from: Duration::ZERO,
-            slow_start: None,
+            warm_up: WarmUp::default(),
             tokens: TokenBucket::new(window.estimate, window.estimate, window.estimate),
             window,
             outstanding: 0.0,
@@ -183,14 +174,11 @@
             learned_rate: 0.0,
             usage,
             reserved_rate: 0.0,
-            delays,
+            delays: NodeDelays::new(),
             traffic_mix: vec![0.0; traffic_classes],
-            concurrency_factor: 1.0,
-            admission_level: 0.0,
-            admission_changed: Duration::ZERO,
-            late_fraction: 0.0,
-            last_success: Duration::ZERO,
-            consecutive_failures: 0,
+            concurrency: ConcurrencyBackoff::new(),
+            admission: AdmissionLevel::default(),
+            failures: FailureStreak::default(),
             last_sent: Duration::ZERO,
             contact: NodeContact::default(),
         }
@@ -206,22 +194,18 @@
         changed && endpoint.state == NodeState::Ready
     }
 
-    /// It has come up: what was held against its former process is forgotten. Nothing goes there before
-    /// `accepts_from`.
-    pub fn reset(&mut self, now: Duration, accepts_from: Duration) {
-        self.consecutive_failures = 0;
-        self.concurrency_factor = 1.0;
-        self.last_success = now;
-        self.admission_level = 1.0;
-        self.accepts_from = accepts_from;
-        self.slow_start = None;
+    /// Forgets the evidence against its former process: the node came up.
+    pub fn reset(&mut self, now: Duration, warm_up: WarmUp) {
+        self.failures.reset(now);
+        self.concurrency = ConcurrencyBackoff::new();
+        self.admission.reset();
+        self.warm_up = warm_up;
     }
 
     /// Counts a completed attempt of so many units.
     pub fn completed(&mut self, units: f64, late: bool, now: Duration) {
         self.stats.add_completed(units, late);
-        self.last_success = now;
-        self.consecutive_failures = 0;
+        self.failures.reset(now);
     }
 
     /// Lets older observations weigh less; `mix_retention`: what stays of the traffic mix.
@@ -229,16 +213,14 @@
         for units in &mut self.traffic_mix {
             *units *= mix_retention;
         }
-        self.delays.halve();
-        self.consecutive_failures /= 2;
+        self.delays.fade();
+        self.failures.fade();
     }
 
     /// Adds tokens and sums of so many ticks, `seconds` in all.
     pub fn advance(&mut self, ticks: f64, seconds: f64) {
         self.tokens.refill(seconds);
-        if let Some(slow_start) = &mut self.slow_start {
-            slow_start.refill(seconds);
-        }
+        self.warm_up.refill(seconds);
         for flow in self.flows.values_mut() {
             flow.advance(ticks, seconds);
         }
@@ -251,9 +233,7 @@
         flow.outstanding += request.units;
         flow.used += request.units;
         self.tokens.take(request.units);
-        if let Some(slow_start) = &mut self.slow_start {
-            slow_start.take(request.units);
-        }
+        self.warm_up.take(request.units);
         self.traffic_mix[request.traffic_class.0] += request.units;
         self.attempts.insert(request.id, now);
         self.last_sent = now;
@@ -267,14 +247,11 @@
         Some(sent)
     }
 
-    /// Marks the attempts out here that are late by now, and returns how many were not marked before. One is
-    /// late after `time_per_unit` for each unit and `queueing` beside that.
+    /// Marks the attempts outstanding here that are late by now, and returns how many were not marked before.
     pub fn count_overdue(
         &self,
         requests: &mut BTreeMap<RequestId, PendingRequest>,
-        now: Duration,
-        time_per_unit: Duration,
-        queueing: Duration,
+        is_late: impl Fn(f64, Duration) -> bool,
     ) -> usize {
         let mut overdue = 0;
         for (id, sent) in &self.attempts {
@@ -284,23 +261,17 @@
             else {
                 continue;
             };
-            let work = time_per_unit.mul_f64(pending.request.units);
-            pending.lateness_counted = now > *sent + work + queueing;
+            pending.lateness_counted = is_late(pending.request.units, *sent);
             overdue += usize::from(pending.lateness_counted);
         }
         overdue
     }
 
-    /// Takes nothing but trials from now on, and logs why unless it was so before.
-    pub fn eject(&mut self, actions: &mut Vec<Action>, reason: EjectionReason) {
-        let level = std::mem::take(&mut self.admission_level);
-        if level > 0.0 {
-            let event = LogEvent::NodeEjected {
-                node: self.id,
-                reason,
-            };
-            actions.push(Action::Log { event });
-        }
+    /// Ejects the node: it gets trial requests only. Returns the event to log, unless it was ejected before.
+    pub fn eject(&mut self, reason: EjectionReason) -> Option<LogEvent> {
+        let node = self.id;
+        let changed = self.admission.eject();
+        changed.then_some(LogEvent::NodeEjected { node, reason })
     }
 
     /// Queues a request here.
--- a/crates/scheduler/src/state/scheduler_state.rs
+++ b/crates/scheduler/src/state/scheduler_state.rs
@@ -16,15 +16,6 @@
 /// Stands for a demand of nothing where it divides.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// The least and the best value that a unit can bring.
-#[derive(Debug, Clone, Copy, Default)]
-pub struct ValueRange {
-    /// Out of no bucket, in the class of the least value.
-    pub least: f64,
-    /// Out of a reservation, in the class of the best.
-    pub best: f64,
-}
-
 /// Everything a host knows. Memory grows with its nodes, volumes, open requests and keys, and with the
 /// requests of the retry budget's window.
 #[derive(Debug, Default)]
@@ -49,12 +40,6 @@
     pub queued: usize,
     /// Size of the smallest request seen.
     pub smallest_units: Option<f64>,
-    /// Mean learnt rate of the nodes that answered.
-    pub mean_learned_rate: f64,
-    /// Fraction of all nodes' answers that were late, smoothed.
-    pub late_fraction: f64,
-    /// The values that a unit can bring.
-    pub value_range: ValueRange,
     /// Volumes served here.
     pub volumes: BTreeMap<VolumeId, Volume>,
     /// Volumes that are served no more, of which something may yet be out.
@@ -340,16 +325,6 @@
         }
     }
 
-    /// Takes the mean of the rates that were learnt of nodes; 0: of none yet.
-    pub fn update_mean_learned_rate(&mut self) {
-        let learned = self
-            .nodes
-            .values()
-            .map(|node| node.learned_rate)
-            .filter(|rate| *rate > 0.0);
-        self.mean_learned_rate = learned.clone().sum::<f64>() / learned.count().max(1) as f64;
-    }
-
     /// Whether any request is queued.
     pub fn has_queued(&self) -> bool {
         !self.unassigned.is_empty() || self.queued > 0
