--- a/crates/scheduler/src/probing_window.rs
+++ b/crates/scheduler/src/probing_window.rs
@@ -1,12 +1,12 @@
 //! How far a host may go at one node: the probing window over a capacity that nobody states.
 //!
-//! The control interval gives it one [`Reading`] of the node each time. Its terms are the paper's
+//! The control interval gives it one [`IntervalSample`] of the node each time. Its terms are the paper's
 //! ("End-to-end Performance Isolation through Virtual Datacenters", section 4.3). Rates are units a second.
 
-use crate::reading::Reading;
+use crate::interval_sample::IntervalSample;
 
 const ALPHA: f64 = 0.2; // mild: outstanding units are few and jumpy
-const BAD_READINGS: u32 = 3; // against one pause or flush
+const CONGESTED_SAMPLES: u32 = 3; // against one pause or flush
 const STABLE_WITHIN: f64 = 0.01; // of the upper edge, as in the paper
 const MIX_CHANGE: f64 = 0.10; // as in the paper
 
@@ -35,7 +35,7 @@
     pub estimate: f64,
     /// How far the search has come.
     pub phase: Phase,
-    congested_readings: u32,
+    congested_samples: u32,
     lowest: f64,
     highest: f64,
     stable_mix: Vec<f64>,
@@ -50,62 +50,62 @@
             high: highest,
             estimate: lowest,
             phase: Phase::Search,
-            congested_readings: 0,
+            congested_samples: 0,
             lowest,
             highest,
             stable_mix: Vec::new(),
         }
     }
 
-    /// Takes one reading. One pause or flush slows a single reading; only the third in a row is believed.
-    pub fn observe(&mut self, reading: &Reading) {
-        self.congested_readings = if reading.congested {
-            self.congested_readings + 1
+    /// Takes one sample. One pause or flush slows a single sample; only the third in a row is believed.
+    pub fn observe(&mut self, sample: &IntervalSample) {
+        self.congested_samples = if sample.congested {
+            self.congested_samples + 1
         } else {
             0
         };
         match self.phase {
-            Phase::Wait if reading.below_reservation => {}
-            Phase::Stable { outstanding } => self.follow_outstanding(reading, outstanding),
-            _ if self.congested_readings >= BAD_READINGS || reading.below_reservation => {
-                self.congested_readings = 0;
+            Phase::Wait if sample.below_reservation => {}
+            Phase::Stable { outstanding } => self.follow_outstanding(sample, outstanding),
+            _ if self.congested_samples >= CONGESTED_SAMPLES || sample.below_reservation => {
+                self.congested_samples = 0;
                 self.high = self.estimate.max(self.low);
                 self.estimate = self.low;
-                self.phase = if reading.below_reservation {
+                self.phase = if sample.below_reservation {
                     Phase::Wait
                 } else {
                     Phase::Search
                 };
-                self.settle(reading);
+                self.settle(sample);
             }
-            _ if reading.congested => {}
+            _ if sample.congested => {}
             _ => {
                 self.phase = Phase::Search;
                 self.low = self.estimate;
                 self.estimate = (self.low + self.high) / 2.0;
-                self.settle(reading);
+                self.settle(sample);
             }
         }
     }
 
-    fn follow_outstanding(&mut self, reading: &Reading, outstanding: f64) {
-        let moved = self.estimate - ALPHA * (reading.outstanding - outstanding);
+    fn follow_outstanding(&mut self, sample: &IntervalSample, outstanding: f64) {
+        let moved = self.estimate - ALPHA * (sample.outstanding - outstanding);
         self.estimate = moved.clamp(self.lowest, self.highest);
         let differs = |(a, b): (&f64, &f64)| (a - b).abs() > MIX_CHANGE;
-        let same_classes = reading.mix.len() == self.stable_mix.len();
-        if !same_classes || reading.mix.iter().zip(&self.stable_mix).any(differs) {
+        let same_classes = sample.mix.len() == self.stable_mix.len();
+        if !same_classes || sample.mix.iter().zip(&self.stable_mix).any(differs) {
             self.low = self.lowest;
             self.high = self.highest;
             self.phase = Phase::Search;
         }
     }
 
-    fn settle(&mut self, reading: &Reading) {
+    fn settle(&mut self, sample: &IntervalSample) {
         if self.phase == Phase::Search && self.high - self.low <= STABLE_WITHIN * self.highest {
             self.phase = Phase::Stable {
-                outstanding: reading.outstanding,
+                outstanding: sample.outstanding,
             };
-            self.stable_mix = reading.mix.clone();
+            self.stable_mix = sample.mix.clone();
         }
     }
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -7,7 +7,7 @@
 //! `scheduler`:
 //!
 //! - `requests`: what becomes of a request that comes in, and how one is answered that will not be sent;
-//! - `fair_share`: demand, reservations, learnt rates and shares, once a control interval (docs/design.md);
+//! - `demand`, `reservations`, `shares`, `capacity`: what the control interval learns and divides (docs/design.md);
 //! - `concurrency`: units out at a node, and the back-off when answers come late;
 //! - `throttle`: what a node that is late by others' doing, hangs or fails fast may still get;
 //! - `outlier_ejection`: which nodes get trial requests only;
@@ -23,11 +23,13 @@
 //! `inspection` shows to operators what the decisions know.
 
 mod attempt_outcome;
+mod capacity;
+mod clock;
 mod concurrency;
+mod demand;
 mod dispatch;
 mod endpoint_lease;
 mod endpoint_updates;
-mod fair_share;
 mod fetch_backoff;
 pub mod inspection;
 mod jitter;
@@ -35,40 +37,46 @@
 mod outlier_ejection;
 mod placement;
 mod requests;
+mod reservations;
 mod retry_policy;
+mod shares;
 mod shedding;
 mod slow_start;
 mod throttle;
 
 pub use concurrency::concurrency_limit;
-pub use fair_share::{demand, reservation_fraction};
+pub use demand::{demand, FlowSample};
+pub use reservations::reservation_fraction;
 pub use retry_policy::{may_reject, may_resend, PriorAttempt};
 pub use slow_start::slow_start_quota;
 pub use throttle::credibility;
 
-pub use crate::state::FlowSample;
+pub(crate) use capacity::NodeCapacity;
 pub(crate) use concurrency::ConcurrencyBackoff;
 pub(crate) use endpoint_lease::NodeContact;
 pub(crate) use latency::NodeDelays;
 pub(crate) use outlier_ejection::FailureStreak;
+pub(crate) use reservations::ReservationShare;
 pub(crate) use retry_policy::RetryPolicy;
+pub(crate) use shares::Flows;
 pub(crate) use slow_start::WarmUp;
 pub(crate) use throttle::AdmissionLevel;
 
 use crate::api::*;
 use crate::rates::seconds;
 use crate::state::{PendingRequest, SchedulerState, Volume};
+use clock::{INTERVAL, TICK};
 use concurrency::ConcurrencyLimiter;
 use dispatch::ticks_per_ranking;
 use endpoint_lease::EndpointLease;
-use fair_share::{INTERVAL, TICK};
 use fetch_backoff::FetchBackoff;
 use jitter::Jitter;
 use latency::LatencyModel;
 use requests::MIN_RETRY_AFTER;
+use shares::{allocate_shares, measure_demands, VolumeDemands};
 use slow_start::SlowStart;
 use std::time::Duration;
-use throttle::AdmissionThrottle;
+use throttle::{count_overdue, AdmissionThrottle};
 
 /// The decisions of one host.
 #[derive(Debug)]
@@ -254,19 +262,20 @@
     fn run_control_interval(&mut self) {
         let interval = seconds(self.state.now - self.state.last_interval);
         self.state.last_interval = self.state.now;
-        let smoothed =
-            |mean: f64, sample: FlowSample| fair_share::smoothed_demand(mean, &sample, interval);
-        let demands =
-            self.state
-                .measure_demands(interval / seconds(TICK), fair_share::MIN_DEMAND, smoothed);
+        let ticks = interval / seconds(TICK);
+        let demands = measure_demands(self.state.nodes.values_mut(), ticks, interval);
         self.split_reservations(&demands, interval);
         for node in self.state.nodes.values_mut() {
-            fair_share::learn_capacity(node, interval);
-            let usage = node.usage.per_second();
+            let is_warm = !node.warm_up.is_active();
+            let outstanding = node.attempts.units();
+            node.capacity.end_interval(interval, is_warm, outstanding);
+            node.delays.fade();
+            node.failures.fade();
+            let usage = node.capacity.usage_rate();
             node.admission.recover(usage, self.units.mean, interval);
         }
-        self.state
-            .allocate_shares(&demands, |plan| self.plans[plan.0].weight);
+        let nodes = self.state.nodes.values_mut();
+        allocate_shares(nodes, &self.state.volumes, &self.plans, &demands);
         self.concurrency.update_mean_rate(self.state.nodes.values());
         if let Some(event) = self.endpoint_lease.state_change(self.state.now) {
             self.state.log(event);
@@ -278,6 +287,20 @@
         self.latency.fade();
     }
 
+    /// Sets this host's part of each volume's reservation.
+    fn split_reservations(&mut self, demands: &VolumeDemands, interval: f64) {
+        let now = self.state.now;
+        let meter = self.units.meter;
+        for (id, volume) in &mut self.state.volumes {
+            let own_demand = demands.get(id).copied().unwrap_or(0.0);
+            let reservation = self.plans[volume.plan.0].reservation;
+            let hosts = volume.hosts;
+            volume
+                .reservation
+                .end_interval(own_demand, reservation, hosts, interval, meter, now);
+        }
+    }
+
     /// Between ticks only those nodes are looked at where something changed or a time has come: with many
     /// nodes, an answer of one must not cost a look at all.
     fn dispatch(&mut self, ticked: bool, interval_over: bool) {
@@ -307,11 +330,11 @@
             let Some(node) = self.state.nodes.get_mut(id) else {
                 continue;
             };
-            for _ in 0..node.count_overdue(&mut self.state.requests, is_late) {
+            for _ in 0..count_overdue(node, &mut self.state.requests, is_late) {
                 self.throttle.record(&mut node.admission, now, true);
             }
-            node.stats.had_queue |= !node.queue.is_empty();
-            let oldest_sent = node.attempts.values().min().copied();
+            node.capacity.observe_queue(!node.queue.is_empty());
+            let oldest_sent = node.attempts.oldest_sent();
             let objective = self.latency.tightest_objective();
             let silence = node.failures.silence(oldest_sent, objective, now);
             let event = silence.and_then(|reason| node.eject(reason));
--- a/crates/scheduler/src/scheduler/attempt_outcome.rs
+++ b/crates/scheduler/src/scheduler/attempt_outcome.rs
@@ -21,7 +21,8 @@
             .get_mut(&pending.request.volume)
             .expect("made when the request came in");
         if let Some(percent) = end.reported {
-            volume.report_usage(percent, self.plans[volume.plan.0].base_rate, now);
+            let rate = percent / 100.0 * self.plans[volume.plan.0].base_rate;
+            volume.reservation.report_usage(rate, now);
         }
         let sent = node
             .attempt_ended(&pending.request)
@@ -70,11 +71,12 @@
             if !late || !pending.lateness_counted {
                 self.throttle.record(&mut node.admission, now, late);
             }
-            volume.done += units;
-            node.completed(units, late, now);
+            volume.reservation.completed(units);
+            node.capacity.completed(units, late);
+            node.failures.reset(now);
             node.concurrency.completed(late);
         } else if outcome == AttemptOutcome::QueueFull {
-            node.stats.queue_full += 1.0;
+            node.capacity.queue_full();
             node.concurrency.queue_full();
         }
     }
--- a/crates/scheduler/src/scheduler/concurrency.rs
+++ b/crates/scheduler/src/scheduler/concurrency.rs
@@ -99,7 +99,7 @@
     /// Updates the mean of the learned rates.
     pub(super) fn update_mean_rate<'a>(&mut self, nodes: impl Iterator<Item = &'a Node> + Clone) {
         let learned = nodes
-            .map(|node| node.learned_rate)
+            .map(|node| node.capacity.learned_rate())
             .filter(|rate| *rate > 0.0);
         self.mean_learned_rate = learned.clone().sum::<f64>() / learned.count().max(1) as f64;
     }
@@ -110,8 +110,9 @@
 
     /// The node's learned rate, or the mean of the others' while it has none.
     pub(super) fn rate(&self, node: &Node) -> f64 {
-        if node.learned_rate > 0.0 {
-            node.learned_rate
+        let learned = node.capacity.learned_rate();
+        if learned > 0.0 {
+            learned
         } else {
             self.mean_learned_rate
         }
@@ -137,14 +138,15 @@
         }
         let accepts_from = node.warm_up.accepts_from();
         let limit = self.limit(node);
-        if node.outstanding <= 0.0 && units > limit {
+        let outstanding = node.attempts.units();
+        if outstanding <= 0.0 && units > limit {
             // One outstanding request from each of many hosts is too much for one node. A limit below one
             // request therefore becomes a pace.
             let expected = latency.expected_time(Some(&node.delays), units);
             let gap = expected.mul_f64(units / limit);
-            return Some(accepts_from.max(node.last_sent + gap));
+            return Some(accepts_from.max(node.attempts.last_sent() + gap));
         }
-        (node.outstanding <= 0.0 || node.outstanding + units <= limit).then_some(accepts_from)
+        (outstanding <= 0.0 || outstanding + units <= limit).then_some(accepts_from)
     }
 
     /// Returns whether the node has capacity for so many units now.
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -40,9 +40,10 @@
         let class = &self.traffic_classes[pending.request.traffic_class.0];
         let volume = &self.state.volumes[&pending.request.volume];
         let node = node.and_then(|id| self.state.nodes.get(&id));
-        let (fraction, paid) = match node.and_then(|node| node.spare(pending.request.volume)) {
-            _ if volume.reservation.level() > 0.0 => (1.0, true),
-            Some(spare) if spare.level() <= 0.0 => (self.units.spare_fraction, false),
+        let share = node.and_then(|node| node.share_level(pending.request.volume));
+        let (fraction, paid) = match share {
+            _ if volume.reservation.pays() => (1.0, true),
+            Some(level) if level <= 0.0 => (self.units.spare_fraction, false),
             _ => (self.units.share_fraction, true),
         };
         Value {
@@ -65,11 +66,8 @@
         if pending.attempts > 0 && !self.retries.budget_allows(now) {
             return Some(BlockReason::RetryBudget);
         }
-        let limit = self.state.volumes[&request.volume]
-            .limit
-            .as_ref()
-            .filter(|_| !pending.limit_drawn);
-        if limit.is_some_and(|limit| limit.level() < request.units) {
+        let volume = &self.state.volumes[&request.volume];
+        if !pending.limit_drawn && volume.limit_is_below(request.units) {
             return Some(BlockReason::RateLimit);
         }
         if !node.warm_up.allows() {
@@ -88,7 +86,7 @@
             return Some(BlockReason::Unconfirmed);
         }
         let value = self.value(pending, Some(id));
-        if !value.paid && node.tokens.level() <= 0.0 {
+        if !value.paid && !node.capacity.has_spare() {
             return Some(BlockReason::Share);
         }
         let admitted = self
@@ -140,13 +138,10 @@
         let any = &self.state.requests[&line.first()?.id.0];
         // What blocks the luckiest of a line blocks all of it, however long it is.
         let value = self.value_in_time(any, Some(id));
-        let limit = self.state.volumes[&any.request.volume]
-            .limit
-            .as_ref()
-            .filter(|_| !any.limit_drawn);
-        let spent =
-            limit.is_some_and(|limit| limit.level() < self.state.smallest_units.unwrap_or(0.0));
-        let payable = value.paid || node.tokens.level() > 0.0;
+        let volume = &self.state.volumes[&any.request.volume];
+        let smallest = self.state.smallest_units.unwrap_or(0.0);
+        let spent = !any.limit_drawn && volume.limit_is_below(smallest);
+        let payable = value.paid || node.capacity.has_spare();
         if spent || !payable || !self.throttle.admits(&node.admission, value.amount, 1.0) {
             return None;
         }
@@ -179,7 +174,7 @@
     pub(super) fn send_attempt(&mut self, id: RequestId, node: NodeId) {
         let value = self.value(&self.state.requests[&id], Some(node));
         // Late behind others of our own is for the concurrency back-off; late alone is others' doing.
-        let alone = self.state.nodes[&node].outstanding <= 0.0;
+        let alone = self.state.nodes[&node].attempts.units() <= 0.0;
         if self.state.record_sent(id, node, value.paid, alone) {
             self.retries.retry_sent(self.state.now);
         }
--- a/crates/scheduler/src/scheduler/endpoint_updates.rs
+++ b/crates/scheduler/src/scheduler/endpoint_updates.rs
@@ -1,12 +1,9 @@
 //! Endpoint updates: the effect of an update of the endpoint list on nodes and on the requests queued there.
 
-use super::{concurrency::MAX_OUTSTANDING, Scheduler};
+use super::{capacity::NodeCapacity, Scheduler};
 use crate::api::{Endpoint, EndpointUpdateKind, LogEvent, NodeId};
-use crate::{probing_window::ProbingWindow, rates::seconds, state::Node};
+use crate::state::Node;
 
-/// Rate at which the search for a new node's capacity starts, in mean requests a second. Low, as this host has
-/// no evidence yet. Larger: a new host may overload a slow node. Smaller: it takes longer to use a fast one.
-const INITIAL_REQUESTS: f64 = 4.0;
 /// Fraction of the predecessor's usage that a node of the same shard starts with. Larger: a successor that is
 /// slower by as much is overloaded while it warms up, which the rule does not forgive. Smaller: it stays idle.
 const INHERITED_USAGE: f64 = 0.5;
@@ -29,13 +26,11 @@
         let first = self.state.nodes.is_empty();
         let objective = self.latency.tightest_objective();
         for endpoint in endpoints {
-            let lowest = INITIAL_REQUESTS * self.units.mean;
-            let highest = MAX_OUTSTANDING * self.units.mean / seconds(objective);
-            let classes = self.traffic_classes.len();
             // Most entries are of known nodes.
             let new_node = |usage| {
-                let window = ProbingWindow::new(lowest, highest);
-                Node::new(&endpoint, window, classes, usage)
+                let classes = self.traffic_classes.len();
+                let capacity = NodeCapacity::new(self.units.mean, objective, classes, usage);
+                Node::new(&endpoint, capacity)
             };
             if self.state.update_node(&endpoint, INHERITED_USAGE, new_node) {
                 self.node_came_up(endpoint.node, first);
--- a/crates/scheduler/src/scheduler/fetch_backoff.rs
+++ b/crates/scheduler/src/scheduler/fetch_backoff.rs
@@ -5,7 +5,7 @@
 //!
 //! Guards against hosts that together call discovery so often that it answers none of them in time.
 
-use super::{fair_share::INTERVAL, jitter::Jitter};
+use super::{clock::INTERVAL, jitter::Jitter};
 use crate::api::DiscoveryPolicy;
 use std::time::Duration;
 
--- a/crates/scheduler/src/scheduler/inspection.rs
+++ b/crates/scheduler/src/scheduler/inspection.rs
@@ -157,11 +157,11 @@
 
     fn paid_by(&self, pending: &PendingRequest, node: Option<&Node>) -> PaidBy {
         let volume = self.state.volumes.get(&pending.request.volume);
-        if volume.is_some_and(|volume| volume.reservation.level() > 0.0) {
+        if volume.is_some_and(|volume| volume.reservation.pays()) {
             return PaidBy::Reservation;
         }
-        let spare = node.and_then(|node| node.spare(pending.request.volume));
-        match spare.is_none_or(|spare| spare.level() > 0.0) {
+        let share = node.and_then(|node| node.share_level(pending.request.volume));
+        match share.is_none_or(|level| level > 0.0) {
             true => PaidBy::Share,
             false => PaidBy::Nothing,
         }
@@ -169,7 +169,7 @@
 
     fn last_success_step(&self, node: Option<&Node>) -> usize {
         let never = LAST_SUCCESS_STEPS.len();
-        let Some(node) = node.filter(|node| !node.last_sent.is_zero()) else {
+        let Some(node) = node.filter(|node| !node.attempts.last_sent().is_zero()) else {
             return never;
         };
         let age = self.state.now.saturating_sub(node.failures.last_success());
@@ -211,16 +211,17 @@
 
 fn node_metrics(node: &Node) -> NodeMetrics {
     // Until something was sent, the last success is when the node came up.
-    let used = !node.last_sent.is_zero();
+    let last_sent = node.attempts.last_sent();
+    let used = !last_sent.is_zero();
     NodeMetrics {
         node: node.id,
         state: node.state,
         started: node.started,
         attempts: node.attempts.len(),
-        outstanding: node.outstanding,
+        outstanding: node.attempts.units(),
         queued: node.queue.len(),
-        estimate: node.window.estimate,
-        learned_rate: node.learned_rate,
+        estimate: node.capacity.estimate(),
+        learned_rate: node.capacity.learned_rate(),
         concurrency_factor: node.concurrency.factor(),
         admission_level: node.admission.level(),
         late_fraction: node.admission.late_fraction(),
@@ -231,6 +232,6 @@
         } else {
             Duration::ZERO
         },
-        last_sent: node.last_sent,
+        last_sent,
     }
 }
--- a/crates/scheduler/src/scheduler/latency.rs
+++ b/crates/scheduler/src/scheduler/latency.rs
@@ -4,7 +4,7 @@
 //! deadline or an objective. [`LatencyModel`] owns the times per unit of work of all nodes' answers;
 //! [`NodeDelays`], one a node, owns the node's delays beyond the work. Bound: 16 counts each.
 
-use super::fair_share::{INTERVAL, TICK};
+use super::clock::{INTERVAL, TICK};
 use crate::api::TrafficClass;
 use crate::histogram::Histogram;
 use std::time::Duration;
--- a/crates/scheduler/src/scheduler/placement.rs
+++ b/crates/scheduler/src/scheduler/placement.rs
@@ -2,7 +2,7 @@
 //! or the next where that is at its limit, has something better queued, or fails fast (and so looks idle).
 
 use super::dispatch::{ticks_per_ranking, RANKED_AT_ONCE};
-use super::{fair_share::TICK, requests::MIN_RETRY_AFTER, Scheduler};
+use super::{clock::TICK, requests::MIN_RETRY_AFTER, Scheduler};
 use crate::api::NodeId;
 use crate::state::{Node, PendingRequest};
 use crate::{rates::queueing_time, rendezvous_hash::rendezvous_weight};
--- /dev/null
+++ b/crates/scheduler/src/scheduler/reservations.rs
@@ -0,0 +1,120 @@
+//! Reservations: this host's part of a volume's reservation, by its demand and by the usage that nodes report
+//! ("End-to-end Performance Isolation through Virtual Datacenters", section 4).
+//!
+//! Called by [`super::Scheduler`] for each answer and each control interval. [`ReservationShare`], one a volume,
+//! owns the volume's usage and the bucket of this host's part.
+
+use super::clock::INTERVAL;
+use super::demand::SMOOTHING;
+use crate::rates::moving_average;
+use crate::token_bucket::TokenBucket;
+use std::time::Duration;
+
+/// Factor by which this host's own usage may exceed the usage that nodes report for all hosts. Larger: outdated
+/// reports count, and one host is starved. Smaller: usual delays of reports make the split even.
+const REPORT_TOLERANCE: f64 = 1.25;
+/// Age in meter periods up to which a report counts. Larger: the split follows usage that has ended. Smaller:
+/// one missed report makes the split even.
+const REPORT_PERIODS: u32 = 3;
+
+/// A host's fraction of a volume's reservation. A late report can state less usage over all hosts than this host
+/// alone has had. A split by such a report would starve one host, so the split is even then.
+pub fn reservation_fraction(
+    own_demand: f64,
+    own_rate: f64,
+    reported: Option<f64>,
+    hosts: usize,
+) -> f64 {
+    let even = 1.0 / hosts.max(1) as f64;
+    let Some(everywhere) = reported.filter(|all| own_rate <= all * REPORT_TOLERANCE + 1e-9) else {
+        return even;
+    };
+    let others = (everywhere - own_rate).max(0.0);
+    if own_demand + others <= 0.0 {
+        return even;
+    }
+    (own_demand / (own_demand + others)).max(even / 2.0)
+}
+
+/// Usage of a volume over all hosts, as nodes report it.
+#[derive(Debug, Clone, Copy)]
+struct ReportedUsage {
+    /// Units a second.
+    rate: f64,
+    /// Time of the report.
+    at: Duration,
+}
+
+/// This host's part of one volume's reservation. Units; rates are units a second.
+#[derive(Debug)]
+pub(crate) struct ReservationShare {
+    /// Units completed through this host since the last control interval.
+    completed: f64,
+    /// Rate completed through this host, smoothed.
+    completed_rate: f64,
+    /// Usage over all hosts; None: never reported.
+    reported: Option<ReportedUsage>,
+    bucket: TokenBucket,
+}
+
+impl ReservationShare {
+    /// Starts with an even part. `reservation`: of the plan, over all hosts.
+    pub(crate) fn new(reservation: f64, hosts: usize) -> Self {
+        let part = reservation / hosts.max(1) as f64;
+        ReservationShare {
+            completed: 0.0,
+            completed_rate: 0.0,
+            reported: None,
+            bucket: TokenBucket::new(part, part, reservation),
+        }
+    }
+
+    /// Returns whether the reservation pays for another request.
+    pub(crate) fn pays(&self) -> bool {
+        self.bucket.level() > 0.0
+    }
+
+    /// Rate of this host's part.
+    pub(super) fn rate(&self) -> f64 {
+        self.bucket.rate()
+    }
+
+    pub(crate) fn take(&mut self, units: f64) {
+        self.bucket.take(units);
+    }
+
+    pub(crate) fn refill(&mut self, seconds: f64) {
+        self.bucket.refill(seconds);
+    }
+
+    /// Counts completed units.
+    pub(super) fn completed(&mut self, units: f64) {
+        self.completed += units;
+    }
+
+    /// Records a node's report of the usage over all hosts.
+    pub(super) fn report_usage(&mut self, rate: f64, at: Duration) {
+        self.reported = Some(ReportedUsage { rate, at });
+    }
+
+    /// Ends a control interval of so many seconds: sets this host's part of the plan's reservation. `meter`: the
+    /// period over which nodes add up usage.
+    pub(super) fn end_interval(
+        &mut self,
+        own_demand: f64,
+        reservation: f64,
+        hosts: usize,
+        interval: f64,
+        meter: Duration,
+        now: Duration,
+    ) {
+        let rate = std::mem::take(&mut self.completed) / interval;
+        self.completed_rate = moving_average(self.completed_rate, rate, SMOOTHING);
+        // An old report that no later one has replaced is no evidence of the present usage.
+        let is_fresh = |usage: &ReportedUsage| now < usage.at + meter * REPORT_PERIODS + INTERVAL;
+        let reported = self.reported.filter(is_fresh).map(|usage| usage.rate);
+        let fraction = reservation_fraction(own_demand, self.completed_rate, reported, hosts);
+        let part = reservation * fraction;
+        self.bucket.reconfigure(part, part);
+    }
+}
--- a/crates/scheduler/src/scheduler/retry_policy.rs
+++ b/crates/scheduler/src/scheduler/retry_policy.rs
@@ -8,7 +8,7 @@
 //!
 //! Guards against effects that happen twice, effects of one key out of order, and retry storms.
 
-use super::fair_share::{INTERVAL, TICK};
+use super::clock::{INTERVAL, TICK};
 use super::jitter::Jitter;
 use crate::api::{DeduplicationScope, Idempotency, KeyId, RequestId, RetryBudget, ShardId, ZoneId};
 use crate::key_order::KeyOrder;
--- a/crates/scheduler/src/scheduler/shedding.rs
+++ b/crates/scheduler/src/scheduler/shedding.rs
@@ -1,6 +1,6 @@
 //! Load shedding: queued requests that cannot be in time are rejected at once: their clients may ask again.
 
-use super::fair_share::{INTERVAL, TICK};
+use super::clock::{INTERVAL, TICK};
 use super::{requests::MIN_RETRY_AFTER, Scheduler};
 use crate::rates::{queueing_time, seconds};
 use crate::{api::NodeId, state::PendingRequest};
@@ -35,15 +35,14 @@
             units_ahead += pending.request.units;
             let reserved = self.state.volumes[&pending.request.volume]
                 .reservation
-                .level()
-                > 0.0;
+                .pays();
             below_reservation |= reserved && now > pending.received + INTERVAL / 2;
         }
         for (request, retry_after) in hopeless {
             self.reject_or_fail(request, retry_after);
         }
         let node = self.state.nodes.get_mut(&id).expect("looked up above");
-        node.stats.below_reservation |= below_reservation;
+        node.capacity.observe_reservation(below_reservation);
     }
 
     /// What has not gone by half of its time would come late if at all; its client has time to ask again.
--- a/crates/scheduler/src/scheduler/slow_start.rs
+++ b/crates/scheduler/src/scheduler/slow_start.rs
@@ -113,7 +113,7 @@
             let age = now.saturating_sub(node.started.unwrap_or_default());
             // The work that a host did there, not the work that it could do: the sum of the latter over all
             // hosts has no bound.
-            let own_rate = (node.usage.per_second() + node.reserved_rate) / 2.0;
+            let own_rate = (node.capacity.usage_rate() + node.flows.reserved_rate()) / 2.0;
             let quota = slow_start_quota(&self.policy, own_rate, age);
             // A full bucket and its refill together stay within one window of the rule.
             let burst = quota * BURST_FRACTION;
--- a/crates/scheduler/src/scheduler/throttle.rs
+++ b/crates/scheduler/src/scheduler/throttle.rs
@@ -7,8 +7,10 @@
 //! Called by [`super::Scheduler`]. [`AdmissionThrottle`] owns the scale of values and the fraction of late
 //! answers over all nodes; [`AdmissionLevel`], one a node, owns the node's level.
 
-use crate::api::{Plan, TrafficClass, UnitSettings};
+use crate::api::{Plan, RequestId, TrafficClass, UnitSettings};
 use crate::rates::seconds;
+use crate::state::{Node, PendingRequest};
+use std::collections::BTreeMap;
 use std::time::Duration;
 
 /// Change of the level a second after a late answer. A host with many answers from a node moves no faster than
@@ -175,3 +177,23 @@
         rank + tie_breaker * BLUR >= (1.0 - node.level) * (1.0 + BLUR)
     }
 }
+
+/// Marks the node's outstanding attempts that are late by now; returns how many were not marked before.
+pub(super) fn count_overdue(
+    node: &Node,
+    requests: &mut BTreeMap<RequestId, PendingRequest>,
+    is_late: impl Fn(f64, Duration) -> bool,
+) -> usize {
+    let mut overdue = 0;
+    for (id, sent) in node.attempts.iter() {
+        let Some(pending) = requests
+            .get_mut(id)
+            .filter(|pending| !pending.lateness_counted)
+        else {
+            continue;
+        };
+        pending.lateness_counted = is_late(pending.request.units, *sent);
+        overdue += usize::from(pending.lateness_counted);
+    }
+    overdue
+}
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -3,12 +3,14 @@
 //! Owned by [`crate::scheduler::Scheduler`], which decides what the figures mean and what follows from them.
 //! Nothing is decided here.
 
+mod attempts;
 mod node;
 mod request;
 mod scheduler_state;
 mod volume;
 
-pub use node::{Flow, FlowSample, Node};
+pub use attempts::OutstandingAttempts;
+pub use node::Node;
 pub use request::{DesiredState, PendingRequest};
 pub use scheduler_state::SchedulerState;
-pub use volume::{ReportedUsage, Volume};
+pub use volume::Volume;
--- a/crates/scheduler/src/state/scheduler_state.rs
+++ b/crates/scheduler/src/state/scheduler_state.rs
@@ -1,21 +1,16 @@
 //! Everything a host knows: what is so, and what is wanted but not yet brought about.
 
 use crate::api::{
-    Action, Endpoint, LogEvent, NodeId, NodeState, PlanId, Request, RequestId, ShardId, TimerTag,
+    Action, Endpoint, LogEvent, NodeId, NodeState, Request, RequestId, ShardId, TimerTag,
     TrafficClassId, VolumeId,
 };
-use crate::max_min_fair_share::{allocate, FlowDemand};
 use crate::rates::MeanRate;
 use crate::rejection_stats::{RejectedRequest, RejectionCounts};
 use crate::scheduler::RetryPolicy;
-use crate::state::{DesiredState, Flow, FlowSample, Node, PendingRequest, Volume};
-use crate::token_bucket::TokenBucket;
+use crate::state::{DesiredState, Node, PendingRequest, Volume};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Stands for a demand of nothing where it divides.
-const MIN_DIVISOR: f64 = 1e-9;
-
 /// Everything a host knows. Memory grows with its nodes, volumes, open requests and keys, and with the
 /// requests of the retry budget's window.
 #[derive(Debug, Default)]
@@ -73,10 +68,7 @@
         self.last_tick += tick * ticks;
         let seconds = (tick * ticks).as_secs_f64();
         for volume in self.volumes.values_mut() {
-            volume.reservation.refill(seconds);
-            if let Some(limit) = &mut volume.limit {
-                limit.refill(seconds);
-            }
+            volume.refill(seconds);
         }
         for node in self.nodes.values_mut() {
             node.advance(f64::from(ticks), seconds);
@@ -128,8 +120,10 @@
         let same_shard = self.shards.get(&endpoint.shard).into_iter().flatten();
         let last_used = same_shard
             .filter_map(|id| self.nodes.get(id))
-            .max_by_key(|node| node.last_sent);
-        last_used.map_or_else(MeanRate::default, |node| node.usage.scaled(inherited))
+            .max_by_key(|node| node.attempts.last_sent());
+        last_used.map_or_else(MeanRate::default, |node| {
+            node.capacity.inherited_usage(inherited)
+        })
     }
 
     /// Nodes that a whole list does not name are gone.
@@ -223,12 +217,8 @@
 
     /// An attempt that is out counts as sent then.
     pub fn set_sent(&mut self, id: RequestId, node: NodeId, at: Duration) {
-        if let Some(sent) = self
-            .nodes
-            .get_mut(&node)
-            .and_then(|node| node.attempts.get_mut(&id))
-        {
-            *sent = at;
+        if let Some(node) = self.nodes.get_mut(&node) {
+            node.attempts.set_sent(id, at);
         }
     }
 
@@ -246,18 +236,14 @@
             .get_mut(&node_id)
             .expect("looked up by the caller");
         let units = pending.request.units;
-        let spare = node
-            .flows
-            .get_mut(&pending.request.volume)
-            .and_then(|flow| flow.spare.as_mut());
-        if volume.reservation.level() > 0.0 {
+        if volume.reservation.pays() {
             volume.reservation.take(units);
-        } else if let (true, Some(spare)) = (paid, spare) {
-            spare.take(units);
+        } else if paid {
+            node.flows.take_share(pending.request.volume, units);
         }
         let is_retry = pending.attempts > 0;
-        if let (false, Some(limit)) = (pending.limit_drawn, &mut volume.limit) {
-            limit.take(units);
+        if !pending.limit_drawn {
+            volume.draw_limit(units);
         }
         pending.limit_drawn = true;
         pending.desired = DesiredState::Sent(node_id);
@@ -269,62 +255,6 @@
         is_retry
     }
 
-    /// Samples every flow over so many ticks and smooths its demand; returns each volume's demand over all
-    /// nodes. Flows with less than `min_demand` (units a second) and nothing queued or out are forgotten.
-    pub fn measure_demands(
-        &mut self,
-        ticks: f64,
-        min_demand: f64,
-        smoothed: impl Fn(f64, FlowSample) -> f64,
-    ) -> BTreeMap<VolumeId, f64> {
-        let mut demands: BTreeMap<VolumeId, f64> = BTreeMap::new();
-        for node in self.nodes.values_mut() {
-            for (volume, flow) in &mut node.flows {
-                flow.demand = smoothed(flow.demand, flow.take_sample(ticks));
-                *demands.entry(*volume).or_default() += flow.demand;
-            }
-            node.flows.retain(|_, flow| {
-                flow.demand > min_demand || flow.outstanding > 0.0 || flow.queued > 0.0
-            });
-        }
-        demands
-    }
-
-    /// Divides each node's estimate among its flows by their demands and their volumes' reservations and
-    /// weights.
-    pub fn allocate_shares(
-        &mut self,
-        demands: &BTreeMap<VolumeId, f64>,
-        weight: impl Fn(PlanId) -> f64,
-    ) {
-        let volumes = &self.volumes;
-        let flow_demand = |(id, flow): (&VolumeId, &Flow)| {
-            let volume = &volumes[id];
-            let everywhere = demands.get(id).copied().unwrap_or(0.0).max(MIN_DIVISOR);
-            let reservation = volume.reservation.rate() * flow.demand / everywhere;
-            FlowDemand {
-                demand: flow.demand,
-                reservation,
-                weight: weight(volume.plan),
-            }
-        };
-        for node in self.nodes.values_mut() {
-            let flows: Vec<FlowDemand> = node.flows.iter().map(flow_demand).collect();
-            node.reserved_rate = flows.iter().map(|flow| flow.reservation).sum();
-            for (flow, given) in node
-                .flows
-                .values_mut()
-                .zip(allocate(node.window.estimate, &flows))
-            {
-                let rate = given.spare;
-                let spare = flow
-                    .spare
-                    .get_or_insert_with(|| TokenBucket::new(rate, rate, rate));
-                spare.reconfigure(rate, rate);
-            }
-        }
-    }
-
     /// Whether any request is queued.
     pub fn has_queued(&self) -> bool {
         !self.unassigned.is_empty() || self.queued > 0
@@ -376,7 +306,7 @@
             }
             self.volumes.remove(&id);
             for node in self.nodes.values_mut() {
-                node.flows.remove(&id);
+                node.flows.remove(id);
             }
         }
     }
--- a/crates/scheduler/src/state/volume.rs
+++ b/crates/scheduler/src/state/volume.rs
@@ -1,69 +1,66 @@
 //! A volume, as one host serves it.
 
 use crate::api::{LimitQuota, PlanId, VolumeTerms};
+use crate::scheduler::ReservationShare;
 use crate::token_bucket::TokenBucket;
-use std::time::Duration;
 
-/// A volume's usage everywhere, as nodes report it.
-#[derive(Debug, Clone, Copy)]
-pub struct ReportedUsage {
-    /// Units a second.
-    pub rate: f64,
-    /// When it was reported.
-    pub at: Duration,
-}
-
-/// A volume and its token buckets. Units; rates are units a second.
+/// A volume's terms and token buckets. Units; rates are units a second.
 #[derive(Debug)]
 pub struct Volume {
     /// Its plan.
     pub plan: PlanId,
-    /// Number of hosts through which its requests come.
+    /// Number of hosts that receive its requests.
     pub hosts: usize,
-    /// Units done through this host since the last control interval.
-    pub done: f64,
-    /// Rate done through this host, smoothed.
-    pub done_rate: f64,
-    /// Its usage everywhere; None: never reported.
-    pub reported: Option<ReportedUsage>,
     /// This host's part of the reservation.
-    pub reservation: TokenBucket,
+    pub reservation: ReservationShare,
     /// This host's quota of the limit; None: no limit.
-    pub limit: Option<TokenBucket>,
+    limit: Option<TokenBucket>,
 }
 
 impl Volume {
-    /// `reservation`: of the plan, over all hosts. A quota of a limit starts empty, since a host that starts,
-    /// or comes in, cannot know what was drawn before. Harm: slow first bursts.
+    /// `reservation`: of the plan, over all hosts. The quota of a limit starts empty, since a host that starts,
+    /// or that begins to serve the volume, cannot know which units were drawn before. Harm: the first bursts are
+    /// slow.
     pub fn new(terms: VolumeTerms, reservation: f64) -> Self {
-        let part = reservation / terms.hosts.max(1) as f64;
         let mut volume = Volume {
             plan: terms.plan,
             hosts: terms.hosts,
-            done: 0.0,
-            done_rate: 0.0,
-            reported: None,
-            reservation: TokenBucket::new(part, part, reservation),
+            reservation: ReservationShare::new(reservation, terms.hosts),
             limit: None,
         };
         volume.set_terms(terms);
         volume
     }
 
-    /// Nodes report its usage everywhere, in percent of the plan's base rate.
-    pub fn report_usage(&mut self, percent: f64, base_rate: f64, at: Duration) {
-        let rate = percent / 100.0 * base_rate;
-        self.reported = Some(ReportedUsage { rate, at });
+    /// Returns whether the limit has fewer tokens than that.
+    pub fn limit_is_below(&self, units: f64) -> bool {
+        let limit = self.limit.as_ref();
+        limit.is_some_and(|limit| limit.level() < units)
+    }
+
+    /// Draws units from the limit.
+    pub fn draw_limit(&mut self, units: f64) {
+        if let Some(limit) = &mut self.limit {
+            limit.take(units);
+        }
     }
 
-    /// Units that were drawn from its limit were not used.
+    /// Returns units to the limit that were drawn and not used.
     pub fn refund_limit(&mut self, units: f64) {
         if let Some(limit) = &mut self.limit {
             limit.refund(units);
         }
     }
 
-    /// New terms. What a limit's bucket holds, or owes, stays, cut to its depth.
+    /// Adds the tokens of so many seconds.
+    pub fn refill(&mut self, seconds: f64) {
+        self.reservation.refill(seconds);
+        if let Some(limit) = &mut self.limit {
+            limit.refill(seconds);
+        }
+    }
+
+    /// Sets new terms. The tokens or the debt of the limit's bucket stay, cut to its depth.
     pub fn set_terms(&mut self, terms: VolumeTerms) {
         self.plan = terms.plan;
         self.hosts = terms.hosts;
--- a/crates/scheduler/tests/design.rs
+++ b/crates/scheduler/tests/design.rs
@@ -3,9 +3,9 @@
 mod common;
 use common::*;
 use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::interval_sample::IntervalSample;
 use grebecleat_scheduler::max_min_fair_share::{allocate, FlowDemand};
 use grebecleat_scheduler::probing_window::*;
-use grebecleat_scheduler::reading::Reading;
 use grebecleat_scheduler::scheduler::*;
 use grebecleat_scheduler::token_bucket::TokenBucket;
 
@@ -97,8 +97,8 @@
     }
 }
 
-fn reading(congested: bool, below_reservation: bool, outstanding: f64) -> Reading {
-    Reading {
+fn sample(congested: bool, below_reservation: bool, outstanding: f64) -> IntervalSample {
+    IntervalSample {
         congested,
         below_reservation,
         outstanding,
@@ -108,8 +108,8 @@
 
 #[test]
 fn the_window_moves_phase_by_phase() {
-    let clear = || reading(false, false, 4.0);
-    let slow = || reading(true, false, 4.0);
+    let clear = || sample(false, false, 4.0);
+    let slow = || sample(true, false, 4.0);
     let mut w = ProbingWindow::new(10.0, 110.0);
     w.observe(&clear());
     assert_eq!((w.low, w.estimate, w.high), (10.0, 60.0, 110.0));
@@ -125,9 +125,9 @@
         w.observe(&slow());
     }
     assert_eq!((w.low, w.estimate, w.high), (85.0, 85.0, 97.5));
-    w.observe(&reading(false, true, 4.0));
+    w.observe(&sample(false, true, 4.0));
     assert_eq!((w.phase, w.high), (Phase::Wait, 85.0));
-    w.observe(&reading(true, true, 4.0));
+    w.observe(&sample(true, true, 4.0));
     assert_eq!(
         (w.phase, w.estimate),
         (Phase::Wait, 85.0),
@@ -135,14 +135,14 @@
     );
     w.observe(&clear());
     assert_eq!(w.phase, Phase::Stable { outstanding: 4.0 });
-    w.observe(&reading(false, false, 9.0));
+    w.observe(&sample(false, false, 9.0));
     assert!(
         w.estimate < 85.0,
         "more outstanding than at the stable start lowers it"
     );
-    w.observe(&reading(false, false, 4.0));
+    w.observe(&sample(false, false, 4.0));
     let settled = w.estimate;
-    w.observe(&Reading {
+    w.observe(&IntervalSample {
         mix: vec![0.55, 0.45],
         ..clear()
     });
@@ -150,7 +150,7 @@
         w.estimate, settled,
         "a mix change of less than a tenth is no change"
     );
-    w.observe(&Reading {
+    w.observe(&IntervalSample {
         mix: vec![0.7, 0.3],
         ..clear()
     });
