--- a/crates/host/src/metrics.rs
+++ b/crates/host/src/metrics.rs
@@ -12,7 +12,7 @@
 //! message, and the last reported row of each node.
 
 use grebecleat_scheduler::api::{BlockReason, NodeId, NodeState};
-use grebecleat_scheduler::scheduler::inspection::{NodeMetrics, QueueMetrics};
+use grebecleat_scheduler::scheduler::introspection::{NodeMetrics, QueueMetrics};
 use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
--- a/crates/scheduler/src/scheduler/attempt_outcome.rs
+++ b/crates/scheduler/src/scheduler/attempt_outcome.rs
@@ -1,140 +1,137 @@
-//! Attempt outcomes: the effect of an attempt's end on its node, its volume and its request.
+//! Attempt outcome: the effect of an attempt's end on its node, its volume and its request.
+//!
+//! Called by [`super::Scheduler`] for each attempt that has ended. Owns no state: it hands the outcome to the
+//! mechanisms that it concerns.
 
+use super::latency::LatencyModel;
 use super::outlier_ejection::{is_failure, is_refusal};
-use super::requests::MIN_RETRY_AFTER;
-use super::retry_policy::{may_resend, PriorAttempt};
-use super::Scheduler;
-use crate::api::{Action, AttemptEnd, AttemptOutcome};
+use super::retry_policy::PriorAttempt;
+use super::throttle::AdmissionThrottle;
+use crate::api::{AttemptEnd, AttemptOutcome, LogEvent};
+use crate::state::{Node, PendingRequest, Volume};
 use std::time::Duration;
 
-impl Scheduler {
-    pub(super) fn record_outcome(&mut self, end: &AttemptEnd) {
-        let (now, outcome, state) = (self.state.now, end.outcome, &mut self.state);
-        let Some(pending) = state.requests.get_mut(&end.id) else {
-            return;
-        };
-        let Some(node) = state.nodes.get_mut(&end.node) else {
-            return;
-        };
-        let volume = state
-            .volumes
-            .get_mut(&pending.request.volume)
-            .expect("made when the request came in");
-        if let Some(percent) = end.reported {
-            let rate = percent / 100.0 * self.plans[volume.plan.0].base_rate;
-            volume.reservation.report_usage(rate, now);
-        }
-        let sent = node
-            .attempt_ended(&pending.request)
-            .unwrap_or(now.saturating_sub(end.elapsed));
-        state.changed_nodes.insert(end.node);
-        node.contact.record(outcome, sent, now);
-        // A limit counts what crosses, when it crosses. What was never sent gives its units back; what found
-        // no connection draws them again when it goes, or units drawn long before would add to a full
-        // bucket's. Harm: where the rule counts an attempt without a connection, as much is lost.
-        let undone = matches!(
-            outcome,
-            AttemptOutcome::NotSent | AttemptOutcome::ConnectFailed
-        );
-        if pending.attempts == 1 && undone {
-            pending.limit_drawn = false;
-            volume.refund_limit(if outcome == AttemptOutcome::NotSent {
-                pending.request.units
-            } else {
-                0.0
-            });
-        }
-        if may_have_run(outcome)
-            && outcome != AttemptOutcome::Completed
-            && pending.prior_attempt.is_none()
-        {
-            pending.prior_attempt = Some(PriorAttempt {
-                zone: node.zone,
-                shard: node.shard,
-                sent,
-            });
-        }
-        if is_failure(outcome) {
-            node.failures.add();
-        }
-        if is_refusal(outcome) {
-            self.throttle.record(&mut node.admission, now, true);
-            let ejection = node.failures.ejection(outcome);
-            let event = ejection.and_then(|reason| node.eject(reason));
-            state
-                .actions
-                .extend(event.map(|event| Action::Log { event }));
+/// An attempt that has ended, with the records that its outcome changes.
+pub(super) struct EndedAttempt<'a> {
+    outcome: AttemptOutcome,
+    /// Time from its sending to its end, as the host measured it.
+    elapsed: Duration,
+    sent: Duration,
+    now: Duration,
+    pending: &'a mut PendingRequest,
+    node: &'a mut Node,
+    volume: &'a mut Volume,
+}
+
+impl<'a> EndedAttempt<'a> {
+    /// Removes the attempt from its node.
+    pub(super) fn new(
+        end: &AttemptEnd,
+        now: Duration,
+        pending: &'a mut PendingRequest,
+        node: &'a mut Node,
+        volume: &'a mut Volume,
+    ) -> Self {
+        let sent = node.attempt_ended(&pending.request);
+        EndedAttempt {
+            outcome: end.outcome,
+            elapsed: end.elapsed,
+            sent: sent.unwrap_or(now.saturating_sub(end.elapsed)),
+            now,
+            pending,
+            node,
+            volume,
         }
-        if outcome == AttemptOutcome::Completed {
-            let units = pending.request.units;
-            let late = self.latency.record(&mut node.delays, units, end.elapsed);
-            if !late || !pending.lateness_counted {
-                self.throttle.record(&mut node.admission, now, late);
+    }
+
+    /// Updates the evidence that the node accepts requests.
+    pub(super) fn record_contact(&mut self) {
+        self.node.contact.record(self.outcome, self.sent, self.now);
+    }
+
+    /// Returns units to the volume's limit. The rule counts the units of an attempt when it crosses a socket. An
+    /// attempt that was never sent gives its units back. One that found no connection draws them again with the
+    /// next attempt: units that were drawn long before would add to those of a bucket that is full again. Harm:
+    /// where the rule counts an attempt without a connection, as many units are lost.
+    pub(super) fn refund_limit(&mut self) {
+        let is_first = self.pending.attempts.count() == 1;
+        match self.outcome {
+            AttemptOutcome::NotSent if is_first => {
+                self.pending.limit_drawn = false;
+                self.volume.refund_limit(self.pending.request.units);
             }
-            volume.reservation.completed(units);
-            node.capacity.completed(units, late);
-            node.failures.reset(now);
-            node.concurrency.completed(late);
-        } else if outcome == AttemptOutcome::QueueFull {
-            node.capacity.queue_full();
-            node.concurrency.queue_full();
+            AttemptOutcome::ConnectFailed if is_first => self.pending.limit_drawn = false,
+            _ => {}
         }
     }
 
-    /// After an attempt: closes the request, queues it for a retry, or rejects it.
-    pub(super) fn retry_or_answer(&mut self, end: &AttemptEnd) {
-        let now = self.state.now;
-        let Some(pending) = self.state.requests.get_mut(&end.id) else {
+    /// Remembers the attempt, if it may have run and has not completed.
+    pub(super) fn record_prior(&mut self) {
+        if !may_have_run(self.outcome) || self.outcome == AttemptOutcome::Completed {
             return;
-        };
-        pending.out_at = None;
-        let class = &self.traffic_classes[pending.request.traffic_class.0];
-        use AttemptOutcome::{Cancelled, ConnectionReset, NotSent, TimedOut};
-        let may_still_run = matches!(end.outcome, TimedOut | ConnectionReset | Cancelled);
-        let ordered_key = pending.request.key.filter(|_| class.ordered);
-        if let Some(key) = ordered_key.filter(|_| may_still_run) {
-            self.retries.cool_down_key(key, end.id, now);
         }
-        if end.answered || pending.answered || pending.response_started {
-            return self.state.close(end.id, &mut self.retries);
+        self.pending.attempts.record_prior(PriorAttempt {
+            zone: self.node.zone,
+            shard: self.node.shard,
+            sent: self.sent,
+        });
+    }
+
+    /// Counts a failure against the node; returns the event to log if the node is ejected.
+    pub(super) fn record_failure(&mut self, throttle: &mut AdmissionThrottle) -> Option<LogEvent> {
+        if is_failure(self.outcome) {
+            self.node.failures.add();
         }
-        let attempts = pending.attempts;
-        let delay = self.retries.delay(attempts, &mut self.jitter);
-        let final_outcome = matches!(end.outcome, TimedOut | NotSent | Cancelled);
-        if !final_outcome && self.retries.attempts_remain(attempts) && self.may_retry_in(delay, end)
-        {
-            let pending = self
-                .state
-                .requests
-                .get_mut(&end.id)
-                .expect("looked up above");
-            pending.not_before = now + delay;
-            self.enqueue(end.id);
-        } else {
-            self.reject_or_fail(end.id, MIN_RETRY_AFTER);
+        if !is_refusal(self.outcome) {
+            return None;
         }
+        throttle.record(&mut self.node.admission, self.now, true);
+        let reason = self.node.failures.ejection(self.outcome)?;
+        self.node.eject(reason)
     }
 
-    /// Returns whether the retry budget, idempotency and the time to the deadline allow a retry at the same node
-    /// after the delay.
-    fn may_retry_in(&self, delay: Duration, end: &AttemptEnd) -> bool {
-        let now = self.state.now;
-        let pending = &self.state.requests[&end.id];
-        let Some(node) = self.state.nodes.get(&end.node) else {
-            return false;
-        };
-        let idempotency = self.traffic_classes[pending.request.traffic_class.0].idempotency;
-        let remaining = pending.request.deadline.saturating_sub(now);
-        let prior = pending.prior_attempt;
-        self.retries.budget_allows(now)
-            && may_resend(idempotency, prior, node.zone, node.shard, now)
-            && remaining > self.expected_time(Some(end.node), pending.request.units) + delay
+    /// Records the time of a completed attempt, or the node's full queue.
+    pub(super) fn record_answer(
+        &mut self,
+        throttle: &mut AdmissionThrottle,
+        latency: &mut LatencyModel,
+    ) {
+        match self.outcome {
+            AttemptOutcome::Completed => self.record_completed(throttle, latency),
+            AttemptOutcome::QueueFull => {
+                self.node.capacity.queue_full();
+                self.node.concurrency.queue_full();
+            }
+            _ => {}
+        }
+    }
+
+    fn record_completed(&mut self, throttle: &mut AdmissionThrottle, latency: &mut LatencyModel) {
+        let units = self.pending.request.units;
+        let late = latency.record(&mut self.node.delays, units, self.elapsed);
+        if !late || !self.pending.attempts.lateness_counted() {
+            throttle.record(&mut self.node.admission, self.now, late);
+        }
+        self.volume.reservation.completed(units);
+        self.node.capacity.completed(units, late);
+        self.node.failures.reset(self.now);
+        self.node.concurrency.completed(late);
     }
 }
 
 fn may_have_run(outcome: AttemptOutcome) -> bool {
-    !matches!(
-        outcome,
-        AttemptOutcome::QueueFull | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
-    )
+    use AttemptOutcome::{ConnectFailed, NotSent, QueueFull};
+    !matches!(outcome, QueueFull | ConnectFailed | NotSent)
+}
+
+/// Returns whether an attempt with this outcome may still run at its node.
+pub(super) fn may_still_run(outcome: AttemptOutcome) -> bool {
+    use AttemptOutcome::{Cancelled, ConnectionReset, TimedOut};
+    matches!(outcome, TimedOut | ConnectionReset | Cancelled)
+}
+
+/// Returns whether no retry may follow this outcome.
+pub(super) fn is_final(outcome: AttemptOutcome) -> bool {
+    use AttemptOutcome::{Cancelled, NotSent, TimedOut};
+    matches!(outcome, TimedOut | NotSent | Cancelled)
 }
--- a/crates/scheduler/src/scheduler/capacity.rs
+++ b/crates/scheduler/src/scheduler/capacity.rs
@@ -21,6 +21,9 @@
 /// Span of the long-term usage, in seconds. Larger: the usage follows a change slowly. Smaller: a host that
 /// sends seldom has no usage most of the time.
 const USAGE_SPAN: f64 = 30.0;
+/// Fraction of the predecessor's usage that a node of the same shard starts with. Larger: a successor that is
+/// slower by as much is overloaded while it warms up, which the rule does not forgive. Smaller: it stays idle.
+const INHERITED_USAGE: f64 = 0.5;
 /// Smallest sum of the traffic mix that divides; it stands for none.
 const MIN_MIX: f64 = 1e-9;
 
@@ -58,12 +61,13 @@
 }
 
 impl NodeCapacity {
-    /// `usage`: stands for the node's own usage until it has any.
+    /// `predecessor`: capacity of the node of the same shard that this host used last; a part of its usage stands
+    /// for the node's own usage until it has any.
     pub(super) fn new(
         mean_units: f64,
         tightest_objective: Duration,
         traffic_classes: usize,
-        usage: MeanRate,
+        predecessor: Option<&NodeCapacity>,
     ) -> Self {
         let lowest = INITIAL_REQUESTS * mean_units;
         let highest = MAX_OUTSTANDING * mean_units / seconds(tightest_objective);
@@ -72,7 +76,9 @@
             tokens: TokenBucket::new(window.estimate, window.estimate, window.estimate),
             window,
             learned_rate: 0.0,
-            usage,
+            usage: predecessor.map_or_else(MeanRate::default, |capacity| {
+                capacity.usage.scaled(INHERITED_USAGE)
+            }),
             traffic_mix: vec![0.0; traffic_classes],
             stats: IntervalStats::default(),
         }
@@ -161,9 +167,4 @@
     pub(super) fn usage_rate(&self) -> f64 {
         self.usage.per_second()
     }
-
-    /// A fraction of the long-term usage, for a successor of the node.
-    pub(crate) fn inherited_usage(&self, fraction: f64) -> MeanRate {
-        self.usage.scaled(fraction)
-    }
 }
--- a/crates/scheduler/src/scheduler/concurrency.rs
+++ b/crates/scheduler/src/scheduler/concurrency.rs
@@ -87,15 +87,20 @@
 }
 
 impl ConcurrencyLimiter {
-    pub(super) fn new(tightest_objective: Duration, mean_units: f64, hosts: usize) -> Self {
+    pub(super) fn new(tightest_objective: Duration, mean_units: f64) -> Self {
         ConcurrencyLimiter {
             tightest_objective,
             mean_units,
-            hosts,
+            hosts: 0,
             mean_learned_rate: 0.0,
         }
     }
 
+    /// Sets the number of hosts that share the nodes.
+    pub(super) fn set_hosts(&mut self, hosts: usize) {
+        self.hosts = hosts;
+    }
+
     /// Updates the mean of the learned rates.
     pub(super) fn update_mean_rate<'a>(&mut self, nodes: impl Iterator<Item = &'a Node> + Clone) {
         let learned = nodes
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,182 +1,189 @@
-//! Dispatch: which queued request goes to a node next, and what keeps one from going.
+//! Dispatch: the value of a request at a node, the reasons that block it, and the queued request that goes next.
+//!
+//! Called by [`super::Scheduler`], and by [`super::placement`] and [`super::shedding`]. Owns no state:
+//! [`DispatchView`] reads the tables and the mechanisms.
 
-use super::{retry_policy::may_resend, Scheduler};
-use crate::api::{BlockReason, NodeId, RequestId};
+use super::concurrency::ConcurrencyLimiter;
+use super::endpoint_lease::EndpointLease;
+use super::latency::LatencyModel;
+use super::retry_policy::{may_resend, RetryPolicy};
+use super::settings::Settings;
+use super::throttle::AdmissionThrottle;
+use crate::api::{BlockReason, RequestId};
 use crate::request_queue::{best_candidate, best_of_line, sort_by_value, Candidate, Line};
-use crate::state::PendingRequest;
+use crate::state::{Node, NodeTable, PendingRequest, RequestTable, VolumeTable};
 use std::{cmp::Reverse, time::Duration};
 
-pub(super) const RANKED_AT_ONCE: usize = 256; // queued requests of a node, or unassigned ones, in each tick
-const MAX_RANKING_TICKS: usize = 4; // else, with thousands queued, ranking would be all that a host does
-
-/// In how many ticks so many queued requests are ranked once.
-pub(super) fn ticks_per_ranking(queued: usize) -> u32 {
-    (1 + queued / RANKED_AT_ONCE).min(MAX_RANKING_TICKS) as u32
-}
+/// Fraction of the value of a unit that the reservation pays for.
+const RESERVED_FRACTION: f64 = 1.0;
+/// Tie-breaker of the request that the throttle admits first among requests of one value.
+const BEST_TIE_BREAKER: f64 = 1.0;
 
 /// Value of a unit of a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Value {
-    pub amount: f64,
-    /// A bucket would pay for it.
-    pub paid: bool,
+    pub(super) amount: f64,
+    /// A bucket pays for the unit.
+    pub(super) paid: bool,
 }
 
-impl Scheduler {
-    /// Value of a unit at the node (None: at any), sent now.
-    pub(super) fn value(&self, pending: &PendingRequest, node: Option<NodeId>) -> Value {
+/// Read access to everything that decides which request goes to which node.
+#[derive(Clone, Copy)]
+pub(super) struct DispatchView<'a> {
+    pub(super) now: Duration,
+    pub(super) settings: &'a Settings,
+    pub(super) nodes: &'a NodeTable,
+    pub(super) requests: &'a RequestTable,
+    pub(super) volumes: &'a VolumeTable,
+    pub(super) lease: &'a EndpointLease,
+    pub(super) concurrency: &'a ConcurrencyLimiter,
+    pub(super) throttle: &'a AdmissionThrottle,
+    pub(super) latency: &'a LatencyModel,
+    pub(super) retries: &'a RetryPolicy,
+}
+
+impl DispatchView<'_> {
+    /// Time that an attempt of this size should take at the node; None: at any node.
+    pub(super) fn expected_time(&self, node: Option<&Node>, units: f64) -> Duration {
+        let delays = node.map(|node| &node.delays);
+        self.latency.expected_time(delays, units)
+    }
+
+    /// Value of a unit that is sent to the node now; None: to any node.
+    pub(super) fn value(&self, pending: &PendingRequest, node: Option<&Node>) -> Value {
         let in_time = self.value_in_time(pending, node);
-        let late =
-            self.state.now + self.expected_time(node, pending.request.units) > pending.objective_at;
-        let class = &self.traffic_classes[pending.request.traffic_class.0];
+        let expected = self.expected_time(node, pending.request.units);
+        let late = self.now + expected > pending.objective_at;
+        let class = self.settings.class(&pending.request);
         Value {
             amount: in_time.amount * if late { class.late_fraction } else { 1.0 },
             ..in_time
         }
     }
 
-    /// The same, were it in time: alike for all of one volume and traffic class.
-    pub(super) fn value_in_time(&self, pending: &PendingRequest, node: Option<NodeId>) -> Value {
-        let class = &self.traffic_classes[pending.request.traffic_class.0];
-        let volume = &self.state.volumes[&pending.request.volume];
-        let node = node.and_then(|id| self.state.nodes.get(&id));
+    /// Value of a unit whose answer meets the objective: equal for all requests of one volume and traffic class.
+    pub(super) fn value_in_time(&self, pending: &PendingRequest, node: Option<&Node>) -> Value {
+        let class = self.settings.class(&pending.request);
+        let volume = &self.volumes[pending.request.volume];
         let share = node.and_then(|node| node.share_level(pending.request.volume));
+        let units = &self.settings.units;
         let (fraction, paid) = match share {
-            _ if volume.reservation.pays() => (1.0, true),
-            Some(level) if level <= 0.0 => (self.units.spare_fraction, false),
-            _ => (self.units.share_fraction, true),
+            _ if volume.reservation.pays() => (RESERVED_FRACTION, true),
+            Some(level) if level <= 0.0 => (units.spare_fraction, false),
+            _ => (units.share_fraction, true),
         };
+        let price = self.settings.plan(volume.plan).price;
         Value {
-            amount: fraction * class.priority_weight * self.plans[volume.plan.0].price,
+            amount: fraction * class.priority_weight * price,
             paid,
         }
     }
 
-    /// Which of the rules and the buckets keeps a request from going to the node now; None: it may go.
-    pub(super) fn block_reason(&self, pending: &PendingRequest, id: NodeId) -> Option<BlockReason> {
-        let (now, request, node) = (self.state.now, &pending.request, &self.state.nodes[&id]);
-        let class = &self.traffic_classes[request.traffic_class.0];
+    /// The rule or the bucket that keeps a request from going to the node now; None: it may go.
+    pub(super) fn block_reason(
+        &self,
+        pending: &PendingRequest,
+        node: &Node,
+    ) -> Option<BlockReason> {
+        let now = self.now;
+        let request = &pending.request;
+        let class = self.settings.class(request);
         if !(pending.not_before..request.deadline).contains(&now) {
             return Some(BlockReason::RetryDelay);
         }
-        let key = request.key.filter(|_| class.ordered);
-        if key.is_some_and(|key| !self.retries.key_allows(key, request.id, now)) {
+        let ordered_key = request.key.filter(|_| class.ordered);
+        if ordered_key.is_some_and(|key| !self.retries.key_allows(key, request.id, now)) {
             return Some(BlockReason::KeyOrder);
         }
-        if pending.attempts > 0 && !self.retries.budget_allows(now) {
+        if pending.attempts.count() > 0 && !self.retries.budget_allows(now) {
             return Some(BlockReason::RetryBudget);
         }
-        let volume = &self.state.volumes[&request.volume];
+        let volume = &self.volumes[request.volume];
         if !pending.limit_drawn && volume.limit_is_below(request.units) {
             return Some(BlockReason::RateLimit);
         }
         if !node.warm_up.allows() {
             return Some(BlockReason::SlowStart);
         }
-        if !may_resend(
-            class.idempotency,
-            pending.prior_attempt,
-            node.zone,
-            node.shard,
-            now,
-        ) {
+        let prior = pending.attempts.prior();
+        if !may_resend(class.idempotency, prior, node.zone, node.shard, now) {
             return Some(BlockReason::Idempotency);
         }
-        if !self.endpoint_lease.confirms(&node.contact, now) {
+        if !self.lease.confirms(&node.contact, now) {
             return Some(BlockReason::Unconfirmed);
         }
-        let value = self.value(pending, Some(id));
+        let value = self.value(pending, Some(node));
         if !value.paid && !node.capacity.has_spare() {
             return Some(BlockReason::Share);
         }
-        let admitted = self
-            .throttle
-            .admits(&node.admission, value.amount, pending.tie_breaker);
-        (!admitted).then_some(BlockReason::Throttled)
+        let is_admitted = self.admits(node, value, pending.tie_breaker);
+        (!is_admitted).then_some(BlockReason::Throttled)
     }
 
-    /// The queued request that goes to the node now.
-    pub(super) fn next_dispatchable(&mut self, node: NodeId) -> Option<RequestId> {
-        // Most looks find the node at its limit: where the smallest has no capacity, none has.
-        if !self.has_capacity_or_waits(node, self.state.smallest_units?) {
-            return None;
-        }
-        let contact = &self.state.nodes[&node].contact;
-        if !self.endpoint_lease.confirms(contact, self.state.now) {
-            return None;
-        }
-        let id = self.best_queued(node)?.id;
-        let units = self.state.requests[&id].request.units;
-        self.has_capacity_or_waits(node, units).then_some(id)
+    /// The reason that blocks a request, the concurrency limit included; None: it may go.
+    pub(super) fn block_reason_or_concurrency(
+        &self,
+        pending: &PendingRequest,
+        node: &Node,
+    ) -> Option<BlockReason> {
+        let at_limit = !self.has_capacity(node, pending.request.units);
+        self.block_reason(pending, node)
+            .or(at_limit.then_some(BlockReason::Concurrency))
     }
 
-    /// Whether the node has capacity; where time alone will bring it, the node is looked at again then.
-    fn has_capacity_or_waits(&mut self, node: NodeId, units: f64) -> bool {
-        let entry = &self.state.nodes[&node];
-        let Some(at) = self
-            .concurrency
-            .capacity_available_at(entry, units, &self.latency)
-        else {
-            return false;
-        };
-        if at > self.state.now {
-            self.state.due.insert((at, node));
-        }
-        at <= self.state.now
+    /// Returns whether the throttle admits a request of that value at the node.
+    pub(super) fn admits(&self, node: &Node, value: Value, tie_breaker: f64) -> bool {
+        self.throttle
+            .admits(&node.admission, value.amount, tie_breaker)
     }
 
-    /// The queued request that should go next to the node. A smaller one behind it waits, or large ones would
-    /// never go.
-    pub(super) fn best_queued(&self, node: NodeId) -> Option<Candidate> {
-        let soonest = self.state.now + self.expected_time(Some(node), 0.0);
-        let lines = self.state.nodes[&node].queue.lines();
+    /// Returns whether the node has capacity for so many units now.
+    pub(super) fn has_capacity(&self, node: &Node, units: f64) -> bool {
+        self.concurrency
+            .has_capacity(node, units, self.latency, self.now)
+    }
+
+    /// The queued request that should go to the node next. A smaller request behind it waits, or large ones
+    /// would never go.
+    pub(super) fn best_queued(&self, node: &Node) -> Option<Candidate> {
+        let soonest = self.now + self.expected_time(Some(node), 0.0);
+        let lines = node.queue.lines();
         best_candidate(lines.filter_map(|line| self.best_of(line, node, soonest)))
     }
 
-    fn best_of(&self, line: &Line, id: NodeId, soonest: Duration) -> Option<Candidate> {
-        let node = &self.state.nodes[&id];
-        let any = &self.state.requests[&line.first()?.id.0];
-        // What blocks the luckiest of a line blocks all of it, however long it is.
-        let value = self.value_in_time(any, Some(id));
-        let volume = &self.state.volumes[&any.request.volume];
-        let smallest = self.state.smallest_units.unwrap_or(0.0);
-        let spent = !any.limit_drawn && volume.limit_is_below(smallest);
-        let payable = value.paid || node.capacity.has_spare();
-        if spent || !payable || !self.throttle.admits(&node.admission, value.amount, 1.0) {
+    fn best_of(&self, line: &Line, node: &Node, soonest: Duration) -> Option<Candidate> {
+        let first = &self.requests[line.first()?.id.0];
+        // A reason that blocks the request with the best tie-breaker blocks the complete line, whatever its length.
+        let value = self.value_in_time(first, Some(node));
+        let volume = &self.volumes[first.request.volume];
+        let smallest = self.requests.smallest_units().unwrap_or(0.0);
+        let limit_is_spent = !first.limit_drawn && volume.limit_is_below(smallest);
+        let is_payable = value.paid || node.capacity.has_spare();
+        if limit_is_spent || !is_payable || !self.admits(node, value, BEST_TIE_BREAKER) {
             return None;
         }
         best_of_line(line, soonest, value.amount, |entry| {
-            let pending = &self.state.requests[&entry.id.0];
-            self.block_reason(pending, id)
-                .is_none()
-                .then(|| self.candidate(pending, id))
+            let pending = &self.requests[entry.id.0];
+            let may_go = self.block_reason(pending, node).is_none();
+            may_go.then(|| self.candidate(pending, node))
         })
     }
 
-    pub(super) fn candidate(&self, pending: &PendingRequest, node: NodeId) -> Candidate {
-        let value = self.value(pending, Some(node)).amount;
+    /// A request as a candidate for the node.
+    pub(super) fn candidate(&self, pending: &PendingRequest, node: &Node) -> Candidate {
         Candidate {
-            value,
+            value: self.value(pending, Some(node)).amount,
             objective_at: Reverse(pending.objective_at),
             id: pending.request.id,
         }
     }
 
-    /// Queued requests, the best first.
+    /// Queued requests by value, the best first.
     pub(super) fn ranked(
         &self,
         ids: impl Iterator<Item = RequestId>,
-        at: Option<NodeId>,
+        node: Option<&Node>,
     ) -> Vec<RequestId> {
-        sort_by_value(ids, |id| self.value(&self.state.requests[id], at).amount)
-    }
-
-    pub(super) fn send_attempt(&mut self, id: RequestId, node: NodeId) {
-        let value = self.value(&self.state.requests[&id], Some(node));
-        // Late behind others of our own is for the concurrency back-off; late alone is others' doing.
-        let alone = self.state.nodes[&node].attempts.units() <= 0.0;
-        if self.state.record_sent(id, node, value.paid, alone) {
-            self.retries.retry_sent(self.state.now);
-        }
+        sort_by_value(ids, |id| self.value(&self.requests[*id], node).amount)
     }
 }
--- a/crates/scheduler/src/scheduler/placement.rs
+++ b/crates/scheduler/src/scheduler/placement.rs
@@ -1,13 +1,16 @@
-//! Placement of new objects, which any node can take: at the first node in their volume's rendezvous order,
-//! or the next where that is at its limit, has something better queued, or fails fast (and so looks idle).
+//! Placement of new objects, which any node can take: at the first node in the rendezvous order of their volume,
+//! or at the next one where that node is at its limit, has a better request queued, or fails fast (and so looks
+//! idle).
+//!
+//! Called by [`super::Scheduler`] for each unassigned request. [`Placement`] owns the nodes that had capacity at
+//! the start of a step.
 
-use super::dispatch::{ticks_per_ranking, RANKED_AT_ONCE};
-use super::{clock::TICK, requests::MIN_RETRY_AFTER, Scheduler};
+use super::dispatch::DispatchView;
 use crate::api::NodeId;
+use crate::rendezvous_hash::rendezvous_weight;
 use crate::state::{Node, PendingRequest};
-use crate::{rates::queueing_time, rendezvous_hash::rendezvous_weight};
 
-/// The greatest comes first.
+/// Preference of a request for a node; the greatest comes first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
     untried: bool,
@@ -16,80 +19,67 @@
     node: NodeId,
 }
 
-fn preference(pending: &PendingRequest, node: &Node) -> Preference {
-    Preference {
-        untried: pending.last_node != Some(node.id),
-        open: node.admission.is_open(),
-        weight: rendezvous_weight(pending.request.volume, node.id),
-        node: node.id,
+impl Preference {
+    fn new(pending: &PendingRequest, node: &Node) -> Self {
+        Preference {
+            untried: pending.attempts.last_node() != Some(node.id),
+            open: node.admission.is_open(),
+            weight: rendezvous_weight(pending.request.volume, node.id),
+            node: node.id,
+        }
     }
 }
 
-impl Scheduler {
-    pub(super) fn assign_unassigned(&mut self, ticked: bool, tick: u32) {
-        let every = ticks_per_ranking(self.state.unassigned.len());
-        let next_look = TICK * (every - 1);
-        let (mut units_ahead, mut with_capacity, mut tried) = (0.0, None, RANKED_AT_ONCE);
-        if every == 1 || ticked && tick.is_multiple_of(every) {
-            self.state.unassigned = self.ranked(self.state.unassigned.iter().copied(), None);
-            tried = self.state.unassigned.len();
-        }
-        // Between two rankings, what was best at the last is tried.
-        for id in self.state.first_unassigned(tried) {
-            let pending = &self.state.requests[&id];
-            let units = pending.request.units;
-            let all_nodes = self.concurrency.mean_learned_rate() * self.state.nodes.len() as f64;
-            let wait = queueing_time(units_ahead, all_nodes);
-            let ready = self.state.now + wait + self.expected_time(None, units) + next_look;
-            let hopeless =
-                ready > pending.request.deadline || self.queued_too_long(pending, next_look);
-            match self.node_for(pending, &mut with_capacity) {
-                Some(node) => self.send_attempt(id, node),
-                None if ticked && hopeless => self.reject_or_fail(id, wait.max(MIN_RETRY_AFTER)),
-                None => units_ahead += units,
-            }
-        }
-    }
+/// Placement of the new objects of one step.
+#[derive(Default)]
+pub(super) struct Placement {
+    /// Nodes that had capacity when they were first needed in this step.
+    with_capacity: Option<Vec<NodeId>>,
+}
 
-    /// The node that takes a new object now. `with_capacity`: nodes that had capacity when that was first
-    /// asked for.
-    fn node_for(
-        &self,
+impl Placement {
+    /// The node that takes a new object now.
+    pub(super) fn node_for(
+        &mut self,
+        view: &DispatchView,
         pending: &PendingRequest,
-        with_capacity: &mut Option<Vec<NodeId>>,
     ) -> Option<NodeId> {
-        let (state, units) = (&self.state, pending.request.units);
-        let healthy = || {
-            state
-                .nodes
-                .values()
-                .filter(|node| !node.failures.is_outlier())
-        };
-        // The first is nearly always the one; only where it is not are all gone through.
-        let first = healthy().map(|node| preference(pending, node)).max()?.node;
-        if self.has_capacity(first, units) && self.is_best_for(pending, first) {
-            return Some(first);
+        let nodes = view.nodes;
+        let units = pending.request.units;
+        let healthy = || nodes.values().filter(|node| !node.failures.is_outlier());
+        // The first node takes nearly every object; all nodes are searched only where it does not.
+        let preferences = healthy().map(|node| Preference::new(pending, node));
+        let first = &nodes[preferences.max()?.node];
+        if view.has_capacity(first, units) && is_best_for(view, pending, first) {
+            return Some(first.id);
         }
-        let smallest = state.smallest_units.unwrap_or(0.0);
-        let open = healthy()
-            .map(|node| node.id)
-            .filter(|node| self.has_capacity(*node, smallest));
-        let open = with_capacity.get_or_insert_with(|| open.collect()).iter();
-        let open = open
-            .filter(|node| self.has_capacity(**node, units))
-            .map(|node| &state.nodes[node]);
-        let mut order: Vec<_> = open.map(|node| preference(pending, node)).collect();
+        let smallest = view.requests.smallest_units().unwrap_or(0.0);
+        let with_capacity = self.with_capacity.get_or_insert_with(|| {
+            healthy()
+                .filter(|node| view.has_capacity(node, smallest))
+                .map(|node| node.id)
+                .collect()
+        });
+        let mut order: Vec<Preference> = with_capacity
+            .iter()
+            .map(|id| &nodes[*id])
+            .filter(|node| view.has_capacity(node, units))
+            .map(|node| Preference::new(pending, node))
+            .collect();
         order.sort_unstable_by(|a, b| b.cmp(a));
         order
             .into_iter()
-            .map(|preference| preference.node)
-            .find(|node| self.is_best_for(pending, *node))
+            .map(|preference| &nodes[preference.node])
+            .find(|node| is_best_for(view, pending, node))
+            .map(|node| node.id)
     }
+}
 
-    /// Nothing blocks it there, and nothing better is queued there.
-    fn is_best_for(&self, pending: &PendingRequest, node: NodeId) -> bool {
-        let blocked = self.block_reason(pending, node).is_some();
-        let own = self.candidate(pending, node);
-        !blocked && self.best_queued(node).is_none_or(|queued| own > queued)
+/// Returns whether nothing blocks the request at the node, and no better one is queued there.
+fn is_best_for(view: &DispatchView, pending: &PendingRequest, node: &Node) -> bool {
+    if view.block_reason(pending, node).is_some() {
+        return false;
     }
+    let own = view.candidate(pending, node);
+    view.best_queued(node).is_none_or(|queued| own > queued)
 }
--- a/crates/scheduler/src/scheduler/retry_policy.rs
+++ b/crates/scheduler/src/scheduler/retry_policy.rs
@@ -68,7 +68,7 @@
 
 /// Retry budget, key order and limits of one host's attempts.
 #[derive(Debug)]
-pub(crate) struct RetryPolicy {
+pub(super) struct RetryPolicy {
     /// Attempts of one request, its first included.
     max_attempts: u32,
     /// The rule on retries; None: no rule.
@@ -83,21 +83,24 @@
 }
 
 impl RetryPolicy {
-    pub(super) fn new(
-        max_attempts: u32,
-        budget: Option<RetryBudget>,
-        key_cooldown: Duration,
-    ) -> Self {
+    /// A policy without rules.
+    pub(super) fn new(max_attempts: u32) -> Self {
         RetryPolicy {
             max_attempts,
-            budget,
-            key_cooldown,
+            budget: None,
+            key_cooldown: Duration::ZERO,
             key_order: KeyOrder::default(),
             received: RecentEvents::default(),
             retries: RecentEvents::default(),
         }
     }
 
+    /// Sets the rules. `key_cooldown`: time for which a key is blocked after an attempt that may still run.
+    pub(super) fn set_rules(&mut self, budget: Option<RetryBudget>, key_cooldown: Duration) {
+        self.budget = budget;
+        self.key_cooldown = key_cooldown;
+    }
+
     /// Counts a request that was received. `ordered_key`: its key, if its traffic class is ordered.
     pub(super) fn request_received(
         &mut self,
@@ -122,7 +125,7 @@
     }
 
     /// Removes a closed request of the key; returns the request that is first of the key from now on.
-    pub(crate) fn request_closed(&mut self, key: KeyId, id: RequestId) -> Option<RequestId> {
+    pub(super) fn request_closed(&mut self, key: KeyId, id: RequestId) -> Option<RequestId> {
         self.key_order.remove(key, id)
     }
 
--- a/crates/scheduler/src/scheduler/shares.rs
+++ b/crates/scheduler/src/scheduler/shares.rs
@@ -8,7 +8,7 @@
 use super::demand::DemandEstimator;
 use crate::api::{Plan, VolumeId};
 use crate::max_min_fair_share::{allocate, FlowDemand};
-use crate::state::{Node, Volume};
+use crate::state::{Node, VolumeTable};
 use crate::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
 
@@ -118,12 +118,12 @@
 /// weights.
 pub(super) fn allocate_shares<'a>(
     nodes: impl Iterator<Item = &'a mut Node>,
-    volumes: &BTreeMap<VolumeId, Volume>,
+    volumes: &VolumeTable,
     plans: &[Plan],
     demands: &VolumeDemands,
 ) {
     let flow_demand = |(id, flow): (&VolumeId, &Flow)| {
-        let volume = &volumes[id];
+        let volume = &volumes[*id];
         let everywhere = demands.get(id).copied().unwrap_or(0.0).max(MIN_DIVISOR);
         let demand = flow.demand.demand();
         FlowDemand {
--- a/crates/scheduler/src/scheduler/throttle.rs
+++ b/crates/scheduler/src/scheduler/throttle.rs
@@ -7,10 +7,9 @@
 //! Called by [`super::Scheduler`]. [`AdmissionThrottle`] owns the scale of values and the fraction of late
 //! answers over all nodes; [`AdmissionLevel`], one a node, owns the node's level.
 
-use crate::api::{Plan, RequestId, TrafficClass, UnitSettings};
+use super::settings::Settings;
 use crate::rates::seconds;
-use crate::state::{Node, PendingRequest};
-use std::collections::BTreeMap;
+use crate::state::{Node, RequestTable};
 use std::time::Duration;
 
 /// Change of the level a second after a late answer. A host with many answers from a node moves no faster than
@@ -114,12 +113,13 @@
 }
 
 impl ValueRange {
-    fn new(classes: &[TrafficClass], plans: &[Plan], units: &UnitSettings) -> Self {
-        let values = classes
-            .iter()
-            .flat_map(|class| plans.iter().map(|plan| class.priority_weight * plan.price));
+    fn new(settings: &Settings) -> Self {
+        let classes = settings.traffic_classes.iter();
+        let plans = &settings.plans;
+        let values =
+            classes.flat_map(|class| plans.iter().map(|plan| class.priority_weight * plan.price));
         let best = values.clone().fold(MIN_VALUE, f64::max);
-        let least = values.fold(best, f64::min) * units.spare_fraction.clamp(0.01, 0.9);
+        let least = values.fold(best, f64::min) * settings.units.spare_fraction.clamp(0.01, 0.9);
         ValueRange {
             least: least.max(best * MIN_VALUE_RATIO),
             best,
@@ -136,21 +136,16 @@
 }
 
 impl AdmissionThrottle {
-    pub(super) fn new(classes: &[TrafficClass], plans: &[Plan], units: &UnitSettings) -> Self {
+    pub(super) fn new(settings: &Settings) -> Self {
         AdmissionThrottle {
-            values: ValueRange::new(classes, plans, units),
+            values: ValueRange::new(settings),
             late_fraction: 0.0,
         }
     }
 
     /// Adapts the scale of values to plans that have changed.
-    pub(super) fn set_values(
-        &mut self,
-        classes: &[TrafficClass],
-        plans: &[Plan],
-        units: &UnitSettings,
-    ) {
-        self.values = ValueRange::new(classes, plans, units);
+    pub(super) fn set_values(&mut self, settings: &Settings) {
+        self.values = ValueRange::new(settings);
     }
 
     /// Moves the level of a node after an answer of it. `late`: the answer was late, or a refusal.
@@ -181,19 +176,21 @@
 /// Marks the node's outstanding attempts that are late by now; returns how many were not marked before.
 pub(super) fn count_overdue(
     node: &Node,
-    requests: &mut BTreeMap<RequestId, PendingRequest>,
+    requests: &mut RequestTable,
     is_late: impl Fn(f64, Duration) -> bool,
 ) -> usize {
     let mut overdue = 0;
     for (id, sent) in node.attempts.iter() {
         let Some(pending) = requests
-            .get_mut(id)
-            .filter(|pending| !pending.lateness_counted)
+            .get_mut(*id)
+            .filter(|pending| !pending.attempts.lateness_counted())
         else {
             continue;
         };
-        pending.lateness_counted = is_late(pending.request.units, *sent);
-        overdue += usize::from(pending.lateness_counted);
+        if is_late(pending.request.units, *sent) {
+            pending.attempts.count_lateness();
+            overdue += 1;
+        }
     }
     overdue
 }
