--- a/crates/catalog/src/leader.rs
+++ b/crates/catalog/src/leader.rs
@@ -1,26 +1,35 @@
-//! The state service's decisions: which changes land, what is persisted before it is announced, and
-//! what hosts are answered.
+//! The leader of the catalog: it decides which changes land, what is persisted before hosts learn
+//! of it, and what response each host gets.
 //!
 //! State machine: `step(now, wall, events)` returns the actions to perform; [`Leader::wake_at`]
-//! says when it must be called again. No I/O. The state service's shell calls it for every batch of
-//! events. It owns the catalog, the judgement of changes ([`crate::admission`]) and who follows
-//! what ([`crate::feed`]).
+//! returns when it must be called again. No I/O. The catalog service's shell calls it for every
+//! batch of events. Each part of the state has one owner:
 //!
-//! - A change is judged against the catalog with all changes that are on their way to the disk, so
-//!   that many can be written together. Nobody learns of one before it is persisted; if it cannot
-//!   be, it and all after it never happened.
-//! - The stable version, and that a host was ever granted anything, are persisted before anyone
-//!   learns what rests on them.
-//! - While a host has followed what is not known here, hosts are granted nothing, until an operator
-//!   has said that the state here counts (a new epoch).
+//! - `CatalogWriter`: the catalog, and the admission control over it ([`crate::admission`]);
+//! - `Persistence`: the pending writes and the persisted versions;
+//! - [`Leases`]: which version each host follows, and until when ([`crate::feed`]);
+//! - `PollTable`: the polls that have no response yet;
+//! - `EpochHistory`: which versions of hosts belong to this history;
+//! - `ScheduledIds`: the numbers of scheduled changes.
+//!
+//! The rules:
+//!
+//! - Admission judges a change against the catalog with all pending changes, so that many changes
+//!   can be written together. Nobody learns of a change before it is persisted. If it cannot be
+//!   persisted, that change and all after it never happened.
+//! - The stable version, and the fact that a host was ever granted a lease, are persisted before
+//!   anybody learns what depends on them.
+//! - While a host has followed a version that is not known here, the leader grants nothing to any
+//!   host, until an operator has decided that the state here counts (a new epoch).
 //!
 //! Memory: the catalog, the flow, one poll for each host, and at most [`MAX_PENDING_COMMITS`]
-//! changes on their way to the disk.
+//! pending changes.
 
+mod catalog_writer;
 mod epochs;
+mod host_calls;
 mod host_view;
 mod messages;
-mod pending;
 mod persistence;
 mod polls;
 mod proposals;
@@ -34,59 +43,30 @@
 use crate::admission::{Admission, AdmissionVerdict};
 use crate::catalog::Catalog;
 use crate::change::ChangeContext;
-use crate::feed::{HostNumber, Leases, LimitReductions};
+use crate::feed::{HostNumber, Leases};
 use crate::records::{Name, Version};
-use pending::{PendingApplied, PendingCommit, PendingPoll, PendingStable};
+use catalog_writer::CatalogWriter;
+use epochs::EpochHistory;
+use persistence::Persistence;
+use polls::{PendingPoll, PollTable};
 use rejection::Rejection;
-use std::collections::{BTreeMap, VecDeque};
+use scheduled::ScheduledIds;
 use std::time::Duration;
 
-/// Losses that are examined for one change: some 36 ms at ten thousand volumes.
-const MAX_LOSSES: usize = 256;
-/// Losses examined in a step with several proposals, which share them: under a flood each change is
-/// judged by what it does to the whole site, and few by what it does with something out.
-const MAX_LOSSES_OF_SEVERAL: usize = MAX_LOSSES / 4;
-/// Losses whose figures are refreshed in a step without changes.
-const IDLE_LOSSES: usize = 16;
-/// How long until the next such step.
-const IDLE_REFRESH_INTERVAL: Duration = Duration::from_millis(20);
-
-/// The state service's state machine; see the module.
+/// The catalog service's state machine; see the module.
 #[derive(Debug)]
 pub struct Leader {
-    catalog: Catalog,
-    admission: Admission,
-    leases: Leases,
-    limit_reductions: LimitReductions,
-    hosts: Vec<Name>,
-    epoch: Epoch,
-    /// Earlier epochs, and up to which version each is part of this history.
-    epochs: Vec<(Epoch, Version)>,
-    epoch_forced_at: Version,
     now: Duration,
     /// The wall clock, since 1970.
     wall: Duration,
-    /// Revisions applied and not yet persisted, oldest first.
-    pending_commits: VecDeque<PendingCommit>,
-    /// The newest version that is persisted.
-    persisted: Version,
-    stable_persisted: Version,
-    pending_stable: Option<PendingStable>,
-    applied_persisted: BTreeMap<HostNumber, Version>,
-    /// By number of the write.
-    pending_applied: BTreeMap<u64, PendingApplied>,
-    polls: BTreeMap<HostNumber, PendingPoll>,
-    /// Number of the last write.
-    last_number: u64,
-    /// Writes up to that number were given up: the disk's answers to them count for nothing.
-    void_upto: u64,
-    next_scheduled: u64,
-    /// Nothing is written before that time.
-    retry_at: Duration,
-    /// Losses whose figures are of an older state.
-    stale_losses: usize,
-    /// Losses that may still be examined in this step.
-    loss_budget: usize,
+    /// Names of all hosts, by their numbers.
+    hosts: Vec<Name>,
+    writer: CatalogWriter,
+    persistence: Persistence,
+    leases: Leases,
+    polls: PollTable,
+    epochs: EpochHistory,
+    scheduled_ids: ScheduledIds,
     actions: Vec<Action>,
 }
 
@@ -101,7 +81,7 @@
         now: Duration,
     ) -> Self {
         let InitialState {
-            mut catalog,
+            catalog,
             stable,
             applied,
             hosts,
@@ -109,74 +89,59 @@
             epochs,
             epoch_forced_at,
         } = start;
-        catalog.need(stable);
         let numbers = (0..hosts.len() as u32).map(HostNumber);
         let hosts_applied = numbers.map(|host| (host, applied.get(&host).copied()));
         Leader {
-            admission: Admission::open(&catalog, spread),
-            leases: Leases::new(lease, margin, now, stable, hosts_applied),
-            limit_reductions: limit_reductions_of(&catalog),
-            hosts,
-            epoch,
-            epochs,
-            epoch_forced_at,
             now,
             wall: Duration::ZERO,
-            pending_commits: VecDeque::new(),
-            persisted: catalog.version(),
-            stable_persisted: stable,
-            pending_stable: None,
-            applied_persisted: applied,
-            pending_applied: BTreeMap::new(),
-            polls: BTreeMap::new(),
-            last_number: 0,
-            void_upto: 0,
-            next_scheduled: catalog.scheduled().map(|(id, _)| id + 1).max().unwrap_or(1),
-            retry_at: Duration::ZERO,
-            stale_losses: 0,
-            loss_budget: 0,
+            leases: Leases::new(lease, margin, now, stable, hosts_applied),
+            hosts,
+            persistence: Persistence::new(catalog.version(), stable, applied),
+            polls: PollTable::new(lease),
+            epochs: EpochHistory::new(epoch, epochs, epoch_forced_at),
+            scheduled_ids: ScheduledIds::after(&catalog),
+            writer: CatalogWriter::new(catalog, stable, spread),
             actions: Vec::new(),
-            catalog,
         }
     }
 
     /// The catalog, with revisions that may not be persisted yet.
     pub fn catalog(&self) -> &Catalog {
-        &self.catalog
+        self.writer.catalog()
     }
 
-    /// The newest version that may be shown: what is not persisted may never have been.
+    /// The newest version that may be shown. A revision that is not persisted may yet be reverted.
     pub fn persisted(&self) -> Version {
-        self.persisted
+        self.persistence.persisted()
     }
 
     /// The stable version, as far as it is persisted.
     pub fn stable(&self) -> Version {
-        self.stable_persisted
+        self.persistence.stable()
     }
 
     /// The newest version that a host has followed and that is not known here, until an operator
-    /// has said what counts.
+    /// has decided that the state here counts.
     pub fn behind(&self) -> Option<Version> {
         self.leases.behind()
     }
 
-    /// The judgement of changes.
+    /// The admission control.
     pub fn admission(&self) -> &Admission {
-        &self.admission
+        self.writer.admission()
     }
 
     /// Hosts for which that version waits to be stable, and whether only their own acknowledgement,
     /// or an operator's guarantee, can end that.
     pub fn waits_for(&self, version: Version) -> Vec<(Name, bool)> {
         self.leases
-            .waits_for(self.now, version, &self.limit_reductions)
+            .waits_for(self.now, version, self.writer.limit_reductions())
             .into_iter()
             .map(|(host, silent)| (self.hosts[host.0 as usize].clone(), silent))
             .collect()
     }
 
-    /// The newest version that each host has acknowledged; None: it was never granted anything.
+    /// The newest version that each host has acknowledged; None: it was never granted a lease.
     pub fn follows(&self) -> impl Iterator<Item = (&Name, Option<Version>)> {
         self.hosts
             .iter()
@@ -184,44 +149,33 @@
             .map(|(number, name)| (name, self.leases.applied(HostNumber(number as u32))))
     }
 
-    /// Handles events, and returns the actions to perform, in order. `now`: a clock that never goes
-    /// back; `wall`: since 1970.
+    /// Handles events, and returns the actions to perform, in order. `now`: a monotonic clock;
+    /// `wall`: since 1970.
     pub fn step(&mut self, now: Duration, wall: Duration, events: Vec<Event>) -> Vec<Action> {
         self.now = now.max(self.now);
         self.wall = wall;
         let is_proposal = |event: &&Event| matches!(event, Event::Proposed { .. });
-        let budget = if events.iter().filter(is_proposal).count() > 1 {
-            MAX_LOSSES_OF_SEVERAL
-        } else {
-            MAX_LOSSES
-        };
-        self.loss_budget = budget;
+        self.writer
+            .begin_step(events.iter().filter(is_proposal).count());
         for event in events {
             self.handle(event);
         }
         self.land_scheduled();
         self.persist_stable();
         self.answer_polls();
-        if self.loss_budget == budget {
-            self.stale_losses = self.admission.refresh(IDLE_LOSSES);
-        }
+        self.writer.end_step();
         std::mem::take(&mut self.actions)
     }
 
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&self) -> Option<Duration> {
-        let scheduled = self
-            .catalog
-            .scheduled()
-            .map(|(_, scheduled)| self.now + scheduled.at.saturating_sub(self.wall))
-            .min();
-        let scheduled = scheduled.map(|at| at.max(self.retry_at));
-        let idle = (self.stale_losses > 0).then(|| self.now + IDLE_REFRESH_INTERVAL);
+        let scheduled = scheduled::time_to_next(self.writer.catalog(), self.wall)
+            .map(|time| (self.now + time).max(self.persistence.retry_at()));
         let times = [
-            self.next_poll_deadline(),
+            self.polls.next_deadline(),
             self.leases.wake_at(self.now),
             scheduled,
-            idle,
+            self.writer.refresh_at(self.now),
         ];
         times.into_iter().flatten().min()
     }
@@ -236,13 +190,7 @@
                 stable,
                 acknowledged,
             } => {
-                let poll = PendingPoll {
-                    call,
-                    applied,
-                    stable,
-                    since: self.now,
-                    foreign_version: None,
-                };
+                let poll = PendingPoll::new(self.now, call, applied, stable);
                 let result = self.handle_poll(host, epoch, acknowledged, poll);
                 self.reject_on_error(call, result);
             }
@@ -275,17 +223,62 @@
                 let result = self.force_epoch(call, &author, &reason);
                 self.reject_on_error(call, result);
             }
-            Event::CallerDisconnected { call } => self.polls.retain(|_, poll| poll.call != call),
-            Event::NodeUnavailable { node, how } => self.admission.set_unavailable(node, how),
-            // The disk may still answer for what was taken back together with an earlier write.
-            Event::Persisted { upto } if upto > self.void_upto => self.handle_persisted(upto),
-            Event::PersistFailed { number, reason } if number > self.void_upto => {
-                self.handle_persist_failed(reason)
+            Event::CallerDisconnected { call } => self.polls.cancel(call),
+            Event::NodeUnavailable { node, how } => self.writer.set_unavailable(node, how),
+            Event::Persisted { upto } => self.handle_persisted(upto),
+            Event::PersistFailed { number, reason } => self.handle_persist_failed(number, &reason),
+        }
+    }
+
+    fn handle_persisted(&mut self, upto: u64) {
+        let completed = self.persistence.complete(upto);
+        for commit in completed.commits {
+            if let Some(call) = commit.call {
+                self.actions.push(Action::Committed {
+                    call,
+                    version: commit.version,
+                    verdict: commit.verdict,
+                });
             }
-            Event::Persisted { .. } | Event::PersistFailed { .. } => {}
+        }
+        if let Some(stable) = completed.stable {
+            self.writer.set_stable(stable);
         }
     }
 
+    /// Reverts all decisions that could not be persisted, newest first.
+    fn handle_persist_failed(&mut self, number: u64, reason: &str) {
+        let Some(commits) = self.persistence.cancel_all(self.now, number) else {
+            return;
+        };
+        let rejection = Rejection::PersistFailed {
+            reason: reason.into(),
+        };
+        for commit in commits {
+            self.writer.revert_last();
+            self.epochs.set_forced_at(commit.former_forced_at);
+            match commit.call {
+                Some(call) => self.reject(call, &rejection),
+                None => self.note(rejection.to_string()),
+            }
+        }
+        self.writer
+            .rebuild_limit_reductions(self.persistence.stable());
+        self.note(rejection.to_string());
+    }
+
+    /// Persists the stable version before a host learns of it. No host knows of a pending version,
+    /// so no pending version is stable.
+    fn persist_stable(&mut self) {
+        let version = self.leases.stable(
+            self.now,
+            self.writer.limit_reductions(),
+            self.persistence.persisted(),
+        );
+        self.persistence
+            .write_stable(self.now, version, &mut self.actions);
+    }
+
     fn remove_host(&mut self, call: CallId, host: HostNumber, author: &str) {
         self.leases.set_gone(host);
         let name = self.hosts.get(host.0 as usize).cloned().unwrap_or_default();
@@ -294,7 +287,7 @@
         ));
         self.actions.push(Action::Committed {
             call,
-            version: self.persisted,
+            version: self.persistence.persisted(),
             verdict: AdmissionVerdict::default(),
         });
     }
@@ -316,16 +309,3 @@
         self.actions.push(Action::Note { text });
     }
 }
-
-/// The limit reductions among the revisions of the audit log.
-fn limit_reductions_of(catalog: &Catalog) -> LimitReductions {
-    let first = catalog
-        .audit_log()
-        .next()
-        .map_or(catalog.version(), |oldest| oldest.from);
-    let mut limit_reductions = LimitReductions::new(first);
-    for revision in catalog.audit_log() {
-        limit_reductions.add(revision.version, revision.lowers_limits);
-    }
-    limit_reductions
-}
--- a/crates/catalog/src/leader/epochs.rs
+++ b/crates/catalog/src/leader/epochs.rs
@@ -1,59 +1,52 @@
-//! Epochs: which versions of hosts are part of this history, and how an operator begins a new
-//! epoch.
+//! Epochs: which versions that hosts follow are part of this catalog's history.
 //!
-//! A store that was restored from a snapshot begins a new epoch, and hosts say in which epoch they
-//! followed what they have: versions alone would be taken for the same history once as many new
-//! ones have landed.
+//! The leader calls [`EpochHistory`] for each poll and acknowledgement, and when an operator forces
+//! a new epoch. A store that was restored from a snapshot starts a new epoch, and each host sends
+//! the epoch of its version. A version number alone does not identify the history: after enough new
+//! revisions, the restored catalog reaches the same numbers again.
+//!
+//! State: the present epoch, the earlier ones with their last shared versions, and the version of
+//! the last forced epoch. Memory: one entry for each epoch.
 
-use super::messages::{CallId, Epoch, Persist};
-use super::pending::PendingCommit;
-use super::rejection::Rejection;
-use super::Leader;
-use crate::admission::AdmissionVerdict;
-use crate::change::ChangeContext;
+use super::messages::Epoch;
 use crate::records::Version;
 
-impl Leader {
-    /// Whether what was followed in that epoch up to that version is part of this history.
-    pub(super) fn is_shared_history(&self, epoch: Epoch, applied: Version) -> bool {
-        let upto = if epoch == self.epoch {
-            Some(self.catalog.version())
-        } else {
-            let earlier = self.epochs.iter().find(|earlier| earlier.0 == epoch);
-            earlier.map(|(_, upto)| *upto)
-        };
-        upto.is_some_and(|upto| applied <= upto)
+/// The present epoch and the epochs before it; see the module.
+#[derive(Debug)]
+pub(super) struct EpochHistory {
+    present: Epoch,
+    /// Earlier epochs, each with the last version that belongs to this history.
+    earlier: Vec<(Epoch, Version)>,
+    /// The version at which an operator last forced a new epoch.
+    forced_at: Version,
+}
+
+impl EpochHistory {
+    pub fn new(present: Epoch, earlier: Vec<(Epoch, Version)>, forced_at: Version) -> Self {
+        EpochHistory {
+            present,
+            earlier,
+            forced_at,
+        }
     }
 
-    /// Hosts have followed what is not known here any more: the present state gets a version beyond
-    /// theirs.
-    pub(super) fn force_epoch(
-        &mut self,
-        call: CallId,
-        author: &str,
-        reason: &str,
-    ) -> Result<(), Rejection> {
-        let behind = self.leases.behind().ok_or(Rejection::NotBehind)?;
-        if !self.pending_commits.is_empty() {
-            return Err(Rejection::CommitsPending);
+    /// Returns whether a version that a host followed in `epoch` belongs to this history. `latest`:
+    /// the catalog's version.
+    pub fn is_shared(&self, epoch: Epoch, applied: Version, latest: Version) -> bool {
+        if epoch == self.present {
+            return applied <= latest;
         }
-        let by = ChangeContext::by(author, reason, self.wall);
-        let revision = self.catalog.force_epoch(behind, by);
-        let version = revision.version;
-        self.catalog
-            .apply(revision.clone())
-            .expect("beyond all versions");
-        self.limit_reductions.add(version, true);
-        self.leases.clear_behind();
-        let epoch_forced_at = std::mem::replace(&mut self.epoch_forced_at, version);
-        let number = self.persist(Persist::EpochForced(revision));
-        self.pending_commits.push_back(PendingCommit {
-            number,
-            version,
-            call: Some(call),
-            verdict: AdmissionVerdict::default(),
-            epoch_forced_at,
-        });
-        Ok(())
+        let earlier = self.earlier.iter().find(|earlier| earlier.0 == epoch);
+        earlier.is_some_and(|(_, last_shared)| applied <= *last_shared)
+    }
+
+    /// The version at which an operator last forced a new epoch.
+    pub fn forced_at(&self) -> Version {
+        self.forced_at
+    }
+
+    /// Records that a new epoch was forced at `version`, or restores the record of an earlier one.
+    pub fn set_forced_at(&mut self, version: Version) {
+        self.forced_at = version;
     }
 }
--- a/crates/catalog/src/leader/host_view.rs
+++ b/crates/catalog/src/leader/host_view.rs
@@ -1,16 +1,17 @@
-//! A revision as one host needs it.
+//! The part of a revision that one host needs.
 //!
-//! Called by the state service for each host that it sends revisions to. No state.
+//! The catalog service calls these functions for each host that it sends revisions to. Pure
+//! functions.
 
 use crate::catalog::Catalog;
 use crate::change::{Change, Revision, Subject};
 use crate::records::{Name, Version};
 use std::collections::BTreeSet;
 
-/// A revision as one host needs it: without volumes that neither are nor were served through it,
-/// and without what is not for hosts at all. Of a volume that is served through it now and was not,
-/// the host also gets the former state before each revision after `stable`: it must reckon with all
-/// of them.
+/// The part of a revision that a host needs. It leaves out volumes that are not and were not served
+/// through the host, and changes that are not for hosts at all. For a volume that is newly served
+/// through the host, it also has the former state before each revision after `stable`, because the
+/// host must take the terms of all of them into account.
 pub fn for_host(catalog: &Catalog, stable: Version, revision: &Revision, host: &Name) -> Revision {
     let known_before: BTreeSet<Subject> = revision
         .before
@@ -28,26 +29,12 @@
         .map(Change::subject)
         .filter(|subject| matches!(subject, Subject::Volume(_)) && !known_before.contains(subject))
         .collect();
-    let is_new_volume = |change: &&Change| new_volumes.contains(&change.subject());
-    let before: Vec<Change> = revision
-        .before
-        .iter()
-        .filter(is_new_volume)
-        .cloned()
-        .collect();
-    let mut also = Vec::new();
-    if !before.is_empty() {
-        let earlier = catalog
-            .audit_log()
-            .rev()
-            .skip_while(|earlier| earlier.version >= revision.version)
-            .take_while(|earlier| earlier.version > stable);
-        for earlier in earlier {
-            for change in earlier.before.iter().filter(is_new_volume) {
-                also.push((earlier.version, change.clone()));
-            }
-        }
-    }
+    let before: Vec<Change> = changes_of(&revision.before, &new_volumes).collect();
+    let also = if before.is_empty() {
+        Vec::new()
+    } else {
+        earlier_states(catalog, stable, revision.version, &new_volumes)
+    };
     Revision {
         changes,
         before,
@@ -56,7 +43,35 @@
     }
 }
 
-/// Whether a host needs to know this part of the state.
+/// The states of the subjects before each revision after `stable` and before `version`, newest
+/// first.
+fn earlier_states(
+    catalog: &Catalog,
+    stable: Version,
+    version: Version,
+    subjects: &BTreeSet<Subject>,
+) -> Vec<(Version, Change)> {
+    catalog
+        .audit_log()
+        .rev()
+        .skip_while(|earlier| earlier.version >= version)
+        .take_while(|earlier| earlier.version > stable)
+        .flat_map(|earlier| {
+            changes_of(&earlier.before, subjects).map(|change| (earlier.version, change))
+        })
+        .collect()
+}
+
+/// The changes that touch one of the subjects.
+fn changes_of<'a>(
+    changes: &'a [Change],
+    subjects: &'a BTreeSet<Subject>,
+) -> impl Iterator<Item = Change> + 'a {
+    let is_wanted = move |change: &&Change| subjects.contains(&change.subject());
+    changes.iter().filter(is_wanted).cloned()
+}
+
+/// Returns whether a host needs this part of the state.
 pub fn is_for(change: &Change, host: &Name) -> bool {
     match change {
         Change::Volume {
--- a/crates/catalog/src/leader/messages.rs
+++ b/crates/catalog/src/leader/messages.rs
@@ -1,6 +1,7 @@
 //! The leader's input and output: events, actions, and the state that it starts with.
 //!
-//! Plain data, made and carried out by the state service's shell. Owns no state.
+//! Plain data: the catalog service's shell makes the events and performs the actions. Owns no
+//! state.
 
 use crate::admission::{AdmissionVerdict, ExclusionReason};
 use crate::catalog::Catalog;
@@ -14,135 +15,136 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(pub u64);
 
-/// Number of a call that waits for its answer.
+/// Number of a call that has no response yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// Changes as an operator asks for them.
+/// Changes that an operator proposes.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Proposal {
-    /// Who asks.
+    /// The operator.
     pub author: String,
-    /// Why, in the author's words.
+    /// The operator's reason, as typed.
     pub reason: String,
-    /// The version that the author looked at.
+    /// The version on which the author bases the changes.
     pub base_version: Version,
-    /// What is to change, as one.
+    /// The changes, which land together or not at all.
     pub changes: Vec<Change>,
-    /// When it is to land, since 1970 by the wall clock; None, or a time that has passed: now.
+    /// The time at which the changes land, since 1970 by the wall clock. None, or a past time: now.
     pub at: Option<Duration>,
-    /// Whether it lands whatever speaks against it.
+    /// Whether the changes land despite objections.
     pub force: bool,
-    /// Nothing is to land: the answer only says what would come of it.
+    /// Whether the leader only previews the changes: it judges them, and nothing lands.
     pub dry_run: bool,
 }
 
-/// What has happened.
+/// An input of the leader.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A host asks for what is new: revisions after `applied`, and a stable version beyond
-    /// `stable`.
+    /// A host polls for revisions after `applied`, and for a stable version after `stable`.
     Polled {
-        /// To be answered by this number.
+        /// The number that the response refers to.
         call: CallId,
-        /// Who asks.
+        /// The host.
         host: HostNumber,
-        /// The epoch in which it followed what it has.
+        /// The epoch in which the host followed `applied`.
         epoch: Epoch,
-        /// The newest version that it has.
+        /// The newest version that the host has.
         applied: Version,
-        /// The stable version that it knows.
+        /// The stable version that the host knows.
         stable: Version,
-        /// As `applied` in [`Event::Acknowledged`].
+        /// The version of the host's last acknowledgement: `applied` in
+        /// [`Event::Acknowledged`].
         acknowledged: Version,
     },
-    /// A host reports that nothing decided on an older version leaves it any more.
+    /// A host acknowledges a version: it sends no more attempts decided on an older version.
     Acknowledged {
-        /// Which host.
+        /// The host.
         host: HostNumber,
         /// The epoch of the version.
         epoch: Epoch,
-        /// The version that it has persisted and follows.
+        /// The version that the host has persisted and follows.
         applied: Version,
     },
     /// An operator proposes changes.
     Proposed {
-        /// To be answered by this number.
+        /// The number that the response refers to.
         call: CallId,
-        /// What is proposed.
+        /// The proposed changes.
         proposal: Proposal,
     },
-    /// An operator asks to restore what a revision changed.
+    /// An operator undoes a revision: the subjects that it changed get their former values.
     Undo {
-        /// To be answered by this number.
+        /// The number that the response refers to.
         call: CallId,
-        /// Who asks.
+        /// The operator.
         author: String,
-        /// Why, in the author's words.
+        /// The operator's reason, as typed.
         reason: String,
         /// The version that the revision made.
         revision: Version,
-        /// Whether it lands whatever speaks against it.
+        /// Whether the changes land despite objections.
         force: bool,
     },
     /// An operator guarantees that a host sends nothing.
     HostRemoved {
-        /// To be answered by this number.
+        /// The number that the response refers to.
         call: CallId,
-        /// Which host.
+        /// The host.
         host: HostNumber,
-        /// Who guarantees it.
+        /// The operator.
         author: String,
     },
-    /// An operator decides that the state here counts, though hosts have followed a newer one.
+    /// An operator decides that the state here counts, although hosts have followed a newer
+    /// version.
     ForceEpoch {
-        /// To be answered by this number.
+        /// The number that the response refers to.
         call: CallId,
-        /// Who decides.
+        /// The operator.
         author: String,
-        /// Why, in the author's words.
+        /// The operator's reason, as typed.
         reason: String,
     },
-    /// A caller has gone: it gets no answer.
+    /// A caller has disconnected: it gets no response.
     CallerDisconnected {
-        /// Its call.
+        /// The caller's call.
         call: CallId,
     },
-    /// What hosts observe of a node: see [`crate::admission::Admission::set_unavailable`].
+    /// Hosts' observation of a node: see [`crate::admission::Admission::set_unavailable`].
     NodeUnavailable {
-        /// Which node.
+        /// The node.
         node: u32,
-        /// None: it is available.
+        /// The reason why the node is unavailable; None: the node is available.
         how: Option<ExclusionReason>,
     },
-    /// Everything up to that number is on the disk.
+    /// All writes up to a number are on the disk.
     Persisted {
-        /// As in [`Action::Persist`].
+        /// The number of a write in [`Action::Persist`].
         upto: u64,
     },
-    /// What had that number is not on the disk, and nothing after it that rests on it ever will be.
+    /// A write failed. Neither it nor any later pending write reaches the disk.
     PersistFailed {
-        /// As in [`Action::Persist`].
+        /// The number of the write in [`Action::Persist`].
         number: u64,
-        /// The disk's fault.
+        /// The disk's error, for operators to read.
         reason: String,
     },
 }
 
-/// What is to be on the disk, each all or nothing, and in order.
+/// A write to the disk. Each is atomic, and writes are made in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Persist {
-    /// A revision, and the state after it.
+    /// A revision, with the state after it.
     Revision(Revision),
     /// The stable version.
     Stable(Version),
     /// The newest version that a host has acknowledged.
     Applied(HostNumber, Version),
-    /// The present state under a version further on, which begins a new epoch.
+    /// A revision that gives the present state a later version and starts a new epoch.
     EpochForced(Revision),
 }
 
-/// What a host's poll is answered: all revisions after `from` and up to `to`, with a lease.
+/// The response to a host's poll: all revisions after `from` and up to `to`, with a lease.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Grant {
     /// The host's poll.
@@ -151,54 +153,55 @@
     pub from: Version,
     /// The last version to send.
     pub to: Version,
-    /// The host does not have `from`: send it the whole state of that version first.
+    /// Whether the host does not have `from`: the shell first sends the complete state at that
+    /// version.
     pub snapshot: bool,
     /// The stable version.
     pub stable: Version,
-    /// How long the host may follow this, from when it asked.
+    /// How long the host may follow these versions, counted from when it sent the poll.
     pub lease: Duration,
 }
 
-/// What the shell has to do.
+/// An output of the leader, which the shell performs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Write to the disk; several may be written together.
+    /// Write to the disk. The shell may write several together.
     Persist {
-        /// Consecutive; [`Event::Persisted`] refers to it.
+        /// The number that [`Event::Persisted`] refers to; numbers are consecutive.
         number: u64,
-        /// What to write.
+        /// The data to write.
         what: Persist,
     },
-    /// Answer a host's poll.
+    /// Respond to a host's poll.
     Grant(Grant),
-    /// Tell a host that a host has a version which is not known here.
+    /// Report to a host that some host has a version which is not known here.
     Behind {
         /// The host's poll.
         call: CallId,
-        /// That version.
+        /// The version that is not known here.
         applied: Version,
     },
-    /// Tell an operator that the change is persisted.
+    /// Report to an operator that the change is persisted.
     Committed {
         /// The operator's call.
         call: CallId,
-        /// The version that it made.
+        /// The version that the change made.
         version: Version,
-        /// What was found of its effect on promises.
+        /// The effect of the change on reservations.
         verdict: AdmissionVerdict,
     },
-    /// Tell a caller that nothing comes of its call.
+    /// Reject a call.
     Reject {
         /// The call.
         call: CallId,
-        /// Why, for operators to read.
+        /// The reason, for operators to read.
         reason: String,
     },
-    /// Tell an operator what would come of a change.
+    /// Report to an operator what effect a change would have.
     Preview {
         /// The operator's call.
         call: CallId,
-        /// What was found of its effect on promises.
+        /// The effect of the change on reservations.
         verdict: AdmissionVerdict,
     },
     /// Write a line to the log.
@@ -215,13 +218,14 @@
     pub catalog: Catalog,
     /// The stable version.
     pub stable: Version,
-    /// What hosts had acknowledged; one that is absent was never granted anything.
+    /// The newest version that each host had acknowledged. A host that is absent was never granted
+    /// a lease.
     pub applied: BTreeMap<HostNumber, Version>,
     /// Names of all hosts, by their numbers.
     pub hosts: Vec<Name>,
     /// The present epoch.
     pub epoch: Epoch,
-    /// Earlier epochs, and up to which version each is part of this history.
+    /// Earlier epochs, each with the last version that belongs to this history.
     pub epochs: Vec<(Epoch, Version)>,
     /// The last version at which a new epoch was forced.
     pub epoch_forced_at: Version,
--- a/crates/catalog/src/leader/persistence.rs
+++ b/crates/catalog/src/leader/persistence.rs
@@ -1,112 +1,228 @@
-//! What is on its way to the disk, and what follows from the disk's answers.
+//! Writes to the disk: which are pending, which are complete, and what a failed write cancels.
 //!
-//! Revisions, the stable version and what hosts have acknowledged are written in order under
-//! consecutive numbers. If a write fails, it and all after it never happened: the catalog goes
-//! back, and the callers are rejected.
-
-use super::messages::{Action, Persist};
-use super::pending::{PendingApplied, PendingCommit, PendingStable};
-use super::rejection::Rejection;
-use super::Leader;
-use crate::feed::{HostNumber, LimitReductions};
+//! The leader calls [`Persistence`] for everything that it writes: revisions, the stable version,
+//! and the versions that hosts have acknowledged. Writes go out in order under consecutive numbers.
+//! If one fails, it and all writes after it count as never made.
+//!
+//! State: the pending writes and the persisted versions. Memory: at most [`MAX_PENDING_COMMITS`]
+//! revisions, and two entries for each host.
+
+use super::messages::{Action, CallId, Persist};
+use super::rejection::{Rejection, MAX_PENDING_COMMITS};
+use crate::admission::AdmissionVerdict;
+use crate::feed::HostNumber;
+use crate::records::Version;
+use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How long nothing is written after a write has failed.
+/// How long the leader writes nothing after a failed write. A shorter delay burdens a faulty disk
+/// with more attempts; a longer one delays changes after the disk has recovered.
 const PERSIST_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-impl Leader {
-    /// Sends something to the disk; returns its number.
-    pub(super) fn persist(&mut self, what: Persist) -> u64 {
-        self.last_number += 1;
-        self.actions.push(Action::Persist {
-            number: self.last_number,
-            what,
-        });
-        self.last_number
+/// A revision that is applied and not yet persisted.
+#[derive(Debug)]
+pub(super) struct PendingCommit {
+    pub version: Version,
+    /// The caller that waits for the commit, if any.
+    pub call: Option<CallId>,
+    pub verdict: AdmissionVerdict,
+    /// The version of the last forced epoch before this revision.
+    pub former_forced_at: Version,
+}
+
+/// A stable version that is not yet persisted.
+#[derive(Debug)]
+struct PendingStable {
+    number: u64,
+    version: Version,
+}
+
+/// A host's acknowledged version that is not yet persisted.
+#[derive(Debug)]
+struct PendingApplied {
+    host: HostNumber,
+    version: Version,
+}
+
+/// The effect of a completed write.
+#[derive(Debug, Default)]
+pub(super) struct Completed {
+    /// Revisions that are now persisted, oldest first.
+    pub commits: Vec<PendingCommit>,
+    /// The stable version, if it is newly persisted.
+    pub stable: Option<Version>,
+}
+
+/// The pending and the persisted writes; see the module.
+#[derive(Debug)]
+pub(super) struct Persistence {
+    /// Number of the last write.
+    last_number: u64,
+    /// Results of writes up to this number are ignored, because those writes were cancelled.
+    cancelled_upto: u64,
+    /// The leader writes nothing before this time.
+    retry_at: Duration,
+    /// Revisions with the numbers of their writes, oldest first.
+    commits: VecDeque<(u64, PendingCommit)>,
+    pending_stable: Option<PendingStable>,
+    /// By number of the write.
+    pending_applied: BTreeMap<u64, PendingApplied>,
+    /// The newest persisted version.
+    persisted: Version,
+    persisted_stable: Version,
+    persisted_applied: BTreeMap<HostNumber, Version>,
+}
+
+impl Persistence {
+    /// The state at a start: everything that the disk has is persisted.
+    pub fn new(
+        persisted: Version,
+        stable: Version,
+        applied: BTreeMap<HostNumber, Version>,
+    ) -> Self {
+        Persistence {
+            last_number: 0,
+            cancelled_upto: 0,
+            retry_at: Duration::ZERO,
+            commits: VecDeque::new(),
+            pending_stable: None,
+            pending_applied: BTreeMap::new(),
+            persisted,
+            persisted_stable: stable,
+            persisted_applied: applied,
+        }
+    }
+
+    /// The newest persisted version.
+    pub fn persisted(&self) -> Version {
+        self.persisted
+    }
+
+    /// The newest persisted stable version.
+    pub fn stable(&self) -> Version {
+        self.persisted_stable
+    }
+
+    /// Returns whether an acknowledged version of the host is persisted, so that the host may be
+    /// granted a lease.
+    pub fn has_applied(&self, host: HostNumber) -> bool {
+        self.persisted_applied.contains_key(&host)
+    }
+
+    /// When the leader may write again after a failed write.
+    pub fn retry_at(&self) -> Duration {
+        self.retry_at
+    }
+
+    /// Returns whether the leader writes nothing now, because a write failed.
+    pub fn is_backing_off(&self, now: Duration) -> bool {
+        now < self.retry_at
+    }
+
+    /// Returns whether a revision is pending.
+    pub fn has_pending_commits(&self) -> bool {
+        !self.commits.is_empty()
+    }
+
+    /// # Errors
+    /// [`Rejection::TooManyPending`] if [`MAX_PENDING_COMMITS`] revisions are pending.
+    pub fn check_capacity(&self) -> Result<(), Rejection> {
+        if self.commits.len() >= MAX_PENDING_COMMITS {
+            return Err(Rejection::TooManyPending);
+        }
+        Ok(())
     }
 
-    pub(super) fn handle_persisted(&mut self, upto: u64) {
-        let is_persisted = |commit: &mut PendingCommit| commit.number <= upto;
-        while let Some(commit) = self.pending_commits.pop_front_if(is_persisted) {
+    /// Writes a revision.
+    pub fn write_commit(&mut self, what: Persist, commit: PendingCommit, out: &mut Vec<Action>) {
+        let number = self.write(what, out);
+        self.commits.push_back((number, commit));
+    }
+
+    /// Writes the stable version, so that it is persisted before a host learns of it.
+    pub fn write_stable(&mut self, now: Duration, version: Version, out: &mut Vec<Action>) {
+        let is_new = version > self.persisted_stable && self.pending_stable.is_none();
+        if is_new && !self.is_backing_off(now) {
+            let number = self.write(Persist::Stable(version), out);
+            self.pending_stable = Some(PendingStable { number, version });
+        }
+    }
+
+    /// Writes the version that a host has acknowledged. After its first lease, a host must never
+    /// again count as one without a lease. If the version were lost, revisions that wait for the
+    /// host would wait again after a restart.
+    pub fn write_applied(
+        &mut self,
+        now: Duration,
+        host: HostNumber,
+        version: Version,
+        out: &mut Vec<Action>,
+    ) {
+        let is_persisted = self.persisted_applied.get(&host) == Some(&version);
+        let is_pending = self
+            .pending_applied
+            .values()
+            .any(|pending| pending.host == host);
+        if !is_persisted && !is_pending && !self.is_backing_off(now) {
+            let number = self.write(Persist::Applied(host, version), out);
+            self.pending_applied
+                .insert(number, PendingApplied { host, version });
+        }
+    }
+
+    /// Completes all writes up to a number. Ignores cancelled writes: the disk may still report
+    /// them.
+    pub fn complete(&mut self, upto: u64) -> Completed {
+        let mut completed = Completed::default();
+        if upto <= self.cancelled_upto {
+            return completed;
+        }
+        let is_persisted = |commit: &mut (u64, PendingCommit)| commit.0 <= upto;
+        while let Some((_, commit)) = self.commits.pop_front_if(is_persisted) {
             self.persisted = commit.version;
-            if let Some(call) = commit.call {
-                self.actions.push(Action::Committed {
-                    call,
-                    version: commit.version,
-                    verdict: commit.verdict,
-                });
-            }
+            completed.commits.push(commit);
         }
         let stable = self
             .pending_stable
             .take_if(|pending| pending.number <= upto);
         if let Some(stable) = stable {
-            self.stable_persisted = stable.version;
-            self.limit_reductions.forget(stable.version);
-            self.catalog.need(stable.version);
+            self.persisted_stable = stable.version;
+            completed.stable = Some(stable.version);
         }
         let still_pending = self.pending_applied.split_off(&(upto + 1));
         for applied in std::mem::replace(&mut self.pending_applied, still_pending).into_values() {
-            self.applied_persisted.insert(applied.host, applied.version);
+            self.persisted_applied.insert(applied.host, applied.version);
         }
+        completed
     }
 
-    /// What was decided and could not be persisted never happened.
-    pub(super) fn handle_persist_failed(&mut self, reason: String) {
-        for commit in std::mem::take(&mut self.pending_commits).into_iter().rev() {
-            if let Some(revision) = self.catalog.revert_last() {
-                self.admission.undo(&self.catalog, &revision.changes);
-            }
-            self.epoch_forced_at = commit.epoch_forced_at;
-            let rejection = Rejection::PersistFailed {
-                reason: reason.clone(),
-            };
-            match commit.call {
-                Some(call) => self.reject(call, &rejection),
-                None => self.note(rejection.to_string()),
-            }
-        }
-        self.limit_reductions = LimitReductions::new(self.stable_persisted);
-        for revision in self.catalog.audit_log() {
-            if revision.version > self.stable_persisted {
-                self.limit_reductions
-                    .add(revision.version, revision.lowers_limits);
-            }
+    /// Cancels all pending writes after a write has failed, and returns the cancelled revisions,
+    /// newest first. Returns None if the failed write was already cancelled.
+    pub fn cancel_all(&mut self, now: Duration, number: u64) -> Option<Vec<PendingCommit>> {
+        if number <= self.cancelled_upto {
+            return None;
         }
         self.pending_stable = None;
         self.pending_applied.clear();
-        self.retry_at = self.now + PERSIST_RETRY_DELAY;
-        self.void_upto = self.last_number;
-        self.note(Rejection::PersistFailed { reason }.to_string());
+        self.retry_at = now + PERSIST_RETRY_DELAY;
+        self.cancelled_upto = self.last_number;
+        let commits = std::mem::take(&mut self.commits);
+        Some(
+            commits
+                .into_iter()
+                .rev()
+                .map(|(_, commit)| commit)
+                .collect(),
+        )
     }
 
-    /// Persists the stable version before a host learns of it. Of versions that are on their way
-    /// to the disk no host knows, so none of them is stable.
-    pub(super) fn persist_stable(&mut self) {
-        let version = self
-            .leases
-            .stable(self.now, &self.limit_reductions, self.persisted);
-        let is_new = version > self.stable_persisted && self.pending_stable.is_none();
-        if is_new && self.now >= self.retry_at {
-            let number = self.persist(Persist::Stable(version));
-            self.pending_stable = Some(PendingStable { number, version });
-        }
-    }
-
-    /// Persists what a host has acknowledged. Once it was granted anything, it must never again be
-    /// taken for one that was not; and if what it has were lost, revisions that wait for it would
-    /// wait again after a start.
-    pub(super) fn persist_applied(&mut self, host: HostNumber) {
-        let version = self.leases.applied(host).unwrap_or_default();
-        let is_persisted = self.applied_persisted.get(&host) == Some(&version);
-        let is_pending = self
-            .pending_applied
-            .values()
-            .any(|pending| pending.host == host);
-        if !is_persisted && !is_pending && self.now >= self.retry_at {
-            let number = self.persist(Persist::Applied(host, version));
-            self.pending_applied
-                .insert(number, PendingApplied { host, version });
-        }
+    /// Emits a write and returns its number.
+    fn write(&mut self, what: Persist, out: &mut Vec<Action>) -> u64 {
+        self.last_number += 1;
+        out.push(Action::Persist {
+            number: self.last_number,
+            what,
+        });
+        self.last_number
     }
 }
--- a/crates/catalog/src/leader/polls.rs
+++ b/crates/catalog/src/leader/polls.rs
@@ -1,110 +1,114 @@
-//! Hosts' polls and acknowledgements, and their answers.
+//! Polls of hosts that have no response yet.
 //!
-//! A host that has everything is answered only when there is something new, or a third of its lease
-//! is over: it learns by answers, and not by asking again and again.
+//! The leader calls [`PollTable`] when a host polls, when a connection ends, and at the end of each
+//! step. A host that is up to date receives a response only when there is something new, or when a
+//! third of its lease has passed. So a host learns of a change at once without polling repeatedly.
+//!
+//! State: at most one poll for each host.
 
-use super::messages::{Action, Epoch, Grant};
-use super::pending::PendingPoll;
-use super::rejection::Rejection;
-use super::Leader;
-use crate::feed::{HostNumber, PollDecision};
+use super::messages::CallId;
+use crate::feed::HostNumber;
 use crate::records::Version;
+use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A poll without news is answered after its lease divided by this, so that the next lease begins
-/// in time.
+/// Divisor of the lease that bounds how long a poll without news is delayed. A smaller divisor
+/// risks that the lease expires before the next one is granted; a larger one causes more polls.
 const POLL_HOLD_DIVISOR: u32 = 3;
 
-impl Leader {
-    pub(super) fn handle_poll(
-        &mut self,
-        host: HostNumber,
-        epoch: Epoch,
-        acknowledged: Version,
-        mut poll: PendingPoll,
-    ) -> Result<(), Rejection> {
-        if host.0 as usize >= self.hosts.len() {
-            return Err(Rejection::UnknownHost);
-        }
-        let is_shared = self.is_shared_history(epoch, poll.applied);
-        let is_first = poll.applied == Version(0);
-        if !is_shared && poll.applied >= self.epoch_forced_at && !is_first {
-            self.leases.set_behind(poll.applied);
+/// A poll that has no response yet.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct PendingPoll {
+    pub call: CallId,
+    /// The newest version that the host has.
+    pub applied: Version,
+    /// The stable version that the host knows.
+    pub stable: Version,
+    /// When the poll arrived.
+    pub since: Duration,
+    /// The version that the host followed in another history. The host gets a snapshot once this
+    /// catalog's version is not below that one.
+    pub foreign_version: Option<Version>,
+}
+
+impl PendingPoll {
+    /// A poll that arrives at `now` from a host that follows this history.
+    pub fn new(now: Duration, call: CallId, applied: Version, stable: Version) -> Self {
+        PendingPoll {
+            call,
+            applied,
+            stable,
+            since: now,
+            foreign_version: None,
         }
-        self.handle_acknowledged(host, epoch, acknowledged);
-        if !is_shared {
-            poll.foreign_version = Some(poll.applied);
-            poll.applied = Version::default();
-            poll.stable = Version::default();
+    }
+}
+
+/// The pending polls by host; see the module.
+#[derive(Debug)]
+pub(super) struct PollTable {
+    /// How long a poll without news is delayed.
+    max_delay: Duration,
+    polls: BTreeMap<HostNumber, PendingPoll>,
+}
+
+impl PollTable {
+    /// `lease`: how long a granted lease lasts.
+    pub fn new(lease: Duration) -> Self {
+        PollTable {
+            max_delay: lease / POLL_HOLD_DIVISOR,
+            polls: BTreeMap::new(),
         }
+    }
+
+    /// Adds a poll; it replaces an earlier poll of the same host.
+    pub fn insert(&mut self, host: HostNumber, poll: PendingPoll) {
         self.polls.insert(host, poll);
-        Ok(())
     }
 
-    pub(super) fn handle_acknowledged(&mut self, host: HostNumber, epoch: Epoch, applied: Version) {
-        if self.is_shared_history(epoch, applied) {
-            self.leases
-                .acknowledge(host, applied, self.catalog.version());
-        }
+    /// Drops the poll of a call whose caller has disconnected.
+    pub fn cancel(&mut self, call: CallId) {
+        self.polls.retain(|_, poll| poll.call != call);
     }
 
-    /// When the poll that has waited longest must be answered.
-    pub(super) fn next_poll_deadline(&self) -> Option<Duration> {
-        let oldest = self.polls.values().map(|poll| poll.since).min();
-        oldest.map(|since| self.poll_deadline(since))
+    /// Drops the poll of a host that gets its response.
+    pub fn remove(&mut self, host: HostNumber) {
+        self.polls.remove(&host);
     }
 
-    fn poll_deadline(&self, since: Duration) -> Duration {
-        since + self.leases.lease() / POLL_HOLD_DIVISOR
+    /// Drops all polls and returns their calls.
+    pub fn take_calls(&mut self) -> impl Iterator<Item = CallId> {
+        let polls = std::mem::take(&mut self.polls);
+        polls.into_values().map(|poll| poll.call)
     }
 
-    /// Answers the polls that can be answered now.
-    pub(super) fn answer_polls(&mut self) {
-        if let Some(applied) = self.leases.behind() {
-            for poll in std::mem::take(&mut self.polls).into_values() {
-                self.actions.push(Action::Behind {
-                    call: poll.call,
-                    applied,
-                });
-            }
-            return;
-        }
-        let hosts: Vec<HostNumber> = self.polls.keys().copied().collect();
-        for host in hosts {
-            self.persist_applied(host);
-            self.answer_poll(host);
-        }
+    /// Hosts with a pending poll.
+    pub fn hosts(&self) -> Vec<HostNumber> {
+        self.polls.keys().copied().collect()
     }
 
-    fn answer_poll(&mut self, host: HostNumber) {
-        let poll = self.polls[&host];
-        let has_news = self.persisted > poll.applied || self.stable_persisted > poll.stable;
-        let is_due = self.now >= self.poll_deadline(poll.since);
+    /// When the oldest poll must get its response.
+    pub fn next_deadline(&self) -> Option<Duration> {
+        let oldest = self.polls.values().map(|poll| poll.since).min();
+        oldest.map(|since| since + self.max_delay)
+    }
+
+    /// The poll of a host, if it can get its response now: there is something new for the host, or
+    /// the poll is due. `persisted` and `stable`: the newest versions that may be sent.
+    pub fn ready(
+        &self,
+        now: Duration,
+        host: HostNumber,
+        persisted: Version,
+        stable: Version,
+    ) -> Option<PendingPoll> {
+        let poll = self.polls.get(&host)?;
+        let has_news = persisted > poll.applied || stable > poll.stable;
+        let is_due = now >= poll.since + self.max_delay;
         let is_ahead = poll
             .foreign_version
-            .is_some_and(|foreign| foreign > self.persisted);
-        let is_known = self.applied_persisted.contains_key(&host);
-        if !is_known || is_ahead || !(has_news || is_due) {
-            return;
-        }
-        let PollDecision::Grant { lease } = self.leases.grant(self.now, host) else {
-            return;
-        };
-        let snapshot = poll.foreign_version.is_some() || self.catalog.since(poll.applied).is_none();
-        // A snapshot is of the stable version, or the host would not know what else to reckon with.
-        let from = if snapshot {
-            self.stable_persisted
-        } else {
-            poll.applied
-        };
-        self.actions.push(Action::Grant(Grant {
-            call: poll.call,
-            from,
-            to: self.persisted,
-            snapshot,
-            stable: self.stable_persisted,
-            lease,
-        }));
-        self.polls.remove(&host);
+            .is_some_and(|foreign| foreign > persisted);
+        let is_ready = !is_ahead && (has_news || is_due);
+        is_ready.then_some(*poll)
     }
 }
--- a/crates/catalog/src/leader/proposals.rs
+++ b/crates/catalog/src/leader/proposals.rs
@@ -1,22 +1,21 @@
-//! Proposals and their landing: checked against the catalog and the promises, applied, and sent to
-//! the disk.
+//! Proposals of operators, scheduled changes and forced epochs, from the call to the write.
+//!
+//! The leader's shell calls these methods for each such call, and [`Leader::land_scheduled`] at
+//! each step. A revision lands in one place: [`Leader::land`].
 
+use super::catalog_writer::{Landing, LandingMode};
 use super::messages::{Action, CallId, Persist, Proposal};
-use super::pending::PendingCommit;
-use super::rejection::{Rejection, MAX_PENDING_COMMITS};
-use super::Leader;
-use crate::admission::join_reasons;
+use super::persistence::PendingCommit;
+use super::rejection::Rejection;
+use super::{scheduled, Leader};
+use crate::admission::AdmissionVerdict;
+use crate::catalog::Catalog;
 use crate::change::{Change, ChangeContext, Revision, ScheduledChange};
 use crate::records::{Drain, Version};
+use std::time::Duration;
 
-/// How a revision lands.
-#[derive(Debug, Clone, Copy, Default)]
-pub(super) struct LandingMode {
-    /// Whatever speaks against it.
-    pub force: bool,
-    /// It is only judged, for a caller, and taken back.
-    pub dry_run: bool,
-}
+/// Author of the revision that removes a lapsed scheduled change.
+const SERVICE_AUTHOR: &str = "the state service";
 
 impl Leader {
     pub(super) fn propose(&mut self, call: CallId, proposal: Proposal) -> Result<(), Rejection> {
@@ -29,39 +28,44 @@
             force,
             dry_run,
         } = proposal;
-        if self.pending_commits.len() >= MAX_PENDING_COMMITS {
-            return Err(Rejection::TooManyPending);
-        }
+        self.persistence.check_capacity()?;
         for change in &mut changes {
-            self.fill_in_drain(change, &author);
+            fill_in_drain(self.writer.catalog(), self.wall, change, &author);
         }
         let by = ChangeContext::by(&author, &reason, self.wall);
         if let Some(at) = at.filter(|at| *at > self.wall && !dry_run) {
-            // What is wrong with it by itself is reported now, and not at night when it lands.
-            self.catalog.propose(base_version, by, changes.clone())?;
-            let expects = changes
-                .iter()
-                .map(|change| self.catalog.now(&change.subject()))
-                .collect();
             let scheduled = ScheduledChange {
                 at,
                 author: author.clone(),
                 reason: reason.clone(),
                 force,
                 changes,
-                expects,
+                expects: Vec::new(),
             };
-            let id = self.next_scheduled;
-            self.next_scheduled += 1;
-            changes = vec![Change::Scheduled {
-                id,
-                to: Some(scheduled),
-            }];
+            changes = vec![self.schedule(base_version, by, scheduled)?];
         }
-        let revision = self.catalog.propose(base_version, by, changes)?;
+        let revision = self.writer.catalog().propose(base_version, by, changes)?;
         self.land(Some(call), revision, LandingMode { force, dry_run })
     }
 
+    /// Returns the change that adds a scheduled change. Rejects it now if it is invalid by itself,
+    /// rather than when it lands.
+    fn schedule(
+        &mut self,
+        base_version: Version,
+        by: ChangeContext,
+        mut scheduled: ScheduledChange,
+    ) -> Result<Change, Rejection> {
+        let catalog = self.writer.catalog();
+        catalog.propose(base_version, by, scheduled.changes.clone())?;
+        let subjects = scheduled.changes.iter().map(Change::subject);
+        scheduled.expects = subjects.map(|subject| catalog.now(&subject)).collect();
+        Ok(Change::Scheduled {
+            id: self.scheduled_ids.assign(),
+            to: Some(scheduled),
+        })
+    }
+
     pub(super) fn undo(
         &mut self,
         call: CallId,
@@ -69,7 +73,7 @@
         by: ChangeContext,
         force: bool,
     ) -> Result<(), Rejection> {
-        let revision = self.catalog.undo(revision, by)?;
+        let revision = self.writer.catalog().undo(revision, by)?;
         let mode = LandingMode {
             force,
             dry_run: false,
@@ -77,103 +81,143 @@
         self.land(Some(call), revision, mode)
     }
 
-    /// Fills in who first asked for a drain, when, and since when it is in its stage; an author who
-    /// asks for what is so already changes none of these.
-    pub(super) fn fill_in_drain(&self, change: &mut Change, author: &str) {
-        let Change::Drain {
-            node,
-            to: Some(drain),
-        } = change
-        else {
-            return;
+    /// Gives the present state a version beyond all that hosts follow, which starts a new epoch.
+    pub(super) fn force_epoch(
+        &mut self,
+        call: CallId,
+        author: &str,
+        reason: &str,
+    ) -> Result<(), Rejection> {
+        let behind = self.leases.behind().ok_or(Rejection::NotBehind)?;
+        if self.persistence.has_pending_commits() {
+            return Err(Rejection::CommitsPending);
+        }
+        let by = ChangeContext::by(author, reason, self.wall);
+        let revision = self.writer.force_epoch(behind, by);
+        self.leases.clear_behind();
+        let commit = PendingCommit {
+            version: revision.version,
+            call: Some(call),
+            verdict: AdmissionVerdict::default(),
+            former_forced_at: self.epochs.forced_at(),
         };
-        let Some(present) = self.catalog.drain(*node) else {
-            drain.author = author.into();
-            drain.requested_at = self.wall;
-            drain.since = self.wall;
+        self.epochs.set_forced_at(revision.version);
+        self.persistence
+            .write_commit(Persist::EpochForced(revision), commit, &mut self.actions);
+        Ok(())
+    }
+
+    /// Lands the scheduled changes that are due. One that is rejected lapses.
+    pub(super) fn land_scheduled(&mut self) {
+        if self.persistence.is_backing_off(self.now) {
             return;
-        };
-        let Drain {
-            stage,
-            author,
-            requested_at,
-            since,
-            ..
-        } = present;
-        drain.author = author.clone();
-        drain.requested_at = *requested_at;
-        drain.since = if *stage == drain.stage {
-            *since
-        } else {
-            self.wall
-        };
+        }
+        for (id, scheduled) in scheduled::due(self.writer.catalog(), self.wall) {
+            if let Err(rejection) = self.land_one_scheduled(id, &scheduled) {
+                self.lapse(id, &scheduled, &rejection);
+            }
+        }
     }
 
-    /// The one place where a revision lands: judged, applied to the catalog and sent to the disk.
-    pub(super) fn land(
+    /// Lands the changes and, in the same revision, removes the scheduled change.
+    fn land_one_scheduled(
         &mut self,
-        call: Option<CallId>,
-        mut revision: Revision,
-        mode: LandingMode,
+        id: u64,
+        scheduled: &ScheduledChange,
     ) -> Result<(), Rejection> {
-        self.check_not_still_known(&revision)?;
-        if self.catalog.audit_log_is_full() {
-            return Err(Rejection::AuditLogFull);
-        }
-        self.catalog
-            .apply(revision.clone())
-            .expect("proposed as the next");
-        let verdict = self
-            .admission
-            .land(&self.catalog, &revision.changes, self.loss_budget);
-        let all_losses = self.admission.losses();
-        let losses_examined = all_losses - verdict.unexamined_losses.min(all_losses);
-        self.loss_budget = self.loss_budget.saturating_sub(losses_examined.max(1));
-        if let (true, Some(call)) = (mode.dry_run, call) {
-            self.catalog.revert_last();
-            self.admission.undo(&self.catalog, &revision.changes);
-            self.actions.push(Action::Preview { call, verdict });
-            return Ok(());
+        let catalog = self.writer.catalog();
+        scheduled::check_expected(catalog, scheduled)?;
+        let mut changes = scheduled.changes.clone();
+        changes.push(Change::Scheduled { id, to: None });
+        for change in &mut changes {
+            fill_in_drain(catalog, self.wall, change, &scheduled.author);
         }
-        let objections = join_reasons(&verdict.objections);
-        if !objections.is_empty() {
-            self.catalog.revert_last();
-            if !mode.force {
-                self.admission.undo(&self.catalog, &revision.changes);
-                return Err(Rejection::Objections(objections));
-            }
-            revision.objections = objections;
-            self.catalog
-                .apply(revision.clone())
-                .expect("taken back just now");
+        let by = ChangeContext::by(&scheduled.author, &scheduled.reason, self.wall);
+        let revision = catalog.propose(catalog.version(), by, changes)?;
+        let mode = LandingMode {
+            force: scheduled.force,
+            dry_run: false,
+        };
+        self.land(None, revision, mode)
+    }
+
+    /// Removes a scheduled change that was rejected; the audit log states the reason.
+    fn lapse(&mut self, id: u64, scheduled: &ScheduledChange, rejection: &Rejection) {
+        self.note(format!(
+            "timed change {id} of {} lapses: {rejection}",
+            scheduled.author
+        ));
+        let reason = format!("lapsed: {rejection}");
+        let by = ChangeContext::by(SERVICE_AUTHOR, &reason, self.wall);
+        let removal = vec![Change::Scheduled { id, to: None }];
+        let catalog = self.writer.catalog();
+        let landed = catalog
+            .propose(catalog.version(), by, removal)
+            .map_err(Rejection::from)
+            .and_then(|revision| self.land(None, revision, LandingMode::default()));
+        if let Err(rejection) = landed {
+            self.note(rejection.to_string());
         }
-        let version = revision.version;
-        self.limit_reductions.add(version, revision.lowers_limits);
-        let number = self.persist(Persist::Revision(revision));
-        self.pending_commits.push_back(PendingCommit {
-            number,
-            version,
-            call,
-            verdict,
-            epoch_forced_at: self.epoch_forced_at,
-        });
-        Ok(())
     }
 
-    /// Hosts know of a volume from when it is served through them on: one that takes the number of
-    /// a former volume would be taken for that by hosts that still reckon with it.
-    fn check_not_still_known(&self, revision: &Revision) -> Result<(), Rejection> {
-        for change in &revision.changes {
-            let subject = change.subject();
-            let is_new = matches!(change, Change::Volume { to: Some(_), .. })
-                && self.catalog.now(&subject).is_removal();
-            let Some(ended_at) = self.catalog.last_changed(&subject).filter(|_| is_new) else {
-                continue;
-            };
-            if ended_at > self.stable_persisted {
-                return Err(Rejection::StillKnown { subject, ended_at });
+    /// The one place where a proposed revision lands: it is judged, applied to the catalog and
+    /// written.
+    fn land(
+        &mut self,
+        call: Option<CallId>,
+        revision: Revision,
+        mode: LandingMode,
+    ) -> Result<(), Rejection> {
+        match self
+            .writer
+            .land(revision, mode, self.persistence.stable())?
+        {
+            Landing::Previewed { verdict } => {
+                let preview = call.map(|call| Action::Preview { call, verdict });
+                self.actions.extend(preview);
+            }
+            Landing::Applied { revision, verdict } => {
+                let commit = PendingCommit {
+                    version: revision.version,
+                    call,
+                    verdict,
+                    former_forced_at: self.epochs.forced_at(),
+                };
+                self.persistence.write_commit(
+                    Persist::Revision(revision),
+                    commit,
+                    &mut self.actions,
+                );
             }
         }
         Ok(())
     }
 }
+
+/// Fills in who first requested a drain, when, and since when it is at its stage. A proposal that
+/// repeats the present drain changes none of these.
+fn fill_in_drain(catalog: &Catalog, wall: Duration, change: &mut Change, author: &str) {
+    let Change::Drain {
+        node,
+        to: Some(drain),
+    } = change
+    else {
+        return;
+    };
+    let Some(present) = catalog.drain(*node) else {
+        drain.author = author.into();
+        drain.requested_at = wall;
+        drain.since = wall;
+        return;
+    };
+    let Drain {
+        stage,
+        author,
+        requested_at,
+        since,
+        ..
+    } = present;
+    drain.author = author.clone();
+    drain.requested_at = *requested_at;
+    drain.since = if *stage == drain.stage { *since } else { wall };
+}
--- a/crates/catalog/src/leader/rejection.rs
+++ b/crates/catalog/src/leader/rejection.rs
@@ -1,13 +1,16 @@
-//! Why the leader rejects a call, or why a scheduled change lapses. Operators read the texts.
+//! Errors for which the leader rejects a call, or for which a scheduled change lapses. Operators
+//! read the texts.
 
 use crate::change::Subject;
 use crate::errors::ChangeError;
 use crate::records::Version;
 use thiserror::Error;
 
-/// Most changes that are decided and not yet persisted; more are rejected until some are.
+/// Most revisions that are decided and not yet persisted. The leader rejects further proposals
+/// until some are persisted. A larger number takes more memory when the disk is slow.
 pub const MAX_PENDING_COMMITS: usize = 4096;
 
+/// The reason for a rejection.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub(super) enum Rejection {
     #[error(transparent)]
@@ -17,7 +20,7 @@
     StillKnown { subject: Subject, ended_at: Version },
     #[error("too many changes wait for hosts that do not answer")]
     AuditLogFull,
-    /// What speaks against the change, see [`crate::admission`].
+    /// Objections of [`crate::admission`].
     #[error("{0}")]
     Objections(String),
     #[error("{MAX_PENDING_COMMITS} changes wait to be kept; try again")]
@@ -30,7 +33,7 @@
     NotBehind,
     #[error("not kept: {reason}")]
     PersistFailed { reason: String },
-    /// A scheduled change whose subject is not as its author knew it.
+    /// The subject of a scheduled change has changed since the author scheduled it.
     #[error("{0} has changed since it was asked for")]
     Outdated(Subject),
 }
--- a/crates/catalog/src/leader/scheduled.rs
+++ b/crates/catalog/src/leader/scheduled.rs
@@ -1,72 +1,64 @@
-//! Scheduled changes: each lands when its time has come, or lapses with a note in the audit log.
+//! Scheduled changes: their numbers, and which of them are due.
+//!
+//! The leader calls this module when an operator schedules a change and at each step. The scheduled
+//! changes themselves are part of the catalog.
+//!
+//! State: the next number to assign.
 
-use super::proposals::LandingMode;
 use super::rejection::Rejection;
-use super::Leader;
-use crate::change::{Change, ChangeContext, ScheduledChange};
+use crate::catalog::Catalog;
+use crate::change::ScheduledChange;
+use std::time::Duration;
 
-/// Author of the revision that removes a scheduled change which lapsed.
-const SERVICE_AUTHOR: &str = "the state service";
+/// Assigns numbers to scheduled changes.
+#[derive(Debug)]
+pub(super) struct ScheduledIds {
+    next: u64,
+}
 
-impl Leader {
-    pub(super) fn land_scheduled(&mut self) {
-        if self.now < self.retry_at {
-            return;
-        }
-        let due: Vec<(u64, ScheduledChange)> = self
-            .catalog
-            .scheduled()
-            .filter(|(_, scheduled)| scheduled.at <= self.wall)
-            .map(|(id, scheduled)| (id, scheduled.clone()))
-            .collect();
-        for (id, scheduled) in due {
-            if let Err(rejection) = self.land_one_scheduled(id, &scheduled) {
-                self.lapse(id, &scheduled, &rejection);
-            }
+impl ScheduledIds {
+    /// Numbers after all that the catalog has.
+    pub fn after(catalog: &Catalog) -> Self {
+        let last = catalog.scheduled().map(|(id, _)| id).max();
+        ScheduledIds {
+            next: last.map_or(1, |id| id + 1),
         }
     }
 
-    /// Lands its changes and, in the same revision, removes it.
-    fn land_one_scheduled(
-        &mut self,
-        id: u64,
-        scheduled: &ScheduledChange,
-    ) -> Result<(), Rejection> {
-        for expected in &scheduled.expects {
-            let subject = expected.subject();
-            if self.catalog.now(&subject) != *expected {
-                return Err(Rejection::Outdated(subject));
-            }
-        }
-        let mut changes = scheduled.changes.clone();
-        changes.push(Change::Scheduled { id, to: None });
-        for change in &mut changes {
-            self.fill_in_drain(change, &scheduled.author);
-        }
-        let by = ChangeContext::by(&scheduled.author, &scheduled.reason, self.wall);
-        let revision = self.catalog.propose(self.catalog.version(), by, changes)?;
-        let mode = LandingMode {
-            force: scheduled.force,
-            dry_run: false,
-        };
-        self.land(None, revision, mode)
+    /// Assigns the next number.
+    pub fn assign(&mut self) -> u64 {
+        let id = self.next;
+        self.next += 1;
+        id
     }
+}
+
+/// Scheduled changes that are due by the wall clock, with their numbers.
+pub(super) fn due(catalog: &Catalog, wall: Duration) -> Vec<(u64, ScheduledChange)> {
+    catalog
+        .scheduled()
+        .filter(|(_, scheduled)| scheduled.at <= wall)
+        .map(|(id, scheduled)| (id, scheduled.clone()))
+        .collect()
+}
+
+/// Time by the wall clock until the next scheduled change is due.
+pub(super) fn time_to_next(catalog: &Catalog, wall: Duration) -> Option<Duration> {
+    let times = catalog.scheduled().map(|(_, scheduled)| scheduled.at);
+    times.min().map(|at| at.saturating_sub(wall))
+}
 
-    fn lapse(&mut self, id: u64, scheduled: &ScheduledChange, rejection: &Rejection) {
-        self.note(format!(
-            "timed change {id} of {} lapses: {rejection}",
-            scheduled.author
-        ));
-        let reason = format!("lapsed: {rejection}");
-        let by = ChangeContext::by(SERVICE_AUTHOR, &reason, self.wall);
-        let removal = vec![Change::Scheduled { id, to: None }];
-        let landed = self
-            .catalog
-            .propose(self.catalog.version(), by, removal)
-            .map_err(Rejection::from)
-            .and_then(|revision| self.land(None, revision, LandingMode::default()));
-        if let Err(rejection) = landed {
-            self.note(rejection.to_string());
+/// # Errors
+/// [`Rejection::Outdated`] if a subject has changed since its author scheduled the change.
+pub(super) fn check_expected(
+    catalog: &Catalog,
+    scheduled: &ScheduledChange,
+) -> Result<(), Rejection> {
+    for expected in &scheduled.expects {
+        let subject = expected.subject();
+        if catalog.now(&subject) != *expected {
+            return Err(Rejection::Outdated(subject));
         }
     }
+    Ok(())
 }
