--- a/crates/catalog/src/follower.rs
+++ b/crates/catalog/src/follower.rs
@@ -1,111 +1,86 @@
 //! A host's side of the change feed: what it polls, persists and acknowledges, and on what terms it
 //! serves each volume.
 //!
-//! State machine: `step(now, events)` returns the actions to perform; [`Follower::wake_at`] says
+//! State machine: `step(now, events)` returns the actions to perform; [`Follower::wake_at`] returns
 //! when it must be called again. No I/O. The host's shell calls it for every batch of events from
-//! the connection to the leader and from the disk. Each step reconciles: one poll is open at the
-//! leader, everything received is on the disk, the leader has an acknowledgement once nothing
-//! decided on an older version can be sent any more, and the host's decisions have the terms that
-//! follow from all versions that must be reckoned with ([`crate::feed::quota`]).
+//! the connection to the leader and from the disk. Each step reconciles the state: one poll is
+//! pending at the leader; everything received is written; the leader has an acknowledgement once no
+//! attempt decided on an older version can be sent any more; and the host's decisions have the
+//! terms that follow from all versions that the host must take into account
+//! ([`crate::feed::quota`]). Each part of the state has one owner:
 //!
-//! - An update is followed at once and persisted at the same time; only once it is persisted, and
-//!   what was decided before has been sent or never will be, does the host acknowledge it. A host
-//!   that crashes in between has less than it followed, which is what the leader believes.
-//! - A host that starts has no lease: until the first answer it sends of limited volumes what no
-//!   change can have taken from it, by what it persisted. One that persisted nothing knows of no
-//!   volume.
+//! - [`Catalog`] and [`FollowerLease`]: the versions that the host follows, and until when;
+//! - `PollState`: the connection and its pending poll;
+//! - `Persistence`: the pending write and the persisted versions;
+//! - `Acknowledgements`: which version may be acknowledged;
+//! - `Announcements`: the terms that the host's decisions know.
+//!
+//! The rules:
+//!
+//! - The host follows an update at once and persists it at the same time. It acknowledges the
+//!   update only when it is persisted, and when all earlier decisions have been sent or never will
+//!   be. A host that crashes in between has less than it followed, as the leader assumes.
+//! - A host that starts has no lease. Until the first response, it sends of limited volumes only
+//!   the amount that no change can have taken from it, by its persisted state. A host that
+//!   persisted nothing knows of no volume.
 //!
 //! Memory: the catalog of volumes that are served through this host, the last terms of each, and at
 //! most [`MAX_UNSTABLE_REVISIONS`] revisions that are not stable.
 
+mod acknowledgements;
+mod announcements;
 mod messages;
+mod persistence;
+mod poll_state;
 mod terms;
 mod updates;
 
 pub use messages::{Action, Event, InitialState, PersistRequest, Terms, Update};
 
 use crate::catalog::Catalog;
-use crate::change::{Revision, Subject};
+use crate::change::Subject;
 use crate::feed::FollowerLease;
 use crate::leader::{CallId, Epoch};
 use crate::records::{Deployment, Name, Version};
-use std::collections::{BTreeMap, BTreeSet};
+use acknowledgements::Acknowledgements;
+use announcements::Announcements;
+use persistence::Persistence;
+use poll_state::{PendingPoll, PollState};
 use std::time::Duration;
 
-/// Most revisions that must still be reckoned with; with more the host follows nothing new until
-/// some are stable.
+/// Most revisions that are not stable. With more, the host follows nothing new until some are
+/// stable. A larger number takes more memory; a smaller one stops hosts sooner while another host
+/// does not acknowledge.
 pub const MAX_UNSTABLE_REVISIONS: usize = 1 << 16;
-/// How long the first answer may take; later ones may take as long as the last lease, of which the
-/// leader delays them by a third at most. Guards against an answer that was lost on a connection
-/// that is still up.
-const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long nothing is asked or written after that has failed.
+/// How long the host polls and writes nothing after a failure. A longer delay means a later
+/// recovery; a shorter one burdens a faulty leader or disk with more attempts.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A poll that the leader has not answered.
-#[derive(Debug, Clone, Copy)]
-struct PendingPoll {
-    call: CallId,
-    sent: Duration,
-}
-
-/// The last write to the disk, while it is not answered.
-#[derive(Debug, Clone, Copy)]
-struct PendingPersist {
-    number: u64,
-    version: Version,
-}
-
-/// A version, and since when it is followed.
-#[derive(Debug, Clone, Copy)]
-struct Followed {
-    version: Version,
-    since: Duration,
-}
-
 /// A host's state machine; see the module.
 #[derive(Debug)]
 pub struct Follower {
     /// Name of this host.
     host: Name,
-    max_dispatch_delay: Duration,
+    now: Duration,
     catalog: Catalog,
     follower_lease: FollowerLease,
+    /// The epoch of the followed versions.
     epoch: Epoch,
-    now: Duration,
-    /// Whether there is a connection to the leader.
-    connected: bool,
-    pending_poll: Option<PendingPoll>,
-    poll_timeout: Duration,
-    pending_persist: Option<PendingPersist>,
-    persisted: Version,
-    /// What was received since the last write.
-    unpersisted: Vec<Revision>,
-    /// The next write replaces all that is stored.
-    needs_snapshot: bool,
-    stable_persisted: Version,
-    /// Versions that are not acknowledged, oldest first.
-    followed: Vec<Followed>,
-    /// Nothing decided on an older version is sent any more.
-    acknowledged: Version,
-    /// The last acknowledgement on this connection.
-    acknowledgement_sent: Version,
+    /// Whether the host had a lease at the last step.
     leased: bool,
-    /// Nothing is asked or written before that time.
+    /// The host polls and writes nothing before this time.
     retry_at: Duration,
-    /// Plans whose new values were not announced.
-    dirty_plans: BTreeSet<Name>,
-    /// Volumes whose terms may differ from those announced.
-    dirty_volumes: BTreeSet<u64>,
-    /// The last terms of each volume that were announced.
-    announced: BTreeMap<u64, Terms>,
+    poll_state: PollState,
+    persistence: Persistence,
+    acknowledgements: Acknowledgements,
+    announcements: Announcements,
     /// Number of the last poll or write.
     last_number: u64,
     actions: Vec<Action>,
 }
 
 impl Follower {
-    /// `host`: the name of this one. `max_dispatch_delay`: longest time between a decision and its
+    /// `host`: the name of this host. `max_dispatch_delay`: longest time between a decision and its
     /// sending.
     pub fn new(host: Name, start: InitialState, max_dispatch_delay: Duration) -> Self {
         let InitialState {
@@ -116,29 +91,15 @@
         let applied = catalog.version();
         Follower {
             host,
-            max_dispatch_delay,
+            now: Duration::ZERO,
             follower_lease: FollowerLease::persisted(applied, stable),
             epoch,
-            now: Duration::ZERO,
-            connected: false,
-            pending_poll: None,
-            poll_timeout: FIRST_POLL_TIMEOUT,
-            pending_persist: None,
-            persisted: applied,
-            unpersisted: Vec::new(),
-            needs_snapshot: false,
-            stable_persisted: stable,
-            followed: vec![Followed {
-                version: applied,
-                since: Duration::ZERO,
-            }],
-            acknowledged: Version(0),
-            acknowledgement_sent: Version(0),
             leased: false,
             retry_at: Duration::ZERO,
-            dirty_plans: catalog.plans().map(|(name, _)| name.clone()).collect(),
-            dirty_volumes: catalog.volumes().map(|(id, _)| id).collect(),
-            announced: BTreeMap::new(),
+            poll_state: PollState::new(),
+            persistence: Persistence::new(applied, stable),
+            acknowledgements: Acknowledgements::new(max_dispatch_delay, applied),
+            announcements: Announcements::new(&catalog),
             last_number: 0,
             actions: Vec::new(),
             catalog,
@@ -150,28 +111,28 @@
         Catalog::new(facts, MAX_UNSTABLE_REVISIONS)
     }
 
-    /// What this host follows.
+    /// The catalog that this host follows.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Versions that it reckons with, and its lease.
+    /// The versions that this host takes into account, and its lease.
     pub fn follower_lease(&self) -> &FollowerLease {
         &self.follower_lease
     }
 
-    /// Whether it has ever followed anything: until then it cannot be said that a volume does not
-    /// exist.
+    /// Returns whether this host has ever followed a version. Before that, it cannot know that a
+    /// volume does not exist.
     pub fn has_state(&self) -> bool {
         self.catalog.version() > Version(0)
     }
 
-    /// Whether it had a lease at the last step.
+    /// Returns whether this host had a lease at the last step.
     pub fn leased(&self) -> bool {
         self.leased
     }
 
-    /// The epoch of its versions.
+    /// The epoch of the followed versions.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
@@ -183,18 +144,16 @@
             .flat_map(|revision| revision.changes.iter().map(|change| change.subject()))
     }
 
-    /// Handles events, and returns the actions to perform, in order. `now`: a clock that never goes
-    /// back.
+    /// Handles events, and returns the actions to perform, in order. `now`: a monotonic clock.
     pub fn step(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.now = now.max(self.now);
         for event in events {
             self.handle(event);
         }
         self.update_leased();
-        self.announce_plans();
-        self.announce_volumes();
+        self.announce();
         self.persist();
-        if self.connected {
+        if self.poll_state.is_connected() {
             self.acknowledge();
             self.poll();
         }
@@ -205,17 +164,11 @@
     pub fn wake_at(&self) -> Option<Duration> {
         let lease = self.leased.then(|| self.follower_lease.until());
         let acknowledge = self
-            .followed
-            .iter()
-            .filter(|followed| followed.version <= self.persisted)
-            .map(|followed| followed.since + self.max_dispatch_delay)
-            .min();
-        let acknowledge = acknowledge.filter(|_| self.connected);
+            .acknowledgements
+            .due_at(self.persistence.persisted())
+            .filter(|_| self.poll_state.is_connected());
         let retry = (self.retry_at > self.now).then_some(self.retry_at);
-        let poll = self
-            .pending_poll
-            .map(|pending| pending.sent + self.poll_timeout);
-        [lease, acknowledge, retry, poll]
+        [lease, acknowledge, retry, self.poll_state.deadline()]
             .into_iter()
             .flatten()
             .min()
@@ -224,14 +177,10 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Up => {
-                self.connected = true;
-                self.pending_poll = None;
-                self.acknowledgement_sent = Version(0);
-            }
-            Event::Down => {
-                self.connected = false;
-                self.pending_poll = None;
+                self.poll_state.set_connected(true);
+                self.acknowledgements.reconnect();
             }
+            Event::Down => self.poll_state.set_connected(false),
             Event::Granted {
                 call,
                 epoch,
@@ -240,56 +189,40 @@
                 lease,
                 update,
             } => {
-                let Some(poll) = self.take_poll(call) else {
-                    return;
-                };
-                self.poll_timeout = lease;
-                match self.apply_update(epoch, version, update) {
-                    Ok(()) => {
-                        self.follower_lease
-                            .granted(poll.sent, version, stable, lease);
-                        self.forget_stable();
+                if let Some(poll) = self.poll_state.complete(call) {
+                    self.poll_state.set_timeout(lease);
+                    match self.apply_update(epoch, version, update) {
+                        Ok(()) => self.follow(poll, version, stable, lease),
+                        Err(error) => self.note_and_retry(error.to_string()),
                     }
-                    Err(error) => self.note_and_retry(error.to_string()),
                 }
             }
             Event::Behind { call } => {
-                if self.take_poll(call).is_some() {
+                if self.poll_state.complete(call).is_some() {
                     let text = "the state service knows less than this host; an operator must look";
                     self.note_and_retry(text.into());
                 }
             }
             Event::PollRejected { call, reason } => {
-                if self.take_poll(call).is_some() {
+                if self.poll_state.complete(call).is_some() {
                     self.note_and_retry(format!("the state service refuses: {reason}"));
                 }
             }
-            Event::Persisted { number } => {
-                let persisted = self
-                    .pending_persist
-                    .take_if(|pending| pending.number == number);
-                if let Some(persisted) = persisted {
-                    self.persisted = persisted.version;
-                }
-            }
+            Event::Persisted { number } => self.persistence.complete(number),
             Event::PersistFailed { reason } => {
-                // How much of the last write arrived is unknown; all of it is written again.
-                if self.pending_persist.take().is_some() {
-                    self.needs_snapshot = true;
-                }
+                self.persistence.fail();
                 self.note_and_retry(format!("plans cannot be kept: {reason}"));
             }
         }
     }
 
-    fn take_poll(&mut self, call: CallId) -> Option<PendingPoll> {
-        self.pending_poll.take_if(|pending| pending.call == call)
-    }
-
-    /// Revisions that are stable need not be reckoned with any more.
-    fn forget_stable(&mut self) {
+    /// Follows an applied update with the lease that came with it, and drops the revisions that are
+    /// now stable.
+    fn follow(&mut self, poll: PendingPoll, version: Version, stable: Version, lease: Duration) {
+        self.follower_lease
+            .granted(poll.sent, version, stable, lease);
         for revision in self.catalog.forget(self.follower_lease.stable) {
-            self.mark_dirty(&revision);
+            self.announcements.mark_revision(&self.catalog, &revision);
         }
     }
 
@@ -299,12 +232,7 @@
             return;
         }
         self.leased = leased;
-        // Only limits depend on it.
-        let limited = self
-            .announced
-            .iter()
-            .filter(|(_, terms)| terms.quota.is_some());
-        self.dirty_volumes.extend(limited.map(|(id, _)| *id));
+        self.announcements.mark_limited();
         if !leased {
             self.note(
                 "the lease on plans has run out: limited volumes keep to their reservations".into(),
@@ -312,89 +240,50 @@
         }
     }
 
-    fn announce_plans(&mut self) {
-        for name in std::mem::take(&mut self.dirty_plans) {
-            if let Some(plan) = self.catalog.plan(&name).cloned() {
-                self.actions.push(Action::Plan { name, plan });
-            }
-        }
-    }
-
-    fn announce_volumes(&mut self) {
-        for id in std::mem::take(&mut self.dirty_volumes) {
-            let terms = self.terms(id);
-            if self.announced.get(&id) == terms.as_ref() {
-                continue;
-            }
-            match &terms {
-                Some(terms) => _ = self.announced.insert(id, terms.clone()),
-                None => _ = self.announced.remove(&id),
-            }
-            self.actions.push(Action::Volume { id, terms });
-        }
+    fn announce(&mut self) {
+        self.announcements
+            .announce_plans(&self.catalog, &mut self.actions);
+        let terms_of = |id| terms::terms(&self.catalog, &self.host, self.leased, id);
+        self.announcements
+            .announce_volumes(terms_of, &mut self.actions);
     }
 
     fn persist(&mut self) {
         let stable = self.follower_lease.stable;
-        let is_needed =
-            !self.unpersisted.is_empty() || self.needs_snapshot || stable > self.stable_persisted;
-        if !is_needed || self.pending_persist.is_some() || self.now < self.retry_at {
+        if !self.persistence.is_due(stable) || self.now < self.retry_at {
             return;
         }
         self.last_number += 1;
-        self.actions.push(Action::Persist(PersistRequest {
-            number: self.last_number,
-            epoch: self.epoch,
-            stable,
-            revisions: std::mem::take(&mut self.unpersisted),
-            snapshot: std::mem::take(&mut self.needs_snapshot),
-        }));
-        self.pending_persist = Some(PendingPersist {
-            number: self.last_number,
-            version: self.catalog.version(),
-        });
-        self.stable_persisted = stable;
+        let version = self.catalog.version();
+        let request = self
+            .persistence
+            .start(self.last_number, self.epoch, stable, version);
+        self.actions.push(Action::Persist(request));
     }
 
-    /// Acknowledges the newest version that is persisted, and on an older one than which nothing
-    /// decided can be sent any more.
     fn acknowledge(&mut self) {
-        for followed in &self.followed {
-            let is_sent = followed.since + self.max_dispatch_delay <= self.now;
-            if followed.version <= self.persisted && is_sent {
-                self.acknowledged = self.acknowledged.max(followed.version);
-            }
-        }
-        let acknowledged = self.acknowledged;
-        self.followed
-            .retain(|followed| followed.version > acknowledged);
-        if acknowledged > self.acknowledgement_sent {
-            self.acknowledgement_sent = acknowledged;
+        let persisted = self.persistence.persisted();
+        if let Some(applied) = self.acknowledgements.next(self.now, persisted) {
             self.actions.push(Action::Acknowledge {
                 epoch: self.epoch,
-                applied: acknowledged,
+                applied,
             });
         }
     }
 
     fn poll(&mut self) {
-        self.pending_poll
-            .take_if(|pending| self.now >= pending.sent + self.poll_timeout);
-        if self.pending_poll.is_some() || self.now < self.retry_at {
+        if self.poll_state.is_pending(self.now) || self.now < self.retry_at {
             return;
         }
         self.last_number += 1;
         let call = CallId(self.last_number);
-        self.pending_poll = Some(PendingPoll {
-            call,
-            sent: self.now,
-        });
+        self.poll_state.start(self.now, call);
         self.actions.push(Action::Poll {
             call,
             epoch: self.epoch,
             applied: self.catalog.version(),
             stable: self.follower_lease.stable,
-            acknowledged: self.acknowledged,
+            acknowledged: self.acknowledgements.acknowledged(),
         });
     }
 
--- a/crates/catalog/src/follower/messages.rs
+++ b/crates/catalog/src/follower/messages.rs
@@ -1,6 +1,6 @@
 //! A follower's input and output: events, actions, and the state that it starts with.
 //!
-//! Plain data, made and carried out by the host's shell. Owns no state.
+//! Plain data: the host's shell makes the events and performs the actions. Owns no state.
 
 use crate::catalog::Catalog;
 use crate::change::{Change, Revision};
@@ -9,30 +9,30 @@
 use crate::records::{Name, Plan, Version};
 use std::time::Duration;
 
-/// What an answer of the leader carries.
+/// The content of the leader's response to a poll.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Update {
-    /// The revisions after what this host has.
+    /// The revisions after this host's version.
     Revisions(Vec<Revision>),
-    /// The whole state at a stable version, and the revisions after it.
+    /// The complete state at a stable version, and the revisions after it.
     Snapshot {
         /// The version of the state.
         at: Version,
-        /// Everything that this host needs of it.
+        /// The part of the state that this host needs.
         state: Vec<Change>,
-        /// What followed.
+        /// The revisions after the state.
         revisions: Vec<Revision>,
     },
 }
 
-/// What has happened.
+/// An input of the follower.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// There is a connection to the leader.
     Up,
-    /// There is none any more.
+    /// The connection is lost.
     Down,
-    /// The leader answers a poll with what is new, and a lease.
+    /// The leader grants a lease, with an update.
     Granted {
         /// The poll.
         call: CallId,
@@ -42,9 +42,9 @@
         version: Version,
         /// The stable version.
         stable: Version,
-        /// How long the host may follow it, from when it asked.
+        /// How long the host may follow the version, counted from when it sent the poll.
         lease: Duration,
-        /// What is new.
+        /// The changes since the host's version.
         update: Update,
     },
     /// The leader does not know a version that some host has.
@@ -56,25 +56,25 @@
     PollRejected {
         /// The poll.
         call: CallId,
-        /// Why, for operators to read.
+        /// The reason, for operators to read.
         reason: String,
     },
-    /// A request is on the disk.
+    /// A write is on the disk.
     Persisted {
-        /// As in [`PersistRequest`].
+        /// The number of the [`PersistRequest`].
         number: u64,
     },
-    /// The last request is not.
+    /// The last write failed.
     PersistFailed {
-        /// The disk's fault.
+        /// The disk's error, for operators to read.
         reason: String,
     },
 }
 
-/// What is to be on the disk, all of it or nothing.
+/// An atomic write to the disk.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PersistRequest {
-    /// [`Event::Persisted`] refers to it.
+    /// The number that [`Event::Persisted`] refers to.
     pub number: u64,
     /// The epoch of the versions.
     pub epoch: Epoch,
@@ -82,60 +82,61 @@
     pub stable: Version,
     /// Revisions to add, with the changes that restore what was before.
     pub revisions: Vec<Revision>,
-    /// The present state is to replace all that is stored, since steps are missing there.
+    /// Whether the present state replaces all that is stored, because revisions are missing there.
     pub snapshot: bool,
 }
 
-/// On what terms this host serves a volume.
+/// The terms on which this host serves a volume.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Terms {
-    /// Name of its plan.
+    /// Name of the volume's plan.
     pub plan: Name,
-    /// Through how many hosts it is served.
+    /// Number of hosts through which the volume is served.
     pub hosts: usize,
-    /// Whether this host is one of them.
+    /// Whether this host is one of these hosts.
     pub mine: bool,
     /// This host's part of the limit; None: no limit.
     pub quota: Option<Quota>,
 }
 
-/// What the shell has to do.
+/// An output of the follower, which the shell performs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Ask the leader for what is new.
+    /// Poll the leader.
     Poll {
-        /// The answer refers to it.
+        /// The number that the response refers to.
         call: CallId,
         /// The epoch of the versions.
         epoch: Epoch,
         /// The newest version that this host has.
         applied: Version,
-        /// The stable version that it knows.
+        /// The stable version that this host knows.
         stable: Version,
-        /// As `applied` in [`Action::Acknowledge`].
+        /// The version of the last acknowledgement: `applied` in [`Action::Acknowledge`].
         acknowledged: Version,
     },
-    /// Tell the leader that nothing decided on an older version leaves this host any more.
+    /// Acknowledge a version to the leader: this host sends no more attempts decided on an older
+    /// version.
     Acknowledge {
         /// The epoch of the version.
         epoch: Epoch,
-        /// The version that is persisted and followed.
+        /// The version that this host has persisted and follows.
         applied: Version,
     },
     /// Write to the disk.
     Persist(PersistRequest),
     /// A plan has new values; its limit is in the terms of each volume.
     Plan {
-        /// Its name.
+        /// The plan's name.
         name: Name,
-        /// Its values.
+        /// The plan's values.
         plan: Plan,
     },
     /// A volume has new terms.
     Volume {
-        /// Its number.
+        /// The volume's number.
         id: u64,
-        /// None: it does not exist, or is not served here.
+        /// The new terms; None: the volume does not exist, or is not served here.
         terms: Option<Terms>,
     },
     /// Write a line to the log.
--- a/crates/catalog/src/follower/terms.rs
+++ b/crates/catalog/src/follower/terms.rs
@@ -1,6 +1,8 @@
-//! The terms on which this host serves a volume, by all versions that it must reckon with.
+//! The terms on which a host serves a volume, over all versions that the host must take into
+//! account. Pure functions, called by the follower for each volume whose terms may have changed.
 
-use super::{Follower, Terms};
+use super::Terms;
+use crate::catalog::Catalog;
 use crate::change::Change;
 use crate::feed::{quota, LimitTerms};
 use crate::records::{Name, Plan, Volume};
@@ -8,13 +10,14 @@
 
 /// A volume and the plans that differ from the present ones, as they were before some revision.
 struct EarlierState<'a> {
-    follower: &'a Follower,
+    catalog: &'a Catalog,
+    host: &'a Name,
     volume: Option<&'a Volume>,
     plans: BTreeMap<&'a Name, Option<&'a Plan>>,
 }
 
 impl<'a> EarlierState<'a> {
-    /// Goes back by one change; returns whether it touches the volume or its plan.
+    /// Goes back by one change; returns whether the change touches the volume or its plan.
     fn go_back(&mut self, id: u64, before: &'a Change) -> bool {
         match before {
             Change::Volume { id: other, to } if *other == id => {
@@ -33,46 +36,47 @@
         let volume = self.volume?;
         let plan = match self.plans.get(&volume.plan) {
             Some(earlier) => *earlier,
-            None => self.follower.catalog.plan(&volume.plan),
+            None => self.catalog.plan(&volume.plan),
         }?;
         Some(LimitTerms {
             reservation: plan.reservation,
             limit: plan.limit,
             burst: plan.burst,
             hosts: volume.hosts.len(),
-            mine: volume.hosts.contains(&self.follower.host),
+            mine: volume.hosts.contains(self.host),
         })
     }
 }
 
-impl Follower {
-    pub(super) fn terms(&self, id: u64) -> Option<Terms> {
-        let volume = self.catalog.volume(id)?;
-        Some(Terms {
-            plan: volume.plan.clone(),
-            hosts: volume.hosts.len(),
-            mine: volume.hosts.contains(&self.host),
-            quota: quota(self.limit_terms_window(id), self.leased),
-        })
-    }
+/// The terms on which `host` serves a volume; None: the catalog does not have the volume. `leased`:
+/// whether the host has a lease.
+pub(super) fn terms(catalog: &Catalog, host: &Name, leased: bool, id: u64) -> Option<Terms> {
+    let volume = catalog.volume(id)?;
+    Some(Terms {
+        plan: volume.plan.clone(),
+        hosts: volume.hosts.len(),
+        mine: volume.hosts.contains(host),
+        quota: quota(limit_terms_window(catalog, host, id), leased),
+    })
+}
 
-    /// What each version that must be reckoned with says of a volume, the newest first.
-    fn limit_terms_window(&self, id: u64) -> Vec<LimitTerms> {
-        let mut state = EarlierState {
-            follower: self,
-            volume: self.catalog.volume(id),
-            plans: BTreeMap::new(),
-        };
-        let mut window: Vec<LimitTerms> = state.limit_terms().into_iter().collect();
-        for revision in self.catalog.audit_log().rev() {
-            let mut has_changed = false;
-            for before in &revision.before {
-                has_changed |= state.go_back(id, before);
-            }
-            if has_changed {
-                window.extend(state.limit_terms());
-            }
+/// The limit terms of a volume in each version that the host must take into account, newest first.
+fn limit_terms_window(catalog: &Catalog, host: &Name, id: u64) -> Vec<LimitTerms> {
+    let mut state = EarlierState {
+        catalog,
+        host,
+        volume: catalog.volume(id),
+        plans: BTreeMap::new(),
+    };
+    let mut window: Vec<LimitTerms> = state.limit_terms().into_iter().collect();
+    for revision in catalog.audit_log().rev() {
+        let mut has_changed = false;
+        for before in &revision.before {
+            has_changed |= state.go_back(id, before);
+        }
+        if has_changed {
+            window.extend(state.limit_terms());
         }
-        window
     }
+    window
 }
