--- a/crates/catalog/src/change.rs
+++ b/crates/catalog/src/change.rs
@@ -1,32 +1,32 @@
 //! Changes of the catalog as data: subjects, changes, and the revisions that record them.
 //!
-//! Used by [`crate::catalog`], which applies revisions, by the leader and the followers, and by the
-//! packages that store and send them. Owns no state.
+//! [`crate::catalog`] applies revisions; the leader and the followers exchange them; other packages
+//! store and send them. Owns no state.
 
 use crate::records::{Drain, Name, Node, Plan, Version, Volume};
 use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Changes that are to land at a stated time.
+/// Changes that land at a stated time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScheduledChange {
-    /// When, since 1970 by the wall clock.
+    /// The time at which the changes land, since 1970 by the wall clock.
     pub at: Duration,
-    /// Who asked for it.
+    /// The operator who scheduled the changes.
     pub author: String,
-    /// Why, in the author's words.
+    /// The operator's reason, as typed.
     pub reason: String,
-    /// Whether it lands whatever speaks against it.
+    /// Whether the changes land despite objections.
     pub force: bool,
-    /// What is to land.
+    /// The changes.
     pub changes: Vec<Change>,
-    /// The subjects as they were when this was asked for. If one differs by then, the author may no
-    /// longer mean the change, and it lapses.
+    /// The subjects as they were when the operator scheduled the changes. If one of them differs when
+    /// the changes are due, the operator may no longer want the changes, and they lapse.
     pub expects: Vec<Change>,
 }
 
-/// What a change touches.
+/// The part of the catalog that a change touches.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
     /// A plan, by name.
@@ -56,55 +56,55 @@
     }
 }
 
-/// Replaces one subject; `to: None` removes it.
+/// The replacement or, with `to: None`, the removal of one subject.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Change {
-    /// Of a plan.
+    /// A change of a plan.
     Plan {
-        /// Its name.
+        /// The plan's name.
         name: Name,
-        /// What it becomes.
+        /// The new plan.
         to: Option<Plan>,
     },
-    /// Of a volume.
+    /// A change of a volume.
     Volume {
-        /// Its number.
+        /// The volume's number.
         id: u64,
-        /// What it becomes.
+        /// The new volume.
         to: Option<Volume>,
     },
-    /// Of a node.
+    /// A change of a node.
     Node {
-        /// Its number.
+        /// The node's number.
         id: u32,
-        /// What it becomes.
+        /// The new node.
         to: Option<Node>,
     },
-    /// Of a node's drain.
+    /// A change of a node's drain.
     Drain {
         /// The node's number.
         node: u32,
-        /// What it becomes.
+        /// The new drain.
         to: Option<Drain>,
     },
-    /// Of a target.
+    /// A change of a target.
     Target {
-        /// Its name.
+        /// The target's name.
         name: Name,
-        /// The volumes that it offers.
+        /// The volumes that the target offers.
         to: Option<Arc<[u64]>>,
     },
-    /// Of a scheduled change.
+    /// A change of a scheduled change.
     Scheduled {
-        /// Its number.
+        /// The scheduled change's number.
         id: u64,
-        /// What it becomes.
+        /// The new scheduled change.
         to: Option<ScheduledChange>,
     },
 }
 
 impl Change {
-    /// The one subject that it replaces or removes.
+    /// The one subject that the change replaces or removes.
     pub fn subject(&self) -> Subject {
         match self {
             Change::Plan { name, .. } => Subject::Plan(name.clone()),
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Whether it removes its subject.
+    /// Returns whether the change removes its subject.
     pub fn is_removal(&self) -> bool {
         match self {
             Change::Plan { to, .. } => to.is_none(),
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Other subjects that must exist for it.
+    /// Other subjects that must exist for the change.
     pub(crate) fn references(&self) -> Vec<Subject> {
         match self {
             Change::Volume {
@@ -146,46 +146,47 @@
 /// One atomic step of the catalog, as stored and sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Revision {
-    /// The version that it makes.
+    /// The version that the revision makes.
     pub version: Version,
-    /// The version that it follows: the one before, except where a new epoch was forced.
+    /// The version that the revision follows: the previous number, except where a new epoch was
+    /// forced.
     pub from: Version,
-    /// When, since 1970 by the leader's clock.
+    /// When the leader decided the revision, since 1970 by its clock.
     pub at: Duration,
-    /// Who asked for it.
+    /// The operator who proposed the revision.
     pub author: String,
-    /// Why, in the author's words.
+    /// The operator's reason, as typed.
     pub reason: String,
-    /// What spoke against it, where it was forced; else empty.
+    /// The objections to the revision, if it was forced; else empty.
     pub objections: String,
-    /// What it changes.
+    /// The changes.
     pub changes: Vec<Change>,
-    /// Changes that restore what was there before, in the order in which to apply them.
+    /// Changes that restore the former state, in the order in which to apply them.
     pub before: Vec<Change>,
-    /// A host that knows only the state before may send more of a limited volume than it is now
-    /// entitled to: it must acknowledge this version before the version is stable. See
-    /// [`crate::feed`].
+    /// Whether a host that knows only the former state may send more of a limited volume than the
+    /// host's present quota. If so, that host must acknowledge this version before the version is
+    /// stable. See [`crate::feed`].
     pub lowers_limits: bool,
-    /// For a host that learns of a volume first by this revision: the volume as it was before each
-    /// earlier revision that the host must still reckon with.
+    /// Earlier states of volumes that a host first learns of by this revision: each volume as it was
+    /// before each earlier revision that the host must still take into account.
     pub also: Vec<(Version, Change)>,
 }
 
-/// By whom, why and when, as the audit log records it.
+/// The author, reason and time of a change, as the audit log records them.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ChangeContext<'a> {
-    /// Who asks.
+    /// The operator who proposes the change.
     pub author: &'a str,
-    /// Why, in the author's words.
+    /// The operator's reason, as typed.
     pub reason: &'a str,
-    /// What speaks against it, where it is forced; else empty.
+    /// The objections to the change, if it is forced; else empty.
     pub objections: &'a str,
-    /// When, since 1970.
+    /// The time, since 1970.
     pub at: Duration,
 }
 
 impl<'a> ChangeContext<'a> {
-    /// Of a change that is not forced.
+    /// The context of a change that is not forced.
     pub fn by(author: &'a str, reason: &'a str, at: Duration) -> Self {
         ChangeContext {
             author,
--- a/crates/catalog/src/errors.rs
+++ b/crates/catalog/src/errors.rs
@@ -1,102 +1,103 @@
-//! Why a change is rejected, and why a revision cannot be applied.
+//! Errors of rejected changes, and of revisions that cannot be applied.
 //!
-//! Returned by [`crate::propose`], [`crate::validation`] and [`crate::catalog`]; operators read the
+//! [`crate::propose`], [`crate::validation`] and [`crate::catalog`] return them. Operators read the
 //! texts.
 
 use crate::change::Subject;
 use crate::records::{Name, Version};
 use thiserror::Error;
 
-/// Why proposed changes make no revision.
+/// The reason why proposed changes make no revision.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum ChangeError {
-    /// The subject, or one that the change refers to, was changed after the version the author
-    /// looked at.
+    /// The subject, or a subject that the change refers to, was changed after the author's base
+    /// version.
     #[error("{subject} was changed meanwhile, by entry {} of {author}", .with.0)]
     Collision {
-        /// What was changed.
+        /// The changed subject.
         subject: Subject,
-        /// The revision that changed it.
+        /// The revision that changed the subject.
         with: Version,
-        /// Who changed it.
+        /// The author of that revision.
         author: String,
     },
-    /// The audit log does not reach back to the version the author looked at.
+    /// The audit log does not reach back to the author's base version.
     #[error("looked at before entry {}, the oldest that is still known", .oldest.0)]
     TooOld {
-        /// The oldest revision that is still known.
+        /// The oldest revision in the audit log.
         oldest: Version,
     },
-    /// The author has looked at a version that does not exist here.
+    /// The author's base version does not exist here.
     #[error("looked at a version after {}, the latest", .latest.0)]
     Ahead {
-        /// The newest version here.
+        /// The catalog's version.
         latest: Version,
     },
     /// The subject does not exist.
     #[error("{0} does not exist")]
     Unknown(Subject),
-    /// Something that stays refers to what is to be removed.
+    /// A subject that stays refers to the removed subject.
     #[error("{what} is in use by {by}")]
     InUse {
-        /// What is to be removed.
+        /// The removed subject.
         what: Subject,
-        /// What refers to it.
+        /// The subject that refers to it.
         by: Subject,
     },
     /// Two of the changes have the same subject.
     #[error("{0} is changed twice at once")]
     Twice(Subject),
-    /// The catalog would be the same as before.
+    /// The changes would leave the catalog as it is.
     #[error("changes nothing")]
     Empty,
     /// A value of the subject is not allowed.
     #[error("{subject}: {what}")]
-    Figure {
-        /// Whose value.
+    InvalidValue {
+        /// The subject with the value.
         subject: Subject,
-        /// What is wrong with it.
+        /// The fault of the value.
         what: InvalidValue,
     },
 }
 
-/// What is wrong with a value of a plan, volume, node, drain or scheduled change.
+/// The fault of a value of a plan, volume, node, drain or scheduled change.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum InvalidValue {
-    /// One of a plan's values.
+    /// A value of a plan is negative, infinite or not a number.
     #[error("a figure is negative or no number")]
     NotANumber,
-    /// See [`crate::validation`] for why this is not allowed.
+    /// A plan has a limit below its reservation. See [`crate::validation`] for why this is not
+    /// allowed.
     #[error("its limit is below its reservation")]
     LimitBelowReservation,
-    /// A plan with a limit but an empty token bucket.
+    /// A plan has a limit and an empty token bucket.
     #[error("a limit needs a burst above 0")]
     NoBurst,
-    /// What was decided earlier may pass the limit by more than the slack.
+    /// Attempts decided earlier may exceed the limit by more than the slack.
     #[error("its slack is below what may still cross of its limit, {least}")]
     SlackTooSmall {
-        /// The least slack that would do, units.
+        /// The smallest valid slack, units.
         least: f64,
     },
-    /// A volume that no host serves.
+    /// No host serves the volume.
     #[error("works through no host")]
     NoHost,
-    /// A volume through a host that the deployment does not have.
+    /// The volume is served through a host that the deployment does not have.
     #[error("works through {0}, which is no host here")]
     UnknownHost(Name),
-    /// A volume that lists a host twice.
+    /// The volume lists a host twice.
     #[error("works through one host twice")]
     HostTwice,
-    /// A volume of size 0.
+    /// The volume has size 0.
     #[error("has no blocks")]
     NoBlocks,
-    /// A node's capacity.
+    /// A node's capacity is negative, infinite or not a number.
     #[error("its capacity is negative or no number")]
     Capacity,
-    /// A node's name that could be mistaken for the number of another.
+    /// A node's name could be mistaken for the number of another node.
     #[error("its name, {0}, is a number and might be another's")]
     NameIsANumber(Name),
-    /// Two nodes of one name.
+    /// Two nodes have the same name.
     #[error("node {other} is called {name} as well")]
     NameTaken {
         /// The node that has the name.
@@ -107,15 +108,15 @@
     /// Scheduled changes do not nest.
     #[error("a timed change within a timed change")]
     NestedSchedule,
-    /// A drain that would go back or skip a stage; stages by their names.
+    /// A drain would go back or skip a stage.
     #[error("cannot go from {from} to {to}")]
     StageOrder {
-        /// The present stage, or "none".
+        /// Name of the present stage, or "none".
         from: &'static str,
-        /// The proposed stage.
+        /// Name of the proposed stage.
         to: &'static str,
     },
-    /// A volume on a shard that has no node.
+    /// A volume is on a shard that has no node.
     #[error("its data may lie in cell {shard}, which no node holds")]
     ShardWithoutNode {
         /// The shard.
@@ -123,16 +124,16 @@
     },
 }
 
-/// Why a persisted revision cannot be applied to this state.
+/// The reason why a persisted revision cannot be applied to this state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum OutOfOrder {
-    /// This version or a newer one is here already: the feed was reset to an older state.
+    /// The catalog already has this version or a newer one: the feed was reset to an older state.
     #[error("the revision is older than the state")]
     Older,
-    /// Revisions before it are missing.
+    /// Revisions before this one are missing.
     #[error("revisions from {} on are missing", .expected.0)]
     Gap {
-        /// The next version that fits.
+        /// The next version that can be applied.
         expected: Version,
     },
 }
--- a/crates/catalog/src/feed/follower_lease.rs
+++ b/crates/catalog/src/feed/follower_lease.rs
@@ -1,23 +1,23 @@
-//! A host's side of the feed: the versions that it reckons with, and its lease.
+//! A host's side of the feed: the versions that the host takes into account, and its lease.
 //!
 //! Owned by [`crate::follower`], which persists the versions before it acknowledges them.
 
 use crate::records::Version;
 use std::time::Duration;
 
-/// What a host follows, and until when; see the module.
+/// The versions that a host follows, and its lease; see the module.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct FollowerLease {
-    /// The newest version that it follows.
+    /// The newest version that the host follows.
     pub applied: Version,
-    /// Versions before this one need not be reckoned with any more.
+    /// The stable version that the host knows. The host need not take older versions into account.
     pub stable: Version,
     /// End of the lease, by this host's clock.
     until: Duration,
 }
 
 impl FollowerLease {
-    /// As it was persisted: without a lease.
+    /// The persisted versions after a start, without a lease.
     pub fn persisted(applied: Version, stable: Version) -> Self {
         FollowerLease {
             applied,
@@ -26,8 +26,8 @@
         }
     }
 
-    /// An answer to a poll that was sent at `sent`, by this host's clock. One with an older version
-    /// than it has is not followed, nor is its lease.
+    /// Applies the response to a poll that was sent at `sent`, by this host's clock. Ignores a
+    /// response with an older version than the host has, and its lease.
     pub fn granted(&mut self, sent: Duration, version: Version, stable: Version, lease: Duration) {
         if version < self.applied {
             return;
@@ -41,7 +41,7 @@
         self.stable = self.stable.max(stable).min(version);
     }
 
-    /// Whether the lease still runs.
+    /// Returns whether the lease still runs.
     pub fn leased(&self, now: Duration) -> bool {
         now < self.until
     }
--- a/crates/catalog/src/feed/leases.rs
+++ b/crates/catalog/src/feed/leases.rs
@@ -1,7 +1,7 @@
-//! The leader's side of the feed: what each host has, until when it may follow it, and the stable
-//! version.
+//! The leader's side of the feed: which version each host has, until when the host may follow it,
+//! and the stable version.
 //!
-//! Owned by [`crate::leader`]. Bounded by the number of hosts.
+//! Owned by [`crate::leader`]. Memory: one entry for each host.
 
 use super::limit_reductions::LimitReductions;
 use crate::records::Version;
@@ -12,47 +12,46 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostNumber(pub u32);
 
-/// What the leader knows of a host.
+/// The leader's record of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct HostLease {
-    /// The newest version that it acknowledged; None: it was never granted anything.
+    /// The newest version that the host acknowledged; None: it was never granted a lease.
     applied: Option<Version>,
-    /// When the last lease that it may have ends, with the margin.
+    /// When the last lease that the host may have ends, with the margin.
     until: Duration,
-    /// An operator guarantees that it sends nothing.
-    is_gone: bool,
+    /// Whether an operator guarantees that the host sends nothing.
+    is_removed: bool,
 }
 
 impl HostLease {
-    /// The newest version up to which no change takes anything from this host without its
-    /// knowledge.
+    /// The newest version up to which no change lowers this host's quota without its knowledge.
     fn reach(&self, now: Duration, limit_reductions: &LimitReductions) -> Version {
         match self.applied {
             None => limit_reductions.latest(),
-            Some(_) if self.is_gone => limit_reductions.latest(),
+            Some(_) if self.is_removed => limit_reductions.latest(),
             Some(applied) if now < self.until => applied,
             Some(applied) => limit_reductions.reach(applied),
         }
     }
 }
 
-/// How a poll is answered.
+/// The decision on a poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum PollDecision {
-    /// With all revisions that the host does not have, and a lease.
+    /// The host gets all revisions that it does not have, and a lease.
     Grant {
-        /// How long the host may follow them, from when it asked.
+        /// How long the host may follow the revisions, counted from when it sent the poll.
         lease: Duration,
     },
-    /// Some host has more than the leader, whose store was reset to an older state. No host is
-    /// granted anything before an operator has decided, so leases run out and hosts fall back to
-    /// what no change can take away.
+    /// Some host has a newer version than the leader, because the leader's store was reset to an
+    /// older state. The leader grants nothing to any host before an operator has decided. So leases
+    /// run out, and hosts fall back to the quota that no change can lower.
     Behind {
         /// The newest version that a host has.
         applied: Version,
     },
     /// The host is not in the settings.
-    Stranger,
+    UnknownHost,
 }
 
 /// The leases of all hosts; see the module.
@@ -66,9 +65,9 @@
 }
 
 impl Leases {
-    /// `stable`: the stable version that an earlier start persisted. `hosts`: all there are, with
-    /// what each had acknowledged; None: it was never granted anything. Leases of an earlier start
-    /// may still run.
+    /// `stable`: the stable version that an earlier start persisted. `hosts`: all hosts, each with
+    /// the version that it had acknowledged; None: it was never granted a lease. Leases of an
+    /// earlier start may still run.
     pub fn new(
         lease: Duration,
         margin: Duration,
@@ -86,7 +85,7 @@
             let host_lease = HostLease {
                 applied,
                 until,
-                is_gone: false,
+                is_removed: false,
             };
             leases.insert(host, host_lease);
         }
@@ -104,7 +103,8 @@
         self.lease
     }
 
-    /// A host polls, with what it has, and is answered at once; `latest` is the catalog's version.
+    /// Handles a poll of a host that has `applied`, with an immediate response. `latest`: the
+    /// catalog's version.
     pub fn poll(
         &mut self,
         now: Duration,
@@ -116,12 +116,12 @@
         self.grant(now, host)
     }
 
-    /// Some host has followed a version that is not known here.
+    /// Records that some host has followed a version that is not known here.
     pub fn set_behind(&mut self, applied: Version) {
         self.behind = self.behind.max(Some(applied));
     }
 
-    /// A host acknowledges the version that it has and follows; `latest` is the catalog's version.
+    /// Records that a host has and follows `applied`. `latest`: the catalog's version.
     pub fn acknowledge(&mut self, host: HostNumber, applied: Version, latest: Version) {
         let Some(host_lease) = self.hosts.get_mut(&host) else {
             return;
@@ -133,37 +133,39 @@
         }
     }
 
-    /// A host is answered, and has a lease from then on.
+    /// Decides on the response to a host; if granted, the host has a lease from now on.
     pub fn grant(&mut self, now: Duration, host: HostNumber) -> PollDecision {
         let Some(host_lease) = self.hosts.get_mut(&host) else {
-            return PollDecision::Stranger;
+            return PollDecision::UnknownHost;
         };
         if let Some(applied) = self.behind {
             return PollDecision::Behind { applied };
         }
-        // Whatever it acknowledged, from here on it may follow something.
+        // From now on, the host may follow a version even if it has acknowledged none.
         host_lease.applied = host_lease.applied.or(Some(Version(0)));
         host_lease.until = now + self.lease + self.margin;
-        host_lease.is_gone = false;
+        host_lease.is_removed = false;
         PollDecision::Grant { lease: self.lease }
     }
 
-    /// The newest version that a host has acknowledged; None: it was never granted anything.
+    /// The newest version that a host has acknowledged; None: it was never granted a lease.
     pub fn applied(&self, host: HostNumber) -> Option<Version> {
         self.hosts
             .get(&host)
             .and_then(|host_lease| host_lease.applied)
     }
 
-    /// An operator guarantees that this host sends nothing until it is granted a lease again.
-    pub fn set_gone(&mut self, host: HostNumber) {
+    /// Records an operator's guarantee that this host sends nothing until it is granted a lease
+    /// again.
+    pub fn set_removed(&mut self, host: HostNumber) {
         if let Some(host_lease) = self.hosts.get_mut(&host) {
-            host_lease.is_gone = true;
+            host_lease.is_removed = true;
         }
     }
 
-    /// The stable version: all changes up to it have reached every host that they must. It never
-    /// goes back, and never beyond `upto`, since what may yet be taken back is not stable.
+    /// The stable version: all changes up to it have reached every host that they must reach. The
+    /// stable version never goes back, and never beyond `upto`, since a revision that may yet be
+    /// reverted is not stable.
     pub fn stable(
         &mut self,
         now: Duration,
@@ -180,8 +182,8 @@
         self.stable
     }
 
-    /// Hosts for which a version waits to be stable, and whether only their own acknowledgement can
-    /// end that: their last lease has ended.
+    /// Hosts for which a version waits to be stable, and whether only the host's own acknowledgement
+    /// can end that, because its last lease has ended.
     pub fn waits_for(
         &self,
         now: Duration,
@@ -200,7 +202,7 @@
         let may_change = |host_lease: &&HostLease| {
             host_lease
                 .applied
-                .is_some_and(|applied| applied > self.stable || !host_lease.is_gone)
+                .is_some_and(|applied| applied > self.stable || !host_lease.is_removed)
         };
         self.hosts
             .values()
--- a/crates/catalog/src/feed/limit_reductions.rs
+++ b/crates/catalog/src/feed/limit_reductions.rs
@@ -12,17 +12,17 @@
     before: Version,
 }
 
-/// The known versions that lower what hosts may rely on; see the module.
+/// The known versions that lower limits; see the module.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct LimitReductions {
-    /// Which versions up to this one lower limits is unknown.
+    /// Whether versions up to this one lower limits is unknown.
     known_after: Version,
     reductions: Vec<Reduction>,
     latest: Version,
 }
 
 impl LimitReductions {
-    /// Without any, after a version about whose predecessors nothing is known.
+    /// No reductions, after a version about whose predecessors nothing is known.
     pub fn new(known_after: Version) -> Self {
         LimitReductions {
             known_after,
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The last version that takes nothing from a host without a lease that has `applied`.
+    /// The last version that lowers no quota of a host that has `applied` and no lease.
     pub(super) fn reach(&self, applied: Version) -> Version {
         if applied < self.known_after {
             return applied;
@@ -57,7 +57,7 @@
             .map_or(self.latest, |reduction| reduction.before)
     }
 
-    /// Forgets what lies before a stable version.
+    /// Drops the reductions up to a stable version.
     pub fn forget(&mut self, stable: Version) {
         self.known_after = self.known_after.max(stable);
         self.reductions
--- a/crates/catalog/src/feed/quota.rs
+++ b/crates/catalog/src/feed/quota.rs
@@ -1,6 +1,6 @@
-//! A host's part of a volume's limit. Pure functions.
+//! A host's quota of a volume's limit. Pure functions, called by [`crate::follower`].
 
-/// What one version says of a volume, as one host reads it. Rates are in units a second.
+/// The terms of a volume in one version, for one host. Rates are in units a second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitTerms {
     /// The volume's reservation over all hosts.
@@ -9,33 +9,33 @@
     pub limit: f64,
     /// Capacity of the limit's token bucket over all hosts, units.
     pub burst: f64,
-    /// Through how many hosts it is served.
+    /// Number of hosts through which the volume is served.
     pub hosts: usize,
-    /// Whether this host is one of them.
+    /// Whether this host is one of these hosts.
     pub mine: bool,
 }
 
 impl LimitTerms {
     fn quota(&self, leased: bool) -> Quota {
-        let part = if self.mine {
+        let fraction = if self.mine {
             1.0 / self.hosts.max(1) as f64
         } else {
             0.0
         };
         let rate = if leased { self.limit } else { self.reservation };
         Quota {
-            rate: rate * part,
-            burst: self.burst * part,
+            rate: rate * fraction,
+            burst: self.burst * fraction,
         }
     }
 }
 
-/// A host's part of a limit.
+/// A host's quota of a limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// Units a second.
+    /// Tokens added to the bucket, units a second.
     pub rate: f64,
-    /// Units.
+    /// Capacity of the bucket, units.
     pub burst: f64,
 }
 
@@ -48,8 +48,8 @@
     }
 }
 
-/// What a host may send of a volume by all versions that it must reckon with; None: no limit. A
-/// version in which the volume does not exist has no terms.
+/// The quota of a volume that a host may use under all versions that it must take into account;
+/// None: no limit. A version in which the volume does not exist has no terms.
 ///
 /// ```
 /// use grebecleat_catalog::feed::{quota, Quota, LimitTerms};
@@ -61,11 +61,12 @@
 ///     mine: true,
 /// };
 /// let rate_of_4 = Some(Quota { rate: 4.0, burst: 8.0 });
-/// // Raised from 8 to 12 over two hosts, not stable yet: still 4, and the burst that goes with it.
+/// // The limit rises from 8 to 12 over two hosts and is not stable yet: the rate is still 4, with
+/// // the former burst.
 /// assert_eq!(quota([terms(8.0, 2), terms(12.0, 2)], true), rate_of_4);
-/// // A third host comes in: from now on each has a third.
+/// // A third host is added: from now on each host has a third.
 /// assert_eq!(quota([terms(12.0, 2), terms(12.0, 3)], true), rate_of_4);
-/// // Without a lease: the part of the reservation.
+/// // Without a lease, the host has its quota of the reservation.
 /// assert_eq!(quota([terms(12.0, 2)], false), Some(Quota { rate: 2.0, burst: 12.0 }));
 /// assert_eq!(quota([terms(0.0, 2)], false), None);
 /// ```
--- a/crates/catalog/src/leader.rs
+++ b/crates/catalog/src/leader.rs
@@ -280,7 +280,7 @@
     }
 
     fn remove_host(&mut self, call: CallId, host: HostNumber, author: &str) {
-        self.leases.set_gone(host);
+        self.leases.set_removed(host);
         let name = self.hosts.get(host.0 as usize).cloned().unwrap_or_default();
         self.note(format!(
             "{author} answers for it that host {name} sends nothing"
--- a/crates/catalog/src/records.rs
+++ b/crates/catalog/src/records.rs
@@ -1,4 +1,4 @@
-//! The records that the catalog holds: plans, volumes, nodes, drains, and what a deployment fixes.
+//! The records of the catalog: plans, volumes, nodes, drains, and the facts of a deployment.
 //!
 //! Plain data, used by every other module of this package and by the packages that store and send
 //! it. Owns no state. Rates are in units a second; times are since 1970 by the wall clock.
@@ -7,7 +7,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Number of a state of the catalog; every revision makes a higher one. 0: the empty catalog.
+/// Number of a state of the catalog. Every revision makes a higher version; version 0 is the empty
+/// catalog.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version(pub u64);
 
@@ -18,21 +19,22 @@
     }
 }
 
-/// Name of a plan, host, zone, target or author; shared, since thousands of volumes have the same.
+/// Name of a plan, host, zone, target or author. The text is shared, because thousands of volumes
+/// have the same plan and hosts.
 pub type Name = Arc<str>;
 
-/// Terms on which a volume is served, over all hosts together.
+/// The terms on which a volume is served, over all hosts together.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Plan {
     /// Expected load, units a second.
     pub rate: f64,
-    /// Load that is promised, units a second.
+    /// Guaranteed load, units a second.
     pub reservation: f64,
-    /// Load that is never passed for long, units a second; 0: no limit.
+    /// Load that is never exceeded for long, units a second; 0: no limit.
     pub limit: f64,
     /// Capacity of the limit's token bucket, units.
     pub burst: f64,
-    /// Units by which the limit may be passed.
+    /// Units by which the limit may be exceeded.
     pub slack: f64,
     /// Priority weight: where not all reservations can be met, the lightest give way first.
     pub weight: f64,
@@ -43,11 +45,11 @@
 /// A volume: its plan, the hosts that serve it and where its data may lie.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Volume {
-    /// Name of its plan, which must exist.
+    /// Name of the volume's plan, which must exist.
     pub plan: Name,
-    /// Hosts through which it is served; at least one, each once.
+    /// Hosts through which the volume is served; at least one, each once.
     pub hosts: Arc<[Name]>,
-    /// Shards on which its data may lie.
+    /// Shards on which the volume's data may lie.
     pub shards: Arc<[u32]>,
     /// Size in blocks, above 0.
     pub blocks: u64,
@@ -56,28 +58,28 @@
 /// A storage node.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Node {
-    /// Operators' name of the node, unique. Empty: it goes by its number.
+    /// Operators' name of the node, unique. Empty: the node has only a number.
     pub name: Name,
-    /// Failure domain: all its nodes may fail together.
+    /// Failure domain: all nodes of a zone may fail together.
     pub zone: Name,
-    /// The shard that it holds.
+    /// The shard that the node holds.
     pub shard: u32,
-    /// Units a second; 0: not configured.
+    /// Capacity, units a second; 0: not configured.
     pub capacity: f64,
 }
 
-/// Progress of a drain, as far as it must survive a crash. Steps in between are reported by hosts
-/// as they are.
+/// Progress of a drain, as far as it must survive a crash. Hosts report the progress between two
+/// stages, and report it again after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum Stage {
-    /// It waits until nothing speaks against it; the node serves as before.
+    /// The drain waits until there is no objection to it; the node serves as before.
     Queued,
     /// Hosts send the node nothing new.
     #[default]
     Draining,
-    /// Nothing that any host sent to the node is in flight.
+    /// No attempt of any host is in flight at the node.
     Drained,
-    /// The node is taken out: a process that comes back under its number gets no work before an
+    /// The node is removed: a process that starts under its number gets no requests before an
     /// operator returns the node.
     Removed,
 }
@@ -85,27 +87,27 @@
 /// A request to empty a node.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Drain {
-    /// How far it has come.
+    /// The progress of the drain.
     pub stage: Stage,
-    /// Timeout, counted from the start of draining; zero: none.
+    /// Timeout of the drain, counted from the start of draining; zero: none.
     pub timeout: Duration,
-    /// Who asked first. The leader fills in this and the next two.
+    /// The operator who first requested the drain. The leader fills in this field and the next two.
     pub author: Name,
-    /// When it was first asked for, since 1970.
+    /// When the drain was first requested, since 1970.
     pub requested_at: Duration,
     /// When the stage last changed, since 1970.
     pub since: Duration,
 }
 
 impl Drain {
-    /// Whether the node is to get nothing new.
+    /// Returns whether hosts must send the node nothing new.
     pub fn holds(&self) -> bool {
         self.stage != Stage::Queued
     }
 }
 
 impl Stage {
-    /// Every stage with its name as stored and as operators read it.
+    /// All stages, each with its name as stored and as operators read it.
     pub const NAMES: [(Stage, &'static str); 4] = [
         (Stage::Queued, "queued"),
         (Stage::Draining, "going"),
@@ -113,7 +115,7 @@
         (Stage::Removed, "out"),
     ];
 
-    /// Name as stored and as operators read it.
+    /// The stage's name as stored and as operators read it.
     pub fn name(self) -> &'static str {
         Stage::NAMES
             .iter()
@@ -121,9 +123,10 @@
             .map_or("", |(_, name)| name)
     }
 
-    /// Whether a drain may go from one stage to another; None: there is no drain. A stage never
-    /// goes back except to none at all: hosts have acted on a drained node's state and cannot take
-    /// that back. A node that was removed is returned first, and perhaps drained anew.
+    /// Returns whether a drain may go from one stage to another; None: there is no drain. A drain
+    /// never goes back to an earlier stage: hosts have acted on the drained node's state and cannot
+    /// revert that. A drain can only end. An operator returns a removed node first, and may drain
+    /// it again.
     ///
     /// ```
     /// use grebecleat_catalog::records::Stage::{self, *};
@@ -142,12 +145,12 @@
     }
 }
 
-/// What the settings of a deployment fix and no change touches.
+/// The facts that the settings of a deployment fix, and that no change touches.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Deployment {
-    /// Names of all hosts; a volume is served through some of them.
+    /// Names of all hosts. Each volume is served through some of them.
     pub hosts: BTreeSet<Name>,
-    /// Longest time between the decision to send an attempt and its sending: a limit's slack must
-    /// cover it.
+    /// Longest time between the decision to send an attempt and its sending. A plan's slack must
+    /// cover the load of this time.
     pub max_dispatch_delay: Duration,
 }
--- a/crates/catalog/src/validation.rs
+++ b/crates/catalog/src/validation.rs
@@ -32,7 +32,7 @@
         }
         _ => Ok(()),
     };
-    checked.map_err(|what| ChangeError::Figure {
+    checked.map_err(|what| ChangeError::InvalidValue {
         subject: change.subject(),
         what,
     })
@@ -170,7 +170,7 @@
     if Stage::may_follow(stage, Some(drain.stage)) {
         return Ok(());
     }
-    Err(ChangeError::Figure {
+    Err(ChangeError::InvalidValue {
         subject: Subject::Drain(node),
         what: InvalidValue::StageOrder {
             from: stage.map_or("none", Stage::name),
@@ -189,7 +189,7 @@
     };
     let in_base = after.base.node_by_name(&node.name).filter(has_name);
     match in_base.or_else(|| after.changed_nodes().find(has_name)) {
-        Some(other) => Err(ChangeError::Figure {
+        Some(other) => Err(ChangeError::InvalidValue {
             subject: Subject::Node(id),
             what: InvalidValue::NameTaken {
                 other,
@@ -234,7 +234,7 @@
         };
         let missing = volume.shards.iter().find(|shard| !shards.contains(shard));
         if let Some(shard) = missing {
-            return Err(ChangeError::Figure {
+            return Err(ChangeError::InvalidValue {
                 subject: Subject::Volume(id),
                 what: InvalidValue::ShardWithoutNode { shard: *shard },
             });
--- a/crates/catalog/tests/feed.rs
+++ b/crates/catalog/tests/feed.rs
@@ -252,7 +252,7 @@
             if i == 0 && state.mishaps < self.mishaps {
                 push(&|state| {
                     state.mishaps += 1;
-                    state.leases.set_gone(HostNumber(0));
+                    state.leases.set_removed(HostNumber(0));
                     state.hosts[0] = Host {
                         gone: true,
                         ..Host::default()
