--- a/crates/cli/tests/crowded_discovery.rs
+++ b/crates/cli/tests/crowded_discovery.rs
@@ -92,7 +92,7 @@
 /// A node drains as soon as discovery could have told every host; each host has a request for it
 /// every 100 ms.
 #[test]
-fn nothing_reaches_a_node_that_drained_a_term_ago() {
+fn no_attempt_reaches_a_node_that_started_draining_a_term_ago() {
     let fleet = Fleet::start();
     fleet
         .discovery
@@ -125,7 +125,7 @@
 
 /// Discovery has told what it has written, whatever the host has given up meanwhile.
 #[test]
-fn an_answer_that_comes_after_its_call_was_repeated_is_heard() {
+fn a_response_that_arrives_after_its_call_was_repeated_counts() {
     let node = node(|_| says(GOOD));
     let discovery = Hand::start();
     let known = json!({"rev": 1, "all": true, "targets": [target("s-1", &node, 0, "ready")]});
@@ -149,7 +149,7 @@
 
 /// A list is as long as the fleet is large, and may be indented.
 #[test]
-fn a_list_of_thousands_of_indented_entries_is_taken() {
+fn an_endpoint_list_of_thousands_of_indented_entries_is_accepted() {
     const ENTRIES: u32 = 3200;
     let node = node(|_| says(GOOD));
     let entries: Vec<Value> = (0..ENTRIES)
@@ -171,7 +171,7 @@
 /// A list from before the start is acted on for three seconds; a node that turns requests away gets
 /// no more from then on, one that completes them does, until discovery answers.
 #[test]
-fn a_host_that_is_always_refused_sends_on_only_to_nodes_that_complete_requests() {
+fn a_host_that_discovery_always_refuses_sends_only_to_nodes_that_complete_requests() {
     const CACHED_LEASE: Duration = ms(3000);
     let (serves, turns_away) = (node(|_| says(GOOD)), node(|_| says(AWAY)));
     let targets = json!([
@@ -238,7 +238,7 @@
 /// A connection that ends with its answer is no failure: the watch goes on with the next one, and
 /// waits there. Where nothing was waited for, it is one, or discovery would be called without end.
 #[test]
-fn a_discovery_that_ends_each_connection_with_its_answer_is_watched() {
+fn a_discovery_that_closes_each_connection_after_its_response_is_watched() {
     let node = node(|_| says(GOOD));
     let discovery = Hand::start();
     let _host = Live::begin(discovery.address, 64, settings());
@@ -274,7 +274,7 @@
 /// A revision that runs backwards is of a discovery that has lost its own: also where the connection
 /// then breaks, the complete list is asked for.
 #[test]
-fn a_revision_that_ran_backwards_is_not_resumed() {
+fn a_revision_that_went_backwards_is_not_resumed() {
     let node = node(|_| says(GOOD));
     let discovery = Hand::start();
     let _host = Live::begin(discovery.address, 64, settings());
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_list_that_is_back_is_called_however_many_idle_clients_there_are() {
+fn a_recovered_discovery_is_called_however_many_idle_clients_there_are() {
     for when in [
         When::AtStart,
         When::InService,
@@ -285,7 +285,7 @@
 
 /// They ask whether the host is ready, and stay.
 #[test]
-fn a_list_that_is_back_is_called_however_many_clients_asked_once_and_stay() {
+fn a_recovered_discovery_is_called_however_many_clients_stay_after_one_request() {
     for when in [
         When::AtStart,
         When::InService,
@@ -297,7 +297,7 @@
 }
 
 #[test]
-fn idle_clients_that_come_again_and_again_keep_out_nobody_who_speaks() {
+fn idle_clients_that_reconnect_again_and_again_do_not_block_active_ones() {
     let node = node(|_| says(GOOD));
     let list = discovery(json!([target("s-1", &node, 0, "ready")]));
     let live = Live::start(&list, SOCKETS);
--- a/crates/cli/tests/ends.rs
+++ b/crates/cli/tests/ends.rs
@@ -76,7 +76,7 @@
 
 /// The node takes so little that a part of the attempt stays with the host.
 #[test]
-fn an_attempt_written_in_part_never_comes_whole_after_its_client_left() {
+fn a_partially_written_attempt_is_never_completed_after_its_client_left() {
     let (node, _list, live) = one_narrow();
     let mut client = live.connect();
     send(&mut client, &large("t"));
@@ -103,7 +103,7 @@
 /// An attempt that has not come whole has not run: whatever is said on its connection was made for
 /// another, and it goes to the node anew.
 #[test]
-fn an_answer_to_an_attempt_that_has_not_come_whole_is_not_its_answer() {
+fn a_response_to_an_incomplete_attempt_is_not_its_response() {
     for (said, status) in [
         ("200 OK", 200),
         ("500 No", 200),
@@ -141,7 +141,7 @@
 
 /// They wait in the listener's queue while the host stands still, and have left when it looks.
 #[test]
-fn who_left_before_being_accepted_is_not_sent_on() {
+fn a_request_of_a_client_that_left_before_accept_is_not_forwarded() {
     let (node, _list, live) = one_node(|_| says(GOOD));
     live.signal("-STOP");
     for n in 0..60 {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn the_id_of_a_client_that_left_is_not_free_while_its_attempt_is_out() {
+fn the_request_id_of_a_client_that_left_stays_reserved_while_its_attempt_is_outstanding() {
     let (node, _list, live) = one_hand();
     let text = request("once", "same", 0, 7, 2900);
     let mut client = live.connect();
@@ -217,7 +217,7 @@
 /// The host stands still while the second answer and the next request come: whichever it hears
 /// first, the answer is not taken for that request's.
 #[test]
-fn a_second_answer_is_never_taken_for_the_next_attempts() {
+fn a_duplicate_response_is_never_taken_for_the_next_attempts() {
     let (node, _list, live) = one_hand();
     let mut client = live.connect();
     for n in 0..20 {
@@ -241,7 +241,7 @@
 
 /// It keeps coming, never whole: it is given up with its request's time, and has run.
 #[test]
-fn an_answer_that_trickles_for_ever_ends_with_its_requests_time() {
+fn a_response_that_trickles_forever_ends_at_the_requests_deadline() {
     let node = Hand::start();
     let list = discovery(json!([target_at("s-1", node.address, 0, "ready")]));
     let mut live = Live::begin(list.address, 256, settings_with_deadline(500));
@@ -270,7 +270,7 @@
 
 /// What the former list tells counts until the new one has answered, and then the new one's alone.
 #[test]
-fn a_list_that_moves_is_heard_at_both_places_until_the_new_one_answers() {
+fn a_moved_discovery_is_read_at_both_addresses_until_the_new_one_responds() {
     let (first, second) = (node(|_| says(GOOD)), node(|_| says(GOOD)));
     let (old, new) = (Hand::start(), Hand::start());
     let mut live = Live::begin(old.address, 256, settings());
@@ -324,7 +324,7 @@
 /// However a watch ends, what is newer than the last answer is asked for next, or the whole list
 /// where discovery has lost its revisions; and what it tells is in force.
 #[test]
-fn a_watch_that_ends_in_any_way_is_followed_by_a_call_for_all_that_it_missed() {
+fn a_watch_that_ends_in_any_way_is_followed_by_a_call_for_all_missed_changes() {
     type Case = (&'static str, fn(&mut Came), bool);
     let cases: [Case; 5] = [
         ("reset", |w| w.ends(), true),
@@ -411,7 +411,7 @@
 /// it; the next one fails as late as it can; the third is answered as late as it may. The settings'
 /// seed is one with which the decisions alone would wait for long after both.
 #[test]
-fn a_node_that_drains_gets_nothing_after_the_term_whatever_calls_fail() {
+fn a_draining_node_gets_no_attempt_after_the_term_whatever_calls_fail() {
     type Case = (&'static str, &'static str, fn(&mut Came, &Hand));
     let cases: [Case; 5] = [
         ("never answered", "on_request", |_, _| ()),
@@ -507,7 +507,7 @@
 }
 
 #[test]
-fn a_file_that_is_torn_gone_or_another_hosts_changes_nothing_and_is_said_once() {
+fn a_configuration_that_is_torn_gone_or_another_hosts_changes_nothing_and_is_logged_once() {
     let (node, _list, live) = one_node(|_| says(GOOD));
     let elsewhere = Hand::start();
     let told = |n: usize| {
@@ -561,7 +561,7 @@
 /// An idle connection is closed, and its client comes again with what crossed that: it is answered.
 /// Further signals change nothing.
 #[test]
-fn who_comes_again_after_the_close_of_an_idle_connection_is_answered() {
+fn a_client_that_reconnects_after_an_idle_close_is_answered() {
     let node = node(|_| says(GOOD));
     let list = discovery(json!([target("s-1", &node, 0, "ready")]));
     // It listens until 0.2 s before it may be killed, which is 0.6 and 0.7 s after the signal. On a
@@ -626,7 +626,7 @@
 /// All that was sent behind one another and read is answered, though answers end their connections
 /// by then.
 #[test]
-fn what_was_sent_behind_one_another_is_answered_before_the_end() {
+fn pipelined_requests_are_answered_before_the_shutdown() {
     let (node, _list, mut live) = one_hand();
     let mut idle = live.connect();
     let mut ask = |n: u64| {
--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn what_is_acknowledged_is_read_back_after_the_host_was_killed() {
+fn acknowledged_writes_are_read_back_after_the_host_was_killed() {
     let site = Site::new("restart");
     let host = site.host();
     let writes: Vec<(u64, u64, Vec<u8>)> = (0..24)
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn many_commands_out_on_several_sessions_each_have_one_answer() {
+fn each_of_many_outstanding_commands_on_several_sessions_has_one_response() {
     let site = Site::new("many");
     let _host = site.host();
     std::thread::scope(|s| {
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn who_cannot_prove_itself_stays_out() {
+fn an_initiator_that_fails_authentication_is_rejected() {
     let site = Site::new("chap");
     let _host = site.host();
     let wish = |chap: Option<(&str, &str)>| Wish {
@@ -451,7 +451,7 @@
 /// Bytes that are no PDU, wrong digests, lengths and keys beyond all bounds, logins that are never
 /// finished: each is refused or hung up on, and a session beside them goes on.
 #[test]
-fn initiators_that_lie_harm_nobody_else() {
+fn initiators_that_violate_the_protocol_harm_no_other_session() {
     let site = Site::new("liars");
     let _host = site.host();
     let mut good = site.initiator(1, true);
@@ -520,7 +520,7 @@
 
 /// Who only uses its window may leave all of it unread for a while.
 #[test]
-fn a_window_full_of_large_reads_is_no_reason_to_hang_up() {
+fn a_window_full_of_large_reads_does_not_close_the_session() {
     let site = Site::new("unread");
     let _host = site.host();
     let mut i = site.initiator(1, false);
@@ -539,7 +539,7 @@
 }
 
 #[test]
-fn a_short_day_over_iscsi_with_the_host_killed() {
+fn a_short_scenario_over_iscsi_with_the_host_killed() {
     let dir = std::env::temp_dir().join(format!("grebecleat-iscsi-day-{}", std::process::id()));
     let _ = fs::remove_dir_all(&dir);
     fs::create_dir_all(&dir).unwrap();
--- a/crates/cli/tests/peers.rs
+++ b/crates/cli/tests/peers.rs
@@ -285,7 +285,7 @@
 /// give a quarter; and never more over all hosts, while that host is cut off, stands still for
 /// longer than its loans, and is killed and comes back without knowing what it had.
 #[test]
-fn parts_of_a_limit_follow_demand_and_the_limit_holds_through_cuts_stops_and_kills() {
+fn quotas_of_a_limit_follow_demand_and_the_limit_holds_through_partitions_pauses_and_kills() {
     let _alone = alone();
     let mut site = Site::new("parts", FLEET);
     site.until(0, "3 peers heard");
@@ -351,7 +351,7 @@
 
 /// Hosts that name no fleet, and one that hears nobody, serve as before.
 #[test]
-fn a_mixed_fleet_and_hosts_without_peers_serve_by_their_even_parts() {
+fn a_mixed_fleet_and_hosts_without_peers_serve_by_their_even_quotas() {
     let _alone = alone();
     let mut site = Site::new("mixed", "");
     assert!(site.shows(0).contains("tells its peers nothing"));
--- a/crates/cli/tests/plans.rs
+++ b/crates/cli/tests/plans.rs
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn an_operators_day_at_the_command_line() {
+fn an_operators_commands_change_show_and_undo_the_catalog() {
     let _alone = alone();
     let s = Service::new("day");
     assert_eq!(
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn what_was_acknowledged_is_there_after_every_kill() {
+fn acknowledged_changes_survive_every_kill() {
     let _alone = alone();
     let mut s = Service::new("kill");
     let mut entry = 1;
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn a_damaged_store_is_told_and_put_back_from_a_snapshot() {
+fn a_damaged_store_is_reported_and_restored_from_a_snapshot() {
     let _alone = alone();
     let mut s = Service::new("damage");
     s.done(&["set", "plan basic rate=50"]);
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_request_passes_unchanged_and_so_does_its_answer() {
+fn a_request_and_its_response_are_forwarded_unchanged() {
     let (node, _list, live) = one_node(|_| says(GOOD));
     let mut stream = TcpStream::connect(live.address).unwrap();
     for n in 0..3 {
@@ -54,7 +54,7 @@
 /// What never ran may be tried again or deferred, whatever the traffic class; what may have run,
 /// never for one that is unrepeatable.
 #[test]
-fn only_what_proves_that_an_attempt_never_ran_lets_an_unrepeatable_request_be_sent_again() {
+fn a_non_idempotent_request_is_retried_only_after_proof_that_the_attempt_never_ran() {
     let stalled = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood";
     let huge = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood";
     let both = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\ngood";
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_good_answer_counts_whatever_comes_before_and_behind_it() {
+fn a_complete_response_counts_whatever_precedes_and_follows_it() {
     let early = format!("HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n{GOOD}");
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ngo\r\n2\r\nod\r\n0\r\n\r\n"
@@ -129,7 +129,7 @@
 
 /// The pages speak of 64 KiB at most; nodes were seen to give three times that.
 #[test]
-fn a_large_answer_passes_whole_and_its_connection_stays() {
+fn a_large_response_is_forwarded_completely_and_its_connection_stays_open() {
     let data: String = (0..200_000)
         .map(|n| char::from(b'a' + (n % 23) as u8))
         .collect();
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn what_the_module_gives_up_is_answered_with_a_time_to_come_back() {
+fn a_shed_request_is_answered_with_retry_after() {
     // Nobody holds shard 5.
     let (node, _list, live) = one_node(|_| says(GOOD));
     let mut stream = TcpStream::connect(live.address).unwrap();
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn who_cannot_be_understood_gets_a_fault_of_his_own_and_nothing_reaches_a_node() {
+fn a_malformed_request_gets_a_client_error_and_reaches_no_node() {
     let (node, _list, live) = one_node(|_| says(GOOD));
     let good = request("once", "t", 0, 7, 2500);
     let change = |from: &str, to: &str| good.replacen(from, to, 1);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn an_id_that_is_open_is_refused_and_the_request_that_has_it_goes_on() {
+fn an_id_of_an_open_request_is_rejected_and_the_open_request_continues() {
     let (node, _list, live) = one_node(|_| Does::Waits(ms(400), GOOD.into()));
     let text = request("once", "same", 0, 7, 2500);
     let mut first = TcpStream::connect(live.address).unwrap();
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn a_drained_node_gets_nothing_new_and_a_reload_moves_to_another_list() {
+fn a_drained_node_gets_no_new_attempt_and_a_reload_moves_to_another_discovery() {
     let (old, list, live) = one_node(|_| says(GOOD));
     assert_eq!(live.ask(&request("once", "a", 0, 1, 2500)), Some(200));
     let new = node(|_| says(GOOD));
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn told_to_end_it_serves_on_answers_what_it_took_and_ends() {
+fn after_sigterm_the_host_continues_to_serve_answers_open_requests_and_ends() {
     let (_node, _list, mut live) = one_node(|_| Does::Waits(ms(900), GOOD.into()));
     let mut open = TcpStream::connect(live.address).unwrap();
     open.write_all(request("once", "a", 0, 1, 2500).as_bytes())
@@ -322,7 +322,7 @@
 }
 
 #[test]
-fn callers_who_say_nothing_do_not_keep_others_out() {
+fn silent_clients_do_not_block_others() {
     let node = node(|_| says(GOOD));
     let list = discovery(json!([target("s-1", &node, 0, "ready")]));
     let live = Live::start(&list, 64);
@@ -344,7 +344,7 @@
 
 /// Whoever asks once and stays must not take the place of those who would ask.
 #[test]
-fn of_many_clients_that_stay_those_that_asked_last_are_kept() {
+fn of_many_clients_that_stay_the_most_recent_are_retained() {
     let node = node(|_| says(GOOD));
     let list = discovery(json!([target("s-1", &node, 0, "ready")]));
     let live = Live::start(&list, 100);
@@ -410,7 +410,7 @@
 /// Bound to one of the machine's processors, all hosts there would wait for whatever keeps that one
 /// busy.
 #[test]
-fn every_thread_may_run_wherever_the_process_may() {
+fn no_thread_is_restricted_to_fewer_processors_than_the_process() {
     let (_node, _list, live) = one_node(|_| says(GOOD));
     let allowed = |path: std::path::PathBuf| {
         let status = std::fs::read_to_string(path.join("status")).unwrap();
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_quiet_day_is_served_and_draws_the_same_work_again() {
+fn a_scenario_without_faults_is_served_and_is_deterministic() {
     let _alone = alone();
     let folder = Folder::new("quiet");
     let (first, [_, all, done, ..]) = day(&folder, "one", "", &[]);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_host_killed_and_started_again_and_one_that_stands_still() {
+fn a_scenario_with_a_restarted_host_and_a_paused_host() {
     let _alone = alone();
     let folder = Folder::new("hosts");
     let troubles = r#"
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn a_zone_restarts_while_the_list_lags_and_nodes_fail_fast_under_a_surge() {
+fn a_scenario_with_a_restarted_zone_a_late_discovery_fast_failures_and_a_surge() {
     let _alone = alone();
     let folder = Folder::new("zone");
     let troubles = r#"
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn kinds_of_a_bench_day_by_name_and_from_a_journal() {
+fn fault_kinds_are_given_by_name_or_by_a_journal_entry() {
     let _alone = alone();
     let folder = Folder::new("kinds");
     let (said, _) = day(
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_node_drains_and_comes_back() {
+fn a_scenario_with_a_node_that_drains_and_returns() {
     let _alone = alone();
     let folder = Folder::new("drain");
     let (said, _) = day(
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_bad_file_is_told_whole_and_nothing_is_started() {
+fn every_fault_of_an_invalid_file_is_reported_and_nothing_is_started() {
     let folder = Folder::new("bad");
     // file, and what must be said of it
     let cases: [(&str, &[&str]); 7] = [
@@ -379,7 +379,7 @@
 }
 
 #[test]
-fn a_host_that_is_told_to_end_answers_what_it_holds_first() {
+fn a_host_that_shuts_down_answers_its_open_requests_first() {
     let _alone = alone();
     let folder = Folder::new("term");
     let (_list, _nodes, mut host) = site(&folder, 256);
@@ -422,7 +422,7 @@
 }
 
 #[test]
-fn a_second_signal_ends_it_at_once() {
+fn a_second_signal_ends_the_host_at_once() {
     let _alone = alone();
     let folder = Folder::new("twice");
     let (_list, nodes, mut host) = site(&folder, 256);
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn out_of_descriptors_callers_are_turned_away_and_work_is_still_answered() {
+fn without_descriptors_new_clients_are_rejected_and_open_ones_are_answered() {
     let _alone = alone();
     let folder = Folder::new("fds");
     let (_list, _nodes, host) = site(&folder, 40);
@@ -456,7 +456,7 @@
 }
 
 #[test]
-fn the_program_explains_itself() {
+fn help_and_completions_name_every_command() {
     let help = text(&grebecleat(&["--help"]).stdout);
     for word in [
         "run",
--- a/crates/cli/tests/ready.rs
+++ b/crates/cli/tests/ready.rs
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn nine_in_ten_of_thirty_started_at_once_are_ready_in_time() {
+fn nine_in_ten_of_thirty_hosts_started_at_once_are_ready_in_time() {
     let node = node(|_| says(GOOD));
     let targets = json!([target("s-1", &node, 0, "ready")]);
     // With a remembered list nobody waits for the list, however long that takes; without, nobody
--- a/crates/trace-checker/tests/commands.rs
+++ b/crates/trace-checker/tests/commands.rs
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_run_as_it_should_be() {
+fn a_correct_run_has_no_fault() {
     let mut t = Trace::new();
     t.read(1, 2, 1, &[0, 0, 0]);
     t.write(3, 2, &[7, 8]);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn what_is_missing_and_what_is_excused() {
+fn a_command_without_a_response_is_missing_unless_excused() {
     // Unanswered at the end, its connection closed, told to end, or its host killed.
     for (how, ended) in [
         ("", false),
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_second_answer_and_a_late_write_are_found() {
+fn a_duplicate_response_and_a_late_write_are_found() {
     let mut t = Trace::new();
     t.write(1, 1, &[7]);
     t.status(2, 1, 0);
--- a/crates/trace-checker/tests/doctored.rs
+++ b/crates/trace-checker/tests/doctored.rs
@@ -219,7 +219,7 @@
 use pb::Result::{Error, Full, Ok};
 
 #[test]
-fn an_answer_that_is_missing_late_or_doubled() {
+fn a_missing_late_or_duplicate_response_is_found() {
     both(1, |t, missing| {
         t.take(10, 1, READ);
         if !missing {
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn an_attempt_after_the_answer() {
+fn an_attempt_after_the_response_is_found() {
     both(1, |t, after| {
         t.take(10, 1, READ);
         t.attempt(if after { 25 } else { 15 }, 1, 1, 0);
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn a_request_whose_host_died_is_lost_and_breaks_nothing() {
+fn a_request_whose_host_died_is_lost_and_breaks_no_rule() {
     let mut t = Traces::new();
     t.take(10, 1, READ);
     t.closed(CLIENT, 500);
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_stopped_host_owes_its_answers_once_it_goes_on() {
+fn a_paused_host_owes_its_responses_once_it_continues() {
     for (stopped, broken) in [(true, 0), (false, 1)] {
         let mut t = Traces::new();
         t.take(10, 1, READ);
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn repeats_beyond_what_the_stream_type_allows() {
+fn retries_beyond_the_idempotency_of_the_traffic_class_are_found() {
     both(2, |t, ran| {
         t.take(10, 1, ONCE);
         t.attempt(20, 1, 1, 0);
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn a_deferral_where_trying_again_may_do_harm() {
+fn a_rejection_after_which_a_retry_may_do_harm_is_found() {
     both(2, |t, deferred| {
         t.take(10, 1, ONCE);
         t.attempt(20, 1, 1, 0);
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn an_effect_of_an_unrepeatable_piece_twice() {
+fn a_duplicate_effect_of_a_non_idempotent_request_is_found() {
     both(2, |t, twice| {
         t.take(10, 1, ONCE);
         t.attempt(20, 1, 1, 0);
@@ -347,7 +347,7 @@
 }
 
 #[test]
-fn an_attempt_to_a_draining_node_after_the_grace() {
+fn an_attempt_to_a_draining_node_after_the_grace_is_found() {
     for state in [pb::NodeState::Draining, pb::NodeState::Gone] {
         both(3, |t, late| {
             t.list(100, state, 1);
@@ -359,7 +359,7 @@
 }
 
 #[test]
-fn a_cold_node_sent_more_than_it_bears() {
+fn an_overload_of_a_node_that_warms_up_is_found() {
     // It can do 10 units a second warm, a fifth of that cold; twice that over 2 s is 8, and 10
     // always go.
     both(4, |t, much| {
@@ -384,7 +384,7 @@
 }
 
 #[test]
-fn requests_of_one_key_out_of_turn_or_without_rest() {
+fn requests_of_one_key_out_of_order_or_without_cool_down_are_found() {
     both(5, |t, early| {
         t.take(10, 1, ROW);
         t.take(11, 2, ROW);
@@ -414,7 +414,7 @@
 }
 
 #[test]
-fn further_attempts_beyond_the_budget() {
+fn retries_beyond_the_budget_are_found() {
     // Four taken: two free and a quarter of four make three.
     both(6, |t, more| {
         for n in 0..4 {
@@ -429,7 +429,7 @@
 }
 
 #[test]
-fn a_volume_sent_more_than_its_limit() {
+fn an_exceeded_limit_is_found() {
     // Its store holds 20, fills by 10 a second and may go 5 below: 12 requests of 2 units pass, 13
     // do not.
     both(7, |t, more| {
@@ -442,7 +442,7 @@
 }
 
 #[test]
-fn a_trace_that_was_cut_is_not_judged() {
+fn a_truncated_trace_is_not_checked() {
     let mut case = Case::default();
     let mut t = Traces::new();
     t.0[HOST].push(Record {
--- a/crates/trace-checker/tests/plans.rs
+++ b/crates/trace-checker/tests/plans.rs
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn what_is_called_stable_must_be() {
+fn a_version_declared_stable_too_early_is_found() {
     type Doctor = fn(&mut Traces);
     let cases: [(&str, Doctor, Option<&str>); 7] = [
         ("both said that they have it", |t| (0..2).for_each(|h| t.acknowledged(2500, h, 2)), None),
