--- a/crates/catalog/src/admission.rs
+++ b/crates/catalog/src/admission.rs
@@ -1,27 +1,32 @@
-//! Whether a change may land: what it does to the promises that were made.
+//! Admission control: whether a change may land, by its effect on the reservations.
 //!
-//! The leader calls [`Admission::land`] with the catalog as changes would leave it; the answer says
-//! what speaks against them, and the caller decides: either they stay, or the catalog takes them
-//! back and [`Admission::undo`] is called. No I/O. It owns the site that the catalog describes, as
-//! an [`IncrementalFlow`] without the nodes that are being drained. Memory: the flow, and one
-//! figure for each node and zone.
+//! The leader calls [`Admission::land`] with the catalog as the changes would leave it. The verdict
+//! has the objections, and the caller decides. Either the changes stay, or the catalog reverts them
+//! and the caller calls [`Admission::undo`]. No I/O. Each part of the state has one owner:
 //!
-//! An objection is that reservations which could be met cannot be met any more, or more of them
-//! cannot; a warning, that they could not with any one node or any one zone out, where they could
-//! before. What was already broken is no reason against a change that does not make it worse: else
-//! a site could not be mended step by step. Where no node's capacity is configured, nothing can be
-//! judged, and the answer says so.
+//! - `SiteModel`: the site that the catalog describes, as an
+//!   [`IncrementalFlow`](crate::incremental_flow::IncrementalFlow) without the nodes that are being
+//!   drained;
+//! - `LossTable`: the shortfall with each node and zone out;
+//! - [`Admission`]: the nodes that hosts observe to be unavailable.
 //!
-//! An objection to a drain is, besides, whatever else its zone is without: another drain, a node
-//! that is cold, does not answer as it should or is gone ([`Admission::set_unavailable`]). A zone
-//! is what fails as one, and data is laid out so that it may lose one node and not two; two
-//! operators who each see one drain must not together make it two. A drain that only waits for its
-//! turn is judged by reservations alone, as if its turn had come.
+//! Memory: the flow, and one figure for each node and zone.
 //!
-//! Losses are examined one by one, those first that share nodes with what is changed; the work is
-//! cut off after a number of steps, and the answer says how many losses were not examined.
+//! An objection means that reservations which could be met can no longer be met, or that more of
+//! them cannot. A warning means the same for the case that any one node or any one zone is out. A
+//! shortfall that exists already is no objection to a change that does not increase it: otherwise a
+//! site could not be repaired step by step. Where no node's capacity is configured, the verdict
+//! states that the capacity is unknown, and nothing is evaluated.
+//!
+//! Any other unavailable node in the zone of a drain is an objection to that drain: a node that is
+//! being drained, is warming up, does not answer correctly or is gone
+//! ([`Admission::set_unavailable`]). A zone is a failure domain, and data is laid out so that a
+//! zone may lose one node and not two. Two operators who each see one drain must not together make
+//! it two. A queued drain is evaluated by reservations alone, as if it had started.
+//!
+//! Losses are examined one by one, first those that share nodes with the changed subjects. The
+//! caller limits their number, and the verdict states how many were not examined.
 
-mod loss;
 mod losses;
 mod reasons;
 mod site;
@@ -30,40 +35,27 @@
 
 use crate::catalog::Catalog;
 use crate::change::Change;
-use crate::incremental_flow::{IncrementalFlow, Shortfall};
+use crate::incremental_flow::Shortfall;
 use crate::planner::{check, Out, Site};
 use crate::records::{Drain, Name, Stage};
-use loss::Loss;
+use losses::LossTable;
+use site::SiteModel;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The judgement of changes; see the module.
+/// The admission control; see the module.
 #[derive(Debug, Clone, Default)]
 pub struct Admission {
-    flow: IncrementalFlow,
-    /// Names of zones; the planner knows them by their places here.
-    zones: Vec<Name>,
-    nodes_of_shard: BTreeMap<u32, BTreeSet<u32>>,
-    /// The reservation of each plan that the flow was given.
-    reservations: BTreeMap<Name, f64>,
-    /// Whether any node's capacity was ever configured.
-    capacity_known: bool,
-    /// Nodes that get nothing new.
-    draining: BTreeSet<u32>,
-    stages: BTreeMap<u32, Stage>,
+    site: SiteModel,
+    losses: LossTable,
+    /// Nodes that hosts observe to be unavailable.
     unavailable: BTreeMap<u32, ExclusionReason>,
-    losses: BTreeMap<Out, Loss>,
-    /// The losses as they were before the last changes.
-    losses_before: BTreeMap<Out, Loss>,
 }
 
 impl Admission {
-    /// The judgement for the present state of a catalog. `spread`: see [`Site`].
+    /// The admission control for the present state of a catalog. `spread`: see [`Site`].
     pub fn open(catalog: &Catalog, spread: f64) -> Admission {
         let mut admission = Admission {
-            flow: IncrementalFlow::of(&Site {
-                spread,
-                ..Site::default()
-            }),
+            site: SiteModel::new(spread),
             ..Admission::default()
         };
         let state: Vec<Change> = catalog.state().collect();
@@ -71,57 +63,72 @@
         admission
     }
 
-    /// What hosts observe of a node, which prevents a drain in its zone from starting; None: it is
-    /// available.
-    pub fn set_unavailable(&mut self, node: u32, how: Option<ExclusionReason>) {
-        match how {
-            Some(how) => _ = self.unavailable.insert(node, how),
+    /// Sets hosts' observation of a node. An unavailable node prevents a drain in its zone from
+    /// starting. None: the node is available.
+    pub fn set_unavailable(&mut self, node: u32, reason: Option<ExclusionReason>) {
+        match reason {
+            Some(reason) => _ = self.unavailable.insert(node, reason),
             None => _ = self.unavailable.remove(&node),
         }
     }
 
-    /// Nodes that are being drained, without those whose drain waits for its turn.
+    /// Nodes that are being drained, without those whose drain is queued.
     pub fn drains(&self) -> &BTreeSet<u32> {
-        &self.draining
+        self.site.draining()
     }
 
-    /// What of the reservations cannot be met at present.
+    /// The reservations that cannot be met at present.
     pub fn shortfall(&self) -> Shortfall {
-        self.flow.shortfall()
+        self.site.shortfall()
+    }
+
+    /// The site that a catalog describes.
+    pub fn site(&self, catalog: &Catalog) -> Site {
+        self.site.site(catalog)
+    }
+
+    /// Number of losses that can be examined.
+    pub fn losses(&self) -> usize {
+        self.losses.len()
     }
 
-    /// Judges these changes, which the catalog already has. `steps`: how many losses may be
-    /// examined.
+    /// Updates the figures of at most `steps` stale losses, and returns how many stay stale. Meant
+    /// for idle time.
+    pub fn refresh(&mut self, steps: usize) -> usize {
+        self.losses.refresh(&mut self.site, steps)
+    }
+
+    /// Evaluates changes that the catalog already has. `steps`: how many losses may be examined.
     pub fn land(&mut self, after: &Catalog, changes: &[Change], steps: usize) -> AdmissionVerdict {
-        let before = self.flow.shortfall();
-        self.losses_before = self.losses.clone();
-        let mut changed_nodes = self.nodes_touched(after, changes);
+        let before = self.site.shortfall();
+        self.losses.save();
+        let mut changed_nodes = self.site.nodes_touched(after, changes);
         let drained = self.newly_drained(changes, Drain::holds);
         let queued = self.newly_drained(changes, |drain| !drain.holds());
         let gone = self.gone_elsewhere(after, &drained);
         let before_without_gone = if gone.is_empty() {
             before
         } else {
-            self.flow.without(&gone)
+            self.site.shortfall_without(&gone)
         };
         let not_empty = self.removed_before_empty(changes);
 
         self.apply(after, changes);
 
-        changed_nodes.extend(self.nodes_touched(after, changes));
+        changed_nodes.extend(self.site.nodes_touched(after, changes));
         let mut verdict = AdmissionVerdict::default();
         let objections = &mut verdict.objections;
-        for node in &drained {
-            objections.extend(self.coincidence(after, *node));
-        }
-        for node in not_empty {
-            objections.push(Reason::NotEmpty { node });
-        }
-        if !self.capacity_known {
+        objections.extend(
+            drained
+                .iter()
+                .filter_map(|node| self.coincidence(after, *node)),
+        );
+        objections.extend(not_empty.into_iter().map(|node| Reason::NotEmpty { node }));
+        if !self.site.capacity_known() {
             verdict.capacity_unknown = true;
             return verdict;
         }
-        self.check_reservations(after, &queued, &before, objections);
+        objections.extend(self.check_reservations(after, &queued, &before));
         if !gone.is_empty() && objections.is_empty() {
             objections.extend(self.check_without_gone(gone, &before_without_gone));
         }
@@ -131,11 +138,15 @@
         verdict
     }
 
-    /// The catalog has taken the changes of the last [`Admission::land`] back, and is as it was
-    /// before.
+    /// Reverts the last [`Admission::land`], after the catalog has reverted its changes.
     pub fn undo(&mut self, catalog: &Catalog, changes: &[Change]) {
         self.apply(catalog, changes);
-        self.losses = std::mem::take(&mut self.losses_before);
+        self.losses.undo();
+    }
+
+    fn apply(&mut self, catalog: &Catalog, changes: &[Change]) {
+        self.site.apply(catalog, changes);
+        self.losses.list(&self.site);
     }
 
     /// Nodes of drains for which `is_wanted` holds, and that were not being drained before.
@@ -144,56 +155,55 @@
         changes: &[Change],
         is_wanted: impl Fn(&Drain) -> bool,
     ) -> BTreeSet<u32> {
-        let mut nodes = BTreeSet::new();
-        for (node, drain) in drains_of(changes) {
-            let stage = self.stages.get(&node);
-            let was_drained = stage.is_some_and(|stage| *stage != Stage::Queued);
-            if is_wanted(drain) && !was_drained {
-                nodes.insert(node);
-            }
-        }
-        nodes
+        let was_drained = |node: u32| {
+            let stage = self.site.stage(node);
+            stage.is_some_and(|stage| stage != Stage::Queued)
+        };
+        drains_of(changes)
+            .filter(|&(node, drain)| is_wanted(drain) && !was_drained(node))
+            .map(|(node, _)| node)
+            .collect()
     }
 
-    /// Nodes that are to be taken out and were never empty.
+    /// Nodes that the changes remove before they were drained.
     fn removed_before_empty(&self, changes: &[Change]) -> Vec<u32> {
-        let mut nodes = Vec::new();
-        for (node, drain) in drains_of(changes) {
-            let stage = self.stages.get(&node);
-            let was_empty = stage.is_some_and(|stage| *stage >= Stage::Drained);
-            if drain.stage == Stage::Removed && !was_empty {
-                nodes.push(node);
-            }
-        }
-        nodes
+        let was_empty = |node: u32| {
+            let stage = self.site.stage(node);
+            stage.is_some_and(|stage| stage >= Stage::Drained)
+        };
+        drains_of(changes)
+            .filter(|(node, drain)| drain.stage == Stage::Removed && !was_empty(*node))
+            .map(|(node, _)| node)
+            .collect()
     }
 
-    /// Nodes that are gone in zones where nothing begins to drain now.
+    /// Nodes that are gone in zones where no drain starts now.
     fn gone_elsewhere(&self, catalog: &Catalog, drained: &BTreeSet<u32>) -> BTreeSet<u32> {
         if drained.is_empty() {
             return BTreeSet::new();
         }
         let zone = |id: &u32| catalog.node(*id).map(|node| node.zone.clone());
         let drained_zones: BTreeSet<Option<Name>> = drained.iter().map(zone).collect();
+        let is_elsewhere = |node: &u32| !drained_zones.contains(&zone(node));
         self.unavailable
             .iter()
-            .filter(|(_, how)| **how == ExclusionReason::Removed)
+            .filter(|(_, reason)| **reason == ExclusionReason::Removed)
             .map(|(node, _)| *node)
-            .filter(|node| !drained_zones.contains(&zone(node)) && !self.draining.contains(node))
+            .filter(|node| is_elsewhere(node) && !self.drains().contains(node))
             .collect()
     }
 
-    /// What else the zone of a drained node is without.
+    /// Objects to a drain while other nodes of its zone are unavailable.
     fn coincidence(&self, after: &Catalog, node: u32) -> Option<Reason> {
         let draining = self
-            .draining
+            .drains()
             .iter()
             .map(|other| (*other, ExclusionReason::Draining));
         let unavailable = self
             .unavailable
             .iter()
-            .filter(|(other, _)| !self.draining.contains(other))
-            .map(|(other, how)| (*other, *how));
+            .filter(|(other, _)| !self.drains().contains(other))
+            .map(|(other, reason)| (*other, *reason));
         let zone = |id: u32| after.node(id).map(|node| node.zone.clone());
         let with = excluded_in_zone(node, zone, draining.chain(unavailable));
         (!with.is_empty()).then(|| Reason::Coincides {
@@ -203,23 +213,23 @@
         })
     }
 
-    /// Objects to reservations that cannot be met any more. A drain that waits for its turn is
-    /// judged as if it had come.
+    /// Objects to reservations that can no longer be met. Queued drains are evaluated as if they
+    /// had started.
     fn check_reservations(
         &mut self,
         after: &Catalog,
         queued: &BTreeSet<u32>,
         before: &Shortfall,
-        objections: &mut Vec<Reason>,
-    ) {
-        let slack = self.flow.slack();
+    ) -> Vec<Reason> {
+        let slack = self.site.slack();
         let present = if queued.is_empty() {
-            self.flow.shortfall()
+            self.site.shortfall()
         } else {
-            self.flow.without(queued)
+            self.site.shortfall_without(queued)
         };
+        let mut objections = Vec::new();
         if present.short > before.short + slack {
-            let out: BTreeSet<u32> = self.draining.union(queued).copied().collect();
+            let out: BTreeSet<u32> = self.drains().union(queued).copied().collect();
             objections.push(Reason::Short {
                 by: present.short,
                 volumes: check(&self.site(after), &out).short,
@@ -230,37 +240,37 @@
                 by: present.out_of_reach,
             });
         }
+        objections
     }
 
-    /// Objects to reservations that cannot be met while nodes are gone, and could before.
+    /// Objects to reservations that can no longer be met while nodes are gone.
     fn check_without_gone(&mut self, gone: BTreeSet<u32>, before: &Shortfall) -> Option<Reason> {
-        let present = self.flow.without(&gone);
-        let is_worse = present.exceeds(before, self.flow.slack());
+        let present = self.site.shortfall_without(&gone);
+        let is_worse = present.exceeds(before, self.site.slack());
         is_worse.then(|| Reason::Meanwhile {
             gone: gone.into_iter().collect(),
             by: present.short + present.out_of_reach,
         })
     }
 
-    /// Warns of reservations that could not be met with a loss, and could before.
+    /// Warns of reservations that can no longer be met with a loss.
     fn check_losses(
         &mut self,
         changed_nodes: &BTreeSet<u32>,
         steps: usize,
         verdict: &mut AdmissionVerdict,
     ) {
-        let slack = self.flow.slack();
-        let order = self.losses_by_relevance(changed_nodes);
+        let slack = self.site.slack();
+        let order = self.losses.by_relevance(changed_nodes);
         verdict.unexamined_losses = order.len().saturating_sub(steps);
         for out in order.into_iter().take(steps) {
-            let before = self.losses_before.get(&out);
-            let before = before.map_or(Shortfall::default(), |loss| loss.shortfall);
-            let shortfall = self.examine(out);
+            let before = self.losses.former_shortfall(out);
+            let shortfall = self.losses.examine(&mut self.site, out);
             if !shortfall.exceeds(&before, slack) {
                 continue;
             }
             let zone = match out {
-                Out::Zone(zone) => self.zones.get(zone as usize).cloned(),
+                Out::Zone(zone) => self.site.zone_name(zone).cloned(),
                 Out::Nothing | Out::Node(_) => None,
             };
             verdict.warnings.push(Reason::Without {
--- a/crates/catalog/src/admission/losses.rs
+++ b/crates/catalog/src/admission/losses.rs
@@ -1,20 +1,56 @@
-//! Losses: each node and each zone that may fail, and what would then be missing.
+//! Losses: each node and each zone that may fail, and the reservations that would then be unmet.
+//!
+//! [`crate::admission`] calls [`LossTable`] with the site after each change, and in idle time.
+//!
+//! State: the figures of each loss, and those before the last changes. Memory: twice an entry for
+//! each node and zone.
 
-use super::loss::Loss;
-use super::Admission;
+use super::site::SiteModel;
 use crate::incremental_flow::Shortfall;
 use crate::planner::{Node, Out};
 use std::collections::{BTreeMap, BTreeSet};
 
-impl Admission {
-    /// How many losses there are to examine.
-    pub fn losses(&self) -> usize {
+/// A loss, and the reservations that would be unmet with it.
+#[derive(Debug, Clone, Default)]
+struct Loss {
+    nodes: BTreeSet<u32>,
+    shortfall: Shortfall,
+    /// Whether the shortfall is of the present state.
+    is_fresh: bool,
+}
+
+/// The losses of a site; see the module.
+#[derive(Debug, Clone, Default)]
+pub(super) struct LossTable {
+    losses: BTreeMap<Out, Loss>,
+    /// The losses as they were before the last changes.
+    former: BTreeMap<Out, Loss>,
+}
+
+impl LossTable {
+    /// Number of losses.
+    pub fn len(&self) -> usize {
         self.losses.len()
     }
 
-    /// Brings the figures of at most `steps` losses up to the present state, and returns how many
-    /// are left. For time without changes.
-    pub fn refresh(&mut self, steps: usize) -> usize {
+    /// Saves the figures, for [`LossTable::former_shortfall`] and [`LossTable::undo`].
+    pub fn save(&mut self) {
+        self.former = self.losses.clone();
+    }
+
+    /// Restores the saved figures.
+    pub fn undo(&mut self) {
+        self.losses = std::mem::take(&mut self.former);
+    }
+
+    /// The saved figures of a loss; zero for a new loss.
+    pub fn former_shortfall(&self, out: Out) -> Shortfall {
+        let former = self.former.get(&out);
+        former.map_or(Shortfall::default(), |loss| loss.shortfall)
+    }
+
+    /// Examines at most `steps` losses whose figures are stale, and returns how many stay stale.
+    pub fn refresh(&mut self, site: &mut SiteModel, steps: usize) -> usize {
         let stale: Vec<Out> = self
             .losses
             .iter()
@@ -22,25 +58,25 @@
             .map(|(out, _)| *out)
             .collect();
         for out in stale.iter().take(steps) {
-            self.examine(*out);
+            self.examine(site, *out);
         }
         stale.len().saturating_sub(steps)
     }
 
-    /// What would be missing with a loss; data that is out of reach with it is not counted.
-    pub(super) fn examine(&mut self, out: Out) -> Shortfall {
+    /// Computes the shortfall with a loss. Does not count data that the loss puts out of reach.
+    pub fn examine(&mut self, site: &mut SiteModel, out: Out) -> Shortfall {
         let loss = self.losses.get_mut(&out).expect("a listed loss");
         loss.shortfall = Shortfall {
-            short: self.flow.without(&loss.nodes).short,
+            short: site.shortfall_without(&loss.nodes).short,
             out_of_reach: 0.0,
         };
         loss.is_fresh = true;
         loss.shortfall
     }
 
-    /// Losses in the order in which to examine them: first those that share nodes with what has
-    /// changed.
-    pub(super) fn losses_by_relevance(&self, changed_nodes: &BTreeSet<u32>) -> Vec<Out> {
+    /// Losses in the order in which to examine them: first those that share nodes with the changed
+    /// nodes.
+    pub fn by_relevance(&self, changed_nodes: &BTreeSet<u32>) -> Vec<Out> {
         let mut order: Vec<(bool, Out)> = self
             .losses
             .iter()
@@ -50,22 +86,22 @@
         order.into_iter().map(|(_, out)| out).collect()
     }
 
-    /// Lists the losses of the present site anew; known figures stay, as stale ones.
-    pub(super) fn list_losses(&mut self) {
-        let serves = |node: &&Node| !self.draining.contains(&node.id) && node.capacity > 0.0;
+    /// Lists the losses of the present site again. Known figures stay, as stale ones.
+    pub fn list(&mut self, site: &SiteModel) {
+        let serves = |node: &&Node| !site.draining().contains(&node.id) && node.capacity > 0.0;
         let mut nodes_by_loss: BTreeMap<Out, BTreeSet<u32>> = BTreeMap::new();
         let mut serving = 0;
-        for node in self.flow.nodes().filter(serves) {
+        for node in site.nodes().filter(serves) {
             serving += 1;
             for out in [Out::Node(node.id), Out::Zone(node.zone)] {
                 nodes_by_loss.entry(out).or_default().insert(node.id);
             }
         }
-        // No promise is meant to hold without a zone that is all there is.
+        // No reservation is guaranteed without a zone that has all serving nodes.
         nodes_by_loss.retain(|out, nodes| !matches!(out, Out::Zone(_)) || nodes.len() < serving);
-        let former = std::mem::take(&mut self.losses);
+        let known = std::mem::take(&mut self.losses);
         for (out, nodes) in nodes_by_loss {
-            let shortfall = former
+            let shortfall = known
                 .get(&out)
                 .map_or(Shortfall::default(), |loss| loss.shortfall);
             let loss = Loss {
--- a/crates/catalog/src/admission/reasons.rs
+++ b/crates/catalog/src/admission/reasons.rs
@@ -1,72 +1,73 @@
-//! What speaks against a change, as data and as operators read it.
+//! Objections and warnings of admission control, as data and as operators read them.
 //!
-//! Made by [`crate::admission`], and by the drain machine of the membership package for nodes of
-//! one zone.
+//! [`crate::admission`] makes them. The membership package uses [`ExclusionReason`] for nodes of one
+//! zone. Owns no state.
 
 use crate::planner::Out;
 use crate::records::Name;
 use std::fmt;
 
-/// Volumes that are named in a text; of more only the number is given.
+/// Most volumes that a text names. For the others, it states only their number. A larger number
+/// makes the line too long to read; a smaller one hides volumes.
 const MAX_NAMED_VOLUMES: usize = 8;
 
-/// What speaks against a change. Amounts are units a second of reservations.
+/// An objection or a warning. Amounts are units a second of reservations.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reason {
     /// Reservations that cannot be met.
     Short {
-        /// How much in all.
+        /// The sum of the unmet amounts.
         by: f64,
-        /// The volumes that give way and by how much, the lightest first.
+        /// The volumes whose reservations are unmet, with the amounts; lowest weight first.
         volumes: Vec<(u64, f64)>,
     },
-    /// Reservations of data that lies only where nothing can serve it.
+    /// Reservations of data on nodes that cannot serve it.
     OutOfReach {
-        /// How much in all.
+        /// The sum of the unmet amounts.
         by: f64,
     },
-    /// Reservations that could not be met with something out.
+    /// Reservations that could not be met with a node or a zone out.
     Without {
-        /// What is out.
+        /// The node or zone that is out.
         out: Out,
-        /// Its name, if it is a zone.
+        /// The zone's name, if a zone is out.
         zone: Option<Name>,
-        /// How much in all.
+        /// The sum of the unmet amounts.
         by: f64,
     },
-    /// The zone of a drained node is without other nodes too.
+    /// Other nodes in the zone of a drained node are unavailable.
     Coincides {
         /// The node to be drained.
         node: u32,
-        /// Its zone.
+        /// The node's zone.
         zone: Name,
-        /// The other nodes, and why they do not count.
+        /// The other nodes, and why they are unavailable.
         with: Vec<(u32, ExclusionReason)>,
     },
     /// Reservations that cannot be met while nodes of other zones are gone as well.
     Meanwhile {
-        /// Those nodes.
+        /// The nodes of other zones.
         gone: Vec<u32>,
-        /// How much in all.
+        /// The sum of the unmet amounts.
         by: f64,
     },
-    /// A node is to be taken out, and what was sent to it may still be in flight.
+    /// A node is removed while attempts may still be in flight there.
     NotEmpty {
         /// The node.
         node: u32,
     },
 }
 
-/// Why a node does not count as one that serves.
+/// The reason why a node does not count as serving.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ExclusionReason {
-    /// It is being drained.
+    /// The node is being drained.
     Draining,
-    /// It has just started and its cache is empty.
+    /// The node has just started and its cache is empty.
     Warming,
-    /// It does not answer as it should.
+    /// The node does not answer correctly.
     Suspect,
-    /// It is gone.
+    /// The node is gone.
     Removed,
 }
 
@@ -81,7 +82,7 @@
     }
 }
 
-/// Of these unavailable nodes, those in the zone of a node, except itself.
+/// Unavailable nodes in the zone of a node, except the node itself.
 ///
 /// ```
 /// use grebecleat_catalog::admission::{excluded_in_zone, ExclusionReason::*};
@@ -165,20 +166,20 @@
     )
 }
 
-/// What is found of a change's effect on promises.
+/// The effect of a change on reservations.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AdmissionVerdict {
-    /// The change is rejected for these, unless it is forced.
+    /// Objections: the change is rejected unless it is forced.
     pub objections: Vec<Reason>,
-    /// The change lands; the author reads these.
+    /// Warnings: the change lands, and the author reads them.
     pub warnings: Vec<Reason>,
-    /// Number of losses that were not examined, since it would have taken too long.
+    /// Number of losses that were not examined, because that would have taken too long.
     pub unexamined_losses: usize,
-    /// No node's capacity is configured, so nothing could be judged.
+    /// Whether no node's capacity is configured, so that nothing could be evaluated.
     pub capacity_unknown: bool,
 }
 
-/// Reasons as one line for operators.
+/// Joins reasons to one line for operators.
 pub fn join_reasons(reasons: &[Reason]) -> String {
     let texts: Vec<String> = reasons.iter().map(Reason::to_string).collect();
     texts.join("; ")
--- a/crates/catalog/src/admission/site.rs
+++ b/crates/catalog/src/admission/site.rs
@@ -1,18 +1,91 @@
-//! The site that the catalog describes, as the planner sees it, and its upkeep as the catalog
-//! changes.
+//! The site that the catalog describes, as the planner needs it.
+//!
+//! [`crate::admission`] calls [`SiteModel::apply`] for each change of the catalog, and reads the
+//! shortfall of reservations. Only this module changes the flow.
+//!
+//! State: the flow without the nodes that are being drained, and the parts of the catalog that the
+//! flow was built from. Memory: the flow, and an entry for each node, zone and plan.
 
-use super::Admission;
 use crate::catalog::Catalog;
 use crate::change::Change;
+use crate::incremental_flow::{IncrementalFlow, Shortfall};
 use crate::planner::{Node, Site, Volume, PARTS};
-use crate::records::{self, Drain, Name};
-use std::collections::BTreeSet;
+use crate::records::{self, Drain, Name, Stage};
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Changes of a reservation below this, in thousandths of a unit a second, are lost to rounding.
 const MIN_RESERVATION_CHANGE: f64 = 0.5;
 
-impl Admission {
-    /// The site as the catalog describes it.
+/// The site of a catalog; see the module.
+#[derive(Debug, Clone, Default)]
+pub(super) struct SiteModel {
+    flow: IncrementalFlow,
+    /// Names of zones. The planner's number of a zone is its index here.
+    zones: Vec<Name>,
+    nodes_of_shard: BTreeMap<u32, BTreeSet<u32>>,
+    /// The reservation of each plan that the flow was given.
+    reservations: BTreeMap<Name, f64>,
+    /// Whether any node's capacity was ever configured.
+    capacity_known: bool,
+    /// Nodes that get nothing new.
+    draining: BTreeSet<u32>,
+    /// The stage of each drain.
+    stages: BTreeMap<u32, Stage>,
+}
+
+impl SiteModel {
+    /// An empty site. `spread`: see [`Site`].
+    pub fn new(spread: f64) -> Self {
+        SiteModel {
+            flow: IncrementalFlow::of(&Site {
+                spread,
+                ..Site::default()
+            }),
+            ..SiteModel::default()
+        }
+    }
+
+    /// Nodes that get nothing new.
+    pub fn draining(&self) -> &BTreeSet<u32> {
+        &self.draining
+    }
+
+    /// The stage of a node's drain.
+    pub fn stage(&self, node: u32) -> Option<Stage> {
+        self.stages.get(&node).copied()
+    }
+
+    /// Returns whether any node's capacity was ever configured.
+    pub fn capacity_known(&self) -> bool {
+        self.capacity_known
+    }
+
+    /// All nodes.
+    pub fn nodes(&self) -> impl Iterator<Item = &Node> {
+        self.flow.nodes()
+    }
+
+    /// The name of a zone, by the planner's number.
+    pub fn zone_name(&self, zone: u32) -> Option<&Name> {
+        self.zones.get(zone as usize)
+    }
+
+    /// The reservations that cannot be met at present.
+    pub fn shortfall(&self) -> Shortfall {
+        self.flow.shortfall()
+    }
+
+    /// The reservations that could not be met with these nodes out as well.
+    pub fn shortfall_without(&mut self, out: &BTreeSet<u32>) -> Shortfall {
+        self.flow.without(out)
+    }
+
+    /// The amount that rounding may lose, units a second.
+    pub fn slack(&self) -> f64 {
+        self.flow.slack()
+    }
+
+    /// The complete site of a catalog, including nodes that are being drained.
     pub fn site(&self, catalog: &Catalog) -> Site {
         let nodes = catalog.nodes();
         let volumes = catalog.volumes();
@@ -27,8 +100,8 @@
         }
     }
 
-    /// Brings the site to what the catalog has of what these changes touch.
-    pub(super) fn apply(&mut self, catalog: &Catalog, changes: &[Change]) {
+    /// Updates the site from the catalog, for the subjects of these changes.
+    pub fn apply(&mut self, catalog: &Catalog, changes: &[Change]) {
         let mut volumes: BTreeSet<u64> = BTreeSet::new();
         let mut has_moved = false;
         for change in changes {
@@ -50,21 +123,22 @@
         if has_moved {
             volumes.extend(catalog.volumes().map(|(id, _)| id));
         }
-        let planned: Vec<(u64, Option<Volume>)> = volumes
+        self.apply_volumes(catalog, volumes);
+    }
+
+    fn apply_volumes(&mut self, catalog: &Catalog, ids: BTreeSet<u64>) {
+        let planned: Vec<(u64, Option<Volume>)> = ids
             .into_iter()
             .map(|id| {
                 let volume = catalog.volume(id);
-                (
-                    id,
-                    volume.map(|volume| self.planner_volume(catalog, id, volume)),
-                )
+                let planned = volume.map(|volume| self.planner_volume(catalog, id, volume));
+                (id, planned)
             })
             .collect();
         self.flow.set_volumes(planned);
-        self.list_losses();
     }
 
-    /// Notes which shard a node holds; returns whether that has changed.
+    /// Updates which shard a node holds; returns whether that has changed.
     fn apply_shard(&mut self, catalog: &Catalog, id: u32) -> bool {
         let former: Vec<u32> = self
             .nodes_of_shard
@@ -122,7 +196,7 @@
         self.flow.set_up(node, !is_draining);
     }
 
-    /// Notes a plan's reservation; returns whether it has changed by more than rounding.
+    /// Updates a plan's reservation; returns whether it has changed by more than rounding.
     fn apply_reservation(&mut self, catalog: &Catalog, name: &Name) -> bool {
         let present = catalog.plan(name).map_or(0.0, |plan| plan.reservation);
         let former = self.reservations.insert(name.clone(), present);
@@ -138,15 +212,15 @@
         }
     }
 
-    /// A volume as the planner sees it: spread over its shards alike.
+    /// A volume for the planner: its extents are spread evenly over its shards.
     fn planner_volume(&self, catalog: &Catalog, id: u64, volume: &records::Volume) -> Volume {
         let plan = catalog.plan(&volume.plan);
-        let part = 1.0 / volume.shards.len().max(1) as f64;
+        let fraction = 1.0 / volume.shards.len().max(1) as f64;
         let node_of = |shard: &u32| self.nodes_of_shard.get(shard)?.first().copied();
         let mut placement: Vec<(u32, f64)> = volume
             .shards
             .iter()
-            .filter_map(|shard| Some((node_of(shard)?, part)))
+            .filter_map(|shard| Some((node_of(shard)?, fraction)))
             .collect();
         placement.sort_unstable_by_key(|(node, _)| *node);
         placement.dedup_by_key(|(node, _)| *node);
@@ -158,8 +232,8 @@
         }
     }
 
-    /// Nodes with data of what the changes touch.
-    pub(super) fn nodes_touched(&self, catalog: &Catalog, changes: &[Change]) -> BTreeSet<u32> {
+    /// Nodes with data of the subjects that the changes touch.
+    pub fn nodes_touched(&self, catalog: &Catalog, changes: &[Change]) -> BTreeSet<u32> {
         let mut nodes = BTreeSet::new();
         for change in changes {
             match change {
--- a/crates/catalog/src/leader.rs
+++ b/crates/catalog/src/leader.rs
@@ -14,7 +14,7 @@
 //!
 //! The rules:
 //!
-//! - Admission judges a change against the catalog with all pending changes, so that many changes
+//! - Admission evaluates a change against the catalog with all pending changes, so that many changes
 //!   can be written together. Nobody learns of a change before it is persisted. If it cannot be
 //!   persisted, that change and all after it never happened.
 //! - The stable version, and the fact that a host was ever granted a lease, are persisted before
--- a/crates/catalog/src/leader/catalog_writer.rs
+++ b/crates/catalog/src/leader/catalog_writer.rs
@@ -19,7 +19,7 @@
 /// delays hosts' polls; a smaller one leaves more warnings out.
 const MAX_LOSSES: usize = 256;
 /// Losses examined in a step with several proposals, which share them. In a flood of proposals,
-/// admission judges each change by its effect on the complete site, and only few by their effect
+/// admission evaluates each change by its effect on the complete site, and only few by their effect
 /// with a node or zone out.
 const MAX_LOSSES_OF_SEVERAL: usize = MAX_LOSSES / 4;
 /// Losses whose figures are refreshed in a step without changes. A larger number delays an event
@@ -33,7 +33,7 @@
 pub(super) struct LandingMode {
     /// The revision lands despite objections.
     pub force: bool,
-    /// The revision is judged and then reverted.
+    /// The revision is evaluated and then reverted.
     pub dry_run: bool,
 }
 
@@ -102,7 +102,7 @@
         self.remaining_budget = self.step_budget;
     }
 
-    /// Ends a step: refreshes the figures of some losses if nothing was judged.
+    /// Ends a step: refreshes the figures of some losses if no change was evaluated.
     pub fn end_step(&mut self) {
         if self.remaining_budget == self.step_budget {
             self.stale_losses = self.admission.refresh(IDLE_LOSSES);
@@ -119,7 +119,7 @@
         self.admission.set_unavailable(node, reason);
     }
 
-    /// Judges a revision and applies it to the catalog. `stable`: the persisted stable version.
+    /// Evaluates a revision and applies it to the catalog. `stable`: the persisted stable version.
     ///
     /// # Errors
     /// If admission objects and the revision is not forced, the audit log is full, or hosts may
@@ -135,7 +135,7 @@
             return Err(Rejection::AuditLogFull);
         }
         self.apply(&revision);
-        let verdict = self.judge(&revision);
+        let verdict = self.evaluate(&revision);
         if mode.dry_run {
             self.revert_last();
             return Ok(Landing::Previewed { verdict });
@@ -196,8 +196,8 @@
             .expect("the revision was proposed for the present version");
     }
 
-    /// Judges a revision that the catalog has, within the remaining budget of the step.
-    fn judge(&mut self, revision: &Revision) -> AdmissionVerdict {
+    /// Evaluates a revision that the catalog has, within the remaining budget of the step.
+    fn evaluate(&mut self, revision: &Revision) -> AdmissionVerdict {
         let verdict = self
             .admission
             .land(&self.catalog, &revision.changes, self.remaining_budget);
--- a/crates/catalog/src/leader/messages.rs
+++ b/crates/catalog/src/leader/messages.rs
@@ -34,7 +34,7 @@
     pub at: Option<Duration>,
     /// Whether the changes land despite objections.
     pub force: bool,
-    /// Whether the leader only previews the changes: it judges them, and nothing lands.
+    /// Whether the leader only previews the changes: it evaluates them, and nothing lands.
     pub dry_run: bool,
 }
 
--- a/crates/catalog/src/leader/proposals.rs
+++ b/crates/catalog/src/leader/proposals.rs
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The one place where a proposed revision lands: it is judged, applied to the catalog and
+    /// The one place where a proposed revision lands: it is evaluated, applied to the catalog and
     /// written.
     fn land(
         &mut self,
