--- a/crates/catalog/src/admission.rs
+++ b/crates/catalog/src/admission.rs
@@ -89,7 +89,7 @@
 
     /// Number of losses that can be examined.
     pub fn losses(&self) -> usize {
-        self.losses.len()
+        self.losses.count()
     }
 
     /// Updates the figures of at most `steps` stale losses, and returns how many stay stale. Meant
--- a/crates/catalog/src/admission/losses.rs
+++ b/crates/catalog/src/admission/losses.rs
@@ -29,7 +29,7 @@
 
 impl LossTable {
     /// Number of losses.
-    pub fn len(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.losses.len()
     }
 
--- a/crates/catalog/src/incremental_flow.rs
+++ b/crates/catalog/src/incremental_flow.rs
@@ -1,35 +1,38 @@
-//! Whether all reservations of a site can be met, asked again and again as the site changes.
+//! The flow of a site, updated in place as nodes and volumes change.
 //!
-//! Called by [`crate::admission`] and [`crate::moves`] as a site is built and changed
-//! ([`IncrementalFlow::set_node`], [`IncrementalFlow::set_volume`]); [`IncrementalFlow::shortfall`]
-//! then says what cannot be carried, and [`IncrementalFlow::without`] what could not if nodes were
-//! out, at the cost of what lies there and not of the whole site. The answers are those of
-//! [`crate::planner::check`], which works everything out anew; which volumes give way only that one
-//! says. No I/O.
+//! [`crate::admission`] and [`crate::moves`] build it from a site and change it
+//! ([`IncrementalFlow::set_node`], [`IncrementalFlow::set_volume`]). [`IncrementalFlow::shortfall`]
+//! returns the reservations that cannot be carried, and [`IncrementalFlow::without`] those that
+//! could not if nodes were out. The cost of both follows the volumes on these nodes and not the
+//! complete site. The results equal those of [`crate::planner::check`], which computes everything
+//! from the start; only that function determines which volumes give way. No I/O.
 //!
-//! Memory: each volume, and its group's homes in the flow.
+//! State: `NodeTable` owns the nodes, `GroupTable` the demand of each group, [`Flow`] the loads.
+//! Memory: each volume, and the nodes of its group in the flow.
 
-use crate::flow::Flow;
-use crate::planner::{to_parts, Load, Node, Site, Volume, PARTS};
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+mod demand;
+mod groups;
+mod nodes;
 
-#[derive(Debug, Clone)]
-struct SiteNode {
-    node: Node,
-    is_up: bool,
-}
+use crate::flow::Flow;
+use crate::planner::{to_parts, Node, Site, Volume, PARTS};
+use demand::Demand;
+use groups::GroupTable;
+use nodes::NodeTable;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// What cannot be carried: units a second of reservations.
+/// Reservations that cannot be carried, units a second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Shortfall {
-    /// Of what can be reached.
+    /// The unmet amount of extents that are in reach.
     pub short: f64,
-    /// Of what lies on nodes that are out.
+    /// The amount of extents on nodes that are out.
     pub out_of_reach: f64,
 }
 
 impl Shortfall {
-    /// Whether more is missing than in another case, by more than `slack`, which rounding may lose.
+    /// Returns whether this shortfall is larger than another by more than `slack`, which rounding
+    /// may lose.
     pub fn exceeds(&self, other: &Shortfall, slack: f64) -> bool {
         self.short > other.short + slack || self.out_of_reach > other.out_of_reach + slack
     }
@@ -42,30 +45,15 @@
     demand: Demand,
 }
 
-/// What volumes of one group ask for, in parts.
-#[derive(Debug, Clone, Default)]
-struct Demand {
-    amount: u64,
-    /// The most that each home may carry.
-    max_loads: Vec<u64>,
-}
-
 /// The flow of a site; see the module.
 #[derive(Debug, Clone, Default)]
 pub struct IncrementalFlow {
     spread: f64,
     flow: Flow,
-    nodes: Vec<SiteNode>,
-    /// Places of nodes, by number.
-    places: HashMap<u32, usize>,
+    nodes: NodeTable,
     volumes: BTreeMap<u64, PlacedVolume>,
-    /// By group: its volumes.
-    members: Vec<BTreeSet<u64>>,
-    /// By group: what its volumes ask for in all.
-    totals: Vec<u64>,
-    /// By group: what of it is not carried, where that is not 0.
-    unmet: BTreeMap<usize, u64>,
-    /// The reservations of all volumes, reachable or not.
+    groups: GroupTable,
+    /// The reservations of all volumes in parts, in reach or not.
     reservations: u64,
 }
 
@@ -100,43 +88,35 @@
 
     fn new(spread: f64, nodes: Vec<Node>) -> IncrementalFlow {
         let capacity: Vec<u64> = nodes.iter().map(|node| to_parts(node.capacity)).collect();
-        let numbered = nodes.iter().enumerate();
-        let places = numbered.map(|(place, node)| (node.id, place)).collect();
-        let nodes = nodes
-            .into_iter()
-            .map(|node| SiteNode { node, is_up: true })
-            .collect();
         IncrementalFlow {
             spread,
             flow: Flow::new(&capacity),
-            nodes,
-            places,
+            nodes: NodeTable::new(nodes),
             ..IncrementalFlow::default()
         }
     }
 
-    /// What rounding may lose, units a second: a thousandth for each volume.
+    /// The amount that rounding may lose, units a second: a thousandth for each volume.
     pub fn slack(&self) -> f64 {
         self.volumes.len() as f64 / PARTS
     }
 
     /// All nodes.
     pub fn nodes(&self) -> impl Iterator<Item = &Node> {
-        self.nodes.iter().map(|site_node| &site_node.node)
+        self.nodes.iter()
     }
 
-    /// How far a volume's load may gather on some of its homes: see [`Site`].
+    /// The factor by which a volume's load may gather on one of its nodes: see [`Site`].
     pub fn spread(&self) -> f64 {
         self.spread
     }
 
-    /// What cannot be carried.
+    /// The reservations that cannot be carried.
     pub fn shortfall(&self) -> Shortfall {
-        let short: u64 = self.unmet.values().sum();
-        let total: u64 = self.totals.iter().sum();
+        let total = self.groups.total_demand();
         let out_of_reach = self.reservations.saturating_sub(total) as f64 / PARTS;
         Shortfall {
-            short: short as f64 / PARTS,
+            short: self.groups.total_unmet() as f64 / PARTS,
             out_of_reach: if out_of_reach < self.slack() {
                 0.0
             } else {
@@ -145,33 +125,25 @@
         }
     }
 
-    /// What could not be carried with these nodes out as well.
+    /// The reservations that could not be carried with these nodes out as well.
     pub fn without(&mut self, out: &BTreeSet<u32>) -> Shortfall {
-        let places: Vec<usize> = out
-            .iter()
-            .filter_map(|id| self.places.get(id).copied())
-            .filter(|place| self.nodes[*place].is_up)
-            .collect();
-        let groups: BTreeSet<usize> = places
+        let indexes: Vec<usize> = out
             .iter()
-            .flat_map(|place| self.flow.groups_at(*place))
+            .filter_map(|id| self.nodes.index(*id))
+            .filter(|index| self.nodes.is_up(*index))
             .collect();
-        let former_totals: Vec<(usize, u64)> = groups
+        let groups: BTreeSet<usize> = indexes
             .iter()
-            .map(|group| (*group, self.totals[*group]))
+            .flat_map(|index| self.flow.groups_at(*index))
             .collect();
-        let former_unmet = self.unmet.clone();
+        let saved = self.groups.save(&groups);
         self.flow.begin_trial();
-        for place in &places {
-            self.switch(*place, false);
+        for index in &indexes {
+            self.switch(*index, false);
         }
         for group in &groups {
-            let mut sum = self.no_demand(*group);
-            for id in &self.members[*group] {
-                sum.add(&self.demand(&self.volumes[id].volume));
-            }
-            self.totals[*group] = sum.amount;
-            self.flow.set_max_loads(*group, &sum.max_loads);
+            let demand = self.demand_of_group(*group);
+            self.set_group_demand(*group, &demand);
         }
         for group in groups {
             self.trim(group);
@@ -179,53 +151,45 @@
         self.refill();
         let shortfall = self.shortfall();
         self.flow.undo_trial();
-        for place in places {
-            self.nodes[place].is_up = true;
-        }
-        for (group, total) in former_totals {
-            self.totals[group] = total;
+        for index in indexes {
+            self.nodes.set_up(index, true);
         }
-        self.unmet = former_unmet;
+        self.groups.restore(saved);
         shortfall
     }
 
-    /// Takes a node out, or back in, for good.
+    /// Sets whether a node is up.
     pub fn set_up(&mut self, id: u32, up: bool) {
-        let Some(place) = self.places.get(&id).copied() else {
+        let Some(index) = self.nodes.index(id) else {
             return;
         };
-        if self.nodes[place].is_up != up {
-            self.switch(place, up);
-            self.reload(place);
+        if self.nodes.is_up(index) != up {
+            self.switch(index, up);
+            self.reload(index);
         }
     }
 
-    /// Adds a node, or changes its zone or capacity; one without capacity stays known and carries
-    /// nothing.
+    /// Adds a node, or changes its zone or capacity. A node without capacity stays known and
+    /// carries nothing.
     pub fn set_node(&mut self, node: Node) {
-        let Some(place) = self.places.get(&node.id).copied() else {
+        let Some(index) = self.nodes.index(node.id) else {
             return self.add_node(node);
         };
-        let former = to_parts(self.nodes[place].node.capacity);
-        let capacity = to_parts(node.capacity);
-        self.nodes[place].node = node;
-        if !self.nodes[place].is_up {
+        let former = self.nodes.capacity(index);
+        self.nodes.replace(index, node);
+        if !self.nodes.is_up(index) {
             return;
         }
-        for (group, _) in self.flow.set_capacity(place, former, capacity) {
+        let capacity = self.nodes.capacity(index);
+        for (group, _) in self.flow.set_capacity(index, former, capacity) {
             self.trim(group);
         }
         self.refill();
     }
 
-    /// Builds the flow anew, since its tables are as long as there are nodes; rare.
+    /// Rebuilds the flow with a new node, since its tables have a fixed number of nodes. Rare.
     fn add_node(&mut self, node: Node) {
-        let down: Vec<u32> = self
-            .nodes
-            .iter()
-            .filter(|site_node| !site_node.is_up)
-            .map(|site_node| site_node.node.id)
-            .collect();
+        let down = self.nodes.down();
         let mut nodes: Vec<Node> = self.nodes().cloned().collect();
         nodes.push(node);
         let volumes = self.volumes.values().map(|placed| placed.volume.clone());
@@ -250,7 +214,7 @@
         for (id, to) in volumes {
             if let Some(former) = self.volumes.remove(&id) {
                 changed_groups.insert(former.group);
-                self.remove_demand(id, &former);
+                self.remove_demand(&former);
             }
             if let Some(volume) = to {
                 changed_groups.insert(self.place(volume));
@@ -264,114 +228,98 @@
 
     /// Nodes with data of a volume.
     pub fn nodes_of_volume(&self, id: u64) -> impl Iterator<Item = u32> + '_ {
-        let placement = self.volumes.get(&id).map(|placed| &placed.volume.placement);
-        placement.into_iter().flatten().map(|(node, _)| *node)
+        let placed = self.volumes.get(&id);
+        placed
+            .into_iter()
+            .flat_map(|placed| &placed.volume.placement)
+            .map(|(node, _)| *node)
     }
 
-    /// Units a second that a node could carry in addition.
+    /// Unused capacity of a node, units a second.
     pub fn spare(&self, id: u32) -> f64 {
-        let place = self.places.get(&id);
-        place.map_or(0.0, |place| self.flow.spare(*place) as f64 / PARTS)
+        let index = self.nodes.index(id);
+        index.map_or(0.0, |index| self.flow.spare(index) as f64 / PARTS)
     }
 
-    /// Whether no path leads from a node to spare capacity, while something is not carried.
+    /// Returns whether no path leads from a node to spare capacity, while a reservation is unmet.
     pub fn is_tight(&self, id: u32) -> bool {
-        let place = self.places.get(&id);
-        !self.unmet.is_empty() && place.is_some_and(|place| self.flow.is_saturated(*place))
+        let index = self.nodes.index(id);
+        self.groups.has_unmet() && index.is_some_and(|index| self.flow.is_saturated(index))
     }
 
-    /// What each node carries of all volumes but these; volumes with the same homes are carried
-    /// alike.
+    /// The load on each node of all volumes but these. Volumes on the same nodes have the same part
+    /// of their demand on each.
     pub fn carried_except(&self, left_out: &BTreeSet<u64>) -> BTreeMap<u32, f64> {
         let mut carried: BTreeMap<u32, f64> = BTreeMap::new();
-        for (number, members) in self.members.iter().enumerate() {
-            if self.totals[number] == 0 {
-                continue;
-            }
+        for (group, members, total) in self.groups.with_demand() {
             let others: u64 = members
                 .iter()
                 .filter(|id| !left_out.contains(id))
                 .map(|id| self.volumes[id].demand.amount)
                 .sum();
-            let part = others as f64 / self.totals[number] as f64;
-            let group = self.flow.group(number);
-            for (place, load) in group.nodes.iter().zip(&group.loads) {
-                let sum = carried.entry(self.nodes[*place].node.id).or_default();
-                *sum += *load as f64 / PARTS * part;
+            let fraction = others as f64 / total as f64;
+            let group = self.flow.group(group);
+            for (index, load) in group.nodes.iter().zip(&group.loads) {
+                let sum = carried.entry(self.nodes.id(*index)).or_default();
+                *sum += *load as f64 / PARTS * fraction;
             }
         }
         carried
     }
 
-    fn switch(&mut self, place: usize, up: bool) {
-        let capacity = to_parts(self.nodes[place].node.capacity);
-        let (from, to) = if up { (0, capacity) } else { (capacity, 0) };
-        self.nodes[place].is_up = up;
-        self.flow.set_capacity(place, from, to);
+    fn switch(&mut self, index: usize, up: bool) {
+        let capacity = self.nodes.capacity(index);
+        self.nodes.set_up(index, up);
+        if up {
+            self.flow.set_capacity(index, 0, capacity);
+        } else {
+            self.flow.set_capacity(index, capacity, 0);
+        }
     }
 
-    /// Works out the demand of all volumes with a home on a node anew.
-    fn reload(&mut self, place: usize) {
-        let groups: Vec<usize> = self.flow.groups_at(place).collect();
+    /// Recomputes the demand of all volumes with data on a node.
+    fn reload(&mut self, index: usize) {
+        let groups: Vec<usize> = self.flow.groups_at(index).collect();
         for group in groups {
             let mut sum = self.no_demand(group);
-            for id in self.members[group].clone() {
-                let demand = self.demand(&self.volumes[&id].volume);
-                sum.add(&demand);
-                self.volumes.get_mut(&id).expect("a member").demand = demand;
+            for id in self.groups.members(group) {
+                let placed = self.volumes.get_mut(id).expect("a member is placed");
+                placed.demand = Demand::of(&placed.volume, &self.nodes, self.spread);
+                sum.add(&placed.demand);
             }
-            self.totals[group] = sum.amount;
-            self.flow.set_max_loads(group, &sum.max_loads);
+            self.set_group_demand(group, &sum);
             self.trim(group);
         }
         self.refill();
     }
 
     fn no_demand(&self, group: usize) -> Demand {
-        Demand {
-            amount: 0,
-            max_loads: vec![0; self.flow.group(group).nodes.len()],
-        }
+        Demand::none(self.flow.group(group).nodes.len())
     }
 
-    fn demand(&self, volume: &Volume) -> Demand {
-        let known: Vec<(usize, f64)> = volume
-            .placement
-            .iter()
-            .filter_map(|(id, part)| Some((self.places.get(id).copied()?, *part)))
-            .collect();
-        let up = known
-            .iter()
-            .copied()
-            .filter(|(place, _)| self.nodes[*place].is_up)
-            .collect();
-        let load = Load::of(volume, up, self.spread);
-        let max_load = |place: usize| {
-            let max_load = load.max_loads.iter().find(|max_load| max_load.0 == place);
-            max_load.map_or(0, |(_, max_load)| *max_load)
-        };
-        Demand {
-            amount: load.reservation,
-            max_loads: known.iter().map(|(place, _)| max_load(*place)).collect(),
+    /// The demand of a group's volumes, computed from the nodes that are up.
+    fn demand_of_group(&self, group: usize) -> Demand {
+        let mut sum = self.no_demand(group);
+        for id in self.groups.members(group) {
+            let volume = &self.volumes[id].volume;
+            sum.add(&Demand::of(volume, &self.nodes, self.spread));
         }
+        sum
+    }
+
+    fn set_group_demand(&mut self, group: usize, demand: &Demand) {
+        self.groups.set_total(group, demand.amount);
+        self.flow.set_max_loads(group, &demand.max_loads);
     }
 
-    /// Adds a volume, with nothing of it carried; returns its group.
+    /// Adds a volume without carrying any of its load; returns its group.
     fn place(&mut self, volume: Volume) -> usize {
-        let nodes: Vec<usize> = volume
-            .placement
-            .iter()
-            .filter_map(|(id, _)| self.places.get(id).copied())
-            .collect();
-        let group = self.flow.group_of(&nodes);
-        if group == self.members.len() {
-            self.members.push(BTreeSet::new());
-            self.totals.push(0);
-        }
-        let demand = self.demand(&volume);
+        let indexed = self.nodes.indexed(&volume.placement);
+        let indexes: Vec<usize> = indexed.map(|(index, _)| index).collect();
+        let group = self.flow.group_of(&indexes);
+        let demand = Demand::of(&volume, &self.nodes, self.spread);
         self.flow.offer(group, demand.max_loads.iter().copied());
-        self.members[group].insert(volume.id);
-        self.totals[group] += demand.amount;
+        self.groups.add(group, volume.id, demand.amount);
         self.reservations += to_parts(volume.reservation);
         let placed = PlacedVolume {
             group,
@@ -382,12 +330,12 @@
         group
     }
 
-    /// Removes what a volume, which is not there any more, has added to its group.
-    fn remove_demand(&mut self, id: u64, former: &PlacedVolume) {
+    /// Removes the demand of a removed volume from its group.
+    fn remove_demand(&mut self, former: &PlacedVolume) {
         let group = former.group;
-        self.members[group].remove(&id);
+        self.groups
+            .remove(group, former.volume.id, former.demand.amount);
         self.reservations -= to_parts(former.volume.reservation);
-        self.totals[group] -= former.demand.amount;
         let max_loads = &self.flow.group(group).max_loads;
         let lowered: Vec<u64> = max_loads
             .iter()
@@ -397,33 +345,19 @@
         self.flow.set_max_loads(group, &lowered);
     }
 
-    /// Drops what a group carries beyond what it asks for, and notes what it does not carry.
+    /// Drops the load of a group beyond its demand, and records the unmet demand.
     fn trim(&mut self, group: usize) {
         let carried: u64 = self.flow.group(group).loads.iter().sum();
-        let total = self.totals[group];
+        let total = self.groups.total(group);
         self.flow.drop_some(group, carried.saturating_sub(total));
-        match total.saturating_sub(carried) {
-            0 => self.unmet.remove(&group),
-            left => self.unmet.insert(group, left),
-        };
+        self.groups.set_unmet(group, total.saturating_sub(carried));
     }
 
-    /// Carries as much as possible of what is not carried.
+    /// Carries as much as possible of the unmet demand.
     fn refill(&mut self) {
-        for (group, amount) in std::mem::take(&mut self.unmet) {
+        for (group, amount) in self.groups.take_unmet() {
             let left = self.flow.fill(group, amount);
-            if left > 0 {
-                self.unmet.insert(group, left);
-            }
-        }
-    }
-}
-
-impl Demand {
-    fn add(&mut self, other: &Demand) {
-        self.amount += other.amount;
-        for (sum, max_load) in self.max_loads.iter_mut().zip(&other.max_loads) {
-            *sum += max_load;
+            self.groups.set_unmet(group, left);
         }
     }
 }
--- a/crates/catalog/src/moves.rs
+++ b/crates/catalog/src/moves.rs
@@ -1,19 +1,19 @@
-//! Which extents to move so that reservations can be met again, at the least bytes.
+//! Which extents to move so that reservations can be met again, at the fewest bytes.
 //!
-//! Called by the state service for an operator, with a site, the nodes that are to be emptied, and
-//! the sizes of volumes; the answer names whole extents, from where to where, or says what stays
-//! short whatever is moved. A linear program (by `microlp`) weighs what each volume could put on
-//! each node against the bytes that it would cost. Extents are whole: on a small site the program
-//! knows that; on a larger one, where an extent is little, its parts are rounded up, the answer is
-//! checked by the flow, and where rounding has filled a node, the program is solved again with a
-//! little less capacity. Pure functions.
+//! The catalog service calls [`propose`] for an operator, with a site, the nodes to be emptied and
+//! the sizes of volumes. The proposal has the moves of complete extents, or the shortfall that
+//! remains with any moves. A linear program (by `microlp`) weighs the load that each volume could
+//! put on each node against the bytes to move. Only complete extents can move. On a small site the
+//! program has integer variables for them. On a larger site one extent matters little: fractions of
+//! extents are rounded up, the flow checks the result, and if rounding has filled a node, the
+//! program is solved again with a little less capacity. Pure functions.
 //!
-//! Of a large site only a part goes into the program, or it would take minutes: volumes with a home
-//! from which nothing leads to spare capacity, the cheapest to move first, and nodes with the most
-//! spare capacity. The answer is then good and not proven the least; [`Proposal::is_complete`] says
-//! which.
+//! Of a large site, only a part goes into the program, which would otherwise take minutes: the
+//! volumes on a node from which no path leads to spare capacity, the cheapest to move first, and
+//! the nodes with the most spare capacity. The proposal is then good and not proven to be the
+//! smallest; [`Proposal::is_complete`] states which.
 //!
-//! Memory: for the time of the call, a few words for each volume and node that goes in.
+//! Memory: for the time of the call, a few words for each volume and node in the program.
 
 mod program;
 mod rounding;
@@ -27,28 +27,36 @@
 use program::Attempt;
 use scope::Scope;
 use std::collections::{BTreeMap, BTreeSet};
-use types::EPSILON;
+use types::{lies_on, EPSILON};
 
-/// Capacity of each node that is left unused for rounding, as a part of it, from one try to the
-/// next.
+/// Fraction of each node's capacity that is left unused for rounding, by attempt. A larger margin
+/// moves more bytes than necessary; a smaller one leaves attempts that rounding makes fail.
 const ROUNDING_MARGINS: [f64; 4] = [0.0, 0.005, 0.02, 0.05];
-/// Number of variables up to which the program is made one of whole numbers.
+/// Most variables of a program with integer variables. With more, the search takes too long; a
+/// smaller number leaves more proposals to rounding.
 const MAX_INTEGER_VARIABLES: usize = 400;
 
-/// What would mend the site, with these nodes emptied; None: nothing needs to move.
+/// Moves after which the site meets its reservations and these nodes are empty; None: nothing needs
+/// to move.
 pub fn propose(site: &Site, empty: &BTreeSet<u32>, size: impl Fn(u64) -> Size) -> Option<Proposal> {
     let mut flow = IncrementalFlow::of(site);
     for node in empty {
         flow.set_up(*node, false);
     }
     let is_short = flow.shortfall().short > flow.slack();
-    let must_leave = |volume: &Volume| volume.placement.iter().any(|home| empty.contains(&home.0));
+    let must_leave = |volume: &Volume| lies_on(volume, |node| empty.contains(&node));
     if !is_short && !site.volumes.iter().any(must_leave) {
         return None;
     }
     let scope = Scope::of(site, &flow, empty, &size);
+    let optimal = optimal_proposal(&scope, &flow);
+    Some(optimal.unwrap_or_else(|| evacuation_proposal(&scope, &flow)))
+}
+
+/// The proposal of the first attempt whose moves meet all reservations.
+fn optimal_proposal(scope: &Scope, flow: &IncrementalFlow) -> Option<Proposal> {
     let mut least = None;
-    for attempt in attempts(&scope) {
+    for attempt in attempts(scope) {
         if least.is_none() {
             let relaxed = scope.solve(Attempt::default());
             least = relaxed.map(|solution| solution.bytes);
@@ -56,8 +64,8 @@
         let Some(solution) = scope.solve(attempt) else {
             continue;
         };
-        let moves = scope.whole_extents(&solution.changes);
-        let short = shortfall_after(&flow, &scope, &moves).short;
+        let moves = scope.complete_extents(&solution.changes);
+        let short = shortfall_after(flow, scope, &moves).short;
         if short <= flow.slack() {
             return Some(Proposal {
                 bytes: total_bytes(&moves),
@@ -68,19 +76,23 @@
             });
         }
     }
-    // Nodes are emptied anyway, to wherever most capacity is spare; the rest stays short.
+    None
+}
+
+/// The proposal that empties the nodes although reservations stay unmet.
+fn evacuation_proposal(scope: &Scope, flow: &IncrementalFlow) -> Proposal {
     let moves = scope.evacuation();
     let bytes = total_bytes(&moves);
-    Some(Proposal {
-        short: shortfall_after(&flow, &scope, &moves).short,
+    Proposal {
+        short: shortfall_after(flow, scope, &moves).short,
         moves,
         bytes,
         least: bytes as f64,
         is_complete: scope.is_complete,
-    })
+    }
 }
 
-/// The programs to solve, one after the other until one gives an answer that holds.
+/// The attempts, in order. The first whose moves meet all reservations counts.
 fn attempts(scope: &Scope) -> Vec<Attempt> {
     let variables: usize = scope
         .volumes
@@ -114,18 +126,18 @@
     after.shortfall()
 }
 
-/// A volume of so many extents as it lies after the moves.
+/// A volume with that number of extents, placed as after the moves.
 fn moved(volume: &Volume, moves: &[Move], extents: u64) -> Volume {
     let mut placement: BTreeMap<u32, f64> = volume.placement.iter().copied().collect();
     for step in moves.iter().filter(|step| step.volume == volume.id) {
-        let part = step.extents as f64 / extents.max(1) as f64;
-        *placement.entry(step.from).or_default() -= part;
-        *placement.entry(step.to).or_default() += part;
+        let fraction = step.extents as f64 / extents.max(1) as f64;
+        *placement.entry(step.from).or_default() -= fraction;
+        *placement.entry(step.to).or_default() += fraction;
     }
     Volume {
         placement: placement
             .into_iter()
-            .filter(|(_, part)| *part > EPSILON)
+            .filter(|(_, fraction)| *fraction > EPSILON)
             .collect(),
         ..volume.clone()
     }
--- a/crates/catalog/src/moves/program.rs
+++ b/crates/catalog/src/moves/program.rs
@@ -1,4 +1,6 @@
-//! The linear program: how many extents leave and arrive, by volume and node, at the least bytes.
+//! The linear program: how many extents leave and arrive, by volume and node, at the fewest bytes.
+//!
+//! Built and solved by [`crate::moves`], once for each attempt.
 
 use super::scope::Scope;
 use super::types::EPSILON;
@@ -6,16 +8,17 @@
 use microlp::{ComparisonOp, LinearExpr, OptimizationDirection, Problem, SolveOptions, Variable};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most nodes of the search tree where extents are whole. There is no time limit: the same site
-/// always gets the same answer.
+/// Most nodes of the search tree of a program with integer variables. A larger number makes the
+/// search longer; a smaller one gives up solutions. There is no time limit, so that the same site
+/// always gets the same proposal.
 const MAX_SEARCH_NODES: u64 = 5_000;
 
 /// How to solve the program.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Attempt {
-    /// Capacity of each node that is left unused, as a part of it.
+    /// Fraction of each node's capacity that is left unused.
     pub margin: f64,
-    /// Whether extents are whole.
+    /// Whether only complete extents may move.
     pub is_integer: bool,
 }
 
@@ -26,16 +29,18 @@
     pub arriving: f64,
 }
 
-/// By volume and node.
+/// The changes by volume and node.
 pub(super) type ExtentChanges = BTreeMap<(u64, u32), ExtentChange>;
 
+/// A solution of the program.
 pub(super) struct Solution {
     pub changes: ExtentChanges,
-    /// What it costs.
+    /// The bytes to move.
     pub bytes: f64,
 }
 
-/// The variables of a volume on a node, where it can leave or arrive.
+/// The variables for the extents of a volume that can leave a node or arrive there.
+#[derive(Clone, Copy)]
 struct ChangeVariables {
     leaving: Option<Variable>,
     arriving: Option<Variable>,
@@ -49,23 +54,24 @@
     variables: BTreeMap<(u64, u32), ChangeVariables>,
     /// By node: the sum of the loads on it.
     load_sums: BTreeMap<u32, LinearExpr>,
-    /// Bytes of the largest volume. Costs are parts of it: the solver needs figures of like size.
+    /// Bytes of the largest volume. Costs are fractions of it, because the solver needs values of
+    /// similar size.
     cost_unit: f64,
 }
 
 /// The sums over the nodes of one volume.
 struct VolumeSums {
-    /// Extents that leave, less those that arrive.
+    /// Extents that leave minus extents that arrive.
     balance: LinearExpr,
     /// Loads on all nodes.
     carried: LinearExpr,
-    /// Part of the extents on nodes that are unknown or cannot serve: nothing can read what lies
-    /// there.
+    /// Fraction of the extents on nodes that are unknown or cannot serve. Nothing can read these
+    /// extents.
     unreachable: f64,
 }
 
 impl Scope<'_> {
-    /// Extents to move at the least bytes; None where no moves would do.
+    /// Solves the program; None: no moves meet the reservations.
     pub fn solve(&self, attempt: Attempt) -> Option<Solution> {
         let mut program = Program::new(self, attempt);
         for volume in &self.volumes {
@@ -93,21 +99,28 @@
     }
 
     fn add_volume(&mut self, volume: &Volume) {
-        let parts: BTreeMap<u32, f64> = volume.placement.iter().copied().collect();
-        let nodes: BTreeSet<u32> = parts.keys().chain(&self.scope.targets).copied().collect();
+        let fractions: BTreeMap<u32, f64> = volume.placement.iter().copied().collect();
+        let nodes: BTreeSet<u32> = fractions
+            .keys()
+            .chain(&self.scope.targets)
+            .copied()
+            .collect();
         let mut sums = VolumeSums {
             balance: LinearExpr::empty(),
             carried: LinearExpr::empty(),
             unreachable: 0.0,
         };
         for node in nodes {
-            let part = parts.get(&node).copied().unwrap_or(0.0);
+            let fraction = fractions.get(&node).copied().unwrap_or(0.0);
             let is_emptied = self.scope.empty.contains(&node);
             if !is_emptied && !self.scope.available.contains_key(&node) {
-                sums.unreachable += part;
+                sums.unreachable += fraction;
                 continue;
             }
-            self.add_home(volume, node, part, is_emptied, &mut sums);
+            let variables = self.add_changes(volume, node, fraction, &mut sums);
+            if !is_emptied {
+                self.add_load(volume, node, fraction, variables, &mut sums);
+            }
         }
         self.problem
             .add_constraint(sums.balance, ComparisonOp::Eq, 0.0);
@@ -116,18 +129,19 @@
             .add_constraint(sums.carried, ComparisonOp::Ge, reachable);
     }
 
-    /// Adds the variables of a volume on a node that has that part of its extents.
-    fn add_home(
+    /// Adds the variables for the extents of a volume that leave a node, which has that fraction of
+    /// them, and that arrive there.
+    fn add_changes(
         &mut self,
         volume: &Volume,
         node: u32,
-        part: f64,
-        is_emptied: bool,
+        fraction: f64,
         sums: &mut VolumeSums,
-    ) {
+    ) -> ChangeVariables {
         let size = self.scope.size_of(volume);
         let all = size.extents.max(1) as f64;
-        let here = (part * all).round();
+        let here = (fraction * all).round();
+        let is_emptied = self.scope.empty.contains(&node);
         let least = if is_emptied { here } else { 0.0 };
         let cost = size.total_bytes() / all / self.cost_unit;
         let leaving = (here > 0.0).then(|| self.add_extents(cost, least, here));
@@ -141,22 +155,33 @@
         }
         let variables = ChangeVariables { leaving, arriving };
         self.variables.insert((volume.id, node), variables);
-        if is_emptied {
-            return;
-        }
+        variables
+    }
+
+    /// Adds the variable for the load of a volume on a node, which is bounded by the extents there
+    /// after the moves.
+    fn add_load(
+        &mut self,
+        volume: &Volume,
+        node: u32,
+        fraction: f64,
+        variables: ChangeVariables,
+        sums: &mut VolumeSums,
+    ) {
+        let all = self.scope.size_of(volume).extents.max(1) as f64;
         let load = self.problem.add_var(0.0, (0.0, volume.reservation));
-        // What all extents together let a node carry.
+        // The maximum load on a node with all extents.
         let max_load = volume.reservation * self.scope.spread;
-        let mut within = LinearExpr::empty();
-        within.add(load, 1.0);
-        if let Some(leaving) = leaving {
-            within.add(leaving, max_load / all);
+        let mut bound = LinearExpr::empty();
+        bound.add(load, 1.0);
+        if let Some(leaving) = variables.leaving {
+            bound.add(leaving, max_load / all);
         }
-        if let Some(arriving) = arriving {
-            within.add(arriving, -max_load / all);
+        if let Some(arriving) = variables.arriving {
+            bound.add(arriving, -max_load / all);
         }
         self.problem
-            .add_constraint(within, ComparisonOp::Le, max_load * part);
+            .add_constraint(bound, ComparisonOp::Le, max_load * fraction);
         sums.carried.add(load, 1.0);
         self.load_sums
             .entry(node)
@@ -197,7 +222,7 @@
             changes: self
                 .variables
                 .into_iter()
-                .map(|(home, variables)| (home, change(variables)))
+                .map(|(placement, variables)| (placement, change(variables)))
                 .collect(),
             bytes: solution.objective() * self.cost_unit,
         })
--- a/crates/catalog/src/moves/rounding.rs
+++ b/crates/catalog/src/moves/rounding.rs
@@ -1,4 +1,5 @@
-//! Moves of whole extents from the program's solution, or without one.
+//! Moves of complete extents, from the program's solution or without one. Pure functions, called by
+//! [`crate::moves`].
 
 use super::program::{ExtentChange, ExtentChanges};
 use super::scope::Scope;
@@ -6,25 +7,26 @@
 use crate::planner::Volume;
 use std::collections::BTreeMap;
 
-/// Parts of an extent below this are the solver's rounding, and are not rounded up to a whole one.
+/// Fractions of an extent below this are the solver's rounding. They are not rounded up to a
+/// complete extent. A larger value moves too few extents; a smaller one moves too many.
 const SOLVER_TOLERANCE: f64 = 1e-4;
 
-/// Extents that a node is still to get.
+/// Extents that must still arrive at a node.
 struct Arrival {
     node: u32,
     extents: f64,
 }
 
 impl ExtentChange {
-    /// Extents that arrive beyond those that leave.
+    /// The extents that arrive minus those that leave.
     fn net(&self) -> f64 {
         self.arriving - self.leaving
     }
 }
 
 impl Scope<'_> {
-    /// Moves of whole extents, at least as many as the program says.
-    pub fn whole_extents(&self, changes: &ExtentChanges) -> Vec<Move> {
+    /// Moves of complete extents, at least as many as the solution has.
+    pub fn complete_extents(&self, changes: &ExtentChanges) -> Vec<Move> {
         let mut moves = Vec::new();
         for volume in &self.volumes {
             self.round_volume(volume, changes, &mut moves);
@@ -35,8 +37,8 @@
     fn round_volume(&self, volume: &Volume, changes: &ExtentChanges, moves: &mut Vec<Move>) {
         let size = self.size_of(volume);
         let mut arrivals = arrivals(volume, changes);
-        for (from, part) in &volume.placement {
-            let here = (part * size.extents as f64).round();
+        for (from, fraction) in &volume.placement {
+            let here = (fraction * size.extents as f64).round();
             let leaving = if self.empty.contains(from) {
                 here
             } else {
@@ -72,19 +74,19 @@
         let mut moves = Vec::new();
         for volume in &self.volumes {
             let size = self.size_of(volume);
-            for (from, part) in volume
+            for (from, fraction) in volume
                 .placement
                 .iter()
-                .filter(|home| self.empty.contains(&home.0))
+                .filter(|(node, _)| self.empty.contains(node))
             {
                 let most_spare = spare
                     .iter_mut()
                     .max_by(|left, right| left.1.total_cmp(right.1));
-                let extents = (part * size.extents as f64).round() as u64;
+                let extents = (fraction * size.extents as f64).round() as u64;
                 let Some((to, spare)) = most_spare.filter(|_| extents > 0) else {
                     continue;
                 };
-                *spare -= volume.reservation * part;
+                *spare -= volume.reservation * fraction;
                 moves.push(Move {
                     volume: volume.id,
                     from: *from,
@@ -98,8 +100,8 @@
     }
 }
 
-/// Nodes that get more extents of a volume than leave them, the most first. Those that lose more
-/// are where extents come from.
+/// Nodes to which more extents of a volume arrive than leave, the most first. The extents come from
+/// the other nodes.
 fn arrivals(volume: &Volume, changes: &ExtentChanges) -> Vec<Arrival> {
     let mut arrivals: Vec<Arrival> = changes
         .range((volume.id, 0)..=(volume.id, u32::MAX))
--- a/crates/catalog/src/moves/scope.rs
+++ b/crates/catalog/src/moves/scope.rs
@@ -1,31 +1,34 @@
-//! The part of a site that goes into the program.
+//! The part of a site that goes into the program. Built by [`crate::moves`] for one call.
 
-use super::types::Size;
+use super::types::{lies_on, Size};
 use crate::incremental_flow::IncrementalFlow;
 use crate::planner::{Node, Site, Volume};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most volumes that go into the program, in addition to those on nodes to be emptied.
+/// Most volumes that go into the program, in addition to those on nodes to be emptied. A larger
+/// number makes the program take longer; a smaller one leaves better proposals out.
 const MAX_VOLUMES: usize = 300;
-/// Most nodes that extents may move to, on a large site.
+/// Most nodes to which extents may move on a large site. A larger number makes the program take
+/// longer; a smaller one may leave too little spare capacity.
 const MAX_TARGETS: usize = 6;
-/// Most nodes of a site that goes into the program completely.
+/// Most nodes of a site that goes into the program as a complete site.
 const MAX_COMPLETE_NODES: usize = 4 * MAX_TARGETS;
-/// A reservation is taken for at least this where bytes are divided by it, units a second.
+/// Lower bound of a reservation by which bytes are divided, units a second. Guards against a
+/// division by zero; a larger value distorts the order of small volumes.
 const MIN_RESERVATION: f64 = 1e-3;
 
-/// What goes into the program.
+/// The part of a site that goes into the program; see the module.
 pub(super) struct Scope<'a> {
     pub volumes: Vec<&'a Volume>,
     /// Nodes that extents may move to.
     pub targets: Vec<u32>,
     /// Nodes to be emptied.
     pub empty: &'a BTreeSet<u32>,
-    /// By node: capacity without what the volumes left out use there.
+    /// By node: the capacity that the volumes outside the program do not use.
     pub available: BTreeMap<u32, f64>,
     /// See [`Site`].
     pub spread: f64,
-    /// Whether the whole site goes in.
+    /// Whether the complete site goes into the program.
     pub is_complete: bool,
     pub size: &'a dyn Fn(u64) -> Size,
 }
@@ -44,11 +47,7 @@
             .iter()
             .filter(|node| !empty.contains(&node.id) && node.capacity > 0.0)
             .collect();
-        let mut targets = serving.clone();
-        targets.sort_by(|left, right| {
-            let by_spare = flow.spare(right.id).total_cmp(&flow.spare(left.id));
-            by_spare.then(left.id.cmp(&right.id))
-        });
+        let mut targets = by_spare_capacity(&serving, flow);
         if !is_complete {
             targets.truncate(MAX_TARGETS);
         }
@@ -65,7 +64,7 @@
         };
         Scope {
             volumes,
-            targets: targets.iter().map(|node| node.id).collect(),
+            targets,
             empty,
             available: serving.iter().map(available).collect(),
             spread: site.spread,
@@ -79,16 +78,26 @@
     }
 }
 
-/// All volumes on nodes to be emptied, and of those with a home from which nothing leads to spare
-/// capacity the ones that cost the fewest bytes for a unit a second.
+/// Numbers of the nodes, most spare capacity first.
+fn by_spare_capacity(nodes: &[&Node], flow: &IncrementalFlow) -> Vec<u32> {
+    let mut nodes = nodes.to_vec();
+    nodes.sort_by(|left, right| {
+        let by_spare = flow.spare(right.id).total_cmp(&flow.spare(left.id));
+        by_spare.then(left.id.cmp(&right.id))
+    });
+    nodes.iter().map(|node| node.id).collect()
+}
+
+/// All volumes on nodes to be emptied, and those volumes on a node from which no path leads to spare
+/// capacity that cost the fewest bytes for a unit a second.
 fn volumes_of_large_site<'a>(
     site: &'a Site,
     flow: &IncrementalFlow,
     empty: &BTreeSet<u32>,
     size: &dyn Fn(u64) -> Size,
 ) -> Vec<&'a Volume> {
-    let must_leave = |volume: &&Volume| volume.placement.iter().any(|home| empty.contains(&home.0));
-    let is_tight = |volume: &Volume| volume.placement.iter().any(|home| flow.is_tight(home.0));
+    let must_leave = |volume: &&Volume| lies_on(volume, |node| empty.contains(&node));
+    let is_tight = |volume: &Volume| lies_on(volume, |node| flow.is_tight(node));
     let cost =
         |volume: &Volume| size(volume.id).total_bytes() / volume.reservation.max(MIN_RESERVATION);
     let (mut volumes, mut others): (Vec<&Volume>, Vec<&Volume>) =
--- a/crates/catalog/src/moves/types.rs
+++ b/crates/catalog/src/moves/types.rs
@@ -1,12 +1,15 @@
 //! Sizes, moves and proposals. Plain data.
 
-/// A part of a volume, an extent or a unit a second below this is none.
+use crate::planner::Volume;
+
+/// Fractions of a volume, extents, and units a second below this count as zero. A larger value
+/// drops real amounts; a smaller one takes the solver's rounding for real.
 pub(super) const EPSILON: f64 = 1e-7;
 
-/// What it costs to move a volume.
+/// The size of a volume, which determines the cost of moving it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Size {
-    /// Number of its extents.
+    /// Number of extents.
     pub extents: u64,
     /// Bytes of one extent.
     pub bytes: u64,
@@ -24,28 +27,33 @@
 pub struct Move {
     /// The volume's number.
     pub volume: u64,
-    /// The node where they lie.
+    /// The node that the extents leave.
     pub from: u32,
-    /// The node where they are to lie.
+    /// The node where the extents arrive.
     pub to: u32,
-    /// How many.
+    /// Number of extents.
     pub extents: u64,
-    /// Their size in all.
+    /// Total size of the extents.
     pub bytes: u64,
 }
 
-/// What to move.
+/// The proposed moves.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Proposal {
     /// All moves.
     pub moves: Vec<Move>,
     /// Bytes of all moves.
     pub bytes: u64,
-    /// The program's optimum in bytes, below which no answer with whole extents can lie, of what
-    /// went into it.
+    /// The program's optimum in bytes for its part of the site. No moves of complete extents can
+    /// have fewer bytes.
     pub least: f64,
     /// Reservations that stay unmet, units a second.
     pub short: f64,
-    /// Whether the whole site went into the program.
+    /// Whether the complete site went into the program.
     pub is_complete: bool,
 }
+
+/// Returns whether a volume has extents on a node for which `is_wanted` holds.
+pub(super) fn lies_on(volume: &Volume, is_wanted: impl Fn(u32) -> bool) -> bool {
+    volume.placement.iter().any(|(node, _)| is_wanted(*node))
+}
