--- a/crates/host/src/metrics.rs
+++ b/crates/host/src/metrics.rs
@@ -11,8 +11,7 @@
 //! Memory: a record for each volume, shard and second of which something changed since the last
 //! message, and the last reported row of each node.
 
-use grebecleat_scheduler::api::{BlockReason, NodeId, NodeState};
-use grebecleat_scheduler::scheduler::introspection::{NodeMetrics, QueueMetrics};
+use grebecleat_scheduler::api::{BlockReason, NodeId, NodeMetrics, NodeState, QueueMetrics};
 use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
--- /dev/null
+++ b/crates/scheduler/src/api/ids.rs
@@ -0,0 +1,41 @@
+//! Identifiers of requests, nodes, volumes and the other things that events and actions name.
+
+/// Identifies a request, by the text under which its client knows it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RequestId(pub [u8; 36]);
+
+/// Identifies a storage node; the same at every host.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct NodeId(pub u32);
+
+/// Identifies a volume.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct VolumeId(pub u64);
+
+/// Identifies the piece of data that a request reads or writes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct KeyId(pub u64);
+
+/// Identifies a shard: the nodes that hold one part of the data.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ShardId(pub u32);
+
+/// Identifies an availability zone.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ZoneId(pub u32);
+
+/// Identifies a plan, by its place in the settings.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct PlanId(pub usize);
+
+/// Identifies a traffic class, by its place in the settings.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TrafficClassId(pub usize);
+
+/// Identifies another host.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct PeerId(pub u32);
+
+/// Distinguishes the scheduler's timers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TimerTag(pub u64);
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -33,7 +33,7 @@
 mod dispatch_queue;
 mod endpoint_lease;
 mod fetch_backoff;
-pub mod introspection;
+mod introspection;
 mod jitter;
 mod latency;
 mod outlier_ejection;
