--- a/crates/scheduler/src/histogram.rs
+++ b/crates/scheduler/src/histogram.rs
@@ -1,4 +1,6 @@
 //! Coarse histograms of times.
+//!
+//! Called by the latency model, which chooses the bins. Memory: one count for each bin.
 
 use std::time::Duration;
 
@@ -24,7 +26,7 @@
 }
 
 impl Histogram {
-    /// `first_edge`: upper edge of the first bin; `factor`: of each edge to the one before (over 1).
+    /// `first_edge`: upper edge of the first bin; `factor`: ratio of each edge to the one before, over 1.
     pub fn new(first_edge: Duration, factor: f64, bins: usize) -> Self {
         Histogram {
             first_edge: first_edge.as_secs_f64(),
@@ -49,7 +51,7 @@
         bin.min(self.counts.len() - 1)
     }
 
-    /// Halves all counts, so that later times weigh more.
+    /// Halves all counts, so that later times have more weight.
     pub fn halve(&mut self) {
         for count in &mut self.counts {
             *count /= 2.0;
@@ -68,7 +70,8 @@
         self.counts.iter().sum()
     }
 
-    /// The middle of the bin in which the given fraction of the counts is reached; None: nothing was counted.
+    /// Returns the middle of the bin in which the given fraction of the counts is reached; None: no time was
+    /// counted.
     pub fn quantile(&self, fraction: f64) -> Option<Duration> {
         let total = self.total();
         if total <= 0.0 {
--- a/crates/scheduler/src/key_order.rs
+++ b/crates/scheduler/src/key_order.rs
@@ -1,4 +1,7 @@
-//! Order among the requests of one key: one at a time, as they came, with a cool-down after an unclear end.
+//! Order of the requests of one key: one at a time, in order of receipt, with a cool-down after an attempt that
+//! may still run.
+//!
+//! Called by the retry policy, which chooses the length of the cool-down. Owns the open requests of each key.
 
 use crate::api::{KeyId, RequestId};
 use std::collections::{BTreeMap, VecDeque};
@@ -6,14 +9,15 @@
 
 #[derive(Debug, Default)]
 struct KeyQueue {
-    /// Open requests, in order of arrival.
+    /// Open requests, in order of receipt.
     open: VecDeque<RequestId>,
+    /// End of the cool-down.
     cooldown_until: Duration,
-    /// The request that the cool-down does not bind.
+    /// The request that the cool-down does not block.
     exempt: Option<RequestId>,
 }
 
-/// For each key its open requests in order of arrival, and until when the key cools down.
+/// Open requests of each key in order of receipt, and the end of the key's cool-down.
 ///
 /// Memory: one entry for each key with an open request or a cool-down.
 ///
@@ -36,26 +40,26 @@
 pub struct KeyOrder(BTreeMap<KeyId, KeyQueue>);
 
 impl KeyOrder {
-    /// A request of the key has come in.
+    /// Adds a request of the key.
     pub fn push(&mut self, key: KeyId, id: RequestId) {
         self.0.entry(key).or_default().open.push_back(id);
     }
 
-    /// A request of the key is over; returns which is first then.
+    /// Removes a request of the key; returns the request that is first from now on.
     pub fn remove(&mut self, key: KeyId, id: RequestId) -> Option<RequestId> {
         let queue = self.0.get_mut(&key)?;
         queue.open.retain(|other| *other != id);
         queue.open.front().copied()
     }
 
-    /// The key cools down until then for all requests but the one that brought it about.
+    /// Starts a cool-down of the key, for all requests but the one that caused it.
     pub fn cool_down(&mut self, key: KeyId, exempt: RequestId, until: Duration) {
         let queue = self.0.entry(key).or_default();
         queue.cooldown_until = queue.cooldown_until.max(until);
         queue.exempt = Some(exempt);
     }
 
-    /// Whether the request is first of its key, and the key has cooled down for it.
+    /// Returns whether the request is first of its key, and no cool-down blocks it.
     pub fn may_run(&self, key: KeyId, id: RequestId, now: Duration) -> bool {
         let Some(queue) = self.0.get(&key) else {
             return true;
@@ -64,7 +68,7 @@
         first && (now >= queue.cooldown_until || queue.exempt == Some(id))
     }
 
-    /// Drops keys without open requests that have cooled down.
+    /// Drops keys without open requests whose cool-down has ended.
     pub fn remove_idle(&mut self, now: Duration) {
         self.0
             .retain(|_, queue| !queue.open.is_empty() || now < queue.cooldown_until);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,11 +1,12 @@
-//! grebecleat decides, on each host of a storage gateway, which requests go to their storage node now, which
-//! are queued, and which are rejected.
+//! The scheduler of one gateway host: decides which requests are sent to their storage node now, which are
+//! queued, and which are rejected.
 //!
 //! [`scheduler`] and [`probing_window`] hold every decision on a request; begin with
-//! [`scheduler::Scheduler::step`]. [`api`] holds the events that go in and the actions that come out,
-//! `state` the records that the decisions work on. [`token_bucket`], [`max_min_fair_share`], [`request_queue`],
-//! [`key_order`], [`interval_sample`], [`histogram`], [`rates`] and [`rendezvous_hash`] are mechanical helpers whose
-//! numbers come from the caller; [`rejection_stats`] is for operators.
+//! [`scheduler::Scheduler::step`]. [`api`] holds the events that go in, the actions that come out, and the
+//! settings and metrics. The private module `state` holds the tables of nodes, requests and volumes.
+//! [`token_bucket`], [`max_min_fair_share`], [`request_queue`], [`key_order`], [`interval_sample`],
+//! [`histogram`], [`rates`] and [`rendezvous_hash`] are mechanical helpers that take their figures from the
+//! caller; [`rejection_stats`] is for operators.
 
 #![warn(missing_docs)]
 
--- a/crates/scheduler/src/max_min_fair_share.rs
+++ b/crates/scheduler/src/max_min_fair_share.rs
@@ -1,25 +1,28 @@
-//! Division of one node's capacity among flows: reservations first, the rest max-min fair by weight.
+//! Division of one node's capacity among flows: reservations first, then max-min fair shares by weight.
+//!
+//! Called once a control interval for each node. Owns no state.
 
-/// Unmet demand, or capacity, below this is none.
+/// Rate below which an unmet demand, or a capacity, counts as zero. Larger: flows get less than their share.
+/// Smaller: the division takes more rounds over rounding errors.
 const NEGLIGIBLE: f64 = 1e-6;
 
-/// What one flow demands of a node, and on what terms. Rates are units a second.
+/// Demand of one flow at a node, and its terms. Rates are units a second.
 #[derive(Debug, Clone, Copy)]
 pub struct FlowDemand {
-    /// Rate that it could use.
+    /// Rate that the flow could use.
     pub demand: f64,
-    /// Rate that it is guaranteed.
+    /// Rate that the flow is guaranteed.
     pub reservation: f64,
-    /// Its weight in the division of the rest; 0: it gets none of it.
+    /// Weight in the division of the capacity beyond the reservations; 0: the flow gets none of it.
     pub weight: f64,
 }
 
-/// The rate that a flow is given, in units a second.
+/// Rate that a flow gets, in units a second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allocation {
-    /// Out of its reservation.
+    /// From its reservation.
     pub reserved: f64,
-    /// Out of what the reservations leave.
+    /// From the capacity that the reservations leave.
     pub spare: f64,
 }
 
@@ -28,41 +31,45 @@
         flow.demand - self.reserved - self.spare
     }
 
-    fn wants_more(&self, flow: &FlowDemand) -> bool {
+    fn is_unsatisfied(&self, flow: &FlowDemand) -> bool {
         flow.weight > 0.0 && self.unmet(flow) > NEGLIGIBLE
     }
 }
 
-/// Divides `capacity` among the flows, in their order. Where the reservations exceed it, all are cut alike.
+/// Divides `capacity` among the flows, in their order. If the reservations exceed it, all are reduced by the same
+/// factor.
 pub fn allocate(capacity: f64, flows: &[FlowDemand]) -> Vec<Allocation> {
     let reserve = |flow: &FlowDemand| Allocation {
         reserved: flow.demand.min(flow.reservation),
         spare: 0.0,
     };
     let mut allocations: Vec<Allocation> = flows.iter().map(reserve).collect();
-    let reserved: f64 = allocations.iter().map(|a| a.reserved).sum();
+    let reserved: f64 = allocations
+        .iter()
+        .map(|allocation| allocation.reserved)
+        .sum();
     if reserved > capacity && reserved > 0.0 {
         for allocation in &mut allocations {
             allocation.reserved *= capacity / reserved;
         }
         return allocations;
     }
-    let mut left = capacity - reserved;
+    let mut remaining = capacity - reserved;
     loop {
-        let hungry = allocations
+        let unsatisfied = allocations
             .iter()
             .zip(flows)
-            .filter(|(given, flow)| given.wants_more(flow));
-        let weights: f64 = hungry.map(|(_, flow)| flow.weight).sum();
-        if weights <= 0.0 || left <= NEGLIGIBLE {
+            .filter(|(given, flow)| given.is_unsatisfied(flow));
+        let weights: f64 = unsatisfied.map(|(_, flow)| flow.weight).sum();
+        if weights <= 0.0 || remaining <= NEGLIGIBLE {
             return allocations;
         }
-        let each = left / weights;
+        let per_weight = remaining / weights;
         for (given, flow) in allocations.iter_mut().zip(flows) {
-            if given.wants_more(flow) {
-                let more = given.unmet(flow).min(each * flow.weight);
+            if given.is_unsatisfied(flow) {
+                let more = given.unmet(flow).min(per_weight * flow.weight);
                 given.spare += more;
-                left -= more;
+                remaining -= more;
             }
         }
     }
--- a/crates/scheduler/src/probing_window.rs
+++ b/crates/scheduler/src/probing_window.rs
@@ -1,48 +1,59 @@
-//! How far a host may go at one node: the probing window over a capacity that nobody states.
+//! Probing window: the search for the rate that one host can get from one node, whose capacity is not published.
 //!
-//! The control interval gives it one [`IntervalSample`] of the node each time. Its terms are the paper's
+//! Called with one [`IntervalSample`] of the node each control interval. The terms are the paper's
 //! ("End-to-end Performance Isolation through Virtual Datacenters", section 4.3). Rates are units a second.
 
 use crate::interval_sample::IntervalSample;
 
-const ALPHA: f64 = 0.2; // mild: outstanding units are few and jumpy
-const CONGESTED_SAMPLES: u32 = 3; // against one pause or flush
-const STABLE_WITHIN: f64 = 0.01; // of the upper edge, as in the paper
-const MIX_CHANGE: f64 = 0.10; // as in the paper
+/// Factor from outstanding units to the estimate in the stable phase; small, since outstanding units are few and
+/// vary much. Larger: the estimate oscillates. Smaller: it follows a change of the capacity slowly.
+const ALPHA: f64 = 0.2;
+/// Consecutive congested samples that narrow the window; one pause or flush causes fewer. Larger: an overload
+/// lasts longer. Smaller: a pause halves the window.
+const CONGESTED_SAMPLES: u32 = 3;
+/// Width of a stable window, as a fraction of the highest rate; as in the paper. Larger: the search ends with a
+/// worse estimate. Smaller: it takes longer.
+const STABLE_WITHIN: f64 = 0.01;
+/// Change of a traffic class's fraction that restarts the search; as in the paper. Larger: an outdated estimate
+/// stays. Smaller: chance restarts the search.
+const MIX_CHANGE: f64 = 0.10;
 
-/// How far the search has come.
+/// Phase of the search.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Phase {
-    /// It narrows the window.
+    /// The search narrows the window.
     Search,
-    /// It waits until reservations are met.
+    /// The search waits until reservations are met.
     Wait,
     /// The window is narrow; the estimate follows the outstanding units.
     Stable {
-        /// Units out when it became so.
+        /// Units outstanding at the start of the phase.
         outstanding: f64,
     },
 }
 
-/// The probing window over the rate that this host can get from a node (paper, 4.3).
+/// Probing window over the rate that this host can get from a node (paper, 4.3).
 #[derive(Debug, Clone)]
 pub struct ProbingWindow {
-    /// Lower edge: carried without congestion.
-    pub low: f64,
-    /// Upper edge: not carried.
-    pub high: f64,
-    /// The rate that may go to the node.
-    pub estimate: f64,
-    /// How far the search has come.
-    pub phase: Phase,
+    /// Lower edge: a rate without congestion.
+    low: f64,
+    /// Upper edge: a rate with congestion, or above any tried.
+    high: f64,
+    /// Rate that may go to the node.
+    estimate: f64,
+    phase: Phase,
+    /// Consecutive congested samples.
     congested_samples: u32,
+    /// Smallest lower edge.
     lowest: f64,
+    /// Largest upper edge.
     highest: f64,
+    /// Traffic mix at the start of the stable phase.
     stable_mix: Vec<f64>,
 }
 
 impl ProbingWindow {
-    /// A search between two rates that begins at the lower one.
+    /// Starts a search between two rates, at the lower one.
     pub fn new(lowest: f64, highest: f64) -> Self {
         let highest = highest.max(lowest);
         ProbingWindow {
@@ -57,7 +68,28 @@
         }
     }
 
-    /// Takes one sample. One pause or flush slows a single sample; only the third in a row is believed.
+    /// Lower edge: a rate without congestion.
+    pub fn low(&self) -> f64 {
+        self.low
+    }
+
+    /// Upper edge: a rate with congestion, or above any tried.
+    pub fn high(&self) -> f64 {
+        self.high
+    }
+
+    /// Rate that may go to the node.
+    pub fn estimate(&self) -> f64 {
+        self.estimate
+    }
+
+    /// Phase of the search.
+    pub fn phase(&self) -> Phase {
+        self.phase
+    }
+
+    /// Moves the window by one sample. One pause or flush congests a single sample, so only the third congested
+    /// sample in a row counts.
     pub fn observe(&mut self, sample: &IntervalSample) {
         self.congested_samples = if sample.congested {
             self.congested_samples + 1
--- a/crates/scheduler/src/rates.rs
+++ b/crates/scheduler/src/rates.rs
@@ -1,12 +1,13 @@
-//! Arithmetic of times and rates, and counts of what happened within the last span of time.
+//! Arithmetic of times and rates, and counts of events within a recent span of time.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The longest time that [`queueing_time`] gives, in seconds: a rate that has died away must not overflow.
+/// Longest time that [`queueing_time`] returns, in seconds. It bounds the time at a rate close to zero, which
+/// would overflow a duration.
 const MAX_QUEUEING_SECONDS: f64 = 3600.0;
 
-/// Moments, counted over a span that the caller names. Memory: one moment each until
+/// Times of events, counted over a span that the caller states. Memory: one time for each event until
 /// [`RecentEvents::expire`].
 ///
 /// ```
@@ -23,24 +24,24 @@
 pub struct RecentEvents(VecDeque<Duration>);
 
 impl RecentEvents {
-    /// Counts one event; times never go back.
+    /// Counts one event; times must not decrease.
     pub fn add(&mut self, at: Duration) {
         self.0.push_back(at);
     }
 
-    /// How many happened less than `span` before `now`.
+    /// Returns the number of events less than `span` before `now`.
     pub fn within(&self, span: Duration, now: Duration) -> usize {
         self.0.len() - self.0.partition_point(|at| *at + span <= now)
     }
 
-    /// Drops those that happened `span` before `now` or earlier.
+    /// Drops the events of `span` before `now` and earlier.
     pub fn expire(&mut self, span: Duration, now: Duration) {
         self.0
             .drain(..self.0.partition_point(|at| *at + span <= now));
     }
 }
 
-/// Units over time, both halved once the time exceeds a span: a mean rate that forgets.
+/// Mean rate whose older part loses weight: units and time, both halved once the time exceeds a span.
 ///
 /// ```
 /// use grebecleat_scheduler::rates::MeanRate;
@@ -58,7 +59,7 @@
 }
 
 impl MeanRate {
-    /// Adds units and the seconds in which they were done; `span`: seconds after which both are halved.
+    /// Adds units and the seconds in which they were done; `span`: seconds above which both are halved.
     pub fn add(&mut self, units: f64, seconds: f64, span: f64) {
         self.units += units;
         self.seconds += seconds;
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The same time with a fraction of the units.
+    /// Returns the rate over the same time with a fraction of the units.
     pub fn scaled(&self, fraction: f64) -> Self {
         MeanRate {
             units: self.units * fraction,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// Units a second; 0 before any time has passed.
+    /// Returns the rate in units a second; 0 before any time was added.
     pub fn per_second(&self) -> f64 {
         if self.seconds > 0.0 {
             self.units / self.seconds
@@ -86,17 +87,17 @@
     }
 }
 
-/// A time in seconds.
+/// Returns a time in seconds.
 pub fn seconds(time: Duration) -> f64 {
     time.as_secs_f64()
 }
 
-/// The exponential moving average after one more value, which has the given weight (0 to 1).
+/// Returns the exponential moving average after one more value, which has the given weight (0 to 1).
 pub fn moving_average(average: f64, value: f64, weight: f64) -> f64 {
     average + weight * (value - average)
 }
 
-/// The time in which so many units are done at `rate` units a second; zero where the rate is unknown (0).
+/// Returns the time that the units take at `rate` units a second; zero if the rate is unknown (0).
 ///
 /// ```
 /// use grebecleat_scheduler::rates::queueing_time;
--- a/crates/scheduler/src/rejection_stats.rs
+++ b/crates/scheduler/src/rejection_stats.rs
@@ -1,34 +1,34 @@
-//! What was rejected or failed and why, counted for operators. Nothing is decided by it.
+//! Causes of rejected and failed requests, counted for operators. No decision reads them.
 
 use crate::api::{BlockReason, RequestId, TrafficClassId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Why a request was rejected or failed.
+/// Reason for which a request was rejected or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
-    /// Something of this host's own kept it from going.
+    /// A rule or a limit of this host blocked it.
     Blocked(BlockReason),
-    /// Nothing did, but it could not be in time behind what goes first.
+    /// Nothing blocked it, but it could not be in time behind the requests that go first.
     QueuedTooLong,
-    /// No node of the endpoint list has its data.
+    /// No node of the endpoint list holds its data.
     NoEndpoint,
-    /// An attempt of it ended badly, and no other may follow.
+    /// Its attempt failed, and no retry may follow.
     AttemptFailed,
 }
 
-/// The bucket that would have paid for a request.
+/// The bucket that would have paid for the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PaidBy {
     /// The volume's reservation.
     Reservation,
     /// The flow's fair share.
     Share,
-    /// None.
+    /// No bucket.
     Nothing,
 }
 
-/// Upper edges of the steps by which [`RejectionCause::last_success`] counts.
+/// Upper edges of the ranges that [`RejectionCause::last_success`] counts.
 pub const LAST_SUCCESS_STEPS: [Duration; 4] = [
     Duration::from_millis(300),
     Duration::from_secs(1),
@@ -36,17 +36,17 @@
     Duration::from_secs(10),
 ];
 
-/// What rejected requests of one count have in common.
+/// Cause that the rejected requests of one count share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RejectionCause {
-    /// Why.
+    /// The reason.
     pub reason: RejectionReason,
     /// Their traffic class.
     pub traffic_class: TrafficClassId,
     /// The bucket that would have paid.
     pub paid_by: PaidBy,
-    /// How long ago their node last answered well: the index of the first of [`LAST_SUCCESS_STEPS`] that is
-    /// not passed, and their number where it never did.
+    /// Time since their node last completed an attempt: the index of the first of [`LAST_SUCCESS_STEPS`] that is
+    /// not exceeded; their number if it never did.
     pub last_success: usize,
 }
 
@@ -55,9 +55,9 @@
 pub struct RejectedRequest {
     /// Its id.
     pub id: RequestId,
-    /// Why.
+    /// Its cause.
     pub cause: RejectionCause,
 }
 
-/// How many requests were rejected or failed, by cause. Memory: one count for each cause that was met.
+/// Number of rejected and failed requests, by cause. Memory: one count for each cause that occurred.
 pub type RejectionCounts = BTreeMap<RejectionCause, u64>;
--- a/crates/scheduler/src/rendezvous_hash.rs
+++ b/crates/scheduler/src/rendezvous_hash.rs
@@ -2,7 +2,8 @@
 
 use crate::api::{NodeId, VolumeId};
 
-/// A node's weight for a volume: the node with the highest comes first. It depends on the two ids alone.
+/// Returns a node's weight for a volume: the node with the highest weight comes first. The weight depends on
+/// the two ids alone.
 ///
 /// ```
 /// use grebecleat_scheduler::api::{NodeId, VolumeId};
--- a/crates/scheduler/src/request_queue.rs
+++ b/crates/scheduler/src/request_queue.rs
@@ -1,35 +1,36 @@
-//! The requests queued at one node, in lines that are worth the same but for their lateness.
+//! The requests queued at one node, in lines whose requests have the same value while they can meet their
+//! objective.
 //!
-//! The next to go is found at the front of a few lines and not by looking at each request: a host may queue
-//! thousands, and looks with every answer.
+//! The next request is found at the front of a few lines, without a visit of each request: a host may queue
+//! thousands, and searches with every answer. Called by the dispatch. Memory: one entry for each request.
 
 use crate::api::{RequestId, TrafficClassId, VolumeId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the requests of one line have in common.
+/// Properties that all requests of one line share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LineKey {
     /// Their volume.
     pub volume: VolumeId,
     /// Their traffic class.
     pub traffic_class: TrafficClassId,
-    /// Whether their units are drawn from the volume's limit.
+    /// Their units are drawn from the volume's limit.
     pub limit_drawn: bool,
 }
 
-/// A request in its line: the earliest objective comes first, and of one time the highest id.
+/// A request in its line: the earliest objective comes first, and of equal times the highest id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueEntry {
-    /// When an answer has to be there to be in time.
+    /// Time up to which an answer meets the latency objective.
     pub objective_at: Duration,
     /// The request.
     pub id: Reverse<RequestId>,
 }
 
 impl QueueEntry {
-    /// An entry that comes before every other with that objective.
+    /// Returns an entry that comes before every other with that objective.
     pub fn first_at(objective_at: Duration) -> Self {
         QueueEntry {
             objective_at,
@@ -41,23 +42,25 @@
 /// One line, in order.
 pub type Line = BTreeSet<QueueEntry>;
 
-/// A queued request that may go now: the higher value first, then the earlier objective, then the higher id.
+/// A queued request that may be sent now: the higher value first, then the earlier objective, then the higher
+/// id.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Candidate {
-    /// What a unit of it brings.
+    /// Value of a unit.
     pub value: f64,
-    /// When its answer has to be there to be in time.
+    /// Time up to which its answer meets the latency objective.
     pub objective_at: Reverse<Duration>,
     /// The request.
     pub id: RequestId,
 }
 
-/// The best of some candidates; values must be finite.
+/// Returns the best candidate; values must be finite.
 pub fn best_candidate(candidates: impl Iterator<Item = Candidate>) -> Option<Candidate> {
     candidates.max_by(|a, b| a.partial_cmp(b).expect("values are finite"))
 }
 
-/// The ids by their values, the highest value first and of one value the highest id; values must be finite.
+/// Returns the ids by their values, the highest value first and of equal values the highest id. Values must be
+/// finite.
 pub fn sort_by_value(
     ids: impl Iterator<Item = RequestId>,
     value: impl Fn(&RequestId) -> f64,
@@ -67,9 +70,9 @@
     order.into_iter().map(|(_, id)| id).collect()
 }
 
-/// The best candidate of a line: of those that can be in time the earliest, else of the late ones. None whose
-/// objective comes before `soonest` can be in time; one that is worth `full_value` is not bettered by those
-/// behind it.
+/// Returns the best candidate of a line: the earliest of the requests that can meet their objective, or else one
+/// of the late ones. A request whose objective is before `soonest` is late. No request is better than one before
+/// it that has `full_value`.
 pub fn best_of_line(
     line: &Line,
     soonest: Duration,
@@ -117,7 +120,7 @@
         self.len += usize::from(added);
     }
 
-    /// Takes a request out of a line; whether it was there.
+    /// Removes a request from a line; returns whether it was there.
     pub fn remove(&mut self, line: LineKey, objective_at: Duration, id: RequestId) -> bool {
         let Some(entries) = self.lines.get_mut(&line) else {
             return false;
@@ -133,12 +136,12 @@
         removed
     }
 
-    /// How many requests are queued.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
         self.len
     }
 
-    /// Whether none is.
+    /// Returns whether no request is queued.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
--- a/crates/scheduler/src/scheduler/capacity.rs
+++ b/crates/scheduler/src/scheduler/capacity.rs
@@ -72,8 +72,9 @@
         let lowest = INITIAL_REQUESTS * mean_units;
         let highest = MAX_OUTSTANDING * mean_units / seconds(tightest_objective);
         let window = ProbingWindow::new(lowest, highest);
+        let estimate = window.estimate();
         NodeCapacity {
-            tokens: TokenBucket::new(window.estimate, window.estimate, window.estimate),
+            tokens: TokenBucket::new(estimate, estimate, estimate),
             window,
             learned_rate: 0.0,
             usage: predecessor.map_or_else(MeanRate::default, |capacity| {
@@ -135,7 +136,7 @@
         for units in &mut self.traffic_mix {
             *units *= MIX_RETENTION;
         }
-        let estimate = self.window.estimate;
+        let estimate = self.window.estimate();
         self.tokens.reconfigure(estimate, estimate);
     }
 
@@ -156,7 +157,7 @@
 
     /// Rate that may go to the node by the probing window.
     pub(super) fn estimate(&self) -> f64 {
-        self.window.estimate
+        self.window.estimate()
     }
 
     pub(super) fn learned_rate(&self) -> f64 {
--- a/crates/scheduler/src/token_bucket.rs
+++ b/crates/scheduler/src/token_bucket.rs
@@ -1,6 +1,6 @@
 //! A token bucket that may go into debt.
 //!
-//! Called by the decisions, which choose every rate and depth. Owns no time: the caller says how much has
+//! Called by the decisions, which choose every rate and depth. Has no clock: the caller states the time that has
 //! passed.
 
 /// Tokens that fill at a rate, up to a depth.
@@ -23,13 +23,13 @@
     rate: f64,
     depth: f64,
     level: f64,
-    /// Tokens that are lost whenever the bucket is full; 0: it stays full.
+    /// Tokens that the bucket loses whenever it is full; 0: it stays full.
     lapse: f64,
 }
 
 impl TokenBucket {
-    /// A bucket with `rate` tokens a second, at most `depth`, and `level` now. Figures that are negative or
-    /// not finite count as 0.
+    /// Returns a bucket with `rate` tokens a second, at most `depth` tokens, and `level` tokens now. A figure that
+    /// is negative or not finite counts as 0.
     pub fn new(rate: f64, depth: f64, level: f64) -> Self {
         let (rate, depth) = (finite(rate), finite(depth));
         TokenBucket {
@@ -40,9 +40,9 @@
         }
     }
 
-    /// A bucket without a rate yet, in debt by the fraction `owed` of `lapse` tokens. Whenever it is full it
-    /// loses `lapse` tokens, as if they had been taken: what many such buckets hold after a quiet time stays
-    /// spread.
+    /// Returns a bucket without a rate yet, in debt by the fraction `owed` of `lapse` tokens. Whenever the bucket
+    /// is full it loses `lapse` tokens, as if a request had taken them. After a quiet time the levels of many such
+    /// buckets therefore still differ.
     ///
     /// ```
     /// use grebecleat_scheduler::token_bucket::TokenBucket;
@@ -70,7 +70,7 @@
         self.level = self.level.min(self.depth);
     }
 
-    /// Adds the tokens of so many seconds.
+    /// Adds the tokens of that many seconds.
     pub fn refill(&mut self, seconds: f64) {
         self.level += self.rate * seconds;
         if self.level >= self.depth {
@@ -78,17 +78,17 @@
         }
     }
 
-    /// Takes tokens, into debt where there are too few.
+    /// Takes tokens; the bucket goes into debt if there are too few.
     pub fn take(&mut self, tokens: f64) {
         self.level -= tokens;
     }
 
-    /// Puts back tokens that were taken and not used, up to the depth.
+    /// Returns tokens that were taken and not used, up to the depth.
     pub fn refund(&mut self, tokens: f64) {
         self.level = (self.level + tokens).min(self.depth);
     }
 
-    /// Tokens in the bucket; negative: its debt.
+    /// Tokens in the bucket; negative: a debt.
     pub fn level(&self) -> f64 {
         self.level
     }
--- a/crates/scheduler/tests/design.rs
+++ b/crates/scheduler/tests/design.rs
@@ -112,49 +112,54 @@
     let slow = || sample(true, false, 4.0);
     let mut w = ProbingWindow::new(10.0, 110.0);
     w.observe(&clear());
-    assert_eq!((w.low, w.estimate, w.high), (10.0, 60.0, 110.0));
+    assert_eq!((w.low(), w.estimate(), w.high()), (10.0, 60.0, 110.0));
     w.observe(&clear());
-    assert_eq!((w.low, w.estimate), (60.0, 85.0));
+    assert_eq!((w.low(), w.estimate()), (60.0, 85.0));
     for _ in 0..2 {
         w.observe(&slow());
-        assert_eq!(w.estimate, 85.0, "two readings could be one pause or flush");
+        assert_eq!(
+            w.estimate(),
+            85.0,
+            "two readings could be one pause or flush"
+        );
     }
     w.observe(&clear());
-    assert_eq!(w.estimate, 97.5, "a clear reading starts the count anew");
+    assert_eq!(w.estimate(), 97.5, "a clear reading starts the count anew");
     for _ in 0..3 {
         w.observe(&slow());
     }
-    assert_eq!((w.low, w.estimate, w.high), (85.0, 85.0, 97.5));
+    assert_eq!((w.low(), w.estimate(), w.high()), (85.0, 85.0, 97.5));
     w.observe(&sample(false, true, 4.0));
-    assert_eq!((w.phase, w.high), (Phase::Wait, 85.0));
+    assert_eq!((w.phase(), w.high()), (Phase::Wait, 85.0));
     w.observe(&sample(true, true, 4.0));
     assert_eq!(
-        (w.phase, w.estimate),
+        (w.phase(), w.estimate()),
         (Phase::Wait, 85.0),
         "no raise until reservations are met"
     );
     w.observe(&clear());
-    assert_eq!(w.phase, Phase::Stable { outstanding: 4.0 });
+    assert_eq!(w.phase(), Phase::Stable { outstanding: 4.0 });
     w.observe(&sample(false, false, 9.0));
     assert!(
-        w.estimate < 85.0,
+        w.estimate() < 85.0,
         "more outstanding than at the stable start lowers it"
     );
     w.observe(&sample(false, false, 4.0));
-    let settled = w.estimate;
+    let settled = w.estimate();
     w.observe(&IntervalSample {
         mix: vec![0.55, 0.45],
         ..clear()
     });
     assert_eq!(
-        w.estimate, settled,
+        w.estimate(),
+        settled,
         "a mix change of less than a tenth is no change"
     );
     w.observe(&IntervalSample {
         mix: vec![0.7, 0.3],
         ..clear()
     });
-    assert_eq!((w.phase, w.low, w.high), (Phase::Search, 10.0, 110.0));
+    assert_eq!((w.phase(), w.low(), w.high()), (Phase::Search, 10.0, 110.0));
 }
 
 #[test]
