--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -15,8 +15,8 @@
 //!   to one call at a time, as on the platform: the next call, its timeout, and the revision from
 //!   which a new connection resumes. The host's own protocol pushes changes and needs neither.
 //!
-//! Two decisions are the scheduler's. `grebecleat_scheduler::scheduler::discovery` decides the
-//! backoff after a failed call. `grebecleat_scheduler::scheduler::endpoint_lease` decides how long
+//! Two decisions are the scheduler's. `grebecleat_scheduler::scheduler::fetch_backoff` decides
+//! the backoff after a failed call. `grebecleat_scheduler::scheduler::endpoint_lease` decides how long
 //! the list may be used without a response. The scheduler requests a watch or a fetch
 //! ([`Event::Watch`], [`Event::Fetch`]); the client calls earlier if the poll deadline demands it.
 //!
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,7 +1,7 @@
 //! Translation of the platform's endpoint list into the host's endpoint updates, and the numbers of
 //! its names.
 //!
-//! Begin with [`EndpointNames::read`], which `run::discovery_conn` calls for each response of
+//! Begin with [`EndpointNames::read`], which `run::discovery_port` calls for each response of
 //! discovery. The scheduler knows nodes and zones by number; a name has the same number as long as
 //! this process runs. Memory: one name for each node that was ever listed, `MAX_NAMES` at most;
 //! entries with further names are not read.
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -18,7 +18,7 @@
 mod connection;
 mod connection_table;
 mod dials;
-mod discovery_conn;
+mod discovery_port;
 mod eviction;
 mod listener;
 mod log_limiter;
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -16,7 +16,7 @@
 use super::connection::{CloseReason, DialTarget, NodeExchange, Role};
 use super::connection_table::ConnectionTable;
 use super::dials::{DialOutcome, Dialer};
-use super::discovery_conn::DiscoveryPort;
+use super::discovery_port::DiscoveryPort;
 use super::eviction::{self, EvictionClass};
 use super::listener::{ListenerHandle, LAST_DIALED_CONN};
 use super::log_limiter::LogLimiter;
--- a/crates/platform/src/run/owner/receive.rs
+++ b/crates/platform/src/run/owner/receive.rs
@@ -11,7 +11,7 @@
 use crate::http::HttpError;
 use crate::run::client_conn::{self, Received};
 use crate::run::connection::{ClientExchange, ClientState, CloseReason, Role};
-use crate::run::discovery_conn::{is_refusal, DiscoveryResponse};
+use crate::run::discovery_port::{is_refusal, DiscoveryResponse};
 use crate::run::node_conn::{self, AnswerError, NodeAnswer};
 use crate::run::reader::ReadGate;
 use crate::run::request_intake::ParsedRequest;
--- a/crates/platform/src/run/sweep.rs
+++ b/crates/platform/src/run/sweep.rs
@@ -5,7 +5,7 @@
 
 use super::connection::{ClientState, Connection, Role};
 use super::connection_table::ConnectionTable;
-use super::discovery_conn::DiscoveryPort;
+use super::discovery_port::DiscoveryPort;
 use crate::http::HttpError;
 use grebecleat_host::router::ConnId;
 use std::time::Duration;
