--- a/crates/catalog/src/audit_log.rs
+++ b/crates/catalog/src/audit_log.rs
@@ -1,15 +1,15 @@
 //! The last revisions of the catalog, oldest first, and which of them last changed each subject.
 //!
-//! Owned by [`crate::catalog`]. Bounded by the length that it is made with, except that revisions
-//! which are still needed are never dropped; [`AuditLog::is_full`] then tells the leader to accept
-//! no more.
+//! Owned by [`crate::catalog`]. Memory: as many revisions as the log is made with, and in addition
+//! the revisions that are still needed, which are never dropped. The leader accepts no revision
+//! while [`AuditLog::is_full`].
 
 use crate::change::{Change, Revision, Subject};
 use crate::records::Version;
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
-/// See the module.
+/// The last revisions; see the module.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct AuditLog {
     revisions: VecDeque<Revision>,
@@ -21,7 +21,7 @@
 }
 
 impl AuditLog {
-    /// `max_len`: how many revisions are remembered, at least 1.
+    /// `max_len`: how many revisions the log retains, at least 1.
     pub fn new(max_len: usize) -> Self {
         AuditLog {
             max_len: max_len.max(1),
@@ -30,22 +30,24 @@
         }
     }
 
-    /// From here on revisions after that version are not dropped, however many there are.
+    /// From now on, retains all revisions after that version.
     pub fn need(&mut self, after: Version) {
         self.needed_after = after;
     }
 
+    /// All revisions, oldest first.
     pub fn iter(
         &self,
     ) -> impl DoubleEndedIterator<Item = &Revision> + ExactSizeIterator + Clone + '_ {
         self.revisions.iter()
     }
 
+    /// The oldest revision.
     pub fn oldest(&self) -> Option<&Revision> {
         self.revisions.front()
     }
 
-    /// Whether it is as long as it may be, with only revisions that are still needed.
+    /// Returns whether the log has its maximum length, and every revision is still needed.
     pub fn is_full(&self) -> bool {
         let oldest_needed = |oldest: &Revision| oldest.version > self.needed_after;
         self.revisions.len() >= self.max_len && self.oldest().is_some_and(oldest_needed)
@@ -59,6 +61,7 @@
         self.revisions.range(start..)
     }
 
+    /// The revision that made a version.
     pub fn get(&self, version: Version) -> Option<&Revision> {
         self.revisions
             .iter()
@@ -71,7 +74,7 @@
         self.last_changed.get(subject).copied()
     }
 
-    /// Adds the newest revision, and drops the oldest ones that are beyond the length and not
+    /// Adds the newest revision, and drops the oldest revisions that exceed the length and are not
     /// needed.
     pub fn push(&mut self, revision: Revision) {
         for change in &revision.changes {
@@ -99,7 +102,7 @@
         }
     }
 
-    /// Takes the newest revision back.
+    /// Removes and returns the newest revision.
     pub fn pop(&mut self) -> Option<Revision> {
         let revision = self.revisions.pop_back()?;
         for change in &revision.changes {
@@ -131,8 +134,8 @@
         dropped
     }
 
-    /// A revision was dropped: when the subjects that nothing later touched last changed is now
-    /// unknown.
+    /// Removes the subjects of a dropped revision that no later revision touched. When these last
+    /// changed is now unknown.
     fn forget_subjects(&mut self, dropped: &Revision) {
         for change in &dropped.changes {
             let Entry::Occupied(entry) = self.last_changed.entry(change.subject()) else {
--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -2,11 +2,11 @@
 //! audit log of the last revisions.
 //!
 //! [`Catalog::apply`] applies a persisted revision, in the same way for the leader that proposed
-//! it, for a start that reads it back, and for hosts that follow the feed; [`crate::propose`] makes
-//! revisions from changes. No I/O; nothing here decides over requests.
+//! it, for a start that reads it back, and for hosts that follow the feed. [`crate::propose`] makes
+//! revisions from changes. No I/O. No decision about a single request is made here.
 //!
-//! Memory: the state, its indexes, and an audit log of at most as many revisions as it was made
-//! with.
+//! State: the records, their indexes, and the audit log. Memory: the state, its indexes, and the
+//! bounded audit log.
 
 use crate::audit_log::AuditLog;
 use crate::change::{Change, Revision, ScheduledChange, Subject};
@@ -28,14 +28,14 @@
     targets: BTreeMap<Name, Arc<[u64]>>,
     scheduled: BTreeMap<u64, ScheduledChange>,
     nodes_by_name: BTreeMap<Name, u32>,
-    /// Volumes by plan: whether a plan may be removed must not take a look at all volumes.
+    /// Volumes by plan, so that the removal of a plan need not check all volumes.
     volumes_of_plan: BTreeMap<Name, BTreeSet<u64>>,
     interner: Interner,
     audit_log: AuditLog,
 }
 
 impl Catalog {
-    /// An empty catalog; `max_audit_log`: how many revisions are remembered, at least 1.
+    /// An empty catalog. `max_audit_log`: how many revisions the audit log retains, at least 1.
     pub fn new(facts: Deployment, max_audit_log: usize) -> Self {
         Catalog {
             facts,
@@ -44,12 +44,12 @@
         }
     }
 
-    /// From here on revisions after that version stay in the audit log, however many there are.
+    /// From now on, the audit log retains all revisions after that version.
     pub fn need(&mut self, after: Version) {
         self.audit_log.need(after);
     }
 
-    /// The catalog with a stored state: its version, everything in it, and the last revisions,
+    /// The catalog with a stored state: the version, the complete state, and the last revisions,
     /// oldest first.
     pub fn restored(
         mut self,
@@ -67,7 +67,7 @@
         self
     }
 
-    /// What the deployment's settings fix.
+    /// The facts that the deployment's settings fix.
     pub fn facts(&self) -> &Deployment {
         &self.facts
     }
@@ -92,7 +92,7 @@
         self.nodes.get(&id)
     }
 
-    /// Number of the node of that name, or of that number where no node has it as its name.
+    /// Number of the node with that name or, if no node has that name, of the node with that number.
     pub fn node_by_name_or_number(&self, name: &str) -> Option<u32> {
         let by_number = || name.parse().ok().filter(|id| self.nodes.contains_key(id));
         self.node_by_name(name).or_else(by_number)
@@ -156,17 +156,17 @@
         self.audit_log.iter()
     }
 
-    /// Whether the audit log is as long as it may be, with only revisions that are still needed.
+    /// Returns whether the audit log has its maximum length, and every revision is still needed.
     pub fn audit_log_is_full(&self) -> bool {
         self.audit_log.is_full()
     }
 
-    /// The remembered revision that made a version.
+    /// The revision in the audit log that made a version.
     pub(crate) fn revision(&self, version: Version) -> Option<&Revision> {
         self.audit_log.get(version)
     }
 
-    /// The oldest version that a revision in the audit log made; the present one where the log is
+    /// The oldest version that a revision in the audit log made; the present version if the log is
     /// empty.
     pub(crate) fn oldest_known(&self) -> Version {
         self.audit_log
@@ -174,7 +174,7 @@
             .map_or(self.version, |oldest| oldest.version)
     }
 
-    /// Revisions after that version; None where the audit log no longer reaches back so far.
+    /// Revisions after that version; None if the audit log no longer reaches back so far.
     pub fn since(&self, version: Version) -> Option<impl Iterator<Item = &Revision> + '_> {
         let first = self
             .audit_log
@@ -188,7 +188,7 @@
         self.audit_log.last_changed(subject)
     }
 
-    /// The change that would make a subject what it is now.
+    /// The change that would set a subject to its present state.
     pub fn now(&self, subject: &Subject) -> Change {
         match subject {
             Subject::Plan(name) => Change::Plan {
@@ -221,7 +221,7 @@
     /// Applies the next revision.
     ///
     /// # Errors
-    /// If it does not follow the present version; the state is then as before.
+    /// If the revision does not follow the present version. The state is then as before.
     pub fn apply(&mut self, revision: Revision) -> Result<(), OutOfOrder> {
         if revision.version <= self.version {
             return Err(OutOfOrder::Older);
@@ -239,7 +239,7 @@
         Ok(())
     }
 
-    /// Takes the last revision back, one that was never persisted.
+    /// Reverts the last revision, which was never persisted, and returns it.
     pub fn revert_last(&mut self) -> Option<Revision> {
         let revision = self.audit_log.pop()?;
         for change in &revision.before {
--- a/crates/catalog/src/catalog_state.rs
+++ b/crates/catalog/src/catalog_state.rs
@@ -1,8 +1,8 @@
-//! The catalog's whole state as changes: now, at an earlier version, and the difference between two
-//! states.
+//! The catalog's complete state as changes: at present, at an earlier version, and the difference
+//! between two states.
 //!
-//! Used to send a host its first state, to write snapshots, and to compare with a declared
-//! configuration.
+//! The catalog service uses it to send a host its first state, to write snapshots, and to compare
+//! with a declared configuration.
 
 use crate::catalog::Catalog;
 use crate::change::{Change, Subject};
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Catalog {
-    /// Everything, as changes that would make it from nothing.
+    /// The complete state, as changes that would make it from an empty catalog.
     pub fn state(&self) -> impl Iterator<Item = Change> + '_ {
         let plans = self.plans().map(|(name, plan)| Change::Plan {
             name: name.clone(),
@@ -44,7 +44,7 @@
             .chain(scheduled)
     }
 
-    /// The same as it was at a version that the audit log reaches back to.
+    /// The complete state as it was at a version to which the audit log reaches back.
     pub fn state_at(&self, version: Version) -> impl Iterator<Item = Change> + '_ {
         let mut earlier: BTreeMap<Subject, Change> = BTreeMap::new();
         let undone = self
@@ -66,7 +66,7 @@
             .chain(unchanged)
     }
 
-    /// Changes that would make this state the other one; empty where they are equal.
+    /// Changes that would make this state equal to another; empty if they are equal.
     pub fn changes_towards(&self, other: &Catalog) -> Vec<Change> {
         let mut changes: Vec<Change> = other
             .state()
@@ -77,7 +77,7 @@
             .map(|change| other.now(&change.subject()))
             .filter(Change::is_removal)
             .collect();
-        // What refers to something is removed before it, and is made after it.
+        // A subject that refers to another is removed before it, and is made after it.
         removed.reverse();
         changes.extend(removed);
         changes
--- a/crates/catalog/src/flow/network.rs
+++ b/crates/catalog/src/flow/network.rs
@@ -19,6 +19,7 @@
 /// An edge from a group to one of its nodes.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Edge {
+    /// The group.
     pub group: usize,
     /// Index among the group's nodes.
     pub index: usize,
@@ -46,6 +47,7 @@
 }
 
 impl Network {
+    /// Nodes of these capacities, without groups.
     pub fn new(capacity: &[u64]) -> Self {
         Network {
             spare: capacity.to_vec(),
@@ -54,14 +56,17 @@
         }
     }
 
+    /// Unused capacity of a node.
     pub fn spare(&self, node: usize) -> u64 {
         self.spare[node]
     }
 
+    /// A group, by its number.
     pub fn group(&self, group: usize) -> &Group {
         &self.groups[group]
     }
 
+    /// The edges that lead to a node.
     pub fn edges_to(&self, node: usize) -> &[Edge] {
         &self.edges_to[node]
     }
@@ -71,10 +76,12 @@
         self.groups[edge.group].nodes[edge.index]
     }
 
+    /// The load on an edge.
     pub fn load(&self, edge: Edge) -> u64 {
         self.groups[edge.group].loads[edge.index]
     }
 
+    /// The maximum load on an edge.
     pub fn max_load(&self, edge: Edge) -> u64 {
         self.groups[edge.group].max_loads[edge.index]
     }
@@ -97,18 +104,21 @@
         group
     }
 
+    /// Sets the load on an edge.
     pub fn set_load(&mut self, edge: Edge, load: u64) {
         let value = self.load(edge);
         self.record(Former::Load { edge, value });
         self.groups[edge.group].loads[edge.index] = load;
     }
 
+    /// Sets the maximum load on an edge.
     pub fn set_max_load(&mut self, edge: Edge, max_load: u64) {
         let value = self.max_load(edge);
         self.record(Former::MaxLoad { edge, value });
         self.groups[edge.group].max_loads[edge.index] = max_load;
     }
 
+    /// Sets the unused capacity of a node.
     pub fn set_spare(&mut self, node: usize, spare: u64) {
         let value = self.spare[node];
         self.record(Former::Spare { node, value });
--- a/crates/catalog/src/flow/path_search.rs
+++ b/crates/catalog/src/flow/path_search.rs
@@ -45,6 +45,7 @@
 }
 
 impl PathSearch {
+    /// A search over that number of nodes, without findings.
     pub fn new(nodes: usize) -> Self {
         PathSearch {
             saturated: vec![false; nodes],
@@ -53,6 +54,7 @@
         }
     }
 
+    /// Returns whether no path leads from a node to spare capacity, as far as was searched.
     pub fn is_saturated(&self, node: usize) -> bool {
         self.saturated[node]
     }
--- a/crates/catalog/src/follower/poll_state.rs
+++ b/crates/catalog/src/follower/poll_state.rs
@@ -15,7 +15,9 @@
 /// A poll that has no response yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingPoll {
+    /// The number of the poll.
     pub call: CallId,
+    /// When the poll was sent.
     pub sent: Duration,
 }
 
@@ -28,6 +30,7 @@
 }
 
 impl PollState {
+    /// No connection and no poll.
     pub fn new() -> Self {
         PollState {
             is_connected: false,
--- a/crates/catalog/src/incremental_flow/demand.rs
+++ b/crates/catalog/src/incremental_flow/demand.rs
@@ -6,6 +6,7 @@
 /// The demand of a volume or a group, in parts.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Demand {
+    /// The demand over all nodes.
     pub amount: u64,
     /// The maximum load on each node of the group.
     pub max_loads: Vec<u64>,
--- a/crates/catalog/src/incremental_flow/groups.rs
+++ b/crates/catalog/src/incremental_flow/groups.rs
@@ -32,6 +32,7 @@
             .filter(|(_, _, total)| *total > 0)
     }
 
+    /// The volumes of a group.
     pub fn members(&self, group: usize) -> &BTreeSet<u64> {
         &self.members[group]
     }
@@ -41,6 +42,7 @@
         self.totals[group]
     }
 
+    /// Sets the demand of a group.
     pub fn set_total(&mut self, group: usize, total: u64) {
         self.totals[group] = total;
     }
@@ -55,6 +57,7 @@
         self.unmet.values().sum()
     }
 
+    /// Returns whether any demand is unmet.
     pub fn has_unmet(&self) -> bool {
         !self.unmet.is_empty()
     }
@@ -64,6 +67,7 @@
         std::mem::take(&mut self.unmet)
     }
 
+    /// Sets the unmet demand of a group.
     pub fn set_unmet(&mut self, group: usize, unmet: u64) {
         match unmet {
             0 => self.unmet.remove(&group),
@@ -98,6 +102,7 @@
         }
     }
 
+    /// Restores saved demand.
     pub fn restore(&mut self, saved: SavedDemand) {
         for (group, total) in saved.totals {
             self.totals[group] = total;
--- a/crates/catalog/src/incremental_flow/nodes.rs
+++ b/crates/catalog/src/incremental_flow/nodes.rs
@@ -31,6 +31,7 @@
         }
     }
 
+    /// All nodes, by index.
     pub fn iter(&self) -> impl Iterator<Item = &Node> {
         self.nodes.iter().map(|site_node| &site_node.node)
     }
@@ -59,10 +60,12 @@
         to_parts(self.nodes[index].node.capacity)
     }
 
+    /// Returns whether the node at an index is up.
     pub fn is_up(&self, index: usize) -> bool {
         self.nodes[index].is_up
     }
 
+    /// Sets whether the node at an index is up.
     pub fn set_up(&mut self, index: usize, is_up: bool) {
         self.nodes[index].is_up = is_up;
     }
--- a/crates/catalog/src/interner.rs
+++ b/crates/catalog/src/interner.rs
@@ -1,13 +1,14 @@
-//! Shares equal names and lists between volumes, so that each stands in memory once.
+//! Shares equal names and lists between volumes, so that each is in memory once.
 //!
-//! Owned by [`crate::catalog`]; thousands of volumes have the same plan, hosts and shards. Bounded
-//! by the number of different ones ever seen.
+//! Owned by [`crate::catalog`]. Thousands of volumes have the same plan, hosts and shards. Memory:
+//! an entry for each different name and list that any volume ever had.
 
 use crate::records::{Name, Volume};
 use std::collections::HashSet;
 use std::hash::Hash;
 use std::sync::Arc;
 
+/// The shared names and lists; see the module.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Interner {
     names: HashSet<Name>,
@@ -16,7 +17,7 @@
 }
 
 impl Interner {
-    /// The same volume, with its plan's name and its lists shared.
+    /// Returns an equal volume whose plan name and lists are shared.
     pub fn share(&mut self, volume: Volume) -> Volume {
         Volume {
             plan: intern(&mut self.names, volume.plan),
--- a/crates/catalog/src/leader/epochs.rs
+++ b/crates/catalog/src/leader/epochs.rs
@@ -22,6 +22,7 @@
 }
 
 impl EpochHistory {
+    /// The history at a start. `forced_at`: the version of the last forced epoch.
     pub fn new(present: Epoch, earlier: Vec<(Epoch, Version)>, forced_at: Version) -> Self {
         EpochHistory {
             present,
--- a/crates/catalog/src/leader/persistence.rs
+++ b/crates/catalog/src/leader/persistence.rs
@@ -22,9 +22,11 @@
 /// A revision that is applied and not yet persisted.
 #[derive(Debug)]
 pub(super) struct PendingCommit {
+    /// The version that the revision makes.
     pub version: Version,
     /// The caller that waits for the commit, if any.
     pub call: Option<CallId>,
+    /// The effect of the revision on reservations.
     pub verdict: AdmissionVerdict,
     /// The version of the last forced epoch before this revision.
     pub former_forced_at: Version,
--- a/crates/catalog/src/leader/polls.rs
+++ b/crates/catalog/src/leader/polls.rs
@@ -19,6 +19,7 @@
 /// A poll that has no response yet.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingPoll {
+    /// The number that the response refers to.
     pub call: CallId,
     /// The newest version that the host has.
     pub applied: Version,
--- a/crates/catalog/src/leader/proposals.rs
+++ b/crates/catalog/src/leader/proposals.rs
@@ -107,7 +107,7 @@
         Ok(())
     }
 
-    /// Lands the scheduled changes that are due. One that is rejected lapses.
+    /// Lands the scheduled changes that are due. A scheduled change that is rejected lapses.
     pub(super) fn land_scheduled(&mut self) {
         if self.persistence.is_backing_off(self.now) {
             return;
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,15 +1,16 @@
-//! The configuration of a deployment (plans, volumes, nodes, drains, targets) as versioned data. No
-//! I/O.
+//! The replicated catalog: the configuration of a deployment (plans, volumes, nodes, drains,
+//! targets) as versioned data. No I/O.
 //!
-//! - The catalog: [`records`], [`change`] and [`errors`] are its types; [`catalog`] is the state
-//!   with its audit log; [`propose`] makes revisions from changes after [`validation`].
-//! - The change feed: [`feed`] says who follows which version and what a host may send meanwhile;
-//!   [`leader`] is the state service's side, [`follower`] a host's.
-//! - Promises: [`planner`] says whether all reservations can be met, [`incremental_flow`] the same
-//!   as a site changes (by [`flow`]), [`admission`] whether a change may land, [`moves`] which
-//!   extents to move so that they can.
+//! - The catalog: [`records`], [`change`] and [`errors`] are its types. [`catalog`] is the state
+//!   with its audit log. [`propose`] makes revisions from changes, after [`validation`].
+//! - The change feed: [`feed`] determines which host follows which version, and the quota that a
+//!   host may use until all follow the same one. [`leader`] is the catalog service's side,
+//!   [`follower`] a host's side.
+//! - Reservations: [`planner`] computes whether all reservations can be met, and
+//!   [`incremental_flow`] the same as a site changes (by [`flow`]). [`admission`] decides whether a
+//!   change may land. [`moves`] proposes which extents to move so that reservations can be met.
 //!
-//! Nothing here decides over a single request. Begin with [`catalog`].
+//! No decision about a single request is made here. Begin with [`catalog`].
 
 #![warn(missing_docs)]
 
--- a/crates/catalog/src/moves/program.rs
+++ b/crates/catalog/src/moves/program.rs
@@ -25,7 +25,9 @@
 /// Extents of a volume that leave a node and that arrive there.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ExtentChange {
+    /// Extents that leave the node.
     pub leaving: f64,
+    /// Extents that arrive at the node.
     pub arriving: f64,
 }
 
@@ -34,6 +36,7 @@
 
 /// A solution of the program.
 pub(super) struct Solution {
+    /// The extents to move.
     pub changes: ExtentChanges,
     /// The bytes to move.
     pub bytes: f64,
--- a/crates/catalog/src/moves/scope.rs
+++ b/crates/catalog/src/moves/scope.rs
@@ -19,6 +19,7 @@
 
 /// The part of a site that goes into the program; see the module.
 pub(super) struct Scope<'a> {
+    /// The volumes whose extents may move.
     pub volumes: Vec<&'a Volume>,
     /// Nodes that extents may move to.
     pub targets: Vec<u32>,
@@ -30,10 +31,13 @@
     pub spread: f64,
     /// Whether the complete site goes into the program.
     pub is_complete: bool,
+    /// The size of a volume, by its number.
     pub size: &'a dyn Fn(u64) -> Size,
 }
 
 impl<'a> Scope<'a> {
+    /// The part of `site` that goes into the program. `flow`: the flow of the site without the nodes
+    /// in `empty`.
     pub fn of(
         site: &'a Site,
         flow: &IncrementalFlow,
@@ -73,6 +77,7 @@
         }
     }
 
+    /// The size of a volume.
     pub fn size_of(&self, volume: &Volume) -> Size {
         (self.size)(volume.id)
     }
--- a/crates/catalog/src/overlay.rs
+++ b/crates/catalog/src/overlay.rs
@@ -1,7 +1,7 @@
-//! The catalog as proposed changes would leave it, without a copy of what they do not touch.
+//! The catalog as proposed changes would leave it, without a copy of the untouched subjects.
 //!
-//! Made by [`crate::propose`] for one proposal, and read by the checks. Bounded by the number of
-//! changes.
+//! [`crate::propose`] makes it for one proposal, and the checks read it. Memory: a reference for
+//! each change.
 
 use crate::catalog::Catalog;
 use crate::change::{Change, Subject};
@@ -9,12 +9,15 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
+/// A catalog and changes over it; see the module.
 pub(crate) struct Overlay<'a> {
+    /// The catalog before the changes.
     pub base: &'a Catalog,
     changes: BTreeMap<Subject, &'a Change>,
 }
 
 impl<'a> Overlay<'a> {
+    /// A catalog without changes.
     pub fn new(base: &'a Catalog) -> Self {
         Overlay {
             base,
@@ -22,7 +25,7 @@
         }
     }
 
-    /// Adds a change; false if its subject has one already.
+    /// Adds a change; returns false if another change has the same subject.
     pub fn put(&mut self, change: &'a Change) -> bool {
         self.changes.insert(change.subject(), change).is_none()
     }
@@ -34,6 +37,7 @@
             .map(|(subject, change)| (subject, *change))
     }
 
+    /// The plan with that name after the changes.
     pub fn plan(&self, name: &Name) -> Option<&Plan> {
         match self.changes.get(&Subject::Plan(name.clone())) {
             Some(Change::Plan { to, .. }) => to.as_ref(),
@@ -41,6 +45,7 @@
         }
     }
 
+    /// The volume with that number after the changes.
     pub fn volume(&self, id: u64) -> Option<&Volume> {
         match self.changes.get(&Subject::Volume(id)) {
             Some(Change::Volume { to, .. }) => to.as_ref(),
@@ -48,6 +53,7 @@
         }
     }
 
+    /// The node with that number after the changes.
     pub fn node(&self, id: u32) -> Option<&Node> {
         match self.changes.get(&Subject::Node(id)) {
             Some(Change::Node { to, .. }) => to.as_ref(),
@@ -55,6 +61,7 @@
         }
     }
 
+    /// Returns whether a node has a drain after the changes.
     pub fn has_drain(&self, node: u32) -> bool {
         match self.changes.get(&Subject::Drain(node)) {
             Some(change) => !change.is_removal(),
@@ -62,7 +69,7 @@
         }
     }
 
-    /// The volumes of a target that the base has; `volumes` are those that it has there.
+    /// The volumes of a target after the changes. `volumes`: its volumes in the base catalog.
     pub fn target<'b>(&'b self, name: &Name, volumes: &'b Arc<[u64]>) -> Option<&'b Arc<[u64]>> {
         match self.changes.get(&Subject::Target(name.clone())) {
             Some(Change::Target { to, .. }) => to.as_ref(),
@@ -70,7 +77,7 @@
         }
     }
 
-    /// Numbers of all nodes that are here, and of some that were removed.
+    /// Numbers of all nodes after the changes, and of the nodes that they remove.
     pub fn node_ids(&self) -> impl Iterator<Item = u32> + '_ {
         let base = self.base.nodes().map(|(id, _)| id);
         base.chain(self.changed_nodes())
--- a/crates/catalog/src/planner/load.rs
+++ b/crates/catalog/src/planner/load.rs
@@ -9,6 +9,7 @@
 /// A volume's load in parts: its reservation as far as nodes can serve it, and the maximum load on
 /// each of these nodes.
 pub(crate) struct Load {
+    /// The reservation as far as nodes can serve it.
     pub reservation: u64,
     /// Indexes of nodes, each with the maximum load of this volume there.
     pub max_loads: Vec<(usize, u64)>,
--- a/crates/catalog/src/propose.rs
+++ b/crates/catalog/src/propose.rs
@@ -1,13 +1,13 @@
-//! Makes revisions from proposed changes, or says what they collide with.
+//! Makes revisions from proposed changes, or rejects changes that collide with later ones.
 //!
-//! Called by the leader with typed changes, who asks and why, and the version that the author
-//! looked at. The revision is then persisted and applied as one, or not at all. No I/O, no state.
+//! The leader calls it with typed changes, their author and reason, and the author's base version.
+//! The revision is then persisted and applied atomically. No I/O, no state.
 //!
 //! Two changes collide if they touch the same subject, or if one refers to a subject that the other
-//! removes. An author who looked at an older version is not rejected for that alone, only for a
-//! subject that has changed since, or may have, where the audit log no longer reaches back so far.
-//! Guards against two operators that each undo the other's change without seeing it; cost: changes
-//! of two different values of one plan collide too, and the second author must ask again.
+//! removes. An older base version alone is no collision. A collision needs a subject that has
+//! changed since, or that may have changed, where the audit log no longer reaches back so far. This
+//! guards against two operators who each undo the other's change without seeing it. The cost:
+//! changes of two different values of one plan collide too, and the second author must retry.
 
 use crate::catalog::Catalog;
 use crate::change::{Change, ChangeContext, Revision};
@@ -17,10 +17,10 @@
 use crate::{limit_lowering, validation};
 
 impl Catalog {
-    /// The revision that these changes would make, asked by someone who looked at `base_version`.
+    /// The revision that these changes would make, by an author who bases them on `base_version`.
     ///
     /// # Errors
-    /// If they collide with later changes, are not valid, or change nothing.
+    /// If the changes collide with later changes, are not valid, or change nothing.
     pub fn propose(
         &self,
         base_version: Version,
@@ -57,22 +57,23 @@
         })
     }
 
-    /// A revision that changes nothing and, with a version beyond `over`, puts this state above all
-    /// others up to there: it begins a new epoch.
+    /// A revision without changes and with a version beyond `over`, so that this state takes
+    /// precedence over all states up to there. It starts a new epoch.
     pub fn force_epoch(&self, over: Version, by: ChangeContext) -> Revision {
         let version = over.max(self.version()).next();
         Revision {
-            // What hosts were granted under the other history is unknown here.
+            // The grants of the other history to hosts are unknown here.
             lowers_limits: true,
             ..empty_revision(version, self.version(), by)
         }
     }
 
-    /// The revision that restores what an earlier one changed, where nothing has changed it since.
-    /// A scheduled change that has landed is not restored: it would land again at once.
+    /// The revision that restores the subjects that an earlier revision changed, if they have not
+    /// changed since. Does not restore a scheduled change that has landed: it would land again at
+    /// once.
     ///
     /// # Errors
-    /// As [`Catalog::propose`], or if the audit log does not have the revision.
+    /// The errors of [`Catalog::propose`], or if the audit log does not have the revision.
     pub fn undo(&self, revision: Version, by: ChangeContext) -> Result<Revision, ChangeError> {
         let undone = self.revision(revision).ok_or(ChangeError::TooOld {
             oldest: self.oldest_known(),
@@ -88,7 +89,7 @@
         self.propose(revision, by, changes)
     }
 
-    /// Whether anything that the changes touch or refer to has changed since.
+    /// Checks that no subject that the changes touch or refer to has changed since `base_version`.
     fn check_unchanged_since(
         &self,
         base_version: Version,
@@ -105,7 +106,7 @@
             });
         }
         for change in changes {
-            // A volume that was put on a plan meanwhile does not change that plan for others.
+            // A volume that was put on a plan in the meantime is no change of that plan.
             for subject in change.references().into_iter().chain([change.subject()]) {
                 let last_changed = self.last_changed(&subject);
                 let Some(with) = last_changed.filter(|version| *version > base_version) else {
--- a/crates/catalog/src/validation.rs
+++ b/crates/catalog/src/validation.rs
@@ -1,7 +1,7 @@
 //! Whether changes are valid: their own values, and the references between subjects after them.
 //!
-//! Called by [`crate::propose`]; no state. What changes do to promises is judged elsewhere, in
-//! [`crate::admission`].
+//! Called by [`crate::propose`]. No state. [`crate::admission`] evaluates the effect of changes on
+//! reservations.
 
 use crate::change::{Change, Subject};
 use crate::errors::{ChangeError, InvalidValue};
@@ -57,8 +57,8 @@
     if plan.limit <= 0.0 {
         return Ok(());
     }
-    // Below the reservation a limit would break a promise, and a host that is cut off from the feed
-    // falls back to the reservation: see docs/design/plans.md.
+    // A limit below the reservation would break the guarantee, and a host that is cut off from the
+    // feed falls back to the reservation: see docs/design/plans.md.
     if plan.limit < plan.reservation {
         return Err(InvalidValue::LimitBelowReservation);
     }
@@ -100,8 +100,8 @@
     Ok(())
 }
 
-/// Checks that every subject refers only to what exists after the changes, and that nothing that
-/// stays refers to what they remove.
+/// Checks that every subject refers only to subjects that exist after the changes, and that no
+/// subject that stays refers to a subject that they remove.
 pub(crate) fn check_references(after: &Overlay) -> Result<(), ChangeError> {
     for (subject, change) in after.changes() {
         if change.is_removal() && after.base.now(subject).is_removal() {
@@ -217,8 +217,8 @@
     }
 }
 
-/// Checks that each shard of the volumes has a node; where no nodes are configured there is nothing
-/// to check.
+/// Checks that each shard of the volumes has a node. If no nodes are configured, there is nothing to
+/// check.
 fn check_shards_have_nodes(after: &Overlay) -> Result<(), ChangeError> {
     let shards: BTreeSet<u32> = after
         .node_ids()
@@ -243,8 +243,8 @@
     Ok(())
 }
 
-/// Volumes that the changes may leave on a shard without a node: only a change of nodes can do that
-/// to a volume that is not changed itself.
+/// Volumes that the changes may leave on a shard without a node: the changed volumes and, if a node
+/// changes, all others.
 fn volumes_to_check(after: &Overlay) -> Vec<u64> {
     let mut volumes: Vec<u64> = after
         .changes()
--- a/crates/catalog/tests/admission.rs
+++ b/crates/catalog/tests/admission.rs
@@ -1,7 +1,11 @@
-//! Objections to changes, case by case, and that a verdict does not depend on the changes before.
+//! Objections and warnings of admission control, case by case, and the shortfall after any sequence
+//! of changes.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
+mod common;
+
+use common::{node_in as node, plan, stage, volume_on};
 use grebecleat_catalog::admission::{Admission, AdmissionVerdict, ExclusionReason, Reason};
 use grebecleat_catalog::catalog::*;
 use grebecleat_catalog::change::*;
@@ -14,60 +18,8 @@
 
 const ALL: usize = 1000;
 
-fn plan(name: &str, reservation: f64) -> Change {
-    let to = Some(Plan {
-        rate: 100.0,
-        reservation,
-        weight: 1.0,
-        price: 1.0,
-        ..Plan::default()
-    });
-    Change::Plan {
-        name: name.into(),
-        to,
-    }
-}
-
 fn volume(id: u64, plan: &str, shards: &[u32]) -> Change {
-    let (plan, hosts, shards) = (plan.into(), ["h".into()].into(), shards.into());
-    Change::Volume {
-        id,
-        to: Some(Volume {
-            plan,
-            hosts,
-            shards,
-            blocks: 8,
-        }),
-    }
-}
-
-fn node(id: u32, zone: &str, capacity: f64) -> Change {
-    Change::Node {
-        id,
-        to: Some(Node {
-            zone: zone.into(),
-            shard: id,
-            capacity,
-            ..Node::default()
-        }),
-    }
-}
-
-fn drain(node: u32, on: bool) -> Change {
-    Change::Drain {
-        node,
-        to: on.then(Drain::default),
-    }
-}
-
-fn stage(node: u32, stage: Stage) -> Change {
-    Change::Drain {
-        node,
-        to: Some(Drain {
-            stage,
-            ..Drain::default()
-        }),
-    }
+    volume_on(id, plan, &["h"], shards)
 }
 
 fn empty_catalog() -> Catalog {
@@ -136,35 +88,34 @@
     let mut admission = Admission::open(&catalog, 2.0);
     admission.refresh(ALL);
     let cases: [(&str, Vec<Change>, &[&str]); 9] = [
-        ("nothing much", vec![volume(5, "basic", &[1, 2])], &[]),
-        ("no reserve at all", vec![volume(5, "none", &[1])], &[]),
-        ("a lower reserve", vec![plan("basic", 10.0)], &[]),
+        ("a small volume", vec![volume(5, "basic", &[1, 2])], &[]),
+        ("no reservation", vec![volume(5, "none", &[1])], &[]),
+        ("a lower reservation", vec![plan("basic", 10.0)], &[]),
         (
-            "more than its node can do",
+            "more than the capacity of the node",
             vec![volume(5, "gold", &[1]), volume(6, "gold", &[1])],
             &["against: 60.0 units a second of reserves cannot be met; what gives way: volume 6 by 60.0"],
         ),
         (
-            "as much as holds, and no node to spare",
+            "as much as can be met, and no node to spare",
             vec![volume(5, "gold", &[1, 2]), volume(6, "gold", &[1, 2])],
-            // With node 1 out, half of what lies on both must be carried by node 2, and the rest is
-            // out of reach.
+            // With node 1 out, node 2 must carry half of these volumes, and the rest is out of reach.
             &[],
         ),
         (
-            "what holds with all there and not without",
+            "reservations that can be met with all nodes only",
             vec![volume(5, "big", &[1, 2, 3]), volume(6, "big", &[1, 2, 3]), volume(7, "big", &[1, 2, 3])],
             &[
-                // Without node 4, volumes 1 to 4 lie on the three nodes of the large ones, which
-                // ask for 255.
+                // Without node 4, volumes 1 to 4 lie on the three nodes of the large volumes, whose
+                // demand is 255.
                 "warns: with zone a out, 5.0 units a second of reserves could not be met",
                 "warns: with zone b out, 10.0 units a second of reserves could not be met",
                 "warns: with node 4 out, 15.0 units a second of reserves could not be met",
             ],
         ),
         (
-            "a drain with room beside it",
-            vec![drain(1, true)],
+            "a drain of a node with the only copy of extents",
+            vec![stage(1, Stage::Draining)],
             &["against: 20.0 units a second of reserves lie out of reach"],
         ),
         (
@@ -183,11 +134,11 @@
             .collect();
         assert_eq!(texts, expected, "{what}");
         assert!(!found.capacity_unknown && found.unexamined_losses == 0);
-        assert_eq!(admission.shortfall(), before, "{what}: taken back");
+        assert_eq!(admission.shortfall(), before, "{what}: reverted");
     }
 }
 
-/// Drains while a zone is without other nodes; each case with what was so before it.
+/// Drains while other nodes of the zone are unavailable; each case with the changes before it.
 #[test]
 fn objections_to_a_drain() {
     use Stage::*;
@@ -202,17 +153,17 @@
     let cases: [Case; 11] = [
         ("alone", free(), &[], vec![stage(1, Draining)], &[]),
         (
-            "a second one of its zone",
+            "a second node of the zone",
             [free(), vec![stage(2, Draining)]].concat(),
             &[],
             vec![stage(1, Draining)],
             &["node 1 must not drain while in zone a node 2 drains"],
         ),
-        ("beside one that waits", [free(), vec![stage(2, Queued)]].concat(), &[], vec![stage(1, Draining)], &[]),
-        ("of another zone", [free(), vec![stage(3, Draining)]].concat(), &[], vec![stage(1, Draining)], &[]),
-        ("waiting beside one", [free(), vec![stage(2, Draining)]].concat(), &[], vec![stage(1, Queued)], &[]),
+        ("while another drain is queued", [free(), vec![stage(2, Queued)]].concat(), &[], vec![stage(1, Draining)], &[]),
+        ("while a node of another zone is draining", [free(), vec![stage(3, Draining)]].concat(), &[], vec![stage(1, Draining)], &[]),
+        ("queued while another node is draining", [free(), vec![stage(2, Draining)]].concat(), &[], vec![stage(1, Queued)], &[]),
         (
-            "two at once",
+            "two nodes at once",
             free(),
             &[],
             vec![stage(1, Draining), stage(2, Draining)],
@@ -222,29 +173,29 @@
             ],
         ),
         (
-            "beside a cold one",
+            "while another node is warming up",
             free(),
             &[(2, ExclusionReason::Warming), (3, ExclusionReason::Removed)],
             vec![stage(1, Draining)],
             &["node 1 must not drain while in zone a node 2 has just started and is cold"],
         ),
-        ("cold itself", free(), &[(1, ExclusionReason::Warming)], vec![stage(1, Draining)], &[]),
+        ("a node that is warming up itself", free(), &[(1, ExclusionReason::Warming)], vec![stage(1, Draining)], &[]),
         (
-            "reserved data there, and it would only wait",
+            "queued, for a node with reserved data",
             vec![],
             &[],
             vec![stage(1, Queued)],
             &["20.0 units a second of reserves lie out of reach"],
         ),
         (
-            "out before it is empty",
+            "removed before it is drained",
             [free(), vec![stage(1, Draining)]].concat(),
             &[],
             vec![stage(1, Removed)],
             &["what was sent to node 1 may still be under way; it is empty when its drain says so"],
         ),
         (
-            "out once it is",
+            "removed after it is drained",
             [free(), vec![stage(1, Draining)], vec![stage(1, Drained)]].concat(),
             &[(2, ExclusionReason::Warming)],
             vec![stage(1, Removed)],
@@ -266,14 +217,15 @@
     }
 }
 
-/// While a node of another zone is gone, what a drain leaves must carry its part as well.
+/// While a node of another zone is gone, the nodes that remain after the drain must carry the load of
+/// both.
 #[test]
-fn a_drain_is_rejected_that_a_node_gone_in_another_zone_leaves_no_capacity_for() {
+fn a_drain_is_rejected_if_a_node_gone_in_another_zone_leaves_too_little_capacity() {
     let mut catalog = empty_catalog();
     let nodes = [("a", 1), ("a", 2), ("b", 3), ("b", 4)].map(|(zone, id)| node(id, zone, 100.0));
     land(&mut catalog, nodes.into());
     land(&mut catalog, vec![plan("all", 240.0)]);
-    // Spread so wide that any of its nodes may carry up to all of it.
+    // With this spread, each node of a volume may carry the complete volume.
     land(
         &mut catalog,
         vec![
@@ -301,7 +253,7 @@
         )
         .objections,
         [],
-        "it carried nothing"
+        "node 1 carries no load"
     );
     land(&mut catalog, vec![volume(1, "all", &[1, 2, 3, 4])]);
     let mut admission = Admission::open(&catalog, 5.0);
@@ -323,10 +275,9 @@
     );
 }
 
-/// Reservations that were short before are no reason against mending them, or against unrelated
-/// changes.
+/// A shortfall that exists already is no objection to a repair, or to an unrelated change.
 #[test]
-fn a_change_that_makes_a_broken_site_no_worse_is_admitted() {
+fn a_change_that_does_not_increase_a_shortfall_is_admitted() {
     let mut catalog = two_zones();
     land(
         &mut catalog,
@@ -342,19 +293,19 @@
     assert_eq!(
         verdict(&mut catalog, &mut admission, vec![volume(6, "basic", &[1])]),
         AdmissionVerdict::default(),
-        "better"
+        "a smaller shortfall"
     );
     assert_eq!(
         verdict(&mut catalog, &mut admission, vec![volume(8, "none", &[3])]),
         AdmissionVerdict::default(),
-        "no worse"
+        "an equal shortfall"
     );
     let worse = verdict(&mut catalog, &mut admission, vec![volume(8, "basic", &[1])]);
     assert!(
         matches!(worse.objections[..], [Reason::Short { .. }]),
         "{worse:?}"
     );
-    // And what lands is the new measure.
+    // The shortfall after a landed change is the new baseline.
     land(&mut catalog, vec![volume(8, "basic", &[1])]);
     admission.land(&catalog, &[volume(8, "basic", &[1])], ALL);
     assert!((admission.shortfall().short - 80.0).abs() < 0.1);
@@ -365,7 +316,7 @@
 }
 
 #[test]
-fn without_capacities_nothing_is_judged_and_losses_near_the_change_are_examined_first() {
+fn without_capacities_nothing_is_evaluated_and_losses_near_the_change_come_first() {
     let mut catalog = empty_catalog();
     land(&mut catalog, vec![node(1, "a", 0.0), plan("gold", 80.0)]);
     let mut admission = Admission::open(&catalog, 2.0);
@@ -389,7 +340,7 @@
             }
         )
     };
-    // Node 1 shares nothing with them, and its loss, which would be a warning too, is examined
+    // Node 1 has no data of the changed volumes. Its loss would be a warning too, and is examined
     // last.
     assert!(
         found.unexamined_losses == 1
@@ -401,7 +352,7 @@
 }
 
 #[test]
-fn the_shortfall_is_that_of_the_planner_after_any_changes() {
+fn the_shortfall_equals_the_planners_after_any_changes() {
     for seed in 0..120 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut catalog = two_zones();
@@ -418,7 +369,10 @@
                     f64::from(rng.random_range(1..200)),
                 ),
                 2 => match rng.random_range(0..6) {
-                    0 | 1 => drain(rng.random_range(1..5), false),
+                    0 | 1 => Change::Drain {
+                        node: rng.random_range(1..5),
+                        to: None,
+                    },
                     n => stage(rng.random_range(1..5), Stage::NAMES[n - 2].0),
                 },
                 3 => Change::Volume {
--- a/crates/catalog/tests/catalog.rs
+++ b/crates/catalog/tests/catalog.rs
@@ -14,7 +14,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Which revisions every host must acknowledge before they are stable.
+/// Every host must acknowledge such a revision before it is stable.
 #[test]
 fn revisions_that_lower_limits_are_marked() {
     let mut catalog = sample_catalog();
@@ -50,28 +50,32 @@
             vec![limited("capped", 20.0, 10.0, 39.0)],
             true,
         ),
-        ("no limit any more", vec![plan("capped", 1.0)], false),
+        ("the limit removed", vec![plan("capped", 1.0)], false),
         (
             "a limit where there was none",
             vec![limited("free", 30.0, 9.0, 40.0)],
             true,
         ),
         (
-            "a plan on which nothing stands",
+            "a plan without volumes",
             vec![limited("lower", 20.0, 1.0, 40.0)],
             false,
         ),
         (
-            "a plan with less",
+            "a volume moved to a plan with lower limits",
             vec![through(5, "lower", &["h", "i"])],
             true,
         ),
         (
-            "a plan without a limit",
+            "a volume moved to a plan without a limit",
             vec![through(5, "free", &["h", "i"])],
             false,
         ),
-        ("onto a limit", vec![volume(6, "capped")], true),
+        (
+            "a volume moved to a plan with a limit",
+            vec![volume(6, "capped")],
+            true,
+        ),
         (
             "one more host",
             vec![through(5, "capped", &["h", "i", "j"])],
@@ -88,8 +92,12 @@
             vec![volume(7, "capped")],
             false,
         ),
-        ("a new volume without", vec![volume(7, "free")], false),
-        ("a retired volume", vec![removal(5)], false),
+        (
+            "a new volume without a limit",
+            vec![volume(7, "free")],
+            false,
+        ),
+        ("a removed volume", vec![removal(5)], false),
         (
             "a new limited plan and a volume on it",
             vec![limited("x", 9.0, 1.0, 9.0), volume(6, "x")],
@@ -99,7 +107,7 @@
     land(&mut catalog, vec![volume(8, "capped")]).unwrap();
     land(&mut catalog, vec![removal(8)]).unwrap();
     let again = (
-        "a volume by the name of one that was",
+        "a new volume with the number of a removed one",
         vec![volume(8, "capped")],
         true,
     );
@@ -112,7 +120,7 @@
 }
 
 #[test]
-fn a_reverted_revision_leaves_no_trace_and_states_can_be_turned_into_each_other() {
+fn a_reverted_revision_has_no_effect_and_changes_lead_from_one_state_to_another() {
     let mut catalog = sample_catalog();
     let before = catalog.clone();
     land(
@@ -141,8 +149,8 @@
     }
 }
 
-/// Two sessions that looked at the same version: the second learns what it collided with, or lands
-/// if the changes have nothing to do with each other.
+/// Two operators have the same base version. The second change is rejected with the collision, or
+/// lands if the changes are independent.
 #[test]
 fn of_two_concurrent_changes_the_second_is_rejected_if_they_collide() {
     let cases: [(Vec<Change>, Vec<Change>, Option<&str>); 6] = [
@@ -167,7 +175,7 @@
             vec![volume(1, "priority")],
             Some("volume 1"),
         ),
-        // A plan is deleted while a volume is put on it: the one that comes second is refused.
+        // A plan is removed while a volume is put on it: the later change is rejected.
         (
             vec![no_plan("priority")],
             vec![volume(1, "priority")],
@@ -232,7 +240,7 @@
             .to_string()[..9],
         *"plan gold"
     );
-    // And undone again.
+    // The undo is undone.
     let redo = catalog
         .undo(undo.version, context("operator", "was right"))
         .unwrap();
@@ -246,8 +254,8 @@
     );
 }
 
-/// A feed that is late, repeats, or was reset: revisions are applied once and in order, or not at
-/// all.
+/// The feed is late, repeats revisions, or was reset. Each revision is applied once and in order, or
+/// not at all.
 #[test]
 fn revisions_are_applied_once_and_in_order() {
     let mut leader = sample_catalog();
@@ -288,9 +296,9 @@
     assert!(propose(3).is_ok());
 }
 
-/// Any sequence of changes compared with a simple model: a change lands completely, a rejected one
-/// changes nothing, every volume is on a plan that exists, and undoing all from the last to the
-/// first restores the first state.
+/// Any sequence of changes, compared with a simple model. A change lands completely, a rejected
+/// change has no effect, every volume is on a plan that exists, and undoing all changes from the last
+/// to the first restores the first state.
 #[test]
 fn any_sequence_of_changes_matches_a_simple_model() {
     for seed in 0..200 {
@@ -357,12 +365,12 @@
             let former = catalog
                 .audit_log()
                 .find(|e| e.version == version)
-                .expect("kept")
+                .expect("the audit log has it")
                 .before
                 .clone();
             let undo = catalog
                 .propose(catalog.version(), context("c", "back"), former)
-                .expect("it was so before");
+                .expect("a former state is valid");
             catalog.apply(undo).unwrap();
         }
         assert!(
--- a/crates/catalog/tests/common/mod.rs
+++ b/crates/catalog/tests/common/mod.rs
@@ -7,6 +7,10 @@
 use grebecleat_catalog::records::*;
 use std::time::Duration;
 
+pub fn ms(millis: u64) -> Duration {
+    Duration::from_millis(millis)
+}
+
 pub fn plan(name: &str, reservation: f64) -> Change {
     let to = Some(Plan {
         rate: 100.0,
@@ -46,16 +50,30 @@
 }
 
 pub fn through(id: u64, plan: &str, hosts: &[&str]) -> Change {
-    let hosts = hosts.iter().map(|h| Name::from(*h)).collect();
+    volume_on(id, plan, hosts, &[])
+}
+
+pub fn volume_on(id: u64, plan: &str, hosts: &[&str], shards: &[u32]) -> Change {
     let to = Some(Volume {
         plan: plan.into(),
-        hosts,
-        shards: [].into(),
+        hosts: hosts.iter().map(|host| Name::from(*host)).collect(),
+        shards: shards.into(),
         blocks: 8,
     });
     Change::Volume { id, to }
 }
 
+/// A node whose shard has its own number.
+pub fn node_in(id: u32, zone: &str, capacity: f64) -> Change {
+    let to = Some(Node {
+        zone: zone.into(),
+        shard: id,
+        capacity,
+        ..Node::default()
+    });
+    Change::Node { id, to }
+}
+
 pub fn node(id: u32, shard: u32) -> Change {
     Change::Node {
         id,
@@ -69,10 +87,15 @@
 }
 
 pub fn drain(node: u32) -> Change {
-    Change::Drain {
-        node,
-        to: Some(Drain::default()),
-    }
+    stage(node, Stage::Draining)
+}
+
+pub fn stage(node: u32, stage: Stage) -> Change {
+    let to = Some(Drain {
+        stage,
+        ..Drain::default()
+    });
+    Change::Drain { node, to }
 }
 
 pub fn target(name: &str, volumes: &[u64]) -> Change {
@@ -107,7 +130,7 @@
 
 pub fn land(catalog: &mut Catalog, changes: Vec<Change>) -> Result<Version, ChangeError> {
     let revision = catalog.propose(catalog.version(), context("operator", "test"), changes)?;
-    catalog.apply(revision).expect("the next");
+    catalog.apply(revision).expect("the next version");
     Ok(catalog.version())
 }
 
--- a/crates/catalog/tests/feed.rs
+++ b/crates/catalog/tests/feed.rs
@@ -1,7 +1,7 @@
-//! Explores every state of a leader and two hosts: requests and answers that arrive in any order,
-//! late or never, clocks that lose a tick, a leader that restarts, hosts that restart, changes at
-//! any moment, an operator who rightly reports a host as gone. In each state what both hosts may
-//! send together is at most the limit of the stable version. Bugs planted on purpose must be found.
+//! Explores every state of a leader and two hosts: polls and responses that arrive in any order, late
+//! or never; clocks that lose a tick; a leader and hosts that restart; changes at any moment; an
+//! operator who rightly reports a host as removed. In each state, the sum of both hosts' quotas is at
+//! most the limit of the stable version. Bugs planted on purpose must be found.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -22,7 +22,7 @@
     Duration::from_secs(count)
 }
 
-/// What a version says: limit and reservation of the volume, and which hosts serve it.
+/// The terms of the volume in one version: limit, reservation and hosts.
 #[derive(Debug, Clone, Copy)]
 struct VolumeTerms {
     limit: f64,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Changes one after the other, by what makes each of them dangerous.
+/// Sequences of versions, by the risk that each has.
 const SCENARIOS: [(&str, &[VolumeTerms]); 6] = {
     const BOTH: [bool; 2] = [true, true];
     const fn terms(limit: f64, reservation: f64, hosts: [bool; 2]) -> VolumeTerms {
@@ -74,7 +74,7 @@
             &[terms(0.0, 1.0, BOTH), terms(2.0, 1.0, BOTH)],
         ),
         (
-            "a host comes in",
+            "a host is added",
             &[terms(4.0, 2.0, [true, false]), terms(4.0, 2.0, BOTH)],
         ),
         (
@@ -85,7 +85,7 @@
             ],
         ),
         (
-            "its reservation lowered below",
+            "the reservation lowered below the quota",
             &[terms(6.0, 4.0, BOTH), terms(2.0, 1.0, BOTH)],
         ),
     ]
@@ -94,34 +94,34 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Bug {
     None,
-    /// A host counts its lease from when the answer came.
+    /// A host counts its lease from when the response arrived.
     FromArrival,
-    /// The leader counts a version that was sent as applied.
+    /// The leader counts a sent version as applied.
     SentCountsAsApplied,
-    /// The leader forgets at its start that leases may still run.
+    /// A restarted leader assumes that no lease runs.
     ForgetsRunningLeases,
-    /// The leader counts no margin.
+    /// The leader adds no margin.
     NoMargin,
-    /// A host applies what arrives, though it has a newer version.
+    /// A host applies a version older than its own.
     TakesOlderVersions,
-    /// A host follows the newest that it has, whatever others may still follow.
+    /// A host ignores all versions but its newest.
     NewestAlone,
     /// The leader does not wait for hosts without a lease.
     IgnoresReductions,
-    /// A host starts with the lease that it had.
+    /// A restarted host still has its lease.
     LeaseSurvivesRestart,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Host {
     follower_lease: FollowerLease,
-    /// Ticks that its clock has lost.
+    /// Ticks that the host's clock has lost.
     lost: u64,
-    /// It is down, and the operator has reported it as gone.
+    /// Whether the host is down, and an operator has reported it as removed.
     gone: bool,
-    /// On the way to the leader: when it was sent, by the host's clock, and what the host had.
+    /// The poll in flight: when it was sent, by the host's clock, and the host's version.
     request: Option<(u64, Version)>,
-    /// On the way back: of which request, up to which version, and the stable version then.
+    /// The responses in flight: when the poll was sent, the version, and the stable version.
     answers: Vec<(u64, Version, Version)>,
 }
 
@@ -131,19 +131,19 @@
     latest: u64,
     leases: Leases,
     stable: Version,
-    /// Restarts of the leader or a host, clocks that lost a tick and hosts that are gone, so far.
-    mishaps: u8,
+    /// Restarts of the leader or a host, lost ticks and removed hosts so far.
+    faults: u8,
     hosts: [Host; HOSTS],
 }
 
 struct Model {
     versions: &'static [VolumeTerms],
     bug: Bug,
-    /// Mishaps of one run; requests and answers may in addition be lost or late any number of
+    /// Most faults of one run. In addition, polls and responses may be lost or late any number of
     /// times.
-    mishaps: u8,
-    /// The second host is answered at once or not at all. Hosts interact only through what the
-    /// leader knows of them, so one prompt host and one whose messages cross show most cases.
+    faults: u8,
+    /// Whether the second host gets each response at once. Hosts interact only through the leader's
+    /// records, so one prompt host and one whose messages cross show most cases.
     prompt: bool,
 }
 
@@ -181,7 +181,7 @@
             latest: 1,
             leases,
             stable: Version(1),
-            mishaps: 0,
+            faults: 0,
             hosts,
         }
     }
@@ -196,7 +196,7 @@
         state
     }
 
-    /// All that may happen next.
+    /// All states that can follow a state.
     fn next(&self, state: &State) -> Vec<State> {
         let mut all = Vec::new();
         let mut push = |change: &dyn Fn(&mut State)| {
@@ -210,11 +210,10 @@
         if (state.latest as usize) < self.versions.len() {
             push(&|state| state.latest += 1);
         }
-        if state.mishaps < self.mishaps {
+        if state.faults < self.faults {
             push(&|state| {
-                state.mishaps += 1;
-                // What hosts have acknowledged and the stable version are persisted before they
-                // count.
+                state.faults += 1;
+                // Acknowledged versions and the stable version are persisted before they count.
                 let had = |host: u32| (HostNumber(host), state.leases.applied(HostNumber(host)));
                 let had: Vec<_> = (0..HOSTS as u32).map(had).collect();
                 let again = if self.bug == Bug::ForgetsRunningLeases {
@@ -231,12 +230,12 @@
                 continue;
             }
             // A clock loses a tick at most once, which the margin covers.
-            if host.lost == 0 && state.now > 0 && state.mishaps < self.mishaps {
-                push(&|state| (state.hosts[i].lost, state.mishaps) = (1, state.mishaps + 1));
+            if host.lost == 0 && state.now > 0 && state.faults < self.faults {
+                push(&|state| (state.hosts[i].lost, state.faults) = (1, state.faults + 1));
             }
-            if state.mishaps < self.mishaps {
+            if state.faults < self.faults {
                 push(&|state| {
-                    state.mishaps += 1;
+                    state.faults += 1;
                     let host = &mut state.hosts[i];
                     if self.bug != Bug::LeaseSurvivesRestart {
                         host.follower_lease = FollowerLease::persisted(
@@ -244,14 +243,14 @@
                             host.follower_lease.stable,
                         );
                     }
-                    // By a clock that begins anew the old lease would be the longest.
+                    // With a clock that starts from zero, the old lease would be the longest.
                     host.lost = state.now;
                     (host.request, host.answers) = (None, Vec::new());
                 });
             }
-            if i == 0 && state.mishaps < self.mishaps {
+            if i == 0 && state.faults < self.faults {
                 push(&|state| {
-                    state.mishaps += 1;
+                    state.faults += 1;
                     state.leases.set_removed(HostNumber(0));
                     state.hosts[0] = Host {
                         gone: true,
@@ -268,7 +267,7 @@
                 });
                 continue;
             }
-            // A new request also replaces one that was lost.
+            // A new poll also replaces a lost one.
             push(&|state| state.hosts[i].request = Some((clock, host.follower_lease.applied)));
             if let Some((sent, applied)) = host.request.filter(|_| host.answers.len() < 2) {
                 push(&|state| {
@@ -336,7 +335,7 @@
             .granted(ticks(from), version, stable, ticks(LEASE));
     }
 
-    /// What both hosts may send together, and the limit that is in force.
+    /// The sum of both hosts' quotas, and the limit in force.
     fn sums(&self, state: &State) -> (f64, f64) {
         let of = |i: usize, host: &Host| {
             let follower_lease = &host.follower_lease;
@@ -360,7 +359,7 @@
         (sent, if limit > 0.0 { limit } else { f64::INFINITY })
     }
 
-    /// States visited, and the first in which more may be sent than the limit.
+    /// Number of visited states, and the first in which the quotas exceed the limit.
     fn explore(&self) -> (usize, Option<State>) {
         let first = self.update_stable(self.first());
         let (mut seen, mut queue) = (HashSet::from([first.clone()]), VecDeque::from([first]));
@@ -385,7 +384,7 @@
         Model {
             versions,
             bug,
-            mishaps: 1,
+            faults: 1,
             prompt: true,
         }
     }
@@ -414,7 +413,7 @@
 }
 
 #[test]
-fn no_state_sends_more_than_the_limit_of_the_stable_version() {
+fn quotas_never_exceed_the_limit_of_the_stable_version() {
     for (scenario, versions) in SCENARIOS {
         let (visited, found) = Model::short(versions, Bug::None).explore();
         println!("{scenario}: {visited} states visited");
@@ -425,18 +424,18 @@
 /// The long form: `cargo test --release -p grebecleat-catalog --test feed -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes; CI plays the short form"]
-fn no_state_with_two_mishaps_or_with_two_slow_hosts() {
-    for (mishaps, prompt) in [(2, true), (0, false)] {
+fn quotas_never_exceed_the_limit_with_two_faults_or_two_slow_hosts() {
+    for (faults, prompt) in [(2, true), (0, false)] {
         for (scenario, versions) in SCENARIOS {
             let (visited, found) = Model {
                 versions,
                 bug: Bug::None,
-                mishaps,
+                faults,
                 prompt,
             }
             .explore();
             println!(
-                "{scenario}, {mishaps} mishaps, second host prompt {prompt}: {visited} states visited"
+                "{scenario}, {faults} faults, second host prompt {prompt}: {visited} states visited"
             );
             assert_eq!(found, None, "{scenario}");
         }
--- a/crates/catalog/tests/fleet/disk.rs
+++ b/crates/catalog/tests/fleet/disk.rs
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Restored from a snapshot, in a new epoch. Hosts that it does not know of may have joined
-    /// since.
+    /// A disk restored from a snapshot, in a new epoch. Hosts that it does not know may have been
+    /// granted leases since.
     pub fn restored(&self, epoch: u64) -> Self {
         let mut start = self.start.clone();
         start.epochs.push((start.epoch, start.catalog.version()));
--- a/crates/catalog/tests/fleet/faults.rs
+++ b/crates/catalog/tests/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Operators who change plans, processes that start anew, and disks that answer or fail.
+//! Operators who change plans, processes that restart, and disks that complete or fail writes.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -81,7 +81,7 @@
     }
 
     pub fn restart_leader(&mut self, disk: Option<Disk>) {
-        // Of what was on its way any first part may have arrived.
+        // Any prefix of the pending writes may be on the disk.
         let n = self.rng.random_range(0..=self.pending_writes.len());
         let sent = std::mem::take(&mut self.pending_writes);
         match disk {
@@ -123,7 +123,7 @@
     pub fn answer_disks(&mut self) {
         if !self.pending_writes.is_empty() && self.rng.random_range(0..3) > 0 {
             if self.chance(40) {
-                // What rests on the first fails after it, and what comes meanwhile does not.
+                // The pending writes that depend on the first fail after it. Later writes do not.
                 let failed: Vec<u64> = self
                     .pending_writes
                     .drain(..)
--- a/crates/catalog/tests/fleet/limits.rs
+++ b/crates/catalog/tests/fleet/limits.rs
@@ -1,14 +1,14 @@
-//! What must hold at every moment.
+//! The invariant on limits.
 
 use super::*;
 
 impl World {
-    /// No volume may be sent more of than the limit of the stable version.
+    /// The sum of all hosts' quotas of a volume is at most the limit of the stable version.
     pub fn check_limits(&mut self) {
         let catalog = self.leader.catalog();
         let stable = self.leader.stable();
-        // After a restore two histories are under way, and no limit of one of them bounds both,
-        // until the one that counts has come everywhere.
+        // After a restore, hosts follow two histories, and the limit of one does not bound both,
+        // until all hosts follow the history that counts.
         let epoch = self.disk.start.epoch;
         self.converged |= stable == catalog.version()
             && self.hosts.iter().all(|host| host.follower.epoch() == epoch);
--- a/crates/catalog/tests/fleet/main.rs
+++ b/crates/catalog/tests/fleet/main.rs
@@ -66,7 +66,7 @@
 struct Host {
     follower: Follower,
     disk: HostDisk,
-    /// Writes on their way to the disk, each with the state at that time, for a snapshot.
+    /// Pending writes, each with the state at that time, for a snapshot.
     pending_writes: Vec<(follower::PersistRequest, Catalog)>,
     terms: BTreeMap<u64, follower::Terms>,
     calls: u64,
@@ -90,7 +90,7 @@
     operators: BTreeMap<u64, Vec<Change>>,
     landed: BTreeMap<Version, Vec<Change>>,
     faults: bool,
-    /// All hosts have the history that counts since the last restore.
+    /// Whether all hosts follow the history of the last restore.
     converged: bool,
     counts: [u32; 6],
 }
@@ -139,7 +139,7 @@
     }]);
     for _ in 0..ticks {
         world.tick();
-        // What was announced as landed is there.
+        // Each change that was reported as committed is persisted.
         let persisted: BTreeMap<Version, &Vec<Change>> = world
             .disk
             .start
@@ -152,13 +152,13 @@
             assert_eq!(
                 persisted.get(v),
                 Some(&changes),
-                "seed {seed}: {v:?} was told as landed"
+                "seed {seed}: {v:?} was reported as committed"
             );
         }
     }
     world.faults = false;
-    // A host that was cut off through a restore may show only now that it has followed something
-    // else.
+    // A host that was disconnected during a restore may show only now that it has followed another
+    // history.
     for n in 0..500 {
         if n % 100 == 50 {
             let (author, reason, call) = ("op".to_string(), "at last".to_string(), CallId(1 << 43));
@@ -208,7 +208,7 @@
         let counts = play(seed, 600);
         sum.iter_mut().zip(counts).for_each(|(s, c)| *s += c);
     }
-    // Snapshots sent, hosts that learnt that the leader is behind, starts and restores of the
-    // leader, starts of hosts, volumes checked over several hosts.
+    // Counts: snapshots sent, polls answered that the leader is behind, restarts and restores of the
+    // leader, restarts of hosts, volumes checked over several hosts.
     assert!(sum.iter().all(|n| *n > 100), "{sum:?}");
 }
--- a/crates/catalog/tests/fleet/steps.rs
+++ b/crates/catalog/tests/fleet/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of the leader and of the hosts, and the messages that come of them.
+//! Steps of the leader and of the hosts, and the messages that they send.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -19,7 +19,7 @@
                     let catalog = self.leader.catalog();
                     let revisions = catalog
                         .since(grant.from)
-                        .expect("the trail reaches back")
+                        .expect("the audit log reaches back")
                         .filter(|e| e.version <= grant.to);
                     let revisions = revisions
                         .map(|e| for_host(catalog, grant.stable, e, &name))
--- a/crates/catalog/tests/fleet/world.rs
+++ b/crates/catalog/tests/fleet/world.rs
@@ -1,4 +1,4 @@
-//! Time: what happens in one step of the world.
+//! One step of the simulated world.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
--- a/crates/catalog/tests/follower.rs
+++ b/crates/catalog/tests/follower.rs
@@ -1,5 +1,8 @@
 //! A host's side of the feed, case by case.
 
+mod common;
+
+use common::{limited, ms, through as volume};
 use grebecleat_catalog::catalog::*;
 use grebecleat_catalog::change::*;
 use grebecleat_catalog::feed::Quota;
@@ -8,10 +11,6 @@
 use grebecleat_catalog::records::*;
 use std::time::Duration;
 
-fn ms(millis: u64) -> Duration {
-    Duration::from_millis(millis)
-}
-
 fn facts() -> Deployment {
     Deployment {
         hosts: ["h1", "h2", "h3"].map(Name::from).into(),
@@ -19,35 +18,12 @@
     }
 }
 
+/// A plan with a reservation of 3.
 fn plan(name: &str, limit: f64) -> Change {
-    let to = Plan {
-        reservation: 3.0,
-        limit,
-        burst: limit,
-        slack: limit,
-        weight: 1.0,
-        ..Plan::default()
-    };
-    Change::Plan {
-        name: name.into(),
-        to: Some(to),
-    }
-}
-
-fn volume(id: u64, plan: &str, hosts: &[&str]) -> Change {
-    let hosts = hosts.iter().map(|h| Name::from(*h)).collect();
-    Change::Volume {
-        id,
-        to: Some(Volume {
-            plan: plan.into(),
-            hosts,
-            shards: [].into(),
-            blocks: 8,
-        }),
-    }
+    limited(name, limit, 3.0, limit)
 }
 
-/// A leader that answers at once, and a host that polls it.
+/// A leader that responds at once, and a host that polls it.
 struct Rig {
     leader: Catalog,
     host: Follower,
@@ -105,7 +81,7 @@
         }
     }
 
-    /// The leader answers with all revisions and the stable version.
+    /// The leader responds with all revisions and the stable version.
     fn grant(&mut self, stable: u64) {
         let (call, applied) = self.call.take().expect("it asks");
         let (stable, me) = (Version(stable), Name::from("h3"));
@@ -152,8 +128,8 @@
     quota.map(|p| p.rate)
 }
 
-/// A volume moved to another host, was changed there, and returned: the host did not follow the
-/// versions in between, and must reckon with them as long as others may follow them.
+/// A volume moved to another host, was changed there, and returned. The host did not follow the
+/// versions in between, and must take them into account as long as others may follow them.
 #[test]
 fn a_returning_volume_is_limited_by_its_versions_in_between() {
     let mut rig = Rig::new();
@@ -250,7 +226,7 @@
 }
 
 #[test]
-fn an_update_that_does_not_follow_is_not_applied() {
+fn an_update_with_a_gap_is_not_applied() {
     let mut rig = Rig::new();
     rig.grant(0);
     rig.land(vec![volume(1, "six", &["h3"])]);
--- a/crates/catalog/tests/incremental_flow.rs
+++ b/crates/catalog/tests/incremental_flow.rs
@@ -1,4 +1,4 @@
-//! The incremental flow gives the same answers as the planner, which works them out anew.
+//! The incremental flow gives the same results as the planner, which computes them from the start.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -12,8 +12,8 @@
     let placement: BTreeSet<u32> = (0..rng.random_range(1..5))
         .map(|_| rng.random_range(0..nodes))
         .collect();
-    let part = 1.0 / placement.len() as f64;
-    let placement = placement.into_iter().map(|n| (n, part)).collect();
+    let fraction = 1.0 / placement.len() as f64;
+    let placement = placement.into_iter().map(|node| (node, fraction)).collect();
     Volume {
         id,
         reservation: f64::from(rng.random_range(0..12)),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn the_shortfall_is_that_of_the_planner_after_any_changes() {
+fn the_shortfall_equals_the_planners_after_any_changes() {
     let (mut short, mut examined) = (0, 0);
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_new_node_carries_what_was_missing() {
+fn a_new_node_carries_unmet_reservations() {
     let mut site = Site {
         nodes: vec![],
         volumes: vec![],
@@ -113,14 +113,14 @@
         placement: vec![(1, 0.5), (2, 0.5)],
     });
     let mut flow = IncrementalFlow::of(&site);
-    // Each home's most is rounded up by a thousandth.
+    // The maximum load on each node is rounded up by a thousandth.
     let shortfall = |flow: &IncrementalFlow| {
         (
             flow.shortfall().short.round(),
             flow.shortfall().out_of_reach.round(),
         )
     };
-    assert_eq!(shortfall(&flow), (0.0, 40.0), "nobody knows its other home");
+    assert_eq!(shortfall(&flow), (0.0, 40.0), "the other node is unknown");
     flow.set_node(Node {
         id: 2,
         zone: 1,
--- a/crates/catalog/tests/leader/main.rs
+++ b/crates/catalog/tests/leader/main.rs
@@ -19,7 +19,7 @@
         (rig.answers(), rig.leader.persisted()),
         (vec![], Version(2))
     );
-    // Two are on their way to the disk at once, and are persisted together.
+    // Two changes are pending at once, and are persisted together.
     rig.persist();
     assert_eq!(
         rig.answers(),
@@ -53,10 +53,10 @@
         ),
         (Version(4), None)
     );
-    // Later answers of the disk to what was taken back are ignored.
+    // A later result of a cancelled write is ignored.
     rig.step(vec![Event::PersistFailed {
         number: number + 1,
-        reason: "it rests on the first".into(),
+        reason: "it depends on the first".into(),
     }]);
     assert!(rig.answers().is_empty());
     // The change can be proposed again once the disk has space.
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn of_two_sessions_at_once_the_second_learns_what_it_collided_with() {
+fn a_concurrent_change_is_rejected_with_its_collision() {
     let mut rig = Rig::with_two_volumes();
     let first = rig.propose(vec![volume(1, "gold")], |_| ());
     let second = rig.propose(vec![volume(1, "basic"), plan("basic", 11.0)], |p| {
@@ -117,14 +117,13 @@
     assert_eq!(
         rig.leader.catalog().audit_log().last().unwrap().objections,
         reason,
-        "and the trail says so"
+        "the audit log has the objections"
     );
     let third = rig.call();
-    let (author, reason) = ("operator".to_string(), "too much".to_string());
     rig.step(vec![Event::Undo {
         call: third,
-        author,
-        reason,
+        author: "operator".into(),
+        reason: "too much".into(),
         revision: Version(3),
         force: false,
     }]);
@@ -146,7 +145,7 @@
     let answers = rig.answers();
     assert!(
         answers.contains(&format!("{}: plan none does not exist", bad.0)),
-        "told now and not at night: {answers:?}"
+        "rejected when scheduled and not when due: {answers:?}"
     );
     assert_eq!(rig.leader.wake_at(), Some(ms(6000)));
     // An operator changes the subject of one of them first, and cancels another.
@@ -174,7 +173,7 @@
     assert_eq!(rig.leader.catalog().plan("gold").unwrap().reservation, 40.0);
     let last = rig.leader.catalog().audit_log().last().unwrap();
     assert!(last.reason.starts_with("lapsed"), "{last:?}");
-    // Undoing what landed does not bring its time back.
+    // Undoing the landed revision does not restore the scheduled change.
     let landed = rig
         .leader
         .catalog()
@@ -201,10 +200,10 @@
 }
 
 #[test]
-fn a_host_is_answered_when_there_is_news_or_a_third_of_its_lease_is_over() {
+fn a_poll_is_answered_when_there_is_news_or_after_a_third_of_the_lease() {
     let mut rig = Rig::with_two_volumes();
     let first = rig.poll(0, 0, 0);
-    // That the host is known is persisted before it is granted anything.
+    // The host's version is persisted before it is granted a lease.
     assert!(
         rig.answers().is_empty()
             && matches!(
@@ -232,7 +231,7 @@
         answers.contains(&format!("{}: 2 to 3, settled 2", third.0)),
         "{answers:?}"
     );
-    // Its acknowledgement makes the version stable, and the next answer carries that.
+    // The host's acknowledgement makes the version stable, and the next response carries that.
     let fourth = rig.poll(0, 3, 2);
     rig.persist();
     assert_eq!(rig.answers(), [format!("{}: 3 to 3, settled 3", fourth.0)]);
@@ -251,7 +250,7 @@
     );
 }
 
-/// A change that lowers what a host may use without a lease waits for its acknowledgement, or for
+/// A change that lowers a host's quota without a lease waits for the host's acknowledgement, or for
 /// an operator's guarantee.
 #[test]
 fn a_silent_host_delays_the_stable_version_of_a_lowered_limit() {
@@ -262,28 +261,15 @@
     rig.poll(0, 2, 2);
     rig.poll(1, 2, 2);
     rig.persist();
-    let limited = |limit: f64, reservation: f64| {
-        let to = Some(Plan {
-            limit,
-            reservation,
-            burst: limit,
-            slack: limit,
-            weight: 1.0,
-            ..Plan::default()
-        });
-        Change::Plan {
-            name: "basic".into(),
-            to,
-        }
-    };
     rig.propose(vec![plan("y", 1.0)], |_| ());
-    rig.propose(vec![limited(20.0, 10.0)], |_| ());
+    rig.propose(vec![limited("basic", 20.0, 10.0, 20.0)], |_| ());
     rig.persist();
     rig.poll(0, 4, 2);
     rig.persist();
     assert_eq!(rig.leader.stable(), Version(2));
     assert_eq!(rig.leader.waits_for(Version(4)), [("h2".into(), false)]);
-    // Its lease ends: the version that takes nothing from it is stable, the new limit is not.
+    // The host's lease ends. The version that does not lower its quota is stable, and the new limit
+    // is not.
     rig.now += ms(3600);
     rig.step(vec![]);
     rig.persist();
@@ -302,7 +288,7 @@
         (rig.leader.stable(), rig.leader.waits_for(Version(4))),
         (Version(4), vec![])
     );
-    // A volume's name is not used again before its end is over everywhere.
+    // A volume's number is not used again before the removal is stable.
     rig.poll(1, 2, 2);
     rig.propose(vec![Change::Volume { id: 2, to: None }], |_| ());
     rig.persist();
@@ -317,9 +303,9 @@
     );
 }
 
-/// After a restore versions alone would be taken for the same history.
+/// After a restore, version numbers alone would not show the other history.
 #[test]
-fn no_host_is_granted_anything_while_one_follows_another_history() {
+fn no_host_is_granted_a_lease_while_one_follows_another_history() {
     let mut rig = Rig::with_two_volumes();
     let first = rig.call();
     let polled = |call, epoch, applied| Event::Polled {
@@ -334,13 +320,13 @@
     assert_eq!(
         rig.answers(),
         [format!("{}: behind 2", first.0)],
-        "as many entries, and not the same ones"
+        "the same version of another history"
     );
     let second = rig.poll(1, 2, 2);
     assert_eq!(
         rig.answers(),
         [format!("{}: behind 2", second.0)],
-        "nobody is granted anything"
+        "no host is granted a lease"
     );
     let third = rig.call();
     rig.step(vec![Event::ForceEpoch {
--- a/crates/catalog/tests/leader/rig.rs
+++ b/crates/catalog/tests/leader/rig.rs
@@ -1,6 +1,7 @@
-//! A leader with a disk that answers on request, and builders for its changes.
+//! A leader with a disk that completes writes on request, and builders for changes.
 
-pub use crate::common::plan;
+pub use crate::common::{limited, ms, plan};
+use crate::common::{node_in, volume_on};
 use grebecleat_catalog::admission::join_reasons;
 use grebecleat_catalog::catalog::*;
 use grebecleat_catalog::change::*;
@@ -10,36 +11,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-pub fn ms(millis: u64) -> Duration {
-    Duration::from_millis(millis)
-}
-
 pub fn volume(id: u64, plan: &str) -> Change {
-    let (plan, hosts, shards) = (plan.into(), ["h1".into(), "h2".into()].into(), [1].into());
-    Change::Volume {
-        id,
-        to: Some(Volume {
-            plan,
-            hosts,
-            shards,
-            blocks: 8,
-        }),
-    }
+    volume_on(id, plan, &["h1", "h2"], &[1])
 }
 
-pub fn node(id: u32, capacity: f64) -> Change {
-    Change::Node {
-        id,
-        to: Some(Node {
-            zone: "a".into(),
-            shard: id,
-            capacity,
-            ..Node::default()
-        }),
-    }
-}
-
-/// A leader with a disk that answers on request.
+/// A leader with a disk that completes writes on request.
 pub struct Rig {
     pub leader: Leader,
     pub now: Duration,
@@ -55,20 +31,14 @@
             max_dispatch_delay: Duration::ZERO,
         };
         let catalog = Catalog::new(facts, 50);
-        let (applied, hosts, epochs) = (
-            BTreeMap::new(),
-            ["h1", "h2"].map(Name::from).to_vec(),
-            Vec::new(),
-        );
-        let (stable, epoch, epoch_forced_at) = (Version(0), Epoch(7), Version(0));
         let start = InitialState {
             catalog,
-            stable,
-            applied,
-            hosts,
-            epoch,
-            epochs,
-            epoch_forced_at,
+            stable: Version(0),
+            applied: BTreeMap::new(),
+            hosts: ["h1", "h2"].map(Name::from).to_vec(),
+            epoch: Epoch(7),
+            epochs: Vec::new(),
+            epoch_forced_at: Version(0),
         };
         let leader = Leader::new(start, ms(3000), ms(500), 2.0, ms(1000));
         Rig {
@@ -84,7 +54,11 @@
     pub fn with_two_volumes() -> Rig {
         let mut rig = Rig::new();
         rig.propose(
-            vec![plan("basic", 10.0), plan("gold", 40.0), node(1, 100.0)],
+            vec![
+                plan("basic", 10.0),
+                plan("gold", 40.0),
+                node_in(1, "a", 100.0),
+            ],
             |_| (),
         );
         rig.persist();
@@ -110,12 +84,10 @@
 
     pub fn propose(&mut self, changes: Vec<Change>, with: impl FnOnce(&mut Proposal)) -> CallId {
         let call = self.call();
-        let base_version = self.leader.persisted();
-        let (author, reason) = ("operator".to_string(), "test".to_string());
         let mut proposal = Proposal {
-            author,
-            reason,
-            base_version,
+            author: "operator".into(),
+            reason: "test".into(),
+            base_version: self.leader.persisted(),
             changes,
             at: None,
             force: false,
@@ -135,23 +107,19 @@
 
     pub fn poll(&mut self, host: u32, applied: u64, stable: u64) -> CallId {
         let call = self.call();
-        let (host, epoch) = (
-            HostNumber(host),
-            if applied == 0 { Epoch(0) } else { Epoch(7) },
-        );
-        let (applied, stable) = (Version(applied), Version(stable));
+        let epoch = if applied == 0 { Epoch(0) } else { Epoch(7) };
         self.step(vec![Event::Polled {
             call,
-            host,
+            host: HostNumber(host),
             epoch,
-            applied,
-            stable,
-            acknowledged: applied,
+            applied: Version(applied),
+            stable: Version(stable),
+            acknowledged: Version(applied),
         }]);
         call
     }
 
-    /// The actions since the last call, in short.
+    /// The actions since the last call, as short texts.
     pub fn answers(&mut self) -> Vec<String> {
         let short = |action: Action| match action {
             Action::Grant(grant) => {
@@ -182,7 +150,7 @@
                     .to_string()
             }
             Action::Note { text } => text,
-            Action::Persist { .. } => unreachable!("taken out"),
+            Action::Persist { .. } => unreachable!("step takes writes out"),
         };
         std::mem::take(&mut self.answers)
             .into_iter()
--- a/crates/catalog/tests/moves.rs
+++ b/crates/catalog/tests/moves.rs
@@ -1,4 +1,5 @@
-//! Proposals compared with every placement of extents, on small sites; and a drain at a larger one.
+//! Proposed moves compared with every placement of extents on small sites, and a drain on a larger
+//! site.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -55,8 +56,8 @@
     }
 }
 
-/// All ways to lay a volume's extents on three nodes, none on those to be emptied.
-fn ways(empty: &BTreeSet<u32>) -> Vec<[u64; 3]> {
+/// All placements of a volume's extents on three nodes, with none on the nodes to be emptied.
+fn placements(empty: &BTreeSet<u32>) -> Vec<[u64; 3]> {
     let all = (0..=EXTENTS).flat_map(|a| (0..=EXTENTS - a).map(move |b| [a, b, EXTENTS - a - b]));
     all.filter(|way| empty.iter().all(|n| way[*n as usize] == 0))
         .collect()
@@ -66,13 +67,13 @@
     [5, 1, 3][id as usize]
 }
 
-/// The least bytes with which all reserves can be met, by trying every placement.
+/// The fewest bytes whose moves meet all reservations, found by trying every placement.
 fn by_brute_force(
     site: &Site,
     extents_by_volume: &[[u64; 3]],
     empty: &BTreeSet<u32>,
 ) -> Option<u64> {
-    let ways = ways(empty);
+    let placements = placements(empty);
     let cost = |id: usize, way: &[u64; 3]| {
         let left: u64 = (0..3)
             .map(|n| extents_by_volume[id][n].saturating_sub(way[n]))
@@ -80,9 +81,9 @@
         left * bytes(id as u64)
     };
     let mut best: Option<u64> = None;
-    for a in &ways {
-        for b in &ways {
-            for c in &ways {
+    for a in &placements {
+        for b in &placements {
+            for c in &placements {
                 let all = cost(0, a) + cost(1, b) + cost(2, c);
                 if best.is_some_and(|best| all >= best) {
                     continue;
@@ -110,8 +111,8 @@
 }
 
 fn after(site: &Site, moves: &[Move], extents: u64) -> Site {
-    let mut random_site = site.clone();
-    for volume in &mut random_site.volumes {
+    let mut moved_site = site.clone();
+    for volume in &mut moved_site.volumes {
         let mut extents_on: BTreeMap<u32, i64> = volume
             .placement
             .iter()
@@ -131,12 +132,15 @@
             .map(|(n, e)| (n, e as f64 / extents as f64))
             .collect();
     }
-    random_site
+    moved_site
 }
 
 #[test]
 fn proposals_move_as_few_bytes_as_brute_force() {
-    let (mut mended, mut missed, mut ours, mut least) = (0, 0, 0, 0);
+    let mut repaired = 0;
+    let mut missed = 0;
+    let mut ours = 0;
+    let mut least = 0;
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (site, extents_by_volume) = random_site(&mut rng);
@@ -173,23 +177,23 @@
                     proposal.bytes >= best && proposal.least <= best as f64 + 1e-3,
                     "seed {seed}: {proposal:?}, best {best}"
                 );
-                mended += 1;
+                repaired += 1;
                 (ours, least) = (ours + proposal.bytes, least + best);
             }
         }
     }
-    assert!(mended > 150, "{mended} mended");
+    assert!(repaired > 150, "{repaired} repaired");
     assert_eq!(
         (ours, missed),
         (least, 0),
-        "bytes, and sites that could be mended and were not"
+        "bytes, and sites that could be repaired and were not"
     );
 }
 
-/// On a larger site: the drained node is empty afterwards, reservations are met, and only its
-/// extents move.
+/// On a larger site, the drained node is empty after the moves, reservations are met, and only the
+/// node's extents move.
 #[test]
-fn a_drain_at_a_larger_site_moves_only_what_lies_on_the_node() {
+fn a_drain_on_a_larger_site_moves_only_the_nodes_extents() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
     let nodes = (0..40)
         .map(|id| Node {
@@ -219,7 +223,7 @@
         bytes: 1 << 20,
     };
     let empty = BTreeSet::from([7]);
-    let proposal = propose(&site, &empty, size).expect("it holds something");
+    let proposal = propose(&site, &empty, size).expect("the node has extents");
     let then: Vec<Volume> = site
         .volumes
         .iter()
--- a/crates/catalog/tests/planner.rs
+++ b/crates/catalog/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner compared with brute force on small sites, and with a greedy answer.
+//! The planner compared with brute force on small sites, and with a greedy placement.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -37,7 +37,7 @@
         }
     };
     let volumes = (0..8u64).map(volume).collect();
-    // So wide that a volume may gather on any of its homes.
+    // With this spread, a volume's load may gather on any of its nodes.
     Site {
         nodes,
         volumes,
@@ -45,8 +45,8 @@
     }
 }
 
-/// The most that can be carried, by every cut there is: nodes of one side, and volumes that reach
-/// beyond it.
+/// The maximum that can be carried, as the minimum over all cuts: the nodes of one side, and the
+/// volumes that reach beyond it.
 fn by_brute_force(site: &Site, reserves: &[f64]) -> f64 {
     let cut = |side: u32| {
         let is_inside = |n: u32| side & 1 << n != 0;
@@ -71,7 +71,7 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-/// Each volume in turn on the homes with most capacity left.
+/// Places each volume in turn on its nodes with the most spare capacity.
 fn by_greed(site: &Site) -> f64 {
     let mut spare: Vec<f64> = site.nodes.iter().map(|n| n.capacity).collect();
     let mut carried = 0.0;
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn the_planner_agrees_with_brute_force_and_the_lightest_give_way() {
+fn the_planner_agrees_with_brute_force_and_the_lowest_weights_give_way() {
     let (mut broken, mut greed_wrong) = (0, 0);
     for seed in 0..3000 {
         let site = random_site(&mut Pcg64Mcg::seed_from_u64(seed));
@@ -168,10 +168,10 @@
     );
 }
 
-/// Where a volume's load may gather only so far: what gives way, found volume by volume, is what
-/// the flow over all of them at once says is missing.
+/// With a bounded spread, the amount that gives way, found volume by volume, equals the shortfall of
+/// the flow over all volumes at once.
 #[test]
-fn what_gives_way_is_the_shortfall_at_any_spread() {
+fn the_volumes_that_give_way_add_up_to_the_shortfall_at_any_spread() {
     let mut broken = 0;
     for seed in 0..6000 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
@@ -222,7 +222,7 @@
             )
         })
         .collect();
-    // Spread over its extents alike, node 3 is asked for 40, 40 and 80.
+    // With an even spread over extents, node 3 has loads of 40, 40 and 80.
     let expected = [
         (Out::Nothing, 240.0, 0.0, false),
         (Out::Node(1), 200.0, 40.0, false),
@@ -232,12 +232,12 @@
         (Out::Zone(2), 80.0, 160.0, true),
     ];
     assert_eq!(found, expected);
-    let hopeful = Site {
+    let optimistic = Site {
         spread: 2.0,
         ..site
     };
     assert!(
-        check(&hopeful, &BTreeSet::new()).holds(),
-        "the first two keep to nodes 1 and 2"
+        check(&optimistic, &BTreeSet::new()).holds(),
+        "the first two volumes load only nodes 1 and 2"
     );
 }
--- a/crates/catalog/tests/validation.rs
+++ b/crates/catalog/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Which changes are valid, and the reason with which others are rejected.
+//! The validation of changes, and the errors of invalid ones.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -199,13 +199,7 @@
 #[test]
 fn a_drain_never_goes_back_and_node_names_are_unique() {
     use Stage::*;
-    let stage = |stage| Change::Drain {
-        node: 4,
-        to: Some(Drain {
-            stage,
-            ..Drain::default()
-        }),
-    };
+    let stage = |stage| common::stage(4, stage);
     let named = |id, name: &str| {
         let to = Node {
             name: name.into(),
