--- a/crates/membership/src/answers.rs
+++ b/crates/membership/src/answers.rs
@@ -1,42 +1,48 @@
-//! How a node answers what a host sends it.
+//! The answers of a node to a host's attempts.
+//!
+//! Each host derives them from its own attempts and reports them. Pure functions.
 
 use std::time::Duration;
 
-/// How a node answers what hosts send it.
+/// The answers of a node to hosts' attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum Answers {
-    /// Nothing is known: no host has sent it anything lately.
+    /// Nothing is known, because no host has sent the node an attempt recently.
     #[default]
     None,
-    /// It completes attempts.
+    /// The node completes attempts.
     Good,
-    /// It refuses, fails or does not answer.
+    /// The node rejects attempts, fails them or does not respond.
     Bad,
 }
 
-/// What a host's decisions know of a node's answers.
+/// A host's measurements of a node's answers.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NodeHealth {
-    /// The fraction of its load that the admission throttle lets go there, from 0 (ejected) to 1.
+    /// The fraction of the node's load that the admission throttle admits, from 0 (ejected) to 1.
     pub admission_level: f64,
     /// Failed attempts in a row.
     pub consecutive_failures: u32,
-    /// Time since it last completed an attempt; None: never.
+    /// Time since the node last completed an attempt; None: never.
     pub since_success: Option<Duration>,
 }
 
-/// Below this admission level a node is ejected, or nearly so.
+/// Admission level below which a node counts as bad: it is ejected, or nearly so. A higher value
+/// counts a node as bad that only reduces its load; a lower one detects a bad node later.
 const BAD_BELOW: f64 = 0.1;
-/// What the admission level must reach before a bad node counts as good again: the level rises by
-/// itself while nothing is sent.
+/// Admission level that a bad node must reach to count as good again. The level rises by itself
+/// while nothing is sent, so a lower value would end the bad state without evidence; a higher one
+/// ends it later.
 const GOOD_AGAIN_ABOVE: f64 = 0.5;
-/// One or two failures can be chance.
+/// Consecutive failures after which a node counts as bad. With fewer, chance failures would count;
+/// with more, a bad node is detected later.
 const BAD_AFTER_FAILURES: u32 = 3;
-/// An older answer says nothing of now.
+/// Age beyond which a completed attempt is no evidence of the present state. A larger age counts a
+/// node as good that no longer is; a smaller one loses the evidence on rarely used nodes.
 const MAX_ANSWER_AGE: Duration = Duration::from_secs(10);
 
 impl Answers {
-    /// What a host reports of a node's answers, given what it reported before.
+    /// The answers that a host reports, given those that it reported before.
     ///
     /// ```
     /// use grebecleat_membership::answers::{Answers, NodeHealth};
--- a/crates/membership/src/drains/messages.rs
+++ b/crates/membership/src/drains/messages.rs
@@ -1,4 +1,6 @@
-//! What the membership is told, and what it wants done.
+//! The input and output of the membership: events and actions.
+//!
+//! Plain data: the catalog service makes the events and performs the actions. Owns no state.
 
 use crate::answers::Answers;
 use crate::list_reading::ListedState;
@@ -7,37 +9,37 @@
 use grebecleat_catalog::records::{Drain, Name, Version};
 use std::time::Duration;
 
-/// What one host observes of a node.
+/// One host's observation of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct NodeObservation {
-    /// What its endpoint list says.
+    /// The node's state in the host's endpoint list.
     pub listed: ListedState,
-    /// Which incarnation of the node's process that is about.
+    /// The incarnation of the node's process that the list names.
     pub incarnation: u64,
     /// Time since that incarnation started; None: long ago.
     pub age: Option<Duration>,
     /// The revision of the endpoint list; 0: from the host's cache.
     pub revision: u64,
-    /// How the node answers the host.
+    /// The node's answers to the host.
     pub answers: Answers,
     /// The version of the catalog that the host followed when it counted its attempts.
     pub catalog_version: Version,
-    /// Attempts that were sent and have not ended.
+    /// Attempts in flight.
     pub attempts: u32,
-    /// For how long attempts that ended without an answer may still run at the node.
+    /// Longest remaining time at the node of attempts without a known outcome.
     pub unresolved_for: Duration,
-    /// Extents that its portal knows to lie there; None: it has no portal.
+    /// Extents that the host's portal knows to lie on the node; None: the host has no portal.
     pub extents: Option<u64>,
 }
 
-/// What the catalog says of a node.
+/// The facts of a node in the catalog.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct NodeFacts {
-    /// Its name.
+    /// The node's name.
     pub name: Name,
-    /// The zone that it fails with.
+    /// The node's zone, which is a failure domain.
     pub zone: Name,
-    /// The shard that it serves.
+    /// The shard that the node serves.
     pub shard: u32,
 }
 
@@ -45,39 +47,39 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId(pub u64);
 
-/// What has happened.
+/// An input of the membership.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A node of the catalog, as it was persisted.
     Node {
-        /// Its number.
+        /// The node's number.
         node: u32,
-        /// None: it was removed.
+        /// The node's facts; None: the node was removed from the catalog.
         to: Option<NodeFacts>,
     },
     /// A drain, as it was persisted.
     Drain {
         /// The node.
         node: u32,
-        /// None: the drain has ended.
+        /// The drain; None: the drain has ended.
         to: Option<Drain>,
         /// The catalog's version with this change.
         version: Version,
     },
     /// The catalog is persisted up to that version.
     Persisted {
-        /// That version.
+        /// The persisted version.
         version: Version,
     },
-    /// A host has acknowledged the catalog, and sends nothing any more that an older version
-    /// decided.
+    /// A host has acknowledged the catalog: it sends no more attempts decided on an older version.
     Acknowledged {
         /// The host.
         host: HostNumber,
-        /// Up to which version; None: it was never heard of.
+        /// The acknowledged version; None: the host never acknowledged one.
         version: Option<Version>,
     },
-    /// An operator vouches that this host sends nothing, until it is heard of again.
+    /// An operator guarantees that a host sends nothing, until the host connects or acknowledges
+    /// again.
     HostRemoved {
         /// The host.
         host: HostNumber,
@@ -86,21 +88,21 @@
     HostConnected {
         /// The host.
         host: HostNumber,
-        /// Which incarnation of its process it is.
+        /// The incarnation of the host's process.
         incarnation: u64,
     },
-    /// A host is not connected any more.
+    /// A host's connection is lost.
     HostDisconnected {
         /// The host.
         host: HostNumber,
     },
-    /// A host reports what it observes of a node.
+    /// A host reports its observation of a node.
     Observed {
         /// The host.
         host: HostNumber,
         /// The node.
         node: u32,
-        /// What it observes.
+        /// The observation.
         observation: NodeObservation,
     },
     /// A proposal was committed.
@@ -112,39 +114,39 @@
     Rejected {
         /// The proposal.
         proposal: ProposalId,
-        /// Why.
+        /// The reason of the rejection.
         reason: String,
     },
 }
 
-/// What is to be done.
+/// An output of the membership.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Propose a change of a drain to the catalog.
     Propose {
-        /// The number under which its outcome is to be told.
+        /// The number that the event of the outcome refers to.
         proposal: ProposalId,
         /// The node.
         node: u32,
-        /// The drain as it is to be; None: it is to end.
+        /// The proposed drain; None: the end of the drain.
         to: Option<Drain>,
-        /// The version of the catalog that the proposal rests on.
+        /// The version of the catalog on which the proposal is based.
         base_version: Version,
-        /// Why, for the audit log.
+        /// The reason, for the audit log.
         reason: String,
     },
-    /// Tell admission whether a node counts as unavailable.
+    /// Report to admission whether a node counts as unavailable.
     SetExclusion {
         /// The node.
         node: u32,
-        /// Why it is unavailable; None: it is available.
+        /// The reason why the node is unavailable; None: the node is available.
         reason: Option<ExclusionReason>,
     },
-    /// Tell operators what has become of a node.
+    /// Notify operators of a change of a node.
     Notify {
         /// The node.
         node: u32,
-        /// What to tell.
+        /// The notice.
         text: String,
     },
 }
--- a/crates/membership/src/drains/stages.rs
+++ b/crates/membership/src/drains/stages.rs
@@ -1,17 +1,27 @@
-//! When a drain goes to its next stage, and what keeps it from that.
-
+//! When a drain goes to its next stage, and what blocks it.
+//!
+//! [`Membership`](super::Membership) calls [`StageMachine::propose`] at each step. State: the
+//! number of the last proposal, and whether queued drains must be tried again. The drains
+//! themselves are in the node table.
+
+use super::drain_state::{DrainState, Pending};
+use super::hosts::HostTable;
 use super::messages::{Action, ProposalId};
-use super::records::{DrainState, Host, Node, Pending};
-use super::{Membership, RETRY_INTERVAL};
+use super::nodes::{Node, NodeTable};
 use crate::list_reading::ListedState;
 use grebecleat_catalog::admission::{excluded_in_zone, ExclusionReason};
-use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::records::{Drain, Stage, Version};
+use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// A step of a drain, as it is to be proposed.
+/// Time after which a queued drain is proposed again if nothing known here has changed: what blocks
+/// it may be elsewhere in the catalog. A longer interval starts drains later; a shorter one burdens
+/// the catalog with proposals.
+const RETRY_INTERVAL: Duration = Duration::from_secs(5);
+
+/// A step of a drain, to be proposed.
 struct NextStage {
-    /// None: the drain is to end, and the node serves again.
+    /// The next stage; None: the drain ends, and the node serves again.
     stage: Option<Stage>,
     reason: String,
 }
@@ -25,22 +35,79 @@
     }
 }
 
-impl Membership {
-    /// Proposes the next stage of each drain that can go on.
-    pub(super) fn propose_stages(&mut self, actions: &mut Vec<Action>) {
-        let drained = |(number, node): (&u32, &Node)| node.drain.as_ref().map(|_| *number);
-        let nodes: Vec<u32> = self.nodes.iter().filter_map(drained).collect();
-        for node in nodes {
-            let next = self.next_stage(node);
-            actions.extend(next.and_then(|next| self.propose(node, next)));
+/// The facts on which a step's decisions rest.
+#[derive(Clone, Copy)]
+pub(super) struct StageContext<'a> {
+    pub now: Duration,
+    /// The catalog's persisted version.
+    pub version: Version,
+    pub hosts: &'a HostTable,
+}
+
+/// Decides the stages of all drains; see the module.
+#[derive(Debug, Clone, PartialEq, Eq, Default)]
+pub(super) struct StageMachine {
+    last_proposal: u64,
+    /// Whether something changed that a queued drain may have waited for.
+    retry_queued: bool,
+}
+
+/// For state exploration: the number of earlier proposals makes no difference to later states.
+impl Hash for StageMachine {
+    fn hash<H: Hasher>(&self, state: &mut H) {
+        self.retry_queued.hash(state);
+    }
+}
+
+impl StageMachine {
+    /// Queued drains are tried again at the next step, since something changed that they may have
+    /// waited for.
+    pub fn retry_queued(&mut self) {
+        self.retry_queued = true;
+    }
+
+    /// Proposes the next stage of each drain that can continue.
+    pub fn propose(
+        &mut self,
+        context: StageContext,
+        nodes: &mut NodeTable,
+        actions: &mut Vec<Action>,
+    ) {
+        let drained = nodes.iter().filter(|(_, node)| node.drain.is_some());
+        let numbers: Vec<u32> = drained.map(|(number, _)| number).collect();
+        for number in numbers {
+            let next = self.next_stage(context, nodes, number);
+            actions.extend(next.and_then(|next| self.propose_stage(context, nodes, number, next)));
         }
         self.retry_queued = false;
     }
 
-    fn propose(&mut self, number: u32, next: NextStage) -> Option<Action> {
+    /// Records the outcome of a proposal. The change that a committed proposal made comes as an
+    /// event of the catalog.
+    pub fn end_proposal(
+        &mut self,
+        now: Duration,
+        nodes: &mut NodeTable,
+        proposal: ProposalId,
+        reason: String,
+    ) {
+        if let Some(drain) = nodes.drain_awaiting(proposal) {
+            drain.pending = None;
+            drain.waits_for = reason;
+            drain.retry_at = now + RETRY_INTERVAL;
+        }
+    }
+
+    fn propose_stage(
+        &mut self,
+        context: StageContext,
+        nodes: &mut NodeTable,
+        number: u32,
+        next: NextStage,
+    ) -> Option<Action> {
         self.last_proposal += 1;
         let proposal = ProposalId(self.last_proposal);
-        let drain = self.nodes.get_mut(&number)?.drain.as_mut()?;
+        let drain = nodes.drain_mut(number)?;
         drain.pending = Some(Pending {
             proposal,
             stage: next.stage,
@@ -56,155 +123,64 @@
             proposal,
             node: number,
             to,
-            base_version: self.version,
+            base_version: context.version,
             reason: next.reason,
         })
     }
 
-    /// The stage that a drain should go to now; None: it stays where it is.
-    fn next_stage(&mut self, number: u32) -> Option<NextStage> {
-        let node = &self.nodes[&number];
+    /// The next stage of a drain; None: it stays at its stage.
+    fn next_stage(
+        &self,
+        context: StageContext,
+        nodes: &mut NodeTable,
+        number: u32,
+    ) -> Option<NextStage> {
+        let node = nodes.get(number)?;
         let drain = node
             .drain
             .as_ref()
             .filter(|drain| drain.pending.is_none())?;
         match drain.stage {
-            Stage::Queued => self.after_queued(number),
-            Stage::Draining => self.after_draining(number, drain),
+            Stage::Queued => self.after_queued(context.now, nodes, number),
+            Stage::Draining => after_draining(context, node, drain),
             Stage::Drained => after_drained(node),
             Stage::Removed => None,
         }
     }
 
     /// A queued drain begins when nothing known here blocks it.
-    fn after_queued(&mut self, number: u32) -> Option<NextStage> {
-        let blocked_by = self.blocked_by(number);
-        let retry_at = self.now + RETRY_INTERVAL;
-        let drain = self.nodes.get_mut(&number)?.drain.as_mut()?;
+    fn after_queued(&self, now: Duration, nodes: &mut NodeTable, number: u32) -> Option<NextStage> {
+        let blocked_by = blocked_by(nodes, number);
+        let drain = nodes.drain_mut(number)?;
         if let Some(reason) = blocked_by {
             drain.waits_for = reason;
-            drain.retry_at = retry_at;
+            drain.retry_at = now + RETRY_INTERVAL;
             return None;
         }
-        let due = self.retry_queued || drain.retry_at <= self.now;
+        let due = self.retry_queued || drain.retry_at <= now;
         due.then(|| NextStage::new(Stage::Draining, "its turn has come"))
     }
+}
 
-    /// A drain is finished when every host is notified and quiet, and ends when its time is over.
-    fn after_draining(&self, number: u32, drain: &DrainState) -> Option<NextStage> {
-        let notified = self.unnotified_hosts(drain.version).is_empty();
-        if notified && self.quiet_at(number).is_some_and(|at| at <= self.now) {
-            let reason = "nothing is under way at any host";
-            return Some(NextStage::new(Stage::Drained, reason));
-        }
-        let expired = drain.expires_at.is_some_and(|at| at <= self.now);
-        expired.then(|| NextStage {
-            stage: None,
-            reason: format!("given up: not empty within {}", span_text(drain.timeout)),
-        })
-    }
-
-    /// What keeps a queued drain from beginning, as far as is known here.
-    fn blocked_by(&self, number: u32) -> Option<String> {
-        if let Some(other) = self.earlier_in_queue(number) {
-            return Some(format!("node {other} of its zone asked before it"));
-        }
-        let conflicts = self.conflicts(number);
-        let texts = conflicts
-            .iter()
-            .map(|(node, reason)| format!("node {node} {reason}"));
-        let texts: Vec<String> = texts.collect();
-        (!texts.is_empty()).then(|| texts.join(" and "))
-    }
-
-    /// A queued drain in the same zone that was requested earlier.
-    fn earlier_in_queue(&self, number: u32) -> Option<u32> {
-        let node = &self.nodes[&number];
-        let requested_at = |node: &Node| {
-            let queued = node
-                .drain
-                .as_ref()
-                .filter(|drain| drain.stage == Stage::Queued);
-            queued.map(|drain| drain.requested_at)
-        };
-        let place = (requested_at(node)?, number);
-        let same_zone = |other: &Node| other.facts.zone == node.facts.zone;
-        let others = self.nodes.iter().filter(|(_, other)| same_zone(other));
-        let places = others.filter_map(|(number, other)| Some((requested_at(other)?, *number)));
-        let earliest = places.filter(|other| *other < place).min();
-        earliest.map(|(_, number)| number)
-    }
-
-    /// Unavailable nodes of the same zone, as far as is known here.
-    fn conflicts(&self, number: u32) -> Vec<(u32, ExclusionReason)> {
-        let zone = |node: u32| self.nodes.get(&node).map(|node| node.facts.zone.clone());
-        let excluded = self.nodes.iter().filter_map(|(number, node)| {
-            let drains = node
-                .blocks_new_requests()
-                .then_some(ExclusionReason::Draining);
-            Some((*number, drains.or(node.exclusion)?))
-        });
-        excluded_in_zone(number, zone, excluded)
-    }
-
-    /// Hosts that might still send by an older version than that, and whether they are connected.
-    pub(super) fn unnotified_hosts(&self, version: Version) -> Vec<(HostNumber, bool)> {
-        let may_send =
-            |host: &Host| !host.removed && host.acknowledged.is_some_and(|known| known < version);
-        let hosts = self.hosts.iter().filter(|(_, host)| may_send(host));
-        hosts
-            .map(|(number, host)| (*number, host.connected))
-            .collect()
-    }
-
-    /// When the last attempt that any host had in flight there is over, as far as is known. None
-    /// while some host still counts attempts, or has not counted them since it follows the drain.
-    pub(super) fn quiet_at(&self, number: u32) -> Option<Duration> {
-        let node = &self.nodes[&number];
-        let version = node.drain.as_ref()?.version;
-        let mut quiet_at = Duration::ZERO;
-        for (host_number, host) in &self.hosts {
-            if host.acknowledged.is_none() {
-                continue;
-            }
-            let quiet_at_host = if host.connected {
-                let report = node.reports.get(host_number)?;
-                let counted = report.observation.catalog_version >= version;
-                if !counted || report.observation.attempts > 0 {
-                    return None;
-                }
-                let resolved_at = report.received + report.observation.unresolved_for;
-                host.unaccounted_until.max(resolved_at)
-            } else {
-                host.unaccounted_until
-            };
-            quiet_at = quiet_at.max(quiet_at_host);
-        }
-        Some(quiet_at)
-    }
-
-    /// When a draining node is quiet everywhere.
-    pub(super) fn quiet_due_at(&self, node: u32) -> Option<Duration> {
-        let draining = self.drain_stage(node) == Some(Stage::Draining);
-        draining.then(|| self.quiet_at(node)).flatten()
-    }
-
-    /// When a queued drain is tried again.
-    pub(super) fn retry_due_at(&self, node: u32) -> Option<Duration> {
-        let drain = self.nodes[&node].drain.as_ref()?;
-        let waits = drain.stage == Stage::Queued && drain.pending.is_none();
-        waits.then_some(drain.retry_at)
-    }
-
-    /// When a drain is given up.
-    pub(super) fn expiry_due_at(&self, node: u32) -> Option<Duration> {
-        let drain = self.nodes[&node].drain.as_ref()?;
-        let runs = drain.stage == Stage::Draining && drain.pending.is_none();
-        drain.expires_at.filter(|_| runs)
+/// A drain is finished when every host is notified and quiet. It is given up when it expires.
+fn after_draining(context: StageContext, node: &Node, drain: &DrainState) -> Option<NextStage> {
+    let notified = context.hosts.unnotified(drain.version).is_empty();
+    let is_quiet = || {
+        let quiet_at = context.hosts.quiet_at(node);
+        quiet_at.is_some_and(|at| at <= context.now)
+    };
+    if notified && is_quiet() {
+        let reason = "nothing is under way at any host";
+        return Some(NextStage::new(Stage::Drained, reason));
     }
+    let expired = drain.expires_at.is_some_and(|at| at <= context.now);
+    expired.then(|| NextStage {
+        stage: None,
+        reason: format!("given up: not empty within {}", span_text(drain.timeout)),
+    })
 }
 
-/// A drained node counts as taken out once the endpoint list says that it is gone.
+/// A drained node counts as removed when the endpoint list no longer has it.
 fn after_drained(node: &Node) -> Option<NextStage> {
     let gone = node
         .list_reading()
@@ -212,6 +188,61 @@
     gone.then(|| NextStage::new(Stage::Removed, "the list says that it is gone"))
 }
 
+/// The reason why a queued drain cannot begin, as far as is known here.
+fn blocked_by(nodes: &NodeTable, number: u32) -> Option<String> {
+    if let Some(other) = earlier_in_queue(nodes, number) {
+        return Some(format!("node {other} of its zone asked before it"));
+    }
+    let texts: Vec<String> = conflicts(nodes, number)
+        .iter()
+        .map(|(node, reason)| format!("node {node} {reason}"))
+        .collect();
+    (!texts.is_empty()).then(|| texts.join(" and "))
+}
+
+/// The node of a queued drain in the same zone that was requested earlier.
+fn earlier_in_queue(nodes: &NodeTable, number: u32) -> Option<u32> {
+    let node = nodes.get(number)?;
+    let requested_at = |node: &Node| {
+        let drain = node.drain.as_ref();
+        let queued = drain.filter(|drain| drain.stage == Stage::Queued);
+        queued.map(|drain| drain.requested_at)
+    };
+    let position = (requested_at(node)?, number);
+    let earliest = nodes
+        .iter()
+        .filter(|(_, other)| other.facts.zone == node.facts.zone)
+        .filter_map(|(number, other)| Some((requested_at(other)?, number)))
+        .filter(|other| *other < position)
+        .min();
+    earliest.map(|(_, number)| number)
+}
+
+/// Unavailable nodes of the same zone, as far as is known here.
+fn conflicts(nodes: &NodeTable, number: u32) -> Vec<(u32, ExclusionReason)> {
+    let zone = |node: u32| nodes.get(node).map(|node| node.facts.zone.clone());
+    let excluded = nodes.iter().filter_map(|(number, node)| {
+        let draining = node
+            .blocks_new_requests()
+            .then_some(ExclusionReason::Draining);
+        Some((number, draining.or(node.exclusion)?))
+    });
+    excluded_in_zone(number, zone, excluded)
+}
+
+/// When time alone may change the stage of a node's drain.
+pub(super) fn due_at(hosts: &HostTable, node: &Node) -> Option<Duration> {
+    let drain = node.drain.as_ref()?;
+    let is_draining = drain.stage == Stage::Draining;
+    let quiet_at = is_draining.then(|| hosts.quiet_at(node)).flatten();
+    if drain.pending.is_some() {
+        return quiet_at;
+    }
+    let retry_at = (drain.stage == Stage::Queued).then_some(drain.retry_at);
+    let expires_at = drain.expires_at.filter(|_| is_draining);
+    [quiet_at, retry_at, expires_at].into_iter().flatten().min()
+}
+
 fn span_text(span: Duration) -> String {
     match span.as_secs() {
         seconds if seconds < 10 => format!("{:.1} s", span.as_secs_f64()),
--- a/crates/membership/src/drains/status.rs
+++ b/crates/membership/src/drains/status.rs
@@ -1,80 +1,71 @@
-//! The status of each node, from what all hosts report of it, and what admission is told of it.
+//! The evidence on each node's status, and the status that admission counts.
+//!
+//! [`Membership`](super::Membership) calls [`StatusRules`] for each node that changed. State: the
+//! warm-up time only.
 
-use super::messages::Action;
-use super::records::Node;
-use super::Membership;
+use super::nodes::Node;
 use crate::answers::Answers;
 use crate::list_reading::ListReading;
-use crate::node_status::{node_status, Evidence, NodeStatus};
+use crate::node_status::{Evidence, NodeStatus};
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::records::Stage;
 use std::time::Duration;
 
-impl Membership {
-    /// When a warming node is warm.
-    pub(super) fn warm_at(&self, node: u32) -> Option<Duration> {
-        let node = &self.nodes[&node];
+/// Collects the evidence on nodes; see the module.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct StatusRules {
+    /// Time from a node's start until it has its full capacity.
+    warm_up_time: Duration,
+}
+
+impl StatusRules {
+    /// `warm_up_time`: time from a node's start until it has its full capacity.
+    pub fn new(warm_up_time: Duration) -> Self {
+        StatusRules { warm_up_time }
+    }
+
+    /// When a node that is warming up has its full capacity.
+    pub fn warm_at(&self, node: &Node) -> Option<Duration> {
         let warming = node.status == NodeStatus::Warming;
         let reading = node.list_reading().filter(|_| warming);
         Some(reading?.started? + self.warm_up_time)
     }
 
-    /// Reckons a node's status again, and tells admission and operators where it has changed.
-    pub(super) fn update_status(&mut self, number: u32, actions: &mut Vec<Action>) {
-        let Some(node) = self.nodes.get(&number) else {
-            return;
-        };
-        let (status, authority) = node_status(&self.evidence(node));
-        let exclusion = exclusion(node, status);
-        let known = node.known;
-        let node = self.nodes.entry(number).or_default();
-        let before = std::mem::replace(&mut node.status, status);
-        node.authority = authority;
-        if node.exclusion != exclusion {
-            node.exclusion = exclusion;
-            self.retry_queued = true;
-            actions.push(Action::SetExclusion {
-                node: number,
-                reason: exclusion,
-            });
-        }
-        if before != status && known {
-            actions.push(Action::Notify {
-                node: number,
-                text: format!("{status}, by {authority}; it was {before}"),
-            });
-        }
-    }
-
-    fn evidence(&self, node: &Node) -> Evidence {
+    /// The evidence on a node. `now`: this process's clock; `wall`: since 1970.
+    pub fn evidence(&self, now: Duration, wall: Duration, node: &Node) -> Evidence {
         let reading = node.list_reading().unwrap_or_default();
         let warm_at = reading.started.map(|started| started + self.warm_up_time);
         Evidence {
             drain: node.drain_stage(),
             listed: reading.state,
             answers: best_answers(node, reading.incarnation),
-            warming: warm_at.is_some_and(|at| self.now < at),
-            restarted: self.restarted_since_removal(node, &reading),
+            warming: warm_at.is_some_and(|at| now < at),
+            restarted: restarted_since_removal(now, wall, node, &reading),
         }
     }
+}
 
-    /// Whether the node's process started after the node was taken out: by the wall clock, by which
-    /// the catalog's times are told.
-    fn restarted_since_removal(&self, node: &Node, reading: &ListReading) -> bool {
-        let removal = node.drain.as_ref();
-        let Some(removal) = removal.filter(|drain| drain.stage == Stage::Removed) else {
-            return false;
-        };
-        let Some(started) = reading.started else {
-            return false;
-        };
-        let age = self.now.saturating_sub(started);
-        self.wall.saturating_sub(age) > removal.since
-    }
+/// Returns whether the node's process started after the node was removed. Compares by the wall
+/// clock, because the catalog's times are by that clock.
+fn restarted_since_removal(
+    now: Duration,
+    wall: Duration,
+    node: &Node,
+    reading: &ListReading,
+) -> bool {
+    let removal = node.drain.as_ref();
+    let Some(removal) = removal.filter(|drain| drain.stage == Stage::Removed) else {
+        return false;
+    };
+    let Some(started) = reading.started else {
+        return false;
+    };
+    let age = now.saturating_sub(started);
+    wall.saturating_sub(age) > removal.since
 }
 
-/// How the node's present incarnation answers. One host's good report is worth more than many that
-/// hear nothing: theirs is then on its way.
+/// The answers of a node's present incarnation. One host's good report counts more than any number
+/// of bad ones: with these hosts, the path to the node is at fault.
 fn best_answers(node: &Node, incarnation: u64) -> Answers {
     let reports = node.reports.values().map(|report| report.observation);
     let current = reports.filter(|observation| observation.incarnation == incarnation);
@@ -87,8 +78,8 @@
     best.unwrap_or_default()
 }
 
-/// Why admission counts a node as unavailable.
-fn exclusion(node: &Node, status: NodeStatus) -> Option<ExclusionReason> {
+/// The reason why admission counts a node as unavailable.
+pub(super) fn exclusion(node: &Node, status: NodeStatus) -> Option<ExclusionReason> {
     match status {
         _ if !node.known => None,
         NodeStatus::Warming => Some(ExclusionReason::Warming),
--- a/crates/membership/src/drains/view.rs
+++ b/crates/membership/src/drains/view.rs
@@ -1,7 +1,10 @@
-//! Nodes and their drains, for whoever shows them.
+//! Nodes and their drains, as operators see them.
+//!
+//! The catalog service calls it for each query of nodes and drains. Owns no state.
 
+use super::drain_state::DrainState;
 use super::messages::NodeFacts;
-use super::records::{DrainState, Node};
+use super::nodes::{Node, NodeTable};
 use super::Membership;
 use crate::list_reading::ListReading;
 use crate::node_status::{Authority, NodeStatus};
@@ -9,90 +12,90 @@
 use grebecleat_catalog::records::Stage;
 use std::time::Duration;
 
-/// How far a drain is.
+/// The progress of a drain.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
-    /// It is queued.
+    /// The drain is queued.
     Waiting {
-        /// For what.
+        /// The reason why the drain does not begin.
         reason: String,
     },
-    /// Some hosts have not acknowledged it.
+    /// Some hosts have not acknowledged the drain.
     Notifying {
-        /// Those hosts, and whether they are connected.
+        /// The hosts that have not acknowledged, and whether they are connected.
         hosts: Vec<(HostNumber, bool)>,
     },
-    /// All hosts are notified, and attempts may still be under way.
+    /// All hosts are notified, and attempts may still be in flight.
     Quiescing {
         /// Attempts in flight.
         attempts: u32,
-        /// The most that were seen in flight since the drain began.
+        /// The most attempts in flight since the drain began.
         peak_attempts: u32,
-        /// For how long at the least attempts that ended without an answer may still run.
+        /// Longest remaining time of attempts without a known outcome.
         unresolved_for: Duration,
     },
-    /// Nothing is under way.
+    /// No attempt is in flight at the node.
     Drained {
-        /// What speaks against taking the node out all the same.
+        /// Objections to the removal of the node.
         objections: Vec<String>,
     },
-    /// The node is taken out.
+    /// The node is removed.
     Removed,
 }
 
-/// A node, for whoever shows it.
+/// A node, as operators see it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeView<'a> {
-    /// Its number.
+    /// The node's number.
     pub node: u32,
-    /// What the catalog says of it.
+    /// The node's facts in the catalog.
     pub facts: &'a NodeFacts,
-    /// Its status.
+    /// The node's status.
     pub status: NodeStatus,
-    /// Whose word decided its status.
+    /// The source that decided the status.
     pub authority: Authority,
-    /// What the endpoint list says.
+    /// The reading of the endpoint list that takes precedence.
     pub list_reading: ListReading,
-    /// Time since its process started; None: long, or not known.
+    /// Time since the node's process started; None: a long time, or unknown.
     pub uptime: Option<Duration>,
-    /// Its drain, if it is drained.
+    /// The node's drain, if there is one.
     pub drain: Option<DrainView<'a>>,
 }
 
-/// A drain, for whoever shows it.
+/// A drain, as operators see it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DrainView<'a> {
-    /// Who asked for it.
+    /// The operator who requested the drain.
     pub author: &'a str,
-    /// When it was requested, since 1970.
+    /// When the drain was requested, since 1970.
     pub requested_at: Duration,
-    /// Since when it is at its stage, since 1970.
+    /// When the stage last changed, since 1970.
     pub since: Duration,
-    /// Time until it is given up; None: never, or it is not draining.
+    /// Time until the drain is given up; None: never, or the node is not draining.
     pub time_left: Option<Duration>,
-    /// How far it is.
+    /// The progress of the drain.
     pub phase: Phase,
-    /// Extents that lie there and on no other node; None: not known.
+    /// Extents that lie on the node and on no other serving node; None: unknown.
     pub sole_extents: Option<u64>,
 }
 
 impl Membership {
-    /// All nodes of the catalog. `unmet_reservations`: units a second of reservations that cannot
-    /// be met as things are, which speaks against taking a node out.
+    /// All nodes of the catalog. `unmet_reservations`: reservations that cannot be met at present,
+    /// units a second; they are an objection to the removal of a node.
     pub fn nodes(&self, unmet_reservations: f64) -> impl Iterator<Item = NodeView<'_>> + '_ {
         let known = self.nodes.iter().filter(|(_, node)| node.known);
-        known.map(move |(number, node)| self.node_view(*number, node, unmet_reservations))
+        known.map(move |(number, node)| self.node_view(number, node, unmet_reservations))
     }
 
     /// One node of the catalog.
     pub fn node(&self, number: u32, unmet_reservations: f64) -> Option<NodeView<'_>> {
-        let node = self.nodes.get(&number).filter(|node| node.known)?;
+        let node = self.nodes.get(number).filter(|node| node.known)?;
         Some(self.node_view(number, node, unmet_reservations))
     }
 
     /// The status of a node.
     pub fn node_status(&self, number: u32) -> NodeStatus {
-        let node = self.nodes.get(&number);
+        let node = self.nodes.get(number);
         node.map_or(NodeStatus::Unknown, |node| node.status)
     }
 
@@ -120,12 +123,12 @@
         drain: &'a DrainState,
         unmet: f64,
     ) -> DrainView<'a> {
-        let sole_extents = self.sole_extents(number, node);
+        let sole_extents = sole_extents(&self.nodes, number, node);
         let phase = match drain.stage {
             Stage::Queued => Phase::Waiting {
                 reason: drain.waits_for.clone(),
             },
-            Stage::Draining => self.draining_phase(number, node, drain),
+            Stage::Draining => self.draining_phase(node, drain),
             Stage::Drained => Phase::Drained {
                 objections: objections(sole_extents, unmet),
             },
@@ -142,12 +145,12 @@
         }
     }
 
-    fn draining_phase(&self, number: u32, node: &Node, drain: &DrainState) -> Phase {
-        let hosts = self.unnotified_hosts(drain.version);
+    fn draining_phase(&self, node: &Node, drain: &DrainState) -> Phase {
+        let hosts = self.hosts.unnotified(drain.version);
         if !hosts.is_empty() {
             return Phase::Notifying { hosts };
         }
-        let quiet_at = self.quiet_at(number).unwrap_or(self.now);
+        let quiet_at = self.hosts.quiet_at(node).unwrap_or(self.now);
         Phase::Quiescing {
             attempts: self.attempts_in_flight(node),
             peak_attempts: drain.peak_attempts,
@@ -157,30 +160,32 @@
 
     /// Attempts in flight at the hosts that are connected.
     fn attempts_in_flight(&self, node: &Node) -> u32 {
-        let connected = |host| self.hosts.get(host).is_some_and(|host| host.connected);
-        let reports = node.reports.iter().filter(|(host, _)| connected(*host));
-        reports.map(|(_, report)| report.observation.attempts).sum()
+        node.reports
+            .iter()
+            .filter(|(host, _)| self.hosts.is_connected(**host))
+            .map(|(_, report)| report.observation.attempts)
+            .sum()
     }
+}
 
-    /// Extents that lie on that node and on no other that serves; None: not known.
-    fn sole_extents(&self, number: u32, node: &Node) -> Option<u64> {
-        let serves_same_shard = |(other_number, other): (&u32, &Node)| {
-            let serves = matches!(other.status, NodeStatus::Ready | NodeStatus::Warming);
-            *other_number != number
-                && other.known
-                && other.facts.shard == node.facts.shard
-                && other.drain.is_none()
-                && serves
-        };
-        let reports = node.reports.values();
-        let counts = reports.filter_map(|report| report.observation.extents);
-        let extents = counts.reduce(|sum, count| sum + count)?;
-        let elsewhere = self.nodes.iter().any(serves_same_shard);
-        Some(if elsewhere { 0 } else { extents })
-    }
+/// Extents that lie on a node and on no other serving node; None: not known.
+fn sole_extents(nodes: &NodeTable, number: u32, node: &Node) -> Option<u64> {
+    let serves_same_shard = |(other_number, other): (u32, &Node)| {
+        let serves = matches!(other.status, NodeStatus::Ready | NodeStatus::Warming);
+        other_number != number
+            && other.known
+            && other.facts.shard == node.facts.shard
+            && other.drain.is_none()
+            && serves
+    };
+    let reports = node.reports.values();
+    let counts = reports.filter_map(|report| report.observation.extents);
+    let extents = counts.reduce(|sum, count| sum + count)?;
+    let elsewhere = nodes.iter().any(serves_same_shard);
+    Some(if elsewhere { 0 } else { extents })
 }
 
-/// What speaks against taking a drained node out.
+/// Objections to the removal of a drained node.
 fn objections(sole_extents: Option<u64>, unmet_reservations: f64) -> Vec<String> {
     let data = match sole_extents {
         Some(0) => None,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,10 +1,10 @@
-//! The state of the storage nodes, and how nodes are drained. Free of input and output.
+//! The status of the storage nodes, and how nodes are drained. No I/O.
 //!
-//! For whoever must tell whether a node can be relied on, and empty a node before it is taken out.
-//! Begin with [`node_status`], the table of precedence between what operators, the endpoint list
-//! and a node's answers say; [`drains`] is the state machine, called as `step(now, wall, events)`.
-//! Which drains may coincide is judged where they are committed, in
-//! [`grebecleat_catalog::admission`]; where a single request goes is not decided here.
+//! The catalog service uses it to decide which nodes are available, and to drain a node before its
+//! removal. Begin with [`node_status`], the table of precedence between operators, the endpoint list
+//! and a node's answers. [`drains`] is the state machine, called as `step(now, wall, events)`.
+//! [`grebecleat_catalog::admission`] decides which drains may coincide, where they are committed. No
+//! decision about a single request is made here.
 
 #![warn(missing_docs)]
 
--- a/crates/membership/src/list_reading.rs
+++ b/crates/membership/src/list_reading.rs
@@ -1,41 +1,40 @@
-//! What the endpoint list says of a node, as one host read it.
+//! The state of a node in the endpoint list, as one host read it. Plain data.
 
 use std::time::Duration;
 
-/// The state of a node by the endpoint list.
+/// The state of a node in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum ListedState {
-    /// No host's list has ever named it.
+    /// No host's list has ever named the node.
     #[default]
     Never,
-    /// It serves.
+    /// The node serves.
     Ready,
-    /// It is to get no new requests.
+    /// The node must get no new requests.
     Draining,
-    /// It is no longer there.
+    /// The list no longer has the node.
     Gone,
 }
 
 /// One host's reading of the endpoint list on one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct ListReading {
-    /// The state that the list gives.
+    /// The node's state in the list.
     pub state: ListedState,
-    /// Which incarnation of the node's process it is about.
+    /// The incarnation of the node's process that the list names.
     pub incarnation: u64,
-    /// When that incarnation started, by our clock; None: long ago.
+    /// When that incarnation started, by this process's clock; None: long ago.
     pub started: Option<Duration>,
     /// The list's revision.
     pub revision: u64,
 }
 
 impl ListReading {
-    /// Whether this reading takes precedence over another host's: of two incarnations the younger
-    /// counts, since the older one has ended; of two readings about one incarnation the later
-    /// revision. What a host only has from its cache (revision 0) is older than what any host has
-    /// fetched. A list service that itself started anew counts revisions from the start again:
-    /// until its hosts have polled it again, they may believe an old state, for as long as the list
-    /// is late anyway.
+    /// Returns whether this reading takes precedence over another host's. The younger incarnation
+    /// counts, since the older one has ended. For the same incarnation, the later revision counts.
+    /// A reading from a host's cache (revision 0) is older than any fetched reading. A discovery
+    /// service that restarts counts its revisions from the start again. Until its hosts have polled
+    /// it again, an old state may take precedence, for no longer than the list is late in any case.
     ///
     /// ```
     /// use grebecleat_membership::list_reading::{ListReading, ListedState};
--- a/crates/membership/src/node_status.rs
+++ b/crates/membership/src/node_status.rs
@@ -1,12 +1,13 @@
-//! The status of a node, from all who say something of it.
+//! The status of a node, from all sources of evidence.
 //!
-//! Operators, the endpoint list and the node's own answers often disagree: the list is seconds late
-//! and knows only whether a process runs, answers tell nothing of a node that is sent nothing, and
-//! operators may drain what is long gone. [`PRECEDENCE`] says whom to believe: its rules are read
-//! from the top, and the first that matches counts. Operators stand above the list, since only they
-//! know what a machine is meant for; the list stands above answers, since a node that is told to
-//! drain answers as well as ever; and answers stand above the age that the list tells, since a node
-//! that fails everything is no better for being warm.
+//! [`drains`](crate::drains) calls it for each node that changed. Pure functions. Operators, the
+//! endpoint list and the node's own answers often disagree. The list is seconds late and shows only
+//! whether a process runs. Answers show nothing about a node that gets no attempts. Operators may
+//! drain a node that is long gone. [`PRECEDENCE`] decides which source counts: the first rule that
+//! matches, from the top. Operators precede the list, since only they know the purpose of a
+//! machine. The list precedes answers, since a node that is draining still answers well. Answers
+//! precede the process's age in the list, since a node that fails every attempt does not improve by
+//! being warm.
 
 use crate::answers::Answers;
 use crate::list_reading::ListedState;
@@ -16,32 +17,32 @@
 /// The status of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum NodeStatus {
-    /// Nothing has ever named it.
+    /// No source has ever named the node.
     #[default]
     Unknown,
-    /// It has just started and cannot do all its work yet.
+    /// The node has just started and does not have its full capacity yet.
     Warming,
-    /// It serves.
+    /// The node serves.
     Ready,
-    /// It gets no new requests; what was sent to it may still be under way.
+    /// The node gets no new requests; attempts may still be in flight there.
     Draining,
-    /// It is drained: nothing is under way there.
+    /// The node is drained: no attempt is in flight there.
     Drained,
-    /// It was taken out, or the list says that it is gone.
+    /// The node was removed, or the list no longer has it.
     Removed,
-    /// It should serve, and its answers say otherwise.
+    /// The node should serve, and its answers are bad.
     Suspect,
-    /// It was taken out and runs again; it gets nothing until its drain is ended.
+    /// The node was removed and runs again. It gets no requests until its drain is ended.
     Returned,
 }
 
-/// Whose word decided a node's status.
+/// The source that decided a node's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum Authority {
-    /// Nobody has said anything.
+    /// There is no evidence.
     #[default]
     Nobody,
-    /// The drain that operators asked for.
+    /// The drain that operators requested.
     Operators,
     /// The endpoint list.
     EndpointList,
@@ -49,36 +50,36 @@
     Answers,
 }
 
-/// All that is known of a node's status.
+/// All evidence on a node's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Evidence {
-    /// The stage of its drain; None: nobody drains it. A drain that is queued counts as none here.
+    /// The stage of the node's drain; None: there is no drain. A queued drain counts as none here.
     pub drain: Option<Stage>,
-    /// What the endpoint list says.
+    /// The node's state in the endpoint list.
     pub listed: ListedState,
-    /// How it answers.
+    /// The node's answers.
     pub answers: Answers,
-    /// It started so lately that it cannot do all its work.
+    /// Whether the node started so recently that it does not have its full capacity.
     pub warming: bool,
-    /// Its process started after it was taken out.
+    /// Whether the node's process started after the node was removed.
     pub restarted: bool,
 }
 
-/// A rule: what must hold (None: anything), and the status that then counts.
+/// A rule: the evidence that it requires (None: any), and the status that then counts.
 pub struct Rule {
-    /// The drain's stage must be this one.
+    /// The required stage of the drain.
     pub drain: Option<Option<Stage>>,
-    /// The list must say this.
+    /// The required state in the endpoint list.
     pub listed: Option<ListedState>,
-    /// The answers must be such.
+    /// The required answers.
     pub answers: Option<Answers>,
-    /// Whether it must be warming.
+    /// Whether the node must be warming up.
     pub warming: Option<bool>,
-    /// Whether it must have started after it was taken out.
+    /// Whether the node must have started after its removal.
     pub restarted: Option<bool>,
     /// The status that counts.
     pub status: NodeStatus,
-    /// Who says so.
+    /// The source that decides.
     pub authority: Authority,
 }
 
@@ -102,9 +103,9 @@
     }
 }
 
-/// Who is believed, from the top.
+/// The rules of precedence. The first rule that matches counts.
 pub const PRECEDENCE: [Rule; 11] = [
-    // A process that started after the machine was taken out: somebody has put the machine back.
+    // The process started after the machine was removed, so somebody has put the machine back.
     Rule {
         listed: Some(ListedState::Ready),
         restarted: Some(true),
@@ -113,8 +114,8 @@
     },
     by_drain(Some(Stage::Removed), NodeStatus::Removed),
     by_drain(Some(Stage::Drained), NodeStatus::Drained),
-    // Whatever starts under its number while it drains: the drain is for the machine, not for one
-    // process.
+    // The rule also covers a process that starts while the node is draining: a drain is for the
+    // machine, not for one process.
     by_drain(Some(Stage::Draining), NodeStatus::Draining),
     by_list(ListedState::Never, NodeStatus::Unknown),
     by_list(ListedState::Gone, NodeStatus::Removed),
@@ -155,7 +156,7 @@
     }
 }
 
-/// The status of a node, and who says so.
+/// The status of a node, and the source that decides it.
 ///
 /// ```
 /// use grebecleat_membership::answers::Answers;
@@ -169,7 +170,7 @@
 ///     ..Evidence::default()
 /// };
 /// assert_eq!(node_status(&evidence), (NodeStatus::Suspect, Authority::Answers));
-/// // It came back by itself while it drains: it still drains.
+/// // The node restarts while it is draining: it is still draining.
 /// let restarted = Evidence { drain: Some(Stage::Draining), restarted: true, ..evidence };
 /// assert_eq!(node_status(&restarted), (NodeStatus::Draining, Authority::Operators));
 /// ```
--- /dev/null
+++ b/crates/membership/tests/drains/precedence.rs
@@ -0,0 +1,80 @@
+//! The precedence of the sources of evidence on a node's status.
+
+use grebecleat_catalog::records::Stage::{self, Drained, Draining, Queued, Removed};
+use grebecleat_membership::answers::Answers;
+use grebecleat_membership::list_reading::ListedState;
+use grebecleat_membership::node_status::{node_status, Authority, Evidence, NodeStatus};
+
+fn evidence(drain: Option<Stage>, listed: ListedState, answers: Answers) -> Evidence {
+    Evidence {
+        drain,
+        listed,
+        answers,
+        ..Evidence::default()
+    }
+}
+
+fn warming(evidence: Evidence) -> Evidence {
+    Evidence {
+        warming: true,
+        ..evidence
+    }
+}
+
+fn restarted(evidence: Evidence) -> Evidence {
+    Evidence {
+        restarted: true,
+        ..evidence
+    }
+}
+
+#[test]
+fn the_source_with_precedence_decides_the_status() {
+    use Answers::{Bad, Good, None as Unknown};
+    use Authority::{Answers as ByAnswers, EndpointList, Operators};
+    use ListedState::{Gone, Never, Ready};
+    use NodeStatus as Status;
+    let listed = |listed, answers| evidence(None, listed, answers);
+    let drained = |stage, listed, answers| evidence(Some(stage), listed, answers);
+    let cases = [
+        (listed(Never, Unknown), Status::Unknown, EndpointList),
+        (listed(Ready, Unknown), Status::Ready, EndpointList),
+        (listed(Ready, Good), Status::Ready, ByAnswers),
+        (warming(listed(Ready, Good)), Status::Warming, EndpointList),
+        (warming(listed(Ready, Bad)), Status::Suspect, ByAnswers),
+        (
+            listed(ListedState::Draining, Good),
+            Status::Draining,
+            EndpointList,
+        ),
+        (listed(Gone, Good), Status::Removed, EndpointList),
+        (drained(Queued, Ready, Good), Status::Ready, ByAnswers),
+        (drained(Queued, Gone, Good), Status::Removed, EndpointList),
+        (
+            warming(restarted(drained(Draining, Ready, Good))),
+            Status::Draining,
+            Operators,
+        ),
+        (
+            drained(Draining, Gone, Unknown),
+            Status::Draining,
+            Operators,
+        ),
+        (drained(Drained, Ready, Bad), Status::Drained, Operators),
+        (drained(Removed, Gone, Unknown), Status::Removed, Operators),
+        (drained(Removed, Ready, Unknown), Status::Removed, Operators),
+        (
+            warming(restarted(drained(Removed, Ready, Unknown))),
+            Status::Returned,
+            EndpointList,
+        ),
+        (
+            warming(restarted(drained(Removed, Gone, Unknown))),
+            Status::Removed,
+            Operators,
+        ),
+    ];
+    for (evidence, status, authority) in cases {
+        assert_eq!(node_status(&evidence), (status, authority), "{evidence:?}");
+    }
+}
--- /dev/null
+++ b/crates/membership/tests/drains/restart.rs
@@ -0,0 +1,73 @@
+//! Restarts of the catalog service at each stage of a drain.
+
+use crate::fixture::*;
+use grebecleat_catalog::records::{Drain, Stage, Version};
+use grebecleat_membership::drains::{Event, Membership};
+use grebecleat_membership::node_status::NodeStatus;
+
+/// A new membership in place of the former one, with the drain of node 1 in the catalog. `since`:
+/// the drain's request, seconds since 1970.
+fn restarted(stage: Stage, since: u64) -> Fixture {
+    let mut fixture = Fixture::new();
+    fixture.version = 5;
+    fixture.membership = Membership::new(fixture.now, seconds(20), seconds(3), [H1, H2]);
+    let version = Version(5);
+    let acknowledged = |host| Event::Acknowledged {
+        host,
+        version: Some(version),
+    };
+    let drain = Drain {
+        stage,
+        timeout: seconds(30),
+        author: "ann".into(),
+        requested_at: seconds(since),
+        since: seconds(since),
+    };
+    fixture.step(vec![
+        Event::Persisted { version },
+        Event::Drain {
+            node: 1,
+            to: Some(drain),
+            version,
+        },
+        acknowledged(H1),
+        acknowledged(H2),
+    ]);
+    fixture.start();
+    fixture
+}
+
+/// The wall clock is right, has stepped back by an hour, or forward by an hour.
+#[test]
+fn a_restarted_service_continues_a_drain_with_its_remaining_time() {
+    for (since, remaining) in [(WALL + 990, 20), (WALL + 4600, 30), (WALL - 2600, 10)] {
+        let mut fixture = restarted(Stage::Draining, since);
+        let view = fixture.membership.node(1, 0.0).expect("known");
+        let time_left = view.drain.and_then(|drain| drain.time_left);
+        assert_eq!(time_left, Some(seconds(remaining)));
+        // Attempts from before the restart get their time, although hosts count none.
+        assert_eq!(fixture.phase(1), quiescing(0, 0, 6));
+        fixture.wait(seconds(6));
+        assert_eq!(
+            fixture.committed,
+            [(
+                1,
+                Some(Stage::Drained),
+                "nothing is under way at any host".into()
+            )]
+        );
+    }
+}
+
+#[test]
+fn a_restarted_service_knows_the_status_of_each_stage() {
+    for (stage, status) in [
+        (Stage::Queued, NodeStatus::Draining),
+        (Stage::Drained, NodeStatus::Drained),
+        (Stage::Removed, NodeStatus::Removed),
+    ] {
+        let mut fixture = restarted(stage, WALL + 999);
+        fixture.wait(seconds(1));
+        assert_eq!(fixture.status(1), status, "{stage:?}");
+    }
+}
