--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host with plain settings, and short ways to tell it things.
+//! A host with plain settings, and short forms of events for it.
 #![allow(dead_code)]
 
 use grebecleat_scheduler::api::*;
@@ -9,7 +9,13 @@
     Duration::from_millis(n)
 }
 
-pub fn stream(idempotency: Idempotency) -> TrafficClass {
+/// Idempotent with a key that the nodes of a shard recognise for 1.5 s.
+pub const KEYED: Idempotency = Idempotency::WithKey {
+    scope: DeduplicationScope::Shard,
+    window: ms(1500),
+};
+
+pub fn class_with(idempotency: Idempotency) -> TrafficClass {
     TrafficClass {
         latency_objective: ms(200),
         idempotency,
@@ -49,38 +55,51 @@
 }
 
 pub fn slow_start_policy() -> SlowStartPolicy {
-    let (warm_up_time, overload_window) = (ms(10_000), ms(2000));
     SlowStartPolicy {
         hosts: 4,
         units: 20.0,
         initial_fraction: 0.2,
-        warm_up_time,
-        overload_window,
+        warm_up_time: ms(10_000),
+        overload_window: ms(2000),
         multiple: 3.0,
     }
 }
 
+/// Discovery without a lease.
+pub fn discovery_policy(polled: bool) -> DiscoveryPolicy {
+    DiscoveryPolicy {
+        polled,
+        poll_interval: ms(10_000),
+        lease: None,
+    }
+}
+
 pub fn id(n: u8) -> RequestId {
     RequestId([n; 36])
 }
 
+/// A request of two units for data of shard 1.
 pub fn request(n: u8, deadline: Duration) -> Request {
-    let (traffic_class, plan, volume) = (TrafficClassId(0), PlanId(0), VolumeId(5));
-    let shard = Some(ShardId(1));
     Request {
         id: id(n),
         units: 2.0,
-        shard,
-        traffic_class,
-        plan,
+        shard: Some(ShardId(1)),
+        traffic_class: TrafficClassId(0),
+        plan: PlanId(0),
         hosts: 2,
         key: None,
         deadline,
-        volume,
+        volume: VolumeId(5),
     }
 }
 
-pub fn entry(node: u32, state: NodeState, started: Option<Duration>) -> Endpoint {
+/// The event that one request was received.
+pub fn receive(request: Request) -> Vec<Event> {
+    vec![Event::RequestReceived(request)]
+}
+
+/// A node that holds the shard of its own number.
+pub fn endpoint(node: u32, state: NodeState, started: Option<Duration>) -> Endpoint {
     Endpoint {
         node: NodeId(node),
         zone: ZoneId(0),
@@ -90,64 +109,91 @@
     }
 }
 
-pub fn list(kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) -> Event {
+pub fn endpoint_update(kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) -> Event {
     Event::EndpointUpdate { kind, endpoints }
 }
 
-pub fn over(n: u8, node: u32, end: AttemptOutcome, took: Duration, over: bool) -> Event {
-    let (id, node, reported) = (id(n), NodeId(node), None);
+/// The end of an attempt of the request with that number.
+pub fn attempt_end(
+    n: u8,
+    node: u32,
+    outcome: AttemptOutcome,
+    elapsed: Duration,
+    answered: bool,
+) -> Event {
+    attempt_end_of(id(n), NodeId(node), outcome, elapsed, answered)
+}
+
+/// The end of an attempt.
+pub fn attempt_end_of(
+    id: RequestId,
+    node: NodeId,
+    outcome: AttemptOutcome,
+    elapsed: Duration,
+    answered: bool,
+) -> Event {
     Event::AttemptEnded(AttemptEnd {
         id,
         attempt: 0,
         node,
-        outcome: end,
-        elapsed: took,
-        answered: over,
-        reported,
+        outcome,
+        elapsed,
+        answered,
+        reported: None,
         others: 0.0,
         busy: None,
     })
 }
 
-/// A host whose list names nodes 1 and 2, ready and long up.
+/// The completion of attempts after so many milliseconds.
+pub fn completed(sent: &[(RequestId, NodeId)], elapsed: u64) -> Vec<Event> {
+    let outcome = AttemptOutcome::Completed;
+    sent.iter()
+        .map(|(id, node)| attempt_end_of(*id, *node, outcome, ms(elapsed), true))
+        .collect()
+}
+
+/// A host whose endpoint list names nodes 1 and 2, ready and started long ago.
 pub fn host(
     traffic_classes: Vec<TrafficClass>,
     plans: Vec<Plan>,
-    attempts: Option<RetryBudget>,
+    retry_budget: Option<RetryBudget>,
 ) -> Scheduler {
-    let listing = DiscoveryPolicy {
-        polled: false,
-        poll_interval: ms(10_000),
-        lease: None,
-    };
-    let mut c = Scheduler::new(7, traffic_classes, plans, units(), host_limits()).with_rules(
-        slow_start_policy(),
-        listing,
-        attempts,
-        ms(200),
-    );
+    let mut scheduler = Scheduler::new(7, traffic_classes, plans, units(), host_limits())
+        .with_rules(
+            slow_start_policy(),
+            discovery_policy(false),
+            retry_budget,
+            ms(200),
+        );
     let ready = vec![
-        entry(1, NodeState::Ready, None),
-        entry(2, NodeState::Ready, None),
+        endpoint(1, NodeState::Ready, None),
+        endpoint(2, NodeState::Ready, None),
     ];
-    c.step(ms(1000), vec![list(EndpointUpdateKind::Cached, ready)]);
-    c
+    let update = endpoint_update(EndpointUpdateKind::Cached, ready);
+    scheduler.step(ms(1000), vec![update]);
+    scheduler
+}
+
+/// A host with one idempotent traffic class, one plan and no retry budget.
+pub fn idempotent_host(plan: Plan) -> Scheduler {
+    host(vec![class_with(Idempotency::Idempotent)], vec![plan], None)
 }
 
-/// Tells a host things at a moment; answers what was sent, deferred and abandoned.
-pub fn at(
-    c: &mut Scheduler,
+/// Performs a step at a time in milliseconds; returns the requests that were sent, rejected and failed.
+pub fn step_at(
+    scheduler: &mut Scheduler,
     now: u64,
     events: Vec<Event>,
 ) -> (Vec<(RequestId, NodeId)>, Vec<RequestId>, Vec<RequestId>) {
-    let (mut sent, mut deferred, mut abandoned) = (vec![], vec![], vec![]);
-    for action in c.step(ms(now), events) {
+    let (mut sent, mut rejected, mut failed) = (vec![], vec![], vec![]);
+    for action in scheduler.step(ms(now), events) {
         match action {
             Action::SendAttempt { id, node, .. } => sent.push((id, node)),
-            Action::Reject { id, .. } => deferred.push(id),
-            Action::Fail { id } => abandoned.push(id),
+            Action::Reject { id, .. } => rejected.push(id),
+            Action::Fail { id } => failed.push(id),
             _ => {}
         }
     }
-    (sent, deferred, abandoned)
+    (sent, rejected, failed)
 }
--- a/crates/scheduler/tests/design.rs
+++ b/crates/scheduler/tests/design.rs
@@ -1,4 +1,4 @@
-//! The parts of the design, one table each.
+//! The parts of the design, one table of cases each.
 
 mod common;
 use common::*;
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn demand_takes_the_larger_reading() {
+fn demand_takes_the_larger_of_backlog_and_scaled_queue() {
     // used, backlog, queued, outstanding, wanted
     let cases = [
         (5.0, 0.0, 0.0, 0.0, 5.0),
@@ -55,7 +55,7 @@
 
 #[test]
 fn reservations_fill_first_and_the_rest_goes_by_weight() {
-    let ask = |demand, reservation, weight| FlowDemand {
+    let flow = |demand, reservation, weight| FlowDemand {
         demand,
         reservation,
         weight,
@@ -63,30 +63,30 @@
     let cases = [
         (
             10.0,
-            vec![ask(4.0, 4.0, 1.0), ask(20.0, 0.0, 1.0)],
+            vec![flow(4.0, 4.0, 1.0), flow(20.0, 0.0, 1.0)],
             vec![(4.0, 0.0), (0.0, 6.0)],
         ),
         (
             12.0,
-            vec![ask(20.0, 3.0, 2.0), ask(20.0, 0.0, 1.0)],
+            vec![flow(20.0, 3.0, 2.0), flow(20.0, 0.0, 1.0)],
             vec![(3.0, 6.0), (0.0, 3.0)],
         ),
         (
             12.0,
-            vec![ask(5.0, 3.0, 5.0), ask(20.0, 0.0, 1.0)],
+            vec![flow(5.0, 3.0, 5.0), flow(20.0, 0.0, 1.0)],
             vec![(3.0, 2.0), (0.0, 7.0)],
         ),
         (
             4.0,
-            vec![ask(6.0, 6.0, 1.0), ask(2.0, 2.0, 1.0)],
+            vec![flow(6.0, 6.0, 1.0), flow(2.0, 2.0, 1.0)],
             vec![(3.0, 0.0), (1.0, 0.0)],
         ),
-        (4.0, vec![ask(6.0, 0.0, 0.0)], vec![(0.0, 0.0)]),
-        (0.0, vec![ask(1.0, 0.0, 1.0)], vec![(0.0, 0.0)]),
+        (4.0, vec![flow(6.0, 0.0, 0.0)], vec![(0.0, 0.0)]),
+        (0.0, vec![flow(1.0, 0.0, 1.0)], vec![(0.0, 0.0)]),
         (5.0, vec![], vec![]),
     ];
-    for (capacity, asks, wanted) in cases {
-        let got = allocate(capacity, &asks);
+    for (capacity, flows, wanted) in cases {
+        let got = allocate(capacity, &flows);
         assert_eq!(got.len(), wanted.len());
         assert!(
             got.iter()
@@ -106,64 +106,76 @@
     }
 }
 
+/// Lower edge, estimate and upper edge.
+fn edges(window: &ProbingWindow) -> (f64, f64, f64) {
+    (window.low(), window.estimate(), window.high())
+}
+
 #[test]
 fn the_window_moves_phase_by_phase() {
     let clear = || sample(false, false, 4.0);
     let slow = || sample(true, false, 4.0);
-    let mut w = ProbingWindow::new(10.0, 110.0);
-    w.observe(&clear());
-    assert_eq!((w.low(), w.estimate(), w.high()), (10.0, 60.0, 110.0));
-    w.observe(&clear());
-    assert_eq!((w.low(), w.estimate()), (60.0, 85.0));
+    let mut window = ProbingWindow::new(10.0, 110.0);
+    window.observe(&clear());
+    assert_eq!(edges(&window), (10.0, 60.0, 110.0));
+    window.observe(&clear());
+    assert_eq!((window.low(), window.estimate()), (60.0, 85.0));
     for _ in 0..2 {
-        w.observe(&slow());
+        window.observe(&slow());
         assert_eq!(
-            w.estimate(),
+            window.estimate(),
             85.0,
-            "two readings could be one pause or flush"
+            "two samples could be one pause or flush"
         );
     }
-    w.observe(&clear());
-    assert_eq!(w.estimate(), 97.5, "a clear reading starts the count anew");
+    window.observe(&clear());
+    assert_eq!(
+        window.estimate(),
+        97.5,
+        "a clear sample starts the count anew"
+    );
     for _ in 0..3 {
-        w.observe(&slow());
+        window.observe(&slow());
     }
-    assert_eq!((w.low(), w.estimate(), w.high()), (85.0, 85.0, 97.5));
-    w.observe(&sample(false, true, 4.0));
-    assert_eq!((w.phase(), w.high()), (Phase::Wait, 85.0));
-    w.observe(&sample(true, true, 4.0));
+    assert_eq!(edges(&window), (85.0, 85.0, 97.5));
+    window.observe(&sample(false, true, 4.0));
+    assert_eq!((window.phase(), window.high()), (Phase::Wait, 85.0));
+    window.observe(&sample(true, true, 4.0));
     assert_eq!(
-        (w.phase(), w.estimate()),
+        (window.phase(), window.estimate()),
         (Phase::Wait, 85.0),
         "no raise until reservations are met"
     );
-    w.observe(&clear());
-    assert_eq!(w.phase(), Phase::Stable { outstanding: 4.0 });
-    w.observe(&sample(false, false, 9.0));
+    window.observe(&clear());
+    assert_eq!(window.phase(), Phase::Stable { outstanding: 4.0 });
+    window.observe(&sample(false, false, 9.0));
     assert!(
-        w.estimate() < 85.0,
+        window.estimate() < 85.0,
         "more outstanding than at the stable start lowers it"
     );
-    w.observe(&sample(false, false, 4.0));
-    let settled = w.estimate();
-    w.observe(&IntervalSample {
+    window.observe(&sample(false, false, 4.0));
+    let settled = window.estimate();
+    window.observe(&IntervalSample {
         mix: vec![0.55, 0.45],
         ..clear()
     });
     assert_eq!(
-        w.estimate(),
+        window.estimate(),
         settled,
         "a mix change of less than a tenth is no change"
     );
-    w.observe(&IntervalSample {
+    window.observe(&IntervalSample {
         mix: vec![0.7, 0.3],
         ..clear()
     });
-    assert_eq!((w.phase(), w.low(), w.high()), (Phase::Search, 10.0, 110.0));
+    assert_eq!(
+        (window.phase(), window.low(), window.high()),
+        (Phase::Search, 10.0, 110.0)
+    );
 }
 
 #[test]
-fn the_bound_is_a_few_large_requests_at_least_and_thirty_two_at_most() {
+fn the_concurrency_limit_is_between_a_few_large_requests_and_thirty_two() {
     // learned rate, wanted units at a mean of 2
     let floor = concurrency_limit(0.0, ms(200), 2.0, 1);
     assert!(floor >= 12.0);
@@ -178,10 +190,10 @@
     }
 }
 
-/// Each host's own floor added up over hundreds of hosts; cut for four of them, it held back a host whose
-/// share was above the mean (a day of restarts on sockets: 0.79 in place of 0.89).
+/// Without the cut, the floors of hundreds of hosts add up. Cut from four hosts on, the floor limited a host
+/// whose share was above the mean (a day of restarts on sockets: 0.79 in place of 0.89).
 #[test]
-fn all_hosts_floors_stay_within_the_most_of_one_and_let_a_large_request_go() {
+fn the_floors_of_all_hosts_stay_within_the_largest_limit_and_admit_a_large_request() {
     // hosts, wanted units at a mean of 2
     for (hosts, wanted) in [
         (0, 12.0),
@@ -200,31 +212,31 @@
 }
 
 #[test]
-fn a_bucket_holds_its_depth_and_takes_debt() {
-    let mut tok = TokenBucket::new(5.0, 5.0, f64::INFINITY);
-    assert_eq!(tok.level(), 0.0, "an infinite figure counts as none");
+fn a_bucket_fills_to_its_depth_and_goes_into_debt() {
+    let mut bucket = TokenBucket::new(5.0, 5.0, f64::INFINITY);
+    assert_eq!(bucket.level(), 0.0, "an infinite figure counts as none");
     for _ in 0..100 {
-        tok.refill(0.01);
+        bucket.refill(0.01);
     }
-    assert!(near(tok.level(), 5.0));
-    tok.take(8.0);
-    tok.refill(0.2);
-    assert!(near(tok.level(), -2.0));
-    tok.reconfigure(f64::NAN, 1.0);
-    tok.refill(1.0);
-    assert!(near(tok.level(), -2.0) && tok.rate() == 0.0);
+    assert!(near(bucket.level(), 5.0));
+    bucket.take(8.0);
+    bucket.refill(0.2);
+    assert!(near(bucket.level(), -2.0));
+    bucket.reconfigure(f64::NAN, 1.0);
+    bucket.refill(1.0);
+    assert!(near(bucket.level(), -2.0) && bucket.rate() == 0.0);
 }
 
 #[test]
-fn new_objects_go_by_rank_and_past_a_node_that_has_enough() {
-    let mut c = host(vec![stream(Idempotency::Idempotent)], vec![plan(0.0)], None);
+fn new_objects_go_in_rendezvous_order_and_past_a_node_at_its_limit() {
+    let mut scheduler = idempotent_host(plan(0.0));
     let new = |n| {
         Event::RequestReceived(Request {
             shard: None,
             ..request(n, ms(3000))
         })
     };
-    let (sent, ..) = at(&mut c, 1001, (1..=8).map(new).collect());
+    let (sent, ..) = step_at(&mut scheduler, 1001, (1..=8).map(new).collect());
     let first = sent[0].1;
     assert!(
         sent.iter().any(|(_, n)| *n != first),
--- a/crates/scheduler/tests/endpoint_lease.rs
+++ b/crates/scheduler/tests/endpoint_lease.rs
@@ -1,4 +1,4 @@
-//! The lease of the endpoint list: what a host still sends that discovery does not answer.
+//! Lease of the endpoint list: the requests that a host still sends without an answer from discovery.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 const LEASE: Duration = ms(5750);
-/// When discovery last answered, after which it is silent.
+/// Time of discovery's last answer.
 const ANSWERED: u64 = 2000;
 const LEASE_ENDS: u64 = 7750;
 
@@ -18,7 +18,7 @@
         poll_interval: ms(6000),
         lease: Some(LEASE),
     };
-    let classes = vec![stream(Idempotency::Idempotent)];
+    let classes = vec![class_with(Idempotency::Idempotent)];
     let plans = vec![plan(100.0)];
     Scheduler::new(7, classes, plans, units(), host_limits()).with_rules(
         slow_start_policy(),
@@ -29,44 +29,50 @@
 }
 
 fn both_ready() -> Vec<Endpoint> {
-    let entry = |node| entry(node, NodeState::Ready, None);
-    vec![entry(1), entry(2)]
+    vec![
+        endpoint(1, NodeState::Ready, None),
+        endpoint(2, NodeState::Ready, None),
+    ]
 }
 
-/// A host that discovery has answered once.
+/// A host with one answer from discovery.
 fn answered_host() -> Scheduler {
     let mut host = leased_host();
     host.step(ms(1000), vec![]);
-    let list = list(EndpointUpdateKind::Snapshot, both_ready());
+    let list = endpoint_update(EndpointUpdateKind::Snapshot, both_ready());
     host.step(ms(ANSWERED), vec![list, Event::EndpointsConfirmed]);
     host
 }
 
-/// Whether a request that comes in then goes to node 1, by when its second is over; it has no other.
+/// Returns whether a request received then goes to node 1 before its deadline, one second later.
 fn is_sent(host: &mut Scheduler, number: u8, now: u64) -> bool {
     let request = request(number, ms(now + 1000));
-    let (sent, ..) = at(host, now, vec![Event::RequestReceived(request)]);
+    let (sent, ..) = step_at(host, now, vec![Event::RequestReceived(request)]);
     let mut sent = sent.len();
     for later in (now + 5..now + 1100).step_by(5) {
-        sent += at(host, later, vec![]).0.len();
+        sent += step_at(host, later, vec![]).0.len();
     }
     sent > 0
 }
 
-/// Sends a request then, which ends so 10 ms later.
+/// Sends a request then, whose attempt ends 10 ms later with that outcome.
 fn attempt_that_ends(host: &mut Scheduler, number: u8, now: u64, outcome: AttemptOutcome) {
     let request = request(number, ms(now + 1000));
-    let (sent, ..) = at(host, now, vec![Event::RequestReceived(request)]);
+    let (sent, ..) = step_at(host, now, vec![Event::RequestReceived(request)]);
     assert_eq!(sent.len(), 1, "request {number} is sent at {now}");
-    at(host, now + 10, vec![over(number, 1, outcome, ms(10), true)]);
+    step_at(
+        host,
+        now + 10,
+        vec![attempt_end(number, 1, outcome, ms(10), true)],
+    );
 }
 
 #[test]
-fn a_list_is_acted_on_until_its_lease_ends_and_again_once_it_is_confirmed() {
+fn a_list_is_used_until_its_lease_expires_and_again_once_discovery_answers() {
     let mut host = answered_host();
     attempt_that_ends(&mut host, 1, LEASE_ENDS - 20, AttemptOutcome::Failed);
     assert!(!is_sent(&mut host, 2, LEASE_ENDS + 10));
-    at(
+    step_at(
         &mut host,
         LEASE_ENDS + 1500,
         vec![Event::EndpointsConfirmed],
@@ -74,33 +80,33 @@
     assert!(is_sent(&mut host, 3, LEASE_ENDS + 1600));
 }
 
-/// Without a lease the list of a discovery that pushes changes alone is in force for ever.
+/// Discovery that pushes changes only has no lease.
 #[test]
-fn without_a_lease_a_list_is_in_force_however_old_it_is() {
-    let classes = vec![stream(Idempotency::Idempotent)];
+fn a_list_without_a_lease_does_not_expire() {
+    let classes = vec![class_with(Idempotency::Idempotent)];
     let mut host = host(classes, vec![plan(100.0)], None);
     assert!(is_sent(&mut host, 1, 600_000));
 }
 
 #[test]
-fn a_list_from_before_the_start_is_acted_on_for_three_seconds() {
+fn a_list_stored_before_the_start_is_used_for_three_seconds() {
     for (now, expected) in [(3990, true), (4010, false)] {
         let mut host = leased_host();
         host.step(
             ms(1000),
-            vec![list(EndpointUpdateKind::Cached, both_ready())],
+            vec![endpoint_update(EndpointUpdateKind::Cached, both_ready())],
         );
         assert_eq!(is_sent(&mut host, 1, now), expected, "at {now}");
     }
 }
 
 #[test]
-fn after_a_move_the_lease_ends_before_what_was_missed_counts_as_told() {
-    // It moves one second after the last answer; what was left of the lease before is not prolonged.
+fn a_move_of_discovery_shortens_the_lease() {
+    // Discovery moves one second after its last answer, and late in the lease; the lease is never extended.
     for (moved, last_sent) in [(3000, 6750), (7000, LEASE_ENDS)] {
         for (now, expected) in [(last_sent - 10, true), (last_sent + 10, false)] {
             let mut host = answered_host();
-            at(&mut host, moved, vec![Event::DiscoveryMoved]);
+            step_at(&mut host, moved, vec![Event::DiscoveryMoved]);
             assert_eq!(
                 is_sent(&mut host, 1, now),
                 expected,
@@ -110,9 +116,9 @@
     }
 }
 
-/// A node may complete requests for up to three seconds after discovery said that it drains.
+/// A node may complete requests for up to three seconds after discovery published its draining.
 #[test]
-fn a_node_that_completes_requests_gets_more_for_the_lease_less_its_notice() {
+fn a_node_that_completes_requests_gets_more_for_the_lease_less_the_drain_notice() {
     for (after, expected) in [(2700, true), (2800, false)] {
         let mut host = answered_host();
         attempt_that_ends(&mut host, 1, LEASE_ENDS - 100, AttemptOutcome::Completed);
@@ -125,14 +131,14 @@
 }
 
 #[test]
-fn a_node_that_may_drain_or_be_another_process_waits_for_discovery() {
+fn a_node_that_may_be_draining_or_replaced_waits_for_discovery() {
     use AttemptOutcome::*;
     for outcome in [QueueFull, ConnectFailed, ConnectionReset, TimedOut] {
         let mut host = answered_host();
         attempt_that_ends(&mut host, 1, LEASE_ENDS - 300, Completed);
         attempt_that_ends(&mut host, 2, LEASE_ENDS - 200, outcome);
         assert!(!is_sent(&mut host, 3, LEASE_ENDS + 10), "{outcome:?}");
-        at(
+        step_at(
             &mut host,
             LEASE_ENDS + 1500,
             vec![Event::EndpointsConfirmed],
@@ -144,9 +150,9 @@
     }
 }
 
-/// What was lost was one connection or one answer alone, and a queue that was full has room again.
+/// A full queue has capacity again, and only one connection of the node was lost.
 #[test]
-fn a_node_that_has_shown_since_that_it_is_the_same_and_takes_requests_gets_more() {
+fn a_node_that_completes_an_older_attempt_is_the_same_process_and_gets_more() {
     use AttemptOutcome::*;
     let begin = LEASE_ENDS - 500;
     let mut host = answered_host();
@@ -157,16 +163,16 @@
     let mut host = answered_host();
     let deadline = ms(begin + 1000);
     let both = [1, 2].map(|number| Event::RequestReceived(request(number, deadline)));
-    assert_eq!(at(&mut host, begin, both.into()).0.len(), 2);
-    at(
+    assert_eq!(step_at(&mut host, begin, both.into()).0.len(), 2);
+    step_at(
         &mut host,
         begin + 10,
-        vec![over(1, 1, ConnectionReset, ms(10), true)],
+        vec![attempt_end(1, 1, ConnectionReset, ms(10), true)],
     );
-    at(
+    step_at(
         &mut host,
         begin + 20,
-        vec![over(2, 1, Completed, ms(20), true)],
+        vec![attempt_end(2, 1, Completed, ms(20), true)],
     );
     assert!(
         is_sent(&mut host, 3, LEASE_ENDS + 10),
@@ -174,10 +180,10 @@
     );
 }
 
-/// A call that queued for long before it was refused is followed by a longer wait, and all in all by
-/// one call in a poll interval.
+/// After a call that was queued for long before discovery refused it, the host waits longer: in the long run it
+/// calls once in a poll interval.
 #[test]
-fn refused_calls_come_ever_more_seldom_down_to_one_in_a_poll_interval() {
+fn refused_calls_back_off_to_one_in_a_poll_interval() {
     let mut host = answered_host();
     let mut now = ANSWERED;
     let mut waits = Vec::new();
--- /dev/null
+++ b/crates/scheduler/tests/requests.rs
@@ -0,0 +1,41 @@
+//! Requests: each gets one answer, before its deadline.
+
+mod common;
+use common::*;
+use grebecleat_scheduler::api::*;
+
+#[test]
+fn every_request_has_one_answer_before_its_deadline() {
+    // A client's late retry is received after its deadline; a node is absent; an attempt times out.
+    let mut scheduler = idempotent_host(plan(1.0));
+    let absent = Request {
+        shard: Some(ShardId(9)),
+        ..request(2, ms(3000))
+    };
+    let (sent, rejected, _) = step_at(
+        &mut scheduler,
+        1010,
+        vec![
+            Event::RequestReceived(request(1, ms(1010))),
+            Event::RequestReceived(absent),
+        ],
+    );
+    assert_eq!((sent.len(), rejected), (0, vec![id(1), id(2)]));
+    let (sent, ..) = step_at(&mut scheduler, 1020, receive(request(3, ms(1100))));
+    assert_eq!(sent.len(), 1);
+    let (sent, rejected, _) = step_at(
+        &mut scheduler,
+        1100,
+        vec![attempt_end(3, 1, AttemptOutcome::TimedOut, ms(80), false)],
+    );
+    assert_eq!((sent.len(), rejected), (0, vec![id(3)]));
+    // Late outcomes and cancellations of closed requests, and of ids unknown after a restart, change nothing.
+    let late = vec![
+        attempt_end(3, 1, AttemptOutcome::Completed, ms(90), true),
+        Event::RequestCancelled { id: id(77) },
+    ];
+    assert_eq!(
+        step_at(&mut scheduler, 1110, late),
+        (vec![], vec![], vec![])
+    );
+}
