--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -23,35 +23,43 @@
 //! record for each node.
 
 mod attempts;
+mod bad_peers;
 mod clients;
 mod configuration;
 mod decisions;
 mod discovery;
 mod endpoints;
+mod health_checks;
+mod metrics_publisher;
 mod node_connections;
 mod reporting;
 mod shutdown;
+mod timers;
 mod types;
 
 pub use types::{request_label, ConnId, Counters, Input, OpenWork, Output, WireMode};
 
 use crate::config_follower::ConfigFollower;
 use crate::endpoint_list::EndpointList;
-use crate::metrics::MetricsCollector;
 use crate::observations::ObservationReport;
-use crate::outbox::{AttemptId, Outbox};
+use crate::outbox::AttemptId;
 use crate::poll_deadline::PollDeadline;
 use crate::process_pause::ProcessPauses;
 use crate::quota_sharing::QuotaSharing;
+use bad_peers::BadPeers;
 use grebecleat_catalog::follower::{Follower, InitialState};
 use grebecleat_scheduler::api::*;
 use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_settings::{Bounds, Settings};
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
+use health_checks::HealthChecks;
+use metrics_publisher::MetricsPublisher;
+use shutdown::Shutdown;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 use std::time::Duration;
+use timers::Timers;
 use tracing::debug;
 use types::{
     request_id, ClientConnection, DiscoveryHistory, DiscoveryLink, HeardDiscoveryLink,
@@ -62,8 +70,6 @@
 const MAX_SLEEP: Duration = Duration::from_millis(50);
 /// The longest sleep while nothing is open.
 const MAX_IDLE_SLEEP: Duration = Duration::from_secs(1);
-/// Lines of the log that name one bad peer; after them it is only counted.
-const MAX_LOG_LINES_PER_PEER: u32 = 3;
 /// Where a connection carries one exchange at a time, it rests so long after an answer before the
 /// next attempt: an answer that came twice is some milliseconds late, and would be taken for that
 /// attempt's. Harm: where all connections to a node have just answered, an attempt waits, or one
@@ -88,7 +94,6 @@
     now: Duration,
     /// When the last [`RequestRouter::wake_at`] asked to be called.
     requested_wake: Duration,
-    sweep_at: Duration,
     pauses: ProcessPauses,
     requests: HashMap<RequestId, OpenRequest>,
     request_bytes: usize,
@@ -114,9 +119,7 @@
     /// Extents by shard, where a portal has told.
     extents_by_shard: Option<BTreeMap<u32, u64>>,
     observations: ObservationReport,
-    subscribers: BTreeMap<ConnId, Arc<Outbox>>,
-    metrics: MetricsCollector,
-    metrics_at: Duration,
+    metrics: MetricsPublisher,
     /// The longest that a request may take.
     longest_deadline: Duration,
     endpoints_changed: bool,
@@ -125,16 +128,13 @@
     discovery_history: DiscoveryHistory,
     /// None: after a failure discovery is called when the decisions say, however long that is.
     poll_deadline: Option<PollDeadline>,
-    health_checks: HashMap<u64, (NodeId, ConnId)>,
-    timers: BTreeSet<(Duration, u64)>,
+    health_checks: HealthChecks,
+    timers: Timers,
     events: Vec<Event>,
     outputs: Vec<Output>,
     last_number: u64,
-    /// The last moment of a graceful shutdown, where one has begun.
-    shutdown_by: Option<Duration>,
-    shutdown_complete: bool,
-    /// Lines logged of each bad peer.
-    bad_peers: BTreeMap<ConnId, u32>,
+    shutdown: Shutdown,
+    bad_peers: BadPeers,
     counters: Counters,
 }
 
@@ -159,7 +159,6 @@
             seed,
             now: Duration::ZERO,
             requested_wake: Duration::MAX,
-            sweep_at: Duration::ZERO,
             pauses: ProcessPauses::default(),
             requests: HashMap::new(),
             request_bytes: 0,
@@ -177,23 +176,20 @@
             may_run_until: HashMap::new(),
             extents_by_shard: None,
             observations: ObservationReport::default(),
-            subscribers: BTreeMap::new(),
-            metrics: MetricsCollector::default(),
-            metrics_at: Duration::ZERO,
+            metrics: MetricsPublisher::default(),
             longest_deadline: settings.longest_deadline(),
             endpoints_changed: false,
             discovery: DiscoveryLink::default(),
             heard_discovery: Vec::new(),
             discovery_history: DiscoveryHistory::default(),
             poll_deadline: None,
-            health_checks: HashMap::new(),
-            timers: BTreeSet::new(),
+            health_checks: HealthChecks::default(),
+            timers: Timers::default(),
             events: Vec::new(),
             outputs: Vec::new(),
             last_number: 1,
-            shutdown_by: None,
-            shutdown_complete: false,
-            bad_peers: BTreeMap::new(),
+            shutdown: Shutdown::default(),
+            bad_peers: BadPeers::default(),
             counters: Counters::default(),
             settings,
         }
@@ -307,14 +303,14 @@
 
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&mut self) -> Duration {
-        let idle = self.requests.is_empty() && self.shutdown_by.is_none();
+        let idle = self.requests.is_empty() && !self.shutdown.has_begun();
         let latest = self.now + if idle { MAX_IDLE_SLEEP } else { MAX_SLEEP };
         let wakes = [
-            self.timers.first().map(|(at, _)| *at),
+            self.timers.first_at(),
             self.deadlines.first().map(|(at, _)| *at),
             self.pool_checks.first().map(|(at, _)| *at),
             self.config.wake_at(),
-            (!self.subscribers.is_empty()).then_some(self.metrics_at),
+            self.metrics.publish_at(),
             self.sharing.as_ref().map(QuotaSharing::wake_at),
             self.discovery.answer_by,
             self.poll_deadline.as_ref().and_then(PollDeadline::wake_at),
@@ -337,7 +333,7 @@
         self.expire_attempts();
         self.check_pools();
         self.fire_timers();
-        if self.now >= self.sweep_at {
+        if self.timers.take_due_sweep(self.now) {
             self.sweep();
         }
         if self.discovery.answer_by.is_some_and(|by| self.now >= by) {
@@ -377,15 +373,9 @@
         }
     }
 
-    /// However many timers a pause has let come due, the decisions are called once.
     fn fire_timers(&mut self) {
-        let mut fired = None;
-        while let Some(&(at, tag)) = self.timers.first().filter(|(at, _)| *at <= self.now) {
-            self.timers.remove(&(at, tag));
-            fired = Some(tag);
-        }
-        if let Some(tag) = fired {
-            self.events.push(Event::TimerFired { tag: TimerTag(tag) });
+        if let Some(tag) = self.timers.take_due(self.now) {
+            self.events.push(Event::TimerFired { tag });
         }
     }
 
@@ -438,10 +428,7 @@
                 bytes,
             } => self.handle_peer_message(from, waited, bytes),
             Input::ExtentsByShard { shards } => self.extents_by_shard = Some(shards),
-            Input::SubscriberUp { conn, outbox } => {
-                self.metrics.report_all_nodes();
-                self.subscribers.insert(conn, outbox);
-            }
+            Input::SubscriberUp { conn, outbox } => self.metrics.subscribe(conn, outbox),
             Input::Shutdown => self.begin_shutdown(),
         }
     }
@@ -460,9 +447,7 @@
                 self.finish_request(id, pb::Outcome::Failed, pb::Response::default())
             }
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
-            Action::SetTimer { after, tag } => {
-                self.timers.insert((self.now + after, tag.0));
-            }
+            Action::SetTimer { after, tag } => self.timers.set(self.now + after, tag),
             Action::HealthCheck { node } => self.check_health(node),
             Action::CloseIdleConnections { node } => self.close_idle(node, self.now),
             Action::SendToPeer { to, bytes } => self.outputs.push(Output::SendToPeer { to, bytes }),
@@ -479,9 +464,7 @@
     }
 
     fn log_bad_peer(&mut self, conn: ConnId, reason: &str) {
-        let lines = self.bad_peers.entry(conn).or_default();
-        *lines += 1;
-        if *lines <= MAX_LOG_LINES_PER_PEER {
+        if self.bad_peers.may_log(conn) {
             self.log(format!("connection {}: {reason}", conn.0));
         }
     }
--- a/crates/host/src/router/attempts.rs
+++ b/crates/host/src/router/attempts.rs
@@ -290,7 +290,7 @@
                 sharing.request_completed(request.message.volume, request.message.units);
             }
         }
-        if completed && !self.subscribers.is_empty() {
+        if completed {
             let units = request.map_or(0.0, |request| request.message.units);
             self.metrics.units_completed(node, units);
         }
--- a/crates/host/src/router/clients.rs
+++ b/crates/host/src/router/clients.rs
@@ -32,7 +32,7 @@
 
 impl RequestRouter {
     pub(super) fn client_connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
-        if self.shutdown_by.is_some() {
+        if self.shutdown.has_begun() {
             outbox.put(frame(Body::GoingAway(pb::GoingAway {})));
         }
         let client = ClientConnection {
@@ -85,7 +85,7 @@
         let load = Load {
             open: self.requests.len(),
             bytes: self.request_bytes,
-            draining: self.shutdown_by.is_some(),
+            draining: self.shutdown.has_begun(),
         };
         if let Err(refusal) = admit(load, message.data.len(), self.bounds()) {
             return self.refuse(conn, message, refusal);
@@ -151,9 +151,7 @@
         deadline: Duration,
     ) {
         self.counters.received += 1;
-        if !self.subscribers.is_empty() {
-            self.metrics.request_received(received, &message);
-        }
+        self.metrics.request_received(received, &message);
         self.request_bytes += message.data.len();
         if let Some(sharing) = &mut self.sharing {
             sharing.request_received(message.volume, message.units);
@@ -277,11 +275,11 @@
 
     fn count_finished(&mut self, id: RequestId, outcome: pb::Outcome) {
         let request = &self.requests[&id];
-        if outcome == pb::Outcome::Completed && !self.subscribers.is_empty() {
+        if outcome == pb::Outcome::Completed {
             let class = &self.settings.traffic_classes[request.message.traffic_class as usize];
-            let in_time = self.now <= request.received + class.facts.latency_objective;
+            let objective = class.facts.latency_objective;
             self.metrics
-                .request_completed(request.received, &request.message, in_time);
+                .request_completed(request.received, &request.message, self.now, objective);
         }
         match outcome {
             pb::Outcome::Completed => self.counters.completed += 1,
@@ -327,14 +325,12 @@
     }
 
     pub(super) fn client_disconnected(&mut self, conn: ConnId) {
-        if let Some(outbox) = self.subscribers.remove(&conn) {
-            outbox.close();
-        }
+        self.metrics.unsubscribe(conn);
         let Some(client) = self.clients.remove(&conn) else {
             return;
         };
         client.outbox.close();
-        self.bad_peers.remove(&conn);
+        self.bad_peers.connection_ended(conn);
         for id in client.open {
             let open = self.requests.get(&id);
             let waiting = open.is_some_and(|request| !request.answered);
--- a/crates/host/src/router/configuration.rs
+++ b/crates/host/src/router/configuration.rs
@@ -203,7 +203,7 @@
             self.revoke_attempts_to(node);
         }
         // Whoever asked for it waits to hear what is still under way.
-        self.sweep_at = self.now;
+        self.timers.sweep_now(self.now);
     }
 
     fn endpoint_of(&self, node: NodeId) -> Option<Endpoint> {
--- a/crates/host/src/router/node_connections.rs
+++ b/crates/host/src/router/node_connections.rs
@@ -33,7 +33,7 @@
                 self.handle_response_started(conn, AttemptId(started.attempt))
             }
             Some(Body::HealthCheckResult(result)) => {
-                if let Some((node, _)) = self.health_checks.remove(&result.probe) {
+                if let Some(node) = self.health_checks.completed(result.probe) {
                     let outcome = match result.result() {
                         pb::Result::Ok => AttemptOutcome::Completed,
                         _ => AttemptOutcome::Failed,
@@ -124,10 +124,8 @@
         if let Some(outbox) = connection.outbox {
             outbox.close();
         }
-        self.bad_peers.remove(&conn);
-        let of_conn = self.health_checks.extract_if(|_, check| check.1 == conn);
-        let unchecked: Vec<NodeId> = of_conn.map(|(_, (node, _))| node).collect();
-        for node in unchecked {
+        self.bad_peers.connection_ended(conn);
+        for node in self.health_checks.connection_ended(conn) {
             self.events.push(Event::HealthChecked {
                 node,
                 outcome: AttemptOutcome::ConnectionReset,
@@ -298,7 +296,7 @@
             return;
         };
         outbox.put(frame(Body::HealthCheck(pb::HealthCheck { probe })));
-        self.health_checks.insert(probe, (node, conn));
+        self.health_checks.sent(probe, node, conn);
     }
 
     /// Ends dials that report nothing, for whatever reason: they must not keep their nodes'
--- a/crates/host/src/router/reporting.rs
+++ b/crates/host/src/router/reporting.rs
@@ -2,9 +2,8 @@
 //! reported to the state service, to subscribers and to the disk.
 
 use super::types::frame;
-use super::{ConnId, Output, RequestRouter};
+use super::{Output, RequestRouter};
 use crate::endpoint_list::KnownEndpoint;
-use crate::metrics;
 use crate::outbox::AttemptId;
 use grebecleat_membership::answers::{Answers, NodeHealth};
 use grebecleat_scheduler::api::*;
@@ -13,14 +12,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How often what waits in the outboxes, or for discovery, is looked through.
-const SWEEP_INTERVAL: Duration = Duration::from_millis(25);
-/// Bytes of metrics that a subscriber may leave unread.
-const MAX_UNREAD_METRICS: usize = 4 << 20;
-
 impl RequestRouter {
     pub(super) fn sweep(&mut self) {
-        self.sweep_at = self.now + SWEEP_INTERVAL;
         self.end_stale_attempts();
         self.end_lost_dials();
         self.close_long_idle();
@@ -142,25 +135,17 @@
 
     /// Sends metrics to all subscribers, every second; one that leaves them unread is disconnected.
     fn publish_metrics(&mut self) {
-        if self.subscribers.is_empty() || self.now < self.metrics_at {
+        if !self.metrics.is_due(self.now) {
             return;
         }
-        self.metrics_at = self.now + metrics::INTERVAL;
         let head = self.host_metrics();
-        let endpoints = &self.endpoints;
-        let start_of = |node: NodeId| endpoints.nodes.get(&node).map_or(0, |known| known.start);
-        let metrics = self
-            .metrics
-            .collect(self.now, &self.scheduler, start_of, head);
-        let subscribers = self.subscribers.iter();
-        let unread = subscribers.filter(|(_, outbox)| outbox.bytes() > MAX_UNREAD_METRICS);
-        let slow: Vec<ConnId> = unread.map(|(conn, _)| *conn).collect();
-        for conn in slow {
+        for conn in self.metrics.slow_subscribers() {
             self.disconnect(conn, "a watcher leaves its figures unread");
         }
-        for outbox in self.subscribers.values() {
-            outbox.put(frame(Body::HostMetrics(Box::new(metrics.clone()))));
-        }
+        let endpoints = &self.endpoints;
+        let start_of = |node: NodeId| endpoints.nodes.get(&node).map_or(0, |known| known.start);
+        self.metrics
+            .publish(self.now, &self.scheduler, start_of, head);
     }
 
     fn host_metrics(&self) -> pb::HostMetrics {
@@ -176,7 +161,7 @@
             deferred: counters.rejected + counters.refused,
             abandoned: counters.failed,
             stalls: counters.pauses,
-            draining: self.shutdown_by.is_some(),
+            draining: self.shutdown.has_begun(),
             leased: follower.is_some_and(|follower| follower.leased()),
             follows: follower.map_or(0, |follower| follower.catalog().version().0),
             longest_us: clock::micros(self.longest_deadline),
@@ -204,3 +189,30 @@
         Answers::Bad => pb::Answering::Badly,
     }
 }
+
+impl RequestRouter {
+    pub(super) fn begin_shutdown(&mut self) {
+        if self.shutdown.has_begun() {
+            return;
+        }
+        let deadlines = self.requests.values().map(|request| request.deadline);
+        let longest = deadlines.max().unwrap_or(self.now);
+        self.shutdown.begin(longest + self.bounds().patience);
+        self.log(format!("draining: {} transfers held", self.requests.len()));
+        for client in self.clients.values() {
+            client.outbox.put(frame(Body::GoingAway(pb::GoingAway {})));
+        }
+    }
+
+    pub(super) fn complete_shutdown(&mut self) {
+        let requests = &self.requests;
+        let clients = &self.clients;
+        let all_written = || {
+            requests.values().all(|request| request.answered)
+                && clients.values().all(|client| client.outbox.is_flushed())
+        };
+        if self.shutdown.completes(self.now, all_written) {
+            self.outputs.push(Output::ShutdownComplete);
+        }
+    }
+}
--- a/crates/host/src/router/shutdown.rs
+++ b/crates/host/src/router/shutdown.rs
@@ -1,37 +1,36 @@
-//! Graceful shutdown: what is open is answered, until a last moment.
+//! Graceful shutdown of the host.
+//!
+//! Called by the router. Once the shutdown has begun, new requests are rejected and open requests
+//! are answered. The shutdown is complete when every open request is answered and every answer is
+//! written, or at a last moment: a client that does not read must not keep the process running.
 
-use super::types::frame;
-use super::{Output, RequestRouter};
-use grebecleat_wire::pb::{self, frame::Body};
+use std::time::Duration;
 
-impl RequestRouter {
-    pub(super) fn begin_shutdown(&mut self) {
-        if self.shutdown_by.is_some() {
-            return;
-        }
-        let deadlines = self.requests.values().map(|request| request.deadline);
-        let longest = deadlines.max().unwrap_or(self.now);
-        self.shutdown_by = Some(longest + self.bounds().patience);
-        self.log(format!("draining: {} transfers held", self.requests.len()));
-        for client in self.clients.values() {
-            client.outbox.put(frame(Body::GoingAway(pb::GoingAway {})));
-        }
+/// The state of a graceful shutdown.
+#[derive(Debug, Default)]
+pub(super) struct Shutdown {
+    /// None: no shutdown has begun.
+    deadline: Option<Duration>,
+    complete: bool,
+}
+
+impl Shutdown {
+    /// Begins the shutdown, which is complete at `deadline` at the latest.
+    pub(super) fn begin(&mut self, deadline: Duration) {
+        self.deadline.get_or_insert(deadline);
     }
 
-    /// A client that reads nothing must not keep a host up that shuts down: there is a last moment.
-    pub(super) fn complete_shutdown(&mut self) {
-        let Some(last) = self.shutdown_by.filter(|_| !self.shutdown_complete) else {
-            return;
-        };
-        let answered = self.requests.values().all(|request| request.answered);
-        let written = || {
-            self.clients
-                .values()
-                .all(|client| client.outbox.is_flushed())
+    /// Returns whether the shutdown has begun.
+    pub(super) fn has_begun(&self) -> bool {
+        self.deadline.is_some()
+    }
+
+    /// Returns true once: in the step in which the shutdown becomes complete.
+    pub(super) fn completes(&mut self, now: Duration, all_written: impl FnOnce() -> bool) -> bool {
+        let Some(deadline) = self.deadline.filter(|_| !self.complete) else {
+            return false;
         };
-        if self.now >= last || (answered && written()) {
-            self.shutdown_complete = true;
-            self.outputs.push(Output::ShutdownComplete);
-        }
+        self.complete = now >= deadline || all_written();
+        self.complete
     }
 }
