--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -24,6 +24,7 @@
 
 mod attempts;
 mod bad_peers;
+mod client_sessions;
 mod clients;
 mod configuration;
 mod decisions;
@@ -47,6 +48,7 @@
 use crate::process_pause::ProcessPauses;
 use crate::quota_sharing::QuotaSharing;
 use bad_peers::BadPeers;
+use client_sessions::ClientSessions;
 use grebecleat_catalog::follower::{Follower, InitialState};
 use grebecleat_scheduler::api::*;
 use grebecleat_scheduler::scheduler::Scheduler;
@@ -62,8 +64,8 @@
 use timers::Timers;
 use tracing::debug;
 use types::{
-    request_id, ClientConnection, DiscoveryHistory, DiscoveryLink, HeardDiscoveryLink,
-    NodeConnection, NodePool, OpenRequest, OutstandingAttempt,
+    request_id, DiscoveryHistory, DiscoveryLink, HeardDiscoveryLink, NodeConnection, NodePool,
+    OutstandingAttempt,
 };
 
 /// The longest sleep while anything is open, so that a pause of the process is seen for what it is.
@@ -95,9 +97,7 @@
     /// When the last [`RequestRouter::wake_at`] asked to be called.
     requested_wake: Duration,
     pauses: ProcessPauses,
-    requests: HashMap<RequestId, OpenRequest>,
-    request_bytes: usize,
-    clients: BTreeMap<ConnId, ClientConnection>,
+    clients: ClientSessions,
     attempts: HashMap<AttemptId, OutstandingAttempt>,
     deadlines: BTreeSet<(Duration, AttemptId)>,
     conns: BTreeMap<ConnId, NodeConnection>,
@@ -160,9 +160,7 @@
             now: Duration::ZERO,
             requested_wake: Duration::MAX,
             pauses: ProcessPauses::default(),
-            requests: HashMap::new(),
-            request_bytes: 0,
-            clients: BTreeMap::new(),
+            clients: ClientSessions::default(),
             attempts: HashMap::new(),
             deadlines: BTreeSet::new(),
             conns: BTreeMap::new(),
@@ -263,7 +261,7 @@
 
     /// Whether anything of a request is open or out.
     pub fn is_open(&self, id: &[u8]) -> bool {
-        request_id(id).is_some_and(|id| self.requests.contains_key(&id))
+        request_id(id).is_some_and(|id| self.clients.request(&id).is_some())
     }
 
     /// The clients of the attempts that wait to be written on a node's connection.
@@ -277,16 +275,16 @@
         });
         unsent.filter_map(|attempt| {
             let id = &self.attempts.get(attempt)?.id;
-            Some(self.requests.get(id)?.client)
+            Some(self.clients.request(id)?.client())
         })
     }
 
     /// What is open now.
     pub fn open_work(&self) -> OpenWork {
         OpenWork {
-            requests: self.requests.len(),
+            requests: self.clients.request_count(),
             attempts: self.attempts.len(),
-            bytes: self.request_bytes,
+            bytes: self.clients.request_bytes(),
         }
     }
 
@@ -303,7 +301,7 @@
 
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&mut self) -> Duration {
-        let idle = self.requests.is_empty() && !self.shutdown.has_begun();
+        let idle = self.clients.request_count() == 0 && !self.shutdown.has_begun();
         let latest = self.now + if idle { MAX_IDLE_SLEEP } else { MAX_SLEEP };
         let wakes = [
             self.timers.first_at(),
--- a/crates/host/src/router/attempts.rs
+++ b/crates/host/src/router/attempts.rs
@@ -1,5 +1,6 @@
 //! Attempts: from the decision to send one until its end, of which there is exactly one.
 
+use super::client_sessions::OpenRequest;
 use super::types::{frame, NodeConnection, NodePool, OutstandingAttempt};
 use super::{ConnId, RequestRouter, REST_AFTER_ANSWER};
 use crate::outbox::AttemptId;
@@ -21,21 +22,18 @@
         let attempt = AttemptId(self.next_number());
         let now = self.now;
         self.counters.attempts += 1;
-        let Some(request) = self.requests.get_mut(&id) else {
+        let Some((number, answered)) = self.clients.attempt_started(&id, attempt) else {
             return;
         };
         let outstanding = OutstandingAttempt {
             id,
-            number: request.attempts,
+            number,
             node,
             conn: None,
             sent: now,
             deadline,
             reassigned: false,
         };
-        request.attempts += 1;
-        request.out.push(attempt);
-        let answered = request.answered;
         self.attempts.insert(attempt, outstanding);
         *self.attempts_at.entry(node).or_default() += 1;
         let listed = self.endpoints.nodes.get(&node).map(|known| known.state);
@@ -127,10 +125,11 @@
             let at = self.now;
             self.events.push(Event::AttemptSent { id, node, at });
         }
-        let request = &self.requests[&id];
-        let client = self.clients.get(&request.client);
-        let client = client.map(|client| client.outbox.clone());
-        let message = self.attempt_message(attempt, number, node, id);
+        let request = self.clients.request(&id);
+        let request = request.expect("a request is open while it has an outstanding attempt");
+        let client = self.clients.session(request.client());
+        let client = client.map(|client| client.outbox().clone());
+        let message = self.attempt_message(attempt, number, node, request);
         let connection = self.conns.get_mut(&conn).expect("found above");
         connection.attempts.insert(attempt);
         let outbox = connection.outbox.as_ref().expect("found up");
@@ -148,18 +147,17 @@
         attempt: AttemptId,
         number: u32,
         node: NodeId,
-        id: RequestId,
+        request: &OpenRequest,
     ) -> pb::Attempt {
-        let request = &self.requests[&id];
-        let message = &request.message;
+        let message = request.message();
         pb::Attempt {
             attempt: attempt.0,
             id: message.id.clone(),
             number,
             node: node.0,
             traffic_class: message.traffic_class,
-            plan: request.plan.0 as u32,
-            plan_rate: self.config.rate(request.plan),
+            plan: request.plan().0 as u32,
+            plan_rate: self.config.rate(request.plan()),
             volume: message.volume,
             key: message.key,
             units: message.units,
@@ -215,10 +213,8 @@
         let at = at.max(ended.sent);
         let elapsed = (at - ended.sent).saturating_sub(self.pauses.within(ended.sent, at));
         let (id, node) = (ended.id, ended.node);
-        if let Some(request) = self.requests.get_mut(&id) {
-            request.out.retain(|other| *other != attempt);
-            request.may_still_run |= may_still_run(outcome);
-        }
+        self.clients
+            .attempt_ended(&id, attempt, may_still_run(outcome));
         let response = response.unwrap_or_default();
         self.count_outcome(id, node, outcome);
         if outcome == AttemptOutcome::Completed {
@@ -231,8 +227,8 @@
             };
             self.finish_request(id, pb::Outcome::Completed, done);
         }
-        let request = self.requests.get(&id);
-        let answered = request.is_none_or(|request| request.answered);
+        let request = self.clients.request(&id);
+        let answered = request.is_none_or(|request| request.is_answered());
         let reported = response
             .reported
             .map(|percent| self.reported_usage(id, percent));
@@ -283,15 +279,16 @@
 
     fn count_outcome(&mut self, id: RequestId, node: NodeId, outcome: AttemptOutcome) {
         let completed = outcome == AttemptOutcome::Completed;
-        let request = self.requests.get(&id);
+        let request = self.clients.request(&id);
         if let Some(sharing) = &mut self.sharing {
             sharing.attempt_ended(node, outcome);
             if let (true, Some(request)) = (completed, request) {
-                sharing.request_completed(request.message.volume, request.message.units);
+                let message = request.message();
+                sharing.request_completed(message.volume, message.units);
             }
         }
         if completed {
-            let units = request.map_or(0.0, |request| request.message.units);
+            let units = request.map_or(0.0, |request| request.message().units);
             self.metrics.units_completed(node, units);
         }
     }
@@ -299,11 +296,11 @@
     /// The volume's usage everywhere, in percent of its plan's rate: as the node reported it, or as
     /// the peers know it where that is more.
     fn reported_usage(&self, id: RequestId, percent: f64) -> f64 {
-        let (Some(sharing), Some(request)) = (&self.sharing, self.requests.get(&id)) else {
+        let (Some(sharing), Some(request)) = (&self.sharing, self.clients.request(&id)) else {
             return percent;
         };
-        let rate = self.config.rate(request.plan).max(1e-9);
-        percent.max(sharing.served_everywhere(self.now, request.message.volume) / rate * 100.0)
+        let rate = self.config.rate(request.plan()).max(1e-9);
+        percent.max(sharing.served_everywhere(self.now, request.message().volume) / rate * 100.0)
     }
 
     /// Where a connection carries one exchange at a time, one that was given up ends with its
@@ -345,8 +342,9 @@
             let outstanding = self.attempts.get(attempt);
             outstanding.is_some_and(|outstanding| outstanding.number == number)
         };
-        let request = self.requests.get(&id);
-        let Some(attempt) = request.and_then(|request| request.out.iter().find(is_it).copied())
+        let request = self.clients.request(&id);
+        let outstanding = request.map(|request| request.outstanding().iter());
+        let Some(attempt) = outstanding.and_then(|mut attempts| attempts.find(is_it).copied())
         else {
             return;
         };
--- a/crates/host/src/router/clients.rs
+++ b/crates/host/src/router/clients.rs
@@ -1,15 +1,14 @@
 //! Clients: their requests, from the first byte to the one final answer.
 
-use super::types::{frame, request_id, ClientConnection, OpenRequest};
+use super::client_sessions::OpenRequest;
+use super::types::{frame, request_id};
 use super::{ConnId, RequestRouter};
 use crate::admission::{admit, Load, Refusal};
 use crate::config_follower::VolumePlacement;
 use crate::outbox::{AttemptId, Outbox};
 use grebecleat_scheduler::api::*;
 use grebecleat_wire::clock;
-use grebecleat_wire::delay::Delay;
 use grebecleat_wire::pb::{self, frame::Body};
-use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
@@ -35,26 +34,21 @@
         if self.shutdown.has_begun() {
             outbox.put(frame(Body::GoingAway(pb::GoingAway {})));
         }
-        let client = ClientConnection {
-            outbox,
-            delay: Delay::default(),
-            open: BTreeSet::new(),
-        };
-        self.clients.insert(conn, client);
+        self.clients.connect(conn, outbox);
     }
 
     pub(super) fn handle_client_frame(&mut self, conn: ConnId, at: Duration, frame: pb::Frame) {
-        let Some(client) = self.clients.get_mut(&conn) else {
+        let Some(client) = self.clients.session_mut(conn) else {
             return;
         };
-        let waited = client.delay.waited(frame.sent_us, at);
+        let waited = client.transit_time(frame.sent_us, at);
         match frame.body {
             Some(Body::SubmitRequest(message)) => self.receive_request(conn, at, waited, message),
             Some(Body::CancelRequest(message)) => {
-                client.outbox.cancel_handled(&message.id);
+                client.outbox().cancel_handled(&message.id);
                 let own = |id: &RequestId| {
-                    let request = self.requests.get(id);
-                    request.is_some_and(|request| request.client == conn)
+                    let request = self.clients.request(id);
+                    request.is_some_and(|request| request.client() == conn)
                 };
                 if let Some(id) = request_id(&message.id).filter(own) {
                     self.counters.cancelled += 1;
@@ -83,8 +77,8 @@
             }
         };
         let load = Load {
-            open: self.requests.len(),
-            bytes: self.request_bytes,
+            open: self.clients.request_count(),
+            bytes: self.clients.request_bytes(),
             draining: self.shutdown.has_begun(),
         };
         if let Err(refusal) = admit(load, message.data.len(), self.bounds()) {
@@ -103,7 +97,7 @@
         let Some(id) = request_id(&message.id) else {
             return Err(Unserved::Invalid("transfer without a proper id"));
         };
-        if self.requests.contains_key(&id) {
+        if self.clients.request(&id).is_some() {
             return Err(Unserved::Invalid("transfer with an id that is still open"));
         }
         let classes = &self.settings.traffic_classes;
@@ -152,12 +146,9 @@
     ) {
         self.counters.received += 1;
         self.metrics.request_received(received, &message);
-        self.request_bytes += message.data.len();
         if let Some(sharing) = &mut self.sharing {
             sharing.request_received(message.volume, message.units);
         }
-        let client = self.clients.get_mut(&conn).expect("it sent the request");
-        client.open.insert(terms.id);
         self.events.push(Event::RequestReceived(Request {
             id: terms.id,
             units: message.units,
@@ -169,18 +160,8 @@
             deadline,
             volume: VolumeId(message.volume),
         }));
-        let request = OpenRequest {
-            client: conn,
-            message,
-            plan: terms.plan,
-            received,
-            deadline,
-            answered: false,
-            may_still_run: false,
-            attempts: 0,
-            out: Vec::new(),
-        };
-        self.requests.insert(terms.id, request);
+        let request = OpenRequest::new(conn, message, terms.plan, received, deadline);
+        self.clients.open(terms.id, request);
     }
 
     /// Rejects a request on arrival: it never ran, and its client may come again.
@@ -228,12 +209,12 @@
     }
 
     fn respond(&mut self, conn: ConnId, response: pb::Response) {
-        let Some(client) = self.clients.get(&conn) else {
+        let Some(client) = self.clients.session(conn) else {
             return;
         };
-        client.outbox.put(frame(Body::Response(response)));
+        client.outbox().put(frame(Body::Response(response)));
         // A client that never reads must not hold our memory; its requests are then dropped.
-        if client.outbox.bytes() > self.bounds().max_unread {
+        if client.outbox().bytes() > self.bounds().max_unread {
             self.disconnect(conn, "client leaves its answers unread");
         }
     }
@@ -245,20 +226,19 @@
         outcome: pb::Outcome,
         response: pb::Response,
     ) {
-        let open = self.requests.get_mut(&id);
-        let Some(request) = open.filter(|request| !request.answered) else {
+        let Some(request) = self.clients.mark_answered(&id) else {
             return;
         };
-        request.answered = true;
-        let client = request.client;
-        let message_id = request.message.id.clone();
-        let may_still_run = request.may_still_run;
-        let out = request.out.clone();
+        let client = request.client();
+        let message_id = request.message().id.clone();
+        let may_still_run = request.may_still_run();
+        let outstanding = request.outstanding().to_vec();
         self.count_finished(id, outcome);
         // The answer says whether an effect may still come, so what can be revoked is revoked
         // first.
-        let (revoked, crossed): (Vec<AttemptId>, Vec<AttemptId>) =
-            out.into_iter().partition(|attempt| self.revoke(*attempt));
+        let (revoked, crossed): (Vec<AttemptId>, Vec<AttemptId>) = outstanding
+            .into_iter()
+            .partition(|attempt| self.revoke(*attempt));
         let unsure = outcome != pb::Outcome::Completed && (may_still_run || !crossed.is_empty());
         let response = pb::Response {
             id: message_id,
@@ -274,12 +254,13 @@
     }
 
     fn count_finished(&mut self, id: RequestId, outcome: pb::Outcome) {
-        let request = &self.requests[&id];
-        if outcome == pb::Outcome::Completed {
-            let class = &self.settings.traffic_classes[request.message.traffic_class as usize];
+        let request = self.clients.request(&id);
+        if let Some(request) = request.filter(|_| outcome == pb::Outcome::Completed) {
+            let message = request.message();
+            let class = &self.settings.traffic_classes[message.traffic_class as usize];
             let objective = class.facts.latency_objective;
             self.metrics
-                .request_completed(request.received, &request.message, self.now, objective);
+                .request_completed(request.received(), message, self.now, objective);
         }
         match outcome {
             pb::Outcome::Completed => self.counters.completed += 1,
@@ -291,49 +272,35 @@
     /// After a request is answered: attempts of it that have not crossed never do, and its record
     /// goes with the last.
     pub(super) fn release_request(&mut self, id: RequestId) {
-        let answered = self.requests.get(&id).filter(|request| request.answered);
-        let Some(out) = answered.map(|request| request.out.clone()) else {
+        let request = self.clients.request(&id);
+        let Some(answered) = request.filter(|request| request.is_answered()) else {
             return;
         };
-        for attempt in out {
+        for attempt in answered.outstanding().to_vec() {
             if self.revoke(attempt) {
                 self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None);
             }
         }
-        let over = self
-            .requests
-            .get(&id)
-            .is_some_and(|request| request.out.is_empty());
-        if !over {
-            return;
-        }
-        let request = self.requests.remove(&id).expect("looked up above");
-        self.request_bytes -= request.message.data.len();
-        if let Some(client) = self.clients.get_mut(&request.client) {
-            client.open.remove(&id);
-        }
+        self.clients.remove_if_over(id);
     }
 
     fn cancel_request(&mut self, id: RequestId) {
-        let open = self.requests.get_mut(&id);
-        let Some(request) = open.filter(|request| !request.answered) else {
+        if self.clients.mark_answered(&id).is_none() {
             return;
-        };
-        request.answered = true;
+        }
         self.events.push(Event::RequestCancelled { id });
         self.release_request(id);
     }
 
     pub(super) fn client_disconnected(&mut self, conn: ConnId) {
         self.metrics.unsubscribe(conn);
-        let Some(client) = self.clients.remove(&conn) else {
+        let Some(open) = self.clients.disconnect(conn) else {
             return;
         };
-        client.outbox.close();
         self.bad_peers.connection_ended(conn);
-        for id in client.open {
-            let open = self.requests.get(&id);
-            let waiting = open.is_some_and(|request| !request.answered);
+        for id in open {
+            let request = self.clients.request(&id);
+            let waiting = request.is_some_and(|request| !request.is_answered());
             self.counters.cancelled += u64::from(waiting);
             self.cancel_request(id);
         }
--- a/crates/host/src/router/node_connections.rs
+++ b/crates/host/src/router/node_connections.rs
@@ -93,15 +93,15 @@
             id,
             attempt: number,
         });
-        let Some(request) = self.requests.get(&id) else {
+        let Some(request) = self.clients.request(&id) else {
             return;
         };
-        if let Some(client) = self.clients.get(&request.client) {
+        if let Some(client) = self.clients.session(request.client()) {
             let started = pb::ResponseStarted {
                 attempt: 0,
-                id: request.message.id.clone(),
+                id: request.message().id.clone(),
             };
-            client.outbox.put(frame(Body::ResponseStarted(started)));
+            client.outbox().put(frame(Body::ResponseStarted(started)));
         }
     }
 
--- a/crates/host/src/router/reporting.rs
+++ b/crates/host/src/router/reporting.rs
@@ -154,8 +154,8 @@
         let host = self.settings.hosts.get(self.host_index);
         let metrics = pb::HostMetrics {
             host: host.map(|host| host.name.clone()).unwrap_or_default(),
-            open: self.requests.len() as u64,
-            held_bytes: self.request_bytes as u64,
+            open: self.clients.request_count() as u64,
+            held_bytes: self.clients.request_bytes() as u64,
             taken: counters.received + counters.refused,
             done: counters.completed,
             deferred: counters.rejected + counters.refused,
@@ -195,22 +195,20 @@
         if self.shutdown.has_begun() {
             return;
         }
-        let deadlines = self.requests.values().map(|request| request.deadline);
-        let longest = deadlines.max().unwrap_or(self.now);
+        let longest = self.clients.latest_deadline().unwrap_or(self.now);
         self.shutdown.begin(longest + self.bounds().patience);
-        self.log(format!("draining: {} transfers held", self.requests.len()));
-        for client in self.clients.values() {
-            client.outbox.put(frame(Body::GoingAway(pb::GoingAway {})));
+        let requests = self.clients.request_count();
+        self.log(format!("draining: {requests} transfers held"));
+        for client in self.clients.sessions() {
+            client
+                .outbox()
+                .put(frame(Body::GoingAway(pb::GoingAway {})));
         }
     }
 
     pub(super) fn complete_shutdown(&mut self) {
-        let requests = &self.requests;
         let clients = &self.clients;
-        let all_written = || {
-            requests.values().all(|request| request.answered)
-                && clients.values().all(|client| client.outbox.is_flushed())
-        };
+        let all_written = || clients.all_written();
         if self.shutdown.completes(self.now, all_written) {
             self.outputs.push(Output::ShutdownComplete);
         }
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -4,8 +4,7 @@
 use crate::outbox::{AttemptId, Outbox};
 use crate::pool::Pool;
 use grebecleat_catalog_service::store::Record;
-use grebecleat_scheduler::api::{NodeId, PeerId, PlanId, RequestId};
-use grebecleat_wire::delay::Delay;
+use grebecleat_scheduler::api::{NodeId, PeerId, RequestId};
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -273,25 +272,6 @@
     }
 }
 
-/// A request without a final answer, or with an attempt out.
-#[derive(Debug)]
-pub(super) struct OpenRequest {
-    pub client: ConnId,
-    pub message: pb::SubmitRequest,
-    /// The volume's plan when the request came in.
-    pub plan: PlanId,
-    pub received: Duration,
-    pub deadline: Duration,
-    /// It has had its final answer, or its client has left.
-    pub answered: bool,
-    /// An attempt of it ended without an answer from its node: it may still run.
-    pub may_still_run: bool,
-    /// Attempts so far.
-    pub attempts: u32,
-    /// Those that are not over.
-    pub out: Vec<AttemptId>,
-}
-
 /// An attempt that is not over.
 #[derive(Debug)]
 pub(super) struct OutstandingAttempt {
@@ -308,14 +288,6 @@
     pub reassigned: bool,
 }
 
-/// A client's connection.
-#[derive(Debug)]
-pub(super) struct ClientConnection {
-    pub outbox: Arc<Outbox>,
-    pub delay: Delay,
-    pub open: BTreeSet<RequestId>,
-}
-
 /// A connection to a node, or a dial.
 #[derive(Debug)]
 pub(super) struct NodeConnection {
