--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -22,6 +22,7 @@
 //! Memory: requests and their bytes as the settings' bounds allow, connections likewise, and a
 //! record for each node.
 
+mod attempt_table;
 mod attempts;
 mod bad_peers;
 mod client_sessions;
@@ -43,10 +44,10 @@
 use crate::config_follower::ConfigFollower;
 use crate::endpoint_list::EndpointList;
 use crate::observations::ObservationReport;
-use crate::outbox::AttemptId;
 use crate::poll_deadline::PollDeadline;
 use crate::process_pause::ProcessPauses;
 use crate::quota_sharing::QuotaSharing;
+use attempt_table::AttemptTable;
 use bad_peers::BadPeers;
 use client_sessions::ClientSessions;
 use grebecleat_catalog::follower::{Follower, InitialState};
@@ -58,14 +59,13 @@
 use health_checks::HealthChecks;
 use metrics_publisher::MetricsPublisher;
 use shutdown::Shutdown;
-use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 use timers::Timers;
 use tracing::debug;
 use types::{
     request_id, DiscoveryHistory, DiscoveryLink, HeardDiscoveryLink, NodeConnection, NodePool,
-    OutstandingAttempt,
 };
 
 /// The longest sleep while anything is open, so that a pause of the process is seen for what it is.
@@ -98,8 +98,7 @@
     requested_wake: Duration,
     pauses: ProcessPauses,
     clients: ClientSessions,
-    attempts: HashMap<AttemptId, OutstandingAttempt>,
-    deadlines: BTreeSet<(Duration, AttemptId)>,
+    attempts: AttemptTable,
     conns: BTreeMap<ConnId, NodeConnection>,
     pools: BTreeMap<NodeId, NodePool>,
     /// Nodes whose pool may want something.
@@ -112,16 +111,10 @@
     endpoints: EndpointList,
     /// Nodes that are drained, whatever the endpoint list says.
     drained: BTreeSet<NodeId>,
-    /// Attempts to each node that are not over.
-    attempts_at: HashMap<NodeId, u32>,
-    /// Until when what ended without an answer may still run at a node.
-    may_run_until: HashMap<NodeId, Duration>,
     /// Extents by shard, where a portal has told.
     extents_by_shard: Option<BTreeMap<u32, u64>>,
     observations: ObservationReport,
     metrics: MetricsPublisher,
-    /// The longest that a request may take.
-    longest_deadline: Duration,
     endpoints_changed: bool,
     discovery: DiscoveryLink,
     heard_discovery: Vec<HeardDiscoveryLink>,
@@ -161,8 +154,7 @@
             requested_wake: Duration::MAX,
             pauses: ProcessPauses::default(),
             clients: ClientSessions::default(),
-            attempts: HashMap::new(),
-            deadlines: BTreeSet::new(),
+            attempts: AttemptTable::new(settings.longest_deadline()),
             conns: BTreeMap::new(),
             pools: BTreeMap::new(),
             changed_pools: BTreeSet::new(),
@@ -170,12 +162,9 @@
             handshake,
             endpoints: EndpointList::default(),
             drained: BTreeSet::new(),
-            attempts_at: HashMap::new(),
-            may_run_until: HashMap::new(),
             extents_by_shard: None,
             observations: ObservationReport::default(),
             metrics: MetricsPublisher::default(),
-            longest_deadline: settings.longest_deadline(),
             endpoints_changed: false,
             discovery: DiscoveryLink::default(),
             heard_discovery: Vec::new(),
@@ -274,8 +263,8 @@
                 .filter(|attempt| outbox.is_queued(**attempt))
         });
         unsent.filter_map(|attempt| {
-            let id = &self.attempts.get(attempt)?.id;
-            Some(self.clients.request(id)?.client())
+            let request = self.attempts.get(*attempt)?.request();
+            Some(self.clients.request(&request)?.client())
         })
     }
 
@@ -305,7 +294,7 @@
         let latest = self.now + if idle { MAX_IDLE_SLEEP } else { MAX_SLEEP };
         let wakes = [
             self.timers.first_at(),
-            self.deadlines.first().map(|(at, _)| *at),
+            self.attempts.first_deadline(),
             self.pool_checks.first().map(|(at, _)| *at),
             self.config.wake_at(),
             self.metrics.publish_at(),
--- /dev/null
+++ b/crates/host/src/router/attempt_table.rs
@@ -0,0 +1,227 @@
+//! Outstanding attempts and their deadlines.
+//!
+//! Called by the router when an attempt starts, is assigned to a connection, and ends. The table
+//! also counts the outstanding attempts of each node, and knows until when an attempt that ended
+//! without an answer may still run at its node: both are reported for nodes that are drained.
+//! Memory: one entry for each outstanding attempt, and two for each node.
+
+use super::ConnId;
+use crate::outbox::AttemptId;
+use grebecleat_scheduler::api::{AttemptOutcome, NodeId, RequestId};
+use std::collections::{BTreeSet, HashMap};
+use std::time::Duration;
+
+/// Returns whether an attempt with this outcome may still run at its node.
+pub(super) fn may_still_run(outcome: AttemptOutcome) -> bool {
+    use AttemptOutcome::{Cancelled, ConnectionReset, TimedOut};
+    matches!(outcome, TimedOut | Cancelled | ConnectionReset)
+}
+
+/// An attempt that has not ended.
+#[derive(Debug)]
+pub(super) struct OutstandingAttempt {
+    request: RequestId,
+    number: u32,
+    node: NodeId,
+    conn: Option<ConnId>,
+    sent: Duration,
+    deadline: Duration,
+    reassigned: bool,
+}
+
+impl OutstandingAttempt {
+    /// An attempt that the scheduler has decided at `now`, and that waits for a connection.
+    pub(super) fn new(
+        request: RequestId,
+        number: u32,
+        node: NodeId,
+        now: Duration,
+        deadline: Duration,
+    ) -> Self {
+        OutstandingAttempt {
+            request,
+            number,
+            node,
+            conn: None,
+            sent: now,
+            deadline,
+            reassigned: false,
+        }
+    }
+
+    /// Its request.
+    pub(super) fn request(&self) -> RequestId {
+        self.request
+    }
+
+    /// Its number among the attempts of its request, from 0.
+    pub(super) fn number(&self) -> u32 {
+        self.number
+    }
+
+    /// Its node.
+    pub(super) fn node(&self) -> NodeId {
+        self.node
+    }
+
+    /// Its connection. None: it waits for one.
+    pub(super) fn conn(&self) -> Option<ConnId> {
+        self.conn
+    }
+
+    /// When it was assigned to its connection; before that, when the scheduler decided it.
+    pub(super) fn sent(&self) -> Duration {
+        self.sent
+    }
+
+    /// Its deadline.
+    pub(super) fn deadline(&self) -> Duration {
+        self.deadline
+    }
+}
+
+/// All outstanding attempts.
+#[derive(Debug)]
+pub(super) struct AttemptTable {
+    attempts: HashMap<AttemptId, OutstandingAttempt>,
+    deadlines: BTreeSet<(Duration, AttemptId)>,
+    /// The number of outstanding attempts of each node.
+    per_node: HashMap<NodeId, u32>,
+    /// Until when an attempt that ended without an answer may still run at its node.
+    may_run_until: HashMap<NodeId, Duration>,
+    /// The longest time that a request may take.
+    longest_deadline: Duration,
+}
+
+impl AttemptTable {
+    /// An empty table. `longest_deadline` is the longest time that a request may take.
+    pub(super) fn new(longest_deadline: Duration) -> Self {
+        AttemptTable {
+            attempts: HashMap::new(),
+            deadlines: BTreeSet::new(),
+            per_node: HashMap::new(),
+            may_run_until: HashMap::new(),
+            longest_deadline,
+        }
+    }
+
+    /// The longest time that a request may take.
+    pub(super) fn longest_deadline(&self) -> Duration {
+        self.longest_deadline
+    }
+
+    /// The number of outstanding attempts.
+    pub(super) fn len(&self) -> usize {
+        self.attempts.len()
+    }
+
+    /// An outstanding attempt.
+    pub(super) fn get(&self, attempt: AttemptId) -> Option<&OutstandingAttempt> {
+        self.attempts.get(&attempt)
+    }
+
+    /// Adds an attempt. Its deadline counts once [`AttemptTable::start_deadline`] is called.
+    pub(super) fn insert(&mut self, id: AttemptId, attempt: OutstandingAttempt) {
+        *self.per_node.entry(attempt.node).or_default() += 1;
+        self.attempts.insert(id, attempt);
+    }
+
+    /// Lets the deadline of an attempt count from now on.
+    pub(super) fn start_deadline(&mut self, attempt: AttemptId, deadline: Duration) {
+        self.deadlines.insert((deadline, attempt));
+    }
+
+    /// Returns when the first deadline passes.
+    pub(super) fn first_deadline(&self) -> Option<Duration> {
+        self.deadlines.first().map(|(at, _)| *at)
+    }
+
+    /// Returns an attempt whose deadline has passed, each attempt once.
+    pub(super) fn take_expired(&mut self, now: Duration) -> Option<AttemptId> {
+        let &(at, attempt) = self.deadlines.first()?;
+        if at > now {
+            return None;
+        }
+        self.deadlines.remove(&(at, attempt));
+        Some(attempt)
+    }
+
+    /// Assigns a waiting attempt to a connection, and returns the attempt, and when the wait began:
+    /// from here on [`OutstandingAttempt::sent`] is `now`, since the time that an attempt waits for
+    /// a connection is no evidence about its node.
+    pub(super) fn assign(
+        &mut self,
+        attempt: AttemptId,
+        conn: ConnId,
+        now: Duration,
+    ) -> (&OutstandingAttempt, Duration) {
+        let attempt = self.attempts.get_mut(&attempt);
+        let attempt = attempt.expect("an attempt that waits for a connection is outstanding");
+        attempt.conn = Some(conn);
+        let waited_since = std::mem::replace(&mut attempt.sent, now);
+        (attempt, waited_since)
+    }
+
+    /// Takes an attempt off its connection, which has ended, so that it waits for another one, and
+    /// returns its node. None: the attempt was taken off a connection before, or its deadline has
+    /// passed.
+    pub(super) fn unassign(&mut self, attempt: AttemptId, now: Duration) -> Option<NodeId> {
+        let attempt = self.attempts.get_mut(&attempt)?;
+        if attempt.reassigned || attempt.deadline <= now {
+            return None;
+        }
+        attempt.reassigned = true;
+        attempt.conn = None;
+        Some(attempt.node)
+    }
+
+    /// Removes the deadline of an attempt whose response has started: from here on the client's
+    /// deadline alone counts. None: the attempt is not outstanding on this connection.
+    pub(super) fn response_started(
+        &mut self,
+        id: AttemptId,
+        conn: ConnId,
+    ) -> Option<&OutstandingAttempt> {
+        let attempt = self.attempts.get_mut(&id);
+        let attempt = attempt.filter(|attempt| attempt.conn == Some(conn))?;
+        self.deadlines.remove(&(attempt.deadline, id));
+        attempt.deadline = Duration::MAX;
+        Some(attempt)
+    }
+
+    /// Removes an attempt that has ended.
+    pub(super) fn remove(
+        &mut self,
+        id: AttemptId,
+        outcome: AttemptOutcome,
+        now: Duration,
+    ) -> Option<OutstandingAttempt> {
+        let ended = self.attempts.remove(&id)?;
+        self.deadlines.remove(&(ended.deadline, id));
+        if let Some(count) = self.per_node.get_mut(&ended.node) {
+            *count -= 1;
+        }
+        if may_still_run(outcome) {
+            let until = now + self.longest_deadline;
+            let known = self.may_run_until.entry(ended.node).or_insert(until);
+            *known = until.max(*known);
+        }
+        Some(ended)
+    }
+
+    /// The number of outstanding attempts of a node.
+    pub(super) fn outstanding_at(&self, node: NodeId) -> u32 {
+        self.per_node.get(&node).copied().unwrap_or(0)
+    }
+
+    /// How long an attempt that ended without an answer may still run at the node.
+    pub(super) fn may_run_for(&self, node: NodeId, now: Duration) -> Duration {
+        let until = self.may_run_until.get(&node).copied();
+        until.unwrap_or_default().saturating_sub(now)
+    }
+
+    /// Notes that a node's process was replaced: the new process runs no attempt of the former one.
+    pub(super) fn node_restarted(&mut self, node: NodeId) {
+        self.may_run_until.remove(&node);
+    }
+}
--- a/crates/host/src/router/attempts.rs
+++ b/crates/host/src/router/attempts.rs
@@ -1,7 +1,8 @@
 //! Attempts: from the decision to send one until its end, of which there is exactly one.
 
+use super::attempt_table::{may_still_run, OutstandingAttempt};
 use super::client_sessions::OpenRequest;
-use super::types::{frame, NodeConnection, NodePool, OutstandingAttempt};
+use super::types::{frame, NodeConnection, NodePool};
 use super::{ConnId, RequestRouter, REST_AFTER_ANSWER};
 use crate::outbox::AttemptId;
 use crate::pool::{Pool, MAX_LATE_DIALS};
@@ -12,11 +13,6 @@
 use std::time::Duration;
 use tracing::debug;
 
-fn may_still_run(outcome: AttemptOutcome) -> bool {
-    use AttemptOutcome::{Cancelled, ConnectionReset, TimedOut};
-    matches!(outcome, TimedOut | Cancelled | ConnectionReset)
-}
-
 impl RequestRouter {
     pub(super) fn start_attempt(&mut self, id: RequestId, node: NodeId, deadline: Duration) {
         let attempt = AttemptId(self.next_number());
@@ -25,27 +21,18 @@
         let Some((number, answered)) = self.clients.attempt_started(&id, attempt) else {
             return;
         };
-        let outstanding = OutstandingAttempt {
-            id,
-            number,
-            node,
-            conn: None,
-            sent: now,
-            deadline,
-            reassigned: false,
-        };
+        let outstanding = OutstandingAttempt::new(id, number, node, now, deadline);
         self.attempts.insert(attempt, outstanding);
-        *self.attempts_at.entry(node).or_default() += 1;
         let listed = self.endpoints.nodes.get(&node).map(|known| known.state);
         let ready = listed.is_some_and(|listed| self.node_state(node, listed) == NodeState::Ready);
         if answered || !ready {
             return self.end_attempt(attempt, AttemptOutcome::NotSent, now, None);
         }
-        self.deadlines.insert((deadline, attempt));
+        self.attempts.start_deadline(attempt, deadline);
         self.pool_of(node).waiting.push_back(attempt);
         self.assign_waiting(node);
-        let waits = |outstanding: &OutstandingAttempt| outstanding.conn.is_none();
-        if self.wire_mode.is_exclusive() && self.attempts.get(&attempt).is_some_and(waits) {
+        let waits = |outstanding: &OutstandingAttempt| outstanding.conn().is_none();
+        if self.wire_mode.is_exclusive() && self.attempts.get(attempt).is_some_and(waits) {
             // Until as many dials as may be made at a time have had theirs, it is the dial and not
             // the node.
             let at = now + self.handshake * (MAX_LATE_DIALS as u32 + 1);
@@ -115,12 +102,9 @@
 
     /// Puts an attempt into a connection's outbox.
     fn assign(&mut self, attempt: AttemptId, conn: ConnId) {
-        let outstanding = self.attempts.get_mut(&attempt).expect("it waits");
-        outstanding.conn = Some(conn);
-        let (id, node) = (outstanding.id, outstanding.node);
-        // What it waited for a connection says nothing of what its node can do.
-        let waited_since = std::mem::replace(&mut outstanding.sent, self.now);
-        let (number, deadline) = (outstanding.number, outstanding.deadline);
+        let (assigned, waited_since) = self.attempts.assign(attempt, conn, self.now);
+        let (id, node) = (assigned.request(), assigned.node());
+        let (number, deadline) = (assigned.number(), assigned.deadline());
         if waited_since < self.now {
             let at = self.now;
             self.events.push(Event::AttemptSent { id, node, at });
@@ -175,10 +159,10 @@
     /// Revokes an attempt if it has not crossed; whether it now never will. One that is written in
     /// part takes its connection with it, or its node would have the rest whenever it reads again.
     pub(super) fn revoke(&mut self, attempt: AttemptId) -> bool {
-        let Some(outstanding) = self.attempts.get(&attempt) else {
+        let Some(outstanding) = self.attempts.get(attempt) else {
             return false;
         };
-        let conn = outstanding.conn.and_then(|conn| self.conns.get(&conn));
+        let conn = outstanding.conn().and_then(|conn| self.conns.get(&conn));
         let revoked = match conn.and_then(|conn| conn.outbox.as_ref()) {
             None => true,
             Some(outbox) if outbox.revoke(attempt) => true,
@@ -200,19 +184,20 @@
         at: Duration,
         response: Option<pb::AttemptResponse>,
     ) {
-        let Some(ended) = self.attempts.remove(&attempt) else {
+        let Some(ended) = self.attempts.remove(attempt, outcome, self.now) else {
             return;
         };
-        self.release_attempt(attempt, &ended, outcome, response.is_some());
+        self.release_attempt(attempt, &ended, response.is_some());
         debug!(
             attempt = attempt.0,
-            node = ended.node.0,
+            node = ended.node().0,
             ?outcome,
             "attempt ended"
         );
-        let at = at.max(ended.sent);
-        let elapsed = (at - ended.sent).saturating_sub(self.pauses.within(ended.sent, at));
-        let (id, node) = (ended.id, ended.node);
+        let sent = ended.sent();
+        let at = at.max(sent);
+        let elapsed = (at - sent).saturating_sub(self.pauses.within(sent, at));
+        let (id, node) = (ended.request(), ended.node());
         self.clients
             .attempt_ended(&id, attempt, may_still_run(outcome));
         let response = response.unwrap_or_default();
@@ -234,7 +219,7 @@
             .map(|percent| self.reported_usage(id, percent));
         self.events.push(Event::AttemptEnded(AttemptEnd {
             id,
-            attempt: ended.number,
+            attempt: ended.number(),
             node,
             outcome,
             elapsed,
@@ -244,35 +229,20 @@
             busy: response.busy,
         }));
         self.release_request(id);
-        self.close_after_attempt(ended.conn, outcome);
+        self.close_after_attempt(ended.conn(), outcome);
         self.assign_waiting(node);
     }
 
     /// Takes an attempt that is over out of the records of its connection, or of those that wait.
-    fn release_attempt(
-        &mut self,
-        attempt: AttemptId,
-        ended: &OutstandingAttempt,
-        outcome: AttemptOutcome,
-        answered: bool,
-    ) {
-        self.deadlines.remove(&(ended.deadline, attempt));
-        if let Some(count) = self.attempts_at.get_mut(&ended.node) {
-            *count -= 1;
-        }
-        if may_still_run(outcome) {
-            let until = self.now + self.longest_deadline;
-            let known = self.may_run_until.entry(ended.node).or_insert(until);
-            *known = until.max(*known);
-        }
-        let conn = ended.conn.and_then(|conn| self.conns.get_mut(&conn));
+    fn release_attempt(&mut self, attempt: AttemptId, ended: &OutstandingAttempt, answered: bool) {
+        let conn = ended.conn().and_then(|conn| self.conns.get_mut(&conn));
         if let Some(conn) = conn {
             conn.attempts.remove(&attempt);
             conn.idle_since = self.now;
             if self.wire_mode.is_exclusive() && answered {
                 conn.rests_until = self.now + REST_AFTER_ANSWER;
             }
-        } else if let Some(pool) = self.pools.get_mut(&ended.node) {
+        } else if let Some(pool) = self.pools.get_mut(&ended.node()) {
             pool.waiting.retain(|other| *other != attempt);
         }
     }
@@ -323,11 +293,7 @@
 
     /// Ends attempts whose deadline has passed. One that never crossed never ran.
     pub(super) fn expire_attempts(&mut self) {
-        while let Some(&(at, attempt)) = self.deadlines.first() {
-            if at > self.now {
-                return;
-            }
-            self.deadlines.remove(&(at, attempt));
+        while let Some(attempt) = self.attempts.take_expired(self.now) {
             let outcome = match self.revoke(attempt) {
                 true => AttemptOutcome::NotSent,
                 false => AttemptOutcome::TimedOut,
@@ -339,8 +305,8 @@
     /// Calls off the attempt of that number of a request.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
         let is_it = |attempt: &&AttemptId| {
-            let outstanding = self.attempts.get(attempt);
-            outstanding.is_some_and(|outstanding| outstanding.number == number)
+            let outstanding = self.attempts.get(**attempt);
+            outstanding.is_some_and(|outstanding| outstanding.number() == number)
         };
         let request = self.clients.request(&id);
         let outstanding = request.map(|request| request.outstanding().iter());
@@ -351,7 +317,8 @@
         if self.revoke(attempt) {
             return self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None);
         }
-        let conn = self.attempts.get(&attempt).and_then(|attempt| attempt.conn);
+        let outstanding = self.attempts.get(attempt);
+        let conn = outstanding.and_then(|outstanding| outstanding.conn());
         let conn = conn.and_then(|conn| self.conns.get(&conn));
         if let Some(outbox) = conn.and_then(|conn| conn.outbox.as_ref()) {
             let cancel = pb::CancelAttempt { attempt: attempt.0 };
--- a/crates/host/src/router/endpoints.rs
+++ b/crates/host/src/router/endpoints.rs
@@ -82,7 +82,7 @@
 
     /// Another process knows nothing of what the last one ran, and dials to that one are of no use.
     fn node_restarted(&mut self, node: NodeId) {
-        self.may_run_until.remove(&node);
+        self.attempts.node_restarted(node);
         if let Some(pool) = self.pools.get_mut(&node) {
             pool.pool.forget_failures();
         }
--- a/crates/host/src/router/node_connections.rs
+++ b/crates/host/src/router/node_connections.rs
@@ -54,8 +54,8 @@
     }
 
     fn is_on(&self, attempt: AttemptId, conn: ConnId) -> bool {
-        let outstanding = self.attempts.get(&attempt);
-        outstanding.is_some_and(|outstanding| outstanding.conn == Some(conn))
+        let outstanding = self.attempts.get(attempt);
+        outstanding.is_some_and(|outstanding| outstanding.conn() == Some(conn))
     }
 
     fn handle_attempt_response(
@@ -81,14 +81,10 @@
     }
 
     fn handle_response_started(&mut self, conn: ConnId, attempt: AttemptId) {
-        if !self.is_on(attempt, conn) {
+        let Some(started) = self.attempts.response_started(attempt, conn) else {
             return;
-        }
-        let outstanding = self.attempts.get_mut(&attempt).expect("looked up above");
-        // From here it has no deadline of its own: the answer is on its way to the client.
-        self.deadlines.remove(&(outstanding.deadline, attempt));
-        outstanding.deadline = Duration::MAX;
-        let (id, number) = (outstanding.id, outstanding.number);
+        };
+        let (id, number) = (started.request(), started.number());
         self.events.push(Event::ResponseStarted {
             id,
             attempt: number,
@@ -154,15 +150,10 @@
     /// one, once: an end under a connection that was idle says nothing of its node. Whether it
     /// does.
     fn reassign(&mut self, attempt: AttemptId) -> bool {
-        let now = self.now;
-        let outstanding = self.attempts.get_mut(&attempt);
-        let may = |it: &&mut super::types::OutstandingAttempt| !it.reassigned && it.deadline > now;
-        let Some(outstanding) = outstanding.filter(may) else {
+        let Some(node) = self.attempts.unassign(attempt, self.now) else {
             return false;
         };
-        outstanding.reassigned = true;
-        outstanding.conn = None;
-        if let Some(pool) = self.pools.get_mut(&outstanding.node) {
+        if let Some(pool) = self.pools.get_mut(&node) {
             pool.waiting.push_front(attempt);
         }
         true
--- a/crates/host/src/router/reporting.rs
+++ b/crates/host/src/router/reporting.rs
@@ -33,8 +33,8 @@
             if !self.revoke(attempt) {
                 continue;
             }
-            let outstanding = self.attempts.get(&attempt);
-            let in_time = outstanding.is_some_and(|attempt| attempt.deadline > self.now);
+            let outstanding = self.attempts.get(attempt);
+            let in_time = outstanding.is_some_and(|attempt| attempt.deadline() > self.now);
             let outcome = match in_time {
                 true => AttemptOutcome::ConnectFailed,
                 false => AttemptOutcome::NotSent,
@@ -55,8 +55,8 @@
         let longest_wait = bounds.dial_timeout.max(bounds.max_dispatch_delay);
         let decided_before = self.now.saturating_sub(longest_wait);
         for attempt in self.pools.values().flat_map(|pool| &pool.waiting) {
-            let outstanding = self.attempts.get(attempt);
-            if outstanding.is_some_and(|attempt| attempt.sent < decided_before) {
+            let outstanding = self.attempts.get(*attempt);
+            if outstanding.is_some_and(|attempt| attempt.sent() < decided_before) {
                 stale.push(*attempt);
             }
         }
@@ -123,12 +123,10 @@
         if !self.drained.contains(&node) {
             return observation;
         }
-        let may_run_until = self.may_run_until.get(&node).copied();
-        let unsure = may_run_until.unwrap_or_default().saturating_sub(self.now);
         pb::NodeObservation {
             follows: applied,
-            attempts: self.attempts_at.get(&node).copied().unwrap_or(0),
-            unsure_us: clock::micros(unsure),
+            attempts: self.attempts.outstanding_at(node),
+            unsure_us: clock::micros(self.attempts.may_run_for(node, self.now)),
             ..observation
         }
     }
@@ -164,7 +162,7 @@
             draining: self.shutdown.has_begun(),
             leased: follower.is_some_and(|follower| follower.leased()),
             follows: follower.map_or(0, |follower| follower.catalog().version().0),
-            longest_us: clock::micros(self.longest_deadline),
+            longest_us: clock::micros(self.attempts.longest_deadline()),
             ..pb::HostMetrics::default()
         };
         match &self.sharing {
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -272,22 +272,6 @@
     }
 }
 
-/// An attempt that is not over.
-#[derive(Debug)]
-pub(super) struct OutstandingAttempt {
-    pub id: RequestId,
-    /// Among the request's attempts, from 0.
-    pub number: u32,
-    pub node: NodeId,
-    /// None while it waits for a connection.
-    pub conn: Option<ConnId>,
-    pub sent: Duration,
-    pub deadline: Duration,
-    /// Its connection had ended before the attempt was given to it, and it has been given to
-    /// another.
-    pub reassigned: bool,
-}
-
 /// A connection to a node, or a dial.
 #[derive(Debug)]
 pub(super) struct NodeConnection {
