--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -34,6 +34,7 @@
 mod health_checks;
 mod metrics_publisher;
 mod node_connections;
+mod node_pools;
 mod reporting;
 mod shutdown;
 mod timers;
@@ -58,29 +59,19 @@
 use grebecleat_wire::pb::{self, frame::Body};
 use health_checks::HealthChecks;
 use metrics_publisher::MetricsPublisher;
+use node_pools::NodePools;
 use shutdown::Shutdown;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 use std::time::Duration;
 use timers::Timers;
 use tracing::debug;
-use types::{
-    request_id, DiscoveryHistory, DiscoveryLink, HeardDiscoveryLink, NodeConnection, NodePool,
-};
+use types::{request_id, DiscoveryHistory, DiscoveryLink, HeardDiscoveryLink};
 
 /// The longest sleep while anything is open, so that a pause of the process is seen for what it is.
 const MAX_SLEEP: Duration = Duration::from_millis(50);
 /// The longest sleep while nothing is open.
 const MAX_IDLE_SLEEP: Duration = Duration::from_secs(1);
-/// Where a connection carries one exchange at a time, it rests so long after an answer before the
-/// next attempt: an answer that came twice is some milliseconds late, and would be taken for that
-/// attempt's. Harm: where all connections to a node have just answered, an attempt waits, or one
-/// more is dialled.
-const REST_AFTER_ANSWER: Duration = Duration::from_millis(10);
-/// Fraction of the tightest latency objective that a handshake may take before another is begun
-/// beside it. Two of them in turn are about what the decisions let an attempt be late before they
-/// doubt its node.
-const HANDSHAKE_FRACTION: f64 = 0.1;
 
 /// One host's requests, attempts and connections.
 pub struct RequestRouter {
@@ -91,7 +82,6 @@
     config: ConfigFollower,
     /// None: this host shares nothing with its peers.
     sharing: Option<QuotaSharing>,
-    wire_mode: WireMode,
     seed: u64,
     now: Duration,
     /// When the last [`RequestRouter::wake_at`] asked to be called.
@@ -99,15 +89,7 @@
     pauses: ProcessPauses,
     clients: ClientSessions,
     attempts: AttemptTable,
-    conns: BTreeMap<ConnId, NodeConnection>,
-    pools: BTreeMap<NodeId, NodePool>,
-    /// Nodes whose pool may want something.
-    changed_pools: BTreeSet<NodeId>,
-    /// When a connection that rests may be used where an attempt waits for it, or a dial there is
-    /// late.
-    pool_checks: BTreeSet<(Duration, NodeId)>,
-    /// A dial that takes longer is late.
-    handshake: Duration,
+    pools: NodePools,
     endpoints: EndpointList,
     /// Nodes that are drained, whatever the endpoint list says.
     drained: BTreeSet<NodeId>,
@@ -134,32 +116,18 @@
 impl RequestRouter {
     /// A host with the volumes that its settings declare. `seed` is new at each start of the host.
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
-        let classes = &settings.traffic_classes;
-        let tightest_objective = classes
-            .iter()
-            .map(|class| class.facts.latency_objective)
-            .min();
-        let handshake = tightest_objective
-            .unwrap_or_default()
-            .mul_f64(HANDSHAKE_FRACTION)
-            .max(REST_AFTER_ANSWER);
         RequestRouter {
             scheduler: decisions::scheduler(&settings, seed),
             host_index: 0,
             config: ConfigFollower::declared(&settings),
             sharing: None,
-            wire_mode: WireMode::default(),
             seed,
             now: Duration::ZERO,
             requested_wake: Duration::MAX,
             pauses: ProcessPauses::default(),
             clients: ClientSessions::default(),
             attempts: AttemptTable::new(settings.longest_deadline()),
-            conns: BTreeMap::new(),
-            pools: BTreeMap::new(),
-            changed_pools: BTreeSet::new(),
-            pool_checks: BTreeSet::new(),
-            handshake,
+            pools: NodePools::new(settings.clone(), seed),
             endpoints: EndpointList::default(),
             drained: BTreeSet::new(),
             extents_by_shard: None,
@@ -208,7 +176,7 @@
 
     /// Speaks the platform's wire: see [`WireMode::Exclusive`].
     pub fn with_exclusive_connections(mut self) -> Self {
-        self.wire_mode = WireMode::Exclusive;
+        self.pools = self.pools.with_exclusive_connections();
         self
     }
 
@@ -255,15 +223,8 @@
 
     /// The clients of the attempts that wait to be written on a node's connection.
     pub fn clients_waiting_on(&self, conn: ConnId) -> impl Iterator<Item = ConnId> + '_ {
-        let up = self.conns.get(&conn).filter(|conn| conn.is_up());
-        let unsent = up.into_iter().flat_map(|conn| {
-            let outbox = conn.outbox.as_ref().expect("it is up");
-            conn.attempts
-                .iter()
-                .filter(|attempt| outbox.is_queued(**attempt))
-        });
-        unsent.filter_map(|attempt| {
-            let request = self.attempts.get(*attempt)?.request();
+        self.pools.queued_on(conn).filter_map(|attempt| {
+            let request = self.attempts.get(attempt)?.request();
             Some(self.clients.request(&request)?.client())
         })
     }
@@ -295,7 +256,7 @@
         let wakes = [
             self.timers.first_at(),
             self.attempts.first_deadline(),
-            self.pool_checks.first().map(|(at, _)| *at),
+            self.pools.first_check(),
             self.config.wake_at(),
             self.metrics.publish_at(),
             self.sharing.as_ref().map(QuotaSharing::wake_at),
@@ -351,11 +312,7 @@
     }
 
     fn check_pools(&mut self) {
-        while let Some(&(at, node)) = self.pool_checks.first() {
-            if at > self.now {
-                return;
-            }
-            self.pool_checks.remove(&(at, node));
+        while let Some(node) = self.pools.take_due_check(self.now) {
             self.assign_waiting(node);
         }
     }
--- a/crates/host/src/router/attempts.rs
+++ b/crates/host/src/router/attempts.rs
@@ -2,14 +2,12 @@
 
 use super::attempt_table::{may_still_run, OutstandingAttempt};
 use super::client_sessions::OpenRequest;
-use super::types::{frame, NodeConnection, NodePool};
-use super::{ConnId, RequestRouter, REST_AFTER_ANSWER};
+use super::node_pools::NodeConnection;
+use super::types::frame;
+use super::{ConnId, RequestRouter};
 use crate::outbox::AttemptId;
-use crate::pool::{Pool, MAX_LATE_DIALS};
 use grebecleat_scheduler::api::*;
 use grebecleat_wire::pb::{self, frame::Body};
-use std::cmp::Reverse;
-use std::collections::VecDeque;
 use std::time::Duration;
 use tracing::debug;
 
@@ -29,77 +27,26 @@
             return self.end_attempt(attempt, AttemptOutcome::NotSent, now, None);
         }
         self.attempts.start_deadline(attempt, deadline);
-        self.pool_of(node).waiting.push_back(attempt);
+        self.pools.enqueue(node, attempt);
         self.assign_waiting(node);
         let waits = |outstanding: &OutstandingAttempt| outstanding.conn().is_none();
-        if self.wire_mode.is_exclusive() && self.attempts.get(attempt).is_some_and(waits) {
+        let exclusive = self.pools.wire_mode().is_exclusive();
+        if exclusive && self.attempts.get(attempt).is_some_and(waits) {
             // Until as many dials as may be made at a time have had theirs, it is the dial and not
             // the node.
-            let at = now + self.handshake * (MAX_LATE_DIALS as u32 + 1);
+            let at = now + self.pools.dial_allowance();
             self.events.push(Event::AttemptSent { id, node, at });
         }
     }
 
-    fn pool_of(&mut self, node: NodeId) -> &mut NodePool {
-        let bounds = &self.settings.bounds;
-        let per_connection = bounds.attempts_per_connection;
-        let connections = bounds.connections_per_node;
-        let seed = self.seed ^ u64::from(node.0);
-        self.pools.entry(node).or_insert_with(|| NodePool {
-            pool: Pool::new(per_connection, connections, seed),
-            conns: Vec::new(),
-            waiting: VecDeque::new(),
-        })
-    }
-
-    /// Gives waiting attempts of a node to connections with capacity, the emptiest first.
+    /// Assigns waiting attempts of a node to connections with capacity, the least loaded first.
     pub(super) fn assign_waiting(&mut self, node: NodeId) {
-        self.changed_pools.insert(node);
-        while let Some(attempt) = self.first_waiting(node) {
-            let Some(conn) = self.emptiest_connection(node) else {
-                return;
-            };
-            let pool = self.pools.get_mut(&node).expect("an attempt waits there");
-            pool.waiting.pop_front();
+        self.pools.mark_changed(node);
+        while let Some((attempt, conn)) = self.pools.take_assignable(node, self.now) {
             self.assign(attempt, conn);
         }
     }
 
-    fn first_waiting(&self, node: NodeId) -> Option<AttemptId> {
-        self.pools.get(&node)?.waiting.front().copied()
-    }
-
-    /// The connection that takes a node's next attempt; where all that could have to rest, the node
-    /// is looked at again when the first has.
-    fn emptiest_connection(&mut self, node: NodeId) -> Option<ConnId> {
-        let capacity = self.bounds().attempts_per_connection;
-        let mut emptiest = None;
-        let mut rested_at: Option<Duration> = None;
-        for id in &self.pools.get(&node)?.conns {
-            let Some(conn) = self.conns.get(id) else {
-                continue;
-            };
-            if !conn.is_up() || conn.going_away || conn.attempts.len() >= capacity {
-                continue;
-            }
-            if conn.rests_until > self.now {
-                let earlier = rested_at.map_or(conn.rests_until, |at| at.min(conn.rests_until));
-                rested_at = Some(earlier);
-                continue;
-            }
-            // Of idle ones the last used: the others grow old enough to be closed.
-            let rank = (conn.attempts.len(), Reverse(conn.idle_since));
-            if emptiest.is_none_or(|(best, _)| rank < best) {
-                emptiest = Some((rank, *id));
-            }
-        }
-        let Some((_, conn)) = emptiest else {
-            self.pool_checks.extend(rested_at.map(|at| (at, node)));
-            return None;
-        };
-        Some(conn)
-    }
-
     /// Puts an attempt into a connection's outbox.
     fn assign(&mut self, attempt: AttemptId, conn: ConnId) {
         let (assigned, waited_since) = self.attempts.assign(attempt, conn, self.now);
@@ -114,16 +61,9 @@
         let client = self.clients.session(request.client());
         let client = client.map(|client| client.outbox().clone());
         let message = self.attempt_message(attempt, number, node, request);
-        let connection = self.conns.get_mut(&conn).expect("found above");
-        connection.attempts.insert(attempt);
-        let outbox = connection.outbox.as_ref().expect("found up");
-        outbox.put_attempt_of(
-            attempt,
-            frame(Body::Attempt(message)),
-            self.now,
-            deadline,
-            client,
-        );
+        let frame = frame(Body::Attempt(message));
+        self.pools
+            .put_attempt(attempt, conn, frame, self.now, deadline, client);
     }
 
     fn attempt_message(
@@ -162,16 +102,7 @@
         let Some(outstanding) = self.attempts.get(attempt) else {
             return false;
         };
-        let conn = outstanding.conn().and_then(|conn| self.conns.get(&conn));
-        let revoked = match conn.and_then(|conn| conn.outbox.as_ref()) {
-            None => true,
-            Some(outbox) if outbox.revoke(attempt) => true,
-            Some(outbox) if self.wire_mode.is_exclusive() && outbox.is_writing() => {
-                outbox.close();
-                true
-            }
-            Some(_) => false,
-        };
+        let revoked = self.pools.revoke(attempt, outstanding.conn());
         self.counters.unsent += u64::from(revoked);
         revoked
     }
@@ -187,7 +118,9 @@
         let Some(ended) = self.attempts.remove(attempt, outcome, self.now) else {
             return;
         };
-        self.release_attempt(attempt, &ended, response.is_some());
+        let responded = response.is_some();
+        self.pools
+            .release(attempt, ended.node(), ended.conn(), self.now, responded);
         debug!(
             attempt = attempt.0,
             node = ended.node().0,
@@ -233,20 +166,6 @@
         self.assign_waiting(node);
     }
 
-    /// Takes an attempt that is over out of the records of its connection, or of those that wait.
-    fn release_attempt(&mut self, attempt: AttemptId, ended: &OutstandingAttempt, answered: bool) {
-        let conn = ended.conn().and_then(|conn| self.conns.get_mut(&conn));
-        if let Some(conn) = conn {
-            conn.attempts.remove(&attempt);
-            conn.idle_since = self.now;
-            if self.wire_mode.is_exclusive() && answered {
-                conn.rests_until = self.now + REST_AFTER_ANSWER;
-            }
-        } else if let Some(pool) = self.pools.get_mut(&ended.node()) {
-            pool.waiting.retain(|other| *other != attempt);
-        }
-    }
-
     fn count_outcome(&mut self, id: RequestId, node: NodeId, outcome: AttemptOutcome) {
         let completed = outcome == AttemptOutcome::Completed;
         let request = self.clients.request(&id);
@@ -278,15 +197,15 @@
     fn close_after_attempt(&mut self, conn: Option<ConnId>, outcome: AttemptOutcome) {
         use AttemptOutcome::{Cancelled, TimedOut};
         let given_up = matches!(outcome, TimedOut | Cancelled);
-        let Some(conn) = conn.filter(|_| self.wire_mode.is_exclusive()) else {
+        let Some(conn) = conn.filter(|_| self.pools.wire_mode().is_exclusive()) else {
             return;
         };
         let closed = |conn: &NodeConnection| {
-            let outbox = conn.outbox.as_ref();
+            let outbox = conn.outbox();
             outbox.is_some_and(|outbox| outbox.is_closed())
         };
         let ends = |conn: &NodeConnection| given_up || closed(conn);
-        if self.conns.get(&conn).is_some_and(ends) {
+        if self.pools.connection(conn).is_some_and(ends) {
             self.node_disconnected(conn);
         }
     }
@@ -319,8 +238,8 @@
         }
         let outstanding = self.attempts.get(attempt);
         let conn = outstanding.and_then(|outstanding| outstanding.conn());
-        let conn = conn.and_then(|conn| self.conns.get(&conn));
-        if let Some(outbox) = conn.and_then(|conn| conn.outbox.as_ref()) {
+        let conn = conn.and_then(|conn| self.pools.connection(conn));
+        if let Some(outbox) = conn.and_then(|conn| conn.outbox()) {
             let cancel = pb::CancelAttempt { attempt: attempt.0 };
             outbox.put(frame(Body::CancelAttempt(cancel)));
         }
@@ -330,14 +249,7 @@
     /// Revokes all attempts to a node that have not crossed: what was decided before we heard of it
     /// must not cross after.
     pub(super) fn revoke_attempts_to(&mut self, node: NodeId) {
-        let Some(pool) = self.pools.get(&node) else {
-            return;
-        };
-        let mut attempts: Vec<AttemptId> = pool.waiting.iter().copied().collect();
-        for conn in pool.conns.iter().filter_map(|conn| self.conns.get(conn)) {
-            attempts.extend(&conn.attempts);
-        }
-        for attempt in attempts {
+        for attempt in self.pools.attempts_to(node) {
             if self.revoke(attempt) {
                 self.end_attempt(attempt, AttemptOutcome::NotSent, self.now, None);
             }
--- a/crates/host/src/router/clients.rs
+++ b/crates/host/src/router/clients.rs
@@ -105,7 +105,7 @@
             return Err(Unserved::Invalid("transfer of an unknown stream type"));
         };
         let stated = message.plan.zip(message.hosts);
-        let placement = match stated.filter(|_| self.wire_mode.terms_from_requests()) {
+        let placement = match stated.filter(|_| self.pools.wire_mode().terms_from_requests()) {
             Some((plan, hosts)) => VolumePlacement::Here {
                 plan: PlanId(plan as usize),
                 hosts: hosts as usize,
--- a/crates/host/src/router/endpoints.rs
+++ b/crates/host/src/router/endpoints.rs
@@ -83,9 +83,6 @@
     /// Another process knows nothing of what the last one ran, and dials to that one are of no use.
     fn node_restarted(&mut self, node: NodeId) {
         self.attempts.node_restarted(node);
-        if let Some(pool) = self.pools.get_mut(&node) {
-            pool.pool.forget_failures();
-        }
-        self.forget_dials(node);
+        self.pools.node_restarted(node);
     }
 }
--- a/crates/host/src/router/node_connections.rs
+++ b/crates/host/src/router/node_connections.rs
@@ -1,10 +1,10 @@
 //! Connections to nodes: dials, what nodes send, and what becomes of attempts when a connection
 //! ends.
 
-use super::types::{frame, NodeConnection};
+use super::types::frame;
 use super::{ConnId, Output, RequestRouter};
 use crate::outbox::{AttemptId, Outbox};
-use crate::pool::{PoolAction, PoolStatus};
+use crate::pool::PoolAction;
 use grebecleat_scheduler::api::*;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::net::SocketAddr;
@@ -13,15 +13,9 @@
 
 impl RequestRouter {
     pub(super) fn node_connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
-        let Some(connection) = self.conns.get_mut(&conn) else {
-            return outbox.close();
-        };
-        connection.outbox = Some(outbox);
-        connection.idle_since = self.now;
-        let node = connection.node;
-        let pool = self.pools.get_mut(&node).expect("made when dialled");
-        pool.pool.dial_succeeded();
-        self.assign_waiting(node);
+        if let Some(node) = self.pools.connected(conn, outbox, self.now) {
+            self.assign_waiting(node);
+        }
     }
 
     pub(super) fn handle_node_frame(&mut self, conn: ConnId, at: Duration, frame: pb::Frame) {
@@ -41,11 +35,7 @@
                     self.events.push(Event::HealthChecked { node, outcome });
                 }
             }
-            Some(Body::GoingAway(_)) => {
-                if let Some(connection) = self.conns.get_mut(&conn) {
-                    connection.going_away = true;
-                }
-            }
+            Some(Body::GoingAway(_)) => self.pools.going_away(conn),
             _ => {
                 self.log_bad_peer(conn, "node sent what only hosts and clients send");
                 self.node_disconnected(conn);
@@ -102,22 +92,13 @@
     }
 
     pub(super) fn node_disconnected(&mut self, conn: ConnId) {
-        // Out of the pool before any attempt ends: an end lets others go, and they must not go
-        // here.
-        let Some(connection) = self.conns.remove(&conn) else {
+        let Some(ended) = self.pools.disconnected(conn, self.now) else {
             return;
         };
-        let (node, was_up) = (connection.node, connection.is_up());
-        if let Some(pool) = self.pools.get_mut(&node) {
-            pool.conns.retain(|other| *other != conn);
-            if !was_up {
-                pool.pool.dial_failed(self.now);
-            }
-        }
-        for attempt in connection.attempts {
-            self.attempt_lost_connection(attempt, connection.outbox.as_ref());
+        for attempt in ended.attempts() {
+            self.attempt_lost_connection(*attempt, ended.outbox());
         }
-        if let Some(outbox) = connection.outbox {
+        if let Some(outbox) = ended.outbox() {
             outbox.close();
         }
         self.bad_peers.connection_ended(conn);
@@ -127,11 +108,11 @@
                 outcome: AttemptOutcome::ConnectionReset,
             });
         }
-        self.assign_waiting(node);
+        self.assign_waiting(ended.node());
     }
 
     fn attempt_lost_connection(&mut self, attempt: AttemptId, outbox: Option<&Arc<Outbox>>) {
-        let exclusive = self.wire_mode.is_exclusive();
+        let exclusive = self.pools.wire_mode().is_exclusive();
         let queued = outbox.is_some_and(|outbox| outbox.is_queued(attempt));
         if exclusive && queued && self.reassign(attempt) {
             return;
@@ -153,19 +134,13 @@
         let Some(node) = self.attempts.unassign(attempt, self.now) else {
             return false;
         };
-        if let Some(pool) = self.pools.get_mut(&node) {
-            pool.waiting.push_front(attempt);
-        }
+        self.pools.enqueue_first(node, attempt);
         true
     }
 
     /// Brings the connections of changed pools towards what the pools want.
     pub(super) fn adjust_pools(&mut self) {
-        while let Some(node) = self.changed_pools.pop_first() {
-            let Some(pool) = self.pools.get(&node) else {
-                continue;
-            };
-            let wanted = pool.pool.wanted(self.now, self.pool_status(node));
+        while let Some((node, wanted)) = self.pools.next_action(self.now) {
             let known = self.endpoints.nodes.get(&node);
             match (wanted, known.and_then(|known| known.address)) {
                 (PoolAction::Nothing, _) => {}
@@ -174,12 +149,10 @@
                 (PoolAction::Dial, Some(address)) => {
                     if self.make_room_for_dial() {
                         self.dial(node, address);
-                        self.changed_pools.insert(node); // it may want several
                     }
                 }
                 (PoolAction::Fail, _) | (PoolAction::Dial, None) => {
-                    let waiting: Vec<AttemptId> = pool.waiting.iter().copied().collect();
-                    for attempt in waiting {
+                    for attempt in self.pools.waiting(node) {
                         self.counters.unsent += 1;
                         self.end_attempt(attempt, AttemptOutcome::ConnectFailed, self.now, None);
                     }
@@ -188,38 +161,9 @@
         }
     }
 
-    fn pool_status(&self, node: NodeId) -> PoolStatus {
-        let pool = &self.pools[&node];
-        let mut status = PoolStatus {
-            waiting: pool.waiting.len(),
-            attempts: pool.waiting.len(),
-            ..PoolStatus::default()
-        };
-        let mut resting = 0;
-        for conn in pool.conns.iter().filter_map(|conn| self.conns.get(conn)) {
-            status.attempts += conn.attempts.len();
-            status.up += usize::from(conn.is_up());
-            // Those that rest are of no use yet; but an attempt alone waits for one of them.
-            let rests = conn.attempts.is_empty() && conn.rests_until > self.now;
-            resting += usize::from(rests);
-            let late = !conn.is_up() && conn.dialled + self.handshake <= self.now;
-            status.late += usize::from(late && self.wire_mode.is_exclusive());
-        }
-        status.dialling = pool.conns.len() - status.up;
-        status.up = (status.up - resting).max(usize::from(status.up > 0));
-        status
-    }
-
     fn dial(&mut self, node: NodeId, address: SocketAddr) {
         let conn = ConnId(self.next_number());
-        let dialling = NodeConnection::dialling(node, self.now);
-        self.conns.insert(conn, dialling);
-        if self.wire_mode.is_exclusive() {
-            self.pool_checks.insert((self.now + self.handshake, node));
-        }
-        if let Some(pool) = self.pools.get_mut(&node) {
-            pool.conns.push(conn);
-        }
+        self.pools.dialled(conn, node, self.now);
         self.outputs.push(Output::Dial {
             conn,
             node,
@@ -230,12 +174,10 @@
     /// Whether there may be one more connection to nodes; where all are in use, the one that has
     /// been idle the longest makes room.
     fn make_room_for_dial(&mut self) -> bool {
-        if self.conns.len() < self.bounds().node_connections {
+        if self.pools.has_capacity() {
             return true;
         }
-        let idle = self.conns.iter().filter(|(_, conn)| conn.is_idle());
-        let oldest = idle.min_by_key(|(_, conn)| conn.idle_since);
-        let Some(oldest) = oldest.map(|(id, _)| *id) else {
+        let Some(oldest) = self.pools.longest_idle() else {
             return false;
         };
         self.node_disconnected(oldest);
@@ -244,42 +186,16 @@
 
     /// Closes the connections to a node that have been idle since then.
     pub(super) fn close_idle(&mut self, node: NodeId, since: Duration) {
-        let Some(pool) = self.pools.get(&node) else {
-            return;
-        };
-        for conn in pool.conns.clone() {
-            let idle = |conn: &NodeConnection| conn.is_idle() && conn.idle_since <= since;
-            if self.conns.get(&conn).is_some_and(idle) {
+        for conn in self.pools.connections_to(node).to_vec() {
+            if self.pools.is_idle_since(conn, since) {
                 self.node_disconnected(conn);
             }
         }
     }
 
-    /// Closes what a dial to a process that is no more still brings up.
-    pub(super) fn forget_dials(&mut self, node: NodeId) {
-        let Some(pool) = self.pools.get_mut(&node) else {
-            return;
-        };
-        let dialling = |conn: &ConnId| {
-            let connection = self.conns.get(conn);
-            connection.is_some_and(|connection| !connection.is_up())
-        };
-        let dials: Vec<ConnId> = pool.conns.iter().copied().filter(dialling).collect();
-        pool.conns.retain(|conn| !dials.contains(conn));
-        for conn in dials {
-            self.conns.remove(&conn);
-        }
-        self.changed_pools.insert(node);
-    }
-
     pub(super) fn check_health(&mut self, node: NodeId) {
         let probe = self.next_number();
-        let conns = self.pools.get(&node).map(|pool| pool.conns.as_slice());
-        let up = conns.unwrap_or_default().iter().find_map(|conn| {
-            let outbox = self.conns.get(conn)?.outbox.as_ref()?;
-            Some((*conn, outbox))
-        });
-        let Some((conn, outbox)) = up else {
+        let Some((conn, outbox)) = self.pools.connection_up(node) else {
             self.events.push(Event::HealthChecked {
                 node,
                 outcome: AttemptOutcome::ConnectFailed,
@@ -293,26 +209,15 @@
     /// Ends dials that report nothing, for whatever reason: they must not keep their nodes'
     /// attempts waiting.
     pub(super) fn end_lost_dials(&mut self) {
-        let since = self.now.saturating_sub(self.bounds().dial_timeout * 2);
-        let lost = |conn: &NodeConnection| !conn.is_up() && conn.idle_since < since;
-        let conns = self.conns.iter().filter(|(_, conn)| lost(conn));
-        let lost: Vec<ConnId> = conns.map(|(id, _)| *id).collect();
-        for conn in lost {
+        for conn in self.pools.lost_dials(self.now) {
             self.node_disconnected(conn);
         }
     }
 
     /// Closes connections that have been idle for as long as the settings allow.
     pub(super) fn close_long_idle(&mut self) {
-        let since = self.now.saturating_sub(self.bounds().idle);
-        let old = |conn: &&NodeConnection| conn.is_idle() && conn.idle_since < since;
-        let nodes: std::collections::BTreeSet<NodeId> = self
-            .conns
-            .values()
-            .filter(old)
-            .map(|conn| conn.node)
-            .collect();
-        for node in nodes {
+        let since = self.pools.idle_limit(self.now);
+        for node in self.pools.nodes_with_expired_idle(self.now) {
             self.close_idle(node, since);
         }
     }
--- a/crates/host/src/router/reporting.rs
+++ b/crates/host/src/router/reporting.rs
@@ -45,19 +45,14 @@
 
     fn stale_attempts(&self) -> Vec<AttemptId> {
         let bounds = self.bounds();
-        let mut stale: Vec<AttemptId> = Vec::new();
         let put_before = self.now.saturating_sub(bounds.max_dispatch_delay);
-        for conn in self.conns.values().filter(|conn| !conn.attempts.is_empty()) {
-            if let Some(outbox) = &conn.outbox {
-                stale.extend(outbox.stale(put_before, self.now));
-            }
-        }
+        let mut stale = self.pools.stale_in_outboxes(put_before, self.now);
         let longest_wait = bounds.dial_timeout.max(bounds.max_dispatch_delay);
         let decided_before = self.now.saturating_sub(longest_wait);
-        for attempt in self.pools.values().flat_map(|pool| &pool.waiting) {
-            let outstanding = self.attempts.get(*attempt);
+        for attempt in self.pools.all_waiting() {
+            let outstanding = self.attempts.get(attempt);
             if outstanding.is_some_and(|attempt| attempt.sent() < decided_before) {
-                stale.push(*attempt);
+                stale.push(attempt);
             }
         }
         stale
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -1,12 +1,11 @@
 //! What goes in and out of the router, and the records that it keeps of requests, attempts and
 //! connections.
 
-use crate::outbox::{AttemptId, Outbox};
-use crate::pool::Pool;
+use crate::outbox::Outbox;
 use grebecleat_catalog_service::store::Record;
 use grebecleat_scheduler::api::{NodeId, PeerId, RequestId};
 use grebecleat_wire::pb::{self, frame::Body};
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -272,51 +271,6 @@
     }
 }
 
-/// A connection to a node, or a dial.
-#[derive(Debug)]
-pub(super) struct NodeConnection {
-    pub node: NodeId,
-    /// None: it is being dialled.
-    pub outbox: Option<Arc<Outbox>>,
-    pub attempts: BTreeSet<AttemptId>,
-    pub dialled: Duration,
-    pub idle_since: Duration,
-    /// Not used for another attempt before then.
-    pub rests_until: Duration,
-    /// Its node takes nothing more on it.
-    pub going_away: bool,
-}
-
-impl NodeConnection {
-    pub fn dialling(node: NodeId, now: Duration) -> Self {
-        NodeConnection {
-            node,
-            outbox: None,
-            attempts: BTreeSet::new(),
-            dialled: now,
-            idle_since: now,
-            rests_until: Duration::ZERO,
-            going_away: false,
-        }
-    }
-
-    pub fn is_up(&self) -> bool {
-        self.outbox.is_some()
-    }
-
-    pub fn is_idle(&self) -> bool {
-        self.is_up() && self.attempts.is_empty()
-    }
-}
-
-/// The connections to one node, and the attempts that wait for one.
-#[derive(Debug)]
-pub(super) struct NodePool {
-    pub pool: Pool,
-    pub conns: Vec<ConnId>,
-    pub waiting: VecDeque<AttemptId>,
-}
-
 /// The connection to discovery.
 #[derive(Debug, Default)]
 pub(super) struct DiscoveryLink {
