--- /dev/null
+++ b/crates/host/src/config_follower/served_volumes.rs
@@ -0,0 +1,153 @@
+//! The plans and volumes that this host knows: which volumes it serves, and on which terms.
+//!
+//! Called by [`super::ConfigFollower`] when a plan or a volume changes, and by the router for each
+//! request. Memory: one entry for each plan and for each volume that works, or worked, through this
+//! host.
+
+use grebecleat_catalog::follower::Terms;
+use grebecleat_catalog::records::{self, Name};
+use grebecleat_scheduler::api::{Event, LimitQuota, Plan, PlanId, VolumeId, VolumeTerms};
+use grebecleat_settings::Settings;
+use std::collections::HashMap;
+
+/// Whether this host serves a volume.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum VolumePlacement {
+    /// The volume works through this host.
+    Here {
+        /// Its plan.
+        plan: PlanId,
+        /// The number of hosts through which it works.
+        hosts: usize,
+    },
+    /// The volume works through other hosts.
+    Elsewhere,
+    /// There is no such volume.
+    Unknown,
+    /// This host has not received the catalog yet.
+    NotYetKnown,
+}
+
+/// A volume of the catalog.
+#[derive(Debug, Clone, Copy)]
+struct KnownVolume {
+    plan: PlanId,
+    hosts: usize,
+    /// It works through this host.
+    here: bool,
+}
+
+/// Plans and volumes.
+pub(super) struct ServedVolumes {
+    plans: HashMap<Name, PlanId>,
+    /// Base rates in units a second, by plan.
+    rates: Vec<f64>,
+    volumes: HashMap<VolumeId, KnownVolume>,
+}
+
+impl ServedVolumes {
+    /// The plans that the settings declare, and no volumes.
+    pub(super) fn plans_of(settings: &Settings) -> Self {
+        let plans = settings.plans.iter().enumerate();
+        let rates = settings.plans.iter().map(|plan| plan.facts.base_rate);
+        ServedVolumes {
+            plans: plans
+                .map(|(index, plan)| (Name::from(plan.name.as_str()), PlanId(index)))
+                .collect(),
+            rates: rates.collect(),
+            volumes: HashMap::new(),
+        }
+    }
+
+    /// The plans and volumes that the settings declare.
+    pub(super) fn declared(settings: &Settings) -> Self {
+        let volumes = settings.volumes.iter().map(|volume| {
+            let known = KnownVolume {
+                plan: PlanId(volume.plan),
+                hosts: volume.hosts.len(),
+                here: true,
+            };
+            (VolumeId(volume.id), known)
+        });
+        ServedVolumes {
+            volumes: volumes.collect(),
+            ..ServedVolumes::plans_of(settings)
+        }
+    }
+
+    /// The placement of a volume. None: the volume is unknown.
+    pub(super) fn placement(&self, volume: VolumeId) -> Option<VolumePlacement> {
+        let known = self.volumes.get(&volume)?;
+        Some(match known.here {
+            true => VolumePlacement::Here {
+                plan: known.plan,
+                hosts: known.hosts,
+            },
+            false => VolumePlacement::Elsewhere,
+        })
+    }
+
+    /// The base rate of a plan, in units a second; 0 for an unknown plan.
+    pub(super) fn rate(&self, plan: PlanId) -> f64 {
+        self.rates.get(plan.0).copied().unwrap_or_default()
+    }
+
+    /// Applies a plan of the catalog, and returns the event for the scheduler.
+    pub(super) fn plan_changed(&mut self, name: Name, plan: records::Plan) -> Event {
+        let next = PlanId(self.plans.len());
+        let id = *self.plans.entry(name).or_insert(next);
+        self.rates.resize(self.plans.len(), 0.0);
+        self.rates[id.0] = plan.rate;
+        let facts = Plan {
+            base_rate: plan.rate,
+            reservation: plan.reservation,
+            limit: plan.limit,
+            limit_burst: plan.burst,
+            limit_slack: plan.slack,
+            weight: plan.weight,
+            price: plan.price,
+        };
+        Event::PlanChanged { plan: id, facts }
+    }
+
+    /// Applies the terms of a volume that works through this host, and returns the event for the
+    /// scheduler.
+    pub(super) fn volume_served(&mut self, volume: VolumeId, terms: Terms) -> Event {
+        let plan = self.plans.get(&terms.plan).copied().unwrap_or(PlanId(0));
+        let hosts = terms.hosts;
+        let known = KnownVolume {
+            plan,
+            hosts,
+            here: true,
+        };
+        self.volumes.insert(volume, known);
+        let limit = terms.quota.map(|quota| LimitQuota {
+            rate: quota.rate,
+            burst: quota.burst,
+        });
+        Event::VolumeChanged {
+            volume,
+            terms: Some(VolumeTerms { plan, hosts, limit }),
+        }
+    }
+
+    /// Records that a volume does not work through this host, and returns the event for the
+    /// scheduler. A volume that still exists is known to be served elsewhere; one that does not is
+    /// forgotten.
+    pub(super) fn volume_left(&mut self, volume: VolumeId, exists: bool) -> Event {
+        if exists {
+            let elsewhere = KnownVolume {
+                plan: PlanId(0),
+                hosts: 0,
+                here: false,
+            };
+            self.volumes.insert(volume, elsewhere);
+        } else {
+            self.volumes.remove(&volume);
+        }
+        Event::VolumeChanged {
+            volume,
+            terms: None,
+        }
+    }
+}
--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -61,7 +61,7 @@
 use metrics_publisher::MetricsPublisher;
 use node_pools::NodePools;
 use shutdown::Shutdown;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
 use timers::Timers;
@@ -91,8 +91,6 @@
     attempts: AttemptTable,
     pools: NodePools,
     endpoints: EndpointList,
-    /// Nodes that are drained, whatever the endpoint list says.
-    drained: BTreeSet<NodeId>,
     /// Extents by shard, where a portal has told.
     extents_by_shard: Option<BTreeMap<u32, u64>>,
     observations: ObservationReport,
@@ -129,7 +127,6 @@
             attempts: AttemptTable::new(settings.longest_deadline()),
             pools: NodePools::new(settings.clone(), seed),
             endpoints: EndpointList::default(),
-            drained: BTreeSet::new(),
             extents_by_shard: None,
             observations: ObservationReport::default(),
             metrics: MetricsPublisher::default(),
@@ -159,8 +156,6 @@
     /// Follows a state service, from what was last persisted of it.
     pub fn following(mut self, host: &str, start: InitialState) -> Self {
         self.config = ConfigFollower::of(&self.settings, host, start, self.seed);
-        // What it persisted of drains counts from the first endpoint list on.
-        self.drained = self.config.drained().into_iter().map(NodeId).collect();
         self
     }
 
--- a/crates/host/src/router/configuration.rs
+++ b/crates/host/src/router/configuration.rs
@@ -70,24 +70,14 @@
                 ConfigAction::Log { text } => Output::Log { text },
             });
         }
-        if self.config.drains_changed() {
-            self.apply_drains();
+        if let Some(changed) = self.config.take_drain_changes() {
+            self.apply_exclusions(&changed, "wanted empty", |router, node| {
+                router.config.is_drained(node)
+            });
+            self.share_known_nodes();
         }
     }
 
-    fn apply_drains(&mut self) {
-        let drained: BTreeSet<NodeId> = self.config.drained().into_iter().map(NodeId).collect();
-        let changed: Vec<NodeId> = drained
-            .symmetric_difference(&self.drained)
-            .copied()
-            .collect();
-        self.drained = drained;
-        self.apply_exclusions(&changed, "wanted empty", |router, node| {
-            router.drained.contains(&node)
-        });
-        self.share_known_nodes();
-    }
-
     /// Quota that was leased to this host and ran out during a pause of the process ended then, and
     /// not now: the decisions fill their buckets by the time that has gone by, and would do it by a
     /// rate that others have long had again. Before anything is taken in, since what peers request
@@ -154,7 +144,7 @@
             return;
         };
         let in_use = |(node, known): (&NodeId, &KnownEndpoint)| {
-            let used = known.state == NodeState::Ready && !self.drained.contains(node);
+            let used = known.state == NodeState::Ready && !self.config.is_drained(*node);
             used.then_some((node.0, known.start))
         };
         let nodes = self.endpoints.nodes.iter().filter_map(in_use);
@@ -163,7 +153,7 @@
 
     /// What a node counts as: what the endpoint list says, unless it is drained or all find it bad.
     pub(super) fn node_state(&self, node: NodeId, listed: NodeState) -> NodeState {
-        let excluded = self.drained.contains(&node) || self.is_avoided(node);
+        let excluded = self.config.is_drained(node) || self.is_avoided(node);
         match listed {
             NodeState::Ready if excluded => NodeState::Draining,
             listed => listed,
--- a/crates/host/src/router/reporting.rs
+++ b/crates/host/src/router/reporting.rs
@@ -115,7 +115,7 @@
             ..pb::NodeObservation::default()
         };
         // What is out at a node that serves changes all the time, and nothing waits for it to end.
-        if !self.drained.contains(&node) {
+        if !self.config.is_drained(node) {
             return observation;
         }
         pb::NodeObservation {
