--- a/crates/host/src/config_follower.rs
+++ b/crates/host/src/config_follower.rs
@@ -22,7 +22,7 @@
 use grebecleat_catalog::leader::{CallId, Epoch};
 use grebecleat_catalog::records::Version;
 use grebecleat_catalog_service::codec::{changes_from_proto, revision_from_proto, DecodeError};
-use grebecleat_catalog_service::store::Record;
+use grebecleat_catalog_service::store::{Record, StoreFault};
 use grebecleat_scheduler::api::{Event, NodeId, PlanId, VolumeId};
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -55,7 +55,7 @@
 }
 
 /// A protocol violation by the state service.
-#[derive(Debug, thiserror::Error)]
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum StateServiceError {
     /// A message that a state service does not send.
     #[error("unexpected message from the state service")]
@@ -179,10 +179,12 @@
     }
 
     /// Records the result of a [`ConfigAction::Persist`].
-    pub fn persisted(&mut self, number: u64, done: Result<(), String>) {
+    pub fn persisted(&mut self, number: u64, done: Result<(), StoreFault>) {
         self.pending.push(match done {
             Ok(()) => follower::Event::Persisted { number },
-            Err(reason) => follower::Event::PersistFailed { reason },
+            Err(fault) => follower::Event::PersistFailed {
+                reason: fault.to_string(),
+            },
         });
     }
 
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -22,6 +22,7 @@
 pub mod admission;
 pub mod config_follower;
 pub mod endpoint_list;
+pub mod log_event;
 pub mod metrics;
 pub mod observations;
 pub mod outbox;
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -9,6 +9,7 @@
 //!
 //! Memory: the terms of each volume with a limit that is shared.
 
+use crate::log_event::LogEvent;
 use grebecleat_coordination::events::{self, Action, Rules};
 use grebecleat_coordination::fleet::{Fleet, NodePolicy};
 use grebecleat_coordination::lease_message::LeaseTerms;
@@ -28,8 +29,8 @@
 pub struct SharingOutcome {
     /// Messages to peers.
     pub messages: Vec<(PeerId, Vec<u8>)>,
-    /// Lines for the log.
-    pub log: Vec<String>,
+    /// Events for the log.
+    pub log: Vec<LogEvent>,
     /// Nodes of which it changed whether they are avoided.
     pub changed_nodes: Vec<NodeId>,
 }
@@ -278,7 +279,7 @@
                 Action::PolicyChanged { node, policy } => {
                     self.policy_changed(NodeId(node), policy, &mut outcome)
                 }
-                Action::Log { text } => outcome.log.push(text),
+                Action::Log { text } => outcome.log.push(LogEvent::Coordination { text }),
             }
         }
         outcome
@@ -304,13 +305,7 @@
         if changed {
             outcome.changed_nodes.push(node);
         }
-        let what = match policy {
-            EndpointPolicy::Avoid => "is avoided: others find it bad",
-            EndpointPolicy::Probe => "is avoided by others; this host looks whether it answers",
-            EndpointPolicy::BadPath => "answers others: this host's own way there is bad",
-            EndpointPolicy::OwnEvidence => "is judged by this host alone",
-        };
-        outcome.log.push(format!("node {} {what}", node.0));
+        outcome.log.push(LogEvent::EndpointPolicy { node, policy });
     }
 }
 
--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -36,6 +36,7 @@
 mod node_connections;
 mod node_pools;
 mod reporting;
+mod request_terms;
 mod shutdown;
 mod timers;
 mod types;
@@ -44,6 +45,7 @@
 
 use crate::config_follower::ConfigFollower;
 use crate::endpoint_list::EndpointList;
+use crate::log_event::{LogEvent, ProtocolViolation};
 use crate::observations::ObservationReport;
 use crate::poll_deadline::PollDeadline;
 use crate::process_pause::ProcessPauses;
@@ -390,7 +392,7 @@
             Action::HealthCheck { node } => self.check_health(node),
             Action::CloseIdleConnections { node } => self.close_idle(node, self.now),
             Action::SendToPeer { to, bytes } => self.outputs.push(Output::SendToPeer { to, bytes }),
-            Action::Log { text } => self.log(text),
+            Action::Log { text } => self.log(LogEvent::Scheduler { text }),
             Action::WatchEndpoints { on } => self.call_discovery(Body::Watch(pb::Watch { on })),
             Action::FetchEndpoints => {
                 self.call_discovery(Body::FetchEndpoints(pb::FetchEndpoints {}))
@@ -398,13 +400,13 @@
         }
     }
 
-    fn log(&mut self, text: String) {
-        self.outputs.push(Output::Log { text });
+    fn log(&mut self, event: LogEvent) {
+        self.outputs.push(Output::Log(event));
     }
 
-    fn log_bad_peer(&mut self, conn: ConnId, reason: &str) {
+    fn log_violation(&mut self, conn: ConnId, violation: ProtocolViolation) {
         if self.bad_peers.may_log(conn) {
-            self.log(format!("connection {}: {reason}", conn.0));
+            self.log(LogEvent::ProtocolViolation { conn, violation });
         }
     }
 }
--- a/crates/host/src/router/clients.rs
+++ b/crates/host/src/router/clients.rs
@@ -1,10 +1,12 @@
 //! Clients: their requests, from the first byte to the one final answer.
 
 use super::client_sessions::OpenRequest;
+use super::request_terms::{request_terms, RequestTerms, Unserved};
 use super::types::{frame, request_id};
 use super::{ConnId, RequestRouter};
 use crate::admission::{admit, Load, Refusal};
 use crate::config_follower::VolumePlacement;
+use crate::log_event::ProtocolViolation;
 use crate::outbox::{AttemptId, Outbox};
 use grebecleat_scheduler::api::*;
 use grebecleat_wire::clock;
@@ -12,23 +14,6 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What the settings say of a request that has just come in.
-struct RequestTerms {
-    id: RequestId,
-    plan: PlanId,
-    hosts: usize,
-    /// The longest that a request of its class may take.
-    class_deadline: Duration,
-}
-
-/// Why a request is not taken up.
-enum Unserved {
-    /// No client of sound mind sends this: its connection is closed.
-    Invalid(&'static str),
-    /// This host does not serve the volume.
-    NotHere(VolumePlacement),
-}
-
 impl RequestRouter {
     pub(super) fn client_connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
         if self.shutdown.has_begun() {
@@ -56,7 +41,7 @@
                 }
             }
             Some(Body::GoingAway(_)) => {}
-            _ => self.disconnect(conn, "client sent what only hosts and nodes send"),
+            _ => self.disconnect(conn, ProtocolViolation::UnexpectedClientMessage),
         }
     }
 
@@ -67,11 +52,12 @@
         waited: Duration,
         message: pb::SubmitRequest,
     ) {
-        let terms = match self.terms_of(&message) {
+        let wire_mode = self.pools.wire_mode();
+        let is_open = |id: &RequestId| self.clients.request(id).is_some();
+        let terms = request_terms(&message, &self.settings, &self.config, wire_mode, is_open);
+        let terms = match terms {
             Ok(terms) => terms,
-            Err(Unserved::Invalid(reason)) => return self.disconnect(conn, reason),
-            // Its client may know less than we do of what changed, or more: it is told, and not
-            // disconnected.
+            Err(Unserved::Invalid(violation)) => return self.disconnect(conn, violation),
             Err(Unserved::NotHere(placement)) => {
                 return self.reject_not_here(conn, message, placement)
             }
@@ -92,49 +78,6 @@
         self.open_request(conn, message, &terms, at.saturating_sub(waited), deadline);
     }
 
-    /// Checks a request against the settings.
-    fn terms_of(&self, message: &pb::SubmitRequest) -> Result<RequestTerms, Unserved> {
-        let Some(id) = request_id(&message.id) else {
-            return Err(Unserved::Invalid("transfer without a proper id"));
-        };
-        if self.clients.request(&id).is_some() {
-            return Err(Unserved::Invalid("transfer with an id that is still open"));
-        }
-        let classes = &self.settings.traffic_classes;
-        let Some(class) = classes.get(message.traffic_class as usize) else {
-            return Err(Unserved::Invalid("transfer of an unknown stream type"));
-        };
-        let stated = message.plan.zip(message.hosts);
-        let placement = match stated.filter(|_| self.pools.wire_mode().terms_from_requests()) {
-            Some((plan, hosts)) => VolumePlacement::Here {
-                plan: PlanId(plan as usize),
-                hosts: hosts as usize,
-            },
-            None => self.config.placement(VolumeId(message.volume)),
-        };
-        let (plan, hosts) = match placement {
-            VolumePlacement::Here { plan, .. } if plan.0 >= self.settings.plans.len() => {
-                return Err(Unserved::Invalid("transfer of an unknown plan"));
-            }
-            VolumePlacement::Here { plan, hosts } => (plan, hosts),
-            VolumePlacement::Unknown if !self.config.is_on() => {
-                return Err(Unserved::Invalid("transfer of an unknown volume"));
-            }
-            other => return Err(Unserved::NotHere(other)),
-        };
-        let units = message.units;
-        if !(units.is_finite() && units > 0.0 && units <= self.settings.units.largest) {
-            let reason = "transfer of a size that the settings do not know";
-            return Err(Unserved::Invalid(reason));
-        }
-        Ok(RequestTerms {
-            id,
-            plan,
-            hosts,
-            class_deadline: class.deadline,
-        })
-    }
-
     /// Hands a request to the decisions.
     fn open_request(
         &mut self,
@@ -215,7 +158,7 @@
         client.outbox().put(frame(Body::Response(response)));
         // A client that never reads must not hold our memory; its requests are then dropped.
         if client.outbox().bytes() > self.bounds().max_unread {
-            self.disconnect(conn, "client leaves its answers unread");
+            self.disconnect(conn, ProtocolViolation::UnreadResponses);
         }
     }
 
@@ -307,8 +250,8 @@
     }
 
     /// Closes a bad client's connection, and logs why.
-    pub(super) fn disconnect(&mut self, conn: ConnId, reason: &str) {
-        self.log_bad_peer(conn, reason);
+    pub(super) fn disconnect(&mut self, conn: ConnId, violation: ProtocolViolation) {
+        self.log_violation(conn, violation);
         self.client_disconnected(conn);
     }
 }
--- a/crates/host/src/router/configuration.rs
+++ b/crates/host/src/router/configuration.rs
@@ -4,6 +4,7 @@
 use super::{ConnId, Output, RequestRouter};
 use crate::config_follower::{ConfigAction, ConfigFollower};
 use crate::endpoint_list::KnownEndpoint;
+use crate::log_event::{ExclusionReason, LogEvent};
 use crate::quota_sharing::SharingOutcome;
 use grebecleat_catalog::records::Name;
 use grebecleat_coordination::HostNumber;
@@ -38,7 +39,7 @@
     pub(super) fn handle_state_service_frames(&mut self, conn: ConnId, frames: Vec<pb::Frame>) {
         for body in frames.into_iter().filter_map(|frame| frame.body) {
             if let Err(error) = self.config.handle_frame(conn, body) {
-                self.log_bad_peer(conn, &error.to_string());
+                self.log_violation(conn, error.into());
                 self.config.disconnected(conn, self.now);
             }
         }
@@ -67,13 +68,11 @@
             self.outputs.push(match action {
                 ConfigAction::Dial { conn } => Output::DialStateService { conn },
                 ConfigAction::Persist { number, records } => Output::Persist { number, records },
-                ConfigAction::Log { text } => Output::Log { text },
+                ConfigAction::Log { text } => Output::Log(LogEvent::Catalog { text }),
             });
         }
         if let Some(changed) = self.config.take_drain_changes() {
-            self.apply_exclusions(&changed, "wanted empty", |router, node| {
-                router.config.is_drained(node)
-            });
+            self.apply_exclusions(&changed, ExclusionReason::Drained);
             self.share_known_nodes();
         }
     }
@@ -124,11 +123,11 @@
             let to = Some(to);
             self.outputs.push(Output::SendToPeer { to, bytes });
         }
-        for text in outcome.log {
-            self.log(text);
+        for event in outcome.log {
+            self.log(event);
         }
         if !outcome.changed_nodes.is_empty() {
-            self.apply_exclusions(&outcome.changed_nodes, "avoided", RequestRouter::is_avoided);
+            self.apply_exclusions(&outcome.changed_nodes, ExclusionReason::Outlier);
         }
     }
 
@@ -162,22 +161,22 @@
 
     /// These nodes are excluded, or no longer: the decisions hear of it as if the endpoint list had
     /// told.
-    fn apply_exclusions(
-        &mut self,
-        nodes: &[NodeId],
-        how: &str,
-        excluded: impl Fn(&Self, NodeId) -> bool,
-    ) {
+    fn apply_exclusions(&mut self, nodes: &[NodeId], reason: ExclusionReason) {
         let endpoints: Vec<Endpoint> = nodes
             .iter()
             .filter_map(|node| self.endpoint_of(*node))
             .collect();
         for endpoint in &endpoints {
-            let negation = match excluded(self, endpoint.node) {
-                true => "",
-                false => "no longer ",
+            let node = endpoint.node;
+            let excluded = match reason {
+                ExclusionReason::Drained => self.config.is_drained(node),
+                ExclusionReason::Outlier => self.is_avoided(node),
             };
-            self.log(format!("node {} is {negation}{how}", endpoint.node.0));
+            self.log(LogEvent::NodeExclusion {
+                node,
+                reason,
+                excluded,
+            });
         }
         let unready = endpoints
             .iter()
--- a/crates/host/src/router/discovery.rs
+++ b/crates/host/src/router/discovery.rs
@@ -2,6 +2,7 @@
 
 use super::types::{frame, DiscoveryLink, HeardDiscoveryLink};
 use super::{ConnId, Output, RequestRouter};
+use crate::log_event::{LogEvent, ProtocolViolation};
 use crate::outbox::Outbox;
 use crate::poll_deadline::{self, PollDeadline};
 use grebecleat_scheduler::api::*;
@@ -28,7 +29,7 @@
         let heard = self.heard_discovery.iter().any(|link| link.conn == conn);
         for frame in frames {
             let Some(Body::EndpointUpdate(update)) = frame.body.filter(|_| current || heard) else {
-                self.log_bad_peer(conn, "list sent something that is no list");
+                self.log_violation(conn, ProtocolViolation::UnexpectedDiscoveryMessage);
                 continue;
             };
             if current {
@@ -64,7 +65,8 @@
         if let Some(outbox) = called_later.outbox {
             outbox.close();
         }
-        self.log("list of nodes: an overdue call is answered".to_string());
+        let text = "list of nodes: an overdue call is answered".to_string();
+        self.log(LogEvent::Discovery { text });
     }
 
     fn close_heard_discovery(&mut self) {
@@ -226,7 +228,8 @@
 
     fn call_failed(&mut self, reason: &str) {
         self.discovery_history.failures += 1;
-        self.log(self.discovery_failure_text(reason));
+        let text = self.discovery_failure_text(reason);
+        self.log(LogEvent::Discovery { text });
         self.poll_before_deadline(Some(poll_deadline::Event::Failed));
     }
 
@@ -244,9 +247,8 @@
     fn discovery_answered(&mut self) {
         let failures = std::mem::take(&mut self.discovery_history.failures);
         if failures > 0 {
-            self.log(format!(
-                "list of nodes: answered after {failures} failed calls"
-            ));
+            let text = format!("list of nodes: answered after {failures} failed calls");
+            self.log(LogEvent::Discovery { text });
         }
         self.discovery_history.answered_at = Some(self.now);
     }
--- a/crates/host/src/router/endpoints.rs
+++ b/crates/host/src/router/endpoints.rs
@@ -2,6 +2,7 @@
 
 use super::RequestRouter;
 use crate::endpoint_list::KnownEndpoint;
+use crate::log_event::LogEvent;
 use grebecleat_scheduler::api::*;
 use grebecleat_wire::pb;
 use std::collections::BTreeMap;
@@ -75,7 +76,8 @@
         let read: Vec<Endpoint> = read.collect();
         let unread = endpoints.len() - read.len();
         if unread > 0 {
-            self.log(format!("list of nodes: {unread} entries without a state"));
+            let text = format!("list of nodes: {unread} entries without a state");
+            self.log(LogEvent::Discovery { text });
         }
         read
     }
--- a/crates/host/src/router/node_connections.rs
+++ b/crates/host/src/router/node_connections.rs
@@ -3,6 +3,7 @@
 
 use super::types::frame;
 use super::{ConnId, Output, RequestRouter};
+use crate::log_event::ProtocolViolation;
 use crate::outbox::{AttemptId, Outbox};
 use crate::pool::PoolAction;
 use grebecleat_scheduler::api::*;
@@ -37,7 +38,7 @@
             }
             Some(Body::GoingAway(_)) => self.pools.going_away(conn),
             _ => {
-                self.log_bad_peer(conn, "node sent what only hosts and clients send");
+                self.log_violation(conn, ProtocolViolation::UnexpectedNodeMessage);
                 self.node_disconnected(conn);
             }
         }
--- a/crates/host/src/router/reporting.rs
+++ b/crates/host/src/router/reporting.rs
@@ -4,6 +4,7 @@
 use super::types::frame;
 use super::{Output, RequestRouter};
 use crate::endpoint_list::KnownEndpoint;
+use crate::log_event::{LogEvent, ProtocolViolation};
 use crate::outbox::AttemptId;
 use grebecleat_membership::answers::{Answers, NodeHealth};
 use grebecleat_scheduler::api::*;
@@ -133,7 +134,7 @@
         }
         let head = self.host_metrics();
         for conn in self.metrics.slow_subscribers() {
-            self.disconnect(conn, "a watcher leaves its figures unread");
+            self.disconnect(conn, ProtocolViolation::UnreadMetrics);
         }
         let endpoints = &self.endpoints;
         let start_of = |node: NodeId| endpoints.nodes.get(&node).map_or(0, |known| known.start);
@@ -190,8 +191,8 @@
         }
         let longest = self.clients.latest_deadline().unwrap_or(self.now);
         self.shutdown.begin(longest + self.bounds().patience);
-        let requests = self.clients.request_count();
-        self.log(format!("draining: {requests} transfers held"));
+        let open_requests = self.clients.request_count();
+        self.log(LogEvent::ShutdownStarted { open_requests });
         for client in self.clients.sessions() {
             client
                 .outbox()
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -1,8 +1,9 @@
 //! What goes in and out of the router, and the records that it keeps of requests, attempts and
 //! connections.
 
+use crate::log_event::LogEvent;
 use crate::outbox::Outbox;
-use grebecleat_catalog_service::store::Record;
+use grebecleat_catalog_service::store::{Record, StoreFault};
 use grebecleat_scheduler::api::{NodeId, PeerId, RequestId};
 use grebecleat_wire::pb::{self, frame::Body};
 use std::collections::BTreeMap;
@@ -122,8 +123,8 @@
     Persisted {
         /// The number of the request.
         number: u64,
-        /// The disk's error, for operators.
-        done: Result<(), String>,
+        /// The result.
+        done: Result<(), StoreFault>,
     },
     /// The endpoint list that this host stored before its restart.
     CachedEndpoints {
@@ -197,10 +198,7 @@
         bytes: Vec<u8>,
     },
     /// Write a change of state to the log.
-    Log {
-        /// The line.
-        text: String,
-    },
+    Log(LogEvent),
     /// The shutdown is complete: nothing is open and every answer is written.
     ShutdownComplete,
 }
--- a/crates/host/src/server/owner.rs
+++ b/crates/host/src/server/owner.rs
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::sync::mpsc::{Receiver, RecvTimeoutError};
 use std::time::Duration;
-use tracing::{info, warn};
+use tracing::warn;
 
 /// Inputs that go into one step, so that a flood cannot keep timers waiting.
 const MAX_INPUTS_PER_STEP: usize = 4096;
@@ -83,7 +83,7 @@
             }
         }
         Output::CacheEndpoints { bytes } => cache_endpoints(shared, bytes),
-        Output::Log { text } => log(&shared.hello.name, &text),
+        Output::Log(event) => event.write(Some(&shared.hello.name)),
         Output::ShutdownComplete => return Loop::End,
     }
     Loop::Continue
@@ -95,7 +95,6 @@
     };
     let to_owner = shared.to_owner.clone();
     link.store.commit(records, move |done| {
-        let done = done.map_err(|fault| fault.to_string());
         let _ = to_owner.send(Input::Persisted { number, done });
     });
 }
@@ -120,14 +119,3 @@
     file.sync_all()?;
     std::fs::rename(new, path)
 }
-
-/// A line that begins with a node's number has it as a field too.
-fn log(host: &str, text: &str) {
-    let node = text
-        .strip_prefix("node ")
-        .and_then(|rest| rest.split(' ').next());
-    match node.and_then(|number| number.parse::<u32>().ok()) {
-        Some(node) => info!(host = %host, node, "{text}"),
-        None => info!(host = %host, "{text}"),
-    }
-}
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -8,6 +8,7 @@
 use grebecleat_catalog_service::codec::revision_to_proto;
 use grebecleat_catalog_service::declared_config::deployment;
 use grebecleat_catalog_service::store::Record;
+use grebecleat_host::log_event::LogEvent;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
 use grebecleat_scheduler::api::PeerId;
@@ -42,7 +43,7 @@
     pub dialled: Vec<(ConnId, u32)>,
     /// The list's connections that it asked for.
     pub lists: Vec<(Duration, ConnId)>,
-    pub notes: Vec<String>,
+    pub log: Vec<LogEvent>,
     pub ended: bool,
     /// The connection to the state service, and what is to be kept.
     pub state: Option<ConnId>,
@@ -112,7 +113,7 @@
             boxes: BTreeMap::new(),
             dialled: Vec::new(),
             lists: Vec::new(),
-            notes: Vec::new(),
+            log: Vec::new(),
             ended: false,
             state: None,
             asked: None,
@@ -141,7 +142,7 @@
             match out {
                 Output::Dial { conn, node, .. } => self.dialled.push((conn, node.0)),
                 Output::DialDiscovery { conn } => self.lists.push((self.now, conn)),
-                Output::Log { text } => self.notes.push(text),
+                Output::Log(event) => self.log.push(event),
                 Output::ShutdownComplete => self.ended = true,
                 Output::DialStateService { conn } => self.state = Some(conn),
                 Output::Persist { number, records } => self.keeps.push((number, records)),
@@ -152,6 +153,19 @@
         self.router.wake_at();
     }
 
+    /// Whether an event of the log holds this text.
+    pub fn has_logged(&self, part: &str) -> bool {
+        let text = |event: &LogEvent| match event {
+            LogEvent::ProtocolViolation { violation, .. } => violation.to_string(),
+            LogEvent::Scheduler { text }
+            | LogEvent::Discovery { text }
+            | LogEvent::Catalog { text }
+            | LogEvent::Coordination { text } => text.clone(),
+            other => format!("{other:?}"),
+        };
+        self.log.iter().any(|event| text(event).contains(part))
+    }
+
     pub fn wait(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
--- a/crates/host/tests/config_follower.rs
+++ b/crates/host/tests/config_follower.rs
@@ -112,7 +112,7 @@
     attempts(&mut r, 10, 1000); // what its part of the burst still held
     let alone = attempts(&mut r, 60, 1000);
     assert!(alone <= 4, "{alone}");
-    assert!(r.notes.iter().any(|n| n.contains("lease")), "{:?}", r.notes);
+    assert!(r.has_logged("lease"), "{:?}", r.log);
 }
 
 /// The feed stands still for a minute, on a connection that stays up, and then forty versions come
@@ -288,9 +288,9 @@
     }];
     r.feed(vec![Input::StateServiceFrames { conn, frames }]);
     assert!(
-        r.boxes[&conn].is_closed() && r.notes.iter().any(|n| n.contains("no change")),
+        r.boxes[&conn].is_closed() && r.has_logged("no change"),
         "{:?}",
-        r.notes
+        r.log
     );
     r.take(1, 0);
     let node = r.connect();
--- a/crates/host/tests/router.rs
+++ b/crates/host/tests/router.rs
@@ -254,7 +254,7 @@
         (r.finals(), r.router.counters().events - steps),
         (vec![(1, Completed)], 2)
     );
-    assert!(!r.notes.iter().any(|n| n.contains("shut")), "{:?}", r.notes);
+    assert!(!r.has_logged("shut"), "{:?}", r.log);
 }
 
 #[test]
@@ -309,11 +309,7 @@
         "{:?}",
         r.router.counters()
     );
-    assert!(
-        r.notes.iter().any(|n| n.contains("unread")),
-        "{:?}",
-        r.notes
-    );
+    assert!(r.has_logged("unread"), "{:?}", r.log);
 }
 
 #[test]
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -241,9 +241,9 @@
             Output::DialDiscovery { conn } => {
                 self.dial(conn, self.discovery, DialTarget::Discovery)
             }
-            Output::Log { text } => {
+            Output::Log(event) => {
                 if self.may_log() {
-                    info!("{text}");
+                    event.write(None);
                 }
             }
             // No disk, no state service, no peers here.
--- a/crates/platform/tests/poll_deadline/fleet.rs
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -3,6 +3,7 @@
 use super::discovery::Watch;
 use super::ms;
 use super::scenarios::{OutageKind, Scenario};
+use grebecleat_host::log_event::LogEvent;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
 use grebecleat_platform::config::{Config, DISCOVERY_TERM};
@@ -328,7 +329,9 @@
 
     fn perform(&mut self, host: usize, output: Output) {
         match output {
-            Output::Log { text } if text.starts_with("list of nodes: ") => {
+            Output::Log(LogEvent::Discovery { text } | LogEvent::Scheduler { text })
+                if text.starts_with("list of nodes: ") =>
+            {
                 let change_at = BEGIN + self.scenario.change_at;
                 let state = &mut self.hosts[host];
                 let counts = state.call_begun_at >= change_at && state.informed_at.is_none();
