--- a/crates/host/src/admission.rs
+++ b/crates/host/src/admission.rs
@@ -1,43 +1,45 @@
-//! Whether a request is taken at all.
+//! Admission of requests: bounds the open requests and their bytes.
 //!
-//! Called by the router for each one that arrives, before the decisions hear of it. What is refused
-//! here never ran and is rejected: a host that shuts down, or whose memory is spoken for, must
-//! still give a clear final answer. Guards against clients that send more than they wait for. Harm:
-//! a reserved volume's request can meet the bound that a surge of another filled; the bound is for
-//! memory and stands far above what the decisions queue in service.
+//! Called by the router for each request that arrives, before the scheduler receives it. No state. A
+//! request that is refused here never runs, and its client receives a clear final response, also
+//! from a host that shuts down or whose memory is used up. The bounds guard against clients that
+//! send more requests than they wait for. In exchange, a surge of one volume may fill them and so
+//! refuse a request of another volume with a reservation; the bounds protect memory and are far
+//! above the requests that the scheduler queues in normal service.
 
 use grebecleat_settings::Bounds;
 use std::time::Duration;
 
-/// An overloaded host has capacity again soon.
+/// The Retry-After of an overloaded host, which has capacity again soon. A longer one leaves that
+/// capacity unused; after a shorter one, clients retry and are rejected again.
 const RETRY_OVERLOADED: Duration = Duration::from_millis(250);
-/// A restart takes longer.
+/// The Retry-After of a host that shuts down. A restart takes longer than an overload lasts.
 const RETRY_DRAINING: Duration = Duration::from_secs(1);
 
-/// What this host has open now.
+/// The load of this host.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Load {
-    /// Requests.
+    /// Open requests.
     pub open: usize,
-    /// Bytes of their bodies.
+    /// Bytes of the bodies of the open requests.
     pub bytes: usize,
-    /// It is shutting down.
+    /// Whether the host is shutting down.
     pub draining: bool,
 }
 
-/// Why a request is refused.
+/// A reason to refuse a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Refusal {
-    /// This host takes no more; another one, or this one started anew, may.
+    /// The host is shutting down. Another host, or this one after its restart, may admit the request.
     Draining,
     /// Too many requests are open.
     Open,
-    /// Too many bytes are.
+    /// The open requests have too many bytes.
     Bytes,
 }
 
 impl Refusal {
-    /// When the client should come again.
+    /// The time after which the client should retry.
     pub fn retry_after(self) -> Duration {
         match self {
             Refusal::Draining => RETRY_DRAINING,
@@ -46,7 +48,7 @@
     }
 }
 
-/// Whether a request with so many bytes is taken.
+/// Returns whether a request with a body of `bytes` bytes is admitted.
 ///
 /// ```
 /// use grebecleat_host::admission::{admit, Load, Refusal};
--- a/crates/host/src/config_follower.rs
+++ b/crates/host/src/config_follower.rs
@@ -20,9 +20,10 @@
     self, Action, Follower, InitialState, PersistRequest, Terms, Update,
 };
 use grebecleat_catalog::leader::{CallId, Epoch};
-use grebecleat_catalog::records::Version;
+use grebecleat_catalog::records::{Name, Version};
 use grebecleat_catalog_service::codec::{changes_from_proto, revision_from_proto, DecodeError};
 use grebecleat_catalog_service::store::{Record, StoreFault};
+use grebecleat_coordination::HostNumber;
 use grebecleat_scheduler::api::{Event, NodeId, PlanId, VolumeId};
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -154,6 +155,22 @@
         Some(changed)
     }
 
+    /// Returns the hosts through which a volume works, by their index among the hosts of the
+    /// settings.
+    pub fn hosts_of(&self, volume: VolumeId, settings: &Settings) -> BTreeSet<HostNumber> {
+        let follower = self.follower.as_ref();
+        let known = follower.and_then(|follower| follower.catalog().volume(volume.0));
+        let Some(known) = known else {
+            return BTreeSet::new();
+        };
+        let index = |name: &Name| {
+            let mut hosts = settings.hosts.iter();
+            hosts.position(|host| host.name.as_str() == &**name)
+        };
+        let indexes = known.hosts.iter().filter_map(index);
+        indexes.map(|index| HostNumber(index as u32)).collect()
+    }
+
     /// Returns whether there is a connection to the state service.
     pub fn is_up(&self) -> bool {
         self.link.is_up()
--- a/crates/host/src/config_follower/served_volumes.rs
+++ b/crates/host/src/config_follower/served_volumes.rs
@@ -95,9 +95,9 @@
     /// Applies a plan of the catalog, and returns the event for the scheduler.
     pub(super) fn plan_changed(&mut self, name: Name, plan: records::Plan) -> Event {
         let next = PlanId(self.plans.len());
-        let id = *self.plans.entry(name).or_insert(next);
+        let plan_id = *self.plans.entry(name).or_insert(next);
         self.rates.resize(self.plans.len(), 0.0);
-        self.rates[id.0] = plan.rate;
+        self.rates[plan_id.0] = plan.rate;
         let facts = Plan {
             base_rate: plan.rate,
             reservation: plan.reservation,
@@ -107,7 +107,10 @@
             weight: plan.weight,
             price: plan.price,
         };
-        Event::PlanChanged { plan: id, facts }
+        Event::PlanChanged {
+            plan: plan_id,
+            facts,
+        }
     }
 
     /// Applies the terms of a volume that works through this host, and returns the event for the
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -1,22 +1,23 @@
-//! The running host.
+//! The running host: it hands events to the scheduler and performs the scheduler's actions.
 //!
-//! It feeds the decisions with what really happens and carries out what they return. All that can
-//! be stepped by a test or an emulator is free of sockets and clocks: [`router`] (requests,
-//! attempts and connections as seen from the decisions), and beside it what this package must
-//! itself decide: [`admission`], [`pool`], [`poll_deadline`], [`process_pause`], [`observations`],
-//! [`quota_sharing`]; [`metrics`] is what is shown. [`outbox`] is the seam to the sockets;
-//! [`server`] holds the sockets, on `may` coroutines. Nothing here may choose which request goes
-//! where: that is `grebecleat_scheduler::scheduler` alone. Begin with [`router`].
+//! Begin with [`router`], which carries requests, attempts and connections between the sockets and
+//! the scheduler. The other modules own the decisions that this package makes itself:
+//! [`admission`], [`pool`], [`poll_deadline`], [`process_pause`], [`observations`],
+//! [`config_follower`], [`quota_sharing`] and [`metrics`]. All of them are free of sockets and
+//! clocks, so that a test or an emulator can step them. [`outbox`] is the boundary to the sockets;
+//! [`server`] owns the sockets, on `may` coroutines. [`log_event`] writes the log. Nothing here
+//! chooses the node of a request: only [`grebecleat_scheduler::scheduler`] does.
 
 #![warn(missing_docs)]
 
-// The tests' network serves the tests inside `router` too, under the name it knows.
+// The tests inside `router` share the simulated network of the integration tests, which imports this
+// package under its public name.
 #[cfg(test)]
 extern crate self as grebecleat_host;
 
 #[cfg(test)]
 #[path = "../tests/common/mod.rs"]
-#[allow(missing_docs)] // a test's helper
+#[allow(missing_docs)] // a helper of tests
 mod common;
 
 pub mod admission;
--- a/crates/host/src/log_event.rs
+++ b/crates/host/src/log_event.rs
@@ -79,7 +79,7 @@
     ProtocolViolation {
         /// The peer's connection.
         conn: ConnId,
-        /// What it did.
+        /// The violation.
         violation: ProtocolViolation,
     },
     /// A node is excluded from service, or no longer.
--- a/crates/host/src/metrics.rs
+++ b/crates/host/src/metrics.rs
@@ -1,15 +1,16 @@
-//! The metrics that this host sends to subscribers every second: nodes, what is queued and why, and
-//! what each volume requested and got.
+//! The metrics that this host sends to subscribers every second: nodes, queued requests with the
+//! reason of their wait, and the units that each volume requested and received.
 //!
-//! Called by the router with every request that comes in and completes;
-//! [`MetricsCollector::collect`] makes a second's message. Nothing is counted while nobody
-//! subscribes. What a volume requested is reported under the second in which it came in, and what
-//! has come of it under the same second, whenever that is; the subscriber adds it up. Latency
-//! objectives count from when a request came in here: a client's later try is one of its own, since
-//! this host is not told of its first.
+//! Called by the router with every request that arrives and completes;
+//! [`MetricsCollector::collect`] makes the message of one interval. The router counts nothing while
+//! nobody subscribes. The units that a volume requested are reported under the second in which the
+//! request arrived; the units that it received are reported under that same second, whenever the
+//! request completes. The subscriber adds them up. Latency objectives count from the arrival of a
+//! request at this host: a client's retry is a request of its own, since this host does not know of
+//! the first try.
 //!
-//! Memory: a record for each volume, shard and second of which something changed since the last
-//! message, and the last reported row of each node.
+//! Memory: a record for each volume, shard and second that changed since the last message, and the
+//! last reported row of each node.
 
 use grebecleat_scheduler::api::{BlockReason, NodeId, NodeState};
 use grebecleat_scheduler::scheduler::inspection::{NodeMetrics, QueueMetrics};
@@ -19,17 +20,20 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Time between two messages.
+/// Time between two messages. A longer interval shows operators a change later; a shorter one costs
+/// the host more messages.
 pub const INTERVAL: Duration = Duration::from_secs(1);
-/// Lines of queued requests that are looked at for one message.
+/// Queues that are reported in one message. With a larger bound, a message may delay the requests;
+/// with a smaller one, operators do not see some queues.
 const MAX_LINES: usize = 512;
-/// Decimal digits of a figure that count: what hardly changes is not sent again and again.
+/// Significant decimal digits of a figure. With more digits, a row whose figures hardly change is sent
+/// again with every message; with fewer, operators see rougher figures.
 const SIGNIFICANT_DIGITS: f64 = 3.0;
 
-/// What service is counted by.
+/// The key by which service is counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct ServiceKey {
-    /// In which the request came in, of this host's clock.
+    /// The second, of this host's clock, in which the request arrived.
     second: u64,
     volume: u64,
     shard: Option<u32>,
@@ -45,7 +49,7 @@
     }
 }
 
-/// Units since the last message.
+/// Units that were counted since the last message.
 #[derive(Debug, Clone, Copy, Default)]
 struct ServiceCounts {
     requested: f64,
@@ -53,7 +57,7 @@
     late: f64,
 }
 
-/// Counts service and nodes' work between two messages.
+/// Counts the service of volumes and the work of nodes between two messages.
 #[derive(Debug, Default)]
 pub struct MetricsCollector {
     service: HashMap<ServiceKey, ServiceCounts>,
@@ -62,7 +66,7 @@
 }
 
 impl MetricsCollector {
-    /// A new subscriber is sent all nodes.
+    /// Lets the next message contain all nodes, for a new subscriber.
     pub fn report_all_nodes(&mut self) {
         self.reported_nodes.clear();
     }
@@ -72,12 +76,12 @@
         self.service.entry(key).or_default()
     }
 
-    /// Counts a request that has come in.
+    /// Counts a request that has arrived.
     pub fn request_received(&mut self, received: Duration, message: &pb::SubmitRequest) {
         self.counts(received, message).requested += message.units;
     }
 
-    /// Counts a request that completed, within its latency objective or late.
+    /// Counts a request that has completed, within its latency objective (`in_time`) or late.
     pub fn request_completed(
         &mut self,
         received: Duration,
@@ -91,13 +95,13 @@
         }
     }
 
-    /// Counts units that a node completed.
+    /// Counts units that a node has completed.
     pub fn units_completed(&mut self, node: NodeId, units: f64) {
         *self.completed_units.entry(node).or_default() += units;
     }
 
-    /// The message of one interval. `start_of`: which start of a node's process the endpoint list
-    /// names; `head`: the host's own figures.
+    /// Returns the message of one interval. `start_of` returns which start of a node's process the
+    /// endpoint list names; `head` contains the host's own figures.
     pub fn collect(
         &mut self,
         now: Duration,
@@ -144,7 +148,7 @@
     }
 }
 
-/// A row without what changes by itself.
+/// Returns a row without the values that change with time alone.
 fn without_ages(row: &pb::NodeMetrics) -> pb::NodeMetrics {
     pb::NodeMetrics {
         last_success_us: None,
--- a/crates/host/src/metrics/tests.rs
+++ b/crates/host/src/metrics/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn three_digits() {
+fn figures_are_rounded_to_three_digits() {
     for (x, is) in [
         (0.0, 0.0),
         (1234.5, 1230.0),
--- a/crates/host/src/observations.rs
+++ b/crates/host/src/observations.rs
@@ -1,28 +1,51 @@
-//! How this host sees nodes, as it reports it to the state service: only what has changed since the
-//! last report.
+//! The report of how this host sees nodes, for the state service: only the rows that have changed
+//! since the last report.
 //!
 //! Called by the router at every sweep with a row for each node; [`ObservationReport::changes`]
-//! returns the rows to send. What changes by itself (ages, the time that is left to what may still
-//! run) is no change, but for its end. A new connection is sent all rows. Memory: a row for each
-//! node of the endpoint list.
+//! returns the rows to send. A value that changes with time alone (an age, the time for which an
+//! attempt may still run) is no change, but for its end. A new connection to the service is sent
+//! all rows. Memory: a row for each node of the endpoint list, and a count for each shard.
 
-use grebecleat_membership::answers::Answers;
+use crate::endpoint_list::KnownEndpoint;
+use grebecleat_membership::answers::{Answers, NodeHealth};
+use grebecleat_scheduler::api::{NodeId, NodeState};
+use grebecleat_scheduler::scheduler::Scheduler;
+use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
 use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// How far this host is with the drain of a node.
+#[derive(Debug, Clone, Copy)]
+pub struct DrainProgress {
+    /// The version of the catalog that this host has applied.
+    pub applied: u64,
+    /// Outstanding attempts of this host at the node.
+    pub outstanding: u32,
+    /// How long an attempt that ended without an answer may still run at the node.
+    pub may_run_for: Duration,
+}
 
 /// The rows that were last reported.
 #[derive(Debug, Default)]
 pub struct ObservationReport {
     reported: BTreeMap<u32, pb::NodeObservation>,
+    /// Extents by shard. None: the portal of this process has not reported them.
+    extents_by_shard: Option<BTreeMap<u32, u64>>,
 }
 
 impl ObservationReport {
-    /// The service has forgotten what it was sent, or is another one.
+    /// Forgets the reported rows: the service has restarted, or is another one.
     pub fn forget(&mut self) {
         self.reported.clear();
     }
 
-    /// How the node was last reported to answer.
+    /// Replaces the number of extents in each shard that the portal knows.
+    pub fn set_extents_by_shard(&mut self, extents: BTreeMap<u32, u64>) {
+        self.extents_by_shard = Some(extents);
+    }
+
+    /// Returns how the node was last reported to answer.
     pub fn answers(&self, node: u32) -> Answers {
         let reported = self.reported.get(&node);
         match reported.map(|observation| observation.answers()) {
@@ -32,7 +55,42 @@
         }
     }
 
-    /// The rows that differ from those last reported; they count as reported from now on.
+    /// Returns the row of a node. `drain` is None for a node in service: the attempts at such a node
+    /// change all the time, and nobody waits for their end.
+    pub fn row(
+        &self,
+        now: Duration,
+        node: NodeId,
+        known: &KnownEndpoint,
+        health: Option<&NodeHealth>,
+        drain: Option<DrainProgress>,
+    ) -> pb::NodeObservation {
+        let before = self.answers(node.0);
+        let answers = health.map_or(Answers::None, |health| Answers::of(*health, before));
+        let uptime = |started: Duration| micros(now.saturating_sub(started));
+        let extents = self.extents_by_shard.as_ref();
+        let observation = pb::NodeObservation {
+            node: node.0,
+            listed: state_to_proto(known.state).into(),
+            start: known.start,
+            up_us: known.started.map(uptime),
+            revision: known.revision,
+            answers: answers_to_proto(answers).into(),
+            extents: extents.map(|extents| extents.get(&known.shard.0).copied().unwrap_or(0)),
+            ..pb::NodeObservation::default()
+        };
+        match drain {
+            None => observation,
+            Some(drain) => pb::NodeObservation {
+                follows: drain.applied,
+                attempts: drain.outstanding,
+                unsure_us: micros(drain.may_run_for),
+                ..observation
+            },
+        }
+    }
+
+    /// Returns the rows that differ from those last reported. They count as reported from now on.
     pub fn changes(
         &mut self,
         rows: impl IntoIterator<Item = pb::NodeObservation>,
@@ -49,15 +107,47 @@
     }
 }
 
-/// A row without what changes by itself: of the time left only whether there is any.
+/// Returns the health of each node as the scheduler sees it.
+pub fn node_health(scheduler: &Scheduler, now: Duration) -> BTreeMap<NodeId, NodeHealth> {
+    let health = scheduler.nodes().map(|node| {
+        let succeeded = !node.last_success.is_zero();
+        let since_success = now.saturating_sub(node.last_success);
+        let health = NodeHealth {
+            admission_level: node.admission_level,
+            consecutive_failures: node.consecutive_failures,
+            since_success: succeeded.then_some(since_success),
+        };
+        (node.node, health)
+    });
+    health.collect()
+}
+
+/// Returns a row without the values that change with time alone. Of the time for which an attempt
+/// may still run, only whether there is any remains.
 fn stable_part(row: &pb::NodeObservation) -> pb::NodeObservation {
     pb::NodeObservation {
-        // The endpoint list tells the start anew with every process.
+        // A process that restarts has another `start`, so its age needs no comparison.
         up_us: None,
         unsure_us: u64::from(row.unsure_us > 0),
         ..*row
     }
 }
 
+fn state_to_proto(state: NodeState) -> pb::NodeState {
+    match state {
+        NodeState::Ready => pb::NodeState::Ready,
+        NodeState::Draining => pb::NodeState::Draining,
+        NodeState::Gone => pb::NodeState::Gone,
+    }
+}
+
+fn answers_to_proto(answers: Answers) -> pb::Answering {
+    match answers {
+        Answers::None => pb::Answering::NotAsked,
+        Answers::Good => pb::Answering::Well,
+        Answers::Bad => pb::Answering::Badly,
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/host/src/observations/tests.rs
+++ b/crates/host/src/observations/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 
 #[test]
-fn only_what_has_changed_is_told_and_a_new_service_is_told_all() {
+fn only_changed_rows_are_reported_and_a_new_service_receives_all() {
     let row = |node, attempts, unsure_us| pb::NodeObservation {
         node,
         attempts,
         unsure_us,
         ..Default::default()
     };
-    let nodes = |rows: &[pb::NodeObservation]| rows.iter().map(|r| r.node).collect::<Vec<_>>();
+    let nodes = |rows: &[pb::NodeObservation]| rows.iter().map(|rig| rig.node).collect::<Vec<_>>();
     let mut s = ObservationReport::default();
     assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 3, 0)])), [1, 2]);
     assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 2, 900)])), [2]);
     assert!(
         s.changes([row(1, 0, 0), row(2, 2, 100)]).is_empty(),
-        "that runs by itself"
+        "it changes with time alone"
     );
     assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 2, 0)])), [2]);
     s.forget();
--- a/crates/host/src/outbox.rs
+++ b/crates/host/src/outbox.rs
@@ -1,14 +1,15 @@
-//! What is to be written on one connection, until the moment it is written.
+//! The frames that wait to be written on one connection.
 //!
-//! The owner of the decisions puts frames in; the connection's writer takes them out when the
-//! socket has room. An attempt stays revocable until its writer took it: whoever revokes it is told
-//! truly whether it crossed. Without this an attempt could cross seconds after its node was told to
-//! drain, or its client was answered. Nor is it written once its client's reader has seen that the
-//! client cancelled it or ended, however much the owner has to hear before that: the reader notes
-//! it in the client's own outbox, and the writer looks there.
+//! The owner of the router puts frames in; the connection's writer takes them out when the socket
+//! has capacity. An attempt can be revoked until the writer takes it, and the result of the
+//! revocation is exact: otherwise an attempt could be written seconds after its node was set
+//! draining, or after its client had its response. The writer also skips an attempt as soon as the
+//! reader of its client's connection has read a cancellation or the end of the connection, however
+//! many inputs the owner has to handle before: the reader notes the cancellation in the client's own
+//! outbox, where the writer looks it up.
 //!
 //! Memory: bounded by the attempts that a connection carries and, for clients, by
-//! [`Outbox::bytes`], which the owner compares with its bound on unread answers.
+//! [`Outbox::bytes`], which the owner compares with its bound on unread responses.
 
 use bytes::Bytes;
 use grebecleat_wire::frame::HEADER;
@@ -18,35 +19,35 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Identifies an attempt of this host; never used twice.
+/// The number of an attempt of this host. No number is used twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-// Most items are plain frames: in a box each would be one allocation more.
+// Most items are plain frames. A box would add an allocation for each of them.
 #[allow(clippy::large_enum_variant)]
 #[derive(Debug)]
 enum Item {
     /// A frame, and its size in bytes.
     Plain(pb::Frame, usize),
-    /// An attempt of [`Inner::attempts`]; one that is not there any more was revoked.
+    /// An attempt in [`Inner::attempts`]. An attempt that is no longer there was revoked.
     Attempt(AttemptId),
 }
 
 #[derive(Debug)]
 struct QueuedAttempt {
     frame: pb::Frame,
-    /// In bytes.
+    /// Size of the frame, in bytes.
     size: usize,
-    /// When it was put in.
+    /// When it was put into the outbox.
     put: Duration,
-    /// It is not written from then on.
+    /// The attempt is not written from this moment on.
     deadline: Duration,
-    /// Where its client's answers go.
+    /// The outbox of the client's connection.
     client: Option<Arc<Outbox>>,
 }
 
 impl QueuedAttempt {
-    /// Its frame with the time that is left to the node: what the wait here took is none of it.
+    /// Returns the frame with the time that is left to the node: that from `now` to the deadline.
     fn stamped(self, now: Duration) -> pb::Frame {
         let mut frame = self.frame;
         if let Some(Body::Attempt(message)) = &mut frame.body {
@@ -55,12 +56,16 @@
         frame
     }
 
+    /// Returns whether the deadline has not passed and the client has not cancelled the request.
     fn is_wanted(&self, now: Duration) -> bool {
-        let id = match &self.frame.body {
-            Some(Body::Attempt(m)) => &m.id,
-            _ => return now < self.deadline,
+        if now >= self.deadline {
+            return false;
+        }
+        let Some(Body::Attempt(message)) = &self.frame.body else {
+            return true;
         };
-        now < self.deadline && self.client.as_ref().is_none_or(|c| c.wants(id))
+        let client = self.client.as_ref();
+        client.is_none_or(|client| client.wants(&message.id))
     }
 }
 
@@ -71,19 +76,19 @@
     bytes: usize,
     writing: bool,
     closed: bool,
-    /// Cancelled by the client, and not yet handled by the owner.
+    /// Requests that the client has cancelled, and whose cancellation the owner has not handled yet.
     cancelled: HashSet<Bytes>,
 }
 
-/// What a writer is to write now.
+/// The frames that a writer is to write now.
 #[derive(Debug, Default, PartialEq)]
 pub struct Batch {
-    /// When it was taken: of two batches, the later has the later moment, whichever connections
-    /// they are for.
+    /// When the batch was taken. The later of two batches has the later moment, also when they are
+    /// for different connections.
     pub at: Duration,
-    /// In order.
+    /// The frames, in order.
     pub frames: Vec<pb::Frame>,
-    /// The outbox is closed: after this batch the writer ends.
+    /// Whether the outbox is closed: the writer ends after this batch.
     pub closed: bool,
 }
 
@@ -101,8 +106,8 @@
 }
 
 impl Outbox {
-    /// `wake` is called whenever the writer has something new to look at, `hang_up` when it is to
-    /// end even if its peer reads nothing.
+    /// An empty outbox. `wake` is called whenever the writer has something new to handle, and
+    /// `hang_up` when it is to end even if its peer does not read.
     pub fn new(
         wake: impl Fn() + Send + Sync + 'static,
         hang_up: impl Fn() + Send + Sync + 'static,
@@ -115,7 +120,9 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, Inner> {
-        self.inner.lock().unwrap_or_else(|e| e.into_inner())
+        self.inner
+            .lock()
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     /// Adds a frame.
@@ -139,8 +146,8 @@
         self.put_attempt_of(attempt, frame, now, deadline, None);
     }
 
-    /// The same, and not once its client is known to have cancelled it; `client`: where that one's
-    /// answers go.
+    /// Adds an attempt, which is written neither from `deadline` on, nor once its client has
+    /// cancelled the request. `client` is the outbox of the client's connection.
     pub fn put_attempt_of(
         &self,
         attempt: AttemptId,
@@ -167,16 +174,17 @@
         (self.wake)();
     }
 
-    /// Notes what a client cancels as it is read, before the owner handles it.
+    /// Notes the cancellations among the frames of a client, before the owner handles them.
     pub fn note_cancels(&self, frames: &[pb::Frame]) {
-        for f in frames {
-            if let Some(Body::CancelRequest(w)) = &f.body {
-                self.lock().cancelled.insert(w.id.clone());
+        for frame in frames {
+            if let Some(Body::CancelRequest(cancel)) = &frame.body {
+                self.lock().cancelled.insert(cancel.id.clone());
             }
         }
     }
 
-    /// The owner has handled a cancel, and revokes the request's attempts by itself from now on.
+    /// Forgets a cancellation that the owner has handled. From here on the owner revokes the
+    /// request's attempts itself.
     pub fn cancel_handled(&self, id: &Bytes) {
         self.lock().cancelled.remove(id);
     }
@@ -186,40 +194,40 @@
         !inner.closed && !inner.cancelled.contains(id)
     }
 
-    /// Revokes an attempt; whether it had not yet gone to the socket, and now never will.
+    /// Revokes an attempt, and returns whether it was not written yet, and now never will be.
     pub fn revoke(&self, attempt: AttemptId) -> bool {
         let mut inner = self.lock();
         let taken = inner.attempts.remove(&attempt);
-        inner.bytes -= taken.as_ref().map_or(0, |w| w.size);
+        inner.bytes -= taken.as_ref().map_or(0, |queued| queued.size);
         taken.is_some()
     }
 
-    /// Whether an attempt has not gone to the socket.
+    /// Returns whether an attempt waits to be written.
     pub fn is_queued(&self, attempt: AttemptId) -> bool {
         self.lock().attempts.contains_key(&attempt)
     }
 
-    /// The attempts put in before `before`, or whose deadline has passed.
+    /// Returns the attempts that were put in before `before`, or whose deadline has passed.
     pub fn stale(&self, before: Duration, now: Duration) -> Vec<AttemptId> {
         let inner = self.lock();
         inner
             .attempts
             .iter()
-            .filter(|(_, w)| w.put < before || w.deadline <= now)
+            .filter(|(_, queued)| queued.put < before || queued.deadline <= now)
             .map(|(attempt, _)| *attempt)
             .collect()
     }
 
-    /// Takes what goes to the socket now, at most about `max_bytes`. From here on it counts as
-    /// crossed; attempts whose deadline has passed, or whose client has left, stay, and are for the
-    /// owner's next sweep.
+    /// Takes the frames to be written now, of about `max_bytes` bytes at most. From here on they
+    /// count as written. Attempts whose deadline has passed, or whose client has cancelled, stay in
+    /// the outbox until the owner's next sweep.
     pub fn take_batch(&self, clock: impl FnOnce() -> Duration, max_bytes: usize) -> Batch {
         let mut inner = self.lock();
         let now = clock();
         let sent_us = grebecleat_wire::clock::micros(now);
         let mut frames = Vec::new();
         let mut bytes = 0;
-        let mut kept_back = VecDeque::new();
+        let mut retained = VecDeque::new();
         while bytes < max_bytes {
             let (frame, size) = match inner.queue.pop_front() {
                 None => break,
@@ -227,7 +235,7 @@
                 Some(Item::Attempt(attempt)) => match inner.attempts.remove(&attempt) {
                     None => continue,
                     Some(queued) if !queued.is_wanted(now) => {
-                        kept_back.push_back(Item::Attempt(attempt));
+                        retained.push_back(Item::Attempt(attempt));
                         inner.attempts.insert(attempt, queued);
                         continue;
                     }
@@ -240,8 +248,8 @@
             bytes += size;
             frames.push(pb::Frame { sent_us, ..frame });
         }
-        kept_back.append(&mut inner.queue);
-        inner.queue = kept_back;
+        retained.append(&mut inner.queue);
+        inner.queue = retained;
         inner.bytes -= bytes;
         inner.writing = !frames.is_empty();
         Batch {
@@ -251,28 +259,28 @@
         }
     }
 
-    /// The writer has written its last batch whole.
+    /// Records that the writer has written its last batch completely.
     pub fn batch_written(&self) {
         self.lock().writing = false;
     }
 
-    /// Whether the last batch has not been written whole.
+    /// Returns whether the last batch is not yet written completely.
     pub fn is_writing(&self) -> bool {
         self.lock().writing
     }
 
-    /// Bytes that wait.
+    /// Returns the bytes that wait to be written.
     pub fn bytes(&self) -> usize {
         self.lock().bytes
     }
 
-    /// Whether nothing waits and nothing is being written.
+    /// Returns whether no frame waits and none is being written.
     pub fn is_flushed(&self) -> bool {
         let inner = self.lock();
         inner.queue.is_empty() && !inner.writing
     }
 
-    /// Ends the connection: what waits is written if the peer reads, and nothing after it.
+    /// Ends the connection. Frames that wait are written if the peer reads; later ones are not.
     pub fn close(&self) {
         if !std::mem::replace(&mut self.lock().closed, true) {
             (self.hang_up)();
@@ -280,7 +288,7 @@
         }
     }
 
-    /// Whether it is closed.
+    /// Returns whether the outbox is closed.
     pub fn is_closed(&self) -> bool {
         self.lock().closed
     }
--- a/crates/host/src/outbox/tests.rs
+++ b/crates/host/src/outbox/tests.rs
@@ -24,15 +24,15 @@
 }
 
 #[test]
-fn an_attempt_is_either_written_or_taken_back() {
+fn an_attempt_is_either_written_or_revoked() {
     let out = Outbox::new(|| (), || ());
     (1..=4).for_each(|n| out.put_attempt(AttemptId(n), attempt(n), ms(n), ms(100)));
     assert!(out.revoke(AttemptId(2)) && !out.revoke(AttemptId(2)));
     assert_eq!(out.stale(ms(2), ms(50)), [AttemptId(1)]);
     assert!(out.revoke(AttemptId(1)));
     assert_eq!(attempts_of(&out.take_batch(|| ms(60), 1)), [(3, 40_000)]);
-    assert!(!out.revoke(AttemptId(3)), "it went to the socket");
-    // The rest's time comes while the socket has no room.
+    assert!(!out.revoke(AttemptId(3)), "it was written");
+    // The deadline of the rest passes while the socket has no capacity.
     assert_eq!(attempts_of(&out.take_batch(|| ms(100), 1000)), []);
     assert_eq!(out.stale(ms(0), ms(100)), [AttemptId(4)]);
     assert!(out.revoke(AttemptId(4)));
@@ -46,13 +46,13 @@
     assert!(out.is_flushed());
 }
 
-/// The owner may have much to hear before it hears of a client's end; the writer does not wait for
-/// that.
+/// The owner may have many inputs to handle before the end of a client's connection. The writer does
+/// not wait for that.
 #[test]
-fn an_attempt_is_not_written_once_its_client_has_withdrawn_it_or_ended() {
+fn an_attempt_is_not_written_once_its_client_has_cancelled_or_disconnected() {
     type Case = (&'static str, fn(&Outbox), bool);
     let id = Bytes::from_static(b"an id");
-    let withdraws = |outbox: &Outbox| {
+    let cancels = |outbox: &Outbox| {
         let id = Bytes::from_static(b"an id");
         outbox.note_cancels(&[pb::Frame {
             sent_us: 0,
@@ -67,10 +67,10 @@
         }]);
     };
     let cases: [Case; 4] = [
-        ("it waits", |_| (), true),
-        ("it withdraws another", other, true),
-        ("it withdraws it", withdraws, false),
-        ("it ends", Outbox::close, false),
+        ("it does nothing", |_| (), true),
+        ("it cancels another request", other, true),
+        ("it cancels the request", cancels, false),
+        ("it disconnects", Outbox::close, false),
     ];
     for (what, does, written) in cases {
         let client = Arc::new(Outbox::new(|| (), || ()));
--- a/crates/host/src/pool/tests.rs
+++ b/crates/host/src/pool/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn as_many_dials_as_attempts_wait_and_connections_are_up() {
+fn as_many_dials_run_as_attempts_wait_and_connections_are_up() {
     let (now, pool) = (Duration::from_secs(10), Pool::new(1, 8, 1));
     let look = |up, dialling, waiting| PoolStatus {
         up,
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn one_dial_at_a_time_and_fewer_after_failures() {
+fn one_dial_runs_at_a_time_and_backoff_follows_failures() {
     let now = Duration::from_secs(10);
     let mut pool = Pool::new(10, 2, 1);
     let look = |up, dialling, attempts, waiting| PoolStatus {
@@ -60,9 +60,9 @@
     );
 }
 
-/// Attempts waited for a second and a half behind one dial, and its node was taken to be slow.
+/// Attempts once waited for a second and a half behind one dial, and the node was judged slow.
 #[test]
-fn beside_a_late_dial_another_is_made_unless_dials_have_failed() {
+fn another_dial_runs_beside_a_late_one_unless_dials_have_failed() {
     let now = Duration::from_secs(10);
     let look = |up, dialling, late, waiting| PoolStatus {
         up,
@@ -71,7 +71,7 @@
         attempts: up + waiting,
         waiting,
     };
-    // what there is, whether a dial had failed before, what is done
+    // the connections and attempts, whether a dial has failed before, the wanted action
     let cases = [
         (look(0, 1, 0, 1), false, PoolAction::Nothing),
         (look(0, 1, 1, 1), false, PoolAction::Dial),
--- a/crates/host/src/process_pause.rs
+++ b/crates/host/src/process_pause.rs
@@ -1,17 +1,20 @@
-//! Times in which this process itself stood still.
+//! Pauses of this process.
 //!
-//! Called by the owner's loop each time it wakes, with when it wanted to. A process that was
-//! stopped (a signal, a starved machine) finds old answers in its sockets; their lateness is its
-//! own, and a node must not be judged by it. Guards also against long pauses of the disk under a
-//! trace. Harm: a node that was slow during our pause looks quicker than it was, until its next
-//! answers.
+//! Called by the router each time the owner's loop wakes, with the moment at which it was to wake. A
+//! process that was stopped (by a signal, or on a machine without a free processor) finds old
+//! responses in its sockets. Their delay is that of the process, and must not be charged to a node.
+//! The same holds for long pauses of the disk while a trace is written. In exchange, a node that was
+//! slow during a pause looks faster than it was, until its next responses. Memory: the last
+//! [`MAX_PAUSES`] pauses.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A later wake is a pause; scheduling alone makes a few milliseconds.
+/// A wake that is later than this is a pause. Normal scheduling by the operating system delays a wake
+/// by a few milliseconds; with a smaller bound it would count as a pause, and with a larger one the
+/// delay of short pauses would be charged to the nodes.
 const LATE_WAKE: Duration = Duration::from_millis(80);
-/// Pauses that are remembered.
+/// Pauses that are retained. An attempt that spans more pauses is charged with the older ones.
 const MAX_PAUSES: usize = 8;
 
 #[derive(Debug, Clone, Copy)]
@@ -25,8 +28,8 @@
 pub struct ProcessPauses(VecDeque<Pause>);
 
 impl ProcessPauses {
-    /// Notes a wake that was wanted at `wanted` and came at `now`; whether there was a pause
-    /// between.
+    /// Records a wake that was to happen at `wanted` and happened at `now`, and returns whether the
+    /// process was paused in between.
     ///
     /// ```
     /// use grebecleat_host::process_pause::ProcessPauses;
@@ -35,7 +38,7 @@
     /// let mut pauses = ProcessPauses::default();
     /// assert!(!pauses.woke(ms(100), ms(150)));
     /// assert!(pauses.woke(ms(200), ms(1200)));
-    /// // Sent 100 ms before the pause, read 20 ms after it: it took 120 ms that are not ours.
+    /// // Sent 100 ms before the pause, read 20 ms after it: 120 ms are not due to the pause.
     /// assert_eq!(ms(1220) - ms(100) - pauses.within(ms(100), ms(1220)), ms(120));
     /// assert_eq!(pauses.within(ms(1300), ms(1400)), ms(0));
     /// ```
@@ -53,7 +56,7 @@
         true
     }
 
-    /// How much of a span this process stood still.
+    /// Returns for how much of a span this process was paused.
     pub fn within(&self, from: Duration, until: Duration) -> Duration {
         let overlap = |pause: &Pause| pause.until.min(until).saturating_sub(pause.from.max(from));
         self.0.iter().map(overlap).sum()
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -1,13 +1,13 @@
-//! This host's part in what hosts share: quotas of limits, and outlier detection over the whole
-//! fleet.
+//! This host's part in the coordination among hosts: quotas of shared limits, and outlier detection.
 //!
-//! Called by the router: what it receives, completes and sends goes in as it happens, what it
-//! learns of plans and of the endpoint list when that changes, and [`QuotaSharing::step`] returns
-//! what the decisions, the peers and the log are to be told. What is decided is decided in
-//! [`grebecleat_coordination`]; here is only the translation: a quota of a limit becomes a volume's terms,
-//! and a node to be avoided one that drains.
+//! Called by the router: with each request that arrives or completes, with each attempt that ends,
+//! and when plans or the endpoint list change. [`QuotaSharing::step`] returns the events for the
+//! scheduler, the messages to peers and the events for the log. [`grebecleat_coordination`] makes the
+//! decisions; this module translates them: a quota of a limit becomes the terms of a volume, and a
+//! node to be avoided becomes one that drains. State: the terms of each volume with a shared limit,
+//! and the nodes to be avoided.
 //!
-//! Memory: the terms of each volume with a limit that is shared.
+//! Memory: one entry for each volume with a shared limit, and one for each avoided node.
 
 use crate::log_event::LogEvent;
 use grebecleat_coordination::events::{self, Action, Rules};
@@ -24,27 +24,28 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What is to be done beyond telling the decisions.
+/// The outcome of a step, apart from the events for the scheduler.
 #[derive(Debug, Default)]
 pub struct SharingOutcome {
     /// Messages to peers.
     pub messages: Vec<(PeerId, Vec<u8>)>,
     /// Events for the log.
     pub log: Vec<LogEvent>,
-    /// Nodes of which it changed whether they are avoided.
+    /// Nodes that are avoided since this step, or no longer.
     pub changed_nodes: Vec<NodeId>,
 }
 
-/// A volume with a limit that hosts share.
+/// A volume whose limit several hosts share.
 #[derive(Debug, Clone, Copy)]
 struct SharedVolume {
-    /// Its terms with an even quota.
+    /// Its terms if all hosts have equal quotas.
     terms: VolumeTerms,
-    /// How much of the even quota this host may use: over 1 where others lease theirs to it.
+    /// The fraction of the equal quota that this host may use: over 1 where other hosts have leased
+    /// theirs to it.
     times: f64,
 }
 
-/// This host's part in what hosts share.
+/// This host's part in the coordination among hosts.
 #[derive(Debug)]
 pub struct QuotaSharing {
     fleet: Fleet,
@@ -53,7 +54,7 @@
     avoided: BTreeSet<NodeId>,
 }
 
-/// Terms with so many times the rate; the burst stays, but for a host that must use nothing.
+/// Returns terms with `times` the rate. The burst stays, but for a host that may use nothing.
 fn scaled_limit(terms: VolumeTerms, times: f64) -> VolumeTerms {
     let burst_times = f64::from(u8::from(times > 0.0));
     VolumeTerms {
@@ -66,7 +67,7 @@
 }
 
 impl QuotaSharing {
-    /// None where the settings name no fleet, or there are no peers.
+    /// Returns None if the settings configure no fleet, or there are no peers.
     pub fn of(
         now: Duration,
         settings: &Settings,
@@ -100,7 +101,7 @@
         })
     }
 
-    /// Takes the volumes that the settings declare, where no state service does.
+    /// Applies the volumes that the settings declare, where this host follows no state service.
     pub fn declared(&mut self, settings: &Settings) {
         for volume in &settings.volumes {
             let plan: &Plan = &settings.plans[volume.plan].facts;
@@ -110,8 +111,8 @@
         }
     }
 
-    /// Takes a volume's terms as this host follows them, and returns those to go by. `hosts`:
-    /// through which it works.
+    /// Applies the terms of a volume from the catalog, and returns the terms for the scheduler.
+    /// `hosts` are the hosts through which the volume works.
     pub fn volume_changed(
         &mut self,
         volume: VolumeId,
@@ -133,41 +134,40 @@
             sharers: hosts,
             limit: quota.rate * terms.hosts.max(1) as f64,
         });
-        // What it may use of it stays until the fleet says otherwise, which it does in the same
-        // step.
+        // The quota stays until the coordination changes it, which it does in the same step.
         let times = self.volumes.get(&volume).map_or(1.0, |shared| shared.times);
         self.volumes.insert(volume, SharedVolume { terms, times });
         Some(scaled_limit(terms, times))
     }
 
-    /// A peer's message; `waited`: how long it was on its way.
-    pub fn message_received(&mut self, from: PeerId, waited: Duration, bytes: &[u8]) {
+    /// Records a message of a peer, which was on its way for `transit_time`.
+    pub fn message_received(&mut self, from: PeerId, transit_time: Duration, bytes: &[u8]) {
         self.pending.push(events::Event::MessageReceived {
             from: HostNumber(from.0),
-            waited,
+            waited: transit_time,
             bytes: bytes.to_vec(),
         });
     }
 
-    /// A request of a volume has come in.
+    /// Counts a request of a volume that has arrived.
     pub fn request_received(&mut self, volume: u64, units: f64) {
         self.pending
             .push(events::Event::UnitsRequested { volume, units });
     }
 
-    /// Units a second that a volume is served over all hosts, by their own counts: behind, if
-    /// anything.
+    /// Returns the units a second that all hosts together serve of a volume, by their own counts. The
+    /// counts arrive with a delay, so a rising figure is too low rather than too high.
     pub fn served_everywhere(&self, now: Duration, volume: u64) -> f64 {
         self.fleet.served_everywhere(now, volume)
     }
 
-    /// A request of a volume has completed.
+    /// Counts a request of a volume that has completed.
     pub fn request_completed(&mut self, volume: u64, units: f64) {
         self.pending
             .push(events::Event::UnitsServed { volume, units });
     }
 
-    /// How an attempt ended; what says nothing of the node is no evidence.
+    /// Records the outcome of an attempt. An outcome that does not depend on the node is no evidence.
     pub fn attempt_ended(&mut self, node: NodeId, outcome: AttemptOutcome) {
         let bad = match outcome {
             AttemptOutcome::Completed | AttemptOutcome::QueueFull => false,
@@ -181,18 +181,18 @@
             .push(events::Event::AttemptEnded { node: node.0, bad });
     }
 
-    /// The nodes that the endpoint list and the operators have in use, with the starts of their
-    /// processes.
+    /// Records the nodes that the endpoint list and the operators have in service, with the starts of
+    /// their processes.
     pub fn nodes_in_use(&mut self, nodes: BTreeMap<u32, u64>) {
         self.pending.push(events::Event::NodesInUse(nodes));
     }
 
-    /// Whether the fleet finds the node bad.
+    /// Returns whether all hosts are to avoid the node.
     pub fn is_avoided(&self, node: NodeId) -> bool {
         self.avoided.contains(&node)
     }
 
-    /// Adds what operators see of peers, quotas and outlier detection to a host's metrics.
+    /// Adds peers, quotas and the findings of outlier detection to the metrics of this host.
     pub fn metrics(
         &self,
         now: Duration,
@@ -257,17 +257,17 @@
         metrics.collect()
     }
 
-    /// When what this host may use next changes by itself.
+    /// Returns when a quota of this host next changes with time alone.
     pub fn quota_changes_at(&self) -> Duration {
         self.fleet.quotas_change_at()
     }
 
-    /// When `step` must be called again if nothing happens before.
+    /// Returns when `step` must be called again if nothing happens before.
     pub fn wake_at(&self) -> Duration {
         self.fleet.wake_at()
     }
 
-    /// Takes in what has happened since; adds what the decisions are to be told to `events`.
+    /// Handles the events since the last call, and adds the events for the scheduler to `events`.
     pub fn step(&mut self, now: Duration, events: &mut Vec<Event>) -> SharingOutcome {
         let mut outcome = SharingOutcome::default();
         for action in self.fleet.step(now, std::mem::take(&mut self.pending)) {
--- a/crates/host/src/quota_sharing/tests.rs
+++ b/crates/host/src/quota_sharing/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_part_scales_the_rate_of_a_limit_and_nothing_else() {
+fn a_quota_scales_the_rate_of_a_limit_and_nothing_else() {
     let terms = VolumeTerms {
         plan: PlanId(1),
         hosts: 4,
--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -1,43 +1,58 @@
-//! Routes one host's requests, attempts and connections between the sockets and the decisions.
+//! Routes the requests, attempts and connections of one host between the sockets and the scheduler.
 //!
-//! State machine: [`RequestRouter::step`] takes what has happened and returns what the sockets are
-//! to do beyond what lies in the outboxes; [`RequestRouter::wake_at`] says when it must be called
-//! again. No I/O and no clock. Called by the owner's loop ([`crate::server`], or the platform's).
-//! Every event and action of `grebecleat_scheduler::api` is carried here:
+//! State machine: `step(now, inputs)` returns the outputs to perform, beyond the frames that it puts
+//! into outboxes; `wake_at` returns when it must be called again. No I/O and no clock. The caller is
+//! the loop of the owner: [`crate::server`], or that of the platform. The router defines the
+//! order of things; each part of the state has one owner:
 //!
-//! - a request is answered once: by its first attempt that completes, else by the decisions, else
-//!   not at all (its client has left); what comes later is counted as stray and dropped;
-//! - an attempt ends once, by the first of: its node's answer, its deadline, a reset, a cancel, or
-//!   being revoked from an outbox, which alone is reported as "never ran";
-//! - what the endpoint list says of a node, or a drain, revokes every attempt to it that has not
-//!   crossed. The decisions hear of a node that is drained as the list would tell of one that
-//!   drains.
+//! | state | owner |
+//! | --- | --- |
+//! | clients, open requests and their bytes | `ClientSessions` |
+//! | outstanding attempts and their deadlines | `AttemptTable` |
+//! | connections to nodes, and attempts that wait for one | `NodePools`, `NodeConnection` |
+//! | health checks that await their result | `HealthChecks` |
+//! | timers of the scheduler, and the next sweep | `Timers` |
+//! | plans, volumes, drains | [`crate::config_follower`] |
+//! | quotas of shared limits, nodes that all hosts avoid | [`crate::quota_sharing`] |
+//! | the report to the state service | [`crate::observations`] |
+//! | subscribers and metrics | `MetricsPublisher` |
+//! | a graceful shutdown | `Shutdown` |
 //!
-//! Files: `clients` (requests and their answers), `attempts`, `node_connections`, `discovery`,
-//! `endpoints` (what the list changes), `configuration` (state service, quotas and gossip),
-//! `decisions` (how they are set up), `reporting` (sweep, observations, metrics), `shutdown`. Which
-//! volumes are served, and on what terms, [`crate::config_follower`] says; what of a limit this host
-//! may use, and which nodes all hosts find bad, [`crate::quota_sharing`], where it is on.
+//! Every event and action of [`grebecleat_scheduler::api`] passes through the router:
 //!
-//! Memory: requests and their bytes as the settings' bounds allow, connections likewise, and a
-//! record for each node.
+//! - A request has one final response: that of its first attempt that completes, or else the
+//!   scheduler's decision. A request that its client has cancelled has none. A later response is
+//!   counted as stray and dropped.
+//! - An attempt ends once, with the first of these: the response of its node, its deadline, a reset
+//!   of its connection, a cancellation, or its revocation from an outbox. Only a revoked attempt is
+//!   reported as never sent.
+//! - Where the endpoint list, a drain or outlier detection takes a node out of service, every
+//!   attempt to it that is not yet written is revoked. The scheduler receives a drained or avoided
+//!   node as if the endpoint list had set it draining.
+//!
+//! Files: `requests` (the course of a request and its attempts), `nodes` (connections to nodes, and
+//! their exclusion), `endpoints` and `discovery` (the endpoint list).
+//!
+//! Memory: the open requests with their bytes, and the connections, both bounded by the settings;
+//! and a record for each node.
 
 mod attempt_table;
-mod attempts;
 mod bad_peers;
 mod client_sessions;
-mod clients;
-mod configuration;
-mod decisions;
 mod discovery;
+mod effects;
 mod endpoints;
 mod health_checks;
+mod host_identity;
+mod make_scheduler;
 mod metrics_publisher;
-mod node_connections;
+mod node_connection;
 mod node_pools;
-mod reporting;
+mod nodes;
 mod request_terms;
+mod requests;
 mod shutdown;
+mod step_clock;
 mod timers;
 mod types;
 
@@ -46,55 +61,49 @@
 use crate::config_follower::ConfigFollower;
 use crate::endpoint_list::EndpointList;
 use crate::log_event::{LogEvent, ProtocolViolation};
-use crate::observations::ObservationReport;
+use crate::observations::{node_health, DrainProgress, ObservationReport};
 use crate::poll_deadline::PollDeadline;
-use crate::process_pause::ProcessPauses;
 use crate::quota_sharing::QuotaSharing;
 use attempt_table::AttemptTable;
-use bad_peers::BadPeers;
 use client_sessions::ClientSessions;
+use effects::StepEffects;
 use grebecleat_catalog::follower::{Follower, InitialState};
-use grebecleat_scheduler::api::*;
+use grebecleat_scheduler::api::{Action, EndpointUpdateKind, Event, NodeId, PeerId};
 use grebecleat_scheduler::scheduler::Scheduler;
-use grebecleat_settings::{Bounds, Settings};
+use grebecleat_settings::Settings;
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
 use health_checks::HealthChecks;
+use host_identity::HostIdentity;
 use metrics_publisher::MetricsPublisher;
 use node_pools::NodePools;
 use shutdown::Shutdown;
-use std::collections::BTreeMap;
 use std::sync::Arc;
 use std::time::Duration;
+use step_clock::StepClock;
 use timers::Timers;
 use tracing::debug;
 use types::{request_id, DiscoveryHistory, DiscoveryLink, HeardDiscoveryLink};
 
-/// The longest sleep while anything is open, so that a pause of the process is seen for what it is.
+/// The longest sleep while a request is open. The bound separates a pause of the process from a
+/// wait: with a longer sleep, a short pause would be charged to the nodes.
 const MAX_SLEEP: Duration = Duration::from_millis(50);
-/// The longest sleep while nothing is open.
+/// The longest sleep while no request is open. A longer sleep would detect a pause later.
 const MAX_IDLE_SLEEP: Duration = Duration::from_secs(1);
 
-/// One host's requests, attempts and connections.
+/// The requests, attempts and connections of one host.
 pub struct RequestRouter {
+    host: HostIdentity,
+    clock: StepClock,
     scheduler: Scheduler,
-    settings: Arc<Settings>,
-    /// This host's index among the settings' hosts.
-    host_index: usize,
+    effects: StepEffects,
     config: ConfigFollower,
-    /// None: this host shares nothing with its peers.
+    /// None: this host shares no quotas and no findings with peers.
     sharing: Option<QuotaSharing>,
-    seed: u64,
-    now: Duration,
-    /// When the last [`RequestRouter::wake_at`] asked to be called.
-    requested_wake: Duration,
-    pauses: ProcessPauses,
     clients: ClientSessions,
     attempts: AttemptTable,
     pools: NodePools,
     endpoints: EndpointList,
-    /// Extents by shard, where a portal has told.
-    extents_by_shard: Option<BTreeMap<u32, u64>>,
     observations: ObservationReport,
     metrics: MetricsPublisher,
     endpoints_changed: bool,
@@ -105,31 +114,23 @@
     poll_deadline: Option<PollDeadline>,
     health_checks: HealthChecks,
     timers: Timers,
-    events: Vec<Event>,
-    outputs: Vec<Output>,
-    last_number: u64,
     shutdown: Shutdown,
-    bad_peers: BadPeers,
-    counters: Counters,
 }
 
 impl RequestRouter {
-    /// A host with the volumes that its settings declare. `seed` is new at each start of the host.
+    /// A host that serves the volumes that its settings declare. `seed` differs at each start of the
+    /// host.
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
         RequestRouter {
-            scheduler: decisions::scheduler(&settings, seed),
-            host_index: 0,
+            scheduler: make_scheduler::scheduler(&settings, seed),
+            clock: StepClock::default(),
+            effects: StepEffects::default(),
             config: ConfigFollower::declared(&settings),
             sharing: None,
-            seed,
-            now: Duration::ZERO,
-            requested_wake: Duration::MAX,
-            pauses: ProcessPauses::default(),
             clients: ClientSessions::default(),
             attempts: AttemptTable::new(settings.longest_deadline()),
             pools: NodePools::new(settings.clone(), seed),
             endpoints: EndpointList::default(),
-            extents_by_shard: None,
             observations: ObservationReport::default(),
             metrics: MetricsPublisher::default(),
             endpoints_changed: false,
@@ -139,39 +140,36 @@
             poll_deadline: None,
             health_checks: HealthChecks::default(),
             timers: Timers::default(),
-            events: Vec::new(),
-            outputs: Vec::new(),
-            last_number: 1,
             shutdown: Shutdown::default(),
-            bad_peers: BadPeers::default(),
-            counters: Counters::default(),
-            settings,
+            host: HostIdentity::new(settings, seed),
         }
     }
 
     /// Sets this host's index among the settings' hosts.
     pub fn with_host_index(mut self, index: usize) -> Self {
-        self.host_index = index;
+        self.host.set_index(index);
         self
     }
 
-    /// Follows a state service, from what was last persisted of it.
+    /// Follows a state service, from the state that was last persisted.
     pub fn following(mut self, host: &str, start: InitialState) -> Self {
-        self.config = ConfigFollower::of(&self.settings, host, start, self.seed);
+        self.config = ConfigFollower::of(self.host.settings(), host, start, self.host.seed());
         self
     }
 
-    /// Shares observations and quotas with its peers. Called after [`RequestRouter::following`].
+    /// Shares observations and quotas with the peers. Called after [`RequestRouter::following`].
     pub fn sharing(mut self, now: Duration, peers: &[PeerId], incarnation: u64) -> Self {
-        let index = self.host_index;
-        self.sharing = QuotaSharing::of(now, &self.settings, index, peers, incarnation, self.seed);
+        let settings = self.host.settings();
+        let index = self.host.index();
+        let seed = self.host.seed();
+        self.sharing = QuotaSharing::of(now, settings, index, peers, incarnation, seed);
         if let (Some(sharing), false) = (&mut self.sharing, self.config.is_on()) {
-            sharing.declared(&self.settings);
+            sharing.declared(self.host.settings());
         }
         self
     }
 
-    /// Speaks the platform's wire: see [`WireMode::Exclusive`].
+    /// Uses the platform's protocol: see [`WireMode::Exclusive`].
     pub fn with_exclusive_connections(mut self) -> Self {
         self.pools = self.pools.with_exclusive_connections();
         self
@@ -180,45 +178,38 @@
     /// What discovery has to tell is known within `term`, also where calls fail; one may take
     /// `call`, its dial included.
     pub fn with_poll_deadline(mut self, term: Duration, call: Duration) -> Self {
-        self.poll_deadline = Some(PollDeadline::new(term, call, self.seed));
+        self.poll_deadline = Some(PollDeadline::new(term, call, self.host.seed()));
         self
     }
 
-    fn bounds(&self) -> &Bounds {
-        &self.settings.bounds
-    }
-
-    fn next_number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
-    }
-
-    /// The settings that it was made with.
+    /// The settings of this host.
     pub fn settings(&self) -> &Settings {
-        &self.settings
+        self.host.settings()
     }
 
-    /// What it follows of a state service. Panics where there is none.
+    /// The follower of the state service. Panics where this host follows none.
     pub fn follower(&self) -> &Follower {
-        self.config.follower().expect("it follows a state service")
+        self.config
+            .follower()
+            .expect("this host follows a state service")
     }
 
-    /// The decisions, for inspection.
+    /// The scheduler, for introspection.
     pub fn scheduler(&mut self) -> &mut Scheduler {
         &mut self.scheduler
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the host.
     pub fn counters(&self) -> Counters {
-        self.counters
+        self.metrics.counters()
     }
 
-    /// Whether anything of a request is open or out.
+    /// Returns whether a request is open: not answered, or with an outstanding attempt.
     pub fn is_open(&self, id: &[u8]) -> bool {
         request_id(id).is_some_and(|id| self.clients.request(&id).is_some())
     }
 
-    /// The clients of the attempts that wait to be written on a node's connection.
+    /// Returns the clients of the attempts that wait to be written on a connection to a node.
     pub fn clients_waiting_on(&self, conn: ConnId) -> impl Iterator<Item = ConnId> + '_ {
         self.pools.queued_on(conn).filter_map(|attempt| {
             let request = self.attempts.get(attempt)?.request();
@@ -226,7 +217,7 @@
         })
     }
 
-    /// What is open now.
+    /// The open requests and outstanding attempts.
     pub fn open_work(&self) -> OpenWork {
         OpenWork {
             requests: self.clients.request_count(),
@@ -235,21 +226,19 @@
         }
     }
 
-    /// Whether this process has just stood still: the caller then first reads what waits in its
-    /// sockets, since answers that came meanwhile must be heard before silence is judged.
+    /// Returns whether this process has just been paused. The caller then reads the frames that wait
+    /// in its sockets before the next step: responses that arrived during the pause must be handled
+    /// before their absence is counted against a node.
     pub fn detect_pause(&mut self, now: Duration) -> bool {
-        let paused = self.pauses.woke(self.requested_wake.max(self.now), now);
-        if paused {
-            self.counters.pauses += 1;
-            self.requested_wake = now;
-        }
+        let paused = self.clock.detect_pause(now);
+        self.metrics.counters_mut().pauses += u64::from(paused);
         paused
     }
 
-    /// When `step` must be called again if nothing happens before.
+    /// Returns when `step` must be called again if nothing happens before.
     pub fn wake_at(&mut self) -> Duration {
         let idle = self.clients.request_count() == 0 && !self.shutdown.has_begun();
-        let latest = self.now + if idle { MAX_IDLE_SLEEP } else { MAX_SLEEP };
+        let latest = self.clock.now() + if idle { MAX_IDLE_SLEEP } else { MAX_SLEEP };
         let wakes = [
             self.timers.first_at(),
             self.attempts.first_deadline(),
@@ -261,14 +250,13 @@
             self.poll_deadline.as_ref().and_then(PollDeadline::wake_at),
         ];
         let wake = wakes.into_iter().flatten().fold(latest, Duration::min);
-        self.requested_wake = wake.max(self.now);
-        self.requested_wake
+        self.clock.request_wake(wake)
     }
 
-    /// Takes in what has happened up to `now` and returns what to do.
+    /// Handles the inputs up to `now` and returns the outputs to perform.
     pub fn step(&mut self, now: Duration, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
-        self.now = now.max(self.now);
-        self.counters.steps += 1;
+        self.clock.advance(now);
+        self.metrics.counters_mut().steps += 1;
         self.expire_quota_leases();
         for input in inputs {
             self.handle_input(input);
@@ -278,17 +266,25 @@
         self.expire_attempts();
         self.check_pools();
         self.fire_timers();
-        if self.timers.take_due_sweep(self.now) {
+        if self.timers.take_due_sweep(self.clock.now()) {
             self.sweep();
         }
-        if self.discovery.answer_by.is_some_and(|by| self.now >= by) {
+        if self
+            .discovery
+            .answer_by
+            .is_some_and(|by| self.clock.now() >= by)
+        {
             self.discovery_overdue();
         }
-        // What the decisions ask for can at once come to an end (nothing to send on, already over).
-        while !self.events.is_empty() {
-            let events = std::mem::take(&mut self.events);
-            self.counters.events += events.len() as u64;
-            let actions = self.scheduler.step(self.now, events);
+        // An action may cause another event at once: an attempt, for instance, ends in this step if
+        // its node has no connection, or its request is already answered.
+        loop {
+            let events = self.effects.take_events();
+            if events.is_empty() {
+                break;
+            }
+            self.metrics.counters_mut().events += events.len() as u64;
+            let actions = self.scheduler.step(self.clock.now(), events);
             self.log_rejections();
             for action in actions {
                 self.perform(action);
@@ -298,7 +294,7 @@
         self.poll_before_deadline(None);
         self.adjust_pools();
         self.complete_shutdown();
-        std::mem::take(&mut self.outputs)
+        self.effects.take_outputs()
     }
 
     fn log_rejections(&self) {
@@ -309,14 +305,14 @@
     }
 
     fn check_pools(&mut self) {
-        while let Some(node) = self.pools.take_due_check(self.now) {
+        while let Some(node) = self.pools.take_due_check(self.clock.now()) {
             self.assign_waiting(node);
         }
     }
 
     fn fire_timers(&mut self) {
-        if let Some(tag) = self.timers.take_due(self.now) {
-            self.events.push(Event::TimerFired { tag });
+        if let Some(tag) = self.timers.take_due(self.clock.now()) {
+            self.effects.event(Event::TimerFired { tag });
         }
     }
 
@@ -358,7 +354,7 @@
             Input::StateServiceFrames { conn, frames } => {
                 self.handle_state_service_frames(conn, frames)
             }
-            Input::StateServiceGone { conn } => self.config.disconnected(conn, self.now),
+            Input::StateServiceGone { conn } => self.config.disconnected(conn, self.clock.now()),
             Input::Persisted { number, done } => self.config.persisted(number, done),
             Input::CachedEndpoints { list } => {
                 self.apply_endpoints(EndpointUpdateKind::Cached, &list.endpoints, 0)
@@ -368,7 +364,7 @@
                 waited,
                 bytes,
             } => self.handle_peer_message(from, waited, bytes),
-            Input::ExtentsByShard { shards } => self.extents_by_shard = Some(shards),
+            Input::ExtentsByShard { shards } => self.observations.set_extents_by_shard(shards),
             Input::SubscriberUp { conn, outbox } => self.metrics.subscribe(conn, outbox),
             Input::Shutdown => self.begin_shutdown(),
         }
@@ -388,11 +384,13 @@
                 self.finish_request(id, pb::Outcome::Failed, pb::Response::default())
             }
             Action::CancelAttempt { id, attempt } => self.cancel_attempt(id, attempt),
-            Action::SetTimer { after, tag } => self.timers.set(self.now + after, tag),
+            Action::SetTimer { after, tag } => self.timers.set(self.clock.now() + after, tag),
             Action::HealthCheck { node } => self.check_health(node),
-            Action::CloseIdleConnections { node } => self.close_idle(node, self.now),
-            Action::SendToPeer { to, bytes } => self.outputs.push(Output::SendToPeer { to, bytes }),
-            Action::Log { text } => self.log(LogEvent::Scheduler { text }),
+            Action::CloseIdleConnections { node } => self.close_idle(node, self.clock.now()),
+            Action::SendToPeer { to, bytes } => {
+                self.effects.output(Output::SendToPeer { to, bytes })
+            }
+            Action::Log { text } => self.effects.log(LogEvent::Scheduler { text }),
             Action::WatchEndpoints { on } => self.call_discovery(Body::Watch(pb::Watch { on })),
             Action::FetchEndpoints => {
                 self.call_discovery(Body::FetchEndpoints(pb::FetchEndpoints {}))
@@ -400,13 +398,97 @@
         }
     }
 
-    fn log(&mut self, event: LogEvent) {
-        self.outputs.push(Output::Log(event));
+    fn sweep(&mut self) {
+        self.end_stale_attempts();
+        self.end_lost_dials();
+        self.close_expired_idle();
+        self.publish_observations();
+        self.publish_metrics();
+        if std::mem::take(&mut self.endpoints_changed) {
+            let bytes = self.endpoints.to_bytes(self.clock.now());
+            self.effects.output(Output::CacheEndpoints { bytes });
+        }
+    }
+
+    /// Sends the state service the changes of how this host sees nodes.
+    fn publish_observations(&mut self) {
+        let follower = self.config.follower();
+        let Some(follower) = follower.filter(|_| self.config.is_up()) else {
+            return;
+        };
+        let applied = follower.catalog().version().0;
+        let health = node_health(&self.scheduler, self.clock.now());
+        let known = self.endpoints.nodes.iter();
+        let rows: Vec<pb::NodeObservation> = known
+            .map(|(node, known)| {
+                let drained = self.config.is_drained(*node);
+                let progress = drained.then(|| DrainProgress {
+                    applied,
+                    outstanding: self.attempts.outstanding_at(*node),
+                    may_run_for: self.attempts.may_run_for(*node, self.clock.now()),
+                });
+                self.observations
+                    .row(self.clock.now(), *node, known, health.get(node), progress)
+            })
+            .collect();
+        let nodes = self.observations.changes(rows);
+        if !nodes.is_empty() {
+            let observations = pb::NodeObservations { nodes };
+            self.config.put(Body::NodeObservations(observations));
+        }
+    }
+
+    /// Sends the metrics of one interval to the subscribers. A subscriber that leaves them unread is
+    /// disconnected.
+    fn publish_metrics(&mut self) {
+        if !self.metrics.is_due(self.clock.now()) {
+            return;
+        }
+        let head = self.host_metrics();
+        for conn in self.metrics.slow_subscribers() {
+            self.disconnect(conn, ProtocolViolation::UnreadMetrics);
+        }
+        let endpoints = &self.endpoints;
+        let start_of = |node: NodeId| endpoints.nodes.get(&node).map_or(0, |known| known.start);
+        self.metrics
+            .publish(self.clock.now(), &self.scheduler, start_of, head);
+    }
+
+    fn host_metrics(&self) -> pb::HostMetrics {
+        let follower = self.config.follower();
+        let metrics = pb::HostMetrics {
+            host: self.host.name(),
+            open: self.clients.request_count() as u64,
+            held_bytes: self.clients.request_bytes() as u64,
+            draining: self.shutdown.has_begun(),
+            leased: follower.is_some_and(|follower| follower.leased()),
+            follows: follower.map_or(0, |follower| follower.catalog().version().0),
+            longest_us: clock::micros(self.attempts.longest_deadline()),
+            ..self.metrics.counters().to_metrics()
+        };
+        match &self.sharing {
+            Some(sharing) => sharing.metrics(self.clock.now(), self.host.settings(), metrics),
+            None => metrics,
+        }
+    }
+
+    fn begin_shutdown(&mut self) {
+        if self.shutdown.has_begun() {
+            return;
+        }
+        let longest = self.clients.latest_deadline().unwrap_or(self.clock.now());
+        self.shutdown.begin(longest + self.host.bounds().patience);
+        let open_requests = self.clients.request_count();
+        self.effects
+            .log(LogEvent::ShutdownStarted { open_requests });
+        self.clients.announce_shutdown();
     }
 
-    fn log_violation(&mut self, conn: ConnId, violation: ProtocolViolation) {
-        if self.bad_peers.may_log(conn) {
-            self.log(LogEvent::ProtocolViolation { conn, violation });
+    fn complete_shutdown(&mut self) {
+        let clients = &self.clients;
+        let all_written = || clients.all_written();
+        if self.shutdown.completes(self.clock.now(), all_written) {
+            self.effects.output(Output::ShutdownComplete);
         }
     }
 }
--- a/crates/host/src/router/attempt_table.rs
+++ b/crates/host/src/router/attempt_table.rs
@@ -120,6 +120,15 @@
         self.attempts.get(&attempt)
     }
 
+    /// Returns the attempt with this number among `attempts`, which are those of one request.
+    pub(super) fn with_number(&self, attempts: &[AttemptId], number: u32) -> Option<AttemptId> {
+        let has_number = |id: &AttemptId| {
+            let attempt = self.attempts.get(id);
+            attempt.is_some_and(|attempt| attempt.number == number)
+        };
+        attempts.iter().copied().find(has_number)
+    }
+
     /// Adds an attempt. Its deadline counts once [`AttemptTable::start_deadline`] is called.
     pub(super) fn insert(&mut self, id: AttemptId, attempt: OutstandingAttempt) {
         *self.per_node.entry(attempt.node).or_default() += 1;
--- a/crates/host/src/router/client_sessions.rs
+++ b/crates/host/src/router/client_sessions.rs
@@ -5,12 +5,13 @@
 //! has ended. Memory: one entry for each client and each open request, and the bytes of the open
 //! requests; [`crate::admission`] bounds the requests and their bytes.
 
+use super::types::frame;
 use super::ConnId;
 use crate::outbox::{AttemptId, Outbox};
-use grebecleat_scheduler::api::{PlanId, RequestId};
+use grebecleat_scheduler::api::{NodeId, PlanId, RequestId};
 use grebecleat_wire::delay::Delay;
-use grebecleat_wire::pb;
-use std::collections::btree_map::{self, BTreeMap};
+use grebecleat_wire::pb::{self, frame::Body};
+use std::collections::btree_map::BTreeMap;
 use std::collections::hash_map::{Entry, HashMap};
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -86,6 +87,38 @@
         self.may_still_run
     }
 
+    /// The message that is sent to the node with an attempt of this request. `plan_rate` is the
+    /// base rate of its plan, in units a second.
+    pub(super) fn attempt_message(
+        &self,
+        attempt: AttemptId,
+        number: u32,
+        node: NodeId,
+        plan_rate: f64,
+    ) -> pb::Attempt {
+        let message = &self.message;
+        pb::Attempt {
+            attempt: attempt.0,
+            id: message.id.clone(),
+            number,
+            node: node.0,
+            traffic_class: message.traffic_class,
+            plan: self.plan.0 as u32,
+            plan_rate,
+            volume: message.volume,
+            key: message.key,
+            units: message.units,
+            left_us: 0, // set when the attempt is written
+            extent: message.extent,
+            length: message.length,
+            write: message.write,
+            piece: message.piece.clone(),
+            data: message.data.clone(),
+            offset: message.offset,
+            version: message.version,
+        }
+    }
+
     /// The attempts that have not ended.
     pub(super) fn outstanding(&self) -> &[AttemptId] {
         &self.outstanding
@@ -150,9 +183,12 @@
         self.clients.get_mut(&conn)
     }
 
-    /// All sessions.
-    pub(super) fn sessions(&self) -> btree_map::Values<'_, ConnId, ClientSession> {
-        self.clients.values()
+    /// Notifies all clients that this host is shutting down.
+    pub(super) fn announce_shutdown(&self) {
+        for session in self.clients.values() {
+            let going_away = frame(Body::GoingAway(pb::GoingAway {}));
+            session.outbox.put(going_away);
+        }
     }
 
     /// Adds a request to the open requests.
--- a/crates/host/src/router/discovery.rs
+++ b/crates/host/src/router/discovery.rs
@@ -29,7 +29,8 @@
         let heard = self.heard_discovery.iter().any(|link| link.conn == conn);
         for frame in frames {
             let Some(Body::EndpointUpdate(update)) = frame.body.filter(|_| current || heard) else {
-                self.log_violation(conn, ProtocolViolation::UnexpectedDiscoveryMessage);
+                self.effects
+                    .log_violation(conn, ProtocolViolation::UnexpectedDiscoveryMessage);
                 continue;
             };
             if current {
@@ -40,7 +41,7 @@
             }
             self.handle_endpoint_update(update);
             if current {
-                self.events.push(Event::EndpointsConfirmed);
+                self.effects.event(Event::EndpointsConfirmed);
                 self.poll_before_deadline(Some(poll_deadline::Event::Answered));
             }
         }
@@ -66,7 +67,7 @@
             outbox.close();
         }
         let text = "list of nodes: an overdue call is answered".to_string();
-        self.log(LogEvent::Discovery { text });
+        self.effects.log(LogEvent::Discovery { text });
     }
 
     fn close_heard_discovery(&mut self) {
@@ -97,7 +98,7 @@
         for link in &mut self.heard_discovery {
             link.has_moved = true;
         }
-        self.events.push(Event::DiscoveryMoved);
+        self.effects.event(Event::DiscoveryMoved);
         self.poll_before_deadline(Some(poll_deadline::Event::Moved));
         self.call_discovery(Body::Watch(pb::Watch { on: true }));
     }
@@ -108,13 +109,13 @@
     }
 
     fn dial_or_send_to_discovery(&mut self) {
-        let answer_by = self.now + self.discovery_timeout();
+        let answer_by = self.clock.now() + self.discovery_timeout();
         let Some(outbox) = self.discovery.outbox.clone() else {
             if self.discovery.conn.is_none() {
-                let conn = ConnId(self.next_number());
+                let conn = ConnId(self.effects.next_number());
                 self.discovery.conn = Some(conn);
                 self.discovery.answer_by = Some(answer_by);
-                self.outputs.push(Output::DialDiscovery { conn });
+                self.effects.output(Output::DialDiscovery { conn });
                 self.poll_before_deadline(Some(poll_deadline::Event::Called));
             }
             return;
@@ -145,7 +146,7 @@
     fn discovery_timeout(&self) -> Duration {
         let served = !self.endpoints.nodes.is_empty();
         let poll_deadline = self.poll_deadline.as_ref().filter(|_| served);
-        poll_deadline.map_or(self.bounds().patience, PollDeadline::call_timeout)
+        poll_deadline.map_or(self.host.bounds().patience, PollDeadline::call_timeout)
     }
 
     /// No failure: the watch goes on at once on another connection.
@@ -167,11 +168,11 @@
         }
         if is_current {
             if up_to_date {
-                self.events.push(Event::EndpointsConfirmed);
+                self.effects.event(Event::EndpointsConfirmed);
             }
             self.close_discovery();
             self.call_failed("refused");
-            self.events.push(Event::FetchRefused { waited });
+            self.effects.event(Event::FetchRefused { waited });
         }
     }
 
@@ -182,7 +183,7 @@
         let Some(poll_deadline) = self.poll_deadline.as_mut().filter(|_| served) else {
             return;
         };
-        let due = poll_deadline.step(self.now, event);
+        let due = poll_deadline.step(self.clock.now(), event);
         if due.is_some() && self.discovery.conn.is_none() {
             self.call_discovery(Body::Watch(pb::Watch { on: true }));
         }
@@ -229,7 +230,7 @@
     fn call_failed(&mut self, reason: &str) {
         self.discovery_history.failures += 1;
         let text = self.discovery_failure_text(reason);
-        self.log(LogEvent::Discovery { text });
+        self.effects.log(LogEvent::Discovery { text });
         self.poll_before_deadline(Some(poll_deadline::Event::Failed));
     }
 
@@ -238,7 +239,7 @@
         let age = history
             .answered_at
             .map_or("since the start".to_string(), |at| {
-                format!("for {}ms", self.now.saturating_sub(at).as_millis())
+                format!("for {}ms", self.clock.now().saturating_sub(at).as_millis())
             });
         let failures = history.failures;
         format!("list of nodes: {reason}; no answer {age}, {failures} failed calls in a row")
@@ -248,13 +249,13 @@
         let failures = std::mem::take(&mut self.discovery_history.failures);
         if failures > 0 {
             let text = format!("list of nodes: answered after {failures} failed calls");
-            self.log(LogEvent::Discovery { text });
+            self.effects.log(LogEvent::Discovery { text });
         }
-        self.discovery_history.answered_at = Some(self.now);
+        self.discovery_history.answered_at = Some(self.clock.now());
     }
 
     fn fetch_failed(&mut self) {
-        self.events.push(Event::EndpointUpdate {
+        self.effects.event(Event::EndpointUpdate {
             kind: EndpointUpdateKind::FetchFailed,
             endpoints: Vec::new(),
         });
--- a/crates/host/src/router/endpoints.rs
+++ b/crates/host/src/router/endpoints.rs
@@ -47,10 +47,10 @@
             }
             // What is open leads to a process that is no more.
             if renewed || endpoint.state == NodeState::Gone {
-                self.close_idle(endpoint.node, self.now);
+                self.close_idle(endpoint.node, self.clock.now());
             }
         }
-        self.events.push(Event::EndpointUpdate {
+        self.effects.event(Event::EndpointUpdate {
             kind,
             endpoints: read,
         });
@@ -69,7 +69,7 @@
     }
 
     fn read_endpoints(&mut self, endpoints: &[pb::Endpoint], revision: u64) -> Vec<Endpoint> {
-        let now = self.now;
+        let now = self.clock.now();
         let read = endpoints
             .iter()
             .filter_map(|endpoint| self.endpoints.read(endpoint, now, revision));
@@ -77,7 +77,7 @@
         let unread = endpoints.len() - read.len();
         if unread > 0 {
             let text = format!("list of nodes: {unread} entries without a state");
-            self.log(LogEvent::Discovery { text });
+            self.effects.log(LogEvent::Discovery { text });
         }
         read
     }
--- a/crates/host/src/router/decisions.rs
+++ b/crates/host/src/router/make_scheduler.rs
@@ -1,10 +1,10 @@
-//! The decisions, as the settings ask for them.
+//! Makes the scheduler from the settings.
 
 use grebecleat_scheduler::api::DiscoveryPolicy;
 use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_settings::Settings;
 
-/// The decisions of a host with these settings. `seed`: of their random choices.
+/// Returns the scheduler of a host with these settings. `seed` is the seed of its random choices.
 pub(super) fn scheduler(settings: &Settings, seed: u64) -> Scheduler {
     let classes = settings.traffic_classes.iter();
     let plans = settings.plans.iter();
@@ -18,7 +18,7 @@
     )
     .with_rules(
         rules.cold.clone(),
-        // Discovery is asked in either case: where it pushes, one watch is the asking.
+        // Discovery is polled in either case: where it pushes, a poll is one watch.
         DiscoveryPolicy {
             polled: true,
             ..settings.list.rule.clone()
--- a/crates/host/src/router/metrics_publisher.rs
+++ b/crates/host/src/router/metrics_publisher.rs
@@ -5,7 +5,7 @@
 //! [`MetricsCollector`], and one entry for each subscriber.
 
 use super::types::frame;
-use super::ConnId;
+use super::{ConnId, Counters};
 use crate::metrics::{MetricsCollector, INTERVAL};
 use crate::outbox::Outbox;
 use grebecleat_scheduler::api::NodeId;
@@ -25,9 +25,20 @@
     subscribers: BTreeMap<ConnId, Arc<Outbox>>,
     collector: MetricsCollector,
     publish_at: Duration,
+    counters: Counters,
 }
 
 impl MetricsPublisher {
+    /// The counters since the start of the host.
+    pub(super) fn counters(&self) -> Counters {
+        self.counters
+    }
+
+    /// The counters, to be raised.
+    pub(super) fn counters_mut(&mut self) -> &mut Counters {
+        &mut self.counters
+    }
+
     /// Adds a subscriber. The next message contains every node.
     pub(super) fn subscribe(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
         self.collector.report_all_nodes();
--- a/crates/host/src/router/node_pools.rs
+++ b/crates/host/src/router/node_pools.rs
@@ -5,13 +5,13 @@
 //! the attempts that wait. Memory: one entry for each node that has had an attempt, and one for
 //! each connection and dial, which the settings bound.
 
+use super::node_connection::NodeConnection;
 use super::types::{ConnId, WireMode};
 use crate::outbox::{AttemptId, Outbox};
 use crate::pool::{Pool, PoolAction, PoolStatus, MAX_LATE_DIALS};
 use grebecleat_scheduler::api::NodeId;
 use grebecleat_settings::{Bounds, Settings};
 use grebecleat_wire::pb;
-use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
@@ -28,58 +28,6 @@
 /// one dials nodes that are merely slow more than once.
 const HANDSHAKE_FRACTION: f64 = 0.1;
 
-/// A connection to a node, or a dial.
-#[derive(Debug)]
-pub(super) struct NodeConnection {
-    node: NodeId,
-    /// None: the dial has not succeeded yet.
-    outbox: Option<Arc<Outbox>>,
-    attempts: BTreeSet<AttemptId>,
-    dialled: Duration,
-    idle_since: Duration,
-    /// No attempt is assigned to the connection before this moment.
-    paused_until: Duration,
-    /// The node accepts no further attempts on this connection.
-    going_away: bool,
-}
-
-impl NodeConnection {
-    fn dialling(node: NodeId, now: Duration) -> Self {
-        NodeConnection {
-            node,
-            outbox: None,
-            attempts: BTreeSet::new(),
-            dialled: now,
-            idle_since: now,
-            paused_until: Duration::ZERO,
-            going_away: false,
-        }
-    }
-
-    /// The node.
-    pub(super) fn node(&self) -> NodeId {
-        self.node
-    }
-
-    /// Frames to be written to the node. None: the dial has not succeeded yet.
-    pub(super) fn outbox(&self) -> Option<&Arc<Outbox>> {
-        self.outbox.as_ref()
-    }
-
-    /// The attempts that are assigned to the connection.
-    pub(super) fn attempts(&self) -> &BTreeSet<AttemptId> {
-        &self.attempts
-    }
-
-    fn is_up(&self) -> bool {
-        self.outbox.is_some()
-    }
-
-    fn is_idle(&self) -> bool {
-        self.is_up() && self.attempts.is_empty()
-    }
-}
-
 /// The connections to one node, and the attempts that wait for one.
 #[derive(Debug)]
 struct NodePool {
@@ -214,23 +162,22 @@
         let capacity = self.bounds().attempts_per_connection;
         let mut least_loaded = None;
         let mut pause_ends: Option<Duration> = None;
-        for id in &self.pools.get(&node)?.conns {
-            let Some(conn) = self.conns.get(id) else {
+        for candidate in &self.pools.get(&node)?.conns {
+            let Some(conn) = self.conns.get(candidate) else {
                 continue;
             };
-            if !conn.is_up() || conn.going_away || conn.attempts.len() >= capacity {
+            if !conn.has_capacity(capacity) {
                 continue;
             }
-            if conn.paused_until > now {
-                let earlier = pause_ends.map_or(conn.paused_until, |at| at.min(conn.paused_until));
+            let paused_until = conn.paused_until();
+            if paused_until > now {
+                let earlier = pause_ends.map_or(paused_until, |at| at.min(paused_until));
                 pause_ends = Some(earlier);
                 continue;
             }
-            // Among idle connections, the last used: the others then become old enough to be
-            // closed.
-            let rank = (conn.attempts.len(), Reverse(conn.idle_since));
-            if least_loaded.is_none_or(|(best, _)| rank < best) {
-                least_loaded = Some((rank, *id));
+            let load = conn.load();
+            if least_loaded.is_none_or(|(least, _)| load < least) {
+                least_loaded = Some((load, *candidate));
             }
         }
         let Some((_, conn)) = least_loaded else {
@@ -253,10 +200,7 @@
     ) {
         let conn = self.conns.get_mut(&conn);
         let conn = conn.expect("an attempt is assigned to an existing connection");
-        conn.attempts.insert(attempt);
-        let outbox = conn.outbox.as_ref();
-        let outbox = outbox.expect("an attempt is assigned to a connection that is up");
-        outbox.put_attempt_of(attempt, frame, now, deadline, client);
+        conn.assign(attempt, frame, now, deadline, client);
     }
 
     /// Revokes an attempt that is not written to its node, and returns whether it now never will
@@ -265,7 +209,7 @@
     /// None while the attempt waits for a connection.
     pub(super) fn revoke(&self, attempt: AttemptId, conn: Option<ConnId>) -> bool {
         let conn = conn.and_then(|conn| self.conns.get(&conn));
-        match conn.and_then(|conn| conn.outbox.as_ref()) {
+        match conn.and_then(|conn| conn.outbox()) {
             None => true,
             Some(outbox) if outbox.revoke(attempt) => true,
             Some(outbox) if self.wire_mode.is_exclusive() && outbox.is_writing() => {
@@ -288,10 +232,9 @@
     ) {
         let exclusive = self.wire_mode.is_exclusive();
         if let Some(conn) = conn.and_then(|conn| self.conns.get_mut(&conn)) {
-            conn.attempts.remove(&attempt);
-            conn.idle_since = now;
+            conn.release(attempt, now);
             if exclusive && responded {
-                conn.paused_until = now + PAUSE_AFTER_RESPONSE;
+                conn.pause(now + PAUSE_AFTER_RESPONSE);
             }
         } else if let Some(pool) = self.pools.get_mut(&node) {
             pool.waiting.retain(|other| *other != attempt);
@@ -314,20 +257,18 @@
     /// Returns the attempts that wait for a connection to the node, and those assigned to one.
     pub(super) fn attempts_to(&self, node: NodeId) -> Vec<AttemptId> {
         let mut attempts = self.waiting(node);
-        for conn in self.connections_to(node).iter() {
-            if let Some(conn) = self.conns.get(conn) {
-                attempts.extend(&conn.attempts);
-            }
-        }
+        let conns = self.connections_to(node).iter();
+        let conns = conns.filter_map(|conn| self.conns.get(conn));
+        attempts.extend(conns.flat_map(|conn| conn.attempts()));
         attempts
     }
 
     /// Returns the attempts that wait in the outbox of a connection.
     pub(super) fn queued_on(&self, conn: ConnId) -> impl Iterator<Item = AttemptId> + '_ {
         let conn = self.conns.get(&conn);
-        let up = conn.and_then(|conn| Some((conn, conn.outbox.as_ref()?)));
-        let queued = up.into_iter().flat_map(|(conn, outbox)| {
-            let attempts = conn.attempts.iter();
+        let open = conn.and_then(|conn| Some((conn, conn.outbox()?)));
+        let queued = open.into_iter().flat_map(|(conn, outbox)| {
+            let attempts = conn.attempts().iter();
             attempts.filter(move |attempt| outbox.is_queued(**attempt))
         });
         queued.copied()
@@ -337,8 +278,9 @@
     /// has passed.
     pub(super) fn stale_in_outboxes(&self, put_before: Duration, now: Duration) -> Vec<AttemptId> {
         let mut stale = Vec::new();
-        for conn in self.conns.values().filter(|conn| !conn.attempts.is_empty()) {
-            if let Some(outbox) = &conn.outbox {
+        let busy = self.conns.values();
+        for conn in busy.filter(|conn| !conn.attempts().is_empty()) {
+            if let Some(outbox) = conn.outbox() {
                 stale.extend(outbox.stale(put_before, now));
             }
         }
@@ -362,7 +304,7 @@
     /// Returns a connection to the node that is up.
     pub(super) fn connection_up(&self, node: NodeId) -> Option<(ConnId, &Arc<Outbox>)> {
         let mut conns = self.connections_to(node).iter();
-        conns.find_map(|conn| Some((*conn, self.conns.get(conn)?.outbox.as_ref()?)))
+        conns.find_map(|conn| Some((*conn, self.conns.get(conn)?.outbox()?)))
     }
 
     /// Records that a dial has succeeded, and returns its node. None: the dial was given up; the
@@ -377,9 +319,8 @@
             outbox.close();
             return None;
         };
-        connection.outbox = Some(outbox);
-        connection.idle_since = now;
-        let node = connection.node;
+        connection.came_up(outbox, now);
+        let node = connection.node();
         let pool = self.pools.get_mut(&node);
         let pool = pool.expect("a node that is dialled has a pool");
         pool.pool.dial_succeeded();
@@ -389,7 +330,7 @@
     /// Notes that the node accepts no further attempts on a connection.
     pub(super) fn going_away(&mut self, conn: ConnId) {
         if let Some(connection) = self.conns.get_mut(&conn) {
-            connection.going_away = true;
+            connection.set_going_away();
         }
     }
 
@@ -397,7 +338,7 @@
     /// ended: their ends let other attempts be assigned, which must not be to this connection.
     pub(super) fn disconnected(&mut self, conn: ConnId, now: Duration) -> Option<NodeConnection> {
         let ended = self.conns.remove(&conn)?;
-        if let Some(pool) = self.pools.get_mut(&ended.node) {
+        if let Some(pool) = self.pools.get_mut(&ended.node()) {
             pool.conns.retain(|other| *other != conn);
             if !ended.is_up() {
                 pool.pool.dial_failed(now);
@@ -424,13 +365,13 @@
         };
         let mut paused = 0;
         for conn in pool.conns.iter().filter_map(|conn| self.conns.get(conn)) {
-            status.attempts += conn.attempts.len();
+            status.attempts += conn.attempts().len();
             status.up += usize::from(conn.is_up());
             // A connection that pauses cannot be used yet; but an attempt that waits alone waits
             // for one of them.
-            let pauses = conn.attempts.is_empty() && conn.paused_until > now;
+            let pauses = conn.attempts().is_empty() && conn.paused_until() > now;
             paused += usize::from(pauses);
-            let late = !conn.is_up() && conn.dialled + self.handshake <= now;
+            let late = conn.is_late_dial(self.handshake, now);
             status.late += usize::from(late && self.wire_mode.is_exclusive());
         }
         status.dialling = pool.conns.len() - status.up;
@@ -458,22 +399,22 @@
     /// Returns the connection that has been idle for the longest time.
     pub(super) fn longest_idle(&self) -> Option<ConnId> {
         let idle = self.conns.iter().filter(|(_, conn)| conn.is_idle());
-        let oldest = idle.min_by_key(|(_, conn)| conn.idle_since);
+        let oldest = idle.min_by_key(|(_, conn)| conn.idle_since());
         oldest.map(|(id, _)| *id)
     }
 
     /// Returns whether a connection has been idle since `since` or longer.
     pub(super) fn is_idle_since(&self, conn: ConnId, since: Duration) -> bool {
         let conn = self.conns.get(&conn);
-        conn.is_some_and(|conn| conn.is_idle() && conn.idle_since <= since)
+        conn.is_some_and(|conn| conn.is_idle() && conn.idle_since() <= since)
     }
 
     /// Returns the nodes to which a connection has been idle for as long as the settings allow.
     pub(super) fn nodes_with_expired_idle(&self, now: Duration) -> BTreeSet<NodeId> {
         let since = self.idle_limit(now);
-        let expired = |conn: &&NodeConnection| conn.is_idle() && conn.idle_since < since;
+        let expired = |conn: &&NodeConnection| conn.is_idle() && conn.idle_since() < since;
         let conns = self.conns.values().filter(expired);
-        conns.map(|conn| conn.node).collect()
+        conns.map(|conn| conn.node()).collect()
     }
 
     /// A connection that has been idle since then has been idle for as long as the settings allow.
@@ -485,7 +426,7 @@
     /// dial has a time-out of its own; this is twice as long.
     pub(super) fn lost_dials(&self, now: Duration) -> Vec<ConnId> {
         let since = now.saturating_sub(self.bounds().dial_timeout * 2);
-        let lost = |conn: &NodeConnection| !conn.is_up() && conn.idle_since < since;
+        let lost = |conn: &NodeConnection| !conn.is_up() && conn.idle_since() < since;
         let conns = self.conns.iter().filter(|(_, conn)| lost(conn));
         conns.map(|(id, _)| *id).collect()
     }
--- a/crates/host/src/router/shutdown.rs
+++ b/crates/host/src/router/shutdown.rs
@@ -2,7 +2,7 @@
 //!
 //! Called by the router. Once the shutdown has begun, new requests are rejected and open requests
 //! are answered. The shutdown is complete when every open request is answered and every answer is
-//! written, or at a last moment: a client that does not read must not keep the process running.
+//! written, or at a last moment: a client that does not read must not prevent the end of the process.
 
 use std::time::Duration;
 
--- a/crates/host/src/router/tests.rs
+++ b/crates/host/src/router/tests.rs
@@ -1,109 +1,118 @@
-//! Actions that the decisions of today do not take, and that must work when they do.
+//! Actions that the scheduler does not return today, and that must work when it does.
 
 use super::*;
 use crate::common::{ms, Rig, CLIENT};
+use grebecleat_scheduler::api::{AttemptOutcome, RequestId};
 
 #[test]
-fn a_cancelled_attempt_in_the_send_buffer_never_crosses_and_one_that_crossed_is_called_off() {
-    for crossed in [false, true] {
-        let mut r = Rig::with("legs(most = 1)");
-        r.take(1, 1);
-        let conn = r.connect();
-        let attempts = if crossed {
-            r.attempts(conn)
+fn a_cancelled_attempt_is_revoked_if_queued_and_cancelled_at_its_node_if_written() {
+    for written in [false, true] {
+        let mut rig = Rig::with("legs(most = 1)");
+        rig.submit(1, 1);
+        let conn = rig.connect();
+        let attempts = if written {
+            rig.attempts(conn)
         } else {
             Vec::new()
         };
-        r.router.perform(Action::CancelAttempt {
+        rig.router.perform(Action::CancelAttempt {
             id: RequestId([1; 36]),
             attempt: 0,
         });
-        r.feed(vec![]);
-        let told: Vec<Body> = r.cross(conn);
-        let calls_off = |b: &Body| matches!(b, Body::CancelAttempt(c) if attempts.iter().any(|l| l.attempt == c.attempt));
+        rig.step(vec![]);
+        let bodies: Vec<Body> = rig.written(conn);
+        let cancels = |body: &Body| match body {
+            Body::CancelAttempt(cancel) => attempts.iter().any(|it| it.attempt == cancel.attempt),
+            _ => false,
+        };
         assert_eq!(
-            (told.len(), told.iter().all(calls_off)),
-            (usize::from(crossed), true)
+            (bodies.len(), bodies.iter().all(cancels)),
+            (usize::from(written), true)
         );
-        // It never ran, so trying again is harmless; or nobody knows.
-        let end = if crossed {
+        // A revoked attempt never ran, so a retry is harmless. A written one may have run.
+        let outcome = if written {
             pb::Outcome::Failed
         } else {
             pb::Outcome::Rejected
         };
-        assert_eq!(r.finals(), [(1, end)]);
+        assert_eq!(rig.outcomes(), [(1, outcome)]);
     }
 }
 
 #[test]
-fn a_streamed_answer_that_has_begun_has_no_time_of_its_own() {
-    let mut r = Rig::with("");
-    r.take(1, 0);
-    let conn = r.connect();
-    let attempt = r.attempts(conn)[0].attempt;
-    r.frames(
+fn a_response_that_has_started_has_no_deadline_of_its_own() {
+    let mut rig = Rig::with("");
+    rig.submit(1, 0);
+    let conn = rig.connect();
+    let attempt = rig.attempts(conn)[0].attempt;
+    rig.receive(
         conn,
         Body::ResponseStarted(pb::ResponseStarted {
             attempt,
             ..Default::default()
         }),
     );
-    assert!(matches!(&r.cross(CLIENT)[..], [Body::ResponseStarted(b)] if b.id[0] == 1));
-    r.wait(ms(4000));
-    assert_eq!(r.finals(), [], "it belongs to the client");
-    r.node_answers(conn, attempt, pb::Result::Ok);
-    assert_eq!(r.finals(), [(1, pb::Outcome::Completed)]);
+    assert!(
+        matches!(&rig.written(CLIENT)[..], [Body::ResponseStarted(started)] if started.id[0] == 1)
+    );
+    rig.advance(ms(4000));
+    assert_eq!(rig.outcomes(), [], "only the client's deadline counts");
+    rig.respond(conn, attempt, pb::Result::Ok);
+    assert_eq!(rig.outcomes(), [(1, pb::Outcome::Completed)]);
 }
 
 #[test]
-fn a_probe_goes_out_where_there_is_a_connection_and_idle_ones_close() {
-    let mut r = Rig::with("");
-    r.router.perform(Action::HealthCheck { node: NodeId(1) });
+fn a_health_check_is_sent_on_an_open_connection_and_idle_ones_are_closed() {
+    let mut rig = Rig::with("");
+    rig.router.perform(Action::HealthCheck { node: NodeId(1) });
     assert!(matches!(
-        r.router.events[..],
+        rig.router.effects.events(),
         [Event::HealthChecked {
             outcome: AttemptOutcome::ConnectFailed,
             ..
         }]
     ));
-    r.take(1, 0);
-    let conn = r.connect();
-    let attempt = r.attempts(conn)[0].attempt;
-    r.router
+    rig.submit(1, 0);
+    let conn = rig.connect();
+    let attempt = rig.attempts(conn)[0].attempt;
+    rig.router
         .perform(Action::CloseIdleConnections { node: NodeId(1) });
-    assert!(!r.boxes[&conn].is_closed(), "a leg is out");
-    r.node_answers(conn, attempt, pb::Result::Ok);
-    r.router.perform(Action::HealthCheck { node: NodeId(1) });
-    let probe = match &r.cross(conn)[..] {
-        [Body::HealthCheck(p)] => p.probe,
+    assert!(
+        !rig.outboxes[&conn].is_closed(),
+        "an attempt is outstanding"
+    );
+    rig.respond(conn, attempt, pb::Result::Ok);
+    rig.router.perform(Action::HealthCheck { node: NodeId(1) });
+    let probe = match &rig.written(conn)[..] {
+        [Body::HealthCheck(check)] => check.probe,
         other => panic!("{other:?}"),
     };
-    r.frames(
+    rig.receive(
         conn,
         Body::HealthCheckResult(pb::HealthCheckResult {
             probe,
             result: pb::Result::Ok.into(),
         }),
     );
-    assert!(r.router.health_checks.is_empty());
-    r.router
+    assert!(rig.router.health_checks.is_empty());
+    rig.router
         .perform(Action::CloseIdleConnections { node: NodeId(1) });
-    assert!(r.boxes[&conn].is_closed());
+    assert!(rig.outboxes[&conn].is_closed());
 }
 
 #[test]
-fn words_go_to_one_host_or_all_and_are_heard() {
-    let mut r = Rig::with("");
-    r.router.perform(Action::SendToPeer {
+fn messages_to_a_peer_become_outputs_and_its_messages_are_accepted() {
+    let mut rig = Rig::with("");
+    rig.router.perform(Action::SendToPeer {
         to: Some(PeerId(2)),
         bytes: b"hi".to_vec(),
     });
-    let told = Output::SendToPeer {
+    let sent = Output::SendToPeer {
         to: Some(PeerId(2)),
         bytes: b"hi".to_vec(),
     };
     assert_eq!(
-        r.router.step(
+        rig.router.step(
             ms(100_000),
             [Input::PeerMessage {
                 from: PeerId(1),
@@ -111,6 +120,6 @@
                 bytes: vec![]
             }]
         ),
-        [told]
+        [sent]
     );
 }
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -1,5 +1,4 @@
-//! What goes in and out of the router, and the records that it keeps of requests, attempts and
-//! connections.
+//! Inputs and outputs of the router, and the types that its modules share.
 
 use crate::log_event::LogEvent;
 use crate::outbox::Outbox;
@@ -11,18 +10,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Identifies one connection of this process; never used twice.
+/// The number of one connection of this process. No number is used twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// What has happened at the sockets and on the disk.
+/// An event at the sockets or on the disk.
 #[derive(Debug)]
 pub enum Input {
     /// A client has connected.
     ClientUp {
         /// Its connection.
         conn: ConnId,
-        /// What is to be written to it.
+        /// Frames to be written on it.
         outbox: Arc<Outbox>,
     },
     /// Frames of a client.
@@ -31,10 +30,10 @@
         conn: ConnId,
         /// When they were read.
         at: Duration,
-        /// In order.
+        /// The frames, in order.
         frames: Vec<pb::Frame>,
     },
-    /// A client's connection has ended.
+    /// The connection of a client or a subscriber has ended.
     ClientGone {
         /// Its connection.
         conn: ConnId,
@@ -43,7 +42,7 @@
     NodeUp {
         /// The dialled connection.
         conn: ConnId,
-        /// What is to be written to it.
+        /// Frames to be written on it.
         outbox: Arc<Outbox>,
     },
     /// Frames of a node.
@@ -52,7 +51,7 @@
         conn: ConnId,
         /// When they were read.
         at: Duration,
-        /// In order.
+        /// The frames, in order.
         frames: Vec<pb::Frame>,
     },
     /// A node's connection has ended, or a dial has failed.
@@ -64,14 +63,14 @@
     DiscoveryUp {
         /// The dialled connection.
         conn: ConnId,
-        /// What is to be written to it.
+        /// Frames to be written on it.
         outbox: Arc<Outbox>,
     },
     /// Frames of discovery.
     DiscoveryFrames {
         /// Its connection.
         conn: ConnId,
-        /// In order.
+        /// The frames, in order.
         frames: Vec<pb::Frame>,
     },
     /// Discovery's connection has ended, or its dial has failed.
@@ -79,39 +78,40 @@
         /// The connection.
         conn: ConnId,
     },
-    /// Discovery has answered a call that it has too many callers. The connection ends with that.
+    /// Discovery has rejected a call because it has too many callers. The connection ends.
     DiscoveryRefused {
         /// The connection.
         conn: ConnId,
-        /// How long the call had waited by then, beyond what it was to wait for changes.
+        /// How long the call had waited, beyond the time for which it was to wait for changes.
         waited: Duration,
-        /// It was a watch that had been open, and told all that there was until now.
+        /// The call was an open watch, which had reported all changes until now.
         up_to_date: bool,
     },
-    /// Discovery has ended a connection with its answer, as it may: the next call needs another.
+    /// Discovery has closed a connection with its response, as it may: the next call needs another
+    /// connection.
     DiscoveryEnded {
         /// The connection.
         conn: ConnId,
     },
-    /// The call that is out on a connection to discovery has taken longer than it should.
+    /// The pending call on a connection to discovery is overdue.
     DiscoveryOverdue {
         /// The connection, which stays open.
         conn: ConnId,
     },
-    /// Discovery answers at another address from now on.
+    /// Discovery has another address from now on.
     DiscoveryMoved,
     /// The dial to the state service has succeeded.
     StateServiceUp {
         /// The dialled connection.
         conn: ConnId,
-        /// What is to be written to it.
+        /// Frames to be written on it.
         outbox: Arc<Outbox>,
     },
     /// Frames of the state service.
     StateServiceFrames {
         /// Its connection.
         conn: ConnId,
-        /// In order.
+        /// The frames, in order.
         frames: Vec<pb::Frame>,
     },
     /// The state service's connection has ended, or its dial has failed.
@@ -119,14 +119,14 @@
         /// The connection.
         conn: ConnId,
     },
-    /// What [`Output::Persist`] asked for is on the disk, or why not.
+    /// The result of an [`Output::Persist`].
     Persisted {
         /// The number of the request.
         number: u64,
         /// The result.
         done: Result<(), StoreFault>,
     },
-    /// The endpoint list that this host stored before its restart.
+    /// The endpoint list that this host cached before its restart.
     CachedEndpoints {
         /// The list.
         list: pb::EndpointUpdate,
@@ -135,12 +135,12 @@
     PeerMessage {
         /// Its sender.
         from: PeerId,
-        /// How long it was on its way, as far as that is known.
+        /// How long it was on its way, as far as this host knows.
         waited: Duration,
-        /// Its text; empty: this host's own first message to itself.
+        /// Its text. Empty: the input that makes the first step of a host happen.
         bytes: Vec<u8>,
     },
-    /// How many extents the portal of this process knows to lie in each shard.
+    /// The number of extents in each shard, as the portal of this process knows them.
     ExtentsByShard {
         /// Extents by shard.
         shards: BTreeMap<u32, u64>,
@@ -149,14 +149,15 @@
     SubscriberUp {
         /// Its connection.
         conn: ConnId,
-        /// What is to be written to it.
+        /// Frames to be written on it.
         outbox: Arc<Outbox>,
     },
-    /// Shut down gracefully: take no more, answer what is open, then end.
+    /// An operator requests a graceful shutdown: new requests are rejected, open requests are
+    /// answered, then the host ends.
     Shutdown,
 }
 
-/// What the sockets and the disk are to do.
+/// An action at the sockets or on the disk.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Connect to a node.
@@ -178,92 +179,108 @@
         /// The new connection.
         conn: ConnId,
     },
-    /// Write records to the store, all or none.
+    /// Write records to the store, all of them or none.
     Persist {
-        /// Comes back with [`Input::Persisted`].
+        /// The number that [`Input::Persisted`] returns.
         number: u64,
         /// The records.
         records: Vec<Record>,
     },
     /// Send a message to other hosts.
     SendToPeer {
-        /// To whom; None: to all.
+        /// The receiver. None: all peers.
         to: Option<PeerId>,
         /// Its text.
         bytes: Vec<u8>,
     },
-    /// Store the endpoint list for the next start.
+    /// Cache the endpoint list for the next start.
     CacheEndpoints {
         /// The file's bytes.
         bytes: Vec<u8>,
     },
     /// Write a change of state to the log.
     Log(LogEvent),
-    /// The shutdown is complete: nothing is open and every answer is written.
+    /// The shutdown is complete: no request is open and every response is written, or its last
+    /// moment has come.
     ShutdownComplete,
 }
 
-/// Counts since the start.
+/// Counters since the start of the host.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Requests handed to the decisions.
+    /// Requests handed to the scheduler.
     pub received: u64,
-    /// Requests answered as done.
+    /// Requests that completed.
     pub completed: u64,
-    /// Requests that the decisions rejected.
+    /// Requests that the scheduler rejected.
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests turned away on arrival, before the decisions heard of them.
+    /// Requests rejected on arrival; the scheduler does not see them.
     pub refused: u64,
-    /// Requests whose client has left.
+    /// Requests that their client cancelled, or whose client disconnected.
     pub cancelled: u64,
-    /// Attempts decided.
+    /// Attempts that the scheduler decided.
     pub attempts: u64,
-    /// Attempts that were decided and never crossed a socket.
+    /// Attempts that were decided and never written to a socket.
     pub unsent: u64,
-    /// Answers to attempts that were over, unknown, or another connection's.
+    /// Responses to attempts that had ended, were unknown, or are on another connection.
     pub stray_responses: u64,
-    /// Times in which this process stood still.
+    /// Pauses of this process.
     pub pauses: u64,
     /// Steps of the router.
     pub steps: u64,
-    /// Events handed to the decisions.
+    /// Events handed to the scheduler.
     pub events: u64,
 }
 
-/// What is open now.
+impl Counters {
+    /// The counts as this host's metrics show them.
+    pub(super) fn to_metrics(self) -> pb::HostMetrics {
+        pb::HostMetrics {
+            taken: self.received + self.refused,
+            done: self.completed,
+            deferred: self.rejected + self.refused,
+            abandoned: self.failed,
+            stalls: self.pauses,
+            ..pb::HostMetrics::default()
+        }
+    }
+}
+
+/// Open requests and outstanding attempts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OpenWork {
-    /// Requests without a final answer, or with an attempt out.
+    /// Requests without a final response, or with an outstanding attempt.
     pub requests: usize,
-    /// Attempts out or waiting for a connection.
+    /// Outstanding attempts, including those that wait for a connection.
     pub attempts: usize,
     /// Bytes of request bodies.
     pub bytes: usize,
 }
 
-/// How a connection to a node is used, and who says on what terms a volume is served.
+/// How a connection to a node is used, and who states the terms on which a volume is served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum WireMode {
     /// The host's own protocol: many attempts share a connection, and terms come from the settings
     /// or the state service.
     #[default]
     Multiplexed,
-    /// The platform's: a connection carries one exchange at a time, and clients say with each
-    /// request on what terms its volume is served. An attempt that is given up takes its connection
-    /// with it: what its node may yet answer must not be read as the next attempt's, and a closed
-    /// connection is the only way to call one off.
+    /// The platform's protocol: a connection carries one exchange at a time, and clients state the
+    /// terms of the volume with each request. The connection of an abandoned attempt is closed: a
+    /// late response must not be read as that of the next attempt, and closing the connection is the
+    /// only way to cancel an attempt.
     Exclusive,
 }
 
 impl WireMode {
-    /// A connection carries one exchange at a time, and ends with one that is given up.
+    /// Returns whether a connection carries one exchange at a time, and is closed when its attempt is
+    /// abandoned.
     pub fn is_exclusive(self) -> bool {
         self == WireMode::Exclusive
     }
 
-    /// Clients say on what terms their volumes are served.
+    /// Returns whether clients state the terms on which their volumes are served.
     pub fn terms_from_requests(self) -> bool {
         self == WireMode::Exclusive
     }
@@ -309,13 +326,13 @@
     pub failures: u32,
 }
 
-/// The text of a request's id in the log: without the zeros that only fill it up.
+/// Returns the text of a request's id for the log, without the leading zeros that pad it.
 pub fn request_label(id: &[u8]) -> &str {
     let text = std::str::from_utf8(id).unwrap_or("unreadable");
     text.trim_start_matches('0')
 }
 
-/// A frame whose time is set when it is written.
+/// Returns a frame whose time is set when it is written.
 pub(super) fn frame(body: Body) -> pb::Frame {
     pb::Frame {
         sent_us: 0,
@@ -323,7 +340,7 @@
     }
 }
 
-/// The id of a request, where its bytes are as many as an id has.
+/// Returns the id of a request. None: the bytes do not have the length of an id.
 pub(super) fn request_id(id: &[u8]) -> Option<RequestId> {
     id.try_into().map(RequestId).ok()
 }
--- a/crates/host/src/server.rs
+++ b/crates/host/src/server.rs
@@ -1,12 +1,12 @@
-//! The running host: its sockets, on `may` coroutines.
+//! The sockets of the running host, on `may` coroutines.
 //!
-//! One thread (`owner`) owns the [`RequestRouter`] and with it the decisions; it is no coroutine,
-//! since its clock must be right and `may`'s timers, kept by length, can lose one
+//! One thread (`owner`) owns the [`RequestRouter`], and with it the scheduler. The owner is no
+//! coroutine: its clock must be right, and `may` orders its timers by length and can lose one
 //! (docs/design/host.md). Each connection has one coroutine that reads and one that writes
-//! (`connection`); the `listener` and the dials (`dial`) have their own. Readers hand whole frames
-//! to the owner; the owner puts frames into outboxes, from which writers take them. So a peer that
-//! sends garbage, reads nothing or stands still blocks its own two coroutines and nobody else.
-//! Nothing here decides more than when to disconnect a peer that breaks the wire.
+//! (`connection`); the `listener` and the dials (`dial`) have their own. Readers hand complete
+//! frames to the owner; the owner puts frames into outboxes, from which the writers take them. A
+//! peer that sends garbage, does not read or pauses therefore blocks its own two coroutines and
+//! nothing else. The only decision here is to disconnect a peer that violates the protocol.
 //!
 //! [`RequestRouter`]: crate::router::RequestRouter
 
@@ -42,49 +42,50 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Numbers below are of connections that the router dials, from here on of those that the listener
-/// accepts.
+/// The number of the first connection that the listener accepts. Smaller numbers are those of the
+/// connections that the router dials; with a smaller bound, the two could meet.
 const FIRST_ACCEPTED: u64 = 1 << 48;
-/// How long a worker without events waits before it looks by itself.
+/// How long a worker without events waits before it polls. See `configure_workers`.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Stack of a coroutine, in words of eight bytes; `tracing` formats on it.
+/// Stack of a coroutine, in units of eight bytes. `tracing` formats log lines on it: a smaller stack
+/// overflows, and a larger one costs memory for every connection.
 const CONNECTION_STACK: usize = 8 << 10;
 
-/// What a host needs beside its settings.
+/// The options of a host, apart from its settings.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The deployment.
+    /// The settings of the deployment.
     pub settings: Arc<Settings>,
     /// This host's index among the settings' hosts.
     pub host: usize,
-    /// Where it listens.
+    /// The address on which the host listens.
     pub listen: SocketAddr,
-    /// Where discovery answers.
+    /// The address of the discovery service.
     pub list: SocketAddr,
-    /// Where the state service answers; None: the settings alone count.
+    /// The state service. None: the settings alone count.
     pub state: Option<StateLink>,
-    /// Hosts to share with.
+    /// The hosts that share quotas and findings with this one.
     pub peers: Vec<(PeerId, SocketAddr)>,
-    /// A number that grows from start to start, as far as this machine can know.
+    /// A number that grows from start to start, as far as this machine can ensure.
     pub incarnation: u64,
-    /// Where frames are recorded.
+    /// Records the frames of all connections.
     pub tracer: Tracer,
-    /// Where the last endpoint list is stored for the next start.
+    /// The file in which the last endpoint list is cached for the next start.
     pub remember: Option<PathBuf>,
-    /// Of all that is random.
+    /// The seed of all random choices.
     pub seed: u64,
-    /// Threads for coroutines, at least one.
+    /// The number of threads for coroutines, at least one.
     pub workers: usize,
 }
 
-/// How a host follows a state service.
+/// The state service of a host, and the host's own store.
 #[derive(Clone)]
 pub struct StateLink {
-    /// Where it answers.
+    /// The address of the service.
     pub address: SocketAddr,
-    /// This host's own store.
+    /// The store of this host.
     pub store: GroupCommit,
-    /// What was last persisted there.
+    /// The state that was last persisted there.
     pub start: InitialState,
 }
 
@@ -94,14 +95,14 @@
     }
 }
 
-/// What the host's threads and coroutines have in common.
+/// The state that the host's threads and coroutines share.
 #[derive(Clone)]
 struct Shared {
     options: Arc<Options>,
     to_owner: Sender<Input>,
-    /// What it says of itself on each connection.
+    /// The greeting that this host sends on each connection.
     hello: pb::Hello,
-    /// Connections accepted and not over.
+    /// The number of accepted connections that have not ended.
     accepted: Arc<AtomicUsize>,
     next_accepted: Arc<AtomicU64>,
     closing: Arc<AtomicBool>,
@@ -114,12 +115,12 @@
     }
 
     fn send(&self, input: Input) {
-        // The owner has ended: so does the process, soon.
+        // Without its receiver the owner has ended, and the process ends soon.
         let _ = self.to_owner.send(input);
     }
 }
 
-/// A handle by which a running host is told to shut down.
+/// A handle to a running host.
 #[derive(Clone)]
 pub struct Handle {
     to_owner: Sender<Input>,
@@ -128,12 +129,12 @@
 }
 
 impl Handle {
-    /// Where this process records what crosses its sockets.
+    /// Records the frames of all connections of this process.
     pub fn tracer(&self) -> &Tracer {
         &self.tracer
     }
 
-    /// A client in this process; `wake` is called when there is something to read.
+    /// Connects a client inside this process. `wake` is called when there are messages to read.
     pub fn local(&self, wake: impl Fn() + Send + Sync + 'static) -> LocalClient {
         let conn = ConnId(self.next_accepted.fetch_add(1, Ordering::Relaxed));
         let outbox = Arc::new(Outbox::new(wake, || ()));
@@ -155,14 +156,14 @@
         let _ = self.to_owner.send(Input::Shutdown);
     }
 
-    /// Tells how many extents lie in each shard, as far as this process knows.
+    /// Reports the number of extents in each shard, as the portal of this process knows them.
     pub fn extents_by_shard(&self, shards: BTreeMap<u32, u64>) {
         let _ = self.to_owner.send(Input::ExtentsByShard { shards });
     }
 }
 
-/// A client inside this process: what it sends and gets passes no socket, but is recorded as if it
-/// did, so that the audit sees one host whatever its clients speak.
+/// A client inside this process. Its messages pass no socket, but are recorded as if they did, so
+/// that the trace checker sees one host whatever protocol its clients use.
 pub struct LocalClient {
     conn: ConnId,
     outbox: Arc<Outbox>,
@@ -189,7 +190,7 @@
         });
     }
 
-    /// What has come since the last call.
+    /// Returns the messages that have arrived since the last call.
     pub fn read(&self) -> Vec<Body> {
         let batch = self.outbox.take_batch(clock::now, usize::MAX);
         self.tracer.written(self.conn.0, batch.at, &batch.frames);
@@ -199,8 +200,8 @@
     }
 }
 
-/// Runs a host until its shutdown is complete. `started` gets the address that it listens on and a
-/// handle.
+/// Runs a host until its shutdown is complete. `started` is called with the address on which the
+/// host listens, and with a handle.
 pub fn run(options: Options, started: impl FnOnce(SocketAddr, Handle)) -> io::Result<Counters> {
     configure_workers(options.workers);
     let listener = TcpListener::bind(options.listen)?;
@@ -233,24 +234,24 @@
     started(address, handle);
     owner
         .join()
-        .map_err(|_| io::Error::other("the owner of the decisions panicked"))
+        .map_err(|_| io::Error::other("the owner of the router panicked"))
 }
 
 fn configure_workers(workers: usize) {
     may::config()
         .set_workers(workers.max(1))
         .set_stack_size(CONNECTION_STACK);
-    // Bound, as the runtime has it, the n-th worker of every host on a machine shares the n-th
-    // processor, and what keeps that one busy keeps all of them from hearing any peer, whatever the
-    // others do.
+    // By default the runtime binds the n-th worker to the n-th processor. The n-th workers of all
+    // hosts on a machine would then share that processor, and a load on it would prevent
+    // all of them from reading, whatever the other processors do.
     may::config().set_worker_pin(false);
-    // A wake-up from the owner's thread is at times only seen when the worker polls again: with
-    // `may`'s own 10 ms that was the 99th percentile. Harm: an idle worker wakes a thousand times a
-    // second.
+    // At times a worker notices a wake-up from the owner's thread only when it polls again: with
+    // the 10 ms that `may` uses by default, that wait was the 99th percentile. In exchange, an idle
+    // worker wakes a thousand times a second.
     may::config().set_timeout_ns(POLL_INTERVAL.as_nanos() as u64);
 }
 
-/// A peer's number, from its index among the settings' hosts.
+/// Returns the id of a peer from its index among the settings' hosts.
 pub fn peer(index: usize) -> PeerId {
     PeerId(index as u32)
 }
@@ -260,7 +261,7 @@
         version: VERSION,
         role: pb::Role::Host.into(),
         name: options.settings.hosts[options.host].name.clone(),
-        // Another one at each start, also where the seed is given.
+        // The incarnation differs at each start, also where the seed is given.
         incarnation: clock::now().as_nanos() as u64 ^ u64::from(std::process::id()) << 40,
         max_frame: options.settings.bounds.max_frame as u32,
     }
@@ -270,8 +271,8 @@
     let bytes = std::fs::read(path).ok()?;
     match EndpointList::from_bytes(&bytes) {
         Ok(list) => Some(list),
-        Err(fault) => {
-            warn!("remembered list {} not taken: {fault}", path.display());
+        Err(error) => {
+            warn!(path = %path.display(), %error, "cached endpoint list not used");
             None
         }
     }
--- a/crates/host/src/server/connection.rs
+++ b/crates/host/src/server/connection.rs
@@ -1,4 +1,7 @@
-//! One connection: greeting, reading and writing until it ends.
+//! One connection: the greeting, then reading and writing until it ends.
+//!
+//! Called by the listener and by the dials, in the coroutine that reads the connection; a second
+//! coroutine writes it. Memory: the frame that is being read, and one batch that is being written.
 
 use super::Shared;
 use crate::outbox::Outbox;
@@ -17,51 +20,56 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Bytes that a writer takes from its outbox at a time.
+/// Bytes that a writer takes from its outbox at a time, about. Frames that are taken can no longer
+/// be revoked: with a larger batch, more of them are written for requests that were cancelled meanwhile; a smaller one needs more system
+/// calls.
 const MAX_WRITE: usize = 128 << 10;
-/// A larger buffer is given back: one large frame must not be paid for by every idle connection.
+/// The largest buffer, in bytes, that a writer retains. Without the bound, every connection that once
+/// carried a large frame would retain its memory; with a smaller one, buffers are allocated again
+/// and again.
 const MAX_BUFFER: usize = 4 * MAX_WRITE;
 
-/// Why a connection has ended.
+/// A reason for the end of a connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
     #[error(transparent)]
     Io(#[from] io::Error),
     #[error(transparent)]
     Frame(#[from] FrameFault),
-    #[error("speaks version {theirs}, expected {VERSION}")]
+    #[error("peer has protocol version {theirs}, expected {VERSION}")]
     Version { theirs: u32 },
-    #[error("no greeting")]
+    #[error("first message is no greeting")]
     NoGreeting,
-    #[error("no greeting: {0}")]
+    #[error("no greeting received: {0}")]
     NoGreetingInTime(io::Error),
-    #[error("hung up before a greeting")]
+    #[error("closed by the peer before a greeting")]
     EndBeforeGreeting,
-    #[error("hung up inside a frame")]
+    #[error("closed by the peer inside a frame")]
     EndInsideFrame,
-    #[error("half a frame, then silence")]
+    #[error("incomplete frame timed out")]
     SilentInsideFrame,
-    #[error("{found} where {expected} was expected")]
+    #[error("peer has role {found}, expected {expected}")]
     UnexpectedRole {
         found: &'static str,
         expected: &'static str,
     },
-    #[error("{0} is no client")]
-    NoClient(&'static str),
+    #[error("role {0} is not served")]
+    UnservedRole(&'static str),
     #[error("unknown host {0}")]
     UnknownHost(String),
-    #[error("a host sent no word")]
+    #[error("unexpected message from a host")]
     UnexpectedPeerMessage,
-    #[error("the host has ended")]
+    #[error("this host has ended")]
     HostEnded,
 }
 
-/// What a connection's reader hands to the owner.
+/// Makes the input with which a connection's reader hands frames to the owner.
 pub(super) type FramesInput = Box<dyn Fn(Duration, Vec<pb::Frame>) -> Input + Send>;
-/// How the owner hears that the connection is up.
+/// Makes the input that notifies the owner that a connection is up.
 pub(super) type UpInput = Box<dyn FnOnce(Arc<Outbox>) -> Input + Send>;
 
-/// Both sides say who they are. A peer of another version is told ours before it is disconnected.
+/// Exchanges greetings, and returns that of the peer. A peer of another protocol version receives
+/// this host's greeting before it is disconnected.
 pub(super) fn greet(
     stream: &mut TcpStream,
     reader: &mut frame::Reader,
@@ -95,7 +103,7 @@
     }
 }
 
-/// Serves a connection whose peer has greeted, until it ends.
+/// Serves a connection after its greeting, until it ends.
 pub(super) fn serve(
     shared: &Shared,
     conn: ConnId,
@@ -122,7 +130,8 @@
     ended
 }
 
-/// Reads frames until the peer ends; a frame that has begun must go on within the time-out.
+/// Reads frames until the peer closes the connection. A frame that has begun must continue within
+/// the time-out.
 pub(super) fn read_frames(
     stream: &mut TcpStream,
     reader: &mut frame::Reader,
@@ -154,7 +163,7 @@
     matches!(error.kind(), TimedOut | WouldBlock)
 }
 
-/// Wakes a connection's writer.
+/// The signal that wakes a connection's writer.
 struct WriterSignal {
     raised: AtomicBool,
     semaphore: Semphore,
@@ -179,14 +188,15 @@
     }
 }
 
-/// A writer's socket, by its descriptor, which is void once the writer has ended.
+/// The descriptor of a writer's socket. None: the writer has ended.
 struct WriterSocket(Mutex<Option<RawFd>>);
 
 impl WriterSocket {
-    /// Frees a writer that waits in a full socket.
+    /// Ends a writer that waits for a socket whose peer does not read.
     fn shut_down(&self) {
         if let Some(descriptor) = *self.0.lock().unwrap_or_else(|e| e.into_inner()) {
-            // SAFETY: the writer takes the number away, under this lock, before its socket closes.
+            // SAFETY: the writer removes the descriptor, under this lock, before its socket closes, so
+            // the descriptor is that of an open socket.
             unsafe { libc::shutdown(descriptor, libc::SHUT_RDWR) };
         }
     }
@@ -196,7 +206,7 @@
     }
 }
 
-/// Starts the coroutine that writes a connection's outbox.
+/// Starts the coroutine that writes the frames of a connection's outbox.
 fn start_writer(mut stream: TcpStream, conn: ConnId, tracer: Tracer) -> Arc<Outbox> {
     let signal = Arc::new(WriterSignal::new());
     let socket = Arc::new(WriterSocket(Mutex::new(Some(stream.as_raw_fd()))));
--- a/crates/host/src/server/dial.rs
+++ b/crates/host/src/server/dial.rs
@@ -1,4 +1,7 @@
-//! Connections that this host dials.
+//! Connections that this host dials: to nodes, to discovery and to the state service.
+//!
+//! Called by the owner when it performs the outputs of the router. Each dial has a coroutine, which
+//! serves the connection until it ends. No state.
 
 use super::connection::{greet, serve, ConnectionError, FramesInput, UpInput};
 use super::Shared;
@@ -8,15 +11,15 @@
 use may::net::TcpStream;
 use std::net::SocketAddr;
 
-/// What a dial needs to know of its connection.
+/// A connection to be dialled.
 struct Dial {
     conn: ConnId,
     address: SocketAddr,
-    /// What the peer must be.
+    /// The role that the peer must have.
     role: pb::Role,
     up: UpInput,
     frames: FramesInput,
-    /// Whatever came of it.
+    /// The input for the owner when the connection has ended, or the dial has failed.
     gone: Input,
 }
 
@@ -35,7 +38,7 @@
     );
 }
 
-/// Dials discovery.
+/// Dials the discovery service.
 pub(super) fn discovery(shared: &Shared, conn: ConnId) {
     start(
         shared,
@@ -50,7 +53,7 @@
     );
 }
 
-/// Dials the state service, where one is followed.
+/// Dials the state service, if this host follows one.
 pub(super) fn state_service(shared: &Shared, conn: ConnId) {
     let Some(link) = &shared.options.state else {
         return;
@@ -68,7 +71,7 @@
     );
 }
 
-/// Dials, and serves the connection until it ends.
+/// Dials in a coroutine, which serves the connection until it ends.
 fn start(shared: &Shared, dial: Dial) {
     let shared = shared.clone();
     go!(move || {
@@ -81,7 +84,7 @@
             gone,
         } = dial;
         if let Err(error) = connect(&shared, conn, address, role, up, &frames) {
-            tracing::debug!(conn = conn.0, %address, "connection over: {error}");
+            tracing::debug!(conn = conn.0, %address, %error, "connection closed");
         }
         shared.send(gone);
     });
--- a/crates/host/src/server/listener.rs
+++ b/crates/host/src/server/listener.rs
@@ -1,6 +1,9 @@
-//! Connections that this host accepts: clients, operators' programs and other hosts.
+//! Connections that this host accepts: from clients, operators' programs and other hosts.
+//!
+//! Called once by [`super::run`], in a coroutine of its own; each accepted connection has another.
+//! The number of accepted connections is bounded by the settings.
 
-use super::connection::{greet, read_frames, serve, ConnectionError};
+use super::connection::{greet, read_frames, serve, ConnectionError, FramesInput, UpInput};
 use super::Shared;
 use crate::router::{ConnId, Input};
 use grebecleat_scheduler::api::PeerId;
@@ -15,46 +18,53 @@
 use std::time::Duration;
 use tracing::{error, warn};
 
-/// Time until the next try where nothing can be accepted.
+/// The delay before the next attempt to accept a connection after an error. With a shorter delay an
+/// error that persists keeps a processor busy; a longer one delays clients after the error.
 const RETRY: Duration = Duration::from_millis(10);
 
 /// Accepts connections until the process ends.
 pub(super) fn accept(listener: &TcpListener, shared: &Shared) {
-    // One descriptor is kept back: when all are used up, it lets a caller in to be closed, where a
-    // listener without one would spin on a caller that it can neither take nor refuse.
+    // One descriptor is reserved. When all others are in use, it lets a connection be accepted and
+    // closed; without it the listener would spin on a connection that it can neither accept nor
+    // reject.
     let mut spare = File::open("/dev/null").ok();
     loop {
         match listener.accept() {
             Ok((stream, _)) if shared.closing.load(Ordering::Relaxed) => drop(stream),
             Ok((stream, from)) => admit(shared, stream, from),
-            Err(e) if matches!(e.raw_os_error(), Some(libc::EMFILE | libc::ENFILE)) => {
-                error!("no file descriptors left; a caller is turned away");
+            Err(error) if is_out_of_descriptors(&error) => {
+                error!("connection rejected: no file descriptors left");
                 drop(spare.take());
                 drop(listener.accept());
                 spare = File::open("/dev/null").ok();
                 coroutine::sleep(RETRY);
             }
-            Err(e) => {
-                warn!("cannot accept: {e}");
+            Err(error) => {
+                warn!(%error, "cannot accept a connection");
                 coroutine::sleep(RETRY);
             }
         }
     }
 }
 
-/// Serves a connection in its own coroutine, unless too many are open.
+/// Returns whether a connection was not accepted because all file descriptors are in use.
+fn is_out_of_descriptors(error: &std::io::Error) -> bool {
+    matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE))
+}
+
+/// Serves a connection in its own coroutine, unless too many connections are open.
 fn admit(shared: &Shared, stream: TcpStream, from: SocketAddr) {
     let max_clients = shared.bounds().max_clients;
     if shared.accepted.fetch_add(1, Ordering::Relaxed) >= max_clients {
         shared.accepted.fetch_sub(1, Ordering::Relaxed);
-        warn!("{from} turned away: {max_clients} connections");
+        warn!(peer = %from, max_clients, "connection rejected: too many connections");
         return;
     }
     let shared = shared.clone();
     go!(move || {
         let conn = ConnId(shared.next_accepted.fetch_add(1, Ordering::Relaxed));
         if let Err(error) = serve_accepted(&shared, conn, stream) {
-            warn!(conn = conn.0, %from, "connection closed: {error}");
+            warn!(conn = conn.0, peer = %from, %error, "connection closed");
         }
         shared.send(Input::ClientGone { conn });
         shared.accepted.fetch_sub(1, Ordering::Relaxed);
@@ -69,20 +79,18 @@
     let mut reader = frame::Reader::new(shared.bounds().max_frame);
     let timeout = shared.bounds().patience;
     let peer = greet(&mut stream, &mut reader, &shared.hello, timeout)?;
-    let frames = move |at, frames| Input::ClientFrames { conn, at, frames };
+    let frames: FramesInput = Box::new(move |at, frames| Input::ClientFrames { conn, at, frames });
     match peer.role() {
         pb::Role::Client => {
-            let up = move |outbox| Input::ClientUp { conn, outbox };
-            let (up, frames) = (Box::new(up), Box::new(frames) as _);
-            serve(shared, conn, stream, reader, &peer, up, &frames)
+            let connected: UpInput = Box::new(move |outbox| Input::ClientUp { conn, outbox });
+            serve(shared, conn, stream, reader, &peer, connected, &frames)
         }
         pb::Role::Operator => {
-            let up = move |outbox| Input::SubscriberUp { conn, outbox };
-            let (up, frames) = (Box::new(up), Box::new(frames) as _);
-            serve(shared, conn, stream, reader, &peer, up, &frames)
+            let connected: UpInput = Box::new(move |outbox| Input::SubscriberUp { conn, outbox });
+            serve(shared, conn, stream, reader, &peer, connected, &frames)
         }
         pb::Role::Host => serve_peer(shared, conn, stream, reader, &peer),
-        role => Err(ConnectionError::NoClient(role.as_str_name())),
+        role => Err(ConnectionError::UnservedRole(role.as_str_name())),
     }
 }
 
@@ -104,7 +112,7 @@
     read_frames(&mut stream, &mut reader, timeout, |at, frames| {
         shared.options.tracer.read(conn.0, at, &frames);
         for frame in frames {
-            // What lay in a socket while either side stood still is that much older.
+            // A message that waited in a socket during a pause of either side is that much older.
             let waited = delay.waited(frame.sent_us, at);
             let Some(Body::GossipMessage(message)) = frame.body else {
                 return Err(ConnectionError::UnexpectedPeerMessage);
--- a/crates/host/src/server/owner.rs
+++ b/crates/host/src/server/owner.rs
@@ -1,4 +1,7 @@
-//! The loop of the one thread that owns the decisions.
+//! The loop of the one thread that owns the router, and with it the scheduler.
+//!
+//! Called once by [`super::run`]. The loop collects inputs from the connections, steps the router,
+//! and performs its outputs.
 
 use super::{dial, Shared};
 use crate::router::{Counters, Input, Output, RequestRouter};
@@ -12,12 +15,15 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Inputs that go into one step, so that a flood cannot keep timers waiting.
+/// Inputs of one step. With a larger bound, a flood of inputs delays the timers; with a smaller one,
+/// the cost of a step is shared by fewer inputs.
 const MAX_INPUTS_PER_STEP: usize = 4096;
-/// After a pause of the process: time for the readers to bring what waits in the sockets.
+/// The time after a pause of the process in which the readers hand over the frames that wait in the
+/// sockets. With a shorter time, a response that arrived during the pause may be handled after its
+/// absence is counted against its node; a longer time delays every request.
 const CATCH_UP: Duration = Duration::from_millis(5);
 
-/// Whether the loop goes on.
+/// Whether the loop continues.
 #[derive(PartialEq)]
 enum Loop {
     Continue,
@@ -27,7 +33,7 @@
 /// Steps the router until its shutdown is complete.
 pub(super) fn run(shared: &Shared, inputs: &Receiver<Input>) -> Counters {
     let mut router = router(shared);
-    // A first step, so that the decisions ask for the endpoint list without waiting for a client.
+    // The first step makes the scheduler request the endpoint list, without waiting for a client.
     let mut batch = vec![Input::PeerMessage {
         from: PeerId(u32::MAX),
         waited: Duration::ZERO,
@@ -44,13 +50,13 @@
             }
         }
         if router.detect_pause(clock::now()) {
-            warn!("this host stood still; its own lateness is not laid on the nodes");
+            warn!("process pause detected; its delay is not charged to the nodes");
             std::thread::sleep(CATCH_UP);
         }
         let room = MAX_INPUTS_PER_STEP.saturating_sub(batch.len());
         batch.extend(inputs.try_iter().take(room));
         for output in router.step(clock::now(), batch.drain(..)) {
-            if carry_out(shared, output) == Loop::End {
+            if perform(shared, output) == Loop::End {
                 state = Loop::End;
             }
         }
@@ -69,7 +75,7 @@
     router.sharing(clock::now(), &peers, options.incarnation)
 }
 
-fn carry_out(shared: &Shared, output: Output) -> Loop {
+fn perform(shared: &Shared, output: Output) -> Loop {
     match output {
         Output::Dial { conn, address, .. } => dial::node(shared, conn, address),
         Output::DialDiscovery { conn } => dial::discovery(shared, conn),
@@ -103,15 +109,15 @@
     let Some(path) = shared.options.remember.clone() else {
         return;
     };
-    // Files block; coroutines must not.
+    // A write to a file blocks its thread, and neither the owner nor a coroutine may block.
     std::thread::spawn(move || {
         if let Err(error) = replace_file(&path, &bytes) {
-            warn!("the list cannot be kept in {}: {error}", path.display());
+            warn!(path = %path.display(), %error, "endpoint list not cached");
         }
     });
 }
 
-/// The old file stays complete until the new one is.
+/// Replaces a file at once: the old contents stay complete until the new ones are.
 fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let new = path.with_extension("new");
     let mut file = File::create(&new)?;
--- a/crates/host/src/server/peers.rs
+++ b/crates/host/src/server/peers.rs
@@ -1,8 +1,7 @@
-//! Gossip to other hosts: one connection to each, opened when there is something to send and closed
-//! when there is not.
+//! Gossip to other hosts: one connection to each, opened for a message and closed when it is idle.
 //!
-//! Messages may be lost: one that cannot be written soon is of no use. Memory: [`MAX_QUEUED`]
-//! messages for each peer.
+//! Called by the owner with each message to a peer. Messages may be lost: a message that cannot be
+//! written soon has been superseded by a later one. Memory: [`MAX_QUEUED`] messages for each peer.
 
 use super::connection::{greet, ConnectionError};
 use super::Shared;
@@ -18,21 +17,22 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Messages that wait for one peer; more are lost.
+/// Messages that wait for one peer; further ones are lost. With a larger bound, a slow peer receives
+/// outdated gossip; with a smaller one, a short delay of the peer loses messages.
 const MAX_QUEUED: usize = 8;
 
-/// The messages on their way to one peer.
+/// The queue of messages to one peer.
 struct PeerLink {
     queued: Arc<AtomicUsize>,
     messages: Sender<Vec<u8>>,
 }
 
-/// The links to all peers.
+/// The queues of messages to all peers.
 #[derive(Clone, Default)]
 pub(super) struct PeerLinks(Arc<Mutex<BTreeMap<PeerId, PeerLink>>>);
 
 impl PeerLinks {
-    /// Puts a message to a peer on its way.
+    /// Queues a message to a peer. Without a connection to the peer, one is opened.
     pub fn send(&self, shared: &Shared, peer: PeerId, address: SocketAddr, message: &[u8]) {
         let mut links = self.0.lock().unwrap_or_else(|e| e.into_inner());
         if let Some(link) = links.get(&peer) {
@@ -55,14 +55,14 @@
         let shared = shared.clone();
         go!(move || {
             if let Err(error) = write_messages(&shared, address, &queued, &to_write) {
-                tracing::debug!(%address, "no more words to this host: {error}");
+                tracing::debug!(%address, %error, "gossip connection to a peer closed");
             }
         });
     }
 }
 
-/// Writes messages over one connection, until there is none for a while, or it cannot be written
-/// to.
+/// Writes messages over one connection, until none has come for the idle time of the settings, or
+/// the connection fails.
 fn write_messages(
     shared: &Shared,
     address: SocketAddr,
--- a/crates/host/src/server/signals.rs
+++ b/crates/host/src/server/signals.rs
@@ -1,19 +1,23 @@
-//! Signals that end the process.
+//! The signals that end the process.
+//!
+//! Called at the start of a process. No state beyond the thread that waits for signals.
 
 use super::Handle;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing::warn;
 
-/// The exit code of a process that a second signal has ended.
+/// The exit code of a process that a second signal has ended. Scripts of operators tell by it that
+/// the shutdown was not graceful.
 const EXIT_SECOND_SIGNAL: i32 = 3;
 
-/// SIGTERM or SIGINT shuts the host down gracefully; a second one ends the process with code 3.
+/// Shuts the host down gracefully on SIGTERM or SIGINT. A second signal ends the process with code
+/// 3.
 pub fn on_signals(handle: Handle) {
     on_signals_do(move || handle.drain());
 }
 
-/// The same for any process: the first signal calls `end`.
+/// Calls `end` on SIGTERM or SIGINT. A second signal ends the process with code 3.
 pub fn on_signals_do(end: impl Fn() + Send + 'static) {
     std::thread::spawn(move || {
         let Ok(mut signals) = Signals::new([SIGTERM, SIGINT]) else {
@@ -21,7 +25,10 @@
         };
         for (earlier, _) in signals.forever().enumerate() {
             if earlier > 0 {
-                warn!("ended by a second signal");
+                warn!(
+                    exit_code = EXIT_SECOND_SIGNAL,
+                    "second signal: process ends without waiting for open requests"
+                );
                 std::process::exit(EXIT_SECOND_SIGNAL);
             }
             end();
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -1,5 +1,6 @@
-//! A desk with a network played by the test.
-#![allow(dead_code)]
+//! A router, and the network around it as the test plays it: no sockets, and a clock that stands
+//! still unless the test advances it.
+#![allow(dead_code)] // each test binary uses a part of it
 
 use bytes::Bytes;
 use grebecleat_catalog::change::ChangeContext;
@@ -35,74 +36,76 @@
 rules(answer_margin = ms(20))
 "#;
 
-/// A desk and the peers around it. Time stands still unless moved.
+/// The settings for connections that carry one attempt at a time.
+const ONE_ATTEMPT_PER_CONNECTION: &str =
+    "bounds(legs_per_connection = 1, linger = s(10), dial_timeout = s(10), patience = s(2))";
+
+/// The connection of the client that every rig has.
+pub const CLIENT: ConnId = ConnId(1 << 50);
+
+/// Returns [`SETTINGS`] with more lines.
+pub fn settings(more: &str) -> Arc<Settings> {
+    let read = Settings::read("router.star".as_ref(), format!("{SETTINGS}{more}"));
+    Arc::new(read.expect("good settings"))
+}
+
+/// A router and its peers.
 pub struct Rig {
     pub router: RequestRouter,
     pub now: Duration,
-    pub boxes: BTreeMap<ConnId, Arc<Outbox>>,
-    pub dialled: Vec<(ConnId, u32)>,
-    /// The list's connections that it asked for.
-    pub lists: Vec<(Duration, ConnId)>,
+    pub outboxes: BTreeMap<ConnId, Arc<Outbox>>,
+    /// Dials to nodes.
+    pub dials: Vec<(ConnId, u32)>,
+    /// Dials to discovery, and when they were made.
+    pub discovery_dials: Vec<(Duration, ConnId)>,
     pub log: Vec<LogEvent>,
-    pub ended: bool,
-    /// The connection to the state service, and what is to be kept.
-    pub state: Option<ConnId>,
-    /// What it last asked there.
-    pub asked: Option<pb::FollowRequest>,
-    pub keeps: Vec<(u64, Vec<Record>)>,
-    /// Words to its peers.
-    pub words: Vec<Vec<u8>>,
+    pub shutdown_complete: bool,
+    /// The last dial to the state service.
+    pub state_service: Option<ConnId>,
+    /// The last poll of the state service.
+    pub last_poll: Option<pb::FollowRequest>,
+    /// Records to be persisted.
+    pub persist_requests: Vec<(u64, Vec<Record>)>,
+    /// Messages to peers.
+    pub gossip: Vec<Vec<u8>>,
 }
 
-pub const CLIENT: ConnId = ConnId(1 << 50);
-
+/// Set-ups.
 impl Rig {
+    /// A router whose connections carry many attempts at a time.
     pub fn with(more: &str) -> Self {
-        let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"))
-            .expect("good settings");
-        Rig::of(RequestRouter::new(Arc::new(settings), 7))
+        Rig::of(RequestRouter::new(settings(more), 7))
     }
 
-    /// A desk whose connections to nodes carry one attempt at a time, and end with one that is
-    /// given up.
-    pub fn one_at_a_time(more: &str) -> Self {
-        let one = "bounds(legs_per_connection = 1, linger = s(10), dial_timeout = s(10), patience = s(2))";
-        let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{one}\n{more}"));
-        Rig::of(
-            RequestRouter::new(Arc::new(settings.expect("good settings")), 7)
-                .with_exclusive_connections(),
-        )
+    /// A router whose connections to nodes carry one attempt at a time, and are closed with an
+    /// abandoned one.
+    pub fn with_exclusive_connections(more: &str) -> Self {
+        let settings = settings(&format!("{ONE_ATTEMPT_PER_CONNECTION}\n{more}"));
+        Rig::of(RequestRouter::new(settings, 7).with_exclusive_connections())
     }
 
-    /// A desk that has one peer.
-    pub fn sharing(more: &str) -> Self {
-        let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"));
-        let router = RequestRouter::new(Arc::new(settings.expect("good settings")), 7);
+    /// A router that shares quotas with one peer.
+    pub fn with_peer(more: &str) -> Self {
+        let router = RequestRouter::new(settings(more), 7);
         Rig::of(router.sharing(ms(100_000), &[PeerId(1)], 1))
     }
 
-    /// A desk that follows a state service, and has kept nothing of it.
+    /// A router that follows a state service, and has persisted nothing.
     pub fn following(more: &str) -> Self {
-        let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"));
-        let facts = deployment(&settings.expect("good settings"));
-        Rig::started(
-            more,
-            InitialState {
-                catalog: Follower::empty_catalog(facts),
-                ..InitialState::default()
-            },
-        )
+        let start = InitialState {
+            catalog: Follower::empty_catalog(deployment(&settings(more))),
+            ..InitialState::default()
+        };
+        Rig::following_from(more, start)
     }
 
-    /// The same with what it kept of an earlier start.
-    pub fn started(more: &str, start: InitialState) -> Self {
-        let settings = Settings::read("desk.star".as_ref(), format!("{SETTINGS}{more}"))
-            .expect("good settings");
-        let mut rig = Rig::of(RequestRouter::new(Arc::new(settings), 7).following("h", start));
-        rig.wait(ms(10));
-        let conn = rig.state.expect("it dials");
-        let outbox = rig.outbox(conn);
-        rig.feed(vec![Input::StateServiceUp { conn, outbox }]);
+    /// A router that follows a state service, and starts with the state that it has persisted.
+    pub fn following_from(more: &str, start: InitialState) -> Self {
+        let mut rig = Rig::of(RequestRouter::new(settings(more), 7).following("h", start));
+        rig.advance(ms(10));
+        let conn = rig.state_service.expect("it dials the state service");
+        let outbox = rig.new_outbox(conn);
+        rig.step(vec![Input::StateServiceUp { conn, outbox }]);
         rig
     }
 
@@ -110,50 +113,62 @@
         let mut rig = Rig {
             router,
             now: ms(100_000),
-            boxes: BTreeMap::new(),
-            dialled: Vec::new(),
-            lists: Vec::new(),
+            outboxes: BTreeMap::new(),
+            dials: Vec::new(),
+            discovery_dials: Vec::new(),
             log: Vec::new(),
-            ended: false,
-            state: None,
-            asked: None,
-            keeps: Vec::new(),
-            words: Vec::new(),
+            shutdown_complete: false,
+            state_service: None,
+            last_poll: None,
+            persist_requests: Vec::new(),
+            gossip: Vec::new(),
         };
-        rig.feed(vec![Input::CachedEndpoints {
-            list: list(&[(1, pb::NodeState::Ready), (2, pb::NodeState::Ready)]),
-        }]);
-        let outbox = rig.outbox(CLIENT);
-        rig.feed(vec![Input::ClientUp {
-            conn: CLIENT,
-            outbox,
-        }]);
+        rig.list_endpoints(&[(1, pb::NodeState::Ready), (2, pb::NodeState::Ready)]);
+        rig.connect_client(CLIENT);
         rig
     }
+}
 
-    pub fn outbox(&mut self, conn: ConnId) -> Arc<Outbox> {
+/// Time, inputs and outputs.
+impl Rig {
+    pub fn new_outbox(&mut self, conn: ConnId) -> Arc<Outbox> {
         let outbox = Arc::new(Outbox::new(|| (), || ()));
-        self.boxes.insert(conn, outbox.clone());
+        self.outboxes.insert(conn, outbox.clone());
         outbox
     }
 
-    pub fn feed(&mut self, inputs: Vec<Input>) {
-        for out in self.router.step(self.now, inputs) {
-            match out {
-                Output::Dial { conn, node, .. } => self.dialled.push((conn, node.0)),
-                Output::DialDiscovery { conn } => self.lists.push((self.now, conn)),
+    pub fn is_closed(&self, conn: ConnId) -> bool {
+        self.outboxes[&conn].is_closed()
+    }
+
+    pub fn step(&mut self, inputs: Vec<Input>) {
+        for output in self.router.step(self.now, inputs) {
+            match output {
+                Output::Dial { conn, node, .. } => self.dials.push((conn, node.0)),
+                Output::DialDiscovery { conn } => self.discovery_dials.push((self.now, conn)),
                 Output::Log(event) => self.log.push(event),
-                Output::ShutdownComplete => self.ended = true,
-                Output::DialStateService { conn } => self.state = Some(conn),
-                Output::Persist { number, records } => self.keeps.push((number, records)),
-                Output::SendToPeer { bytes, .. } => self.words.push(bytes),
-                _ => {}
+                Output::ShutdownComplete => self.shutdown_complete = true,
+                Output::DialStateService { conn } => self.state_service = Some(conn),
+                Output::Persist { number, records } => {
+                    self.persist_requests.push((number, records))
+                }
+                Output::SendToPeer { bytes, .. } => self.gossip.push(bytes),
+                Output::CacheEndpoints { .. } => {}
             }
         }
         self.router.wake_at();
     }
 
-    /// Whether an event of the log holds this text.
+    /// Advances the clock, and steps the router whenever it is to wake.
+    pub fn advance(&mut self, span: Duration) {
+        let end = self.now + span;
+        while self.now < end {
+            self.now = self.router.wake_at().max(self.now + ms(1)).min(end);
+            self.step(vec![]);
+        }
+    }
+
+    /// Whether an event of the log contains this text.
     pub fn has_logged(&self, part: &str) -> bool {
         let text = |event: &LogEvent| match event {
             LogEvent::ProtocolViolation { violation, .. } => violation.to_string(),
@@ -166,16 +181,47 @@
         self.log.iter().any(|event| text(event).contains(part))
     }
 
-    pub fn wait(&mut self, span: Duration) {
-        let end = self.now + span;
-        while self.now < end {
-            self.now = self.router.wake_at().max(self.now + ms(1)).min(end);
-            self.feed(vec![]);
-        }
+    /// Hands the router a frame that was sent just now.
+    pub fn receive(&mut self, conn: ConnId, body: Body) {
+        let at = self.now;
+        let frames = vec![pb::Frame {
+            sent_us: at.as_micros() as u64,
+            body: Some(body),
+        }];
+        self.step(vec![match conn {
+            CLIENT => Input::ClientFrames { conn, at, frames },
+            _ => Input::NodeFrames { conn, at, frames },
+        }]);
     }
 
-    pub fn take(&mut self, n: u8, traffic_class: u32) {
-        let take = pb::SubmitRequest {
+    /// The messages that the writer of a connection now puts on the socket.
+    pub fn written(&mut self, conn: ConnId) -> Vec<Body> {
+        let batch = self.outboxes[&conn].take_batch(|| self.now, usize::MAX);
+        self.outboxes[&conn].batch_written();
+        let bodies: Vec<Body> = batch
+            .frames
+            .into_iter()
+            .filter_map(|frame| frame.body)
+            .collect();
+        let poll = |body: &Body| match body {
+            Body::FollowRequest(poll) => Some(*poll),
+            _ => None,
+        };
+        self.last_poll = bodies.iter().filter_map(poll).last().or(self.last_poll);
+        bodies
+    }
+}
+
+/// Clients.
+impl Rig {
+    pub fn connect_client(&mut self, conn: ConnId) {
+        let outbox = self.new_outbox(conn);
+        self.step(vec![Input::ClientUp { conn, outbox }]);
+    }
+
+    /// The client sends a request whose id is made of `n`.
+    pub fn submit(&mut self, n: u8, traffic_class: u32) {
+        let request = pb::SubmitRequest {
             id: Bytes::from(vec![n; 36]),
             piece: Bytes::from(vec![n; 36]),
             traffic_class,
@@ -186,201 +232,125 @@
             left_us: 2_000_000,
             ..Default::default()
         };
-        self.frames(CLIENT, Body::SubmitRequest(take));
-    }
-
-    pub fn withdraw(&mut self, n: u8) {
-        self.frames(
-            CLIENT,
-            Body::CancelRequest(pb::CancelRequest {
-                id: Bytes::from(vec![n; 36]),
-            }),
-        );
-    }
-
-    pub fn frames(&mut self, conn: ConnId, body: Body) {
-        let sent_us = self.now.as_micros() as u64;
-        let (at, frames) = (
-            self.now,
-            vec![pb::Frame {
-                sent_us,
-                body: Some(body),
-            }],
-        );
-        let input = match conn {
-            CLIENT => Input::ClientFrames { conn, at, frames },
-            _ => Input::NodeFrames { conn, at, frames },
-        };
-        self.feed(vec![input]);
+        self.receive(CLIENT, Body::SubmitRequest(request));
     }
 
-    /// What the host now asks of the state service.
-    pub fn asks(&mut self) -> pb::FollowRequest {
-        self.cross(self.state.expect("dialled"));
-        self.asked.take().expect("it asks")
+    /// The client cancels its request.
+    pub fn cancel(&mut self, n: u8) {
+        let id = Bytes::from(vec![n; 36]);
+        self.receive(CLIENT, Body::CancelRequest(pb::CancelRequest { id }));
     }
 
-    /// The state service answers: these lines are one entry, and all is settled up to that one.
-    pub fn told(&mut self, words: &[&str], stable: u64) {
-        self.told_all(&[words], stable);
+    /// The final responses that are now written to the client.
+    pub fn responses(&mut self) -> Vec<pb::Response> {
+        let written = self.written(CLIENT).into_iter();
+        let responses = written.filter_map(|body| match body {
+            Body::Response(response) => Some(response),
+            _ => None,
+        });
+        responses.collect()
     }
 
-    /// The same with several entries at once, each of its own lines.
-    pub fn told_all(&mut self, all: &[&[&str]], stable: u64) {
-        let ask = self.asks();
-        let (conn, mut l) = (
-            self.state.expect("dialled"),
-            Follower::empty_catalog(deployment(self.router.settings())),
-        );
-        l = l.restored(
-            self.router.follower().catalog().version(),
-            self.router.follower().catalog().state(),
-            Vec::new(),
-        );
-        let mut entries = Vec::new();
-        for words in all {
-            let changes: Vec<_> = words
-                .iter()
-                .map(|w| parse_change(&l, w).expect("good words"))
-                .collect();
-            let entry = l
-                .propose(l.version(), ChangeContext::default(), changes)
-                .expect("in order");
-            l.apply(entry.clone()).expect("the next");
-            entries.push(revision_to_proto(&entry));
-        }
-        let (epoch, call, lease_us, version) = (1, ask.call, 3_000_000, l.version().0);
-        let feed = pb::ConfigUpdate {
-            call,
-            epoch,
-            version,
-            stable,
-            lease_us,
-            revisions: entries,
-            ..Default::default()
-        };
-        let frames = vec![pb::Frame {
-            sent_us: 0,
-            body: Some(Body::ConfigUpdate(feed)),
-        }];
-        self.feed(vec![Input::StateServiceFrames { conn, frames }]);
-        for (number, _) in std::mem::take(&mut self.keeps) {
-            self.feed(vec![Input::Persisted {
-                number,
-                done: Ok(()),
-            }]);
-        }
+    /// The outcomes of the final responses that are now written to the client.
+    pub fn outcomes(&mut self) -> Vec<(u8, pb::Outcome)> {
+        let responses = self.responses().into_iter();
+        let outcomes = responses.map(|response| (response.id[0], response.outcome()));
+        outcomes.collect()
     }
+}
 
-    /// Brings up the connection dialled last.
+/// Nodes.
+impl Rig {
+    /// The last dial to a node succeeds.
     pub fn connect(&mut self) -> ConnId {
-        let (conn, _) = *self.dialled.last().expect("a dial");
-        let outbox = self.outbox(conn);
-        self.feed(vec![Input::NodeUp { conn, outbox }]);
+        let (conn, _) = *self.dials.last().expect("a dial");
+        self.connect_node(conn);
         conn
     }
 
-    /// What a connection's writer now puts on the socket.
-    pub fn cross(&mut self, conn: ConnId) -> Vec<Body> {
-        let pulled = self.boxes[&conn].take_batch(|| self.now, usize::MAX);
-        self.boxes[&conn].batch_written();
-        let told: Vec<Body> = pulled.frames.into_iter().filter_map(|f| f.body).collect();
-        let follow = |b: &Body| {
-            if let Body::FollowRequest(f) = b {
-                Some(*f)
-            } else {
-                None
-            }
-        };
-        self.asked = told.iter().filter_map(follow).last().or(self.asked);
-        told
+    /// A dial to a node succeeds.
+    pub fn connect_node(&mut self, conn: ConnId) {
+        let outbox = self.new_outbox(conn);
+        self.step(vec![Input::NodeUp { conn, outbox }]);
     }
 
+    /// The attempts that are now written to a node.
     pub fn attempts(&mut self, conn: ConnId) -> Vec<pb::Attempt> {
-        let attempts = self.cross(conn).into_iter();
-        attempts
-            .filter_map(|b| {
-                if let Body::Attempt(l) = b {
-                    Some(l)
-                } else {
-                    None
-                }
-            })
-            .collect()
+        let written = self.written(conn).into_iter();
+        let attempts = written.filter_map(|body| match body {
+            Body::Attempt(attempt) => Some(attempt),
+            _ => None,
+        });
+        attempts.collect()
     }
 
-    pub fn finals(&mut self) -> Vec<(u8, pb::Outcome)> {
-        let finals = self.cross(CLIENT).into_iter();
-        finals
-            .filter_map(|b| {
-                if let Body::Response(f) = b {
-                    Some((f.id[0], f.outcome()))
-                } else {
-                    None
-                }
-            })
-            .collect()
-    }
-
-    pub fn node_answers(&mut self, conn: ConnId, attempt: u64, result: pb::Result) {
-        self.frames(
-            conn,
-            Body::AttemptResponse(pb::AttemptResponse {
-                attempt,
-                result: result.into(),
-                ..Default::default()
-            }),
-        );
+    /// A node responds to an attempt.
+    pub fn respond(&mut self, conn: ConnId, attempt: u64, result: pb::Result) {
+        let response = pb::AttemptResponse {
+            attempt,
+            result: result.into(),
+            ..Default::default()
+        };
+        self.receive(conn, Body::AttemptResponse(response));
     }
+}
 
-    /// Waits until the list is asked for, and brings that connection up.
-    pub fn list_up(&mut self) -> ConnId {
-        let asks = |r: &Self| {
-            r.lists
-                .last()
-                .is_some_and(|(_, conn)| !r.boxes.contains_key(conn))
+/// Discovery.
+impl Rig {
+    /// Waits until discovery is dialled, and brings that connection up.
+    pub fn connect_discovery(&mut self) -> ConnId {
+        let is_dialled = |rig: &Self| {
+            let last = rig.discovery_dials.last();
+            last.is_some_and(|(_, conn)| !rig.outboxes.contains_key(conn))
         };
         for _ in 0..1000 {
-            if asks(self) {
+            if is_dialled(self) {
                 break;
             }
-            self.wait(ms(10));
+            self.advance(ms(10));
         }
-        let conn = self.lists.last().expect("it asks for the list").1;
-        let outbox = self.outbox(conn);
-        self.feed(vec![Input::DiscoveryUp { conn, outbox }]);
+        let last = self.discovery_dials.last();
+        let conn = last.expect("it dials discovery").1;
+        let outbox = self.new_outbox(conn);
+        self.step(vec![Input::DiscoveryUp { conn, outbox }]);
         conn
     }
 
-    /// The list tells something on a connection.
-    pub fn list_tells(
+    /// Discovery sends an endpoint list or a change of it.
+    pub fn discovery_sends(
         &mut self,
         conn: ConnId,
         kind: pb::EndpointUpdateKind,
         endpoints: &[(u32, pb::NodeState)],
     ) {
-        let list = pb::EndpointUpdate {
+        let update = pb::EndpointUpdate {
             kind: kind.into(),
             revision: 2,
-            ..list(endpoints)
+            ..endpoint_list(endpoints)
         };
         let frames = vec![pb::Frame {
             sent_us: 0,
-            body: Some(Body::EndpointUpdate(list)),
+            body: Some(Body::EndpointUpdate(update)),
         }];
-        self.feed(vec![Input::DiscoveryFrames { conn, frames }]);
+        self.step(vec![Input::DiscoveryFrames { conn, frames }]);
     }
 
-    pub fn listed(&mut self, endpoints: &[(u32, pb::NodeState)]) {
-        // A change as the list tells it; where it came from does not matter here.
-        self.feed(vec![Input::CachedEndpoints {
-            list: list(endpoints),
-        }]);
+    /// Replaces the endpoint list, where it does not matter how the router receives it.
+    pub fn list_endpoints(&mut self, endpoints: &[(u32, pb::NodeState)]) {
+        let list = endpoint_list(endpoints);
+        self.step(vec![Input::CachedEndpoints { list }]);
+    }
+
+    /// Replaces the endpoint list with one in which node 1 is another process.
+    pub fn restart_node_1(&mut self, state: pb::NodeState) {
+        let mut list = endpoint_list(&[(1, state), (2, pb::NodeState::Ready)]);
+        list.endpoints[0].start = 2;
+        self.step(vec![Input::CachedEndpoints { list }]);
     }
 }
 
-pub fn list(endpoints: &[(u32, pb::NodeState)]) -> pb::EndpointUpdate {
-    let entry = |(node, state): &(u32, pb::NodeState)| pb::Endpoint {
+pub fn endpoint_list(endpoints: &[(u32, pb::NodeState)]) -> pb::EndpointUpdate {
+    let endpoint = |(node, state): &(u32, pb::NodeState)| pb::Endpoint {
         node: *node,
         shard: *node,
         state: (*state).into(),
@@ -388,10 +358,72 @@
         start: 1,
         ..Default::default()
     };
-    let endpoints = endpoints.iter().map(entry).collect();
     pb::EndpointUpdate {
         kind: pb::EndpointUpdateKind::Snapshot.into(),
         revision: 1,
-        endpoints,
+        endpoints: endpoints.iter().map(endpoint).collect(),
+    }
+}
+
+/// The state service.
+impl Rig {
+    /// The last poll that the router has sent to the state service.
+    pub fn poll(&mut self) -> pb::FollowRequest {
+        self.written(self.state_service.expect("dialled"));
+        self.last_poll.take().expect("a poll")
+    }
+
+    /// The state service sends a response.
+    pub fn state_service_sends(&mut self, update: pb::ConfigUpdate) {
+        let conn = self.state_service.expect("dialled");
+        let frames = vec![pb::Frame {
+            sent_us: 0,
+            body: Some(Body::ConfigUpdate(update)),
+        }];
+        self.step(vec![Input::StateServiceFrames { conn, frames }]);
+    }
+
+    /// The state service responds with one revision of these changes, and all revisions up to
+    /// `stable` are stable.
+    pub fn publish(&mut self, changes: &[&str], stable: u64) {
+        self.publish_revisions(&[changes], stable);
+    }
+
+    /// The state service responds with several revisions.
+    pub fn publish_revisions(&mut self, revisions: &[&[&str]], stable: u64) {
+        let poll = self.poll();
+        let followed = self.router.follower().catalog();
+        let mut catalog = Follower::empty_catalog(deployment(self.router.settings())).restored(
+            followed.version(),
+            followed.state(),
+            Vec::new(),
+        );
+        let mut published = Vec::new();
+        for changes in revisions {
+            let changes: Vec<_> = changes
+                .iter()
+                .map(|change| parse_change(&catalog, change).expect("a good change"))
+                .collect();
+            let revision = catalog
+                .propose(catalog.version(), ChangeContext::default(), changes)
+                .expect("in order");
+            catalog.apply(revision.clone()).expect("the next");
+            published.push(revision_to_proto(&revision));
+        }
+        self.state_service_sends(pb::ConfigUpdate {
+            call: poll.call,
+            epoch: 1,
+            version: catalog.version().0,
+            stable,
+            lease_us: 3_000_000,
+            revisions: published,
+            ..Default::default()
+        });
+        for (number, _) in std::mem::take(&mut self.persist_requests) {
+            self.step(vec![Input::Persisted {
+                number,
+                done: Ok(()),
+            }]);
+        }
     }
 }
--- a/crates/host/tests/config_follower.rs
+++ b/crates/host/tests/config_follower.rs
@@ -1,4 +1,4 @@
-//! A host that follows a state service: what it serves before it was told, and as it is told more.
+//! A host that follows a state service: plans, volumes, limits and drains, as they are published.
 
 mod common;
 
@@ -7,305 +7,302 @@
 use grebecleat_catalog::leader::Epoch;
 use grebecleat_catalog::records::Version;
 use grebecleat_catalog_service::declared_config::deployment;
-use grebecleat_host::router::Input;
+use grebecleat_host::router::{ConnId, Input};
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 
+const PLAN: &str = "plan p rate=1000 reservation=1000";
 const VOLUME: &str = "volume 5 plan=p hosts=h cells=1 blocks=64";
 
+fn limited_plan(limit: u32) -> String {
+    format!("plan p rate=100 reservation=4 limit={limit} burst={limit} slack=100")
+}
+
+/// A host that serves a volume together with another host, both under one limit, and a connection
+/// to a node with one attempt. The host's half of the limit fills from nothing.
+fn rig_with_shared_limit(limit: u32) -> (Rig, ConnId) {
+    let mut rig = Rig::following("host(name = \"i\")");
+    let volume = "volume 5 plan=p hosts=h,i cells=1 blocks=64";
+    rig.publish(&[&limited_plan(limit), volume], 1);
+    rig.submit(1, 0);
+    rig.advance(ms(100));
+    let conn = rig.connect();
+    (rig, conn)
+}
+
+/// Advances the clock by 20 ms, answers the attempts that were written, and returns their number.
+fn serve_20_ms(rig: &mut Rig, conn: ConnId) -> usize {
+    rig.advance(ms(20));
+    let attempts = rig.attempts(conn);
+    for attempt in &attempts {
+        rig.respond(conn, attempt.attempt, pb::Result::Ok);
+    }
+    attempts.len()
+}
+
+/// Submits 40 requests, and returns how many are sent within a second.
+fn sent_within_a_second(rig: &mut Rig, conn: ConnId, first: u8) -> usize {
+    (first..first + 40).for_each(|n| rig.submit(n, 0));
+    let sent = (0..50).map(|_| serve_20_ms(rig, conn)).sum();
+    rig.outcomes();
+    sent
+}
+
+/// Submits and cancels 40 requests every half a second, and returns how many are sent.
+fn sent_within(rig: &mut Rig, conn: ConnId, span_ms: u64) -> usize {
+    let mut sent = 0;
+    for n in 0..span_ms / 20 {
+        if n % 25 == 0 {
+            (10..50).for_each(|n| rig.submit(n, 0));
+        }
+        sent += serve_20_ms(rig, conn);
+        // A cancelled request frees its id for the next round.
+        if n % 25 == 24 {
+            (10..50).for_each(|n| rig.cancel(n));
+        }
+    }
+    rig.outcomes();
+    sent
+}
+
+/// The reports about node 1 since the last call: the version that the host has applied, its
+/// outstanding attempts, and whether another attempt may still run.
+fn reports_about_node_1(rig: &mut Rig) -> Vec<(u64, u32, bool)> {
+    rig.advance(ms(60));
+    let conn = rig.state_service.expect("dialled");
+    let written = rig.written(conn).into_iter();
+    let reports = written.filter_map(|body| match body {
+        Body::NodeObservations(report) => Some(report.nodes),
+        _ => None,
+    });
+    let rows = reports.flatten().filter(|row| row.node == 1);
+    rows.map(|row| (row.follows, row.attempts, row.unsure_us > 0))
+        .collect()
+}
+
 #[test]
-fn nothing_is_served_before_it_was_told_and_what_is_retired_no_more() {
-    let mut r = Rig::following("");
-    r.take(1, 0);
+fn a_volume_is_served_from_its_publication_to_its_retirement() {
+    let mut rig = Rig::following("");
+    rig.submit(1, 0);
     assert_eq!(
-        r.finals(),
+        rig.outcomes(),
         [(1, Outcome::Rejected)],
-        "it may be told of it in a moment"
+        "the volume may be published in a moment"
     );
-    r.told(&["plan p rate=1000 reservation=1000", VOLUME], 1);
-    r.take(2, 0);
-    let conn = r.connect();
-    let out = r.attempts(conn);
-    assert_eq!((out.len(), out[0].plan_rate), (1, 1000.0));
-    // Retired with one attempt out and one held: what is out has its answer when it comes.
-    (3..60).for_each(|n| r.take(n, 1));
-    r.cross(conn);
-    r.told(&["volume 5 retire"], 2);
-    let told = r.finals();
+    rig.publish(&[PLAN, VOLUME], 1);
+    rig.submit(2, 0);
+    let conn = rig.connect();
+    let written = rig.attempts(conn);
+    assert_eq!((written.len(), written[0].plan_rate), (1, 1000.0));
+    // The volume is retired with one attempt written and others queued. The written one is still
+    // answered.
+    (3..60).for_each(|n| rig.submit(n, 1));
+    rig.written(conn);
+    rig.publish(&["volume 5 retire"], 2);
+    let outcomes = rig.outcomes();
+    let queued_and_rejected =
+        |(n, outcome): &(u8, Outcome)| *n > 2 && *outcome == Outcome::Rejected;
     assert!(
-        !told.is_empty() && told.iter().all(|(n, o)| *n > 2 && *o == Outcome::Rejected),
-        "{told:?}"
+        !outcomes.is_empty() && outcomes.iter().all(queued_and_rejected),
+        "{outcomes:?}"
     );
-    r.node_answers(conn, out[0].attempt, pb::Result::Ok);
-    assert_eq!(r.finals(), [(2, Outcome::Completed)]);
-    r.take(99, 0);
+    rig.respond(conn, written[0].attempt, pb::Result::Ok);
+    assert_eq!(rig.outcomes(), [(2, Outcome::Completed)]);
+    rig.submit(99, 0);
     assert_eq!(
-        r.finals(),
+        rig.outcomes(),
         [(99, Outcome::Failed)],
-        "there is nothing to come back for"
+        "a retry has no chance"
     );
 }
 
 #[test]
-fn a_volume_that_works_through_others_is_sent_elsewhere() {
-    let mut r = Rig::following("host(name = \"i\")");
-    r.told(
+fn requests_of_a_volume_of_other_hosts_are_rejected() {
+    let mut rig = Rig::following("host(name = \"i\")");
+    rig.publish(
         &[
             "plan p rate=10",
             "volume 5 plan=p hosts=h,i cells=1 blocks=64",
         ],
         1,
     );
-    r.told(&["volume 5 hosts=i"], 1);
-    r.take(1, 0);
-    assert_eq!(r.finals(), [(1, Outcome::Rejected)]);
-    r.told(&["volume 5 hosts=h"], 3);
-    r.take(2, 0);
-    let conn = r.connect();
-    assert_eq!(r.attempts(conn).len(), 1);
+    rig.publish(&["volume 5 hosts=i"], 1);
+    rig.submit(1, 0);
+    assert_eq!(rig.outcomes(), [(1, Outcome::Rejected)]);
+    rig.publish(&["volume 5 hosts=h"], 3);
+    rig.submit(2, 0);
+    let conn = rig.connect();
+    assert_eq!(rig.attempts(conn).len(), 1);
 }
 
-/// A limit that is lowered holds for what is already held; raised, it waits until that is settled.
+/// A limit that is lowered also holds for queued requests. A limit that is raised holds once its
+/// revision is stable.
 #[test]
-fn a_limit_follows_what_it_is_told() {
-    let mut r = Rig::following("host(name = \"i\")");
-    let limited =
-        |limit: u32| format!("plan p rate=100 reservation=4 limit={limit} burst={limit} slack=100");
-    r.told(
-        &[&limited(40), "volume 5 plan=p hosts=h,i cells=1 blocks=64"],
-        1,
-    );
-    r.take(1, 0);
-    // Its part fills from nothing: 20 a second.
-    r.wait(ms(100));
-    let conn = r.connect();
-    assert_eq!(r.attempts(conn).len(), 1);
-    let attempts = |r: &mut Rig, from: u8, span: u64| {
-        (from..from + 40).for_each(|n| r.take(n, 0));
-        let mut sent = 0;
-        for _ in 0..span / 20 {
-            r.wait(ms(20));
-            let out = r.attempts(conn);
-            sent += out.len();
-            out.iter()
-                .for_each(|l| r.node_answers(conn, l.attempt, pb::Result::Ok));
-        }
-        r.finals();
-        sent
-    };
-    let at_forty = attempts(&mut r, 10, 1000);
+fn a_limit_is_lowered_at_once_and_raised_once_stable() {
+    // Half of the limit: 20 a second.
+    let (mut rig, conn) = rig_with_shared_limit(40);
+    assert_eq!(rig.attempts(conn).len(), 1);
+    let at_forty = sent_within_a_second(&mut rig, conn, 10);
     assert!((15..=22).contains(&at_forty), "{at_forty}");
-    r.told(&[&limited(8)], 1);
-    let at_eight = attempts(&mut r, 60, 1000);
+    rig.publish(&[&limited_plan(8)], 1);
+    let at_eight = sent_within_a_second(&mut rig, conn, 60);
     assert!((3..=8).contains(&at_eight), "{at_eight}");
-    r.told(&[&limited(60)], 2);
-    let unsettled = attempts(&mut r, 110, 1000);
-    assert!(unsettled <= 5, "{unsettled}");
-    r.told(&["plan other rate=1"], 4);
-    let at_sixty = attempts(&mut r, 160, 1000);
+    rig.publish(&[&limited_plan(60)], 2);
+    let unstable = sent_within_a_second(&mut rig, conn, 110);
+    assert!(unstable <= 5, "{unstable}");
+    rig.publish(&["plan other rate=1"], 4);
+    let at_sixty = sent_within_a_second(&mut rig, conn, 160);
     assert!(at_sixty >= 25, "{at_sixty}");
-    // Cut off until its lease is over: the part of the reservation, 2 a second.
-    r.feed(vec![Input::StateServiceGone {
-        conn: r.state.unwrap(),
+    // Without a connection until its lease expires: its share of the reservation, 2 a second.
+    rig.step(vec![Input::StateServiceGone {
+        conn: rig.state_service.expect("dialled"),
     }]);
-    r.wait(ms(3000));
-    r.finals();
-    attempts(&mut r, 10, 1000); // what its part of the burst still held
-    let alone = attempts(&mut r, 60, 1000);
+    rig.advance(ms(3000));
+    rig.outcomes();
+    sent_within_a_second(&mut rig, conn, 10); // the rest of the burst
+    let alone = sent_within_a_second(&mut rig, conn, 60);
     assert!(alone <= 4, "{alone}");
-    assert!(r.has_logged("lease"), "{:?}", r.log);
+    assert!(rig.has_logged("lease"), "{:?}", rig.log);
 }
 
-/// The feed stands still for a minute, on a connection that stays up, and then forty versions come
-/// in one answer: while it stands the host keeps to its part of the reservation, and then to the
-/// least that any of them says.
+/// For a minute no response arrives, on a connection that stays open, and then one with forty
+/// revisions. During the minute the host uses its share of the reservation, and then the lowest
+/// limit of the forty, until they are stable.
 #[test]
-fn a_feed_that_stands_still_for_a_minute_and_then_brings_forty_versions() {
-    let mut r = Rig::following("host(name = \"i\")");
-    let limited =
-        |limit: u32| format!("plan p rate=100 reservation=4 limit={limit} burst={limit} slack=100");
-    r.told(
-        &[&limited(40), "volume 5 plan=p hosts=h,i cells=1 blocks=64"],
-        1,
-    );
-    r.take(1, 0);
-    r.wait(ms(100));
-    let conn = r.connect();
-    let attempts = |r: &mut Rig, span: u64| {
-        let mut sent = 0;
-        for n in 0..span / 20 {
-            (n % 25 == 0).then(|| (10..50).for_each(|n| r.take(n, 0)));
-            r.wait(ms(20));
-            let out = r.attempts(conn);
-            sent += out.len();
-            out.iter()
-                .for_each(|l| r.node_answers(conn, l.attempt, pb::Result::Ok));
-            // What is held gives its number free for the next ones.
-            if n % 25 == 24 {
-                (10..50).for_each(|n| r.withdraw(n));
-            }
-        }
-        r.finals();
-        sent
-    };
-    attempts(&mut r, 4000);
-    let standing = attempts(&mut r, 56_000);
+fn after_a_minute_without_updates_the_lowest_of_forty_limits_holds_until_stable() {
+    let (mut rig, conn) = rig_with_shared_limit(40);
+    sent_within(&mut rig, conn, 4000);
+    let without_updates = sent_within(&mut rig, conn, 56_000);
     assert!(
-        (90..=130).contains(&standing),
-        "{standing}: its part of the reservation is 2 a second"
+        (90..=130).contains(&without_updates),
+        "{without_updates}: its share of the reservation is 2 a second"
     );
-    let versions: Vec<String> = (0..40)
-        .map(|n| limited(if n == 20 { 12 } else { 41 + n }))
-        .collect();
-    let versions: Vec<[&str; 1]> = versions.iter().map(|v| [v.as_str()]).collect();
-    r.told_all(&versions.iter().map(|v| &v[..]).collect::<Vec<_>>(), 1);
-    let terms = r.router.follower().catalog().plan("p").map(|p| p.limit);
-    assert_eq!(terms, Some(80.0));
-    let unsettled = attempts(&mut r, 2000);
+    let limits = (0..40).map(|n| if n == 20 { 12 } else { 41 + n });
+    let plans: Vec<String> = limits.map(limited_plan).collect();
+    let revisions: Vec<[&str; 1]> = plans.iter().map(|plan| [plan.as_str()]).collect();
+    let revisions: Vec<&[&str]> = revisions.iter().map(|changes| &changes[..]).collect();
+    rig.publish_revisions(&revisions, 1);
+    let plan = rig.router.follower().catalog().plan("p");
+    assert_eq!(plan.map(|plan| plan.limit), Some(80.0));
+    let unstable = sent_within(&mut rig, conn, 2000);
     assert!(
-        (8..=18).contains(&unsettled),
-        "{unsettled}: one of them said 12, and somebody may follow it"
+        (8..=18).contains(&unstable),
+        "{unstable}: one limit is 12, and another host may use it"
     );
-    // The same connection, now with an answer that says that all of them are over.
-    r.told(&["plan other rate=1"], 41);
-    let stable = attempts(&mut r, 2000);
+    // The same connection, now with a response by which all of them are stable.
+    rig.publish(&["plan other rate=1"], 41);
+    let stable = sent_within(&mut rig, conn, 2000);
     assert!(stable >= 30, "{stable}");
 }
 
-/// A drain that somebody asks for: nothing new crosses, what lies in a send buffer does not, and
-/// the service hears what is still under way. What the list says of it meanwhile changes nothing,
-/// nor does a restart with what was kept.
+/// An operator drains a node: no new attempt is written, queued attempts are revoked, and the host
+/// reports the attempts that still run. Changes of the endpoint list end the drain as little as a
+/// restart of the node.
 #[test]
-fn a_node_that_somebody_wants_empty() {
-    let mut r = Rig::following("");
-    r.told(
-        &["node 1 zone=a", "plan p rate=1000 reservation=1000", VOLUME],
-        1,
-    );
-    r.take(1, 0);
-    let conn = r.connect();
-    let out = r.attempts(conn);
-    r.take(2, 0); // decided, and not yet written
-    r.told(&["drain 1 queued"], 2);
-    r.take(3, 0);
-    r.told(&["drain 1"], 3);
+fn a_drained_node_receives_no_attempts_and_its_progress_is_reported() {
+    let mut rig = Rig::following("");
+    rig.publish(&["node 1 zone=a", PLAN, VOLUME], 1);
+    rig.submit(1, 0);
+    let conn = rig.connect();
+    let written = rig.attempts(conn);
+    rig.submit(2, 0); // decided, and not yet written
+    rig.publish(&["drain 1 queued"], 2);
+    rig.submit(3, 0);
+    rig.publish(&["drain 1"], 3);
     assert!(
-        r.attempts(conn).is_empty(),
-        "what was decided before it was told does not cross"
+        rig.attempts(conn).is_empty(),
+        "a queued attempt is revoked by the drain"
     );
-    r.take(4, 0);
+    rig.submit(4, 0);
     assert_eq!(
-        r.finals(),
+        rig.outcomes(),
         [
             (2, Outcome::Rejected),
             (3, Outcome::Rejected),
             (4, Outcome::Rejected)
         ]
     );
-    // The list tells of it anew, and of a restart: it stays as it is.
-    r.listed(&[(1, pb::NodeState::Gone)]);
-    r.listed(&[(1, pb::NodeState::Ready), (2, pb::NodeState::Ready)]);
-    r.take(5, 0);
-    assert_eq!(r.finals(), [(5, Outcome::Rejected)]);
-    let sights = |r: &mut Rig| {
-        r.wait(ms(60));
-        let told = r.cross(r.state.unwrap()).into_iter();
-        let told = told.filter_map(|b| {
-            if let Body::NodeObservations(s) = b {
-                Some(s.nodes)
-            } else {
-                None
-            }
-        });
-        let told = told.flatten().filter(|n| n.node == 1);
-        told.map(|n| (n.follows, n.attempts, n.unsure_us > 0))
-            .collect::<Vec<_>>()
-    };
-    assert_eq!(sights(&mut r).last(), Some(&(3, 1, false)));
-    // It never answers: for as long as a request may take, nobody knows whether it runs.
-    r.wait(ms(2000));
-    assert_eq!(sights(&mut r).last(), Some(&(3, 0, true)));
-    assert!(r.attempts(conn).iter().all(|l| l.attempt == out[0].attempt));
-    r.wait(ms(2000));
-    assert_eq!(sights(&mut r).last(), Some(&(3, 0, false)));
-    r.told(&["undrain 1"], 4);
-    r.wait(ms(500)); // all hosts hear of it at one moment, and each waits for a moment of its own
-    r.take(6, 0);
-    assert_eq!(r.attempts(conn).len(), 1);
+    // The endpoint list reports the node anew, and as restarted: the drain holds.
+    rig.list_endpoints(&[(1, pb::NodeState::Gone)]);
+    rig.list_endpoints(&[(1, pb::NodeState::Ready), (2, pb::NodeState::Ready)]);
+    rig.submit(5, 0);
+    assert_eq!(rig.outcomes(), [(5, Outcome::Rejected)]);
+    assert_eq!(reports_about_node_1(&mut rig).last(), Some(&(3, 1, false)));
+    // The node never responds: the attempt may run for as long as a request may take.
+    rig.advance(ms(2000));
+    assert_eq!(reports_about_node_1(&mut rig).last(), Some(&(3, 0, true)));
+    assert!(rig
+        .attempts(conn)
+        .iter()
+        .all(|other| other.attempt == written[0].attempt));
+    rig.advance(ms(2000));
+    assert_eq!(reports_about_node_1(&mut rig).last(), Some(&(3, 0, false)));
+    rig.publish(&["undrain 1"], 4);
+    rig.advance(ms(500)); // all hosts receive the end of the drain at once, and each adds a jitter
+    rig.submit(6, 0);
+    assert_eq!(rig.attempts(conn).len(), 1);
 }
 
 #[test]
-fn a_host_that_starts_with_what_it_kept_of_a_drain_sends_nothing() {
-    let mut r = Rig::following("");
-    r.told(
-        &[
-            "node 1 zone=a",
-            "plan p rate=1000 reservation=1000",
-            VOLUME,
-            "drain 1",
-        ],
-        1,
-    );
-    let catalog = r.router.follower().catalog();
-    let kept = Follower::empty_catalog(deployment(r.router.settings())).restored(
+fn a_persisted_drain_holds_after_a_restart() {
+    let mut rig = Rig::following("");
+    rig.publish(&["node 1 zone=a", PLAN, VOLUME, "drain 1"], 1);
+    let catalog = rig.router.follower().catalog();
+    let persisted = Follower::empty_catalog(deployment(rig.router.settings())).restored(
         catalog.version(),
         catalog.state(),
         vec![],
     );
     let start = InitialState {
-        catalog: kept,
+        catalog: persisted,
         stable: Version(1),
         epoch: Epoch(1),
     };
-    let mut r = Rig::started("", start);
-    r.take(1, 0);
+    let mut rig = Rig::following_from("", start);
+    rig.submit(1, 0);
     assert_eq!(
-        (r.finals(), r.dialled.len()),
+        (rig.outcomes(), rig.dials.len()),
         (vec![(1, Outcome::Rejected)], 0)
     );
 }
 
-/// An answer that makes no sense ends the connection, and the host goes on as it was.
+/// A response that violates the protocol ends the connection, and the host serves as before.
 #[test]
-fn a_service_that_makes_no_sense_is_hung_up_on() {
-    let mut r = Rig::following("");
-    r.told(&["plan p rate=1000 reservation=1000", VOLUME], 1);
-    let (ask, conn) = (r.asks(), r.state.unwrap());
-    let entry = pb::Revision {
+fn a_state_service_that_violates_the_protocol_is_disconnected() {
+    let mut rig = Rig::following("");
+    rig.publish(&[PLAN, VOLUME], 1);
+    let poll = rig.poll();
+    let conn = rig.state_service.expect("dialled");
+    let malformed = pb::Revision {
         version: 2,
         from: 9,
         ..Default::default()
     };
-    let feed = pb::ConfigUpdate {
-        call: ask.call,
+    rig.state_service_sends(pb::ConfigUpdate {
+        call: poll.call,
         epoch: 1,
         version: 2,
-        revisions: vec![entry],
+        revisions: vec![malformed],
         ..Default::default()
-    };
-    let frames = vec![pb::Frame {
-        sent_us: 0,
-        body: Some(Body::ConfigUpdate(feed)),
-    }];
-    r.feed(vec![Input::StateServiceFrames { conn, frames }]);
+    });
     assert!(
-        r.boxes[&conn].is_closed() && r.has_logged("no change"),
+        rig.is_closed(conn) && rig.has_logged("no change"),
         "{:?}",
-        r.log
+        rig.log
     );
-    r.take(1, 0);
-    let node = r.connect();
-    assert_eq!(r.attempts(node).len(), 1);
-    // It dials again after a while, and by itself no sooner.
-    let first = r.state;
-    r.wait(ms(2000));
-    assert_ne!(r.state, first);
+    rig.submit(1, 0);
+    let node = rig.connect();
+    assert_eq!(rig.attempts(node).len(), 1);
+    // It dials again after the backoff.
+    let first = rig.state_service;
+    rig.advance(ms(2000));
+    assert_ne!(rig.state_service, first);
 }
 
-/// Answers come in parts: half of one is nothing.
+/// A response may arrive in parts; a part alone changes nothing.
 #[test]
-fn an_answer_in_parts_counts_when_it_is_whole() {
-    let mut r = Rig::following("");
-    let (ask, conn) = (r.asks(), r.state.unwrap());
+fn a_response_in_parts_is_applied_when_it_is_complete() {
+    let mut rig = Rig::following("");
+    let poll = rig.poll();
     let subject = |id| Some(pb::change::Subject::Volume(id));
     let facts = pb::VolumeConfig {
         plan: "p".into(),
@@ -325,57 +322,45 @@
             ..Default::default()
         })),
     };
-    let part = |state: Vec<pb::Change>, more| {
-        let (call, epoch, version, stable, lease_us) = (ask.call, 3, 7, 7, 1_000_000);
-        let feed = pb::ConfigUpdate {
-            call,
-            epoch,
-            version,
-            stable,
-            lease_us,
-            snapshot: true,
-            at: 7,
-            state,
-            more,
-            ..Default::default()
-        };
-        vec![pb::Frame {
-            sent_us: 0,
-            body: Some(Body::ConfigUpdate(feed)),
-        }]
+    let part = |state: Vec<pb::Change>, more| pb::ConfigUpdate {
+        call: poll.call,
+        epoch: 3,
+        version: 7,
+        stable: 7,
+        lease_us: 1_000_000,
+        snapshot: true,
+        at: 7,
+        state,
+        more,
+        ..Default::default()
     };
-    r.feed(vec![Input::StateServiceFrames {
-        conn,
-        frames: part(vec![plan, volume(5)], true),
-    }]);
-    r.take(1, 0);
-    assert_eq!(r.finals(), [(1, Outcome::Rejected)]);
-    r.feed(vec![Input::StateServiceFrames {
-        conn,
-        frames: part(vec![volume(6)], false),
-    }]);
-    assert_eq!(r.router.follower().catalog().volumes().count(), 2);
-    r.take(2, 0);
-    let node = r.connect();
-    assert_eq!(r.attempts(node).len(), 1);
+    rig.state_service_sends(part(vec![plan, volume(5)], true));
+    rig.submit(1, 0);
+    assert_eq!(rig.outcomes(), [(1, Outcome::Rejected)]);
+    rig.state_service_sends(part(vec![volume(6)], false));
+    assert_eq!(rig.router.follower().catalog().volumes().count(), 2);
+    rig.submit(2, 0);
+    let node = rig.connect();
+    assert_eq!(rig.attempts(node).len(), 1);
 }
 
-/// A service that takes connections and ends them unanswered is dialled ever more seldom.
+/// A service that accepts connections and closes them without a response is dialled with a backoff
+/// that grows.
 #[test]
-fn a_state_service_that_accepts_and_hangs_up_is_dialled_ever_more_seldom() {
-    let mut r = Rig::following("");
+fn a_state_service_that_accepts_and_closes_is_dialled_with_backoff() {
+    let mut rig = Rig::following("");
     let mut waits = Vec::new();
     for _ in 0..7 {
-        let conn = r.state.unwrap();
-        let outbox = r.outbox(conn);
-        r.feed(vec![Input::StateServiceUp { conn, outbox }]);
-        r.asks();
-        r.feed(vec![Input::StateServiceGone { conn }]);
-        let gone = r.now;
-        while r.state == Some(conn) {
-            r.wait(ms(10));
+        let conn = rig.state_service.expect("dialled");
+        let outbox = rig.new_outbox(conn);
+        rig.step(vec![Input::StateServiceUp { conn, outbox }]);
+        rig.poll();
+        rig.step(vec![Input::StateServiceGone { conn }]);
+        let gone = rig.now;
+        while rig.state_service == Some(conn) {
+            rig.advance(ms(10));
         }
-        waits.push(r.now - gone);
+        waits.push(rig.now - gone);
     }
     assert!(waits[0] <= ms(200), "{waits:?}");
     assert!(waits[5] >= ms(1000) && waits[6] >= ms(1000), "{waits:?}");
