--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Begin with [`router`], which carries requests, attempts and connections between the sockets and
 //! the scheduler. The other modules own the decisions that this package makes itself:
-//! [`admission`], [`pool`], [`poll_deadline`], [`process_pause`], [`observations`],
-//! [`config_follower`], [`quota_sharing`] and [`metrics`]. All of them are free of sockets and
+//! [`admission`], [`pool`], [`process_pause`], [`observations`], [`config_follower`],
+//! [`quota_sharing`] and [`metrics`]. [`grebecleat_discovery`] owns the endpoint list. All of them are free of sockets and
 //! clocks, so that a test or an emulator can step them. [`outbox`] is the boundary to the sockets;
 //! [`server`] owns the sockets, on `may` coroutines. [`log_event`] writes the log. Nothing here
 //! chooses the node of a request: only [`grebecleat_scheduler::scheduler`] does.
@@ -22,12 +22,10 @@
 
 pub mod admission;
 pub mod config_follower;
-pub mod endpoint_list;
 pub mod log_event;
 pub mod metrics;
 pub mod observations;
 pub mod outbox;
-pub mod poll_deadline;
 pub mod pool;
 pub mod process_pause;
 pub mod quota_sharing;
--- a/crates/host/src/log_event.rs
+++ b/crates/host/src/log_event.rs
@@ -6,8 +6,10 @@
 
 use crate::config_follower::StateServiceError;
 use crate::router::ConnId;
+use grebecleat_coordination::events::Notice;
 use grebecleat_coordination::outlier_detection::EndpointPolicy;
-use grebecleat_scheduler::api::NodeId;
+use grebecleat_discovery as discovery;
+use grebecleat_scheduler::api::{self as scheduler, NodeId};
 use tracing::field::display;
 use tracing::info;
 
@@ -104,32 +106,23 @@
         open_requests: usize,
     },
     /// A change that the scheduler reports.
-    Scheduler {
-        /// The line.
-        text: String,
-    },
-    /// A change that discovery's client reports.
-    Discovery {
-        /// The line.
-        text: String,
-    },
+    Scheduler(scheduler::LogEvent),
+    /// A change that the discovery client reports.
+    Discovery(discovery::LogEvent),
     /// A change that the follower of the catalog reports.
     Catalog {
         /// The line.
         text: String,
     },
     /// A change that the coordination among hosts reports.
-    Coordination {
-        /// The line.
-        text: String,
-    },
+    Coordination(Notice),
 }
 
 impl LogEvent {
-    /// Writes the event to the log. `host` is the name of this host, where several hosts may write
-    /// to one log.
-    pub fn write(&self, host: Option<&str>) {
-        let host = host.map(display);
+    /// Writes the event to the log. `host_name` is the name of this host, where several hosts may
+    /// write to one log.
+    pub fn write(&self, host_name: Option<&str>) {
+        let host = host_name.map(display);
         match self {
             LogEvent::ProtocolViolation { conn, violation } => {
                 info!(host, conn = conn.0, error = %violation, "protocol violation by a peer");
@@ -152,13 +145,33 @@
             LogEvent::ShutdownStarted { open_requests } => {
                 info!(host, open_requests, "graceful shutdown started");
             }
-            LogEvent::Scheduler { text } => match node_in(text) {
-                Some(node) => info!(host, node, "{text}"),
-                None => info!(host, "{text}"),
-            },
-            LogEvent::Discovery { text }
-            | LogEvent::Catalog { text }
-            | LogEvent::Coordination { text } => info!(host, "{text}"),
+            LogEvent::Scheduler(event) => write_scheduler_event(event, host_name),
+            LogEvent::Discovery(event) => event.write(host_name),
+            LogEvent::Catalog { text } => info!(host, "{text}"),
+            LogEvent::Coordination(Notice::IncarnationRaised { incarnation }) => {
+                info!(host, incarnation = incarnation.0, "incarnation raised");
+            }
+            LogEvent::Coordination(Notice::MessageRejected { from, reason }) => {
+                info!(host, peer = from.0, %reason, "gossip message rejected");
+            }
+        }
+    }
+}
+
+fn write_scheduler_event(event: &scheduler::LogEvent, host_name: Option<&str>) {
+    let host = host_name.map(display);
+    match event {
+        scheduler::LogEvent::EndpointLeaseExpired => {
+            info!(host, "endpoint list lease expired");
+        }
+        scheduler::LogEvent::EndpointLeaseRenewed => {
+            info!(host, "endpoint list lease renewed");
+        }
+        scheduler::LogEvent::NodeWarmingUp { node } => {
+            info!(host, node = node.0, "node warming up");
+        }
+        scheduler::LogEvent::NodeEjected { node, reason } => {
+            info!(host, node = node.0, %reason, "node ejected");
         }
     }
 }
@@ -172,9 +185,3 @@
         EndpointPolicy::Probe => "probe",
     }
 }
-
-/// The number of the node with which a line begins.
-fn node_in(text: &str) -> Option<u32> {
-    let rest = text.strip_prefix("node ")?;
-    rest.split(' ').next()?.parse().ok()
-}
--- a/crates/host/src/observations.rs
+++ b/crates/host/src/observations.rs
@@ -6,7 +6,7 @@
 //! attempt may still run) is no change, but for its end. A new connection to the service is sent
 //! all rows. Memory: a row for each node of the endpoint list, and a count for each shard.
 
-use crate::endpoint_list::KnownEndpoint;
+use grebecleat_discovery::endpoint_list::KnownEndpoint;
 use grebecleat_membership::answers::{Answers, NodeHealth};
 use grebecleat_scheduler::api::{NodeId, NodeState};
 use grebecleat_scheduler::scheduler::Scheduler;
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -10,8 +10,8 @@
 //! Memory: one entry for each volume with a shared limit, and one for each avoided node.
 
 use crate::log_event::LogEvent;
+use grebecleat_coordination::coordinator::{Coordinator, NodePolicy};
 use grebecleat_coordination::events::{self, Action, Rules};
-use grebecleat_coordination::fleet::{Fleet, NodePolicy};
 use grebecleat_coordination::lease_message::LeaseTerms;
 use grebecleat_coordination::outlier_detection::EndpointPolicy;
 use grebecleat_coordination::{HostNumber, Incarnation};
@@ -48,7 +48,7 @@
 /// This host's part in the coordination among hosts.
 #[derive(Debug)]
 pub struct QuotaSharing {
-    fleet: Fleet,
+    fleet: Coordinator,
     volumes: BTreeMap<VolumeId, SharedVolume>,
     pending: Vec<events::Event>,
     avoided: BTreeSet<NodeId>,
@@ -85,7 +85,7 @@
             },
         };
         let peers: Vec<HostNumber> = peers.iter().map(|peer| HostNumber(peer.0)).collect();
-        let fleet = Fleet::new(
+        let fleet = Coordinator::new(
             now,
             HostNumber(host_index as u32),
             Incarnation(incarnation),
@@ -279,7 +279,7 @@
                 Action::PolicyChanged { node, policy } => {
                     self.policy_changed(NodeId(node), policy, &mut outcome)
                 }
-                Action::Log { text } => outcome.log.push(LogEvent::Coordination { text }),
+                Action::Log { notice } => outcome.log.push(LogEvent::Coordination(notice)),
             }
         }
         outcome
--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -59,21 +59,20 @@
 pub use types::{request_label, ConnId, Counters, Input, OpenWork, Output, WireMode};
 
 use crate::config_follower::ConfigFollower;
-use crate::endpoint_list::EndpointList;
 use crate::log_event::{LogEvent, ProtocolViolation};
 use crate::observations::{node_health, DrainProgress, ObservationReport};
-use crate::poll_deadline::PollDeadline;
 use crate::quota_sharing::QuotaSharing;
 use attempt_table::AttemptTable;
 use client_sessions::ClientSessions;
+use discovery::DiscoveryConnections;
 use effects::StepEffects;
 use grebecleat_catalog::follower::{Follower, InitialState};
-use grebecleat_scheduler::api::{Action, EndpointUpdateKind, Event, NodeId, PeerId};
+use grebecleat_discovery::{DiscoveryClient, Event as DiscoveryEvent};
+use grebecleat_scheduler::api::{Action, Event, NodeId, PeerId};
 use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_settings::Settings;
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
-use health_checks::HealthChecks;
 use host_identity::HostIdentity;
 use metrics_publisher::MetricsPublisher;
 use node_pools::NodePools;
@@ -83,7 +82,7 @@
 use step_clock::StepClock;
 use timers::Timers;
 use tracing::debug;
-use types::{request_id, DiscoveryHistory, DiscoveryLink, HeardDiscoveryLink};
+use types::request_id;
 
 /// The longest sleep while a request is open. The bound separates a pause of the process from a
 /// wait: with a longer sleep, a short pause would be charged to the nodes.
@@ -103,16 +102,11 @@
     clients: ClientSessions,
     attempts: AttemptTable,
     pools: NodePools,
-    endpoints: EndpointList,
+    /// Owns the endpoint list.
+    discovery: DiscoveryClient,
+    discovery_connections: DiscoveryConnections,
     observations: ObservationReport,
     metrics: MetricsPublisher,
-    endpoints_changed: bool,
-    discovery: DiscoveryLink,
-    heard_discovery: Vec<HeardDiscoveryLink>,
-    discovery_history: DiscoveryHistory,
-    /// None: after a failure discovery is called when the decisions say, however long that is.
-    poll_deadline: Option<PollDeadline>,
-    health_checks: HealthChecks,
     timers: Timers,
     shutdown: Shutdown,
 }
@@ -130,15 +124,10 @@
             clients: ClientSessions::default(),
             attempts: AttemptTable::new(settings.longest_deadline()),
             pools: NodePools::new(settings.clone(), seed),
-            endpoints: EndpointList::default(),
+            discovery: DiscoveryClient::new(settings.bounds.patience),
+            discovery_connections: DiscoveryConnections::default(),
             observations: ObservationReport::default(),
             metrics: MetricsPublisher::default(),
-            endpoints_changed: false,
-            discovery: DiscoveryLink::default(),
-            heard_discovery: Vec::new(),
-            discovery_history: DiscoveryHistory::default(),
-            poll_deadline: None,
-            health_checks: HealthChecks::default(),
             timers: Timers::default(),
             shutdown: Shutdown::default(),
             host: HostIdentity::new(settings, seed),
@@ -175,10 +164,10 @@
         self
     }
 
-    /// What discovery has to tell is known within `term`, also where calls fail; one may take
-    /// `call`, its dial included.
+    /// Adds a poll deadline, see [`DiscoveryClient::with_poll_deadline`].
     pub fn with_poll_deadline(mut self, term: Duration, call: Duration) -> Self {
-        self.poll_deadline = Some(PollDeadline::new(term, call, self.host.seed()));
+        let seed = self.host.seed();
+        self.discovery = self.discovery.with_poll_deadline(term, call, seed);
         self
     }
 
@@ -246,8 +235,7 @@
             self.config.wake_at(),
             self.metrics.publish_at(),
             self.sharing.as_ref().map(QuotaSharing::wake_at),
-            self.discovery.answer_by,
-            self.poll_deadline.as_ref().and_then(PollDeadline::wake_at),
+            self.discovery.wake_at(),
         ];
         let wake = wakes.into_iter().flatten().fold(latest, Duration::min);
         self.clock.request_wake(wake)
@@ -269,13 +257,7 @@
         if self.timers.take_due_sweep(self.clock.now()) {
             self.sweep();
         }
-        if self
-            .discovery
-            .answer_by
-            .is_some_and(|by| self.clock.now() >= by)
-        {
-            self.discovery_overdue();
-        }
+        self.step_discovery(DiscoveryEvent::CheckTimeout);
         // An action may cause another event at once: an attempt, for instance, ends in this step if
         // its node has no connection, or its request is already answered.
         loop {
@@ -291,7 +273,7 @@
             }
             self.adjust_pools();
         }
-        self.poll_before_deadline(None);
+        self.step_discovery(DiscoveryEvent::CheckPollDeadline);
         self.adjust_pools();
         self.complete_shutdown();
         self.effects.take_outputs()
@@ -341,12 +323,8 @@
                 up_to_date,
             } => self.discovery_refused(conn, waited, up_to_date),
             Input::DiscoveryEnded { conn } => self.discovery_ended(conn),
-            Input::DiscoveryOverdue { conn } => {
-                if self.discovery.conn == Some(conn) {
-                    self.discovery_overdue();
-                }
-            }
-            Input::DiscoveryMoved => self.discovery_moved(),
+            Input::DiscoveryOverdue { conn } => self.discovery_overdue(conn),
+            Input::DiscoveryMoved => self.step_discovery(DiscoveryEvent::Moved),
             Input::StateServiceUp { conn, outbox } => {
                 self.observations.forget();
                 self.config.connected(conn, outbox);
@@ -357,7 +335,7 @@
             Input::StateServiceGone { conn } => self.config.disconnected(conn, self.clock.now()),
             Input::Persisted { number, done } => self.config.persisted(number, done),
             Input::CachedEndpoints { list } => {
-                self.apply_endpoints(EndpointUpdateKind::Cached, &list.endpoints, 0)
+                self.step_discovery(DiscoveryEvent::CachedList { list })
             }
             Input::PeerMessage {
                 from,
@@ -390,11 +368,9 @@
             Action::SendToPeer { to, bytes } => {
                 self.effects.output(Output::SendToPeer { to, bytes })
             }
-            Action::Log { text } => self.effects.log(LogEvent::Scheduler { text }),
-            Action::WatchEndpoints { on } => self.call_discovery(Body::Watch(pb::Watch { on })),
-            Action::FetchEndpoints => {
-                self.call_discovery(Body::FetchEndpoints(pb::FetchEndpoints {}))
-            }
+            Action::Log { event } => self.effects.log(LogEvent::Scheduler(event)),
+            Action::WatchEndpoints { on } => self.step_discovery(DiscoveryEvent::Watch { on }),
+            Action::FetchEndpoints => self.step_discovery(DiscoveryEvent::Fetch),
         }
     }
 
@@ -404,10 +380,7 @@
         self.close_expired_idle();
         self.publish_observations();
         self.publish_metrics();
-        if std::mem::take(&mut self.endpoints_changed) {
-            let bytes = self.endpoints.to_bytes(self.clock.now());
-            self.effects.output(Output::CacheEndpoints { bytes });
-        }
+        self.step_discovery(DiscoveryEvent::StoreDue);
     }
 
     /// Sends the state service the changes of how this host sees nodes.
@@ -418,17 +391,17 @@
         };
         let applied = follower.catalog().version().0;
         let health = node_health(&self.scheduler, self.clock.now());
-        let known = self.endpoints.nodes.iter();
+        let known = self.discovery.endpoints().iter();
         let rows: Vec<pb::NodeObservation> = known
             .map(|(node, known)| {
-                let drained = self.config.is_drained(*node);
+                let drained = self.config.is_drained(node);
                 let progress = drained.then(|| DrainProgress {
                     applied,
-                    outstanding: self.attempts.outstanding_at(*node),
-                    may_run_for: self.attempts.may_run_for(*node, self.clock.now()),
+                    outstanding: self.attempts.outstanding_at(node),
+                    may_run_for: self.attempts.may_run_for(node, self.clock.now()),
                 });
                 self.observations
-                    .row(self.clock.now(), *node, known, health.get(node), progress)
+                    .row(self.clock.now(), node, known, health.get(&node), progress)
             })
             .collect();
         let nodes = self.observations.changes(rows);
@@ -448,8 +421,8 @@
         for conn in self.metrics.slow_subscribers() {
             self.disconnect(conn, ProtocolViolation::UnreadMetrics);
         }
-        let endpoints = &self.endpoints;
-        let start_of = |node: NodeId| endpoints.nodes.get(&node).map_or(0, |known| known.start);
+        let endpoints = self.discovery.endpoints();
+        let start_of = |node: NodeId| endpoints.get(node).map_or(0, |known| known.start);
         self.metrics
             .publish(self.clock.now(), &self.scheduler, start_of, head);
     }
--- a/crates/host/src/router/node_pools.rs
+++ b/crates/host/src/router/node_pools.rs
@@ -5,6 +5,7 @@
 //! the attempts that wait. Memory: one entry for each node that has had an attempt, and one for
 //! each connection and dial, which the settings bound.
 
+use super::health_checks::HealthChecks;
 use super::node_connection::NodeConnection;
 use super::types::{ConnId, WireMode};
 use crate::outbox::{AttemptId, Outbox};
@@ -51,6 +52,7 @@
     changed: BTreeSet<NodeId>,
     /// When a pause of a connection for which an attempt waits ends, or a dial becomes late.
     checks: BTreeSet<(Duration, NodeId)>,
+    health_checks: HealthChecks,
 }
 
 impl NodePools {
@@ -71,6 +73,7 @@
             pools: BTreeMap::new(),
             changed: BTreeSet::new(),
             checks: BTreeSet::new(),
+            health_checks: HealthChecks::default(),
         }
     }
 
@@ -91,6 +94,17 @@
         &self.settings.bounds
     }
 
+    /// The health checks that were sent on the connections.
+    #[cfg(test)]
+    pub(super) fn health_checks(&self) -> &HealthChecks {
+        &self.health_checks
+    }
+
+    /// The health checks that were sent on the connections, to be updated.
+    pub(super) fn health_checks_mut(&mut self) -> &mut HealthChecks {
+        &mut self.health_checks
+    }
+
     /// The time within which each of the dials that may run at a time has had its handshake. An
     /// attempt that waits longer for its connection waits because of the node.
     pub(super) fn dial_allowance(&self) -> Duration {
--- a/crates/host/src/router/nodes.rs
+++ b/crates/host/src/router/nodes.rs
@@ -8,11 +8,11 @@
 use super::types::frame;
 use super::{ConnId, Output, RequestRouter};
 use crate::config_follower::ConfigAction;
-use crate::endpoint_list::KnownEndpoint;
 use crate::log_event::{ExclusionReason, LogEvent, ProtocolViolation};
 use crate::outbox::{AttemptId, Outbox};
 use crate::pool::PoolAction;
 use crate::quota_sharing::SharingOutcome;
+use grebecleat_discovery::endpoint_list::KnownEndpoint;
 use grebecleat_scheduler::api::{
     AttemptOutcome, Endpoint, EndpointUpdateKind, Event, NodeId, NodeState, PeerId,
 };
@@ -97,7 +97,7 @@
     }
 
     fn handle_health_check_result(&mut self, result: &pb::HealthCheckResult) {
-        let Some(node) = self.health_checks.completed(result.probe) else {
+        let Some(node) = self.pools.health_checks_mut().completed(result.probe) else {
             return;
         };
         let outcome = match result.result() {
@@ -118,7 +118,7 @@
             outbox.close();
         }
         self.effects.connection_ended(conn);
-        for node in self.health_checks.connection_ended(conn) {
+        for node in self.pools.health_checks_mut().connection_ended(conn) {
             self.effects.event(Event::HealthChecked {
                 node,
                 outcome: AttemptOutcome::ConnectionReset,
@@ -157,7 +157,7 @@
     /// Performs the actions that the changed pools want.
     pub(super) fn adjust_pools(&mut self) {
         while let Some((node, action)) = self.pools.next_action(self.clock.now()) {
-            let known = self.endpoints.nodes.get(&node);
+            let known = self.discovery.endpoints().get(node);
             match (action, known.and_then(|known| known.address)) {
                 (PoolAction::Nothing, _) => {}
                 // Without capacity for another connection the attempts wait; the sweep ends those
@@ -273,7 +273,7 @@
             return;
         };
         outbox.put(frame(Body::HealthCheck(pb::HealthCheck { probe })));
-        self.health_checks.sent(probe, node, conn);
+        self.pools.health_checks_mut().sent(probe, node, conn);
     }
 }
 
@@ -300,11 +300,11 @@
         let Some(sharing) = &mut self.sharing else {
             return;
         };
-        let in_service = |(node, known): (&NodeId, &KnownEndpoint)| {
-            let ready = known.state == NodeState::Ready && !self.config.is_drained(*node);
+        let in_service = |(node, known): (NodeId, &KnownEndpoint)| {
+            let ready = known.state == NodeState::Ready && !self.config.is_drained(node);
             ready.then_some((node.0, known.start))
         };
-        let nodes = self.endpoints.nodes.iter().filter_map(in_service);
+        let nodes = self.discovery.endpoints().iter().filter_map(in_service);
         sharing.nodes_in_use(nodes.collect());
     }
 
@@ -345,7 +345,7 @@
     }
 
     fn endpoint_of(&self, node: NodeId) -> Option<Endpoint> {
-        let known = self.endpoints.nodes.get(&node)?;
+        let known = self.discovery.endpoints().get(node)?;
         Some(Endpoint {
             node,
             zone: known.zone,
--- a/crates/host/src/router/requests.rs
+++ b/crates/host/src/router/requests.rs
@@ -254,11 +254,10 @@
     }
 
     fn cancel_request(&mut self, id: RequestId) {
-        if self.clients.mark_answered(&id).is_none() {
-            return;
+        if self.clients.mark_answered(&id).is_some() {
+            self.effects.event(Event::RequestCancelled { id });
+            self.release_request(id);
         }
-        self.effects.event(Event::RequestCancelled { id });
-        self.release_request(id);
     }
 
     pub(super) fn client_disconnected(&mut self, conn: ConnId) {
@@ -293,8 +292,9 @@
         };
         let outstanding = OutstandingAttempt::new(id, number, node, now, deadline);
         self.attempts.insert(attempt, outstanding);
-        let listed = self.endpoints.nodes.get(&node).map(|known| known.state);
-        let ready = listed.is_some_and(|listed| self.node_state(node, listed) == NodeState::Ready);
+        let known = self.discovery.endpoints().get(node);
+        let state = known.map(|known| self.node_state(node, known.state));
+        let ready = state == Some(NodeState::Ready);
         if answered || !ready {
             return self.end_attempt(attempt, AttemptOutcome::NotSent, now, None);
         }
@@ -385,7 +385,7 @@
         let response = response.unwrap_or_default();
         self.count_outcome(request_id, node, outcome);
         if outcome == AttemptOutcome::Completed {
-            let known = self.endpoints.nodes.get(&node);
+            let known = self.discovery.endpoints().get(node);
             let completed = pb::Response {
                 shard: known.map(|known| known.shard.0),
                 data: response.data,
--- a/crates/host/src/router/tests.rs
+++ b/crates/host/src/router/tests.rs
@@ -3,6 +3,7 @@
 use super::*;
 use crate::common::{ms, Rig, CLIENT};
 use grebecleat_scheduler::api::{AttemptOutcome, RequestId};
+use grebecleat_wire::pb::frame::Body;
 
 #[test]
 fn a_cancelled_attempt_is_revoked_if_queued_and_cancelled_at_its_node_if_written() {
@@ -94,7 +95,7 @@
             result: pb::Result::Ok.into(),
         }),
     );
-    assert!(rig.router.health_checks.is_empty());
+    assert!(rig.router.pools.health_checks().is_empty());
     rig.router
         .perform(Action::CloseIdleConnections { node: NodeId(1) });
     assert!(rig.outboxes[&conn].is_closed());
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -286,46 +286,6 @@
     }
 }
 
-/// The connection to discovery.
-#[derive(Debug, Default)]
-pub(super) struct DiscoveryLink {
-    /// None: neither up nor being dialled.
-    pub conn: Option<ConnId>,
-    /// None: not up.
-    pub outbox: Option<Arc<Outbox>>,
-    /// To be sent once it is up.
-    pub pending: Vec<Body>,
-    /// A watch is open on it.
-    pub watching: bool,
-    /// When a call, or the dial, is overdue.
-    pub answer_by: Option<Duration>,
-    /// Discovery has answered on it.
-    pub answered: bool,
-    /// Its first call goes on with a watch: how long that may take, whoever carries it knows.
-    pub continues_watch: bool,
-}
-
-/// A connection to discovery on which nothing new is asked, and which is heard until the one that
-/// has taken its place is answered: what it tells counts as told, and the new one may be long in
-/// coming.
-#[derive(Debug)]
-pub(super) struct HeardDiscoveryLink {
-    pub conn: ConnId,
-    pub outbox: Arc<Outbox>,
-    /// Discovery has moved since. Otherwise its call is overdue, and it takes its place again once
-    /// it is answered.
-    pub has_moved: bool,
-}
-
-/// What has become of the calls to discovery; for the log.
-#[derive(Debug, Default)]
-pub(super) struct DiscoveryHistory {
-    /// When it last answered; None: not since the start.
-    pub answered_at: Option<Duration>,
-    /// Calls that failed since then.
-    pub failures: u32,
-}
-
 /// Returns the text of a request's id for the log, without the leading zeros that pad it.
 pub fn request_label(id: &[u8]) -> &str {
     let text = std::str::from_utf8(id).unwrap_or("unreadable");
--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -172,10 +172,9 @@
     pub fn has_logged(&self, part: &str) -> bool {
         let text = |event: &LogEvent| match event {
             LogEvent::ProtocolViolation { violation, .. } => violation.to_string(),
-            LogEvent::Scheduler { text }
-            | LogEvent::Discovery { text }
-            | LogEvent::Catalog { text }
-            | LogEvent::Coordination { text } => text.clone(),
+            LogEvent::Scheduler(event) => event.to_string(),
+            LogEvent::Catalog { text } => text.clone(),
+            LogEvent::Coordination(notice) => notice.to_string(),
             other => format!("{other:?}"),
         };
         self.log.iter().any(|event| text(event).contains(part))
--- a/crates/scheduler/src/scheduler/discovery.rs
+++ b/crates/scheduler/src/scheduler/discovery.rs
@@ -1,93 +1,79 @@
-//! Discovery: what an update of the endpoint list means for nodes and for what is queued at them.
+//! Discovery, as the decisions see it: the lease of the endpoint list and the schedule of the calls.
+//!
+//! Called by [`super::Scheduler`] for each answer, failure, refusal or move of discovery. The calls themselves
+//! are the host's.
 
-use super::{concurrency::MAX_OUTSTANDING, fair_share::TICK, Scheduler};
-use crate::api::{Endpoint, EndpointUpdateKind, NodeId};
-use crate::{histogram::Histogram, probing_window::ProbingWindow, rates::seconds};
-use crate::{state::Node, token_bucket::TokenBucket};
-use rand::Rng;
+use super::endpoint_lease::EndpointLease;
+use super::fetch_backoff::FetchBackoff;
+use super::jitter::Jitter;
+use crate::api::{DiscoveryPolicy, EndpointUpdateKind, LogEvent};
 use std::time::Duration;
 
-const FIRST_BACKOFF: Duration = Duration::from_millis(200); // doubled for each failed call
-const MAX_DOUBLINGS: u32 = 4;
-const INITIAL_REQUESTS: f64 = 4.0; // mean requests a second: low, as a host knows nothing yet
-const INHERITED_USAGE: f64 = 0.5; // a successor may be slower by that; the rule forgives nothing
-const MAX_FIRST_USE_DELAY: Duration = Duration::from_millis(400); // well under the rules' spans
+/// Lease and call schedule of the endpoint list.
+#[derive(Debug)]
+pub(super) struct Discovery {
+    lease: EndpointLease,
+    backoff: FetchBackoff,
+}
 
-impl Scheduler {
-    pub(super) fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: Vec<Endpoint>) {
-        if kind == EndpointUpdateKind::FetchFailed {
-            return self.back_off_fetch();
-        }
-        if kind != EndpointUpdateKind::Delta {
-            self.state.mark_absent_gone(&endpoints);
-        }
-        if kind == EndpointUpdateKind::Cached {
-            self.confirm_cached_endpoints();
-        } else {
-            self.state.fetch_failures = 0;
+impl Discovery {
+    pub(super) fn new(policy: &DiscoveryPolicy) -> Self {
+        Discovery {
+            lease: EndpointLease::new(policy.lease),
+            backoff: FetchBackoff::new(policy),
         }
-        let first = self.state.nodes.is_empty();
-        for endpoint in endpoints {
-            let lowest = INITIAL_REQUESTS * self.units.mean;
-            let highest = MAX_OUTSTANDING * self.units.mean / seconds(self.tightest_objective);
-            let classes = self.traffic_classes.len();
-            // Most entries are of nodes that are known.
-            let new_node = |usage| {
-                let window = ProbingWindow::new(lowest, highest);
-                let delays = Histogram::new(TICK, 1.5, 16);
-                Node::new(&endpoint, window, delays, classes, usage)
-            };
-            if self.state.update_node(&endpoint, INHERITED_USAGE, new_node) {
-                self.node_came_up(endpoint.node, first);
+    }
+
+    /// Schedules the first call.
+    pub(super) fn start(&mut self, now: Duration, jitter: &mut Jitter) {
+        self.backoff.start(now, jitter);
+    }
+
+    /// Records an update of the endpoint list, or a call that failed.
+    pub(super) fn updated(&mut self, kind: EndpointUpdateKind, now: Duration, jitter: &mut Jitter) {
+        match kind {
+            EndpointUpdateKind::Delta | EndpointUpdateKind::Snapshot => self.backoff.reset(),
+            EndpointUpdateKind::Cached => {
+                if let Some(within) = self.lease.start_cached(now) {
+                    self.backoff.call_within(within, now, jitter);
+                }
             }
-        }
-        self.update_slow_start();
-        for id in self.state.queued_at_unready() {
-            self.state.dequeue(id);
-            self.enqueue(id);
+            EndpointUpdateKind::FetchFailed => self.backoff.call_failed(now, jitter),
         }
     }
 
-    fn back_off_fetch(&mut self) {
-        self.state.fetch_failures += 1;
-        let doubled = FIRST_BACKOFF * 2u32.pow(self.state.fetch_failures.min(MAX_DOUBLINGS));
-        // Well inside the time after which the rule counts a host as notified of what it has not heard.
-        let backoff = doubled.min(self.discovery.poll_interval / 4);
-        self.state.watch_at = Some(self.state.now + backoff / 2 + self.jitter(backoff));
+    /// Records an answer from discovery: the endpoint list is up to date.
+    pub(super) fn confirmed(&mut self, now: Duration) {
+        self.lease.renew(now);
     }
 
-    /// A call that has waited for long before it was refused was one of too many, and what discovery did for
-    /// it was in vain: the next one waits longer than that, and twice as long after each further one. At the
-    /// most each host calls once in a poll interval, the rate that the settings ask of discovery. Guards
-    /// against hosts whose calls keep it from serving any of them in time. Harm: after an outage that looks
-    /// the same, a list is had so much later.
-    /// One that is refused at once has cost it next to nothing, and waits no longer than after a failure.
-    pub(super) fn back_off_refused_fetch(&mut self, waited: Duration) {
-        if waited <= FIRST_BACKOFF {
-            return self.back_off_fetch();
-        }
-        self.state.fetch_failures += 1;
-        let doublings = (self.state.fetch_failures - 1).min(MAX_DOUBLINGS);
-        let doubled = waited * 2u32.pow(doublings);
-        let backoff = doubled.min(self.discovery.poll_interval.saturating_sub(waited));
-        self.state.watch_at = Some(self.state.now + backoff / 2 + self.jitter(backoff));
+    /// Records that discovery is at another address from now on.
+    pub(super) fn moved(&mut self, now: Duration) {
+        self.backoff.reset();
+        self.lease.discovery_moved(now);
     }
 
-    fn node_came_up(&mut self, id: NodeId, first: bool) {
-        let now = self.state.now;
-        // All hosts learn of it about together; without the delay each would send first.
-        let delay =
-            MAX_FIRST_USE_DELAY.mul_f64(f64::from(u8::from(!first)) * self.rng.random::<f64>());
-        let node = self.state.nodes.get_mut(&id).expect("updated just now");
-        node.reset(now, now + delay);
-        if node
-            .started
-            .is_some_and(|started| now < started + self.slow_start.warm_up_time)
-        {
-            // A bucket passes one request into debt; many hosts' at once push a node over. A random debt
-            // spreads them, a lapse of what is full keeps them so. Harm: few hosts wait.
-            node.slow_start = Some(TokenBucket::lapsing(self.units.mean, self.rng.random()));
-            self.state.log(format!("node {} warming up", id.0));
-        }
+    /// Records a call that discovery refused after it had been queued there.
+    pub(super) fn refused(&mut self, queued: Duration, now: Duration, jitter: &mut Jitter) {
+        self.backoff.call_refused(queued, now, jitter);
+    }
+
+    pub(super) fn lease(&self) -> &EndpointLease {
+        &self.lease
+    }
+
+    /// Returns the log event if the lease has expired, or is valid again, since the last call.
+    pub(super) fn lease_change(&mut self, now: Duration) -> Option<LogEvent> {
+        self.lease.state_change(now)
+    }
+
+    /// Returns whether a call is due, and unschedules it.
+    pub(super) fn take_due_call(&mut self, now: Duration) -> bool {
+        self.backoff.take_due(now)
+    }
+
+    /// Time of the next call; None: no call is scheduled.
+    pub(super) fn next_call_at(&self) -> Option<Duration> {
+        self.backoff.next_call_at()
     }
 }
