--- a/crates/host/src/router/discovery.rs
+++ b/crates/host/src/router/discovery.rs
@@ -5,6 +5,7 @@
 
 use super::types::frame;
 use super::{ConnId, Output, RequestRouter};
+use crate::log_event::{LogEvent, ProtocolViolation};
 use crate::outbox::Outbox;
 use grebecleat_discovery::{Action as DiscoveryAction, Event as DiscoveryEvent, LinkId};
 use grebecleat_scheduler::api::{EndpointUpdateKind, Event};
@@ -88,7 +89,7 @@
 
 impl RequestRouter {
     pub(super) fn step_discovery(&mut self, event: DiscoveryEvent) {
-        for action in self.discovery.step(self.now, event) {
+        for action in self.discovery.step(self.clock.now(), event) {
             self.perform_discovery(action);
         }
     }
@@ -96,31 +97,33 @@
     fn perform_discovery(&mut self, action: DiscoveryAction) {
         match action {
             DiscoveryAction::Dial { link } => {
-                let conn = ConnId(self.next_number());
+                let conn = ConnId(self.effects.next_number());
                 self.discovery_connections.dialled(conn, link);
-                self.outputs.push(Output::DialDiscovery { conn });
+                self.effects.output(Output::DialDiscovery { conn });
             }
             DiscoveryAction::Send { link, request } => {
                 self.discovery_connections.send(link, request)
             }
             DiscoveryAction::Close { link } => self.discovery_connections.close(link),
             DiscoveryAction::Apply(update) => self.apply_list_update(update),
-            DiscoveryAction::ConfirmList => self.events.push(Event::EndpointsConfirmed),
-            DiscoveryAction::ReportFailure => self.events.push(Event::EndpointUpdate {
+            DiscoveryAction::ConfirmList => self.effects.event(Event::EndpointsConfirmed),
+            DiscoveryAction::ReportFailure => self.effects.event(Event::EndpointUpdate {
                 kind: EndpointUpdateKind::FetchFailed,
                 endpoints: Vec::new(),
             }),
             DiscoveryAction::ReportRefusal { waited } => {
-                self.events.push(Event::FetchRefused { waited })
+                self.effects.event(Event::FetchRefused { waited })
+            }
+            DiscoveryAction::ReportMove => self.effects.event(Event::DiscoveryMoved),
+            DiscoveryAction::Store { bytes } => {
+                self.effects.output(Output::CacheEndpoints { bytes })
             }
-            DiscoveryAction::ReportMove => self.events.push(Event::DiscoveryMoved),
-            DiscoveryAction::Store { bytes } => self.outputs.push(Output::CacheEndpoints { bytes }),
             DiscoveryAction::UnexpectedMessage { link } => {
                 if let Some(conn) = self.discovery_connections.conn_of(link) {
                     self.log_unexpected_message(conn);
                 }
             }
-            DiscoveryAction::Log(event) => self.outputs.push(Output::LogDiscovery(event)),
+            DiscoveryAction::Log(event) => self.effects.log(LogEvent::Discovery(event)),
         }
     }
 
@@ -142,7 +145,8 @@
     }
 
     fn log_unexpected_message(&mut self, conn: ConnId) {
-        self.log_bad_peer(conn, "unexpected message from discovery");
+        self.effects
+            .log_violation(conn, ProtocolViolation::UnexpectedDiscoveryMessage);
     }
 
     pub(super) fn discovery_disconnected(&mut self, conn: ConnId) {
--- a/crates/host/src/router/endpoints.rs
+++ b/crates/host/src/router/endpoints.rs
@@ -29,10 +29,11 @@
             }
             // The open connections lead to a process that has ended.
             if restarted || endpoint.state == NodeState::Gone {
-                self.close_idle(endpoint.node, self.now);
+                self.close_idle(endpoint.node, self.clock.now());
             }
         }
-        self.events.push(Event::EndpointUpdate { kind, endpoints });
+        self.effects
+            .event(Event::EndpointUpdate { kind, endpoints });
         for node in left {
             self.revoke_attempts_to(node);
         }
@@ -42,10 +43,7 @@
     /// Forgets what concerns the former process of the node. The new process runs none of its
     /// attempts, and dials to the former process are useless.
     fn node_restarted(&mut self, node: NodeId) {
-        self.may_run_until.remove(&node);
-        if let Some(pool) = self.pools.get_mut(&node) {
-            pool.pool.forget_failures();
-        }
-        self.forget_dials(node);
+        self.attempts.node_restarted(node);
+        self.pools.node_restarted(node);
     }
 }
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -196,12 +196,7 @@
             Output::DialDiscovery { conn } => {
                 self.dial(conn, self.discovery.address(), DialTarget::Discovery)
             }
-            Output::Log { text } => {
-                if self.may_log() {
-                    info!("{text}");
-                }
-            }
-            Output::LogDiscovery(event) => {
+            Output::Log(event) => {
                 if self.may_log() {
                     event.write(None);
                 }
--- a/crates/platform/tests/poll_deadline/fleet.rs
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -4,6 +4,7 @@
 use super::ms;
 use super::scenarios::{OutageKind, Scenario};
 use grebecleat_discovery::calls::{CallSequence, Event, CALL_TIMEOUT};
+use grebecleat_host::log_event::LogEvent;
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
 use grebecleat_platform::config::{Config, DISCOVERY_TERM};
@@ -330,8 +331,12 @@
 
     fn perform(&mut self, host: usize, output: Output) {
         match output {
-            Output::LogDiscovery(_) => self.count_failure(host),
-            Output::Log { text } if text.starts_with("list of nodes: ") => self.count_failure(host),
+            Output::Log(LogEvent::Discovery(_)) => self.count_failure(host),
+            Output::Log(LogEvent::Scheduler(event))
+                if event.to_string().starts_with("list of nodes: ") =>
+            {
+                self.count_failure(host)
+            }
             Output::DialDiscovery { conn } => self.dial(host, conn),
             _ => {}
         }
