--- a/crates/catalog-service/src/service/peer_table.rs
+++ b/crates/catalog-service/src/service/peer_table.rs
@@ -28,7 +28,7 @@
     /// The name of its hello.
     name: String,
     role: PeerRole,
-    /// The same host has connected again; frames on this connection no longer count.
+    /// The host has connected again; frames on this connection no longer count.
     superseded: bool,
 }
 
