--- a/crates/catalog-service/src/service/mod.rs
+++ b/crates/catalog-service/src/service/mod.rs
@@ -122,6 +122,7 @@
     });
     if is_new {
         owner.declare_settings(&options)?;
+        owner.wait_for_declaration(&events);
     }
     owner.step_membership(Vec::new());
     listener::accept(listener, &options.tracer, to_owner.clone());
--- a/crates/catalog-service/src/service/owner.rs
+++ b/crates/catalog-service/src/service/owner.rs
@@ -138,6 +138,20 @@
         })
     }
 
+    /// Waits until the first revision is stored. An operator who connected before would read version
+    /// 0, and the leader would reject the operator's change as concurrent with the first revision.
+    /// If the write fails, the service starts all the same, and reports the fault.
+    pub fn wait_for_declaration(&mut self, events: &Receiver<ServiceEvent>) {
+        while self.commits.uncommitted() > 0 && self.commits.store_fault().is_empty() {
+            let Ok(event) = events.recv() else {
+                return;
+            };
+            let mut input = StepInput::default();
+            self.handle_event(event, &mut input);
+            self.step_leader(input.leader);
+        }
+    }
+
     /// Handles events until the service is stopped and everything is stored.
     pub fn run(&mut self, events: &Receiver<ServiceEvent>) {
         loop {
