--- a/crates/catalog/src/moves.rs
+++ b/crates/catalog/src/moves.rs
@@ -8,7 +8,7 @@
 //! extents are rounded up, the flow checks the result, and if rounding has filled a node, the
 //! program is solved again with a little less capacity. Pure functions.
 //!
-//! Of a large site, only a part goes into the program, which would otherwise take minutes: the
+//! On a large site, only a part goes into the program, which would otherwise take minutes: the
 //! volumes on a node from which no path leads to spare capacity, the cheapest to move first, and
 //! the nodes with the most spare capacity. The proposal is then good and not proven to be the
 //! smallest; [`Proposal::is_complete`] states which.
--- a/crates/membership/src/drains/hosts.rs
+++ b/crates/membership/src/drains/hosts.rs
@@ -14,7 +14,7 @@
 /// until the attempt ends at the host, and one until it is over at the node.
 const UNACCOUNTED_FACTOR: u32 = 2;
 
-/// One host.
+/// A host's record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Host {
     /// The version of the catalog that the host has acknowledged; None: it never acknowledged one.
--- a/crates/membership/src/drains/nodes.rs
+++ b/crates/membership/src/drains/nodes.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// One node.
+/// A node's record.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct Node {
     pub facts: NodeFacts,
