--- a/crates/platform/tests/poll_deadline/fleet.rs
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -331,7 +331,9 @@
     fn perform(&mut self, host: usize, output: Output) {
         match output {
             Output::LogDiscovery(_) => self.count_failure(host),
-            Output::Log { text } if text.starts_with("list of nodes: ") => self.count_failure(host),
+            Output::Log { text } if text.starts_with("endpoint list lease ") => {
+                self.count_failure(host)
+            }
             Output::DialDiscovery { conn } => self.dial(host, conn),
             _ => {}
         }
--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -98,10 +98,10 @@
         match self {
             EjectionReason::Silent { silent_for } => write!(f, "no answer for {silent_for:?}"),
             EjectionReason::QueueFull { failures } => {
-                write!(f, "queue full after {failures} failures in a row")
+                write!(f, "queue full after {failures} consecutive failures")
             }
             EjectionReason::ConnectFailed { failures } => {
-                write!(f, "connection failed after {failures} failures in a row")
+                write!(f, "connection failed after {failures} consecutive failures")
             }
         }
     }
@@ -131,13 +131,11 @@
 impl fmt::Display for LogEvent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            LogEvent::EndpointLeaseExpired => {
-                f.write_str("list of nodes: too old, only nodes that answer are used")
-            }
-            LogEvent::EndpointLeaseRenewed => f.write_str("list of nodes: in force again"),
-            LogEvent::NodeWarmingUp { node } => write!(f, "node {} warming up", node.0),
+            LogEvent::EndpointLeaseExpired => f.write_str("endpoint list lease expired"),
+            LogEvent::EndpointLeaseRenewed => f.write_str("endpoint list lease renewed"),
+            LogEvent::NodeWarmingUp { node } => write!(f, "node warming up node={}", node.0),
             LogEvent::NodeEjected { node, reason } => {
-                write!(f, "node {} ejected: {reason}", node.0)
+                write!(f, "node ejected node={} reason=\"{reason}\"", node.0)
             }
         }
     }
