--- a/crates/scheduler/src/scheduler/attempt_outcome.rs
+++ b/crates/scheduler/src/scheduler/attempt_outcome.rs
@@ -50,8 +50,8 @@
     }
 
     /// Returns units to the volume's limit. The rule counts the units of an attempt when it crosses a socket. An
-    /// attempt that was never sent gives its units back. One that found no connection draws them again with the
-    /// next attempt: units that were drawn long before would add to those of a bucket that is full again. Harm:
+    /// attempt that was never sent gives its units back. An attempt that found no connection draws them again
+    /// with the next attempt: units that were drawn long before would add to those of a bucket that is full again. Harm:
     /// where the rule counts an attempt without a connection, as many units are lost.
     pub(super) fn refund_limit(&mut self) {
         let is_first = self.pending.attempts.count() == 1;
--- a/crates/scheduler/src/scheduler/dispatch_queue.rs
+++ b/crates/scheduler/src/scheduler/dispatch_queue.rs
@@ -14,7 +14,7 @@
 /// Smaller: requests that cannot meet their deadline are rejected later.
 const RANKED_AT_ONCE: usize = 256;
 /// Bounds the ticks between two rankings. Larger: requests that cannot meet their deadline are rejected later.
-/// Smaller: with thousands queued, ranking takes the host's whole time.
+/// Smaller: with thousands queued, ranking takes all of the host's time.
 const MAX_RANKING_TICKS: usize = 4;
 
 /// Returns in how many ticks so many queued requests are ranked once.
--- a/crates/scheduler/src/scheduler/endpoint_lease.rs
+++ b/crates/scheduler/src/scheduler/endpoint_lease.rs
@@ -1,7 +1,7 @@
 //! Lease of the endpoint list: how long this host may act on its last answer from discovery.
 //!
 //! Guards against requests to a node that is draining or gone, from a host that gets no answer from discovery.
-//! Such a host cannot tell a list that did not change from one whose changes it missed. The rules count a host
+//! Without an answer a list that did not change looks the same as a list whose changes were missed. The rules count a host
 //! as notified of a change one lease after discovery had it, whether or not this host's calls succeeded. An
 //! entry older than that may therefore not be relied on.
 //!
@@ -23,8 +23,8 @@
 use crate::api::{AttemptOutcome, LogEvent};
 use std::time::Duration;
 
-/// Lease of a list that was stored before this host's start. Such a list is as old as this host's former
-/// process, which may have ended a second and more ago. Larger: requests may go to nodes that left meanwhile.
+/// Lease of a list that was stored before this host's start. The list is as old as this host's former process,
+/// which may have ended a second and more ago. Larger: requests may go to nodes that left meanwhile.
 /// Smaller: a call that waits at discovery is answered after the lease has expired.
 const CACHED_LEASE: Duration = Duration::from_millis(3000);
 /// Bounds the time for which a draining node still accepts requests; up to 1.8 s were seen. Larger: after the
--- a/crates/scheduler/src/scheduler/jitter.rs
+++ b/crates/scheduler/src/scheduler/jitter.rs
@@ -1,7 +1,7 @@
 //! Random draws of the decisions, from one seeded generator.
 //!
-//! Called by [`super::Scheduler`] and by the mechanisms that spread hosts apart in time. The same seed and the
-//! same order of calls give the same draws: the order of calls is part of the scheduler's behaviour.
+//! Called by [`super::Scheduler`] and by the mechanisms that spread hosts apart in time. A seed and an order of
+//! calls determine all draws, so the order of calls is part of the scheduler's behaviour.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
--- a/crates/scheduler/src/scheduler/retry_policy.rs
+++ b/crates/scheduler/src/scheduler/retry_policy.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns whether the answer to the client may say that a retry is harmless.
+/// Returns whether the client may be answered that a retry is harmless.
 pub fn may_reject(idempotency: Idempotency, may_have_run: bool) -> bool {
     let recognised = matches!(
         idempotency,
--- a/crates/scheduler/src/scheduler/shedding.rs
+++ b/crates/scheduler/src/scheduler/shedding.rs
@@ -57,7 +57,7 @@
 }
 
 /// Returns whether the request has been queued for half of its time to deadline, or will have been by the next
-/// look, without an attempt. Such a request would complete late; a rejection now leaves its client time for a
+/// look, without an attempt. The request would complete late; a rejection now leaves its client time for a
 /// retry.
 pub(super) fn queued_too_long(
     pending: &PendingRequest,
--- a/crates/scheduler/src/token_bucket.rs
+++ b/crates/scheduler/src/token_bucket.rs
@@ -1,7 +1,7 @@
 //! A token bucket that may go into debt.
 //!
-//! Called by the decisions, which choose every rate and depth. Has no clock: the caller states the time that has
-//! passed.
+//! Called by the decisions, which choose every rate and depth. The bucket has no clock: the caller states the
+//! time that has passed.
 
 /// Tokens that fill at a rate, up to a depth.
 ///
