--- a/crates/platform/tests/poll_deadline/fleet.rs
+++ b/crates/platform/tests/poll_deadline/fleet.rs
@@ -8,7 +8,7 @@
 use grebecleat_host::outbox::Outbox;
 use grebecleat_host::router::{ConnId, Input, Output, RequestRouter};
 use grebecleat_platform::config::{Config, DISCOVERY_TERM};
-use grebecleat_scheduler::api::PeerId;
+use grebecleat_scheduler::api::{LogEvent as SchedulerEvent, PeerId};
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, frame::Body};
 use rand::{Rng, SeedableRng};
@@ -332,11 +332,9 @@
     fn perform(&mut self, host: usize, output: Output) {
         match output {
             Output::Log(LogEvent::Discovery(_)) => self.count_failure(host),
-            Output::Log(LogEvent::Scheduler(event))
-                if event.to_string().starts_with("list of nodes: ") =>
-            {
-                self.count_failure(host)
-            }
+            Output::Log(LogEvent::Scheduler(
+                SchedulerEvent::EndpointLeaseExpired | SchedulerEvent::EndpointLeaseRenewed,
+            )) => self.count_failure(host),
             Output::DialDiscovery { conn } => self.dial(host, conn),
             _ => {}
         }
