--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -3,6 +3,6 @@
 //! The platform's host and the adapter program use the same parser, so that no default differs
 //! between them.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod settings;
--- a/crates/catalog-service/src/lib.rs
+++ b/crates/catalog-service/src/lib.rs
@@ -11,7 +11,7 @@
 //! This package does not decide where an extent is placed, which change is accepted, or anything
 //! about a request. Begin with [`store`].
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod change_syntax;
 pub mod client;
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -12,7 +12,7 @@
 //!
 //! No decision about a single request is made here. Begin with [`catalog`].
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod admission;
 mod audit_log;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -16,7 +16,7 @@
 //! A host that receives no message decides like a host without this package. No service depends on
 //! this package, and no received message lets a host use more than the limit over all hosts allows.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 mod attempts;
 pub mod borrowed_leases;
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -23,7 +23,7 @@
 //! Bounds: one active link and at most three overdue links; one record for each endpoint that
 //! discovery has ever listed.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod calls;
 mod client;
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -8,7 +8,7 @@
 //! [`server`] owns the sockets, on `may` coroutines. [`log_event`] writes the log. Nothing here
 //! chooses the node of a request: only [`grebecleat_scheduler::scheduler`] does.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 // The tests inside `router` share the simulated network of the integration tests, which imports this
 // package under its public name.
--- a/crates/iscsi-target/src/lib.rs
+++ b/crates/iscsi-target/src/lib.rs
@@ -7,7 +7,7 @@
 //! may have open) and [`versions`] (by what nodes recognize a late write). With it: [`portal`] (the
 //! sockets). It must never answer a command twice, nor choose where a request goes. Begin with
 //! [`engine`].
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod blocks;
 pub mod engine;
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -6,7 +6,7 @@
 //! [`grebecleat_catalog::admission`] decides which drains may coincide, where they are committed. No
 //! decision about a single request is made here.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod answers;
 pub mod drains;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -7,7 +7,7 @@
 //! the debug line that counts rejections by cause. This package translates the platform's protocol
 //! and settings; no other package knows them.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod clients;
 pub mod config;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -8,7 +8,7 @@
 //! [`histogram`], [`rates`] and [`rendezvous_hash`] are mechanical helpers that take their figures from the
 //! caller; [`rejection_stats`] is for operators.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod api;
 pub mod histogram;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -6,7 +6,7 @@
 //! with [`settings`] for the meaning of each call, [`script`] for the language, and [`fields`] for
 //! the checks.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod fields;
 pub mod kinds;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! This package decides nothing about a request. Begin with `proto/grebecleat.proto`.
 
-#![warn(missing_docs)]
+#![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod clock;
 pub mod delay;
