--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -5,6 +5,9 @@
 //! make durations; `keyed(group = "zone", remembered = s(2))` makes an idempotency key's scope and
 //! window. A file may `load` another file of the same folder, whose calls come first.
 
+// The expansion of starlark's derives names traits by their full paths.
+#![allow(unused_qualifications)]
+
 use crate::fields::{Call, Fault, Place};
 use serde_json::{json, Map, Value as Json};
 use starlark::any::ProvidesStaticType;
