--- a/crates/iscsi-target/src/engine/commands.rs
+++ b/crates/iscsi-target/src/engine/commands.rs
@@ -7,7 +7,7 @@
 use super::records::ScsiCommand;
 use super::Engine;
 use bytes::Bytes;
-use grebecleat_iscsi::reservations::{Nexus, Refused};
+use grebecleat_iscsi::reservations::{Nexus, ReservationError};
 use grebecleat_iscsi::scsi::{decode, Command, Sense, Status};
 use grebecleat_iscsi::session::Outcome;
 
@@ -39,7 +39,7 @@
             return;
         };
         if let Some(state) = self.sessions.get_mut(&session) {
-            let acts = state.session.done(task, outcome);
+            let acts = state.session.complete(task, outcome);
             self.perform(session, acts);
         }
     }
@@ -70,7 +70,7 @@
         }
         match command {
             Command::ReserveIn { action, most } => {
-                let mut answer = unit.reservations.tell(action);
+                let mut answer = unit.reservations.persistent_reserve_in(action);
                 if let Ok(data) = &mut answer {
                     data.truncate(most);
                 }
@@ -142,7 +142,7 @@
             return Outcome::check(Sense::INVALID_OPCODE);
         };
         let reservations = &mut self.volumes[volume].reservations;
-        match reservations.change(Nexus(session), action, scope, kind, parameters) {
+        match reservations.persistent_reserve_out(Nexus(session), action, scope, kind, parameters) {
             Ok(effects) => {
                 for (other, sense) in &effects.attentions {
                     self.add_attention(other.0, volume, *sense);
@@ -152,8 +152,8 @@
                 }
                 Outcome::good(Bytes::new())
             }
-            Err(Refused::Conflict) => Outcome::status(Status::ReservationConflict),
-            Err(Refused::Check(sense)) => Outcome::check(sense),
+            Err(ReservationError::Conflict) => Outcome::status(Status::ReservationConflict),
+            Err(ReservationError::Check(sense)) => Outcome::check(sense),
         }
     }
 }
--- a/crates/iscsi-target/src/engine/completion.rs
+++ b/crates/iscsi-target/src/engine/completion.rs
@@ -88,8 +88,8 @@
             return;
         };
         let acts = match outcome {
-            Some(outcome) if !open.aborted => state.session.done(open.task, outcome),
-            _ => state.session.gone(open.task),
+            Some(outcome) if !open.aborted => state.session.complete(open.task, outcome),
+            _ => state.session.abort_complete(open.task),
         };
         self.perform(open.session, acts);
         self.forget_session_if_over(open.session);
--- a/crates/iscsi-target/src/engine/connections.rs
+++ b/crates/iscsi-target/src/engine/connections.rs
@@ -8,7 +8,7 @@
 use super::records::{Connection, PendingLogin, Phase};
 use super::Engine;
 use grebecleat_iscsi::login::{LoggedIn, Login, Standing};
-use grebecleat_iscsi::pdu::{Digests, Fault, Opcode, Pdu};
+use grebecleat_iscsi::pdu::{Digests, Opcode, Pdu, PduError};
 
 /// Connections that have not come through their login; beyond, the oldest is closed.
 const MAX_LOGINS: usize = 256;
@@ -54,7 +54,7 @@
         Some(connection)
     }
 
-    pub(super) fn receive(&mut self, conn: ConnNo, read: Result<Pdu, Fault>) {
+    pub(super) fn receive(&mut self, conn: ConnNo, read: Result<Pdu, PduError>) {
         let Some(connection) = self.connections.get_mut(&conn) else {
             return;
         };
@@ -65,7 +65,7 @@
                     self.log(format!("iscsi connection {}: {fault}", conn.0));
                 }
                 if let Some(state) = self.sessions.get_mut(&session) {
-                    let acts = state.session.hear(cid, read);
+                    let acts = state.session.receive(cid, read);
                     self.perform(session, acts);
                 }
             }
@@ -141,7 +141,7 @@
             return;
         };
         state.connections.remove(&cid);
-        let acts = state.session.lost(cid);
+        let acts = state.session.connection_lost(cid);
         self.perform(session, acts);
         self.forget_session_if_over(session);
     }
--- a/crates/iscsi-target/src/engine/messages.rs
+++ b/crates/iscsi-target/src/engine/messages.rs
@@ -6,7 +6,7 @@
 use crate::blocks::RequestOutcome;
 use bytes::Bytes;
 use grebecleat_catalog_service::extents::Extents;
-use grebecleat_iscsi::pdu::{Digests, Fault, Pdu};
+use grebecleat_iscsi::pdu::{Digests, Pdu, PduError};
 use grebecleat_iscsi::scsi::Unit;
 
 /// A connection, by the number that the portal gave it.
@@ -30,7 +30,7 @@
         /// The connection that it came on.
         conn: ConnNo,
         /// The PDU, or what is wrong with the bytes.
-        read: Result<Pdu, Fault>,
+        read: Result<Pdu, PduError>,
     },
     /// A connection is closed, by either side.
     ConnectionClosed {
--- a/crates/iscsi-target/src/engine/records.rs
+++ b/crates/iscsi-target/src/engine/records.rs
@@ -11,7 +11,7 @@
 use grebecleat_iscsi::pdu::Digests;
 use grebecleat_iscsi::reservations::Reservations;
 use grebecleat_iscsi::scsi::Sense;
-use grebecleat_iscsi::session::{Cid, Session, TaskNo};
+use grebecleat_iscsi::session::{ConnectionId, Session, TaskId};
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
@@ -46,7 +46,7 @@
 /// Where a connection is: in its login, or in the full feature phase as one of a session.
 pub(super) enum Phase {
     Login(Box<Login>),
-    Full { session: u64, cid: Cid },
+    Full { session: u64, cid: ConnectionId },
 }
 
 /// An open connection.
@@ -64,7 +64,7 @@
     pub tsih: u16,
     /// Index of its target; none for a discovery session.
     pub target: Option<usize>,
-    pub connections: BTreeMap<Cid, ConnNo>,
+    pub connections: BTreeMap<ConnectionId, ConnNo>,
     /// Pending unit attentions by volume.
     pub attentions: BTreeMap<usize, VecDeque<Sense>>,
     /// Commands that each volume allows it to have open.
@@ -74,7 +74,7 @@
 /// A SCSI command as a session starts it.
 pub(super) struct ScsiCommand {
     pub session: u64,
-    pub task: TaskNo,
+    pub task: TaskId,
     pub lun: u64,
     pub cdb: [u8; 16],
     pub data: Bytes,
@@ -121,7 +121,7 @@
 /// A command on blocks that has not ended.
 pub(super) struct OpenCommand {
     pub session: u64,
-    pub task: TaskNo,
+    pub task: TaskId,
     pub volume: usize,
     pub command: BlockCommand,
     /// The outcomes of its requests; none while it waits for its turn.
--- a/crates/iscsi-target/src/engine/sessions.rs
+++ b/crates/iscsi-target/src/engine/sessions.rs
@@ -10,13 +10,13 @@
 use grebecleat_iscsi::login::{LoggedIn, Status as LoginStatus, Target};
 use grebecleat_iscsi::pdu::Digests;
 use grebecleat_iscsi::scsi::Sense;
-use grebecleat_iscsi::session::{Act, Cid, Limits, Session};
+use grebecleat_iscsi::session::{ConnectionId, Limits, Session, SessionAction};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Data of one command, in bytes, and PDUs that a session stores for retransmission.
 const LIMITS: Limits = Limits {
     max_data: 1 << 20,
-    max_kept: 1024,
+    max_unacknowledged: 1024,
 };
 /// Commands that a new session may have open, before its volumes' windows are known.
 const FIRST_WINDOW: u32 = 32;
@@ -34,7 +34,7 @@
             header: identity.params.header_digest,
             data: identity.params.data_digest,
         };
-        let cid = Cid(identity.cid);
+        let cid = ConnectionId(identity.cid);
         let params = identity.params.clone();
         let existing = self.find_session(&identity);
         let session = match existing {
@@ -64,7 +64,7 @@
             .sessions
             .get_mut(&session)
             .ok_or(LoginStatus::SessionDoesNotExist)?;
-        state.session.join(cid, params, stat_sn);
+        state.session.add_connection(cid, params, stat_sn);
         state.connections.insert(cid, conn);
         Ok(state.tsih)
     }
@@ -118,7 +118,7 @@
     }
 
     /// The same connection again replaces the old one (section 6.3.4); another needs a free place.
-    fn make_room_for(&mut self, session: u64, cid: Cid) -> Result<(), LoginStatus> {
+    fn make_room_for(&mut self, session: u64, cid: ConnectionId) -> Result<(), LoginStatus> {
         let state = &self.sessions[&session];
         if let Some(old) = state.connections.get(&cid).copied() {
             self.outputs.push(Output::Close { conn: old });
@@ -169,10 +169,10 @@
     }
 
     /// Performs what a session asks for, in its order.
-    pub(super) fn perform(&mut self, session: u64, acts: Vec<Act>) {
+    pub(super) fn perform(&mut self, session: u64, acts: Vec<SessionAction>) {
         for act in acts {
             match act {
-                Act::Send { cid, pdu } => {
+                SessionAction::Send { cid, pdu } => {
                     let Some(conn) = self.connection_of(session, cid) else {
                         continue;
                     };
@@ -182,13 +182,13 @@
                     let digests = connection.digests;
                     self.outputs.push(Output::Send { conn, pdu, digests });
                 }
-                Act::Close { cid } => {
+                SessionAction::Close { cid } => {
                     if let Some(conn) = self.connection_of(session, cid) {
                         self.outputs.push(Output::Close { conn });
                         self.connection_closed(conn);
                     }
                 }
-                Act::Start {
+                SessionAction::Start {
                     task,
                     lun,
                     cdb,
@@ -202,13 +202,13 @@
                     data,
                     max_in,
                 }),
-                Act::Abort { tasks, .. } => self.abort(session, &tasks),
-                Act::Reset { lun, why } => self.reset(session, lun, why),
+                SessionAction::Abort { tasks, .. } => self.abort(session, &tasks),
+                SessionAction::Reset { lun, reason } => self.reset(session, lun, reason),
             }
         }
     }
 
-    fn connection_of(&self, session: u64, cid: Cid) -> Option<ConnNo> {
+    fn connection_of(&self, session: u64, cid: ConnectionId) -> Option<ConnNo> {
         self.sessions.get(&session)?.connections.get(&cid).copied()
     }
 
@@ -226,7 +226,7 @@
         }
         for session in changed {
             if let Some(state) = self.sessions.get_mut(&session) {
-                let acts = state.session.allow(state.allowed.values().sum());
+                let acts = state.session.set_task_limit(state.allowed.values().sum());
                 self.perform(session, acts);
             }
         }
--- a/crates/iscsi-target/src/engine/task_management.rs
+++ b/crates/iscsi-target/src/engine/task_management.rs
@@ -6,14 +6,14 @@
 use super::Engine;
 use crate::pressure::CommandResult;
 use grebecleat_iscsi::scsi::Sense;
-use grebecleat_iscsi::session::{TaskNo, Why};
+use grebecleat_iscsi::session::{AbortReason, TaskId};
 
 /// Pending unit attentions of one session at one unit (SAM-5 lets a device store few).
 const MAX_ATTENTIONS: usize = 4;
 
 impl Engine {
     /// Aborted commands that wait for their turn end at once, others with their last request.
-    pub(super) fn abort(&mut self, session: u64, tasks: &[TaskNo]) {
+    pub(super) fn abort(&mut self, session: u64, tasks: &[TaskId]) {
         let aborted = |open: &OpenCommand| open.session == session && tasks.contains(&open.task);
         let numbers: Vec<u64> = self
             .commands
@@ -31,9 +31,9 @@
     }
 
     /// Aborts a session's commands at some volumes; which those were.
-    pub(super) fn abort_at(&mut self, session: u64, volumes: &[usize]) -> Vec<TaskNo> {
+    pub(super) fn abort_at(&mut self, session: u64, volumes: &[usize]) -> Vec<TaskId> {
         let hit = |open: &&OpenCommand| open.session == session && volumes.contains(&open.volume);
-        let tasks: Vec<TaskNo> = self
+        let tasks: Vec<TaskId> = self
             .commands
             .values()
             .filter(hit)
@@ -45,7 +45,7 @@
 
     /// Commands of other sessions at the same units end too, and their initiators get a unit
     /// attention.
-    pub(super) fn reset(&mut self, by: u64, lun: Option<u64>, why: Why) {
+    pub(super) fn reset(&mut self, by: u64, lun: Option<u64>, reason: AbortReason) {
         let Some(target) = self.sessions.get(&by).and_then(|state| state.target) else {
             return;
         };
@@ -53,7 +53,7 @@
             Some(lun) => self.unit_of(target, lun).into_iter().collect(),
             None => self.targets[target].luns.clone(),
         };
-        let sense = if why == Why::ClearTaskSet {
+        let sense = if reason == AbortReason::ClearTaskSet {
             Sense::COMMANDS_CLEARED
         } else {
             Sense::BUS_DEVICE_RESET
@@ -62,7 +62,7 @@
         let others: Vec<u64> = sessions.filter(|session| *session != by).collect();
         for session in others {
             let tasks = self.abort_at(session, &units);
-            if why == Why::ClearTaskSet && tasks.is_empty() {
+            if reason == AbortReason::ClearTaskSet && tasks.is_empty() {
                 continue;
             }
             for unit in &units {
--- a/crates/iscsi-target/src/portal/connection.rs
+++ b/crates/iscsi-target/src/portal/connection.rs
@@ -6,7 +6,7 @@
 use super::owner::Event;
 use crate::engine::{ConnNo, Input};
 use grebecleat_iscsi::keys::parse;
-use grebecleat_iscsi::pdu::{self, Digests, Fault, Opcode, Pdu, Reader};
+use grebecleat_iscsi::pdu::{self, Digests, Opcode, Pdu, PduError, Reader};
 use grebecleat_wire::pb::record::Kind;
 use grebecleat_wire::trace::Tracer;
 use may::go;
@@ -113,7 +113,7 @@
                 }
                 Err(fault) => Err(fault),
             };
-            unreadable = matches!(&read, Err(fault) if !matches!(fault, Fault::DataDigest(_)));
+            unreadable = matches!(&read, Err(fault) if !matches!(fault, PduError::DataDigest(_)));
             inputs.push(Input::Pdu { conn, read });
         }
         if !inputs.is_empty() {
--- a/crates/iscsi-target/tests/script/mod.rs
+++ b/crates/iscsi-target/tests/script/mod.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use grebecleat_iscsi::keys::format;
 use grebecleat_iscsi::login::{Portal, Target};
-use grebecleat_iscsi::pdu::{Fault, Header, Opcode, Pdu, NO_TAG};
+use grebecleat_iscsi::pdu::{Header, Opcode, Pdu, PduError, NO_TAG};
 use grebecleat_iscsi::scsi::Unit;
 use grebecleat_iscsi_target::blocks::RequestOutcome;
 use grebecleat_iscsi_target::engine::*;
@@ -364,9 +364,9 @@
     fn malformed_pdu(&mut self, script: &mut Script, drawn: Drawn) {
         let header = Header(script.take::<48>()).set_itt(drawn.itt);
         let fault = if script.byte() & 1 == 0 {
-            Fault::DataDigest(header)
+            PduError::DataDigest(header)
         } else {
-            Fault::HeaderDigest
+            PduError::HeaderDigest
         };
         self.feed(Input::Pdu {
             conn: drawn.conn,
--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -273,7 +273,7 @@
 
 /// What is wrong with the bytes of a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fault {
+pub enum PduError {
     /// Nothing after it can be found: the connection ends (section 7.7).
     HeaderDigest,
     /// The PDU is whole but its data is not what was sent (section 7.8): its header tells what to
@@ -283,19 +283,19 @@
     TooLong { length: usize, most: usize },
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for PduError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::HeaderDigest => write!(f, "header digest does not match"),
-            Fault::DataDigest(h) => write!(f, "data digest does not match: {h:?}"),
-            Fault::TooLong { length, most } => {
+            PduError::HeaderDigest => write!(f, "header digest does not match"),
+            PduError::DataDigest(h) => write!(f, "data digest does not match: {h:?}"),
+            PduError::TooLong { length, most } => {
                 write!(f, "data segment of {length} bytes, at most {most}")
             }
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for PduError {}
 
 fn padded(length: usize) -> usize {
     length.next_multiple_of(4)
@@ -397,7 +397,7 @@
     /// The next whole PDU; None until more bytes have come. A data digest fault has taken its PDU
     /// off, so that reading can go on; after any other fault it cannot.
     #[allow(clippy::should_implement_trait)]
-    pub fn next(&mut self) -> Result<Option<Pdu>, Fault> {
+    pub fn next(&mut self) -> Result<Option<Pdu>, PduError> {
         let Some(first) = self.held.first_chunk::<BHS>() else {
             return Ok(None);
         };
@@ -418,11 +418,11 @@
                 return Ok(None);
             }
             if digest(&self.held[..head]) != self.held[head..head + 4] {
-                return Err(Fault::HeaderDigest);
+                return Err(PduError::HeaderDigest);
             }
         }
         if length > self.max_data {
-            return Err(Fault::TooLong {
+            return Err(PduError::TooLong {
                 length,
                 most: self.max_data,
             });
@@ -436,7 +436,7 @@
         let additional = whole.split_to(ahs).freeze();
         whole.advance(sums.0);
         if sums.1 > 0 && digest(&whole[..body]) != whole[body..body + 4] {
-            return Err(Fault::DataDigest(header));
+            return Err(PduError::DataDigest(header));
         }
         whole.truncate(length);
         Ok(Some(Pdu {
--- a/crates/iscsi/src/reservations.rs
+++ b/crates/iscsi/src/reservations.rs
@@ -53,14 +53,14 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Refused {
+pub enum ReservationError {
     Conflict,
     Check(Sense),
 }
 
 /// A change that other nexuses must be told of by a unit attention.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct ReservationEffects {
     pub attentions: Vec<(Nexus, Sense)>,
     /// Nexuses whose tasks are to be aborted (PREEMPT AND ABORT).
     pub aborted: Vec<Nexus>,
@@ -94,7 +94,7 @@
     }
 
     /// PERSISTENT RESERVE IN.
-    pub fn tell(&self, action: u8) -> Result<Vec<u8>, Sense> {
+    pub fn persistent_reserve_in(&self, action: u8) -> Result<Vec<u8>, Sense> {
         let mut b = self.generation.to_be_bytes().to_vec();
         let mut list = |body: Vec<u8>| {
             b.extend((body.len() as u32).to_be_bytes());
@@ -123,15 +123,15 @@
     }
 
     /// PERSISTENT RESERVE OUT. `list` is its parameter list.
-    pub fn change(
+    pub fn persistent_reserve_out(
         &mut self,
         who: Nexus,
         action: u8,
         scope: u8,
         kind: u8,
         list: &[u8],
-    ) -> Result<Told, Refused> {
-        let check = |s| Err(Refused::Check(s));
+    ) -> Result<ReservationEffects, ReservationError> {
+        let check = |s| Err(ReservationError::Check(s));
         if list.len() != 24 {
             return check(Sense::PARAMETER_LIST_LENGTH);
         }
@@ -144,13 +144,13 @@
         // REGISTER AND IGNORE EXISTING KEY asks for no key, all others for the one that is
         // registered.
         if action != 6 && own.unwrap_or(0) != key {
-            return Err(Refused::Conflict);
+            return Err(ReservationError::Conflict);
         }
         if own.is_none() && !matches!(action, 0 | 6) {
-            return Err(Refused::Conflict);
+            return Err(ReservationError::Conflict);
         }
         let kind = Kind::of(kind);
-        let mut told = Told::default();
+        let mut told = ReservationEffects::default();
         match action {
             0 | 6 => self.register(who, service, &mut told),
             1 => {
@@ -161,7 +161,7 @@
                     None => self.holder = Some((who, kind)),
                     Some((_, held)) if held.for_all() && held == kind => {}
                     Some(held) if held == (who, kind) => {}
-                    Some(_) => return Err(Refused::Conflict),
+                    Some(_) => return Err(ReservationError::Conflict),
                 }
             }
             2 => match self.holder {
@@ -188,7 +188,7 @@
         Ok(told)
     }
 
-    fn register(&mut self, who: Nexus, service: u64, told: &mut Told) {
+    fn register(&mut self, who: Nexus, service: u64, told: &mut ReservationEffects) {
         self.generation = self.generation.wrapping_add(1);
         if service != 0 {
             self.keys.insert(who, service);
@@ -203,7 +203,7 @@
         }
     }
 
-    fn release(&mut self, who: Nexus, told: &mut Told) {
+    fn release(&mut self, who: Nexus, told: &mut ReservationEffects) {
         let Some((_, kind)) = self.holder.take() else {
             return;
         };
@@ -220,13 +220,13 @@
         service: u64,
         kind: Option<Kind>,
         abort: bool,
-        told: &mut Told,
-    ) -> Result<(), Refused> {
+        told: &mut ReservationEffects,
+    ) -> Result<(), ReservationError> {
         let holds = |n: &Nexus| self.holder.is_some_and(|(h, k)| h == *n || k.for_all());
         let all = self.holder.is_some_and(|(_, k)| k.for_all());
         let taken: BTreeSet<Nexus> = match (service, all) {
             (0, true) => self.keys.keys().copied().filter(|n| *n != who).collect(),
-            (0, false) => return Err(Refused::Check(Sense::INVALID_FIELD_IN_PARAMETERS)),
+            (0, false) => return Err(ReservationError::Check(Sense::INVALID_FIELD_IN_PARAMETERS)),
             _ => self
                 .keys
                 .iter()
@@ -235,11 +235,11 @@
                 .collect(),
         };
         if taken.is_empty() && !(service == 0 && all) {
-            return Err(Refused::Conflict);
+            return Err(ReservationError::Conflict);
         }
         let takes_over = (service == 0 && all) || (!all && taken.iter().any(holds));
         if takes_over && kind.is_none() {
-            return Err(Refused::Check(Sense::INVALID_FIELD_IN_CDB));
+            return Err(ReservationError::Check(Sense::INVALID_FIELD_IN_CDB));
         }
         self.generation = self.generation.wrapping_add(1);
         for n in taken.iter().filter(|n| **n != who) {
--- a/crates/iscsi/src/session.rs
+++ b/crates/iscsi/src/session.rs
@@ -1,41 +1,41 @@
 //! The full feature phase of one session, target side (RFC 7143, sections 4.2, 7 and 11).
 //!
 //! Called with each PDU of each of its connections and with what became of its tasks; answers
-//! [`Act`]s. It keeps commands in CmdSN order over all connections, gathers the data of writes
+//! [`SessionAction`]s. It keeps commands in CmdSN order over all connections, gathers the data of writes
 //! (immediate, unsolicited, solicited), splits that of reads, numbers and keeps responses until
 //! they are acknowledged, and carries out task management. What a command means is the device's, to
-//! which [`Act::Start`] hands it whole.
+//! which [`SessionAction::Start`] hands it whole.
 //!
 //! Memory: commands wait within the window; a write's data is kept up to [`Limits::max_data`]; a
 //! response and a read's data are kept until ExpStatSN acknowledges them.
 
 use crate::keys::{parse, Params};
-use crate::pdu::{Fault, Header, Opcode, Pdu, NO_TAG};
+use crate::pdu::{Header, Opcode, Pdu, PduError, NO_TAG};
 use crate::scsi::{retry_delay, Sense, Status};
-use crate::window::{Arrived, Sn, Window};
+use crate::window::{Arrived, SerialNumber, Window};
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 /// A task, by this session; never used twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TaskNo(pub u64);
+pub struct TaskId(pub u64);
 
 /// A connection, by its CID.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Cid(pub u16);
+pub struct ConnectionId(pub u16);
 
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
     /// Bytes that one command may write or read.
     pub max_data: u32,
     /// Unacknowledged responses kept for one connection; beyond, the oldest are forgotten.
-    pub max_kept: usize,
+    pub max_unacknowledged: usize,
 }
 
 /// Why tasks end without a response of their own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Why {
+pub enum AbortReason {
     AbortTask,
     AbortTaskSet,
     ClearTaskSet,
@@ -45,31 +45,31 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Act {
+pub enum SessionAction {
     Send {
-        cid: Cid,
+        cid: ConnectionId,
         pdu: Pdu,
     },
-    /// A command with all its data. It is answered by [`Session::done`], once.
+    /// A command with all its data. It is answered by [`Session::complete`], once.
     Start {
-        task: TaskNo,
+        task: TaskId,
         lun: u64,
         cdb: [u8; 16],
         data: Bytes,
         max_in: u32,
     },
-    /// The device confirms by [`Session::done`] or [`Session::gone`]; until then the request waits.
+    /// The device confirms by [`Session::complete`] or [`Session::abort_complete`]; until then the request waits.
     Abort {
-        tasks: Vec<TaskNo>,
-        why: Why,
+        tasks: Vec<TaskId>,
+        reason: AbortReason,
     },
     /// Tasks of other sessions at these units are to end too (None: at all units).
     Reset {
         lun: Option<u64>,
-        why: Why,
+        reason: AbortReason,
     },
     Close {
-        cid: Cid,
+        cid: ConnectionId,
     },
 }
 
@@ -164,8 +164,8 @@
 
 #[derive(Debug)]
 struct Task {
-    no: TaskNo,
-    cid: Cid,
+    no: TaskId,
+    cid: ConnectionId,
     header: Header,
     /// It has had its turn in CmdSN order.
     ordered: bool,
@@ -200,17 +200,17 @@
 /// A task management request that waits for tasks to end.
 #[derive(Debug)]
 struct Waiting {
-    cid: Cid,
+    cid: ConnectionId,
     itt: u32,
-    tasks: BTreeSet<TaskNo>,
+    tasks: BTreeSet<TaskId>,
 }
 
 /// What waits in the command window.
 #[derive(Debug)]
 enum Queued {
     /// By its tag, and the task that had it: the tag may have passed on to another meanwhile.
-    Command(u32, TaskNo),
-    Other(Cid, Pdu),
+    Command(u32, TaskId),
+    Other(ConnectionId, Pdu),
     /// A command that was aborted before it came.
     Skipped,
 }
@@ -225,14 +225,14 @@
     window: Window<Queued>,
     /// Tasks that may be open; the window is what is left of it.
     allowance: u32,
-    conns: BTreeMap<Cid, Conn>,
+    conns: BTreeMap<ConnectionId, Conn>,
     tasks: BTreeMap<u32, Task>,
     /// The tag of each task: an answer must not look through all that are out.
-    tags: BTreeMap<TaskNo, u32>,
+    tags: BTreeMap<TaskId, u32>,
     waiting: Vec<Waiting>,
     next_task: u64,
     next_ttt: u32,
-    acts: Vec<Act>,
+    acts: Vec<SessionAction>,
 }
 
 impl Session {
@@ -248,7 +248,7 @@
             target,
             listing,
             limits,
-            window: Window::new(Sn(cmd_sn), size),
+            window: Window::new(SerialNumber(cmd_sn), size),
             allowance: size,
             conns: BTreeMap::new(),
             tasks: BTreeMap::new(),
@@ -261,7 +261,7 @@
     }
 
     /// A connection has come through its login; `stat_sn` is the next it sends.
-    pub fn join(&mut self, cid: Cid, params: Params, stat_sn: u32) {
+    pub fn add_connection(&mut self, cid: ConnectionId, params: Params, stat_sn: u32) {
         let conn = Conn {
             params,
             stat_sn,
@@ -287,7 +287,7 @@
     /// So many tasks may be open from here on. An initiator that sits before a closed window, with
     /// nothing on its way to it that could tell it otherwise, is told by a NOP-In that asks for no
     /// answer (section 11.19).
-    pub fn allow(&mut self, tasks: u32) -> Vec<Act> {
+    pub fn set_task_limit(&mut self, tasks: u32) -> Vec<SessionAction> {
         self.allowance = tasks;
         let closed = self.window.room() == 0;
         self.regrant();
@@ -310,15 +310,19 @@
     }
 
     /// ExpCmdSN and MaxCmdSN.
-    pub fn sns(&self) -> (u32, u32) {
+    pub fn cmd_sn_bounds(&self) -> (u32, u32) {
         (self.window.expected().0, self.window.most().0)
     }
 
-    pub fn hear(&mut self, cid: Cid, read: Result<Pdu, Fault>) -> Vec<Act> {
+    pub fn receive(
+        &mut self,
+        cid: ConnectionId,
+        read: Result<Pdu, PduError>,
+    ) -> Vec<SessionAction> {
         if self.conns.contains_key(&cid) {
             match read {
                 Ok(pdu) => self.pdu(cid, pdu),
-                Err(Fault::DataDigest(header)) => self.damaged(cid, header),
+                Err(PduError::DataDigest(header)) => self.damaged(cid, header),
                 // After the others nothing more can be read: the connection is lost (section 7.7).
                 Err(_) => self.close(cid),
             }
@@ -326,7 +330,7 @@
         std::mem::take(&mut self.acts)
     }
 
-    fn pdu(&mut self, cid: Cid, pdu: Pdu) {
+    fn pdu(&mut self, cid: ConnectionId, pdu: Pdu) {
         let h = pdu.header;
         let Some(opcode) = h.opcode().filter(|o| o.from_initiator()) else {
             return self.reject(cid, Reason::NotSupported, &h);
@@ -339,22 +343,26 @@
             Opcode::ScsiCommand => self.command(cid, pdu),
             _ if h.immediate() => self.request(cid, pdu),
             _ => {
-                let arrived = self.window.arrive(Sn(h.cmd_sn()), Queued::Other(cid, pdu));
+                let arrived = self
+                    .window
+                    .arrive(SerialNumber(h.cmd_sn()), Queued::Other(cid, pdu));
                 self.deliver(arrived);
             }
         }
     }
 
-    fn acknowledge(&mut self, cid: Cid, exp_stat_sn: u32) {
+    fn acknowledge(&mut self, cid: ConnectionId, exp_stat_sn: u32) {
         let Some(c) = self.conns.get_mut(&cid) else {
             return;
         };
         // One beyond what was sent is a lie; to believe it would drop what may still be asked for.
-        if Sn(c.stat_sn).before(Sn(exp_stat_sn)) {
+        if SerialNumber(c.stat_sn).before(SerialNumber(exp_stat_sn)) {
             return;
         }
-        c.kept.retain(|(sn, _)| !Sn(*sn).before(Sn(exp_stat_sn)));
-        c.sent.retain(|(_, sn, _)| !Sn(*sn).before(Sn(exp_stat_sn)));
+        c.kept
+            .retain(|(sn, _)| !SerialNumber(*sn).before(SerialNumber(exp_stat_sn)));
+        c.sent
+            .retain(|(_, sn, _)| !SerialNumber(*sn).before(SerialNumber(exp_stat_sn)));
     }
 
     fn deliver(&mut self, arrived: Arrived<Queued>) {
@@ -375,7 +383,7 @@
         }
     }
 
-    fn request(&mut self, cid: Cid, pdu: Pdu) {
+    fn request(&mut self, cid: ConnectionId, pdu: Pdu) {
         let h = pdu.header;
         match h.opcode() {
             Some(Opcode::NopOut) => {
@@ -401,12 +409,12 @@
 
     // Commands and their data
 
-    fn command(&mut self, cid: Cid, pdu: Pdu) {
+    fn command(&mut self, cid: ConnectionId, pdu: Pdu) {
         let h = pdu.header;
         if self.target.is_none() {
             return self.reject(cid, Reason::Protocol, &h);
         }
-        let sn = Sn(h.cmd_sn());
+        let sn = SerialNumber(h.cmd_sn());
         // A repeat of a command that came already is the same command (section 7.2.1), and says
         // nothing new.
         if !h.immediate() && (sn.before(self.window.expected()) || self.window.most().before(sn)) {
@@ -428,7 +436,7 @@
             failed: None,
         };
         let state = State::Collecting(collecting);
-        let (no, ordered) = (TaskNo(self.next_task), h.immediate());
+        let (no, ordered) = (TaskId(self.next_task), h.immediate());
         self.tasks.insert(
             h.itt(),
             Task {
@@ -516,7 +524,7 @@
             let max_in = if t.reads() { length } else { 0 };
             t.state = State::Running;
             let (task, cdb) = (t.no, t.header.cdb());
-            return self.acts.push(Act::Start {
+            return self.acts.push(SessionAction::Start {
                 task,
                 lun,
                 cdb,
@@ -565,7 +573,7 @@
         }
     }
 
-    fn data_out(&mut self, cid: Cid, pdu: Pdu) {
+    fn data_out(&mut self, cid: ConnectionId, pdu: Pdu) {
         let h = pdu.header;
         let (itt, ttt, offset) = (h.itt(), h.ttt(), h.word40());
         // Data of a task that is over, or was never heard of, is dropped (section 11.7).
@@ -607,7 +615,7 @@
     }
 
     /// A sender that breaks the sequence it was told is told so, and its command ends.
-    fn lie(&mut self, cid: Cid, itt: u32, h: &Header) {
+    fn lie(&mut self, cid: ConnectionId, itt: u32, h: &Header) {
         self.reject(cid, Reason::Protocol, h);
         if let Some(State::Collecting(c)) = self.tasks.get_mut(&itt).map(|t| &mut t.state) {
             c.failed = Some(Sense::NOT_ENOUGH_UNSOLICITED_DATA);
@@ -618,7 +626,7 @@
     /// A PDU whose data was damaged (section 7.8). Of Data-Out, the lost range is asked for again
     /// where recovery within a command was agreed on; else its command ends. All else the initiator
     /// sends again.
-    fn damaged(&mut self, cid: Cid, h: Header) {
+    fn damaged(&mut self, cid: ConnectionId, h: Header) {
         self.reject(cid, Reason::DataDigest, &h);
         if h.opcode() != Some(Opcode::DataOut) {
             return;
@@ -648,7 +656,7 @@
 
     /// A device's answer. One to a task that is being aborted, or is unknown, says only that it has
     /// ended.
-    pub fn done(&mut self, task: TaskNo, outcome: Outcome) -> Vec<Act> {
+    pub fn complete(&mut self, task: TaskId, outcome: Outcome) -> Vec<SessionAction> {
         if let Some(itt) = self.tags.get(&task).copied() {
             match self.tasks.get(&itt).map(|t| &t.state) {
                 Some(State::Running) => self.finish(itt, outcome),
@@ -660,7 +668,7 @@
     }
 
     /// A task was ended at the device, with no answer.
-    pub fn gone(&mut self, task: TaskNo) -> Vec<Act> {
+    pub fn abort_complete(&mut self, task: TaskId) -> Vec<SessionAction> {
         if let Some(itt) = self.tags.get(&task).copied() {
             self.remove(itt);
         }
@@ -674,7 +682,7 @@
         Some(t)
     }
 
-    fn ended(&mut self, task: TaskNo) {
+    fn ended(&mut self, task: TaskId) {
         if self.waiting.is_empty() {
             return;
         }
@@ -775,7 +783,7 @@
 
     // Everything else
 
-    fn text(&mut self, cid: Cid, pdu: &Pdu) {
+    fn text(&mut self, cid: ConnectionId, pdu: &Pdu) {
         let h = pdu.header;
         let Ok(pairs) = parse(&pdu.data) else {
             return self.reject(cid, Reason::Protocol, &h);
@@ -816,7 +824,7 @@
         self.respond(cid, Pdu::new(header, crate::keys::format(&answers)));
     }
 
-    fn managed(&mut self, cid: Cid, itt: u32, response: u8) {
+    fn managed(&mut self, cid: ConnectionId, itt: u32, response: u8) {
         let header = Header::new(Opcode::TaskManagementResponse)
             .set_flags(0x80)
             .set_byte(2, response)
@@ -826,18 +834,18 @@
 
     /// Task management (sections 11.5 and 11.6). The response waits until the tasks have ended at
     /// the device: an initiator that has it may rely on nothing of them being done any more.
-    fn manage(&mut self, cid: Cid, h: &Header) {
+    fn manage(&mut self, cid: ConnectionId, h: &Header) {
         let (lun, tag) = (h.lun(), h.ttt());
-        let (why, reset) = match h.flags() & 0x7f {
+        let (reason, reset) = match h.flags() & 0x7f {
             1 => return self.abort_one(cid, h, tag),
-            2 => (Why::AbortTaskSet, None),
-            4 => (Why::ClearTaskSet, Some(Some(lun))),
-            5 => (Why::LunReset, Some(Some(lun))),
-            6 | 7 => (Why::TargetReset, Some(None)),
+            2 => (AbortReason::AbortTaskSet, None),
+            4 => (AbortReason::ClearTaskSet, Some(Some(lun))),
+            5 => (AbortReason::LunReset, Some(Some(lun))),
+            6 | 7 => (AbortReason::TargetReset, Some(None)),
             8 => return self.managed(cid, h.itt(), 4), // reassignment: recovery level 2
             _ => return self.managed(cid, h.itt(), 5),
         };
-        let all = why == Why::TargetReset;
+        let all = reason == AbortReason::TargetReset;
         let hit = self
             .tasks
             .iter()
@@ -845,18 +853,19 @@
             .map(|(itt, _)| *itt);
         let hit: Vec<u32> = hit.collect();
         if let Some(lun) = reset {
-            self.acts.push(Act::Reset { lun, why });
+            self.acts.push(SessionAction::Reset { lun, reason });
         }
-        self.end_tasks(cid, h.itt(), &hit, why);
+        self.end_tasks(cid, h.itt(), &hit, reason);
     }
 
-    fn abort_one(&mut self, cid: Cid, h: &Header, tag: u32) {
+    fn abort_one(&mut self, cid: ConnectionId, h: &Header, tag: u32) {
         if self.tasks.contains_key(&tag) {
-            return self.end_tasks(cid, h.itt(), &[tag], Why::AbortTask);
+            return self.end_tasks(cid, h.itt(), &[tag], AbortReason::AbortTask);
         }
         // One that is yet to come, by its number: it is taken as come and ended (section 11.5.5).
-        let reference = Sn(h.word32());
-        let to_come = !reference.before(self.window.expected()) && reference.before(Sn(h.cmd_sn()));
+        let reference = SerialNumber(h.word32());
+        let to_come =
+            !reference.before(self.window.expected()) && reference.before(SerialNumber(h.cmd_sn()));
         if to_come {
             let arrived = self.window.arrive(reference, Queued::Skipped);
             self.deliver(arrived);
@@ -864,7 +873,7 @@
         self.managed(cid, h.itt(), if to_come { 0 } else { 1 });
     }
 
-    fn end_tasks(&mut self, cid: Cid, itt: u32, hit: &[u32], why: Why) {
+    fn end_tasks(&mut self, cid: ConnectionId, itt: u32, hit: &[u32], reason: AbortReason) {
         let mut running = Vec::new();
         for tag in hit {
             let t = self.tasks.get_mut(tag).expect("listed by the caller");
@@ -880,9 +889,9 @@
         if running.is_empty() {
             return self.managed(cid, itt, 0);
         }
-        self.acts.push(Act::Abort {
+        self.acts.push(SessionAction::Abort {
             tasks: running.clone(),
-            why,
+            reason,
         });
         self.waiting.push(Waiting {
             cid,
@@ -891,8 +900,8 @@
         });
     }
 
-    fn logout(&mut self, cid: Cid, h: &Header) {
-        let named = Cid(h.cid());
+    fn logout(&mut self, cid: ConnectionId, h: &Header) {
+        let named = ConnectionId(h.cid());
         let (closes, response) = match h.flags() & 0x7f {
             0 => (self.conns.keys().copied().collect(), 0),
             1 if self.conns.contains_key(&named) => (vec![named], 0),
@@ -913,7 +922,7 @@
         closes.into_iter().for_each(|c| self.close(c));
     }
 
-    fn snack(&mut self, cid: Cid, h: &Header) {
+    fn snack(&mut self, cid: ConnectionId, h: &Header) {
         let Some(c) = self.conns.get(&cid) else {
             return;
         };
@@ -921,8 +930,10 @@
             return self.reject(cid, Reason::Snack, h);
         }
         let (from, run) = (h.word40(), h.word44());
-        let inside =
-            |sn: u32| !Sn(sn).before(Sn(from)) && (run == 0 || Sn(sn).before(Sn(from).plus(run)));
+        let inside = |sn: u32| {
+            !SerialNumber(sn).before(SerialNumber(from))
+                && (run == 0 || SerialNumber(sn).before(SerialNumber(from).plus(run)))
+        };
         let again: Vec<Pdu> = match h.flags() & 0x0f {
             0 => {
                 let of = c.sent.iter().find(|(itt, ..)| *itt == h.itt());
@@ -945,17 +956,17 @@
         if again.is_empty() && h.flags() & 0x0f == 0 {
             return self.reject(cid, Reason::Snack, h);
         }
-        let (expected, most) = self.sns();
+        let (expected, most) = self.cmd_sn_bounds();
         for pdu in again {
             let header = pdu.header.set_exp_stat_sn(expected).set_word32(most);
-            self.acts.push(Act::Send {
+            self.acts.push(SessionAction::Send {
                 cid,
                 pdu: Pdu { header, ..pdu },
             });
         }
     }
 
-    fn reject(&mut self, cid: Cid, reason: Reason, h: &Header) {
+    fn reject(&mut self, cid: ConnectionId, reason: Reason, h: &Header) {
         let header = Header::new(Opcode::Reject)
             .set_flags(0x80)
             .set_byte(2, reason as u8)
@@ -964,16 +975,16 @@
         self.respond(cid, Pdu::new(header, h.0.to_vec()));
     }
 
-    fn respond(&mut self, cid: Cid, pdu: Pdu) {
+    fn respond(&mut self, cid: ConnectionId, pdu: Pdu) {
         self.send(cid, pdu, true);
     }
 
     /// Numbers a PDU and sends it; one that carries status is kept until it is acknowledged.
-    fn send(&mut self, cid: Cid, pdu: Pdu, status: bool) -> Pdu {
+    fn send(&mut self, cid: ConnectionId, pdu: Pdu, status: bool) -> Pdu {
         if status {
             self.regrant();
         }
-        let (expected, most) = self.sns();
+        let (expected, most) = self.cmd_sn_bounds();
         let Some(c) = self.conns.get_mut(&cid) else {
             return pdu;
         };
@@ -986,29 +997,29 @@
         if status {
             c.kept.push_back((c.stat_sn, pdu.clone()));
             c.stat_sn = c.stat_sn.wrapping_add(1);
-            while c.kept.len() > self.limits.max_kept {
+            while c.kept.len() > self.limits.max_unacknowledged {
                 c.kept.pop_front();
             }
         }
-        self.acts.push(Act::Send {
+        self.acts.push(SessionAction::Send {
             cid,
             pdu: pdu.clone(),
         });
         pdu
     }
 
-    fn close(&mut self, cid: Cid) {
-        self.acts.push(Act::Close { cid });
+    fn close(&mut self, cid: ConnectionId) {
+        self.acts.push(SessionAction::Close { cid });
         self.drop_connection(cid);
     }
 
     /// A connection is gone; its tasks end with it (recovery below level 2).
-    pub fn lost(&mut self, cid: Cid) -> Vec<Act> {
+    pub fn connection_lost(&mut self, cid: ConnectionId) -> Vec<SessionAction> {
         self.drop_connection(cid);
         std::mem::take(&mut self.acts)
     }
 
-    fn drop_connection(&mut self, cid: Cid) {
+    fn drop_connection(&mut self, cid: ConnectionId) {
         if self.conns.remove(&cid).is_none() {
             return;
         }
@@ -1031,9 +1042,9 @@
             }
         }
         if !running.is_empty() {
-            self.acts.push(Act::Abort {
+            self.acts.push(SessionAction::Abort {
                 tasks: running,
-                why: Why::ConnectionLost,
+                reason: AbortReason::ConnectionLost,
             });
         }
     }
--- a/crates/iscsi/src/window.rs
+++ b/crates/iscsi/src/window.rs
@@ -10,24 +10,24 @@
 /// A serial number of 32 bits.
 ///
 /// ```
-/// use grebecleat_iscsi::window::Sn;
-/// assert!(Sn(0xffff_fffe).before(Sn(1)) && !Sn(1).before(Sn(0xffff_fffe)));
-/// assert_eq!(Sn(0xffff_ffff).plus(2), Sn(1));
-/// assert_eq!(Sn(1).since(Sn(0xffff_ffff)), 2);
+/// use grebecleat_iscsi::window::SerialNumber;
+/// assert!(SerialNumber(0xffff_fffe).before(SerialNumber(1)) && !SerialNumber(1).before(SerialNumber(0xffff_fffe)));
+/// assert_eq!(SerialNumber(0xffff_ffff).plus(2), SerialNumber(1));
+/// assert_eq!(SerialNumber(1).since(SerialNumber(0xffff_ffff)), 2);
 /// ```
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Sn(pub u32);
+pub struct SerialNumber(pub u32);
 
-impl Sn {
-    pub fn before(self, other: Sn) -> bool {
+impl SerialNumber {
+    pub fn before(self, other: SerialNumber) -> bool {
         (self.0.wrapping_sub(other.0) as i32) < 0
     }
 
-    pub fn plus(self, n: u32) -> Sn {
-        Sn(self.0.wrapping_add(n))
+    pub fn plus(self, n: u32) -> SerialNumber {
+        SerialNumber(self.0.wrapping_add(n))
     }
 
-    pub fn since(self, earlier: Sn) -> u32 {
+    pub fn since(self, earlier: SerialNumber) -> u32 {
         self.0.wrapping_sub(earlier.0)
     }
 }
@@ -48,15 +48,15 @@
 /// The window of one session. `T` is whatever goes with a command.
 #[derive(Debug)]
 pub struct Window<T> {
-    expected: Sn,
+    expected: SerialNumber,
     /// Never moves back (section 4.2.2.1: MaxCmdSN that is lower than the last is ignored).
-    most: Sn,
+    most: SerialNumber,
     waiting: BTreeMap<u32, T>,
 }
 
 impl<T> Window<T> {
     /// `first` is the CmdSN of the leading login; `size` how many commands are taken at first.
-    pub fn new(first: Sn, size: u32) -> Self {
+    pub fn new(first: SerialNumber, size: u32) -> Self {
         Window {
             expected: first,
             most: first.plus(size).plus(u32::MAX),
@@ -64,11 +64,11 @@
         }
     }
 
-    pub fn expected(&self) -> Sn {
+    pub fn expected(&self) -> SerialNumber {
         self.expected
     }
 
-    pub fn most(&self) -> Sn {
+    pub fn most(&self) -> SerialNumber {
         self.most
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// A command that is not immediate arrives.
-    pub fn arrive(&mut self, sn: Sn, command: T) -> Arrived<T> {
+    pub fn arrive(&mut self, sn: SerialNumber, command: T) -> Arrived<T> {
         if sn.before(self.expected) || self.waiting.contains_key(&sn.0) {
             return Arrived::Repeat;
         }
@@ -107,7 +107,7 @@
     }
 
     /// Where the gap is that the waiting ones wait for; None where none waits.
-    pub fn gap(&self) -> Option<Sn> {
+    pub fn gap(&self) -> Option<SerialNumber> {
         (!self.waiting.is_empty()).then_some(self.expected)
     }
 
--- a/crates/iscsi/tests/pdus.rs
+++ b/crates/iscsi/tests/pdus.rs
@@ -2,7 +2,7 @@
 //! panics.
 
 use grebecleat_iscsi::login::{Login, Portal};
-use grebecleat_iscsi::pdu::{write, Digests, Fault, Header, Opcode, Pdu, Reader};
+use grebecleat_iscsi::pdu::{write, Digests, Header, Opcode, Pdu, PduError, Reader};
 use rand::{Rng, RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -90,10 +90,10 @@
         reader.digests = both;
         reader.push(&bytes);
         if at < 52 {
-            assert_eq!(reader.next(), Err(Fault::HeaderDigest), "byte {at}");
+            assert_eq!(reader.next(), Err(PduError::HeaderDigest), "byte {at}");
         } else {
             assert!(
-                matches!(reader.next(), Err(Fault::DataDigest(h)) if h.itt() == pdu.header.itt())
+                matches!(reader.next(), Err(PduError::DataDigest(h)) if h.itt() == pdu.header.itt())
             );
             assert_eq!(reader.next().unwrap().unwrap().data, pdu.data);
         }
@@ -108,7 +108,7 @@
     reader.push(&header);
     assert_eq!(
         reader.next(),
-        Err(Fault::TooLong {
+        Err(PduError::TooLong {
             length: (1 << 24) - 1,
             most: 8192
         })
--- a/crates/iscsi/tests/session.rs
+++ b/crates/iscsi/tests/session.rs
@@ -2,14 +2,16 @@
 
 use bytes::Bytes;
 use grebecleat_iscsi::keys::Params;
-use grebecleat_iscsi::pdu::{Fault, Header, Opcode, Pdu, NO_TAG};
+use grebecleat_iscsi::pdu::{Header, Opcode, Pdu, PduError, NO_TAG};
 use grebecleat_iscsi::scsi::{Sense, Status};
-use grebecleat_iscsi::session::{Act, Cid, Limits, Outcome, Reason, Session, TaskNo, Why};
+use grebecleat_iscsi::session::{
+    AbortReason, ConnectionId, Limits, Outcome, Reason, Session, SessionAction, TaskId,
+};
 use rand::{Rng, RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-const C1: Cid = Cid(1);
-const C2: Cid = Cid(2);
+const C1: ConnectionId = ConnectionId(1);
+const C2: ConnectionId = ConnectionId(2);
 const READ: u8 = 0x40;
 const WRITE: u8 = 0x20;
 
@@ -17,8 +19,8 @@
     s: Session,
     sn: u32,
     /// What came back, and what the device was told.
-    pdus: Vec<(Cid, Pdu)>,
-    acts: Vec<Act>,
+    pdus: Vec<(ConnectionId, Pdu)>,
+    acts: Vec<SessionAction>,
 }
 
 fn params() -> Params {
@@ -40,11 +42,11 @@
         ];
         let limits = Limits {
             max_data: 1 << 20,
-            max_kept: 16,
+            max_unacknowledged: 16,
         };
         let mut s = Session::new(Some("iqn.a".into()), listing, limits, first, window);
-        s.join(C1, params.clone(), 100);
-        s.join(C2, params, 200);
+        s.add_connection(C1, params.clone(), 100);
+        s.add_connection(C2, params, 200);
         Rig {
             s,
             sn: first,
@@ -57,17 +59,17 @@
         Rig::with(params(), 1, 64)
     }
 
-    fn keep(&mut self, acts: Vec<Act>) {
+    fn keep(&mut self, acts: Vec<SessionAction>) {
         for act in acts {
             match act {
-                Act::Send { cid, pdu } => self.pdus.push((cid, pdu)),
+                SessionAction::Send { cid, pdu } => self.pdus.push((cid, pdu)),
                 other => self.acts.push(other),
             }
         }
     }
 
-    fn hear(&mut self, cid: Cid, pdu: Pdu) {
-        let acts = self.s.hear(cid, Ok(pdu));
+    fn hear(&mut self, cid: ConnectionId, pdu: Pdu) {
+        let acts = self.s.receive(cid, Ok(pdu));
         self.keep(acts);
     }
 
@@ -112,18 +114,19 @@
         self.hear(C1, Pdu::new(h, Bytes::new()));
     }
 
-    fn done(&mut self, task: TaskNo, outcome: Outcome) {
-        let acts = self.s.done(task, outcome);
+    fn done(&mut self, task: TaskId, outcome: Outcome) {
+        let acts = self.s.complete(task, outcome);
         self.keep(acts);
     }
 
-    fn started(&mut self) -> Vec<(TaskNo, Bytes)> {
+    fn started(&mut self) -> Vec<(TaskId, Bytes)> {
         let started = self.acts.iter().filter_map(|a| match a {
-            Act::Start { task, data, .. } => Some((*task, data.clone())),
+            SessionAction::Start { task, data, .. } => Some((*task, data.clone())),
             _ => None,
         });
         let started = started.collect();
-        self.acts.retain(|a| !matches!(a, Act::Start { .. }));
+        self.acts
+            .retain(|a| !matches!(a, SessionAction::Start { .. }));
         started
     }
 
@@ -271,7 +274,10 @@
         // Once more the same: the same piece of work, of which nothing new is to be said.
         r.hear(C1, make(1));
         assert!(r.started().is_empty() && r.got().is_empty());
-        assert_eq!(r.s.sns(), (first.wrapping_add(3), first.wrapping_add(7)));
+        assert_eq!(
+            r.s.cmd_sn_bounds(),
+            (first.wrapping_add(3), first.wrapping_add(7))
+        );
         // Beyond the window.
         r.hear(C1, make(9));
         assert_eq!(r.s.tasks(), 3);
@@ -388,7 +394,7 @@
             .set_word40(600);
         let mut bytes = bad.0;
         bytes[5..8].copy_from_slice(&[0, 2, 0]); // 512 bytes
-        let acts = r.s.hear(C1, Err(Fault::DataDigest(Header(bytes))));
+        let acts = r.s.receive(C1, Err(PduError::DataDigest(Header(bytes))));
         r.keep(acts);
         let got = r.got();
         assert_eq!(got[0].header.byte(2), Reason::DataDigest as u8);
@@ -408,8 +414,8 @@
         assert_eq!(r.started()[0].1, data);
     }
     let mut r = Rig::new();
-    let acts = r.s.hear(C1, Err(Fault::HeaderDigest));
-    assert_eq!(acts, [Act::Close { cid: C1 }]);
+    let acts = r.s.receive(C1, Err(PduError::HeaderDigest));
+    assert_eq!(acts, [SessionAction::Close { cid: C1 }]);
 }
 
 #[test]
@@ -430,16 +436,16 @@
         r.manage(50, 1, 0, 7, 1);
         assert_eq!(
             r.acts,
-            [Act::Abort {
+            [SessionAction::Abort {
                 tasks: vec![task],
-                why: Why::AbortTask
+                reason: AbortReason::AbortTask
             }]
         );
         assert!(managed(&mut r).is_empty(), "the device may still be at it");
         let acts = if answered {
-            r.s.done(task, Outcome::good(pattern(8)))
+            r.s.complete(task, Outcome::good(pattern(8)))
         } else {
-            r.s.gone(task)
+            r.s.abort_complete(task)
         };
         r.keep(acts);
         assert_eq!(managed(&mut r), [0]);
@@ -479,23 +485,23 @@
     for n in 0..500 {
         r.command(1000 + n, READ, 8, &[]);
     }
-    let tasks: Vec<TaskNo> = r.started().into_iter().map(|s| s.0).collect();
+    let tasks: Vec<TaskId> = r.started().into_iter().map(|s| s.0).collect();
     assert_eq!(tasks.len(), 500);
     r.manage(50, 5, 0, 0, 0);
     assert_eq!(
         r.acts[0],
-        Act::Reset {
+        SessionAction::Reset {
             lun: Some(0),
-            why: Why::LunReset
+            reason: AbortReason::LunReset
         }
     );
-    assert!(matches!(&r.acts[1], Act::Abort { tasks: t, .. } if t.len() == 500));
+    assert!(matches!(&r.acts[1], SessionAction::Abort { tasks: t, .. } if t.len() == 500));
     for (i, task) in tasks.iter().enumerate() {
         assert!(r.got().is_empty(), "answered after {i} of 500");
         let acts = if i % 2 == 0 {
-            r.s.gone(*task)
+            r.s.abort_complete(*task)
         } else {
-            r.s.done(*task, Outcome::status(Status::Good))
+            r.s.complete(*task, Outcome::status(Status::Good))
         };
         r.keep(acts);
     }
@@ -512,7 +518,7 @@
         let (task, _) = r.started()[0];
         r.got();
         if lost {
-            let acts = r.s.lost(C1);
+            let acts = r.s.connection_lost(C1);
             r.keep(acts);
         } else {
             let h = Header::new(Opcode::LogoutRequest)
@@ -526,13 +532,13 @@
                 (got[0].header.opcode(), got[0].header.byte(2)),
                 (Some(Opcode::LogoutResponse), 0)
             );
-            assert_eq!(r.acts.remove(0), Act::Close { cid: C1 });
+            assert_eq!(r.acts.remove(0), SessionAction::Close { cid: C1 });
         }
         assert_eq!(
             r.acts,
-            [Act::Abort {
+            [SessionAction::Abort {
                 tasks: vec![task],
-                why: Why::ConnectionLost
+                reason: AbortReason::ConnectionLost
             }]
         );
         r.done(task, Outcome::good(pattern(8)));
@@ -596,7 +602,7 @@
     let mut r = Rig::with(params(), 1, 2);
     r.command(1, READ, 8, &[]);
     r.command(2, READ, 8, &[]);
-    assert_eq!((r.s.room(), r.s.sns()), (0, (3, 2)));
+    assert_eq!((r.s.room(), r.s.cmd_sn_bounds()), (0, (3, 2)));
     r.command(3, READ, 8, &[]);
     assert_eq!(
         r.started().len(),
@@ -604,18 +610,18 @@
         "outside the window, so never heard of"
     );
     // Two are open of four: two more. The next response will tell.
-    assert!(r.s.allow(4).is_empty());
+    assert!(r.s.set_task_limit(4).is_empty());
     r.sn -= 1;
     r.command(3, READ, 8, &[]);
-    assert_eq!((r.started().len(), r.s.sns()), (1, (4, 4)));
+    assert_eq!((r.started().len(), r.s.cmd_sn_bounds()), (1, (4, 4)));
     // Every response grants what its task leaves, until nothing is allowed any more; what was
     // granted stays.
-    r.s.allow(1);
+    r.s.set_task_limit(1);
     let most: Vec<u32> = (1..=3)
         .map(|task| {
-            let acts = r.s.done(TaskNo(task), Outcome::good(Bytes::new()));
+            let acts = r.s.complete(TaskId(task), Outcome::good(Bytes::new()));
             let told = acts.iter().find_map(|a| {
-                if let Act::Send { pdu, .. } = a {
+                if let SessionAction::Send { pdu, .. } = a {
                     Some(pdu)
                 } else {
                     None
@@ -625,14 +631,14 @@
         })
         .collect();
     assert_eq!((most, r.s.room()), (vec![4, 4, 4], 1));
-    r.s.allow(0);
+    r.s.set_task_limit(0);
     r.command(4, READ, 8, &[]);
     r.started();
-    r.s.done(TaskNo(4), Outcome::good(Bytes::new()));
+    r.s.complete(TaskId(4), Outcome::good(Bytes::new()));
     assert_eq!(r.s.room(), 0);
     // Nothing is on its way that could tell: a NOP-In does.
-    let acts = r.s.allow(2);
-    let told = matches!(&acts[..], [Act::Send { pdu, .. }]
+    let acts = r.s.set_task_limit(2);
+    let told = matches!(&acts[..], [SessionAction::Send { pdu, .. }]
         if pdu.header.opcode() == Some(Opcode::NopIn) && pdu.header.word32() == 6);
     assert!(told, "{acts:?}");
 }
@@ -682,22 +688,22 @@
         listing,
         Limits {
             max_data: 1,
-            max_kept: 4,
+            max_unacknowledged: 4,
         },
         1,
         4,
     );
-    d.join(C1, params(), 1);
-    let told = d.hear(C1, Ok(text("All")));
+    d.add_connection(C1, params(), 1);
+    let told = d.receive(C1, Ok(text("All")));
     assert!(
-        matches!(&told[0], Act::Send { pdu, .. } if &pdu.data[..] == b"TargetName=iqn.a\0TargetName=iqn.b\0")
+        matches!(&told[0], SessionAction::Send { pdu, .. } if &pdu.data[..] == b"TargetName=iqn.a\0TargetName=iqn.b\0")
     );
     let command = Header::new(Opcode::ScsiCommand)
         .set_flags(0x80 | READ)
         .set_cmd_sn(1);
-    let refused = d.hear(C1, Ok(Pdu::new(command, Bytes::new())));
+    let refused = d.receive(C1, Ok(Pdu::new(command, Bytes::new())));
     assert!(
-        matches!(&refused[0], Act::Send { pdu, .. } if pdu.header.opcode() == Some(Opcode::Reject))
+        matches!(&refused[0], SessionAction::Send { pdu, .. } if pdu.header.opcode() == Some(Opcode::Reject))
     );
 }
 
@@ -751,12 +757,12 @@
                 .set_exp_stat_sn(rng.random_range(90..110));
             let h = h
                 .set_ttt(rng.random_range(0..5000))
-                .set_cmd_sn(r.s.sns().0.wrapping_add(rng.random_range(0..3)));
+                .set_cmd_sn(r.s.cmd_sn_bounds().0.wrapping_add(rng.random_range(0..3)));
             let cid = if rng.random() { C1 } else { C2 };
             let data = pattern(rng.random_range(0..600));
             match rng.random_range(0..12) {
                 0 => {
-                    let acts = r.s.hear(cid, Err(Fault::DataDigest(h)));
+                    let acts = r.s.receive(cid, Err(PduError::DataDigest(h)));
                     r.keep(acts);
                 }
                 1 if !open.is_empty() => {
@@ -764,7 +770,7 @@
                     answered += 1;
                     r.done(task, Outcome::good(pattern(100)));
                 }
-                2 => drop(r.s.allow(rng.random_range(0..8))),
+                2 => drop(r.s.set_task_limit(rng.random_range(0..8))),
                 _ => r.hear(cid, Pdu::new(h, data)),
             }
             open.extend(r.started().into_iter().map(|s| s.0));
@@ -786,9 +792,11 @@
             r.done(task, Outcome::good(Bytes::new()));
         }
         // What is left only gathers data, or waits for its turn: nothing of it is at the device.
-        let lost = [r.s.lost(C1), r.s.lost(C2)].concat();
+        let lost = [r.s.connection_lost(C1), r.s.connection_lost(C2)].concat();
         assert!(
-            !lost.iter().any(|a| matches!(a, Act::Abort { .. })),
+            !lost
+                .iter()
+                .any(|a| matches!(a, SessionAction::Abort { .. })),
             "seed {seed}: {lost:?}"
         );
         assert_eq!(r.s.tasks(), 0, "seed {seed}");
--- a/fuzz/fuzz_targets/pdu.rs
+++ b/fuzz/fuzz_targets/pdu.rs
@@ -2,7 +2,7 @@
 //! take, and what it reads is written back as the same bytes' meaning.
 #![no_main]
 
-use grebecleat_iscsi::pdu::{write, Digests, Fault, Reader};
+use grebecleat_iscsi::pdu::{write, Digests, PduError, Reader};
 use libfuzzer_sys::fuzz_target;
 
 const MOST: usize = 2048;
@@ -25,7 +25,7 @@
                     let read = again.next().expect("what was written is fine").expect("and whole");
                     assert_eq!((read.ahs, read.data, again.partial()), (pdu.ahs, pdu.data, 0));
                 }
-                Err(Fault::DataDigest(_)) => {}
+                Err(PduError::DataDigest(_)) => {}
                 Err(_) => return,
             }
         }
