--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -8,7 +8,7 @@
 //! A login that never ends is the caller's to cut off, by time and by how many are open; here each
 //! is bounded in text ([`MAX_TEXT`]) and in requests ([`MAX_REQUESTS`]).
 
-use crate::chap::{from_text, same, to_text, Algorithm};
+use crate::chap::{constant_time_eq, from_text, to_text, Algorithm};
 use crate::keys::{format, parse, KeyFault, Negotiation, Params, Wishes, MAX_TEXT};
 use crate::pdu::{Header, Opcode, Pdu};
 
@@ -390,7 +390,7 @@
                 .asked()
                 .cloned()
                 .ok_or_else(|| failed("nothing to prove"))?;
-            let proven = same(&by.response(id, &known.secret, &challenge), &response);
+            let proven = constant_time_eq(&by.response(id, &known.secret, &challenge), &response);
             // One answer to both, so that names cannot be found out.
             if !proven || known.name != name {
                 return Err(failed("name or secret is wrong"));
--- a/crates/iscsi/src/session.rs
+++ b/crates/iscsi/src/session.rs
@@ -12,7 +12,7 @@
 use crate::keys::{parse, Params};
 use crate::pdu::{Header, Opcode, Pdu, PduError, NO_TAG};
 use crate::scsi::{retry_delay, Sense, Status};
-use crate::window::{Arrived, SerialNumber, Window};
+use crate::window::{Arrival, SerialNumber, Window};
 use bytes::{Bytes, BytesMut};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -281,7 +281,7 @@
     }
 
     pub fn room(&self) -> u32 {
-        self.window.room()
+        self.window.capacity()
     }
 
     /// So many tasks may be open from here on. An initiator that sits before a closed window, with
@@ -289,9 +289,9 @@
     /// answer (section 11.19).
     pub fn set_task_limit(&mut self, tasks: u32) -> Vec<SessionAction> {
         self.allowance = tasks;
-        let closed = self.window.room() == 0;
+        let closed = self.window.capacity() == 0;
         self.regrant();
-        let tell = closed && self.window.room() > 0 && self.tasks.is_empty();
+        let tell = closed && self.window.capacity() > 0 && self.tasks.is_empty();
         if let (true, Some(cid)) = (tell, self.conns.keys().next().copied()) {
             let header = Header::new(Opcode::NopIn)
                 .set_flags(0x80)
@@ -305,13 +305,13 @@
     /// Every response tells how many more commands may come: what is allowed less what is open.
     /// Commands that wait for an earlier one are inside the window still.
     fn regrant(&mut self) {
-        let open = self.tasks.len().saturating_sub(self.window.waiting()) as u32;
+        let open = self.tasks.len().saturating_sub(self.window.queued()) as u32;
         self.window.grant(self.allowance.saturating_sub(open));
     }
 
     /// ExpCmdSN and MaxCmdSN.
     pub fn cmd_sn_bounds(&self) -> (u32, u32) {
-        (self.window.expected().0, self.window.most().0)
+        (self.window.expected().0, self.window.max_cmd_sn().0)
     }
 
     pub fn receive(
@@ -345,7 +345,7 @@
             _ => {
                 let arrived = self
                     .window
-                    .arrive(SerialNumber(h.cmd_sn()), Queued::Other(cid, pdu));
+                    .receive(SerialNumber(h.cmd_sn()), Queued::Other(cid, pdu));
                 self.deliver(arrived);
             }
         }
@@ -365,8 +365,8 @@
             .retain(|(_, sn, _)| !SerialNumber(*sn).before(SerialNumber(exp_stat_sn)));
     }
 
-    fn deliver(&mut self, arrived: Arrived<Queued>) {
-        let Arrived::Deliver(ready) = arrived else {
+    fn deliver(&mut self, arrived: Arrival<Queued>) {
+        let Arrival::Deliver(ready) = arrived else {
             return;
         };
         for queued in ready {
@@ -417,7 +417,9 @@
         let sn = SerialNumber(h.cmd_sn());
         // A repeat of a command that came already is the same command (section 7.2.1), and says
         // nothing new.
-        if !h.immediate() && (sn.before(self.window.expected()) || self.window.most().before(sn)) {
+        if !h.immediate()
+            && (sn.before(self.window.expected()) || self.window.max_cmd_sn().before(sn))
+        {
             return;
         }
         if self.tasks.contains_key(&h.itt()) {
@@ -453,7 +455,7 @@
         match h.immediate() {
             true => self.advance(h.itt()),
             false => {
-                let arrived = self.window.arrive(sn, Queued::Command(h.itt(), no));
+                let arrived = self.window.receive(sn, Queued::Command(h.itt(), no));
                 self.deliver(arrived);
             }
         }
@@ -867,7 +869,7 @@
         let to_come =
             !reference.before(self.window.expected()) && reference.before(SerialNumber(h.cmd_sn()));
         if to_come {
-            let arrived = self.window.arrive(reference, Queued::Skipped);
+            let arrived = self.window.receive(reference, Queued::Skipped);
             self.deliver(arrived);
         }
         self.managed(cid, h.itt(), if to_come { 0 } else { 1 });
--- a/crates/iscsi/src/window.rs
+++ b/crates/iscsi/src/window.rs
@@ -1,13 +1,15 @@
 //! Command numbering and the command window (RFC 7143, section 4.2.2.1).
 //!
-//! An initiator numbers its commands over all connections of a session; the target delivers them in
-//! that order and tells by ExpCmdSN and MaxCmdSN which it is ready for. Numbers wrap; they are
-//! compared by serial arithmetic (RFC 1982). Memory: at most a window's worth of commands wait for
-//! an earlier one.
+//! The initiator numbers its commands over all connections of a session. The target delivers the
+//! commands in that order. ExpCmdSN and MaxCmdSN in its responses bound the numbers that it accepts.
+//! The numbers wrap, so RFC 1982's serial number arithmetic compares them.
+//!
+//! [`crate::session`] calls this module. [`Window`] owns the two bounds and the commands that are
+//! queued for an earlier one. Memory: at most one command for each number in the window. No I/O.
 
 use std::collections::BTreeMap;
 
-/// A serial number of 32 bits.
+/// A 32-bit serial number with the order of RFC 1982.
 ///
 /// ```
 /// use grebecleat_iscsi::window::SerialNumber;
@@ -19,100 +21,109 @@
 pub struct SerialNumber(pub u32);
 
 impl SerialNumber {
+    /// Returns whether this number precedes `other`.
     pub fn before(self, other: SerialNumber) -> bool {
         (self.0.wrapping_sub(other.0) as i32) < 0
     }
 
-    pub fn plus(self, n: u32) -> SerialNumber {
-        SerialNumber(self.0.wrapping_add(n))
+    /// Returns the number `count` places later.
+    pub fn plus(self, count: u32) -> SerialNumber {
+        SerialNumber(self.0.wrapping_add(count))
     }
 
+    /// Returns the distance from `earlier` to this number.
     pub fn since(self, earlier: SerialNumber) -> u32 {
         self.0.wrapping_sub(earlier.0)
     }
 }
 
-/// What became of a command that arrived.
+/// The window's decision on a received command.
 #[derive(Debug, PartialEq)]
-pub enum Arrived<T> {
-    /// These are delivered now, in order.
+pub enum Arrival<T> {
+    /// These commands are delivered now, in CmdSN order.
     Deliver(Vec<T>),
-    /// It waits for an earlier one.
-    Waits,
-    /// It was delivered before, or waits already: a repeat, to be ignored silently.
-    Repeat,
-    /// Outside the window, to be ignored silently.
-    Outside,
+    /// The command is queued until an earlier one arrives.
+    Queued,
+    /// The command was delivered before or is already queued. The target ignores it silently.
+    Duplicate,
+    /// The number is beyond MaxCmdSN. The target ignores the command silently.
+    OutsideWindow,
 }
 
-/// The window of one session. `T` is whatever goes with a command.
+/// The command window of one session. `T` is the value that the caller attaches to a command.
 #[derive(Debug)]
 pub struct Window<T> {
+    /// ExpCmdSN: the next number to deliver.
     expected: SerialNumber,
-    /// Never moves back (section 4.2.2.1: MaxCmdSN that is lower than the last is ignored).
-    most: SerialNumber,
-    waiting: BTreeMap<u32, T>,
+    /// MaxCmdSN. It never decreases: an initiator ignores a MaxCmdSN below the last one (section
+    /// 4.2.2.1).
+    max_cmd_sn: SerialNumber,
+    /// Commands that arrived before an earlier one, by CmdSN.
+    queued: BTreeMap<u32, T>,
 }
 
 impl<T> Window<T> {
-    /// `first` is the CmdSN of the leading login; `size` how many commands are taken at first.
+    /// Creates a window that accepts `size` commands. `first` is the CmdSN of the leading login.
     pub fn new(first: SerialNumber, size: u32) -> Self {
         Window {
             expected: first,
-            most: first.plus(size).plus(u32::MAX),
-            waiting: BTreeMap::new(),
+            max_cmd_sn: first.plus(size).plus(u32::MAX),
+            queued: BTreeMap::new(),
         }
     }
 
+    /// Returns ExpCmdSN, the next number to deliver.
     pub fn expected(&self) -> SerialNumber {
         self.expected
     }
 
-    pub fn most(&self) -> SerialNumber {
-        self.most
+    /// Returns MaxCmdSN, the last number that the window accepts.
+    pub fn max_cmd_sn(&self) -> SerialNumber {
+        self.max_cmd_sn
     }
 
-    /// How many commands may come now.
-    pub fn room(&self) -> u32 {
-        self.most.plus(1).since(self.expected)
+    /// Returns the number of commands from ExpCmdSN to MaxCmdSN; 0 if the window is closed.
+    pub fn capacity(&self) -> u32 {
+        self.max_cmd_sn.plus(1).since(self.expected)
     }
 
-    /// The target is ready for so many commands from the expected one on; what was granted stays
-    /// granted.
+    /// Opens the window to `size` commands from ExpCmdSN on. A smaller window than the current one
+    /// changes nothing: the numbers granted before stay valid.
     pub fn grant(&mut self, size: u32) {
-        let most = self.expected.plus(size).plus(u32::MAX);
-        if self.most.before(most) {
-            self.most = most;
+        let max_cmd_sn = self.expected.plus(size).plus(u32::MAX);
+        if self.max_cmd_sn.before(max_cmd_sn) {
+            self.max_cmd_sn = max_cmd_sn;
         }
     }
 
-    /// A command that is not immediate arrives.
-    pub fn arrive(&mut self, sn: SerialNumber, command: T) -> Arrived<T> {
-        if sn.before(self.expected) || self.waiting.contains_key(&sn.0) {
-            return Arrived::Repeat;
+    /// Takes a non-immediate command with its CmdSN and returns the commands to deliver, if any.
+    pub fn receive(&mut self, cmd_sn: SerialNumber, command: T) -> Arrival<T> {
+        if cmd_sn.before(self.expected) || self.queued.contains_key(&cmd_sn.0) {
+            return Arrival::Duplicate;
         }
-        if self.most.before(sn) {
-            return Arrived::Outside;
+        if self.max_cmd_sn.before(cmd_sn) {
+            return Arrival::OutsideWindow;
         }
-        self.waiting.insert(sn.0, command);
-        if sn != self.expected {
-            return Arrived::Waits;
+        self.queued.insert(cmd_sn.0, command);
+        if cmd_sn != self.expected {
+            return Arrival::Queued;
         }
         let mut ready = Vec::new();
-        while let Some(next) = self.waiting.remove(&self.expected.0) {
+        while let Some(next) = self.queued.remove(&self.expected.0) {
             ready.push(next);
             self.expected = self.expected.plus(1);
         }
-        Arrived::Deliver(ready)
+        Arrival::Deliver(ready)
     }
 
-    /// Where the gap is that the waiting ones wait for; None where none waits.
+    /// Returns the number that the queued commands wait for; None if no command is queued.
     pub fn gap(&self) -> Option<SerialNumber> {
-        (!self.waiting.is_empty()).then_some(self.expected)
+        (!self.queued.is_empty()).then_some(self.expected)
     }
 
-    pub fn waiting(&self) -> usize {
-        self.waiting.len()
+    /// Returns the number of queued commands.
+    pub fn queued(&self) -> usize {
+        self.queued.len()
     }
 }
 
