--- a/crates/iscsi/tests/pdus.rs
+++ b/crates/iscsi/tests/pdus.rs
@@ -110,7 +110,7 @@
         reader.next(),
         Err(PduError::TooLong {
             length: (1 << 24) - 1,
-            most: 8192
+            limit: 8192
         })
     );
 }
