--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -9,7 +9,7 @@
 //! is bounded in text ([`MAX_TEXT`]) and in requests ([`MAX_REQUESTS`]).
 
 use crate::chap::{constant_time_eq, from_text, to_text, Algorithm};
-use crate::keys::{format, parse, KeyFault, Negotiation, Params, Wishes, MAX_TEXT};
+use crate::keys::{format, parse, KeyError, Negotiation, Params, Wishes, MAX_TEXT};
 use crate::pdu::{Header, Opcode, Pdu};
 
 /// Requests in one login. A whole one takes four to six.
@@ -449,6 +449,6 @@
     }
 }
 
-fn refused(fault: KeyFault) -> Refusal {
+fn refused(fault: KeyError) -> Refusal {
     (Status::InitiatorError, fault.to_string())
 }
--- a/crates/iscsi/tests/login.rs
+++ b/crates/iscsi/tests/login.rs
@@ -2,7 +2,7 @@
 //! offer.
 
 use grebecleat_iscsi::chap::{from_text, to_text, Algorithm};
-use grebecleat_iscsi::keys::{format, parse, KeyFault, Negotiation, Params, Wishes, MAX_TEXT};
+use grebecleat_iscsi::keys::{format, parse, KeyError, Negotiation, Params, Wishes, MAX_TEXT};
 use grebecleat_iscsi::login::{Login, Portal, Secret, Standing, Status, Target, MAX_REQUESTS};
 use grebecleat_iscsi::pdu::{Header, Opcode, Pdu};
 
@@ -132,7 +132,7 @@
         let mut n = Negotiation::new(Wishes::default(), Params::default(), true, true);
         let said = n.offer(key, offer).unwrap();
         assert_eq!(said.as_ref().map(|s| s.1.as_str()), answer, "{key}={offer}");
-        assert_eq!(n.offer(key, offer), Err(KeyFault::Again(key.into())));
+        assert_eq!(n.offer(key, offer), Err(KeyError::Duplicate(key.into())));
     }
     let mut n = Negotiation::new(Wishes::default(), Params::default(), true, true);
     assert!(n.offer("MaxRecvDataSegmentLength", "511").is_err());
