--- a/crates/bench/src/deferral.rs
+++ b/crates/bench/src/deferral.rs
@@ -3,7 +3,7 @@
 //! rest and more.
 
 use crate::sockets::{stay_on, Stage};
-use grebecleat_testbed::initiator::{cdb16, Initiator, Wish};
+use grebecleat_testbed::initiator::{cdb16, Initiator, LoginParameters};
 use grebecleat_wire::clock;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -70,14 +70,14 @@
             format!("iqn.2026-12.org.example:load-{}", self.seed),
             self.lun as u8,
         );
-        let wish = Wish {
+        let parameters = LoginParameters {
             initiator,
             target: self.target.into(),
             isid,
             digests: false,
             chap: None,
         };
-        let mut i = Initiator::login(self.at, &wish)?;
+        let mut i = Initiator::login(self.at, &parameters)?;
         i.command(self.lun, &[0], &[], 0)?;
         Ok(i)
     }
--- a/crates/bench/src/iscsi.rs
+++ b/crates/bench/src/iscsi.rs
@@ -2,7 +2,7 @@
 //! held to one core, initiators, clients and nodes on the others.
 
 use crate::sockets::{prepare, stay_on, targets, together, used, Stage, LINES};
-use grebecleat_testbed::initiator::{cdb16, Initiator, Wish};
+use grebecleat_testbed::initiator::{cdb16, Initiator, LoginParameters};
 use grebecleat_wire::clock;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -27,14 +27,14 @@
 
 impl Load {
     fn login(&self) -> io::Result<Initiator> {
-        let wish = Wish {
+        let parameters = LoginParameters {
             initiator: "iqn.2026-12.org.example:load".into(),
             target: NAME.into(),
             isid: self.number,
             digests: self.digests,
             chap: None,
         };
-        let mut i = Initiator::login(self.at, &wish)?;
+        let mut i = Initiator::login(self.at, &parameters)?;
         for lun in 0..UNITS {
             i.command(lun, &[0], &[], 0)?; // the unit came up
         }
--- a/crates/cli/src/common.rs
+++ b/crates/cli/src/common.rs
@@ -3,7 +3,7 @@
 use crate::exit::{could_not_run, invalid, CommandError};
 use grebecleat_catalog_service::{group_commit::GroupCommit, store::StoreContents};
 use grebecleat_settings::Settings;
-use grebecleat_testbed::rehearse;
+use grebecleat_testbed::scenario;
 use grebecleat_wire::{pb, trace::Tracer};
 use std::io::Write;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
     let Some(path) = path else {
         return Ok(Tracer::default());
     };
-    Tracer::create(&path, rehearse::MAX_TRACE, hello)
+    Tracer::create(&path, scenario::MAX_TRACE, hello)
         .map_err(|error| could_not_run(format!("cannot record to {}: {error}", path.display())))
 }
 
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -8,7 +8,7 @@
 use crate::testbed::fault_kinds;
 use crate::trace_checks;
 use grebecleat_settings::{Kind, Rehearsal, Settings};
-use grebecleat_testbed::rehearse::{self, Seen};
+use grebecleat_testbed::scenario::{self, ScenarioResult};
 use grebecleat_trace_checker::Verdict;
 use indicatif::{ProgressBar, ProgressStyle};
 use std::io::IsTerminal;
@@ -21,12 +21,15 @@
 
 /// Runs the scenario and prints its report.
 pub fn run(args: ScenarioArgs) -> Result<(), CommandError> {
-    let dir = args.dir.clone().unwrap_or_else(rehearse::folder);
+    let dir = args
+        .dir
+        .clone()
+        .unwrap_or_else(scenario::temporary_directory);
     std::fs::create_dir_all(&dir)?;
     let script = script_in(&args.script, &dir)?;
     let mut settings = load(&script)?;
     let kinds = kinds(&args)?;
-    rehearse::play(&mut settings, &kinds, args.seed);
+    scenario::override_faults(&mut settings, &kinds, args.seed);
     let Some(plan) = &settings.rehearsal else {
         let script = script.display();
         return Err(invalid(format!("{script}: no rehearsal() in the file")));
@@ -34,21 +37,24 @@
     print_plan(&settings, plan);
     let bar = progress_bar(plan.length);
     let program = std::env::current_exe()?;
-    let seen = rehearse::rehearse(rehearse::Options {
+    let seen = scenario::run_scenario(scenario::ScenarioOptions {
         settings: &settings,
         script: &script,
         kinds: &kinds,
         seed: args.seed,
         dir: &dir,
         program: &program,
-        progress: Box::new(|now, tally| {
+        progress: Box::new(|now, counts| {
             bar.set_position(now.as_millis() as u64);
-            bar.set_message(format!("{} done, {} deferred", tally.done, tally.deferred));
+            bar.set_message(format!(
+                "{} done, {} deferred",
+                counts.done, counts.deferred
+            ));
         }),
     })?;
     bar.finish_and_clear();
-    print_clients(&settings, &seen.tally);
-    print_changes(&settings, &seen.tally, &seen.changes);
+    print_clients(&settings, &seen.counts);
+    print_changes(&settings, &seen.counts, &seen.changes);
     let verdict = trace_checks::verdict(&dir, &settings)?;
     trace_checks::print_verdict(&verdict, &dir);
     let passed = passed(&seen, &verdict);
@@ -68,8 +74,8 @@
 
 /// Returns whether no rule was broken, and no client or initiator got a wrong, missing or second
 /// answer.
-fn passed(seen: &Seen, verdict: &Verdict) -> bool {
-    let clients_passed = seen.tally.wrong_content == 0 && seen.tally.doubled == 0;
+fn passed(seen: &ScenarioResult, verdict: &Verdict) -> bool {
+    let clients_passed = seen.counts.wrong_content == 0 && seen.counts.doubled == 0;
     let disks = &seen.disks;
     let disks_passed = disks.wrong == 0 && disks.missing == 0 && disks.doubled == 0;
     trace_checks::passed(verdict) && clients_passed && disks_passed
--- a/crates/cli/src/scenario_report.rs
+++ b/crates/cli/src/scenario_report.rs
@@ -1,30 +1,30 @@
 //! The report of a scenario: its clients, its changes of the catalog and its initiators.
 
 use grebecleat_settings::Settings;
-use grebecleat_testbed::clients::Tally;
+use grebecleat_testbed::clients::ClientCounts;
 use grebecleat_testbed::disks::Disks;
-use grebecleat_testbed::rehearse::Played;
+use grebecleat_testbed::scenario::CatalogChangeResult;
 use std::ops::Range;
 
 /// Seconds before and after a change over which its volumes' service is compared.
 const COMPARED_SECONDS: u64 = 4;
 
 /// Prints counts of requests, and service by plan.
-pub fn print_clients(settings: &Settings, tally: &Tally) {
+pub fn print_clients(settings: &Settings, counts: &ClientCounts) {
     println!(
         "clients: {} tries, {} done, {} deferred, {} abandoned; {} lost with their host, \
          {} unanswered, {} answered twice, {} reads with wrong content, {} found no host",
-        tally.tries,
-        tally.done,
-        tally.deferred,
-        tally.abandoned,
-        tally.lost,
-        tally.unanswered,
-        tally.doubled,
-        tally.wrong_content,
-        tally.unreached
+        counts.tries,
+        counts.done,
+        counts.deferred,
+        counts.abandoned,
+        counts.lost,
+        counts.unanswered,
+        counts.doubled,
+        counts.wrong_content,
+        counts.unreached
     );
-    for (plan, (all, timely, late)) in &tally.plans {
+    for (plan, (all, timely, late)) in &counts.plans {
         let percent = |count: u64| 100.0 * count as f64 / (*all).max(1) as f64;
         println!(
             "plan {:<10} {all:>7} pieces of work, {:>5.1}% in their SLO time, {:>4.1}% late",
@@ -37,21 +37,21 @@
 
 /// Prints the result of each of the script's changes, and how the volumes that it names were served
 /// before and after.
-pub fn print_changes(settings: &Settings, tally: &Tally, changes: &[Played]) {
+pub fn print_changes(settings: &Settings, counts: &ClientCounts, changes: &[CatalogChangeResult]) {
     for change in changes {
         let words = change.words.join(", ");
-        println!("at {:?}: {words} -> {}", change.at, change.said);
+        println!("at {:?}: {words} -> {}", change.at, change.output);
         for id in change.words.iter().filter_map(|word| volume_id(word)) {
             let index = settings.volumes.iter().position(|volume| volume.id == id);
             if let Some(index) = index {
-                print_volume(tally, index, id, change.at.as_secs());
+                print_volume(counts, index, id, change.at.as_secs());
             }
         }
     }
 }
 
-fn print_volume(tally: &Tally, index: usize, id: u64, at: u64) {
-    let percent = |span: Range<u64>| match tally.timely(index, span) {
+fn print_volume(counts: &ClientCounts, index: usize, id: u64, at: u64) {
+    let percent = |span: Range<u64>| match counts.timely(index, span) {
         Some(fraction) => format!("{:.0}%", 100.0 * fraction),
         None => "nothing asked".into(),
     };
--- a/crates/cli/src/testbed.rs
+++ b/crates/cli/src/testbed.rs
@@ -5,7 +5,7 @@
 use crate::common::{address, load, print_listening, tracer};
 use crate::exit::{could_not_run, invalid, CommandError};
 use grebecleat_settings::Kind;
-use grebecleat_testbed::{net, rehearse, serve};
+use grebecleat_testbed::{net, scenario, serve};
 use grebecleat_wire::{clock, pb};
 use std::net::TcpListener;
 use std::sync::Arc;
@@ -13,13 +13,13 @@
 
 /// Runs nodes of a deployment until the process is ended.
 pub fn nodes(args: NodeArgs) -> Result<(), CommandError> {
-    let stage = stage(&args.script, pb::Role::Node, "nodes")?;
-    let known = |id: &u32| stage.settings.nodes.iter().any(|node| node.id == *id);
+    let context = script_context(&args.script, pb::Role::Node, "nodes")?;
+    let known = |id: &u32| context.settings.nodes.iter().any(|node| node.id == *id);
     if let Some(id) = args.ids.iter().find(|id| !known(id)) {
         let file = args.script.file.display();
         return Err(invalid(format!("--ids: {file} has no node {id}")));
     }
-    serve::nodes(&stage, &args.ids, args.list, |count| {
+    serve::run_nodes(&context, &args.ids, args.list, |count| {
         print_listening(format_args!("with {count} nodes"))
     })?;
     Ok(())
@@ -27,21 +27,25 @@
 
 /// Runs the discovery service until the process is ended.
 pub fn discovery_service(args: DiscoveryServiceArgs) -> Result<(), CommandError> {
-    let stage = stage(&args.script, pb::Role::List, "list")?;
-    let listen = address(args.listen, stage.settings.list.address, "--listen")?;
+    let context = script_context(&args.script, pb::Role::List, "list")?;
+    let listen = address(args.listen, context.settings.list.address, "--listen")?;
     let listener = TcpListener::bind(listen)
         .map_err(|error| could_not_run(format!("cannot listen on {listen}: {error}")))?;
     print_listening(listener.local_addr()?);
-    serve::list(&stage, listener)?;
+    serve::run_discovery_service(&context, listener)?;
     Ok(())
 }
 
-fn stage(args: &ScriptArgs, role: pb::Role, name: &str) -> Result<serve::Stage, CommandError> {
+fn script_context(
+    args: &ScriptArgs,
+    role: pb::Role,
+    name: &str,
+) -> Result<serve::ScriptContext, CommandError> {
     let mut settings = load(&args.file)?;
     let kinds = fault_kinds(args.kinds.as_deref())?;
-    rehearse::play(&mut settings, &kinds, args.seed);
+    scenario::override_faults(&mut settings, &kinds, args.seed);
     let tracer = tracer(args.trace.clone(), net::hello(role, name, 1))?;
-    Ok(serve::Stage {
+    Ok(serve::ScriptContext {
         settings: Arc::new(settings),
         t0: args.t0.map_or_else(clock::now, Duration::from_nanos),
         tracer,
--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use grebecleat_iscsi::pdu::{self, Digests, Header, Opcode, Pdu};
-use grebecleat_testbed::initiator::{cdb16, Initiator, Wish};
-use grebecleat_testbed::net::{self, Heard, Line};
+use grebecleat_testbed::initiator::{cdb16, Initiator, LoginParameters};
+use grebecleat_testbed::net::{self, PeerConnection, PeerEvent};
 use grebecleat_testbed::versions::Versions;
 use grebecleat_wire::clock;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -110,14 +110,14 @@
 
     fn initiator(&self, isid: u8, digests: bool) -> Initiator {
         let chap = Some(("alice".to_string(), "a secret of sixteen".to_string()));
-        let wish = Wish {
+        let parameters = LoginParameters {
             initiator: "iqn.client".into(),
             target: NAME.into(),
             isid,
             digests,
             chap,
         };
-        let mut i = Initiator::login(self.portal, &wish).expect("login");
+        let mut i = Initiator::login(self.portal, &parameters).expect("login");
         for lun in 0..2 {
             assert_eq!(
                 i.command(lun, &[0], &[], 0).unwrap().sense.0,
@@ -254,7 +254,7 @@
 fn an_initiator_that_fails_authentication_is_rejected() {
     let site = Site::new("chap");
     let _host = site.host();
-    let wish = |chap: Option<(&str, &str)>| Wish {
+    let parameters = |chap: Option<(&str, &str)>| LoginParameters {
         initiator: "iqn.client".into(),
         target: NAME.into(),
         isid: 1,
@@ -266,7 +266,7 @@
         Some(("alice", "the wrong secret")),
         Some(("bob", "a secret of sixteen")),
     ] {
-        let refused = Initiator::login(site.portal, &wish(chap))
+        let refused = Initiator::login(site.portal, &parameters(chap))
             .err()
             .expect("refused")
             .to_string();
@@ -278,8 +278,8 @@
 /// A node that keeps one write back, whichever holds this byte, until it is told to carry it out,
 /// however late.
 struct SlowNode {
-    heard: mpsc::Receiver<Heard>,
-    lines: BTreeMap<u64, Line>,
+    heard: mpsc::Receiver<PeerEvent>,
+    lines: BTreeMap<u64, PeerConnection>,
     kept: BTreeMap<(u64, u64), (Vec<u8>, Versions)>,
     held: Vec<pb::Attempt>,
 }
@@ -301,7 +301,7 @@
             to.clone(),
         );
         net::dial(list.parse().unwrap(), 0, me, Default::default(), to).unwrap();
-        let Heard::Up { line, .. } = heard.recv().unwrap() else {
+        let PeerEvent::Up { line, .. } = heard.recv().unwrap() else {
             panic!("the list greets")
         };
         let state = pb::NodeState::Ready.into();
@@ -313,7 +313,7 @@
             start: 1,
             ..Default::default()
         });
-        line.put(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
+        line.send(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
             endpoint: entry,
         }));
         SlowNode {
@@ -329,9 +329,9 @@
         let end = clock::now() + span;
         while self.held.len() < until_held {
             match self.heard.recv_timeout(end.saturating_sub(clock::now())) {
-                Ok(Heard::Up { conn, line, .. }) => drop(self.lines.insert(conn, line)),
-                Ok(Heard::Gone { conn, .. }) => drop(self.lines.remove(&conn)),
-                Ok(Heard::Frame {
+                Ok(PeerEvent::Up { conn, line, .. }) => drop(self.lines.insert(conn, line)),
+                Ok(PeerEvent::Gone { conn, .. }) => drop(self.lines.remove(&conn)),
+                Ok(PeerEvent::Frame {
                     conn,
                     body: Body::Attempt(attempt),
                     ..
@@ -352,7 +352,7 @@
                     self.lines
                         .get(&conn)
                         .into_iter()
-                        .for_each(|l| l.put(Body::AttemptResponse(answer.clone())));
+                        .for_each(|l| l.send(Body::AttemptResponse(answer.clone())));
                 }
                 Ok(_) => {}
                 Err(_) => return,
--- a/crates/cli/tests/peers.rs
+++ b/crates/cli/tests/peers.rs
@@ -126,7 +126,7 @@
             args.extend(["--peer".into(), format!("h{peer}={at}")]);
         }
         let host = start(&args, &self.folder.join(format!("h{h}.log")));
-        self.links.leads_to(h, host.1.parse().unwrap());
+        self.links.set_target(h, host.1.parse().unwrap());
         self.hosts[h] = Some(host);
     }
 
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -4,7 +4,7 @@
 use grebecleat_host::server::{run, Handle, Options};
 use grebecleat_settings::Settings;
 use grebecleat_testbed::net::hello;
-use grebecleat_testbed::serve::{self, Stage};
+use grebecleat_testbed::serve::{self, ScriptContext};
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
 use grebecleat_wire::trace::Tracer;
 use grebecleat_wire::{clock, frame};
@@ -36,17 +36,17 @@
 /// of the host.
 fn start() -> (SocketAddr, SocketAddr, Handle) {
     let settings = peer_settings();
-    let stage = Stage {
+    let context = ScriptContext {
         settings: settings.clone(),
         t0: clock::now(),
         tracer: Tracer::default(),
     };
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let list = listener.local_addr().unwrap();
-    let lists = stage.clone();
-    std::thread::spawn(move || serve::list(&lists, listener));
+    let lists = context.clone();
+    std::thread::spawn(move || serve::run_discovery_service(&lists, listener));
     let (ready, is_ready) = mpsc::channel();
-    std::thread::spawn(move || serve::nodes(&stage, &[1], list, |n| ready.send(n).unwrap()));
+    std::thread::spawn(move || serve::run_nodes(&context, &[1], list, |n| ready.send(n).unwrap()));
     assert_eq!(is_ready.recv_timeout(Duration::from_secs(5)), Ok(1));
     let (up, is_up) = mpsc::channel();
     let options = Options {
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,8 +1,8 @@
 //! Clients of a rehearsal: they draw work, wait no longer than their time, come again, and check
 //! what they read. One loop for all of them; each host has one connection.
 
-use crate::draw::{source, strikes, Strike};
-use crate::net::{self, hello, Heard, Line};
+use crate::draw::{injected_faults, source, InjectedFault};
+use crate::net::{self, hello, PeerConnection, PeerEvent};
 use bytes::Bytes;
 use grebecleat_settings::{Kind, Rehearsal, Settings};
 use grebecleat_wire::pb::{self, frame::Body, Outcome};
@@ -26,7 +26,7 @@
 
 /// What became of the tries, and of the pieces of work that they were for.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Tally {
+pub struct ClientCounts {
     pub tries: u64,
     pub done: u64,
     pub deferred: u64,
@@ -46,7 +46,7 @@
     pub seconds: BTreeMap<(usize, u64), (u64, u64)>,
 }
 
-impl Tally {
+impl ClientCounts {
     /// The part of a volume's pieces that were done in their latency objective, of those that began
     /// in a span of seconds.
     pub fn timely(&self, volume: usize, seconds: std::ops::Range<u64>) -> Option<f64> {
@@ -59,7 +59,7 @@
 }
 
 /// Hears the time and the tally so far.
-pub type Progress<'a> = Box<dyn Fn(Duration, &Tally) + Sync + 'a>;
+pub type Progress<'a> = Box<dyn Fn(Duration, &ClientCounts) + Sync + 'a>;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum What {
@@ -91,11 +91,11 @@
 pub struct Clients<'a> {
     settings: &'a Settings,
     script: &'a Rehearsal,
-    strikes: Vec<Strike>,
+    injected_faults: Vec<InjectedFault>,
     t0: Duration,
     hosts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
     tracer: Tracer,
-    lines: Vec<Option<(u64, Line)>>,
+    lines: Vec<Option<(u64, PeerConnection)>>,
     sources: Vec<Pcg64Mcg>,
     heap: BinaryHeap<Reverse<(Duration, u64, What)>>,
     serial: u64,
@@ -105,7 +105,7 @@
     answered: HashSet<Bytes>,
     known: BTreeMap<usize, Vec<(u64, u32)>>,
     written: HashMap<(usize, u64), HashSet<Bytes>>,
-    tally: Tally,
+    counts: ClientCounts,
     /// Called about once a second with the time and the tally.
     pub progress: Progress<'a>,
 }
@@ -144,7 +144,7 @@
         Some(Clients {
             settings,
             script,
-            strikes: strikes(settings, script),
+            injected_faults: injected_faults(settings, script),
             t0,
             hosts,
             tracer,
@@ -158,7 +158,7 @@
             answered: HashSet::new(),
             known: BTreeMap::new(),
             written: HashMap::new(),
-            tally: Tally::default(),
+            counts: ClientCounts::default(),
             progress: Box::new(|_, _| ()),
         })
     }
@@ -185,7 +185,7 @@
         }
     }
 
-    pub fn run(mut self) -> Tally {
+    pub fn run(mut self) -> ClientCounts {
         let (to, heard) = mpsc::channel();
         (0..self.lines.len()).for_each(|host| self.plan(Duration::ZERO, What::Reconnect { host }));
         for volume in (0..self.settings.volumes.len()).filter(|v| !disk(self.settings, v)) {
@@ -197,7 +197,7 @@
                 },
             );
         }
-        for (i, s) in self.strikes.clone().iter().enumerate() {
+        for (i, s) in self.injected_faults.clone().iter().enumerate() {
             let surges = matches!(s.kind, Kind::HotKey | Kind::Scan);
             for volume in s
                 .volumes
@@ -222,11 +222,11 @@
             if now > last
                 || (now > end && !busy && !self.heap.iter().any(|h| h.0 .0 < last && self.pends(h)))
             {
-                return self.tally;
+                return self.counts;
             }
             if now >= told + Duration::from_secs(1) {
                 told = now;
-                (self.progress)(now, &self.tally);
+                (self.progress)(now, &self.counts);
             }
             while let Some(Reverse((at, _, what))) =
                 self.heap.peek().copied().filter(|h| h.0 .0 <= now)
@@ -240,13 +240,13 @@
                 .map_or(RECONNECT, |h| h.0 .0.saturating_sub(now).min(RECONNECT));
             match heard.recv_timeout(wait) {
                 Ok(first) => {
-                    let more: Vec<Heard> = heard.try_iter().take(512).collect();
+                    let more: Vec<PeerEvent> = heard.try_iter().take(512).collect();
                     std::iter::once(first)
                         .chain(more)
                         .for_each(|h| self.hear(h));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
-                Err(RecvTimeoutError::Disconnected) => return self.tally,
+                Err(RecvTimeoutError::Disconnected) => return self.counts,
             }
         }
     }
@@ -255,7 +255,7 @@
         matches!(h.0 .2, What::Again { .. })
     }
 
-    fn due(&mut self, at: Duration, what: What, to: &mpsc::Sender<Heard>) {
+    fn due(&mut self, at: Duration, what: What, to: &mpsc::Sender<PeerEvent>) {
         match what {
             What::Arrive { volume, surge } => self.arrive(at, volume, surge),
             What::Again { piece } => self.attempt(piece),
@@ -264,7 +264,7 @@
                     return;
                 };
                 if let Some(t) = self.tries.remove(&id) {
-                    self.tally.unanswered += 1;
+                    self.counts.unanswered += 1;
                     self.over(t.piece, None);
                 }
             }
@@ -282,7 +282,7 @@
 
     fn arrive(&mut self, at: Duration, volume: usize, surge: Option<usize>) {
         let (mut rate, mut end) = (self.rate(volume), self.script.length);
-        if let Some(s) = surge.map(|i| &self.strikes[i]) {
+        if let Some(s) = surge.map(|i| &self.injected_faults[i]) {
             (rate, end) = (rate * (s.size - 1.0).max(0.0), end.min(s.at + s.len));
         }
         let per_second = rate / self.settings.units.mean;
@@ -290,7 +290,7 @@
             return;
         }
         let reconnects = self
-            .strikes
+            .injected_faults
             .iter()
             .filter(|s| s.kind == Kind::Reconnect && s.at <= at)
             .count();
@@ -345,8 +345,8 @@
                 born,
                 tries,
             });
-            self.tally.plans.entry(spec.plan).or_default().0 += 1;
-            self.tally
+            self.counts.plans.entry(spec.plan).or_default().0 += 1;
+            self.counts
                 .seconds
                 .entry((volume, at.as_secs()))
                 .or_default()
@@ -365,7 +365,7 @@
         let stream = &self.settings.traffic_classes[p.stream];
         let until = p.born + stream.deadline;
         let Some((_, line)) = &self.lines[p.host] else {
-            self.tally.unreached += u64::from(p.tries == 0);
+            self.counts.unreached += u64::from(p.tries == 0);
             return self.over(piece, None);
         };
         if now + Duration::from_millis(1) >= until {
@@ -385,7 +385,7 @@
                 .or_default()
                 .insert(p.id.clone());
         }
-        line.put(Body::SubmitRequest(pb::SubmitRequest {
+        line.send(Body::SubmitRequest(pb::SubmitRequest {
             id: id.clone(),
             piece: p.id.clone(),
             traffic_class: p.stream as u32,
@@ -404,23 +404,23 @@
             hosts: None,
         }));
         let host = p.host;
-        self.tally.tries += 1;
+        self.counts.tries += 1;
         self.by_number.insert(number, id.clone());
         self.tries.insert(id, Try { piece, until, host });
         let slack = self.settings.host_limits.answer_slack;
         self.plan(until + slack, What::GiveUp { tried: number });
     }
 
-    fn hear(&mut self, heard: Heard) {
+    fn hear(&mut self, heard: PeerEvent) {
         match heard {
-            Heard::Up { at, conn, line, .. } => {
+            PeerEvent::Up { at, conn, line, .. } => {
                 let host = at as usize;
                 match self.lines[host] {
                     None => self.lines[host] = Some((conn, line)),
-                    Some(_) => line.hang_up(),
+                    Some(_) => line.close(),
                 }
             }
-            Heard::Gone { at, conn } => {
+            PeerEvent::Gone { at, conn } => {
                 let host = at as usize;
                 if self.lines[host].as_ref().is_none_or(|l| l.0 != conn) {
                     return;
@@ -435,22 +435,22 @@
                     .collect();
                 for id in gone {
                     let t = self.tries.remove(&id).expect("listed above");
-                    self.tally.lost += 1;
+                    self.counts.lost += 1;
                     // What it held may have run: only what may run again is sent again.
                     self.over(t.piece, Some(Outcome::Unknown));
                 }
             }
-            Heard::Frame {
+            PeerEvent::Frame {
                 body: Body::Response(f),
                 ..
             } => self.answered(f),
-            Heard::Frame { .. } => {}
+            PeerEvent::Frame { .. } => {}
         }
     }
 
     fn answered(&mut self, f: Response) {
         if !self.answered.insert(f.id.clone()) {
-            self.tally.doubled += 1;
+            self.counts.doubled += 1;
             return;
         }
         let Some(t) = self.tries.remove(&f.id) else {
@@ -459,18 +459,18 @@
         let now = self.now();
         let outcome = f.outcome();
         match outcome {
-            Outcome::Completed => self.tally.done += 1,
-            Outcome::Rejected => self.tally.deferred += 1,
-            _ => self.tally.abandoned += 1,
+            Outcome::Completed => self.counts.done += 1,
+            Outcome::Rejected => self.counts.deferred += 1,
+            _ => self.counts.abandoned += 1,
         }
         let p = &self.pieces[t.piece];
         if outcome == Outcome::Completed {
             let stream = &self.settings.traffic_classes[p.stream];
             let plan = self.settings.volumes[p.volume].plan;
-            let line = self.tally.plans.entry(plan).or_default();
+            let line = self.counts.plans.entry(plan).or_default();
             if now <= p.born + stream.facts.latency_objective {
                 line.1 += 1;
-                self.tally
+                self.counts
                     .seconds
                     .entry((p.volume, p.born.as_secs()))
                     .or_default()
@@ -491,7 +491,7 @@
                     .written
                     .get(&(p.volume, p.extent))
                     .is_some_and(|w| w.contains(&by));
-                self.tally.wrong_content +=
+                self.counts.wrong_content +=
                     u64::from(!known || f.data != content(&by, f.data.len()));
             }
             return;
--- a/crates/testbed/src/list.rs
+++ b/crates/testbed/src/discovery_service.rs
@@ -5,26 +5,27 @@
 use std::time::Duration;
 
 #[derive(Debug, Clone)]
-struct Line {
+struct PublishedEndpoint {
     entry: pb::Endpoint,
     /// When the process started, by our clock; None: long ago.
     since: Option<Duration>,
 }
 
 #[derive(Debug, Default)]
-pub struct List {
-    shown: BTreeMap<u32, Line>,
-    coming: Vec<(Duration, Line)>,
+pub struct DiscoveryService {
+    shown: BTreeMap<u32, PublishedEndpoint>,
+    coming: Vec<(Duration, PublishedEndpoint)>,
     pub revision: u64,
 }
 
-impl List {
+impl DiscoveryService {
     /// A node's state was announced; it shows after `lag`.
-    pub fn hear(&mut self, now: Duration, entry: pb::Endpoint, lag: Duration) {
+    pub fn announce(&mut self, now: Duration, entry: pb::Endpoint, lag: Duration) {
         let since = entry
             .up_us
             .map(|us| now.saturating_sub(Duration::from_micros(us)));
-        self.coming.push((now + lag, Line { entry, since }));
+        self.coming
+            .push((now + lag, PublishedEndpoint { entry, since }));
         self.coming.sort_by_key(|c| c.0);
     }
 
@@ -35,7 +36,7 @@
     /// What has begun to show; a change for each watcher.
     pub fn advance(&mut self, now: Duration) -> Option<pb::EndpointUpdate> {
         let ready = self.coming.partition_point(|c| c.0 <= now);
-        let lines: Vec<Line> = self.coming.drain(..ready).map(|c| c.1).collect();
+        let lines: Vec<PublishedEndpoint> = self.coming.drain(..ready).map(|c| c.1).collect();
         if lines.is_empty() {
             return None;
         }
@@ -51,7 +52,7 @@
         })
     }
 
-    pub fn whole(&self, now: Duration) -> pb::EndpointUpdate {
+    pub fn snapshot(&self, now: Duration) -> pb::EndpointUpdate {
         let there = self
             .shown
             .values()
@@ -64,7 +65,7 @@
         }
     }
 
-    fn as_of(now: Duration, line: &Line) -> pb::Endpoint {
+    fn as_of(now: Duration, line: &PublishedEndpoint) -> pb::Endpoint {
         let up_us = line.since.map(|s| clock::micros(now.saturating_sub(s)));
         pb::Endpoint {
             up_us,
--- a/crates/testbed/src/disks.rs
+++ b/crates/testbed/src/disks.rs
@@ -6,7 +6,7 @@
 //! counts as the same command: it is answered once that one is.
 
 use crate::draw::source;
-use crate::initiator::{cdb16, Answer, Initiator, Wish};
+use crate::initiator::{cdb16, Answer, Initiator, LoginParameters};
 use grebecleat_settings::{Settings, TargetSpec};
 use grebecleat_wire::clock;
 use rand::Rng;
@@ -88,8 +88,8 @@
 }
 
 impl Session<'_> {
-    fn wish(&self) -> Wish {
-        Wish {
+    fn parameters(&self) -> LoginParameters {
+        LoginParameters {
             initiator: "iqn.2026-12.org.example:rehearsal".into(),
             target: self.target.name.clone(),
             isid: self.number,
@@ -100,17 +100,17 @@
 
     pub fn run(&self, seed: u64) -> Disks {
         let mut rng = source(seed, 500_000 + u64::from(self.number));
-        let mut tally = Disks::default();
+        let mut counts = Disks::default();
         let mut may: BTreeMap<(u64, u64), Held> = BTreeMap::new();
         let (mut again, mut value, mut step): (VecDeque<Work>, u64, u64) = (VecDeque::new(), 0, 0);
         let (end, last) = (self.t0 + self.length, self.t0 + self.length + LAST);
         std::thread::sleep(self.t0.saturating_sub(clock::now()));
         while clock::now() < end || (!again.is_empty() && clock::now() < last) {
-            let Ok(mut i) = Initiator::login(self.at, &self.wish()) else {
+            let Ok(mut i) = Initiator::login(self.at, &self.parameters()) else {
                 std::thread::sleep(Duration::from_millis(50));
                 continue;
             };
-            tally.logins += 1;
+            counts.logins += 1;
             let mut open: BTreeMap<u32, (Work, Duration)> = BTreeMap::new();
             let ended = loop {
                 let fresh = clock::now() < end;
@@ -123,7 +123,7 @@
                     let work = again
                         .pop_front()
                         .unwrap_or_else(|| self.draw(&mut rng, &mut value, step));
-                    tally.commands += u64::from(new);
+                    counts.commands += u64::from(new);
                     if let Some(v) = work.writes {
                         for b in work.lba..work.lba + work.blocks {
                             let there = may
@@ -153,12 +153,12 @@
                 });
                 match (i.any_within(left), oldest) {
                     (Ok(Some((itt, answer))), _) => match open.remove(&itt) {
-                        Some((work, _)) => judge(&work, &answer, step, &mut may, &mut tally),
-                        None => tally.doubled += 1,
+                        Some((work, _)) => judge(&work, &answer, step, &mut may, &mut counts),
+                        None => counts.doubled += 1,
                     },
                     (Ok(None), Some((itt, _))) => match i.abort(itt) {
                         Ok(true) => {
-                            tally.aborted += 1;
+                            counts.aborted += 1;
                             again.extend(open.remove(&itt).map(|(work, _)| work));
                         }
                         Ok(false) => {}
@@ -168,14 +168,14 @@
                     (Err(e), _) => break Err(e),
                 }
             };
-            tally.doubled += i.strays;
+            counts.doubled += i.strays;
             again.extend(open.into_values().map(|(work, _)| work));
             if ended.is_err() {
                 std::thread::sleep(Duration::from_millis(50));
             }
         }
-        tally.missing = tally.commands - tally.answered;
-        tally
+        counts.missing = counts.commands - counts.answered;
+        counts
     }
 
     fn draw(&self, rng: &mut Pcg64Mcg, value: &mut u64, sent: u64) -> Work {
@@ -223,13 +223,13 @@
     answer: &Answer,
     step: u64,
     may: &mut BTreeMap<(u64, u64), Held>,
-    tally: &mut Disks,
+    counts: &mut Disks,
 ) {
-    tally.answered += 1;
+    counts.answered += 1;
     match answer.status {
-        GOOD => tally.good += 1,
-        BUSY => tally.busy += 1,
-        _ => tally.unknown += 1,
+        GOOD => counts.good += 1,
+        BUSY => counts.busy += 1,
+        _ => counts.unknown += 1,
     }
     for n in 0..work.blocks {
         let key = (work.lun, work.lba + n);
@@ -245,7 +245,7 @@
                 }
             }
             None if answer.status == GOOD => {
-                tally.blocks_checked += 1;
+                counts.blocks_checked += 1;
                 let from = n as usize * 512;
                 let block = answer.data.get(from..from + 512).unwrap_or_default();
                 let value = block.first_chunk::<8>().map(|b| u64::from_be_bytes(*b));
@@ -258,7 +258,7 @@
                     );
                     tracing::warn!(at = ?clock::now(), "{what}");
                 }
-                tally.wrong += u64::from(!right);
+                counts.wrong += u64::from(!right);
             }
             None => {}
         }
--- a/crates/testbed/src/draw.rs
+++ b/crates/testbed/src/draw.rs
@@ -9,7 +9,7 @@
 
 /// One trouble with all it strikes. Times are since the start of the rehearsal.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Strike {
+pub struct InjectedFault {
     pub kind: Kind,
     pub at: Duration,
     pub len: Duration,
@@ -32,16 +32,16 @@
     of
 }
 
-pub fn strikes(s: &Settings, r: &Rehearsal) -> Vec<Strike> {
+pub fn injected_faults(s: &Settings, r: &Rehearsal) -> Vec<InjectedFault> {
     let each = r
         .troubles
         .iter()
         .enumerate()
-        .map(|(i, t)| strike(s, t, &mut source(r.seed, 1000 + i as u64)));
+        .map(|(i, t)| injected_fault(s, t, &mut source(r.seed, 1000 + i as u64)));
     each.collect()
 }
 
-fn strike(s: &Settings, t: &Trouble, rng: &mut Pcg64Mcg) -> Strike {
+fn injected_fault(s: &Settings, t: &Trouble, rng: &mut Pcg64Mcg) -> InjectedFault {
     let inside = s
         .nodes
         .iter()
@@ -61,7 +61,7 @@
     };
     let all: Vec<usize> = (0..s.volumes.len()).collect();
     let volumes = some(&all, (t.part * 0.3).min(1.0), 1, rng);
-    Strike {
+    InjectedFault {
         kind: t.kind,
         at: t.at,
         len: t.len,
@@ -73,7 +73,7 @@
 }
 
 /// The troubles of a day, of which only the kinds are known: all at once in its middle third.
-pub fn of_kinds(kinds: &[Kind], length: Duration, seed: u64) -> Vec<Trouble> {
+pub fn faults_of_kinds(kinds: &[Kind], length: Duration, seed: u64) -> Vec<Trouble> {
     let mut rng = source(seed, 77);
     let each = kinds.iter().map(|kind| {
         let size = match kind {
@@ -112,7 +112,7 @@
 }
 
 /// A number in one that depends on the words alone.
-pub fn lot(seed: u64, words: &[u64]) -> f64 {
+pub fn hash_to_unit(seed: u64, words: &[u64]) -> f64 {
     let mix = words.iter().fold(seed, |h, w| {
         (h ^ w).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29)
     });
--- a/crates/testbed/src/initiator.rs
+++ b/crates/testbed/src/initiator.rs
@@ -16,7 +16,7 @@
 
 /// How it logs in.
 #[derive(Debug, Clone)]
-pub struct Wish {
+pub struct LoginParameters {
     pub initiator: String,
     pub target: String,
     pub isid: u8,
@@ -80,7 +80,7 @@
 }
 
 impl Initiator {
-    pub fn login(at: SocketAddr, wish: &Wish) -> io::Result<Self> {
+    pub fn login(at: SocketAddr, parameters: &LoginParameters) -> io::Result<Self> {
         let stream = TcpStream::connect_timeout(&at, Duration::from_secs(2))?;
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(PATIENCE))?;
@@ -99,18 +99,18 @@
             strays: 0,
         };
         let first = [
-            ("InitiatorName", wish.initiator.as_str()),
+            ("InitiatorName", parameters.initiator.as_str()),
             ("SessionType", "Normal"),
-            ("TargetName", &wish.target),
+            ("TargetName", &parameters.target),
         ];
-        if let Some((name, secret)) = &wish.chap {
+        if let Some((name, secret)) = &parameters.chap {
             i.step(
-                wish,
+                parameters,
                 0,
                 0,
                 &[&first[..], &[("AuthMethod", "CHAP")]].concat(),
             )?;
-            let told = i.step(wish, 0, 0, &[("CHAP_A", "7,5")])?;
+            let told = i.step(parameters, 0, 0, &[("CHAP_A", "7,5")])?;
             let get = |k: &str| {
                 told.get(k)
                     .cloned()
@@ -120,9 +120,14 @@
             let id = get("CHAP_I")?.parse().map_err(io::Error::other)?;
             let challenge = from_text(&get("CHAP_C")?).ok_or_else(|| other("no challenge"))?;
             let response = to_text(&by.response(id, secret.as_bytes(), &challenge));
-            i.step(wish, 0, 0x81, &[("CHAP_N", name), ("CHAP_R", &response)])?;
+            i.step(
+                parameters,
+                0,
+                0x81,
+                &[("CHAP_N", name), ("CHAP_R", &response)],
+            )?;
         }
-        let digest = if wish.digests { "CRC32C" } else { "None" };
+        let digest = if parameters.digests { "CRC32C" } else { "None" };
         let keys = [
             ("HeaderDigest", digest),
             ("DataDigest", digest),
@@ -134,15 +139,15 @@
             ("ErrorRecoveryLevel", "0"),
             ("iSCSIProtocolLevel", "2"),
         ];
-        let all = if wish.chap.is_some() {
+        let all = if parameters.chap.is_some() {
             keys.to_vec()
         } else {
             [&first[..], &keys].concat()
         };
-        i.step(wish, 1, 0x80 | 3, &all)?;
+        i.step(parameters, 1, 0x80 | 3, &all)?;
         i.digests = Digests {
-            header: wish.digests,
-            data: wish.digests,
+            header: parameters.digests,
+            data: parameters.digests,
         };
         i.reader.digests = i.digests;
         Ok(i)
@@ -151,7 +156,7 @@
     /// One login request and its answer. `to` is 0, or T with the next stage.
     fn step(
         &mut self,
-        wish: &Wish,
+        parameters: &LoginParameters,
         stage: u8,
         to: u8,
         keys: &[(&str, &str)],
@@ -160,7 +165,7 @@
             .set_immediate(true)
             .set_flags(to | stage << 2);
         let h = h
-            .set_isid([0x80, 0, 0, 0, 0, wish.isid])
+            .set_isid([0x80, 0, 0, 0, 0, parameters.isid])
             .set_itt(0)
             .set_cmd_sn(self.cmd_sn);
         self.send(&Pdu::new(h.set_exp_stat_sn(self.exp_stat_sn), text(keys)))?;
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -69,7 +69,7 @@
     }
 
     /// Where a host has come up.
-    pub fn leads_to(&self, host: usize, address: SocketAddr) {
+    pub fn set_target(&self, host: usize, address: SocketAddr) {
         self.lock().targets[host] = Some(address);
     }
 
--- a/crates/testbed/src/links/tests.rs
+++ b/crates/testbed/src/links/tests.rs
@@ -45,7 +45,7 @@
     let heard: Vec<Arc<Mutex<usize>>> = (0..2).map(|_| Arc::default()).collect();
     for (n, heard) in heard.iter().enumerate() {
         let at = TcpListener::bind("127.0.0.1:0").unwrap();
-        links.leads_to(n, at.local_addr().unwrap());
+        links.set_target(n, at.local_addr().unwrap());
         let heard = heard.clone();
         std::thread::spawn(move || host(at, heard));
     }
--- a/crates/testbed/src/net.rs
+++ b/crates/testbed/src/net.rs
@@ -17,12 +17,12 @@
 
 /// What a stand-in's loop hears. `at` names the listener or dial that the connection belongs to.
 #[derive(Debug)]
-pub enum Heard {
+pub enum PeerEvent {
     Up {
         at: u32,
         conn: u64,
         them: pb::Hello,
-        line: Line,
+        line: PeerConnection,
     },
     Frame {
         at: u32,
@@ -38,17 +38,17 @@
 
 /// The way out of one connection.
 #[derive(Debug, Clone)]
-pub struct Line {
+pub struct PeerConnection {
     frames: Sender<Body>,
     stream: Arc<TcpStream>,
 }
 
-impl Line {
-    pub fn put(&self, body: Body) {
+impl PeerConnection {
+    pub fn send(&self, body: Body) {
         let _ = self.frames.send(body);
     }
 
-    pub fn hang_up(&self) {
+    pub fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
@@ -72,7 +72,7 @@
     me: pb::Hello,
     tracer: Tracer,
     shut: Arc<AtomicBool>,
-    to: Sender<Heard>,
+    to: Sender<PeerEvent>,
 ) {
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -91,7 +91,7 @@
     at: u32,
     me: pb::Hello,
     tracer: Tracer,
-    to: Sender<Heard>,
+    to: Sender<PeerEvent>,
 ) -> io::Result<()> {
     let stream = TcpStream::connect_timeout(&address, PATIENCE)?;
     std::thread::spawn(move || drop(converse(stream, at, me, tracer, to)));
@@ -103,7 +103,7 @@
     at: u32,
     me: pb::Hello,
     tracer: Tracer,
-    to: Sender<Heard>,
+    to: Sender<PeerEvent>,
 ) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let mut bytes = Vec::new();
@@ -143,11 +143,11 @@
                     (up, name) = (true, them.name.clone());
                     tracer.opened(conn, &name);
                     let (writer, tracer) = (own.clone(), tracer.clone());
-                    let line = Line {
+                    let line = PeerConnection {
                         frames: frames.clone(),
                         stream: own.clone(),
                     };
-                    let _ = to.send(Heard::Up {
+                    let _ = to.send(PeerEvent::Up {
                         at,
                         conn,
                         them,
@@ -157,7 +157,7 @@
                         std::thread::spawn(move || write_on(&writer, conn, &tracer, &from));
                     }
                 }
-                Some(body) if up => drop(to.send(Heard::Frame {
+                Some(body) if up => drop(to.send(PeerEvent::Frame {
                     at,
                     conn,
                     waited,
@@ -174,7 +174,7 @@
     let _ = own.shutdown(Shutdown::Both);
     if up {
         tracer.closed(conn, &name);
-        let _ = to.send(Heard::Gone { at, conn });
+        let _ = to.send(PeerEvent::Gone { at, conn });
     }
     Ok(())
 }
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -4,7 +4,7 @@
 //! go, less work on data among the last few it took, a cold start during which it can be pushed
 //! over, and troubles. `take`, `advance` and `due` are all of it; times are those of the rehearsal.
 
-use crate::draw::{lot, Strike};
+use crate::draw::{hash_to_unit, InjectedFault};
 use crate::versions::Versions;
 use bytes::Bytes;
 use grebecleat_settings::{Kind, NodeSpec, Settings};
@@ -18,7 +18,7 @@
 const MAX_REMEMBERED: usize = 100_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Life {
+pub enum ProcessState {
     Up,
     Draining,
     Down,
@@ -26,7 +26,7 @@
 
 /// What a node does at a moment.
 #[derive(Debug, PartialEq)]
-pub enum Deed {
+pub enum NodeAction {
     Answer {
         conn: u64,
         answer: pb::AttemptResponse,
@@ -85,10 +85,10 @@
 #[derive(Debug)]
 pub struct Node {
     pub spec: NodeSpec,
-    pub life: Life,
+    pub process_state: ProcessState,
     settings: Arc<Settings>,
     seed: u64,
-    strikes: Vec<Strike>,
+    injected_faults: Vec<InjectedFault>,
     /// Moments at which the script does something to it, and what.
     acts: VecDeque<(Duration, Act)>,
     starts: u64,
@@ -128,14 +128,21 @@
 }
 
 impl Node {
-    pub fn new(spec: NodeSpec, settings: Arc<Settings>, seed: u64, strikes: &[Strike]) -> Self {
-        let own = |s: &&Strike| s.nodes.contains(&spec.id);
-        let strikes: Vec<Strike> = strikes.iter().filter(own).cloned().collect();
+    pub fn new(
+        spec: NodeSpec,
+        settings: Arc<Settings>,
+        seed: u64,
+        injected_faults: &[InjectedFault],
+    ) -> Self {
+        let own = |s: &&InjectedFault| s.nodes.contains(&spec.id);
+        let injected_faults: Vec<InjectedFault> =
+            injected_faults.iter().filter(own).cloned().collect();
         let mut acts = Vec::new();
-        for s in &strikes {
+        for s in &injected_faults {
             match s.kind {
                 Kind::MassRestart => {
-                    let down = Duration::from_secs_f64(0.3 + lot(seed, &[u64::from(spec.id), 5]));
+                    let down =
+                        Duration::from_secs_f64(0.3 + hash_to_unit(seed, &[u64::from(spec.id), 5]));
                     acts.extend([(s.at, Act::Stop), (s.at + down, Act::Start)]);
                 }
                 Kind::Drain => acts.extend([(s.at, Act::Drain), (s.at + s.len, Act::Undrain)]),
@@ -152,13 +159,13 @@
         acts.sort_by_key(|a| a.0);
         let first_pause = spec
             .pause_every
-            .mul_f64(lot(seed, &[u64::from(spec.id), 6]));
+            .mul_f64(hash_to_unit(seed, &[u64::from(spec.id), 6]));
         Node {
             spec,
-            life: Life::Up,
+            process_state: ProcessState::Up,
             settings,
             seed,
-            strikes,
+            injected_faults,
             acts: acts.into(),
             starts: 1,
             cold_since: None,
@@ -200,8 +207,8 @@
         f64::from(self.spec.cores) * self.spec.speed / work.max(1e-6)
     }
 
-    fn struck(&self, kind: Kind, now: Duration) -> Option<&Strike> {
-        self.strikes
+    fn active_fault(&self, kind: Kind, now: Duration) -> Option<&InjectedFault> {
+        self.injected_faults
             .iter()
             .find(|s| s.kind == kind && (s.at..s.at + s.len).contains(&now))
     }
@@ -218,17 +225,17 @@
 
     fn speed(&self, now: Duration) -> f64 {
         let mut speed = self.spec.speed * self.warmth(now);
-        if let Some(s) = self.struck(Kind::Slow, now) {
+        if let Some(s) = self.active_fault(Kind::Slow, now) {
             speed /= s.size.max(1.0);
         }
-        if let Some(s) = self.struck(Kind::Neighbour, now) {
+        if let Some(s) = self.active_fault(Kind::Neighbour, now) {
             speed *= if (now - s.at).as_secs() % 4 < 2 {
                 (1.0 - s.size).max(0.05)
             } else {
                 1.0
             };
         }
-        if let Some(s) = self.struck(Kind::Ageing, now) {
+        if let Some(s) = self.active_fault(Kind::Ageing, now) {
             let part = (now - s.at).as_secs_f64() / s.len.as_secs_f64().max(1e-3);
             speed /= 1.0 + (s.size.max(1.0) - 1.0) * part;
         }
@@ -242,10 +249,10 @@
             .id
             .iter()
             .fold(0u64, |h, b| h.wrapping_mul(131) + u64::from(*b));
-        let noise = 0.5 + lot(self.seed, &[words, 1]);
+        let noise = 0.5 + hash_to_unit(self.seed, &[words, 1]);
         let mut work = stream.unit_work.mul_f64(attempt.units * noise);
-        if let Some(s) = self.struck(Kind::HeavyTail, now) {
-            if lot(self.seed, &[words, 2]) < 0.02 {
+        if let Some(s) = self.active_fault(Kind::HeavyTail, now) {
+            if hash_to_unit(self.seed, &[words, 2]) < 0.02 {
                 work = work.mul_f64(s.size.max(1.0));
             }
         }
@@ -271,7 +278,7 @@
         conn: u64,
         attempt: pb::Attempt,
         left: Duration,
-        to: &mut Vec<Deed>,
+        to: &mut Vec<NodeAction>,
     ) {
         let mut turn = |result: pb::Result| {
             let answer = pb::AttemptResponse {
@@ -279,28 +286,28 @@
                 result: result.into(),
                 ..Default::default()
             };
-            to.push(Deed::Answer { conn, answer });
+            to.push(NodeAction::Answer { conn, answer });
         };
         if attempt.node != self.spec.id {
             return turn(pb::Result::WrongNode);
         }
-        match self.life {
-            Life::Down => return,
-            Life::Draining => return turn(pb::Result::Full),
-            Life::Up => {}
+        match self.process_state {
+            ProcessState::Down => return,
+            ProcessState::Draining => return turn(pb::Result::Full),
+            ProcessState::Up => {}
         }
         // Every bit of work that arrives presses on a cold node, also what it turns away.
         if self.pressed(now, attempt.units) {
             self.stop();
-            return to.push(Deed::Down { fell: true });
+            return to.push(NodeAction::Down { fell: true });
         }
-        if self.struck(Kind::Hang, now).is_some() {
+        if self.active_fault(Kind::Hang, now).is_some() {
             return;
         }
         let words = attempt.attempt ^ u64::from(attempt.node) << 32;
         if self
-            .struck(Kind::FastErrors, now)
-            .is_some_and(|s| lot(self.seed, &[words, 3]) < s.size)
+            .active_fault(Kind::FastErrors, now)
+            .is_some_and(|s| hash_to_unit(self.seed, &[words, 3]) < s.size)
         {
             return turn(pb::Result::Error);
         }
@@ -350,7 +357,7 @@
         sum > bears.max(rule.units)
     }
 
-    fn begin(&mut self, now: Duration, to: &mut Vec<Deed>) {
+    fn begin(&mut self, now: Duration, to: &mut Vec<NodeAction>) {
         while self.running.len() < self.spec.cores as usize && now >= self.still_until {
             let Some(job) = self.queue.pop_front() else {
                 return;
@@ -362,7 +369,7 @@
                     result,
                     ..Default::default()
                 };
-                to.push(Deed::Answer {
+                to.push(NodeAction::Answer {
                     conn: job.conn,
                     answer,
                 });
@@ -377,7 +384,7 @@
     /// When something next happens by itself.
     pub fn due(&self) -> Option<Duration> {
         let act = self.acts.front().map(|a| a.0);
-        if self.life == Life::Down {
+        if self.process_state == ProcessState::Down {
             return act;
         }
         let job = self.running.first_key_value().map(|(k, _)| k.0);
@@ -386,29 +393,29 @@
         [act, job, waiting].into_iter().flatten().min()
     }
 
-    pub fn advance(&mut self, now: Duration, meter: &mut Meter, to: &mut Vec<Deed>) {
+    pub fn advance(&mut self, now: Duration, meter: &mut Meter, to: &mut Vec<NodeAction>) {
         while let Some((_, act)) = self.acts.front().copied().filter(|a| a.0 <= now) {
             self.acts.pop_front();
             match act {
-                Act::Drain if self.life == Life::Up => {
-                    self.life = Life::Draining;
-                    to.push(Deed::Drains);
+                Act::Drain if self.process_state == ProcessState::Up => {
+                    self.process_state = ProcessState::Draining;
+                    to.push(NodeAction::Drains);
                 }
-                Act::Undrain if self.life == Life::Draining => {
-                    self.life = Life::Up;
-                    to.push(Deed::Up {
+                Act::Undrain if self.process_state == ProcessState::Draining => {
+                    self.process_state = ProcessState::Up;
+                    to.push(NodeAction::Up {
                         started: self.starts,
                     });
                 }
-                Act::Stop if self.life != Life::Down => {
+                Act::Stop if self.process_state != ProcessState::Down => {
                     self.stop();
-                    to.push(Deed::Down { fell: false });
+                    to.push(NodeAction::Down { fell: false });
                 }
                 Act::Start => {
                     self.starts += 1;
-                    (self.life, self.cold_since) = (Life::Up, Some(now));
+                    (self.process_state, self.cold_since) = (ProcessState::Up, Some(now));
                     self.arrived.clear();
-                    to.push(Deed::Up {
+                    to.push(NodeAction::Up {
                         started: self.starts,
                     });
                 }
@@ -442,7 +449,7 @@
         now: Duration,
         job: Job,
         meter: &mut Meter,
-        to: &mut Vec<Deed>,
+        to: &mut Vec<NodeAction>,
     ) {
         let (attempt, conn) = (job.attempt, job.conn);
         if self.cancelled.remove(&(conn, attempt.attempt)) {
@@ -468,8 +475,8 @@
         }
         let words = attempt.attempt ^ 0x10_0000;
         if self
-            .struck(Kind::AnswerLost, now)
-            .is_some_and(|s| lot(self.seed, &[words, 4]) < s.size)
+            .active_fault(Kind::AnswerLost, now)
+            .is_some_and(|s| hash_to_unit(self.seed, &[words, 4]) < s.size)
         {
             return;
         }
@@ -491,13 +498,18 @@
             data,
             superseded,
         };
-        to.push(Deed::Answer { conn, answer });
+        to.push(NodeAction::Answer { conn, answer });
     }
 
     /// Carries out a write where nothing newer lies; the newest that kept a part of it out. One
     /// that was kept out whole had no effect and is not remembered: it may come again with another
     /// version.
-    fn write(&mut self, attempt: &pb::Attempt, now: Duration, to: &mut Vec<Deed>) -> Option<u64> {
+    fn write(
+        &mut self,
+        attempt: &pb::Attempt,
+        now: Duration,
+        to: &mut Vec<NodeAction>,
+    ) -> Option<u64> {
         let place = (attempt.volume, attempt.extent);
         let (at, length) = (attempt.offset.unwrap_or(0), attempt.data.len() as u32);
         let (parts, newer) = match attempt.version {
@@ -527,7 +539,7 @@
         };
         self.bytes = self.bytes + new.len() - old.len();
         self.extents.insert(place, new);
-        to.push(Deed::Effect {
+        to.push(NodeAction::Effect {
             attempt: attempt.attempt,
             id: attempt.piece.clone(),
         });
@@ -535,7 +547,7 @@
     }
 
     fn stop(&mut self) {
-        self.life = Life::Down;
+        self.process_state = ProcessState::Down;
         self.queue.clear();
         self.running.clear();
         self.cancelled.clear();
--- a/crates/testbed/src/rehearse.rs
+++ b/crates/testbed/src/scenario.rs
@@ -4,9 +4,9 @@
 //! Everything is on loopback and ends with the script. Each process records what crosses its
 //! sockets into the rehearsal's folder; judging it is the audit's work, not ours.
 
-use crate::clients::{Clients, Progress, Tally};
+use crate::clients::{ClientCounts, Clients, Progress};
 use crate::disks::{self, Disks};
-use crate::draw::{of_kinds, strikes, Strike};
+use crate::draw::{faults_of_kinds, injected_faults, InjectedFault};
 use crate::links::Links;
 use crate::net::hello;
 use crate::relay::Relay;
@@ -31,17 +31,17 @@
 const END: Duration = Duration::from_secs(10);
 
 /// Puts a seed and kinds of trouble, where given, in place of the script's own.
-pub fn play(settings: &mut Settings, kinds: &[Kind], seed: Option<u64>) {
+pub fn override_faults(settings: &mut Settings, kinds: &[Kind], seed: Option<u64>) {
     let Some(r) = settings.rehearsal.as_mut() else {
         return;
     };
     r.seed = seed.unwrap_or(r.seed);
     if !kinds.is_empty() {
-        r.troubles = of_kinds(kinds, r.length, r.seed);
+        r.troubles = faults_of_kinds(kinds, r.length, r.seed);
     }
 }
 
-pub struct Options<'a> {
+pub struct ScenarioOptions<'a> {
     pub settings: &'a Settings,
     /// The script as the processes read it.
     pub script: &'a Path,
@@ -88,8 +88,8 @@
     }
 }
 
-struct Stage<'a> {
-    o: &'a Options<'a>,
+struct ScenarioRunner<'a> {
+    o: &'a ScenarioOptions<'a>,
     t0: Duration,
     list: SocketAddr,
     hosts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
@@ -103,7 +103,7 @@
     tracer: Tracer,
 }
 
-impl Stage<'_> {
+impl ScenarioRunner<'_> {
     /// Starts a process and reads the address that it prints once it listens.
     fn start(&self, name: &str, args: &[String]) -> io::Result<(Running, String)> {
         let log = File::options()
@@ -207,7 +207,7 @@
         }
         let (child, said) = self.start(name, &args)?;
         let address = said.parse().map_err(io::Error::other)?;
-        self.links.iter().for_each(|l| l.leads_to(place, address));
+        self.links.iter().for_each(|l| l.set_target(place, address));
         self.hosts.lock().unwrap_or_else(|e| e.into_inner())[place] = Some(address);
         Ok(child)
     }
@@ -241,13 +241,16 @@
     }
 
     /// Kills the state service, and puts it back, as the script says; answers its last process.
-    fn play_state(
+    fn inject_state_service_faults(
         &self,
         mut child: Option<Running>,
-        strikes: &[Strike],
+        injected_faults: &[InjectedFault],
     ) -> io::Result<Option<Running>> {
         let kinds = [Kind::StateCrash, Kind::StateRestored];
-        let mut own: Vec<&Strike> = strikes.iter().filter(|s| kinds.contains(&s.kind)).collect();
+        let mut own: Vec<&InjectedFault> = injected_faults
+            .iter()
+            .filter(|s| kinds.contains(&s.kind))
+            .collect();
         own.sort_by_key(|s| s.at);
         let snapshot = self.o.dir.join("state.kept").display().to_string();
         for (n, s) in own.into_iter().enumerate() {
@@ -283,10 +286,10 @@
     }
 
     /// Cuts hosts off from the state service, or lets them hear of it late.
-    fn play_relays(&self, strikes: &[Strike]) {
+    fn inject_feed_faults(&self, injected_faults: &[InjectedFault]) {
         let kinds = [Kind::FeedCut, Kind::FeedLate];
-        let mut steps: Vec<(Duration, &Strike, bool)> = Vec::new();
-        for s in strikes.iter().filter(|s| kinds.contains(&s.kind)) {
+        let mut steps: Vec<(Duration, &InjectedFault, bool)> = Vec::new();
+        for s in injected_faults.iter().filter(|s| kinds.contains(&s.kind)) {
             steps.extend([(s.at, s, true), (s.at + s.len, s, false)]);
         }
         steps.sort_by_key(|s| s.0);
@@ -302,10 +305,10 @@
     }
 
     /// Cuts hosts off from each other, or makes them deaf.
-    fn play_links(&self, strikes: &[Strike]) {
+    fn inject_gossip_faults(&self, injected_faults: &[InjectedFault]) {
         let Some(links) = &self.links else { return };
-        let mut steps: Vec<(Duration, &Strike)> = Vec::new();
-        for s in strikes
+        let mut steps: Vec<(Duration, &InjectedFault)> = Vec::new();
+        for s in injected_faults
             .iter()
             .filter(|s| matches!(s.kind, Kind::HostCut | Kind::HostDeaf))
         {
@@ -315,9 +318,9 @@
         for (at, _) in &steps {
             self.sleep_to(*at);
             // All that holds now, since cuts overlap.
-            let on = |s: &&Strike| (s.at..s.at + s.len).contains(at);
+            let on = |s: &&InjectedFault| (s.at..s.at + s.len).contains(at);
             let mut cut = std::collections::BTreeSet::new();
-            for s in strikes.iter().filter(on) {
+            for s in injected_faults.iter().filter(on) {
                 for (a, b) in s
                     .hosts
                     .iter()
@@ -335,7 +338,7 @@
     }
 
     /// Changes plans as the script says; when, what, and what came of it.
-    fn play_changes(&self) -> Vec<Played> {
+    fn apply_catalog_changes(&self) -> Vec<CatalogChangeResult> {
         let mut all: Vec<_> = self
             .o
             .settings
@@ -349,12 +352,12 @@
             let mut args = vec!["--who", &c.who, "set"];
             args.extend(c.words.iter().map(String::as_str));
             args.extend(c.force.then_some("--force"));
-            let (landed, said) = self.plans(&args).unwrap_or_else(|e| (false, e.to_string()));
-            Played {
+            let (accepted, said) = self.plans(&args).unwrap_or_else(|e| (false, e.to_string()));
+            CatalogChangeResult {
                 at: c.at,
                 words: c.words.clone(),
-                landed,
-                said,
+                accepted,
+                output: said,
             }
         });
         each.collect()
@@ -374,9 +377,14 @@
     }
 
     /// Kills, stops and restarts one host as the script says; answers its last process.
-    fn play(&self, place: usize, mut child: Running, strikes: &[Strike]) -> io::Result<Running> {
+    fn inject_host_faults(
+        &self,
+        place: usize,
+        mut child: Running,
+        injected_faults: &[InjectedFault],
+    ) -> io::Result<Running> {
         let mut start = 0;
-        let mut own: Vec<&Strike> = strikes
+        let mut own: Vec<&InjectedFault> = injected_faults
             .iter()
             .filter(|s| s.hosts.contains(&place))
             .collect();
@@ -410,19 +418,19 @@
 
 /// A change of plans that was asked for, and what came of it.
 #[derive(Debug, Clone)]
-pub struct Played {
+pub struct CatalogChangeResult {
     pub at: Duration,
     pub words: Vec<String>,
-    pub landed: bool,
-    pub said: String,
+    pub accepted: bool,
+    pub output: String,
 }
 
 /// What a rehearsal amounted to for those who asked.
 #[derive(Debug, Default)]
-pub struct Seen {
-    pub tally: Tally,
+pub struct ScenarioResult {
+    pub counts: ClientCounts,
     pub disks: Disks,
-    pub changes: Vec<Played>,
+    pub changes: Vec<CatalogChangeResult>,
 }
 
 fn panicked<T>() -> io::Result<T> {
@@ -440,13 +448,13 @@
 }
 
 /// Plays the script; what the clients and the initiators saw. The folder then holds every trace.
-pub fn rehearse(o: Options) -> io::Result<Seen> {
+pub fn run_scenario(o: ScenarioOptions) -> io::Result<ScenarioResult> {
     std::fs::create_dir_all(o.dir)?;
     let me = hello(pb::Role::Client, "clients", 1);
     let tracer = Tracer::create(&o.dir.join("clients.trace"), MAX_TRACE, me)?;
     let script = o.settings.rehearsal.as_ref();
     let script = script.ok_or_else(|| io::Error::other("the script has no rehearsal()"))?;
-    let strikes = strikes(o.settings, script);
+    let injected_faults = injected_faults(o.settings, script);
     let hosts = Arc::new(Mutex::new(vec![None; o.settings.hosts.len()]));
     let nowhere: SocketAddr = ([127, 0, 0, 1], 0).into();
     let portals = portals(o.settings)?;
@@ -471,7 +479,7 @@
     };
     // Processes start one after another.
     let t0 = clock::now() + LEAD + START * o.settings.hosts.len() as u32;
-    let mut stage = Stage {
+    let mut runner = ScenarioRunner {
         o: &o,
         t0,
         list: nowhere,
@@ -482,34 +490,37 @@
         links,
         tracer,
     };
-    let service = stage.state_service(0)?;
-    let mut args = stage.script_args("discovery-service", "list");
+    let service = runner.state_service(0)?;
+    let mut args = runner.script_args("discovery-service", "list");
     args.extend(["--listen".into(), "127.0.0.1:0".into()]);
-    let (_list, said) = stage.start("list", &args)?;
-    stage.list = said.parse().map_err(io::Error::other)?;
-    let mut args = stage.script_args("node", "nodes");
-    args.extend(["--list".into(), stage.list.to_string()]);
-    let (_nodes, _) = stage.start("nodes", &args)?;
+    let (_list, said) = runner.start("list", &args)?;
+    runner.list = said.parse().map_err(io::Error::other)?;
+    let mut args = runner.script_args("node", "nodes");
+    args.extend(["--list".into(), runner.list.to_string()]);
+    let (_nodes, _) = runner.start("nodes", &args)?;
     let children: Vec<Running> = (0..o.settings.hosts.len())
-        .map(|place| stage.host(place, 0, "127.0.0.1:0"))
+        .map(|place| runner.host(place, 0, "127.0.0.1:0"))
         .collect::<io::Result<_>>()?;
-    let clients = Clients::new(o.settings, stage.t0, hosts, stage.tracer.clone());
+    let clients = Clients::new(o.settings, runner.t0, hosts, runner.tracer.clone());
     let mut clients = clients.ok_or_else(|| io::Error::other("the script has no rehearsal()"))?;
     let progress = &o.progress;
-    clients.progress = Box::new(move |now, tally| progress(now, tally));
-    let (stage, strikes) = (&stage, &strikes);
+    clients.progress = Box::new(move |now, counts| progress(now, counts));
+    let (runner, injected_faults) = (&runner, &injected_faults);
     let (seen, ended) = std::thread::scope(|scope| {
-        let service = scope.spawn(move || stage.play_state(service, strikes));
-        let changes = scope.spawn(move || stage.play_changes());
-        scope.spawn(move || stage.play_relays(strikes));
-        scope.spawn(move || stage.play_links(strikes));
-        let players: Vec<_> = children
+        let service =
+            scope.spawn(move || runner.inject_state_service_faults(service, injected_faults));
+        let changes = scope.spawn(move || runner.apply_catalog_changes());
+        scope.spawn(move || runner.inject_feed_faults(injected_faults));
+        scope.spawn(move || runner.inject_gossip_faults(injected_faults));
+        let hosts_under_faults: Vec<_> = children
             .into_iter()
             .enumerate()
-            .map(|(place, child)| scope.spawn(move || stage.play(place, child, strikes)))
+            .map(|(place, child)| {
+                scope.spawn(move || runner.inject_host_faults(place, child, injected_faults))
+            })
             .collect();
         // Every portal has as many sessions as the script says at every target.
-        let at = stage.portals.iter().flatten();
+        let at = runner.portals.iter().flatten();
         let sessions = at.flat_map(|at| o.settings.targets.iter().map(move |t| (*at, t)));
         let sessions: Vec<_> = sessions
             .flat_map(|(at, target)| {
@@ -518,13 +529,13 @@
                     target,
                     settings: o.settings,
                     number,
-                    t0: stage.t0,
+                    t0: runner.t0,
                     length: script.length,
                 })
             })
             .map(|session| scope.spawn(move || session.run(script.seed)))
             .collect();
-        let tally = clients.run();
+        let counts = clients.run();
         let mut disks = Disks::default();
         sessions
             .into_iter()
@@ -532,15 +543,15 @@
             .for_each(|d| disks.add(&d));
         let changes = changes.join().unwrap_or_default();
         let service = service.join().unwrap_or_else(|_| panicked());
-        let ended: Vec<io::Result<Running>> = players
+        let ended: Vec<io::Result<Running>> = hosts_under_faults
             .into_iter()
             .map(|p| p.join().unwrap_or_else(|_| panicked()))
             .collect();
         (
             service.map(|s| {
                 (
-                    Seen {
-                        tally,
+                    ScenarioResult {
+                        counts,
                         disks,
                         changes,
                     },
@@ -575,7 +586,7 @@
 }
 
 /// A new folder for a rehearsal's traces and logs.
-pub fn folder() -> PathBuf {
+pub fn temporary_directory() -> PathBuf {
     std::env::temp_dir().join(format!(
         "grebecleat-{}-{}",
         std::process::id(),
--- a/crates/testbed/src/serve.rs
+++ b/crates/testbed/src/serve.rs
@@ -1,10 +1,10 @@
 //! The models of nodes and list on sockets: one loop each, with the model's next moment as its
 //! timer.
 
-use crate::draw::{source, strikes, Strike};
-use crate::list::List;
-use crate::net::{self, hello, Heard, Line};
-use crate::node::{Deed, Life, Meter, Node};
+use crate::discovery_service::DiscoveryService;
+use crate::draw::{injected_faults, source, InjectedFault};
+use crate::net::{self, hello, PeerConnection, PeerEvent};
+use crate::node::{Meter, Node, NodeAction, ProcessState};
 use grebecleat_settings::{Kind, Settings};
 use grebecleat_wire::pb::{self, frame::Body, marked::What};
 use grebecleat_wire::trace::Tracer;
@@ -24,22 +24,22 @@
 
 /// What both stand-ins are started with. `t0` is the machine's clock at the rehearsal's start.
 #[derive(Debug, Clone)]
-pub struct Stage {
+pub struct ScriptContext {
     pub settings: Arc<Settings>,
     pub t0: Duration,
     pub tracer: Tracer,
 }
 
-impl Stage {
+impl ScriptContext {
     fn seed(&self) -> u64 {
         self.settings.rehearsal.as_ref().map_or(1, |r| r.seed)
     }
 
-    fn strikes(&self) -> Vec<Strike> {
+    fn injected_faults(&self) -> Vec<InjectedFault> {
         self.settings
             .rehearsal
             .as_ref()
-            .map(|r| strikes(&self.settings, r))
+            .map(|r| injected_faults(&self.settings, r))
             .unwrap_or_default()
     }
 
@@ -48,7 +48,7 @@
     }
 }
 
-fn heard_by(heard: &Receiver<Heard>, wait: Duration) -> Option<Vec<Heard>> {
+fn receive_batch(heard: &Receiver<PeerEvent>, wait: Duration) -> Option<Vec<PeerEvent>> {
     match heard.recv_timeout(wait) {
         Ok(first) => Some(
             std::iter::once(first)
@@ -61,44 +61,44 @@
 }
 
 /// Whether nothing crosses now between a host and a node.
-fn way_cut(
-    stage: &Stage,
-    strikes: &[Strike],
+fn is_partitioned(
+    context: &ScriptContext,
+    injected_faults: &[InjectedFault],
     now: Duration,
     node: u32,
     host: Option<&String>,
 ) -> bool {
-    let place = |name: &String| stage.settings.hosts.iter().position(|h| h.name == *name);
+    let place = |name: &String| context.settings.hosts.iter().position(|h| h.name == *name);
     let Some(place) = host.and_then(place) else {
         return false;
     };
-    let on = |s: &&Strike| s.kind == Kind::WayCut && (s.at..s.at + s.len).contains(&now);
-    strikes
+    let on = |s: &&InjectedFault| s.kind == Kind::WayCut && (s.at..s.at + s.len).contains(&now);
+    injected_faults
         .iter()
         .filter(on)
         .any(|s| s.nodes.contains(&node) && s.hosts.contains(&place))
 }
 
-struct Seat {
+struct RunningNode {
     node: Node,
     address: SocketAddr,
     shut: Arc<AtomicBool>,
-    lines: BTreeMap<u64, Line>,
+    lines: BTreeMap<u64, PeerConnection>,
     /// Who is at the other end.
     hosts: BTreeMap<u64, String>,
 }
 
 /// Runs nodes until the process ends. `ready` is called once all listen.
-pub fn nodes(
-    stage: &Stage,
+pub fn run_nodes(
+    context: &ScriptContext,
     ids: &[u32],
     list: SocketAddr,
     ready: impl FnOnce(usize),
 ) -> io::Result<()> {
     let (to, heard) = mpsc::channel();
-    let (strikes, mut meter) = (stage.strikes(), Meter::default());
-    let mut seats = BTreeMap::new();
-    for spec in stage
+    let (injected_faults, mut meter) = (context.injected_faults(), Meter::default());
+    let mut running_nodes = BTreeMap::new();
+    for spec in context
         .settings
         .nodes
         .iter()
@@ -115,14 +115,19 @@
             listener,
             spec.id,
             me,
-            stage.tracer.clone(),
+            context.tracer.clone(),
             shut.clone(),
             to.clone(),
         );
-        let node = Node::new(spec.clone(), stage.settings.clone(), stage.seed(), &strikes);
-        seats.insert(
+        let node = Node::new(
+            spec.clone(),
+            context.settings.clone(),
+            context.seed(),
+            &injected_faults,
+        );
+        running_nodes.insert(
             spec.id,
-            Seat {
+            RunningNode {
                 node,
                 address,
                 shut,
@@ -133,57 +138,63 @@
     }
     const LIST: u32 = u32::MAX;
     let me = hello(pb::Role::Node, "nodes", 1);
-    net::dial(list, LIST, me, stage.tracer.clone(), to.clone())?;
-    let mut list_line: Option<Line> = None;
-    ready(seats.len());
+    net::dial(list, LIST, me, context.tracer.clone(), to.clone())?;
+    let mut list_line: Option<PeerConnection> = None;
+    ready(running_nodes.len());
     loop {
-        let due = seats.values().filter_map(|s| s.node.due()).min();
-        let wait = due.map_or(TICK, |d| d.saturating_sub(stage.now()).min(TICK));
-        let Some(batch) = heard_by(&heard, wait) else {
+        let due = running_nodes.values().filter_map(|s| s.node.due()).min();
+        let wait = due.map_or(TICK, |d| d.saturating_sub(context.now()).min(TICK));
+        let Some(batch) = receive_batch(&heard, wait) else {
             return Ok(());
         };
-        let now = stage.now();
-        let mut deeds: Vec<(u32, Deed)> = Vec::new();
+        let now = context.now();
+        let mut actions: Vec<(u32, NodeAction)> = Vec::new();
         for h in batch {
             match h {
-                Heard::Up { at: LIST, line, .. } => {
-                    let entries = seats.values().map(|s| entry(s, now));
+                PeerEvent::Up { at: LIST, line, .. } => {
+                    let entries = running_nodes.values().map(|s| entry(s, now));
                     entries.for_each(|e| {
-                        line.put(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
+                        line.send(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
                             endpoint: Some(e),
                         }))
                     });
                     list_line = Some(line);
                 }
-                Heard::Up {
+                PeerEvent::Up {
                     at,
                     conn,
                     line,
                     them,
                 } => {
-                    let seat = seats.get_mut(&at).expect("its own listener");
-                    seat.hosts.insert(conn, them.name);
-                    if seat.node.life == Life::Down {
-                        line.hang_up();
+                    let running_node = running_nodes.get_mut(&at).expect("its own listener");
+                    running_node.hosts.insert(conn, them.name);
+                    if running_node.node.process_state == ProcessState::Down {
+                        line.close();
                     }
-                    seat.lines.insert(conn, line);
+                    running_node.lines.insert(conn, line);
                 }
-                Heard::Gone { at, conn } => {
-                    seats.get_mut(&at).into_iter().for_each(|s| {
+                PeerEvent::Gone { at, conn } => {
+                    running_nodes.get_mut(&at).into_iter().for_each(|s| {
                         s.lines.remove(&conn);
                         s.hosts.remove(&conn);
                     });
                 }
-                Heard::Frame {
+                PeerEvent::Frame {
                     at,
                     conn,
                     waited,
                     body,
                 } => {
-                    let Some(seat) = seats.get_mut(&at) else {
+                    let Some(running_node) = running_nodes.get_mut(&at) else {
                         continue;
                     };
-                    if way_cut(stage, &strikes, now, at, seat.hosts.get(&conn)) {
+                    if is_partitioned(
+                        context,
+                        &injected_faults,
+                        now,
+                        at,
+                        running_node.hosts.get(&conn),
+                    ) {
                         continue;
                     }
                     let mut to = Vec::new();
@@ -191,131 +202,143 @@
                         Body::Attempt(attempt) => {
                             let left =
                                 Duration::from_micros(attempt.left_us).saturating_sub(waited);
-                            seat.node.take(now, conn, attempt, left, &mut to);
+                            running_node.node.take(now, conn, attempt, left, &mut to);
                         }
-                        Body::CancelAttempt(c) => seat.node.cancel(conn, c.attempt),
+                        Body::CancelAttempt(c) => running_node.node.cancel(conn, c.attempt),
                         Body::HealthCheck(p) => {
                             let probed = pb::HealthCheckResult {
                                 probe: p.probe,
                                 result: pb::Result::Ok.into(),
                             };
-                            seat.lines
+                            running_node
+                                .lines
                                 .get(&conn)
                                 .into_iter()
-                                .for_each(|l| l.put(Body::HealthCheckResult(probed)));
+                                .for_each(|l| l.send(Body::HealthCheckResult(probed)));
                         }
                         _ => {}
                     }
-                    deeds.extend(to.into_iter().map(|d| (at, d)));
+                    actions.extend(to.into_iter().map(|d| (at, d)));
                 }
             }
         }
-        for (id, seat) in &mut seats {
+        for (id, running_node) in &mut running_nodes {
             let mut to = Vec::new();
-            seat.node.advance(now, &mut meter, &mut to);
-            deeds.extend(to.into_iter().map(|d| (*id, d)));
+            running_node.node.advance(now, &mut meter, &mut to);
+            actions.extend(to.into_iter().map(|d| (*id, d)));
         }
-        for (id, deed) in deeds {
-            let seat = seats.get_mut(&id).expect("a seat's own deed");
-            let to = if let Deed::Answer { conn, .. } = &deed {
-                seat.hosts.get(conn)
+        for (id, action) in actions {
+            let running_node = running_nodes
+                .get_mut(&id)
+                .expect("an action of a running node");
+            let to = if let NodeAction::Answer { conn, .. } = &action {
+                running_node.hosts.get(conn)
             } else {
                 None
             };
-            if !way_cut(stage, &strikes, now, id, to) {
-                do_it(stage, seat, now, deed, &list_line);
+            if !is_partitioned(context, &injected_faults, now, id, to) {
+                perform(context, running_node, now, action, &list_line);
             }
         }
     }
 }
 
-fn entry(seat: &Seat, now: Duration) -> pb::Endpoint {
-    let spec = &seat.node.spec;
-    let state = match seat.node.life {
-        Life::Up => pb::NodeState::Ready,
-        Life::Draining => pb::NodeState::Draining,
-        Life::Down => pb::NodeState::Gone,
+fn entry(running_node: &RunningNode, now: Duration) -> pb::Endpoint {
+    let spec = &running_node.node.spec;
+    let state = match running_node.node.process_state {
+        ProcessState::Up => pb::NodeState::Ready,
+        ProcessState::Draining => pb::NodeState::Draining,
+        ProcessState::Down => pb::NodeState::Gone,
     };
     pb::Endpoint {
         node: spec.id,
         zone: spec.zone as u32,
         shard: spec.shard,
         state: state.into(),
-        address: seat.address.to_string(),
-        start: seat.node.starts(),
-        up_us: seat
+        address: running_node.address.to_string(),
+        start: running_node.node.starts(),
+        up_us: running_node
             .node
             .cold_since()
             .map(|s| clock::micros(now.saturating_sub(s))),
     }
 }
 
-fn do_it(stage: &Stage, seat: &mut Seat, now: Duration, deed: Deed, list: &Option<Line>) {
+fn perform(
+    context: &ScriptContext,
+    running_node: &mut RunningNode,
+    now: Duration,
+    action: NodeAction,
+    list: &Option<PeerConnection>,
+) {
     let (node, warm_us) = (
-        seat.node.spec.id,
-        clock::micros(stage.settings.rules.cold.warm_up_time),
+        running_node.node.spec.id,
+        clock::micros(context.settings.rules.cold.warm_up_time),
     );
     let mark = |what: What| Marked {
         what: what.into(),
         node,
-        units_a_second: seat.node.capacity(),
-        cold_part: stage.settings.rules.cold.initial_fraction,
+        units_a_second: running_node.node.capacity(),
+        cold_part: context.settings.rules.cold.initial_fraction,
         warm_us,
         ..Marked::default()
     };
-    match deed {
-        Deed::Answer { conn, answer } => {
-            seat.lines
+    match action {
+        NodeAction::Answer { conn, answer } => {
+            running_node
+                .lines
                 .get(&conn)
                 .into_iter()
-                .for_each(|l| l.put(Body::AttemptResponse(answer.clone())));
+                .for_each(|l| l.send(Body::AttemptResponse(answer.clone())));
             return;
         }
-        Deed::Effect { attempt, id } => {
-            return stage.tracer.mark(Marked {
+        NodeAction::Effect { attempt, id } => {
+            return context.tracer.mark(Marked {
                 attempt,
                 id,
                 ..mark(What::Effect)
             });
         }
-        Deed::Up { started } if started > 1 => {
-            seat.shut.store(false, Ordering::Relaxed);
-            stage.tracer.mark(mark(What::Started));
+        NodeAction::Up { started } if started > 1 => {
+            running_node.shut.store(false, Ordering::Relaxed);
+            context.tracer.mark(mark(What::Started));
         }
-        Deed::Up { .. } | Deed::Drains => {}
-        Deed::Down { fell } => {
+        NodeAction::Up { .. } | NodeAction::Drains => {}
+        NodeAction::Down { fell } => {
             if fell {
-                stage.tracer.mark(mark(What::Fell));
+                context.tracer.mark(mark(What::Fell));
             }
-            seat.shut.store(true, Ordering::Relaxed);
-            std::mem::take(&mut seat.lines)
+            running_node.shut.store(true, Ordering::Relaxed);
+            std::mem::take(&mut running_node.lines)
                 .values()
-                .for_each(Line::hang_up);
+                .for_each(PeerConnection::close);
         }
     }
     if let Some(list) = list {
-        list.put(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
-            endpoint: Some(entry(seat, now)),
+        list.send(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
+            endpoint: Some(entry(running_node, now)),
         }));
     }
 }
 
 /// Runs the list until the process ends.
-pub fn list(stage: &Stage, listener: TcpListener) -> io::Result<()> {
+pub fn run_discovery_service(context: &ScriptContext, listener: TcpListener) -> io::Result<()> {
     let (to, heard) = mpsc::channel();
     let me = hello(pb::Role::List, "list", 1);
-    net::listen(listener, 0, me, stage.tracer.clone(), Arc::default(), to);
-    let (facts, strikes) = (stage.settings.list.clone(), stage.strikes());
-    let mut rng = source(stage.seed(), 3);
-    let mut model = List::default();
-    let (mut lines, mut watching) = (BTreeMap::<u64, Line>::new(), BTreeSet::new());
+    net::listen(listener, 0, me, context.tracer.clone(), Arc::default(), to);
+    let (facts, injected_faults) = (context.settings.list.clone(), context.injected_faults());
+    let mut rng = source(context.seed(), 3);
+    let mut model = DiscoveryService::default();
+    let (mut lines, mut watching) = (BTreeMap::<u64, PeerConnection>::new(), BTreeSet::new());
     loop {
-        let Some(batch) = heard_by(&heard, TICK) else {
+        let Some(batch) = receive_batch(&heard, TICK) else {
             return Ok(());
         };
-        let now = stage.now();
+        let now = context.now();
         let stale = |now: Duration| {
-            let on = strikes.iter().filter(|s| s.kind == Kind::DiscoveryStale);
+            let on = injected_faults
+                .iter()
+                .filter(|s| s.kind == Kind::DiscoveryStale);
             let on = on.filter(|s| (s.at..s.at + s.len).contains(&now));
             on.map(|s| Duration::from_secs_f64(s.size))
                 .max()
@@ -323,12 +346,12 @@
         };
         for h in batch {
             match h {
-                Heard::Up { conn, line, .. } => drop(lines.insert(conn, line)),
-                Heard::Gone { conn, .. } => {
+                PeerEvent::Up { conn, line, .. } => drop(lines.insert(conn, line)),
+                PeerEvent::Gone { conn, .. } => {
                     lines.remove(&conn);
                     watching.remove(&conn);
                 }
-                Heard::Frame {
+                PeerEvent::Frame {
                     body: Body::AnnounceEndpoint(a),
                     ..
                 } => {
@@ -340,15 +363,15 @@
                     } else {
                         facts.lag + stale(now)
                     };
-                    model.hear(now, entry, if silent { lag * SILENT } else { lag });
+                    model.announce(now, entry, if silent { lag * SILENT } else { lag });
                 }
-                Heard::Frame { conn, body, .. } => {
+                PeerEvent::Frame { conn, body, .. } => {
                     let Some(line) = lines.get(&conn) else {
                         continue;
                     };
                     if rng.random::<f64>() < facts.fails {
                         let kind = pb::EndpointUpdateKind::FetchFailed.into();
-                        line.put(Body::EndpointUpdate(pb::EndpointUpdate {
+                        line.send(Body::EndpointUpdate(pb::EndpointUpdate {
                             kind,
                             ..Default::default()
                         }));
@@ -358,17 +381,19 @@
                         Body::Watch(w) if !w.on => drop(watching.remove(&conn)),
                         Body::Watch(_) => {
                             watching.insert(conn);
-                            line.put(Body::EndpointUpdate(model.whole(now)));
+                            line.send(Body::EndpointUpdate(model.snapshot(now)));
+                        }
+                        Body::FetchEndpoints(_) => {
+                            line.send(Body::EndpointUpdate(model.snapshot(now)))
                         }
-                        Body::FetchEndpoints(_) => line.put(Body::EndpointUpdate(model.whole(now))),
-                        _ => line.hang_up(),
+                        _ => line.close(),
                     }
                 }
             }
         }
         if let Some(changes) = model.advance(now) {
             for line in watching.iter().filter_map(|c| lines.get(c)) {
-                line.put(Body::EndpointUpdate(changes.clone()));
+                line.send(Body::EndpointUpdate(changes.clone()));
             }
         }
     }
