--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -51,7 +51,8 @@
                 counts.done, counts.deferred
             ));
         }),
-    })?;
+    });
+    let seen = seen.map_err(std::io::Error::from)?;
     bar.finish_and_clear();
     print_clients(&settings, &seen.counts);
     print_changes(&settings, &seen.counts, &seen.changes);
--- a/crates/cli/tests/peers.rs
+++ b/crates/cli/tests/peers.rs
@@ -305,7 +305,7 @@
         LIMIT / 4.0
     );
     // Cut off, while others begin to need what they lent.
-    site.links.cut(alone_is(0));
+    site.links.set_cut(alone_is(0));
     let others: Vec<_> = (1..HOSTS).map(|h| site.ask(h, 40, ended.clone())).collect();
     sleep(ms(3000));
     let said = site.shows(0);
@@ -313,7 +313,7 @@
         said.contains("borrowed 0.0%") && said.contains(" 25.0% of its limit"),
         "{said}"
     );
-    site.links.cut(BTreeSet::new());
+    site.links.set_cut(BTreeSet::new());
     sleep(ms(1500));
     // Stands still for longer than its loans, with words and answers waiting for it.
     site.signal(0, "STOP");
@@ -325,7 +325,7 @@
     sleep(ms(100));
     site.begin(1);
     sleep(ms(1500));
-    site.links.cut(alone_is(1));
+    site.links.set_cut(alone_is(1));
     site.signal(1, "KILL");
     site.begin(1);
     sleep(ms(500));
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -107,7 +107,7 @@
     written: HashMap<(usize, u64), HashSet<Bytes>>,
     counts: ClientCounts,
     /// Called about once a second with the time and the tally.
-    pub progress: Progress<'a>,
+    progress: Progress<'a>,
 }
 
 /// An id of 36 characters that two numbers make.
@@ -163,6 +163,11 @@
         })
     }
 
+    /// Sets the callback for the progress, called about once a second.
+    pub fn set_progress(&mut self, progress: Progress<'a>) {
+        self.progress = progress;
+    }
+
     fn now(&self) -> Duration {
         clock::now().saturating_sub(self.t0)
     }
@@ -205,7 +210,7 @@
                 .filter(|v| surges && !disk(self.settings, v))
             {
                 self.plan(
-                    s.at,
+                    s.start,
                     What::Arrive {
                         volume: *volume,
                         surge: Some(i),
@@ -283,7 +288,7 @@
     fn arrive(&mut self, at: Duration, volume: usize, surge: Option<usize>) {
         let (mut rate, mut end) = (self.rate(volume), self.script.length);
         if let Some(s) = surge.map(|i| &self.injected_faults[i]) {
-            (rate, end) = (rate * (s.size - 1.0).max(0.0), end.min(s.at + s.len));
+            (rate, end) = (rate * (s.magnitude - 1.0).max(0.0), end.min(s.end()));
         }
         let per_second = rate / self.settings.units.mean;
         if at >= end || per_second <= 0.0 {
@@ -292,7 +297,7 @@
         let reconnects = self
             .injected_faults
             .iter()
-            .filter(|s| s.kind == Kind::Reconnect && s.at <= at)
+            .filter(|s| s.kind == Kind::Reconnect && s.start <= at)
             .count();
         let spec = &self.settings.volumes[volume];
         let rng = &mut self.sources[volume];
--- a/crates/testbed/src/draw.rs
+++ b/crates/testbed/src/draw.rs
@@ -1,5 +1,9 @@
-//! What a script leaves open, drawn from its seed: the same script gives the same draw in every
-//! process.
+//! Random draws from a scenario's seed: the targets of each injected fault, and the faults of a
+//! scenario of which only the kinds are known.
+//!
+//! The same script gives the same draws in every process, so that the processes agree without
+//! communication. [`crate::node`], [`crate::serve`], [`crate::clients`] and [`crate::scenario`]
+//! call it. No I/O and no state.
 
 use grebecleat_settings::{Kind, Rehearsal, Settings, Trouble};
 use rand::seq::SliceRandom;
@@ -7,114 +11,145 @@
 use rand_pcg::Pcg64Mcg;
 use std::time::Duration;
 
-/// One trouble with all it strikes. Times are since the start of the rehearsal.
+/// The random generator's purpose for the first fault; each further fault adds 1.
+const FIRST_FAULT_PURPOSE: u64 = 1000;
+/// The random generator's purpose for the faults that are known by kind alone.
+const FAULT_KINDS_PURPOSE: u64 = 77;
+/// A multiplier with well mixed bits (2^64 divided by the golden ratio), which separates purposes.
+const MIXER: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The fraction of the fault's nodes and hosts that is taken of the volumes.
+const VOLUME_FRACTION: f64 = 0.3;
+
+/// One fault with all its targets. Times are since the start of the scenario.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InjectedFault {
+    /// The kind of the fault.
     pub kind: Kind,
-    pub at: Duration,
-    pub len: Duration,
-    pub size: f64,
+    /// The time at which the fault begins.
+    pub start: Duration,
+    /// The time for which the fault lasts.
+    pub duration: Duration,
+    /// The strength of the fault; the unit depends on the kind.
+    pub magnitude: f64,
+    /// The ids of the nodes that the fault affects.
     pub nodes: Vec<u32>,
+    /// The indices of the hosts that the fault affects.
     pub hosts: Vec<usize>,
-    /// Places of the volumes that ask for more.
+    /// The indices of the volumes whose demand grows.
     pub volumes: Vec<usize>,
 }
 
-/// A random source of its own for each purpose, so that one more draw here changes nothing there.
+impl InjectedFault {
+    /// Returns the time at which the fault ends.
+    pub fn end(&self) -> Duration {
+        self.start + self.duration
+    }
+
+    /// Returns whether the fault is in effect at `now`.
+    pub fn is_active(&self, now: Duration) -> bool {
+        (self.start..self.end()).contains(&now)
+    }
+}
+
+/// Returns a random generator for one purpose. Each purpose has its own generator, so that an
+/// additional draw for one purpose changes no draw for another.
 pub fn source(seed: u64, purpose: u64) -> Pcg64Mcg {
-    Pcg64Mcg::seed_from_u64(seed ^ purpose.wrapping_mul(0x9e37_79b9_7f4a_7c15))
+    Pcg64Mcg::seed_from_u64(seed ^ purpose.wrapping_mul(MIXER))
 }
 
-fn some<T: Clone>(of: &[T], part: f64, least: usize, rng: &mut Pcg64Mcg) -> Vec<T> {
-    let mut of = of.to_vec();
-    of.shuffle(rng);
-    of.truncate(((of.len() as f64 * part).round() as usize).max(least));
-    of
+/// Draws a fraction of the items, at least `least` of them where there are so many.
+fn sample<T: Clone>(items: &[T], fraction: f64, least: usize, rng: &mut Pcg64Mcg) -> Vec<T> {
+    let mut items = items.to_vec();
+    items.shuffle(rng);
+    let count = (items.len() as f64 * fraction).round() as usize;
+    items.truncate(count.max(least));
+    items
 }
 
-pub fn injected_faults(s: &Settings, r: &Rehearsal) -> Vec<InjectedFault> {
-    let each = r
-        .troubles
-        .iter()
-        .enumerate()
-        .map(|(i, t)| injected_fault(s, t, &mut source(r.seed, 1000 + i as u64)));
-    each.collect()
+/// Returns the faults of a script, each with its targets.
+pub fn injected_faults(settings: &Settings, script: &Rehearsal) -> Vec<InjectedFault> {
+    let faults = script.troubles.iter().zip(FIRST_FAULT_PURPOSE..);
+    let faults =
+        faults.map(|(fault, purpose)| inject(settings, fault, &mut source(script.seed, purpose)));
+    faults.collect()
 }
 
-fn injected_fault(s: &Settings, t: &Trouble, rng: &mut Pcg64Mcg) -> InjectedFault {
-    let inside = s
-        .nodes
-        .iter()
-        .filter(|n| t.zone.is_none_or(|z| z == n.zone))
-        .map(|n| n.id);
-    let nodes: Vec<u32> = inside.collect();
-    let nodes = if t.nodes.is_empty() {
-        some(&nodes, t.part, 1, rng)
+/// Draws the targets that the script leaves open. The draws are in the order nodes, hosts, volumes.
+fn inject(settings: &Settings, fault: &Trouble, rng: &mut Pcg64Mcg) -> InjectedFault {
+    let nodes = if fault.nodes.is_empty() {
+        let in_zone = |zone: usize| fault.zone.is_none_or(|wanted| wanted == zone);
+        let nodes = settings.nodes.iter().filter(|node| in_zone(node.zone));
+        let nodes: Vec<u32> = nodes.map(|node| node.id).collect();
+        sample(&nodes, fault.part, 1, rng)
     } else {
-        t.nodes.clone()
+        fault.nodes.clone()
     };
-    let all: Vec<usize> = (0..s.hosts.len()).collect();
-    let hosts = if t.hosts.is_empty() {
-        some(&all, t.part, 1, rng)
+    let hosts = if fault.hosts.is_empty() {
+        let hosts: Vec<usize> = (0..settings.hosts.len()).collect();
+        sample(&hosts, fault.part, 1, rng)
     } else {
-        t.hosts.clone()
+        fault.hosts.clone()
     };
-    let all: Vec<usize> = (0..s.volumes.len()).collect();
-    let volumes = some(&all, (t.part * 0.3).min(1.0), 1, rng);
+    let volumes: Vec<usize> = (0..settings.volumes.len()).collect();
+    let volumes = sample(&volumes, (fault.part * VOLUME_FRACTION).min(1.0), 1, rng);
     InjectedFault {
-        kind: t.kind,
-        at: t.at,
-        len: t.len,
-        size: t.size,
+        kind: fault.kind,
+        start: fault.at,
+        duration: fault.len,
+        magnitude: fault.size,
         nodes,
         hosts,
         volumes,
     }
 }
 
-/// The troubles of a day, of which only the kinds are known: all at once in its middle third.
+/// Returns faults of the given kinds. All of them begin in the middle third of the scenario.
 pub fn faults_of_kinds(kinds: &[Kind], length: Duration, seed: u64) -> Vec<Trouble> {
-    let mut rng = source(seed, 77);
-    let each = kinds.iter().map(|kind| {
-        let size = match kind {
-            Kind::Slow => rng.random_range(3.0..8.0),
-            Kind::HeavyTail => rng.random_range(8.0..24.0),
-            Kind::DiscoveryStale | Kind::FeedLate => rng.random_range(2.0..6.0),
-            Kind::Ageing => 6.0,
-            Kind::HotKey | Kind::Scan => rng.random_range(3.0..8.0),
-            _ => rng.random_range(0.6..1.0),
-        };
-        let part = if *kind == Kind::MassRestart {
-            0.4
-        } else {
-            rng.random_range(0.15..0.35)
-        };
-        let at = length.mul_f64(rng.random_range(0.3..0.4));
-        let len = match kind {
-            Kind::HostStall | Kind::HostCrash | Kind::StateCrash | Kind::StateRestored => {
-                Duration::from_secs_f64(rng.random_range(1.0..3.0))
-            }
-            _ => length.mul_f64(rng.random_range(0.25..0.4)),
-        };
-        let (nodes, hosts, zone) = (Vec::new(), Vec::new(), None);
-        Trouble {
-            kind: *kind,
-            at,
-            len,
-            part,
-            size,
-            nodes,
-            hosts,
-            zone,
+    let mut rng = source(seed, FAULT_KINDS_PURPOSE);
+    let faults = kinds
+        .iter()
+        .map(|kind| fault_of_kind(*kind, length, &mut rng));
+    faults.collect()
+}
+
+/// Draws one fault. The draws are in the order size, part, start, length.
+fn fault_of_kind(kind: Kind, length: Duration, rng: &mut Pcg64Mcg) -> Trouble {
+    let size = match kind {
+        Kind::Slow => rng.random_range(3.0..8.0),
+        Kind::HeavyTail => rng.random_range(8.0..24.0),
+        Kind::DiscoveryStale | Kind::FeedLate => rng.random_range(2.0..6.0),
+        Kind::Ageing => 6.0,
+        Kind::HotKey | Kind::Scan => rng.random_range(3.0..8.0),
+        _ => rng.random_range(0.6..1.0),
+    };
+    let part = if kind == Kind::MassRestart {
+        0.4
+    } else {
+        rng.random_range(0.15..0.35)
+    };
+    let at = length.mul_f64(rng.random_range(0.3..0.4));
+    let len = match kind {
+        Kind::HostStall | Kind::HostCrash | Kind::StateCrash | Kind::StateRestored => {
+            Duration::from_secs_f64(rng.random_range(1.0..3.0))
         }
-    });
-    each.collect()
+        _ => length.mul_f64(rng.random_range(0.25..0.4)),
+    };
+    Trouble {
+        kind,
+        at,
+        len,
+        part,
+        size,
+        nodes: Vec::new(),
+        hosts: Vec::new(),
+        zone: None,
+    }
 }
 
-/// A number in one that depends on the words alone.
+/// Returns a number in `0.0..1.0` that depends on the seed and the words alone.
 pub fn hash_to_unit(seed: u64, words: &[u64]) -> f64 {
-    let mix = words.iter().fold(seed, |h, w| {
-        (h ^ w).wrapping_mul(0x9e37_79b9_7f4a_7c15).rotate_left(29)
+    let hash = words.iter().fold(seed, |hash, word| {
+        (hash ^ word).wrapping_mul(MIXER).rotate_left(29)
     });
-    Pcg64Mcg::seed_from_u64(mix).random()
+    Pcg64Mcg::seed_from_u64(hash).random()
 }
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -74,7 +74,7 @@
     }
 
     /// From now on these pairs are cut, and no others.
-    pub fn cut(&self, pairs: BTreeSet<(usize, usize)>) {
+    pub fn set_cut(&self, pairs: BTreeSet<(usize, usize)>) {
         let mut state = self.lock();
         let (gone, open) = std::mem::take(&mut state.open)
             .into_iter()
--- a/crates/testbed/src/links/tests.rs
+++ b/crates/testbed/src/links/tests.rs
@@ -64,12 +64,12 @@
     say(&links, "a", 1);
     say(&links, "b", 0);
     until([1, 1]);
-    links.cut([(0, 1)].into());
+    links.set_cut([(0, 1)].into());
     for (from, to) in [("a", 1), ("b", 0), ("nobody", 0)] {
         say(&links, from, to);
     }
     until([2, 1]);
-    links.cut(BTreeSet::new());
+    links.set_cut(BTreeSet::new());
     say(&links, "a", 1);
     until([2, 2]);
 }
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -143,11 +143,11 @@
                 Kind::MassRestart => {
                     let down =
                         Duration::from_secs_f64(0.3 + hash_to_unit(seed, &[u64::from(spec.id), 5]));
-                    acts.extend([(s.at, Act::Stop), (s.at + down, Act::Start)]);
+                    acts.extend([(s.start, Act::Stop), (s.start + down, Act::Start)]);
                 }
-                Kind::Drain => acts.extend([(s.at, Act::Drain), (s.at + s.len, Act::Undrain)]),
+                Kind::Drain => acts.extend([(s.start, Act::Drain), (s.end(), Act::Undrain)]),
                 Kind::Ageing => {
-                    let end = s.at + s.len;
+                    let end = s.end();
                     acts.extend([
                         (end, Act::Stop),
                         (end + Duration::from_millis(700), Act::Start),
@@ -210,7 +210,7 @@
     fn active_fault(&self, kind: Kind, now: Duration) -> Option<&InjectedFault> {
         self.injected_faults
             .iter()
-            .find(|s| s.kind == kind && (s.at..s.at + s.len).contains(&now))
+            .find(|s| s.kind == kind && s.is_active(now))
     }
 
     /// The part of its full power that it has now, but for troubles.
@@ -226,18 +226,18 @@
     fn speed(&self, now: Duration) -> f64 {
         let mut speed = self.spec.speed * self.warmth(now);
         if let Some(s) = self.active_fault(Kind::Slow, now) {
-            speed /= s.size.max(1.0);
+            speed /= s.magnitude.max(1.0);
         }
         if let Some(s) = self.active_fault(Kind::Neighbour, now) {
-            speed *= if (now - s.at).as_secs() % 4 < 2 {
-                (1.0 - s.size).max(0.05)
+            speed *= if (now - s.start).as_secs() % 4 < 2 {
+                (1.0 - s.magnitude).max(0.05)
             } else {
                 1.0
             };
         }
         if let Some(s) = self.active_fault(Kind::Ageing, now) {
-            let part = (now - s.at).as_secs_f64() / s.len.as_secs_f64().max(1e-3);
-            speed /= 1.0 + (s.size.max(1.0) - 1.0) * part;
+            let part = (now - s.start).as_secs_f64() / s.duration.as_secs_f64().max(1e-3);
+            speed /= 1.0 + (s.magnitude.max(1.0) - 1.0) * part;
         }
         speed.max(1e-3)
     }
@@ -253,7 +253,7 @@
         let mut work = stream.unit_work.mul_f64(attempt.units * noise);
         if let Some(s) = self.active_fault(Kind::HeavyTail, now) {
             if hash_to_unit(self.seed, &[words, 2]) < 0.02 {
-                work = work.mul_f64(s.size.max(1.0));
+                work = work.mul_f64(s.magnitude.max(1.0));
             }
         }
         if attempt.number == 0 && self.last.contains(&attempt.extent) {
@@ -307,7 +307,7 @@
         let words = attempt.attempt ^ u64::from(attempt.node) << 32;
         if self
             .active_fault(Kind::FastErrors, now)
-            .is_some_and(|s| hash_to_unit(self.seed, &[words, 3]) < s.size)
+            .is_some_and(|s| hash_to_unit(self.seed, &[words, 3]) < s.magnitude)
         {
             return turn(pb::Result::Error);
         }
@@ -476,7 +476,7 @@
         let words = attempt.attempt ^ 0x10_0000;
         if self
             .active_fault(Kind::AnswerLost, now)
-            .is_some_and(|s| hash_to_unit(self.seed, &[words, 4]) < s.size)
+            .is_some_and(|s| hash_to_unit(self.seed, &[words, 4]) < s.magnitude)
         {
             return;
         }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -25,7 +25,7 @@
 #[derive(Debug, Clone)]
 pub struct Relay {
     state: Arc<Mutex<State>>,
-    pub address: SocketAddr,
+    address: SocketAddr,
 }
 
 impl Relay {
@@ -65,7 +65,12 @@
         Ok(relay)
     }
 
-    pub fn cut(&self, cut: bool) {
+    /// Returns the address at which the relay listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
+
+    pub fn set_cut(&self, cut: bool) {
         let mut state = lock(&self.state);
         state.cut = cut;
         if cut {
@@ -76,7 +81,7 @@
         }
     }
 
-    pub fn late(&self, by: Duration) {
+    pub fn set_delay(&self, by: Duration) {
         lock(&self.state).late = by;
     }
 }
--- a/crates/testbed/src/relay/tests.rs
+++ b/crates/testbed/src/relay/tests.rs
@@ -16,12 +16,12 @@
             });
         }
     });
-    let mut c = TcpStream::connect(relay.address).unwrap();
+    let mut c = TcpStream::connect(relay.address()).unwrap();
     let mut b = [0; 5];
     c.write_all(b"hello").unwrap();
     c.read_exact(&mut b).unwrap();
     assert_eq!(&b, b"hello");
-    relay.late(Duration::from_millis(100));
+    relay.set_delay(Duration::from_millis(100));
     let begun = Instant::now();
     c.write_all(b"again").unwrap();
     c.read_exact(&mut b).unwrap();
@@ -29,11 +29,11 @@
         begun.elapsed() >= Duration::from_millis(200),
         "late both ways"
     );
-    relay.cut(true);
+    relay.set_cut(true);
     assert!(matches!(c.read(&mut b), Ok(0) | Err(_)));
-    relay.cut(false);
-    relay.late(Duration::ZERO);
-    let mut c = TcpStream::connect(relay.address).unwrap();
+    relay.set_cut(false);
+    relay.set_delay(Duration::ZERO);
+    let mut c = TcpStream::connect(relay.address()).unwrap();
     c.write_all(b"later").unwrap();
     c.read_exact(&mut b).unwrap();
 }
--- a/crates/testbed/src/serve.rs
+++ b/crates/testbed/src/serve.rs
@@ -72,7 +72,7 @@
     let Some(place) = host.and_then(place) else {
         return false;
     };
-    let on = |s: &&InjectedFault| s.kind == Kind::WayCut && (s.at..s.at + s.len).contains(&now);
+    let on = |s: &&InjectedFault| s.kind == Kind::WayCut && s.is_active(now);
     injected_faults
         .iter()
         .filter(on)
@@ -339,8 +339,8 @@
             let on = injected_faults
                 .iter()
                 .filter(|s| s.kind == Kind::DiscoveryStale);
-            let on = on.filter(|s| (s.at..s.at + s.len).contains(&now));
-            on.map(|s| Duration::from_secs_f64(s.size))
+            let on = on.filter(|s| s.is_active(now));
+            on.map(|s| Duration::from_secs_f64(s.magnitude))
                 .max()
                 .unwrap_or_default()
         };
