--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -301,7 +301,7 @@
             to.clone(),
         );
         net::dial(list.parse().unwrap(), 0, me, Default::default(), to).unwrap();
-        let PeerEvent::Up { line, .. } = heard.recv().unwrap() else {
+        let PeerEvent::Connected { connection, .. } = heard.recv().unwrap() else {
             panic!("the list greets")
         };
         let state = pb::NodeState::Ready.into();
@@ -313,12 +313,12 @@
             start: 1,
             ..Default::default()
         });
-        line.send(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
+        connection.send(Body::AnnounceEndpoint(pb::AnnounceEndpoint {
             endpoint: entry,
         }));
         SlowNode {
             heard,
-            lines: BTreeMap::from([(0, line)]),
+            lines: BTreeMap::from([(0, connection)]),
             kept: BTreeMap::new(),
             held: Vec::new(),
         }
@@ -329,8 +329,10 @@
         let end = clock::now() + span;
         while self.held.len() < until_held {
             match self.heard.recv_timeout(end.saturating_sub(clock::now())) {
-                Ok(PeerEvent::Up { conn, line, .. }) => drop(self.lines.insert(conn, line)),
-                Ok(PeerEvent::Gone { conn, .. }) => drop(self.lines.remove(&conn)),
+                Ok(PeerEvent::Connected {
+                    conn, connection, ..
+                }) => drop(self.lines.insert(conn, connection)),
+                Ok(PeerEvent::Closed { conn, .. }) => drop(self.lines.remove(&conn)),
                 Ok(PeerEvent::Frame {
                     conn,
                     body: Body::Attempt(attempt),
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -418,15 +418,20 @@
 
     fn hear(&mut self, heard: PeerEvent) {
         match heard {
-            PeerEvent::Up { at, conn, line, .. } => {
-                let host = at as usize;
+            PeerEvent::Connected {
+                source,
+                conn,
+                connection,
+                ..
+            } => {
+                let host = source as usize;
                 match self.lines[host] {
-                    None => self.lines[host] = Some((conn, line)),
-                    Some(_) => line.close(),
+                    None => self.lines[host] = Some((conn, connection)),
+                    Some(_) => connection.close(),
                 }
             }
-            PeerEvent::Gone { at, conn } => {
-                let host = at as usize;
+            PeerEvent::Closed { source, conn } => {
+                let host = source as usize;
                 if self.lines[host].as_ref().is_none_or(|l| l.0 != conn) {
                     return;
                 }
--- a/crates/testbed/src/net.rs
+++ b/crates/testbed/src/net.rs
@@ -1,4 +1,10 @@
-//! Connections of stand-ins: plain threads, one that reads and one that writes each.
+//! Connections of the testbed: one thread that reads and one that writes for each.
+//!
+//! [`crate::serve`] and [`crate::clients`] call it. The threads send a [`PeerEvent`] for all that
+//! happens to a connection, and the caller's loop answers through a [`PeerConnection`]. A
+//! connection owns its socket; nothing else is shared but the counter of connections.
+//!
+//! Bounds: `MAX_FRAME` bytes a frame; no bound on the frames that wait for the writer.
 
 use grebecleat_wire::delay::Delay;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -11,32 +17,53 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+/// Limit on the bytes of one frame. A smaller limit rejects large writes; a larger one lets a
+/// faulty peer take more memory.
 const MAX_FRAME: usize = 16 << 20;
-const PATIENCE: Duration = Duration::from_secs(5);
-static CONNS: AtomicU64 = AtomicU64::new(1);
+/// Timeout of a dial, and of the peer's greeting. A shorter one drops peers on a busy machine; a
+/// longer one holds a thread for a silent peer.
+const GREETING_TIMEOUT: Duration = Duration::from_secs(5);
+/// Limit on the frames that one system call writes. A larger limit delays the first of them.
+const MAX_WRITE_BATCH: usize = 256;
+/// The number of the next connection of this process.
+static NEXT_CONNECTION: AtomicU64 = AtomicU64::new(1);
 
-/// What a stand-in's loop hears. `at` names the listener or dial that the connection belongs to.
+/// An event of a connection. `source` names the listener or the dial that the connection belongs
+/// to; `conn` is the connection's number in this process.
 #[derive(Debug)]
 pub enum PeerEvent {
-    Up {
-        at: u32,
+    /// The peer greeted with a supported version.
+    Connected {
+        /// The listener or the dial.
+        source: u32,
+        /// The connection's number.
         conn: u64,
-        them: pb::Hello,
-        line: PeerConnection,
+        /// The peer's greeting.
+        peer: pb::Hello,
+        /// The way to send to the peer.
+        connection: PeerConnection,
     },
+    /// A frame was received.
     Frame {
-        at: u32,
+        /// The listener or the dial.
+        source: u32,
+        /// The connection's number.
         conn: u64,
+        /// The time for which the frame waited on its way.
         waited: Duration,
+        /// The frame's content.
         body: Body,
     },
-    Gone {
-        at: u32,
+    /// A connection closed whose peer had greeted.
+    Closed {
+        /// The listener or the dial.
+        source: u32,
+        /// The connection's number.
         conn: u64,
     },
 }
 
-/// The way out of one connection.
+/// The sending side of one connection.
 #[derive(Debug, Clone)]
 pub struct PeerConnection {
     frames: Sender<Body>,
@@ -44,156 +71,232 @@
 }
 
 impl PeerConnection {
+    /// Queues a frame for the writer. A frame to a closed connection is dropped.
     pub fn send(&self, body: Body) {
         let _ = self.frames.send(body);
     }
 
+    /// Closes the connection in both directions.
     pub fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
+/// Returns the greeting of a process of the testbed.
 pub fn hello(role: pb::Role, name: &str, incarnation: u64) -> pb::Hello {
-    let max_frame = MAX_FRAME as u32;
     pb::Hello {
         version: VERSION,
         role: role.into(),
         name: name.into(),
         incarnation,
-        max_frame,
+        max_frame: MAX_FRAME as u32,
     }
 }
 
-/// Listens; every caller that greets properly is heard of. While `shut` is set callers are hung up
-/// on.
+/// Accepts connections in a thread of its own. While `closed` is set, connections are dropped.
 pub fn listen(
     listener: TcpListener,
-    at: u32,
+    source: u32,
     me: pb::Hello,
     tracer: Tracer,
-    shut: Arc<AtomicBool>,
-    to: Sender<PeerEvent>,
+    closed: Arc<AtomicBool>,
+    events: Sender<PeerEvent>,
 ) {
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            if shut.load(Ordering::Relaxed) {
+            if closed.load(Ordering::Relaxed) {
                 continue;
             }
-            let (me, tracer, to) = (me.clone(), tracer.clone(), to.clone());
-            std::thread::spawn(move || drop(converse(stream, at, me, tracer, to)));
+            spawn_reader(stream, source, me.clone(), tracer.clone(), events.clone());
         }
     });
 }
 
-/// Dials, and then is heard like a caller.
+/// Opens a connection; its events are those of an accepted one.
+///
+/// # Errors
+///
+/// Returns an error if nothing accepts the connection in time.
 pub fn dial(
     address: SocketAddr,
-    at: u32,
+    source: u32,
     me: pb::Hello,
     tracer: Tracer,
-    to: Sender<PeerEvent>,
+    events: Sender<PeerEvent>,
 ) -> io::Result<()> {
-    let stream = TcpStream::connect_timeout(&address, PATIENCE)?;
-    std::thread::spawn(move || drop(converse(stream, at, me, tracer, to)));
+    let stream = TcpStream::connect_timeout(&address, GREETING_TIMEOUT)?;
+    spawn_reader(stream, source, me, tracer, events);
     Ok(())
 }
 
-fn converse(
-    mut stream: TcpStream,
-    at: u32,
+fn spawn_reader(
+    stream: TcpStream,
+    source: u32,
     me: pb::Hello,
     tracer: Tracer,
-    to: Sender<PeerEvent>,
-) -> io::Result<()> {
+    events: Sender<PeerEvent>,
+) {
+    std::thread::spawn(move || {
+        // An error ends this connection alone; its peer sees that it closed.
+        let _ = greet(stream, me)
+            .and_then(|stream| ConnectionReader::new(stream, source, tracer, events)?.run());
+    });
+}
+
+/// Sends the greeting, and bounds the wait for the peer's.
+fn greet(mut stream: TcpStream, me: pb::Hello) -> io::Result<TcpStream> {
     stream.set_nodelay(true)?;
     let mut bytes = Vec::new();
-    let sent_us = clock::micros(clock::now());
-    frame::write(
-        &pb::Frame {
-            sent_us,
-            body: Some(Body::Hello(me)),
-        },
-        &mut bytes,
-    );
+    let greeting = pb::Frame {
+        sent_us: clock::micros(clock::now()),
+        body: Some(Body::Hello(me)),
+    };
+    frame::write(&greeting, &mut bytes);
     stream.write_all(&bytes)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    let mut reader = frame::Reader::new(MAX_FRAME);
-    let conn = CONNS.fetch_add(1, Ordering::Relaxed);
-    let (frames, from) = mpsc::channel();
-    let mut from = Some(from);
-    let own = Arc::new(stream.try_clone()?);
-    let mut delay = Delay::default();
-    let mut up = false;
-    let mut name = String::new();
-    loop {
-        let mut read = Vec::new();
-        let now = clock::now();
-        while let Ok(Some(f)) = reader
-            .next::<pb::Frame>()
-            .map_err(|_| own.shutdown(Shutdown::Both))
-        {
-            read.push(f);
+    stream.set_read_timeout(Some(GREETING_TIMEOUT))?;
+    Ok(stream)
+}
+
+/// The reading thread of one connection. It starts the writing thread once the peer greets.
+struct ConnectionReader {
+    source: u32,
+    conn: u64,
+    stream: TcpStream,
+    shared_stream: Arc<TcpStream>,
+    reader: frame::Reader,
+    tracer: Tracer,
+    events: Sender<PeerEvent>,
+    delay: Delay,
+    /// The peer's name, after its greeting.
+    peer: Option<String>,
+}
+
+impl ConnectionReader {
+    fn new(
+        stream: TcpStream,
+        source: u32,
+        tracer: Tracer,
+        events: Sender<PeerEvent>,
+    ) -> io::Result<Self> {
+        let conn = NEXT_CONNECTION.fetch_add(1, Ordering::Relaxed);
+        let shared_stream = Arc::new(stream.try_clone()?);
+        Ok(ConnectionReader {
+            source,
+            conn,
+            stream,
+            shared_stream,
+            reader: frame::Reader::new(MAX_FRAME),
+            tracer,
+            events,
+            delay: Delay::default(),
+            peer: None,
+        })
+    }
+
+    /// Reads until the connection closes.
+    fn run(mut self) -> io::Result<()> {
+        loop {
+            let now = clock::now();
+            let frames = self.decode();
+            self.tracer.read(self.conn, now, &frames);
+            for frame in frames {
+                self.receive(frame, now)?;
+            }
+            match self.reader.fill(&mut self.stream) {
+                Ok(count) if count > 0 => {}
+                _ => break,
+            }
+        }
+        self.shut_down();
+        if let Some(peer) = &self.peer {
+            self.tracer.closed(self.conn, peer);
+            let (source, conn) = (self.source, self.conn);
+            let _ = self.events.send(PeerEvent::Closed { source, conn });
         }
-        tracer.read(conn, now, &read);
-        for f in read {
-            let waited = delay.waited(f.sent_us, now);
-            match f.body {
-                Some(Body::Hello(them)) if !up && them.version == VERSION => {
-                    stream.set_read_timeout(None)?;
-                    (up, name) = (true, them.name.clone());
-                    tracer.opened(conn, &name);
-                    let (writer, tracer) = (own.clone(), tracer.clone());
-                    let line = PeerConnection {
-                        frames: frames.clone(),
-                        stream: own.clone(),
-                    };
-                    let _ = to.send(PeerEvent::Up {
-                        at,
-                        conn,
-                        them,
-                        line,
-                    });
-                    if let Some(from) = from.take() {
-                        std::thread::spawn(move || write_on(&writer, conn, &tracer, &from));
-                    }
+        Ok(())
+    }
+
+    /// Returns the complete frames among the bytes that were read. A malformed frame closes the
+    /// connection.
+    fn decode(&mut self) -> Vec<pb::Frame> {
+        let mut frames = Vec::new();
+        loop {
+            match self.reader.next::<pb::Frame>() {
+                Ok(Some(frame)) => frames.push(frame),
+                Ok(None) => return frames,
+                Err(_) => {
+                    self.shut_down();
+                    return frames;
                 }
-                Some(body) if up => drop(to.send(PeerEvent::Frame {
-                    at,
+            }
+        }
+    }
+
+    fn receive(&mut self, frame: pb::Frame, now: Duration) -> io::Result<()> {
+        let waited = self.delay.waited(frame.sent_us, now);
+        let (source, conn) = (self.source, self.conn);
+        match frame.body {
+            Some(Body::Hello(peer)) if self.peer.is_none() && peer.version == VERSION => {
+                self.accept_greeting(peer)?;
+            }
+            Some(body) if self.peer.is_some() => {
+                let _ = self.events.send(PeerEvent::Frame {
+                    source,
                     conn,
                     waited,
                     body,
-                })),
-                _ => drop(stream.shutdown(Shutdown::Both)),
+                });
             }
+            _ => self.shut_down(),
         }
-        match reader.fill(&mut stream) {
-            Ok(n) if n > 0 => {}
-            _ => break,
-        }
+        Ok(())
     }
-    let _ = own.shutdown(Shutdown::Both);
-    if up {
-        tracer.closed(conn, &name);
-        let _ = to.send(PeerEvent::Gone { at, conn });
+
+    fn accept_greeting(&mut self, peer: pb::Hello) -> io::Result<()> {
+        self.stream.set_read_timeout(None)?;
+        self.peer = Some(peer.name.clone());
+        self.tracer.opened(self.conn, &peer.name);
+        let (frames, queued) = mpsc::channel();
+        let connection = PeerConnection {
+            frames,
+            stream: self.shared_stream.clone(),
+        };
+        let conn = self.conn;
+        let _ = self.events.send(PeerEvent::Connected {
+            source: self.source,
+            conn,
+            peer,
+            connection,
+        });
+        let stream = self.shared_stream.clone();
+        let tracer = self.tracer.clone();
+        std::thread::spawn(move || write_frames(&stream, conn, &tracer, &queued));
+        Ok(())
+    }
+
+    fn shut_down(&self) {
+        let _ = self.shared_stream.shutdown(Shutdown::Both);
     }
-    Ok(())
 }
 
-fn write_on(mut stream: &TcpStream, conn: u64, tracer: &Tracer, from: &Receiver<Body>) {
+/// Writes the queued frames in batches, until the connection closes.
+fn write_frames(mut stream: &TcpStream, conn: u64, tracer: &Tracer, queued: &Receiver<Body>) {
     let mut bytes = Vec::new();
-    while let Ok(first) = from.recv() {
+    while let Ok(first) = queued.recv() {
         let now = clock::now();
         let sent_us = clock::micros(now);
-        let bodies = std::iter::once(first).chain(from.try_iter().take(255));
-        let frames: Vec<_> = bodies
-            .map(|b| pb::Frame {
+        let bodies = std::iter::once(first).chain(queued.try_iter().take(MAX_WRITE_BATCH - 1));
+        let frames: Vec<pb::Frame> = bodies
+            .map(|body| pb::Frame {
                 sent_us,
-                body: Some(b),
+                body: Some(body),
             })
             .collect();
         tracer.written(conn, now, &frames);
         bytes.clear();
-        frames.iter().for_each(|f| _ = frame::write(f, &mut bytes));
+        for frame in &frames {
+            frame::write(frame, &mut bytes);
+        }
         if stream.write_all(&bytes).is_err() {
             return;
         }
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -84,8 +84,8 @@
 
 #[derive(Debug)]
 pub struct Node {
-    pub spec: NodeSpec,
-    pub process_state: ProcessState,
+    spec: NodeSpec,
+    process_state: ProcessState,
     settings: Arc<Settings>,
     seed: u64,
     injected_faults: Vec<InjectedFault>,
@@ -186,6 +186,16 @@
         }
     }
 
+    /// Returns the node's specification in the script.
+    pub fn spec(&self) -> &NodeSpec {
+        &self.spec
+    }
+
+    /// Returns the state of the node's process.
+    pub fn process_state(&self) -> ProcessState {
+        self.process_state
+    }
+
     pub fn starts(&self) -> u64 {
         self.starts
     }
