--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -69,12 +69,12 @@
     }
 
     /// Where a host has come up.
-    pub fn leads_to(&self, host: usize, address: SocketAddr) {
+    pub fn set_target(&self, host: usize, address: SocketAddr) {
         self.lock().targets[host] = Some(address);
     }
 
     /// From now on these pairs are cut, and no others.
-    pub fn cut(&self, pairs: BTreeSet<(usize, usize)>) {
+    pub fn set_cut(&self, pairs: BTreeSet<(usize, usize)>) {
         let mut state = self.lock();
         let (gone, open) = std::mem::take(&mut state.open)
             .into_iter()
