--- a/crates/cli/src/trace_checks.rs
+++ b/crates/cli/src/trace_checks.rs
@@ -4,7 +4,7 @@
 use crate::common::load;
 use crate::exit::{could_not_run, CommandError};
 use grebecleat_settings::Settings;
-use grebecleat_trace_checker::{Case, Verdict, RULES};
+use grebecleat_trace_checker::{TraceSet, Verdict, RULES};
 use grebecleat_wire::trace;
 use std::io::Write;
 use std::path::Path;
@@ -26,20 +26,20 @@
 
 /// Returns the verdict on the traces in a folder.
 pub fn verdict(dir: &Path, settings: &Settings) -> Result<Verdict, CommandError> {
-    Case::open(dir)?.judge(settings).map_err(could_not_run)
+    TraceSet::open(dir)?.check(settings).map_err(could_not_run)
 }
 
 /// Returns whether no rule was broken and no command of an initiator failed.
 pub fn passed(verdict: &Verdict) -> bool {
-    verdict.breaches.is_empty() && verdict.commands.fine()
+    verdict.violations.is_empty() && verdict.commands.fine()
 }
 
 /// Prints broken rules with their frames, and counts.
 pub fn print_verdict(verdict: &Verdict, dir: &Path) {
-    for breach in &verdict.breaches {
-        let rule = RULES[usize::from(breach.rule) - 1];
-        println!("rule {} ({rule}): {}", breach.rule, breach.what);
-        for frame in &breach.frames {
+    for violation in &verdict.violations {
+        let rule = RULES[usize::from(violation.rule) - 1];
+        println!("rule {} ({rule}): {}", violation.rule, violation.what);
+        for frame in &violation.frames {
             println!("    {frame}");
         }
     }
@@ -47,7 +47,7 @@
     println!(
         "audit: {} legs, {} effects, {} transfers lost with their host; \
          last new leg {:.0} ms after a drain was told",
-        verdict.attempts, verdict.effects, verdict.lost, verdict.drain_ms
+        verdict.attempts, verdict.effects, verdict.lost_with_host, verdict.drain_lag_ms
     );
     print_revision_times(verdict);
     if verdict.commands.taken > 0 {
@@ -60,7 +60,11 @@
 
 /// Prints the time from the notification of a revision until it was in force at every host.
 fn print_revision_times(verdict: &Verdict) {
-    let mut times: Vec<Duration> = verdict.settled.iter().map(|(_, time)| *time).collect();
+    let mut times: Vec<Duration> = verdict
+        .revision_times
+        .iter()
+        .map(|(_, time)| *time)
+        .collect();
     times.sort_unstable();
     let Some(longest) = times.last() else {
         return;
--- a/crates/trace-checker/src/plans.rs
+++ b/crates/trace-checker/src/plans.rs
@@ -11,8 +11,7 @@
 //! counts is settled to its end, the larger of both limits is in force, and nothing is said of what
 //! was settled.
 
-use crate::run::Host;
-use crate::{Breach, Verdict};
+use crate::{Verdict, Violation};
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, change, frame::Body, record::Kind, Record};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -241,7 +240,7 @@
     }
 
     /// Whether each version was settled when it was first called so.
-    pub fn judge_stable(&self, s: &Settings, v: &mut Verdict) {
+    pub fn check_stable(&self, s: &Settings, v: &mut Verdict) {
         let Some(spec) = &s.state else { return };
         let first = self.epochs.first().copied().unwrap_or_default();
         let mut stable = 0;
@@ -253,7 +252,7 @@
             for host in s.hosts.iter().map(|h| h.name.as_str()) {
                 if let Some(why) = self.unsettled(spec.lease + spec.margin, t, host) {
                     let what = format!("entry {} was called settled while {host} {why}", t.stable);
-                    v.breaches.push(Breach {
+                    v.violations.push(Violation {
                         rule: 7,
                         what,
                         frames: vec![format!("{t:?}")],
@@ -345,67 +344,3 @@
         took.into_iter().collect()
     }
 }
-
-/// Rule 7: all hosts' first attempts of a volume against its one store.
-pub fn limits(s: &Settings, hosts: &[Host], plans: &Plans, v: &mut Verdict) {
-    let declared = |volume: u64| {
-        let spec = s.volumes.iter().find(|x| x.id == volume)?;
-        let p = &s.plans[spec.plan].facts;
-        (p.limit > 0.0).then_some(Limit {
-            rate: p.limit,
-            burst: p.limit_burst,
-            slack: p.limit_slack,
-        })
-    };
-    let mut firsts: BTreeMap<u64, Vec<(Duration, f64, String)>> = BTreeMap::new();
-    for h in hosts {
-        for attempt in h
-            .taken
-            .iter()
-            .filter_map(|t| t.attempts.first())
-            .map(|l| &h.attempts[*l])
-        {
-            let line = firsts.entry(attempt.attempt.volume).or_default();
-            line.push((
-                attempt.seen.at,
-                attempt.attempt.units,
-                attempt.seen.show.clone(),
-            ));
-        }
-    }
-    for (volume, mut attempts) in firsts {
-        attempts.sort_by_key(|l| l.0);
-        let in_force = plans.in_force(volume, declared(volume));
-        let mut next = in_force.iter().peekable();
-        let (mut limit, mut level, mut at) = (None::<Limit>, 0.0, Duration::ZERO);
-        for (moment, units, show) in attempts {
-            while let Some((from, new)) = next.next_if(|n| n.0 <= moment) {
-                level = match (limit, new) {
-                    // A store of its own, which is full; or one that goes on, and holds no more
-                    // than it may.
-                    (None, Some(new)) => new.burst,
-                    (Some(old), Some(new)) => {
-                        let filled = (*from).saturating_sub(at).as_secs_f64() * old.rate;
-                        (level + filled).min(old.burst).min(new.burst)
-                    }
-                    _ => 0.0,
-                };
-                (limit, at) = (*new, *from);
-            }
-            let Some(l) = limit else { continue };
-            let filled = moment.saturating_sub(at).as_secs_f64() * l.rate;
-            level = (level + filled).min(l.burst) - units;
-            at = moment;
-            if level < -l.slack {
-                let what = format!("volume {volume}: {:.1} units below its store", -level);
-                if v.breaches.iter().filter(|b| b.rule == 7).count() < 20 {
-                    v.breaches.push(Breach {
-                        rule: 7,
-                        what,
-                        frames: vec![show],
-                    });
-                }
-            }
-        }
-    }
-}
--- a/crates/trace-checker/src/run.rs
+++ b/crates/trace-checker/src/run.rs
@@ -1,6 +1,7 @@
 //! A run as its traces tell it: requests, attempts and what the list said, by host and moment.
 
 use crate::plans::Plans;
+use crate::CheckError;
 use bytes::Bytes;
 use grebecleat_wire::pb::{self, frame::Body, marked::What, record::Kind, Record};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -104,18 +105,15 @@
 }
 
 impl Run {
-    pub fn of(traces: &[Vec<Record>]) -> Result<Self, String> {
+    pub fn read(traces: &[Vec<Record>]) -> Result<Self, CheckError> {
         let mut run = Run::default();
         for records in traces {
             let who = records
                 .first()
                 .and_then(|r| r.process.clone())
-                .ok_or("a trace names no writer")?;
+                .ok_or(CheckError::NoWriter)?;
             if records.iter().any(|r| r.kind() == Kind::Cut) {
-                return Err(format!(
-                    "the trace of {} was cut at its bound: nothing can be judged",
-                    who.name
-                ));
+                return Err(CheckError::Truncated { process: who.name });
             }
             match who.role() {
                 pb::Role::Client => run.clients(records),
--- a/crates/trace-checker/tests/commands.rs
+++ b/crates/trace-checker/tests/commands.rs
@@ -1,7 +1,7 @@
 //! Commands of a portal from PDUs as they should be, and doctored so that each fault is found.
 
 use grebecleat_settings::Settings;
-use grebecleat_trace_checker::{commands::Commands, Case};
+use grebecleat_trace_checker::{commands::Commands, TraceSet};
 use grebecleat_wire::pb::{self, marked::What, record::Kind, Record};
 use grebecleat_wire::trace::block_sum;
 
@@ -127,11 +127,12 @@
         });
     }
 
-    fn judge(self) -> Commands {
-        let mut case = Case::default();
-        case.add(self.host);
-        case.add(self.clients);
-        case.judge(&Settings::read("t.star".as_ref(), SETTINGS.into()).unwrap())
+    fn check(self) -> Commands {
+        let mut traces = TraceSet::default();
+        traces.add(self.host);
+        traces.add(self.clients);
+        traces
+            .check(&Settings::read("t.star".as_ref(), SETTINGS.into()).unwrap())
             .unwrap()
             .commands
     }
@@ -153,7 +154,7 @@
     t.status(9, 3, 8); // BUSY: it may show or not
     t.read(10, 11, 4, &[7, 8, 0]);
     t.read(12, 13, 5, &[9, 8, 0]);
-    let c = t.judge();
+    let c = t.check();
     assert_eq!(
         (counts(&c), c.blocks, c.wrong.len()),
         ([6, 6, 0, 0, 0], 3, 0),
@@ -200,7 +201,7 @@
             }
             _ => {}
         }
-        let c = t.judge();
+        let c = t.check();
         let expected = if ended {
             [1, 0, 1, 0, 0]
         } else {
@@ -216,7 +217,7 @@
     t.write(1, 1, &[7]);
     t.status(2, 1, 0);
     t.status(3, 1, 0);
-    assert_eq!(counts(&t.judge()), [1, 1, 0, 0, 1]);
+    assert_eq!(counts(&t.check()), [1, 1, 0, 0, 1]);
     let mut t = Trace::new();
     t.write(1, 1, &[7]);
     t.status(2, 1, 2); // nobody knows
@@ -228,9 +229,9 @@
         host: t.host.clone(),
         clients: t.clients.clone(),
     };
-    assert!(t.judge().fine());
+    assert!(t.check().fine());
     bad.read(9, 10, 5, &[8]);
-    let c = bad.judge();
+    let c = bad.check();
     assert_eq!((c.fine(), c.wrong.len()), (false, 1));
     assert!(
         c.wrong[0].starts_with("volume 5 block 8: no order"),
--- a/crates/trace-checker/tests/doctored.rs
+++ b/crates/trace-checker/tests/doctored.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use grebecleat_settings::Settings;
-use grebecleat_trace_checker::{Case, Verdict};
+use grebecleat_trace_checker::{TraceSet, Verdict};
 use grebecleat_wire::pb::{self, frame::Body, marked::What, record::Kind, Record};
 
 const SETTINGS: &str = r#"
@@ -185,8 +185,8 @@
         self.put(HOST, at, Kind::In, Body::AttemptResponse(a));
     }
 
-    fn judge(mut self) -> Verdict {
-        let mut case = Case::default();
+    fn check(mut self) -> Verdict {
+        let mut traces = TraceSet::default();
         // The clients' run goes on well past what is judged.
         self.0[CLIENT].push(Record {
             at_ns: 60_000_000_000,
@@ -196,11 +196,11 @@
         });
         for mut records in self.0 {
             records[1..].sort_by_key(|r| r.at_ns);
-            case.add(records);
+            traces.add(records);
         }
         let settings =
             Settings::read("doctored.star".as_ref(), SETTINGS.into()).expect("good settings");
-        case.judge(&settings).expect("whole traces")
+        traces.check(&settings).expect("whole traces")
     }
 }
 
@@ -209,7 +209,7 @@
     for doctored in [false, true] {
         let mut t = Traces::new();
         play(&mut t, doctored);
-        let broken: Vec<u8> = t.judge().breaches.iter().map(|b| b.rule).collect();
+        let broken: Vec<u8> = t.check().violations.iter().map(|b| b.rule).collect();
         let expected: &[u8] = if doctored { &[rule] } else { &[] };
         assert_eq!(broken, expected, "rule {rule}, doctored: {doctored}");
     }
@@ -238,7 +238,7 @@
             t.answer(30, 1, Completed);
         }
         assert_eq!(
-            t.judge().breaches.len(),
+            t.check().violations.len(),
             expected,
             "as the client and as the host shows it"
         );
@@ -259,8 +259,8 @@
     let mut t = Traces::new();
     t.take(10, 1, READ);
     t.closed(CLIENT, 500);
-    let v = t.judge();
-    assert_eq!((v.breaches, v.lost), (vec![], 1));
+    let v = t.check();
+    assert_eq!((v.violations, v.lost_with_host), (vec![], 1));
 }
 
 #[test]
@@ -273,7 +273,7 @@
             t.mark(4000, What::Continued);
         }
         t.answer(4010, 1, Rejected);
-        assert_eq!(t.judge().breaches.len(), broken);
+        assert_eq!(t.check().violations.len(), broken);
     }
 }
 
@@ -443,14 +443,16 @@
 
 #[test]
 fn a_truncated_trace_is_not_checked() {
-    let mut case = Case::default();
+    let mut traces = TraceSet::default();
     let mut t = Traces::new();
     t.0[HOST].push(Record {
         kind: Kind::Cut.into(),
         ..Default::default()
     });
-    t.0.into_iter().for_each(|records| case.add(records));
+    t.0.into_iter().for_each(|records| traces.add(records));
     let settings =
         Settings::read("doctored.star".as_ref(), SETTINGS.into()).expect("good settings");
-    assert!(case.judge(&settings).is_err_and(|e| e.contains("cut")));
+    assert!(traces
+        .check(&settings)
+        .is_err_and(|e| e.to_string().contains("cut")));
 }
--- a/crates/trace-checker/tests/plans.rs
+++ b/crates/trace-checker/tests/plans.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use grebecleat_settings::Settings;
-use grebecleat_trace_checker::{Case, Verdict};
+use grebecleat_trace_checker::{TraceSet, Verdict};
 use grebecleat_wire::pb::{self, change, frame::Body, record::Kind, Record};
 
 const SETTINGS: &str = r#"
@@ -145,12 +145,12 @@
         records.push(Self::record(at + 1, Kind::Out, 1, Body::Response(done)));
     }
 
-    fn judge(self) -> Verdict {
+    fn check(self) -> Verdict {
         let settings = Settings::read("x.star".as_ref(), SETTINGS.into()).expect("good settings");
-        let mut case = Case::default();
-        case.add(self.state);
-        self.hosts.into_iter().for_each(|h| case.add(h));
-        case.judge(&settings).unwrap()
+        let mut traces = TraceSet::default();
+        traces.add(self.state);
+        self.hosts.into_iter().for_each(|h| traces.add(h));
+        traces.check(&settings).unwrap()
     }
 }
 
@@ -184,8 +184,12 @@
 }
 
 fn broken(v: &Verdict) -> Vec<String> {
-    assert!(v.breaches.iter().all(|b| b.rule == 7), "{:?}", v.breaches);
-    v.breaches.iter().map(|b| b.what.clone()).collect()
+    assert!(
+        v.violations.iter().all(|b| b.rule == 7),
+        "{:?}",
+        v.violations
+    );
+    v.violations.iter().map(|b| b.what.clone()).collect()
 }
 
 /// Both hosts send at that rate each, second by second.
@@ -208,12 +212,12 @@
         (0..2).for_each(|h| t.acknowledged(3900, h, 2));
         (0..2).for_each(|h| t.told(4000, h, 2, 2, &[]));
         stream(&mut t, 5000, 12_000, later);
-        let v = t.judge();
+        let v = t.check();
         assert_eq!(
             broken(&v).is_empty(),
             fine,
             "{each}, {later}: {:?}",
-            v.breaches
+            v.violations
         );
     }
     // Lowered from 10 to 4: the old one is in force until it is settled, the new one from then on.
@@ -225,12 +229,12 @@
         (0..2).for_each(|h| t.told(4000, h, 2, 2, &[]));
         stream(&mut t, 100, until, 5.0);
         stream(&mut t, until, 14_000, later);
-        let v = t.judge();
+        let v = t.check();
         assert_eq!(
             broken(&v).is_empty(),
             fine,
             "{until}, {later}: {:?}",
-            v.breaches
+            v.violations
         );
     }
     // None at first, then one: its store is full when it comes into force.
@@ -246,7 +250,7 @@
         hosts: t.hosts.clone(),
         attempts: t.attempts,
     };
-    let v = t.judge();
+    let v = t.check();
     // The hosts had not said that they have entry 2 when it was called settled.
     assert_eq!(
         broken(&v),
@@ -256,7 +260,7 @@
         ]
     );
     stream(&mut bad, 9000, 12_000, 20.0);
-    assert!(broken(&bad.judge())
+    assert!(broken(&bad.check())
         .iter()
         .any(|b| b.contains("below its store")));
 }
@@ -332,7 +336,7 @@
             });
         }
         assert_eq!(
-            broken(&t.judge()).first().map(String::as_str),
+            broken(&t.check()).first().map(String::as_str),
             expected,
             "{what}"
         );
