--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod settings;
 
 pub use fields::Fault;
-pub use grebecleat_scheduler::api::{DeduplicationScope, Idempotency};
+pub use grebecleat_scheduler::api::{DeduplicationScope, Idempotency, SlowStartPolicy};
 pub use kinds::Kind;
 pub use settings::{
     Bounds, FleetSpec, HostSpec, ListSpec, NamedPlan, NodeSpec, PortalSpec, Rehearsal, Rules,
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -1,188 +1,145 @@
-//! A node that keeps bytes and does its work in time, without sockets.
+//! Model of a node: it stores bytes, and takes time for its work.
 //!
-//! It has cores, a queue that turns away when full, pauses, work of writes put off and done in one
-//! go, less work on data among the last few it took, a cold start during which it can be pushed
-//! over, and troubles. `take`, `advance` and `due` are all of it; times are those of the rehearsal.
+//! State machine: [`Node::take`], [`Node::cancel`] and [`Node::advance`] return the actions to
+//! perform; [`Node::due`] returns the time of the next call. No I/O and no clock; times are since
+//! the start of the scenario. [`crate::serve`] calls it.
+//!
+//! The node has cores, and a queue that rejects attempts when it is full. It pauses at intervals,
+//! defers a part of the work of writes and performs it at once, and has less work on extents that
+//! it accessed recently. While it warms up after a start, load can end its process. Faults slow it,
+//! stop it or change its responses.
+//!
+//! Bounds: `MAX_BYTES` and `MAX_KEYS` of `node/store.rs`, and the queue length of the script.
+
+mod jobs;
+mod meter;
+mod pauses;
+mod script;
+mod slow_start;
+mod store;
+
+pub use meter::Meter;
 
 use crate::draw::{hash_to_unit, InjectedFault};
-use crate::versions::Versions;
 use bytes::Bytes;
 use grebecleat_settings::{Kind, NodeSpec, Settings};
 use grebecleat_wire::pb;
-use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
+use jobs::{Job, Jobs};
+use pauses::Pauses;
+use script::{ProcessChange, ProcessScript};
+use slow_start::SlowStart;
+use std::collections::VecDeque;
 use std::sync::Arc;
 use std::time::Duration;
+use store::ExtentStore;
 
-/// Bytes of data that one node keeps; a write beyond is turned away.
-const MAX_BYTES: usize = 64 << 20;
-const MAX_REMEMBERED: usize = 100_000;
+/// The words that separate the hashes of different purposes.
+const NOISE_WORD: u64 = 1;
+const HEAVY_TAIL_WORD: u64 = 2;
+const FAST_ERROR_WORD: u64 = 3;
+const LOST_ANSWER_WORD: u64 = 4;
+const FIRST_PAUSE_WORD: u64 = 6;
+/// The bits by which the hash for lost answers differs from other hashes of the attempt.
+const LOST_ANSWER_BITS: u64 = 0x10_0000;
+/// The fraction of attempts that a heavy tail slows.
+const HEAVY_TAIL_FRACTION: f64 = 0.02;
+/// Lowest speed of a node; it bounds a division.
+const MIN_SPEED: f64 = 1e-3;
+/// Lowest fraction of its speed that a noisy neighbor leaves a node.
+const MIN_NEIGHBOR_FRACTION: f64 = 0.05;
+/// A noisy neighbor is active in the first `NEIGHBOR_ACTIVE` of each `NEIGHBOR_CYCLE` seconds.
+const NEIGHBOR_CYCLE: u64 = 4;
+const NEIGHBOR_ACTIVE: u64 = 2;
+/// Least work of a unit in seconds, and least length of a fault in seconds; they bound divisions.
+const MIN_UNIT_WORK: f64 = 1e-6;
+const MIN_SECONDS: f64 = 1e-3;
 
+/// The state of a node's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessState {
+    /// The process accepts attempts.
     Up,
+    /// The process rejects attempts, and finishes the accepted ones.
     Draining,
+    /// There is no process.
     Down,
 }
 
-/// What a node does at a moment.
+/// An action that a node's model requests.
 #[derive(Debug, PartialEq)]
 pub enum NodeAction {
+    /// Sends a response to an attempt.
     Answer {
+        /// The connection on which the attempt arrived.
         conn: u64,
+        /// The response.
         answer: pb::AttemptResponse,
     },
-    /// A write was carried out.
+    /// Records that a write took effect.
     Effect {
+        /// The attempt.
         attempt: u64,
+        /// The idempotency key of the write.
         id: Bytes,
     },
+    /// Announces that the process is up.
     Up {
+        /// The number of starts of the process.
         started: u64,
     },
+    /// Announces that the process drains.
     Drains,
-    /// The process is gone, or (`fell`) was pushed over.
+    /// Closes the connections, as there is no process now.
     Down {
+        /// Whether load ended the process.
         fell: bool,
     },
 }
 
-#[derive(Debug)]
-struct Job {
-    conn: u64,
-    attempt: pb::Attempt,
-    until: Duration,
-    work: Duration,
-}
-
-/// Units done for each volume through all nodes, by finished period.
-#[derive(Debug, Default)]
-pub struct Meter {
-    periods: BTreeMap<u64, HashMap<u64, f64>>,
-}
-
-impl Meter {
-    pub fn add(&mut self, period: u64, volume: u64, units: f64) {
-        *self
-            .periods
-            .entry(period)
-            .or_default()
-            .entry(volume)
-            .or_default() += units;
-        while self.periods.len() > 8 {
-            self.periods.pop_first();
-        }
-    }
-
-    pub fn of(&self, period: u64, volume: u64) -> f64 {
-        self.periods
-            .get(&period)
-            .and_then(|p| p.get(&volume))
-            .copied()
-            .unwrap_or(0.0)
-    }
-}
-
+/// The model of one node.
 #[derive(Debug)]
 pub struct Node {
     spec: NodeSpec,
-    process_state: ProcessState,
     settings: Arc<Settings>,
     seed: u64,
-    injected_faults: Vec<InjectedFault>,
-    /// Moments at which the script does something to it, and what.
-    acts: VecDeque<(Duration, Act)>,
+    faults: Vec<InjectedFault>,
+    process_state: ProcessState,
+    script: ProcessScript,
     starts: u64,
-    cold_since: Option<Duration>,
-    running: BTreeMap<(Duration, u64), Job>,
-    queue: VecDeque<Job>,
-    next: u64,
-    cancelled: BTreeSet<(u64, u64)>,
-    put_off: Duration,
-    flush_at: Duration,
-    still_until: Duration,
-    pause_at: Duration,
-    arrived: VecDeque<(Duration, f64)>,
-    last: VecDeque<u64>,
-    extents: HashMap<(u64, u64), Bytes>,
-    /// Of what was written with a version: which, by bytes of the extent.
-    versions: HashMap<(u64, u64), Versions>,
-    bytes: usize,
-    /// Keyed pieces of work that were carried out, and when.
-    done: HashMap<Bytes, Duration>,
-}
-
-/// An extent with a part of it written anew; what lies between is zeroes.
-fn patched(old: &Bytes, at: usize, data: &Bytes) -> Bytes {
-    let mut new = old.to_vec();
-    new.resize(new.len().max(at + data.len()), 0);
-    new[at..at + data.len()].copy_from_slice(data);
-    new.into()
-}
-
-#[derive(Debug, Clone, Copy, PartialEq)]
-enum Act {
-    Drain,
-    Undrain,
-    Stop,
-    Start,
+    slow_start: SlowStart,
+    jobs: Jobs,
+    pauses: Pauses,
+    /// The extents that were accessed last, which take less work.
+    recent_extents: VecDeque<u64>,
+    store: ExtentStore,
 }
 
 impl Node {
+    /// Returns a warm node without data, with those of the faults that affect it.
     pub fn new(
         spec: NodeSpec,
         settings: Arc<Settings>,
         seed: u64,
-        injected_faults: &[InjectedFault],
+        faults: &[InjectedFault],
     ) -> Self {
-        let own = |s: &&InjectedFault| s.nodes.contains(&spec.id);
-        let injected_faults: Vec<InjectedFault> =
-            injected_faults.iter().filter(own).cloned().collect();
-        let mut acts = Vec::new();
-        for s in &injected_faults {
-            match s.kind {
-                Kind::MassRestart => {
-                    let down =
-                        Duration::from_secs_f64(0.3 + hash_to_unit(seed, &[u64::from(spec.id), 5]));
-                    acts.extend([(s.start, Act::Stop), (s.start + down, Act::Start)]);
-                }
-                Kind::Drain => acts.extend([(s.start, Act::Drain), (s.end(), Act::Undrain)]),
-                Kind::Ageing => {
-                    let end = s.end();
-                    acts.extend([
-                        (end, Act::Stop),
-                        (end + Duration::from_millis(700), Act::Start),
-                    ]);
-                }
-                _ => {}
-            }
-        }
-        acts.sort_by_key(|a| a.0);
-        let first_pause = spec
-            .pause_every
-            .mul_f64(hash_to_unit(seed, &[u64::from(spec.id), 6]));
+        let own = faults.iter().filter(|fault| fault.nodes.contains(&spec.id));
+        let faults: Vec<InjectedFault> = own.cloned().collect();
+        let script = ProcessScript::new(spec.id, seed, &faults);
+        let random = hash_to_unit(seed, &[u64::from(spec.id), FIRST_PAUSE_WORD]);
+        let pauses = Pauses::new(spec.pause_every.mul_f64(random));
         Node {
             spec,
-            process_state: ProcessState::Up,
             settings,
             seed,
-            injected_faults,
-            acts: acts.into(),
+            faults,
+            process_state: ProcessState::Up,
+            script,
             starts: 1,
-            cold_since: None,
-            running: BTreeMap::new(),
-            queue: VecDeque::new(),
-            next: 0,
-            cancelled: BTreeSet::new(),
-            put_off: Duration::ZERO,
-            flush_at: Duration::ZERO,
-            still_until: Duration::ZERO,
-            pause_at: first_pause,
-            arrived: VecDeque::new(),
-            last: VecDeque::new(),
-            extents: HashMap::new(),
-            versions: HashMap::new(),
-            bytes: 0,
-            done: HashMap::new(),
+            slow_start: SlowStart::default(),
+            jobs: Jobs::default(),
+            pauses,
+            recent_extents: VecDeque::new(),
+            store: ExtentStore::default(),
         }
     }
 
@@ -196,371 +153,298 @@
         self.process_state
     }
 
+    /// Returns the number of starts of the process.
     pub fn starts(&self) -> u64 {
         self.starts
     }
 
+    /// Returns the time of the last start; `None` for a node that was warm when the scenario began.
     pub fn cold_since(&self) -> Option<Duration> {
-        self.cold_since
+        self.slow_start.cold_since()
     }
 
-    /// Units a second that it can do warm and undisturbed, for the audit.
+    /// Returns the units a second that the node serves warm and without faults.
     pub fn capacity(&self) -> f64 {
-        let shares: f64 = self.settings.traffic_classes.iter().map(|s| s.share).sum();
-        let work: f64 = self
-            .settings
-            .traffic_classes
+        let classes = &self.settings.traffic_classes;
+        let shares: f64 = classes.iter().map(|class| class.share).sum();
+        let work: f64 = classes
             .iter()
-            .map(|s| s.share * s.unit_work.as_secs_f64())
+            .map(|class| class.share * class.unit_work.as_secs_f64())
             .sum::<f64>()
             / shares;
-        f64::from(self.spec.cores) * self.spec.speed / work.max(1e-6)
+        f64::from(self.spec.cores) * self.spec.speed / work.max(MIN_UNIT_WORK)
     }
 
     fn active_fault(&self, kind: Kind, now: Duration) -> Option<&InjectedFault> {
-        self.injected_faults
-            .iter()
-            .find(|s| s.kind == kind && s.is_active(now))
-    }
-
-    /// The part of its full power that it has now, but for troubles.
-    fn warmth(&self, now: Duration) -> f64 {
-        let (rule, Some(since)) = (&self.settings.rules.cold, self.cold_since) else {
-            return 1.0;
-        };
-        let part =
-            (now.saturating_sub(since)).as_secs_f64() / rule.warm_up_time.as_secs_f64().max(1e-3);
-        (rule.initial_fraction + (1.0 - rule.initial_fraction) * part).min(1.0)
+        let mut faults = self.faults.iter();
+        faults.find(|fault| fault.kind == kind && fault.is_active(now))
     }
 
+    /// Returns the speed of the node now, with its warm-up and its faults.
     fn speed(&self, now: Duration) -> f64 {
-        let mut speed = self.spec.speed * self.warmth(now);
-        if let Some(s) = self.active_fault(Kind::Slow, now) {
-            speed /= s.magnitude.max(1.0);
+        let warmth = self.slow_start.warmth(now, &self.settings.rules.cold);
+        let mut speed = self.spec.speed * warmth;
+        if let Some(fault) = self.active_fault(Kind::Slow, now) {
+            speed /= fault.magnitude.max(1.0);
         }
-        if let Some(s) = self.active_fault(Kind::Neighbour, now) {
-            speed *= if (now - s.start).as_secs() % 4 < 2 {
-                (1.0 - s.magnitude).max(0.05)
-            } else {
-                1.0
-            };
+        if let Some(fault) = self.active_fault(Kind::Neighbour, now) {
+            if (now - fault.start).as_secs() % NEIGHBOR_CYCLE < NEIGHBOR_ACTIVE {
+                speed *= (1.0 - fault.magnitude).max(MIN_NEIGHBOR_FRACTION);
+            }
         }
-        if let Some(s) = self.active_fault(Kind::Ageing, now) {
-            let part = (now - s.start).as_secs_f64() / s.duration.as_secs_f64().max(1e-3);
-            speed /= 1.0 + (s.magnitude.max(1.0) - 1.0) * part;
+        if let Some(fault) = self.active_fault(Kind::Ageing, now) {
+            let length = fault.duration.as_secs_f64().max(MIN_SECONDS);
+            let elapsed = (now - fault.start).as_secs_f64() / length;
+            speed /= 1.0 + (fault.magnitude.max(1.0) - 1.0) * elapsed;
         }
-        speed.max(1e-3)
+        speed.max(MIN_SPEED)
     }
 
+    /// Returns the work of an attempt, and defers a part of the work of a write.
     fn work_of(&mut self, attempt: &pb::Attempt, now: Duration) -> Duration {
-        let stream = &self.settings.traffic_classes
-            [attempt.traffic_class as usize % self.settings.traffic_classes.len()];
-        let words = attempt
-            .id
-            .iter()
-            .fold(0u64, |h, b| h.wrapping_mul(131) + u64::from(*b));
-        let noise = 0.5 + hash_to_unit(self.seed, &[words, 1]);
-        let mut work = stream.unit_work.mul_f64(attempt.units * noise);
-        if let Some(s) = self.active_fault(Kind::HeavyTail, now) {
-            if hash_to_unit(self.seed, &[words, 2]) < 0.02 {
-                work = work.mul_f64(s.magnitude.max(1.0));
+        let classes = &self.settings.traffic_classes;
+        let class = &classes[attempt.traffic_class as usize % classes.len()];
+        let bytes = attempt.id.iter();
+        let id = bytes.fold(0u64, |hash, byte| hash.wrapping_mul(131) + u64::from(*byte));
+        let noise = 0.5 + hash_to_unit(self.seed, &[id, NOISE_WORD]);
+        let mut work = class.unit_work.mul_f64(attempt.units * noise);
+        if let Some(fault) = self.active_fault(Kind::HeavyTail, now) {
+            if hash_to_unit(self.seed, &[id, HEAVY_TAIL_WORD]) < HEAVY_TAIL_FRACTION {
+                work = work.mul_f64(fault.magnitude.max(1.0));
             }
         }
-        if attempt.number == 0 && self.last.contains(&attempt.extent) {
+        if attempt.number == 0 && self.recent_extents.contains(&attempt.extent) {
             work = work.mul_f64(1.0 - self.spec.warm_saves);
         }
-        self.last.push_back(attempt.extent);
-        if self.last.len() > self.spec.warm_keys {
-            self.last.pop_front();
+        self.recent_extents.push_back(attempt.extent);
+        if self.recent_extents.len() > self.spec.warm_keys {
+            self.recent_extents.pop_front();
         }
         if attempt.write {
-            let later = work.mul_f64(self.spec.put_off);
-            self.put_off += later;
-            work -= later;
+            let deferred = work.mul_f64(self.spec.put_off);
+            self.pauses.defer(deferred);
+            work -= deferred;
         }
         work
     }
 
-    /// An attempt arrives; `left` is what its host still waits.
+    /// Handles an attempt that arrives; its host still waits for `left`.
     pub fn take(
         &mut self,
         now: Duration,
         conn: u64,
         attempt: pb::Attempt,
         left: Duration,
-        to: &mut Vec<NodeAction>,
+        actions: &mut Vec<NodeAction>,
     ) {
-        let mut turn = |result: pb::Result| {
-            let answer = pb::AttemptResponse {
-                attempt: attempt.attempt,
-                result: result.into(),
-                ..Default::default()
-            };
-            to.push(NodeAction::Answer { conn, answer });
-        };
         if attempt.node != self.spec.id {
-            return turn(pb::Result::WrongNode);
+            return actions.push(rejection(conn, &attempt, pb::Result::WrongNode));
         }
         match self.process_state {
             ProcessState::Down => return,
-            ProcessState::Draining => return turn(pb::Result::Full),
+            ProcessState::Draining => {
+                return actions.push(rejection(conn, &attempt, pb::Result::Full));
+            }
             ProcessState::Up => {}
         }
-        // Every bit of work that arrives presses on a cold node, also what it turns away.
-        if self.pressed(now, attempt.units) {
+        // Each attempt that arrives loads a cold node, also one that the node rejects.
+        let capacity = self.capacity();
+        let rule = &self.settings.rules.cold;
+        let slow_start = &mut self.slow_start;
+        if slow_start.is_overloaded(now, attempt.units, rule, capacity) {
             self.stop();
-            return to.push(NodeAction::Down { fell: true });
+            return actions.push(NodeAction::Down { fell: true });
         }
         if self.active_fault(Kind::Hang, now).is_some() {
             return;
         }
-        let words = attempt.attempt ^ u64::from(attempt.node) << 32;
-        if self
-            .active_fault(Kind::FastErrors, now)
-            .is_some_and(|s| hash_to_unit(self.seed, &[words, 3]) < s.magnitude)
-        {
-            return turn(pb::Result::Error);
+        if self.fails_fast(&attempt, now) {
+            return actions.push(rejection(conn, &attempt, pb::Result::Error));
         }
-        let full = self.queue.len() >= self.spec.queue;
-        if full || (attempt.write && self.bytes + attempt.data.len() > MAX_BYTES) {
-            return turn(pb::Result::Full);
+        let queue_full = self.jobs.queued() >= self.spec.queue;
+        if queue_full || (attempt.write && self.store.is_full(attempt.data.len())) {
+            return actions.push(rejection(conn, &attempt, pb::Result::Full));
         }
         let work = self.work_of(&attempt, now);
-        self.queue.push_back(Job {
+        self.jobs.enqueue(Job {
             conn,
             attempt,
-            until: now + left,
+            deadline: now + left,
             work,
         });
-        self.begin(now, to);
+        self.start_jobs(now, actions);
     }
 
-    pub fn cancel(&mut self, conn: u64, attempt: u64) {
-        self.queue
-            .retain(|j| (j.conn, j.attempt.attempt) != (conn, attempt));
-        if self
-            .running
-            .values()
-            .any(|j| (j.conn, j.attempt.attempt) == (conn, attempt))
-        {
-            self.cancelled.insert((conn, attempt));
-        }
+    /// Returns whether a fault makes the node respond to an attempt with an error at once.
+    fn fails_fast(&self, attempt: &pb::Attempt, now: Duration) -> bool {
+        let id = attempt.attempt ^ u64::from(attempt.node) << 32;
+        let fault = self.active_fault(Kind::FastErrors, now);
+        fault.is_some_and(|fault| hash_to_unit(self.seed, &[id, FAST_ERROR_WORD]) < fault.magnitude)
     }
 
-    /// Whether what arrived lately pushes it over.
-    fn pressed(&mut self, now: Duration, units: f64) -> bool {
-        let rule = &self.settings.rules.cold;
-        let Some(since) = self.cold_since.filter(|s| now < *s + rule.warm_up_time) else {
-            return false;
-        };
-        self.arrived.push_back((now, units));
-        while self
-            .arrived
-            .front()
-            .is_some_and(|(at, _)| *at + rule.overload_window < now)
-        {
-            self.arrived.pop_front();
-        }
-        let span = rule.overload_window.min(now - since).as_secs_f64();
-        let sum: f64 = self.arrived.iter().map(|a| a.1).sum();
-        let bears = rule.multiple * self.warmth(now) * self.capacity() * span.max(0.5);
-        sum > bears.max(rule.units)
+    /// Cancels an attempt that is queued or runs.
+    pub fn cancel(&mut self, conn: u64, attempt: u64) {
+        self.jobs.cancel(conn, attempt);
     }
 
-    fn begin(&mut self, now: Duration, to: &mut Vec<NodeAction>) {
-        while self.running.len() < self.spec.cores as usize && now >= self.still_until {
-            let Some(job) = self.queue.pop_front() else {
+    /// Starts queued attempts on the free cores, unless the node pauses. Expired ones are rejected.
+    fn start_jobs(&mut self, now: Duration, actions: &mut Vec<NodeAction>) {
+        while self.has_free_core() && now >= self.pauses.paused_until() {
+            let Some(job) = self.jobs.dequeue() else {
                 return;
             };
-            if now >= job.until {
-                let result = pb::Result::Expired.into();
-                let answer = pb::AttemptResponse {
-                    attempt: job.attempt.attempt,
-                    result,
-                    ..Default::default()
-                };
-                to.push(NodeAction::Answer {
-                    conn: job.conn,
-                    answer,
-                });
+            if now >= job.deadline {
+                actions.push(rejection(job.conn, &job.attempt, pb::Result::Expired));
                 continue;
             }
-            self.next += 1;
             let end = now + job.work.div_f64(self.speed(now));
-            self.running.insert((end, self.next), job);
+            self.jobs.start(end, job);
         }
     }
 
-    /// When something next happens by itself.
+    fn has_free_core(&self) -> bool {
+        self.jobs.running() < self.spec.cores as usize
+    }
+
+    /// Returns the time at which the node next acts by itself.
     pub fn due(&self) -> Option<Duration> {
-        let act = self.acts.front().map(|a| a.0);
+        let change = self.script.next_time();
         if self.process_state == ProcessState::Down {
-            return act;
+            return change;
         }
-        let job = self.running.first_key_value().map(|(k, _)| k.0);
-        let waiting = (!self.queue.is_empty() && self.running.len() < self.spec.cores as usize)
-            .then_some(self.still_until);
-        [act, job, waiting].into_iter().flatten().min()
+        let startable = self.jobs.queued() > 0 && self.has_free_core();
+        let start = startable.then_some(self.pauses.paused_until());
+        let times = [change, self.jobs.next_end(), start];
+        times.into_iter().flatten().min()
     }
 
-    pub fn advance(&mut self, now: Duration, meter: &mut Meter, to: &mut Vec<NodeAction>) {
-        while let Some((_, act)) = self.acts.front().copied().filter(|a| a.0 <= now) {
-            self.acts.pop_front();
-            match act {
-                Act::Drain if self.process_state == ProcessState::Up => {
-                    self.process_state = ProcessState::Draining;
-                    to.push(NodeAction::Drains);
-                }
-                Act::Undrain if self.process_state == ProcessState::Draining => {
-                    self.process_state = ProcessState::Up;
-                    to.push(NodeAction::Up {
-                        started: self.starts,
-                    });
-                }
-                Act::Stop if self.process_state != ProcessState::Down => {
-                    self.stop();
-                    to.push(NodeAction::Down { fell: false });
-                }
-                Act::Start => {
-                    self.starts += 1;
-                    (self.process_state, self.cold_since) = (ProcessState::Up, Some(now));
-                    self.arrived.clear();
-                    to.push(NodeAction::Up {
-                        started: self.starts,
-                    });
-                }
-                _ => {}
-            }
+    /// Performs all that is due by `now`: changes of the process, ends of attempts, pauses, and
+    /// starts of attempts.
+    pub fn advance(&mut self, now: Duration, meter: &mut Meter, actions: &mut Vec<NodeAction>) {
+        while let Some(change) = self.script.pop_due(now) {
+            actions.extend(self.change_process(change, now));
         }
-        while let Some(entry) = self.running.first_entry().filter(|e| e.key().0 <= now) {
-            let ((at, _), job) = entry.remove_entry();
-            self.finish(at, now, job, meter, to);
+        while let Some((end, job)) = self.jobs.pop_finished(now) {
+            self.finish(end, now, job, meter, actions);
         }
-        self.stand_still(now);
-        self.begin(now, to);
+        let speed = self.speed(now);
+        self.pauses.advance(now, &self.spec, speed);
+        self.start_jobs(now, actions);
     }
 
-    /// Pauses, and work put off that is done in one go, keep it from beginning anything.
-    fn stand_still(&mut self, now: Duration) {
-        if !self.spec.pause.is_zero() && now >= self.pause_at {
-            self.still_until = self.still_until.max(now + self.spec.pause);
-            self.pause_at = now + self.spec.pause_every;
-        }
-        if now >= self.flush_at {
-            let work = std::mem::take(&mut self.put_off).div_f64(f64::from(self.spec.cores));
-            self.still_until = self.still_until.max(now + work.div_f64(self.speed(now)));
-            self.flush_at = now + self.spec.flush_every;
+    fn change_process(&mut self, change: ProcessChange, now: Duration) -> Option<NodeAction> {
+        match change {
+            ProcessChange::Drain if self.process_state == ProcessState::Up => {
+                self.process_state = ProcessState::Draining;
+                Some(NodeAction::Drains)
+            }
+            ProcessChange::Undrain if self.process_state == ProcessState::Draining => {
+                self.process_state = ProcessState::Up;
+                let started = self.starts;
+                Some(NodeAction::Up { started })
+            }
+            ProcessChange::Stop if self.process_state != ProcessState::Down => {
+                self.stop();
+                Some(NodeAction::Down { fell: false })
+            }
+            ProcessChange::Start => {
+                self.starts += 1;
+                self.process_state = ProcessState::Up;
+                self.slow_start.begin(now);
+                let started = self.starts;
+                Some(NodeAction::Up { started })
+            }
+            _ => None,
         }
     }
 
+    /// Performs an attempt whose work ended at `end`, and responds.
     fn finish(
         &mut self,
-        at: Duration,
+        end: Duration,
         now: Duration,
         job: Job,
         meter: &mut Meter,
-        to: &mut Vec<NodeAction>,
+        actions: &mut Vec<NodeAction>,
     ) {
-        let (attempt, conn) = (job.attempt, job.conn);
-        if self.cancelled.remove(&(conn, attempt.attempt)) {
+        if self.jobs.take_cancelled(&job) {
             return;
         }
-        let period = self.settings.units.meter.as_secs_f64().max(0.001);
-        let number = |t: Duration| (t.as_secs_f64() / period) as u64;
-        meter.add(number(at), attempt.volume, attempt.units);
-        let (mut data, mut superseded) = (Bytes::new(), None);
-        let place = (attempt.volume, attempt.extent);
+        let attempt = &job.attempt;
+        meter.add(self.period(end), attempt.volume, attempt.units);
+        let mut data = Bytes::new();
+        let mut superseded = None;
         if attempt.write {
-            // A repeat that is remembered has no second effect.
-            if !self.done.contains_key(&attempt.piece) {
-                superseded = self.write(&attempt, now, to);
-            }
-            if self.done.len() > MAX_REMEMBERED {
-                let oldest = now.saturating_sub(Duration::from_secs(30));
-                self.done.retain(|_, at| *at > oldest);
+            let result = self.store.write_once(attempt, now);
+            superseded = result.superseded;
+            if result.performed {
+                actions.push(NodeAction::Effect {
+                    attempt: attempt.attempt,
+                    id: attempt.piece.clone(),
+                });
             }
-        } else if let Some(kept) = self.extents.get(&place) {
-            let from = (attempt.offset.unwrap_or(0) as usize).min(kept.len());
-            data = kept.slice(from..kept.len().min(from + attempt.length as usize));
+        } else {
+            data = self.store.read(attempt);
         }
-        let words = attempt.attempt ^ 0x10_0000;
-        if self
-            .active_fault(Kind::AnswerLost, now)
-            .is_some_and(|s| hash_to_unit(self.seed, &[words, 4]) < s.magnitude)
-        {
+        if self.loses_answer(attempt, now) {
             return;
         }
-        // Late by a period: the one before the last that is whole.
-        let told = number(now)
-            .checked_sub(2)
-            .map(|p| meter.of(p, attempt.volume));
-        let reported = told
-            .filter(|_| !self.settings.units.meter.is_zero() && attempt.plan_rate > 0.0)
-            .map(|units| units / period / attempt.plan_rate * 100.0);
-        let busy = Some(self.running.len() as f64 / f64::from(self.spec.cores));
-        let result = pb::Result::Ok.into();
+        let busy = self.jobs.running() as f64 / f64::from(self.spec.cores);
         let answer = pb::AttemptResponse {
             attempt: attempt.attempt,
-            result,
-            reported,
+            result: pb::Result::Ok.into(),
+            reported: self.reported_usage(attempt, now, meter),
             others: 0.0,
-            busy,
+            busy: Some(busy),
             data,
             superseded,
         };
-        to.push(NodeAction::Answer { conn, answer });
+        actions.push(NodeAction::Answer {
+            conn: job.conn,
+            answer,
+        });
     }
 
-    /// Carries out a write where nothing newer lies; the newest that kept a part of it out. One
-    /// that was kept out whole had no effect and is not remembered: it may come again with another
-    /// version.
-    fn write(
-        &mut self,
-        attempt: &pb::Attempt,
-        now: Duration,
-        to: &mut Vec<NodeAction>,
-    ) -> Option<u64> {
-        let place = (attempt.volume, attempt.extent);
-        let (at, length) = (attempt.offset.unwrap_or(0), attempt.data.len() as u32);
-        let (parts, newer) = match attempt.version {
-            Some(v) => self
-                .versions
-                .entry(place)
-                .or_default()
-                .write(at, at + length, v),
-            None => (vec![(at, at + length)], None),
-        };
-        if parts.is_empty() && length > 0 {
-            return newer;
-        }
-        self.done.insert(attempt.piece.clone(), now);
-        let old = self.extents.get(&place).cloned().unwrap_or_default();
-        let new = match attempt.offset {
-            None if newer.is_none() => attempt.data.clone(),
-            _ => parts.iter().fold(old.clone(), |new, (from, end)| {
-                patched(
-                    &new,
-                    *from as usize,
-                    &attempt
-                        .data
-                        .slice((from - at) as usize..(end - at) as usize),
-                )
-            }),
-        };
-        self.bytes = self.bytes + new.len() - old.len();
-        self.extents.insert(place, new);
-        to.push(NodeAction::Effect {
-            attempt: attempt.attempt,
-            id: attempt.piece.clone(),
-        });
-        newer
+    /// Returns whether a fault loses the response to an attempt.
+    fn loses_answer(&self, attempt: &pb::Attempt, now: Duration) -> bool {
+        let id = attempt.attempt ^ LOST_ANSWER_BITS;
+        let fault = self.active_fault(Kind::AnswerLost, now);
+        fault
+            .is_some_and(|fault| hash_to_unit(self.seed, &[id, LOST_ANSWER_WORD]) < fault.magnitude)
     }
 
+    fn period_seconds(&self) -> f64 {
+        self.settings.units.meter.as_secs_f64().max(MIN_SECONDS)
+    }
+
+    /// Returns the number of the metering period at a time.
+    fn period(&self, at: Duration) -> u64 {
+        (at.as_secs_f64() / self.period_seconds()) as u64
+    }
+
+    /// Returns the volume's usage in percent of its plan. The report is late by one period: it is
+    /// for the complete period before the last complete one.
+    fn reported_usage(&self, attempt: &pb::Attempt, now: Duration, meter: &Meter) -> Option<f64> {
+        let period = self.period(now).checked_sub(2)?;
+        let is_metered = !self.settings.units.meter.is_zero() && attempt.plan_rate > 0.0;
+        let units = meter.units(period, attempt.volume);
+        is_metered.then(|| units / self.period_seconds() / attempt.plan_rate * 100.0)
+    }
+
+    /// Ends the process. Its data stays.
     fn stop(&mut self) {
         self.process_state = ProcessState::Down;
-        self.queue.clear();
-        self.running.clear();
-        self.cancelled.clear();
-        self.last.clear();
+        self.jobs.clear();
+        self.recent_extents.clear();
     }
 }
+
+/// Returns the response to an attempt that the node did not perform.
+fn rejection(conn: u64, attempt: &pb::Attempt, result: pb::Result) -> NodeAction {
+    let answer = pb::AttemptResponse {
+        attempt: attempt.attempt,
+        result: result.into(),
+        ..Default::default()
+    };
+    NodeAction::Answer { conn, answer }
+}
