--- a/crates/testbed/src/discovery_service.rs
+++ b/crates/testbed/src/discovery_service.rs
@@ -1,77 +1,90 @@
-//! The list of nodes, late and sometimes silent, without sockets.
+//! Model of the discovery service: it publishes the announced endpoints after a lag.
+//!
+//! State machine: [`DiscoveryService::announce`] takes an announcement, and
+//! [`DiscoveryService::advance`] returns the changes that are published. No I/O and no clock; times
+//! are since the start of the scenario. [`crate::serve`] calls it.
+//!
+//! Bounds: one entry for each node; the pending announcements are not bounded.
 
 use grebecleat_wire::{clock, pb};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// An announced endpoint.
 #[derive(Debug, Clone)]
 struct PublishedEndpoint {
-    entry: pb::Endpoint,
-    /// When the process started, by our clock; None: long ago.
-    since: Option<Duration>,
+    endpoint: pb::Endpoint,
+    /// The start of the process; `None` if it started before the scenario.
+    started: Option<Duration>,
 }
 
+impl PublishedEndpoint {
+    /// Returns the endpoint with its uptime at `now`.
+    fn at(&self, now: Duration) -> pb::Endpoint {
+        let uptime = self.started.map(|started| now.saturating_sub(started));
+        pb::Endpoint {
+            up_us: uptime.map(clock::micros),
+            ..self.endpoint.clone()
+        }
+    }
+}
+
+/// The endpoint list, as it is published, and the announcements that are not published yet.
 #[derive(Debug, Default)]
 pub struct DiscoveryService {
-    shown: BTreeMap<u32, PublishedEndpoint>,
-    coming: Vec<(Duration, PublishedEndpoint)>,
-    pub revision: u64,
+    published: BTreeMap<u32, PublishedEndpoint>,
+    /// The announcements with the times of their publication, by time.
+    pending: Vec<(Duration, PublishedEndpoint)>,
+    revision: u64,
 }
 
 impl DiscoveryService {
-    /// A node's state was announced; it shows after `lag`.
-    pub fn announce(&mut self, now: Duration, entry: pb::Endpoint, lag: Duration) {
-        let since = entry
-            .up_us
-            .map(|us| now.saturating_sub(Duration::from_micros(us)));
-        self.coming
-            .push((now + lag, PublishedEndpoint { entry, since }));
-        self.coming.sort_by_key(|c| c.0);
-    }
-
-    pub fn due(&self) -> Option<Duration> {
-        self.coming.first().map(|c| c.0)
+    /// Takes a node's announcement; it is published after `lag`.
+    pub fn announce(&mut self, now: Duration, endpoint: pb::Endpoint, lag: Duration) {
+        let uptime = endpoint.up_us.map(Duration::from_micros);
+        let started = uptime.map(|uptime| now.saturating_sub(uptime));
+        let announced = PublishedEndpoint { endpoint, started };
+        self.pending.push((now + lag, announced));
+        self.pending.sort_by_key(|pending| pending.0);
     }
 
-    /// What has begun to show; a change for each watcher.
+    /// Publishes the announcements whose lag is over. Returns the update for the watchers, or
+    /// `None` if nothing changed.
     pub fn advance(&mut self, now: Duration) -> Option<pb::EndpointUpdate> {
-        let ready = self.coming.partition_point(|c| c.0 <= now);
-        let lines: Vec<PublishedEndpoint> = self.coming.drain(..ready).map(|c| c.1).collect();
-        if lines.is_empty() {
+        let due = self.pending.partition_point(|pending| pending.0 <= now);
+        let changes = self.pending.drain(..due).map(|pending| pending.1);
+        let changes: Vec<PublishedEndpoint> = changes.collect();
+        if changes.is_empty() {
             return None;
         }
         self.revision += 1;
-        let endpoints = lines.iter().map(|l| Self::as_of(now, l)).collect();
-        for line in lines {
-            self.shown.insert(line.entry.node, line);
+        let endpoints = changes.iter().map(|change| change.at(now)).collect();
+        for change in changes {
+            self.published.insert(change.endpoint.node, change);
         }
-        Some(pb::EndpointUpdate {
-            kind: pb::EndpointUpdateKind::Delta.into(),
-            revision: self.revision,
-            endpoints,
-        })
+        Some(self.update(pb::EndpointUpdateKind::Delta, endpoints))
     }
 
+    /// Returns the complete list, without the endpoints whose process is gone.
     pub fn snapshot(&self, now: Duration) -> pb::EndpointUpdate {
-        let there = self
-            .shown
-            .values()
-            .filter(|l| l.entry.state() != pb::NodeState::Gone);
-        let endpoints = there.map(|l| Self::as_of(now, l)).collect();
+        let published = self.published.values();
+        let present =
+            published.filter(|published| published.endpoint.state() != pb::NodeState::Gone);
+        let endpoints = present.map(|published| published.at(now)).collect();
+        self.update(pb::EndpointUpdateKind::Snapshot, endpoints)
+    }
+
+    fn update(
+        &self,
+        kind: pb::EndpointUpdateKind,
+        endpoints: Vec<pb::Endpoint>,
+    ) -> pb::EndpointUpdate {
         pb::EndpointUpdate {
-            kind: pb::EndpointUpdateKind::Snapshot.into(),
+            kind: kind.into(),
             revision: self.revision,
             endpoints,
         }
     }
-
-    fn as_of(now: Duration, line: &PublishedEndpoint) -> pb::Endpoint {
-        let up_us = line.since.map(|s| clock::micros(now.saturating_sub(s)));
-        pb::Endpoint {
-            up_us,
-            ..line.entry.clone()
-        }
-    }
 }
 
 #[cfg(test)]
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,11 +1,17 @@
-//! Stand-ins for what surrounds a host, on loopback.
+//! Testbed on the loopback interface: all that surrounds a host, with injected faults.
 //!
-//! For: rehearsals and tests. [`node`] and [`discovery_service`] are models without sockets, stepped with a
-//! time; [`draw`] turns a script's troubles and load into who is struck when, the same each time;
-//! [`net`] and [`serve`] put the models on sockets; [`clients`] are the clients; [`initiator`] is
-//! an iSCSI initiator; [`scenario`] runs it all as processes. [`relay`] lies between hosts and the
-//! state service; [`versions`] is how a node keeps late writes from overwriting newer ones. They
-//! share only the wire and the settings with the host, and must never look into it.
+//! `grebecleat scenario`, `node` and `discovery-service` run it; the tests of other packages use
+//! its parts. It shares the wire and the settings with the host, and must never use the host's own
+//! code.
+//!
+//! - [`node`] and [`discovery_service`] are models without I/O; [`draw`] draws the targets of each
+//!   injected fault from the script's seed, with the same result in every process;
+//! - [`net`] and [`serve`] run the models on sockets;
+//! - [`clients`] are the clients, [`disks`] the iSCSI load, [`initiator`] an iSCSI initiator;
+//! - [`relay`] lies between the hosts and the state service, [`links`] between hosts; both inject
+//!   faults into connections;
+//! - [`versions`] keeps late writes at a node from overwriting newer ones;
+//! - [`scenario`] runs all of it as processes.
 
 pub mod clients;
 pub mod discovery_service;
