--- a/crates/trace-checker/src/commands.rs
+++ b/crates/trace-checker/src/commands.rs
@@ -6,7 +6,7 @@
 //! is open when its connection ends, its host is killed or task management ends it, needs no
 //! answer, and may take effect at any later time.
 
-use crate::history::{check, Deed, Found, Op};
+use crate::history::{check, BlockAccess, HistoryResult, Operation};
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, marked::What, record::Kind, Record};
 use grebecleat_wire::trace::{block_sum, BLOCK};
@@ -95,7 +95,7 @@
     }
 
     /// What it did to each block. Of a write that was not GOOD nobody knows.
-    fn deeds(&self) -> Vec<(u64, Op)> {
+    fn operations(&self) -> Vec<(u64, Operation)> {
         let Some((lba, blocks, writes)) = self.range() else {
             return Vec::new();
         };
@@ -105,23 +105,23 @@
         }
         let zero = block_sum(&[0; BLOCK]);
         let nth = |n: u64| self.out.get(&(n as u32)).copied();
-        let deed = |n: u64| match self.cdb[0] {
-            0x89 => Some(Deed::Swap {
+        let access = |n: u64| match self.cdb[0] {
+            0x89 => Some(BlockAccess::Swap {
                 with: nth(n)?,
                 then: nth(n + blocks)?,
             }),
-            0x41 | 0x93 if self.cdb[1] & 1 != 0 => Some(Deed::Write(zero)),
-            0x41 | 0x93 => Some(Deed::Write(nth(0)?)),
-            _ if writes => Some(Deed::Write(nth(n)?)),
-            _ => Some(Deed::Read(self.read.get(&(n as u32)).copied()?)),
+            0x41 | 0x93 if self.cdb[1] & 1 != 0 => Some(BlockAccess::Write(zero)),
+            0x41 | 0x93 => Some(BlockAccess::Write(nth(0)?)),
+            _ if writes => Some(BlockAccess::Write(nth(n)?)),
+            _ => Some(BlockAccess::Read(self.read.get(&(n as u32)).copied()?)),
         };
         let op = |n| {
             Some((
                 lba + n,
-                Op {
+                Operation {
                     from: self.at,
                     to: good,
-                    deed: deed(n)?,
+                    access: access(n)?,
                 },
             ))
         };
@@ -165,29 +165,29 @@
     for records in traces {
         of_process(settings, records, marks, &mut all, &mut told);
     }
-    let mut histories: BTreeMap<(u64, u64), Vec<(Op, usize)>> = BTreeMap::new();
+    let mut histories: BTreeMap<(u64, u64), Vec<(Operation, usize)>> = BTreeMap::new();
     for (i, c) in all.iter().enumerate() {
         for (block, op) in c
             .volume
             .iter()
-            .flat_map(|v| c.deeds().into_iter().map(move |(b, o)| ((*v, b), o)))
+            .flat_map(|v| c.operations().into_iter().map(move |(b, o)| ((*v, b), o)))
         {
             histories.entry(block).or_default().push((op, i));
         }
     }
     for ((volume, block), history) in histories {
         told.blocks += 1;
-        let ops: Vec<Op> = history.iter().map(|h| h.0).collect();
+        let ops: Vec<Operation> = history.iter().map(|h| h.0).collect();
         let reads = ops
             .iter()
-            .filter(|o| matches!(o.deed, Deed::Read(_)))
+            .filter(|o| matches!(o.access, BlockAccess::Read(_)))
             .count() as u64;
         (told.reads, told.writes) = (told.reads + reads, told.writes + ops.len() as u64 - reads);
         match check(block_sum(&[0; BLOCK]), &ops) {
-            Found::InOrder => {}
-            Found::Undecided => told.undecided += 1,
-            Found::Disorder { at } => {
-                let seen = |o: &Op| format!("{:?} to {:?} {:x?}", o.from, o.to, o.deed);
+            HistoryResult::Linearizable => {}
+            HistoryResult::Undecided => told.undecided += 1,
+            HistoryResult::NotLinearizable { at } => {
+                let seen = |o: &Operation| format!("{:?} to {:?} {:x?}", o.from, o.to, o.access);
                 let lines: Vec<String> = ops.iter().map(seen).collect();
                 told.wrong.push(format!(
                     "volume {volume} block {block}: no order of its commands explains {}; these are all:\n    {}",
--- a/crates/trace-checker/src/history.rs
+++ b/crates/trace-checker/src/history.rs
@@ -1,155 +1,201 @@
-//! Whether what reads of one block saw can have come about by reads and writes that each took
-//! effect at one moment between their beginning and their end (linearizability; Herlihy and Wing,
-//! 1990).
+//! Checks whether the reads and writes of one block are linearizable: each took effect at one
+//! moment between its beginning and its end (Herlihy and Wing, 1990).
 //!
-//! The moments are found just in time: going through beginnings and ends in order, all states that
-//! the block can be in are kept, each with which of the open commands have had their effect in it.
-//! At an end the command must have had its own; others go before it only where they help. A state
-//! is left out where another holds the same with fewer commands used up that need never have had
-//! it. A command that nobody answered, or of which nobody knows the outcome, may have its effect at
-//! any later time or never: it has no end.
+//! [`check`] finds the moments just in time. It visits beginnings and ends in order, and keeps all
+//! states that the block can be in, each with the set of open operations that have taken effect in
+//! it. At the end of an operation, the operation must have taken effect. Other operations take
+//! effect before it only where that helps. A state is dropped where another state holds the same
+//! value, and has used fewer of the operations that need never take effect. An operation without a
+//! response, or with an unknown outcome, may take effect at any later time or never: it has no end.
+//!
+//! [`crate::commands`] calls [`check`] for each block. The module owns no state, and bounds the
+//! states that it visits.
 
 use std::collections::{BTreeSet, HashSet};
 use std::time::Duration;
 
-/// States that are looked at for one end; beyond, the block is left undecided.
+/// Bounds the states visited for the end of one operation. Beyond it, the block is undecided.
+/// Larger, one block may take minutes and much memory; smaller, more blocks are undecided.
 const MAX_STATES: usize = 50_000;
 
-/// What a command did to the block, by sums of its content.
+/// Access to the block, by checksums of the content. Violations print it: its names are output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Deed {
+pub enum BlockAccess {
+    /// Read that returned this content.
     Read(u64),
+    /// Write of this content.
     Write(u64),
-    /// COMPARE AND WRITE that was carried out.
+    /// COMPARE AND WRITE that succeeded.
     Swap {
+        /// Content that the block had.
         with: u64,
+        /// Content that the block has afterwards.
         then: u64,
     },
 }
 
+/// Operation on the block.
 #[derive(Debug, Clone, Copy)]
-pub struct Op {
+pub struct Operation {
+    /// Time of its beginning.
     pub from: Duration,
-    /// None: its effect may come at any later time, or never.
+    /// Time of its end. None: it may take effect at any later time, or never.
     pub to: Option<Duration>,
-    pub deed: Deed,
+    /// Access to the block.
+    pub access: BlockAccess,
 }
 
+/// Result of the check of one block's history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
-    InOrder,
-    /// No order explains the end of that one.
-    Disorder {
+pub enum HistoryResult {
+    /// An order of the operations explains all results.
+    Linearizable,
+    /// No order explains the end of an operation.
+    NotLinearizable {
+        /// Index of the operation.
         at: usize,
     },
+    /// The check reached its bound on states.
     Undecided,
 }
 
+/// State that the block can be in.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     value: u64,
-    /// Open commands that have had their effect.
+    /// Open operations that have taken effect.
     used: BTreeSet<usize>,
 }
 
 impl State {
-    /// A read that can have had its effect now has: it changes nothing, and waiting cannot help it.
-    fn see(mut self, open: &[usize], ops: &[Op]) -> State {
-        let sees = |i: &&usize| ops[**i].deed == Deed::Read(self.value);
-        let seen: Vec<usize> = open.iter().filter(sees).copied().collect();
-        self.used.extend(seen);
+    /// Lets each open read of the current value take effect. A read changes nothing, so that a
+    /// later effect cannot help.
+    fn apply_reads(mut self, open: &[usize], operations: &[Operation]) -> State {
+        let reads_value =
+            |index: &&usize| operations[**index].access == BlockAccess::Read(self.value);
+        let reads: Vec<usize> = open.iter().filter(reads_value).copied().collect();
+        self.used.extend(reads);
         self
     }
 
-    fn after(&self, i: usize, op: &Op) -> Option<State> {
-        let value = match op.deed {
-            Deed::Write(v) => v,
-            Deed::Swap { with, then } if with == self.value => then,
+    /// Returns the state after a write takes effect, if it can.
+    fn after(&self, index: usize, operation: &Operation) -> Option<State> {
+        let value = match operation.access {
+            BlockAccess::Write(value) => value,
+            BlockAccess::Swap { with, then } if with == self.value => then,
             _ => return None,
         };
         let mut used = self.used.clone();
-        used.insert(i);
+        used.insert(index);
         Some(State { value, used })
     }
 }
 
-/// Judges one block's history, which begins with that content.
+/// Checks the history of one block, whose content at first is `first`.
 ///
 /// ```
-/// use grebecleat_trace_checker::history::{check, Deed, Found, Op};
+/// use grebecleat_trace_checker::history::{check, BlockAccess, HistoryResult, Operation};
 /// use std::time::Duration;
-/// let op = |from, to, deed| Op {
-///     from: Duration::from_millis(from), to: Some(Duration::from_millis(to)), deed,
+/// let operation = |from, to, access| Operation {
+///     from: Duration::from_millis(from), to: Some(Duration::from_millis(to)), access,
 /// };
-/// let mut ops = vec![op(0, 2, Deed::Write(7)), op(1, 4, Deed::Read(0)), op(5, 6, Deed::Read(7))];
-/// assert_eq!(check(0, &ops), Found::InOrder);
-/// ops.push(op(7, 8, Deed::Read(0)));
-/// assert_eq!(check(0, &ops), Found::Disorder { at: 3 });
+/// let mut operations = vec![
+///     operation(0, 2, BlockAccess::Write(7)),
+///     operation(1, 4, BlockAccess::Read(0)),
+///     operation(5, 6, BlockAccess::Read(7)),
+/// ];
+/// assert_eq!(check(0, &operations), HistoryResult::Linearizable);
+/// operations.push(operation(7, 8, BlockAccess::Read(0)));
+/// assert_eq!(check(0, &operations), HistoryResult::NotLinearizable { at: 3 });
 /// ```
-pub fn check(first: u64, ops: &[Op]) -> Found {
-    let begins = ops.iter().enumerate().map(|(i, o)| (o.from, false, i));
-    let ends = ops
-        .iter()
-        .enumerate()
-        .filter_map(|(i, o)| Some((o.to?, true, i)));
-    let mut events: Vec<(Duration, bool, usize)> = begins.chain(ends).collect();
-    events.sort_unstable(); // of one moment, beginnings first: what may have overlapped is taken to have
+pub fn check(first: u64, operations: &[Operation]) -> HistoryResult {
     let mut open: Vec<usize> = Vec::new();
     let mut states = vec![State {
         value: first,
         used: BTreeSet::new(),
     }];
-    for (_, over, i) in events {
-        if !over {
-            open.push(i);
-            states = states.into_iter().map(|s| s.see(&open, ops)).collect();
+    for (_, is_end, index) in events(operations) {
+        if !is_end {
+            open.push(index);
+            let applied = states.into_iter();
+            states = applied
+                .map(|state| state.apply_reads(&open, operations))
+                .collect();
             continue;
         }
-        let (mut todo, mut seen, mut found) = (states, HashSet::new(), Vec::new());
-        while let Some(state) = todo.pop() {
-            if seen.len() > MAX_STATES {
-                return Found::Undecided;
-            }
-            if state.used.contains(&i) {
-                found.push(state);
-                continue;
-            }
-            let free = open.iter().filter(|o| !state.used.contains(o));
-            for next in free.filter_map(|o| state.after(*o, &ops[*o])) {
-                let next = next.see(&open, ops);
-                if seen.insert(next.clone()) {
-                    todo.push(next);
-                }
-            }
-        }
-        open.retain(|o| *o != i);
-        for s in &mut found {
-            s.used.remove(&i);
+        let Some(mut found) = states_after(index, states, &open, operations) else {
+            return HistoryResult::Undecided;
+        };
+        open.retain(|other| *other != index);
+        for state in &mut found {
+            state.used.remove(&index);
         }
-        states = least(found, ops);
+        states = without_needless(found, operations);
         if states.is_empty() {
-            return Found::Disorder { at: i };
+            return HistoryResult::NotLinearizable { at: index };
+        }
+    }
+    HistoryResult::Linearizable
+}
+
+/// Returns the beginnings and ends (true) of the operations in order of time. At one moment,
+/// beginnings come first: operations that may have overlapped count as overlapping.
+fn events(operations: &[Operation]) -> Vec<(Duration, bool, usize)> {
+    let indexed = || operations.iter().enumerate();
+    let beginnings = indexed().map(|(index, operation)| (operation.from, false, index));
+    let ends = indexed().filter_map(|(index, operation)| Some((operation.to?, true, index)));
+    let mut events: Vec<(Duration, bool, usize)> = beginnings.chain(ends).collect();
+    events.sort_unstable();
+    events
+}
+
+/// Returns all states in which the operation that ends has taken effect. None: too many states.
+fn states_after(
+    ending: usize,
+    states: Vec<State>,
+    open: &[usize],
+    operations: &[Operation],
+) -> Option<Vec<State>> {
+    let mut todo = states;
+    let mut visited = HashSet::new();
+    let mut found = Vec::new();
+    while let Some(state) = todo.pop() {
+        if visited.len() > MAX_STATES {
+            return None;
+        }
+        if state.used.contains(&ending) {
+            found.push(state);
+            continue;
+        }
+        let unused = open.iter().filter(|index| !state.used.contains(index));
+        for next in unused.filter_map(|index| state.after(*index, &operations[*index])) {
+            let next = next.apply_reads(open, operations);
+            if visited.insert(next.clone()) {
+                todo.push(next);
+            }
         }
     }
-    Found::InOrder
+    Some(found)
 }
 
-/// Without those that another makes needless: it holds the same and has used up only some of the
-/// same, of which the rest need never have an effect. One that must yet have its effect is no gain
-/// while it is open.
-fn least(mut states: Vec<State>, ops: &[Op]) -> Vec<State> {
-    states.sort_by_key(|s| s.used.len());
-    let mut kept: Vec<State> = Vec::new();
-    for s in states {
-        let needless = |k: &State| {
-            let spare = |i: &usize| ops[*i].to.is_none();
-            k.value == s.value && k.used.is_subset(&s.used) && s.used.difference(&k.used).all(spare)
+/// Drops the states that another state makes needless. The other state holds the same value, and
+/// has used a part of the same operations; the rest need never take effect. An operation that must
+/// yet take effect is no gain while it is open.
+fn without_needless(mut states: Vec<State>, operations: &[Operation]) -> Vec<State> {
+    states.sort_by_key(|state| state.used.len());
+    let mut remaining: Vec<State> = Vec::new();
+    for state in states {
+        let is_needless = |other: &State| {
+            let need_not_end = |index: &usize| operations[*index].to.is_none();
+            other.value == state.value
+                && other.used.is_subset(&state.used)
+                && state.used.difference(&other.used).all(need_not_end)
         };
-        if !kept.iter().any(needless) {
-            kept.push(s);
+        if !remaining.iter().any(is_needless) {
+            remaining.push(state);
         }
     }
-    kept
+    remaining
 }
 
 #[cfg(test)]
--- a/crates/trace-checker/src/history/tests.rs
+++ b/crates/trace-checker/src/history/tests.rs
@@ -1,20 +1,20 @@
 use super::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use Deed::{Read, Swap, Write};
+use BlockAccess::{Read, Swap, Write};
 
-fn op(from: u64, to: u64, deed: Deed) -> Op {
+fn op(from: u64, to: u64, access: BlockAccess) -> Operation {
     let ms = Duration::from_millis;
-    Op {
+    Operation {
         from: ms(from),
         to: (to > 0).then(|| ms(to)),
-        deed,
+        access,
     }
 }
 
 #[test]
 fn histories_that_can_and_cannot_be() {
-    let cases: [(&str, Vec<Op>, Option<usize>); 9] = [
+    let cases: [(&str, Vec<Operation>, Option<usize>); 9] = [
         (
             "one after the other",
             vec![op(0, 1, Write(1)), op(2, 3, Write(2)), op(4, 5, Read(2))],
@@ -77,7 +77,9 @@
         ),
     ];
     for (what, ops, wrong) in cases {
-        let expected = wrong.map_or(Found::InOrder, |at| Found::Disorder { at });
+        let expected = wrong.map_or(HistoryResult::Linearizable, |at| {
+            HistoryResult::NotLinearizable { at }
+        });
         assert_eq!(check(0, &ops), expected, "{what}");
     }
 }
@@ -95,18 +97,18 @@
                 moment.saturating_sub(rng.random_range(0..25)),
                 moment + rng.random_range(1..25),
             );
-            let deed = if rng.random() {
+            let access = if rng.random() {
                 Write(n + 1)
             } else {
                 Read(value)
             };
-            if let Write(v) = deed {
+            if let Write(v) = access {
                 value = v;
             }
-            let unknown = matches!(deed, Write(_)) && rng.random_range(0..6) == 0;
-            ops.push(op(from, if unknown { 0 } else { to }, deed));
+            let unknown = matches!(access, Write(_)) && rng.random_range(0..6) == 0;
+            ops.push(op(from, if unknown { 0 } else { to }, access));
         }
-        assert_eq!(check(0, &ops), Found::InOrder, "seed {seed}");
+        assert_eq!(check(0, &ops), HistoryResult::Linearizable, "seed {seed}");
         let mut stale = ops.clone();
         stale.extend([
             op(2000, 2001, Write(900)),
@@ -115,7 +117,7 @@
         ]);
         assert_eq!(
             check(0, &stale),
-            Found::Disorder {
+            HistoryResult::NotLinearizable {
                 at: stale.len() - 1
             },
             "seed {seed}"
