--- a/crates/cli/src/trace_checks.rs
+++ b/crates/cli/src/trace_checks.rs
@@ -82,7 +82,7 @@
 pub fn show_trace(file: &Path, text: &str) -> Result<(), CommandError> {
     let mut out = std::io::stdout().lock();
     for record in trace::read_file(file)? {
-        let line = grebecleat_trace_checker::run::show("", &record);
+        let line = grebecleat_trace_checker::run::record_text("", &record);
         if line.contains(text) && writeln!(out, "{line}").is_err() {
             // The reader has closed the pipe.
             return Ok(());
--- a/crates/trace-checker/src/drains.rs
+++ b/crates/trace-checker/src/drains.rs
@@ -1,7 +1,7 @@
 //! How drains went that somebody asked for: from the asking to the last new attempt, by frames and
 //! marks alone.
 
-use crate::run::{drain_of, Run};
+use crate::run::{drain_change, Run};
 use grebecleat_wire::pb::{frame::Body, marked::What, record::Kind, Record};
 use std::time::Duration;
 
@@ -33,8 +33,12 @@
             &r.mark,
         ) {
             (Kind::In, Some(Body::Propose(p)), _) => {
-                let drains = p.changes.iter().filter_map(drain_of).filter(|d| d.1);
-                all.extend(drains.map(|d| (at, d.0)));
+                let drains = p
+                    .changes
+                    .iter()
+                    .filter_map(drain_change)
+                    .filter(|d| d.drains);
+                all.extend(drains.map(|d| (at, d.node)));
             }
             (Kind::Mark, _, Some(m)) if m.what() == What::Asked => all.push((at, m.node)),
             _ => {}
@@ -48,8 +52,11 @@
 /// the first that hears that it is over.
 pub fn drains(run: &Run, asked: &[(Duration, u32)]) -> Vec<Drained> {
     let mut words: Vec<(u32, Duration, bool)> = Vec::new();
-    for (node, told) in run.hosts.iter().flat_map(|h| &h.wished) {
-        words.extend(told.iter().map(|(at, on)| (*node, *at, *on)));
+    for (node, told) in run.hosts.iter().flat_map(|h| &h.drain_requests) {
+        words.extend(
+            told.iter()
+                .map(|request| (*node, request.at, request.drains)),
+        );
     }
     words.sort_unstable();
     // Each by its node: first and last word that it drains, and the word that ended it.
@@ -82,7 +89,7 @@
             .iter()
             .flat_map(|h| &h.attempts)
             .filter(|l| l.attempt.node == node)
-            .map(|l| l.seen.at);
+            .map(|l| l.frame.at);
         let attempts: Vec<Duration> = attempts.filter(|at| (from..end).contains(at)).collect();
         let last_attempt = attempts.iter().max().map(|at| *at - from);
         Drained {
--- a/crates/trace-checker/src/rules.rs
+++ b/crates/trace-checker/src/rules.rs
@@ -9,7 +9,7 @@
 pub mod retry_budget;
 pub mod slow_start;
 
-use crate::run::Seen;
+use crate::run::TracedFrame;
 use crate::{Verdict, Violation};
 use std::time::Duration;
 
@@ -21,13 +21,13 @@
 const MAX_LISTED: usize = 20;
 
 /// Adds a violation, unless the rule has already been listed `MAX_LISTED` times.
-fn add_violation(verdict: &mut Verdict, rule: u8, what: String, frames: &[&Seen]) {
+fn add_violation(verdict: &mut Verdict, rule: u8, what: String, frames: &[&TracedFrame]) {
     let listed = verdict.violations.iter().filter(|v| v.rule == rule).count();
     if listed < MAX_LISTED {
         verdict.violations.push(Violation {
             rule,
             what,
-            frames: frames.iter().map(|seen| seen.show.clone()).collect(),
+            frames: frames.iter().map(|seen| seen.text.clone()).collect(),
         });
     }
 }
--- a/crates/trace-checker/src/rules/drains.rs
+++ b/crates/trace-checker/src/rules/drains.rs
@@ -11,14 +11,14 @@
     for host in &run.hosts {
         for attempt in &host.attempts {
             let node = attempt.attempt.node;
-            let Some(notified) = host.told_off(node, attempt.seen.at) else {
+            let Some(notified) = host.unavailable_since(node, attempt.frame.at) else {
                 continue;
             };
-            let since = attempt.seen.at - notified;
+            let since = attempt.frame.at - notified;
             verdict.drain_lag_ms = verdict.drain_lag_ms.max(since.as_secs_f64() * 1000.0);
             if since > settings.rules.drain_grace {
                 let what = format!("{}: to node {node} {since:?} after it was told", host.name);
-                add_violation(verdict, 3, what, &[&attempt.seen]);
+                add_violation(verdict, 3, what, &[&attempt.frame]);
             }
         }
     }
--- a/crates/trace-checker/src/rules/effects.rs
+++ b/crates/trace-checker/src/rules/effects.rs
@@ -2,7 +2,7 @@
 //! where a client's retry does no harm. `TraceSet::check` calls it.
 
 use super::{add_violation, id_text};
-use crate::run::{Attempt, Host, Run, Taken};
+use crate::run::{Attempt, HostTrace, ReceivedRequest, Run};
 use crate::Verdict;
 use grebecleat_settings::{DeduplicationScope, Idempotency, Settings};
 use grebecleat_wire::pb::{marked::What, Outcome};
@@ -26,8 +26,8 @@
     let places: Places = places.collect();
     for host in &run.hosts {
         verdict.attempts += host.attempts.len() as u64;
-        for request in &host.taken {
-            let class = request.take.traffic_class as usize;
+        for request in &host.requests {
+            let class = request.submit.traffic_class as usize;
             let Some(class) = settings.traffic_classes.get(class) else {
                 continue;
             };
@@ -42,21 +42,21 @@
 fn check_retries(
     places: &Places,
     idempotency: Idempotency,
-    host: &Host,
-    request: &Taken,
+    host: &HostTrace,
+    request: &ReceivedRequest,
     verdict: &mut Verdict,
 ) {
-    let name = id_text(&request.take.id);
+    let name = id_text(&request.submit.id);
     let attempts = request.attempts.iter().map(|index| &host.attempts[*index]);
     let attempts: Vec<&Attempt> = attempts.collect();
     for (index, later) in attempts.iter().enumerate() {
         for earlier in &attempts[..index] {
-            if earlier.never_ran(later.seen.at) {
+            if earlier.never_ran(later.frame.at) {
                 continue;
             }
             if !may_follow(places, idempotency, earlier, later) {
                 let what = format!("{name}: a leg after one that may have run ({idempotency:?})");
-                add_violation(verdict, 2, what, &[&earlier.seen, &later.seen]);
+                add_violation(verdict, 2, what, &[&earlier.frame, &later.frame]);
             }
         }
     }
@@ -81,10 +81,15 @@
         DeduplicationScope::Zone => first.map(|p| p.zone) == second.map(|p| p.zone),
         DeduplicationScope::Shard => first.map(|p| p.shard) == second.map(|p| p.shard),
     };
-    in_scope && later.seen.at < earlier.seen.at + window
+    in_scope && later.frame.at < earlier.frame.at + window
 }
 
-fn check_rejections(idempotency: Idempotency, host: &Host, request: &Taken, verdict: &mut Verdict) {
+fn check_rejections(
+    idempotency: Idempotency,
+    host: &HostTrace,
+    request: &ReceivedRequest,
+    verdict: &mut Verdict,
+) {
     let retry_is_harmless = matches!(
         idempotency,
         Idempotency::Idempotent
@@ -96,14 +101,14 @@
     if retry_is_harmless {
         return;
     }
-    let rejections = request.finals.iter();
+    let rejections = request.responses.iter();
     for (seen, response) in rejections.filter(|f| f.1.outcome() == Outcome::Rejected) {
         let mut attempts = request.attempts.iter().map(|index| &host.attempts[*index]);
-        let ran = attempts.find(|a| a.seen.at <= seen.at && !a.never_ran(seen.at));
+        let ran = attempts.find(|a| a.frame.at <= seen.at && !a.never_ran(seen.at));
         if let Some(attempt) = ran {
             let name = id_text(&response.id);
             let what = format!("{name}: deferred, though a leg may have run");
-            add_violation(verdict, 2, what, &[&attempt.seen, seen]);
+            add_violation(verdict, 2, what, &[&attempt.frame, seen]);
         }
     }
 }
@@ -114,9 +119,9 @@
         verdict.effects += 1;
         *effects.entry(&mark.id).or_default() += 1;
     }
-    let classes = run.asked.values().map(|request| {
-        let class = request.take.traffic_class as usize;
-        (&request.take.piece[..], class)
+    let classes = run.client_requests.values().map(|request| {
+        let class = request.submit.traffic_class as usize;
+        (&request.submit.piece[..], class)
     });
     let classes: HashMap<&[u8], usize> = classes.collect();
     for (piece, times) in effects.into_iter().filter(|effect| effect.1 > 1) {
--- a/crates/trace-checker/src/rules/limits.rs
+++ b/crates/trace-checker/src/rules/limits.rs
@@ -3,7 +3,7 @@
 
 use super::MAX_LISTED;
 use crate::plans::{Limit, Plans};
-use crate::run::Host;
+use crate::run::HostTrace;
 use crate::{Verdict, Violation};
 use grebecleat_settings::Settings;
 use std::collections::BTreeMap;
@@ -14,7 +14,7 @@
     at: Duration,
     units: f64,
     /// The frame as text.
-    show: String,
+    text: String,
 }
 
 /// The token bucket of a volume, under the limit in force.
@@ -55,7 +55,7 @@
 }
 
 /// Checks the first attempts of each volume against the limit that was in force.
-pub fn check(settings: &Settings, hosts: &[Host], plans: &Plans, verdict: &mut Verdict) {
+pub fn check(settings: &Settings, hosts: &[HostTrace], plans: &Plans, verdict: &mut Verdict) {
     for (volume, mut attempts) in first_attempts(hosts) {
         attempts.sort_by_key(|attempt| attempt.at);
         let in_force = plans.in_force(volume, configured_limit(settings, volume));
@@ -74,7 +74,7 @@
                 verdict.violations.push(Violation {
                     rule: 7,
                     what,
-                    frames: vec![attempt.show],
+                    frames: vec![attempt.text],
                 });
             }
         }
@@ -93,16 +93,16 @@
 }
 
 /// Returns the first attempts of all hosts' requests, by volume.
-fn first_attempts(hosts: &[Host]) -> BTreeMap<u64, Vec<FirstAttempt>> {
+fn first_attempts(hosts: &[HostTrace]) -> BTreeMap<u64, Vec<FirstAttempt>> {
     let mut by_volume: BTreeMap<u64, Vec<FirstAttempt>> = BTreeMap::new();
     for host in hosts {
-        let firsts = host.taken.iter().filter_map(|r| r.attempts.first());
+        let firsts = host.requests.iter().filter_map(|r| r.attempts.first());
         for attempt in firsts.map(|index| &host.attempts[*index]) {
             let attempts = by_volume.entry(attempt.attempt.volume).or_default();
             attempts.push(FirstAttempt {
-                at: attempt.seen.at,
+                at: attempt.frame.at,
                 units: attempt.attempt.units,
-                show: attempt.seen.show.clone(),
+                text: attempt.frame.text.clone(),
             });
         }
     }
--- a/crates/trace-checker/src/rules/retry_budget.rs
+++ b/crates/trace-checker/src/rules/retry_budget.rs
@@ -13,20 +13,20 @@
         return;
     };
     for host in &run.hosts {
-        let request_times: Vec<Duration> = host.taken.iter().map(|r| r.seen.at).collect();
-        let retries = host.taken.iter().flat_map(|r| r.attempts.iter().skip(1));
+        let request_times: Vec<Duration> = host.requests.iter().map(|r| r.frame.at).collect();
+        let retries = host.requests.iter().flat_map(|r| r.attempts.iter().skip(1));
         let mut retries: Vec<&Attempt> = retries.map(|index| &host.attempts[*index]).collect();
-        retries.sort_by_key(|retry| retry.seen.at);
-        let retry_times: Vec<Duration> = retries.iter().map(|retry| retry.seen.at).collect();
+        retries.sort_by_key(|retry| retry.frame.at);
+        let retry_times: Vec<Duration> = retries.iter().map(|retry| retry.frame.at).collect();
         for retry in &retries {
-            let made = count_in_window(&retry_times, retry.seen.at, rule.window);
-            let received = count_in_window(&request_times, retry.seen.at, rule.window);
+            let made = count_in_window(&retry_times, retry.frame.at, rule.window);
+            let received = count_in_window(&request_times, retry.frame.at, rule.window);
             let permitted = rule.min_retries + rule.ratio * received as f64;
             if made as f64 > permitted {
                 let name = &host.name;
                 let what =
                     format!("{name}: {made} further legs in a window of {received} transfers");
-                add_violation(verdict, 6, what, &[&retry.seen]);
+                add_violation(verdict, 6, what, &[&retry.frame]);
             }
         }
     }
--- a/crates/trace-checker/src/rules/slow_start.rs
+++ b/crates/trace-checker/src/rules/slow_start.rs
@@ -3,7 +3,7 @@
 //! fails from overload. `TraceSet::check` calls it.
 
 use super::add_violation;
-use crate::run::{Host, Run, Seen};
+use crate::run::{Arrival, HostTrace, Run};
 use crate::Verdict;
 use grebecleat_settings::Settings;
 use grebecleat_wire::pb::{self, marked::What, Marked};
@@ -17,8 +17,8 @@
 /// overload is not the notified hosts' fault.
 const NOTIFIED_PART: f64 = 2.0 / 3.0;
 
-/// An attempt that arrived at a node.
-struct Arrival {
+/// Attempt in the window that is checked.
+struct WindowEntry {
     at: Duration,
     units: f64,
     /// Whether its host was notified of the node's start.
@@ -39,7 +39,7 @@
     run.marks.iter().filter(move |mark| mark.1.what() == what)
 }
 
-fn arrived(run: &Run, node: u32) -> &[(Seen, String, pb::Attempt)] {
+fn arrived(run: &Run, node: u32) -> &[Arrival] {
     let arrived = run.arrived.get(&node);
     arrived.map(Vec::as_slice).unwrap_or_default()
 }
@@ -50,10 +50,10 @@
     hosts.any(|host| notified_of_start(host, node, start, by))
 }
 
-fn notified_of_start(host: &Host, node: u32, start: Duration, by: Duration) -> bool {
-    let reports = host.told.get(&node);
-    let mut reports = reports.into_iter().flatten();
-    reports.any(|(at, state, _)| *at >= start && *at <= by && *state == pb::NodeState::Ready)
+fn notified_of_start(host: &HostTrace, node: u32, start: Duration, by: Duration) -> bool {
+    let reports = host.node_reports.get(&node).into_iter().flatten();
+    let mut ready = reports.filter(|report| report.state == pb::NodeState::Ready);
+    ready.any(|report| report.at >= start && report.at <= by)
 }
 
 /// Reports the first overload of a warm-up period.
@@ -71,23 +71,29 @@
         .map(|next| next.0)
         .find(|at| *at > start);
     let end = next_start.map_or(warm_at, |next| warm_at.min(next));
-    let mut window: VecDeque<Arrival> = VecDeque::new();
+    let mut window: VecDeque<WindowEntry> = VecDeque::new();
     let arrivals = arrived(run, mark.node).iter();
-    for (seen, host, attempt) in arrivals.filter(|a| a.0.at >= start && a.0.at < end) {
-        window.push_back(Arrival {
-            at: seen.at,
+    let during = arrivals.filter(|a| a.frame.at >= start && a.frame.at < end);
+    for Arrival {
+        frame,
+        host,
+        attempt,
+    } in during
+    {
+        window.push_back(WindowEntry {
+            at: frame.at,
             units: attempt.units,
-            notified: notified(run, host, mark.node, start, seen.at),
+            notified: notified(run, host, mark.node, start, frame.at),
         });
         while window
             .front()
-            .is_some_and(|first| first.at + rule.overload_window < seen.at)
+            .is_some_and(|first| first.at + rule.overload_window < frame.at)
         {
             window.pop_front();
         }
         let from_notified = units(&window, true);
         let all = from_notified + units(&window, false);
-        let age = (seen.at - start).as_secs_f64() / warm_up.as_secs_f64();
+        let age = (frame.at - start).as_secs_f64() / warm_up.as_secs_f64();
         let capacity_part = mark.cold_part + (1.0 - mark.cold_part) * age.min(1.0);
         let capacity = mark.units_a_second * capacity_part;
         let permitted = rule.multiple * capacity * rule.overload_window.as_secs_f64();
@@ -95,14 +101,14 @@
         if all > permitted * OVERLOAD_TOLERANCE && from_notified >= all * NOTIFIED_PART {
             let node = mark.node;
             let what = format!("node {node}: {all:.0} units in a span that bears {permitted:.0}");
-            add_violation(verdict, 4, what, &[seen]);
+            add_violation(verdict, 4, what, &[frame]);
             return;
         }
     }
 }
 
 /// Returns the units in a window from hosts that were, or were not, notified of the start.
-fn units(window: &VecDeque<Arrival>, notified: bool) -> f64 {
+fn units(window: &VecDeque<WindowEntry>, notified: bool) -> f64 {
     let arrivals = window.iter().filter(|a| a.notified == notified);
     arrivals.map(|arrival| arrival.units).sum()
 }
@@ -121,12 +127,17 @@
     let start = start.unwrap_or_default();
     let mut from_notified = 0.0;
     let mut all = 0.0;
-    for (seen, host, attempt) in arrived(run, mark.node) {
-        if seen.at > at || seen.at + rule.overload_window < at {
+    for Arrival {
+        frame,
+        host,
+        attempt,
+    } in arrived(run, mark.node)
+    {
+        if frame.at > at || frame.at + rule.overload_window < at {
             continue;
         }
         all += attempt.units;
-        if notified(run, host, mark.node, start, seen.at) {
+        if notified(run, host, mark.node, start, frame.at) {
             from_notified += attempt.units;
         }
     }
