--- a/crates/trace-checker/src/drains.rs
+++ b/crates/trace-checker/src/drains.rs
@@ -1,104 +1,135 @@
-//! How drains went that somebody asked for: from the asking to the last new attempt, by frames and
-//! marks alone.
+//! Measures the drains that operators request: the time from the request until the last new
+//! attempt to the node, by frames and marks alone. [`crate::TraceSet::check`] calls [`requests`]
+//! and [`drains`]. No rule is decided here, and the module owns no state.
 
 use crate::run::{drain_change, Run};
 use grebecleat_wire::pb::{frame::Body, marked::What, record::Kind, Record};
 use std::time::Duration;
 
-/// An act at a console and the change that it makes lie no further apart.
-const NEAR: Duration = Duration::from_secs(2);
+/// Bounds the time from an operator's command to the change that it makes. Larger, an earlier
+/// command counts as the request; smaller, the change counts although the command came before it.
+const MAX_REQUEST_DELAY: Duration = Duration::from_secs(2);
 
-/// One drain from when it began to hold.
+/// One drain from the time at which it was in force.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Drained {
+pub struct MeasuredDrain {
+    /// The node.
     pub node: u32,
-    /// When it was asked for; None: nothing recorded shows it.
-    pub asked: Option<Duration>,
-    /// From then until the first and the last host was told.
-    pub told: (Duration, Duration),
-    /// From then until the last new attempt went there; None: none did.
+    /// Time of the request; None: no record shows it.
+    pub requested: Option<Duration>,
+    /// Time from the request, or else from the first notification, until the first host was
+    /// notified.
+    pub first_notified: Duration,
+    /// Time from the same moment until the last host was notified.
+    pub last_notified: Duration,
+    /// Time from the same moment until the last new attempt to the node; None: no attempt followed.
     pub last_attempt: Option<Duration>,
-    /// New attempts after the asking.
+    /// Number of new attempts from that moment until the drain ended.
     pub attempts: usize,
 }
 
-/// When changes that drain a node came to the state service, and marks of acts that ask for one.
-pub fn asked(traces: &[Vec<Record>]) -> Vec<(Duration, u32)> {
-    let mut all = Vec::new();
-    for r in traces.iter().flatten() {
-        let at = Duration::from_nanos(r.at_ns);
-        match (
-            r.kind(),
-            r.frame.as_ref().and_then(|f| f.body.as_ref()),
-            &r.mark,
-        ) {
-            (Kind::In, Some(Body::Propose(p)), _) => {
-                let drains = p
-                    .changes
-                    .iter()
-                    .filter_map(drain_change)
-                    .filter(|d| d.drains);
-                all.extend(drains.map(|d| (at, d.node)));
+/// Request of a drain, at the state service or by a mark of an operator's command.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Request {
+    /// Time of the request.
+    pub at: Duration,
+    /// The node.
+    pub node: u32,
+}
+
+/// Notifications of one drain to the hosts.
+struct Notified {
+    node: u32,
+    first: Duration,
+    last: Duration,
+    /// Time of the first notification that the drain is over, or `Duration::MAX`.
+    end: Duration,
+}
+
+/// Returns the requests of drains in all traces, by time.
+pub fn requests(traces: &[Vec<Record>]) -> Vec<Request> {
+    let mut requests = Vec::new();
+    for record in traces.iter().flatten() {
+        let at = Duration::from_nanos(record.at_ns);
+        let body = record.frame.as_ref().and_then(|frame| frame.body.as_ref());
+        match (record.kind(), body, &record.mark) {
+            (Kind::In, Some(Body::Propose(proposal)), _) => {
+                let changes = proposal.changes.iter().filter_map(drain_change);
+                let drains = changes.filter(|change| change.drains);
+                requests.extend(drains.map(|change| Request {
+                    at,
+                    node: change.node,
+                }));
+            }
+            (Kind::Mark, _, Some(mark)) if mark.what() == What::Asked => {
+                let node = mark.node;
+                requests.push(Request { at, node });
             }
-            (Kind::Mark, _, Some(m)) if m.what() == What::Asked => all.push((at, m.node)),
             _ => {}
         }
     }
-    all.sort_unstable();
-    all
+    requests.sort_unstable();
+    requests
+}
+
+/// Returns all drains that hosts were notified of, by the time of the first notification. A drain
+/// lasts from its first notification to a host until the first notification that it is over.
+pub fn drains(run: &Run, requests: &[Request]) -> Vec<MeasuredDrain> {
+    let mut drains = notified_drains(run);
+    drains.sort_by_key(|drain| drain.first);
+    let measured = drains.iter().map(|drain| measure(run, requests, drain));
+    measured.collect()
 }
 
-/// Every drain that hosts were told of, in the order told: from the first host that hears of one to
-/// the first that hears that it is over.
-pub fn drains(run: &Run, asked: &[(Duration, u32)]) -> Vec<Drained> {
-    let mut words: Vec<(u32, Duration, bool)> = Vec::new();
-    for (node, told) in run.hosts.iter().flat_map(|h| &h.drain_requests) {
-        words.extend(
-            told.iter()
-                .map(|request| (*node, request.at, request.drains)),
-        );
+fn notified_drains(run: &Run) -> Vec<Notified> {
+    let mut notifications: Vec<(u32, Duration, bool)> = Vec::new();
+    for (node, requests) in run.hosts.iter().flat_map(|host| &host.drain_requests) {
+        let requests = requests.iter();
+        notifications.extend(requests.map(|request| (*node, request.at, request.drains)));
     }
-    words.sort_unstable();
-    // Each by its node: first and last word that it drains, and the word that ended it.
-    let mut all: Vec<(u32, Duration, Duration, Duration)> = Vec::new();
-    for (node, at, on) in words {
-        match (
-            all.last_mut()
-                .filter(|d| d.0 == node && d.3 == Duration::MAX),
-            on,
-        ) {
-            (Some(d), true) => d.2 = at,
-            (Some(d), false) => d.3 = at,
-            (None, true) => all.push((node, at, at, Duration::MAX)),
+    notifications.sort_unstable();
+    let mut drains: Vec<Notified> = Vec::new();
+    for (node, at, is_drain) in notifications {
+        let last = drains.last_mut();
+        let open = last.filter(|drain| drain.node == node && drain.end == Duration::MAX);
+        match (open, is_drain) {
+            (Some(drain), true) => drain.last = at,
+            (Some(drain), false) => drain.end = at,
+            (None, true) => drains.push(Notified {
+                node,
+                first: at,
+                last: at,
+                end: Duration::MAX,
+            }),
             (None, false) => {}
         }
     }
-    all.sort_by_key(|d| d.1);
-    let one = |(node, first, last, end): (u32, Duration, Duration, Duration)| {
-        let before = asked
-            .iter()
-            .filter(|a| a.1 == node && a.0 <= first)
-            .map(|a| a.0);
-        // The act at the console comes before the change at the service: of those close by the
-        // first.
-        let near = before.clone().max().map(|at| at.saturating_sub(NEAR));
-        let asked = before.filter(|a| near.is_some_and(|n| *a >= n)).min();
-        let from = asked.unwrap_or(first);
-        let attempts = run
-            .hosts
-            .iter()
-            .flat_map(|h| &h.attempts)
-            .filter(|l| l.attempt.node == node)
-            .map(|l| l.frame.at);
-        let attempts: Vec<Duration> = attempts.filter(|at| (from..end).contains(at)).collect();
-        let last_attempt = attempts.iter().max().map(|at| *at - from);
-        Drained {
-            node,
-            asked,
-            told: (first - from, last - from),
-            last_attempt,
-            attempts: attempts.len(),
-        }
-    };
-    all.into_iter().map(one).collect()
+    drains
+}
+
+fn measure(run: &Run, requests: &[Request], drain: &Notified) -> MeasuredDrain {
+    let requested = request_time(requests, drain);
+    let from = requested.unwrap_or(drain.first);
+    let attempts = run.hosts.iter().flat_map(|host| &host.attempts);
+    let attempts = attempts.filter(|attempt| attempt.attempt.node == drain.node);
+    let times = attempts.map(|attempt| attempt.frame.at);
+    let times: Vec<Duration> = times.filter(|at| (from..drain.end).contains(at)).collect();
+    MeasuredDrain {
+        node: drain.node,
+        requested,
+        first_notified: drain.first - from,
+        last_notified: drain.last - from,
+        last_attempt: times.iter().max().map(|at| *at - from),
+        attempts: times.len(),
+    }
+}
+
+/// Returns when a drain was requested. The operator's command precedes the change at the state
+/// service: of the requests shortly before the last one, the first counts.
+fn request_time(requests: &[Request], drain: &Notified) -> Option<Duration> {
+    let of_node = requests.iter().filter(|request| request.node == drain.node);
+    let before = of_node.map(|request| request.at);
+    let before = before.filter(|at| *at <= drain.first);
+    let earliest = before.clone().max()?.saturating_sub(MAX_REQUEST_DELAY);
+    before.filter(|at| *at >= earliest).min()
 }
--- a/crates/trace-checker/src/lib.rs
+++ b/crates/trace-checker/src/lib.rs
@@ -73,7 +73,7 @@
     /// Each revision of the catalog, with the time from its first notification until it was stable.
     pub revision_times: Vec<(u64, Duration)>,
     /// Drains that were requested during the run.
-    pub drains: Vec<drains::Drained>,
+    pub drains: Vec<drains::MeasuredDrain>,
 }
 
 impl Verdict {
@@ -144,7 +144,7 @@
         rules::limits::check(settings, &run.hosts, &run.plans, &mut verdict);
         run.plans.check_stable(settings, &mut verdict);
         verdict.revision_times = run.plans.took();
-        verdict.drains = drains::drains(&run, &drains::asked(&self.traces));
+        verdict.drains = drains::drains(&run, &drains::requests(&self.traces));
         verdict.commands = commands::judge(settings, &self.traces, &run.marks);
         Ok(verdict)
     }
