--- a/crates/iscsi/src/pdu.rs
+++ b/crates/iscsi/src/pdu.rs
@@ -2,7 +2,7 @@
 //!
 //! A PDU is a basic header segment of 48 bytes, additional header segments, a header digest, data
 //! padded to four bytes, and a data digest. Numbers are big-endian. [`Reader`] turns received bytes
-//! into PDUs and checks a length before it stores anything for it; [`write`] encodes a PDU. Digests
+//! into PDUs and checks a length before it stores anything for it; [`write()`] encodes a PDU. Digests
 //! are CRC32C (section 13.1), sent least significant byte first as in the standard's examples (RFC
 //! 3720, appendix B.4). Connections call this module; it owns no state but each reader's buffer.
 
@@ -22,7 +22,7 @@
 /// A protocol data unit, without its digests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Pdu {
-    /// The basic header segment. [`write`] sets its lengths.
+    /// The basic header segment. [`write()`] sets its lengths.
     pub header: Header,
     /// The additional header segments (AHS), with their padding.
     pub ahs: Bytes,
