--- a/crates/scheduler/src/api.rs
+++ b/crates/scheduler/src/api.rs
@@ -1,9 +1,9 @@
-//! Messages between the scheduler and its host: events in, actions out, and the settings and metrics that both
-//! share.
+//! Interface between the scheduler and its host: events as input, actions as output, and the settings and
+//! metrics that both use.
 //!
-//! [`Event`] and [`Action`] are all that [`crate::scheduler::Scheduler::step`] takes and returns. Decides nothing.
-//! Rates are units a second, where a unit is the settings' measure of node work; times are spans since the
-//! host's start unless stated otherwise.
+//! [`crate::scheduler::Scheduler::step`] takes [`Event`]s and returns [`Action`]s. The types here contain no
+//! decision logic. A unit is the measure of node work that the settings define, and rates are in units per
+//! second. Times are durations since the host's start unless stated otherwise.
 
 mod actions;
 mod events;
--- a/crates/scheduler/src/api/actions.rs
+++ b/crates/scheduler/src/api/actions.rs
@@ -1,4 +1,4 @@
-//! Actions that the scheduler returns to its host, and the events of its log.
+//! Actions that the scheduler returns to its host, and its log events.
 
 use super::{NodeId, PeerId, RequestId, TimerTag};
 use std::fmt;
@@ -13,17 +13,18 @@
         id: RequestId,
         /// The node.
         node: NodeId,
-        /// Time at which the attempt ends at the latest.
+        /// Time at which the attempt must end at the latest.
         deadline: Duration,
     },
-    /// Answer the client that the request did not run and may be retried.
+    /// Tell the client that it may retry the request, because the request did not run or because a retry cannot
+    /// have a duplicate effect.
     Reject {
         /// The request.
         id: RequestId,
-        /// Shortest time until the retry; None: the answer has no Retry-After.
+        /// Shortest time until the retry; `None` if the answer carries no Retry-After.
         retry_after: Option<Duration>,
     },
-    /// Answer the client that the request failed and may have run.
+    /// Tell the client that the request failed and may have run.
     Fail {
         /// The request.
         id: RequestId,
@@ -32,10 +33,10 @@
     CancelAttempt {
         /// The request.
         id: RequestId,
-        /// Number of its attempt, from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
-    /// Call [`crate::scheduler::Scheduler::step`] again, with this timer's event, after a time.
+    /// Call [`crate::scheduler::Scheduler::step`] with this timer's event after the given time.
     SetTimer {
         /// Time from now.
         after: Duration,
@@ -54,9 +55,9 @@
     },
     /// Send a message to the scheduler of another host.
     SendToPeer {
-        /// The host; None: all hosts.
+        /// The receiving host; `None` for all hosts.
         to: Option<PeerId>,
-        /// Its content.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
     /// Write an event to the log.
@@ -64,7 +65,7 @@
         /// The event.
         event: LogEvent,
     },
-    /// Start, or end, the watch on the endpoint list.
+    /// Start or end the watch on the endpoint list.
     WatchEndpoints {
         /// Whether to watch.
         on: bool,
@@ -73,22 +74,23 @@
     FetchEndpoints,
 }
 
-/// Reason for which a node was ejected: from then on it gets trial requests only.
+/// Reason why a node was ejected. An ejected node gets only trial requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EjectionReason {
-    /// Attempts are outstanding at the node, and it has answered none of them.
+    /// The node has not answered for too long although attempts are outstanding there.
     Silent {
-        /// Time since its last answer, or since the oldest of these attempts was sent.
+        /// Time since the node last completed an attempt or, if that is later, since the oldest of these
+        /// attempts was sent.
         silent_for: Duration,
     },
     /// The node's queue was full.
     QueueFull {
-        /// Consecutive failures of the node.
+        /// Number of consecutive failures of the node.
         failures: u32,
     },
     /// No connection to the node could be opened.
     ConnectFailed {
-        /// Consecutive failures of the node.
+        /// Number of consecutive failures of the node.
         failures: u32,
     },
 }
@@ -107,14 +109,14 @@
     }
 }
 
-/// Event of the decisions for the host's log.
+/// Event that the scheduler reports for the host's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LogEvent {
-    /// The lease of the endpoint list has expired: only nodes that complete requests get more.
+    /// The lease of the endpoint list has expired; only nodes that keep completing requests get more requests.
     EndpointLeaseExpired,
-    /// Discovery has answered after the lease had expired.
+    /// The discovery service has answered after the lease had expired.
     EndpointLeaseRenewed,
-    /// A node has started recently and gets only this host's quota until it has warmed up.
+    /// A node has started recently; until it is warm, this host sends it no more than its quota.
     NodeWarmingUp {
         /// The node.
         node: NodeId,
--- a/crates/scheduler/src/api/events.rs
+++ b/crates/scheduler/src/api/events.rs
@@ -1,4 +1,4 @@
-//! Events that the host reports to the scheduler. Times are spans since the host's start.
+//! Events that the host reports to the scheduler. Times are durations since the host's start.
 
 use super::{
     KeyId, NodeId, PeerId, Plan, PlanId, RequestId, ShardId, TimerTag, TrafficClassId, VolumeId,
@@ -6,14 +6,14 @@
 };
 use std::time::Duration;
 
-/// A client's request for work on a volume.
+/// A client's request to read or write data of a volume.
 #[derive(Debug, Clone)]
 pub struct Request {
     /// Its id.
     pub id: RequestId,
     /// Its size in units.
     pub units: f64,
-    /// The shard that holds its data; None: a new object, which any node can take.
+    /// The shard that holds its data; `None` for a new object, which any node can take.
     pub shard: Option<ShardId>,
     /// Its traffic class.
     pub traffic_class: TrafficClassId,
@@ -21,9 +21,9 @@
     pub plan: PlanId,
     /// Number of hosts that receive the volume's requests.
     pub hosts: usize,
-    /// Its piece of data; None: unknown.
+    /// Key of the data that it reads or writes; `None` if unknown.
     pub key: Option<KeyId>,
-    /// Time up to which its client waits for an answer.
+    /// Time until which its client waits for an answer.
     pub deadline: Duration,
     /// Its volume.
     pub volume: VolumeId,
@@ -32,30 +32,30 @@
 /// Outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The node carried it out.
+    /// The node completed it.
     Completed,
-    /// The node answered with an error; it may have run.
+    /// The node answered with an error; the attempt may have run.
     Failed,
-    /// The node's queue was full; it never ran.
+    /// The node's queue was full; the attempt did not run.
     QueueFull,
-    /// No answer came in time; it may still run.
+    /// No answer came in time; the attempt may still be running.
     TimedOut,
-    /// No connection to the node could be opened; it never ran.
+    /// No connection to the node could be opened; the attempt did not run.
     ConnectFailed,
-    /// The connection was reset; it may still run.
+    /// The connection was reset; the attempt may still be running.
     ConnectionReset,
-    /// This host cancelled it; it may still run.
+    /// This host cancelled it; the attempt may still be running.
     Cancelled,
-    /// It never left this host.
+    /// It was never sent.
     NotSent,
 }
 
-/// State of a node by the endpoint list.
+/// State of a node according to the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NodeState {
     /// It accepts requests.
     Ready,
-    /// It completes its requests and must get no new ones.
+    /// It is completing its requests and must get no new ones.
     Draining,
     /// It no longer exists.
     Gone,
@@ -68,9 +68,9 @@
     Delta,
     /// All endpoints.
     Snapshot,
-    /// All endpoints, as this host stored them before its restart.
+    /// All endpoints, as stored by this host before its restart.
     Cached,
-    /// Nothing: the call for the list failed.
+    /// No endpoints, because the call for the list failed.
     FetchFailed,
 }
 
@@ -85,16 +85,16 @@
     pub shard: ShardId,
     /// Its state.
     pub state: NodeState,
-    /// Time at which its process last started; None: long ago.
+    /// Time at which its process last started; `None` if that was long ago.
     pub started: Option<Duration>,
 }
 
-/// End of an attempt, with the data of its answer.
+/// End of an attempt, with the data that came with its answer.
 #[derive(Debug, Clone)]
 pub struct AttemptEnd {
     /// The request.
     pub id: RequestId,
-    /// Number of the attempt, from 0.
+    /// Number of the attempt, counted from 0.
     pub attempt: u32,
     /// The node to which it was sent.
     pub node: NodeId,
@@ -102,13 +102,15 @@
     pub outcome: AttemptOutcome,
     /// Time since it was sent.
     pub elapsed: Duration,
-    /// The request has its final answer.
+    /// The client has the request's final answer.
     pub answered: bool,
-    /// The volume's usage over all hosts in a complete meter period, in percent of the plan's base rate.
+    /// The volume's usage over all hosts in a complete meter period, in percent of the plan's base rate;
+    /// `None` if the answer did not report it.
     pub reported: Option<f64>,
-    /// Units that this shard served for the volume through other hosts since its last answer to this host.
+    /// Number of units that the shard served for the volume through other hosts since its last answer to this
+    /// host.
     pub others: f64,
-    /// Busy fraction of the node's cores; None: not reported.
+    /// Fraction of the node's cores that are busy; `None` if the answer did not report it.
     pub busy: Option<f64>,
 }
 
@@ -117,42 +119,43 @@
 pub enum Event {
     /// The host received a client's request.
     RequestReceived(Request),
-    /// The answer of a streamed request has begun; it belongs to the client from now on.
+    /// The streamed answer to a request has begun to reach the client, so the request can no longer be retried.
     ResponseStarted {
         /// The request.
         id: RequestId,
-        /// Number of its attempt, from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
     /// An attempt has ended.
     AttemptEnded(AttemptEnd),
-    /// An attempt counts as sent at another time than it was decided: it waited for a connection, or waits for
-    /// one that should be open by then.
+    /// The send time of an attempt differs from the time of the decision to send it, because the attempt
+    /// waited for a connection or is waiting for one that should be open by then.
     AttemptSent {
         /// The request.
         id: RequestId,
         /// The node.
         node: NodeId,
-        /// Time from which it counts as sent.
+        /// Send time of the attempt.
         at: Duration,
     },
-    /// The client has left and needs no answer.
+    /// The client has cancelled the request or disconnected, and needs no answer.
     RequestCancelled {
         /// The request.
         id: RequestId,
     },
-    /// A plan has these figures from now on; a new plan has the next number.
+    /// The parameters of a plan have changed, or a plan was added; a new plan has the next unused id.
     PlanChanged {
         /// The plan.
         plan: PlanId,
-        /// Its figures.
+        /// Its parameters from now on.
         facts: Plan,
     },
-    /// A volume has these terms from now on. A volume without this event has the terms of its first request.
+    /// The terms of a volume have changed. A volume for which no such event came has the terms of its first
+    /// request.
     VolumeChanged {
         /// The volume.
         volume: VolumeId,
-        /// Its terms; None: it is no longer served here.
+        /// Its terms from now on; `None` if this host no longer serves it.
         terms: Option<VolumeTerms>,
     },
     /// The endpoint list has changed, or the call for it failed.
@@ -162,16 +165,16 @@
         /// The endpoints in it.
         endpoints: Vec<Endpoint>,
     },
-    /// Discovery has answered, with or without changes: the endpoint list is up to date.
+    /// The discovery service has answered, with or without changes, so the endpoint list is up to date.
     EndpointsConfirmed,
-    /// Discovery is at another address from now on.
+    /// The discovery service has moved to another address.
     DiscoveryMoved,
-    /// Discovery has refused a call for the endpoint list: it has too many callers.
+    /// The discovery service has refused a call for the endpoint list because it has too many callers.
     FetchRefused {
-        /// Time for which the call was queued there.
+        /// Time for which the call was queued at the service.
         waited: Duration,
     },
-    /// A timer that the scheduler set has expired.
+    /// A timer set by the scheduler has expired.
     TimerFired {
         /// The timer.
         tag: TimerTag,
@@ -185,9 +188,9 @@
     },
     /// The scheduler of another host has sent a message.
     PeerMessage {
-        /// Its sender.
+        /// The sending host.
         from: PeerId,
-        /// Its content.
+        /// Content of the message.
         bytes: Vec<u8>,
     },
 }
--- a/crates/scheduler/src/api/ids.rs
+++ b/crates/scheduler/src/api/ids.rs
@@ -1,10 +1,10 @@
-//! Identifiers of requests, nodes, volumes and the other things that events and actions name.
+//! Identifiers of requests, nodes, volumes and the other entities in events and actions.
 
-/// Identifies a request, by the text under which its client knows it.
+/// Identifies a request, by the text id that its client knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub [u8; 36]);
 
-/// Identifies a storage node; the same at every host.
+/// Identifies a storage node; all hosts use the same ids.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u32);
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VolumeId(pub u64);
 
-/// Identifies the piece of data that a request reads or writes.
+/// Identifies the data that a request reads or writes; requests with the same key may have to run in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KeyId(pub u64);
 
@@ -24,11 +24,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// Identifies a plan, by its place in the settings.
+/// Identifies a plan, by its index in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PlanId(pub usize);
 
-/// Identifies a traffic class, by its place in the settings.
+/// Identifies a traffic class, by its index in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TrafficClassId(pub usize);
 
@@ -36,6 +36,6 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PeerId(pub u32);
 
-/// Distinguishes the scheduler's timers.
+/// Identifies a timer of the scheduler.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerTag(pub u64);
--- a/crates/scheduler/src/api/settings.rs
+++ b/crates/scheduler/src/api/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that the scheduler and its host share. Rates are units a second.
+//! Settings that the scheduler and its host share. Rates are in units per second.
 
 use super::PlanId;
 use std::time::Duration;
@@ -14,19 +14,19 @@
     Shard,
 }
 
-/// Whether a request may be sent again after an attempt that may have run (RFC 9110, 9.2.2).
+/// Whether a request may be sent again after an attempt that may have run (RFC 9110, section 9.2.2).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
     /// A second run has no further effect.
     Idempotent,
-    /// Nodes of `scope` recognise the request's key for `window` after it was sent.
+    /// Nodes in `scope` recognise the request's idempotency key for `window` after it was sent.
     WithKey {
         /// The nodes that recognise the key.
         scope: DeduplicationScope,
         /// The time for which they recognise it.
         window: Duration,
     },
-    /// It must not run twice.
+    /// The request must not run twice.
     NonIdempotent,
 }
 
@@ -37,39 +37,39 @@
     pub latency_objective: Duration,
     /// Whether an attempt may follow one that may have run.
     pub idempotency: Idempotency,
-    /// Requests of one key run one after the other.
+    /// Requests of one key must run one at a time, in order of receipt.
     pub ordered: bool,
-    /// Value of a unit that is answered within the objective, before the plan's price.
+    /// Value of a unit that is answered within the objective, before it is multiplied by the plan's price.
     pub priority_weight: f64,
     /// Fraction of that value that a late answer still earns, from 0 to 1.
     pub late_fraction: f64,
 }
 
-/// Figures of a plan, for one volume over all hosts and nodes.
+/// Parameters of a plan. They apply to one volume, over all hosts and nodes.
 #[derive(Debug, Clone, Default)]
 pub struct Plan {
-    /// Rate of which reported usage is a percentage.
+    /// Rate to which the percentages of reported usage refer.
     pub base_rate: f64,
-    /// Rate that the volume is guaranteed.
+    /// Rate that is guaranteed to the volume.
     pub reservation: f64,
-    /// Rate that the volume may not exceed; 0: no limit.
+    /// Rate that the volume may not exceed; 0 if it has no limit.
     pub limit: f64,
-    /// Units that the limit lets pass at once.
+    /// Number of units that the limit allows at once.
     pub limit_burst: f64,
-    /// Units by which the limit may be exceeded.
+    /// Number of units by which the limit may be exceeded.
     pub limit_slack: f64,
     /// Weight in the division of the capacity that the reservations leave.
     pub weight: f64,
-    /// Factor on the value of the volume's requests.
+    /// Factor by which the value of the volume's requests is multiplied.
     pub price: f64,
 }
 
-/// One host's quota of a volume's limit, as figures of a token bucket.
+/// One host's quota of a volume's limit, as parameters of a token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitQuota {
-    /// Units a second.
+    /// Units per second.
     pub rate: f64,
-    /// Units at once.
+    /// Number of units that may be sent at once.
     pub burst: f64,
 }
 
@@ -80,15 +80,15 @@
     pub plan: PlanId,
     /// Number of hosts that receive the volume's requests.
     pub hosts: usize,
-    /// This host's quota of the plan's limit; None: no limit.
+    /// This host's quota of the plan's limit; `None` if the plan has no limit.
     pub limit: Option<LimitQuota>,
 }
 
 impl VolumeTerms {
-    /// Terms with an even quota of the plan's limit for each host.
+    /// Returns terms that give each host an equal quota of the plan's limit.
     pub fn even(id: PlanId, plan: &Plan, hosts: usize) -> Self {
         let hosts = hosts.max(1);
-        let quota = |of: f64| of / hosts as f64;
+        let quota = |total: f64| total / hosts as f64;
         let limit = (plan.limit > 0.0).then(|| LimitQuota {
             rate: quota(plan.limit),
             burst: quota(plan.limit_burst),
@@ -101,41 +101,41 @@
     }
 }
 
-/// Measures of work and of its value.
+/// Parameters of request sizes, of usage reports and of the value of units.
 #[derive(Debug, Clone)]
 pub struct UnitSettings {
     /// Mean size of a request, in units.
     pub mean: f64,
     /// Size of the largest request, in units.
     pub largest: f64,
-    /// Period over which nodes add up the usage that they report; zero: they report none.
+    /// Period over which nodes add up the usage that they report; zero if they report none.
     pub meter: Duration,
-    /// Fraction of the value that units earn beyond the reservation, within the fair share.
+    /// Fraction of its value that a unit earns beyond the reservation and within the fair share.
     pub share_fraction: f64,
-    /// Fraction of the value that units earn beyond the fair share.
+    /// Fraction of its value that a unit earns beyond the fair share.
     pub spare_fraction: f64,
 }
 
 /// Limits of the deployment on attempts, health checks and answers.
 #[derive(Debug, Clone)]
 pub struct HostLimits {
-    /// Attempts of one request, its first included.
+    /// Maximum number of attempts of one request, including the first.
     pub max_attempts: u32,
     /// Whether nodes answer health checks.
     pub probing: bool,
-    /// Longest Retry-After of a rejection; None: rejections have none.
+    /// Longest Retry-After of a rejection; `None` if rejections carry no Retry-After.
     pub max_retry_after: Option<Duration>,
-    /// Time after the deadline up to which an answer may still come.
+    /// Time after the deadline within which an answer may still be given.
     pub answer_slack: Duration,
 }
 
-/// Rule on nodes that have started recently: the units that all hosts together may send to one while it warms
-/// up.
+/// Rule for nodes that have started recently: the number of units that all hosts together may send to a node
+/// while it warms up.
 #[derive(Debug, Clone, Default)]
 pub struct SlowStartPolicy {
     /// Number of hosts that share the allowance.
     pub hosts: usize,
-    /// Units within the window that any node bears, even one that has just started.
+    /// Number of units that every node can take within the window, even one that has just started.
     pub units: f64,
     /// Fraction of its full capacity at which a node starts.
     pub initial_fraction: f64,
@@ -143,16 +143,16 @@
     pub warm_up_time: Duration,
     /// Length of the window over which the rule adds up the units sent.
     pub overload_window: Duration,
-    /// Multiple of its present capacity that a node bears within the window.
+    /// Multiple of its current capacity that a node can take within the window.
     pub multiple: f64,
 }
 
-/// Rule on retries over any window.
+/// Limit on the number of retries in every window of the given length.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
-    /// Retries that are always allowed.
+    /// Number of retries that are always allowed.
     pub min_retries: f64,
-    /// Retries allowed for each request received in the window.
+    /// Number of retries allowed for each request received in the window.
     pub ratio: f64,
     /// Length of the window.
     pub window: Duration,
@@ -161,11 +161,12 @@
 /// How this host gets the endpoint list.
 #[derive(Debug, Clone, Default)]
 pub struct DiscoveryPolicy {
-    /// The host must poll for the endpoint list; discovery does not push it.
+    /// The host must poll for the endpoint list, because discovery does not push it.
     pub polled: bool,
-    /// Time between two polls by the settings.
+    /// Time between two polls.
     pub poll_interval: Duration,
-    /// Time after an answer from discovery for which nodes may be used without another answer; None: without
-    /// end. A lease needs a discovery that answers from time to time even if nothing has changed.
+    /// Time for which nodes may be used after an answer from discovery without another answer; `None` if
+    /// without end. A lease requires a discovery service that answers from time to time even if nothing has
+    /// changed.
     pub lease: Option<Duration>,
 }
--- a/crates/scheduler/src/histogram.rs
+++ b/crates/scheduler/src/histogram.rs
@@ -1,10 +1,10 @@
-//! Coarse histograms of times.
+//! Coarse histograms of durations.
 //!
-//! Called by the latency model, which chooses the bins. Memory: one count for each bin.
+//! Used by the latency model, which chooses the bins. Memory: one count for each bin.
 
 use std::time::Duration;
 
-/// Counts in bins whose edges grow by a constant factor; the last bin has no upper edge.
+/// Counts of durations in bins whose edges grow by a constant factor; the last bin has no upper edge.
 ///
 /// ```
 /// use grebecleat_scheduler::histogram::Histogram;
@@ -26,7 +26,8 @@
 }
 
 impl Histogram {
-    /// `first_edge`: upper edge of the first bin; `factor`: ratio of each edge to the one before, over 1.
+    /// `first_edge`: upper edge of the first bin; `factor`: ratio of each edge to the previous one, greater
+    /// than 1.
     pub fn new(first_edge: Duration, factor: f64, bins: usize) -> Self {
         Histogram {
             first_edge: first_edge.as_secs_f64(),
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Counts a time.
+    /// Counts one duration.
     pub fn add(&mut self, time: Duration) {
         let bin = self.bin(time.as_secs_f64());
         self.counts[bin] += 1.0;
@@ -51,27 +52,27 @@
         bin.min(self.counts.len() - 1)
     }
 
-    /// Halves all counts, so that later times have more weight.
+    /// Halves all counts, so that durations added later have more weight.
     pub fn halve(&mut self) {
         for count in &mut self.counts {
             *count /= 2.0;
         }
     }
 
-    /// Halves all counts once their sum exceeds `total`.
+    /// Halves all counts if their sum exceeds `total`.
     pub fn halve_above(&mut self, total: f64) {
         if self.total() > total {
             self.halve();
         }
     }
 
-    /// The sum of all counts.
+    /// Returns the sum of all counts.
     pub fn total(&self) -> f64 {
         self.counts.iter().sum()
     }
 
-    /// Returns the middle of the bin in which the given fraction of the counts is reached; None: no time was
-    /// counted.
+    /// Returns the middle of the bin in which the given fraction of the counts is reached, or `None` if
+    /// nothing was counted.
     pub fn quantile(&self, fraction: f64) -> Option<Duration> {
         let total = self.total();
         if total <= 0.0 {
--- a/crates/scheduler/src/key_order.rs
+++ b/crates/scheduler/src/key_order.rs
@@ -1,5 +1,5 @@
-//! Order of the requests of one key: one at a time, in order of receipt, with a cool-down after an attempt that
-//! may still run.
+//! Order of the requests of one key: they run one at a time, in order of receipt, with a cool-down after an
+//! attempt that may still be running.
 //!
 //! Called by the retry policy, which chooses the length of the cool-down. Owns the open requests of each key.
 
@@ -45,21 +45,21 @@
         self.0.entry(key).or_default().open.push_back(id);
     }
 
-    /// Removes a request of the key; returns the request that is first from now on.
+    /// Removes a request of the key; returns the request that is now the first.
     pub fn remove(&mut self, key: KeyId, id: RequestId) -> Option<RequestId> {
         let queue = self.0.get_mut(&key)?;
         queue.open.retain(|other| *other != id);
         queue.open.front().copied()
     }
 
-    /// Starts a cool-down of the key, for all requests but the one that caused it.
+    /// Starts a cool-down of the key, which blocks all requests except the one that caused it.
     pub fn cool_down(&mut self, key: KeyId, exempt: RequestId, until: Duration) {
         let queue = self.0.entry(key).or_default();
         queue.cooldown_until = queue.cooldown_until.max(until);
         queue.exempt = Some(exempt);
     }
 
-    /// Returns whether the request is first of its key, and no cool-down blocks it.
+    /// Returns whether the request is the first of its key, and no cool-down blocks it.
     pub fn may_run(&self, key: KeyId, id: RequestId, now: Duration) -> bool {
         let Some(queue) = self.0.get(&key) else {
             return true;
@@ -68,7 +68,7 @@
         first && (now >= queue.cooldown_until || queue.exempt == Some(id))
     }
 
-    /// Drops keys without open requests whose cool-down has ended.
+    /// Removes keys that have no open requests and whose cool-down has ended.
     pub fn remove_idle(&mut self, now: Duration) {
         self.0
             .retain(|_, queue| !queue.open.is_empty() || now < queue.cooldown_until);
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,12 +1,12 @@
 //! The scheduler of one gateway host: decides which requests are sent to their storage node now, which are
 //! queued, and which are rejected.
 //!
-//! [`scheduler`] and [`probing_window`] hold every decision on a request; begin with
-//! [`scheduler::Scheduler::step`]. [`api`] holds the events that go in, the actions that come out, and the
-//! settings and metrics. The private module `state` holds the tables of nodes, requests and volumes.
-//! [`token_bucket`], [`max_min_fair_share`], [`request_queue`], [`key_order`], [`interval_sample`],
-//! [`histogram`], [`rates`] and [`rendezvous_hash`] are mechanical helpers that take their figures from the
-//! caller; [`rejection_stats`] is for operators.
+//! All decisions on requests are made in [`scheduler`] and [`probing_window`]; start reading at
+//! [`scheduler::Scheduler::step`]. [`api`] contains the input events, the output actions, the settings and the
+//! metrics. The private module `state` contains the tables of nodes, requests and volumes. [`token_bucket`],
+//! [`max_min_fair_share`], [`request_queue`], [`key_order`], [`interval_sample`], [`histogram`], [`rates`] and
+//! [`rendezvous_hash`] are data structures and algorithms whose parameters come from the caller.
+//! [`rejection_stats`] counts rejections for operators.
 
 #![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
--- a/crates/scheduler/src/max_min_fair_share.rs
+++ b/crates/scheduler/src/max_min_fair_share.rs
@@ -1,23 +1,23 @@
-//! Division of one node's capacity among flows: reservations first, then max-min fair shares by weight.
+//! Division of one node's capacity among its flows: reservations first, then weighted max-min fair shares.
 //!
-//! Called once a control interval for each node. Owns no state.
+//! Called once per control interval for each node. Owns no state.
 
-/// Rate below which an unmet demand, or a capacity, counts as zero. Larger: flows get less than their share.
-/// Smaller: the division takes more rounds over rounding errors.
+/// Rate up to which an unmet demand, or a remaining capacity, counts as zero. With a larger value flows get
+/// less than their share; with a smaller one, rounding errors cost more rounds of the division.
 const NEGLIGIBLE: f64 = 1e-6;
 
-/// Demand of one flow at a node, and its terms. Rates are units a second.
+/// Demand, reservation and weight of one flow at a node. Rates are in units per second.
 #[derive(Debug, Clone, Copy)]
 pub struct FlowDemand {
     /// Rate that the flow could use.
     pub demand: f64,
     /// Rate that the flow is guaranteed.
     pub reservation: f64,
-    /// Weight in the division of the capacity beyond the reservations; 0: the flow gets none of it.
+    /// Weight in the division of the capacity that the reservations leave; a flow of weight 0 gets none of it.
     pub weight: f64,
 }
 
-/// Rate that a flow gets, in units a second.
+/// Rate that is allocated to a flow, in units per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Allocation {
     /// From its reservation.
@@ -36,8 +36,8 @@
     }
 }
 
-/// Divides `capacity` among the flows, in their order. If the reservations exceed it, all are reduced by the same
-/// factor.
+/// Divides `capacity` among the flows; the result has the same order as `flows`. If the reservations exceed the
+/// capacity, all are reduced by the same factor.
 pub fn allocate(capacity: f64, flows: &[FlowDemand]) -> Vec<Allocation> {
     let reserve = |flow: &FlowDemand| Allocation {
         reserved: flow.demand.min(flow.reservation),
@@ -59,16 +59,16 @@
         let unsatisfied = allocations
             .iter()
             .zip(flows)
-            .filter(|(given, flow)| given.is_unsatisfied(flow));
+            .filter(|(allocation, flow)| allocation.is_unsatisfied(flow));
         let weights: f64 = unsatisfied.map(|(_, flow)| flow.weight).sum();
         if weights <= 0.0 || remaining <= NEGLIGIBLE {
             return allocations;
         }
         let per_weight = remaining / weights;
-        for (given, flow) in allocations.iter_mut().zip(flows) {
-            if given.is_unsatisfied(flow) {
-                let more = given.unmet(flow).min(per_weight * flow.weight);
-                given.spare += more;
+        for (allocation, flow) in allocations.iter_mut().zip(flows) {
+            if allocation.is_unsatisfied(flow) {
+                let more = allocation.unmet(flow).min(per_weight * flow.weight);
+                allocation.spare += more;
                 remaining -= more;
             }
         }
--- a/crates/scheduler/src/probing_window.rs
+++ b/crates/scheduler/src/probing_window.rs
@@ -1,27 +1,30 @@
-//! Probing window: the search for the rate that one host can get from one node, whose capacity is not published.
+//! Probing window: a search for the rate that one node can serve for one host. Nodes do not publish their
+//! capacity.
 //!
-//! Called with one [`IntervalSample`] of the node each control interval. The terms are the paper's
-//! ("End-to-end Performance Isolation through Virtual Datacenters", section 4.3). Rates are units a second.
+//! Called with one [`IntervalSample`] of the node in each control interval. The terms are those of the paper
+//! ("End-to-end Performance Isolation through Virtual Datacenters", section 4.3). Rates are in units per
+//! second.
 
 use crate::interval_sample::IntervalSample;
 
-/// Factor from outstanding units to the estimate in the stable phase; small, since outstanding units are few and
-/// vary much. Larger: the estimate oscillates. Smaller: it follows a change of the capacity slowly.
+/// Factor by which a change of the outstanding units moves the estimate in the stable phase. It is small
+/// because few units are outstanding and their number varies much. With a larger factor the estimate
+/// oscillates; with a smaller one, it follows a change of the capacity slowly.
 const ALPHA: f64 = 0.2;
-/// Consecutive congested samples that narrow the window; one pause or flush causes fewer. Larger: an overload
-/// lasts longer. Smaller: a pause halves the window.
+/// Number of consecutive congested samples that narrows the window; one pause or flush of a node causes
+/// fewer. With a larger value an overload lasts longer; with a smaller one, a single pause halves the window.
 const CONGESTED_SAMPLES: u32 = 3;
-/// Width of a stable window, as a fraction of the highest rate; as in the paper. Larger: the search ends with a
-/// worse estimate. Smaller: it takes longer.
-const STABLE_WITHIN: f64 = 0.01;
-/// Change of a traffic class's fraction that restarts the search; as in the paper. Larger: an outdated estimate
-/// stays. Smaller: chance restarts the search.
+/// Width up to which the window is stable, as a fraction of the highest rate, as in the paper. With a larger
+/// value the search ends with a worse estimate; with a smaller one, it takes longer.
+const STABLE_WIDTH_FRACTION: f64 = 0.01;
+/// Change of a traffic class's fraction of the mix that restarts the search, as in the paper. With a larger
+/// value an outdated estimate is kept; with a smaller one, chance restarts the search.
 const MIX_CHANGE: f64 = 0.10;
 
 /// Phase of the search.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Phase {
-    /// The search narrows the window.
+    /// The search is narrowing the window.
     Search,
     /// The search waits until reservations are met.
     Wait,
@@ -32,28 +35,28 @@
     },
 }
 
-/// Probing window over the rate that this host can get from a node (paper, 4.3).
+/// Probing window over the rate that a node can serve for this host (paper, section 4.3).
 #[derive(Debug, Clone)]
 pub struct ProbingWindow {
-    /// Lower edge: a rate without congestion.
+    /// Lower edge: a rate at which there was no congestion.
     low: f64,
-    /// Upper edge: a rate with congestion, or above any tried.
+    /// Upper edge: a rate at which there was congestion, or one higher than all rates tried.
     high: f64,
-    /// Rate that may go to the node.
+    /// Rate at which the host may use the node.
     estimate: f64,
     phase: Phase,
     /// Consecutive congested samples.
     congested_samples: u32,
-    /// Smallest lower edge.
+    /// Lower bound of the lower edge.
     lowest: f64,
-    /// Largest upper edge.
+    /// Upper bound of the upper edge.
     highest: f64,
     /// Traffic mix at the start of the stable phase.
     stable_mix: Vec<f64>,
 }
 
 impl ProbingWindow {
-    /// Starts a search between two rates, at the lower one.
+    /// Starts a search between two rates, with the lower one as the first estimate.
     pub fn new(lowest: f64, highest: f64) -> Self {
         let highest = highest.max(lowest);
         ProbingWindow {
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Lower edge: a rate without congestion.
+    /// Returns the lower edge: a rate at which there was no congestion.
     pub fn low(&self) -> f64 {
         self.low
     }
@@ -78,18 +81,18 @@
         self.high
     }
 
-    /// Rate that may go to the node.
+    /// Returns the rate at which the host may use the node.
     pub fn estimate(&self) -> f64 {
         self.estimate
     }
 
-    /// Phase of the search.
+    /// Returns the phase of the search.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Moves the window by one sample. One pause or flush congests a single sample, so only the third congested
-    /// sample in a row counts.
+    /// Adjusts the window after one sample. One pause or flush of a node congests a single sample, so
+    /// congestion has an effect only from the third congested sample in a row on.
     pub fn observe(&mut self, sample: &IntervalSample) {
         self.congested_samples = if sample.congested {
             self.congested_samples + 1
@@ -108,14 +111,14 @@
                 } else {
                     Phase::Search
                 };
-                self.settle(sample);
+                self.stabilise_if_narrow(sample);
             }
             _ if sample.congested => {}
             _ => {
                 self.phase = Phase::Search;
                 self.low = self.estimate;
                 self.estimate = (self.low + self.high) / 2.0;
-                self.settle(sample);
+                self.stabilise_if_narrow(sample);
             }
         }
     }
@@ -132,8 +135,10 @@
         }
     }
 
-    fn settle(&mut self, sample: &IntervalSample) {
-        if self.phase == Phase::Search && self.high - self.low <= STABLE_WITHIN * self.highest {
+    fn stabilise_if_narrow(&mut self, sample: &IntervalSample) {
+        if self.phase == Phase::Search
+            && self.high - self.low <= STABLE_WIDTH_FRACTION * self.highest
+        {
             self.phase = Phase::Stable {
                 outstanding: sample.outstanding,
             };
--- a/crates/scheduler/src/rates.rs
+++ b/crates/scheduler/src/rates.rs
@@ -1,14 +1,14 @@
-//! Arithmetic of times and rates, and counts of events within a recent span of time.
+//! Arithmetic on times and rates, and counts of recent events.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Longest time that [`queueing_time`] returns, in seconds. It bounds the time at a rate close to zero, which
-/// would overflow a duration.
+/// Longest time that [`queueing_time`] returns, in seconds. Without this bound, a rate close to zero would
+/// overflow the duration.
 const MAX_QUEUEING_SECONDS: f64 = 3600.0;
 
-/// Times of events, counted over a span that the caller states. Memory: one time for each event until
-/// [`RecentEvents::expire`].
+/// Timestamps of events, counted over a recent span of time that the caller states. Memory: one timestamp for
+/// each event until [`RecentEvents::expire`] removes it.
 ///
 /// ```
 /// use grebecleat_scheduler::rates::RecentEvents;
@@ -24,24 +24,25 @@
 pub struct RecentEvents(VecDeque<Duration>);
 
 impl RecentEvents {
-    /// Counts one event; times must not decrease.
+    /// Adds one event; timestamps must not decrease.
     pub fn add(&mut self, at: Duration) {
         self.0.push_back(at);
     }
 
-    /// Returns the number of events less than `span` before `now`.
+    /// Returns the number of events that happened less than `span` before `now`.
     pub fn within(&self, span: Duration, now: Duration) -> usize {
         self.0.len() - self.0.partition_point(|at| *at + span <= now)
     }
 
-    /// Drops the events of `span` before `now` and earlier.
+    /// Removes the events that happened `span` or more before `now`.
     pub fn expire(&mut self, span: Duration, now: Duration) {
         self.0
             .drain(..self.0.partition_point(|at| *at + span <= now));
     }
 }
 
-/// Mean rate whose older part loses weight: units and time, both halved once the time exceeds a span.
+/// Mean rate in which older samples lose weight: the sums of units and time are both halved once the time
+/// exceeds a given span.
 ///
 /// ```
 /// use grebecleat_scheduler::rates::MeanRate;
@@ -59,7 +60,8 @@
 }
 
 impl MeanRate {
-    /// Adds units and the seconds in which they were done; `span`: seconds above which both are halved.
+    /// Adds units and the seconds in which they were completed. `span`: number of seconds above which both
+    /// sums are halved.
     pub fn add(&mut self, units: f64, seconds: f64, span: f64) {
         self.units += units;
         self.seconds += seconds;
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Returns the rate over the same time with a fraction of the units.
+    /// Returns a mean rate over the same time with the given fraction of the units.
     pub fn scaled(&self, fraction: f64) -> Self {
         MeanRate {
             units: self.units * fraction,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// Returns the rate in units a second; 0 before any time was added.
+    /// Returns the rate in units per second; 0 if no time was added yet.
     pub fn per_second(&self) -> f64 {
         if self.seconds > 0.0 {
             self.units / self.seconds
@@ -87,17 +89,17 @@
     }
 }
 
-/// Returns a time in seconds.
+/// Converts a duration to seconds.
 pub fn seconds(time: Duration) -> f64 {
     time.as_secs_f64()
 }
 
-/// Returns the exponential moving average after one more value, which has the given weight (0 to 1).
+/// Returns the exponential moving average after adding one value with the given weight (0 to 1).
 pub fn moving_average(average: f64, value: f64, weight: f64) -> f64 {
     average + weight * (value - average)
 }
 
-/// Returns the time that the units take at `rate` units a second; zero if the rate is unknown (0).
+/// Returns the time that the units take at `rate` units per second; zero if the rate is unknown (0).
 ///
 /// ```
 /// use grebecleat_scheduler::rates::queueing_time;
--- a/crates/scheduler/src/rejection_stats.rs
+++ b/crates/scheduler/src/rejection_stats.rs
@@ -4,12 +4,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Reason for which a request was rejected or failed.
+/// Reason why a request was rejected or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RejectionReason {
     /// A rule or a limit of this host blocked it.
     Blocked(BlockReason),
-    /// Nothing blocked it, but it could not be in time behind the requests that go first.
+    /// Nothing blocked it, but it could not be answered in time behind the requests that are sent first.
     QueuedTooLong,
     /// No node of the endpoint list holds its data.
     NoEndpoint,
@@ -17,7 +17,7 @@
     AttemptFailed,
 }
 
-/// The bucket that would have paid for the request.
+/// The token bucket that would have covered the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PaidBy {
     /// The volume's reservation.
@@ -28,7 +28,7 @@
     Nothing,
 }
 
-/// Upper edges of the ranges that [`RejectionCause::last_success`] counts.
+/// Upper edges of the time ranges that [`RejectionCause::last_success`] distinguishes.
 pub const LAST_SUCCESS_STEPS: [Duration; 4] = [
     Duration::from_millis(300),
     Duration::from_secs(1),
@@ -36,17 +36,17 @@
     Duration::from_secs(10),
 ];
 
-/// Cause that the rejected requests of one count share.
+/// Cause of a rejection. Requests with the same cause are counted together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RejectionCause {
     /// The reason.
     pub reason: RejectionReason,
-    /// Their traffic class.
+    /// Traffic class of the requests.
     pub traffic_class: TrafficClassId,
-    /// The bucket that would have paid.
+    /// The token bucket that would have covered them.
     pub paid_by: PaidBy,
-    /// Time since their node last completed an attempt: the index of the first of [`LAST_SUCCESS_STEPS`] that is
-    /// not exceeded; their number if it never did.
+    /// Time since their node last completed an attempt, as the index of the first of [`LAST_SUCCESS_STEPS`]
+    /// that is not exceeded; the length of the array if all are exceeded or the node never completed one.
     pub last_success: usize,
 }
 
--- a/crates/scheduler/src/rendezvous_hash.rs
+++ b/crates/scheduler/src/rendezvous_hash.rs
@@ -2,8 +2,8 @@
 
 use crate::api::{NodeId, VolumeId};
 
-/// Returns a node's weight for a volume: the node with the highest weight comes first. The weight depends on
-/// the two ids alone.
+/// Returns a node's weight for a volume. The node with the highest weight comes first. The weight depends
+/// only on the two ids.
 ///
 /// ```
 /// use grebecleat_scheduler::api::{NodeId, VolumeId};
--- a/crates/scheduler/src/request_queue.rs
+++ b/crates/scheduler/src/request_queue.rs
@@ -1,36 +1,37 @@
-//! The requests queued at one node, in lines whose requests have the same value while they can meet their
-//! objective.
+//! The requests queued at one node, divided into sub-queues. All requests of a sub-queue have the same value
+//! as long as they can meet their objective.
 //!
-//! The next request is found at the front of a few lines, without a visit of each request: a host may queue
-//! thousands, and searches with every answer. Called by the dispatch. Memory: one entry for each request.
+//! The next request to send is found at the front of a few sub-queues, without visiting each request: a host
+//! may have thousands of queued requests, and searches after every answer. Called by the scheduler's
+//! dispatch. Memory: one entry for each request.
 
 use crate::api::{RequestId, TrafficClassId, VolumeId};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Properties that all requests of one line share.
+/// Properties that all requests of one sub-queue share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct LineKey {
+pub struct SubQueueKey {
     /// Their volume.
     pub volume: VolumeId,
     /// Their traffic class.
     pub traffic_class: TrafficClassId,
-    /// Their units are drawn from the volume's limit.
+    /// Their units have already been drawn from the volume's limit.
     pub limit_drawn: bool,
 }
 
-/// A request in its line: the earliest objective comes first, and of equal times the highest id.
+/// A request in its sub-queue, ordered by the earliest objective first, then by the highest id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueueEntry {
-    /// Time up to which an answer meets the latency objective.
+    /// Time until which an answer meets the latency objective.
     pub objective_at: Duration,
     /// The request.
     pub id: Reverse<RequestId>,
 }
 
 impl QueueEntry {
-    /// Returns an entry that comes before every other with that objective.
+    /// Returns an entry that sorts before every other entry with this objective.
     pub fn first_at(objective_at: Duration) -> Self {
         QueueEntry {
             objective_at,
@@ -39,28 +40,27 @@
     }
 }
 
-/// One line, in order.
-pub type Line = BTreeSet<QueueEntry>;
+/// One sub-queue, in order.
+pub type SubQueue = BTreeSet<QueueEntry>;
 
-/// A queued request that may be sent now: the higher value first, then the earlier objective, then the higher
-/// id.
+/// A queued request that may be sent now. Candidates are ordered by value, then by the earlier objective,
+/// then by the higher id; the greatest is sent first.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct Candidate {
     /// Value of a unit.
     pub value: f64,
-    /// Time up to which its answer meets the latency objective.
+    /// Time until which its answer meets the latency objective.
     pub objective_at: Reverse<Duration>,
     /// The request.
     pub id: RequestId,
 }
 
-/// Returns the best candidate; values must be finite.
+/// Returns the greatest candidate. Values must be finite.
 pub fn best_candidate(candidates: impl Iterator<Item = Candidate>) -> Option<Candidate> {
     candidates.max_by(|a, b| a.partial_cmp(b).expect("values are finite"))
 }
 
-/// Returns the ids by their values, the highest value first and of equal values the highest id. Values must be
-/// finite.
+/// Returns the ids ordered by the highest value first, then by the highest id. Values must be finite.
 pub fn sort_by_value(
     ids: impl Iterator<Item = RequestId>,
     value: impl Fn(&RequestId) -> f64,
@@ -70,59 +70,62 @@
     order.into_iter().map(|(_, id)| id).collect()
 }
 
-/// Returns the best candidate of a line: the earliest of the requests that can meet their objective, or else one
-/// of the late ones. A request whose objective is before `soonest` is late. No request is better than one before
-/// it that has `full_value`.
-pub fn best_of_line(
-    line: &Line,
-    soonest: Duration,
+/// Returns the best candidate of a sub-queue: normally the earliest of the requests that can meet their
+/// objective, or else one of the late requests. A request whose objective is before `earliest_answer` is
+/// late. The search stops at a request of `full_value`, because no request after it is better.
+pub fn best_of_sub_queue(
+    sub_queue: &SubQueue,
+    earliest_answer: Duration,
     full_value: f64,
     candidate: impl Fn(&QueueEntry) -> Option<Candidate>,
 ) -> Option<Candidate> {
-    let split = QueueEntry::first_at(soonest);
-    let late = line.range(..split).find_map(&candidate);
-    let mut first_behind = None;
-    let in_time = line.range(split..).filter_map(&candidate).find(|found| {
-        first_behind = first_behind.or(Some(*found));
-        found.value >= full_value
-    });
-    best_candidate([late, in_time, first_behind].into_iter().flatten())
+    let split = QueueEntry::first_at(earliest_answer);
+    let late = sub_queue.range(..split).find_map(&candidate);
+    let mut first_found = None;
+    let in_time = sub_queue
+        .range(split..)
+        .filter_map(&candidate)
+        .find(|found| {
+            first_found = first_found.or(Some(*found));
+            found.value >= full_value
+        });
+    best_candidate([late, in_time, first_found].into_iter().flatten())
 }
 
-/// All requests queued at a node.
+/// All requests queued at one node.
 ///
 /// ```
 /// use grebecleat_scheduler::api::{RequestId, TrafficClassId, VolumeId};
-/// use grebecleat_scheduler::request_queue::{LineKey, RequestQueue};
+/// use grebecleat_scheduler::request_queue::{RequestQueue, SubQueueKey};
 /// use std::time::Duration;
 /// let ms = Duration::from_millis;
-/// let line = LineKey { volume: VolumeId(1), traffic_class: TrafficClassId(0), limit_drawn: false };
+/// let key = SubQueueKey { volume: VolumeId(1), traffic_class: TrafficClassId(0), limit_drawn: false };
 /// let mut queue = RequestQueue::default();
-/// queue.add(line, ms(20), RequestId([1; 36]));
-/// queue.add(line, ms(10), RequestId([2; 36]));
-/// assert_eq!(queue.lines().next().unwrap().first().unwrap().objective_at, ms(10));
-/// assert!(queue.remove(line, ms(10), RequestId([2; 36])) && !queue.remove(line, ms(10), RequestId([2; 36])));
+/// queue.add(key, ms(20), RequestId([1; 36]));
+/// queue.add(key, ms(10), RequestId([2; 36]));
+/// assert_eq!(queue.sub_queues().next().unwrap().first().unwrap().objective_at, ms(10));
+/// assert!(queue.remove(key, ms(10), RequestId([2; 36])) && !queue.remove(key, ms(10), RequestId([2; 36])));
 /// assert_eq!((queue.len(), queue.ids().count()), (1, 1));
 /// ```
 #[derive(Debug, Default)]
 pub struct RequestQueue {
-    lines: BTreeMap<LineKey, Line>,
+    sub_queues: BTreeMap<SubQueueKey, SubQueue>,
     len: usize,
 }
 
 impl RequestQueue {
-    /// Adds a request to a line.
-    pub fn add(&mut self, line: LineKey, objective_at: Duration, id: RequestId) {
-        let added = self.lines.entry(line).or_default().insert(QueueEntry {
+    /// Adds a request to the sub-queue of this key.
+    pub fn add(&mut self, key: SubQueueKey, objective_at: Duration, id: RequestId) {
+        let added = self.sub_queues.entry(key).or_default().insert(QueueEntry {
             objective_at,
             id: Reverse(id),
         });
         self.len += usize::from(added);
     }
 
-    /// Removes a request from a line; returns whether it was there.
-    pub fn remove(&mut self, line: LineKey, objective_at: Duration, id: RequestId) -> bool {
-        let Some(entries) = self.lines.get_mut(&line) else {
+    /// Removes a request from the sub-queue of this key; returns whether it was there.
+    pub fn remove(&mut self, key: SubQueueKey, objective_at: Duration, id: RequestId) -> bool {
+        let Some(entries) = self.sub_queues.get_mut(&key) else {
             return false;
         };
         let removed = entries.remove(&QueueEntry {
@@ -130,13 +133,13 @@
             id: Reverse(id),
         });
         if entries.is_empty() {
-            self.lines.remove(&line);
+            self.sub_queues.remove(&key);
         }
         self.len -= usize::from(removed);
         removed
     }
 
-    /// Number of queued requests.
+    /// Returns the number of queued requests.
     pub fn len(&self) -> usize {
         self.len
     }
@@ -146,13 +149,13 @@
         self.len == 0
     }
 
-    /// All lines; none is empty.
-    pub fn lines(&self) -> impl Iterator<Item = &Line> {
-        self.lines.values()
+    /// Returns all sub-queues; none of them is empty.
+    pub fn sub_queues(&self) -> impl Iterator<Item = &SubQueue> {
+        self.sub_queues.values()
     }
 
-    /// All requests, line by line.
+    /// Returns all requests, one sub-queue after the other.
     pub fn ids(&self) -> impl Iterator<Item = RequestId> + '_ {
-        self.lines.values().flatten().map(|entry| entry.id.0)
+        self.sub_queues.values().flatten().map(|entry| entry.id.0)
     }
 }
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,27 +1,28 @@
-//! The decisions of one host: which requests are sent to a storage node now, which are queued, and which are
-//! rejected.
+//! The scheduler of one host: decides which requests are sent to a storage node now, which are queued, and
+//! which are rejected.
 //!
-//! State machine: [`Scheduler::step`] takes the time and the events since the last step, and returns the actions
-//! to perform ([`crate::api`]). No I/O, and no clock of its own; random draws come from the given seed. This file
-//! is the shell: it calls the mechanisms in a fixed order and decides nothing. Each mechanism is a module of the
-//! folder `scheduler`, with its constants, the state that it owns, and the risk that it guards against:
+//! The scheduler is a state machine: [`Scheduler::step`] takes the time and the events since the last step,
+//! and returns the actions to perform ([`crate::api`]). It does no I/O and has no clock of its own; random
+//! numbers come from the given seed. This file calls the mechanisms in a fixed order and makes no decisions
+//! itself. Each mechanism is a module in the folder `scheduler`, which documents its constants, the state
+//! that it owns, and the problem that it prevents:
 //!
-//! - `request_flow`: the path of a request through the tables, the queues and the mechanisms;
-//! - `demand`, `reservations`, `shares`, `capacity`: what a control interval measures and divides
-//!   (docs/design.md);
-//! - `concurrency`: units outstanding at a node, and the back-off when answers are late;
-//! - `throttle`: requests that a node gets which is late because of other hosts;
-//! - `outlier_ejection`: nodes that are silent or fail, and get trial requests only;
-//! - `slow_start`: requests that a node gets which has started recently;
-//! - `latency`: the time that an attempt should take, and whether one is late;
+//! - `request_flow`: the life cycle of a request through the tables, the queues and the mechanisms;
+//! - `demand`, `reservations`, `shares`, `capacity`: measurement of demands and capacities in each control
+//!   interval, and division of the capacities (docs/design.md);
+//! - `concurrency`: limit of the units outstanding at a node, and its back-off when answers are late;
+//! - `throttle`: limit of the requests to a node that is slow because of other hosts;
+//! - `outlier_ejection`: nodes that do not answer or that fail, and therefore get only trial requests;
+//! - `slow_start`: limit of the requests to a node that has started recently;
+//! - `latency`: the expected duration of an attempt, and whether an attempt is late;
 //! - `dispatch`, `dispatch_queue`, `placement`: which queued request goes to which node, and what blocks it;
 //! - `retry_policy`: whether another attempt may follow;
-//! - `shedding`: requests that are rejected early because they cannot be in time;
-//! - `discovery`, `endpoint_lease`, `fetch_backoff`: which nodes get requests while the endpoint list may be out
-//!   of date, and the time of the next call to discovery;
-//! - `attempt_outcome`: the effect of an attempt's end on its node, its volume and its request.
+//! - `shedding`: early rejection of requests that cannot be answered in time;
+//! - `discovery`, `endpoint_lease`, `fetch_backoff`: which nodes get requests while the endpoint list may be
+//!   out of date, and the time of the next call to the discovery service;
+//! - `attempt_outcome`: the effect of a finished attempt on its node, its volume and its request.
 //!
-//! `introspection` shows the state of the decisions to operators, `rejection_log` the causes of rejections.
+//! `introspection` reports the scheduler's state to operators, and `rejection_log` the causes of rejections.
 
 mod attempt_outcome;
 mod capacity;
@@ -53,11 +54,11 @@
 pub use reservations::reservation_fraction;
 pub use retry_policy::{may_reject, may_resend, PriorAttempt};
 pub use slow_start::slow_start_quota;
-pub use throttle::credibility;
+pub use throttle::late_answer_weight;
 
 pub(crate) use capacity::NodeCapacity;
 pub(crate) use concurrency::ConcurrencyBackoff;
-pub(crate) use endpoint_lease::NodeContact;
+pub(crate) use endpoint_lease::ServingEvidence;
 pub(crate) use latency::NodeDelays;
 pub(crate) use outlier_ejection::FailureStreak;
 pub(crate) use reservations::ReservationShare;
@@ -86,8 +87,8 @@
 use std::time::Duration;
 use throttle::{count_overdue, AdmissionThrottle};
 
-/// The decisions of one host. Memory grows with its nodes, volumes, open requests and keys, and with the requests
-/// of the retry budget's window.
+/// The scheduler of one host. Its memory grows with the numbers of nodes, volumes, open requests and keys,
+/// and with the number of requests in the retry budget's window.
 #[derive(Debug)]
 pub struct Scheduler {
     settings: Settings,
@@ -104,12 +105,13 @@
     latency: LatencyModel,
     retries: RetryPolicy,
     rejections: RejectionLog,
-    /// Actions of this step.
+    /// Actions of the current step.
     actions: Vec<Action>,
 }
 
 impl Scheduler {
-    /// Returns a host without rules; its first step is its start.
+    /// Returns a scheduler without the policies of [`Scheduler::with_rules`]. Its first step counts as the
+    /// host's start.
     pub fn new(
         seed: u64,
         traffic_classes: Vec<TrafficClass>,
@@ -144,7 +146,8 @@
         }
     }
 
-    /// Sets the rules. `key_cooldown`: time for which a key is blocked after an attempt that may still run.
+    /// Sets the slow-start policy, the discovery policy, the retry budget and the key cool-down.
+    /// `key_cooldown`: time for which a key is blocked after an attempt that may still be running.
     pub fn with_rules(
         mut self,
         slow_start: SlowStartPolicy,
@@ -155,11 +158,11 @@
         self.concurrency.set_hosts(slow_start.hosts);
         self.slow_start = SlowStart::new(slow_start, self.settings.units.mean);
         self.discovery = Discovery::new(&discovery);
-        self.retries.set_rules(retry_budget, key_cooldown);
+        self.retries.configure(retry_budget, key_cooldown);
         self
     }
 
-    /// Processes the events up to `now`, which never goes back, and returns the actions to perform.
+    /// Processes the events up to `now`, which must never decrease, and returns the actions to perform.
     pub fn step(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.start_step(now);
         let ticked = self.tick();
@@ -181,11 +184,11 @@
         self.rejections.start_step();
     }
 
-    /// Refills all buckets for the ticks that have passed; returns whether any has.
+    /// Refills all token buckets for the ticks that have passed; returns whether any tick has passed.
     fn tick(&mut self) -> bool {
         let ticks = self.clock.take_ticks();
         if ticks == 0 {
-            return false; // in most steps; a visit of all nodes would cost more than the step itself
+            return false; // most steps; visiting all nodes would cost more than the step itself
         }
         let seconds = seconds(TICK * ticks);
         self.volumes.refill(seconds);
@@ -205,7 +208,7 @@
                 }
             }
             Event::AttemptEnded(end) => self.attempt_ended(&end),
-            // A connection that opens late is no evidence against its node.
+            // A connection that opens late must not count against its node.
             Event::AttemptSent { id, node, at } => {
                 if let Some(node) = self.nodes.get_mut(node) {
                     node.attempts.set_sent(id, at);
@@ -236,7 +239,7 @@
         self.volumes.set_terms(id, terms, reservation);
     }
 
-    /// Reads an update of the endpoint list, and queues requests again whose node accepts none any more.
+    /// Applies an update of the endpoint list, and queues requests again whose node is no longer ready.
     fn update_endpoints(&mut self, kind: EndpointUpdateKind, endpoints: &[Endpoint]) {
         let now = self.clock.now();
         self.discovery.updated(kind, now, &mut self.jitter);
@@ -274,8 +277,8 @@
         self.log(is_warming.then_some(LogEvent::NodeWarmingUp { node }));
     }
 
-    /// Ends the control interval, if it is over: learns demands and capacities, and divides the capacities anew.
-    /// Returns whether it was over.
+    /// Ends the control interval if it is over: updates the estimates of demands and capacities, and divides
+    /// the capacities again. Returns whether the interval was over.
     fn end_interval(&mut self) -> bool {
         let now = self.clock.now();
         let Some(interval) = self.clock.take_interval() else {
@@ -293,11 +296,11 @@
         self.slow_start.update(self.nodes.values_mut(), now);
         self.retries.expire(now);
         self.remove_retired_volumes();
-        self.latency.fade();
+        self.latency.decay();
         true
     }
 
-    /// Sets this host's part of each volume's reservation.
+    /// Sets this host's share of each volume's reservation.
     fn split_reservations(&mut self, demands: &VolumeDemands, interval: f64) {
         let now = self.clock.now();
         let meter = self.settings.units.meter;
@@ -311,15 +314,15 @@
         }
     }
 
-    /// Learns the rates that this host can get from the nodes.
+    /// Updates the estimates of the rates that the nodes can serve for this host.
     fn learn_capacities(&mut self, interval: f64) {
         let mean_units = self.settings.units.mean;
         for node in self.nodes.values_mut() {
             let is_warm = !node.warm_up.is_active();
             let outstanding = node.attempts.units();
             node.capacity.end_interval(interval, is_warm, outstanding);
-            node.delays.fade();
-            node.failures.fade();
+            node.delays.decay();
+            node.failures.decay();
             let usage = node.capacity.usage_rate();
             node.admission.recover(usage, mean_units, interval);
         }
@@ -335,9 +338,9 @@
         }
     }
 
-    /// Sends the requests that may go now, and rejects those that cannot be in time. Between ticks it visits only
-    /// nodes that changed or whose time has come, so that the cost of one answer does not grow with the number of
-    /// nodes.
+    /// Sends the requests that may be sent now, and rejects those that cannot be answered in time. Between
+    /// ticks it visits only nodes that have changed or have a scheduled visit, so that the cost of handling
+    /// one answer does not grow with the number of nodes.
     fn dispatch(&mut self, ticked: bool, interval_over: bool) {
         if ticked {
             self.detect_silence();
@@ -350,12 +353,12 @@
             let queued = self.nodes[id].queue.len();
             let schedule = RankingSchedule::new(queued, ticked, tick);
             if schedule.is_due {
-                self.shed_load(id, schedule.next_look);
+                self.shed_load(id, schedule.until_next_ranking);
             }
         }
     }
 
-    /// Counts overdue attempts as late, and ejects nodes that have been silent for too long.
+    /// Counts overdue attempts as late, and ejects nodes that have not answered for too long.
     fn detect_silence(&mut self) {
         let now = self.clock.now();
         let bound = self.latency.overdue_bound();
@@ -396,7 +399,7 @@
             .extend(event.map(|event| Action::Log { event }));
     }
 
-    /// Read access for the mechanisms that decide which request goes to which node.
+    /// Returns read access for the mechanisms that decide which request goes to which node.
     fn view(&self) -> DispatchView<'_> {
         DispatchView {
             now: self.clock.now(),
--- a/crates/scheduler/src/scheduler/attempt_outcome.rs
+++ b/crates/scheduler/src/scheduler/attempt_outcome.rs
@@ -1,7 +1,7 @@
-//! Attempt outcome: the effect of an attempt's end on its node, its volume and its request.
+//! Attempt outcome: the effect of a finished attempt on its node, its volume and its request.
 //!
-//! Called by [`super::Scheduler`] for each attempt that has ended. Owns no state: it hands the outcome to the
-//! mechanisms that it concerns.
+//! Called by [`super::Scheduler`] for each attempt that has ended. Owns no state: it passes the outcome to the
+//! mechanisms that use it.
 
 use super::latency::LatencyModel;
 use super::outlier_ejection::{is_failure, is_refusal};
@@ -11,10 +11,10 @@
 use crate::state::{Node, PendingRequest, Volume};
 use std::time::Duration;
 
-/// An attempt that has ended, with the records that its outcome changes.
+/// A finished attempt, with the records that its outcome changes.
 pub(super) struct EndedAttempt<'a> {
     outcome: AttemptOutcome,
-    /// Time from its sending to its end, as the host measured it.
+    /// Time from sending to end, as measured by the host.
     elapsed: Duration,
     sent: Duration,
     now: Duration,
@@ -24,7 +24,7 @@
 }
 
 impl<'a> EndedAttempt<'a> {
-    /// Removes the attempt from its node.
+    /// Removes the attempt from its node's outstanding attempts.
     pub(super) fn new(
         end: &AttemptEnd,
         now: Duration,
@@ -45,14 +45,19 @@
     }
 
     /// Updates the evidence that the node accepts requests.
-    pub(super) fn record_contact(&mut self) {
-        self.node.contact.record(self.outcome, self.sent, self.now);
+    pub(super) fn record_serving_evidence(&mut self) {
+        self.node
+            .serving_evidence
+            .record(self.outcome, self.sent, self.now);
     }
 
-    /// Returns units to the volume's limit. The rule counts the units of an attempt when it crosses a socket. An
-    /// attempt that was never sent gives its units back. An attempt that found no connection draws them again
-    /// with the next attempt: units that were drawn long before would add to those of a bucket that is full again. Harm:
-    /// where the rule counts an attempt without a connection, as many units are lost.
+    /// Puts the units of an attempt that was not sent back into the volume's limit.
+    ///
+    /// The limit counts the units of an attempt when it is written to a socket, so the units of an
+    /// attempt that was never sent are put back. The units of an attempt that could not open a connection are
+    /// not put back, and the next attempt draws them again. They may have been drawn long ago; if they were
+    /// put back into a bucket that has filled up since, they would allow too large a burst. The cost is that
+    /// they are drawn twice if the limit counts the attempt without a connection.
     pub(super) fn refund_limit(&mut self) {
         let is_first = self.pending.attempts.count() == 1;
         match self.outcome {
@@ -65,7 +70,7 @@
         }
     }
 
-    /// Remembers the attempt, if it may have run and has not completed.
+    /// Records the attempt as a prior attempt of the request, if it may have run and has not completed.
     pub(super) fn record_prior(&mut self) {
         if !may_have_run(self.outcome) || self.outcome == AttemptOutcome::Completed {
             return;
@@ -90,7 +95,7 @@
         self.node.eject(reason)
     }
 
-    /// Records the time of a completed attempt, or the node's full queue.
+    /// Records the duration of a completed attempt, or that the node's queue was full.
     pub(super) fn record_answer(
         &mut self,
         throttle: &mut AdmissionThrottle,
@@ -124,14 +129,14 @@
     !matches!(outcome, QueueFull | ConnectFailed | NotSent)
 }
 
-/// Returns whether an attempt with this outcome may still run at its node.
+/// Returns whether an attempt with this outcome may still be running at its node.
 pub(super) fn may_still_run(outcome: AttemptOutcome) -> bool {
     use AttemptOutcome::{Cancelled, ConnectionReset, TimedOut};
     matches!(outcome, TimedOut | ConnectionReset | Cancelled)
 }
 
-/// Returns whether no retry may follow this outcome.
-pub(super) fn is_final(outcome: AttemptOutcome) -> bool {
+/// Returns whether this outcome rules out a retry.
+pub(super) fn forbids_retry(outcome: AttemptOutcome) -> bool {
     use AttemptOutcome::{Cancelled, NotSent, TimedOut};
     matches!(outcome, TimedOut | NotSent | Cancelled)
 }
--- a/crates/scheduler/src/scheduler/clock.rs
+++ b/crates/scheduler/src/scheduler/clock.rs
@@ -1,20 +1,21 @@
-//! Clock of the decisions: the time of the step, the tick, the control interval and the host's timer.
+//! Clock of the scheduler: the time of the current step, ticks, control intervals and the timer that the host
+//! runs.
 //!
 //! Called by [`super::Scheduler`] in each step. Owns the times of the last tick and the last control interval,
-//! and the timer that is set at the host. The time comes from the host and never goes back.
+//! and the timer that is set at the host. The host supplies the time, which never decreases.
 
 use crate::api::{Action, TimerTag};
 use crate::rates::seconds;
 use std::time::Duration;
 
-/// Time between two refills of the token buckets; as in the design. Larger: requests wait longer for tokens.
-/// Smaller: a host with many nodes spends its time on refills.
+/// Time between two refills of the token buckets, as in the design. With a larger value requests wait longer
+/// for tokens; with a smaller one, a host with many nodes spends its time on refills.
 pub(super) const TICK: Duration = Duration::from_millis(10);
-/// Control interval: time between two updates of demands, shares and capacities. Larger: the host adapts later.
-/// Smaller: an interval holds too few answers of a node.
+/// Control interval: time between two updates of demands, shares and capacities. With a larger value the host
+/// adapts later; with a smaller one, an interval contains too few answers of a node.
 pub(super) const INTERVAL: Duration = Duration::from_millis(500);
 
-/// Time of the step, and the periods that have passed.
+/// Time of the current step, and the ticks and control intervals that have passed.
 #[derive(Debug, Default)]
 pub(super) struct Clock {
     now: Duration,
@@ -29,7 +30,7 @@
         self.now
     }
 
-    /// Starts a step; returns whether it is the first, from which on ticks and intervals count.
+    /// Starts a step; returns whether it is the first. Ticks and intervals are counted from the first step.
     pub(super) fn start_step(&mut self, now: Duration) -> bool {
         self.now = now;
         let is_first = self.timer.at.is_none();
@@ -48,7 +49,7 @@
         ticks
     }
 
-    /// Returns the length in seconds of the control interval that ends now, if one ends.
+    /// Returns the length in seconds of the control interval that ends with this step, if one does.
     pub(super) fn take_interval(&mut self) -> Option<f64> {
         if self.now < self.last_interval + INTERVAL {
             return None;
@@ -58,13 +59,14 @@
         Some(interval)
     }
 
-    /// Number of the last tick, counted from time zero.
+    /// Returns the number of the last tick, counted from time zero.
     pub(super) fn tick_number(&self) -> u32 {
         (self.last_tick.as_nanos() / TICK.as_nanos()) as u32
     }
 
-    /// Sets the timer to the next tick (while requests are queued) or the next control interval, or to `call_at`
-    /// if that is earlier. Returns the action, unless a timer that is set expires before.
+    /// Sets the timer to the next tick if requests are queued, otherwise to the end of the control interval,
+    /// or to `call_at` if that is earlier. Returns the action, or `None` if a timer that is already set
+    /// expires by then.
     pub(super) fn set_timer(
         &mut self,
         has_queued: bool,
@@ -79,10 +81,10 @@
     }
 }
 
-/// The timer at the host.
+/// The timer that is set at the host.
 #[derive(Debug, Default)]
 struct Timer {
-    /// Time at which the timer expires that was set last; None: none was set yet.
+    /// Time at which the most recently set timer expires; `None` if no timer was set yet.
     at: Option<Duration>,
     /// Tag of that timer.
     tag: u64,
--- a/crates/scheduler/src/scheduler/discovery.rs
+++ b/crates/scheduler/src/scheduler/discovery.rs
@@ -1,7 +1,8 @@
-//! Discovery, as the decisions see it: the lease of the endpoint list and the schedule of the calls.
+//! The scheduler's state about the discovery service: the lease of the endpoint list and the schedule of the
+//! calls.
 //!
-//! Called by [`super::Scheduler`] for each answer, failure, refusal or move of discovery. The calls themselves
-//! are the host's.
+//! Called by [`super::Scheduler`] when discovery answers, fails, refuses a call or moves. The host makes the
+//! calls themselves.
 
 use super::endpoint_lease::EndpointLease;
 use super::fetch_backoff::FetchBackoff;
@@ -29,7 +30,7 @@
         self.backoff.start(now, jitter);
     }
 
-    /// Records an update of the endpoint list, or a call that failed.
+    /// Records an update of the endpoint list, or a failed call.
     pub(super) fn updated(&mut self, kind: EndpointUpdateKind, now: Duration, jitter: &mut Jitter) {
         match kind {
             EndpointUpdateKind::Delta | EndpointUpdateKind::Snapshot => self.backoff.reset(),
@@ -47,7 +48,7 @@
         self.lease.renew(now);
     }
 
-    /// Records that discovery is at another address from now on.
+    /// Records that discovery has moved to another address.
     pub(super) fn moved(&mut self, now: Duration) {
         self.backoff.reset();
         self.lease.discovery_moved(now);
@@ -62,17 +63,17 @@
         &self.lease
     }
 
-    /// Returns the log event if the lease has expired, or is valid again, since the last call.
+    /// Returns the event to log if the lease has expired or become valid again since the last call.
     pub(super) fn lease_change(&mut self, now: Duration) -> Option<LogEvent> {
         self.lease.state_change(now)
     }
 
-    /// Returns whether a call is due, and unschedules it.
+    /// Returns whether a call is due, and if so removes it from the schedule.
     pub(super) fn take_due_call(&mut self, now: Duration) -> bool {
         self.backoff.take_due(now)
     }
 
-    /// Time of the next call; None: no call is scheduled.
+    /// Returns the time of the next call, or `None` if no call is scheduled.
     pub(super) fn next_call_at(&self) -> Option<Duration> {
         self.backoff.next_call_at()
     }
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: the value of a request at a node, the reasons that block it, and the queued request that goes next.
+//! Dispatch: the value of a request at a node, the reasons that block it, and the queued request to send next.
 //!
 //! Called by [`super::Scheduler`], and by [`super::placement`] and [`super::shedding`]. Owns no state:
 //! [`DispatchView`] reads the tables and the mechanisms.
@@ -10,24 +10,24 @@
 use super::settings::Settings;
 use super::throttle::AdmissionThrottle;
 use crate::api::{BlockReason, RequestId};
-use crate::request_queue::{best_candidate, best_of_line, sort_by_value, Candidate, Line};
+use crate::request_queue::{best_candidate, best_of_sub_queue, sort_by_value, Candidate, SubQueue};
 use crate::state::{Node, NodeTable, PendingRequest, RequestTable, VolumeTable};
 use std::{cmp::Reverse, time::Duration};
 
-/// Fraction of the value of a unit that the reservation pays for.
+/// Fraction of its value that a unit covered by the reservation earns.
 const RESERVED_FRACTION: f64 = 1.0;
-/// Tie-breaker of the request that the throttle admits first among requests of one value.
+/// Tie-breaker of the request that the throttle admits first among requests of equal value.
 const BEST_TIE_BREAKER: f64 = 1.0;
 
 /// Value of a unit of a request.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Value {
     pub(super) amount: f64,
-    /// A bucket pays for the unit.
-    pub(super) paid: bool,
+    /// The unit is covered by a token bucket: the volume's reservation or its fair share.
+    pub(super) covered: bool,
 }
 
-/// Read access to everything that decides which request goes to which node.
+/// Read access to everything that determines which request goes to which node.
 #[derive(Clone, Copy)]
 pub(super) struct DispatchView<'a> {
     pub(super) now: Duration,
@@ -43,13 +43,13 @@
 }
 
 impl DispatchView<'_> {
-    /// Time that an attempt of this size should take at the node; None: at any node.
+    /// Returns the expected duration of an attempt of this size at the node, or at any node for `None`.
     pub(super) fn expected_time(&self, node: Option<&Node>, units: f64) -> Duration {
         let delays = node.map(|node| &node.delays);
         self.latency.expected_time(delays, units)
     }
 
-    /// Value of a unit that is sent to the node now; None: to any node.
+    /// Returns the value of a unit of the request if it is sent now to the node, or to any node for `None`.
     pub(super) fn value(&self, pending: &PendingRequest, node: Option<&Node>) -> Value {
         let in_time = self.value_in_time(pending, node);
         let expected = self.expected_time(node, pending.request.units);
@@ -61,25 +61,27 @@
         }
     }
 
-    /// Value of a unit whose answer meets the objective: equal for all requests of one volume and traffic class.
+    /// Returns the value of a unit whose answer meets the objective; it is the same for all requests of one
+    /// volume and traffic class.
     pub(super) fn value_in_time(&self, pending: &PendingRequest, node: Option<&Node>) -> Value {
         let class = self.settings.class(&pending.request);
         let volume = &self.volumes[pending.request.volume];
         let share = node.and_then(|node| node.share_level(pending.request.volume));
         let units = &self.settings.units;
-        let (fraction, paid) = match share {
-            _ if volume.reservation.pays() => (RESERVED_FRACTION, true),
+        let (fraction, covered) = match share {
+            _ if volume.reservation.has_tokens() => (RESERVED_FRACTION, true),
             Some(level) if level <= 0.0 => (units.spare_fraction, false),
             _ => (units.share_fraction, true),
         };
         let price = self.settings.plan(volume.plan).price;
         Value {
             amount: fraction * class.priority_weight * price,
-            paid,
+            covered,
         }
     }
 
-    /// The rule or the bucket that keeps a request from going to the node now; None: it may go.
+    /// Returns the rule or token bucket that keeps the request from being sent to the node now, or `None` if
+    /// it may be sent.
     pub(super) fn block_reason(
         &self,
         pending: &PendingRequest,
@@ -99,7 +101,7 @@
             return Some(BlockReason::RetryBudget);
         }
         let volume = &self.volumes[request.volume];
-        if !pending.limit_drawn && volume.limit_is_below(request.units) {
+        if !pending.limit_drawn && volume.limit_has_less_than(request.units) {
             return Some(BlockReason::RateLimit);
         }
         if !node.warm_up.allows() {
@@ -109,18 +111,19 @@
         if !may_resend(class.idempotency, prior, node.zone, node.shard, now) {
             return Some(BlockReason::Idempotency);
         }
-        if !self.lease.confirms(&node.contact, now) {
+        if !self.lease.confirms(&node.serving_evidence, now) {
             return Some(BlockReason::Unconfirmed);
         }
         let value = self.value(pending, Some(node));
-        if !value.paid && !node.capacity.has_spare() {
+        if !value.covered && !node.capacity.has_spare_capacity() {
             return Some(BlockReason::Share);
         }
         let is_admitted = self.admits(node, value, pending.tie_breaker);
         (!is_admitted).then_some(BlockReason::Throttled)
     }
 
-    /// The reason that blocks a request, the concurrency limit included; None: it may go.
+    /// Returns the reason that blocks the request, including the concurrency limit, or `None` if it may be
+    /// sent.
     pub(super) fn block_reason_or_concurrency(
         &self,
         pending: &PendingRequest,
@@ -131,45 +134,54 @@
             .or(at_limit.then_some(BlockReason::Concurrency))
     }
 
-    /// Returns whether the throttle admits a request of that value at the node.
+    /// Returns whether the throttle admits a request of the given value at the node.
     pub(super) fn admits(&self, node: &Node, value: Value, tie_breaker: f64) -> bool {
         self.throttle
             .admits(&node.admission, value.amount, tie_breaker)
     }
 
-    /// Returns whether the node has capacity for so many units now.
+    /// Returns whether the node has capacity for `units` now.
     pub(super) fn has_capacity(&self, node: &Node, units: f64) -> bool {
         self.concurrency
             .has_capacity(node, units, self.latency, self.now)
     }
 
-    /// The queued request that should go to the node next. A smaller request behind it waits, or large ones
-    /// would never go.
+    /// Returns the queued request to send to the node next. A smaller request behind it waits even if it
+    /// would fit now; otherwise large requests would never be sent.
     pub(super) fn best_queued(&self, node: &Node) -> Option<Candidate> {
-        let soonest = self.now + self.expected_time(Some(node), 0.0);
-        let lines = node.queue.lines();
-        best_candidate(lines.filter_map(|line| self.best_of(line, node, soonest)))
+        let earliest_answer = self.now + self.expected_time(Some(node), 0.0);
+        let sub_queues = node.queue.sub_queues();
+        best_candidate(
+            sub_queues.filter_map(|sub_queue| self.best_in(sub_queue, node, earliest_answer)),
+        )
     }
 
-    fn best_of(&self, line: &Line, node: &Node, soonest: Duration) -> Option<Candidate> {
-        let first = &self.requests[line.first()?.id.0];
-        // A reason that blocks the request with the best tie-breaker blocks the complete line, whatever its length.
+    fn best_in(
+        &self,
+        sub_queue: &SubQueue,
+        node: &Node,
+        earliest_answer: Duration,
+    ) -> Option<Candidate> {
+        let first = &self.requests[sub_queue.first()?.id.0];
+        // A reason that blocks a request with the best tie-breaker blocks the whole sub-queue, so its
+        // requests need not be visited.
         let value = self.value_in_time(first, Some(node));
         let volume = &self.volumes[first.request.volume];
         let smallest = self.requests.smallest_units().unwrap_or(0.0);
-        let limit_is_spent = !first.limit_drawn && volume.limit_is_below(smallest);
-        let is_payable = value.paid || node.capacity.has_spare();
-        if limit_is_spent || !is_payable || !self.admits(node, value, BEST_TIE_BREAKER) {
+        let limit_is_exhausted = !first.limit_drawn && volume.limit_has_less_than(smallest);
+        let is_covered_or_spare = value.covered || node.capacity.has_spare_capacity();
+        if limit_is_exhausted || !is_covered_or_spare || !self.admits(node, value, BEST_TIE_BREAKER)
+        {
             return None;
         }
-        best_of_line(line, soonest, value.amount, |entry| {
+        best_of_sub_queue(sub_queue, earliest_answer, value.amount, |entry| {
             let pending = &self.requests[entry.id.0];
-            let may_go = self.block_reason(pending, node).is_none();
-            may_go.then(|| self.candidate(pending, node))
+            let is_unblocked = self.block_reason(pending, node).is_none();
+            is_unblocked.then(|| self.candidate(pending, node))
         })
     }
 
-    /// A request as a candidate for the node.
+    /// Returns the request as a candidate for the node.
     pub(super) fn candidate(&self, pending: &PendingRequest, node: &Node) -> Candidate {
         Candidate {
             value: self.value(pending, Some(node)).amount,
@@ -178,7 +190,7 @@
         }
     }
 
-    /// Queued requests by value, the best first.
+    /// Returns the requests ordered by value, the highest first.
     pub(super) fn ranked(
         &self,
         ids: impl Iterator<Item = RequestId>,
--- a/crates/scheduler/src/scheduler/fetch_backoff.rs
+++ b/crates/scheduler/src/scheduler/fetch_backoff.rs
@@ -1,32 +1,34 @@
-//! Schedule of the calls to discovery for the endpoint list, with exponential back-off.
+//! Schedule of the calls to the discovery service for the endpoint list, with exponential back-off.
 //!
-//! Called by [`super::Scheduler`] for each answer, failure, refusal or move of discovery. Owns the number of
-//! consecutive failures and the time of the next call. Bound: at most one call is scheduled at a time.
+//! The back-off prevents all hosts together from calling discovery so often that it answers none of them in
+//! time.
 //!
-//! Guards against hosts that together call discovery so often that it answers none of them in time.
+//! Called by [`super::Scheduler`] when discovery answers, fails, refuses a call or moves. Owns the number of
+//! consecutive failures and the time of the next call; at most one call is scheduled at a time.
 
 use super::{clock::INTERVAL, jitter::Jitter};
 use crate::api::DiscoveryPolicy;
 use std::time::Duration;
 
-/// Base of the back-off; the delay doubles with each consecutive failure. Also the queueing time at discovery
-/// up to which a refused call counts as a failed one. Larger: a host learns of changes later after one lost
-/// call. Smaller: hosts without discovery call it more often.
+/// Base of the back-off; the delay doubles with each consecutive failure. It is also the longest queueing
+/// time at discovery for which a refused call is treated like a failed one. With a larger value a host learns
+/// of changes later after a single lost call; with a smaller one, hosts call discovery more often while it is
+/// down.
 const BASE_BACKOFF: Duration = Duration::from_millis(200);
-/// Bounds the doublings of the back-off. Larger: after a long outage of discovery a host calls it again late.
-/// Smaller: during an outage hosts call it more often.
+/// Maximum number of doublings of the back-off. With a larger value a host resumes its calls late after a long
+/// outage of discovery; with a smaller one, hosts call more often during an outage.
 const MAX_DOUBLINGS: u32 = 4;
 
 /// Back-off of the calls to discovery.
 #[derive(Debug)]
 pub(super) struct FetchBackoff {
-    /// The endpoint list must be fetched; discovery does not push it.
+    /// The host must poll for the endpoint list, because discovery does not push it.
     polled: bool,
-    /// Time between two polls by the settings.
+    /// Time between two polls, from the settings.
     poll_interval: Duration,
     /// Consecutive calls that failed or were refused.
     failures: u32,
-    /// Time of the next call; None: no call is scheduled.
+    /// Time of the next call; `None` if no call is scheduled.
     next_call_at: Option<Duration>,
 }
 
@@ -40,8 +42,8 @@
         }
     }
 
-    /// Schedules the first call. All hosts may start together, and discovery has capacity for few calls at a
-    /// time, so each host waits for a random part of a control interval.
+    /// Schedules the first call. All hosts may start together, and discovery can handle only few calls at a
+    /// time, so each host waits for a random fraction of a control interval.
     pub(super) fn start(&mut self, now: Duration, jitter: &mut Jitter) {
         self.next_call_at = self.polled.then(|| now + jitter.up_to(INTERVAL));
     }
@@ -51,23 +53,25 @@
         self.next_call_at = Some(now + jitter.up_to(max));
     }
 
-    /// Schedules the call after one that failed.
+    /// Schedules the next call after one that failed.
     pub(super) fn call_failed(&mut self, now: Duration, jitter: &mut Jitter) {
         self.failures += 1;
         let doubled = BASE_BACKOFF * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
-        // Well within the time after which the rule counts this host as notified of a change.
+        // A quarter of the poll interval is well within the time after which the rules regard this host as
+        // notified of a change.
         let backoff = doubled.min(self.poll_interval / 4);
         self.schedule(backoff, now, jitter);
     }
 
-    /// Schedules the call after one that discovery refused because it had too many callers. `queued`: the time
-    /// for which the call had waited at discovery.
+    /// Schedules the next call after one that discovery refused because it had too many callers. `queued`:
+    /// time for which the call was queued at discovery.
     ///
-    /// A call that was queued for long cost discovery work that served nobody. The next call waits longer than
-    /// that, and twice as long after each further refusal. Each host then calls at most once in a poll
-    /// interval, which is the rate that the settings allow for. Harm: after an outage that looks the same, the
-    /// host gets a list later by that delay. A call that was refused at once cost discovery next to nothing, so
-    /// its delay is the one after a failure.
+    /// A refused call that was queued for long has wasted discovery's work. The next call therefore waits at
+    /// least about as long as that call was queued, and twice as long after each further refusal, so that
+    /// each host calls at most once per poll interval, which is the rate that the settings provide for. The
+    /// cost is that after an outage, which cannot be told apart from overload, the host gets the list later
+    /// by that delay. A call that was refused at once cost discovery almost nothing, so the delay after it is
+    /// the same as after a failure.
     pub(super) fn call_refused(&mut self, queued: Duration, now: Duration, jitter: &mut Jitter) {
         if queued <= BASE_BACKOFF {
             return self.call_failed(now, jitter);
@@ -83,17 +87,17 @@
         self.next_call_at = Some(now + backoff / 2 + jitter.up_to(backoff));
     }
 
-    /// Forgets the failures: discovery has answered, or has moved to an address that none of them was at.
+    /// Resets the failure count, because discovery has answered or has moved to an address that has not failed.
     pub(super) fn reset(&mut self) {
         self.failures = 0;
     }
 
-    /// Returns whether a call is due, and unschedules it.
+    /// Returns whether a call is due, and if so removes it from the schedule.
     pub(super) fn take_due(&mut self, now: Duration) -> bool {
         self.next_call_at.take_if(|at| now >= *at).is_some()
     }
 
-    /// Time of the next call; None: no call is scheduled.
+    /// Returns the time of the next call, or `None` if no call is scheduled.
     pub(super) fn next_call_at(&self) -> Option<Duration> {
         self.next_call_at
     }
--- a/crates/scheduler/src/scheduler/introspection.rs
+++ b/crates/scheduler/src/scheduler/introspection.rs
@@ -1,4 +1,4 @@
-//! Introspection: the state of the decisions, for operators. Reads the tables; decides nothing.
+//! Introspection: the scheduler's state, for operators. Reads the tables and makes no decisions.
 
 use super::Scheduler;
 use crate::api::{BlockReason, NodeId, NodeMetrics, QueueMetrics, VolumeId};
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 fn node_metrics(node: &Node) -> NodeMetrics {
-    // Until an attempt was sent, the last success is the time at which the node came up.
+    // Until the first attempt is sent, the recorded last success is the time at which the node became ready.
     let last_sent = node.attempts.last_sent();
     let last_success = match last_sent.is_zero() {
         true => Duration::ZERO,
@@ -33,7 +33,7 @@
     }
 }
 
-/// Queued requests, added up by volume, node and reason.
+/// Numbers of queued requests, summed by volume, node and block reason.
 #[derive(Default)]
 struct QueueSums(BTreeMap<(VolumeId, Option<NodeId>, BlockReason), QueueMetrics>);
 
@@ -50,22 +50,26 @@
 }
 
 impl Scheduler {
-    /// All nodes that were ever listed.
+    /// Returns the metrics of all nodes that the endpoint list has ever named.
     pub fn nodes(&self) -> impl Iterator<Item = NodeMetrics> + '_ {
         self.nodes.values().map(node_metrics)
     }
 
-    /// Queued requests and the reasons that block them. At most so many lines of requests of equal value, and so
-    /// many unassigned requests, are read; the first request of a line stands for the complete line.
-    pub fn queued(&self, lines: usize) -> Vec<QueueMetrics> {
+    /// Returns the queued requests and the reasons that block them. Reads at most `max_entries` sub-queues of
+    /// the nodes, and as many unassigned requests. The first request of a sub-queue represents all of its
+    /// requests.
+    pub fn queued(&self, max_entries: usize) -> Vec<QueueMetrics> {
         let view = self.view();
         let mut sums = QueueSums::default();
-        let queued = self
-            .nodes
-            .values()
-            .flat_map(|node| node.queue.lines().map(move |line| (node, line)));
-        for (node, line) in queued.take(lines) {
-            let first = line.first().and_then(|entry| self.requests.get(entry.id.0));
+        let queued = self.nodes.values().flat_map(|node| {
+            node.queue
+                .sub_queues()
+                .map(move |sub_queue| (node, sub_queue))
+        });
+        for (node, sub_queue) in queued.take(max_entries) {
+            let first = sub_queue
+                .first()
+                .and_then(|entry| self.requests.get(entry.id.0));
             let Some(pending) = first else { continue };
             let Some(block_reason) = view.block_reason_or_concurrency(pending, node) else {
                 continue;
@@ -74,11 +78,11 @@
                 volume: pending.request.volume,
                 node: Some(node.id),
                 block_reason,
-                requests: line.len(),
+                requests: sub_queue.len(),
                 since: pending.received,
             });
         }
-        for id in self.queue.unassigned().iter().take(lines) {
+        for id in self.queue.unassigned().iter().take(max_entries) {
             let Some(pending) = self.requests.get(*id) else {
                 continue;
             };
@@ -93,12 +97,12 @@
         sums.0.into_values().collect()
     }
 
-    /// Returns the requests that were rejected or failed since the last call, by cause.
+    /// Returns the numbers of requests that were rejected or failed since the last call, by cause.
     pub fn take_rejections(&mut self) -> RejectionCounts {
         self.rejections.take_counts()
     }
 
-    /// Requests that were rejected or failed in the last step.
+    /// Returns the requests that were rejected or failed in the last step.
     pub fn rejected_in_step(&self) -> &[RejectedRequest] {
         self.rejections.in_step()
     }
--- a/crates/scheduler/src/scheduler/jitter.rs
+++ b/crates/scheduler/src/scheduler/jitter.rs
@@ -1,7 +1,8 @@
-//! Random draws of the decisions, from one seeded generator.
+//! Random numbers for the scheduler's decisions, from one seeded generator.
 //!
-//! Called by [`super::Scheduler`] and by the mechanisms that spread hosts apart in time. A seed and an order of
-//! calls determine all draws, so the order of calls is part of the scheduler's behaviour.
+//! Called by [`super::Scheduler`] and by the mechanisms that spread the actions of many hosts in time. The
+//! seed and the order of calls determine all results, so the order of calls is part of the scheduler's
+//! behaviour.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,12 +17,12 @@
         Jitter(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// Draws a fraction: at least 0, below 1.
+    /// Returns a random fraction, at least 0 and below 1.
     pub(super) fn fraction(&mut self) -> f64 {
         self.0.random::<f64>()
     }
 
-    /// Draws a delay: at least zero, below `max`.
+    /// Returns a random delay, at least zero and below `max`.
     pub(super) fn up_to(&mut self, max: Duration) -> Duration {
         max.mul_f64(self.fraction())
     }
--- a/crates/scheduler/src/scheduler/latency.rs
+++ b/crates/scheduler/src/scheduler/latency.rs
@@ -1,25 +1,28 @@
-//! Latency model: the time that an attempt should take, and whether one is late.
+//! Latency model: the expected duration of an attempt, and whether an attempt is late.
 //!
-//! Called by [`super::Scheduler`] for each completed attempt, and by every decision that compares a time with a
-//! deadline or an objective. [`LatencyModel`] owns the times per unit of work of all nodes' answers;
-//! [`NodeDelays`], one a node, owns the node's delays beyond the work. Bound: 16 counts each.
+//! Called by [`super::Scheduler`] for each completed attempt, and by every decision that compares a time with
+//! a deadline or an objective. [`LatencyModel`] owns a histogram of the time per unit of work over all nodes;
+//! each node has a [`NodeDelays`] with a histogram of the time that its answers take beyond the work itself.
+//! Each histogram has 16 bins.
 
 use super::clock::{INTERVAL, TICK};
 use crate::api::TrafficClass;
 use crate::histogram::Histogram;
 use std::time::Duration;
 
-/// Fraction of the tightest latency objective that an attempt may spend in a queue; the rest is for the work.
-/// Larger: queues grow at nodes until answers miss their objective. Smaller: uneven work alone counts as late.
+/// Fraction of the tightest latency objective that an attempt may spend in a node's queue; the rest is for
+/// the work. With a larger value queues grow at nodes until answers miss their objective; with a smaller one,
+/// uneven work alone makes answers count as late.
 pub(super) const QUEUEING_FRACTION: f64 = 0.15;
-/// Quantile of the times per unit that stands for work without a queue. Larger: answers from full nodes pass
-/// for timely. Smaller: the fastest answers alone set the measure, and usual ones count as late.
+/// Quantile of the times per unit that is taken as the time of work without queueing. With a larger value
+/// answers of overloaded nodes count as timely; with a smaller one, only the fastest answers set the
+/// reference, and normal answers count as late.
 const UNQUEUED_QUANTILE: f64 = 0.15;
-/// Bounds the answers in the histogram of times per unit, before their counts are halved. Larger: the model
-/// follows a change of the work slowly. Smaller: few answers move it.
+/// Number of answers in the histogram of times per unit above which the counts are halved. With a larger
+/// value the model follows a change of the work slowly; with a smaller one, few answers move it.
 const MAX_SAMPLES: f64 = 400.0;
 
-/// Delays of one node's answers beyond the work itself.
+/// Histogram of the time that one node's answers take beyond the work itself.
 #[derive(Debug)]
 pub(crate) struct NodeDelays(Histogram);
 
@@ -28,13 +31,13 @@
         NodeDelays(Histogram::new(TICK, 1.5, 16))
     }
 
-    /// Lets older delays weigh less.
-    pub(crate) fn fade(&mut self) {
+    /// Halves the counts, so that older delays have less weight.
+    pub(crate) fn decay(&mut self) {
         self.0.halve();
     }
 }
 
-/// Latest time by which an attempt without an answer is not late.
+/// Longest time for which an unanswered attempt does not count as late, for any number of units.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct OverdueBound {
     time_per_unit: Duration,
@@ -42,18 +45,18 @@
 }
 
 impl OverdueBound {
-    /// Returns whether an attempt of so many units, sent at `sent`, is late by now.
+    /// Returns whether an attempt of `units`, sent at `sent`, is late by now.
     pub(super) fn is_passed(&self, units: f64, sent: Duration, now: Duration) -> bool {
         now > sent + self.time_per_unit.mul_f64(units) + self.queueing
     }
 }
 
-/// Model of the time that work takes, over all nodes.
+/// Model of the time that work takes, learned from the answers of all nodes.
 #[derive(Debug)]
 pub(super) struct LatencyModel {
-    /// The shortest latency objective that a host can keep to.
+    /// The shortest latency objective that a host can meet, which is one longer than a tick.
     tightest_objective: Duration,
-    /// Times of completed attempts, per unit of work.
+    /// Durations of completed attempts, per unit of work.
     time_per_unit: Histogram,
 }
 
@@ -71,8 +74,8 @@
         self.tightest_objective
     }
 
-    /// Time that an attempt of this size should take: the node's usual delay, and the usual time for the work.
-    /// `delays`: of the node; None: of any node, or of one without answers.
+    /// Returns the expected duration of an attempt of this size: the node's median delay plus the median time
+    /// of the work. `delays`: the node's delays, or `None` if the node is not known yet.
     pub(super) fn expected_time(&self, delays: Option<&NodeDelays>, units: f64) -> Duration {
         let delay = delays.and_then(|delays| delays.0.quantile(0.5));
         let work = self
@@ -80,7 +83,7 @@
             .quantile(0.5)
             .unwrap_or_default()
             .mul_f64(units);
-        // Never zero: a host without any answer yet must still reject before the deadline.
+        // Never zero, because a host that has no answers yet must still reject requests before their deadline.
         (delay.unwrap_or_default() + work).max(TICK * 2)
     }
 
@@ -101,7 +104,7 @@
         elapsed > work + self.tightest_objective.mul_f64(QUEUEING_FRACTION)
     }
 
-    /// Bound of the attempts that have no answer yet.
+    /// Returns the bound beyond which attempts without an answer are late.
     pub(super) fn overdue_bound(&self) -> OverdueBound {
         OverdueBound {
             time_per_unit: self
@@ -112,8 +115,8 @@
         }
     }
 
-    /// Lets older answers weigh less.
-    pub(super) fn fade(&mut self) {
+    /// Halves the counts if there are many, so that older answers have less weight.
+    pub(super) fn decay(&mut self) {
         self.time_per_unit.halve_above(MAX_SAMPLES);
     }
 }
--- a/crates/scheduler/src/scheduler/outlier_ejection.rs
+++ b/crates/scheduler/src/scheduler/outlier_ejection.rs
@@ -1,33 +1,36 @@
-//! Outlier ejection: a node that stays silent, or fails several times in a row, gets trial requests only
-//! (Envoy's outlier detection).
+//! Outlier ejection: a node that does not answer, or that fails several times in a row, gets only trial
+//! requests (Envoy's outlier detection).
 //!
-//! Guards against hangs, cut links and dead nodes that the endpoint list still shows, and against nodes that
-//! fail fast: those look idle and would attract every request that any node can take. Harm: a short overload
-//! can eject a node for seconds; so can a single heavy request that is alone at its node.
+//! Ejection protects requests from nodes that hang, are cut off from the network or have died while the
+//! endpoint list still names them, and from nodes that fail fast: those look idle and would attract every
+//! request that any node can take. Its cost is that a short overload can eject a node for seconds, and so can
+//! a single heavy request that is the only one at its node.
 //!
-//! Called by [`super::Scheduler`] each tick and for each outcome. [`FailureStreak`], one a node, owns the
-//! node's failures and its last success. An ejected node's admission level is zero ([`super::throttle`]).
+//! Called by [`super::Scheduler`] in each tick and for each attempt outcome. Each node has a [`FailureStreak`],
+//! which owns its failures and the time of its last success. Ejection sets the node's admission level to zero
+//! ([`super::throttle`]).
 
 use crate::api::{AttemptOutcome, EjectionReason};
 use std::time::Duration;
 
-/// Consecutive failures that eject a node; one or two can be chance. Larger: more requests fail at a dead node.
-/// Smaller: chance ejects nodes.
+/// Number of consecutive failures that ejects a node. With a larger value more requests fail at a dead node;
+/// with a smaller one, nodes are ejected by chance, since one or two failures can be chance.
 const EJECTION_THRESHOLD: u32 = 3;
-/// Longest silence with attempts outstanding, in latency objectives. Larger: more requests time out at a dead
-/// node. Smaller: one heavy request alone counts as silence.
+/// Longest time without an answer while attempts are outstanding, as a multiple of the tightest latency
+/// objective. With a larger value more requests time out at a dead node; with a smaller one, a single heavy
+/// request ejects its node.
 const SILENT_OBJECTIVES: u32 = 4;
 
 /// Consecutive failures of one node.
 #[derive(Debug, Default)]
 pub(crate) struct FailureStreak {
     failures: u32,
-    /// Time at which the node last completed an attempt, or came up.
+    /// Time at which the node last completed an attempt, or became ready.
     last_success: Duration,
 }
 
 impl FailureStreak {
-    /// Starts anew: the node came up, or completed an attempt.
+    /// Resets the streak, because the node has become ready or has completed an attempt.
     pub(crate) fn reset(&mut self, now: Duration) {
         self.failures = 0;
         self.last_success = now;
@@ -38,12 +41,12 @@
         self.failures += 1;
     }
 
-    /// Lets older failures weigh less.
-    pub(crate) fn fade(&mut self) {
+    /// Halves the failure count, so that older failures have less weight.
+    pub(crate) fn decay(&mut self) {
         self.failures /= 2;
     }
 
-    /// Returns whether the node has failed so often in a row that no new object should go there.
+    /// Returns whether the node has failed so often in a row that no new object should be placed there.
     pub(super) fn is_outlier(&self) -> bool {
         self.failures >= EJECTION_THRESHOLD
     }
@@ -57,8 +60,8 @@
         })
     }
 
-    /// Returns the reason to eject the node, if it has been silent for too long. `oldest_sent`: sending time of
-    /// the oldest attempt outstanding there.
+    /// Returns the reason to eject the node, if it has not answered for too long. `oldest_sent`: send time of
+    /// the oldest attempt that is outstanding there.
     pub(super) fn silence(
         &self,
         oldest_sent: Option<Duration>,
@@ -81,15 +84,16 @@
     }
 }
 
-/// Returns whether the outcome counts against the node.
+/// Returns whether the outcome counts as a failure of the node.
 pub(super) fn is_failure(outcome: AttemptOutcome) -> bool {
     use AttemptOutcome::{Cancelled, Completed, NotSent, TimedOut};
     !matches!(outcome, Completed | TimedOut | Cancelled | NotSent)
 }
 
-/// Returns whether the node took no attempt: such failures eject it. Errors do not, since a node that fails some
-/// requests may still serve others whose data is only there. Resets do not either, since a connection may end
-/// alone: a node that died has a closed port.
+/// Returns whether the node did not accept the attempt. Only such failures eject a node. Error answers do
+/// not, because a node that fails some requests may still serve others whose data is only there. Connection
+/// resets do not either, because a single connection may break while the node keeps running; the port of a
+/// dead node is closed.
 pub(super) fn is_refusal(outcome: AttemptOutcome) -> bool {
     matches!(
         outcome,
--- a/crates/scheduler/src/scheduler/placement.rs
+++ b/crates/scheduler/src/scheduler/placement.rs
@@ -1,20 +1,21 @@
-//! Placement of new objects, which any node can take: at the first node in the rendezvous order of their volume,
-//! or at the next one where that node is at its limit, has a better request queued, or fails fast (and so looks
-//! idle).
+//! Placement of new objects, which any node can take. An object goes to the first node in the rendezvous
+//! order of its volume, or to the next node if that one is at its limit, has a request of higher value
+//! queued, or fails fast (and therefore looks idle).
 //!
-//! Called by [`super::Scheduler`] for each unassigned request. [`Placement`] owns the nodes that had capacity at
-//! the start of a step.
+//! Called by [`super::Scheduler`] for each unassigned request. [`Placement`] caches the nodes that have
+//! capacity in a step.
 
 use super::dispatch::DispatchView;
 use crate::api::NodeId;
 use crate::rendezvous_hash::rendezvous_weight;
 use crate::state::{Node, PendingRequest};
 
-/// Preference of a request for a node; the greatest comes first.
+/// Preference of a request for a node, compared field by field; the node with the greatest preference is
+/// tried first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Preference {
     untried: bool,
-    open: bool,
+    is_preferred: bool,
     weight: u64,
     node: NodeId,
 }
@@ -23,7 +24,7 @@
     fn new(pending: &PendingRequest, node: &Node) -> Self {
         Preference {
             untried: pending.attempts.last_node() != Some(node.id),
-            open: node.admission.is_open(),
+            is_preferred: node.admission.is_preferred(),
             weight: rendezvous_weight(pending.request.volume, node.id),
             node: node.id,
         }
@@ -33,12 +34,12 @@
 /// Placement of the new objects of one step.
 #[derive(Default)]
 pub(super) struct Placement {
-    /// Nodes that had capacity when they were first needed in this step.
+    /// Nodes that had capacity when the list was first needed in this step; `None` if it was not needed yet.
     with_capacity: Option<Vec<NodeId>>,
 }
 
 impl Placement {
-    /// The node that takes a new object now.
+    /// Returns the node to which a new object can be sent now, if there is one.
     pub(super) fn node_for(
         &mut self,
         view: &DispatchView,
@@ -47,7 +48,7 @@
         let nodes = view.nodes;
         let units = pending.request.units;
         let healthy = || nodes.values().filter(|node| !node.failures.is_outlier());
-        // The first node takes nearly every object; all nodes are searched only where it does not.
+        // The first node takes nearly every object; all nodes are searched only if it does not.
         let preferences = healthy().map(|node| Preference::new(pending, node));
         let first = &nodes[preferences.max()?.node];
         if view.has_capacity(first, units) && is_best_for(view, pending, first) {
@@ -75,7 +76,7 @@
     }
 }
 
-/// Returns whether nothing blocks the request at the node, and no better one is queued there.
+/// Returns whether nothing blocks the request at the node, and no better candidate is queued there.
 fn is_best_for(view: &DispatchView, pending: &PendingRequest, node: &Node) -> bool {
     if view.block_reason(pending, node).is_some() {
         return false;
--- a/crates/scheduler/src/scheduler/rejection_log.rs
+++ b/crates/scheduler/src/scheduler/rejection_log.rs
@@ -1,7 +1,7 @@
-//! Rejections, by their cause, for operators. No decision reads them.
+//! Rejected and failed requests by cause, for operators. No decision reads them.
 //!
 //! Called by [`super::Scheduler`] for each request that it rejects or fails. [`RejectionLog`] owns the counts.
-//! Bound: one count for each cause that occurred, and one entry for each rejection of the step.
+//! Memory: one count for each cause that occurred, and one entry for each rejection of the current step.
 
 use super::dispatch::DispatchView;
 use crate::api::{BlockReason, RequestId};
@@ -11,16 +11,16 @@
 use crate::state::{DesiredState, Node, PendingRequest};
 use std::time::Duration;
 
-/// Counts of rejected and failed requests.
+/// Counts of rejected and failed requests, and those of the current step.
 #[derive(Debug, Default)]
 pub(super) struct RejectionLog {
     counts: RejectionCounts,
-    /// Rejections of this step.
+    /// Rejections of the current step.
     in_step: Vec<RejectedRequest>,
 }
 
 impl RejectionLog {
-    /// Starts a step.
+    /// Starts a step: clears the rejections of the previous one.
     pub(super) fn start_step(&mut self) {
         self.in_step.clear();
     }
@@ -30,18 +30,18 @@
         self.in_step.push(RejectedRequest { id, cause });
     }
 
-    /// Returns the counts since the last call.
+    /// Returns the counts since the last call, and resets them.
     pub(super) fn take_counts(&mut self) -> RejectionCounts {
         std::mem::take(&mut self.counts)
     }
 
-    /// Rejections of this step.
+    /// Returns the rejections of the current step.
     pub(super) fn in_step(&self) -> &[RejectedRequest] {
         &self.in_step
     }
 }
 
-/// The cause for which a request is rejected now: the reason that blocks it.
+/// Returns the cause of a rejection of this request now: the reason that blocks it, and its circumstances.
 pub(super) fn rejection_cause(view: &DispatchView, pending: &PendingRequest) -> RejectionCause {
     let shard = pending.request.shard;
     let endpoint = shard.and_then(|shard| view.nodes.node_of_shard(shard));
@@ -57,7 +57,7 @@
 
 fn paid_by(view: &DispatchView, pending: &PendingRequest, node: Option<&Node>) -> PaidBy {
     let volume = view.volumes.get(pending.request.volume);
-    if volume.is_some_and(|volume| volume.reservation.pays()) {
+    if volume.is_some_and(|volume| volume.reservation.has_tokens()) {
         return PaidBy::Reservation;
     }
     let share = node.and_then(|node| node.share_level(pending.request.volume));
--- a/crates/scheduler/src/scheduler/request_flow.rs
+++ b/crates/scheduler/src/scheduler/request_flow.rs
@@ -1,9 +1,9 @@
-//! Path of a request: received, queued, sent, retried, and closed with its final answer.
+//! Life cycle of a request: received, queued, sent, retried, and closed with its final answer.
 //!
-//! Called by the shell ([`super`]). Keeps the tables, the dispatch queue and the retry policy in step; the
-//! decisions themselves are in the mechanisms' modules.
+//! Called by the scheduler's event loop ([`super`]). Keeps the tables, the dispatch queue and the retry policy
+//! consistent with each other; the decisions themselves are in the modules of the mechanisms.
 
-use super::attempt_outcome::{is_final, may_still_run, EndedAttempt};
+use super::attempt_outcome::{forbids_retry, may_still_run, EndedAttempt};
 use super::dispatch_queue::RankingSchedule;
 use super::placement::Placement;
 use super::rejection_log::rejection_cause;
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 impl Scheduler {
-    /// Records a request that was received now, and queues it.
+    /// Records a request that was just received, and queues it.
     pub(super) fn receive_request(&mut self, request: Request) {
         let now = self.clock.now();
         let class = self.settings.class(&request);
@@ -27,8 +27,9 @@
         });
         let ordered_key = request.key.filter(|_| class.ordered);
         self.retries.request_received(request.id, ordered_key, now);
-        // A client's retry has less time to its deadline than its first try, from which the objective counts. It
-        // must not pass for new before requests that can still meet their objective.
+        // The objective counts from the client's first try. A client's retry has less time to its deadline
+        // than the first try had; it must not be treated as new and precede requests that can still meet
+        // their objective.
         let spent = self.requests.observe(&request, now);
         let objective_at = now + class.latency_objective.saturating_sub(spent);
         let id = request.id;
@@ -38,8 +39,9 @@
         self.enqueue(id);
     }
 
-    /// Queues a request at the node that holds its data, or among those that any node can take. A request whose
-    /// time is up, or whose node is absent, is rejected at once: its client may know a better host.
+    /// Queues a request at the node that holds its data, or as unassigned if any node can take it. A request
+    /// that cannot meet its deadline, or whose node is absent, is rejected at once: its client may know a
+    /// better host.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let now = self.clock.now();
         let request = &self.requests[id].request;
@@ -59,7 +61,7 @@
         self.queue.enqueue(pending, node, now);
     }
 
-    /// Queues the requests again that are queued at nodes that accept none.
+    /// Queues again all requests that are queued at nodes that are not ready.
     pub(super) fn requeue_at_unready(&mut self) {
         for id in self.nodes.queued_at_unready() {
             self.dequeue(id);
@@ -73,15 +75,16 @@
         }
     }
 
-    /// Rejects the queued requests of a volume that is no longer served: they would wait for nothing. Outstanding
-    /// attempts stay, and their ends are still recorded.
+    /// Rejects the queued requests of a volume that is no longer served, since they would wait in vain.
+    /// Outstanding attempts continue, and their outcomes are still recorded.
     pub(super) fn reject_queued(&mut self, volume: VolumeId) {
         for id in self.requests.queued_of_volume(volume) {
             self.reject_or_fail(id, MIN_RETRY_AFTER);
         }
     }
 
-    /// Answers a request that will not be sent: rejected if its client may retry it, else failed.
+    /// Answers a request that will not be sent again: rejects it if its client may retry it, and fails it
+    /// otherwise.
     pub(super) fn reject_or_fail(&mut self, id: RequestId, retry_after: Duration) {
         let Some(pending) = self.requests.get(id) else {
             return;
@@ -103,7 +106,7 @@
         }
     }
 
-    /// Assigns the unassigned requests to nodes that can take them now, and rejects those that cannot meet their
+    /// Sends the unassigned requests to nodes that can take them now, and rejects those that cannot meet their
     /// deadline.
     pub(super) fn assign_unassigned(&mut self, ticked: bool) {
         let now = self.clock.now();
@@ -115,19 +118,19 @@
             let ranked = self.view().ranked(ids, None);
             self.queue.set_unassigned(ranked);
         }
-        let all_nodes = self.concurrency.mean_learned_rate() * self.nodes.len() as f64;
-        let next_look = schedule.next_look;
+        let total_rate = self.concurrency.mean_learned_rate() * self.nodes.len() as f64;
+        let until_next_ranking = schedule.until_next_ranking;
         let mut units_ahead = 0.0;
         let mut placement = Placement::default();
-        // Between two rankings, the requests that were first at the last ranking are tried.
+        // Between two rankings, only the requests that were first in the last ranking are tried.
         for id in self.queue.first_unassigned(is_ranked) {
             let view = self.view();
             let pending = &view.requests[id];
             let request = &pending.request;
-            let wait = queueing_time(units_ahead, all_nodes);
-            let ready = now + wait + view.expected_time(None, request.units) + next_look;
+            let wait = queueing_time(units_ahead, total_rate);
+            let ready = now + wait + view.expected_time(None, request.units) + until_next_ranking;
             let too_late = ready > request.deadline;
-            let is_hopeless = too_late || queued_too_long(pending, next_look, now);
+            let is_hopeless = too_late || queued_too_long(pending, until_next_ranking, now);
             let units = request.units;
             match placement.node_for(&view, pending) {
                 Some(node) => self.send_attempt(id, node),
@@ -139,16 +142,16 @@
         }
     }
 
-    /// Sends the queued requests of a node that may go now.
+    /// Sends the queued requests of a node that may be sent now.
     pub(super) fn dispatch_at(&mut self, node: NodeId) {
         while let Some(id) = self.next_dispatchable(node) {
             self.send_attempt(id, node);
         }
     }
 
-    /// The queued request that goes to the node now.
+    /// Returns the queued request to send to the node now, if there is one.
     fn next_dispatchable(&mut self, id: NodeId) -> Option<RequestId> {
-        // Most visits find the node at its limit: without capacity for the smallest request there is none for any.
+        // Most visits find the node at its limit: without capacity for the smallest request, none can be sent.
         let smallest = self.requests.smallest_units()?;
         if !self.has_capacity_or_visits_later(id, smallest) {
             return None;
@@ -157,7 +160,7 @@
         if !self
             .discovery
             .lease()
-            .confirms(&node.contact, self.clock.now())
+            .confirms(&node.serving_evidence, self.clock.now())
         {
             return None;
         }
@@ -166,7 +169,8 @@
         self.has_capacity_or_visits_later(id, units).then_some(best)
     }
 
-    /// Returns whether the node has capacity; visits the node again when time alone will bring it.
+    /// Returns whether the node has capacity for `units` now. If it will have capacity at a known later time,
+    /// schedules a visit of the node for then.
     fn has_capacity_or_visits_later(&mut self, id: NodeId, units: f64) -> bool {
         let node = &self.nodes[id];
         let available = self
@@ -187,10 +191,10 @@
         let now = self.clock.now();
         let view = self.view();
         let node = &view.nodes[node_id];
-        let is_paid = view.value_in_time(&view.requests[id], Some(node)).paid;
-        // Lateness behind other attempts of this host is for the concurrency back-off; that of an attempt alone is
-        // caused by others.
-        let is_alone = node.attempts.units() <= 0.0;
+        let is_covered = view.value_in_time(&view.requests[id], Some(node)).covered;
+        // If this host has other attempts at the node, a late answer may be due to them and concerns the
+        // concurrency back-off alone. If this is the only attempt, a late answer is due to other hosts.
+        let is_only_attempt = node.attempts.units() <= 0.0;
         let pending = self
             .requests
             .get_mut(id)
@@ -203,9 +207,9 @@
             .nodes
             .get_mut(node_id)
             .expect("the caller looked it up");
-        if volume.reservation.pays() {
+        if volume.reservation.has_tokens() {
             volume.reservation.take(request.units);
-        } else if is_paid {
+        } else if is_covered {
             node.flows.take_share(request.volume, request.units);
         }
         if !pending.limit_drawn {
@@ -214,16 +218,16 @@
         node.attempt_sent(request, now);
         pending.limit_drawn = true;
         pending.desired = DesiredState::Sent(node_id);
-        if pending.attempts.add(node_id, is_alone) {
+        if pending.attempts.add(node_id, is_only_attempt) {
             self.retries.retry_sent(now);
         }
         self.queue.attempt_sent(node_id);
         self.requests.mark_changed(id);
     }
 
-    /// Rejects the requests queued at the node that cannot be in time.
-    pub(super) fn shed_load(&mut self, id: NodeId, next_look: Duration) {
-        let shed = shed_load(&self.view(), &self.nodes[id], next_look);
+    /// Rejects the requests queued at the node that cannot be answered in time.
+    pub(super) fn shed_load(&mut self, id: NodeId, until_next_ranking: Duration) {
+        let shed = shed_load(&self.view(), &self.nodes[id], until_next_ranking);
         for (request, retry_after) in shed.rejected {
             self.reject_or_fail(request, retry_after);
         }
@@ -231,7 +235,7 @@
         node.capacity.observe_reservation(shed.below_reservation);
     }
 
-    /// Records an attempt that has ended, then closes its request, queues it for a retry, or rejects it.
+    /// Records the outcome of an attempt, then closes its request, queues it for a retry, or rejects it.
     pub(super) fn attempt_ended(&mut self, end: &AttemptEnd) {
         self.record_outcome(end);
         self.retry_or_answer(end);
@@ -253,7 +257,7 @@
         }
         let mut attempt = EndedAttempt::new(end, now, pending, node, volume);
         self.queue.node_changed(end.node);
-        attempt.record_contact();
+        attempt.record_serving_evidence();
         attempt.refund_limit();
         attempt.record_prior();
         let event = attempt.record_failure(&mut self.throttle);
@@ -277,7 +281,7 @@
         }
         let attempts = pending.attempts.count();
         let delay = self.retries.delay(attempts, &mut self.jitter);
-        let may_continue = !is_final(end.outcome) && self.retries.attempts_remain(attempts);
+        let may_continue = !forbids_retry(end.outcome) && self.retries.attempts_remain(attempts);
         if !may_continue || !self.may_retry_in(delay, end) {
             return self.reject_or_fail(end.id, MIN_RETRY_AFTER);
         }
@@ -287,8 +291,8 @@
         self.enqueue(end.id);
     }
 
-    /// Returns whether the retry budget, idempotency and the time to the deadline allow a retry at the same node
-    /// after the delay.
+    /// Returns whether the retry budget, idempotency and the time to the deadline allow a retry at the same
+    /// node after the delay.
     fn may_retry_in(&self, delay: Duration, end: &AttemptEnd) -> bool {
         let now = self.clock.now();
         let pending = &self.requests[end.id];
@@ -308,14 +312,14 @@
             && remaining > expected() + delay
     }
 
-    /// Closes a request, which needs no further answer; its record stays while an attempt is outstanding.
+    /// Closes a request that needs no further answer. Its record is kept while an attempt is outstanding.
     pub(super) fn close(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(id) else {
             return;
         };
         self.queue.dequeue(pending, &mut self.nodes);
         pending.answered = true;
-        if pending.attempts.is_out() {
+        if pending.attempts.has_outstanding() {
             return;
         }
         let key = pending.request.key;
@@ -327,7 +331,7 @@
         }
     }
 
-    /// Adds the actions for the requests whose desired state has changed.
+    /// Adds the actions for all requests whose desired state has changed.
     pub(super) fn act_on_changed_requests(&mut self) {
         for id in self.requests.take_changed() {
             let Some(pending) = self.requests.get_mut(id) else {
@@ -340,7 +344,7 @@
                 DesiredState::Queued => {}
                 DesiredState::Sent(node) => {
                     let deadline = pending.request.deadline;
-                    if pending.attempts.mark_out(node) {
+                    if pending.attempts.mark_outstanding(node) {
                         self.actions
                             .push(Action::SendAttempt { id, node, deadline });
                     }
--- a/crates/scheduler/src/scheduler/retry_policy.rs
+++ b/crates/scheduler/src/scheduler/retry_policy.rs
@@ -1,12 +1,12 @@
-//! Retry policy: whether another attempt of a request may follow, under idempotency, key order and the retry
-//! budget.
+//! Retry policy: whether another attempt of a request may be sent, given its idempotency, the order of the
+//! requests of its key, and the retry budget.
 //!
-//! Called by [`super::Scheduler`] for each request received, attempt sent and request closed, and by the
-//! dispatch before an attempt. [`RetryPolicy`] owns the order of requests with one key and the counts behind the
-//! retry budget. Bounds: one entry for each key with an open request or a cool-down, and one time for each
-//! request and retry of the budget's window.
+//! The policy prevents duplicate effects, effects of one key out of order, and retry storms.
 //!
-//! Guards against effects that happen twice, effects of one key out of order, and retry storms.
+//! Called by [`super::Scheduler`] for each request received, attempt sent and request closed, and by
+//! [`super::dispatch`] before an attempt. [`RetryPolicy`] owns the order of the requests of each key and the
+//! counts for the retry budget. Memory: one entry for each key with an open request or a cool-down, and one
+//! timestamp for each request and retry in the budget's window.
 
 use super::clock::{INTERVAL, TICK};
 use super::jitter::Jitter;
@@ -15,11 +15,11 @@
 use crate::rates::RecentEvents;
 use std::time::Duration;
 
-/// Bounds the doublings of the delay before a retry. Larger: later retries come too late for their deadline.
-/// Smaller: a node that fails gets retries sooner.
+/// Maximum number of doublings of the delay before a retry. With a larger value later retries come too late for
+/// their deadline; with a smaller one, a failing node gets retries sooner.
 const MAX_DOUBLINGS: u32 = 6;
 
-/// Node and sending time of an attempt that may have run.
+/// Node and send time of an attempt that may have run.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PriorAttempt {
     /// Zone of its node.
@@ -30,8 +30,8 @@
     pub sent: Duration,
 }
 
-/// Returns whether an attempt may go to a node of that zone and shard without the risk that an effect happens
-/// twice. `prior`: an earlier attempt that may have run.
+/// Returns whether an attempt may be sent to a node of this zone and shard without the risk of a duplicate
+/// effect. `prior`: an earlier attempt that may have run.
 pub fn may_resend(
     idempotency: Idempotency,
     prior: Option<PriorAttempt>,
@@ -54,7 +54,7 @@
     }
 }
 
-/// Returns whether the client may be answered that a retry is harmless.
+/// Returns whether the client may be told to retry, because a retry cannot cause a duplicate effect.
 pub fn may_reject(idempotency: Idempotency, may_have_run: bool) -> bool {
     let recognised = matches!(
         idempotency,
@@ -66,24 +66,24 @@
     !may_have_run || idempotency == Idempotency::Idempotent || recognised
 }
 
-/// Retry budget, key order and limits of one host's attempts.
+/// Retry budget, key order and attempt limit of one host.
 #[derive(Debug)]
 pub(super) struct RetryPolicy {
-    /// Attempts of one request, its first included.
+    /// Maximum number of attempts of one request, including the first.
     max_attempts: u32,
-    /// The rule on retries; None: no rule.
+    /// The retry budget; `None` if retries are not limited.
     budget: Option<RetryBudget>,
-    /// Time for which a key is blocked after an attempt that may still run.
+    /// Time for which a key is blocked after an attempt that may still be running.
     key_cooldown: Duration,
     key_order: KeyOrder,
-    /// Requests received within the budget's window.
+    /// Times at which requests were received, within the budget's window.
     received: RecentEvents,
-    /// Retries sent within the budget's window.
+    /// Times at which retries were sent, within the budget's window.
     retries: RecentEvents,
 }
 
 impl RetryPolicy {
-    /// A policy without rules.
+    /// Returns a policy without a retry budget and without cool-downs.
     pub(super) fn new(max_attempts: u32) -> Self {
         RetryPolicy {
             max_attempts,
@@ -95,13 +95,14 @@
         }
     }
 
-    /// Sets the rules. `key_cooldown`: time for which a key is blocked after an attempt that may still run.
-    pub(super) fn set_rules(&mut self, budget: Option<RetryBudget>, key_cooldown: Duration) {
+    /// Sets the retry budget and the key cool-down, which is the time for which a key is blocked after an
+    /// attempt that may still be running.
+    pub(super) fn configure(&mut self, budget: Option<RetryBudget>, key_cooldown: Duration) {
         self.budget = budget;
         self.key_cooldown = key_cooldown;
     }
 
-    /// Counts a request that was received. `ordered_key`: its key, if its traffic class is ordered.
+    /// Counts a received request. `ordered_key`: its key, if its traffic class is ordered.
     pub(super) fn request_received(
         &mut self,
         id: RequestId,
@@ -119,29 +120,29 @@
         self.retries.add(now);
     }
 
-    /// Blocks the key for all requests but this one, whose attempt may still run.
+    /// Blocks the key for all requests except this one, whose attempt may still be running.
     pub(super) fn cool_down_key(&mut self, key: KeyId, id: RequestId, now: Duration) {
         self.key_order.cool_down(key, id, now + self.key_cooldown);
     }
 
-    /// Removes a closed request of the key; returns the request that is first of the key from now on.
+    /// Removes a closed request of the key; returns the key's next request in order.
     pub(super) fn request_closed(&mut self, key: KeyId, id: RequestId) -> Option<RequestId> {
         self.key_order.remove(key, id)
     }
 
-    /// Returns whether the request is first of its key, and the key is not blocked for it.
+    /// Returns whether the request is the first in order of its key, and no cool-down blocks it.
     pub(super) fn key_allows(&self, key: KeyId, id: RequestId, now: Duration) -> bool {
         self.key_order.may_run(key, id, now)
     }
 
-    /// Returns whether a request with so many attempts may have another.
+    /// Returns whether a request that has had `attempts` attempts may have another.
     pub(super) fn attempts_remain(&self, attempts: u32) -> bool {
         attempts < self.max_attempts
     }
 
-    /// Returns whether one more retry stays within the budget. The rule holds for any window, and its observer's
-    /// clock differs from this one: so requests are counted over a window that is shorter by a tick, and
-    /// retries over one that is longer by a tick.
+    /// Returns whether one more retry stays within the budget. The budget applies to every window, and
+    /// whoever checks it uses another clock. Requests are therefore counted over a window that is one tick
+    /// shorter, and retries over one that is one tick longer.
     pub(super) fn budget_allows(&self, now: Duration) -> bool {
         let Some(budget) = &self.budget else {
             return true;
@@ -153,12 +154,12 @@
         (retries + 1) as f64 <= budget.min_retries + budget.ratio * received as f64
     }
 
-    /// Delay before the retry that follows so many attempts: exponential, with jitter.
+    /// Returns the delay before the retry that follows `attempts` attempts: exponential, with jitter.
     pub(super) fn delay(&self, attempts: u32, jitter: &mut Jitter) -> Duration {
         jitter.up_to(TICK * 2) + TICK * 2u32.pow(attempts.min(MAX_DOUBLINGS))
     }
 
-    /// Drops counts that are older than any window, and keys that nothing blocks.
+    /// Removes timestamps that are older than the window, and keys without open requests or a cool-down.
     pub(super) fn expire(&mut self, now: Duration) {
         self.key_order.remove_idle(now);
         let window = self
--- a/crates/scheduler/src/scheduler/shares.rs
+++ b/crates/scheduler/src/scheduler/shares.rs
@@ -1,9 +1,9 @@
-//! Shares: each node's estimated capacity, divided among its flows by demand, reservation and weight
+//! Fair shares: division of each node's estimated capacity among its flows by demand, reservation and weight
 //! ("End-to-end Performance Isolation through Virtual Datacenters", section 4.1).
 //!
-//! Called by [`super::Scheduler`] once a control interval. [`Flow`] owns the demand and the share of one volume
-//! at one node; [`Flows`], one a node, owns the node's flows. Bound: one flow for each volume that used the node
-//! within the last intervals.
+//! Called by [`super::Scheduler`] once per control interval. A [`Flow`] owns the demand and the share of one
+//! volume at one node; each node has a [`Flows`]. Memory: one flow for each volume that used the node within
+//! the last intervals.
 
 use super::demand::DemandEstimator;
 use crate::api::{Plan, VolumeId};
@@ -12,19 +12,19 @@
 use crate::token_bucket::TokenBucket;
 use std::collections::BTreeMap;
 
-/// Divisor that stands for a demand of zero.
+/// Lower bound of a demand when it is used as a divisor.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// One volume's requests at one node. Units; rates are units a second.
+/// One volume's requests at one node. Amounts are in units, rates in units per second.
 #[derive(Debug, Default)]
 pub(crate) struct Flow {
     demand: DemandEstimator,
-    /// Bucket of the fair share beyond the reservation; None: no share was allocated yet.
+    /// Token bucket of the fair share beyond the reservation; `None` if no share was allocated yet.
     share: Option<TokenBucket>,
 }
 
 impl Flow {
-    /// Sets the rate of the share; a new share starts full.
+    /// Sets the rate of the share; the bucket of a new share starts full.
     fn set_share(&mut self, rate: f64) {
         self.share
             .get_or_insert_with(|| TokenBucket::new(rate, rate, rate))
@@ -36,7 +36,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Flows {
     flows: BTreeMap<VolumeId, Flow>,
-    /// Rate reserved at the node through this host.
+    /// Sum of the rates that this host's flows have reserved at the node.
     reserved_rate: f64,
 }
 
@@ -69,13 +69,13 @@
         }
     }
 
-    /// Level of the volume's share; None: no share was allocated yet.
+    /// Returns the level of the volume's share, or `None` if no share was allocated yet.
     pub(crate) fn share_level(&self, volume: VolumeId) -> Option<f64> {
         let share = self.flows.get(&volume)?.share.as_ref()?;
         Some(share.level())
     }
 
-    /// Adds the tokens and samples of so many ticks, `seconds` in all.
+    /// Adds the tokens and samples of `ticks` ticks, which last `seconds` in total.
     pub(crate) fn advance(&mut self, ticks: f64, seconds: f64) {
         for flow in self.flows.values_mut() {
             if let Some(share) = &mut flow.share {
@@ -94,10 +94,11 @@
     }
 }
 
-/// Demands of all volumes over all nodes, in units a second.
+/// Demand of each volume, summed over all nodes, in units per second.
 pub(super) type VolumeDemands = BTreeMap<VolumeId, f64>;
 
-/// Ends the flows' control interval of so many ticks and seconds: measures their demands and drops idle flows.
+/// Ends a control interval of `ticks` ticks, which lasted `interval` seconds: measures the demands of all
+/// flows and removes idle flows.
 pub(super) fn measure_demands<'a>(
     nodes: impl Iterator<Item = &'a mut Node>,
     ticks: f64,
@@ -114,8 +115,8 @@
     demands
 }
 
-/// Divides each node's estimate among its flows, by their demands and by their volumes' reservations and
-/// weights.
+/// Divides each node's estimated capacity among its flows, by their demands and by their volumes'
+/// reservations and weights.
 pub(super) fn allocate_shares<'a>(
     nodes: impl Iterator<Item = &'a mut Node>,
     volumes: &VolumeTable,
@@ -124,19 +125,19 @@
 ) {
     let flow_demand = |(id, flow): (&VolumeId, &Flow)| {
         let volume = &volumes[*id];
-        let everywhere = demands.get(id).copied().unwrap_or(0.0).max(MIN_DIVISOR);
+        let total_demand = demands.get(id).copied().unwrap_or(0.0).max(MIN_DIVISOR);
         let demand = flow.demand.demand();
         FlowDemand {
             demand,
-            reservation: volume.reservation.rate() * demand / everywhere,
+            reservation: volume.reservation.rate() * demand / total_demand,
             weight: plans[volume.plan.0].weight,
         }
     };
     for node in nodes {
         let flows = &mut node.flows;
-        let wanted: Vec<FlowDemand> = flows.flows.iter().map(flow_demand).collect();
-        flows.reserved_rate = wanted.iter().map(|flow| flow.reservation).sum();
-        let allocations = allocate(node.capacity.estimate(), &wanted);
+        let flow_demands: Vec<FlowDemand> = flows.flows.iter().map(flow_demand).collect();
+        flows.reserved_rate = flow_demands.iter().map(|flow| flow.reservation).sum();
+        let allocations = allocate(node.capacity.estimate(), &flow_demands);
         for (flow, allocation) in flows.flows.values_mut().zip(allocations) {
             flow.set_share(allocation.spare);
         }
--- a/crates/scheduler/src/scheduler/shedding.rs
+++ b/crates/scheduler/src/scheduler/shedding.rs
@@ -1,7 +1,7 @@
-//! Load shedding: queued requests that cannot meet their deadline or their objective are rejected early, so that
-//! their clients have time for a retry.
+//! Load shedding: queued requests that cannot meet their deadline or their objective are rejected early, so
+//! that their clients have time for a retry.
 //!
-//! Called by [`super::Scheduler`] when a node's queue, or the unassigned requests, are ranked. Owns no state.
+//! Called by [`super::Scheduler`] when it ranks a node's queue or the unassigned requests. Owns no state.
 
 use super::clock::{INTERVAL, TICK};
 use super::dispatch::DispatchView;
@@ -10,21 +10,23 @@
 use crate::state::{Node, PendingRequest};
 use std::time::Duration;
 
-/// Shortest Retry-After. Larger: clients with short deadlines give up. Smaller: they come back while the node is
-/// still overloaded.
+/// Shortest Retry-After. With a larger value clients with short deadlines give up; with a smaller one, they
+/// retry while the node is still overloaded.
 pub(super) const MIN_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Requests of one node's queue to reject.
+/// Result of load shedding at one node's queue.
 pub(super) struct Shed {
-    /// The requests, with their Retry-After.
+    /// The requests to reject, with their Retry-After.
     pub(super) rejected: Vec<(RequestId, Duration)>,
-    /// A volume of the remaining requests has been queued below its reservation for long.
+    /// A remaining request has been queued for more than half a control interval although its volume's
+    /// reservation has tokens left.
     pub(super) below_reservation: bool,
 }
 
-/// Returns the requests that cannot be in time behind those that go before them. `next_look`: time until the next
-/// ranking; a request whose time would be up by then is rejected now.
-pub(super) fn shed_load(view: &DispatchView, node: &Node, next_look: Duration) -> Shed {
+/// Returns the requests that cannot be answered in time behind the requests that are sent before them.
+/// `until_next_ranking`: time until the next ranking; a request that would miss its deadline by then is
+/// rejected now.
+pub(super) fn shed_load(view: &DispatchView, node: &Node, until_next_ranking: Duration) -> Shed {
     let now = view.now;
     let mean_time = view.expected_time(Some(node), view.settings.units.mean);
     let limit = view.concurrency.limit(node);
@@ -43,27 +45,27 @@
             let value = view.value(pending, Some(node));
             view.admits(node, value, pending.tie_breaker)
         };
-        let too_late = ready + next_look > request.deadline;
-        let too_long = queued_too_long(pending, next_look, now);
+        let too_late = ready + until_next_ranking > request.deadline;
+        let too_long = queued_too_long(pending, until_next_ranking, now);
         if too_late || too_long || ready > pending.objective_at && !is_admitted() {
             shed.rejected.push((id, wait.max(MIN_RETRY_AFTER)));
             continue;
         }
         units_ahead += request.units;
-        let is_reserved = view.volumes[request.volume].reservation.pays();
+        let is_reserved = view.volumes[request.volume].reservation.has_tokens();
         shed.below_reservation |= is_reserved && now > pending.received + INTERVAL / 2;
     }
     shed
 }
 
-/// Returns whether the request has been queued for half of its time to deadline, or will have been by the next
-/// look, without an attempt. The request would complete late; a rejection now leaves its client time for a
-/// retry.
+/// Returns whether the request has been queued without an attempt for half of the time to its deadline, or
+/// will have been by the next ranking. Such a request would complete late; a rejection now leaves its client
+/// time for a retry.
 pub(super) fn queued_too_long(
     pending: &PendingRequest,
-    next_look: Duration,
+    until_next_ranking: Duration,
     now: Duration,
 ) -> bool {
     let half = pending.received + (pending.request.deadline - pending.received) / 2;
-    pending.attempts.count() == 0 && now + TICK + next_look >= half
+    pending.attempts.count() == 0 && now + TICK + until_next_ranking >= half
 }
--- a/crates/scheduler/src/state.rs
+++ b/crates/scheduler/src/state.rs
@@ -1,7 +1,8 @@
-//! Tables of the decisions: nodes, requests and volumes, and the small records in them.
+//! Tables of the scheduler: nodes, requests and volumes, and their records.
 //!
-//! Owned by [`crate::scheduler::Scheduler`]. The tables hold records and look them up; they decide nothing. The
-//! state of each mechanism is a type of that mechanism's module, which alone writes it.
+//! Owned by [`crate::scheduler::Scheduler`]. The tables store records and look them up; they make no
+//! decisions. The state of each mechanism is a type of that mechanism's module, and only that module modifies
+//! it.
 
 mod attempts;
 mod node;
--- a/crates/scheduler/src/state/attempts.rs
+++ b/crates/scheduler/src/state/attempts.rs
@@ -7,52 +7,52 @@
 /// Attempts outstanding at one node, and their units.
 #[derive(Debug, Default)]
 pub struct OutstandingAttempts {
-    /// Sending time of each attempt.
+    /// Send time of each attempt.
     sent_at: BTreeMap<RequestId, Duration>,
-    /// Sum of their units.
+    /// Sum of the attempts' units.
     units: f64,
-    /// Time at which the last attempt was sent; 0: never.
+    /// Time at which the last attempt was sent; 0 if none was sent.
     last_sent: Duration,
 }
 
 impl OutstandingAttempts {
-    /// Adds an attempt that is sent now.
+    /// Adds an attempt that is being sent now.
     pub fn add(&mut self, id: RequestId, units: f64, now: Duration) {
         self.units += units;
         self.sent_at.insert(id, now);
         self.last_sent = now;
     }
 
-    /// Corrects the sending time of an attempt, if it is outstanding.
+    /// Corrects the send time of an attempt, if it is outstanding.
     pub fn set_sent(&mut self, id: RequestId, at: Duration) {
         if let Some(sent) = self.sent_at.get_mut(&id) {
             *sent = at;
         }
     }
 
-    /// Removes an attempt that has ended; returns its sending time, if it was outstanding.
+    /// Removes an attempt that has ended; returns its send time, if it was outstanding.
     pub fn remove(&mut self, id: RequestId, units: f64) -> Option<Duration> {
         let sent = self.sent_at.remove(&id)?;
         self.units -= units;
         Some(sent)
     }
 
-    /// All attempts, with their sending times.
+    /// Returns all attempts with their send times.
     pub fn iter(&self) -> impl Iterator<Item = (&RequestId, &Duration)> {
         self.sent_at.iter()
     }
 
-    /// Sending time of the oldest attempt.
+    /// Returns the send time of the oldest attempt.
     pub fn oldest_sent(&self) -> Option<Duration> {
         self.sent_at.values().min().copied()
     }
 
-    /// Units outstanding.
+    /// Returns the number of units outstanding.
     pub fn units(&self) -> f64 {
         self.units
     }
 
-    /// Number of attempts.
+    /// Returns the number of attempts outstanding.
     pub fn len(&self) -> usize {
         self.sent_at.len()
     }
@@ -62,7 +62,7 @@
         self.sent_at.is_empty()
     }
 
-    /// Time at which the last attempt was sent; 0: never.
+    /// Returns the time at which the last attempt was sent; 0 if none was sent.
     pub fn last_sent(&self) -> Duration {
         self.last_sent
     }
--- a/crates/scheduler/src/state/node.rs
+++ b/crates/scheduler/src/state/node.rs
@@ -1,6 +1,7 @@
 //! A storage node, as one host sees it.
 //!
-//! A node is the record of its endpoint, and one small type for each mechanism, which alone writes it.
+//! A node's record consists of its endpoint and of one small type for each mechanism, which only that mechanism
+//! modifies.
 
 use super::{OutstandingAttempts, PendingRequest};
 use crate::api::{
@@ -8,8 +9,8 @@
 };
 use crate::request_queue::RequestQueue;
 use crate::scheduler::{
-    AdmissionLevel, ConcurrencyBackoff, FailureStreak, Flows, NodeCapacity, NodeContact,
-    NodeDelays, WarmUp,
+    AdmissionLevel, ConcurrencyBackoff, FailureStreak, Flows, NodeCapacity, NodeDelays,
+    ServingEvidence, WarmUp,
 };
 use std::time::Duration;
 
@@ -22,21 +23,21 @@
     pub zone: ZoneId,
     /// The shard that it holds.
     pub shard: ShardId,
-    /// Its state by the endpoint list.
+    /// Its state according to the endpoint list.
     pub state: NodeState,
-    /// Time at which its process last started; None: long ago.
+    /// Time at which its process last started; `None` if that was long ago.
     pub started: Option<Duration>,
-    /// Its warm-up.
+    /// State of its warm-up.
     pub warm_up: WarmUp,
     /// Its estimated capacity.
     pub capacity: NodeCapacity,
-    /// Attempts outstanding there.
+    /// Attempts outstanding at the node.
     pub attempts: OutstandingAttempts,
     /// Requests queued for it.
     pub queue: RequestQueue,
-    /// Volumes that use it.
+    /// Demand and fair share of each volume that uses it.
     pub flows: Flows,
-    /// Delays of its answers beyond the work itself.
+    /// Time that its answers take beyond the work itself.
     pub delays: NodeDelays,
     /// Back-off of its concurrency limit.
     pub concurrency: ConcurrencyBackoff,
@@ -44,12 +45,12 @@
     pub admission: AdmissionLevel,
     /// Its consecutive failures and its last success.
     pub failures: FailureStreak,
-    /// Evidence that it accepts requests.
-    pub contact: NodeContact,
+    /// Evidence, from its attempts, that it accepts requests.
+    pub serving_evidence: ServingEvidence,
 }
 
 impl Node {
-    /// A node that was unknown before; it is gone until [`Node::update`] has read its endpoint.
+    /// Returns the record of a new node, whose state is "gone" until [`Node::update`] applies its endpoint.
     pub fn new(endpoint: &Endpoint, capacity: NodeCapacity) -> Self {
         Node {
             id: endpoint.node,
@@ -66,11 +67,12 @@
             concurrency: ConcurrencyBackoff::new(),
             admission: AdmissionLevel::default(),
             failures: FailureStreak::default(),
-            contact: NodeContact::default(),
+            serving_evidence: ServingEvidence::default(),
         }
     }
 
-    /// Reads the node's endpoint; returns whether the node came up by that, or started anew.
+    /// Applies an update of the node's endpoint; returns whether the node has thereby become ready or
+    /// restarted.
     pub fn update(&mut self, endpoint: &Endpoint) -> bool {
         let changed = self.state != NodeState::Ready || self.started != endpoint.started;
         self.zone = endpoint.zone;
@@ -80,7 +82,7 @@
         changed && endpoint.state == NodeState::Ready
     }
 
-    /// Forgets the evidence against the node's former process: the node came up.
+    /// Discards the evidence against the node's former process, because the node has become ready.
     pub fn reset(&mut self, now: Duration, warm_up: WarmUp) {
         self.failures.reset(now);
         self.concurrency = ConcurrencyBackoff::new();
@@ -88,14 +90,14 @@
         self.warm_up = warm_up;
     }
 
-    /// Adds the tokens and samples of so many ticks, `seconds` in all.
+    /// Adds the tokens and samples of `ticks` ticks, which last `seconds` in total.
     pub fn advance(&mut self, ticks: f64, seconds: f64) {
         self.capacity.refill(seconds);
         self.warm_up.refill(seconds);
         self.flows.advance(ticks, seconds);
     }
 
-    /// Records an attempt that is sent now.
+    /// Records an attempt that is being sent now.
     pub fn attempt_sent(&mut self, request: &Request, now: Duration) {
         self.flows.sent(request.volume, request.units);
         self.capacity.sent(request.traffic_class, request.units);
@@ -103,14 +105,15 @@
         self.attempts.add(request.id, request.units, now);
     }
 
-    /// Records the end of an attempt; returns its sending time, if it was outstanding.
+    /// Records the end of an attempt; returns its send time, if it was outstanding.
     pub fn attempt_ended(&mut self, request: &Request) -> Option<Duration> {
         let sent = self.attempts.remove(request.id, request.units)?;
         self.flows.ended(request.volume, request.units);
         Some(sent)
     }
 
-    /// Ejects the node: it gets trial requests only. Returns the event to log, unless it was ejected before.
+    /// Ejects the node, so that it gets only trial requests. Returns the event to log, unless it was ejected
+    /// already.
     pub fn eject(&mut self, reason: EjectionReason) -> Option<LogEvent> {
         let node = self.id;
         let changed = self.admission.eject();
@@ -121,7 +124,7 @@
     pub fn enqueue(&mut self, pending: &PendingRequest) {
         let request = &pending.request;
         self.queue
-            .add(pending.line(), pending.objective_at, request.id);
+            .add(pending.sub_queue_key(), pending.objective_at, request.id);
         self.flows.enqueued(request.volume, request.units);
     }
 
@@ -130,14 +133,14 @@
         let request = &pending.request;
         let removed = self
             .queue
-            .remove(pending.line(), pending.objective_at, request.id);
+            .remove(pending.sub_queue_key(), pending.objective_at, request.id);
         if removed {
             self.flows.dequeued(request.volume, request.units);
         }
         removed
     }
 
-    /// Level of the volume's fair share here; None: no share was allocated yet.
+    /// Returns the level of the volume's fair share at this node, or `None` if no share was allocated yet.
     pub fn share_level(&self, volume: VolumeId) -> Option<f64> {
         self.flows.share_level(volume)
     }
--- a/crates/scheduler/src/state/node_table.rs
+++ b/crates/scheduler/src/state/node_table.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Index;
 
-/// All nodes that were ever listed. Memory: one record each.
+/// All nodes that the endpoint list has ever named. Memory: one record for each.
 #[derive(Debug, Default)]
 pub struct NodeTable {
     nodes: BTreeMap<NodeId, Node>,
@@ -14,27 +14,27 @@
 }
 
 impl NodeTable {
-    /// A node, if it was ever listed.
+    /// Returns a node, if it was ever listed.
     pub fn get(&self, id: NodeId) -> Option<&Node> {
         self.nodes.get(&id)
     }
 
-    /// A node, if it was ever listed.
+    /// Returns a node, if it was ever listed.
     pub fn get_mut(&mut self, id: NodeId) -> Option<&mut Node> {
         self.nodes.get_mut(&id)
     }
 
-    /// All nodes, by id.
+    /// Returns all nodes, ordered by id.
     pub fn values(&self) -> impl Iterator<Item = &Node> + Clone {
         self.nodes.values()
     }
 
-    /// All nodes, by id.
+    /// Returns all nodes, ordered by id.
     pub fn values_mut(&mut self) -> impl Iterator<Item = &mut Node> {
         self.nodes.values_mut()
     }
 
-    /// Number of nodes.
+    /// Returns the number of nodes.
     pub fn len(&self) -> usize {
         self.nodes.len()
     }
@@ -44,14 +44,14 @@
         self.nodes.is_empty()
     }
 
-    /// Reads an endpoint; returns its node if the node came up by that. `new_node`: makes the record of a node
-    /// that was unknown before, given the node of its shard that was used last.
+    /// Applies an update of one endpoint; returns its node if the node has thereby become ready or restarted.
+    /// `new_node`: makes the record of a new node, given the most recently used node of its shard.
     pub fn update(
         &mut self,
         endpoint: &Endpoint,
         new_node: impl FnOnce(Option<&Node>) -> Node,
     ) -> Option<&mut Node> {
-        // Most entries are of known nodes.
+        // Most endpoints belong to known nodes, for which no predecessor need be searched.
         if !self.nodes.contains_key(&endpoint.node) {
             let node = new_node(self.last_used_of_shard(endpoint.shard));
             self.nodes.insert(endpoint.node, node);
@@ -71,7 +71,7 @@
             .max_by_key(|node| node.attempts.last_sent())
     }
 
-    /// Marks nodes as gone that a complete list does not name.
+    /// Marks all nodes as gone that a complete endpoint list does not name.
     pub fn mark_absent_gone(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<NodeId> = endpoints.iter().map(|endpoint| endpoint.node).collect();
         for (id, node) in &mut self.nodes {
@@ -81,14 +81,14 @@
         }
     }
 
-    /// Requests queued at nodes that accept none.
+    /// Returns the requests that are queued at nodes that are not ready.
     pub fn queued_at_unready(&self) -> Vec<RequestId> {
         let nodes = self.nodes.values();
         let unready = nodes.filter(|node| node.state != NodeState::Ready);
         unready.flat_map(|node| node.queue.ids()).collect()
     }
 
-    /// The node that holds a shard's data; of several, the one that started last.
+    /// Returns the ready node that holds a shard's data; if there are several, the one that started last.
     pub fn node_of_shard(&self, shard: ShardId) -> Option<&Node> {
         let listed = self.shards.get(&shard)?;
         listed
@@ -109,7 +109,7 @@
 impl Index<NodeId> for NodeTable {
     type Output = Node;
 
-    /// A node that is known to be listed.
+    /// Returns a node that is known to be listed.
     fn index(&self, id: NodeId) -> &Node {
         &self.nodes[&id]
     }
--- a/crates/scheduler/src/state/request.rs
+++ b/crates/scheduler/src/state/request.rs
@@ -1,94 +1,94 @@
-//! A request that has no final answer yet, or that has an attempt outstanding.
+//! A request that has no final answer yet or has an attempt outstanding.
 
 use crate::api::{NodeId, Request};
-use crate::request_queue::LineKey;
+use crate::request_queue::SubQueueKey;
 use crate::scheduler::PriorAttempt;
 use std::time::Duration;
 
-/// State of a request that the decisions want; the host is given an action where the actual state differs.
+/// State that the scheduler has decided for a request. The host gets an action if the actual state differs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum DesiredState {
     /// Queued.
     Queued,
     /// An attempt is outstanding at the node.
     Sent(NodeId),
-    /// Rejected, with a retry after that time at the earliest.
+    /// Rejected; the client may retry after this time at the earliest.
     Rejected(Duration),
-    /// Failed: it may have run.
+    /// Failed; the request may have run.
     Failed,
 }
 
 /// The attempts of one request so far.
 #[derive(Debug, Default)]
 pub struct AttemptHistory {
-    /// Attempts so far.
+    /// Number of attempts so far.
     count: u32,
-    /// The node at which an attempt is outstanding.
-    out_at: Option<NodeId>,
+    /// The node at which an attempt is outstanding; `None` if there is none.
+    outstanding_at: Option<NodeId>,
     /// The node of the last attempt.
     last_node: Option<NodeId>,
     /// The first attempt that may have run.
     prior: Option<PriorAttempt>,
-    /// The lateness of the last attempt counts against its node already, or must not count.
+    /// The last attempt has already been counted as late against its node, or must not be counted.
     lateness_counted: bool,
 }
 
 impl AttemptHistory {
-    /// Counts an attempt that is about to be sent; returns whether it is a retry. `alone`: this host has no other
-    /// attempt outstanding at the node.
-    pub fn add(&mut self, node: NodeId, alone: bool) -> bool {
+    /// Counts an attempt that is about to be sent; returns whether it is a retry. `is_only_attempt`: this
+    /// host has no other attempt outstanding at the node.
+    pub fn add(&mut self, node: NodeId, is_only_attempt: bool) -> bool {
         let is_retry = self.count > 0;
         self.count += 1;
         self.last_node = Some(node);
-        self.lateness_counted = !alone;
+        self.lateness_counted = !is_only_attempt;
         is_retry
     }
 
-    /// Marks the attempt as outstanding; returns whether it was not before.
-    pub fn mark_out(&mut self, node: NodeId) -> bool {
-        if self.out_at.is_some() {
+    /// Marks the attempt as outstanding; returns false if one was outstanding already.
+    pub fn mark_outstanding(&mut self, node: NodeId) -> bool {
+        if self.outstanding_at.is_some() {
             return false;
         }
-        self.out_at = Some(node);
+        self.outstanding_at = Some(node);
         true
     }
 
-    /// Marks the attempt as ended.
+    /// Marks the outstanding attempt as ended.
     pub fn mark_ended(&mut self) {
-        self.out_at = None;
+        self.outstanding_at = None;
     }
 
-    /// Remembers an attempt that may have run, if it is the first.
+    /// Records an attempt that may have run, unless an earlier one is recorded.
     pub fn record_prior(&mut self, attempt: PriorAttempt) {
         self.prior.get_or_insert(attempt);
     }
 
-    /// Counts the lateness of the outstanding attempt.
+    /// Marks the outstanding attempt as already counted as late.
     pub fn count_lateness(&mut self) {
         self.lateness_counted = true;
     }
 
-    /// Number of attempts so far.
+    /// Returns the number of attempts so far.
     pub fn count(&self) -> u32 {
         self.count
     }
 
     /// Returns whether an attempt is outstanding.
-    pub fn is_out(&self) -> bool {
-        self.out_at.is_some()
+    pub fn has_outstanding(&self) -> bool {
+        self.outstanding_at.is_some()
     }
 
-    /// The node of the last attempt.
+    /// Returns the node of the last attempt.
     pub fn last_node(&self) -> Option<NodeId> {
         self.last_node
     }
 
-    /// The first attempt that may have run.
+    /// Returns the first attempt that may have run.
     pub fn prior(&self) -> Option<PriorAttempt> {
         self.prior
     }
 
-    /// Returns whether the lateness of the last attempt counts already, or must not count.
+    /// Returns whether the last attempt has already been counted as late, or must not be counted.
     pub fn lateness_counted(&self) -> bool {
         self.lateness_counted
     }
@@ -101,19 +101,19 @@
     pub request: Request,
     /// Time at which it was received.
     pub received: Duration,
-    /// Time up to which an answer meets the latency objective.
+    /// Time until which an answer meets the latency objective.
     pub objective_at: Duration,
-    /// Its random place, from 0 to 1, among requests of the same value.
+    /// Random number from 0 to 1 that orders requests of the same value.
     pub tie_breaker: f64,
-    /// State that the decisions want.
+    /// State that the scheduler has decided for it.
     pub desired: DesiredState,
-    /// It has its final answer; the record stays while an attempt is outstanding.
+    /// It has its final answer; the record is kept while an attempt is outstanding.
     pub answered: bool,
-    /// Its answer has begun and belongs to the client.
+    /// Its answer has begun to reach the client, so it can no longer be retried.
     pub response_started: bool,
-    /// Its units are drawn from the volume's limit.
+    /// Its units have already been drawn from the volume's limit.
     pub limit_drawn: bool,
-    /// The node at which it is queued; None: it is queued at no node.
+    /// The node at which it is queued; `None` if it is unassigned or not queued.
     pub queued_at: Option<NodeId>,
     /// No attempt is sent before this time.
     pub not_before: Duration,
@@ -122,7 +122,7 @@
 }
 
 impl PendingRequest {
-    /// A request that was received now.
+    /// Returns the record of a request that was just received.
     pub fn new(
         request: Request,
         received: Duration,
@@ -144,9 +144,9 @@
         }
     }
 
-    /// The line in which it is queued.
-    pub fn line(&self) -> LineKey {
-        LineKey {
+    /// Returns the key of the sub-queue in which it is queued.
+    pub fn sub_queue_key(&self) -> SubQueueKey {
+        SubQueueKey {
             volume: self.request.volume,
             traffic_class: self.request.traffic_class,
             limit_drawn: self.limit_drawn,
--- a/crates/scheduler/src/state/request_table.rs
+++ b/crates/scheduler/src/state/request_table.rs
@@ -1,4 +1,4 @@
-//! The requests that this host works on.
+//! The requests that this host is processing.
 
 use super::{DesiredState, PendingRequest};
 use crate::api::{Request, RequestId, TrafficClassId, VolumeId};
@@ -6,37 +6,37 @@
 use std::ops::Index;
 use std::time::Duration;
 
-/// Requests without a final answer, or with an attempt outstanding. Memory: one record each, and one time for
-/// each traffic class.
+/// Requests without a final answer or with an attempt outstanding. Memory: one record for each request, and one
+/// duration for each traffic class.
 #[derive(Debug, Default)]
 pub struct RequestTable {
     requests: BTreeMap<RequestId, PendingRequest>,
     /// Requests whose desired state has changed in this step.
     changed: Vec<RequestId>,
-    /// Longest time from receipt to deadline seen in each class.
+    /// Longest time from receipt to deadline seen in each traffic class.
     longest_deadline: BTreeMap<TrafficClassId, Duration>,
     /// Size of the smallest request seen, in units.
     smallest_units: Option<f64>,
 }
 
 impl RequestTable {
-    /// Records the size and the deadline of a request received now; returns by how much its deadline is nearer
-    /// than the longest of its class.
+    /// Records the size and the deadline of a request that was just received. Returns by how much its time to
+    /// the deadline is shorter than the longest of its traffic class.
     pub fn observe(&mut self, request: &Request, now: Duration) -> Duration {
-        let left = request.deadline.saturating_sub(now);
+        let remaining = request.deadline.saturating_sub(now);
         let longest = self
             .longest_deadline
             .entry(request.traffic_class)
             .or_default();
-        *longest = left.max(*longest);
+        *longest = remaining.max(*longest);
         let smallest = self
             .smallest_units
             .map_or(request.units, |least| least.min(request.units));
         self.smallest_units = Some(smallest);
-        *longest - left
+        *longest - remaining
     }
 
-    /// Size of the smallest request seen, in units; None: no request was received yet.
+    /// Returns the size of the smallest request seen, in units, or `None` if no request was received yet.
     pub fn smallest_units(&self) -> Option<f64> {
         self.smallest_units
     }
@@ -51,12 +51,12 @@
         self.requests.remove(&id);
     }
 
-    /// A request, if it is open or has an attempt outstanding.
+    /// Returns a request, if it is open or has an attempt outstanding.
     pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
         self.requests.get(&id)
     }
 
-    /// A request, if it is open or has an attempt outstanding.
+    /// Returns a request, if it is open or has an attempt outstanding.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.requests.get_mut(&id)
     }
@@ -66,12 +66,12 @@
         self.changed.push(id);
     }
 
-    /// The requests whose desired state has changed since the last call.
+    /// Returns the requests whose desired state has changed since the last call.
     pub fn take_changed(&mut self) -> Vec<RequestId> {
         std::mem::take(&mut self.changed)
     }
 
-    /// The queued requests of a volume.
+    /// Returns the queued requests of a volume.
     pub fn queued_of_volume(&self, volume: VolumeId) -> Vec<RequestId> {
         let is_queued = |pending: &PendingRequest| {
             pending.request.volume == volume && pending.desired == DesiredState::Queued
@@ -83,7 +83,7 @@
             .collect()
     }
 
-    /// The volumes of all requests.
+    /// Returns the volumes of all requests.
     pub fn volumes(&self) -> BTreeSet<VolumeId> {
         let requests = self.requests.values();
         requests.map(|pending| pending.request.volume).collect()
@@ -93,7 +93,7 @@
 impl Index<RequestId> for RequestTable {
     type Output = PendingRequest;
 
-    /// A request that is known to be in the table.
+    /// Returns a request that is known to be in the table.
     fn index(&self, id: RequestId) -> &PendingRequest {
         &self.requests[&id]
     }
--- a/crates/scheduler/src/token_bucket.rs
+++ b/crates/scheduler/src/token_bucket.rs
@@ -1,9 +1,9 @@
 //! A token bucket that may go into debt.
 //!
-//! Called by the decisions, which choose every rate and depth. The bucket has no clock: the caller states the
-//! time that has passed.
+//! The scheduler's mechanisms choose every rate and depth. The bucket has no clock: the caller states how
+//! much time has passed.
 
-/// Tokens that fill at a rate, up to a depth.
+/// A bucket that fills with tokens at a constant rate, up to a depth.
 ///
 /// ```
 /// use grebecleat_scheduler::token_bucket::TokenBucket;
@@ -23,58 +23,60 @@
     rate: f64,
     depth: f64,
     level: f64,
-    /// Tokens that the bucket loses whenever it is full; 0: it stays full.
-    lapse: f64,
+    /// Number of tokens that the bucket loses whenever it becomes full; 0 if it stays full.
+    loss_when_full: f64,
 }
 
 impl TokenBucket {
-    /// Returns a bucket with `rate` tokens a second, at most `depth` tokens, and `level` tokens now. A figure that
-    /// is negative or not finite counts as 0.
+    /// Returns a bucket that gets `rate` tokens per second, holds at most `depth` tokens, and holds `level`
+    /// tokens now. An argument that is negative or not finite counts as 0.
     pub fn new(rate: f64, depth: f64, level: f64) -> Self {
-        let (rate, depth) = (finite(rate), finite(depth));
+        let (rate, depth) = (finite_or_zero(rate), finite_or_zero(depth));
         TokenBucket {
             rate,
             depth,
-            level: finite(level).min(depth),
-            lapse: 0.0,
+            level: finite_or_zero(level).min(depth),
+            loss_when_full: 0.0,
         }
     }
 
-    /// Returns a bucket without a rate yet, in debt by the fraction `owed` of `lapse` tokens. Whenever the bucket
-    /// is full it loses `lapse` tokens, as if a request had taken them. After a quiet time the levels of many such
-    /// buckets therefore still differ.
+    /// Returns a bucket that has no rate yet and starts with a debt of the fraction `owed` of
+    /// `loss_when_full` tokens. Whenever the bucket becomes full, it loses `loss_when_full` tokens, as if a
+    /// request had taken them. The levels of many such buckets therefore still differ after a time without
+    /// requests.
     ///
     /// ```
     /// use grebecleat_scheduler::token_bucket::TokenBucket;
-    /// let mut bucket = TokenBucket::lapsing(4.0, 0.25);
+    /// let mut bucket = TokenBucket::losing_when_full(4.0, 0.25);
     /// bucket.reconfigure(2.0, 5.0);
     /// bucket.refill(2.0);
     /// assert_eq!(bucket.level(), 3.0);
     /// bucket.refill(1.0);
     /// assert_eq!(bucket.level(), 1.0);
     /// ```
-    pub fn lapsing(lapse: f64, owed: f64) -> Self {
-        let lapse = finite(lapse);
+    pub fn losing_when_full(loss_when_full: f64, owed: f64) -> Self {
+        let loss_when_full = finite_or_zero(loss_when_full);
         TokenBucket {
             rate: 0.0,
             depth: 0.0,
-            level: -lapse * finite(owed),
-            lapse,
+            level: -loss_when_full * finite_or_zero(owed),
+            loss_when_full,
         }
     }
 
-    /// Sets the rate (tokens a second) and the depth; the level stays, cut to the depth.
+    /// Sets the rate (tokens per second) and the depth. The level is kept, but reduced to the depth if it is
+    /// higher.
     pub fn reconfigure(&mut self, rate: f64, depth: f64) {
-        self.rate = finite(rate);
-        self.depth = finite(depth);
+        self.rate = finite_or_zero(rate);
+        self.depth = finite_or_zero(depth);
         self.level = self.level.min(self.depth);
     }
 
-    /// Adds the tokens of that many seconds.
+    /// Adds the tokens of `seconds` seconds.
     pub fn refill(&mut self, seconds: f64) {
         self.level += self.rate * seconds;
         if self.level >= self.depth {
-            self.level = self.depth - self.lapse;
+            self.level = self.depth - self.loss_when_full;
         }
     }
 
@@ -83,25 +85,25 @@
         self.level -= tokens;
     }
 
-    /// Returns tokens that were taken and not used, up to the depth.
+    /// Puts back tokens that were taken and not used, up to the depth.
     pub fn refund(&mut self, tokens: f64) {
         self.level = (self.level + tokens).min(self.depth);
     }
 
-    /// Tokens in the bucket; negative: a debt.
+    /// Returns the number of tokens in the bucket; a negative number is a debt.
     pub fn level(&self) -> f64 {
         self.level
     }
 
-    /// Tokens a second.
+    /// Returns the rate in tokens per second.
     pub fn rate(&self) -> f64 {
         self.rate
     }
 }
 
-fn finite(figure: f64) -> f64 {
-    if figure.is_finite() {
-        figure.max(0.0)
+fn finite_or_zero(value: f64) -> f64 {
+    if value.is_finite() {
+        value.max(0.0)
     } else {
         0.0
     }
