--- a/crates/scheduler/src/scheduler/endpoint_lease.rs
+++ b/crates/scheduler/src/scheduler/endpoint_lease.rs
@@ -2,8 +2,8 @@
 //!
 //! The lease keeps a host that gets no answer from discovery from sending requests to a node that is draining
 //! or gone. Without an answer, the host cannot tell an unchanged list from one whose changes it missed. The
-//! rules regard a host as notified of a change one lease after discovery knew of it, whether or not the
-//! host's calls succeeded, so an older list must not be relied on.
+//! deployment's rules regard a host as notified of a change one lease after discovery knew of it, whether or
+//! not the host's calls succeeded, so an older list must not be relied on.
 //!
 //! After the lease has expired, a node gets requests only while it keeps completing requests of this host. A
 //! draining node starts to reject requests at most [`MAX_DRAIN_REJECTION_DELAY`] after discovery published
@@ -11,7 +11,7 @@
 //! the lease:
 //! - a node that rejected the last attempt, because it may be draining;
 //! - a node to which no connection could be opened, because another process may listen there next time;
-//! - a node that broke a connection and has not completed an attempt sent before that since.
+//! - a node that broke a connection and has since completed no attempt that was sent before the break.
 //!
 //! The cost is that requests to seldom used nodes are rejected while discovery is down or refuses this host.
 //! The lease does not detect a process that is replaced between two requests of this host, nor a node that
@@ -30,13 +30,13 @@
 /// lease has expired.
 const CACHED_LEASE: Duration = Duration::from_millis(3000);
 /// Upper bound of the time for which a node still accepts requests after discovery has published its drain;
-/// up to 1.8 s occurs. With a larger value, nodes that complete requests are used for a shorter time after
-/// the lease has expired; with a smaller one, a request may go to a node that is draining.
+/// delays of up to 1.8 s occur. With a larger value, nodes that complete requests are used for a shorter time
+/// after the lease has expired; with a smaller one, a request may go to a node that is draining.
 const MAX_DRAIN_REJECTION_DELAY: Duration = Duration::from_millis(3000);
-/// Longest remaining lease after the discovery service has moved to another address. The rules regard a host
-/// as notified 4 s after the move, and the last answer came before the move. With a larger value requests may
-/// go to a node whose drain the host should know of; with a smaller one, more requests are rejected during a
-/// move.
+/// Longest remaining lease after the discovery service has moved to another address. The deployment's rules
+/// regard a host as notified 4 s after the move, and the last answer came before the move. With a larger
+/// value requests may go to a node whose drain the host should know of; with a smaller one, more requests are
+/// rejected during a move.
 const MOVED_LEASE: Duration = Duration::from_millis(3750);
 
 /// Lease of the endpoint list.
--- a/crates/scheduler/src/scheduler/fetch_backoff.rs
+++ b/crates/scheduler/src/scheduler/fetch_backoff.rs
@@ -57,8 +57,8 @@
     pub(super) fn call_failed(&mut self, now: Duration, jitter: &mut Jitter) {
         self.failures += 1;
         let doubled = BASE_BACKOFF * 2u32.pow(self.failures.min(MAX_DOUBLINGS));
-        // A quarter of the poll interval is well within the time after which the rules regard this host as
-        // notified of a change.
+        // A quarter of the poll interval is well within the time after which the deployment's rules regard
+        // this host as notified of a change.
         let backoff = doubled.min(self.poll_interval / 4);
         self.schedule(backoff, now, jitter);
     }
--- a/crates/scheduler/src/scheduler/request_flow.rs
+++ b/crates/scheduler/src/scheduler/request_flow.rs
@@ -130,11 +130,12 @@
             let wait = queueing_time(units_ahead, total_rate);
             let ready = now + wait + view.expected_time(None, request.units) + until_next_ranking;
             let too_late = ready > request.deadline;
-            let is_hopeless = too_late || queued_too_long(pending, until_next_ranking, now);
+            let cannot_meet_deadline =
+                too_late || queued_too_long(pending, until_next_ranking, now);
             let units = request.units;
             match placement.node_for(&view, pending) {
                 Some(node) => self.send_attempt(id, node),
-                None if ticked && is_hopeless => {
+                None if ticked && cannot_meet_deadline => {
                     self.reject_or_fail(id, wait.max(MIN_RETRY_AFTER));
                 }
                 None => units_ahead += units,
--- a/crates/scheduler/src/scheduler/reservations.rs
+++ b/crates/scheduler/src/scheduler/reservations.rs
@@ -32,11 +32,11 @@
     else {
         return even;
     };
-    let others = (all_hosts_rate - own_rate).max(0.0);
-    if own_demand + others <= 0.0 {
+    let other_hosts_rate = (all_hosts_rate - own_rate).max(0.0);
+    if own_demand + other_hosts_rate <= 0.0 {
         return even;
     }
-    (own_demand / (own_demand + others)).max(even / 2.0)
+    (own_demand / (own_demand + other_hosts_rate)).max(even / 2.0)
 }
 
 /// Usage of a volume over all hosts, as reported by a node.
--- a/crates/scheduler/src/scheduler/slow_start.rs
+++ b/crates/scheduler/src/scheduler/slow_start.rs
@@ -22,8 +22,8 @@
 /// value lets bursts of many hosts coincide; a smaller one makes large requests wait long.
 const BURST_FRACTION: f64 = 0.2;
 /// Upper bound of the random delay before the first request to a node that has become ready. With a larger
-/// value requests wait longer than the rules allow; with a smaller one, more hosts send their first requests
-/// together.
+/// value requests wait longer than the deployment's rules allow; with a smaller one, more hosts send their
+/// first requests together.
 const MAX_FIRST_USE_DELAY: Duration = Duration::from_millis(400);
 
 /// Returns the number of units that this host may send to a node that is warming up, in one window of the
--- a/crates/scheduler/src/scheduler/throttle.rs
+++ b/crates/scheduler/src/scheduler/throttle.rs
@@ -66,8 +66,8 @@
 /// Returns the weight of one late answer, given the fraction of answers that are late at the node or at all
 /// nodes.
 pub fn late_answer_weight(late_fraction: f64) -> f64 {
-    let certain = OVERLOAD_LATE_FRACTION - BASELINE_LATE_FRACTION;
-    ((late_fraction - BASELINE_LATE_FRACTION) / certain).clamp(MIN_LATE_ANSWER_WEIGHT, 1.0)
+    let width = OVERLOAD_LATE_FRACTION - BASELINE_LATE_FRACTION;
+    ((late_fraction - BASELINE_LATE_FRACTION) / width).clamp(MIN_LATE_ANSWER_WEIGHT, 1.0)
 }
 
 /// Admission level of one node.
