--- a/crates/scheduler/src/scheduler/fetch_backoff.rs
+++ b/crates/scheduler/src/scheduler/fetch_backoff.rs
@@ -66,12 +66,12 @@
     /// Schedules the next call after one that discovery refused because it had too many callers. `queued`:
     /// time for which the call was queued at discovery.
     ///
-    /// A refused call that was queued for long has wasted discovery's work. The next call therefore waits at
-    /// least about as long as that call was queued, and twice as long after each further refusal, so that
-    /// each host calls at most once per poll interval, which is the rate that the settings provide for. The
-    /// cost is that after an outage, which cannot be told apart from overload, the host gets the list later
-    /// by that delay. A call that was refused at once cost discovery almost nothing, so the delay after it is
-    /// the same as after a failure.
+    /// A refused call that was queued for long has wasted discovery's work. The next call therefore waits
+    /// about as long as that call was queued, and twice as long after each further refusal, so that each host
+    /// calls at most once per poll interval, which is the rate that the settings provide for. The cost is
+    /// that after an outage, which cannot be told apart from overload, the host gets the list later by that
+    /// delay. A call that was refused at once cost discovery almost nothing, so the delay after it is the
+    /// same as after a failure.
     pub(super) fn call_refused(&mut self, queued: Duration, now: Duration, jitter: &mut Jitter) {
         if queued <= BASE_BACKOFF {
             return self.call_failed(now, jitter);
