--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,7 +1,6 @@
-//! The start-up settings of the users' simulator and platform, parsed into the scheduler's types.
+//! Parser for the start-up settings of the users' simulator and platform.
 //!
-//! The platform's host and the adapter program use the same parser, so that no default differs
-//! between them.
+//! The platform's host and the adapter program use the same parser, so that their defaults are the same.
 
 #![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! `grebecleat-adapter`: the scheduler on the simulator's wire.
+//! `grebecleat-adapter`: connects the scheduler to the simulator's line protocol.
 //!
-//! Reads batches of events from standard input and writes the actions that the scheduler returns.
-//! The program only translates: every decision is made in `grebecleat_scheduler`. A malformed line
-//! ends the process with an error that names the line and the fault.
+//! Reads batches of events from standard input and writes the actions that the scheduler returns to standard
+//! output. The program only translates: every decision is made in `grebecleat_scheduler`. A malformed line ends
+//! the process with an error that states the line number and the fault.
 
 mod wire;
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Reads lines until the end of the input, or until the reader of the output has closed it.
+/// Processes lines until the input ends or the reader of the output closes it.
 fn run() -> Result<(), LineError> {
     let mut input = io::stdin().lock();
     let mut output = io::BufWriter::new(io::stdout().lock());
--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -1,7 +1,7 @@
-//! Start-up settings: pairs of a path and a value, parsed into the scheduler's types.
+//! Start-up settings: `path=value` pairs, parsed into the scheduler's types.
 //!
-//! Paths are the simulator's own, their parts joined by dots. An absent value counts as zero, false
-//! or empty; a path that is not known here is ignored.
+//! The simulator defines the paths, whose parts are joined by dots. An absent value counts as zero, false or
+//! empty. Unknown paths are ignored.
 
 use grebecleat_scheduler::api::{
     DeduplicationScope, DiscoveryPolicy, HostLimits, Idempotency, Plan, RetryBudget,
@@ -11,37 +11,37 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Stands for an absent value.
+/// Denotes an absent value.
 const ABSENT: &str = "-";
-/// Longest time that a setting can state, in microseconds: 30,000 years. A longer one would overflow
-/// sums of times.
+/// Longest duration that a setting can have, in microseconds: about 30,000 years. A longer one would overflow
+/// when durations are added.
 const MAX_MICROS: f64 = 1e18;
 
 /// A setting that cannot be parsed.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingError {
-    /// A pair has no equals sign.
+    /// A setting without an equals sign.
     #[error("setting without '=': {0}")]
     NoValue(String),
-    /// A value has the wrong form.
+    /// A value that cannot be parsed as the type of its setting.
     #[error("setting {path} has a bad value: {value}")]
     BadValue {
         /// The setting's path.
         path: String,
-        /// Its value.
+        /// The value found.
         value: String,
     },
 }
 
-/// Settings by their paths.
+/// The values of the settings by path.
 pub struct Pairs<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
-    /// Splits a text into pairs `path=value`, separated by blanks.
+    /// Splits a text into `path=value` pairs, which are separated by spaces.
     ///
     /// # Errors
     ///
-    /// A part has no equals sign.
+    /// Returns an error if a part has no equals sign.
     pub fn read(text: &'a str) -> Result<Self, SettingError> {
         let mut pairs = BTreeMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty()) {
@@ -53,16 +53,16 @@
         Ok(Pairs(pairs))
     }
 
-    /// Takes pairs as they are; values may contain any character.
+    /// Returns settings from pairs that are already split; their values may contain any character.
     pub fn of(pairs: impl IntoIterator<Item = (&'a str, &'a str)>) -> Self {
         Pairs(pairs.into_iter().collect())
     }
 
-    /// Parses a value; None: it is absent.
+    /// Parses a value; returns `None` if it is absent.
     ///
     /// # Errors
     ///
-    /// The value has the wrong form; this holds for all methods of this type.
+    /// Returns an error if the value cannot be parsed as a `T`.
     pub fn get<T: FromStr>(&self, path: &str) -> Result<Option<T>, SettingError> {
         let value = match self.0.get(path).copied() {
             None | Some("" | ABSENT) => return Ok(None),
@@ -75,7 +75,7 @@
         })
     }
 
-    /// Parses a number; an absent or infinite one is zero.
+    /// Parses a number; an absent, infinite or undefined one (NaN) is zero.
     ///
     /// # Errors
     ///
@@ -85,7 +85,7 @@
         Ok(number.filter(|number| number.is_finite()).unwrap_or(0.0))
     }
 
-    /// Parses a time in milliseconds.
+    /// Parses a duration in milliseconds.
     ///
     /// # Errors
     ///
@@ -112,13 +112,13 @@
         Ok(self.get(path)?.unwrap_or(0))
     }
 
-    /// Returns a value as it is; an absent one is empty.
+    /// Returns a value as text; an absent value is empty.
     pub fn text(&self, path: &str) -> &str {
         self.0.get(path).copied().unwrap_or_default()
     }
 }
 
-/// Converts milliseconds to a time. A value that is negative or not a number becomes zero.
+/// Converts milliseconds to a duration. A value that is negative or not a number becomes zero.
 pub fn duration_from_millis(millis: f64) -> Duration {
     let micros = (millis * 1000.0).round().clamp(0.0, MAX_MICROS);
     Duration::from_micros(micros as u64)
@@ -128,7 +128,7 @@
 ///
 /// # Errors
 ///
-/// A value has the wrong form.
+/// Returns an error if a value cannot be parsed.
 pub fn traffic_classes(pairs: &Pairs) -> Result<Vec<TrafficClass>, SettingError> {
     let count = pairs.count("profiles.count")?;
     (0..count)
@@ -164,7 +164,7 @@
 ///
 /// # Errors
 ///
-/// A value has the wrong form.
+/// Returns an error if a value cannot be parsed.
 pub fn plans(pairs: &Pairs) -> Result<Vec<Plan>, SettingError> {
     let count = pairs.count("plans.count")?;
     (0..count).map(|index| plan(pairs, index)).collect()
@@ -183,11 +183,11 @@
     })
 }
 
-/// Parses sizes of requests and the value of units.
+/// Parses the sizes of requests and the value of their units.
 ///
 /// # Errors
 ///
-/// A value has the wrong form.
+/// Returns an error if a value cannot be parsed.
 pub fn units(pairs: &Pairs) -> Result<UnitSettings, SettingError> {
     Ok(UnitSettings {
         mean: pairs.number("family-info.mean-units")?,
@@ -198,11 +198,11 @@
     })
 }
 
-/// Parses the limits of one host.
+/// Parses the limits on attempts, health checks and responses of one host.
 ///
 /// # Errors
 ///
-/// A value has the wrong form.
+/// Returns an error if a value cannot be parsed.
 pub fn host_limits(pairs: &Pairs) -> Result<HostLimits, SettingError> {
     let max_attempts = pairs.get::<f64>("caps.max-attempts")?;
     let max_attempts = max_attempts.filter(|attempts| attempts.is_finite());
@@ -215,11 +215,11 @@
     })
 }
 
-/// Parses the rule on nodes that warm up.
+/// Parses the slow-start policy for nodes that are warming up.
 ///
 /// # Errors
 ///
-/// A value has the wrong form.
+/// Returns an error if a value cannot be parsed.
 pub fn slow_start_policy(pairs: &Pairs) -> Result<SlowStartPolicy, SettingError> {
     Ok(SlowStartPolicy {
         hosts: pairs.count("balancers")?,
@@ -231,11 +231,11 @@
     })
 }
 
-/// Parses how the host learns of endpoints.
+/// Parses how the host gets the endpoint list.
 ///
 /// # Errors
 ///
-/// A value has the wrong form.
+/// Returns an error if a value cannot be parsed.
 pub fn discovery_policy(pairs: &Pairs) -> Result<DiscoveryPolicy, SettingError> {
     Ok(DiscoveryPolicy {
         polled: pairs.text("registry-mode") == "on_request",
@@ -244,11 +244,11 @@
     })
 }
 
-/// Parses the retry budget; None: the settings state none, and retries are not limited.
+/// Parses the retry budget. Returns `None` if the settings have none; retries are then not limited.
 ///
 /// # Errors
 ///
-/// A value has the wrong form.
+/// Returns an error if a value cannot be parsed.
 pub fn retry_budget(pairs: &Pairs) -> Result<Option<RetryBudget>, SettingError> {
     let Some(ratio) = pairs.get::<f64>("rules.further-ratio")? else {
         return Ok(None);
@@ -260,16 +260,16 @@
     }))
 }
 
-/// Parses how long a key rests after an attempt that may still run.
+/// Parses how long no request is sent for a key after an attempt that may still be running.
 ///
 /// # Errors
 ///
-/// A value has the wrong form.
+/// Returns an error if a value cannot be parsed.
 pub fn key_cooldown(pairs: &Pairs) -> Result<Duration, SettingError> {
     pairs.duration("rules.settle-after-doubt-ms")
 }
 
-/// Returns the index of a number in a node's load report; None: nodes do not report it.
+/// Returns the index of a named number in a node's load report, or `None` if nodes do not report it.
 pub fn report_index(pairs: &Pairs, name: &str) -> Option<usize> {
     let mut fields = pairs.text("report.fields").split(',');
     fields.position(|field| field == name)
--- a/crates/adapter/src/wire/actions.rs
+++ b/crates/adapter/src/wire/actions.rs
@@ -1,4 +1,4 @@
-//! The scheduler's actions as messages of the simulator.
+//! Formats the scheduler's actions as messages of the simulator's protocol.
 
 use base64::engine::general_purpose::STANDARD;
 use base64::Engine;
@@ -6,12 +6,12 @@
 use std::fmt::Write;
 use std::time::Duration;
 
-/// Stands for an absent value.
+/// Denotes an absent value.
 const ABSENT: &str = "-";
-/// Stands for all peers of a host.
+/// Denotes all peers of a host.
 const ALL_PEERS: i64 = -1;
 
-/// Appends the message for an action of a host.
+/// Appends the message for one action of a host to the output.
 pub fn write_action(output: &mut String, host: &str, action: &Action) {
     let written = match action {
         Action::SendAttempt { id, node, deadline } => {
@@ -33,8 +33,8 @@
         Action::CloseIdleConnections { node } => writeln!(output, "RELEASE {host} {}", node.0),
         Action::SendToPeer { to, bytes } => {
             let peer = to.map_or(ALL_PEERS, |PeerId(id)| i64::from(id));
-            let contents = STANDARD.encode(bytes);
-            writeln!(output, "BROADCAST_TO {host} {peer} {contents}")
+            let payload = STANDARD.encode(bytes);
+            writeln!(output, "BROADCAST_TO {host} {peer} {payload}")
         }
         Action::Log { event } => writeln!(output, "JOURNAL_LINE {host} {event}"),
         Action::WatchEndpoints { on } => writeln!(output, "SUBSCRIBE {host} {}", u8::from(*on)),
@@ -47,7 +47,7 @@
     String::from_utf8_lossy(&id.0).into_owned()
 }
 
-/// Milliseconds with three decimals, rounded up, so that a timer never fires early.
+/// Formats a duration as milliseconds with three decimals, rounded up so that a timer never fires early.
 fn millis_text(duration: Duration) -> String {
     let micros = duration.as_nanos().div_ceil(1000);
     format!("{}.{:03}", micros / 1000, micros % 1000)
--- a/crates/adapter/src/wire/events.rs
+++ b/crates/adapter/src/wire/events.rs
@@ -1,4 +1,4 @@
-//! Messages of the simulator, parsed into the scheduler's events.
+//! Parses messages of the simulator's protocol into the scheduler's events.
 
 use super::error::WireError;
 use super::values::Values;
@@ -7,18 +7,18 @@
     PeerId, PlanId, Request, ShardId, TimerTag, TrafficClassId, VolumeId, ZoneId,
 };
 
-/// Largest size of a request, in units. A larger one is a fault of the sender, and would overflow
-/// sums.
+/// Largest size of a request, in units. A larger size is an error of the sender and is reduced to this one,
+/// because it would overflow when sizes are added.
 const MAX_UNITS: f64 = 1e9;
 
-/// What a host's settings define of its messages.
+/// The settings of a host that are needed to parse its messages.
 #[derive(Debug, Clone, Copy)]
 pub struct MessageScope {
     /// Number of traffic classes.
     pub traffic_classes: usize,
     /// Number of plans.
     pub plans: usize,
-    /// Index of the busy fraction in a load report; None: nodes do not report it.
+    /// Index of the busy fraction in a load report; `None` if nodes do not report it.
     pub busy_index: Option<usize>,
 }
 
@@ -30,7 +30,7 @@
     )
 }
 
-/// Parses an event, behind the name of its host.
+/// Parses an event; the name of its host has already been read.
 pub fn parse_event(values: &mut Values, scope: MessageScope) -> Result<Event, WireError> {
     let event = match values.message() {
         "KNOCK" => Event::RequestReceived(parse_request(values, scope)?),
@@ -56,13 +56,13 @@
 fn parse_request(values: &mut Values, scope: MessageScope) -> Result<Request, WireError> {
     let id = values.request_id()?;
     let units = values.number("units")?.min(MAX_UNITS);
-    // A negative number stands for a new object, which any node can store.
+    // A negative number denotes a new object, which any node can store.
     let shard = values.optional::<i64>("slot-no")?;
     let shard = shard.and_then(|shard| u32::try_from(shard).ok());
     let traffic_class = TrafficClassId(values.required("cls")?);
     let plan = PlanId(values.required("policy-no")?);
     if traffic_class.0 >= scope.traffic_classes || plan.0 >= scope.plans {
-        return Err(WireError::UndescribedClassOrPlan);
+        return Err(WireError::UndefinedClassOrPlan);
     }
     let hosts = values.number("mounts")? as usize;
     values.optional::<u64>("bits")?;
@@ -97,7 +97,7 @@
     let outcome = attempt_outcome(values.required("result")?)?;
     let elapsed = values.duration("elapsed-ms")?;
     let answered = values.flag("finished")?;
-    // The wire adds one to the percentage, so that zero stands for no report.
+    // The protocol adds one to the percentage, so that zero means that there is no report.
     let usage = values.optional::<u64>("metered")?;
     let reported = usage.filter(|usage| *usage > 0).map(|usage| usage - 1);
     let others = values.number("others-got")?;
@@ -124,7 +124,7 @@
     Ok(Event::HealthChecked { node, outcome })
 }
 
-/// The outcome that a result code stands for.
+/// Returns the outcome that a result code denotes.
 fn attempt_outcome(code: u32) -> Result<AttemptOutcome, WireError> {
     Ok(match code {
         200 => AttemptOutcome::Completed,
--- a/crates/adapter/src/wire/mod.rs
+++ b/crates/adapter/src/wire/mod.rs
@@ -1,4 +1,5 @@
-//! The simulator's wire: one message a line, batches of events in, actions out.
+//! The simulator's line protocol: one message per line. The input consists of batches of events; the reply to a
+//! batch consists of actions.
 
 mod actions;
 mod error;
--- a/crates/adapter/src/wire/session.rs
+++ b/crates/adapter/src/wire/session.rs
@@ -1,6 +1,6 @@
-//! The hosts of one simulation, and the batch of events that is being read.
+//! The session of one simulation: its hosts, and the batch of events that is being read.
 //!
-//! Memory: the hosts that were created and not detached, and the events of one batch.
+//! Memory is bounded by the hosts that were created and not detached, and by the events of one batch.
 
 use super::actions::write_action;
 use super::error::WireError;
@@ -23,9 +23,9 @@
 
 /// A batch that has begun and not ended.
 struct Batch {
-    /// The time of all its events.
+    /// Time of all events of the batch.
     now: Duration,
-    /// The number by which its reply is known.
+    /// Serial number of the batch, which its reply repeats.
     serial: String,
 }
 
@@ -33,12 +33,12 @@
 struct PendingUpdate {
     host: String,
     kind: EndpointUpdateKind,
-    /// Number of entries that follow.
+    /// Number of entries still to be read.
     remaining: usize,
     endpoints: Vec<Endpoint>,
 }
 
-/// The state of one simulation. Called with each line of the input.
+/// The state of one simulation. [`Session::handle_line`] is called with each line of the input.
 #[derive(Default)]
 pub struct Session {
     hosts: BTreeMap<String, Host>,
@@ -47,7 +47,7 @@
 }
 
 impl Session {
-    /// Handles one line. Returns the reply to a batch at its last line.
+    /// Handles one line. Returns the reply to a batch if the line ends the batch.
     pub fn handle_line(&mut self, line: &str) -> Result<Option<String>, WireError> {
         let mut values = Values::new(line);
         if self.pending_update.is_some() {
@@ -71,7 +71,7 @@
         Ok(None)
     }
 
-    /// Checks at the end of the input that no batch is open.
+    /// Checks, at the end of the input, that the last batch has ended.
     pub fn finish(&self) -> Result<(), WireError> {
         match self.batch {
             None => Ok(()),
@@ -87,7 +87,7 @@
         Ok(())
     }
 
-    /// Steps the hosts that had an event; only they may act.
+    /// Steps the hosts that have events in the batch; the protocol allows actions of these hosts only.
     fn end_batch(&mut self) -> Option<String> {
         let Batch { now, serial } = self.batch.take()?;
         let mut reply = String::new();
@@ -103,7 +103,7 @@
         Some(reply)
     }
 
-    /// Creates a host from its name, its seed and its start-up settings.
+    /// Creates a host from a line with its name, seed and start-up settings.
     fn create_host(&mut self, line: &str, values: &Values) -> Result<(), WireError> {
         const SEED: &str = "nonce64";
         let mut parts = line.splitn(4, ' ').skip(1);
@@ -163,14 +163,14 @@
         Ok(())
     }
 
-    /// Passes the update to its host once all entries are read.
+    /// Passes the update to its host once all entries have been read.
     fn finish_endpoint_update(&mut self) {
         let complete = self.pending_update.take_if(|update| update.remaining == 0);
         let Some(update) = complete else {
             return;
         };
         let host = self.hosts.get_mut(&update.host);
-        let host = host.expect("the host was there when the update began, and only a line between its entries could detach it");
+        let host = host.expect("the host existed when the update began, and no host is detached while entries are read");
         host.events.push(Event::EndpointUpdate {
             kind: update.kind,
             endpoints: update.endpoints,
@@ -190,7 +190,7 @@
     }
 }
 
-/// Parses a seed of 64 bits, signed or not.
+/// Parses a signed or unsigned 64-bit seed.
 fn parse_seed(text: &str) -> Option<u64> {
     let unsigned = text.parse::<u64>().ok();
     unsigned.or_else(|| text.parse::<i64>().ok().map(|seed| seed as u64))
--- a/crates/adapter/src/wire/values.rs
+++ b/crates/adapter/src/wire/values.rs
@@ -1,4 +1,4 @@
-//! The values of one line, parsed in order.
+//! Parses the values of one line in order.
 
 use super::error::WireError;
 use base64::engine::general_purpose::STANDARD;
@@ -8,10 +8,10 @@
 use std::str::{FromStr, Split};
 use std::time::Duration;
 
-/// Stands for an absent value.
+/// Denotes an absent value.
 const ABSENT: &str = "-";
 
-/// The message of a line, and its values that were not parsed yet.
+/// The message name of a line, and the values that have not been parsed yet.
 pub struct Values<'a> {
     message: &'a str,
     rest: Split<'a, char>,
@@ -30,13 +30,13 @@
         self.message
     }
 
-    /// Returns the next value as it is.
+    /// Returns the next value as text.
     pub fn text(&mut self, field: &'static str) -> Result<&'a str, WireError> {
         let value = self.rest.next().filter(|value| !value.is_empty());
         value.ok_or_else(|| self.missing(field))
     }
 
-    /// Parses the next value; None: it is absent.
+    /// Parses the next value; returns `None` if it is absent.
     pub fn optional<T: FromStr>(&mut self, field: &'static str) -> Result<Option<T>, WireError> {
         let value = self.text(field)?;
         if value == ABSENT {
@@ -52,14 +52,14 @@
         value.ok_or_else(|| self.missing(field))
     }
 
-    /// Parses a size or a time. Absent, infinite and negative values count as zero.
+    /// Parses a number. Absent, infinite, undefined (NaN) and negative values count as zero.
     pub fn number(&mut self, field: &'static str) -> Result<f64, WireError> {
         let number = self.optional::<f64>(field)?;
         let finite = number.filter(|number| number.is_finite());
         Ok(finite.unwrap_or(0.0).max(0.0))
     }
 
-    /// Parses a time in milliseconds.
+    /// Parses a duration in milliseconds.
     pub fn duration(&mut self, field: &'static str) -> Result<Duration, WireError> {
         Ok(duration_from_millis(self.number(field)?))
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Parses a hexadecimal number; None: it is absent.
+    /// Parses a hexadecimal number; returns `None` if it is absent.
     pub fn hex(&mut self, field: &'static str) -> Result<Option<u64>, WireError> {
         let value = self.text(field)?;
         if value == ABSENT {
--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -1,4 +1,5 @@
-//! The adapter as a program: what malformed input gets, and that odd but legal input is answered.
+//! Runs the adapter as a program: malformed input ends it with an error, and unusual but valid input gets a
+//! reply.
 
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -10,28 +11,34 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may stop reading early, which is what some cases are about.
+    // The adapter stops reading at the first malformed line, so the write may fail.
     let _ = child
         .stdin
         .take()
         .expect("piped")
         .write_all(input.as_bytes());
-    let out = child.wait_with_output().expect("the adapter ends");
-    let text = |b: Vec<u8>| String::from_utf8(b).expect("plain text");
-    (out.status.success(), text(out.stdout), text(out.stderr))
+    let output = child.wait_with_output().expect("the adapter ends");
+    let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("the output is UTF-8");
+    (
+        output.status.success(),
+        text(output.stdout),
+        text(output.stderr),
+    )
 }
 
-const HOST: &str = "BEGIN_BATCH 1000.0 1
+/// Batch that creates a host with one endpoint. It has five lines, so that later input begins at line 6.
+const CREATE_HOST: &str = "BEGIN_BATCH 1000.0 1
 CREATE host_0 5 balancers=2 unknown.setting=x plans.count=1 plans.0.base-rate=inf profiles.count=1 \
 profiles.0.objective-ms=200.0 profiles.0.worth=1.0 profiles.0.idempotency=free report.fields=utilization
 SYNC host_0 Persisted 1 1
 ENTRY 9 0 0 4 healthy 1 -
 END
 ";
+/// Id of a request.
 const ID: &str = "5d3a91c4-1bf2-4d39-a251-bf7f8cae48ae";
 
 #[test]
-fn malformed_input_is_named_and_ends_the_run() {
+fn malformed_input_ends_the_adapter_with_an_error_that_names_the_line() {
     let cases = [
         ("HELLO\n", "line 1: HELLO outside a batch"),
         (
@@ -52,7 +59,7 @@
         ),
         ("BEGIN_BATCH 1.0 1\n", "line 2: input ends inside a batch"),
     ];
-    let later = [
+    let after_create = [
         ("WAKEUP host_0\n", "line 7: WAKEUP lacks tag"),
         ("WAKEUP host_0 1 2\n", "line 7: WAKEUP has too many values"),
         (
@@ -66,19 +73,24 @@
             "line 8: expected 1 more ENTRY lines, found END",
         ),
     ];
-    let later = later.map(|(text, what)| (format!("{HOST}BEGIN_BATCH 1001.0 2\n{text}"), what));
-    let cases = cases.map(|(text, what)| (text.to_string(), what));
-    for (input, what) in cases.into_iter().chain(later) {
-        let (ok, _, err) = run(&input);
-        assert!(!ok, "{what}");
-        assert_eq!(err.trim_end(), format!("grebecleat-adapter: {what}"));
+    let after_create = after_create.map(|(text, expected)| {
+        (
+            format!("{CREATE_HOST}BEGIN_BATCH 1001.0 2\n{text}"),
+            expected,
+        )
+    });
+    let cases = cases.map(|(text, expected)| (text.to_string(), expected));
+    for (input, expected) in cases.into_iter().chain(after_create) {
+        let (success, _, stderr) = run(&input);
+        assert!(!success, "{expected}");
+        assert_eq!(stderr.trim_end(), format!("grebecleat-adapter: {expected}"));
     }
 }
 
 #[test]
-fn a_request_goes_out_and_its_outcome_comes_back() {
+fn a_request_is_sent_and_its_outcome_is_accepted() {
     let input = format!(
-        "{HOST}BEGIN_BATCH 1002.5 2
+        "{CREATE_HOST}BEGIN_BATCH 1002.5 2
 KNOCK host_0 {ID} 2 4 0 0 1 0 - 2002.5 00000000000000aa
 END
 BEGIN_BATCH 1030.0 3
@@ -93,13 +105,20 @@
 END
 "
     );
-    let (ok, out, err) = run(&input);
-    assert!(ok, "{err}");
+    let (success, stdout, stderr) = run(&input);
+    assert!(success, "{stderr}");
     assert!(
-        out.contains(&format!("TRY host_0 {ID} 9 2002.500\n")),
-        "{out}"
+        stdout.contains(&format!("TRY host_0 {ID} 9 2002.500\n")),
+        "{stdout}"
     );
-    let replies: Vec<&str> = out.lines().filter(|l| l.starts_with("OK")).collect();
+    let replies: Vec<&str> = stdout
+        .lines()
+        .filter(|line| line.starts_with("OK"))
+        .collect();
     assert_eq!(replies, ["OK 1", "OK 2", "OK 3", "OK 4"]);
-    assert_eq!(out, run(&input).1, "the same events bring the same actions");
+    assert_eq!(
+        stdout,
+        run(&input).1,
+        "the same events must result in the same actions"
+    );
 }
--- a/crates/scheduler/tests/common/mod.rs
+++ b/crates/scheduler/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host with plain settings, and short forms of events for it.
+//! Helpers of the scheduler's tests: a scheduler with common settings, and constructors for its events.
 #![allow(dead_code)]
 
 use grebecleat_scheduler::api::*;
@@ -9,7 +9,7 @@
     Duration::from_millis(n)
 }
 
-/// Idempotent with a key that the nodes of a shard recognise for 1.5 s.
+/// Safe to resend with an idempotency key, which the nodes of one shard recognise for 1.5 s.
 pub const KEYED: Idempotency = Idempotency::WithKey {
     scope: DeduplicationScope::Shard,
     window: ms(1500),
@@ -65,7 +65,7 @@
     }
 }
 
-/// Discovery without a lease.
+/// A discovery policy whose endpoint list does not expire.
 pub fn discovery_policy(polled: bool) -> DiscoveryPolicy {
     DiscoveryPolicy {
         polled,
@@ -78,7 +78,7 @@
     RequestId([n; 36])
 }
 
-/// A request of two units for data of shard 1.
+/// Returns a request of two units whose data is in shard 1.
 pub fn request(n: u8, deadline: Duration) -> Request {
     Request {
         id: id(n),
@@ -93,12 +93,12 @@
     }
 }
 
-/// The event that one request was received.
+/// Returns the event that the host received one request.
 pub fn receive(request: Request) -> Vec<Event> {
     vec![Event::RequestReceived(request)]
 }
 
-/// A node that holds the shard of its own number.
+/// Returns the endpoint of a node that holds the shard with the same number as the node.
 pub fn endpoint(node: u32, state: NodeState, started: Option<Duration>) -> Endpoint {
     Endpoint {
         node: NodeId(node),
@@ -113,7 +113,7 @@
     Event::EndpointUpdate { kind, endpoints }
 }
 
-/// The end of an attempt of the request with that number.
+/// Returns the end of the first attempt of request `n`.
 pub fn attempt_end(
     n: u8,
     node: u32,
@@ -124,7 +124,7 @@
     attempt_end_of(id(n), NodeId(node), outcome, elapsed, answered)
 }
 
-/// The end of an attempt.
+/// Returns the end of the first attempt of a request.
 pub fn attempt_end_of(
     id: RequestId,
     node: NodeId,
@@ -145,7 +145,7 @@
     })
 }
 
-/// The completion of attempts after so many milliseconds.
+/// Returns the events that these attempts completed after `elapsed` milliseconds.
 pub fn completed(sent: &[(RequestId, NodeId)], elapsed: u64) -> Vec<Event> {
     let outcome = AttemptOutcome::Completed;
     sent.iter()
@@ -153,7 +153,7 @@
         .collect()
 }
 
-/// A host whose endpoint list names nodes 1 and 2, ready and started long ago.
+/// Returns the scheduler of a host whose cached endpoint list names nodes 1 and 2, which are ready and not new.
 pub fn host(
     traffic_classes: Vec<TrafficClass>,
     plans: Vec<Plan>,
@@ -175,12 +175,13 @@
     scheduler
 }
 
-/// A host with one idempotent traffic class, one plan and no retry budget.
+/// Returns a scheduler with one idempotent traffic class, one plan and no retry budget.
 pub fn idempotent_host(plan: Plan) -> Scheduler {
     host(vec![class_with(Idempotency::Idempotent)], vec![plan], None)
 }
 
-/// Performs a step at a time in milliseconds; returns the requests that were sent, rejected and failed.
+/// Performs a step at `now`, in milliseconds. Returns the attempts sent, the requests rejected and the requests
+/// failed.
 pub fn step_at(
     scheduler: &mut Scheduler,
     now: u64,
--- a/crates/scheduler/tests/endpoint_lease.rs
+++ b/crates/scheduler/tests/endpoint_lease.rs
@@ -1,4 +1,4 @@
-//! Lease of the endpoint list: the requests that a host still sends without an answer from discovery.
+//! Lease of the endpoint list: how long a host continues to use the list while discovery does not respond.
 
 mod common;
 
@@ -8,9 +8,10 @@
 use std::time::Duration;
 
 const LEASE: Duration = ms(5750);
-/// Time of discovery's last answer.
-const ANSWERED: u64 = 2000;
-const LEASE_ENDS: u64 = 7750;
+/// When discovery last responded, in milliseconds.
+const LAST_RESPONSE: u64 = 2000;
+/// When the lease expires, in milliseconds: `LEASE` after `LAST_RESPONSE`.
+const LEASE_EXPIRY: u64 = 7750;
 
 fn leased_host() -> Scheduler {
     let discovery = DiscoveryPolicy {
@@ -35,16 +36,16 @@
     ]
 }
 
-/// A host with one answer from discovery.
-fn answered_host() -> Scheduler {
+/// Returns a host that has received one complete list from discovery.
+fn host_with_list() -> Scheduler {
     let mut host = leased_host();
     host.step(ms(1000), vec![]);
     let list = endpoint_update(EndpointUpdateKind::Snapshot, both_ready());
-    host.step(ms(ANSWERED), vec![list, Event::EndpointsConfirmed]);
+    host.step(ms(LAST_RESPONSE), vec![list, Event::EndpointsConfirmed]);
     host
 }
 
-/// Returns whether a request received then goes to node 1 before its deadline, one second later.
+/// Returns whether a request that is received at `now` is sent to node 1 before its deadline, one second later.
 fn is_sent(host: &mut Scheduler, number: u8, now: u64) -> bool {
     let request = request(number, ms(now + 1000));
     let (sent, ..) = step_at(host, now, vec![Event::RequestReceived(request)]);
@@ -55,11 +56,11 @@
     sent > 0
 }
 
-/// Sends a request then, whose attempt ends 10 ms later with that outcome.
-fn attempt_that_ends(host: &mut Scheduler, number: u8, now: u64, outcome: AttemptOutcome) {
+/// Sends a request at `now`, and ends its attempt with `outcome` 10 ms later.
+fn run_attempt(host: &mut Scheduler, number: u8, now: u64, outcome: AttemptOutcome) {
     let request = request(number, ms(now + 1000));
     let (sent, ..) = step_at(host, now, vec![Event::RequestReceived(request)]);
-    assert_eq!(sent.len(), 1, "request {number} is sent at {now}");
+    assert_eq!(sent.len(), 1, "request {number} must be sent at {now} ms");
     step_at(
         host,
         now + 10,
@@ -68,19 +69,19 @@
 }
 
 #[test]
-fn a_list_is_used_until_its_lease_expires_and_again_once_discovery_answers() {
-    let mut host = answered_host();
-    attempt_that_ends(&mut host, 1, LEASE_ENDS - 20, AttemptOutcome::Failed);
-    assert!(!is_sent(&mut host, 2, LEASE_ENDS + 10));
+fn a_list_is_used_until_its_lease_expires_and_again_once_discovery_responds() {
+    let mut host = host_with_list();
+    run_attempt(&mut host, 1, LEASE_EXPIRY - 20, AttemptOutcome::Failed);
+    assert!(!is_sent(&mut host, 2, LEASE_EXPIRY + 10));
     step_at(
         &mut host,
-        LEASE_ENDS + 1500,
+        LEASE_EXPIRY + 1500,
         vec![Event::EndpointsConfirmed],
     );
-    assert!(is_sent(&mut host, 3, LEASE_ENDS + 1600));
+    assert!(is_sent(&mut host, 3, LEASE_EXPIRY + 1600));
 }
 
-/// Discovery that pushes changes only has no lease.
+/// A discovery service that only pushes changes grants no lease: its silence means that nothing has changed.
 #[test]
 fn a_list_without_a_lease_does_not_expire() {
     let classes = vec![class_with(Idempotency::Idempotent)];
@@ -89,41 +90,43 @@
 }
 
 #[test]
-fn a_list_stored_before_the_start_is_used_for_three_seconds() {
+fn a_cached_list_is_used_for_three_seconds_after_the_start() {
     for (now, expected) in [(3990, true), (4010, false)] {
         let mut host = leased_host();
         host.step(
             ms(1000),
             vec![endpoint_update(EndpointUpdateKind::Cached, both_ready())],
         );
-        assert_eq!(is_sent(&mut host, 1, now), expected, "at {now}");
+        assert_eq!(is_sent(&mut host, 1, now), expected, "at {now} ms");
     }
 }
 
 #[test]
-fn a_move_of_discovery_shortens_the_lease() {
-    // Discovery moves one second after its last answer, and late in the lease; the lease is never extended.
-    for (moved, last_sent) in [(3000, 6750), (7000, LEASE_ENDS)] {
+fn an_address_change_of_discovery_shortens_the_lease() {
+    // Discovery changes its address one second after its last response, or shortly before the lease expires. An
+    // address change never extends the lease.
+    for (moved, last_sent) in [(3000, 6750), (7000, LEASE_EXPIRY)] {
         for (now, expected) in [(last_sent - 10, true), (last_sent + 10, false)] {
-            let mut host = answered_host();
+            let mut host = host_with_list();
             step_at(&mut host, moved, vec![Event::DiscoveryMoved]);
             assert_eq!(
                 is_sent(&mut host, 1, now),
                 expected,
-                "moved at {moved}, sent at {now}"
+                "address changed at {moved} ms, request at {now} ms"
             );
         }
     }
 }
 
-/// A node may complete requests for up to three seconds after discovery published its draining.
+/// A node may complete requests for up to three seconds after discovery announced that it is draining, so a
+/// completed request proves only that draining was not announced more than three seconds earlier.
 #[test]
-fn a_node_that_completes_requests_gets_more_for_the_lease_less_the_drain_notice() {
+fn a_node_that_completes_requests_is_used_for_the_lease_less_the_drain_notice() {
     for (after, expected) in [(2700, true), (2800, false)] {
-        let mut host = answered_host();
-        attempt_that_ends(&mut host, 1, LEASE_ENDS - 100, AttemptOutcome::Completed);
+        let mut host = host_with_list();
+        run_attempt(&mut host, 1, LEASE_EXPIRY - 100, AttemptOutcome::Completed);
         assert_eq!(
-            is_sent(&mut host, 2, LEASE_ENDS - 100 + after),
+            is_sent(&mut host, 2, LEASE_EXPIRY - 100 + after),
             expected,
             "after {after} ms"
         );
@@ -131,36 +134,40 @@
 }
 
 #[test]
-fn a_node_that_may_be_draining_or_replaced_waits_for_discovery() {
+fn a_node_that_may_be_draining_or_replaced_is_unused_until_discovery_responds() {
     use AttemptOutcome::*;
     for outcome in [QueueFull, ConnectFailed, ConnectionReset, TimedOut] {
-        let mut host = answered_host();
-        attempt_that_ends(&mut host, 1, LEASE_ENDS - 300, Completed);
-        attempt_that_ends(&mut host, 2, LEASE_ENDS - 200, outcome);
-        assert!(!is_sent(&mut host, 3, LEASE_ENDS + 10), "{outcome:?}");
+        let mut host = host_with_list();
+        run_attempt(&mut host, 1, LEASE_EXPIRY - 300, Completed);
+        run_attempt(&mut host, 2, LEASE_EXPIRY - 200, outcome);
+        assert!(!is_sent(&mut host, 3, LEASE_EXPIRY + 10), "{outcome:?}");
         step_at(
             &mut host,
-            LEASE_ENDS + 1500,
+            LEASE_EXPIRY + 1500,
             vec![Event::EndpointsConfirmed],
         );
         assert!(
-            is_sent(&mut host, 4, LEASE_ENDS + 1600),
-            "{outcome:?}, confirmed"
+            is_sent(&mut host, 4, LEASE_EXPIRY + 1600),
+            "{outcome:?}, list confirmed"
         );
     }
 }
 
-/// A full queue has capacity again, and only one connection of the node was lost.
+/// After a full queue, a completed attempt shows that the node has capacity again. After a reset, an attempt
+/// that was sent earlier and completes shows that only one connection was lost and the process did not restart.
 #[test]
-fn a_node_that_completes_an_older_attempt_is_the_same_process_and_gets_more() {
+fn a_node_that_completes_an_older_attempt_is_the_same_process_and_stays_in_use() {
     use AttemptOutcome::*;
-    let begin = LEASE_ENDS - 500;
-    let mut host = answered_host();
-    attempt_that_ends(&mut host, 1, begin, QueueFull);
-    attempt_that_ends(&mut host, 2, begin + 100, Completed);
-    assert!(is_sent(&mut host, 3, LEASE_ENDS + 10), "its queue was full");
+    let begin = LEASE_EXPIRY - 500;
+    let mut host = host_with_list();
+    run_attempt(&mut host, 1, begin, QueueFull);
+    run_attempt(&mut host, 2, begin + 100, Completed);
+    assert!(
+        is_sent(&mut host, 3, LEASE_EXPIRY + 10),
+        "the queue was full before"
+    );
 
-    let mut host = answered_host();
+    let mut host = host_with_list();
     let deadline = ms(begin + 1000);
     let both = [1, 2].map(|number| Event::RequestReceived(request(number, deadline)));
     assert_eq!(step_at(&mut host, begin, both.into()).0.len(), 2);
@@ -175,22 +182,22 @@
         vec![attempt_end(2, 1, Completed, ms(20), true)],
     );
     assert!(
-        is_sent(&mut host, 3, LEASE_ENDS + 10),
-        "one connection was reset"
+        is_sent(&mut host, 3, LEASE_EXPIRY + 10),
+        "only one connection was reset"
     );
 }
 
-/// After a call that was queued for long before discovery refused it, the host waits longer: in the long run it
-/// calls once in a poll interval.
+/// If discovery queues a call for long before it refuses it, the backoff grows, so that the host makes about
+/// one call in each poll interval.
 #[test]
 fn refused_calls_back_off_to_one_in_a_poll_interval() {
-    let mut host = answered_host();
-    let mut now = ANSWERED;
+    let mut host = host_with_list();
+    let mut now = LAST_RESPONSE;
     let mut waits = Vec::new();
     for _ in 0..8 {
         now += 2000;
         let refused = Event::FetchRefused { waited: ms(2000) };
-        let begun = now;
+        let refused_at = now;
         let mut actions = host.step(ms(now), vec![refused]);
         while !actions
             .iter()
@@ -199,7 +206,7 @@
             now += 5;
             actions = host.step(ms(now), vec![]);
         }
-        waits.push(now - begun);
+        waits.push(now - refused_at);
     }
     assert!((1000..=3010).contains(&waits[0]), "{waits:?}");
     assert!(
@@ -207,5 +214,5 @@
         "{waits:?}"
     );
     let cycle = 2000 + waits[1..].iter().sum::<u64>() / 7;
-    assert!((4500..7500).contains(&cycle), "a call each {cycle} ms");
+    assert!((4500..7500).contains(&cycle), "one call every {cycle} ms");
 }
--- a/crates/scheduler/tests/endpoint_updates.rs
+++ b/crates/scheduler/tests/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Updates of the endpoint list, and the calls for it.
+//! Updates of the endpoint list, and the calls to discovery that fetch it.
 
 mod common;
 use common::*;
@@ -17,7 +17,7 @@
         );
         assert_eq!((sent.len(), rejected.len()), (0, 1));
     }
-    // A node that a complete list does not name is gone; the requests queued there are answered at once.
+    // A node that is missing from a snapshot is gone, and the requests queued for it are rejected at once.
     let mut scheduler = idempotent_host(plan(1.0));
     step_at(
         &mut scheduler,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn the_endpoint_list_is_polled_at_the_start_and_after_each_failed_call() {
+fn the_endpoint_list_is_fetched_at_the_start_and_after_each_failed_call() {
     let discovery = discovery_policy(true);
     let mut scheduler = Scheduler::new(
         3,
@@ -48,9 +48,9 @@
         host_limits(),
     )
     .with_rules(slow_start_policy(), discovery, None, ms(0));
-    let mut watched = Vec::new();
+    let mut calls_at = Vec::new();
     for t in (1000..40_000).step_by(10) {
-        let failed = watched.last() == Some(&(t - 10)) && watched.len() < 6;
+        let failed = calls_at.last() == Some(&(t - 10)) && calls_at.len() < 6;
         let events = if failed {
             vec![endpoint_update(EndpointUpdateKind::FetchFailed, vec![])]
         } else {
@@ -59,15 +59,15 @@
         let called = scheduler
             .step(ms(t), events)
             .contains(&Action::WatchEndpoints { on: true });
-        watched.extend(called.then_some(t));
+        calls_at.extend(called.then_some(t));
     }
     assert_eq!(
-        watched.len(),
+        calls_at.len(),
         6,
-        "one call at the start, one after each failed call: {watched:?}"
+        "expected one call at the start and one after each failed call: {calls_at:?}"
     );
     assert!(
-        watched.windows(2).all(|w| w[1] - w[0] < 10_000)
-            && watched[5] - watched[4] > watched[1] - watched[0]
+        calls_at.windows(2).all(|w| w[1] - w[0] < 10_000)
+            && calls_at[5] - calls_at[4] > calls_at[1] - calls_at[0]
     );
 }
--- a/crates/scheduler/tests/requests.rs
+++ b/crates/scheduler/tests/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: each gets one answer, before its deadline.
+//! Every request is answered exactly once, before its deadline.
 
 mod common;
 use common::*;
@@ -6,9 +6,10 @@
 
 #[test]
 fn every_request_has_one_answer_before_its_deadline() {
-    // A client's late retry is received after its deadline; a node is absent; an attempt times out.
+    // Three requests that cannot succeed: the first arrives at its deadline, as a late retry of its client may;
+    // the second needs a shard that no node holds; the attempt of the third times out.
     let mut scheduler = idempotent_host(plan(1.0));
-    let absent = Request {
+    let unknown_shard = Request {
         shard: Some(ShardId(9)),
         ..request(2, ms(3000))
     };
@@ -17,7 +18,7 @@
         1010,
         vec![
             Event::RequestReceived(request(1, ms(1010))),
-            Event::RequestReceived(absent),
+            Event::RequestReceived(unknown_shard),
         ],
     );
     assert_eq!((sent.len(), rejected), (0, vec![id(1), id(2)]));
@@ -29,7 +30,8 @@
         vec![attempt_end(3, 1, AttemptOutcome::TimedOut, ms(80), false)],
     );
     assert_eq!((sent.len(), rejected), (0, vec![id(3)]));
-    // Late outcomes and cancellations of closed requests, and of ids unknown after a restart, change nothing.
+    // The outcome of an already answered request, and the cancellation of an id that is unknown after a
+    // restart, are ignored.
     let late = vec![
         attempt_end(3, 1, AttemptOutcome::Completed, ms(90), true),
         Event::RequestCancelled { id: id(77) },
--- a/crates/scheduler/tests/retries.rs
+++ b/crates/scheduler/tests/retries.rs
@@ -1,23 +1,25 @@
-//! Retries: idempotency, key order and the retry budget.
+//! Retries: idempotency, the order of requests for one key, and the retry budget.
 
 mod common;
 use common::*;
 use grebecleat_scheduler::api::*;
 use grebecleat_scheduler::scheduler::*;
 
-/// A host whose process was paused subtracts the pause from an attempt's elapsed time, but not from its age.
+/// A host whose process was paused subtracts the pause from the elapsed time of an attempt. The deduplication
+/// window of the nodes continues during the pause, so it has to be compared with the attempt's age.
 #[test]
-fn the_idempotency_window_starts_when_the_attempt_was_sent_whatever_its_elapsed_time() {
-    for (took, again) in [(100, true), (1600, false)] {
+fn the_deduplication_window_starts_when_the_attempt_was_sent_whatever_its_elapsed_time() {
+    // age of the attempt when it fails, whether it is resent
+    for (age, is_resent) in [(100, true), (1600, false)] {
         let mut scheduler = host(vec![class_with(KEYED)], vec![plan(1.0)], None);
         let (sent, ..) = step_at(&mut scheduler, 1010, receive(request(1, ms(9000))));
         assert_eq!(sent.len(), 1);
         let (mut sent, ..) = step_at(
             &mut scheduler,
-            1010 + took,
+            1010 + age,
             vec![attempt_end(1, 1, AttemptOutcome::Failed, ms(20), false)],
         );
-        for t in (1020 + took..1100 + took).step_by(10) {
+        for t in (1020 + age..1100 + age).step_by(10) {
             sent.extend(
                 step_at(
                     &mut scheduler,
@@ -27,13 +29,17 @@
                 .0,
             );
         }
-        assert_eq!(sent.len(), usize::from(again), "after {took} ms of 1500");
+        assert_eq!(
+            sent.len(),
+            usize::from(is_resent),
+            "failed at an age of {age} ms; the window is 1500 ms"
+        );
     }
 }
 
 #[test]
 fn retries_follow_the_idempotency_of_the_traffic_class() {
-    let ran = Some(PriorAttempt {
+    let prior = Some(PriorAttempt {
         zone: ZoneId(0),
         shard: ShardId(1),
         sent: ms(1000),
@@ -43,32 +49,36 @@
         window: ms(500),
     };
     use DeduplicationScope::*;
-    // idempotency, prior attempt, zone, shard, now, may be resent, may be rejected
+    // idempotency, prior attempt, zone and shard of the next node, now, may be resent, may be rejected
     let cases = [
-        (Idempotency::Idempotent, ran, 1, 2, 9000, true, true),
+        (Idempotency::Idempotent, prior, 1, 2, 9000, true, true),
         (Idempotency::NonIdempotent, None, 1, 2, 1001, true, true),
-        (Idempotency::NonIdempotent, ran, 0, 1, 1001, false, false),
-        (keyed(All), ran, 1, 2, 1499, true, true),
-        (keyed(All), ran, 1, 2, 1500, false, true),
-        (keyed(Zone), ran, 0, 2, 1499, true, false),
-        (keyed(Zone), ran, 1, 1, 1499, false, false),
-        (keyed(Shard), ran, 1, 1, 1499, true, false),
-        (keyed(Shard), ran, 0, 2, 1499, false, false),
+        (Idempotency::NonIdempotent, prior, 0, 1, 1001, false, false),
+        (keyed(All), prior, 1, 2, 1499, true, true),
+        (keyed(All), prior, 1, 2, 1500, false, true),
+        (keyed(Zone), prior, 0, 2, 1499, true, false),
+        (keyed(Zone), prior, 1, 1, 1499, false, false),
+        (keyed(Shard), prior, 1, 1, 1499, true, false),
+        (keyed(Shard), prior, 0, 2, 1499, false, false),
         (keyed(Shard), None, 0, 2, 9000, true, true),
     ];
-    for (kind, ran, zone, shard, now, resent, rejected) in cases {
+    for (idempotency, prior, zone, shard, now, resent, rejected) in cases {
         assert_eq!(
-            may_resend(kind, ran, ZoneId(zone), ShardId(shard), ms(now)),
+            may_resend(idempotency, prior, ZoneId(zone), ShardId(shard), ms(now)),
             resent,
-            "{kind:?}"
+            "{idempotency:?}"
+        );
+        assert_eq!(
+            may_reject(idempotency, prior.is_some()),
+            rejected,
+            "{idempotency:?}"
         );
-        assert_eq!(may_reject(kind, ran.is_some()), rejected, "{kind:?}");
     }
 }
 
 #[test]
 fn a_non_idempotent_request_that_may_have_run_fails() {
-    for (end, again) in [
+    for (outcome, is_resent) in [
         (AttemptOutcome::Failed, false),
         (AttemptOutcome::ConnectionReset, false),
         (AttemptOutcome::QueueFull, true),
@@ -82,24 +92,24 @@
         let (_, rejected, failed) = step_at(
             &mut scheduler,
             1010,
-            vec![attempt_end(1, 1, end, ms(9), false)],
+            vec![attempt_end(1, 1, outcome, ms(9), false)],
         );
         assert_eq!(
             (rejected.len(), failed.len()),
-            (0, usize::from(!again)),
-            "{end:?}"
+            (0, usize::from(!is_resent)),
+            "{outcome:?}"
         );
         let (sent, ..) = step_at(
             &mut scheduler,
             1100,
             vec![Event::TimerFired { tag: TimerTag(1) }],
         );
-        assert_eq!(sent.len(), usize::from(again), "{end:?}");
+        assert_eq!(sent.len(), usize::from(is_resent), "{outcome:?}");
     }
 }
 
 #[test]
-fn requests_of_one_key_go_in_order_and_the_key_cools_down() {
+fn requests_for_one_key_are_sent_in_order_with_a_cooldown_after_an_unknown_outcome() {
     let ordered = TrafficClass {
         ordered: true,
         ..class_with(KEYED)
@@ -110,8 +120,8 @@
             ..request(n, ms(2500))
         })
     };
-    // outcome of the first attempt, time until the second request may go
-    for (end, cooldown) in [
+    // outcome of the first attempt, time in milliseconds until the second request may be sent
+    for (outcome, cooldown) in [
         (AttemptOutcome::Completed, 0),
         (AttemptOutcome::TimedOut, 200),
         (AttemptOutcome::ConnectionReset, 200),
@@ -126,15 +136,19 @@
         let (sent, ..) = step_at(
             &mut scheduler,
             1020,
-            vec![attempt_end(1, 1, end, ms(19), true)],
+            vec![attempt_end(1, 1, outcome, ms(19), true)],
         );
-        assert_eq!(sent.len(), usize::from(cooldown == 0), "{end:?}");
+        assert_eq!(sent.len(), usize::from(cooldown == 0), "{outcome:?}");
         if cooldown > 0 {
             assert!(
                 step_at(&mut scheduler, 1219, vec![]).0.is_empty(),
-                "{end:?}"
+                "{outcome:?}"
+            );
+            assert_eq!(
+                step_at(&mut scheduler, 1230, vec![]).0.len(),
+                1,
+                "{outcome:?}"
             );
-            assert_eq!(step_at(&mut scheduler, 1230, vec![]).0.len(), 1, "{end:?}");
         }
     }
 }
--- a/crates/scheduler/tests/robustness.rs
+++ b/crates/scheduler/tests/robustness.rs
@@ -1,4 +1,4 @@
-//! Settings and sizes far from the usual.
+//! Settings out of range and very large fleets.
 
 mod common;
 use common::*;
@@ -7,21 +7,21 @@
 
 #[test]
 fn zero_infinite_undefined_and_negative_settings_do_not_panic() {
-    let odd = [0.0, f64::INFINITY, f64::NAN, -3.0];
-    for figure in odd {
+    let invalid = [0.0, f64::INFINITY, f64::NAN, -3.0];
+    for value in invalid {
         assert!(
-            concurrency_limit(figure, ms(0), figure, 0).is_nan()
-                || concurrency_limit(figure, ms(0), figure, 0) <= f64::INFINITY
+            concurrency_limit(value, ms(0), value, 0).is_nan()
+                || concurrency_limit(value, ms(0), value, 0) <= f64::INFINITY
         );
         assert!(reservation_fraction(0.0, 0.0, Some(0.0), 0) == 1.0);
-        let zero = Plan {
+        let zero_plan = Plan {
             weight: 0.0,
             base_rate: 0.0,
             price: 0.0,
             ..Plan::default()
         };
-        let mut scheduler = idempotent_host(zero);
-        let none = Request {
+        let mut scheduler = idempotent_host(zero_plan);
+        let empty_request = Request {
             units: 0.0,
             hosts: 0,
             ..request(1, ms(2000))
@@ -30,7 +30,7 @@
             &mut scheduler,
             1010,
             vec![
-                Event::RequestReceived(none),
+                Event::RequestReceived(empty_request),
                 endpoint_update(EndpointUpdateKind::Delta, vec![]),
             ],
         );
@@ -39,7 +39,8 @@
             2000,
             vec![attempt_end(1, 1, AttemptOutcome::Completed, ms(0), true)],
         );
-        // A rate that falls to zero over a long silence must not overflow the queueing time.
+        // The measured rate falls to zero while the node is silent for long. The queueing time that is computed
+        // from it must not overflow.
         step_at(
             &mut scheduler,
             2010,
@@ -56,7 +57,7 @@
 #[test]
 fn thousands_of_nodes_and_hosts_are_handled() {
     for (hosts, nodes) in [(0, 3000), (1, 3000), (100_000, 0)] {
-        let rule = SlowStartPolicy {
+        let policy = SlowStartPolicy {
             hosts,
             ..slow_start_policy()
         };
@@ -68,7 +69,7 @@
             units(),
             host_limits(),
         )
-        .with_rules(rule, discovery, None, ms(0));
+        .with_rules(policy, discovery, None, ms(0));
         let endpoints = (1..=nodes)
             .map(|n| endpoint(n, NodeState::Ready, Some(ms(900))))
             .collect();
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -1,7 +1,7 @@
-//! Slow start: the quota of one host at a node that warms up, and the sum of many hosts' requests to it.
+//! Slow start: the quota of one host at a node that is warming up, and the total that many hosts send to it.
 //!
-//! In any window of the rule, twenty or thirty hosts may send no more than the settings allow and chance adds to
-//! that: N + 2 x root of N + 2 mean requests.
+//! Within any overload window of the slow-start policy, all hosts together may send the N mean requests that
+//! the settings allow plus a margin for random variation: N + 2 * sqrt(N) + 2 mean requests.
 
 mod common;
 use common::*;
@@ -9,101 +9,105 @@
 use grebecleat_scheduler::scheduler::*;
 use std::collections::BTreeMap;
 
+/// Size of the mean request, in units.
 const MEAN: f64 = 2.0;
+/// When the node starts, in milliseconds.
 const START: u64 = 1000;
+/// Time between two steps of a host, in milliseconds.
 const TICK: u64 = 10;
 
-/// Requests of many hosts to one node that has just started.
+/// A simulated load: many hosts send requests to one node that has just started. Times are in milliseconds.
 #[derive(Debug, Clone, Copy)]
-struct Wave {
+struct Workload {
     hosts: u64,
-    /// Time after the node's start for which no request is received; then all hosts receive some at once.
-    quiet: u64,
+    /// Time after the node's start without any request; then all hosts receive requests at once.
+    idle: u64,
     /// Time after the node's start at which all hosts restart, with their cached endpoint lists.
     restart: Option<u64>,
-    /// Units of the requests, in turn.
+    /// Sizes of the requests in units, used in turn.
     sizes: &'static [f64],
-    /// Of so many hosts one has as many requests as it can send; the others have one in a hundred ticks.
-    eager: u64,
+    /// One in this many hosts always has two open requests; the others get one request every hundred ticks.
+    busy_one_in: u64,
 }
 
-const PLAIN: Wave = Wave {
+const BASE: Workload = Workload {
     hosts: 30,
-    quiet: 0,
+    idle: 0,
     restart: None,
     sizes: &[2.0],
-    eager: 1,
+    busy_one_in: 1,
 };
 
-/// A host whose cached list names a node that has just started.
+/// Returns the scheduler of a host whose cached endpoint list names a node that has just started.
 fn host_with_new_node(seed: u64, now: u64, hosts: usize) -> Scheduler {
-    let rule = SlowStartPolicy {
+    let policy = SlowStartPolicy {
         hosts,
         ..slow_start_policy()
     };
     let classes = vec![class_with(Idempotency::Idempotent)];
     let mut scheduler = Scheduler::new(seed, classes, vec![plan(1.0)], units(), host_limits())
-        .with_rules(rule, discovery_policy(false), None, ms(0));
+        .with_rules(policy, discovery_policy(false), None, ms(0));
     let new_node = vec![endpoint(1, NodeState::Ready, Some(ms(START - 1)))];
     let update = endpoint_update(EndpointUpdateKind::Cached, new_node);
     step_at(&mut scheduler, now, vec![update]);
     scheduler
 }
 
-fn numbered(n: u32) -> RequestId {
+fn request_id(n: u32) -> RequestId {
     let mut id = id(0);
     id.0[..4].copy_from_slice(&n.to_le_bytes());
     id
 }
 
 /// One host and its clients' requests.
-struct BusyHost {
+struct SimulatedHost {
     scheduler: Scheduler,
     /// Units of the open requests.
     open: BTreeMap<RequestId, f64>,
     outstanding: Vec<RequestId>,
 }
 
-/// The hosts of a wave, and the requests that they have sent.
-struct Hosts {
-    wave: Wave,
+/// The hosts of a workload, and the requests that they have sent.
+struct Fleet {
+    workload: Workload,
     seed: u64,
-    hosts: Vec<BusyHost>,
+    hosts: Vec<SimulatedHost>,
     /// Number of the last request.
     last: u32,
-    /// Time and units of each request sent.
+    /// Time in milliseconds and size in units of each request sent.
     sent: Vec<(u64, f64)>,
 }
 
-impl Hosts {
-    fn new(wave: Wave, seed: u64) -> Self {
-        let mut hosts = Hosts {
-            wave,
+impl Fleet {
+    fn new(workload: Workload, seed: u64) -> Self {
+        let mut fleet = Fleet {
+            workload,
             seed,
             hosts: Vec::new(),
             last: 0,
             sent: Vec::new(),
         };
-        hosts.restart(START);
-        hosts
+        fleet.restart(START);
+        fleet
     }
 
     fn restart(&mut self, now: u64) {
-        let fresh = |n: u64| BusyHost {
+        let new_host = |n: u64| SimulatedHost {
             scheduler: host_with_new_node(
                 self.seed * 1000 + n + now * 7919,
                 now,
-                self.wave.hosts as usize,
+                self.workload.hosts as usize,
             ),
             open: BTreeMap::new(),
             outstanding: Vec::new(),
         };
-        self.hosts = (0..self.wave.hosts).map(fresh).collect();
+        self.hosts = (0..self.workload.hosts).map(new_host).collect();
     }
 
-    /// Lets one host complete its outstanding requests, receive new ones and send.
-    fn step(&mut self, n: usize, now: u64, is_quiet: bool) {
-        let wave = self.wave;
+    /// Steps one host: completes its outstanding requests, and lets it receive new ones unless the workload is
+    /// idle.
+    fn step(&mut self, n: usize, now: u64, is_idle: bool) {
+        let workload = self.workload;
         let host = &mut self.hosts[n];
         let mut events: Vec<Event> = Vec::new();
         for id in std::mem::take(&mut host.outstanding) {
@@ -111,17 +115,17 @@
             let outcome = AttemptOutcome::Completed;
             events.push(attempt_end_of(id, NodeId(1), outcome, ms(TICK), true));
         }
-        let eager = (n as u64).is_multiple_of(wave.eager);
-        let most = if eager { 2 } else { 1 };
-        let due = eager || (now / TICK + n as u64 * 13).is_multiple_of(100);
-        while !is_quiet && due && host.open.len() < most {
+        let is_busy = (n as u64).is_multiple_of(workload.busy_one_in);
+        let max_open = if is_busy { 2 } else { 1 };
+        let is_due = is_busy || (now / TICK + n as u64 * 13).is_multiple_of(100);
+        while !is_idle && is_due && host.open.len() < max_open {
             self.last += 1;
-            let units = wave.sizes[(self.last as usize * 7 + n) % wave.sizes.len()];
-            host.open.insert(numbered(self.last), units);
+            let units = workload.sizes[(self.last as usize * 7 + n) % workload.sizes.len()];
+            host.open.insert(request_id(self.last), units);
             events.push(Event::RequestReceived(Request {
-                id: numbered(self.last),
+                id: request_id(self.last),
                 units,
-                hosts: wave.hosts as usize,
+                hosts: workload.hosts as usize,
                 ..request(0, ms(now + 3000))
             }));
         }
@@ -134,8 +138,8 @@
         host.outstanding = sent.into_iter().map(|(id, _)| id).collect();
     }
 
-    /// The largest sum of units in any window of the rule, in mean requests.
-    fn largest_sum(&self) -> f64 {
+    /// Returns the largest total that was sent within one overload window, in mean requests.
+    fn peak_load(&self) -> f64 {
         let span = slow_start_policy().overload_window.as_millis() as u64;
         let window = |from: u64| {
             self.sent
@@ -150,104 +154,109 @@
     }
 }
 
-/// The largest sum of units that a wave sends in any window of the rule, in mean requests.
-fn largest_sum(wave: Wave, seed: u64) -> f64 {
-    let mut hosts = Hosts::new(wave, seed);
-    let quiet_until = START + wave.quiet;
-    let end = quiet_until.max(START + wave.restart.unwrap_or(0)) + 3000;
+/// Simulates a workload and returns the largest total that is sent within one overload window, in mean
+/// requests.
+fn peak_load(workload: Workload, seed: u64) -> f64 {
+    let mut fleet = Fleet::new(workload, seed);
+    let idle_until = START + workload.idle;
+    let end = idle_until.max(START + workload.restart.unwrap_or(0)) + 3000;
     for now in (START + TICK..end).step_by(TICK as usize) {
-        let is_quiet = now < quiet_until;
-        if is_quiet && !now.is_multiple_of(TICK * 10) {
-            continue; // in a quiet time buckets fill, and nothing else happens
+        let is_idle = now < idle_until;
+        if is_idle && !now.is_multiple_of(TICK * 10) {
+            continue; // without requests only the buckets fill, for which fewer steps suffice
         }
-        if wave.restart.is_some_and(|after| now == START + after) {
-            hosts.restart(now);
+        if workload.restart.is_some_and(|after| now == START + after) {
+            fleet.restart(now);
         }
-        for n in 0..wave.hosts as usize {
-            hosts.step(n, now, is_quiet);
+        for n in 0..workload.hosts as usize {
+            fleet.step(n, now, is_idle);
         }
     }
-    hosts.largest_sum()
+    fleet.peak_load()
 }
 
-/// Units that a node always bears by the settings, and the most that chance may add, in mean requests.
-fn most() -> f64 {
+/// Returns the load that a node can always take within an overload window by the settings, plus the margin for
+/// random variation, in mean requests.
+fn max_peak_load() -> f64 {
     let n = slow_start_policy().units / MEAN;
     n + 2.0 * n.sqrt() + 2.0
 }
 
-/// Without the lapse of a full bucket, 30 hosts sent 30 requests in two seconds after six quiet seconds, and 20
-/// hosts 20 after four: the debts that spread them were paid by then, and a bucket lets one request into debt.
+/// Guards against buckets that are all full after an idle time. A bucket lets one request go into debt, and the
+/// random initial debts that spread the hosts are paid off while they are idle. Full buckets therefore lose
+/// tokens: without that, 30 hosts sent 30 requests within two seconds after six idle seconds, and 20 hosts sent
+/// 20 after four.
 #[test]
-fn hosts_that_use_a_new_node_after_a_quiet_time_keep_to_the_sum_of_their_quotas() {
-    let mixed: &[f64] = &[1.0, 2.0, 1.0, 4.0, 2.0, 1.0, 3.0];
-    let mut waves = Vec::new();
+fn hosts_that_use_a_new_node_after_an_idle_time_stay_within_the_sum_of_their_quotas() {
+    let mixed_sizes: &[f64] = &[1.0, 2.0, 1.0, 4.0, 2.0, 1.0, 3.0];
+    let mut workloads = Vec::new();
     for hosts in [4, 10, 20, 30] {
-        waves.extend([0, 2000, 4000, 6000].map(|quiet| Wave {
+        workloads.extend([0, 2000, 4000, 6000].map(|idle| Workload {
             hosts,
-            quiet,
-            ..PLAIN
+            idle,
+            ..BASE
         }));
-        // A host that restarts after it has sent has no record of that.
-        waves.extend([4040, 4500, 5500].map(|after| Wave {
+        // A host that restarts after it has sent requests has no record of them.
+        workloads.extend([4040, 4500, 5500].map(|after| Workload {
             hosts,
-            quiet: 4000,
+            idle: 4000,
             restart: Some(after),
-            ..PLAIN
+            ..BASE
         }));
-        waves.push(Wave {
+        workloads.push(Workload {
             hosts,
-            quiet: 4000,
-            sizes: mixed,
-            ..PLAIN
+            idle: 4000,
+            sizes: mixed_sizes,
+            ..BASE
         });
-        waves.push(Wave {
+        workloads.push(Workload {
             hosts,
-            quiet: 6000,
-            sizes: mixed,
+            idle: 6000,
+            sizes: mixed_sizes,
             restart: Some(6500),
-            ..PLAIN
+            ..BASE
         });
-        waves.push(Wave {
+        workloads.push(Workload {
             hosts,
-            quiet: 4000,
-            eager: 3,
-            ..PLAIN
+            idle: 4000,
+            busy_one_in: 3,
+            ..BASE
         });
     }
-    for wave in waves {
-        let sums: Vec<f64> = (0..4).map(|seed| largest_sum(wave, seed)).collect();
+    for workload in workloads {
+        let peaks: Vec<f64> = (0..4).map(|seed| peak_load(workload, seed)).collect();
         assert!(
-            sums.iter().all(|sum| *sum <= most()),
-            "{wave:?}: {sums:?} of {:.1}",
-            most()
+            peaks.iter().all(|peak| *peak <= max_peak_load()),
+            "{workload:?}: peak loads {peaks:?}, expected at most {:.1}",
+            max_peak_load()
         );
     }
 }
 
-/// Guards against quotas so careful that requests are not sent at all.
+/// Guards against quotas that are so small that the hosts send far less than the node can take.
 #[test]
 fn the_quotas_of_a_new_node_are_used_by_few_hosts_and_by_many() {
     for hosts in [1, 4, 10, 30] {
-        let sum = largest_sum(
-            Wave {
+        let peak = peak_load(
+            Workload {
                 hosts,
-                quiet: 4000,
-                ..PLAIN
+                idle: 4000,
+                ..BASE
             },
             1,
         );
         assert!(
-            sum >= slow_start_policy().units / MEAN / 2.0,
-            "{hosts} hosts: {sum}"
+            peak >= slow_start_policy().units / MEAN / 2.0,
+            "{hosts} hosts: peak load {peak}"
         );
     }
 }
 
 #[test]
-fn a_node_that_warms_up_gets_no_more_than_the_hosts_quota() {
-    let rule = slow_start_policy();
-    // own rate before, age, expected quota of one window
+fn a_warming_node_gets_no_more_than_the_hosts_quota() {
+    let policy = slow_start_policy();
+    // previous rate of this host in units a second, age of the node in milliseconds, expected quota for one
+    // window
     let cases = [
         (0.0, 0, 4.5),
         (0.0, 9000, 4.5),
@@ -256,8 +265,11 @@
         (100.0, 10_000, 540.0),
     ];
     for (rate, age, expected) in cases {
-        let quota = slow_start_quota(&rule, rate, ms(age));
-        assert!((quota - expected).abs() < 1e-6, "{rate} {age} {quota}");
+        let quota = slow_start_quota(&policy, rate, ms(age));
+        assert!(
+            (quota - expected).abs() < 1e-6,
+            "rate {rate}, age {age} ms: quota {quota}"
+        );
     }
     let mut scheduler = idempotent_host(plan(1.0));
     let started = endpoint_update(
@@ -272,18 +284,18 @@
         units += 2.0 * sent.len() as f64;
         step_at(&mut scheduler, t + 1, completed(&sent, 1));
     }
-    assert!(units <= rule.units / 4.0 + 2.0, "{units}");
+    assert!(units <= policy.units / 4.0 + 2.0, "{units} units");
 }
 
-/// Units that are sent in two seconds to a node that takes over shard 1 and has just started; before that, the
-/// volume had so many requests a second at node 1.
-fn units_to_a_new_node(before: u64, reservation: f64, node: u32) -> f64 {
+/// Returns the units that are sent within two seconds to `node`, which has just started and takes over shard 1
+/// from node 1. Before that, the volume sent `previous_rate` requests a second to node 1.
+fn units_to_new_node(previous_rate: u64, reservation: f64, node: u32) -> f64 {
     let mut scheduler = idempotent_host(plan(reservation));
-    let every = 1000u64.checked_div(before).unwrap_or(u64::MAX) as usize;
+    let interval = 1000u64.checked_div(previous_rate).unwrap_or(u64::MAX) as usize;
     let mut n = 0u8;
     for t in (1010..11_010)
-        .step_by(every.max(10))
-        .skip(usize::from(before == 0) * 99_999)
+        .step_by(interval.max(10))
+        .skip(usize::from(previous_rate == 0) * 99_999)
     {
         n = n.wrapping_add(1);
         let (sent, ..) = step_at(&mut scheduler, t, receive(request(n, ms(t + 400))));
@@ -309,28 +321,33 @@
     units
 }
 
-/// Successors of most nodes got only the units that a node always bears, a three-hundredth for each host, until
-/// they were warm: 5702 of some 14,000 rejections on a day that replaced six nodes in ten.
+/// Guards against a replacement node that gets only the units that any new node can take until it is warm. With
+/// 300 hosts each may then send a three-hundredth of them, which accounted for 5702 of some 14,000 rejections
+/// on a day on which six nodes in ten were replaced.
 #[test]
-fn a_successor_gets_a_quota_by_its_predecessors_usage_and_by_reservations() {
-    let always = slow_start_policy().units / 4.0 + 2.0;
-    assert!(units_to_a_new_node(0, 0.0, 3) <= always);
-    let successor = units_to_a_new_node(20, 0.0, 3);
-    let same = units_to_a_new_node(20, 0.0, 1);
-    let reserved = units_to_a_new_node(0, 80.0, 3);
-    // The rule's own bound at the end of that time; no host may have more of it than the part of its own rate.
-    let most = slow_start_quota(&slow_start_policy(), 40.0, ms(2420)) + 2.0;
+fn a_replacement_node_gets_a_quota_by_its_predecessors_usage_and_by_reservations() {
+    // This host's quota at any new node, plus one request, because a bucket may go into debt by one request.
+    let baseline = slow_start_policy().units / 4.0 + 2.0;
+    assert!(units_to_new_node(0, 0.0, 3) <= baseline);
+    let replacement = units_to_new_node(20, 0.0, 3);
+    let restarted = units_to_new_node(20, 0.0, 1);
+    let reserved = units_to_new_node(0, 80.0, 3);
+    // The policy's bound at the end of the two seconds; a host's quota is limited by its own previous rate.
+    let max_units = slow_start_quota(&slow_start_policy(), 40.0, ms(2420)) + 2.0;
+    assert!(
+        replacement > baseline && replacement < restarted && restarted <= max_units,
+        "baseline {baseline}, replacement {replacement}, restarted {restarted}, maximum {max_units}"
+    );
     assert!(
-        successor > always && successor < same && same <= most,
-        "{always} {successor} {same} {most}"
+        reserved > baseline && reserved <= max_units,
+        "with a reservation {reserved}, maximum {max_units}"
     );
-    assert!(reserved > always && reserved <= most, "{reserved} {most}");
 }
 
 #[test]
 fn first_requests_of_many_hosts_to_a_new_node_stay_within_the_sum_of_their_quotas() {
     let hosts = 250;
-    let rule = SlowStartPolicy {
+    let policy = SlowStartPolicy {
         hosts: 250,
         ..slow_start_policy()
     };
@@ -339,7 +356,7 @@
         let discovery = discovery_policy(false);
         let (traffic_classes, plans) = (vec![class_with(Idempotency::Idempotent)], vec![plan(1.0)]);
         let mut scheduler = Scheduler::new(seed, traffic_classes, plans, units(), host_limits())
-            .with_rules(rule.clone(), discovery, None, ms(0));
+            .with_rules(policy.clone(), discovery, None, ms(0));
         step_at(
             &mut scheduler,
             1000,
@@ -358,7 +375,7 @@
             .sum::<usize>();
     }
     assert!(
-        sends as f64 * 2.0 <= rule.units * 1.2,
-        "{sends} requests of 2 units in one window of the rule"
+        sends as f64 * 2.0 <= policy.units * 1.2,
+        "{sends} requests of 2 units sent within one overload window"
     );
 }
--- a/crates/scheduler/tests/throttle.rs
+++ b/crates/scheduler/tests/throttle.rs
@@ -1,4 +1,5 @@
-//! Admission throttle: late answers of attempts that were alone at their node.
+//! Admission throttle: the host sends fewer requests to a node that is late although the host has only one
+//! attempt there.
 
 mod common;
 use common::*;
@@ -6,9 +7,9 @@
 use grebecleat_scheduler::scheduler::Scheduler;
 
 #[test]
-fn late_attempts_that_are_alone_throttle_requests_of_low_value_first() {
-    // An attempt that is alone at its node is late because of other hosts; neither the concurrency limit nor its
-    // back-off can act.
+fn late_single_attempts_throttle_requests_of_low_value_first() {
+    // If this host's only attempt at a node is late, other hosts have overloaded the node. Neither the
+    // concurrency limit nor its backoff can help, because this host already has no more than one attempt there.
     let mut scheduler = host(
         vec![class_with(Idempotency::Idempotent)],
         vec![
@@ -20,7 +21,7 @@
         ],
         None,
     );
-    let of = |n, plan, t| Request {
+    let request_on_plan = |n, plan, t| Request {
         plan: PlanId(plan),
         volume: VolumeId(plan as u64),
         ..request(n, ms(t + 900))
@@ -29,26 +30,31 @@
     for t in (2000..22_000).step_by(1000) {
         for plan in [0, 1] {
             let (n, at_ms) = ((t / 1000) as u8 * 2 + plan as u8, t + 500 * plan as u64);
-            let (out, ..) = step_at(
+            let (attempts, ..) = step_at(
                 &mut scheduler,
                 at_ms,
-                vec![Event::RequestReceived(of(n, plan, at_ms))],
+                vec![Event::RequestReceived(request_on_plan(n, plan, at_ms))],
             );
-            sent[plan] += out.len();
+            sent[plan] += attempts.len();
             step_at(&mut scheduler, at_ms + 10, vec![]);
-            // Some fast answers come first, or the host would have no measure of lateness.
-            let took = if t < 6000 { 10 } else { 400 };
-            step_at(&mut scheduler, at_ms + took, completed(&out, took));
+            // The first attempts are fast, so that the host can measure what is late.
+            let elapsed = if t < 6000 { 10 } else { 400 };
+            step_at(
+                &mut scheduler,
+                at_ms + elapsed,
+                completed(&attempts, elapsed),
+            );
         }
     }
     assert!(
         sent[0] * 3 <= sent[1] * 2,
-        "low and high value sent: {sent:?}"
+        "requests sent of low and of high value: {sent:?}"
     );
 }
 
-/// A connection that opens late is no evidence against its node; a host with few answers would throttle the node
-/// for it. Once the attempt is sent it counts as any other.
+/// A connection that takes long to open says nothing about the load of its node. If the wait for the connection
+/// counted, a host that sends few requests would throttle the node. An attempt counts from the time at which it
+/// is sent.
 #[test]
 fn an_attempt_counts_as_late_by_the_time_at_which_it_was_sent() {
     let admission_level = |scheduler: &Scheduler| {
@@ -58,7 +64,8 @@
             .unwrap()
             .admission_level
     };
-    // the time of sending is reported, the time, whether the node is throttled
+    // whether the host reports when the attempt is sent, that time in milliseconds, whether the node is
+    // throttled
     for (reported, sent_at, throttled) in
         [(false, 0, true), (true, 5000, false), (true, 2310, true)]
     {
@@ -70,7 +77,7 @@
         }
         let (sent, ..) = step_at(&mut scheduler, 2300, receive(request(200, ms(9000))));
         assert_eq!(sent.len(), 1);
-        let sent = Event::AttemptSent {
+        let attempt_sent = Event::AttemptSent {
             id: id(200),
             node: NodeId(1),
             at: ms(sent_at),
@@ -78,14 +85,17 @@
         step_at(
             &mut scheduler,
             2300,
-            if reported { vec![sent] } else { vec![] },
+            if reported { vec![attempt_sent] } else { vec![] },
         );
         (2310..2500)
             .step_by(10)
             .for_each(|t| _ = step_at(&mut scheduler, t, vec![]));
         let is_throttled = admission_level(&scheduler) < 1.0;
-        assert_eq!(is_throttled, throttled, "reported {reported}, at {sent_at}");
-        // The attempt was never sent, and its end changes nothing.
+        assert_eq!(
+            is_throttled, throttled,
+            "send time reported: {reported}, sent at {sent_at} ms"
+        );
+        // The attempt ends without having been sent, which has no effect.
         step_at(
             &mut scheduler,
             2500,
