--- a/crates/adapter/src/settings.rs
+++ b/crates/adapter/src/settings.rs
@@ -22,7 +22,7 @@
 pub enum SettingError {
     /// A setting without an equals sign.
     #[error("setting without '=': {0}")]
-    NoValue(String),
+    MissingEqualsSign(String),
     /// A value that cannot be parsed as the type of its setting.
     #[error("setting {path} has a bad value: {value}")]
     BadValue {
@@ -46,7 +46,7 @@
         let mut pairs = BTreeMap::new();
         for pair in text.split(' ').filter(|pair| !pair.is_empty()) {
             let Some((path, value)) = pair.split_once('=') else {
-                return Err(SettingError::NoValue(pair.to_string()));
+                return Err(SettingError::MissingEqualsSign(pair.to_string()));
             };
             pairs.insert(path, value);
         }
--- a/crates/discovery/src/calls.rs
+++ b/crates/discovery/src/calls.rs
@@ -1,39 +1,40 @@
-//! The calls on one connection to a discovery that responds to one call at a time: which call comes
-//! next, and its timeout.
+//! The sequence of calls on one connection to a discovery service that responds to one call at a time: which
+//! call comes next, and its timeout.
 //!
-//! State machine: [`CallSequence::step`] takes a request or a response and returns the call to send
-//! now, if any. No I/O and no clock. [`crate::long_polling`] calls it. The call after a failure is
-//! not decided here, but by the scheduler's backoff and by [`crate::poll_deadline`].
+//! [`CallSequence`] is a state machine without I/O and without a clock. [`crate::long_polling`] calls
+//! [`CallSequence::step`] with a request or a response, and sends the call that it returns, if any. The time of
+//! a call after a failure is decided by the scheduler's backoff and by [`crate::poll_deadline`].
 
 use std::time::Duration;
 
-/// The shortest time for which a call for changes may wait at discovery. A smaller value makes
-/// discovery respond to more empty calls.
+/// Shortest time for which discovery may hold a call for changes. With a smaller value, discovery sends more
+/// empty responses.
 const MIN_WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// The longest time for which a call for changes may wait at discovery. This and [`CALL_TIMEOUT`]
-/// alone bound the time until the host detects a silent watch, and the host knows the missed change
-/// soon after. A larger value breaks the sum of [`crate::poll_deadline`]. Harm: more calls, most of
-/// them empty.
+/// Longest time for which discovery may hold a call for changes. The sum of this and [`CALL_TIMEOUT`] bounds
+/// the time until the host detects a watch that gets no response; soon after, the host learns of the changes
+/// that it missed. A larger value violates the time budget of [`crate::poll_deadline`]. The cost of a small
+/// value is more calls, most of them with an empty response.
 const MAX_WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// The time for which the first call on a connection, for what is newer than an already known
-/// revision, may wait at discovery. Zero, so that discovery responds as soon as the turn of the call
-/// comes, and the host detects a lost call as soon as a lost call for the complete list.
+/// Time for which discovery may hold the first call on a connection that requests the changes after a known
+/// revision. The time is zero, so that discovery responds as soon as it has processed the call, and the host
+/// detects that such a call was lost as soon as it would for a call for the complete list.
 const RESUME_WAIT: Duration = Duration::ZERO;
-/// Timeout of a call beyond its wait at discovery. The timeout of a call on a new connection
-/// includes its dial. A larger value breaks the sum of [`crate::poll_deadline`]; a smaller one
-/// abandons calls that discovery would serve.
+/// Timeout of a call, in addition to the time for which discovery may hold it. The timeout of a call on a new
+/// connection includes the dial. A larger value violates the time budget of [`crate::poll_deadline`]; a smaller
+/// one abandons calls to which discovery would respond.
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// How long an overdue response is awaited: discovery counts what it sends as delivered, however
-/// late it is. Harm: the connection of a lost call stays open for this time.
+/// Time for which the host waits for an overdue response before it closes the connection. Discovery counts a
+/// response as delivered however late it sends it, so a change in it must not be lost. The cost is that the
+/// connection of a lost call stays open for this time.
 const LATE_RESPONSE_TIMEOUT: Duration = Duration::from_millis(4000);
 
-/// An event of the sequence.
+/// An input of [`CallSequence::step`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The client requests changes from now on, or no longer.
+    /// The client starts or stops to watch for changes.
     Watch {
-        /// Whether it requests them.
+        /// Whether the client watches from now on.
         on: bool,
     },
     /// The client requests the complete list once.
@@ -48,19 +49,19 @@
 /// A call to send.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Call {
-    /// For the complete list.
+    /// Requests the complete list.
     Complete,
-    /// For what is newer than a revision, as soon as there is something or the wait is over.
+    /// Requests the changes after a revision. Discovery responds at the first change or at the end of `wait`.
     Newer {
         /// The known revision.
         revision: u64,
-        /// How long discovery may wait for a change.
+        /// How long discovery may hold the call until there is a change.
         wait: Duration,
     },
 }
 
 impl Call {
-    /// The kind of call as the log names it.
+    /// Returns the name of this kind of call in the log.
     pub fn kind(&self) -> &'static str {
         match self {
             Call::Complete => "complete list",
@@ -68,7 +69,7 @@
         }
     }
 
-    /// The revision after which the call requests changes; None: it requests the complete list.
+    /// Returns the revision after which the call requests changes, or `None` if it requests the complete list.
     pub fn known_revision(&self) -> Option<u64> {
         match self {
             Call::Complete => None,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// How long discovery may wait for a change.
+    /// Returns how long discovery may hold the call until there is a change.
     pub fn wait(&self) -> Duration {
         match self {
             Call::Complete => Duration::ZERO,
@@ -85,36 +86,37 @@
     }
 }
 
-/// A call without a response.
+/// A call that has no response yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutstandingCall {
     /// The call.
     pub call: Call,
     /// When it was sent.
     pub begun: Duration,
-    /// When it becomes overdue. Another call may then begin on another connection.
+    /// When the call becomes overdue. Another call may then begin on another connection.
     pub answer_by: Duration,
-    /// Whether it continues a watch. Discovery sends a change to such a call at once, and the call
-    /// waits for nothing else.
+    /// Whether the call continues a watch. Discovery responds to such a call as soon as there is a change, and
+    /// holds the call for no other reason.
     pub continues_watch: bool,
-    /// Whether [`CallSequence::report_overdue`] has reported it.
-    reported: bool,
+    /// Whether [`CallSequence::report_overdue`] has reported the call.
+    is_reported: bool,
 }
 
 impl OutstandingCall {
-    /// Returns when its connection is closed.
+    /// Returns when the host stops to wait for the response and closes the connection.
     pub fn give_up_at(&self) -> Duration {
         self.answer_by + LATE_RESPONSE_TIMEOUT
     }
 
-    /// Returns how long the call has been queued at discovery, without the time for which it was to
-    /// wait there for changes.
+    /// Returns how long the call has been queued at discovery, without the time for which discovery may hold it
+    /// until there is a change.
     pub fn queueing_time(&self, now: Duration) -> Duration {
         now.saturating_sub(self.begun)
             .saturating_sub(self.call.wait())
     }
 
-    /// Returns whether discovery has not waited for changes, although the call allows it to.
+    /// Returns whether a response now means that discovery did not hold the call until there was a change,
+    /// although the call allows that.
     pub fn ends_early(&self, now: Duration) -> bool {
         let Call::Newer { wait, .. } = self.call else {
             return false;
@@ -123,37 +125,41 @@
     }
 }
 
-/// The calls on one connection.
+/// Decides the sequence of calls on one connection.
 #[derive(Debug)]
 pub struct CallSequence {
-    /// Timeout of the next call for the complete list, or of the first call.
+    /// Timeout of the next call for the complete list, and of the first call on the connection.
     complete_timeout: Duration,
     is_watching: bool,
-    /// Whether a fetch is requested.
-    fetch: bool,
+    /// Whether the client has requested the complete list.
+    is_fetch_requested: bool,
     revision: Option<u64>,
     /// Whether discovery has responded on this connection.
     has_response: bool,
-    /// Whether the last response was to a watch, which the next call continues.
+    /// Whether the last response was to a call for changes, so that the next call continues the watch.
     is_watch_open: bool,
     outstanding: Option<OutstandingCall>,
 }
 
 impl CallSequence {
-    /// `first_timeout`: longest timeout of the first call; the client, which knows when it dialled,
-    /// may end the call sooner. `known`: the revision that this host has and of which it missed
-    /// nothing; the calls then request what is newer alone. `continues`: discovery has just
-    /// responded on a connection that ended with the response, so that the watch continues on this
-    /// connection, and its first call waits like any other.
+    /// Returns the sequence for a new connection.
     ///
-    /// A complete list costs discovery by its length, and the watch after it costs a second call.
-    /// If many hosts lost their lists at once, each of them would cost discovery that much, and each
-    /// refused call would begin anew: the fleet would keep discovery busy forever.
+    /// - `first_timeout` is the longest timeout of the first call; the client, which knows when it began to
+    ///   dial, may end the call sooner.
+    /// - `known` is the revision of the list that this host has completely; the calls then request only later
+    ///   changes.
+    /// - `continues` means that discovery has just responded on a connection that ended with the response.
+    ///   The watch then continues on this connection, and discovery may hold the first call like any other
+    ///   call for changes.
+    ///
+    /// The calls resume from a known revision because a complete list costs discovery in proportion to its
+    /// length, and the watch after it costs another call. If many hosts requested their complete lists at once,
+    /// and requested them again after each refusal, discovery could stay overloaded forever.
     pub fn new(first_timeout: Duration, known: Option<u64>, continues: bool) -> Self {
         CallSequence {
             complete_timeout: first_timeout,
             is_watching: false,
-            fetch: false,
+            is_fetch_requested: false,
             revision: known,
             has_response: continues && known.is_some(),
             is_watch_open: false,
@@ -161,13 +167,14 @@
         }
     }
 
-    /// Returns whether the outstanding call has become overdue since the last report.
+    /// Returns whether the outstanding call is overdue and was not reported before, and marks it as reported.
     pub fn report_overdue(&mut self, now: Duration) -> bool {
         let outstanding = self.outstanding.as_mut();
-        let Some(call) = outstanding.filter(|call| !call.reported && now >= call.answer_by) else {
+        let Some(call) = outstanding.filter(|call| !call.is_reported && now >= call.answer_by)
+        else {
             return false;
         };
-        call.reported = true;
+        call.is_reported = true;
         true
     }
 
@@ -176,20 +183,21 @@
         self.outstanding
     }
 
-    /// Takes an event, and returns the call to send now. `poll_interval`: how often the settings
-    /// require the list to be polled.
+    /// Takes an event and returns the call to send now, if any. `poll_interval` is the time between two polls
+    /// that the settings require.
     pub fn step(&mut self, now: Duration, poll_interval: Duration, event: Event) -> Option<Call> {
         match event {
             Event::Watch { on } => self.is_watching = on,
-            Event::Fetch => self.fetch = true,
+            Event::Fetch => self.is_fetch_requested = true,
             Event::Answered { revision } => self.answered(revision),
         }
         if self.outstanding.is_some() {
             return None;
         }
-        // A fetch that is requested before any revision is known stays requested.
-        let fetch_again = self.revision.is_some() && std::mem::take(&mut self.fetch);
-        // The next call follows at once; otherwise a change meanwhile would count as known.
+        // A fetch that is requested while no revision is known stays requested.
+        let fetch_again = self.revision.is_some() && std::mem::take(&mut self.is_fetch_requested);
+        // The next call follows the response at once. Otherwise the host would count a change in between as
+        // known.
         let Some(revision) = self.revision.filter(|_| !fetch_again) else {
             return self.begin(now, Call::Complete, self.complete_timeout);
         };
@@ -210,20 +218,21 @@
             begun: now,
             answer_by: now + timeout,
             continues_watch: self.is_watch_open && matches!(call, Call::Newer { .. }),
-            reported: false,
+            is_reported: false,
         });
         Some(call)
     }
 
-    /// Records a response. Revisions only grow. A smaller revision comes from a discovery that has
-    /// lost its own revisions, and whose changes since then cannot be derived from it: the next call
-    /// is for the complete list.
+    /// Records a response. Revisions only increase, so a smaller revision comes from a discovery service that
+    /// has lost its state. The changes since then cannot be derived from it, so the next call requests the
+    /// complete list.
     fn answered(&mut self, revision: u64) {
-        let went_back = self.revision.is_some_and(|known| revision < known);
+        let is_older = self.revision.is_some_and(|known| revision < known);
         let answered = self.outstanding.take();
-        self.is_watch_open = answered.is_some_and(|it| matches!(it.call, Call::Newer { .. }));
+        self.is_watch_open =
+            answered.is_some_and(|outstanding| matches!(outstanding.call, Call::Newer { .. }));
         self.has_response = true;
-        self.revision = if went_back { None } else { Some(revision) };
+        self.revision = if is_older { None } else { Some(revision) };
         self.complete_timeout = CALL_TIMEOUT;
     }
 }
--- a/crates/discovery/src/client.rs
+++ b/crates/discovery/src/client.rs
@@ -1,17 +1,17 @@
-//! The client of discovery: its links, their requests and timeouts, and the endpoint list.
+//! The discovery client: its links, their requests and timeouts, and the endpoint list.
 //!
-//! State machine: [`DiscoveryClient::step`]. No I/O.
+//! [`DiscoveryClient`] is a state machine without I/O; [`DiscoveryClient::step`] is its only input.
 
 use crate::endpoint_list::EndpointList;
 use crate::events::{Action, Event, FailureReason, LinkId, LogEvent};
-use crate::history::CallHistory;
+use crate::history::FailureHistory;
 use crate::links::{ActiveLink, OverdueLinks};
 use crate::poll_deadline::{self, PollDeadline};
 use grebecleat_scheduler::api::EndpointUpdateKind;
 use grebecleat_wire::pb::{self, frame::Body};
 use std::time::Duration;
 
-/// Keeps the endpoint list of one host current.
+/// Keeps the endpoint list of one host up to date.
 #[derive(Debug)]
 pub struct DiscoveryClient {
     now: Duration,
@@ -21,20 +21,20 @@
     active: ActiveLink,
     overdue: OverdueLinks,
     last_link: u64,
-    history: CallHistory,
-    /// None: after a failure, the client calls only when the scheduler requests it, however long
-    /// that takes.
+    history: FailureHistory,
+    /// `None` if there is no deadline: after a failure, the client then calls only when the scheduler requests
+    /// it, however long that takes.
     poll_deadline: Option<PollDeadline>,
-    /// Timeout of a call where no poll deadline applies.
-    patience: Duration,
+    /// Timeout of a call, its dial included, while no poll deadline applies.
+    default_call_timeout: Duration,
     /// Actions of the current step.
     actions: Vec<Action>,
 }
 
 impl DiscoveryClient {
-    /// Returns a client without endpoints. `patience`: timeout of a call, its dial included, where
-    /// no poll deadline applies.
-    pub fn new(patience: Duration) -> Self {
+    /// Returns a client without endpoints. `default_call_timeout` is the timeout of a call, its dial included,
+    /// while no poll deadline applies.
+    pub fn new(default_call_timeout: Duration) -> Self {
         DiscoveryClient {
             now: Duration::ZERO,
             endpoints: EndpointList::default(),
@@ -42,27 +42,33 @@
             active: ActiveLink::default(),
             overdue: OverdueLinks::default(),
             last_link: 0,
-            history: CallHistory::default(),
+            history: FailureHistory::default(),
             poll_deadline: None,
-            patience,
+            default_call_timeout,
             actions: Vec::new(),
         }
     }
 
-    /// Adds a poll deadline: the client knows a change within `term` after discovery has it, also
-    /// if calls fail. `call`: timeout of a call, its dial included. `seed`: of the jitter.
-    pub fn with_poll_deadline(mut self, term: Duration, call: Duration, seed: u64) -> Self {
-        self.poll_deadline = Some(PollDeadline::new(term, call, seed));
+    /// Adds a poll deadline: the client learns of a change within `max_staleness` after discovery has it, even
+    /// if calls fail. `call_timeout` is the timeout of a call, its dial included; `seed` initializes the
+    /// jitter.
+    pub fn with_poll_deadline(
+        mut self,
+        max_staleness: Duration,
+        call_timeout: Duration,
+        seed: u64,
+    ) -> Self {
+        self.poll_deadline = Some(PollDeadline::new(max_staleness, call_timeout, seed));
         self
     }
 
-    /// The endpoint list.
+    /// Returns the endpoint list.
     pub fn endpoints(&self) -> &EndpointList {
         &self.endpoints
     }
 
-    /// Returns when [`Event::CheckTimeout`] or [`Event::CheckPollDeadline`] is due, if nothing
-    /// happens before.
+    /// Returns when [`Event::CheckTimeout`] or [`Event::CheckPollDeadline`] is due if no other event occurs
+    /// before.
     pub fn wake_at(&self) -> Option<Duration> {
         let deadline = self.poll_deadline.as_ref().and_then(PollDeadline::wake_at);
         [self.active.answer_by, deadline]
@@ -103,13 +109,13 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn act(&mut self, action: Action) {
+    fn push_action(&mut self, action: Action) {
         self.actions.push(action);
     }
 
     fn connected(&mut self, link: LinkId) {
         if self.active.id != Some(link) {
-            return self.act(Action::Close { link });
+            return self.push_action(Action::Close { link });
         }
         self.active.is_connected = true;
         self.dial_or_send();
@@ -121,30 +127,30 @@
         let is_read = is_active || self.overdue.contains(link);
         for frame in frames {
             let Some(Body::EndpointUpdate(update)) = frame.body.filter(|_| is_read) else {
-                self.act(Action::UnexpectedMessage { link });
+                self.push_action(Action::UnexpectedMessage { link });
                 continue;
             };
             if is_active {
                 self.active.answer_by = None;
                 self.active.has_response = true;
                 if let Some(event) = self.history.responded(self.now) {
-                    self.act(Action::Log(event));
+                    self.push_action(Action::Log(event));
                 }
                 self.close_overdue();
             }
             self.take_update(&update);
             if is_active {
-                self.act(Action::ConfirmList);
+                self.push_action(Action::ConfirmList);
                 self.check_poll_deadline(Some(poll_deadline::Event::Answered));
             }
         }
     }
 
-    /// Makes an overdue link that has sent a response the active link again. The later call may
-    /// take long, or may be refused. The client drops it, because two served calls cost discovery
-    /// twice as much.
+    /// Makes an overdue link the active link again once discovery has responded on it. The client closes the
+    /// link of the later call, which may take long or may be refused, because discovery would otherwise serve
+    /// two calls at twice the cost.
     fn promote_overdue(&mut self, link: LinkId) {
-        if self.active.has_response || !self.overdue.take_unmoved(link) {
+        if self.active.has_response || !self.overdue.take_at_current_address(link) {
             return;
         }
         let promoted = ActiveLink {
@@ -155,14 +161,14 @@
         };
         let later = std::mem::replace(&mut self.active, promoted);
         if let Some(link) = later.id {
-            self.act(Action::Close { link });
+            self.push_action(Action::Close { link });
         }
-        self.act(Action::Log(LogEvent::OverdueCallAnswered));
+        self.push_action(Action::Log(LogEvent::OverdueCallAnswered));
     }
 
     fn close_overdue(&mut self) {
         for link in self.overdue.take_all() {
-            self.act(Action::Close { link });
+            self.push_action(Action::Close { link });
         }
     }
 
@@ -170,25 +176,26 @@
         if self.active.id == Some(link) {
             self.close_active();
             self.call_failed(FailureReason::ConnectionLost);
-            self.act(Action::ReportFailure);
+            self.push_action(Action::ReportFailure);
         }
         self.overdue.remove(link);
     }
 
-    /// Calls discovery at its new address at once. A move is no failure: the scheduler continues to
-    /// use the list that it has.
+    /// Calls discovery at its new address at once. A change of the address is not a failure: the scheduler
+    /// continues to use the current list.
     fn moved(&mut self) {
         let former = std::mem::take(&mut self.active);
-        if self.overdue.has_moved() {
-            // Discovery has moved again before it responded at the address in between.
+        if self.overdue.has_former_address() {
+            // The address has changed again before discovery responded at the previous one, so this link is not
+            // needed.
             if let Some(link) = former.id {
-                self.act(Action::Close { link });
+                self.push_action(Action::Close { link });
             }
         } else {
             self.read_overdue(former);
         }
-        self.overdue.mark_moved();
-        self.act(Action::ReportMove);
+        self.overdue.mark_former_address();
+        self.push_action(Action::ReportMove);
         self.check_poll_deadline(Some(poll_deadline::Event::Moved));
         self.watch();
     }
@@ -216,43 +223,42 @@
         let link = LinkId(self.last_link);
         self.active.id = Some(link);
         self.active.answer_by = Some(answer_by);
-        self.act(Action::Dial { link });
+        self.push_action(Action::Dial { link });
         self.check_poll_deadline(Some(poll_deadline::Event::CallStarted));
     }
 
     fn send_pending(&mut self, link: LinkId, answer_by: Duration) {
         for request in std::mem::take(&mut self.active.pending) {
             if let Body::Watch(watch) = &request {
-                // An open watch needs no second one: its response may take longer than the
-                // response to a call.
+                // If a watch is already open, another call is not needed. The response to the open watch may
+                // take longer than the timeout of a call.
                 let was_watching = std::mem::replace(&mut self.active.is_watching, watch.on);
                 if was_watching && watch.on {
                     continue;
                 }
             }
-            self.act(Action::Send { link, request });
+            self.push_action(Action::Send { link, request });
             if self.active.continues_watch {
                 self.active.answer_by = None;
                 continue;
             }
-            // Dial and call share one timeout: two timeouts in a row would be twice as long where
-            // both are slow.
+            // Dial and call share one timeout, because separate timeouts would double the time until a failure
+            // is detected if both are slow.
             self.active.answer_by.get_or_insert(answer_by);
         }
     }
 
-    /// Returns the timeout of the next call. A host that has no endpoints yet serves no request,
-    /// and no term runs: it waits for a slow response instead of calling again. This guards a start
-    /// against a discovery that takes longer than a later call may take; the host would never get
-    /// its response. Harm: the client detects a lost call that much later.
+    /// Returns the timeout of the next call. A host without endpoints serves no request and has no list that
+    /// could become stale, so it waits longer for a slow response instead of calling again. Otherwise a host
+    /// would never start if discovery always took longer to respond than the timeout of a later call. The cost
+    /// is that the client detects a lost call later.
     fn call_timeout(&self) -> Duration {
         let has_endpoints = !self.endpoints.is_empty();
         let poll_deadline = self.poll_deadline.as_ref().filter(|_| has_endpoints);
-        poll_deadline.map_or(self.patience, PollDeadline::call_timeout)
+        poll_deadline.map_or(self.default_call_timeout, PollDeadline::call_timeout)
     }
 
-    /// Continues the watch on another link at once. The end of a connection together with a
-    /// response is no failure.
+    /// Continues the watch on another link at once. A connection that ends with a response is not a failure.
     fn ended(&mut self, link: LinkId) {
         self.overdue.remove(link);
         if self.active.id != Some(link) {
@@ -272,15 +278,15 @@
             return;
         }
         if up_to_date {
-            self.act(Action::ConfirmList);
+            self.push_action(Action::ConfirmList);
         }
         self.close_active();
         self.call_failed(FailureReason::Refused);
-        self.act(Action::ReportRefusal { waited });
+        self.push_action(Action::ReportRefusal { waited });
     }
 
-    /// Calls discovery where the scheduler would wait for too long. The scheduler's later request
-    /// finds the watch open.
+    /// Calls discovery if the poll deadline has passed. A later request of the scheduler then finds the watch
+    /// open.
     fn check_poll_deadline(&mut self, event: Option<poll_deadline::Event>) {
         let has_endpoints = !self.endpoints.is_empty();
         let Some(poll_deadline) = self.poll_deadline.as_mut().filter(|_| has_endpoints) else {
@@ -295,23 +301,23 @@
     fn close_active(&mut self) {
         let link = std::mem::take(&mut self.active);
         if let Some(link) = link.id {
-            self.act(Action::Close { link });
+            self.push_action(Action::Close { link });
         }
     }
 
-    /// Treats the active call as failed, so that another call follows in time, and continues to
-    /// read its link. Discovery continues to serve a call that it has accepted, and counts its
-    /// response as delivered, however late it sends it. A host that closed the connection just
-    /// before would miss a change that discovery counts as known to it.
+    /// Treats the active call as failed, so that another call follows in time, and continues to read its link.
+    /// Discovery continues to process a call that it has accepted, and counts its response as delivered however
+    /// late it sends it. A host that closed the connection just before would miss a change that discovery
+    /// counts as known to the host.
     fn active_overdue(&mut self) {
         let link = std::mem::take(&mut self.active);
         self.read_overdue(link);
         self.call_failed(FailureReason::TimedOut);
-        self.act(Action::ReportFailure);
+        self.push_action(Action::ReportFailure);
     }
 
-    /// Continues to read a connected link, and abandons a dial. Closes the oldest overdue link if
-    /// there are too many.
+    /// Continues to read a link that is connected, and abandons one that is still dialling. Closes the oldest
+    /// overdue link if there are too many.
     fn read_overdue(&mut self, link: ActiveLink) {
         let Some(id) = link.id else {
             return;
@@ -322,13 +328,13 @@
             Some(id)
         };
         if let Some(link) = closed {
-            self.act(Action::Close { link });
+            self.push_action(Action::Close { link });
         }
     }
 
     fn call_failed(&mut self, reason: FailureReason) {
         let event = self.history.failed(self.now, reason);
-        self.act(Action::Log(event));
+        self.push_action(Action::Log(event));
         self.check_poll_deadline(Some(poll_deadline::Event::Failed));
     }
 
@@ -336,7 +342,7 @@
         let kind = match update.kind() {
             pb::EndpointUpdateKind::Delta => EndpointUpdateKind::Delta,
             pb::EndpointUpdateKind::Snapshot => EndpointUpdateKind::Snapshot,
-            _ => return self.act(Action::ReportFailure),
+            _ => return self.push_action(Action::ReportFailure),
         };
         self.update_list(kind, &update.endpoints, update.revision);
     }
@@ -345,16 +351,16 @@
         let update = self.endpoints.update(kind, endpoints, self.now, revision);
         let entries = endpoints.len() - update.endpoints.len();
         if entries > 0 {
-            self.act(Action::Log(LogEvent::EntriesIgnored { entries }));
+            self.push_action(Action::Log(LogEvent::EntriesIgnored { entries }));
         }
         self.is_copy_stale = kind != EndpointUpdateKind::Cached;
-        self.act(Action::Apply(update));
+        self.push_action(Action::Apply(update));
     }
 
     fn store_list(&mut self) {
         if std::mem::take(&mut self.is_copy_stale) {
             let bytes = self.endpoints.to_bytes(self.now);
-            self.act(Action::Store { bytes });
+            self.push_action(Action::Store { bytes });
         }
     }
 }
--- a/crates/discovery/src/endpoint_list.rs
+++ b/crates/discovery/src/endpoint_list.rs
@@ -1,12 +1,12 @@
-//! The endpoint list: as discovery sent it, as the scheduler reads it, and as it is stored over a
-//! restart.
+//! The endpoint list: as discovery sent it, as the scheduler reads it, and as the host stores it for its next
+//! start.
 //!
-//! Discovery sends ages, because two clocks cannot be compared. An age that is read twice gives two
-//! start times, which differ by the time that the messages waited. The list therefore keeps the
-//! start time that it computed first for each start of a node; otherwise the scheduler would see a
-//! restart in every list.
+//! Discovery sends the uptime of each node instead of its start time, because the clocks of two machines cannot
+//! be compared. Start times that are computed from two messages differ by the delays of the messages. The list
+//! therefore keeps the start time that it computed first for each start of a node; otherwise every list would
+//! look like a restart to the scheduler.
 //!
-//! Memory: a node stays known after it is gone. Bound: the number of nodes that discovery has ever
+//! The list keeps nodes that are gone, so its memory is bounded by the number of nodes that discovery has ever
 //! listed.
 
 use crate::events::ListUpdate;
@@ -16,13 +16,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Identity of a node's process: its start number and its address.
+/// Identifies the process of a node by its start number and its address.
 type Process = (u64, Option<SocketAddr>);
 
 /// The last known state of a node.
 #[derive(Debug, Clone)]
 pub struct KnownEndpoint {
-    /// The address to dial; None: discovery sent an address that cannot be parsed.
+    /// The address to dial; `None` if discovery sent an address that cannot be parsed.
     pub address: Option<SocketAddr>,
     /// Its state.
     pub state: NodeState,
@@ -32,9 +32,9 @@
     pub zone: ZoneId,
     /// The shard that it holds.
     pub shard: ShardId,
-    /// When its process started; None: long ago.
+    /// When its process started; `None` if discovery does not report it, because that was long ago.
     pub started: Option<Duration>,
-    /// Revision of the list that named it last; 0: the stored copy.
+    /// Revision of the latest list with this node; 0 if that is the stored copy.
     pub revision: u64,
 }
 
@@ -51,12 +51,12 @@
 }
 
 impl EndpointList {
-    /// Returns what is known of a node.
+    /// Returns the last known state of a node.
     pub fn get(&self, node: NodeId) -> Option<&KnownEndpoint> {
         self.nodes.get(&node)
     }
 
-    /// Returns all known nodes, also those that are gone, in the order of their numbers.
+    /// Returns all known nodes, including those that are gone, in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (NodeId, &KnownEndpoint)> {
         self.nodes.iter().map(|(node, known)| (*node, known))
     }
@@ -66,8 +66,9 @@
         self.nodes.is_empty()
     }
 
-    /// Applies an update from discovery, and returns the change. Entries without a state are
-    /// ignored. A complete list (`kind` is not a delta) makes all other nodes gone.
+    /// Applies an update from discovery, and returns the change. Entries without a state are ignored. If the
+    /// update is a complete list (`kind` is not a delta), all nodes that it does not contain are marked as
+    /// gone.
     pub fn update(
         &mut self,
         kind: EndpointUpdateKind,
@@ -99,14 +100,14 @@
         }
     }
 
-    /// Returns the processes that are known of these nodes.
+    /// Returns the known processes of these nodes.
     fn processes_of(&self, endpoints: &[pb::Endpoint]) -> BTreeMap<NodeId, Process> {
         let nodes = endpoints.iter().map(|endpoint| NodeId(endpoint.node));
         let known = nodes.filter_map(|id| Some((id, self.nodes.get(&id)?.process())));
         known.collect()
     }
 
-    /// Records one endpoint, and returns it as the scheduler reads it; None: it has no state.
+    /// Records one endpoint, and returns it in the scheduler's form, or `None` if it has no state.
     pub fn read(
         &mut self,
         endpoint: &pb::Endpoint,
@@ -152,7 +153,7 @@
         Some(now.saturating_sub(uptime))
     }
 
-    /// Marks the nodes that a complete list does not name as gone, and returns them.
+    /// Marks the nodes that a complete list does not contain as gone, and returns them.
     pub fn retain_listed(&mut self, listed: &[Endpoint], revision: u64) -> Vec<NodeId> {
         let listed: HashSet<NodeId> = listed.iter().map(|endpoint| endpoint.node).collect();
         let mut gone = Vec::new();
@@ -166,7 +167,7 @@
         gone
     }
 
-    /// Returns the list as the bytes of its stored copy.
+    /// Encodes the list as the bytes of its stored copy.
     pub fn to_bytes(&self, now: Duration) -> Vec<u8> {
         let present = self.nodes.iter();
         let present = present.filter(|(_, known)| known.state != NodeState::Gone);
@@ -182,10 +183,12 @@
         bytes
     }
 
-    /// Reads the bytes of a stored copy.
+    /// Decodes the bytes of a stored copy.
     ///
-    /// Errors: the bytes are damaged or incomplete. Nothing of a damaged copy is used, because a
-    /// partial list would hide nodes.
+    /// # Errors
+    ///
+    /// Returns an error if the bytes are damaged or incomplete. No part of a damaged copy is used, because
+    /// nodes would be missing from a partial list.
     pub fn from_bytes(bytes: &[u8]) -> Result<pb::EndpointUpdate, frame::FrameFault> {
         let mut reader = frame::Reader::new(bytes.len());
         reader.push(bytes);
--- a/crates/discovery/src/events.rs
+++ b/crates/discovery/src/events.rs
@@ -1,4 +1,4 @@
-//! Events that [`crate::DiscoveryClient::step`] takes, actions that it returns, and log events.
+//! The events that [`crate::DiscoveryClient::step`] takes, the actions that it returns, and the log events.
 
 use grebecleat_scheduler::api::{Endpoint, EndpointUpdateKind, NodeId};
 use grebecleat_wire::pb::{self, frame::Body};
@@ -6,17 +6,17 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Identifies one link, which is a dial to discovery or the connection that results from it. The
-/// client numbers its links and never reuses a number.
+/// Identifies one link, which is a dial to discovery and the connection that results from it. The client
+/// numbers its links and never reuses a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
 /// An input of [`crate::DiscoveryClient::step`].
 #[derive(Debug)]
 pub enum Event {
-    /// The scheduler requests a watch, or ends it.
+    /// The scheduler starts or stops a watch for changes.
     Watch {
-        /// Whether discovery reports changes from now on.
+        /// Whether the client watches from now on.
         on: bool,
     },
     /// The scheduler requests the complete list once.
@@ -38,20 +38,18 @@
         /// The link.
         link: LinkId,
     },
-    /// Discovery has responded to a call that it has too many callers. The connection ends with
-    /// this response.
+    /// Discovery has refused a call because it has too many callers. The connection ends with this response.
     Refused {
         /// The link.
         link: LinkId,
-        /// How long the call had been queued at discovery, without the time for which it was to
-        /// wait for changes.
+        /// How long the call had been queued at discovery, without the time for which discovery may hold it
+        /// until there is a change.
         waited: Duration,
-        /// Whether the call continued an open watch. Discovery then had reported every change up
-        /// to now.
+        /// Whether the call continued an open watch. Discovery had then reported every change until now.
         up_to_date: bool,
     },
-    /// Discovery has ended a connection together with a response, which its protocol allows. The
-    /// next call needs another link.
+    /// Discovery has closed a connection after a response, which its protocol allows. The next call needs
+    /// another link.
     Ended {
         /// The link.
         link: LinkId,
@@ -61,18 +59,18 @@
         /// The link.
         link: LinkId,
     },
-    /// Discovery is at another address from now on.
+    /// The address of discovery has changed.
     Moved,
-    /// The copy of the endpoint list that this host stored before its restart.
+    /// This host has loaded the copy of the endpoint list that it stored before its restart.
     CachedList {
         /// The list.
         list: pb::EndpointUpdate,
     },
-    /// The timeout of the active call may have passed. Precedes the scheduler's step, so that the
-    /// scheduler learns of a failure at once.
+    /// The timeout of the active call may have passed. The caller sends this event before it steps the
+    /// scheduler, so that the scheduler learns of a failure at once.
     CheckTimeout,
-    /// The poll deadline may have passed. Follows the scheduler's step, since a call that the
-    /// scheduler requests makes this one unnecessary.
+    /// The poll deadline may have passed. The caller sends this event after it has stepped the scheduler,
+    /// because a call that the scheduler requests makes the client's own call unnecessary.
     CheckPollDeadline,
     /// The caller can store the list now.
     StoreDue,
@@ -100,23 +98,23 @@
     },
     /// Apply a change of the endpoint list to the scheduler, the connections and the attempts.
     Apply(ListUpdate),
-    /// Notify the scheduler that the list is current.
+    /// Notify the scheduler that the list is up to date.
     ConfirmList,
     /// Notify the scheduler that a call has failed.
     ReportFailure,
     /// Notify the scheduler that discovery has refused a call.
     ReportRefusal {
-        /// See [`Event::Refused`].
+        /// How long the call had been queued, see [`Event::Refused`].
         waited: Duration,
     },
-    /// Notify the scheduler that discovery is at another address.
+    /// Notify the scheduler that the address of discovery has changed.
     ReportMove,
     /// Replace the stored copy of the list.
     Store {
         /// The bytes of the file.
         bytes: Vec<u8>,
     },
-    /// Count a message that is no endpoint update, or that came on a link that is not read.
+    /// Count a message that is not an endpoint update, or that arrived on a link that the client does not read.
     UnexpectedMessage {
         /// The link.
         link: LinkId,
@@ -130,13 +128,13 @@
 pub struct ListUpdate {
     /// Whether the update replaces the list, changes it, or is the stored copy.
     pub kind: EndpointUpdateKind,
-    /// Revision of the list; 0: the stored copy.
+    /// Revision of the list; 0 if the update is the stored copy.
     pub revision: u64,
-    /// The endpoints that the update names.
+    /// The endpoints in the update.
     pub endpoints: Vec<Endpoint>,
-    /// Nodes among `endpoints` that are another process than before.
+    /// Nodes among `endpoints` whose process has changed.
     pub restarted: BTreeSet<NodeId>,
-    /// Nodes that a complete list no longer names. They are gone.
+    /// Nodes that a complete list no longer contains. They are gone.
     pub delisted: Vec<NodeId>,
 }
 
@@ -152,7 +150,7 @@
 }
 
 impl FailureReason {
-    /// The reason as the log names it.
+    /// Returns the name of the reason in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             FailureReason::ConnectionLost => "connection lost",
@@ -169,7 +167,7 @@
     CallFailed {
         /// The reason.
         reason: FailureReason,
-        /// The time since discovery last responded; None: it has not responded since the start.
+        /// Time since discovery last responded; `None` if it has not responded since the start.
         since_response: Option<Duration>,
         /// How many calls have failed since discovery last responded.
         failures: u32,
@@ -179,17 +177,17 @@
         /// How many calls had failed.
         failures: u32,
     },
-    /// Discovery has responded to an overdue call. The later call is dropped.
+    /// Discovery has responded to an overdue call. The client abandons the later call.
     OverdueCallAnswered,
     /// An update has entries without a state, which are ignored.
     EntriesIgnored {
-        /// How many.
+        /// Number of ignored entries.
         entries: usize,
     },
 }
 
 impl LogEvent {
-    /// Writes the event to the log. `host`: the name of the host, if the log names it.
+    /// Writes the event to the log. `host` is the name of the host, if the log has a field for it.
     pub fn write(&self, host: Option<&str>) {
         let host = host.map(tracing::field::display);
         match self {
--- a/crates/discovery/src/history.rs
+++ b/crates/discovery/src/history.rs
@@ -1,18 +1,18 @@
-//! Results of the calls to discovery since its last response, for the log.
+//! Counts the calls to discovery that have failed since its last response, for the log.
 
 use crate::events::{FailureReason, LogEvent};
 use std::time::Duration;
 
 /// Failures since discovery last responded.
 #[derive(Debug, Default)]
-pub(crate) struct CallHistory {
-    /// When discovery last responded; None: not since the start.
+pub(crate) struct FailureHistory {
+    /// When discovery last responded; `None` if it has not responded since the start.
     responded_at: Option<Duration>,
     /// Calls that have failed since then.
     failures: u32,
 }
 
-impl CallHistory {
+impl FailureHistory {
     /// Counts a failed call.
     pub(crate) fn failed(&mut self, now: Duration, reason: FailureReason) -> LogEvent {
         self.failures += 1;
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Records a response; returns a log event if calls had failed before it.
+    /// Records a response. Returns a log event if calls had failed before it.
     pub(crate) fn responded(&mut self, now: Duration) -> Option<LogEvent> {
         self.responded_at = Some(now);
         let failures = std::mem::take(&mut self.failures);
--- a/crates/discovery/src/links.rs
+++ b/crates/discovery/src/links.rs
@@ -1,18 +1,18 @@
-//! The links to discovery: the active link, and the overdue links that are still read.
+//! The links to discovery: the active link, and the overdue links that the client still reads.
 
 use crate::events::LinkId;
 use grebecleat_wire::pb::frame::Body;
 use std::time::Duration;
 
-/// The largest number of overdue links. A call begins at least one second after the call before it,
-/// so three links suffice to read a response that is three seconds late. A larger number costs
-/// descriptors; a smaller one drops late responses.
+/// Largest number of overdue links. A call begins at least one second after the previous call, so three links
+/// suffice to read a response that is three seconds late. A larger number costs file descriptors; with a
+/// smaller one, late responses are lost.
 const MAX_OVERDUE_LINKS: usize = 3;
 
 /// The link on which the client calls discovery.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveLink {
-    /// None: the client neither dials nor has a connection.
+    /// The link; `None` if the client is neither dialling nor connected.
     pub id: Option<LinkId>,
     /// Whether the dial has succeeded.
     pub is_connected: bool,
@@ -24,19 +24,18 @@
     pub answer_by: Option<Duration>,
     /// Whether discovery has responded on the link.
     pub has_response: bool,
-    /// Whether the first call continues a watch. The transport then knows its timeout.
+    /// Whether the first call continues a watch. The transport then applies the timeout of the call.
     pub continues_watch: bool,
 }
 
-/// A link that the client no longer calls on, and that it reads until discovery responds on the
-/// active link. Discovery counts its response as delivered whenever it is sent, and the response on
-/// the active link may take long.
+/// A link on which the client no longer sends calls, but which it reads until discovery responds on the active
+/// link. Discovery counts a late response as delivered, and the response on the active link may take long.
 #[derive(Debug)]
 pub(crate) struct OverdueLink {
     pub id: LinkId,
-    /// Whether discovery has moved since. Otherwise the link becomes the active link again as soon
-    /// as its call is answered.
-    pub has_moved: bool,
+    /// Whether the link leads to a former address of discovery. Otherwise the link becomes the active link
+    /// again as soon as discovery responds to its call.
+    pub is_at_former_address: bool,
 }
 
 /// The overdue links, oldest first.
@@ -46,16 +45,16 @@
 }
 
 impl OverdueLinks {
-    /// Whether the link is among them.
+    /// Returns whether the link is overdue.
     pub(crate) fn contains(&self, id: LinkId) -> bool {
         self.links.iter().any(|link| link.id == id)
     }
 
-    /// Adds a link, and returns the oldest link if there are too many.
+    /// Adds a link. If there are too many, removes the oldest link and returns it.
     pub(crate) fn add(&mut self, id: LinkId) -> Option<LinkId> {
         self.links.push(OverdueLink {
             id,
-            has_moved: false,
+            is_at_former_address: false,
         });
         (self.links.len() > MAX_OVERDUE_LINKS).then(|| self.links.remove(0).id)
     }
@@ -65,22 +64,22 @@
         self.links.retain(|link| link.id != id);
     }
 
-    /// Removes the link if its address is still discovery's; returns whether it was there.
-    pub(crate) fn take_unmoved(&mut self, id: LinkId) -> bool {
-        let is_unmoved = |link: &OverdueLink| link.id == id && !link.has_moved;
-        let index = self.links.iter().position(is_unmoved);
+    /// Removes the link if it leads to the current address of discovery. Returns whether it was removed.
+    pub(crate) fn take_at_current_address(&mut self, id: LinkId) -> bool {
+        let is_match = |link: &OverdueLink| link.id == id && !link.is_at_former_address;
+        let index = self.links.iter().position(is_match);
         index.map(|index| self.links.remove(index)).is_some()
     }
 
-    /// Whether one of the links leads to a former address.
-    pub(crate) fn has_moved(&self) -> bool {
-        self.links.iter().any(|link| link.has_moved)
+    /// Returns whether one of the links leads to a former address of discovery.
+    pub(crate) fn has_former_address(&self) -> bool {
+        self.links.iter().any(|link| link.is_at_former_address)
     }
 
-    /// Marks all links as leading to a former address.
-    pub(crate) fn mark_moved(&mut self) {
+    /// Records that all links lead to a former address of discovery.
+    pub(crate) fn mark_former_address(&mut self) {
         for link in &mut self.links {
-            link.has_moved = true;
+            link.is_at_former_address = true;
         }
     }
 
--- a/crates/discovery/src/long_polling.rs
+++ b/crates/discovery/src/long_polling.rs
@@ -1,35 +1,37 @@
-//! Long polling: carries the client's watch over a protocol in which discovery responds to one call
-//! at a time.
+//! Long polling: implements the client's watch over a protocol in which discovery responds to one call at a
+//! time.
 //!
-//! State machine: [`LongPolling::step`] takes one event and returns the actions to perform. No I/O
-//! and no clock. The platform's owner calls it. State: the [`CallSequence`] of each connection, the
-//! address of discovery, and the revision from which the next connection resumes.
+//! [`LongPolling`] is a state machine without I/O and without a clock: the owner thread of the platform's host
+//! calls [`LongPolling::step`] with one event, and performs the actions that it returns. Its state is the
+//! [`CallSequence`] of each connection, the address of discovery, and the revision from which the next
+//! connection resumes.
 //!
-//! Bounds: one record for each connection to discovery, of which [`crate::DiscoveryClient`] has few.
+//! Its memory is bounded by the number of connections to discovery, of which [`crate::DiscoveryClient`] opens
+//! only a few.
 
 use crate::calls::{Call, CallSequence, Event as CallEvent, OutstandingCall};
-use crate::poll_deadline::PATIENT_CALL_TIMEOUT;
+use crate::poll_deadline::EXTENDED_CALL_TIMEOUT;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The next connection continues a watch if it begins within this time after the last response. The
-/// value is less than the platform allows, because the call needs time on its way. A larger value
-/// takes a lost watch for one that is still open; a smaller one costs discovery another call.
-const CONTINUES_WITHIN: Duration = Duration::from_millis(150);
+/// Longest time after the last response within which a new connection continues the watch. The value is less
+/// than the platform allows, because the call takes some time to arrive. With a larger value, the host would
+/// treat a watch as still open that discovery has already ended; a smaller value costs discovery another call.
+const MAX_CONTINUATION_GAP: Duration = Duration::from_millis(150);
 
 /// Identifies one connection to discovery. The caller numbers its connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PollConn(pub u64);
 
-/// A complete response of discovery.
+/// Properties of a response from discovery that was received in full.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Response {
     /// Revision of the list in the response.
     pub revision: u64,
     /// Whether the response is the complete list.
     pub is_complete: bool,
-    /// Whether every entry of the response could be read.
+    /// Whether every entry of the response could be parsed.
     pub is_well_formed: bool,
     /// Whether the response has no entries.
     pub is_empty: bool,
@@ -40,16 +42,16 @@
 /// An input of [`LongPolling::step`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// The host has read the list from before its start.
+    /// The host has loaded the list that it stored before its restart.
     Cached {
         /// Revision of that list.
         revision: u64,
-        /// Whether every entry of the list could be read.
+        /// Whether every entry of the list could be parsed.
         is_well_formed: bool,
     },
-    /// Discovery is at another address from now on.
+    /// The address of discovery has changed.
     Moved {
-        /// The address.
+        /// The new address.
         address: SocketAddr,
     },
     /// A connection to the current address is open.
@@ -57,11 +59,11 @@
         /// The connection.
         conn: PollConn,
     },
-    /// The client requests changes on a connection, or no longer.
+    /// The client starts or stops to watch for changes on a connection.
     Watch {
         /// The connection.
         conn: PollConn,
-        /// Whether it requests them.
+        /// Whether the client watches from now on.
         on: bool,
     },
     /// The client requests the complete list once.
@@ -76,7 +78,8 @@
         /// The response.
         response: Response,
     },
-    /// Discovery has responded that it has too many callers. The caller closes the connection.
+    /// Discovery has refused the call because it has too many callers. The caller of `step` closes the
+    /// connection.
     Refused {
         /// The connection.
         conn: PollConn,
@@ -114,25 +117,25 @@
         /// Whether the call continued an open watch.
         up_to_date: bool,
     },
-    /// Close the connection and report to the client that it has ended with its response.
+    /// Close the connection, and report to the client that it has ended after a response.
     End {
         /// The connection.
         conn: PollConn,
     },
-    /// Close the connection and report to the client that it is lost.
+    /// Close the connection, and report to the client that it was lost.
     Drop {
         /// The connection.
         conn: PollConn,
     },
 }
 
-/// The revision of the endpoint list that this host has and of which it missed nothing.
+/// The revision of the endpoint list that this host has completely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct KnownRevision {
     revision: u64,
-    /// Address of the discovery that counts the revision. Another discovery may count differently.
+    /// Address of the discovery server that numbers the revision. Another server may use other numbers.
     address: SocketAddr,
-    /// When discovery sent it; None: before the start.
+    /// When the revision was received; `None` if it comes from the stored list.
     received_at: Option<Duration>,
 }
 
@@ -143,18 +146,19 @@
     address: SocketAddr,
 }
 
-/// Calls discovery on each of its connections, one call after the other.
+/// Decides the calls on each connection to discovery, one call at a time.
 #[derive(Debug)]
 pub struct LongPolling {
     address: SocketAddr,
     poll_interval: Duration,
-    /// None: there is no endpoint list, or part of it could not be read.
+    /// `None` if there is no endpoint list, or part of it could not be parsed.
     known: Option<KnownRevision>,
     connections: BTreeMap<PollConn, PolledConnection>,
 }
 
 impl LongPolling {
-    /// `address`: of discovery; `poll_interval`: how often the settings require a poll.
+    /// Returns the state without connections. `address` is the address of discovery; `poll_interval` is the
+    /// time between two polls that the settings require.
     pub fn new(address: SocketAddr, poll_interval: Duration) -> Self {
         LongPolling {
             address,
@@ -212,11 +216,11 @@
     fn connected(&mut self, now: Duration, conn: PollConn) {
         let known = self.known.filter(|known| known.address == self.address);
         let received_at = known.and_then(|known| known.received_at);
-        let continues = received_at.is_some_and(|at| now < at + CONTINUES_WITHIN);
+        let continues = received_at.is_some_and(|at| now < at + MAX_CONTINUATION_GAP);
         let revision = known.map(|known| known.revision);
         let connection = PolledConnection {
-            // The client, which knows how long the call may take, ends it sooner.
-            calls: CallSequence::new(PATIENT_CALL_TIMEOUT, revision, continues),
+            // The client applies its own timeout to the first call, which may be shorter.
+            calls: CallSequence::new(EXTENDED_CALL_TIMEOUT, revision, continues),
             address: self.address,
         };
         self.connections.insert(conn, connection);
@@ -236,23 +240,23 @@
             address: connection.address,
             received_at: Some(now),
         });
-        self.known = received.filter(|received| !self.went_back(received, &response));
+        self.known = received.filter(|received| !self.is_stale_delta(received, &response));
         if response.keep_alive {
             let revision = response.revision;
             return self.next_call(now, conn, CallEvent::Answered { revision });
         }
-        // Discovery has nothing new and did not wait for it, like a discovery that is about to end
-        // or that has no watches. A call that follows at once would make the host call without a
-        // pause.
+        // Discovery had no change and did not hold the call, like a server that is about to stop or does not
+        // support watches. If the next call followed at once, the host would call in a busy loop, so the
+        // connection counts as lost and the backoff applies.
         if response.is_empty && outstanding.ends_early(now) {
             return Some(Action::Drop { conn });
         }
         Some(Action::End { conn })
     }
 
-    /// Returns whether discovery has sent changes of an older revision than it had sent before. It
-    /// has lost its own revisions, and only a complete list contains the changes since then.
-    fn went_back(&self, received: &KnownRevision, response: &Response) -> bool {
+    /// Returns whether discovery has sent changes with an older revision than it had sent before. It has then
+    /// lost its state, and only a complete list contains the changes since then.
+    fn is_stale_delta(&self, received: &KnownRevision, response: &Response) -> bool {
         let is_older = self.known.is_some_and(|known| {
             known.address == received.address && received.revision < known.revision
         });
--- a/crates/discovery/tests/endpoint_list.rs
+++ b/crates/discovery/tests/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! The endpoint list keeps the start time of each start, and reads only a complete stored copy.
+//! The endpoint list keeps the first start time that it computed for each start of a node, and rejects a
+//! truncated stored copy.
 
 use grebecleat_discovery::endpoint_list::EndpointList;
 use grebecleat_scheduler::api::NodeId;
@@ -9,7 +10,7 @@
     Duration::from_secs(n)
 }
 
-/// An entry of node 3 with the given start number and uptime in seconds.
+/// Returns an entry of node 3 with this start number and uptime in seconds.
 fn entry(start: u64, uptime: u64) -> pb::Endpoint {
     pb::Endpoint {
         node: 3,
@@ -22,14 +23,14 @@
 }
 
 #[test]
-fn one_start_keeps_its_start_time_and_a_damaged_stored_copy_is_rejected() {
+fn one_start_keeps_its_start_time_and_a_truncated_stored_copy_is_rejected() {
     let mut list = EndpointList::default();
     let mut started = |entry, now, revision| list.read(&entry, now, revision).unwrap().started;
     assert_eq!(started(entry(1, 4), seconds(10), 1), Some(seconds(6)));
     assert_eq!(
         started(entry(1, 4), seconds(11), 1),
         Some(seconds(6)),
-        "the message waited a second"
+        "the message was delayed by a second"
     );
     assert_eq!(started(entry(2, 0), seconds(12), 2), Some(seconds(12)));
     let bytes = list.to_bytes(seconds(13));
--- a/crates/discovery/tests/long_polling.rs
+++ b/crates/discovery/tests/long_polling.rs
@@ -1,4 +1,4 @@
-//! The revision from which a new connection resumes, and the end of a connection with a response.
+//! The revision from which a new connection resumes, connections that end with a response, and overdue calls.
 
 use grebecleat_discovery::calls::Call;
 use grebecleat_discovery::long_polling::{Action, Event, LongPolling, PollConn, Response};
@@ -12,7 +12,7 @@
 const FIRST: PollConn = PollConn(1);
 const SECOND: PollConn = PollConn(2);
 
-/// A well-formed response that is no complete list.
+/// A well-formed response with changes, on a connection that stays open.
 const CHANGES: Response = Response {
     revision: 5,
     is_complete: false,
@@ -25,19 +25,19 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// Calls over one connection, which has had the complete list of revision 5.
-fn polling() -> LongPolling {
+/// Returns a state with one connection, on which the complete list of revision 5 was received.
+fn polling_with_list() -> LongPolling {
     let mut polling = LongPolling::new(address(1), ms(6000));
     assert_eq!(first_call(&mut polling, ms(0), FIRST), Some(Call::Complete));
     let complete = Response {
         is_complete: true,
         ..CHANGES
     };
-    answer(&mut polling, ms(10), complete);
+    respond(&mut polling, ms(10), complete);
     polling
 }
 
-/// Opens the connection with a watch, and returns its call.
+/// Opens a connection, starts a watch on it, and returns the first call.
 fn first_call(polling: &mut LongPolling, now: Duration, conn: PollConn) -> Option<Call> {
     polling.step(now, Event::Connected { conn });
     let actions = polling.step(now, Event::Watch { conn, on: true });
@@ -47,11 +47,13 @@
     })
 }
 
-fn answer(polling: &mut LongPolling, now: Duration, response: Response) -> Vec<Action> {
+/// Passes a response on the first connection.
+fn respond(polling: &mut LongPolling, now: Duration, response: Response) -> Vec<Action> {
     let conn = FIRST;
     polling.step(now, Event::Answered { conn, response })
 }
 
+/// A call for the changes after a revision.
 fn newer(revision: u64, wait: Duration) -> Option<Call> {
     Some(Call::Newer { revision, wait })
 }
@@ -69,7 +71,7 @@
             newer(6, ms(0)),
         ),
         (
-            "an entry cannot be read",
+            "an entry cannot be parsed",
             Response {
                 is_well_formed: false,
                 ..CHANGES
@@ -77,7 +79,7 @@
             Some(Call::Complete),
         ),
         (
-            "the revision went back",
+            "the revision decreased",
             Response {
                 revision: 4,
                 ..CHANGES
@@ -85,7 +87,7 @@
             Some(Call::Complete),
         ),
         (
-            "the revision went back with a complete list",
+            "the revision decreased, in a complete list",
             Response {
                 revision: 4,
                 is_complete: true,
@@ -95,8 +97,8 @@
         ),
     ];
     for (name, response, expected) in cases {
-        let mut polling = polling();
-        answer(&mut polling, ms(20), response);
+        let mut polling = polling_with_list();
+        respond(&mut polling, ms(20), response);
         let call = first_call(&mut polling, ms(1000), SECOND);
         assert_eq!(call, expected, "{name}");
     }
@@ -104,14 +106,14 @@
 
 #[test]
 fn a_connection_shortly_after_a_response_continues_the_watch() {
-    let mut polling = polling();
+    let mut polling = polling_with_list();
     let call = first_call(&mut polling, ms(100), SECOND);
     assert_eq!(call, newer(5, ms(2000)));
 }
 
 #[test]
 fn another_address_gets_a_call_for_the_complete_list() {
-    let mut polling = polling();
+    let mut polling = polling_with_list();
     let address = address(2);
     polling.step(ms(20), Event::Moved { address });
     let call = first_call(&mut polling, ms(30), SECOND);
@@ -126,15 +128,15 @@
         ..CHANGES
     };
     let conn = FIRST;
-    let early = answer(&mut polling(), ms(20), last);
+    let early = respond(&mut polling_with_list(), ms(20), last);
     assert_eq!(early, [Action::Drop { conn }]);
-    let after_half_of_the_wait = answer(&mut polling(), ms(1010), last);
+    let after_half_of_the_wait = respond(&mut polling_with_list(), ms(1010), last);
     assert_eq!(after_half_of_the_wait, [Action::End { conn }]);
 }
 
 #[test]
 fn an_overdue_call_is_reported_once() {
-    let mut polling = polling();
+    let mut polling = polling_with_list();
     let conn = FIRST;
     let overdue_at = ms(10) + ms(3000);
     assert!(polling
--- a/crates/scheduler/tests/outlier_ejection.rs
+++ b/crates/scheduler/tests/outlier_ejection.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn an_unreachable_full_or_unresponsive_node_gets_trial_requests_only() {
-    // None: the attempts get no answer.
+    // outcome of every attempt; `None` if the node never answers
     for outcome in [
         Some(AttemptOutcome::QueueFull),
         Some(AttemptOutcome::ConnectFailed),
