--- a/crates/scheduler/tests/changes.rs
+++ b/crates/scheduler/tests/changes.rs
@@ -190,7 +190,8 @@
     assert!(own == 5 && last < first, "{order:?}");
 }
 
-/// A higher price also rescales the request values that the admission throttle compares.
+/// The new plan is added while the host runs. Its higher price also rescales the request values that the admission
+/// throttle compares.
 #[test]
 fn changed_plan_settings_apply_at_once_and_a_new_plan_has_the_next_id() {
     let mut scheduler = idempotent_host(plan(1.0));
--- a/crates/scheduler/tests/slow_start.rs
+++ b/crates/scheduler/tests/slow_start.rs
@@ -301,11 +301,11 @@
         let (sent, ..) = step_at(&mut scheduler, t, receive(request(n, ms(t + 400))));
         step_at(&mut scheduler, t + 5, completed(&sent, 5));
     }
-    let successor = Endpoint {
+    let replacement = Endpoint {
         shard: ShardId(1),
         ..endpoint(node, NodeState::Ready, Some(ms(11_000)))
     };
-    let endpoints = vec![endpoint(1, NodeState::Gone, None), successor];
+    let endpoints = vec![endpoint(1, NodeState::Gone, None), replacement];
     step_at(
         &mut scheduler,
         11_011,
