--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -1,40 +1,41 @@
 //! Routes the requests, attempts and connections of one host between the sockets and the scheduler.
 //!
-//! State machine: `step(now, inputs)` returns the outputs to perform, beyond the frames that it puts
-//! into outboxes; `wake_at` returns when it must be called again. No I/O and no clock. The caller is
-//! the loop of the owner: [`crate::server`], or that of the platform. The router defines the
-//! order of things; each part of the state has one owner:
+//! The router is a state machine without I/O and without a clock of its own. `step(now, inputs)` puts
+//! frames into outboxes and returns the other outputs for the caller to perform; `wake_at` returns
+//! when `step` must be called again. The caller is the event loop that owns the sockets: that of
+//! [`crate::server`], or that of the platform crate. The router defines the order in which a step
+//! handles its inputs; each part of the state has one owner:
 //!
 //! | state | owner |
 //! | --- | --- |
 //! | clients, open requests and their bytes | `ClientSessions` |
-//! | outstanding attempts and their deadlines | `AttemptTable` |
-//! | connections to nodes, and attempts that wait for one | `NodePools`, `NodeConnection` |
-//! | health checks that await their result | `HealthChecks` |
-//! | timers of the scheduler, and the next sweep | `Timers` |
+//! | outstanding attempts, their deadlines | `AttemptTable` |
+//! | connections to nodes, attempts that wait for a connection | `NodePools`, `NodeConnection` |
+//! | outstanding health checks | `HealthChecks` |
+//! | timers of the scheduler, time of the next periodic sweep | `Timers` |
 //! | plans, volumes, drains | [`crate::config_follower`] |
-//! | quotas of shared limits, nodes that all hosts avoid | [`crate::quota_sharing`] |
-//! | the report to the state service | [`crate::observations`] |
-//! | subscribers and metrics | `MetricsPublisher` |
-//! | a graceful shutdown | `Shutdown` |
+//! | quotas of shared limits, nodes that all hosts avoid as outliers | [`crate::quota_sharing`] |
+//! | node observations sent to the state service | [`crate::observations`] |
+//! | metrics, subscribers to them | `MetricsPublisher` |
+//! | graceful shutdown | `Shutdown` |
 //!
 //! Every event and action of [`grebecleat_scheduler::api`] passes through the router:
 //!
 //! - A request has one final response: that of its first attempt that completes, or else the
-//!   scheduler's decision. A request that its client has cancelled has none. A later response is
-//!   counted as stray and dropped.
+//!   scheduler's decision to reject or fail it. A request that its client has cancelled has none. A
+//!   later response is counted as stray and dropped.
 //! - An attempt ends once, with the first of these: the response of its node, its deadline, a reset
 //!   of its connection, a cancellation, or its revocation from an outbox. Only a revoked attempt is
 //!   reported as never sent.
-//! - Where the endpoint list, a drain or outlier detection takes a node out of service, every
-//!   attempt to it that is not yet written is revoked. The scheduler receives a drained or avoided
-//!   node as if the endpoint list had set it draining.
+//! - When the endpoint list, a drain or outlier detection takes a node out of service, every
+//!   attempt to it that is not yet written is revoked. The router reports a drained or avoided node
+//!   to the scheduler as if the endpoint list had marked it as draining.
 //!
-//! Files: `requests` (the course of a request and its attempts), `nodes` (connections to nodes, and
-//! their exclusion), `endpoints` and `discovery` (the endpoint list).
+//! `requests` implements the life cycle of a request and of its attempts, `nodes` the connections to
+//! nodes and the exclusion of nodes from service, `endpoints` and `discovery` the endpoint list.
 //!
-//! Memory: the open requests with their bytes, and the connections, both bounded by the settings;
-//! and a record for each node.
+//! The router stores the open requests with their bytes and the connections, both bounded by the
+//! settings, and one record for each node.
 
 mod attempt_table;
 mod bad_peers;
@@ -84,10 +85,12 @@
 use tracing::debug;
 use types::request_id;
 
-/// The longest sleep while a request is open. The bound separates a pause of the process from a
-/// wait: with a longer sleep, a short pause would be charged to the nodes.
+/// The longest time between two steps while a request is open. A step that comes later than this
+/// shows that the process was paused. With a larger bound, a short pause would go unnoticed and be
+/// counted as latency of the nodes.
 const MAX_SLEEP: Duration = Duration::from_millis(50);
-/// The longest sleep while no request is open. A longer sleep would detect a pause later.
+/// The longest time between two steps while no request is open. With a larger bound, a pause of the
+/// process would be detected later.
 const MAX_IDLE_SLEEP: Duration = Duration::from_secs(1);
 
 /// The requests, attempts and connections of one host.
@@ -97,12 +100,12 @@
     scheduler: Scheduler,
     effects: StepEffects,
     config: ConfigFollower,
-    /// None: this host shares no quotas and no findings with peers.
+    /// `None` if this host shares neither quotas nor outlier observations with peers.
     sharing: Option<QuotaSharing>,
     clients: ClientSessions,
     attempts: AttemptTable,
     pools: NodePools,
-    /// Owns the endpoint list.
+    /// Follows the discovery service and owns the endpoint list.
     discovery: DiscoveryClient,
     discovery_connections: DiscoveryConnections,
     observations: ObservationReport,
@@ -112,8 +115,8 @@
 }
 
 impl RequestRouter {
-    /// A host that serves the volumes that its settings declare. `seed` differs at each start of the
-    /// host.
+    /// Creates the router of a host that serves the volumes declared in its settings. `seed` must
+    /// differ at each start of the host.
     pub fn new(settings: Arc<Settings>, seed: u64) -> Self {
         RequestRouter {
             scheduler: make_scheduler::scheduler(&settings, seed),
@@ -134,19 +137,20 @@
         }
     }
 
-    /// Sets this host's index among the settings' hosts.
+    /// Sets this host's index in the settings' list of hosts.
     pub fn with_host_index(mut self, index: usize) -> Self {
         self.host.set_index(index);
         self
     }
 
-    /// Follows a state service, from the state that was last persisted.
+    /// Takes plans, volumes and drains from a state service, starting from the last persisted state.
     pub fn following(mut self, host: &str, start: InitialState) -> Self {
         self.config = ConfigFollower::of(self.host.settings(), host, start, self.host.seed());
         self
     }
 
-    /// Shares observations and quotas with the peers. Called after [`RequestRouter::following`].
+    /// Shares node observations and quotas with the peers. With a state service, call
+    /// [`RequestRouter::following`] first.
     pub fn sharing(mut self, now: Duration, peers: &[PeerId], incarnation: u64) -> Self {
         let settings = self.host.settings();
         let index = self.host.index();
@@ -158,47 +162,51 @@
         self
     }
 
-    /// Uses the platform's protocol: see [`WireMode::Exclusive`].
+    /// Uses the platform's protocol, see [`WireMode::Exclusive`].
     pub fn with_exclusive_connections(mut self) -> Self {
         self.pools = self.pools.with_exclusive_connections();
         self
     }
 
-    /// Adds a poll deadline, see [`DiscoveryClient::with_poll_deadline`].
-    pub fn with_poll_deadline(mut self, term: Duration, call: Duration) -> Self {
+    /// Requires a change of the endpoint list to be known within `deadline`, with a time-out of
+    /// `call_timeout` for each call; see [`DiscoveryClient::with_poll_deadline`].
+    pub fn with_poll_deadline(mut self, deadline: Duration, call_timeout: Duration) -> Self {
         let seed = self.host.seed();
-        self.discovery = self.discovery.with_poll_deadline(term, call, seed);
+        self.discovery = self
+            .discovery
+            .with_poll_deadline(deadline, call_timeout, seed);
         self
     }
 
-    /// The settings of this host.
+    /// Returns the settings of this host.
     pub fn settings(&self) -> &Settings {
         self.host.settings()
     }
 
-    /// The follower of the state service. Panics where this host follows none.
+    /// Returns the follower of the state service. Panics if this host follows none.
     pub fn follower(&self) -> &Follower {
         self.config
             .follower()
             .expect("this host follows a state service")
     }
 
-    /// The scheduler, for introspection.
+    /// Returns the scheduler, for introspection.
     pub fn scheduler(&mut self) -> &mut Scheduler {
         &mut self.scheduler
     }
 
-    /// Counters since the start of the host.
+    /// Returns the counters since the start of the host.
     pub fn counters(&self) -> Counters {
         self.metrics.counters()
     }
 
-    /// Returns whether a request is open: not answered, or with an outstanding attempt.
+    /// Returns whether a request is open, which means unanswered or with an outstanding attempt.
     pub fn is_open(&self, id: &[u8]) -> bool {
         request_id(id).is_some_and(|id| self.clients.request(&id).is_some())
     }
 
-    /// Returns the clients of the attempts that wait to be written on a connection to a node.
+    /// Returns the client connections whose attempts wait to be written on `conn`, a connection to a
+    /// node.
     pub fn clients_waiting_on(&self, conn: ConnId) -> impl Iterator<Item = ConnId> + '_ {
         self.pools.queued_on(conn).filter_map(|attempt| {
             let request = self.attempts.get(attempt)?.request();
@@ -206,7 +214,7 @@
         })
     }
 
-    /// The open requests and outstanding attempts.
+    /// Returns the numbers of open requests and outstanding attempts.
     pub fn open_work(&self) -> OpenWork {
         OpenWork {
             requests: self.clients.request_count(),
@@ -215,23 +223,23 @@
         }
     }
 
-    /// Returns whether this process has just been paused. The caller then reads the frames that wait
-    /// in its sockets before the next step: responses that arrived during the pause must be handled
-    /// before their absence is counted against a node.
+    /// Returns whether this process was paused just before `now`. If so, the caller must read the
+    /// frames that wait in its sockets before the next step: responses that arrived during the pause
+    /// must be handled before the router concludes that a node has not responded.
     pub fn detect_pause(&mut self, now: Duration) -> bool {
         let paused = self.clock.detect_pause(now);
         self.metrics.counters_mut().pauses += u64::from(paused);
         paused
     }
 
-    /// Returns when `step` must be called again if nothing happens before.
+    /// Returns when `step` must be called again if there is no input before.
     pub fn wake_at(&mut self) -> Duration {
         let idle = self.clients.request_count() == 0 && !self.shutdown.has_begun();
         let latest = self.clock.now() + if idle { MAX_IDLE_SLEEP } else { MAX_SLEEP };
         let wakes = [
             self.timers.first_at(),
             self.attempts.first_deadline(),
-            self.pools.first_check(),
+            self.pools.next_recheck_at(),
             self.config.wake_at(),
             self.metrics.publish_at(),
             self.sharing.as_ref().map(QuotaSharing::wake_at),
@@ -241,7 +249,7 @@
         self.clock.request_wake(wake)
     }
 
-    /// Handles the inputs up to `now` and returns the outputs to perform.
+    /// Handles the inputs that have arrived up to `now` and returns the outputs to perform.
     pub fn step(&mut self, now: Duration, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
         self.clock.advance(now);
         self.metrics.counters_mut().steps += 1;
@@ -252,14 +260,14 @@
         self.follow_configuration();
         self.exchange_gossip();
         self.expire_attempts();
-        self.check_pools();
+        self.recheck_pools();
         self.fire_timers();
         if self.timers.take_due_sweep(self.clock.now()) {
             self.sweep();
         }
         self.step_discovery(DiscoveryEvent::CheckTimeout);
-        // An action may cause another event at once: an attempt, for instance, ends in this step if
-        // its node has no connection, or its request is already answered.
+        // An action may cause another event in the same step: for instance, an attempt ends at once
+        // if there is no connection to its node or its request is already answered.
         loop {
             let events = self.effects.take_events();
             if events.is_empty() {
@@ -286,15 +294,15 @@
         }
     }
 
-    fn check_pools(&mut self) {
-        while let Some(node) = self.pools.take_due_check(self.clock.now()) {
-            self.assign_waiting(node);
+    fn recheck_pools(&mut self) {
+        while let Some(node) = self.pools.take_due_recheck(self.clock.now()) {
+            self.assign_waiting_attempts(node);
         }
     }
 
     fn fire_timers(&mut self) {
         if let Some(tag) = self.timers.take_due(self.clock.now()) {
-            self.effects.event(Event::TimerFired { tag });
+            self.effects.add_event(Event::TimerFired { tag });
         }
     }
 
@@ -366,7 +374,7 @@
             Action::HealthCheck { node } => self.check_health(node),
             Action::CloseIdleConnections { node } => self.close_idle(node, self.clock.now()),
             Action::SendToPeer { to, bytes } => {
-                self.effects.output(Output::SendToPeer { to, bytes })
+                self.effects.add_output(Output::SendToPeer { to, bytes })
             }
             Action::Log { event } => self.effects.log(LogEvent::Scheduler(event)),
             Action::WatchEndpoints { on } => self.step_discovery(DiscoveryEvent::Watch { on }),
@@ -383,7 +391,7 @@
         self.step_discovery(DiscoveryEvent::StoreDue);
     }
 
-    /// Sends the state service the changes of how this host sees nodes.
+    /// Sends the state service the node observations that have changed.
     fn publish_observations(&mut self) {
         let follower = self.config.follower();
         let Some(follower) = follower.filter(|_| self.config.is_up()) else {
@@ -411,20 +419,20 @@
         }
     }
 
-    /// Sends the metrics of one interval to the subscribers. A subscriber that leaves them unread is
-    /// disconnected.
+    /// Sends the metrics of one interval to the subscribers. Disconnects subscribers that have left
+    /// too many metrics unread.
     fn publish_metrics(&mut self) {
         if !self.metrics.is_due(self.clock.now()) {
             return;
         }
-        let head = self.host_metrics();
+        let host_metrics = self.host_metrics();
         for conn in self.metrics.slow_subscribers() {
             self.disconnect(conn, ProtocolViolation::UnreadMetrics);
         }
         let endpoints = self.discovery.endpoints();
         let start_of = |node: NodeId| endpoints.get(node).map_or(0, |known| known.start);
         self.metrics
-            .publish(self.clock.now(), &self.scheduler, start_of, head);
+            .publish(self.clock.now(), &self.scheduler, start_of, host_metrics);
     }
 
     fn host_metrics(&self) -> pb::HostMetrics {
@@ -460,8 +468,8 @@
     fn complete_shutdown(&mut self) {
         let clients = &self.clients;
         let all_written = || clients.all_written();
-        if self.shutdown.completes(self.clock.now(), all_written) {
-            self.effects.output(Output::ShutdownComplete);
+        if self.shutdown.try_complete(self.clock.now(), all_written) {
+            self.effects.add_output(Output::ShutdownComplete);
         }
     }
 }
--- a/crates/host/src/router/attempt_table.rs
+++ b/crates/host/src/router/attempt_table.rs
@@ -1,9 +1,9 @@
 //! Outstanding attempts and their deadlines.
 //!
-//! Called by the router when an attempt starts, is assigned to a connection, and ends. The table
-//! also counts the outstanding attempts of each node, and knows until when an attempt that ended
-//! without an answer may still run at its node: both are reported for nodes that are drained.
-//! Memory: one entry for each outstanding attempt, and two for each node.
+//! The router updates the table when an attempt starts, is assigned to a connection, or ends. The
+//! table also counts the outstanding attempts of each node, and knows until when an attempt that
+//! ended without a response may still run at its node: both are reported for nodes that are drained.
+//! It stores one entry for each outstanding attempt, and two for each node.
 
 use super::ConnId;
 use crate::outbox::AttemptId;
@@ -24,13 +24,14 @@
     number: u32,
     node: NodeId,
     conn: Option<ConnId>,
-    sent: Duration,
+    timed_from: Duration,
     deadline: Duration,
+    /// Whether the attempt was taken off a connection that ended.
     reassigned: bool,
 }
 
 impl OutstandingAttempt {
-    /// An attempt that the scheduler has decided at `now`, and that waits for a connection.
+    /// Creates an attempt that the scheduler has requested at `now`, and that waits for a connection.
     pub(super) fn new(
         request: RequestId,
         number: u32,
@@ -43,38 +44,39 @@
             number,
             node,
             conn: None,
-            sent: now,
+            timed_from: now,
             deadline,
             reassigned: false,
         }
     }
 
-    /// Its request.
+    /// Returns the id of its request.
     pub(super) fn request(&self) -> RequestId {
         self.request
     }
 
-    /// Its number among the attempts of its request, from 0.
+    /// Returns its number among the attempts of its request, which starts at 0.
     pub(super) fn number(&self) -> u32 {
         self.number
     }
 
-    /// Its node.
+    /// Returns its node.
     pub(super) fn node(&self) -> NodeId {
         self.node
     }
 
-    /// Its connection. None: it waits for one.
+    /// Returns its connection, or `None` while it waits for one.
     pub(super) fn conn(&self) -> Option<ConnId> {
         self.conn
     }
 
-    /// When it was assigned to its connection; before that, when the scheduler decided it.
-    pub(super) fn sent(&self) -> Duration {
-        self.sent
+    /// Returns the time from which its duration is counted: when it was assigned to its connection, or
+    /// when the scheduler requested it if it has not been assigned yet.
+    pub(super) fn timed_from(&self) -> Duration {
+        self.timed_from
     }
 
-    /// Its deadline.
+    /// Returns its deadline.
     pub(super) fn deadline(&self) -> Duration {
         self.deadline
     }
@@ -86,42 +88,43 @@
     attempts: HashMap<AttemptId, OutstandingAttempt>,
     deadlines: BTreeSet<(Duration, AttemptId)>,
     /// The number of outstanding attempts of each node.
-    per_node: HashMap<NodeId, u32>,
-    /// Until when an attempt that ended without an answer may still run at its node.
+    outstanding_per_node: HashMap<NodeId, u32>,
+    /// Until when an attempt that ended without a response may still run at its node.
     may_run_until: HashMap<NodeId, Duration>,
-    /// The longest time that a request may take.
+    /// The longest time that a request of any traffic class may take.
     longest_deadline: Duration,
 }
 
 impl AttemptTable {
-    /// An empty table. `longest_deadline` is the longest time that a request may take.
+    /// Creates an empty table. `longest_deadline` is the longest time that a request of any traffic
+    /// class may take.
     pub(super) fn new(longest_deadline: Duration) -> Self {
         AttemptTable {
             attempts: HashMap::new(),
             deadlines: BTreeSet::new(),
-            per_node: HashMap::new(),
+            outstanding_per_node: HashMap::new(),
             may_run_until: HashMap::new(),
             longest_deadline,
         }
     }
 
-    /// The longest time that a request may take.
+    /// Returns the longest time that a request of any traffic class may take.
     pub(super) fn longest_deadline(&self) -> Duration {
         self.longest_deadline
     }
 
-    /// The number of outstanding attempts.
+    /// Returns the number of outstanding attempts.
     pub(super) fn len(&self) -> usize {
         self.attempts.len()
     }
 
-    /// An outstanding attempt.
+    /// Returns an attempt, or `None` if it is not outstanding.
     pub(super) fn get(&self, attempt: AttemptId) -> Option<&OutstandingAttempt> {
         self.attempts.get(&attempt)
     }
 
-    /// Returns the attempt with this number among `attempts`, which are those of one request.
-    pub(super) fn with_number(&self, attempts: &[AttemptId], number: u32) -> Option<AttemptId> {
+    /// Returns the attempt with this number among `attempts`, which must be those of one request.
+    pub(super) fn find_by_number(&self, attempts: &[AttemptId], number: u32) -> Option<AttemptId> {
         let has_number = |id: &AttemptId| {
             let attempt = self.attempts.get(id);
             attempt.is_some_and(|attempt| attempt.number == number)
@@ -129,23 +132,23 @@
         attempts.iter().copied().find(has_number)
     }
 
-    /// Adds an attempt. Its deadline counts once [`AttemptTable::start_deadline`] is called.
+    /// Adds an attempt. Its deadline takes effect once [`AttemptTable::start_deadline`] is called.
     pub(super) fn insert(&mut self, id: AttemptId, attempt: OutstandingAttempt) {
-        *self.per_node.entry(attempt.node).or_default() += 1;
+        *self.outstanding_per_node.entry(attempt.node).or_default() += 1;
         self.attempts.insert(id, attempt);
     }
 
-    /// Lets the deadline of an attempt count from now on.
+    /// Puts the deadline of an attempt into effect.
     pub(super) fn start_deadline(&mut self, attempt: AttemptId, deadline: Duration) {
         self.deadlines.insert((deadline, attempt));
     }
 
-    /// Returns when the first deadline passes.
+    /// Returns the earliest deadline.
     pub(super) fn first_deadline(&self) -> Option<Duration> {
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Returns an attempt whose deadline has passed, each attempt once.
+    /// Returns an attempt whose deadline has passed. Each attempt is returned once.
     pub(super) fn take_expired(&mut self, now: Duration) -> Option<AttemptId> {
         let &(at, attempt) = self.deadlines.first()?;
         if at > now {
@@ -155,9 +158,9 @@
         Some(attempt)
     }
 
-    /// Assigns a waiting attempt to a connection, and returns the attempt, and when the wait began:
-    /// from here on [`OutstandingAttempt::sent`] is `now`, since the time that an attempt waits for
-    /// a connection is no evidence about its node.
+    /// Assigns a waiting attempt to a connection, and returns the attempt and when its wait began. The
+    /// duration of the attempt is counted from `now` on, since the time that an attempt waits for a
+    /// connection is no evidence about its node.
     pub(super) fn assign(
         &mut self,
         attempt: AttemptId,
@@ -167,13 +170,13 @@
         let attempt = self.attempts.get_mut(&attempt);
         let attempt = attempt.expect("an attempt that waits for a connection is outstanding");
         attempt.conn = Some(conn);
-        let waited_since = std::mem::replace(&mut attempt.sent, now);
-        (attempt, waited_since)
+        let waiting_since = std::mem::replace(&mut attempt.timed_from, now);
+        (attempt, waiting_since)
     }
 
     /// Takes an attempt off its connection, which has ended, so that it waits for another one, and
-    /// returns its node. None: the attempt was taken off a connection before, or its deadline has
-    /// passed.
+    /// returns its node. Returns `None` if the attempt was already taken off a connection once, or if
+    /// its deadline has passed.
     pub(super) fn unassign(&mut self, attempt: AttemptId, now: Duration) -> Option<NodeId> {
         let attempt = self.attempts.get_mut(&attempt)?;
         if attempt.reassigned || attempt.deadline <= now {
@@ -184,8 +187,8 @@
         Some(attempt.node)
     }
 
-    /// Removes the deadline of an attempt whose response has started: from here on the client's
-    /// deadline alone counts. None: the attempt is not outstanding on this connection.
+    /// Removes the deadline of an attempt whose response has started: from now on only the client's
+    /// deadline applies. Returns `None` if the attempt is not outstanding on this connection.
     pub(super) fn response_started(
         &mut self,
         id: AttemptId,
@@ -207,7 +210,7 @@
     ) -> Option<OutstandingAttempt> {
         let ended = self.attempts.remove(&id)?;
         self.deadlines.remove(&(ended.deadline, id));
-        if let Some(count) = self.per_node.get_mut(&ended.node) {
+        if let Some(count) = self.outstanding_per_node.get_mut(&ended.node) {
             *count -= 1;
         }
         if may_still_run(outcome) {
@@ -218,18 +221,18 @@
         Some(ended)
     }
 
-    /// The number of outstanding attempts of a node.
+    /// Returns the number of outstanding attempts of a node.
     pub(super) fn outstanding_at(&self, node: NodeId) -> u32 {
-        self.per_node.get(&node).copied().unwrap_or(0)
+        self.outstanding_per_node.get(&node).copied().unwrap_or(0)
     }
 
-    /// How long an attempt that ended without an answer may still run at the node.
+    /// Returns for how much longer an attempt that ended without a response may run at the node.
     pub(super) fn may_run_for(&self, node: NodeId, now: Duration) -> Duration {
         let until = self.may_run_until.get(&node).copied();
         until.unwrap_or_default().saturating_sub(now)
     }
 
-    /// Notes that a node's process was replaced: the new process runs no attempt of the former one.
+    /// Records that a node's process was replaced. The new process runs no attempt of the former one.
     pub(super) fn node_restarted(&mut self, node: NodeId) {
         self.may_run_until.remove(&node);
     }
--- a/crates/host/src/router/client_sessions.rs
+++ b/crates/host/src/router/client_sessions.rs
@@ -1,9 +1,9 @@
 //! Client connections and the requests that are open on them.
 //!
-//! Called by the router with each request that arrives, with the start and the end of each of its
-//! attempts, and with its final answer. A request is open until it is answered and its last attempt
-//! has ended. Memory: one entry for each client and each open request, and the bytes of the open
-//! requests; [`crate::admission`] bounds the requests and their bytes.
+//! The router reports each accepted request, the start and the end of each of its attempts, and its
+//! final response. A request is open until it is answered and its last attempt has ended. One entry is
+//! stored for each client and for each open request, with the bytes of the request;
+//! [`crate::admission`] bounds the number of open requests and their bytes.
 
 use super::types::frame;
 use super::ConnId;
@@ -17,18 +17,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A request that is not answered, or that has an outstanding attempt.
+/// A request that is unanswered or has an outstanding attempt.
 #[derive(Debug)]
 pub(super) struct OpenRequest {
     client: ConnId,
     message: pb::SubmitRequest,
-    /// The plan of the volume when the request arrived.
+    /// The plan that the volume had when the request arrived.
     plan: PlanId,
-    received: Duration,
+    sent_at: Duration,
     deadline: Duration,
-    /// The request has its final answer, or its client has cancelled it.
+    /// Whether the request has its final response, or its client has cancelled it.
     answered: bool,
-    /// An attempt ended without an answer from its node, and may still run there.
+    /// Whether an attempt that ended without a response may still run at its node.
     may_still_run: bool,
     /// The number of attempts so far.
     attempts: u32,
@@ -36,19 +36,19 @@
 }
 
 impl OpenRequest {
-    /// A request that has just arrived.
+    /// Creates a request that has just arrived.
     pub(super) fn new(
         client: ConnId,
         message: pb::SubmitRequest,
         plan: PlanId,
-        received: Duration,
+        sent_at: Duration,
         deadline: Duration,
     ) -> Self {
         OpenRequest {
             client,
             message,
             plan,
-            received,
+            sent_at,
             deadline,
             answered: false,
             may_still_run: false,
@@ -57,38 +57,38 @@
         }
     }
 
-    /// The connection of its client.
+    /// Returns the connection of its client.
     pub(super) fn client(&self) -> ConnId {
         self.client
     }
 
-    /// The request as its client sent it.
+    /// Returns the message that its client sent.
     pub(super) fn message(&self) -> &pb::SubmitRequest {
         &self.message
     }
 
-    /// The plan of the volume when the request arrived.
+    /// Returns the plan that the volume had when the request arrived.
     pub(super) fn plan(&self) -> PlanId {
         self.plan
     }
 
-    /// When its client sent it, in this host's clock.
-    pub(super) fn received(&self) -> Duration {
-        self.received
+    /// Returns when its client sent it, in time of this host's clock.
+    pub(super) fn sent_at(&self) -> Duration {
+        self.sent_at
     }
 
-    /// Whether the request has its final answer, or its client has cancelled it.
+    /// Returns whether the request has its final response, or its client has cancelled it.
     pub(super) fn is_answered(&self) -> bool {
         self.answered
     }
 
-    /// Whether an attempt that ended without an answer may still run at its node.
+    /// Returns whether an attempt that ended without a response may still run at its node.
     pub(super) fn may_still_run(&self) -> bool {
         self.may_still_run
     }
 
-    /// The message that is sent to the node with an attempt of this request. `plan_rate` is the
-    /// base rate of its plan, in units a second.
+    /// Returns the message that sends an attempt of this request to a node. `plan_rate` is the base
+    /// rate of its plan, in units a second.
     pub(super) fn attempt_message(
         &self,
         attempt: AttemptId,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// The attempts that have not ended.
+    /// Returns the attempts that have not ended.
     pub(super) fn outstanding(&self) -> &[AttemptId] {
         &self.outstanding
     }
@@ -130,16 +130,17 @@
 pub(super) struct ClientSession {
     outbox: Arc<Outbox>,
     delay: Delay,
-    open: BTreeSet<RequestId>,
+    open_requests: BTreeSet<RequestId>,
 }
 
 impl ClientSession {
-    /// Returns how long a frame was on its way.
+    /// Returns the transit time of a frame that was sent at `sent_us`, in time of the client's clock,
+    /// and read at `at`.
     pub(super) fn transit_time(&mut self, sent_us: u64, at: Duration) -> Duration {
         self.delay.waited(sent_us, at)
     }
 
-    /// Frames to be written to the client.
+    /// Returns the outbox of frames to be written to the client.
     pub(super) fn outbox(&self) -> &Arc<Outbox> {
         &self.outbox
     }
@@ -160,25 +161,25 @@
         let session = ClientSession {
             outbox,
             delay: Delay::default(),
-            open: BTreeSet::new(),
+            open_requests: BTreeSet::new(),
         };
         self.clients.insert(conn, session);
     }
 
-    /// Removes a client, closes its connection, and returns its open requests. None: no client has
-    /// this connection.
+    /// Removes a client, closes its connection, and returns its open requests. Returns `None` if no
+    /// client has this connection.
     pub(super) fn disconnect(&mut self, conn: ConnId) -> Option<BTreeSet<RequestId>> {
         let session = self.clients.remove(&conn)?;
         session.outbox.close();
-        Some(session.open)
+        Some(session.open_requests)
     }
 
-    /// The session on a connection.
+    /// Returns the session of the client on a connection.
     pub(super) fn session(&self, conn: ConnId) -> Option<&ClientSession> {
         self.clients.get(&conn)
     }
 
-    /// The session on a connection, to be updated.
+    /// Returns the session of the client on a connection, for updating.
     pub(super) fn session_mut(&mut self, conn: ConnId) -> Option<&mut ClientSession> {
         self.clients.get_mut(&conn)
     }
@@ -191,37 +192,37 @@
         }
     }
 
-    /// Adds a request to the open requests.
-    pub(super) fn open(&mut self, id: RequestId, request: OpenRequest) {
+    /// Adds an open request.
+    pub(super) fn add_request(&mut self, id: RequestId, request: OpenRequest) {
         self.request_bytes += request.message.data.len();
         let session = self.clients.get_mut(&request.client);
         let session = session.expect("the client that sent the request is connected");
-        session.open.insert(id);
+        session.open_requests.insert(id);
         self.requests.insert(id, request);
     }
 
-    /// An open request.
+    /// Returns a request, or `None` if it is not open.
     pub(super) fn request(&self, id: &RequestId) -> Option<&OpenRequest> {
         self.requests.get(id)
     }
 
-    /// The number of open requests.
+    /// Returns the number of open requests.
     pub(super) fn request_count(&self) -> usize {
         self.requests.len()
     }
 
-    /// Bytes of the bodies of the open requests.
+    /// Returns the bytes of the bodies of the open requests.
     pub(super) fn request_bytes(&self) -> usize {
         self.request_bytes
     }
 
-    /// The latest deadline of the open requests.
+    /// Returns the latest deadline of the open requests.
     pub(super) fn latest_deadline(&self) -> Option<Duration> {
         let deadlines = self.requests.values().map(|request| request.deadline);
         deadlines.max()
     }
 
-    /// Returns whether every open request is answered and every answer is written.
+    /// Returns whether every request is answered and every response is written.
     pub(super) fn all_written(&self) -> bool {
         self.requests.values().all(|request| request.answered)
             && self
@@ -230,8 +231,8 @@
                 .all(|session| session.outbox.is_flushed())
     }
 
-    /// Adds an attempt to its request, and returns the attempt's number among the attempts of the
-    /// request, and whether the request is already answered. None: the request is not open.
+    /// Adds an attempt to its request. Returns the attempt's number among the attempts of the request
+    /// and whether the request is already answered, or `None` if the request is not open.
     pub(super) fn attempt_started(
         &mut self,
         id: &RequestId,
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Marks a request as answered. None: the request is not open, or was answered before.
+    /// Marks a request as answered. Returns `None` if the request is not open or was already answered.
     pub(super) fn mark_answered(&mut self, id: &RequestId) -> Option<&OpenRequest> {
         let open = self.requests.get_mut(id);
         let request = open.filter(|request| !request.answered)?;
@@ -265,8 +266,8 @@
         Some(request)
     }
 
-    /// Removes an answered request once it has no outstanding attempt.
-    pub(super) fn remove_if_over(&mut self, id: RequestId) {
+    /// Removes an answered request if it has no outstanding attempt.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let Entry::Occupied(entry) = self.requests.entry(id) else {
             return;
         };
@@ -276,7 +277,7 @@
         let request = entry.remove();
         self.request_bytes -= request.message.data.len();
         if let Some(session) = self.clients.get_mut(&request.client) {
-            session.open.remove(&id);
+            session.open_requests.remove(&id);
         }
     }
 }
--- a/crates/host/src/router/discovery.rs
+++ b/crates/host/src/router/discovery.rs
@@ -1,7 +1,9 @@
-//! Discovery: carries bytes between its connections and the [`DiscoveryClient`], and performs the
-//! client's actions.
+//! Connects the [`DiscoveryClient`] to its connections: passes it their events and frames, and
+//! performs its actions.
 //!
-//! State: which connection carries which link of the client.
+//! The client identifies a connection by a [`LinkId`]. This module maps links to connections.
+//!
+//! [`DiscoveryClient`]: grebecleat_discovery::DiscoveryClient
 
 use super::types::frame;
 use super::{ConnId, Output, RequestRouter};
@@ -13,16 +15,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// One connection to discovery, or a dial.
+/// One connection or dial to the discovery service.
 #[derive(Debug)]
 struct DiscoveryConnection {
     conn: ConnId,
     link: LinkId,
-    /// None: the dial has not succeeded yet.
+    /// `None` until the dial has succeeded.
     outbox: Option<Arc<Outbox>>,
 }
 
-/// The connections to discovery, of which the client reads few at a time.
+/// The connections to the discovery service. The client uses only a few at a time.
 #[derive(Debug, Default)]
 pub(super) struct DiscoveryConnections {
     connections: Vec<DiscoveryConnection>,
@@ -43,7 +45,8 @@
         });
     }
 
-    /// Records that a dial has succeeded. Closes the outbox of a dial that was abandoned.
+    /// Records that a dial has succeeded, and returns its link. If the dial was abandoned, closes the
+    /// connection and returns `None`.
     fn connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) -> Option<LinkId> {
         let mut connections = self.connections.iter_mut();
         let Some(connection) = connections.find(|connection| connection.conn == conn) else {
@@ -97,26 +100,26 @@
     fn perform_discovery(&mut self, action: DiscoveryAction) {
         match action {
             DiscoveryAction::Dial { link } => {
-                let conn = ConnId(self.effects.next_number());
+                let conn = ConnId(self.effects.next_id());
                 self.discovery_connections.dialled(conn, link);
-                self.effects.output(Output::DialDiscovery { conn });
+                self.effects.add_output(Output::DialDiscovery { conn });
             }
             DiscoveryAction::Send { link, request } => {
                 self.discovery_connections.send(link, request)
             }
             DiscoveryAction::Close { link } => self.discovery_connections.close(link),
             DiscoveryAction::Apply(update) => self.apply_list_update(update),
-            DiscoveryAction::ConfirmList => self.effects.event(Event::EndpointsConfirmed),
-            DiscoveryAction::ReportFailure => self.effects.event(Event::EndpointUpdate {
+            DiscoveryAction::ConfirmList => self.effects.add_event(Event::EndpointsConfirmed),
+            DiscoveryAction::ReportFailure => self.effects.add_event(Event::EndpointUpdate {
                 kind: EndpointUpdateKind::FetchFailed,
                 endpoints: Vec::new(),
             }),
             DiscoveryAction::ReportRefusal { waited } => {
-                self.effects.event(Event::FetchRefused { waited })
+                self.effects.add_event(Event::FetchRefused { waited })
             }
-            DiscoveryAction::ReportMove => self.effects.event(Event::DiscoveryMoved),
+            DiscoveryAction::ReportMove => self.effects.add_event(Event::DiscoveryMoved),
             DiscoveryAction::Store { bytes } => {
-                self.effects.output(Output::CacheEndpoints { bytes })
+                self.effects.add_output(Output::CacheEndpoints { bytes })
             }
             DiscoveryAction::UnexpectedMessage { link } => {
                 if let Some(conn) = self.discovery_connections.conn_of(link) {
--- a/crates/host/src/router/health_checks.rs
+++ b/crates/host/src/router/health_checks.rs
@@ -1,26 +1,26 @@
-//! Health checks that await their result.
+//! Outstanding health checks.
 //!
-//! Called by the router when the scheduler requests a health check, when a node sends a result, and
-//! when a connection ends. Memory: one entry for each health check that awaits its result.
+//! An entry is added when the scheduler requests a health check, and removed when the node sends the
+//! result or the connection ends.
 
 use super::ConnId;
 use grebecleat_scheduler::api::NodeId;
 use std::collections::HashMap;
 
-/// The outstanding health checks, by their id.
+/// The outstanding health checks by their identifiers.
 #[derive(Debug, Default)]
 pub(super) struct HealthChecks {
     outstanding: HashMap<u64, (NodeId, ConnId)>,
 }
 
 impl HealthChecks {
-    /// Records a health check that was put on a connection.
+    /// Records a health check that was put into the outbox of a connection.
     pub(super) fn sent(&mut self, id: u64, node: NodeId, conn: ConnId) {
         self.outstanding.insert(id, (node, conn));
     }
 
-    /// Removes a health check whose result has arrived, and returns its node. None: the id is
-    /// unknown, or the connection of the health check has ended.
+    /// Removes a health check whose result has arrived, and returns its node. Returns `None` if the id
+    /// is unknown or the connection on which the health check was sent has ended.
     pub(super) fn completed(&mut self, id: u64) -> Option<NodeId> {
         let (node, _) = self.outstanding.remove(&id)?;
         Some(node)
@@ -32,7 +32,7 @@
         of_conn.map(|(_, (node, _))| node).collect()
     }
 
-    /// Returns whether no health check awaits its result.
+    /// Returns whether no health check is outstanding.
     #[cfg(test)]
     pub(super) fn is_empty(&self) -> bool {
         self.outstanding.is_empty()
--- a/crates/host/src/router/host_identity.rs
+++ b/crates/host/src/router/host_identity.rs
@@ -1,12 +1,10 @@
-//! The facts about this host that do not change while it runs.
-//!
-//! Called by the router. State: the settings, this host's index among the hosts of the settings, and
-//! the seed of its random choices.
+//! What does not change while this host runs: its settings, its index in the settings' list of
+//! hosts, and the seed of its random numbers.
 
 use grebecleat_settings::{Bounds, Settings};
 use std::sync::Arc;
 
-/// The settings of this host, and its place among the hosts.
+/// The settings of this host, its index among the hosts, and its seed.
 #[derive(Debug)]
 pub(super) struct HostIdentity {
     settings: Arc<Settings>,
@@ -15,7 +13,8 @@
 }
 
 impl HostIdentity {
-    /// The first of the settings' hosts. `seed` differs at each start of the host.
+    /// Creates the identity of the first host in the settings. `seed` must differ at each start of the
+    /// host.
     pub(super) fn new(settings: Arc<Settings>, seed: u64) -> Self {
         HostIdentity {
             settings,
@@ -24,33 +23,33 @@
         }
     }
 
-    /// Sets this host's index among the settings' hosts.
+    /// Sets this host's index in the settings' list of hosts.
     pub(super) fn set_index(&mut self, index: usize) {
         self.index = index;
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub(super) fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// The bounds of the settings.
+    /// Returns the bounds in the settings.
     pub(super) fn bounds(&self) -> &Bounds {
         &self.settings.bounds
     }
 
-    /// This host's index among the settings' hosts.
+    /// Returns this host's index in the settings' list of hosts.
     pub(super) fn index(&self) -> usize {
         self.index
     }
 
-    /// The name of this host. Empty: the settings declare no such host.
+    /// Returns the name of this host, which is empty if the settings declare no host with its index.
     pub(super) fn name(&self) -> String {
         let host = self.settings.hosts.get(self.index);
         host.map(|host| host.name.clone()).unwrap_or_default()
     }
 
-    /// The seed of this host's random choices.
+    /// Returns the seed of this host's random numbers.
     pub(super) fn seed(&self) -> u64 {
         self.seed
     }
--- a/crates/host/src/router/make_scheduler.rs
+++ b/crates/host/src/router/make_scheduler.rs
@@ -1,10 +1,10 @@
-//! Makes the scheduler from the settings.
+//! Creates the scheduler from the settings.
 
 use grebecleat_scheduler::api::DiscoveryPolicy;
 use grebecleat_scheduler::scheduler::Scheduler;
 use grebecleat_settings::Settings;
 
-/// Returns the scheduler of a host with these settings. `seed` is the seed of its random choices.
+/// Creates the scheduler of a host with these settings. `seed` seeds its random numbers.
 pub(super) fn scheduler(settings: &Settings, seed: u64) -> Scheduler {
     let classes = settings.traffic_classes.iter();
     let plans = settings.plans.iter();
@@ -18,7 +18,8 @@
     )
     .with_rules(
         rules.cold.clone(),
-        // Discovery is polled in either case: where it pushes, a poll is one watch.
+        // The scheduler always polls. If the discovery service pushes changes, each poll opens one
+        // watch.
         DiscoveryPolicy {
             polled: true,
             ..settings.list.rule.clone()
--- a/crates/host/src/router/metrics_publisher.rs
+++ b/crates/host/src/router/metrics_publisher.rs
@@ -1,8 +1,8 @@
-//! Subscribers to this host's metrics, and when they are sent the next message.
+//! Publishes this host's metrics to subscribers.
 //!
-//! Called by the router: requests and attempts are counted as they happen, and a sweep publishes
-//! the message of each interval. Nothing is counted while nobody subscribes. Memory: that of
-//! [`MetricsCollector`], and one entry for each subscriber.
+//! The router reports requests and attempts as they happen, and publishes one message in each
+//! interval. While there is no subscriber, only the [`Counters`] are updated. One entry is stored for
+//! each subscriber, beyond the state of [`MetricsCollector`].
 
 use super::types::frame;
 use super::{ConnId, Counters};
@@ -15,9 +15,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes of metrics that a subscriber may leave unread. A subscriber that does not read would
-/// otherwise fill the host's memory.
-const MAX_UNREAD_METRICS: usize = 4 << 20;
+/// The most bytes of metrics that a subscriber may leave unread. Without this bound, a subscriber that
+/// does not read would fill the host's memory.
+const MAX_UNREAD_METRICS_BYTES: usize = 4 << 20;
 
 /// Collects metrics and sends them to the subscribers.
 #[derive(Debug, Default)]
@@ -29,12 +29,12 @@
 }
 
 impl MetricsPublisher {
-    /// The counters since the start of the host.
+    /// Returns the counters since the start of the host.
     pub(super) fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// The counters, to be raised.
+    /// Returns the counters, for updating.
     pub(super) fn counters_mut(&mut self) -> &mut Counters {
         &mut self.counters
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns when the next message is due. None: nobody subscribes.
+    /// Returns when the next message is due, or `None` if there is no subscriber.
     pub(super) fn publish_at(&self) -> Option<Duration> {
         (!self.subscribers.is_empty()).then_some(self.publish_at)
     }
@@ -65,44 +65,48 @@
     /// Returns the subscribers that have left too many bytes unread.
     pub(super) fn slow_subscribers(&self) -> Vec<ConnId> {
         let subscribers = self.subscribers.iter();
-        let slow = subscribers.filter(|(_, outbox)| outbox.bytes() > MAX_UNREAD_METRICS);
+        let slow = subscribers.filter(|(_, outbox)| outbox.bytes() > MAX_UNREAD_METRICS_BYTES);
         slow.map(|(conn, _)| *conn).collect()
     }
 
-    /// Sends the message of one interval to all subscribers. `start_of` returns which start of a
-    /// node's process the endpoint list names; `head` contains the host's own figures.
+    /// Sends the message of one interval to all subscribers. `start_of` returns the number by
+    /// which the endpoint list distinguishes the starts of a node's process; `host_metrics` contains the
+    /// values of the host as a whole.
     pub(super) fn publish(
         &mut self,
         now: Duration,
         scheduler: &Scheduler,
         start_of: impl Fn(NodeId) -> u64,
-        head: pb::HostMetrics,
+        host_metrics: pb::HostMetrics,
     ) {
         self.publish_at = now + INTERVAL;
-        let metrics = self.collector.collect(now, scheduler, start_of, head);
+        let metrics = self
+            .collector
+            .collect(now, scheduler, start_of, host_metrics);
         for outbox in self.subscribers.values() {
             outbox.put(frame(Body::HostMetrics(Box::new(metrics.clone()))));
         }
     }
 
-    /// Counts a request that has arrived.
-    pub(super) fn request_received(&mut self, received: Duration, message: &pb::SubmitRequest) {
+    /// Counts a request that has arrived. `sent_at` is when its client sent it.
+    pub(super) fn request_received(&mut self, sent_at: Duration, message: &pb::SubmitRequest) {
         if !self.subscribers.is_empty() {
-            self.collector.request_received(received, message);
+            self.collector.request_received(sent_at, message);
         }
     }
 
-    /// Counts a request that has completed. `objective` is the latency objective of its class.
+    /// Counts a request that has completed. `sent_at` is when its client sent it, `objective` the latency
+    /// objective of its traffic class.
     pub(super) fn request_completed(
         &mut self,
-        received: Duration,
+        sent_at: Duration,
         message: &pb::SubmitRequest,
         now: Duration,
         objective: Duration,
     ) {
         if !self.subscribers.is_empty() {
-            let in_time = now <= received + objective;
-            self.collector.request_completed(received, message, in_time);
+            let in_time = now <= sent_at + objective;
+            self.collector.request_completed(sent_at, message, in_time);
         }
     }
 
--- a/crates/host/src/router/node_connection.rs
+++ b/crates/host/src/router/node_connection.rs
@@ -1,8 +1,7 @@
-//! One connection to a node, or a dial.
+//! One connection or dial to a node.
 //!
-//! Called by [`super::node_pools::NodePools`], which owns all of them. State: the attempts that are
-//! assigned to the connection, and since when it is idle. Memory: one entry for each assigned
-//! attempt; the settings bound them.
+//! [`super::node_pools::NodePools`] owns all of them. A connection stores its assigned attempts, whose
+//! number the settings bound, and since when it has been idle.
 
 use crate::outbox::{AttemptId, Outbox};
 use grebecleat_scheduler::api::NodeId;
@@ -12,23 +11,23 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A connection to a node, or a dial.
+/// A connection or dial to a node.
 #[derive(Debug)]
 pub(super) struct NodeConnection {
     node: NodeId,
-    /// None: the dial has not succeeded yet.
+    /// `None` until the dial has succeeded.
     outbox: Option<Arc<Outbox>>,
     attempts: BTreeSet<AttemptId>,
     dialled: Duration,
     idle_since: Duration,
-    /// No attempt is assigned to the connection before this moment.
-    paused_until: Duration,
+    /// The connection is not assigned another attempt before this time.
+    reusable_from: Duration,
     /// The node accepts no further attempts on this connection.
     going_away: bool,
 }
 
 impl NodeConnection {
-    /// A dial that has just started.
+    /// Creates a dial that has just started.
     pub(super) fn dialling(node: NodeId, now: Duration) -> Self {
         NodeConnection {
             node,
@@ -36,65 +35,67 @@
             attempts: BTreeSet::new(),
             dialled: now,
             idle_since: now,
-            paused_until: Duration::ZERO,
+            reusable_from: Duration::ZERO,
             going_away: false,
         }
     }
 
-    /// The node.
+    /// Returns the node.
     pub(super) fn node(&self) -> NodeId {
         self.node
     }
 
-    /// Frames to be written to the node. None: the dial has not succeeded yet.
+    /// Returns the outbox of frames to be written to the node, or `None` until the dial has succeeded.
     pub(super) fn outbox(&self) -> Option<&Arc<Outbox>> {
         self.outbox.as_ref()
     }
 
-    /// The attempts that are assigned to the connection.
+    /// Returns the attempts that are assigned to the connection.
     pub(super) fn attempts(&self) -> &BTreeSet<AttemptId> {
         &self.attempts
     }
 
-    /// The end of its pause. The connection carries no attempt before.
-    pub(super) fn paused_until(&self) -> Duration {
-        self.paused_until
+    /// Returns the time from which the connection may be assigned another attempt.
+    pub(super) fn reusable_from(&self) -> Duration {
+        self.reusable_from
     }
 
-    /// Whether the dial has succeeded.
+    /// Returns whether the dial has succeeded.
     pub(super) fn is_up(&self) -> bool {
         self.outbox.is_some()
     }
 
-    /// Whether the connection is up and has no attempt.
+    /// Returns whether the connection is up and has no attempt.
     pub(super) fn is_idle(&self) -> bool {
         self.is_up() && self.attempts.is_empty()
     }
 
-    /// When its last attempt ended; before the first, when it was dialled or came up.
+    /// Returns when its last attempt ended. Before the first attempt has ended, returns when the dial
+    /// succeeded, or when it started if it has not succeeded yet.
     pub(super) fn idle_since(&self) -> Duration {
         self.idle_since
     }
 
-    /// Whether this is a dial that has taken as long as `handshake`, or longer.
-    pub(super) fn is_late_dial(&self, handshake: Duration, now: Duration) -> bool {
-        !self.is_up() && self.dialled + handshake <= now
+    /// Returns whether this is a dial that started at least `late_after` ago and has not succeeded.
+    pub(super) fn is_late_dial(&self, late_after: Duration, now: Duration) -> bool {
+        !self.is_up() && self.dialled + late_after <= now
     }
 
-    /// Whether the connection may carry one more attempt, apart from its pause. `capacity` is the
-    /// number of attempts that a connection carries.
+    /// Returns whether the connection may carry one more attempt, regardless of
+    /// [`NodeConnection::reusable_from`]. `capacity` is the most attempts that a connection carries.
     pub(super) fn has_capacity(&self, capacity: usize) -> bool {
         self.is_up() && !self.going_away && self.attempts.len() < capacity
     }
 
-    /// The order in which connections are used: the fewest attempts first; among idle connections
-    /// the last used, so that the others become old enough to be closed.
+    /// Returns the sort key for the choice of a connection: the one with the fewest attempts comes
+    /// first, and among idle connections the most recently used, so that the others stay idle for long
+    /// enough to be closed.
     pub(super) fn load(&self) -> (usize, Reverse<Duration>) {
         (self.attempts.len(), Reverse(self.idle_since))
     }
 
     /// Records that the dial has succeeded.
-    pub(super) fn came_up(&mut self, outbox: Arc<Outbox>, now: Duration) {
+    pub(super) fn dial_succeeded(&mut self, outbox: Arc<Outbox>, now: Duration) {
         self.outbox = Some(outbox);
         self.idle_since = now;
     }
@@ -104,7 +105,8 @@
         self.going_away = true;
     }
 
-    /// Puts an attempt into the outbox. `client` is the outbox of the client's connection.
+    /// Adds an attempt and puts its frame into the outbox. `client` is the outbox of the connection to
+    /// the client.
     pub(super) fn assign(
         &mut self,
         attempt: AttemptId,
@@ -125,8 +127,8 @@
         self.idle_since = now;
     }
 
-    /// Assigns no attempt to the connection before `until`.
-    pub(super) fn pause(&mut self, until: Duration) {
-        self.paused_until = until;
+    /// Prevents that the connection is assigned another attempt before `reusable_from`.
+    pub(super) fn delay_reuse(&mut self, reusable_from: Duration) {
+        self.reusable_from = reusable_from;
     }
 }
--- a/crates/host/src/router/node_pools.rs
+++ b/crates/host/src/router/node_pools.rs
@@ -1,9 +1,9 @@
-//! Connections to nodes, and the attempts that wait for one.
+//! The connection pools of all nodes, and the attempts that wait for a connection.
 //!
-//! Called by the router. For each node, [`crate::pool`] decides how many connections there should
-//! be; this table owns the connections and dials that there are, the attempts on each of them, and
-//! the attempts that wait. Memory: one entry for each node that has had an attempt, and one for
-//! each connection and dial, which the settings bound.
+//! For each node, [`crate::pool`] decides how many connections there should be. [`NodePools`] owns the
+//! existing connections and dials, the attempts on each of them, and the waiting attempts. It stores
+//! one entry for each node that has had an attempt, and one for each connection and dial; the settings
+//! bound the number of connections and dials.
 
 use super::health_checks::HealthChecks;
 use super::node_connection::NodeConnection;
@@ -17,22 +17,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// On a connection that carries one exchange at a time, the time between a response and the next
-/// attempt. A duplicate of the response arrives within some milliseconds; on a connection without
-/// this pause it would be taken for the response to the next attempt. With a longer pause, where
-/// all connections to a node have just received a response, an attempt waits, or one more
-/// connection is dialled.
-const PAUSE_AFTER_RESPONSE: Duration = Duration::from_millis(10);
-/// Fraction of the tightest latency objective that a handshake may take before a second dial is
-/// started. Two dials in a row then take about as long as an attempt may be late before the
-/// scheduler suspects its node. A larger fraction delays the attempts behind a slow dial; a smaller
-/// one dials nodes that are merely slow more than once.
-const HANDSHAKE_FRACTION: f64 = 0.1;
-
-/// The connections to one node, and the attempts that wait for one.
+/// The time between a response and the next attempt on a connection that carries one exchange at a
+/// time. A duplicate of the response arrives within some milliseconds; without this delay it would be
+/// read as the response to the next attempt. With a longer delay, an attempt waits or one more
+/// connection is dialled more often, when all connections to a node have just received a response.
+const REUSE_DELAY: Duration = Duration::from_millis(10);
+/// Fraction of the tightest latency objective that a dial may take before another dial is started. Two
+/// dials in a row then take about as long as an attempt may be late before the scheduler suspects its
+/// node. A larger fraction makes attempts wait longer for a slow dial; a smaller one dials nodes more
+/// than once that are merely slow.
+const LATE_DIAL_FRACTION: f64 = 0.1;
+
+/// The connections to one node, and the attempts that wait for a connection to it.
 #[derive(Debug)]
 struct NodePool {
-    pool: Pool,
+    /// Decides how many connections there should be.
+    policy: Pool,
     conns: Vec<ConnId>,
     waiting: VecDeque<AttemptId>,
 }
@@ -41,43 +41,43 @@
 #[derive(Debug)]
 pub(super) struct NodePools {
     settings: Arc<Settings>,
-    /// Seed of the jitter of the pools.
+    /// The seed for the jitter of the pools' dial backoff.
     seed: u64,
     wire_mode: WireMode,
-    /// A dial that takes longer than this is late.
-    handshake: Duration,
+    /// The time after which a dial that has not succeeded is late.
+    late_dial_after: Duration,
     conns: BTreeMap<ConnId, NodeConnection>,
     pools: BTreeMap<NodeId, NodePool>,
-    /// Nodes whose pool may want an action.
+    /// Nodes whose pool has changed since it was last asked for an action.
     changed: BTreeSet<NodeId>,
-    /// When a pause of a connection for which an attempt waits ends, or a dial becomes late.
-    checks: BTreeSet<(Duration, NodeId)>,
+    /// When to look at a pool again: a connection to the node becomes reusable, or a dial late.
+    rechecks: BTreeSet<(Duration, NodeId)>,
     health_checks: HealthChecks,
 }
 
 impl NodePools {
-    /// No connections. `seed` is the seed of the pools' jitter.
+    /// Creates pools without connections. `seed` seeds the jitter of the pools' dial backoff.
     pub(super) fn new(settings: Arc<Settings>, seed: u64) -> Self {
         let classes = settings.traffic_classes.iter();
         let tightest_objective = classes.map(|class| class.facts.latency_objective).min();
-        let handshake = tightest_objective
+        let late_dial_after = tightest_objective
             .unwrap_or_default()
-            .mul_f64(HANDSHAKE_FRACTION)
-            .max(PAUSE_AFTER_RESPONSE);
+            .mul_f64(LATE_DIAL_FRACTION)
+            .max(REUSE_DELAY);
         NodePools {
             settings,
             seed,
             wire_mode: WireMode::default(),
-            handshake,
+            late_dial_after,
             conns: BTreeMap::new(),
             pools: BTreeMap::new(),
             changed: BTreeSet::new(),
-            checks: BTreeSet::new(),
+            rechecks: BTreeSet::new(),
             health_checks: HealthChecks::default(),
         }
     }
 
-    /// Uses each connection for one exchange at a time.
+    /// Sets the mode to [`WireMode::Exclusive`].
     pub(super) fn with_exclusive_connections(self) -> Self {
         NodePools {
             wire_mode: WireMode::Exclusive,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// How connections are used.
+    /// Returns how connections are used.
     pub(super) fn wire_mode(&self) -> WireMode {
         self.wire_mode
     }
@@ -94,69 +94,69 @@
         &self.settings.bounds
     }
 
-    /// The health checks that were sent on the connections.
+    /// Returns the outstanding health checks.
     #[cfg(test)]
     pub(super) fn health_checks(&self) -> &HealthChecks {
         &self.health_checks
     }
 
-    /// The health checks that were sent on the connections, to be updated.
+    /// Returns the outstanding health checks, for updating.
     pub(super) fn health_checks_mut(&mut self) -> &mut HealthChecks {
         &mut self.health_checks
     }
 
-    /// The time within which each of the dials that may run at a time has had its handshake. An
-    /// attempt that waits longer for its connection waits because of the node.
+    /// Returns the time within which all dials that may run at the same time should have succeeded. If
+    /// an attempt waits longer for a connection, the node causes the delay.
     pub(super) fn dial_allowance(&self) -> Duration {
-        self.handshake * (MAX_LATE_DIALS as u32 + 1)
+        self.late_dial_after * (MAX_LATE_DIALS as u32 + 1)
     }
 
-    /// Returns when [`NodePools::take_due_check`] next returns a node.
-    pub(super) fn first_check(&self) -> Option<Duration> {
-        self.checks.first().map(|(at, _)| *at)
+    /// Returns when [`NodePools::take_due_recheck`] next returns a node.
+    pub(super) fn next_recheck_at(&self) -> Option<Duration> {
+        self.rechecks.first().map(|(at, _)| *at)
     }
 
-    /// Returns a node whose waiting attempts may now have a connection, or need another dial.
-    pub(super) fn take_due_check(&mut self, now: Duration) -> Option<NodeId> {
-        let &(at, node) = self.checks.first()?;
+    /// Returns a node whose waiting attempts may now be assigned to a connection, or need another dial.
+    pub(super) fn take_due_recheck(&mut self, now: Duration) -> Option<NodeId> {
+        let &(at, node) = self.rechecks.first()?;
         if at > now {
             return None;
         }
-        self.checks.remove(&(at, node));
+        self.rechecks.remove(&(at, node));
         Some(node)
     }
 }
 
-/// Attempts: waiting, assigned, released.
+/// Handles attempts, which wait for a connection, are assigned to one, and are released.
 impl NodePools {
-    /// Adds an attempt to those that wait for a connection to the node.
+    /// Adds an attempt to those that wait for a connection to the node, behind them.
     pub(super) fn enqueue(&mut self, node: NodeId, attempt: AttemptId) {
         let bounds = &self.settings.bounds;
         let per_connection = bounds.attempts_per_connection;
         let connections = bounds.connections_per_node;
         let seed = self.seed ^ u64::from(node.0);
         let pool = self.pools.entry(node).or_insert_with(|| NodePool {
-            pool: Pool::new(per_connection, connections, seed),
+            policy: Pool::new(per_connection, connections, seed),
             conns: Vec::new(),
             waiting: VecDeque::new(),
         });
         pool.waiting.push_back(attempt);
     }
 
-    /// Puts an attempt whose connection has ended before all others that wait.
+    /// Adds an attempt whose connection has ended to those that wait, ahead of them.
     pub(super) fn enqueue_first(&mut self, node: NodeId, attempt: AttemptId) {
         if let Some(pool) = self.pools.get_mut(&node) {
             pool.waiting.push_front(attempt);
         }
     }
 
-    /// Notes that the pool of a node may want an action.
+    /// Records that the pool of a node has changed and may want an action.
     pub(super) fn mark_changed(&mut self, node: NodeId) {
         self.changed.insert(node);
     }
 
-    /// Takes the first attempt that waits for the node, if a connection can carry it, and returns
-    /// both.
+    /// Removes and returns the first attempt that waits for the node, and the connection to assign it
+    /// to. Returns `None` if no attempt waits or no connection can carry one.
     pub(super) fn take_assignable(
         &mut self,
         node: NodeId,
@@ -169,13 +169,13 @@
         Some((attempt, conn))
     }
 
-    /// Returns the connection that carries the node's next attempt: the one with the fewest
-    /// attempts. Where each connection with capacity pauses, the node is checked again when the
-    /// first pause ends.
+    /// Returns the connection to which the node's next attempt is to be assigned: the one with the
+    /// fewest attempts. If connections have capacity but none is reusable yet, schedules a recheck for
+    /// when the first of them is.
     fn least_loaded(&mut self, node: NodeId, now: Duration) -> Option<ConnId> {
         let capacity = self.bounds().attempts_per_connection;
         let mut least_loaded = None;
-        let mut pause_ends: Option<Duration> = None;
+        let mut first_reusable: Option<Duration> = None;
         for candidate in &self.pools.get(&node)?.conns {
             let Some(conn) = self.conns.get(candidate) else {
                 continue;
@@ -183,10 +183,10 @@
             if !conn.has_capacity(capacity) {
                 continue;
             }
-            let paused_until = conn.paused_until();
-            if paused_until > now {
-                let earlier = pause_ends.map_or(paused_until, |at| at.min(paused_until));
-                pause_ends = Some(earlier);
+            let reusable_from = conn.reusable_from();
+            if reusable_from > now {
+                let earlier = first_reusable.map_or(reusable_from, |at| at.min(reusable_from));
+                first_reusable = Some(earlier);
                 continue;
             }
             let load = conn.load();
@@ -195,14 +195,14 @@
             }
         }
         let Some((_, conn)) = least_loaded else {
-            self.checks.extend(pause_ends.map(|at| (at, node)));
+            self.rechecks.extend(first_reusable.map(|at| (at, node)));
             return None;
         };
         Some(conn)
     }
 
-    /// Puts an attempt into the outbox of the connection that [`NodePools::take_assignable`]
-    /// returned. `client` is the outbox of the client's connection.
+    /// Assigns an attempt to the connection that [`NodePools::take_assignable`] returned with it, and
+    /// puts its frame into the outbox. `client` is the outbox of the connection to the client.
     pub(super) fn put_attempt(
         &mut self,
         attempt: AttemptId,
@@ -217,10 +217,10 @@
         conn.assign(attempt, frame, now, deadline, client);
     }
 
-    /// Revokes an attempt that is not written to its node, and returns whether it now never will
-    /// be. A connection that carries one exchange at a time and on which the attempt is written in
-    /// part is closed: otherwise the node would receive the rest whenever it reads again. `conn` is
-    /// None while the attempt waits for a connection.
+    /// Revokes an attempt if it is not completely written to its node yet, and returns whether it is
+    /// revoked: the node then never runs it. If a connection that carries one exchange at a time has
+    /// written the attempt in part, the connection is closed: otherwise the node would receive the rest
+    /// when it reads again. `conn` is `None` while the attempt waits for a connection.
     pub(super) fn revoke(&self, attempt: AttemptId, conn: Option<ConnId>) -> bool {
         let conn = conn.and_then(|conn| self.conns.get(&conn));
         match conn.and_then(|conn| conn.outbox()) {
@@ -234,8 +234,8 @@
         }
     }
 
-    /// Removes an attempt that has ended from its connection, or from those that wait. `responded`:
-    /// its node has sent a response.
+    /// Removes an attempt that has ended from its connection, or from those that wait. `responded`
+    /// states whether its node has sent a response.
     pub(super) fn release(
         &mut self,
         attempt: AttemptId,
@@ -248,7 +248,7 @@
         if let Some(conn) = conn.and_then(|conn| self.conns.get_mut(&conn)) {
             conn.release(attempt, now);
             if exclusive && responded {
-                conn.pause(now + PAUSE_AFTER_RESPONSE);
+                conn.delay_reuse(now + REUSE_DELAY);
             }
         } else if let Some(pool) = self.pools.get_mut(&node) {
             pool.waiting.retain(|other| *other != attempt);
@@ -268,7 +268,7 @@
         waiting.copied()
     }
 
-    /// Returns the attempts that wait for a connection to the node, and those assigned to one.
+    /// Returns the attempts that wait for a connection to the node or are assigned to one.
     pub(super) fn attempts_to(&self, node: NodeId) -> Vec<AttemptId> {
         let mut attempts = self.waiting(node);
         let conns = self.connections_to(node).iter();
@@ -288,8 +288,8 @@
         queued.copied()
     }
 
-    /// Returns the attempts in outboxes that were put there before `put_before`, or whose deadline
-    /// has passed.
+    /// Returns the attempts in outboxes that were put there before `put_before` or whose deadline has
+    /// passed.
     pub(super) fn stale_in_outboxes(&self, put_before: Duration, now: Duration) -> Vec<AttemptId> {
         let mut stale = Vec::new();
         let busy = self.conns.values();
@@ -302,27 +302,27 @@
     }
 }
 
-/// Connections: dials, idle connections, connections that end.
+/// Handles dials, connections, and their ends.
 impl NodePools {
-    /// A connection or dial.
+    /// Returns a connection or dial, or `None` if it has ended.
     pub(super) fn connection(&self, conn: ConnId) -> Option<&NodeConnection> {
         self.conns.get(&conn)
     }
 
-    /// The connections and dials to a node.
+    /// Returns the connections and dials to a node.
     pub(super) fn connections_to(&self, node: NodeId) -> &[ConnId] {
         let pool = self.pools.get(&node);
         pool.map(|pool| pool.conns.as_slice()).unwrap_or_default()
     }
 
-    /// Returns a connection to the node that is up.
-    pub(super) fn connection_up(&self, node: NodeId) -> Option<(ConnId, &Arc<Outbox>)> {
+    /// Returns the first connection to the node that is up, and its outbox.
+    pub(super) fn first_up_connection(&self, node: NodeId) -> Option<(ConnId, &Arc<Outbox>)> {
         let mut conns = self.connections_to(node).iter();
         conns.find_map(|conn| Some((*conn, self.conns.get(conn)?.outbox()?)))
     }
 
-    /// Records that a dial has succeeded, and returns its node. None: the dial was given up; the
-    /// connection is closed.
+    /// Records that a dial has succeeded, and returns its node. If the dial was abandoned, closes the
+    /// connection and returns `None`.
     pub(super) fn connected(
         &mut self,
         conn: ConnId,
@@ -333,39 +333,41 @@
             outbox.close();
             return None;
         };
-        connection.came_up(outbox, now);
+        connection.dial_succeeded(outbox, now);
         let node = connection.node();
         let pool = self.pools.get_mut(&node);
         let pool = pool.expect("a node that is dialled has a pool");
-        pool.pool.dial_succeeded();
+        pool.policy.dial_succeeded();
         Some(node)
     }
 
-    /// Notes that the node accepts no further attempts on a connection.
+    /// Records that the node accepts no further attempts on a connection.
     pub(super) fn going_away(&mut self, conn: ConnId) {
         if let Some(connection) = self.conns.get_mut(&conn) {
             connection.set_going_away();
         }
     }
 
-    /// Removes a connection that has ended, or a dial that has failed. Its attempts have still to be
-    /// ended: their ends let other attempts be assigned, which must not be to this connection.
+    /// Removes a connection that has ended, or a dial that has failed. The caller ends its attempts
+    /// afterwards, since each of those ends lets other attempts be assigned, which must not be to this
+    /// connection.
     pub(super) fn disconnected(&mut self, conn: ConnId, now: Duration) -> Option<NodeConnection> {
         let ended = self.conns.remove(&conn)?;
         if let Some(pool) = self.pools.get_mut(&ended.node()) {
             pool.conns.retain(|other| *other != conn);
             if !ended.is_up() {
-                pool.pool.dial_failed(now);
+                pool.policy.dial_failed(now);
             }
         }
         Some(ended)
     }
 
-    /// Returns a node whose pool has changed, and the action that the pool wants.
+    /// Returns a node whose pool has changed, and the action that the pool wants. Each change is returned
+    /// once.
     pub(super) fn next_action(&mut self, now: Duration) -> Option<(NodeId, PoolAction)> {
         while let Some(node) = self.changed.pop_first() {
             if let Some(pool) = self.pools.get(&node) {
-                return Some((node, pool.pool.wanted(now, self.status(pool, now))));
+                return Some((node, pool.policy.wanted(now, self.status(pool, now))));
             }
         }
         None
@@ -377,27 +379,27 @@
             attempts: pool.waiting.len(),
             ..PoolStatus::default()
         };
-        let mut paused = 0;
+        let mut not_reusable = 0;
         for conn in pool.conns.iter().filter_map(|conn| self.conns.get(conn)) {
             status.attempts += conn.attempts().len();
             status.up += usize::from(conn.is_up());
-            // A connection that pauses cannot be used yet; but an attempt that waits alone waits
-            // for one of them.
-            let pauses = conn.attempts().is_empty() && conn.paused_until() > now;
-            paused += usize::from(pauses);
-            let late = conn.is_late_dial(self.handshake, now);
+            // A connection that is not reusable yet does not count as up. If none is, one of them
+            // counts all the same: a single waiting attempt waits for it rather than for a dial.
+            let waits_for_reuse = conn.attempts().is_empty() && conn.reusable_from() > now;
+            not_reusable += usize::from(waits_for_reuse);
+            let late = conn.is_late_dial(self.late_dial_after, now);
             status.late += usize::from(late && self.wire_mode.is_exclusive());
         }
         status.dialling = pool.conns.len() - status.up;
-        status.up = (status.up - paused).max(usize::from(status.up > 0));
+        status.up = (status.up - not_reusable).max(usize::from(status.up > 0));
         status
     }
 
-    /// Records a new dial. The pool may want another one.
+    /// Records a new dial. The pool is asked again whether it wants another one.
     pub(super) fn dialled(&mut self, conn: ConnId, node: NodeId, now: Duration) {
         self.conns.insert(conn, NodeConnection::dialling(node, now));
         if self.wire_mode.is_exclusive() {
-            self.checks.insert((now + self.handshake, node));
+            self.rechecks.insert((now + self.late_dial_after, node));
         }
         if let Some(pool) = self.pools.get_mut(&node) {
             pool.conns.push(conn);
@@ -405,7 +407,7 @@
         self.changed.insert(node);
     }
 
-    /// Returns whether there may be one more connection to nodes.
+    /// Returns whether the settings allow one more connection to any node.
     pub(super) fn has_capacity(&self) -> bool {
         self.conns.len() < self.bounds().node_connections
     }
@@ -423,7 +425,7 @@
         conn.is_some_and(|conn| conn.is_idle() && conn.idle_since() <= since)
     }
 
-    /// Returns the nodes to which a connection has been idle for as long as the settings allow.
+    /// Returns the nodes to which a connection has been idle for longer than the settings allow.
     pub(super) fn nodes_with_expired_idle(&self, now: Duration) -> BTreeSet<NodeId> {
         let since = self.idle_limit(now);
         let expired = |conn: &&NodeConnection| conn.is_idle() && conn.idle_since() < since;
@@ -431,13 +433,13 @@
         conns.map(|conn| conn.node()).collect()
     }
 
-    /// A connection that has been idle since then has been idle for as long as the settings allow.
+    /// Returns the time such that a connection that has been idle since before it is to be closed.
     pub(super) fn idle_limit(&self, now: Duration) -> Duration {
         now.saturating_sub(self.bounds().idle)
     }
 
-    /// Returns the dials that have reported neither success nor failure, for whatever reason. Each
-    /// dial has a time-out of its own; this is twice as long.
+    /// Returns the dials that have reported neither success nor failure within twice the dial time-out.
+    /// A dial should report its failure when its time-out expires.
     pub(super) fn lost_dials(&self, now: Duration) -> Vec<ConnId> {
         let since = now.saturating_sub(self.bounds().dial_timeout * 2);
         let lost = |conn: &NodeConnection| !conn.is_up() && conn.idle_since() < since;
@@ -445,13 +447,13 @@
         conns.map(|(id, _)| *id).collect()
     }
 
-    /// Notes that a node's process was replaced: dials to the former process are forgotten, and the
-    /// new process is dialled without backoff.
+    /// Records that a node's process was replaced. Dials to the former process are abandoned, and the new
+    /// process is dialled without backoff.
     pub(super) fn node_restarted(&mut self, node: NodeId) {
         let Some(pool) = self.pools.get_mut(&node) else {
             return;
         };
-        pool.pool.forget_failures();
+        pool.policy.forget_failures();
         let dialling = |conn: &ConnId| {
             let connection = self.conns.get(conn);
             connection.is_some_and(|connection| !connection.is_up())
--- a/crates/host/src/router/nodes.rs
+++ b/crates/host/src/router/nodes.rs
@@ -1,9 +1,9 @@
-//! Nodes: the connections to them, and their exclusion from service by operators and by peers.
+//! Handles the connections to nodes, and the exclusion of nodes from service by operators and peers.
 //!
-//! Called by the router with the frames and the connections of nodes, with the actions of the
-//! scheduler, and with what the state service and the peers send. The connections are owned by
-//! `NodePools`; plans, volumes and drains by [`crate::config_follower`]; quotas and the findings of
-//! outlier detection by [`crate::quota_sharing`].
+//! The router passes the frames and connections of nodes, the actions of the scheduler, and the
+//! messages of the state service and of the peers to the methods here. `NodePools` owns the
+//! connections, [`crate::config_follower`] plans, volumes and drains, and [`crate::quota_sharing`]
+//! quotas and the nodes that outlier detection has found.
 
 use super::types::frame;
 use super::{ConnId, Output, RequestRouter};
@@ -21,16 +21,16 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Expired quota leases that are applied in one step after a pause of the process. Each lease ends
-/// once, and the number of leases is far below this bound; a smaller bound would apply some of them
-/// late, and without a bound an error in their times would never let the step end.
+/// The most expired quota leases that are applied in one step, after a pause of the process. Each lease
+/// ends once, and the number of leases is far below this bound. A smaller bound would apply some of
+/// them late; without a bound, an error in their times could keep the step from ending.
 const MAX_EXPIRIES_PER_STEP: usize = 256;
 
-/// Connections to nodes.
+/// Handles the connections to nodes.
 impl RequestRouter {
     pub(super) fn node_connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
         if let Some(node) = self.pools.connected(conn, outbox, self.clock.now()) {
-            self.assign_waiting(node);
+            self.assign_waiting_attempts(node);
         }
     }
 
@@ -60,8 +60,8 @@
     ) {
         let attempt = AttemptId(response.attempt);
         let outstanding = self.attempts.get(attempt);
-        // A stray response is dropped: a duplicate, or a response to an attempt that has ended, was
-        // never sent, or is on another connection.
+        // A stray response is dropped. It is a duplicate, or a response to an attempt that has ended,
+        // was never sent, or is on another connection.
         if outstanding.is_none_or(|outstanding| outstanding.conn() != Some(conn)) {
             self.metrics.counters_mut().stray_responses += 1;
             return;
@@ -80,7 +80,7 @@
             return;
         };
         let request_id = started.request();
-        self.effects.event(Event::ResponseStarted {
+        self.effects.add_event(Event::ResponseStarted {
             id: request_id,
             attempt: started.number(),
         });
@@ -104,7 +104,8 @@
             pb::Result::Ok => AttemptOutcome::Completed,
             _ => AttemptOutcome::Failed,
         };
-        self.effects.event(Event::HealthChecked { node, outcome });
+        self.effects
+            .add_event(Event::HealthChecked { node, outcome });
     }
 
     pub(super) fn node_disconnected(&mut self, conn: ConnId) {
@@ -119,12 +120,12 @@
         }
         self.effects.connection_ended(conn);
         for node in self.pools.health_checks_mut().connection_ended(conn) {
-            self.effects.event(Event::HealthChecked {
+            self.effects.add_event(Event::HealthChecked {
                 node,
                 outcome: AttemptOutcome::ConnectionReset,
             });
         }
-        self.assign_waiting(ended.node());
+        self.assign_waiting_attempts(ended.node());
     }
 
     fn attempt_lost_connection(&mut self, attempt: AttemptId, outbox: Option<&Arc<Outbox>>) {
@@ -143,9 +144,9 @@
         self.end_attempt(attempt, outcome, self.clock.now(), None);
     }
 
-    /// Lets an attempt that was assigned to a connection which had already ended wait for another
-    /// one, once, and returns whether it does. The end of an idle connection is no evidence about
-    /// its node.
+    /// Makes an attempt that was still in the outbox of its connection when the connection ended wait
+    /// for another one, and returns whether it does. An attempt is reassigned at most once. That a node
+    /// closes an idle connection is no evidence of a fault.
     fn reassign(&mut self, attempt: AttemptId) -> bool {
         let Some(node) = self.attempts.unassign(attempt, self.clock.now()) else {
             return false;
@@ -154,14 +155,14 @@
         true
     }
 
-    /// Performs the actions that the changed pools want.
+    /// Performs the actions that the pools want after their changes.
     pub(super) fn adjust_pools(&mut self) {
         while let Some((node, action)) = self.pools.next_action(self.clock.now()) {
             let known = self.discovery.endpoints().get(node);
             match (action, known.and_then(|known| known.address)) {
                 (PoolAction::Nothing, _) => {}
-                // Without capacity for another connection the attempts wait; the sweep ends those
-                // that have waited too long.
+                // If there is no capacity for another connection, the attempts wait; the sweep ends
+                // those that have waited too long.
                 (PoolAction::Dial, Some(address)) => {
                     if self.make_room_for_dial() {
                         self.dial(node, address);
@@ -183,17 +184,17 @@
     }
 
     fn dial(&mut self, node: NodeId, address: SocketAddr) {
-        let conn = ConnId(self.effects.next_number());
+        let conn = ConnId(self.effects.next_id());
         self.pools.dialled(conn, node, self.clock.now());
-        self.effects.output(Output::Dial {
+        self.effects.add_output(Output::Dial {
             conn,
             node,
             address,
         });
     }
 
-    /// Returns whether there may be one more connection to nodes. At the bound on connections, the
-    /// one that has been idle for the longest time is closed.
+    /// Makes room for one more connection to any node, and returns whether there is room. At the bound
+    /// on connections, this closes the one that has been idle for the longest time.
     fn make_room_for_dial(&mut self) -> bool {
         if self.pools.has_capacity() {
             return true;
@@ -207,7 +208,8 @@
 
     /// Closes the connections to a node that have been idle since `since` or longer.
     pub(super) fn close_idle(&mut self, node: NodeId, since: Duration) {
-        // Each end lets a waiting attempt be assigned, possibly to the next of these connections.
+        // Closing a connection lets a waiting attempt be assigned, possibly to one of those that follow,
+        // so each is checked again.
         for conn in self.pools.connections_to(node).to_vec() {
             if self.pools.is_idle_since(conn, since) {
                 self.node_disconnected(conn);
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Closes the connections that have been idle for as long as the settings allow.
+    /// Closes the connections that have been idle for longer than the settings allow.
     pub(super) fn close_expired_idle(&mut self) {
         let since = self.pools.idle_limit(self.clock.now());
         for node in self.pools.nodes_with_expired_idle(self.clock.now()) {
@@ -223,18 +225,18 @@
         }
     }
 
-    /// Ends the dials that have reported neither success nor failure: the attempts that wait for
-    /// them must not wait for ever.
+    /// Ends the dials that have reported neither success nor failure, so that the attempts that wait
+    /// for them do not wait for ever.
     pub(super) fn end_lost_dials(&mut self) {
         for conn in self.pools.lost_dials(self.clock.now()) {
             self.node_disconnected(conn);
         }
     }
 
-    /// Ends the attempts that have waited too long for their connection, or in its outbox.
+    /// Ends the attempts that have waited too long for a connection or in an outbox.
     pub(super) fn end_stale_attempts(&mut self) {
-        // Each end lets other attempts be assigned, possibly a stale one. Only an attempt that is
-        // now revoked was never written.
+        // The end of one attempt lets others be assigned, and a stale one may have been written by now.
+        // Only an attempt that can still be revoked was not.
         for attempt in self.stale_attempts() {
             if !self.revoke(attempt) {
                 continue;
@@ -254,19 +256,19 @@
         let put_before = self.clock.now().saturating_sub(bounds.max_dispatch_delay);
         let mut stale = self.pools.stale_in_outboxes(put_before, self.clock.now());
         let longest_wait = bounds.dial_timeout.max(bounds.max_dispatch_delay);
-        let decided_before = self.clock.now().saturating_sub(longest_wait);
+        let requested_before = self.clock.now().saturating_sub(longest_wait);
         let waiting = self.pools.all_waiting();
         stale.extend(waiting.filter(|attempt| {
             let outstanding = self.attempts.get(*attempt);
-            outstanding.is_some_and(|attempt| attempt.sent() < decided_before)
+            outstanding.is_some_and(|attempt| attempt.timed_from() < requested_before)
         }));
         stale
     }
 
     pub(super) fn check_health(&mut self, node: NodeId) {
-        let probe = self.effects.next_number();
-        let Some((conn, outbox)) = self.pools.connection_up(node) else {
-            self.effects.event(Event::HealthChecked {
+        let probe = self.effects.next_id();
+        let Some((conn, outbox)) = self.pools.first_up_connection(node) else {
+            self.effects.add_event(Event::HealthChecked {
                 node,
                 outcome: AttemptOutcome::ConnectFailed,
             });
@@ -277,15 +279,15 @@
     }
 }
 
-/// Nodes that are excluded from service.
+/// Handles the exclusion of nodes from service.
 impl RequestRouter {
     fn is_avoided(&self, node: NodeId) -> bool {
         let sharing = self.sharing.as_ref();
         sharing.is_some_and(|sharing| sharing.is_avoided(node))
     }
 
-    /// Returns the state that the scheduler is given for a node: that of the endpoint list, but
-    /// draining for a ready node that is drained by an operator or avoided by all hosts.
+    /// Returns the state of a node that is reported to the scheduler: the one in the endpoint list
+    /// (`listed`), but draining for a ready node that an operator drains or that all hosts avoid.
     pub(super) fn node_state(&self, node: NodeId, listed: NodeState) -> NodeState {
         let excluded = self.config.is_drained(node) || self.is_avoided(node);
         match listed {
@@ -294,9 +296,9 @@
         }
     }
 
-    /// Hands the nodes that the endpoint list and the operators have in service to the outlier
-    /// detection among the hosts.
-    pub(super) fn share_known_nodes(&mut self) {
+    /// Reports the nodes in service to the outlier detection that the hosts share: those that are ready
+    /// in the endpoint list and that no operator drains.
+    pub(super) fn share_nodes_in_service(&mut self) {
         let Some(sharing) = &mut self.sharing else {
             return;
         };
@@ -308,8 +310,8 @@
         sharing.nodes_in_use(nodes.collect());
     }
 
-    /// Hands nodes whose exclusion has changed to the scheduler, as if the endpoint list had changed
-    /// their state.
+    /// Reports nodes whose exclusion from service has changed to the scheduler, as if the endpoint list
+    /// had changed their state.
     pub(super) fn apply_exclusions(&mut self, nodes: &[NodeId], reason: ExclusionReason) {
         let endpoints: Vec<Endpoint> = nodes
             .iter()
@@ -330,17 +332,18 @@
         let unready = endpoints
             .iter()
             .filter(|endpoint| endpoint.state != NodeState::Ready);
-        let left: Vec<NodeId> = unready.map(|endpoint| endpoint.node).collect();
+        let out_of_service: Vec<NodeId> = unready.map(|endpoint| endpoint.node).collect();
         if !endpoints.is_empty() {
-            self.effects.event(Event::EndpointUpdate {
+            self.effects.add_event(Event::EndpointUpdate {
                 kind: EndpointUpdateKind::Delta,
                 endpoints,
             });
         }
-        for node in left {
+        for node in out_of_service {
             self.revoke_attempts_to(node);
         }
-        // The operator who drains a node waits for the report of its outstanding attempts.
+        // An operator who drains a node waits until its outstanding attempts are reported, which a sweep
+        // does.
         self.timers.sweep_now(self.clock.now());
     }
 
@@ -356,7 +359,7 @@
     }
 }
 
-/// The state service and the peers.
+/// Handles the state service and the peers.
 impl RequestRouter {
     pub(super) fn handle_state_service_frames(&mut self, conn: ConnId, frames: Vec<pb::Frame>) {
         for body in frames.into_iter().filter_map(|frame| frame.body) {
@@ -367,15 +370,15 @@
         }
     }
 
-    /// Hands the changes of plans, volumes and drains to the scheduler, and the actions of the
-    /// follower to the sockets and the disk.
+    /// Passes changes of plans, volumes and drains to the scheduler, and the actions of the follower
+    /// of the state service to the router's caller.
     pub(super) fn follow_configuration(&mut self) {
-        let (events, numbers) = self.effects.events_and_numbers();
-        let first = events.len();
+        let (events, ids) = self.effects.events_and_ids();
+        let first_added = events.len();
         let now = self.clock.now();
-        let actions = self.config.step(now, events, || numbers.next());
+        let actions = self.config.step(now, events, || ids.next());
         if let Some(sharing) = &mut self.sharing {
-            for event in &mut events[first..] {
+            for event in &mut events[first_added..] {
                 if let Event::VolumeChanged { volume, terms } = event {
                     let hosts = self.config.hosts_of(*volume, self.host.settings());
                     *terms = sharing.volume_changed(*volume, *terms, hosts);
@@ -383,7 +386,7 @@
             }
         }
         for action in actions {
-            self.effects.output(match action {
+            self.effects.add_output(match action {
                 ConfigAction::Dial { conn } => Output::DialStateService { conn },
                 ConfigAction::Persist { number, records } => Output::Persist { number, records },
                 ConfigAction::Log { text } => Output::Log(LogEvent::Catalog { text }),
@@ -391,14 +394,14 @@
         }
         if let Some(changed) = self.config.take_drain_changes() {
             self.apply_exclusions(&changed, ExclusionReason::Drained);
-            self.share_known_nodes();
+            self.share_nodes_in_service();
         }
     }
 
-    /// Applies the ends of quota leases that expired during a pause of the process, each at its own
-    /// moment. The scheduler fills its buckets by the time that has passed; without this step it
-    /// would do so at a rate that other hosts have had again for long. This step comes before the
-    /// inputs are handled, since a peer's request for quota counts from now on.
+    /// Applies the expiries of quota leases during a pause of the process, each as of its own time. The
+    /// scheduler refills its token buckets by the elapsed time; without this step it would refill them
+    /// at a rate that other hosts have long used again. This step comes before the inputs are handled,
+    /// since a peer's request for quota takes effect only now.
     pub(super) fn expire_quota_leases(&mut self) {
         for _ in 0..MAX_EXPIRIES_PER_STEP {
             let now = self.clock.now();
@@ -419,12 +422,12 @@
         }
     }
 
-    /// Handles the messages of the peers, and hands the changes of quotas to the scheduler.
+    /// Handles the messages of the peers, and passes changes of quotas to the scheduler.
     pub(super) fn exchange_gossip(&mut self) {
         let Some(sharing) = &mut self.sharing else {
             return;
         };
-        let (events, _) = self.effects.events_and_numbers();
+        let (events, _) = self.effects.events_and_ids();
         let outcome = sharing.step(self.clock.now(), events);
         self.apply_sharing_outcome(outcome);
     }
@@ -438,12 +441,12 @@
         if let Some(sharing) = self.sharing.as_mut().filter(|_| !bytes.is_empty()) {
             sharing.message_received(from, transit_time, &bytes);
         }
-        self.effects.event(Event::PeerMessage { from, bytes });
+        self.effects.add_event(Event::PeerMessage { from, bytes });
     }
 
     fn apply_sharing_outcome(&mut self, outcome: SharingOutcome) {
         for (to, bytes) in outcome.messages {
-            self.effects.output(Output::SendToPeer {
+            self.effects.add_output(Output::SendToPeer {
                 to: Some(to),
                 bytes,
             });
--- a/crates/host/src/router/request_terms.rs
+++ b/crates/host/src/router/request_terms.rs
@@ -1,6 +1,5 @@
-//! Checks a request that has just arrived against the settings and the catalog.
-//!
-//! Called by the router for each request. No state.
+//! Validates an arriving request against the settings and the catalog, and determines its service
+//! terms: the plan and the number of hosts of its volume, and the deadline of its traffic class.
 
 use super::types::{request_id, WireMode};
 use crate::config_follower::{ConfigFollower, VolumePlacement};
@@ -10,39 +9,39 @@
 use grebecleat_wire::pb;
 use std::time::Duration;
 
-/// The terms on which a request is served.
+/// The service terms of a request.
 pub(super) struct RequestTerms {
     pub id: RequestId,
     pub plan: PlanId,
-    /// The number of hosts through which the volume works.
+    /// The number of hosts that serve the volume.
     pub hosts: usize,
-    /// The longest time that a request of its class may take.
+    /// The longest time that a request of its traffic class may take.
     pub class_deadline: Duration,
 }
 
-/// A reason for which a request is not opened.
-pub(super) enum Unserved {
-    /// The request violates the protocol: the connection of its client is closed.
-    Invalid(ProtocolViolation),
-    /// This host does not serve the volume. The client may know an older or a newer catalog than
-    /// this host, so the request is answered and the connection stays open.
-    NotHere(VolumePlacement),
+/// Why a request is not accepted.
+pub(super) enum TermsError {
+    /// The request violates the protocol. The connection of its client is closed.
+    Violation(ProtocolViolation),
+    /// This host does not serve the volume. The client may know an older or a newer revision of the
+    /// catalog than this host, so the request is answered and the connection stays open.
+    NotServedHere(VolumePlacement),
 }
 
-impl From<ProtocolViolation> for Unserved {
+impl From<ProtocolViolation> for TermsError {
     fn from(violation: ProtocolViolation) -> Self {
-        Unserved::Invalid(violation)
+        TermsError::Violation(violation)
     }
 }
 
-/// Returns the terms of a request. `is_open` returns whether a request with this id is open.
+/// Returns the service terms of a request. `is_open` returns whether a request with this id is open.
 pub(super) fn request_terms(
     message: &pb::SubmitRequest,
     settings: &Settings,
     config: &ConfigFollower,
     wire_mode: WireMode,
     is_open: impl FnOnce(&RequestId) -> bool,
-) -> Result<RequestTerms, Unserved> {
+) -> Result<RequestTerms, TermsError> {
     let id = request_id(&message.id).ok_or(ProtocolViolation::MalformedRequestId)?;
     if is_open(&id) {
         return Err(ProtocolViolation::DuplicateRequestId.into());
@@ -65,7 +64,7 @@
         VolumePlacement::Unknown if !config.is_on() => {
             return Err(ProtocolViolation::UnknownVolume.into());
         }
-        other => return Err(Unserved::NotHere(other)),
+        other => return Err(TermsError::NotServedHere(other)),
     };
     let units = message.units;
     if !(units.is_finite() && units > 0.0 && units <= settings.units.largest) {
--- a/crates/host/src/router/requests.rs
+++ b/crates/host/src/router/requests.rs
@@ -1,14 +1,14 @@
-//! The course of a request: from its arrival, through its attempts, to its one final response.
+//! The life cycle of a request: from its arrival, through its attempts, to its one final response.
 //!
-//! Called by the router with the frames of clients and the actions of the scheduler. The state is
-//! that of `ClientSessions`, `AttemptTable` and `NodePools`; the methods here define the order
-//! in which the three change. A request is finished in one place ([`RequestRouter::finish_request`]),
-//! and an attempt ends in one place ([`RequestRouter::end_attempt`]).
+//! The router passes the frames of clients and the actions of the scheduler to the methods here. They
+//! define the order in which `ClientSessions`, `AttemptTable` and `NodePools` change. Only
+//! [`RequestRouter::finish_request`] sends a final response to an accepted request, and only
+//! [`RequestRouter::end_attempt`] ends an attempt.
 
 use super::attempt_table::{may_still_run, OutstandingAttempt};
 use super::client_sessions::OpenRequest;
 use super::node_connection::NodeConnection;
-use super::request_terms::{request_terms, RequestTerms, Unserved};
+use super::request_terms::{request_terms, RequestTerms, TermsError};
 use super::types::{frame, request_id};
 use super::{ConnId, RequestRouter};
 use crate::admission::{admit, Load, Refusal};
@@ -25,11 +25,11 @@
 use std::time::Duration;
 use tracing::debug;
 
-/// The smallest rate, in units a second, that a volume's usage is divided by. The bound keeps the
-/// usage of a volume whose plan has no rate finite.
-const MIN_RATE: f64 = 1e-9;
+/// The smallest rate by which the usage of a volume is divided. The bound keeps the quotient finite
+/// if the volume's plan has a rate of zero.
+const MIN_RATE_UNITS_PER_SECOND: f64 = 1e-9;
 
-/// Clients and their requests.
+/// Handles clients and their requests.
 impl RequestRouter {
     pub(super) fn client_connected(&mut self, conn: ConnId, outbox: Arc<Outbox>) {
         if self.shutdown.has_begun() {
@@ -49,11 +49,11 @@
             }
             Some(Body::CancelRequest(message)) => {
                 client.outbox().cancel_handled(&message.id);
-                let own = |id: &RequestId| {
+                let sent_by_client = |id: &RequestId| {
                     let request = self.clients.request(id);
                     request.is_some_and(|request| request.client() == conn)
                 };
-                if let Some(id) = request_id(&message.id).filter(own) {
+                if let Some(id) = request_id(&message.id).filter(sent_by_client) {
                     self.metrics.counters_mut().cancelled += 1;
                     self.cancel_request(id);
                 }
@@ -81,9 +81,9 @@
         );
         let terms = match terms {
             Ok(terms) => terms,
-            Err(Unserved::Invalid(violation)) => return self.disconnect(conn, violation),
-            Err(Unserved::NotHere(placement)) => {
-                return self.reject_not_here(conn, message, placement)
+            Err(TermsError::Violation(violation)) => return self.disconnect(conn, violation),
+            Err(TermsError::NotServedHere(placement)) => {
+                return self.reject_unserved_volume(conn, message, placement)
             }
         };
         let load = Load {
@@ -92,31 +92,32 @@
             draining: self.shutdown.has_begun(),
         };
         if let Err(refusal) = admit(load, message.data.len(), self.host.bounds()) {
-            return self.refuse(conn, message, refusal);
+            return self.reject_on_arrival(conn, message, refusal);
         }
-        let left = Duration::from_micros(message.left_us).min(terms.class_deadline);
-        // The client's deadline also runs while the frame and the response are on their way.
+        let remaining = Duration::from_micros(message.left_us).min(terms.class_deadline);
+        // The time until the client's deadline also includes the transit of the request and of the
+        // response.
         let margin = self.host.settings().rules.answer_margin;
-        let deadline = (at + left).saturating_sub(transit_time + margin);
-        let received = at.saturating_sub(transit_time);
-        self.open_request(conn, message, &terms, received, deadline);
+        let deadline = (at + remaining).saturating_sub(transit_time + margin);
+        let sent_at = at.saturating_sub(transit_time);
+        self.open_request(conn, message, &terms, sent_at, deadline);
     }
 
-    /// Hands a request to the scheduler.
+    /// Accepts a request and hands it to the scheduler.
     fn open_request(
         &mut self,
         conn: ConnId,
         message: pb::SubmitRequest,
         terms: &RequestTerms,
-        received: Duration,
+        sent_at: Duration,
         deadline: Duration,
     ) {
         self.metrics.counters_mut().received += 1;
-        self.metrics.request_received(received, &message);
+        self.metrics.request_received(sent_at, &message);
         if let Some(sharing) = &mut self.sharing {
             sharing.request_received(message.volume, message.units);
         }
-        self.effects.event(Event::RequestReceived(Request {
+        self.effects.add_event(Event::RequestReceived(Request {
             id: terms.id,
             units: message.units,
             shard: message.shard.map(ShardId),
@@ -127,12 +128,12 @@
             deadline,
             volume: VolumeId(message.volume),
         }));
-        let request = OpenRequest::new(conn, message, terms.plan, received, deadline);
-        self.clients.open(terms.id, request);
+        let request = OpenRequest::new(conn, message, terms.plan, sent_at, deadline);
+        self.clients.add_request(terms.id, request);
     }
 
-    /// Rejects a request on arrival: it never runs, and its client may retry it.
-    fn refuse(&mut self, conn: ConnId, message: pb::SubmitRequest, refusal: Refusal) {
+    /// Rejects a request that has just arrived. It never runs, and its client may retry it.
+    fn reject_on_arrival(&mut self, conn: ConnId, message: pb::SubmitRequest, refusal: Refusal) {
         self.metrics.counters_mut().refused += 1;
         let longest = self.host.settings().host_limits.max_retry_after;
         let retry_after = longest.map(|longest| refusal.retry_after().min(longest));
@@ -145,16 +146,16 @@
         self.respond(conn, response);
     }
 
-    /// Rejects a request of a volume that this host does not serve: it never runs here.
-    fn reject_not_here(
+    /// Rejects a request to a volume that this host does not serve. It never runs here.
+    fn reject_unserved_volume(
         &mut self,
         conn: ConnId,
         message: pb::SubmitRequest,
         placement: VolumePlacement,
     ) {
         self.metrics.counters_mut().refused += 1;
-        // Another host, or this one later, may serve a volume that is elsewhere or not yet known. A
-        // retry for a volume that does not exist has no chance.
+        // A retry may succeed if another host serves the volume, or if this host will know it later.
+        // It cannot succeed if the volume does not exist.
         let outcome = match placement {
             VolumePlacement::Unknown => pb::Outcome::Failed,
             _ => pb::Outcome::Rejected,
@@ -177,14 +178,14 @@
             return;
         };
         client.outbox().put(frame(Body::Response(response)));
-        // The responses to a client that never reads would fill this host's memory. Its requests
-        // are cancelled.
+        // The responses to a client that never reads would fill this host's memory, so the client is
+        // disconnected and its requests are cancelled.
         if client.outbox().bytes() > self.host.bounds().max_unread {
             self.disconnect(conn, ProtocolViolation::UnreadResponses);
         }
     }
 
-    /// Sends a request its final response, unless it has had one.
+    /// Sends the final response to a request, unless it already has one or is cancelled.
     pub(super) fn finish_request(
         &mut self,
         id: RequestId,
@@ -200,7 +201,7 @@
         let outstanding = request.outstanding().to_vec();
         self.count_finished(id, outcome);
         // The response states whether the request may still take effect, so the attempts that can
-        // be revoked are revoked first.
+        // still be revoked must be revoked before.
         let (revoked, written): (Vec<AttemptId>, Vec<AttemptId>) = outstanding
             .into_iter()
             .partition(|attempt| self.revoke(*attempt));
@@ -224,12 +225,8 @@
             let message = request.message();
             let class = &self.host.settings().traffic_classes[message.traffic_class as usize];
             let objective = class.facts.latency_objective;
-            self.metrics.request_completed(
-                request.received(),
-                message,
-                self.clock.now(),
-                objective,
-            );
+            self.metrics
+                .request_completed(request.sent_at(), message, self.clock.now(), objective);
         }
         match outcome {
             pb::Outcome::Completed => self.metrics.counters_mut().completed += 1,
@@ -238,8 +235,8 @@
         }
     }
 
-    /// Revokes the attempts of an answered request that are not written yet, and removes the
-    /// request once its last attempt has ended.
+    /// If a request is answered, revokes its attempts that are not written yet, and removes it if its
+    /// last attempt has ended.
     fn release_request(&mut self, id: RequestId) {
         let request = self.clients.request(&id);
         let Some(answered) = request.filter(|request| request.is_answered()) else {
@@ -250,12 +247,12 @@
                 self.end_attempt(attempt, AttemptOutcome::NotSent, self.clock.now(), None);
             }
         }
-        self.clients.remove_if_over(id);
+        self.clients.remove_if_finished(id);
     }
 
     fn cancel_request(&mut self, id: RequestId) {
         if self.clients.mark_answered(&id).is_some() {
-            self.effects.event(Event::RequestCancelled { id });
+            self.effects.add_event(Event::RequestCancelled { id });
             self.release_request(id);
         }
     }
@@ -274,17 +271,17 @@
         }
     }
 
-    /// Logs a violation by a client or a subscriber, and closes its connection.
+    /// Logs a violation of the protocol by a client or a subscriber, and closes its connection.
     pub(super) fn disconnect(&mut self, conn: ConnId, violation: ProtocolViolation) {
         self.effects.log_violation(conn, violation);
         self.client_disconnected(conn);
     }
 }
 
-/// Attempts.
+/// Starts and ends attempts.
 impl RequestRouter {
     pub(super) fn start_attempt(&mut self, id: RequestId, node: NodeId, deadline: Duration) {
-        let attempt = AttemptId(self.effects.next_number());
+        let attempt = AttemptId(self.effects.next_id());
         let now = self.clock.now();
         self.metrics.counters_mut().attempts += 1;
         let Some((number, answered)) = self.clients.attempt_started(&id, attempt) else {
@@ -300,13 +297,14 @@
         }
         self.attempts.start_deadline(attempt, deadline);
         self.pools.enqueue(node, attempt);
-        self.assign_waiting(node);
+        self.assign_waiting_attempts(node);
         let waits = |outstanding: &OutstandingAttempt| outstanding.conn().is_none();
         let exclusive = self.pools.wire_mode().is_exclusive();
         if exclusive && self.attempts.get(attempt).is_some_and(waits) {
-            // Until each of the dials that may run at a time has had its handshake, the attempt is
-            // late because of the dial, and not because of the node.
-            self.effects.event(Event::AttemptSent {
+            // The scheduler counts the time of the attempt from `at`. Until each of the dials that may
+            // run at the same time has had time for its handshake, a delay is that of dialling and no
+            // evidence about the node.
+            self.effects.add_event(Event::AttemptSent {
                 id,
                 node,
                 at: now + self.pools.dial_allowance(),
@@ -314,23 +312,24 @@
         }
     }
 
-    /// Assigns waiting attempts of a node to connections with capacity, the least loaded first.
-    pub(super) fn assign_waiting(&mut self, node: NodeId) {
+    /// Assigns attempts that wait for a connection to the node, the longest-waiting attempt first, each
+    /// to the least loaded connection with capacity.
+    pub(super) fn assign_waiting_attempts(&mut self, node: NodeId) {
         self.pools.mark_changed(node);
         while let Some((attempt, conn)) = self.pools.take_assignable(node, self.clock.now()) {
             self.assign(attempt, conn);
         }
     }
 
-    /// Puts an attempt into the outbox of a connection.
+    /// Assigns an attempt to a connection and puts it into the connection's outbox.
     fn assign(&mut self, attempt: AttemptId, conn: ConnId) {
-        let (assigned, waited_since) = self.attempts.assign(attempt, conn, self.clock.now());
+        let (assigned, waiting_since) = self.attempts.assign(attempt, conn, self.clock.now());
         let request_id = assigned.request();
         let node = assigned.node();
         let number = assigned.number();
         let deadline = assigned.deadline();
-        if waited_since < self.clock.now() {
-            self.effects.event(Event::AttemptSent {
+        if waiting_since < self.clock.now() {
+            self.effects.add_event(Event::AttemptSent {
                 id: request_id,
                 node,
                 at: self.clock.now(),
@@ -347,8 +346,8 @@
             .put_attempt(attempt, conn, frame, self.clock.now(), deadline, client);
     }
 
-    /// Revokes an attempt that is not written to its node, and returns whether it now never will
-    /// be.
+    /// Revokes an attempt if it is not completely written to its node yet. Returns whether it is
+    /// revoked: the node then never runs it.
     pub(super) fn revoke(&mut self, attempt: AttemptId) -> bool {
         let Some(outstanding) = self.attempts.get(attempt) else {
             return false;
@@ -358,7 +357,8 @@
         revoked
     }
 
-    /// Ends an attempt, and reports its outcome to the scheduler.
+    /// Ends an attempt and reports its outcome to the scheduler. If the attempt has completed, its
+    /// request completes. `at` is when the attempt ended.
     pub(super) fn end_attempt(
         &mut self,
         attempt: AttemptId,
@@ -376,10 +376,10 @@
             .release(attempt, node, ended.conn(), self.clock.now(), responded);
         let attempt_id = attempt.0;
         debug!(attempt_id, node = node.0, ?outcome, "attempt ended");
-        let sent = ended.sent();
-        let ended_at = at.max(sent);
-        let paused = self.clock.paused_within(sent, ended_at);
-        let elapsed = (ended_at - sent).saturating_sub(paused);
+        let timed_from = ended.timed_from();
+        let ended_at = at.max(timed_from);
+        let paused = self.clock.paused_within(timed_from, ended_at);
+        let elapsed = (ended_at - timed_from).saturating_sub(paused);
         self.clients
             .attempt_ended(&request_id, attempt, may_still_run(outcome));
         let response = response.unwrap_or_default();
@@ -398,7 +398,7 @@
         let answered = request.is_none_or(|request| request.is_answered());
         let reported = response.reported;
         let reported = reported.map(|percent| self.reported_usage(request_id, percent));
-        self.effects.event(Event::AttemptEnded(AttemptEnd {
+        self.effects.add_event(Event::AttemptEnded(AttemptEnd {
             id: request_id,
             attempt: ended.number(),
             node,
@@ -411,7 +411,7 @@
         }));
         self.release_request(request_id);
         self.close_after_attempt(ended.conn(), outcome);
-        self.assign_waiting(node);
+        self.assign_waiting_attempts(node);
     }
 
     fn count_outcome(&mut self, id: RequestId, node: NodeId, outcome: AttemptOutcome) {
@@ -430,19 +430,23 @@
         }
     }
 
-    /// Returns the usage of the volume by all hosts, in percent of its plan's rate: the larger of
-    /// the node's load report and the sum that the peers report.
+    /// Returns the usage of the request's volume through all hosts, in percent of its plan's rate: the
+    /// larger of the usage that the node reports (`percent`) and the sum that the hosts report.
     fn reported_usage(&self, id: RequestId, percent: f64) -> f64 {
         let (Some(sharing), Some(request)) = (&self.sharing, self.clients.request(&id)) else {
             return percent;
         };
-        let rate = self.config.rate(request.plan()).max(MIN_RATE);
+        let rate = self
+            .config
+            .rate(request.plan())
+            .max(MIN_RATE_UNITS_PER_SECOND);
         let served = sharing.served_everywhere(self.clock.now(), request.message().volume);
         percent.max(served / rate * 100.0)
     }
 
-    /// Closes a connection that carries one exchange at a time after an attempt on it was
-    /// abandoned: a late response would be taken for that of the next attempt.
+    /// Closes a connection that carries one exchange at a time if its attempt was abandoned: a late
+    /// response would be read as that of the next attempt. Also removes such a connection if its
+    /// outbox is already closed.
     fn close_after_attempt(&mut self, conn: Option<ConnId>, outcome: AttemptOutcome) {
         use AttemptOutcome::{Cancelled, TimedOut};
         let Some(conn) = conn.filter(|_| self.pools.wire_mode().is_exclusive()) else {
@@ -457,7 +461,8 @@
         }
     }
 
-    /// Ends the attempts whose deadline has passed. An attempt that was not written never ran.
+    /// Ends the attempts whose deadline has passed. Those that are not written yet are revoked and
+    /// reported as not sent.
     pub(super) fn expire_attempts(&mut self) {
         while let Some(attempt) = self.attempts.take_expired(self.clock.now()) {
             let outcome = match self.revoke(attempt) {
@@ -468,11 +473,11 @@
         }
     }
 
-    /// Cancels the attempt with this number among the attempts of a request.
+    /// Cancels one attempt of a request. `number` is its number among the request's attempts.
     pub(super) fn cancel_attempt(&mut self, id: RequestId, number: u32) {
         let request = self.clients.request(&id);
         let outstanding = request.map_or(&[][..], |request| request.outstanding());
-        let Some(attempt) = self.attempts.with_number(outstanding, number) else {
+        let Some(attempt) = self.attempts.find_by_number(outstanding, number) else {
             return;
         };
         if self.revoke(attempt) {
@@ -488,8 +493,8 @@
         self.end_attempt(attempt, AttemptOutcome::Cancelled, self.clock.now(), None);
     }
 
-    /// Revokes all attempts to a node that are not written yet: an attempt that was decided before
-    /// the node was excluded must not be written after.
+    /// Revokes all attempts to a node that are not written yet. No attempt must be written after its
+    /// node is taken out of service, even if the scheduler requested it before.
     pub(super) fn revoke_attempts_to(&mut self, node: NodeId) {
         for attempt in self.pools.attempts_to(node) {
             if self.revoke(attempt) {
--- a/crates/host/src/router/shutdown.rs
+++ b/crates/host/src/router/shutdown.rs
@@ -1,21 +1,21 @@
 //! Graceful shutdown of the host.
 //!
-//! Called by the router. Once the shutdown has begun, new requests are rejected and open requests
-//! are answered. The shutdown is complete when every open request is answered and every answer is
-//! written, or at a last moment: a client that does not read must not prevent the end of the process.
+//! Once the shutdown has begun, the router rejects new requests and answers those that are open. The
+//! shutdown is complete when every request is answered and every response is written, or at a
+//! deadline: a client that does not read its responses must not keep the process from ending.
 
 use std::time::Duration;
 
 /// The state of a graceful shutdown.
 #[derive(Debug, Default)]
 pub(super) struct Shutdown {
-    /// None: no shutdown has begun.
+    /// `None` until the shutdown begins.
     deadline: Option<Duration>,
     complete: bool,
 }
 
 impl Shutdown {
-    /// Begins the shutdown, which is complete at `deadline` at the latest.
+    /// Begins the shutdown, which completes at `deadline` at the latest. Later calls have no effect.
     pub(super) fn begin(&mut self, deadline: Duration) {
         self.deadline.get_or_insert(deadline);
     }
@@ -25,8 +25,12 @@
         self.deadline.is_some()
     }
 
-    /// Returns true once: in the step in which the shutdown becomes complete.
-    pub(super) fn completes(&mut self, now: Duration, all_written: impl FnOnce() -> bool) -> bool {
+    /// Returns whether the shutdown becomes complete in this step, which is true only once.
+    pub(super) fn try_complete(
+        &mut self,
+        now: Duration,
+        all_written: impl FnOnce() -> bool,
+    ) -> bool {
         let Some(deadline) = self.deadline.filter(|_| !self.complete) else {
             return false;
         };
--- a/crates/host/src/router/step_clock.rs
+++ b/crates/host/src/router/step_clock.rs
@@ -1,16 +1,16 @@
 //! The time of the current step, and the pauses of this process between steps.
 //!
-//! Called by the router. The time never goes backwards. Memory: that of
+//! The time of a step is never before that of the previous one. The pauses are recorded by
 //! [`crate::process_pause::ProcessPauses`].
 
 use crate::process_pause::ProcessPauses;
 use std::time::Duration;
 
-/// The time of the current step.
+/// The clock of the router, which stands still during a step.
 #[derive(Debug)]
 pub(super) struct StepClock {
     now: Duration,
-    /// The moment at which the caller was last requested to wake.
+    /// When the caller was last asked to call `step` at the latest.
     requested_wake: Duration,
     pauses: ProcessPauses,
 }
@@ -26,23 +26,25 @@
 }
 
 impl StepClock {
-    /// The time of the current step.
+    /// Returns the time of the current step.
     pub(super) fn now(&self) -> Duration {
         self.now
     }
 
-    /// Begins a step.
+    /// Sets the time of a new step.
     pub(super) fn advance(&mut self, now: Duration) {
         self.now = now.max(self.now);
     }
 
-    /// Records when the caller is to wake, and returns that moment.
+    /// Records that the caller is asked to call `step` at `at` or now, whichever is later, and returns
+    /// that time.
     pub(super) fn request_wake(&mut self, at: Duration) -> Duration {
         self.requested_wake = at.max(self.now);
         self.requested_wake
     }
 
-    /// Returns whether this process was paused before the caller woke at `now`.
+    /// Returns whether this process was paused just before `now`, since the caller woke later than
+    /// requested.
     pub(super) fn detect_pause(&mut self, now: Duration) -> bool {
         let paused = self.pauses.woke(self.requested_wake.max(self.now), now);
         if paused {
@@ -51,7 +53,7 @@
         paused
     }
 
-    /// Returns for how much of a span this process was paused.
+    /// Returns how long this process was paused between `from` and `until`.
     pub(super) fn paused_within(&self, from: Duration, until: Duration) -> Duration {
         self.pauses.within(from, until)
     }
--- a/crates/host/src/router/tests.rs
+++ b/crates/host/src/router/tests.rs
@@ -1,4 +1,4 @@
-//! Actions that the scheduler does not return today, and that must work when it does.
+//! Tests of actions that the router supports and that the scheduler does not return yet.
 
 use super::*;
 use crate::common::{ms, Rig, CLIENT};
@@ -30,7 +30,7 @@
             (bodies.len(), bodies.iter().all(cancels)),
             (usize::from(written), true)
         );
-        // A revoked attempt never ran, so a retry is harmless. A written one may have run.
+        // A revoked attempt never ran, so its request is safe to retry. A written one may have run.
         let outcome = if written {
             pb::Outcome::Failed
         } else {
--- a/crates/host/src/router/timers.rs
+++ b/crates/host/src/router/timers.rs
@@ -1,18 +1,17 @@
-//! The scheduler's timers and the moment of the next sweep.
+//! The scheduler's timers, and the time of the next periodic sweep.
 //!
-//! Called by the router. Memory: one entry for each timer that the scheduler has set and that has
-//! not fired.
+//! One entry is stored for each timer that the scheduler has set and that has not fired.
 
 use grebecleat_scheduler::api::TimerTag;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time between two sweeps: how often the router looks for attempts that have waited too long, and
-/// publishes observations, metrics and the cached endpoint list. A longer interval lets stale
-/// attempts wait longer; a shorter one visits every connection more often.
+/// Time between two sweeps. A sweep ends attempts that have waited too long, and publishes
+/// observations, metrics and the endpoint list to cache. A longer interval lets stale attempts wait
+/// longer; a shorter one visits every connection more often.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Timers by the moment at which they fire.
+/// Timers in the order in which they fire.
 #[derive(Debug, Default)]
 pub(super) struct Timers {
     scheduled: BTreeSet<(Duration, u64)>,
@@ -20,7 +19,7 @@
 }
 
 impl Timers {
-    /// Sets a timer of the scheduler.
+    /// Sets a timer of the scheduler, which fires at `at`.
     pub(super) fn set(&mut self, at: Duration, tag: TimerTag) {
         self.scheduled.insert((at, tag.0));
     }
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -1,4 +1,4 @@
-//! Inputs and outputs of the router, and the types that its modules share.
+//! The router's inputs and outputs, and types that its modules share.
 
 use crate::log_event::LogEvent;
 use crate::outbox::Outbox;
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The number of one connection of this process. No number is used twice.
+/// Identifies one connection of this process. No identifier is used twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnId(pub u64);
 
-/// An event at the sockets or on the disk.
+/// An event at the sockets, on the disk or in this process that the router handles.
 #[derive(Debug)]
 pub enum Input {
     /// A client has connected.
@@ -24,7 +24,7 @@
         /// Frames to be written on it.
         outbox: Arc<Outbox>,
     },
-    /// Frames of a client.
+    /// Frames of a client have been read.
     ClientFrames {
         /// Its connection.
         conn: ConnId,
@@ -45,7 +45,7 @@
         /// Frames to be written on it.
         outbox: Arc<Outbox>,
     },
-    /// Frames of a node.
+    /// Frames of a node have been read.
     NodeFrames {
         /// Its connection.
         conn: ConnId,
@@ -59,46 +59,47 @@
         /// The connection.
         conn: ConnId,
     },
-    /// The dial to discovery has succeeded.
+    /// A dial to the discovery service has succeeded.
     DiscoveryUp {
         /// The dialled connection.
         conn: ConnId,
         /// Frames to be written on it.
         outbox: Arc<Outbox>,
     },
-    /// Frames of discovery.
+    /// Frames of the discovery service have been read.
     DiscoveryFrames {
         /// Its connection.
         conn: ConnId,
         /// The frames, in order.
         frames: Vec<pb::Frame>,
     },
-    /// Discovery's connection has ended, or its dial has failed.
+    /// A connection to the discovery service has ended, or a dial has failed.
     DiscoveryGone {
         /// The connection.
         conn: ConnId,
     },
-    /// Discovery has rejected a call because it has too many callers. The connection ends.
+    /// The discovery service has rejected a call because it has too many callers. It closes the
+    /// connection.
     DiscoveryRefused {
         /// The connection.
         conn: ConnId,
-        /// How long the call had waited, beyond the time for which it was to wait for changes.
+        /// How long the call had waited, beyond the time for which it asked to wait for changes.
         waited: Duration,
-        /// The call was an open watch, which had reported all changes until now.
+        /// Whether the call was an open watch, which had reported all changes until now.
         up_to_date: bool,
     },
-    /// Discovery has closed a connection with its response, as it may: the next call needs another
-    /// connection.
+    /// The discovery service has closed a connection after its response, which is not a failure. The
+    /// next call needs another connection.
     DiscoveryEnded {
         /// The connection.
         conn: ConnId,
     },
-    /// The pending call on a connection to discovery is overdue.
+    /// The pending call on a connection to the discovery service is overdue.
     DiscoveryOverdue {
         /// The connection, which stays open.
         conn: ConnId,
     },
-    /// Discovery has another address from now on.
+    /// The address of the discovery service has changed.
     DiscoveryMoved,
     /// The dial to the state service has succeeded.
     StateServiceUp {
@@ -107,7 +108,7 @@
         /// Frames to be written on it.
         outbox: Arc<Outbox>,
     },
-    /// Frames of the state service.
+    /// Frames of the state service have been read.
     StateServiceFrames {
         /// Its connection.
         conn: ConnId,
@@ -119,33 +120,33 @@
         /// The connection.
         conn: ConnId,
     },
-    /// The result of an [`Output::Persist`].
+    /// An [`Output::Persist`] has been performed or has failed.
     Persisted {
-        /// The number of the request.
+        /// The number of that [`Output::Persist`].
         number: u64,
         /// The result.
         done: Result<(), StoreFault>,
     },
-    /// The endpoint list that this host cached before its restart.
+    /// The endpoint list that this host cached before its restart has been read.
     CachedEndpoints {
         /// The list.
         list: pb::EndpointUpdate,
     },
-    /// A message of another host.
+    /// A message from another host has arrived.
     PeerMessage {
         /// Its sender.
         from: PeerId,
-        /// How long it was on its way, as far as this host knows.
+        /// The transit time of the message, as far as this host knows it.
         waited: Duration,
-        /// Its text. Empty: the input that makes the first step of a host happen.
+        /// The encoded message. It is empty in the input that triggers the first step of a host.
         bytes: Vec<u8>,
     },
-    /// The number of extents in each shard, as the portal of this process knows them.
+    /// The iSCSI portal of this process reports the number of extents in each shard.
     ExtentsByShard {
-        /// Extents by shard.
+        /// The number of extents by shard.
         shards: BTreeMap<u32, u64>,
     },
-    /// An operator's program has subscribed to metrics.
+    /// An operator's tool has subscribed to metrics.
     SubscriberUp {
         /// Its connection.
         conn: ConnId,
@@ -157,7 +158,7 @@
     Shutdown,
 }
 
-/// An action at the sockets or on the disk.
+/// An action that the router's caller performs at the sockets, on the disk or in the log.
 #[derive(Debug, PartialEq)]
 pub enum Output {
     /// Connect to a node.
@@ -169,7 +170,7 @@
         /// Its address.
         address: SocketAddr,
     },
-    /// Connect to discovery.
+    /// Connect to the discovery service.
     DialDiscovery {
         /// The new connection.
         conn: ConnId,
@@ -188,20 +189,20 @@
     },
     /// Send a message to other hosts.
     SendToPeer {
-        /// The receiver. None: all peers.
+        /// The receiver; `None` for all peers.
         to: Option<PeerId>,
-        /// Its text.
+        /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// Cache the endpoint list for the next start.
+    /// Write the endpoint list to its cache file, for the next start.
     CacheEndpoints {
-        /// The file's bytes.
+        /// The contents of the file.
         bytes: Vec<u8>,
     },
     /// Write a change of state to the log.
     Log(LogEvent),
-    /// The shutdown is complete: no request is open and every response is written, or its last
-    /// moment has come.
+    /// The shutdown is complete, either because every request is answered and every response is
+    /// written, or because the deadline of the shutdown has passed.
     ShutdownComplete,
 }
 
@@ -216,15 +217,15 @@
     pub rejected: u64,
     /// Requests that failed.
     pub failed: u64,
-    /// Requests rejected on arrival; the scheduler does not see them.
+    /// Requests rejected on arrival, without being handed to the scheduler.
     pub refused: u64,
     /// Requests that their client cancelled, or whose client disconnected.
     pub cancelled: u64,
-    /// Attempts that the scheduler decided.
+    /// Attempts that the scheduler requested.
     pub attempts: u64,
-    /// Attempts that were decided and never written to a socket.
+    /// Requested attempts that were never written to a socket.
     pub unsent: u64,
-    /// Responses to attempts that had ended, were unknown, or are on another connection.
+    /// Responses to attempts that had ended, that are unknown, or that are on another connection.
     pub stray_responses: u64,
     /// Pauses of this process.
     pub pauses: u64,
@@ -235,7 +236,7 @@
 }
 
 impl Counters {
-    /// The counts as this host's metrics show them.
+    /// Returns a metrics message with these counters, and with all other fields at their defaults.
     pub(super) fn to_metrics(self) -> pb::HostMetrics {
         pb::HostMetrics {
             taken: self.received + self.refused,
@@ -248,26 +249,27 @@
     }
 }
 
-/// Open requests and outstanding attempts.
+/// The numbers of open requests and outstanding attempts.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct OpenWork {
     /// Requests without a final response, or with an outstanding attempt.
     pub requests: usize,
     /// Outstanding attempts, including those that wait for a connection.
     pub attempts: usize,
-    /// Bytes of request bodies.
+    /// Bytes of the bodies of the open requests.
     pub bytes: usize,
 }
 
-/// How a connection to a node is used, and who states the terms on which a volume is served.
+/// How a connection to a node is used, and where the service terms of a volume (its plan and its
+/// number of hosts) come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum WireMode {
-    /// The host's own protocol: many attempts share a connection, and terms come from the settings
-    /// or the state service.
+    /// The host's own protocol: many attempts share a connection, and the service terms come from
+    /// the settings or the state service.
     #[default]
     Multiplexed,
-    /// The platform's protocol: a connection carries one exchange at a time, and clients state the
-    /// terms of the volume with each request. The connection of an abandoned attempt is closed: a
+    /// The platform's protocol: a connection carries one exchange at a time, and each request may
+    /// contain the service terms of its volume. The connection of an abandoned attempt is closed: a
     /// late response must not be read as that of the next attempt, and closing the connection is the
     /// only way to cancel an attempt.
     Exclusive,
@@ -280,19 +282,19 @@
         self == WireMode::Exclusive
     }
 
-    /// Returns whether clients state the terms on which their volumes are served.
+    /// Returns whether a request may contain the service terms of its volume.
     pub fn terms_from_requests(self) -> bool {
         self == WireMode::Exclusive
     }
 }
 
-/// Returns the text of a request's id for the log, without the leading zeros that pad it.
+/// Returns a request's id as text for the log, without the leading zeros that pad it.
 pub fn request_label(id: &[u8]) -> &str {
     let text = std::str::from_utf8(id).unwrap_or("unreadable");
     text.trim_start_matches('0')
 }
 
-/// Returns a frame whose time is set when it is written.
+/// Returns a frame without its time of sending, which is set when the frame is written.
 pub(super) fn frame(body: Body) -> pb::Frame {
     pb::Frame {
         sent_us: 0,
@@ -300,7 +302,7 @@
     }
 }
 
-/// Returns the id of a request. None: the bytes do not have the length of an id.
+/// Returns the id of a request, or `None` if the bytes do not have the length of an id.
 pub(super) fn request_id(id: &[u8]) -> Option<RequestId> {
     id.try_into().map(RequestId).ok()
 }
