--- a/crates/host/src/router.rs
+++ b/crates/host/src/router.rs
@@ -85,9 +85,9 @@
 use tracing::debug;
 use types::request_id;
 
-/// The longest time between two steps while a request is open. A step that comes later than this
-/// shows that the process was paused. With a larger bound, a short pause would go unnoticed and be
-/// counted as latency of the nodes.
+/// The longest time between two steps while a request is open. A pause of the process is detected when
+/// a step comes later than requested; with a larger bound, a short pause would end before that time and
+/// be counted as latency of the nodes.
 const MAX_SLEEP: Duration = Duration::from_millis(50);
 /// The longest time between two steps while no request is open. With a larger bound, a pause of the
 /// process would be detected later.
@@ -430,9 +430,13 @@
             self.disconnect(conn, ProtocolViolation::UnreadMetrics);
         }
         let endpoints = self.discovery.endpoints();
-        let start_of = |node: NodeId| endpoints.get(node).map_or(0, |known| known.start);
-        self.metrics
-            .publish(self.clock.now(), &self.scheduler, start_of, host_metrics);
+        let start_number_of = |node: NodeId| endpoints.get(node).map_or(0, |known| known.start);
+        self.metrics.publish(
+            self.clock.now(),
+            &self.scheduler,
+            start_number_of,
+            host_metrics,
+        );
     }
 
     fn host_metrics(&self) -> pb::HostMetrics {
--- a/crates/host/src/router/attempt_table.rs
+++ b/crates/host/src/router/attempt_table.rs
@@ -1,7 +1,7 @@
 //! Outstanding attempts and their deadlines.
 //!
 //! The router updates the table when an attempt starts, is assigned to a connection, or ends. The
-//! table also counts the outstanding attempts of each node, and knows until when an attempt that
+//! table also counts the outstanding attempts to each node, and knows until when an attempt that
 //! ended without a response may still run at its node: both are reported for nodes that are drained.
 //! It stores one entry for each outstanding attempt, and two for each node.
 
@@ -24,6 +24,7 @@
     number: u32,
     node: NodeId,
     conn: Option<ConnId>,
+    /// When the attempt was assigned to its connection, or requested if it still waits for one.
     timed_from: Duration,
     deadline: Duration,
     /// Whether the attempt was taken off a connection that ended.
@@ -87,7 +88,7 @@
 pub(super) struct AttemptTable {
     attempts: HashMap<AttemptId, OutstandingAttempt>,
     deadlines: BTreeSet<(Duration, AttemptId)>,
-    /// The number of outstanding attempts of each node.
+    /// The number of outstanding attempts to each node.
     outstanding_per_node: HashMap<NodeId, u32>,
     /// Until when an attempt that ended without a response may still run at its node.
     may_run_until: HashMap<NodeId, Duration>,
@@ -221,7 +222,7 @@
         Some(ended)
     }
 
-    /// Returns the number of outstanding attempts of a node.
+    /// Returns the number of outstanding attempts to a node.
     pub(super) fn outstanding_at(&self, node: NodeId) -> u32 {
         self.outstanding_per_node.get(&node).copied().unwrap_or(0)
     }
--- a/crates/host/src/router/client_sessions.rs
+++ b/crates/host/src/router/client_sessions.rs
@@ -24,13 +24,14 @@
     message: pb::SubmitRequest,
     /// The plan that the volume had when the request arrived.
     plan: PlanId,
+    /// When its client sent it, in time of this host's clock.
     sent_at: Duration,
     deadline: Duration,
     /// Whether the request has its final response, or its client has cancelled it.
     answered: bool,
     /// Whether an attempt that ended without a response may still run at its node.
     may_still_run: bool,
-    /// The number of attempts so far.
+    /// The number of attempts so far, which is the number of the next one.
     attempts: u32,
     outstanding: Vec<AttemptId>,
 }
--- a/crates/host/src/router/discovery.rs
+++ b/crates/host/src/router/discovery.rs
@@ -75,10 +75,10 @@
                 outbox.close();
             }
         }
-        self.forget(link);
+        self.remove(link);
     }
 
-    fn forget(&mut self, link: LinkId) {
+    fn remove(&mut self, link: LinkId) {
         self.connections
             .retain(|connection| connection.link != link);
     }
@@ -155,14 +155,14 @@
     pub(super) fn discovery_disconnected(&mut self, conn: ConnId) {
         if let Some(link) = self.discovery_connections.link_of(conn) {
             self.step_discovery(DiscoveryEvent::Disconnected { link });
-            self.discovery_connections.forget(link);
+            self.discovery_connections.remove(link);
         }
     }
 
     pub(super) fn discovery_ended(&mut self, conn: ConnId) {
         if let Some(link) = self.discovery_connections.link_of(conn) {
             self.step_discovery(DiscoveryEvent::Ended { link });
-            self.discovery_connections.forget(link);
+            self.discovery_connections.remove(link);
         }
     }
 
--- a/crates/host/src/router/metrics_publisher.rs
+++ b/crates/host/src/router/metrics_publisher.rs
@@ -69,20 +69,20 @@
         slow.map(|(conn, _)| *conn).collect()
     }
 
-    /// Sends the message of one interval to all subscribers. `start_of` returns the number by
+    /// Sends the message of one interval to all subscribers. `start_number_of` returns the number by
     /// which the endpoint list distinguishes the starts of a node's process; `host_metrics` contains the
     /// values of the host as a whole.
     pub(super) fn publish(
         &mut self,
         now: Duration,
         scheduler: &Scheduler,
-        start_of: impl Fn(NodeId) -> u64,
+        start_number_of: impl Fn(NodeId) -> u64,
         host_metrics: pb::HostMetrics,
     ) {
         self.publish_at = now + INTERVAL;
         let metrics = self
             .collector
-            .collect(now, scheduler, start_of, host_metrics);
+            .collect(now, scheduler, start_number_of, host_metrics);
         for outbox in self.subscribers.values() {
             outbox.put(frame(Body::HostMetrics(Box::new(metrics.clone()))));
         }
--- a/crates/host/src/router/node_connection.rs
+++ b/crates/host/src/router/node_connection.rs
@@ -22,7 +22,7 @@
     idle_since: Duration,
     /// The connection is not assigned another attempt before this time.
     reusable_from: Duration,
-    /// The node accepts no further attempts on this connection.
+    /// Whether the node has announced that it accepts no further attempts on this connection.
     going_away: bool,
 }
 
@@ -100,7 +100,7 @@
         self.idle_since = now;
     }
 
-    /// Records that the node accepts no further attempts on the connection.
+    /// Records that the node accepts no further attempts on this connection.
     pub(super) fn set_going_away(&mut self) {
         self.going_away = true;
     }
@@ -127,7 +127,7 @@
         self.idle_since = now;
     }
 
-    /// Prevents that the connection is assigned another attempt before `reusable_from`.
+    /// Prevents the connection from being assigned another attempt before `reusable_from`.
     pub(super) fn delay_reuse(&mut self, reusable_from: Duration) {
         self.reusable_from = reusable_from;
     }
--- a/crates/host/src/router/node_pools.rs
+++ b/crates/host/src/router/node_pools.rs
@@ -217,10 +217,10 @@
         conn.assign(attempt, frame, now, deadline, client);
     }
 
-    /// Revokes an attempt if it is not completely written to its node yet, and returns whether it is
-    /// revoked: the node then never runs it. If a connection that carries one exchange at a time has
-    /// written the attempt in part, the connection is closed: otherwise the node would receive the rest
-    /// when it reads again. `conn` is `None` while the attempt waits for a connection.
+    /// Tries to revoke an attempt before it is written to its node, and returns whether it is revoked:
+    /// the node then never runs it. If the attempt is written in part on a connection that carries one
+    /// exchange at a time, the connection is closed: otherwise the node would receive the rest when it
+    /// reads again. `conn` is `None` while the attempt waits for a connection.
     pub(super) fn revoke(&self, attempt: AttemptId, conn: Option<ConnId>) -> bool {
         let conn = conn.and_then(|conn| self.conns.get(&conn));
         match conn.and_then(|conn| conn.outbox()) {
--- a/crates/host/src/router/nodes.rs
+++ b/crates/host/src/router/nodes.rs
@@ -400,8 +400,8 @@
 
     /// Applies the expiries of quota leases during a pause of the process, each as of its own time. The
     /// scheduler refills its token buckets by the elapsed time; without this step it would refill them
-    /// at a rate that other hosts have long used again. This step comes before the inputs are handled,
-    /// since a peer's request for quota takes effect only now.
+    /// for the whole pause at a rate that other hosts got back when the leases expired. This step comes
+    /// before the inputs are handled, since a peer's request for quota takes effect only now.
     pub(super) fn expire_quota_leases(&mut self) {
         for _ in 0..MAX_EXPIRIES_PER_STEP {
             let now = self.clock.now();
--- a/crates/host/src/router/requests.rs
+++ b/crates/host/src/router/requests.rs
@@ -26,7 +26,7 @@
 use tracing::debug;
 
 /// The smallest rate by which the usage of a volume is divided. The bound keeps the quotient finite
-/// if the volume's plan has a rate of zero.
+/// if the volume's plan is unknown or has a rate of zero.
 const MIN_RATE_UNITS_PER_SECOND: f64 = 1e-9;
 
 /// Handles clients and their requests.
@@ -312,8 +312,8 @@
         }
     }
 
-    /// Assigns attempts that wait for a connection to the node, the longest-waiting attempt first, each
-    /// to the least loaded connection with capacity.
+    /// Assigns the attempts that wait for a connection to the node, in their order, each to the least
+    /// loaded connection with capacity, until no connection can carry another one.
     pub(super) fn assign_waiting_attempts(&mut self, node: NodeId) {
         self.pools.mark_changed(node);
         while let Some((attempt, conn)) = self.pools.take_assignable(node, self.clock.now()) {
@@ -346,8 +346,8 @@
             .put_attempt(attempt, conn, frame, self.clock.now(), deadline, client);
     }
 
-    /// Revokes an attempt if it is not completely written to its node yet. Returns whether it is
-    /// revoked: the node then never runs it.
+    /// Tries to revoke an attempt before it is written to its node. Returns whether it is revoked: the
+    /// node then never runs it.
     pub(super) fn revoke(&mut self, attempt: AttemptId) -> bool {
         let Some(outstanding) = self.attempts.get(attempt) else {
             return false;
@@ -461,7 +461,7 @@
         }
     }
 
-    /// Ends the attempts whose deadline has passed. Those that are not written yet are revoked and
+    /// Ends the attempts whose deadline has passed. Those that can still be revoked never ran and are
     /// reported as not sent.
     pub(super) fn expire_attempts(&mut self) {
         while let Some(attempt) = self.attempts.take_expired(self.clock.now()) {
--- a/crates/host/src/router/step_clock.rs
+++ b/crates/host/src/router/step_clock.rs
@@ -43,8 +43,8 @@
         self.requested_wake
     }
 
-    /// Returns whether this process was paused just before `now`, since the caller woke later than
-    /// requested.
+    /// Returns whether this process was paused just before `now`: whether the caller woke much later
+    /// than requested.
     pub(super) fn detect_pause(&mut self, now: Duration) -> bool {
         let paused = self.pauses.woke(self.requested_wake.max(self.now), now);
         if paused {
--- a/crates/host/src/router/tests.rs
+++ b/crates/host/src/router/tests.rs
@@ -23,7 +23,9 @@
         rig.step(vec![]);
         let bodies: Vec<Body> = rig.written(conn);
         let cancels = |body: &Body| match body {
-            Body::CancelAttempt(cancel) => attempts.iter().any(|it| it.attempt == cancel.attempt),
+            Body::CancelAttempt(cancel) => {
+                attempts.iter().any(|sent| sent.attempt == cancel.attempt)
+            }
             _ => false,
         };
         assert_eq!(
--- a/crates/host/src/router/types.rs
+++ b/crates/host/src/router/types.rs
@@ -54,7 +54,7 @@
         /// The frames, in order.
         frames: Vec<pb::Frame>,
     },
-    /// A node's connection has ended, or a dial has failed.
+    /// A connection to a node has ended, or a dial has failed.
     NodeGone {
         /// The connection.
         conn: ConnId,
@@ -101,7 +101,7 @@
     },
     /// The address of the discovery service has changed.
     DiscoveryMoved,
-    /// The dial to the state service has succeeded.
+    /// A dial to the state service has succeeded.
     StateServiceUp {
         /// The dialled connection.
         conn: ConnId,
@@ -115,7 +115,7 @@
         /// The frames, in order.
         frames: Vec<pb::Frame>,
     },
-    /// The state service's connection has ended, or its dial has failed.
+    /// The connection to the state service has ended, or a dial has failed.
     StateServiceGone {
         /// The connection.
         conn: ConnId,
@@ -187,7 +187,7 @@
         /// The records.
         records: Vec<Record>,
     },
-    /// Send a message to other hosts.
+    /// Send a message to one or all other hosts.
     SendToPeer {
         /// The receiver; `None` for all peers.
         to: Option<PeerId>,
@@ -199,7 +199,7 @@
         /// The contents of the file.
         bytes: Vec<u8>,
     },
-    /// Write a change of state to the log.
+    /// Write an event to the log.
     Log(LogEvent),
     /// The shutdown is complete, either because every request is answered and every response is
     /// written, or because the deadline of the shutdown has passed.
@@ -215,7 +215,7 @@
     pub completed: u64,
     /// Requests that the scheduler rejected.
     pub rejected: u64,
-    /// Requests that failed.
+    /// Requests that the scheduler failed.
     pub failed: u64,
     /// Requests rejected on arrival, without being handed to the scheduler.
     pub refused: u64,
@@ -227,7 +227,7 @@
     pub unsent: u64,
     /// Responses to attempts that had ended, that are unknown, or that are on another connection.
     pub stray_responses: u64,
-    /// Pauses of this process.
+    /// Detected pauses of this process.
     pub pauses: u64,
     /// Steps of the router.
     pub steps: u64,
