--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -1,14 +1,14 @@
 //! The coordinator of one host: combines gossip, outlier detection and quota leases.
 //!
-//! State machine: `step(now, events)` returns the actions to perform. No I/O. The host's quota
-//! sharing calls it for every batch of events; [`Coordinator::wake_at`] returns when the next call
-//! is due. The coordinator counts this host's attempts and served units of the last seconds,
-//! publishes the counts in its report, and merges the reports of the other hosts. It returns the
-//! changes: the quota of each volume's limit that this host may use, and the policy for each node.
-//! If messages are lost or late, the host stays with its base quotas and its own evidence.
+//! The coordinator is a state machine without I/O: `step(now, events)` returns the actions to perform.
+//! The host calls it for every batch of events; [`Coordinator::wake_at`] returns when the next call is
+//! due. The coordinator counts this host's attempts and served units of the last seconds, publishes the
+//! counts in its report, and merges the reports of the other hosts. It returns the changes of the quota
+//! that this host may use of each volume's limit, and of the policy for each node. If messages are lost
+//! or late, the host keeps its base quotas and relies on its own evidence.
 //!
-//! State: the gossip state, the outlier detector, the quotas, and the counts. Memory: one entry for
-//! each host, and one row for each node and for each volume with a shared limit.
+//! The state consists of the gossip state, the outlier detector, the quotas and the counts. It takes one
+//! entry for each host, each node, and each volume with a shared limit.
 
 use crate::attempts::AttemptHistory;
 use crate::borrowed_leases::Lender;
@@ -28,18 +28,19 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The time after which the counts of attempts are halved. With a shorter time a host that seldom
-/// sends to a node has no attempt to report; with a longer one the counts follow changes late.
+/// The interval at which the counts of attempts are halved. With a shorter interval a host that seldom
+/// sends to a node has no attempts to report; with a longer one the counts follow changes late.
 const HALVING_INTERVAL: Duration = Duration::from_secs(2);
-/// Halving intervals without a step after which all counts are outdated. With more of them a host
-/// reports counts from before a pause of its process; with fewer a late step drops valid counts.
+/// The number of halving intervals without a halving after which all counts are outdated. A larger number
+/// lets a host report counts from before a pause of its process; with a smaller one a late step drops
+/// valid counts.
 const OUTDATED_INTERVALS: u32 = 3;
-/// Log lines about rejected messages of one peer, at most; later ones are only counted. More lines
-/// let a faulty peer fill the log.
+/// The maximum number of log lines about rejected messages of one peer. Further rejections are only
+/// counted, so that a faulty peer cannot fill the log.
 const MAX_LOG_LINES_PER_PEER: u32 = 3;
-/// Separates the detector's random numbers from those of the gossip state, which has the same seed.
+/// Makes the detector's random numbers independent of those of the gossip state, which has the same seed.
 const DETECTOR_SEED_SALT: u64 = 0x6a75;
-/// Separates the random order of the lenders from the other random numbers.
+/// Makes the random order of the lenders independent of the other random numbers.
 const LENDERS_SEED_SALT: u64 = 0x666c;
 
 /// The state of a peer as this host knows it, for operators.
@@ -49,22 +50,22 @@
     pub host: HostNumber,
     /// The peer's incarnation.
     pub incarnation: Incarnation,
-    /// Time since its last report was written.
+    /// The time since it wrote its last report.
     pub age: Duration,
-    /// Number of nodes to which it sent attempts in the last seconds.
+    /// The number of nodes to which it sent attempts in the last seconds.
     pub tried: u32,
-    /// Number of nodes of `tried` that it finds bad.
+    /// The number of these nodes that it finds bad.
     pub bad: u32,
 }
 
-/// The finding of all hosts' reports on a node, and this host's policy for it.
+/// The finding on a node from the reports of all hosts, and this host's policy for the node.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodePolicy {
     /// The node's number.
     pub node: u32,
-    /// The verdict from all evidence.
+    /// The verdict on the node, with the evidence for it.
     pub finding: Finding,
-    /// This host's policy for it.
+    /// This host's policy for the node.
     pub policy: EndpointPolicy,
 }
 
@@ -74,24 +75,24 @@
     me: HostNumber,
     gossip: GossipState,
     detector: OutlierDetector,
-    /// Shuffles the lenders.
+    /// The source of the random order of the lenders.
     rng: Pcg64Mcg,
     attempts: AttemptHistory,
     served: ServedRates,
     /// When the counts were last halved.
     halved_at: Duration,
     quotas: SharedQuotas,
-    /// The urgent observations of the last published report.
+    /// The urgent observations in the last published report.
     published_urgent: BTreeSet<UrgentObservation>,
-    /// Number of rejected messages of each peer so far.
+    /// The number of messages of each peer that were rejected so far.
     rejected_messages: BTreeMap<HostNumber, u32>,
     outbox: LeaseOutbox,
     actions: Vec<Action>,
 }
 
 impl Coordinator {
-    /// Returns the coordinator of a host that knows nothing of its peers. `incarnation`: a number
-    /// that grows from start to start, as far as this host can know. `seed`: new at each start.
+    /// Returns the coordinator of a host that has received no reports. `incarnation` should be larger than
+    /// the host's former ones, as far as the host can tell. `seed` must differ from start to start.
     pub fn new(
         now: Duration,
         me: HostNumber,
@@ -101,10 +102,10 @@
         seed: u64,
     ) -> Self {
         let hosts = peers.len() + 1;
-        // The rotation is twice the time in which one host could pass on all reports.
+        // Allows twice the time that one host needs to forward the reports of all hosts in rotation.
         let entries_per_round = (GOSSIP_FANOUT * MAX_ENTRIES) as u32;
-        let rotation = rules.interval * 2 * hosts as u32 / entries_per_round;
-        let fresh_within = EVIDENCE_WINDOW + rotation;
+        let rotation_time = rules.interval * 2 * hosts as u32 / entries_per_round;
+        let fresh_within = EVIDENCE_WINDOW + rotation_time;
         Coordinator {
             me,
             gossip: GossipState::new(now, me, incarnation, rules.interval, peers, seed),
@@ -121,7 +122,7 @@
         }
     }
 
-    /// Returns when `step` must be called again if there is no event before.
+    /// Returns when `step` must be called again if no event occurs before.
     pub fn wake_at(&self) -> Duration {
         self.gossip.wake_at().min(self.quotas_change_at())
     }
@@ -133,8 +134,8 @@
 
     /// Handles events, and returns the actions to perform.
     pub fn step(&mut self, now: Duration, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
-        // Leases may have expired during a pause of this process. They end before any message is
-        // handled or sent.
+        // Leases may have expired during a pause of this process. The new quotas come first, before any
+        // message is handled or sent.
         if now >= self.quotas.change_at() {
             self.quotas.touch_all();
             self.apply_quotas(now);
@@ -146,8 +147,8 @@
             self.halve_counts(now);
             self.run_lease_round(now);
             self.publish_report(now);
-            // The nodes are evaluated once a round, which a rumor has brought forward: an
-            // evaluation at every message would each time cost a pass over all observations.
+            // The nodes are evaluated once a round, and not at every message, since an evaluation costs a
+            // pass over all observations. An urgent report brings the round forward.
             self.evaluate_nodes(now);
         }
         self.send_messages(now);
@@ -236,14 +237,14 @@
         self.actions.push(Action::Log { notice });
     }
 
-    /// Halves the counts if that is due, so that they stay counts of the last seconds.
+    /// Halves the counts if that is due, so that they reflect the last seconds only.
     fn halve_counts(&mut self, now: Duration) {
         if now < self.halved_at + HALVING_INTERVAL {
             return;
         }
         self.served
             .measure_local((now - self.halved_at).as_secs_f64());
-        // After a long pause of this process all counts are old.
+        // After a long pause of this process all counts are outdated.
         let is_outdated = now >= self.halved_at + HALVING_INTERVAL * OUTDATED_INTERVALS;
         self.halved_at = now;
         self.attempts.halve(is_outdated);
@@ -270,8 +271,8 @@
     fn own_report(&self, now: Duration) -> HostReport {
         let mut observations: Vec<Observation> = self.attempts.observations(now).collect();
         let tried = observations.len() as u32;
-        let bad = observations.iter().filter(|one| one.is_bad()).count() as u32;
-        observations.sort_by_key(|one| (self.report_rank(one), Reverse(one.sent)));
+        let bad = observations.iter().filter(|seen| seen.is_bad()).count() as u32;
+        observations.sort_by_key(|seen| (self.report_rank(seen), Reverse(seen.sent)));
         observations.truncate(MAX_REPORT_ITEMS);
         HostReport {
             tried,
@@ -282,8 +283,9 @@
         }
     }
 
-    /// Returns the rank of an observation in the report. Urgent observations come first.
-    /// Observations of nodes that other hosts find bad come next, since they can end an ejection.
+    /// Returns the rank of an observation in the report; lower ranks come first. Urgent observations have
+    /// the lowest rank. Observations of nodes that some host finds bad follow, since they can end an
+    /// ejection.
     fn report_rank(&self, observation: &Observation) -> u32 {
         let finding = self.detector.findings().get(&observation.node);
         if observation.is_urgent() {
@@ -298,14 +300,14 @@
     fn publish_report(&mut self, now: Duration) {
         let report = self.own_report(now);
         let urgent = report.urgent();
-        // An observation that the report no longer contains makes no rumor: it is old, and no peer
-        // needs the change at once.
+        // Only added observations make the report a rumor. Peers need not learn at once that an old
+        // observation is gone.
         let is_rumor = !urgent.is_subset(&self.published_urgent);
         self.published_urgent = urgent;
         self.gossip.publish(now, report, is_rumor);
     }
 
-    /// Publishes a report at once if a node has become bad, or answers although it is ejected.
+    /// Publishes a report at once if a node has become bad or answers although it is ejected.
     fn publish_if_urgent(&mut self, now: Duration, node: u32) {
         let observation = self.attempts.observation(now, node);
         let Some(urgent) = observation.filter(Observation::is_urgent) else {
@@ -334,7 +336,7 @@
         }
     }
 
-    /// Sends the messages of a round if one is due, and lease messages at once.
+    /// Sends the messages of a gossip round if one is due, and all waiting lease messages.
     fn send_messages(&mut self, now: Duration) {
         let round = self.gossip.run_round(now);
         if round.incarnation_raised {
@@ -365,9 +367,9 @@
         self.actions.extend(changes);
     }
 
-    /// Returns the rate at which the other hosts serve a volume, in units a second, by their own
-    /// counts. Late reports are missing in it: the result is at most the true rate, except for the
-    /// last change of a host's rate.
+    /// Returns the rate at which the other hosts serve a volume according to their reports, in units a
+    /// second. Hosts whose reports are late are left out, so the result is at most the true rate, except
+    /// that a host's last change of rate may be missing.
     pub fn served_elsewhere(&self, now: Duration, volume: u64) -> f64 {
         self.served.elsewhere(now, volume)
     }
@@ -377,7 +379,7 @@
         self.served.everywhere(now, volume)
     }
 
-    /// Returns the state of the peers as this host knows it.
+    /// Returns the state of the peers, as far as this host knows it.
     pub fn peers(&self, now: Duration) -> Vec<PeerMetrics> {
         peer_reports(&self.gossip, self.me, now)
             .map(|known| PeerMetrics {
@@ -390,7 +392,7 @@
             .collect()
     }
 
-    /// Returns the quotas of all shared volumes.
+    /// Returns this host's quotas of all shared limits.
     pub fn quotas(&self, now: Duration) -> Vec<QuotaMetrics> {
         self.quotas.metrics(now)
     }
--- a/crates/coordination/src/events.rs
+++ b/crates/coordination/src/events.rs
@@ -1,6 +1,7 @@
 //! The events and actions of [`crate::coordinator`].
 //!
-//! Plain data: the host's quota sharing passes [`Event`]s, and performs the returned [`Action`]s.
+//! These types hold data only. The host passes [`Event`]s to the coordinator and performs the
+//! [`Action`]s that it returns.
 
 use crate::gossip_codec::GossipDecodeError;
 use crate::lease_message::LeaseTerms;
@@ -10,7 +11,7 @@
 use std::fmt;
 use std::time::Duration;
 
-/// The settings of the fleet's coordination.
+/// The settings of the coordination, which are the same for all hosts of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Rules {
     /// The time between two gossip rounds.
@@ -26,28 +27,29 @@
     MessageReceived {
         /// The sender.
         from: HostNumber,
-        /// How long the message waited on its way, as far as that is known.
+        /// The known part of the time that the message waited on its way.
         waited: Duration,
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// The nodes of the endpoint list that are in use, with the starts of their processes.
+    /// The nodes of the endpoint list that are in use have changed. The values are the start times of the
+    /// nodes' processes.
     NodesInUse(BTreeMap<u32, u64>),
-    /// An attempt to a node ended with a result that is evidence on the node.
+    /// An attempt ended with a result that shows whether its node works.
     AttemptEnded {
         /// The node's number.
         node: u32,
-        /// The node failed to answer, or its answer was a failure.
+        /// The node did not answer, or answered with a failure.
         bad: bool,
     },
-    /// Clients requested units of a volume here.
+    /// Clients of this host requested units of a volume.
     UnitsRequested {
         /// The volume's number.
         volume: u64,
         /// Number of units.
         units: f64,
     },
-    /// A volume was served units here.
+    /// This host served units of a volume.
     UnitsServed {
         /// The volume's number.
         volume: u64,
@@ -58,8 +60,8 @@
     VolumeChanged {
         /// The volume's number.
         volume: u64,
-        /// The hosts that serve the volume. Empty: the volume has no limit, or this host no longer
-        /// serves it.
+        /// The hosts that serve the volume. The set is empty if the volume has no limit, or if this host
+        /// no longer serves it.
         sharers: BTreeSet<HostNumber>,
         /// The limit over all hosts, in units a second.
         limit: f64,
@@ -76,14 +78,15 @@
         /// The encoded message.
         bytes: Vec<u8>,
     },
-    /// Apply another quota of a volume's limit.
+    /// Apply a new quota of a volume's limit.
     QuotaChanged {
         /// The volume's number.
         volume: u64,
-        /// The quota that this host may use, as a multiple of its base quota; 0: no units.
+        /// The quota that this host may use, as a multiple of its base quota. At 0 the host may serve no
+        /// units.
         times: f64,
     },
-    /// Apply another policy to a node.
+    /// Apply a new policy to a node.
     PolicyChanged {
         /// The node's number.
         node: u32,
@@ -92,17 +95,17 @@
     },
     /// Write a line to the log.
     Log {
-        /// The notice.
+        /// The notice, whose text is the line.
         notice: Notice,
     },
 }
 
-/// A notice for the log. Its text is the line.
+/// A notice for the log. Its `Display` text is the log line.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Notice {
     /// This host's incarnation was too low, for instance because its clock went back.
     IncarnationRaised {
-        /// The incarnation under which the host continues.
+        /// The new incarnation.
         incarnation: Incarnation,
     },
     /// A peer's message, or a part of it, was rejected.
@@ -120,10 +123,10 @@
     /// The message cannot be decoded.
     #[error(transparent)]
     Decode(#[from] GossipDecodeError),
-    /// Entries concern hosts that are not in the settings, or are too old.
-    #[error("{entries} entries of unknown hosts, or too old")]
+    /// Some entries come from hosts that are not in the settings, or are too old.
+    #[error("{entries} entries are of unknown hosts or too old")]
     Entries {
-        /// Number of these entries.
+        /// The number of these entries.
         entries: usize,
     },
 }
--- a/crates/coordination/src/gossip_codec/decode.rs
+++ b/crates/coordination/src/gossip_codec/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes the parts of a gossip message, and checks their numbers.
+//! Decodes the parts of a gossip message and checks that their numbers are in range.
 
 use super::error::GossipDecodeError;
 use super::wire::{
@@ -13,7 +13,7 @@
 use crate::{HostNumber, Incarnation};
 use std::time::Duration;
 
-/// Returns an error if a list has more items than allowed.
+/// Returns an error if a list has more than `limit` items. The error names the `list`.
 pub(super) fn check_count(
     list: &'static str,
     count: usize,
@@ -25,7 +25,7 @@
     Ok(())
 }
 
-/// Returns an incarnation; an error if it is out of range.
+/// Decodes an incarnation; returns an error if it is out of range.
 pub(super) fn decode_incarnation(incarnation: u64) -> Result<Incarnation, GossipDecodeError> {
     if !(1..MAX_INCARNATION).contains(&incarnation) {
         return Err(GossipDecodeError::Incarnation { incarnation });
@@ -33,7 +33,7 @@
     Ok(Incarnation(incarnation))
 }
 
-/// Decodes a report with its version; returns an error if a number is out of range.
+/// Decodes a report and its version; returns an error if a number is out of range.
 pub(super) fn decode_entry(wire: WireEntry) -> Result<GossipEntry, GossipDecodeError> {
     let version = VersionStamp {
         incarnation: decode_incarnation(wire.incarnation)?,
@@ -73,9 +73,9 @@
             age_ms: wire.age_ms,
         });
     }
-    check_count("sights", wire.sights.len(), MAX_REPORT_ITEMS)?;
-    check_count("offers", wire.offers.len(), MAX_REPORT_ITEMS)?;
-    check_count("served", wire.served.len(), MAX_REPORT_ITEMS)?;
+    check_count("observations", wire.sights.len(), MAX_REPORT_ITEMS)?;
+    check_count("lease offers", wire.offers.len(), MAX_REPORT_ITEMS)?;
+    check_count("served volumes", wire.served.len(), MAX_REPORT_ITEMS)?;
     let mut observations = wire.sights.iter();
     if wire.badly > wire.tried || observations.any(|observed| observed.bad > observed.sent) {
         return Err(GossipDecodeError::MoreBadThanSent { writer });
--- a/crates/coordination/src/gossip_codec/encode.rs
+++ b/crates/coordination/src/gossip_codec/encode.rs
@@ -8,7 +8,7 @@
 use crate::host_report::{GossipEntry, Observation};
 use crate::lease_message::LeaseMessage;
 
-/// Encodes a report with its version.
+/// Encodes a report and its version.
 pub(super) fn encode_entry(entry: &GossipEntry) -> WireEntry {
     let report = &entry.report;
     let offers = report.offers.iter().map(|offer| WireOffer {
--- a/crates/coordination/src/gossip_codec/error.rs
+++ b/crates/coordination/src/gossip_codec/error.rs
@@ -1,10 +1,10 @@
-//! The reasons why a gossip message is rejected.
+//! The errors of the gossip decoder.
 
-use super::wire::{FORMAT, MAX_INCARNATION};
+use super::wire::{FORMAT, KIND_RECOVERED, KIND_REQUEST, MAX_AGE_MS, MAX_COUNT, MAX_INCARNATION};
 use crate::gossip_message::MAX_BYTES;
 use crate::lease_message::FULL_LIMIT;
 
-/// The reason why a message is rejected. The host logs its text.
+/// The reason why a gossip message is rejected. The host writes its text to the log.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum GossipDecodeError {
     /// The message is longer than [`MAX_BYTES`].
@@ -13,69 +13,81 @@
         /// The message's length in bytes.
         bytes: usize,
     },
-    /// The bytes are no protobuf message of this kind.
-    #[error("no word: {0}")]
+    /// The bytes are not a valid protobuf encoding of a gossip message.
+    #[error("not a valid gossip message: {0}")]
     Malformed(#[from] prost::DecodeError),
-    /// The message has another version of the encoding.
+    /// The message has an unsupported encoding version.
     #[error("format {format}, expected {FORMAT}")]
     Format {
-        /// The version of the message.
+        /// The encoding version that the message states.
         format: u32,
     },
-    /// A list has more items than allowed.
+    /// A list of the message has too many items.
     #[error("{count} {list}, expected at most {limit}")]
     TooMany {
         /// The list's name.
         list: &'static str,
-        /// Number of the list's items.
+        /// The number of items that were received.
         count: usize,
-        /// Number of items that are allowed.
+        /// The maximum number of items.
         limit: usize,
     },
-    /// The message has an incarnation that no host reaches.
-    #[error("life {incarnation}, expected 1 to {}", MAX_INCARNATION - 1)]
+    /// The message contains an incarnation outside the valid range.
+    #[error("incarnation {incarnation}, expected 1 to {}", MAX_INCARNATION - 1)]
     Incarnation {
-        /// The incarnation of the message.
+        /// The incarnation that was received.
         incarnation: u64,
     },
-    /// An entry has a count or an age that no host reaches.
-    #[error("entry of host {writer}: count {count} or age {age_ms} ms too large")]
+    /// The sequence number or the age of an entry is outside the valid range.
+    #[error(
+        "entry of host {writer}: count {count}, age {age_ms} ms; expected a count below {MAX_COUNT} \
+         and an age below {MAX_AGE_MS} ms"
+    )]
     EntryNumbers {
-        /// The entry's writer.
+        /// The host that wrote the entry.
         writer: u32,
-        /// The entry's count.
+        /// The entry's sequence number.
         count: u64,
         /// The entry's age in milliseconds.
         age_ms: u64,
     },
-    /// An entry has more bad attempts than attempts, or more bad nodes than nodes.
-    #[error("entry of host {writer}: more bad than sent")]
+    /// An entry reports more failed attempts than attempts, or more bad nodes than nodes.
+    #[error(
+        "entry of host {writer}: more failed attempts than attempts sent, or more bad nodes than \
+         nodes tried"
+    )]
     MoreBadThanSent {
-        /// The entry's writer.
+        /// The host that wrote the entry.
         writer: u32,
     },
-    /// An entry offers more than a complete limit.
-    #[error("entry of host {writer}: more offered than there is")]
+    /// An entry offers to lease more than the complete limit of a volume.
+    #[error("entry of host {writer}: lease offer above the complete limit of {FULL_LIMIT}")]
     OfferAboveLimit {
-        /// The entry's writer.
+        /// The host that wrote the entry.
         writer: u32,
     },
-    /// A lease message concerns more than a complete limit, or a limit that no host shares.
-    #[error("volume {volume}: {amount} of {FULL_LIMIT} by {sharers} sharers")]
+    /// The amount of a lease message exceeds the complete limit, or the number of sharers is 0.
+    #[error(
+        "volume {volume}: lease message with amount {amount} and {sharers} sharers, expected an \
+         amount of at most {FULL_LIMIT} and at least 1 sharer"
+    )]
     LeaseNumbers {
         /// The volume's number.
         volume: u64,
-        /// The message's amount.
+        /// The amount of the lease message.
         amount: u32,
-        /// Number of hosts that share the limit.
+        /// The number of hosts that share the limit, as the message states it.
         sharers: u32,
     },
     /// A lease message has an unknown kind.
-    #[error("volume {volume}: says {kind}, which is nothing")]
+    #[error(
+        "volume {volume}: lease message of unknown kind {kind}, expected {KIND_REQUEST} to \
+         {KIND_RECOVERED}"
+    )]
     LeaseKind {
         /// The volume's number.
         volume: u64,
-        /// The message's kind.
+        /// The kind that was received.
         kind: u32,
     },
 }
--- a/crates/coordination/src/gossip_codec/mod.rs
+++ b/crates/coordination/src/gossip_codec/mod.rs
@@ -1,13 +1,14 @@
-//! Encodes and decodes gossip messages, and rejects those with numbers out of range.
+//! Encodes and decodes gossip messages, and rejects messages with numbers out of range.
 //!
 //! [`crate::coordinator`] calls [`GossipMessage::to_bytes`] and [`GossipMessage::from_bytes`]. The
-//! bytes travel inside the frames that hosts exchange; a host that does not know them drops them.
-//! No state, no I/O.
+//! bytes are the payload of a frame between two hosts; a host that does not know this kind of
+//! payload drops it. The module has no state and does no I/O.
 //!
-//! A message is accepted or rejected as a unit, with one reason. Otherwise a part of a message, or
-//! a message with numbers near the end of their range, could be merged and never be superseded. The
-//! writer of an entry that another host passes on cannot be checked: hosts are trusted to be hosts
-//! of this fleet, but not to send valid messages.
+//! The decoder accepts or rejects a message as a whole and returns the first error. Otherwise an
+//! entry of an invalid message, or an entry with a version near the end of its range, could be
+//! merged, and no later entry could supersede it. The decoder cannot check who wrote an entry that
+//! another host forwards: it trusts that a sender belongs to the fleet, but not that its messages
+//! are valid.
 
 mod decode;
 mod encode;
@@ -35,9 +36,7 @@
         wire.encode_to_vec()
     }
 
-    /// Decodes a message and checks its numbers.
-    ///
-    /// Returns the reason if the message is rejected.
+    /// Decodes a message and checks that its numbers are in range.
     pub fn from_bytes(bytes: &[u8]) -> Result<GossipMessage, GossipDecodeError> {
         if bytes.len() > MAX_BYTES {
             return Err(GossipDecodeError::TooLong { bytes: bytes.len() });
@@ -49,7 +48,7 @@
         }
         let incarnation = decode_incarnation(wire.incarnation)?;
         check_count("entries", wire.entries.len(), MAX_ENTRIES)?;
-        check_count("says", wire.says.len(), MAX_LEASE_MESSAGES)?;
+        check_count("lease messages", wire.says.len(), MAX_LEASE_MESSAGES)?;
         let entries = wire.entries.into_iter().map(decode_entry);
         let entries = entries.collect::<Result<_, _>>()?;
         let lease_messages = wire.says.into_iter().map(decode_lease);
--- a/crates/coordination/src/gossip_codec/wire.rs
+++ b/crates/coordination/src/gossip_codec/wire.rs
@@ -1,15 +1,16 @@
-//! The protobuf messages of the encoding, and the bounds of their numbers.
+//! The protobuf messages of the encoding, and the valid ranges of their numbers.
 
 use prost::Message;
 
-/// Version of the encoding.
+/// The version of the encoding.
 pub(super) const FORMAT: u32 = 1;
-/// The first incarnation that is rejected. No host reaches it; an accepted one could never be
-/// superseded.
+/// Incarnations must be below this bound. No host reaches it. An incarnation at the end of the range of
+/// integers could never be superseded by a larger one.
 pub(super) const MAX_INCARNATION: u64 = 1 << 48;
-/// The first count that is rejected. No host reaches it; an accepted one could never be superseded.
+/// Sequence numbers of entries must be below this bound. No host reaches it. A sequence number at the end
+/// of the range of integers could never be superseded by a larger one.
 pub(super) const MAX_COUNT: u64 = 1 << 40;
-/// The first age that is rejected, in milliseconds. No host reaches it.
+/// Ages of entries must be below this bound, in milliseconds. Entries expire long before it.
 pub(super) const MAX_AGE_MS: u64 = 1 << 32;
 
 /// `WireSay::kind` of [`crate::lease_message::LeaseMessage::Request`].
@@ -23,10 +24,10 @@
 /// `WireSay::kind` of [`crate::lease_message::LeaseMessage::Recovered`].
 pub(super) const KIND_RECOVERED: u32 = 5;
 
-// The names of these messages and of their fields are part of the text of
-// `GossipDecodeError::Malformed`, which operators read in the log. They therefore never change.
+// The error text of `GossipDecodeError::Malformed`, which operators read in the log, contains the names of
+// these messages and of their fields. The names therefore must not change.
 
-/// An observation of a node.
+/// Encodes [`crate::host_report::Observation`].
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireSight {
     #[prost(uint32, tag = "1")]
@@ -43,7 +44,7 @@
     pub(super) clears: bool,
 }
 
-/// An offer of a lease.
+/// Encodes [`crate::host_report::LeaseOffer`].
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireOffer {
     #[prost(uint64, tag = "1")]
@@ -52,7 +53,7 @@
     pub(super) spare: u32,
 }
 
-/// The units that a volume was served.
+/// Encodes [`crate::host_report::ServedUnits`].
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireServed {
     #[prost(uint64, tag = "1")]
@@ -61,7 +62,7 @@
     pub(super) units: u64,
 }
 
-/// A host's report with its version.
+/// Encodes [`crate::host_report::GossipEntry`].
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireEntry {
     #[prost(uint32, tag = "1")]
@@ -84,7 +85,7 @@
     pub(super) served: Vec<WireServed>,
 }
 
-/// A lease message.
+/// Encodes [`crate::gossip_message::VolumeLeaseMessage`].
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireSay {
     #[prost(uint64, tag = "1")]
@@ -93,17 +94,17 @@
     pub(super) sharers: u32,
     #[prost(uint32, tag = "3")]
     pub(super) kind: u32,
-    /// The number of the request, or the incarnation that has recovered.
+    /// The request number of a request or grant, or the recovered incarnation of `Cleared`.
     #[prost(uint64, tag = "4")]
     pub(super) number: u64,
-    /// The number of the lease, or the borrower's incarnation.
+    /// The lease number of a request or release, or the borrower's incarnation of a grant.
     #[prost(uint64, tag = "5")]
     pub(super) loan: u64,
     #[prost(uint32, tag = "6")]
     pub(super) amount: u32,
 }
 
-/// A gossip message.
+/// Encodes [`crate::gossip_message::GossipMessage`].
 #[derive(Clone, PartialEq, Message)]
 pub(super) struct WireWord {
     #[prost(uint32, tag = "1")]
--- a/crates/coordination/src/gossip_state.rs
+++ b/crates/coordination/src/gossip_state.rs
@@ -206,7 +206,7 @@
         let jitter = MIN_JITTER + self.rng.random::<f64>() * JITTER_RANGE;
         self.next_round = now + self.interval.mul_f64(jitter);
         self.last_round = Some(now);
-        let incarnation_raised = self.own.outlive_other_process(now);
+        let incarnation_raised = self.own.supersede_dead_process(now);
         self.reports.drop_expired(now);
         let requests_sync = self.own.is_syncing(now);
         if !requests_sync && !self.own.is_superseded() {
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,20 +1,20 @@
 //! Coordination among the hosts of one fleet: gossip, outlier detection and quota leases.
 //!
-//! No I/O: [`coordinator::Coordinator`] is a state machine, `step(now, events)`, which returns the
-//! actions to perform. Begin there. The transport of its messages may lose, duplicate, delay and
-//! reorder them. Its parts:
+//! The entry point is [`coordinator::Coordinator`], a state machine without I/O: `step(now, events)`
+//! returns the actions to perform. The transport may lose, duplicate, delay and reorder the
+//! messages. The modules:
 //!
-//! - [`events`]: the events and the actions.
-//! - [`gossip_state`]: the newest report of each host ([`host_report`]), merged by version.
-//! - [`outlier_detection`]: the verdict of all hosts' [`evidence`] on a node, and this host's
-//!   policy for it; `ejections`: the ejected nodes, and the turns to probe them.
-//! - [`quotas`], [`quota_lease`], [`borrowed_leases`] and `granted_leases`: quotas of a limit,
-//!   which hosts lease to each other for a time. The sum of all quotas never exceeds the limit.
-//! - [`gossip_message`], [`lease_message`] and [`gossip_codec`]: the messages, and the reasons why
-//!   a message is rejected.
+//! - [`events`]: the events and the actions of the state machine.
+//! - [`gossip_state`]: the newest report ([`host_report`]) of each host, merged by version.
+//! - [`outlier_detection`]: judges each node by the [`evidence`] of all hosts, and chooses this host's
+//!   policy for it; `ejections`: the ejected nodes, and the schedule of probes.
+//! - [`quotas`], [`quota_lease`], [`borrowed_leases`] and `granted_leases`: the quotas of a
+//!   limit, parts of which hosts lease to each other. The sum of all quotas never exceeds the limit.
+//! - [`gossip_message`], [`lease_message`] and [`gossip_codec`]: the messages, their encoding, and
+//!   the errors of the decoder.
 //!
-//! A host that receives no message decides like a host without this package. No service depends on
-//! this package, and no received message lets a host use more than the limit over all hosts allows.
+//! A host that receives no messages uses its base quotas and its own evidence only, as if it had no
+//! peers. No service depends on this package, and no received message makes the hosts together exceed a limit.
 
 #![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
@@ -38,11 +38,11 @@
 mod report_store;
 mod served_rates;
 
-/// The number of a host: its position among the settings' hosts.
+/// The number of a host: its position in the list of hosts in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostNumber(pub u32);
 
-/// The incarnation of a host's process. It distinguishes the processes of one host; the larger
-/// incarnation is later.
+/// The incarnation of a host. Each process of a host has another one; a later process has a larger
+/// one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Incarnation(pub u64);
--- a/crates/coordination/src/own_incarnation.rs
+++ b/crates/coordination/src/own_incarnation.rs
@@ -1,47 +1,48 @@
-//! This host's incarnation, and how it compares with other processes of the same host.
+//! This host's incarnation, and the detection of other processes of the same host.
 //!
-//! State machine, owned by [`crate::gossip_state`]. No I/O.
+//! A state machine without I/O, which [`crate::gossip_state`] owns.
 //!
-//! Incarnations order the processes of one host; only the entries of the latest incarnation count.
-//! A host that starts first requests from its peers their entries of itself. It publishes after it
-//! has received them, or after [`SYNC_TIMEOUT`] without them. Later, a host may receive an entry of
-//! itself that is at least as late as its own and that it did not write. The host is then
-//! superseded: either it is the earlier process, or its incarnation is too low. It stays superseded
-//! while the count of the other process grows. Afterwards it continues with a higher incarnation.
+//! Incarnations order the processes of one host; only the entries of the latest incarnation are valid.
+//! When a host starts, it first requests the entries that its peers have of it, and raises its
+//! incarnation above theirs. It writes its first entry after [`SYNC_TIMEOUT`]. Later, a host may receive
+//! an entry of its own number that it did not write and that is at least as late as its own. The host is
+//! then superseded: either another process of the host has started, or its own incarnation is too low.
+//! It stays superseded while new entries of the other process arrive. When they stop, it continues with
+//! an incarnation above that of the other process.
 
 use crate::host_report::VersionStamp;
 use crate::Incarnation;
 use std::time::Duration;
 
-/// How long a host that has started waits for its peers' entries of itself. A shorter time makes it
-/// publish under an incarnation that is too low; a longer one delays its first report.
+/// How long a host waits after its start for the entries that its peers have of it. With a shorter time it
+/// may publish under an incarnation that is too low; a longer one delays its first report.
 pub const SYNC_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time without a new entry of another process of this host after which that process counts as
-/// gone. A shorter time lets two processes take turns; a longer one leaves the host without quota.
+/// The time without a new entry of another process of this host after which that process is considered
+/// dead. With a shorter time two live processes may supersede each other in turn; a longer one leaves
+/// the host without quota.
 const SUPERSEDED_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Another process of this host, as peers report it.
+/// Another process of this host, known from an entry that a peer sent.
 #[derive(Debug, Clone, Copy)]
 struct OtherProcess {
     version: VersionStamp,
-    /// When its version last grew.
-    since: Duration,
+    /// When an entry with a larger version last arrived.
+    updated_at: Duration,
 }
 
-/// This host's incarnation and the count of its entries.
+/// This host's incarnation, and the number of entries that it has written.
 #[derive(Debug)]
 pub(crate) struct OwnIncarnation {
     incarnation: Incarnation,
-    /// Entries that this incarnation has written.
+    /// The number of entries that this incarnation has written.
     count: u64,
-    /// The end of the time in which this host requests its peers' entries before it writes its own.
+    /// Until then this host requests its peers' entries and writes none.
     syncs_until: Duration,
     other_process: Option<OtherProcess>,
 }
 
 impl OwnIncarnation {
-    /// Returns an incarnation without entries. `syncs_until`: the end of the synchronisation with
-    /// the peers.
+    /// Returns an incarnation without entries. Until `syncs_until` the host requests its peers' entries.
     pub fn new(incarnation: Incarnation, syncs_until: Duration) -> Self {
         OwnIncarnation {
             incarnation,
@@ -56,7 +57,7 @@
         self.incarnation
     }
 
-    /// Returns the version of the last entry that this host wrote.
+    /// Returns the version of this host's last entry.
     pub fn version(&self) -> VersionStamp {
         VersionStamp {
             incarnation: self.incarnation,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Returns the version for this host's next entry.
+    /// Advances to the version of this host's next entry and returns it.
     pub fn next_version(&mut self) -> VersionStamp {
         self.count += 1;
         self.version()
@@ -75,13 +76,13 @@
         now < self.syncs_until
     }
 
-    /// Returns whether another process of this host, which may be a later one, is alive.
+    /// Returns whether another process of this host, which may be the later one, seems to be alive.
     pub fn is_superseded(&self) -> bool {
         self.other_process.is_some()
     }
 
-    /// Handles the version of an entry of this host that a peer has. Returns whether it had to
-    /// raise this host's incarnation above that version.
+    /// Handles the version of an entry of this host that a peer has sent. Returns whether the host's
+    /// incarnation was raised above that of the entry.
     pub fn handle_entry(&mut self, now: Duration, version: VersionStamp) -> bool {
         let start = VersionStamp {
             incarnation: self.incarnation,
@@ -92,7 +93,7 @@
             return false;
         }
         if self.is_syncing(now) && self.count == 0 {
-            // An earlier incarnation wrote the entry, and this one has not written any.
+            // This incarnation has written no entries, so an earlier process wrote the received one.
             self.incarnation = Incarnation(version.incarnation.0 + 1);
             return true;
         }
@@ -102,19 +103,19 @@
         {
             self.other_process = Some(OtherProcess {
                 version,
-                since: now,
+                updated_at: now,
             });
         }
         false
     }
 
-    /// Raises the incarnation above another process of this host that is gone. Returns whether
-    /// there was one.
-    pub fn outlive_other_process(&mut self, now: Duration) -> bool {
+    /// Raises the incarnation above that of another process of this host if that process is considered
+    /// dead. Returns whether the incarnation was raised.
+    pub fn supersede_dead_process(&mut self, now: Duration) -> bool {
         let Some(other) = self.other_process else {
             return false;
         };
-        if now < other.since + SUPERSEDED_TIMEOUT {
+        if now < other.updated_at + SUPERSEDED_TIMEOUT {
             return false;
         }
         self.incarnation = Incarnation(other.version.incarnation.0 + 1);
--- a/crates/coordination/tests/gossip_codec.rs
+++ b/crates/coordination/tests/gossip_codec.rs
@@ -1,4 +1,4 @@
-//! The encoded gossip message: its bytes, and the messages that are rejected.
+//! Tests of the encoding of gossip messages, and of the messages that the decoder rejects.
 
 mod common;
 
@@ -12,7 +12,7 @@
 use grebecleat_coordination::lease_message::LeaseMessage;
 use grebecleat_coordination::{HostNumber, Incarnation};
 
-/// The entry and the lease messages of `message`, byte by byte.
+/// The encoding of `message()` with another observation, in hexadecimal digits.
 const ENCODED: &str = "\
     0801100918012227080510031808204d280330013a0c0804100118092002283730014204080710634a050807\
     10d2092a0c0807100318012001280230032a0c0807100318022001280430032a0808071003180328022a0808\
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_message_is_encoded_to_the_same_bytes_in_every_version() {
+fn the_encoding_of_a_message_does_not_change_between_versions() {
     let mut message = message();
     message.entries[0].report.observations[0] = Observation {
         age: ms(55),
@@ -106,13 +106,16 @@
 
 #[test]
 fn a_message_with_a_number_out_of_range_is_rejected() {
-    // The corruption, and a part of the error text.
+    // Each case changes one number of a valid message and expects a part of the error text.
     type Case<'a> = (&'a dyn Fn(&mut GossipMessage), &'a str);
     let cases: [Case; 7] = [
-        (&|m| m.incarnation = Incarnation(u64::MAX), "life"),
+        (
+            &|m| m.incarnation = Incarnation(u64::MAX),
+            "incarnation 18446744073709551615",
+        ),
         (
             &|m| m.entries[0].version.incarnation = Incarnation(0),
-            "life 0",
+            "incarnation 0, expected 1",
         ),
         (
             &|m| m.entries[0].version.count = u64::MAX - 1,
@@ -120,11 +123,11 @@
         ),
         (
             &|m| m.entries[0].report.observations[0].bad = 10,
-            "more bad than sent",
+            "entry of host 5: more failed attempts than attempts sent",
         ),
         (
             &|m| m.entries[0].report.offers[0].spare = u32::MAX,
-            "more offered than there is",
+            "entry of host 5: lease offer above the complete limit",
         ),
         (
             &|m| m.entries = vec![entry(); MAX_ENTRIES + 1],
@@ -132,7 +135,7 @@
         ),
         (
             &|m| m.lease_messages[0].message = request(u32::MAX),
-            "volume 7",
+            "volume 7: lease message with amount 4294967295",
         ),
     ];
     for (corrupt, expected) in cases {
@@ -151,8 +154,8 @@
     let message = message();
     let bytes = message.to_bytes();
     for length in 0..bytes.len() {
-        // A truncated message is rejected, or has fewer entries. It never has entries that were not
-        // sent.
+        // A truncated message is either rejected or has fewer entries. It never contains an entry that was
+        // not sent.
         if let Ok(truncated) = GossipMessage::from_bytes(&bytes[..length]) {
             assert!(
                 truncated
@@ -166,10 +169,10 @@
 }
 
 #[test]
-fn the_text_of_a_malformed_message_names_its_fields_as_it_always_has() {
-    let says_with_a_bad_wire_type = [42, 1, 7];
-    let error = GossipMessage::from_bytes(&says_with_a_bad_wire_type).unwrap_err();
+fn the_error_for_a_malformed_message_names_the_field_that_cannot_be_decoded() {
+    let bytes_with_a_bad_wire_type = [42, 1, 7];
+    let error = GossipMessage::from_bytes(&bytes_with_a_bad_wire_type).unwrap_err();
     let text = error.to_string();
-    let expected = "no word: failed to decode Protobuf message: WireWord.says: ";
+    let expected = "not a valid gossip message: failed to decode Protobuf message: WireWord.says: ";
     assert!(text.starts_with(expected), "{text}");
 }
