--- a/crates/coordination/src/borrowed_leases.rs
+++ b/crates/coordination/src/borrowed_leases.rs
@@ -1,38 +1,37 @@
-//! The borrower's side of one limit's leases: the borrowed leases, and the requests that wait for
-//! an answer.
+//! The borrower's side of the leases of one limit: the borrowed leases, and the pending requests.
 //!
-//! State machine, owned by [`crate::quota_lease`]. No I/O. Memory: [`MAX_LEASES`] leases, and as
-//! many pending requests.
+//! A state machine without I/O, which [`crate::quota_lease`] owns. It stores at most [`MAX_LEASES`]
+//! leases and as many pending requests.
 
 use crate::lease_message::LeaseMessage;
 use crate::HostNumber;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Leases that a host grants, and leases that it borrows, at most. More cost memory and messages;
-/// with fewer a host cannot use the spare amounts of many lenders.
+/// The maximum number of leases of one limit that a host grants, and that it borrows. A larger number costs
+/// memory and messages; with a smaller one a host cannot use the spare amounts of many lenders.
 pub const MAX_LEASES: usize = 64;
-/// Hosts from which a round requests leases, at most. More cost messages; fewer delay the use of
-/// small spare amounts.
+/// The maximum number of hosts from which one round requests new leases. A larger number costs messages; a
+/// smaller one delays the use of small spare amounts.
 const MAX_LENDERS_PER_ROUND: usize = 8;
-/// The fraction of a lease's duration after which a request without an answer is dropped. A larger
+/// A request without an answer is dropped after the lease duration divided by this number. A larger
 /// divisor drops requests whose answers are late; a smaller one delays the next request.
 const REQUEST_TIMEOUT_DIVISOR: u32 = 4;
-/// The remaining fraction of a lease's duration below which the lease is renewed. A larger divisor
-/// leaves less time for a lost renewal; a smaller one costs messages.
+/// A lease is renewed when its remaining time is at most the lease duration divided by this number. A
+/// larger divisor leaves less time to repeat a lost renewal; a smaller one costs messages.
 const RENEWAL_DIVISOR: u32 = 2;
 
-/// The amount of one limit that one host could lease to others.
+/// A host that could lease a part of its quota of one limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lender {
-    /// The host.
+    /// The host that offers the amount.
     pub host: HostNumber,
     /// The spare amount that it last reported, in fractions of
     /// [`crate::lease_message::FULL_LIMIT`].
     pub spare: u32,
 }
 
-/// A lease message to send.
+/// A lease message to send, with its receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct OutgoingLeaseMessage {
     /// The receiver.
@@ -63,21 +62,21 @@
     amount: u32,
 }
 
-/// The leases of one limit that one host borrows.
+/// The leases of one limit that one host has borrowed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct BorrowedLeases {
-    /// How long a lease lasts from its request.
+    /// How long a lease lasts, counted from its request.
     duration: Duration,
     /// The borrowed leases by their numbers.
     leases: BTreeMap<u64, BorrowedLease>,
-    /// The requests without an answer, by their numbers.
+    /// The requests that wait for an answer, by their numbers.
     requests: BTreeMap<u64, PendingRequest>,
-    /// The last number that was given to a lease or a request.
+    /// The last number that was assigned to a lease or a request.
     last_number: u64,
 }
 
 impl BorrowedLeases {
-    /// Returns a state without leases. Numbers begin after `last_number`.
+    /// Returns a state without leases. The first number that it assigns is `last_number + 1`.
     pub fn new(duration: Duration, last_number: u64) -> Self {
         BorrowedLeases {
             duration,
@@ -93,24 +92,24 @@
         leases.map(|lease| lease.amount).sum()
     }
 
-    /// Returns when each lease expires.
-    pub fn ends(&self) -> impl Iterator<Item = Duration> + '_ {
+    /// Returns the times at which the leases expire.
+    pub fn expiry_times(&self) -> impl Iterator<Item = Duration> + '_ {
         self.leases.values().map(|lease| lease.until)
     }
 
     /// Drops all leases and requests.
-    pub fn void_all(&mut self) {
+    pub fn drop_all(&mut self) {
         self.leases.clear();
         self.requests.clear();
     }
 
-    /// Drops all requests, so that answers to them are ignored.
+    /// Drops all pending requests, so that answers to them are ignored.
     pub fn drop_requests(&mut self) {
         self.requests.clear();
     }
 
-    /// Drops the leases that an earlier incarnation of a host granted, and the requests to it.
-    pub fn void_from(&mut self, lender: HostNumber) {
+    /// Drops the leases of a lender, and the requests to it.
+    pub fn drop_from(&mut self, lender: HostNumber) {
         self.leases.retain(|_, lease| lease.lender != lender);
         self.requests.retain(|_, request| request.lender != lender);
     }
@@ -123,7 +122,7 @@
             .retain(|_, request| now < request.sent_at + request_timeout);
     }
 
-    /// Handles the answer to a request. `amount`: 0 if the request is rejected.
+    /// Handles the answer to a request. `amount` is 0 if the request is rejected.
     pub fn handle_grant(&mut self, now: Duration, lender: HostNumber, request: u64, amount: u32) {
         let pending = self.requests.remove(&request);
         let Some(pending) = pending.filter(|pending| pending.lender == lender) else {
@@ -135,7 +134,7 @@
         }
         let lease = self.leases.get_mut(&pending.lease);
         if let Some(lease) = lease.filter(|lease| now < lease.until) {
-            // Grants can overtake each other; a grant therefore never shortens a lease.
+            // Grants may arrive in another order, so a grant never shortens a lease.
             lease.until = until.max(lease.until);
             lease.amount = amount.min(lease.amount);
             return;
@@ -148,7 +147,7 @@
         self.leases.insert(pending.lease, lease);
     }
 
-    /// Releases leases whose amounts fit into the surplus, and returns the messages to send.
+    /// Releases leases whose amounts together do not exceed `surplus`, and returns the messages to send.
     pub fn release(&mut self, mut surplus: u32) -> Vec<OutgoingLeaseMessage> {
         let mut released = Vec::new();
         for (lease, borrowed) in &self.leases {
@@ -159,8 +158,8 @@
         }
         let mut out = Vec::new();
         for (lease, lender) in released {
-            // The lease is dropped before its message is sent: the message may be late or lost, but
-            // it never arrives before the drop.
+            // The lease is dropped before the message is sent, so that the lender never uses the amount
+            // again while the borrower still does.
             self.leases.remove(&lease);
             self.requests.retain(|_, request| request.lease != lease);
             out.push(OutgoingLeaseMessage {
@@ -171,9 +170,8 @@
         out
     }
 
-    /// Requests renewals, and new leases for the missing amount. Returns the messages to send.
-    /// `min_lease`: the amount of the smallest lease that is worth its messages. `lenders`: the
-    /// preferred first.
+    /// Requests renewals, and new leases for the `missing` amount. Returns the messages to send. No new lease
+    /// is smaller than `min_lease`. `lenders` contains the preferred lenders first.
     pub fn request<'a>(
         &mut self,
         now: Duration,
@@ -208,7 +206,7 @@
         out
     }
 
-    /// Returns renewals of the leases that are in the second half of their duration.
+    /// Returns renewals of the leases whose remaining time is at most half their duration.
     fn renewals(&self, now: Duration) -> Vec<LeaseRequest> {
         let due_before = now + self.duration / RENEWAL_DIVISOR;
         let is_requested =
@@ -224,7 +222,7 @@
             .collect()
     }
 
-    /// Distributes the missing amount over the lenders.
+    /// Returns requests for new leases, which distribute the missing amount over the lenders.
     fn new_leases<'a>(
         &mut self,
         mut missing: u32,
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -129,15 +129,15 @@
 
     /// Returns when some quota of this host next changes without a message.
     pub fn quotas_change_at(&self) -> Duration {
-        self.quotas.change_at()
+        self.quotas.next_change_at()
     }
 
     /// Handles events, and returns the actions to perform.
     pub fn step(&mut self, now: Duration, events: impl IntoIterator<Item = Event>) -> Vec<Action> {
         // Leases may have expired during a pause of this process. The new quotas come first, before any
         // message is handled or sent.
-        if now >= self.quotas.change_at() {
-            self.quotas.touch_all();
+        if now >= self.quotas.next_change_at() {
+            self.quotas.mark_all_dirty();
             self.apply_quotas(now);
         }
         for event in events {
--- a/crates/coordination/src/ejections.rs
+++ b/crates/coordination/src/ejections.rs
@@ -1,12 +1,14 @@
-//! The ejected nodes, and this host's turns to probe them.
+//! The ejected nodes, and the schedule by which this host probes them.
 //!
-//! Owned by [`crate::outlier_detection`]. No I/O. Memory: one row for each ejected node.
+//! [`crate::outlier_detection`] owns both. The module does no I/O and stores one entry for each ejected
+//! node.
 //!
-//! An ejection ends by newer evidence that the node answers, by another start of the node, or by
-//! this host's own evidence. Silence does not end it, so some hosts must probe. Once in
-//! [`PROBE_INTERVAL`] each host draws at random whether it probes the node; on average [`PROBERS`]
-//! of all hosts do. There is one exception: a host that receives too few reports drops its
-//! ejections after [`EJECTION_TIMEOUT`], and finds out by itself, like a host without peers.
+//! An ejection ends when newer evidence shows that the node answers, or when the node restarts. It does
+//! not end when there is no new evidence, so some hosts must probe the node. About once in
+//! [`PROBE_INTERVAL`] each host decides at random whether it probes the node; on average [`PROBERS`]
+//! hosts do. An ejection times out after [`EJECTION_TIMEOUT`] if the host cannot trust its verdicts: if it
+//! receives too few fresh reports, or if too many nodes would be ejected. It then relies on its own
+//! evidence, like a host without peers. Own evidence that a node answers always overrides an ejection.
 
 use crate::outlier_detection::{Finding, Verdict};
 use rand::{Rng, SeedableRng};
@@ -14,25 +16,25 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The average time between two draws of a host. A longer time delays the end of an ejection; a
-/// shorter one changes the probing hosts often.
+/// The average time between two random decisions whether a host probes a node. A longer time delays the
+/// end of an ejection; with a shorter one the probing hosts change often.
 pub const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// The average number of hosts that probe an ejected node. More hosts send more requests to a bad
-/// node; fewer delay the end of its ejection.
+/// The average number of hosts that probe an ejected node at a time. More hosts send more requests to a
+/// bad node; fewer delay the end of its ejection.
 pub const PROBERS: f64 = 2.0;
-/// How long an ejection lasts without a verdict that is trusted. A shorter time ends ejections when
-/// gossip is slow; a longer one keeps nodes from a host that is cut off from its peers.
+/// How long an ejection lasts without a trusted verdict. A shorter time ends ejections when gossip is
+/// slow; with a longer one a host that is cut off from its peers does not use the nodes again for longer.
 pub const EJECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// The shortest time between two draws, as a fraction of [`PROBE_INTERVAL`].
-const MIN_TURN: f64 = 0.5;
+/// The minimum time between two such decisions, as a fraction of [`PROBE_INTERVAL`].
+const MIN_TURN_FRACTION: f64 = 0.5;
 
 #[derive(Debug, Clone)]
 struct Ejection {
-    /// Start of the node's process.
+    /// The start of the node's process.
     start: u64,
-    /// When the last evidence against the node was observed.
+    /// When the latest evidence against the node was observed.
     last_bad: Duration,
-    /// When this host last had a verdict on the node that was trusted.
+    /// When this host last had no reason to distrust the ejection.
     confirmed_at: Duration,
 }
 
@@ -53,8 +55,8 @@
         self.nodes.keys().copied()
     }
 
-    /// Ejects nodes, and ends ejections, by the findings. `nodes`: the nodes of the endpoint list,
-    /// with the starts of their processes. `too_few_fresh`: too few reports are fresh.
+    /// Starts and ends ejections according to the findings. `nodes` maps each node of the endpoint list to
+    /// the start of its process. `too_few_fresh` tells that too few reports are fresh.
     pub fn update(
         &mut self,
         now: Duration,
@@ -68,8 +70,8 @@
         self.nodes.retain(|node, ejection| {
             let finding = findings.get(node);
             let distrusted = finding.is_some_and(|finding| finding.verdict == Verdict::Distrusted);
-            // Silence confirms the ejection if the other hosts' reports are fresh: some host
-            // probes the node.
+            // If the other hosts' reports are fresh, the absence of evidence confirms the ejection:
+            // a host that probes the node would have reported its answers.
             if !too_few_fresh && !distrusted {
                 ejection.confirmed_at = now;
             }
@@ -88,8 +90,8 @@
                 };
                 self.nodes.insert(node, ejection);
             }
-            // Only evidence that is later than the evidence against the node ends its ejection:
-            // good observations from before the failure still arrive for some time.
+            // Only evidence that is later than the evidence against the node ends its ejection.
+            // Good observations from before the failure still arrive for some time.
             Verdict::Healthy | Verdict::Split => {
                 let ejection = self.nodes.get(&node);
                 let answers_again = ejection.is_some_and(|ejection| {
@@ -104,42 +106,43 @@
     }
 }
 
-/// Whether this host probes a node, until the next draw.
+/// Whether this host probes a node, until the next random decision.
 #[derive(Debug, Clone, Copy)]
 struct ProbeTurn {
     until: Duration,
     probes: bool,
 }
 
-/// This host's turns to probe the ejected nodes.
+/// Decides when this host probes the ejected nodes.
 #[derive(Debug)]
 pub(crate) struct ProbeSchedule {
-    /// The chance that a draw makes this host probe.
-    chance: f64,
+    /// The probability that this host probes a node in a turn.
+    probability: f64,
     rng: Pcg64Mcg,
     turns: BTreeMap<u32, ProbeTurn>,
 }
 
 impl ProbeSchedule {
-    /// Returns a schedule without turns. `fleet_size`: number of hosts, including this one.
+    /// Returns a schedule without turns. `fleet_size` is the number of hosts, including this one.
     pub fn new(fleet_size: usize, seed: u64) -> Self {
         ProbeSchedule {
-            chance: (PROBERS / fleet_size.max(1) as f64).min(1.0),
+            probability: (PROBERS / fleet_size.max(1) as f64).min(1.0),
             rng: Pcg64Mcg::seed_from_u64(seed),
             turns: BTreeMap::new(),
         }
     }
 
-    /// Draws the turns that are due, and drops those of nodes that are no longer ejected.
-    pub fn draw(&mut self, now: Duration, ejections: &Ejections) {
+    /// Decides the turns that are due, and drops those of nodes that are no longer ejected.
+    pub fn update(&mut self, now: Duration, ejections: &Ejections) {
         self.turns.retain(|node, _| ejections.contains(*node));
         for node in ejections.nodes() {
             let turn = self.turns.get(&node);
             if turn.is_none_or(|turn| now >= turn.until) {
-                // Each host draws at other moments; otherwise all probing hosts would probe at the
-                // same time.
-                let until = now + PROBE_INTERVAL.mul_f64(MIN_TURN + self.rng.random::<f64>());
-                let probes = self.rng.random::<f64>() < self.chance;
+                // The random duration keeps the turns of different hosts apart; otherwise all
+                // probing hosts would probe at the same time.
+                let until =
+                    now + PROBE_INTERVAL.mul_f64(MIN_TURN_FRACTION + self.rng.random::<f64>());
+                let probes = self.rng.random::<f64>() < self.probability;
                 self.turns.insert(node, ProbeTurn { until, probes });
             }
         }
--- a/crates/coordination/src/gossip_message.rs
+++ b/crates/coordination/src/gossip_message.rs
@@ -1,50 +1,50 @@
-//! The gossip message: reports of hosts, and lease messages about shared limits.
+//! The gossip message: the reports of hosts, and lease messages about shared limits.
 //!
-//! Plain data; [`crate::gossip_codec`] encodes it. Bounds: [`MAX_ENTRIES`], [`MAX_REPORT_ITEMS`],
-//! [`MAX_LEASE_MESSAGES`] and [`MAX_BYTES`].
+//! These types hold data only; [`crate::gossip_codec`] encodes them. [`MAX_ENTRIES`],
+//! [`MAX_REPORT_ITEMS`], [`MAX_LEASE_MESSAGES`] and [`MAX_BYTES`] bound the size of a message.
 
 use crate::host_report::GossipEntry;
 use crate::lease_message::{LeaseMessage, ReceivedLeaseMessage};
 use crate::{HostNumber, Incarnation};
 
-/// Entries of a message, at most. Together with [`MAX_REPORT_ITEMS`] the number keeps a message
-/// below [`MAX_BYTES`]; with a smaller one the rotation of all reports takes longer.
+/// The maximum number of entries in a message. Together with [`MAX_REPORT_ITEMS`] it keeps a message below
+/// [`MAX_BYTES`]; with a smaller number it takes longer to send all reports in rotation.
 pub const MAX_ENTRIES: usize = 16;
-/// Items of each kind in a host's report, at most. More items make a message too long; with fewer a
-/// host cannot report all its urgent observations.
+/// The maximum number of items of each kind in a host's report. A larger number makes a message too long;
+/// with a smaller one a host cannot report all its urgent observations.
 pub const MAX_REPORT_ITEMS: usize = 24;
-/// Bytes of an encoded message, at most; a longer message is rejected. A larger bound costs the
-/// receivers memory.
+/// The maximum length of an encoded message in bytes; a longer message is rejected. A larger bound costs
+/// the receivers memory.
 pub const MAX_BYTES: usize = 32 << 10;
-/// Lease messages of a message, at most; further ones wait for the next message. More make a
-/// message too long; fewer delay leases.
+/// The maximum number of lease messages in a gossip message; further ones wait for the next one. A larger
+/// number makes a message too long; a smaller one delays leases.
 pub const MAX_LEASE_MESSAGES: usize = 64;
 
-/// A lease message with its volume.
+/// A lease message, with the volume whose limit it is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VolumeLeaseMessage {
     /// The volume's number.
     pub volume: u64,
-    /// Number of hosts that share the volume's limit, as the sender knows it; at least 1.
+    /// The number of hosts that share the volume's limit, as the sender knows it; at least 1.
     pub sharers: u32,
     /// The message.
     pub message: LeaseMessage,
 }
 
-/// The message that one host sends to another.
+/// A message from one host to another.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GossipMessage {
     /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The sender has just started and requests all entries, including entries of itself.
+    /// The sender has just started and requests all entries, including those of itself.
     pub requests_sync: bool,
-    /// Reports of hosts, including the sender's own.
+    /// Reports of hosts, which may include the sender's and the receiver's.
     pub entries: Vec<GossipEntry>,
-    /// Lease messages about limits that both hosts share.
+    /// Lease messages about limits that the sender and the receiver share.
     pub lease_messages: Vec<VolumeLeaseMessage>,
 }
 
-/// A received lease message with its volume.
+/// A received lease message, with the volume whose limit it is about.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VolumeReceived {
     /// The volume's number.
@@ -54,7 +54,7 @@
 }
 
 impl GossipMessage {
-    /// Returns the lease messages, as the quota leases of their volumes handle them.
+    /// Returns the lease messages as messages that were received from `from`.
     pub fn received_from(&self, from: HostNumber) -> impl Iterator<Item = VolumeReceived> + '_ {
         let incarnation = self.incarnation;
         self.lease_messages.iter().map(move |lease| VolumeReceived {
--- a/crates/coordination/src/gossip_state.rs
+++ b/crates/coordination/src/gossip_state.rs
@@ -1,19 +1,20 @@
-//! Gossip state: the newest report of each host, merged by the larger version stamp.
+//! Gossip state: the newest report of each host, merged by version.
 //!
-//! State machine, called by [`crate::coordinator`]. [`GossipState::publish`] takes this host's
-//! report. [`GossipState::handle_message`] takes a peer's message. [`GossipState::run_round`] is
-//! called when the next round is due, and returns the messages to send. No I/O.
+//! A state machine without I/O, which [`crate::coordinator`] calls. [`GossipState::publish`] takes this
+//! host's report, [`GossipState::handle_message`] a peer's message. [`GossipState::run_round`] is called
+//! when the next round is due, and returns the messages to send.
 //!
-//! Reports spread by rumor and by rotation (Demers 1987). A rumor is an entry with a new urgent
-//! observation: the next messages carry it. In addition each message carries other entries in
-//! rotation. Every host therefore receives every report in the end, whatever messages were lost.
+//! Entries, which are reports with a version, spread by rumor mongering and in rotation (Demers 1987). A
+//! rumor is an entry with a new urgent observation; the next few messages carry it. Each message is filled
+//! up with other entries in rotation. Every host therefore receives every report eventually, even if
+//! messages are lost.
 //!
-//! Bounds, for a fleet of any size: [`GOSSIP_FANOUT`] messages of at most
-//! [`crate::gossip_message::MAX_ENTRIES`] entries in a round, and at most one round in each
-//! interval, or four times as many while there are rumors. Memory: one entry for each host.
+//! In a fleet of any size a host sends [`GOSSIP_FANOUT`] messages of at most
+//! [`crate::gossip_message::MAX_ENTRIES`] entries in a round. There is about one round in each interval,
+//! and up to four while there are rumors. The state takes one entry for each host.
 //!
-//! State: the reports (module `report_store`), this host's incarnation (module `own_incarnation`),
-//! this host's report, and the time of the next round.
+//! The state consists of the reports (module `report_store`), this host's incarnation (module
+//! `own_incarnation`), this host's report, and the time of the next round.
 
 use crate::gossip_message::{GossipMessage, MAX_REPORT_ITEMS};
 use crate::host_report::HostReport;
@@ -29,23 +30,26 @@
 pub use crate::own_incarnation::SYNC_TIMEOUT;
 pub use crate::report_store::{KnownReport, ENTRY_TIMEOUT};
 
-/// Peers that receive a message in each round. More peers cost messages; fewer slow the spread.
+/// The number of peers that receive a message in each round. More peers cost messages; fewer slow the
+/// spread of reports.
 pub const GOSSIP_FANOUT: usize = 2;
-/// Rounds after which a host writes its entry anew even without a change, so that its peers know
-/// that it is alive. More rounds delay the detection of a dead host; fewer cost entries.
+/// The number of rounds after which a host writes a new entry even without a rumor, so that its peers know
+/// that it is alive. A larger number delays the detection of a dead host; a smaller one costs entries.
 const REFRESH_ROUNDS: u32 = 5;
-/// The fraction of the interval after which a round with rumors comes. A larger divisor spreads
-/// rumors sooner and costs messages.
+/// While there are rumors, the next round comes after the interval divided by this number. A larger
+/// divisor spreads rumors sooner and costs messages.
 const URGENT_INTERVAL_DIVISOR: u32 = 4;
-/// The shortest and the longest random factor of the interval, which keeps the hosts' rounds apart.
+/// The minimum of the random factor by which the interval is multiplied, so that the hosts' rounds do not
+/// coincide.
 const MIN_JITTER: f64 = 0.75;
+/// The width of the range of the random factor.
 const JITTER_RANGE: f64 = 0.5;
 
-/// This host's report, as it is published next.
+/// The report that this host publishes next.
 #[derive(Debug, Default)]
 struct OwnReport {
     report: HostReport,
-    /// The report has an urgent observation that was not published yet.
+    /// The report has a new urgent observation, which no entry has published yet.
     is_rumor: bool,
     rounds_since_refresh: u32,
 }
@@ -54,7 +58,7 @@
 #[derive(Debug)]
 pub struct GossipState {
     me: HostNumber,
-    own: OwnIncarnation,
+    own_incarnation: OwnIncarnation,
     own_report: OwnReport,
     /// Sorted.
     peers: Vec<HostNumber>,
@@ -67,14 +71,14 @@
     rng: Pcg64Mcg,
 }
 
-/// The effect of a message.
+/// The effect of handling a message.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
     /// Hosts whose report was replaced by a later one.
     pub updated: Vec<HostNumber>,
-    /// Number of entries of unknown hosts, and of entries older than [`ENTRY_TIMEOUT`].
+    /// The number of entries of unknown hosts, and of entries older than [`ENTRY_TIMEOUT`].
     pub rejected: usize,
-    /// This host's own incarnation was too low, and has been raised.
+    /// This host's own incarnation was too low and has been raised.
     pub incarnation_raised: bool,
 }
 
@@ -83,13 +87,14 @@
 pub struct RoundOutcome {
     /// Messages by receiver.
     pub messages: Vec<(HostNumber, GossipMessage)>,
-    /// Another process of this host is gone, and this host's incarnation has been raised above it.
+    /// Another process of this host is considered dead, and this host's incarnation has been raised above
+    /// that of the other process.
     pub incarnation_raised: bool,
 }
 
 impl GossipState {
-    /// Returns the state of a host that has received no report. `incarnation`: an estimate, such as
-    /// the wall clock; peers may know a later one. `interval`: the time between two rounds.
+    /// Returns the state of a host that has received no report. `incarnation` is an estimate, such as the
+    /// wall clock time; the peers may know a later one. `interval` is the average time between two rounds.
     pub fn new(
         now: Duration,
         me: HostNumber,
@@ -108,7 +113,7 @@
         };
         GossipState {
             me,
-            own: OwnIncarnation::new(incarnation, syncs_until),
+            own_incarnation: OwnIncarnation::new(incarnation, syncs_until),
             own_report: OwnReport::default(),
             peers,
             reports: ReportStore::default(),
@@ -120,14 +125,14 @@
         }
     }
 
-    /// Returns this host's incarnation. It grows if peers know of a later one.
+    /// Returns this host's incarnation. It is raised when peers turn out to know a later one.
     pub fn incarnation(&self) -> Incarnation {
-        self.own.incarnation()
+        self.own_incarnation.incarnation()
     }
 
-    /// Returns whether another process of this host, which may be a later one, is alive.
+    /// Returns whether another process of this host, which may be the later one, seems to be alive.
     pub fn is_superseded(&self) -> bool {
-        self.own.is_superseded()
+        self.own_incarnation.is_superseded()
     }
 
     /// Returns when the next round is due.
@@ -135,7 +140,7 @@
         self.next_round
     }
 
-    /// Replaces this host's report. `is_rumor`: peers should receive the report at once.
+    /// Replaces this host's report. `is_rumor` tells that peers should receive the report at once.
     pub fn publish(&mut self, now: Duration, report: HostReport, is_rumor: bool) {
         debug_assert!(report.observations.len() <= MAX_REPORT_ITEMS);
         debug_assert!(report.offers.len() <= MAX_REPORT_ITEMS);
@@ -147,7 +152,7 @@
         }
     }
 
-    /// Brings the next round forward, to at least a quarter of the interval after the last one.
+    /// Brings the next round forward, but not closer to the last round than a quarter of the interval.
     fn schedule_soon(&mut self, now: Duration) {
         let soonest = self
             .last_round
@@ -155,13 +160,13 @@
         self.next_round = self.next_round.min(soonest.max(now));
     }
 
-    /// Returns the reports of all hosts, including this one, without hosts that were forgotten.
+    /// Returns the reports of all hosts, including this one, except those older than [`ENTRY_TIMEOUT`].
     pub fn reports(&self, now: Duration) -> impl Iterator<Item = KnownReport<'_>> {
         self.reports.reports(now)
     }
 
-    /// Returns how many messages of one host carry a rumor: a few more than the rumor needs to
-    /// reach all hosts.
+    /// Returns how many messages of one host carry a rumor. The number grows with the logarithm of the
+    /// fleet's size, and is slightly larger than the rumor needs to reach all hosts.
     fn retransmissions(&self) -> u32 {
         (usize::BITS - self.peers.len().leading_zeros()).div_ceil(2) + 1
     }
@@ -180,7 +185,7 @@
         }
         for entry in &message.entries {
             if entry.writer == self.me {
-                outcome.incarnation_raised |= self.own.handle_entry(now, entry.version);
+                outcome.incarnation_raised |= self.own_incarnation.handle_entry(now, entry.version);
                 continue;
             }
             if self.peers.binary_search(&entry.writer).is_err() || entry.age >= ENTRY_TIMEOUT {
@@ -206,10 +211,10 @@
         let jitter = MIN_JITTER + self.rng.random::<f64>() * JITTER_RANGE;
         self.next_round = now + self.interval.mul_f64(jitter);
         self.last_round = Some(now);
-        let incarnation_raised = self.own.supersede_dead_process(now);
+        let incarnation_raised = self.own_incarnation.supersede_dead_process(now);
         self.reports.drop_expired(now);
-        let requests_sync = self.own.is_syncing(now);
-        if !requests_sync && !self.own.is_superseded() {
+        let requests_sync = self.own_incarnation.is_syncing(now);
+        if !requests_sync && !self.own_incarnation.is_superseded() {
             self.refresh_own_entry(now);
         }
         let mut messages = Vec::new();
@@ -225,7 +230,7 @@
         }
     }
 
-    /// Writes this host's own entry if it is a rumor, or if none was written for a while.
+    /// Writes a new entry of this host if its report is a rumor, or if the last entry is old.
     fn refresh_own_entry(&mut self, now: Duration) {
         self.own_report.rounds_since_refresh += 1;
         let is_rumor = self.own_report.is_rumor;
@@ -235,13 +240,14 @@
         let retransmissions = if is_rumor { self.retransmissions() } else { 1 };
         self.own_report.is_rumor = false;
         self.own_report.rounds_since_refresh = 0;
-        let version = self.own.next_version();
+        let version = self.own_incarnation.next_version();
         let report = self.own_report.report.clone();
         self.reports
             .store_own(now, self.me, version, report, retransmissions);
     }
 
-    /// Chooses peers that have requested all entries first, and then others at random.
+    /// Chooses the receivers of a round: first peers that have requested all entries, then others at
+    /// random.
     fn choose_receivers(&mut self) -> Vec<HostNumber> {
         let mut receivers: Vec<HostNumber> = self
             .sync_requests
@@ -262,10 +268,10 @@
         receiver: HostNumber,
         requests_sync: bool,
     ) -> GossipMessage {
-        let own = (self.me, self.own.version());
+        let own = (self.me, self.own_incarnation.version());
         let entries = self.reports.take_entries(now, receiver, own, &mut self.rng);
         GossipMessage {
-            incarnation: self.own.incarnation(),
+            incarnation: self.own_incarnation.incarnation(),
             requests_sync,
             entries,
             lease_messages: Vec::new(),
--- a/crates/coordination/src/granted_leases.rs
+++ b/crates/coordination/src/granted_leases.rs
@@ -1,6 +1,6 @@
-//! The lender's side of one limit's leases: the leases that this host has granted.
+//! The lender's side of the leases of one limit: the leases that this host has granted.
 //!
-//! State machine, owned by [`crate::quota_lease`]. No I/O. Memory: at most
+//! A state machine without I/O, which [`crate::quota_lease`] owns. It stores at most
 //! [`crate::borrowed_leases::MAX_LEASES`] leases.
 
 use crate::borrowed_leases::MAX_LEASES;
@@ -11,20 +11,20 @@
 /// Identifies a lease for its lender.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct LeaseKey {
-    /// The host that borrows.
+    /// The host that borrows the amount.
     pub borrower: HostNumber,
     /// The borrower's incarnation.
     pub incarnation: Incarnation,
-    /// The borrower's number of the lease.
+    /// The number that the borrower gave to the lease.
     pub lease: u64,
 }
 
-/// A lease that is granted, with its terms.
+/// A granted lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct GrantedLease {
     /// The amount, in fractions of [`crate::lease_message::FULL_LIMIT`].
     pub amount: u32,
-    /// Number of hosts that shared the limit when the lease was granted.
+    /// The number of hosts that shared the limit when the lease was granted.
     pub sharers: u32,
     /// When the lease expires for the lender.
     pub until: Duration,
@@ -42,11 +42,11 @@
         self.unexpired(now).map(|lease| lease.amount).sum()
     }
 
-    /// Returns the sum of the granted amounts as fractions of a limit that `sharers` hosts share.
+    /// Returns the sum of the granted amounts, converted to fractions of a limit that `sharers` hosts share.
     ///
-    /// A host may still apply a quota for more sharers than this host computes with: the quota in
-    /// force is the least of all versions that may be in force. A granted amount is then a larger
-    /// fraction of the quota.
+    /// A host applies its quota as a multiple of the base quota in force. While the sharers change, that is
+    /// the smallest base quota of all versions that may be in force, which may be the one for more sharers
+    /// than `sharers`. A granted amount is then a larger fraction of the base quota.
     pub fn amount_among(&self, now: Duration, sharers: u64) -> u64 {
         self.unexpired(now)
             .map(|lease| {
@@ -60,12 +60,12 @@
         self.leases.values().filter(move |lease| now < lease.until)
     }
 
-    /// Returns when each lease expires.
-    pub fn ends(&self) -> impl Iterator<Item = Duration> + '_ {
+    /// Returns the times at which the leases expire.
+    pub fn expiry_times(&self) -> impl Iterator<Item = Duration> + '_ {
         self.leases.values().map(|lease| lease.until)
     }
 
-    /// Returns whether no further lease can be granted.
+    /// Returns whether the maximum number of leases is granted.
     pub fn is_full(&self) -> bool {
         self.leases.len() >= MAX_LEASES
     }
@@ -85,7 +85,7 @@
         self.leases.remove(key);
     }
 
-    /// Drops leases that have expired.
+    /// Drops expired leases.
     pub fn drop_expired(&mut self, now: Duration) {
         self.leases.retain(|_, lease| now < lease.until);
     }
--- a/crates/coordination/src/host_report.rs
+++ b/crates/coordination/src/host_report.rs
@@ -1,48 +1,46 @@
-//! The report of one host to its peers, and the version that orders its reports.
+//! The report that a host publishes to its peers, and the version that orders its reports.
 //!
-//! Plain data for the gossip state, the encoded messages, outlier detection and the quotas. A
-//! report contains only its writer's own observations, and never those of other hosts. The report's
-//! age travels with it, so that hosts do not compare clocks.
+//! These types hold data only. A report contains only its writer's own observations, and never those of
+//! other hosts. Messages carry the age of each report, so that hosts need not compare clocks.
 
 use crate::{HostNumber, Incarnation};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// The version of a report. It orders the reports of one host: the larger stamp is later.
+/// The version of a report. Of two reports of one host the one with the larger version is later.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VersionStamp {
     /// The writer's incarnation.
     pub incarnation: Incarnation,
-    /// Number of reports of this incarnation so far.
+    /// The report's sequence number within the incarnation.
     pub count: u64,
 }
 
-/// The results of one host's attempts of the last seconds to one node.
+/// The results of one host's attempts to one node in the last seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Observation {
     /// The node's number.
     pub node: u32,
-    /// Start of the node's process, as the endpoint list has it.
+    /// The start of the node's process, from the endpoint list.
     pub start: u64,
-    /// Number of attempts that were sent.
+    /// The number of attempts that were sent.
     pub sent: u32,
-    /// Number of failed attempts; at most `sent`.
+    /// The number of failed attempts; at most `sent`.
     pub bad: u32,
-    /// Time since the last attempt ended, when the observation was written.
+    /// The time between the end of the last attempt and the writing of the observation.
     pub age: Duration,
-    /// The node is ejected, but answers this host.
+    /// The node is ejected but answers this host.
     pub contradicts_ejection: bool,
 }
 
 impl Observation {
-    /// Returns whether the observation is evidence against the node. A node that is merely slow or
-    /// full answers, and is not bad.
+    /// Returns whether the observation is evidence against the node. A node that is only slow or
+    /// overloaded still answers and is not bad.
     pub fn is_bad(&self) -> bool {
         self.bad * 2 > self.sent
     }
 
-    /// Returns whether the observation is evidence for the node. An observation may be neither good
-    /// nor bad.
+    /// Returns whether the observation is evidence for the node. It may be neither good nor bad.
     pub fn is_good(&self) -> bool {
         self.sent > self.bad && self.bad * 4 <= self.sent
     }
@@ -52,8 +50,8 @@
         self.contradicts_ejection || self.is_bad()
     }
 
-    /// Returns the part of the observation that makes it a new rumor. Further attempts with the
-    /// same result do not change that part.
+    /// Returns the part of the observation whose change starts a new rumor. Further attempts with the same
+    /// result do not change that part.
     pub fn urgent_key(&self) -> UrgentObservation {
         UrgentObservation {
             node: self.node,
@@ -68,48 +66,48 @@
 pub struct UrgentObservation {
     /// The node's number.
     pub node: u32,
-    /// Start of the node's process.
+    /// The start of the node's process.
     pub start: u64,
-    /// The node is ejected and answers. If false, the node is bad.
+    /// True if the node is ejected but answers; false if the node is bad.
     pub contradicts_ejection: bool,
 }
 
-/// The amount of a volume's limit that a host could lease to others.
+/// An offer of a host to lease a part of its quota of a volume's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeaseOffer {
     /// The volume's number.
     pub volume: u64,
-    /// The spare amount, in fractions of [`crate::lease_message::FULL_LIMIT`].
+    /// The offered amount, in fractions of [`crate::lease_message::FULL_LIMIT`].
     pub spare: u32,
 }
 
-/// The units that one host has served for a volume in the host's present incarnation.
+/// The units that one host has served for a volume.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct ServedUnits {
     /// The volume's number.
     pub volume: u64,
-    /// Number of units since the host started.
+    /// The number of units since the host's process started.
     pub units: u64,
 }
 
-/// A host's report of itself and of its own attempts, without reports of other hosts.
+/// A host's report about its own attempts, spare quotas and served units.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct HostReport {
-    /// Number of nodes to which it sent attempts in the last seconds.
+    /// The number of nodes to which the host sent attempts in the last seconds.
     pub tried: u32,
-    /// Number of nodes of `tried` that it finds bad.
+    /// The number of these nodes that the host finds bad.
     pub bad: u32,
-    /// Its observations of nodes; only the most important ones if there are too many.
+    /// The host's observations of nodes; only the most important ones if there are too many.
     pub observations: Vec<Observation>,
-    /// The amounts that it could lease to others.
+    /// The amounts that the host could lease to others.
     pub offers: Vec<LeaseOffer>,
-    /// The units that it has served for the busiest volumes.
+    /// The units that the host has served for its busiest volumes.
     pub served: Vec<ServedUnits>,
 }
 
 impl HostReport {
-    /// Returns the observations that peers should receive at once: of nodes that the host finds
-    /// bad, and of nodes that answer it although they are ejected.
+    /// Returns the observations that peers should receive at once: those of nodes that the host finds bad,
+    /// and those of ejected nodes that answer the host.
     pub fn urgent(&self) -> BTreeSet<UrgentObservation> {
         self.observations
             .iter()
@@ -119,14 +117,14 @@
     }
 }
 
-/// A host's report, as hosts exchange it.
+/// A host's report with its writer, version and age, as gossip messages carry it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GossipEntry {
     /// The host that wrote the report.
     pub writer: HostNumber,
-    /// The version, which orders the writer's reports.
+    /// The version of the report.
     pub version: VersionStamp,
-    /// Time since the report was written, as far as it is known.
+    /// The known part of the time since the report was written.
     pub age: Duration,
     /// The report.
     pub report: HostReport,
--- a/crates/coordination/src/lease_outbox.rs
+++ b/crates/coordination/src/lease_outbox.rs
@@ -1,8 +1,8 @@
-//! Lease messages that wait to be sent, by receiver.
+//! The lease messages that wait to be sent, by receiver.
 //!
-//! Owned by [`crate::coordinator`], which adds them to gossip messages. Memory: the messages of one
-//! step, and the messages for one receiver beyond [`MAX_LEASE_MESSAGES`], until a later step sends
-//! them.
+//! [`crate::coordinator`] owns the outbox and adds its messages to gossip messages. The outbox holds the
+//! messages of one step. Messages for one receiver beyond [`MAX_LEASE_MESSAGES`] stay until a later step
+//! sends them.
 
 use crate::gossip_message::{VolumeLeaseMessage, MAX_LEASE_MESSAGES};
 use crate::quotas::AddressedLeaseMessage;
@@ -12,12 +12,12 @@
 /// The lease messages that wait to be sent.
 #[derive(Debug, Default)]
 pub(crate) struct LeaseOutbox {
-    /// Messages by receiver; no receiver has an empty list.
+    /// The waiting messages by receiver. No list is empty.
     waiting: BTreeMap<HostNumber, Vec<VolumeLeaseMessage>>,
 }
 
 impl LeaseOutbox {
-    /// Adds messages after those that already wait.
+    /// Appends messages to those that already wait.
     pub fn add(&mut self, messages: Vec<AddressedLeaseMessage>) {
         for addressed in messages {
             let waiting = self.waiting.entry(addressed.to).or_default();
@@ -30,7 +30,7 @@
         self.waiting.keys().copied().collect()
     }
 
-    /// Removes and returns the first messages for a host, as many as one gossip message carries.
+    /// Removes and returns the first messages for a host, at most as many as one gossip message carries.
     pub fn take_for(&mut self, to: HostNumber) -> Vec<VolumeLeaseMessage> {
         let Some(mut messages) = self.waiting.remove(&to) else {
             return Vec::new();
--- a/crates/coordination/src/outlier_detection.rs
+++ b/crates/coordination/src/outlier_detection.rs
@@ -1,24 +1,26 @@
-//! Outlier detection: the verdict of all hosts' evidence on a node, and this host's policy for it.
+//! Outlier detection: judges each node by the evidence of all hosts, and chooses this host's policy for
+//! the node.
 //!
-//! State machine: [`OutlierDetector::evaluate`] takes this host's observations and its peers'
-//! reports, and returns the nodes whose policy has changed. [`crate::coordinator`] calls it in
-//! every round. No I/O. Memory: one row for each node of the endpoint list.
+//! The detector is a state machine without I/O: [`OutlierDetector::evaluate`] takes this host's
+//! observations and its peers' reports, and returns the nodes whose policy has changed.
+//! [`crate::coordinator`] calls it in every round. The detector stores one entry for each node of the
+//! endpoint list.
 //!
-//! A node is ejected if at least [`MIN_OBSERVERS`] hosts find it bad, and the weight of their
-//! evidence is at least twice the weight of the evidence for the node. The verdict is distrusted if
-//! at most half of the hosts have fresh reports, or if too many nodes would be ejected. This host
-//! then relies on its own evidence.
+//! A node is ejected if at least [`MIN_OBSERVERS`] hosts find it bad and the weight of their evidence is
+//! at least twice the weight of the evidence for the node. The detector distrusts such verdicts if at
+//! most half of the hosts have fresh reports, or if too many nodes would be ejected. This host then
+//! relies on its own evidence.
 //!
-//! | this host's own evidence | all evidence | policy |
+//! | this host's own evidence | verdict of all evidence | policy |
 //! | --- | --- | --- |
 //! | good | any | `OwnEvidence` |
-//! | bad | good, split | `BadPath`: the scheduler's own backoff and count of failures decide |
-//! | bad | ejected | `Avoid`, or `Probe` in turn |
-//! | bad | too little, distrusted | `OwnEvidence` |
-//! | none, or old | ejected | `Avoid`, or `Probe` in turn |
-//! | none, or old | anything else | `OwnEvidence` |
+//! | bad | healthy, split | `BadPath`: the scheduler's own backoff and count of failures decide |
+//! | bad | ejected | `Avoid`, or `Probe` in this host's turn |
+//! | bad | unknown, distrusted | `OwnEvidence` |
+//! | none, or too old | ejected | `Avoid`, or `Probe` in this host's turn |
+//! | none, or too old | any other | `OwnEvidence` |
 //!
-//! The module `ejections` states how an ejection ends.
+//! The documentation of the module `ejections` describes how an ejection ends.
 
 use crate::ejections::{Ejections, ProbeSchedule};
 use crate::evidence::{self, EvidenceByNode, EvidenceTally, NodeEvidence, Observer};
@@ -29,37 +31,38 @@
 
 pub use crate::ejections::{EJECTION_TIMEOUT, PROBERS, PROBE_INTERVAL};
 
-/// Hosts that must find a node bad before it is ejected. A smaller fleet needs all its other hosts,
-/// but at least 2. A larger number ejects later; with a smaller one few bad hosts eject a node.
+/// The number of hosts that must find a node bad before it is ejected. In a fleet with fewer other hosts
+/// all of these are needed, but at least 2. A larger number ejects later; a smaller one lets a few
+/// impaired hosts eject a node.
 pub const MIN_OBSERVERS: usize = 3;
-/// The fraction of all observed nodes that may be ejected (a panic threshold). A larger one leaves
-/// too few nodes for the load; with a smaller one a failure of many nodes ejects none.
+/// The fraction of the known nodes that may be ejected (a panic threshold). A larger fraction leaves
+/// too few nodes for the load; with a smaller one no node is ejected when many fail.
 const MAX_EJECTED_FRACTION: f64 = 0.5;
-/// The least ratio of the weight against a node to the weight for it. A larger ratio ejects later;
-/// with a smaller one evidence that is split ejects.
+/// The minimum ratio of the weight of the evidence against a node to the weight of the evidence for it.
+/// A larger ratio ejects later; a smaller one ejects nodes on contradictory evidence.
 const EJECTION_WEIGHT_RATIO: f64 = 2.0;
-/// The least number of a host's own bad attempts after which it considers its own path bad. A
-/// larger number detects a bad path later; with a smaller one a single failure counts as a bad
-/// path.
+/// The number of this host's own failed attempts from which it considers its path to a node bad. A
+/// larger number detects a bad path later; with a smaller one a single failure counts as a bad path.
 const MIN_OWN_BAD: u32 = 2;
 
-/// The conclusion from all evidence on a node.
+/// The conclusion from all hosts' evidence on a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// No host, or too few hosts, have sent attempts to the node in the last seconds.
+    /// Too few hosts have evidence on the node from the last seconds.
     Unknown,
     /// The node answers.
     Healthy,
-    /// Some hosts reach the node and some do not: the paths to it are bad, not the node.
+    /// Some hosts reach the node and some do not, so the paths to it are bad and not the node.
     Split,
     /// The node is an outlier.
     Ejected,
-    /// The node would be ejected, but too many nodes would be, or too few reports are fresh.
+    /// The evidence would eject the node, but it would eject too many nodes, or too few reports are
+    /// fresh.
     Distrusted,
 }
 
 impl Verdict {
-    /// Returns the verdict's name as operators see it.
+    /// Returns the verdict's name in output for operators.
     pub fn name(self) -> &'static str {
         match self {
             Verdict::Unknown => "unknown",
@@ -76,7 +79,7 @@
 pub enum EndpointPolicy {
     /// The host relies on its own evidence, like a host without peers.
     OwnEvidence,
-    /// Other hosts reach the node: this host's path to it is bad.
+    /// Other hosts reach the node, so this host's path to it is bad.
     BadPath,
     /// The host sends nothing to the node.
     Avoid,
@@ -93,31 +96,31 @@
     pub good: EvidenceTally,
     /// The evidence against the node.
     pub bad: EvidenceTally,
-    /// When the last evidence for the node was observed.
+    /// When the latest evidence for the node was observed.
     pub last_good: Option<Duration>,
-    /// When the last evidence against the node was observed.
+    /// When the latest evidence against the node was observed.
     pub last_bad: Option<Duration>,
 }
 
-/// One host's outlier detection.
+/// The outlier detector of one host.
 #[derive(Debug)]
 pub struct OutlierDetector {
     me: HostNumber,
-    /// Number of hosts, including this one.
+    /// The number of hosts, including this one.
     fleet_size: usize,
-    /// The age below which a report is fresh. In a large fleet the rotation of all reports takes
-    /// longer than a rumor.
+    /// The age below which a report is fresh. It grows with the fleet: reports that are not rumors spread
+    /// in rotation, which takes longer in a large fleet.
     fresh_within: Duration,
     ejections: Ejections,
     probes: ProbeSchedule,
-    /// The policies that were returned last.
+    /// The policies as last returned.
     policies: BTreeMap<u32, EndpointPolicy>,
     findings: BTreeMap<u32, Finding>,
 }
 
 impl OutlierDetector {
-    /// Returns a detector without evidence. `fleet_size`: number of hosts, including this one.
-    /// `fresh_within`: the age below which a report counts as fresh.
+    /// Returns a detector without evidence. `fleet_size` is the number of hosts, including this one. A
+    /// report is fresh if its age is below `fresh_within`.
     pub fn new(me: HostNumber, fleet_size: usize, fresh_within: Duration, seed: u64) -> Self {
         OutlierDetector {
             me,
@@ -130,8 +133,7 @@
         }
     }
 
-    /// Returns the findings of the last evaluation, for each node to which some host has sent
-    /// attempts.
+    /// Returns the findings of the last evaluation, one for each node on which there was fresh evidence.
     pub fn findings(&self) -> &BTreeMap<u32, Finding> {
         &self.findings
     }
@@ -147,9 +149,9 @@
         policy.unwrap_or(EndpointPolicy::OwnEvidence)
     }
 
-    /// Evaluates all evidence, and returns the policies that have changed. `nodes`: the nodes of
-    /// the endpoint list, with the starts of their processes. `own`: this host's observations.
-    /// `peers`: the reports of the other hosts.
+    /// Evaluates all evidence, and returns the policies that have changed. `nodes` maps each node of the
+    /// endpoint list to the start of its process. `own` contains this host's observations, `peers` the
+    /// reports of the other hosts.
     pub fn evaluate(
         &mut self,
         now: Duration,
@@ -175,7 +177,7 @@
         }
         self.ejections
             .update(now, nodes, &self.findings, too_few_fresh);
-        self.probes.draw(now, &self.ejections);
+        self.probes.update(now, &self.ejections);
         self.update_policies(nodes, own)
     }
 
@@ -211,17 +213,17 @@
         }
     }
 
-    /// Returns whether more than the allowed fraction of all known nodes is ejected, or would be
-    /// ejected by the findings.
+    /// Returns whether more than the allowed fraction of the known nodes is ejected, or would be after the
+    /// present findings.
     fn ejects_too_many(&self) -> bool {
         let is_ejected = |finding: &Finding| finding.verdict == Verdict::Ejected;
         let ejections = || self.ejections.nodes();
         let unobserved = ejections().filter(|node| !self.findings.contains_key(node));
         let known = self.findings.len() + unobserved.count();
-        let not_found_again =
+        let only_ejected_before =
             ejections().filter(|node| !self.findings.get(node).is_some_and(is_ejected));
-        let found = self.findings.values().filter(|finding| is_ejected(finding));
-        let ejected = not_found_again.count() + found.count();
+        let ejected_now = self.findings.values().filter(|finding| is_ejected(finding));
+        let ejected = only_ejected_before.count() + ejected_now.count();
         ejected as f64 > MAX_EJECTED_FRACTION * known as f64
     }
 
--- a/crates/coordination/src/quota_lease.rs
+++ b/crates/coordination/src/quota_lease.rs
@@ -1,38 +1,39 @@
-//! Quota leases: hosts share one limit by quotas, and lease parts of their quotas to each other.
-//! The sum of all quotas never exceeds the limit.
+//! Quota leases: each host that shares a limit has a quota of it, and hosts lease parts of their quotas
+//! to each other. The sum of all quotas never exceeds the limit.
 //!
-//! State machine, no I/O. [`crate::quotas`] owns one for each shared limit. It calls
-//! [`QuotaLeases::handle_message`] with each message of another host about the limit, and
+//! [`QuotaLeases`] is a state machine without I/O; [`crate::quotas`] owns one for each shared limit. It
+//! calls [`QuotaLeases::handle_message`] with each message of another host about the limit, and
 //! [`QuotaLeases::run_round`] in every round. Both return the messages to send.
-//! [`QuotaLeases::quota`] is the quota that this host may use now. The method is escrow (O'Neil
-//! 1986; bounded counters, Balegas 2015) with leases (Gray and Cheriton 1989) in place of
-//! transfers: a lease that is not renewed returns to its lender without a message.
+//! [`QuotaLeases::quota`] is the quota that this host may use now. The method is escrow (O'Neil 1986;
+//! bounded counters, Balegas 2015), with leases (Gray and Cheriton 1989) in place of transfers: a
+//! leased amount returns to its lender without a message if the lease is not renewed.
 //!
-//! # Why the sum stays within the limit, whatever messages arrive
+//! # Why the sum never exceeds the limit, whatever messages arrive
 //!
-//! Each host has a base quota. All base quotas add up to at most the limit. The lender stops using
-//! a leased amount before the borrower learns of the lease. The lender uses it again `duration +
-//! margin` after it last granted the lease. The borrower counts `duration` from when it sent the
-//! *request*, which was earlier. Therefore no unit is used twice, if clocks run apart by less than
-//! `margin` in one `duration`. Messages that are lost, duplicated or late change only which host
-//! waits. Four events could break this argument. A rule prevents each:
+//! Each host has a base quota, and all base quotas add up to at most the limit. The lender stops using a
+//! leased amount before the borrower learns of the lease. The lender uses it again `duration + margin`
+//! after it last granted the lease. The borrower stops using it `duration` after it sent the *request*,
+//! which is earlier. Therefore no unit is used twice if two clocks drift apart by less than `margin`
+//! within one `duration`. Lost, duplicated or late messages only affect which host has to wait. Four
+//! events could break this argument, and a rule handles each:
 //!
-//! - A host that lost its memory does not know its granted leases. It uses only the reserve, which
-//!   is never leased, until each sharer has sent `Cleared`, or until every lease of an earlier
-//!   incarnation has expired. `Cleared` states that its sender uses no lease of an earlier
-//!   incarnation of the receiver.
-//! - A grant by an earlier incarnation can arrive after its borrower has sent `Cleared`. A grant to
-//!   an earlier incarnation can arrive after the borrower's restart. The incarnation in the
-//!   messages makes the receiver reject both.
-//! - Base quotas change with the number of sharers. Leases that were borrowed under another number
-//!   are void at once. Leases that were granted under it stay granted to their end.
-//! - Two processes of one host may run. The earlier one uses nothing (see [`crate::gossip_state`]).
+//! - A host that has restarted does not know its granted leases. It uses only the reserve, which is
+//!   never leased, until each sharer has sent `Cleared`, or until every lease of an earlier incarnation
+//!   has expired. `Cleared` states that its sender uses no lease of an earlier incarnation of the
+//!   receiver.
+//! - A grant by an earlier incarnation may arrive after its borrower has sent `Cleared`, and a grant to
+//!   an earlier incarnation may arrive after the borrower's restart. The messages contain the
+//!   incarnations, so that the receiver rejects both.
+//! - Base quotas change with the number of sharers. Leases that were borrowed with another number of
+//!   sharers are dropped at once. Leases that were granted with it remain granted until they expire.
+//! - Two processes of one host may run. The superseded one uses no quota (see [`crate::gossip_state`]).
 //!
-//! A lease concerns the rate of a limit and not its burst. Each host's token bucket has its own
-//! depth, and all depths add up to the burst. No lease ever fills a bucket. A host that has leased
-//! out nearly its complete quota can still serve a burst at once.
+//! A lease concerns only the rate of a limit, not its burst. Each host's token bucket has its own depth,
+//! and all depths add up to the burst. A lease adds no tokens to a bucket. A host that has leased out
+//! nearly its complete quota can still serve a burst at once.
 //!
-//! Memory: [`MAX_LEASES`] granted leases and as many borrowed ones, and as many pending requests.
+//! The state takes at most [`MAX_LEASES`] granted leases, as many borrowed ones, and as many pending
+//! requests.
 
 use crate::borrowed_leases::{BorrowedLeases, Lender, OutgoingLeaseMessage, MAX_LEASES};
 use crate::granted_leases::{GrantedLease, GrantedLeases, LeaseKey};
@@ -41,19 +42,20 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The fraction of a base quota that is the smallest lease. A larger divisor costs messages for
-/// small leases; a smaller one leaves that fraction with hosts that do not need it.
+/// The smallest lease is the base quota divided by this number. A larger divisor costs messages for small
+/// leases; with a smaller one larger amounts stay unused at hosts that do not need them.
 const MIN_LEASE_DIVISOR: u32 = 8;
-/// The fraction of a base quota that is never leased: the quota of a host that does not know its
-/// granted leases. A larger divisor leaves less to such a host; a smaller one leaves less to lease.
+/// The reserve is the base quota divided by this number. It is never leased, and is the quota of a host
+/// that does not know its granted leases. A larger divisor leaves less to such a host; a smaller one
+/// leaves less to lease.
 const RESERVE_DIVISOR: u32 = 8;
 
 /// The amounts that a host has leased, in fractions of [`FULL_LIMIT`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeasedAmounts {
-    /// The amount that it has granted to other hosts.
+    /// The amount that the host has granted to other hosts.
     pub granted: u32,
-    /// The amount that it has borrowed from other hosts.
+    /// The amount that the host has borrowed from other hosts.
     pub borrowed: u32,
 }
 
@@ -65,9 +67,9 @@
     started_at: Duration,
     terms: LeaseTerms,
     sharers: BTreeSet<HostNumber>,
-    /// Sharers that use no lease of an earlier incarnation of this host.
+    /// The sharers that have confirmed that they use no lease of an earlier incarnation of this host.
     cleared: BTreeSet<HostNumber>,
-    /// The latest incarnation of each sharer from which a message has arrived.
+    /// The latest known incarnation of each sharer that has sent a message.
     incarnations: BTreeMap<HostNumber, Incarnation>,
     granted: GrantedLeases,
     borrowed: BorrowedLeases,
@@ -95,16 +97,16 @@
             cleared: BTreeSet::new(),
             incarnations: BTreeMap::new(),
             granted: GrantedLeases::default(),
-            // A volume that is removed and added again starts with a new state in the same
-            // incarnation. It must not use its former numbers again; otherwise late answers to
-            // them would count as answers to new requests.
+            // A volume that is removed and added again gets a new state in the same incarnation. Its
+            // numbers begin at the present time, so that it never uses a former number again;
+            // otherwise late answers to former requests would count as answers to new ones.
             borrowed: BorrowedLeases::new(terms.duration, now.as_micros() as u64),
             demand: 0,
             superseded: false,
         }
     }
 
-    /// Returns this host's quota without any lease, in fractions of [`FULL_LIMIT`].
+    /// Returns this host's quota without leases, in fractions of [`FULL_LIMIT`].
     pub fn base_quota(&self) -> u32 {
         if self.sharers.contains(&self.me) {
             FULL_LIMIT / self.sharers.len() as u32
@@ -123,11 +125,11 @@
         if self.superseded {
             0
         } else {
-            self.own_remainder(now) + self.leased(now).borrowed
+            self.unleased_quota(now) + self.leased(now).borrowed
         }
     }
 
-    /// Returns the amounts that are leased now.
+    /// Returns the amounts of all unexpired leases.
     pub fn leased(&self, now: Duration) -> LeasedAmounts {
         LeasedAmounts {
             granted: self.granted.amount(now),
@@ -136,31 +138,35 @@
     }
 
     /// Returns when the quota next changes without a message.
-    pub fn changes_at(&self, now: Duration) -> Option<Duration> {
-        let recovers = (!self.knows_granted(now)).then(|| self.recovered_at());
-        let ends = self.granted.ends().chain(self.borrowed.ends());
-        let ends = ends.chain(recovers);
-        ends.filter(|at| *at > now).min()
+    pub fn next_change_at(&self, now: Duration) -> Option<Duration> {
+        let recovery = (!self.knows_granted(now)).then(|| self.recovered_at());
+        let expiries = self
+            .granted
+            .expiry_times()
+            .chain(self.borrowed.expiry_times());
+        let changes = expiries.chain(recovery);
+        changes.filter(|at| *at > now).min()
     }
 
-    /// Returns when every lease of an earlier incarnation has expired.
+    /// Returns when every lease that an earlier incarnation granted has expired.
     fn recovered_at(&self) -> Duration {
         self.started_at + self.terms.duration + self.terms.margin
     }
 
-    /// Returns whether this host knows all leases that its incarnations have granted.
+    /// Returns whether this host knows all unexpired leases that any of its incarnations has granted.
     pub fn knows_granted(&self, now: Duration) -> bool {
         now >= self.recovered_at() || self.uncleared().next().is_none()
     }
 
-    /// Returns the other sharers that may use a lease of an earlier incarnation of this host.
+    /// Returns the other sharers that may still use a lease of an earlier incarnation of this host.
     fn uncleared(&self) -> impl Iterator<Item = HostNumber> + '_ {
         let others = self.sharers.iter().filter(|host| **host != self.me);
         others.filter(|host| !self.cleared.contains(host)).copied()
     }
 
-    /// Returns the base quota minus the granted leases.
-    fn own_remainder(&self, now: Duration) -> u32 {
+    /// Returns the part of the base quota that is not granted to others, or the reserve if this host does
+    /// not know its granted leases.
+    fn unleased_quota(&self, now: Duration) -> u32 {
         let sharers = self.sharers.len() as u64;
         let granted = self.granted.amount_among(now, sharers);
         let remainder = u64::from(self.base_quota()).saturating_sub(granted) as u32;
@@ -176,18 +182,18 @@
         self.base_quota() / RESERVE_DIVISOR
     }
 
-    /// Returns the amount of the smallest lease that is worth its messages.
+    /// Returns the amount of the smallest lease that is worth the cost of its messages.
     fn min_lease(&self) -> u32 {
         (self.base_quota() / MIN_LEASE_DIVISOR).max(1)
     }
 
-    /// Returns the amount beyond its own need that this host could lease to others, in fractions of
+    /// Returns the amount that this host does not need and could lease to others, in fractions of
     /// [`FULL_LIMIT`].
     pub fn spare(&self, now: Duration) -> u32 {
         if self.superseded || !self.knows_granted(now) {
             return 0;
         }
-        let lendable = self.own_remainder(now).saturating_sub(self.reserve());
+        let lendable = self.unleased_quota(now).saturating_sub(self.reserve());
         let spare = lendable.min(self.quota(now).saturating_sub(self.demand));
         if spare < self.min_lease() || self.granted.is_full() {
             0
@@ -201,8 +207,7 @@
         self.demand = demand.min(FULL_LIMIT);
     }
 
-    /// Sets whether a later process of this host is known. Only that process may then use the
-    /// quota.
+    /// Sets whether a later process of this host is known. If so, only that process may use the quota.
     pub fn set_superseded(&mut self, superseded: bool) {
         self.superseded = superseded;
     }
@@ -213,14 +218,14 @@
             return;
         }
         self.sharers = sharers;
-        // The base quotas now have another size, so borrowed leases are void.
-        self.borrowed.void_all();
+        // The base quotas have changed, so the borrowed leases are no longer valid.
+        self.borrowed.drop_all();
     }
 
-    /// Sets this host's own incarnation, after it was raised.
+    /// Sets this host's own incarnation after it was raised.
     pub fn set_incarnation(&mut self, incarnation: Incarnation) {
         self.incarnation = incarnation;
-        // Grants to requests of the earlier incarnation are rejected.
+        // Grants to requests of the earlier incarnation must be ignored.
         self.borrowed.drop_requests();
     }
 
@@ -230,7 +235,7 @@
         now: Duration,
         received: ReceivedLeaseMessage,
     ) -> Vec<OutgoingLeaseMessage> {
-        if !self.admits(&received) {
+        if !self.accepts(&received) {
             return Vec::new();
         }
         let sender = received.from;
@@ -242,7 +247,7 @@
         answer.into_iter().collect()
     }
 
-    /// Handles an admitted message, and returns the answer to it.
+    /// Handles an accepted message, and returns the answer to it.
     fn answer(&mut self, now: Duration, received: ReceivedLeaseMessage) -> Option<LeaseMessage> {
         let from = received.from;
         let key = |lease| LeaseKey {
@@ -252,7 +257,7 @@
         };
         match received.message {
             LeaseMessage::Recovered => {
-                self.borrowed.void_from(from);
+                self.borrowed.drop_from(from);
                 Some(LeaseMessage::Cleared {
                     recovered_incarnation: received.incarnation,
                 })
@@ -291,10 +296,10 @@
         }
     }
 
-    /// Returns whether a message comes from the latest incarnation of another sharer, and that
-    /// sharer shares the limit among the same number of hosts. Drops the leases that an earlier
-    /// incarnation of the sharer granted.
-    fn admits(&mut self, received: &ReceivedLeaseMessage) -> bool {
+    /// Returns whether a message comes from the latest known incarnation of another sharer that knows the
+    /// same number of sharers. If the sender's incarnation is new, drops the leases that earlier
+    /// incarnations of the sender granted.
+    fn accepts(&mut self, received: &ReceivedLeaseMessage) -> bool {
         let from = received.from;
         if from == self.me
             || !self.sharers.contains(&from)
@@ -311,7 +316,7 @@
         }
         if received.incarnation > *known {
             *known = received.incarnation;
-            self.borrowed.void_from(from);
+            self.borrowed.drop_from(from);
         }
         true
     }
@@ -324,7 +329,7 @@
         let min_lease = self.min_lease();
         if let Some(granted) = self.granted.get_mut(now, &key) {
             if needs_own_quota {
-                // The lease expires at its end. A grant of zero is safe: it changes nothing.
+                // The lease is not renewed and expires. A grant of 0 does not shorten it.
                 return 0;
             }
             granted.until = until;
@@ -342,9 +347,9 @@
         amount
     }
 
-    /// Runs a round: drops expired leases, requests missing amounts, releases leases that are not
-    /// needed, and returns the messages to send. `lenders`: the latest offers of other hosts, the
-    /// preferred first.
+    /// Runs a round: drops expired leases, releases leases that are not needed, requests missing amounts,
+    /// and returns the messages to send. `lenders` contains the latest offers of other hosts, the preferred
+    /// ones first.
     pub fn run_round(&mut self, now: Duration, lenders: &[Lender]) -> Vec<OutgoingLeaseMessage> {
         self.granted.drop_expired(now);
         self.borrowed.drop_expired(now);
@@ -361,10 +366,10 @@
         }
         let quota = self.quota(now);
         let min_lease = self.min_lease();
-        // Retains slightly more than the demand; otherwise the next round would request the
-        // released amount again.
-        let enough = self.base_quota().max(self.demand.saturating_add(min_lease));
-        out.extend(self.borrowed.release(quota.saturating_sub(enough)));
+        // Retains slightly more than the demand; otherwise the next round would request the released
+        // amount again.
+        let retained = self.base_quota().max(self.demand.saturating_add(min_lease));
+        out.extend(self.borrowed.release(quota.saturating_sub(retained)));
         let missing = self.demand.saturating_sub(quota);
         let lenders = lenders
             .iter()
--- a/crates/coordination/src/quotas.rs
+++ b/crates/coordination/src/quotas.rs
@@ -1,9 +1,9 @@
-//! This host's quotas of all shared limits: the demand, the leases, and the quotas that have
-//! changed.
+//! This host's quotas of all shared limits: measures the demand, runs the leases, and reports the quotas
+//! that have changed.
 //!
-//! State machine, owned by [`crate::coordinator`]. No I/O. State, for each volume with a shared
-//! limit: its [`QuotaLeases`], the demand that determines how much they request, and the quota that
-//! was returned last. Memory: one row for each of these volumes.
+//! A state machine without I/O, which [`crate::coordinator`] owns. For each volume with a shared limit it
+//! stores the [`QuotaLeases`], the demand, which determines how much they request, and the last returned
+//! quota.
 
 use crate::borrowed_leases::{Lender, OutgoingLeaseMessage};
 use crate::events::{Action, Rules};
@@ -18,24 +18,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The weight of the last round in the demand's moving average. A larger weight follows short
-/// bursts with leases; a smaller one follows growth late.
+/// The weight of the last round in the moving average of the demand. A larger weight requests leases for
+/// short bursts; a smaller one follows growth late.
 const DEMAND_SMOOTHING: f64 = 0.3;
-/// The requested amount as a multiple of the demand, so that a growing volume does not wait for
-/// each lease. A larger multiple takes amounts that other hosts may need; a smaller one delays
+/// The quota that a host aims for, as a multiple of its measured demand, so that growing demand does not
+/// wait for each lease. A larger multiple takes amounts that other hosts may need; a smaller one delays
 /// growth.
 const DEMAND_HEADROOM: f64 = 1.25;
-/// The least interval for the computation of the demand, in seconds. It prevents a division by
-/// zero.
+/// The minimum interval in the computation of the demand, in seconds. It prevents a division by zero.
 const MIN_INTERVAL_SECONDS: f64 = 1e-3;
 
-/// A quota with its base quota.
+/// A quota with the base quota at that time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct AppliedQuota {
     quota: u32,
     base_quota: u32,
 }
 
+/// The state of one volume with a shared limit.
 #[derive(Debug)]
 struct SharedVolume {
     leases: QuotaLeases,
@@ -43,9 +43,9 @@
     limit: f64,
     /// Units that clients requested at this host since the last round.
     requested: f64,
-    /// Units a second that clients request at this host.
+    /// The moving average of the units a second that clients request at this host.
     demand: f64,
-    /// The quota that was returned last.
+    /// The quota that was last returned as a change.
     applied: Option<AppliedQuota>,
 }
 
@@ -58,33 +58,33 @@
     pub message: VolumeLeaseMessage,
 }
 
-/// A volume's present quota at this host, in fractions of the complete limit.
+/// This host's present quota of one volume's limit. All amounts are fractions of the complete limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaMetrics {
     /// The volume's number.
     pub volume: u64,
-    /// Number of hosts that share the limit.
+    /// The number of hosts that share the limit.
     pub sharers: usize,
     /// The quota that this host may use.
     pub quota: f64,
-    /// The quota that it may use without any lease.
+    /// The quota that this host would have without leases.
     pub base_quota: f64,
-    /// The amount that it has granted to others.
+    /// The amount that this host has granted to others.
     pub granted: f64,
-    /// The amount that it has borrowed from others.
+    /// The amount that this host has borrowed from others.
     pub borrowed: f64,
 }
 
-/// The quotas of all shared volumes.
+/// This host's quotas of all volumes with a shared limit.
 #[derive(Debug)]
 pub(crate) struct SharedQuotas {
     me: HostNumber,
     rules: Rules,
     volumes: BTreeMap<u64, SharedVolume>,
-    /// Volumes whose quota may have changed.
-    touched: BTreeSet<u64>,
+    /// The volumes whose quota may have changed.
+    dirty: BTreeSet<u64>,
     /// When some quota next changes without a message.
-    next_change: Duration,
+    next_change_at: Duration,
 }
 
 impl SharedQuotas {
@@ -94,21 +94,21 @@
             me,
             rules,
             volumes: BTreeMap::new(),
-            touched: BTreeSet::new(),
-            next_change: now,
+            dirty: BTreeSet::new(),
+            next_change_at: now,
         }
     }
 
     /// Returns when some quota next changes without a message.
-    pub fn change_at(&self) -> Duration {
+    pub fn next_change_at(&self) -> Duration {
         if self.volumes.is_empty() {
             Duration::MAX
         } else {
-            self.next_change
+            self.next_change_at
         }
     }
 
-    /// Sets a volume's sharers and limit. Returns an action if the limit is no longer shared.
+    /// Sets the sharers and the limit of a volume. Returns an action if the limit was shared and no longer is.
     pub fn volume_changed(
         &mut self,
         now: Duration,
@@ -121,7 +121,7 @@
             self.volumes.remove(&volume)?;
             return Some(Action::QuotaChanged { volume, times: 1.0 });
         }
-        self.touched.insert(volume);
+        self.dirty.insert(volume);
         let terms = self.rules.leases;
         let shared = self.volumes.entry(volume).or_insert_with(|| SharedVolume {
             leases: QuotaLeases::new(now, self.me, incarnation, terms, sharers.clone()),
@@ -151,9 +151,9 @@
         let Some(shared) = self.volumes.get_mut(&message.volume) else {
             return Vec::new();
         };
-        self.touched.insert(message.volume);
+        self.dirty.insert(message.volume);
         let answers = shared.leases.handle_message(now, message.received);
-        addressed(message.volume, shared, answers)
+        with_volume(message.volume, shared, answers)
     }
 
     /// Sets this host's own incarnation.
@@ -161,16 +161,16 @@
         for shared in self.volumes.values_mut() {
             shared.leases.set_incarnation(incarnation);
         }
-        self.touch_all();
+        self.mark_all_dirty();
     }
 
     /// Marks all quotas as possibly changed.
-    pub fn touch_all(&mut self) {
-        self.touched.extend(self.volumes.keys());
+    pub fn mark_all_dirty(&mut self) {
+        self.dirty.extend(self.volumes.keys());
     }
 
-    /// Runs a round: updates the demands, and returns the messages to send. `lenders`: the offers
-    /// of other hosts, by volume. `superseded`: whether a later process of this host is known.
+    /// Runs a round: updates the demands, and returns the messages to send. `lenders` contains the offers of
+    /// other hosts by volume. `superseded` tells whether a later process of this host is known.
     pub fn run_round(
         &mut self,
         now: Duration,
@@ -186,19 +186,19 @@
             let demand = shared.demand * DEMAND_HEADROOM / shared.limit * f64::from(FULL_LIMIT);
             shared.leases.set_demand(demand as u32);
             shared.leases.set_superseded(superseded);
-            self.touched.insert(*volume);
+            self.dirty.insert(*volume);
             let mut lenders = lenders.remove(volume).unwrap_or_default();
-            // All hosts that need more know the same offers. Without a shuffle all of them would
-            // request from the same host.
+            // All hosts that need more know the same offers. The shuffle, among lenders with spare amounts
+            // of similar size, keeps them from requesting from the same host.
             lenders.shuffle(rng);
             lenders.sort_by_key(|lender| Reverse(lender.spare.max(1).ilog2()));
             let messages = shared.leases.run_round(now, &lenders);
-            out.extend(addressed(*volume, shared, messages));
+            out.extend(with_volume(*volume, shared, messages));
         }
         out
     }
 
-    /// Returns the amounts that this host could lease to others, the largest first.
+    /// Returns the amounts that this host could lease to others, the largest ones first.
     pub fn offers(&self, now: Duration) -> Vec<LeaseOffer> {
         let mut offers = Vec::new();
         for (volume, shared) in &self.volumes {
@@ -216,16 +216,16 @@
     /// Returns the quotas that have changed since they were returned last.
     pub fn take_changes(&mut self, now: Duration) -> Vec<Action> {
         let mut changes = Vec::new();
-        for volume in std::mem::take(&mut self.touched) {
+        for volume in std::mem::take(&mut self.dirty) {
             let Some(shared) = self.volumes.get_mut(&volume) else {
                 continue;
             };
-            let changes_at = shared.leases.changes_at(now);
-            let changes_at = changes_at.unwrap_or(now + self.rules.interval);
-            self.next_change = if self.next_change <= now {
-                changes_at
+            let change_at = shared.leases.next_change_at(now);
+            let change_at = change_at.unwrap_or(now + self.rules.interval);
+            self.next_change_at = if self.next_change_at <= now {
+                change_at
             } else {
-                changes_at.min(self.next_change)
+                change_at.min(self.next_change_at)
             };
             let applied = AppliedQuota {
                 quota: shared.leases.quota(now),
@@ -240,7 +240,7 @@
         changes
     }
 
-    /// Returns all quotas, for operators.
+    /// Returns the present quotas of all volumes, for operators.
     pub fn metrics(&self, now: Duration) -> Vec<QuotaMetrics> {
         let fraction = |amount: u32| f64::from(amount) / f64::from(FULL_LIMIT);
         let row = |(volume, shared): (&u64, &SharedVolume)| {
@@ -258,13 +258,14 @@
     }
 }
 
-fn addressed(
+/// Adds the volume and the number of sharers to messages.
+fn with_volume(
     volume: u64,
     shared: &SharedVolume,
     messages: Vec<OutgoingLeaseMessage>,
 ) -> Vec<AddressedLeaseMessage> {
     let sharers = shared.leases.sharers().len() as u32;
-    let address = |outgoing: OutgoingLeaseMessage| AddressedLeaseMessage {
+    let add_volume = |outgoing: OutgoingLeaseMessage| AddressedLeaseMessage {
         to: outgoing.to,
         message: VolumeLeaseMessage {
             volume,
@@ -272,5 +273,5 @@
             message: outgoing.message,
         },
     };
-    messages.into_iter().map(address).collect()
+    messages.into_iter().map(add_volume).collect()
 }
--- a/crates/coordination/src/report_store.rs
+++ b/crates/coordination/src/report_store.rs
@@ -1,11 +1,11 @@
-//! The newest report of each host, and the choice of the entries that a message carries.
+//! Stores the newest report of each host, and chooses the entries that a message carries.
 //!
-//! Owned by [`crate::gossip_state`]. No I/O. Memory: one entry for each host.
+//! [`crate::gossip_state`] owns the store. The module does no I/O and stores one entry for each host.
 //!
-//! The age of an entry is the report's age when it arrived, plus the time since then. The time on
-//! the way between hosts is unknown. Each hop therefore counts as [`HOP_DELAY`]; otherwise an entry
-//! that circulates would stay young. Entries older than [`ENTRY_TIMEOUT`] are rejected and dropped.
-//! An expired entry cannot come back through a slow peer, since its age travels with it.
+//! The age of an entry is its age when it arrived, plus the time since then. The network delay between
+//! hosts is unknown, so each hop counts as [`MIN_HOP_DELAY`]; otherwise an entry that circulates would not
+//! age. Entries older than [`ENTRY_TIMEOUT`] are rejected and dropped. A slow peer cannot bring an
+//! expired entry back, since messages carry the age of each entry.
 
 use crate::gossip_message::MAX_ENTRIES;
 use crate::host_report::{GossipEntry, HostReport, VersionStamp};
@@ -15,22 +15,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Age of an entry after which its host is forgotten. A shorter time forgets hosts that are merely
-/// slow; with a longer one the reports of hosts that are gone stay.
+/// The age at which an entry expires. A shorter time drops the reports of hosts that are only slow; with a
+/// longer one the reports of dead hosts stay longer.
 pub const ENTRY_TIMEOUT: Duration = Duration::from_secs(60);
-/// The least time by which an entry ages on its way from host to host. Without it an entry that
-/// circulates would stay young; with a larger one reports of many hops would look old.
-const HOP_DELAY: Duration = Duration::from_millis(1);
+/// The network delay that is added to an entry's age at each hop. Without it an entry that circulates
+/// would not age; with a larger one an entry would seem old after many hops.
+const MIN_HOP_DELAY: Duration = Duration::from_millis(1);
 
 /// A host's report as this host stores it.
 #[derive(Debug, Clone)]
 struct StoredEntry {
     version: VersionStamp,
-    /// When the report was written, in nanoseconds of this host's clock. It is negative if that was
-    /// before the clock's zero.
+    /// When the report was written, in nanoseconds of this host's clock. Negative if that was before the
+    /// clock's zero.
     written_at: i128,
     report: HostReport,
-    /// How many messages still have to carry the entry as a rumor.
+    /// The number of messages that still have to carry the entry as a rumor.
     retransmissions: u32,
 }
 
@@ -45,9 +45,9 @@
 pub struct KnownReport<'a> {
     /// The host that wrote the report.
     pub host: HostNumber,
-    /// The version that orders the host's reports.
+    /// The version of the report.
     pub version: VersionStamp,
-    /// Time since the report was written.
+    /// The time since the report was written.
     pub age: Duration,
     /// The report.
     pub report: &'a HostReport,
@@ -56,11 +56,11 @@
 /// The effect of merging an entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MergedEntry {
-    /// The stored entry is at least as late.
+    /// The entry was dropped, since the stored one is at least as late.
     Outdated,
-    /// The entry is stored.
+    /// The entry was stored.
     Stored {
-        /// The entry has urgent observations that the stored one did not have.
+        /// The entry has urgent observations that the one before did not have.
         is_rumor: bool,
     },
 }
@@ -69,12 +69,12 @@
 #[derive(Debug, Default)]
 pub(crate) struct ReportStore {
     entries: BTreeMap<HostNumber, StoredEntry>,
-    /// The position among all entries of the last one that a message carried in rotation.
-    rotation: usize,
+    /// The index, among all entries, of the last entry that was sent in rotation.
+    rotation_index: usize,
 }
 
 impl ReportStore {
-    /// Returns the reports of all hosts, without those that are older than [`ENTRY_TIMEOUT`].
+    /// Returns the reports of all hosts, except those older than [`ENTRY_TIMEOUT`].
     pub fn reports(&self, now: Duration) -> impl Iterator<Item = KnownReport<'_>> {
         self.entries
             .iter()
@@ -87,8 +87,8 @@
             .filter(|known| known.age < ENTRY_TIMEOUT)
     }
 
-    /// Stores a peer's entry if it is later than the stored one. `retransmissions`: how many
-    /// messages carry the entry if it is a rumor.
+    /// Stores a peer's entry if it is later than the stored one. If it is a rumor, the next
+    /// `retransmissions` messages carry it.
     pub fn merge(
         &mut self,
         now: Duration,
@@ -99,15 +99,14 @@
         if before.is_some_and(|before| before.version >= entry.version) {
             return MergedEntry::Outdated;
         }
-        // An entry is a rumor if it has a new urgent observation. A host that repeats its report,
-        // or reports less, starts no rumor.
+        // An entry is a rumor if it has an urgent observation that the one before did not have.
         let is_rumor = before.is_none_or(|before| {
             let urgent = entry.report.urgent();
             !urgent.is_subset(&before.report.urgent())
         });
         let stored = StoredEntry {
             version: entry.version,
-            written_at: nanos(now) - nanos(entry.age + HOP_DELAY),
+            written_at: nanos(now) - nanos(entry.age + MIN_HOP_DELAY),
             report: entry.report.clone(),
             retransmissions: if is_rumor { retransmissions } else { 0 },
         };
@@ -133,19 +132,19 @@
         self.entries.insert(me, own);
     }
 
-    /// Drops entries that are older than [`ENTRY_TIMEOUT`].
+    /// Drops entries older than [`ENTRY_TIMEOUT`].
     pub fn drop_expired(&mut self, now: Duration) {
         self.entries
             .retain(|_, entry| nanos(now) - entry.written_at < nanos(ENTRY_TIMEOUT));
     }
 
-    /// Returns whether some entry still has to be sent as a rumor.
+    /// Returns whether any entry still has to be sent as a rumor.
     pub fn has_rumors(&self) -> bool {
         self.entries.values().any(|entry| entry.retransmissions > 0)
     }
 
-    /// Returns the entries for one message, at most [`MAX_ENTRIES`]. `own`: this host, with the
-    /// version of its last entry.
+    /// Returns the entries for one message, at most [`MAX_ENTRIES`], and counts the transmissions of
+    /// rumors. `own` is this host with the version of its last entry.
     pub fn take_entries(
         &mut self,
         now: Duration,
@@ -155,7 +154,10 @@
     ) -> Vec<GossipEntry> {
         let mut entries = Vec::new();
         for writer in self.choose_writers(receiver, own, rng) {
-            let stored = self.entries.get_mut(&writer).expect("chosen among them");
+            let stored = self
+                .entries
+                .get_mut(&writer)
+                .expect("the entry of a chosen writer is stored");
             stored.retransmissions = stored.retransmissions.saturating_sub(1);
             entries.push(GossipEntry {
                 writer,
@@ -167,7 +169,8 @@
         entries
     }
 
-    /// Chooses the receiver's entry, this host's, rumors, and then others in rotation.
+    /// Chooses the writers whose entries a message carries: the receiver, this host, rumors, and others in
+    /// rotation.
     fn choose_writers(
         &mut self,
         receiver: HostNumber,
@@ -175,7 +178,7 @@
         rng: &mut Pcg64Mcg,
     ) -> BTreeSet<HostNumber> {
         let mut chosen: BTreeSet<HostNumber> = BTreeSet::new();
-        // The receiver's own entry comes first: the receiver may have restarted and not know it.
+        // The receiver's own entry comes first, since a receiver that has restarted does not know it.
         if self.entries.contains_key(&receiver) {
             chosen.insert(receiver);
         }
@@ -185,8 +188,8 @@
         }
         let mut rumors = self.rumors();
         if rumors.len() > MAX_ENTRIES {
-            // One message cannot carry all rumors. A random choice lets the hosts together pass on
-            // all of them.
+            // One message cannot carry all rumors. With a random choice the hosts together forward all of
+            // them.
             rumors = rumors.partial_shuffle(rng, MAX_ENTRIES).0.to_vec();
         }
         chosen.extend(rumors.into_iter().take(MAX_ENTRIES - chosen.len()));
@@ -202,15 +205,15 @@
             .collect()
     }
 
-    /// Fills the choice with entries in rotation.
+    /// Fills up the chosen writers in rotation.
     fn add_in_rotation(&mut self, chosen: &mut BTreeSet<HostNumber>) {
         let all: Vec<HostNumber> = self.entries.keys().copied().collect();
         for _ in 0..all.len() {
             if chosen.len() >= MAX_ENTRIES {
                 break;
             }
-            self.rotation = (self.rotation + 1) % all.len();
-            chosen.insert(all[self.rotation]);
+            self.rotation_index = (self.rotation_index + 1) % all.len();
+            chosen.insert(all[self.rotation_index]);
         }
     }
 }
--- a/crates/coordination/src/served_rates.rs
+++ b/crates/coordination/src/served_rates.rs
@@ -1,8 +1,8 @@
-//! The rate at which each volume is served, at this host and at the other hosts.
+//! The rates at which this host and the other hosts serve each volume.
 //!
-//! Owned by [`crate::coordinator`], which counts the units that this host serves, and adds the
-//! counts of the other hosts' reports. Memory: one row for each volume that this host serves, and
-//! one for each host and volume of a report.
+//! [`crate::coordinator`] owns the rates. It adds the units that this host serves, and the counts in the
+//! reports of the other hosts. The module stores one entry for each volume that this host serves, and one
+//! for each host and volume of a report.
 
 use crate::evidence::EVIDENCE_WINDOW;
 use crate::gossip_message::MAX_REPORT_ITEMS;
@@ -12,11 +12,12 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// The units that this host has served for a volume, and their rate.
 #[derive(Debug, Default, Clone, Copy)]
 struct LocalRate {
     units: f64,
     /// The value of `units` when the rate was last measured.
-    units_measured: f64,
+    measured_units: f64,
     /// The rate, in units a second.
     rate: f64,
 }
@@ -26,13 +27,13 @@
 struct RemoteRate {
     version: VersionStamp,
     units: u64,
-    /// When the host reported `units`.
+    /// When the host wrote the report with `units`.
     reported_at: Duration,
     /// The rate, in units a second.
     rate: f64,
 }
 
-/// The rates by volume.
+/// The rates of all volumes.
 #[derive(Debug, Default)]
 pub(crate) struct ServedRates {
     local: BTreeMap<u64, LocalRate>,
@@ -45,15 +46,15 @@
         self.local.entry(volume).or_default().units += units;
     }
 
-    /// Measures this host's rates over the last `seconds`.
+    /// Computes this host's rates from the units of the last `seconds`.
     pub fn measure_local(&mut self, seconds: f64) {
         for local in self.local.values_mut() {
-            local.rate = (local.units - local.units_measured) / seconds;
-            local.units_measured = local.units;
+            local.rate = (local.units - local.measured_units) / seconds;
+            local.measured_units = local.units;
         }
     }
 
-    /// Adds the counts of another host's report.
+    /// Updates the rates of another host from the counts in its report.
     pub fn add_remote(&mut self, now: Duration, known: &KnownReport) {
         let reported_at = now.saturating_sub(known.age);
         for served in &known.report.served {
@@ -76,8 +77,8 @@
         }
     }
 
-    /// Returns this host's busiest volumes, for its report. For the other volumes the reports in
-    /// answers to clients are accurate enough.
+    /// Returns the units of this host's busiest volumes, for its report. For the other volumes the rates
+    /// that answers to clients report are accurate enough.
     pub fn busiest(&self) -> Vec<ServedUnits> {
         let mut busy: Vec<(&u64, &LocalRate)> = self
             .local
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers that the tests of this package share.
-#![allow(dead_code)] // Each test file uses some of the helpers.
+//! Helpers shared by the tests of this package.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
 use grebecleat_coordination::host_report::Observation;
 use grebecleat_coordination::HostNumber;
@@ -14,12 +14,12 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Returns the first hosts, which share a limit.
+/// Returns the first `count` hosts, as the sharers of a limit.
 pub fn sharers(count: usize) -> BTreeSet<HostNumber> {
     (0..count as u32).map(HostNumber).collect()
 }
 
-/// Returns a fresh observation of a node's first process.
+/// Returns a fresh observation of the node's process with start 1.
 pub fn observation(node: u32, sent: u32, bad: u32) -> Observation {
     Observation {
         node,
--- a/crates/coordination/tests/fleet_simulation.rs
+++ b/crates/coordination/tests/fleet_simulation.rs
@@ -1,7 +1,7 @@
-//! Simulated fleets in one process, each from its seed. Messages are late, lost and duplicated. An
-//! adversary chooses which hosts reach each other. Hosts die, restart without memory, and pause.
-//! The tests assert the invariants of every run. The same runs measure two alternatives for
-//! comparison: even quotas, and a host that avoids nodes on every report.
+//! Tests with simulated fleets, each generated from a seed. Messages are late, lost and duplicated. An
+//! adversary chooses which hosts can reach each other. Hosts restart without memory and pause. The tests
+//! check invariants in every run, and measure two alternatives for comparison: even quotas, and a host
+//! that avoids a node on any report.
 
 mod common;
 mod simulation;
@@ -14,7 +14,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Returns the number of seeds: a few by default, or the number in the variable `WORLDS`.
+/// Returns the number of seeds: the value of the environment variable `WORLDS`, or `default`.
 fn seeds(default: u64) -> u64 {
     std::env::var("WORLDS")
         .ok()
@@ -44,24 +44,30 @@
         let has_heard = |host: &Host| host.nodes_found_bad().any(|node| node == 7);
         while !world.hosts.iter().all(has_heard) {
             world.tick();
-            assert!(world.now < begun + ms(8000), "{hosts} hosts: not all know");
+            assert!(
+                world.now < begun + ms(8000),
+                "{hosts} hosts: not all have received the rumor after 8 s"
+            );
         }
         let took = world.now - begun;
         let busy = per_host(world.sent - sent) / took.as_secs_f64();
         println!(
             "{hosts:>5}  {took:>15?}  {quiet:>6.1}, with a rumor {busy:>5.1}  {quiet_bytes:>10.0}"
         );
-        // Two messages a round, and four times as many rounds with a rumor.
+        // Two messages a round, up to four rounds in an interval of 0.2 s with a rumor, and random jitter.
         assert!(
             quiet.max(busy) <= 2.0 * 4.0 / 0.2 * 1.34,
-            "{quiet} and {busy} messages"
+            "{quiet} messages a host and second without a rumor, {busy} with one"
         );
         let all = world.hosts_with_a_policy_for(7);
-        println!("       {all} of {hosts} follow it then");
+        println!("       {all} of {hosts} hosts have changed their policy then");
         world.run(ms(5000));
         let all = world.hosts_with_a_policy_for(7);
-        assert!(all * 10 >= hosts * 9, "{all} of {hosts} follow it");
-        // The node answers again. The hosts that probe it observe that, and report it.
+        assert!(
+            all * 10 >= hosts * 9,
+            "{all} of {hosts} hosts have changed their policy"
+        );
+        // The node answers again. The hosts that probe it notice and report that.
         world.dead.clear();
         world.run(ms(8000));
         let avoids = |host: &&Host| host.avoided.contains(&7);
@@ -88,7 +94,7 @@
         "used of a limit with demand 1:1:8 over ten hosts: {leased:.2}, with even quotas {even:.2}"
     );
     assert!(leased >= 0.9 && even < 0.35);
-    // The busy host is cut off: it continues with its own quota, and the others recover theirs.
+    // The busy host is cut off. It continues with its base quota, and the others get back theirs.
     let others = (0..10).filter(|host| *host != 2);
     world.cut = others.flat_map(|host| [(host, 2), (2, host)]).collect();
     world.hosts[5].demand = LIMIT * 0.1;
@@ -110,7 +116,7 @@
     );
 }
 
-/// Changes the demand, the cuts and one host at random.
+/// Changes the demands and the cuts at random, and restarts or pauses a random host or none.
 fn disturb(world: &mut World) {
     let hosts = world.hosts.len();
     for host in 0..hosts {
@@ -138,12 +144,12 @@
     }
 }
 
-/// Cuts open and close with the period of the leases. Hosts die, or pause for longer than their
-/// leases. An adversary chooses which hosts reach each other.
+/// The demands and the cuts change about as often as leases are renewed, in steps of up to 1.5 s. Hosts
+/// restart, or pause, in some cases for longer than their leases last.
 #[test]
 fn quotas_stay_within_the_limit_under_an_adversary() {
     for (hosts, default_seeds, steps) in [(6, 24, 20), (60, 2, 12), (300, 1, 6)] {
-        let mut greatest: f64 = 0.0;
+        let mut largest_sum: f64 = 0.0;
         let is_small = hosts == 6;
         let count = if is_small {
             seeds(default_seeds)
@@ -164,21 +170,21 @@
                 while world.now < until {
                     world.tick();
                     world.check_quotas();
-                    greatest = greatest.max(world.sum_of_quotas());
+                    largest_sum = largest_sum.max(world.sum_of_quotas());
                 }
             }
         }
-        println!("{hosts} hosts: at most {greatest:.3} of the limit");
+        println!("{hosts} hosts: the quotas add up to at most {largest_sum:.3} of the limit");
     }
 }
 
-/// Hosts of the simulations with cuts.
+/// The number of hosts in the simulations with cuts.
 const CUT_HOSTS: usize = 12;
-/// Nodes of the simulations with cuts.
+/// The number of nodes in the simulations with cuts.
 const CUT_NODES: u32 = 8;
 
-/// Cuts a quarter or half of the hosts from some nodes, and some hosts from each other; some only
-/// in one direction.
+/// Cuts a quarter or half of the hosts off from some nodes. For two of three seeds also cuts these hosts
+/// off from the others, in one direction or in both.
 fn cut_by_seed(world: &mut World, seed: u64) {
     let impaired = if seed.is_multiple_of(2) { 3 } else { 6 };
     for host in 0..impaired {
@@ -199,7 +205,7 @@
     }
 }
 
-/// The time for which hosts avoid nodes that they reach.
+/// Measures how long hosts avoid nodes that they can reach.
 #[derive(Default)]
 struct WrongAvoidance {
     since: BTreeMap<(usize, u32), Duration>,
@@ -223,7 +229,7 @@
 }
 
 #[test]
-fn a_cut_ejects_no_reachable_node_for_longer_than_the_stated_time() {
+fn a_cut_ejects_no_reachable_node_for_longer_than_the_evidence_window_and_ejection_timeout() {
     let mut longest = Duration::ZERO;
     let mut would_avoid = 0;
     let mut still_avoid = 0;
@@ -250,22 +256,22 @@
         would_avoid += hosts().map(|host| host.reported_bad.len()).sum::<usize>();
     }
     println!(
-        "{all} cuts: a node that a host reaches was avoided for {longest:?} at most; \
-         after the cut {still_avoid} avoided; \
-         a host that avoids on every report would have avoided {would_avoid}"
+        "{all} cuts: a host avoided a node that it can reach for at most {longest:?}; \
+         {still_avoid} hosts avoided nodes after the cut; \
+         hosts that avoid on every report would have avoided {would_avoid} nodes"
     );
     assert!(
         would_avoid > 0,
-        "no host received any report, so this proves nothing"
+        "no host received a report of a bad node, so the test checks nothing"
     );
     assert_eq!(still_avoid, 0);
     assert!(longest <= EVIDENCE_WINDOW + EJECTION_TIMEOUT, "{longest:?}");
 }
 
-/// A third of the hosts is impaired and finds every node bad. The others continue by their own
+/// A third of the hosts is impaired and finds every node bad. The others continue to rely on their own
 /// evidence.
 #[test]
-fn hosts_that_find_every_node_bad_eject_no_node_for_the_others() {
+fn impaired_hosts_that_find_every_node_bad_eject_no_node_for_the_others() {
     let mut world = World::new(12, 8, 40.0, false, 9);
     world.run(ms(1500));
     world.unreached = (0..4)
@@ -274,8 +280,8 @@
     for _ in 0..500 {
         world.tick();
         let others = world.hosts[4..].iter();
-        let misled = others.filter(|host| !host.avoided.is_empty()).count();
-        assert_eq!(misled, 0, "at {:?}", world.now);
+        let avoiding = others.filter(|host| !host.avoided.is_empty()).count();
+        assert_eq!(avoiding, 0, "hosts that avoid a node at {:?}", world.now);
     }
     let policies = world.hosts[0].coordinator.policies().into_iter();
     let bad_paths = policies
@@ -283,6 +289,6 @@
         .count();
     assert!(
         bad_paths >= 6,
-        "an impaired host finds {bad_paths} of 8 to be bad paths of its own"
+        "an impaired host considers its path bad to {bad_paths} of 8 nodes, expected at least 6"
     );
 }
--- a/crates/coordination/tests/gossip_state.rs
+++ b/crates/coordination/tests/gossip_state.rs
@@ -1,4 +1,4 @@
-//! Gossip state: which reports a host stores, forgets and passes on, and how it raises its own
+//! Tests of the gossip state: which reports a host stores, drops and forwards, and how it raises its own
 //! incarnation.
 
 mod common;
@@ -12,7 +12,7 @@
 use grebecleat_coordination::{HostNumber, Incarnation};
 use std::time::Duration;
 
-/// Returns the state of host 0 in its tenth incarnation.
+/// Returns the state of host 0 with incarnation 10 and the peers 1 to `peers`.
 fn gossip_state(peers: u32) -> GossipState {
     GossipState::new(
         NOW,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Passes a message of host 2 with one entry to the state.
+/// Handles a message from host 2 with one entry.
 fn handle_entry(state: &mut GossipState, now: Duration, entry: GossipEntry) -> MergeOutcome {
     let message = GossipMessage {
         incarnation: Incarnation(1),
@@ -53,8 +53,8 @@
 
 #[test]
 fn the_larger_version_is_stored_in_any_order_of_arrival() {
-    // The received entries as (incarnation, count, age in ms, sent), and `sent` of the entry that
-    // is stored in the end.
+    // Each case lists received entries as (incarnation, count, age in ms, sent), and `sent` of the entry
+    // that is stored after all of them.
     type Case<'a> = (&'a [(u64, u64, u64, u32)], u32);
     let cases: [Case; 5] = [
         (&[(1, 1, 0, 5), (1, 2, 0, 6)], 6),
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_old_entry_is_forgotten_and_does_not_come_back_through_a_slow_peer() {
+fn an_expired_entry_is_dropped_and_does_not_come_back_through_a_slow_peer() {
     let mut state = gossip_state(3);
     handle_entry(&mut state, NOW, entry(1, 1, 5, ms(0), 6));
     let later = NOW + ENTRY_TIMEOUT;
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_host_that_lost_its_incarnation_syncs_before_it_publishes_and_raises_it() {
+fn a_restarted_host_requests_entries_and_raises_its_incarnation_before_it_publishes() {
     let mut state = gossip_state(3);
     let messages = state.run_round(NOW + ms(250)).messages;
     assert!(
@@ -124,7 +124,7 @@
     let outcome = handle_entry(&mut state, after, entry(0, 11, 3, ms(0), 1));
     assert!(!outcome.incarnation_raised);
     assert!(state.is_superseded());
-    // The host stays superseded while the other process's count grows.
+    // The host stays superseded while new entries of the other process arrive.
     handle_entry(&mut state, after + ms(9000), entry(0, 11, 40, ms(0), 1));
     assert!(!state.run_round(after + ms(12_000)).incarnation_raised);
     assert!(state.is_superseded());
--- a/crates/coordination/tests/outlier_detection.rs
+++ b/crates/coordination/tests/outlier_detection.rs
@@ -1,5 +1,5 @@
-//! Outlier detection: which evidence decides, how long an ejection lasts, and how many nodes may be
-//! ejected.
+//! Tests of outlier detection: which evidence decides, how long an ejection lasts, and how many nodes may
+//! be ejected.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Returns nodes 1 to 4, with the starts of their processes.
+/// Returns nodes 1 to 4, all with the same start of their process.
 fn nodes(start: u64) -> BTreeMap<u32, u64> {
     (1..=4).map(|node| (node, start)).collect()
 }
@@ -22,7 +22,7 @@
     OutlierDetector::new(HostNumber(0), fleet_size, EVIDENCE_WINDOW, 1)
 }
 
-/// Returns hosts 1 to 3 with the same report.
+/// Returns hosts 1 to 3 as observers with the same report.
 fn three_observers(report: &HostReport, age: Duration) -> Vec<Observer<'_>> {
     (1..=3).map(|host| observer(host, report, age)).collect()
 }
@@ -35,8 +35,8 @@
     }
 }
 
-/// Returns the verdict on node 1 and the policy for it. `own`, `peers`: the observations of node 1
-/// as (sent, bad), by this host and by its peers. Nodes 2 to 4 answer every host.
+/// Returns the verdict on node 1 and the policy for it. `own` and `peers` are the observations of node 1 by
+/// this host and by its peers, as (sent, bad). Nodes 2 to 4 answer every host.
 fn verdict_and_policy(
     own: Option<(u32, u32)>,
     peers: &[(u32, u32)],
@@ -60,19 +60,19 @@
     let finding = detector.findings().get(&1);
     let verdict = finding.map_or(Verdict::Unknown, |finding| finding.verdict);
     let policy = match detector.policy(1) {
-        EndpointPolicy::Probe => EndpointPolicy::Avoid, // a random turn
+        EndpointPolicy::Probe => EndpointPolicy::Avoid, // whether the host probes is random
         policy => policy,
     };
     (verdict, policy)
 }
 
 #[test]
-fn own_evidence_decides_before_that_of_peers_and_an_ejection_needs_enough_observers() {
+fn own_evidence_takes_precedence_and_an_ejection_needs_enough_observers() {
     let bad = (5, 5);
     let good = (5, 0);
     let mixed = (6, 3);
-    // This host's own observation, its peers' observations, the number of hosts; verdict and
-    // policy.
+    // Each case: this host's own observation, its peers' observations, the number of hosts, and the
+    // expected verdict and policy.
     type Case<'a> = (
         Option<(u32, u32)>,
         &'a [(u32, u32)],
@@ -85,11 +85,11 @@
     let cases: [Case; 11] = [
         (None, &[bad, bad, bad], 4, Ejected, Avoid),
         (Some(bad), &[bad, bad, bad], 4, Ejected, Avoid),
-        // Own fresh evidence decides before that of peers.
+        // Fresh evidence of this host takes precedence over that of its peers.
         (Some(good), &[bad, bad, bad], 4, Ejected, OwnEvidence),
-        // This host's own path is bad.
+        // Only this host's path to the node is bad.
         (Some(bad), &[good, good, good], 4, Split, BadPath),
-        // Half of the hosts reach the node.
+        // Half of the observers reach the node.
         (
             None,
             &[bad, bad, bad, good, good, good],
@@ -115,7 +115,7 @@
     }
 }
 
-/// Returns a report with good nodes 2 and 3. `bad`: the failed attempts of 5 to node 1.
+/// Returns a report in which nodes 2 and 3 are good and `bad` of 5 attempts to node 1 have failed.
 fn report_of_node_1(bad: u32) -> HostReport {
     HostReport {
         observations: vec![
@@ -127,7 +127,7 @@
     }
 }
 
-/// Returns this host's own report, without node 1.
+/// Returns this host's own report, which has no observation of node 1.
 fn own_report() -> HostReport {
     HostReport {
         observations: vec![observation(2, 5, 0), observation(3, 5, 0)],
@@ -153,24 +153,24 @@
 }
 
 #[test]
-fn an_ejection_lasts_in_silence_and_ends_by_newer_evidence() {
-    let silent = HostReport::default();
-    // No host sends to the node, and the peers' reports are fresh: the ejection stays.
+fn an_ejection_lasts_without_evidence_and_ends_with_newer_good_evidence() {
+    let empty = HostReport::default();
+    // No host sends attempts to the node, and the peers' reports are fresh, so the ejection stays.
     let mut detector = ejecting_detector();
     for step in 1..60 {
-        let quiet = three_observers(&silent, ms(0));
-        detector.evaluate(NOW + ms(step * 500), &nodes(1), &own_report(), &quiet);
+        let observers = three_observers(&empty, ms(0));
+        detector.evaluate(NOW + ms(step * 500), &nodes(1), &own_report(), &observers);
         assert!(avoids_node_1(&detector), "after {step} half seconds");
     }
-    // A host that probes the node observes that it answers.
+    // A host that probes the node reports that it answers.
     let good = report_of_node_1(0);
-    let one = [observer(1, &good, ms(0)), observer(2, &silent, ms(0))];
+    let one = [observer(1, &good, ms(0)), observer(2, &empty, ms(0))];
     detector.evaluate(NOW + ms(30_000), &nodes(1), &own_report(), &one);
     assert!(!avoids_node_1(&detector));
 }
 
 #[test]
-fn an_ejection_ends_with_another_process_of_the_node() {
+fn an_ejection_ends_when_the_node_restarts() {
     let mut detector = ejecting_detector();
     detector.evaluate(NOW + ms(100), &nodes(2), &own_report(), &[]);
     assert!(!avoids_node_1(&detector));
@@ -195,7 +195,7 @@
     assert!(!avoids_node_1(&detector));
 }
 
-/// If most of the observed nodes would be ejected, the verdicts are distrusted.
+/// If more than half of the observed nodes would be ejected, the verdicts are distrusted.
 #[test]
 fn reports_of_peers_never_leave_a_host_without_nodes() {
     for (bad_nodes, avoided) in [(1, 1), (2, 2), (3, 0), (4, 0)] {
--- a/crates/coordination/tests/quota_lease.rs
+++ b/crates/coordination/tests/quota_lease.rs
@@ -1,4 +1,4 @@
-//! Quota leases of one limit: which leases are granted, renewed, released and rejected.
+//! Tests of the quota leases of one limit: which leases are granted, renewed, released and rejected.
 
 mod common;
 
@@ -24,7 +24,7 @@
 const B: HostNumber = HostNumber(1);
 const C: HostNumber = HostNumber(2);
 
-/// Returns the leases of a host that knows its granted leases.
+/// Returns the leases of a host that started at time 0. From 5 seconds on it knows its granted leases.
 fn leases(me: HostNumber, sharer_count: usize) -> QuotaLeases {
     QuotaLeases::new(s(0), me, Incarnation(1), TERMS, sharers(sharer_count))
 }
@@ -74,7 +74,7 @@
     }
 }
 
-/// Makes A request from B and receive the grant. Returns the borrowed amount.
+/// Makes A request a lease from B and receive the grant. Returns the amount that A has borrowed in addition.
 fn borrow(a: &mut QuotaLeases, b: &mut QuotaLeases, now: Duration) -> u32 {
     let before = a.leased(now).borrowed;
     a.set_demand(FULL_LIMIT);
@@ -87,8 +87,7 @@
     a.leased(now).borrowed - before
 }
 
-/// Makes the host request a quarter of the limit from B. Returns the number and the amount of its
-/// only request.
+/// Makes A request a quarter of the limit from B. Returns the number and the amount of its only request.
 fn request_a_quarter(a: &mut QuotaLeases, now: Duration) -> (u64, u32) {
     a.set_demand(FULL_LIMIT);
     let sent = a.run_round(now, &[lender(B, FULL_LIMIT / 4)]);
@@ -111,13 +110,13 @@
     let granted = borrow(&mut a, &mut b, s(10));
     assert!(granted > FULL_LIMIT / 3, "{granted}");
     assert_eq!(a.quota(s(10)) + b.quota(s(10)), FULL_LIMIT);
-    // A renews the lease in its second half; both sides follow the later end.
+    // A renews the lease in its second half. The lease then expires later on both sides.
     borrow(&mut a, &mut b, s(12));
     assert_eq!(
         (a.quota(s(15)), b.quota(s(16))),
         (FULL_LIMIT / 2 + granted, FULL_LIMIT / 2 - granted)
     );
-    // A does not renew it again: the borrower's end is before the lender's.
+    // A does not renew it again. It expires for the borrower before it expires for the lender.
     assert_eq!(
         (a.quota(s(16)), b.quota(s(16))),
         (FULL_LIMIT / 2, FULL_LIMIT / 2 - granted)
@@ -139,7 +138,7 @@
 }
 
 #[test]
-fn a_lease_that_is_not_needed_is_dropped_before_its_lender_is_sent_the_release() {
+fn a_borrower_drops_an_unneeded_lease_before_it_sends_the_release() {
     let mut a = leases(A, 2);
     let mut b = leases(B, 2);
     let granted = borrow(&mut a, &mut b, s(10));
@@ -161,11 +160,11 @@
 #[test]
 fn requests_of_hosts_that_do_not_share_and_late_or_unknown_grants_are_rejected() {
     let request = request(FULL_LIMIT / 4);
-    // The sender, its incarnation and its number of sharers; and whether it receives an answer.
+    // Each case: the sender, its incarnation and its number of sharers, and whether it receives an answer.
     let cases = [
         ((A, 1, 2), true),
         ((A, 1, 3), false),             // another number of sharers
-        ((HostNumber(9), 1, 2), false), // no sharer
+        ((HostNumber(9), 1, 2), false), // not a sharer
         ((B, 1, 2), false),             // the host itself
     ];
     for ((from, incarnation, sharers), answered) in cases {
@@ -177,13 +176,13 @@
             "{from:?} {incarnation} {sharers}: {out:?}"
         );
     }
-    // A message of an earlier incarnation arrives after one of a later.
+    // A message of an earlier incarnation arrives after one of a later incarnation.
     let mut b = leases(B, 2);
     b.handle_message(s(10), received(A, 2, 2, LeaseMessage::Recovered));
     assert!(b
         .handle_message(s(10), received(A, 1, 2, request))
         .is_empty());
-    // A grant without a request, and a grant that arrives after the end of its lease.
+    // A grant without a request, and a grant that arrives after its lease has expired.
     let mut a = leases(A, 2);
     a.handle_message(s(10), received(B, 1, 2, grant(7, FULL_LIMIT / 4)));
     assert_eq!(a.quota(s(10)), FULL_LIMIT / 2);
@@ -193,7 +192,7 @@
 }
 
 #[test]
-fn a_host_without_memory_uses_only_its_reserve_until_all_sharers_have_sent_cleared() {
+fn a_restarted_host_uses_only_its_reserve_until_all_sharers_have_sent_cleared() {
     let mut b = QuotaLeases::new(s(10), B, Incarnation(5), TERMS, sharers(3));
     let reserve = b.quota(s(10));
     assert!(reserve > 0 && reserve < FULL_LIMIT / 20, "{reserve}");
@@ -211,7 +210,7 @@
     assert_eq!(b.quota(s(10)), reserve);
     b.handle_message(s(10), received(C, 1, 3, cleared(5)));
     assert_eq!(b.quota(s(10)), FULL_LIMIT / 3);
-    // If one sharer never answers, every lease has expired in the end.
+    // If a sharer never answers, the host recovers when all leases of its earlier incarnations have expired.
     let b = QuotaLeases::new(s(10), B, Incarnation(5), TERMS, sharers(3));
     assert_eq!((b.quota(s(14)), b.quota(s(15))), (reserve, FULL_LIMIT / 3));
 }
@@ -227,7 +226,7 @@
 }
 
 #[test]
-fn another_number_of_sharers_voids_borrowed_leases_and_not_granted_ones() {
+fn a_new_number_of_sharers_ends_borrowed_leases_but_not_granted_ones() {
     let mut a = leases(A, 2);
     let mut b = leases(B, 2);
     let granted = borrow(&mut a, &mut b, s(10));
@@ -237,8 +236,8 @@
         (a.quota(s(11)), b.quota(s(11))),
         (FULL_LIMIT / 3, (FULL_LIMIT / 3).saturating_sub(granted))
     );
-    // A lease that was granted among three sharers is the same amount among two: a host may still
-    // apply the quota for three.
+    // A lease that was granted among three sharers is a larger fraction among two, since the host may still
+    // apply the base quota for three.
     let mut b = leases(B, 3);
     b.handle_message(s(10), received(A, 1, 3, request(FULL_LIMIT / 10)));
     b.set_sharers(sharers(2));
--- a/crates/coordination/tests/quota_lease_explorer.rs
+++ b/crates/coordination/tests/quota_lease_explorer.rs
@@ -1,8 +1,8 @@
-//! Explores the reachable states of the leases of one limit among up to three hosts. Messages are
-//! lost, duplicated, overtaken, or arrive after the end of their sender's incarnation. Hosts die
-//! and restart without their memory. A clock loses a tick. The third host joins after the first two
-//! have followed. In every state the hosts' quotas add up to at most the limit. Worlds with an
-//! injected fault, on the other side of the leases' interface, must violate that.
+//! A model checker for the leases of one limit among up to three hosts. It explores the reachable states in
+//! breadth-first order. Messages are lost, duplicated, reordered, or arrive after their sender has
+//! restarted. Hosts restart without memory. A clock loses a tick. A third host joins after the first two
+//! have applied the new set of sharers. In every state the hosts' quotas must add up to at most the limit.
+//! Models with a fault, which is injected outside the code under test, must violate this invariant.
 
 mod common;
 
@@ -21,11 +21,11 @@
     duration: ticks(2),
     margin: ticks(1),
 };
-/// Messages in flight, at most; a further message is not sent.
+/// The maximum number of messages in flight; further messages are lost.
 const MAX_IN_FLIGHT: usize = 2;
-/// The time in ticks since the start of a host whose recovery is over.
+/// The age in ticks of a host that starts with its recovery over.
 const LONG_AGO: u64 = 50;
-/// States that are visited, at most, if a world has more.
+/// The maximum number of states that are visited in one exploration without a fault.
 const MAX_STATES: usize = 250_000;
 
 /// Returns a duration in ticks, of one second each.
@@ -33,35 +33,39 @@
     Duration::from_secs(count)
 }
 
-/// A fault that is injected into a world.
+/// A fault that is injected into the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A host that restarts assumes that it has granted no lease.
+    /// A restarted host assumes that it has granted no leases.
     SkipsRecovery,
-    /// One host sends `Cleared` in the name of another host, without knowing that host's leases.
+    /// `Cleared` is sent in the name of a host, without regard to the leases that this host uses.
     ClearedByThirdHost,
-    /// Messages count as messages of their sender's present incarnation.
+    /// A message is taken for one of its sender's present incarnation.
     IncarnationsMixedUp,
     /// A clock loses more than the margin.
     SlowClock,
-    /// The lender counts the duration from the request, and not from its grant.
+    /// The lender counts the duration from the request instead of from the grant.
     CountsFromRequest,
-    /// A release is sent before the borrower has dropped the lease.
+    /// A release arrives although the borrower has not dropped the lease.
     ReleasedTooEarly,
-    /// One grant counts as the answer to another request as well.
+    /// A grant is also taken for the answer to other requests.
     GrantsMixedUp,
-    /// The third host begins before the first two hosts have followed.
+    /// The third host joins before the first two have applied the new set of sharers.
     JoinsTooEarly,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Host {
+    /// `None` if the host has not joined yet.
     leases: Option<QuotaLeases>,
+    /// The host's clock, in ticks.
     clock: u64,
     incarnation: u64,
-    slips: u8,
-    follows: bool,
+    /// The number of ticks that the clock has lost.
+    lost_ticks: u8,
+    /// The host knows that the third host shares the limit.
+    knows_new_sharer: bool,
 }
 
 impl Host {
@@ -80,20 +84,24 @@
     }
 }
 
+/// A state of the model.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct World {
+    /// The true time, in ticks.
     time: u64,
     hosts: Vec<Host>,
-    /// Receivers and what they receive.
+    /// The messages in flight, with their receivers.
     in_flight: Vec<(usize, ReceivedLeaseMessage)>,
+    /// The number of restarts, lost or duplicated messages and lost ticks so far.
     mishaps: u8,
+    /// The third host has yet to join.
     joining: bool,
-    /// Hosts that have had their round in this tick.
+    /// Whether each host has run its round in this tick.
     had_round: Vec<bool>,
 }
 
 impl World {
-    /// Returns a message in flight, and removes it unless it is duplicated.
+    /// Returns a message in flight, and removes it unless it will arrive again.
     fn take_message(&mut self, at: usize, duplicated: bool) -> (usize, ReceivedLeaseMessage) {
         let message = self.in_flight[at];
         if !duplicated {
@@ -112,14 +120,14 @@
     }
 }
 
-/// The worlds that follow from one world.
+/// The states that can follow one state.
 struct Successors<'a> {
     world: &'a World,
     found: Vec<World>,
 }
 
 impl Successors<'_> {
-    /// Adds the world after a change, if the world differs.
+    /// Adds the state after a change if it differs from the present one.
     fn add(&mut self, change: impl FnOnce(&mut World)) {
         let mut next = self.world.clone();
         change(&mut next);
@@ -128,7 +136,7 @@
         }
     }
 
-    /// Adds the world after a mishap.
+    /// Adds the state after a mishap.
     fn add_mishap(&mut self, change: impl FnOnce(&mut World)) {
         self.add(|next| {
             next.mishaps += 1;
@@ -137,18 +145,21 @@
     }
 }
 
+/// The parameters of one exploration.
 struct Model {
     fault: Fault,
     hosts: usize,
+    /// The last tick that is explored.
     end: u64,
     max_mishaps: u8,
+    /// The third host joins during the exploration.
     joins: bool,
 }
 
 impl Model {
     fn start(&self) -> World {
         let sharer_count = if self.joins { 2 } else { self.hosts };
-        // Clocks begin apart, far enough from zero that no host's start is near it.
+        // The clocks differ, and are far enough from zero that all start times are positive.
         let host = |index: usize| Host {
             leases: (index < sharer_count).then(|| {
                 let started_at = ticks(90 + 3 * index as u64);
@@ -162,8 +173,8 @@
             }),
             clock: 100 + 3 * index as u64,
             incarnation: 1,
-            slips: 0,
-            follows: false,
+            lost_ticks: 0,
+            knows_new_sharer: false,
         };
         let hosts = (0..self.hosts).map(host).collect();
         World {
@@ -176,8 +187,8 @@
         }
     }
 
-    /// Returns the demand of a host. The demand moves from the first host to the second at half
-    /// time.
+    /// Returns the demand of a host. In the first half only the first host has a demand, in the second half
+    /// only the others.
     fn demand(&self, world: &World, host: usize) -> u32 {
         let first_half = world.time < self.end / 2;
         if (host == 0) == first_half {
@@ -261,24 +272,27 @@
             }
         }
         let now = world.hosts[index].now();
-        let leases = world.hosts[index].leases.as_mut().expect("alive");
+        let leases = world.hosts[index]
+            .leases
+            .as_mut()
+            .expect("only a host that has joined runs rounds");
         leases.set_demand(demand);
         let messages = leases.run_round(now, &lenders);
         self.send(world, index, messages);
     }
 
-    /// Restarts a host before any clock moves, which is the worst time.
+    /// Restarts a host without memory. No clock advances during the restart, which is the worst case.
     fn restart(&self, world: &mut World, index: usize) {
         let host = &mut world.hosts[index];
         let sharer_count = host.sharer_count().unwrap_or(self.hosts);
         host.incarnation += 1;
-        let skipped = if self.fault == Fault::SkipsRecovery {
+        let skipped_ticks = if self.fault == Fault::SkipsRecovery {
             LONG_AGO
         } else {
             0
         };
         host.leases = Some(QuotaLeases::new(
-            ticks(host.clock - skipped),
+            ticks(host.clock - skipped_ticks),
             HostNumber(index as u32),
             Incarnation(host.incarnation),
             TERMS,
@@ -294,11 +308,11 @@
         let mishaps_left = world.mishaps < self.max_mishaps;
         self.add_deliveries(&mut successors, mishaps_left);
         for host in 0..self.hosts {
-            let alive = world.hosts[host].leases.is_some();
-            if alive && !world.had_round[host] {
+            let has_joined = world.hosts[host].leases.is_some();
+            if has_joined && !world.had_round[host] {
                 successors.add(|next| self.run_round(next, host));
             }
-            if mishaps_left && alive {
+            if mishaps_left && has_joined {
                 successors.add_mishap(|next| self.restart(next, host));
             }
         }
@@ -311,7 +325,7 @@
         successors.found
     }
 
-    /// Adds the worlds in which a message arrives once, twice, or never.
+    /// Adds the states after a message arrives, arrives and stays in flight, or is lost.
     fn add_deliveries(&self, successors: &mut Successors, mishaps_left: bool) {
         for at in 0..successors.world.in_flight.len() {
             successors.add(|next| self.deliver(next, at, false));
@@ -324,18 +338,21 @@
         }
     }
 
-    /// Adds the worlds in which one of the first two hosts follows, or the third host joins.
+    /// Adds the states after one of the first two hosts applies the new set of sharers, or the third host
+    /// joins.
     fn add_joins(&self, successors: &mut Successors) {
         for host in 0..2 {
             successors.add(|next| {
-                next.hosts[host].follows = true;
+                next.hosts[host].knows_new_sharer = true;
                 if let Some(leases) = &mut next.hosts[host].leases {
                     leases.set_sharers(sharers(3));
                 }
             });
         }
-        let both_follow = successors.world.hosts[..2].iter().all(|host| host.follows);
-        if both_follow || self.fault == Fault::JoinsTooEarly {
+        let both_know = successors.world.hosts[..2]
+            .iter()
+            .all(|host| host.knows_new_sharer);
+        if both_know || self.fault == Fault::JoinsTooEarly {
             successors.add(|next| {
                 next.joining = false;
                 let now = next.hosts[2].now();
@@ -350,7 +367,7 @@
         }
     }
 
-    /// Adds the worlds in which all clocks move, or all clocks but one.
+    /// Adds the states after a tick in which all clocks advance, or all clocks but one.
     fn add_ticks(&self, successors: &mut Successors, mishaps_left: bool) {
         successors.add(|next| {
             next.tick();
@@ -359,15 +376,15 @@
             }
         });
         let is_slow = self.fault == Fault::SlowClock;
-        let max_slips = if is_slow { 3 } else { 1 };
+        let max_lost_ticks = if is_slow { 3 } else { 1 };
         for slow in 0..self.hosts {
-            if successors.world.hosts[slow].slips >= max_slips || !mishaps_left {
+            if successors.world.hosts[slow].lost_ticks >= max_lost_ticks || !mishaps_left {
                 continue;
             }
             successors.add(|next| {
                 next.tick();
                 next.mishaps += u8::from(!is_slow);
-                next.hosts[slow].slips += 1;
+                next.hosts[slow].lost_ticks += 1;
                 for (index, host) in next.hosts.iter_mut().enumerate() {
                     host.clock += u64::from(index != slow);
                 }
@@ -398,7 +415,7 @@
     }
 }
 
-/// Handles a grant as the answer to the requests before and after its own as well.
+/// Also handles a grant as the answer to the requests before and after its own.
 fn grant_other_requests(leases: &mut QuotaLeases, now: Duration, received: ReceivedLeaseMessage) {
     let LeaseMessage::Grant {
         request,
@@ -432,7 +449,7 @@
         (2, 4, 2, false),
         (3, 4, 1, true),
     ] {
-        let (visited, broken) = Model {
+        let (visited, violation) = Model {
             fault: Fault::None,
             hosts,
             end,
@@ -449,13 +466,16 @@
             "{hosts} hosts, {end} ticks, {max_mishaps} mishaps, joins {joins}: \
              {which} {visited} states"
         );
-        assert!(visited > 1_000, "{visited} states are no exploration");
-        assert!(broken.is_none(), "{broken:#?}");
+        assert!(
+            visited > 1_000,
+            "only {visited} states were visited, expected more than 1000"
+        );
+        assert!(violation.is_none(), "{violation:#?}");
     }
 }
 
 #[test]
-fn injected_faults_are_found() {
+fn every_injected_fault_lets_the_quotas_exceed_the_limit() {
     let faults = [
         Fault::SkipsRecovery,
         Fault::ClearedByThirdHost,
@@ -468,7 +488,7 @@
     ];
     for fault in faults {
         let joins = fault == Fault::JoinsTooEarly;
-        let (visited, broken) = Model {
+        let (visited, violation) = Model {
             fault,
             hosts: if joins { 3 } else { 2 },
             end: 6,
@@ -478,8 +498,8 @@
         .explore(8 * MAX_STATES);
         println!("{fault:?}: after {visited} states");
         assert!(
-            broken.is_some(),
-            "{fault:?} is not found in {visited} states"
+            violation.is_some(),
+            "{fault:?} does not violate the limit in {visited} states"
         );
     }
 }
--- a/crates/coordination/tests/simulation/mod.rs
+++ b/crates/coordination/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet in one process: hosts, nodes, and a network that delays, loses and duplicates
+//! A simulation of a fleet in one process: hosts, nodes, and a network that delays, loses and duplicates
 //! messages.
 
 use crate::common::ms;
@@ -23,56 +23,58 @@
 const VOLUME: u64 = 7;
 /// The limit of the volume, in units a second.
 pub const LIMIT: f64 = 1000.0;
-/// The greatest delay of a message in milliseconds, without loss.
+/// The upper bound of a message's delay in milliseconds if `World::loss` is 0.
 const MAX_DELAY_MS: u64 = 5;
-/// The greatest delay of a message in milliseconds, with loss.
+/// The upper bound of a message's delay in milliseconds if messages can be lost.
 const MAX_DELAY_WITH_LOSS_MS: u64 = 400;
 
-/// One host of the simulation.
+/// A simulated host.
 pub struct Host {
     pub coordinator: Coordinator,
     incarnation: u64,
     inbox: Vec<(HostNumber, Vec<u8>)>,
-    /// The end of its process's pause.
+    /// Until then the host's process is paused.
     pub paused_until: Duration,
-    /// Its quota as a multiple of its base quota.
+    /// The host's quota as a multiple of its base quota.
     pub quota: f64,
-    /// The nodes that it avoids.
+    /// The nodes that the host avoids.
     pub avoided: BTreeSet<u32>,
-    /// Nodes that some host has ever reported to it as bad. A host that avoids nodes on every
-    /// report would avoid all of them.
+    /// The nodes that any host has ever reported to this host as bad. A host that avoided nodes on every
+    /// report would have avoided all of them.
     pub reported_bad: BTreeSet<u32>,
-    /// The demand of its clients, in units a second.
+    /// The demand of the host's clients, in units a second.
     pub demand: f64,
 }
 
+/// A message in flight.
 struct InFlight {
     from: HostNumber,
     to: usize,
     bytes: Vec<u8>,
 }
 
+/// The simulated fleet with its network.
 pub struct World {
     pub now: Duration,
     pub rng: Pcg64Mcg,
     pub hosts: Vec<Host>,
-    /// The nodes with the starts of their processes.
+    /// The nodes, with the start of each node's process.
     nodes: BTreeMap<u32, u64>,
-    /// The rate of each host's attempts, in attempts a second.
+    /// The number of attempts of each host a second.
     attempt_rate: f64,
-    /// Messages by arrival time and number.
+    /// The messages in flight, by arrival time and number.
     in_flight: BTreeMap<(Duration, u64), InFlight>,
-    /// Number of messages so far.
+    /// The number of messages that were sent so far.
     pub sent: u64,
-    /// Bytes of these messages.
+    /// The bytes of these messages.
     pub sent_bytes: u64,
-    /// Pairs of hosts: the first host does not reach the second.
+    /// Pairs of hosts of which the first cannot reach the second.
     pub cut: BTreeSet<(usize, usize)>,
-    /// The chance that a message is lost, and the chance that it is duplicated.
+    /// The probability that a message is lost, and the probability that it is duplicated.
     pub loss: f64,
-    /// Nodes that no host reaches.
+    /// The nodes that no host can reach.
     pub dead: BTreeSet<u32>,
-    /// Pairs of a host and a node that the host does not reach.
+    /// Pairs of a host and a node that the host cannot reach.
     pub unreached: BTreeSet<(usize, u32)>,
 }
 
@@ -132,7 +134,7 @@
         let messages = host.step(self.now, events);
         assert!(
             messages.is_empty(),
-            "no host is sent anything before the first round"
+            "a host must not send messages before its first round"
         );
         host
     }
@@ -166,8 +168,7 @@
         }
     }
 
-    /// Returns the events of a host in a tick: messages arrive, attempts end, and clients send
-    /// requests.
+    /// Returns the events of a host in a tick: received messages, ended attempts, and requested units.
     fn events_of(&mut self, index: usize) -> Vec<Event> {
         let mut events = Vec::new();
         for (from, bytes) in std::mem::take(&mut self.hosts[index].inbox) {
@@ -178,8 +179,8 @@
             });
         }
         let attempts = self.attempt_rate * TICK.as_secs_f64();
-        let one_more = self.rng.random::<f64>() < attempts.fract();
-        for _ in 0..attempts as usize + usize::from(one_more) {
+        let rounds_up = self.rng.random::<f64>() < attempts.fract();
+        for _ in 0..attempts as usize + usize::from(rounds_up) {
             let node = self.rng.random_range(0..self.nodes.len() as u32);
             if !self.hosts[index].avoided.contains(&node) {
                 let bad = self.dead.contains(&node) || self.unreached.contains(&(index, node));
@@ -220,7 +221,7 @@
         }
     }
 
-    /// Runs for a time span, and asserts in each tick that the quotas stay within the limit.
+    /// Runs for a time span, and checks in each tick that the quotas do not exceed the limit.
     pub fn run(&mut self, span: Duration) {
         let until = self.now + span;
         while self.now < until {
@@ -229,8 +230,8 @@
         }
     }
 
-    /// Returns the sum of all quotas as a fraction of the limit. Paused hosts are left out: they
-    /// send nothing, and drop expired leases before anything else when they continue.
+    /// Returns the sum of the quotas as a fraction of the limit. Paused hosts are left out, since they serve
+    /// nothing, and drop expired leases before anything else when they continue.
     pub fn sum_of_quotas(&self) -> f64 {
         let running = self
             .hosts
@@ -243,12 +244,13 @@
         let quotas = self.sum_of_quotas();
         assert!(
             quotas <= 1.0 + 1e-6,
-            "quotas of {quotas} of the limit at {:?}",
+            "the quotas add up to {quotas} times the limit at {:?}",
             self.now
         );
     }
 
-    /// Restarts a host without its memory. Its clock may have gone back.
+    /// Restarts a host without memory. Its incarnation may be the same as before, as if its clock had gone
+    /// back.
     pub fn restart(&mut self, index: usize) {
         let incarnation = self.hosts[index].incarnation + self.rng.random_range(0..2);
         let demand = self.hosts[index].demand;
@@ -271,7 +273,7 @@
 }
 
 impl Host {
-    /// Passes events to the host, and returns the messages that it sends.
+    /// Passes events to the host's coordinator, and returns the messages that it sends.
     fn step(&mut self, now: Duration, events: Vec<Event>) -> Vec<(HostNumber, Vec<u8>)> {
         let mut messages = Vec::new();
         for action in self.coordinator.step(now, events) {
@@ -291,7 +293,7 @@
         messages
     }
 
-    /// Returns the nodes that some host finds bad, as far as this host knows.
+    /// Returns the nodes that any host finds bad, as far as this host knows.
     pub fn nodes_found_bad(&self) -> impl Iterator<Item = u32> {
         let policies = self.coordinator.policies().into_iter();
         policies
