--- a/crates/coordination/src/attempts.rs
+++ b/crates/coordination/src/attempts.rs
@@ -83,8 +83,8 @@
         Some(Observation {
             node,
             start,
-            sent: counts.good.saturating_add(counts.bad),
-            bad: counts.bad,
+            attempts: counts.good.saturating_add(counts.bad),
+            failed: counts.bad,
             age: now.saturating_sub(counts.last_ended),
             contradicts_ejection: counts.bad == 0 && answers_ejected,
         })
--- a/crates/coordination/src/borrowed_leases.rs
+++ b/crates/coordination/src/borrowed_leases.rs
@@ -40,16 +40,21 @@
     pub message: LeaseMessage,
 }
 
+/// A borrowed lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct BorrowedLease {
     lender: HostNumber,
+    /// The amount, in fractions of [`crate::lease_message::FULL_LIMIT`].
     amount: u32,
+    /// When the lease expires for the borrower.
     until: Duration,
 }
 
+/// A request that waits for an answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct PendingRequest {
     lender: HostNumber,
+    /// The number of the new or renewed lease.
     lease: u64,
     sent_at: Duration,
 }
--- a/crates/coordination/src/coordinator.rs
+++ b/crates/coordination/src/coordinator.rs
@@ -270,13 +270,13 @@
     /// Returns this host's report.
     fn own_report(&self, now: Duration) -> HostReport {
         let mut observations: Vec<Observation> = self.attempts.observations(now).collect();
-        let tried = observations.len() as u32;
-        let bad = observations.iter().filter(|seen| seen.is_bad()).count() as u32;
-        observations.sort_by_key(|seen| (self.report_rank(seen), Reverse(seen.sent)));
+        let nodes_tried = observations.len() as u32;
+        let bad_nodes = observations.iter().filter(|seen| seen.is_bad()).count() as u32;
+        observations.sort_by_key(|seen| (self.report_rank(seen), Reverse(seen.attempts)));
         observations.truncate(MAX_REPORT_ITEMS);
         HostReport {
-            tried,
-            bad,
+            nodes_tried,
+            bad_nodes,
             observations,
             offers: self.quotas.offers(now),
             served: self.served.busiest(),
@@ -386,8 +386,8 @@
                 host: known.host,
                 incarnation: known.version.incarnation,
                 age: known.age,
-                tried: known.report.tried,
-                bad: known.report.bad,
+                tried: known.report.nodes_tried,
+                bad: known.report.bad_nodes,
             })
             .collect()
     }
--- a/crates/coordination/src/ejections.rs
+++ b/crates/coordination/src/ejections.rs
@@ -23,11 +23,12 @@
 /// bad node; fewer delay the end of its ejection.
 pub const PROBERS: f64 = 2.0;
 /// How long an ejection lasts without a trusted verdict. A shorter time ends ejections when gossip is
-/// slow; with a longer one a host that is cut off from its peers does not use the nodes again for longer.
+/// slow; with a longer one a host that is cut off from its peers avoids the nodes for longer.
 pub const EJECTION_TIMEOUT: Duration = Duration::from_secs(5);
 /// The minimum time between two such decisions, as a fraction of [`PROBE_INTERVAL`].
 const MIN_TURN_FRACTION: f64 = 0.5;
 
+/// The ejection of one node.
 #[derive(Debug, Clone)]
 struct Ejection {
     /// The start of the node's process.
@@ -109,7 +110,9 @@
 /// Whether this host probes a node, until the next random decision.
 #[derive(Debug, Clone, Copy)]
 struct ProbeTurn {
+    /// When the next random decision is due.
     until: Duration,
+    /// Whether this host probes the node in this turn.
     probes: bool,
 }
 
--- a/crates/coordination/src/evidence.rs
+++ b/crates/coordination/src/evidence.rs
@@ -147,7 +147,7 @@
     let age = evidence.observation.age.as_secs_f64();
     let freshness = 1.0 - age / EVIDENCE_WINDOW.as_secs_f64();
     let health = health.get(&evidence.observer).copied().unwrap_or(1.0);
-    f64::from(evidence.observation.sent).min(MAX_WEIGHT) * freshness * health
+    f64::from(evidence.observation.attempts).min(MAX_WEIGHT) * freshness * health
 }
 
 fn last_observed<'a>(
--- a/crates/coordination/src/gossip_codec/decode.rs
+++ b/crates/coordination/src/gossip_codec/decode.rs
@@ -2,7 +2,7 @@
 
 use super::error::GossipDecodeError;
 use super::wire::{
-    WireEntry, WireSay, WireSight, KIND_CLEARED, KIND_GRANT, KIND_RECOVERED, KIND_RELEASE,
+    WireEntry, WireSay, WireSight, KIND_CLEARED, KIND_GRANT, KIND_RECOVERING, KIND_RELEASE,
     KIND_REQUEST, MAX_AGE_MS, MAX_COUNT, MAX_INCARNATION,
 };
 use crate::gossip_message::{VolumeLeaseMessage, MAX_REPORT_ITEMS};
@@ -50,8 +50,8 @@
         units: served.units,
     });
     let report = HostReport {
-        tried: wire.tried,
-        bad: wire.badly,
+        nodes_tried: wire.tried,
+        bad_nodes: wire.badly,
         observations: observations.collect(),
         offers: offers.collect(),
         served: served.collect(),
@@ -90,8 +90,8 @@
     Observation {
         node: wire.node,
         start: wire.start,
-        sent: wire.sent,
-        bad: wire.bad,
+        attempts: wire.sent,
+        failed: wire.bad,
         age: Duration::from_millis(u64::from(wire.ago_ms)),
         contradicts_ejection: wire.clears,
     }
@@ -128,9 +128,9 @@
         },
         KIND_RELEASE => LeaseMessage::Release { lease: wire.loan },
         KIND_CLEARED => LeaseMessage::Cleared {
-            recovered_incarnation: decode_incarnation(wire.number)?,
+            recovering_incarnation: decode_incarnation(wire.number)?,
         },
-        KIND_RECOVERED => LeaseMessage::Recovered,
+        KIND_RECOVERING => LeaseMessage::Recovering,
         kind => {
             return Err(GossipDecodeError::LeaseKind {
                 volume: wire.volume,
--- a/crates/coordination/src/gossip_codec/encode.rs
+++ b/crates/coordination/src/gossip_codec/encode.rs
@@ -1,8 +1,8 @@
 //! Encodes the parts of a gossip message.
 
 use super::wire::{
-    WireEntry, WireOffer, WireSay, WireServed, WireSight, KIND_CLEARED, KIND_GRANT, KIND_RECOVERED,
-    KIND_RELEASE, KIND_REQUEST,
+    WireEntry, WireOffer, WireSay, WireServed, WireSight, KIND_CLEARED, KIND_GRANT,
+    KIND_RECOVERING, KIND_RELEASE, KIND_REQUEST,
 };
 use crate::gossip_message::VolumeLeaseMessage;
 use crate::host_report::{GossipEntry, Observation};
@@ -24,8 +24,8 @@
         incarnation: entry.version.incarnation.0,
         count: entry.version.count,
         age_ms: entry.age.as_millis() as u64,
-        tried: report.tried,
-        badly: report.bad,
+        tried: report.nodes_tried,
+        badly: report.bad_nodes,
         sights: report.observations.iter().map(encode_observation).collect(),
         offers: offers.collect(),
         served: served.collect(),
@@ -37,8 +37,8 @@
     WireSight {
         node: observation.node,
         start: observation.start,
-        sent: observation.sent,
-        bad: observation.bad,
+        sent: observation.attempts,
+        bad: observation.failed,
         ago_ms: ago_ms as u32,
         clears: observation.contradicts_ejection,
     }
@@ -80,14 +80,14 @@
             ..empty
         },
         LeaseMessage::Cleared {
-            recovered_incarnation,
+            recovering_incarnation,
         } => WireSay {
             kind: KIND_CLEARED,
-            number: recovered_incarnation.0,
+            number: recovering_incarnation.0,
             ..empty
         },
-        LeaseMessage::Recovered => WireSay {
-            kind: KIND_RECOVERED,
+        LeaseMessage::Recovering => WireSay {
+            kind: KIND_RECOVERING,
             ..empty
         },
     }
--- a/crates/coordination/src/gossip_codec/error.rs
+++ b/crates/coordination/src/gossip_codec/error.rs
@@ -1,6 +1,6 @@
 //! The errors of the gossip decoder.
 
-use super::wire::{FORMAT, KIND_RECOVERED, KIND_REQUEST, MAX_AGE_MS, MAX_COUNT, MAX_INCARNATION};
+use super::wire::{FORMAT, KIND_RECOVERING, KIND_REQUEST, MAX_AGE_MS, MAX_COUNT, MAX_INCARNATION};
 use crate::gossip_message::MAX_BYTES;
 use crate::lease_message::FULL_LIMIT;
 
@@ -82,7 +82,7 @@
     /// A lease message has an unknown kind.
     #[error(
         "volume {volume}: lease message of unknown kind {kind}, expected {KIND_REQUEST} to \
-         {KIND_RECOVERED}"
+         {KIND_RECOVERING}"
     )]
     LeaseKind {
         /// The volume's number.
--- a/crates/coordination/src/gossip_codec/wire.rs
+++ b/crates/coordination/src/gossip_codec/wire.rs
@@ -21,8 +21,8 @@
 pub(super) const KIND_RELEASE: u32 = 3;
 /// `WireSay::kind` of [`crate::lease_message::LeaseMessage::Cleared`].
 pub(super) const KIND_CLEARED: u32 = 4;
-/// `WireSay::kind` of [`crate::lease_message::LeaseMessage::Recovered`].
-pub(super) const KIND_RECOVERED: u32 = 5;
+/// `WireSay::kind` of [`crate::lease_message::LeaseMessage::Recovering`].
+pub(super) const KIND_RECOVERING: u32 = 5;
 
 // The error text of `GossipDecodeError::Malformed`, which operators read in the log, contains the names of
 // these messages and of their fields. The names therefore must not change.
@@ -94,7 +94,7 @@
     pub(super) sharers: u32,
     #[prost(uint32, tag = "3")]
     pub(super) kind: u32,
-    /// The request number of a request or grant, or the recovered incarnation of `Cleared`.
+    /// The request number of a request or grant, or the recovering incarnation of `Cleared`.
     #[prost(uint64, tag = "4")]
     pub(super) number: u64,
     /// The lease number of a request or release, or the borrower's incarnation of a grant.
--- a/crates/coordination/src/host_report.rs
+++ b/crates/coordination/src/host_report.rs
@@ -24,9 +24,9 @@
     /// The start of the node's process, from the endpoint list.
     pub start: u64,
     /// The number of attempts that were sent.
-    pub sent: u32,
-    /// The number of failed attempts; at most `sent`.
-    pub bad: u32,
+    pub attempts: u32,
+    /// The number of failed attempts; at most `attempts`.
+    pub failed: u32,
     /// The time between the end of the last attempt and the writing of the observation.
     pub age: Duration,
     /// The node is ejected but answers this host.
@@ -37,12 +37,12 @@
     /// Returns whether the observation is evidence against the node. A node that is only slow or
     /// overloaded still answers and is not bad.
     pub fn is_bad(&self) -> bool {
-        self.bad * 2 > self.sent
+        self.failed * 2 > self.attempts
     }
 
     /// Returns whether the observation is evidence for the node. It may be neither good nor bad.
     pub fn is_good(&self) -> bool {
-        self.sent > self.bad && self.bad * 4 <= self.sent
+        self.attempts > self.failed && self.failed * 4 <= self.attempts
     }
 
     /// Returns whether peers should receive the observation at once.
@@ -94,9 +94,9 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct HostReport {
     /// The number of nodes to which the host sent attempts in the last seconds.
-    pub tried: u32,
+    pub nodes_tried: u32,
     /// The number of these nodes that the host finds bad.
-    pub bad: u32,
+    pub bad_nodes: u32,
     /// The host's observations of nodes; only the most important ones if there are too many.
     pub observations: Vec<Observation>,
     /// The amounts that the host could lease to others.
--- a/crates/coordination/src/lease_message.rs
+++ b/crates/coordination/src/lease_message.rs
@@ -49,14 +49,14 @@
         /// The number of the lease.
         lease: u64,
     },
-    /// Answers `Recovered`: the sender uses no lease that an earlier incarnation of the receiver granted.
+    /// Answers `Recovering`: the sender uses no lease that an earlier incarnation of the receiver granted.
     Cleared {
-        /// The incarnation of the receiver that sent `Recovered`.
-        recovered_incarnation: Incarnation,
+        /// The incarnation of the receiver that sent `Recovering`.
+        recovering_incarnation: Incarnation,
     },
     /// The sender has restarted and does not know its granted leases. The receiver must drop the leases that
     /// earlier incarnations of the sender granted, and answer with `Cleared`.
-    Recovered,
+    Recovering,
 }
 
 /// A lease message, with its sender and the sender's number of sharers.
--- a/crates/coordination/src/outlier_detection.rs
+++ b/crates/coordination/src/outlier_detection.rs
@@ -43,7 +43,7 @@
 const EJECTION_WEIGHT_RATIO: f64 = 2.0;
 /// The number of this host's own failed attempts from which it considers its path to a node bad. A
 /// larger number detects a bad path later; with a smaller one a single failure counts as a bad path.
-const MIN_OWN_BAD: u32 = 2;
+const MIN_OWN_FAILED: u32 = 2;
 
 /// The conclusion from all hosts' evidence on a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -264,7 +264,7 @@
                 EndpointPolicy::Avoid
             };
         }
-        let own_is_bad = own.is_some_and(|own| own.is_bad() && own.bad >= MIN_OWN_BAD);
+        let own_is_bad = own.is_some_and(|own| own.is_bad() && own.failed >= MIN_OWN_FAILED);
         let verdict = self.findings.get(&node).map(|finding| finding.verdict);
         let others_reach_it = matches!(verdict, Some(Verdict::Healthy | Verdict::Split));
         if own_is_bad && others_reach_it {
--- a/crates/coordination/src/quota_lease.rs
+++ b/crates/coordination/src/quota_lease.rs
@@ -256,16 +256,16 @@
             lease,
         };
         match received.message {
-            LeaseMessage::Recovered => {
+            LeaseMessage::Recovering => {
                 self.borrowed.drop_from(from);
                 Some(LeaseMessage::Cleared {
-                    recovered_incarnation: received.incarnation,
+                    recovering_incarnation: received.incarnation,
                 })
             }
             LeaseMessage::Cleared {
-                recovered_incarnation,
+                recovering_incarnation,
             } => {
-                if recovered_incarnation == self.incarnation {
+                if recovering_incarnation == self.incarnation {
                     self.cleared.insert(from);
                 }
                 None
@@ -361,7 +361,7 @@
             let uncleared = self.uncleared().take(MAX_LEASES);
             out.extend(uncleared.map(|to| OutgoingLeaseMessage {
                 to,
-                message: LeaseMessage::Recovered,
+                message: LeaseMessage::Recovering,
             }));
         }
         let quota = self.quota(now);
--- a/crates/coordination/src/report_store.rs
+++ b/crates/coordination/src/report_store.rs
@@ -99,7 +99,8 @@
         if before.is_some_and(|before| before.version >= entry.version) {
             return MergedEntry::Outdated;
         }
-        // An entry is a rumor if it has an urgent observation that the one before did not have.
+        // An entry is a rumor if it has an urgent observation that the one before did not have. A report
+        // that repeats or drops observations therefore starts no rumor.
         let is_rumor = before.is_none_or(|before| {
             let urgent = entry.report.urgent();
             !urgent.is_subset(&before.report.urgent())
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -20,12 +20,12 @@
 }
 
 /// Returns a fresh observation of the node's process with start 1.
-pub fn observation(node: u32, sent: u32, bad: u32) -> Observation {
+pub fn observation(node: u32, attempts: u32, failed: u32) -> Observation {
     Observation {
         node,
         start: 1,
-        sent,
-        bad,
+        attempts,
+        failed,
         age: ms(0),
         contradicts_ejection: false,
     }
--- a/crates/coordination/tests/gossip_codec.rs
+++ b/crates/coordination/tests/gossip_codec.rs
@@ -21,8 +21,8 @@
 
 fn entry() -> GossipEntry {
     let report = HostReport {
-        tried: 3,
-        bad: 1,
+        nodes_tried: 3,
+        bad_nodes: 1,
         observations: vec![observation(4, 9, 2)],
         offers: vec![LeaseOffer {
             volume: 7,
@@ -68,7 +68,7 @@
         amount: 3,
     };
     let cleared = LeaseMessage::Cleared {
-        recovered_incarnation: Incarnation(6),
+        recovering_incarnation: Incarnation(6),
     };
     GossipMessage {
         incarnation: Incarnation(9),
@@ -79,7 +79,7 @@
             volume_message(7, 3, grant),
             volume_message(7, 3, LeaseMessage::Release { lease: 2 }),
             volume_message(7, 3, cleared),
-            volume_message(8, 2, LeaseMessage::Recovered),
+            volume_message(8, 2, LeaseMessage::Recovering),
         ],
     }
 }
@@ -122,7 +122,7 @@
             "entry of host 5: count",
         ),
         (
-            &|m| m.entries[0].report.observations[0].bad = 10,
+            &|m| m.entries[0].report.observations[0].failed = 10,
             "entry of host 5: more failed attempts than attempts sent",
         ),
         (
--- a/crates/coordination/tests/gossip_state.rs
+++ b/crates/coordination/tests/gossip_state.rs
@@ -24,9 +24,9 @@
     )
 }
 
-fn entry(writer: u32, incarnation: u64, count: u64, age: Duration, sent: u32) -> GossipEntry {
+fn entry(writer: u32, incarnation: u64, count: u64, age: Duration, attempts: u32) -> GossipEntry {
     let report = HostReport {
-        observations: vec![observation(1, sent, 0)],
+        observations: vec![observation(1, attempts, 0)],
         ..HostReport::default()
     };
     GossipEntry {
@@ -53,8 +53,8 @@
 
 #[test]
 fn the_larger_version_is_stored_in_any_order_of_arrival() {
-    // Each case lists received entries as (incarnation, count, age in ms, sent), and `sent` of the entry
-    // that is stored after all of them.
+    // Each case lists received entries as (incarnation, count, age in ms, attempts), and the attempts
+    // of the entry that is stored after all of them.
     type Case<'a> = (&'a [(u64, u64, u64, u32)], u32);
     let cases: [Case; 5] = [
         (&[(1, 1, 0, 5), (1, 2, 0, 6)], 6),
@@ -65,13 +65,13 @@
     ];
     for (received, stored) in cases {
         let mut state = gossip_state(3);
-        for (incarnation, count, age, sent) in received {
-            let entry = entry(1, *incarnation, *count, ms(*age), *sent);
+        for (incarnation, count, age, attempts) in received {
+            let entry = entry(1, *incarnation, *count, ms(*age), *attempts);
             handle_entry(&mut state, NOW, entry);
         }
         let reports = state.reports(NOW);
         let all: Vec<u32> = reports
-            .map(|known| known.report.observations[0].sent)
+            .map(|known| known.report.observations[0].attempts)
             .collect();
         assert_eq!(all, [stored], "{received:?}");
     }
--- a/crates/coordination/tests/outlier_detection.rs
+++ b/crates/coordination/tests/outlier_detection.rs
@@ -36,14 +36,14 @@
 }
 
 /// Returns the verdict on node 1 and the policy for it. `own` and `peers` are the observations of node 1 by
-/// this host and by its peers, as (sent, bad). Nodes 2 to 4 answer every host.
+/// this host and by its peers, as (attempts, failed). Nodes 2 to 4 answer every host.
 fn verdict_and_policy(
     own: Option<(u32, u32)>,
     peers: &[(u32, u32)],
     fleet_size: usize,
 ) -> (Verdict, EndpointPolicy) {
     let report = |of_node_1: Option<(u32, u32)>| {
-        let of_node_1 = of_node_1.map(|(sent, bad)| observation(1, sent, bad));
+        let of_node_1 = of_node_1.map(|(attempts, failed)| observation(1, attempts, failed));
         let of_others = (2..=4).map(|node| observation(node, 6, 0));
         HostReport {
             observations: of_node_1.into_iter().chain(of_others).collect(),
@@ -115,11 +115,11 @@
     }
 }
 
-/// Returns a report in which nodes 2 and 3 are good and `bad` of 5 attempts to node 1 have failed.
-fn report_of_node_1(bad: u32) -> HostReport {
+/// Returns a report in which nodes 2 and 3 are good and `failed` of 5 attempts to node 1 have failed.
+fn report_of_node_1(failed: u32) -> HostReport {
     HostReport {
         observations: vec![
-            observation(1, 5, bad),
+            observation(1, 5, failed),
             observation(2, 5, 0),
             observation(3, 5, 0),
         ],
@@ -200,8 +200,8 @@
 fn reports_of_peers_never_leave_a_host_without_nodes() {
     for (bad_nodes, avoided) in [(1, 1), (2, 2), (3, 0), (4, 0)] {
         let observations = (1..=4).map(|node| {
-            let bad = if node <= bad_nodes { 5 } else { 0 };
-            observation(node, 5, bad)
+            let failed = if node <= bad_nodes { 5 } else { 0 };
+            observation(node, 5, failed)
         });
         let report = HostReport {
             observations: observations.collect(),
--- a/crates/coordination/tests/quota_lease.rs
+++ b/crates/coordination/tests/quota_lease.rs
@@ -70,7 +70,7 @@
 
 fn cleared(incarnation: u64) -> LeaseMessage {
     LeaseMessage::Cleared {
-        recovered_incarnation: Incarnation(incarnation),
+        recovering_incarnation: Incarnation(incarnation),
     }
 }
 
@@ -178,7 +178,7 @@
     }
     // A message of an earlier incarnation arrives after one of a later incarnation.
     let mut b = leases(B, 2);
-    b.handle_message(s(10), received(A, 2, 2, LeaseMessage::Recovered));
+    b.handle_message(s(10), received(A, 2, 2, LeaseMessage::Recovering));
     assert!(b
         .handle_message(s(10), received(A, 1, 2, request))
         .is_empty());
@@ -201,8 +201,8 @@
     assert_eq!(
         sent,
         [
-            outgoing(A, LeaseMessage::Recovered),
-            outgoing(C, LeaseMessage::Recovered)
+            outgoing(A, LeaseMessage::Recovering),
+            outgoing(C, LeaseMessage::Recovering)
         ]
     );
     b.handle_message(s(10), received(A, 1, 3, cleared(5)));
@@ -220,7 +220,7 @@
     let mut a = leases(A, 2);
     let mut b = leases(B, 2);
     assert!(borrow(&mut a, &mut b, s(10)) > 0);
-    let out = a.handle_message(s(11), received(B, 2, 2, LeaseMessage::Recovered));
+    let out = a.handle_message(s(11), received(B, 2, 2, LeaseMessage::Recovering));
     assert_eq!(out, [outgoing(B, cleared(2))]);
     assert_eq!(a.quota(s(11)), FULL_LIMIT / 2);
 }
--- a/crates/coordination/tests/quota_lease_explorer.rs
+++ b/crates/coordination/tests/quota_lease_explorer.rs
@@ -92,7 +92,8 @@
     hosts: Vec<Host>,
     /// The messages in flight, with their receivers.
     in_flight: Vec<(usize, ReceivedLeaseMessage)>,
-    /// The number of restarts, lost or duplicated messages and lost ticks so far.
+    /// The number of restarts, lost or duplicated messages and lost ticks so far. Lost ticks do not count
+    /// under `Fault::SlowClock`.
     mishaps: u8,
     /// The third host has yet to join.
     joining: bool,
@@ -208,13 +209,13 @@
                 sharers,
                 message,
             };
-            if self.fault == Fault::ClearedByThirdHost && message == LeaseMessage::Recovered {
+            if self.fault == Fault::ClearedByThirdHost && message == LeaseMessage::Recovering {
                 let cleared = ReceivedLeaseMessage {
                     from: to,
                     incarnation: Incarnation(world.hosts[to.0 as usize].incarnation),
                     sharers,
                     message: LeaseMessage::Cleared {
-                        recovered_incarnation: incarnation,
+                        recovering_incarnation: incarnation,
                     },
                 };
                 world.in_flight.push((from, cleared));
