--- a/crates/coordination/src/gossip_codec/decode.rs
+++ b/crates/coordination/src/gossip_codec/decode.rs
@@ -1,8 +1,8 @@
-//! Decodes the parts of a gossip message, and checks their numbers.
+//! Decodes the parts of a gossip message and checks that their numbers are in range.
 
 use super::error::GossipDecodeError;
 use super::wire::{
-    WireEntry, WireSay, WireSight, KIND_CLEARED, KIND_GRANT, KIND_RECOVERED, KIND_RELEASE,
+    WireEntry, WireSay, WireSight, KIND_CLEARED, KIND_GRANT, KIND_RECOVERING, KIND_RELEASE,
     KIND_REQUEST, MAX_AGE_MS, MAX_COUNT, MAX_INCARNATION,
 };
 use crate::gossip_message::{VolumeLeaseMessage, MAX_REPORT_ITEMS};
@@ -13,7 +13,7 @@
 use crate::{HostNumber, Incarnation};
 use std::time::Duration;
 
-/// Returns an error if a list has more items than allowed.
+/// Returns an error if a list has more than `limit` items. The error names the `list`.
 pub(super) fn check_count(
     list: &'static str,
     count: usize,
@@ -25,7 +25,7 @@
     Ok(())
 }
 
-/// Returns an incarnation; an error if it is out of range.
+/// Decodes an incarnation; returns an error if it is out of range.
 pub(super) fn decode_incarnation(incarnation: u64) -> Result<Incarnation, GossipDecodeError> {
     if !(1..MAX_INCARNATION).contains(&incarnation) {
         return Err(GossipDecodeError::Incarnation { incarnation });
@@ -33,7 +33,7 @@
     Ok(Incarnation(incarnation))
 }
 
-/// Decodes a report with its version; returns an error if a number is out of range.
+/// Decodes a report and its version; returns an error if a number is out of range.
 pub(super) fn decode_entry(wire: WireEntry) -> Result<GossipEntry, GossipDecodeError> {
     let version = VersionStamp {
         incarnation: decode_incarnation(wire.incarnation)?,
@@ -50,8 +50,8 @@
         units: served.units,
     });
     let report = HostReport {
-        tried: wire.tried,
-        bad: wire.badly,
+        nodes_tried: wire.tried,
+        bad_nodes: wire.badly,
         observations: observations.collect(),
         offers: offers.collect(),
         served: served.collect(),
@@ -73,9 +73,9 @@
             age_ms: wire.age_ms,
         });
     }
-    check_count("sights", wire.sights.len(), MAX_REPORT_ITEMS)?;
-    check_count("offers", wire.offers.len(), MAX_REPORT_ITEMS)?;
-    check_count("served", wire.served.len(), MAX_REPORT_ITEMS)?;
+    check_count("observations", wire.sights.len(), MAX_REPORT_ITEMS)?;
+    check_count("lease offers", wire.offers.len(), MAX_REPORT_ITEMS)?;
+    check_count("served volumes", wire.served.len(), MAX_REPORT_ITEMS)?;
     let mut observations = wire.sights.iter();
     if wire.badly > wire.tried || observations.any(|observed| observed.bad > observed.sent) {
         return Err(GossipDecodeError::MoreBadThanSent { writer });
@@ -90,8 +90,8 @@
     Observation {
         node: wire.node,
         start: wire.start,
-        sent: wire.sent,
-        bad: wire.bad,
+        attempts: wire.sent,
+        failed: wire.bad,
         age: Duration::from_millis(u64::from(wire.ago_ms)),
         contradicts_ejection: wire.clears,
     }
@@ -128,9 +128,9 @@
         },
         KIND_RELEASE => LeaseMessage::Release { lease: wire.loan },
         KIND_CLEARED => LeaseMessage::Cleared {
-            recovered_incarnation: decode_incarnation(wire.number)?,
+            recovering_incarnation: decode_incarnation(wire.number)?,
         },
-        KIND_RECOVERED => LeaseMessage::Recovered,
+        KIND_RECOVERING => LeaseMessage::Recovering,
         kind => {
             return Err(GossipDecodeError::LeaseKind {
                 volume: wire.volume,
--- a/crates/coordination/tests/common/mod.rs
+++ b/crates/coordination/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Helpers that the tests of this package share.
-#![allow(dead_code)] // Each test file uses some of the helpers.
+//! Helpers shared by the tests of this package.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
 use grebecleat_coordination::host_report::Observation;
 use grebecleat_coordination::HostNumber;
@@ -14,18 +14,18 @@
     Duration::from_millis(milliseconds)
 }
 
-/// Returns the first hosts, which share a limit.
+/// Returns the first `count` hosts, as the sharers of a limit.
 pub fn sharers(count: usize) -> BTreeSet<HostNumber> {
     (0..count as u32).map(HostNumber).collect()
 }
 
-/// Returns a fresh observation of a node's first process.
-pub fn observation(node: u32, sent: u32, bad: u32) -> Observation {
+/// Returns a fresh observation of the node's process with start 1.
+pub fn observation(node: u32, attempts: u32, failed: u32) -> Observation {
     Observation {
         node,
         start: 1,
-        sent,
-        bad,
+        attempts,
+        failed,
         age: ms(0),
         contradicts_ejection: false,
     }
