--- a/crates/catalog/src/admission.rs
+++ b/crates/catalog/src/admission.rs
@@ -1,31 +1,32 @@
-//! Admission control: whether a change may land, by its effect on the reservations.
+//! Admission control: decides whether a change is admitted, by its effect on the reservations.
 //!
-//! The leader calls [`Admission::land`] with the catalog as the changes would leave it. The verdict
-//! has the objections, and the caller decides. Either the changes stay, or the catalog reverts them
-//! and the caller calls [`Admission::undo`]. No I/O. Each part of the state has one owner:
+//! The leader calls [`Admission::land`] with the catalog after the changes. The verdict lists the
+//! objections, and the caller decides whether to keep the changes. To discard them, the caller first
+//! reverts them in the catalog and then calls [`Admission::undo`]. This module performs no I/O. Each
+//! part of the state has one owner:
 //!
 //! - `SiteModel`: the site that the catalog describes, as an
 //!   [`IncrementalFlow`](crate::incremental_flow::IncrementalFlow) without the nodes that are being
 //!   drained;
-//! - `LossTable`: the shortfall with each node and zone out;
-//! - [`Admission`]: the nodes that hosts observe to be unavailable.
+//! - `OutageTable`: the shortfall during an outage of each node and of each zone;
+//! - [`Admission`]: the nodes that hosts report as unavailable.
 //!
-//! Memory: the flow, and one figure for each node and zone.
+//! Memory use is the flow, and one shortfall for each node and zone.
 //!
-//! An objection means that reservations which could be met can no longer be met, or that more of
-//! them cannot. A warning means the same for the case that any one node or any one zone is out. A
-//! shortfall that exists already is no objection to a change that does not increase it: otherwise a
-//! site could not be repaired step by step. Where no node's capacity is configured, the verdict
-//! states that the capacity is unknown, and nothing is evaluated.
+//! An objection means that the change increases the sum of reservations that cannot be met. A
+//! warning means the same for an outage of a single node or a single zone. A shortfall that exists
+//! before the change is no objection as long as the change does not increase it: otherwise a site
+//! could not be repaired step by step. If no node's capacity is configured, the verdict states that
+//! the capacity is unknown, and reservations are not evaluated.
 //!
-//! Any other unavailable node in the zone of a drain is an objection to that drain: a node that is
-//! being drained, is warming up, does not answer correctly or is gone
-//! ([`Admission::set_unavailable`]). A zone is a failure domain, and data is laid out so that a
-//! zone may lose one node and not two. Two operators who each see one drain must not together make
-//! it two. A queued drain is evaluated by reservations alone, as if it had started.
+//! A drain is objected to while any other node of its zone is unavailable: draining, warming up, not
+//! responding correctly, or removed ([`Admission::set_unavailable`]). A zone is a failure domain,
+//! and data is laid out so that a zone tolerates the loss of one node but not of two. Without this
+//! rule, two operators who each see only their own drain could together drain two nodes. A queued
+//! drain is evaluated by reservations alone, as if it had started.
 //!
-//! Losses are examined one by one, first those that share nodes with the changed subjects. The
-//! caller limits their number, and the verdict states how many were not examined.
+//! Outages are evaluated one by one, beginning with those that share nodes with the changed
+//! subjects. The caller limits their number, and the verdict states how many were not evaluated.
 
 mod losses;
 mod reasons;
@@ -38,21 +39,21 @@
 use crate::incremental_flow::Shortfall;
 use crate::planner::{check, Out, Site};
 use crate::records::{Drain, Name, Stage};
-use losses::LossTable;
+use losses::OutageTable;
 use site::SiteModel;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The admission control; see the module.
+/// The admission control. See the [module documentation](self).
 #[derive(Debug, Clone, Default)]
 pub struct Admission {
     site: SiteModel,
-    losses: LossTable,
-    /// Nodes that hosts observe to be unavailable.
+    losses: OutageTable,
+    /// Nodes that hosts report as unavailable.
     unavailable: BTreeMap<u32, ExclusionReason>,
 }
 
 impl Admission {
-    /// The admission control for the present state of a catalog. `spread`: see [`Site`].
+    /// Creates the admission control for the current state of a catalog. See [`Site`] for `spread`.
     pub fn open(catalog: &Catalog, spread: f64) -> Admission {
         let mut admission = Admission {
             site: SiteModel::new(spread),
@@ -63,8 +64,8 @@
         admission
     }
 
-    /// Sets hosts' observation of a node. An unavailable node prevents a drain in its zone from
-    /// starting. None: the node is available.
+    /// Records why hosts report a node as unavailable, or with `None` that it is available. An
+    /// unavailable node prevents other drains in its zone from starting.
     pub fn set_unavailable(&mut self, node: u32, reason: Option<ExclusionReason>) {
         match reason {
             Some(reason) => _ = self.unavailable.insert(node, reason),
@@ -72,12 +73,12 @@
         }
     }
 
-    /// Nodes that are being drained, without those whose drain is queued.
+    /// Nodes whose drain has started. Nodes with a queued drain are not included.
     pub fn drains(&self) -> &BTreeSet<u32> {
         self.site.draining()
     }
 
-    /// The reservations that cannot be met at present.
+    /// The reservations that cannot be met in the current state.
     pub fn shortfall(&self) -> Shortfall {
         self.site.shortfall()
     }
@@ -87,53 +88,57 @@
         self.site.site(catalog)
     }
 
-    /// Number of losses that can be examined.
+    /// Number of node and zone outages that can be evaluated.
     pub fn losses(&self) -> usize {
         self.losses.count()
     }
 
-    /// Updates the figures of at most `steps` stale losses, and returns how many stay stale. Meant
-    /// for idle time.
+    /// Recomputes at most `steps` stale outages, and returns how many remain stale. Meant to be called
+    /// while the leader is idle.
     pub fn refresh(&mut self, steps: usize) -> usize {
         self.losses.refresh(&mut self.site, steps)
     }
 
-    /// Evaluates changes that the catalog already has. `steps`: how many losses may be examined.
+    /// Evaluates changes that were already applied to the catalog `after`, with at most `steps` outages.
     pub fn land(&mut self, after: &Catalog, changes: &[Change], steps: usize) -> AdmissionVerdict {
         let before = self.site.shortfall();
         self.losses.save();
-        let mut changed_nodes = self.site.nodes_touched(after, changes);
+        let mut changed_nodes = self.site.affected_nodes(after, changes);
         let drained = self.newly_drained(changes, Drain::holds);
         let queued = self.newly_drained(changes, |drain| !drain.holds());
-        let gone = self.gone_elsewhere(after, &drained);
-        let before_without_gone = if gone.is_empty() {
+        let removed = self.removed_in_other_zones(after, &drained);
+        let before_without_removed = if removed.is_empty() {
             before
         } else {
-            self.site.shortfall_without(&gone)
+            self.site.shortfall_without(&removed)
         };
-        let not_empty = self.removed_before_empty(changes);
+        let not_drained = self.removed_before_drained(changes);
 
         self.apply(after, changes);
 
-        changed_nodes.extend(self.site.nodes_touched(after, changes));
+        changed_nodes.extend(self.site.affected_nodes(after, changes));
         let mut verdict = AdmissionVerdict::default();
         let objections = &mut verdict.objections;
         objections.extend(
             drained
                 .iter()
-                .filter_map(|node| self.coincidence(after, *node)),
+                .filter_map(|node| self.unavailable_in_zone(after, *node)),
+        );
+        objections.extend(
+            not_drained
+                .into_iter()
+                .map(|node| Reason::NotDrained { node }),
         );
-        objections.extend(not_empty.into_iter().map(|node| Reason::NotEmpty { node }));
         if !self.site.capacity_known() {
             verdict.capacity_unknown = true;
             return verdict;
         }
         objections.extend(self.check_reservations(after, &queued, &before));
-        if !gone.is_empty() && objections.is_empty() {
-            objections.extend(self.check_without_gone(gone, &before_without_gone));
+        if !removed.is_empty() && objections.is_empty() {
+            objections.extend(self.check_without_removed(removed, &before_without_removed));
         }
         if objections.is_empty() {
-            self.check_losses(&changed_nodes, steps, &mut verdict);
+            self.check_outages(&changed_nodes, steps, &mut verdict);
         }
         verdict
     }
@@ -149,36 +154,36 @@
         self.losses.list(&self.site);
     }
 
-    /// Nodes of drains for which `is_wanted` holds, and that were not being drained before.
+    /// Nodes whose drains match `predicate`, and that were not being drained before the changes.
     fn newly_drained(
         &self,
         changes: &[Change],
-        is_wanted: impl Fn(&Drain) -> bool,
+        predicate: impl Fn(&Drain) -> bool,
     ) -> BTreeSet<u32> {
-        let was_drained = |node: u32| {
+        let was_draining = |node: u32| {
             let stage = self.site.stage(node);
             stage.is_some_and(|stage| stage != Stage::Queued)
         };
         drains_of(changes)
-            .filter(|&(node, drain)| is_wanted(drain) && !was_drained(node))
+            .filter(|&(node, drain)| predicate(drain) && !was_draining(node))
             .map(|(node, _)| node)
             .collect()
     }
 
-    /// Nodes that the changes remove before they were drained.
-    fn removed_before_empty(&self, changes: &[Change]) -> Vec<u32> {
-        let was_empty = |node: u32| {
+    /// Nodes that the changes remove although their drains were not complete.
+    fn removed_before_drained(&self, changes: &[Change]) -> Vec<u32> {
+        let was_drained = |node: u32| {
             let stage = self.site.stage(node);
             stage.is_some_and(|stage| stage >= Stage::Drained)
         };
         drains_of(changes)
-            .filter(|(node, drain)| drain.stage == Stage::Removed && !was_empty(*node))
+            .filter(|(node, drain)| drain.stage == Stage::Removed && !was_drained(*node))
             .map(|(node, _)| node)
             .collect()
     }
 
-    /// Nodes that are gone in zones where no drain starts now.
-    fn gone_elsewhere(&self, catalog: &Catalog, drained: &BTreeSet<u32>) -> BTreeSet<u32> {
+    /// Removed nodes in zones in which the changes start no drain.
+    fn removed_in_other_zones(&self, catalog: &Catalog, drained: &BTreeSet<u32>) -> BTreeSet<u32> {
         if drained.is_empty() {
             return BTreeSet::new();
         }
@@ -193,8 +198,8 @@
             .collect()
     }
 
-    /// Objects to a drain while other nodes of its zone are unavailable.
-    fn coincidence(&self, after: &Catalog, node: u32) -> Option<Reason> {
+    /// Objects to a drain if other nodes of its zone are unavailable.
+    fn unavailable_in_zone(&self, after: &Catalog, node: u32) -> Option<Reason> {
         let draining = self
             .drains()
             .iter()
@@ -206,15 +211,15 @@
             .map(|(other, reason)| (*other, *reason));
         let zone = |id: u32| after.node(id).map(|node| node.zone.clone());
         let with = excluded_in_zone(node, zone, draining.chain(unavailable));
-        (!with.is_empty()).then(|| Reason::Coincides {
+        (!with.is_empty()).then(|| Reason::ZoneUnavailable {
             node,
             zone: zone(node).unwrap_or_default(),
             with,
         })
     }
 
-    /// Objects to reservations that can no longer be met. Queued drains are evaluated as if they
-    /// had started.
+    /// Objects if the changes increase the reservations that cannot be met. Queued drains are
+    /// evaluated as if they had started.
     fn check_reservations(
         &mut self,
         after: &Catalog,
@@ -243,18 +248,22 @@
         objections
     }
 
-    /// Objects to reservations that can no longer be met while nodes are gone.
-    fn check_without_gone(&mut self, gone: BTreeSet<u32>, before: &Shortfall) -> Option<Reason> {
-        let present = self.site.shortfall_without(&gone);
+    /// Objects if the changes increase the reservations that cannot be met without the removed nodes.
+    fn check_without_removed(
+        &mut self,
+        removed: BTreeSet<u32>,
+        before: &Shortfall,
+    ) -> Option<Reason> {
+        let present = self.site.shortfall_without(&removed);
         let is_worse = present.exceeds(before, self.site.slack());
         is_worse.then(|| Reason::Meanwhile {
-            gone: gone.into_iter().collect(),
+            gone: removed.into_iter().collect(),
             by: present.short + present.out_of_reach,
         })
     }
 
-    /// Warns of reservations that can no longer be met with a loss.
-    fn check_losses(
+    /// Warns of outages during which the changes increase the reservations that cannot be met.
+    fn check_outages(
         &mut self,
         changed_nodes: &BTreeSet<u32>,
         steps: usize,
@@ -282,7 +291,7 @@
     }
 }
 
-/// The drains that these changes set, with their nodes.
+/// The drains that the changes add or modify, each with its node.
 fn drains_of(changes: &[Change]) -> impl Iterator<Item = (u32, &Drain)> {
     changes.iter().filter_map(|change| match change {
         Change::Drain {
--- a/crates/catalog/src/admission/losses.rs
+++ b/crates/catalog/src/admission/losses.rs
@@ -1,55 +1,57 @@
-//! Losses: each node and each zone that may fail, and the reservations that would then be unmet.
+//! Possible outages (of each node and of each zone), and the reservations that could not be met
+//! during each of them.
 //!
-//! [`crate::admission`] calls [`LossTable`] with the site after each change, and in idle time.
+//! [`crate::admission`] calls [`OutageTable`] with the site after each change, and while the leader
+//! is idle.
 //!
-//! State: the figures of each loss, and those before the last changes. Memory: twice an entry for
-//! each node and zone.
+//! The table keeps the shortfall of each outage, and a copy from before the last changes, so memory
+//! use is two entries for each node and zone.
 
 use super::site::SiteModel;
 use crate::incremental_flow::Shortfall;
 use crate::planner::{Node, Out};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A loss, and the reservations that would be unmet with it.
+/// An outage: the nodes that are out, and the reservations that could not be met without them.
 #[derive(Debug, Clone, Default)]
-struct Loss {
+struct OutageEntry {
     nodes: BTreeSet<u32>,
     shortfall: Shortfall,
-    /// Whether the shortfall is of the present state.
+    /// Whether the shortfall was computed for the current state.
     is_fresh: bool,
 }
 
-/// The losses of a site; see the module.
+/// The outages of a site. See the [module documentation](self).
 #[derive(Debug, Clone, Default)]
-pub(super) struct LossTable {
-    losses: BTreeMap<Out, Loss>,
-    /// The losses as they were before the last changes.
-    former: BTreeMap<Out, Loss>,
+pub(super) struct OutageTable {
+    losses: BTreeMap<Out, OutageEntry>,
+    /// The outages before the last changes.
+    former: BTreeMap<Out, OutageEntry>,
 }
 
-impl LossTable {
-    /// Number of losses.
+impl OutageTable {
+    /// Number of outages.
     pub fn count(&self) -> usize {
         self.losses.len()
     }
 
-    /// Saves the figures, for [`LossTable::former_shortfall`] and [`LossTable::undo`].
+    /// Saves the current values, for [`OutageTable::former_shortfall`] and [`OutageTable::undo`].
     pub fn save(&mut self) {
         self.former = self.losses.clone();
     }
 
-    /// Restores the saved figures.
+    /// Restores the saved values.
     pub fn undo(&mut self) {
         self.losses = std::mem::take(&mut self.former);
     }
 
-    /// The saved figures of a loss; zero for a new loss.
+    /// The saved shortfall of an outage, or zero if the outage is new.
     pub fn former_shortfall(&self, out: Out) -> Shortfall {
         let former = self.former.get(&out);
         former.map_or(Shortfall::default(), |loss| loss.shortfall)
     }
 
-    /// Examines at most `steps` losses whose figures are stale, and returns how many stay stale.
+    /// Recomputes at most `steps` stale outages, and returns how many remain stale.
     pub fn refresh(&mut self, site: &mut SiteModel, steps: usize) -> usize {
         let stale: Vec<Out> = self
             .losses
@@ -63,9 +65,12 @@
         stale.len().saturating_sub(steps)
     }
 
-    /// Computes the shortfall with a loss. Does not count data that the loss puts out of reach.
+    /// Computes the shortfall during an outage. Data on the nodes that are out is not counted.
     pub fn examine(&mut self, site: &mut SiteModel, out: Out) -> Shortfall {
-        let loss = self.losses.get_mut(&out).expect("a listed loss");
+        let loss = self
+            .losses
+            .get_mut(&out)
+            .expect("the outage is in the table");
         loss.shortfall = Shortfall {
             short: site.shortfall_without(&loss.nodes).short,
             out_of_reach: 0.0,
@@ -74,7 +79,7 @@
         loss.shortfall
     }
 
-    /// Losses in the order in which to examine them: first those that share nodes with the changed
+    /// Outages in the order in which to evaluate them: first those that share nodes with the changed
     /// nodes.
     pub fn by_relevance(&self, changed_nodes: &BTreeSet<u32>) -> Vec<Out> {
         let mut order: Vec<(bool, Out)> = self
@@ -86,25 +91,25 @@
         order.into_iter().map(|(_, out)| out).collect()
     }
 
-    /// Lists the losses of the present site again. Known figures stay, as stale ones.
+    /// Rebuilds the list of outages from the current site. Known values are kept and marked stale.
     pub fn list(&mut self, site: &SiteModel) {
         let serves = |node: &&Node| !site.draining().contains(&node.id) && node.capacity > 0.0;
-        let mut nodes_by_loss: BTreeMap<Out, BTreeSet<u32>> = BTreeMap::new();
+        let mut nodes_by_outage: BTreeMap<Out, BTreeSet<u32>> = BTreeMap::new();
         let mut serving = 0;
         for node in site.nodes().filter(serves) {
             serving += 1;
             for out in [Out::Node(node.id), Out::Zone(node.zone)] {
-                nodes_by_loss.entry(out).or_default().insert(node.id);
+                nodes_by_outage.entry(out).or_default().insert(node.id);
             }
         }
-        // No reservation is guaranteed without a zone that has all serving nodes.
-        nodes_by_loss.retain(|out, nodes| !matches!(out, Out::Zone(_)) || nodes.len() < serving);
+        // If one zone has all serving nodes, nothing can be guaranteed during its outage.
+        nodes_by_outage.retain(|out, nodes| !matches!(out, Out::Zone(_)) || nodes.len() < serving);
         let known = std::mem::take(&mut self.losses);
-        for (out, nodes) in nodes_by_loss {
+        for (out, nodes) in nodes_by_outage {
             let shortfall = known
                 .get(&out)
                 .map_or(Shortfall::default(), |loss| loss.shortfall);
-            let loss = Loss {
+            let loss = OutageEntry {
                 nodes,
                 shortfall,
                 is_fresh: false,
--- a/crates/catalog/src/admission/reasons.rs
+++ b/crates/catalog/src/admission/reasons.rs
@@ -1,42 +1,43 @@
-//! Objections and warnings of admission control, as data and as operators read them.
+//! Objections and warnings of admission control, as data and as text for operators.
 //!
-//! [`crate::admission`] makes them. The membership package uses [`ExclusionReason`] for nodes of one
-//! zone. Owns no state.
+//! [`crate::admission`] creates them. The membership crate also uses [`ExclusionReason`], for the
+//! nodes of one zone. This module holds no state.
 
 use crate::planner::Out;
 use crate::records::Name;
 use std::fmt;
 
-/// Most volumes that a text names. For the others, it states only their number. A larger number
-/// makes the line too long to read; a smaller one hides volumes.
+/// Maximum number of volumes that a message lists; of the others it states only the count. A larger
+/// number makes the line too long to read; a smaller one hides volumes.
 const MAX_NAMED_VOLUMES: usize = 8;
 
-/// An objection or a warning. Amounts are units a second of reservations.
+/// An objection or a warning. Amounts are reservations in units per second.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reason {
     /// Reservations that cannot be met.
     Short {
         /// The sum of the unmet amounts.
         by: f64,
-        /// The volumes whose reservations are unmet, with the amounts; lowest weight first.
+        /// The volumes whose reservations cannot be met, each with the unmet amount, in order of
+        /// increasing weight.
         volumes: Vec<(u64, f64)>,
     },
-    /// Reservations of data on nodes that cannot serve it.
+    /// Reservations for data on nodes that do not serve.
     OutOfReach {
         /// The sum of the unmet amounts.
         by: f64,
     },
-    /// Reservations that could not be met with a node or a zone out.
+    /// Reservations that could not be met during an outage of a node or a zone.
     Without {
         /// The node or zone that is out.
         out: Out,
-        /// The zone's name, if a zone is out.
+        /// The zone's name for the outage of a zone, otherwise `None`.
         zone: Option<Name>,
         /// The sum of the unmet amounts.
         by: f64,
     },
-    /// Other nodes in the zone of a drained node are unavailable.
-    Coincides {
+    /// Other nodes in the zone of the node to be drained are unavailable.
+    ZoneUnavailable {
         /// The node to be drained.
         node: u32,
         /// The node's zone.
@@ -44,30 +45,30 @@
         /// The other nodes, and why they are unavailable.
         with: Vec<(u32, ExclusionReason)>,
     },
-    /// Reservations that cannot be met while nodes of other zones are gone as well.
+    /// Reservations that cannot be met because nodes of other zones are removed as well.
     Meanwhile {
-        /// The nodes of other zones.
+        /// The removed nodes of other zones.
         gone: Vec<u32>,
         /// The sum of the unmet amounts.
         by: f64,
     },
-    /// A node is removed while attempts may still be in flight there.
-    NotEmpty {
+    /// A node is removed before its drain is complete, so attempts may still be in flight there.
+    NotDrained {
         /// The node.
         node: u32,
     },
 }
 
-/// The reason why a node does not count as serving.
+/// The reason why a node does not count as available.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ExclusionReason {
     /// The node is being drained.
     Draining,
     /// The node has just started and its cache is empty.
     Warming,
-    /// The node does not answer correctly.
+    /// The node does not respond correctly.
     Suspect,
-    /// The node is gone.
+    /// The node was removed.
     Removed,
 }
 
@@ -82,7 +83,7 @@
     }
 }
 
-/// Unavailable nodes in the zone of a node, except the node itself.
+/// Returns those of the other unavailable nodes that are in the same zone as `node`.
 ///
 /// ```
 /// use grebecleat_catalog::admission::{excluded_in_zone, ExclusionReason::*};
@@ -120,7 +121,7 @@
                     "with {what} out, {by:.1} units a second of reserves could not be met"
                 )
             }
-            Reason::Coincides { node, zone, with } => {
+            Reason::ZoneUnavailable { node, zone, with } => {
                 let others: Vec<String> = with
                     .iter()
                     .map(|(other, reason)| format!("node {other} {reason}"))
@@ -132,7 +133,7 @@
                 )
             }
             Reason::Meanwhile { gone, by } => write_meanwhile(f, gone, *by),
-            Reason::NotEmpty { node } => write!(
+            Reason::NotDrained { node } => write!(
                 f,
                 "what was sent to node {node} may still be under way; \
                  it is empty when its drain says so"
@@ -169,17 +170,17 @@
 /// The effect of a change on reservations.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct AdmissionVerdict {
-    /// Objections: the change is rejected unless it is forced.
+    /// Objections. If there are any, the change is rejected unless it is forced.
     pub objections: Vec<Reason>,
-    /// Warnings: the change lands, and the author reads them.
+    /// Warnings, which are reported to the author and do not prevent the change.
     pub warnings: Vec<Reason>,
-    /// Number of losses that were not examined, because that would have taken too long.
+    /// Number of outages that were not evaluated, because that would have taken too long.
     pub unexamined_losses: usize,
-    /// Whether no node's capacity is configured, so that nothing could be evaluated.
+    /// Whether no node's capacity is configured, so that reservations could not be evaluated.
     pub capacity_unknown: bool,
 }
 
-/// Joins reasons to one line for operators.
+/// Joins reasons into one line for operators.
 pub fn join_reasons(reasons: &[Reason]) -> String {
     let texts: Vec<String> = reasons.iter().map(Reason::to_string).collect();
     texts.join("; ")
--- a/crates/catalog/src/admission/site.rs
+++ b/crates/catalog/src/admission/site.rs
@@ -1,40 +1,40 @@
-//! The site that the catalog describes, as the planner needs it.
+//! Converts the catalog to the site model of the planner, and keeps it up to date.
 //!
 //! [`crate::admission`] calls [`SiteModel::apply`] for each change of the catalog, and reads the
 //! shortfall of reservations. Only this module changes the flow.
 //!
-//! State: the flow without the nodes that are being drained, and the parts of the catalog that the
-//! flow was built from. Memory: the flow, and an entry for each node, zone and plan.
+//! The state is the flow without the nodes that are being drained, and the parts of the catalog that
+//! the flow was built from. Memory use is the flow, and an entry for each node, zone and plan.
 
 use crate::catalog::Catalog;
 use crate::change::Change;
 use crate::incremental_flow::{IncrementalFlow, Shortfall};
-use crate::planner::{Node, Site, Volume, PARTS};
+use crate::planner::{Node, Site, Volume, PARTS_PER_UNIT};
 use crate::records::{self, Drain, Name, Stage};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Changes of a reservation below this, in thousandths of a unit a second, are lost to rounding.
+/// Smallest change of a reservation, in thousandths of a unit per second, that survives rounding.
 const MIN_RESERVATION_CHANGE: f64 = 0.5;
 
-/// The site of a catalog; see the module.
+/// The site of a catalog. See the [module documentation](self).
 #[derive(Debug, Clone, Default)]
 pub(super) struct SiteModel {
     flow: IncrementalFlow,
-    /// Names of zones. The planner's number of a zone is its index here.
+    /// Names of zones. The index of a zone is its number in the planner.
     zones: Vec<Name>,
     nodes_of_shard: BTreeMap<u32, BTreeSet<u32>>,
-    /// The reservation of each plan that the flow was given.
+    /// The reservation of each plan, as passed to the flow.
     reservations: BTreeMap<Name, f64>,
     /// Whether any node's capacity was ever configured.
     capacity_known: bool,
-    /// Nodes that get nothing new.
+    /// Nodes whose drain has started, which receive no new requests.
     draining: BTreeSet<u32>,
     /// The stage of each drain.
     stages: BTreeMap<u32, Stage>,
 }
 
 impl SiteModel {
-    /// An empty site. `spread`: see [`Site`].
+    /// Creates an empty site. See [`Site`] for `spread`.
     pub fn new(spread: f64) -> Self {
         SiteModel {
             flow: IncrementalFlow::of(&Site {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Nodes that get nothing new.
+    /// Nodes whose drain has started, which receive no new requests.
     pub fn draining(&self) -> &BTreeSet<u32> {
         &self.draining
     }
@@ -65,22 +65,22 @@
         self.flow.nodes()
     }
 
-    /// The name of a zone, by the planner's number.
+    /// The name of a zone, by its number in the planner.
     pub fn zone_name(&self, zone: u32) -> Option<&Name> {
         self.zones.get(zone as usize)
     }
 
-    /// The reservations that cannot be met at present.
+    /// The reservations that cannot be met in the current state.
     pub fn shortfall(&self) -> Shortfall {
         self.flow.shortfall()
     }
 
-    /// The reservations that could not be met with these nodes out as well.
+    /// The reservations that could not be met if these nodes were out as well.
     pub fn shortfall_without(&mut self, out: &BTreeSet<u32>) -> Shortfall {
         self.flow.without(out)
     }
 
-    /// The amount that rounding may lose, units a second.
+    /// The largest error from rounding, in units per second.
     pub fn slack(&self) -> f64 {
         self.flow.slack()
     }
@@ -138,7 +138,7 @@
         self.flow.set_volumes(planned);
     }
 
-    /// Updates which shard a node holds; returns whether that has changed.
+    /// Updates the shard that a node holds, and returns whether it has changed.
     fn apply_shard(&mut self, catalog: &Catalog, id: u32) -> bool {
         let former: Vec<u32> = self
             .nodes_of_shard
@@ -196,11 +196,13 @@
         self.flow.set_up(node, !is_draining);
     }
 
-    /// Updates a plan's reservation; returns whether it has changed by more than rounding.
+    /// Updates a plan's reservation, and returns whether it has changed by more than rounding hides.
     fn apply_reservation(&mut self, catalog: &Catalog, name: &Name) -> bool {
         let present = catalog.plan(name).map_or(0.0, |plan| plan.reservation);
         let former = self.reservations.insert(name.clone(), present);
-        former.is_none_or(|former| (former - present).abs() * PARTS >= MIN_RESERVATION_CHANGE)
+        former.is_none_or(|former| {
+            (former - present).abs() * PARTS_PER_UNIT >= MIN_RESERVATION_CHANGE
+        })
     }
 
     fn planner_node(&self, id: u32, node: &records::Node) -> Node {
@@ -212,7 +214,7 @@
         }
     }
 
-    /// A volume for the planner: its extents are spread evenly over its shards.
+    /// Converts a volume for the planner. Its extents are spread evenly over its shards.
     fn planner_volume(&self, catalog: &Catalog, id: u64, volume: &records::Volume) -> Volume {
         let plan = catalog.plan(&volume.plan);
         let fraction = 1.0 / volume.shards.len().max(1) as f64;
@@ -232,8 +234,9 @@
         }
     }
 
-    /// Nodes with data of the subjects that the changes touch.
-    pub fn nodes_touched(&self, catalog: &Catalog, changes: &[Change]) -> BTreeSet<u32> {
+    /// Nodes that the changes affect: those that are changed or drained, and those with data of a
+    /// changed volume or of a volume on a changed plan.
+    pub fn affected_nodes(&self, catalog: &Catalog, changes: &[Change]) -> BTreeSet<u32> {
         let mut nodes = BTreeSet::new();
         for change in changes {
             match change {
--- a/crates/catalog/src/audit_log.rs
+++ b/crates/catalog/src/audit_log.rs
@@ -1,27 +1,28 @@
-//! The last revisions of the catalog, oldest first, and which of them last changed each subject.
+//! The last revisions of the catalog, oldest first, and for each subject the last revision that
+//! changed it.
 //!
-//! Owned by [`crate::catalog`]. Memory: as many revisions as the log is made with, and in addition
-//! the revisions that are still needed, which are never dropped. The leader accepts no revision
-//! while [`AuditLog::is_full`].
+//! Owned by [`crate::catalog`]. The log retains a fixed number of revisions, and beyond it those that
+//! are still needed, which are never dropped. To bound the log, the leader accepts no revision while
+//! [`AuditLog::is_full`] returns true.
 
 use crate::change::{Change, Revision, Subject};
 use crate::records::Version;
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
-/// The last revisions; see the module.
+/// The last revisions. See the [module documentation](self).
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct AuditLog {
     revisions: VecDeque<Revision>,
     max_len: usize,
-    /// Revisions after this one are not dropped.
+    /// Revisions after this version are not dropped.
     needed_after: Version,
-    /// The last revision here that touched a subject.
+    /// For each subject, the last revision in the log that changed it.
     last_changed: HashMap<Subject, Version>,
 }
 
 impl AuditLog {
-    /// `max_len`: how many revisions the log retains, at least 1.
+    /// Creates an empty log. `max_len` is the number of revisions to retain, at least 1.
     pub fn new(max_len: usize) -> Self {
         AuditLog {
             max_len: max_len.max(1),
@@ -30,7 +31,7 @@
         }
     }
 
-    /// From now on, retains all revisions after that version.
+    /// Retains all revisions after that version from now on.
     pub fn need(&mut self, after: Version) {
         self.needed_after = after;
     }
@@ -47,7 +48,8 @@
         self.revisions.front()
     }
 
-    /// Returns whether the log has its maximum length, and every revision is still needed.
+    /// Returns whether the log has reached its maximum length with revisions that are all still
+    /// needed.
     pub fn is_full(&self) -> bool {
         let oldest_needed = |oldest: &Revision| oldest.version > self.needed_after;
         self.revisions.len() >= self.max_len && self.oldest().is_some_and(oldest_needed)
@@ -61,7 +63,7 @@
         self.revisions.range(start..)
     }
 
-    /// The revision that made a version.
+    /// The revision that led to a version.
     pub fn get(&self, version: Version) -> Option<&Revision> {
         self.revisions
             .iter()
@@ -69,13 +71,13 @@
             .find(|revision| revision.version == version)
     }
 
-    /// The last revision here that touched a subject.
+    /// The last revision in the log that changed a subject.
     pub fn last_changed(&self, subject: &Subject) -> Option<Version> {
         self.last_changed.get(subject).copied()
     }
 
-    /// Adds the newest revision, and drops the oldest revisions that exceed the length and are not
-    /// needed.
+    /// Adds the newest revision. Drops the oldest revisions as long as the log exceeds its length and
+    /// they are not needed.
     pub fn push(&mut self, revision: Revision) {
         for change in &revision.changes {
             self.last_changed.insert(change.subject(), revision.version);
@@ -134,8 +136,8 @@
         dropped
     }
 
-    /// Removes the subjects of a dropped revision that no later revision touched. When these last
-    /// changed is now unknown.
+    /// Removes the subjects of a dropped revision that no later revision changed. From now on it is
+    /// unknown when they last changed.
     fn forget_subjects(&mut self, dropped: &Revision) {
         for change in &dropped.changes {
             let Entry::Occupied(entry) = self.last_changed.entry(change.subject()) else {
--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -1,12 +1,12 @@
-//! The catalog: the present plans, volumes, nodes, drains, targets and scheduled changes, and the
+//! The catalog: the current plans, volumes, nodes, drains, targets and scheduled changes, and the
 //! audit log of the last revisions.
 //!
-//! [`Catalog::apply`] applies a persisted revision, in the same way for the leader that proposed
-//! it, for a start that reads it back, and for hosts that follow the feed. [`crate::propose`] makes
-//! revisions from changes. No I/O. No decision about a single request is made here.
+//! [`Catalog::apply`] applies a revision. The leader that decided it, a process that reads it from
+//! its store, and a host that follows the change feed all use the same function. [`crate::propose`]
+//! creates revisions from changes. This module performs no I/O, and decides nothing about single
+//! requests.
 //!
-//! State: the records, their indexes, and the audit log. Memory: the state, its indexes, and the
-//! bounded audit log.
+//! Memory use is the records, their indexes, and the bounded audit log.
 
 use crate::audit_log::AuditLog;
 use crate::change::{Change, Revision, ScheduledChange, Subject};
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The state of the configuration at one version; see the module.
+/// The state of the configuration at one version. See the [module documentation](self).
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalog {
     facts: Deployment,
@@ -35,7 +35,8 @@
 }
 
 impl Catalog {
-    /// An empty catalog. `max_audit_log`: how many revisions the audit log retains, at least 1.
+    /// Creates an empty catalog. `max_audit_log` is the number of revisions that the audit log
+    /// retains, at least 1.
     pub fn new(facts: Deployment, max_audit_log: usize) -> Self {
         Catalog {
             facts,
@@ -44,13 +45,13 @@
         }
     }
 
-    /// From now on, the audit log retains all revisions after that version.
+    /// Makes the audit log retain all revisions after that version from now on.
     pub fn need(&mut self, after: Version) {
         self.audit_log.need(after);
     }
 
-    /// The catalog with a stored state: the version, the complete state, and the last revisions,
-    /// oldest first.
+    /// Adds a stored state to an empty catalog: the version, the complete state, and the last
+    /// revisions, oldest first.
     pub fn restored(
         mut self,
         version: Version,
@@ -67,12 +68,12 @@
         self
     }
 
-    /// The facts that the deployment's settings fix.
+    /// The properties that the settings of the deployment fix.
     pub fn facts(&self) -> &Deployment {
         &self.facts
     }
 
-    /// The version of this state.
+    /// The current version.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -92,7 +93,7 @@
         self.nodes.get(&id)
     }
 
-    /// Number of the node with that name or, if no node has that name, of the node with that number.
+    /// Number of the node with that name. If there is none, `name` is parsed as a node number.
     pub fn node_by_name_or_number(&self, name: &str) -> Option<u32> {
         let by_number = || name.parse().ok().filter(|id| self.nodes.contains_key(id));
         self.node_by_name(name).or_else(by_number)
@@ -140,7 +141,7 @@
             .map(|(id, scheduled)| (*id, scheduled))
     }
 
-    /// Volumes on a plan.
+    /// Numbers of the volumes on a plan.
     pub fn volumes_of_plan(&self, plan: &str) -> impl Iterator<Item = u64> + '_ {
         self.volumes_of_plan
             .get(plan)
@@ -156,17 +157,18 @@
         self.audit_log.iter()
     }
 
-    /// Returns whether the audit log has its maximum length, and every revision is still needed.
+    /// Returns whether the audit log has reached its maximum length with revisions that are all still
+    /// needed.
     pub fn audit_log_is_full(&self) -> bool {
         self.audit_log.is_full()
     }
 
-    /// The revision in the audit log that made a version.
+    /// The revision in the audit log that led to a version.
     pub(crate) fn revision(&self, version: Version) -> Option<&Revision> {
         self.audit_log.get(version)
     }
 
-    /// The oldest version that a revision in the audit log made; the present version if the log is
+    /// The version of the oldest revision in the audit log, or the current version if the log is
     /// empty.
     pub(crate) fn oldest_known(&self) -> Version {
         self.audit_log
@@ -174,7 +176,7 @@
             .map_or(self.version, |oldest| oldest.version)
     }
 
-    /// Revisions after that version; None if the audit log no longer reaches back so far.
+    /// The revisions after that version, or `None` if the audit log no longer reaches back that far.
     pub fn since(&self, version: Version) -> Option<impl Iterator<Item = &Revision> + '_> {
         let first = self
             .audit_log
@@ -183,12 +185,12 @@
         (version >= first).then(|| self.audit_log.after(version))
     }
 
-    /// The last revision of the audit log that touched a subject.
+    /// The last revision in the audit log that changed a subject.
     pub fn last_changed(&self, subject: &Subject) -> Option<Version> {
         self.audit_log.last_changed(subject)
     }
 
-    /// The change that would set a subject to its present state.
+    /// The current state of a subject, as the change that would set it.
     pub fn now(&self, subject: &Subject) -> Change {
         match subject {
             Subject::Plan(name) => Change::Plan {
@@ -221,7 +223,7 @@
     /// Applies the next revision.
     ///
     /// # Errors
-    /// If the revision does not follow the present version. The state is then as before.
+    /// If the revision does not follow the current version. The state is then unchanged.
     pub fn apply(&mut self, revision: Revision) -> Result<(), OutOfOrder> {
         if revision.version <= self.version {
             return Err(OutOfOrder::Older);
@@ -267,7 +269,7 @@
 
     fn put_node(&mut self, id: u32, to: Option<Node>) {
         if let Some(old) = self.nodes.get(&id) {
-            // Another node may have taken the name over within the same revision.
+            // An earlier change of the same revision may have given the name to another node.
             if self.nodes_by_name.get(&old.name) == Some(&id) {
                 self.nodes_by_name.remove(&old.name);
             }
--- a/crates/catalog/src/catalog_state.rs
+++ b/crates/catalog/src/catalog_state.rs
@@ -1,8 +1,8 @@
-//! The catalog's complete state as changes: at present, at an earlier version, and the difference
-//! between two states.
+//! The complete state of the catalog as a list of changes, at the current or an earlier version, and
+//! the difference between two states.
 //!
-//! The catalog service uses it to send a host its first state, to write snapshots, and to compare
-//! with a declared configuration.
+//! The catalog service uses it to send the initial state to a host, to write snapshots, and to
+//! compare the catalog with a declared configuration.
 
 use crate::catalog::Catalog;
 use crate::change::{Change, Subject};
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Catalog {
-    /// The complete state, as changes that would make it from an empty catalog.
+    /// The complete state, as changes that would create it from an empty catalog.
     pub fn state(&self) -> impl Iterator<Item = Change> + '_ {
         let plans = self.plans().map(|(name, plan)| Change::Plan {
             name: name.clone(),
@@ -44,7 +44,7 @@
             .chain(scheduled)
     }
 
-    /// The complete state as it was at a version to which the audit log reaches back.
+    /// The complete state at an earlier version. The audit log must reach back to that version.
     pub fn state_at(&self, version: Version) -> impl Iterator<Item = Change> + '_ {
         let mut earlier: BTreeMap<Subject, Change> = BTreeMap::new();
         let undone = self
@@ -66,7 +66,7 @@
             .chain(unchanged)
     }
 
-    /// Changes that would make this state equal to another; empty if they are equal.
+    /// The changes that would make this state equal to another one. Empty if the states are equal.
     pub fn changes_towards(&self, other: &Catalog) -> Vec<Change> {
         let mut changes: Vec<Change> = other
             .state()
@@ -77,7 +77,8 @@
             .map(|change| other.now(&change.subject()))
             .filter(Change::is_removal)
             .collect();
-        // A subject that refers to another is removed before it, and is made after it.
+        // `state` lists a subject after the subjects that it refers to, and removals need the
+        // reverse order.
         removed.reverse();
         changes.extend(removed);
         changes
--- a/crates/catalog/src/change.rs
+++ b/crates/catalog/src/change.rs
@@ -1,32 +1,32 @@
 //! Changes of the catalog as data: subjects, changes, and the revisions that record them.
 //!
-//! [`crate::catalog`] applies revisions; the leader and the followers exchange them; other packages
-//! store and send them. Owns no state.
+//! [`crate::catalog`] applies revisions; the leader and the followers exchange them; other crates
+//! store and send them. This module is plain data.
 
 use crate::records::{Drain, Name, Node, Plan, Version, Volume};
 use std::fmt;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Changes that land at a stated time.
+/// Changes that are applied at a given time.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ScheduledChange {
-    /// The time at which the changes land, since 1970 by the wall clock.
+    /// When to apply the changes, as wall-clock time since the Unix epoch.
     pub at: Duration,
     /// The operator who scheduled the changes.
     pub author: String,
     /// The operator's reason, as typed.
     pub reason: String,
-    /// Whether the changes land despite objections.
+    /// Whether to apply the changes despite objections of admission control.
     pub force: bool,
     /// The changes.
     pub changes: Vec<Change>,
     /// The subjects as they were when the operator scheduled the changes. If one of them differs when
-    /// the changes are due, the operator may no longer want the changes, and they lapse.
+    /// the changes are due, the operator may no longer want the changes, and they are cancelled.
     pub expects: Vec<Change>,
 }
 
-/// The part of the catalog that a change touches.
+/// A record of the catalog that a change can replace or remove.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Subject {
     /// A plan, by name.
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Other subjects that must exist for the change.
+    /// Other subjects that must exist for the change to be valid.
     pub(crate) fn references(&self) -> Vec<Subject> {
         match self {
             Change::Volume {
@@ -143,29 +143,30 @@
     }
 }
 
-/// One atomic step of the catalog, as stored and sent.
+/// An atomic set of changes that leads from one version of the catalog to the next, as stored and
+/// sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Revision {
-    /// The version that the revision makes.
+    /// The version of the catalog after the revision.
     pub version: Version,
-    /// The version that the revision follows: the previous number, except where a new epoch was
-    /// forced.
+    /// The version of the catalog before the revision. It is the previous number, except where a new
+    /// epoch was forced.
     pub from: Version,
-    /// When the leader decided the revision, since 1970 by its clock.
+    /// When the leader accepted the revision, by its wall clock, since the Unix epoch.
     pub at: Duration,
     /// The operator who proposed the revision.
     pub author: String,
     /// The operator's reason, as typed.
     pub reason: String,
-    /// The objections to the revision, if it was forced; else empty.
+    /// The objections to the revision if it was forced, otherwise empty.
     pub objections: String,
     /// The changes.
     pub changes: Vec<Change>,
-    /// Changes that restore the former state, in the order in which to apply them.
+    /// Changes that restore the state before the revision, in the order in which to apply them.
     pub before: Vec<Change>,
-    /// Whether a host that knows only the former state may send more of a limited volume than the
-    /// host's present quota. If so, that host must acknowledge this version before the version is
-    /// stable. See [`crate::feed`].
+    /// Whether a host that knows only the state before the revision may use more of a limited volume
+    /// than its quota after the revision allows. If so, that host must acknowledge this version
+    /// before the version is stable. See [`crate::feed`].
     pub lowers_limits: bool,
     /// Earlier states of volumes that a host first learns of by this revision: each volume as it was
     /// before each earlier revision that the host must still take into account.
@@ -179,14 +180,14 @@
     pub author: &'a str,
     /// The operator's reason, as typed.
     pub reason: &'a str,
-    /// The objections to the change, if it is forced; else empty.
+    /// The objections to the change if it is forced, otherwise empty.
     pub objections: &'a str,
-    /// The time, since 1970.
+    /// When the change is proposed, as time since the Unix epoch.
     pub at: Duration,
 }
 
 impl<'a> ChangeContext<'a> {
-    /// The context of a change that is not forced.
+    /// Creates the context of a change that is not forced.
     pub fn by(author: &'a str, reason: &'a str, at: Duration) -> Self {
         ChangeContext {
             author,
--- a/crates/catalog/src/errors.rs
+++ b/crates/catalog/src/errors.rs
@@ -1,13 +1,13 @@
 //! Errors of rejected changes, and of revisions that cannot be applied.
 //!
-//! [`crate::propose`], [`crate::validation`] and [`crate::catalog`] return them. Operators read the
-//! texts.
+//! [`crate::propose`], [`crate::validation`] and [`crate::catalog`] return them. The messages are
+//! shown to operators.
 
 use crate::change::Subject;
 use crate::records::{Name, Version};
 use thiserror::Error;
 
-/// The reason why proposed changes make no revision.
+/// The reason why proposed changes are rejected.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum ChangeError {
     /// The subject, or a subject that the change refers to, was changed after the author's base
@@ -22,21 +22,21 @@
         author: String,
     },
     /// The audit log does not reach back to the author's base version.
-    #[error("looked at before entry {}, the oldest that is still known", .oldest.0)]
+    #[error("the base version is older than entry {}, the oldest in the audit log", .oldest.0)]
     TooOld {
         /// The oldest revision in the audit log.
         oldest: Version,
     },
-    /// The author's base version does not exist here.
-    #[error("looked at a version after {}, the latest", .latest.0)]
-    Ahead {
+    /// The author's base version is newer than the catalog.
+    #[error("the base version is newer than version {}, the latest", .latest.0)]
+    FutureVersion {
         /// The catalog's version.
         latest: Version,
     },
     /// The subject does not exist.
     #[error("{0} does not exist")]
     Unknown(Subject),
-    /// A subject that stays refers to the removed subject.
+    /// A subject that is not removed refers to the removed subject.
     #[error("{what} is in use by {by}")]
     InUse {
         /// The removed subject.
@@ -46,34 +46,35 @@
     },
     /// Two of the changes have the same subject.
     #[error("{0} is changed twice at once")]
-    Twice(Subject),
+    DuplicateSubject(Subject),
     /// The changes would leave the catalog as it is.
     #[error("changes nothing")]
-    Empty,
-    /// A value of the subject is not allowed.
+    NoChange,
+    /// A value of the subject is invalid.
     #[error("{subject}: {what}")]
     InvalidValue {
         /// The subject with the value.
         subject: Subject,
-        /// The fault of the value.
+        /// What is wrong with the value.
         what: InvalidValue,
     },
 }
 
-/// The fault of a value of a plan, volume, node, drain or scheduled change.
+/// What is wrong with a value of a plan, volume, node, drain or scheduled change.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum InvalidValue {
     /// A value of a plan is negative, infinite or not a number.
     #[error("a figure is negative or no number")]
-    NotANumber,
+    InvalidNumber,
     /// A plan has a limit below its reservation. See [`crate::validation`] for why this is not
     /// allowed.
     #[error("its limit is below its reservation")]
     LimitBelowReservation,
-    /// A plan has a limit and an empty token bucket.
+    /// A plan has a limit and a token bucket of capacity 0.
     #[error("a limit needs a burst above 0")]
     NoBurst,
-    /// Attempts decided earlier may exceed the limit by more than the slack.
+    /// A plan's slack does not cover the attempts that were decided under a former limit and may
+    /// still be sent.
     #[error("its slack is below what may still cross of its limit, {least}")]
     SlackTooSmall {
         /// The smallest valid slack, units.
@@ -87,13 +88,13 @@
     UnknownHost(Name),
     /// The volume lists a host twice.
     #[error("works through one host twice")]
-    HostTwice,
+    DuplicateHost,
     /// The volume has size 0.
-    #[error("has no blocks")]
+    #[error("has 0 blocks, expected at least 1")]
     NoBlocks,
     /// A node's capacity is negative, infinite or not a number.
-    #[error("its capacity is negative or no number")]
-    Capacity,
+    #[error("its capacity is negative, infinite or not a number")]
+    InvalidCapacity,
     /// A node's name could be mistaken for the number of another node.
     #[error("its name, {0}, is a number and might be another's")]
     NameIsANumber(Name),
@@ -108,7 +109,7 @@
     /// Scheduled changes do not nest.
     #[error("a timed change within a timed change")]
     NestedSchedule,
-    /// A drain would go back or skip a stage.
+    /// A drain would return to an earlier stage, or start at a later stage than draining.
     #[error("cannot go from {from} to {to}")]
     StageOrder {
         /// Name of the present stage, or "none".
@@ -116,7 +117,7 @@
         /// Name of the proposed stage.
         to: &'static str,
     },
-    /// A volume is on a shard that has no node.
+    /// A volume may have data on a shard that no node holds.
     #[error("its data may lie in cell {shard}, which no node holds")]
     ShardWithoutNode {
         /// The shard.
@@ -124,14 +125,14 @@
     },
 }
 
-/// The reason why a persisted revision cannot be applied to this state.
+/// The reason why a revision cannot be applied to this state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum OutOfOrder {
     /// The catalog already has this version or a newer one: the feed was reset to an older state.
-    #[error("the revision is older than the state")]
+    #[error("the revision is not newer than the catalog")]
     Older,
     /// Revisions before this one are missing.
-    #[error("revisions from {} on are missing", .expected.0)]
+    #[error("revisions are missing, expected version {} next", .expected.0)]
     Gap {
         /// The next version that can be applied.
         expected: Version,
--- a/crates/catalog/src/feed/follower_lease.rs
+++ b/crates/catalog/src/feed/follower_lease.rs
@@ -5,19 +5,20 @@
 use crate::records::Version;
 use std::time::Duration;
 
-/// The versions that a host follows, and its lease; see the module.
+/// The versions that a host takes into account, and its lease. See the [module documentation](self).
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct FollowerLease {
     /// The newest version that the host follows.
     pub applied: Version,
-    /// The stable version that the host knows. The host need not take older versions into account.
+    /// The newest stable version that the host knows. The host need not take older versions into
+    /// account.
     pub stable: Version,
-    /// End of the lease, by this host's clock.
+    /// When the lease ends, by this host's clock.
     until: Duration,
 }
 
 impl FollowerLease {
-    /// The persisted versions after a start, without a lease.
+    /// The state after a start: the persisted versions, and no lease.
     pub fn persisted(applied: Version, stable: Version) -> Self {
         FollowerLease {
             applied,
@@ -26,8 +27,8 @@
         }
     }
 
-    /// Applies the response to a poll that was sent at `sent`, by this host's clock. Ignores a
-    /// response with an older version than the host has, and its lease.
+    /// Applies the response to a poll that was sent at `sent`, by this host's clock. A response with
+    /// an older version than the host has is ignored together with its lease.
     pub fn granted(&mut self, sent: Duration, version: Version, stable: Version, lease: Duration) {
         if version < self.applied {
             return;
@@ -41,7 +42,7 @@
         self.stable = self.stable.max(stable).min(version);
     }
 
-    /// Returns whether the lease still runs.
+    /// Returns whether the lease is still valid.
     pub fn leased(&self, now: Duration) -> bool {
         now < self.until
     }
--- a/crates/catalog/src/feed/limit_reductions.rs
+++ b/crates/catalog/src/feed/limit_reductions.rs
@@ -1,10 +1,12 @@
-//! Versions that lower a limit, burst or reservation that hosts may rely on without a lease.
+//! Versions that lower a quota which a host may use without a lease (a part of a reservation or a
+//! burst).
 //!
-//! Owned by the leader, which adds every revision. Bounded by the revisions that are not stable.
+//! Owned by the leader, which adds every revision. The list is bounded by the number of revisions
+//! that are not stable.
 
 use crate::records::Version;
 
-/// A version that lowers limits.
+/// A version that lowers such a quota.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Reduction {
     version: Version,
@@ -12,17 +14,17 @@
     before: Version,
 }
 
-/// The known versions that lower limits; see the module.
+/// The known versions that lower such quotas. See the [module documentation](self).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct LimitReductions {
-    /// Whether versions up to this one lower limits is unknown.
+    /// For versions up to this one it is unknown whether they lower quotas.
     known_after: Version,
     reductions: Vec<Reduction>,
     latest: Version,
 }
 
 impl LimitReductions {
-    /// No reductions, after a version about whose predecessors nothing is known.
+    /// Creates an empty list. Nothing is known about versions up to `known_after`.
     pub fn new(known_after: Version) -> Self {
         LimitReductions {
             known_after,
@@ -44,8 +46,9 @@
         }
     }
 
-    /// The last version that lowers no quota of a host that has `applied` and no lease.
-    pub(super) fn reach(&self, applied: Version) -> Version {
+    /// The newest version such that no version after `applied` and up to it lowers a quota of a host
+    /// without a lease.
+    pub(super) fn safe_version(&self, applied: Version) -> Version {
         if applied < self.known_after {
             return applied;
         }
--- a/crates/catalog/src/feed/quota.rs
+++ b/crates/catalog/src/feed/quota.rs
@@ -1,17 +1,17 @@
 //! A host's quota of a volume's limit. Pure functions, called by [`crate::follower`].
 
-/// The terms of a volume in one version, for one host. Rates are in units a second.
+/// The limit of a volume in one version, as it concerns one host. Rates are in units per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LimitTerms {
     /// The volume's reservation over all hosts.
     pub reservation: f64,
-    /// The volume's limit over all hosts; 0: none.
+    /// The volume's limit over all hosts. 0 means no limit.
     pub limit: f64,
     /// Capacity of the limit's token bucket over all hosts, units.
     pub burst: f64,
     /// Number of hosts through which the volume is served.
     pub hosts: usize,
-    /// Whether this host is one of these hosts.
+    /// Whether the volume is served through this host.
     pub mine: bool,
 }
 
@@ -30,10 +30,10 @@
     }
 }
 
-/// A host's quota of a limit.
+/// A host's part of a limit, as a token bucket.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Quota {
-    /// Tokens added to the bucket, units a second.
+    /// Refill rate of the bucket, units per second.
     pub rate: f64,
     /// Capacity of the bucket, units.
     pub burst: f64,
@@ -48,8 +48,8 @@
     }
 }
 
-/// The quota of a volume that a host may use under all versions that it must take into account;
-/// None: no limit. A version in which the volume does not exist has no terms.
+/// The quota of a volume that a host may use under all versions that it must take into account, or
+/// `None` if the volume has no limit. `window` has no entry for versions without the volume.
 ///
 /// ```
 /// use grebecleat_catalog::feed::{quota, Quota, LimitTerms};
@@ -61,12 +61,12 @@
 ///     mine: true,
 /// };
 /// let rate_of_4 = Some(Quota { rate: 4.0, burst: 8.0 });
-/// // The limit rises from 8 to 12 over two hosts and is not stable yet: the rate is still 4, with
-/// // the former burst.
+/// // The limit is raised from 8 to 12 over two hosts, and the change is not stable yet: the rate is
+/// // still 4, with the former burst.
 /// assert_eq!(quota([terms(8.0, 2), terms(12.0, 2)], true), rate_of_4);
-/// // A third host is added: from now on each host has a third.
+/// // A third host is added: from now on each host has a third of the limit.
 /// assert_eq!(quota([terms(12.0, 2), terms(12.0, 3)], true), rate_of_4);
-/// // Without a lease, the host has its quota of the reservation.
+/// // Without a lease, the host has its part of the reservation.
 /// assert_eq!(quota([terms(12.0, 2)], false), Some(Quota { rate: 2.0, burst: 12.0 }));
 /// assert_eq!(quota([terms(0.0, 2)], false), None);
 /// ```
--- a/crates/catalog/src/flow.rs
+++ b/crates/catalog/src/flow.rs
@@ -2,14 +2,14 @@
 //! as amounts and capacities change.
 //!
 //! [`crate::planner`] calls it volume by volume, and [`crate::incremental_flow`] as a site changes.
-//! [`Flow::offer`] raises the maximum load of a group on each of its nodes. [`Flow::fill`] carries
+//! [`Flow::raise_max_loads`] raises the maximum load of a group on each of its nodes. [`Flow::fill`] carries
 //! as much of an amount as possible along shortest augmenting paths (Ford and Fulkerson, with
 //! breadth first search as in Edmonds and Karp). A solver would have to start from nothing each
 //! time; this flow continues from the present loads. Changes after [`Flow::begin_trial`] are
 //! recorded, and [`Flow::undo_trial`] reverts them. No I/O.
 //!
 //! State: `Network` owns the loads and capacities; `PathSearch` owns the findings of searches.
-//! Amounts are thousandths of units a second. Memory: a few words for each node of each group.
+//! Amounts are thousandths of units per second. Memory: a few words for each node of each group.
 
 mod network;
 mod path_search;
@@ -19,7 +19,7 @@
 use network::{Edge, Network};
 use path_search::{Path, PathSearch};
 
-/// The flow; see the module.
+/// The flow. See the [module documentation](self).
 #[derive(Debug, Clone, Default)]
 pub struct Flow {
     network: Network,
@@ -75,7 +75,7 @@
             dropped += excess;
             self.drop_load(edge, excess);
             if *max_load > former {
-                self.reopen_behind(edge);
+                self.update_saturated(edge);
             }
         }
         dropped
@@ -83,19 +83,19 @@
 
     /// The maximum load on an edge has risen. Saturated nodes whose load of this group can now move
     /// along the edge are no longer saturated.
-    fn reopen_behind(&mut self, edge: Edge) {
+    fn update_saturated(&mut self, edge: Edge) {
         if self.search.is_saturated(self.network.node(edge)) {
             return;
         }
         let group = self.network.group(edge.group);
         let mut loads = group.nodes.iter().zip(&group.loads);
         if loads.any(|(node, load)| *load > 0 && self.search.is_saturated(*node)) {
-            self.search.reopen();
+            self.search.clear_saturated();
         }
     }
 
     /// Raises the maximum load of a group on each of its nodes.
-    pub fn offer(&mut self, group: usize, more: impl Iterator<Item = u64>) {
+    pub fn raise_max_loads(&mut self, group: usize, more: impl Iterator<Item = u64>) {
         let former = &self.network.group(group).max_loads;
         let raised: Vec<u64> = former
             .iter()
@@ -106,7 +106,7 @@
     }
 
     /// Drops an amount of a group's load, from any of its nodes.
-    pub fn drop_some(&mut self, group: usize, mut amount: u64) {
+    pub fn shed_load(&mut self, group: usize, mut amount: u64) {
         for index in 0..self.network.group(group).loads.len() {
             let edge = Edge { group, index };
             let here = amount.min(self.network.load(edge));
@@ -189,7 +189,7 @@
     /// Reverts all changes since the trial began.
     pub fn undo_trial(&mut self) {
         self.network.undo_trial();
-        self.search.reopen();
+        self.search.clear_saturated();
     }
 
     fn add_load(&mut self, edge: Edge, amount: u64) {
@@ -199,7 +199,7 @@
 
     fn set_spare(&mut self, node: usize, spare: u64) {
         if spare > self.network.spare(node) {
-            self.search.reopen();
+            self.search.clear_saturated();
         }
         self.network.set_spare(node, spare);
     }
--- a/crates/catalog/src/flow/network.rs
+++ b/crates/catalog/src/flow/network.rs
@@ -33,7 +33,7 @@
     Spare { node: usize, value: u64 },
 }
 
-/// Groups, edges and nodes; see the module.
+/// Groups, edges and nodes. See the [module documentation](self).
 #[derive(Debug, Clone, Default)]
 pub(super) struct Network {
     /// By node: unused capacity.
--- a/crates/catalog/src/flow/path_search.rs
+++ b/crates/catalog/src/flow/path_search.rs
@@ -33,7 +33,7 @@
     step: Option<Step>,
 }
 
-/// The search and its findings; see the module.
+/// The search and its findings. See the [module documentation](self).
 #[derive(Debug, Clone, Default)]
 pub(super) struct PathSearch {
     /// Nodes from which no path leads to spare capacity. The finding holds until capacity is freed
@@ -60,7 +60,7 @@
     }
 
     /// Drops all findings, since there may be new paths.
-    pub fn reopen(&mut self) {
+    pub fn clear_saturated(&mut self) {
         self.saturated.fill(false);
     }
 
--- a/crates/catalog/src/follower.rs
+++ b/crates/catalog/src/follower.rs
@@ -1,31 +1,32 @@
-//! A host's side of the change feed: what it polls, persists and acknowledges, and on what terms it
-//! serves each volume.
+//! A host's side of the change feed: what it polls, persists and acknowledges, and under which plan
+//! and quota (its terms) it serves each volume.
 //!
-//! State machine: `step(now, events)` returns the actions to perform; [`Follower::wake_at`] returns
-//! when it must be called again. No I/O. The host's shell calls it for every batch of events from
-//! the connection to the leader and from the disk. Each step reconciles the state: one poll is
-//! pending at the leader; everything received is written; the leader has an acknowledgement once no
-//! attempt decided on an older version can be sent any more; and the host's decisions have the
-//! terms that follow from all versions that the host must take into account
-//! ([`crate::feed::quota`]). Each part of the state has one owner:
+//! The follower is a state machine without I/O: `step(now, events)` returns the actions to perform,
+//! and [`Follower::wake_at`] returns when to call it again. The host's I/O layer (the "shell") calls
+//! it for every batch of events from the connection to the leader and from the disk. Each step
+//! brings the outside in line with the state: one poll is pending at the leader; everything received
+//! is written; a version is acknowledged once no attempt that was decided on an older version can be
+//! sent any more; and the host's scheduler knows the terms that follow from all versions that the
+//! host must take into account ([`crate::feed::quota`]). Each part of the state has one owner:
 //!
 //! - [`Catalog`] and [`FollowerLease`]: the versions that the host follows, and until when;
 //! - `PollState`: the connection and its pending poll;
 //! - `Persistence`: the pending write and the persisted versions;
 //! - `Acknowledgements`: which version may be acknowledged;
-//! - `Announcements`: the terms that the host's decisions know.
+//! - `Announcements`: the terms that the host's scheduler knows.
 //!
 //! The rules:
 //!
-//! - The host follows an update at once and persists it at the same time. It acknowledges the
-//!   update only when it is persisted, and when all earlier decisions have been sent or never will
-//!   be. A host that crashes in between has less than it followed, as the leader assumes.
-//! - A host that starts has no lease. Until the first response, it sends of limited volumes only
-//!   the amount that no change can have taken from it, by its persisted state. A host that
-//!   persisted nothing knows of no volume.
+//! - The host follows an update at once and persists it in the meantime. It acknowledges the update
+//!   only when it is persisted, and when all attempts that were decided before have been sent or
+//!   never will be. A host that crashes in between restarts with an older version than it followed,
+//!   which the leader takes into account.
+//! - A host that starts has no lease. Until the first response, it uses only the quota of limited
+//!   volumes that, by its persisted state, no change can have taken from it. A host without persisted
+//!   state knows no volumes.
 //!
-//! Memory: the catalog of volumes that are served through this host, the last terms of each, and at
-//! most [`MAX_UNSTABLE_REVISIONS`] revisions that are not stable.
+//! Memory use is the catalog of volumes that are served through this host, the last terms of each,
+//! and at most [`MAX_UNSTABLE_REVISIONS`] revisions that are not stable.
 
 mod acknowledgements;
 mod announcements;
@@ -48,15 +49,15 @@
 use poll_state::{PendingPoll, PollState};
 use std::time::Duration;
 
-/// Most revisions that are not stable. With more, the host follows nothing new until some are
-/// stable. A larger number takes more memory; a smaller one stops hosts sooner while another host
-/// does not acknowledge.
+/// Maximum number of revisions that are not stable. Beyond it, the host follows nothing new until
+/// some are stable. A larger number takes more memory; a smaller one stops updates sooner while
+/// another host does not acknowledge.
 pub const MAX_UNSTABLE_REVISIONS: usize = 1 << 16;
-/// How long the host polls and writes nothing after a failure. A longer delay means a later
-/// recovery; a shorter one burdens a faulty leader or disk with more attempts.
+/// How long the host stops polling and writing after a failure. A longer delay means a later
+/// recovery; a shorter one causes more futile attempts at a faulty leader or disk.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A host's state machine; see the module.
+/// A host's state machine. See the [module documentation](self).
 #[derive(Debug)]
 pub struct Follower {
     /// Name of this host.
@@ -64,11 +65,11 @@
     now: Duration,
     catalog: Catalog,
     follower_lease: FollowerLease,
-    /// The epoch of the followed versions.
+    /// The epoch of the versions that the host follows.
     epoch: Epoch,
     /// Whether the host had a lease at the last step.
     leased: bool,
-    /// The host polls and writes nothing before this time.
+    /// The host neither polls nor writes before this time.
     retry_at: Duration,
     poll_state: PollState,
     persistence: Persistence,
@@ -80,8 +81,8 @@
 }
 
 impl Follower {
-    /// `host`: the name of this host. `max_dispatch_delay`: longest time between a decision and its
-    /// sending.
+    /// Creates the follower of the host with that name. `max_dispatch_delay` is the longest time
+    /// between the decision to send an attempt and its sending.
     pub fn new(host: Name, start: InitialState, max_dispatch_delay: Duration) -> Self {
         let InitialState {
             catalog,
@@ -106,7 +107,7 @@
         }
     }
 
-    /// An empty catalog for a host's part of the state.
+    /// Creates an empty catalog for a host's part of the state.
     pub fn empty_catalog(facts: Deployment) -> Catalog {
         Catalog::new(facts, MAX_UNSTABLE_REVISIONS)
     }
@@ -132,7 +133,7 @@
         self.leased
     }
 
-    /// The epoch of the followed versions.
+    /// The epoch of the versions that this host follows.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
@@ -144,7 +145,8 @@
             .flat_map(|revision| revision.changes.iter().map(|change| change.subject()))
     }
 
-    /// Handles events, and returns the actions to perform, in order. `now`: a monotonic clock.
+    /// Handles events, and returns the actions to perform, in order. `now` is the time of a monotonic
+    /// clock.
     pub fn step(&mut self, now: Duration, events: Vec<Event>) -> Vec<Action> {
         self.now = now.max(self.now);
         for event in events {
@@ -193,31 +195,30 @@
                     self.poll_state.set_timeout(lease);
                     match self.apply_update(epoch, version, update) {
                         Ok(()) => self.follow(poll, version, stable, lease),
-                        Err(error) => self.note_and_retry(error.to_string()),
+                        Err(error) => self.log_and_retry(error.to_string()),
                     }
                 }
             }
             Event::Behind { call } => {
                 if self.poll_state.complete(call).is_some() {
-                    let text = "the state service knows less than this host; an operator must look";
-                    self.note_and_retry(text.into());
+                    let text = "the state service has an older catalog than a host; an operator must decide";
+                    self.log_and_retry(text.into());
                 }
             }
             Event::PollRejected { call, reason } => {
                 if self.poll_state.complete(call).is_some() {
-                    self.note_and_retry(format!("the state service refuses: {reason}"));
+                    self.log_and_retry(format!("the state service rejected the poll: {reason}"));
                 }
             }
             Event::Persisted { number } => self.persistence.complete(number),
             Event::PersistFailed { reason } => {
                 self.persistence.fail();
-                self.note_and_retry(format!("plans cannot be kept: {reason}"));
+                self.log_and_retry(format!("catalog update not written to disk: {reason}"));
             }
         }
     }
 
-    /// Follows an applied update with the lease that came with it, and drops the revisions that are
-    /// now stable.
+    /// Starts the lease that came with an applied update, and drops the revisions that are now stable.
     fn follow(&mut self, poll: PendingPoll, version: Version, stable: Version, lease: Duration) {
         self.follower_lease
             .granted(poll.sent, version, stable, lease);
@@ -234,8 +235,8 @@
         self.leased = leased;
         self.announcements.mark_limited();
         if !leased {
-            self.note(
-                "the lease on plans has run out: limited volumes keep to their reservations".into(),
+            self.log_line(
+                "catalog lease expired: limited volumes are held to their reservations".into(),
             );
         }
     }
@@ -287,12 +288,12 @@
         });
     }
 
-    fn note_and_retry(&mut self, text: String) {
-        self.note(text);
+    fn log_and_retry(&mut self, text: String) {
+        self.log_line(text);
         self.retry_at = self.now + RETRY_DELAY;
     }
 
-    fn note(&mut self, text: String) {
+    fn log_line(&mut self, text: String) {
         self.actions.push(Action::Note { text });
     }
 }
--- a/crates/catalog/src/follower/acknowledgements.rs
+++ b/crates/catalog/src/follower/acknowledgements.rs
@@ -1,10 +1,10 @@
-//! Which version the host may acknowledge to the leader.
+//! Determines which version the host may acknowledge to the leader.
 //!
 //! A host acknowledges a version once the version is persisted, and once every attempt decided on
 //! an older version has been sent or never will be. The follower calls [`Acknowledgements`] when it
 //! follows a version and at each step.
 //!
-//! State: the versions that are followed and not acknowledged, and the last acknowledgement.
+//! The state is the versions that are followed but not acknowledged, and the last acknowledgement.
 
 use crate::records::Version;
 use std::time::Duration;
@@ -16,10 +16,10 @@
     since: Duration,
 }
 
-/// The host's acknowledgements; see the module.
+/// The host's acknowledgements. See the [module documentation](self).
 #[derive(Debug)]
 pub(super) struct Acknowledgements {
-    /// Longest time between a decision and its sending.
+    /// Longest time between the decision to send an attempt and its sending.
     max_dispatch_delay: Duration,
     /// Versions that are not acknowledged, oldest first.
     followed: Vec<Followed>,
@@ -30,7 +30,7 @@
 }
 
 impl Acknowledgements {
-    /// The state at a start, when the host follows `applied`.
+    /// The state after a start, when the host follows `applied`.
     pub fn new(max_dispatch_delay: Duration, applied: Version) -> Self {
         let followed = Followed {
             version: applied,
@@ -49,7 +49,7 @@
         self.acknowledged
     }
 
-    /// The host follows `version` from `now` on; before, it followed `former`.
+    /// Records that the host follows `version` from `now` on, after it followed `former`.
     pub fn follow(&mut self, now: Duration, former: Version, version: Version) {
         if version > former || self.followed.is_empty() {
             self.followed.push(Followed {
@@ -59,15 +59,15 @@
         }
     }
 
-    /// The state was replaced by a snapshot from the leader. The former version numbers may belong
-    /// to another history.
+    /// Forgets all versions after the state was replaced by a snapshot from the leader, because the
+    /// former version numbers may belong to another history.
     pub fn reset(&mut self) {
         self.followed.clear();
         self.acknowledged = Version::default();
         self.sent = Version::default();
     }
 
-    /// There is a new connection, on which nothing was acknowledged.
+    /// Starts a new connection, on which nothing was acknowledged yet.
     pub fn reconnect(&mut self) {
         self.sent = Version(0);
     }
--- a/crates/catalog/src/follower/announcements.rs
+++ b/crates/catalog/src/follower/announcements.rs
@@ -1,9 +1,8 @@
-//! The plans and terms of volumes that the host's decisions know, and which of them are out of
-//! date.
+//! Announces plans and terms of volumes to the host's scheduler when they change.
 //!
-//! The follower marks what may have changed, and takes the differences at the end of each step.
+//! The follower marks what may have changed, and announces the differences at the end of each step.
 //!
-//! State: the last announced terms of each volume, and the marked plans and volumes.
+//! The state is the last announced terms of each volume, and the marked plans and volumes.
 
 use super::messages::{Action, Terms};
 use crate::catalog::Catalog;
@@ -11,10 +10,10 @@
 use crate::records::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The announced terms and the marks; see the module.
+/// The announced terms, and what may differ from them. See the [module documentation](self).
 #[derive(Debug)]
 pub(super) struct Announcements {
-    /// Plans whose new values were not announced.
+    /// Plans whose new values were not announced yet.
     dirty_plans: BTreeSet<Name>,
     /// Volumes whose terms may differ from the announced ones.
     dirty_volumes: BTreeSet<u64>,
@@ -23,7 +22,7 @@
 }
 
 impl Announcements {
-    /// Everything in the catalog is marked, and nothing is announced.
+    /// Marks everything in the catalog, since nothing is announced yet.
     pub fn new(catalog: &Catalog) -> Self {
         let mut announcements = Announcements {
             dirty_plans: BTreeSet::new(),
@@ -34,7 +33,7 @@
         announcements
     }
 
-    /// Marks everything in the catalog, and every volume that was announced.
+    /// Marks all plans and volumes in the catalog, and every volume that was announced.
     pub fn mark_all(&mut self, catalog: &Catalog) {
         self.dirty_volumes.extend(self.announced.keys());
         self.dirty_volumes
@@ -52,7 +51,7 @@
         self.dirty_volumes.extend(limited.map(|(id, _)| *id));
     }
 
-    /// Marks the plans that a revision touches, and the volumes whose terms it may change.
+    /// Marks the plans that a revision changes, and the volumes whose terms it may affect.
     pub fn mark_revision(&mut self, catalog: &Catalog, revision: &Revision) {
         for change in revision.changes.iter().chain(&revision.before) {
             match change {
--- a/crates/catalog/src/follower/messages.rs
+++ b/crates/catalog/src/follower/messages.rs
@@ -1,6 +1,6 @@
 //! A follower's input and output: events, actions, and the state that it starts with.
 //!
-//! Plain data: the host's shell makes the events and performs the actions. Owns no state.
+//! Plain data: the host's I/O layer (the "shell") creates the events and performs the actions.
 
 use crate::catalog::Catalog;
 use crate::change::{Change, Revision};
@@ -28,9 +28,9 @@
 /// An input of the follower.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// There is a connection to the leader.
+    /// A connection to the leader was established.
     Up,
-    /// The connection is lost.
+    /// The connection to the leader was lost.
     Down,
     /// The leader grants a lease, with an update.
     Granted {
@@ -47,7 +47,7 @@
         /// The changes since the host's version.
         update: Update,
     },
-    /// The leader does not know a version that some host has.
+    /// The leader is behind: it does not know a version that some host has.
     Behind {
         /// The poll.
         call: CallId,
@@ -56,7 +56,7 @@
     PollRejected {
         /// The poll.
         call: CallId,
-        /// The reason, for operators to read.
+        /// The reason, for operators.
         reason: String,
     },
     /// A write is on the disk.
@@ -66,7 +66,7 @@
     },
     /// The last write failed.
     PersistFailed {
-        /// The disk's error, for operators to read.
+        /// The error from the disk, for operators.
         reason: String,
     },
 }
@@ -80,9 +80,9 @@
     pub epoch: Epoch,
     /// The stable version.
     pub stable: Version,
-    /// Revisions to add, with the changes that restore what was before.
+    /// Revisions to add, each with the changes that restore the state before it.
     pub revisions: Vec<Revision>,
-    /// Whether the present state replaces all that is stored, because revisions are missing there.
+    /// Whether the current state must replace all that is stored, because revisions are missing there.
     pub snapshot: bool,
 }
 
@@ -93,9 +93,9 @@
     pub plan: Name,
     /// Number of hosts through which the volume is served.
     pub hosts: usize,
-    /// Whether this host is one of these hosts.
+    /// Whether the volume is served through this host.
     pub mine: bool,
-    /// This host's part of the limit; None: no limit.
+    /// This host's part of the limit, or `None` if the volume has no limit.
     pub quota: Option<Quota>,
 }
 
@@ -115,8 +115,8 @@
         /// The version of the last acknowledgement: `applied` in [`Action::Acknowledge`].
         acknowledged: Version,
     },
-    /// Acknowledge a version to the leader: this host sends no more attempts decided on an older
-    /// version.
+    /// Acknowledge a version to the leader: this host sends no more attempts that were decided on an
+    /// older version.
     Acknowledge {
         /// The epoch of the version.
         epoch: Epoch,
@@ -125,7 +125,8 @@
     },
     /// Write to the disk.
     Persist(PersistRequest),
-    /// A plan has new values; its limit is in the terms of each volume.
+    /// A plan has new values. The part of the limit that this host may use is in the terms of each
+    /// volume.
     Plan {
         /// The plan's name.
         name: Name,
@@ -136,7 +137,7 @@
     Volume {
         /// The volume's number.
         id: u64,
-        /// The new terms; None: the volume does not exist, or is not served here.
+        /// The new terms, or `None` if the volume does not exist or is not served through this host.
         terms: Option<Terms>,
     },
     /// Write a line to the log.
--- a/crates/catalog/src/follower/persistence.rs
+++ b/crates/catalog/src/follower/persistence.rs
@@ -1,10 +1,11 @@
-//! The host's writes to its disk: what must be written, what is pending, and what is persisted.
+//! Tracks the host's writes to its disk: what must be written, what is pending, and what is
+//! persisted.
 //!
 //! The follower calls [`Persistence`] with each revision and each result of a write, and at each
 //! step. At most one write is pending.
 //!
-//! State: the revisions that are not written, the pending write, and the persisted versions.
-//! Memory: the revisions received since the last write.
+//! The state is the revisions that were received since the last write, the pending write, and the
+//! persisted versions.
 
 use super::messages::PersistRequest;
 use crate::change::Revision;
@@ -18,7 +19,7 @@
     version: Version,
 }
 
-/// The host's writes; see the module.
+/// The host's writes. See the [module documentation](self).
 #[derive(Debug)]
 pub(super) struct Persistence {
     /// Revisions received since the last write.
@@ -33,7 +34,7 @@
 }
 
 impl Persistence {
-    /// The state at a start: `applied` and `stable` are on the disk.
+    /// The state after a start, when `applied` and `stable` are on the disk.
     pub fn new(applied: Version, stable: Version) -> Self {
         Persistence {
             unpersisted: Vec::new(),
@@ -54,13 +55,14 @@
         self.unpersisted.push(revision);
     }
 
-    /// The next write must replace all that is stored.
+    /// Makes the next write replace all that is stored.
     pub fn require_snapshot(&mut self) {
         self.needs_snapshot = true;
     }
 
-    /// The state was replaced by a snapshot from the leader. The former version numbers may belong
-    /// to another history, so neither they nor a pending write count any more.
+    /// Starts over after the state was replaced by a snapshot from the leader. The former version
+    /// numbers may belong to another history, so the persisted versions and a pending write no longer
+    /// count.
     pub fn reset(&mut self) {
         self.unpersisted.clear();
         self.needs_snapshot = true;
@@ -68,7 +70,7 @@
         self.pending = None;
     }
 
-    /// Returns whether a write can start now and has anything to write. `stable`: the stable
+    /// Returns whether no write is pending and there is something to write. `stable` is the stable
     /// version that the host knows.
     pub fn is_due(&self, stable: Version) -> bool {
         let has_news = !self.unpersisted.is_empty() || self.needs_snapshot || stable > self.stable;
@@ -94,7 +96,7 @@
         }
     }
 
-    /// The write with that number is on the disk. Ignores a write that does not count any more.
+    /// Completes the write with that number. A write that no longer counts is ignored.
     pub fn complete(&mut self, number: u64) {
         let completed = self.pending.take_if(|pending| pending.number == number);
         if let Some(completed) = completed {
@@ -102,8 +104,8 @@
         }
     }
 
-    /// The pending write failed. How much of it reached the disk is unknown, so the next write
-    /// replaces everything.
+    /// Cancels the pending write after it failed. How much of it is on the disk is unknown, so the
+    /// next write replaces everything.
     pub fn fail(&mut self) {
         if self.pending.take().is_some() {
             self.needs_snapshot = true;
--- a/crates/catalog/src/follower/poll_state.rs
+++ b/crates/catalog/src/follower/poll_state.rs
@@ -1,15 +1,15 @@
-//! The connection to the leader and the one poll that may be pending on it.
+//! The connection to the leader, and the one poll that may be pending on it.
 //!
-//! The follower calls [`PollState`] for each event of the connection and at each step. State:
-//! whether there is a connection, the pending poll, and how long the response may take.
+//! The follower calls [`PollState`] for each event of the connection and at each step. The state is
+//! whether there is a connection, the pending poll, and the timeout of polls.
 
 use crate::leader::CallId;
 use std::time::Duration;
 
-/// How long the first response may take. Later responses may take as long as the last lease, of
-/// which the leader delays them by a third at most. Guards against a response that was lost on a
-/// connection that is still up. A longer time delays the next poll in that case; a shorter one
-/// repeats polls at a leader that is slow.
+/// Timeout of the first poll. Later polls time out after the duration of the last lease; the leader
+/// delays a response by at most a third of it. The timeout detects a response that was lost on a
+/// connection that is still up. A longer timeout delays the next poll in that case; a shorter one
+/// repeats polls while the leader is slow.
 const FIRST_POLL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A poll that has no response yet.
@@ -21,7 +21,7 @@
     pub sent: Duration,
 }
 
-/// The connection and its pending poll; see the module.
+/// The connection and its pending poll. See the [module documentation](self).
 #[derive(Debug)]
 pub(super) struct PollState {
     is_connected: bool,
@@ -44,18 +44,19 @@
         self.is_connected
     }
 
-    /// The connection is up or down. A poll that was pending gets no response.
+    /// Records whether there is a connection. A pending poll on the former connection is dropped,
+    /// because it gets no response.
     pub fn set_connected(&mut self, is_connected: bool) {
         self.is_connected = is_connected;
         self.pending = None;
     }
 
-    /// Ends the pending poll if the response is for that call; returns the poll.
+    /// Removes and returns the pending poll, if the response is for that call.
     pub fn complete(&mut self, call: CallId) -> Option<PendingPoll> {
         self.pending.take_if(|pending| pending.call == call)
     }
 
-    /// Sets how long later responses may take, from the lease that was granted.
+    /// Sets the timeout of later polls to the duration of the granted lease.
     pub fn set_timeout(&mut self, lease: Duration) {
         self.timeout = lease;
     }
--- a/crates/catalog/src/follower/terms.rs
+++ b/crates/catalog/src/follower/terms.rs
@@ -1,4 +1,4 @@
-//! The terms on which a host serves a volume, over all versions that the host must take into
+//! Computes the terms on which a host serves a volume from all versions that the host must take into
 //! account. Pure functions, called by the follower for each volume whose terms may have changed.
 
 use super::Terms;
@@ -8,7 +8,7 @@
 use crate::records::{Name, Plan, Volume};
 use std::collections::BTreeMap;
 
-/// A volume and the plans that differ from the present ones, as they were before some revision.
+/// The state before some revision: a volume, and the plans that differ from the current ones.
 struct EarlierState<'a> {
     catalog: &'a Catalog,
     host: &'a Name,
@@ -17,8 +17,8 @@
 }
 
 impl<'a> EarlierState<'a> {
-    /// Goes back by one change; returns whether the change touches the volume or its plan.
-    fn go_back(&mut self, id: u64, before: &'a Change) -> bool {
+    /// Reverts one change, and returns whether it concerns the volume or its plan.
+    fn revert(&mut self, id: u64, before: &'a Change) -> bool {
         match before {
             Change::Volume { id: other, to } if *other == id => {
                 self.volume = to.as_ref();
@@ -48,8 +48,8 @@
     }
 }
 
-/// The terms on which `host` serves a volume; None: the catalog does not have the volume. `leased`:
-/// whether the host has a lease.
+/// The terms on which `host` serves a volume, or `None` if the volume is not in the catalog. `leased`
+/// is whether the host has a lease.
 pub(super) fn terms(catalog: &Catalog, host: &Name, leased: bool, id: u64) -> Option<Terms> {
     let volume = catalog.volume(id)?;
     Some(Terms {
@@ -60,7 +60,7 @@
     })
 }
 
-/// The limit terms of a volume in each version that the host must take into account, newest first.
+/// The limit of a volume in each version that the host must take into account, newest first.
 fn limit_terms_window(catalog: &Catalog, host: &Name, id: u64) -> Vec<LimitTerms> {
     let mut state = EarlierState {
         catalog,
@@ -72,7 +72,7 @@
     for revision in catalog.audit_log().rev() {
         let mut has_changed = false;
         for before in &revision.before {
-            has_changed |= state.go_back(id, before);
+            has_changed |= state.revert(id, before);
         }
         if has_changed {
             window.extend(state.limit_terms());
--- a/crates/catalog/src/follower/updates.rs
+++ b/crates/catalog/src/follower/updates.rs
@@ -1,6 +1,6 @@
-//! Applies the leader's updates, if they follow the version that this host has.
+//! Applies the leader's updates, if they continue from the version that this host has.
 //!
-//! The follower's shell calls [`Follower::apply_update`] for each granted poll.
+//! [`Follower::step`] calls [`Follower::apply_update`] for each granted poll.
 
 use super::messages::Update;
 use super::{Follower, MAX_UNSTABLE_REVISIONS};
@@ -11,20 +11,23 @@
 use crate::records::Version;
 use thiserror::Error;
 
-/// The reason why an update is not applied. Operators read the texts in the log.
+/// The reason why an update is not applied. The messages are written to the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub(super) enum UpdateError {
     /// Revisions are missing or out of order.
     #[error("what came does not lead from {} to {}", .from.0, .to.0)]
     Gap { from: Version, to: Version },
     /// See [`MAX_UNSTABLE_REVISIONS`].
-    #[error("too many changes wait for other hosts; nothing new is followed")]
+    #[error(
+        "update not applied: more than {MAX_UNSTABLE_REVISIONS} revisions are not acknowledged by all \
+         hosts"
+    )]
     TooManyOpen,
 }
 
 impl Follower {
-    /// Applies an update that leads to `version`. Applies all of it or nothing, because a partly
-    /// applied update would be a state that the leader never decided.
+    /// Applies an update that leads to `version`. An update is applied completely or not at all,
+    /// because a partly applied update would be a state that the leader never decided on.
     pub(super) fn apply_update(
         &mut self,
         epoch: Epoch,
@@ -76,8 +79,8 @@
     }
 }
 
-/// Checks that an update follows the catalog's version, leads to `version` in order, and does not
-/// exceed [`MAX_UNSTABLE_REVISIONS`].
+/// Checks that an update continues from the catalog's version, leads to `version` without gaps, and
+/// does not exceed [`MAX_UNSTABLE_REVISIONS`].
 fn check_update(catalog: &Catalog, version: Version, update: &Update) -> Result<(), UpdateError> {
     let present = catalog.version();
     let (start, unstable, revisions) = match update {
@@ -102,8 +105,9 @@
     Ok(())
 }
 
-/// A revision with the changes that restore the former state of this host. For a volume that was
-/// not served here, the leader sends the former state, because this host's own may be old.
+/// Adds the changes that restore this host's former state to a revision. For a volume that was not
+/// served through this host, the leader sends the former state, because the host's own may be
+/// outdated.
 fn with_former_states(catalog: &Catalog, revision: Revision) -> Revision {
     let former = |change: &Change| {
         let subject = change.subject();
--- a/crates/catalog/src/incremental_flow.rs
+++ b/crates/catalog/src/incremental_flow.rs
@@ -15,13 +15,13 @@
 mod nodes;
 
 use crate::flow::Flow;
-use crate::planner::{to_parts, Node, Site, Volume, PARTS};
+use crate::planner::{to_parts, Node, Site, Volume, PARTS_PER_UNIT};
 use demand::Demand;
 use groups::GroupTable;
 use nodes::NodeTable;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Reservations that cannot be carried, units a second.
+/// Reservations that cannot be carried, units per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Shortfall {
     /// The unmet amount of extents that are in reach.
@@ -45,7 +45,7 @@
     demand: Demand,
 }
 
-/// The flow of a site; see the module.
+/// The flow of a site. See the [module documentation](self).
 #[derive(Debug, Clone, Default)]
 pub struct IncrementalFlow {
     spread: f64,
@@ -96,9 +96,9 @@
         }
     }
 
-    /// The amount that rounding may lose, units a second: a thousandth for each volume.
+    /// The amount that rounding may lose, units per second: a thousandth for each volume.
     pub fn slack(&self) -> f64 {
-        self.volumes.len() as f64 / PARTS
+        self.volumes.len() as f64 / PARTS_PER_UNIT
     }
 
     /// All nodes.
@@ -114,9 +114,9 @@
     /// The reservations that cannot be carried.
     pub fn shortfall(&self) -> Shortfall {
         let total = self.groups.total_demand();
-        let out_of_reach = self.reservations.saturating_sub(total) as f64 / PARTS;
+        let out_of_reach = self.reservations.saturating_sub(total) as f64 / PARTS_PER_UNIT;
         Shortfall {
-            short: self.groups.total_unmet() as f64 / PARTS,
+            short: self.groups.total_unmet() as f64 / PARTS_PER_UNIT,
             out_of_reach: if out_of_reach < self.slack() {
                 0.0
             } else {
@@ -139,7 +139,7 @@
         let saved = self.groups.save(&groups);
         self.flow.begin_trial();
         for index in &indexes {
-            self.switch(*index, false);
+            self.set_node_up(*index, false);
         }
         for group in &groups {
             let demand = self.demand_of_group(*group);
@@ -164,8 +164,8 @@
             return;
         };
         if self.nodes.is_up(index) != up {
-            self.switch(index, up);
-            self.reload(index);
+            self.set_node_up(index, up);
+            self.recompute_demand(index);
         }
     }
 
@@ -235,14 +235,14 @@
             .map(|(node, _)| *node)
     }
 
-    /// Unused capacity of a node, units a second.
+    /// Unused capacity of a node, units per second.
     pub fn spare(&self, id: u32) -> f64 {
         let index = self.nodes.index(id);
-        index.map_or(0.0, |index| self.flow.spare(index) as f64 / PARTS)
+        index.map_or(0.0, |index| self.flow.spare(index) as f64 / PARTS_PER_UNIT)
     }
 
     /// Returns whether no path leads from a node to spare capacity, while a reservation is unmet.
-    pub fn is_tight(&self, id: u32) -> bool {
+    pub fn is_bottleneck(&self, id: u32) -> bool {
         let index = self.nodes.index(id);
         self.groups.has_unmet() && index.is_some_and(|index| self.flow.is_saturated(index))
     }
@@ -261,13 +261,13 @@
             let group = self.flow.group(group);
             for (index, load) in group.nodes.iter().zip(&group.loads) {
                 let sum = carried.entry(self.nodes.id(*index)).or_default();
-                *sum += *load as f64 / PARTS * fraction;
+                *sum += *load as f64 / PARTS_PER_UNIT * fraction;
             }
         }
         carried
     }
 
-    fn switch(&mut self, index: usize, up: bool) {
+    fn set_node_up(&mut self, index: usize, up: bool) {
         let capacity = self.nodes.capacity(index);
         self.nodes.set_up(index, up);
         if up {
@@ -278,7 +278,7 @@
     }
 
     /// Recomputes the demand of all volumes with data on a node.
-    fn reload(&mut self, index: usize) {
+    fn recompute_demand(&mut self, index: usize) {
         let groups: Vec<usize> = self.flow.groups_at(index).collect();
         for group in groups {
             let mut sum = self.no_demand(group);
@@ -318,7 +318,8 @@
         let indexes: Vec<usize> = indexed.map(|(index, _)| index).collect();
         let group = self.flow.group_of(&indexes);
         let demand = Demand::of(&volume, &self.nodes, self.spread);
-        self.flow.offer(group, demand.max_loads.iter().copied());
+        self.flow
+            .raise_max_loads(group, demand.max_loads.iter().copied());
         self.groups.add(group, volume.id, demand.amount);
         self.reservations += to_parts(volume.reservation);
         let placed = PlacedVolume {
@@ -349,7 +350,7 @@
     fn trim(&mut self, group: usize) {
         let carried: u64 = self.flow.group(group).loads.iter().sum();
         let total = self.groups.total(group);
-        self.flow.drop_some(group, carried.saturating_sub(total));
+        self.flow.shed_load(group, carried.saturating_sub(total));
         self.groups.set_unmet(group, total.saturating_sub(carried));
     }
 
--- a/crates/catalog/src/incremental_flow/groups.rs
+++ b/crates/catalog/src/incremental_flow/groups.rs
@@ -10,7 +10,7 @@
     unmet: BTreeMap<usize, u64>,
 }
 
-/// The groups of a flow, by number; see the module.
+/// The groups of a flow, by number. See the [module documentation](self).
 #[derive(Debug, Clone, Default)]
 pub(super) struct GroupTable {
     /// By group: its volumes.
--- a/crates/catalog/src/incremental_flow/nodes.rs
+++ b/crates/catalog/src/incremental_flow/nodes.rs
@@ -11,7 +11,7 @@
     is_up: bool,
 }
 
-/// The nodes of a site; see the module.
+/// The nodes of a site. See the [module documentation](self).
 #[derive(Debug, Clone, Default)]
 pub(super) struct NodeTable {
     nodes: Vec<SiteNode>,
--- a/crates/catalog/src/interner.rs
+++ b/crates/catalog/src/interner.rs
@@ -1,14 +1,15 @@
-//! Shares equal names and lists between volumes, so that each is in memory once.
+//! Shares equal names and lists between volumes, so that each is stored in memory only once.
 //!
-//! Owned by [`crate::catalog`]. Thousands of volumes have the same plan, hosts and shards. Memory:
-//! an entry for each different name and list that any volume ever had.
+//! Owned by [`crate::catalog`]. Thousands of volumes have the same plan, hosts and shards. Entries
+//! are never removed, so memory use is one entry for each distinct name and list that any volume has
+//! had.
 
 use crate::records::{Name, Volume};
 use std::collections::HashSet;
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// The shared names and lists; see the module.
+/// The shared names and lists. See the [module documentation](self).
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Interner {
     names: HashSet<Name>,
--- a/crates/catalog/src/leader.rs
+++ b/crates/catalog/src/leader.rs
@@ -1,28 +1,28 @@
-//! The leader of the catalog: it decides which changes land, what is persisted before hosts learn
-//! of it, and what response each host gets.
+//! The leader of the catalog: it decides which changes are accepted, what must be persisted before
+//! hosts learn of it, and how to respond to each host.
 //!
-//! State machine: `step(now, wall, events)` returns the actions to perform; [`Leader::wake_at`]
-//! returns when it must be called again. No I/O. The catalog service's shell calls it for every
-//! batch of events. Each part of the state has one owner:
+//! The leader is a state machine without I/O: `step(now, wall, events)` returns the actions to
+//! perform, and [`Leader::wake_at`] returns when to call it again. The I/O layer of the catalog
+//! service (the "shell") calls it for every batch of events. Each part of the state has one owner:
 //!
 //! - `CatalogWriter`: the catalog, and the admission control over it ([`crate::admission`]);
 //! - `Persistence`: the pending writes and the persisted versions;
 //! - [`Leases`]: which version each host follows, and until when ([`crate::feed`]);
 //! - `PollTable`: the polls that have no response yet;
-//! - `EpochHistory`: which versions of hosts belong to this history;
+//! - `EpochHistory`: which versions that hosts follow belong to this catalog's history;
 //! - `ScheduledIds`: the numbers of scheduled changes.
 //!
 //! The rules:
 //!
 //! - Admission evaluates a change against the catalog with all pending changes, so that many changes
-//!   can be written together. Nobody learns of a change before it is persisted. If it cannot be
-//!   persisted, that change and all after it never happened.
-//! - The stable version, and the fact that a host was ever granted a lease, are persisted before
-//!   anybody learns what depends on them.
-//! - While a host has followed a version that is not known here, the leader grants nothing to any
-//!   host, until an operator has decided that the state here counts (a new epoch).
+//!   can be written together. No host or operator learns of a change before it is persisted. If a
+//!   change cannot be persisted, it and all later ones are reverted.
+//! - The stable version, and the fact that a host was granted a lease for the first time, are
+//!   persisted before the leader sends anything that depends on them.
+//! - If a host has followed a version that is unknown here, the leader grants no leases to any host
+//!   until an operator decides that the state here is authoritative, which starts a new epoch.
 //!
-//! Memory: the catalog, the flow, one poll for each host, and at most [`MAX_PENDING_COMMITS`]
+//! Memory use is the catalog, the flow, one poll for each host, and at most [`MAX_PENDING_COMMITS`]
 //! pending changes.
 
 mod catalog_writer;
@@ -53,11 +53,11 @@
 use scheduled::ScheduledIds;
 use std::time::Duration;
 
-/// The catalog service's state machine; see the module.
+/// The catalog service's state machine. See the [module documentation](self).
 #[derive(Debug)]
 pub struct Leader {
     now: Duration,
-    /// The wall clock, since 1970.
+    /// The wall-clock time since the Unix epoch.
     wall: Duration,
     /// Names of all hosts, by their numbers.
     hosts: Vec<Name>,
@@ -71,8 +71,9 @@
 }
 
 impl Leader {
-    /// `lease`: how long hosts may follow a grant. `margin`: how much longer the leader waits for a
-    /// lease to end, for clocks that run slower. `spread`: see [`crate::planner::Site`].
+    /// Creates the leader. `lease` is how long a host may follow the granted versions. The leader
+    /// considers a lease expired only `margin` after its end, because a host's clock may run slower.
+    /// See [`crate::planner::Site`] for `spread`.
     pub fn new(
         start: InitialState,
         lease: Duration,
@@ -105,23 +106,24 @@
         }
     }
 
-    /// The catalog, with revisions that may not be persisted yet.
+    /// The catalog, including revisions that are not persisted yet.
     pub fn catalog(&self) -> &Catalog {
         self.writer.catalog()
     }
 
-    /// The newest version that may be shown. A revision that is not persisted may yet be reverted.
+    /// The newest persisted version. Later versions must not be shown, because they may still be
+    /// reverted.
     pub fn persisted(&self) -> Version {
         self.persistence.persisted()
     }
 
-    /// The stable version, as far as it is persisted.
+    /// The newest persisted stable version.
     pub fn stable(&self) -> Version {
         self.persistence.stable()
     }
 
-    /// The newest version that a host has followed and that is not known here, until an operator
-    /// has decided that the state here counts.
+    /// The newest version that a host has followed and that is unknown here. `None` if there is none,
+    /// or once an operator has decided that the state here is authoritative.
     pub fn behind(&self) -> Option<Version> {
         self.leases.behind()
     }
@@ -131,8 +133,9 @@
         self.writer.admission()
     }
 
-    /// Hosts for which that version waits to be stable, and whether only their own acknowledgement,
-    /// or an operator's guarantee, can end that.
+    /// Hosts that keep that version from becoming stable. The flag is true if this ends only when the
+    /// host acknowledges, or when an operator guarantees that it sends nothing, because the host's
+    /// last lease has already expired.
     pub fn waits_for(&self, version: Version) -> Vec<(Name, bool)> {
         self.leases
             .waits_for(self.now, version, self.writer.limit_reductions())
@@ -141,7 +144,8 @@
             .collect()
     }
 
-    /// The newest version that each host has acknowledged; None: it was never granted a lease.
+    /// The newest version that each host has acknowledged, or `None` if the host was never granted a
+    /// lease.
     pub fn follows(&self) -> impl Iterator<Item = (&Name, Option<Version>)> {
         self.hosts
             .iter()
@@ -149,8 +153,8 @@
             .map(|(number, name)| (name, self.leases.applied(HostNumber(number as u32))))
     }
 
-    /// Handles events, and returns the actions to perform, in order. `now`: a monotonic clock;
-    /// `wall`: since 1970.
+    /// Handles events, and returns the actions to perform, in order. `now` is the time of a monotonic
+    /// clock, `wall` the wall-clock time since the Unix epoch.
     pub fn step(&mut self, now: Duration, wall: Duration, events: Vec<Event>) -> Vec<Action> {
         self.now = now.max(self.now);
         self.wall = wall;
@@ -160,7 +164,7 @@
         for event in events {
             self.handle(event);
         }
-        self.land_scheduled();
+        self.apply_due_changes();
         self.persist_stable();
         self.answer_polls();
         self.writer.end_step();
@@ -246,7 +250,7 @@
         }
     }
 
-    /// Reverts all decisions that could not be persisted, newest first.
+    /// Reverts all revisions that could not be persisted, newest first.
     fn handle_persist_failed(&mut self, number: u64, reason: &str) {
         let Some(commits) = self.persistence.cancel_all(self.now, number) else {
             return;
@@ -259,16 +263,16 @@
             self.epochs.set_forced_at(commit.former_forced_at);
             match commit.call {
                 Some(call) => self.reject(call, &rejection),
-                None => self.note(rejection.to_string()),
+                None => self.log_line(rejection.to_string()),
             }
         }
         self.writer
             .rebuild_limit_reductions(self.persistence.stable());
-        self.note(rejection.to_string());
+        self.log_line(rejection.to_string());
     }
 
-    /// Persists the stable version before a host learns of it. No host knows of a pending version,
-    /// so no pending version is stable.
+    /// Persists the stable version before a host learns of it. A version that is not persisted cannot
+    /// be stable, because no host knows it.
     fn persist_stable(&mut self) {
         let version = self.leases.stable(
             self.now,
@@ -282,7 +286,7 @@
     fn remove_host(&mut self, call: CallId, host: HostNumber, author: &str) {
         self.leases.set_removed(host);
         let name = self.hosts.get(host.0 as usize).cloned().unwrap_or_default();
-        self.note(format!(
+        self.log_line(format!(
             "{author} answers for it that host {name} sends nothing"
         ));
         self.actions.push(Action::Committed {
@@ -305,7 +309,7 @@
         });
     }
 
-    fn note(&mut self, text: String) {
+    fn log_line(&mut self, text: String) {
         self.actions.push(Action::Note { text });
     }
 }
--- a/crates/catalog/src/leader/catalog_writer.rs
+++ b/crates/catalog/src/leader/catalog_writer.rs
@@ -1,11 +1,11 @@
-//! The leader's catalog with all decided revisions, and the admission control over it.
+//! The leader's catalog with all accepted revisions, and its admission control.
 //!
 //! [`CatalogWriter`] is the only writer of the leader's catalog: it applies revisions, reverts
 //! revisions that could not be persisted, and keeps admission and the limit reductions consistent
 //! with the catalog. The leader calls it for each proposal and for each result of a write.
 //!
-//! State: the catalog, [`Admission`], the limit reductions, and how many losses may still be
-//! examined in the present step. A revision in the catalog may not be persisted yet.
+//! The state is the catalog, [`Admission`], the limit reductions, and how many outages may still be
+//! evaluated in the current step. Revisions in the catalog are not necessarily persisted yet.
 
 use super::rejection::Rejection;
 use crate::admission::{join_reasons, Admission, AdmissionVerdict, ExclusionReason};
@@ -15,23 +15,23 @@
 use crate::records::Version;
 use std::time::Duration;
 
-/// Losses that are examined for one change, some 36 ms at ten thousand volumes. A larger number
-/// delays hosts' polls; a smaller one leaves more warnings out.
-const MAX_LOSSES: usize = 256;
-/// Losses examined in a step with several proposals, which share them. In a flood of proposals,
-/// admission evaluates each change by its effect on the complete site, and only few by their effect
-/// with a node or zone out.
-const MAX_LOSSES_OF_SEVERAL: usize = MAX_LOSSES / 4;
-/// Losses whose figures are refreshed in a step without changes. A larger number delays an event
-/// that arrives meanwhile.
-const IDLE_LOSSES: usize = 16;
-/// Time until the next refresh. A longer interval leaves figures stale for longer.
+/// Maximum number of outages that are evaluated for one change, which takes some 36 ms for ten
+/// thousand volumes. A larger number delays hosts' polls; a smaller one omits more warnings.
+const MAX_OUTAGES: usize = 256;
+/// Maximum number of outages that are evaluated in a step with several proposals, for all of them
+/// together. Under a flood of proposals, admission evaluates the effect of each change on the
+/// complete site, and only for few of them the effect during outages.
+const MAX_OUTAGES_PER_BATCH: usize = MAX_OUTAGES / 4;
+/// Maximum number of outages that are recomputed in a step without changes. A larger number delays
+/// an event that arrives in the meantime.
+const MAX_IDLE_OUTAGES: usize = 16;
+/// Time until the next refresh. A longer interval leaves results stale for longer.
 const IDLE_REFRESH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a revision lands.
+/// How to handle a proposed revision.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct LandingMode {
-    /// The revision lands despite objections.
+pub(super) struct CommitMode {
+    /// The revision is applied despite objections.
     pub force: bool,
     /// The revision is evaluated and then reverted.
     pub dry_run: bool,
@@ -39,7 +39,7 @@
 
 /// The result of a revision that was not rejected.
 #[derive(Debug)]
-pub(super) enum Landing {
+pub(super) enum CommitOutcome {
     /// The catalog has the revision.
     Applied {
         revision: Revision,
@@ -49,22 +49,22 @@
     Previewed { verdict: AdmissionVerdict },
 }
 
-/// The catalog and the admission control over it; see the module.
+/// The catalog and the admission control over it. See the [module documentation](self).
 #[derive(Debug)]
 pub(super) struct CatalogWriter {
     catalog: Catalog,
     admission: Admission,
     limit_reductions: LimitReductions,
-    /// Losses that may be examined in the present step.
+    /// Number of outages that may be evaluated in the current step.
     step_budget: usize,
-    /// Losses that may still be examined in the present step.
+    /// Number of outages that may still be evaluated in the current step.
     remaining_budget: usize,
-    /// Losses whose figures are of an older state.
-    stale_losses: usize,
+    /// Number of outages whose results are of an older state.
+    stale_outages: usize,
 }
 
 impl CatalogWriter {
-    /// `stable`: the persisted stable version. `spread`: see [`crate::planner::Site`].
+    /// `stable` is the persisted stable version. See [`crate::planner::Site`] for `spread`.
     pub fn new(mut catalog: Catalog, stable: Version, spread: f64) -> Self {
         catalog.need(stable);
         CatalogWriter {
@@ -72,12 +72,12 @@
             limit_reductions: limit_reductions_of(&catalog),
             step_budget: 0,
             remaining_budget: 0,
-            stale_losses: 0,
+            stale_outages: 0,
             catalog,
         }
     }
 
-    /// The catalog with all decided revisions.
+    /// The catalog with all accepted revisions.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
@@ -92,45 +92,46 @@
         &self.limit_reductions
     }
 
-    /// Starts a step with a number of proposals, which share the losses to examine.
+    /// Starts a step with a number of proposals, which share the budget for outages.
     pub fn begin_step(&mut self, proposals: usize) {
         self.step_budget = if proposals > 1 {
-            MAX_LOSSES_OF_SEVERAL
+            MAX_OUTAGES_PER_BATCH
         } else {
-            MAX_LOSSES
+            MAX_OUTAGES
         };
         self.remaining_budget = self.step_budget;
     }
 
-    /// Ends a step: refreshes the figures of some losses if no change was evaluated.
+    /// Ends a step. Recomputes some stale outages if no change was evaluated in the step.
     pub fn end_step(&mut self) {
         if self.remaining_budget == self.step_budget {
-            self.stale_losses = self.admission.refresh(IDLE_LOSSES);
+            self.stale_outages = self.admission.refresh(MAX_IDLE_OUTAGES);
         }
     }
 
-    /// When the next step should refresh stale losses.
+    /// When the next step should recompute stale outages.
     pub fn refresh_at(&self, now: Duration) -> Option<Duration> {
-        (self.stale_losses > 0).then(|| now + IDLE_REFRESH_INTERVAL)
+        (self.stale_outages > 0).then(|| now + IDLE_REFRESH_INTERVAL)
     }
 
-    /// Sets whether admission counts a node as unavailable; None: the node is available.
+    /// Sets why admission counts a node as unavailable, or with `None` that the node is available.
     pub fn set_unavailable(&mut self, node: u32, reason: Option<ExclusionReason>) {
         self.admission.set_unavailable(node, reason);
     }
 
-    /// Evaluates a revision and applies it to the catalog. `stable`: the persisted stable version.
+    /// Evaluates a revision, and applies it to the catalog unless it is rejected. `stable` is the
+    /// persisted stable version.
     ///
     /// # Errors
     /// If admission objects and the revision is not forced, the audit log is full, or hosts may
-    /// still know a former volume with the same number. The catalog is then as before.
-    pub fn land(
+    /// still know a removed volume with the same number. The catalog is then unchanged.
+    pub fn admit(
         &mut self,
         mut revision: Revision,
-        mode: LandingMode,
+        mode: CommitMode,
         stable: Version,
-    ) -> Result<Landing, Rejection> {
-        self.check_not_still_known(&revision, stable)?;
+    ) -> Result<CommitOutcome, Rejection> {
+        self.check_volume_number_free(&revision, stable)?;
         if self.catalog.audit_log_is_full() {
             return Err(Rejection::AuditLogFull);
         }
@@ -138,7 +139,7 @@
         let verdict = self.evaluate(&revision);
         if mode.dry_run {
             self.revert_last();
-            return Ok(Landing::Previewed { verdict });
+            return Ok(CommitOutcome::Previewed { verdict });
         }
         let objections = join_reasons(&verdict.objections);
         if !objections.is_empty() {
@@ -146,18 +147,19 @@
                 self.revert_last();
                 return Err(Rejection::Objections(objections));
             }
-            // The stored revision must name the objections; admission already has its changes.
+            // The stored revision must name the objections. Admission already has the changes, so
+            // only the catalog applies the revision again.
             self.catalog.revert_last();
             revision.objections = objections;
             self.apply(&revision);
         }
         self.limit_reductions
             .add(revision.version, revision.lowers_limits);
-        Ok(Landing::Applied { revision, verdict })
+        Ok(CommitOutcome::Applied { revision, verdict })
     }
 
-    /// Applies a revision that gives the present state a version beyond `behind`, the newest
-    /// version that any host follows, and returns it.
+    /// Applies and returns a revision that raises the version of the current state above `behind`, the
+    /// newest version that any host follows.
     pub fn force_epoch(&mut self, behind: Version, by: ChangeContext) -> Revision {
         let revision = self.catalog.force_epoch(behind, by);
         self.apply(&revision);
@@ -172,14 +174,14 @@
         }
     }
 
-    /// Drops what is needed only before a persisted stable version.
+    /// Drops data that is no longer needed once `stable` is persisted as the stable version.
     pub fn set_stable(&mut self, stable: Version) {
         self.limit_reductions.forget(stable);
         self.catalog.need(stable);
     }
 
-    /// Rebuilds the limit reductions after the persisted stable version from the audit log, after
-    /// revisions were reverted.
+    /// Rebuilds the limit reductions from the audit log after revisions were reverted. `stable` is the
+    /// persisted stable version.
     pub fn rebuild_limit_reductions(&mut self, stable: Version) {
         self.limit_reductions = LimitReductions::new(stable);
         for revision in self.catalog.audit_log() {
@@ -193,23 +195,27 @@
     fn apply(&mut self, revision: &Revision) {
         self.catalog
             .apply(revision.clone())
-            .expect("the revision was proposed for the present version");
+            .expect("the revision was created for the current version");
     }
 
-    /// Evaluates a revision that the catalog has, within the remaining budget of the step.
+    /// Evaluates a revision that was applied to the catalog, within the remaining budget of the step.
     fn evaluate(&mut self, revision: &Revision) -> AdmissionVerdict {
         let verdict = self
             .admission
             .land(&self.catalog, &revision.changes, self.remaining_budget);
-        let all_losses = self.admission.losses();
-        let examined = all_losses - verdict.unexamined_losses.min(all_losses);
+        let all_outages = self.admission.losses();
+        let examined = all_outages - verdict.unexamined_losses.min(all_outages);
         self.remaining_budget = self.remaining_budget.saturating_sub(examined.max(1));
         verdict
     }
 
-    /// Rejects a new volume with the number of a removed volume that hosts may still follow: such a
-    /// host would mistake the new volume for the former one.
-    fn check_not_still_known(&self, revision: &Revision, stable: Version) -> Result<(), Rejection> {
+    /// Rejects a new volume with the number of a removed volume that hosts may still follow, because
+    /// such a host would mistake the new volume for the removed one.
+    fn check_volume_number_free(
+        &self,
+        revision: &Revision,
+        stable: Version,
+    ) -> Result<(), Rejection> {
         for change in &revision.changes {
             let subject = change.subject();
             let is_new = matches!(change, Change::Volume { to: Some(_), .. })
--- a/crates/catalog/src/leader/epochs.rs
+++ b/crates/catalog/src/leader/epochs.rs
@@ -1,17 +1,17 @@
-//! Epochs: which versions that hosts follow are part of this catalog's history.
+//! Epochs, which determine whether a version that a host follows is part of this catalog's history.
 //!
 //! The leader calls [`EpochHistory`] for each poll and acknowledgement, and when an operator forces
 //! a new epoch. A store that was restored from a snapshot starts a new epoch, and each host sends
 //! the epoch of its version. A version number alone does not identify the history: after enough new
 //! revisions, the restored catalog reaches the same numbers again.
 //!
-//! State: the present epoch, the earlier ones with their last shared versions, and the version of
-//! the last forced epoch. Memory: one entry for each epoch.
+//! The state is the current epoch, the earlier epochs with their last shared versions, and the
+//! version of the last forced epoch. Memory use is one entry for each epoch.
 
 use super::messages::Epoch;
 use crate::records::Version;
 
-/// The present epoch and the epochs before it; see the module.
+/// The current epoch and the epochs before it. See the [module documentation](self).
 #[derive(Debug)]
 pub(super) struct EpochHistory {
     present: Epoch,
@@ -22,7 +22,7 @@
 }
 
 impl EpochHistory {
-    /// The history at a start. `forced_at`: the version of the last forced epoch.
+    /// The history when the leader starts. `forced_at` is the version of the last forced epoch.
     pub fn new(present: Epoch, earlier: Vec<(Epoch, Version)>, forced_at: Version) -> Self {
         EpochHistory {
             present,
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Returns whether a version that a host followed in `epoch` belongs to this history. `latest`:
-    /// the catalog's version.
-    pub fn is_shared(&self, epoch: Epoch, applied: Version, latest: Version) -> bool {
+    /// Returns whether a version that a host followed in `epoch` belongs to this history. `latest` is
+    /// the version of the catalog.
+    pub fn is_in_history(&self, epoch: Epoch, applied: Version, latest: Version) -> bool {
         if epoch == self.present {
             return applied <= latest;
         }
@@ -46,7 +46,8 @@
         self.forced_at
     }
 
-    /// Records that a new epoch was forced at `version`, or restores the record of an earlier one.
+    /// Records that a new epoch was forced at `version`, or restores the earlier value if that was
+    /// reverted.
     pub fn set_forced_at(&mut self, version: Version) {
         self.forced_at = version;
     }
--- a/crates/catalog/src/leader/host_calls.rs
+++ b/crates/catalog/src/leader/host_calls.rs
@@ -1,6 +1,7 @@
-//! Polls and acknowledgements of hosts, and the responses to polls.
+//! Handles polls and acknowledgements of hosts, and responds to polls.
 //!
-//! The leader's shell calls these methods for each such event, and once at the end of each step.
+//! [`Leader::step`] calls these methods for each such event, and to respond once at the end of each
+//! step.
 
 use super::messages::{Action, Epoch, Grant};
 use super::polls::PendingPoll;
@@ -21,13 +22,13 @@
             return Err(Rejection::UnknownHost);
         }
         let latest = self.writer.catalog().version();
-        let is_shared = self.epochs.is_shared(epoch, poll.applied, latest);
+        let is_in_history = self.epochs.is_in_history(epoch, poll.applied, latest);
         let is_first = poll.applied == Version(0);
-        if !is_shared && poll.applied >= self.epochs.forced_at() && !is_first {
+        if !is_in_history && poll.applied >= self.epochs.forced_at() && !is_first {
             self.leases.set_behind(poll.applied);
         }
         self.handle_acknowledged(host, epoch, acknowledged);
-        if !is_shared {
+        if !is_in_history {
             poll.foreign_version = Some(poll.applied);
             poll.applied = Version::default();
             poll.stable = Version::default();
@@ -38,7 +39,7 @@
 
     pub(super) fn handle_acknowledged(&mut self, host: HostNumber, epoch: Epoch, applied: Version) {
         let latest = self.writer.catalog().version();
-        if self.epochs.is_shared(epoch, applied, latest) {
+        if self.epochs.is_in_history(epoch, applied, latest) {
             self.leases.acknowledge(host, applied, latest);
         }
     }
@@ -73,8 +74,9 @@
         };
         let is_in_audit_log = self.writer.catalog().since(poll.applied).is_some();
         let snapshot = poll.foreign_version.is_some() || !is_in_audit_log;
-        // A snapshot is of the stable version. A host with a newer one would not know the older
-        // versions whose terms it must still take into account.
+        // The snapshot is the state at the stable version, followed by the later revisions. With a
+        // newer snapshot, the host would not know the versions since the stable one, whose limits it
+        // must still take into account.
         let from = if snapshot { stable } else { poll.applied };
         self.actions.push(Action::Grant(Grant {
             call: poll.call,
--- a/crates/catalog/src/leader/host_view.rs
+++ b/crates/catalog/src/leader/host_view.rs
@@ -1,17 +1,16 @@
-//! The part of a revision that one host needs.
+//! Filters revisions for one host.
 //!
-//! The catalog service calls these functions for each host that it sends revisions to. Pure
-//! functions.
+//! Pure functions, which the catalog service calls for each host that it sends revisions to.
 
 use crate::catalog::Catalog;
 use crate::change::{Change, Revision, Subject};
 use crate::records::{Name, Version};
 use std::collections::BTreeSet;
 
-/// The part of a revision that a host needs. It leaves out volumes that are not and were not served
-/// through the host, and changes that are not for hosts at all. For a volume that is newly served
-/// through the host, it also has the former state before each revision after `stable`, because the
-/// host must take the terms of all of them into account.
+/// Returns the part of a revision that a host needs. It leaves out volumes that neither are nor were
+/// served through the host, and changes that hosts do not need at all. For a volume that is newly
+/// served through the host, it adds the state before each revision after `stable`, because the host
+/// must take the limits of all these states into account.
 pub fn for_host(catalog: &Catalog, stable: Version, revision: &Revision, host: &Name) -> Revision {
     let known_before: BTreeSet<Subject> = revision
         .before
@@ -43,8 +42,8 @@
     }
 }
 
-/// The states of the subjects before each revision after `stable` and before `version`, newest
-/// first.
+/// The states of the subjects before each of the revisions between `stable` and `version` (both
+/// exclusive), newest first.
 fn earlier_states(
     catalog: &Catalog,
     stable: Version,
@@ -62,13 +61,13 @@
         .collect()
 }
 
-/// The changes that touch one of the subjects.
+/// The changes of one of the subjects.
 fn changes_of<'a>(
     changes: &'a [Change],
     subjects: &'a BTreeSet<Subject>,
 ) -> impl Iterator<Item = Change> + 'a {
-    let is_wanted = move |change: &&Change| subjects.contains(&change.subject());
-    changes.iter().filter(is_wanted).cloned()
+    let is_included = move |change: &&Change| subjects.contains(&change.subject());
+    changes.iter().filter(is_included).cloned()
 }
 
 /// Returns whether a host needs this part of the state.
--- a/crates/catalog/src/leader/messages.rs
+++ b/crates/catalog/src/leader/messages.rs
@@ -1,7 +1,7 @@
 //! The leader's input and output: events, actions, and the state that it starts with.
 //!
-//! Plain data: the catalog service's shell makes the events and performs the actions. Owns no
-//! state.
+//! Plain data: the I/O layer of the catalog service (the "shell") creates the events and performs
+//! the actions.
 
 use crate::admission::{AdmissionVerdict, ExclusionReason};
 use crate::catalog::Catalog;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// One unbroken history of the catalog.
+/// Identifies a history of the catalog in which no revision was lost or replaced.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(pub u64);
 
@@ -28,20 +28,21 @@
     pub reason: String,
     /// The version on which the author bases the changes.
     pub base_version: Version,
-    /// The changes, which land together or not at all.
+    /// The changes, which are applied together or not at all.
     pub changes: Vec<Change>,
-    /// The time at which the changes land, since 1970 by the wall clock. None, or a past time: now.
+    /// When to apply the changes, as wall-clock time since the Unix epoch. They are applied at once if
+    /// this is `None` or in the past.
     pub at: Option<Duration>,
-    /// Whether the changes land despite objections.
+    /// Whether to apply the changes despite objections.
     pub force: bool,
-    /// Whether the leader only previews the changes: it evaluates them, and nothing lands.
+    /// Whether the leader only evaluates the changes, without applying them.
     pub dry_run: bool,
 }
 
 /// An input of the leader.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A host polls for revisions after `applied`, and for a stable version after `stable`.
+    /// A host polls for revisions after `applied`, or for a stable version after `stable`.
     Polled {
         /// The number that the response refers to.
         call: CallId,
@@ -57,7 +58,7 @@
         /// [`Event::Acknowledged`].
         acknowledged: Version,
     },
-    /// A host acknowledges a version: it sends no more attempts decided on an older version.
+    /// A host acknowledges a version: it sends no more attempts that were decided on an older version.
     Acknowledged {
         /// The host.
         host: HostNumber,
@@ -73,7 +74,8 @@
         /// The proposed changes.
         proposal: Proposal,
     },
-    /// An operator undoes a revision: the subjects that it changed get their former values.
+    /// An operator undoes a revision, which restores the former values of the subjects that it
+    /// changed.
     Undo {
         /// The number that the response refers to.
         call: CallId,
@@ -81,12 +83,12 @@
         author: String,
         /// The operator's reason, as typed.
         reason: String,
-        /// The version that the revision made.
+        /// The version of the revision.
         revision: Version,
-        /// Whether the changes land despite objections.
+        /// Whether to apply the changes despite objections.
         force: bool,
     },
-    /// An operator guarantees that a host sends nothing.
+    /// An operator guarantees that a host sends no requests to nodes.
     HostRemoved {
         /// The number that the response refers to.
         call: CallId,
@@ -95,7 +97,7 @@
         /// The operator.
         author: String,
     },
-    /// An operator decides that the state here counts, although hosts have followed a newer
+    /// An operator decides that the state here is authoritative, although hosts have followed a newer
     /// version.
     ForceEpoch {
         /// The number that the response refers to.
@@ -105,16 +107,17 @@
         /// The operator's reason, as typed.
         reason: String,
     },
-    /// A caller has disconnected: it gets no response.
+    /// A caller has disconnected, so that its call needs no response.
     CallerDisconnected {
         /// The caller's call.
         call: CallId,
     },
-    /// Hosts' observation of a node: see [`crate::admission::Admission::set_unavailable`].
+    /// Hosts report whether a node is available: see
+    /// [`crate::admission::Admission::set_unavailable`].
     NodeUnavailable {
         /// The node.
         node: u32,
-        /// The reason why the node is unavailable; None: the node is available.
+        /// The reason why the node is unavailable, or `None` if it is available.
         how: Option<ExclusionReason>,
     },
     /// All writes up to a number are on the disk.
@@ -122,25 +125,25 @@
         /// The number of a write in [`Action::Persist`].
         upto: u64,
     },
-    /// A write failed. Neither it nor any later pending write reaches the disk.
+    /// A write failed. Neither it nor any later pending write is on the disk.
     PersistFailed {
         /// The number of the write in [`Action::Persist`].
         number: u64,
-        /// The disk's error, for operators to read.
+        /// The error from the disk, for operators.
         reason: String,
     },
 }
 
-/// A write to the disk. Each is atomic, and writes are made in order.
+/// A write to the disk. Each write is atomic, and writes are performed in order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Persist {
-    /// A revision, with the state after it.
+    /// A revision, and the state after it.
     Revision(Revision),
     /// The stable version.
     Stable(Version),
     /// The newest version that a host has acknowledged.
     Applied(HostNumber, Version),
-    /// A revision that gives the present state a later version and starts a new epoch.
+    /// A revision that raises the version of the current state and starts a new epoch.
     EpochForced(Revision),
 }
 
@@ -153,8 +156,8 @@
     pub from: Version,
     /// The last version to send.
     pub to: Version,
-    /// Whether the host does not have `from`: the shell first sends the complete state at that
-    /// version.
+    /// Whether the host does not have `from`, so that the shell must first send the complete state at
+    /// that version.
     pub snapshot: bool,
     /// The stable version.
     pub stable: Version,
@@ -174,18 +177,18 @@
     },
     /// Respond to a host's poll.
     Grant(Grant),
-    /// Report to a host that some host has a version which is not known here.
+    /// Report to a host that the leader is behind: some host has a version that is unknown here.
     Behind {
         /// The host's poll.
         call: CallId,
-        /// The version that is not known here.
+        /// The unknown version.
         applied: Version,
     },
     /// Report to an operator that the change is persisted.
     Committed {
         /// The operator's call.
         call: CallId,
-        /// The version that the change made.
+        /// The version after the change.
         version: Version,
         /// The effect of the change on reservations.
         verdict: AdmissionVerdict,
@@ -194,7 +197,7 @@
     Reject {
         /// The call.
         call: CallId,
-        /// The reason, for operators to read.
+        /// The reason, for operators.
         reason: String,
     },
     /// Report to an operator what effect a change would have.
@@ -218,15 +221,15 @@
     pub catalog: Catalog,
     /// The stable version.
     pub stable: Version,
-    /// The newest version that each host had acknowledged. A host that is absent was never granted
+    /// The newest version that each host had acknowledged. A host without an entry was never granted
     /// a lease.
     pub applied: BTreeMap<HostNumber, Version>,
     /// Names of all hosts, by their numbers.
     pub hosts: Vec<Name>,
-    /// The present epoch.
+    /// The current epoch.
     pub epoch: Epoch,
     /// Earlier epochs, each with the last version that belongs to this history.
     pub epochs: Vec<(Epoch, Version)>,
-    /// The last version at which a new epoch was forced.
+    /// The version at which an operator last forced a new epoch.
     pub epoch_forced_at: Version,
 }
--- a/crates/catalog/src/leader/persistence.rs
+++ b/crates/catalog/src/leader/persistence.rs
@@ -1,10 +1,11 @@
-//! Writes to the disk: which are pending, which are complete, and what a failed write cancels.
+//! Tracks writes to the disk: which are pending, which are complete, and which a failed write
+//! cancels.
 //!
 //! The leader calls [`Persistence`] for everything that it writes: revisions, the stable version,
-//! and the versions that hosts have acknowledged. Writes go out in order under consecutive numbers.
-//! If one fails, it and all writes after it count as never made.
+//! and the versions that hosts have acknowledged. Writes are issued in order with consecutive
+//! numbers. If one fails, it and all writes after it are cancelled.
 //!
-//! State: the pending writes and the persisted versions. Memory: at most [`MAX_PENDING_COMMITS`]
+//! The state is the pending writes and the persisted versions: at most [`MAX_PENDING_COMMITS`]
 //! revisions, and two entries for each host.
 
 use super::messages::{Action, CallId, Persist};
@@ -15,14 +16,14 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// How long the leader writes nothing after a failed write. A shorter delay burdens a faulty disk
-/// with more attempts; a longer one delays changes after the disk has recovered.
+/// How long the leader stops writing after a failed write. A shorter delay causes more futile writes
+/// to a faulty disk; a longer one delays changes after the disk has recovered.
 const PERSIST_RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// A revision that is applied and not yet persisted.
 #[derive(Debug)]
 pub(super) struct PendingCommit {
-    /// The version that the revision makes.
+    /// The version of the revision.
     pub version: Version,
     /// The caller that waits for the commit, if any.
     pub call: Option<CallId>,
@@ -46,16 +47,16 @@
     version: Version,
 }
 
-/// The effect of a completed write.
+/// What a completed write has persisted.
 #[derive(Debug, Default)]
 pub(super) struct Completed {
     /// Revisions that are now persisted, oldest first.
     pub commits: Vec<PendingCommit>,
-    /// The stable version, if it is newly persisted.
+    /// The stable version, if the write has persisted a new one.
     pub stable: Option<Version>,
 }
 
-/// The pending and the persisted writes; see the module.
+/// The pending and the persisted writes. See the [module documentation](self).
 #[derive(Debug)]
 pub(super) struct Persistence {
     /// Number of the last write.
@@ -67,7 +68,7 @@
     /// Revisions with the numbers of their writes, oldest first.
     commits: VecDeque<(u64, PendingCommit)>,
     pending_stable: Option<PendingStable>,
-    /// By number of the write.
+    /// Acknowledged versions by number of their write.
     pending_applied: BTreeMap<u64, PendingApplied>,
     /// The newest persisted version.
     persisted: Version,
@@ -76,7 +77,7 @@
 }
 
 impl Persistence {
-    /// The state at a start: everything that the disk has is persisted.
+    /// The state when the leader starts, from the versions on the disk.
     pub fn new(
         persisted: Version,
         stable: Version,
@@ -105,7 +106,7 @@
         self.persisted_stable
     }
 
-    /// Returns whether an acknowledged version of the host is persisted, so that the host may be
+    /// Returns whether an acknowledged version of the host is persisted. Only then may the host be
     /// granted a lease.
     pub fn has_applied(&self, host: HostNumber) -> bool {
         self.persisted_applied.contains_key(&host)
@@ -116,7 +117,7 @@
         self.retry_at
     }
 
-    /// Returns whether the leader writes nothing now, because a write failed.
+    /// Returns whether the leader does not write at present, because a write failed recently.
     pub fn is_backing_off(&self, now: Duration) -> bool {
         now < self.retry_at
     }
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Writes the version that a host has acknowledged. After its first lease, a host must never
-    /// again count as one without a lease. If the version were lost, revisions that wait for the
+    /// Writes the version that a host has acknowledged. A host that was granted a lease once must
+    /// never again count as one that was not. If the version were lost, revisions that wait for the
     /// host would wait again after a restart.
     pub fn write_applied(
         &mut self,
@@ -172,8 +173,8 @@
         }
     }
 
-    /// Completes all writes up to a number. Ignores cancelled writes: the disk may still report
-    /// them.
+    /// Completes all writes up to a number. Ignores cancelled writes, which the disk may still
+    /// report.
     pub fn complete(&mut self, upto: u64) -> Completed {
         let mut completed = Completed::default();
         if upto <= self.cancelled_upto {
@@ -199,7 +200,7 @@
     }
 
     /// Cancels all pending writes after a write has failed, and returns the cancelled revisions,
-    /// newest first. Returns None if the failed write was already cancelled.
+    /// newest first. Returns `None` if the failed write was already cancelled.
     pub fn cancel_all(&mut self, now: Duration, number: u64) -> Option<Vec<PendingCommit>> {
         if number <= self.cancelled_upto {
             return None;
--- a/crates/catalog/src/leader/polls.rs
+++ b/crates/catalog/src/leader/polls.rs
@@ -1,10 +1,10 @@
-//! Polls of hosts that have no response yet.
+//! Long polls of hosts that were not responded to yet.
 //!
 //! The leader calls [`PollTable`] when a host polls, when a connection ends, and at the end of each
-//! step. A host that is up to date receives a response only when there is something new, or when a
-//! third of its lease has passed. So a host learns of a change at once without polling repeatedly.
+//! step. The leader responds to a host that is up to date only when there is something new, or when
+//! a third of the lease has passed. So a host learns of a change at once without frequent polls.
 //!
-//! State: at most one poll for each host.
+//! The state is at most one poll for each host.
 
 use super::messages::CallId;
 use crate::feed::HostNumber;
@@ -12,8 +12,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Divisor of the lease that bounds how long a poll without news is delayed. A smaller divisor
-/// risks that the lease expires before the next one is granted; a larger one causes more polls.
+/// The maximum delay of a response without news is the lease divided by this number. With a smaller
+/// divisor, the lease may expire before the next one is granted; a larger one causes more polls.
 const POLL_HOLD_DIVISOR: u32 = 3;
 
 /// A poll that has no response yet.
@@ -27,8 +27,8 @@
     pub stable: Version,
     /// When the poll arrived.
     pub since: Duration,
-    /// The version that the host followed in another history. The host gets a snapshot once this
-    /// catalog's version is not below that one.
+    /// The version that the host followed, if it belongs to another history. The host receives a
+    /// snapshot once this catalog's version is not below that one.
     pub foreign_version: Option<Version>,
 }
 
@@ -45,16 +45,16 @@
     }
 }
 
-/// The pending polls by host; see the module.
+/// The pending polls by host. See the [module documentation](self).
 #[derive(Debug)]
 pub(super) struct PollTable {
-    /// How long a poll without news is delayed.
+    /// How long the response to a poll is delayed if there is nothing new.
     max_delay: Duration,
     polls: BTreeMap<HostNumber, PendingPoll>,
 }
 
 impl PollTable {
-    /// `lease`: how long a granted lease lasts.
+    /// Creates an empty table. `lease` is the duration of a granted lease.
     pub fn new(lease: Duration) -> Self {
         PollTable {
             max_delay: lease / POLL_HOLD_DIVISOR,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Adds a poll; it replaces an earlier poll of the same host.
+    /// Adds a poll, which replaces an earlier poll of the same host.
     pub fn insert(&mut self, host: HostNumber, poll: PendingPoll) {
         self.polls.insert(host, poll);
     }
@@ -72,7 +72,7 @@
         self.polls.retain(|_, poll| poll.call != call);
     }
 
-    /// Drops the poll of a host that gets its response.
+    /// Removes the poll of a host after the response was sent.
     pub fn remove(&mut self, host: HostNumber) {
         self.polls.remove(&host);
     }
@@ -88,14 +88,15 @@
         self.polls.keys().copied().collect()
     }
 
-    /// When the oldest poll must get its response.
+    /// When the oldest poll must be responded to.
     pub fn next_deadline(&self) -> Option<Duration> {
         let oldest = self.polls.values().map(|poll| poll.since).min();
         oldest.map(|since| since + self.max_delay)
     }
 
-    /// The poll of a host, if it can get its response now: there is something new for the host, or
-    /// the poll is due. `persisted` and `stable`: the newest versions that may be sent.
+    /// The poll of a host, if it can be responded to now because there is something new for the host
+    /// or the maximum delay has passed. `persisted` and `stable` are the newest versions that may be
+    /// sent.
     pub fn ready(
         &self,
         now: Duration,
--- a/crates/catalog/src/leader/proposals.rs
+++ b/crates/catalog/src/leader/proposals.rs
@@ -1,9 +1,9 @@
-//! Proposals of operators, scheduled changes and forced epochs, from the call to the write.
+//! Handles proposals of operators, scheduled changes and forced epochs, from the call to the write.
 //!
-//! The leader's shell calls these methods for each such call, and [`Leader::land_scheduled`] at
-//! each step. A revision lands in one place: [`Leader::land`].
+//! [`Leader::step`] calls these methods for each such call, and [`Leader::apply_due_changes`] at each
+//! step. All proposed revisions pass through [`Leader::commit_revision`].
 
-use super::catalog_writer::{Landing, LandingMode};
+use super::catalog_writer::{CommitMode, CommitOutcome};
 use super::messages::{Action, CallId, Persist, Proposal};
 use super::persistence::PendingCommit;
 use super::rejection::Rejection;
@@ -14,7 +14,7 @@
 use crate::records::{Drain, Version};
 use std::time::Duration;
 
-/// Author of the revision that removes a lapsed scheduled change.
+/// Author of the revision that removes a scheduled change which was rejected when it was due.
 const SERVICE_AUTHOR: &str = "the state service";
 
 impl Leader {
@@ -45,11 +45,11 @@
             changes = vec![self.schedule(base_version, by, scheduled)?];
         }
         let revision = self.writer.catalog().propose(base_version, by, changes)?;
-        self.land(Some(call), revision, LandingMode { force, dry_run })
+        self.commit_revision(Some(call), revision, CommitMode { force, dry_run })
     }
 
-    /// Returns the change that adds a scheduled change. Rejects it now if it is invalid by itself,
-    /// rather than when it lands.
+    /// Returns the change that adds a scheduled change. Invalid changes are rejected at once rather
+    /// than when they are due.
     fn schedule(
         &mut self,
         base_version: Version,
@@ -74,14 +74,15 @@
         force: bool,
     ) -> Result<(), Rejection> {
         let revision = self.writer.catalog().undo(revision, by)?;
-        let mode = LandingMode {
+        let mode = CommitMode {
             force,
             dry_run: false,
         };
-        self.land(Some(call), revision, mode)
+        self.commit_revision(Some(call), revision, mode)
     }
 
-    /// Gives the present state a version beyond all that hosts follow, which starts a new epoch.
+    /// Raises the version of the current state above all versions that hosts follow, which starts a
+    /// new epoch.
     pub(super) fn force_epoch(
         &mut self,
         call: CallId,
@@ -107,24 +108,20 @@
         Ok(())
     }
 
-    /// Lands the scheduled changes that are due. A scheduled change that is rejected lapses.
-    pub(super) fn land_scheduled(&mut self) {
+    /// Applies the scheduled changes that are due, and cancels those that are rejected.
+    pub(super) fn apply_due_changes(&mut self) {
         if self.persistence.is_backing_off(self.now) {
             return;
         }
         for (id, scheduled) in scheduled::due(self.writer.catalog(), self.wall) {
-            if let Err(rejection) = self.land_one_scheduled(id, &scheduled) {
-                self.lapse(id, &scheduled, &rejection);
+            if let Err(rejection) = self.apply_scheduled(id, &scheduled) {
+                self.cancel_scheduled(id, &scheduled, &rejection);
             }
         }
     }
 
-    /// Lands the changes and, in the same revision, removes the scheduled change.
-    fn land_one_scheduled(
-        &mut self,
-        id: u64,
-        scheduled: &ScheduledChange,
-    ) -> Result<(), Rejection> {
+    /// Applies the changes and, in the same revision, removes the scheduled change.
+    fn apply_scheduled(&mut self, id: u64, scheduled: &ScheduledChange) -> Result<(), Rejection> {
         let catalog = self.writer.catalog();
         scheduled::check_expected(catalog, scheduled)?;
         let mut changes = scheduled.changes.clone();
@@ -134,16 +131,16 @@
         }
         let by = ChangeContext::by(&scheduled.author, &scheduled.reason, self.wall);
         let revision = catalog.propose(catalog.version(), by, changes)?;
-        let mode = LandingMode {
+        let mode = CommitMode {
             force: scheduled.force,
             dry_run: false,
         };
-        self.land(None, revision, mode)
+        self.commit_revision(None, revision, mode)
     }
 
-    /// Removes a scheduled change that was rejected; the audit log states the reason.
-    fn lapse(&mut self, id: u64, scheduled: &ScheduledChange, rejection: &Rejection) {
-        self.note(format!(
+    /// Removes a scheduled change that was rejected, and records the reason in the audit log.
+    fn cancel_scheduled(&mut self, id: u64, scheduled: &ScheduledChange, rejection: &Rejection) {
+        self.log_line(format!(
             "timed change {id} of {} lapses: {rejection}",
             scheduled.author
         ));
@@ -154,29 +151,29 @@
         let landed = catalog
             .propose(catalog.version(), by, removal)
             .map_err(Rejection::from)
-            .and_then(|revision| self.land(None, revision, LandingMode::default()));
+            .and_then(|revision| self.commit_revision(None, revision, CommitMode::default()));
         if let Err(rejection) = landed {
-            self.note(rejection.to_string());
+            self.log_line(rejection.to_string());
         }
     }
 
-    /// The one place where a proposed revision lands: it is evaluated, applied to the catalog and
-    /// written.
-    fn land(
+    /// Evaluates a proposed revision, applies it to the catalog and writes it. All proposed revisions
+    /// pass through this method.
+    fn commit_revision(
         &mut self,
         call: Option<CallId>,
         revision: Revision,
-        mode: LandingMode,
+        mode: CommitMode,
     ) -> Result<(), Rejection> {
         match self
             .writer
-            .land(revision, mode, self.persistence.stable())?
+            .admit(revision, mode, self.persistence.stable())?
         {
-            Landing::Previewed { verdict } => {
+            CommitOutcome::Previewed { verdict } => {
                 let preview = call.map(|call| Action::Preview { call, verdict });
                 self.actions.extend(preview);
             }
-            Landing::Applied { revision, verdict } => {
+            CommitOutcome::Applied { revision, verdict } => {
                 let commit = PendingCommit {
                     version: revision.version,
                     call,
@@ -194,8 +191,8 @@
     }
 }
 
-/// Fills in who first requested a drain, when, and since when it is at its stage. A proposal that
-/// repeats the present drain changes none of these.
+/// Fills in who first requested a drain, when, and when the drain reached its stage. These stay
+/// unchanged if a proposal repeats the current drain.
 fn fill_in_drain(catalog: &Catalog, wall: Duration, change: &mut Change, author: &str) {
     let Change::Drain {
         node,
--- a/crates/catalog/src/leader/rejection.rs
+++ b/crates/catalog/src/leader/rejection.rs
@@ -1,13 +1,13 @@
-//! Errors for which the leader rejects a call, or for which a scheduled change lapses. Operators
-//! read the texts.
+//! Errors for which the leader rejects a call or cancels a scheduled change. The messages are shown
+//! to operators.
 
 use crate::change::Subject;
 use crate::errors::ChangeError;
 use crate::records::Version;
 use thiserror::Error;
 
-/// Most revisions that are decided and not yet persisted. The leader rejects further proposals
-/// until some are persisted. A larger number takes more memory when the disk is slow.
+/// Maximum number of accepted revisions that are not yet persisted. Beyond it, the leader rejects
+/// proposals until some are persisted. A larger number takes more memory when the disk is slow.
 pub const MAX_PENDING_COMMITS: usize = 4096;
 
 /// The reason for a rejection.
@@ -15,7 +15,7 @@
 pub(super) enum Rejection {
     #[error(transparent)]
     Change(#[from] ChangeError),
-    /// Hosts may still know the former subject of this name.
+    /// Hosts may still know a removed subject with the same name or number.
     #[error("{subject} was before, and entry {} that ended it is not settled yet", .ended_at.0)]
     StillKnown { subject: Subject, ended_at: Version },
     #[error("too many changes wait for hosts that do not answer")]
@@ -23,13 +23,13 @@
     /// Objections of [`crate::admission`].
     #[error("{0}")]
     Objections(String),
-    #[error("{MAX_PENDING_COMMITS} changes wait to be kept; try again")]
+    #[error("{MAX_PENDING_COMMITS} changes are not yet written to disk, the maximum; try again")]
     TooManyPending,
-    #[error("changes wait to be kept; try again")]
+    #[error("changes are not yet written to disk; try again")]
     CommitsPending,
     #[error("this host is not in the settings")]
     UnknownHost,
-    #[error("no host has followed anything that is not known here")]
+    #[error("a new epoch is not needed: no host has followed a version that is unknown here")]
     NotBehind,
     #[error("not kept: {reason}")]
     PersistFailed { reason: String },
--- a/crates/catalog/src/leader/scheduled.rs
+++ b/crates/catalog/src/leader/scheduled.rs
@@ -1,9 +1,7 @@
-//! Scheduled changes: their numbers, and which of them are due.
+//! Assigns numbers to scheduled changes, and finds those that are due.
 //!
 //! The leader calls this module when an operator schedules a change and at each step. The scheduled
-//! changes themselves are part of the catalog.
-//!
-//! State: the next number to assign.
+//! changes themselves are part of the catalog. The only state here is the next number to assign.
 
 use super::rejection::Rejection;
 use crate::catalog::Catalog;
@@ -17,7 +15,7 @@
 }
 
 impl ScheduledIds {
-    /// Numbers after all that the catalog has.
+    /// Starts after the highest number in the catalog.
     pub fn after(catalog: &Catalog) -> Self {
         let last = catalog.scheduled().map(|(id, _)| id).max();
         ScheduledIds {
@@ -49,7 +47,7 @@
 }
 
 /// # Errors
-/// [`Rejection::Outdated`] if a subject has changed since its author scheduled the change.
+/// [`Rejection::Outdated`] if a subject has changed since the operator scheduled the change.
 pub(super) fn check_expected(
     catalog: &Catalog,
     scheduled: &ScheduledChange,
--- a/crates/catalog/src/limit_lowering.rs
+++ b/crates/catalog/src/limit_lowering.rs
@@ -1,15 +1,15 @@
-//! Whether a revision lowers the quota of a host that does not know the revision yet.
+//! Determines whether a revision lowers the quota of a host that does not know the revision yet.
 //!
-//! Called by [`crate::propose`]. Pure functions. A revision that lowers quotas is stable only when
-//! hosts have acknowledged it: see [`crate::feed`]. The quota that a host uses without a lease, its
-//! part of the reservation and of the burst, must never shrink without the host's knowledge.
+//! Pure functions, called by [`crate::propose`]. A revision that lowers quotas becomes stable only
+//! when hosts have acknowledged it: see [`crate::feed`]. Without a lease, a host uses its part of the
+//! reservation and of the burst; this quota must never shrink without the host's knowledge.
 
 use crate::change::{Change, Subject};
 use crate::overlay::Overlay;
 use crate::records::{Name, Plan};
 
-/// Returns whether a host that knows only the former state may use a larger quota of a limited
-/// volume than it has after the changes.
+/// Returns whether a host that knows only the state before the changes may use a larger quota of a
+/// limited volume than its quota after them.
 pub(crate) fn lowers_limits(after: &Overlay) -> bool {
     after.changes().any(|(_, change)| match change {
         Change::Plan { name, .. } => plan_lowers(after, name),
@@ -36,7 +36,7 @@
         return false;
     };
     let Some(old) = after.base.volume(id) else {
-        // A former volume may have had that number, and a host may still know the former volume.
+        // The number may have belonged to a removed volume that a host still knows.
         return after.base.last_changed(&Subject::Volume(id)).is_some();
     };
     let host_removed = old.hosts.iter().any(|host| !new.hosts.contains(host));
--- a/crates/catalog/src/moves.rs
+++ b/crates/catalog/src/moves.rs
@@ -27,7 +27,7 @@
 use program::Attempt;
 use scope::Scope;
 use std::collections::{BTreeMap, BTreeSet};
-use types::{lies_on, EPSILON};
+use types::{has_extents_on, EPSILON};
 
 /// Fraction of each node's capacity that is left unused for rounding, by attempt. A larger margin
 /// moves more bytes than necessary; a smaller one leaves attempts that rounding makes fail.
@@ -38,17 +38,21 @@
 
 /// Moves after which the site meets its reservations and these nodes are empty; None: nothing needs
 /// to move.
-pub fn propose(site: &Site, empty: &BTreeSet<u32>, size: impl Fn(u64) -> Size) -> Option<Proposal> {
+pub fn propose(
+    site: &Site,
+    evacuated: &BTreeSet<u32>,
+    size: impl Fn(u64) -> Size,
+) -> Option<Proposal> {
     let mut flow = IncrementalFlow::of(site);
-    for node in empty {
+    for node in evacuated {
         flow.set_up(*node, false);
     }
     let is_short = flow.shortfall().short > flow.slack();
-    let must_leave = |volume: &Volume| lies_on(volume, |node| empty.contains(&node));
+    let must_leave = |volume: &Volume| has_extents_on(volume, |node| evacuated.contains(&node));
     if !is_short && !site.volumes.iter().any(must_leave) {
         return None;
     }
-    let scope = Scope::of(site, &flow, empty, &size);
+    let scope = Scope::of(site, &flow, evacuated, &size);
     let optimal = optimal_proposal(&scope, &flow);
     Some(optimal.unwrap_or_else(|| evacuation_proposal(&scope, &flow)))
 }
@@ -64,7 +68,7 @@
         let Some(solution) = scope.solve(attempt) else {
             continue;
         };
-        let moves = scope.complete_extents(&solution.changes);
+        let moves = scope.whole_extent_moves(&solution.changes);
         let short = shortfall_after(flow, scope, &moves).short;
         if short <= flow.slack() {
             return Some(Proposal {
--- a/crates/catalog/src/moves/program.rs
+++ b/crates/catalog/src/moves/program.rs
@@ -115,13 +115,13 @@
         };
         for node in nodes {
             let fraction = fractions.get(&node).copied().unwrap_or(0.0);
-            let is_emptied = self.scope.empty.contains(&node);
-            if !is_emptied && !self.scope.available.contains_key(&node) {
+            let is_evacuated = self.scope.evacuated.contains(&node);
+            if !is_evacuated && !self.scope.available.contains_key(&node) {
                 sums.unreachable += fraction;
                 continue;
             }
             let variables = self.add_changes(volume, node, fraction, &mut sums);
-            if !is_emptied {
+            if !is_evacuated {
                 self.add_load(volume, node, fraction, variables, &mut sums);
             }
         }
@@ -144,11 +144,11 @@
         let size = self.scope.size_of(volume);
         let all = size.extents.max(1) as f64;
         let here = (fraction * all).round();
-        let is_emptied = self.scope.empty.contains(&node);
-        let least = if is_emptied { here } else { 0.0 };
+        let is_evacuated = self.scope.evacuated.contains(&node);
+        let least = if is_evacuated { here } else { 0.0 };
         let cost = size.total_bytes() / all / self.cost_unit;
         let leaving = (here > 0.0).then(|| self.add_extents(cost, least, here));
-        let is_target = self.scope.targets.contains(&node) && !is_emptied;
+        let is_target = self.scope.targets.contains(&node) && !is_evacuated;
         let arriving = is_target.then(|| self.add_extents(0.0, 0.0, all));
         if let Some(leaving) = leaving {
             sums.balance.add(leaving, 1.0);
--- a/crates/catalog/src/moves/rounding.rs
+++ b/crates/catalog/src/moves/rounding.rs
@@ -26,7 +26,7 @@
 
 impl Scope<'_> {
     /// Moves of complete extents, at least as many as the solution has.
-    pub fn complete_extents(&self, changes: &ExtentChanges) -> Vec<Move> {
+    pub fn whole_extent_moves(&self, changes: &ExtentChanges) -> Vec<Move> {
         let mut moves = Vec::new();
         for volume in &self.volumes {
             self.round_volume(volume, changes, &mut moves);
@@ -39,7 +39,7 @@
         let mut arrivals = arrivals(volume, changes);
         for (from, fraction) in &volume.placement {
             let here = (fraction * size.extents as f64).round();
-            let leaving = if self.empty.contains(from) {
+            let leaving = if self.evacuated.contains(from) {
                 here
             } else {
                 let change = changes.get(&(volume.id, *from));
@@ -77,7 +77,7 @@
             for (from, fraction) in volume
                 .placement
                 .iter()
-                .filter(|(node, _)| self.empty.contains(node))
+                .filter(|(node, _)| self.evacuated.contains(node))
             {
                 let most_spare = spare
                     .iter_mut()
--- a/crates/catalog/src/moves/scope.rs
+++ b/crates/catalog/src/moves/scope.rs
@@ -1,6 +1,6 @@
 //! The part of a site that goes into the program. Built by [`crate::moves`] for one call.
 
-use super::types::{lies_on, Size};
+use super::types::{has_extents_on, Size};
 use crate::incremental_flow::IncrementalFlow;
 use crate::planner::{Node, Site, Volume};
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,18 +13,18 @@
 const MAX_TARGETS: usize = 6;
 /// Most nodes of a site that goes into the program as a complete site.
 const MAX_COMPLETE_NODES: usize = 4 * MAX_TARGETS;
-/// Lower bound of a reservation by which bytes are divided, units a second. Guards against a
+/// Lower bound of a reservation by which bytes are divided, units per second. Guards against a
 /// division by zero; a larger value distorts the order of small volumes.
 const MIN_RESERVATION: f64 = 1e-3;
 
-/// The part of a site that goes into the program; see the module.
+/// The part of a site that goes into the program. See the [module documentation](self).
 pub(super) struct Scope<'a> {
     /// The volumes whose extents may move.
     pub volumes: Vec<&'a Volume>,
     /// Nodes that extents may move to.
     pub targets: Vec<u32>,
     /// Nodes to be emptied.
-    pub empty: &'a BTreeSet<u32>,
+    pub evacuated: &'a BTreeSet<u32>,
     /// By node: the capacity that the volumes outside the program do not use.
     pub available: BTreeMap<u32, f64>,
     /// See [`Site`].
@@ -37,11 +37,11 @@
 
 impl<'a> Scope<'a> {
     /// The part of `site` that goes into the program. `flow`: the flow of the site without the nodes
-    /// in `empty`.
+    /// in `evacuated`.
     pub fn of(
         site: &'a Site,
         flow: &IncrementalFlow,
-        empty: &'a BTreeSet<u32>,
+        evacuated: &'a BTreeSet<u32>,
         size: &'a dyn Fn(u64) -> Size,
     ) -> Self {
         let is_complete =
@@ -49,7 +49,7 @@
         let serving: Vec<&Node> = site
             .nodes
             .iter()
-            .filter(|node| !empty.contains(&node.id) && node.capacity > 0.0)
+            .filter(|node| !evacuated.contains(&node.id) && node.capacity > 0.0)
             .collect();
         let mut targets = by_spare_capacity(&serving, flow);
         if !is_complete {
@@ -58,7 +58,7 @@
         let volumes = if is_complete {
             site.volumes.iter().collect()
         } else {
-            volumes_of_large_site(site, flow, empty, size)
+            volumes_of_large_site(site, flow, evacuated, size)
         };
         let inside: BTreeSet<u64> = volumes.iter().map(|volume| volume.id).collect();
         let carried = flow.carried_except(&inside);
@@ -69,7 +69,7 @@
         Scope {
             volumes,
             targets,
-            empty,
+            evacuated,
             available: serving.iter().map(available).collect(),
             spread: site.spread,
             is_complete,
@@ -94,20 +94,20 @@
 }
 
 /// All volumes on nodes to be emptied, and those volumes on a node from which no path leads to spare
-/// capacity that cost the fewest bytes for a unit a second.
+/// capacity that cost the fewest bytes per unit per second.
 fn volumes_of_large_site<'a>(
     site: &'a Site,
     flow: &IncrementalFlow,
-    empty: &BTreeSet<u32>,
+    evacuated: &BTreeSet<u32>,
     size: &dyn Fn(u64) -> Size,
 ) -> Vec<&'a Volume> {
-    let must_leave = |volume: &&Volume| lies_on(volume, |node| empty.contains(&node));
-    let is_tight = |volume: &Volume| lies_on(volume, |node| flow.is_tight(node));
+    let must_leave = |volume: &&Volume| has_extents_on(volume, |node| evacuated.contains(&node));
+    let is_bottleneck = |volume: &Volume| has_extents_on(volume, |node| flow.is_bottleneck(node));
     let cost =
         |volume: &Volume| size(volume.id).total_bytes() / volume.reservation.max(MIN_RESERVATION);
     let (mut volumes, mut others): (Vec<&Volume>, Vec<&Volume>) =
         site.volumes.iter().partition(must_leave);
-    others.retain(|volume| is_tight(volume) && volume.reservation > 0.0);
+    others.retain(|volume| is_bottleneck(volume) && volume.reservation > 0.0);
     others.sort_by(|left, right| {
         let by_cost = cost(left).total_cmp(&cost(right));
         by_cost.then(left.id.cmp(&right.id))
--- a/crates/catalog/src/moves/types.rs
+++ b/crates/catalog/src/moves/types.rs
@@ -2,7 +2,7 @@
 
 use crate::planner::Volume;
 
-/// Fractions of a volume, extents, and units a second below this count as zero. A larger value
+/// Fractions of a volume, extents, and units per second below this count as zero. A larger value
 /// drops real amounts; a smaller one takes the solver's rounding for real.
 pub(super) const EPSILON: f64 = 1e-7;
 
@@ -47,13 +47,13 @@
     /// The program's optimum in bytes for its part of the site. No moves of complete extents can
     /// have fewer bytes.
     pub least: f64,
-    /// Reservations that stay unmet, units a second.
+    /// Reservations that stay unmet, units per second.
     pub short: f64,
     /// Whether the complete site went into the program.
     pub is_complete: bool,
 }
 
 /// Returns whether a volume has extents on a node for which `is_wanted` holds.
-pub(super) fn lies_on(volume: &Volume, is_wanted: impl Fn(u32) -> bool) -> bool {
+pub(super) fn has_extents_on(volume: &Volume, is_wanted: impl Fn(u32) -> bool) -> bool {
     volume.placement.iter().any(|(node, _)| is_wanted(*node))
 }
--- a/crates/catalog/src/overlay.rs
+++ b/crates/catalog/src/overlay.rs
@@ -1,7 +1,7 @@
-//! The catalog as proposed changes would leave it, without a copy of the untouched subjects.
+//! A view of the catalog with proposed changes applied, without a copy of the unchanged subjects.
 //!
-//! [`crate::propose`] makes it for one proposal, and the checks read it. Memory: a reference for
-//! each change.
+//! [`crate::propose`] creates one for each proposal, and the validation reads it. Memory use is a
+//! reference for each change.
 
 use crate::catalog::Catalog;
 use crate::change::{Change, Subject};
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A catalog and changes over it; see the module.
+/// A catalog with changes on top. See the [module documentation](self).
 pub(crate) struct Overlay<'a> {
     /// The catalog before the changes.
     pub base: &'a Catalog,
@@ -17,7 +17,7 @@
 }
 
 impl<'a> Overlay<'a> {
-    /// A catalog without changes.
+    /// Creates a view without changes.
     pub fn new(base: &'a Catalog) -> Self {
         Overlay {
             base,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds a change; returns false if another change has the same subject.
+    /// Adds a change. Returns false if an earlier change had the same subject.
     pub fn put(&mut self, change: &'a Change) -> bool {
         self.changes.insert(change.subject(), change).is_none()
     }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The volumes of a target after the changes. `volumes`: its volumes in the base catalog.
+    /// The volumes of a target after the changes. `volumes` are its volumes in the base catalog.
     pub fn target<'b>(&'b self, name: &Name, volumes: &'b Arc<[u64]>) -> Option<&'b Arc<[u64]>> {
         match self.changes.get(&Subject::Target(name.clone())) {
             Some(Change::Target { to, .. }) => to.as_ref(),
@@ -77,13 +77,13 @@
         }
     }
 
-    /// Numbers of all nodes after the changes, and of the nodes that they remove.
+    /// Numbers of all nodes in the base catalog and in the changes, including removed nodes.
     pub fn node_ids(&self) -> impl Iterator<Item = u32> + '_ {
         let base = self.base.nodes().map(|(id, _)| id);
         base.chain(self.changed_nodes())
     }
 
-    /// Numbers of nodes that the changes touch.
+    /// Numbers of the nodes that the changes add, modify or remove.
     pub fn changed_nodes(&self) -> impl Iterator<Item = u32> + '_ {
         self.changes.keys().filter_map(|subject| match subject {
             Subject::Node(id) => Some(*id),
--- a/crates/catalog/src/planner.rs
+++ b/crates/catalog/src/planner.rs
@@ -19,7 +19,7 @@
 mod load;
 mod network;
 
-pub(crate) use load::{to_parts, Load, PARTS};
+pub(crate) use load::{to_parts, Load, PARTS_PER_UNIT};
 
 use network::Network;
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
     pub id: u32,
     /// Number of the node's zone.
     pub zone: u32,
-    /// Capacity, units a second.
+    /// Capacity, units per second.
     pub capacity: f64,
 }
 
@@ -40,7 +40,7 @@
 pub struct Volume {
     /// The volume's number.
     pub id: u64,
-    /// The volume's reservation, units a second.
+    /// The volume's reservation, units per second.
     pub reservation: f64,
     /// Priority weight: volumes with the lowest weight give way first.
     pub weight: f64,
@@ -61,7 +61,7 @@
     pub spread: f64,
 }
 
-/// Whether reservations can be met. Amounts are units a second.
+/// Whether reservations can be met. Amounts are units per second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Feasibility {
     /// Reservations of extents that are in reach.
--- a/crates/catalog/src/planner/load.rs
+++ b/crates/catalog/src/planner/load.rs
@@ -1,10 +1,10 @@
-//! The load of a volume in parts of a unit a second, as the flows count it. Plain data.
+//! The load of a volume in parts of a unit per second, as the flows count it. Plain data.
 
 use super::Volume;
 
-/// Parts of a unit a second in which flows are counted. More parts lose less to rounding; fewer
+/// Parts of a unit per second in which flows are counted. More parts lose less to rounding; fewer
 /// parts make integer flows find their solution in fewer steps.
-pub(crate) const PARTS: f64 = 1000.0;
+pub(crate) const PARTS_PER_UNIT: f64 = 1000.0;
 
 /// A volume's load in parts: its reservation as far as nodes can serve it, and the maximum load on
 /// each of these nodes.
@@ -37,10 +37,10 @@
 
 /// Units a second in parts, rounded.
 pub(crate) fn to_parts(units: f64) -> u64 {
-    (units * PARTS).round().max(0.0) as u64
+    (units * PARTS_PER_UNIT).round().max(0.0) as u64
 }
 
-/// Parts in units a second.
+/// Parts in units per second.
 pub(super) fn to_units(parts: u64) -> f64 {
-    parts as f64 / PARTS
+    parts as f64 / PARTS_PER_UNIT
 }
--- a/crates/catalog/src/planner/network.rs
+++ b/crates/catalog/src/planner/network.rs
@@ -18,7 +18,7 @@
     max_loads: Vec<u64>,
 }
 
-/// The network; see the module.
+/// The network. See the [module documentation](self).
 pub(super) struct Network<'a> {
     site: &'a Site,
     /// By index of the node: its capacity; 0 if the node is out.
@@ -72,7 +72,7 @@
         let short = if carried + slack >= reachable {
             Vec::new()
         } else {
-            self.volumes_that_give_way(amounts)
+            self.unmet_volumes(amounts)
         };
         let out_of_reach = (reservations - to_units(reachable)).max(0.0);
         Feasibility {
@@ -124,7 +124,7 @@
 
     /// Adds volumes to the flow, highest weight first, each as far as it can be carried with all
     /// volumes before it; returns the amounts that are left.
-    fn volumes_that_give_way(&self, mut amounts: Vec<(usize, u64)>) -> Vec<(u64, f64)> {
+    fn unmet_volumes(&self, mut amounts: Vec<(usize, u64)>) -> Vec<(u64, f64)> {
         let volumes = &self.site.volumes;
         amounts.sort_by(|(left, _), (right, _)| {
             let left = &volumes[*left];
@@ -137,7 +137,7 @@
         for (volume, amount) in amounts {
             let max_loads = &self.loads[volume].max_loads;
             let group = flow.group_of(&indexes_of(max_loads));
-            flow.offer(
+            flow.raise_max_loads(
                 group,
                 max_loads.iter().map(|(_, max_load)| *max_load.min(&amount)),
             );
--- a/crates/catalog/src/propose.rs
+++ b/crates/catalog/src/propose.rs
@@ -1,13 +1,15 @@
-//! Makes revisions from proposed changes, or rejects changes that collide with later ones.
+//! Creates revisions from proposed changes, and rejects changes that conflict with later ones
+//! (optimistic concurrency control).
 //!
 //! The leader calls it with typed changes, their author and reason, and the author's base version.
-//! The revision is then persisted and applied atomically. No I/O, no state.
+//! The revision is then persisted and applied atomically. This module performs no I/O and holds no
+//! state.
 //!
-//! Two changes collide if they touch the same subject, or if one refers to a subject that the other
-//! removes. An older base version alone is no collision. A collision needs a subject that has
-//! changed since, or that may have changed, where the audit log no longer reaches back so far. This
-//! guards against two operators who each undo the other's change without seeing it. The cost:
-//! changes of two different values of one plan collide too, and the second author must retry.
+//! A proposed change conflicts with a revision after the base version that changed the same subject,
+//! or a subject that the proposed change refers to. An older base version alone is no conflict, as
+//! long as the audit log reaches back that far and shows that none of these subjects has changed.
+//! This prevents two operators from undoing each other's changes without noticing it. The cost is
+//! that changes of two different values of one plan conflict too, and the second author must retry.
 
 use crate::catalog::Catalog;
 use crate::change::{Change, ChangeContext, Revision};
@@ -17,10 +19,10 @@
 use crate::{limit_lowering, validation};
 
 impl Catalog {
-    /// The revision that these changes would make, by an author who bases them on `base_version`.
+    /// Creates the revision for changes whose author has seen the catalog at `base_version`.
     ///
     /// # Errors
-    /// If the changes collide with later changes, are not valid, or change nothing.
+    /// If the changes conflict with later changes, are invalid, or change nothing.
     pub fn propose(
         &self,
         base_version: Version,
@@ -28,7 +30,7 @@
         changes: Vec<Change>,
     ) -> Result<Revision, ChangeError> {
         if changes.is_empty() {
-            return Err(ChangeError::Empty);
+            return Err(ChangeError::NoChange);
         }
         self.check_unchanged_since(base_version, &changes)?;
         let mut after = Overlay::new(self);
@@ -38,7 +40,7 @@
             validation::check_values(self.facts(), change)?;
             before.insert(0, self.now(&subject));
             if !after.put(change) {
-                return Err(ChangeError::Twice(subject));
+                return Err(ChangeError::DuplicateSubject(subject));
             }
         }
         validation::check_references(&after)?;
@@ -46,7 +48,7 @@
             .iter()
             .all(|change| self.now(&change.subject()) == *change)
         {
-            return Err(ChangeError::Empty);
+            return Err(ChangeError::NoChange);
         }
         let lowers_limits = limit_lowering::lowers_limits(&after);
         Ok(Revision {
@@ -57,20 +59,20 @@
         })
     }
 
-    /// A revision without changes and with a version beyond `over`, so that this state takes
-    /// precedence over all states up to there. It starts a new epoch.
+    /// Creates a revision without changes whose version is higher than `over`, so that the current
+    /// state supersedes all states up to `over`. The revision starts a new epoch.
     pub fn force_epoch(&self, over: Version, by: ChangeContext) -> Revision {
         let version = over.max(self.version()).next();
         Revision {
-            // The grants of the other history to hosts are unknown here.
+            // The limits that hosts were granted under the other history are unknown here.
             lowers_limits: true,
             ..empty_revision(version, self.version(), by)
         }
     }
 
-    /// The revision that restores the subjects that an earlier revision changed, if they have not
-    /// changed since. Does not restore a scheduled change that has landed: it would land again at
-    /// once.
+    /// Creates the revision that restores the subjects of an earlier revision, if they have not
+    /// changed since. A scheduled change that was applied is not restored, because it would be applied
+    /// again at once.
     ///
     /// # Errors
     /// The errors of [`Catalog::propose`], or if the audit log does not have the revision.
@@ -78,12 +80,12 @@
         let undone = self.revision(revision).ok_or(ChangeError::TooOld {
             oldest: self.oldest_known(),
         })?;
-        let lands_again =
+        let is_applied_again =
             |change: &&Change| matches!(change, Change::Scheduled { to: Some(_), .. });
         let changes = undone
             .before
             .iter()
-            .filter(|change| !lands_again(change))
+            .filter(|change| !is_applied_again(change))
             .cloned()
             .collect();
         self.propose(revision, by, changes)
@@ -96,7 +98,7 @@
         changes: &[Change],
     ) -> Result<(), ChangeError> {
         if base_version > self.version() {
-            return Err(ChangeError::Ahead {
+            return Err(ChangeError::FutureVersion {
                 latest: self.version(),
             });
         }
@@ -106,7 +108,8 @@
             });
         }
         for change in changes {
-            // A volume that was put on a plan in the meantime is no change of that plan.
+            // A volume that was assigned to a plan in the meantime does not count as a change of
+            // that plan.
             for subject in change.references().into_iter().chain([change.subject()]) {
                 let last_changed = self.last_changed(&subject);
                 let Some(with) = last_changed.filter(|version| *version > base_version) else {
--- a/crates/catalog/src/records.rs
+++ b/crates/catalog/src/records.rs
@@ -1,14 +1,14 @@
-//! The records of the catalog: plans, volumes, nodes, drains, and the facts of a deployment.
+//! The records of the catalog: plans, volumes, nodes, drains, and the fixed properties of a
+//! deployment.
 //!
-//! Plain data, used by every other module of this package and by the packages that store and send
-//! it. Owns no state. Rates are in units a second; times are since 1970 by the wall clock.
+//! Plain data, used by every other module of this crate and by the crates that store and send it.
+//! Rates are in units per second; times are wall-clock times since the Unix epoch.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Number of a state of the catalog. Every revision makes a higher version; version 0 is the empty
-/// catalog.
+/// Version number of the catalog. Every revision increases it; version 0 is the empty catalog.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version(pub u64);
 
@@ -19,24 +19,25 @@
     }
 }
 
-/// Name of a plan, host, zone, target or author. The text is shared, because thousands of volumes
-/// have the same plan and hosts.
+/// Name of a plan, host, zone, target or author. The string is reference-counted, because thousands
+/// of volumes have the same plan and hosts.
 pub type Name = Arc<str>;
 
-/// The terms on which a volume is served, over all hosts together.
+/// Service parameters of a volume, which hold for all hosts together.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Plan {
-    /// Expected load, units a second.
+    /// Expected load, units per second.
     pub rate: f64,
-    /// Guaranteed load, units a second.
+    /// Guaranteed load, units per second.
     pub reservation: f64,
-    /// Load that is never exceeded for long, units a second; 0: no limit.
+    /// Maximum sustained load, units per second. 0 means no limit.
     pub limit: f64,
     /// Capacity of the limit's token bucket, units.
     pub burst: f64,
-    /// Units by which the limit may be exceeded.
+    /// Units by which the load may exceed the limit, in addition to the burst.
     pub slack: f64,
-    /// Priority weight: where not all reservations can be met, the lightest give way first.
+    /// Priority weight. If not all reservations can be met, the volumes with the lowest weight lose
+    /// theirs first.
     pub weight: f64,
     /// Price, in the operator's own unit.
     pub price: f64,
@@ -58,29 +59,29 @@
 /// A storage node.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Node {
-    /// Operators' name of the node, unique. Empty: the node has only a number.
+    /// Unique name of the node for operators, or empty if the node has only a number.
     pub name: Name,
     /// Failure domain: all nodes of a zone may fail together.
     pub zone: Name,
     /// The shard that the node holds.
     pub shard: u32,
-    /// Capacity, units a second; 0: not configured.
+    /// Capacity, units per second. 0 means not configured.
     pub capacity: f64,
 }
 
-/// Progress of a drain, as far as it must survive a crash. Hosts report the progress between two
-/// stages, and report it again after a restart.
+/// Progress of a drain, as far as it must survive a crash. Progress between two stages is not
+/// stored: hosts report it, and report it again after a restart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum Stage {
-    /// The drain waits until there is no objection to it; the node serves as before.
+    /// The drain waits until admission control has no objection. The node serves as before.
     Queued,
-    /// Hosts send the node nothing new.
+    /// Hosts send no new requests to the node.
     #[default]
     Draining,
     /// No attempt of any host is in flight at the node.
     Drained,
-    /// The node is removed: a process that starts under its number gets no requests before an
-    /// operator returns the node.
+    /// The node is removed. A process that starts under its number receives no requests until an
+    /// operator returns the node to service.
     Removed,
 }
 
@@ -89,25 +90,25 @@
 pub struct Drain {
     /// The progress of the drain.
     pub stage: Stage,
-    /// Timeout of the drain, counted from the start of draining; zero: none.
+    /// Timeout of the drain, counted from the start of draining. Zero means no timeout.
     pub timeout: Duration,
     /// The operator who first requested the drain. The leader fills in this field and the next two.
     pub author: Name,
-    /// When the drain was first requested, since 1970.
+    /// When the drain was first requested, as time since the Unix epoch.
     pub requested_at: Duration,
-    /// When the stage last changed, since 1970.
+    /// When the stage last changed, as time since the Unix epoch.
     pub since: Duration,
 }
 
 impl Drain {
-    /// Returns whether hosts must send the node nothing new.
+    /// Returns whether the drain has started, so that hosts must send no new requests to the node.
     pub fn holds(&self) -> bool {
         self.stage != Stage::Queued
     }
 }
 
 impl Stage {
-    /// All stages, each with its name as stored and as operators read it.
+    /// All stages, each with its name in the store and in output for operators.
     pub const NAMES: [(Stage, &'static str); 4] = [
         (Stage::Queued, "queued"),
         (Stage::Draining, "going"),
@@ -115,7 +116,7 @@
         (Stage::Removed, "out"),
     ];
 
-    /// The stage's name as stored and as operators read it.
+    /// The stage's name in the store and in output for operators.
     pub fn name(self) -> &'static str {
         Stage::NAMES
             .iter()
@@ -123,10 +124,10 @@
             .map_or("", |(_, name)| name)
     }
 
-    /// Returns whether a drain may go from one stage to another; None: there is no drain. A drain
-    /// never goes back to an earlier stage: hosts have acted on the drained node's state and cannot
-    /// revert that. A drain can only end. An operator returns a removed node first, and may drain
-    /// it again.
+    /// Returns whether a drain may go from one stage to another, where `None` means no drain. A drain
+    /// never returns to an earlier stage, because hosts have already acted on the later one and
+    /// cannot revert that. Ending a drain is always allowed: to drain a removed node again, an
+    /// operator first returns it to service.
     ///
     /// ```
     /// use grebecleat_catalog::records::Stage::{self, *};
@@ -145,12 +146,12 @@
     }
 }
 
-/// The facts that the settings of a deployment fix, and that no change touches.
+/// Properties that the settings of a deployment fix, and that no change of the catalog modifies.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Deployment {
     /// Names of all hosts. Each volume is served through some of them.
     pub hosts: BTreeSet<Name>,
     /// Longest time between the decision to send an attempt and its sending. A plan's slack must
-    /// cover the load of this time.
+    /// cover the load that its limit allows in this time.
     pub max_dispatch_delay: Duration,
 }
--- a/crates/catalog/src/validation.rs
+++ b/crates/catalog/src/validation.rs
@@ -1,7 +1,7 @@
-//! Whether changes are valid: their own values, and the references between subjects after them.
+//! Validates changes: their values, and the references between subjects after the changes.
 //!
-//! Called by [`crate::propose`]. No state. [`crate::admission`] evaluates the effect of changes on
-//! reservations.
+//! [`crate::propose`] calls these functions, which hold no state. [`crate::admission`] evaluates the
+//! effect of changes on reservations.
 
 use crate::change::{Change, Subject};
 use crate::errors::{ChangeError, InvalidValue};
@@ -9,7 +9,7 @@
 use crate::records::{Deployment, Drain, Name, Node, Plan, Stage, Volume};
 use std::collections::BTreeSet;
 
-/// Checks the values of one change by itself.
+/// Checks the values of one change, independent of the catalog.
 pub(crate) fn check_values(deployment: &Deployment, change: &Change) -> Result<(), ChangeError> {
     let checked = match change {
         Change::Plan { to: Some(plan), .. } => check_plan(deployment, plan),
@@ -52,13 +52,13 @@
         .iter()
         .any(|value| !value.is_finite() || *value < 0.0)
     {
-        return Err(InvalidValue::NotANumber);
+        return Err(InvalidValue::InvalidNumber);
     }
     if plan.limit <= 0.0 {
         return Ok(());
     }
-    // A limit below the reservation would break the guarantee, and a host that is cut off from the
-    // feed falls back to the reservation: see docs/design/plans.md.
+    // A limit below the reservation would violate the guarantee. Besides, a host that is cut off from
+    // the change feed falls back to its part of the reservation: see docs/design/plans.md.
     if plan.limit < plan.reservation {
         return Err(InvalidValue::LimitBelowReservation);
     }
@@ -82,7 +82,7 @@
     }
     let different: BTreeSet<&Name> = volume.hosts.iter().collect();
     if different.len() < volume.hosts.len() {
-        return Err(InvalidValue::HostTwice);
+        return Err(InvalidValue::DuplicateHost);
     }
     if volume.blocks == 0 {
         return Err(InvalidValue::NoBlocks);
@@ -92,7 +92,7 @@
 
 fn check_node(node: &Node) -> Result<(), InvalidValue> {
     if !(node.capacity.is_finite() && node.capacity >= 0.0) {
-        return Err(InvalidValue::Capacity);
+        return Err(InvalidValue::InvalidCapacity);
     }
     if node.name.parse::<u64>().is_ok() {
         return Err(InvalidValue::NameIsANumber(node.name.clone()));
@@ -100,8 +100,8 @@
     Ok(())
 }
 
-/// Checks that every subject refers only to subjects that exist after the changes, and that no
-/// subject that stays refers to a subject that they remove.
+/// Checks that changed subjects refer only to subjects that exist after the changes, and that no
+/// remaining subject refers to a removed one.
 pub(crate) fn check_references(after: &Overlay) -> Result<(), ChangeError> {
     for (subject, change) in after.changes() {
         if change.is_removal() && after.base.now(subject).is_removal() {
@@ -217,8 +217,7 @@
     }
 }
 
-/// Checks that each shard of the volumes has a node. If no nodes are configured, there is nothing to
-/// check.
+/// Checks that a node holds each shard of the volumes, if any nodes are configured.
 fn check_shards_have_nodes(after: &Overlay) -> Result<(), ChangeError> {
     let shards: BTreeSet<u32> = after
         .node_ids()
@@ -243,7 +242,7 @@
     Ok(())
 }
 
-/// Volumes that the changes may leave on a shard without a node: the changed volumes and, if a node
+/// Volumes that may have a shard without a node after the changes: the changed volumes and, if a node
 /// changes, all others.
 fn volumes_to_check(after: &Overlay) -> Vec<u64> {
     let mut volumes: Vec<u64> = after
