--- a/crates/catalog/src/admission.rs
+++ b/crates/catalog/src/admission.rs
@@ -43,7 +43,7 @@
 use site::SiteModel;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The admission control. See the [module documentation](self).
+/// The admission control. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub struct Admission {
     site: SiteModel,
@@ -210,11 +210,11 @@
             .filter(|(other, _)| !self.drains().contains(other))
             .map(|(other, reason)| (*other, *reason));
         let zone = |id: u32| after.node(id).map(|node| node.zone.clone());
-        let with = excluded_in_zone(node, zone, draining.chain(unavailable));
-        (!with.is_empty()).then(|| Reason::ZoneUnavailable {
+        let unavailable_nodes = excluded_in_zone(node, zone, draining.chain(unavailable));
+        (!unavailable_nodes.is_empty()).then(|| Reason::ZoneUnavailable {
             node,
             zone: zone(node).unwrap_or_default(),
-            with,
+            unavailable_nodes,
         })
     }
 
--- a/crates/catalog/src/admission/losses.rs
+++ b/crates/catalog/src/admission/losses.rs
@@ -21,7 +21,7 @@
     is_fresh: bool,
 }
 
-/// The outages of a site. See the [module documentation](self).
+/// The outages of a site. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub(super) struct OutageTable {
     losses: BTreeMap<Out, OutageEntry>,
--- a/crates/catalog/src/admission/reasons.rs
+++ b/crates/catalog/src/admission/reasons.rs
@@ -43,7 +43,7 @@
         /// The node's zone.
         zone: Name,
         /// The other nodes, and why they are unavailable.
-        with: Vec<(u32, ExclusionReason)>,
+        unavailable_nodes: Vec<(u32, ExclusionReason)>,
     },
     /// Reservations that cannot be met because nodes of other zones are removed as well.
     Meanwhile {
@@ -121,8 +121,12 @@
                     "with {what} out, {by:.1} units a second of reserves could not be met"
                 )
             }
-            Reason::ZoneUnavailable { node, zone, with } => {
-                let others: Vec<String> = with
+            Reason::ZoneUnavailable {
+                node,
+                zone,
+                unavailable_nodes,
+            } => {
+                let others: Vec<String> = unavailable_nodes
                     .iter()
                     .map(|(other, reason)| format!("node {other} {reason}"))
                     .collect();
--- a/crates/catalog/src/admission/site.rs
+++ b/crates/catalog/src/admission/site.rs
@@ -16,7 +16,7 @@
 /// Smallest change of a reservation, in thousandths of a unit per second, that survives rounding.
 const MIN_RESERVATION_CHANGE: f64 = 0.5;
 
-/// The site of a catalog. See the [module documentation](self).
+/// The site of a catalog. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub(super) struct SiteModel {
     flow: IncrementalFlow,
--- a/crates/catalog/src/audit_log.rs
+++ b/crates/catalog/src/audit_log.rs
@@ -10,7 +10,7 @@
 use std::collections::hash_map::Entry;
 use std::collections::{HashMap, VecDeque};
 
-/// The last revisions. See the [module documentation](self).
+/// The last revisions. See the module documentation.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct AuditLog {
     revisions: VecDeque<Revision>,
@@ -83,7 +83,7 @@
             self.last_changed.insert(change.subject(), revision.version);
         }
         for (version, earlier) in &revision.also {
-            self.add_before(*version, earlier);
+            self.add_earlier_state(*version, earlier);
         }
         self.revisions.push_back(revision);
         while self.revisions.len() > self.max_len {
@@ -95,12 +95,12 @@
         }
     }
 
-    fn add_before(&mut self, version: Version, earlier: &Change) {
-        let place = self
+    fn add_earlier_state(&mut self, version: Version, earlier: &Change) {
+        let position = self
             .revisions
             .binary_search_by_key(&version, |revision| revision.version);
-        if let Ok(place) = place {
-            self.revisions[place].before.push(earlier.clone());
+        if let Ok(position) = position {
+            self.revisions[position].before.push(earlier.clone());
         }
     }
 
--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// The state of the configuration at one version. See the [module documentation](self).
+/// The state of the configuration at one version. See the module documentation.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Catalog {
     facts: Deployment,
--- a/crates/catalog/src/errors.rs
+++ b/crates/catalog/src/errors.rs
@@ -75,10 +75,10 @@
     NoBurst,
     /// A plan's slack does not cover the attempts that were decided under a former limit and may
     /// still be sent.
-    #[error("its slack is below what may still cross of its limit, {least}")]
+    #[error("its slack is below what may still cross of its limit, {minimum}")]
     SlackTooSmall {
         /// The smallest valid slack, units.
-        least: f64,
+        minimum: f64,
     },
     /// No host serves the volume.
     #[error("works through no host")]
@@ -90,7 +90,7 @@
     #[error("works through one host twice")]
     DuplicateHost,
     /// The volume has size 0.
-    #[error("has 0 blocks, expected at least 1")]
+    #[error("has 0 blocks, expected at minimum 1")]
     NoBlocks,
     /// A node's capacity is negative, infinite or not a number.
     #[error("its capacity is negative, infinite or not a number")]
--- a/crates/catalog/src/feed/follower_lease.rs
+++ b/crates/catalog/src/feed/follower_lease.rs
@@ -5,7 +5,7 @@
 use crate::records::Version;
 use std::time::Duration;
 
-/// The versions that a host takes into account, and its lease. See the [module documentation](self).
+/// The versions that a host takes into account, and its lease. See the module documentation.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct FollowerLease {
     /// The newest version that the host follows.
--- a/crates/catalog/src/feed/leases.rs
+++ b/crates/catalog/src/feed/leases.rs
@@ -54,7 +54,7 @@
     UnknownHost,
 }
 
-/// The leases of all hosts. See the [module documentation](self).
+/// The leases of all hosts. See the module documentation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Leases {
     lease: Duration,
--- a/crates/catalog/src/feed/limit_reductions.rs
+++ b/crates/catalog/src/feed/limit_reductions.rs
@@ -14,7 +14,7 @@
     before: Version,
 }
 
-/// The known versions that lower such quotas. See the [module documentation](self).
+/// The known versions that lower such quotas. See the module documentation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct LimitReductions {
     /// For versions up to this one it is unknown whether they lower quotas.
--- a/crates/catalog/src/flow.rs
+++ b/crates/catalog/src/flow.rs
@@ -1,15 +1,15 @@
 //! A maximum flow from groups of volumes to the nodes with their extents, which is updated in place
-//! as amounts and capacities change.
+//! when amounts and capacities change.
 //!
 //! [`crate::planner`] calls it volume by volume, and [`crate::incremental_flow`] as a site changes.
 //! [`Flow::raise_max_loads`] raises the maximum load of a group on each of its nodes. [`Flow::fill`] carries
-//! as much of an amount as possible along shortest augmenting paths (Ford and Fulkerson, with
+//! as much of an amount as possible along the shortest augmenting paths (Ford and Fulkerson, with
 //! breadth first search as in Edmonds and Karp). A solver would have to start from nothing each
-//! time; this flow continues from the present loads. Changes after [`Flow::begin_trial`] are
-//! recorded, and [`Flow::undo_trial`] reverts them. No I/O.
+//! time; this flow continues from the current loads. Changes after [`Flow::begin_trial`] are
+//! recorded, and [`Flow::undo_trial`] reverts them. This module performs no I/O.
 //!
-//! State: `Network` owns the loads and capacities; `PathSearch` owns the findings of searches.
-//! Amounts are thousandths of units per second. Memory: a few words for each node of each group.
+//! `Network` owns the loads and capacities; `PathSearch` owns the results of searches. Amounts are in
+//! thousandths of units per second. Memory use is a few words for each node of each group.
 
 mod network;
 mod path_search;
@@ -19,7 +19,7 @@
 use network::{Edge, Network};
 use path_search::{Path, PathSearch};
 
-/// The flow. See the [module documentation](self).
+/// The flow. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub struct Flow {
     network: Network,
@@ -27,7 +27,7 @@
 }
 
 impl Flow {
-    /// Nodes of these capacities, without groups.
+    /// Creates a flow over nodes of these capacities, without groups.
     pub fn new(capacity: &[u64]) -> Self {
         Flow {
             network: Network::new(capacity),
@@ -45,7 +45,7 @@
         self.network.group(group)
     }
 
-    /// Number of the group of volumes on these nodes, which is added if it is new.
+    /// Number of the group of volumes on these nodes. The group is added if it does not exist.
     pub fn group_of(&mut self, nodes: &[usize]) -> usize {
         self.network.group_of(nodes)
     }
@@ -55,13 +55,13 @@
         self.network.edges_to(node).iter().map(|edge| edge.group)
     }
 
-    /// Returns whether no path leads from a node to spare capacity, as far as was searched.
+    /// Returns whether a search has found that no path leads from a node to spare capacity.
     pub fn is_saturated(&self, node: usize) -> bool {
         self.search.is_saturated(node)
     }
 
-    /// Sets the maximum load of a group on each of its nodes, and drops the load beyond it. Returns
-    /// the dropped amount.
+    /// Sets the maximum load of a group on each of its nodes, and removes the load beyond it. Returns
+    /// the removed amount.
     pub fn set_max_loads(&mut self, group: usize, max_loads: &[u64]) -> u64 {
         let mut dropped = 0;
         for (index, max_load) in max_loads.iter().enumerate() {
@@ -81,8 +81,8 @@
         dropped
     }
 
-    /// The maximum load on an edge has risen. Saturated nodes whose load of this group can now move
-    /// along the edge are no longer saturated.
+    /// Clears saturation after the maximum load on an edge was raised, if a saturated node carries load
+    /// of this group that can now move along the edge.
     fn update_saturated(&mut self, edge: Edge) {
         if self.search.is_saturated(self.network.node(edge)) {
             return;
@@ -105,7 +105,7 @@
         self.set_max_loads(group, &raised);
     }
 
-    /// Drops an amount of a group's load, from any of its nodes.
+    /// Removes an amount of a group's load, from any of its nodes.
     pub fn shed_load(&mut self, group: usize, mut amount: u64) {
         for index in 0..self.network.group(group).loads.len() {
             let edge = Edge { group, index };
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Changes a node's capacity, and drops the load beyond it. Returns the dropped amount of each
+    /// Changes a node's capacity, and removes the load beyond it. Returns the removed amount of each
     /// group.
     pub fn set_capacity(&mut self, node: usize, former: u64, capacity: u64) -> Vec<(usize, u64)> {
         let used = former - self.network.spare(node);
@@ -138,7 +138,7 @@
         dropped
     }
 
-    /// Carries as much of a group's amount as possible; returns the amount that is left.
+    /// Carries as much of an amount of a group as possible, and returns the amount that is left.
     pub fn fill(&mut self, group: usize, amount: u64) -> u64 {
         let mut left = amount;
         while left > 0 {
@@ -150,14 +150,14 @@
         left
     }
 
-    /// Carries along a path the amount that its narrowest step allows; returns that amount.
+    /// Carries the amount that the bottleneck of a path allows, at most `wanted`, and returns it.
     fn augment(&mut self, group: usize, path: &Path, wanted: u64) -> u64 {
         let network = &self.network;
         let nodes = &network.group(group).nodes;
         let index = nodes
             .iter()
             .position(|node| *node == path.first)
-            .expect("a path begins on a node of its group");
+            .expect("the path begins at a node of its group");
         let own_edge = Edge { group, index };
         let end = path
             .steps
--- a/crates/catalog/src/flow/network.rs
+++ b/crates/catalog/src/flow/network.rs
@@ -1,11 +1,11 @@
 //! The loads and capacities of the flow network, with a record of changes during a trial.
 //!
-//! Owned by [`crate::flow`]. State: the groups with their loads, and the spare capacity of each
-//! node. During a trial it records the former values, and [`Network::undo_trial`] restores them.
+//! Owned by [`crate::flow`]. The state is the groups with their loads, and the spare capacity of each
+//! node. During a trial, the former values are recorded, and [`Network::undo_trial`] restores them.
 
 use std::collections::HashMap;
 
-/// Volumes on the same nodes: the load that each node carries of them, and its maximum.
+/// Volumes on the same nodes: the load of these volumes on each node, and its maximum.
 #[derive(Debug, Clone)]
 pub struct Group {
     /// Indexes of the nodes.
@@ -33,21 +33,21 @@
     Spare { node: usize, value: u64 },
 }
 
-/// Groups, edges and nodes. See the [module documentation](self).
+/// Groups, edges and nodes. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Network {
-    /// By node: unused capacity.
+    /// Unused capacity, by node.
     spare: Vec<u64>,
     groups: Vec<Group>,
     group_by_nodes: HashMap<Vec<usize>, usize>,
-    /// By node: the edges that lead there.
+    /// The edges that lead to each node, by node.
     edges_to: Vec<Vec<Edge>>,
-    /// The values before the trial, oldest first; None: no trial runs.
+    /// The former values of changes during the trial, oldest first; `None` outside a trial.
     trial: Option<Vec<Former>>,
 }
 
 impl Network {
-    /// Nodes of these capacities, without groups.
+    /// Creates a network of nodes with these capacities, without groups.
     pub fn new(capacity: &[u64]) -> Self {
         Network {
             spare: capacity.to_vec(),
@@ -86,7 +86,7 @@
         self.groups[edge.group].max_loads[edge.index]
     }
 
-    /// Number of the group of volumes on these nodes, which is added if it is new.
+    /// Number of the group of volumes on these nodes. The group is added if it does not exist.
     pub fn group_of(&mut self, nodes: &[usize]) -> usize {
         if let Some(group) = self.group_by_nodes.get(nodes) {
             return *group;
--- a/crates/catalog/src/flow/path_search.rs
+++ b/crates/catalog/src/flow/path_search.rs
@@ -1,26 +1,26 @@
-//! The search for augmenting paths: breadth first, from a group to a node with spare capacity.
+//! Breadth-first search for augmenting paths, from a group to a node with spare capacity.
 //!
-//! Owned by [`crate::flow`]. State: the nodes from which no path leads to spare capacity, and the
-//! marks of the present search. Memory: two entries for each node.
+//! Owned by [`crate::flow`]. The state is the set of saturated nodes, from which no path leads to
+//! spare capacity, and the nodes that the current search has visited: two entries for each node.
 
 use super::network::{Edge, Group, Network};
 
 /// A step of an augmenting path: load of a group moves from one of its nodes to another.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Step {
-    /// The first node.
+    /// The node that the load leaves.
     node: usize,
-    /// The edge to the first node.
+    /// The edge to the node that the load leaves.
     pub from: Edge,
-    /// The edge to the second node.
+    /// The edge to the node that receives the load.
     pub to: Edge,
 }
 
 /// An augmenting path.
 pub(super) struct Path {
-    /// The node to which the group's new load goes.
+    /// The node that receives the group's new load.
     pub first: usize,
-    /// The steps that free capacity there, the last step first.
+    /// The steps that free capacity on that node, the last step first.
     pub steps: Vec<Step>,
 }
 
@@ -29,46 +29,46 @@
 struct Visit {
     /// Number of the search.
     search: u64,
-    /// The step that leads to the node; None: the node is one of the searching group.
+    /// The step that leads to the node, or `None` if the node belongs to the searching group.
     step: Option<Step>,
 }
 
-/// The search and its findings. See the [module documentation](self).
+/// The search and its results. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PathSearch {
-    /// Nodes from which no path leads to spare capacity. The finding holds until capacity is freed
-    /// or a maximum load rises. It keeps searches from visiting full nodes again and again.
+    /// Whether no path leads from a node to spare capacity, by node. Valid until capacity is freed or
+    /// a maximum load is raised. This avoids repeated visits of full nodes.
     saturated: Vec<bool>,
     visits: Vec<Visit>,
     /// Number of searches so far.
-    searches: u64,
+    search_count: u64,
 }
 
 impl PathSearch {
-    /// A search over that number of nodes, without findings.
+    /// Creates a search over that number of nodes, none of which is known to be saturated.
     pub fn new(nodes: usize) -> Self {
         PathSearch {
             saturated: vec![false; nodes],
             visits: vec![Visit::default(); nodes],
-            searches: 0,
+            search_count: 0,
         }
     }
 
-    /// Returns whether no path leads from a node to spare capacity, as far as was searched.
+    /// Returns whether a search has found that no path leads from a node to spare capacity.
     pub fn is_saturated(&self, node: usize) -> bool {
         self.saturated[node]
     }
 
-    /// Drops all findings, since there may be new paths.
+    /// Marks no node as saturated any more, because there may be new paths.
     pub fn clear_saturated(&mut self) {
         self.saturated.fill(false);
     }
 
-    /// The shortest augmenting path from a group to a node with spare capacity.
+    /// Finds the shortest augmenting path from a group to a node with spare capacity.
     pub fn find(&mut self, network: &Network, group: usize) -> Option<Path> {
-        self.searches += 1;
-        let search = self.searches;
-        let mut reached: Vec<usize> = Vec::new();
+        self.search_count += 1;
+        let search = self.search_count;
+        let mut queue: Vec<usize> = Vec::new();
         let Group {
             nodes,
             loads,
@@ -77,32 +77,32 @@
         for (index, node) in nodes.iter().enumerate() {
             if loads[index] < max_loads[index] && !self.saturated[*node] {
                 self.visits[*node] = Visit { search, step: None };
-                reached.push(*node);
+                queue.push(*node);
             }
         }
         let mut next = 0;
-        while let Some(node) = reached.get(next).copied() {
+        while let Some(node) = queue.get(next).copied() {
             next += 1;
             if network.spare(node) > 0 {
                 return Some(self.path_to(node));
             }
-            self.visit_neighbours(network, node, &mut reached);
+            self.visit_neighbours(network, node, &mut queue);
         }
-        for node in reached {
+        for node in queue {
             self.saturated[node] = true;
         }
         None
     }
 
-    /// Visits the nodes to which load of this node can move.
-    fn visit_neighbours(&mut self, network: &Network, node: usize, reached: &mut Vec<usize>) {
+    /// Visits the nodes to which load of `node` can move.
+    fn visit_neighbours(&mut self, network: &Network, node: usize, queue: &mut Vec<usize>) {
         for from in network.edges_to(node).iter().copied() {
             let group = network.group(from.group);
             if group.loads[from.index] == 0 {
                 continue;
             }
             for (index, other) in group.nodes.iter().enumerate() {
-                let is_new = self.visits[*other].search != self.searches;
+                let is_new = self.visits[*other].search != self.search_count;
                 let is_open =
                     group.loads[index] < group.max_loads[index] && !self.saturated[*other];
                 if is_new && is_open {
@@ -111,10 +111,10 @@
                         index,
                     };
                     self.visits[*other] = Visit {
-                        search: self.searches,
+                        search: self.search_count,
                         step: Some(Step { node, from, to }),
                     };
-                    reached.push(*other);
+                    queue.push(*other);
                 }
             }
         }
--- a/crates/catalog/src/follower.rs
+++ b/crates/catalog/src/follower.rs
@@ -57,7 +57,7 @@
 /// recovery; a shorter one causes more futile attempts at a faulty leader or disk.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// A host's state machine. See the [module documentation](self).
+/// A host's state machine. See the module documentation.
 #[derive(Debug)]
 pub struct Follower {
     /// Name of this host.
--- a/crates/catalog/src/follower/acknowledgements.rs
+++ b/crates/catalog/src/follower/acknowledgements.rs
@@ -16,7 +16,7 @@
     since: Duration,
 }
 
-/// The host's acknowledgements. See the [module documentation](self).
+/// The host's acknowledgements. See the module documentation.
 #[derive(Debug)]
 pub(super) struct Acknowledgements {
     /// Longest time between the decision to send an attempt and its sending.
--- a/crates/catalog/src/follower/announcements.rs
+++ b/crates/catalog/src/follower/announcements.rs
@@ -10,7 +10,7 @@
 use crate::records::Name;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The announced terms, and what may differ from them. See the [module documentation](self).
+/// The announced terms, and what may differ from them. See the module documentation.
 #[derive(Debug)]
 pub(super) struct Announcements {
     /// Plans whose new values were not announced yet.
--- a/crates/catalog/src/follower/persistence.rs
+++ b/crates/catalog/src/follower/persistence.rs
@@ -19,7 +19,7 @@
     version: Version,
 }
 
-/// The host's writes. See the [module documentation](self).
+/// The host's writes. See the module documentation.
 #[derive(Debug)]
 pub(super) struct Persistence {
     /// Revisions received since the last write.
--- a/crates/catalog/src/follower/poll_state.rs
+++ b/crates/catalog/src/follower/poll_state.rs
@@ -21,7 +21,7 @@
     pub sent: Duration,
 }
 
-/// The connection and its pending poll. See the [module documentation](self).
+/// The connection and its pending poll. See the module documentation.
 #[derive(Debug)]
 pub(super) struct PollState {
     is_connected: bool,
--- a/crates/catalog/src/incremental_flow.rs
+++ b/crates/catalog/src/incremental_flow.rs
@@ -1,14 +1,15 @@
-//! The flow of a site, updated in place as nodes and volumes change.
+//! The flow of a site, updated in place when nodes and volumes change.
 //!
 //! [`crate::admission`] and [`crate::moves`] build it from a site and change it
 //! ([`IncrementalFlow::set_node`], [`IncrementalFlow::set_volume`]). [`IncrementalFlow::shortfall`]
 //! returns the reservations that cannot be carried, and [`IncrementalFlow::without`] those that
-//! could not if nodes were out. The cost of both follows the volumes on these nodes and not the
-//! complete site. The results equal those of [`crate::planner::check`], which computes everything
-//! from the start; only that function determines which volumes give way. No I/O.
+//! could not be carried if nodes were out. The cost of both depends on the volumes on these nodes,
+//! not on the complete site. The results equal those of [`crate::planner::check`], which computes
+//! everything from scratch; only that function determines which volumes' reservations are not met.
+//! This module performs no I/O.
 //!
-//! State: `NodeTable` owns the nodes, `GroupTable` the demand of each group, [`Flow`] the loads.
-//! Memory: each volume, and the nodes of its group in the flow.
+//! `NodeTable` owns the nodes, `GroupTable` the demand of each group, and [`Flow`] the loads. Memory
+//! use is an entry for each volume, and for each node of its group in the flow.
 
 mod demand;
 mod groups;
@@ -24,15 +25,15 @@
 /// Reservations that cannot be carried, units per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Shortfall {
-    /// The unmet amount of extents that are in reach.
+    /// The unmet amount for extents on nodes that are up.
     pub short: f64,
-    /// The amount of extents on nodes that are out.
+    /// The amount for extents on nodes that are out.
     pub out_of_reach: f64,
 }
 
 impl Shortfall {
-    /// Returns whether this shortfall is larger than another by more than `slack`, which rounding
-    /// may lose.
+    /// Returns whether this shortfall exceeds another by more than `slack`, the tolerance for
+    /// rounding.
     pub fn exceeds(&self, other: &Shortfall, slack: f64) -> bool {
         self.short > other.short + slack || self.out_of_reach > other.out_of_reach + slack
     }
@@ -45,7 +46,7 @@
     demand: Demand,
 }
 
-/// The flow of a site. See the [module documentation](self).
+/// The flow of a site. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub struct IncrementalFlow {
     spread: f64,
@@ -53,12 +54,12 @@
     nodes: NodeTable,
     volumes: BTreeMap<u64, PlacedVolume>,
     groups: GroupTable,
-    /// The reservations of all volumes in parts, in reach or not.
+    /// Sum of the reservations of all volumes in parts, including extents out of reach.
     reservations: u64,
 }
 
 impl IncrementalFlow {
-    /// The flow of a site.
+    /// Creates the flow of a site with all nodes up.
     ///
     /// ```
     /// use grebecleat_catalog::planner::{Node, Site, Volume};
@@ -96,7 +97,7 @@
         }
     }
 
-    /// The amount that rounding may lose, units per second: a thousandth for each volume.
+    /// The largest error from rounding, in units per second: a thousandth for each volume.
     pub fn slack(&self) -> f64 {
         self.volumes.len() as f64 / PARTS_PER_UNIT
     }
@@ -106,7 +107,7 @@
         self.nodes.iter()
     }
 
-    /// The factor by which a volume's load may gather on one of its nodes: see [`Site`].
+    /// The factor by which a volume's load may be concentrated on one of its nodes: see [`Site`].
     pub fn spread(&self) -> f64 {
         self.spread
     }
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The reservations that could not be carried with these nodes out as well.
+    /// The reservations that could not be carried if these nodes were out as well.
     pub fn without(&mut self, out: &BTreeSet<u32>) -> Shortfall {
         let indexes: Vec<usize> = out
             .iter()
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Adds a node, or changes its zone or capacity. A node without capacity stays known and
+    /// Adds a node, or changes its zone or capacity. Nodes are never removed; a node with capacity 0
     /// carries nothing.
     pub fn set_node(&mut self, node: Node) {
         let Some(index) = self.nodes.index(node.id) else {
@@ -187,7 +188,8 @@
         self.refill();
     }
 
-    /// Rebuilds the flow with a new node, since its tables have a fixed number of nodes. Rare.
+    /// Rebuilds the flow with a new node, because its tables have a fixed number of nodes. This is
+    /// slow but rarely needed.
     fn add_node(&mut self, node: Node) {
         let down = self.nodes.down();
         let mut nodes: Vec<Node> = self.nodes().cloned().collect();
@@ -203,12 +205,13 @@
         }
     }
 
-    /// Adds or changes a volume; None: it is removed.
+    /// Adds or changes a volume, or removes it if `to` is `None`.
     pub fn set_volume(&mut self, id: u64, to: Option<Volume>) {
         self.set_volumes([(id, to)]);
     }
 
-    /// Sets many volumes, at the cost of one search for spare capacity where there is enough.
+    /// Adds, changes or removes many volumes. Where there is enough capacity, this costs only one
+    /// search for spare capacity.
     pub fn set_volumes(&mut self, volumes: impl IntoIterator<Item = (u64, Option<Volume>)>) {
         let mut changed_groups = BTreeSet::new();
         for (id, to) in volumes {
@@ -226,7 +229,7 @@
         self.refill();
     }
 
-    /// Nodes with data of a volume.
+    /// Numbers of the nodes with data of a volume.
     pub fn nodes_of_volume(&self, id: u64) -> impl Iterator<Item = u32> + '_ {
         let placed = self.volumes.get(&id);
         placed
@@ -241,14 +244,15 @@
         index.map_or(0.0, |index| self.flow.spare(index) as f64 / PARTS_PER_UNIT)
     }
 
-    /// Returns whether no path leads from a node to spare capacity, while a reservation is unmet.
+    /// Returns whether a node is a bottleneck: a reservation is unmet, and no path leads from the node
+    /// to spare capacity.
     pub fn is_bottleneck(&self, id: u32) -> bool {
         let index = self.nodes.index(id);
         self.groups.has_unmet() && index.is_some_and(|index| self.flow.is_saturated(index))
     }
 
-    /// The load on each node of all volumes but these. Volumes on the same nodes have the same part
-    /// of their demand on each.
+    /// The load on each node from all volumes except `left_out`. The load of a group is divided among
+    /// its volumes in proportion to their demand.
     pub fn carried_except(&self, left_out: &BTreeSet<u64>) -> BTreeMap<u32, f64> {
         let mut carried: BTreeMap<u32, f64> = BTreeMap::new();
         for (group, members, total) in self.groups.with_demand() {
@@ -277,13 +281,16 @@
         }
     }
 
-    /// Recomputes the demand of all volumes with data on a node.
+    /// Recomputes the demand of all volumes with data on a node, and carries as much as possible.
     fn recompute_demand(&mut self, index: usize) {
         let groups: Vec<usize> = self.flow.groups_at(index).collect();
         for group in groups {
             let mut sum = self.no_demand(group);
             for id in self.groups.members(group) {
-                let placed = self.volumes.get_mut(id).expect("a member is placed");
+                let placed = self
+                    .volumes
+                    .get_mut(id)
+                    .expect("a member of a group is in the table of volumes");
                 placed.demand = Demand::of(&placed.volume, &self.nodes, self.spread);
                 sum.add(&placed.demand);
             }
@@ -297,7 +304,7 @@
         Demand::none(self.flow.group(group).nodes.len())
     }
 
-    /// The demand of a group's volumes, computed from the nodes that are up.
+    /// The demand of a group's volumes with the nodes that are now up.
     fn demand_of_group(&self, group: usize) -> Demand {
         let mut sum = self.no_demand(group);
         for id in self.groups.members(group) {
@@ -312,7 +319,7 @@
         self.flow.set_max_loads(group, &demand.max_loads);
     }
 
-    /// Adds a volume without carrying any of its load; returns its group.
+    /// Adds a volume without carrying any of its load, and returns its group.
     fn place(&mut self, volume: Volume) -> usize {
         let indexed = self.nodes.indexed(&volume.placement);
         let indexes: Vec<usize> = indexed.map(|(index, _)| index).collect();
@@ -331,7 +338,7 @@
         group
     }
 
-    /// Removes the demand of a removed volume from its group.
+    /// Subtracts the demand of a removed volume from its group.
     fn remove_demand(&mut self, former: &PlacedVolume) {
         let group = former.group;
         self.groups
@@ -346,7 +353,7 @@
         self.flow.set_max_loads(group, &lowered);
     }
 
-    /// Drops the load of a group beyond its demand, and records the unmet demand.
+    /// Removes the load of a group beyond its demand, and records the unmet demand.
     fn trim(&mut self, group: usize) {
         let carried: u64 = self.flow.group(group).loads.iter().sum();
         let total = self.groups.total(group);
--- a/crates/catalog/src/incremental_flow/demand.rs
+++ b/crates/catalog/src/incremental_flow/demand.rs
@@ -13,7 +13,7 @@
 }
 
 impl Demand {
-    /// No demand, for a group with that number of nodes.
+    /// Creates a demand of 0 for a group with that number of nodes.
     pub fn none(nodes: usize) -> Self {
         Demand {
             amount: 0,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// The demand of a volume, as far as its nodes are up.
+    /// Computes the demand of a volume on those of its nodes that are up.
     pub fn of(volume: &Volume, nodes: &NodeTable, spread: f64) -> Self {
         let known: Vec<(usize, f64)> = nodes.indexed(&volume.placement).collect();
         let up = known
--- a/crates/catalog/src/incremental_flow/groups.rs
+++ b/crates/catalog/src/incremental_flow/groups.rs
@@ -1,6 +1,6 @@
 //! The volumes and demand of each group in the flow, and the unmet part of the demand.
 //!
-//! Owned by [`crate::incremental_flow`]. Memory: an entry for each group and volume.
+//! Owned by [`crate::incremental_flow`]. Memory use is an entry for each group and volume.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,19 +10,19 @@
     unmet: BTreeMap<usize, u64>,
 }
 
-/// The groups of a flow, by number. See the [module documentation](self).
+/// The groups of a flow, by number. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub(super) struct GroupTable {
-    /// By group: its volumes.
+    /// The volumes of each group, by group.
     members: Vec<BTreeSet<u64>>,
-    /// By group: the demand of its volumes.
+    /// The demand of all volumes of a group, by group.
     totals: Vec<u64>,
-    /// By group: the unmet part of the demand, where that is not 0.
+    /// The unmet part of the demand, by group. Groups without unmet demand have no entry.
     unmet: BTreeMap<usize, u64>,
 }
 
 impl GroupTable {
-    /// All groups with demand: number, volumes and demand.
+    /// All groups with demand, each with its number, volumes and demand.
     pub fn with_demand(&self) -> impl Iterator<Item = (usize, &BTreeSet<u64>, u64)> {
         self.members
             .iter()
@@ -37,7 +37,7 @@
         &self.members[group]
     }
 
-    /// The demand of a group.
+    /// The demand of all volumes of a group.
     pub fn total(&self, group: usize) -> u64 {
         self.totals[group]
     }
@@ -62,7 +62,7 @@
         !self.unmet.is_empty()
     }
 
-    /// Takes the unmet demand of all groups, for a new attempt to carry it.
+    /// Removes and returns the unmet demand of all groups, for a new attempt to carry it.
     pub fn take_unmet(&mut self) -> BTreeMap<usize, u64> {
         std::mem::take(&mut self.unmet)
     }
@@ -91,7 +91,7 @@
         self.totals[group] -= amount;
     }
 
-    /// Saves the demand of these groups, and the unmet demand of all.
+    /// Returns a copy of the demand of these groups and of the unmet demand of all groups.
     pub fn save(&self, groups: &BTreeSet<usize>) -> SavedDemand {
         SavedDemand {
             totals: groups
--- a/crates/catalog/src/incremental_flow/nodes.rs
+++ b/crates/catalog/src/incremental_flow/nodes.rs
@@ -1,6 +1,6 @@
 //! The nodes of a site by index, and which of them are up.
 //!
-//! Owned by [`crate::incremental_flow`]. Memory: an entry for each node.
+//! Owned by [`crate::incremental_flow`]. Memory use is an entry for each node.
 
 use crate::planner::{to_parts, Node};
 use std::collections::HashMap;
@@ -11,7 +11,7 @@
     is_up: bool,
 }
 
-/// The nodes of a site. See the [module documentation](self).
+/// The nodes of a site. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub(super) struct NodeTable {
     nodes: Vec<SiteNode>,
@@ -20,7 +20,7 @@
 }
 
 impl NodeTable {
-    /// All nodes are up.
+    /// Creates a table of nodes, all of which are up.
     pub fn new(nodes: Vec<Node>) -> Self {
         let numbered = nodes.iter().enumerate();
         let indexes = numbered.map(|(index, node)| (node.id, index)).collect();
@@ -55,7 +55,7 @@
         self.nodes[index].node.id
     }
 
-    /// Capacity of a node in parts, if it were up.
+    /// Configured capacity of a node in parts, whether the node is up or not.
     pub fn capacity(&self, index: usize) -> u64 {
         to_parts(self.nodes[index].node.capacity)
     }
@@ -75,7 +75,7 @@
         self.nodes[index].node = node;
     }
 
-    /// A volume's placement by index of the node, without nodes that are not in the table.
+    /// Converts the node numbers of a placement to indexes, and omits nodes that are not in the table.
     pub fn indexed<'a>(
         &'a self,
         placement: &'a [(u32, f64)],
--- a/crates/catalog/src/interner.rs
+++ b/crates/catalog/src/interner.rs
@@ -9,7 +9,7 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// The shared names and lists. See the [module documentation](self).
+/// The shared names and lists. See the module documentation.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct Interner {
     names: HashSet<Name>,
--- a/crates/catalog/src/leader.rs
+++ b/crates/catalog/src/leader.rs
@@ -1,7 +1,7 @@
 //! The leader of the catalog: it decides which changes are accepted, what must be persisted before
 //! hosts learn of it, and how to respond to each host.
 //!
-//! The leader is a state machine without I/O: `step(now, wall, events)` returns the actions to
+//! The leader is a state machine without I/O: `step(now, wall_time, events)` returns the actions to
 //! perform, and [`Leader::wake_at`] returns when to call it again. The I/O layer of the catalog
 //! service (the "shell") calls it for every batch of events. Each part of the state has one owner:
 //!
@@ -53,12 +53,12 @@
 use scheduled::ScheduledIds;
 use std::time::Duration;
 
-/// The catalog service's state machine. See the [module documentation](self).
+/// The catalog service's state machine. See the module documentation.
 #[derive(Debug)]
 pub struct Leader {
     now: Duration,
     /// The wall-clock time since the Unix epoch.
-    wall: Duration,
+    wall_time: Duration,
     /// Names of all hosts, by their numbers.
     hosts: Vec<Name>,
     writer: CatalogWriter,
@@ -94,7 +94,7 @@
         let hosts_applied = numbers.map(|host| (host, applied.get(&host).copied()));
         Leader {
             now,
-            wall: Duration::ZERO,
+            wall_time: Duration::ZERO,
             leases: Leases::new(lease, margin, now, stable, hosts_applied),
             hosts,
             persistence: Persistence::new(catalog.version(), stable, applied),
@@ -154,10 +154,10 @@
     }
 
     /// Handles events, and returns the actions to perform, in order. `now` is the time of a monotonic
-    /// clock, `wall` the wall-clock time since the Unix epoch.
-    pub fn step(&mut self, now: Duration, wall: Duration, events: Vec<Event>) -> Vec<Action> {
+    /// clock, `wall_time` the wall-clock time since the Unix epoch.
+    pub fn step(&mut self, now: Duration, wall_time: Duration, events: Vec<Event>) -> Vec<Action> {
         self.now = now.max(self.now);
-        self.wall = wall;
+        self.wall_time = wall_time;
         let is_proposal = |event: &&Event| matches!(event, Event::Proposed { .. });
         self.writer
             .begin_step(events.iter().filter(is_proposal).count());
@@ -173,7 +173,7 @@
 
     /// When `step` must be called again if nothing happens before.
     pub fn wake_at(&self) -> Option<Duration> {
-        let scheduled = scheduled::time_to_next(self.writer.catalog(), self.wall)
+        let scheduled = scheduled::time_to_next(self.writer.catalog(), self.wall_time)
             .map(|time| (self.now + time).max(self.persistence.retry_at()));
         let times = [
             self.polls.next_deadline(),
@@ -214,8 +214,8 @@
                 revision,
                 force,
             } => {
-                let by = ChangeContext::by(&author, &reason, self.wall);
-                let result = self.undo(call, revision, by, force);
+                let context = ChangeContext::by(&author, &reason, self.wall_time);
+                let result = self.undo(call, revision, context, force);
                 self.reject_on_error(call, result);
             }
             Event::HostRemoved { call, host, author } => self.remove_host(call, host, &author),
--- a/crates/catalog/src/leader/catalog_writer.rs
+++ b/crates/catalog/src/leader/catalog_writer.rs
@@ -49,7 +49,7 @@
     Previewed { verdict: AdmissionVerdict },
 }
 
-/// The catalog and the admission control over it. See the [module documentation](self).
+/// The catalog and the admission control over it. See the module documentation.
 #[derive(Debug)]
 pub(super) struct CatalogWriter {
     catalog: Catalog,
@@ -160,8 +160,8 @@
 
     /// Applies and returns a revision that raises the version of the current state above `behind`, the
     /// newest version that any host follows.
-    pub fn force_epoch(&mut self, behind: Version, by: ChangeContext) -> Revision {
-        let revision = self.catalog.force_epoch(behind, by);
+    pub fn force_epoch(&mut self, behind: Version, context: ChangeContext) -> Revision {
+        let revision = self.catalog.force_epoch(behind, context);
         self.apply(&revision);
         self.limit_reductions.add(revision.version, true);
         revision
--- a/crates/catalog/src/leader/epochs.rs
+++ b/crates/catalog/src/leader/epochs.rs
@@ -11,7 +11,7 @@
 use super::messages::Epoch;
 use crate::records::Version;
 
-/// The current epoch and the epochs before it. See the [module documentation](self).
+/// The current epoch and the epochs before it. See the module documentation.
 #[derive(Debug)]
 pub(super) struct EpochHistory {
     present: Epoch,
--- a/crates/catalog/src/leader/persistence.rs
+++ b/crates/catalog/src/leader/persistence.rs
@@ -56,7 +56,7 @@
     pub stable: Option<Version>,
 }
 
-/// The pending and the persisted writes. See the [module documentation](self).
+/// The pending and the persisted writes. See the module documentation.
 #[derive(Debug)]
 pub(super) struct Persistence {
     /// Number of the last write.
--- a/crates/catalog/src/leader/polls.rs
+++ b/crates/catalog/src/leader/polls.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// The pending polls by host. See the [module documentation](self).
+/// The pending polls by host. See the module documentation.
 #[derive(Debug)]
 pub(super) struct PollTable {
     /// How long the response to a poll is delayed if there is nothing new.
--- a/crates/catalog/src/leader/proposals.rs
+++ b/crates/catalog/src/leader/proposals.rs
@@ -30,10 +30,10 @@
         } = proposal;
         self.persistence.check_capacity()?;
         for change in &mut changes {
-            fill_in_drain(self.writer.catalog(), self.wall, change, &author);
+            fill_in_drain(self.writer.catalog(), self.wall_time, change, &author);
         }
-        let by = ChangeContext::by(&author, &reason, self.wall);
-        if let Some(at) = at.filter(|at| *at > self.wall && !dry_run) {
+        let context = ChangeContext::by(&author, &reason, self.wall_time);
+        if let Some(at) = at.filter(|at| *at > self.wall_time && !dry_run) {
             let scheduled = ScheduledChange {
                 at,
                 author: author.clone(),
@@ -42,9 +42,12 @@
                 changes,
                 expects: Vec::new(),
             };
-            changes = vec![self.schedule(base_version, by, scheduled)?];
+            changes = vec![self.schedule(base_version, context, scheduled)?];
         }
-        let revision = self.writer.catalog().propose(base_version, by, changes)?;
+        let revision = self
+            .writer
+            .catalog()
+            .propose(base_version, context, changes)?;
         self.commit_revision(Some(call), revision, CommitMode { force, dry_run })
     }
 
@@ -53,11 +56,11 @@
     fn schedule(
         &mut self,
         base_version: Version,
-        by: ChangeContext,
+        context: ChangeContext,
         mut scheduled: ScheduledChange,
     ) -> Result<Change, Rejection> {
         let catalog = self.writer.catalog();
-        catalog.propose(base_version, by, scheduled.changes.clone())?;
+        catalog.propose(base_version, context, scheduled.changes.clone())?;
         let subjects = scheduled.changes.iter().map(Change::subject);
         scheduled.expects = subjects.map(|subject| catalog.now(&subject)).collect();
         Ok(Change::Scheduled {
@@ -70,10 +73,10 @@
         &mut self,
         call: CallId,
         revision: Version,
-        by: ChangeContext,
+        context: ChangeContext,
         force: bool,
     ) -> Result<(), Rejection> {
-        let revision = self.writer.catalog().undo(revision, by)?;
+        let revision = self.writer.catalog().undo(revision, context)?;
         let mode = CommitMode {
             force,
             dry_run: false,
@@ -93,8 +96,8 @@
         if self.persistence.has_pending_commits() {
             return Err(Rejection::CommitsPending);
         }
-        let by = ChangeContext::by(author, reason, self.wall);
-        let revision = self.writer.force_epoch(behind, by);
+        let context = ChangeContext::by(author, reason, self.wall_time);
+        let revision = self.writer.force_epoch(behind, context);
         self.leases.clear_behind();
         let commit = PendingCommit {
             version: revision.version,
@@ -113,7 +116,7 @@
         if self.persistence.is_backing_off(self.now) {
             return;
         }
-        for (id, scheduled) in scheduled::due(self.writer.catalog(), self.wall) {
+        for (id, scheduled) in scheduled::due(self.writer.catalog(), self.wall_time) {
             if let Err(rejection) = self.apply_scheduled(id, &scheduled) {
                 self.cancel_scheduled(id, &scheduled, &rejection);
             }
@@ -127,10 +130,10 @@
         let mut changes = scheduled.changes.clone();
         changes.push(Change::Scheduled { id, to: None });
         for change in &mut changes {
-            fill_in_drain(catalog, self.wall, change, &scheduled.author);
+            fill_in_drain(catalog, self.wall_time, change, &scheduled.author);
         }
-        let by = ChangeContext::by(&scheduled.author, &scheduled.reason, self.wall);
-        let revision = catalog.propose(catalog.version(), by, changes)?;
+        let context = ChangeContext::by(&scheduled.author, &scheduled.reason, self.wall_time);
+        let revision = catalog.propose(catalog.version(), context, changes)?;
         let mode = CommitMode {
             force: scheduled.force,
             dry_run: false,
@@ -145,11 +148,11 @@
             scheduled.author
         ));
         let reason = format!("lapsed: {rejection}");
-        let by = ChangeContext::by(SERVICE_AUTHOR, &reason, self.wall);
+        let context = ChangeContext::by(SERVICE_AUTHOR, &reason, self.wall_time);
         let removal = vec![Change::Scheduled { id, to: None }];
         let catalog = self.writer.catalog();
         let landed = catalog
-            .propose(catalog.version(), by, removal)
+            .propose(catalog.version(), context, removal)
             .map_err(Rejection::from)
             .and_then(|revision| self.commit_revision(None, revision, CommitMode::default()));
         if let Err(rejection) = landed {
@@ -193,7 +196,7 @@
 
 /// Fills in who first requested a drain, when, and when the drain reached its stage. These stay
 /// unchanged if a proposal repeats the current drain.
-fn fill_in_drain(catalog: &Catalog, wall: Duration, change: &mut Change, author: &str) {
+fn fill_in_drain(catalog: &Catalog, wall_time: Duration, change: &mut Change, author: &str) {
     let Change::Drain {
         node,
         to: Some(drain),
@@ -203,8 +206,8 @@
     };
     let Some(present) = catalog.drain(*node) else {
         drain.author = author.into();
-        drain.requested_at = wall;
-        drain.since = wall;
+        drain.requested_at = wall_time;
+        drain.since = wall_time;
         return;
     };
     let Drain {
@@ -216,5 +219,9 @@
     } = present;
     drain.author = author.clone();
     drain.requested_at = *requested_at;
-    drain.since = if *stage == drain.stage { *since } else { wall };
+    drain.since = if *stage == drain.stage {
+        *since
+    } else {
+        wall_time
+    };
 }
--- a/crates/catalog/src/leader/scheduled.rs
+++ b/crates/catalog/src/leader/scheduled.rs
@@ -32,18 +32,18 @@
 }
 
 /// Scheduled changes that are due by the wall clock, with their numbers.
-pub(super) fn due(catalog: &Catalog, wall: Duration) -> Vec<(u64, ScheduledChange)> {
+pub(super) fn due(catalog: &Catalog, wall_time: Duration) -> Vec<(u64, ScheduledChange)> {
     catalog
         .scheduled()
-        .filter(|(_, scheduled)| scheduled.at <= wall)
+        .filter(|(_, scheduled)| scheduled.at <= wall_time)
         .map(|(id, scheduled)| (id, scheduled.clone()))
         .collect()
 }
 
 /// Time by the wall clock until the next scheduled change is due.
-pub(super) fn time_to_next(catalog: &Catalog, wall: Duration) -> Option<Duration> {
+pub(super) fn time_to_next(catalog: &Catalog, wall_time: Duration) -> Option<Duration> {
     let times = catalog.scheduled().map(|(_, scheduled)| scheduled.at);
-    times.min().map(|at| at.saturating_sub(wall))
+    times.min().map(|at| at.saturating_sub(wall_time))
 }
 
 /// # Errors
--- a/crates/catalog/src/lib.rs
+++ b/crates/catalog/src/lib.rs
@@ -1,16 +1,17 @@
 //! The replicated catalog: the configuration of a deployment (plans, volumes, nodes, drains,
-//! targets) as versioned data. No I/O.
+//! targets) as versioned data. The crate performs no I/O.
 //!
 //! - The catalog: [`records`], [`change`] and [`errors`] are its types. [`catalog`] is the state
-//!   with its audit log. [`propose`] makes revisions from changes, after [`validation`].
+//!   with its audit log. [`propose`] creates revisions from changes, after [`validation`].
 //! - The change feed: [`feed`] determines which host follows which version, and the quota that a
-//!   host may use until all follow the same one. [`leader`] is the catalog service's side,
+//!   host may use while hosts follow different versions. [`leader`] is the catalog service's side,
 //!   [`follower`] a host's side.
-//! - Reservations: [`planner`] computes whether all reservations can be met, and
-//!   [`incremental_flow`] the same as a site changes (by [`flow`]). [`admission`] decides whether a
-//!   change may land. [`moves`] proposes which extents to move so that reservations can be met.
+//! - Reservations: [`planner`] computes whether all reservations can be met. [`incremental_flow`]
+//!   updates that result when a site changes, by a maximum flow ([`flow`]). [`admission`] decides
+//!   whether a change is admitted. [`moves`] proposes which extents to move so that reservations can
+//!   be met.
 //!
-//! No decision about a single request is made here. Begin with [`catalog`].
+//! This crate makes no decisions about single requests. Begin with [`catalog`].
 
 #![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
--- a/crates/catalog/src/moves.rs
+++ b/crates/catalog/src/moves.rs
@@ -1,19 +1,20 @@
-//! Which extents to move so that reservations can be met again, at the fewest bytes.
+//! Proposes which extents to move so that reservations can be met, with the fewest bytes to copy.
 //!
-//! The catalog service calls [`propose`] for an operator, with a site, the nodes to be emptied and
-//! the sizes of volumes. The proposal has the moves of complete extents, or the shortfall that
-//! remains with any moves. A linear program (by `microlp`) weighs the load that each volume could
-//! put on each node against the bytes to move. Only complete extents can move. On a small site the
-//! program has integer variables for them. On a larger site one extent matters little: fractions of
-//! extents are rounded up, the flow checks the result, and if rounding has filled a node, the
-//! program is solved again with a little less capacity. Pure functions.
+//! The catalog service calls [`propose`] for an operator, with a site, the nodes to evacuate and the
+//! sizes of volumes. The proposal lists moves of whole extents; if no moves can meet all
+//! reservations, it states the remaining shortfall. A linear program (solved by `microlp`) determines
+//! how many extents to move, and how much load each volume then puts on each node. Only whole extents
+//! can be moved. On a small site, the program has integer variables for them. On a larger site, a
+//! single extent matters little: fractions of extents are rounded up, and the flow checks the result.
+//! If rounding has overloaded a node, the program is solved again with slightly less capacity. All
+//! functions are pure.
 //!
-//! On a large site, only a part goes into the program, which would otherwise take minutes: the
-//! volumes on a node from which no path leads to spare capacity, the cheapest to move first, and
-//! the nodes with the most spare capacity. The proposal is then good and not proven to be the
-//! smallest; [`Proposal::is_complete`] states which.
+//! The program of a large site would take minutes, so only a part of the site is included: the
+//! volumes on bottleneck nodes, beginning with the cheapest to move, and the nodes with the most
+//! spare capacity. The proposal is then good but not proven to be optimal;
+//! [`Proposal::is_complete`] states whether the complete site was included.
 //!
-//! Memory: for the time of the call, a few words for each volume and node in the program.
+//! Memory use is a few words for each volume and node in the program, for the duration of the call.
 
 mod program;
 mod rounding;
@@ -29,15 +30,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use types::{has_extents_on, EPSILON};
 
-/// Fraction of each node's capacity that is left unused for rounding, by attempt. A larger margin
-/// moves more bytes than necessary; a smaller one leaves attempts that rounding makes fail.
+/// Fraction of each node's capacity that is reserved for rounding, by attempt. A larger margin moves
+/// more bytes than necessary; with a smaller one, rounding makes more attempts fail.
 const ROUNDING_MARGINS: [f64; 4] = [0.0, 0.005, 0.02, 0.05];
-/// Most variables of a program with integer variables. With more, the search takes too long; a
-/// smaller number leaves more proposals to rounding.
+/// Maximum number of variables of a program with integer variables. With more, the search takes too
+/// long; with a smaller maximum, more proposals depend on rounding.
 const MAX_INTEGER_VARIABLES: usize = 400;
 
-/// Moves after which the site meets its reservations and these nodes are empty; None: nothing needs
-/// to move.
+/// Proposes moves after which the site meets its reservations and the evacuated nodes have no
+/// extents. Returns `None` if no moves are needed.
 pub fn propose(
     site: &Site,
     evacuated: &BTreeSet<u32>,
@@ -83,7 +84,7 @@
     None
 }
 
-/// The proposal that empties the nodes although reservations stay unmet.
+/// The proposal that evacuates the nodes although some reservations remain unmet.
 fn evacuation_proposal(scope: &Scope, flow: &IncrementalFlow) -> Proposal {
     let moves = scope.evacuation();
     let bytes = total_bytes(&moves);
@@ -96,7 +97,7 @@
     }
 }
 
-/// The attempts, in order. The first whose moves meet all reservations counts.
+/// The attempts, in order. The first whose moves meet all reservations is used.
 fn attempts(scope: &Scope) -> Vec<Attempt> {
     let variables: usize = scope
         .volumes
@@ -130,7 +131,7 @@
     after.shortfall()
 }
 
-/// A volume with that number of extents, placed as after the moves.
+/// The volume with its placement after the moves. `extents` is its number of extents.
 fn moved(volume: &Volume, moves: &[Move], extents: u64) -> Volume {
     let mut placement: BTreeMap<u32, f64> = volume.placement.iter().copied().collect();
     for step in moves.iter().filter(|step| step.volume == volume.id) {
--- a/crates/catalog/src/moves/program.rs
+++ b/crates/catalog/src/moves/program.rs
@@ -1,6 +1,7 @@
-//! The linear program: how many extents leave and arrive, by volume and node, at the fewest bytes.
+//! The linear program that determines how many extents of each volume leave and arrive at each node,
+//! with the fewest bytes to copy.
 //!
-//! Built and solved by [`crate::moves`], once for each attempt.
+//! [`crate::moves`] builds and solves it once for each attempt.
 
 use super::scope::Scope;
 use super::types::EPSILON;
@@ -8,9 +9,9 @@
 use microlp::{ComparisonOp, LinearExpr, OptimizationDirection, Problem, SolveOptions, Variable};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most nodes of the search tree of a program with integer variables. A larger number makes the
-/// search longer; a smaller one gives up solutions. There is no time limit, so that the same site
-/// always gets the same proposal.
+/// Maximum number of search tree nodes for a program with integer variables. With a larger number,
+/// the search takes longer; with a smaller one, it misses solutions. There is no time limit, so that
+/// the same site always results in the same proposal.
 const MAX_SEARCH_NODES: u64 = 5_000;
 
 /// How to solve the program.
@@ -18,7 +19,7 @@
 pub(super) struct Attempt {
     /// Fraction of each node's capacity that is left unused.
     pub margin: f64,
-    /// Whether only complete extents may move.
+    /// Whether the variables are integers, so that only whole extents move.
     pub is_integer: bool,
 }
 
@@ -31,7 +32,7 @@
     pub arriving: f64,
 }
 
-/// The changes by volume and node.
+/// The changes by number of the volume and of the node.
 pub(super) type ExtentChanges = BTreeMap<(u64, u32), ExtentChange>;
 
 /// A solution of the program.
@@ -55,10 +56,10 @@
     attempt: Attempt,
     problem: Problem,
     variables: BTreeMap<(u64, u32), ChangeVariables>,
-    /// By node: the sum of the loads on it.
+    /// The sum of the loads on each node, by node.
     load_sums: BTreeMap<u32, LinearExpr>,
-    /// Bytes of the largest volume. Costs are fractions of it, because the solver needs values of
-    /// similar size.
+    /// Size of the largest volume in bytes. Costs are fractions of it, because the solver needs values
+    /// of similar magnitude.
     cost_unit: f64,
 }
 
@@ -68,13 +69,13 @@
     balance: LinearExpr,
     /// Loads on all nodes.
     carried: LinearExpr,
-    /// Fraction of the extents on nodes that are unknown or cannot serve. Nothing can read these
-    /// extents.
+    /// Fraction of the extents on nodes that are unknown or cannot serve, so that these extents cannot
+    /// be read.
     unreachable: f64,
 }
 
 impl Scope<'_> {
-    /// Solves the program; None: no moves meet the reservations.
+    /// Solves the program. Returns `None` if no moves meet the reservations, or the search found none.
     pub fn solve(&self, attempt: Attempt) -> Option<Solution> {
         let mut program = Program::new(self, attempt);
         for volume in &self.volumes {
@@ -132,8 +133,8 @@
             .add_constraint(sums.carried, ComparisonOp::Ge, reachable);
     }
 
-    /// Adds the variables for the extents of a volume that leave a node, which has that fraction of
-    /// them, and that arrive there.
+    /// Adds the variables for the extents of a volume that leave and arrive at a node, which now has
+    /// `fraction` of the volume's extents.
     fn add_changes(
         &mut self,
         volume: &Volume,
@@ -142,14 +143,14 @@
         sums: &mut VolumeSums,
     ) -> ChangeVariables {
         let size = self.scope.size_of(volume);
-        let all = size.extents.max(1) as f64;
-        let here = (fraction * all).round();
+        let extent_count = size.extents.max(1) as f64;
+        let extents_here = (fraction * extent_count).round();
         let is_evacuated = self.scope.evacuated.contains(&node);
-        let least = if is_evacuated { here } else { 0.0 };
-        let cost = size.total_bytes() / all / self.cost_unit;
-        let leaving = (here > 0.0).then(|| self.add_extents(cost, least, here));
+        let min = if is_evacuated { extents_here } else { 0.0 };
+        let cost = size.total_bytes() / extent_count / self.cost_unit;
+        let leaving = (extents_here > 0.0).then(|| self.add_extents(cost, min, extents_here));
         let is_target = self.scope.targets.contains(&node) && !is_evacuated;
-        let arriving = is_target.then(|| self.add_extents(0.0, 0.0, all));
+        let arriving = is_target.then(|| self.add_extents(0.0, 0.0, extent_count));
         if let Some(leaving) = leaving {
             sums.balance.add(leaving, 1.0);
         }
@@ -161,8 +162,8 @@
         variables
     }
 
-    /// Adds the variable for the load of a volume on a node, which is bounded by the extents there
-    /// after the moves.
+    /// Adds the variable for the load of a volume on a node. The number of extents on the node after
+    /// the moves bounds the load.
     fn add_load(
         &mut self,
         volume: &Volume,
@@ -171,17 +172,17 @@
         variables: ChangeVariables,
         sums: &mut VolumeSums,
     ) {
-        let all = self.scope.size_of(volume).extents.max(1) as f64;
+        let extent_count = self.scope.size_of(volume).extents.max(1) as f64;
         let load = self.problem.add_var(0.0, (0.0, volume.reservation));
-        // The maximum load on a node with all extents.
+        // The maximum load on a node that has all extents.
         let max_load = volume.reservation * self.scope.spread;
         let mut bound = LinearExpr::empty();
         bound.add(load, 1.0);
         if let Some(leaving) = variables.leaving {
-            bound.add(leaving, max_load / all);
+            bound.add(leaving, max_load / extent_count);
         }
         if let Some(arriving) = variables.arriving {
-            bound.add(arriving, -max_load / all);
+            bound.add(arriving, -max_load / extent_count);
         }
         self.problem
             .add_constraint(bound, ComparisonOp::Le, max_load * fraction);
@@ -192,12 +193,11 @@
             .add(load, 1.0);
     }
 
-    fn add_extents(&mut self, cost: f64, least: f64, most: f64) -> Variable {
+    fn add_extents(&mut self, cost: f64, min: f64, max: f64) -> Variable {
         if self.attempt.is_integer {
-            self.problem
-                .add_integer_var(cost, (least as i32, most as i32))
+            self.problem.add_integer_var(cost, (min as i32, max as i32))
         } else {
-            self.problem.add_var(cost, (least, most))
+            self.problem.add_var(cost, (min, max))
         }
     }
 
--- a/crates/catalog/src/moves/rounding.rs
+++ b/crates/catalog/src/moves/rounding.rs
@@ -1,5 +1,5 @@
-//! Moves of complete extents, from the program's solution or without one. Pure functions, called by
-//! [`crate::moves`].
+//! Determines moves of whole extents, from the solution of the program or without one. Pure
+//! functions, called by [`crate::moves`].
 
 use super::program::{ExtentChange, ExtentChanges};
 use super::scope::Scope;
@@ -7,8 +7,8 @@
 use crate::planner::Volume;
 use std::collections::BTreeMap;
 
-/// Fractions of an extent below this are the solver's rounding. They are not rounded up to a
-/// complete extent. A larger value moves too few extents; a smaller one moves too many.
+/// Fractions of an extent up to this size are rounding errors of the solver, and are not rounded up
+/// to a whole extent. A larger value moves too few extents; a smaller one moves too many.
 const SOLVER_TOLERANCE: f64 = 1e-4;
 
 /// Extents that must still arrive at a node.
@@ -25,7 +25,7 @@
 }
 
 impl Scope<'_> {
-    /// Moves of complete extents, at least as many as the solution has.
+    /// Converts a solution to moves of whole extents, rounded up.
     pub fn whole_extent_moves(&self, changes: &ExtentChanges) -> Vec<Move> {
         let mut moves = Vec::new();
         for volume in &self.volumes {
@@ -38,14 +38,14 @@
         let size = self.size_of(volume);
         let mut arrivals = arrivals(volume, changes);
         for (from, fraction) in &volume.placement {
-            let here = (fraction * size.extents as f64).round();
+            let extents_here = (fraction * size.extents as f64).round();
             let leaving = if self.evacuated.contains(from) {
-                here
+                extents_here
             } else {
                 let change = changes.get(&(volume.id, *from));
                 -change.copied().unwrap_or_default().net()
             };
-            let mut left = round_up(leaving).min(here as u64);
+            let mut left = round_up(leaving).min(extents_here as u64);
             while left > 0 {
                 let Some(arrival) = arrivals.first_mut() else {
                     break;
@@ -67,7 +67,8 @@
         }
     }
 
-    /// Moves everything off the nodes to be emptied, to the targets with the most spare capacity.
+    /// Moves all extents away from the nodes to be evacuated, to the targets with the most spare
+    /// capacity.
     pub fn evacuation(&self) -> Vec<Move> {
         let available = |node: &u32| (*node, self.available[node]);
         let mut spare: BTreeMap<u32, f64> = self.targets.iter().map(available).collect();
@@ -100,8 +101,7 @@
     }
 }
 
-/// Nodes to which more extents of a volume arrive than leave, the most first. The extents come from
-/// the other nodes.
+/// Nodes at which more extents of a volume arrive than leave, in decreasing order of the difference.
 fn arrivals(volume: &Volume, changes: &ExtentChanges) -> Vec<Arrival> {
     let mut arrivals: Vec<Arrival> = changes
         .range((volume.id, 0)..=(volume.id, u32::MAX))
--- a/crates/catalog/src/moves/scope.rs
+++ b/crates/catalog/src/moves/scope.rs
@@ -1,43 +1,44 @@
-//! The part of a site that goes into the program. Built by [`crate::moves`] for one call.
+//! Selects the part of a site that is included in the program. [`crate::moves`] builds a [`Scope`]
+//! for one call.
 
 use super::types::{has_extents_on, Size};
 use crate::incremental_flow::IncrementalFlow;
 use crate::planner::{Node, Site, Volume};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most volumes that go into the program, in addition to those on nodes to be emptied. A larger
-/// number makes the program take longer; a smaller one leaves better proposals out.
+/// Maximum number of volumes in the program, in addition to those on nodes to be evacuated. With a
+/// larger number, the program takes longer; with a smaller one, better proposals are missed.
 const MAX_VOLUMES: usize = 300;
-/// Most nodes to which extents may move on a large site. A larger number makes the program take
-/// longer; a smaller one may leave too little spare capacity.
+/// Maximum number of nodes to which extents may move on a large site. With a larger number, the
+/// program takes longer; with a smaller one, there may be too little spare capacity.
 const MAX_TARGETS: usize = 6;
-/// Most nodes of a site that goes into the program as a complete site.
+/// Maximum number of nodes of a site that is included as a whole.
 const MAX_COMPLETE_NODES: usize = 4 * MAX_TARGETS;
-/// Lower bound of a reservation by which bytes are divided, units per second. Guards against a
-/// division by zero; a larger value distorts the order of small volumes.
+/// Lower bound of a reservation by which bytes are divided, units per second. It prevents a division
+/// by zero; a larger value distorts the order of small volumes.
 const MIN_RESERVATION: f64 = 1e-3;
 
-/// The part of a site that goes into the program. See the [module documentation](self).
+/// The part of a site that is included in the program. See the module documentation.
 pub(super) struct Scope<'a> {
     /// The volumes whose extents may move.
     pub volumes: Vec<&'a Volume>,
-    /// Nodes that extents may move to.
+    /// Nodes to which extents may move, most spare capacity first.
     pub targets: Vec<u32>,
-    /// Nodes to be emptied.
+    /// Nodes to be evacuated: all their extents must move away.
     pub evacuated: &'a BTreeSet<u32>,
-    /// By node: the capacity that the volumes outside the program do not use.
+    /// The capacity that volumes outside the program do not use, by node.
     pub available: BTreeMap<u32, f64>,
     /// See [`Site`].
     pub spread: f64,
-    /// Whether the complete site goes into the program.
+    /// Whether the complete site is included.
     pub is_complete: bool,
     /// The size of a volume, by its number.
     pub size: &'a dyn Fn(u64) -> Size,
 }
 
 impl<'a> Scope<'a> {
-    /// The part of `site` that goes into the program. `flow`: the flow of the site without the nodes
-    /// in `evacuated`.
+    /// Selects the part of `site` to include. `flow` is the flow of the site without the nodes in
+    /// `evacuated`.
     pub fn of(
         site: &'a Site,
         flow: &IncrementalFlow,
@@ -83,7 +84,7 @@
     }
 }
 
-/// Numbers of the nodes, most spare capacity first.
+/// Numbers of the nodes, in decreasing order of spare capacity.
 fn by_spare_capacity(nodes: &[&Node], flow: &IncrementalFlow) -> Vec<u32> {
     let mut nodes = nodes.to_vec();
     nodes.sort_by(|left, right| {
@@ -93,8 +94,8 @@
     nodes.iter().map(|node| node.id).collect()
 }
 
-/// All volumes on nodes to be emptied, and those volumes on a node from which no path leads to spare
-/// capacity that cost the fewest bytes per unit per second.
+/// All volumes on nodes to be evacuated, and of the volumes on bottleneck nodes those with the fewest
+/// bytes to move for each unit per second of their reservation.
 fn volumes_of_large_site<'a>(
     site: &'a Site,
     flow: &IncrementalFlow,
--- a/crates/catalog/src/moves/types.rs
+++ b/crates/catalog/src/moves/types.rs
@@ -2,8 +2,8 @@
 
 use crate::planner::Volume;
 
-/// Fractions of a volume, extents, and units per second below this count as zero. A larger value
-/// drops real amounts; a smaller one takes the solver's rounding for real.
+/// Fractions of a volume, numbers of extents, and units per second below this count as zero. A larger
+/// value ignores actual amounts; a smaller one mistakes rounding errors of the solver for amounts.
 pub(super) const EPSILON: f64 = 1e-7;
 
 /// The size of a volume, which determines the cost of moving it.
@@ -44,16 +44,16 @@
     pub moves: Vec<Move>,
     /// Bytes of all moves.
     pub bytes: u64,
-    /// The program's optimum in bytes for its part of the site. No moves of complete extents can
-    /// have fewer bytes.
+    /// The optimum of the program in bytes, a lower bound for moves of whole extents within the part
+    /// of the site that the program includes.
     pub least: f64,
-    /// Reservations that stay unmet, units per second.
+    /// Reservations that remain unmet after the moves, units per second.
     pub short: f64,
-    /// Whether the complete site went into the program.
+    /// Whether the program included the complete site, so that `least` is a bound for all moves.
     pub is_complete: bool,
 }
 
-/// Returns whether a volume has extents on a node for which `is_wanted` holds.
-pub(super) fn has_extents_on(volume: &Volume, is_wanted: impl Fn(u32) -> bool) -> bool {
-    volume.placement.iter().any(|(node, _)| is_wanted(*node))
+/// Returns whether a volume has extents on a node that matches `predicate`.
+pub(super) fn has_extents_on(volume: &Volume, predicate: impl Fn(u32) -> bool) -> bool {
+    volume.placement.iter().any(|(node, _)| predicate(*node))
 }
--- a/crates/catalog/src/overlay.rs
+++ b/crates/catalog/src/overlay.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A catalog with changes on top. See the [module documentation](self).
+/// A catalog with changes on top. See the module documentation.
 pub(crate) struct Overlay<'a> {
     /// The catalog before the changes.
     pub base: &'a Catalog,
--- a/crates/catalog/src/planner.rs
+++ b/crates/catalog/src/planner.rs
@@ -1,20 +1,22 @@
-//! Whether all reservations of a site can be met at once.
+//! Computes whether all reservations of a site can be met at the same time.
 //!
-//! Called with a site (the capacities of its nodes, the reservations and placement of its volumes)
-//! and the nodes that are out. The result has the amount that can be carried, and the volumes that
-//! give way if not all can be met. The computation is a maximum flow from volumes to nodes (Ford
-//! and Fulkerson; petgraph's Dinic). Pure functions; memory for the time of the call.
+//! The input is a site (the capacities of its nodes, the reservations and placement of its volumes)
+//! and the nodes that are out. The result is the load that the nodes can carry, and the volumes whose
+//! reservations are not met if that is too little. The computation is a maximum flow from volumes to
+//! nodes (Ford and Fulkerson, with Dinic's algorithm from petgraph). All functions are pure and
+//! allocate memory only for the duration of the call.
 //!
 //! Only the nodes with a volume's extents can serve the volume. The site's `spread` bounds how much
-//! of the load may gather on one of them. With 1, the load is spread evenly over the extents; with
-//! more, a node may carry that many times its fraction. The larger the spread, the more optimistic
-//! the result. Extents on a node that is out are out of reach. The result reports their fraction of
-//! the reservation separately, because no node can carry it.
+//! of the load may be concentrated on one of them. With 1, the load is spread evenly over the
+//! extents; with a larger factor, a node may carry that many times its fraction. The larger the
+//! factor, the more optimistic the result. Extents on a node that is out are out of reach. Their
+//! fraction of the reservation is reported separately, because no node can carry it.
 //!
-//! The weight decides which volumes give way: the lowest weight first, and among equal weights the
-//! higher number. The sum that can be carried does not depend on the order (the carried sums form a
-//! polymatroid), so the least possible amount gives way in every order. Volumes on the same nodes
-//! are one vertex in the network. A flow that grows volume by volume finds which of them give way.
+//! If capacity is short, the volumes with the lowest weight lose their reservations first, and among
+//! equal weights those with the higher number. The total that can be carried does not depend on the
+//! order (the sums that can be carried form a polymatroid), so the unmet total is minimal in every
+//! order. Volumes on the same nodes are one vertex in the network. To find the unmet volumes, a flow
+//! is extended volume by volume.
 
 mod load;
 mod network;
@@ -42,14 +44,14 @@
     pub id: u64,
     /// The volume's reservation, units per second.
     pub reservation: f64,
-    /// Priority weight: volumes with the lowest weight give way first.
+    /// Priority weight. Volumes with the lowest weight lose their reservations first.
     pub weight: f64,
     /// Numbers of the nodes with the volume's extents, each with its fraction of the extents. The
     /// fractions add up to one.
     pub placement: Vec<(u32, f64)>,
 }
 
-/// Nodes and volumes, as far as reservations depend on them.
+/// The nodes and volumes of a deployment, reduced to what reservations depend on.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Site {
     /// All nodes.
@@ -61,27 +63,27 @@
     pub spread: f64,
 }
 
-/// Whether reservations can be met. Amounts are units per second.
+/// The extent to which reservations can be met. Amounts are in units per second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Feasibility {
-    /// Reservations of extents that are in reach.
+    /// Sum of the reservations for extents on nodes that are not out.
     pub reachable: f64,
-    /// The amount of them that can be carried at once.
+    /// The part of `reachable` that the nodes can carry at the same time.
     pub carried: f64,
-    /// Reservations of extents on nodes that are out.
+    /// Sum of the reservations for extents on nodes that are out.
     pub out_of_reach: f64,
-    /// Volumes that must give way, each with the unmet amount.
+    /// Volumes whose reservations cannot be met, each with the unmet amount.
     pub short: Vec<(u64, f64)>,
 }
 
 impl Feasibility {
-    /// Returns whether no volume must give way.
+    /// Returns whether the reservations of all volumes can be met, apart from extents out of reach.
     pub fn holds(&self) -> bool {
         self.short.is_empty()
     }
 }
 
-/// A case of nodes that are out, for which the reservations are checked.
+/// An outage for which the reservations are checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Out {
     /// No node is out.
@@ -92,7 +94,7 @@
     Zone(u32),
 }
 
-/// Computes whether the reservations can be met with these nodes out.
+/// Computes whether the reservations can be met while the nodes with these numbers are out.
 ///
 /// ```
 /// use grebecleat_catalog::planner::{check, Node, Site, Volume};
@@ -103,7 +105,7 @@
 ///     weight: 1.0,
 ///     placement: nodes.iter().map(|node| (*node, 1.0 / nodes.len() as f64)).collect(),
 /// };
-/// // Each could be carried by itself; together the first must leave node 1 to the second.
+/// // Node 1 could carry either volume; to meet both, volume 7 must be served mostly by node 2.
 /// let mut site = Site {
 ///     nodes: vec![node(1), node(2)],
 ///     volumes: vec![volume(7, 100.0, &[1, 2]), volume(8, 90.0, &[1])],
@@ -117,7 +119,7 @@
     Network::new(site, out).feasibility()
 }
 
-/// Computes the same for the complete site, with each node out, and with each zone out.
+/// Computes the feasibility without an outage, for an outage of each node, and of each zone.
 pub fn survey(site: &Site) -> Vec<(Out, Feasibility)> {
     let zones: BTreeSet<u32> = site.nodes.iter().map(|node| node.zone).collect();
     let mut cases = vec![Out::Nothing];
@@ -125,12 +127,12 @@
     cases.extend(zones.into_iter().map(Out::Zone));
     cases
         .into_iter()
-        .map(|out| (out, check(site, &nodes_of(site, out))))
+        .map(|out| (out, check(site, &nodes_out(site, out))))
         .collect()
 }
 
-/// Numbers of the nodes that are out in a case.
-pub fn nodes_of(site: &Site, out: Out) -> BTreeSet<u32> {
+/// Numbers of the nodes that are out in an outage.
+pub fn nodes_out(site: &Site, out: Out) -> BTreeSet<u32> {
     let is_out = |node: &&Node| match out {
         Out::Nothing => false,
         Out::Node(id) => node.id == id,
--- a/crates/catalog/src/planner/network.rs
+++ b/crates/catalog/src/planner/network.rs
@@ -1,7 +1,7 @@
 //! The flow network of a site with some nodes out.
 //!
-//! [`crate::planner`] builds a [`Network`] for one call. Memory: an entry for each node and volume,
-//! and an edge for each node of each group of volumes.
+//! [`crate::planner`] builds a [`Network`] for one call. Memory use is an entry for each node and
+//! volume, and an edge for each node of each group of volumes.
 
 use super::load::{to_parts, to_units, Load};
 use super::{Feasibility, Node, Site, Volume};
@@ -18,17 +18,17 @@
     max_loads: Vec<u64>,
 }
 
-/// The network. See the [module documentation](self).
+/// The network. See the module documentation.
 pub(super) struct Network<'a> {
     site: &'a Site,
-    /// By index of the node: its capacity; 0 if the node is out.
+    /// Capacity by index of the node; 0 if the node is out.
     capacity: Vec<u64>,
-    /// By index of the volume.
+    /// Loads by index of the volume.
     loads: Vec<Load>,
 }
 
 impl<'a> Network<'a> {
-    /// `out`: numbers of the nodes that are out.
+    /// Creates the network of a site. `out` are the numbers of the nodes that are out.
     pub fn new(site: &'a Site, out: &BTreeSet<u32>) -> Self {
         let numbered = site.nodes.iter().enumerate();
         let indexes: HashMap<u32, usize> = numbered.map(|(index, node)| (node.id, index)).collect();
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Computes how much of the reservations can be carried, and which volumes give way.
+    /// Computes how much of the reservations can be carried, and which volumes' reservations are not
+    /// met.
     pub fn feasibility(&self) -> Feasibility {
         let amounts: Vec<(usize, u64)> = self
             .loads
@@ -67,7 +68,7 @@
         let carried = self.carried(&amounts);
         let volumes = &self.site.volumes;
         let reservations: f64 = volumes.iter().map(|volume| volume.reservation).sum();
-        // The maximum load on each node is rounded up. So one part for each volume is no shortage.
+        // Rounding may lose up to one part for each volume, which is no shortage.
         let slack = self.loads.len() as u64;
         let short = if carried + slack >= reachable {
             Vec::new()
@@ -106,8 +107,8 @@
         dinics(&graph, source, sink).0
     }
 
-    /// Groups of volumes, by the indexes of their nodes. The maximum loads of a group's volumes on
-    /// a node add up.
+    /// Groups volumes by the indexes of their nodes. The maximum load of a group on a node is the sum
+    /// over its volumes.
     fn groups(&self, amounts: &[(usize, u64)]) -> BTreeMap<Vec<usize>, VolumeGroup> {
         let mut by_nodes: BTreeMap<Vec<usize>, VolumeGroup> = BTreeMap::new();
         for (volume, amount) in amounts {
@@ -122,8 +123,8 @@
         by_nodes
     }
 
-    /// Adds volumes to the flow, highest weight first, each as far as it can be carried with all
-    /// volumes before it; returns the amounts that are left.
+    /// Adds volumes to the flow, highest weight first, each as far as it can be carried together with
+    /// all volumes before it. Returns the volumes with an unmet amount.
     fn unmet_volumes(&self, mut amounts: Vec<(usize, u64)>) -> Vec<(u64, f64)> {
         let volumes = &self.site.volumes;
         amounts.sort_by(|(left, _), (right, _)| {
--- a/crates/catalog/src/propose.rs
+++ b/crates/catalog/src/propose.rs
@@ -26,7 +26,7 @@
     pub fn propose(
         &self,
         base_version: Version,
-        by: ChangeContext,
+        context: ChangeContext,
         changes: Vec<Change>,
     ) -> Result<Revision, ChangeError> {
         if changes.is_empty() {
@@ -55,18 +55,18 @@
             changes,
             before,
             lowers_limits,
-            ..empty_revision(self.version().next(), self.version(), by)
+            ..empty_revision(self.version().next(), self.version(), context)
         })
     }
 
     /// Creates a revision without changes whose version is higher than `over`, so that the current
     /// state supersedes all states up to `over`. The revision starts a new epoch.
-    pub fn force_epoch(&self, over: Version, by: ChangeContext) -> Revision {
+    pub fn force_epoch(&self, over: Version, context: ChangeContext) -> Revision {
         let version = over.max(self.version()).next();
         Revision {
             // The limits that hosts were granted under the other history are unknown here.
             lowers_limits: true,
-            ..empty_revision(version, self.version(), by)
+            ..empty_revision(version, self.version(), context)
         }
     }
 
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// The errors of [`Catalog::propose`], or if the audit log does not have the revision.
-    pub fn undo(&self, revision: Version, by: ChangeContext) -> Result<Revision, ChangeError> {
+    pub fn undo(&self, revision: Version, context: ChangeContext) -> Result<Revision, ChangeError> {
         let undone = self.revision(revision).ok_or(ChangeError::TooOld {
             oldest: self.oldest_known(),
         })?;
@@ -88,7 +88,7 @@
             .filter(|change| !is_applied_again(change))
             .cloned()
             .collect();
-        self.propose(revision, by, changes)
+        self.propose(revision, context, changes)
     }
 
     /// Checks that no subject that the changes touch or refer to has changed since `base_version`.
@@ -129,14 +129,14 @@
     }
 }
 
-fn empty_revision(version: Version, from: Version, by: ChangeContext) -> Revision {
+fn empty_revision(version: Version, from: Version, context: ChangeContext) -> Revision {
     Revision {
         version,
         from,
-        at: by.at,
-        author: by.author.to_string(),
-        reason: by.reason.to_string(),
-        objections: by.objections.to_string(),
+        at: context.at,
+        author: context.author.to_string(),
+        reason: context.reason.to_string(),
+        objections: context.objections.to_string(),
         changes: Vec::new(),
         before: Vec::new(),
         lowers_limits: false,
--- a/crates/catalog/src/validation.rs
+++ b/crates/catalog/src/validation.rs
@@ -65,9 +65,9 @@
     if plan.burst <= 0.0 {
         return Err(InvalidValue::NoBurst);
     }
-    let least = plan.limit * deployment.max_dispatch_delay.as_secs_f64();
-    if plan.slack < least {
-        return Err(InvalidValue::SlackTooSmall { least });
+    let minimum = plan.limit * deployment.max_dispatch_delay.as_secs_f64();
+    if plan.slack < minimum {
+        return Err(InvalidValue::SlackTooSmall { minimum });
     }
     Ok(())
 }
