--- a/crates/catalog/src/catalog.rs
+++ b/crates/catalog/src/catalog.rs
@@ -1,7 +1,7 @@
 //! The catalog: the current plans, volumes, nodes, drains, targets and scheduled changes, and the
 //! audit log of the last revisions.
 //!
-//! [`Catalog::apply`] applies a revision. The leader that decided it, a process that reads it from
+//! [`Catalog::apply`] applies a revision. The leader that accepted it, a process that reads it from
 //! its store, and a host that follows the change feed all use the same function. [`crate::propose`]
 //! creates revisions from changes. This module performs no I/O, and decides nothing about single
 //! requests.
--- a/crates/catalog/src/errors.rs
+++ b/crates/catalog/src/errors.rs
@@ -90,7 +90,7 @@
     #[error("works through one host twice")]
     DuplicateHost,
     /// The volume has size 0.
-    #[error("has 0 blocks, expected at minimum 1")]
+    #[error("has 0 blocks, expected at least 1")]
     NoBlocks,
     /// A node's capacity is negative, infinite or not a number.
     #[error("its capacity is negative, infinite or not a number")]
@@ -112,7 +112,7 @@
     /// A drain would return to an earlier stage, or start at a later stage than draining.
     #[error("cannot go from {from} to {to}")]
     StageOrder {
-        /// Name of the present stage, or "none".
+        /// Name of the current stage, or "none".
         from: &'static str,
         /// Name of the proposed stage.
         to: &'static str,
--- a/crates/catalog/src/feed/leases.rs
+++ b/crates/catalog/src/feed/leases.rs
@@ -19,7 +19,7 @@
     applied: Option<Version>,
     /// When the host's last lease ends, including the margin.
     until: Duration,
-    /// Whether an operator guarantees that the host sends nothing.
+    /// Whether an operator guarantees that the host sends no requests to nodes.
     is_removed: bool,
 }
 
--- a/crates/catalog/src/flow.rs
+++ b/crates/catalog/src/flow.rs
@@ -4,7 +4,7 @@
 //! [`crate::planner`] calls it volume by volume, and [`crate::incremental_flow`] as a site changes.
 //! [`Flow::raise_max_loads`] raises the maximum load of a group on each of its nodes. [`Flow::fill`] carries
 //! as much of an amount as possible along the shortest augmenting paths (Ford and Fulkerson, with
-//! breadth first search as in Edmonds and Karp). A solver would have to start from nothing each
+//! breadth-first search as in Edmonds and Karp). A solver would have to start from scratch each
 //! time; this flow continues from the current loads. Changes after [`Flow::begin_trial`] are
 //! recorded, and [`Flow::undo_trial`] reverts them. This module performs no I/O.
 //!
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Raises the maximum load of a group on each of its nodes.
+    /// Raises the maximum load of a group on each of its nodes by the amounts in `more`.
     pub fn raise_max_loads(&mut self, group: usize, more: impl Iterator<Item = u64>) {
         let former = &self.network.group(group).max_loads;
         let raised: Vec<u64> = former
--- a/crates/catalog/src/follower.rs
+++ b/crates/catalog/src/follower.rs
@@ -138,8 +138,8 @@
         self.epoch
     }
 
-    /// Subjects that were changed by revisions that are not stable.
-    pub fn open(&self) -> impl Iterator<Item = Subject> + '_ {
+    /// Subjects that were changed by revisions that are not stable yet.
+    pub fn unstable_subjects(&self) -> impl Iterator<Item = Subject> + '_ {
         self.catalog
             .audit_log()
             .flat_map(|revision| revision.changes.iter().map(|change| change.subject()))
@@ -201,7 +201,8 @@
             }
             Event::Behind { call } => {
                 if self.poll_state.complete(call).is_some() {
-                    let text = "the state service has an older catalog than a host; an operator must decide";
+                    let text = "the state service has an older catalog than some host; \
+                                an operator must decide which is valid";
                     self.log_and_retry(text.into());
                 }
             }
--- a/crates/catalog/src/leader/catalog_writer.rs
+++ b/crates/catalog/src/leader/catalog_writer.rs
@@ -40,12 +40,12 @@
 /// The result of a revision that was not rejected.
 #[derive(Debug)]
 pub(super) enum CommitOutcome {
-    /// The catalog has the revision.
+    /// The revision was applied to the catalog.
     Applied {
         revision: Revision,
         verdict: AdmissionVerdict,
     },
-    /// The revision was a dry run; the catalog is as before.
+    /// The revision was a dry run. The catalog is unchanged.
     Previewed { verdict: AdmissionVerdict },
 }
 
--- a/crates/catalog/src/leader/host_calls.rs
+++ b/crates/catalog/src/leader/host_calls.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Responds to the polls that can get their response now.
+    /// Responds to the polls that can be responded to now.
     pub(super) fn answer_polls(&mut self) {
         if let Some(applied) = self.leases.behind() {
             let calls = self.polls.take_calls();
--- a/crates/catalog/src/propose.rs
+++ b/crates/catalog/src/propose.rs
@@ -91,7 +91,7 @@
         self.propose(revision, context, changes)
     }
 
-    /// Checks that no subject that the changes touch or refer to has changed since `base_version`.
+    /// Checks that no subject that the changes modify or refer to has changed since `base_version`.
     fn check_unchanged_since(
         &self,
         base_version: Version,
