--- a/crates/catalog/src/follower.rs
+++ b/crates/catalog/src/follower.rs
@@ -201,8 +201,7 @@
             }
             Event::Behind { call } => {
                 if self.poll_state.complete(call).is_some() {
-                    let text = "the state service has an older catalog than some host; \
-                                an operator must decide which is valid";
+                    let text = "the state service knows less than this host; an operator must look";
                     self.log_and_retry(text.into());
                 }
             }
@@ -214,7 +213,7 @@
             Event::Persisted { number } => self.persistence.complete(number),
             Event::PersistFailed { reason } => {
                 self.persistence.fail();
-                self.log_and_retry(format!("catalog update not written to disk: {reason}"));
+                self.log_and_retry(format!("plans cannot be kept: {reason}"));
             }
         }
     }
@@ -237,7 +236,7 @@
         self.announcements.mark_limited();
         if !leased {
             self.log_line(
-                "catalog lease expired: limited volumes are held to their reservations".into(),
+                "the lease on plans has run out: limited volumes keep to their reservations".into(),
             );
         }
     }
