--- a/crates/catalog/src/incremental_flow.rs
+++ b/crates/catalog/src/incremental_flow.rs
@@ -1,38 +1,39 @@
-//! The flow of a site, updated in place as nodes and volumes change.
+//! The flow of a site, updated in place when nodes and volumes change.
 //!
 //! [`crate::admission`] and [`crate::moves`] build it from a site and change it
 //! ([`IncrementalFlow::set_node`], [`IncrementalFlow::set_volume`]). [`IncrementalFlow::shortfall`]
 //! returns the reservations that cannot be carried, and [`IncrementalFlow::without`] those that
-//! could not if nodes were out. The cost of both follows the volumes on these nodes and not the
-//! complete site. The results equal those of [`crate::planner::check`], which computes everything
-//! from the start; only that function determines which volumes give way. No I/O.
+//! could not be carried if nodes were out. The cost of both depends on the volumes on these nodes,
+//! not on the complete site. The results equal those of [`crate::planner::check`], which computes
+//! everything from scratch; only that function determines which volumes' reservations are not met.
+//! This module performs no I/O.
 //!
-//! State: `NodeTable` owns the nodes, `GroupTable` the demand of each group, [`Flow`] the loads.
-//! Memory: each volume, and the nodes of its group in the flow.
+//! `NodeTable` owns the nodes, `GroupTable` the demand of each group, and [`Flow`] the loads. Memory
+//! use is an entry for each volume, and for each node of its group in the flow.
 
 mod demand;
 mod groups;
 mod nodes;
 
 use crate::flow::Flow;
-use crate::planner::{to_parts, Node, Site, Volume, PARTS};
+use crate::planner::{to_parts, Node, Site, Volume, PARTS_PER_UNIT};
 use demand::Demand;
 use groups::GroupTable;
 use nodes::NodeTable;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Reservations that cannot be carried, units a second.
+/// Reservations that cannot be carried, units per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Shortfall {
-    /// The unmet amount of extents that are in reach.
+    /// The unmet amount for extents on nodes that are up.
     pub short: f64,
-    /// The amount of extents on nodes that are out.
+    /// The amount for extents on nodes that are out.
     pub out_of_reach: f64,
 }
 
 impl Shortfall {
-    /// Returns whether this shortfall is larger than another by more than `slack`, which rounding
-    /// may lose.
+    /// Returns whether this shortfall exceeds another by more than `slack`, the tolerance for
+    /// rounding.
     pub fn exceeds(&self, other: &Shortfall, slack: f64) -> bool {
         self.short > other.short + slack || self.out_of_reach > other.out_of_reach + slack
     }
@@ -45,7 +46,7 @@
     demand: Demand,
 }
 
-/// The flow of a site; see the module.
+/// The flow of a site. See the module documentation.
 #[derive(Debug, Clone, Default)]
 pub struct IncrementalFlow {
     spread: f64,
@@ -53,12 +54,12 @@
     nodes: NodeTable,
     volumes: BTreeMap<u64, PlacedVolume>,
     groups: GroupTable,
-    /// The reservations of all volumes in parts, in reach or not.
+    /// Sum of the reservations of all volumes in parts, including extents out of reach.
     reservations: u64,
 }
 
 impl IncrementalFlow {
-    /// The flow of a site.
+    /// Creates the flow of a site with all nodes up.
     ///
     /// ```
     /// use grebecleat_catalog::planner::{Node, Site, Volume};
@@ -96,9 +97,9 @@
         }
     }
 
-    /// The amount that rounding may lose, units a second: a thousandth for each volume.
+    /// The largest error from rounding, in units per second: a thousandth for each volume.
     pub fn slack(&self) -> f64 {
-        self.volumes.len() as f64 / PARTS
+        self.volumes.len() as f64 / PARTS_PER_UNIT
     }
 
     /// All nodes.
@@ -106,7 +107,7 @@
         self.nodes.iter()
     }
 
-    /// The factor by which a volume's load may gather on one of its nodes: see [`Site`].
+    /// The factor by which a volume's load may be concentrated on one of its nodes: see [`Site`].
     pub fn spread(&self) -> f64 {
         self.spread
     }
@@ -114,9 +115,9 @@
     /// The reservations that cannot be carried.
     pub fn shortfall(&self) -> Shortfall {
         let total = self.groups.total_demand();
-        let out_of_reach = self.reservations.saturating_sub(total) as f64 / PARTS;
+        let out_of_reach = self.reservations.saturating_sub(total) as f64 / PARTS_PER_UNIT;
         Shortfall {
-            short: self.groups.total_unmet() as f64 / PARTS,
+            short: self.groups.total_unmet() as f64 / PARTS_PER_UNIT,
             out_of_reach: if out_of_reach < self.slack() {
                 0.0
             } else {
@@ -125,7 +126,7 @@
         }
     }
 
-    /// The reservations that could not be carried with these nodes out as well.
+    /// The reservations that could not be carried if these nodes were out as well.
     pub fn without(&mut self, out: &BTreeSet<u32>) -> Shortfall {
         let indexes: Vec<usize> = out
             .iter()
@@ -139,7 +140,7 @@
         let saved = self.groups.save(&groups);
         self.flow.begin_trial();
         for index in &indexes {
-            self.switch(*index, false);
+            self.set_node_up(*index, false);
         }
         for group in &groups {
             let demand = self.demand_of_group(*group);
@@ -164,12 +165,12 @@
             return;
         };
         if self.nodes.is_up(index) != up {
-            self.switch(index, up);
-            self.reload(index);
+            self.set_node_up(index, up);
+            self.recompute_demand(index);
         }
     }
 
-    /// Adds a node, or changes its zone or capacity. A node without capacity stays known and
+    /// Adds a node, or changes its zone or capacity. Nodes are never removed; a node with capacity 0
     /// carries nothing.
     pub fn set_node(&mut self, node: Node) {
         let Some(index) = self.nodes.index(node.id) else {
@@ -187,7 +188,8 @@
         self.refill();
     }
 
-    /// Rebuilds the flow with a new node, since its tables have a fixed number of nodes. Rare.
+    /// Rebuilds the flow with a new node, because its tables have a fixed number of nodes. This is
+    /// slow but rarely needed.
     fn add_node(&mut self, node: Node) {
         let down = self.nodes.down();
         let mut nodes: Vec<Node> = self.nodes().cloned().collect();
@@ -203,12 +205,13 @@
         }
     }
 
-    /// Adds or changes a volume; None: it is removed.
+    /// Adds or changes a volume, or removes it if `to` is `None`.
     pub fn set_volume(&mut self, id: u64, to: Option<Volume>) {
         self.set_volumes([(id, to)]);
     }
 
-    /// Sets many volumes, at the cost of one search for spare capacity where there is enough.
+    /// Adds, changes or removes many volumes. Where there is enough capacity, this costs only one
+    /// search for spare capacity.
     pub fn set_volumes(&mut self, volumes: impl IntoIterator<Item = (u64, Option<Volume>)>) {
         let mut changed_groups = BTreeSet::new();
         for (id, to) in volumes {
@@ -226,7 +229,7 @@
         self.refill();
     }
 
-    /// Nodes with data of a volume.
+    /// Numbers of the nodes with data of a volume.
     pub fn nodes_of_volume(&self, id: u64) -> impl Iterator<Item = u32> + '_ {
         let placed = self.volumes.get(&id);
         placed
@@ -235,20 +238,21 @@
             .map(|(node, _)| *node)
     }
 
-    /// Unused capacity of a node, units a second.
+    /// Unused capacity of a node, units per second.
     pub fn spare(&self, id: u32) -> f64 {
         let index = self.nodes.index(id);
-        index.map_or(0.0, |index| self.flow.spare(index) as f64 / PARTS)
+        index.map_or(0.0, |index| self.flow.spare(index) as f64 / PARTS_PER_UNIT)
     }
 
-    /// Returns whether no path leads from a node to spare capacity, while a reservation is unmet.
-    pub fn is_tight(&self, id: u32) -> bool {
+    /// Returns whether a node is a bottleneck: a reservation is unmet, and no path leads from the node
+    /// to spare capacity.
+    pub fn is_bottleneck(&self, id: u32) -> bool {
         let index = self.nodes.index(id);
         self.groups.has_unmet() && index.is_some_and(|index| self.flow.is_saturated(index))
     }
 
-    /// The load on each node of all volumes but these. Volumes on the same nodes have the same part
-    /// of their demand on each.
+    /// The load on each node from all volumes except `left_out`. The load of a group is divided among
+    /// its volumes in proportion to their demand.
     pub fn carried_except(&self, left_out: &BTreeSet<u64>) -> BTreeMap<u32, f64> {
         let mut carried: BTreeMap<u32, f64> = BTreeMap::new();
         for (group, members, total) in self.groups.with_demand() {
@@ -261,13 +265,13 @@
             let group = self.flow.group(group);
             for (index, load) in group.nodes.iter().zip(&group.loads) {
                 let sum = carried.entry(self.nodes.id(*index)).or_default();
-                *sum += *load as f64 / PARTS * fraction;
+                *sum += *load as f64 / PARTS_PER_UNIT * fraction;
             }
         }
         carried
     }
 
-    fn switch(&mut self, index: usize, up: bool) {
+    fn set_node_up(&mut self, index: usize, up: bool) {
         let capacity = self.nodes.capacity(index);
         self.nodes.set_up(index, up);
         if up {
@@ -277,13 +281,16 @@
         }
     }
 
-    /// Recomputes the demand of all volumes with data on a node.
-    fn reload(&mut self, index: usize) {
+    /// Recomputes the demand of all volumes with data on a node, and carries as much as possible.
+    fn recompute_demand(&mut self, index: usize) {
         let groups: Vec<usize> = self.flow.groups_at(index).collect();
         for group in groups {
             let mut sum = self.no_demand(group);
             for id in self.groups.members(group) {
-                let placed = self.volumes.get_mut(id).expect("a member is placed");
+                let placed = self
+                    .volumes
+                    .get_mut(id)
+                    .expect("a member of a group is in the table of volumes");
                 placed.demand = Demand::of(&placed.volume, &self.nodes, self.spread);
                 sum.add(&placed.demand);
             }
@@ -297,7 +304,7 @@
         Demand::none(self.flow.group(group).nodes.len())
     }
 
-    /// The demand of a group's volumes, computed from the nodes that are up.
+    /// The demand of a group's volumes with the nodes that are now up.
     fn demand_of_group(&self, group: usize) -> Demand {
         let mut sum = self.no_demand(group);
         for id in self.groups.members(group) {
@@ -312,13 +319,14 @@
         self.flow.set_max_loads(group, &demand.max_loads);
     }
 
-    /// Adds a volume without carrying any of its load; returns its group.
+    /// Adds a volume without carrying any of its load, and returns its group.
     fn place(&mut self, volume: Volume) -> usize {
         let indexed = self.nodes.indexed(&volume.placement);
         let indexes: Vec<usize> = indexed.map(|(index, _)| index).collect();
         let group = self.flow.group_of(&indexes);
         let demand = Demand::of(&volume, &self.nodes, self.spread);
-        self.flow.offer(group, demand.max_loads.iter().copied());
+        self.flow
+            .raise_max_loads(group, demand.max_loads.iter().copied());
         self.groups.add(group, volume.id, demand.amount);
         self.reservations += to_parts(volume.reservation);
         let placed = PlacedVolume {
@@ -330,7 +338,7 @@
         group
     }
 
-    /// Removes the demand of a removed volume from its group.
+    /// Subtracts the demand of a removed volume from its group.
     fn remove_demand(&mut self, former: &PlacedVolume) {
         let group = former.group;
         self.groups
@@ -345,11 +353,11 @@
         self.flow.set_max_loads(group, &lowered);
     }
 
-    /// Drops the load of a group beyond its demand, and records the unmet demand.
+    /// Removes the load of a group beyond its demand, and records the unmet demand.
     fn trim(&mut self, group: usize) {
         let carried: u64 = self.flow.group(group).loads.iter().sum();
         let total = self.groups.total(group);
-        self.flow.drop_some(group, carried.saturating_sub(total));
+        self.flow.shed_load(group, carried.saturating_sub(total));
         self.groups.set_unmet(group, total.saturating_sub(carried));
     }
 
--- a/crates/catalog/src/leader/proposals.rs
+++ b/crates/catalog/src/leader/proposals.rs
@@ -1,9 +1,9 @@
-//! Proposals of operators, scheduled changes and forced epochs, from the call to the write.
+//! Handles proposals of operators, scheduled changes and forced epochs, from the call to the write.
 //!
-//! The leader's shell calls these methods for each such call, and [`Leader::land_scheduled`] at
-//! each step. A revision lands in one place: [`Leader::land`].
+//! [`Leader::step`] calls these methods for each such call, and [`Leader::apply_due_changes`] at each
+//! step. All proposed revisions pass through [`Leader::commit_revision`].
 
-use super::catalog_writer::{Landing, LandingMode};
+use super::catalog_writer::{CommitMode, CommitOutcome};
 use super::messages::{Action, CallId, Persist, Proposal};
 use super::persistence::PendingCommit;
 use super::rejection::Rejection;
@@ -14,7 +14,7 @@
 use crate::records::{Drain, Version};
 use std::time::Duration;
 
-/// Author of the revision that removes a lapsed scheduled change.
+/// Author of the revision that removes a scheduled change which was rejected when it was due.
 const SERVICE_AUTHOR: &str = "the state service";
 
 impl Leader {
@@ -30,10 +30,10 @@
         } = proposal;
         self.persistence.check_capacity()?;
         for change in &mut changes {
-            fill_in_drain(self.writer.catalog(), self.wall, change, &author);
+            fill_in_drain(self.writer.catalog(), self.wall_time, change, &author);
         }
-        let by = ChangeContext::by(&author, &reason, self.wall);
-        if let Some(at) = at.filter(|at| *at > self.wall && !dry_run) {
+        let context = ChangeContext::by(&author, &reason, self.wall_time);
+        if let Some(at) = at.filter(|at| *at > self.wall_time && !dry_run) {
             let scheduled = ScheduledChange {
                 at,
                 author: author.clone(),
@@ -42,22 +42,25 @@
                 changes,
                 expects: Vec::new(),
             };
-            changes = vec![self.schedule(base_version, by, scheduled)?];
+            changes = vec![self.schedule(base_version, context, scheduled)?];
         }
-        let revision = self.writer.catalog().propose(base_version, by, changes)?;
-        self.land(Some(call), revision, LandingMode { force, dry_run })
+        let revision = self
+            .writer
+            .catalog()
+            .propose(base_version, context, changes)?;
+        self.commit_revision(Some(call), revision, CommitMode { force, dry_run })
     }
 
-    /// Returns the change that adds a scheduled change. Rejects it now if it is invalid by itself,
-    /// rather than when it lands.
+    /// Returns the change that adds a scheduled change. Invalid changes are rejected at once rather
+    /// than when they are due.
     fn schedule(
         &mut self,
         base_version: Version,
-        by: ChangeContext,
+        context: ChangeContext,
         mut scheduled: ScheduledChange,
     ) -> Result<Change, Rejection> {
         let catalog = self.writer.catalog();
-        catalog.propose(base_version, by, scheduled.changes.clone())?;
+        catalog.propose(base_version, context, scheduled.changes.clone())?;
         let subjects = scheduled.changes.iter().map(Change::subject);
         scheduled.expects = subjects.map(|subject| catalog.now(&subject)).collect();
         Ok(Change::Scheduled {
@@ -70,18 +73,19 @@
         &mut self,
         call: CallId,
         revision: Version,
-        by: ChangeContext,
+        context: ChangeContext,
         force: bool,
     ) -> Result<(), Rejection> {
-        let revision = self.writer.catalog().undo(revision, by)?;
-        let mode = LandingMode {
+        let revision = self.writer.catalog().undo(revision, context)?;
+        let mode = CommitMode {
             force,
             dry_run: false,
         };
-        self.land(Some(call), revision, mode)
+        self.commit_revision(Some(call), revision, mode)
     }
 
-    /// Gives the present state a version beyond all that hosts follow, which starts a new epoch.
+    /// Raises the version of the current state above all versions that hosts follow, which starts a
+    /// new epoch.
     pub(super) fn force_epoch(
         &mut self,
         call: CallId,
@@ -92,8 +96,8 @@
         if self.persistence.has_pending_commits() {
             return Err(Rejection::CommitsPending);
         }
-        let by = ChangeContext::by(author, reason, self.wall);
-        let revision = self.writer.force_epoch(behind, by);
+        let context = ChangeContext::by(author, reason, self.wall_time);
+        let revision = self.writer.force_epoch(behind, context);
         self.leases.clear_behind();
         let commit = PendingCommit {
             version: revision.version,
@@ -107,76 +111,72 @@
         Ok(())
     }
 
-    /// Lands the scheduled changes that are due. A scheduled change that is rejected lapses.
-    pub(super) fn land_scheduled(&mut self) {
+    /// Applies the scheduled changes that are due, and cancels those that are rejected.
+    pub(super) fn apply_due_changes(&mut self) {
         if self.persistence.is_backing_off(self.now) {
             return;
         }
-        for (id, scheduled) in scheduled::due(self.writer.catalog(), self.wall) {
-            if let Err(rejection) = self.land_one_scheduled(id, &scheduled) {
-                self.lapse(id, &scheduled, &rejection);
+        for (id, scheduled) in scheduled::due(self.writer.catalog(), self.wall_time) {
+            if let Err(rejection) = self.apply_scheduled(id, &scheduled) {
+                self.cancel_scheduled(id, &scheduled, &rejection);
             }
         }
     }
 
-    /// Lands the changes and, in the same revision, removes the scheduled change.
-    fn land_one_scheduled(
-        &mut self,
-        id: u64,
-        scheduled: &ScheduledChange,
-    ) -> Result<(), Rejection> {
+    /// Applies the changes and, in the same revision, removes the scheduled change.
+    fn apply_scheduled(&mut self, id: u64, scheduled: &ScheduledChange) -> Result<(), Rejection> {
         let catalog = self.writer.catalog();
         scheduled::check_expected(catalog, scheduled)?;
         let mut changes = scheduled.changes.clone();
         changes.push(Change::Scheduled { id, to: None });
         for change in &mut changes {
-            fill_in_drain(catalog, self.wall, change, &scheduled.author);
+            fill_in_drain(catalog, self.wall_time, change, &scheduled.author);
         }
-        let by = ChangeContext::by(&scheduled.author, &scheduled.reason, self.wall);
-        let revision = catalog.propose(catalog.version(), by, changes)?;
-        let mode = LandingMode {
+        let context = ChangeContext::by(&scheduled.author, &scheduled.reason, self.wall_time);
+        let revision = catalog.propose(catalog.version(), context, changes)?;
+        let mode = CommitMode {
             force: scheduled.force,
             dry_run: false,
         };
-        self.land(None, revision, mode)
+        self.commit_revision(None, revision, mode)
     }
 
-    /// Removes a scheduled change that was rejected; the audit log states the reason.
-    fn lapse(&mut self, id: u64, scheduled: &ScheduledChange, rejection: &Rejection) {
-        self.note(format!(
+    /// Removes a scheduled change that was rejected, and records the reason in the audit log.
+    fn cancel_scheduled(&mut self, id: u64, scheduled: &ScheduledChange, rejection: &Rejection) {
+        self.log_line(format!(
             "timed change {id} of {} lapses: {rejection}",
             scheduled.author
         ));
         let reason = format!("lapsed: {rejection}");
-        let by = ChangeContext::by(SERVICE_AUTHOR, &reason, self.wall);
+        let context = ChangeContext::by(SERVICE_AUTHOR, &reason, self.wall_time);
         let removal = vec![Change::Scheduled { id, to: None }];
         let catalog = self.writer.catalog();
         let landed = catalog
-            .propose(catalog.version(), by, removal)
+            .propose(catalog.version(), context, removal)
             .map_err(Rejection::from)
-            .and_then(|revision| self.land(None, revision, LandingMode::default()));
+            .and_then(|revision| self.commit_revision(None, revision, CommitMode::default()));
         if let Err(rejection) = landed {
-            self.note(rejection.to_string());
+            self.log_line(rejection.to_string());
         }
     }
 
-    /// The one place where a proposed revision lands: it is evaluated, applied to the catalog and
-    /// written.
-    fn land(
+    /// Evaluates a proposed revision, applies it to the catalog and writes it. All proposed revisions
+    /// pass through this method.
+    fn commit_revision(
         &mut self,
         call: Option<CallId>,
         revision: Revision,
-        mode: LandingMode,
+        mode: CommitMode,
     ) -> Result<(), Rejection> {
         match self
             .writer
-            .land(revision, mode, self.persistence.stable())?
+            .admit(revision, mode, self.persistence.stable())?
         {
-            Landing::Previewed { verdict } => {
+            CommitOutcome::Previewed { verdict } => {
                 let preview = call.map(|call| Action::Preview { call, verdict });
                 self.actions.extend(preview);
             }
-            Landing::Applied { revision, verdict } => {
+            CommitOutcome::Applied { revision, verdict } => {
                 let commit = PendingCommit {
                     version: revision.version,
                     call,
@@ -194,9 +194,9 @@
     }
 }
 
-/// Fills in who first requested a drain, when, and since when it is at its stage. A proposal that
-/// repeats the present drain changes none of these.
-fn fill_in_drain(catalog: &Catalog, wall: Duration, change: &mut Change, author: &str) {
+/// Fills in who first requested a drain, when, and when the drain reached its stage. These stay
+/// unchanged if a proposal repeats the current drain.
+fn fill_in_drain(catalog: &Catalog, wall_time: Duration, change: &mut Change, author: &str) {
     let Change::Drain {
         node,
         to: Some(drain),
@@ -206,8 +206,8 @@
     };
     let Some(present) = catalog.drain(*node) else {
         drain.author = author.into();
-        drain.requested_at = wall;
-        drain.since = wall;
+        drain.requested_at = wall_time;
+        drain.since = wall_time;
         return;
     };
     let Drain {
@@ -219,5 +219,9 @@
     } = present;
     drain.author = author.clone();
     drain.requested_at = *requested_at;
-    drain.since = if *stage == drain.stage { *since } else { wall };
+    drain.since = if *stage == drain.stage {
+        *since
+    } else {
+        wall_time
+    };
 }
--- a/crates/catalog/src/leader/scheduled.rs
+++ b/crates/catalog/src/leader/scheduled.rs
@@ -1,9 +1,7 @@
-//! Scheduled changes: their numbers, and which of them are due.
+//! Assigns numbers to scheduled changes, and finds those that are due.
 //!
 //! The leader calls this module when an operator schedules a change and at each step. The scheduled
-//! changes themselves are part of the catalog.
-//!
-//! State: the next number to assign.
+//! changes themselves are part of the catalog. The only state here is the next number to assign.
 
 use super::rejection::Rejection;
 use crate::catalog::Catalog;
@@ -17,7 +15,7 @@
 }
 
 impl ScheduledIds {
-    /// Numbers after all that the catalog has.
+    /// Starts after the highest number in the catalog.
     pub fn after(catalog: &Catalog) -> Self {
         let last = catalog.scheduled().map(|(id, _)| id).max();
         ScheduledIds {
@@ -34,22 +32,22 @@
 }
 
 /// Scheduled changes that are due by the wall clock, with their numbers.
-pub(super) fn due(catalog: &Catalog, wall: Duration) -> Vec<(u64, ScheduledChange)> {
+pub(super) fn due(catalog: &Catalog, wall_time: Duration) -> Vec<(u64, ScheduledChange)> {
     catalog
         .scheduled()
-        .filter(|(_, scheduled)| scheduled.at <= wall)
+        .filter(|(_, scheduled)| scheduled.at <= wall_time)
         .map(|(id, scheduled)| (id, scheduled.clone()))
         .collect()
 }
 
 /// Time by the wall clock until the next scheduled change is due.
-pub(super) fn time_to_next(catalog: &Catalog, wall: Duration) -> Option<Duration> {
+pub(super) fn time_to_next(catalog: &Catalog, wall_time: Duration) -> Option<Duration> {
     let times = catalog.scheduled().map(|(_, scheduled)| scheduled.at);
-    times.min().map(|at| at.saturating_sub(wall))
+    times.min().map(|at| at.saturating_sub(wall_time))
 }
 
 /// # Errors
-/// [`Rejection::Outdated`] if a subject has changed since its author scheduled the change.
+/// [`Rejection::Outdated`] if a subject has changed since the operator scheduled the change.
 pub(super) fn check_expected(
     catalog: &Catalog,
     scheduled: &ScheduledChange,
