--- a/crates/membership/src/answers.rs
+++ b/crates/membership/src/answers.rs
@@ -1,13 +1,14 @@
-//! The answers of a node to a host's attempts.
+//! The health of a node, as one host sees it in the responses to its attempts.
 //!
-//! Each host derives them from its own attempts and reports them. Pure functions.
+//! Each host derives it from its own attempts and reports it to the catalog service. This module
+//! has pure functions only.
 
 use std::time::Duration;
 
-/// The answers of a node to hosts' attempts.
+/// How well a node responds to the attempts of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum Answers {
-    /// Nothing is known, because no host has sent the node an attempt recently.
+    /// Unknown, because the node completed no attempt recently and gave no evidence of being bad.
     #[default]
     None,
     /// The node completes attempts.
@@ -16,33 +17,33 @@
     Bad,
 }
 
-/// A host's measurements of a node's answers.
+/// A host's measurements of its attempts at a node.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NodeHealth {
     /// The fraction of the node's load that the admission throttle admits, from 0 (ejected) to 1.
     pub admission_level: f64,
     /// Failed attempts in a row.
     pub consecutive_failures: u32,
-    /// Time since the node last completed an attempt; None: never.
+    /// Time since the node last completed an attempt. `None` if it never did.
     pub since_success: Option<Duration>,
 }
 
 /// Admission level below which a node counts as bad: it is ejected, or nearly so. A higher value
-/// counts a node as bad that only reduces its load; a lower one detects a bad node later.
-const BAD_BELOW: f64 = 0.1;
-/// Admission level that a bad node must reach to count as good again. The level rises by itself
-/// while nothing is sent, so a lower value would end the bad state without evidence; a higher one
-/// ends it later.
-const GOOD_AGAIN_ABOVE: f64 = 0.5;
-/// Consecutive failures after which a node counts as bad. With fewer, chance failures would count;
-/// with more, a bad node is detected later.
+/// would report a node as bad that is merely throttled; a lower one detects a bad node later.
+const BAD_BELOW_LEVEL: f64 = 0.1;
+/// Admission level that a bad node must reach before it is no longer reported as bad. The level
+/// rises by itself while nothing is sent, so a lower value would end the bad state without
+/// evidence; a higher one ends it later.
+const RECOVERY_LEVEL: f64 = 0.5;
+/// Number of consecutive failures after which a node counts as bad. With a smaller number, isolated
+/// failures would suffice; with a larger one, a bad node is detected later.
 const BAD_AFTER_FAILURES: u32 = 3;
-/// Age beyond which a completed attempt is no evidence of the present state. A larger age counts a
-/// node as good that no longer is; a smaller one loses the evidence on rarely used nodes.
-const MAX_ANSWER_AGE: Duration = Duration::from_secs(10);
+/// Age beyond which a completed attempt no longer shows that a node is good. A larger age would
+/// report a node as good that no longer is; a smaller one loses the evidence on rarely used nodes.
+const MAX_SUCCESS_AGE: Duration = Duration::from_secs(10);
 
 impl Answers {
-    /// The answers that a host reports, given those that it reported before.
+    /// Returns the value that a host reports, given its measurements and its previous report.
     ///
     /// ```
     /// use grebecleat_membership::answers::{Answers, NodeHealth};
@@ -58,16 +59,15 @@
     /// assert_eq!(Answers::of(health(0.6, 0, 30), Answers::Bad), Answers::None);
     /// ```
     pub fn of(health: NodeHealth, before: Answers) -> Answers {
-        let least_level = match before {
-            Answers::Bad => GOOD_AGAIN_ABOVE,
-            Answers::None | Answers::Good => BAD_BELOW,
+        let min_level = match before {
+            Answers::Bad => RECOVERY_LEVEL,
+            Answers::None | Answers::Good => BAD_BELOW_LEVEL,
         };
-        if health.admission_level < least_level || health.consecutive_failures >= BAD_AFTER_FAILURES
-        {
+        if health.admission_level < min_level || health.consecutive_failures >= BAD_AFTER_FAILURES {
             return Answers::Bad;
         }
         match health.since_success {
-            Some(since) if since < MAX_ANSWER_AGE => Answers::Good,
+            Some(since) if since < MAX_SUCCESS_AGE => Answers::Good,
             _ => Answers::None,
         }
     }
--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -1,44 +1,45 @@
-//! How nodes are drained, and the status of nodes by the observations of all hosts.
+//! The state machine that drains nodes and derives their status from the observations of all hosts.
 //!
-//! State machine: `step(now, wall, events)` returns the actions to perform: proposals to the
-//! catalog, exclusions for admission and notices to operators. [`Membership::wake_at`] returns when
-//! it must be called again. No I/O. The catalog service calls it for every batch of events of the
-//! catalog, the hosts and the store. Each step updates the status of the nodes that changed, and
-//! the stage of every drain. Each part of the state has one owner:
+//! `step(now, wall, events)` returns the actions to perform: proposals to the catalog, exclusions
+//! for admission and notices to operators. [`Membership::wake_at`] returns when it must be called
+//! again. It performs no I/O. The catalog service calls it for every batch of events of the catalog,
+//! the hosts and the store. Each step updates the status of the nodes that changed, and the stage of
+//! every drain. Each part of the state has one owner:
 //!
 //! - `HostTable`: which catalog version each host has acknowledged, and whether it is connected;
-//! - `NodeTable`: the facts, drains, reports and status of nodes;
+//! - `NodeTable`: the catalog attributes, drain, reports and status of each node;
 //! - `StatusRules`: the evidence on a node's status;
 //! - `StageMachine`: the next stage of each drain.
 //!
-//! A drain is queued, draining, drained, removed. The stages are in the catalog. Each stage is a
-//! change that is persisted and replicated like any other, so a crash at any moment finds the drain
-//! at its stage. Only hosts know the progress between two stages, and they report it again to a new
-//! process:
+//! The stages of a drain are queued, draining, drained and removed. They are kept in the catalog,
+//! and the change to a stage is persisted and replicated like any other change, so the stage of a
+//! drain survives a crash at any moment. Only hosts know the progress between two stages, and they
+//! report it again after a restart of the service:
 //!
-//! - A host is *notified* once it has acknowledged the catalog up to the drain; then it can no
-//!   longer send an attempt decided before. A host that never acknowledged a version serves
-//!   nothing. A host that is down blocks the drain until it is back or an operator guarantees that
-//!   it sends nothing, since it might send again by its persisted version.
-//! - A node is *quiet* at a host that counted its attempts after it followed the drain and found
-//!   none, once its attempts without a known outcome have had the longest time that any attempt may
-//!   take. Attempts that a host had in flight when its connection was lost, or that an earlier
-//!   incarnation had in flight until the next one connected, get twice that time: to end at the
-//!   host, and to be over at the node.
-//! - A node is *drained* when every host is notified and quiet. It does not go back, since no host
+//! - A host is *notified* once it has acknowledged the catalog version that contains the drain.
+//!   From then on it sends no attempt that was decided on an older version. A host that never
+//!   acknowledged a version serves no requests. A host that is down blocks the drain until it is
+//!   back or an operator guarantees that it sends nothing, since it might send again based on the
+//!   version that it has persisted.
+//! - A host is *quiescent* for a node if it counted its attempts after it applied the drain and none
+//!   was in flight, and if the longest time that any attempt may take has passed for its attempts
+//!   without a known outcome. Twice that time must pass for attempts that a host had in flight when
+//!   its connection was lost, or that an earlier incarnation had in flight until the next one
+//!   connected: once until the attempt ends at the host, and once until it ends at the node.
+//! - A node is *drained* when every host is notified and quiescent. It stays drained, since no host
 //!   sends to it.
 //!
-//! A queued drain is proposed when nothing known here conflicts with it in its zone; the earliest
-//! request of a zone goes first. Admission decides finally, at each attempt again. A drain that is
-//! not finished within its timeout is given up, and the node serves again, because its operator
-//! wanted it soon or not at all. This process's clock measures the timeout; over a restart, the
-//! wall clock does. The wall clock may have been set, so at least [`MIN_TIME_AFTER_RESTART`]
-//! remains.
+//! A queued drain is proposed when this state machine knows of no conflict in its zone; the
+//! earliest request of a zone goes first. Admission makes the final decision on each proposal. A drain that
+//! does not finish within its timeout is canceled and the node accepts requests again, because the
+//! operator wanted the drain within that time or not at all. This process's clock measures the
+//! timeout; the wall clock measures it across a restart. The wall clock may have been set in between,
+//! so at least [`MIN_TIME_AFTER_RESTART`] remains.
 //!
-//! At a start, the catalog's complete state goes into one step. If its hosts came in a later step,
-//! a drain would find no host to notify.
+//! When the service starts, a single step must receive the complete state of the catalog. If the
+//! hosts arrived in a later step, a drain would find no host to notify and finish too early.
 //!
-//! Memory: an entry for each host and node, and a report of each host on each node.
+//! The state holds an entry for each host and each node, and a report of each host on each node.
 
 mod drain_state;
 mod hosts;
@@ -62,17 +63,17 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Least remaining time of a drain with a timeout after a restart of this process. The wall clock
-/// may have stepped forward during the restart: with a shorter time, such a step would give up a
-/// drain before the hosts have reported again. A longer time lets a drain exceed its timeout by
+/// Minimum remaining time, after a restart of this process, of a drain with a timeout. The wall
+/// clock may have stepped forward during the restart: with a shorter time, such a step would cancel
+/// the drain before the hosts have reported again. A longer time lets a drain exceed its timeout by
 /// more.
 pub const MIN_TIME_AFTER_RESTART: Duration = Duration::from_secs(10);
 
-/// The state machine of nodes and their drains; see the module.
+/// The state machine of nodes and their drains; see the module documentation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Membership {
     now: Duration,
-    /// The wall clock, since 1970.
+    /// The wall-clock time since 1970.
     wall: Duration,
     /// The catalog's persisted version.
     version: Version,
@@ -83,8 +84,9 @@
 }
 
 impl Membership {
-    /// `warm_up_time`: time from a node's start until it has its full capacity.
-    /// `max_attempt_time`: the longest time that an attempt may take.
+    /// Creates the state machine at the start of the service. `warm_up_time` is the time from a
+    /// node's start until it has its full capacity, and `max_attempt_time` the longest time that an
+    /// attempt may take.
     pub fn new(
         now: Duration,
         warm_up_time: Duration,
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Handles events, and returns the actions to perform, in order. `now`: this process's clock;
-    /// `wall`: time since 1970.
+    /// Handles events, and returns the actions to perform, in order. `now` is the time of this
+    /// process's clock, and `wall` the wall-clock time since 1970.
     pub fn step(&mut self, now: Duration, wall: Duration, events: Vec<Event>) -> Vec<Action> {
         self.now = now.max(self.now);
         self.wall = wall;
@@ -123,13 +125,13 @@
         actions
     }
 
-    /// When `step` must be called again if nothing happens before.
+    /// Returns when `step` must be called again if no event occurs before.
     pub fn wake_at(&self) -> Option<Duration> {
         let due = self.nodes.iter().filter_map(|(_, node)| self.due_at(node));
         due.filter(|at| *at > self.now).min()
     }
 
-    /// Returns whether hosts send a node nothing new, by the catalog.
+    /// Returns whether the node's drain in the catalog forbids hosts to send it new requests.
     pub fn blocks_new_requests(&self, node: u32) -> bool {
         self.nodes.get(node).is_some_and(Node::blocks_new_requests)
     }
@@ -169,12 +171,12 @@
             .end_proposal(self.now, &mut self.nodes, proposal, reason);
     }
 
-    /// Sets a drain as it was persisted, and returns the notice to operators.
+    /// Sets a drain as it was persisted. Returns the notice to operators if the stage changed.
     fn set_drain(&mut self, number: u32, drain: Option<Drain>, version: Version) -> Option<String> {
         self.stages.retry_queued();
         let before = self.nodes.take_drain(number);
         let Some(drain) = drain else {
-            return before.map(|_| "no longer drained".into());
+            return before.map(|_| "drain ended".into());
         };
         let same_stage = before.filter(|before| before.stage == drain.stage);
         let notice = same_stage.is_none().then(|| stage_notice(&drain));
@@ -194,7 +196,7 @@
         numbers
     }
 
-    /// When time alone may change something about a node.
+    /// Returns when the next timer of a node expires.
     fn due_at(&self, node: &Node) -> Option<Duration> {
         let times = [
             self.status_rules.warm_at(node),
@@ -203,7 +205,7 @@
         times.into_iter().flatten().min()
     }
 
-    /// Computes a node's status again, and reports a change to admission and operators.
+    /// Recomputes a node's status, and reports a change to admission and operators.
     fn update_status(&mut self, number: u32, actions: &mut Vec<Action>) {
         let Some(node) = self.nodes.get(number) else {
             return;
@@ -211,7 +213,7 @@
         let evidence = self.status_rules.evidence(self.now, self.wall, node);
         let (status, authority) = node_status(&evidence);
         let exclusion = status::exclusion(node, status);
-        let known = node.known;
+        let in_catalog = node.in_catalog;
         let before = self.nodes.set_status(number, status, authority);
         if self.nodes.set_exclusion(number, exclusion) {
             self.stages.retry_queued();
@@ -220,7 +222,7 @@
                 reason: exclusion,
             });
         }
-        if before != status && known {
+        if before != status && in_catalog {
             actions.push(Action::Notify {
                 node: number,
                 text: format!("{status}, by {authority}; it was {before}"),
--- a/crates/membership/src/drains/hosts.rs
+++ b/crates/membership/src/drains/hosts.rs
@@ -1,8 +1,8 @@
-//! The hosts that send to nodes: which catalog version each has acknowledged, and whether it is
-//! connected.
+//! The table of hosts that send to nodes: which catalog version each has acknowledged, and whether it
+//! is connected.
 //!
 //! [`Membership`](super::Membership) calls [`HostTable`] for each event of a host, and reads it to
-//! decide whether a drain has reached all hosts. Memory: an entry for each host.
+//! decide whether a drain has reached all hosts. The table holds an entry for each host.
 
 use super::nodes::Node;
 use grebecleat_catalog::feed::HostNumber;
@@ -10,25 +10,26 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Factor of the longest attempt time that covers attempts of which no host has a count: one time
-/// until the attempt ends at the host, and one until it is over at the node.
+/// Multiple of the longest attempt time after which attempts that no host counts have ended: once
+/// until the attempt ends at the host, and once until it ends at the node.
 const UNACCOUNTED_FACTOR: u32 = 2;
 
-/// A host's record.
+/// The state of one host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 struct Host {
-    /// The version of the catalog that the host has acknowledged; None: it never acknowledged one.
+    /// The version of the catalog that the host has acknowledged. `None` if it never acknowledged
+    /// one.
     acknowledged: Option<Version>,
     /// Whether an operator guarantees that the host sends nothing.
     removed: bool,
     connected: bool,
     incarnation: Option<u64>,
-    /// When the last attempt is over, at the host and at the node, that an earlier incarnation may
-    /// have had in flight, or this incarnation before its connection was lost.
+    /// When the last uncounted attempt has ended, at the host and at the node. Uncounted are those
+    /// that an earlier incarnation had in flight, or this one before its connection was lost.
     unaccounted_until: Duration,
 }
 
-/// All hosts; see the module.
+/// All hosts; see the module documentation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct HostTable {
     /// The longest time that an attempt may take.
@@ -37,8 +38,8 @@
 }
 
 impl HostTable {
-    /// The hosts at a start of this process. They may have lost, and forgotten, attempts that were
-    /// in flight before.
+    /// Creates the table at the start of this process. Attempts from before the start may still be
+    /// in flight, and hosts that restarted meanwhile no longer count them.
     pub fn new(
         now: Duration,
         max_attempt_time: Duration,
@@ -57,34 +58,34 @@
         }
     }
 
-    /// A host has acknowledged the catalog up to `version`.
+    /// Records that a host has acknowledged the catalog up to `version`.
     pub fn set_acknowledged(&mut self, number: HostNumber, version: Option<Version>) {
         let host = self.hosts.entry(number).or_default();
-        // A new acknowledgement shows that the host is not removed, despite the operator's earlier
+        // A new acknowledgement shows that the host is running, despite the operator's earlier
         // guarantee.
         host.removed &= host.acknowledged == version;
         host.acknowledged = version;
     }
 
-    /// An operator guarantees that a host sends nothing.
+    /// Records that an operator guarantees that a host sends nothing.
     pub fn set_removed(&mut self, number: HostNumber) {
         self.hosts.entry(number).or_default().removed = true;
     }
 
-    /// A host is connected.
+    /// Records that a host has connected.
     pub fn set_connected(&mut self, now: Duration, number: HostNumber, incarnation: u64) {
         let unaccounted_until = self.unaccounted_until(now);
         let host = self.hosts.entry(number).or_default();
         host.connected = true;
         host.removed = false;
-        // An earlier incarnation may have sent up to now. The same incarnation counts its attempts
-        // in flight itself.
+        // An earlier incarnation may have sent attempts until now. If the incarnation is the same,
+        // it counts its attempts in flight itself.
         if host.incarnation.replace(incarnation) != Some(incarnation) {
             host.unaccounted_until = unaccounted_until;
         }
     }
 
-    /// A host's connection is lost.
+    /// Records that a host's connection was lost.
     pub fn set_disconnected(&mut self, now: Duration, number: HostNumber) {
         let unaccounted_until = self.unaccounted_until(now);
         let host = self.hosts.entry(number).or_default();
@@ -92,12 +93,12 @@
         host.unaccounted_until = unaccounted_until;
     }
 
-    /// Returns whether a host is connected.
     pub fn is_connected(&self, number: HostNumber) -> bool {
         self.hosts.get(&number).is_some_and(|host| host.connected)
     }
 
-    /// Hosts that may still send by a version before `version`, and whether they are connected.
+    /// Returns the hosts that may still send attempts decided on a version before `version`, and
+    /// whether each is connected.
     pub fn unnotified(&self, version: Version) -> Vec<(HostNumber, bool)> {
         let may_send =
             |host: &Host| !host.removed && host.acknowledged.is_some_and(|known| known < version);
@@ -108,23 +109,24 @@
             .collect()
     }
 
-    /// When the last attempt in flight from any host to a node is over, as far as is known. None
-    /// while a host still counts attempts, or has not counted them since it follows the drain.
-    pub fn quiet_at(&self, node: &Node) -> Option<Duration> {
+    /// Returns when the last attempt of any host at a node has ended, as far as is known. `None`
+    /// while a connected host has attempts in flight, or has not counted them since it applied the
+    /// drain.
+    pub fn quiescent_at(&self, node: &Node) -> Option<Duration> {
         let version = node.drain.as_ref()?.version;
-        let mut quiet_at = Duration::ZERO;
+        let mut quiescent_at = Duration::ZERO;
         for (number, host) in &self.hosts {
             if host.acknowledged.is_none() {
                 continue;
             }
-            let mut quiet_at_host = host.unaccounted_until;
+            let mut quiescent_at_host = host.unaccounted_until;
             if host.connected {
                 let report = node.reports.get(number)?;
-                quiet_at_host = quiet_at_host.max(report.resolved_at(version)?);
+                quiescent_at_host = quiescent_at_host.max(report.resolved_at(version)?);
             }
-            quiet_at = quiet_at.max(quiet_at_host);
+            quiescent_at = quiescent_at.max(quiescent_at_host);
         }
-        Some(quiet_at)
+        Some(quiescent_at)
     }
 
     fn unaccounted_until(&self, now: Duration) -> Duration {
--- a/crates/membership/src/drains/messages.rs
+++ b/crates/membership/src/drains/messages.rs
@@ -1,6 +1,6 @@
-//! The input and output of the membership: events and actions.
+//! The input and output of the membership state machine: events and actions.
 //!
-//! Plain data: the catalog service makes the events and performs the actions. Owns no state.
+//! The catalog service creates the events and performs the actions.
 
 use crate::answers::Answers;
 use crate::list_reading::ListedState;
@@ -12,27 +12,28 @@
 /// One host's observation of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct NodeObservation {
-    /// The node's state in the host's endpoint list.
+    /// The node's state in the endpoint list that the host has.
     pub listed: ListedState,
-    /// The incarnation of the node's process that the list names.
+    /// The incarnation of the node's process that the list refers to.
     pub incarnation: u64,
-    /// Time since that incarnation started; None: long ago.
+    /// Time since that incarnation started. `None` if it started long ago.
     pub age: Option<Duration>,
-    /// The revision of the endpoint list; 0: from the host's cache.
+    /// The revision of the endpoint list; 0 for a list from the host's cache.
     pub revision: u64,
-    /// The node's answers to the host.
+    /// How well the node responds to the host's attempts.
     pub answers: Answers,
-    /// The version of the catalog that the host followed when it counted its attempts.
+    /// The version of the catalog that the host had applied when it counted its attempts.
     pub catalog_version: Version,
-    /// Attempts in flight.
+    /// Number of the host's attempts in flight at the node.
     pub attempts: u32,
-    /// Longest remaining time at the node of attempts without a known outcome.
+    /// Longest time for which attempts without a known outcome may still run at the node.
     pub unresolved_for: Duration,
-    /// Extents that the host's portal knows to lie on the node; None: the host has no portal.
+    /// Number of extents on the node that the host's iSCSI portal knows of. `None` if the host has no
+    /// portal.
     pub extents: Option<u64>,
 }
 
-/// The facts of a node in the catalog.
+/// The attributes of a node in the catalog.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct NodeFacts {
     /// The node's name.
@@ -43,55 +44,56 @@
     pub shard: u32,
 }
 
-/// The number of a proposal to the catalog.
+/// The number of a proposal to the catalog, which its outcome refers to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId(pub u64);
 
-/// An input of the membership.
+/// An input of the membership state machine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A node of the catalog, as it was persisted.
+    /// A change of a node in the catalog was persisted.
     Node {
         /// The node's number.
         node: u32,
-        /// The node's facts; None: the node was removed from the catalog.
+        /// The node's new attributes. `None` if the node was removed from the catalog.
         to: Option<NodeFacts>,
     },
-    /// A drain, as it was persisted.
+    /// A change of a drain in the catalog was persisted.
     Drain {
-        /// The node.
+        /// The number of the drained node.
         node: u32,
-        /// The drain; None: the drain has ended.
+        /// The new drain. `None` if the drain has ended.
         to: Option<Drain>,
-        /// The catalog's version with this change.
+        /// The version of the catalog that contains this change.
         version: Version,
     },
-    /// The catalog is persisted up to that version.
+    /// The catalog was persisted up to a version.
     Persisted {
         /// The persisted version.
         version: Version,
     },
-    /// A host has acknowledged the catalog: it sends no more attempts decided on an older version.
+    /// A host has acknowledged a version of the catalog. From then on it sends no attempt that was
+    /// decided on an older version.
     Acknowledged {
         /// The host.
         host: HostNumber,
-        /// The acknowledged version; None: the host never acknowledged one.
+        /// The acknowledged version. `None` if the host never acknowledged one.
         version: Option<Version>,
     },
-    /// An operator guarantees that a host sends nothing, until the host connects or acknowledges
-    /// again.
+    /// An operator guarantees that a host sends nothing. The guarantee ends when the host connects
+    /// or acknowledges again.
     HostRemoved {
         /// The host.
         host: HostNumber,
     },
-    /// A host is connected.
+    /// A host has connected to the catalog service.
     HostConnected {
         /// The host.
         host: HostNumber,
         /// The incarnation of the host's process.
         incarnation: u64,
     },
-    /// A host's connection is lost.
+    /// A host's connection was lost.
     HostDisconnected {
         /// The host.
         host: HostNumber,
@@ -100,9 +102,9 @@
     Observed {
         /// The host.
         host: HostNumber,
-        /// The node.
+        /// The number of the observed node.
         node: u32,
-        /// The observation.
+        /// The observation, which replaces the host's former observation of the node.
         observation: NodeObservation,
     },
     /// A proposal was committed.
@@ -114,39 +116,39 @@
     Rejected {
         /// The proposal.
         proposal: ProposalId,
-        /// The reason of the rejection.
+        /// The reason for the rejection.
         reason: String,
     },
 }
 
-/// An output of the membership.
+/// An output of the membership state machine, to be performed by its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Propose a change of a drain to the catalog.
     Propose {
-        /// The number that the event of the outcome refers to.
+        /// The number that [`Event::Committed`] or [`Event::Rejected`] refers to.
         proposal: ProposalId,
-        /// The node.
+        /// The number of the drained node.
         node: u32,
-        /// The proposed drain; None: the end of the drain.
+        /// The proposed drain. `None` proposes to end the drain.
         to: Option<Drain>,
         /// The version of the catalog on which the proposal is based.
         base_version: Version,
-        /// The reason, for the audit log.
+        /// The reason for the change, for the audit log.
         reason: String,
     },
-    /// Report to admission whether a node counts as unavailable.
+    /// Tell admission whether a node counts as unavailable.
     SetExclusion {
-        /// The node.
+        /// The node's number.
         node: u32,
-        /// The reason why the node is unavailable; None: the node is available.
+        /// The reason why the node is unavailable. `None` if it is available.
         reason: Option<ExclusionReason>,
     },
-    /// Notify operators of a change of a node.
+    /// Notify operators that a node's status or drain has changed.
     Notify {
-        /// The node.
+        /// The node's number.
         node: u32,
-        /// The notice.
+        /// The text of the notice.
         text: String,
     },
 }
--- a/crates/membership/src/drains/nodes.rs
+++ b/crates/membership/src/drains/nodes.rs
@@ -1,13 +1,15 @@
-//! The nodes: their facts and drains by the catalog, the reports of hosts, and their status.
+//! The table of nodes: their attributes and drains from the catalog, the reports of hosts, and their
+//! status.
 //!
 //! [`Membership`](super::Membership) calls [`NodeTable`] for each event of a node; only this module
-//! changes a [`Node`]. Memory: an entry for each node, and a report of each host on each node.
+//! changes a [`Node`]. The table holds an entry for each node, and a report of each host on each
+//! node.
 
 use super::drain_state::DrainState;
 use super::messages::{NodeFacts, NodeObservation, ProposalId};
 use crate::answers::Answers;
-use crate::list_reading::{ListReading, ListedState};
-use crate::node_status::{Authority, NodeStatus};
+use crate::list_reading::{ListEntry, ListedState};
+use crate::node_status::{NodeStatus, StatusSource};
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::records::{Stage, Version};
@@ -20,14 +22,14 @@
     pub observation: NodeObservation,
     /// When the report was received, by this process's clock.
     pub received: Duration,
-    /// When the node's process started, by this process's clock, computed at the first report on
-    /// that incarnation.
+    /// When the node's process started, by this process's clock. It is computed at the first
+    /// report on that incarnation.
     pub started: Option<Duration>,
 }
 
 impl Report {
-    fn list_reading(&self) -> ListReading {
-        ListReading {
+    fn list_reading(&self) -> ListEntry {
+        ListEntry {
             state: self.observation.listed,
             incarnation: self.observation.incarnation,
             started: self.started,
@@ -35,51 +37,53 @@
         }
     }
 
-    /// When the last of the host's attempts is over at the node. None if the host counted its
-    /// attempts before it followed `version`, or has attempts in flight.
+    /// Returns when the last of the host's attempts has ended at the node. `None` if the host has
+    /// attempts in flight, or counted them before it applied `version`.
     pub fn resolved_at(&self, version: Version) -> Option<Duration> {
         let counted = self.observation.catalog_version >= version;
-        let is_quiet = counted && self.observation.attempts == 0;
-        is_quiet.then(|| self.received + self.observation.unresolved_for)
+        let is_quiescent = counted && self.observation.attempts == 0;
+        is_quiescent.then(|| self.received + self.observation.unresolved_for)
     }
 }
 
-/// A node's record.
+/// The state of one node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct Node {
     pub facts: NodeFacts,
     /// Whether the node is in the catalog.
-    pub known: bool,
-    /// The last report of each host.
+    pub in_catalog: bool,
+    /// The last report of each host on this node.
     pub reports: BTreeMap<HostNumber, Report>,
     pub drain: Option<DrainState>,
     pub status: NodeStatus,
     /// The source that decided the status.
-    pub authority: Authority,
+    pub authority: StatusSource,
     /// The exclusion that was last reported to admission.
     pub exclusion: Option<ExclusionReason>,
 }
 
 impl Node {
-    /// The reading of the endpoint list that takes precedence over all other hosts' readings.
-    pub fn list_reading(&self) -> Option<ListReading> {
-        let readings = self.reports.values().map(Report::list_reading);
-        let listed = readings.filter(|reading| reading.state != ListedState::Never);
-        listed.reduce(|best, reading| {
-            if reading.supersedes(&best) {
-                reading
-            } else {
-                best
-            }
-        })
-    }
-
-    /// The stage of the node's drain; None: it is not drained.
+    /// Returns the entry in the endpoint list that takes precedence among those of all hosts.
+    pub fn list_reading(&self) -> Option<ListEntry> {
+        let entries = self.reports.values().map(Report::list_reading);
+        let listed = entries.filter(|entry| entry.state != ListedState::Never);
+        listed.reduce(
+            |best, entry| {
+                if entry.supersedes(&best) {
+                    entry
+                } else {
+                    best
+                }
+            },
+        )
+    }
+
+    /// Returns the stage of the node's drain. `None` if the node has no drain.
     pub fn drain_stage(&self) -> Option<Stage> {
         self.drain.as_ref().map(|drain| drain.stage)
     }
 
-    /// Returns whether hosts send the node nothing new, by the catalog.
+    /// Returns whether the node's drain in the catalog forbids hosts to send it new requests.
     pub fn blocks_new_requests(&self) -> bool {
         self.drain_stage()
             .is_some_and(|stage| stage != Stage::Queued)
@@ -95,53 +99,52 @@
     }
 }
 
-/// All nodes; see the module.
+/// All nodes; see the module documentation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub(super) struct NodeTable {
     nodes: BTreeMap<u32, Node>,
-    /// Nodes whose status must be computed again.
+    /// Nodes whose status must be recomputed.
     changed: BTreeSet<u32>,
 }
 
 impl NodeTable {
-    /// A node, by its number.
+    /// Returns a node by its number.
     pub fn get(&self, number: u32) -> Option<&Node> {
         self.nodes.get(&number)
     }
 
-    /// All nodes, by number.
+    /// Returns all nodes in the order of their numbers.
     pub fn iter(&self) -> impl Iterator<Item = (u32, &Node)> {
         self.nodes.iter().map(|(number, node)| (*number, node))
     }
 
-    /// Takes the numbers of the nodes that changed.
+    /// Returns the numbers of the nodes that changed since the last call.
     pub fn take_changed(&mut self) -> BTreeSet<u32> {
         std::mem::take(&mut self.changed)
     }
 
-    /// Sets a node's facts; None: the catalog no longer has the node.
+    /// Sets a node's attributes. `None` if the catalog no longer contains the node.
     pub fn set_facts(&mut self, number: u32, facts: Option<NodeFacts>) {
-        let node = self.change(number);
-        node.known = facts.is_some();
+        let node = self.changed_node_mut(number);
+        node.in_catalog = facts.is_some();
         node.facts = facts.unwrap_or_default();
     }
 
-    /// Takes a node's drain, which has ended or is to be replaced.
+    /// Removes and returns a node's drain, which has ended or will be replaced.
     pub fn take_drain(&mut self, number: u32) -> Option<DrainState> {
-        self.change(number).drain.take()
+        self.changed_node_mut(number).drain.take()
     }
 
-    /// Sets a node's drain.
     pub fn set_drain(&mut self, number: u32, drain: DrainState) {
-        self.change(number).drain = Some(drain);
+        self.changed_node_mut(number).drain = Some(drain);
     }
 
-    /// A node's drain, for its next stage.
+    /// Returns a node's drain for changes that do not affect the node's status.
     pub fn drain_mut(&mut self, number: u32) -> Option<&mut DrainState> {
         self.nodes.get_mut(&number)?.drain.as_mut()
     }
 
-    /// The drain that waits for the outcome of a proposal.
+    /// Returns the drain that waits for the outcome of a proposal.
     pub fn drain_awaiting(&mut self, proposal: ProposalId) -> Option<&mut DrainState> {
         self.nodes
             .values_mut()
@@ -149,7 +152,7 @@
             .find(|drain| drain.awaits(proposal))
     }
 
-    /// Records a host's observation.
+    /// Records a host's observation of a node.
     pub fn observe(
         &mut self,
         now: Duration,
@@ -157,9 +160,10 @@
         number: u32,
         observation: NodeObservation,
     ) {
-        let node = self.change(number);
+        let node = self.changed_node_mut(number);
         let earlier = node.reports.get(&host);
-        // One incarnation has one start. Otherwise, each observation would look like a restart.
+        // The start time of an incarnation must stay the same: a start time computed anew from each
+        // observation would differ slightly and look like a restart.
         let earlier =
             earlier.filter(|report| report.observation.incarnation == observation.incarnation);
         let started = earlier.and_then(|report| report.started);
@@ -173,9 +177,9 @@
         node.update_peak_attempts();
     }
 
-    /// Discards the counts and answers of a host whose connection is lost. The next incarnation may
-    /// know less than the one that counted; its attempts must not be missed because the former
-    /// incarnation had none.
+    /// Discards the attempt counts and the health that a host reported before its connection was
+    /// lost. The next incarnation may have persisted an older version of the catalog than the one
+    /// that counted: a count of zero from the former incarnation says nothing about its attempts.
     pub fn discard_counts(&mut self, host: HostNumber) {
         for node in self.nodes.values_mut() {
             if let Some(report) = node.reports.get_mut(&host) {
@@ -185,26 +189,26 @@
         }
     }
 
-    /// Sets a node's status, and returns the former status.
+    /// Sets a node's status and its source. Returns the former status.
     pub fn set_status(
         &mut self,
         number: u32,
         status: NodeStatus,
-        authority: Authority,
+        authority: StatusSource,
     ) -> NodeStatus {
         let node = self.nodes.entry(number).or_default();
         node.authority = authority;
         std::mem::replace(&mut node.status, status)
     }
 
-    /// Sets the exclusion of a node that is reported to admission; returns whether it changed.
+    /// Sets the exclusion of a node that is reported to admission. Returns whether it changed.
     pub fn set_exclusion(&mut self, number: u32, exclusion: Option<ExclusionReason>) -> bool {
         let node = self.nodes.entry(number).or_default();
         std::mem::replace(&mut node.exclusion, exclusion) != exclusion
     }
 
-    /// A node whose status must be computed again.
-    fn change(&mut self, number: u32) -> &mut Node {
+    /// Returns a node, and marks it so that its status is recomputed.
+    fn changed_node_mut(&mut self, number: u32) -> &mut Node {
         self.changed.insert(number);
         self.nodes.entry(number).or_default()
     }
--- a/crates/membership/src/drains/stages.rs
+++ b/crates/membership/src/drains/stages.rs
@@ -1,10 +1,10 @@
-//! When a drain goes to its next stage, and what blocks it.
+//! Decides when a drain enters its next stage, and what blocks it.
 //!
-//! [`Membership`](super::Membership) calls [`StageMachine::propose`] at each step. State: the
-//! number of the last proposal, and whether queued drains must be tried again. The drains
+//! [`Membership`](super::Membership) calls [`StageMachine::propose`] at each step. The state machine
+//! keeps the number of the last proposal, and whether queued drains must be retried. The drains
 //! themselves are in the node table.
 
-use super::drain_state::{DrainState, Pending};
+use super::drain_state::{DrainState, PendingProposal};
 use super::hosts::HostTable;
 use super::messages::{Action, ProposalId};
 use super::nodes::{Node, NodeTable};
@@ -14,14 +14,14 @@
 use std::hash::{Hash, Hasher};
 use std::time::Duration;
 
-/// Time after which a queued drain is proposed again if nothing known here has changed: what blocks
-/// it may be elsewhere in the catalog. A longer interval starts drains later; a shorter one burdens
-/// the catalog with proposals.
+/// Time after which a queued drain is proposed again although no event has occurred: what blocks it
+/// may be in a part of the catalog that [`Membership`](super::Membership) does not receive. A longer
+/// interval starts drains later; a shorter one loads the catalog with proposals.
 const RETRY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A step of a drain, to be proposed.
+/// The change of a drain's stage that is to be proposed.
 struct NextStage {
-    /// The next stage; None: the drain ends, and the node serves again.
+    /// The next stage. `None` if the drain ends and the node accepts requests again.
     stage: Option<Stage>,
     reason: String,
 }
@@ -35,7 +35,7 @@
     }
 }
 
-/// The facts on which a step's decisions rest.
+/// The state of the membership that the decisions of one step depend on.
 #[derive(Clone, Copy)]
 pub(super) struct StageContext<'a> {
     pub now: Duration,
@@ -44,15 +44,16 @@
     pub hosts: &'a HostTable,
 }
 
-/// Decides the stages of all drains; see the module.
+/// Decides the stages of all drains; see the module documentation.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub(super) struct StageMachine {
     last_proposal: u64,
-    /// Whether something changed that a queued drain may have waited for.
+    /// Whether a change may have unblocked a queued drain.
     retry_queued: bool,
 }
 
-/// For state exploration: the number of earlier proposals makes no difference to later states.
+/// The state exploration in the tests compares states by their hash. The number of earlier proposals
+/// has no influence on later states, and is left out.
 impl Hash for StageMachine {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.retry_queued.hash(state);
@@ -60,13 +61,12 @@
 }
 
 impl StageMachine {
-    /// Queued drains are tried again at the next step, since something changed that they may have
-    /// waited for.
+    /// Retries all queued drains at the next step, after a change that may have unblocked them.
     pub fn retry_queued(&mut self) {
         self.retry_queued = true;
     }
 
-    /// Proposes the next stage of each drain that can continue.
+    /// Proposes the next stage of each drain that can advance.
     pub fn propose(
         &mut self,
         context: StageContext,
@@ -82,8 +82,8 @@
         self.retry_queued = false;
     }
 
-    /// Records the outcome of a proposal. The change that a committed proposal made comes as an
-    /// event of the catalog.
+    /// Records the outcome of a proposal. The change itself, if the proposal was committed, arrives
+    /// as [`Event::Drain`](super::Event::Drain).
     pub fn end_proposal(
         &mut self,
         now: Duration,
@@ -93,7 +93,7 @@
     ) {
         if let Some(drain) = nodes.drain_awaiting(proposal) {
             drain.pending = None;
-            drain.waits_for = reason;
+            drain.blocked_by = reason;
             drain.retry_at = now + RETRY_INTERVAL;
         }
     }
@@ -108,7 +108,7 @@
         self.last_proposal += 1;
         let proposal = ProposalId(self.last_proposal);
         let drain = nodes.drain_mut(number)?;
-        drain.pending = Some(Pending {
+        drain.pending = Some(PendingProposal {
             proposal,
             stage: next.stage,
         });
@@ -128,7 +128,7 @@
         })
     }
 
-    /// The next stage of a drain; None: it stays at its stage.
+    /// Returns the next stage of a drain. `None` if it stays at its stage.
     fn next_stage(
         &self,
         context: StageContext,
@@ -148,50 +148,53 @@
         }
     }
 
-    /// A queued drain begins when nothing known here blocks it.
+    /// A queued drain begins when nothing known to the membership blocks it.
     fn after_queued(&self, now: Duration, nodes: &mut NodeTable, number: u32) -> Option<NextStage> {
         let blocked_by = blocked_by(nodes, number);
         let drain = nodes.drain_mut(number)?;
         if let Some(reason) = blocked_by {
-            drain.waits_for = reason;
+            drain.blocked_by = reason;
             drain.retry_at = now + RETRY_INTERVAL;
             return None;
         }
         let due = self.retry_queued || drain.retry_at <= now;
-        due.then(|| NextStage::new(Stage::Draining, "its turn has come"))
+        due.then(|| NextStage::new(Stage::Draining, "no conflict in its zone"))
     }
 }
 
-/// A drain is finished when every host is notified and quiet. It is given up when it expires.
+/// A node is drained when every host is notified and quiescent. Its drain is canceled at the timeout.
 fn after_draining(context: StageContext, node: &Node, drain: &DrainState) -> Option<NextStage> {
     let notified = context.hosts.unnotified(drain.version).is_empty();
-    let is_quiet = || {
-        let quiet_at = context.hosts.quiet_at(node);
-        quiet_at.is_some_and(|at| at <= context.now)
+    let is_quiescent = || {
+        let quiescent_at = context.hosts.quiescent_at(node);
+        quiescent_at.is_some_and(|at| at <= context.now)
     };
-    if notified && is_quiet() {
-        let reason = "nothing is under way at any host";
+    if notified && is_quiescent() {
+        let reason = "no host has an attempt in flight";
         return Some(NextStage::new(Stage::Drained, reason));
     }
     let expired = drain.expires_at.is_some_and(|at| at <= context.now);
     expired.then(|| NextStage {
         stage: None,
-        reason: format!("given up: not empty within {}", span_text(drain.timeout)),
+        reason: format!(
+            "canceled: node not drained within {}",
+            format_duration(drain.timeout)
+        ),
     })
 }
 
-/// A drained node counts as removed when the endpoint list no longer has it.
+/// A drained node counts as removed when the endpoint list no longer contains it.
 fn after_drained(node: &Node) -> Option<NextStage> {
     let gone = node
         .list_reading()
-        .is_some_and(|reading| reading.state == ListedState::Gone);
-    gone.then(|| NextStage::new(Stage::Removed, "the list says that it is gone"))
+        .is_some_and(|entry| entry.state == ListedState::Gone);
+    gone.then(|| NextStage::new(Stage::Removed, "the endpoint list no longer contains it"))
 }
 
-/// The reason why a queued drain cannot begin, as far as is known here.
+/// Returns the reason why a queued drain cannot begin, as far as it is known to the membership.
 fn blocked_by(nodes: &NodeTable, number: u32) -> Option<String> {
     if let Some(other) = earlier_in_queue(nodes, number) {
-        return Some(format!("node {other} of its zone asked before it"));
+        return Some(format!("node {other} of the same zone was queued first"));
     }
     let texts: Vec<String> = conflicts(nodes, number)
         .iter()
@@ -200,7 +203,7 @@
     (!texts.is_empty()).then(|| texts.join(" and "))
 }
 
-/// The node of a queued drain in the same zone that was requested earlier.
+/// Returns the node in the same zone whose queued drain was requested first, if that is another node.
 fn earlier_in_queue(nodes: &NodeTable, number: u32) -> Option<u32> {
     let node = nodes.get(number)?;
     let requested_at = |node: &Node| {
@@ -218,7 +221,8 @@
     earliest.map(|(_, number)| number)
 }
 
-/// Unavailable nodes of the same zone, as far as is known here.
+/// Returns the unavailable nodes of the same zone, as far as they are known to the membership, and why
+/// each is unavailable.
 fn conflicts(nodes: &NodeTable, number: u32) -> Vec<(u32, ExclusionReason)> {
     let zone = |node: u32| nodes.get(node).map(|node| node.facts.zone.clone());
     let excluded = nodes.iter().filter_map(|(number, node)| {
@@ -230,20 +234,23 @@
     excluded_in_zone(number, zone, excluded)
 }
 
-/// When time alone may change the stage of a node's drain.
+/// Returns when the next timer of a node's drain expires.
 pub(super) fn due_at(hosts: &HostTable, node: &Node) -> Option<Duration> {
     let drain = node.drain.as_ref()?;
     let is_draining = drain.stage == Stage::Draining;
-    let quiet_at = is_draining.then(|| hosts.quiet_at(node)).flatten();
+    let quiescent_at = is_draining.then(|| hosts.quiescent_at(node)).flatten();
     if drain.pending.is_some() {
-        return quiet_at;
+        return quiescent_at;
     }
     let retry_at = (drain.stage == Stage::Queued).then_some(drain.retry_at);
     let expires_at = drain.expires_at.filter(|_| is_draining);
-    [quiet_at, retry_at, expires_at].into_iter().flatten().min()
+    [quiescent_at, retry_at, expires_at]
+        .into_iter()
+        .flatten()
+        .min()
 }
 
-fn span_text(span: Duration) -> String {
+fn format_duration(span: Duration) -> String {
     match span.as_secs() {
         seconds if seconds < 10 => format!("{:.1} s", span.as_secs_f64()),
         seconds if seconds < 120 => format!("{seconds} s"),
--- a/crates/membership/src/drains/status.rs
+++ b/crates/membership/src/drains/status.rs
@@ -1,17 +1,16 @@
-//! The evidence on each node's status, and the status that admission counts.
+//! Collects the evidence on each node's status, and decides which nodes admission must exclude.
 //!
-//! [`Membership`](super::Membership) calls [`StatusRules`] for each node that changed. State: the
-//! warm-up time only.
+//! [`Membership`](super::Membership) calls [`StatusRules`] for each node that changed.
 
 use super::nodes::Node;
 use crate::answers::Answers;
-use crate::list_reading::ListReading;
+use crate::list_reading::ListEntry;
 use crate::node_status::{Evidence, NodeStatus};
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::records::Stage;
 use std::time::Duration;
 
-/// Collects the evidence on nodes; see the module.
+/// Collects the evidence on the status of nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct StatusRules {
     /// Time from a node's start until it has its full capacity.
@@ -19,53 +18,49 @@
 }
 
 impl StatusRules {
-    /// `warm_up_time`: time from a node's start until it has its full capacity.
     pub fn new(warm_up_time: Duration) -> Self {
         StatusRules { warm_up_time }
     }
 
-    /// When a node that is warming up has its full capacity.
+    /// Returns when a node that is warming up has its full capacity. `None` if it is not warming up.
     pub fn warm_at(&self, node: &Node) -> Option<Duration> {
         let warming = node.status == NodeStatus::Warming;
-        let reading = node.list_reading().filter(|_| warming);
-        Some(reading?.started? + self.warm_up_time)
+        let entry = node.list_reading().filter(|_| warming);
+        Some(entry?.started? + self.warm_up_time)
     }
 
-    /// The evidence on a node. `now`: this process's clock; `wall`: since 1970.
+    /// Returns the evidence on a node. `now` is the time of this process's clock, and `wall` the
+    /// wall-clock time since 1970.
     pub fn evidence(&self, now: Duration, wall: Duration, node: &Node) -> Evidence {
-        let reading = node.list_reading().unwrap_or_default();
-        let warm_at = reading.started.map(|started| started + self.warm_up_time);
+        let entry = node.list_reading().unwrap_or_default();
+        let warm_at = entry.started.map(|started| started + self.warm_up_time);
         Evidence {
             drain: node.drain_stage(),
-            listed: reading.state,
-            answers: best_answers(node, reading.incarnation),
+            listed: entry.state,
+            answers: best_answers(node, entry.incarnation),
             warming: warm_at.is_some_and(|at| now < at),
-            restarted: restarted_since_removal(now, wall, node, &reading),
+            restarted_after_removal: restarted_since_removal(now, wall, node, &entry),
         }
     }
 }
 
-/// Returns whether the node's process started after the node was removed. Compares by the wall
-/// clock, because the catalog's times are by that clock.
-fn restarted_since_removal(
-    now: Duration,
-    wall: Duration,
-    node: &Node,
-    reading: &ListReading,
-) -> bool {
+/// Returns whether the node's process started after the node was removed. Compares wall-clock times,
+/// because the catalog records wall-clock times.
+fn restarted_since_removal(now: Duration, wall: Duration, node: &Node, entry: &ListEntry) -> bool {
     let removal = node.drain.as_ref();
     let Some(removal) = removal.filter(|drain| drain.stage == Stage::Removed) else {
         return false;
     };
-    let Some(started) = reading.started else {
+    let Some(started) = entry.started else {
         return false;
     };
     let age = now.saturating_sub(started);
     wall.saturating_sub(age) > removal.since
 }
 
-/// The answers of a node's present incarnation. One host's good report counts more than any number
-/// of bad ones: with these hosts, the path to the node is at fault.
+/// Returns the best health that any host reports of a node's current incarnation. One good report
+/// outweighs any number of bad ones: if the node responds well to one host, the fault is on the
+/// network path of the others.
 fn best_answers(node: &Node, incarnation: u64) -> Answers {
     let reports = node.reports.values().map(|report| report.observation);
     let current = reports.filter(|observation| observation.incarnation == incarnation);
@@ -78,10 +73,10 @@
     best.unwrap_or_default()
 }
 
-/// The reason why admission counts a node as unavailable.
+/// Returns the reason why admission must count a node as unavailable. `None` if it is available.
 pub(super) fn exclusion(node: &Node, status: NodeStatus) -> Option<ExclusionReason> {
     match status {
-        _ if !node.known => None,
+        _ if !node.in_catalog => None,
         NodeStatus::Warming => Some(ExclusionReason::Warming),
         NodeStatus::Suspect => Some(ExclusionReason::Suspect),
         // Admission knows from the catalog which nodes are drained.
--- a/crates/membership/src/drains/view.rs
+++ b/crates/membership/src/drains/view.rs
@@ -1,13 +1,13 @@
-//! Nodes and their drains, as operators see them.
+//! Views of nodes and their drains for operators.
 //!
-//! The catalog service calls it for each query of nodes and drains. Owns no state.
+//! The catalog service reads them to answer queries about nodes and drains.
 
 use super::drain_state::DrainState;
 use super::messages::NodeFacts;
 use super::nodes::{Node, NodeTable};
 use super::Membership;
-use crate::list_reading::ListReading;
-use crate::node_status::{Authority, NodeStatus};
+use crate::list_reading::ListEntry;
+use crate::node_status::{NodeStatus, StatusSource};
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::records::Stage;
 use std::time::Duration;
@@ -17,21 +17,21 @@
 pub enum Phase {
     /// The drain is queued.
     Waiting {
-        /// The reason why the drain does not begin.
+        /// The reason why the drain cannot begin.
         reason: String,
     },
     /// Some hosts have not acknowledged the drain.
     Notifying {
-        /// The hosts that have not acknowledged, and whether they are connected.
+        /// The hosts that have not acknowledged, and whether each is connected.
         hosts: Vec<(HostNumber, bool)>,
     },
     /// All hosts are notified, and attempts may still be in flight.
     Quiescing {
-        /// Attempts in flight.
+        /// Number of attempts in flight at the node.
         attempts: u32,
-        /// The most attempts in flight since the drain began.
+        /// The largest number of attempts in flight since draining began.
         peak_attempts: u32,
-        /// Longest remaining time of attempts without a known outcome.
+        /// Longest time for which attempts without a known outcome may still run at the node.
         unresolved_for: Duration,
     },
     /// No attempt is in flight at the node.
@@ -43,26 +43,26 @@
     Removed,
 }
 
-/// A node, as operators see it.
+/// The view of a node for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NodeView<'a> {
     /// The node's number.
     pub node: u32,
-    /// The node's facts in the catalog.
+    /// The node's attributes in the catalog.
     pub facts: &'a NodeFacts,
     /// The node's status.
     pub status: NodeStatus,
     /// The source that decided the status.
-    pub authority: Authority,
-    /// The reading of the endpoint list that takes precedence.
-    pub list_reading: ListReading,
-    /// Time since the node's process started; None: a long time, or unknown.
+    pub authority: StatusSource,
+    /// The node's entry in the endpoint list that takes precedence among those of all hosts.
+    pub list_reading: ListEntry,
+    /// Time since the node's process started. `None` if it started long ago or the time is unknown.
     pub uptime: Option<Duration>,
     /// The node's drain, if there is one.
     pub drain: Option<DrainView<'a>>,
 }
 
-/// A drain, as operators see it.
+/// The view of a drain for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DrainView<'a> {
     /// The operator who requested the drain.
@@ -71,29 +71,30 @@
     pub requested_at: Duration,
     /// When the stage last changed, since 1970.
     pub since: Duration,
-    /// Time until the drain is given up; None: never, or the node is not draining.
+    /// Time until the drain is canceled. `None` if it has no timeout or the node is not draining.
     pub time_left: Option<Duration>,
     /// The progress of the drain.
     pub phase: Phase,
-    /// Extents that lie on the node and on no other serving node; None: unknown.
+    /// Number of extents that are stored on the node and on no other available node. `None` if
+    /// unknown.
     pub sole_extents: Option<u64>,
 }
 
 impl Membership {
-    /// All nodes of the catalog. `unmet_reservations`: reservations that cannot be met at present,
-    /// units a second; they are an objection to the removal of a node.
+    /// Returns all nodes of the catalog. `unmet_reservations` are the reservations that cannot be
+    /// met at present, in units a second; they are an objection to the removal of a node.
     pub fn nodes(&self, unmet_reservations: f64) -> impl Iterator<Item = NodeView<'_>> + '_ {
-        let known = self.nodes.iter().filter(|(_, node)| node.known);
-        known.map(move |(number, node)| self.node_view(number, node, unmet_reservations))
+        let listed = self.nodes.iter().filter(|(_, node)| node.in_catalog);
+        listed.map(move |(number, node)| self.node_view(number, node, unmet_reservations))
     }
 
-    /// One node of the catalog.
+    /// Returns one node of the catalog.
     pub fn node(&self, number: u32, unmet_reservations: f64) -> Option<NodeView<'_>> {
-        let node = self.nodes.get(number).filter(|node| node.known)?;
+        let node = self.nodes.get(number).filter(|node| node.in_catalog)?;
         Some(self.node_view(number, node, unmet_reservations))
     }
 
-    /// The status of a node.
+    /// Returns the status of a node.
     pub fn node_status(&self, number: u32) -> NodeStatus {
         let node = self.nodes.get(number);
         node.map_or(NodeStatus::Unknown, |node| node.status)
@@ -126,7 +127,7 @@
         let sole_extents = sole_extents(&self.nodes, number, node);
         let phase = match drain.stage {
             Stage::Queued => Phase::Waiting {
-                reason: drain.waits_for.clone(),
+                reason: drain.blocked_by.clone(),
             },
             Stage::Draining => self.draining_phase(node, drain),
             Stage::Drained => Phase::Drained {
@@ -150,15 +151,15 @@
         if !hosts.is_empty() {
             return Phase::Notifying { hosts };
         }
-        let quiet_at = self.hosts.quiet_at(node).unwrap_or(self.now);
+        let quiescent_at = self.hosts.quiescent_at(node).unwrap_or(self.now);
         Phase::Quiescing {
             attempts: self.attempts_in_flight(node),
             peak_attempts: drain.peak_attempts,
-            unresolved_for: quiet_at.saturating_sub(self.now),
+            unresolved_for: quiescent_at.saturating_sub(self.now),
         }
     }
 
-    /// Attempts in flight at the hosts that are connected.
+    /// Returns the number of attempts that connected hosts have in flight at a node.
     fn attempts_in_flight(&self, node: &Node) -> u32 {
         node.reports
             .iter()
@@ -168,12 +169,13 @@
     }
 }
 
-/// Extents that lie on a node and on no other serving node; None: not known.
+/// Returns the number of extents that are stored on a node and on no other available node. `None` if
+/// no host has reported the node's extents.
 fn sole_extents(nodes: &NodeTable, number: u32, node: &Node) -> Option<u64> {
     let serves_same_shard = |(other_number, other): (u32, &Node)| {
         let serves = matches!(other.status, NodeStatus::Ready | NodeStatus::Warming);
         other_number != number
-            && other.known
+            && other.in_catalog
             && other.facts.shard == node.facts.shard
             && other.drain.is_none()
             && serves
@@ -185,15 +187,19 @@
     Some(if elsewhere { 0 } else { extents })
 }
 
-/// Objections to the removal of a drained node.
+/// Returns the objections to the removal of a drained node.
 fn objections(sole_extents: Option<u64>, unmet_reservations: f64) -> Vec<String> {
     let data = match sole_extents {
         Some(0) => None,
-        Some(count) => Some(format!("{count} extents lie there and nowhere else")),
-        None => Some("whether data lies there alone is not known here".into()),
+        Some(count) => Some(format!(
+            "{count} extents are stored on no other available node"
+        )),
+        None => Some("unknown whether extents are stored on no other node".into()),
     };
     let capacity = (unmet_reservations > 0.0).then(|| {
-        format!("{unmet_reservations:.1} units a second of reserves cannot be met without it")
+        format!(
+            "{unmet_reservations:.1} units a second of reserves cannot be met without this node"
+        )
     });
     data.into_iter().chain(capacity).collect()
 }
--- a/crates/membership/src/node_status.rs
+++ b/crates/membership/src/node_status.rs
@@ -1,13 +1,13 @@
-//! The status of a node, from all sources of evidence.
+//! Determines the status of a node from all sources of evidence.
 //!
-//! [`drains`](crate::drains) calls it for each node that changed. Pure functions. Operators, the
-//! endpoint list and the node's own answers often disagree. The list is seconds late and shows only
-//! whether a process runs. Answers show nothing about a node that gets no attempts. Operators may
-//! drain a node that is long gone. [`PRECEDENCE`] decides which source counts: the first rule that
-//! matches, from the top. Operators precede the list, since only they know the purpose of a
-//! machine. The list precedes answers, since a node that is draining still answers well. Answers
-//! precede the process's age in the list, since a node that fails every attempt does not improve by
-//! being warm.
+//! [`drains`](crate::drains) calls [`node_status`] for each node that changed. This module has pure
+//! functions only. Operators, the endpoint list and the node's responses often disagree. The list is
+//! seconds late and shows only whether a process runs. Responses show nothing about a node that is
+//! sent no attempts. Operators may drain a node that is long gone. The first matching rule of
+//! [`PRECEDENCE`] decides. Operators take precedence over the list, since only they know what is
+//! planned for a machine. The list takes precedence over responses, since a draining node still
+//! responds well. Bad responses take precedence over the process's age in the list, since the end of
+//! the warm-up does not help a node that fails every attempt.
 
 use crate::answers::Answers;
 use crate::list_reading::ListedState;
@@ -17,127 +17,128 @@
 /// The status of a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub enum NodeStatus {
-    /// No source has ever named the node.
+    /// The endpoint list has never contained the node, and it is not being drained.
     #[default]
     Unknown,
-    /// The node has just started and does not have its full capacity yet.
+    /// The node has just started and does not have its full capacity yet (warm-up).
     Warming,
-    /// The node serves.
+    /// The node accepts requests.
     Ready,
-    /// The node gets no new requests; attempts may still be in flight there.
+    /// The node is sent no new requests; attempts may still be in flight there.
     Draining,
     /// The node is drained: no attempt is in flight there.
     Drained,
-    /// The node was removed, or the list no longer has it.
+    /// The node was removed, or the endpoint list no longer contains it.
     Removed,
-    /// The node should serve, and its answers are bad.
+    /// The node is listed as ready, but responds badly.
     Suspect,
-    /// The node was removed and runs again. It gets no requests until its drain is ended.
+    /// The node was removed and runs again. It is sent no requests until an operator ends its drain.
     Returned,
 }
 
 /// The source that decided a node's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
-pub enum Authority {
-    /// There is no evidence.
+pub enum StatusSource {
+    /// No source has evidence.
     #[default]
-    Nobody,
-    /// The drain that operators requested.
+    NoEvidence,
+    /// Operators, who requested a drain.
     Operators,
     /// The endpoint list.
     EndpointList,
-    /// The node's answers.
-    Answers,
+    /// The node's responses to attempts.
+    Responses,
 }
 
 /// All evidence on a node's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct Evidence {
-    /// The stage of the node's drain; None: there is no drain. A queued drain counts as none here.
+    /// The stage of the node's drain. `None` if there is no drain; a queued drain counts as none.
     pub drain: Option<Stage>,
     /// The node's state in the endpoint list.
     pub listed: ListedState,
-    /// The node's answers.
+    /// How well the node responds to attempts.
     pub answers: Answers,
-    /// Whether the node started so recently that it does not have its full capacity.
+    /// Whether the node started so recently that it does not have its full capacity yet.
     pub warming: bool,
     /// Whether the node's process started after the node was removed.
-    pub restarted: bool,
+    pub restarted_after_removal: bool,
 }
 
-/// A rule: the evidence that it requires (None: any), and the status that then counts.
-pub struct Rule {
+/// A rule of precedence: the evidence that it requires and the status that follows from it. A
+/// field that is `None` matches any evidence.
+pub struct PrecedenceRule {
     /// The required stage of the drain.
     pub drain: Option<Option<Stage>>,
     /// The required state in the endpoint list.
     pub listed: Option<ListedState>,
-    /// The required answers.
+    /// The required responses to attempts.
     pub answers: Option<Answers>,
     /// Whether the node must be warming up.
     pub warming: Option<bool>,
     /// Whether the node must have started after its removal.
-    pub restarted: Option<bool>,
-    /// The status that counts.
+    pub restarted_after_removal: Option<bool>,
+    /// The status of the node if the rule matches.
     pub status: NodeStatus,
-    /// The source that decides.
-    pub authority: Authority,
+    /// The source of evidence that the rule follows.
+    pub authority: StatusSource,
 }
 
-const fn by_drain(drain: Option<Stage>, status: NodeStatus) -> Rule {
-    Rule {
+const fn drain_rule(drain: Option<Stage>, status: NodeStatus) -> PrecedenceRule {
+    PrecedenceRule {
         drain: Some(drain),
         listed: None,
         answers: None,
         warming: None,
-        restarted: None,
+        restarted_after_removal: None,
         status,
-        authority: Authority::Operators,
+        authority: StatusSource::Operators,
     }
 }
 
-const fn by_list(listed: ListedState, status: NodeStatus) -> Rule {
-    Rule {
+const fn list_rule(listed: ListedState, status: NodeStatus) -> PrecedenceRule {
+    PrecedenceRule {
         listed: Some(listed),
-        authority: Authority::EndpointList,
-        ..by_drain(None, status)
+        authority: StatusSource::EndpointList,
+        ..drain_rule(None, status)
     }
 }
 
-/// The rules of precedence. The first rule that matches counts.
-pub const PRECEDENCE: [Rule; 11] = [
-    // The process started after the machine was removed, so somebody has put the machine back.
-    Rule {
+/// The rules of precedence. The first rule that matches decides.
+pub const PRECEDENCE: [PrecedenceRule; 11] = [
+    // The process started after the machine was removed, so the machine is back in operation.
+    PrecedenceRule {
         listed: Some(ListedState::Ready),
-        restarted: Some(true),
-        authority: Authority::EndpointList,
-        ..by_drain(Some(Stage::Removed), NodeStatus::Returned)
+        restarted_after_removal: Some(true),
+        authority: StatusSource::EndpointList,
+        ..drain_rule(Some(Stage::Removed), NodeStatus::Returned)
     },
-    by_drain(Some(Stage::Removed), NodeStatus::Removed),
-    by_drain(Some(Stage::Drained), NodeStatus::Drained),
-    // The rule also covers a process that starts while the node is draining: a drain is for the
-    // machine, not for one process.
-    by_drain(Some(Stage::Draining), NodeStatus::Draining),
-    by_list(ListedState::Never, NodeStatus::Unknown),
-    by_list(ListedState::Gone, NodeStatus::Removed),
-    by_list(ListedState::Draining, NodeStatus::Draining),
-    Rule {
+    drain_rule(Some(Stage::Removed), NodeStatus::Removed),
+    drain_rule(Some(Stage::Drained), NodeStatus::Drained),
+    // This rule also covers a process that starts while the node is draining: a drain applies to
+    // the machine, not to one process.
+    drain_rule(Some(Stage::Draining), NodeStatus::Draining),
+    list_rule(ListedState::Never, NodeStatus::Unknown),
+    list_rule(ListedState::Gone, NodeStatus::Removed),
+    list_rule(ListedState::Draining, NodeStatus::Draining),
+    PrecedenceRule {
         answers: Some(Answers::Bad),
-        authority: Authority::Answers,
-        ..by_list(ListedState::Ready, NodeStatus::Suspect)
+        authority: StatusSource::Responses,
+        ..list_rule(ListedState::Ready, NodeStatus::Suspect)
     },
-    Rule {
+    PrecedenceRule {
         warming: Some(true),
-        ..by_list(ListedState::Ready, NodeStatus::Warming)
+        ..list_rule(ListedState::Ready, NodeStatus::Warming)
     },
-    Rule {
+    PrecedenceRule {
         answers: Some(Answers::Good),
-        authority: Authority::Answers,
-        ..by_list(ListedState::Ready, NodeStatus::Ready)
+        authority: StatusSource::Responses,
+        ..list_rule(ListedState::Ready, NodeStatus::Ready)
     },
-    by_list(ListedState::Ready, NodeStatus::Ready),
+    list_rule(ListedState::Ready, NodeStatus::Ready),
 ];
 
-impl Rule {
+impl PrecedenceRule {
     fn matches(&self, evidence: &Evidence) -> bool {
         let drain = evidence.drain.filter(|stage| *stage != Stage::Queued);
         self.drain.is_none_or(|expected| expected == drain)
@@ -151,17 +152,17 @@
                 .warming
                 .is_none_or(|expected| expected == evidence.warming)
             && self
-                .restarted
-                .is_none_or(|expected| expected == evidence.restarted)
+                .restarted_after_removal
+                .is_none_or(|expected| expected == evidence.restarted_after_removal)
     }
 }
 
-/// The status of a node, and the source that decides it.
+/// Returns the status of a node, and the source of evidence that decided it.
 ///
 /// ```
 /// use grebecleat_membership::answers::Answers;
 /// use grebecleat_membership::list_reading::ListedState;
-/// use grebecleat_membership::node_status::{node_status, Authority, Evidence, NodeStatus};
+/// use grebecleat_membership::node_status::{node_status, Evidence, NodeStatus, StatusSource};
 /// use grebecleat_catalog::records::Stage;
 /// let evidence = Evidence {
 ///     listed: ListedState::Ready,
@@ -169,14 +170,18 @@
 ///     warming: true,
 ///     ..Evidence::default()
 /// };
-/// assert_eq!(node_status(&evidence), (NodeStatus::Suspect, Authority::Answers));
-/// // The node restarts while it is draining: it is still draining.
-/// let restarted = Evidence { drain: Some(Stage::Draining), restarted: true, ..evidence };
-/// assert_eq!(node_status(&restarted), (NodeStatus::Draining, Authority::Operators));
+/// assert_eq!(node_status(&evidence), (NodeStatus::Suspect, StatusSource::Responses));
+/// // A node that restarts while it is draining is still draining.
+/// let restarted = Evidence {
+///     drain: Some(Stage::Draining),
+///     restarted_after_removal: true,
+///     ..evidence
+/// };
+/// assert_eq!(node_status(&restarted), (NodeStatus::Draining, StatusSource::Operators));
 /// ```
-pub fn node_status(evidence: &Evidence) -> (NodeStatus, Authority) {
+pub fn node_status(evidence: &Evidence) -> (NodeStatus, StatusSource) {
     let rule = PRECEDENCE.iter().find(|rule| rule.matches(evidence));
-    rule.map_or((NodeStatus::Unknown, Authority::Nobody), |rule| {
+    rule.map_or((NodeStatus::Unknown, StatusSource::NoEvidence), |rule| {
         (rule.status, rule.authority)
     })
 }
@@ -196,13 +201,13 @@
     }
 }
 
-impl fmt::Display for Authority {
+impl fmt::Display for StatusSource {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Authority::Nobody => "nobody",
-            Authority::Operators => "operators",
-            Authority::EndpointList => "the list",
-            Authority::Answers => "its answers",
+            StatusSource::NoEvidence => "nobody",
+            StatusSource::Operators => "operators",
+            StatusSource::EndpointList => "the list",
+            StatusSource::Responses => "its answers",
         })
     }
 }
--- a/crates/membership/tests/drains/fixture.rs
+++ b/crates/membership/tests/drains/fixture.rs
@@ -1,4 +1,4 @@
-//! A membership of two hosts and four nodes, with a catalog that commits its proposals.
+//! A test fixture: a membership of two hosts and four nodes, and a catalog that commits its proposals.
 
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::feed::HostNumber;
@@ -14,15 +14,15 @@
 
 pub const H1: HostNumber = HostNumber(0);
 pub const H2: HostNumber = HostNumber(1);
-/// The wall clock's lead over this process's clock, seconds.
+/// The initial offset of the wall clock from the process's clock, in seconds.
 pub const WALL: u64 = 1_000_000;
 
-/// Two hosts, four nodes in two zones, and a catalog that commits every proposal, unless
-/// `rejects_with` is set.
+/// Two hosts, four nodes in two zones, and a catalog that commits every proposal. If `rejects_with`
+/// is set, the catalog rejects proposals for that reason instead.
 pub struct Fixture {
     pub membership: Membership,
     pub now: Duration,
-    /// The wall clock's lead over this process's clock.
+    /// The offset of the wall clock from the process's clock.
     pub wall: Duration,
     pub version: u64,
     pub rejects_with: Option<&'static str>,
@@ -44,12 +44,12 @@
             notices: Vec::new(),
         };
         fixture.start();
-        // Attempts that the hosts may have had in flight before the start are over.
+        // Wait until attempts that the hosts may have had in flight before the start have ended.
         fixture.wait(seconds(10));
         fixture
     }
 
-    /// The catalog and both hosts report their state to the membership.
+    /// Passes the state of the catalog and of both hosts to the membership.
     pub fn start(&mut self) {
         let node = |number: u32| {
             let name = format!("box{number}.example.org").as_str().into();
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A step, with the outcomes of its proposals, until no action follows.
+    /// Performs a step and then passes the outcomes of its proposals, until no further event occurs.
     pub fn step(&mut self, events: Vec<Event>) {
         let mut events = events;
         loop {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Commits a drain; returns the catalog's events.
+    /// Commits a drain, and returns the catalog's events.
     pub fn commit(&mut self, node: u32, to: Option<Drain>) -> Vec<Event> {
         self.version += 1;
         let version = Version(self.version);
@@ -138,7 +138,7 @@
         ]
     }
 
-    /// An operator sets a drain.
+    /// Commits a drain that an operator requests. `None` ends the node's drain.
     pub fn drain(&mut self, node: u32, stage: Option<Stage>, timeout: Duration) {
         let requested_at = self.now + self.wall;
         let drain = |stage| Drain {
@@ -152,7 +152,8 @@
         self.step(events);
     }
 
-    /// A host observes a node that is ready and long up, except for the fields that `with` sets.
+    /// Reports a host's observation of a node that is ready and started long ago, except for the
+    /// fields that `with` sets.
     pub fn report(&mut self, host: HostNumber, node: u32, with: impl Fn(&mut NodeObservation)) {
         let catalog_version = Version(self.version);
         let mut observation = NodeObservation {
@@ -206,12 +207,15 @@
     }
 
     pub fn status_and_phase(&self, node: u32) -> (NodeStatus, Option<Phase>) {
-        let view = self.membership.node(node, 0.0).expect("known");
+        let view = self
+            .membership
+            .node(node, 0.0)
+            .expect("the node is in the catalog");
         (view.status, view.drain.map(|drain| drain.phase))
     }
 
     pub fn phase(&self, node: u32) -> Phase {
-        self.status_and_phase(node).1.expect("it is drained")
+        self.status_and_phase(node).1.expect("the node has a drain")
     }
 }
 
--- a/crates/membership/tests/drains/hosts.rs
+++ b/crates/membership/tests/drains/hosts.rs
@@ -5,7 +5,7 @@
 use grebecleat_membership::drains::{Event, Phase};
 use grebecleat_membership::node_status::NodeStatus;
 
-/// A disconnected host may still send by its persisted version.
+/// A disconnected host may still send attempts based on the catalog version that it has persisted.
 #[test]
 fn a_disconnected_host_blocks_a_drain_until_an_operator_removes_it() {
     let mut fixture = Fixture::new();
@@ -31,8 +31,8 @@
     fixture.disconnect(H2);
     assert_eq!(fixture.phase(1), quiescing(0, 1, 6));
     fixture.wait(seconds(5));
-    // Found by the explorer: the disconnected host continued to send, and ended only just before
-    // its next incarnation connected.
+    // The state exploration found this case: the disconnected host continues to send, and ends only
+    // just before its next incarnation connects.
     fixture.connect(H2, 2);
     fixture.report(H2, 1, |_| ());
     fixture.wait(seconds(5));
@@ -68,15 +68,16 @@
     assert_eq!(fixture.status(1), NodeStatus::Drained);
 }
 
-/// Found by the explorer: the counts of a host's earlier incarnation were applied to the next one,
-/// which had started without the drain, sent an attempt, and then followed the drain.
+/// The state exploration found this fault: the attempt counts of a host's earlier incarnation were
+/// used for the next one, which had started without the drain, sent an attempt, and then applied
+/// the drain.
 #[test]
 fn counts_of_an_earlier_incarnation_do_not_apply_to_the_next() {
     let mut fixture = Fixture::new();
     fixture.drain(1, Some(Stage::Draining), seconds(0));
     fixture.acknowledge(H2);
     fixture.report(H2, 1, |_| ());
-    // The host follows the drain, has no attempt in flight, and ends before the drain is persisted.
+    // The host applies the drain, has no attempt in flight, and ends before it persists the drain.
     fixture.report(H1, 1, |_| ());
     fixture.step(vec![
         Event::HostDisconnected { host: H1 },
@@ -89,7 +90,7 @@
     fixture.acknowledge(H1);
     assert!(
         matches!(fixture.phase(1), Phase::Quiescing { .. }),
-        "the next incarnation has not counted yet"
+        "the next incarnation has not counted its attempts yet"
     );
     fixture.report(H1, 1, |seen| seen.attempts = 1);
     assert_eq!(fixture.phase(1), quiescing(1, 1, 0));
--- a/crates/membership/tests/drains/main.rs
+++ b/crates/membership/tests/drains/main.rs
@@ -1,4 +1,4 @@
-//! Drains and the status of nodes, case by case.
+//! Tests single cases of drains and of the status of nodes.
 
 mod fixture;
 mod hosts;
--- a/crates/membership/tests/drains/precedence.rs
+++ b/crates/membership/tests/drains/precedence.rs
@@ -1,9 +1,9 @@
-//! The precedence of the sources of evidence on a node's status.
+//! Tests the precedence of the sources of evidence on a node's status.
 
 use grebecleat_catalog::records::Stage::{self, Drained, Draining, Queued, Removed};
 use grebecleat_membership::answers::Answers;
 use grebecleat_membership::list_reading::ListedState;
-use grebecleat_membership::node_status::{node_status, Authority, Evidence, NodeStatus};
+use grebecleat_membership::node_status::{node_status, Evidence, NodeStatus, StatusSource};
 
 fn evidence(drain: Option<Stage>, listed: ListedState, answers: Answers) -> Evidence {
     Evidence {
@@ -23,7 +23,7 @@
 
 fn restarted(evidence: Evidence) -> Evidence {
     Evidence {
-        restarted: true,
+        restarted_after_removal: true,
         ..evidence
     }
 }
@@ -31,24 +31,24 @@
 #[test]
 fn the_source_with_precedence_decides_the_status() {
     use Answers::{Bad, Good, None as Unknown};
-    use Authority::{Answers as ByAnswers, EndpointList, Operators};
     use ListedState::{Gone, Never, Ready};
     use NodeStatus as Status;
+    use StatusSource::{EndpointList, Operators, Responses};
     let listed = |listed, answers| evidence(None, listed, answers);
     let drained = |stage, listed, answers| evidence(Some(stage), listed, answers);
     let cases = [
         (listed(Never, Unknown), Status::Unknown, EndpointList),
         (listed(Ready, Unknown), Status::Ready, EndpointList),
-        (listed(Ready, Good), Status::Ready, ByAnswers),
+        (listed(Ready, Good), Status::Ready, Responses),
         (warming(listed(Ready, Good)), Status::Warming, EndpointList),
-        (warming(listed(Ready, Bad)), Status::Suspect, ByAnswers),
+        (warming(listed(Ready, Bad)), Status::Suspect, Responses),
         (
             listed(ListedState::Draining, Good),
             Status::Draining,
             EndpointList,
         ),
         (listed(Gone, Good), Status::Removed, EndpointList),
-        (drained(Queued, Ready, Good), Status::Ready, ByAnswers),
+        (drained(Queued, Ready, Good), Status::Ready, Responses),
         (drained(Queued, Gone, Good), Status::Removed, EndpointList),
         (
             warming(restarted(drained(Draining, Ready, Good))),
--- a/crates/membership/tests/drains/restart.rs
+++ b/crates/membership/tests/drains/restart.rs
@@ -1,12 +1,12 @@
-//! Restarts of the catalog service at each stage of a drain.
+//! Tests restarts of the catalog service at each stage of a drain.
 
 use crate::fixture::*;
 use grebecleat_catalog::records::{Drain, Stage, Version};
 use grebecleat_membership::drains::{Event, Membership};
 use grebecleat_membership::node_status::NodeStatus;
 
-/// A new membership in place of the former one, with the drain of node 1 in the catalog. `since`:
-/// the drain's request, seconds since 1970.
+/// Returns a fixture whose membership was replaced by a new one, with a drain of node 1 in the
+/// catalog. `since` is the time of the drain's request, in seconds since 1970.
 fn restarted(stage: Stage, since: u64) -> Fixture {
     let mut fixture = Fixture::new();
     fixture.version = 5;
@@ -37,15 +37,18 @@
     fixture
 }
 
-/// The wall clock is right, has stepped back by an hour, or forward by an hour.
+/// During the restart, the wall clock steps by nothing, back by an hour, and forward by an hour.
 #[test]
 fn a_restarted_service_continues_a_drain_with_its_remaining_time() {
     for (since, remaining) in [(WALL + 990, 20), (WALL + 4600, 30), (WALL - 2600, 10)] {
         let mut fixture = restarted(Stage::Draining, since);
-        let view = fixture.membership.node(1, 0.0).expect("known");
+        let view = fixture
+            .membership
+            .node(1, 0.0)
+            .expect("the node is in the catalog");
         let time_left = view.drain.and_then(|drain| drain.time_left);
         assert_eq!(time_left, Some(seconds(remaining)));
-        // Attempts from before the restart get their time, although hosts count none.
+        // Attempts from before the restart may still run, although the hosts count none.
         assert_eq!(fixture.phase(1), quiescing(0, 0, 6));
         fixture.wait(seconds(6));
         assert_eq!(
@@ -53,7 +56,7 @@
             [(
                 1,
                 Some(Stage::Drained),
-                "nothing is under way at any host".into()
+                "no host has an attempt in flight".into()
             )]
         );
     }
--- a/crates/membership/tests/drains/stages.rs
+++ b/crates/membership/tests/drains/stages.rs
@@ -1,4 +1,4 @@
-//! The stages of a drain, from the request to the removal of the node.
+//! Tests the stages of a drain, from the request to the removal of the node.
 
 use crate::fixture::*;
 use grebecleat_catalog::admission::ExclusionReason;
@@ -7,7 +7,7 @@
 use grebecleat_membership::list_reading::ListedState;
 use grebecleat_membership::node_status::NodeStatus;
 
-/// Node 1 drained: every host is notified and quiet.
+/// Returns a fixture in which node 1 is drained: every host is notified and quiescent.
 fn drained_node() -> Fixture {
     let mut fixture = Fixture::new();
     fixture.drain(1, Some(Stage::Draining), seconds(0));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_node_is_drained_when_every_host_is_notified_and_quiet() {
+fn a_node_is_drained_when_every_host_is_notified_and_quiescent() {
     let mut fixture = Fixture::new();
     for host in [H1, H2] {
         fixture.report(host, 1, |seen| seen.attempts = 3);
@@ -30,7 +30,7 @@
     fixture.report(H1, 1, |seen| seen.attempts = 2);
     assert_eq!(fixture.phase(1), notifying(&[(H2, true)]));
     fixture.acknowledge(H2);
-    // A host's count before it followed the drain does not apply.
+    // The host's count from before it applied the drain does not suffice.
     assert_eq!(fixture.phase(1), quiescing(5, 5, 0));
     fixture.report(H2, 1, |seen| {
         (seen.attempts, seen.unresolved_for) = (0, seconds(2));
@@ -45,7 +45,7 @@
         [(
             1,
             Some(Stage::Drained),
-            "nothing is under way at any host".into()
+            "no host has an attempt in flight".into()
         )]
     );
 }
@@ -58,18 +58,18 @@
         (
             NodeStatus::Drained,
             Some(drained(&[
-                "whether data lies there alone is not known here"
+                "unknown whether extents are stored on no other node"
             ]))
         )
     );
     fixture.report(H1, 1, |seen| seen.extents = Some(7));
     assert_eq!(
         fixture.phase(1),
-        drained(&["7 extents lie there and nowhere else"])
+        drained(&["7 extents are stored on no other available node"])
     );
     fixture.report(H1, 1, |seen| seen.extents = Some(0));
     assert_eq!(fixture.phase(1), drained(&[]));
-    // The node's process ends, and the endpoint list drops it.
+    // The node's process ends, and the endpoint list no longer contains it.
     fixture.report(H1, 1, |seen| {
         (seen.listed, seen.revision) = (ListedState::Gone, 2);
     });
@@ -77,12 +77,12 @@
         fixture.status_and_phase(1),
         (NodeStatus::Removed, Some(Phase::Removed))
     );
-    // The other host's list is late.
+    // The other host still has the older list.
     fixture.report(H2, 1, |_| ());
     assert_eq!(fixture.status(1), NodeStatus::Removed);
 }
 
-/// The machine is put back: hosts send it nothing before an operator returns it.
+/// A removed machine runs again. Hosts must send it nothing until an operator ends its drain.
 #[test]
 fn a_removed_node_that_runs_again_serves_once_its_drain_is_ended() {
     let mut fixture = drained_node();
@@ -110,7 +110,8 @@
     );
 }
 
-/// A node restarts under its number while it is draining. The drain is for the machine.
+/// A node's process restarts while the node is draining. A drain applies to the machine, so it
+/// continues.
 #[test]
 fn a_node_that_restarts_while_draining_stays_draining() {
     let mut fixture = Fixture::new();
@@ -127,13 +128,13 @@
     fixture.acknowledge(H2);
     fixture.report(H2, 1, |_| ());
     assert_eq!(fixture.status(1), NodeStatus::Drained);
-    // The node is drained and its process runs, so it is not removed.
+    // The endpoint list still contains the node, so the node is not removed.
     fixture.wait(seconds(60));
     assert_eq!(fixture.committed.len(), 1);
 }
 
 #[test]
-fn a_drain_is_given_up_at_its_timeout() {
+fn a_drain_is_canceled_at_its_timeout() {
     let mut fixture = Fixture::new();
     fixture.drain(1, Some(Stage::Draining), seconds(30));
     fixture.acknowledge(H1);
@@ -148,7 +149,7 @@
     fixture.wait(seconds(1));
     assert_eq!(
         fixture.committed,
-        [(1, None, "given up: not empty within 30 s".into())]
+        [(1, None, "canceled: node not drained within 30 s".into())]
     );
     assert_eq!(
         (fixture.status_and_phase(1), fixture.is_blocked(1)),
@@ -156,8 +157,8 @@
     );
 }
 
-/// Another change commits before a proposal. The outcome of that proposal is ignored, and the drain
-/// is proposed again.
+/// An operator's changes are committed while a proposal has no outcome yet. The outcome of that
+/// proposal must not affect the new drain.
 #[test]
 fn the_outcome_of_a_superseded_proposal_is_ignored() {
     let mut fixture = Fixture::new();
@@ -183,8 +184,8 @@
         Action::Propose { proposal, .. } => Some(proposal),
         _ => None,
     });
-    let proposal = proposed.expect("the node is quiet");
-    // In the meantime, the operator has ended the drain, and drains the node again.
+    let proposal = proposed.expect("the hosts are quiescent, so the next stage is proposed");
+    // Meanwhile, the operator ends the drain and drains the node again.
     fixture.drain(1, None, seconds(0));
     fixture.drain(1, Some(Stage::Draining), seconds(0));
     fixture.step(vec![Event::Rejected {
--- a/crates/membership/tests/drains/zones.rs
+++ b/crates/membership/tests/drains/zones.rs
@@ -1,4 +1,4 @@
-//! Queued drains: one node of a zone after another.
+//! Tests queued drains, which drain one node of a zone after another.
 
 use crate::fixture::*;
 use grebecleat_catalog::records::Stage;
@@ -15,9 +15,9 @@
     assert_eq!(
         fixture.status(1),
         NodeStatus::Ready,
-        "a node serves while its drain is queued"
+        "a node accepts requests while its drain is queued"
     );
-    // A drain in another zone is proposed at once, and admission decides.
+    // A drain in another zone is proposed at once, and admission decides on it.
     fixture.rejects_with = Some("9.0 units a second of reserves lie out of reach");
     fixture.drain(3, Some(Stage::Queued), seconds(0));
     assert_eq!(
@@ -28,13 +28,13 @@
     fixture.wait(seconds(6));
     assert_eq!(
         fixture.committed,
-        [(3, Some(Stage::Draining), "its turn has come".into())]
+        [(3, Some(Stage::Draining), "no conflict in its zone".into())]
     );
     fixture.wait(seconds(1));
     fixture.drain(4, Some(Stage::Queued), seconds(0));
     assert_eq!(fixture.phase(4), waiting("node 3 drains"));
     fixture.committed.clear();
-    // A suspect node of the zone blocks the drain when the earlier drain has ended.
+    // The earlier drain ends, but its node is suspect and still blocks the drain.
     fixture.report(H1, 3, |seen| seen.answers = Answers::Bad);
     fixture.drain(3, None, seconds(0));
     assert_eq!(
@@ -44,7 +44,7 @@
     fixture.report(H1, 3, |seen| seen.answers = Answers::Good);
     assert_eq!(
         fixture.committed,
-        [(4, Some(Stage::Draining), "its turn has come".into())]
+        [(4, Some(Stage::Draining), "no conflict in its zone".into())]
     );
 }
 
@@ -63,11 +63,11 @@
     );
     assert_eq!(
         fixture.phase(2),
-        waiting("node 1 of its zone asked before it")
+        waiting("node 1 of the same zone was queued first")
     );
     fixture.wait(seconds(2));
     assert_eq!(
         fixture.committed,
-        [(1, Some(Stage::Draining), "its turn has come".into())]
+        [(1, Some(Stage::Draining), "no conflict in its zone".into())]
     );
 }
--- a/crates/membership/tests/explore/main.rs
+++ b/crates/membership/tests/explore/main.rs
@@ -1,12 +1,14 @@
-//! All that can happen to drains of two nodes of one zone, explored: two operators, one of whom may
-//! have an older base version; hosts that follow, persist and acknowledge in separate steps;
-//! observations that arrive late; an endpoint list that lags; attempts that end in time or without
-//! a response; hosts and a catalog service that end and restart; connections that break; nodes that
-//! restart. In every state the invariants of `World::check` hold. From a sample of the states,
-//! every draining node becomes drained once no further fault occurs. Models with a fault planted on
-//! purpose must violate an invariant.
+//! Explores all states that drains of two nodes of one zone can reach, within bounds on the number
+//! of events. The model has two operators, one of whom may have an older base version; hosts that
+//! apply, persist and acknowledge the catalog in separate steps; observations that arrive late; an
+//! endpoint list that lags; attempts that end in time or without a response; hosts and a catalog
+//! service that end and restart; connections that break; and a node that restarts. The invariants
+//! of `World::check` must hold in every state. From a sample of the states, every draining node must
+//! become drained once no further failure occurs. A model with an injected fault must violate an
+//! invariant.
 //!
-//! Only the first node gets attempts: the nodes interact only in the drains that may coincide.
+//! Only the first node is sent attempts, since the nodes affect each other only through the rule
+//! that nodes of one zone must not be drained at the same time.
 
 mod model;
 mod successors;
@@ -14,17 +16,18 @@
 
 use model::{Fault, Model};
 
-const SHORT: Model = Model {
+/// Bounds that are small enough for every run of the tests.
+const SMALL: Model = Model {
     fault: Fault::None,
     hosts: 1,
     last_tick: 2,
-    operator_changes: 1,
-    failures: 1,
-    attempts: 1,
-    restarts: false,
+    max_operator_changes: 1,
+    max_failures: 1,
+    max_attempts: 1,
+    node_may_restart: false,
 };
 
-/// Explores models in parallel. Returns the number of visited states and the violation of each.
+/// Explores models in parallel. Returns each name, number of visited states and violation, if any.
 fn explored(models: &[(&'static str, Model)]) -> Vec<(&'static str, usize, Option<String>)> {
     std::thread::scope(|scope| {
         let started: Vec<_> = models
@@ -32,9 +35,9 @@
             .map(|(name, model)| (*name, scope.spawn(move || model.explore())))
             .collect();
         let ended = started.into_iter().map(|(name, explorer)| {
-            let (states, violation) = explorer.join().expect("an explorer");
+            let (states, violation) = explorer.join().expect("the exploration panicked");
             let outcome = match violation {
-                Some(_) => ", and a violation",
+                Some(_) => ", violation found",
                 None => "",
             };
             println!("{name}: {states} states{outcome}");
@@ -53,40 +56,40 @@
 #[test]
 fn no_state_violates_an_invariant() {
     let two_operators = Model {
-        operator_changes: 2,
+        max_operator_changes: 2,
         last_tick: 3,
-        failures: 0,
-        ..SHORT
+        max_failures: 0,
+        ..SMALL
     };
     assert_no_violation(&[
-        ("one change, one failure", SHORT),
+        ("one change, one failure", SMALL),
         ("two operators, no failure", two_operators),
     ]);
 }
 
-/// The long forms: `cargo test --release -p grebecleat-membership --test explore -- --ignored
-/// --nocapture`.
+/// The exploration with larger bounds. Run it with
+/// `cargo test --release -p grebecleat-membership --test explore -- --ignored --nocapture`.
 #[test]
-#[ignore = "minutes; CI plays the short forms"]
-fn no_state_violates_an_invariant_in_longer_runs() {
+#[ignore = "takes minutes; CI runs the exploration with smaller bounds"]
+fn no_state_violates_an_invariant_with_larger_bounds() {
     let two_operators = Model {
-        operator_changes: 2,
+        max_operator_changes: 2,
         last_tick: 3,
-        ..SHORT
+        ..SMALL
     };
     let node_restarts = Model {
         last_tick: 3,
-        restarts: true,
-        ..SHORT
+        node_may_restart: true,
+        ..SMALL
     };
     let two_failures = Model {
-        failures: 2,
-        ..SHORT
+        max_failures: 2,
+        ..SMALL
     };
     let two_hosts = Model {
         hosts: 2,
-        failures: 0,
-        ..SHORT
+        max_failures: 0,
+        ..SMALL
     };
     assert_no_violation(&[
         ("two operators, one failure", two_operators),
@@ -97,10 +100,10 @@
 }
 
 #[test]
-fn planted_faults_are_found() {
-    let planted = |fault| Model { fault, ..SHORT };
+fn injected_faults_are_found() {
+    let planted = |fault| Model { fault, ..SMALL };
     let no_admission = Model {
-        operator_changes: 2,
+        max_operator_changes: 2,
         ..planted(Fault::NoAdmission)
     };
     let models = [
--- a/crates/membership/tests/explore/model.rs
+++ b/crates/membership/tests/explore/model.rs
@@ -1,5 +1,5 @@
-//! The model of hosts, catalog and service around the membership, and the exploration of its
-//! states.
+//! A model of the hosts, the catalog and the service around the membership, and the exploration of
+//! its states.
 
 use crate::world::*;
 use grebecleat_catalog::admission::{excluded_in_zone, ExclusionReason};
@@ -11,42 +11,42 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// A fault planted on purpose on the other side of the membership's interface.
+/// A fault that the model injects outside the membership, to show that the exploration finds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// A host acknowledges the version that it follows before that version is on its disk.
+    /// A host acknowledges the version that it has applied before it has persisted that version.
     AcknowledgesBeforePersisting,
-    /// A host counts its attempts and then reports that it followed a later version.
+    /// A host reports a count of its attempts with a version that it applied after the count.
     CountsBeforeFollowing,
-    /// Attempts without a known outcome count as over.
+    /// A host reports that attempts without a known outcome have ended.
     ForgetsUnresolvedAttempts,
     /// The service does not report that a host's connection is lost.
     DisconnectNotReported,
     /// A restarted service assumes that no attempt is in flight.
     RestartsWithoutWaiting,
-    /// Admission does not check coincident drains.
+    /// Admission does not check for other drains in the zone.
     NoAdmission,
-    /// A host that follows a drain sends to the node.
+    /// A host that has applied a drain still sends to the node.
     SendsDespiteDrain,
 }
 
-/// A model, with bounds on what may happen.
+/// The bounds of an exploration, and the fault to inject.
 pub struct Model {
     pub fault: Fault,
     pub hosts: usize,
     pub last_tick: u64,
-    pub operator_changes: u8,
-    pub failures: u8,
-    pub attempts: u8,
-    /// Whether the node restarts as well.
-    pub restarts: bool,
+    pub max_operator_changes: u8,
+    pub max_failures: u8,
+    pub max_attempts: u8,
+    /// Whether the first node may restart.
+    pub node_may_restart: bool,
 }
 
-/// The author of the membership's own proposals.
+/// The author number of the membership's own proposals.
 const MEMBERSHIP: u8 = 9;
 
-/// The events of a host's observations.
+/// Returns the events of a host's observations of all nodes.
 pub fn observed(host: usize, observations: &[NodeObservation; NODES]) -> Vec<Event> {
     let numbered = observations.iter().enumerate();
     let event = |(node, observation): (usize, &NodeObservation)| Event::Observed {
@@ -58,13 +58,13 @@
 }
 
 impl Model {
-    fn first(&self) -> World {
+    fn initial_world(&self) -> World {
         let version_1 = (1, [None; NODES]);
         let host = Host {
             alive: true,
             connected: true,
-            service_connected: true,
-            follows: version_1,
+            service_sees_connected: true,
+            applied: version_1,
             persisted: version_1,
             list: (ListedState::Ready, 1),
             ..Host::default()
@@ -76,7 +76,7 @@
             last_changed: [(0, 0); NODES],
             excluded: [None; NODES],
             membership: Membership::new(ticks(0), ticks(WARM_UP_TIME), ticks(MAX_ATTEMPT_TIME), []),
-            applied: vec![Some(1); self.hosts],
+            acknowledged: vec![Some(1); self.hosts],
             hosts: vec![host; self.hosts],
             node: Node {
                 up: true,
@@ -125,16 +125,17 @@
                 version: Version(world.last_changed[node].0),
             }));
         }
-        for (host, applied) in world.applied.iter().enumerate() {
+        for (host, acknowledged) in world.acknowledged.iter().enumerate() {
             events.push(Event::Acknowledged {
                 host: HostNumber(host as u32),
-                version: applied.map(Version),
+                version: acknowledged.map(Version),
             });
         }
         self.apply(world, events);
     }
 
-    /// The catalog: optimistic versions, drains that go one way, and admission's check of the zone.
+    /// Commits or rejects a proposal as the catalog does: it rejects a change based on an outdated
+    /// version, a stage that may not follow the present one, and a drain that conflicts in its zone.
     pub fn propose(
         &self,
         world: &mut World,
@@ -149,7 +150,7 @@
         }
         let from = world.drains[node];
         if from == to || !Stage::may_follow(from, to) {
-            return Err("nothing to change".into());
+            return Err("the change has no effect or is not allowed".into());
         }
         let begins = blocks_new_requests(to) && !blocks_new_requests(from);
         if begins && self.fault != Fault::NoAdmission {
@@ -159,7 +160,7 @@
             let excluded =
                 (0..NODES).filter_map(|other| Some((other as u32, world.excluded[other]?)));
             if !excluded_in_zone(node as u32, |_| 'a', draining.chain(excluded)).is_empty() {
-                return Err("coincides".into());
+                return Err("another node of the zone is unavailable".into());
             }
         }
         world.version += 1;
@@ -168,7 +169,7 @@
         Ok(())
     }
 
-    /// The membership handles events, and its actions are performed.
+    /// Passes events to the membership and performs its actions, until no further event occurs.
     pub fn apply(&self, world: &mut World, mut events: Vec<Event>) {
         for _ in 0..20 {
             let now = ticks(world.now);
@@ -179,7 +180,7 @@
                 return;
             }
         }
-        panic!("the membership never comes to rest");
+        panic!("the membership still has actions after 20 steps");
     }
 
     fn perform(&self, world: &mut World, action: Action, events: &mut Vec<Event>) {
@@ -207,7 +208,7 @@
 
     pub fn observation(&self, world: &World, host: usize) -> [NodeObservation; NODES] {
         let host = &world.hosts[host];
-        let follows = Version(host.follows.0);
+        let applied = Version(host.applied.0);
         let (listed, incarnation) = host.list;
         let is_present = world.node.incarnation == incarnation;
         let started = world.node.started.filter(|_| is_present);
@@ -221,7 +222,7 @@
             age: started.map(|started| ticks(world.now - started)),
             revision: incarnation * 2 + u64::from(listed == ListedState::Gone),
             answers: Answers::None,
-            catalog_version: follows,
+            catalog_version: applied,
             attempts: u32::from(host.attempt.is_some()),
             unresolved_for,
             extents: None,
@@ -230,15 +231,15 @@
             listed: ListedState::Ready,
             incarnation: 1,
             revision: 1,
-            catalog_version: follows,
+            catalog_version: applied,
             ..NodeObservation::default()
         };
         [first, second]
     }
 
-    /// The service learns that a host's connection is lost.
+    /// Makes the service detect that a host's connection was lost.
     pub fn disconnect(&self, world: &mut World, host: usize) {
-        let was_connected = std::mem::take(&mut world.hosts[host].service_connected);
+        let was_connected = std::mem::take(&mut world.hosts[host].service_sees_connected);
         if was_connected && self.fault != Fault::DisconnectNotReported {
             let host = HostNumber(host as u32);
             self.apply(world, vec![Event::HostDisconnected { host }]);
@@ -249,7 +250,7 @@
         self.disconnect(world, number);
         let host = &mut world.hosts[number];
         host.connected = true;
-        host.service_connected = true;
+        host.service_sees_connected = true;
         host.acknowledging = None;
         host.observations = None;
         let connected = Event::HostConnected {
@@ -272,13 +273,13 @@
         self.apply(world, Vec::new());
     }
 
-    /// Visits all states. Returns their number, or the number up to the first violation and the
-    /// violation.
+    /// Visits all states up to the first violation. Returns the number of visited states and the
+    /// violation, if any.
     pub fn explore(&self) -> (usize, Option<String>) {
         let mut visited = HashSet::new();
-        let mut open = vec![self.first()];
-        while let Some(world) = open.pop() {
-            if !visited.insert(world.digest()) {
+        let mut to_visit = vec![self.initial_world()];
+        while let Some(world) = to_visit.pop() {
+            if !visited.insert(world.state_hash()) {
                 continue;
             }
             if let Some(violation) = world.check() {
@@ -289,13 +290,14 @@
                     return (visited.len(), Some(stuck));
                 }
             }
-            assert!(visited.len() < 20_000_000, "too many states");
-            open.extend(self.next(&world));
+            assert!(visited.len() < 20_000_000, "more than 20 million states");
+            to_visit.extend(self.next(&world));
         }
         (visited.len(), None)
     }
 
-    /// Without further faults and changes, each draining node becomes drained.
+    /// Returns a violation if a draining node does not become drained although no further failure or
+    /// change occurs.
     fn stuck(&self, mut world: World) -> Option<String> {
         for _ in 0..5 {
             self.tick(&mut world);
@@ -307,23 +309,23 @@
         is_stuck.then(|| format!("a draining node never becomes drained: {world:?}"))
     }
 
-    /// A host starts, connects, follows, persists and acknowledges the catalog, and reports.
+    /// Makes a host start, connect, apply, persist and acknowledge the catalog, and report.
     fn recover(&self, world: &mut World, number: usize) {
         let host = &mut world.hosts[number];
         if !host.alive {
             host.alive = true;
-            host.follows = host.persisted;
+            host.applied = host.persisted;
             host.incarnation += 1;
         }
-        if !(host.connected && host.service_connected) {
+        if !(host.connected && host.service_sees_connected) {
             self.connect(world, number);
         }
         let present = (world.version, world.drains);
         let host = &mut world.hosts[number];
         host.attempt = None;
-        host.follows = present;
+        host.applied = present;
         host.persisted = present;
-        world.applied[number] = Some(world.version);
+        world.acknowledged[number] = Some(world.version);
         let mut events = vec![Event::Acknowledged {
             host: HostNumber(number as u32),
             version: Some(Version(world.version)),
--- a/crates/membership/tests/explore/successors.rs
+++ b/crates/membership/tests/explore/successors.rs
@@ -1,4 +1,4 @@
-//! The states that can follow a state: one step of a host, the service, the node or an operator.
+//! The states that can follow a state by one step of a host, the service, the node or an operator.
 
 use crate::model::{observed, Fault, Model};
 use crate::world::*;
@@ -43,22 +43,22 @@
     },
 ];
 
-/// The states that can follow one.
+/// Collects the states that can follow a state.
 struct Successors<'a> {
     from: &'a World,
     worlds: Vec<World>,
 }
 
 impl Successors<'_> {
-    fn add(&mut self, change: impl FnOnce(&mut World)) {
+    fn add(&mut self, transition: impl FnOnce(&mut World)) {
         let mut world = self.from.clone();
-        change(&mut world);
+        transition(&mut world);
         self.worlds.push(world);
     }
 }
 
 impl Model {
-    /// All states that can follow a state.
+    /// Returns all states that can follow a state.
     pub fn next(&self, world: &World) -> Vec<World> {
         let mut next = Successors {
             from: world,
@@ -69,7 +69,7 @@
         }
         for host in 0..self.hosts {
             self.host_sends(host, &mut next);
-            self.host_follows(host, &mut next);
+            self.host_applies_catalog(host, &mut next);
             self.host_reports(host, &mut next);
             self.host_connects(host, &mut next);
             self.host_fails(host, &mut next);
@@ -80,15 +80,15 @@
         next.worlds
     }
 
-    /// A host sends an attempt, gets its response, or reads the endpoint list.
+    /// A host sends an attempt, receives its response, or receives the endpoint list.
     fn host_sends(&self, number: usize, next: &mut Successors) {
         let world = next.from;
         let host = &world.hosts[number];
-        let follows_drain = blocks_new_requests(host.follows.1[0]);
-        let blocked = follows_drain && self.fault != Fault::SendsDespiteDrain;
+        let blocked_by_drain = blocks_new_requests(host.applied.1[0]);
+        let blocked = blocked_by_drain && self.fault != Fault::SendsDespiteDrain;
         let can_send = host.alive && world.node.up && host.attempt.is_none();
         let listed_ready = host.list.0 == ListedState::Ready;
-        if can_send && world.attempts_sent < self.attempts && listed_ready && !blocked {
+        if can_send && world.attempts_sent < self.max_attempts && listed_ready && !blocked {
             next.add(|world| {
                 world.hosts[number].attempt = Some(world.now);
                 world.attempts_sent += 1;
@@ -103,28 +103,28 @@
         }
     }
 
-    /// A host follows the catalog, persists it and acknowledges it.
-    fn host_follows(&self, number: usize, next: &mut Successors) {
+    /// A host applies a version of the catalog, persists it, or acknowledges it.
+    fn host_applies_catalog(&self, number: usize, next: &mut Successors) {
         let world = next.from;
         let host = &world.hosts[number];
-        if host.connected && host.service_connected && host.follows.0 < world.version {
-            next.add(|world| self.follow(world, number));
+        if host.connected && host.service_sees_connected && host.applied.0 < world.version {
+            next.add(|world| self.apply_catalog(world, number));
         }
-        if host.alive && host.persisted.0 < host.follows.0 {
-            next.add(|world| world.hosts[number].persisted = world.hosts[number].follows);
+        if host.alive && host.persisted.0 < host.applied.0 {
+            next.add(|world| world.hosts[number].persisted = world.hosts[number].applied);
         }
         let acknowledges = match self.fault {
-            Fault::AcknowledgesBeforePersisting => host.follows.0,
+            Fault::AcknowledgesBeforePersisting => host.applied.0,
             _ => host.persisted.0,
         };
-        let is_new = world.applied[number] < Some(acknowledges);
+        let is_new = world.acknowledged[number] < Some(acknowledges);
         if host.connected && host.acknowledging.is_none() && is_new {
             next.add(|world| world.hosts[number].acknowledging = Some(acknowledges));
         }
-        if let Some(version) = host.acknowledging.filter(|_| host.service_connected) {
+        if let Some(version) = host.acknowledging.filter(|_| host.service_sees_connected) {
             next.add(|world| {
                 world.hosts[number].acknowledging = None;
-                world.applied[number] = Some(version);
+                world.acknowledged[number] = Some(version);
                 let acknowledged = Event::Acknowledged {
                     host: HostNumber(number as u32),
                     version: Some(Version(version)),
@@ -134,10 +134,10 @@
         }
     }
 
-    fn follow(&self, world: &mut World, number: usize) {
+    fn apply_catalog(&self, world: &mut World, number: usize) {
         let version = Version(world.version);
         let host = &mut world.hosts[number];
-        host.follows = (world.version, world.drains);
+        host.applied = (world.version, world.drains);
         if self.fault == Fault::CountsBeforeFollowing {
             let last = host.observations.iter_mut();
             for observation in last.flat_map(|(observations, _)| observations) {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// A host sends its observations, and they arrive.
+    /// A host sends its observations, or they arrive.
     fn host_reports(&self, number: usize, next: &mut Successors) {
         let host = &next.from.hosts[number];
         let now = self.observation(next.from, number);
@@ -154,7 +154,9 @@
         if host.connected && host.observations.is_none_or(changed) {
             next.add(|world| world.hosts[number].observations = Some((now, false)));
         }
-        if let Some((observations, false)) = host.observations.filter(|_| host.service_connected) {
+        if let Some((observations, false)) =
+            host.observations.filter(|_| host.service_sees_connected)
+        {
             next.add(|world| {
                 world.hosts[number].observations = Some((observations, true));
                 self.apply(world, observed(number, &observations));
@@ -162,10 +164,10 @@
         }
     }
 
-    /// The service learns of a lost connection, or a host connects or starts again.
+    /// The service detects a lost connection, or a host connects or restarts.
     fn host_connects(&self, number: usize, next: &mut Successors) {
         let host = &next.from.hosts[number];
-        if host.service_connected && !host.connected {
+        if host.service_sees_connected && !host.connected {
             next.add(|world| self.disconnect(world, number));
         }
         if host.alive && !host.connected {
@@ -178,8 +180,8 @@
                 world.hosts[number] = Host {
                     alive: true,
                     incarnation: before.incarnation + 1,
-                    service_connected: before.service_connected,
-                    follows: before.persisted,
+                    service_sees_connected: before.service_sees_connected,
+                    applied: before.persisted,
                     persisted: before.persisted,
                     list: listed,
                     ..Host::default()
@@ -192,13 +194,13 @@
     fn host_fails(&self, number: usize, next: &mut Successors) {
         let world = next.from;
         let host = &world.hosts[number];
-        if world.failures >= self.failures {
+        if world.failures >= self.max_failures {
             return;
         }
         if host.alive {
             next.add(|world| {
                 world.failures += 1;
-                // The host's attempt in flight may still arrive at the node and run there.
+                // The host's attempt in flight may still reach the node and run there.
                 let host = &mut world.hosts[number];
                 if host.attempt.take().is_some() {
                     let runs_until = world.now + 2 * MAX_ATTEMPT_TIME;
@@ -218,7 +220,7 @@
     }
 
     fn service_restarts(&self, next: &mut Successors) {
-        if next.from.failures >= self.failures {
+        if next.from.failures >= self.max_failures {
             return;
         }
         next.add(|world| {
@@ -229,7 +231,7 @@
             };
             for host in &mut world.hosts {
                 host.connected = false;
-                host.service_connected = false;
+                host.service_sees_connected = false;
                 host.acknowledging = None;
                 host.observations = None;
             }
@@ -237,10 +239,10 @@
         });
     }
 
-    /// The node's process ends, or starts again.
+    /// The node's process ends or restarts.
     fn node_restarts(&self, next: &mut Successors) {
         let world = next.from;
-        if !self.restarts || (world.failures >= self.failures && world.node.up) {
+        if !self.node_may_restart || (world.failures >= self.max_failures && world.node.up) {
             return;
         }
         next.add(|world| {
@@ -253,21 +255,21 @@
             }
             for host in &mut world.hosts {
                 if host.attempt.take().is_some() {
-                    // The connection is reset: as far as the host knows, the attempt may have run.
+                    // The connection is reset, and the host cannot know whether the attempt has run.
                     host.unresolved_until = world.now + MAX_ATTEMPT_TIME;
                 }
             }
         });
     }
 
-    /// The second operator looks at the catalog, or an operator proposes a change. Only the first
-    /// operator always knows the present version.
+    /// The second operator reads the catalog, or an operator proposes a change. The first operator
+    /// always knows the current version; the second may propose based on an older one.
     fn operators_propose(&self, next: &mut Successors) {
         let world = next.from;
         if world.operator_version < world.version {
             next.add(|world| world.operator_version = world.version);
         }
-        if world.operator_changes >= self.operator_changes {
+        if world.operator_changes >= self.max_operator_changes {
             return;
         }
         for OperatorChange { operator, node, to } in OPERATOR_CHANGES {
@@ -283,7 +285,7 @@
                     self.apply(&mut after, events);
                     next.worlds.push(after);
                 }
-                // The rejection of a change with an older base version names the other author.
+                // The rejection of a change based on an outdated version names the other author.
                 Err(reason) if world.last_changed[node].0 > base_version => {
                     let changed_by = world.last_changed[node].1;
                     assert_eq!(reason, format!("changed meanwhile by {changed_by}"));
--- a/crates/membership/tests/explore/world.rs
+++ b/crates/membership/tests/explore/world.rs
@@ -1,4 +1,4 @@
-//! One state of the explored world, and the invariants that hold in each.
+//! One state of the model, and the invariants that must hold in every state.
 
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::records::{Drain, Stage, Version};
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 pub const NODES: usize = 2;
-/// The longest time that an attempt may take, ticks.
+/// The longest time that an attempt may take, in ticks.
 pub const MAX_ATTEMPT_TIME: u64 = 1;
-/// Time from a node's start until it has its full capacity, ticks.
+/// Time from a node's start until it has its full capacity, in ticks.
 pub const WARM_UP_TIME: u64 = 1;
 /// The first tick.
 pub const START: u64 = 10;
@@ -31,32 +31,32 @@
 pub struct Host {
     pub alive: bool,
     pub incarnation: u64,
-    /// Whether the host takes the connection to the service for open.
+    /// Whether the connection to the service is open, as the host sees it.
     pub connected: bool,
-    /// Whether the service takes the connection for open.
-    pub service_connected: bool,
-    /// The catalog's version that the host follows, and its drains.
-    pub follows: (u64, Drains),
+    /// Whether the connection is open, as the service sees it.
+    pub service_sees_connected: bool,
+    /// The version of the catalog that the host has applied, and the drains in it.
+    pub applied: (u64, Drains),
     pub persisted: (u64, Drains),
-    /// An acknowledgement that has not arrived.
+    /// The version of an acknowledgement that has not arrived yet.
     pub acknowledging: Option<u64>,
     /// The last observations on this connection, and whether they have arrived.
     pub observations: Option<([NodeObservation; NODES], bool)>,
     /// When the attempt in flight was sent.
     pub attempt: Option<u64>,
-    /// Until when an earlier attempt may run.
+    /// When the last attempt without a known outcome has ended.
     pub unresolved_until: u64,
-    /// The host's last reading of the endpoint list on the first node.
+    /// The state and incarnation of the first node in the host's last endpoint list.
     pub list: (ListedState, u64),
 }
 
-/// The first node.
+/// The first node, which is the only one that is sent attempts.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct Node {
     pub up: bool,
     pub incarnation: u64,
     pub started: Option<u64>,
-    /// Until when attempts of lost or slow hosts may run.
+    /// When the last attempt that no host counts as in flight has ended at the node.
     pub runs_until: u64,
 }
 
@@ -68,11 +68,11 @@
     pub drains: Drains,
     /// The version and the author of the last change of each drain.
     pub last_changed: [(u64, u8); NODES],
-    /// The exclusions that admission knows.
+    /// The exclusions that the membership has reported to admission.
     pub excluded: [Option<ExclusionReason>; NODES],
     pub membership: Membership,
     /// The version that each host has acknowledged to the catalog.
-    pub applied: Vec<Option<u64>>,
+    pub acknowledged: Vec<Option<u64>>,
     pub hosts: Vec<Host>,
     pub node: Node,
     /// The second operator's base version.
@@ -83,7 +83,7 @@
 }
 
 impl World {
-    /// The endpoint list's state of the first node, and the incarnation.
+    /// Returns the state and incarnation of the first node in the current endpoint list.
     pub fn listed(&self) -> (ListedState, u64) {
         let state = match self.node.up {
             true => ListedState::Ready,
@@ -92,7 +92,7 @@
         (state, self.node.incarnation)
     }
 
-    /// The catalog's events for a node's last change.
+    /// Returns the catalog's events for the last change of a node's drain.
     pub fn committed(&self, node: usize) -> Vec<Event> {
         let to = self.drains[node].map(|stage| Drain {
             stage,
@@ -109,15 +109,19 @@
         ]
     }
 
-    /// The first violated invariant.
+    /// Returns the first violated invariant and the state, if there is a violation.
     pub fn check(&self) -> Option<String> {
         if self.drains.iter().all(|drain| blocks_new_requests(*drain)) {
-            return Some(format!("both nodes of the zone are drained: {self:?}"));
+            return Some(format!(
+                "both nodes of the zone are blocked by drains: {self:?}"
+            ));
         }
         if matches!(self.drains[0], Some(Stage::Drained | Stage::Removed)) {
             let in_flight = self.hosts.iter().any(|host| host.attempt.is_some());
             if in_flight || self.node.runs_until > self.now {
-                return Some(format!("drained with an attempt in flight: {self:?}"));
+                return Some(format!(
+                    "the first node is drained with an attempt in flight: {self:?}"
+                ));
             }
         }
         (0..NODES).find_map(|node| self.check_node(node))
@@ -132,20 +136,20 @@
         );
         if blocked && serves {
             return Some(format!(
-                "node {node} is drained and has status {status}: {self:?}"
+                "node {node} is blocked by its drain, but has status {status}: {self:?}"
             ));
         }
         if blocked != self.membership.blocks_new_requests(node as u32) {
             return Some(format!(
-                "node {node}: the membership has another drain: {self:?}"
+                "node {node}: the catalog and the membership disagree on its drain: {self:?}"
             ));
         }
         None
     }
 
-    /// A digest of the state. It has so many bits that equal digests of different states are not to
-    /// be expected.
-    pub fn digest(&self) -> u128 {
+    /// Returns a hash of the state. It has 128 bits, so that different states are very unlikely to
+    /// have the same hash.
+    pub fn state_hash(&self) -> u128 {
         let half = |salt: u8| {
             let mut hasher = DefaultHasher::new();
             salt.hash(&mut hasher);
