--- a/crates/membership/src/drains/drain_state.rs
+++ b/crates/membership/src/drains/drain_state.rs
@@ -43,16 +43,18 @@
 }
 
 impl DrainState {
-    /// Creates the state of a drain as it was persisted. `same_stage` is the former state of the
+    /// Creates the state of a drain as it was persisted. `former_same_stage` is the former state of the
     /// drain if that has the same stage; its progress and its timeout continue.
     pub fn new(
         drain: Drain,
         version: Version,
-        same_stage: Option<DrainState>,
+        former_same_stage: Option<DrainState>,
         now: Duration,
         wall: Duration,
     ) -> Self {
-        let expires_at = same_stage.as_ref().and_then(|before| before.expires_at);
+        let expires_at = former_same_stage
+            .as_ref()
+            .and_then(|before| before.expires_at);
         DrainState {
             stage: drain.stage,
             timeout: drain.timeout,
@@ -60,7 +62,7 @@
             since: drain.since,
             version,
             expires_at: expires_at.or_else(|| expiry(&drain, now, wall)),
-            peak_attempts: same_stage.map_or(0, |before| before.peak_attempts),
+            peak_attempts: former_same_stage.map_or(0, |before| before.peak_attempts),
             blocked_by: String::new(),
             retry_at: now,
             // The outcome of an earlier proposal may still arrive, and is then ignored.
--- a/crates/membership/src/drains/hosts.rs
+++ b/crates/membership/src/drains/hosts.rs
@@ -12,7 +12,7 @@
 
 /// Multiple of the longest attempt time after which attempts that no host counts have ended: once
 /// until the attempt ends at the host, and once until it ends at the node.
-const UNACCOUNTED_FACTOR: u32 = 2;
+const UNCOUNTED_TIME_FACTOR: u32 = 2;
 
 /// The state of one host.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
@@ -26,7 +26,7 @@
     incarnation: Option<u64>,
     /// When the last uncounted attempt has ended, at the host and at the node. Uncounted are those
     /// that an earlier incarnation had in flight, or this one before its connection was lost.
-    unaccounted_until: Duration,
+    uncounted_until: Duration,
 }
 
 /// All hosts; see the module documentation.
@@ -46,7 +46,7 @@
         hosts: impl IntoIterator<Item = HostNumber>,
     ) -> Self {
         let host = Host {
-            unaccounted_until: now + max_attempt_time * UNACCOUNTED_FACTOR,
+            uncounted_until: now + max_attempt_time * UNCOUNTED_TIME_FACTOR,
             ..Host::default()
         };
         HostTable {
@@ -74,23 +74,23 @@
 
     /// Records that a host has connected.
     pub fn set_connected(&mut self, now: Duration, number: HostNumber, incarnation: u64) {
-        let unaccounted_until = self.unaccounted_until(now);
+        let uncounted_until = self.uncounted_until(now);
         let host = self.hosts.entry(number).or_default();
         host.connected = true;
         host.removed = false;
         // An earlier incarnation may have sent attempts until now. If the incarnation is the same,
         // it counts its attempts in flight itself.
         if host.incarnation.replace(incarnation) != Some(incarnation) {
-            host.unaccounted_until = unaccounted_until;
+            host.uncounted_until = uncounted_until;
         }
     }
 
     /// Records that a host's connection was lost.
     pub fn set_disconnected(&mut self, now: Duration, number: HostNumber) {
-        let unaccounted_until = self.unaccounted_until(now);
+        let uncounted_until = self.uncounted_until(now);
         let host = self.hosts.entry(number).or_default();
         host.connected = false;
-        host.unaccounted_until = unaccounted_until;
+        host.uncounted_until = uncounted_until;
     }
 
     pub fn is_connected(&self, number: HostNumber) -> bool {
@@ -100,8 +100,12 @@
     /// Returns the hosts that may still send attempts decided on a version before `version`, and
     /// whether each is connected.
     pub fn unnotified(&self, version: Version) -> Vec<(HostNumber, bool)> {
-        let may_send =
-            |host: &Host| !host.removed && host.acknowledged.is_some_and(|known| known < version);
+        let may_send = |host: &Host| {
+            !host.removed
+                && host
+                    .acknowledged
+                    .is_some_and(|acknowledged| acknowledged < version)
+        };
         self.hosts
             .iter()
             .filter(|(_, host)| may_send(host))
@@ -119,7 +123,7 @@
             if host.acknowledged.is_none() {
                 continue;
             }
-            let mut quiescent_at_host = host.unaccounted_until;
+            let mut quiescent_at_host = host.uncounted_until;
             if host.connected {
                 let report = node.reports.get(number)?;
                 quiescent_at_host = quiescent_at_host.max(report.resolved_at(version)?);
@@ -129,7 +133,7 @@
         Some(quiescent_at)
     }
 
-    fn unaccounted_until(&self, now: Duration) -> Duration {
-        now + self.max_attempt_time * UNACCOUNTED_FACTOR
+    fn uncounted_until(&self, now: Duration) -> Duration {
+        now + self.max_attempt_time * UNCOUNTED_TIME_FACTOR
     }
 }
--- a/crates/membership/tests/drains/fixture.rs
+++ b/crates/membership/tests/drains/fixture.rs
@@ -14,8 +14,8 @@
 
 pub const H1: HostNumber = HostNumber(0);
 pub const H2: HostNumber = HostNumber(1);
-/// The initial offset of the wall clock from the process's clock, in seconds.
-pub const WALL: u64 = 1_000_000;
+/// The offset of the wall clock from the process's clock.
+pub const WALL_OFFSET_SECONDS: u64 = 1_000_000;
 
 /// Two hosts, four nodes in two zones, and a catalog that commits every proposal. If `rejects_with`
 /// is set, the catalog rejects proposals for that reason instead.
@@ -23,9 +23,12 @@
     pub membership: Membership,
     pub now: Duration,
     /// The offset of the wall clock from the process's clock.
-    pub wall: Duration,
+    pub wall_offset: Duration,
+    /// The persisted version of the catalog.
     pub version: u64,
+    /// The reason for which the catalog rejects proposals. `None` if it commits them.
     pub rejects_with: Option<&'static str>,
+    /// The node, stage and reason of each proposal that was committed.
     pub committed: Vec<(u32, Option<Stage>, String)>,
     pub exclusions: Vec<(u32, Option<ExclusionReason>)>,
     pub notices: Vec<(u32, String)>,
@@ -36,7 +39,7 @@
         let mut fixture = Fixture {
             membership: Membership::new(seconds(0), seconds(20), seconds(3), [H1, H2]),
             now: seconds(990),
-            wall: seconds(WALL),
+            wall_offset: seconds(WALL_OFFSET_SECONDS),
             version: 1,
             rejects_with: None,
             committed: Vec::new(),
@@ -88,9 +91,11 @@
     pub fn step(&mut self, events: Vec<Event>) {
         let mut events = events;
         loop {
-            let actions =
-                self.membership
-                    .step(self.now, self.now + self.wall, std::mem::take(&mut events));
+            let actions = self.membership.step(
+                self.now,
+                self.now + self.wall_offset,
+                std::mem::take(&mut events),
+            );
             for action in actions {
                 match action {
                     Action::Propose {
@@ -130,7 +135,7 @@
     pub fn commit(&mut self, node: u32, to: Option<Drain>) -> Vec<Event> {
         self.version += 1;
         let version = Version(self.version);
-        let since = self.now + self.wall;
+        let since = self.now + self.wall_offset;
         let to = to.map(|drain| Drain { since, ..drain });
         vec![
             Event::Persisted { version },
@@ -140,7 +145,7 @@
 
     /// Commits a drain that an operator requests. `None` ends the node's drain.
     pub fn drain(&mut self, node: u32, stage: Option<Stage>, timeout: Duration) {
-        let requested_at = self.now + self.wall;
+        let requested_at = self.now + self.wall_offset;
         let drain = |stage| Drain {
             stage,
             timeout,
--- a/crates/membership/tests/drains/restart.rs
+++ b/crates/membership/tests/drains/restart.rs
@@ -40,7 +40,11 @@
 /// During the restart, the wall clock steps by nothing, back by an hour, and forward by an hour.
 #[test]
 fn a_restarted_service_continues_a_drain_with_its_remaining_time() {
-    for (since, remaining) in [(WALL + 990, 20), (WALL + 4600, 30), (WALL - 2600, 10)] {
+    for (since, remaining) in [
+        (WALL_OFFSET_SECONDS + 990, 20),
+        (WALL_OFFSET_SECONDS + 4600, 30),
+        (WALL_OFFSET_SECONDS - 2600, 10),
+    ] {
         let mut fixture = restarted(Stage::Draining, since);
         let view = fixture
             .membership
@@ -69,7 +73,7 @@
         (Stage::Drained, NodeStatus::Drained),
         (Stage::Removed, NodeStatus::Removed),
     ] {
-        let mut fixture = restarted(stage, WALL + 999);
+        let mut fixture = restarted(stage, WALL_OFFSET_SECONDS + 999);
         fixture.wait(seconds(1));
         assert_eq!(fixture.status(1), status, "{stage:?}");
     }
--- a/crates/membership/tests/drains/stages.rs
+++ b/crates/membership/tests/drains/stages.rs
@@ -178,7 +178,7 @@
         node: 1,
         observation,
     };
-    let wall = fixture.now + fixture.wall;
+    let wall = fixture.now + fixture.wall_offset;
     let actions = fixture.membership.step(fixture.now, wall, vec![observed]);
     let proposed = actions.into_iter().find_map(|action| match action {
         Action::Propose { proposal, .. } => Some(proposal),
--- a/crates/membership/tests/explore/main.rs
+++ b/crates/membership/tests/explore/main.rs
@@ -20,7 +20,7 @@
 const SMALL: Model = Model {
     fault: Fault::None,
     hosts: 1,
-    last_tick: 2,
+    max_ticks: 2,
     max_operator_changes: 1,
     max_failures: 1,
     max_attempts: 1,
@@ -28,7 +28,9 @@
 };
 
 /// Explores models in parallel. Returns each name, number of visited states and violation, if any.
-fn explored(models: &[(&'static str, Model)]) -> Vec<(&'static str, usize, Option<String>)> {
+fn explore_in_parallel(
+    models: &[(&'static str, Model)],
+) -> Vec<(&'static str, usize, Option<String>)> {
     std::thread::scope(|scope| {
         let started: Vec<_> = models
             .iter()
@@ -48,7 +50,7 @@
 }
 
 fn assert_no_violation(models: &[(&'static str, Model)]) {
-    for (name, _, violation) in explored(models) {
+    for (name, _, violation) in explore_in_parallel(models) {
         assert_eq!(violation, None, "{name}");
     }
 }
@@ -57,7 +59,7 @@
 fn no_state_violates_an_invariant() {
     let two_operators = Model {
         max_operator_changes: 2,
-        last_tick: 3,
+        max_ticks: 3,
         max_failures: 0,
         ..SMALL
     };
@@ -74,11 +76,11 @@
 fn no_state_violates_an_invariant_with_larger_bounds() {
     let two_operators = Model {
         max_operator_changes: 2,
-        last_tick: 3,
+        max_ticks: 3,
         ..SMALL
     };
     let node_restarts = Model {
-        last_tick: 3,
+        max_ticks: 3,
         node_may_restart: true,
         ..SMALL
     };
@@ -112,8 +114,8 @@
             planted(Fault::AcknowledgesBeforePersisting),
         ),
         (
-            "counts before following",
-            planted(Fault::CountsBeforeFollowing),
+            "counts before applying",
+            planted(Fault::CountsBeforeApplying),
         ),
         (
             "forgets unresolved attempts",
@@ -130,7 +132,7 @@
         ("no admission", no_admission),
         ("sends despite the drain", planted(Fault::SendsDespiteDrain)),
     ];
-    for (name, states, violation) in explored(&models) {
+    for (name, states, violation) in explore_in_parallel(&models) {
         assert!(violation.is_some(), "{name}: {states} states");
     }
 }
--- a/crates/membership/tests/explore/model.rs
+++ b/crates/membership/tests/explore/model.rs
@@ -18,7 +18,7 @@
     /// A host acknowledges the version that it has applied before it has persisted that version.
     AcknowledgesBeforePersisting,
     /// A host reports a count of its attempts with a version that it applied after the count.
-    CountsBeforeFollowing,
+    CountsBeforeApplying,
     /// A host reports that attempts without a known outcome have ended.
     ForgetsUnresolvedAttempts,
     /// The service does not report that a host's connection is lost.
@@ -34,8 +34,10 @@
 /// The bounds of an exploration, and the fault to inject.
 pub struct Model {
     pub fault: Fault,
+    /// Number of hosts.
     pub hosts: usize,
-    pub last_tick: u64,
+    /// Number of ticks after the first one.
+    pub max_ticks: u64,
     pub max_operator_changes: u8,
     pub max_failures: u8,
     pub max_attempts: u8,
@@ -44,10 +46,10 @@
 }
 
 /// The author number of the membership's own proposals.
-const MEMBERSHIP: u8 = 9;
+const MEMBERSHIP_AUTHOR: u8 = 9;
 
 /// Returns the events of a host's observations of all nodes.
-pub fn observed(host: usize, observations: &[NodeObservation; NODES]) -> Vec<Event> {
+pub fn observation_events(host: usize, observations: &[NodeObservation; NODES]) -> Vec<Event> {
     let numbered = observations.iter().enumerate();
     let event = |(node, observation): (usize, &NodeObservation)| Event::Observed {
         host: HostNumber(host as u32),
@@ -70,7 +72,7 @@
             ..Host::default()
         };
         let mut world = World {
-            now: START,
+            now: FIRST_TICK,
             version: 1,
             drains: [None; NODES],
             last_changed: [(0, 0); NODES],
@@ -193,7 +195,7 @@
                 ..
             } => {
                 let to = to.map(|drain| drain.stage);
-                match self.propose(world, MEMBERSHIP, node as usize, to, base_version.0) {
+                match self.propose(world, MEMBERSHIP_AUTHOR, node as usize, to, base_version.0) {
                     Ok(()) => {
                         events.extend(world.committed(node as usize));
                         events.push(Event::Committed { proposal });
@@ -330,7 +332,7 @@
             host: HostNumber(number as u32),
             version: Some(Version(world.version)),
         }];
-        events.extend(observed(number, &self.observation(world, number)));
+        events.extend(observation_events(number, &self.observation(world, number)));
         self.apply(world, events);
     }
 }
--- a/crates/membership/tests/explore/successors.rs
+++ b/crates/membership/tests/explore/successors.rs
@@ -1,6 +1,6 @@
 //! The states that can follow a state by one step of a host, the service, the node or an operator.
 
-use crate::model::{observed, Fault, Model};
+use crate::model::{observation_events, Fault, Model};
 use crate::world::*;
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_catalog::records::{Stage, Version};
@@ -64,7 +64,7 @@
             from: world,
             worlds: Vec::new(),
         };
-        if world.now < START + self.last_tick {
+        if world.now < FIRST_TICK + self.max_ticks {
             next.add(|world| self.tick(world));
         }
         for host in 0..self.hosts {
@@ -138,7 +138,7 @@
         let version = Version(world.version);
         let host = &mut world.hosts[number];
         host.applied = (world.version, world.drains);
-        if self.fault == Fault::CountsBeforeFollowing {
+        if self.fault == Fault::CountsBeforeApplying {
             let last = host.observations.iter_mut();
             for observation in last.flat_map(|(observations, _)| observations) {
                 observation.catalog_version = version;
@@ -159,7 +159,7 @@
         {
             next.add(|world| {
                 world.hosts[number].observations = Some((observations, true));
-                self.apply(world, observed(number, &observations));
+                self.apply(world, observation_events(number, &observations));
             });
         }
     }
--- a/crates/membership/tests/explore/world.rs
+++ b/crates/membership/tests/explore/world.rs
@@ -14,7 +14,7 @@
 /// Time from a node's start until it has its full capacity, in ticks.
 pub const WARM_UP_TIME: u64 = 1;
 /// The first tick.
-pub const START: u64 = 10;
+pub const FIRST_TICK: u64 = 10;
 
 pub fn ticks(count: u64) -> Duration {
     Duration::from_secs(count)
