--- a/crates/membership/src/drains.rs
+++ b/crates/membership/src/drains.rs
@@ -29,8 +29,8 @@
 //! - A node is *drained* when every host is notified and quiescent. It stays drained, since no host
 //!   sends to it.
 //!
-//! A queued drain is proposed when this state machine knows of no conflict in its zone; the
-//! earliest request of a zone goes first. Admission makes the final decision on each proposal. A drain that
+//! A queued drain is proposed when this state machine knows of no conflict in its zone; the earliest
+//! request of a zone goes first. Admission makes the final decision on each proposal. A drain that
 //! does not finish within its timeout is canceled and the node accepts requests again, because the
 //! operator wanted the drain within that time or not at all. This process's clock measures the
 //! timeout; the wall clock measures it across a restart. The wall clock may have been set in between,
