--- a/crates/membership/tests/drains/fixture.rs
+++ b/crates/membership/tests/drains/fixture.rs
@@ -1,4 +1,4 @@
-//! A membership of two hosts and four nodes, with a catalog that commits its proposals.
+//! A test fixture: a membership of two hosts and four nodes, and a catalog that commits its proposals.
 
 use grebecleat_catalog::admission::ExclusionReason;
 use grebecleat_catalog::feed::HostNumber;
@@ -14,18 +14,21 @@
 
 pub const H1: HostNumber = HostNumber(0);
 pub const H2: HostNumber = HostNumber(1);
-/// The wall clock's lead over this process's clock, seconds.
-pub const WALL: u64 = 1_000_000;
+/// The offset of the wall clock from the process's clock.
+pub const WALL_OFFSET_SECONDS: u64 = 1_000_000;
 
-/// Two hosts, four nodes in two zones, and a catalog that commits every proposal, unless
-/// `rejects_with` is set.
+/// Two hosts, four nodes in two zones, and a catalog that commits every proposal. If `rejects_with`
+/// is set, the catalog rejects proposals for that reason instead.
 pub struct Fixture {
     pub membership: Membership,
     pub now: Duration,
-    /// The wall clock's lead over this process's clock.
-    pub wall: Duration,
+    /// The offset of the wall clock from the process's clock.
+    pub wall_offset: Duration,
+    /// The persisted version of the catalog.
     pub version: u64,
+    /// The reason for which the catalog rejects proposals. `None` if it commits them.
     pub rejects_with: Option<&'static str>,
+    /// The node, stage and reason of each proposal that was committed.
     pub committed: Vec<(u32, Option<Stage>, String)>,
     pub exclusions: Vec<(u32, Option<ExclusionReason>)>,
     pub notices: Vec<(u32, String)>,
@@ -36,7 +39,7 @@
         let mut fixture = Fixture {
             membership: Membership::new(seconds(0), seconds(20), seconds(3), [H1, H2]),
             now: seconds(990),
-            wall: seconds(WALL),
+            wall_offset: seconds(WALL_OFFSET_SECONDS),
             version: 1,
             rejects_with: None,
             committed: Vec::new(),
@@ -44,12 +47,12 @@
             notices: Vec::new(),
         };
         fixture.start();
-        // Attempts that the hosts may have had in flight before the start are over.
+        // Wait until attempts that the hosts may have had in flight before the start have ended.
         fixture.wait(seconds(10));
         fixture
     }
 
-    /// The catalog and both hosts report their state to the membership.
+    /// Passes the state of the catalog and of both hosts to the membership.
     pub fn start(&mut self) {
         let node = |number: u32| {
             let name = format!("box{number}.example.org").as_str().into();
@@ -84,13 +87,15 @@
         }
     }
 
-    /// A step, with the outcomes of its proposals, until no action follows.
+    /// Performs a step and then passes the outcomes of its proposals, until no further event occurs.
     pub fn step(&mut self, events: Vec<Event>) {
         let mut events = events;
         loop {
-            let actions =
-                self.membership
-                    .step(self.now, self.now + self.wall, std::mem::take(&mut events));
+            let actions = self.membership.step(
+                self.now,
+                self.now + self.wall_offset,
+                std::mem::take(&mut events),
+            );
             for action in actions {
                 match action {
                     Action::Propose {
@@ -126,11 +131,11 @@
         }
     }
 
-    /// Commits a drain; returns the catalog's events.
+    /// Commits a drain, and returns the catalog's events.
     pub fn commit(&mut self, node: u32, to: Option<Drain>) -> Vec<Event> {
         self.version += 1;
         let version = Version(self.version);
-        let since = self.now + self.wall;
+        let since = self.now + self.wall_offset;
         let to = to.map(|drain| Drain { since, ..drain });
         vec![
             Event::Persisted { version },
@@ -138,9 +143,9 @@
         ]
     }
 
-    /// An operator sets a drain.
+    /// Commits a drain that an operator requests. `None` ends the node's drain.
     pub fn drain(&mut self, node: u32, stage: Option<Stage>, timeout: Duration) {
-        let requested_at = self.now + self.wall;
+        let requested_at = self.now + self.wall_offset;
         let drain = |stage| Drain {
             stage,
             timeout,
@@ -152,7 +157,8 @@
         self.step(events);
     }
 
-    /// A host observes a node that is ready and long up, except for the fields that `with` sets.
+    /// Reports a host's observation of a node that is ready and started long ago, except for the
+    /// fields that `with` sets.
     pub fn report(&mut self, host: HostNumber, node: u32, with: impl Fn(&mut NodeObservation)) {
         let catalog_version = Version(self.version);
         let mut observation = NodeObservation {
@@ -206,12 +212,15 @@
     }
 
     pub fn status_and_phase(&self, node: u32) -> (NodeStatus, Option<Phase>) {
-        let view = self.membership.node(node, 0.0).expect("known");
+        let view = self
+            .membership
+            .node(node, 0.0)
+            .expect("the node is in the catalog");
         (view.status, view.drain.map(|drain| drain.phase))
     }
 
     pub fn phase(&self, node: u32) -> Phase {
-        self.status_and_phase(node).1.expect("it is drained")
+        self.status_and_phase(node).1.expect("the node has a drain")
     }
 }
 
