--- a/crates/host/src/admission.rs
+++ b/crates/host/src/admission.rs
@@ -1,27 +1,29 @@
 //! Admission of requests: bounds the open requests and their bytes.
 //!
-//! Called by the router for each request that arrives, before the scheduler receives it. No state. A
-//! request that is refused here never runs, and its client receives a clear final response, also
-//! from a host that shuts down or whose memory is used up. The bounds guard against clients that
-//! send more requests than they wait for. In exchange, a surge of one volume may fill them and so
-//! refuse a request of another volume with a reservation; the bounds protect memory and are far
-//! above the requests that the scheduler queues in normal service.
+//! The router calls [`admit`] for each request that arrives, before the scheduler receives it. The
+//! module keeps no state. A refused request never runs, and its client receives a final response,
+//! even from a host that shuts down or has used up its memory. The bounds protect the memory of the
+//! host from clients that send requests without waiting for their responses. Their drawback is that
+//! the requests of one volume may use them up, so that a request of another volume is refused in spite
+//! of its reservation. The bounds are therefore far above the number of requests that the scheduler
+//! queues in normal service.
 
 use grebecleat_settings::Bounds;
 use std::time::Duration;
 
-/// The Retry-After of an overloaded host, which has capacity again soon. A longer one leaves that
+/// The Retry-After of an overloaded host, which has capacity again soon. A longer delay leaves that
 /// capacity unused; after a shorter one, clients retry and are rejected again.
 const RETRY_OVERLOADED: Duration = Duration::from_millis(250);
-/// The Retry-After of a host that shuts down. A restart takes longer than an overload lasts.
+/// The Retry-After of a host that shuts down. It is longer than that of an overloaded host, because a
+/// restart takes longer than an overload lasts.
 const RETRY_DRAINING: Duration = Duration::from_secs(1);
 
 /// The load of this host.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Load {
-    /// Open requests.
+    /// The number of open requests.
     pub open: usize,
-    /// Bytes of the bodies of the open requests.
+    /// The total size of the bodies of the open requests, in bytes.
     pub bytes: usize,
     /// Whether the host is shutting down.
     pub draining: bool,
@@ -32,9 +34,9 @@
 pub enum Refusal {
     /// The host is shutting down. Another host, or this one after its restart, may admit the request.
     Draining,
-    /// Too many requests are open.
+    /// The number of open requests has reached its bound.
     Open,
-    /// The open requests have too many bytes.
+    /// With this request, the bodies of the open requests would exceed their bound in bytes.
     Bytes,
 }
 
--- a/crates/host/src/config_follower.rs
+++ b/crates/host/src/config_follower.rs
@@ -1,13 +1,12 @@
-//! Follows the state service: the plans, volumes and drains that this host works by.
+//! Follows the state service, which publishes the catalog of plans, volumes and drains.
 //!
-//! Called by the router: the events of the connection and of the disk go in, and
-//! [`ConfigFollower::step`] returns the actions for the sockets and the disk, and the events for the
-//! scheduler. [`grebecleat_catalog::follower`] decides what is followed, persisted and trusted; the
+//! The router reports the events of the connection and of the store; [`ConfigFollower::step`] returns
+//! the actions for the sockets and the store, and the events for the scheduler.
+//! [`grebecleat_catalog::follower`] decides which revisions are applied, persisted and trusted; the
 //! private modules own the connection (`link`) and the plans and volumes (`served_volumes`). A host
 //! without a state service serves the volumes that its settings declare, for as long as it runs.
 //!
-//! Memory: the catalog of the volumes that work through this host, and one response that is being
-//! assembled.
+//! Memory: the catalog of the volumes that this host serves, and one response that is being assembled.
 
 mod link;
 mod served_volumes;
@@ -41,7 +40,7 @@
         /// The new connection.
         conn: ConnId,
     },
-    /// Write records to the store. [`ConfigFollower::persisted`] is called with the result.
+    /// Write records to the store, and call [`ConfigFollower::persisted`] with the result.
     Persist {
         /// The number of the request.
         number: u64,
@@ -58,10 +57,10 @@
 /// A protocol violation by the state service.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum StateServiceError {
-    /// A message that a state service does not send.
+    /// A message of a kind that a state service does not send.
     #[error("unexpected message from the state service")]
     UnexpectedMessage,
-    /// A response with too many records.
+    /// A response with more records than a host accepts.
     #[error("too many records in a response of the state service")]
     TooLarge,
     /// A change that cannot be decoded.
@@ -71,18 +70,20 @@
 
 /// Follows a state service, or serves the volumes that the settings declare.
 pub struct ConfigFollower {
-    /// None: there is no state service; the settings alone count.
+    /// `None` if there is no state service, so that only the settings apply.
     follower: Option<Follower>,
+    /// Events since the last step.
     pending: Vec<follower::Event>,
     link: StateServiceLink,
     volumes: ServedVolumes,
+    /// The nodes that are drained.
     drained: BTreeSet<NodeId>,
     /// The version of the catalog from which `drained` was taken.
     drains_version: Version,
 }
 
 impl ConfigFollower {
-    /// A host without a state service, which serves the volumes that the settings declare.
+    /// Returns a follower for a host without a state service, which serves the volumes that the settings declare.
     pub fn declared(settings: &Settings) -> Self {
         ConfigFollower {
             follower: None,
@@ -94,8 +95,8 @@
         }
     }
 
-    /// A host that follows a state service, from the state that was last persisted. The drains in
-    /// that state count from the first endpoint list on.
+    /// Returns a follower of a state service that starts from the last persisted state. The drains in
+    /// that state apply from the first endpoint list on.
     pub fn of(settings: &Settings, host: &str, start: InitialState, seed: u64) -> Self {
         let max_dispatch_delay = settings.bounds.max_dispatch_delay;
         let follower = Follower::new(host.into(), start, max_dispatch_delay);
@@ -103,7 +104,7 @@
             drained: drained_nodes(&follower),
             follower: Some(follower),
             link: StateServiceLink::new(seed),
-            volumes: ServedVolumes::plans_of(settings),
+            volumes: ServedVolumes::declared_plans(settings),
             ..ConfigFollower::declared(settings)
         }
     }
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The base rate of a plan, in units a second; 0 for an unknown plan.
+    /// Returns the base rate of a plan in units a second, or 0 for an unknown plan.
     pub fn rate(&self, plan: PlanId) -> f64 {
         self.volumes.rate(plan)
     }
@@ -130,7 +131,7 @@
         self.follower.is_some()
     }
 
-    /// The follower. None: there is no state service.
+    /// Returns the follower, or `None` if there is no state service.
     pub fn follower(&self) -> Option<&Follower> {
         self.follower.as_ref()
     }
@@ -140,8 +141,8 @@
         self.drained.contains(&node)
     }
 
-    /// Takes the drains from a catalog that has changed, and returns the nodes that are drained
-    /// since then, or no longer. None: the catalog has not changed since the last call.
+    /// Takes over the drains of a catalog that has changed, and returns the nodes whose drain has
+    /// started or ended. Returns `None` if the catalog has not changed since the last call.
     pub fn take_drain_changes(&mut self) -> Option<Vec<NodeId>> {
         let follower = self.follower.as_ref()?;
         let version = follower.catalog().version();
@@ -155,8 +156,7 @@
         Some(changed)
     }
 
-    /// Returns the hosts through which a volume works, by their index among the hosts of the
-    /// settings.
+    /// Returns the hosts that serve a volume, each by its index among the hosts of the settings.
     pub fn hosts_of(&self, volume: VolumeId, settings: &Settings) -> BTreeSet<HostNumber> {
         let follower = self.follower.as_ref();
         let known = follower.and_then(|follower| follower.catalog().volume(volume.0));
@@ -231,7 +231,7 @@
         };
         let revisions = update.revisions.into_iter().map(revision_from_proto);
         let revisions = revisions.collect::<Result<Vec<_>, _>>()?;
-        let granted = match update.snapshot {
+        let content = match update.snapshot {
             false => Update::Revisions(revisions),
             true => Update::Snapshot {
                 at: Version(update.at),
@@ -246,12 +246,12 @@
             version: Version(update.version),
             stable: Version(update.stable),
             lease: Duration::from_micros(update.lease_us),
-            update: granted,
+            update: content,
         });
         Ok(())
     }
 
-    /// Returns when `step` must be called again if nothing happens before.
+    /// Returns when `step` must be called again if no event arrives before.
     pub fn wake_at(&self) -> Option<Duration> {
         let follower = self.follower.as_ref()?;
         let wakes = [follower.wake_at(), self.link.wake_at()];
@@ -259,7 +259,7 @@
     }
 
     /// Handles the events since the last call, adds the events for the scheduler to `events`, and
-    /// returns the actions to perform. `next_number` returns the number of a new connection.
+    /// returns the actions to perform. `next_number` generates the number of a new connection.
     pub fn step(
         &mut self,
         now: Duration,
@@ -348,13 +348,13 @@
         }
         let follower = self.follower.as_ref();
         let exists = follower.is_some_and(|follower| follower.catalog().volume(volume.0).is_some());
-        self.volumes.volume_left(volume, exists)
+        self.volumes.volume_not_served(volume, exists)
     }
 }
 
-/// Returns the nodes that are drained according to the follower's catalog.
+/// Returns the nodes whose drain is in force in the follower's catalog.
 fn drained_nodes(follower: &Follower) -> BTreeSet<NodeId> {
     let drains = follower.catalog().drains();
-    let holding = drains.filter(|(_, drain)| drain.holds());
-    holding.map(|(node, _)| NodeId(node)).collect()
+    let in_force = drains.filter(|(_, drain)| drain.holds());
+    in_force.map(|(node, _)| NodeId(node)).collect()
 }
--- a/crates/host/src/config_follower/link.rs
+++ b/crates/host/src/config_follower/link.rs
@@ -1,7 +1,7 @@
-//! The connection to the state service: when to dial it again, and the assembly of responses that
+//! The connection to the state service. Decides when to dial it again, and assembles responses that
 //! arrive in parts.
 //!
-//! Called by [`super::ConfigFollower`]. Memory: one response that is being assembled, of at most
+//! Used by [`super::ConfigFollower`]. Memory: one response that is being assembled, of at most
 //! [`MAX_RECORDS`] records.
 
 use super::StateServiceError;
@@ -13,32 +13,34 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The delay after the first dial that came to nothing, doubled for each further one. A longer
-/// delay leaves a host longer without changes after a short outage; a shorter one loads a service
-/// that restarts.
+/// The delay after the first dial without a complete response, doubled for each further one. After a
+/// short outage, a longer delay leaves the host without updates for longer; a shorter one loads a
+/// service that is restarting.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest delay before another dial. A host finds a service that is back up to this much
-/// later.
+/// The longest delay before another dial, without its jitter. A host may reconnect this much later
+/// than the service is available again.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
-/// Dials that came to nothing after which the delay no longer grows. The bound keeps the doubling
-/// from overflowing.
+/// The largest number of doublings of the delay. The bound prevents an overflow.
 const MAX_DOUBLINGS: u32 = 8;
-/// The time after which a dial that has reported neither success nor failure is given up. A longer
-/// time keeps a host without its service for longer; a shorter one gives up dials that would
+/// The time after which a dial that has reported neither success nor failure is abandoned. A longer
+/// time leaves the host without its service for longer; a shorter one abandons dials that would
 /// succeed.
 const DIAL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Records of one response. A service that sends more is disconnected: the response would fill the
-/// host's memory.
+/// The largest number of records in one response. A service that sends more is disconnected, because
+/// the response would exhaust the host's memory.
 const MAX_RECORDS: usize = 20_000_000;
 
 /// The connection to the state service, and the backoff of its dials.
 pub(super) struct StateServiceLink {
-    /// None: neither connected nor being dialled.
+    /// `None` if the link is neither connected nor being dialled.
     conn: Option<ConnId>,
-    /// None: not connected.
+    /// `None` if the link is not connected.
     outbox: Option<Arc<Outbox>>,
-    dialled: Duration,
-    dial_at: Duration,
+    /// When the last dial started.
+    dialled_at: Duration,
+    /// When the next dial may start.
+    next_dial_at: Duration,
+    /// Dials since the last complete response.
     failed_dials: u32,
     /// A response of which some parts have arrived.
     partial: Option<pb::ConfigUpdate>,
@@ -46,13 +48,13 @@
 }
 
 impl StateServiceLink {
-    /// A link that is to be dialled at once. `seed` is the seed of its jitter.
+    /// Returns a link that is due to be dialled. `seed` is the seed of its jitter.
     pub(super) fn new(seed: u64) -> Self {
         StateServiceLink {
             conn: None,
             outbox: None,
-            dialled: Duration::ZERO,
-            dial_at: Duration::ZERO,
+            dialled_at: Duration::ZERO,
+            next_dial_at: Duration::ZERO,
             failed_dials: 0,
             partial: None,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -91,7 +93,7 @@
     }
 
     /// Records that the connection has ended, or that the dial has failed, and returns whether it
-    /// was the current one. The next dial follows after the backoff.
+    /// was the current one. The next dial starts after the backoff.
     pub(super) fn disconnected(&mut self, conn: ConnId, now: Duration) -> bool {
         if !self.is_current(conn) {
             return false;
@@ -101,17 +103,17 @@
         }
         self.conn = None;
         self.partial = None;
-        let doubled = FIRST_BACKOFF * 2u32.pow(self.failed_dials.min(MAX_DOUBLINGS));
-        // All hosts lose their connection at one moment when the service ends; without jitter all
-        // of them would dial it again at one moment.
+        let backoff = FIRST_BACKOFF * 2u32.pow(self.failed_dials.min(MAX_DOUBLINGS));
+        // When the service ends, all hosts lose their connections at the same time. Without jitter they
+        // would also dial it again at the same time.
         let jitter = 0.5 + self.rng.random::<f64>();
-        self.dial_at = now + doubled.min(MAX_BACKOFF).mul_f64(jitter);
+        self.next_dial_at = now + backoff.min(MAX_BACKOFF).mul_f64(jitter);
         self.failed_dials += 1;
         true
     }
 
-    /// Resets the backoff, after a complete response. A connection alone does not reset it: a
-    /// service that has too many callers may accept a connection and close it.
+    /// Resets the backoff after a complete response. A connection alone does not reset it, because a
+    /// service with too many callers may accept a connection and close it without a response.
     pub(super) fn response_received(&mut self) {
         self.failed_dials = 0;
     }
@@ -141,19 +143,19 @@
         Ok(Some(response))
     }
 
-    /// Returns when the link is to be dialled, or its dial to be given up.
+    /// Returns when the link is to be dialled, or its current dial to be abandoned.
     pub(super) fn wake_at(&self) -> Option<Duration> {
         match (self.conn, &self.outbox) {
-            (None, _) => Some(self.dial_at),
-            (Some(_), None) => Some(self.dialled + DIAL_TIMEOUT),
+            (None, _) => Some(self.next_dial_at),
+            (Some(_), None) => Some(self.dialled_at + DIAL_TIMEOUT),
             (Some(_), Some(_)) => None,
         }
     }
 
-    /// Returns the dial that has reported neither success nor failure in time.
+    /// Returns the current dial if it has exceeded its time-out.
     pub(super) fn overdue_dial(&self, now: Duration) -> Option<ConnId> {
         let dial = self.conn.filter(|_| self.outbox.is_none());
-        dial.filter(|_| now >= self.dialled + DIAL_TIMEOUT)
+        dial.filter(|_| now >= self.dialled_at + DIAL_TIMEOUT)
     }
 
     /// Starts a dial if one is due, and returns its connection.
@@ -162,12 +164,12 @@
         now: Duration,
         next_number: impl FnOnce() -> u64,
     ) -> Option<ConnId> {
-        if self.conn.is_some() || now < self.dial_at {
+        if self.conn.is_some() || now < self.next_dial_at {
             return None;
         }
         let conn = ConnId(next_number());
         self.conn = Some(conn);
-        self.dialled = now;
+        self.dialled_at = now;
         Some(conn)
     }
 }
--- a/crates/host/src/config_follower/served_volumes.rs
+++ b/crates/host/src/config_follower/served_volumes.rs
@@ -1,8 +1,8 @@
 //! The plans and volumes that this host knows: which volumes it serves, and on which terms.
 //!
-//! Called by [`super::ConfigFollower`] when a plan or a volume changes, and by the router for each
-//! request. Memory: one entry for each plan and for each volume that works, or worked, through this
-//! host.
+//! [`super::ConfigFollower`] updates it when a plan or a volume changes, and reads it for each request
+//! of the router. Memory: one entry for each plan, and one for each volume that this host serves or has
+//! served and that still exists.
 
 use grebecleat_catalog::follower::Terms;
 use grebecleat_catalog::records::{self, Name};
@@ -13,14 +13,14 @@
 /// Whether this host serves a volume.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum VolumePlacement {
-    /// The volume works through this host.
+    /// This host serves the volume.
     Here {
         /// Its plan.
         plan: PlanId,
-        /// The number of hosts through which it works.
+        /// The number of hosts that serve it.
         hosts: usize,
     },
-    /// The volume works through other hosts.
+    /// Only other hosts serve the volume.
     Elsewhere,
     /// There is no such volume.
     Unknown,
@@ -28,26 +28,27 @@
     NotYetKnown,
 }
 
-/// A volume of the catalog.
+/// A volume of the catalog. The plan and the number of hosts count only if this host serves it.
 #[derive(Debug, Clone, Copy)]
 struct KnownVolume {
     plan: PlanId,
+    /// The number of hosts that serve it.
     hosts: usize,
-    /// It works through this host.
+    /// Whether this host serves it.
     here: bool,
 }
 
-/// Plans and volumes.
+/// The plans and volumes that this host knows.
 pub(super) struct ServedVolumes {
     plans: HashMap<Name, PlanId>,
-    /// Base rates in units a second, by plan.
+    /// Base rates in units a second, indexed by plan.
     rates: Vec<f64>,
     volumes: HashMap<VolumeId, KnownVolume>,
 }
 
 impl ServedVolumes {
-    /// The plans that the settings declare, and no volumes.
-    pub(super) fn plans_of(settings: &Settings) -> Self {
+    /// Returns the plans that the settings declare, without volumes.
+    pub(super) fn declared_plans(settings: &Settings) -> Self {
         let plans = settings.plans.iter().enumerate();
         let rates = settings.plans.iter().map(|plan| plan.facts.base_rate);
         ServedVolumes {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The plans and volumes that the settings declare.
+    /// Returns the plans and volumes that the settings declare.
     pub(super) fn declared(settings: &Settings) -> Self {
         let volumes = settings.volumes.iter().map(|volume| {
             let known = KnownVolume {
@@ -71,11 +72,11 @@
         });
         ServedVolumes {
             volumes: volumes.collect(),
-            ..ServedVolumes::plans_of(settings)
+            ..ServedVolumes::declared_plans(settings)
         }
     }
 
-    /// The placement of a volume. None: the volume is unknown.
+    /// Returns the placement of a volume, or `None` if the volume is unknown.
     pub(super) fn placement(&self, volume: VolumeId) -> Option<VolumePlacement> {
         let known = self.volumes.get(&volume)?;
         Some(match known.here {
@@ -87,7 +88,7 @@
         })
     }
 
-    /// The base rate of a plan, in units a second; 0 for an unknown plan.
+    /// Returns the base rate of a plan in units a second, or 0 for an unknown plan.
     pub(super) fn rate(&self, plan: PlanId) -> f64 {
         self.rates.get(plan.0).copied().unwrap_or_default()
     }
@@ -113,8 +114,7 @@
         }
     }
 
-    /// Applies the terms of a volume that works through this host, and returns the event for the
-    /// scheduler.
+    /// Applies the terms of a volume that this host serves, and returns the event for the scheduler.
     pub(super) fn volume_served(&mut self, volume: VolumeId, terms: Terms) -> Event {
         let plan = self.plans.get(&terms.plan).copied().unwrap_or(PlanId(0));
         let hosts = terms.hosts;
@@ -134,10 +134,9 @@
         }
     }
 
-    /// Records that a volume does not work through this host, and returns the event for the
-    /// scheduler. A volume that still exists is known to be served elsewhere; one that does not is
-    /// forgotten.
-    pub(super) fn volume_left(&mut self, volume: VolumeId, exists: bool) -> Event {
+    /// Records that this host does not serve a volume, and returns the event for the scheduler. A
+    /// volume that still exists is recorded as served elsewhere; one that does not is forgotten.
+    pub(super) fn volume_not_served(&mut self, volume: VolumeId, exists: bool) -> Event {
         if exists {
             let elsewhere = KnownVolume {
                 plan: PlanId(0),
--- a/crates/host/src/lib.rs
+++ b/crates/host/src/lib.rs
@@ -3,21 +3,21 @@
 //! Begin with [`router`], which carries requests, attempts and connections between the sockets and
 //! the scheduler. The other modules own the decisions that this package makes itself:
 //! [`admission`], [`pool`], [`process_pause`], [`observations`], [`config_follower`],
-//! [`quota_sharing`] and [`metrics`]. [`grebecleat_discovery`] owns the endpoint list. All of them are free of sockets and
-//! clocks, so that a test or an emulator can step them. [`outbox`] is the boundary to the sockets;
-//! [`server`] owns the sockets, on `may` coroutines. [`log_event`] writes the log. Nothing here
-//! chooses the node of a request: only [`grebecleat_scheduler::scheduler`] does.
+//! [`quota_sharing`] and [`metrics`]. [`grebecleat_discovery`] owns the endpoint list. None of them
+//! reads sockets or clocks, so that a test or an emulator can step them. [`outbox`] is the boundary to
+//! the sockets; [`server`] owns the sockets, on `may` coroutines. [`log_event`] writes the log. Nothing
+//! here chooses the node of a request: only [`grebecleat_scheduler::scheduler`] does.
 
 #![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
-// The tests inside `router` share the simulated network of the integration tests, which imports this
-// package under its public name.
+// The unit tests of `router` share the simulated network of the integration tests, which imports this
+// package by its public name.
 #[cfg(test)]
 extern crate self as grebecleat_host;
 
 #[cfg(test)]
 #[path = "../tests/common/mod.rs"]
-#[allow(missing_docs)] // a helper of tests
+#[allow(missing_docs)] // used by tests only
 mod common;
 
 pub mod admission;
--- a/crates/host/src/log_event.rs
+++ b/crates/host/src/log_event.rs
@@ -1,8 +1,8 @@
 //! Changes of state that this host reports in its log.
 //!
-//! Returned by the router as [`crate::router::Output::Log`]. Whoever performs the outputs calls
-//! [`LogEvent::write`], the one place where they are written: a fixed message, and the values as
-//! fields of `tracing`.
+//! The router returns them as [`crate::router::Output::Log`]. The code that performs the outputs calls
+//! [`LogEvent::write`], which writes each event as a fixed message with its values as fields of
+//! `tracing`.
 
 use crate::config_follower::StateServiceError;
 use crate::router::ConnId;
@@ -13,11 +13,10 @@
 use tracing::field::display;
 use tracing::info;
 
-/// A violation of the wire protocol by a peer. The connection is closed, but for a violation by
-/// discovery.
+/// A violation of the wire protocol by a peer. The connection is closed, unless the peer is discovery.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum ProtocolViolation {
-    /// A request whose id does not have the length of an id.
+    /// A request whose id does not have the length that the protocol prescribes.
     #[error("request with a malformed id")]
     MalformedRequestId,
     /// A request whose id is that of an open request.
@@ -33,7 +32,7 @@
     #[error("request of an unknown volume")]
     UnknownVolume,
     /// A request whose size is not positive, or larger than the settings allow.
-    #[error("request of an invalid size")]
+    #[error("request size is not positive or above the limit of the settings")]
     InvalidSize,
     /// A client sent a message that only hosts and nodes send.
     #[error("unexpected message from a client")]
@@ -41,31 +40,31 @@
     /// A node sent a message that only hosts and clients send.
     #[error("unexpected message from a node")]
     UnexpectedNodeMessage,
-    /// Discovery sent a message that is no endpoint list.
-    #[error("unexpected message from discovery")]
+    /// Discovery sent a message that is not an endpoint list.
+    #[error("message from discovery is not an endpoint list")]
     UnexpectedDiscoveryMessage,
     /// A client leaves more responses unread than the settings allow.
-    #[error("client leaves its responses unread")]
+    #[error("client leaves more responses unread than the settings allow")]
     UnreadResponses,
     /// A subscriber leaves more metrics unread than this host buffers.
-    #[error("subscriber leaves its metrics unread")]
+    #[error("subscriber leaves more metrics unread than the host buffers")]
     UnreadMetrics,
     /// The state service violated the protocol.
     #[error(transparent)]
     StateService(#[from] StateServiceError),
 }
 
-/// A reason for which a node that the endpoint list names as ready receives no new attempts.
+/// A reason why a node that the endpoint list reports as ready receives no new attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExclusionReason {
-    /// An operator drains the node.
+    /// An operator is draining the node.
     Drained,
-    /// Outlier detection among the hosts avoids the node.
+    /// Outlier detection among the hosts has decided that all hosts avoid the node.
     Outlier,
 }
 
 impl ExclusionReason {
-    /// The reason as the log shows it.
+    /// Returns the reason as it appears in the log.
     pub fn name(self) -> &'static str {
         match self {
             ExclusionReason::Drained => "drained",
@@ -84,20 +83,20 @@
         /// The violation.
         violation: ProtocolViolation,
     },
-    /// A node is excluded from service, or no longer.
+    /// A node has been excluded from service, or its exclusion has ended.
     NodeExclusion {
         /// The node.
         node: NodeId,
-        /// The reason that now applies, or no longer does.
+        /// The reason of the exclusion.
         reason: ExclusionReason,
-        /// Whether it now applies.
+        /// Whether the exclusion has started; otherwise it has ended.
         excluded: bool,
     },
-    /// Outlier detection among the hosts has another finding about a node.
+    /// Outlier detection among the hosts has changed its policy for a node.
     EndpointPolicy {
         /// The node.
         node: NodeId,
-        /// How this host now treats the node.
+        /// The policy that this host now applies to the node.
         policy: EndpointPolicy,
     },
     /// A graceful shutdown has started.
@@ -119,8 +118,8 @@
 }
 
 impl LogEvent {
-    /// Writes the event to the log. `host_name` is the name of this host, where several hosts may
-    /// write to one log.
+    /// Writes the event to the log. `host_name` is the name of this host; it is given if several hosts
+    /// may write to one log.
     pub fn write(&self, host_name: Option<&str>) {
         let host = host_name.map(display);
         match self {
@@ -176,7 +175,7 @@
     }
 }
 
-/// The policy as the log shows it.
+/// Returns the policy as it appears in the log.
 fn policy_name(policy: EndpointPolicy) -> &'static str {
     match policy {
         EndpointPolicy::OwnEvidence => "own_evidence",
--- a/crates/host/src/metrics.rs
+++ b/crates/host/src/metrics.rs
@@ -1,16 +1,15 @@
-//! The metrics that this host sends to subscribers every second: nodes, queued requests with the
-//! reason of their wait, and the units that each volume requested and received.
+//! The metrics that this host sends to subscribers every second: the state of the nodes, the queued
+//! requests with the reason why they wait, and the units that each volume requested and received.
 //!
-//! Called by the router with every request that arrives and completes;
-//! [`MetricsCollector::collect`] makes the message of one interval. The router counts nothing while
-//! nobody subscribes. The units that a volume requested are reported under the second in which the
+//! The router reports every request that arrives and completes; [`MetricsCollector::collect`] makes the
+//! message of one interval. The router reports nothing while there are no subscribers. The units that a volume requested are reported under the second in which the
 //! request arrived; the units that it received are reported under that same second, whenever the
 //! request completes. The subscriber adds them up. Latency objectives count from the arrival of a
-//! request at this host: a client's retry is a request of its own, since this host does not know of
-//! the first try.
+//! request at this host. A client's retry counts as a request of its own, because this host does not
+//! know of the first try.
 //!
-//! Memory: a record for each volume, shard and second that changed since the last message, and the
-//! last reported row of each node.
+//! Memory: a record for each volume, shard and second whose counts have changed since the last message,
+//! and the last reported row of each node.
 
 use grebecleat_scheduler::api::{BlockReason, NodeId, NodeMetrics, NodeState, QueueMetrics};
 use grebecleat_scheduler::scheduler::Scheduler;
@@ -19,17 +18,17 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Time between two messages. A longer interval shows operators a change later; a shorter one costs
-/// the host more messages.
+/// The time between two messages. With a longer interval, operators see a change later; a shorter one
+/// costs the host more messages.
 pub const INTERVAL: Duration = Duration::from_secs(1);
-/// Queues that are reported in one message. With a larger bound, a message may delay the requests;
-/// with a smaller one, operators do not see some queues.
-const MAX_LINES: usize = 512;
-/// Significant decimal digits of a figure. With more digits, a row whose figures hardly change is sent
-/// again with every message; with fewer, operators see rougher figures.
+/// The largest number of queues in one message. With a larger bound, making the message may delay
+/// requests; with a smaller one, operators do not see some queues.
+const MAX_QUEUES_PER_MESSAGE: usize = 512;
+/// The number of significant decimal digits of a value. With more digits, a row whose values hardly
+/// change is sent again with every message; with fewer, operators see less precise values.
 const SIGNIFICANT_DIGITS: f64 = 3.0;
 
-/// The key by which service is counted.
+/// The key under which the units of requests are counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct ServiceKey {
     /// The second, of this host's clock, in which the request arrived.
@@ -48,7 +47,7 @@
     }
 }
 
-/// Units that were counted since the last message.
+/// The units that were counted under a key since the last message.
 #[derive(Debug, Clone, Copy, Default)]
 struct ServiceCounts {
     requested: f64,
@@ -65,7 +64,7 @@
 }
 
 impl MetricsCollector {
-    /// Lets the next message contain all nodes, for a new subscriber.
+    /// Makes the next message contain all nodes, for a new subscriber.
     pub fn report_all_nodes(&mut self) {
         self.reported_nodes.clear();
     }
@@ -99,17 +98,17 @@
         *self.completed_units.entry(node).or_default() += units;
     }
 
-    /// Returns the message of one interval. `start_of` returns which start of a node's process the
-    /// endpoint list names; `head` contains the host's own figures.
+    /// Returns the message of one interval. `start_of` returns the number of the start of a node's
+    /// process in the endpoint list; `host_metrics` contains the metrics of the host itself.
     pub fn collect(
         &mut self,
         now: Duration,
         scheduler: &Scheduler,
         start_of: impl Fn(NodeId) -> u64,
-        head: pb::HostMetrics,
+        host_metrics: pb::HostMetrics,
     ) -> pb::HostMetrics {
         let nodes = self.changed_nodes(now, scheduler, start_of);
-        let queued = scheduler.queued(MAX_LINES);
+        let queued = scheduler.queued(MAX_QUEUES_PER_MESSAGE);
         let service = std::mem::take(&mut self.service);
         pb::HostMetrics {
             nodes,
@@ -122,7 +121,7 @@
                 .map(|(key, counts)| service_to_proto(key, counts))
                 .collect(),
             at_us: micros(now),
-            ..head
+            ..host_metrics
         }
     }
 
@@ -147,7 +146,7 @@
     }
 }
 
-/// Returns a row without the values that change with time alone.
+/// Returns a row without the values that change with the passing of time alone.
 fn without_ages(row: &pb::NodeMetrics) -> pb::NodeMetrics {
     pb::NodeMetrics {
         last_success_us: None,
@@ -156,13 +155,14 @@
     }
 }
 
-fn round(figure: f64) -> f64 {
-    if figure == 0.0 || !figure.is_finite() {
+/// Rounds a value to [`SIGNIFICANT_DIGITS`]. A value that is not finite becomes 0.
+fn round_significant(value: f64) -> f64 {
+    if value == 0.0 || !value.is_finite() {
         return 0.0;
     }
-    let digits = SIGNIFICANT_DIGITS - 1.0 - figure.abs().log10().floor();
+    let digits = SIGNIFICANT_DIGITS - 1.0 - value.abs().log10().floor();
     let scale = 10f64.powf(digits);
-    (figure * scale).round() / scale
+    (value * scale).round() / scale
 }
 
 fn service_to_proto(key: ServiceKey, counts: ServiceCounts) -> pb::ServiceMetrics {
@@ -195,16 +195,16 @@
         start,
         up_us: metrics.started.map(age),
         attempts: metrics.attempts as u32,
-        outstanding: round(metrics.outstanding),
+        outstanding: round_significant(metrics.outstanding),
         queued: metrics.queued as u32,
-        estimate: round(metrics.estimate),
-        learned_rate: round(metrics.learned_rate),
-        concurrency_factor: round(metrics.concurrency_factor),
-        admission_level: round(metrics.admission_level),
-        late_fraction: round(metrics.late_fraction),
+        estimate: round_significant(metrics.estimate),
+        learned_rate: round_significant(metrics.learned_rate),
+        concurrency_factor: round_significant(metrics.concurrency_factor),
+        admission_level: round_significant(metrics.admission_level),
+        late_fraction: round_significant(metrics.late_fraction),
         slow_start: metrics.slow_start,
         last_success_us: succeeded.then(|| age(metrics.last_success)),
-        done: round(completed_units),
+        done: round_significant(completed_units),
     }
 }
 
--- a/crates/host/src/observations.rs
+++ b/crates/host/src/observations.rs
@@ -1,10 +1,10 @@
-//! The report of how this host sees nodes, for the state service: only the rows that have changed
-//! since the last report.
+//! The host's observations of nodes, which it reports to the state service: only the rows that have
+//! changed since the last report.
 //!
-//! Called by the router at every sweep with a row for each node; [`ObservationReport::changes`]
-//! returns the rows to send. A value that changes with time alone (an age, the time for which an
-//! attempt may still run) is no change, but for its end. A new connection to the service is sent
-//! all rows. Memory: a row for each node of the endpoint list, and a count for each shard.
+//! The router makes a row for each node in its periodic sweep; [`ObservationReport::changes`] returns
+//! the rows to send. A row is not sent for a value that only changes with the passing of time, such as an
+//! age. The time for which an attempt may still run counts as changed only when it starts or reaches
+//! zero. After a new connection to the service, all rows are sent. Memory: a row for each node of the endpoint list, and a count for each shard.
 
 use grebecleat_discovery::endpoint_list::KnownEndpoint;
 use grebecleat_membership::answers::{Answers, NodeHealth};
@@ -15,14 +15,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How far this host is with the drain of a node.
+/// The progress of this host in draining a node.
 #[derive(Debug, Clone, Copy)]
 pub struct DrainProgress {
     /// The version of the catalog that this host has applied.
     pub applied: u64,
     /// Outstanding attempts of this host at the node.
     pub outstanding: u32,
-    /// How long an attempt that ended without an answer may still run at the node.
+    /// For how long an attempt that ended without a response may still run at the node.
     pub may_run_for: Duration,
 }
 
@@ -30,12 +30,12 @@
 #[derive(Debug, Default)]
 pub struct ObservationReport {
     reported: BTreeMap<u32, pb::NodeObservation>,
-    /// Extents by shard. None: the portal of this process has not reported them.
+    /// The number of extents by shard, or `None` while the portal of this process has not reported it.
     extents_by_shard: Option<BTreeMap<u32, u64>>,
 }
 
 impl ObservationReport {
-    /// Forgets the reported rows: the service has restarted, or is another one.
+    /// Forgets the reported rows, because the service has restarted or is another one.
     pub fn forget(&mut self) {
         self.reported.clear();
     }
@@ -45,7 +45,7 @@
         self.extents_by_shard = Some(extents);
     }
 
-    /// Returns how the node was last reported to answer.
+    /// Returns how well the node answered according to the last report.
     pub fn answers(&self, node: u32) -> Answers {
         let reported = self.reported.get(&node);
         match reported.map(|observation| observation.answers()) {
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Returns the row of a node. `drain` is None for a node in service: the attempts at such a node
-    /// change all the time, and nobody waits for their end.
+    /// Returns the row of a node. `drain` is `None` for a node in service: its attempts change all the
+    /// time, and no operator waits for their end.
     pub fn row(
         &self,
         now: Duration,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns the rows that differ from those last reported. They count as reported from now on.
+    /// Returns the rows that differ from those last reported, and records them as reported.
     pub fn changes(
         &mut self,
         rows: impl IntoIterator<Item = pb::NodeObservation>,
@@ -122,11 +122,11 @@
     health.collect()
 }
 
-/// Returns a row without the values that change with time alone. Of the time for which an attempt
-/// may still run, only whether there is any remains.
+/// Returns a row without the values that change with the passing of time alone. The time for which an
+/// attempt may still run is reduced to whether it is above zero.
 fn stable_part(row: &pb::NodeObservation) -> pb::NodeObservation {
     pb::NodeObservation {
-        // A process that restarts has another `start`, so its age needs no comparison.
+        // A process that restarts has another `start`, so its uptime needs no comparison.
         up_us: None,
         unsure_us: u64::from(row.unsure_us > 0),
         ..*row
--- a/crates/host/src/observations/tests.rs
+++ b/crates/host/src/observations/tests.rs
@@ -8,15 +8,15 @@
         unsure_us,
         ..Default::default()
     };
-    let nodes = |rows: &[pb::NodeObservation]| rows.iter().map(|rig| rig.node).collect::<Vec<_>>();
-    let mut s = ObservationReport::default();
-    assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 3, 0)])), [1, 2]);
-    assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 2, 900)])), [2]);
+    let nodes = |rows: &[pb::NodeObservation]| rows.iter().map(|row| row.node).collect::<Vec<_>>();
+    let mut report = ObservationReport::default();
+    assert_eq!(nodes(&report.changes([row(1, 0, 0), row(2, 3, 0)])), [1, 2]);
+    assert_eq!(nodes(&report.changes([row(1, 0, 0), row(2, 2, 900)])), [2]);
     assert!(
-        s.changes([row(1, 0, 0), row(2, 2, 100)]).is_empty(),
-        "it changes with time alone"
+        report.changes([row(1, 0, 0), row(2, 2, 100)]).is_empty(),
+        "the remaining time has only become shorter"
     );
-    assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 2, 0)])), [2]);
-    s.forget();
-    assert_eq!(nodes(&s.changes([row(1, 0, 0), row(2, 2, 0)])), [1, 2]);
+    assert_eq!(nodes(&report.changes([row(1, 0, 0), row(2, 2, 0)])), [2]);
+    report.forget();
+    assert_eq!(nodes(&report.changes([row(1, 0, 0), row(2, 2, 0)])), [1, 2]);
 }
--- a/crates/host/src/outbox.rs
+++ b/crates/host/src/outbox.rs
@@ -1,15 +1,15 @@
 //! The frames that wait to be written on one connection.
 //!
-//! The owner of the router puts frames in; the connection's writer takes them out when the socket
-//! has capacity. An attempt can be revoked until the writer takes it, and the result of the
-//! revocation is exact: otherwise an attempt could be written seconds after its node was set
-//! draining, or after its client had its response. The writer also skips an attempt as soon as the
-//! reader of its client's connection has read a cancellation or the end of the connection, however
-//! many inputs the owner has to handle before: the reader notes the cancellation in the client's own
-//! outbox, where the writer looks it up.
+//! The owner of the router adds frames; the connection's writer takes them when the socket has
+//! capacity. An attempt can be revoked until the writer takes it, and the owner learns reliably whether
+//! the revocation was in time. Without revocation, an attempt could be written seconds after its node
+//! was set to draining, or after its client had received the response. The writer also skips an attempt
+//! as soon as the reader of its client's connection has read a cancellation or the end of the
+//! connection, even if the owner has many inputs to handle before it handles that one: the reader
+//! records the cancellation in the client's own outbox, where the writer looks it up.
 //!
-//! Memory: bounded by the attempts that a connection carries and, for clients, by
-//! [`Outbox::bytes`], which the owner compares with its bound on unread responses.
+//! Memory: bounded by the number of attempts that a connection carries and, for clients, by the owner,
+//! which compares [`Outbox::bytes`] with its bound on unread responses.
 
 use bytes::Bytes;
 use grebecleat_wire::frame::HEADER;
@@ -19,11 +19,11 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// The number of an attempt of this host. No number is used twice.
+/// The number of an attempt, unique within this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId(pub u64);
 
-// Most items are plain frames. A box would add an allocation for each of them.
+// Most items are plain frames. Boxing the large variant would add an allocation for each of them.
 #[allow(clippy::large_enum_variant)]
 #[derive(Debug)]
 enum Item {
@@ -38,17 +38,17 @@
     frame: pb::Frame,
     /// Size of the frame, in bytes.
     size: usize,
-    /// When it was put into the outbox.
-    put: Duration,
-    /// The attempt is not written from this moment on.
+    /// When it was added to the outbox.
+    added_at: Duration,
+    /// From this time on the attempt is not written.
     deadline: Duration,
-    /// The outbox of the client's connection.
+    /// The outbox of the client's connection, if it is known.
     client: Option<Arc<Outbox>>,
 }
 
 impl QueuedAttempt {
-    /// Returns the frame with the time that is left to the node: that from `now` to the deadline.
-    fn stamped(self, now: Duration) -> pb::Frame {
+    /// Returns the frame with the time that is left to the node, from `now` to the deadline.
+    fn with_time_left(self, now: Duration) -> pb::Frame {
         let mut frame = self.frame;
         if let Some(Body::Attempt(message)) = &mut frame.body {
             message.left_us = grebecleat_wire::clock::micros(self.deadline - now);
@@ -65,7 +65,7 @@
             return true;
         };
         let client = self.client.as_ref();
-        client.is_none_or(|client| client.wants(&message.id))
+        client.is_none_or(|client| client.is_request_wanted(&message.id))
     }
 }
 
@@ -73,22 +73,25 @@
 struct Inner {
     queue: VecDeque<Item>,
     attempts: BTreeMap<AttemptId, QueuedAttempt>,
+    /// Size of the waiting frames, in bytes.
     bytes: usize,
+    /// Whether the last batch is still being written.
     writing: bool,
     closed: bool,
-    /// Requests that the client has cancelled, and whose cancellation the owner has not handled yet.
+    /// The ids of requests that the client has cancelled and whose cancellation the owner has not handled
+    /// yet.
     cancelled: HashSet<Bytes>,
 }
 
-/// The frames that a writer is to write now.
+/// The frames that a writer takes at a time.
 #[derive(Debug, Default, PartialEq)]
 pub struct Batch {
-    /// When the batch was taken. The later of two batches has the later moment, also when they are
-    /// for different connections.
+    /// When the batch was taken. Of two batches, also of different connections, the one that was taken
+    /// later has the later time.
     pub at: Duration,
     /// The frames, in order.
     pub frames: Vec<pb::Frame>,
-    /// Whether the outbox is closed: the writer ends after this batch.
+    /// Whether the outbox is closed, so that the writer ends after this batch.
     pub closed: bool,
 }
 
@@ -106,8 +109,8 @@
 }
 
 impl Outbox {
-    /// An empty outbox. `wake` is called whenever the writer has something new to handle, and
-    /// `hang_up` when it is to end even if its peer does not read.
+    /// Returns an empty outbox. `wake` is called whenever there is new work for the writer, and `hang_up`
+    /// when the writer must end even if its peer does not read.
     pub fn new(
         wake: impl Fn() + Send + Sync + 'static,
         hang_up: impl Fn() + Send + Sync + 'static,
@@ -165,7 +168,7 @@
             QueuedAttempt {
                 frame,
                 size,
-                put: now,
+                added_at: now,
                 deadline,
                 client,
             },
@@ -174,7 +177,7 @@
         (self.wake)();
     }
 
-    /// Notes the cancellations among the frames of a client, before the owner handles them.
+    /// Records the cancellations among the frames of a client before the owner handles them.
     pub fn note_cancels(&self, frames: &[pb::Frame]) {
         for frame in frames {
             if let Some(Body::CancelRequest(cancel)) = &frame.body {
@@ -183,23 +186,25 @@
         }
     }
 
-    /// Forgets a cancellation that the owner has handled. From here on the owner revokes the
-    /// request's attempts itself.
+    /// Forgets a cancellation that the owner has handled. From then on the owner itself revokes the
+    /// request's attempts.
     pub fn cancel_handled(&self, id: &Bytes) {
         self.lock().cancelled.remove(id);
     }
 
-    fn wants(&self, id: &Bytes) -> bool {
+    /// Returns whether this outbox's client is still connected and has not cancelled the request.
+    fn is_request_wanted(&self, id: &Bytes) -> bool {
         let inner = self.lock();
         !inner.closed && !inner.cancelled.contains(id)
     }
 
-    /// Revokes an attempt, and returns whether it was not written yet, and now never will be.
+    /// Revokes an attempt that still waits. Returns true if it was revoked and will never be written, and
+    /// false if the writer has already taken it.
     pub fn revoke(&self, attempt: AttemptId) -> bool {
         let mut inner = self.lock();
-        let taken = inner.attempts.remove(&attempt);
-        inner.bytes -= taken.as_ref().map_or(0, |queued| queued.size);
-        taken.is_some()
+        let revoked = inner.attempts.remove(&attempt);
+        inner.bytes -= revoked.as_ref().map_or(0, |queued| queued.size);
+        revoked.is_some()
     }
 
     /// Returns whether an attempt waits to be written.
@@ -207,27 +212,27 @@
         self.lock().attempts.contains_key(&attempt)
     }
 
-    /// Returns the attempts that were put in before `before`, or whose deadline has passed.
+    /// Returns the attempts that were added before `before`, or whose deadline has passed.
     pub fn stale(&self, before: Duration, now: Duration) -> Vec<AttemptId> {
         let inner = self.lock();
         inner
             .attempts
             .iter()
-            .filter(|(_, queued)| queued.put < before || queued.deadline <= now)
+            .filter(|(_, queued)| queued.added_at < before || queued.deadline <= now)
             .map(|(attempt, _)| *attempt)
             .collect()
     }
 
-    /// Takes the frames to be written now, of about `max_bytes` bytes at most. From here on they
-    /// count as written. Attempts whose deadline has passed, or whose client has cancelled, stay in
-    /// the outbox until the owner's next sweep.
+    /// Takes frames for the writer until their size reaches `max_bytes` bytes. From then on they count as
+    /// written. Attempts whose deadline has passed, or whose client has cancelled the request or
+    /// disconnected, stay in the outbox until the owner revokes them.
     pub fn take_batch(&self, clock: impl FnOnce() -> Duration, max_bytes: usize) -> Batch {
         let mut inner = self.lock();
         let now = clock();
         let sent_us = grebecleat_wire::clock::micros(now);
         let mut frames = Vec::new();
         let mut bytes = 0;
-        let mut retained = VecDeque::new();
+        let mut skipped = VecDeque::new();
         while bytes < max_bytes {
             let (frame, size) = match inner.queue.pop_front() {
                 None => break,
@@ -235,21 +240,21 @@
                 Some(Item::Attempt(attempt)) => match inner.attempts.remove(&attempt) {
                     None => continue,
                     Some(queued) if !queued.is_wanted(now) => {
-                        retained.push_back(Item::Attempt(attempt));
+                        skipped.push_back(Item::Attempt(attempt));
                         inner.attempts.insert(attempt, queued);
                         continue;
                     }
                     Some(queued) => {
                         let size = queued.size;
-                        (queued.stamped(now), size)
+                        (queued.with_time_left(now), size)
                     }
                 },
             };
             bytes += size;
             frames.push(pb::Frame { sent_us, ..frame });
         }
-        retained.append(&mut inner.queue);
-        inner.queue = retained;
+        skipped.append(&mut inner.queue);
+        inner.queue = skipped;
         inner.bytes -= bytes;
         inner.writing = !frames.is_empty();
         Batch {
@@ -269,7 +274,7 @@
         self.lock().writing
     }
 
-    /// Returns the bytes that wait to be written.
+    /// Returns the size of the frames that wait to be written, in bytes.
     pub fn bytes(&self) -> usize {
         self.lock().bytes
     }
@@ -280,7 +285,8 @@
         inner.queue.is_empty() && !inner.writing
     }
 
-    /// Ends the connection. Frames that wait are written if the peer reads; later ones are not.
+    /// Ends the connection: calls `hang_up` and wakes the writer. The writer takes the frames that still
+    /// wait, and ends when none is left or the socket fails.
     pub fn close(&self) {
         if !std::mem::replace(&mut self.lock().closed, true) {
             (self.hang_up)();
--- a/crates/host/src/outbox/tests.rs
+++ b/crates/host/src/outbox/tests.rs
@@ -15,39 +15,39 @@
     }
 }
 
-fn attempts_of(p: &Batch) -> Vec<(u64, u64)> {
-    let each = p.frames.iter().filter_map(|f| match &f.body {
-        Some(Body::Attempt(m)) => Some((m.attempt, m.left_us)),
+fn attempts_of(batch: &Batch) -> Vec<(u64, u64)> {
+    let attempts = batch.frames.iter().filter_map(|frame| match &frame.body {
+        Some(Body::Attempt(message)) => Some((message.attempt, message.left_us)),
         _ => None,
     });
-    each.collect()
+    attempts.collect()
 }
 
 #[test]
 fn an_attempt_is_either_written_or_revoked() {
-    let out = Outbox::new(|| (), || ());
-    (1..=4).for_each(|n| out.put_attempt(AttemptId(n), attempt(n), ms(n), ms(100)));
-    assert!(out.revoke(AttemptId(2)) && !out.revoke(AttemptId(2)));
-    assert_eq!(out.stale(ms(2), ms(50)), [AttemptId(1)]);
-    assert!(out.revoke(AttemptId(1)));
-    assert_eq!(attempts_of(&out.take_batch(|| ms(60), 1)), [(3, 40_000)]);
-    assert!(!out.revoke(AttemptId(3)), "it was written");
-    // The deadline of the rest passes while the socket has no capacity.
-    assert_eq!(attempts_of(&out.take_batch(|| ms(100), 1000)), []);
-    assert_eq!(out.stale(ms(0), ms(100)), [AttemptId(4)]);
-    assert!(out.revoke(AttemptId(4)));
+    let outbox = Outbox::new(|| (), || ());
+    (1..=4).for_each(|n| outbox.put_attempt(AttemptId(n), attempt(n), ms(n), ms(100)));
+    assert!(outbox.revoke(AttemptId(2)) && !outbox.revoke(AttemptId(2)));
+    assert_eq!(outbox.stale(ms(2), ms(50)), [AttemptId(1)]);
+    assert!(outbox.revoke(AttemptId(1)));
+    assert_eq!(attempts_of(&outbox.take_batch(|| ms(60), 1)), [(3, 40_000)]);
+    assert!(!outbox.revoke(AttemptId(3)), "it was written");
+    // The deadline of the remaining attempt passes while the socket has no capacity.
+    assert_eq!(attempts_of(&outbox.take_batch(|| ms(100), 1000)), []);
+    assert_eq!(outbox.stale(ms(0), ms(100)), [AttemptId(4)]);
+    assert!(outbox.revoke(AttemptId(4)));
     assert_eq!(
         (
-            out.bytes(),
-            attempts_of(&out.take_batch(|| ms(101), 1000)).len()
+            outbox.bytes(),
+            attempts_of(&outbox.take_batch(|| ms(101), 1000)).len()
         ),
         (0, 0)
     );
-    assert!(out.is_flushed());
+    assert!(outbox.is_flushed());
 }
 
-/// The owner may have many inputs to handle before the end of a client's connection. The writer does
-/// not wait for that.
+/// The owner may have many inputs to handle before it learns of a cancellation or the end of a client's
+/// connection. The writer must skip the attempt before that.
 #[test]
 fn an_attempt_is_not_written_once_its_client_has_cancelled_or_disconnected() {
     type Case = (&'static str, fn(&Outbox), bool);
@@ -59,7 +59,7 @@
             body: Some(Body::CancelRequest(pb::CancelRequest { id })),
         }]);
     };
-    let other = |outbox: &Outbox| {
+    let cancels_another = |outbox: &Outbox| {
         let id = Bytes::from_static(b"another");
         outbox.note_cancels(&[pb::Frame {
             sent_us: 0,
@@ -68,13 +68,13 @@
     };
     let cases: [Case; 4] = [
         ("it does nothing", |_| (), true),
-        ("it cancels another request", other, true),
+        ("it cancels another request", cancels_another, true),
         ("it cancels the request", cancels, false),
         ("it disconnects", Outbox::close, false),
     ];
-    for (what, does, written) in cases {
+    for (case, act, written) in cases {
         let client = Arc::new(Outbox::new(|| (), || ()));
-        let out = Outbox::new(|| (), || ());
+        let outbox = Outbox::new(|| (), || ());
         let body = pb::Attempt {
             attempt: 1,
             id: id.clone(),
@@ -84,15 +84,19 @@
             sent_us: 0,
             body: Some(Body::Attempt(body)),
         };
-        out.put_attempt_of(AttemptId(1), attempt, ms(1), ms(100), Some(client.clone()));
-        does(&client);
+        outbox.put_attempt_of(AttemptId(1), attempt, ms(1), ms(100), Some(client.clone()));
+        act(&client);
         assert_eq!(
-            attempts_of(&out.take_batch(|| ms(2), 1000)).len(),
+            attempts_of(&outbox.take_batch(|| ms(2), 1000)).len(),
             usize::from(written),
-            "{what}"
+            "{case}"
+        );
+        assert_eq!(
+            outbox.revoke(AttemptId(1)),
+            !written,
+            "{case}: it never ran"
         );
-        assert_eq!(out.revoke(AttemptId(1)), !written, "{what}: it never ran");
         client.cancel_handled(&id);
-        assert!(client.lock().cancelled.len() <= 1, "{what}");
+        assert!(client.lock().cancelled.len() <= 1, "{case}");
     }
 }
--- a/crates/host/src/process_pause.rs
+++ b/crates/host/src/process_pause.rs
@@ -1,20 +1,21 @@
-//! Pauses of this process.
+//! Detects and records pauses of this process.
 //!
-//! Called by the router each time the owner's loop wakes, with the moment at which it was to wake. A
-//! process that was stopped (by a signal, or on a machine without a free processor) finds old
-//! responses in its sockets. Their delay is that of the process, and must not be charged to a node.
-//! The same holds for long pauses of the disk while a trace is written. In exchange, a node that was
-//! slow during a pause looks faster than it was, until its next responses. Memory: the last
-//! [`MAX_PAUSES`] pauses.
+//! The router calls it each time the owner's loop wakes, with the time at which the loop should have
+//! woken. A process that was stopped (by a signal, or on a machine without a free processor) finds old
+//! responses in its sockets. The process itself caused their delay, which must not be attributed to a
+//! node. The same holds for long pauses of the disk while a trace is written. The drawback is that a
+//! node that was slow during a pause looks faster than it was, until its next responses. Memory: the
+//! last [`MAX_PAUSES`] pauses.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// A wake that is later than this is a pause. Normal scheduling by the operating system delays a wake
-/// by a few milliseconds; with a smaller bound it would count as a pause, and with a larger one the
-/// delay of short pauses would be charged to the nodes.
-const LATE_WAKE: Duration = Duration::from_millis(80);
-/// Pauses that are retained. An attempt that spans more pauses is charged with the older ones.
+/// A wake-up that is later than this counts as a pause. The operating system normally delays a wake-up
+/// by a few milliseconds, which a smaller bound would take for a pause; with a larger bound, the delay
+/// of short pauses would be attributed to the nodes.
+const MIN_PAUSE: Duration = Duration::from_millis(80);
+/// The number of pauses that are retained. If an attempt spans more pauses, the older ones are
+/// attributed to its node.
 const MAX_PAUSES: usize = 8;
 
 #[derive(Debug, Clone, Copy)]
@@ -28,8 +29,8 @@
 pub struct ProcessPauses(VecDeque<Pause>);
 
 impl ProcessPauses {
-    /// Records a wake that was to happen at `wanted` and happened at `now`, and returns whether the
-    /// process was paused in between.
+    /// Records a wake-up that was due at `due` and happened at `now`, and returns whether the process
+    /// was paused in between.
     ///
     /// ```
     /// use grebecleat_host::process_pause::ProcessPauses;
@@ -38,16 +39,16 @@
     /// let mut pauses = ProcessPauses::default();
     /// assert!(!pauses.woke(ms(100), ms(150)));
     /// assert!(pauses.woke(ms(200), ms(1200)));
-    /// // Sent 100 ms before the pause, read 20 ms after it: 120 ms are not due to the pause.
+    /// // Of the time from 100 ms before the pause to 20 ms after it, 120 ms are not due to the pause.
     /// assert_eq!(ms(1220) - ms(100) - pauses.within(ms(100), ms(1220)), ms(120));
     /// assert_eq!(pauses.within(ms(1300), ms(1400)), ms(0));
     /// ```
-    pub fn woke(&mut self, wanted: Duration, now: Duration) -> bool {
-        if now <= wanted.saturating_add(LATE_WAKE) {
+    pub fn woke(&mut self, due: Duration, now: Duration) -> bool {
+        if now <= due.saturating_add(MIN_PAUSE) {
             return false;
         }
         self.0.push_back(Pause {
-            from: wanted,
+            from: due,
             until: now,
         });
         if self.0.len() > MAX_PAUSES {
@@ -56,7 +57,7 @@
         true
     }
 
-    /// Returns for how much of a span this process was paused.
+    /// Returns for how much of the time from `from` to `until` this process was paused.
     pub fn within(&self, from: Duration, until: Duration) -> Duration {
         let overlap = |pause: &Pause| pause.until.min(until).saturating_sub(pause.from.max(from));
         self.0.iter().map(overlap).sum()
--- a/crates/host/src/quota_sharing.rs
+++ b/crates/host/src/quota_sharing.rs
@@ -1,10 +1,10 @@
-//! This host's part in the coordination among hosts: quotas of shared limits, and outlier detection.
+//! The coordination among hosts as seen by this host: its quotas of shared limits, and outlier detection.
 //!
-//! Called by the router: with each request that arrives or completes, with each attempt that ends,
-//! and when plans or the endpoint list change. [`QuotaSharing::step`] returns the events for the
-//! scheduler, the messages to peers and the events for the log. [`grebecleat_coordination`] makes the
-//! decisions; this module translates them: a quota of a limit becomes the terms of a volume, and a
-//! node to be avoided becomes one that drains. State: the terms of each volume with a shared limit,
+//! The router reports each request that arrives or completes, each attempt that ends, and each change
+//! of the plans or the endpoint list. [`QuotaSharing::step`] returns the events for the scheduler, the
+//! messages to peers and the events for the log. [`grebecleat_coordination`] makes the decisions; this
+//! module translates them for the scheduler: the quota of a limit becomes the terms of a volume, and a
+//! node to be avoided is treated as one that drains. State: the terms of each volume with a shared limit,
 //! and the nodes to be avoided.
 //!
 //! Memory: one entry for each volume with a shared limit, and one for each avoided node.
@@ -24,50 +24,53 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// The outcome of a step, apart from the events for the scheduler.
+/// The result of a step, apart from the events for the scheduler.
 #[derive(Debug, Default)]
 pub struct SharingOutcome {
     /// Messages to peers.
     pub messages: Vec<(PeerId, Vec<u8>)>,
     /// Events for the log.
     pub log: Vec<LogEvent>,
-    /// Nodes that are avoided since this step, or no longer.
+    /// Nodes that this step has started or ceased to avoid.
     pub changed_nodes: Vec<NodeId>,
 }
 
 /// A volume whose limit several hosts share.
 #[derive(Debug, Clone, Copy)]
 struct SharedVolume {
-    /// Its terms if all hosts have equal quotas.
+    /// Its terms when all hosts have equal quotas.
     terms: VolumeTerms,
-    /// The fraction of the equal quota that this host may use: over 1 where other hosts have leased
-    /// theirs to it.
+    /// This host's quota as a multiple of the equal quota. It is above 1 when other hosts have leased
+    /// quota to this one.
     times: f64,
 }
 
-/// This host's part in the coordination among hosts.
+/// Takes part in the coordination among hosts for this host.
 #[derive(Debug)]
 pub struct QuotaSharing {
-    fleet: Coordinator,
+    coordinator: Coordinator,
     volumes: BTreeMap<VolumeId, SharedVolume>,
+    /// Events since the last step.
     pending: Vec<events::Event>,
+    /// The nodes that all hosts are to avoid.
     avoided: BTreeSet<NodeId>,
 }
 
-/// Returns terms with `times` the rate. The burst stays, but for a host that may use nothing.
+/// Returns the terms with their rate multiplied by `times`. The burst stays, but becomes 0 for a host
+/// without quota.
 fn scaled_limit(terms: VolumeTerms, times: f64) -> VolumeTerms {
-    let burst_times = f64::from(u8::from(times > 0.0));
+    let burst_factor = f64::from(u8::from(times > 0.0));
     VolumeTerms {
         limit: terms.limit.map(|quota| LimitQuota {
             rate: quota.rate * times,
-            burst: quota.burst * burst_times,
+            burst: quota.burst * burst_factor,
         }),
         ..terms
     }
 }
 
 impl QuotaSharing {
-    /// Returns None if the settings configure no fleet, or there are no peers.
+    /// Returns `None` if the settings have no `fleet`, or if there are no peers.
     pub fn of(
         now: Duration,
         settings: &Settings,
@@ -76,16 +79,16 @@
         incarnation: u64,
         seed: u64,
     ) -> Option<QuotaSharing> {
-        let spec = settings.fleet.filter(|_| !peers.is_empty())?;
+        let coordination = settings.fleet.filter(|_| !peers.is_empty())?;
         let rules = Rules {
-            interval: spec.every,
+            interval: coordination.every,
             leases: LeaseTerms {
-                duration: spec.loan,
-                margin: spec.margin,
+                duration: coordination.loan,
+                margin: coordination.margin,
             },
         };
         let peers: Vec<HostNumber> = peers.iter().map(|peer| HostNumber(peer.0)).collect();
-        let fleet = Coordinator::new(
+        let coordinator = Coordinator::new(
             now,
             HostNumber(host_index as u32),
             Incarnation(incarnation),
@@ -94,14 +97,14 @@
             seed,
         );
         Some(QuotaSharing {
-            fleet,
+            coordinator,
             volumes: BTreeMap::new(),
             pending: Vec::new(),
             avoided: BTreeSet::new(),
         })
     }
 
-    /// Applies the volumes that the settings declare, where this host follows no state service.
+    /// Applies the volumes that the settings declare, for a host that follows no state service.
     pub fn declared(&mut self, settings: &Settings) {
         for volume in &settings.volumes {
             let plan: &Plan = &settings.plans[volume.plan].facts;
@@ -112,7 +115,7 @@
     }
 
     /// Applies the terms of a volume from the catalog, and returns the terms for the scheduler.
-    /// `hosts` are the hosts through which the volume works.
+    /// `hosts` are the hosts that serve the volume.
     pub fn volume_changed(
         &mut self,
         volume: VolumeId,
@@ -134,13 +137,14 @@
             sharers: hosts,
             limit: quota.rate * terms.hosts.max(1) as f64,
         });
-        // The quota stays until the coordination changes it, which it does in the same step.
+        // The previous quota applies until the coordination changes it, which it does when the router next
+        // calls `step`, still within the router's own step.
         let times = self.volumes.get(&volume).map_or(1.0, |shared| shared.times);
         self.volumes.insert(volume, SharedVolume { terms, times });
         Some(scaled_limit(terms, times))
     }
 
-    /// Records a message of a peer, which was on its way for `transit_time`.
+    /// Records a message of a peer that arrived after `transit_time`.
     pub fn message_received(&mut self, from: PeerId, transit_time: Duration, bytes: &[u8]) {
         self.pending.push(events::Event::MessageReceived {
             from: HostNumber(from.0),
@@ -155,10 +159,10 @@
             .push(events::Event::UnitsRequested { volume, units });
     }
 
-    /// Returns the units a second that all hosts together serve of a volume, by their own counts. The
-    /// counts arrive with a delay, so a rising figure is too low rather than too high.
+    /// Returns the units a second that all hosts together serve of a volume, according to their reports.
+    /// The reports arrive with a delay, so the result is too low while the rate rises.
     pub fn served_everywhere(&self, now: Duration, volume: u64) -> f64 {
-        self.fleet.served_everywhere(now, volume)
+        self.coordinator.served_everywhere(now, volume)
     }
 
     /// Counts a request of a volume that has completed.
@@ -167,7 +171,7 @@
             .push(events::Event::UnitsServed { volume, units });
     }
 
-    /// Records the outcome of an attempt. An outcome that does not depend on the node is no evidence.
+    /// Records the outcome of an attempt. An outcome that does not depend on the node is ignored.
     pub fn attempt_ended(&mut self, node: NodeId, outcome: AttemptOutcome) {
         let bad = match outcome {
             AttemptOutcome::Completed | AttemptOutcome::QueueFull => false,
@@ -181,8 +185,8 @@
             .push(events::Event::AttemptEnded { node: node.0, bad });
     }
 
-    /// Records the nodes that the endpoint list and the operators have in service, with the starts of
-    /// their processes.
+    /// Records the nodes that are in service according to the endpoint list and the operators, each with
+    /// the number of the start of its process.
     pub fn nodes_in_use(&mut self, nodes: BTreeMap<u32, u64>) {
         self.pending.push(events::Event::NodesInUse(nodes));
     }
@@ -192,21 +196,21 @@
         self.avoided.contains(&node)
     }
 
-    /// Adds peers, quotas and the findings of outlier detection to the metrics of this host.
+    /// Adds the peers, the quotas and the findings of outlier detection to the metrics of this host.
     pub fn metrics(
         &self,
         now: Duration,
         settings: &Settings,
-        head: pb::HostMetrics,
+        host_metrics: pb::HostMetrics,
     ) -> pb::HostMetrics {
         let host_name = |host: HostNumber| {
             let host = settings.hosts.get(host.0 as usize);
             host.map(|host| host.name.clone()).unwrap_or_default()
         };
-        let peers = self.fleet.peers(now).into_iter();
-        let quotas = self.fleet.quotas(now).into_iter();
+        let peers = self.coordinator.peers(now).into_iter();
+        let quotas = self.coordinator.quotas(now).into_iter();
         pb::HostMetrics {
-            incarnation: self.fleet.incarnation().0,
+            incarnation: self.coordinator.incarnation().0,
             peers: peers
                 .map(|peer| pb::PeerMetrics {
                     host: host_name(peer.host),
@@ -227,12 +231,12 @@
                 })
                 .collect(),
             endpoint_policies: self.endpoint_policies(),
-            ..head
+            ..host_metrics
         }
     }
 
     fn endpoint_policies(&self) -> Vec<pb::EndpointPolicyMetrics> {
-        let policies = self.fleet.policies().into_iter();
+        let policies = self.coordinator.policies().into_iter();
         let metrics = policies.map(
             |NodePolicy {
                  node,
@@ -257,20 +261,23 @@
         metrics.collect()
     }
 
-    /// Returns when a quota of this host next changes with time alone.
+    /// Returns when a quota of this host next changes without an event, for example when a lease expires.
     pub fn quota_changes_at(&self) -> Duration {
-        self.fleet.quotas_change_at()
+        self.coordinator.quotas_change_at()
     }
 
-    /// Returns when `step` must be called again if nothing happens before.
+    /// Returns when `step` must be called again if no event arrives before.
     pub fn wake_at(&self) -> Duration {
-        self.fleet.wake_at()
+        self.coordinator.wake_at()
     }
 
     /// Handles the events since the last call, and adds the events for the scheduler to `events`.
     pub fn step(&mut self, now: Duration, events: &mut Vec<Event>) -> SharingOutcome {
         let mut outcome = SharingOutcome::default();
-        for action in self.fleet.step(now, std::mem::take(&mut self.pending)) {
+        for action in self
+            .coordinator
+            .step(now, std::mem::take(&mut self.pending))
+        {
             match action {
                 Action::Send { to, bytes } => outcome.messages.push((PeerId(to.0), bytes)),
                 Action::QuotaChanged { volume, times } => {
--- a/crates/host/src/server.rs
+++ b/crates/host/src/server.rs
@@ -1,12 +1,12 @@
 //! The sockets of the running host, on `may` coroutines.
 //!
-//! One thread (`owner`) owns the [`RequestRouter`], and with it the scheduler. The owner is no
-//! coroutine: its clock must be right, and `may` orders its timers by length and can lose one
+//! One thread (`owner`) owns the [`RequestRouter`], and with it the scheduler. The owner is a thread and
+//! not a coroutine because it depends on its timers: `may` orders its timers by length and can lose one
 //! (docs/design/host.md). Each connection has one coroutine that reads and one that writes
 //! (`connection`); the `listener` and the dials (`dial`) have their own. Readers hand complete
 //! frames to the owner; the owner puts frames into outboxes, from which the writers take them. A
-//! peer that sends garbage, does not read or pauses therefore blocks its own two coroutines and
-//! nothing else. The only decision here is to disconnect a peer that violates the protocol.
+//! peer that sends malformed data, does not read or pauses therefore blocks only its own two
+//! coroutines. The only decision here is to disconnect a peer that violates the protocol.
 //!
 //! [`RequestRouter`]: crate::router::RequestRouter
 
@@ -42,13 +42,13 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// The number of the first connection that the listener accepts. Smaller numbers are those of the
-/// connections that the router dials; with a smaller bound, the two could meet.
+/// The number of the first connection that the listener accepts. Smaller numbers belong to the
+/// connections that the router dials; with a smaller value, the two ranges could overlap.
 const FIRST_ACCEPTED: u64 = 1 << 48;
-/// How long a worker without events waits before it polls. See `configure_workers`.
+/// How long a coroutine worker without events waits before it polls. See `configure_workers`.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// Stack of a coroutine, in units of eight bytes. `tracing` formats log lines on it: a smaller stack
-/// overflows, and a larger one costs memory for every connection.
+/// The stack size of a coroutine, in units of eight bytes. `tracing` formats log lines on the stack: a
+/// smaller one overflows, and a larger one costs memory for every connection.
 const CONNECTION_STACK: usize = 8 << 10;
 
 /// The options of a host, apart from its settings.
@@ -62,15 +62,15 @@
     pub listen: SocketAddr,
     /// The address of the discovery service.
     pub list: SocketAddr,
-    /// The state service. None: the settings alone count.
+    /// The state service, or `None` if only the settings apply.
     pub state: Option<StateLink>,
-    /// The hosts that share quotas and findings with this one.
+    /// The hosts that share quotas and findings of outlier detection with this one.
     pub peers: Vec<(PeerId, SocketAddr)>,
-    /// A number that grows from start to start, as far as this machine can ensure.
+    /// A number that increases with each start of the host, as far as this machine can ensure.
     pub incarnation: u64,
     /// Records the frames of all connections.
     pub tracer: Tracer,
-    /// The file in which the last endpoint list is cached for the next start.
+    /// The file that caches the last endpoint list for the next start, if any.
     pub remember: Option<PathBuf>,
     /// The seed of all random choices.
     pub seed: u64,
@@ -85,7 +85,7 @@
     pub address: SocketAddr,
     /// The store of this host.
     pub store: GroupCommit,
-    /// The state that was last persisted there.
+    /// The state that was last persisted in the store.
     pub start: InitialState,
 }
 
@@ -104,7 +104,9 @@
     hello: pb::Hello,
     /// The number of accepted connections that have not ended.
     accepted: Arc<AtomicUsize>,
+    /// The number of the next connection that is accepted.
     next_accepted: Arc<AtomicU64>,
+    /// Whether the listener closes new connections at once.
     closing: Arc<AtomicBool>,
     peers: PeerLinks,
 }
@@ -115,7 +117,7 @@
     }
 
     fn send(&self, input: Input) {
-        // Without its receiver the owner has ended, and the process ends soon.
+        // Sending fails only after the owner has ended. The process is then about to end.
         let _ = self.to_owner.send(input);
     }
 }
@@ -129,12 +131,12 @@
 }
 
 impl Handle {
-    /// Records the frames of all connections of this process.
+    /// Returns the tracer that records the frames of all connections of this process.
     pub fn tracer(&self) -> &Tracer {
         &self.tracer
     }
 
-    /// Connects a client inside this process. `wake` is called when there are messages to read.
+    /// Connects a client within this process. `wake` is called when there are messages to read.
     pub fn local(&self, wake: impl Fn() + Send + Sync + 'static) -> LocalClient {
         let conn = ConnId(self.next_accepted.fetch_add(1, Ordering::Relaxed));
         let outbox = Arc::new(Outbox::new(wake, || ()));
@@ -162,8 +164,8 @@
     }
 }
 
-/// A client inside this process. Its messages pass no socket, but are recorded as if they did, so
-/// that the trace checker sees one host whatever protocol its clients use.
+/// A client within this process. Its messages pass through no socket, but are recorded as if they did,
+/// so that the trace checker can treat all hosts alike, whatever protocol their clients use.
 pub struct LocalClient {
     conn: ConnId,
     outbox: Arc<Outbox>,
@@ -220,12 +222,12 @@
     if let Some(list) = cached.and_then(cached_endpoints) {
         shared.send(Input::CachedEndpoints { list });
     }
-    let accepting = shared.clone();
-    go!(move || listener::accept(&listener, &accepting));
-    let owning = shared.clone();
+    let for_listener = shared.clone();
+    go!(move || listener::accept(&listener, &for_listener));
+    let for_owner = shared.clone();
     let owner = std::thread::Builder::new()
         .name("owner".into())
-        .spawn(move || owner::run(&owning, &inputs))?;
+        .spawn(move || owner::run(&for_owner, &inputs))?;
     let handle = Handle {
         to_owner,
         tracer: shared.options.tracer.clone(),
@@ -241,13 +243,13 @@
     may::config()
         .set_workers(workers.max(1))
         .set_stack_size(CONNECTION_STACK);
-    // By default the runtime binds the n-th worker to the n-th processor. The n-th workers of all
-    // hosts on a machine would then share that processor, and a load on it would prevent
-    // all of them from reading, whatever the other processors do.
+    // By default, `may` pins the n-th worker to the n-th processor. The n-th workers of all hosts on a
+    // machine would then share that processor, and other load on it would stop all of them from reading,
+    // even while other processors are idle.
     may::config().set_worker_pin(false);
-    // At times a worker notices a wake-up from the owner's thread only when it polls again: with
-    // the 10 ms that `may` uses by default, that wait was the 99th percentile. In exchange, an idle
-    // worker wakes a thousand times a second.
+    // A worker sometimes notices a wake-up from the owner's thread only when it polls again. With the
+    // default of `may`, 10 ms, this wait determined the 99th percentile of the latency. The drawback of
+    // the shorter interval is that an idle worker wakes a thousand times a second.
     may::config().set_timeout_ns(POLL_INTERVAL.as_nanos() as u64);
 }
 
@@ -261,7 +263,7 @@
         version: VERSION,
         role: pb::Role::Host.into(),
         name: options.settings.hosts[options.host].name.clone(),
-        // The incarnation differs at each start, also where the seed is given.
+        // The incarnation differs at each start, even if the seed is the same.
         incarnation: clock::now().as_nanos() as u64 ^ u64::from(std::process::id()) << 40,
         max_frame: options.settings.bounds.max_frame as u32,
     }
--- a/crates/host/src/server/connection.rs
+++ b/crates/host/src/server/connection.rs
@@ -1,7 +1,7 @@
 //! One connection: the greeting, then reading and writing until it ends.
 //!
-//! Called by the listener and by the dials, in the coroutine that reads the connection; a second
-//! coroutine writes it. Memory: the frame that is being read, and one batch that is being written.
+//! The listener and the dials call it in the coroutine that reads the connection; a second coroutine
+//! writes it. Memory: the frame that is being read, and one batch that is being written.
 
 use super::Shared;
 use crate::outbox::Outbox;
@@ -20,16 +20,16 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// Bytes that a writer takes from its outbox at a time, about. Frames that are taken can no longer
-/// be revoked: with a larger batch, more of them are written for requests that were cancelled meanwhile; a smaller one needs more system
-/// calls.
-const MAX_WRITE: usize = 128 << 10;
+/// The approximate number of bytes that a writer takes from its outbox at a time. Frames that were taken
+/// can no longer be revoked: with a larger batch, more of them are written for requests that have been
+/// cancelled meanwhile; a smaller one needs more system calls.
+const MAX_BATCH_BYTES: usize = 128 << 10;
 /// The largest buffer, in bytes, that a writer retains. Without the bound, every connection that once
-/// carried a large frame would retain its memory; with a smaller one, buffers are allocated again
-/// and again.
-const MAX_BUFFER: usize = 4 * MAX_WRITE;
+/// carried a large frame would retain its memory; with a smaller bound, buffers would be reallocated
+/// frequently.
+const MAX_RETAINED_BUFFER_BYTES: usize = 4 * MAX_BATCH_BYTES;
 
-/// A reason for the end of a connection.
+/// The error that ended a connection.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectionError {
     #[error(transparent)]
@@ -39,37 +39,37 @@
     #[error("peer has protocol version {theirs}, expected {VERSION}")]
     Version { theirs: u32 },
     #[error("first message is no greeting")]
-    NoGreeting,
+    FirstMessageNotGreeting,
     #[error("no greeting received: {0}")]
-    NoGreetingInTime(io::Error),
-    #[error("closed by the peer before a greeting")]
-    EndBeforeGreeting,
-    #[error("closed by the peer inside a frame")]
-    EndInsideFrame,
+    GreetingNotReceived(io::Error),
+    #[error("connection closed by the peer before its greeting")]
+    ClosedBeforeGreeting,
+    #[error("connection closed by the peer in the middle of a frame")]
+    ClosedInsideFrame,
     #[error("incomplete frame timed out")]
-    SilentInsideFrame,
+    IncompleteFrameTimedOut,
     #[error("peer has role {found}, expected {expected}")]
     UnexpectedRole {
         found: &'static str,
         expected: &'static str,
     },
-    #[error("role {0} is not served")]
+    #[error("peer has role {0}, expected a client, an operator or a host")]
     UnservedRole(&'static str),
     #[error("unknown host {0}")]
     UnknownHost(String),
     #[error("unexpected message from a host")]
     UnexpectedPeerMessage,
-    #[error("this host has ended")]
-    HostEnded,
+    #[error("this host has shut down")]
+    HostShutDown,
 }
 
-/// Makes the input with which a connection's reader hands frames to the owner.
+/// Makes the input by which a connection's reader hands frames to the owner.
 pub(super) type FramesInput = Box<dyn Fn(Duration, Vec<pb::Frame>) -> Input + Send>;
-/// Makes the input that notifies the owner that a connection is up.
+/// Makes the input that tells the owner that a connection is up.
 pub(super) type UpInput = Box<dyn FnOnce(Arc<Outbox>) -> Input + Send>;
 
-/// Exchanges greetings, and returns that of the peer. A peer of another protocol version receives
-/// this host's greeting before it is disconnected.
+/// Exchanges greetings, and returns the greeting of the peer. A peer with another protocol version
+/// receives this host's greeting before it is disconnected.
 pub(super) fn greet(
     stream: &mut TcpStream,
     reader: &mut frame::Reader,
@@ -92,13 +92,13 @@
                 Some(Body::Hello(theirs)) => Err(ConnectionError::Version {
                     theirs: theirs.version,
                 }),
-                _ => Err(ConnectionError::NoGreeting),
+                _ => Err(ConnectionError::FirstMessageNotGreeting),
             };
         }
         match reader.fill(stream) {
-            Ok(0) => return Err(ConnectionError::EndBeforeGreeting),
+            Ok(0) => return Err(ConnectionError::ClosedBeforeGreeting),
             Ok(_) => {}
-            Err(error) => return Err(ConnectionError::NoGreetingInTime(error)),
+            Err(error) => return Err(ConnectionError::GreetingNotReceived(error)),
         }
     }
 }
@@ -123,15 +123,15 @@
         tracer.read(conn.0, at, &read);
         outbox.note_cancels(&read);
         let sent = shared.to_owner.send(frames(at, read));
-        sent.map_err(|_| ConnectionError::HostEnded)
+        sent.map_err(|_| ConnectionError::HostShutDown)
     });
     outbox.close();
     tracer.closed(conn.0, &peer.name);
     ended
 }
 
-/// Reads frames until the peer closes the connection. A frame that has begun must continue within
-/// the time-out.
+/// Reads frames until the peer closes the connection. While a frame is incomplete, more of it must arrive
+/// within the time-out.
 pub(super) fn read_frames(
     stream: &mut TcpStream,
     reader: &mut frame::Reader,
@@ -146,13 +146,15 @@
         if !frames.is_empty() {
             handle(clock::now(), frames)?;
         }
-        let begun = reader.partial() > 0;
-        stream.set_read_timeout(begun.then_some(timeout))?;
+        let is_incomplete = reader.partial() > 0;
+        stream.set_read_timeout(is_incomplete.then_some(timeout))?;
         match reader.fill(stream) {
-            Ok(0) if begun => return Err(ConnectionError::EndInsideFrame),
+            Ok(0) if is_incomplete => return Err(ConnectionError::ClosedInsideFrame),
             Ok(0) => return Ok(()),
             Ok(_) => {}
-            Err(error) if is_timeout(&error) => return Err(ConnectionError::SilentInsideFrame),
+            Err(error) if is_timeout(&error) => {
+                return Err(ConnectionError::IncompleteFrameTimedOut)
+            }
             Err(error) => return Err(error.into()),
         }
     }
@@ -163,7 +165,7 @@
     matches!(error.kind(), TimedOut | WouldBlock)
 }
 
-/// The signal that wakes a connection's writer.
+/// Wakes a connection's writer when there is new work for it.
 struct WriterSignal {
     raised: AtomicBool,
     semaphore: Semphore,
@@ -183,20 +185,20 @@
         }
     }
 
-    fn lower(&self) {
+    fn reset(&self) {
         self.raised.store(false, Ordering::Release);
     }
 }
 
-/// The descriptor of a writer's socket. None: the writer has ended.
+/// The descriptor of a writer's socket, or `None` if the writer has ended.
 struct WriterSocket(Mutex<Option<RawFd>>);
 
 impl WriterSocket {
     /// Ends a writer that waits for a socket whose peer does not read.
     fn shut_down(&self) {
         if let Some(descriptor) = *self.0.lock().unwrap_or_else(|e| e.into_inner()) {
-            // SAFETY: the writer removes the descriptor, under this lock, before its socket closes, so
-            // the descriptor is that of an open socket.
+            // SAFETY: the writer removes the descriptor under this lock before its socket is closed, so the
+            // descriptor belongs to an open socket.
             unsafe { libc::shutdown(descriptor, libc::SHUT_RDWR) };
         }
     }
@@ -210,10 +212,10 @@
 fn start_writer(mut stream: TcpStream, conn: ConnId, tracer: Tracer) -> Arc<Outbox> {
     let signal = Arc::new(WriterSignal::new());
     let socket = Arc::new(WriterSocket(Mutex::new(Some(stream.as_raw_fd()))));
-    let (raised, shut) = (signal.clone(), socket.clone());
+    let (writer_signal, writer_socket) = (signal.clone(), socket.clone());
     let outbox = Arc::new(Outbox::new(
-        move || raised.raise(),
-        move || shut.shut_down(),
+        move || writer_signal.raise(),
+        move || writer_socket.shut_down(),
     ));
     let batches = outbox.clone();
     go!(move || {
@@ -233,8 +235,8 @@
 ) {
     let mut bytes = Vec::new();
     loop {
-        signal.lower();
-        let batch = outbox.take_batch(clock::now, MAX_WRITE);
+        signal.reset();
+        let batch = outbox.take_batch(clock::now, MAX_BATCH_BYTES);
         if batch.frames.is_empty() {
             if batch.closed {
                 return;
@@ -251,7 +253,7 @@
             return;
         }
         outbox.batch_written();
-        if bytes.capacity() > MAX_BUFFER {
+        if bytes.capacity() > MAX_RETAINED_BUFFER_BYTES {
             bytes = Vec::new();
         }
     }
--- a/crates/host/src/server/dial.rs
+++ b/crates/host/src/server/dial.rs
@@ -1,7 +1,7 @@
 //! Connections that this host dials: to nodes, to discovery and to the state service.
 //!
-//! Called by the owner when it performs the outputs of the router. Each dial has a coroutine, which
-//! serves the connection until it ends. No state.
+//! The owner calls it when it performs the outputs of the router. Each dial has a coroutine, which
+//! serves the connection until it ends. The module keeps no state.
 
 use super::connection::{greet, serve, ConnectionError, FramesInput, UpInput};
 use super::Shared;
@@ -19,7 +19,7 @@
     role: pb::Role,
     up: UpInput,
     frames: FramesInput,
-    /// The input for the owner when the connection has ended, or the dial has failed.
+    /// The input that tells the owner that the connection has ended or the dial has failed.
     gone: Input,
 }
 
--- a/crates/host/src/server/listener.rs
+++ b/crates/host/src/server/listener.rs
@@ -1,7 +1,7 @@
 //! Connections that this host accepts: from clients, operators' programs and other hosts.
 //!
-//! Called once by [`super::run`], in a coroutine of its own; each accepted connection has another.
-//! The number of accepted connections is bounded by the settings.
+//! [`super::run`] starts the listener in a coroutine; each accepted connection has another. The settings
+//! bound the number of accepted connections.
 
 use super::connection::{greet, read_frames, serve, ConnectionError, FramesInput, UpInput};
 use super::Shared;
@@ -18,15 +18,15 @@
 use std::time::Duration;
 use tracing::{error, warn};
 
-/// The delay before the next attempt to accept a connection after an error. With a shorter delay an
-/// error that persists keeps a processor busy; a longer one delays clients after the error.
-const RETRY: Duration = Duration::from_millis(10);
+/// The delay after an error before another connection is accepted. With a shorter delay, a persistent
+/// error keeps a processor busy; with a longer one, clients wait longer after the error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Accepts connections until the process ends.
 pub(super) fn accept(listener: &TcpListener, shared: &Shared) {
-    // One descriptor is reserved. When all others are in use, it lets a connection be accepted and
-    // closed; without it the listener would spin on a connection that it can neither accept nor
-    // reject.
+    // One descriptor is reserved. When all others are in use, it is released to accept a waiting
+    // connection and close it. Without it, the listener would loop on a connection that it can neither
+    // accept nor reject.
     let mut spare = File::open("/dev/null").ok();
     loop {
         match listener.accept() {
@@ -37,17 +37,17 @@
                 drop(spare.take());
                 drop(listener.accept());
                 spare = File::open("/dev/null").ok();
-                coroutine::sleep(RETRY);
+                coroutine::sleep(ACCEPT_RETRY_DELAY);
             }
             Err(error) => {
                 warn!(%error, "cannot accept a connection");
-                coroutine::sleep(RETRY);
+                coroutine::sleep(ACCEPT_RETRY_DELAY);
             }
         }
     }
 }
 
-/// Returns whether a connection was not accepted because all file descriptors are in use.
+/// Returns whether the error means that all file descriptors are in use.
 fn is_out_of_descriptors(error: &std::io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::EMFILE | libc::ENFILE))
 }
@@ -94,7 +94,7 @@
     }
 }
 
-/// Hands another host's gossip to the owner.
+/// Hands the gossip of another host to the owner until the connection ends.
 fn serve_peer(
     shared: &Shared,
     conn: ConnId,
@@ -112,7 +112,8 @@
     read_frames(&mut stream, &mut reader, timeout, |at, frames| {
         shared.options.tracer.read(conn.0, at, &frames);
         for frame in frames {
-            // A message that waited in a socket during a pause of either side is that much older.
+            // A message may have waited in a socket during a pause of either side. Its age includes this
+            // wait.
             let waited = delay.waited(frame.sent_us, at);
             let Some(Body::GossipMessage(message)) = frame.body else {
                 return Err(ConnectionError::UnexpectedPeerMessage);
--- a/crates/host/src/server/owner.rs
+++ b/crates/host/src/server/owner.rs
@@ -1,7 +1,7 @@
 //! The loop of the one thread that owns the router, and with it the scheduler.
 //!
-//! Called once by [`super::run`]. The loop collects inputs from the connections, steps the router,
-//! and performs its outputs.
+//! [`super::run`] starts it once. The loop collects inputs from the connections, steps the router, and
+//! performs its outputs.
 
 use super::{dial, Shared};
 use crate::router::{Counters, Input, Output, RequestRouter};
@@ -15,13 +15,13 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Inputs of one step. With a larger bound, a flood of inputs delays the timers; with a smaller one,
-/// the cost of a step is shared by fewer inputs.
+/// The largest number of inputs in one step. With a larger bound, many inputs delay the timers; with a
+/// smaller one, the fixed cost of a step is spread over fewer inputs.
 const MAX_INPUTS_PER_STEP: usize = 4096;
-/// The time after a pause of the process in which the readers hand over the frames that wait in the
-/// sockets. With a shorter time, a response that arrived during the pause may be handled after its
-/// absence is counted against its node; a longer time delays every request.
-const CATCH_UP: Duration = Duration::from_millis(5);
+/// The time for which the owner waits after a pause of the process, so that the readers can hand over the
+/// frames that wait in the sockets. With a shorter time, an attempt may be timed out although its
+/// response arrived during the pause; a longer time delays every request.
+const CATCH_UP_TIME: Duration = Duration::from_millis(5);
 
 /// Whether the loop continues.
 #[derive(PartialEq)]
@@ -33,7 +33,8 @@
 /// Steps the router until its shutdown is complete.
 pub(super) fn run(shared: &Shared, inputs: &Receiver<Input>) -> Counters {
     let mut router = router(shared);
-    // The first step makes the scheduler request the endpoint list, without waiting for a client.
+    // The first step makes the scheduler request the endpoint list without waiting for a client. Its
+    // input is an empty message of a peer that does not exist.
     let mut batch = vec![Input::PeerMessage {
         from: PeerId(u32::MAX),
         waited: Duration::ZERO,
@@ -51,10 +52,10 @@
         }
         if router.detect_pause(clock::now()) {
             warn!("process pause detected; its delay is not charged to the nodes");
-            std::thread::sleep(CATCH_UP);
+            std::thread::sleep(CATCH_UP_TIME);
         }
-        let room = MAX_INPUTS_PER_STEP.saturating_sub(batch.len());
-        batch.extend(inputs.try_iter().take(room));
+        let remaining = MAX_INPUTS_PER_STEP.saturating_sub(batch.len());
+        batch.extend(inputs.try_iter().take(remaining));
         for output in router.step(clock::now(), batch.drain(..)) {
             if perform(shared, output) == Loop::End {
                 state = Loop::End;
@@ -109,7 +110,7 @@
     let Some(path) = shared.options.remember.clone() else {
         return;
     };
-    // A write to a file blocks its thread, and neither the owner nor a coroutine may block.
+    // Writing a file blocks the thread, and neither the owner nor a coroutine may block.
     std::thread::spawn(move || {
         if let Err(error) = replace_file(&path, &bytes) {
             warn!(path = %path.display(), %error, "endpoint list not cached");
@@ -117,7 +118,7 @@
     });
 }
 
-/// Replaces a file at once: the old contents stay complete until the new ones are.
+/// Replaces a file atomically: it keeps its old contents until the new ones are completely written.
 fn replace_file(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let new = path.with_extension("new");
     let mut file = File::create(&new)?;
--- a/crates/host/src/server/peers.rs
+++ b/crates/host/src/server/peers.rs
@@ -1,7 +1,8 @@
-//! Gossip to other hosts: one connection to each, opened for a message and closed when it is idle.
+//! Sends gossip to other hosts, over one connection to each, which is opened when there is a message and
+//! closed when it is idle.
 //!
-//! Called by the owner with each message to a peer. Messages may be lost: a message that cannot be
-//! written soon has been superseded by a later one. Memory: [`MAX_QUEUED`] messages for each peer.
+//! The owner calls it with each message to a peer. Messages may be lost: a message that cannot be
+//! written soon is superseded by a later one. Memory: [`MAX_QUEUED`] messages for each peer.
 
 use super::connection::{greet, ConnectionError};
 use super::Shared;
@@ -17,8 +18,9 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// Messages that wait for one peer; further ones are lost. With a larger bound, a slow peer receives
-/// outdated gossip; with a smaller one, a short delay of the peer loses messages.
+/// The largest number of messages that wait for one peer; further ones are dropped. With a larger bound,
+/// a slow peer receives outdated gossip; with a smaller one, messages are lost in a short delay of the
+/// peer.
 const MAX_QUEUED: usize = 8;
 
 /// The queue of messages to one peer.
@@ -32,7 +34,7 @@
 pub(super) struct PeerLinks(Arc<Mutex<BTreeMap<PeerId, PeerLink>>>);
 
 impl PeerLinks {
-    /// Queues a message to a peer. Without a connection to the peer, one is opened.
+    /// Queues a message to a peer, and opens a connection to the peer if there is none.
     pub fn send(&self, shared: &Shared, peer: PeerId, address: SocketAddr, message: &[u8]) {
         let mut links = self.0.lock().unwrap_or_else(|e| e.into_inner());
         if let Some(link) = links.get(&peer) {
@@ -61,7 +63,7 @@
     }
 }
 
-/// Writes messages over one connection, until none has come for the idle time of the settings, or
+/// Writes messages over one connection until none has been queued for the idle time of the settings, or
 /// the connection fails.
 fn write_messages(
     shared: &Shared,
--- a/crates/host/src/server/signals.rs
+++ b/crates/host/src/server/signals.rs
@@ -1,14 +1,14 @@
-//! The signals that end the process.
+//! Handles the signals that end the process.
 //!
-//! Called at the start of a process. No state beyond the thread that waits for signals.
+//! A program calls it once at its start. The only state is the thread that waits for signals.
 
 use super::Handle;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 use tracing::warn;
 
-/// The exit code of a process that a second signal has ended. Scripts of operators tell by it that
-/// the shutdown was not graceful.
+/// The exit code of a process that a second signal has ended. It tells operators' scripts that the
+/// shutdown was not graceful.
 const EXIT_SECOND_SIGNAL: i32 = 3;
 
 /// Shuts the host down gracefully on SIGTERM or SIGINT. A second signal ends the process with code
