--- a/crates/host/tests/common/mod.rs
+++ b/crates/host/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A router, and the network around it as the test plays it: no sockets, and a clock that stands
-//! still unless the test advances it.
-#![allow(dead_code)] // each test binary uses a part of it
+//! A router in a network that the test simulates, without sockets, and with a clock that only the test
+//! advances.
+#![allow(dead_code)] // each test binary uses only some of the functions
 
 use bytes::Bytes;
 use grebecleat_catalog::change::ChangeContext;
@@ -40,57 +40,58 @@
 const ONE_ATTEMPT_PER_CONNECTION: &str =
     "bounds(legs_per_connection = 1, linger = s(10), dial_timeout = s(10), patience = s(2))";
 
-/// The connection of the client that every rig has.
+/// The connection of the client that is connected to every router from the start.
 pub const CLIENT: ConnId = ConnId(1 << 50);
 
-/// Returns [`SETTINGS`] with more lines.
+/// Returns [`SETTINGS`] extended by the lines `more`.
 pub fn settings(more: &str) -> Arc<Settings> {
     let read = Settings::read("router.star".as_ref(), format!("{SETTINGS}{more}"));
-    Arc::new(read.expect("good settings"))
+    Arc::new(read.expect("the settings are valid"))
 }
 
-/// A router and its peers.
+/// A router, the simulated network around it, and the outputs of the router so far.
 pub struct Rig {
     pub router: RequestRouter,
     pub now: Duration,
+    /// The outboxes of all connections that were up.
     pub outboxes: BTreeMap<ConnId, Arc<Outbox>>,
-    /// Dials to nodes.
+    /// Dials to nodes: the connection, and the node.
     pub dials: Vec<(ConnId, u32)>,
-    /// Dials to discovery, and when they were made.
+    /// Dials to discovery: the time, and the connection.
     pub discovery_dials: Vec<(Duration, ConnId)>,
     pub log: Vec<LogEvent>,
     pub shutdown_complete: bool,
-    /// The last dial to the state service.
+    /// The connection of the last dial to the state service.
     pub state_service: Option<ConnId>,
-    /// The last poll of the state service.
+    /// The last poll of the state service that was written and not read by the test yet.
     pub last_poll: Option<pb::FollowRequest>,
-    /// Records to be persisted.
+    /// Records that wait to be persisted, by the number of the request.
     pub persist_requests: Vec<(u64, Vec<Record>)>,
-    /// Messages to peers.
+    /// Messages that were sent to peers.
     pub gossip: Vec<Vec<u8>>,
 }
 
-/// Set-ups.
+/// Constructors.
 impl Rig {
-    /// A router whose connections carry many attempts at a time.
+    /// Returns a router whose connections carry many attempts at a time.
     pub fn with(more: &str) -> Self {
         Rig::of(RequestRouter::new(settings(more), 7))
     }
 
-    /// A router whose connections to nodes carry one attempt at a time, and are closed with an
-    /// abandoned one.
+    /// Returns a router whose connections to nodes carry one attempt at a time, and are closed when that
+    /// attempt is abandoned.
     pub fn with_exclusive_connections(more: &str) -> Self {
         let settings = settings(&format!("{ONE_ATTEMPT_PER_CONNECTION}\n{more}"));
         Rig::of(RequestRouter::new(settings, 7).with_exclusive_connections())
     }
 
-    /// A router that shares quotas with one peer.
+    /// Returns a router that shares quotas with one peer.
     pub fn with_peer(more: &str) -> Self {
         let router = RequestRouter::new(settings(more), 7);
         Rig::of(router.sharing(ms(100_000), &[PeerId(1)], 1))
     }
 
-    /// A router that follows a state service, and has persisted nothing.
+    /// Returns a router that follows a state service and has persisted nothing.
     pub fn following(more: &str) -> Self {
         let start = InitialState {
             catalog: Follower::empty_catalog(deployment(&settings(more))),
@@ -99,11 +100,13 @@
         Rig::following_from(more, start)
     }
 
-    /// A router that follows a state service, and starts with the state that it has persisted.
+    /// Returns a router that follows a state service and starts from the given persisted state.
     pub fn following_from(more: &str, start: InitialState) -> Self {
         let mut rig = Rig::of(RequestRouter::new(settings(more), 7).following("h", start));
         rig.advance(ms(10));
-        let conn = rig.state_service.expect("it dials the state service");
+        let conn = rig
+            .state_service
+            .expect("the router dials the state service");
         let outbox = rig.new_outbox(conn);
         rig.step(vec![Input::StateServiceUp { conn, outbox }]);
         rig
@@ -129,7 +132,7 @@
     }
 }
 
-/// Time, inputs and outputs.
+/// The clock, inputs and outputs.
 impl Rig {
     pub fn new_outbox(&mut self, conn: ConnId) -> Arc<Outbox> {
         let outbox = Arc::new(Outbox::new(|| (), || ()));
@@ -159,7 +162,7 @@
         self.router.wake_at();
     }
 
-    /// Advances the clock, and steps the router whenever it is to wake.
+    /// Advances the clock by `span`, and steps the router each time it is due to wake.
     pub fn advance(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -168,7 +171,7 @@
         }
     }
 
-    /// Whether an event of the log contains this text.
+    /// Returns whether the text of an event in the log contains `part`.
     pub fn has_logged(&self, part: &str) -> bool {
         let text = |event: &LogEvent| match event {
             LogEvent::ProtocolViolation { violation, .. } => violation.to_string(),
@@ -180,7 +183,7 @@
         self.log.iter().any(|event| text(event).contains(part))
     }
 
-    /// Hands the router a frame that was sent just now.
+    /// Hands the router a frame that was sent at the current time.
     pub fn receive(&mut self, conn: ConnId, body: Body) {
         let at = self.now;
         let frames = vec![pb::Frame {
@@ -193,7 +196,7 @@
         }]);
     }
 
-    /// The messages that the writer of a connection now puts on the socket.
+    /// Takes the messages that wait in the outbox of a connection, as the connection's writer does.
     pub fn written(&mut self, conn: ConnId) -> Vec<Body> {
         let batch = self.outboxes[&conn].take_batch(|| self.now, usize::MAX);
         self.outboxes[&conn].batch_written();
@@ -218,7 +221,7 @@
         self.step(vec![Input::ClientUp { conn, outbox }]);
     }
 
-    /// The client sends a request whose id is made of `n`.
+    /// Submits a request of the client, whose id consists of bytes with the value `n`.
     pub fn submit(&mut self, n: u8, traffic_class: u32) {
         let request = pb::SubmitRequest {
             id: Bytes::from(vec![n; 36]),
@@ -234,13 +237,13 @@
         self.receive(CLIENT, Body::SubmitRequest(request));
     }
 
-    /// The client cancels its request.
+    /// Cancels the client's request `n`.
     pub fn cancel(&mut self, n: u8) {
         let id = Bytes::from(vec![n; 36]);
         self.receive(CLIENT, Body::CancelRequest(pb::CancelRequest { id }));
     }
 
-    /// The final responses that are now written to the client.
+    /// Takes the final responses that wait for the client.
     pub fn responses(&mut self) -> Vec<pb::Response> {
         let written = self.written(CLIENT).into_iter();
         let responses = written.filter_map(|body| match body {
@@ -250,7 +253,7 @@
         responses.collect()
     }
 
-    /// The outcomes of the final responses that are now written to the client.
+    /// Takes the final responses that wait for the client, and returns their requests and outcomes.
     pub fn outcomes(&mut self) -> Vec<(u8, pb::Outcome)> {
         let responses = self.responses().into_iter();
         let outcomes = responses.map(|response| (response.id[0], response.outcome()));
@@ -260,20 +263,20 @@
 
 /// Nodes.
 impl Rig {
-    /// The last dial to a node succeeds.
+    /// Lets the last dial to a node succeed.
     pub fn connect(&mut self) -> ConnId {
-        let (conn, _) = *self.dials.last().expect("a dial");
+        let (conn, _) = *self.dials.last().expect("the router has dialled a node");
         self.connect_node(conn);
         conn
     }
 
-    /// A dial to a node succeeds.
+    /// Lets a dial to a node succeed.
     pub fn connect_node(&mut self, conn: ConnId) {
         let outbox = self.new_outbox(conn);
         self.step(vec![Input::NodeUp { conn, outbox }]);
     }
 
-    /// The attempts that are now written to a node.
+    /// Takes the attempts that wait in the outbox of a connection to a node.
     pub fn attempts(&mut self, conn: ConnId) -> Vec<pb::Attempt> {
         let written = self.written(conn).into_iter();
         let attempts = written.filter_map(|body| match body {
@@ -283,7 +286,7 @@
         attempts.collect()
     }
 
-    /// A node responds to an attempt.
+    /// Lets a node respond to an attempt.
     pub fn respond(&mut self, conn: ConnId, attempt: u64, result: pb::Result) {
         let response = pb::AttemptResponse {
             attempt,
@@ -296,7 +299,7 @@
 
 /// Discovery.
 impl Rig {
-    /// Waits until discovery is dialled, and brings that connection up.
+    /// Advances the clock until discovery is dialled, and lets the dial succeed.
     pub fn connect_discovery(&mut self) -> ConnId {
         let is_dialled = |rig: &Self| {
             let last = rig.discovery_dials.last();
@@ -309,13 +312,13 @@
             self.advance(ms(10));
         }
         let last = self.discovery_dials.last();
-        let conn = last.expect("it dials discovery").1;
+        let conn = last.expect("the router dials discovery").1;
         let outbox = self.new_outbox(conn);
         self.step(vec![Input::DiscoveryUp { conn, outbox }]);
         conn
     }
 
-    /// Discovery sends an endpoint list or a change of it.
+    /// Lets discovery send an endpoint list or a change of it.
     pub fn discovery_sends(
         &mut self,
         conn: ConnId,
@@ -334,13 +337,13 @@
         self.step(vec![Input::DiscoveryFrames { conn, frames }]);
     }
 
-    /// Replaces the endpoint list, where it does not matter how the router receives it.
+    /// Replaces the endpoint list, for tests in which it does not matter how the router receives it.
     pub fn list_endpoints(&mut self, endpoints: &[(u32, pb::NodeState)]) {
         let list = endpoint_list(endpoints);
         self.step(vec![Input::CachedEndpoints { list }]);
     }
 
-    /// Replaces the endpoint list with one in which node 1 is another process.
+    /// Replaces the endpoint list by one in which node 1 is a new process.
     pub fn restart_node_1(&mut self, state: pb::NodeState) {
         let mut list = endpoint_list(&[(1, state), (2, pb::NodeState::Ready)]);
         list.endpoints[0].start = 2;
@@ -366,13 +369,13 @@
 
 /// The state service.
 impl Rig {
-    /// The last poll that the router has sent to the state service.
+    /// Takes the last poll that the router has sent to the state service.
     pub fn poll(&mut self) -> pb::FollowRequest {
         self.written(self.state_service.expect("dialled"));
-        self.last_poll.take().expect("a poll")
+        self.last_poll.take().expect("the router has sent a poll")
     }
 
-    /// The state service sends a response.
+    /// Lets the state service send a response.
     pub fn state_service_sends(&mut self, update: pb::ConfigUpdate) {
         let conn = self.state_service.expect("dialled");
         let frames = vec![pb::Frame {
@@ -382,13 +385,13 @@
         self.step(vec![Input::StateServiceFrames { conn, frames }]);
     }
 
-    /// The state service responds with one revision of these changes, and all revisions up to
-    /// `stable` are stable.
+    /// Lets the state service respond with one revision that contains these changes. All revisions up to
+    /// `stable` are stable. The records that the router then persists are written at once.
     pub fn publish(&mut self, changes: &[&str], stable: u64) {
         self.publish_revisions(&[changes], stable);
     }
 
-    /// The state service responds with several revisions.
+    /// Lets the state service respond with several revisions, each with the changes of one element.
     pub fn publish_revisions(&mut self, revisions: &[&[&str]], stable: u64) {
         let poll = self.poll();
         let followed = self.router.follower().catalog();
@@ -401,12 +404,14 @@
         for changes in revisions {
             let changes: Vec<_> = changes
                 .iter()
-                .map(|change| parse_change(&catalog, change).expect("a good change"))
+                .map(|change| parse_change(&catalog, change).expect("the change is valid"))
                 .collect();
             let revision = catalog
                 .propose(catalog.version(), ChangeContext::default(), changes)
-                .expect("in order");
-            catalog.apply(revision.clone()).expect("the next");
+                .expect("the changes are accepted");
+            catalog
+                .apply(revision.clone())
+                .expect("the revision follows the last one");
             published.push(revision_to_proto(&revision));
         }
         self.state_service_sends(pb::ConfigUpdate {
--- a/crates/host/tests/config_follower.rs
+++ b/crates/host/tests/config_follower.rs
@@ -1,4 +1,4 @@
-//! A host that follows a state service: plans, volumes, limits and drains, as they are published.
+//! Tests of a host that follows a state service, which publishes plans, volumes, limits and drains.
 
 mod common;
 
@@ -17,8 +17,8 @@
     format!("plan p rate=100 reservation=4 limit={limit} burst={limit} slack=100")
 }
 
-/// A host that serves a volume together with another host, both under one limit, and a connection
-/// to a node with one attempt. The host's half of the limit fills from nothing.
+/// Returns a host that shares a volume and its limit with another host, and a connection to a node for
+/// which one attempt waits. The bucket of the host's half of the limit starts empty.
 fn rig_with_shared_limit(limit: u32) -> (Rig, ConnId) {
     let mut rig = Rig::following("host(name = \"i\")");
     let volume = "volume 5 plan=p hosts=h,i cells=1 blocks=64";
@@ -39,7 +39,7 @@
     attempts.len()
 }
 
-/// Submits 40 requests, and returns how many are sent within a second.
+/// Submits 40 requests, and returns how many are sent to the node within a second.
 fn sent_within_a_second(rig: &mut Rig, conn: ConnId, first: u8) -> usize {
     (first..first + 40).for_each(|n| rig.submit(n, 0));
     let sent = (0..50).map(|_| serve_20_ms(rig, conn)).sum();
@@ -47,7 +47,8 @@
     sent
 }
 
-/// Submits and cancels 40 requests every half a second, and returns how many are sent.
+/// Submits 40 requests every 500 ms and cancels those that remain, for `span_ms`. Returns how many are
+/// sent to the node.
 fn sent_within(rig: &mut Rig, conn: ConnId, span_ms: u64) -> usize {
     let mut sent = 0;
     for n in 0..span_ms / 20 {
@@ -64,8 +65,8 @@
     sent
 }
 
-/// The reports about node 1 since the last call: the version that the host has applied, its
-/// outstanding attempts, and whether another attempt may still run.
+/// Returns the reports about node 1 since the last call: the version that the host has applied, the
+/// number of its outstanding attempts, and whether an attempt without a response may still run.
 fn reports_about_node_1(rig: &mut Rig) -> Vec<(u64, u32, bool)> {
     rig.advance(ms(60));
     let conn = rig.state_service.expect("dialled");
@@ -86,15 +87,15 @@
     assert_eq!(
         rig.outcomes(),
         [(1, Outcome::Rejected)],
-        "the volume may be published in a moment"
+        "retryable, because the volume may be published soon"
     );
     rig.publish(&[PLAN, VOLUME], 1);
     rig.submit(2, 0);
     let conn = rig.connect();
     let written = rig.attempts(conn);
     assert_eq!((written.len(), written[0].plan_rate), (1, 1000.0));
-    // The volume is retired with one attempt written and others queued. The written one is still
-    // answered.
+    // The volume is retired while one attempt is written and others are queued. The response to the
+    // written one still reaches the client.
     (3..60).for_each(|n| rig.submit(n, 1));
     rig.written(conn);
     rig.publish(&["volume 5 retire"], 2);
@@ -111,7 +112,7 @@
     assert_eq!(
         rig.outcomes(),
         [(99, Outcome::Failed)],
-        "a retry has no chance"
+        "not retryable, because the volume no longer exists"
     );
 }
 
@@ -134,11 +135,10 @@
     assert_eq!(rig.attempts(conn).len(), 1);
 }
 
-/// A limit that is lowered also holds for queued requests. A limit that is raised holds once its
-/// revision is stable.
+/// A lowered limit also applies to queued requests. A raised limit applies once its revision is stable.
 #[test]
 fn a_limit_is_lowered_at_once_and_raised_once_stable() {
-    // Half of the limit: 20 a second.
+    // The host's half of the limit is 20 units a second.
     let (mut rig, conn) = rig_with_shared_limit(40);
     assert_eq!(rig.attempts(conn).len(), 1);
     let at_forty = sent_within_a_second(&mut rig, conn, 10);
@@ -152,21 +152,22 @@
     rig.publish(&["plan other rate=1"], 4);
     let at_sixty = sent_within_a_second(&mut rig, conn, 160);
     assert!(at_sixty >= 25, "{at_sixty}");
-    // Without a connection until its lease expires: its share of the reservation, 2 a second.
+    // After its lease has expired without a connection, the host uses its share of the reservation, 2
+    // units a second.
     rig.step(vec![Input::StateServiceGone {
         conn: rig.state_service.expect("dialled"),
     }]);
     rig.advance(ms(3000));
     rig.outcomes();
-    sent_within_a_second(&mut rig, conn, 10); // the rest of the burst
+    sent_within_a_second(&mut rig, conn, 10); // uses up the rest of the burst
     let alone = sent_within_a_second(&mut rig, conn, 60);
     assert!(alone <= 4, "{alone}");
     assert!(rig.has_logged("lease"), "{:?}", rig.log);
 }
 
-/// For a minute no response arrives, on a connection that stays open, and then one with forty
-/// revisions. During the minute the host uses its share of the reservation, and then the lowest
-/// limit of the forty, until they are stable.
+/// The connection stays open, but no response arrives for a minute; then one arrives with forty
+/// revisions. The host must use its share of the reservation during the minute, and then the lowest of
+/// the forty limits until all revisions are stable.
 #[test]
 fn after_a_minute_without_updates_the_lowest_of_forty_limits_holds_until_stable() {
     let (mut rig, conn) = rig_with_shared_limit(40);
@@ -174,7 +175,7 @@
     let without_updates = sent_within(&mut rig, conn, 56_000);
     assert!(
         (90..=130).contains(&without_updates),
-        "{without_updates}: its share of the reservation is 2 a second"
+        "{without_updates} sent; its share of the reservation is 2 a second"
     );
     let limits = (0..40).map(|n| if n == 20 { 12 } else { 41 + n });
     let plans: Vec<String> = limits.map(limited_plan).collect();
@@ -186,17 +187,17 @@
     let unstable = sent_within(&mut rig, conn, 2000);
     assert!(
         (8..=18).contains(&unstable),
-        "{unstable}: one limit is 12, and another host may use it"
+        "{unstable} sent; the lowest limit is 12, and the other host may still use it"
     );
-    // The same connection, now with a response by which all of them are stable.
+    // On the same connection, a response reports all revisions as stable.
     rig.publish(&["plan other rate=1"], 41);
     let stable = sent_within(&mut rig, conn, 2000);
     assert!(stable >= 30, "{stable}");
 }
 
-/// An operator drains a node: no new attempt is written, queued attempts are revoked, and the host
-/// reports the attempts that still run. Changes of the endpoint list end the drain as little as a
-/// restart of the node.
+/// After an operator drains a node, no new attempt is written, queued attempts are revoked, and the host
+/// reports the attempts that still run. Neither a change of the endpoint list nor a restart of the node
+/// ends the drain.
 #[test]
 fn a_drained_node_receives_no_attempts_and_its_progress_is_reported() {
     let mut rig = Rig::following("");
@@ -204,7 +205,7 @@
     rig.submit(1, 0);
     let conn = rig.connect();
     let written = rig.attempts(conn);
-    rig.submit(2, 0); // decided, and not yet written
+    rig.submit(2, 0); // its attempt waits in the outbox
     rig.publish(&["drain 1 queued"], 2);
     rig.submit(3, 0);
     rig.publish(&["drain 1"], 3);
@@ -221,13 +222,13 @@
             (4, Outcome::Rejected)
         ]
     );
-    // The endpoint list reports the node anew, and as restarted: the drain holds.
+    // The endpoint list reports the node as gone and then as ready again; the drain stays in force.
     rig.list_endpoints(&[(1, pb::NodeState::Gone)]);
     rig.list_endpoints(&[(1, pb::NodeState::Ready), (2, pb::NodeState::Ready)]);
     rig.submit(5, 0);
     assert_eq!(rig.outcomes(), [(5, Outcome::Rejected)]);
     assert_eq!(reports_about_node_1(&mut rig).last(), Some(&(3, 1, false)));
-    // The node never responds: the attempt may run for as long as a request may take.
+    // The node never responds. The attempt may still run after its request has expired.
     rig.advance(ms(2000));
     assert_eq!(reports_about_node_1(&mut rig).last(), Some(&(3, 0, true)));
     assert!(rig
@@ -237,7 +238,7 @@
     rig.advance(ms(2000));
     assert_eq!(reports_about_node_1(&mut rig).last(), Some(&(3, 0, false)));
     rig.publish(&["undrain 1"], 4);
-    rig.advance(ms(500)); // all hosts receive the end of the drain at once, and each adds a jitter
+    rig.advance(ms(500)); // each host adds a jitter, because all receive the end of the drain at once
     rig.submit(6, 0);
     assert_eq!(rig.attempts(conn).len(), 1);
 }
@@ -265,7 +266,7 @@
     );
 }
 
-/// A response that violates the protocol ends the connection, and the host serves as before.
+/// A response that violates the protocol must end the connection and not affect the service.
 #[test]
 fn a_state_service_that_violates_the_protocol_is_disconnected() {
     let mut rig = Rig::following("");
@@ -292,13 +293,13 @@
     rig.submit(1, 0);
     let node = rig.connect();
     assert_eq!(rig.attempts(node).len(), 1);
-    // It dials again after the backoff.
+    // The host dials the state service again after the backoff.
     let first = rig.state_service;
     rig.advance(ms(2000));
     assert_ne!(rig.state_service, first);
 }
 
-/// A response may arrive in parts; a part alone changes nothing.
+/// A response may arrive in parts. An incomplete response must change nothing.
 #[test]
 fn a_response_in_parts_is_applied_when_it_is_complete() {
     let mut rig = Rig::following("");
@@ -344,8 +345,8 @@
     assert_eq!(rig.attempts(node).len(), 1);
 }
 
-/// A service that accepts connections and closes them without a response is dialled with a backoff
-/// that grows.
+/// A service that accepts connections and closes them without a response must be dialled with a growing
+/// backoff, as if the dials had failed.
 #[test]
 fn a_state_service_that_accepts_and_closes_is_dialled_with_backoff() {
     let mut rig = Rig::following("");
--- a/crates/host/tests/exclusive_connections.rs
+++ b/crates/host/tests/exclusive_connections.rs
@@ -1,5 +1,5 @@
-//! Connections that carry one attempt at a time, and a discovery that moves: attempts, connections
-//! and calls that end while a response is still pending.
+//! Tests of connections that carry one attempt at a time, and of a discovery service that moves to another
+//! address. Attempts, connections and calls end while a response is still pending.
 
 mod common;
 
@@ -10,7 +10,8 @@
 use pb::NodeState::{Draining, Ready};
 use pb::Outcome::{Completed, Failed, Rejected};
 
-/// The node has received a part of the attempt, and would receive the rest whenever it reads again.
+/// The node has received a part of the attempt, and would receive and run the rest as soon as it reads
+/// again.
 #[test]
 fn the_connection_of_a_partly_written_attempt_is_closed_whatever_ends_the_attempt() {
     type Case = (&'static str, fn(&mut Rig), &'static [(u8, pb::Outcome)]);
@@ -44,7 +45,7 @@
             }
             end(&mut rig);
             if written_completely {
-                // Its connection is closed only when its deadline passes.
+                // The connection of a completely written attempt is closed only when the deadline passes.
                 assert_eq!(outbox.is_closed(), case == "its deadline passes", "{case}");
                 continue;
             }
@@ -59,8 +60,8 @@
     }
 }
 
-/// A node may close an idle connection just as an attempt is assigned to it. That is no evidence
-/// about the node.
+/// A node may close an idle connection just as an attempt is assigned to it. This must not count as a
+/// failure of the node.
 #[test]
 fn an_attempt_assigned_to_an_ended_connection_is_reassigned_once() {
     let mut rig = Rig::with_exclusive_connections("legs(most = 2)");
@@ -76,19 +77,20 @@
     assert_eq!((rig.outcomes(), rig.dials.len()), (vec![], 2));
     let second = rig.connect();
     assert!(second != conn && rig.is_closed(conn));
-    // A second time is for the scheduler: a node that accepts and closes connections is not healthy.
+    // The second time the scheduler learns of it, because a node that accepts and closes connections is
+    // not healthy.
     rig.step(vec![Input::NodeGone { conn: second }]);
     rig.advance(ms(200));
     let third = rig.connect();
     let attempts = rig.attempts(third);
     let numbers = attempts.iter().map(|it| (it.id[0], it.number));
     assert_eq!(numbers.collect::<Vec<_>>(), [(2, 1)], "another attempt");
-    // It is written completely, so it may have run.
+    // This attempt was written completely, so it may have run.
     rig.step(vec![Input::NodeGone { conn: third }]);
     assert_eq!(rig.outcomes(), [(2, Failed)]);
 }
 
-/// A duplicate of a response would be taken for the response to the next attempt.
+/// Without the pause, a duplicate of a response would be taken for the response to the next attempt.
 #[test]
 fn a_connection_pauses_after_a_response_so_that_a_duplicate_finds_no_attempt() {
     for duplicated in [false, true] {
@@ -107,7 +109,7 @@
             (1, 0, 1)
         );
         if duplicated {
-            // A response that no attempt waits for ends the connection.
+            // A response for which no attempt waits ends the connection.
             rig.step(vec![Input::NodeGone { conn }]);
         }
         rig.advance(ms(10));
@@ -152,13 +154,13 @@
     rig.step(vec![Input::DiscoveryMoved]);
     let new = rig.connect_discovery();
     assert!(new != old && !rig.is_closed(old));
-    // The new discovery has not responded to its call; an update of the old one counts.
+    // Until the new discovery has responded to its call, an update of the old one is applied.
     rig.discovery_sends(old, Delta, &[(1, Draining)]);
     rig.submit(1, 1);
     assert_eq!((rig.outcomes(), rig.dials.len()), (vec![(1, Rejected)], 0));
     rig.discovery_sends(new, Snapshot, &[(1, Ready), (2, Draining)]);
     assert!(rig.is_closed(old));
-    // From now on only the new one counts.
+    // From now on, updates of the old one are ignored.
     rig.discovery_sends(old, Delta, &[(1, Draining)]);
     rig.advance(ms(500)); // a node that is back receives attempts after a delay
     rig.submit(2, 1);
@@ -180,11 +182,14 @@
     gone(&mut rig, conn);
     rig.connect_discovery();
     let waited = rig.discovery_dials.last().unwrap().0 - at;
-    assert!(waited <= ms(600), "{waited:?}, as after a first failure");
+    assert!(
+        waited <= ms(600),
+        "waited {waited:?}, longer than after a first failure"
+    );
 }
 
-/// The connections to a node lead nowhere once the endpoint list reports another process, or the
-/// node as gone.
+/// The connections to a node are useless once the endpoint list reports another process, or the node as
+/// gone.
 #[test]
 fn idle_connections_are_closed_when_their_process_is_replaced() {
     for state in [Ready, pb::NodeState::Gone] {
@@ -198,8 +203,8 @@
     }
 }
 
-/// A dial succeeds after its request has ended, its node has left or its process was replaced: no
-/// attempt is written there.
+/// If a dial succeeds only after its request has ended, its node has left or its process was replaced, no
+/// attempt must be written on its connection.
 #[test]
 fn a_dial_that_succeeds_late_carries_no_outdated_attempt() {
     type Case = (&'static str, fn(&mut Rig), bool);
@@ -245,14 +250,14 @@
     let mut rig = Rig::with_exclusive_connections("");
     let conn = rig.connect_discovery();
     rig.step(vec![Input::DiscoveryGone { conn }]);
-    // The scheduler will call again; discovery moves first, and is called at once.
+    // Discovery moves before the scheduler calls again, and is called at once.
     rig.step(vec![Input::DiscoveryMoved]);
     let conn = rig.connect_discovery();
     rig.discovery_sends(conn, Snapshot, &[(1, Ready), (2, Ready)]);
     rig.advance(ms(2900));
     assert!(
         !rig.is_closed(conn),
-        "the watch stays open: its transport knows how long a call may take"
+        "the watch stays open, because its transport bounds the time of a call"
     );
 }
 
@@ -273,31 +278,31 @@
     assert!(!rig.router.is_open(&[1; 36]));
 }
 
-/// A third of the connections came up late, and all attempts of a host to their nodes waited behind
-/// one dial.
+/// When a third of all dials succeeded late, all attempts of a host to the affected nodes waited behind
+/// one dial each.
 #[test]
 fn another_dial_is_made_beside_a_late_one() {
     let mut rig = Rig::with_exclusive_connections("");
     rig.submit(1, 1);
     rig.advance(ms(15));
-    assert_eq!(rig.dials.len(), 1, "a handshake takes its time");
+    assert_eq!(rig.dials.len(), 1, "a normal handshake is not late yet");
     rig.advance(ms(10));
     rig.advance(ms(25));
-    assert_eq!(rig.dials.len(), 3, "one beside each late dial");
+    assert_eq!(rig.dials.len(), 3, "another dial beside each late one");
     rig.advance(ms(100));
     assert_eq!(
         rig.dials.len(),
         3,
-        "no further one: the node may be the cause"
+        "no further dial, because the node may be the cause"
     );
     let conn = rig.connect();
     assert_eq!((rig.attempts(conn).len(), rig.outcomes()), (1, vec![]));
-    // The first dial succeeds after all, and its connection carries the next attempt.
+    // The first dial succeeds late, and its connection carries the next attempt.
     let late = rig.dials[0].0;
     rig.connect_node(late);
     rig.submit(2, 1);
     assert_eq!((rig.attempts(late).len(), rig.dials.len()), (1, 3));
-    // After a failed dial, another one beside it has no better chance.
+    // After a failed dial, another one beside a late dial would be no more likely to succeed.
     let mut rig = Rig::with_exclusive_connections("");
     rig.submit(1, 1);
     let conn = rig.dials[0].0;
@@ -306,10 +311,10 @@
     rig.advance(ms(30));
     let dials = rig.dials.len();
     rig.advance(ms(200));
-    assert_eq!(rig.dials.len(), dials, "one at a time");
+    assert_eq!(rig.dials.len(), dials, "no second dial beside a late one");
 }
 
-/// An overdue call that is answered becomes the current one again, and the call that replaced it is
+/// An overdue call that is answered becomes the current call again, and the call that replaced it is
 /// closed.
 #[test]
 fn an_overdue_call_that_is_answered_replaces_the_later_one() {
--- a/crates/host/tests/router.rs
+++ b/crates/host/tests/router.rs
@@ -1,5 +1,5 @@
-//! Requests, attempts and connections between the scheduler and the sockets: the test plays the
-//! network.
+//! Tests of the router, which carries requests, attempts and connections between the scheduler and the
+//! sockets. The tests simulate the network.
 
 mod common;
 
@@ -43,8 +43,8 @@
         if let Some(conn) = conn {
             assert_eq!(rig.attempts(conn).len(), 0);
         }
-        // The scheduler knows that the attempt never ran: the non-idempotent request is rejected and
-        // has not failed.
+        // The scheduler knows that the attempt never ran, so that the non-idempotent request is rejected
+        // (retryable) and does not fail.
         assert_eq!(
             (rig.outcomes(), rig.router.counters().unsent),
             (vec![(1, Rejected)], 1)
@@ -65,10 +65,10 @@
     );
 }
 
-/// A client that must not miss a late effect learns from the response whether there may be one.
+/// The response tells the client whether an attempt may still take effect after it.
 #[test]
 fn the_final_response_states_whether_the_request_may_still_take_effect() {
-    // What happens to the attempt before the deadline, and whether the attempt may still run.
+    // What happens to the attempt before the deadline, and whether it may still run afterwards.
     type Case = (&'static str, fn(&mut Rig), bool);
     let cases: [Case; 4] = [
         ("it is never written", |_| (), false),
@@ -91,7 +91,7 @@
             false,
         ),
         (
-            "its node responds with a failure: if the attempt ran, it has ended",
+            "its node responds with a failure, so the attempt has ended if it ran",
             |rig| {
                 let conn = rig.connect();
                 let attempt = rig.attempts(conn)[0].attempt;
@@ -100,10 +100,10 @@
             false,
         ),
     ];
-    for (case, happens, unsure) in cases {
+    for (case, act, unsure) in cases {
         let mut rig = Rig::with("legs(most = 1)");
         rig.submit(1, 1);
-        happens(&mut rig);
+        act(&mut rig);
         rig.advance(ms(1990));
         let responses = rig.responses().into_iter();
         let responses = responses.map(|it| (it.outcome() == Completed, it.unsure));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn one_dial_runs_at_a_time_and_a_dial_that_reports_nothing_is_given_up() {
+fn one_dial_runs_at_a_time_and_a_dial_that_reports_nothing_is_abandoned() {
     let mut rig = Rig::with("bounds(legs_per_connection = 1, dial_timeout = ms(100))");
     (1..=4).for_each(|n| rig.submit(n, 0));
     assert_eq!(rig.dials.len(), 1);
@@ -182,7 +182,7 @@
     assert_eq!(
         rig.outcomes().len(),
         4,
-        "a dial that reports nothing is given up"
+        "a dial that reports nothing is abandoned"
     );
     assert_eq!(rig.router.open_work(), OpenWork::default());
 }
@@ -203,8 +203,8 @@
 fn a_request_that_waited_in_a_socket_during_a_pause_has_less_time_left() {
     let mut rig = Rig::with("");
     rig.submit(1, 0);
-    // The frame is sent just before a pause of 1.9 s, and read after. The client's deadline is 100 ms
-    // from now.
+    // The frame is sent just before a pause of 1.9 s and read after it, when 100 ms are left until the
+    // client's deadline.
     let sent_us = rig.now.as_micros() as u64;
     rig.now += ms(1900);
     let id = Bytes::from(vec![2; 36]);
@@ -243,7 +243,7 @@
     let steps = rig.router.counters().events;
     rig.now += ms(900);
     assert!(rig.router.detect_pause(rig.now));
-    // The response waited in the socket. The scheduler receives it and one timer, and nothing else.
+    // The response waited in the socket. The scheduler receives only this response and one timer.
     rig.respond(conn, attempts[0].attempt, pb::Result::Ok);
     assert_eq!(
         (rig.outcomes(), rig.router.counters().events - steps),
@@ -390,7 +390,7 @@
                         .step(rig.now, vec![Input::DiscoveryGone { conn }]),
                 ),
                 _ => {
-                    let outbox = rig.new_outbox(conn); // connected, without a response
+                    let outbox = rig.new_outbox(conn); // the connection is up, but no response arrives
                     rig.router
                         .step(rig.now, vec![Input::DiscoveryUp { conn, outbox }]);
                 }
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -1,4 +1,5 @@
-//! Peers that violate the protocol on real sockets, each beside a client that must not be affected.
+//! Tests of peers that violate the protocol on real sockets, while another client is served and must not be
+//! affected.
 
 use bytes::Bytes;
 use grebecleat_host::server::{run, Handle, Options};
@@ -29,11 +30,13 @@
 "#;
 
 fn peer_settings() -> Arc<Settings> {
-    Arc::new(Settings::read("sockets.star".as_ref(), SETTINGS.into()).expect("good settings"))
+    Arc::new(
+        Settings::read("sockets.star".as_ref(), SETTINGS.into()).expect("the settings are valid"),
+    )
 }
 
-/// Starts discovery, node 1 and a host; the test plays node 2. Returns the addresses of discovery and
-/// of the host.
+/// Starts discovery, node 1 and a host; the tests take the role of node 2. Returns the addresses of
+/// discovery and of the host, and the handle of the host.
 fn start() -> (SocketAddr, SocketAddr, Handle) {
     let settings = peer_settings();
     let context = ScriptContext {
@@ -65,16 +68,19 @@
     std::thread::spawn(move || run(options, |at, handle| up.send((at, handle)).unwrap()));
     let (host, handle) = is_up.recv_timeout(Duration::from_secs(5)).unwrap();
     // Until the host has an endpoint list, it rejects every request.
-    let mut c = Client::new(host);
+    let mut client = Client::new(host);
     let known = (0..200).any(|_| {
         std::thread::sleep(Duration::from_millis(20));
-        c.read(1) == Outcome::Completed
+        client.read(1) == Outcome::Completed
     });
-    assert!(known, "the host never received its node");
+    assert!(
+        known,
+        "the host completed no read by node 1 within 200 tries"
+    );
     (list, host, handle)
 }
 
-/// The bytes of a frame.
+/// Returns the bytes of a frame with this message.
 fn encoded(body: Body) -> Vec<u8> {
     let frame = pb::Frame {
         sent_us: clock::micros(clock::now()),
@@ -112,14 +118,14 @@
         stream
             .set_read_timeout(Some(Duration::from_secs(5)))
             .unwrap();
-        let mut c = Client {
+        let mut client = Client {
             stream,
             reader: frame::Reader::new(1 << 20),
             next: 0,
         };
-        c.put(Body::Hello(hello(pb::Role::Client, "c", 1)));
-        assert!(matches!(c.get(), Body::Hello(_)));
-        c
+        client.put(Body::Hello(hello(pb::Role::Client, "c", 1)));
+        assert!(matches!(client.get(), Body::Hello(_)));
+        client
     }
 
     fn put(&mut self, body: Body) {
@@ -167,10 +173,12 @@
 }
 
 /// Asserts that the host closes the connection.
-fn assert_closed(mut s: TcpStream) {
-    s.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
+fn assert_closed(mut stream: TcpStream) {
+    stream
+        .set_read_timeout(Some(Duration::from_secs(5)))
+        .unwrap();
     let mut bytes = Vec::new();
-    let ended = s.read_to_end(&mut bytes);
+    let ended = stream.read_to_end(&mut bytes);
     assert!(ended.is_ok() || ended.is_err_and(|e| e.kind() == std::io::ErrorKind::ConnectionReset));
 }
 
@@ -191,7 +199,7 @@
         ("garbage", vec![0x5a; 4096]),
         ("wrong version", wrong_version),
         ("wrong checksum", broken),
-        ("4 GiB by its header", with(&[0xff; 8])),
+        ("a header that announces 4 GiB", with(&[0xff; 8])),
         ("half a frame, then silence", with(&greeting[..10])),
         (
             "a frame that holds no message",
@@ -199,12 +207,12 @@
         ),
         ("a message that clients do not send", with(&greeting)),
     ];
-    for (what, bytes) in cases {
+    for (case, bytes) in cases {
         let mut bad = TcpStream::connect(host).unwrap();
         bad.write_all(&bytes).unwrap();
-        assert_eq!(good.read(1), Outcome::Completed, "beside {what}");
+        assert_eq!(good.read(1), Outcome::Completed, "beside {case}");
         assert_closed(bad);
-        assert_eq!(good.read(1), Outcome::Completed, "after {what}");
+        assert_eq!(good.read(1), Outcome::Completed, "after {case}");
     }
 }
 
@@ -219,7 +227,7 @@
         .stream
         .set_write_timeout(Some(Duration::from_millis(200)))
         .unwrap();
-    // Far more responses than the bound and the buffers of both sockets hold.
+    // The responses exceed by far the bound and the buffers of both sockets.
     for _ in 0..400 {
         not_reading.next += 1;
         let id = Bytes::from(format!("{:036}", not_reading.next + (1 << 60)));
@@ -281,7 +289,7 @@
         for _ in 0..30 {
             assert_eq!(good.read(1), Outcome::Completed, "greets: {greets}");
         }
-        // Every request to it has one response, whichever buffer its attempt was in.
+        // Every request to node 2 has one response, whichever buffer its attempt was in.
         let mut answered: Vec<Bytes> = ids
             .iter()
             .map(|_| match stuck.get() {
@@ -297,7 +305,7 @@
     }
 }
 
-/// Three responses to an attempt, and one to an attempt that was never sent.
+/// Returns three responses to an attempt, and one to an attempt that was never sent.
 fn stray_responses_to(attempt: u64) -> Vec<u8> {
     let response = |attempt| {
         encoded(Body::AttemptResponse(pb::AttemptResponse {
@@ -316,7 +324,7 @@
     let (list, host, _) = start();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let _at_list = announce(list, listener.local_addr().unwrap());
-    // The node responds three times to each attempt, and to attempts that were never sent.
+    // Node 2 responds three times to each attempt, and once to an attempt that was never sent.
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let mut reader = frame::Reader::new(1 << 20);
@@ -333,9 +341,9 @@
         }
     });
     std::thread::sleep(Duration::from_millis(200));
-    let mut c = Client::new(host);
+    let mut client = Client::new(host);
     for _ in 0..50 {
-        assert_eq!(c.read(2), Outcome::Completed);
-        assert_eq!(c.read(1), Outcome::Completed);
+        assert_eq!(client.read(2), Outcome::Completed);
+        assert_eq!(client.read(1), Outcome::Completed);
     }
 }
