--- a/crates/host/src/config_follower.rs
+++ b/crates/host/src/config_follower.rs
@@ -83,7 +83,8 @@
 }
 
 impl ConfigFollower {
-    /// Returns a follower for a host without a state service, which serves the volumes that the settings declare.
+    /// Returns a follower for a host without a state service, which serves the volumes that the
+    /// settings declare.
     pub fn declared(settings: &Settings) -> Self {
         ConfigFollower {
             follower: None,
--- a/crates/host/src/config_follower/link.rs
+++ b/crates/host/src/config_follower/link.rs
@@ -17,8 +17,8 @@
 /// short outage, a longer delay leaves the host without updates for longer; a shorter one loads a
 /// service that is restarting.
 const FIRST_BACKOFF: Duration = Duration::from_millis(100);
-/// The longest delay before another dial, without its jitter. A host may reconnect this much later
-/// than the service is available again.
+/// The longest delay before another dial, without its jitter. A host may notice this much later
+/// that the service is available again.
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 /// The largest number of doublings of the delay. The bound prevents an overflow.
 const MAX_DOUBLINGS: u32 = 8;
--- a/crates/host/src/metrics.rs
+++ b/crates/host/src/metrics.rs
@@ -1,12 +1,12 @@
 //! The metrics that this host sends to subscribers every second: the state of the nodes, the queued
 //! requests with the reason why they wait, and the units that each volume requested and received.
 //!
-//! The router reports every request that arrives and completes; [`MetricsCollector::collect`] makes the
-//! message of one interval. The router reports nothing while there are no subscribers. The units that a volume requested are reported under the second in which the
-//! request arrived; the units that it received are reported under that same second, whenever the
-//! request completes. The subscriber adds them up. Latency objectives count from the arrival of a
-//! request at this host. A client's retry counts as a request of its own, because this host does not
-//! know of the first try.
+//! The router reports every request that arrives and completes; [`MetricsCollector::collect`] makes
+//! the message of one interval. The router reports nothing while there are no subscribers. The units
+//! that a volume requested are reported under the second in which the request arrived; the units that
+//! it received are reported under that same second, whenever the request completes. The subscriber
+//! adds them up. Latency objectives count from the arrival of a request at this host. A client's
+//! retry counts as a request of its own, because this host does not know of the first try.
 //!
 //! Memory: a record for each volume, shard and second whose counts have changed since the last message,
 //! and the last reported row of each node.
--- a/crates/host/src/observations.rs
+++ b/crates/host/src/observations.rs
@@ -2,9 +2,10 @@
 //! changed since the last report.
 //!
 //! The router makes a row for each node in its periodic sweep; [`ObservationReport::changes`] returns
-//! the rows to send. A row is not sent for a value that only changes with the passing of time, such as an
-//! age. The time for which an attempt may still run counts as changed only when it starts or reaches
-//! zero. After a new connection to the service, all rows are sent. Memory: a row for each node of the endpoint list, and a count for each shard.
+//! the rows to send. A row is not sent for a value that only changes with the passing of time, such
+//! as an age. The time for which an attempt may still run counts as changed only when it starts or
+//! reaches zero. After a new connection to the service, all rows are sent. Memory: a row for each
+//! node of the endpoint list, and a count for each shard.
 
 use grebecleat_discovery::endpoint_list::KnownEndpoint;
 use grebecleat_membership::answers::{Answers, NodeHealth};
--- a/crates/host/src/outbox.rs
+++ b/crates/host/src/outbox.rs
@@ -178,7 +178,7 @@
     }
 
     /// Records the cancellations among the frames of a client before the owner handles them.
-    pub fn note_cancels(&self, frames: &[pb::Frame]) {
+    pub fn record_cancellations(&self, frames: &[pb::Frame]) {
         for frame in frames {
             if let Some(Body::CancelRequest(cancel)) = &frame.body {
                 self.lock().cancelled.insert(cancel.id.clone());
--- a/crates/host/src/outbox/tests.rs
+++ b/crates/host/src/outbox/tests.rs
@@ -54,14 +54,14 @@
     let id = Bytes::from_static(b"an id");
     let cancels = |outbox: &Outbox| {
         let id = Bytes::from_static(b"an id");
-        outbox.note_cancels(&[pb::Frame {
+        outbox.record_cancellations(&[pb::Frame {
             sent_us: 0,
             body: Some(Body::CancelRequest(pb::CancelRequest { id })),
         }]);
     };
     let cancels_another = |outbox: &Outbox| {
         let id = Bytes::from_static(b"another");
-        outbox.note_cancels(&[pb::Frame {
+        outbox.record_cancellations(&[pb::Frame {
             sent_us: 0,
             body: Some(Body::CancelRequest(pb::CancelRequest { id })),
         }]);
--- a/crates/host/src/server.rs
+++ b/crates/host/src/server.rs
@@ -184,7 +184,7 @@
         };
         let frames: Vec<pb::Frame> = bodies.into_iter().map(frame).collect();
         self.tracer.read(self.conn.0, at, &frames);
-        self.outbox.note_cancels(&frames);
+        self.outbox.record_cancellations(&frames);
         let _ = self.to_owner.send(Input::ClientFrames {
             conn: self.conn,
             at,
--- a/crates/host/src/server/connection.rs
+++ b/crates/host/src/server/connection.rs
@@ -121,7 +121,7 @@
     let timeout = shared.bounds().patience;
     let ended = read_frames(&mut stream, &mut reader, timeout, |at, read| {
         tracer.read(conn.0, at, &read);
-        outbox.note_cancels(&read);
+        outbox.record_cancellations(&read);
         let sent = shared.to_owner.send(frames(at, read));
         sent.map_err(|_| ConnectionError::HostShutDown)
     });
--- a/crates/host/src/server/listener.rs
+++ b/crates/host/src/server/listener.rs
@@ -112,8 +112,7 @@
     read_frames(&mut stream, &mut reader, timeout, |at, frames| {
         shared.options.tracer.read(conn.0, at, &frames);
         for frame in frames {
-            // A message may have waited in a socket during a pause of either side. Its age includes this
-            // wait.
+            // A message may have waited in a socket during a pause of either side; its age includes that.
             let waited = delay.waited(frame.sent_us, at);
             let Some(Body::GossipMessage(message)) = frame.body else {
                 return Err(ConnectionError::UnexpectedPeerMessage);
--- a/crates/host/src/server/signals.rs
+++ b/crates/host/src/server/signals.rs
@@ -11,8 +11,7 @@
 /// shutdown was not graceful.
 const EXIT_SECOND_SIGNAL: i32 = 3;
 
-/// Shuts the host down gracefully on SIGTERM or SIGINT. A second signal ends the process with code
-/// 3.
+/// Shuts the host down gracefully on SIGTERM or SIGINT. A second signal ends the process with code 3.
 pub fn on_signals(handle: Handle) {
     on_signals_do(move || handle.drain());
 }
--- a/crates/host/tests/exclusive_connections.rs
+++ b/crates/host/tests/exclusive_connections.rs
@@ -90,9 +90,9 @@
     assert_eq!(rig.outcomes(), [(2, Failed)]);
 }
 
-/// Without the pause, a duplicate of a response would be taken for the response to the next attempt.
+/// Without the reuse delay, a duplicate of a response would be taken for the response to the next attempt.
 #[test]
-fn a_connection_pauses_after_a_response_so_that_a_duplicate_finds_no_attempt() {
+fn a_connection_has_a_reuse_delay_after_a_response_so_that_a_duplicate_finds_no_attempt() {
     for duplicated in [false, true] {
         let mut rig = Rig::with_exclusive_connections("");
         rig.submit(1, 1);
@@ -128,20 +128,20 @@
 }
 
 #[test]
-fn an_attempt_is_not_delayed_by_a_pausing_connection_while_another_is_busy() {
+fn an_attempt_does_not_wait_for_a_reuse_delay_while_another_connection_is_busy() {
     let mut rig = Rig::with_exclusive_connections("");
     rig.submit(1, 0);
     let busy = rig.connect();
     assert_eq!(rig.attempts(busy).len(), 1);
     rig.submit(2, 0);
-    let pausing = rig.connect();
-    let attempt = rig.attempts(pausing)[0].attempt;
-    rig.respond(pausing, attempt, pb::Result::Ok);
+    let not_reusable = rig.connect();
+    let attempt = rig.attempts(not_reusable)[0].attempt;
+    rig.respond(not_reusable, attempt, pb::Result::Ok);
     rig.submit(3, 0);
     assert_eq!(rig.dials.len(), 3);
     let third = rig.connect();
     assert_eq!(
-        (rig.attempts(pausing).len(), rig.attempts(third).len()),
+        (rig.attempts(not_reusable).len(), rig.attempts(third).len()),
         (0, 1)
     );
 }
--- a/crates/host/tests/sockets.rs
+++ b/crates/host/tests/sockets.rs
@@ -172,7 +172,7 @@
     }
 }
 
-/// Asserts that the host closes the connection.
+/// Checks that the host closes the connection.
 fn assert_closed(mut stream: TcpStream) {
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
