--- a/crates/catalog-service/src/change_syntax/error.rs
+++ b/crates/catalog-service/src/change_syntax/error.rs
@@ -1,25 +1,25 @@
-//! The errors of a line.
+//! The errors of the parser.
 
-/// The error of a line that is no change. Operators see its text.
+/// The error of a line that is not a valid change. Operators see its text.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{line:?}: {fault}")]
 pub struct SyntaxError {
     /// The line.
     pub line: String,
-    /// The fault of the line.
+    /// The reason why the line is invalid.
     pub fault: SyntaxFault,
 }
 
-/// The fault of a line.
+/// The reason why a line is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SyntaxFault {
-    /// The line has no kind and name of a subject.
-    #[error("expected what it is of and its name, such as: volume 103 plan=priority")]
+    /// The line lacks the kind or the name of its subject.
+    #[error("expected the kind and the name of a subject, such as: volume 103 plan=priority")]
     NoSubject,
-    /// The kind of the subject is unknown, or has no such form.
-    #[error("expected plan, volume, node, drain, undrain, target or timed, and what is to be so")]
+    /// The kind of the subject is unknown, or the rest of the line is invalid for it.
+    #[error("expected plan, volume, node, drain, undrain, target or timed, then a name and a valid value")]
     UnknownForm,
-    /// A token is no field.
+    /// A token is not of the form `name=value`.
     #[error("expected name=value, found {token}")]
     NotAField {
         /// The token.
@@ -33,7 +33,7 @@
         /// The names of the subject's fields.
         expected: &'static str,
     },
-    /// A value is not of its field's type.
+    /// A value cannot be parsed as its field's type.
     #[error("{name}: {text} makes no sense there")]
     BadValue {
         /// Name of the field.
@@ -41,22 +41,22 @@
         /// The value.
         text: String,
     },
-    /// The time limit of a drain is no duration.
-    #[error("within: {text} is no time such as 90s, 5m or 2h")]
+    /// The timeout of a drain cannot be parsed as a duration.
+    #[error("within: expected a duration such as 90s, 5m or 2h, found {text}")]
     BadDuration {
         /// The value.
         text: String,
     },
-    /// No node has that name.
-    #[error("there is no node called {name}")]
+    /// No node has that name, and it is not a number.
+    #[error("expected the name or the number of a node, found {name}")]
     UnknownNode {
         /// The name.
         name: String,
     },
     /// A new volume lacks a field.
-    #[error("a new volume needs plan, hosts, cells and blocks")]
+    #[error("a new volume needs the fields plan, hosts, cells and blocks")]
     IncompleteVolume,
     /// A new node lacks its zone.
-    #[error("a new node needs its zone")]
+    #[error("a new node needs the field zone")]
     MissingZone,
 }
--- a/crates/catalog-service/src/change_syntax/fields.rs
+++ b/crates/catalog-service/src/change_syntax/fields.rs
@@ -4,7 +4,7 @@
 use std::str::FromStr;
 use std::sync::Arc;
 
-/// The fields of a line that are not read yet.
+/// The fields of a line that have not been read yet.
 pub(super) struct Fields<'a> {
     unread: Vec<Field<'a>>,
 }
@@ -15,7 +15,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Returns the fields of a line. Returns a fault if a token has no `=`.
+    /// Splits tokens into fields. Returns an error if a token has no `=`.
     pub fn parse(tokens: &[&'a str]) -> Result<Self, SyntaxFault> {
         let mut unread = Vec::with_capacity(tokens.len());
         for token in tokens {
@@ -28,13 +28,13 @@
         Ok(Fields { unread })
     }
 
-    /// Removes and returns the value of a field; None if the line does not have the field.
+    /// Removes and returns the value of a field; `None` if the line does not have the field.
     pub fn take(&mut self, name: &str) -> Option<&'a str> {
         let index = self.unread.iter().position(|field| field.name == name)?;
         Some(self.unread.remove(index).value)
     }
 
-    /// Moves the value of a field into `to`. Does not change `to` if the line does not have the
+    /// Parses the value of a field into `to`. Does not change `to` if the line does not have the
     /// field.
     pub fn read<T: FromStr>(&mut self, name: &'static str, to: &mut T) -> Result<(), SyntaxFault> {
         if let Some(text) = self.take(name) {
@@ -43,7 +43,7 @@
         Ok(())
     }
 
-    /// Moves the values of a field, separated by commas, into `to`, as [`Fields::read`] does.
+    /// Parses the comma-separated values of a field into `to`, as [`Fields::read`] does.
     pub fn read_list<T: FromStr>(
         &mut self,
         name: &'static str,
@@ -60,8 +60,8 @@
         Ok(())
     }
 
-    /// Ends the line. Returns a fault if the line has a field that was not read. `expected`: the
-    /// names of all fields.
+    /// Returns an error if the line has a field that was not read. `expected`: the names of all
+    /// fields, for the error.
     pub fn end(self, expected: &'static str) -> Result<(), SyntaxFault> {
         match self.unread.first() {
             Some(field) => Err(SyntaxFault::UnknownField {
@@ -73,12 +73,12 @@
     }
 }
 
-/// Returns the values of a list, without empty ones.
+/// Splits a comma-separated list, and skips empty items.
 pub(super) fn list_items(text: &str) -> impl Iterator<Item = &str> {
     text.split(',').filter(|item| !item.is_empty())
 }
 
-/// Returns the value of a field, or of the name of a subject.
+/// Parses the value of a field, or the number of a subject. `name`: names the field in the error.
 pub(super) fn parse_value<T: FromStr>(name: &'static str, text: &str) -> Result<T, SyntaxFault> {
     text.parse().map_err(|_| SyntaxFault::BadValue {
         name,
--- a/crates/catalog-service/src/change_syntax/format.rs
+++ b/crates/catalog-service/src/change_syntax/format.rs
@@ -5,7 +5,7 @@
 use grebecleat_catalog::records::{Drain, Node, Plan, Stage, Volume};
 use std::fmt::Display;
 
-/// Returns the line that would make a change.
+/// Formats a change as a line of the change syntax.
 ///
 /// ```
 /// use grebecleat_catalog::catalog::Catalog;
@@ -116,13 +116,13 @@
     lines
 }
 
-/// Returns the fields that differ, for a subject that existed before and still exists.
+/// Returns the fields that differ, for a subject that exists before and after the change.
 fn format_difference(change: &Change, before: &Change) -> String {
     let new_line = format_change(change);
     let old_line = format_change(before);
     let new_tokens: Vec<&str> = new_line.split(' ').collect();
     let old_tokens: Vec<&str> = old_line.split(' ').collect();
-    // Each line begins with its kind and name.
+    // Each line begins with the kind and the name of its subject.
     let (new_fields, old_fields) = (&new_tokens[2..], &old_tokens[2..]);
     let mut differences = Vec::new();
     for new in new_fields {
@@ -152,7 +152,7 @@
     )
 }
 
-/// Returns the name of a field; None for a token without a value, such as the stage of a drain.
+/// Returns the name of a field; `None` for a token without `=`, such as the stage of a drain.
 fn field_name(token: &str) -> Option<&str> {
     token.split_once('=').map(|(name, _)| name)
 }
--- a/crates/catalog-service/src/change_syntax/parse.rs
+++ b/crates/catalog-service/src/change_syntax/parse.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 /// Returns the change that a line describes, relative to the present catalog: fields that the line
-/// does not name stay as they are.
+/// omits keep their values.
 ///
 /// ```
 /// use grebecleat_catalog::catalog::Catalog;
@@ -192,8 +192,8 @@
     Some(*stage)
 }
 
-/// Returns a node by its name or number. The number may be unknown here: the leader rejects changes
-/// of unknown nodes.
+/// Returns the number of a node by its name or number. Accepts the number of an unknown node: the
+/// leader rejects changes of unknown nodes.
 fn find_node(catalog: &Catalog, name: &str) -> Result<u32, SyntaxFault> {
     if let Some(node) = catalog.node_by_name_or_number(name) {
         return Ok(node);
--- a/crates/catalog-service/src/change_syntax/time.rs
+++ b/crates/catalog-service/src/change_syntax/time.rs
@@ -2,10 +2,10 @@
 
 use std::time::{Duration, SystemTime};
 
-/// The last second of the year 9999, since 1970. The formatting crate panics on a later time.
+/// The last second of the year 9999, since 1970. `humantime` panics on a later time.
 const MAX_TIME: Duration = Duration::from_secs(253_402_300_799);
 
-/// Returns a time since 1970 as date and time of day in UTC.
+/// Formats a time since 1970 as an RFC 3339 timestamp in UTC.
 ///
 /// ```
 /// use grebecleat_catalog_service::change_syntax::{format_time, parse_time};
@@ -21,8 +21,8 @@
     humantime::format_rfc3339_seconds(system_time).to_string()
 }
 
-/// Returns the time since 1970 of a text as [`format_time`] writes it, or of a duration from `now`
-/// such as `+90s`. Returns None for any other text.
+/// Parses a timestamp as [`format_time`] writes it, or a duration from `now` such as `+90s`, into a
+/// time since 1970. Returns `None` for any other text.
 pub fn parse_time(text: &str, now: Duration) -> Option<Duration> {
     if let Some(duration) = text.strip_prefix('+') {
         return Some(now + humantime::parse_duration(duration).ok()?);
--- a/crates/catalog-service/src/client.rs
+++ b/crates/catalog-service/src/client.rs
@@ -1,8 +1,8 @@
-//! An operator's side of the state service's protocol: one connection, one call at a time.
+//! Blocking client of the state service for operators: one connection, one call at a time.
 //!
-//! The operator's commands and the benchmark call it. It blocks: a call without an answer for
-//! thirty seconds fails. After an error the state of the connection is unknown, and the caller has
-//! to connect again.
+//! The operator's commands and the benchmark call it. A call without an answer for thirty seconds
+//! fails. After an error the state of the connection is unknown, and the caller has to connect
+//! again.
 
 use crate::codec::{changes_from_proto, revision_from_proto, DecodeError};
 use grebecleat_catalog::change::{Change, Revision};
@@ -15,33 +15,33 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Bytes of the largest frame that is accepted. The service sends frames of about 128 KiB, or one
-/// record; a smaller limit would fail on large records.
+/// Maximum size of a received frame. The service sends frames of about 128 KiB, or one record; a
+/// smaller limit would fail on large records.
 const MAX_FRAME_BYTES: usize = 16 << 20;
-/// The longest wait for the connection, and for each read. A shorter time fails while the service
+/// Timeout of the connection attempt, and of each read. A shorter timeout expires while the service
 /// computes moves; with a longer one an operator waits longer for a service that does not answer.
 const IO_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The reason why the service's answer is not accepted. Operators see its text.
+/// The reason why a frame of the service is not accepted. Operators see its text.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
-    /// The peer's hello is not a state service's.
-    #[error("{address} is no state service")]
+    /// The peer's first frame is not the hello of a state service.
+    #[error("{address}: expected the hello of a state service, found another frame or role")]
     NotStateService {
         /// The peer's address.
         address: SocketAddr,
     },
     /// The service closed the connection.
-    #[error("the state service hung up")]
+    #[error("the state service closed the connection before it answered")]
     Disconnected,
     /// A frame is invalid.
     #[error(transparent)]
     Frame(#[from] FrameFault),
     /// A frame has no body.
-    #[error("a frame without a body")]
+    #[error("the state service sent a frame without a body; expected an answer")]
     MissingBody,
-    /// A frame is no answer to the call.
-    #[error("an answer to something else")]
+    /// A frame is not of a type that answers the call.
+    #[error("the state service sent a frame of another type than the answers to the call")]
     UnexpectedAnswer,
     /// A change or a revision of an answer is invalid.
     #[error(transparent)]
@@ -90,7 +90,7 @@
 }
 
 impl Client {
-    /// Connects to a state service. `name`: the name of this client in the service's trace.
+    /// Connects to a state service. `name`: identifies this client in the service's trace.
     pub fn connect(address: SocketAddr, name: &str) -> io::Result<Client> {
         let stream = TcpStream::connect_timeout(&address, IO_TIMEOUT)?;
         stream.set_nodelay(true)?;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Sends a call, and reads until the first frame of the answer to it.
+    /// Sends a call, and reads until the first frame of its answer. Discards frames of other calls.
     fn call(&mut self, body: impl FnOnce(u64) -> Body) -> io::Result<Body> {
         self.last_call += 1;
         let call = self.last_call;
@@ -162,7 +162,7 @@
     /// Queries the service.
     ///
     /// `after`, `most`: for the audit log, the newest `most` revisions after that version (0: all).
-    /// `empty`: for a proposal of moves, the nodes that have to become empty.
+    /// `empty`: for a proposal of moves, the nodes from which all extents have to be moved.
     pub fn query(
         &mut self,
         what: What,
--- a/crates/catalog-service/src/codec/decode.rs
+++ b/crates/catalog-service/src/codec/decode.rs
@@ -8,23 +8,27 @@
 };
 use std::time::Duration;
 
-/// The reason why a message is no change or no revision.
+/// The reason why a message is not a valid change or revision. Operators see its text.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// A change names no subject.
-    #[error("no change: it names nothing")]
+    /// A change has no subject.
+    #[error("invalid change: expected a subject, found none")]
     NoSubject,
     /// The new value is not of the subject's kind.
-    #[error("no change: {subject} gets what is none of its kind")]
+    #[error(
+        "invalid change of {subject}: expected a new value of that kind, found one of another kind"
+    )]
     WrongKind {
         /// The subject as the message names it.
         subject: String,
     },
-    /// An earlier change that a revision lists is empty.
-    #[error("no change: an earlier one is empty")]
+    /// An entry of the earlier changes of a revision has no change.
+    #[error(
+        "invalid revision: expected a change in each entry of its earlier changes, found none"
+    )]
     EmptyEarlierChange,
-    /// A revision does not come after the version that it changes.
-    #[error("no change: entry {version} follows {from}")]
+    /// A revision's version is not above the version that it changes.
+    #[error("invalid entry {version}: expected a base version below {version}, found {from}")]
     WrongOrder {
         /// The revision's version.
         version: u64,
@@ -33,7 +37,7 @@
     },
 }
 
-/// Returns a change from a message.
+/// Decodes a change.
 pub fn change_from_proto(change: pb::Change) -> Result<Change, DecodeError> {
     let subject = change.subject.ok_or(DecodeError::NoSubject)?;
     let value = change.to;
@@ -69,13 +73,13 @@
     Ok(change)
 }
 
-/// Returns changes from messages, or the error of the first invalid one.
+/// Decodes changes. Returns the error of the first invalid one.
 pub fn changes_from_proto(changes: Vec<pb::Change>) -> Result<Vec<Change>, DecodeError> {
     changes.into_iter().map(change_from_proto).collect()
 }
 
-/// Returns the new value of a subject; None if the change ends the subject. `decode`: accepts a
-/// value of the subject's kind.
+/// Returns the new value of a subject; `None` if the change removes the subject. `decode`: returns
+/// `None` for a value of another kind than the subject's.
 fn value_of_kind<T>(
     subject: &Subject,
     to: Option<To>,
@@ -178,7 +182,7 @@
     }
 }
 
-/// Returns a revision from a message.
+/// Decodes a revision.
 pub fn revision_from_proto(revision: pb::Revision) -> Result<Revision, DecodeError> {
     if revision.from >= revision.version {
         return Err(DecodeError::WrongOrder {
--- a/crates/catalog-service/src/codec/encode.rs
+++ b/crates/catalog-service/src/codec/encode.rs
@@ -8,7 +8,7 @@
     change::{Subject, To},
 };
 
-/// Returns a change as a message.
+/// Encodes a change.
 pub fn change_to_proto(change: &Change) -> pb::Change {
     let (subject, to) = match change {
         Change::Plan { name, to } => (
@@ -98,7 +98,7 @@
     }
 }
 
-/// Returns a revision as a message.
+/// Encodes a revision.
 pub fn revision_to_proto(revision: &Revision) -> pb::Revision {
     let earlier_change = |(version, change): &(Version, Change)| pb::EarlierChange {
         version: version.0,
--- a/crates/catalog-service/src/codec/mod.rs
+++ b/crates/catalog-service/src/codec/mod.rs
@@ -1,8 +1,8 @@
 //! Encodes changes and revisions as protobuf messages, for the store and for the wire, and decodes
 //! them.
 //!
-//! A message may be damaged or forged. Decoding returns a [`DecodeError`] with the place of the
-//! first invalid value, and accepts no part of the message. No state, no I/O.
+//! A message may be damaged or forged. Decoding returns the [`DecodeError`] of the first invalid
+//! value, and accepts no part of the message. No state, no I/O.
 
 mod decode;
 mod encode;
--- a/crates/catalog-service/src/declared_config.rs
+++ b/crates/catalog-service/src/declared_config.rs
@@ -1,7 +1,7 @@
-//! The configuration that a settings file declares, as the changes that would produce it.
+//! Converts the configuration that a settings file declares into the changes that produce it.
 //!
 //! The state service calls it for the first revision of a new store; the operator's commands call
-//! it to compare a file with the state. No state, no I/O.
+//! it to compare a file with the stored catalog. No state, no I/O.
 
 use grebecleat_catalog::catalog::Catalog;
 use grebecleat_catalog::change::Change;
--- a/crates/catalog-service/src/extents.rs
+++ b/crates/catalog-service/src/extents.rs
@@ -1,4 +1,4 @@
-//! Placement of a volume's extents on shards: an index over runs.
+//! Run-length index of the shards on which a volume's extents are placed.
 //!
 //! Extents are numbers that mostly come in runs on one shard, because new extents are placed on the
 //! first node of their volume's ranking until that node is full enough. The index therefore stores
@@ -11,7 +11,7 @@
 
 use std::collections::BTreeMap;
 
-/// Runs of one chunk, at most; a chunk with more is split. A larger chunk costs more for each
+/// Maximum number of runs of one chunk; a chunk with more is split. A larger chunk costs more for each
 /// insertion, which moves its runs; a smaller one costs more map entries.
 pub const MAX_RUNS_PER_CHUNK: usize = 256;
 /// Runs for which a chunk reserves memory after a split, beyond the runs that remain in it. More
@@ -73,7 +73,7 @@
 }
 
 impl Extents {
-    /// Returns the shard of an extent; None if the extent is not placed.
+    /// Returns the shard of an extent; `None` if the extent is not placed.
     pub fn get(&self, extent: u64) -> Option<u32> {
         let (base, chunk) = self.chunks.range(..=extent).next_back()?;
         let offset = extent - base;
@@ -82,7 +82,7 @@
         (offset < run.end()).then_some(run.shard)
     }
 
-    /// Places an extent on a shard; an earlier placement of the extent ends.
+    /// Places an extent on a shard, and replaces an earlier placement of the extent.
     pub fn insert(&mut self, extent: u64, shard: u32) {
         let Some(base) = self.chunk_base(extent) else {
             self.chunks.insert(extent, vec![Run::single(0, shard)]);
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Returns the base of the extent's chunk; None if the extent must begin a new chunk.
+    /// Returns the base of the extent's chunk; `None` if the extent must begin a new chunk.
     fn chunk_base(&mut self, extent: u64) -> Option<u64> {
         if let Some((base, _)) = self.chunks.range(..=extent).next_back() {
             return (extent - base < u64::from(u32::MAX)).then_some(*base);
--- a/crates/catalog-service/src/extents/tests.rs
+++ b/crates/catalog-service/src/extents/tests.rs
@@ -4,13 +4,13 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Extents in any order, near and far apart, and moved again; the counts and runs are right as
-/// well.
+/// Inserts extents in random order, near and far apart, and moves some of them. Compares the
+/// contents, the counts and the runs.
 #[test]
-fn it_has_the_same_contents_as_an_ordered_map() {
+fn contents_match_an_ordered_map() {
     for seed in 0..120 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut e, mut plain) = (Extents::default(), BTreeMap::new());
+        let (mut extents, mut expected) = (Extents::default(), BTreeMap::new());
         let spread = [40, 3000, 1 << 20, u64::MAX][seed as usize % 4];
         let shards = rng.random_range(1..4);
         let mut at = rng.random_range(0..spread);
@@ -21,38 +21,42 @@
                 _ => at.saturating_add(1).min(spread),
             };
             let shard = rng.random_range(0..shards) / (1 + rng.random_range(0..2));
-            e.insert(at, shard);
-            plain.insert(at, shard);
+            extents.insert(at, shard);
+            expected.insert(at, shard);
             let near = at.saturating_add(rng.random_range(0..5)).saturating_sub(2);
-            assert_eq!(e.get(near), plain.get(&near).copied(), "seed {seed}");
+            assert_eq!(
+                extents.get(near),
+                expected.get(&near).copied(),
+                "seed {seed}"
+            );
         }
-        assert_eq!(e.len(), plain.len() as u64);
-        let runs: Vec<_> = e.iter().collect();
-        assert_eq!(runs.len(), e.runs());
+        assert_eq!(extents.len(), expected.len() as u64);
+        let runs: Vec<_> = extents.iter().collect();
+        assert_eq!(runs.len(), extents.runs());
         let all: Vec<(u64, u32)> = runs
             .iter()
             .flat_map(|run| (0..run.length).map(move |offset| (run.first + offset, run.shard)))
             .collect();
-        assert!(all.into_iter().eq(plain.into_iter()), "seed {seed}");
-        assert!(e
+        assert!(all.into_iter().eq(expected.into_iter()), "seed {seed}");
+        assert!(extents
             .chunks
             .values()
-            .all(|c| !c.is_empty() && c.len() <= MAX_RUNS_PER_CHUNK));
+            .all(|chunk| !chunk.is_empty() && chunk.len() <= MAX_RUNS_PER_CHUNK));
     }
 }
 
 #[test]
 fn descending_and_alternating_extents_need_few_chunks() {
-    let down: Extents = (0..100_000u64).rev().map(|n| (n, 1)).collect();
+    let descending: Extents = (0..100_000u64).rev().map(|n| (n, 1)).collect();
     assert_eq!(
-        (down.len(), down.runs(), down.chunks.len()),
+        (descending.len(), descending.runs(), descending.chunks.len()),
         (100_000, 1, 1)
     );
-    let by_turns: Extents = (0..100_000u64).map(|n| (n, (n % 2) as u32)).collect();
-    assert_eq!(by_turns.runs(), 100_000);
+    let alternating: Extents = (0..100_000u64).map(|n| (n, (n % 2) as u32)).collect();
+    assert_eq!(alternating.runs(), 100_000);
     assert!(
-        by_turns.chunks.len() < 2 * 100_000 / (MAX_RUNS_PER_CHUNK / 2),
+        alternating.chunks.len() < 2 * 100_000 / (MAX_RUNS_PER_CHUNK / 2),
         "{} chunks",
-        by_turns.chunks.len()
+        alternating.chunks.len()
     );
 }
--- a/crates/catalog-service/src/group_commit.rs
+++ b/crates/catalog-service/src/group_commit.rs
@@ -1,4 +1,4 @@
-//! The one thread of a process that writes its store.
+//! Group commit: the only thread of a process that writes its store.
 //!
 //! A commit blocks; coroutines and the threads that own decisions must not block. A caller hands
 //! over its records with a callback for the result. All records that arrive while a commit runs go
@@ -13,7 +13,7 @@
 use std::sync::mpsc::{self, Receiver, Sender};
 use tracing::warn;
 
-/// Records of one commit, at most; further ones wait for the next commit. With a larger number the
+/// Maximum number of records of one commit; further ones wait for the next commit. With a larger number the
 /// first caller of a commit waits longer; with a smaller one each sync to disk serves fewer
 /// callers.
 const MAX_RECORDS_PER_COMMIT: usize = 8192;
@@ -31,7 +31,7 @@
     done: CommitCallback,
 }
 
-/// A handle to the thread. The thread ends after the last handle is dropped.
+/// A handle to the commit thread. The thread ends after the last handle is dropped.
 #[derive(Clone)]
 pub struct GroupCommit {
     jobs: Sender<Job>,
@@ -40,7 +40,7 @@
 impl GroupCommit {
     /// Opens the store, starts its thread, and returns the store's contents.
     ///
-    /// `max_audit_log` and the faults: as for [`Store::open`].
+    /// `max_audit_log` and the faults are those of [`Store::open`].
     pub fn open(
         path: &Path,
         max_audit_log: u64,
--- a/crates/catalog-service/src/lib.rs
+++ b/crates/catalog-service/src/lib.rs
@@ -1,12 +1,13 @@
-//! The durable state of a site, in memory and on disk, for hosts, targets and the state service.
+//! The durable state of a site, in memory and on disk. Hosts, targets and the state service use it.
 //!
-//! - [`store`]: the file; [`group_commit`]: the thread that writes it; [`snapshot`]: a copy of the
-//!   store in a plain file.
-//! - [`codec`]: the messages of the file and of the wire; [`change_syntax`]: changes as text;
-//!   [`declared_config`]: the changes that a settings file makes.
-//! - [`service`]: the state service on its sockets; [`client`]: an operator's side of the protocol;
+//! - [`store`]: the database file; [`group_commit`]: the thread that writes it; [`snapshot`]: a copy
+//!   of the store in a plain file.
+//! - [`codec`]: changes and revisions as protobuf messages, for the file and for the wire;
+//!   [`change_syntax`]: changes as text; [`declared_config`]: the changes that a settings file
+//!   declares.
+//! - [`service`]: the server of the state service; [`client`]: its client for operators;
 //!   `subscription`: the updates for an operator that watches.
-//! - [`extents`]: the placement of extents, in little memory.
+//! - [`extents`]: a compact index of the placement of extents.
 //!
 //! This package does not decide where an extent is placed, which change is accepted, or anything
 //! about a request. Begin with [`store`].
--- a/crates/catalog-service/src/parts.rs
+++ b/crates/catalog-service/src/parts.rs
@@ -1,8 +1,8 @@
-//! Long answers in several frames.
+//! Splits long answers into several frames.
 
 use prost::Message;
 
-/// Bytes after which an answer continues in another frame. A larger part delays other frames of the
+/// Size in bytes after which an answer continues in another frame. A larger part delays other frames of the
 /// connection; a smaller one costs more frames.
 const PART_BYTES: usize = 128 << 10;
 
--- a/crates/catalog-service/src/service/commit_pipeline.rs
+++ b/crates/catalog-service/src/service/commit_pipeline.rs
@@ -1,7 +1,7 @@
-//! Records on their way to the disk.
+//! Commits records asynchronously, and tracks which are not yet stored.
 //!
-//! Owned by [`super::owner`]. State: the numbers of the records that are not yet stored, and the
-//! last failure of the store. The group-commit thread reports each commit as an event to the
+//! Owned by [`super::owner`]. State: the sequence numbers of the records that are not yet stored, and
+//! the last failure of the store. The group-commit thread reports each commit as an event to the
 //! owner, which then calls [`CommitPipeline::persisted`] or [`CommitPipeline::persist_failed`].
 
 use super::event::ServiceEvent;
@@ -15,14 +15,14 @@
 #[derive(Default)]
 pub(super) struct PendingCommit {
     records: Vec<Record>,
-    /// Number of the first record.
+    /// Sequence number of the first record.
     first: u64,
-    /// Number of the last record.
+    /// Sequence number of the last record.
     last: u64,
 }
 
 impl PendingCommit {
-    /// Adds a record. Numbers ascend.
+    /// Adds a record. Sequence numbers must ascend.
     pub fn push(&mut self, number: u64, record: Record) {
         if self.records.is_empty() {
             self.first = number;
@@ -32,11 +32,11 @@
     }
 }
 
-/// Commits records through the group-commit thread, and follows their results.
+/// Commits records through the group-commit thread, and tracks the results.
 pub(super) struct CommitPipeline {
     group_commit: GroupCommit,
     to_owner: Sender<ServiceEvent>,
-    /// Numbers of the records that are handed over and not yet stored.
+    /// Sequence numbers of the records that are not yet stored.
     uncommitted: BTreeSet<u64>,
     /// The last failure of the store; empty after a commit that succeeded.
     store_fault: String,
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Marks a record as handed over, before its commit is.
+    /// Marks a record as not yet stored, before its commit starts.
     pub fn expect(&mut self, number: u64) {
         self.uncommitted.insert(number);
     }
 
-    /// Hands the records to the group-commit thread. An empty commit is not handed over.
+    /// Passes the records to the group-commit thread. Does nothing if there are no records.
     pub fn commit(&self, pending: PendingCommit) {
         let PendingCommit {
             records,
@@ -82,19 +82,19 @@
         });
     }
 
-    /// Reads the store after all commits that were handed over before. `done` runs on the
+    /// Reads the store after all commits that were started before. `done` runs on the
     /// group-commit thread and must not block.
     pub fn read(&self, done: impl FnOnce(Result<StoreContents, StoreFault>) + Send + 'static) {
         self.group_commit.read(done);
     }
 
-    /// Records that everything up to `up_to` is stored.
+    /// Marks all records up to `up_to` as stored.
     pub fn persisted(&mut self, up_to: u64) {
         self.store_fault.clear();
         self.uncommitted.retain(|number| *number > up_to);
     }
 
-    /// Records that the commit that begins with the record `number` failed. The later records of
+    /// Handles the failure of the commit that begins with the record `number`. The later records of
     /// that commit count as uncommitted until a later commit succeeds.
     pub fn persist_failed(&mut self, number: u64, reason: &str) {
         error!(number, error = %reason, "records not persisted; their changes are not in force");
@@ -107,7 +107,7 @@
         &self.store_fault
     }
 
-    /// Returns how many records are handed over and not yet stored.
+    /// Returns the number of records that are not yet stored.
     pub fn uncommitted(&self) -> usize {
         self.uncommitted.len()
     }
--- a/crates/catalog-service/src/service/config_update.rs
+++ b/crates/catalog-service/src/service/config_update.rs
@@ -1,4 +1,4 @@
-//! Sends a host the configuration that its poll is granted, in parts.
+//! Answers a host's poll with the granted configuration, in parts.
 
 use super::frame_sender::FrameSender;
 use super::peer_table::PeerTable;
@@ -35,7 +35,7 @@
     send_revisions(frames, leader, grant, &host, head);
 }
 
-/// Sends the state at the version from which the revisions follow.
+/// Sends the complete state at the version that the revisions continue from.
 fn send_state(
     frames: &FrameSender,
     leader: &Leader,
--- a/crates/catalog-service/src/service/connection.rs
+++ b/crates/catalog-service/src/service/connection.rs
@@ -1,7 +1,7 @@
 //! One connection: a thread that reads its frames, and one that writes them.
 //!
-//! The listener calls [`run_connection`] on a thread of its own. State: the stream, and the frames
-//! that are read in part. Bounds: [`MAX_FRAME_BYTES`], [`MAX_QUEUED_FRAMES`] and [`IO_TIMEOUT`].
+//! The listener calls [`run_connection`] on a separate thread. State: the stream, and partially read
+//! frames. Limits: [`MAX_FRAME_BYTES`], [`MAX_QUEUED_FRAMES`] and [`IO_TIMEOUT`].
 
 use super::event::ServiceEvent;
 use super::frame_sender::{FrameSender, MAX_QUEUED_FRAMES};
@@ -15,14 +15,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes of the largest frame that is accepted. A smaller limit rejects large proposals; a larger
+/// Maximum size of a received frame. A smaller limit rejects large proposals; a larger
 /// one lets a peer occupy more memory.
 const MAX_FRAME_BYTES: usize = 16 << 20;
-/// Frames that are written with one system call. It bounds the bytes that wait in the writer's
-/// buffer.
+/// Maximum number of frames that are written with one system call. It bounds the size of the
+/// writer's buffer.
 const MAX_FRAMES_PER_WRITE: usize = 16;
-/// The longest time until a peer's hello, and for which a write may block. A shorter time
-/// disconnects slow peers; with a longer one a silent peer occupies its connection for longer.
+/// Timeout of a peer's hello, and of each write. A shorter timeout disconnects slow peers; with a
+/// longer one a silent peer occupies its connection for longer.
 const IO_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// The reason why a connection ended with an error.
@@ -34,11 +34,11 @@
     /// A frame is invalid.
     #[error(transparent)]
     Frame(#[from] FrameFault),
-    /// The first frame is no hello of this protocol version.
-    #[error("the first frame is no hello of version {VERSION}")]
-    NoHello,
+    /// The first frame is not a hello of this protocol version.
+    #[error("the first frame is not a hello of protocol version {VERSION}")]
+    MissingHello,
     /// A frame has no body.
-    #[error("a frame without a body")]
+    #[error("expected a frame with a body, found an empty frame")]
     MissingBody,
 }
 
@@ -67,7 +67,7 @@
         match frames.fill(&mut stream) {
             Ok(0) => break,
             Ok(_) => {}
-            // Disconnected, by the peer or by this service.
+            // The peer or this service has closed the connection.
             Err(_) if reader.peer.is_some() => break,
             Err(error) => return Err(error.into()),
         }
@@ -98,12 +98,12 @@
     tracer: &'a Tracer,
     to_owner: &'a Sender<ServiceEvent>,
     stream: Arc<TcpStream>,
-    /// Name of the peer; None until its hello.
+    /// Name of the peer; `None` until its hello.
     peer: Option<String>,
 }
 
 impl ConnectionReader<'_> {
-    /// Sends the owner the complete frames that were read so far.
+    /// Passes the complete frames that were read so far to the owner.
     fn handle_frames(&mut self, frames: &mut frame::Reader) -> Result<(), ConnectionError> {
         let now = clock::now();
         let mut read = Vec::new();
@@ -129,12 +129,12 @@
                 });
                 Ok(())
             }
-            (Some(_), None) => Err(ConnectionError::NoHello),
+            (Some(_), None) => Err(ConnectionError::MissingHello),
             (None, _) => Err(ConnectionError::MissingBody),
         }
     }
 
-    /// Starts the thread that writes. From now on the peer may be silent.
+    /// Starts the writer thread, and removes the read timeout: from now on the peer may be silent.
     fn handle_hello(&mut self, hello: pb::Hello) -> io::Result<()> {
         self.stream.set_read_timeout(None)?;
         self.tracer.opened(self.conn, &hello.name);
--- a/crates/catalog-service/src/service/error.rs
+++ b/crates/catalog-service/src/service/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the state service's start.
+//! The errors with which the state service fails to start.
 
 use crate::store::StoreFault;
 use std::io;
@@ -9,8 +9,8 @@
 /// The reason why a service did not start. Operators see its text.
 #[derive(Debug, thiserror::Error)]
 pub enum ServiceError {
-    /// The settings have no state service.
-    #[error("the settings name no state_service()")]
+    /// The settings have no call `state_service()`.
+    #[error("state_service() is missing in the settings")]
     NotInSettings,
     /// The store cannot be used.
     #[error("store {}: {fault}", path.display())]
@@ -21,11 +21,11 @@
         #[source]
         fault: StoreFault,
     },
-    /// The thread of the store ended.
+    /// The thread of the store ended before it stored the first epoch.
     #[error(transparent)]
     StoreThreadEnded(#[from] RecvError),
     /// The first revision, which the settings declare, was rejected.
-    #[error("{file}: {reason}")]
+    #[error("{file}: the declared configuration is rejected: {reason}")]
     DeclarationRejected {
         /// The settings file.
         file: String,
@@ -41,7 +41,7 @@
         #[source]
         error: io::Error,
     },
-    /// The system does not name the address that the service listens on.
+    /// The operating system did not return the address that the service listens on.
     #[error(transparent)]
     LocalAddress(io::Error),
 }
--- a/crates/catalog-service/src/service/event.rs
+++ b/crates/catalog-service/src/service/event.rs
@@ -15,15 +15,15 @@
     Frame { conn: u64, body: Box<Body> },
     /// A connection has ended.
     Disconnected { conn: u64 },
-    /// All records up to that number are stored.
+    /// All records up to that sequence number are stored.
     Persisted { up_to: u64 },
-    /// The record of that number, and all records after it, are not stored.
+    /// The record of that sequence number, and all records after it, are not stored.
     PersistFailed { number: u64, reason: String },
-    /// The result of a query that a thread of its own has computed.
+    /// The result of a query that a separate thread has computed.
     QueryResult {
         conn: u64,
         result: Box<pb::QueryResult>,
     },
-    /// The service has to end.
+    /// The service has to end after all its decisions are stored.
     Stop,
 }
--- a/crates/catalog-service/src/service/frame_sender.rs
+++ b/crates/catalog-service/src/service/frame_sender.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a connection: sends frames to the writer thread, without blocking.
+//! Queues frames for the writer thread of a connection, without blocking.
 
 use grebecleat_wire::pb::frame::Body;
 use std::net::{Shutdown, TcpStream};
@@ -6,12 +6,12 @@
 use std::sync::Arc;
 use tracing::warn;
 
-/// Frames that wait to be written, at most; a peer that leaves more unread is disconnected. A
+/// Maximum number of frames that wait to be written; a peer that leaves more unread is disconnected. A
 /// smaller limit disconnects peers that read long answers; a larger one costs memory for each slow
 /// peer.
 pub(super) const MAX_QUEUED_FRAMES: usize = 1024;
 
-/// The owner's side of a connection.
+/// Sends frames to a connection's writer thread.
 #[derive(Clone)]
 pub(super) struct FrameSender {
     queue: SyncSender<Body>,
--- a/crates/catalog-service/src/service/leader_actions.rs
+++ b/crates/catalog-service/src/service/leader_actions.rs
@@ -24,12 +24,12 @@
     pub peers: &'a mut PeerTable,
     /// Stores the records.
     pub commits: &'a mut CommitPipeline,
-    /// The membership, which has proposals of its own.
+    /// The membership, which also makes proposals.
     pub membership: &'a mut MembershipLink,
 }
 
 impl ActionPerformer<'_> {
-    /// Performs the actions in their order, and hands their records over as one commit at the end.
+    /// Performs the actions in their order, and starts one commit of all their records at the end.
     /// Returns the results of the membership's own proposals.
     pub fn perform(&mut self, actions: Vec<Action>) -> Vec<MembershipEvent> {
         let mut pending = PendingCommit::default();
--- a/crates/catalog-service/src/service/listener.rs
+++ b/crates/catalog-service/src/service/listener.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Open connections, at most; further ones are closed at once. Each has two threads and a queue: a
-/// larger limit costs memory, a smaller one locks out hosts of a large site.
+/// Maximum number of open connections; further ones are closed at once. Each has two threads and a
+/// queue: a larger limit costs memory, a smaller one locks out hosts of a large site.
 pub(super) const MAX_CONNECTIONS: usize = 1024;
-/// Pause after an error of `accept`, for instance for lack of file descriptors. A shorter pause
-/// spins; a longer one delays the next connection.
+/// Delay after an error of `accept`, for instance for lack of file descriptors. A shorter delay wastes
+/// processor time on retries; a longer one delays the next connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// Starts the thread that accepts connections.
@@ -30,7 +30,7 @@
         let stream = match stream {
             Ok(stream) => stream,
             Err(error) => {
-                warn!(%error, "accept failed");
+                warn!(%error, "accepting a connection failed; retrying");
                 std::thread::sleep(ACCEPT_RETRY_DELAY);
                 continue;
             }
--- a/crates/catalog-service/src/service/membership_link.rs
+++ b/crates/catalog-service/src/service/membership_link.rs
@@ -1,7 +1,7 @@
-//! Connects the leader with the membership's state machine: each learns what the other decides.
+//! Passes decisions between the leader and the membership's state machine.
 //!
 //! Owned by [`super::owner`], which alternates between [`MembershipLink::step`] and the leader
-//! until both have nothing new. State: the membership, how much of the leader's state the
+//! until neither has a new decision. State: the membership, how much of the leader's state the
 //! membership knows, and the membership's own proposals without a result.
 
 use super::wall_time::wall_time;
@@ -19,7 +19,7 @@
 /// Author of the membership's own proposals in the audit log.
 const AUTHOR: &str = "drains";
 
-/// The decisions of one step of the membership.
+/// The decisions that the membership made in one step.
 #[derive(Default)]
 pub(super) struct MembershipOutcome {
     /// The membership's proposals and exclusions, for the leader.
@@ -28,15 +28,15 @@
     pub notices: Vec<NodeNotice>,
 }
 
-/// An event of one node that operators read.
+/// An event of one node, for operators.
 pub(super) struct NodeNotice {
     /// The node's number.
     pub node: u32,
-    /// The event, as operators read it.
+    /// The text that describes the event.
     pub text: String,
 }
 
-/// The membership, and how much it knows of the catalog and of the hosts.
+/// The membership, and how much it knows of the catalog and of the hosts' acknowledgements.
 pub(super) struct MembershipLink {
     membership: Membership,
     /// The version up to which the membership knows the catalog.
@@ -63,19 +63,19 @@
         &self.membership
     }
 
-    /// Returns when the membership must be stepped next.
+    /// Returns when the membership's next timer is due.
     pub fn wake_at(&self) -> Option<Duration> {
         self.membership.wake_at()
     }
 
-    /// Removes and returns the membership's proposal under that call, which then has its result.
+    /// Removes and returns the membership's proposal with that call ID, when its result is known.
     pub fn take_proposal(&mut self, call: CallId) -> Option<ProposalId> {
         self.proposals.remove(&call)
     }
 
     /// Steps the membership with `events` and with everything new in the leader's state. Returns
-    /// None if there is nothing new and no timer is due. `allocate_call`: returns a number for the
-    /// call of a proposal.
+    /// `None` if there is nothing new and no timer is due. `allocate_call`: returns an unused ID for
+    /// the call of a proposal.
     pub fn step(
         &mut self,
         leader: &Leader,
@@ -92,7 +92,7 @@
         Some(self.outcome(actions, allocate_call))
     }
 
-    /// Adds the stored part of the catalog that the membership does not know yet.
+    /// Adds the stored changes of the catalog that the membership does not know yet.
     fn add_catalog_events(&mut self, leader: &Leader, events: &mut Vec<MembershipEvent>) {
         let persisted = leader.persisted();
         if persisted <= self.known {
@@ -108,7 +108,8 @@
                     }
                 }
             }
-            // The complete state: at first, and where the audit log no longer reaches back so far.
+            // The complete state: in the first step, and if the audit log no longer has the revisions
+            // after `known`.
             _ => {
                 for change in catalog.state_at(persisted) {
                     let version = catalog.last_changed(&change.subject());
@@ -172,7 +173,7 @@
     }
 }
 
-/// Returns the event of a stored change; None if the change concerns no node and no drain.
+/// Returns the event of a stored change; `None` if the change concerns neither a node nor a drain.
 fn membership_event(version: Version, change: Change) -> Option<MembershipEvent> {
     match change {
         Change::Node { id, to } => {
--- a/crates/catalog-service/src/service/mod.rs
+++ b/crates/catalog-service/src/service/mod.rs
@@ -1,25 +1,26 @@
-//! The state service on its sockets.
+//! The server of the state service.
 //!
-//! One thread, the owner, has the [`Leader`] and all other state. Each connection has one thread
-//! that reads and one that writes. Hosts and operators exchange frames of `plans.proto` with the
+//! One thread, the owner, owns the [`Leader`] and all other state. Each connection has a reader
+//! thread and a writer thread. Hosts and operators exchange frames of `plans.proto` with the
 //! service. The records of all decisions of one step go to the [`GroupCommit`] as one commit. This
 //! module decides only when to disconnect a peer.
 //!
-//! - `owner`: the loop, which orders the steps of the parts that follow.
+//! - `owner`: the event loop, which steps the modules below.
 //! - `peer_table`, `call_table`: the connected peers, and their calls without an answer.
 //! - `requests`: translates frames into events; `query_handler`: answers queries.
 //! - `leader_actions`, `config_update`: perform the leader's decisions.
 //! - `membership_link`: connects the drains' state machine with the leader.
-//! - `commit_pipeline`: the records on their way to the disk; `snapshot_scheduler`: the regular
+//! - `commit_pipeline`: commits records asynchronously; `snapshot_scheduler`: writes the regular
 //!   snapshot.
-//! - `subscriptions`: the operators that watch; `service_state`: the state that they read.
+//! - `subscriptions`: the watch subscriptions of operators; `service_state`: the state that they
+//!   read.
 //! - `listener`: accepts connections; `connection`: the reader and writer threads.
 //!
 //! The command `state-service` calls [`serve`], which returns after [`Handle::stop`].
 //!
-//! Bounds: 1,024 connections. The queue of a writer has 1,024 frames, each of at most about 128 KiB
-//! or one record; a peer that leaves more frames unread is disconnected. A thread of its own writes
-//! the snapshots, into the store's folder.
+//! Limits: 1,024 connections. The queue of a writer has 1,024 frames, each of at most about 128 KiB
+//! or one record; a peer that leaves more frames unread is disconnected. A separate thread writes
+//! each snapshot, into the store's directory.
 
 mod call_table;
 mod commit_pipeline;
@@ -75,8 +76,8 @@
     }
 }
 
-/// Returns a number for a new epoch. The wall clock and the process number make it differ from the
-/// epochs of all other services.
+/// Returns a number for a new epoch. It is derived from the wall clock and the process ID, so that it
+/// differs from the epochs of all other services.
 pub fn new_epoch() -> Epoch {
     Epoch((wall_time().as_nanos() as u64) ^ u64::from(std::process::id()) << 48 | 1)
 }
@@ -131,7 +132,7 @@
     Ok(())
 }
 
-/// Opens the store, and stores the first epoch in a new one.
+/// Opens the store. Stores a new epoch if the store has none.
 fn open_store(
     options: &Options,
     spec: &StateSpec,
@@ -154,7 +155,7 @@
     Ok((group_commit, stored))
 }
 
-/// Returns the contents of a store as the leader starts with them.
+/// Returns the leader's initial state from the contents of a store.
 fn initial_state(stored: StoredState, settings: &Settings, spec: &StateSpec) -> InitialState {
     let catalog = Catalog::new(deployment(settings), spec.max_audit_log as usize);
     let catalog = catalog.restored(stored.version, stored.state, stored.audit_log);
@@ -165,8 +166,8 @@
         if let Some(version) = stored.hosts.get(name) {
             applied.insert(host, *version);
         } else if stored.restored {
-            // The host may have joined after the snapshot: it counts as known, with nothing
-            // applied.
+            // The host may have joined after the snapshot, so it counts as a known follower that
+            // has applied nothing.
             applied.insert(host, Version(0));
         }
     }
@@ -181,7 +182,7 @@
     }
 }
 
-/// Returns the names of the settings' hosts by the hosts' numbers.
+/// Returns the names of the settings' hosts, indexed by host number.
 fn host_names(settings: &Settings) -> Vec<Name> {
     let hosts = settings.hosts.iter();
     hosts.map(|host| Name::from(host.name.as_str())).collect()
--- a/crates/catalog-service/src/service/owner.rs
+++ b/crates/catalog-service/src/service/owner.rs
@@ -1,6 +1,6 @@
-//! The owner of the state: one thread with the leader, the membership and the peers.
+//! The event loop of the service, on the thread that owns the leader, the membership and the peers.
 //!
-//! The owner only orders the steps. Each part owns its own state: [`PeerTable`],
+//! The owner only orders the steps of its components. Each component owns its state: [`PeerTable`],
 //! [`CommitPipeline`], [`MembershipLink`], [`SubscriptionTable`], [`QueryHandler`] and
 //! [`SnapshotScheduler`].
 
@@ -32,17 +32,17 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Events that are handled in one step, beyond the first. With a larger number one commit takes
-/// more changes, and its first caller waits longer.
+/// Maximum number of events that are handled in one step, in addition to the first. With a larger
+/// number one commit takes more changes, and its first caller waits longer.
 const MAX_EVENTS_PER_STEP: usize = 512;
-/// The longest time between two steps. It bounds how late a regular snapshot is.
+/// Maximum time between two steps. It bounds how late a regular snapshot is.
 const IDLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Rounds between the leader and the membership in one step. It bounds how long other peers wait
-/// if the two never agree.
+/// Maximum number of rounds between the leader and the membership in one step. It bounds how long
+/// peers wait if the two never stop making new decisions.
 const MAX_ROUNDS_PER_STEP: usize = 16;
 /// Author of the first revision of a new store.
 const DECLARATION_AUTHOR: &str = "settings";
-/// The number of the settings' declaration, which no peer's call has.
+/// The call ID of the proposal of the settings. No other call has it.
 const DECLARATION_CALL: CallId = CallId(0);
 
 /// The events that one step passes to the two state machines.
@@ -54,11 +54,11 @@
     pub membership: Vec<MembershipEvent>,
 }
 
-/// The parts that an owner starts with.
+/// The arguments of [`Owner::new`].
 pub(super) struct OwnerStart<'a> {
     /// The service's options.
     pub options: &'a Options,
-    /// The state service of the settings.
+    /// The parameters of the settings' `state_service()`.
     pub spec: StateSpec,
     /// The leader, with the stored catalog.
     pub leader: Leader,
@@ -66,13 +66,13 @@
     pub membership: Membership,
     /// The epoch of the catalog's history.
     pub epoch: Epoch,
-    /// The store's thread.
+    /// The handle to the store's thread.
     pub group_commit: GroupCommit,
-    /// The way to the owner, for the other threads.
+    /// The channel to the owner, for the other threads.
     pub to_owner: Sender<ServiceEvent>,
 }
 
-/// Orders the steps of the service's parts.
+/// Runs the event loop, and orders the steps of the service's components.
 pub(super) struct Owner {
     leader: Leader,
     /// The epoch of the catalog's history.
@@ -138,9 +138,9 @@
         })
     }
 
-    /// Waits until the first revision is stored. An operator who connected before would read version
+    /// Waits until the first revision is stored. An operator who connected earlier would read version
     /// 0, and the leader would reject the operator's change as concurrent with the first revision.
-    /// If the write fails, the service starts all the same, and reports the fault.
+    /// If the commit fails, the service starts nevertheless, and reports the fault.
     pub fn wait_for_declaration(&mut self, events: &Receiver<ServiceEvent>) {
         while self.commits.uncommitted() > 0 && self.commits.store_fault().is_empty() {
             let Ok(event) = events.recv() else {
@@ -212,7 +212,10 @@
                 self.peers.send(conn, Body::QueryResult(*result));
             }
             ServiceEvent::Stop => {
-                info!(uncommitted = self.commits.uncommitted(), "stopping");
+                info!(
+                    uncommitted = self.commits.uncommitted(),
+                    "stop requested; serving until all records are stored"
+                );
                 self.stopping = true;
             }
         }
@@ -281,7 +284,7 @@
     }
 
     /// Steps the membership with `events` and with everything new in the catalog, and the leader
-    /// with the membership's proposals, until both have nothing new. The leader may decide on a
+    /// with the membership's proposals, until neither has a new decision. The leader may decide on a
     /// proposal at once; its result is an event of the membership's next round.
     pub fn step_membership(&mut self, mut events: Vec<MembershipEvent>) {
         for _ in 0..MAX_ROUNDS_PER_STEP {
--- a/crates/catalog-service/src/service/peer_table.rs
+++ b/crates/catalog-service/src/service/peer_table.rs
@@ -1,6 +1,6 @@
 //! The connected hosts and operators, and their calls that wait for an answer.
 //!
-//! Owned by [`super::owner`]. State: one row for each connection that has sent its hello, at most
+//! Owned by [`super::owner`]. State: one entry for each connection that has sent its hello, at most
 //! [`super::listener::MAX_CONNECTIONS`], and the names of the settings' hosts.
 
 use super::call_table::{CallTable, PeerCall};
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::warn;
 
-/// The role that a peer's hello states, as far as this service accepts it.
+/// The role of an accepted peer, which its hello states.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum PeerRole {
     /// A host of the settings.
@@ -23,34 +23,35 @@
 
 /// A connected host or operator.
 struct Peer {
-    /// The way to its connection.
+    /// Sends frames to its connection.
     frames: FrameSender,
-    /// The name of its hello.
+    /// The name that its hello states.
     name: String,
     role: PeerRole,
-    /// The host has connected again; frames on this connection no longer count.
+    /// Whether the host has connected again; frames on this connection are then ignored.
     superseded: bool,
 }
 
-/// The rows that a disconnected peer leaves behind.
+/// The host and the calls of a connection that has ended.
 pub(super) struct DisconnectedPeer {
-    /// The host that is no longer connected; None for an operator, and for a host that has
+    /// The host that is no longer connected; `None` for an operator, and for a host that has
     /// connected again.
     pub host: Option<HostNumber>,
     /// The peer's calls without an answer, in ascending order.
     pub calls: Vec<CallId>,
 }
 
-/// The connected peers by connection, and their calls.
+/// The connected peers by connection number, and their calls.
 pub(super) struct PeerTable {
-    /// The hosts of the settings by their numbers.
+    /// The hosts of the settings, indexed by host number.
     hosts: Vec<Name>,
     peers: BTreeMap<u64, Peer>,
     calls: CallTable,
 }
 
 impl PeerTable {
-    /// Returns a table without peers. `hosts`: the hosts of the settings by their numbers.
+    /// Returns a table without peers. `hosts`: the hosts of the settings, indexed by
+    /// host number.
     pub fn new(hosts: Vec<Name>) -> Self {
         PeerTable {
             hosts,
@@ -59,8 +60,8 @@
         }
     }
 
-    /// Adds a host of the settings or an operator, and returns its role. Disconnects any other
-    /// peer, and an earlier connection of the same host.
+    /// Adds a peer and returns its role, if it is a host of the settings or an operator; disconnects
+    /// any other peer. Also disconnects an earlier connection of the same host.
     pub fn connect(
         &mut self,
         conn: u64,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Disconnects the earlier connections of a host: only its newest connection counts.
+    /// Disconnects the earlier connections of a host: only its newest connection is used.
     fn supersede(&mut self, role: PeerRole) {
         for peer in self.peers.values_mut() {
             if peer.role == role {
@@ -118,7 +119,7 @@
         DisconnectedPeer { host, calls }
     }
 
-    /// Returns the role of a peer; None if the connection is unknown or superseded.
+    /// Returns the role of a peer; `None` if the connection is unknown or superseded.
     pub fn role(&self, conn: u64) -> Option<PeerRole> {
         let peer = self.peers.get(&conn).filter(|peer| !peer.superseded)?;
         Some(peer.role)
@@ -127,7 +128,7 @@
     /// Disconnects a peer that broke the protocol.
     pub fn disconnect(&self, conn: u64) {
         if let Some(peer) = self.peers.get(&conn) {
-            warn!(conn, peer = %peer.name, "peer sent a frame that is not of its role");
+            warn!(conn, peer = %peer.name, "peer disconnected: it sent a frame that its role does not send");
             peer.frames.disconnect();
         }
     }
@@ -143,22 +144,22 @@
         self.hosts[host.0 as usize].clone()
     }
 
-    /// Returns an unused number, for a call of this service itself.
+    /// Returns an unused call ID, for a call of this service itself.
     pub fn allocate_call(&mut self) -> CallId {
         self.calls.allocate()
     }
 
-    /// Returns an unused number for a peer's call, and stores the call until it is answered.
+    /// Returns an unused call ID for a peer's call, and stores the call until it is answered.
     pub fn register_call(&mut self, conn: u64, call: u64) -> CallId {
         self.calls.register(conn, call)
     }
 
-    /// Removes a peer's call. Returns None if its peer has disconnected.
+    /// Removes and returns a peer's call; `None` if its peer has disconnected.
     pub fn take_call(&mut self, call: CallId) -> Option<PeerCall> {
         self.calls.take(call)
     }
 
-    /// Returns the name and the frame queue of a peer.
+    /// Returns the name and the frame sender of a peer.
     pub fn connection(&self, conn: u64) -> Option<(&str, &FrameSender)> {
         let peer = self.peers.get(&conn)?;
         Some((&peer.name, &peer.frames))
@@ -188,7 +189,7 @@
         });
     }
 
-    /// Returns the status of all hosts, by the leader's followers and by who is connected.
+    /// Returns the status of all hosts: what each has applied, and whether it is connected.
     pub fn host_status(&self, leader: &Leader) -> Vec<pb::HostStatus> {
         let waits = leader.waits_for(leader.persisted());
         let waits: BTreeMap<Name, bool> = waits.into_iter().collect();
--- a/crates/catalog-service/src/service/query_handler.rs
+++ b/crates/catalog-service/src/service/query_handler.rs
@@ -1,7 +1,7 @@
 //! Answers operators' queries: the state, the audit log, the status, and proposals of moves.
 //!
-//! Called by [`super::requests`]. State: constants of the settings, and the way back to the owner
-//! for results that a thread of their own computes.
+//! Called by [`super::requests`]. State: the extent size of the settings, and the channel to the owner
+//! for results that a separate thread computes.
 
 use super::event::ServiceEvent;
 use super::peer_table::PeerTable;
@@ -15,10 +15,11 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::mpsc::Sender;
 
-/// Bytes of a block.
+/// Size of a block.
 const BLOCK_BYTES: u64 = 512;
-/// Bytes of an extent, where no portal states the size of its extents. Proposals of moves count
-/// extents by it: with a wrong size their numbers of extents are wrong, but not their bytes.
+/// Size of an extent if the settings have no portal, which would state the size. Proposals of moves
+/// count extents of this size: with a wrong size their numbers of extents are wrong, but not their
+/// bytes.
 const DEFAULT_EXTENT_BYTES: u64 = 64 << 10;
 
 /// Answers queries.
@@ -62,7 +63,7 @@
     }
 
     /// Starts the computation of moves of extents that would meet the reservations without the
-    /// nodes in `empty`. A thread of its own computes them: it may take seconds, and hosts must not
+    /// nodes in `empty`. A separate thread computes them: it may take seconds, and hosts must not
     /// wait for it.
     fn propose_moves(&self, conn: u64, leader: &Leader, empty: Vec<u32>, head: pb::QueryResult) {
         let catalog = leader.catalog();
--- a/crates/catalog-service/src/service/requests.rs
+++ b/crates/catalog-service/src/service/requests.rs
@@ -1,4 +1,4 @@
-//! Handles the frames of hosts and operators, as events of the leader and of the membership.
+//! Converts the frames of hosts and operators into events of the leader and of the membership.
 //!
 //! Called by [`super::owner`] for each frame. No state of its own.
 
@@ -17,7 +17,7 @@
 use grebecleat_wire::pb::{self, frame::Body};
 use std::time::Duration;
 
-/// The parts of the service that a frame affects, for one frame of one connection.
+/// Handles one frame of one connection, with the components of the service that a frame affects.
 pub(super) struct RequestHandler<'a> {
     /// The connection that sent the frame.
     pub conn: u64,
@@ -35,7 +35,7 @@
 
 impl RequestHandler<'_> {
     /// Handles a frame. Drops a frame of a superseded connection; disconnects a peer that sends a
-    /// frame of another role.
+    /// frame that its role does not send.
     pub fn handle(&mut self, body: Body) {
         match self.peers.role(self.conn) {
             Some(PeerRole::Host(host)) => self.handle_host_frame(host, body),
@@ -119,7 +119,10 @@
     fn handle_host_gone(&mut self, gone: pb::HostGone) {
         let call = self.register(gone.call);
         let Some(host) = self.peers.host_number(&gone.host) else {
-            let reason = format!("{} is no host here", gone.host);
+            let reason = format!(
+                "unknown host {}: expected the name of a host in the settings of the state service",
+                gone.host
+            );
             return self.peers.reject(call, reason);
         };
         self.input.leader.push(LeaderEvent::HostRemoved {
@@ -153,8 +156,7 @@
     }
 }
 
-/// Returns an operator's proposal. `present`: the version that the proposal starts from if it names
-/// none.
+/// Decodes an operator's proposal. `present`: the base version of a proposal that states none.
 fn proposal_from_proto(propose: pb::Propose, present: Version) -> Result<Proposal, DecodeError> {
     Ok(Proposal {
         author: propose.author,
@@ -167,7 +169,7 @@
     })
 }
 
-/// Returns a host's observation of a node.
+/// Decodes a host's observation of a node.
 fn observation_from_proto(observation: &pb::NodeObservation) -> NodeObservation {
     let listed = match observation.listed() {
         pb::NodeState::NodeUnknown => ListedState::Never,
--- a/crates/catalog-service/src/service/service_state.rs
+++ b/crates/catalog-service/src/service/service_state.rs
@@ -1,8 +1,8 @@
-//! The decided state that queries and subscribers read.
+//! The state of the service that queries and subscribers read.
 
 use grebecleat_catalog::leader::{Epoch, Leader};
 
-/// The decided state, to read from.
+/// A read-only view of the service's state.
 pub(super) struct ServiceState<'a> {
     /// The catalog and its followers.
     pub leader: &'a Leader,
--- a/crates/catalog-service/src/service/snapshot_scheduler.rs
+++ b/crates/catalog-service/src/service/snapshot_scheduler.rs
@@ -1,7 +1,7 @@
-//! Writes the regular snapshot into a file with the store's name and the extension `snapshot`.
+//! Regularly writes a snapshot into a file with the store's name and the extension `snapshot`.
 //!
 //! Owned by [`super::owner`]. State: when the next snapshot is due, and the version of the last
-//! one. A thread of its own writes the file, so that hosts and operators do not wait for it.
+//! one. A separate thread writes the file, so that hosts and operators do not wait for it.
 
 use super::commit_pipeline::CommitPipeline;
 use super::wall_time::wall_time;
@@ -17,7 +17,7 @@
     path: PathBuf,
     interval: Duration,
     next_at: Instant,
-    /// Version of the last snapshot; None before the first.
+    /// Version of the last snapshot; `None` before the first.
     last_version: Option<Version>,
 }
 
@@ -54,6 +54,6 @@
     });
     match written {
         Ok(version) => info!(revision = version.0, path = %path.display(), "snapshot written"),
-        Err(fault) => error!(path = %path.display(), error = %fault, "snapshot failed"),
+        Err(fault) => error!(path = %path.display(), error = %fault, "snapshot not written"),
     }
 }
--- a/crates/catalog-service/src/service/subscriptions.rs
+++ b/crates/catalog-service/src/service/subscriptions.rs
@@ -14,7 +14,7 @@
 use std::time::Instant;
 use tracing::info;
 
-/// The subscriptions by connection.
+/// The subscriptions by connection number.
 #[derive(Default)]
 pub(super) struct SubscriptionTable {
     event_log: EventLog,
@@ -22,7 +22,7 @@
 }
 
 impl SubscriptionTable {
-    /// Subscribes a connection. `call`: the subscriber's number of its call.
+    /// Subscribes a connection. `call`: the subscriber's own number of its call.
     pub fn subscribe(&mut self, conn: u64, call: u64) {
         self.subscriptions.insert(conn, Subscription::new(call));
     }
@@ -32,7 +32,7 @@
         self.subscriptions.remove(&conn);
     }
 
-    /// Returns whether nobody has subscribed.
+    /// Returns whether there is no subscription.
     pub fn is_empty(&self) -> bool {
         self.subscriptions.is_empty()
     }
--- a/crates/catalog-service/src/snapshot/file.rs
+++ b/crates/catalog-service/src/snapshot/file.rs
@@ -1,13 +1,13 @@
-//! The constants of the file format, and the functions that its reader and its writers share.
+//! The constants of the snapshot format, and functions that the reader and the writer share.
 
 use crate::store::{self, Damage, SnapshotDamage, StoreFault};
 use std::fs::File;
 use std::io;
 use std::path::Path;
 
-/// Format number of the file.
+/// Format number of a snapshot.
 pub(super) const FORMAT: u32 = 1;
-/// Bytes of the largest part, which is a volume or a revision. With a smaller limit a valid
+/// Maximum size of a part. The largest parts are volumes and revisions. With a smaller limit a valid
 /// snapshot could be rejected; with a larger one a damaged length could occupy more memory.
 pub(super) const MAX_PART_BYTES: usize = 64 << 20;
 
@@ -26,11 +26,11 @@
     })
 }
 
-/// Makes a rename within a file's folder durable.
-pub(super) fn sync_folder(path: &Path) -> io::Result<()> {
-    let folder = path
+/// Syncs the directory of a file, which makes a rename within it durable.
+pub(super) fn sync_parent_directory(path: &Path) -> io::Result<()> {
+    let directory = path
         .parent()
-        .filter(|folder| !folder.as_os_str().is_empty())
+        .filter(|directory| !directory.as_os_str().is_empty())
         .unwrap_or(Path::new("."));
-    File::open(folder)?.sync_all()
+    File::open(directory)?.sync_all()
 }
--- a/crates/catalog-service/src/snapshot/read.rs
+++ b/crates/catalog-service/src/snapshot/read.rs
@@ -11,7 +11,7 @@
 use std::fs::File;
 use std::path::Path;
 
-/// Reads a complete snapshot. Returns a fault, and no contents, if it is damaged or cut short.
+/// Reads a complete snapshot. Returns a fault, and no contents, if it is damaged or truncated.
 pub fn read(path: &Path) -> Result<StoreContents, StoreFault> {
     let mut file = File::open(path).map_err(|error| disk(path, &error))?;
     let mut frames = frame::Reader::new(MAX_PART_BYTES);
@@ -39,7 +39,7 @@
         }
     }
     if !reader.complete {
-        return Err(damaged(path, SnapshotDamage::CutShort));
+        return Err(damaged(path, SnapshotDamage::Truncated));
     }
     Ok(reader.contents)
 }
@@ -51,7 +51,7 @@
     parts: u64,
     /// Checksum over the parts that were read so far.
     crc: u32,
-    /// The tail was read; no part may follow it.
+    /// Whether the tail was read; no part may follow it.
     complete: bool,
 }
 
@@ -79,7 +79,7 @@
                 }
                 self.complete = true;
             }
-            _ => return Err(self.damaged(SnapshotDamage::NoSnapshot)),
+            _ => return Err(self.damaged(SnapshotDamage::NotASnapshot)),
         }
         self.parts += 1;
         self.crc = crc32c::crc32c_append(self.crc, &bytes);
@@ -117,7 +117,7 @@
         let end = run
             .first
             .checked_add(run.extents)
-            .ok_or_else(|| self.damaged(SnapshotDamage::EndlessExtents))?;
+            .ok_or_else(|| self.damaged(SnapshotDamage::ExtentOverflow))?;
         let extents = self.contents.extents.entry(run.volume).or_default();
         for extent in run.first..end {
             extents.insert(extent, run.shard);
--- a/crates/catalog-service/src/snapshot/restore.rs
+++ b/crates/catalog-service/src/snapshot/restore.rs
@@ -1,12 +1,12 @@
 //! Builds a store from a snapshot.
 
-use super::file::{disk, sync_folder};
+use super::file::{disk, sync_parent_directory};
 use super::read::read;
 use crate::store::{Record, Store, StoreContents, StoreFault};
 use grebecleat_catalog::leader::Epoch;
 use std::path::{Path, PathBuf};
 
-/// Placements of extents in one commit. A larger number takes more memory for a commit; a smaller
+/// Number of extent placements in one commit. A larger number takes more memory for a commit; a smaller
 /// one makes the restore slower, since each commit waits for the disk.
 const PLACEMENTS_PER_COMMIT: usize = 20_000;
 
@@ -27,7 +27,7 @@
         former = Some(unused);
     }
     std::fs::rename(&temporary, store)
-        .and_then(|()| sync_folder(store))
+        .and_then(|()| sync_parent_directory(store))
         .map_err(|error| disk(store, &error))?;
     Ok(former)
 }
--- a/crates/catalog-service/src/snapshot/write.rs
+++ b/crates/catalog-service/src/snapshot/write.rs
@@ -1,6 +1,6 @@
 //! Writes a snapshot.
 
-use super::file::{disk, sync_folder, FORMAT};
+use super::file::{disk, sync_parent_directory, FORMAT};
 use crate::codec::{change_to_proto, revision_to_proto};
 use crate::store::{StoreContents, StoreFault, StoredState};
 use grebecleat_wire::{clock, frame, pb};
@@ -19,7 +19,7 @@
     let temporary = path.with_extension("writing");
     let moved = write_file(&temporary, contents, at)
         .and_then(|()| std::fs::rename(&temporary, path))
-        .and_then(|()| sync_folder(path));
+        .and_then(|()| sync_parent_directory(path));
     moved.map_err(|error| {
         let _ = std::fs::remove_file(&temporary);
         disk(path, &error)
--- a/crates/catalog-service/src/store/backend.rs
+++ b/crates/catalog-service/src/store/backend.rs
@@ -1,4 +1,4 @@
-//! Opens the database, on a file or on a disk that a test provides.
+//! Opens the database, on a file or on a simulated disk of a test.
 
 use super::damage::Damage;
 use super::fault::{damaged, disk, StoreResult};
@@ -7,18 +7,18 @@
 use std::panic::AssertUnwindSafe;
 use std::path::{Path, PathBuf};
 
-/// Bytes of the database's page cache. A smaller cache reads pages from the disk more often; a
+/// Size of the database's page cache. A smaller cache reads pages from the disk more often; a
 /// larger one takes memory from the rest of the process.
 const CACHE_BYTES: usize = 64 << 20;
 
-/// The place of the database, from which it can be opened again after a failure.
+/// The storage of the database, from which it can be opened again after a failure.
 pub(super) enum Backend {
     File(PathBuf),
     /// A disk that a test provides: each call returns the same disk.
     Custom(Box<dyn Fn() -> Box<dyn StorageBackend> + Send>),
 }
 
-/// Makes a boxed backend usable as a backend.
+/// Implements [`StorageBackend`] for a boxed backend, as `redb` takes backends by value.
 #[derive(Debug)]
 struct BoxedBackend(Box<dyn StorageBackend>);
 
@@ -63,8 +63,8 @@
     }
 }
 
-/// Creates a file under another name and then renames it, so that a file whose creation was
-/// interrupted is never taken for a store.
+/// Creates a file under a temporary name and then renames it, so that a file whose creation was
+/// interrupted is never opened as a store.
 fn create_file(builder: &Builder, path: &Path) -> StoreResult<()> {
     let temporary = path.with_extension("making");
     let _ = std::fs::remove_file(&temporary);
--- a/crates/catalog-service/src/store/commit.rs
+++ b/crates/catalog-service/src/store/commit.rs
@@ -1,11 +1,11 @@
 //! Commits one batch of records in one transaction.
 
-use super::batch::{read_figure, Batch, ExtentPlacements};
+use super::batch::{read_meta, Batch, ExtentPlacements};
 use super::checksum::unseal;
 use super::damage::{ContentError, Damage, RecordPlace};
 use super::fault::{damaged, disk, StoreResult};
 use super::record::Record;
-use super::schema::{figure, AUDIT_LOG};
+use super::schema::{meta_key, AUDIT_LOG};
 use crate::codec::revision_from_proto;
 use grebecleat_catalog::change::Revision;
 use grebecleat_catalog::records::Version;
@@ -27,9 +27,9 @@
 ) -> StoreResult<Version> {
     let write = database.begin_write()?;
     let mut transaction = Transaction {
-        batch: Batch::new(&write, read_figure(&write, figure::CHECKSUM)?),
-        version: read_figure(&write, figure::VERSION)?,
-        stable: read_figure(&write, figure::STABLE)?,
+        batch: Batch::new(&write, read_meta(&write, meta_key::CHECKSUM)?),
+        version: read_meta(&write, meta_key::VERSION)?,
+        stable: read_meta(&write, meta_key::STABLE)?,
         placements: ExtentPlacements::default(),
     };
     let replaces_catalog = batch
@@ -55,8 +55,8 @@
 }
 
 impl Transaction<'_> {
-    /// Undoes the revisions after `reported`: an earlier commit is stored although it was reported
-    /// as failed.
+    /// Rolls back the revisions after `reported`: an earlier commit is stored although it was
+    /// reported as failed.
     fn roll_back_to(&mut self, reported: Version) -> StoreResult<()> {
         while self.version > reported.0 {
             let revision = self.stored_revision(self.version)?;
@@ -67,14 +67,14 @@
             self.version = revision.from.0;
             if revision.version != revision.from.next() {
                 // The revision forced a new epoch: the operator has to decide again.
-                self.batch.put_figure(figure::EPOCH_FORCED_AT, 0)?;
+                self.batch.put_meta(meta_key::EPOCH_FORCED_AT, 0)?;
             }
         }
         Ok(())
     }
 
     fn stored_revision(&self, version: u64) -> StoreResult<Revision> {
-        let table = self.batch.write().open_table(AUDIT_LOG)?;
+        let table = self.batch.transaction().open_table(AUDIT_LOG)?;
         let bytes = table.get(version)?.map(|bytes| bytes.value().to_vec());
         let bytes = bytes.ok_or_else(|| damaged(Damage::MissingRevision { version }))?;
         let place = RecordPlace::Revision { version };
@@ -91,19 +91,19 @@
             Record::Revision(revision) => self.apply_revision(revision),
             Record::EpochForced(revision) => {
                 self.apply_revision(revision)?;
-                self.batch.put_figure(figure::EPOCH_FORCED_AT, self.version)
+                self.batch.put_meta(meta_key::EPOCH_FORCED_AT, self.version)
             }
             Record::Stable(version) => {
                 self.stable = version.0;
                 Ok(())
             }
             Record::HostApplied { host, version } => self.batch.put_host(host, version.0),
-            Record::Epoch(epoch) => self.batch.put_figure(figure::EPOCH, epoch.0),
+            Record::Epoch(epoch) => self.batch.put_meta(meta_key::EPOCH, epoch.0),
             Record::PastEpoch { epoch, up_to } => self.batch.put_past_epoch(epoch.0, up_to.0),
             Record::EpochForcedAt(version) => {
-                self.batch.put_figure(figure::EPOCH_FORCED_AT, version.0)
+                self.batch.put_meta(meta_key::EPOCH_FORCED_AT, version.0)
             }
-            Record::Restored => self.batch.put_figure(figure::RESTORED, 1),
+            Record::Restored => self.batch.put_meta(meta_key::RESTORED, 1),
             Record::Snapshot {
                 version,
                 state,
@@ -127,14 +127,14 @@
                 self.placements.add(*volume, *extent, *shard);
                 Ok(())
             }
-            Record::Ceiling(ceiling) => self.batch.put_figure(figure::CEILING, *ceiling),
+            Record::Ceiling(ceiling) => self.batch.put_meta(meta_key::CEILING, *ceiling),
         }
     }
 
     fn apply_revision(&mut self, revision: &Revision) -> StoreResult<()> {
         if revision.from.0 != self.version {
             return Err(disk(format!(
-                "entry {} does not follow version {}",
+                "entry {} cannot be stored: expected an entry that follows version {}",
                 revision.version.0, self.version
             )));
         }
@@ -146,13 +146,14 @@
         Ok(())
     }
 
-    /// Stores the placements, the figures and the sum, and returns the version of the catalog.
+    /// Stores the placements, the versions and the file's checksum, and returns the version of the
+    /// catalog.
     fn finish(mut self, max_audit_log: u64) -> StoreResult<u64> {
         self.batch
             .put_placements(std::mem::take(&mut self.placements))?;
         self.trim_audit_log(max_audit_log)?;
-        self.batch.put_figure(figure::VERSION, self.version)?;
-        self.batch.put_figure(figure::STABLE, self.stable)?;
+        self.batch.put_meta(meta_key::VERSION, self.version)?;
+        self.batch.put_meta(meta_key::STABLE, self.stable)?;
         self.batch.put_checksum()?;
         Ok(self.version)
     }
@@ -163,7 +164,7 @@
         let last_removed = self.version.saturating_sub(max_audit_log).min(self.stable);
         loop {
             let oldest = {
-                let table = self.batch.write().open_table(AUDIT_LOG)?;
+                let table = self.batch.transaction().open_table(AUDIT_LOG)?;
                 let first = table.first()?;
                 first.map(|(version, _)| version.value())
             };
--- a/crates/catalog-service/src/store/damage.rs
+++ b/crates/catalog-service/src/store/damage.rs
@@ -1,4 +1,4 @@
-//! The damage that a check of a store or of a snapshot finds, with its place.
+//! The kinds of corruption that a check of a store or of a snapshot finds, with their places.
 
 use crate::codec::DecodeError;
 use std::fmt;
@@ -7,9 +7,10 @@
 /// The place of a damaged record. Its text is part of the fault that operators see.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecordPlace {
-    /// The record of a subject; the first byte of its key, if it has one.
+    /// The record of a subject.
     Change {
-        /// The kind of the subject.
+        /// The first byte of the record's key, which is the kind of the subject; `None` if the key
+        /// is empty.
         kind: Option<u8>,
     },
     /// A revision of the audit log.
@@ -30,7 +31,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             RecordPlace::Change { kind } => {
-                write!(formatter, "a record of kind {:?}", kind.as_ref())
+                write!(formatter, "a state record of kind {:?}", kind.as_ref())
             }
             RecordPlace::Revision { version } => {
                 write!(formatter, "entry {version} of the trail")
@@ -38,53 +39,53 @@
             RecordPlace::Extents { volume, first } => {
                 write!(
                     formatter,
-                    "the record of extents {first} on of volume {volume}"
+                    "the record of volume {volume} for the extents from {first} on"
                 )
             }
         }
     }
 }
 
-/// The reason why the bytes of a record are no change and no revision.
+/// The reason why the bytes of a record cannot be decoded as a change or a revision.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum ContentError {
-    /// The bytes are no protobuf message.
+    /// The bytes are not a valid protobuf message.
     #[error(transparent)]
     Message(#[from] prost::DecodeError),
-    /// The message is no change or no revision.
+    /// The message is not a valid change or revision.
     #[error(transparent)]
     Content(#[from] DecodeError),
 }
 
-/// A damage of a store or of a snapshot. Operators see its text.
+/// The corruption that was found in a store or in a snapshot. Operators see its text.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Damage {
-    /// The database library found the damage; the library's text.
+    /// The database library reported the corruption, or panicked with a message.
     #[error("{text}")]
     Database {
         /// The library's text.
         text: String,
     },
-    /// The database library panicked without a text.
-    #[error("it cannot be read")]
+    /// The database library panicked without a message.
+    #[error("the database library panicked without a message while it accessed the file")]
     Unreadable,
-    /// The file is no database.
-    #[error("it is no store, or its head is gone")]
-    NoStore,
+    /// The file is not a database.
+    #[error("the file is not a store, or its header is damaged")]
+    NotAStore,
     /// A record is shorter than its checksum.
-    #[error("{place} is cut short")]
-    CutShort {
+    #[error("{place}: expected at least the 4 bytes of its checksum, found fewer")]
+    Truncated {
         /// The record.
         place: RecordPlace,
     },
-    /// The checksum of a record is wrong.
+    /// The checksum of a record does not match its key and value.
     #[error("{place} has a wrong checksum")]
     WrongChecksum {
         /// The record.
         place: RecordPlace,
     },
-    /// The checksum of a record is right, but its value is invalid.
-    #[error("{place} makes no sense")]
+    /// The checksum of a record of extents is correct, but its value is invalid.
+    #[error("{place}: its checksum is correct, but it contains an invalid run of extents")]
     Invalid {
         /// The record.
         place: RecordPlace,
@@ -98,42 +99,44 @@
         #[source]
         error: ContentError,
     },
-    /// A stored revision that has to be undone cannot be decoded.
+    /// A stored revision that has to be rolled back cannot be decoded.
     #[error(transparent)]
     Content(#[from] ContentError),
-    /// A record has the key of another subject.
-    #[error("{subject} stands in the place of another")]
+    /// A record has the key of another subject, or no value.
+    #[error("the record of {subject} has the key of another subject, or no value")]
     WrongKey {
         /// The subject, as text.
         subject: String,
     },
-    /// A revision does not follow the one before it.
-    #[error("{place} does not follow the one before it")]
+    /// A revision does not follow the one before it, or is stored under another version.
+    #[error(
+        "{place}: it has another version than its key, or does not follow the entry before it"
+    )]
     WrongOrder {
         /// The revision.
         place: RecordPlace,
     },
-    /// A revision is missing.
-    #[error("entry {version} is missing")]
+    /// A revision that has to be rolled back is missing.
+    #[error("entry {version} of the trail is missing")]
     MissingRevision {
         /// The revision's version.
         version: u64,
     },
-    /// The audit log does not reach the version of the catalog.
-    #[error("the trail ends before version {version}")]
+    /// The audit log does not end at the version of the catalog.
+    #[error("the trail does not end at the version of the catalog, {version}")]
     ShortAuditLog {
         /// The version of the catalog.
         version: u64,
     },
-    /// The file has a figure of an unknown name.
-    #[error("a figure named {name}")]
-    UnknownFigure {
-        /// The figure's name.
+    /// The table `meta` has an unknown key.
+    #[error("unknown key {name} in the table meta")]
+    UnknownMetaKey {
+        /// The key.
         name: String,
     },
-    /// The sum over all records is wrong.
-    #[error("records are missing, or older than the rest")]
-    WrongSum,
+    /// The checksum over all records is wrong.
+    #[error("wrong checksum over all records: some are missing, or older than the rest")]
+    WrongFileChecksum,
     /// A snapshot is damaged.
     #[error("{}: {damage}", path.display())]
     Snapshot {
@@ -145,11 +148,11 @@
     },
 }
 
-/// A damage of a snapshot. Operators see its text.
+/// The corruption that was found in a snapshot. Operators see its text.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SnapshotDamage {
     /// A frame is invalid.
-    #[error("after {parts} parts: {fault}")]
+    #[error("the frame after {parts} valid parts: {fault}")]
     Frame {
         /// Number of valid parts before the frame.
         parts: u64,
@@ -158,21 +161,21 @@
         fault: grebecleat_wire::frame::FrameFault,
     },
     /// The file has no tail.
-    #[error("it ends early")]
-    CutShort,
+    #[error("the file ends before its tail")]
+    Truncated,
     /// The file continues after its tail.
-    #[error("it goes on after its end")]
+    #[error("the file continues after its tail")]
     PartAfterTail,
-    /// A part is no change or no revision.
+    /// A part is not a valid change or revision.
     #[error(transparent)]
     Content(#[from] DecodeError),
     /// The number or the checksum of the parts is wrong.
-    #[error("parts are missing")]
+    #[error("the tail does not match the number or the checksum of the parts before it")]
     MissingParts,
-    /// The file does not begin with a head, or has an unknown part.
-    #[error("it is no snapshot")]
-    NoSnapshot,
-    /// The numbers of a run of extents are too large.
-    #[error("extents without end")]
-    EndlessExtents,
+    /// The file does not begin with a head, or has a second head or an unknown part.
+    #[error("not a snapshot: the first part is not a head, or a later part is a head or unknown")]
+    NotASnapshot,
+    /// The end of a run of extents exceeds the range of extent numbers.
+    #[error("the end of a run of extents exceeds the largest extent number")]
+    ExtentOverflow,
 }
--- a/crates/catalog-service/src/store/extent_chunk.rs
+++ b/crates/catalog-service/src/store/extent_chunk.rs
@@ -7,11 +7,11 @@
 use super::fault::{damaged, StoreFault, StoreResult};
 use crate::extents::Extents;
 
-/// Extents of one record. A placement rewrites one record, so a larger chunk writes more bytes for
-/// each placement; a smaller one needs more records (ten million extents have about 160,000 now).
-/// The number is part of the file format.
+/// Number of extents that one record covers. A placement rewrites one record, so a larger chunk writes
+/// more bytes for each placement; a smaller one needs more records (about 160,000 for ten million
+/// extents at the current size). The number is part of the file format.
 pub(super) const EXTENTS_PER_CHUNK: u64 = 64;
-/// Bytes of one run.
+/// Encoded size of one run.
 const RUN_BYTES: usize = 6;
 
 /// Consecutive extents of a chunk on one shard.
@@ -51,7 +51,7 @@
     damaged(Damage::Invalid { place })
 }
 
-/// Returns the runs of a record's value.
+/// Decodes the runs of a record's value.
 pub(super) fn decode_runs(value: &[u8], place: RecordPlace) -> StoreResult<Vec<ChunkRun>> {
     let mut runs = Vec::with_capacity(value.len() / RUN_BYTES);
     for bytes in value.chunks(RUN_BYTES) {
@@ -74,7 +74,7 @@
     (end <= EXTENTS_PER_CHUNK && run.length > 0).then_some(run)
 }
 
-/// Returns the value of a chunk's record. `extents`: the chunk's extents, numbered from its first.
+/// Encodes the value of a chunk's record. `extents`: the chunk's extents, numbered from its first.
 pub(super) fn encode_runs(extents: &Extents) -> Vec<u8> {
     let mut bytes = Vec::new();
     for run in extents.iter() {
--- a/crates/catalog-service/src/store/fault.rs
+++ b/crates/catalog-service/src/store/fault.rs
@@ -1,33 +1,34 @@
-//! The faults of a store.
+//! The errors of a store.
 //!
 //! Every operation of [`crate::store::Store`] and of [`crate::snapshot`] returns them, and
-//! operators read their texts. This module alone translates the errors of the database library.
+//! operators read their texts. Only this module converts the errors of the database library.
 
 use super::damage::Damage;
 use super::schema::SCHEMA;
 use std::fmt;
 
-/// The reason why a store cannot serve. Operators see its text.
+/// The error of an operation on a store or a snapshot. Operators see its text.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum StoreFault {
     /// Another process has the file open.
     #[error("in use by another process")]
     Locked,
     /// The file was written by a newer program.
-    #[error("of schema {schema}, and this program knows up to {SCHEMA}; use a newer program")]
+    #[error("found schema {schema}, expected at most {SCHEMA}; use a newer program")]
     Newer {
         /// Schema number (of a snapshot: its format number) found in the file.
         schema: u64,
     },
-    /// The contents differ from those that were written: a bad checksum, a missing or an older
-    /// record.
+    /// The contents differ from those that were written: for instance a wrong checksum, a missing
+    /// record, or a stale one.
     #[error("damaged: {damage}; restore it from a snapshot")]
     Damaged {
-        /// The damage, with its place.
+        /// The corruption, with its place.
         #[source]
         damage: Damage,
     },
-    /// The disk is full, read-only or failing. No record of the batch is stored.
+    /// The disk is full, read-only or failing, or a revision does not follow the stored version. No
+    /// record of the batch is stored.
     #[error("{what}")]
     Disk {
         /// The error of the disk.
@@ -51,7 +52,7 @@
     }
 }
 
-/// Returns the fault of a damage that the database library found.
+/// Returns the fault of a corruption that the database library found.
 fn database_damage(text: impl fmt::Display) -> StoreFault {
     damaged(Damage::Database {
         text: text.to_string(),
@@ -71,7 +72,7 @@
             redb::Error::DatabaseAlreadyOpen => StoreFault::Locked,
             redb::Error::Corrupted(what) => database_damage(what),
             redb::Error::Io(error) if error.kind() == std::io::ErrorKind::InvalidData => {
-                damaged(Damage::NoStore)
+                damaged(Damage::NotAStore)
             }
             redb::Error::Io(error) => disk(error),
             error @ (redb::Error::TableTypeMismatch { .. }
--- a/crates/catalog-service/src/store/load.rs
+++ b/crates/catalog-service/src/store/load.rs
@@ -1,11 +1,11 @@
-//! Reads and checks all contents of the file, for the recovery at a start and for a snapshot.
+//! Reads and checks all contents of the file, for recovery at the start and for a snapshot.
 
-use super::checksum::{unseal, FileChecksum, TableNumber};
+use super::checksum::{unseal, FileChecksum, TableId};
 use super::damage::{ContentError, Damage, RecordPlace};
 use super::extent_chunk::{chunk_key, chunk_place, decode_runs, invalid, EXTENTS_PER_CHUNK};
 use super::fault::{damaged, StoreFault, StoreResult};
 use super::record::StoreContents;
-use super::schema::{figure, subject_key, AUDIT_LOG, EPOCHS, EXTENTS, HOSTS, META, STATE};
+use super::schema::{meta_key, subject_key, AUDIT_LOG, EPOCHS, EXTENTS, HOSTS, META, STATE};
 use crate::codec::{change_from_proto, revision_from_proto};
 use grebecleat_catalog::change::{Change, Revision};
 use grebecleat_catalog::leader::Epoch;
@@ -14,8 +14,7 @@
 use prost::Message;
 use redb::{Database, ReadTransaction, ReadableDatabase, ReadableTable};
 
-/// Returns all contents of the file. Returns a fault if any record is damaged, missing, or older
-/// than the rest.
+/// Returns all contents of the file. Returns a fault if any record is damaged, missing or stale.
 pub(super) fn load(database: &Database) -> StoreResult<StoreContents> {
     let mut loader = Loader {
         read: database.begin_read()?,
@@ -23,14 +22,14 @@
         checksum: FileChecksum::default(),
         stored_checksum: None,
     };
-    loader.load_figures()?;
+    loader.load_meta()?;
     loader.load_state()?;
     loader.load_audit_log()?;
     loader.load_epochs()?;
     loader.load_hosts()?;
     loader.load_extents()?;
     if loader.stored_checksum != Some(loader.checksum) {
-        return Err(damaged(Damage::WrongSum));
+        return Err(damaged(Damage::WrongFileChecksum));
     }
     Ok(loader.contents)
 }
@@ -38,44 +37,44 @@
 /// Returns the stored version of the catalog, and reads nothing else.
 pub(super) fn load_version(database: &Database) -> StoreResult<Version> {
     let table = database.begin_read()?.open_table(META)?;
-    let version = table.get(figure::VERSION)?.map(|version| version.value());
+    let version = table.get(meta_key::VERSION)?.map(|version| version.value());
     Ok(Version(version.unwrap_or(0)))
 }
 
 struct Loader {
     read: ReadTransaction,
     contents: StoreContents,
-    /// The sum over the records that were read so far.
+    /// The checksum over the records that were read so far.
     checksum: FileChecksum,
-    /// The sum that the file states.
+    /// The checksum that the file states; `None` until it was read.
     stored_checksum: Option<FileChecksum>,
 }
 
 impl Loader {
-    fn load_figures(&mut self) -> StoreResult<()> {
+    fn load_meta(&mut self) -> StoreResult<()> {
         let state = &mut self.contents.state;
         for entry in self.read.open_table(META)?.iter()? {
             let (name, value) = entry?;
             let (name, value) = (name.value(), value.value());
             match name {
-                figure::SCHEMA => continue,
-                figure::CHECKSUM => {
+                meta_key::SCHEMA => continue,
+                meta_key::CHECKSUM => {
                     self.stored_checksum = Some(FileChecksum(value));
                     continue;
                 }
-                figure::VERSION => state.version = Version(value),
-                figure::STABLE => state.stable = Version(value),
-                figure::EPOCH_FORCED_AT => state.epoch_forced_at = Version(value),
-                figure::EPOCH => state.epoch = Epoch(value),
-                figure::CEILING => state.ceiling = value,
-                figure::RESTORED => state.restored = value > 0,
+                meta_key::VERSION => state.version = Version(value),
+                meta_key::STABLE => state.stable = Version(value),
+                meta_key::EPOCH_FORCED_AT => state.epoch_forced_at = Version(value),
+                meta_key::EPOCH => state.epoch = Epoch(value),
+                meta_key::CEILING => state.ceiling = value,
+                meta_key::RESTORED => state.restored = value > 0,
                 other => {
                     let name = other.to_string();
-                    return Err(damaged(Damage::UnknownFigure { name }));
+                    return Err(damaged(Damage::UnknownMetaKey { name }));
                 }
             }
             self.checksum
-                .add(TableNumber::Meta, name.as_bytes(), &value.to_be_bytes());
+                .add(TableId::Meta, name.as_bytes(), &value.to_be_bytes());
         }
         Ok(())
     }
@@ -85,7 +84,7 @@
             let (key, bytes) = entry?;
             let (key, bytes) = (key.value(), bytes.value());
             let change = decode_change(key, bytes)?;
-            self.checksum.add(TableNumber::State, key, bytes);
+            self.checksum.add(TableId::State, key, bytes);
             self.contents.state.state.push(change);
         }
         Ok(())
@@ -98,7 +97,7 @@
             let (version, bytes) = (version.value(), bytes.value());
             let revision = decode_revision(version, bytes, state.audit_log.last())?;
             self.checksum
-                .add(TableNumber::AuditLog, &version.to_be_bytes(), bytes);
+                .add(TableId::AuditLog, &version.to_be_bytes(), bytes);
             state.audit_log.push(revision);
         }
         match state.audit_log.last() {
@@ -113,11 +112,8 @@
         for entry in self.read.open_table(EPOCHS)?.iter()? {
             let (epoch, up_to) = entry?;
             let (epoch, up_to) = (epoch.value(), up_to.value());
-            self.checksum.add(
-                TableNumber::Epochs,
-                &epoch.to_be_bytes(),
-                &up_to.to_be_bytes(),
-            );
+            self.checksum
+                .add(TableId::Epochs, &epoch.to_be_bytes(), &up_to.to_be_bytes());
             let epochs = &mut self.contents.state.epochs;
             epochs.push((Epoch(epoch), Version(up_to)));
         }
@@ -129,7 +125,7 @@
             let (name, applied) = entry?;
             let (name, applied) = (name.value(), applied.value());
             self.checksum
-                .add(TableNumber::Hosts, name.as_bytes(), &applied.to_be_bytes());
+                .add(TableId::Hosts, name.as_bytes(), &applied.to_be_bytes());
             let hosts = &mut self.contents.state.hosts;
             hosts.insert(name.into(), Version(applied));
         }
@@ -147,7 +143,7 @@
             if chunk >= u64::MAX / EXTENTS_PER_CHUNK {
                 return Err(invalid(place));
             }
-            self.checksum.add(TableNumber::Extents, &key, bytes);
+            self.checksum.add(TableId::Extents, &key, bytes);
             let extents = self.contents.extents.entry(volume).or_default();
             for run in runs {
                 run.insert_into(extents, chunk * EXTENTS_PER_CHUNK);
--- a/crates/catalog-service/src/store/migrate.rs
+++ b/crates/catalog-service/src/store/migrate.rs
@@ -1,9 +1,9 @@
-//! Migrates a file of an older schema, or a new file, to the present schema.
+//! Migrates a file of an older schema, or a new file, to the current schema.
 
 use super::batch::{Batch, ExtentPlacements};
 use super::fault::{StoreFault, StoreResult};
 use super::schema::{
-    figure, AUDIT_LOG, CEILING_V1, EPOCHS, EXTENTS, HOSTS, META, PLACES_V1, SCHEMA, STATE,
+    meta_key, AUDIT_LOG, CEILING_V1, EPOCHS, EXTENTS, HOSTS, META, PLACEMENTS_V1, SCHEMA, STATE,
 };
 use redb::{Database, ReadableTable, WriteTransaction};
 
@@ -12,7 +12,7 @@
     let write = database.begin_write()?;
     let schema = write
         .open_table(META)?
-        .get(figure::SCHEMA)?
+        .get(meta_key::SCHEMA)?
         .map(|schema| schema.value());
     match schema {
         Some(SCHEMA) => {
@@ -23,7 +23,7 @@
         _ => {}
     }
     migrate_tables(&write)?;
-    write.delete_table(PLACES_V1)?;
+    write.delete_table(PLACEMENTS_V1)?;
     write.delete_table(CEILING_V1)?;
     write.commit()?;
     Ok(())
@@ -32,7 +32,7 @@
 fn migrate_tables(write: &WriteTransaction) -> StoreResult<()> {
     let mut batch = Batch::new(write, 0);
     let mut placements = ExtentPlacements::default();
-    for entry in write.open_table(PLACES_V1)?.iter()? {
+    for entry in write.open_table(PLACEMENTS_V1)?.iter()? {
         let (key, shard) = entry?;
         let (volume, extent) = key.value();
         placements.add(volume, extent, shard.value());
@@ -43,7 +43,7 @@
         .get(())?
         .map(|ceiling| ceiling.value());
     if let Some(ceiling) = ceiling {
-        batch.put_figure(figure::CEILING, ceiling)?;
+        batch.put_meta(meta_key::CEILING, ceiling)?;
     }
     write.open_table(STATE)?;
     write.open_table(AUDIT_LOG)?;
--- a/crates/catalog-service/src/store/mod.rs
+++ b/crates/catalog-service/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The catalog, its audit log and the placement of extents, in one file that survives crashes.
+//! Crash-safe storage of the catalog, its audit log and the placement of extents, in one file.
 //!
 //! A caller opens the store with [`Store::open`], which reads and returns all contents. It then
 //! calls [`Store::commit`] with batches of [`Record`]s. When a commit returns, its batch is stored
@@ -9,10 +9,10 @@
 //! log of this project's own, which would amount to writing a database again.
 //!
 //! This module adds integrity checks that `redb` does not promise. Every record carries a checksum
-//! of its key and value, and the file carries one sum over all records. The next start therefore
-//! finds a byte that rots, a record that goes missing, and a record that returns from an older
-//! page. It reports the place, and does not serve the contents. Opening the file checks all its
-//! pages. The store writes nothing to a file in which it has found damage.
+//! of its key and value, and the file carries one checksum over all records. The next start
+//! therefore detects a corrupted byte, a missing record, and a stale record of an older page. It
+//! reports the place, and does not serve the contents. Opening the file checks all its pages. The
+//! store writes nothing to a file in which it has found damage.
 //!
 //! After a commit that failed, it is unknown whether the batch is stored. The store opens the file
 //! again to find out. If that fails too, the result is [`StoreFault::Unknown`]; the next batch then
@@ -46,7 +46,7 @@
 /// An open store. Only one process at a time can have a file open.
 pub struct Store {
     backend: Backend,
-    /// The open database; None after a failure, until the file could be opened again.
+    /// The open database; `None` after a failure, until the file could be opened again.
     database: Option<Database>,
     max_audit_log: u64,
     /// The version that the caller knows to be stored. The next batch rolls back any revision that
@@ -63,7 +63,7 @@
         Store::open_backend(Backend::File(path.to_path_buf()), max_audit_log)
     }
 
-    /// Opens a store on a disk that a test provides, as [`Store::open`] does on a file.
+    /// Opens a store on a simulated disk of a test, as [`Store::open`] does on a file.
     pub fn open_on(
         disk: impl Fn() -> Box<dyn StorageBackend> + Send + 'static,
         max_audit_log: u64,
@@ -142,7 +142,8 @@
     }
 }
 
-/// Returns the version of the catalog after a batch; None if the batch does not change the catalog.
+/// Returns the version of the catalog after a batch; `None` if the batch does not change the
+/// catalog.
 fn last_version(batch: &[Record]) -> Option<Version> {
     batch.iter().rev().find_map(|record| match record {
         Record::Revision(revision) | Record::EpochForced(revision) => Some(revision.version),
--- a/crates/catalog-service/src/store/record.rs
+++ b/crates/catalog-service/src/store/record.rs
@@ -1,4 +1,4 @@
-//! The records of a batch, which callers store, and the contents of a store, which they read back.
+//! The records that callers store, and the contents of a store that they read back.
 
 use crate::extents::Extents;
 use grebecleat_catalog::change::{Change, Revision};
@@ -11,8 +11,8 @@
 pub enum Record {
     /// A revision of the catalog; it must follow the stored version.
     Revision(Revision),
-    /// A revision that forces a new epoch: from it on, the state takes precedence over every other
-    /// history.
+    /// A revision that forces a new epoch: from this revision on, the state takes precedence over
+    /// every other history.
     EpochForced(Revision),
     /// The stable version, which every follower has acknowledged.
     Stable(Version),
@@ -23,7 +23,7 @@
         /// The version that it has applied.
         version: Version,
     },
-    /// The epoch of the history from here on.
+    /// The current epoch of the catalog's history.
     Epoch(Epoch),
     /// An earlier epoch, which is part of this history up to a version.
     PastEpoch {
--- a/crates/catalog-service/src/store/schema.rs
+++ b/crates/catalog-service/src/store/schema.rs
@@ -1,15 +1,15 @@
 //! The tables of the file, and the keys of their records.
 //!
-//! The names of the tables and figures are part of the file format, and never change.
+//! The names of the tables and the keys of [`META`] are part of the file format, and never change.
 
 use grebecleat_catalog::change::Subject;
 use redb::TableDefinition;
 
-/// Schema number of the file. Schema 1 has the placement of single extents, and nothing else.
-/// Schema 2 is the present one.
+/// The current schema number of the file. Schema 1 contains only the placement of single extents
+/// and the version ceiling.
 pub(super) const SCHEMA: u64 = 2;
 
-/// Figures by name; see [`figure`].
+/// Numbers that concern the whole store, by name; see [`meta_key`].
 pub(super) const META: TableDefinition<&str, u64> = TableDefinition::new("meta");
 /// Records of the catalog by subject; see [`subject_key`].
 pub(super) const STATE: TableDefinition<&[u8], &[u8]> = TableDefinition::new("state");
@@ -22,13 +22,13 @@
 /// Chunks of extents by volume and chunk number; see [`super::extent_chunk`].
 pub(super) const EXTENTS: TableDefinition<(u64, u64), &[u8]> = TableDefinition::new("extents");
 /// Shards by volume and extent, in schema 1.
-pub(super) const PLACES_V1: TableDefinition<(u64, u64), u32> = TableDefinition::new("places");
+pub(super) const PLACEMENTS_V1: TableDefinition<(u64, u64), u32> = TableDefinition::new("places");
 /// The version ceiling, in schema 1.
 pub(super) const CEILING_V1: TableDefinition<(), u64> = TableDefinition::new("ceiling");
 
-/// Names of the figures in [`META`].
-pub(super) mod figure {
-    /// The schema number. The checksum over the file does not cover it.
+/// The keys of [`META`].
+pub(super) mod meta_key {
+    /// The schema number. The file's checksum does not cover it.
     pub const SCHEMA: &str = "schema";
     /// The checksum over all records.
     pub const CHECKSUM: &str = "sum";
--- a/crates/catalog-service/src/subscription/event_log.rs
+++ b/crates/catalog-service/src/subscription/event_log.rs
@@ -1,15 +1,15 @@
-//! The event log: the last events of nodes, for subscribers.
+//! A bounded log of the last events of nodes, for subscribers.
 
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Events that are retained, at most; older ones are dropped. With a smaller number a slow
+/// Maximum number of retained events; older ones are dropped. With a smaller number a slow
 /// subscriber misses events; a larger one takes memory.
 const MAX_EVENTS: usize = 1000;
 
-/// The last events of nodes, the newest last, each with a number.
+/// The last events of nodes, the newest last, numbered consecutively.
 #[derive(Default)]
 pub struct EventLog {
     /// Number of the oldest event that is retained.
@@ -18,7 +18,8 @@
 }
 
 impl EventLog {
-    /// Adds an event. `at`: the time since 1970. `node`: None if the event concerns no single node.
+    /// Adds an event. `at`: the time since 1970. `node`: `None` if the event does not concern a single
+    /// node.
     pub fn add(&mut self, at: Duration, node: Option<u32>, text: String) {
         self.entries.push_back(pb::EventLogEntry {
             at_us: micros(at),
@@ -36,7 +37,7 @@
         self.first + self.entries.len() as u64
     }
 
-    /// Returns the retained events from a number on.
+    /// Returns the retained events with that number or a higher one.
     pub(super) fn since(&self, number: u64) -> Vec<pb::EventLogEntry> {
         let skip = number.saturating_sub(self.first) as usize;
         self.entries.iter().skip(skip).cloned().collect()
--- a/crates/catalog-service/src/subscription/mod.rs
+++ b/crates/catalog-service/src/subscription/mod.rs
@@ -17,19 +17,19 @@
 use grebecleat_catalog::records::Version;
 use grebecleat_membership::drains::Membership;
 use grebecleat_wire::pb;
-use node_report::{node_to_proto, same_but_for_time};
+use node_report::{equal_except_times, node_to_proto};
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// The least time between two updates of one subscriber. A shorter time costs the service work for
+/// Minimum time between two updates of one subscriber. A shorter time costs the service work for
 /// each subscriber; a longer one delays what an operator sees.
 pub const MIN_UPDATE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// One subscriber.
+/// The subscription of one subscriber.
 pub struct Subscription {
-    /// The subscriber's number of its call.
+    /// The subscriber's own number of its call.
     call: u64,
-    /// Version of the catalog that was sent last; None before the first update.
+    /// Version of the catalog that was sent last; `None` before the first update.
     version: Option<Version>,
     stable: Version,
     /// The last report of each node.
@@ -41,7 +41,7 @@
     updated_at: Option<Instant>,
 }
 
-/// The present state of the service, which all subscribers watch.
+/// A read-only view of the service's state, for the updates of all subscribers.
 pub struct ServiceView<'a> {
     /// The catalog and its followers.
     pub leader: &'a Leader,
@@ -51,9 +51,9 @@
     pub event_log: &'a EventLog,
     /// The epoch of the catalog's history.
     pub epoch: u64,
-    /// The last failure of the store; empty if it works.
+    /// The last failure of the store; empty if the last commit succeeded.
     pub store_fault: &'a str,
-    /// The status of each host, by the hosts' numbers.
+    /// The status of each host, indexed by host number.
     pub hosts: &'a [pb::HostStatus],
 }
 
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Returns when the next update may be sent; None if it may be sent at once.
+    /// Returns when the next update may be sent; `None` if it may be sent at once.
     fn due_at(&self) -> Option<Instant> {
         Some(self.updated_at? + MIN_UPDATE_INTERVAL)
     }
@@ -134,7 +134,7 @@
         for node in view.membership.nodes(missing) {
             let report = node_to_proto(&node, view.hosts);
             let sent = self.nodes.get(&node.node);
-            if sent.is_none_or(|sent| !same_but_for_time(sent, &report)) {
+            if sent.is_none_or(|sent| !equal_except_times(sent, &report)) {
                 self.nodes.insert(node.node, report.clone());
                 changed.push(report);
             }
@@ -156,7 +156,8 @@
             update.revisions = revisions.map(revision_to_proto).collect();
             return send(update);
         }
-        // The complete state: at first, and where the audit log no longer reaches back so far.
+        // The complete state: in the first update, and if the audit log no longer has the revisions
+        // after the last update.
         let state = catalog
             .state_at(version)
             .map(|change| change_to_proto(&change));
--- a/crates/catalog-service/src/subscription/node_report.rs
+++ b/crates/catalog-service/src/subscription/node_report.rs
@@ -1,4 +1,4 @@
-//! The report of a node and its drain, as subscribers receive it.
+//! Encodes the report of a node and its drain for subscribers.
 
 use grebecleat_catalog::feed::HostNumber;
 use grebecleat_membership::drains::{DrainView, NodeView, Phase};
@@ -6,8 +6,8 @@
 use grebecleat_wire::clock::micros;
 use grebecleat_wire::pb;
 
-/// Returns whether two reports differ at most in times that pass by themselves.
-pub(super) fn same_but_for_time(sent: &pb::NodeReport, now: &pb::NodeReport) -> bool {
+/// Returns whether two reports are equal except for times that change without an event.
+pub(super) fn equal_except_times(sent: &pb::NodeReport, now: &pb::NodeReport) -> bool {
     without_times(sent) == without_times(now)
 }
 
@@ -24,7 +24,7 @@
     }
 }
 
-/// Returns the report of a node. `hosts`: the status of the hosts, by their numbers.
+/// Encodes the report of a node. `hosts`: the status of the hosts, indexed by host number.
 pub(super) fn node_to_proto(node: &NodeView, hosts: &[pb::HostStatus]) -> pb::NodeReport {
     pb::NodeReport {
         node: node.node,
--- a/crates/catalog-service/tests/common/mod.rs
+++ b/crates/catalog-service/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A simulated disk: it loses writes that were not synced, tears the write that a power loss
-//! interrupts, fills up, and fails on request.
+//! A simulated disk: a power loss drops writes that were not synced and tears the interrupted write;
+//! on request, operations fail or the disk is full.
 
 pub mod model;
 
@@ -9,78 +9,79 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-/// Bytes that a disk writes atomically.
-const SECTOR: usize = 512;
+/// Size of the unit that a disk writes atomically.
+const SECTOR_BYTES: usize = 512;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fails {
+pub enum DiskFault {
     Never,
-    /// The machine loses power at that operation: it, and all after it, have no effect.
+    /// Power is lost at that operation: this operation and all later ones have no effect.
     PowerLossAt(u64),
-    /// That one operation fails, with nothing done.
+    /// Only that operation fails, without any effect.
     OnceAt(u64),
-    /// From that operation on nothing can be written, for that number of operations.
+    /// From the first number on, as many operations as the second number fail: the disk is full.
     FullFrom(u64, u64),
     ReadOnly,
 }
 
 #[derive(Debug, Default)]
-struct Inner {
-    /// The bytes that a machine certainly finds after a restart.
+struct DiskState {
+    /// The synced bytes, which survive a power loss.
     durable: Vec<u8>,
-    /// The bytes that the running machine reads.
+    /// The bytes that a read returns before a power loss.
     visible: Vec<u8>,
-    /// Writes since the last sync, by sector, oldest first; and lengths.
+    /// Writes since the last sync, oldest first: the offset and the bytes of each sector.
     pending: Vec<(usize, Vec<u8>)>,
-    ops: u64,
-    fails: Option<Fails>,
+    operations: u64,
+    fault: Option<DiskFault>,
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct Disk(Arc<Mutex<Inner>>);
+pub struct Disk(Arc<Mutex<DiskState>>);
 
 impl Disk {
     /// Returns a disk with these contents, all of them durable.
     pub fn of(bytes: Vec<u8>) -> Disk {
-        Disk(Arc::new(Mutex::new(Inner {
+        Disk(Arc::new(Mutex::new(DiskState {
             durable: bytes.clone(),
             visible: bytes,
-            ..Inner::default()
+            ..DiskState::default()
         })))
     }
 
-    /// Sets how the disk fails from now on.
-    pub fn fails(&self, fails: Fails) {
-        self.0.lock().unwrap().fails = Some(fails);
+    /// Sets the fault of the disk from now on.
+    pub fn set_fault(&self, fault: DiskFault) {
+        self.0.lock().unwrap().fault = Some(fault);
     }
 
     /// Returns the number of operations that changed the disk: writes, changes of its length, and
     /// syncs.
-    pub fn ops(&self) -> u64 {
-        self.0.lock().unwrap().ops
+    pub fn operations(&self) -> u64 {
+        self.0.lock().unwrap().operations
     }
 
     pub fn bytes(&self) -> Vec<u8> {
         self.0.lock().unwrap().visible.clone()
     }
 
-    /// Returns the contents after a power loss: all synced bytes, and any sectors of the rest.
+    /// Returns the contents after a power loss: all synced bytes, and a random subset of the sectors
+    /// that were not synced.
     pub fn after_power_loss(&self, seed: u64) -> Vec<u8> {
-        let inner = self.0.lock().unwrap();
+        let state = self.0.lock().unwrap();
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut bytes = inner.durable.clone();
+        let mut bytes = state.durable.clone();
         // The file's length changes at once or not at all; bytes that were never written are zero.
         bytes.resize(
             if rng.random() {
-                inner.visible.len().max(bytes.len())
+                state.visible.len().max(bytes.len())
             } else {
                 bytes.len()
             },
             0,
         );
-        let part = [0.0, 0.5, 0.95, 1.0][rng.random_range(0..4)];
-        for (at, sector) in &inner.pending {
-            if rng.random::<f64>() < part && at + sector.len() <= bytes.len() {
+        let kept_fraction = [0.0, 0.5, 0.95, 1.0][rng.random_range(0..4)];
+        for (at, sector) in &state.pending {
+            if rng.random::<f64>() < kept_fraction && at + sector.len() <= bytes.len() {
                 bytes[*at..at + sector.len()].copy_from_slice(sector);
             }
         }
@@ -91,16 +92,18 @@
         Box::new(self.clone())
     }
 
-    fn op<T>(&self, done: impl FnOnce(&mut Inner) -> T) -> io::Result<T> {
-        let mut inner = self.0.lock().unwrap();
-        let op = inner.ops;
-        inner.ops += 1;
-        let reason = match inner.fails {
-            Some(Fails::PowerLossAt(at)) if op >= at => "power was lost",
-            Some(Fails::OnceAt(at)) if op == at => "input/output error",
-            Some(Fails::FullFrom(at, n)) if op >= at && op < at + n => "no space left on device",
-            Some(Fails::ReadOnly) => "read-only file system",
-            _ => return Ok(done(&mut inner)),
+    fn operate<T>(&self, apply: impl FnOnce(&mut DiskState) -> T) -> io::Result<T> {
+        let mut state = self.0.lock().unwrap();
+        let operation = state.operations;
+        state.operations += 1;
+        let reason = match state.fault {
+            Some(DiskFault::PowerLossAt(at)) if operation >= at => "power was lost",
+            Some(DiskFault::OnceAt(at)) if operation == at => "input/output error",
+            Some(DiskFault::FullFrom(at, n)) if operation >= at && operation < at + n => {
+                "no space left on device"
+            }
+            Some(DiskFault::ReadOnly) => "read-only file system",
+            _ => return Ok(apply(&mut state)),
         };
         Err(io::Error::other(reason))
     }
@@ -112,9 +115,9 @@
     }
 
     fn read(&self, offset: u64, out: &mut [u8]) -> io::Result<()> {
-        let inner = self.0.lock().unwrap();
+        let state = self.0.lock().unwrap();
         let (from, to) = (offset as usize, offset as usize + out.len());
-        let bytes = inner
+        let bytes = state
             .visible
             .get(from..to)
             .ok_or_else(|| io::Error::other("read beyond the end"))?;
@@ -123,38 +126,40 @@
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.op(|inner| inner.visible.resize(len as usize, 0))
+        self.operate(|state| state.visible.resize(len as usize, 0))
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.op(|inner| {
-            inner.durable = inner.visible.clone();
-            inner.pending.clear();
+        self.operate(|state| {
+            state.durable = state.visible.clone();
+            state.pending.clear();
         })
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
         // A part of the write that the power loss interrupts may be on the disk.
         {
-            let mut inner = self.0.lock().unwrap();
-            if matches!(inner.fails, Some(Fails::PowerLossAt(at)) if inner.ops == at) {
-                let sectors = data.chunks(SECTOR).enumerate();
+            let mut state = self.0.lock().unwrap();
+            if matches!(state.fault, Some(DiskFault::PowerLossAt(at)) if state.operations == at) {
+                let sectors = data.chunks(SECTOR_BYTES).enumerate();
                 let torn: Vec<_> = sectors
-                    .map(|(index, sector)| (offset as usize + index * SECTOR, sector.to_vec()))
+                    .map(|(index, sector)| {
+                        (offset as usize + index * SECTOR_BYTES, sector.to_vec())
+                    })
                     .collect();
-                inner.pending.extend(torn);
+                state.pending.extend(torn);
             }
         }
-        self.op(|inner| {
+        self.operate(|state| {
             let at = offset as usize;
-            if inner.visible.len() < at + data.len() {
-                inner.visible.resize(at + data.len(), 0);
+            if state.visible.len() < at + data.len() {
+                state.visible.resize(at + data.len(), 0);
             }
-            inner.visible[at..at + data.len()].copy_from_slice(data);
-            let sectors = data.chunks(SECTOR).enumerate();
-            inner
-                .pending
-                .extend(sectors.map(|(index, sector)| (at + index * SECTOR, sector.to_vec())));
+            state.visible[at..at + data.len()].copy_from_slice(data);
+            let sectors = data.chunks(SECTOR_BYTES).enumerate();
+            state.pending.extend(
+                sectors.map(|(index, sector)| (at + index * SECTOR_BYTES, sector.to_vec())),
+            );
         })
     }
 }
--- a/crates/catalog-service/tests/common/model.rs
+++ b/crates/catalog-service/tests/common/model.rs
@@ -1,5 +1,5 @@
-//! A model of a store's contents, the batches that lead there, and the comparison with what is
-//! stored.
+//! A model of a store's contents: generates random batches, and compares itself with the stored
+//! contents.
 
 use super::Disk;
 use grebecleat_catalog::catalog::Catalog;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 /// Revisions that the store retains in its audit log.
-pub const AUDIT_LOG: u64 = 6;
+pub const MAX_AUDIT_LOG: u64 = 6;
 
 /// The contents that the store should have.
 #[derive(Clone)]
@@ -23,27 +23,27 @@
     pub catalog: Catalog,
     pub stable: Version,
     pub hosts: BTreeMap<Name, Version>,
-    pub places: BTreeMap<(u64, u64), u32>,
+    pub placements: BTreeMap<(u64, u64), u32>,
     pub rng: Pcg64Mcg,
 }
 
 impl Model {
-    /// Returns the model of an empty store. `seed`: determines all its batches.
+    /// Returns the model of an empty store. `seed`: determines all batches.
     pub fn new(seed: u64) -> Self {
-        let facts = Deployment {
+        let deployment = Deployment {
             hosts: ["h1", "h2"].map(Name::from).into(),
             max_dispatch_delay: Duration::ZERO,
         };
         Model {
-            catalog: Catalog::new(facts, 1000),
+            catalog: Catalog::new(deployment, 1000),
             stable: Version(0),
             hosts: BTreeMap::new(),
-            places: BTreeMap::new(),
+            placements: BTreeMap::new(),
             rng: Pcg64Mcg::seed_from_u64(seed),
         }
     }
 
-    /// Returns changes that the catalog may accept or reject.
+    /// Returns random changes, which the catalog may accept or reject.
     fn change(&mut self) -> Vec<Change> {
         let name: Name =
             ["basic", "gold", "a plan with a longer name"][self.rng.random_range(0..3)].into();
@@ -71,17 +71,20 @@
         }
     }
 
-    /// Returns the next batch, after applying it to the model.
+    /// Generates the next batch and applies it to the model.
     pub fn batch(&mut self) -> Vec<Record> {
         let mut batch = Vec::new();
         for _ in 0..self.rng.random_range(1..4) {
             let changes = self.change();
-            let by = ChangeContext {
+            let context = ChangeContext {
                 author: "op",
                 reason: "test",
                 ..ChangeContext::default()
             };
-            if let Ok(revision) = self.catalog.propose(self.catalog.version(), by, changes) {
+            if let Ok(revision) = self
+                .catalog
+                .propose(self.catalog.version(), context, changes)
+            {
                 self.catalog.apply(revision.clone()).unwrap();
                 batch.push(Record::Revision(revision));
             }
@@ -90,7 +93,7 @@
                 self.rng.random_range(0..300),
                 self.rng.random_range(0..5),
             );
-            self.places.insert((volume, extent), shard);
+            self.placements.insert((volume, extent), shard);
             batch.push(Record::ExtentPlacement {
                 volume,
                 extent,
@@ -125,22 +128,22 @@
             persisted.audit_log.clone(),
         );
         let all = |catalog: &Catalog| catalog.state().collect::<Vec<_>>();
-        let places = placements(&contents.extents);
-        let own = (
+        let found_placements = placements(&contents.extents);
+        let expected = (
             self.catalog.version(),
             self.stable,
             &self.hosts,
-            &self.places,
+            &self.placements,
         );
         let found = (
             persisted.version,
             persisted.stable,
             &persisted.hosts,
-            &places,
+            &found_placements,
         );
-        if own != found || all(&found_catalog) != all(&self.catalog) {
+        if expected != found || all(&found_catalog) != all(&self.catalog) {
             return Err(format!(
-                "version {:?} and not {:?}, or not the same in it",
+                "found version {:?}, expected {:?}, or the contents of the version differ",
                 persisted.version,
                 self.catalog.version()
             ));
@@ -158,13 +161,15 @@
                 .zip(self.catalog.since(first).unwrap())
                 .any(|(a, b)| a != b)
         {
-            return Err("another audit log".into());
+            return Err(
+                "the audit log differs from the model's, or begins after the stable version".into(),
+            );
         }
         Ok(())
     }
 
-    /// Returns an error if the catalog is not exactly the model's, or if a placement is lost. The
-    /// other contents may be more than was reported.
+    /// Returns an error if the catalog is not exactly the model's, or if a placement is lost. Other
+    /// records may be stored although their commit was reported as failed.
     pub fn check_contains(&self, contents: &StoreContents) -> Result<(), String> {
         let persisted = &contents.state;
         let found_catalog = Catalog::new(self.catalog.facts().clone(), 1000);
@@ -177,12 +182,12 @@
             || !found_catalog.changes_towards(&self.catalog).is_empty()
         {
             return Err(format!(
-                "version {:?} and not {:?}",
+                "found version {:?}, expected {:?}, or the contents of the version differ",
                 persisted.version,
                 self.catalog.version()
             ));
         }
-        let lost = self.places.iter().find(|((volume, extent), shard)| {
+        let lost = self.placements.iter().find(|((volume, extent), shard)| {
             let extents = contents.extents.get(volume);
             extents.and_then(|extents| extents.get(*extent)) != Some(**shard)
         });
@@ -193,7 +198,7 @@
     }
 }
 
-/// Returns shards by volume and extent.
+/// Returns the shard of each extent, by volume and extent number.
 fn placements(extents: &ExtentsByVolume) -> BTreeMap<(u64, u64), u32> {
     let mut placements = BTreeMap::new();
     for (volume, extents) in extents {
@@ -214,7 +219,7 @@
 /// Opens the store on a disk.
 pub fn open(disk: &Disk) -> Result<(Store, StoreContents), StoreFault> {
     let disk = disk.clone();
-    Store::open_on(move || disk.backend(), AUDIT_LOG)
+    Store::open_on(move || disk.backend(), MAX_AUDIT_LOG)
 }
 
 /// Commits batches until one fails, and returns the states that the store may then have.
--- a/crates/catalog-service/tests/snapshots.rs
+++ b/crates/catalog-service/tests/snapshots.rs
@@ -1,5 +1,5 @@
-//! Snapshots, complete and cut short; a restore in the place of a store; group commits of many
-//! callers.
+//! Tests of complete and truncated snapshots, of a restore over an existing store, and of group
+//! commits of many callers.
 
 use grebecleat_catalog::catalog::Catalog;
 use grebecleat_catalog::change::{Change, ChangeContext, Revision, ScheduledChange};
@@ -24,13 +24,15 @@
 
 /// Applies a revision with these changes to the catalog, and returns it.
 fn next_revision(catalog: &mut Catalog, changes: Vec<Change>) -> Revision {
-    let by = ChangeContext {
+    let context = ChangeContext {
         author: "op",
         reason: "test",
         at: Duration::from_secs(7),
         ..ChangeContext::default()
     };
-    let revision = catalog.propose(catalog.version(), by, changes).unwrap();
+    let revision = catalog
+        .propose(catalog.version(), context, changes)
+        .unwrap();
     catalog.apply(revision.clone()).unwrap();
     revision
 }
@@ -135,13 +137,16 @@
 }
 
 #[test]
-fn a_snapshot_has_everything_and_a_restore_moves_the_old_store() {
-    let dir = tempfile::tempdir().unwrap();
-    let (path, snap) = (dir.path().join("s.store"), dir.path().join("s.snapshot"));
+fn a_snapshot_is_complete_and_a_restore_renames_the_former_store() {
+    let directory = tempfile::tempdir().unwrap();
+    let (path, snapshot_path) = (
+        directory.path().join("s.store"),
+        directory.path().join("s.snapshot"),
+    );
     fill(&path);
     let all = Store::open(&path, 100).unwrap().0.read().unwrap();
-    snapshot::write(&snap, &all, Duration::from_secs(3)).unwrap();
-    let read = snapshot::read(&snap).unwrap();
+    snapshot::write(&snapshot_path, &all, Duration::from_secs(3)).unwrap();
+    let read = snapshot::read(&snapshot_path).unwrap();
     assert_eq!(read.state, all.state);
     let runs = |placements: &ExtentsByVolume| {
         placements
@@ -150,15 +155,15 @@
             .collect::<Vec<_>>()
     };
     assert_eq!(runs(&read.extents), runs(&all.extents));
-    // A record after the snapshot is not in it, and remains in the former store.
+    // A record that is stored after the snapshot remains only in the former store.
     let (mut store, ..) = Store::open(&path, 100).unwrap();
     store.commit(&[Record::Ceiling(1000)]).unwrap();
     drop(store);
-    let moved_to = snapshot::restore(&snap, &path, Epoch(6))
+    let moved_to = snapshot::restore(&snapshot_path, &path, Epoch(6))
         .unwrap()
-        .expect("there was one");
+        .expect("there was a former store");
     let (_, contents) = Store::open(&path, 100).unwrap();
-    let (persisted, places) = (contents.state, contents.extents);
+    let (persisted, placements) = (contents.state, contents.extents);
     assert_eq!(
         (persisted.epoch, persisted.ceiling, persisted.restored),
         (Epoch(6), 99, true)
@@ -171,20 +176,23 @@
         (&persisted.state, &persisted.audit_log, &persisted.hosts),
         (&all.state.state, &all.state.audit_log, &all.state.hosts)
     );
-    assert_eq!(runs(&places), runs(&all.extents));
+    assert_eq!(runs(&placements), runs(&all.extents));
     assert_eq!(Store::open(&moved_to, 100).unwrap().1.state.ceiling, 1000);
     assert!(!path.with_extension("restoring").exists());
 }
 
 #[test]
-fn nothing_is_read_from_a_snapshot_that_is_cut_or_damaged() {
-    let dir = tempfile::tempdir().unwrap();
-    let (path, snap) = (dir.path().join("s.store"), dir.path().join("s.snapshot"));
+fn truncated_and_damaged_snapshots_are_rejected() {
+    let directory = tempfile::tempdir().unwrap();
+    let (path, snapshot_path) = (
+        directory.path().join("s.store"),
+        directory.path().join("s.snapshot"),
+    );
     fill(&path);
     let all = Store::open(&path, 100).unwrap().0.read().unwrap();
-    snapshot::write(&snap, &all, Duration::ZERO).unwrap();
-    let bytes = std::fs::read(&snap).unwrap();
-    let bad = dir.path().join("bad");
+    snapshot::write(&snapshot_path, &all, Duration::ZERO).unwrap();
+    let bytes = std::fs::read(&snapshot_path).unwrap();
+    let bad = directory.path().join("bad");
     let length = bytes.len();
     for cut_at in (0..length).step_by(length / 97) {
         std::fs::write(&bad, &bytes[..cut_at]).unwrap();
@@ -200,29 +208,33 @@
     }
     std::fs::write(&bad, [&bytes[..], &bytes[..]].concat()).unwrap();
     assert!(snapshot::read(&bad).is_err());
-    // The store stays as it was.
+    // A failed restore does not change the store.
     assert!(snapshot::restore(&bad, &path, Epoch(9)).is_err());
     assert_eq!(Store::open(&path, 100).unwrap().1.state, all.state);
     // A snapshot that cannot be written is reported.
-    let fault =
-        snapshot::write(&dir.path().join("no/such/folder"), &all, Duration::ZERO).unwrap_err();
+    let fault = snapshot::write(
+        &directory.path().join("no/such/folder"),
+        &all,
+        Duration::ZERO,
+    )
+    .unwrap_err();
     assert!(matches!(fault, StoreFault::Disk { .. }), "{fault}");
 }
 
 #[test]
 fn a_store_in_use_is_reported_as_locked() {
-    let dir = tempfile::tempdir().unwrap();
-    let path = dir.path().join("s.store");
+    let directory = tempfile::tempdir().unwrap();
+    let path = directory.path().join("s.store");
     let _in_use = Store::open(&path, 100).unwrap();
     assert_eq!(Store::open(&path, 100).err(), Some(StoreFault::Locked));
 }
 
-/// One of many callers in one group commit has a wrong revision: only that caller fails, and the
-/// order stays.
+/// One of many callers in one group commit commits a revision that does not follow the stored
+/// version: only that caller's commit fails, and the results arrive in order.
 #[test]
 fn no_caller_fails_with_another_callers_fault() {
-    let dir = tempfile::tempdir().unwrap();
-    let (group_commit, ..) = GroupCommit::open(&dir.path().join("s.store"), 100).unwrap();
+    let directory = tempfile::tempdir().unwrap();
+    let (group_commit, ..) = GroupCommit::open(&directory.path().join("s.store"), 100).unwrap();
     let mut catalog = empty_catalog();
     let (to, from) = mpsc::channel();
     for caller in 0..30u64 {
@@ -253,9 +265,9 @@
     let (seen, all) = mpsc::channel();
     group_commit.read(move |all| seen.send(all.unwrap()).unwrap());
     let contents = all.recv().unwrap();
-    let (persisted, places) = (contents.state, contents.extents);
+    let (persisted, placements) = (contents.state, contents.extents);
     assert_eq!(
-        (persisted.version, places[&1].len()),
+        (persisted.version, placements[&1].len()),
         (catalog.version(), 14)
     );
 }
--- a/crates/catalog-service/tests/start.rs
+++ b/crates/catalog-service/tests/start.rs
@@ -1,4 +1,5 @@
-//! The first moments of a state service with a new store.
+//! Tests of the start of a state service with a new store. The service accepts connections only after
+//! the first revision is stored; otherwise the first client reads version 0.
 
 use grebecleat_catalog::records::Version;
 use grebecleat_catalog_service::client::Client;
@@ -18,17 +19,17 @@
 volume(id = 5, plan = "p")
 state_service(lease = s(2), margin = ms(500))
 "#;
-/// Starts of a service. One start alone may be fast enough by chance.
+/// Number of starts of a service. A single start may pass by chance.
 const STARTS: usize = 20;
 
 /// Starts a service on a new store, and returns the version that its first client reads at once.
-fn version_read_at_the_start() -> Version {
-    let folder = tempfile::tempdir().unwrap();
+fn version_read_by_first_client() -> Version {
+    let directory = tempfile::tempdir().unwrap();
     let settings = Settings::read("start.star".as_ref(), SETTINGS.into()).expect("good settings");
     let options = Options {
         settings: Arc::new(settings),
         file: "start.star".into(),
-        store: folder.path().join("state.store"),
+        store: directory.path().join("state.store"),
         listen: "127.0.0.1:0".parse().unwrap(),
         tracer: Tracer::default(),
     };
@@ -48,6 +49,6 @@
 #[test]
 fn the_first_client_reads_the_first_revision() {
     for start in 0..STARTS {
-        assert_eq!(version_read_at_the_start(), Version(1), "start {start}");
+        assert_eq!(version_read_by_first_client(), Version(1), "start {start}");
     }
 }
