--- a/crates/catalog-service/src/client.rs
+++ b/crates/catalog-service/src/client.rs
@@ -212,7 +212,7 @@
     }
 }
 
-/// Returns the number of the call that a frame answers; None if it answers none.
+/// Returns the number of the call that a frame answers; `None` if the frame is not an answer.
 fn answered_call(answer: &Body) -> Option<u64> {
     match answer {
         Body::ChangeCommitted(committed) => Some(committed.call),
--- a/crates/catalog-service/src/extents.rs
+++ b/crates/catalog-service/src/extents.rs
@@ -182,7 +182,7 @@
     Added,
 }
 
-/// Places the extent at `offset` of a chunk on a shard, as a run of its own.
+/// Places the extent at `offset` of a chunk on a shard, as a separate run.
 fn insert_run(chunk: &mut Vec<Run>, offset: u32, shard: u32) -> Inserted {
     let after = chunk.partition_point(|run| run.start <= offset);
     let containing = after
--- a/crates/catalog-service/src/group_commit.rs
+++ b/crates/catalog-service/src/group_commit.rs
@@ -1,10 +1,10 @@
 //! Group commit: the only thread of a process that writes its store.
 //!
-//! A commit blocks; coroutines and the threads that own decisions must not block. A caller hands
-//! over its records with a callback for the result. All records that arrive while a commit runs go
+//! A commit blocks; coroutines and the threads that own decisions must not block. A caller passes
+//! its records with a callback for the result. All records that arrive while a commit runs go
 //! into the next commit together. If that commit fails, the thread commits each caller's records
 //! separately, so that no caller fails with the fault of another. Callbacks run in the order in
-//! which the records were handed over.
+//! which the records were passed.
 //!
 //! State: the open store, and an unbounded queue; each caller bounds its own outstanding records.
 
@@ -70,8 +70,8 @@
         let _ = self.jobs.send(Job::Commit(CommitJob { records, done }));
     }
 
-    /// Reads the stored contents, after all records that were handed over before. `done` receives
-    /// the contents on the store's thread, and must not block.
+    /// Reads the stored contents, after the commits of all records that were passed before. `done`
+    /// receives the contents on the store's thread, and must not block.
     pub fn read(&self, done: impl FnOnce(Result<StoreContents, StoreFault>) + Send + 'static) {
         let _ = self.jobs.send(Job::Read(Box::new(done)));
     }
--- a/crates/catalog-service/src/lib.rs
+++ b/crates/catalog-service/src/lib.rs
@@ -9,8 +9,8 @@
 //!   `subscription`: the updates for an operator that watches.
 //! - [`extents`]: a compact index of the placement of extents.
 //!
-//! This package does not decide where an extent is placed, which change is accepted, or anything
-//! about a request. Begin with [`store`].
+//! This crate does not decide where an extent is placed, which change is accepted, or how a request
+//! is handled. Start reading with [`store`].
 
 #![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
--- a/crates/catalog-service/src/service/error.rs
+++ b/crates/catalog-service/src/service/error.rs
@@ -22,7 +22,7 @@
         fault: StoreFault,
     },
     /// The thread of the store ended before it stored the first epoch.
-    #[error(transparent)]
+    #[error("the thread of the store ended before it stored the first epoch")]
     StoreThreadEnded(#[from] RecvError),
     /// The first revision, which the settings declare, was rejected.
     #[error("{file}: the declared configuration is rejected: {reason}")]
@@ -42,6 +42,6 @@
         error: io::Error,
     },
     /// The operating system did not return the address that the service listens on.
-    #[error(transparent)]
+    #[error("cannot read the local address of the listening socket: {0}")]
     LocalAddress(io::Error),
 }
--- a/crates/catalog-service/src/service/leader_actions.rs
+++ b/crates/catalog-service/src/service/leader_actions.rs
@@ -1,6 +1,6 @@
 //! Performs the leader's actions: stores records, and answers hosts and operators.
 //!
-//! Called by [`super::owner`] with the actions of one step. No state of its own.
+//! Called by [`super::owner`] with the actions of one step. Has no state.
 
 use super::commit_pipeline::{CommitPipeline, PendingCommit};
 use super::config_update::send_grant;
--- a/crates/catalog-service/src/service/requests.rs
+++ b/crates/catalog-service/src/service/requests.rs
@@ -1,6 +1,6 @@
 //! Converts the frames of hosts and operators into events of the leader and of the membership.
 //!
-//! Called by [`super::owner`] for each frame. No state of its own.
+//! Called by [`super::owner`] for each frame. Has no state.
 
 use super::owner::StepInput;
 use super::peer_table::{PeerRole, PeerTable};
--- a/crates/catalog-service/src/store/batch.rs
+++ b/crates/catalog-service/src/store/batch.rs
@@ -108,7 +108,8 @@
         Ok(())
     }
 
-    /// Replaces the contribution of a record without a checksum of its own to the file's checksum.
+    /// Replaces the contribution to the file's checksum of a plain number, whose record has no
+    /// checksum.
     fn replace_contribution(
         &mut self,
         table_id: TableId,
--- a/crates/catalog-service/src/store/checksum.rs
+++ b/crates/catalog-service/src/store/checksum.rs
@@ -2,7 +2,7 @@
 //!
 //! Every record carries a checksum of its key and value, which detects a corrupted byte and
 //! identifies the record. The file carries one checksum over all records, which detects a missing
-//! record, and a stale record of an older page with a valid checksum of its own.
+//! record, and a stale record of an older page, whose own checksum is valid.
 
 use super::damage::{Damage, RecordPlace};
 use super::fault::{damaged, StoreResult};
