--- a/crates/catalog-service/src/change_syntax/error.rs
+++ b/crates/catalog-service/src/change_syntax/error.rs
@@ -17,7 +17,9 @@
     #[error("expected the kind and the name of a subject, such as: volume 103 plan=priority")]
     NoSubject,
     /// The kind of the subject is unknown, or the rest of the line is invalid for it.
-    #[error("expected plan, volume, node, drain, undrain, target or timed, then a name and a valid value")]
+    #[error(
+        "expected plan, volume, node, drain, undrain, target or timed, its name and its value"
+    )]
     UnknownForm,
     /// A token is not of the form `name=value`.
     #[error("expected name=value, found {token}")]
--- a/crates/catalog-service/src/service/frame_sender.rs
+++ b/crates/catalog-service/src/service/frame_sender.rs
@@ -6,8 +6,8 @@
 use std::sync::Arc;
 use tracing::warn;
 
-/// Maximum number of frames that wait to be written; a peer that leaves more unread is disconnected. A
-/// smaller limit disconnects peers that read long answers; a larger one costs memory for each slow
+/// Maximum number of frames that wait to be written; a peer that leaves more unread is disconnected.
+/// A smaller limit disconnects peers that read long answers; a larger one costs memory for each slow
 /// peer.
 pub(super) const MAX_QUEUED_FRAMES: usize = 1024;
 
--- a/crates/catalog-service/src/service/peer_table.rs
+++ b/crates/catalog-service/src/service/peer_table.rs
@@ -50,8 +50,8 @@
 }
 
 impl PeerTable {
-    /// Returns a table without peers. `hosts`: the hosts of the settings, indexed by
-    /// host number.
+    /// Returns a table without peers. `hosts`: the hosts of the settings, indexed by host
+    /// number.
     pub fn new(hosts: Vec<Name>) -> Self {
         PeerTable {
             hosts,
@@ -128,7 +128,7 @@
     /// Disconnects a peer that broke the protocol.
     pub fn disconnect(&self, conn: u64) {
         if let Some(peer) = self.peers.get(&conn) {
-            warn!(conn, peer = %peer.name, "peer disconnected: it sent a frame that its role does not send");
+            warn!(conn, peer = %peer.name, "peer disconnected: it sent a frame of another role");
             peer.frames.disconnect();
         }
     }
