--- a/crates/catalog-service/src/service/owner.rs
+++ b/crates/catalog-service/src/service/owner.rs
@@ -214,7 +214,7 @@
             ServiceEvent::Stop => {
                 info!(
                     uncommitted = self.commits.uncommitted(),
-                    "stop requested; serving until all records are stored"
+                    "stopping"
                 );
                 self.stopping = true;
             }
