--- a/crates/catalog-service/src/service/owner.rs
+++ b/crates/catalog-service/src/service/owner.rs
@@ -212,10 +212,7 @@
                 self.peers.send(conn, Body::QueryResult(*result));
             }
             ServiceEvent::Stop => {
-                info!(
-                    uncommitted = self.commits.uncommitted(),
-                    "stopping"
-                );
+                info!(uncommitted = self.commits.uncommitted(), "stopping");
                 self.stopping = true;
             }
         }
