--- a/crates/trace-checker/src/commands.rs
+++ b/crates/trace-checker/src/commands.rs
@@ -1,10 +1,10 @@
-//! Commands of iSCSI sessions, counted from the PDUs that crossed a portal's sockets, and every
-//! block's history of reads and writes put in order.
+//! Counts the commands of iSCSI sessions from the PDUs that crossed a portal's sockets, and checks
+//! every block's history of reads and writes.
 //!
-//! It reads headers by itself (RFC 7143, section 11) and asks neither the target nor the
-//! initiators. A command is answered once: by a SCSI Response, or by Data-In with status. One that
-//! is open when its connection ends, its host is killed or task management ends it, needs no
-//! answer, and may take effect at any later time.
+//! The module decodes the headers itself (RFC 7143, section 11), and uses no count of the target or
+//! of the initiators. Each command receives one response: a SCSI Response, or Data-In with status.
+//! A command needs no response if it is open when its connection closes, when its host is killed,
+//! or when task management aborts it. Such a command may take effect at any later time.
 
 use crate::history::{check, BlockAccess, HistoryResult, Operation};
 use grebecleat_settings::Settings;
@@ -13,305 +13,348 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
+/// The SCSI status GOOD.
 const GOOD: u8 = 0;
-/// From a kill to the last record of its process that may bear a later time.
+/// Bounds by how much the last record of a killed process may be later than the mark of the kill.
 const KILL_LAG: Duration = Duration::from_millis(100);
 
-/// What the PDUs of a run amount to.
+/// The iSCSI commands of a run, as its PDUs show them.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Commands {
-    pub taken: u64,
+    /// Number of commands that portals received.
+    pub received: u64,
+    /// Number of commands with a response.
     pub answered: u64,
-    /// Ended without an answer by their connection, their host's death or task management.
+    /// Number of commands without a response that need none: their connection closed, their host
+    /// was killed, or task management aborted them.
     pub ended: u64,
+    /// Number of commands without a response that need one.
     pub missing: u64,
-    /// Second answers, and answers to nothing.
-    pub doubled: u64,
+    /// Number of responses that are duplicates, or that belong to no command.
+    pub duplicates: u64,
+    /// Number of blocks with a history.
     pub blocks: u64,
+    /// Number of reads of single blocks.
     pub reads: u64,
+    /// Number of writes of single blocks.
     pub writes: u64,
+    /// Number of blocks whose check reached its bound on states.
     pub undecided: u64,
-    /// What is wrong, with the commands that show it.
-    pub wrong: Vec<String>,
+    /// Descriptions of the faults, with the commands that show them.
+    pub faults: Vec<String>,
 }
 
 impl Commands {
+    /// Returns the line that a scenario prints about its iSCSI commands.
     pub fn line(&self) -> String {
         format!(
             "audit: commands {}, answered {}, ended with their connection {}, missing {}, doubled {}; histories \
              of {} blocks, {} reads, {} writes: {} out of order, {} undecided",
-            self.taken,
+            self.received,
             self.answered,
             self.ended,
             self.missing,
-            self.doubled,
+            self.duplicates,
             self.blocks,
             self.reads,
             self.writes,
-            self.wrong.len(),
+            self.faults.len(),
             self.undecided
         )
     }
 
+    /// Returns whether every response arrived once, and every decided history is linearizable.
     pub fn fine(&self) -> bool {
-        self.missing == 0 && self.doubled == 0 && self.wrong.is_empty()
+        self.missing == 0 && self.duplicates == 0 && self.faults.is_empty()
     }
 }
 
+/// One iSCSI command.
 #[derive(Debug)]
 struct Command {
+    /// Time at which the portal received it.
     at: Duration,
+    /// Number of its volume; None if its target or logical unit is unknown.
     volume: Option<u64>,
     cdb: [u8; 16],
-    /// Sums of its data by block, out and in.
-    out: BTreeMap<u32, u64>,
-    read: BTreeMap<u32, u64>,
-    answer: Option<(Duration, u8)>,
-    /// Task management was asked to end it.
-    told_off: bool,
+    /// Checksums of the data from the initiator, by block.
+    data_out: BTreeMap<u32, u64>,
+    /// Checksums of the data to the initiator, by block.
+    data_in: BTreeMap<u32, u64>,
+    /// Time and status of the response.
+    response: Option<(Duration, u8)>,
+    /// Whether a task management request may abort it.
+    abort_requested: bool,
 }
 
-fn be(bytes: &[u8]) -> u64 {
+/// Returns a big-endian number.
+fn big_endian(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |n, b| n << 8 | u64::from(*b))
 }
 
 impl Command {
-    /// Block, how many, whether it writes: of READ and WRITE of all lengths.
+    /// Returns the first block, the number of blocks, and whether the command writes: of READ and
+    /// WRITE of all lengths, WRITE SAME and COMPARE AND WRITE. None for all other commands.
     fn range(&self) -> Option<(u64, u64, bool)> {
         let c = &self.cdb;
         let (lba, blocks) = match c[0] {
             0x08 | 0x0a => (
-                be(&[c[1] & 0x1f, c[2], c[3]]),
+                big_endian(&[c[1] & 0x1f, c[2], c[3]]),
                 if c[4] == 0 { 256 } else { u64::from(c[4]) },
             ),
-            0x28 | 0x2a => (be(&c[2..6]), be(&c[7..9])),
-            0xa8 | 0xaa => (be(&c[2..6]), be(&c[6..10])),
-            0x88 | 0x8a | 0x93 => (be(&c[2..10]), be(&c[10..14])),
-            0x41 => (be(&c[2..6]), be(&c[7..9])),
-            0x89 => (be(&c[2..10]), u64::from(c[13])),
+            0x28 | 0x2a => (big_endian(&c[2..6]), big_endian(&c[7..9])),
+            0xa8 | 0xaa => (big_endian(&c[2..6]), big_endian(&c[6..10])),
+            0x88 | 0x8a | 0x93 => (big_endian(&c[2..10]), big_endian(&c[10..14])),
+            0x41 => (big_endian(&c[2..6]), big_endian(&c[7..9])),
+            0x89 => (big_endian(&c[2..10]), u64::from(c[13])),
             _ => return None,
         };
         Some((lba, blocks, !matches!(c[0], 0x08 | 0x28 | 0xa8 | 0x88)))
     }
 
-    /// What it did to each block. Of a write that was not GOOD nobody knows.
+    /// Returns the operation on each block. A write without the status GOOD has no end: it may
+    /// have no effect, or take effect later.
     fn operations(&self) -> Vec<(u64, Operation)> {
         let Some((lba, blocks, writes)) = self.range() else {
             return Vec::new();
         };
-        let good = self.answer.filter(|a| a.1 == GOOD).map(|a| a.0);
-        if !writes && good.is_none() {
+        let succeeded_at = self.response.filter(|a| a.1 == GOOD).map(|a| a.0);
+        if !writes && succeeded_at.is_none() {
             return Vec::new();
         }
         let zero = block_sum(&[0; BLOCK]);
-        let nth = |n: u64| self.out.get(&(n as u32)).copied();
+        let block_out = |n: u64| self.data_out.get(&(n as u32)).copied();
         let access = |n: u64| match self.cdb[0] {
             0x89 => Some(BlockAccess::Swap {
-                with: nth(n)?,
-                then: nth(n + blocks)?,
+                with: block_out(n)?,
+                then: block_out(n + blocks)?,
             }),
             0x41 | 0x93 if self.cdb[1] & 1 != 0 => Some(BlockAccess::Write(zero)),
-            0x41 | 0x93 => Some(BlockAccess::Write(nth(0)?)),
-            _ if writes => Some(BlockAccess::Write(nth(n)?)),
-            _ => Some(BlockAccess::Read(self.read.get(&(n as u32)).copied()?)),
+            0x41 | 0x93 => Some(BlockAccess::Write(block_out(0)?)),
+            _ if writes => Some(BlockAccess::Write(block_out(n)?)),
+            _ => Some(BlockAccess::Read(self.data_in.get(&(n as u32)).copied()?)),
         };
-        let op = |n| {
+        let operation = |n| {
             Some((
                 lba + n,
                 Operation {
                     from: self.at,
-                    to: good,
+                    to: succeeded_at,
                     access: access(n)?,
                 },
             ))
         };
-        (0..blocks).filter_map(op).collect()
+        (0..blocks).filter_map(operation).collect()
     }
 }
 
+/// A connection of an initiator to a portal.
 #[derive(Default)]
-struct Line {
+struct Connection {
+    /// Name of the target in its login.
     target: String,
+    /// Index of each command without a response, by initiator task tag.
     open: HashMap<u32, usize>,
 }
 
-/// A PDU's header, as far as is needed here.
+/// Reads the needed fields of a PDU.
 struct Pdu<'a>(&'a pb::Pdu);
 
 impl Pdu<'_> {
     fn word(&self, at: usize) -> u32 {
-        self.0.header.get(at..at + 4).map_or(0, |b| be(b) as u32)
+        self.0
+            .header
+            .get(at..at + 4)
+            .map_or(0, |b| big_endian(b) as u32)
     }
 
     fn byte(&self, at: usize) -> u8 {
         self.0.header.get(at).copied().unwrap_or_default()
     }
 
-    /// Its data's sums by block of the command's data. Data that begins inside a block has none.
-    fn sums(&self, from: u32) -> impl Iterator<Item = (u32, u64)> + '_ {
-        let whole = (from | self.0.data_len).is_multiple_of(BLOCK as u32);
-        let sums = self.0.blocks.iter().filter(move |_| whole).enumerate();
-        sums.map(move |(n, sum)| (from / BLOCK as u32 + n as u32, *sum))
+    /// Returns the checksums of the PDU's data, by block of the command's data. `from`: the data's
+    /// offset in the command's data. Data that begins or ends inside a block has no checksums.
+    fn block_sums(&self, from: u32) -> impl Iterator<Item = (u32, u64)> + '_ {
+        let is_aligned = (from | self.0.data_len).is_multiple_of(BLOCK as u32);
+        let block_sums = self.0.blocks.iter().filter(move |_| is_aligned).enumerate();
+        block_sums.map(move |(n, sum)| (from / BLOCK as u32 + n as u32, *sum))
     }
 }
 
-pub fn judge(
+/// Counts the commands in all traces, and checks the history of every block. `marks`: the marks of
+/// the run.
+pub fn check_commands(
     settings: &Settings,
     traces: &[Vec<Record>],
     marks: &[(Duration, pb::Marked)],
 ) -> Commands {
-    let mut told = Commands::default();
-    let mut all = Vec::new();
+    let mut summary = Commands::default();
+    let mut commands = Vec::new();
     for records in traces {
-        of_process(settings, records, marks, &mut all, &mut told);
+        read_process(settings, records, marks, &mut commands, &mut summary);
     }
     let mut histories: BTreeMap<(u64, u64), Vec<(Operation, usize)>> = BTreeMap::new();
-    for (i, c) in all.iter().enumerate() {
-        for (block, op) in c
-            .volume
-            .iter()
-            .flat_map(|v| c.operations().into_iter().map(move |(b, o)| ((*v, b), o)))
-        {
-            histories.entry(block).or_default().push((op, i));
+    for (index, command) in commands.iter().enumerate() {
+        for (block, operation) in command.volume.iter().flat_map(|v| {
+            command
+                .operations()
+                .into_iter()
+                .map(move |(b, o)| ((*v, b), o))
+        }) {
+            histories.entry(block).or_default().push((operation, index));
         }
     }
     for ((volume, block), history) in histories {
-        told.blocks += 1;
-        let ops: Vec<Operation> = history.iter().map(|h| h.0).collect();
-        let reads = ops
+        summary.blocks += 1;
+        let operations: Vec<Operation> = history.iter().map(|h| h.0).collect();
+        let reads = operations
             .iter()
             .filter(|o| matches!(o.access, BlockAccess::Read(_)))
             .count() as u64;
-        (told.reads, told.writes) = (told.reads + reads, told.writes + ops.len() as u64 - reads);
-        match check(block_sum(&[0; BLOCK]), &ops) {
+        (summary.reads, summary.writes) = (
+            summary.reads + reads,
+            summary.writes + operations.len() as u64 - reads,
+        );
+        match check(block_sum(&[0; BLOCK]), &operations) {
             HistoryResult::Linearizable => {}
-            HistoryResult::Undecided => told.undecided += 1,
+            HistoryResult::Undecided => summary.undecided += 1,
             HistoryResult::NotLinearizable { at } => {
-                let seen = |o: &Operation| format!("{:?} to {:?} {:x?}", o.from, o.to, o.access);
-                let lines: Vec<String> = ops.iter().map(seen).collect();
-                told.wrong.push(format!(
+                let describe =
+                    |o: &Operation| format!("{:?} to {:?} {:x?}", o.from, o.to, o.access);
+                let listed: Vec<String> = operations.iter().map(describe).collect();
+                summary.faults.push(format!(
                     "volume {volume} block {block}: no order of its commands explains {}; these are all:\n    {}",
-                    seen(&ops[at]),
-                    lines.join("\n    ")
+                    describe(&operations[at]),
+                    listed.join("\n    ")
                 ));
             }
         }
     }
-    told
+    summary
 }
 
-/// The commands of one process's trace.
-fn of_process(
+/// Adds the commands in the trace of one process.
+fn read_process(
     settings: &Settings,
     records: &[Record],
     marks: &[(Duration, pb::Marked)],
-    all: &mut Vec<Command>,
-    told: &mut Commands,
+    commands: &mut Vec<Command>,
+    summary: &mut Commands,
 ) {
     let name = records
         .first()
-        .and_then(|r| r.process.as_ref())
+        .and_then(|record| record.process.as_ref())
         .map(|p| p.name.clone())
         .unwrap_or_default();
     let volume = |target: &str, lun: u8| {
-        let t = settings.targets.iter().find(|t| t.name == target)?;
-        Some(settings.volumes[*t.volumes.get(usize::from(lun))?].id)
+        let target_spec = settings
+            .targets
+            .iter()
+            .find(|target_spec| target_spec.name == target)?;
+        Some(settings.volumes[*target_spec.volumes.get(usize::from(lun))?].id)
     };
-    let mut lines: HashMap<u64, Line> = HashMap::new();
-    let mut gone = Vec::new();
-    for r in records {
-        let at = Duration::from_nanos(r.at_ns);
-        if r.kind() == Kind::LineClosed {
-            gone.extend(
-                lines
-                    .remove(&r.conn)
+    let mut connections: HashMap<u64, Connection> = HashMap::new();
+    let mut closed = Vec::new();
+    for record in records {
+        let at = Duration::from_nanos(record.at_ns);
+        if record.kind() == Kind::LineClosed {
+            closed.extend(
+                connections
+                    .remove(&record.conn)
                     .into_iter()
-                    .flat_map(|l| l.open.into_values()),
+                    .flat_map(|connection| connection.open.into_values()),
             );
         }
-        let Some(pdu) = r.pdu.as_ref().map(Pdu) else {
+        let Some(pdu) = record.pdu.as_ref().map(Pdu) else {
             continue;
         };
-        let line = lines.entry(r.conn).or_default();
+        let connection = connections.entry(record.conn).or_default();
         let itt = pdu.word(16);
-        match (r.kind(), pdu.byte(0) & 0x3f) {
-            (Kind::PduIn, 0x03) if !pdu.0.target.is_empty() => line.target = pdu.0.target.clone(),
-            // Of a tag that is open it is a repeat, and the same command.
-            (Kind::PduIn, 0x01) if !line.open.contains_key(&itt) => {
-                told.taken += 1;
-                line.open.insert(itt, all.len());
+        match (record.kind(), pdu.byte(0) & 0x3f) {
+            (Kind::PduIn, 0x03) if !pdu.0.target.is_empty() => {
+                connection.target = pdu.0.target.clone()
+            }
+            // A command with the task tag of an open command is a retry of that command.
+            (Kind::PduIn, 0x01) if !connection.open.contains_key(&itt) => {
+                summary.received += 1;
+                connection.open.insert(itt, commands.len());
                 let cdb = pdu
                     .0
                     .header
                     .get(32..48)
                     .and_then(|b| b.try_into().ok())
                     .unwrap_or_default();
-                let (volume, out) = (volume(&line.target, pdu.byte(9)), pdu.sums(0).collect());
-                let (read, answer, told_off) = (BTreeMap::new(), None, false);
-                all.push(Command {
+                let (volume, data_out) = (
+                    volume(&connection.target, pdu.byte(9)),
+                    pdu.block_sums(0).collect(),
+                );
+                let (data_in, response, abort_requested) = (BTreeMap::new(), None, false);
+                commands.push(Command {
                     at,
                     volume,
                     cdb,
-                    out,
-                    read,
-                    answer,
-                    told_off,
+                    data_out,
+                    data_in,
+                    response,
+                    abort_requested,
                 });
             }
             (Kind::PduIn, 0x05) => {
-                let c = line.open.get(&itt).map(|i| &mut all[*i]);
-                c.into_iter()
-                    .for_each(|c| c.out.extend(pdu.sums(pdu.word(40))));
+                let command = connection.open.get(&itt).map(|index| &mut commands[*index]);
+                command
+                    .into_iter()
+                    .for_each(|command| command.data_out.extend(pdu.block_sums(pdu.word(40))));
             }
-            // ABORT TASK names one; all else may end any that is open in this process.
+            // ABORT TASK names one command. Every other function may abort any open command of this
+            // process.
             (Kind::PduIn, 0x02) => match pdu.byte(1) & 0x7f {
-                1 => line
+                1 => connection
                     .open
                     .get(&pdu.word(20))
                     .into_iter()
-                    .for_each(|i| all[*i].told_off = true),
-                _ => lines
+                    .for_each(|index| commands[*index].abort_requested = true),
+                _ => connections
                     .values()
-                    .flat_map(|l| l.open.values())
-                    .for_each(|i| all[*i].told_off = true),
+                    .flat_map(|connection| connection.open.values())
+                    .for_each(|index| commands[*index].abort_requested = true),
             },
             (Kind::PduOut, code @ (0x21 | 0x25)) => {
-                let Some(i) = line.open.get(&itt).copied() else {
-                    told.doubled += 1;
+                let Some(index) = connection.open.get(&itt).copied() else {
+                    summary.duplicates += 1;
                     continue;
                 };
                 if code == 0x25 {
-                    all[i].read.extend(pdu.sums(pdu.word(40)));
+                    commands[index].data_in.extend(pdu.block_sums(pdu.word(40)));
                 }
                 if code == 0x21 || pdu.byte(1) & 1 != 0 {
-                    all[i].answer = Some((at, pdu.byte(3)));
-                    told.answered += 1;
-                    line.open.remove(&itt);
+                    commands[index].response = Some((at, pdu.byte(3)));
+                    summary.answered += 1;
+                    connection.open.remove(&itt);
                 }
             }
             _ => {}
         }
     }
     let (start, end) = (
-        records.first().map_or(0, |r| r.at_ns),
-        records.last().map_or(0, |r| r.at_ns),
+        records.first().map_or(0, |record| record.at_ns),
+        records.last().map_or(0, |record| record.at_ns),
     );
     let (start, end) = (Duration::from_nanos(start), Duration::from_nanos(end));
-    let killed = marks.iter().any(|(at, m)| {
-        m.what() == What::Killed && m.name == name && *at >= start && *at + KILL_LAG >= end
+    let killed = marks.iter().any(|(at, mark)| {
+        mark.what() == What::Killed && mark.name == name && *at >= start && *at + KILL_LAG >= end
     });
-    let open = lines
+    let open = connections
         .into_values()
-        .flat_map(|l| l.open.into_values())
-        .map(|i| (i, killed));
-    for (i, excused) in open.chain(gone.into_iter().map(|i| (i, true))) {
-        match excused || all[i].told_off {
-            true => told.ended += 1,
+        .flat_map(|connection| connection.open.into_values())
+        .map(|index| (index, killed));
+    for (index, is_excused) in open.chain(closed.into_iter().map(|index| (index, true))) {
+        match is_excused || commands[index].abort_requested {
+            true => summary.ended += 1,
             false => {
-                told.missing += 1;
-                told.wrong.push(format!(
+                summary.missing += 1;
+                summary.faults.push(format!(
                     "no answer to a command of {:?} at {name}: {:02x?}",
-                    all[i].at, all[i].cdb
+                    commands[index].at, commands[index].cdb
                 ));
             }
         }
--- a/crates/trace-checker/src/drains.rs
+++ b/crates/trace-checker/src/drains.rs
@@ -6,8 +6,9 @@
 use grebecleat_wire::pb::{frame::Body, marked::What, record::Kind, Record};
 use std::time::Duration;
 
-/// Bounds the time from an operator's command to the change that it makes. Larger, an earlier
-/// command counts as the request; smaller, the change counts although the command came before it.
+/// Bounds the time from an operator's command to the change that it makes. With a larger bound an
+/// earlier command could count as the request; with a smaller one the change would count, although
+/// the command came before it.
 const MAX_REQUEST_DELAY: Duration = Duration::from_secs(2);
 
 /// One drain from the time at which it was in force.
@@ -15,14 +16,14 @@
 pub struct MeasuredDrain {
     /// The node.
     pub node: u32,
-    /// Time of the request; None: no record shows it.
+    /// Time of the request; None if no record shows it.
     pub requested: Option<Duration>,
     /// Time from the request, or else from the first notification, until the first host was
     /// notified.
     pub first_notified: Duration,
     /// Time from the same moment until the last host was notified.
     pub last_notified: Duration,
-    /// Time from the same moment until the last new attempt to the node; None: no attempt followed.
+    /// Time from the same moment until the last new attempt to the node; None if no attempt followed.
     pub last_attempt: Option<Duration>,
     /// Number of new attempts from that moment until the drain ended.
     pub attempts: usize,
--- a/crates/trace-checker/src/history.rs
+++ b/crates/trace-checker/src/history.rs
@@ -5,7 +5,7 @@
 //! states that the block can be in, each with the set of open operations that have taken effect in
 //! it. At the end of an operation, the operation must have taken effect. Other operations take
 //! effect before it only where that helps. A state is dropped where another state holds the same
-//! value, and has used fewer of the operations that need never take effect. An operation without a
+//! value, and has used only a part of the operations that need never take effect. An operation without a
 //! response, or with an unknown outcome, may take effect at any later time or never: it has no end.
 //!
 //! [`crate::commands`] calls [`check`] for each block. The module owns no state, and bounds the
@@ -14,8 +14,9 @@
 use std::collections::{BTreeSet, HashSet};
 use std::time::Duration;
 
-/// Bounds the states visited for the end of one operation. Beyond it, the block is undecided.
-/// Larger, one block may take minutes and much memory; smaller, more blocks are undecided.
+/// Bounds the states visited for the end of one operation. Beyond it, the block is undecided. With
+/// a larger bound one block may take minutes and much memory; with a smaller one more blocks are
+/// undecided.
 const MAX_STATES: usize = 50_000;
 
 /// Access to the block, by checksums of the content. Violations print it: its names are output.
@@ -39,7 +40,7 @@
 pub struct Operation {
     /// Time of its beginning.
     pub from: Duration,
-    /// Time of its end. None: it may take effect at any later time, or never.
+    /// Time of its end; None if it may take effect at any later time, or never.
     pub to: Option<Duration>,
     /// Access to the block.
     pub access: BlockAccess,
@@ -130,7 +131,7 @@
         for state in &mut found {
             state.used.remove(&index);
         }
-        states = without_needless(found, operations);
+        states = without_redundant(found, operations);
         if states.is_empty() {
             return HistoryResult::NotLinearizable { at: index };
         }
@@ -149,17 +150,18 @@
     events
 }
 
-/// Returns all states in which the operation that ends has taken effect. None: too many states.
+/// Returns all states in which the operation that ends has taken effect; None if there are too many
+/// states.
 fn states_after(
     ending: usize,
     states: Vec<State>,
     open: &[usize],
     operations: &[Operation],
 ) -> Option<Vec<State>> {
-    let mut todo = states;
+    let mut pending = states;
     let mut visited = HashSet::new();
     let mut found = Vec::new();
-    while let Some(state) = todo.pop() {
+    while let Some(state) = pending.pop() {
         if visited.len() > MAX_STATES {
             return None;
         }
@@ -171,27 +173,28 @@
         for next in unused.filter_map(|index| state.after(*index, &operations[*index])) {
             let next = next.apply_reads(open, operations);
             if visited.insert(next.clone()) {
-                todo.push(next);
+                pending.push(next);
             }
         }
     }
     Some(found)
 }
 
-/// Drops the states that another state makes needless. The other state holds the same value, and
-/// has used a part of the same operations; the rest need never take effect. An operation that must
-/// yet take effect is no gain while it is open.
-fn without_needless(mut states: Vec<State>, operations: &[Operation]) -> Vec<State> {
+/// Drops the states that another state makes redundant. The other state holds the same value, and
+/// has used a part of the same operations; the rest of them need never take effect. A state that
+/// lacks an operation with an end makes no state redundant, because that operation must still take
+/// effect.
+fn without_redundant(mut states: Vec<State>, operations: &[Operation]) -> Vec<State> {
     states.sort_by_key(|state| state.used.len());
     let mut remaining: Vec<State> = Vec::new();
     for state in states {
-        let is_needless = |other: &State| {
+        let is_redundant = |other: &State| {
             let need_not_end = |index: &usize| operations[*index].to.is_none();
             other.value == state.value
                 && other.used.is_subset(&state.used)
                 && state.used.difference(&other.used).all(need_not_end)
         };
-        if !remaining.iter().any(is_needless) {
+        if !remaining.iter().any(is_redundant) {
             remaining.push(state);
         }
     }
--- a/crates/trace-checker/src/history/tests.rs
+++ b/crates/trace-checker/src/history/tests.rs
@@ -3,7 +3,7 @@
 use rand_pcg::Pcg64Mcg;
 use BlockAccess::{Read, Swap, Write};
 
-fn op(from: u64, to: u64, access: BlockAccess) -> Operation {
+fn operation(from: u64, to: u64, access: BlockAccess) -> Operation {
     let ms = Duration::from_millis;
     Operation {
         from: ms(from),
@@ -13,84 +13,104 @@
 }
 
 #[test]
-fn histories_that_can_and_cannot_be() {
+fn linearizable_histories_are_accepted_and_others_rejected() {
     let cases: [(&str, Vec<Operation>, Option<usize>); 9] = [
         (
-            "one after the other",
-            vec![op(0, 1, Write(1)), op(2, 3, Write(2)), op(4, 5, Read(2))],
+            "writes in sequence, the last one read",
+            vec![
+                operation(0, 1, Write(1)),
+                operation(2, 3, Write(2)),
+                operation(4, 5, Read(2)),
+            ],
             None,
         ),
         (
-            "the old value comes back",
-            vec![op(0, 1, Write(1)), op(2, 3, Write(2)), op(4, 5, Read(1))],
+            "an overwritten value is read",
+            vec![
+                operation(0, 1, Write(1)),
+                operation(2, 3, Write(2)),
+                operation(4, 5, Read(1)),
+            ],
             Some(2),
         ),
         (
-            "two at once, either last",
-            vec![op(0, 9, Write(1)), op(1, 9, Write(2)), op(10, 11, Read(1))],
+            "concurrent writes, either may be the last",
+            vec![
+                operation(0, 9, Write(1)),
+                operation(1, 9, Write(2)),
+                operation(10, 11, Read(1)),
+            ],
             None,
         ),
         (
-            "seen, then gone again",
-            vec![op(0, 9, Write(1)), op(1, 2, Read(1)), op(3, 4, Read(0))],
+            "a new value is read, then the old one",
+            vec![
+                operation(0, 9, Write(1)),
+                operation(1, 2, Read(1)),
+                operation(3, 4, Read(0)),
+            ],
             Some(2),
         ),
         (
-            "nobody knows, and it shows late",
-            vec![op(0, 0, Write(1)), op(1, 2, Read(0)), op(50, 51, Read(1))],
+            "a write without a response takes effect late",
+            vec![
+                operation(0, 0, Write(1)),
+                operation(1, 2, Read(0)),
+                operation(50, 51, Read(1)),
+            ],
             None,
         ),
         (
-            "the late write: over a newer one that was answered",
+            "a write without a response overwrites a later write, which is then read again",
             vec![
-                op(0, 0, Write(1)),
-                op(2, 3, Write(2)),
-                op(4, 5, Read(2)),
-                op(6, 7, Read(1)),
-                op(8, 9, Read(2)),
+                operation(0, 0, Write(1)),
+                operation(2, 3, Write(2)),
+                operation(4, 5, Read(2)),
+                operation(6, 7, Read(1)),
+                operation(8, 9, Read(2)),
             ],
             Some(4),
         ),
         (
-            "unanswered twice with the same content: may show twice",
+            "two writes of one content without responses take effect twice",
             vec![
-                op(0, 0, Write(1)),
-                op(1, 0, Write(1)),
-                op(2, 3, Read(1)),
-                op(4, 5, Write(2)),
-                op(6, 7, Read(1)),
+                operation(0, 0, Write(1)),
+                operation(1, 0, Write(1)),
+                operation(2, 3, Read(1)),
+                operation(4, 5, Write(2)),
+                operation(6, 7, Read(1)),
             ],
             None,
         ),
         (
-            "from nowhere",
-            vec![op(0, 1, Write(1)), op(2, 3, Read(9))],
+            "a value that was never written is read",
+            vec![operation(0, 1, Write(1)), operation(2, 3, Read(9))],
             Some(1),
         ),
         (
-            "compared and written: one of two",
+            "concurrent COMPARE AND WRITE of one value: only one can succeed",
             vec![
-                op(0, 9, Swap { with: 0, then: 1 }),
-                op(0, 9, Swap { with: 0, then: 2 }),
+                operation(0, 9, Swap { with: 0, then: 1 }),
+                operation(0, 9, Swap { with: 0, then: 2 }),
             ],
             Some(1),
         ),
     ];
-    for (what, ops, wrong) in cases {
+    for (what, operations, wrong) in cases {
         let expected = wrong.map_or(HistoryResult::Linearizable, |at| {
             HistoryResult::NotLinearizable { at }
         });
-        assert_eq!(check(0, &ops), expected, "{what}");
+        assert_eq!(check(0, &operations), expected, "{what}");
     }
 }
 
-/// A block that does what it should, with commands that take effect somewhere inside their time:
-/// always in order, and never once a read is made to have seen what was long overwritten.
+/// Random histories of a correct block, whose commands take effect between their beginnings and
+/// ends, are linearizable. They are not once a read of an overwritten value is added.
 #[test]
-fn a_true_block_is_in_order_and_a_stale_read_is_not() {
+fn a_correct_block_is_linearizable_and_a_stale_read_is_found() {
     for seed in 0..30 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut value, mut ops) = (0u64, Vec::new());
+        let (mut value, mut operations) = (0u64, Vec::new());
         for n in 0..60u64 {
             let moment = n * 10;
             let (from, to) = (
@@ -106,14 +126,18 @@
                 value = v;
             }
             let unknown = matches!(access, Write(_)) && rng.random_range(0..6) == 0;
-            ops.push(op(from, if unknown { 0 } else { to }, access));
+            operations.push(operation(from, if unknown { 0 } else { to }, access));
         }
-        assert_eq!(check(0, &ops), HistoryResult::Linearizable, "seed {seed}");
-        let mut stale = ops.clone();
+        assert_eq!(
+            check(0, &operations),
+            HistoryResult::Linearizable,
+            "seed {seed}"
+        );
+        let mut stale = operations.clone();
         stale.extend([
-            op(2000, 2001, Write(900)),
-            op(2002, 2003, Write(901)),
-            op(2004, 2005, Read(900)),
+            operation(2000, 2001, Write(900)),
+            operation(2002, 2003, Write(901)),
+            operation(2004, 2005, Read(900)),
         ]);
         assert_eq!(
             check(0, &stale),
--- a/crates/trace-checker/src/lib.rs
+++ b/crates/trace-checker/src/lib.rs
@@ -143,9 +143,9 @@
         rules::retry_budget::check(settings, &run, &mut verdict);
         rules::limits::check(settings, &run.hosts, &run.plans, &mut verdict);
         run.plans.check_stable(settings, &mut verdict);
-        verdict.revision_times = run.plans.took();
+        verdict.revision_times = run.plans.stabilization_times();
         verdict.drains = drains::drains(&run, &drains::requests(&self.traces));
-        verdict.commands = commands::judge(settings, &self.traces, &run.marks);
+        verdict.commands = commands::check_commands(settings, &self.traces, &run.marks);
         Ok(verdict)
     }
 }
--- a/crates/trace-checker/src/plans.rs
+++ b/crates/trace-checker/src/plans.rs
@@ -1,15 +1,15 @@
-//! Plans as they were told: which limit was in force when, from the frames of the state service
-//! alone.
+//! Determines from the frames of the state service alone which limit of a volume was in force at
+//! which time.
 //!
-//! What a version says is put together from the entries and states that hosts were sent; what was
-//! settled, from the first answer that says so. The limit in force is that of the settled version.
-//! Whether it was right to call it settled is judged as well: every host that may have followed an
-//! older version, by its last words and answers, must not thereby have held itself entitled to more
-//! than the settled version gives it.
+//! The content of a version is assembled from the revisions and snapshots that hosts received. A
+//! version is stable from the first update that declares it stable. The limit of the stable version
+//! is in force. The module also checks each declaration: no host that may have followed an older
+//! version, by its last acknowledgement and the last update to it, may thereby have been entitled to
+//! more than the stable version grants it.
 //!
-//! After a store was put back from a snapshot two histories are under way: until the one that
-//! counts is settled to its end, the larger of both limits is in force, and nothing is said of what
-//! was settled.
+//! After a store was restored from a snapshot, hosts may follow either of two histories. Until the
+//! newest version of the new history is stable, the larger of both limits is in force.
+//! Declarations of stable versions are not checked after a restore.
 
 use crate::{Verdict, Violation};
 use grebecleat_settings::Settings;
@@ -17,17 +17,21 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Terms of one volume over all hosts: units a second, units at once, and by how much it may be
-/// passed.
+/// The limit of one volume over all hosts.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limit {
+    /// Units a second.
     pub rate: f64,
+    /// Units that may be sent at once.
     pub burst: f64,
+    /// Units by which the limit may be exceeded.
     pub slack: f64,
 }
 
 impl Limit {
-    fn larger(a: Option<Limit>, b: Option<Limit>) -> Option<Limit> {
+    /// Returns a limit that permits whatever either limit permits; `None` means no
+    /// limit.
+    fn combined(a: Option<Limit>, b: Option<Limit>) -> Option<Limit> {
         let (a, b) = (a?, b?);
         Some(Limit {
             rate: a.rate.max(b.rate),
@@ -37,7 +41,7 @@
     }
 }
 
-/// An answer to a host.
+/// An update from the state service to a host. Violations print it: its names are output.
 #[derive(Debug)]
 struct Told {
     at: Duration,
@@ -47,31 +51,31 @@
     stable: u64,
 }
 
-/// What a host said of itself.
+/// The state of a host, as the host reported it to the state service.
 #[derive(Debug)]
-struct Said {
+struct HostReport {
     at: Duration,
     host: String,
     epoch: u64,
     acknowledged: u64,
 }
 
-/// A value that changes with the version.
+/// The values of a setting, by the version that set each; `None` if the version removed it.
 type ByVersion<T> = BTreeMap<u64, Option<T>>;
 
-/// What the entries of one history say.
+/// The plans and volumes in the revisions of one epoch.
 #[derive(Debug, Default)]
 struct History {
     plans: BTreeMap<String, ByVersion<pb::PlanConfig>>,
     volumes: BTreeMap<u64, ByVersion<pb::VolumeConfig>>,
-    /// Volumes that a version touches, itself or by their plan's figures.
+    /// Volumes and plans that each version changes.
     versions: BTreeMap<u64, (BTreeSet<u64>, BTreeSet<String>)>,
 }
 
 impl History {
-    fn add(&mut self, version: u64, c: &pb::Change) {
+    fn add(&mut self, version: u64, changed: &pb::Change) {
         use change::{Subject, To};
-        match (&c.subject, &c.to) {
+        match (&changed.subject, &changed.to) {
             (Some(Subject::Plan(name)), to) => {
                 let to = if let Some(To::PlanTo(p)) = to {
                     Some(*p)
@@ -102,62 +106,79 @@
     }
 }
 
-/// All that was told of plans in a run.
+/// All updates and reports of one run that concern plans.
 #[derive(Debug, Default)]
 pub struct Plans {
+    /// History of each epoch.
     histories: HashMap<u64, History>,
-    /// In the order in which they were first told.
+    /// Epochs in the order of their first updates.
     epochs: Vec<u64>,
-    told: Vec<Told>,
-    said: Vec<Said>,
-    gone: Vec<(Duration, String)>,
+    /// Updates by time.
+    updates: Vec<Told>,
+    /// Reports of hosts by time.
+    reports: Vec<HostReport>,
+    /// Hosts that an operator declared gone, with the time of the declaration.
+    hosts_gone: Vec<(Duration, String)>,
 }
 
 impl Plans {
     /// Reads the trace of a state service's process.
     pub fn read(&mut self, records: &[Record]) {
         let mut peers: HashMap<u64, String> = HashMap::new();
-        for r in records {
-            let at = Duration::from_nanos(r.at_ns);
-            let host = || peers.get(&r.conn).cloned().unwrap_or_default();
-            match (r.kind(), r.frame.as_ref().and_then(|f| f.body.as_ref())) {
-                (Kind::Opened, _) => drop(peers.insert(r.conn, r.peer.clone())),
-                (Kind::In, Some(Body::FollowRequest(f))) => {
-                    self.said.push(Said {
+        for record in records {
+            let at = Duration::from_nanos(record.at_ns);
+            let host = || peers.get(&record.conn).cloned().unwrap_or_default();
+            match (
+                record.kind(),
+                record.frame.as_ref().and_then(|frame| frame.body.as_ref()),
+            ) {
+                (Kind::Opened, _) => drop(peers.insert(record.conn, record.peer.clone())),
+                (Kind::In, Some(Body::FollowRequest(request))) => {
+                    self.reports.push(HostReport {
                         at,
                         host: host(),
-                        epoch: f.epoch,
-                        acknowledged: f.acknowledged,
+                        epoch: request.epoch,
+                        acknowledged: request.acknowledged,
                     });
                 }
-                (Kind::In, Some(Body::Acknowledge(c))) => {
-                    self.said.push(Said {
+                (Kind::In, Some(Body::Acknowledge(acknowledgement))) => {
+                    self.reports.push(HostReport {
                         at,
                         host: host(),
-                        epoch: c.epoch,
-                        acknowledged: c.applied,
+                        epoch: acknowledgement.epoch,
+                        acknowledged: acknowledgement.applied,
                     });
                 }
-                (Kind::In, Some(Body::HostGone(g))) => self.gone.push((at, g.host.clone())),
-                (Kind::Out, Some(Body::ConfigUpdate(f))) => self.feed(at, host(), f),
+                (Kind::In, Some(Body::HostGone(message))) => {
+                    self.hosts_gone.push((at, message.host.clone()))
+                }
+                (Kind::Out, Some(Body::ConfigUpdate(update))) => {
+                    self.add_update(at, host(), update)
+                }
                 _ => {}
             }
         }
-        self.told.sort_by_key(|t| t.at);
-        self.said.sort_by_key(|s| s.at);
+        self.updates.sort_by_key(|t| t.at);
+        self.reports.sort_by_key(|s| s.at);
     }
 
-    fn feed(&mut self, at: Duration, host: String, f: &pb::ConfigUpdate) {
-        if !self.epochs.contains(&f.epoch) {
-            self.epochs.push(f.epoch);
+    fn add_update(&mut self, at: Duration, host: String, update: &pb::ConfigUpdate) {
+        if !self.epochs.contains(&update.epoch) {
+            self.epochs.push(update.epoch);
         }
-        let history = self.histories.entry(f.epoch).or_default();
-        f.state.iter().for_each(|c| history.add(f.at, c));
-        for e in &f.revisions {
-            e.changes.iter().for_each(|c| history.add(e.version, c));
+        let history = self.histories.entry(update.epoch).or_default();
+        update
+            .state
+            .iter()
+            .for_each(|change| history.add(update.at, change));
+        for revision in &update.revisions {
+            revision
+                .changes
+                .iter()
+                .for_each(|change| history.add(revision.version, change));
         }
-        let (epoch, version, stable) = (f.epoch, f.version, f.stable);
-        self.told.push(Told {
+        let (epoch, version, stable) = (update.epoch, update.version, update.stable);
+        self.updates.push(Told {
             at,
             host,
             epoch,
@@ -166,20 +187,21 @@
         });
     }
 
+    /// Returns whether no host received an update.
     pub fn is_empty(&self) -> bool {
-        self.told.is_empty()
+        self.updates.is_empty()
     }
 
-    /// What a version says of something: by the history it belongs to, or the one that it came out
-    /// of.
-    fn look<T: Clone>(
+    /// Returns a value at a version, from the history of its epoch or, if that has none, from the
+    /// newest earlier epoch that has one.
+    fn value_at<T: Clone>(
         &self,
         epoch: u64,
         version: u64,
         of: impl Fn(&History) -> Option<&ByVersion<T>>,
     ) -> Option<T> {
-        let upto = self.epochs.iter().position(|e| *e == epoch).unwrap_or(0);
-        let epochs = self.epochs[..(upto + 1).min(self.epochs.len())]
+        let position = self.epochs.iter().position(|e| *e == epoch).unwrap_or(0);
+        let epochs = self.epochs[..(position + 1).min(self.epochs.len())]
             .iter()
             .rev();
         let mut found =
@@ -187,20 +209,21 @@
         found.next().and_then(|f| f.1.clone())
     }
 
-    /// Plan's figures and hosts of a volume at a version.
-    fn terms(
+    /// Returns the plan and configuration of a volume at a version.
+    fn plan_and_volume(
         &self,
         epoch: u64,
         version: u64,
         volume: u64,
     ) -> Option<(pb::PlanConfig, pb::VolumeConfig)> {
-        let v = self.look(epoch, version, |h| h.volumes.get(&volume))?;
-        let p = self.look(epoch, version, |h| h.plans.get(&v.plan))?;
+        let v = self.value_at(epoch, version, |h| h.volumes.get(&volume))?;
+        let p = self.value_at(epoch, version, |h| h.plans.get(&v.plan))?;
         Some((p, v))
     }
 
+    /// Returns the limit of a volume at a version, or `None` if it has none.
     fn limit(&self, epoch: u64, version: u64, volume: u64) -> Option<Limit> {
-        let (p, _) = self.terms(epoch, version, volume)?;
+        let (p, _) = self.plan_and_volume(epoch, version, volume)?;
         (p.limit > 0.0).then_some(Limit {
             rate: p.limit,
             burst: p.burst,
@@ -208,30 +231,37 @@
         })
     }
 
-    /// When which limit of a volume came into force; None: none.
-    pub fn in_force(&self, volume: u64, at_first: Option<Limit>) -> Vec<(Duration, Option<Limit>)> {
-        let mut all = vec![(Duration::ZERO, at_first)];
+    /// Returns the limits of a volume, with the time from which each was in force; `None` means no
+    /// limit. `initial`: the limit before the first update.
+    pub fn limits_in_force(
+        &self,
+        volume: u64,
+        initial: Option<Limit>,
+    ) -> Vec<(Duration, Option<Limit>)> {
+        let mut limits = vec![(Duration::ZERO, initial)];
         let (mut epoch, mut stable, mut old) = (None, 0, None);
-        for t in &self.told {
-            if epoch.is_some_and(|e| e != t.epoch) && t.epoch != epoch.unwrap_or(t.epoch) {
-                old = Some(all.last().expect("the first").1);
+        for update in &self.updates {
+            if epoch.is_some_and(|e| e != update.epoch)
+                && update.epoch != epoch.unwrap_or(update.epoch)
+            {
+                old = Some(limits.last().expect("the first").1);
                 stable = 0;
             }
-            if t.stable < stable {
+            if update.stable < stable {
                 continue;
             }
-            (epoch, stable) = (Some(t.epoch), t.stable);
-            let now = self.limit(t.epoch, t.stable, volume);
-            old.take_if(|_| t.stable == t.version);
-            let now = old.map_or(now, |old| Limit::larger(old, now));
-            if all.last().is_none_or(|l| l.1 != now) {
-                all.push((t.at, now));
+            (epoch, stable) = (Some(update.epoch), update.stable);
+            let now = self.limit(update.epoch, update.stable, volume);
+            old.take_if(|_| update.stable == update.version);
+            let now = old.map_or(now, |old| Limit::combined(old, now));
+            if limits.last().is_none_or(|last| last.1 != now) {
+                limits.push((update.at, now));
             }
         }
-        all
+        limits
     }
 
-    /// Volumes that were ever told of.
+    /// Returns all volumes in the updates.
     pub fn volumes(&self) -> BTreeSet<u64> {
         self.histories
             .values()
@@ -239,61 +269,73 @@
             .collect()
     }
 
-    /// Whether each version was settled when it was first called so.
-    pub fn check_stable(&self, s: &Settings, v: &mut Verdict) {
-        let Some(spec) = &s.state else { return };
+    /// Checks whether each version was stable when an update first declared it stable.
+    pub fn check_stable(&self, settings: &Settings, verdict: &mut Verdict) {
+        let Some(spec) = &settings.state else { return };
         let first = self.epochs.first().copied().unwrap_or_default();
         let mut stable = 0;
-        // After a restore the histories of hosts cannot be told from the outside: see above.
-        for t in self.told.iter().take_while(|t| t.epoch == first) {
-            if t.stable <= stable {
+        // After a restore the frames do not show which history a host follows.
+        for update in self
+            .updates
+            .iter()
+            .take_while(|update| update.epoch == first)
+        {
+            if update.stable <= stable {
                 continue;
             }
-            for host in s.hosts.iter().map(|h| h.name.as_str()) {
-                if let Some(why) = self.unsettled(spec.lease + spec.margin, t, host) {
-                    let what = format!("entry {} was called settled while {host} {why}", t.stable);
-                    v.violations.push(Violation {
+            for host in settings.hosts.iter().map(|host| host.name.as_str()) {
+                if let Some(why) = self.objection(spec.lease + spec.margin, update, host) {
+                    let what = format!(
+                        "entry {} was called settled while {host} {why}",
+                        update.stable
+                    );
+                    verdict.violations.push(Violation {
                         rule: 7,
                         what,
-                        frames: vec![format!("{t:?}")],
+                        frames: vec![format!("{update:?}")],
                     });
                 }
             }
-            stable = t.stable;
+            stable = update.stable;
         }
     }
 
-    fn unsettled(&self, lease: Duration, t: &Told, host: &str) -> Option<String> {
-        let before = self
-            .told
+    /// Returns why an update should not have declared its version stable, as far as one host is
+    /// concerned, or `None` if the declaration was right.
+    fn objection(&self, lease: Duration, update: &Told, host: &str) -> Option<String> {
+        let earlier = self
+            .updates
             .iter()
-            .take_while(|o| o.at <= t.at)
-            .filter(|o| o.host == host && o.at < t.at);
-        let last = before.last()?;
-        let mut own = self.said.iter().filter(|s| s.host == host && s.at <= t.at);
-        let acknowledged = own
+            .take_while(|o| o.at <= update.at)
+            .filter(|o| o.host == host && o.at < update.at);
+        let last = earlier.last()?;
+        let mut own_reports = self
+            .reports
+            .iter()
+            .filter(|s| s.host == host && s.at <= update.at);
+        let acknowledged = own_reports
             .clone()
-            .filter(|s| s.epoch == t.epoch)
+            .filter(|s| s.epoch == update.epoch)
             .map(|s| s.acknowledged)
             .max()
             .unwrap_or(0);
-        let heard = own.next_back().map(|s| s.at).unwrap_or_default();
-        if acknowledged >= t.stable
-            || self
-                .gone
-                .iter()
-                .any(|g| g.1 == host && g.0 <= t.at && g.0 > heard)
+        let last_report = own_reports.next_back().map(|s| s.at).unwrap_or_default();
+        if acknowledged >= update.stable
+            || self.hosts_gone.iter().any(|declared| {
+                declared.1 == host && declared.0 <= update.at && declared.0 > last_report
+            })
         {
             return None;
         }
-        if t.at < last.at + lease {
+        if update.at < last.at + lease {
             return Some(format!(
                 "had said no more than {acknowledged} and may still follow that"
             ));
         }
-        // Cut off, it holds to its part of the reservation as it knows it.
-        let floor = |version: u64, volume: u64| -> f64 {
-            match self.terms(t.epoch, version, volume) {
+        // A host whose lease has expired still serves its share of the reservation, by the version
+        // that it acknowledged.
+        let reserved_share = |version: u64, volume: u64| -> f64 {
+            match self.plan_and_volume(update.epoch, version, volume) {
                 Some((p, v)) if p.limit > 0.0 && v.hosts.iter().any(|h| h == host) => {
                     p.reservation / v.hosts.len() as f64
                 }
@@ -301,8 +343,8 @@
                 _ => f64::INFINITY,
             }
         };
-        let part = |volume: u64| -> f64 {
-            match self.terms(t.epoch, t.stable, volume) {
+        let limit_share = |volume: u64| -> f64 {
+            match self.plan_and_volume(update.epoch, update.stable, volume) {
                 Some((p, v)) if p.limit > 0.0 && v.hosts.iter().any(|h| h == host) => {
                     p.limit / v.hosts.len() as f64
                 }
@@ -310,37 +352,38 @@
                 _ => f64::INFINITY,
             }
         };
-        let knows = |volume: &u64| {
-            let (_, v) = self.terms(t.epoch, acknowledged, *volume)?;
+        let serves = |volume: &u64| {
+            let (_, v) = self.plan_and_volume(update.epoch, acknowledged, *volume)?;
             v.hosts.iter().any(|h| h == host).then_some(())
         };
-        let more = self.volumes().into_iter().filter(|v| knows(v).is_some());
-        let mut more = more.filter(|v| floor(acknowledged, *v) > part(*v) + 1e-9);
-        more.next().map(|v| {
+        let exceeding = self.volumes().into_iter().filter(|v| serves(v).is_some());
+        let mut exceeding =
+            exceeding.filter(|v| reserved_share(acknowledged, *v) > limit_share(*v) + 1e-9);
+        exceeding.next().map(|v| {
             format!("is cut off with entry {acknowledged}, and more of volume {v} than is its part")
         })
     }
 
-    /// How long each entry took from when it was first told to when it was called settled.
-    pub fn took(&self) -> Vec<(u64, Duration)> {
+    /// Returns each version that became stable, with the time from its first update until then.
+    pub fn stabilization_times(&self) -> Vec<(u64, Duration)> {
         let mut first: BTreeMap<(u64, u64), Duration> = BTreeMap::new();
-        let mut took = BTreeMap::new();
+        let mut stabilization_times = BTreeMap::new();
         let mut newest = 0;
-        for t in &self.told {
-            if t.version > newest {
-                (newest + 1..=t.version)
-                    .for_each(|v| _ = first.entry((t.epoch, v)).or_insert(t.at));
-                newest = t.version;
+        for update in &self.updates {
+            if update.version > newest {
+                (newest + 1..=update.version)
+                    .for_each(|v| _ = first.entry((update.epoch, v)).or_insert(update.at));
+                newest = update.version;
             }
             let open: Vec<(u64, u64)> = first
-                .range((t.epoch, 0)..=(t.epoch, t.stable))
+                .range((update.epoch, 0)..=(update.epoch, update.stable))
                 .map(|f| *f.0)
                 .collect();
             for key in open {
                 let at = first.remove(&key).expect("listed above");
-                took.entry(key.1).or_insert(t.at - at);
+                stabilization_times.entry(key.1).or_insert(update.at - at);
             }
         }
-        took.into_iter().collect()
+        stabilization_times.into_iter().collect()
     }
 }
--- a/crates/trace-checker/src/rules.rs
+++ b/crates/trace-checker/src/rules.rs
@@ -1,4 +1,4 @@
-//! The seven rules, a module a rule. Each `check` reads the run and adds the violations to the
+//! The seven rules, one module for each. Each `check` reads the run and adds the violations to the
 //! verdict. `TraceSet::check` calls them in the operators' order. The modules own no state.
 
 pub mod answers;
@@ -14,7 +14,8 @@
 use std::time::Duration;
 
 /// Bounds the time that a stopped host may take, after it continues, to answer requests that are
-/// past their deadline. Larger, a late answer passes; smaller, a host that catches up is reported.
+/// past their deadline. A larger bound accepts late answers; a smaller one reports hosts that are
+/// still catching up.
 const CATCH_UP: Duration = Duration::from_millis(500);
 /// Bounds the violations of one rule that are listed. Further violations of the rule add no
 /// information.
@@ -27,7 +28,7 @@
         verdict.violations.push(Violation {
             rule,
             what,
-            frames: frames.iter().map(|seen| seen.text.clone()).collect(),
+            frames: frames.iter().map(|frame| frame.text.clone()).collect(),
         });
     }
 }
--- a/crates/trace-checker/src/rules/answers.rs
+++ b/crates/trace-checker/src/rules/answers.rs
@@ -70,16 +70,16 @@
             let what = format!("{name}: no answer from {host}");
             add_violation(verdict, 1, what, &[&request.frame]);
         }
-        [(seen, response)] => {
+        [(frame, response)] => {
             count(verdict, response);
-            // The time at which the response left the host counts: the client's machine may read
+            // The time at which the response left the host counts: the client may read
             // slowly.
             let departures = run.hosts.iter();
             let departures = departures.filter_map(|h| response_at(h, &request.submit.id));
-            let left = departures.min().unwrap_or(seen.at);
+            let left = departures.min().unwrap_or(frame.at);
             if left > latest {
                 let what = format!("{name}: answered {:?} after its expiry", left - latest);
-                add_violation(verdict, 1, what, &[&request.frame, seen]);
+                add_violation(verdict, 1, what, &[&request.frame, frame]);
             }
         }
         [first, second, ..] => {
@@ -104,9 +104,9 @@
             let what = format!("{name}: no answer from {}", host.name);
             add_violation(verdict, 1, what, &[&request.frame]);
         }
-        Some((seen, _)) if seen.at > latest => {
+        Some((frame, _)) if frame.at > latest => {
             let what = format!("{name}: answered after its expiry");
-            add_violation(verdict, 1, what, &[&request.frame, seen]);
+            add_violation(verdict, 1, what, &[&request.frame, frame]);
         }
         Some((_, response)) => count(verdict, response),
     }
--- a/crates/trace-checker/src/rules/effects.rs
+++ b/crates/trace-checker/src/rules/effects.rs
@@ -102,13 +102,13 @@
         return;
     }
     let rejections = request.responses.iter();
-    for (seen, response) in rejections.filter(|f| f.1.outcome() == Outcome::Rejected) {
+    for (frame, response) in rejections.filter(|f| f.1.outcome() == Outcome::Rejected) {
         let mut attempts = request.attempts.iter().map(|index| &host.attempts[*index]);
-        let ran = attempts.find(|a| a.frame.at <= seen.at && !a.never_ran(seen.at));
+        let ran = attempts.find(|a| a.frame.at <= frame.at && !a.never_ran(frame.at));
         if let Some(attempt) = ran {
             let name = id_text(&response.id);
             let what = format!("{name}: deferred, though a leg may have run");
-            add_violation(verdict, 2, what, &[&attempt.frame, seen]);
+            add_violation(verdict, 2, what, &[&attempt.frame, frame]);
         }
     }
 }
--- a/crates/trace-checker/src/rules/key_order.rs
+++ b/crates/trace-checker/src/rules/key_order.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bounds by how much later the trace may record the event that was decided first: two writers
-/// record two sockets of a host. Larger, an early attempt passes; smaller, one step's records in
-/// the other order are reported.
+/// Bounds by how much later the trace may record the event that was decided first, because two
+/// threads record two sockets of a host. A larger bound accepts attempts that were sent too early; a
+/// smaller one reports events of one step that were recorded in the other order.
 const RECORDING_SKEW: Duration = Duration::from_millis(50);
 
 /// Checks the requests of each key at each host.
@@ -100,8 +100,8 @@
 
 /// Returns when the response to a successful attempt arrived.
 fn succeeded_at(attempt: &Attempt) -> Option<Duration> {
-    let (seen, response) = attempt.response.as_ref()?;
-    (response.result() == pb::Result::Ok).then_some(seen.at)
+    let (frame, response) = attempt.response.as_ref()?;
+    (response.result() == pb::Result::Ok).then_some(frame.at)
 }
 
 /// Returns when an attempt without a response ended: its deadline, its cancellation or the close
--- a/crates/trace-checker/src/rules/limits.rs
+++ b/crates/trace-checker/src/rules/limits.rs
@@ -58,7 +58,7 @@
 pub fn check(settings: &Settings, hosts: &[HostTrace], plans: &Plans, verdict: &mut Verdict) {
     for (volume, mut attempts) in first_attempts(hosts) {
         attempts.sort_by_key(|attempt| attempt.at);
-        let in_force = plans.in_force(volume, configured_limit(settings, volume));
+        let in_force = plans.limits_in_force(volume, configured_limit(settings, volume));
         let mut changes = in_force.iter().peekable();
         let mut bucket = TokenBucket::default();
         for attempt in attempts {
--- a/crates/trace-checker/src/rules/slow_start.rs
+++ b/crates/trace-checker/src/rules/slow_start.rs
@@ -10,12 +10,12 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Bounds the overload that passes as imprecision, as a factor of the permitted units. Larger, a
-/// small overload passes; smaller, chance at the start of a window is reported.
+/// Bounds the overload that is accepted as imprecision, as a factor of the permitted units. A larger
+/// factor accepts small overloads; a smaller one reports random bursts at the start of a window.
 const OVERLOAD_TOLERANCE: f64 = 1.1;
-/// Bounds from below the part of the units whose senders were notified of the start. Below it, the
-/// overload is not the notified hosts' fault.
-const NOTIFIED_PART: f64 = 2.0 / 3.0;
+/// The least fraction of the units whose senders were notified of the start. Below it, the notified
+/// hosts did not cause the overload.
+const MIN_NOTIFIED_FRACTION: f64 = 2.0 / 3.0;
 
 /// Attempt in the window that is checked.
 struct WindowEntry {
@@ -94,11 +94,11 @@
         let from_notified = units(&window, true);
         let all = from_notified + units(&window, false);
         let age = (frame.at - start).as_secs_f64() / warm_up.as_secs_f64();
-        let capacity_part = mark.cold_part + (1.0 - mark.cold_part) * age.min(1.0);
-        let capacity = mark.units_a_second * capacity_part;
+        let capacity_fraction = mark.cold_part + (1.0 - mark.cold_part) * age.min(1.0);
+        let capacity = mark.units_a_second * capacity_fraction;
         let permitted = rule.multiple * capacity * rule.overload_window.as_secs_f64();
         let permitted = permitted.max(rule.units);
-        if all > permitted * OVERLOAD_TOLERANCE && from_notified >= all * NOTIFIED_PART {
+        if all > permitted * OVERLOAD_TOLERANCE && from_notified >= all * MIN_NOTIFIED_FRACTION {
             let node = mark.node;
             let what = format!("node {node}: {all:.0} units in a span that bears {permitted:.0}");
             add_violation(verdict, 4, what, &[frame]);
@@ -141,7 +141,7 @@
             from_notified += attempt.units;
         }
     }
-    if from_notified >= all * NOTIFIED_PART {
+    if from_notified >= all * MIN_NOTIFIED_FRACTION {
         let what = format!("node {} was pushed over", mark.node);
         add_violation(verdict, 4, what, &[]);
     }
--- a/crates/trace-checker/src/run.rs
+++ b/crates/trace-checker/src/run.rs
@@ -1,8 +1,7 @@
 //! A run as its traces record it: requests, attempts and endpoint lists, by process and time.
 //!
-//! [`crate::TraceSet::check`] calls [`Run::read`]; the rules read the result. The readers of the
-//! traces are a module a role: `clients`, `host_trace`, `nodes`. No rule is
-//! decided here.
+//! [`crate::TraceSet::check`] calls [`Run::read`]; the rules read the result. One module reads the
+//! traces of each role: `clients`, `host_trace`, `nodes`. This module checks no rule.
 
 mod clients;
 mod host_trace;
--- a/crates/trace-checker/tests/commands.rs
+++ b/crates/trace-checker/tests/commands.rs
@@ -1,4 +1,5 @@
-//! Commands of a portal from PDUs as they should be, and doctored so that each fault is found.
+//! The check of iSCSI commands accepts correct PDUs of a portal, and finds each fault in altered
+//! ones.
 
 use grebecleat_settings::Settings;
 use grebecleat_trace_checker::{commands::Commands, TraceSet};
@@ -17,13 +18,14 @@
 target(name = "iqn.2026-12.org.example:t", volumes = [5])
 "#;
 
+/// The records of a host with a portal, and of the clients; times are milliseconds.
 struct Trace {
     host: Vec<Record>,
     clients: Vec<Record>,
 }
 
 impl Trace {
-    /// A session on connection 1 that has logged in.
+    /// Returns the trace of a session on connection 1 that has logged in.
     fn new() -> Self {
         let of = |role: pb::Role, name: &str| {
             let who = pb::Hello {
@@ -92,7 +94,8 @@
         );
     }
 
-    /// WRITE (10) at block 8, the first value at once and the others by Data-Out.
+    /// Adds a WRITE (10) at block 8, with the first value as immediate data and the others in a
+    /// Data-Out PDU.
     fn write(&mut self, at: u64, itt: u32, values: &[u8]) {
         let cdb = [0x2a, 0, 0, 0, 0, 8, 0, 0, values.len() as u8];
         self.pdu(at, Kind::PduIn, &[(0, &[1]), (32, &cdb)], itt, &values[..1]);
@@ -107,6 +110,7 @@
         }
     }
 
+    /// Adds a READ (10) at block 8, with its data and status in one Data-In PDU.
     fn read(&mut self, at: u64, until: u64, itt: u32, values: &[u8]) {
         let cdb = [0x28, 0, 0, 0, 0, 8, 0, 0, values.len() as u8];
         self.pdu(at, Kind::PduIn, &[(0, &[1]), (32, &cdb)], itt, &[]);
@@ -139,7 +143,7 @@
 }
 
 fn counts(c: &Commands) -> [u64; 5] {
-    [c.taken, c.answered, c.ended, c.missing, c.doubled]
+    [c.received, c.answered, c.ended, c.missing, c.duplicates]
 }
 
 #[test]
@@ -148,24 +152,25 @@
     t.read(1, 2, 1, &[0, 0, 0]);
     t.write(3, 2, &[7, 8]);
     t.status(5, 2, 0);
-    t.read(6, 7, 2, &[7, 8, 0]); // the tag is free again
+    t.read(6, 7, 2, &[7, 8, 0]); // a task tag may be used again after the response
     t.write(8, 3, &[9]);
-    t.write(8, 3, &[9]); // a repeat while it is open is the same command
-    t.status(9, 3, 8); // BUSY: it may show or not
+    t.write(8, 3, &[9]); // the same task tag while open: a retry of the command
+    t.status(9, 3, 8); // BUSY: the write may take effect or not
     t.read(10, 11, 4, &[7, 8, 0]);
     t.read(12, 13, 5, &[9, 8, 0]);
     let c = t.check();
     assert_eq!(
-        (counts(&c), c.blocks, c.wrong.len()),
+        (counts(&c), c.blocks, c.faults.len()),
         ([6, 6, 0, 0, 0], 3, 0),
         "{:?}",
-        c.wrong
+        c.faults
     );
 }
 
 #[test]
 fn a_command_without_a_response_is_missing_unless_excused() {
-    // Unanswered at the end, its connection closed, told to end, or its host killed.
+    // The command is open at the end of the trace, or its connection is closed, it is aborted, its
+    // host is killed after it, or an earlier process of the host was killed before it.
     for (how, ended) in [
         ("", false),
         ("closed", true),
@@ -220,11 +225,11 @@
     assert_eq!(counts(&t.check()), [1, 1, 0, 0, 1]);
     let mut t = Trace::new();
     t.write(1, 1, &[7]);
-    t.status(2, 1, 2); // nobody knows
+    t.status(2, 1, 2); // CHECK CONDITION: the write may take effect or not
     t.write(3, 2, &[8]);
     t.status(4, 2, 0);
     t.read(5, 6, 3, &[8]);
-    t.read(7, 8, 4, &[7]); // the first shows after all: fine, it may come as late as this
+    t.read(7, 8, 4, &[7]); // correct: the first write may take effect as late as this
     let mut bad = Trace {
         host: t.host.clone(),
         clients: t.clients.clone(),
@@ -232,10 +237,10 @@
     assert!(t.check().fine());
     bad.read(9, 10, 5, &[8]);
     let c = bad.check();
-    assert_eq!((c.fine(), c.wrong.len()), (false, 1));
+    assert_eq!((c.fine(), c.faults.len()), (false, 1));
     assert!(
-        c.wrong[0].starts_with("volume 5 block 8: no order"),
+        c.faults[0].starts_with("volume 5 block 8: no order"),
         "{}",
-        c.wrong[0]
+        c.faults[0]
     );
 }
