--- a/crates/settings/src/fields.rs
+++ b/crates/settings/src/fields.rs
@@ -16,12 +16,12 @@
 pub struct Place {
     /// The file, as its reader named it.
     pub file: String,
-    /// The line from 1 on; 0 for the file as such.
+    /// The line, counted from 1; 0 if the place is the whole file.
     pub line: usize,
 }
 
 impl Place {
-    /// Returns the place of a file as such.
+    /// Returns a place that names a file without a line.
     pub(crate) fn file(path: &Path) -> Place {
         Place {
             file: path.display().to_string(),
@@ -30,12 +30,12 @@
     }
 }
 
-/// One fault of a file: its place, and the expected value.
+/// One fault of a file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Fault {
     /// The fault's place.
     pub place: Place,
-    /// The fault, as operators read it.
+    /// The message for operators, with the expected value.
     pub what: String,
 }
 
@@ -52,7 +52,7 @@
 #[derive(Debug, Clone)]
 pub struct Call {
     /// The call's name.
-    pub what: &'static str,
+    pub name: &'static str,
     /// The call's place.
     pub place: Place,
     /// The values of the call's fields by their names.
@@ -69,8 +69,8 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Returns a reader of a call. `faults`: receives the faults.
-    pub fn of(call: &'a Call, faults: &'a mut Vec<Fault>) -> Self {
+    /// Returns a reader of a call's fields, which adds faults to `faults`.
+    pub fn new(call: &'a Call, faults: &'a mut Vec<Fault>) -> Self {
         Fields {
             call,
             faults,
@@ -80,7 +80,7 @@
 
     /// Adds a fault of a field.
     pub fn fault(&mut self, field: &str, what: String) {
-        let what = format!("{}: field '{field}': {what}", self.call.what);
+        let what = format!("{}: field '{field}': {what}", self.call.name);
         self.faults.push(Fault {
             place: self.call.place.clone(),
             what,
@@ -96,7 +96,7 @@
         &mut self,
         name: &'static str,
         default: Option<T>,
-        blank: T,
+        fallback: T,
         expected: &str,
         convert: impl FnOnce(&Json) -> Option<T>,
     ) -> T {
@@ -104,11 +104,11 @@
             (None, Some(default)) => default,
             (None, None) => {
                 self.fault(name, format!("missing; expected {expected}"));
-                blank
+                fallback
             }
             (Some(value), _) => convert(value).unwrap_or_else(|| {
                 self.fault(name, format!("expected {expected}, found {value}"));
-                blank
+                fallback
             }),
         }
     }
@@ -116,52 +116,52 @@
     /// Reads a number within a range.
     pub fn number(&mut self, name: &'static str, default: Option<f64>, range: (f64, f64)) -> f64 {
         let expected = format!("a number from {} to {}", range.0, range.1);
-        let fits = |v: &Json| {
+        let parse = |v: &Json| {
             v.as_f64()
                 .filter(|n| n.is_finite() && (range.0..=range.1).contains(n))
         };
-        self.read(name, default, range.0, &expected, fits)
+        self.read(name, default, range.0, &expected, parse)
     }
 
     /// Reads an integer within a range.
     pub fn integer(&mut self, name: &'static str, default: Option<u64>, range: (u64, u64)) -> u64 {
         let expected = format!("a whole number from {} to {}", range.0, range.1);
-        let fits = |v: &Json| v.as_u64().filter(|n| (range.0..=range.1).contains(n));
-        self.read(name, default, range.0, &expected, fits)
+        let parse = |v: &Json| v.as_u64().filter(|n| (range.0..=range.1).contains(n));
+        self.read(name, default, range.0, &expected, parse)
     }
 
-    /// Reads a duration of at most `most`.
-    pub fn span(
+    /// Reads a duration of at most `max`.
+    pub fn duration(
         &mut self,
         name: &'static str,
         default: Option<Duration>,
-        most: Duration,
+        max: Duration,
     ) -> Duration {
-        let expected = format!("a time such as ms(250) or s(2), at most {most:?}");
+        let expected = format!("a time such as ms(250) or s(2), at most {max:?}");
         self.read(name, default, Duration::ZERO, &expected, |v| {
-            span_of(v).filter(|d| *d <= most)
+            duration_of(v).filter(|d| *d <= max)
         })
     }
 
     /// Reads a boolean.
-    pub fn flag(&mut self, name: &'static str, default: Option<bool>) -> bool {
+    pub fn boolean(&mut self, name: &'static str, default: Option<bool>) -> bool {
         self.read(name, default, false, "True or False", Json::as_bool)
     }
 
     /// Reads a text that is not empty.
     pub fn text(&mut self, name: &'static str, default: Option<&str>) -> String {
-        let fits = |v: &Json| v.as_str().filter(|s| !s.is_empty()).map(str::to_string);
+        let parse = |v: &Json| v.as_str().filter(|s| !s.is_empty()).map(str::to_string);
         self.read(
             name,
             default.map(str::to_string),
             String::new(),
             "a text",
-            fits,
+            parse,
         )
     }
 
     /// Reads a text; None if the field is absent or invalid.
-    pub fn maybe_text(&mut self, name: &'static str) -> Option<String> {
+    pub fn optional_text(&mut self, name: &'static str) -> Option<String> {
         self.get(name)?;
         Some(self.text(name, None)).filter(|t| !t.is_empty())
     }
@@ -169,24 +169,30 @@
     /// Reads one of the names, and returns its index among them.
     pub fn one_of(&mut self, name: &'static str, default: Option<usize>, names: &[&str]) -> usize {
         let expected = format!("one of {}", names.join(", "));
-        let fits = |v: &Json| v.as_str().and_then(|s| names.iter().position(|n| *n == s));
-        self.read(name, default, 0, &expected, fits)
+        let parse = |v: &Json| v.as_str().and_then(|s| names.iter().position(|n| *n == s));
+        self.read(name, default, 0, &expected, parse)
     }
 
     /// Reads a list of some of the names, and returns their indices.
     pub fn some_of(&mut self, name: &'static str, names: &[&str]) -> Vec<usize> {
         let expected = format!("a list of some of {}", names.join(", "));
-        let each = |v: &Json| v.as_str().and_then(|s| names.iter().position(|n| *n == s));
-        let fits = |v: &Json| v.as_array().and_then(|all| all.iter().map(each).collect());
-        self.read(name, Some(Vec::new()), Vec::new(), &expected, fits)
+        let parse_item = |v: &Json| v.as_str().and_then(|s| names.iter().position(|n| *n == s));
+        let parse = |v: &Json| {
+            v.as_array()
+                .and_then(|all| all.iter().map(parse_item).collect())
+        };
+        self.read(name, Some(Vec::new()), Vec::new(), &expected, parse)
     }
 
-    /// Reads a list of integers up to `most`.
-    pub fn numbers(&mut self, name: &'static str, most: u64) -> Vec<u64> {
-        let expected = format!("a list of whole numbers up to {most}");
-        let each = |v: &Json| v.as_u64().filter(|n| *n <= most);
-        let fits = |v: &Json| v.as_array().and_then(|all| all.iter().map(each).collect());
-        self.read(name, Some(Vec::new()), Vec::new(), &expected, fits)
+    /// Reads a list of integers up to `max`.
+    pub fn numbers(&mut self, name: &'static str, max: u64) -> Vec<u64> {
+        let expected = format!("a list of whole numbers up to {max}");
+        let parse_item = |v: &Json| v.as_u64().filter(|n| *n <= max);
+        let parse = |v: &Json| {
+            v.as_array()
+                .and_then(|all| all.iter().map(parse_item).collect())
+        };
+        self.read(name, Some(Vec::new()), Vec::new(), &expected, parse)
     }
 
     /// Returns the value of a field without a check.
@@ -196,7 +202,7 @@
 
     /// Ends the call. A field that was not read is a fault; otherwise a misspelt field would be
     /// ignored silently.
-    pub fn end(self) {
+    pub fn finish(self) {
         let known = self.known.iter().copied().collect::<Vec<_>>().join(", ");
         for name in self
             .call
@@ -206,7 +212,7 @@
         {
             let what = format!(
                 "{}: field '{name}': not known; expected one of {known}",
-                self.call.what
+                self.call.name
             );
             self.faults.push(Fault {
                 place: self.call.place.clone(),
@@ -217,7 +223,7 @@
 }
 
 /// Returns a duration as `ms()` and `s()` make it; None for any other value.
-pub fn span_of(value: &Json) -> Option<Duration> {
+pub fn duration_of(value: &Json) -> Option<Duration> {
     let milliseconds = value
         .as_object()
         .filter(|object| object.len() == 1)?
--- a/crates/settings/src/kinds.rs
+++ b/crates/settings/src/kinds.rs
@@ -1,5 +1,5 @@
-//! The kinds of injected faults. Most names are those of the bench's journal. The faults of the
-//! state service and between hosts are unknown to the bench.
+//! The kinds of injected faults. Most names are those of the simulator's journal. The simulator has
+//! no faults of the state service and none between hosts.
 
 /// The kind of an injected fault in a rehearsal. The script's seed determines the affected nodes or
 /// hosts, and the strength.
@@ -86,8 +86,8 @@
             .map_or("", |(name, _)| name)
     }
 
-    /// Returns the kinds of a text, joined by `+` as the journal writes them. Returns the first
-    /// unknown name as an error.
+    /// Returns the kinds of a text, joined by `+` as the simulator's journal writes them. Returns
+    /// the first unknown name as an error.
     ///
     /// ```
     /// use grebecleat_settings::Kind;
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,9 +2,9 @@
 //!
 //! This package turns a file into [`Settings`], or into the list of all its faults. Each fault has
 //! the file, the line, the field and the expected value. A file is checked completely before any
-//! process starts. The package contains no tuned value of the decisions, and starts nothing. Begin
-//! with [`settings`] for the meaning of each call, [`script`] for the language, and [`fields`] for
-//! the checks.
+//! process starts. The package contains no parameter of the scheduling algorithm, and starts no
+//! process. Begin with [`settings`] for the meaning of each call, [`script`] for the language, and
+//! [`fields`] for the checks.
 
 #![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
@@ -17,6 +17,6 @@
 pub use grebecleat_scheduler::api::{DeduplicationScope, Idempotency, SlowStartPolicy};
 pub use kinds::Kind;
 pub use settings::{
-    Bounds, FleetSpec, HostSpec, ListSpec, NamedPlan, NodeSpec, PortalSpec, Rehearsal, Rules,
-    ScriptedChange, Settings, StateSpec, Stream, TargetSpec, Trouble, VolumeSpec,
+    Bounds, CoordinationSpec, HostSpec, ListSpec, NamedPlan, NodeSpec, PortalSpec, Rehearsal,
+    Rules, ScriptedChange, Settings, StateSpec, Stream, TargetSpec, Trouble, VolumeSpec,
 };
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -21,10 +21,10 @@
 use std::cell::RefCell;
 use std::path::Path;
 
-/// Calls of one script, at most; more calls are probably an error in a loop. A larger number lets
-/// such a script take much memory; a smaller one rejects large deployments.
+/// Maximum number of calls of one script. More calls are probably an error in a loop. With a larger
+/// number such a script could use much memory; a smaller one rejects large deployments.
 const MAX_CALLS: usize = 200_000;
-/// Depth of nested loads, at most. It ends a file that loads itself.
+/// Maximum depth of nested loads. It stops a file that loads itself.
 const MAX_LOADS: usize = 16;
 
 #[derive(Debug, Default, ProvidesStaticType)]
@@ -41,7 +41,7 @@
     }
 }
 
-/// Collects a call.
+/// Collects a call. `what`: the call's name.
 fn collect<'v>(
     what: &'static str,
     fields: SmallMap<String, Value<'v>>,
@@ -62,7 +62,7 @@
     let mut calls = calls.0.borrow_mut();
     anyhow::ensure!(calls.len() < MAX_CALLS, "more than {MAX_CALLS} calls");
     calls.push(Call {
-        what,
+        name: what,
         place,
         fields: values,
     });
@@ -70,7 +70,7 @@
 }
 
 #[starlark_module]
-fn spans(builder: &mut GlobalsBuilder) {
+fn durations(builder: &mut GlobalsBuilder) {
     fn ms<'v>(n: Value<'v>) -> anyhow::Result<Json> {
         Ok(json!({ "ms": number(n, "ms")? }))
     }
@@ -184,7 +184,7 @@
         .collect();
     let loader = ReturnFileLoader { modules: &modules };
     let globals: Globals = GlobalsBuilder::standard()
-        .with(spans)
+        .with(durations)
         .with(self::calls)
         .build();
     Module::with_temp_heap(|module| {
--- a/crates/settings/src/settings.rs
+++ b/crates/settings/src/settings.rs
@@ -1,8 +1,8 @@
 //! The settings of a deployment: the meaning of each call, and the checks across calls.
 //!
 //! The commands call [`Settings::load`]. It reads the calls in a fixed order, so that faults always
-//! come in the same order. No state. One module for each group of settings: `topology`, `plans`,
-//! `services`, `limits`, `iscsi`, `rehearsal`.
+//! come in the same order. The modules own no state. One module reads each group of settings:
+//! `topology`, `plans`, `services`, `limits`, `iscsi`, `rehearsal`.
 
 mod call_reader;
 mod iscsi;
@@ -16,7 +16,7 @@
 pub use limits::{Bounds, Rules};
 pub use plans::{NamedPlan, Stream};
 pub use rehearsal::{Rehearsal, ScriptedChange, Trouble};
-pub use services::{FleetSpec, ListSpec, StateSpec};
+pub use services::{CoordinationSpec, ListSpec, StateSpec};
 pub use topology::{HostSpec, NodeSpec, VolumeSpec};
 
 use crate::fields::{Fault, Place};
@@ -29,7 +29,7 @@
 
 /// The longest time that a setting accepts.
 const DAY: Duration = Duration::from_secs(86_400);
-/// Bytes of a block.
+/// Bytes of a logical block of an iSCSI volume.
 const BLOCK_BYTES: u32 = 512;
 
 /// Returns a duration in milliseconds.
@@ -56,10 +56,10 @@
     pub hosts: Vec<HostSpec>,
     /// The discovery service.
     pub list: ListSpec,
-    /// The state service; None: the settings declare the configuration.
+    /// The state service; `None` if the settings declare the configuration.
     pub state: Option<StateSpec>,
-    /// The coordination among hosts; None: every host decides by itself.
-    pub fleet: Option<FleetSpec>,
+    /// The coordination among hosts; `None` if every host decides by itself.
+    pub fleet: Option<CoordinationSpec>,
     /// The units of requests.
     pub units: UnitSettings,
     /// The limits of a host on attempts.
--- a/crates/settings/src/settings/call_reader.rs
+++ b/crates/settings/src/settings/call_reader.rs
@@ -34,12 +34,12 @@
 
     /// Returns whether the script has a call of that name.
     pub fn has(&self, name: &str) -> bool {
-        self.calls.iter().any(|call| call.what == name)
+        self.calls.iter().any(|call| call.name == name)
     }
 
     /// Reads all calls of a name, in their order.
     pub fn each<T>(&mut self, name: &str, mut read: impl FnMut(&mut Fields) -> T) -> Vec<T> {
-        let calls = self.calls.iter().filter(|call| call.what == name);
+        let calls = self.calls.iter().filter(|call| call.name == name);
         calls
             .map(|call| read_call(call, &mut self.faults, &mut read))
             .collect()
@@ -57,12 +57,12 @@
         if let Some(value) = self.each(name, &mut read).into_iter().next() {
             return value;
         }
-        let blank = Call {
-            what: name,
+        let empty_call = Call {
+            name,
             place: self.file.clone(),
             fields: Default::default(),
         };
-        read_call(&blank, &mut self.faults, &mut read)
+        read_call(&empty_call, &mut self.faults, &mut read)
     }
 
     /// Adds a fault that concerns no single call.
@@ -87,7 +87,7 @@
 
     /// Returns the places of all calls of a name.
     fn places(&self, name: &str) -> Vec<Place> {
-        let calls = self.calls.iter().filter(|call| call.what == name);
+        let calls = self.calls.iter().filter(|call| call.name == name);
         calls.map(|call| call.place.clone()).collect()
     }
 }
@@ -97,8 +97,8 @@
     faults: &mut Vec<Fault>,
     read: &mut impl FnMut(&mut Fields) -> T,
 ) -> T {
-    let mut fields = Fields::of(call, faults);
+    let mut fields = Fields::new(call, faults);
     let value = read(&mut fields);
-    fields.end();
+    fields.finish();
     value
 }
--- a/crates/settings/src/settings/iscsi.rs
+++ b/crates/settings/src/settings/iscsi.rs
@@ -11,7 +11,7 @@
     pub name: String,
     /// Indices of its volumes among the volumes.
     pub volumes: Vec<usize>,
-    /// Initiators that may log in; None: all.
+    /// Names of the initiators that may log in; `None` if all may.
     pub initiators: Option<Vec<String>>,
     /// Name and secret that an initiator must prove to know (CHAP).
     pub chap: Option<(String, String)>,
@@ -34,11 +34,11 @@
     pub write: usize,
     /// Index of the traffic class of large reads.
     pub large_read: usize,
-    /// Bytes from which on a read is large.
+    /// Least number of bytes of a large read.
     pub large_from: u32,
     /// Bytes of one unit.
     pub unit_bytes: u32,
-    /// Blocks of 512 bytes of one extent.
+    /// Number of 512-byte blocks in one extent.
     pub extent_blocks: u32,
     /// The command window: the initial and the maximum number of commands of one volume, and the
     /// number of commands of one session.
@@ -89,7 +89,7 @@
         );
     }
     let mut secret = |name: &'static str, field: &'static str| {
-        let name = fields.maybe_text(name)?;
+        let name = fields.optional_text(name)?;
         let secret = fields.text(field, None);
         if secret.len() < MIN_SECRET_BYTES {
             fields.fault(
--- a/crates/settings/src/settings/limits.rs
+++ b/crates/settings/src/settings/limits.rs
@@ -12,7 +12,7 @@
     pub drain_grace: Duration,
     /// The slow start of nodes.
     pub cold: SlowStartPolicy,
-    /// The retry budget; None: no budget is set.
+    /// The retry budget; `None` if retries are not limited.
     pub attempts: Option<RetryBudget>,
     /// How long a key rests after a request before its next request is sent.
     pub key_rest: Duration,
@@ -58,7 +58,7 @@
     UnitSettings {
         mean: fields.number("mean", Some(2.0), (0.01, 1e6)),
         largest: fields.number("largest", Some(8.0), (0.01, 1e6)),
-        meter: fields.span("meter", Some(ms(1000)), DAY),
+        meter: fields.duration("meter", Some(ms(1000)), DAY),
         share_fraction: fields.number("share_part", Some(0.35), (0.0, 1.0)),
         spare_fraction: fields.number("spare_part", Some(0.05), (0.0, 1.0)),
     }
@@ -66,12 +66,12 @@
 
 /// Reads a `legs()`.
 pub(super) fn attempts(fields: &mut Fields) -> HostLimits {
-    let max_retry_after = fields.span("come_back_most", Some(ms(2000)), DAY);
+    let max_retry_after = fields.duration("come_back_most", Some(ms(2000)), DAY);
     HostLimits {
         max_attempts: fields.integer("most", Some(3), (1, 100)) as u32,
-        probing: fields.flag("probing", Some(false)),
+        probing: fields.boolean("probing", Some(false)),
         max_retry_after: (!max_retry_after.is_zero()).then_some(max_retry_after),
-        answer_slack: fields.span("answer_slack", Some(ms(8)), DAY),
+        answer_slack: fields.duration("answer_slack", Some(ms(8)), DAY),
     }
 }
 
@@ -81,23 +81,23 @@
         hosts,
         units: fields.number("cold_units", Some(20.0), (0.0, 1e9)),
         initial_fraction: fields.number("cold_from", Some(0.2), (0.01, 1.0)),
-        warm_up_time: fields.span("warm_within", Some(ms(10_000)), DAY),
-        overload_window: fields.span("fall_within", Some(ms(2000)), DAY),
+        warm_up_time: fields.duration("warm_within", Some(ms(10_000)), DAY),
+        overload_window: fields.duration("fall_within", Some(ms(2000)), DAY),
         multiple: fields.number("fall_multiple", Some(3.0), (1.0, 1000.0)),
     };
     let share = fields.number("further_share", Some(0.0), (0.0, 100.0));
     let floor = fields.number("further_floor", Some(3.0), (0.0, 1e6));
-    let window = fields.span("further_window", Some(ms(5000)), DAY);
+    let window = fields.duration("further_window", Some(ms(5000)), DAY);
     Rules {
-        drain_grace: fields.span("drain_grace", Some(ms(1000)), DAY),
+        drain_grace: fields.duration("drain_grace", Some(ms(1000)), DAY),
         cold,
         attempts: (share > 0.0).then_some(RetryBudget {
             min_retries: floor,
             ratio: share,
             window,
         }),
-        key_rest: fields.span("key_rest", Some(ms(200)), DAY),
-        answer_margin: fields.span("answer_margin", Some(ms(20)), DAY),
+        key_rest: fields.duration("key_rest", Some(ms(200)), DAY),
+        answer_margin: fields.duration("answer_margin", Some(ms(20)), DAY),
     }
 }
 
@@ -113,9 +113,9 @@
             as usize,
         connections_per_node: fields.integer("connections_per_node", Some(4), (1, 1024)) as usize,
         node_connections: fields.integer("node_connections", Some(10_000), (1, MAX_BOUND)) as usize,
-        dial_timeout: fields.span("dial_timeout", Some(ms(250)), DAY),
-        idle: fields.span("idle", Some(ms(15_000)), DAY),
-        max_dispatch_delay: fields.span("linger", Some(ms(250)), DAY),
-        patience: fields.span("patience", Some(ms(5000)), DAY),
+        dial_timeout: fields.duration("dial_timeout", Some(ms(250)), DAY),
+        idle: fields.duration("idle", Some(ms(15_000)), DAY),
+        max_dispatch_delay: fields.duration("linger", Some(ms(250)), DAY),
+        patience: fields.duration("patience", Some(ms(5000)), DAY),
     }
 }
--- a/crates/settings/src/settings/plans.rs
+++ b/crates/settings/src/settings/plans.rs
@@ -1,7 +1,7 @@
 //! Traffic classes and plans.
 
 use super::{ms, DAY};
-use crate::fields::{span_of, Fields};
+use crate::fields::{duration_of, Fields};
 use grebecleat_scheduler::api::{DeduplicationScope, Idempotency, Plan, TrafficClass};
 use serde_json::Value as Json;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     pub facts: TrafficClass,
     /// The time for which a client waits for all its attempts together.
     pub deadline: Duration,
-    /// The requests of the class write data.
+    /// Whether the requests of the class write data.
     pub write: bool,
     /// The class's share of all requests in rehearsals.
     pub share: f64,
@@ -42,8 +42,8 @@
 pub(super) fn stream(fields: &mut Fields) -> Stream {
     let idempotency = idempotency(fields);
     let name = fields.text("name", None);
-    let latency_objective = fields.span("slo", None, DAY);
-    let deadline = fields.span("expiry", None, DAY);
+    let latency_objective = fields.duration("slo", None, DAY);
+    let deadline = fields.duration("expiry", None, DAY);
     if latency_objective > deadline {
         fields.fault(
             "slo",
@@ -53,7 +53,7 @@
     let facts = TrafficClass {
         latency_objective,
         idempotency,
-        ordered: fields.flag("ordered", Some(false)),
+        ordered: fields.boolean("ordered", Some(false)),
         priority_weight: fields.number("benefit", Some(1.0), (0.0, 1e6)),
         late_fraction: fields.number("late_part", Some(0.2), (0.0, 1.0)),
     };
@@ -61,9 +61,9 @@
         name,
         facts,
         deadline,
-        write: fields.flag("write", Some(false)),
+        write: fields.boolean("write", Some(false)),
         share: fields.number("share", Some(1.0), (0.0, 1e6)),
-        unit_work: fields.span("unit_work", Some(ms(4)), DAY),
+        unit_work: fields.duration("unit_work", Some(ms(4)), DAY),
     }
 }
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// Returns the value of a `keyed()`; None if the value is another one.
+/// Returns the value of a `keyed()`; None for any other value.
 fn idempotency_key(value: &Json) -> Option<Idempotency> {
     let scope = match value.get("group")?.as_str()? {
         "all" => DeduplicationScope::All,
@@ -95,7 +95,7 @@
         "cell" => DeduplicationScope::Shard,
         _ => return None,
     };
-    let window = span_of(value.get("remembered")?)?;
+    let window = duration_of(value.get("remembered")?)?;
     Some(Idempotency::WithKey { scope, window })
 }
 
--- a/crates/settings/src/settings/rehearsal.rs
+++ b/crates/settings/src/settings/rehearsal.rs
@@ -15,7 +15,8 @@
     pub at: Duration,
     /// How long the fault lasts.
     pub len: Duration,
-    /// Fraction of the nodes, hosts or volumes that it affects, if it names none.
+    /// Fraction of the nodes, hosts or volumes that it affects, if `nodes`, `hosts` and `zone` name
+    /// none.
     pub part: f64,
     /// Strength of the fault.
     pub size: f64,
@@ -36,7 +37,7 @@
     pub words: Vec<String>,
     /// The author.
     pub who: String,
-    /// The change is made in spite of objections.
+    /// Whether the change is made in spite of objections.
     pub force: bool,
 }
 
@@ -47,13 +48,13 @@
     pub seed: u64,
     /// The length of the run.
     pub length: Duration,
-    /// Requests a second over all volumes, without retries; 0: as the volumes' plans state.
+    /// Requests a second over all volumes, without retries; 0 if the volumes' plans determine them.
     pub per_second: f64,
     /// Retries of a client for one request.
     pub retries: u32,
     /// The wait of a client before a retry.
     pub retry_wait: Duration,
-    /// Fraction of the reads that read data which the same client has written.
+    /// Fraction of the reads that read data written by the same client.
     pub reread: f64,
     /// Bytes of data for one unit.
     pub bytes_per_unit: u32,
@@ -76,7 +77,7 @@
 pub(super) fn run(fields: &mut Fields) -> Run {
     Run {
         seed: fields.integer("seed", Some(1), (0, u64::MAX)),
-        length: fields.span("length", None, DAY),
+        length: fields.duration("length", None, DAY),
     }
 }
 
@@ -92,7 +93,7 @@
         length: run.length,
         per_second: fields.number("per_second", Some(0.0), (0.0, 1e6)),
         retries: fields.integer("retries", Some(1), (0, 10)) as u32,
-        retry_wait: fields.span("retry_wait", Some(ms(100)), DAY),
+        retry_wait: fields.duration("retry_wait", Some(ms(100)), DAY),
         reread: fields.number("reread", Some(0.3), (0.0, 1.0)),
         bytes_per_unit: fields.integer("bytes_per_unit", Some(512), (1, 1 << 20)) as u32,
         sessions: fields.integer("sessions", Some(4), (0, 64)) as u8,
@@ -125,8 +126,8 @@
         .then(|| fields.one_of("zone", None, zones));
     Trouble {
         kind,
-        at: fields.span("at", None, DAY),
-        len: fields.span("len", Some(ms(5000)), DAY),
+        at: fields.duration("at", None, DAY),
+        len: fields.duration("len", Some(ms(5000)), DAY),
         part: fields.number("part", Some(0.2), (0.0, 1.0)),
         size: fields.number("size", Some(0.9), (0.0, 1000.0)),
         nodes: affected,
@@ -149,9 +150,9 @@
         );
     }
     ScriptedChange {
-        at: fields.span("at", None, DAY),
+        at: fields.duration("at", None, DAY),
         words: words.unwrap_or_default(),
         who: fields.text("who", Some("rehearsal")),
-        force: fields.flag("force", Some(false)),
+        force: fields.boolean("force", Some(false)),
     }
 }
--- a/crates/settings/src/settings/services.rs
+++ b/crates/settings/src/settings/services.rs
@@ -29,7 +29,8 @@
     pub lease: Duration,
     /// The greatest drift of clocks within one lease.
     pub margin: Duration,
-    /// The greatest concentration of a volume's load on a part of its nodes; 1: evenly distributed.
+    /// The greatest concentration of a volume's load on a part of its nodes; 1 for an even
+    /// distribution.
     pub spread: f64,
     /// Revisions that remain in the audit log.
     pub max_audit_log: u64,
@@ -39,7 +40,7 @@
 
 /// The coordination among hosts, as `fleet()` declares it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct FleetSpec {
+pub struct CoordinationSpec {
     /// The time between two gossip rounds.
     pub every: Duration,
     /// The duration of a quota lease.
@@ -53,11 +54,11 @@
     ListSpec {
         address: address(fields, "address"),
         rule: DiscoveryPolicy {
-            polled: fields.flag("on_asking", Some(true)),
-            poll_interval: fields.span("ask_every", Some(ms(10_000)), DAY),
+            polled: fields.boolean("on_asking", Some(true)),
+            poll_interval: fields.duration("ask_every", Some(ms(10_000)), DAY),
             lease: None,
         },
-        lag: fields.span("lag", Some(ms(1000)), DAY),
+        lag: fields.duration("lag", Some(ms(1000)), DAY),
         fails: fields.number("fails", Some(0.0), (0.0, 1.0)),
     }
 }
@@ -66,11 +67,11 @@
 pub(super) fn state(fields: &mut Fields) -> StateSpec {
     let spec = StateSpec {
         address: address(fields, "address"),
-        lease: fields.span("lease", Some(ms(6000)), DAY),
-        margin: fields.span("margin", Some(ms(1000)), DAY),
+        lease: fields.duration("lease", Some(ms(6000)), DAY),
+        margin: fields.duration("margin", Some(ms(1000)), DAY),
         spread: fields.number("spread", Some(2.0), (1.0, 1000.0)),
         max_audit_log: fields.integer("most_trail", Some(100_000), (100, 10_000_000)),
-        snapshot_every: fields.span("snapshot_every", Some(ms(600_000)), DAY),
+        snapshot_every: fields.duration("snapshot_every", Some(ms(600_000)), DAY),
     };
     if spec.lease < ms(100) {
         fields.fault(
@@ -82,10 +83,10 @@
 }
 
 /// Reads a `fleet()`.
-pub(super) fn fleet(fields: &mut Fields) -> FleetSpec {
-    let every = fields.span("every", Some(ms(200)), DAY);
-    let loan = fields.span("loan", Some(ms(2000)), DAY);
-    let margin = fields.span("margin", Some(ms(250)), DAY);
+pub(super) fn fleet(fields: &mut Fields) -> CoordinationSpec {
+    let every = fields.duration("every", Some(ms(200)), DAY);
+    let loan = fields.duration("loan", Some(ms(2000)), DAY);
+    let margin = fields.duration("margin", Some(ms(250)), DAY);
     if every < ms(20) {
         fields.fault("every", format!("expected at least 20ms, found {every:?}"));
     }
@@ -109,7 +110,7 @@
             ),
         );
     }
-    FleetSpec {
+    CoordinationSpec {
         every,
         loan,
         margin,
--- a/crates/settings/src/settings/topology.rs
+++ b/crates/settings/src/settings/topology.rs
@@ -34,15 +34,15 @@
     pub zone: usize,
     /// The shard that it stores.
     pub shard: u32,
-    /// Its capacity in units a second, for admission; 0: unknown.
+    /// Its capacity in units a second, for admission; 0 if unknown.
     pub capacity: f64,
     /// Number of its cores.
     pub cores: u32,
     /// Its speed, as a multiple of a normal node's.
     pub speed: f64,
-    /// Length of its queue; it rejects further attempts.
+    /// Maximum length of its queue; it rejects further attempts.
     pub queue: usize,
-    /// Time between two pauses of its process; zero: it never pauses.
+    /// Time between two pauses of its process; zero if it never pauses.
     pub pause_every: Duration,
     /// Length of a pause.
     pub pause: Duration,
@@ -106,7 +106,7 @@
 /// Reads a `node()`.
 pub(super) fn node(fields: &mut Fields, zones: &[&str]) -> NodeSpec {
     let node_id = fields.integer("id", None, (0, u64::from(u32::MAX))) as u32;
-    let name = fields.maybe_text("name").unwrap_or_default();
+    let name = fields.optional_text("name").unwrap_or_default();
     if name.parse::<u64>().is_ok() {
         fields.fault(
             "name",
@@ -122,10 +122,10 @@
         cores: fields.integer("cores", Some(2), (1, 1024)) as u32,
         speed: fields.number("speed", Some(1.0), (0.01, 1000.0)),
         queue: fields.integer("queue", Some(64), (1, 1 << 20)) as usize,
-        pause_every: fields.span("pause_every", Some(Duration::ZERO), DAY),
-        pause: fields.span("pause", Some(Duration::ZERO), DAY),
+        pause_every: fields.duration("pause_every", Some(Duration::ZERO), DAY),
+        pause: fields.duration("pause", Some(Duration::ZERO), DAY),
         put_off: fields.number("put_off", Some(0.0), (0.0, 0.95)),
-        flush_every: fields.span("flush_every", Some(ms(2000)), DAY),
+        flush_every: fields.duration("flush_every", Some(ms(2000)), DAY),
         warm_saves: fields.number("warm_saves", Some(0.4), (0.0, 0.95)),
         warm_keys: fields.integer("warm_keys", Some(2), (0, 1024)) as usize,
     }
@@ -142,7 +142,7 @@
 
 /// Reads an address with a port; None if the field is absent.
 pub(super) fn address(fields: &mut Fields, name: &'static str) -> Option<SocketAddr> {
-    let text = fields.maybe_text(name)?;
+    let text = fields.optional_text(name)?;
     let read = text.parse().ok();
     if read.is_none() {
         fields.fault(
--- a/crates/trace-checker/src/commands.rs
+++ b/crates/trace-checker/src/commands.rs
@@ -161,14 +161,14 @@
 struct Pdu<'a>(&'a pb::Pdu);
 
 impl Pdu<'_> {
-    fn word(&self, at: usize) -> u32 {
+    fn u32_at(&self, at: usize) -> u32 {
         self.0
             .header
             .get(at..at + 4)
             .map_or(0, |b| big_endian(b) as u32)
     }
 
-    fn byte(&self, at: usize) -> u8 {
+    fn byte_at(&self, at: usize) -> u8 {
         self.0.header.get(at).copied().unwrap_or_default()
     }
 
@@ -223,7 +223,7 @@
                     |o: &Operation| format!("{:?} to {:?} {:x?}", o.from, o.to, o.access);
                 let listed: Vec<String> = operations.iter().map(describe).collect();
                 summary.faults.push(format!(
-                    "volume {volume} block {block}: no order of its commands explains {}; these are all:\n    {}",
+                    "volume {volume} block {block}: no order of its commands explains {}; all its commands:\n    {}",
                     describe(&operations[at]),
                     listed.join("\n    ")
                 ));
@@ -269,8 +269,8 @@
             continue;
         };
         let connection = connections.entry(record.conn).or_default();
-        let itt = pdu.word(16);
-        match (record.kind(), pdu.byte(0) & 0x3f) {
+        let itt = pdu.u32_at(16);
+        match (record.kind(), pdu.byte_at(0) & 0x3f) {
             (Kind::PduIn, 0x03) if !pdu.0.target.is_empty() => {
                 connection.target = pdu.0.target.clone()
             }
@@ -285,7 +285,7 @@
                     .and_then(|b| b.try_into().ok())
                     .unwrap_or_default();
                 let (volume, data_out) = (
-                    volume(&connection.target, pdu.byte(9)),
+                    volume(&connection.target, pdu.byte_at(9)),
                     pdu.block_sums(0).collect(),
                 );
                 let (data_in, response, abort_requested) = (BTreeMap::new(), None, false);
@@ -303,14 +303,14 @@
                 let command = connection.open.get(&itt).map(|index| &mut commands[*index]);
                 command
                     .into_iter()
-                    .for_each(|command| command.data_out.extend(pdu.block_sums(pdu.word(40))));
+                    .for_each(|command| command.data_out.extend(pdu.block_sums(pdu.u32_at(40))));
             }
             // ABORT TASK names one command. Every other function may abort any open command of this
             // process.
-            (Kind::PduIn, 0x02) => match pdu.byte(1) & 0x7f {
+            (Kind::PduIn, 0x02) => match pdu.byte_at(1) & 0x7f {
                 1 => connection
                     .open
-                    .get(&pdu.word(20))
+                    .get(&pdu.u32_at(20))
                     .into_iter()
                     .for_each(|index| commands[*index].abort_requested = true),
                 _ => connections
@@ -324,10 +324,12 @@
                     continue;
                 };
                 if code == 0x25 {
-                    commands[index].data_in.extend(pdu.block_sums(pdu.word(40)));
+                    commands[index]
+                        .data_in
+                        .extend(pdu.block_sums(pdu.u32_at(40)));
                 }
-                if code == 0x21 || pdu.byte(1) & 1 != 0 {
-                    commands[index].response = Some((at, pdu.byte(3)));
+                if code == 0x21 || pdu.byte_at(1) & 1 != 0 {
+                    commands[index].response = Some((at, pdu.byte_at(3)));
                     summary.answered += 1;
                     connection.open.remove(&itt);
                 }
@@ -353,7 +355,7 @@
             false => {
                 summary.missing += 1;
                 summary.faults.push(format!(
-                    "no answer to a command of {:?} at {name}: {:02x?}",
+                    "no response to a command received at {:?} by {name}: {:02x?}",
                     commands[index].at, commands[index].cdb
                 ));
             }
--- a/crates/trace-checker/src/error.rs
+++ b/crates/trace-checker/src/error.rs
@@ -6,10 +6,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CheckError {
     /// A trace does not begin with the record of its process.
-    #[error("a trace names no writer")]
+    #[error("the first record of a trace names no process; expected the process that wrote it")]
     NoWriter,
     /// A trace reached its bound and is incomplete.
-    #[error("the trace of {process} was cut at its bound: nothing can be judged")]
+    #[error("the trace of {process} was cut at its size limit; expected a complete trace")]
     Truncated {
         /// Name of the process that wrote the trace.
         process: String,
--- a/crates/trace-checker/src/lib.rs
+++ b/crates/trace-checker/src/lib.rs
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if a trace is truncated or names no writer.
+    /// Returns an error if a trace is truncated, or does not begin with the record of its process.
     pub fn check(&self, settings: &Settings) -> Result<Verdict, CheckError> {
         let run = Run::read(&self.traces)?;
         let mut verdict = Verdict::default();
--- a/crates/trace-checker/src/rules/answers.rs
+++ b/crates/trace-checker/src/rules/answers.rs
@@ -67,7 +67,7 @@
             verdict.lost_with_host += 1
         }
         [] => {
-            let what = format!("{name}: no answer from {host}");
+            let what = format!("{name}: no response from {host}");
             add_violation(verdict, 1, what, &[&request.frame]);
         }
         [(frame, response)] => {
@@ -101,7 +101,7 @@
     match request.responses.first() {
         None if host.end < latest => verdict.lost_with_host += 1,
         None => {
-            let what = format!("{name}: no answer from {}", host.name);
+            let what = format!("{name}: no response from {}", host.name);
             add_violation(verdict, 1, what, &[&request.frame]);
         }
         Some((frame, _)) if frame.at > latest => {
@@ -124,7 +124,7 @@
     };
     let attempts = request.attempts.iter().map(|index| &host.attempts[*index]);
     for attempt in attempts.filter(|attempt| attempt.frame.at > answered.at) {
-        let what = format!("{name}: a leg after the answer");
+        let what = format!("{name}: attempt sent after the response");
         add_violation(verdict, 1, what, &[answered, &attempt.frame]);
     }
 }
--- a/crates/trace-checker/src/rules/drains.rs
+++ b/crates/trace-checker/src/rules/drains.rs
@@ -17,7 +17,7 @@
             let since = attempt.frame.at - notified;
             verdict.drain_lag_ms = verdict.drain_lag_ms.max(since.as_secs_f64() * 1000.0);
             if since > settings.rules.drain_grace {
-                let what = format!("{}: to node {node} {since:?} after it was told", host.name);
+                let what = format!("{}: attempt to node {node} {since:?} after notification that it is unavailable", host.name);
                 add_violation(verdict, 3, what, &[&attempt.frame]);
             }
         }
--- a/crates/trace-checker/src/rules/effects.rs
+++ b/crates/trace-checker/src/rules/effects.rs
@@ -55,7 +55,8 @@
                 continue;
             }
             if !may_follow(places, idempotency, earlier, later) {
-                let what = format!("{name}: a leg after one that may have run ({idempotency:?})");
+                let what =
+                    format!("{name}: retry of an attempt that may have run ({idempotency:?})");
                 add_violation(verdict, 2, what, &[&earlier.frame, &later.frame]);
             }
         }
@@ -107,7 +108,7 @@
         let ran = attempts.find(|a| a.frame.at <= frame.at && !a.never_ran(frame.at));
         if let Some(attempt) = ran {
             let name = id_text(&response.id);
-            let what = format!("{name}: deferred, though a leg may have run");
+            let what = format!("{name}: rejected, although an attempt may have run");
             add_violation(verdict, 2, what, &[&attempt.frame, frame]);
         }
     }
@@ -128,7 +129,10 @@
         let class = classes.get(piece);
         let class = class.and_then(|index| settings.traffic_classes.get(*index));
         if class.is_some_and(|class| class.facts.idempotency != Idempotency::Idempotent) {
-            let what = format!("{}: carried out {times} times", id_text(piece));
+            let what = format!(
+                "{}: executed {times} times; expected at most once",
+                id_text(piece)
+            );
             add_violation(verdict, 2, what, &[]);
         }
     }
--- a/crates/trace-checker/src/rules/key_order.rs
+++ b/crates/trace-checker/src/rules/key_order.rs
@@ -80,7 +80,7 @@
     let in_one_step = end.is_some_and(|end| end <= at + RECORDING_SKEW)
         && attempts().all(|attempt| attempt.frame.at <= at);
     if !in_one_step && end.is_none_or(|end| end > at) {
-        return Some("was not over");
+        return Some("was still open");
     }
     for attempt in attempts().filter(|attempt| attempt.frame.at <= at) {
         let answered = attempt.response.as_ref();
@@ -89,10 +89,10 @@
         }
         let given_up = given_up_at(host, attempt);
         if at < given_up {
-            return Some("had a leg without an outcome");
+            return Some("had an attempt without an outcome");
         }
         if at < given_up + cool_down {
-            return Some("had not rested");
+            return Some("was in its cool-down");
         }
     }
     None
--- a/crates/trace-checker/src/rules/slow_start.rs
+++ b/crates/trace-checker/src/rules/slow_start.rs
@@ -100,7 +100,9 @@
         let permitted = permitted.max(rule.units);
         if all > permitted * OVERLOAD_TOLERANCE && from_notified >= all * MIN_NOTIFIED_FRACTION {
             let node = mark.node;
-            let what = format!("node {node}: {all:.0} units in a span that bears {permitted:.0}");
+            let what = format!(
+                "node {node}: {all:.0} units in one window; expected at most {permitted:.0}"
+            );
             add_violation(verdict, 4, what, &[frame]);
             return;
         }
@@ -142,7 +144,7 @@
         }
     }
     if from_notified >= all * MIN_NOTIFIED_FRACTION {
-        let what = format!("node {} was pushed over", mark.node);
+        let what = format!("node {} failed from overload", mark.node);
         add_violation(verdict, 4, what, &[]);
     }
 }
--- a/crates/trace-checker/src/run.rs
+++ b/crates/trace-checker/src/run.rs
@@ -143,7 +143,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if a trace is truncated or names no writer.
+    /// Returns an error if a trace is truncated, or does not begin with the record of its process.
     pub fn read(traces: &[Vec<Record>]) -> Result<Self, CheckError> {
         let mut run = Run::default();
         for records in traces {
--- a/crates/trace-checker/tests/commands.rs
+++ b/crates/trace-checker/tests/commands.rs
@@ -27,8 +27,8 @@
 impl Trace {
     /// Returns the trace of a session on connection 1 that has logged in.
     fn new() -> Self {
-        let of = |role: pb::Role, name: &str| {
-            let who = pb::Hello {
+        let first_record = |role: pb::Role, name: &str| {
+            let hello = pb::Hello {
                 role: role.into(),
                 name: name.into(),
                 ..Default::default()
@@ -36,16 +36,16 @@
             vec![Record {
                 at_ns: 1,
                 kind: Kind::Process.into(),
-                process: Some(who),
+                process: Some(hello),
                 ..Default::default()
             }]
         };
-        let mut t = Trace {
-            host: of(pb::Role::Host, "h"),
-            clients: of(pb::Role::Client, "clients"),
+        let mut trace = Trace {
+            host: first_record(pb::Role::Host, "h"),
+            clients: first_record(pb::Role::Client, "clients"),
         };
-        t.login(1);
-        t
+        trace.login(1);
+        trace
     }
 
     fn login(&mut self, conn: u64) {
@@ -142,28 +142,34 @@
     }
 }
 
-fn counts(c: &Commands) -> [u64; 5] {
-    [c.received, c.answered, c.ended, c.missing, c.duplicates]
+fn counts(commands: &Commands) -> [u64; 5] {
+    [
+        commands.received,
+        commands.answered,
+        commands.ended,
+        commands.missing,
+        commands.duplicates,
+    ]
 }
 
 #[test]
 fn a_correct_run_has_no_fault() {
-    let mut t = Trace::new();
-    t.read(1, 2, 1, &[0, 0, 0]);
-    t.write(3, 2, &[7, 8]);
-    t.status(5, 2, 0);
-    t.read(6, 7, 2, &[7, 8, 0]); // a task tag may be used again after the response
-    t.write(8, 3, &[9]);
-    t.write(8, 3, &[9]); // the same task tag while open: a retry of the command
-    t.status(9, 3, 8); // BUSY: the write may take effect or not
-    t.read(10, 11, 4, &[7, 8, 0]);
-    t.read(12, 13, 5, &[9, 8, 0]);
-    let c = t.check();
+    let mut trace = Trace::new();
+    trace.read(1, 2, 1, &[0, 0, 0]);
+    trace.write(3, 2, &[7, 8]);
+    trace.status(5, 2, 0);
+    trace.read(6, 7, 2, &[7, 8, 0]); // a task tag may be used again after the response
+    trace.write(8, 3, &[9]);
+    trace.write(8, 3, &[9]); // the same task tag while open: a retry of the command
+    trace.status(9, 3, 8); // BUSY: the write may take effect or not
+    trace.read(10, 11, 4, &[7, 8, 0]);
+    trace.read(12, 13, 5, &[9, 8, 0]);
+    let commands = trace.check();
     assert_eq!(
-        (counts(&c), c.blocks, c.faults.len()),
+        (counts(&commands), commands.blocks, commands.faults.len()),
         ([6, 6, 0, 0, 0], 3, 0),
         "{:?}",
-        c.faults
+        commands.faults
     );
 }
 
@@ -171,18 +177,18 @@
 fn a_command_without_a_response_is_missing_unless_excused() {
     // The command is open at the end of the trace, or its connection is closed, it is aborted, its
     // host is killed after it, or an earlier process of the host was killed before it.
-    for (how, ended) in [
+    for (reason, ended) in [
         ("", false),
         ("closed", true),
         ("aborted", true),
         ("killed", true),
         ("killed before", false),
     ] {
-        let mut t = Trace::new();
-        t.write(5, 1, &[7]);
-        match how {
-            "closed" => t.closed(6),
-            "aborted" => t.pdu(
+        let mut trace = Trace::new();
+        trace.write(5, 1, &[7]);
+        match reason {
+            "closed" => trace.closed(6),
+            "aborted" => trace.pdu(
                 6,
                 Kind::PduIn,
                 &[(0, &[2, 0x81]), (20, &1u32.to_be_bytes())],
@@ -195,52 +201,56 @@
                     name: "h".into(),
                     ..Default::default()
                 };
-                let at_ns = if how == "killed" { 6_000_000 } else { 0 };
+                let at_ns = if reason == "killed" { 6_000_000 } else { 0 };
                 let record = Record {
                     at_ns,
                     kind: Kind::Mark.into(),
                     mark: Some(mark),
                     ..Default::default()
                 };
-                t.clients.push(record);
+                trace.clients.push(record);
             }
             _ => {}
         }
-        let c = t.check();
+        let commands = trace.check();
         let expected = if ended {
             [1, 0, 1, 0, 0]
         } else {
             [1, 0, 0, 1, 0]
         };
-        assert_eq!((counts(&c), c.fine()), (expected, ended), "{how}");
+        assert_eq!(
+            (counts(&commands), commands.fine()),
+            (expected, ended),
+            "{reason}"
+        );
     }
 }
 
 #[test]
 fn a_duplicate_response_and_a_late_write_are_found() {
-    let mut t = Trace::new();
-    t.write(1, 1, &[7]);
-    t.status(2, 1, 0);
-    t.status(3, 1, 0);
-    assert_eq!(counts(&t.check()), [1, 1, 0, 0, 1]);
-    let mut t = Trace::new();
-    t.write(1, 1, &[7]);
-    t.status(2, 1, 2); // CHECK CONDITION: the write may take effect or not
-    t.write(3, 2, &[8]);
-    t.status(4, 2, 0);
-    t.read(5, 6, 3, &[8]);
-    t.read(7, 8, 4, &[7]); // correct: the first write may take effect as late as this
+    let mut trace = Trace::new();
+    trace.write(1, 1, &[7]);
+    trace.status(2, 1, 0);
+    trace.status(3, 1, 0);
+    assert_eq!(counts(&trace.check()), [1, 1, 0, 0, 1]);
+    let mut trace = Trace::new();
+    trace.write(1, 1, &[7]);
+    trace.status(2, 1, 2); // CHECK CONDITION: the write may take effect or not
+    trace.write(3, 2, &[8]);
+    trace.status(4, 2, 0);
+    trace.read(5, 6, 3, &[8]);
+    trace.read(7, 8, 4, &[7]); // correct: the first write may take effect as late as this
     let mut bad = Trace {
-        host: t.host.clone(),
-        clients: t.clients.clone(),
+        host: trace.host.clone(),
+        clients: trace.clients.clone(),
     };
-    assert!(t.check().fine());
+    assert!(trace.check().fine());
     bad.read(9, 10, 5, &[8]);
-    let c = bad.check();
-    assert_eq!((c.fine(), c.faults.len()), (false, 1));
+    let commands = bad.check();
+    assert_eq!((commands.fine(), commands.faults.len()), (false, 1));
     assert!(
-        c.faults[0].starts_with("volume 5 block 8: no order"),
+        commands.faults[0].starts_with("volume 5 block 8: no order"),
         "{}",
-        c.faults[0]
+        commands.faults[0]
     );
 }
--- a/crates/trace-checker/tests/doctored.rs
+++ b/crates/trace-checker/tests/doctored.rs
@@ -1,4 +1,5 @@
-//! Each rule's traces twice: as they should be, and doctored so that the rule is broken and caught.
+//! Each rule is checked on correct traces, which violate no rule, and on altered traces, which
+//! violate that rule alone.
 
 use bytes::Bytes;
 use grebecleat_settings::Settings;
@@ -21,7 +22,8 @@
       fall_multiple = 2, further_share = 0.25, further_floor = 2, further_window = s(5), key_rest = ms(200))
 "#;
 
-/// Traces being written: one of clients, one of a host, one of nodes; times are milliseconds.
+/// The traces of the clients, a host and the nodes, indexed by `CLIENT`, `HOST` and `NODE`; times are
+/// milliseconds.
 struct Traces([Vec<Record>; 3]);
 
 const CLIENT: usize = 0;
@@ -38,42 +40,42 @@
 
 impl Traces {
     fn new() -> Self {
-        let of = |role: pb::Role, name: &str| {
-            let who = pb::Hello {
+        let first_record = |role: pb::Role, name: &str| {
+            let hello = pb::Hello {
                 role: role.into(),
                 name: name.into(),
                 ..Default::default()
             };
             vec![Record {
                 kind: Kind::Process.into(),
-                process: Some(who),
+                process: Some(hello),
                 ..Default::default()
             }]
         };
         let mut t = Traces([
-            of(pb::Role::Client, "clients"),
-            of(pb::Role::Host, "h"),
-            of(pb::Role::Node, "nodes"),
+            first_record(pb::Role::Client, "clients"),
+            first_record(pb::Role::Host, "h"),
+            first_record(pb::Role::Node, "nodes"),
         ]);
-        for side in [CLIENT, NODE] {
-            t.0[side].push(Record {
+        for process in [CLIENT, NODE] {
+            t.0[process].push(Record {
                 kind: Kind::Opened.into(),
                 conn: 1,
                 peer: "h".into(),
                 ..Default::default()
             });
         }
-        t.list(1, pb::NodeState::Ready, 1);
+        t.endpoint_update(1, pb::NodeState::Ready, 1);
         t
     }
 
-    fn put(&mut self, side: usize, at: u64, kind: Kind, body: Body) {
+    fn put(&mut self, process: usize, at: u64, kind: Kind, body: Body) {
         let frame = Some(pb::Frame {
             sent_us: 0,
             body: Some(body),
         });
         let at_ns = at * 1_000_000;
-        self.0[side].push(Record {
+        self.0[process].push(Record {
             at_ns,
             kind: kind.into(),
             conn: 1,
@@ -82,9 +84,9 @@
         });
     }
 
-    fn closed(&mut self, side: usize, at: u64) {
+    fn closed(&mut self, process: usize, at: u64) {
         let at_ns = at * 1_000_000;
-        self.0[side].push(Record {
+        self.0[process].push(Record {
             at_ns,
             kind: Kind::Closed.into(),
             conn: 1,
@@ -112,7 +114,8 @@
         });
     }
 
-    fn list(&mut self, at: u64, state: pb::NodeState, start: u64) {
+    /// Adds an update of the endpoint list to the host: the state and incarnation of node 1.
+    fn endpoint_update(&mut self, at: u64, state: pb::NodeState, start: u64) {
         let entry = pb::Endpoint {
             node: 1,
             state: state.into(),
@@ -132,10 +135,10 @@
         );
     }
 
-    /// A client's request, as both ends record it.
-    fn take(&mut self, at: u64, n: u8, traffic_class: u32) {
+    /// Adds a client's request to the traces of the client and the host.
+    fn submit_request(&mut self, at: u64, n: u8, traffic_class: u32) {
         let (key, units, left_us) = (Some(3), 2.0, 2_000_000);
-        let take = pb::SubmitRequest {
+        let submit_request = pb::SubmitRequest {
             id: id(n),
             piece: id(n),
             traffic_class,
@@ -145,21 +148,27 @@
             left_us,
             ..Default::default()
         };
-        self.put(CLIENT, at, Kind::Out, Body::SubmitRequest(take.clone()));
-        self.put(HOST, at, Kind::In, Body::SubmitRequest(take));
+        self.put(
+            CLIENT,
+            at,
+            Kind::Out,
+            Body::SubmitRequest(submit_request.clone()),
+        );
+        self.put(HOST, at, Kind::In, Body::SubmitRequest(submit_request));
     }
 
-    fn answer(&mut self, at: u64, n: u8, outcome: pb::Outcome) {
-        let f = pb::Response {
+    /// Adds a response to the traces of the host and the client.
+    fn respond(&mut self, at: u64, n: u8, outcome: pb::Outcome) {
+        let response = pb::Response {
             id: id(n),
             outcome: outcome.into(),
             ..Default::default()
         };
-        self.put(HOST, at, Kind::Out, Body::Response(f.clone()));
-        self.put(CLIENT, at, Kind::In, Body::Response(f));
+        self.put(HOST, at, Kind::Out, Body::Response(response.clone()));
+        self.put(CLIENT, at, Kind::In, Body::Response(response));
     }
 
-    /// An attempt to a node; its number is the moment.
+    /// Adds an attempt to the traces of the host and the node. Its identifier is its time.
     fn attempt(&mut self, at: u64, n: u8, node: u32, number: u32) {
         let (units, left_us) = (2.0, 1_000_000);
         let attempt = pb::Attempt {
@@ -176,18 +185,19 @@
         self.put(NODE, at, Kind::In, Body::Attempt(attempt));
     }
 
-    fn back(&mut self, at: u64, attempt: u64, result: pb::Result) {
-        let a = pb::AttemptResponse {
+    /// Adds a node's response to an attempt to the host's trace.
+    fn attempt_response(&mut self, at: u64, attempt: u64, result: pb::Result) {
+        let response = pb::AttemptResponse {
             attempt,
             result: result.into(),
             ..Default::default()
         };
-        self.put(HOST, at, Kind::In, Body::AttemptResponse(a));
+        self.put(HOST, at, Kind::In, Body::AttemptResponse(response));
     }
 
     fn check(mut self) -> Verdict {
         let mut traces = TraceSet::default();
-        // The clients' run goes on well past what is judged.
+        // The clients' trace ends after all deadlines.
         self.0[CLIENT].push(Record {
             at_ns: 60_000_000_000,
             kind: Kind::Closed.into(),
@@ -199,19 +209,20 @@
             traces.add(records);
         }
         let settings =
-            Settings::read("doctored.star".as_ref(), SETTINGS.into()).expect("good settings");
-        traces.check(&settings).expect("whole traces")
+            Settings::read("doctored.star".as_ref(), SETTINGS.into()).expect("valid settings");
+        traces.check(&settings).expect("complete traces")
     }
 }
 
-/// Plays a case as it should be, which breaks nothing, and doctored, which breaks that rule alone.
-fn both(rule: u8, play: impl Fn(&mut Traces, bool)) {
-    for doctored in [false, true] {
+/// Checks a case twice: its correct traces violate no rule, and its altered traces violate that rule
+/// once. `write_traces`: writes the traces, altered if its argument is true.
+fn check_correct_and_altered(rule: u8, write_traces: impl Fn(&mut Traces, bool)) {
+    for altered in [false, true] {
         let mut t = Traces::new();
-        play(&mut t, doctored);
+        write_traces(&mut t, altered);
         let broken: Vec<u8> = t.check().violations.iter().map(|b| b.rule).collect();
-        let expected: &[u8] = if doctored { &[rule] } else { &[] };
-        assert_eq!(broken, expected, "rule {rule}, doctored: {doctored}");
+        let expected: &[u8] = if altered { &[rule] } else { &[] };
+        assert_eq!(broken, expected, "rule {rule}, altered: {altered}");
     }
 }
 
@@ -220,44 +231,44 @@
 
 #[test]
 fn a_missing_late_or_duplicate_response_is_found() {
-    both(1, |t, missing| {
-        t.take(10, 1, READ);
+    check_correct_and_altered(1, |t, missing| {
+        t.submit_request(10, 1, READ);
         if !missing {
-            t.answer(20, 1, Rejected);
+            t.respond(20, 1, Rejected);
         }
     });
-    both(1, |t, late| {
-        t.take(10, 1, READ);
-        t.answer(if late { 2019 } else { 2017 }, 1, Rejected);
+    check_correct_and_altered(1, |t, late| {
+        t.submit_request(10, 1, READ);
+        t.respond(if late { 2019 } else { 2017 }, 1, Rejected);
     });
-    for (doubled, expected) in [(false, 0), (true, 2)] {
+    for (duplicate, expected) in [(false, 0), (true, 2)] {
         let mut t = Traces::new();
-        t.take(10, 1, READ);
-        t.answer(20, 1, Rejected);
-        if doubled {
-            t.answer(30, 1, Completed);
+        t.submit_request(10, 1, READ);
+        t.respond(20, 1, Rejected);
+        if duplicate {
+            t.respond(30, 1, Completed);
         }
         assert_eq!(
             t.check().violations.len(),
             expected,
-            "as the client and as the host shows it"
+            "one violation by the client's trace, and one by the host's"
         );
     }
 }
 
 #[test]
 fn an_attempt_after_the_response_is_found() {
-    both(1, |t, after| {
-        t.take(10, 1, READ);
+    check_correct_and_altered(1, |t, after| {
+        t.submit_request(10, 1, READ);
         t.attempt(if after { 25 } else { 15 }, 1, 1, 0);
-        t.answer(20, 1, Failed);
+        t.respond(20, 1, Failed);
     });
 }
 
 #[test]
 fn a_request_whose_host_died_is_lost_and_breaks_no_rule() {
     let mut t = Traces::new();
-    t.take(10, 1, READ);
+    t.submit_request(10, 1, READ);
     t.closed(CLIENT, 500);
     let v = t.check();
     assert_eq!((v.violations, v.lost_with_host), (vec![], 1));
@@ -267,68 +278,68 @@
 fn a_paused_host_owes_its_responses_once_it_continues() {
     for (stopped, broken) in [(true, 0), (false, 1)] {
         let mut t = Traces::new();
-        t.take(10, 1, READ);
+        t.submit_request(10, 1, READ);
         if stopped {
             t.mark(100, What::Stopped);
             t.mark(4000, What::Continued);
         }
-        t.answer(4010, 1, Rejected);
+        t.respond(4010, 1, Rejected);
         assert_eq!(t.check().violations.len(), broken);
     }
 }
 
 #[test]
 fn retries_beyond_the_idempotency_of_the_traffic_class_are_found() {
-    both(2, |t, ran| {
-        t.take(10, 1, ONCE);
+    check_correct_and_altered(2, |t, may_have_run| {
+        t.submit_request(10, 1, ONCE);
         t.attempt(20, 1, 1, 0);
-        t.back(30, 20, if ran { Error } else { Full });
+        t.attempt_response(30, 20, if may_have_run { Error } else { Full });
         t.attempt(40, 1, 1, 1);
-        t.back(50, 40, Ok);
-        t.answer(51, 1, Completed);
+        t.attempt_response(50, 40, Ok);
+        t.respond(51, 1, Completed);
     });
-    both(2, |t, outside| {
-        t.take(10, 1, KEYED);
+    check_correct_and_altered(2, |t, outside_scope| {
+        t.submit_request(10, 1, KEYED);
         t.attempt(20, 1, 1, 0);
-        t.back(30, 20, Error);
-        t.attempt(40, 1, if outside { 2 } else { 1 }, 1);
-        t.answer(50, 1, Failed);
+        t.attempt_response(30, 20, Error);
+        t.attempt(40, 1, if outside_scope { 2 } else { 1 }, 1);
+        t.respond(50, 1, Failed);
     });
-    both(2, |t, forgotten| {
-        t.take(10, 1, KEYED);
+    check_correct_and_altered(2, |t, after_window| {
+        t.submit_request(10, 1, KEYED);
         t.attempt(20, 1, 1, 0);
-        t.back(30, 20, Error);
-        t.attempt(if forgotten { 1021 } else { 1019 }, 1, 1, 1);
-        t.answer(1030, 1, Failed);
+        t.attempt_response(30, 20, Error);
+        t.attempt(if after_window { 1021 } else { 1019 }, 1, 1, 1);
+        t.respond(1030, 1, Failed);
     });
-    // No answer is no proof either.
-    both(2, |t, silent| {
-        t.take(10, 1, ONCE);
+    // An attempt without a response may have run as well.
+    check_correct_and_altered(2, |t, no_response| {
+        t.submit_request(10, 1, ONCE);
         t.attempt(20, 1, 1, 0);
-        if !silent {
-            t.back(30, 20, Full);
+        if !no_response {
+            t.attempt_response(30, 20, Full);
         }
         t.attempt(40, 1, 1, 1);
-        t.answer(50, 1, Failed);
+        t.respond(50, 1, Failed);
     });
 }
 
 #[test]
 fn a_rejection_after_which_a_retry_may_do_harm_is_found() {
-    both(2, |t, deferred| {
-        t.take(10, 1, ONCE);
+    check_correct_and_altered(2, |t, rejected| {
+        t.submit_request(10, 1, ONCE);
         t.attempt(20, 1, 1, 0);
-        t.answer(30, 1, if deferred { Rejected } else { Failed });
+        t.respond(30, 1, if rejected { Rejected } else { Failed });
     });
 }
 
 #[test]
 fn a_duplicate_effect_of_a_non_idempotent_request_is_found() {
-    both(2, |t, twice| {
-        t.take(10, 1, ONCE);
+    check_correct_and_altered(2, |t, twice| {
+        t.submit_request(10, 1, ONCE);
         t.attempt(20, 1, 1, 0);
-        t.back(30, 20, Ok);
-        t.answer(31, 1, Completed);
+        t.attempt_response(30, 20, Ok);
+        t.respond(31, 1, Completed);
         for at in if twice { vec![25, 26] } else { vec![25] } {
             let mark = pb::Marked {
                 what: What::Effect.into(),
@@ -349,94 +360,94 @@
 #[test]
 fn an_attempt_to_a_draining_node_after_the_grace_is_found() {
     for state in [pb::NodeState::Draining, pb::NodeState::Gone] {
-        both(3, |t, late| {
-            t.list(100, state, 1);
-            t.take(110, 1, READ);
+        check_correct_and_altered(3, |t, late| {
+            t.endpoint_update(100, state, 1);
+            t.submit_request(110, 1, READ);
             t.attempt(if late { 601 } else { 600 }, 1, 1, 0);
-            t.answer(700, 1, Rejected);
+            t.respond(700, 1, Rejected);
         });
     }
 }
 
 #[test]
 fn an_overload_of_a_node_that_warms_up_is_found() {
-    // It can do 10 units a second warm, a fifth of that cold; twice that over 2 s is 8, and 10
-    // always go.
-    both(4, |t, much| {
+    // The node's capacity is 10 units a second when warm, and a fifth of that at its start. Twice
+    // that over 2 s is 8 units, and 10 units are always permitted.
+    check_correct_and_altered(4, |t, overload| {
         t.mark(50, What::Started);
-        t.list(100, pb::NodeState::Ready, 2);
-        for n in 0..if much { 7 } else { 5 } {
-            t.take(110 + u64::from(n), n, READ);
+        t.endpoint_update(100, pb::NodeState::Ready, 2);
+        for n in 0..if overload { 7 } else { 5 } {
+            t.submit_request(110 + u64::from(n), n, READ);
             t.attempt(130 + u64::from(n), n, 1, 0);
-            t.answer(200, n, Rejected);
+            t.respond(200, n, Rejected);
         }
     });
-    both(4, |t, told| {
+    check_correct_and_altered(4, |t, notified| {
         t.mark(50, What::Started);
-        if told {
-            t.list(100, pb::NodeState::Ready, 2);
+        if notified {
+            t.endpoint_update(100, pb::NodeState::Ready, 2);
         }
-        t.take(110, 1, READ);
+        t.submit_request(110, 1, READ);
         t.attempt(120, 1, 1, 0);
         t.mark(130, What::Fell);
-        t.answer(200, 1, Rejected);
+        t.respond(200, 1, Rejected);
     });
 }
 
 #[test]
 fn requests_of_one_key_out_of_order_or_without_cool_down_are_found() {
-    both(5, |t, early| {
-        t.take(10, 1, ROW);
-        t.take(11, 2, ROW);
+    check_correct_and_altered(5, |t, early| {
+        t.submit_request(10, 1, ROW);
+        t.submit_request(11, 2, ROW);
         t.attempt(20, 1, 1, 0);
-        t.back(40, 20, Ok);
-        t.answer(40, 1, Completed);
+        t.attempt_response(40, 20, Ok);
+        t.respond(40, 1, Completed);
         t.attempt(if early { 39 } else { 41 }, 2, 1, 0);
-        t.answer(60, 2, Completed);
+        t.respond(60, 2, Completed);
     });
-    // The first was never sent, and is deferred long after.
-    both(5, |t, early| {
-        t.take(10, 1, ROW);
-        t.take(11, 2, ROW);
+    // The first request is rejected late, without an attempt.
+    check_correct_and_altered(5, |t, early| {
+        t.submit_request(10, 1, ROW);
+        t.submit_request(11, 2, ROW);
         t.attempt(if early { 20 } else { 90 }, 2, 1, 0);
-        t.answer(91, 1, Rejected);
-        t.answer(92, 2, Rejected);
+        t.respond(91, 1, Rejected);
+        t.respond(92, 2, Rejected);
     });
-    // Its time was up without an answer: the key rests 200 ms more, from 1020 on.
-    both(5, |t, unrested| {
-        t.take(10, 1, ROW);
-        t.take(11, 2, ROW);
+    // The first attempt's deadline passed at 1020 without a response: the key rests for 200 ms more.
+    check_correct_and_altered(5, |t, in_cool_down| {
+        t.submit_request(10, 1, ROW);
+        t.submit_request(11, 2, ROW);
         t.attempt(20, 1, 1, 0);
-        t.answer(1021, 1, Rejected);
-        t.attempt(if unrested { 1219 } else { 1221 }, 2, 1, 0);
-        t.answer(1300, 2, Rejected);
+        t.respond(1021, 1, Rejected);
+        t.attempt(if in_cool_down { 1219 } else { 1221 }, 2, 1, 0);
+        t.respond(1300, 2, Rejected);
     });
 }
 
 #[test]
 fn retries_beyond_the_budget_are_found() {
-    // Four taken: two free and a quarter of four make three.
-    both(6, |t, more| {
+    // Of four requests, two retries are always permitted, and a quarter of four more: three.
+    check_correct_and_altered(6, |t, more| {
         for n in 0..4 {
-            t.take(10 + u64::from(n), n, READ);
+            t.submit_request(10 + u64::from(n), n, READ);
             t.attempt(100 + u64::from(n), n, 1, 0);
         }
         for n in 0..if more { 4 } else { 3 } {
             t.attempt(200 + u64::from(n), n, 1, 1);
         }
-        (0..4).for_each(|n| t.answer(300, n, Rejected));
+        (0..4).for_each(|n| t.respond(300, n, Rejected));
     });
 }
 
 #[test]
 fn an_exceeded_limit_is_found() {
-    // Its store holds 20, fills by 10 a second and may go 5 below: 12 requests of 2 units pass, 13
-    // do not.
-    both(7, |t, more| {
+    // The token bucket holds 20 units, fills by 10 units a second, and may fall to 5 below zero: 12
+    // requests of 2 units conform, 13 do not.
+    check_correct_and_altered(7, |t, more| {
         for n in 0..if more { 13 } else { 12 } {
-            t.take(10, n, READ);
+            t.submit_request(10, n, READ);
             t.attempt(20, n, 1 + u32::from(n) % 2, 0);
-            t.answer(30, n, Rejected);
+            t.respond(30, n, Rejected);
         }
     });
 }
@@ -451,7 +462,7 @@
     });
     t.0.into_iter().for_each(|records| traces.add(records));
     let settings =
-        Settings::read("doctored.star".as_ref(), SETTINGS.into()).expect("good settings");
+        Settings::read("doctored.star".as_ref(), SETTINGS.into()).expect("valid settings");
     assert!(traces
         .check(&settings)
         .is_err_and(|e| e.to_string().contains("cut")));
--- a/crates/trace-checker/tests/plans.rs
+++ b/crates/trace-checker/tests/plans.rs
@@ -1,5 +1,5 @@
-//! Limits that change: traces as they should be, and doctored so that the limit in force is passed,
-//! or a change is called settled too early.
+//! Limits that change: the checker accepts correct traces, and finds altered ones in which the limit
+//! in force is exceeded or a version is declared stable too early.
 
 use bytes::Bytes;
 use grebecleat_settings::Settings;
@@ -18,7 +18,7 @@
 "#;
 
 fn process(role: pb::Role, name: &str) -> Vec<Record> {
-    let who = pb::Hello {
+    let hello = pb::Hello {
         role: role.into(),
         name: name.into(),
         ..Default::default()
@@ -31,13 +31,13 @@
     };
     let first = Record {
         kind: Kind::Process.into(),
-        process: Some(who),
+        process: Some(hello),
         ..Default::default()
     };
     vec![first, opened(1, "h"), opened(2, "i")]
 }
 
-/// What hosts sent of volume 5 and what the state service told them; times are milliseconds.
+/// The traces of two hosts that serve volume 5, and of the state service; times are milliseconds.
 struct Traces {
     state: Vec<Record>,
     hosts: [Vec<Record>; 2],
@@ -52,8 +52,8 @@
             hosts,
             attempts: 0,
         };
-        t.told(1, 0, 1, 1, &[plan(10.0, 4.0, 20.0), volume(&["h", "i"])]);
-        t.told(1, 1, 1, 1, &[plan(10.0, 4.0, 20.0), volume(&["h", "i"])]);
+        t.update(1, 0, 1, 1, &[plan(10.0, 4.0, 20.0), volume(&["h", "i"])]);
+        t.update(1, 1, 1, 1, &[plan(10.0, 4.0, 20.0), volume(&["h", "i"])]);
         t
     }
 
@@ -71,54 +71,56 @@
         }
     }
 
-    /// A host is answered: what that version changed, and what is settled.
-    fn told(&mut self, at: u64, host: usize, version: u64, stable: u64, changes: &[pb::Change]) {
-        let entry = pb::Revision {
+    /// Adds an update to a host: the changes of a version, and the stable version.
+    fn update(&mut self, at: u64, host: usize, version: u64, stable: u64, changes: &[pb::Change]) {
+        let revision = pb::Revision {
             version,
             from: version - 1,
             changes: changes.to_vec(),
             ..Default::default()
         };
-        let entries = if changes.is_empty() {
+        let revisions = if changes.is_empty() {
             vec![]
         } else {
-            vec![entry]
+            vec![revision]
         };
-        let feed = pb::ConfigUpdate {
+        let config_update = pb::ConfigUpdate {
             epoch: 1,
             version,
             stable,
-            revisions: entries,
+            revisions,
             ..Default::default()
         };
         self.state.push(Self::record(
             at,
             Kind::Out,
             host as u64 + 1,
-            Body::ConfigUpdate(feed),
+            Body::ConfigUpdate(config_update),
         ));
     }
 
-    fn acknowledged(&mut self, at: u64, host: usize, applied: u64) {
-        let confirm = Body::Acknowledge(pb::Acknowledge { epoch: 1, applied });
+    /// Adds a host's acknowledgement of a version.
+    fn acknowledge(&mut self, at: u64, host: usize, applied: u64) {
+        let acknowledgement = Body::Acknowledge(pb::Acknowledge { epoch: 1, applied });
         self.state
-            .push(Self::record(at, Kind::In, host as u64 + 1, confirm));
+            .push(Self::record(at, Kind::In, host as u64 + 1, acknowledgement));
     }
 
-    fn gone(&mut self, at: u64, host: &str) {
-        let gone = Body::HostGone(pb::HostGone {
+    /// Adds an operator's declaration that a host is gone.
+    fn declare_gone(&mut self, at: u64, host: &str) {
+        let host_gone = Body::HostGone(pb::HostGone {
             call: 1,
             author: "clerk".into(),
             host: host.into(),
         });
-        self.state.push(Self::record(at, Kind::In, 9, gone));
+        self.state.push(Self::record(at, Kind::In, 9, host_gone));
     }
 
-    /// A host's first attempt of a request of that many units crosses.
+    /// Adds a request, its first attempt and its response at a host.
     fn attempt(&mut self, at: u64, host: usize, units: f64) {
         self.attempts += 1;
         let id = Bytes::from(format!("{:036}", self.attempts));
-        let take = pb::SubmitRequest {
+        let submit = pb::SubmitRequest {
             id: id.clone(),
             volume: 5,
             units,
@@ -134,19 +136,19 @@
             left_us: 1_000_000,
             ..Default::default()
         };
-        let done = pb::Response {
+        let response = pb::Response {
             id,
             outcome: pb::Outcome::Completed.into(),
             ..Default::default()
         };
         let records = &mut self.hosts[host];
-        records.push(Self::record(at, Kind::In, 1, Body::SubmitRequest(take)));
+        records.push(Self::record(at, Kind::In, 1, Body::SubmitRequest(submit)));
         records.push(Self::record(at, Kind::Out, 3, Body::Attempt(attempt)));
-        records.push(Self::record(at + 1, Kind::Out, 1, Body::Response(done)));
+        records.push(Self::record(at + 1, Kind::Out, 1, Body::Response(response)));
     }
 
     fn check(self) -> Verdict {
-        let settings = Settings::read("x.star".as_ref(), SETTINGS.into()).expect("good settings");
+        let settings = Settings::read("x.star".as_ref(), SETTINGS.into()).expect("valid settings");
         let mut traces = TraceSet::default();
         traces.add(self.state);
         self.hosts.into_iter().for_each(|h| traces.add(h));
@@ -155,7 +157,7 @@
 }
 
 fn plan(limit: f64, reservation: f64, burst: f64) -> pb::Change {
-    let figures = pb::PlanConfig {
+    let plan_config = pb::PlanConfig {
         rate: 10.0,
         reservation,
         limit,
@@ -166,24 +168,24 @@
     let subject = Some(change::Subject::Plan("p".into()));
     pb::Change {
         subject,
-        to: (limit >= 0.0).then_some(change::To::PlanTo(figures)),
+        to: (limit >= 0.0).then_some(change::To::PlanTo(plan_config)),
     }
 }
 
 fn volume(hosts: &[&str]) -> pb::Change {
     let hosts = hosts.iter().map(|h| h.to_string()).collect();
-    let facts = pb::VolumeConfig {
+    let volume_config = pb::VolumeConfig {
         plan: "p".into(),
         hosts,
         ..Default::default()
     };
     pb::Change {
         subject: Some(change::Subject::Volume(5)),
-        to: Some(change::To::VolumeTo(facts)),
+        to: Some(change::To::VolumeTo(volume_config)),
     }
 }
 
-fn broken(v: &Verdict) -> Vec<String> {
+fn limit_violations(v: &Verdict) -> Vec<String> {
     assert!(
         v.violations.iter().all(|b| b.rule == 7),
         "{:?}",
@@ -192,8 +194,8 @@
     v.violations.iter().map(|b| b.what.clone()).collect()
 }
 
-/// Both hosts send at that rate each, second by second.
-fn stream(t: &mut Traces, from: u64, to: u64, each: f64) {
+/// Adds attempts of both hosts. `each`: units a second of each host.
+fn send_steadily(t: &mut Traces, from: u64, to: u64, each: f64) {
     for at in (from..to).step_by(500) {
         t.attempt(at, 0, each / 2.0);
         t.attempt(at + 10, 1, each / 2.0);
@@ -202,94 +204,96 @@
 
 #[test]
 fn the_limit_of_the_stable_version_is_in_force() {
-    // Raised from 10 to 30 at 2 s, settled at 4 s; what each sends from 2 s and from 5 s on.
-    for (each, later, fine) in [(5.0, 15.0, true), (15.0, 15.0, false), (5.0, 20.0, false)] {
+    // The limit is raised from 10 to 30 at 2 s, and the change is stable at 4 s. The cases have the
+    // rate of each host from 2 s and from 5 s on.
+    for (each, later, is_correct) in [(5.0, 15.0, true), (15.0, 15.0, false), (5.0, 20.0, false)] {
         let mut t = Traces::new();
-        stream(&mut t, 100, 2000, 5.0);
+        send_steadily(&mut t, 100, 2000, 5.0);
         let raised = [plan(30.0, 4.0, 20.0)];
-        (0..2).for_each(|h| t.told(2000, h, 2, 1, &raised));
-        stream(&mut t, 2100, 4000, each);
-        (0..2).for_each(|h| t.acknowledged(3900, h, 2));
-        (0..2).for_each(|h| t.told(4000, h, 2, 2, &[]));
-        stream(&mut t, 5000, 12_000, later);
+        (0..2).for_each(|h| t.update(2000, h, 2, 1, &raised));
+        send_steadily(&mut t, 2100, 4000, each);
+        (0..2).for_each(|h| t.acknowledge(3900, h, 2));
+        (0..2).for_each(|h| t.update(4000, h, 2, 2, &[]));
+        send_steadily(&mut t, 5000, 12_000, later);
         let v = t.check();
         assert_eq!(
-            broken(&v).is_empty(),
-            fine,
+            limit_violations(&v).is_empty(),
+            is_correct,
             "{each}, {later}: {:?}",
             v.violations
         );
     }
-    // Lowered from 10 to 4: the old one is in force until it is settled, the new one from then on.
-    for (until, later, fine) in [(4000, 2.0, true), (7000, 2.0, false), (4000, 4.0, false)] {
+    // The limit is lowered from 10 to 4. The old one is in force until the change is stable at 4 s,
+    // and the new one from then on.
+    for (until, later, is_correct) in [(4000, 2.0, true), (7000, 2.0, false), (4000, 4.0, false)] {
         let mut t = Traces::new();
         let lowered = [plan(4.0, 4.0, 8.0)];
-        (0..2).for_each(|h| t.told(2000, h, 2, 1, &lowered));
-        (0..2).for_each(|h| t.acknowledged(3900, h, 2));
-        (0..2).for_each(|h| t.told(4000, h, 2, 2, &[]));
-        stream(&mut t, 100, until, 5.0);
-        stream(&mut t, until, 14_000, later);
+        (0..2).for_each(|h| t.update(2000, h, 2, 1, &lowered));
+        (0..2).for_each(|h| t.acknowledge(3900, h, 2));
+        (0..2).for_each(|h| t.update(4000, h, 2, 2, &[]));
+        send_steadily(&mut t, 100, until, 5.0);
+        send_steadily(&mut t, until, 14_000, later);
         let v = t.check();
         assert_eq!(
-            broken(&v).is_empty(),
-            fine,
+            limit_violations(&v).is_empty(),
+            is_correct,
             "{until}, {later}: {:?}",
             v.violations
         );
     }
-    // None at first, then one: its store is full when it comes into force.
+    // No limit at first, then one: its token bucket is full when it comes into force.
     let mut t = Traces::new();
-    (0..2).for_each(|h| t.told(2000, h, 2, 2, &[plan(0.0, 4.0, 20.0)]));
-    stream(&mut t, 2100, 6000, 50.0);
-    (0..2).for_each(|h| t.told(6000, h, 3, 2, &[plan(10.0, 4.0, 20.0)]));
-    (0..2).for_each(|h| t.acknowledged(6400, h, 3));
-    (0..2).for_each(|h| t.told(6500, h, 3, 3, &[]));
-    stream(&mut t, 6600, 9000, 5.0);
-    let mut bad = Traces {
+    (0..2).for_each(|h| t.update(2000, h, 2, 2, &[plan(0.0, 4.0, 20.0)]));
+    send_steadily(&mut t, 2100, 6000, 50.0);
+    (0..2).for_each(|h| t.update(6000, h, 3, 2, &[plan(10.0, 4.0, 20.0)]));
+    (0..2).for_each(|h| t.acknowledge(6400, h, 3));
+    (0..2).for_each(|h| t.update(6500, h, 3, 3, &[]));
+    send_steadily(&mut t, 6600, 9000, 5.0);
+    let mut exceeding = Traces {
         state: t.state.clone(),
         hosts: t.hosts.clone(),
         attempts: t.attempts,
     };
     let v = t.check();
-    // The hosts had not said that they have entry 2 when it was called settled.
+    // No host had acknowledged version 2 when it was declared stable.
     assert_eq!(
-        broken(&v),
+        limit_violations(&v),
         [
             "entry 2 was called settled while h had said no more than 0 and may still follow that",
             "entry 2 was called settled while i had said no more than 0 and may still follow that"
         ]
     );
-    stream(&mut bad, 9000, 12_000, 20.0);
-    assert!(broken(&bad.check())
+    send_steadily(&mut exceeding, 9000, 12_000, 20.0);
+    assert!(limit_violations(&exceeding.check())
         .iter()
         .any(|b| b.contains("below its store")));
 }
 
 #[test]
 fn a_version_declared_stable_too_early_is_found() {
-    type Doctor = fn(&mut Traces);
-    let cases: [(&str, Doctor, Option<&str>); 7] = [
-        ("both said that they have it", |t| (0..2).for_each(|h| t.acknowledged(2500, h, 2)), None),
+    type Alteration = fn(&mut Traces);
+    let cases: [(&str, Alteration, Option<&str>); 7] = [
+        ("both hosts acknowledged it", |t| (0..2).for_each(|h| t.acknowledge(2500, h, 2)), None),
         (
-            "one did not",
-            |t| t.acknowledged(2500, 0, 2),
+            "one host did not acknowledge it",
+            |t| t.acknowledge(2500, 0, 2),
             Some("entry 2 was called settled while i had said no more than 1 and may still follow that"),
         ),
         (
-            "one was cut off, and its lease is over",
+            "one host was cut off, and its lease is over",
             |t| {
-                t.acknowledged(2500, 0, 2);
+                t.acknowledge(2500, 0, 2);
                 t.state.retain(|r| r.at_ns < 1_500_000_000 || r.conn == 1);
-                t.told(4600, 0, 2, 2, &[]);
+                t.update(4600, 0, 2, 2, &[]);
             },
             None,
         ),
         (
-            "the same, and it holds more than its part",
+            "the same, and its reserved share exceeds its share of the limit",
             |t| {
-                t.acknowledged(2500, 0, 2);
+                t.acknowledge(2500, 0, 2);
                 t.state.retain(|r| r.at_ns < 1_500_000_000 || r.conn == 1);
-                t.told(4600, 0, 2, 2, &[]);
+                t.update(4600, 0, 2, 2, &[]);
                 for r in &mut t.state {
                     if let Some(Body::ConfigUpdate(f)) = r.frame.as_mut().and_then(|f| f.body.as_mut()) {
                         f.revisions.iter_mut().filter(|e| e.version == 2).for_each(|e| e.changes = vec![plan(3.0, 1.0, 20.0)]);
@@ -299,32 +303,32 @@
             Some("entry 2 was called settled while i is cut off with entry 1, and more of volume 5 than is its part"),
         ),
         (
-            "the same, and an operator answers for it",
+            "the same, and an operator declares the host gone",
             |t| {
-                t.acknowledged(2500, 0, 2);
+                t.acknowledge(2500, 0, 2);
                 t.state.retain(|r| r.at_ns < 1_500_000_000 || r.conn == 1);
-                t.gone(3000, "i");
-                t.told(4600, 0, 2, 2, &[]);
+                t.declare_gone(3000, "i");
+                t.update(4600, 0, 2, 2, &[]);
             },
             None,
         ),
         (
-            "it asked again after that",
+            "the host reports again after the declaration",
             |t| {
-                t.acknowledged(2500, 0, 2);
-                t.gone(2600, "i");
-                t.acknowledged(2700, 1, 1);
+                t.acknowledge(2500, 0, 2);
+                t.declare_gone(2600, "i");
+                t.acknowledge(2700, 1, 1);
             },
             Some("entry 2 was called settled while i had said no more than 1 and may still follow that"),
         ),
-        ("nothing is called settled", |t| t.state.retain(|r| r.at_ns < 2_900_000_000), None),
+        ("no version is declared stable", |t| t.state.retain(|r| r.at_ns < 2_900_000_000), None),
     ];
-    for (what, doctor, expected) in cases {
+    for (what, alter, expected) in cases {
         let mut t = Traces::new();
-        (0..2).for_each(|h| t.acknowledged(1000, h, 1));
-        (0..2).for_each(|h| t.told(2000, h, 2, 1, &[plan(8.0, 4.0, 20.0)]));
-        t.told(3000, 0, 2, 2, &[]);
-        doctor(&mut t);
+        (0..2).for_each(|h| t.acknowledge(1000, h, 1));
+        (0..2).for_each(|h| t.update(2000, h, 2, 1, &[plan(8.0, 4.0, 20.0)]));
+        t.update(3000, 0, 2, 2, &[]);
+        alter(&mut t);
         if what.contains("lease is over") || what.starts_with("the same") {
             t.state.retain(|r| {
                 r.at_ns != 3_000_000_000
@@ -336,7 +340,7 @@
             });
         }
         assert_eq!(
-            broken(&t.check()).first().map(String::as_str),
+            limit_violations(&t.check()).first().map(String::as_str),
             expected,
             "{what}"
         );
--- a/crates/wire/build.rs
+++ b/crates/wire/build.rs
@@ -7,7 +7,8 @@
     prost_build::Config::new()
         .bytes(["."])
         .btree_map(["."])
-        // Many times as large as any other frame, and rare.
+        // This message is much larger than the others, and rare. Boxed, it does not enlarge every
+        // frame.
         .boxed(".grebecleat.wire.v1.Frame.body.host_metrics")
         .compile_fds(files)
         .expect("the messages become Rust");
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -10,8 +10,8 @@
 
 /// Bytes of a frame's header.
 pub const HEADER: usize = 8;
-/// Bytes that one read from a stream returns, at most. The buffer grows by this number. A larger
-/// one costs memory for each connection; a smaller one costs more reads.
+/// Maximum number of bytes that one read from a stream returns. The buffer grows by this number. A
+/// larger number costs memory for each connection; a smaller one costs more reads.
 const READ_BYTES: usize = 32 << 10;
 
 /// The reason why a peer's bytes are no frame. The connection cannot be used any further.
