--- a/crates/trace-checker/src/lib.rs
+++ b/crates/trace-checker/src/lib.rs
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if a trace is truncated or names no writer.
+    /// Returns an error if a trace is truncated, or does not begin with the record of its process.
     pub fn check(&self, settings: &Settings) -> Result<Verdict, CheckError> {
         let run = Run::read(&self.traces)?;
         let mut verdict = Verdict::default();
@@ -143,9 +143,9 @@
         rules::retry_budget::check(settings, &run, &mut verdict);
         rules::limits::check(settings, &run.hosts, &run.plans, &mut verdict);
         run.plans.check_stable(settings, &mut verdict);
-        verdict.revision_times = run.plans.took();
+        verdict.revision_times = run.plans.stabilization_times();
         verdict.drains = drains::drains(&run, &drains::requests(&self.traces));
-        verdict.commands = commands::judge(settings, &self.traces, &run.marks);
+        verdict.commands = commands::check_commands(settings, &self.traces, &run.marks);
         Ok(verdict)
     }
 }
--- a/crates/trace-checker/src/rules/answers.rs
+++ b/crates/trace-checker/src/rules/answers.rs
@@ -67,19 +67,19 @@
             verdict.lost_with_host += 1
         }
         [] => {
-            let what = format!("{name}: no answer from {host}");
+            let what = format!("{name}: no response from {host}");
             add_violation(verdict, 1, what, &[&request.frame]);
         }
-        [(seen, response)] => {
+        [(frame, response)] => {
             count(verdict, response);
-            // The time at which the response left the host counts: the client's machine may read
+            // The time at which the response left the host counts: the client may read
             // slowly.
             let departures = run.hosts.iter();
             let departures = departures.filter_map(|h| response_at(h, &request.submit.id));
-            let left = departures.min().unwrap_or(seen.at);
+            let left = departures.min().unwrap_or(frame.at);
             if left > latest {
                 let what = format!("{name}: answered {:?} after its expiry", left - latest);
-                add_violation(verdict, 1, what, &[&request.frame, seen]);
+                add_violation(verdict, 1, what, &[&request.frame, frame]);
             }
         }
         [first, second, ..] => {
@@ -101,12 +101,12 @@
     match request.responses.first() {
         None if host.end < latest => verdict.lost_with_host += 1,
         None => {
-            let what = format!("{name}: no answer from {}", host.name);
+            let what = format!("{name}: no response from {}", host.name);
             add_violation(verdict, 1, what, &[&request.frame]);
         }
-        Some((seen, _)) if seen.at > latest => {
+        Some((frame, _)) if frame.at > latest => {
             let what = format!("{name}: answered after its expiry");
-            add_violation(verdict, 1, what, &[&request.frame, seen]);
+            add_violation(verdict, 1, what, &[&request.frame, frame]);
         }
         Some((_, response)) => count(verdict, response),
     }
@@ -124,7 +124,7 @@
     };
     let attempts = request.attempts.iter().map(|index| &host.attempts[*index]);
     for attempt in attempts.filter(|attempt| attempt.frame.at > answered.at) {
-        let what = format!("{name}: a leg after the answer");
+        let what = format!("{name}: attempt sent after the response");
         add_violation(verdict, 1, what, &[answered, &attempt.frame]);
     }
 }
--- a/crates/trace-checker/src/rules/key_order.rs
+++ b/crates/trace-checker/src/rules/key_order.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Bounds by how much later the trace may record the event that was decided first: two writers
-/// record two sockets of a host. Larger, an early attempt passes; smaller, one step's records in
-/// the other order are reported.
+/// Bounds by how much later the trace may record the event that was decided first, because two
+/// threads record two sockets of a host. A larger bound accepts attempts that were sent too early; a
+/// smaller one reports events of one step that were recorded in the other order.
 const RECORDING_SKEW: Duration = Duration::from_millis(50);
 
 /// Checks the requests of each key at each host.
@@ -80,7 +80,7 @@
     let in_one_step = end.is_some_and(|end| end <= at + RECORDING_SKEW)
         && attempts().all(|attempt| attempt.frame.at <= at);
     if !in_one_step && end.is_none_or(|end| end > at) {
-        return Some("was not over");
+        return Some("was still open");
     }
     for attempt in attempts().filter(|attempt| attempt.frame.at <= at) {
         let answered = attempt.response.as_ref();
@@ -89,10 +89,10 @@
         }
         let given_up = given_up_at(host, attempt);
         if at < given_up {
-            return Some("had a leg without an outcome");
+            return Some("had an attempt without an outcome");
         }
         if at < given_up + cool_down {
-            return Some("had not rested");
+            return Some("was in its cool-down");
         }
     }
     None
@@ -100,8 +100,8 @@
 
 /// Returns when the response to a successful attempt arrived.
 fn succeeded_at(attempt: &Attempt) -> Option<Duration> {
-    let (seen, response) = attempt.response.as_ref()?;
-    (response.result() == pb::Result::Ok).then_some(seen.at)
+    let (frame, response) = attempt.response.as_ref()?;
+    (response.result() == pb::Result::Ok).then_some(frame.at)
 }
 
 /// Returns when an attempt without a response ended: its deadline, its cancellation or the close
