--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,9 +1,9 @@
-//! Translation between a client's HTTP messages and the router's requests. Pure functions.
+//! Translation between a client's HTTP messages and the router's requests, without I/O.
 //!
 //! [`RequestParser::parse`] translates a complete HTTP request into a request for the router, or
-//! returns its fault; [`put_final`] translates a final response. A message that cannot be understood,
-//! or that names something unknown, gets its response here and never becomes a request, so nothing of
-//! it can reach a node. `run::request_intake` and `run::client_conn` call these functions.
+//! returns the HTTP error to respond with; [`put_final`] encodes the router's final response. A
+//! malformed message, or one that names an unknown class or plan, is rejected here, so no part of it
+//! reaches a node. `run::request_intake` and `run::client_conn` call these functions.
 
 mod fields;
 
@@ -17,10 +17,10 @@
 
 /// The path of the readiness check.
 pub const READY: &str = "/health/ready";
-/// The host name of nodes and discovery in a head.
+/// The value of the `Host` header in requests to nodes and to discovery.
 pub const SERVICE: &str = "backend.local";
-/// The largest number of bytes of a client's id. A larger value lets clients take memory; a smaller
-/// one rejects requests.
+/// Maximum length in bytes of the request id that a client sends. A larger value lets clients take
+/// more memory; a smaller one rejects more requests.
 const MAX_ID: usize = 512;
 
 /// A parsed request of a client.
@@ -37,12 +37,12 @@
     },
 }
 
-/// Parses requests by the names that a deployment's settings declare.
+/// Parses requests, and looks up the names of traffic classes and plans in the settings.
 #[derive(Debug)]
 pub struct RequestParser {
     traffic_classes: Vec<ClassProtocol>,
     plans: Vec<String>,
-    /// The largest number of units of one request.
+    /// Maximum size of one request, in units.
     max_units: f64,
 }
 
@@ -55,15 +55,15 @@
 
 const UNKNOWN_PATH: HttpError = HttpError {
     status: 404,
-    reason: "a path that is not known here",
+    reason: "unknown path",
 };
 const UNKNOWN_METHOD: HttpError = HttpError {
     status: 405,
-    reason: "neither GET nor PUT",
+    reason: "method is neither GET nor PUT",
 };
 const WRONG_METHOD: HttpError = HttpError {
     status: 405,
-    reason: "a method that is not this path's",
+    reason: "method is not allowed for this traffic class",
 };
 
 /// The traffic class and the key that a request's path names.
@@ -86,7 +86,8 @@
 
     /// Translates a complete HTTP request.
     ///
-    /// Errors: the response to a request that cannot be understood, or that names something unknown.
+    /// Returns an error, which is the response to the client, if the request is malformed or names an
+    /// unknown path, class or plan.
     pub fn parse(&self, request: &Request) -> Result<ClientRequest, HttpError> {
         let path = request.target.split(['?', '#']).next().unwrap_or_default();
         if path == READY && request.method == "GET" {
@@ -104,14 +105,14 @@
         let id = client_id(request)?;
         let plan = self.plan(request)?;
         let left_ms = request.headers.one("x-remaining-ms")?.and_then(decimal);
-        let left_ms = left_ms.ok_or(bad_request("X-Remaining-Ms is no span"))?;
+        let left_ms = left_ms.ok_or(bad_request("X-Remaining-Ms: expected milliseconds"))?;
         let placement = self.placement(request)?;
         let idempotency_key = request
             .headers
             .one("idempotency-key")?
             .filter(|key| !key.is_empty());
         if class.requires_key && idempotency_key.is_none() {
-            return Err(bad_request("no Idempotency-Key"));
+            return Err(bad_request("Idempotency-Key: missing"));
         }
         let submit = pb::SubmitRequest {
             piece: Bytes::from(node_head(request, id, idempotency_key, write)),
@@ -133,8 +134,8 @@
         })
     }
 
-    /// Returns the traffic class, which is the first part of the path, and the key, which is the
-    /// last.
+    /// Returns the traffic class, which the first segment of the path names, and the key, which is the
+    /// last segment.
     fn target(&self, path: &str) -> Result<Target, HttpError> {
         let mut parts = path.strip_prefix('/').ok_or(UNKNOWN_PATH)?.split('/');
         let first = parts.next().ok_or(UNKNOWN_PATH)?;
@@ -142,7 +143,7 @@
         let names = self.traffic_classes.iter().map(|class| class.name.as_str());
         let traffic_class = position(names, first.as_bytes(), || path_readings(first));
         let traffic_class = traffic_class.ok_or(UNKNOWN_PATH)?;
-        let key = hex16(last).ok_or(bad_request("a path that does not end in 16 hex digits"))?;
+        let key = hex16(last).ok_or(bad_request("path: expected 16 hexadecimal digits at its end"))?;
         Ok(Target { traffic_class, key })
     }
 
@@ -151,18 +152,18 @@
         let value = request.headers.one_raw("x-qos-policy")?;
         let names = self.plans.iter().map(String::as_str);
         let plan = value.and_then(|value| position(names, value, || header_readings(value)));
-        plan.ok_or(bad_request("X-Qos-Policy names no plan"))
+        plan.ok_or(bad_request("X-Qos-Policy: missing, or not the name of a plan"))
     }
 
     fn placement(&self, request: &Request) -> Result<Placement, HttpError> {
         let text = request.headers.one("x-placement")?;
         let placement = text.and_then(Placement::parse);
-        let placement = placement.ok_or(bad_request("X-Placement cannot be read"))?;
+        let placement = placement.ok_or(bad_request("X-Placement: missing or malformed"))?;
         if !(placement.units > 0.0 && placement.units <= self.max_units) {
-            return Err(bad_request("X-Placement with units out of range"));
+            return Err(bad_request("X-Placement: units out of range"));
         }
         if placement.hosts == 0 {
-            return Err(bad_request("X-Placement with no hosts"));
+            return Err(bad_request("X-Placement: hosts is 0, expected at least 1"));
         }
         Ok(placement)
     }
@@ -171,10 +172,11 @@
 fn client_id<'b>(request: &Request<'b>) -> Result<&'b str, HttpError> {
     let id = request.headers.one("x-txn")?;
     id.filter(|id| !id.is_empty() && id.len() <= MAX_ID)
-        .ok_or(bad_request("no X-Txn"))
+        .ok_or(bad_request("X-Txn: missing, empty or too long"))
 }
 
-/// Returns the head of the request for the nodes, without its end.
+/// Returns the request line and the headers of the request for the node, without the empty line that
+/// ends them: each attempt appends a header of its own.
 fn node_head(request: &Request, id: &str, idempotency_key: Option<&str>, write: bool) -> String {
     let mut head = format!(
         "{} {} HTTP/1.1\r\nHost: {SERVICE}\r\nX-Txn: {id}\r\n",
@@ -189,8 +191,8 @@
     head
 }
 
-/// Appends a final response, as the client reads it. The response to a failed request must differ
-/// from the response to a rejected one.
+/// Appends the HTTP form of a final response. A rejected request gets status 503 and a failed one 502,
+/// since clients must be able to tell them apart.
 pub fn put_final(to: &mut Vec<u8>, response: &pb::Response, keep_alive: bool) {
     match response.outcome() {
         pb::Outcome::Completed => http::put_response(to, 200, "", keep_alive, &response.data),
--- a/crates/platform/src/clients/fields.rs
+++ b/crates/platform/src/clients/fields.rs
@@ -1,8 +1,10 @@
-//! The parts of a client's request: names, numbers and the placement header. Pure functions.
+//! Parsers for the fields of a client's request: names, numbers and the placement header.
 
-/// Returns the position, among the settings' names, of the name that a client sent. The settings may
-/// have passed the simulator's wire, which rewrites spaces and commas: a rewritten name matches only
-/// if no name matches unchanged. The other `readings` count only if the sent bytes equal no name.
+/// Returns the index, in the settings' `names`, of the name that a client sent.
+///
+/// The sent bytes are compared first, and the decodings only if no name equals the sent bytes. The
+/// settings may have passed the simulator's wire, which replaces spaces and commas with underscores;
+/// a decoding is compared in that form only if no name equals it unchanged.
 pub(super) fn position<'n>(
     names: impl Iterator<Item = &'n str> + Clone,
     sent: &[u8],
@@ -23,7 +25,7 @@
     read.or_else(|| names.clone().position(is_rewritten))
 }
 
-/// Returns the readings of a part of a path: unchanged and percent-decoded.
+/// Returns the possible decodings of a path segment: unchanged and percent-decoded.
 pub(super) fn path_readings(part: &str) -> Vec<String> {
     let mut readings = vec![part.to_string()];
     if let Ok(decoded) = percent_encoding::percent_decode_str(part).decode_utf8() {
@@ -32,8 +34,8 @@
     readings
 }
 
-/// Returns the readings of a header's value: some clients encode letters beyond ASCII in UTF-8, and
-/// some in Latin-1.
+/// Returns the possible decodings of a header's value: some clients encode non-ASCII letters in UTF-8,
+/// and some in Latin-1.
 pub(super) fn header_readings(value: &[u8]) -> Vec<String> {
     let mut readings = Vec::new();
     if let Ok(text) = String::from_utf8(value.to_vec()) {
@@ -43,10 +45,10 @@
     readings
 }
 
-/// The largest number of digits of a decimal number, so that products of it fit into 64 bits.
+/// Maximum number of digits of a decimal number. The number times 1000 must fit into 64 bits.
 const MAX_DECIMAL_DIGITS: usize = 15;
 
-/// Parses a decimal number of digits alone, without a sign or a space.
+/// Parses a number that consists of decimal digits only, without sign or spaces.
 pub(super) fn decimal(text: &str) -> Option<u64> {
     let is_decimal = !text.is_empty()
         && text.len() <= MAX_DECIMAL_DIGITS
@@ -66,20 +68,20 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// The place of a request's data, as the client sent it.
+/// The placement header of a request: where its data is stored, and its size.
 pub(super) struct Placement {
     pub(super) volume: u64,
     /// Size of the request, in units.
     pub(super) units: f64,
-    /// The shard of the data; None: the data has no place yet.
+    /// The shard that stores the data, or `None` if the data is not stored yet.
     pub(super) shard: Option<u32>,
     /// Number of hosts that the volume's clients use.
     pub(super) hosts: u32,
 }
 
 impl Placement {
-    /// Parses the header; None: a part is absent, cannot be read, or occurs twice, so that it is
-    /// unknown which one counts.
+    /// Parses the header. Returns `None` if a field is missing, malformed, or present twice, in which
+    /// case it is unknown which value is meant.
     pub(super) fn parse(text: &str) -> Option<Self> {
         let mut volume = None;
         let mut units = None;
@@ -109,7 +111,7 @@
     }
 }
 
-/// Parses a shard. `Some(None)`: the data has no place yet.
+/// Parses a shard. Returns `Some(None)` for -1, which means that the data is not stored yet.
 fn parse_shard(value: &str) -> Option<Option<u32>> {
     if value == "-1" {
         return Some(None);
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,11 +1,12 @@
-//! The configuration that the platform passes to a host at its start: a variable, and the file that
-//! it names.
+//! The configuration that the platform passes to a host at startup: a JSON file, whose path is in an
+//! environment variable.
 //!
-//! Begin with [`Config::read`]. The settings are the object that the users' bench passes to its
-//! adapter. This module flattens them to the bench's pairs (`document`) and reads them with the
-//! adapter's own reader (`settings`), so that no default can differ between the two. It reads the
-//! other values (names, waits, limits of this process) itself. It uses a file completely or not at
-//! all. An error names the file, the path in it, and the fault.
+//! [`Config::read`] is the entry point. The object `settings` of the file is the one that the users'
+//! simulator passes to its adapter. This module flattens it to the simulator's pairs of path and value
+//! (`document`) and parses them with the adapter's parser (`settings`), so that defaults cannot differ
+//! between the two. This module parses the other values (names, timeouts, limits of this process)
+//! itself. A file with any error is rejected as a whole. An error names the file, the path in it, and
+//! the fault.
 
 mod descriptors;
 mod document;
@@ -26,11 +27,11 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 
-/// The variable that names the configuration's file.
+/// The environment variable that holds the path of the configuration file.
 const FILE_VARIABLE: &str = "LB_CONFIG";
-/// The range of the memory that the platform allows a host, in megabytes.
+/// The accepted range of the host's memory limit, in megabytes.
 const MEMORY_RANGE_MB: RangeInclusive<u64> = 8..=1 << 24;
-/// The range of the number of descriptors that the platform allows a host.
+/// The accepted range of the host's limit on file descriptors.
 const SOCKETS_RANGE: RangeInclusive<u64> = 48..=1 << 20;
 
 /// A host's configuration.
@@ -42,11 +43,12 @@
     pub listen: SocketAddr,
     /// The address of discovery.
     pub discovery: SocketAddr,
-    /// Seed of its random numbers, new at each start.
+    /// The seed of its random numbers, which the platform draws anew for each start.
     pub seed: u64,
-    /// The parts of its descriptors.
+    /// How its file descriptors are divided.
     pub descriptors: Descriptors,
-    /// The endpoint list from before the start, in discovery's form.
+    /// The endpoint list that the platform cached before the start, as JSON of the form that discovery
+    /// sends.
     pub cached_endpoints: Option<Vec<u8>>,
     /// The traffic classes, in the settings' order.
     pub traffic_classes: Vec<ClassProtocol>,
@@ -55,9 +57,7 @@
 }
 
 impl Config {
-    /// Reads the file that the variable names; returns the file's path too.
-    ///
-    /// Errors: see [`ConfigError`].
+    /// Reads the file that the environment variable names. Returns the file's path too.
     pub fn from_env() -> Result<(PathBuf, Self), ConfigError> {
         let path = std::env::var_os(FILE_VARIABLE).ok_or(ConfigError::MissingVariable)?;
         let path = PathBuf::from(path);
@@ -65,9 +65,7 @@
         Ok((path, config))
     }
 
-    /// Reads a file.
-    ///
-    /// Errors: see [`ConfigError`].
+    /// Reads a configuration file.
     pub fn load(file: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read(file).map_err(|source| ConfigError::Unreadable {
             file: file.to_path_buf(),
@@ -76,9 +74,7 @@
         Config::read(file, &text)
     }
 
-    /// Reads a file's text. `file`: the path that errors name.
-    ///
-    /// Errors: see [`ConfigError`].
+    /// Parses the text of a configuration file. Errors name the path `file`.
     pub fn read(file: &Path, text: &[u8]) -> Result<Self, ConfigError> {
         let document = Document::parse(file, text)?;
         let name = document.text("name")?.to_string();
--- a/crates/platform/src/config/descriptors.rs
+++ b/crates/platform/src/config/descriptors.rs
@@ -1,27 +1,28 @@
-//! The parts of a host's descriptors, so that neither clients nor nodes can take all of them.
+//! Divides a host's file descriptors, so that neither clients nor nodes can take all of them.
 
-/// Number of descriptors that belong neither to clients nor to nodes: the standard streams, those of
-/// the runtime and of the signals, the listener, the active connection to discovery and up to three
-/// overdue ones. A smaller value lets clients and nodes take these; a larger one wastes descriptors.
+/// Number of descriptors that neither clients nor nodes may use: for the standard streams, the
+/// coroutine runtime, the signal handler, the listener, the active connection to discovery and up to
+/// three connections with overdue calls. A smaller value lets clients and nodes take these; a larger
+/// one leaves descriptors unused.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// The clients' fraction of the other descriptors. A larger value leaves nodes fewer connections; a
+/// Fraction of the other descriptors that is for clients. A larger value leaves nodes fewer connections; a
 /// smaller one leaves clients fewer.
 const CLIENTS_FRACTION: f64 = 0.55;
-/// One in this number of all descriptors is for clients that have sent requests and leave their
-/// connections open. The platform allows them a third. A smaller value lets clients that have sent
-/// one request and never leave occupy the slots of clients that would send; a larger one closes more
+/// The number of all descriptors divided by this is the limit for clients that have sent requests and
+/// keep their connections open. The platform allows a third. A smaller divisor lets clients that send
+/// one request and stay connected keep out clients with requests to send; a larger one closes more
 /// idle clients.
 const IDLE_CLIENTS_DIVISOR: usize = 5;
 
-/// The parts of the descriptors that the configuration allows.
+/// The limits on connections that follow from the configured number of file descriptors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Descriptors {
-    /// The largest number of connections of clients.
+    /// Maximum number of connections from clients.
     pub clients: usize,
-    /// The largest number of connections to nodes.
+    /// Maximum number of connections to nodes.
     pub nodes: usize,
-    /// The largest number of connections of clients that have sent requests. Beyond it, the client
-    /// that has been idle the longest is closed.
+    /// Maximum number of connections from clients that have sent requests. Beyond it, the host closes
+    /// the client that has been idle the longest.
     pub idle_clients: usize,
 }
 
--- a/crates/platform/src/config/document.rs
+++ b/crates/platform/src/config/document.rs
@@ -1,4 +1,5 @@
-//! The configuration's JSON document: values by their path, with errors that name file and path.
+//! Access to the values of the configuration's JSON document, with errors that name the file and the
+//! path of the value.
 
 use super::error::{ConfigError, ValueError};
 use serde_json::Value;
@@ -6,10 +7,10 @@
 use std::ops::RangeInclusive;
 use std::path::Path;
 
-/// A path and its value, as the bench writes them.
+/// A path and its value, in the simulator's notation.
 pub(super) type Pair = (String, String);
 
-/// Returns the values of the object by their paths, as the bench writes them.
+/// Flattens the object to pairs of path and value, in the simulator's notation.
 pub(super) fn flatten(object: &Value) -> Vec<Pair> {
     let mut pairs = Vec::new();
     flatten_into("", object, &mut pairs);
@@ -47,7 +48,7 @@
 
 fn plain(value: &Value) -> String {
     match value {
-        // The text stays unchanged: names are compared with the names that clients send.
+        // Text is not escaped, since names in it are compared with the names that clients send.
         Value::String(text) => text.clone(),
         Value::Null => "-".into(),
         other => other.to_string(),
@@ -100,7 +101,7 @@
         u64::from_str_radix(text, 16).map_err(|_| self.error(name, ValueError::NotHex(text.into())))
     }
 
-    /// Returns the number at a path, without its fraction. The range includes both ends.
+    /// Returns the integer part of the number at a path, which must be within the range.
     pub(super) fn number(
         &self,
         path: &[&str],
--- a/crates/platform/src/config/error.rs
+++ b/crates/platform/src/config/error.rs
@@ -1,14 +1,14 @@
-//! Faults of a configuration.
+//! Errors of reading a configuration.
 
 use grebecleat_adapter::settings::SettingError;
 use std::io;
 use std::path::PathBuf;
 
-/// Why a configuration cannot be used.
+/// An error in the configuration or in reading it.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The variable that names the file is not set.
-    #[error("LB_CONFIG: missing; expected the configuration's path")]
+    #[error("LB_CONFIG: missing; expected the path of the configuration file")]
     MissingVariable,
     /// The file cannot be read.
     #[error("{}: cannot read: {source}", file.display())]
@@ -23,7 +23,7 @@
     NotJson {
         /// The file.
         file: PathBuf,
-        /// The place in the file, and the expected token.
+        /// The parse error, with its position in the file.
         source: serde_json::Error,
     },
     /// A value is absent or invalid.
@@ -38,40 +38,40 @@
     },
 }
 
-/// Why a value cannot be used.
+/// An error in one value of the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ValueError {
     /// The value is absent.
     #[error("missing")]
     Missing,
-    /// The object is absent.
+    /// The object is absent, or the value is not an object.
     #[error("missing; expected an object")]
     MissingObject,
-    /// The value is not a text, or an empty one.
+    /// The value is not a string, or it is empty.
     #[error("expected a text, found {0}")]
     NotText(serde_json::Value),
-    /// The value is not an address with a port.
+    /// The value is not an IP address with a port.
     #[error("expected an address and port, found {0}")]
     NotAddress(String),
-    /// The value is not a hexadecimal number of 64 bits.
+    /// The value is not a hexadecimal number of at most 64 bits.
     #[error("expected hex digits, found {0}")]
     NotHex(String),
-    /// The value is not a number in its range.
+    /// The value is not a number within its range.
     #[error("expected a number from {least} to {most}, found {found}")]
     OutOfRange {
-        /// The least allowed value.
+        /// The smallest allowed value.
         least: u64,
-        /// The greatest allowed value.
+        /// The largest allowed value.
         most: u64,
         /// The value that was found.
         found: serde_json::Value,
     },
-    /// The settings cannot be used.
+    /// The object `settings` is invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// Why settings cannot be used. Paths are paths in the settings, their parts joined by dots.
+/// An error in the object `settings`. Paths are relative to that object, their parts joined by dots.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// A list has no entries.
@@ -83,10 +83,10 @@
     /// A time span is zero or absent.
     #[error("{path}: expected a span above zero")]
     ZeroSpan {
-        /// The span's path.
+        /// The path of the time span.
         path: String,
     },
-    /// The sizes of requests are zero or absent.
+    /// The maximum or mean size of requests is zero or absent.
     #[error("family-info.largest, family-info.mean-units: expected numbers above zero")]
     NoUnits,
     /// A name is absent.
@@ -95,7 +95,7 @@
         /// The name's path.
         path: String,
     },
-    /// A value that the simulator has too cannot be parsed.
+    /// A value that the adapter's parser reads is malformed.
     #[error(transparent)]
     Shared(#[from] SettingError),
 }
--- a/crates/platform/src/config/settings.rs
+++ b/crates/platform/src/config/settings.rs
@@ -1,5 +1,4 @@
-//! Translation of the platform's settings into the host's own. Pure functions, which only
-//! [`super::Config::read`] calls.
+//! Translates the platform's settings into the settings of the host, for [`super::Config::read`].
 
 use super::descriptors::Descriptors;
 use super::error::SettingsError;
@@ -9,49 +8,52 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time subtracted from every deadline, for this host's queue, the write, and the way to the client.
-/// A smaller value makes responses late; a larger one leaves attempts less time.
+/// Time subtracted from every deadline, for this host's queue, the write, and the network to the
+/// client. A smaller value makes responses late; a larger one leaves attempts less time.
 const ANSWER_MARGIN: Duration = Duration::from_millis(12);
-/// Time by which this host closes an idle connection before its node would. An attempt that crosses
-/// the node's close is reset. A smaller value resets attempts; a larger one costs dials.
+/// How long before the node's idle timeout this host closes an idle connection. An attempt that is
+/// sent while the node closes the connection is reset. A smaller value resets more attempts; a larger
+/// one costs more dials.
 const IDLE_MARGIN: Duration = Duration::from_millis(1000);
-/// Time for which a node leaves an idle connection open, if the settings do not name it.
+/// A node's idle timeout, if the settings do not specify it.
 const DEFAULT_NODE_IDLE: Duration = Duration::from_secs(10);
-/// Timeout of a dial, if the settings do not name it.
+/// Timeout of a dial, if the settings do not specify it.
 const DEFAULT_DIAL_TIMEOUT: Duration = Duration::from_millis(250);
-/// One in this number of all bytes of memory is for bodies of open requests. A smaller value lets
+/// The memory limit divided by this is available for bodies of open requests. A smaller divisor lets
 /// bodies exceed the memory; a larger one rejects requests that would fit.
 const BODIES_DIVISOR: usize = 8;
-/// Time for which an attempt may wait for its connection before it is revoked. A larger value sends
+/// Time that an attempt may wait for its connection before it is revoked. A larger value sends
 /// attempts late; a smaller one fails attempts whose dial is slow.
 const MAX_DISPATCH_DELAY: Duration = Duration::from_millis(250);
-/// Bound on the delay of the revocation: two sweeps of the router, one every 25 ms. A smaller value
+/// Maximum delay of the revocation: two sweeps of the router, which run every 25 ms. A smaller value
 /// lets a retry reach its node after the deduplication window; a larger one forbids retries.
 const CROSSING_MARGIN: Duration = Duration::from_millis(50);
-/// Time within which a peer must continue a message that it has begun. A larger value lets slow peers
-/// occupy connections; a smaller one closes them.
+/// Time within which a peer must continue a message that it has begun to send. A larger value lets
+/// slow peers occupy connections; a smaller one closes them.
 const PATIENCE: Duration = Duration::from_millis(2000);
-/// The largest number of bytes of one frame, and of the bytes that a client leaves unread. A larger
-/// value takes memory; a smaller one rejects frames and closes slow readers.
+/// Maximum number of bytes of one frame, and of the output that a client has not read yet. A larger
+/// value takes more memory; a smaller one rejects frames and closes slow readers.
 const MAX_BUFFERED_BYTES: usize = 1 << 20;
-/// The time within which this host knows a change that discovery has, whatever polling the settings
-/// name. Watches, and waits after failed calls, are derived from no longer time. The lease of the
-/// endpoint list is this time, less the time for which an attempt may wait before it is written. A
-/// larger value uses stale lists; a smaller one costs discovery more calls.
+/// Time within which this host learns of a change of the endpoint list, even if the settings specify a
+/// longer poll interval. The durations of watches and the backoff after failed calls are derived from
+/// it. The lease of the endpoint list is this time less [`MAX_DISPATCH_DELAY`], for which an attempt
+/// may wait before it is written. A larger value uses stale lists; a smaller one costs discovery more
+/// calls.
 pub const DISCOVERY_TERM: Duration = Duration::from_millis(6000);
 
-/// The platform's requirements on a traffic class's requests, without those that the scheduler knows.
+/// The protocol requirements on the requests of a traffic class, which the scheduler does not need.
 #[derive(Debug, Clone)]
 pub struct ClassProtocol {
-    /// The name of the class: the first part of a request's path.
+    /// The name of the class, which is the first segment of a request's path.
     pub name: String,
     /// Whether its requests must have an idempotency key.
     pub requires_key: bool,
-    /// Whether its requests are writes (PUT) or reads (GET); None: either.
+    /// `true` if its requests are writes (PUT), `false` if they are reads (GET), `None` if both are
+    /// allowed.
     pub write: Option<bool>,
 }
 
-/// The facts about this process that complete the settings.
+/// Values of this process's configuration, outside the object `settings`, that complete it.
 pub(super) struct Process<'a> {
     pub(super) name: &'a str,
     pub(super) listen: SocketAddr,
@@ -60,17 +62,17 @@
     pub(super) descriptors: Descriptors,
 }
 
-/// The settings that were read.
+/// The result of [`read_settings`].
 pub(super) struct ReadSettings {
     pub(super) traffic_classes: Vec<ClassProtocol>,
     pub(super) settings: Settings,
 }
 
-/// The times and counts of the object `caps`, with defaults for absent values.
+/// The values of the object `caps`, with defaults for absent ones.
 struct Caps {
     dial_timeout: Duration,
     max_open: usize,
-    /// Time for which a node leaves an idle connection open.
+    /// A node's idle timeout.
     node_idle: Duration,
 }
 
@@ -82,7 +84,8 @@
     }
 }
 
-/// Reads the settings. The order of this function decides which of several errors is returned.
+/// Reads the settings. If they have several errors, the order of the reads determines which one is
+/// returned.
 pub(super) fn read_settings(
     process: &Process,
     pairs: &Pairs,
@@ -162,8 +165,8 @@
     let writes: Vec<&str> = pairs.text("family-info.writes").split(',').collect();
     let mut protocols = Vec::new();
     let mut streams = Vec::new();
-    // A retry of an attempt that may have run must reach its node while the node remembers the first
-    // attempt, and the retry may wait for its connection after it was decided.
+    // The retry of an attempt that may have run must reach its node before the node forgets the first
+    // attempt's key, and the retry may wait for its connection after the decision to send it.
     let crossing = dial_timeout.max(MAX_DISPATCH_DELAY) + CROSSING_MARGIN;
     for (index, mut facts) in classes.into_iter().enumerate() {
         if let Idempotency::WithKey { window, .. } = &mut facts.idempotency {
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,10 +1,10 @@
-//! Translation of the platform's endpoint list into the host's endpoint updates, and the numbers of
-//! its names.
+//! Translates the platform's endpoint list into endpoint updates of the host, and assigns numbers to
+//! the names of nodes and zones.
 //!
-//! Begin with [`EndpointNames::read`], which `run::discovery_port` calls for each response of
-//! discovery. The scheduler knows nodes and zones by number; a name has the same number as long as
-//! this process runs. Memory: one name for each node that was ever listed, `MAX_NAMES` at most;
-//! entries with further names are not read.
+//! [`EndpointNames::read`] is the entry point; `run::discovery_port` calls it for each response of
+//! discovery. The scheduler identifies nodes and zones by number; a name keeps its number while this
+//! process runs. The memory holds one name for each node that was ever listed, at most `MAX_NAMES`;
+//! entries with further names are ignored.
 
 use crate::http::HttpError;
 use grebecleat_discovery::calls::Call;
@@ -14,10 +14,10 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// The path of the list at discovery.
+/// The URL path of the endpoint list at discovery.
 pub const PATH: &str = "/registry/instances";
-/// The largest number of names: more than a day of replacements, one every few seconds. A larger
-/// value takes more memory; with a smaller one, a host that runs for long ignores new nodes.
+/// Maximum number of names: enough for more than a day in which a node is replaced every few seconds.
+/// A larger value takes more memory; with a smaller one, a host that runs for long ignores new nodes.
 const MAX_NAMES: usize = 100_000;
 
 /// The endpoint list in the platform's form.
@@ -25,7 +25,7 @@
 struct ListDocument {
     #[serde(rename = "rev")]
     revision: u64,
-    /// Whether these are all targets, and not changes alone.
+    /// Whether the list is complete; otherwise it holds changes only.
     all: bool,
     targets: Vec<serde_json::Value>,
 }
@@ -40,24 +40,24 @@
     #[serde(rename = "pod_group")]
     shard: u32,
     state: String,
-    /// When it started, in milliseconds of the wall clock; zero: unknown.
+    /// When it started, in milliseconds since the Unix epoch, or zero if that is unknown.
     #[serde(default, rename = "boot_ms")]
     started_ms: f64,
 }
 
-/// Why a response of discovery cannot be used.
+/// An error that makes a response of discovery unusable.
 #[derive(Debug, thiserror::Error)]
 pub enum DiscoveryError {
-    /// The response has another status than 200.
+    /// The response's status is not 200.
     #[error("status {0}")]
     Status(u16),
-    /// The response is not HTTP.
+    /// The response is not valid HTTP.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The response's body does not have the form of the list.
+    /// The response's body is not an endpoint list in JSON.
     #[error(transparent)]
     Format(#[from] serde_json::Error),
-    /// No entry of a complete list can be read.
+    /// All entries of a complete list are malformed.
     #[error("none of {count} endpoints can be read")]
     NoneReadable {
         /// Number of entries of the list.
@@ -65,25 +65,25 @@
     },
 }
 
-/// A list, or changes, that were read.
+/// An endpoint list, or its changes, as read from discovery.
 #[derive(Debug)]
 pub struct ReadEndpoints {
-    /// The list, or the changes.
+    /// The list or the changes.
     pub list: pb::EndpointUpdate,
     /// Its revision.
     pub revision: u64,
-    /// Number of entries that cannot be read.
+    /// Number of malformed entries, which `list` does not hold.
     pub malformed: usize,
 }
 
-/// The numbers of the names of nodes and zones that discovery has listed.
+/// The numbers assigned to the names of the nodes and zones that discovery has listed.
 #[derive(Debug, Default)]
 pub struct EndpointNames {
     nodes: HashMap<String, u32>,
     zones: HashMap<String, u32>,
 }
 
-/// Returns the number of a name; None: there are too many names.
+/// Returns the number of a name, or `None` if the name is new and there are too many names.
 fn number(numbers: &mut HashMap<String, u32>, name: &str) -> Option<u32> {
     if let Some(number) = numbers.get(name) {
         return Some(*number);
@@ -98,11 +98,11 @@
 }
 
 impl EndpointNames {
-    /// Reads a list or its changes. `unix_ms`: the wall clock, by which the list counts when nodes
-    /// started.
+    /// Reads a list or its changes. `unix_ms` is the current wall clock time, from which the uptime of
+    /// nodes is computed.
     ///
-    /// A complete list with an entry that cannot be read counts as changes; otherwise the node of
-    /// that entry would count as gone. Errors: see [`DiscoveryError`].
+    /// A complete list with a malformed entry is treated as changes; otherwise the node of that entry
+    /// would count as gone.
     pub fn read(&mut self, body: &[u8], unix_ms: f64) -> Result<ReadEndpoints, DiscoveryError> {
         let document: ListDocument = serde_json::from_slice(body)?;
         let count = document.targets.len();
@@ -133,7 +133,7 @@
         })
     }
 
-    /// Reads an entry; None: the entry cannot be read.
+    /// Reads an entry. Returns `None` if it is malformed.
     fn endpoint(&mut self, entry: serde_json::Value, unix_ms: f64) -> Option<pb::Endpoint> {
         let target: Target = serde_json::from_value(entry).ok()?;
         let state = match target.state.as_str() {
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -1,63 +1,65 @@
-//! HTTP/1.1 heads and bodies, in both directions: pure functions on bytes.
+//! Parses HTTP/1.1 requests and responses, and encodes responses. This module performs no I/O.
 //!
-//! Begin with [`request`] and [`response`]: each takes all bytes that have come so far and returns a
-//! complete message and its length, nothing (more bytes must come), or an error, after which the
-//! connection cannot be used again. A message that two readers of one stream could interpret
-//! differently (both kinds of length, repeated or signed lengths) is an error, since it may hide a
-//! second message (request smuggling). No state. Bounds: the constants of this module.
+//! [`request`] and [`response`] are the entry points. Each takes all bytes received so far and returns
+//! a complete message and its length, `None` if the message is incomplete, or an error, after which
+//! the connection cannot be used again. A message that two parsers could interpret differently (both
+//! kinds of length, repeated or signed lengths) is an error, since it may hide a second message
+//! (request smuggling). The constants of this module limit the size of a message.
 
 use std::borrow::Cow;
 use std::io::Write;
 
-/// The largest number of bytes of a head. A larger value lets peers take memory; a smaller one
-/// rejects long heads.
+/// Maximum size in bytes of a message's head: its start line and headers. A larger value lets peers
+/// take more memory; a smaller one rejects long heads.
 pub const MAX_HEAD: usize = 16 << 10;
-/// The largest number of bytes of a request's body. Larger and smaller values: as for a head.
+/// Maximum size in bytes of a request's body. A larger value lets clients take more memory; a smaller
+/// one rejects large requests.
 pub const MAX_BODY: usize = 64 << 10;
-/// The largest number of bytes of a response's body. Nodes were observed to send 200 KB. A smaller
-/// value drops responses whose attempts have run, so that their work is lost; a larger one lets nodes
-/// take memory.
+/// Maximum size in bytes of a response's body. Nodes have been observed to send 200 KB. A smaller
+/// value drops responses of attempts that have run, whose work is then lost; a larger one lets nodes
+/// take more memory.
 pub const MAX_ANSWER: usize = 512 << 10;
-/// The largest number of bytes of an endpoint list. Its length grows with the fleet, and it may be
-/// indented, at some 210 bytes for each node. A smaller value makes the list of a large fleet
-/// unreadable; a larger one lets discovery take memory.
+/// Maximum size in bytes of an endpoint list. The list grows with the fleet, by about 210 bytes for
+/// each node if the JSON is indented. A smaller value rejects the list of a large fleet; a larger one
+/// lets discovery take more memory.
 pub const MAX_LIST: usize = 4 << 20;
-/// The largest number of headers of one head. A larger value costs stack; a smaller one rejects
-/// messages.
+/// Maximum number of headers of one message. A larger value takes more stack; a smaller one rejects
+/// messages with many headers.
 const MAX_HEADERS: usize = 64;
-/// The largest number of headers of a chunked body's trailer. Larger and smaller values: as above.
+/// Maximum number of headers in the trailer of a chunked body. A larger value takes more stack; a
+/// smaller one rejects messages with many trailer headers.
 const MAX_TRAILER_HEADERS: usize = 8;
-/// The largest number of interim heads before a response. A larger value lets a node delay its
+/// Maximum number of interim (1xx) responses before the final one. A larger value lets a node delay its
 /// response; a smaller one rejects responses.
 const MAX_INTERIM: usize = 8;
-/// The largest number of bytes that a chunked body may take for its sizes and line ends, and the
-/// largest number of bytes of one size line or trailer. A larger value lets peers take memory; a
-/// smaller one rejects bodies of many chunks.
+/// Maximum number of bytes of a chunked body's size lines and line ends together, and also of a single
+/// size line or trailer. A larger value lets peers take more memory; a smaller one rejects bodies of
+/// many chunks.
 const CHUNK_OVERHEAD: usize = 4 << 10;
-/// The largest number of digits of a length, so that it fits into 64 bits.
+/// Maximum number of digits of a length, so that it fits into 64 bits.
 const MAX_LENGTH_DIGITS: usize = 18;
 
-/// Why a message cannot be used.
+/// An error that makes a message unusable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct HttpError {
-    /// The status of the response to the client.
+    /// The status of the error response to the client.
     pub status: u16,
-    /// The fault, as the response's body names it.
+    /// The fault, which is the body of the error response.
     pub reason: &'static str,
 }
 
-/// A complete value and its number of bytes; None: more bytes must come.
+/// A parsed value and the number of bytes that it took, or `None` if it is incomplete.
 pub type Parsed<T> = Option<(T, usize)>;
 
 const fn error(status: u16, reason: &'static str) -> HttpError {
     HttpError { status, reason }
 }
 
-const UNREADABLE_HEAD: HttpError = error(400, "a head that cannot be read");
-const UNREADABLE_ANSWER_HEAD: HttpError = error(502, "a head that cannot be read");
-const BODY_TOO_LARGE: HttpError = error(413, "a body that is too large");
-const LENGTH_IS_NO_NUMBER: HttpError = error(400, "a length that is no number");
+const UNREADABLE_HEAD: HttpError = error(400, "malformed start line or headers");
+const UNREADABLE_ANSWER_HEAD: HttpError = error(502, "malformed start line or headers");
+const BODY_TOO_LARGE: HttpError = error(413, "body too large");
+const LENGTH_IS_NO_NUMBER: HttpError = error(400, "Content-Length: expected decimal digits");
 
 /// The headers of one message.
 #[derive(Debug, PartialEq)]
@@ -76,27 +78,24 @@
             .map(|(_, value)| value.trim_ascii())
     }
 
-    /// Returns the value of a header that occurs at most once, as text.
-    ///
-    /// Errors: the header occurs more than once, or is not UTF-8.
+    /// Returns the value of a header as text. Returns an error if the header occurs more than once or is
+    /// not UTF-8.
     pub fn one(&self, name: &'static str) -> Result<Option<&'b str>, HttpError> {
         let Some(value) = self.one_raw(name)? else {
             return Ok(None);
         };
         let text = std::str::from_utf8(value);
         text.map(Some)
-            .map_err(|_| error(400, "a header that is no text"))
+            .map_err(|_| error(400, "header value is not UTF-8"))
     }
 
-    /// Returns the value of a header that occurs at most once, in any encoding.
-    ///
-    /// Errors: the header occurs more than once.
+    /// Returns the bytes of a header's value. Returns an error if the header occurs more than once.
     pub fn one_raw(&self, name: &'static str) -> Result<Option<&'b [u8]>, HttpError> {
         let mut all = self.all(name);
         let first = all.next();
         match all.next() {
             None => Ok(first),
-            Some(_) => Err(error(400, "a header that must stand once stands twice")),
+            Some(_) => Err(error(400, "header occurs twice, expected at most once")),
         }
     }
 
@@ -116,9 +115,9 @@
     pub target: &'b str,
     /// Its headers.
     pub headers: Headers<'b>,
-    /// Its body, without chunks.
+    /// Its body, without the framing of chunks.
     pub body: Cow<'b, [u8]>,
-    /// Whether the client lets the connection stay open.
+    /// Whether the client keeps the connection open for another request.
     pub keep_alive: bool,
 }
 
@@ -129,9 +128,9 @@
     pub status: u16,
     /// Its headers.
     pub headers: Headers<'b>,
-    /// Its body, without chunks.
+    /// Its body, without the framing of chunks.
     pub body: Cow<'b, [u8]>,
-    /// Whether the connection stays open.
+    /// Whether the connection may carry another exchange.
     pub keep_alive: bool,
 }
 
@@ -145,20 +144,20 @@
 fn body_length(headers: &Headers, most: usize) -> Result<BodyLength, HttpError> {
     let length = headers
         .one("content-length")
-        .map_err(|_| error(400, "more than one length"))?;
+        .map_err(|_| error(400, "Content-Length occurs twice or is not UTF-8"))?;
     let mut codings = headers.all("transfer-encoding");
     match (length, codings.next(), codings.next()) {
         (None, None, _) => Ok(BodyLength::None),
-        (Some(_), Some(_), _) => Err(error(400, "both a length and a transfer coding")),
+        (Some(_), Some(_), _) => Err(error(400, "both Content-Length and Transfer-Encoding")),
         (None, Some(coding), None) if coding.eq_ignore_ascii_case(b"chunked") => {
             Ok(BodyLength::Chunked)
         }
-        (None, ..) => Err(error(400, "a transfer coding that is not known here")),
+        (None, ..) => Err(error(400, "Transfer-Encoding: expected chunked alone")),
         (Some(text), ..) => Ok(BodyLength::Bytes(parse_length(text, most)?)),
     }
 }
 
-/// Parses a length of digits alone. Two readers could interpret a sign or a space differently.
+/// Parses a length that consists of digits only: parsers differ in how they treat a sign or a space.
 fn parse_length(text: &str, most: usize) -> Result<usize, HttpError> {
     let is_decimal = !text.is_empty()
         && text.len() <= MAX_LENGTH_DIGITS
@@ -173,7 +172,7 @@
     }
 }
 
-/// Returns the body after the head, and its number of bytes on the wire; None: more bytes must come.
+/// Returns the body that follows the head, and its size on the wire, or `None` if it is incomplete.
 fn body(rest: &[u8], length: BodyLength, most: usize) -> Result<Parsed<Cow<'_, [u8]>>, HttpError> {
     match length {
         BodyLength::None => Ok(Some((Cow::Borrowed(&[]), 0))),
@@ -192,9 +191,9 @@
             return Err(BODY_TOO_LARGE);
         }
         let size = httparse::parse_chunk_size(&rest[at..]);
-        let (size_line, size) = match size.map_err(|_| error(400, "a chunk without a size"))? {
+        let (size_line, size) = match size.map_err(|_| error(400, "chunk size: expected hexadecimal digits"))? {
             httparse::Status::Partial if rest.len() - at > CHUNK_OVERHEAD => {
-                return Err(error(400, "a chunk's size without end"));
+                return Err(error(400, "chunk size line too long"));
             }
             httparse::Status::Partial => return Ok(None),
             httparse::Status::Complete(size) => size,
@@ -214,7 +213,7 @@
         match rest.get(end..end + 2) {
             None => return Ok(None),
             Some(b"\r\n") => at = end + 2,
-            Some(_) => return Err(error(400, "a chunk longer than its size")),
+            Some(_) => return Err(error(400, "chunk not followed by a line end")),
         }
     }
 }
@@ -224,13 +223,14 @@
     match httparse::parse_headers(&rest[at..], &mut headers) {
         Ok(httparse::Status::Complete((used, _))) => Ok(Some((Cow::Owned(body), at + used))),
         Ok(httparse::Status::Partial) if rest.len() - at <= CHUNK_OVERHEAD => Ok(None),
-        _ => Err(error(400, "a trailer that cannot be read")),
+        _ => Err(error(400, "malformed or too long trailer")),
     }
 }
 
 /// Parses a client's request.
 ///
-/// Errors: the response to the client. The connection cannot be used again.
+/// Returns an error, which is the response to the client, if the request is malformed or too large.
+/// The connection cannot be used again after it.
 ///
 /// ```
 /// use grebecleat_platform::http::request;
@@ -250,12 +250,12 @@
     let used = match head.parse(&bytes[..bytes.len().min(MAX_HEAD)]) {
         Ok(httparse::Status::Complete(used)) => used,
         Ok(httparse::Status::Partial) if bytes.len() >= MAX_HEAD => {
-            return Err(error(431, "a head without end"))
+            return Err(error(431, "headers too long"))
         }
         Ok(httparse::Status::Partial) => return Ok(None),
         Err(httparse::Error::TooManyHeaders) => return Err(error(431, "too many headers")),
         Err(httparse::Error::Version) => {
-            return Err(error(400, "a version that is not known here"))
+            return Err(error(400, "unsupported HTTP version"))
         }
         Err(_) => return Err(UNREADABLE_HEAD),
     };
@@ -284,10 +284,10 @@
     version == 1 && !headers.has_token("connection", "close")
 }
 
-/// Parses a response of a node or of discovery, and skips interim heads.
+/// Parses a response of a node or of discovery, and skips interim responses.
 ///
-/// Errors: the response cannot be read, or has no length. A response without a length ends with its
-/// connection, which cannot be distinguished from a broken connection.
+/// Returns an error if the response is malformed, too large, or has no length. The end of a response
+/// without a length is the end of its connection, which cannot be told from a broken connection.
 ///
 /// ```
 /// use grebecleat_platform::http::response;
@@ -301,9 +301,7 @@
     response_up_to(bytes, MAX_ANSWER)
 }
 
-/// Parses a response with a body of at most `max_body` bytes, see [`response`].
-///
-/// Errors: as [`response`].
+/// Parses a response with a body of at most `max_body` bytes. Returns errors as [`response`] does.
 pub fn response_up_to(bytes: &[u8], max_body: usize) -> Result<Parsed<Response<'_>>, HttpError> {
     let mut at = 0;
     for _ in 0..=MAX_INTERIM {
@@ -343,7 +341,7 @@
             at + used + more,
         )));
     }
-    Err(error(502, "interim answers without end"))
+    Err(error(502, "too many interim responses"))
 }
 
 fn reason_phrase(status: u16) -> &'static str {
@@ -362,7 +360,7 @@
     }
 }
 
-/// Appends a response. `headers`: further header lines, each with its line end.
+/// Appends a response. `headers` holds additional header lines, each with its line end.
 pub fn put_response(to: &mut Vec<u8>, status: u16, headers: &str, keep_alive: bool, body: &[u8]) {
     let close = if keep_alive {
         ""
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,11 @@
 //! The host on the users' platform, where clients, nodes and discovery use HTTP/1.1.
 //!
-//! Begin with [`run`], which owns the sockets and the loop around the host's `RequestRouter`. The
-//! scheduler decides about every request, as on every other route into the host. [`http`], [`clients`], [`nodes`]
-//! and [`discovery`] are pure translation, `grebecleat_discovery` orders the calls to discovery,
-//! [`config`] reads the configuration that the platform passes at the start, [`statistics`] composes
-//! the debug line that counts rejections by cause. This package translates the platform's protocol
-//! and settings; no other package knows them.
+//! [`run`] is the entry point: it owns the sockets and the event loop around the host's
+//! `RequestRouter`. The scheduler decides about every request, as it does for the other protocols of
+//! the host. [`http`], [`clients`], [`nodes`] and [`discovery`] translate messages and perform no I/O.
+//! `grebecleat_discovery` decides when to call discovery. [`config`] reads the configuration that the
+//! platform passes at startup. [`statistics`] formats the debug log line that counts rejections by
+//! cause. The platform's protocol and settings are known to this package only.
 
 #![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -1,6 +1,6 @@
-//! Attempts, health checks and their responses, as HTTP.
+//! Encodes attempts and health checks as HTTP requests to nodes, and interprets the responses.
 //!
-//! Pure functions, which `run::owner::send` and `run::node_conn` call.
+//! `run::owner::send` and `run::node_conn` call these functions, which perform no I/O.
 
 use crate::clients::SERVICE;
 use crate::http::Response;
@@ -8,8 +8,8 @@
 use grebecleat_wire::pb;
 use std::io::Write;
 
-/// Appends the attempt as its node reads it. The attempt's `piece` is the head of the client's
-/// request.
+/// Appends the HTTP request of an attempt. The attempt's `piece` holds the request line and headers of
+/// the client's request.
 pub fn put_attempt(to: &mut Vec<u8>, attempt: &pb::Attempt) {
     to.extend_from_slice(&attempt.piece);
     // Writing to memory cannot fail.
@@ -21,13 +21,13 @@
     to.extend_from_slice(&attempt.data);
 }
 
-/// Appends a health check.
+/// Appends the HTTP request of a health check.
 pub fn put_health_check(to: &mut Vec<u8>) {
     let _ = write!(to, "GET /health/live HTTP/1.1\r\nHost: {SERVICE}\r\n\r\n");
 }
 
-/// Returns a measurement in a header. A measurement that cannot be read counts as absent; the
-/// response still counts.
+/// Returns the measurement in a header. A malformed measurement is ignored, and does not make the
+/// response invalid.
 fn measurement(response: &Response, header: &'static str) -> Option<f64> {
     let text = response.headers.one(header).ok().flatten()?;
     text.parse::<f64>()
@@ -35,8 +35,8 @@
         .filter(|value| value.is_finite() && *value >= 0.0)
 }
 
-/// Returns the meaning of a complete response for an attempt. Only a rejection proves that the
-/// attempt never ran.
+/// Returns the result of an attempt from its complete response. Only a rejection proves that the
+/// attempt did not run.
 pub fn attempt_response(attempt: u64, response: &Response) -> pb::AttemptResponse {
     let rejected = matches!(response.headers.one("x-turned-away"), Ok(Some("1")));
     let result = match response.status {
@@ -59,7 +59,8 @@
     }
 }
 
-/// Returns the meaning of a malformed or incomplete response for an attempt: the attempt has run.
+/// Returns the result of an attempt whose response is malformed or incomplete. The attempt counts as
+/// run.
 pub fn failed_attempt_response(attempt: u64) -> pb::AttemptResponse {
     pb::AttemptResponse {
         attempt,
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -1,17 +1,21 @@
-//! The running host on the platform: its sockets, and the loop of the one owner of all state.
+//! Runs the host on the platform: its sockets, and the event loop that owns all state.
 //!
-//! The command line calls [`run`]. One thread owns the host's `RequestRouter` and the order of
-//! things (`owner`). Each connection has one `may` coroutine (`reader`), which reads bytes and
-//! reports them; the owner parses complete messages, and writes the contents of the outboxes at once,
-//! without waiting. `listener` accepts clients; `socket` queries the system about a socket.
+//! The command line calls [`run`]. One thread, the owner (`owner`), holds the host's `RequestRouter`
+//! and processes all events in order. Each connection has one `may` coroutine (`reader`), which reads
+//! bytes and passes them to the owner; the owner parses complete messages, and writes the contents of
+//! the outboxes immediately, without blocking. `listener` accepts clients; `socket` queries the
+//! operating system about a socket.
 //!
-//! Bounds. Descriptors: [`crate::config::Descriptors`] has separate parts for clients and nodes, each
-//! descriptor counts until its socket is closed, and discovery's descriptors are reserved apart from both:
-//! when one part is used up, the others are not affected. How long a client with a request may wait
-//! for a slot: see `eviction`. Memory of a connection: its coroutine's stack, one message that is
-//! being read, the bytes that are being written, and the bytes by which its reader is ahead
-//! (`reader`). Times: no `may` timer is used; the owner's sweep closes connections that are slow,
-//! silent or idle.
+//! File descriptors: [`crate::config::Descriptors`] has separate limits for clients and nodes, and
+//! descriptors for discovery are reserved apart from both. A descriptor counts until its socket is
+//! closed. A limit that is reached does not affect the other kinds of connection. `eviction` says how
+//! long a client with a request may wait for a slot.
+//!
+//! Memory: a connection takes its coroutine's stack, one message that is being read, the bytes that
+//! are being written, and the bytes that its reader has read ahead of the owner (`reader`).
+//!
+//! Timeouts: no `may` timer is used; the owner's sweep closes connections that are slow, silent or
+//! idle.
 
 mod client_conn;
 mod client_ids;
@@ -47,35 +51,36 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Number of coroutine stacks that are retained for new connections. By default, `may` creates a
-/// thousand at the start and touches each of them, which was 8 of the 10 MB of an idle host. Further
-/// stacks are created when they are needed. A larger value costs memory; a smaller one costs
-/// allocations.
+/// Number of coroutine stacks that are kept for new connections. By default, `may` creates a thousand
+/// at startup and touches each of them, which took 8 of the 10 MB of an idle host. Further stacks are
+/// created on demand. A larger value takes more memory; a smaller one costs more allocations.
 const SPARE_STACKS: usize = 32;
 /// Size of a coroutine's stack in words of eight bytes. The coroutines only read and send. A smaller
-/// value overflows; a larger one costs memory.
+/// stack overflows; a larger one takes more memory.
 const STACK_WORDS: usize = 4 << 10;
 /// Size of the signal thread's stack in bytes.
 const SIGNAL_STACK_BYTES: usize = 64 << 10;
-/// Time after which a worker without events polls by itself; see the host's own loop. A larger value
-/// delays a missed wake; a smaller one costs processing time.
+/// Time after which an idle worker polls without an event, as in the host's other event loop. A larger
+/// value prolongs the delay of a missed wake-up; a smaller one costs CPU time.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The options of [`run`].
 pub struct Options {
-    /// The configuration at the start.
+    /// The initial configuration.
     pub config: Config,
-    /// The configuration's file, which is read again on SIGHUP; None: SIGHUP has no effect.
+    /// The configuration file, which is read again on SIGHUP. If it is `None`, SIGHUP has no effect.
     pub file: Option<PathBuf>,
 }
 
-/// Runs the host until SIGTERM has shut it down. `started`: gets the address at which it listens.
+/// Runs the host until SIGTERM or SIGINT has shut it down. Calls `started` with the address at which
+/// it listens.
 ///
-/// Errors: the signals cannot be caught, or the address is in use or does not exist.
+/// Returns an error if the signal handlers cannot be installed, or if the host cannot listen at its
+/// address.
 pub fn run(options: Options, started: impl FnOnce(SocketAddr)) -> io::Result<Counters> {
     configure_coroutines();
     let (to_owner, events) = mpsc::channel();
-    // The signals are caught before a peer can find this host ready.
+    // Signal handlers are installed before a peer can find this host ready.
     forward_signals(to_owner.clone())?;
     let listener = TcpListener::bind(options.config.listen)?;
     let address = listener.local_addr()?;
@@ -97,8 +102,8 @@
         .set_workers(1)
         .set_stack_size(STACK_WORDS)
         .set_timeout_ns(POLL_INTERVAL.as_nanos() as u64);
-    // By default, `may` binds its one worker to the first core, on every host of the machine: a busy
-    // first core would keep all hosts from reading, even if the other cores were idle.
+    // By default, `may` pins its one worker to the first core, in every host process of the machine: a
+    // busy first core would keep all hosts from reading, even if the other cores were idle.
     may::config()
         .set_pool_capacity(SPARE_STACKS)
         .set_worker_pin(false);
--- a/crates/platform/src/run/client_conn.rs
+++ b/crates/platform/src/run/client_conn.rs
@@ -1,8 +1,8 @@
 //! The protocol on a client's connection: one exchange at a time.
 //!
-//! Functions over one [`Connection`], which the owner calls. State: [`ClientState`] of the
-//! connection. No I/O, except that [`is_awaiting`] queries the socket. Bound:
-//! [`MAX_PIPELINED_BYTES`] behind an open exchange.
+//! The owner calls these functions with one [`Connection`], whose [`ClientState`] they change. They
+//! perform no I/O, except that [`is_awaiting`] queries the socket. A client may have sent up to
+//! [`MAX_PIPELINED_BYTES`] after the request of an open exchange.
 
 use super::connection::{
     consume, ClientExchange, ClientState, CloseReason, Connection, Discard, Role,
@@ -14,8 +14,8 @@
 use grebecleat_wire::pb;
 use std::time::Duration;
 
-/// Number of bytes that may wait behind a client's open exchange. A larger value lets clients take
-/// more memory; a smaller one closes clients that send several requests at once.
+/// Maximum number of bytes that a client may send after the request of its open exchange. A larger
+/// value lets clients take more memory; a smaller one closes clients that pipeline requests.
 const MAX_PIPELINED_BYTES: usize = 16 << 10;
 
 /// The result of receiving bytes from a client.
@@ -23,20 +23,20 @@
 pub(super) enum Received {
     /// The bytes are in the read buffer.
     Buffered,
-    /// The client has had its last response; the bytes are dropped.
+    /// The last response to the client was sent, so the bytes are dropped.
     Discarded,
-    /// The connection is to be closed.
+    /// The connection must be closed.
     Close(CloseReason),
 }
 
-/// An exchange that has its final response.
+/// An exchange whose final response was appended to the write buffer.
 pub(super) struct FinishedExchange {
     pub(super) exchange: ClientExchange,
-    /// Whether another request of the client is in the read buffer and may be processed.
+    /// Whether the read buffer holds bytes of a further request that may be processed.
     pub(super) has_next: bool,
 }
 
-/// Takes bytes that came from a client at a time.
+/// Processes bytes that were received from a client at the time `at`.
 pub(super) fn receive(connection: &mut Connection, at: Duration, bytes: &[u8]) -> Received {
     let Role::Client(client) = &mut connection.role else {
         return Received::Discarded;
@@ -67,12 +67,12 @@
     client.exchange.is_none() && client.discard.is_none() && !connection.read_buffer.is_empty()
 }
 
-/// Returns whether the client has not completed an exchange on this connection.
+/// Returns whether no exchange has been completed on this connection yet.
 pub(super) fn is_first_exchange(connection: &Connection, client: &ClientState) -> bool {
     client.since <= connection.opened_at
 }
 
-/// Begins an exchange, whose request is the first `used` bytes of the read buffer.
+/// Begins an exchange whose request is the first `used` bytes of the read buffer.
 pub(super) fn begin_exchange(connection: &mut Connection, exchange: ClientExchange, used: usize) {
     let Role::Client(client) = &mut connection.role else {
         return;
@@ -112,8 +112,8 @@
     put_response(&mut connection.write_buffer, error.status, "", false, text);
 }
 
-/// Appends the final response of the open exchange. `closes_after_answer`: whether responses now end
-/// their connections.
+/// Appends the final response of the open exchange. If `closes_after_answer` is set, the response
+/// announces the close of the connection, unless a pipelined request awaits its own response.
 pub(super) fn finish_exchange(
     connection: &mut Connection,
     response: &pb::Response,
@@ -124,7 +124,7 @@
         return None;
     };
     let exchange = client.exchange.take()?;
-    // A request behind this one has been read, and gets its response too.
+    // A pipelined request that has been read gets its response too.
     let has_pipelined = !connection.read_buffer.is_empty();
     let keep_alive = exchange.keep_alive && (!closes_after_answer || has_pipelined);
     client.since = now;
@@ -138,13 +138,13 @@
     })
 }
 
-/// Returns whether a client still awaits a response, or the processing of its bytes.
+/// Returns whether a client still awaits a response, or has sent bytes that are not processed yet.
 pub(super) fn is_awaiting(connection: &Connection, now: Duration) -> bool {
     let Role::Client(client) = &connection.role else {
         return false;
     };
     if client.discard.is_some() {
-        // A connection that ends with unread bytes is reset, and its response is lost.
+        // Closing a socket with unread bytes resets the connection, and the response is lost.
         return connection.has_unwritten() || pending_input(connection.fd) == PendingInput::Bytes;
     }
     let has_begun = client.exchange.is_some()
--- a/crates/platform/src/run/client_ids.rs
+++ b/crates/platform/src/run/client_ids.rs
@@ -1,20 +1,20 @@
 //! The ids of clients' requests that are in use.
 //!
-//! State: the ids of open requests. An id becomes free once no attempt of its request is
-//! outstanding. Before that, a node could receive the id of an attempt that it runs, and take the
-//! new request for a hedged one. Bound: the open requests and the outstanding attempts.
+//! An id becomes free once no attempt of its request is outstanding. If it became free earlier, a node
+//! could receive a new request with the id of an attempt that it is still running, and treat it as a
+//! hedged attempt. The number of ids is bounded by the open requests and the outstanding attempts.
 
 use super::connection::ClientExchange;
 use bytes::Bytes;
 use std::collections::HashSet;
 
-/// A request whose client has left or has its response, and of which an attempt is outstanding.
+/// A request that has ended for its client while an attempt of it is outstanding.
 struct Lingering {
     client_id: String,
     request_id: Bytes,
 }
 
-/// Ids of open requests, as the clients sent them.
+/// The ids of requests in use, as the clients sent them.
 #[derive(Default)]
 pub(super) struct ClientIds {
     in_use: HashSet<String>,
@@ -32,8 +32,8 @@
         self.in_use.insert(client_id);
     }
 
-    /// Frees the id of an exchange that has ended for its client. `is_open`: whether an attempt of
-    /// its request is outstanding; the id then stays in use.
+    /// Frees the id of an exchange that has ended for its client. If `is_open` is set, an attempt of
+    /// its request is outstanding, and the id stays in use.
     pub(super) fn release(&mut self, exchange: ClientExchange, is_open: bool) {
         if is_open {
             self.lingering.push(Lingering {
--- a/crates/platform/src/run/connection.rs
+++ b/crates/platform/src/run/connection.rs
@@ -1,8 +1,8 @@
 //! The state of one connection.
 //!
 //! [`super::connection_table`] owns the connections; the protocols ([`super::client_conn`],
-//! [`super::node_conn`]) change the state of one connection. No I/O. Bounds: one message that is
-//! being read and one that is being written for each connection.
+//! [`super::node_conn`]) change the state of one connection. This module performs no I/O. A connection
+//! buffers one message that is being read and one that is being written.
 
 use super::reader::ReadGate;
 use bytes::Bytes;
@@ -12,35 +12,35 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after an error for which the client's further bytes are dropped. A smaller value loses the
-/// error to a reset; a larger one lets rejected clients occupy slots.
+/// Time after the last response for which further bytes of the client are read and dropped. With a
+/// smaller value, a reset may destroy the response; a larger one lets rejected clients occupy slots.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
-/// Number of the client's bytes that are dropped after an error. Smaller and larger values: as
-/// above.
+/// Maximum number of bytes of a client that are read and dropped after the last response. With a
+/// smaller value, a reset may destroy the response; a larger one lets rejected clients send more.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
-/// A request of a client that awaits its final answer.
+/// A request of a client that awaits its final response.
 #[derive(Debug)]
 pub(super) struct ClientExchange {
     /// The id that the client sent.
     pub(super) client_id: String,
     /// The id that this host assigned.
     pub(super) request_id: Bytes,
-    /// Whether the client lets the connection stay open.
+    /// Whether the client keeps the connection open for another request.
     pub(super) keep_alive: bool,
 }
 
-/// The bound on dropping the bytes of a client that has had its last response.
+/// The limits on dropping the bytes of a client after its last response.
 #[derive(Debug)]
 pub(super) struct Discard {
     /// When the connection is closed.
     pub(super) until: Duration,
-    /// Number of further bytes after which the connection is closed.
+    /// Number of further bytes to drop before the connection is closed.
     pub(super) bytes_left: usize,
 }
 
 impl Discard {
-    /// Returns the bound for a client whose last response was composed at `now`.
+    /// Returns the limits for a client whose last response was composed at `now`.
     pub(super) fn from(now: Duration) -> Self {
         Discard {
             until: now + DISCARD_TIMEOUT,
@@ -55,9 +55,9 @@
     pub(super) exchange: Option<ClientExchange>,
     /// Whether the client has sent anything.
     pub(super) has_sent: bool,
-    /// When the current exchange began, or when the connection became idle.
+    /// When the client began to send the current request, or when the connection became idle.
     pub(super) since: Duration,
-    /// Present once the client has had its last response.
+    /// Set once the last response to the client was composed.
     pub(super) discard: Option<Discard>,
 }
 
@@ -83,32 +83,32 @@
     HealthCheck(u64),
 }
 
-/// Why the owner closes a connection; for the log.
+/// Why the owner closes a connection. The variants' names appear in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CloseReason {
-    /// Its peer has ended or reset it.
+    /// The peer has closed or reset it.
     PeerClosed,
-    /// The socket takes no more bytes.
+    /// Writing to the socket failed.
     WriteFailed,
     /// The router has closed it: an attempt on it has ended, it was idle, or discovery moved.
     ClosedByRouter,
-    /// The awaited bytes have not come in time.
+    /// The awaited bytes were not received in time.
     TimedOut,
-    /// It awaited nothing, and was idle for too long or occupied a slot that others need.
+    /// It was idle for too long, or it was idle and occupied a slot that others need.
     Idle,
-    /// Its last response announced the close.
+    /// The last response on it was sent or received.
     AnsweredLast,
-    /// Its peer has sent bytes that belong to no request.
+    /// The peer has sent bytes that are no response to a request, or ended the connection.
     UnexpectedBytes,
-    /// Its peer's response cannot be read, is no success, or will never be complete.
+    /// The peer's response is malformed, is not a success, or will never be complete.
     BadAnswer,
-    /// Its client had left before its request could be sent.
+    /// The client had closed the connection before its request could be sent.
     ClientDeparted,
-    /// Its client sends more bytes than may wait.
+    /// The client has sent too many bytes after the request of its open exchange.
     TooMuchPipelined,
 }
 
-/// The peer at the other end, and the state of the protocol with it.
+/// The kind of peer, and the state of the protocol with it.
 pub(super) enum Role {
     Client(ClientState),
     Node(NodeExchange),
@@ -123,10 +123,10 @@
     pub(super) outbox: Arc<Outbox>,
     pub(super) read_buffer: Vec<u8>,
     pub(super) write_buffer: Vec<u8>,
-    /// Bytes of the write buffer that the socket has taken.
+    /// Number of bytes of the write buffer that the socket has accepted.
     pub(super) written: usize,
     pub(super) opened_at: Duration,
-    /// When the last bytes came into the read buffer.
+    /// When bytes of a node were last added to the read buffer.
     pub(super) last_read_at: Duration,
 }
 
@@ -142,7 +142,7 @@
 }
 
 impl Connection {
-    /// Returns whether the socket has yet to take bytes of the write buffer.
+    /// Returns whether the socket has not accepted all bytes of the write buffer yet.
     pub(super) fn has_unwritten(&self) -> bool {
         self.written < self.write_buffer.len()
     }
@@ -173,7 +173,7 @@
     }
 }
 
-/// Removes the first `used` bytes, and frees the memory once nothing is left.
+/// Removes the first `used` bytes, and frees the memory if no bytes are left.
 pub(super) fn consume(buffer: &mut Vec<u8>, used: usize) {
     if used >= buffer.len() {
         *buffer = Vec::new();
--- a/crates/platform/src/run/connection_table.rs
+++ b/crates/platform/src/run/connection_table.rs
@@ -1,8 +1,8 @@
-//! The open connections, and what their sockets have yet to do.
+//! The open connections, and the pending writes and closes of their sockets.
 //!
-//! The owner calls [`ConnectionTable`]. State: every open connection, the closed connections whose
-//! readers have yet to end, the connections whose outboxes have changed, and the connections whose
-//! sockets did not take all bytes. Bound: the descriptors.
+//! The owner holds the [`ConnectionTable`]: every open connection, the closed connections whose readers
+//! have not ended yet, the connections whose outboxes have changed, and the connections whose sockets
+//! did not accept all bytes. The limits on file descriptors bound its size.
 
 use super::connection::{consume, ClientState, CloseReason, Connection, Role};
 use super::reader::ReadGate;
@@ -18,11 +18,11 @@
 /// The result of writing a connection's write buffer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteOutcome {
-    /// The socket has taken all bytes.
+    /// The socket has accepted all bytes.
     Complete,
-    /// The socket takes no more bytes now, or the connection is closed.
+    /// The socket accepts no more bytes now, or the connection is closed.
     Blocked,
-    /// The socket takes no more bytes at all.
+    /// The socket has an error and accepts no more bytes.
     Failed,
 }
 
@@ -30,11 +30,11 @@
 #[derive(Default)]
 pub(super) struct ConnectionTable {
     open: BTreeMap<ConnId, Connection>,
-    /// Closed by this process; their readers have yet to end.
+    /// Connections closed by this process whose readers have not ended yet.
     closing: BTreeSet<ConnId>,
     /// Connections whose outboxes have changed.
     changed_outboxes: Arc<Mutex<Vec<ConnId>>>,
-    /// Connections whose sockets did not take all bytes.
+    /// Connections whose sockets did not accept all bytes.
     blocked: BTreeSet<ConnId>,
 }
 
@@ -53,7 +53,8 @@
             let mut changed = changed.lock().unwrap_or_else(|error| error.into_inner());
             changed.push(conn);
         };
-        // Closing notifies as well, and no coroutine waits in the socket.
+        // The second callback, for a close, does nothing: closing calls `notify` as well, and no
+        // coroutine blocks on the socket.
         let outbox = Arc::new(Outbox::new(notify, || ()));
         let connection = Connection {
             role,
@@ -87,8 +88,8 @@
             .map(|(conn, connection)| (*conn, connection))
     }
 
-    /// Closes a connection; its reader ends, and with it the descriptor. Returns the connection, if
-    /// it was open.
+    /// Closes a connection, if it is open, and returns it. Its reader then ends, which frees the
+    /// descriptor.
     pub(super) fn close(
         &mut self,
         conn: ConnId,
@@ -100,7 +101,8 @@
         let open_ms = now.saturating_sub(connection.opened_at).as_millis();
         debug!(conn = conn.0, peer, ?reason, open_ms, "connection closed");
         self.blocked.remove(&conn);
-        // SAFETY: the number is its own until `OwnerEvent::Ended` has brought the stream.
+        // SAFETY: the descriptor belongs to this connection until `OwnerEvent::Ended` has returned the
+        // stream.
         unsafe { libc::shutdown(connection.fd, libc::SHUT_RDWR) };
         connection.gate.close();
         self.closing.insert(conn);
@@ -113,13 +115,13 @@
         self.closing.remove(&conn)
     }
 
-    /// Returns whether a socket did not take all bytes.
+    /// Returns whether any socket did not accept all bytes.
     pub(super) fn has_blocked(&self) -> bool {
         !self.blocked.is_empty()
     }
 
     /// Returns the connections that may have something to write: those with a changed outbox, then
-    /// those with a socket that did not take all bytes.
+    /// those with a socket that did not accept all bytes.
     pub(super) fn take_writable(&mut self) -> Vec<ConnId> {
         let mut changed = self
             .changed_outboxes
@@ -130,7 +132,7 @@
         writable
     }
 
-    /// Returns the bytes of nodes' responses that are not complete yet.
+    /// Returns the number of buffered bytes of incomplete responses from nodes.
     pub(super) fn unread_node_bytes(&self) -> usize {
         let nodes = self
             .open
@@ -139,7 +141,7 @@
         nodes.map(|connection| connection.read_buffer.len()).sum()
     }
 
-    /// Writes the write buffer of a connection without waiting.
+    /// Writes the write buffer of a connection without blocking.
     pub(super) fn write(&mut self, conn: ConnId) -> WriteOutcome {
         let Some(connection) = self.open.get_mut(&conn) else {
             return WriteOutcome::Blocked;
@@ -147,8 +149,8 @@
         while connection.has_unwritten() {
             let rest = &connection.write_buffer[connection.written..];
             let flags = libc::MSG_DONTWAIT | libc::MSG_NOSIGNAL;
-            // SAFETY: the pointer and the length are of one live slice; the number is still its
-            // own.
+            // SAFETY: the pointer and the length are of one live slice; the connection is open, so the
+            // descriptor is its own.
             let sent =
                 unsafe { libc::send(connection.fd, rest.as_ptr().cast(), rest.len(), flags) };
             if let Ok(sent) = usize::try_from(sent) {
@@ -171,7 +173,7 @@
                 discard: Some(_), ..
             }) = connection.role
             {
-                // SAFETY: the number is still its own.
+                // SAFETY: the connection is open, so the descriptor is its own.
                 unsafe { libc::shutdown(connection.fd, libc::SHUT_WR) };
             }
         }
--- a/crates/platform/src/run/dials.rs
+++ b/crates/platform/src/run/dials.rs
@@ -1,8 +1,7 @@
-//! Dials to nodes and to discovery, without waiting.
+//! Non-blocking dials to nodes and to discovery.
 //!
-//! The owner calls [`Dialer`]. State: the dials without an outcome, the dials that wait for a
-//! descriptor, and the connections to nodes that have a descriptor. Bound: the nodes' part of the
-//! descriptors.
+//! The owner holds the [`Dialer`]: the pending dials, the dials that wait for a file descriptor, and
+//! the connections to nodes that have a descriptor, whose number is limited.
 
 use super::connection::DialTarget;
 use grebecleat_host::router::ConnId;
@@ -13,13 +12,13 @@
 use std::os::fd::AsRawFd;
 use std::time::Duration;
 
-/// Size in bytes of the system's send buffer of a connection to a node, which holds what the node
-/// has not read yet. These bytes cannot be taken back when a client leaves, and are sent whenever
-/// the node reads again; bytes in this process can be taken back. A larger buffer sends more work of
-/// clients that have left. Harm: a large request takes several writes.
+/// Size in bytes of the kernel's send buffer of a connection to a node. Bytes in that buffer are sent
+/// even if their client has left meanwhile; bytes in this process's buffers can still be discarded. A
+/// larger buffer sends more requests of clients that have left; with a smaller one, large requests
+/// take more writes.
 const NODE_SEND_BUFFER: usize = 16 << 10;
 
-/// A dial without an outcome.
+/// A dial that has neither succeeded nor failed yet.
 struct PendingDial {
     conn: ConnId,
     socket: Socket,
@@ -28,7 +27,7 @@
     target: DialTarget,
 }
 
-/// A dial to a node that waits for a descriptor.
+/// A dial to a node that waits for a file descriptor.
 struct QueuedDial {
     conn: ConnId,
     address: SocketAddr,
@@ -40,7 +39,7 @@
 pub(super) struct DialOutcome {
     pub(super) conn: ConnId,
     pub(super) target: DialTarget,
-    /// The open connection; None: the dial has failed.
+    /// The connected socket, or `None` if the dial has failed.
     pub(super) socket: Option<Socket>,
 }
 
@@ -56,22 +55,23 @@
 
 /// Dials nodes and discovery.
 ///
-/// The router stops counting a connection to a node when it gives the connection up, and the
-/// descriptor becomes free a little later. Many connections that end together, with as many dials in
-/// their place, would take the descriptors of all others, and discovery or a client would find none.
-/// Dials beyond the nodes' part of the descriptors therefore wait for the first one that becomes
-/// free, within the timeout of the dial. Discovery has at most one open connection, one from before
-/// a move and one dial, for which descriptors are reserved: its dial starts as soon as the
-/// scheduler requests it. Harm: an attempt may wait for a queued dial; it is swept like an attempt
+/// The router stops counting a connection to a node when it closes the connection, and the descriptor
+/// becomes free a little later. If many connections ended together and were replaced at once, their
+/// dials could therefore exhaust the descriptors, with none left for discovery or clients. So a dial
+/// beyond the limit on the nodes' descriptors waits until one becomes free, at most for the timeout of
+/// the dial. The cost is that an attempt may wait for a queued dial; it is revoked like an attempt
 /// that waits for a slow dial.
+///
+/// Discovery has at most one open connection, one to its previous address and one dial. Descriptors
+/// are reserved for these, so its dial starts as soon as the scheduler requests it.
 pub(super) struct Dialer {
     timeout: Duration,
-    /// The nodes' part of the descriptors.
+    /// Maximum number of descriptors for connections to nodes.
     max_node_descriptors: usize,
     pending: Vec<PendingDial>,
     queued: VecDeque<QueuedDial>,
-    /// Connections to nodes that have a descriptor: being dialled, open, or closed with a reader
-    /// that has yet to end.
+    /// Connections to nodes that have a descriptor: those being dialled, those open, and those closed
+    /// whose reader has not ended yet.
     node_descriptors: BTreeSet<ConnId>,
 }
 
@@ -91,7 +91,7 @@
         self.pending.is_empty() && self.queued.is_empty()
     }
 
-    /// Starts a dial, or queues it; returns its outcome if it fails at once.
+    /// Starts a dial, or queues it. Returns its outcome if it fails immediately.
     pub(super) fn dial(
         &mut self,
         now: Duration,
@@ -101,7 +101,7 @@
     ) -> Option<DialOutcome> {
         let deadline = now + self.timeout;
         if target == DialTarget::Discovery {
-            // Only the last dial counts: a discovery that moves often leaves no dials behind.
+            // A new dial replaces the pending one, so frequent address changes leave no dials behind.
             self.pending
                 .retain(|dial| dial.target != DialTarget::Discovery);
         } else if self.node_descriptors.len() >= self.max_node_descriptors {
@@ -115,7 +115,8 @@
         self.connect(conn, address, target, deadline)
     }
 
-    /// Starts queued dials that have a descriptor by now, and returns the outcomes of dials.
+    /// Starts queued dials for which a descriptor is free, and returns the outcomes of the dials that
+    /// have ended.
     pub(super) fn check(&mut self, now: Duration) -> Vec<DialOutcome> {
         let mut outcomes = Vec::new();
         self.start_queued(now, &mut outcomes);
@@ -147,8 +148,9 @@
         self.node_descriptors.remove(&conn);
     }
 
-    /// Starts a dial without waiting. On this machine and near it, a dial succeeds or fails at once;
-    /// any other dial is checked again.
+    /// Starts a dial without blocking. Returns an outcome only if the dial fails to start;
+    /// [`Dialer::check`] returns the others. A dial on this machine or to a near one has ended by the
+    /// first check; any other dial is checked again.
     fn connect(
         &mut self,
         conn: ConnId,
@@ -192,17 +194,17 @@
 
 #[cfg(test)]
 impl Dialer {
-    /// Number of dials without an outcome.
+    /// Number of pending dials.
     pub(super) fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
-    /// Number of dials that wait for a descriptor.
+    /// Number of dials that wait for a file descriptor.
     pub(super) fn queued_count(&self) -> usize {
         self.queued.len()
     }
 
-    /// The pending dials to discovery.
+    /// Connection numbers of the pending dials to discovery.
     pub(super) fn discovery_dials(&self) -> Vec<u64> {
         let dials = self.pending.iter();
         dials
@@ -229,7 +231,7 @@
     socket.set_nonblocking(true)?;
     socket.set_nodelay(true)?;
     if target == DialTarget::Node {
-        // If the system refuses this size, its own size serves.
+        // If the kernel rejects this size, its default applies.
         let _ = socket.set_send_buffer_size(NODE_SEND_BUFFER);
     }
     match socket.connect(&address.into()) {
@@ -238,7 +240,7 @@
     }
 }
 
-/// Returns, for each dial in order, whether its socket has an event.
+/// Returns, for each dial in order, whether it has succeeded or failed.
 fn poll_dials(dials: &[PendingDial]) -> Vec<bool> {
     let mut polled = Vec::with_capacity(dials.len());
     for dial in dials {
--- a/crates/platform/src/run/discovery_port.rs
+++ b/crates/platform/src/run/discovery_port.rs
@@ -1,8 +1,9 @@
 //! The protocol on the connections to discovery, and the host's readiness.
 //!
-//! The owner calls [`DiscoveryPort`]. State: the calls ([`LongPolling`], which decides about them),
-//! the numbers of the names that discovery has listed, whether discovery has responded since the
-//! start, and whether there was an endpoint list from before the start. No I/O and no clock.
+//! The owner holds the [`DiscoveryPort`]: the outstanding calls ([`LongPolling`], which decides when to
+//! call), the numbers of the names that discovery has listed, whether discovery has responded since
+//! the start, and whether the configuration held a cached endpoint list. This module performs no
+//! network I/O.
 
 use super::wall_clock::unix_ms;
 use crate::discovery::{DiscoveryError, EndpointNames, ReadEndpoints};
@@ -14,19 +15,18 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// The status with which discovery refuses a call that would be queued, or has been queued, for too
-/// long.
+/// The status with which discovery refuses a call that would be queued for too long, or has been.
 const TOO_MANY_CALLERS: u16 = 503;
 
 /// A complete response of discovery.
 pub(super) struct DiscoveryResponse {
     pub(super) endpoints: ReadEndpoints,
-    /// Whether another call may follow on the connection.
+    /// Whether the connection may carry another call.
     keep_alive: bool,
 }
 
 impl DiscoveryResponse {
-    /// Returns the facts that decide about the next call.
+    /// Returns the properties of the response that determine the next call.
     pub(super) fn summary(&self) -> Response {
         let list = &self.endpoints.list;
         Response {
@@ -53,7 +53,7 @@
 }
 
 impl DiscoveryPort {
-    /// `poll_interval`: how often the settings require a poll.
+    /// `poll_interval` is the longest time between two polls that the settings allow.
     pub(super) fn new(address: SocketAddr, poll_interval: Duration) -> Self {
         DiscoveryPort {
             polling: LongPolling::new(address, poll_interval),
@@ -73,24 +73,22 @@
         self.polling.outstanding(PollConn(conn.0))
     }
 
-    /// Returns whether there was an endpoint list from before the start.
+    /// Returns whether the configuration held a cached endpoint list with at least one endpoint.
     pub(super) fn has_cached_list(&self) -> bool {
         self.has_cached_list
     }
 
     /// Returns whether clients may send requests to this host.
     ///
-    /// A host with a cached endpoint list is ready at once: a host must know a change only a term
-    /// after discovery can be reached, and discovery may be down or have too many callers just when
-    /// most hosts start. A host without a list would reject every request, so it waits for the
-    /// list. Harm: requests to nodes that are gone find no connection.
+    /// A host with a cached endpoint list is ready immediately: it must know a change only a term after
+    /// discovery becomes reachable, and discovery may be down or overloaded just when most hosts start.
+    /// The cost is that requests may go to nodes that are gone, whose dials fail. A host without a
+    /// cached list would reject every request, so it waits for the list.
     pub(super) fn is_ready(&self) -> bool {
         self.has_response || self.has_cached_list
     }
 
-    /// Reads the endpoint list from before the start.
-    ///
-    /// Errors: the list cannot be read.
+    /// Reads the cached endpoint list.
     pub(super) fn read_cached(
         &mut self,
         now: Duration,
@@ -108,9 +106,8 @@
         Ok(read.list)
     }
 
-    /// Reads a response; None: more bytes must come.
-    ///
-    /// Errors: the response is not the list.
+    /// Parses a response. Returns `None` if it is incomplete, and an error if it is not an endpoint
+    /// list.
     pub(super) fn read_response(
         &mut self,
         bytes: &[u8],
@@ -129,7 +126,7 @@
         }))
     }
 
-    /// Steps the calls, see [`LongPolling::step`].
+    /// Processes an event and returns the actions to perform, see [`LongPolling::step`].
     pub(super) fn step(&mut self, now: Duration, event: Event) -> Vec<Action> {
         self.polling.step(now, event)
     }
--- a/crates/platform/src/run/eviction.rs
+++ b/crates/platform/src/run/eviction.rs
@@ -1,18 +1,21 @@
-//! Clients' connections that are closed so that other clients find a slot.
+//! Selects clients' connections to close, so that other clients get a slot.
 //!
-//! The owner asks for the candidates when the listener reports that it has no slot, and at each
-//! sweep, and closes them. State: none.
+//! The owner requests the candidates and closes them when the listener reports that all slots are in
+//! use, and at each sweep while the listener waits for a slot.
 //!
-//! How long a client with a request waits for a slot. The clients before it in the listener's queue
-//! came before it. Once it has waited for [`NEW_CLIENT_GRACE`], all of them are older than that, and
-//! the owner closes each of them that is silent at the check that follows its being accepted: from
-//! the next sweep on, the queue moves as fast as the host accepts and closes, however many clients
-//! are in it, and a client that dials again is queued last. If the age counted from being accepted,
-//! each round of as many clients as there are slots would cost that time again. Only a client that
-//! has sent something occupies a slot for longer: by an open request until its deadline, by a
-//! response that it does not read within the sweep's timeout, or by half a request within the
-//! sweep's timeout. Harm: the request of a slow client may cross the close, and the client connects
-//! again.
+//! # How long a client with a request waits for a slot
+//!
+//! All clients ahead of it in the listener's queue connected earlier. Once it has waited for
+//! [`NEW_CLIENT_GRACE`], all of them are older than that, and the owner closes each silent one at the
+//! first check after accepting it. From the next sweep on, the queue therefore advances as fast as the
+//! host accepts and closes connections, however long it is; a client that dials again goes to its end.
+//! If the age counted from accepting the client, each batch of as many clients as there are slots
+//! would take that time again.
+//!
+//! Only a client that has sent something occupies a slot for longer: with an open request until its
+//! deadline, and with a response that it does not read or a request that it does not complete until
+//! the sweep's timeout. The cost is that a slow client may send its request while its connection is
+//! being closed, and must connect again.
 
 use super::connection::{ClientState, Connection, Role};
 use super::connection_table::ConnectionTable;
@@ -22,11 +25,12 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-/// One eviction closes this fraction of the slots at most, since each closing costs a check of all
-/// connections. A larger value closes more at once; a smaller one delays the others.
+/// One eviction closes one connection, and one more for each this many slots, since each eviction
+/// checks all connections. A larger value closes fewer connections at once, so that waiting clients
+/// are delayed; a smaller one closes more connections than needed.
 const SLOTS_PER_EVICTION: usize = 16;
 
-/// How readily a connection is closed; lower classes go first.
+/// The priority with which a connection is closed: lower classes are closed first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionClass {
     /// Its last response was an error.
@@ -36,7 +40,7 @@
     /// Idle for longer than the idle timeout.
     LongIdle,
     Idle,
-    /// Part of a request has come: it stays.
+    /// Part of a request was received, so the connection is kept.
     Receiving,
 }
 
@@ -47,13 +51,13 @@
     idle: Duration,
 }
 
-/// Returns how many connections one eviction may close. A few at a time suffice.
+/// Returns the maximum number of connections that one eviction closes.
 pub(super) fn max_closings(slots: usize) -> usize {
     1 + slots / SLOTS_PER_EVICTION
 }
 
-/// Returns the candidates: the most readily closed class first, and within a class the connection
-/// that has been idle the longest.
+/// Returns the candidates in the order in which they are closed: by class, and within a class the
+/// connection that has been idle the longest first.
 pub(super) fn candidates(connections: &ConnectionTable, now: Duration) -> Vec<Candidate> {
     let mut candidates = Vec::new();
     for (conn, connection) in connections.iter() {
@@ -69,7 +73,7 @@
     candidates
 }
 
-/// Returns by how much the clients that have sent requests and keep connections exceed `max`.
+/// Returns by how much the number of clients that have sent requests and stay connected exceeds `max`.
 pub(super) fn excess_idle_clients(connections: &ConnectionTable, max: usize) -> usize {
     let staying = connections.iter().filter(
         |(_, connection)| matches!(&connection.role, Role::Client(client) if may_stay(client)),
@@ -79,9 +83,10 @@
 
 /// Returns the idle clients that have sent requests, the one idle the longest first.
 ///
-/// If more clients keep connections than may, the owner closes these in this order: a client that
-/// sends again and again is among the last. This guards against many clients that send once and
-/// stay, and keep others out. Harm: if very many clients take turns, each of them dials again.
+/// If more clients stay connected than the limit allows, the owner closes them in this order, so that
+/// a client that sends frequently is among the last. Otherwise, many clients that send once and stay
+/// connected would keep other clients out. The cost is that if very many clients send in turn, each of
+/// them must dial again.
 pub(super) fn idle_clients(connections: &ConnectionTable) -> Vec<ConnId> {
     let mut idle: Vec<(Duration, ConnId)> = Vec::new();
     for (conn, connection) in connections.iter() {
@@ -100,7 +105,7 @@
     idle.into_iter().map(|(_, conn)| conn).collect()
 }
 
-/// Returns how readily the connection is closed; None: it stays.
+/// Returns the class of a client's connection, or `None` if it must not be closed.
 fn eviction_class(
     connection: &Connection,
     client: &ClientState,
@@ -130,7 +135,7 @@
     Some(EvictionClass::Receiving)
 }
 
-/// Returns whether the client has sent something, and may send more.
+/// Returns whether the client has sent something, and has not had its last response.
 fn may_stay(client: &ClientState) -> bool {
     client.has_sent && client.discard.is_none()
 }
--- a/crates/platform/src/run/listener.rs
+++ b/crates/platform/src/run/listener.rs
@@ -1,8 +1,7 @@
-//! The coroutine that accepts clients, as many as have a descriptor, and the owner's handle on it.
+//! The coroutine that accepts clients while a slot is free, and the owner's handle on it.
 //!
-//! State that the coroutine shares with the owner: [`ClientSlots`]. If no slot is free, the
-//! coroutine reports it and waits until the owner wakes it; clients then wait in the listener's
-//! queue.
+//! The coroutine and the owner share [`ClientSlots`]. If no slot is free, the coroutine reports it and
+//! waits until the owner wakes it; meanwhile, clients wait in the listening socket's queue.
 
 use super::reader::{start_reader, OwnerEvent, ReadGate};
 use super::socket::has_connection_queued;
@@ -14,19 +13,19 @@
 use std::sync::mpsc::Sender;
 use std::sync::Arc;
 
-/// Connections up to this number are dialled by the router; connections above it are accepted. A
-/// smaller value lets the numbers of the two kinds meet.
+/// Connections up to this number are dialled by the router; connections above it are accepted. With a
+/// smaller value, a host that runs for long could use the same number for both kinds.
 pub(super) const LAST_DIALED_CONN: u64 = 1 << 48;
 
-/// The number of client connections, which the listener and the owner share.
+/// The slots for client connections, which the listener and the owner share.
 pub(super) struct ClientSlots {
-    /// Accepted connections whose socket is not closed yet.
+    /// Number of accepted connections whose socket is not closed yet.
     used: AtomicUsize,
-    /// The largest number of them.
+    /// Maximum number of such connections.
     limit: usize,
     /// Wakes a listener that waits for a slot.
     wake: Semphore,
-    /// Whether the listener ends.
+    /// Whether the listener must end.
     is_stopped: AtomicBool,
 }
 
@@ -50,7 +49,7 @@
 }
 
 impl ListenerHandle {
-    /// `fd`: of the listener, which stays open in its coroutine until [`ListenerHandle::close`].
+    /// `fd` is the listening socket, which its coroutine keeps open until [`ListenerHandle::close`].
     pub(super) fn new(slots: Arc<ClientSlots>, fd: RawFd) -> Self {
         ListenerHandle {
             slots,
@@ -59,7 +58,7 @@
         }
     }
 
-    /// Returns the largest number of client connections.
+    /// Returns the maximum number of client connections.
     pub(super) fn limit(&self) -> usize {
         self.slots.limit
     }
@@ -87,7 +86,7 @@
         self.slots.wake.post();
     }
 
-    /// Returns whether a client waits in the listener's queue.
+    /// Returns whether a client waits in the listening socket's queue.
     pub(super) fn has_connection_queued(&self) -> bool {
         has_connection_queued(self.fd)
     }
@@ -95,7 +94,7 @@
     /// Closes the listener.
     pub(super) fn close(&self) {
         self.slots.is_stopped.store(true, Ordering::Release);
-        // SAFETY: the listener lives in its coroutine until it sees this.
+        // SAFETY: the coroutine keeps the socket open until it sees `is_stopped`.
         unsafe { libc::shutdown(self.fd, libc::SHUT_RDWR) };
         self.wake();
     }
@@ -127,8 +126,8 @@
                 }
                 start_reader(stream, conn, gate, to_owner.clone());
             }
-            // No descriptor is free, or the client has left already: the owner's next sweep wakes
-            // this coroutine.
+            // No descriptor is free, or the client has left already. The owner's next sweep wakes this
+            // coroutine.
             Err(_) => {
                 let _ = to_owner.send(OwnerEvent::SlotsExhausted);
                 slots.wake.wait();
--- a/crates/platform/src/run/log_limiter.rs
+++ b/crates/platform/src/run/log_limiter.rs
@@ -1,15 +1,15 @@
-//! A bound on the lines of the log that peers or a bad configuration can cause. No clock of its own.
+//! Limits the rate of log lines that peers or an invalid configuration can cause.
 
 use std::time::Duration;
 use tracing::warn;
 
-/// The largest number of lines in one interval; further lines are counted. A larger value lets a
-/// peer fill the log; a smaller one hides causes.
+/// Maximum number of lines in one interval; further lines are counted only. A larger value lets a peer
+/// flood the log; a smaller one hides causes of faults.
 const MAX_LINES: u32 = 20;
 /// Length of an interval.
 const INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Counts the lines of the current interval.
+/// Counts the log lines of the current interval.
 #[derive(Debug)]
 pub(super) struct LogLimiter {
     since: Duration,
--- a/crates/platform/src/run/node_conn.rs
+++ b/crates/platform/src/run/node_conn.rs
@@ -1,8 +1,8 @@
 //! The protocol on a node's connection: responses to attempts and health checks, one exchange at a
 //! time.
 //!
-//! Functions over one [`Connection`], which the owner calls. State: [`NodeExchange`] of the
-//! connection. No I/O.
+//! The owner calls these functions with one [`Connection`], whose [`NodeExchange`] they change. They
+//! perform no I/O.
 
 use super::connection::{CloseReason, Connection, NodeExchange, Role};
 use crate::http;
@@ -11,7 +11,7 @@
 use grebecleat_wire::pb::{self, frame::Body};
 use tracing::debug;
 
-/// The status that stands for a response that cannot be read.
+/// The status that replaces the one of a malformed response.
 const BAD_GATEWAY: u16 = 502;
 
 /// A complete response of a node.
@@ -21,15 +21,15 @@
     pub(super) is_last: bool,
 }
 
-/// Why a node's bytes are no response.
+/// Why the bytes of a node cannot be treated as a response.
 pub(super) enum AnswerError {
-    /// They belong to no request. The router learns only that the connection is lost.
+    /// They are no response to the open exchange. The router is told only that the connection is lost.
     Unexpected,
-    /// They cannot be read.
+    /// They are not a valid response.
     Malformed,
 }
 
-/// Reads a response; None: more bytes must come.
+/// Parses the response to the open exchange. Returns `None` if it is incomplete.
 pub(super) fn read_answer(
     conn: ConnId,
     connection: &Connection,
@@ -55,8 +55,8 @@
         }
     };
     let is_partly_sent = connection.has_unwritten();
-    // A response to an attempt that has not been sent completely belongs to another attempt, unless
-    // it is a rejection.
+    // A node may reject an attempt before it has received all of it. Any other response to an attempt
+    // that has not been sent completely belongs to another attempt.
     if is_partly_sent && !is_rejection(&body) {
         return Err(AnswerError::Unexpected);
     }
@@ -67,10 +67,11 @@
     }))
 }
 
-/// Returns the response that stands for a malformed one, which never becomes complete: its attempt
-/// has run, and the connection cannot be used again.
+/// Returns the response that replaces a malformed or incomplete one: the attempt counts as run, and the
+/// connection cannot be used again.
 ///
-/// Errors: no exchange has run on the connection, and the connection is to be closed.
+/// Returns an error if no request was sent completely on the connection; the connection must then be
+/// closed.
 pub(super) fn malformed_answer(connection: &Connection) -> Result<NodeAnswer, CloseReason> {
     if connection.has_unwritten() {
         // The request has not been sent completely, so the attempt has not run.
@@ -89,13 +90,14 @@
     })
 }
 
-/// Ends the exchange, and returns the messages for the router.
+/// Ends the exchange and returns the messages for the router.
 pub(super) fn finish_exchange(connection: &mut Connection, answer: NodeAnswer) -> Vec<Body> {
     connection.role = Role::Node(NodeExchange::Idle);
     connection.read_buffer = Vec::new();
     let mut messages = Vec::new();
     if answer.is_last {
-        // The end of the connection comes first; otherwise it would get the next attempt.
+        // This message comes first; otherwise the router could assign the next attempt to this
+        // connection.
         messages.push(Body::GoingAway(pb::GoingAway {}));
     }
     messages.push(answer.body);
@@ -106,7 +108,7 @@
     matches!(body, Body::AttemptResponse(response) if response.result() == pb::Result::Full)
 }
 
-/// Returns the result of a health check. A status other than 200 is a failure.
+/// Returns the result of a health check from the status of its response: only 200 is a success.
 pub(super) fn health_check_result(probe: u64, status: u16) -> Body {
     let result = if status == 200 {
         pb::Result::Ok
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -1,13 +1,13 @@
-//! The loop of the one owner, which keeps the order of things.
+//! The event loop, which processes all events on one thread, in order.
 //!
-//! [`Owner::run`] takes the events of the readers, the listener and the signals, steps the router and
-//! performs the router's outputs, until a shutdown is complete. Every other part of the state has its
-//! own owner: the connections ([`ConnectionTable`]), the dials ([`Dialer`]), the clients' requests
-//! ([`RequestIntake`]), discovery ([`DiscoveryPort`]), the listener ([`ListenerHandle`]), the
-//! shutdown ([`Shutdown`]), the log ([`LogLimiter`], [`StatisticsLog`]). Files: `receive` (bytes that
-//! have come), `send` (contents of the outboxes).
+//! [`Owner::run`] takes the events of the readers, the listener and the signal handler, steps the
+//! router, and performs the router's outputs, until a shutdown is complete. Separate types hold the
+//! parts of the state: the connections ([`ConnectionTable`]), the dials ([`Dialer`]), the clients'
+//! requests ([`RequestIntake`]), discovery ([`DiscoveryPort`]), the listener ([`ListenerHandle`]), the
+//! shutdown ([`Shutdown`]) and the log ([`LogLimiter`], [`StatisticsLog`]). The module `receive`
+//! processes received bytes, and `send` writes the contents of the outboxes.
 //!
-//! Bounds: [`MAX_EVENTS_PER_STEP`] events go into one step, so that a flood cannot delay timers.
+//! One step processes at most [`MAX_EVENTS_PER_STEP`] events, so that a flood cannot delay timers.
 
 mod receive;
 mod send;
@@ -40,23 +40,23 @@
 use std::time::Duration;
 use tracing::info;
 
-/// The largest number of events in one step. A larger value lets a flood delay timers; a smaller one
-/// costs more steps.
+/// Maximum number of events in one step. A larger value lets a flood delay timers; a smaller one costs
+/// more steps.
 const MAX_EVENTS_PER_STEP: usize = 512;
-/// Time after a pause of this process in which the readers report what is in the sockets. A smaller
-/// value charges nodes with the pause; a larger one prolongs it.
+/// Time that the readers get after a pause of this process to report what is in the sockets. With a
+/// smaller value, the pause counts as slowness of nodes; a larger one prolongs the pause.
 const CATCH_UP_TIME: Duration = Duration::from_millis(3);
-/// Time after which dials, and sockets that did not take all bytes, are checked again. A larger value
-/// delays attempts; a smaller one costs processing time.
+/// Interval at which pending dials, and sockets that did not accept all bytes, are checked again. A
+/// larger value delays attempts; a smaller one costs CPU time.
 const RETRY_INTERVAL: Duration = Duration::from_millis(2);
 
-/// The order of things on the platform: the router, and the parts that serve it.
+/// The owner of the router and of all state that serves it.
 pub(super) struct Owner {
     config: Config,
-    /// Read again on SIGHUP.
+    /// The file to read again on SIGHUP.
     config_file: Option<PathBuf>,
     router: RequestRouter,
-    /// Inputs of the router's next step.
+    /// Inputs for the router's next step.
     inputs: Vec<Input>,
     connections: ConnectionTable,
     dialer: Dialer,
@@ -120,10 +120,10 @@
         self.router.counters()
     }
 
-    /// Runs until a shutdown is complete, or every sender of events is gone.
+    /// Runs until a shutdown is complete or every sender of events is dropped.
     pub(super) fn run(&mut self, events: &Receiver<OwnerEvent>) {
-        // A first step, so that the scheduler requests the endpoint list without waiting for a
-        // client.
+        // An empty message triggers a first step, so that the scheduler requests the endpoint list
+        // without waiting for a client.
         self.inputs.push(Input::PeerMessage {
             from: PeerId(u32::MAX),
             waited: Duration::ZERO,
@@ -170,8 +170,8 @@
         wake.saturating_sub(now)
     }
 
-    /// Gives the readers time to report what came during a pause of this process, before the router
-    /// evaluates the silence of nodes.
+    /// Gives the readers time to report what was received during a pause of this process, before the
+    /// router evaluates which nodes are silent.
     fn catch_up_after_pause(&mut self) {
         if !self.router.detect_pause(clock::now()) {
             return;
@@ -201,7 +201,7 @@
                     event.write(None);
                 }
             }
-            // The platform has no disk, no state service and no peers.
+            // On the platform, a host has no disk, no state service and no peers.
             Output::CacheEndpoints { .. }
             | Output::DialStateService { .. }
             | Output::Persist { .. }
@@ -237,7 +237,7 @@
         }
     }
 
-    /// Records that the socket of a connection is closed: its descriptor serves another connection.
+    /// Records that the socket of a connection is closed, so that its descriptor is free.
     fn descriptor_freed(&mut self, conn: ConnId) {
         self.dialer.descriptor_freed(conn);
         if conn.0 > LAST_DIALED_CONN {
@@ -264,7 +264,7 @@
         let Some(socket) = outcome.socket else {
             return self.inputs.push(target.gone(conn));
         };
-        // SAFETY: the number has just been given up by its only owner.
+        // SAFETY: `into_raw_fd` has just transferred the ownership of the descriptor.
         let stream = unsafe { TcpStream::from_raw_fd(socket.into_raw_fd()) };
         let gate = ReadGate::new();
         let role = match target {
@@ -301,7 +301,7 @@
         }
     }
 
-    /// Closes a connection that has ended or cannot be used again, and reports it to the router.
+    /// Closes a connection that has ended or cannot be used again, and reports the loss to the router.
     fn connection_lost(&mut self, conn: ConnId, reason: CloseReason) {
         let Some(connection) = self.connections.get(conn) else {
             return;
@@ -314,9 +314,9 @@
         self.close(conn, reason);
     }
 
-    /// Closes a client's connection that awaits nothing, unless the client has sent something that
-    /// is not processed yet: closing it now would lose the request. The next sweep then finds the
-    /// connection again. Returns whether it was closed.
+    /// Closes an idle client's connection, unless the client has sent something that is not processed
+    /// yet: closing it would lose the request, and the next sweep finds the connection again. Returns
+    /// whether it was closed.
     fn close_if_quiet(&mut self, conn: ConnId) -> bool {
         let closed = self
             .connections
@@ -362,20 +362,20 @@
         self.statistics.write_if_due(now, &mut self.router);
     }
 
-    /// Closes clients' connections if all slots are in use, see [`eviction`].
+    /// Closes clients' connections to free slots, see [`eviction`].
     fn make_room(&mut self) {
         let candidates = eviction::candidates(&self.connections, clock::now());
-        // A host that shuts down keeps as many clients that have sent requests as it may ever keep:
-        // late in its shutdown, they get no other connection here. It keeps no more than that;
-        // otherwise new clients would get none.
+        // During a shutdown, the host keeps connected clients that have sent requests, up to the usual
+        // limit: late in the shutdown, they cannot get another connection here. It closes those above
+        // the limit; otherwise new clients would get no slot.
         let mut excess = if self.shutdown.is_requested() {
             let max_idle_clients = self.config.descriptors.idle_clients;
             eviction::excess_idle_clients(&self.connections, max_idle_clients)
         } else {
             usize::MAX
         };
-        // A connection that turns out to have sent something does not count; otherwise one whose
-        // bytes are not processed yet would leave the listener waiting for the next sweep.
+        // A connection that stays open because of unprocessed bytes does not count; otherwise the
+        // listener would have to wait for the next sweep.
         let mut closings_left = eviction::max_closings(self.listener.limit());
         for candidate in candidates {
             let conn = candidate.conn;
@@ -399,7 +399,7 @@
         }
     }
 
-    /// Closes idle clients if more of them keep connections than may, see
+    /// Closes idle clients if more of them stay connected than the limit allows, see
     /// [`eviction::idle_clients`].
     fn limit_idle_clients(&mut self) {
         let max_idle_clients = self.config.descriptors.idle_clients;
@@ -413,8 +413,8 @@
         }
     }
 
-    /// Reads the configuration again. Only the address of discovery may change; an invalid file
-    /// changes nothing.
+    /// Reads the configuration file again. Only a change of discovery's address has an effect; an
+    /// invalid file is ignored.
     fn reload(&mut self) {
         let Some(file) = &self.config_file else {
             return;
@@ -466,7 +466,7 @@
                 .any(|(_, connection)| client_conn::is_awaiting(connection, now))
     }
 
-    /// Returns whether one more line of the log may be written now.
+    /// Returns whether the rate limit allows one more log line now.
     fn may_log(&mut self) -> bool {
         self.log_limiter.allow(clock::now())
     }
--- a/crates/platform/src/run/owner/receive.rs
+++ b/crates/platform/src/run/owner/receive.rs
@@ -1,8 +1,8 @@
-//! Bytes that have come from clients, nodes and discovery: the owner passes them to the protocol of
-//! the connection, and performs the result.
+//! Processes bytes received from clients, nodes and discovery: the owner passes them to the
+//! connection's protocol and performs the result.
 //!
-//! State: none of its own. Bounds: a large response of a node is only read within the memory that
-//! open requests may take.
+//! Large responses of nodes are read only while all incomplete responses together fit into the memory
+//! that bodies of open requests may take.
 
 use super::{frame, Owner};
 use crate::clients::ClientRequest;
@@ -28,9 +28,9 @@
 use std::time::Duration;
 use tracing::{debug, info};
 
-/// Size in bytes up to which a node's response may always be read. A larger response is read only
-/// while all responses that are being read fit into their part of the memory. A larger value exceeds
-/// that part; a smaller one fails responses that would fit.
+/// Size in bytes up to which a node's response is always read. A larger response is read only while
+/// all incomplete responses together fit into the memory limit for bodies. A larger value can exceed
+/// that limit; a smaller one fails responses that would fit.
 const SMALL_ANSWER: usize = 64 << 10;
 
 impl Owner {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Parses and performs the requests in a client's read buffer, up to the first one that awaits
-    /// its final response.
+    /// Parses and processes the requests in a client's read buffer, up to the first one that awaits its
+    /// final response.
     pub(super) fn advance_client(&mut self, conn: ConnId, at: Duration) {
         loop {
             let Some(connection) = self.connections.get(conn) else {
@@ -117,7 +117,7 @@
         let Role::Client(client) = &connection.role else {
             return;
         };
-        // A client that has waited in the listener's queue may have left long ago.
+        // A client that was accepted after a long wait in the listener's queue may have left already.
         if client_conn::is_first_exchange(connection, client)
             && pending_input(connection.fd) == PendingInput::End
         {
@@ -148,7 +148,7 @@
         self.inputs.push(Input::ClientFrames { conn, at, frames });
     }
 
-    /// Responds to a client with an error. The connection is closed once the client has read it.
+    /// Responds to a client with an error, which is the last response on the connection.
     pub(super) fn reject(&mut self, conn: ConnId, error: &HttpError) {
         let Some(connection) = self.connections.get_mut(conn) else {
             return;
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Ends an exchange whose response will never be complete.
+    /// Ends an exchange whose response is malformed or will never be complete.
     pub(super) fn answer_malformed(&mut self, conn: ConnId) {
         let Some(connection) = self.connections.get(conn) else {
             return;
@@ -188,8 +188,8 @@
         }
     }
 
-    /// Reports the end of an exchange with a node to the router, and the end of the connection if
-    /// it cannot carry another exchange.
+    /// Reports the end of an exchange with a node to the router, and closes the connection if it cannot
+    /// carry another exchange.
     fn finish_node_exchange(&mut self, conn: ConnId, answer: NodeAnswer, at: Duration) {
         let Some(connection) = self.connections.get_mut(conn) else {
             return;
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Reads the endpoint list from before the start. Ignores a list that cannot be read.
+    /// Reads the cached endpoint list of the configuration. Ignores a list that cannot be read.
     pub(super) fn load_cached_endpoints(&mut self) {
         let Some(cached) = self.config.cached_endpoints.take() else {
             return;
--- a/crates/platform/src/run/owner/send.rs
+++ b/crates/platform/src/run/owner/send.rs
@@ -1,9 +1,8 @@
-//! Writes the contents of the outboxes, which the router fills, to the sockets without waiting.
+//! Writes the contents of the outboxes, which the router fills, to the sockets without blocking.
 //!
-//! A decided attempt is on the wire before the owner processes anything else, and the owner knows
-//! whether its last byte was written without querying another thread. The owner retries the bytes
-//! that a socket does not take at once at the next step. State: none of its own. Bounds: [`MAX_WRITE`] bytes are taken
-//! from an outbox at once.
+//! The owner writes an attempt before it processes another event, and so it knows whether the last
+//! byte was written without querying another thread. Bytes that a socket does not accept are retried
+//! at the next step. At most [`MAX_WRITE`] bytes are taken from an outbox at once.
 
 use super::{frame, Owner};
 use crate::nodes;
@@ -18,10 +17,10 @@
 use grebecleat_wire::pb::{self, frame::Body};
 use tracing::debug;
 
-/// Number of bytes taken from an outbox at once. A larger value copies more bytes that the socket
-/// does not take; a smaller one costs more writes.
+/// Maximum number of bytes taken from an outbox at once. A larger value copies more bytes that the
+/// socket does not accept; a smaller one costs more writes.
 const MAX_WRITE: usize = 128 << 10;
-/// No status: a health check that was not sent.
+/// The placeholder for a status if the health check was not sent.
 const NO_STATUS: u16 = 0;
 
 impl Owner {
@@ -39,7 +38,7 @@
             };
             let is_client = matches!(connection.role, Role::Client(_));
             if !is_client && connection.outbox.is_closed() {
-                // The rest of an attempt that the router gave up must not be sent any more.
+                // The rest of an attempt that the router has revoked must not be sent.
                 return self.close(conn, CloseReason::ClosedByRouter);
             }
             match self.connections.write(conn) {
@@ -70,15 +69,15 @@
         }
     }
 
-    /// Returns whether an attempt may be written now to a connection to a node or to discovery. If
-    /// not, closes that connection, or the connection of the attempt's client.
+    /// Returns whether the outbox of a connection to a node or to discovery may be written now. If not,
+    /// closes that connection, or the connection of an attempt's client that has left.
     fn may_send(&mut self, conn: ConnId) -> bool {
         let Some(connection) = self.connections.get(conn) else {
             return false;
         };
-        // The node has ended the connection, or has sent bytes that belong to no request: an attempt
-        // written now would be reset, or be taken to have those bytes as its response. The attempt
-        // is still in the outbox, and goes to another connection.
+        // If the node has ended the connection, an attempt written now would be reset. If the node has
+        // sent unexpected bytes, they would be taken as the response to the attempt. The attempt is
+        // still in the outbox, so the router can send it on another connection.
         let is_idle = matches!(connection.role, Role::Node(NodeExchange::Idle));
         if is_idle && !connection.outbox.is_flushed() && !connection.gate.is_quiet(connection.fd) {
             self.connection_lost(conn, CloseReason::UnexpectedBytes);
@@ -88,15 +87,13 @@
     }
 
     /// Closes a client that has left while one of its attempts is in the node's outbox, and returns
-    /// whether there is one. The client's end may be in its socket, or with its reader, behind
-    /// everything that the owner has yet to process. No client awaits the attempt's response, and
-    /// the attempt stays where the router revokes it.
+    /// whether there was one. The end of the client's connection may still be in its socket, or queued
+    /// behind other events. The attempt stays in the outbox, from which the router revokes it.
     ///
-    /// So no attempt begins after the end of its client has come to this machine, however long the
-    /// owner is busy, a dial took or a retry waited: the check is made at the last moment, and
-    /// nothing lies between the check and the write. This also guards against attempts of a client
-    /// whose connection this host has closed. Harm: each attempt costs a check of the client's
-    /// socket.
+    /// Because nothing happens between this check and the write, no attempt is sent after the end of its
+    /// client's connection has arrived at this machine, however long the owner was busy, the dial took
+    /// or a retry waited. The check also finds clients whose connection this host has closed. It costs
+    /// one query of the client's socket for each attempt.
     fn close_departed_client(&mut self, conn: ConnId) -> bool {
         let has_departed = |client: &ConnId| {
             self.connections
@@ -111,7 +108,7 @@
         true
     }
 
-    /// Appends a frame's message to the connection's write buffer.
+    /// Encodes a message of the outbox into the connection's write buffer, or performs it.
     fn compose(&mut self, conn: ConnId, body: Body) {
         let Some(connection) = self.connections.get_mut(conn) else {
             return;
@@ -173,7 +170,7 @@
         let is_open = self.router.is_open(&exchange.request_id);
         self.intake.release(exchange, is_open);
         if finished.has_next {
-            // The response goes first, since it is in the write buffer.
+            // The response precedes any later one, since it is already in the write buffer.
             self.advance_client(conn, now);
         }
     }
--- a/crates/platform/src/run/reader.rs
+++ b/crates/platform/src/run/reader.rs
@@ -1,8 +1,8 @@
-//! The reader coroutine of each connection, and the gate between it and the owner.
+//! The reader coroutine of each connection, and the flow control between it and the owner.
 //!
-//! A reader receives bytes from its socket and sends them to the owner as [`OwnerEvent`]s. State:
-//! [`ReadGate`], the number of bytes by which the reader is ahead of the owner. Bounds:
-//! [`MAX_AHEAD`] bytes and one read; beyond that the reader waits.
+//! A reader receives bytes from its socket and sends them to the owner as [`OwnerEvent`]s. The
+//! [`ReadGate`] counts the bytes that the reader has read and the owner has not processed. If they
+//! exceed [`MAX_AHEAD`] after a read, the reader waits.
 
 use super::socket::{pending_input, PendingInput};
 use grebecleat_host::router::ConnId;
@@ -17,14 +17,14 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// Number of bytes of one read. A larger value takes more of the coroutine's stack; a smaller one
-/// costs more reads.
+/// Maximum number of bytes of a first read. A larger value takes more of the coroutine's stack; a
+/// smaller one costs more reads.
 const READ_SIZE: usize = 4 << 10;
-/// Number of bytes that are read after a first full read, without waiting. A larger value takes more
-/// memory for each event; a smaller one costs more events.
+/// Maximum number of bytes of the second read, which follows a full first read without waiting. A
+/// larger value takes more memory for each event; a smaller one costs more events.
 const EXTRA_READ_SIZE: usize = 60 << 10;
-/// Number of bytes by which the reader of one connection may be ahead of the owner. A larger value
-/// takes more memory; a smaller one makes readers of large messages wait.
+/// Maximum number of unprocessed bytes with which a reader continues to read. A larger value takes more
+/// memory; a smaller one makes readers of large messages wait.
 const MAX_AHEAD: usize = 96 << 10;
 
 /// An event that the coroutines and the signal thread report to the owner.
@@ -41,8 +41,8 @@
         at: Duration,
         bytes: Vec<u8>,
     },
-    /// A reader has ended. The event carries the stream, so that no other socket gets the number of
-    /// its descriptor before the owner has dropped it.
+    /// A reader has ended. The event carries the stream, so that the operating system cannot reuse its
+    /// descriptor before the owner has dropped it.
     Ended { conn: ConnId, stream: TcpStream },
     /// The listener waits for a free slot.
     SlotsExhausted,
@@ -50,11 +50,10 @@
     Signal(i32),
 }
 
-/// The number of bytes by which a connection's reader is ahead of the owner, which both share. The
-/// reader receives bytes from the socket only under this lock. The owner can therefore close a
-/// connection of which it knows that every byte that was read is processed: bytes that are still in
-/// the socket then cross the close, which the platform allows, and bytes that were read get their
-/// response.
+/// The flow control that a connection's reader and the owner share: it counts the bytes that were read
+/// and not processed. The reader receives bytes from the socket only under its lock. The owner can
+/// therefore close a connection knowing that every byte that was read is processed and gets its
+/// response. Bytes that reach the socket during the close are lost, which the platform allows.
 pub(super) struct ReadGate {
     state: Mutex<ReadState>,
     wake: Semphore,
@@ -62,7 +61,7 @@
 
 #[derive(Default)]
 pub(super) struct ReadState {
-    /// Number of bytes that were read and that the owner has not processed.
+    /// Number of bytes that were read and that the owner has not processed yet.
     pub(super) ahead: usize,
     closed: bool,
 }
@@ -91,7 +90,7 @@
         if state.closed {
             return ReadOutcome::End;
         }
-        // SAFETY: the pointer and the length are of one live slice; the caller owns the number.
+        // SAFETY: the pointer and the length are of one live slice; the caller owns the descriptor.
         let received = unsafe {
             libc::recv(
                 fd,
@@ -105,7 +104,7 @@
             Ok(received) => {
                 let mut bytes = buffer[..received].to_vec();
                 if received == READ_SIZE {
-                    // Many small events would cost more than reading a large message at once.
+                    // Reading the rest of a large message at once costs less than many small events.
                     read_more(fd, &mut bytes);
                 }
                 state.ahead += bytes.len();
@@ -113,7 +112,7 @@
             }
             Err(_) => match io::Error::last_os_error().kind() {
                 io::ErrorKind::WouldBlock => ReadOutcome::WouldBlock,
-                // Waiting now would wait for an event that the system has already reported.
+                // Waiting now could block forever, since the system has already reported the event.
                 io::ErrorKind::Interrupted => {
                     drop(state);
                     self.read(fd, buffer)
@@ -123,7 +122,7 @@
         }
     }
 
-    /// Records that the owner has processed a number of bytes.
+    /// Records that the owner has processed this number of bytes, and wakes the reader if it may go on.
     pub(super) fn consumed(&self, bytes: usize) {
         let mut state = self.lock();
         let before = state.ahead;
@@ -134,19 +133,19 @@
         }
     }
 
-    /// Returns whether the owner has processed every byte that was read, and neither bytes nor the
-    /// end of the connection are in the socket.
+    /// Returns whether the owner has processed every byte that was read, and the socket holds neither
+    /// bytes nor the end of the connection.
     pub(super) fn is_quiet(&self, fd: RawFd) -> bool {
         self.lock().ahead == 0 && pending_input(fd) == PendingInput::Nothing
     }
 
-    /// Closes the gate: the reader reads no more bytes.
+    /// Closes the gate, after which the reader reads no more bytes.
     pub(super) fn close(&self) {
         self.lock().closed = true;
         self.wake.post();
     }
 
-    /// Closes the gate unless that would lose bytes of the peer; returns whether it is closed.
+    /// Closes the gate unless that would lose bytes of the peer. Returns whether it is closed.
     pub(super) fn close_unless_input(&self, fd: RawFd) -> bool {
         let mut state = self.lock();
         state.closed |= state.ahead == 0 && pending_input(fd) != PendingInput::Bytes;
@@ -166,12 +165,12 @@
     }
 }
 
-/// Reads the bytes that are in the socket now. The next read detects an end or a fault.
+/// Reads the bytes that are in the socket now. The next read detects an end or an error.
 fn read_more(fd: RawFd, bytes: &mut Vec<u8>) {
     let before = bytes.len();
     bytes.resize(before + EXTRA_READ_SIZE, 0);
     let rest = &mut bytes[before..];
-    // SAFETY: the pointer and the length are of one live slice; the caller owns the number.
+    // SAFETY: the pointer and the length are of one live slice; the caller owns the descriptor.
     let received =
         unsafe { libc::recv(fd, rest.as_mut_ptr().cast(), rest.len(), libc::MSG_DONTWAIT) };
     bytes.truncate(before + usize::try_from(received).unwrap_or(0));
--- a/crates/platform/src/run/request_intake.rs
+++ b/crates/platform/src/run/request_intake.rs
@@ -1,7 +1,7 @@
-//! Requests of clients: their parsing, their numbers, and the ids that are in use.
+//! Parses and numbers the requests of clients, and rejects ids that are in use.
 //!
-//! The owner calls [`RequestIntake`]. State: the ids in use ([`ClientIds`]) and the number of the
-//! last request. Bound: the open requests and the outstanding attempts.
+//! The owner holds the [`RequestIntake`]: the ids in use ([`ClientIds`]) and the number of the last
+//! request. The number of ids is bounded by the open requests and the outstanding attempts.
 
 use super::client_ids::ClientIds;
 use super::connection::ClientExchange;
@@ -16,23 +16,23 @@
 /// The response to a request whose id is in use.
 const DUPLICATE_ID: HttpError = HttpError {
     status: 409,
-    reason: "an id that is open",
+    reason: "X-Txn: id is in use by an open request",
 };
 
 /// A request that was parsed from a client's bytes.
 pub(super) struct ParsedRequest {
     pub(super) request: ClientRequest,
-    /// Whether the client lets the connection stay open.
+    /// Whether the client keeps the connection open for another request.
     pub(super) keep_alive: bool,
     /// Number of bytes of the request.
     pub(super) used: usize,
 }
 
-/// Takes in the requests of clients.
+/// Parses, checks and numbers the requests of clients.
 pub(super) struct RequestIntake {
     parser: RequestParser,
     ids: ClientIds,
-    /// Requests received since the start; numbers them.
+    /// Number of requests admitted since the start, from which their ids are derived.
     received: u64,
 }
 
@@ -45,9 +45,8 @@
         }
     }
 
-    /// Parses the first request of the bytes; None: more bytes must come.
-    ///
-    /// Errors: the bytes are no request; the client gets the error as a response.
+    /// Parses the first request of the bytes. Returns `None` if it is incomplete, and an error, which is
+    /// the response to the client, if it is invalid.
     pub(super) fn parse(&self, bytes: &[u8]) -> Result<Option<ParsedRequest>, HttpError> {
         let Some((request, used)) = http::request(bytes)? else {
             return Ok(None);
@@ -61,9 +60,7 @@
         }))
     }
 
-    /// Checks that no open request has the client's id.
-    ///
-    /// Errors: the response to a request whose id is in use.
+    /// Returns an error, which is the response to the client, if the id is in use.
     pub(super) fn check_id(&self, client_id: &str) -> Result<(), HttpError> {
         if self.ids.contains(client_id) {
             return Err(DUPLICATE_ID);
@@ -71,8 +68,8 @@
         Ok(())
     }
 
-    /// Numbers a request and records its id. `last_answer_at`: when the last responses are sent, if
-    /// this host shuts down; the request's time left ends there.
+    /// Assigns an id to a request and records the client's id. During a shutdown, `last_answer_at` is the
+    /// time of the last responses, to which the request's remaining time is limited.
     pub(super) fn admit(
         &mut self,
         client_id: &str,
@@ -89,8 +86,8 @@
         self.ids.insert(client_id.to_string());
     }
 
-    /// Frees the id of an exchange that has ended for its client. `is_open`: whether an attempt of
-    /// its request is outstanding.
+    /// Frees the id of an exchange that has ended for its client. If `is_open` is set, an attempt of
+    /// its request is outstanding, and the id stays in use.
     pub(super) fn release(&mut self, exchange: ClientExchange, is_open: bool) {
         self.ids.release(exchange, is_open);
     }
--- a/crates/platform/src/run/shutdown.rs
+++ b/crates/platform/src/run/shutdown.rs
@@ -1,57 +1,57 @@
-//! The schedule of a graceful shutdown: continued service, closing connections, closing the
-//! listener, the end.
+//! The schedule of a graceful shutdown: the host continues to serve, then closes connections after
+//! their responses, then closes the listener, and ends.
 //!
-//! The owner calls [`Shutdown`]. State: when the shutdown was requested, and when the listener was
-//! closed. No I/O and no clock.
+//! The owner holds the [`Shutdown`]: when the shutdown was requested, and when the listener was closed.
+//! This module performs no I/O and reads no clock.
 //!
-//! After SIGTERM, clients continue to use the connections that they have. The platform kills the
-//! process no sooner than the longest deadline, of which no more than [`MAX_COUNTED_DEADLINE`]
-//! counts, and [`KILL_GRACE`]. The process accepts requests until [`LAST_REQUEST_MARGIN`] before the
-//! kill, and has sent its responses by [`LAST_ANSWER_MARGIN`] before the kill.
+//! After SIGTERM, clients continue to use their connections. The platform kills the process no earlier
+//! than after the longest deadline, of which at most [`MAX_COUNTED_DEADLINE`] counts, plus
+//! [`KILL_GRACE`]. The process accepts requests until [`LAST_REQUEST_MARGIN`] before the kill, and has
+//! sent its responses by [`LAST_ANSWER_MARGIN`] before the kill.
 
 use std::time::Duration;
 
-/// The part of the longest deadline that counts for the time of the kill. A larger value lets the
+/// Upper limit on the longest deadline when the time of the kill is computed. A larger value lets the
 /// platform kill a host that still serves; a smaller one ends the service early.
 const MAX_COUNTED_DEADLINE: Duration = Duration::from_millis(3000);
-/// Time from that deadline to the kill. A larger value lets the platform kill a host that still
-/// serves; a smaller one ends the service early.
+/// Time from the end of that deadline to the kill. A larger value lets the platform kill a host that
+/// still serves; a smaller one ends the service early.
 const KILL_GRACE: Duration = Duration::from_millis(700);
 /// Time from the last accepted requests to the kill. A smaller value accepts requests that the host
 /// cannot complete; a larger one rejects requests that it could.
 const LAST_REQUEST_MARGIN: Duration = Duration::from_millis(450);
-/// Time from the last responses to the kill. A smaller value risks responses that the kill cuts off;
-/// a larger one leaves the last requests less time.
+/// Time from the last responses to the kill. With a smaller value, the kill may cut off responses; a
+/// larger one leaves the last requests less time.
 const LAST_ANSWER_MARGIN: Duration = Duration::from_millis(200);
-/// Time after which the owner has processed what was accepted before the listener was closed. A
-/// smaller value loses clients that were just accepted; a larger one delays the end.
+/// Time within which the owner processes the clients that were accepted before the listener was
+/// closed. A smaller value loses clients that were just accepted; a larger one delays the end.
 const LISTENER_SETTLE_TIME: Duration = Duration::from_millis(20);
 
-/// When the listener may be closed.
+/// Whether the listener may be closed now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ListenerClosing {
     /// Not now.
     NotDue,
-    /// If no client is in the listener's queue. A queued client would be reset, and its request
+    /// Only if no client is in the listener's queue. A queued client would be reset, and its request
     /// lost.
     IfQueueEmpty,
-    /// Now, since the kill is near.
+    /// In any case, since the kill is near.
     Due,
 }
 
 /// The schedule of a shutdown.
 #[derive(Debug)]
 pub(super) struct Shutdown {
-    /// Longest deadline of a request, as far as it counts.
+    /// The longest deadline of a request, limited to [`MAX_COUNTED_DEADLINE`].
     counted_deadline: Duration,
-    /// None: no shutdown was requested.
+    /// `None` if no shutdown was requested.
     requested_at: Option<Duration>,
-    /// None: the listener is open.
+    /// `None` while the listener is open.
     listener_closed_at: Option<Duration>,
 }
 
 impl Shutdown {
-    /// `longest_deadline`: of all requests.
+    /// `longest_deadline` is the longest one of all traffic classes.
     pub(super) fn new(longest_deadline: Duration) -> Self {
         Shutdown {
             counted_deadline: longest_deadline.min(MAX_COUNTED_DEADLINE),
@@ -75,21 +75,21 @@
         Some(self.requested_at? + self.counted_deadline + KILL_GRACE)
     }
 
-    /// Returns when the last responses are sent, if a shutdown was requested.
+    /// Returns the time by which the last responses must be sent, if a shutdown was requested.
     pub(super) fn last_answer_at(&self) -> Option<Duration> {
         Some(self.kill_at()? - LAST_ANSWER_MARGIN)
     }
 
-    /// Returns whether responses now end their connections. Until then, a host that shuts down
-    /// continues to serve: its clients would find no other host at its address before the next
-    /// start.
+    /// Returns whether a response now ends its connection. Before that time, the host continues to
+    /// serve, since its clients find no other host at its address until it is started again.
     pub(super) fn closes_after_answer(&self, now: Duration) -> bool {
         self.kill_at()
             .is_some_and(|kill_at| now + LAST_REQUEST_MARGIN >= kill_at)
     }
 
-    /// Returns when the listener may be closed. A client whose request crossed the close of an idle
-    /// connection connects again, so the listener stays open until the last responses are due.
+    /// Returns whether the listener may be closed now. A client that sent a request while its idle
+    /// connection was being closed connects again, so the listener stays open until the last responses
+    /// are due.
     pub(super) fn listener_closing(&self, now: Duration) -> ListenerClosing {
         let Some(kill_at) = self.kill_at().filter(|_| self.listener_closed_at.is_none()) else {
             return ListenerClosing::NotDue;
--- a/crates/platform/src/run/socket.rs
+++ b/crates/platform/src/run/socket.rs
@@ -1,7 +1,8 @@
-//! Queries to the system about a socket, by its descriptor. No query waits or consumes bytes.
+//! Queries the operating system about a socket, by its file descriptor. No query blocks or consumes
+//! bytes.
 //!
-//! Each caller owns the descriptor that it passes, so the number cannot belong to another socket
-//! meanwhile.
+//! Each caller owns the descriptor that it passes, so the descriptor cannot belong to another socket
+//! during the query.
 
 use std::io;
 use std::os::fd::RawFd;
@@ -19,7 +20,7 @@
 /// Returns the unread input of a socket.
 pub(super) fn pending_input(fd: RawFd) -> PendingInput {
     let mut one = 0u8;
-    // SAFETY: the pointer is of one live byte; the caller owns the number.
+    // SAFETY: the pointer is of one live byte; the caller owns the descriptor.
     let received = unsafe {
         libc::recv(
             fd,
@@ -38,8 +39,7 @@
     }
 }
 
-/// Returns whether the peer has ended the connection, also if there are unread bytes before the
-/// end.
+/// Returns whether the peer has ended the connection, even if there are unread bytes before the end.
 pub(super) fn peer_has_closed(fd: RawFd) -> bool {
     match pending_input(fd) {
         PendingInput::Nothing => false,
@@ -48,12 +48,12 @@
     }
 }
 
-/// Returns whether a connection is in a listener's queue.
+/// Returns whether a connection is in a listening socket's queue.
 pub(super) fn has_connection_queued(listener: RawFd) -> bool {
     poll_now(listener, libc::POLLIN) != 0
 }
 
-/// Returns those of the given events, and of the faults, that a socket has; zero: none.
+/// Returns those of the given events, and of the error events, that a socket has, or zero if none.
 fn poll_now(fd: RawFd, events: libc::c_short) -> libc::c_short {
     let mut polled = libc::pollfd {
         fd,
@@ -69,15 +69,15 @@
     }
 }
 
-/// Returns the time since the last bytes came on a connection, also if it was not accepted yet; if
-/// no bytes have ever come, the time since the connection was established. Zero if the system does
-/// not report it.
+/// Returns the time since bytes were last received on a connection, which includes its time in the
+/// listener's queue. If no bytes were ever received, returns the time since the connection was
+/// established. Returns zero if the operating system does not report it.
 pub(super) fn silent_for(fd: RawFd) -> Duration {
     // SAFETY: all zero is a value of this plain struct.
     let mut info: libc::tcp_info = unsafe { std::mem::zeroed() };
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
-    // SAFETY: the pointers are of live values, the length is the first one's; the caller owns the
-    // number.
+    // SAFETY: the pointers are of live values, and the length is the size of `info`; the caller owns
+    // the descriptor.
     let failed = unsafe {
         libc::getsockopt(
             fd,
--- a/crates/platform/src/run/statistics_log.rs
+++ b/crates/platform/src/run/statistics_log.rs
@@ -1,6 +1,6 @@
-//! The statistics line of each second, at debug level.
+//! Logs the statistics line of each second, at debug level.
 //!
-//! The owner calls [`StatisticsLog`] at each sweep and at its end. State: when the next line is due.
+//! The owner calls [`StatisticsLog`] at each sweep, and when it ends.
 
 use super::wall_clock::unix_ms;
 use crate::config::Config;
@@ -8,7 +8,7 @@
 use grebecleat_host::router::RequestRouter;
 use std::time::Duration;
 
-/// Time between two lines. The end of the process writes the last line.
+/// Time between two lines. The last line is written when the process ends.
 const INTERVAL: Duration = Duration::from_millis(1000);
 
 /// Writes the statistics lines.
--- a/crates/platform/src/run/sweep.rs
+++ b/crates/platform/src/run/sweep.rs
@@ -1,7 +1,7 @@
-//! Connections that have been slow, silent or idle for too long.
+//! Finds connections that have been slow, silent or idle for too long.
 //!
-//! The owner calls [`Expired::find`] at each sweep, and ends the connections. No timer of the
-//! coroutines is used. State: none.
+//! The owner calls [`Expired::find`] at each sweep and ends the connections. The coroutines have no
+//! timers of their own.
 
 use super::connection::{ClientState, Connection, Role};
 use super::connection_table::ConnectionTable;
@@ -10,34 +10,35 @@
 use grebecleat_host::router::ConnId;
 use std::time::Duration;
 
-/// Time between two sweeps. A larger value detects everything later, and breaks the sum of
-/// `grebecleat_discovery::poll_deadline`; a smaller one costs processing time.
+/// Time between two sweeps. A larger value detects every timeout later, and invalidates the sum of
+/// times in `grebecleat_discovery::poll_deadline`; a smaller one costs CPU time.
 pub(super) const SWEEP_INTERVAL: Duration = Duration::from_millis(50);
 /// Time from accepting a client to closing it, if it has sent nothing or only part of its first
 /// request. A larger value lets silent clients occupy slots; a smaller one closes slow clients.
 const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2400);
-/// Time within which the rest of a later request must come. Larger and smaller values: as above.
+/// Time within which a later request must be complete. A larger value lets slow clients occupy slots;
+/// a smaller one rejects their requests.
 const REQUEST_REST_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Time after which a connection without an open exchange is closed. A larger value lets idle
-/// clients occupy slots. Harm: a client that sends again later dials again.
+/// Time after which a client's connection without an open exchange is closed. A larger value lets idle
+/// clients occupy slots; a smaller one makes more clients dial again.
 pub(super) const IDLE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// Clients younger than this may be about to send. Their age counts from their connecting, not from
-/// their being accepted. A larger value lets silent clients occupy slots; a smaller one closes new
-/// clients.
+/// Age below which a client that has sent nothing is not closed, since it may be about to send. For
+/// evictions, the age counts from when the client connected, not from when it was accepted. A larger
+/// value lets silent clients occupy slots; a smaller one closes new clients.
 pub(super) const NEW_CLIENT_GRACE: Duration = Duration::from_millis(100);
-/// Time within which a node's response that has begun must continue. This guards against responses
-/// that announce more bytes than they have, and whose connection stays open: without it, such an
-/// attempt delays its request until the deadline. Harm: a complete response over a link that stalls
-/// for longer counts as malformed.
+/// Time within which a node must continue a response that it has begun to send. Without this timeout, a
+/// response that announces more bytes than it has, on a connection that stays open, would delay its
+/// request until the deadline. The cost is that a valid response counts as malformed if the network
+/// stalls for longer.
 const ANSWER_REST_TIMEOUT: Duration = Duration::from_millis(100);
-/// Time that a client may take to read its response. A larger value lets slow readers occupy slots;
+/// Time that a client has to read its response. A larger value lets slow readers occupy slots;
 /// a smaller one cuts off responses.
 const ANSWER_READ_TIMEOUT: Duration = Duration::from_millis(5000);
 
-/// The response to a request whose rest does not come.
+/// The response to a request that is not completed in time.
 pub(super) const REQUEST_TIMEOUT: HttpError = HttpError {
     status: 408,
-    reason: "the rest did not come",
+    reason: "request not completed in time",
 };
 
 /// When and how a connection that waits for its peer is ended.
@@ -48,22 +49,22 @@
     /// The client has never sent anything.
     Silent(Duration),
     Idle(Duration),
-    /// The client gets an error as a response to its incomplete request.
+    /// The client gets an error response to its incomplete request.
     Incomplete(Duration),
-    /// The node's response never becomes complete.
+    /// The node's response counts as malformed, since it was not completed in time.
     Malformed(Duration),
 }
 
-/// Connections that are to be ended now.
+/// Connections that must be ended now.
 #[derive(Default)]
 pub(super) struct Expired {
     /// Connections to close, whatever their peers have sent.
     pub(super) close: Vec<ConnId>,
     /// Clients to close, unless they have sent something.
     pub(super) idle: Vec<ConnId>,
-    /// Nodes whose response never becomes complete.
+    /// Connections to nodes whose response was not completed in time.
     pub(super) malformed: Vec<ConnId>,
-    /// Clients whose request never becomes complete.
+    /// Clients whose request was not completed in time.
     pub(super) incomplete: Vec<ConnId>,
 }
 
@@ -77,7 +78,7 @@
 }
 
 impl Expired {
-    /// Returns the connections that are to be ended at `now`.
+    /// Returns the connections that must be ended at `now`.
     pub(super) fn find(
         connections: &ConnectionTable,
         discovery: &DiscoveryPort,
@@ -95,8 +96,8 @@
                     }
                 }
                 Expiry::Idle(at) => {
-                    // A host that shuts down keeps its connections: its clients get no other
-                    // connection here.
+                    // During a shutdown, idle clients are kept, since they cannot get another
+                    // connection here late in the shutdown.
                     let is_due = now >= at && !phase.is_requested;
                     if phase.closes_after_answer || is_due {
                         expired.idle.push(conn);
@@ -139,7 +140,7 @@
     if connection.read_buffer.is_empty() {
         return Expiry::Idle(client.since + IDLE_TIMEOUT);
     }
-    // Until the first exchange has ended, its time counts from accepting the client.
+    // The time for the first request counts from when the client was accepted.
     if client.since <= connection.opened_at {
         return Expiry::Incomplete(connection.opened_at + FIRST_REQUEST_TIMEOUT);
     }
--- a/crates/platform/src/run/wall_clock.rs
+++ b/crates/platform/src/run/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, by which discovery counts when nodes started.
+//! The wall clock, to which the start times of nodes in the endpoint list refer.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
--- a/crates/platform/src/statistics.rs
+++ b/crates/platform/src/statistics.rs
@@ -1,10 +1,10 @@
-//! The statistics line: the numbers of received, sent, completed and rejected requests of one second,
-//! and the causes of the rejections. The host logs it at debug level alone.
+//! The statistics line: the numbers of requests received, sent, completed and rejected in one second,
+//! and the causes of the rejections. The host logs it at debug level only.
 //!
-//! [`StatisticsReporter::line`] composes the line. [`StatisticsTable`] reads the lines of many hosts
-//! and adds them up by second: the rejections of one host are an accident, those of three hundred
-//! hosts have a common cause. The names of the line's fields are those that operators know
-//! (docs/operators/platform.md). Memory: one row for each second, and one count for each cause in it.
+//! [`StatisticsReporter::line`] formats the line. [`StatisticsTable`] parses the lines of many hosts
+//! and sums them by second: rejections at one host may be chance, while rejections at three hundred
+//! hosts have a common cause. It holds one row for each second, and in it one count for each cause.
+//! docs/operators/platform.md documents the names of the line's fields for operators.
 
 use grebecleat_host::router::Counters;
 use grebecleat_scheduler::api::NodeState;
@@ -17,7 +17,7 @@
 
 /// The beginning of the line. `grebecleat account` parses it.
 const PREFIX: &str = "account at=";
-/// Up to this admission level, a node counts as closed: it gets next to no requests.
+/// Up to this admission level, a node counts as closed: it gets almost no requests.
 const CLOSED_LEVEL: f64 = 0.05;
 /// Below this admission level, a node counts as low: it gets few requests.
 const LOW_LEVEL: f64 = 0.5;
@@ -26,7 +26,7 @@
 /// Below this factor, a node's concurrency counts as reduced.
 const REDUCED_CONCURRENCY: f64 = 0.5;
 
-/// The fields of the line that are not causes, in the order of the table.
+/// The fields of the line that are not causes, in the order of the table's columns.
 const COLUMNS: [&str; 14] = [
     "taken",
     "legs",
@@ -44,7 +44,7 @@
     "braked",
 ];
 
-/// Composes a host's lines. Each line reports the counts since the line before it.
+/// Formats a host's lines. Each line reports the counts since the previous one.
 #[derive(Debug, Default)]
 pub struct StatisticsReporter {
     reported: Counters,
@@ -69,7 +69,7 @@
     format!("{reason}/{class}/{payer}/{last_success}")
 }
 
-/// Numbers of nodes by the requests that they get.
+/// Numbers of nodes by the restrictions that apply to them.
 #[derive(Default)]
 struct NodeCounts {
     known: usize,
@@ -81,7 +81,7 @@
 }
 
 impl NodeCounts {
-    /// Counts the nodes to which this host has sent requests. It knows nothing of the others.
+    /// Counts the nodes to which this host has sent requests; it has no measurements of the others.
     fn of(scheduler: &Scheduler) -> Self {
         let mut counts = NodeCounts::default();
         for node in scheduler.nodes() {
@@ -116,8 +116,8 @@
 }
 
 impl StatisticsReporter {
-    /// Returns the line for the counts since the last line. `second`: of the wall clock, so that the
-    /// lines of several hosts can be compared. `class_names`: of the traffic classes, in the settings'
+    /// Returns the line for the counts since the last line. `second` is a wall clock time, so that the
+    /// lines of several hosts can be compared. `class_names` are the traffic classes, in the settings'
     /// order.
     pub fn line(
         &mut self,
@@ -149,7 +149,7 @@
     }
 }
 
-/// The lines of several hosts, added up by second.
+/// The lines of several hosts, summed by second.
 ///
 /// ```
 /// use grebecleat_platform::statistics::StatisticsTable;
@@ -171,15 +171,15 @@
     seconds: BTreeMap<u64, BTreeMap<String, u64>>,
 }
 
-/// Sums of the lines, by row and by cause.
+/// Sums of the lines by row and by cause.
 #[derive(Default)]
 struct Sums<'a> {
-    /// By the row's number, and by the field's name or the first part of a cause's name.
+    /// Counts by row number, then by the field's name or the first part of a cause's name.
     rows: BTreeMap<u64, BTreeMap<&'a str, u64>>,
     causes: BTreeMap<String, u64>,
 }
 
-/// Returns the first `parts` parts of a cause's name; zero: all parts.
+/// Returns the first `parts` parts of a cause's name, or the whole name if `parts` is zero.
 fn cause_group(name: &str, parts: usize) -> String {
     if parts == 0 {
         return name.to_string();
@@ -189,7 +189,7 @@
 }
 
 impl StatisticsTable {
-    /// Adds a line of a log; returns whether it was a statistics line.
+    /// Adds a line of a log. Returns whether it was a statistics line.
     pub fn read(&mut self, line: &str) -> bool {
         let Some(at) = line.find(PREFIX) else {
             return false;
@@ -205,8 +205,9 @@
         true
     }
 
-    /// Returns one row for each `every` seconds from the first one, then the causes by the first
-    /// `parts` parts of their names (zero: all parts), the most frequent one first.
+    /// Returns one row for each `every` seconds from the first one, then the causes, grouped by the first
+    /// `parts` parts of their names, the most frequent one first. If `parts` is zero, causes are not
+    /// grouped.
     pub fn format(&self, every: u64, parts: usize) -> String {
         let every = every.max(1);
         let sums = self.sums(every, parts);
