--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,7 +1,7 @@
 //! Translation between a client's HTTP messages and the router's requests, without I/O.
 //!
 //! [`RequestParser::parse`] translates a complete HTTP request into a request for the router, or
-//! returns the HTTP error to respond with; [`put_final`] encodes the router's final response. A
+//! returns the HTTP error to respond with; [`put_final_response`] encodes the router's final response. A
 //! malformed message, or one that names an unknown class or plan, is rejected here, so no part of it
 //! reaches a node. `run::request_intake` and `run::client_conn` call these functions.
 
@@ -57,17 +57,17 @@
     status: 404,
     reason: "unknown path",
 };
-const UNKNOWN_METHOD: HttpError = HttpError {
+const UNSUPPORTED_METHOD: HttpError = HttpError {
     status: 405,
     reason: "method is neither GET nor PUT",
 };
-const WRONG_METHOD: HttpError = HttpError {
+const METHOD_NOT_ALLOWED: HttpError = HttpError {
     status: 405,
     reason: "method is not allowed for this traffic class",
 };
 
 /// The traffic class and the key that a request's path names.
-struct Target {
+struct RequestTarget {
     /// Index of the traffic class.
     traffic_class: usize,
     key: u64,
@@ -94,13 +94,13 @@
             return Ok(ClientRequest::Ready);
         }
         if !matches!(request.method, "GET" | "PUT") {
-            return Err(UNKNOWN_METHOD);
+            return Err(UNSUPPORTED_METHOD);
         }
         let write = request.method == "PUT";
         let target = self.target(path)?;
         let class = &self.traffic_classes[target.traffic_class];
         if class.write.is_some_and(|class_write| class_write != write) {
-            return Err(WRONG_METHOD);
+            return Err(METHOD_NOT_ALLOWED);
         }
         let id = client_id(request)?;
         let plan = self.plan(request)?;
@@ -136,7 +136,7 @@
 
     /// Returns the traffic class, which the first segment of the path names, and the key, which is the
     /// last segment.
-    fn target(&self, path: &str) -> Result<Target, HttpError> {
+    fn target(&self, path: &str) -> Result<RequestTarget, HttpError> {
         let mut parts = path.strip_prefix('/').ok_or(UNKNOWN_PATH)?.split('/');
         let first = parts.next().ok_or(UNKNOWN_PATH)?;
         let last = parts.next_back().ok_or(UNKNOWN_PATH)?;
@@ -144,7 +144,7 @@
         let traffic_class = position(names, first.as_bytes(), || path_decodings(first));
         let traffic_class = traffic_class.ok_or(UNKNOWN_PATH)?;
         let key = hex16(last).ok_or(bad_request("path: expected 16 hex digits at its end"))?;
-        Ok(Target { traffic_class, key })
+        Ok(RequestTarget { traffic_class, key })
     }
 
     /// Returns the index of the plan.
@@ -193,17 +193,17 @@
 
 /// Appends the HTTP form of a final response. A rejected request gets status 503 and a failed one 502,
 /// since clients must be able to tell them apart.
-pub fn put_final(to: &mut Vec<u8>, response: &pb::Response, keep_alive: bool) {
+pub fn put_final_response(buffer: &mut Vec<u8>, response: &pb::Response, keep_alive: bool) {
     match response.outcome() {
-        pb::Outcome::Completed => http::put_response(to, 200, "", keep_alive, &response.data),
+        pb::Outcome::Completed => http::put_response(buffer, 200, "", keep_alive, &response.data),
         pb::Outcome::Rejected => {
             let retry_after = response.retry_after_us.map(Duration::from_micros);
             let header = retry_after.map_or(String::new(), |after| {
                 format!("Retry-After: {:.3}\r\n", after.as_secs_f64())
             });
-            http::put_response(to, 503, &header, keep_alive, b"");
+            http::put_response(buffer, 503, &header, keep_alive, b"");
         }
-        _ => http::put_response(to, 502, "", keep_alive, b""),
+        _ => http::put_response(buffer, 502, "", keep_alive, b""),
     }
 }
 
--- a/crates/platform/src/clients/tests.rs
+++ b/crates/platform/src/clients/tests.rs
@@ -177,7 +177,7 @@
             ..pb::Response::default()
         };
         let mut to = Vec::new();
-        put_final(&mut to, &response, true);
+        put_final_response(&mut to, &response, true);
         assert_eq!(String::from_utf8(to).unwrap(), text);
     }
 }
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -84,7 +84,7 @@
 }
 
 /// Returns the number of a name, or `None` if the name is new and there are too many names.
-fn number(numbers: &mut HashMap<String, u32>, name: &str) -> Option<u32> {
+fn assign_number(numbers: &mut HashMap<String, u32>, name: &str) -> Option<u32> {
     if let Some(number) = numbers.get(name) {
         return Some(*number);
     }
@@ -146,8 +146,8 @@
         if address.parse::<SocketAddr>().is_err() && state != pb::NodeState::Gone {
             return None;
         }
-        let zone = number(&mut self.zones, target.zone.as_deref().unwrap_or_default())?;
-        let node = number(&mut self.nodes, &target.uid)?;
+        let zone = assign_number(&mut self.zones, target.zone.as_deref().unwrap_or_default())?;
+        let node = assign_number(&mut self.nodes, &target.uid)?;
         let started_ms = target.started_ms;
         let up_us = (started_ms > 0.0).then(|| (unix_ms - started_ms).max(0.0) * 1000.0);
         Some(pb::Endpoint {
@@ -163,7 +163,7 @@
 }
 
 /// Returns the HTTP request of a call.
-pub fn call(service: &str, call: Call) -> Vec<u8> {
+pub fn encode_call(service: &str, call: Call) -> Vec<u8> {
     let mut text = format!("GET {PATH}");
     if let Call::Newer { revision, wait } = call {
         let _ = write!(text, "?since={revision}&timeout_ms={}", wait.as_millis());
--- a/crates/platform/src/http.rs
+++ b/crates/platform/src/http.rs
@@ -367,7 +367,13 @@
 }
 
 /// Appends a response. `headers` holds additional header lines, each with its line end.
-pub fn put_response(to: &mut Vec<u8>, status: u16, headers: &str, keep_alive: bool, body: &[u8]) {
+pub fn put_response(
+    buffer: &mut Vec<u8>,
+    status: u16,
+    headers: &str,
+    keep_alive: bool,
+    body: &[u8],
+) {
     let close = if keep_alive {
         ""
     } else {
@@ -377,8 +383,8 @@
     let reason = reason_phrase(status);
     // Writing to memory cannot fail.
     let _ = write!(
-        to,
+        buffer,
         "HTTP/1.1 {status} {reason}\r\nContent-Length: {length}\r\n{close}{headers}\r\n"
     );
-    to.extend_from_slice(body);
+    buffer.extend_from_slice(body);
 }
--- a/crates/platform/src/nodes.rs
+++ b/crates/platform/src/nodes.rs
@@ -10,20 +10,23 @@
 
 /// Appends the HTTP request of an attempt. The attempt's `piece` holds the request line and headers of
 /// the client's request.
-pub fn put_attempt(to: &mut Vec<u8>, attempt: &pb::Attempt) {
-    to.extend_from_slice(&attempt.piece);
+pub fn put_attempt(buffer: &mut Vec<u8>, attempt: &pb::Attempt) {
+    buffer.extend_from_slice(&attempt.piece);
     // Writing to memory cannot fail.
     let _ = write!(
-        to,
+        buffer,
         "X-Remaining-Ms: {}\r\n\r\n",
         attempt.left_us.div_ceil(1000)
     );
-    to.extend_from_slice(&attempt.data);
+    buffer.extend_from_slice(&attempt.data);
 }
 
 /// Appends the HTTP request of a health check.
-pub fn put_health_check(to: &mut Vec<u8>) {
-    let _ = write!(to, "GET /health/live HTTP/1.1\r\nHost: {SERVICE}\r\n\r\n");
+pub fn put_health_check(buffer: &mut Vec<u8>) {
+    let _ = write!(
+        buffer,
+        "GET /health/live HTTP/1.1\r\nHost: {SERVICE}\r\n\r\n"
+    );
 }
 
 /// Returns the measurement in a header. A malformed measurement is ignored, and does not make the
--- a/crates/platform/src/run.rs
+++ b/crates/platform/src/run.rs
@@ -79,9 +79,9 @@
 /// address.
 pub fn run(options: Options, started: impl FnOnce(SocketAddr)) -> io::Result<Counters> {
     configure_coroutines();
-    let (to_owner, events) = mpsc::channel();
+    let (event_sender, events) = mpsc::channel();
     // Signal handlers are installed before a peer can find this host ready.
-    forward_signals(to_owner.clone())?;
+    forward_signals(event_sender.clone())?;
     let listener = TcpListener::bind(options.config.listen)?;
     let address = listener.local_addr()?;
     let slots = Arc::new(ClientSlots::new(options.config.descriptors.clients));
@@ -89,9 +89,9 @@
         options.config,
         options.file,
         ListenerHandle::new(slots.clone(), listener.as_raw_fd()),
-        to_owner.clone(),
+        event_sender.clone(),
     );
-    go!(move || accept(&listener, &slots, &to_owner));
+    go!(move || accept(&listener, &slots, &event_sender));
     started(address);
     owner.run(&events);
     Ok(owner.counters())
@@ -109,7 +109,7 @@
         .set_worker_pin(false);
 }
 
-fn forward_signals(to_owner: Sender<OwnerEvent>) -> io::Result<()> {
+fn forward_signals(event_sender: Sender<OwnerEvent>) -> io::Result<()> {
     use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
     let mut signals = signal_hook::iterator::Signals::new([SIGHUP, SIGTERM, SIGINT])?;
     std::thread::Builder::new()
@@ -117,7 +117,7 @@
         .stack_size(SIGNAL_STACK_BYTES)
         .spawn(move || {
             for signal in signals.forever() {
-                if to_owner.send(OwnerEvent::Signal(signal)).is_err() {
+                if event_sender.send(OwnerEvent::Signal(signal)).is_err() {
                     return;
                 }
             }
--- a/crates/platform/src/run/client_conn.rs
+++ b/crates/platform/src/run/client_conn.rs
@@ -9,7 +9,7 @@
 };
 use super::socket::{pending_input, PendingInput};
 use super::sweep::NEW_CLIENT_GRACE_PERIOD;
-use crate::clients::put_final;
+use crate::clients::put_final_response;
 use crate::http::{put_response, HttpError};
 use grebecleat_wire::pb;
 use std::time::Duration;
@@ -49,7 +49,7 @@
         return Received::Discarded;
     }
     if connection.read_buffer.is_empty() && client.exchange.is_none() && client.has_sent {
-        client.since = at;
+        client.phase_began_at = at;
     }
     client.has_sent = true;
     connection.read_buffer.extend_from_slice(bytes);
@@ -69,7 +69,7 @@
 
 /// Returns whether no exchange has been completed on this connection yet.
 pub(super) fn is_first_exchange(connection: &Connection, client: &ClientState) -> bool {
-    client.since <= connection.opened_at
+    client.phase_began_at <= connection.opened_at
 }
 
 /// Begins an exchange whose request is the first `used` bytes of the read buffer.
@@ -94,7 +94,7 @@
     };
     let status = if is_ready { 200 } else { 503 };
     consume(&mut connection.read_buffer, used);
-    client.since = at;
+    client.phase_began_at = at;
     put_response(&mut connection.write_buffer, status, "", keep_alive, b"");
     if !keep_alive {
         client.discard = Some(Discard::from(at));
@@ -127,11 +127,11 @@
     // A pipelined request that has been read gets its response too.
     let has_pipelined = !connection.read_buffer.is_empty();
     let keep_alive = exchange.keep_alive && (!closes_after_response || has_pipelined);
-    client.since = now;
+    client.phase_began_at = now;
     if !keep_alive {
         client.discard = Some(Discard::from(now));
     }
-    put_final(&mut connection.write_buffer, response, keep_alive);
+    put_final_response(&mut connection.write_buffer, response, keep_alive);
     Some(FinishedExchange {
         exchange,
         has_next: keep_alive && has_pipelined,
--- a/crates/platform/src/run/connection.rs
+++ b/crates/platform/src/run/connection.rs
@@ -56,7 +56,7 @@
     /// Whether the client has sent anything.
     pub(super) has_sent: bool,
     /// When the client began to send the current request, or when the connection became idle.
-    pub(super) since: Duration,
+    pub(super) phase_began_at: Duration,
     /// Set once the last response to the client was composed.
     pub(super) discard: Option<Discard>,
 }
@@ -67,7 +67,7 @@
         ClientState {
             exchange: None,
             has_sent: false,
-            since: now,
+            phase_began_at: now,
             discard: None,
         }
     }
@@ -157,7 +157,7 @@
 
 impl DialTarget {
     /// Returns the router's input for a dial that has failed.
-    pub(super) fn gone(self, conn: ConnId) -> Input {
+    pub(super) fn failure_input(self, conn: ConnId) -> Input {
         match self {
             DialTarget::Node => Input::NodeGone { conn },
             DialTarget::Discovery => Input::DiscoveryGone { conn },
@@ -165,7 +165,7 @@
     }
 
     /// Returns the router's input for a dial that has succeeded.
-    pub(super) fn up(self, conn: ConnId, outbox: Arc<Outbox>) -> Input {
+    pub(super) fn success_input(self, conn: ConnId, outbox: Arc<Outbox>) -> Input {
         match self {
             DialTarget::Node => Input::NodeUp { conn, outbox },
             DialTarget::Discovery => Input::DiscoveryUp { conn, outbox },
--- a/crates/platform/src/run/eviction.rs
+++ b/crates/platform/src/run/eviction.rs
@@ -19,7 +19,7 @@
 
 use super::connection::{ClientState, Connection, Role};
 use super::connection_table::ConnectionTable;
-use super::socket::silent_for;
+use super::socket::time_since_last_receive;
 use super::sweep::{IDLE_TIMEOUT, NEW_CLIENT_GRACE_PERIOD};
 use grebecleat_host::router::ConnId;
 use std::cmp::Reverse;
@@ -64,7 +64,7 @@
         let Role::Client(client) = &connection.role else {
             continue;
         };
-        let idle = now.saturating_sub(client.since);
+        let idle = now.saturating_sub(client.phase_began_at);
         if let Some(class) = eviction_class(connection, client, idle) {
             candidates.push(Candidate { class, conn, idle });
         }
@@ -98,7 +98,7 @@
             && connection.read_buffer.is_empty()
             && !connection.has_unwritten();
         if is_idle {
-            idle.push((client.since, conn));
+            idle.push((client.phase_began_at, conn));
         }
     }
     idle.sort_unstable();
@@ -122,7 +122,8 @@
         return Some(EvictionClass::Rejected);
     }
     let is_silent = !client.has_sent
-        && (idle > NEW_CLIENT_GRACE_PERIOD || silent_for(connection.fd) > NEW_CLIENT_GRACE_PERIOD);
+        && (idle > NEW_CLIENT_GRACE_PERIOD
+            || time_since_last_receive(connection.fd) > NEW_CLIENT_GRACE_PERIOD);
     if is_silent {
         return Some(EvictionClass::Silent);
     }
--- a/crates/platform/src/run/listener.rs
+++ b/crates/platform/src/run/listener.rs
@@ -101,11 +101,15 @@
 }
 
 /// Accepts clients until the slots are stopped.
-pub(super) fn accept(listener: &TcpListener, slots: &ClientSlots, to_owner: &Sender<OwnerEvent>) {
+pub(super) fn accept(
+    listener: &TcpListener,
+    slots: &ClientSlots,
+    event_sender: &Sender<OwnerEvent>,
+) {
     let mut last = LAST_DIALED_CONN;
     while !slots.is_stopped.load(Ordering::Acquire) {
         if slots.used.load(Ordering::Acquire) >= slots.limit {
-            let _ = to_owner.send(OwnerEvent::SlotsExhausted);
+            let _ = event_sender.send(OwnerEvent::SlotsExhausted);
             slots.wake.wait();
             continue;
         }
@@ -121,15 +125,15 @@
                     fd: stream.as_raw_fd(),
                     gate: gate.clone(),
                 };
-                if to_owner.send(accepted).is_err() {
+                if event_sender.send(accepted).is_err() {
                     return;
                 }
-                start_reader(stream, conn, gate, to_owner.clone());
+                start_reader(stream, conn, gate, event_sender.clone());
             }
             // No descriptor is free, or the client has left already. The owner's next sweep wakes this
             // coroutine.
             Err(_) => {
-                let _ = to_owner.send(OwnerEvent::SlotsExhausted);
+                let _ = event_sender.send(OwnerEvent::SlotsExhausted);
                 slots.wake.wait();
             }
         }
--- a/crates/platform/src/run/owner.rs
+++ b/crates/platform/src/run/owner.rs
@@ -63,7 +63,7 @@
     intake: RequestIntake,
     discovery: DiscoveryPort,
     listener: ListenerHandle,
-    to_owner: Sender<OwnerEvent>,
+    event_sender: Sender<OwnerEvent>,
     shutdown: Shutdown,
     sweep_at: Duration,
     log_limiter: LogLimiter,
@@ -75,7 +75,7 @@
         config: Config,
         config_file: Option<PathBuf>,
         listener: ListenerHandle,
-        to_owner: Sender<OwnerEvent>,
+        event_sender: Sender<OwnerEvent>,
     ) -> Self {
         let router = RequestRouter::new(config.settings.clone(), config.seed)
             .with_exclusive_connections()
@@ -91,7 +91,7 @@
             intake: RequestIntake::new(&config),
             discovery: DiscoveryPort::new(config.discovery, poll_interval),
             listener,
-            to_owner,
+            event_sender,
             shutdown: Shutdown::new(settings.longest_deadline()),
             sweep_at: now,
             log_limiter: LogLimiter::new(now),
@@ -262,7 +262,7 @@
     fn dial_ended(&mut self, outcome: DialOutcome, now: Duration) {
         let DialOutcome { conn, target, .. } = outcome;
         let Some(socket) = outcome.socket else {
-            return self.inputs.push(target.gone(conn));
+            return self.inputs.push(target.failure_input(conn));
         };
         // SAFETY: `into_raw_fd` has just transferred the ownership of the descriptor.
         let stream = unsafe { TcpStream::from_raw_fd(socket.into_raw_fd()) };
@@ -277,8 +277,8 @@
         };
         let fd = stream.as_raw_fd();
         let outbox = self.connections.add(conn, role, fd, gate.clone(), now);
-        start_reader(stream, conn, gate, self.to_owner.clone());
-        self.inputs.push(target.up(conn, outbox));
+        start_reader(stream, conn, gate, self.event_sender.clone());
+        self.inputs.push(target.success_input(conn, outbox));
     }
 
     /// Closes a connection without reporting it to the router.
--- a/crates/platform/src/run/owner/receive.rs
+++ b/crates/platform/src/run/owner/receive.rs
@@ -268,7 +268,7 @@
             wait_ms = call.wait().as_millis() as u64,
             "discovery call"
         );
-        let bytes = discovery::call(SERVICE, call);
+        let bytes = discovery::encode_call(SERVICE, call);
         connection.write_buffer.extend_from_slice(&bytes);
         self.flush(conn);
     }
--- a/crates/platform/src/run/owner/send.rs
+++ b/crates/platform/src/run/owner/send.rs
@@ -63,7 +63,7 @@
             }
             for frame in batch.frames {
                 if let Some(body) = frame.body {
-                    self.compose(conn, body);
+                    self.encode_message(conn, body);
                 }
             }
         }
@@ -109,12 +109,14 @@
     }
 
     /// Encodes a message of the outbox into the connection's write buffer, or performs it.
-    fn compose(&mut self, conn: ConnId, body: Body) {
+    fn encode_message(&mut self, conn: ConnId, body: Body) {
         let Some(connection) = self.connections.get_mut(conn) else {
             return;
         };
         match (&mut connection.role, body) {
-            (Role::Client(_), Body::Response(response)) => self.compose_final(conn, &response),
+            (Role::Client(_), Body::Response(response)) => {
+                self.encode_final_response(conn, &response)
+            }
             (Role::Node(exchange), Body::Attempt(attempt)) => {
                 *exchange = NodeExchange::Attempt(attempt.attempt);
                 debug!(
@@ -149,7 +151,7 @@
         }
     }
 
-    fn compose_final(&mut self, conn: ConnId, response: &pb::Response) {
+    fn encode_final_response(&mut self, conn: ConnId, response: &pb::Response) {
         let now = clock::now();
         let closes = self.shutdown.closes_after_response(now);
         let Some(connection) = self.connections.get_mut(conn) else {
--- a/crates/platform/src/run/owner/tests.rs
+++ b/crates/platform/src/run/owner/tests.rs
@@ -21,12 +21,12 @@
     owner_with_sockets(256, mpsc::channel().0)
 }
 
-fn owner_with_sockets(sockets: usize, to_owner: Sender<OwnerEvent>) -> Owner {
+fn owner_with_sockets(sockets: usize, event_sender: Sender<OwnerEvent>) -> Owner {
     let mut text = crate::config::tests::complete();
     text["limits"]["sockets"] = sockets.into();
     let config = Config::read("c.json".as_ref(), text.to_string().as_bytes()).unwrap();
     let listener = ListenerHandle::new(Arc::new(ClientSlots::new(9)), -1);
-    Owner::new(config, None, listener, to_owner)
+    Owner::new(config, None, listener, event_sender)
 }
 
 /// Accepts a client on the socket `fd`, as the listener does.
@@ -84,8 +84,8 @@
 /// wait for a descriptor, but the dial to discovery does not.
 #[test]
 fn dials_to_nodes_wait_for_a_descriptor_and_the_one_to_discovery_does_not() {
-    let (to_owner, events) = mpsc::channel();
-    let mut owner = owner_with_sockets(48, to_owner);
+    let (event_sender, events) = mpsc::channel();
+    let mut owner = owner_with_sockets(48, event_sender);
     let max_node_connections = owner.config.descriptors.nodes;
     let extra_dials = 4;
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
@@ -180,7 +180,7 @@
         ),
         (
             "idle for long, to free a slot",
-            |client| client.since = Duration::ZERO,
+            |client| client.phase_began_at = Duration::ZERO,
             Owner::free_client_slots,
         ),
         (
@@ -227,7 +227,7 @@
         for (number, (conn, ..)) in (1..).zip(&all) {
             let client = client_state(&mut owner, *conn);
             client.has_sent = true;
-            client.since = clock::now() + ms(number);
+            client.phase_began_at = clock::now() + ms(number);
         }
         for _ in 0..9 {
             owner.free_client_slots();
--- a/crates/platform/src/run/reader.rs
+++ b/crates/platform/src/run/reader.rs
@@ -179,7 +179,12 @@
     bytes.shrink_to_fit();
 }
 
-fn read_until_end(stream: TcpStream, conn: ConnId, gate: &ReadGate, to_owner: &Sender<OwnerEvent>) {
+fn read_until_end(
+    stream: TcpStream,
+    conn: ConnId,
+    gate: &ReadGate,
+    event_sender: &Sender<OwnerEvent>,
+) {
     let mut buffer = [0; FIRST_READ_SIZE];
     loop {
         match gate.read(stream.as_raw_fd(), &mut buffer) {
@@ -191,14 +196,14 @@
                     at: clock::now(),
                     bytes,
                 };
-                if to_owner.send(read).is_err() {
+                if event_sender.send(read).is_err() {
                     break;
                 }
                 gate.wait_for_owner();
             }
         }
     }
-    let _ = to_owner.send(OwnerEvent::Ended { conn, stream });
+    let _ = event_sender.send(OwnerEvent::Ended { conn, stream });
 }
 
 /// Starts the coroutine that reads a connection until its end.
@@ -206,9 +211,9 @@
     stream: TcpStream,
     conn: ConnId,
     gate: Arc<ReadGate>,
-    to_owner: Sender<OwnerEvent>,
+    event_sender: Sender<OwnerEvent>,
 ) {
-    go!(move || read_until_end(stream, conn, &gate, &to_owner));
+    go!(move || read_until_end(stream, conn, &gate, &event_sender));
 }
 
 #[cfg(test)]
--- a/crates/platform/src/run/socket.rs
+++ b/crates/platform/src/run/socket.rs
@@ -72,7 +72,7 @@
 /// Returns the time since bytes were last received on a connection, which includes its time in the
 /// listener's queue. If no bytes were ever received, returns the time since the connection was
 /// established. Returns zero if the operating system does not report it.
-pub(super) fn silent_for(fd: RawFd) -> Duration {
+pub(super) fn time_since_last_receive(fd: RawFd) -> Duration {
     // SAFETY: all zero is a value of this plain struct.
     let mut info: libc::tcp_info = unsafe { std::mem::zeroed() };
     let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
--- a/crates/platform/src/run/sweep.rs
+++ b/crates/platform/src/run/sweep.rs
@@ -129,7 +129,7 @@
         return Expiry::Never;
     }
     if connection.has_unwritten() {
-        return Expiry::Close(client.since + RESPONSE_READ_TIMEOUT);
+        return Expiry::Close(client.phase_began_at + RESPONSE_READ_TIMEOUT);
     }
     if let Some(discard) = &client.discard {
         return Expiry::Close(discard.until);
@@ -138,11 +138,11 @@
         return Expiry::Silent(connection.opened_at + FIRST_REQUEST_TIMEOUT);
     }
     if connection.read_buffer.is_empty() {
-        return Expiry::Idle(client.since + IDLE_TIMEOUT);
+        return Expiry::Idle(client.phase_began_at + IDLE_TIMEOUT);
     }
     // The time for the first request counts from when the client was accepted.
-    if client.since <= connection.opened_at {
+    if client.phase_began_at <= connection.opened_at {
         return Expiry::Incomplete(connection.opened_at + FIRST_REQUEST_TIMEOUT);
     }
-    Expiry::Incomplete(client.since + LATER_REQUEST_TIMEOUT)
+    Expiry::Incomplete(client.phase_began_at + LATER_REQUEST_TIMEOUT)
 }
--- a/crates/platform/tests/poll_deadline/discovery.rs
+++ b/crates/platform/tests/poll_deadline/discovery.rs
@@ -47,7 +47,7 @@
         }
         for watch in std::mem::take(&mut self.watches).into_values() {
             if !watch.silent {
-                self.answer(watch.host, watch.conn, self.now, self.revision);
+                self.respond(watch.host, watch.conn, self.now, self.revision);
             }
         }
     }
@@ -57,19 +57,19 @@
             return;
         };
         if !watch.silent {
-            self.answer(watch.host, watch.conn, self.now, watch.revision);
+            self.respond(watch.host, watch.conn, self.now, watch.revision);
         }
     }
 
-    fn answer(&mut self, host: usize, conn: u64, at: Duration, revision: u64) {
+    fn respond(&mut self, host: usize, conn: u64, at: Duration, revision: u64) {
         if self.rng.random::<f64>() < self.scenario.lost {
             return;
         }
-        let answer = FleetEvent::Response {
+        let response = FleetEvent::Response {
             conn,
             revision: Some(revision),
         };
-        self.schedule(at + LATENCY, host, answer);
+        self.schedule(at + LATENCY, host, response);
     }
 
     fn refuse(&mut self, host: usize, conn: u64, at: Duration) {
@@ -116,7 +116,7 @@
                 } else {
                     self.free_at
                 };
-                self.answer(host, conn, at, self.revision);
+                self.respond(host, conn, at, self.revision);
             }
         }
     }
