--- a/crates/platform/src/clients.rs
+++ b/crates/platform/src/clients.rs
@@ -1,27 +1,27 @@
-//! Translation between a client's HTTP messages and the router's requests. Pure functions.
+//! Translation between a client's HTTP messages and the router's requests, without I/O.
 //!
 //! [`RequestParser::parse`] translates a complete HTTP request into a request for the router, or
-//! returns its fault; [`put_final`] translates a final response. A message that cannot be understood,
-//! or that names something unknown, gets its response here and never becomes a request, so nothing of
-//! it can reach a node. `run::request_intake` and `run::client_conn` call these functions.
+//! returns the HTTP error to respond with; [`put_final_response`] encodes the router's final response. A
+//! malformed message, or one that names an unknown class or plan, is rejected here, so no part of it
+//! reaches a node. `run::request_intake` and `run::client_conn` call these functions.
 
 mod fields;
 
 use crate::config::{ClassProtocol, Config};
 use crate::http::{self, HttpError, Request};
 use bytes::Bytes;
-use fields::{decimal, header_readings, hex16, path_readings, position, Placement};
+use fields::{decimal, header_decodings, hex16, path_decodings, position, Placement};
 use grebecleat_wire::pb;
 use std::fmt::Write;
 use std::time::Duration;
 
 /// The path of the readiness check.
-pub const READY: &str = "/health/ready";
-/// The host name of nodes and discovery in a head.
+pub const READINESS_PATH: &str = "/health/ready";
+/// The value of the `Host` header in requests to nodes and to discovery.
 pub const SERVICE: &str = "backend.local";
-/// The largest number of bytes of a client's id. A larger value lets clients take memory; a smaller
-/// one rejects requests.
-const MAX_ID: usize = 512;
+/// Maximum length in bytes of the request id that a client sends. A larger value lets clients take
+/// more memory; a smaller one rejects more requests.
+const MAX_CLIENT_ID_BYTES: usize = 512;
 
 /// A parsed request of a client.
 #[derive(Debug)]
@@ -37,12 +37,12 @@
     },
 }
 
-/// Parses requests by the names that a deployment's settings declare.
+/// Parses requests, and looks up the names of traffic classes and plans in the settings.
 #[derive(Debug)]
 pub struct RequestParser {
     traffic_classes: Vec<ClassProtocol>,
     plans: Vec<String>,
-    /// The largest number of units of one request.
+    /// Maximum size of one request, in units.
     max_units: f64,
 }
 
@@ -55,19 +55,19 @@
 
 const UNKNOWN_PATH: HttpError = HttpError {
     status: 404,
-    reason: "a path that is not known here",
+    reason: "unknown path",
 };
-const UNKNOWN_METHOD: HttpError = HttpError {
+const UNSUPPORTED_METHOD: HttpError = HttpError {
     status: 405,
-    reason: "neither GET nor PUT",
+    reason: "method is neither GET nor PUT",
 };
-const WRONG_METHOD: HttpError = HttpError {
+const METHOD_NOT_ALLOWED: HttpError = HttpError {
     status: 405,
-    reason: "a method that is not this path's",
+    reason: "method is not allowed for this traffic class",
 };
 
 /// The traffic class and the key that a request's path names.
-struct Target {
+struct RequestTarget {
     /// Index of the traffic class.
     traffic_class: usize,
     key: u64,
@@ -86,32 +86,33 @@
 
     /// Translates a complete HTTP request.
     ///
-    /// Errors: the response to a request that cannot be understood, or that names something unknown.
+    /// Returns an error, which is the response to the client, if the request is malformed or names an
+    /// unknown path, class or plan.
     pub fn parse(&self, request: &Request) -> Result<ClientRequest, HttpError> {
         let path = request.target.split(['?', '#']).next().unwrap_or_default();
-        if path == READY && request.method == "GET" {
+        if path == READINESS_PATH && request.method == "GET" {
             return Ok(ClientRequest::Ready);
         }
         if !matches!(request.method, "GET" | "PUT") {
-            return Err(UNKNOWN_METHOD);
+            return Err(UNSUPPORTED_METHOD);
         }
         let write = request.method == "PUT";
         let target = self.target(path)?;
         let class = &self.traffic_classes[target.traffic_class];
         if class.write.is_some_and(|class_write| class_write != write) {
-            return Err(WRONG_METHOD);
+            return Err(METHOD_NOT_ALLOWED);
         }
         let id = client_id(request)?;
         let plan = self.plan(request)?;
         let left_ms = request.headers.one("x-remaining-ms")?.and_then(decimal);
-        let left_ms = left_ms.ok_or(bad_request("X-Remaining-Ms is no span"))?;
+        let left_ms = left_ms.ok_or(bad_request("X-Remaining-Ms: expected milliseconds"))?;
         let placement = self.placement(request)?;
         let idempotency_key = request
             .headers
             .one("idempotency-key")?
             .filter(|key| !key.is_empty());
         if class.requires_key && idempotency_key.is_none() {
-            return Err(bad_request("no Idempotency-Key"));
+            return Err(bad_request("Idempotency-Key: missing"));
         }
         let submit = pb::SubmitRequest {
             piece: Bytes::from(node_head(request, id, idempotency_key, write)),
@@ -133,36 +134,36 @@
         })
     }
 
-    /// Returns the traffic class, which is the first part of the path, and the key, which is the
-    /// last.
-    fn target(&self, path: &str) -> Result<Target, HttpError> {
+    /// Returns the traffic class, which the first segment of the path names, and the key, which is the
+    /// last segment.
+    fn target(&self, path: &str) -> Result<RequestTarget, HttpError> {
         let mut parts = path.strip_prefix('/').ok_or(UNKNOWN_PATH)?.split('/');
         let first = parts.next().ok_or(UNKNOWN_PATH)?;
         let last = parts.next_back().ok_or(UNKNOWN_PATH)?;
         let names = self.traffic_classes.iter().map(|class| class.name.as_str());
-        let traffic_class = position(names, first.as_bytes(), || path_readings(first));
+        let traffic_class = position(names, first.as_bytes(), || path_decodings(first));
         let traffic_class = traffic_class.ok_or(UNKNOWN_PATH)?;
-        let key = hex16(last).ok_or(bad_request("a path that does not end in 16 hex digits"))?;
-        Ok(Target { traffic_class, key })
+        let key = hex16(last).ok_or(bad_request("path: expected 16 hex digits at its end"))?;
+        Ok(RequestTarget { traffic_class, key })
     }
 
     /// Returns the index of the plan.
     fn plan(&self, request: &Request) -> Result<usize, HttpError> {
         let value = request.headers.one_raw("x-qos-policy")?;
         let names = self.plans.iter().map(String::as_str);
-        let plan = value.and_then(|value| position(names, value, || header_readings(value)));
-        plan.ok_or(bad_request("X-Qos-Policy names no plan"))
+        let plan = value.and_then(|value| position(names, value, || header_decodings(value)));
+        plan.ok_or(bad_request("X-Qos-Policy: missing or not a plan"))
     }
 
     fn placement(&self, request: &Request) -> Result<Placement, HttpError> {
         let text = request.headers.one("x-placement")?;
         let placement = text.and_then(Placement::parse);
-        let placement = placement.ok_or(bad_request("X-Placement cannot be read"))?;
+        let placement = placement.ok_or(bad_request("X-Placement: missing or malformed"))?;
         if !(placement.units > 0.0 && placement.units <= self.max_units) {
-            return Err(bad_request("X-Placement with units out of range"));
+            return Err(bad_request("X-Placement: units out of range"));
         }
         if placement.hosts == 0 {
-            return Err(bad_request("X-Placement with no hosts"));
+            return Err(bad_request("X-Placement: hosts is 0, expected at least 1"));
         }
         Ok(placement)
     }
@@ -170,11 +171,12 @@
 
 fn client_id<'b>(request: &Request<'b>) -> Result<&'b str, HttpError> {
     let id = request.headers.one("x-txn")?;
-    id.filter(|id| !id.is_empty() && id.len() <= MAX_ID)
-        .ok_or(bad_request("no X-Txn"))
+    id.filter(|id| !id.is_empty() && id.len() <= MAX_CLIENT_ID_BYTES)
+        .ok_or(bad_request("X-Txn: missing, empty or too long"))
 }
 
-/// Returns the head of the request for the nodes, without its end.
+/// Returns the request line and the headers of the request for the node, without the empty line that
+/// ends them: each attempt appends a header of its own.
 fn node_head(request: &Request, id: &str, idempotency_key: Option<&str>, write: bool) -> String {
     let mut head = format!(
         "{} {} HTTP/1.1\r\nHost: {SERVICE}\r\nX-Txn: {id}\r\n",
@@ -189,19 +191,19 @@
     head
 }
 
-/// Appends a final response, as the client reads it. The response to a failed request must differ
-/// from the response to a rejected one.
-pub fn put_final(to: &mut Vec<u8>, response: &pb::Response, keep_alive: bool) {
+/// Appends the HTTP form of a final response. A rejected request gets status 503 and a failed one 502,
+/// since clients must be able to tell them apart.
+pub fn put_final_response(buffer: &mut Vec<u8>, response: &pb::Response, keep_alive: bool) {
     match response.outcome() {
-        pb::Outcome::Completed => http::put_response(to, 200, "", keep_alive, &response.data),
+        pb::Outcome::Completed => http::put_response(buffer, 200, "", keep_alive, &response.data),
         pb::Outcome::Rejected => {
             let retry_after = response.retry_after_us.map(Duration::from_micros);
             let header = retry_after.map_or(String::new(), |after| {
                 format!("Retry-After: {:.3}\r\n", after.as_secs_f64())
             });
-            http::put_response(to, 503, &header, keep_alive, b"");
+            http::put_response(buffer, 503, &header, keep_alive, b"");
         }
-        _ => http::put_response(to, 502, "", keep_alive, b""),
+        _ => http::put_response(buffer, 502, "", keep_alive, b""),
     }
 }
 
--- a/crates/platform/src/clients/fields.rs
+++ b/crates/platform/src/clients/fields.rs
@@ -1,52 +1,54 @@
-//! The parts of a client's request: names, numbers and the placement header. Pure functions.
+//! Parsers for the fields of a client's request: names, numbers and the placement header.
 
-/// Returns the position, among the settings' names, of the name that a client sent. The settings may
-/// have passed the simulator's wire, which rewrites spaces and commas: a rewritten name matches only
-/// if no name matches unchanged. The other `readings` count only if the sent bytes equal no name.
+/// Returns the index, in the settings' `names`, of the name that a client sent.
+///
+/// The sent bytes are compared first, and the decodings only if no name equals the sent bytes. The
+/// settings may have passed the simulator's wire, which replaces spaces and commas with underscores;
+/// a decoding is compared in that form only if no name equals it unchanged.
 pub(super) fn position<'n>(
     names: impl Iterator<Item = &'n str> + Clone,
     sent: &[u8],
-    readings: impl FnOnce() -> Vec<String>,
+    decodings: impl FnOnce() -> Vec<String>,
 ) -> Option<usize> {
     let exact = names.clone().position(|name| name.as_bytes() == sent);
     if exact.is_some() {
         return exact;
     }
-    let readings = readings();
-    let is_reading = |name: &str| readings.iter().any(|reading| reading == name.trim());
-    let is_rewritten = |name: &str| {
-        readings
+    let decodings = decodings();
+    let matches_decoding = |name: &str| decodings.iter().any(|decoding| decoding == name.trim());
+    let matches_rewritten = |name: &str| {
+        decodings
             .iter()
-            .any(|reading| reading.replace([' ', ','], "_") == name)
+            .any(|decoding| decoding.replace([' ', ','], "_") == name)
     };
-    let read = names.clone().position(is_reading);
-    read.or_else(|| names.clone().position(is_rewritten))
+    let decoded = names.clone().position(matches_decoding);
+    decoded.or_else(|| names.clone().position(matches_rewritten))
 }
 
-/// Returns the readings of a part of a path: unchanged and percent-decoded.
-pub(super) fn path_readings(part: &str) -> Vec<String> {
-    let mut readings = vec![part.to_string()];
+/// Returns the possible decodings of a path segment: unchanged and percent-decoded.
+pub(super) fn path_decodings(part: &str) -> Vec<String> {
+    let mut decodings = vec![part.to_string()];
     if let Ok(decoded) = percent_encoding::percent_decode_str(part).decode_utf8() {
-        readings.push(decoded.into_owned());
+        decodings.push(decoded.into_owned());
     }
-    readings
+    decodings
 }
 
-/// Returns the readings of a header's value: some clients encode letters beyond ASCII in UTF-8, and
-/// some in Latin-1.
-pub(super) fn header_readings(value: &[u8]) -> Vec<String> {
-    let mut readings = Vec::new();
+/// Returns the possible decodings of a header's value: some clients encode non-ASCII letters in UTF-8,
+/// and some in Latin-1.
+pub(super) fn header_decodings(value: &[u8]) -> Vec<String> {
+    let mut decodings = Vec::new();
     if let Ok(text) = String::from_utf8(value.to_vec()) {
-        readings.push(text);
+        decodings.push(text);
     }
-    readings.push(value.iter().map(|byte| char::from(*byte)).collect());
-    readings
+    decodings.push(value.iter().map(|byte| char::from(*byte)).collect());
+    decodings
 }
 
-/// The largest number of digits of a decimal number, so that products of it fit into 64 bits.
+/// Maximum number of digits of a decimal number. The number times 1000 must fit into 64 bits.
 const MAX_DECIMAL_DIGITS: usize = 15;
 
-/// Parses a decimal number of digits alone, without a sign or a space.
+/// Parses a number that consists of decimal digits only, without sign or spaces.
 pub(super) fn decimal(text: &str) -> Option<u64> {
     let is_decimal = !text.is_empty()
         && text.len() <= MAX_DECIMAL_DIGITS
@@ -66,20 +68,20 @@
     u64::from_str_radix(text, 16).ok()
 }
 
-/// The place of a request's data, as the client sent it.
+/// The placement header of a request: where its data is stored, and its size.
 pub(super) struct Placement {
     pub(super) volume: u64,
     /// Size of the request, in units.
     pub(super) units: f64,
-    /// The shard of the data; None: the data has no place yet.
+    /// The shard that stores the data, or `None` if the data is not stored yet.
     pub(super) shard: Option<u32>,
     /// Number of hosts that the volume's clients use.
     pub(super) hosts: u32,
 }
 
 impl Placement {
-    /// Parses the header; None: a part is absent, cannot be read, or occurs twice, so that it is
-    /// unknown which one counts.
+    /// Parses the header. Returns `None` if a field is missing, malformed, or present twice, in which
+    /// case it is unknown which value is meant.
     pub(super) fn parse(text: &str) -> Option<Self> {
         let mut volume = None;
         let mut units = None;
@@ -109,7 +111,7 @@
     }
 }
 
-/// Parses a shard. `Some(None)`: the data has no place yet.
+/// Parses a shard. Returns `Some(None)` for -1, which means that the data is not stored yet.
 fn parse_shard(value: &str) -> Option<Option<u32>> {
     if value == "-1" {
         return Some(None);
--- a/crates/platform/src/run/owner/receive.rs
+++ b/crates/platform/src/run/owner/receive.rs
@@ -1,8 +1,8 @@
-//! Bytes that have come from clients, nodes and discovery: the owner passes them to the protocol of
-//! the connection, and performs the result.
+//! Processes bytes received from clients, nodes and discovery: the owner passes them to the
+//! connection's protocol and performs the result.
 //!
-//! State: none of its own. Bounds: a large response of a node is only read within the memory that
-//! open requests may take.
+//! Large responses of nodes are read only while all incomplete responses together fit into the memory
+//! that bodies of open requests may take.
 
 use super::{frame, Owner};
 use crate::clients::ClientRequest;
@@ -12,7 +12,7 @@
 use crate::run::client_conn::{self, Received};
 use crate::run::connection::{ClientExchange, ClientState, CloseReason, Role};
 use crate::run::discovery_port::{is_refusal, DiscoveryResponse};
-use crate::run::node_conn::{self, AnswerError, NodeAnswer};
+use crate::run::node_conn::{self, NodeResponse, ResponseError};
 use crate::run::reader::ReadGate;
 use crate::run::request_intake::ParsedRequest;
 use crate::run::socket::{pending_input, PendingInput};
@@ -28,10 +28,10 @@
 use std::time::Duration;
 use tracing::{debug, info};
 
-/// Size in bytes up to which a node's response may always be read. A larger response is read only
-/// while all responses that are being read fit into their part of the memory. A larger value exceeds
-/// that part; a smaller one fails responses that would fit.
-const SMALL_ANSWER: usize = 64 << 10;
+/// Size in bytes up to which a node's response is always read. A larger response is read only while
+/// all incomplete responses together fit into the memory limit for bodies. A larger value can exceed
+/// that limit; a smaller one fails responses that would fit.
+const MAX_SMALL_RESPONSE: usize = 64 << 10;
 
 impl Owner {
     pub(super) fn client_accepted(&mut self, conn: ConnId, fd: RawFd, gate: Arc<ReadGate>) {
@@ -64,8 +64,8 @@
         }
     }
 
-    /// Parses and performs the requests in a client's read buffer, up to the first one that awaits
-    /// its final response.
+    /// Parses and processes the requests in a client's read buffer, up to the first one that awaits its
+    /// final response.
     pub(super) fn advance_client(&mut self, conn: ConnId, at: Duration) {
         loop {
             let Some(connection) = self.connections.get(conn) else {
@@ -85,7 +85,7 @@
                 used,
             } = parsed;
             match request {
-                ClientRequest::Ready => self.answer_readiness(conn, at, keep_alive, used),
+                ClientRequest::Ready => self.respond_to_readiness_check(conn, at, keep_alive, used),
                 ClientRequest::Submit { id, submit } => {
                     return self.submit(conn, at, id, *submit, keep_alive, used)
                 }
@@ -93,12 +93,18 @@
         }
     }
 
-    fn answer_readiness(&mut self, conn: ConnId, at: Duration, keep_alive: bool, used: usize) {
+    fn respond_to_readiness_check(
+        &mut self,
+        conn: ConnId,
+        at: Duration,
+        keep_alive: bool,
+        used: usize,
+    ) {
         let is_ready = self.discovery.is_ready();
         let Some(connection) = self.connections.get_mut(conn) else {
             return;
         };
-        client_conn::answer_readiness(connection, at, is_ready, keep_alive, used);
+        client_conn::respond_to_readiness_check(connection, at, is_ready, keep_alive, used);
         self.flush(conn);
     }
 
@@ -117,7 +123,7 @@
         let Role::Client(client) = &connection.role else {
             return;
         };
-        // A client that has waited in the listener's queue may have left long ago.
+        // A client that was accepted after a long wait in the listener's queue may have left already.
         if client_conn::is_first_exchange(connection, client)
             && pending_input(connection.fd) == PendingInput::End
         {
@@ -126,9 +132,9 @@
         if let Err(error) = self.intake.check_id(&client_id) {
             return self.reject(conn, &error);
         }
-        let last_answer_at = self.shutdown.last_answer_at();
+        let last_response_at = self.shutdown.last_response_at();
         self.intake
-            .admit(&client_id, &mut submit, at, last_answer_at);
+            .admit(&client_id, &mut submit, at, last_response_at);
         debug!(
             request_id = request_label(&submit.id),
             client_id,
@@ -148,7 +154,7 @@
         self.inputs.push(Input::ClientFrames { conn, at, frames });
     }
 
-    /// Responds to a client with an error. The connection is closed once the client has read it.
+    /// Responds to a client with an error, which is the last response on the connection.
     pub(super) fn reject(&mut self, conn: ConnId, error: &HttpError) {
         let Some(connection) = self.connections.get_mut(conn) else {
             return;
@@ -162,40 +168,40 @@
         let Some(connection) = self.connections.get(conn) else {
             return;
         };
-        let is_large = connection.read_buffer.len() > SMALL_ANSWER;
+        let is_large = connection.read_buffer.len() > MAX_SMALL_RESPONSE;
         let max_bytes = self.config.settings.bounds.max_held_bytes;
         if is_large && self.connections.unread_node_bytes() > max_bytes {
-            return self.answer_malformed(conn);
+            return self.finish_malformed_exchange(conn);
         }
-        match node_conn::read_answer(conn, connection) {
+        match node_conn::parse_response(conn, connection) {
             Ok(None) => {}
-            Ok(Some(answer)) => self.finish_node_exchange(conn, answer, at),
-            Err(AnswerError::Unexpected) => {
+            Ok(Some(response)) => self.finish_node_exchange(conn, response, at),
+            Err(ResponseError::Unexpected) => {
                 self.connection_lost(conn, CloseReason::UnexpectedBytes)
             }
-            Err(AnswerError::Malformed) => self.answer_malformed(conn),
+            Err(ResponseError::Malformed) => self.finish_malformed_exchange(conn),
         }
     }
 
-    /// Ends an exchange whose response will never be complete.
-    pub(super) fn answer_malformed(&mut self, conn: ConnId) {
+    /// Ends an exchange whose response is malformed or will never be complete.
+    pub(super) fn finish_malformed_exchange(&mut self, conn: ConnId) {
         let Some(connection) = self.connections.get(conn) else {
             return;
         };
-        match node_conn::malformed_answer(connection) {
-            Ok(answer) => self.finish_node_exchange(conn, answer, clock::now()),
+        match node_conn::malformed_response(connection) {
+            Ok(response) => self.finish_node_exchange(conn, response, clock::now()),
             Err(reason) => self.connection_lost(conn, reason),
         }
     }
 
-    /// Reports the end of an exchange with a node to the router, and the end of the connection if
-    /// it cannot carry another exchange.
-    fn finish_node_exchange(&mut self, conn: ConnId, answer: NodeAnswer, at: Duration) {
+    /// Reports the end of an exchange with a node to the router, and closes the connection if it cannot
+    /// carry another exchange.
+    fn finish_node_exchange(&mut self, conn: ConnId, response: NodeResponse, at: Duration) {
         let Some(connection) = self.connections.get_mut(conn) else {
             return;
         };
-        let is_last = answer.is_last;
-        let messages = node_conn::finish_exchange(connection, answer);
+        let is_last = response.is_last;
+        let messages = node_conn::finish_exchange(connection, response);
         let frames = messages.into_iter().map(|body| frame(body, at)).collect();
         self.inputs.push(Input::NodeFrames { conn, at, frames });
         if is_last {
@@ -203,7 +209,7 @@
         }
     }
 
-    /// Reads the endpoint list from before the start. Ignores a list that cannot be read.
+    /// Reads the cached endpoint list of the configuration. Ignores a list that cannot be read.
     pub(super) fn load_cached_endpoints(&mut self) {
         let Some(cached) = self.config.cached_endpoints.take() else {
             return;
@@ -262,7 +268,7 @@
             wait_ms = call.wait().as_millis() as u64,
             "discovery call"
         );
-        let bytes = discovery::call(SERVICE, call);
+        let bytes = discovery::encode_call(SERVICE, call);
         connection.write_buffer.extend_from_slice(&bytes);
         self.flush(conn);
     }
@@ -281,12 +287,12 @@
         let bytes = connection.read_buffer.len();
         connection.read_buffer = Vec::new();
         match read {
-            Ok(response) => self.discovery_answered(conn, &outstanding, bytes, response),
-            Err(error) => self.discovery_failed(conn, &outstanding, bytes, &error),
+            Ok(response) => self.handle_discovery_response(conn, &outstanding, bytes, response),
+            Err(error) => self.handle_discovery_error(conn, &outstanding, bytes, &error),
         }
     }
 
-    fn discovery_answered(
+    fn handle_discovery_response(
         &mut self,
         conn: ConnId,
         outstanding: &OutstandingCall,
@@ -319,7 +325,7 @@
         });
     }
 
-    fn discovery_failed(
+    fn handle_discovery_error(
         &mut self,
         conn: ConnId,
         outstanding: &OutstandingCall,
