--- a/crates/catalog/tests/admission.rs
+++ b/crates/catalog/tests/admission.rs
@@ -1,5 +1,5 @@
-//! Objections and warnings of admission control, case by case, and the shortfall after any sequence
-//! of changes.
+//! Tests of the objections and warnings of admission control, and a comparison of its shortfall with the
+//! planner's after random sequences of changes.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -16,7 +16,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-const ALL: usize = 1000;
+/// More losses of nodes and zones than any catalog here has, so that all are examined.
+const ALL_LOSSES: usize = 1000;
 
 fn volume(id: u64, plan: &str, shards: &[u32]) -> Change {
     volume_on(id, plan, &["h"], shards)
@@ -32,14 +33,16 @@
     )
 }
 
-fn land(catalog: &mut Catalog, changes: Vec<Change>) {
+fn commit(catalog: &mut Catalog, changes: Vec<Change>) {
     let revision = catalog
         .propose(catalog.version(), ChangeContext::default(), changes)
-        .expect("in order");
-    catalog.apply(revision).expect("the next");
+        .expect("the change is valid");
+    catalog
+        .apply(revision)
+        .expect("the revision has the next version");
 }
 
-/// Two zones of two nodes, each node of 100; four volumes, each on two nodes of different zones.
+/// Two zones of two nodes with a capacity of 100 each, and four volumes, each on one node of either zone.
 fn two_zones() -> Catalog {
     let mut catalog = empty_catalog();
     let nodes = [
@@ -48,8 +51,8 @@
         node(3, "b", 100.0),
         node(4, "b", 100.0),
     ];
-    land(&mut catalog, nodes.into());
-    land(
+    commit(&mut catalog, nodes.into());
+    commit(
         &mut catalog,
         vec![
             plan("basic", 20.0),
@@ -58,7 +61,7 @@
             plan("none", 0.0),
         ],
     );
-    land(
+    commit(
         &mut catalog,
         vec![
             volume(1, "basic", &[1, 3]),
@@ -70,13 +73,14 @@
     catalog
 }
 
-fn verdict(
+/// The verdict on a change, which is then reverted.
+fn evaluate_and_revert(
     catalog: &mut Catalog,
     admission: &mut Admission,
     changes: Vec<Change>,
 ) -> AdmissionVerdict {
-    land(catalog, changes.clone());
-    let found = admission.land(catalog, &changes, ALL);
+    commit(catalog, changes.clone());
+    let found = admission.land(catalog, &changes, ALL_LOSSES);
     catalog.revert_last();
     admission.undo(catalog, &changes);
     found
@@ -86,7 +90,7 @@
 fn objections_and_warnings_to_a_change() {
     let mut catalog = two_zones();
     let mut admission = Admission::open(&catalog, 2.0);
-    admission.refresh(ALL);
+    admission.refresh(ALL_LOSSES);
     let cases: [(&str, Vec<Change>, &[&str]); 9] = [
         ("a small volume", vec![volume(5, "basic", &[1, 2])], &[]),
         ("no reservation", vec![volume(5, "none", &[1])], &[]),
@@ -94,51 +98,57 @@
         (
             "more than the capacity of the node",
             vec![volume(5, "gold", &[1]), volume(6, "gold", &[1])],
-            &["against: 60.0 units a second of reserves cannot be met; what gives way: volume 6 by 60.0"],
+            &["objection: 60.0 units a second of reserves cannot be met; what gives way: volume 6 by 60.0"],
         ),
         (
             "as much as can be met, and no node to spare",
             vec![volume(5, "gold", &[1, 2]), volume(6, "gold", &[1, 2])],
-            // With node 1 out, node 2 must carry half of these volumes, and the rest is out of reach.
+            // With node 1 out, node 2 can carry the half of these volumes that it holds, and the other half
+            // is out of reach.
             &[],
         ),
         (
             "reservations that can be met with all nodes only",
             vec![volume(5, "big", &[1, 2, 3]), volume(6, "big", &[1, 2, 3]), volume(7, "big", &[1, 2, 3])],
             &[
-                // Without node 4, volumes 1 to 4 lie on the three nodes of the large volumes, whose
-                // demand is 255.
-                "warns: with zone a out, 5.0 units a second of reserves could not be met",
-                "warns: with zone b out, 10.0 units a second of reserves could not be met",
-                "warns: with node 4 out, 15.0 units a second of reserves could not be met",
+                // Without node 4, volumes 1 to 4 share the other three nodes with the large volumes, which
+                // reserve 255 of the 300.
+                "warning: with zone a out, 5.0 units a second of reserves could not be met",
+                "warning: with zone b out, 10.0 units a second of reserves could not be met",
+                "warning: with node 4 out, 15.0 units a second of reserves could not be met",
             ],
         ),
         (
             "a drain of a node with the only copy of extents",
             vec![stage(1, Stage::Draining)],
-            &["against: 20.0 units a second of reserves lie out of reach"],
+            &["objection: 20.0 units a second of reserves lie out of reach"],
         ),
         (
             "a weaker node",
             vec![node(1, "a", 5.0), node(3, "b", 5.0)],
-            &["against: 10.0 units a second of reserves cannot be met; what gives way: volume 1 by 10.0"],
+            &["objection: 10.0 units a second of reserves cannot be met; what gives way: volume 1 by 10.0"],
         ),
         ("a new node", vec![node(9, "c", 50.0)], &[]),
     ];
     let before = admission.shortfall();
-    for (what, changes, expected) in cases {
-        let found = verdict(&mut catalog, &mut admission, changes);
-        let objections = found.objections.iter().map(|r| format!("against: {r}"));
+    for (case, changes, expected) in cases {
+        let found = evaluate_and_revert(&mut catalog, &mut admission, changes);
+        let objections = found.objections.iter().map(|r| format!("objection: {r}"));
         let texts: Vec<String> = objections
-            .chain(found.warnings.iter().map(|r| format!("warns: {r}")))
+            .chain(found.warnings.iter().map(|r| format!("warning: {r}")))
             .collect();
-        assert_eq!(texts, expected, "{what}");
+        assert_eq!(texts, expected, "{case}");
         assert!(!found.capacity_unknown && found.unexamined_losses == 0);
-        assert_eq!(admission.shortfall(), before, "{what}: reverted");
+        assert_eq!(
+            admission.shortfall(),
+            before,
+            "{case}: the shortfall after the revert"
+        );
     }
 }
 
-/// Drains while other nodes of the zone are unavailable; each case with the changes before it.
+/// Each case has the changes committed before and the unavailable nodes, then the drain and the objections
+/// to it.
 #[test]
 fn objections_to_a_drain() {
     use Stage::*;
@@ -202,31 +212,31 @@
             &[],
         ),
     ];
-    for (what, before, unavailable, changes, expected) in cases {
+    for (case, before, unavailable, changes, expected) in cases {
         let mut catalog = two_zones();
         for c in before {
-            land(&mut catalog, vec![c]);
+            commit(&mut catalog, vec![c]);
         }
         let mut admission = Admission::open(&catalog, 2.0);
         unavailable
             .iter()
-            .for_each(|(n, how)| admission.set_unavailable(*n, Some(*how)));
-        let found = verdict(&mut catalog, &mut admission, changes);
+            .for_each(|(n, reason)| admission.set_unavailable(*n, Some(*reason)));
+        let found = evaluate_and_revert(&mut catalog, &mut admission, changes);
         let texts: Vec<String> = found.objections.iter().map(|r| r.to_string()).collect();
-        assert_eq!(texts, expected, "{what}");
+        assert_eq!(texts, expected, "{case}");
     }
 }
 
-/// While a node of another zone is gone, the nodes that remain after the drain must carry the load of
-/// both.
+/// While a node of another zone is gone, the remaining nodes must carry the load of the drained node and
+/// of the missing one.
 #[test]
 fn a_drain_is_rejected_if_a_node_gone_in_another_zone_leaves_too_little_capacity() {
     let mut catalog = empty_catalog();
     let nodes = [("a", 1), ("a", 2), ("b", 3), ("b", 4)].map(|(zone, id)| node(id, zone, 100.0));
-    land(&mut catalog, nodes.into());
-    land(&mut catalog, vec![plan("all", 240.0)]);
-    // With this spread, each node of a volume may carry the complete volume.
-    land(
+    commit(&mut catalog, nodes.into());
+    commit(&mut catalog, vec![plan("all", 240.0)]);
+    // The spread of 5 below lets any one node of a volume carry all of its load.
+    commit(
         &mut catalog,
         vec![
             volume(1, "all", &[2, 3, 4]),
@@ -236,7 +246,7 @@
     );
     let mut admission = Admission::open(&catalog, 5.0);
     assert_eq!(
-        verdict(
+        evaluate_and_revert(
             &mut catalog,
             &mut admission,
             vec![stage(1, Stage::Draining)]
@@ -246,7 +256,7 @@
     );
     admission.set_unavailable(3, Some(ExclusionReason::Removed));
     assert_eq!(
-        verdict(
+        evaluate_and_revert(
             &mut catalog,
             &mut admission,
             vec![stage(1, Stage::Draining)]
@@ -255,31 +265,31 @@
         [],
         "node 1 carries no load"
     );
-    land(&mut catalog, vec![volume(1, "all", &[1, 2, 3, 4])]);
+    commit(&mut catalog, vec![volume(1, "all", &[1, 2, 3, 4])]);
     let mut admission = Admission::open(&catalog, 5.0);
     admission.set_unavailable(3, Some(ExclusionReason::Removed));
-    let found = verdict(
+    let found = evaluate_and_revert(
         &mut catalog,
         &mut admission,
         vec![stage(1, Stage::Draining)],
     );
     assert!(!found.objections.is_empty(), "{found:?}");
-    let texts = Reason::Meanwhile {
+    let text = Reason::Meanwhile {
         gone: vec![3],
         by: 40.0,
     }
     .to_string();
     assert_eq!(
-        texts,
+        text,
         "while node 3 is gone, 40.0 units a second of reserves cannot be met"
     );
 }
 
-/// A shortfall that exists already is no objection to a repair, or to an unrelated change.
+/// An existing shortfall is no objection to a change that reduces it, or to an unrelated change.
 #[test]
 fn a_change_that_does_not_increase_a_shortfall_is_admitted() {
     let mut catalog = two_zones();
-    land(
+    commit(
         &mut catalog,
         vec![
             volume(5, "gold", &[1]),
@@ -288,29 +298,30 @@
         ],
     );
     let mut admission = Admission::open(&catalog, 2.0);
-    admission.refresh(ALL);
+    admission.refresh(ALL_LOSSES);
     assert!((admission.shortfall().short - 60.0).abs() < 0.1);
     assert_eq!(
-        verdict(&mut catalog, &mut admission, vec![volume(6, "basic", &[1])]),
+        evaluate_and_revert(&mut catalog, &mut admission, vec![volume(6, "basic", &[1])]),
         AdmissionVerdict::default(),
         "a smaller shortfall"
     );
     assert_eq!(
-        verdict(&mut catalog, &mut admission, vec![volume(8, "none", &[3])]),
+        evaluate_and_revert(&mut catalog, &mut admission, vec![volume(8, "none", &[3])]),
         AdmissionVerdict::default(),
         "an equal shortfall"
     );
-    let worse = verdict(&mut catalog, &mut admission, vec![volume(8, "basic", &[1])]);
+    let larger_shortfall =
+        evaluate_and_revert(&mut catalog, &mut admission, vec![volume(8, "basic", &[1])]);
     assert!(
-        matches!(worse.objections[..], [Reason::Short { .. }]),
-        "{worse:?}"
+        matches!(larger_shortfall.objections[..], [Reason::Short { .. }]),
+        "{larger_shortfall:?}"
     );
-    // The shortfall after a landed change is the new baseline.
-    land(&mut catalog, vec![volume(8, "basic", &[1])]);
-    admission.land(&catalog, &[volume(8, "basic", &[1])], ALL);
+    // The shortfall after a committed change is what later changes are compared with.
+    commit(&mut catalog, vec![volume(8, "basic", &[1])]);
+    admission.land(&catalog, &[volume(8, "basic", &[1])], ALL_LOSSES);
     assert!((admission.shortfall().short - 80.0).abs() < 0.1);
     assert_eq!(
-        verdict(&mut catalog, &mut admission, vec![volume(8, "none", &[1])]),
+        evaluate_and_revert(&mut catalog, &mut admission, vec![volume(8, "none", &[1])]),
         AdmissionVerdict::default()
     );
 }
@@ -318,20 +329,23 @@
 #[test]
 fn without_capacities_nothing_is_evaluated_and_losses_near_the_change_come_first() {
     let mut catalog = empty_catalog();
-    land(&mut catalog, vec![node(1, "a", 0.0), plan("gold", 80.0)]);
+    commit(&mut catalog, vec![node(1, "a", 0.0), plan("gold", 80.0)]);
     let mut admission = Admission::open(&catalog, 2.0);
-    assert!(verdict(&mut catalog, &mut admission, vec![volume(1, "gold", &[1])]).capacity_unknown);
+    assert!(
+        evaluate_and_revert(&mut catalog, &mut admission, vec![volume(1, "gold", &[1])])
+            .capacity_unknown
+    );
     let mut catalog = two_zones();
     let mut admission = Admission::open(&catalog, 2.0);
-    admission.refresh(ALL);
+    admission.refresh(ALL_LOSSES);
     let changes = vec![
         volume(5, "big", &[3, 4, 2]),
         volume(6, "big", &[3, 4, 2]),
         volume(7, "big", &[3, 4, 2]),
     ];
-    land(&mut catalog, changes.clone());
+    commit(&mut catalog, changes.clone());
     let found = admission.land(&catalog, &changes, 5);
-    let zones = |r: &Reason| {
+    let is_zone_loss = |r: &Reason| {
         matches!(
             r,
             Reason::Without {
@@ -340,15 +354,18 @@
             }
         )
     };
-    // Node 1 has no data of the changed volumes. Its loss would be a warning too, and is examined
-    // last.
+    // The limit of 5 leaves one loss unexamined: that of node 1, which has no data of the changed volumes
+    // and so comes last. Its loss would give a warning too.
     assert!(
         found.unexamined_losses == 1
             && found.warnings.len() == 2
-            && found.warnings.iter().all(zones),
+            && found.warnings.iter().all(is_zone_loss),
         "{found:?}"
     );
-    assert_eq!((admission.refresh(0), admission.refresh(ALL)), (1, 0));
+    assert_eq!(
+        (admission.refresh(0), admission.refresh(ALL_LOSSES)),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -403,17 +420,15 @@
                 .filter(|(_, d)| d.holds())
                 .map(|(n, _)| n)
                 .collect();
-            let expected_feasibility = check(&admission.site(&catalog), &out);
+            let expected = check(&admission.site(&catalog), &out);
             let shortfall = admission.shortfall();
             assert!(
-                (shortfall.short - (expected_feasibility.reachable - expected_feasibility.carried))
-                    .abs()
-                    < 0.05,
-                "seed {seed}: {shortfall:?} {expected_feasibility:?}"
+                (shortfall.short - (expected.reachable - expected.carried)).abs() < 0.05,
+                "seed {seed}: found {shortfall:?}, expected {expected:?}"
             );
             assert!(
-                (shortfall.out_of_reach - expected_feasibility.out_of_reach).abs() < 0.05,
-                "seed {seed}: {shortfall:?} {expected_feasibility:?}"
+                (shortfall.out_of_reach - expected.out_of_reach).abs() < 0.05,
+                "seed {seed}: found {shortfall:?}, expected {expected:?}"
             );
         }
     }
--- a/crates/catalog/tests/catalog.rs
+++ b/crates/catalog/tests/catalog.rs
@@ -1,5 +1,5 @@
-//! The catalog: collisions, undo, order, and the state compared with a simple model under any
-//! sequence of changes.
+//! Tests of the catalog: collisions of concurrent changes, undo, the order in which revisions are
+//! applied, and its state after random sequences of changes compared with that of a simple model.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -14,7 +14,8 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// Every host must acknowledge such a revision before it is stable.
+/// A revision that may lower a quota is stable only after every host has acknowledged it, so each such
+/// revision must be marked.
 #[test]
 fn revisions_that_lower_limits_are_marked() {
     let mut catalog = sample_catalog();
@@ -23,10 +24,10 @@
         limited("lower", 20.0, 8.0, 40.0),
         plan("free", 9.0),
     ];
-    land(&mut catalog, first).unwrap();
-    land(
+    commit(&mut catalog, first).unwrap();
+    commit(
         &mut catalog,
-        vec![through(5, "capped", &["h", "i"]), volume(6, "free")],
+        vec![volume_on_hosts(5, "capped", &["h", "i"]), volume(6, "free")],
     )
     .unwrap();
     let cases = [
@@ -63,12 +64,12 @@
         ),
         (
             "a volume moved to a plan with lower limits",
-            vec![through(5, "lower", &["h", "i"])],
+            vec![volume_on_hosts(5, "lower", &["h", "i"])],
             true,
         ),
         (
             "a volume moved to a plan without a limit",
-            vec![through(5, "free", &["h", "i"])],
+            vec![volume_on_hosts(5, "free", &["h", "i"])],
             false,
         ),
         (
@@ -78,13 +79,17 @@
         ),
         (
             "one more host",
-            vec![through(5, "capped", &["h", "i", "j"])],
+            vec![volume_on_hosts(5, "capped", &["h", "i", "j"])],
+            true,
+        ),
+        (
+            "one host fewer",
+            vec![volume_on_hosts(5, "capped", &["h"])],
             true,
         ),
-        ("one host fewer", vec![through(5, "capped", &["h"])], true),
         (
             "another host",
-            vec![through(5, "capped", &["h", "j"])],
+            vec![volume_on_hosts(5, "capped", &["h", "j"])],
             true,
         ),
         (
@@ -104,18 +109,18 @@
             true,
         ),
     ];
-    land(&mut catalog, vec![volume(8, "capped")]).unwrap();
-    land(&mut catalog, vec![removal(8)]).unwrap();
-    let again = (
+    commit(&mut catalog, vec![volume(8, "capped")]).unwrap();
+    commit(&mut catalog, vec![removal(8)]).unwrap();
+    let reused_number = (
         "a new volume with the number of a removed one",
         vec![volume(8, "capped")],
         true,
     );
-    for (what, changes, lowers_limits) in cases.into_iter().chain([again]) {
+    for (case, changes, lowers_limits) in cases.into_iter().chain([reused_number]) {
         let revision = catalog
-            .propose(catalog.version(), context("c", what), changes)
+            .propose(catalog.version(), context("c", case), changes)
             .unwrap();
-        assert_eq!(revision.lowers_limits, lowers_limits, "{what}");
+        assert_eq!(revision.lowers_limits, lowers_limits, "{case}");
     }
 }
 
@@ -123,7 +128,7 @@
 fn a_reverted_revision_has_no_effect_and_changes_lead_from_one_state_to_another() {
     let mut catalog = sample_catalog();
     let before = catalog.clone();
-    land(
+    commit(
         &mut catalog,
         vec![
             volume(1, "priority"),
@@ -136,21 +141,21 @@
     .unwrap();
     let after = catalog.clone();
     assert!(catalog.revert_last().is_some());
-    let all = |catalog: &Catalog| catalog.state().collect::<Vec<_>>();
+    let state = |catalog: &Catalog| catalog.state().collect::<Vec<_>>();
     assert_eq!(
-        (all(&catalog), catalog.version()),
-        (all(&before), before.version())
+        (state(&catalog), catalog.version()),
+        (state(&before), before.version())
     );
     for (from, to) in [(&before, &after), (&after, &before)] {
         let mut catalog = from.clone();
-        land(&mut catalog, from.changes_towards(to)).unwrap();
-        assert_eq!(all(&catalog), all(to));
+        commit(&mut catalog, from.changes_towards(to)).unwrap();
+        assert_eq!(state(&catalog), state(to));
         assert!(catalog.changes_towards(to).is_empty());
     }
 }
 
-/// Two operators have the same base version. The second change is rejected with the collision, or
-/// lands if the changes are independent.
+/// Two operators propose changes to the same base version. The second change is committed if it is
+/// independent of the first; otherwise it is rejected with the subject and the revision it collides with.
 #[test]
 fn of_two_concurrent_changes_the_second_is_rejected_if_they_collide() {
     let cases: [(Vec<Change>, Vec<Change>, Option<&str>); 6] = [
@@ -175,7 +180,7 @@
             vec![volume(1, "priority")],
             Some("volume 1"),
         ),
-        // A plan is removed while a volume is put on it: the later change is rejected.
+        // A plan is removed while another operator assigns a volume to it: the later change is rejected.
         (
             vec![no_plan("priority")],
             vec![volume(1, "priority")],
@@ -185,11 +190,11 @@
     for (first, second, collides) in cases {
         let mut catalog = sample_catalog();
         let base_version = catalog.version();
-        land(&mut catalog, first.clone()).unwrap();
-        let with = catalog.version();
+        commit(&mut catalog, first.clone()).unwrap();
+        let first_version = catalog.version();
         let second = catalog.propose(base_version, context("other", "at once"), second.clone());
         match (collides, second) {
-            (None, Ok(revision)) => assert_eq!(revision.version.0, with.0 + 1),
+            (None, Ok(revision)) => assert_eq!(revision.version.0, first_version.0 + 1),
             (
                 Some(subject),
                 Err(ChangeError::Collision {
@@ -198,16 +203,19 @@
                     ..
                 }),
             ) => {
-                assert_eq!((found.to_string().as_str(), found_with), (subject, with));
+                assert_eq!(
+                    (found.to_string().as_str(), found_with),
+                    (subject, first_version)
+                );
             }
             (expected, got) => panic!("{first:?}: expected {expected:?}, found {got:?}"),
         }
     }
     let mut catalog = sample_catalog();
-    land(&mut catalog, vec![volume(1, "priority")]).unwrap();
-    let delete = catalog.propose(Version(1), context("other", ""), vec![no_plan("priority")]);
+    commit(&mut catalog, vec![volume(1, "priority")]).unwrap();
+    let removal = catalog.propose(Version(1), context("other", ""), vec![no_plan("priority")]);
     assert_eq!(
-        delete.unwrap_err().to_string(),
+        removal.unwrap_err().to_string(),
         "plan priority is in use by volume 1"
     );
 }
@@ -215,12 +223,12 @@
 #[test]
 fn an_undo_is_a_new_change_and_collides_like_one() {
     let mut catalog = sample_catalog();
-    let moved = land(
+    let moved = commit(
         &mut catalog,
         vec![volume(1, "priority"), removal(2), plan("gold", 1.0)],
     )
     .unwrap();
-    land(&mut catalog, vec![volume(7, "basic")]).unwrap();
+    commit(&mut catalog, vec![volume(7, "basic")]).unwrap();
     let undo = catalog
         .undo(moved, context("operator", "was wrong"))
         .unwrap();
@@ -240,7 +248,7 @@
             .to_string()[..9],
         *"plan gold"
     );
-    // The undo is undone.
+    // The undo is itself a revision and can be undone.
     let redo = catalog
         .undo(undo.version, context("operator", "was right"))
         .unwrap();
@@ -254,14 +262,14 @@
     );
 }
 
-/// The feed is late, repeats revisions, or was reset. Each revision is applied once and in order, or
-/// not at all.
+/// A feed may deliver revisions late, repeatedly or, after a reset, from the start. Each revision is
+/// applied once and in order, or rejected as older or as following a gap.
 #[test]
 fn revisions_are_applied_once_and_in_order() {
     let mut leader = sample_catalog();
     let mut revisions: Vec<Revision> = leader.audit_log().cloned().collect();
     for n in 0..40 {
-        land(&mut leader, vec![volume(100 + n, "basic")]).unwrap();
+        commit(&mut leader, vec![volume(100 + n, "basic")]).unwrap();
         revisions.push(leader.audit_log().last().unwrap().clone());
     }
     for seed in 0..50 {
@@ -286,9 +294,9 @@
 #[test]
 fn a_change_based_on_a_version_older_than_the_audit_log_is_rejected() {
     let mut catalog = empty_catalog(3);
-    land(&mut catalog, vec![plan("basic", 1.0)]).unwrap();
+    commit(&mut catalog, vec![plan("basic", 1.0)]).unwrap();
     for n in 0..5 {
-        land(&mut catalog, vec![volume(n, "basic")]).unwrap();
+        commit(&mut catalog, vec![volume(n, "basic")]).unwrap();
     }
     let propose =
         |at: u64| catalog.propose(Version(at), context("c", ""), vec![volume(50, "basic")]);
@@ -296,14 +304,14 @@
     assert!(propose(3).is_ok());
 }
 
-/// Any sequence of changes, compared with a simple model. A change lands completely, a rejected
-/// change has no effect, every volume is on a plan that exists, and undoing all changes from the last
-/// to the first restores the first state.
+/// Compares random sequences of changes with a simple model. A committed change takes effect completely
+/// and a rejected one not at all, every volume has a plan that exists, and undoing all changes from the
+/// last to the first restores the initial state.
 #[test]
 fn any_sequence_of_changes_matches_a_simple_model() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let (mut catalog, mut landed) = (empty_catalog(1000), Vec::new());
+        let (mut catalog, mut committed) = (empty_catalog(1000), Vec::new());
         let (mut plans, mut volumes) = (
             BTreeMap::<String, f64>::new(),
             BTreeMap::<u64, String>::new(),
@@ -324,10 +332,10 @@
                 })
                 .collect();
             let before = catalog.clone();
-            match land(&mut catalog, changes.clone()) {
+            match commit(&mut catalog, changes.clone()) {
                 Err(_) => assert_eq!(catalog, before),
                 Ok(version) => {
-                    landed.push(version);
+                    committed.push(version);
                     for change in changes {
                         match change {
                             Change::Plan { name, to: Some(p) } => {
@@ -338,7 +346,7 @@
                                 drop(volumes.insert(id, v.plan.to_string()))
                             }
                             Change::Volume { id, to: None } => drop(volumes.remove(&id)),
-                            _ => unreachable!("not drawn"),
+                            _ => unreachable!("only changes of plans and volumes are generated"),
                         }
                     }
                 }
@@ -361,16 +369,16 @@
                 );
             });
         }
-        while let Some(version) = landed.pop() {
-            let former = catalog
+        while let Some(version) = committed.pop() {
+            let previous = catalog
                 .audit_log()
                 .find(|e| e.version == version)
-                .expect("the audit log has it")
+                .expect("the audit log holds all revisions")
                 .before
                 .clone();
             let undo = catalog
-                .propose(catalog.version(), context("c", "back"), former)
-                .expect("a former state is valid");
+                .propose(catalog.version(), context("c", "back"), previous)
+                .expect("the previous state is valid");
             catalog.apply(undo).unwrap();
         }
         assert!(
--- a/crates/catalog/tests/common/mod.rs
+++ b/crates/catalog/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Builders for changes and catalogs. Each test program uses some of them.
+//! Builders for changes and catalogs, shared by the test programs. No program uses all of them, hence
+//! `allow(dead_code)`.
 #![allow(dead_code)]
 
 use grebecleat_catalog::catalog::*;
@@ -46,10 +47,10 @@
 }
 
 pub fn volume(id: u64, plan: &str) -> Change {
-    through(id, plan, &["h"])
+    volume_on_hosts(id, plan, &["h"])
 }
 
-pub fn through(id: u64, plan: &str, hosts: &[&str]) -> Change {
+pub fn volume_on_hosts(id: u64, plan: &str, hosts: &[&str]) -> Change {
     volume_on(id, plan, hosts, &[])
 }
 
@@ -63,7 +64,7 @@
     Change::Volume { id, to }
 }
 
-/// A node whose shard has its own number.
+/// A node that holds the shard whose number is the node's own.
 pub fn node_in(id: u32, zone: &str, capacity: f64) -> Change {
     let to = Some(Node {
         zone: zone.into(),
@@ -128,15 +129,17 @@
     Change::Volume { id, to: None }
 }
 
-pub fn land(catalog: &mut Catalog, changes: Vec<Change>) -> Result<Version, ChangeError> {
+pub fn commit(catalog: &mut Catalog, changes: Vec<Change>) -> Result<Version, ChangeError> {
     let revision = catalog.propose(catalog.version(), context("operator", "test"), changes)?;
-    catalog.apply(revision).expect("the next version");
+    catalog
+        .apply(revision)
+        .expect("the revision has the next version");
     Ok(catalog.version())
 }
 
 pub fn sample_catalog() -> Catalog {
     let mut catalog = empty_catalog(100);
-    land(
+    commit(
         &mut catalog,
         vec![
             plan("basic", 10.0),
--- a/crates/catalog/tests/feed.rs
+++ b/crates/catalog/tests/feed.rs
@@ -1,7 +1,8 @@
-//! Explores every state of a leader and two hosts: polls and responses that arrive in any order, late
-//! or never; clocks that lose a tick; a leader and hosts that restart; changes at any moment; an
-//! operator who rightly reports a host as removed. In each state, the sum of both hosts' quotas is at
-//! most the limit of the stable version. Bugs planted on purpose must be found.
+//! A model checker for the catalog feed. It explores every state of a leader and two hosts: polls and
+//! responses arrive in any order, late or never; clocks lose a tick; the leader and the hosts restart;
+//! changes are made at any moment; an operator correctly reports a host as removed. In each state, the sum
+//! of both hosts' quotas must be at most the limit of the stable version. To show that the exploration
+//! would find faults, bugs are planted in the model, and each must be found.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// Sequences of versions, by the risk that each has.
+/// Sequences of versions, each named after the kind of change that could make the quotas exceed the limit.
 const SCENARIOS: [(&str, &[VolumeTerms]); 6] = {
     const BOTH: [bool; 2] = [true, true];
     const fn terms(limit: f64, reservation: f64, hosts: [bool; 2]) -> VolumeTerms {
@@ -94,35 +95,36 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Bug {
     None,
-    /// A host counts its lease from when the response arrived.
+    /// A host counts its lease from the arrival of the response instead of the sending of the poll.
     FromArrival,
-    /// The leader counts a sent version as applied.
+    /// The leader treats a version as applied once it has sent it.
     SentCountsAsApplied,
-    /// A restarted leader assumes that no lease runs.
+    /// A restarted leader assumes that no host has a lease.
     ForgetsRunningLeases,
-    /// The leader adds no margin.
+    /// The leader waits for the lease alone, without the margin for clocks that lose time.
     NoMargin,
     /// A host applies a version older than its own.
     TakesOlderVersions,
-    /// A host ignores all versions but its newest.
+    /// A host computes its quota from its newest version alone, without the earlier ones since the stable
+    /// version.
     NewestAlone,
-    /// The leader does not wait for hosts without a lease.
+    /// For a version that lowers limits, the leader does not wait for hosts without a lease.
     IgnoresReductions,
-    /// A restarted host still has its lease.
+    /// A restarted host keeps its lease.
     LeaseSurvivesRestart,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Host {
     follower_lease: FollowerLease,
-    /// Ticks that the host's clock has lost.
-    lost: u64,
-    /// Whether the host is down, and an operator has reported it as removed.
-    gone: bool,
+    /// Number of ticks by which the host's clock is behind.
+    lost_ticks: u64,
+    /// Whether the host is down and an operator has reported it as removed.
+    removed: bool,
     /// The poll in flight: when it was sent, by the host's clock, and the host's version.
-    request: Option<(u64, Version)>,
+    poll_in_flight: Option<(u64, Version)>,
     /// The responses in flight: when the poll was sent, the version, and the stable version.
-    answers: Vec<(u64, Version, Version)>,
+    responses: Vec<(u64, Version, Version)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -131,7 +133,7 @@
     latest: u64,
     leases: Leases,
     stable: Version,
-    /// Restarts of the leader or a host, lost ticks and removed hosts so far.
+    /// Number of faults so far: restarts of the leader or a host, lost ticks and removed hosts.
     faults: u8,
     hosts: [Host; HOSTS],
 }
@@ -139,11 +141,11 @@
 struct Model {
     versions: &'static [VolumeTerms],
     bug: Bug,
-    /// Most faults of one run. In addition, polls and responses may be lost or late any number of
-    /// times.
-    faults: u8,
+    /// Maximum number of faults in one run. In addition, polls and responses may be lost or late any number
+    /// of times.
+    max_faults: u8,
     /// Whether the second host gets each response at once. Hosts interact only through the leader's
-    /// records, so one prompt host and one whose messages cross show most cases.
+    /// records, so one such host and one whose messages may be delayed and reordered cover most cases.
     prompt: bool,
 }
 
@@ -165,10 +167,10 @@
         reductions
     }
 
-    /// Both hosts have the first version, and no lease.
-    fn first(&self) -> State {
-        let first = Some(Version(1));
-        let all = (0..HOSTS as u32).map(|host| (HostNumber(host), first));
+    /// The initial state: both hosts have applied the first version and have no lease.
+    fn initial_state(&self) -> State {
+        let applied = Some(Version(1));
+        let all = (0..HOSTS as u32).map(|host| (HostNumber(host), applied));
         let leases = Leases::new(ticks(LEASE), self.margin(), Duration::ZERO, Version(1), all);
         let follower_lease = FollowerLease::persisted(Version(1), Version(1));
         let host = Host {
@@ -186,7 +188,7 @@
         }
     }
 
-    /// The leader updates the stable version whenever something happens.
+    /// Updates the stable version, as the leader does after each event.
     fn update_stable(&self, mut state: State) -> State {
         state.stable = state.leases.stable(
             ticks(state.now),
@@ -196,8 +198,8 @@
         state
     }
 
-    /// All states that can follow a state.
-    fn next(&self, state: &State) -> Vec<State> {
+    /// All states that can directly follow a state.
+    fn successors(&self, state: &State) -> Vec<State> {
         let mut all = Vec::new();
         let mut push = |change: &dyn Fn(&mut State)| {
             let mut state = state.clone();
@@ -210,30 +212,38 @@
         if (state.latest as usize) < self.versions.len() {
             push(&|state| state.latest += 1);
         }
-        if state.faults < self.faults {
+        if state.faults < self.max_faults {
             push(&|state| {
                 state.faults += 1;
-                // Acknowledged versions and the stable version are persisted before they count.
-                let had = |host: u32| (HostNumber(host), state.leases.applied(HostNumber(host)));
-                let had: Vec<_> = (0..HOSTS as u32).map(had).collect();
-                let again = if self.bug == Bug::ForgetsRunningLeases {
+                // The leader persists acknowledged versions and the stable version before it uses them, so it
+                // has them after a restart.
+                let applied_version =
+                    |host: u32| (HostNumber(host), state.leases.applied(HostNumber(host)));
+                let applied_versions: Vec<_> = (0..HOSTS as u32).map(applied_version).collect();
+                let restarted_at = if self.bug == Bug::ForgetsRunningLeases {
                     ticks(state.now).saturating_sub(ticks(9))
                 } else {
                     ticks(state.now)
                 };
-                state.leases = Leases::new(ticks(LEASE), self.margin(), again, state.stable, had);
+                state.leases = Leases::new(
+                    ticks(LEASE),
+                    self.margin(),
+                    restarted_at,
+                    state.stable,
+                    applied_versions,
+                );
             });
         }
         for (i, host) in state.hosts.iter().enumerate() {
-            let clock = state.now - host.lost;
-            if host.gone {
+            let clock = state.now - host.lost_ticks;
+            if host.removed {
                 continue;
             }
-            // A clock loses a tick at most once, which the margin covers.
-            if host.lost == 0 && state.now > 0 && state.faults < self.faults {
-                push(&|state| (state.hosts[i].lost, state.faults) = (1, state.faults + 1));
+            // Each clock loses at most one tick, which the margin covers.
+            if host.lost_ticks == 0 && state.now > 0 && state.faults < self.max_faults {
+                push(&|state| (state.hosts[i].lost_ticks, state.faults) = (1, state.faults + 1));
             }
-            if state.faults < self.faults {
+            if state.faults < self.max_faults {
                 push(&|state| {
                     state.faults += 1;
                     let host = &mut state.hosts[i];
@@ -243,51 +253,55 @@
                             host.follower_lease.stable,
                         );
                     }
-                    // With a clock that starts from zero, the old lease would be the longest.
-                    host.lost = state.now;
-                    (host.request, host.answers) = (None, Vec::new());
+                    // The clock restarts from zero: the case in which a lease from before the restart would
+                    // last longest.
+                    host.lost_ticks = state.now;
+                    (host.poll_in_flight, host.responses) = (None, Vec::new());
                 });
             }
-            if i == 0 && state.faults < self.faults {
+            if i == 0 && state.faults < self.max_faults {
                 push(&|state| {
                     state.faults += 1;
                     state.leases.set_removed(HostNumber(0));
                     state.hosts[0] = Host {
-                        gone: true,
+                        removed: true,
                         ..Host::default()
                     };
                 });
             }
             if i == 1 && self.prompt {
                 push(&|state| {
-                    let answer = self.answer(state, i, clock, host.follower_lease.applied);
-                    answer
+                    let response = self.respond(state, i, clock, host.follower_lease.applied);
+                    response
                         .into_iter()
-                        .for_each(|a| self.arrive(&mut state.hosts[i], clock, a));
+                        .for_each(|a| self.receive(&mut state.hosts[i], clock, a));
                 });
                 continue;
             }
-            // A new poll also replaces a lost one.
-            push(&|state| state.hosts[i].request = Some((clock, host.follower_lease.applied)));
-            if let Some((sent, applied)) = host.request.filter(|_| host.answers.len() < 2) {
+            // A new poll replaces the poll in flight, which models its loss.
+            push(&|state| {
+                state.hosts[i].poll_in_flight = Some((clock, host.follower_lease.applied))
+            });
+            if let Some((sent, applied)) = host.poll_in_flight.filter(|_| host.responses.len() < 2)
+            {
                 push(&|state| {
-                    state.hosts[i].request = None;
-                    let answer = self.answer(state, i, sent, applied);
-                    state.hosts[i].answers.extend(answer);
-                    state.hosts[i].answers.sort_unstable();
+                    state.hosts[i].poll_in_flight = None;
+                    let response = self.respond(state, i, sent, applied);
+                    state.hosts[i].responses.extend(response);
+                    state.hosts[i].responses.sort_unstable();
                 });
             }
-            for at in 0..host.answers.len() {
+            for at in 0..host.responses.len() {
                 push(&|state| {
-                    let answer = state.hosts[i].answers.remove(at);
-                    self.arrive(&mut state.hosts[i], clock, answer);
+                    let response = state.hosts[i].responses.remove(at);
+                    self.receive(&mut state.hosts[i], clock, response);
                 });
             }
         }
         all
     }
 
-    fn answer(
+    fn respond(
         &self,
         state: &mut State,
         host: usize,
@@ -317,7 +331,7 @@
         }
     }
 
-    fn arrive(
+    fn receive(
         &self,
         host: &mut Host,
         clock: u64,
@@ -337,7 +351,7 @@
 
     /// The sum of both hosts' quotas, and the limit in force.
     fn sums(&self, state: &State) -> (f64, f64) {
-        let of = |i: usize, host: &Host| {
+        let quota_rate = |i: usize, host: &Host| {
             let follower_lease = &host.follower_lease;
             let from = if self.bug == Bug::NewestAlone {
                 follower_lease.applied
@@ -346,31 +360,38 @@
             };
             let window = (from.0.max(1)..=follower_lease.applied.0)
                 .map(|v| self.versions[v as usize - 1].limit_terms(i));
-            quota(window, follower_lease.leased(ticks(state.now - host.lost)))
-                .map_or(f64::INFINITY, |p| p.rate)
+            quota(
+                window,
+                follower_lease.leased(ticks(state.now - host.lost_ticks)),
+            )
+            .map_or(f64::INFINITY, |p| p.rate)
         };
         let hosts = state
             .hosts
             .iter()
             .enumerate()
-            .filter(|(_, host)| !host.gone);
-        let sent = hosts.map(|(i, host)| of(i, host)).sum();
+            .filter(|(_, host)| !host.removed);
+        let total = hosts.map(|(i, host)| quota_rate(i, host)).sum();
         let limit = self.versions[state.stable.0.max(1) as usize - 1].limit;
-        (sent, if limit > 0.0 { limit } else { f64::INFINITY })
+        (total, if limit > 0.0 { limit } else { f64::INFINITY })
     }
 
-    /// Number of visited states, and the first in which the quotas exceed the limit.
+    /// Explores all states breadth first. Returns the number of visited states, and the first state in
+    /// which the quotas exceed the limit.
     fn explore(&self) -> (usize, Option<State>) {
-        let first = self.update_stable(self.first());
-        let (mut seen, mut queue) = (HashSet::from([first.clone()]), VecDeque::from([first]));
+        let initial = self.update_stable(self.initial_state());
+        let (mut seen, mut queue) = (HashSet::from([initial.clone()]), VecDeque::from([initial]));
         while let Some(state) = queue.pop_front() {
-            let (sent, limit) = self.sums(&state);
-            if sent > limit + 1e-9 {
+            let (total, limit) = self.sums(&state);
+            if total > limit + 1e-9 {
                 return (seen.len(), Some(state));
             }
-            assert!(seen.len() < MAX_STATES, "more states than there should be");
+            assert!(
+                seen.len() < MAX_STATES,
+                "the exploration visited more than {MAX_STATES} states"
+            );
             queue.extend(
-                self.next(&state)
+                self.successors(&state)
                     .into_iter()
                     .filter(|next| seen.insert(next.clone())),
             );
@@ -380,11 +401,11 @@
 }
 
 impl Model {
-    fn short(versions: &'static [VolumeTerms], bug: Bug) -> Self {
+    fn short_form(versions: &'static [VolumeTerms], bug: Bug) -> Self {
         Model {
             versions,
             bug,
-            faults: 1,
+            max_faults: 1,
             prompt: true,
         }
     }
@@ -404,10 +425,11 @@
     ];
     for bug in bugs {
         let found = SCENARIOS.iter().find_map(|(scenario, versions)| {
-            let (visited, found) = Model::short(versions, bug).explore();
+            let (visited, found) = Model::short_form(versions, bug).explore();
             found.map(|_| (scenario, visited))
         });
-        let (scenario, visited) = found.unwrap_or_else(|| panic!("{bug:?} is not found"));
+        let (scenario, visited) =
+            found.unwrap_or_else(|| panic!("{bug:?}: no scenario finds this planted bug"));
         println!("{bug:?}: found in '{scenario}' after {visited} states");
     }
 }
@@ -415,27 +437,28 @@
 #[test]
 fn quotas_never_exceed_the_limit_of_the_stable_version() {
     for (scenario, versions) in SCENARIOS {
-        let (visited, found) = Model::short(versions, Bug::None).explore();
+        let (visited, found) = Model::short_form(versions, Bug::None).explore();
         println!("{scenario}: {visited} states visited");
         assert_eq!(found, None, "{scenario}");
     }
 }
 
-/// The long form: `cargo test --release -p grebecleat-catalog --test feed -- --ignored --nocapture`.
+/// The long form of the test above, run with
+/// `cargo test --release -p grebecleat-catalog --test feed -- --ignored --nocapture`.
 #[test]
 #[ignore = "minutes; CI plays the short form"]
 fn quotas_never_exceed_the_limit_with_two_faults_or_two_slow_hosts() {
-    for (faults, prompt) in [(2, true), (0, false)] {
+    for (max_faults, prompt) in [(2, true), (0, false)] {
         for (scenario, versions) in SCENARIOS {
             let (visited, found) = Model {
                 versions,
                 bug: Bug::None,
-                faults,
+                max_faults,
                 prompt,
             }
             .explore();
             println!(
-                "{scenario}, {faults} faults, second host prompt {prompt}: {visited} states visited"
+                "{scenario}, at most {max_faults} faults, second host prompt {prompt}: {visited} states visited"
             );
             assert_eq!(found, None, "{scenario}");
         }
--- a/crates/catalog/tests/fleet/disk.rs
+++ b/crates/catalog/tests/fleet/disk.rs
@@ -1,8 +1,8 @@
-//! The disks of the leader and of the hosts.
+//! Simulated disks of the leader and of the hosts: what each reads back after a restart.
 
 use super::*;
 
-/// The leader's disk.
+/// What the leader has persisted.
 #[derive(Clone)]
 pub struct Disk {
     pub start: leader::InitialState,
@@ -11,7 +11,7 @@
 impl Disk {
     pub fn new(epoch: u64) -> Self {
         let (catalog, applied, hosts) = (
-            Catalog::new(facts(), 30),
+            Catalog::new(deployment(), 30),
             BTreeMap::new(),
             HOSTS.map(Name::from).to_vec(),
         );
@@ -32,7 +32,11 @@
 
     pub fn persist(&mut self, what: leader::Persist) {
         match what {
-            leader::Persist::Revision(e) => self.start.catalog.apply(e).expect("the next"),
+            leader::Persist::Revision(e) => self
+                .start
+                .catalog
+                .apply(e)
+                .expect("the revision has the next version"),
             leader::Persist::Stable(v) => {
                 self.start.stable = v;
                 self.start.catalog.need(v);
@@ -40,13 +44,16 @@
             leader::Persist::Applied(host, v) => _ = self.start.applied.insert(host, v),
             leader::Persist::EpochForced(e) => {
                 self.start.epoch_forced_at = e.version;
-                self.start.catalog.apply(e).expect("further on");
+                self.start
+                    .catalog
+                    .apply(e)
+                    .expect("the forced epoch has the next version");
             }
         }
     }
 
-    /// A disk restored from a snapshot, in a new epoch. Hosts that it does not know may have been
-    /// granted leases since.
+    /// A disk restored from this backup, in a new epoch. Hosts that the backup does not list may have been
+    /// granted leases since it was taken, so each is listed with version 0.
     pub fn restored(&self, epoch: u64) -> Self {
         let mut start = self.start.clone();
         start.epochs.push((start.epoch, start.catalog.version()));
@@ -58,14 +65,14 @@
     }
 }
 
-/// A host's disk.
+/// What a host has persisted; `None` before its first write.
 #[derive(Clone, Default)]
 pub struct HostDisk(Option<follower::InitialState>);
 
 impl HostDisk {
     pub fn start(&self) -> follower::InitialState {
         self.0.clone().unwrap_or_else(|| follower::InitialState {
-            catalog: Follower::empty_catalog(facts()),
+            catalog: Follower::empty_catalog(deployment()),
             ..Default::default()
         })
     }
@@ -75,10 +82,12 @@
         if request.snapshot {
             start.catalog = snapshot.clone();
         } else {
-            request
-                .revisions
-                .iter()
-                .for_each(|e| start.catalog.apply(e.clone()).expect("the next"));
+            request.revisions.iter().for_each(|e| {
+                start
+                    .catalog
+                    .apply(e.clone())
+                    .expect("the revision has the next version")
+            });
         }
         start.catalog.forget(request.stable);
         (start.stable, start.epoch) = (request.stable, request.epoch);
--- a/crates/catalog/tests/fleet/faults.rs
+++ b/crates/catalog/tests/fleet/faults.rs
@@ -1,13 +1,14 @@
-//! Operators who change plans, processes that restart, and disks that complete or fail writes.
+//! Random events of the simulation: proposals of operators, restarts of processes, and writes that
+//! complete or fail.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
 use super::*;
 
 impl World {
-    pub fn operator(&mut self) {
-        self.next += 1;
-        let call = CallId(1 << 40 | self.next);
+    pub fn propose_random_change(&mut self) {
+        self.next_id += 1;
+        let call = CallId(1 << 40 | self.next_id);
         let plan = |rng: &mut Pcg64Mcg| {
             let name = ["a", "b"].choose(rng).expect("two").to_string();
             let limit = f64::from(rng.random_range(0..4) * 6);
@@ -32,13 +33,13 @@
         let volume = |rng: &mut Pcg64Mcg| {
             let id = rng.random_range(VOLUMES);
             let hosts = loop {
-                let some: Vec<Name> = HOSTS
+                let hosts: Vec<Name> = HOSTS
                     .iter()
                     .filter(|_| rng.random())
                     .map(|host| Name::from(*host))
                     .collect();
-                if !some.is_empty() {
-                    break some;
+                if !hosts.is_empty() {
+                    break hosts;
                 }
             };
             let plan = Name::from(*["a", "b"].choose(rng).expect("two"));
@@ -75,30 +76,30 @@
             dry_run: false,
         };
         if at.is_none() {
-            self.operators.insert(call.0, changes);
+            self.pending_proposals.insert(call.0, changes);
         }
         self.leader_step(vec![leader::Event::Proposed { call, proposal }]);
     }
 
     pub fn restart_leader(&mut self, disk: Option<Disk>) {
-        // Any prefix of the pending writes may be on the disk.
+        // A crash may leave any prefix of the pending writes on the disk.
         let n = self.rng.random_range(0..=self.pending_writes.len());
-        let sent = std::mem::take(&mut self.pending_writes);
+        let pending_writes = std::mem::take(&mut self.pending_writes);
         match disk {
-            None => sent
+            None => pending_writes
                 .into_iter()
                 .take(n)
                 .for_each(|(_, what)| self.disk.persist(what)),
             Some(disk) => {
                 self.disk = disk;
-                self.landed
+                self.committed
                     .retain(|v, _| *v <= self.disk.start.catalog.version());
                 self.counts[3] += 1;
                 self.converged = false;
             }
         }
         self.leader = Leader::new(self.disk.start.clone(), LEASE, MARGIN, 2.0, self.now);
-        (self.operators, self.counts[2]) = (BTreeMap::new(), self.counts[2] + 1);
+        (self.pending_proposals, self.counts[2]) = (BTreeMap::new(), self.counts[2] + 1);
         for i in 0..HOSTS.len() {
             self.host_step(i, vec![follower::Event::Down, follower::Event::Up]);
         }
@@ -107,23 +108,25 @@
     pub fn restart_host(&mut self, i: usize) {
         let host = &mut self.hosts[i];
         let n = self.rng.random_range(0..=host.pending_writes.len());
-        let (disk, sent) = (&mut host.disk, std::mem::take(&mut host.pending_writes));
-        sent.iter()
+        let (disk, pending_writes) = (&mut host.disk, std::mem::take(&mut host.pending_writes));
+        pending_writes
+            .iter()
             .take(n)
             .for_each(|(request, snapshot)| disk.persist(request, snapshot));
         let (calls, disk) = (host.calls, host.disk.clone());
         self.hosts[i] = Host::new(HOSTS[i], disk);
         self.hosts[i].calls = calls;
-        self.wire.retain(
-            |(_, _, message)| !matches!(message, Message::Answer { host, .. } if *host == i),
+        self.in_flight.retain(
+            |(_, _, message)| !matches!(message, Message::Response { host, .. } if *host == i),
         );
         self.counts[4] += 1;
     }
 
-    pub fn answer_disks(&mut self) {
+    pub fn complete_writes(&mut self) {
         if !self.pending_writes.is_empty() && self.rng.random_range(0..3) > 0 {
             if self.chance(40) {
-                // The pending writes that depend on the first fail after it. Later writes do not.
+                // When the first write fails, those that were pending with it fail too, as they depend on it.
+                // Writes requested later do not.
                 let failed: Vec<u64> = self
                     .pending_writes
                     .drain(..)
@@ -135,7 +138,7 @@
                         reason: "full".into(),
                     }]);
                     if self.rng.random() {
-                        self.operator();
+                        self.propose_random_change();
                     }
                 }
                 return;
--- a/crates/catalog/tests/fleet/main.rs
+++ b/crates/catalog/tests/fleet/main.rs
@@ -1,8 +1,8 @@
-//! A leader and three hosts in a simulated world: messages late, lost and out of order, disks that
-//! fail, processes that die between any two steps, a store restored from a snapshot, operators who
-//! change plans all the while. At every moment no volume may be sent more of than the stable
-//! version's limit; a change that was announced as landed stays; no host goes back. Once the faults
-//! stop, all hosts follow the newest version.
+//! Simulates a leader and three hosts under random faults: messages are delayed, lost and reordered,
+//! writes fail, processes crash between any two steps, the leader's store is restored from a backup, and
+//! operators change plans throughout. At every step the quotas of a volume add up to at most its limit
+//! in the stable version, a change that was reported as committed is kept, and no host returns to an
+//! older version. Once the faults stop, all hosts converge to the newest version.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -36,7 +36,7 @@
     Duration::from_millis(n)
 }
 
-fn facts() -> Deployment {
+fn deployment() -> Deployment {
     Deployment {
         hosts: HOSTS.iter().map(|host| Name::from(*host)).collect(),
         max_dispatch_delay: MAX_DISPATCH_DELAY,
@@ -57,7 +57,7 @@
         epoch: Epoch,
         applied: Version,
     },
-    Answer {
+    Response {
         host: usize,
         event: follower::Event,
     },
@@ -66,11 +66,11 @@
 struct Host {
     follower: Follower,
     disk: HostDisk,
-    /// Pending writes, each with the state at that time, for a snapshot.
+    /// Pending writes, each with the catalog at that time, which a write of a snapshot stores.
     pending_writes: Vec<(follower::PersistRequest, Catalog)>,
     terms: BTreeMap<u64, follower::Terms>,
     calls: u64,
-    newest: Version,
+    highest_applied: Version,
     up: bool,
 }
 
@@ -78,20 +78,25 @@
     rng: Pcg64Mcg,
     now: Duration,
     disk: Disk,
-    snapshot: Disk,
+    /// The copy of the leader's disk that the next restore brings back.
+    backup: Disk,
     leader: Leader,
     pending_writes: Vec<(u64, leader::Persist)>,
     hosts: Vec<Host>,
-    /// In flight, with when they arrive.
-    wire: Vec<(Duration, u64, Message)>,
-    /// The host and its call for each of the leader's calls.
+    /// Messages in flight, each with its time of arrival and its number.
+    in_flight: Vec<(Duration, u64, Message)>,
+    /// The host, and the number of its own call, behind each call to the leader.
     calls: BTreeMap<u64, (usize, CallId)>,
-    next: u64,
-    operators: BTreeMap<u64, Vec<Change>>,
-    landed: BTreeMap<Version, Vec<Change>>,
+    next_id: u64,
+    /// The changes of each proposal, by call, until the leader reports it as committed.
+    pending_proposals: BTreeMap<u64, Vec<Change>>,
+    /// The changes that the leader has reported as committed.
+    committed: BTreeMap<Version, Vec<Change>>,
     faults: bool,
-    /// Whether all hosts follow the history of the last restore.
+    /// Whether all hosts have followed the leader's epoch since the last restore.
     converged: bool,
+    /// Snapshots sent, polls answered with "behind", restarts of the leader, restores of the leader,
+    /// restarts of hosts, and checks of volumes that several hosts use.
     counts: [u32; 6],
 }
 
@@ -105,15 +110,15 @@
             pending_writes,
             terms,
             calls: 0,
-            newest: Version(0),
+            highest_applied: Version(0),
             up: false,
         }
     }
 }
 
-fn play(seed: u64, ticks: u32) -> [u32; 6] {
+fn simulate(seed: u64, ticks: u32) -> [u32; 6] {
     let mut world = World::new(seed);
-    let declared = ["a", "b"].map(|n| Change::Plan {
+    let initial_plans = ["a", "b"].map(|n| Change::Plan {
         name: n.into(),
         to: Some(Plan {
             reservation: 3.0,
@@ -126,9 +131,9 @@
     });
     let proposal = Proposal {
         author: "op".into(),
-        reason: "declared".into(),
+        reason: "initial plans".into(),
         base_version: Version(0),
-        changes: declared.into(),
+        changes: initial_plans.into(),
         at: None,
         force: false,
         dry_run: false,
@@ -139,7 +144,7 @@
     }]);
     for _ in 0..ticks {
         world.tick();
-        // Each change that was reported as committed is persisted.
+        // Each change that was reported as committed must be on the disk.
         let persisted: BTreeMap<Version, &Vec<Change>> = world
             .disk
             .start
@@ -148,7 +153,7 @@
             .map(|e| (e.version, &e.changes))
             .collect();
         let first = persisted.keys().next().copied().unwrap_or_default();
-        for (v, changes) in world.landed.iter().filter(|l| *l.0 >= first) {
+        for (v, changes) in world.committed.iter().filter(|l| *l.0 >= first) {
             assert_eq!(
                 persisted.get(v),
                 Some(&changes),
@@ -157,11 +162,15 @@
         }
     }
     world.faults = false;
-    // A host that was disconnected during a restore may show only now that it has followed another
-    // history.
+    // A host that was disconnected during a restore may reveal only now that it follows the lost history,
+    // which takes an operator to force the epoch.
     for n in 0..500 {
         if n % 100 == 50 {
-            let (author, reason, call) = ("op".to_string(), "at last".to_string(), CallId(1 << 43));
+            let (author, reason, call) = (
+                "op".to_string(),
+                "end of the run".to_string(),
+                CallId(1 << 43),
+            );
             world.leader_step(vec![leader::Event::ForceEpoch {
                 call,
                 author,
@@ -174,7 +183,7 @@
     assert_eq!(
         latest,
         world.leader.catalog().version(),
-        "seed {seed}: nothing waits for the disk"
+        "seed {seed}: all revisions are persisted"
     );
     for (i, host) in world.hosts.iter().enumerate() {
         let follower_lease = host.follower.follower_lease();
@@ -205,10 +214,9 @@
 fn limits_hold_under_faults_and_all_hosts_converge() {
     let mut sum = [0; 6];
     for seed in 0..300 {
-        let counts = play(seed, 600);
+        let counts = simulate(seed, 600);
         sum.iter_mut().zip(counts).for_each(|(s, c)| *s += c);
     }
-    // Counts: snapshots sent, polls answered that the leader is behind, restarts and restores of the
-    // leader, restarts of hosts, volumes checked over several hosts.
+    // Each kind of event in `World::counts` has occurred often enough.
     assert!(sum.iter().all(|n| *n > 100), "{sum:?}");
 }
--- a/crates/catalog/tests/fleet/steps.rs
+++ b/crates/catalog/tests/fleet/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of the leader and of the hosts, and the messages that they send.
+//! Steps the leader or one host and carries out the actions that the step returns.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -6,7 +6,7 @@
 
 impl World {
     pub fn leader_step(&mut self, events: Vec<leader::Event>) {
-        // The wall clock steps now and then.
+        // The wall clock jumps back by 3 s in some steps.
         let wall = self.now + ms(1_000_000) - if self.chance(50) { ms(3000) } else { ms(0) };
         for action in self.leader.step(self.now, wall, events) {
             match action {
@@ -19,7 +19,7 @@
                     let catalog = self.leader.catalog();
                     let revisions = catalog
                         .since(grant.from)
-                        .expect("the audit log reaches back")
+                        .expect("the audit log holds all revisions after the granted version")
                         .filter(|e| e.version <= grant.to);
                     let revisions = revisions
                         .map(|e| for_host(catalog, grant.stable, e, &name))
@@ -47,19 +47,19 @@
                         lease: grant.lease,
                         update,
                     };
-                    self.send(Message::Answer { host, event });
+                    self.send(Message::Response { host, event });
                 }
                 leader::Action::Behind { call, .. } => {
                     let (host, host_call) = self.calls[&call.0];
                     self.counts[1] += 1;
-                    self.send(Message::Answer {
+                    self.send(Message::Response {
                         host,
                         event: follower::Event::Behind { call: host_call },
                     });
                 }
                 leader::Action::Committed { call, version, .. } => {
-                    if let Some(changes) = self.operators.remove(&call.0) {
-                        self.landed.insert(version, changes);
+                    if let Some(changes) = self.pending_proposals.remove(&call.0) {
+                        self.committed.insert(version, changes);
                     }
                 }
                 leader::Action::Reject { call, .. } => {
@@ -68,7 +68,7 @@
                             call: host_call,
                             reason: "no".into(),
                         };
-                        self.send(Message::Answer { host, event });
+                        self.send(Message::Response { host, event });
                     }
                 }
                 leader::Action::Preview { .. } | leader::Action::Note { .. } => {}
@@ -82,12 +82,12 @@
         let actions = host.follower.step(now, events);
         let applied = host.follower.catalog().version();
         assert!(
-            applied >= host.newest,
-            "{} went back from {:?} to {applied:?}",
+            applied >= host.highest_applied,
+            "{} returned from version {:?} to {applied:?}",
             HOSTS[i],
-            host.newest
+            host.highest_applied
         );
-        host.newest = applied;
+        host.highest_applied = applied;
         for action in actions {
             match action {
                 follower::Action::Poll {
--- a/crates/catalog/tests/fleet/world.rs
+++ b/crates/catalog/tests/fleet/world.rs
@@ -1,4 +1,4 @@
-//! One step of the simulated world.
+//! The state of the simulation at its start, the delivery of messages, and one step of time.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -10,16 +10,16 @@
         let mut world = World {
             rng: Pcg64Mcg::seed_from_u64(seed),
             leader: Leader::new(disk.start.clone(), LEASE, MARGIN, 2.0, now),
-            snapshot: disk.clone(),
+            backup: disk.clone(),
             disk,
             now,
             pending_writes: Vec::new(),
             hosts: Vec::new(),
-            wire: Vec::new(),
+            in_flight: Vec::new(),
             calls: BTreeMap::new(),
-            next: 0,
-            operators: BTreeMap::new(),
-            landed: BTreeMap::new(),
+            next_id: 0,
+            pending_proposals: BTreeMap::new(),
+            committed: BTreeMap::new(),
             faults: true,
             converged: true,
             counts: [0; 6],
@@ -39,24 +39,24 @@
         if self.chance(8) {
             return;
         }
-        let most = if self.faults { 300 } else { 20 };
-        let at = self.now + ms(self.rng.random_range(1..most));
-        self.next += 1;
-        self.wire.push((at, self.next, message));
+        let max_delay_ms = if self.faults { 300 } else { 20 };
+        let at = self.now + ms(self.rng.random_range(1..max_delay_ms));
+        self.next_id += 1;
+        self.in_flight.push((at, self.next_id, message));
     }
 
     pub fn tick(&mut self) {
         self.now += STEP;
         if self.faults {
             match self.rng.random_range(0..400) {
-                0..25 => self.operator(),
+                0..25 => self.propose_random_change(),
                 25..28 => self.restart_leader(None),
                 28 => {
                     let epoch = self.rng.random();
-                    let disk = self.snapshot.restored(epoch);
+                    let disk = self.backup.restored(epoch);
                     self.restart_leader(Some(disk));
                 }
-                29 => self.snapshot = self.disk.clone(),
+                29 => self.backup = self.disk.clone(),
                 30..33 => {
                     let i = self.rng.random_range(0..HOSTS.len());
                     self.restart_host(i);
@@ -67,8 +67,8 @@
                     self.hosts[i].up = false;
                 }
                 36..39 => {
-                    self.next += 1;
-                    let call = CallId(1 << 41 | self.next);
+                    self.next_id += 1;
+                    let call = CallId(1 << 41 | self.next_id);
                     let (author, reason) = ("op".to_string(), "restored".to_string());
                     self.leader_step(vec![leader::Event::ForceEpoch {
                         call,
@@ -85,11 +85,11 @@
                 self.host_step(i, vec![follower::Event::Up]);
             }
         }
-        self.answer_disks();
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.wire)
+        self.complete_writes();
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.in_flight)
             .into_iter()
-            .partition(|world| world.0 <= self.now);
-        self.wire = later;
+            .partition(|message| message.0 <= self.now);
+        self.in_flight = later;
         for (_, _, message) in due {
             match message {
                 Message::Poll {
@@ -100,12 +100,12 @@
                     stable,
                     acknowledged,
                 } => {
-                    self.next += 1;
-                    let own = CallId(self.next);
-                    self.calls.insert(own.0, (host, call));
+                    self.next_id += 1;
+                    let leader_call = CallId(self.next_id);
+                    self.calls.insert(leader_call.0, (host, call));
                     let host = HostNumber(host as u32);
                     self.leader_step(vec![leader::Event::Polled {
-                        call: own,
+                        call: leader_call,
                         host,
                         epoch,
                         applied,
@@ -124,7 +124,7 @@
                         applied,
                     }]);
                 }
-                Message::Answer { host, event } => self.host_step(host, vec![event]),
+                Message::Response { host, event } => self.host_step(host, vec![event]),
             }
         }
         self.leader_step(Vec::new());
--- a/crates/catalog/tests/incremental_flow.rs
+++ b/crates/catalog/tests/incremental_flow.rs
@@ -1,4 +1,5 @@
-//! The incremental flow gives the same results as the planner, which computes them from the start.
+//! Checks that the incremental flow gives the same results as the planner, which computes each result
+//! from scratch.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -54,15 +55,15 @@
                 }
                 2..4 => {
                     let id = rng.random_range(0..12);
-                    site.volumes.retain(|expected| expected.id != id);
+                    site.volumes.retain(|volume| volume.id != id);
                     flow.set_volume(id, None);
                 }
                 _ => {
                     let id = rng.random_range(0..12);
-                    let expected = volume(&mut rng, id, nodes);
-                    site.volumes.retain(|o| o.id != expected.id);
-                    site.volumes.push(expected.clone());
-                    flow.set_volume(expected.id, Some(expected));
+                    let changed = volume(&mut rng, id, nodes);
+                    site.volumes.retain(|volume| volume.id != changed.id);
+                    site.volumes.push(changed.clone());
+                    flow.set_volume(changed.id, Some(changed));
                 }
             }
             let one = BTreeSet::from([rng.random_range(0..nodes)]);
@@ -73,9 +74,11 @@
                 } else {
                     flow.without(&out)
                 };
-                let all = &out | &down;
-                let expected = check(&site, &all);
-                let context = format!("seed {seed}, out {all:?}: {shortfall:?}, {expected:?}");
+                let excluded = &out | &down;
+                let expected = check(&site, &excluded);
+                let context = format!(
+                    "seed {seed}, without {excluded:?}: found {shortfall:?}, expected {expected:?}"
+                );
                 assert!(
                     (shortfall.short - (expected.reachable - expected.carried)).abs() < 0.02,
                     "{context}"
@@ -90,7 +93,7 @@
     }
     assert!(
         short > examined / 10 && short < examined * 9 / 10,
-        "{short} of {examined} were short"
+        "{short} of {examined} checks had a shortfall; expected 10% to 90%"
     );
 }
 
@@ -113,14 +116,19 @@
         placement: vec![(1, 0.5), (2, 0.5)],
     });
     let mut flow = IncrementalFlow::of(&site);
-    // The maximum load on each node is rounded up by a thousandth.
+    // The incremental flow rounds the maximum load on each node up by a thousandth, so exact results are
+    // compared after rounding.
     let shortfall = |flow: &IncrementalFlow| {
         (
             flow.shortfall().short.round(),
             flow.shortfall().out_of_reach.round(),
         )
     };
-    assert_eq!(shortfall(&flow), (0.0, 40.0), "the other node is unknown");
+    assert_eq!(
+        shortfall(&flow),
+        (0.0, 40.0),
+        "half of the load is out of reach while node 2 is unknown"
+    );
     flow.set_node(Node {
         id: 2,
         zone: 1,
--- a/crates/catalog/tests/leader/main.rs
+++ b/crates/catalog/tests/leader/main.rs
@@ -1,4 +1,5 @@
-//! The leader's decisions, case by case.
+//! Tests of single decisions of the leader: commits, admission, scheduled changes, polls, the stable
+//! version and epochs.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -16,35 +17,35 @@
     let first = rig.propose(vec![volume(1, "gold")], |_| ());
     let second = rig.propose(vec![plan("more", 1.0)], |_| ());
     assert_eq!(
-        (rig.answers(), rig.leader.persisted()),
+        (rig.take_texts(), rig.leader.persisted()),
         (vec![], Version(2))
     );
     // Two changes are pending at once, and are persisted together.
     rig.persist();
     assert_eq!(
-        rig.answers(),
+        rig.take_texts(),
         [
-            format!("{}: landed 3", first.0),
-            format!("{}: landed 4", second.0)
+            format!("{}: committed 3", first.0),
+            format!("{}: committed 4", second.0)
         ]
     );
     // A change that depends on one that cannot be persisted fails with it.
     let first = rig.propose(vec![plan("x", 1.0)], |_| ());
     let second = rig.propose(vec![volume(3, "x")], |p| p.base_version = Version(5));
-    let number = rig.sent[0].0;
-    rig.sent.clear();
+    let number = rig.pending_writes[0].0;
+    rig.pending_writes.clear();
     rig.step(vec![Event::PersistFailed {
         number,
         reason: "disk full".into(),
     }]);
-    let answers = rig.answers();
+    let texts = rig.take_texts();
     assert!(
-        answers.contains(&format!("{}: not kept: disk full", first.0)),
-        "{answers:?}"
+        texts.contains(&format!("{}: not kept: disk full", first.0)),
+        "{texts:?}"
     );
     assert!(
-        answers.contains(&format!("{}: not kept: disk full", second.0)),
-        "{answers:?}"
+        texts.contains(&format!("{}: not kept: disk full", second.0)),
+        "{texts:?}"
     );
     assert_eq!(
         (
@@ -53,17 +54,17 @@
         ),
         (Version(4), None)
     );
-    // A later result of a cancelled write is ignored.
+    // A failure reported for a write that was cancelled with the first is ignored.
     rig.step(vec![Event::PersistFailed {
         number: number + 1,
         reason: "it depends on the first".into(),
     }]);
-    assert!(rig.answers().is_empty());
+    assert!(rig.take_texts().is_empty());
     // The change can be proposed again once the disk has space.
     rig.now += ms(2000);
     let first = rig.propose(vec![plan("x", 1.0)], |_| ());
     rig.persist();
-    assert_eq!(rig.answers(), [format!("{}: landed 5", first.0)]);
+    assert_eq!(rig.take_texts(), [format!("{}: committed 5", first.0)]);
 }
 
 #[test]
@@ -75,17 +76,17 @@
     });
     let third = rig.propose(vec![volume(2, "gold")], |p| p.author = "other".into());
     rig.persist();
-    let answers = rig.answers();
+    let texts = rig.take_texts();
     assert!(
-        answers.contains(&format!("{}: landed 3", first.0))
-            && answers.contains(&format!("{}: landed 4", third.0)),
-        "{answers:?}"
+        texts.contains(&format!("{}: committed 3", first.0))
+            && texts.contains(&format!("{}: committed 4", third.0)),
+        "{texts:?}"
     );
     let collided = format!(
         "{}: volume 1 was changed meanwhile, by entry 3 of operator",
         second.0
     );
-    assert!(answers.contains(&collided), "{answers:?}");
+    assert!(texts.contains(&collided), "{texts:?}");
 }
 
 #[test]
@@ -94,32 +95,32 @@
     let more = vec![volume(3, "gold"), volume(4, "gold"), volume(5, "gold")];
     let first = rig.propose(more.clone(), |_| ());
     let reason = "40.0 units a second of reserves cannot be met; what gives way: volume 5 by 40.0";
-    assert_eq!(rig.answers(), [format!("{}: {reason}", first.0)]);
-    assert!(rig.leader.catalog().volume(3).is_none() && rig.sent.is_empty());
-    // A dry run gives the same reasons, and nothing lands, not even an admitted change.
+    assert_eq!(rig.take_texts(), [format!("{}: {reason}", first.0)]);
+    assert!(rig.leader.catalog().volume(3).is_none() && rig.pending_writes.is_empty());
+    // A dry run gives the same reasons and commits nothing, not even a change without objections.
     let preview = rig.propose(more.clone(), |p| p.dry_run = true);
     let allowed = rig.propose(vec![volume(3, "gold")], |p| p.dry_run = true);
     assert_eq!(
-        rig.answers(),
+        rig.take_texts(),
         [
-            format!("{}: would {reason}", preview.0),
-            format!("{}: would", allowed.0)
+            format!("{}: preview {reason}", preview.0),
+            format!("{}: preview", allowed.0)
         ]
     );
     assert!(
         rig.leader.catalog().volume(3).is_none()
-            && rig.sent.is_empty()
+            && rig.pending_writes.is_empty()
             && rig.leader.admission().shortfall().short == 0.0
     );
     let second = rig.propose(more, |p| p.force = true);
     rig.persist();
-    assert_eq!(rig.answers(), [format!("{}: landed 3", second.0)]);
+    assert_eq!(rig.take_texts(), [format!("{}: committed 3", second.0)]);
     assert_eq!(
         rig.leader.catalog().audit_log().last().unwrap().objections,
         reason,
-        "the audit log has the objections"
+        "the audit log records the objections that were overridden"
     );
-    let third = rig.call();
+    let third = rig.new_call();
     rig.step(vec![Event::Undo {
         call: third,
         author: "operator".into(),
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_scheduled_change_lands_lapses_or_is_cancelled() {
+fn a_scheduled_change_is_committed_lapses_or_is_cancelled() {
     let mut rig = Rig::with_two_volumes();
     let at = |after: u64| Some(ms(1_000_000) + ms(1000 + after));
     rig.propose(vec![volume(1, "gold")], |p| p.at = at(5000));
@@ -142,17 +143,17 @@
     rig.propose(vec![plan("gold", 30.0)], |p| p.at = at(7000));
     let bad = rig.propose(vec![volume(1, "none")], |p| p.at = at(7000));
     rig.persist();
-    let answers = rig.answers();
+    let texts = rig.take_texts();
     assert!(
-        answers.contains(&format!("{}: plan none does not exist", bad.0)),
-        "rejected when scheduled and not when due: {answers:?}"
+        texts.contains(&format!("{}: plan none does not exist", bad.0)),
+        "an invalid change is rejected when it is scheduled, not when it is due: {texts:?}"
     );
     assert_eq!(rig.leader.wake_at(), Some(ms(6000)));
-    // An operator changes the subject of one of them first, and cancels another.
+    // Before they are due, an operator changes the volume of the second and cancels the third.
     rig.propose(vec![Change::Volume { id: 2, to: None }], |_| ());
     rig.propose(vec![Change::Scheduled { id: 3, to: None }], |_| ());
     rig.persist();
-    rig.answers();
+    rig.take_texts();
     rig.now = ms(6000);
     rig.step(vec![]);
     assert_eq!(&*rig.leader.catalog().volume(1).unwrap().plan, "gold");
@@ -160,7 +161,7 @@
     rig.step(vec![]);
     rig.persist();
     assert_eq!(
-        rig.answers(),
+        rig.take_texts(),
         ["timed change 2 of operator lapses: volume 2 has changed since it was asked for"]
     );
     assert_eq!(
@@ -173,20 +174,20 @@
     assert_eq!(rig.leader.catalog().plan("gold").unwrap().reservation, 40.0);
     let last = rig.leader.catalog().audit_log().last().unwrap();
     assert!(last.reason.starts_with("lapsed"), "{last:?}");
-    // Undoing the landed revision does not restore the scheduled change.
-    let landed = rig
+    // Undoing the committed revision does not schedule its change again.
+    let committed = rig
         .leader
         .catalog()
         .audit_log()
         .find(|revision| revision.changes.contains(&volume(1, "gold")))
         .unwrap()
         .version;
-    let call = rig.call();
+    let call = rig.new_call();
     rig.step(vec![Event::Undo {
         call,
         author: "operator".into(),
         reason: "".into(),
-        revision: landed,
+        revision: committed,
         force: false,
     }]);
     rig.persist();
@@ -203,39 +204,46 @@
 fn a_poll_is_answered_when_there_is_news_or_after_a_third_of_the_lease() {
     let mut rig = Rig::with_two_volumes();
     let first = rig.poll(0, 0, 0);
-    // The host's version is persisted before it is granted a lease.
+    // The leader persists the version that the host has applied before it grants a lease.
     assert!(
-        rig.answers().is_empty()
+        rig.take_texts().is_empty()
             && matches!(
-                rig.sent[..],
+                rig.pending_writes[..],
                 [.., (_, Persist::Applied(HostNumber(0), Version(0)))]
             )
     );
     rig.persist();
     assert_eq!(
-        rig.answers(),
-        [format!("{}: 2 to 2, settled 2, whole", first.0)]
+        rig.take_texts(),
+        [format!("{}: 2 to 2, stable 2, snapshot", first.0)]
     );
     let second = rig.poll(0, 2, 2);
     rig.persist();
-    assert!(rig.answers().is_empty());
+    assert!(rig.take_texts().is_empty());
     rig.now += ms(1000);
     rig.step(vec![]);
-    assert_eq!(rig.answers(), [format!("{}: 2 to 2, settled 2", second.0)]);
+    assert_eq!(
+        rig.take_texts(),
+        [format!("{}: 2 to 2, stable 2", second.0)]
+    );
     let third = rig.poll(0, 2, 2);
     rig.propose(vec![plan("x", 1.0)], |_| ());
-    assert!(rig.answers().is_empty());
+    assert!(rig.take_texts().is_empty());
     rig.persist();
-    let answers = rig.answers();
+    let texts = rig.take_texts();
     assert!(
-        answers.contains(&format!("{}: 2 to 3, settled 2", third.0)),
-        "{answers:?}"
+        texts.contains(&format!("{}: 2 to 3, stable 2", third.0)),
+        "{texts:?}"
     );
-    // The host's acknowledgement makes the version stable, and the next response carries that.
+    // The host's acknowledgement makes the version stable, and the next response carries the new stable
+    // version.
     let fourth = rig.poll(0, 3, 2);
     rig.persist();
-    assert_eq!(rig.answers(), [format!("{}: 3 to 3, settled 3", fourth.0)]);
-    let fifth = rig.call();
+    assert_eq!(
+        rig.take_texts(),
+        [format!("{}: 3 to 3, stable 3", fourth.0)]
+    );
+    let fifth = rig.new_call();
     rig.step(vec![Event::Polled {
         call: fifth,
         host: HostNumber(9),
@@ -245,13 +253,13 @@
         acknowledged: Version(3),
     }]);
     assert_eq!(
-        rig.answers(),
+        rig.take_texts(),
         [format!("{}: this host is not in the settings", fifth.0)]
     );
 }
 
-/// A change that lowers a host's quota without a lease waits for the host's acknowledgement, or for
-/// an operator's guarantee.
+/// A version that lowers the quota a host has without a lease is stable only after the host has
+/// acknowledged it, or an operator has guaranteed that the host is removed.
 #[test]
 fn a_silent_host_delays_the_stable_version_of_a_lowered_limit() {
     let mut rig = Rig::with_two_volumes();
@@ -268,8 +276,8 @@
     rig.persist();
     assert_eq!(rig.leader.stable(), Version(2));
     assert_eq!(rig.leader.waits_for(Version(4)), [("h2".into(), false)]);
-    // The host's lease ends. The version that does not lower its quota is stable, and the new limit
-    // is not.
+    // The host's lease ends. Version 3 does not lower its quota without a lease and becomes stable;
+    // version 4, with the lower limit, does not.
     rig.now += ms(3600);
     rig.step(vec![]);
     rig.persist();
@@ -277,7 +285,7 @@
         (rig.leader.stable(), rig.leader.waits_for(Version(4))),
         (Version(3), vec![("h2".into(), true)])
     );
-    let call = rig.call();
+    let call = rig.new_call();
     rig.step(vec![Event::HostRemoved {
         call,
         host: HostNumber(1),
@@ -288,26 +296,27 @@
         (rig.leader.stable(), rig.leader.waits_for(Version(4))),
         (Version(4), vec![])
     );
-    // A volume's number is not used again before the removal is stable.
+    // The number of a removed volume cannot be used again before the removal is stable.
     rig.poll(1, 2, 2);
     rig.propose(vec![Change::Volume { id: 2, to: None }], |_| ());
     rig.persist();
-    rig.answers();
-    let again = rig.propose(vec![volume(2, "basic")], |_| ());
+    rig.take_texts();
+    let reused = rig.propose(vec![volume(2, "basic")], |_| ());
     assert_eq!(
-        rig.answers(),
+        rig.take_texts(),
         [format!(
             "{}: volume 2 was before, and entry 5 that ended it is not settled yet",
-            again.0
+            reused.0
         )]
     );
 }
 
-/// After a restore, version numbers alone would not show the other history.
+/// After a restore, a host may have applied revisions of another history under the same version
+/// numbers; only the epoch tells the histories apart.
 #[test]
 fn no_host_is_granted_a_lease_while_one_follows_another_history() {
     let mut rig = Rig::with_two_volumes();
-    let first = rig.call();
+    let first = rig.new_call();
     let polled = |call, epoch, applied| Event::Polled {
         call,
         host: HostNumber(0),
@@ -318,29 +327,29 @@
     };
     rig.step(vec![polled(first, 6, 2)]);
     assert_eq!(
-        rig.answers(),
+        rig.take_texts(),
         [format!("{}: behind 2", first.0)],
-        "the same version of another history"
+        "the host has the same version, of another history"
     );
     let second = rig.poll(1, 2, 2);
     assert_eq!(
-        rig.answers(),
+        rig.take_texts(),
         [format!("{}: behind 2", second.0)],
-        "no host is granted a lease"
+        "the other host is granted no lease either"
     );
-    let third = rig.call();
+    let third = rig.new_call();
     rig.step(vec![Event::ForceEpoch {
         call: third,
         author: "operator".into(),
         reason: "restored".into(),
     }]);
     rig.persist();
-    assert_eq!(rig.answers(), [format!("{}: landed 3", third.0)]);
-    let fourth = rig.call();
+    assert_eq!(rig.take_texts(), [format!("{}: committed 3", third.0)]);
+    let fourth = rig.new_call();
     rig.step(vec![polled(fourth, 6, 2)]);
     rig.persist();
     assert_eq!(
-        rig.answers(),
-        [format!("{}: 2 to 3, settled 2, whole", fourth.0)]
+        rig.take_texts(),
+        [format!("{}: 2 to 3, stable 2, snapshot", fourth.0)]
     );
 }
--- a/crates/catalog/tests/leader/rig.rs
+++ b/crates/catalog/tests/leader/rig.rs
@@ -1,4 +1,4 @@
-//! A leader with a disk that completes writes on request, and builders for changes.
+//! A leader whose writes complete when the test says so, and builders for changes.
 
 pub use crate::common::{limited, ms, plan};
 use crate::common::{node_in, volume_on};
@@ -15,23 +15,23 @@
     volume_on(id, plan, &["h1", "h2"], &[1])
 }
 
-/// A leader with a disk that completes writes on request.
+/// A leader whose writes stay pending until `persist` completes them.
 pub struct Rig {
     pub leader: Leader,
     pub now: Duration,
-    pub sent: Vec<(u64, Persist)>,
-    pub answers: Vec<Action>,
-    pub calls: u64,
+    pub pending_writes: Vec<(u64, Persist)>,
+    pub actions: Vec<Action>,
+    pub last_call: u64,
 }
 
 impl Rig {
     pub fn new() -> Rig {
-        let facts = Deployment {
+        let deployment = Deployment {
             hosts: ["h1", "h2"].map(Name::from).into(),
             max_dispatch_delay: Duration::ZERO,
         };
-        let catalog = Catalog::new(facts, 50);
-        let start = InitialState {
+        let catalog = Catalog::new(deployment, 50);
+        let initial_state = InitialState {
             catalog,
             stable: Version(0),
             applied: BTreeMap::new(),
@@ -40,17 +40,17 @@
             epochs: Vec::new(),
             epoch_forced_at: Version(0),
         };
-        let leader = Leader::new(start, ms(3000), ms(500), 2.0, ms(1000));
+        let leader = Leader::new(initial_state, ms(3000), ms(500), 2.0, ms(1000));
         Rig {
             leader,
             now: ms(1000),
-            sent: Vec::new(),
-            answers: Vec::new(),
-            calls: 0,
+            pending_writes: Vec::new(),
+            actions: Vec::new(),
+            last_call: 0,
         }
     }
 
-    /// Two plans, a node and two volumes, persisted.
+    /// A leader that has persisted two plans, a node and two volumes.
     pub fn with_two_volumes() -> Rig {
         let mut rig = Rig::new();
         rig.propose(
@@ -64,26 +64,26 @@
         rig.persist();
         rig.propose(vec![volume(1, "basic"), volume(2, "basic")], |_| ());
         rig.persist();
-        rig.answers.clear();
+        rig.actions.clear();
         rig
     }
 
     pub fn step(&mut self, events: Vec<Event>) {
         for action in self.leader.step(self.now, self.now + ms(1_000_000), events) {
             match action {
-                Action::Persist { number, what } => self.sent.push((number, what)),
-                other => self.answers.push(other),
+                Action::Persist { number, what } => self.pending_writes.push((number, what)),
+                other => self.actions.push(other),
             }
         }
     }
 
-    pub fn call(&mut self) -> CallId {
-        self.calls += 1;
-        CallId(self.calls)
+    pub fn new_call(&mut self) -> CallId {
+        self.last_call += 1;
+        CallId(self.last_call)
     }
 
-    pub fn propose(&mut self, changes: Vec<Change>, with: impl FnOnce(&mut Proposal)) -> CallId {
-        let call = self.call();
+    pub fn propose(&mut self, changes: Vec<Change>, adjust: impl FnOnce(&mut Proposal)) -> CallId {
+        let call = self.new_call();
         let mut proposal = Proposal {
             author: "operator".into(),
             reason: "test".into(),
@@ -93,20 +93,20 @@
             force: false,
             dry_run: false,
         };
-        with(&mut proposal);
+        adjust(&mut proposal);
         self.step(vec![Event::Proposed { call, proposal }]);
         call
     }
 
     pub fn persist(&mut self) {
-        while let Some(upto) = self.sent.last().map(|(number, _)| *number) {
-            self.sent.clear();
+        while let Some(upto) = self.pending_writes.last().map(|(number, _)| *number) {
+            self.pending_writes.clear();
             self.step(vec![Event::Persisted { upto }]);
         }
     }
 
     pub fn poll(&mut self, host: u32, applied: u64, stable: u64) -> CallId {
-        let call = self.call();
+        let call = self.new_call();
         let epoch = if applied == 0 { Epoch(0) } else { Epoch(7) };
         self.step(vec![Event::Polled {
             call,
@@ -119,17 +119,17 @@
         call
     }
 
-    /// The actions since the last call, as short texts.
-    pub fn answers(&mut self) -> Vec<String> {
-        let short = |action: Action| match action {
+    /// Takes the actions since the last call, each as a short text.
+    pub fn take_texts(&mut self) -> Vec<String> {
+        let describe = |action: Action| match action {
             Action::Grant(grant) => {
                 format!(
-                    "{}: {} to {}, settled {}{}",
+                    "{}: {} to {}, stable {}{}",
                     grant.call.0,
                     grant.from.0,
                     grant.to.0,
                     grant.stable.0,
-                    if grant.snapshot { ", whole" } else { "" }
+                    if grant.snapshot { ", snapshot" } else { "" }
                 )
             }
             Action::Behind { call, applied } => format!("{}: behind {}", call.0, applied.0),
@@ -138,23 +138,23 @@
                 version,
                 verdict,
             } => {
-                let warned = join_reasons(&verdict.warnings);
-                format!("{}: landed {} {warned}", call.0, version.0)
+                let warnings = join_reasons(&verdict.warnings);
+                format!("{}: committed {} {warnings}", call.0, version.0)
                     .trim_end()
                     .to_string()
             }
             Action::Reject { call, reason } => format!("{}: {reason}", call.0),
             Action::Preview { call, verdict } => {
-                format!("{}: would {}", call.0, join_reasons(&verdict.objections))
+                format!("{}: preview {}", call.0, join_reasons(&verdict.objections))
                     .trim_end()
                     .to_string()
             }
             Action::Note { text } => text,
-            Action::Persist { .. } => unreachable!("step takes writes out"),
+            Action::Persist { .. } => unreachable!("`step` moves writes to `pending_writes`"),
         };
-        std::mem::take(&mut self.answers)
+        std::mem::take(&mut self.actions)
             .into_iter()
-            .map(short)
+            .map(describe)
             .collect()
     }
 }
--- a/crates/catalog/tests/moves.rs
+++ b/crates/catalog/tests/moves.rs
@@ -1,5 +1,5 @@
-//! Proposed moves compared with every placement of extents on small sites, and a drain on a larger
-//! site.
+//! Compares proposed moves of extents with brute force over every placement on small sites, and checks
+//! a drain on a larger site.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -56,10 +56,10 @@
     }
 }
 
-/// All placements of a volume's extents on three nodes, with none on the nodes to be emptied.
-fn placements(empty: &BTreeSet<u32>) -> Vec<[u64; 3]> {
+/// All placements of a volume's extents on three nodes that leave the drained nodes empty.
+fn placements(drained: &BTreeSet<u32>) -> Vec<[u64; 3]> {
     let all = (0..=EXTENTS).flat_map(|a| (0..=EXTENTS - a).map(move |b| [a, b, EXTENTS - a - b]));
-    all.filter(|way| empty.iter().all(|n| way[*n as usize] == 0))
+    all.filter(|extents_on| drained.iter().all(|n| extents_on[*n as usize] == 0))
         .collect()
 }
 
@@ -67,18 +67,19 @@
     [5, 1, 3][id as usize]
 }
 
-/// The fewest bytes whose moves meet all reservations, found by trying every placement.
-fn by_brute_force(
+/// The fewest bytes that must move to meet all reservations, found by trying every placement. `None` if
+/// no placement meets them.
+fn fewest_bytes_by_brute_force(
     site: &Site,
     extents_by_volume: &[[u64; 3]],
-    empty: &BTreeSet<u32>,
+    drained: &BTreeSet<u32>,
 ) -> Option<u64> {
-    let placements = placements(empty);
-    let cost = |id: usize, way: &[u64; 3]| {
-        let left: u64 = (0..3)
-            .map(|n| extents_by_volume[id][n].saturating_sub(way[n]))
+    let placements = placements(drained);
+    let cost = |id: usize, extents_on: &[u64; 3]| {
+        let moved: u64 = (0..3)
+            .map(|n| extents_by_volume[id][n].saturating_sub(extents_on[n]))
             .sum();
-        left * bytes(id as u64)
+        moved * bytes(id as u64)
     };
     let mut best: Option<u64> = None;
     for a in &placements {
@@ -92,13 +93,13 @@
                 let volumes = [a, b, c]
                     .into_iter()
                     .enumerate()
-                    .map(|(id, way)| place_volume(id as u64, reservation(id), way));
+                    .map(|(id, extents_on)| place_volume(id as u64, reservation(id), extents_on));
                 if check(
                     &Site {
                         volumes: volumes.collect(),
                         ..site.clone()
                     },
-                    empty,
+                    drained,
                 )
                 .holds()
                 {
@@ -110,7 +111,7 @@
     best
 }
 
-fn after(site: &Site, moves: &[Move], extents: u64) -> Site {
+fn apply_moves(site: &Site, moves: &[Move], extents: u64) -> Site {
     let mut moved_site = site.clone();
     for volume in &mut moved_site.volumes {
         let mut extents_on: BTreeMap<u32, i64> = volume
@@ -124,7 +125,7 @@
         }
         assert!(
             extents_on.values().all(|n| *n >= 0),
-            "more moved than lies there: {moves:?}"
+            "the moves take more extents from a node than it holds: {moves:?}"
         );
         volume.placement = extents_on
             .into_iter()
@@ -137,14 +138,14 @@
 
 #[test]
 fn proposals_move_as_few_bytes_as_brute_force() {
-    let mut repaired = 0;
+    let mut met = 0;
     let mut missed = 0;
-    let mut ours = 0;
-    let mut least = 0;
+    let mut proposed_bytes = 0;
+    let mut fewest_bytes = 0;
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (site, extents_by_volume) = random_site(&mut rng);
-        let empty: BTreeSet<u32> = (seed % 3 == 0)
+        let drained: BTreeSet<u32> = (seed % 3 == 0)
             .then(|| rng.random_range(0..3))
             .into_iter()
             .collect();
@@ -152,24 +153,31 @@
             extents: EXTENTS,
             bytes: bytes(id),
         };
-        let found = propose(&site, &empty, size);
-        let best = by_brute_force(&site, &extents_by_volume, &empty);
+        let found = propose(&site, &drained, size);
+        let best = fewest_bytes_by_brute_force(&site, &extents_by_volume, &drained);
         let Some(proposal) = found else {
-            assert_eq!(best, Some(0), "seed {seed}: nothing proposed");
+            assert_eq!(
+                best,
+                Some(0),
+                "seed {seed}: no proposal for a site that needs moves"
+            );
             continue;
         };
         assert!(proposal.is_complete, "seed {seed}");
-        let then = after(&site, &proposal.moves, EXTENTS);
+        let site_after = apply_moves(&site, &proposal.moves, EXTENTS);
         assert!(
-            then.volumes
+            site_after
+                .volumes
                 .iter()
-                .all(|volume| volume.placement.iter().all(|h| !empty.contains(&h.0))),
+                .all(|volume| volume.placement.iter().all(|h| !drained.contains(&h.0))),
             "seed {seed}: {proposal:?}"
         );
-        let holds = check(&then, &empty).holds();
+        let holds = check(&site_after, &drained).holds();
         assert_eq!(holds, proposal.short == 0.0, "seed {seed}: {proposal:?}");
         match (best, holds) {
-            (None, true) => panic!("seed {seed}: {proposal:?} cannot be"),
+            (None, true) => {
+                panic!("seed {seed}: {proposal:?} meets all reservations, but no placement can")
+            }
             (None, false) => {}
             (Some(_), false) => missed += 1,
             (Some(best), true) => {
@@ -177,21 +185,25 @@
                     proposal.bytes >= best && proposal.least <= best as f64 + 1e-3,
                     "seed {seed}: {proposal:?}, best {best}"
                 );
-                repaired += 1;
-                (ours, least) = (ours + proposal.bytes, least + best);
+                met += 1;
+                (proposed_bytes, fewest_bytes) =
+                    (proposed_bytes + proposal.bytes, fewest_bytes + best);
             }
         }
     }
-    assert!(repaired > 150, "{repaired} repaired");
+    assert!(
+        met > 150,
+        "only {met} of 400 sites had reservations met by moves"
+    );
     assert_eq!(
-        (ours, missed),
-        (least, 0),
-        "bytes, and sites that could be repaired and were not"
+        (proposed_bytes, missed),
+        (fewest_bytes, 0),
+        "bytes moved, and sites whose reservations could be met and were not"
     );
 }
 
-/// On a larger site, the drained node is empty after the moves, reservations are met, and only the
-/// node's extents move.
+/// After the moves the drained node is empty and all reservations are met, and only extents of that node
+/// have moved.
 #[test]
 fn a_drain_on_a_larger_site_moves_only_the_nodes_extents() {
     let mut rng = Pcg64Mcg::seed_from_u64(3);
@@ -222,37 +234,39 @@
         extents: 64 + id % 64,
         bytes: 1 << 20,
     };
-    let empty = BTreeSet::from([7]);
-    let proposal = propose(&site, &empty, size).expect("the node has extents");
-    let then: Vec<Volume> = site
+    let drained = BTreeSet::from([7]);
+    let proposal = propose(&site, &drained, size).expect("the drained node holds extents");
+    let site_after: Vec<Volume> = site
         .volumes
         .iter()
         .map(|volume| {
-            let own: Vec<Move> = proposal
+            let volume_moves: Vec<Move> = proposal
                 .moves
                 .iter()
                 .filter(|step| step.volume == volume.id)
                 .copied()
                 .collect();
-            let one = Site {
+            let single_volume = Site {
                 volumes: vec![volume.clone()],
                 ..site.clone()
             };
-            after(&one, &own, size(volume.id).extents).volumes.remove(0)
+            apply_moves(&single_volume, &volume_moves, size(volume.id).extents)
+                .volumes
+                .remove(0)
         })
         .collect();
-    let then = Site {
-        volumes: then,
+    let site_after = Site {
+        volumes: site_after,
         ..site.clone()
     };
-    assert!(then
+    assert!(site_after
         .volumes
         .iter()
         .all(|volume| volume.placement.iter().all(|h| h.0 != 7)));
     assert!(
-        check(&then, &empty).holds() && proposal.short == 0.0,
+        check(&site_after, &drained).holds() && proposal.short == 0.0,
         "{:?}",
-        check(&then, &empty).short
+        check(&site_after, &drained).short
     );
     assert!(proposal.moves.iter().all(|step| step.from == 7));
 }
--- a/crates/catalog/tests/planner.rs
+++ b/crates/catalog/tests/planner.rs
@@ -1,4 +1,4 @@
-//! The planner compared with brute force on small sites, and with a greedy placement.
+//! Compares the planner with brute force and with a greedy placement on small random sites.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -37,7 +37,7 @@
         }
     };
     let volumes = (0..8u64).map(volume).collect();
-    // With this spread, a volume's load may gather on any of its nodes.
+    // This spread lets any one node of a volume carry all of its load.
     Site {
         nodes,
         volumes,
@@ -45,9 +45,10 @@
     }
 }
 
-/// The maximum that can be carried, as the minimum over all cuts: the nodes of one side, and the
-/// volumes that reach beyond it.
-fn by_brute_force(site: &Site, reserves: &[f64]) -> f64 {
+/// The maximum load that the nodes can carry, as the minimum over all cuts (max-flow min-cut theorem). A
+/// cut is a set of nodes; its value is their capacity plus the reservations of the volumes that also have
+/// nodes outside of the set.
+fn max_load_by_brute_force(site: &Site, reservations: &[f64]) -> f64 {
     let cut = |side: u32| {
         let is_inside = |n: u32| side & 1 << n != 0;
         let nodes: f64 = site
@@ -56,12 +57,12 @@
             .filter(|n| is_inside(n.id))
             .map(|n| n.capacity)
             .sum();
-        let beyond = |verdict: &Volume| !verdict.placement.iter().all(|h| is_inside(h.0));
+        let beyond = |volume: &Volume| !volume.placement.iter().all(|h| is_inside(h.0));
         let volumes = site
             .volumes
             .iter()
-            .zip(reserves)
-            .filter(|(verdict, _)| beyond(verdict))
+            .zip(reservations)
+            .filter(|(volume, _)| beyond(volume))
             .map(|(_, r)| r)
             .sum::<f64>();
         nodes + volumes
@@ -71,13 +72,13 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-/// Places each volume in turn on its nodes with the most spare capacity.
-fn by_greed(site: &Site) -> f64 {
+/// The load carried when each volume in turn is placed on its nodes with the most spare capacity.
+fn max_load_by_greedy_placement(site: &Site) -> f64 {
     let mut spare: Vec<f64> = site.nodes.iter().map(|n| n.capacity).collect();
     let mut carried = 0.0;
-    for verdict in &site.volumes {
-        let mut left = verdict.reservation;
-        let mut placement: Vec<usize> = verdict.placement.iter().map(|h| h.0 as usize).collect();
+    for volume in &site.volumes {
+        let mut left = volume.reservation;
+        let mut placement: Vec<usize> = volume.placement.iter().map(|h| h.0 as usize).collect();
         placement.sort_by(|a, b| spare[*b].total_cmp(&spare[*a]));
         for n in placement {
             let here = left.min(spare[n]);
@@ -88,91 +89,100 @@
 }
 
 #[test]
-fn the_planner_agrees_with_brute_force_and_the_lowest_weights_give_way() {
-    let (mut broken, mut greed_wrong) = (0, 0);
+fn the_planner_agrees_with_brute_force_and_reduces_the_lowest_weights_first() {
+    let (mut infeasible, mut greedy_wrong) = (0, 0);
     for seed in 0..3000 {
         let site = random_site(&mut Pcg64Mcg::seed_from_u64(seed));
         let verdict = check(&site, &BTreeSet::new());
-        let reserves: Vec<f64> = site
+        let reservations: Vec<f64> = site
             .volumes
             .iter()
-            .map(|verdict| verdict.reservation)
+            .map(|volume| volume.reservation)
             .collect();
-        let most = by_brute_force(&site, &reserves);
+        let max_load = max_load_by_brute_force(&site, &reservations);
         assert!(
-            (verdict.carried - most).abs() < 1e-6,
-            "seed {seed}: {} of {most}",
+            (verdict.carried - max_load).abs() < 1e-6,
+            "seed {seed}: {} of {max_load}",
             verdict.carried
         );
         assert_eq!(
             verdict.holds(),
-            (verdict.reachable - most).abs() < 0.02,
+            (verdict.reachable - max_load).abs() < 0.02,
             "seed {seed}"
         );
-        greed_wrong += u32::from((by_greed(&site) - most).abs() > 1e-6);
+        greedy_wrong += u32::from((max_load_by_greedy_placement(&site) - max_load).abs() > 1e-6);
         if verdict.holds() {
             continue;
         }
-        broken += 1;
-        // What gives way is all that is missing, and without it the rest can be carried.
-        let given: f64 = verdict.short.iter().map(|site| site.1).sum();
+        infeasible += 1;
+        // The unmet reservations add up to the whole shortfall, and the rest can be carried without them.
+        let unmet: f64 = verdict.short.iter().map(|entry| entry.1).sum();
         assert!(
-            (given - (verdict.reachable - most)).abs() < 1e-6,
+            (unmet - (verdict.reachable - max_load)).abs() < 1e-6,
             "seed {seed}"
         );
-        let left = |v2: &Volume| {
-            v2.reservation
+        let met = |volume: &Volume| {
+            volume.reservation
                 - verdict
                     .short
                     .iter()
-                    .find(|site| site.0 == v2.id)
-                    .map_or(0.0, |site| site.1)
+                    .find(|entry| entry.0 == volume.id)
+                    .map_or(0.0, |entry| entry.1)
         };
-        let after: Vec<f64> = site.volumes.iter().map(left).collect();
+        let after: Vec<f64> = site.volumes.iter().map(met).collect();
         assert!(
-            (by_brute_force(&site, &after) - after.iter().sum::<f64>()).abs() < 1e-6,
+            (max_load_by_brute_force(&site, &after) - after.iter().sum::<f64>()).abs() < 1e-6,
             "seed {seed}"
         );
-        // No volume gives way that could have more if all lighter ones had nothing.
+        // A volume is reduced only if it could not have more even with nothing left to all volumes of lower
+        // weight.
         for (id, by) in &verdict.short {
-            let own = site
-                .volumes
-                .iter()
-                .find(|verdict| verdict.id == *id)
-                .unwrap();
-            let heavier = |o: &Volume| {
-                (o.weight, std::cmp::Reverse(o.id)) >= (own.weight, std::cmp::Reverse(own.id))
+            let reduced = site.volumes.iter().find(|volume| volume.id == *id).unwrap();
+            let is_at_least_as_heavy = |other: &Volume| {
+                (other.weight, std::cmp::Reverse(other.id))
+                    >= (reduced.weight, std::cmp::Reverse(reduced.id))
             };
-            let alone: Vec<f64> = site
+            let without_lighter: Vec<f64> = site
                 .volumes
                 .iter()
                 .zip(&after)
-                .map(|(verdict, r)| if heavier(verdict) { *r } else { 0.0 })
+                .map(|(volume, r)| {
+                    if is_at_least_as_heavy(volume) {
+                        *r
+                    } else {
+                        0.0
+                    }
+                })
                 .collect();
             let more: Vec<f64> = site
                 .volumes
                 .iter()
-                .zip(&alone)
-                .map(|(verdict, r)| if verdict.id == *id { r + by } else { *r })
+                .zip(&without_lighter)
+                .map(|(volume, r)| if volume.id == *id { r + by } else { *r })
                 .collect();
             assert!(
-                (by_brute_force(&site, &more) - alone.iter().sum::<f64>()).abs() < 1e-6,
+                (max_load_by_brute_force(&site, &more) - without_lighter.iter().sum::<f64>()).abs()
+                    < 1e-6,
                 "seed {seed}: {id}"
             );
         }
     }
-    println!("{broken} of 3000 cannot be met; greed is wrong on {greed_wrong}");
+    println!(
+        "of 3000 sites, {infeasible} cannot meet all reservations; \
+         the greedy placement is wrong on {greedy_wrong}"
+    );
     assert!(
-        broken > 500 && greed_wrong > 30,
-        "{broken} cannot be met; greed is wrong on {greed_wrong} of 3000"
+        infeasible > 500 && greedy_wrong > 30,
+        "of 3000 sites, {infeasible} cannot meet all reservations (expected more than 500); \
+         the greedy placement is wrong on {greedy_wrong} (expected more than 30)"
     );
 }
 
-/// With a bounded spread, the amount that gives way, found volume by volume, equals the shortfall of
-/// the flow over all volumes at once.
+/// With a bounded spread, the unmet reservations, found volume by volume, add up to the shortfall that the
+/// flow over all volumes at once has.
 #[test]
-fn the_volumes_that_give_way_add_up_to_the_shortfall_at_any_spread() {
-    let mut broken = 0;
+fn unmet_reservations_add_up_to_the_shortfall_at_any_spread() {
+    let mut infeasible = 0;
     for seed in 0..6000 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let site = Site {
@@ -180,14 +190,17 @@
             ..random_site(&mut rng)
         };
         let verdict = check(&site, &BTreeSet::new());
-        let given: f64 = verdict.short.iter().map(|site| site.1).sum();
-        broken += u32::from(!verdict.holds());
+        let unmet: f64 = verdict.short.iter().map(|entry| entry.1).sum();
+        infeasible += u32::from(!verdict.holds());
         assert!(
-            (given - (verdict.reachable - verdict.carried)).abs() < 0.02,
-            "seed {seed}: {given} of {verdict:?}"
+            (unmet - (verdict.reachable - verdict.carried)).abs() < 0.02,
+            "seed {seed}: unmet reservations add up to {unmet}, but the planner found {verdict:?}"
         );
     }
-    assert!(broken > 1000, "{broken}");
+    assert!(
+        infeasible > 1000,
+        "only {infeasible} of 6000 sites cannot meet all reservations"
+    );
 }
 
 #[test]
@@ -222,7 +235,8 @@
             )
         })
         .collect();
-    // With an even spread over extents, node 3 has loads of 40, 40 and 80.
+    // At spread 1 each volume loads its nodes in proportion to its extents there, so node 3 gets loads of
+    // 40, 40 and 80.
     let expected = [
         (Out::Nothing, 240.0, 0.0, false),
         (Out::Node(1), 200.0, 40.0, false),
@@ -232,12 +246,12 @@
         (Out::Zone(2), 80.0, 160.0, true),
     ];
     assert_eq!(found, expected);
-    let optimistic = Site {
+    let uneven_spread = Site {
         spread: 2.0,
         ..site
     };
     assert!(
-        check(&optimistic, &BTreeSet::new()).holds(),
-        "the first two volumes load only nodes 1 and 2"
+        check(&uneven_spread, &BTreeSet::new()).holds(),
+        "the first two volumes may put all of their load on nodes 1 and 2"
     );
 }
--- a/crates/catalog/tests/validation.rs
+++ b/crates/catalog/tests/validation.rs
@@ -1,4 +1,4 @@
-//! The validation of changes, and the errors of invalid ones.
+//! Tests of the validation of changes and of the errors for invalid changes.
 
 #![allow(clippy::too_many_lines)] // tables of cases
 
@@ -24,8 +24,8 @@
             to,
         }]
     };
-    let mut far = volume(9, "basic");
-    if let Change::Volume { to: Some(v), .. } = &mut far {
+    let mut on_two_shards = volume(9, "basic");
+    if let Change::Volume { to: Some(v), .. } = &mut on_two_shards {
         v.shards = [1, 7].into();
     }
     let scheduled = |changes| Change::Scheduled {
@@ -75,19 +75,19 @@
             "plan p: a figure is negative or no number",
         ),
         (
-            vec![through(9, "basic", &[])],
+            vec![volume_on_hosts(9, "basic", &[])],
             "volume 9: works through no host",
         ),
         (
-            vec![through(9, "basic", &["k"])],
+            vec![volume_on_hosts(9, "basic", &["k"])],
             "volume 9: works through k, which is no host here",
         ),
         (
-            vec![through(9, "basic", &["h", "h"])],
+            vec![volume_on_hosts(9, "basic", &["h", "h"])],
             "volume 9: works through one host twice",
         ),
         (
-            vec![node(4, 1), far.clone()],
+            vec![node(4, 1), on_two_shards.clone()],
             "volume 9: its data may lie in cell 7, which no node holds",
         ),
         (
@@ -112,7 +112,7 @@
             "timed change 1: a timed change within a timed change",
         ),
         (
-            vec![scheduled(vec![through(9, "basic", &[])])],
+            vec![scheduled(vec![volume_on_hosts(9, "basic", &[])])],
             "volume 9: works through no host",
         ),
         (
@@ -130,13 +130,15 @@
     for (changes, reason) in cases {
         let mut catalog = sample_catalog();
         assert_eq!(
-            land(&mut catalog, changes.clone()).unwrap_err().to_string(),
+            commit(&mut catalog, changes.clone())
+                .unwrap_err()
+                .to_string(),
             reason,
             "{changes:?}"
         );
-        assert_eq!(catalog, sample_catalog(), "nothing of it is done");
+        assert_eq!(catalog, sample_catalog(), "a rejected change has no effect");
     }
-    // Several as one may rest on each other.
+    // Changes of one proposal may depend on each other, in any order.
     let mut catalog = sample_catalog();
     let all = vec![
         volume(1, "priority"),
@@ -144,7 +146,7 @@
         no_plan("basic"),
         plan("gold", 1.0),
     ];
-    assert!(land(&mut catalog, all).is_ok());
+    assert!(commit(&mut catalog, all).is_ok());
     assert_eq!(
         (catalog.plan("basic"), &*catalog.volume(2).unwrap().plan),
         (None, "gold")
@@ -152,14 +154,14 @@
     let all = vec![
         node(4, 1),
         node(5, 7),
-        far,
+        on_two_shards,
         volume(9, "gold"),
         drain(4),
         target("t", &[2]),
     ];
-    let twice = land(&mut catalog, all.clone()).unwrap_err();
-    assert_eq!(twice.to_string(), "volume 9 is changed twice at once");
-    assert!(land(
+    let error = commit(&mut catalog, all.clone()).unwrap_err();
+    assert_eq!(error.to_string(), "volume 9 is changed twice at once");
+    assert!(commit(
         &mut catalog,
         all.into_iter()
             .filter(|c| *c != volume(9, "gold"))
@@ -191,9 +193,12 @@
         ),
         (vec![removal(2)], "volume 2 is in use by target t"),
     ] {
-        assert_eq!(land(&mut catalog, changes).unwrap_err().to_string(), reason);
+        assert_eq!(
+            commit(&mut catalog, changes).unwrap_err().to_string(),
+            reason
+        );
     }
-    assert!(land(&mut catalog, vec![removal(2), target("t", &[1])]).is_ok());
+    assert!(commit(&mut catalog, vec![removal(2), target("t", &[1])]).is_ok());
 }
 
 #[test]
@@ -210,12 +215,12 @@
         Change::Node { id, to: Some(to) }
     };
     let mut catalog = sample_catalog();
-    land(&mut catalog, vec![named(4, "box4"), named(5, "box5")]).unwrap();
+    commit(&mut catalog, vec![named(4, "box4"), named(5, "box5")]).unwrap();
     assert_eq!(
         ["box4", "5", "box6", "6"].map(|n| catalog.node_by_name_or_number(n)),
         [Some(4), Some(5), None, None]
     );
-    let refused = [
+    let rejected = [
         (
             vec![stage(Drained)],
             "drain of node 4: cannot go from none to empty",
@@ -233,10 +238,14 @@
             "node 6: its name, 77, is a number and might be another's",
         ),
     ];
-    for (changes, reason) in refused {
-        assert_eq!(land(&mut catalog, changes).unwrap_err().to_string(), reason);
+    for (changes, reason) in rejected {
+        assert_eq!(
+            commit(&mut catalog, changes).unwrap_err().to_string(),
+            reason
+        );
     }
-    land(&mut catalog, vec![named(4, "box5"), named(5, "box4")]).expect("they change places");
+    commit(&mut catalog, vec![named(4, "box5"), named(5, "box4")])
+        .expect("one proposal may swap two names");
     assert_eq!(
         ["box4", "box5"].map(|n| catalog.node_by_name_or_number(n)),
         [Some(5), Some(4)]
@@ -250,13 +259,13 @@
         (Removed, true),
     ] {
         assert_eq!(
-            land(&mut catalog, vec![stage(next)]).is_ok(),
+            commit(&mut catalog, vec![stage(next)]).is_ok(),
             is_allowed,
             "{next:?}"
         );
     }
-    land(&mut catalog, vec![Change::Drain { node: 4, to: None }]).unwrap();
-    land(&mut catalog, vec![Change::Node { id: 4, to: None }]).unwrap();
+    commit(&mut catalog, vec![Change::Drain { node: 4, to: None }]).unwrap();
+    commit(&mut catalog, vec![Change::Node { id: 4, to: None }]).unwrap();
     assert_eq!(catalog.node_by_name_or_number("box5"), None);
     catalog.revert_last();
     assert_eq!(catalog.node_by_name_or_number("box5"), Some(4));
