--- a/crates/catalog/tests/feed.rs
+++ b/crates/catalog/tests/feed.rs
@@ -388,7 +388,7 @@
             }
             assert!(
                 seen.len() < MAX_STATES,
-                "the exploration visited more than {MAX_STATES} states"
+                "the exploration visited {MAX_STATES} states without an end"
             );
             queue.extend(
                 self.successors(&state)
--- a/crates/catalog/tests/fleet/limits.rs
+++ b/crates/catalog/tests/fleet/limits.rs
@@ -28,8 +28,8 @@
                 .hosts
                 .iter()
                 .filter_map(|host| host.terms.get(&id))
-                .filter(|t| t.mine);
-            let quotas: Vec<_> = quotas.map(|t| t.quota).collect();
+                .filter(|terms| terms.mine);
+            let quotas: Vec<_> = quotas.map(|terms| terms.quota).collect();
             let rate: f64 = quotas
                 .iter()
                 .map(|p| p.map_or(f64::INFINITY, |p| p.rate))
@@ -40,7 +40,7 @@
                 .sum();
             assert!(
                 rate <= plan.limit + 1e-9 && burst <= plan.burst + 1e-9,
-                "volume {id} at {:?}: {rate} of {}, {burst} of {}; stable {stable:?}, latest {:?}\n{:#?}",
+                "volume {id} at {:?}: quotas add up to a rate of {rate} (limit {}) and a burst of {burst} (limit {}); stable {stable:?}, latest {:?}\n{:#?}",
                 self.now,
                 plan.limit,
                 plan.burst,
--- a/crates/catalog/tests/fleet/main.rs
+++ b/crates/catalog/tests/fleet/main.rs
@@ -92,6 +92,7 @@
     pending_proposals: BTreeMap<u64, Vec<Change>>,
     /// The changes that the leader has reported as committed.
     committed: BTreeMap<Version, Vec<Change>>,
+    /// Whether random faults and proposals still occur.
     faults: bool,
     /// Whether all hosts have followed the leader's epoch since the last restore.
     converged: bool,
@@ -198,13 +199,17 @@
             HOSTS[i]
         );
         for id in VOLUMES {
-            let own = world
+            let volume = world
                 .leader
                 .catalog()
                 .volume(id)
                 .filter(|v| v.hosts.contains(&Name::from(HOSTS[i])));
             let terms = host.terms.get(&id).filter(|t| t.mine);
-            assert_eq!(terms.map(|t| &t.plan), own.map(|v| &v.plan), "seed {seed}");
+            assert_eq!(
+                terms.map(|t| &t.plan),
+                volume.map(|v| &v.plan),
+                "seed {seed}"
+            );
         }
     }
     world.counts
--- a/crates/catalog/tests/fleet/world.rs
+++ b/crates/catalog/tests/fleet/world.rs
@@ -31,10 +31,12 @@
         world
     }
 
+    /// True with a probability of 1 in `one_in`, and never once the faults have stopped.
     pub fn chance(&mut self, one_in: u32) -> bool {
         self.faults && self.rng.random_range(0..one_in) == 0
     }
 
+    /// Sends a message, which may be lost, with a random delay.
     pub fn send(&mut self, message: Message) {
         if self.chance(8) {
             return;
--- a/crates/catalog/tests/incremental_flow.rs
+++ b/crates/catalog/tests/incremental_flow.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn the_shortfall_equals_the_planners_after_any_changes() {
-    let (mut short, mut examined) = (0, 0);
+    let (mut with_shortfall, mut examined) = (0, 0);
     for seed in 0..400 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let nodes = rng.random_range(2..7u32);
@@ -66,9 +66,10 @@
                     flow.set_volume(changed.id, Some(changed));
                 }
             }
-            let one = BTreeSet::from([rng.random_range(0..nodes)]);
-            let two = BTreeSet::from([rng.random_range(0..nodes), rng.random_range(0..nodes)]);
-            for out in [BTreeSet::new(), one, two] {
+            let one_node = BTreeSet::from([rng.random_range(0..nodes)]);
+            let two_nodes =
+                BTreeSet::from([rng.random_range(0..nodes), rng.random_range(0..nodes)]);
+            for out in [BTreeSet::new(), one_node, two_nodes] {
                 let shortfall = if out.is_empty() {
                     flow.shortfall()
                 } else {
@@ -87,13 +88,14 @@
                     (shortfall.out_of_reach - expected.out_of_reach).abs() < 0.02,
                     "{context}"
                 );
-                (short, examined) = (short + u32::from(!expected.holds()), examined + 1);
+                (with_shortfall, examined) =
+                    (with_shortfall + u32::from(!expected.holds()), examined + 1);
             }
         }
     }
     assert!(
-        short > examined / 10 && short < examined * 9 / 10,
-        "{short} of {examined} checks had a shortfall; expected 10% to 90%"
+        with_shortfall > examined / 10 && with_shortfall < examined * 9 / 10,
+        "{with_shortfall} of {examined} checks had a shortfall; expected 10% to 90%"
     );
 }
 
--- a/crates/catalog/tests/leader/main.rs
+++ b/crates/catalog/tests/leader/main.rs
@@ -82,23 +82,23 @@
             && texts.contains(&format!("{}: committed 4", third.0)),
         "{texts:?}"
     );
-    let collided = format!(
+    let collision = format!(
         "{}: volume 1 was changed meanwhile, by entry 3 of operator",
         second.0
     );
-    assert!(texts.contains(&collided), "{texts:?}");
+    assert!(texts.contains(&collision), "{texts:?}");
 }
 
 #[test]
 fn objections_reject_a_change_unless_it_is_forced() {
     let mut rig = Rig::with_two_volumes();
-    let more = vec![volume(3, "gold"), volume(4, "gold"), volume(5, "gold")];
-    let first = rig.propose(more.clone(), |_| ());
+    let three_volumes = vec![volume(3, "gold"), volume(4, "gold"), volume(5, "gold")];
+    let first = rig.propose(three_volumes.clone(), |_| ());
     let reason = "40.0 units a second of reserves cannot be met; what gives way: volume 5 by 40.0";
     assert_eq!(rig.take_texts(), [format!("{}: {reason}", first.0)]);
     assert!(rig.leader.catalog().volume(3).is_none() && rig.pending_writes.is_empty());
     // A dry run gives the same reasons and commits nothing, not even a change without objections.
-    let preview = rig.propose(more.clone(), |p| p.dry_run = true);
+    let preview = rig.propose(three_volumes.clone(), |p| p.dry_run = true);
     let allowed = rig.propose(vec![volume(3, "gold")], |p| p.dry_run = true);
     assert_eq!(
         rig.take_texts(),
@@ -112,7 +112,7 @@
             && rig.pending_writes.is_empty()
             && rig.leader.admission().shortfall().short == 0.0
     );
-    let second = rig.propose(more, |p| p.force = true);
+    let second = rig.propose(three_volumes, |p| p.force = true);
     rig.persist();
     assert_eq!(rig.take_texts(), [format!("{}: committed 3", second.0)]);
     assert_eq!(
@@ -141,11 +141,11 @@
     rig.propose(vec![volume(1, "gold")], |p| p.at = at(5000));
     rig.propose(vec![volume(2, "gold")], |p| p.at = at(6000));
     rig.propose(vec![plan("gold", 30.0)], |p| p.at = at(7000));
-    let bad = rig.propose(vec![volume(1, "none")], |p| p.at = at(7000));
+    let invalid = rig.propose(vec![volume(1, "none")], |p| p.at = at(7000));
     rig.persist();
     let texts = rig.take_texts();
     assert!(
-        texts.contains(&format!("{}: plan none does not exist", bad.0)),
+        texts.contains(&format!("{}: plan none does not exist", invalid.0)),
         "an invalid change is rejected when it is scheduled, not when it is due: {texts:?}"
     );
     assert_eq!(rig.leader.wake_at(), Some(ms(6000)));
--- a/crates/catalog/tests/planner.rs
+++ b/crates/catalog/tests/planner.rs
@@ -77,12 +77,13 @@
     let mut spare: Vec<f64> = site.nodes.iter().map(|n| n.capacity).collect();
     let mut carried = 0.0;
     for volume in &site.volumes {
-        let mut left = volume.reservation;
+        let mut unplaced = volume.reservation;
         let mut placement: Vec<usize> = volume.placement.iter().map(|h| h.0 as usize).collect();
         placement.sort_by(|a, b| spare[*b].total_cmp(&spare[*a]));
         for n in placement {
-            let here = left.min(spare[n]);
-            (left, spare[n], carried) = (left - here, spare[n] - here, carried + here);
+            let placed = unplaced.min(spare[n]);
+            (unplaced, spare[n], carried) =
+                (unplaced - placed, spare[n] - placed, carried + placed);
         }
     }
     carried
