--- a/crates/cli/src/trace_checks.rs
+++ b/crates/cli/src/trace_checks.rs
@@ -50,9 +50,9 @@
         verdict.attempts, verdict.effects, verdict.lost_with_host, verdict.drain_lag_ms
     );
     print_revision_times(verdict);
-    if verdict.commands.taken > 0 {
-        for wrong in &verdict.commands.wrong {
-            println!("{wrong}");
+    if verdict.commands.received > 0 {
+        for fault in &verdict.commands.faults {
+            println!("{fault}");
         }
         println!("{}", verdict.commands.line());
     }
