--- a/crates/iscsi/src/keys.rs
+++ b/crates/iscsi/src/keys.rs
@@ -10,7 +10,7 @@
 mod table;
 
 pub use negotiation::Negotiation;
-pub use params::{Params, Wishes};
+pub use params::{Params, Preferences};
 pub use table::{Key, Kind, Use, TABLE};
 
 /// The maximum length of a key name, in bytes (section 6.1). A smaller bound rejects valid keys; a
--- a/crates/iscsi/src/keys/negotiation.rs
+++ b/crates/iscsi/src/keys/negotiation.rs
@@ -1,6 +1,6 @@
 //! One side's answers to the other's offers (RFC 7143, section 6.2). No I/O.
 
-use super::{KeyError, Kind, Params, Use, Wishes, TABLE};
+use super::{KeyError, Kind, Params, Preferences, Use, TABLE};
 use std::collections::BTreeSet;
 
 /// The answer to an offered key: a pair to send, or None if no answer is due.
@@ -9,7 +9,7 @@
 /// One side's answers to the other's offers, over one login or text negotiation.
 #[derive(Debug)]
 pub struct Negotiation {
-    wishes: Wishes,
+    wishes: Preferences,
     /// The parameters agreed so far.
     pub agreed: Params,
     /// The session is a discovery session.
@@ -65,7 +65,7 @@
 impl Negotiation {
     /// Creates a negotiation that starts from `agreed`. `login` and `leading` determine the permitted
     /// keys.
-    pub fn new(wishes: Wishes, agreed: Params, login: bool, leading: bool) -> Self {
+    pub fn new(wishes: Preferences, agreed: Params, login: bool, leading: bool) -> Self {
         Negotiation {
             wishes,
             agreed,
@@ -112,7 +112,7 @@
         let Some(number) = offer.number(least, most) else {
             return offer.error(format!("a number from {least} to {most}"));
         };
-        self.agreed.their_segment = number;
+        self.agreed.peer_max_segment = number;
         Ok(None)
     }
 
--- a/crates/iscsi/src/keys/params.rs
+++ b/crates/iscsi/src/keys/params.rs
@@ -14,7 +14,7 @@
     /// ImmediateData: a command may carry data.
     pub immediate_data: bool,
     /// MaxRecvDataSegmentLength of the other side, in bytes.
-    pub their_segment: u32,
+    pub peer_max_segment: u32,
     /// MaxBurstLength, in bytes.
     pub max_burst: u32,
     /// FirstBurstLength, in bytes.
@@ -43,7 +43,7 @@
             max_connections: 1,
             initial_r2t: true,
             immediate_data: true,
-            their_segment: 8192,
+            peer_max_segment: 8192,
             max_burst: 262_144,
             first_burst: 65_536,
             time2wait: 2,
@@ -59,7 +59,7 @@
 
 /// This side's preferences and bounds in a negotiation.
 #[derive(Debug, Clone)]
-pub struct Wishes {
+pub struct Preferences {
     /// This side supports CRC32C digests.
     pub digests: bool,
     /// The preferred value of each parameter.
@@ -68,7 +68,7 @@
     pub our_segment: u32,
 }
 
-impl Default for Wishes {
+impl Default for Preferences {
     fn default() -> Self {
         let params = Params {
             max_connections: 4,
@@ -80,7 +80,7 @@
             protocol_level: 2,
             ..Params::default()
         };
-        Wishes {
+        Preferences {
             digests: true,
             params,
             our_segment: 256 << 10,
--- a/crates/iscsi/src/login.rs
+++ b/crates/iscsi/src/login.rs
@@ -1,20 +1,20 @@
 //! The login phase of one connection, target side (RFC 7143, sections 6.3 and 11.12, 11.13).
 //!
-//! [`Login::request`] takes each login request and answers the response and where the login stands.
-//! The stages and the transitions between them are [`MAY_MOVE`]; whatever is not in it is an
-//! initiator error. Secrets and names come from [`Target`]s; challenges from the caller, who has
-//! the source of chance.
+//! [`Login::request`] takes each login request and returns the response and the state of the login.
+//! [`STAGE_TRANSITIONS`] lists the permitted transitions between stages; any other transition is an initiator
+//! error. Secrets and names come from [`Target`]s, and the random bytes for challenges from the caller.
 //!
-//! A login that never ends is the caller's to cut off, by time and by how many are open; here each
-//! is bounded in text ([`MAX_TEXT`]) and in requests ([`MAX_REQUESTS`]).
+//! Each login is bounded in text ([`MAX_TEXT`]) and in requests ([`MAX_REQUESTS`]). The caller bounds
+//! the duration of a login and the number of concurrent ones. No I/O.
 
 use crate::chap::{constant_time_eq, from_text, to_text, Algorithm};
-use crate::keys::{format, parse, KeyError, Negotiation, Params, Wishes, MAX_TEXT};
+use crate::keys::{format, parse, KeyError, Negotiation, Params, Preferences, MAX_TEXT};
 use crate::pdu::{Header, Opcode, Pdu};
 
-/// Requests in one login. A whole one takes four to six.
+/// The maximum number of requests in one login. A complete login takes four to six.
 pub const MAX_REQUESTS: u32 = 32;
 
+/// The stage of a login, as the CSG and NSG fields encode it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     Security = 0,
@@ -33,14 +33,14 @@
     }
 }
 
-/// Section 11.12.3: from which stage to which a request with the T bit may ask to go.
-pub const MAY_MOVE: [(Stage, Stage); 3] = [
+/// The stage transitions that a request with the T bit may ask for (section 11.12.3).
+pub const STAGE_TRANSITIONS: [(Stage, Stage); 3] = [
     (Stage::Security, Stage::Operational),
     (Stage::Security, Stage::FullFeature),
     (Stage::Operational, Stage::FullFeature),
 ];
 
-/// Status-Class and Status-Detail (section 11.13.5).
+/// The status of a login response: Status-Class and Status-Detail (section 11.13.5).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Status {
     Success = 0x0000,
@@ -59,68 +59,73 @@
     OutOfResources = 0x0302,
 }
 
-/// Names and secrets of one direction.
+/// The CHAP name and secret of one direction of authentication.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Secret {
     pub name: String,
     pub secret: Vec<u8>,
 }
 
-/// A target as its login needs it.
+/// The properties of a target that a login needs.
 #[derive(Debug, Clone, Default)]
 pub struct Target {
     pub name: String,
-    /// Initiators that may log in; None: all.
+    /// The initiators that may log in; None if all may.
     pub initiators: Option<Vec<String>>,
-    /// What an initiator must prove to know; None: nothing.
+    /// The credentials that an initiator must prove to know; None if it need not authenticate.
     pub chap: Option<Secret>,
-    /// What we prove to an initiator that asks.
+    /// The target's own credentials, for an initiator that asks for mutual authentication.
     pub mutual: Option<Secret>,
 }
 
-/// What the login knows of its surroundings.
+/// The configuration of the portal that a login uses.
 #[derive(Debug, Clone, Default)]
 pub struct Portal {
     pub targets: Vec<Target>,
-    /// What discovery sessions must prove.
+    /// The credentials that the initiator of a discovery session must prove to know; None if it need
+    /// not authenticate.
     pub discovery_chap: Option<Secret>,
+    /// The target portal group tag.
     pub group: u16,
-    pub wishes: Wishes,
+    pub wishes: Preferences,
 }
 
-/// Who has logged in, and by what.
+/// The result of a completed login.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoggedIn {
     pub initiator: String,
-    /// None: a discovery session.
+    /// The name of the target; None for a discovery session.
     pub target: Option<String>,
     pub isid: [u8; 6],
-    /// As asked for: 0 for a new session.
+    /// The TSIH of the request: 0 for a new session.
     pub tsih: u16,
     pub cid: u16,
     pub params: Params,
 }
 
+/// The state of a login after a request.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Standing {
+    /// The login continues with another request.
     Goes,
-    /// Full feature phase begins behind the response; the caller fills in the TSIH.
+    /// The full feature phase begins after the response. The caller sets the TSIH.
     Done(Box<LoggedIn>),
-    /// The connection ends behind the response.
+    /// The login failed, for the given reason. The connection ends after the response.
     Failed(Status, String),
 }
 
+/// The progress of the authentication.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Chap {
-    Unsaid,
-    /// The method is agreed, the algorithm not.
+    NotNegotiated,
+    /// The method is agreed, the algorithm is not.
     Agreed,
     Challenged {
-        by: Algorithm,
+        algorithm: Algorithm,
         id: u8,
         challenge: Vec<u8>,
     },
-    Proven,
+    Authenticated,
 }
 
 #[derive(Debug)]
@@ -128,19 +133,22 @@
     portal: Portal,
     stage: Stage,
     negotiation: Option<Negotiation>,
+    /// The text of the current negotiation step, over the PDUs with the C bit so far.
     text: Vec<u8>,
     requests: u32,
+    /// The header of the first request.
     first: Option<Header>,
     initiator: Option<String>,
     target: Option<Target>,
+    /// This side has declared its parameters.
     declared: bool,
     chap: Chap,
 }
 
 type Pairs = Vec<(String, String)>;
 
-/// Why a login fails.
-type Refusal = (Status, String);
+/// The reason why a login fails.
+type LoginFailure = (Status, String);
 
 impl Login {
     pub fn new(portal: Portal) -> Self {
@@ -154,20 +162,20 @@
             initiator: None,
             target: None,
             declared: false,
-            chap: Chap::Unsaid,
+            chap: Chap::NotNegotiated,
         }
     }
 
-    /// Answers one login request. `chance` is 17 bytes of it, new for each call; `stat_sn`,
-    /// `exp_cmd_sn` and `max_cmd_sn` go into the response.
+    /// Answers one login request. `random_bytes` must be new for each call. `sequence_numbers` holds the
+    /// StatSN, ExpCmdSN and MaxCmdSN of the response.
     pub fn request(
         &mut self,
         pdu: &Pdu,
-        chance: [u8; 17],
-        sns: (u32, u32, u32),
+        random_bytes: [u8; 17],
+        sequence_numbers: (u32, u32, u32),
     ) -> (Pdu, Standing) {
         let h = &pdu.header;
-        let answered = self.step(h, &pdu.data, chance);
+        let answered = self.step(h, &pdu.data, random_bytes);
         let (status, pairs, to, standing) = match answered {
             Ok((pairs, to)) => {
                 let done = to == Some(Stage::FullFeature);
@@ -181,16 +189,16 @@
             Err((status, why)) => (status, Vec::new(), None, Standing::Failed(status, why)),
         };
         let csg = (h.flags() >> 2) & 3;
-        let moves = to.map_or(0, |to| 0x80 | to as u8);
+        let transit_flags = to.map_or(0, |to| 0x80 | to as u8);
         let code = status as u16;
         let header = Header::new(Opcode::LoginResponse)
-            .set_flags(moves | csg << 2)
+            .set_flags(transit_flags | csg << 2)
             .set_isid(h.isid())
             .set_tsih(h.tsih())
             .set_itt(h.itt())
-            .set_cmd_sn(sns.0)
-            .set_exp_stat_sn(sns.1)
-            .set_word32(sns.2)
+            .set_cmd_sn(sequence_numbers.0)
+            .set_exp_stat_sn(sequence_numbers.1)
+            .set_word32(sequence_numbers.2)
             .set_byte(36, (code >> 8) as u8)
             .set_byte(37, code as u8);
         (Pdu::new(header, format(&pairs)), standing)
@@ -200,20 +208,20 @@
         &mut self,
         h: &Header,
         data: &[u8],
-        chance: [u8; 17],
-    ) -> Result<(Pairs, Option<Stage>), Refusal> {
-        let bad = |why: &str| Err((Status::InitiatorError, why.to_string()));
+        random_bytes: [u8; 17],
+    ) -> Result<(Pairs, Option<Stage>), LoginFailure> {
+        let initiator_error = |why: &str| Err((Status::InitiatorError, why.to_string()));
         self.requests += 1;
         if self.requests > MAX_REQUESTS {
-            return bad("login takes too many requests");
+            return initiator_error("login exceeds the maximum number of requests");
         }
         let (transit, more) = (h.flags() & 0x80 != 0, h.flags() & 0x40 != 0);
         let (Some(csg), nsg) = (Stage::of(h.flags() >> 2), Stage::of(h.flags())) else {
-            return bad("current stage 2 is reserved");
+            return initiator_error("CSG is 2, which is reserved");
         };
         match &self.first {
             None => {
-                // Version-min, and the stage that a login may begin in.
+                // Byte 3 is Version-min.
                 if h.byte(3) > 0 {
                     return Err((
                         Status::UnsupportedVersion,
@@ -221,7 +229,9 @@
                     ));
                 }
                 if csg == Stage::FullFeature {
-                    return bad("login begins in the full feature phase");
+                    return initiator_error(
+                        "CSG of the first request is 3 (full feature phase), expected 0 or 1",
+                    );
                 }
                 self.stage = csg;
                 self.first = Some(*h);
@@ -230,18 +240,18 @@
                 let same =
                     first.isid() == h.isid() && first.tsih() == h.tsih() && first.cid() == h.cid();
                 if !same || first.itt() != h.itt() {
-                    return bad("ISID, TSIH, CID or task tag changed within a login");
+                    return initiator_error("ISID, TSIH, CID or initiator task tag differs from the first login request");
                 }
                 if csg != self.stage {
-                    return bad("current stage is not the one that was agreed");
+                    return initiator_error("CSG is not the agreed stage");
                 }
             }
         }
         if transit && more {
-            return bad("transit and continue at once");
+            return initiator_error("T bit and C bit are both set");
         }
         if self.text.len() + data.len() > MAX_TEXT {
-            return bad("too much text in one login step");
+            return initiator_error("text of one negotiation step exceeds the maximum length");
         }
         self.text.extend_from_slice(data);
         if more {
@@ -249,26 +259,26 @@
         }
         let to = match (transit, nsg) {
             (false, _) => None,
-            (true, Some(to)) if MAY_MOVE.contains(&(csg, to)) => Some(to),
-            (true, _) => return bad("no such transition between stages"),
+            (true, Some(to)) if STAGE_TRANSITIONS.contains(&(csg, to)) => Some(to),
+            (true, _) => return initiator_error("transition from CSG to NSG is not permitted"),
         };
         let text = std::mem::take(&mut self.text);
-        let pairs = parse(&text).map_err(refused)?;
+        let pairs = parse(&text).map_err(key_failure)?;
         if self.negotiation.is_none() {
             self.identify(h, &pairs)?;
         }
         let mut answers = match self.stage {
-            Stage::Security => self.secure(&pairs, chance)?,
-            _ => self.operate(&pairs)?,
+            Stage::Security => self.answer_security_stage(&pairs, random_bytes)?,
+            _ => self.answer_operational_keys(&pairs)?,
         };
-        // Nobody passes the security stage who has not proven what is asked, and nobody passes by
-        // it.
-        if (to.is_some() || self.stage == Stage::Operational) && !self.is_proven() {
-            let settled = !matches!(self.chap, Chap::Agreed | Chap::Challenged { .. });
-            if to.is_none() || settled {
+        // An initiator that must authenticate can neither leave the security stage nor skip it without
+        // authentication.
+        if (to.is_some() || self.stage == Stage::Operational) && !self.is_authenticated() {
+            let not_negotiating = !matches!(self.chap, Chap::Agreed | Chap::Challenged { .. });
+            if to.is_none() || not_negotiating {
                 return Err((
                     Status::AuthenticationFailure,
-                    "authentication is asked for".into(),
+                    "initiator did not authenticate, but the target requires it".into(),
                 ));
             }
             return Ok((answers, None));
@@ -282,8 +292,8 @@
         Ok((answers, to))
     }
 
-    /// The first request says who logs in to what (section 6.3.1).
-    fn identify(&mut self, h: &Header, pairs: &[(String, String)]) -> Result<(), Refusal> {
+    /// Reads the initiator, the session type and the target from the first request (section 6.3.1).
+    fn identify(&mut self, h: &Header, pairs: &[(String, String)]) -> Result<(), LoginFailure> {
         let get = |key: &str| {
             pairs
                 .iter()
@@ -303,8 +313,12 @@
             "Normal" => {
                 let name = get("TargetName").ok_or_else(|| missing("TargetName"))?;
                 let target = self.portal.targets.iter().find(|t| t.name == name);
-                let target =
-                    target.ok_or_else(|| (Status::NotFound, format!("no target {name:.80}")))?;
+                let target = target.ok_or_else(|| {
+                    (
+                        Status::NotFound,
+                        format!("TargetName {name:.80} is unknown"),
+                    )
+                })?;
                 if target
                     .initiators
                     .as_ref()
@@ -312,7 +326,7 @@
                 {
                     return Err((
                         Status::AuthorizationFailure,
-                        format!("{initiator:.80} has no access"),
+                        format!("initiator {initiator:.80} may not access the target"),
                     ));
                 }
                 self.target = Some(target.clone());
@@ -320,7 +334,7 @@
             other => {
                 return Err((
                     Status::SessionTypeNotSupported,
-                    format!("session type {other:.40}"),
+                    format!("SessionType is {other:.40}, expected Normal or Discovery"),
                 ))
             }
         }
@@ -328,19 +342,24 @@
         Ok(())
     }
 
-    fn asked(&self) -> Option<&Secret> {
+    /// Returns the credentials that the initiator must prove to know; None if it need not authenticate.
+    fn required_credentials(&self) -> Option<&Secret> {
         match &self.target {
             Some(target) => target.chap.as_ref(),
             None => self.portal.discovery_chap.as_ref(),
         }
     }
 
-    fn is_proven(&self) -> bool {
-        self.asked().is_none() || self.chap == Chap::Proven
+    fn is_authenticated(&self) -> bool {
+        self.required_credentials().is_none() || self.chap == Chap::Authenticated
     }
 
-    /// The security stage (section 12.1).
-    fn secure(&mut self, pairs: &[(String, String)], chance: [u8; 17]) -> Result<Pairs, Refusal> {
+    /// Answers a request of the security stage (section 12.1).
+    fn answer_security_stage(
+        &mut self,
+        pairs: &[(String, String)],
+        random_bytes: [u8; 17],
+    ) -> Result<Pairs, LoginFailure> {
         let get = |key: &str| {
             pairs
                 .iter()
@@ -349,82 +368,112 @@
         };
         let failed = |why: &str| (Status::AuthenticationFailure, why.to_string());
         let mut answers = Vec::new();
-        let mut say = |k: &str, v: String| answers.push((k.to_string(), v));
+        let mut push_answer = |k: &str, v: String| answers.push((k.to_string(), v));
         let (mut rest, mut chap) = (Vec::new(), Vec::new());
         for pair in pairs {
-            let of_chap = pair.0.starts_with("CHAP_") || pair.0 == "AuthMethod";
-            if of_chap { &mut chap } else { &mut rest }.push(pair.clone());
+            let is_chap_key = pair.0.starts_with("CHAP_") || pair.0 == "AuthMethod";
+            if is_chap_key { &mut chap } else { &mut rest }.push(pair.clone());
         }
         if let Some(methods) = get("AuthMethod") {
-            if self.chap != Chap::Unsaid {
-                return Err(failed("AuthMethod stands a second time"));
+            if self.chap != Chap::NotNegotiated {
+                return Err(failed("AuthMethod is offered a second time"));
             }
             let has = |m: &str| methods.split(',').any(|o| o == m);
-            match self.asked() {
+            match self.required_credentials() {
                 Some(_) if has("CHAP") => {
                     self.chap = Chap::Agreed;
-                    say("AuthMethod", "CHAP".into());
+                    push_answer("AuthMethod", "CHAP".into());
+                }
+                Some(_) => {
+                    return Err(failed(
+                        "AuthMethod does not offer CHAP, which the target requires",
+                    ))
                 }
-                Some(_) => return Err(failed("CHAP is asked for and not offered")),
-                None if has("None") => say("AuthMethod", "None".into()),
-                None => say("AuthMethod", "Reject".into()),
+                None if has("None") => push_answer("AuthMethod", "None".into()),
+                None => push_answer("AuthMethod", "Reject".into()),
             }
             if let (Some(_), false) = (&self.target, self.declared) {
-                say("TargetPortalGroupTag", self.portal.group.to_string());
+                push_answer("TargetPortalGroupTag", self.portal.group.to_string());
             }
         } else if let (Some(list), Chap::Agreed) = (get("CHAP_A"), &self.chap) {
-            let by =
-                Algorithm::choose(list).ok_or_else(|| failed("no CHAP algorithm in common"))?;
-            let (id, challenge) = (chance[0], chance[1..].to_vec());
-            say("CHAP_A", (by as u32).to_string());
-            say("CHAP_I", id.to_string());
-            say("CHAP_C", to_text(&challenge));
-            self.chap = Chap::Challenged { by, id, challenge };
-        } else if let (Some(name), Chap::Challenged { by, id, challenge }) =
-            (get("CHAP_N"), self.chap.clone())
+            let algorithm = Algorithm::choose(list)
+                .ok_or_else(|| failed("CHAP_A offers no supported algorithm"))?;
+            let (id, challenge) = (random_bytes[0], random_bytes[1..].to_vec());
+            push_answer("CHAP_A", (algorithm as u32).to_string());
+            push_answer("CHAP_I", id.to_string());
+            push_answer("CHAP_C", to_text(&challenge));
+            self.chap = Chap::Challenged {
+                algorithm,
+                id,
+                challenge,
+            };
+        } else if let (
+            Some(name),
+            Chap::Challenged {
+                algorithm,
+                id,
+                challenge,
+            },
+        ) = (get("CHAP_N"), self.chap.clone())
         {
             let response = get("CHAP_R")
                 .and_then(from_text)
-                .ok_or_else(|| failed("CHAP_R is missing"))?;
-            let known = self
-                .asked()
+                .ok_or_else(|| failed("CHAP_R is missing or not a binary value"))?;
+            let required = self
+                .required_credentials()
                 .cloned()
-                .ok_or_else(|| failed("nothing to prove"))?;
-            let proven = constant_time_eq(&by.response(id, &known.secret, &challenge), &response);
-            // One answer to both, so that names cannot be found out.
-            if !proven || known.name != name {
-                return Err(failed("name or secret is wrong"));
+                .ok_or_else(|| failed("no CHAP credentials are configured for the initiator"))?;
+            let response_matches = constant_time_eq(
+                &algorithm.response(id, &required.secret, &challenge),
+                &response,
+            );
+            // The same error for both, so that an initiator cannot find out valid names.
+            if !response_matches || required.name != name {
+                return Err(failed("CHAP name or secret is wrong"));
             }
             if let (Some(theirs), Some(i)) = (get("CHAP_C"), get("CHAP_I")) {
                 let theirs = from_text(theirs).filter(|c| !c.is_empty());
-                let theirs = theirs.ok_or_else(|| failed("CHAP_C makes no sense"))?;
-                // Our own challenge sent back would have us answer it for whoever cannot.
+                let theirs =
+                    theirs.ok_or_else(|| failed("CHAP_C is empty or not a binary value"))?;
+                // An initiator without the secret could reflect the target's challenge to obtain the
+                // response to it.
                 if theirs == challenge {
-                    return Err(failed("our challenge was reflected"));
+                    return Err(failed("CHAP_C reflects the target's own challenge"));
                 }
-                let i = i.parse().map_err(|_| failed("CHAP_I makes no sense"))?;
+                let i = i
+                    .parse()
+                    .map_err(|_| failed("CHAP_I is not a number from 0 to 255"))?;
                 let own = self.target.as_ref().and_then(|t| t.mutual.as_ref());
-                let own = own.ok_or_else(|| failed("we have nothing to prove ourselves by"))?;
-                say("CHAP_N", own.name.clone());
-                say("CHAP_R", to_text(&by.response(i, &own.secret, &theirs)));
+                let own = own.ok_or_else(|| {
+                    failed("mutual CHAP is requested, but the target has no credentials for it")
+                })?;
+                push_answer("CHAP_N", own.name.clone());
+                push_answer(
+                    "CHAP_R",
+                    to_text(&algorithm.response(i, &own.secret, &theirs)),
+                );
             }
-            self.chap = Chap::Proven;
+            self.chap = Chap::Authenticated;
         } else if !chap.is_empty() {
-            return Err(failed("CHAP out of its order"));
+            return Err(failed("CHAP keys are out of order"));
         }
-        // Operational keys may already come here.
-        answers.extend(self.operate(&rest)?);
+        // Operational keys are permitted in the security stage too.
+        answers.extend(self.answer_operational_keys(&rest)?);
         Ok(answers)
     }
 
-    fn operate(&mut self, pairs: &[(String, String)]) -> Result<Pairs, Refusal> {
+    /// Answers the operational keys of a request.
+    fn answer_operational_keys(
+        &mut self,
+        pairs: &[(String, String)],
+    ) -> Result<Pairs, LoginFailure> {
         let mut answers = Vec::new();
         let negotiation = self
             .negotiation
             .as_mut()
             .expect("made by the first request");
         for (key, value) in pairs {
-            answers.extend(negotiation.offer(key, value).map_err(refused)?);
+            answers.extend(negotiation.offer(key, value).map_err(key_failure)?);
         }
         if self.stage == Stage::Operational && !self.declared {
             self.declared = true;
@@ -449,6 +498,6 @@
     }
 }
 
-fn refused(fault: KeyError) -> Refusal {
+fn key_failure(fault: KeyError) -> LoginFailure {
     (Status::InitiatorError, fault.to_string())
 }
--- a/crates/iscsi/src/session.rs
+++ b/crates/iscsi/src/session.rs
@@ -1,13 +1,15 @@
 //! The full feature phase of one session, target side (RFC 7143, sections 4.2, 7 and 11).
 //!
-//! Called with each PDU of each of its connections and with what became of its tasks; answers
-//! [`SessionAction`]s. It keeps commands in CmdSN order over all connections, gathers the data of writes
-//! (immediate, unsolicited, solicited), splits that of reads, numbers and keeps responses until
-//! they are acknowledged, and carries out task management. What a command means is the device's, to
-//! which [`SessionAction::Start`] hands it whole.
+//! The caller passes in each PDU of the session's connections and the outcome of each task, and
+//! performs the returned [`SessionAction`]s. [`Session`] delivers commands in CmdSN order over all
+//! connections, collects the data of writes (immediate, unsolicited, solicited), splits the data of
+//! reads, numbers responses and retains them until they are acknowledged, and performs task
+//! management. The device interprets the commands: [`SessionAction::Start`] passes it each command
+//! with its complete data.
 //!
-//! Memory: commands wait within the window; a write's data is kept up to [`Limits::max_data`]; a
-//! response and a read's data are kept until ExpStatSN acknowledges them.
+//! Memory: queued commands are bounded by the command window, the data of a write by
+//! [`Limits::max_data`]. Responses and the data of reads are retained until ExpStatSN acknowledges
+//! them. No I/O.
 
 use crate::keys::{parse, Params};
 use crate::pdu::{Header, Opcode, Pdu, PduError, NO_TAG};
@@ -17,23 +19,25 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// A task, by this session; never used twice.
+/// The identifier of a task within its session. It is never reused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId(pub u64);
 
-/// A connection, by its CID.
+/// A connection, identified by its CID.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u16);
 
+/// The memory limits of a session.
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Bytes that one command may write or read.
+    /// The maximum data that one command may write or read, in bytes.
     pub max_data: u32,
-    /// Unacknowledged responses kept for one connection; beyond, the oldest are forgotten.
+    /// The maximum number of unacknowledged responses retained for one connection. The oldest are
+    /// discarded beyond it.
     pub max_unacknowledged: usize,
 }
 
-/// Why tasks end without a response of their own.
+/// The reason why tasks end without a response of their own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AbortReason {
     AbortTask,
@@ -44,42 +48,43 @@
     ConnectionLost,
 }
 
+/// An action that the caller performs for the session.
 #[derive(Debug, Clone, PartialEq)]
 pub enum SessionAction {
-    Send {
-        cid: ConnectionId,
-        pdu: Pdu,
-    },
-    /// A command with all its data. It is answered by [`Session::complete`], once.
+    /// Send this PDU on this connection.
+    Send { cid: ConnectionId, pdu: Pdu },
+    /// Start a command, which comes with all its data. The device reports its outcome once, by
+    /// [`Session::complete`].
     Start {
         task: TaskId,
         lun: u64,
         cdb: [u8; 16],
         data: Bytes,
+        /// The maximum data that the command may return, in bytes.
         max_in: u32,
     },
-    /// The device confirms by [`Session::complete`] or [`Session::abort_complete`]; until then the request waits.
+    /// Abort these tasks. The device confirms each by [`Session::complete`] or
+    /// [`Session::abort_complete`]. The response to a task management request waits for all of them.
     Abort {
         tasks: Vec<TaskId>,
         reason: AbortReason,
     },
-    /// Tasks of other sessions at these units are to end too (None: at all units).
+    /// End the tasks of other sessions at this logical unit, or at all units if `lun` is None.
     Reset {
         lun: Option<u64>,
         reason: AbortReason,
     },
-    Close {
-        cid: ConnectionId,
-    },
+    /// Close this connection.
+    Close { cid: ConnectionId },
 }
 
-/// What a device answers.
+/// The outcome of a command, as the device reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcome {
     pub status: Status,
     pub sense: Option<Sense>,
     pub data: Bytes,
-    /// The status qualifier, for initiators that take it (RFC 7144, 6.2).
+    /// The status qualifier, for initiators that negotiated it (RFC 7144, 6.2).
     pub qualifier: u16,
 }
 
@@ -109,7 +114,7 @@
         }
     }
 
-    /// Not now; come back after that time.
+    /// Returns status BUSY, which asks the initiator to retry after `wait`.
     pub fn busy(wait: Option<Duration>) -> Self {
         Outcome {
             qualifier: wait.map_or(0, retry_delay),
@@ -118,10 +123,10 @@
     }
 }
 
-/// Reasons of a Reject (section 11.17.1).
+/// The reason of a Reject PDU (section 11.17.1).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
-pub enum Reason {
+pub enum RejectReason {
     DataDigest = 0x02,
     Snack = 0x03,
     Protocol = 0x04,
@@ -130,58 +135,68 @@
     InvalidField = 0x09,
 }
 
-/// A sequence of Data-Out that we wait for.
+/// An expected sequence of Data-Out PDUs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Burst {
     ttt: u32,
-    /// The next byte expected, and the first beyond.
+    /// The offset of the next expected byte.
     next: u32,
+    /// The offset after the last byte.
     end: u32,
+    /// The next expected DataSN.
     data_sn: u32,
 }
 
+/// The data of a command that has not started.
 #[derive(Debug)]
 struct Collecting {
     data: BytesMut,
-    /// All of it, where one PDU brought it: it need not be copied.
-    whole: Option<Bytes>,
-    /// The first byte that nobody has been asked for.
-    asked: u32,
+    /// The complete data if a single PDU carried it, which saves a copy.
+    single_pdu_data: Option<Bytes>,
+    /// The offset of the first byte that is neither received nor requested.
+    requested: u32,
     bursts: Vec<Burst>,
-    /// Ranges whose data was damaged on its way.
-    damaged: Vec<(u32, u32)>,
+    /// The ranges to request again after a data digest error.
+    damaged_ranges: Vec<(u32, u32)>,
+    /// The sense data to end the command with, after a fault.
     failed: Option<Sense>,
 }
 
+/// The state of a task.
 #[derive(Debug)]
 enum State {
-    /// Waits for its turn, or for data.
+    /// The command waits for an earlier one or for data.
     Collecting(Collecting),
+    /// The device performs the command.
     Running,
-    /// Being aborted: no response is due.
-    Ending,
+    /// The device aborts the command. No response is due.
+    Aborting,
 }
 
 #[derive(Debug)]
 struct Task {
-    no: TaskId,
+    id: TaskId,
     cid: ConnectionId,
     header: Header,
-    /// It has had its turn in CmdSN order.
-    ordered: bool,
+    /// All commands with an earlier CmdSN have been delivered.
+    delivered: bool,
+    /// The R2TSN of the next R2T.
     r2t_sn: u32,
     state: State,
 }
 
 impl Task {
+    /// Returns the expected data transfer length, in bytes.
     fn length(&self) -> u32 {
         self.header.ttt()
     }
 
+    /// Returns the W bit.
     fn writes(&self) -> bool {
         self.header.flags() & 0x20 != 0
     }
 
+    /// Returns the R bit.
     fn reads(&self) -> bool {
         self.header.flags() & 0x40 != 0
     }
@@ -190,158 +205,167 @@
 #[derive(Debug)]
 struct Conn {
     params: Params,
+    /// The StatSN of the next response.
     stat_sn: u32,
-    /// Responses that are not acknowledged, by StatSN.
-    kept: VecDeque<(u32, Pdu)>,
-    /// Data-In of reads whose status is not acknowledged: by task tag and StatSN.
-    sent: Vec<(u32, u32, Vec<Pdu>)>,
+    /// The unacknowledged responses, each with its StatSN.
+    unacknowledged: VecDeque<(u32, Pdu)>,
+    /// The Data-In PDUs of reads whose status is not acknowledged, with the task tag and StatSN.
+    sent_data_in: Vec<(u32, u32, Vec<Pdu>)>,
 }
 
-/// A task management request that waits for tasks to end.
+/// A task management request whose response waits for these tasks to end.
 #[derive(Debug)]
-struct Waiting {
+struct PendingManagement {
     cid: ConnectionId,
     itt: u32,
     tasks: BTreeSet<TaskId>,
 }
 
-/// What waits in the command window.
+/// An entry of the command window.
 #[derive(Debug)]
 enum Queued {
-    /// By its tag, and the task that had it: the tag may have passed on to another meanwhile.
+    /// A command, by its initiator task tag and task. Another task may have taken over the tag in the
+    /// meantime.
     Command(u32, TaskId),
+    /// A request other than a SCSI command.
     Other(ConnectionId, Pdu),
-    /// A command that was aborted before it came.
-    Skipped,
+    /// A command that was aborted before it arrived.
+    Aborted,
 }
 
 #[derive(Debug)]
 pub struct Session {
-    /// None: discovery.
+    /// The name of the target; None in a discovery session.
     target: Option<String>,
-    /// Targets with their addresses, for SendTargets.
-    listing: Vec<(String, Vec<String>)>,
+    /// The targets with their addresses, for SendTargets.
+    send_targets: Vec<(String, Vec<String>)>,
     limits: Limits,
     window: Window<Queued>,
-    /// Tasks that may be open; the window is what is left of it.
-    allowance: u32,
-    conns: BTreeMap<ConnectionId, Conn>,
+    /// The maximum number of open tasks. The window grants what the open tasks leave of it.
+    task_limit: u32,
+    connections: BTreeMap<ConnectionId, Conn>,
+    /// The open tasks by initiator task tag.
     tasks: BTreeMap<u32, Task>,
-    /// The tag of each task: an answer must not look through all that are out.
-    tags: BTreeMap<TaskId, u32>,
-    waiting: Vec<Waiting>,
+    /// The initiator task tag of each task, so that an outcome needs no search of all tasks.
+    itt_by_task: BTreeMap<TaskId, u32>,
+    pending_management: Vec<PendingManagement>,
     next_task: u64,
     next_ttt: u32,
-    acts: Vec<SessionAction>,
+    /// The actions to return from the current call.
+    actions: Vec<SessionAction>,
 }
 
 impl Session {
-    /// `cmd_sn` is that of the leading login; `size` tasks may be open at first.
+    /// Creates a session. `cmd_sn` is the CmdSN of the leading login, `size` the initial limit of open
+    /// tasks.
     pub fn new(
         target: Option<String>,
-        listing: Vec<(String, Vec<String>)>,
+        send_targets: Vec<(String, Vec<String>)>,
         limits: Limits,
         cmd_sn: u32,
         size: u32,
     ) -> Self {
         Session {
             target,
-            listing,
+            send_targets,
             limits,
             window: Window::new(SerialNumber(cmd_sn), size),
-            allowance: size,
-            conns: BTreeMap::new(),
+            task_limit: size,
+            connections: BTreeMap::new(),
             tasks: BTreeMap::new(),
-            tags: BTreeMap::new(),
-            waiting: Vec::new(),
+            itt_by_task: BTreeMap::new(),
+            pending_management: Vec::new(),
             next_task: 0,
             next_ttt: 0,
-            acts: Vec::new(),
+            actions: Vec::new(),
         }
     }
 
-    /// A connection has come through its login; `stat_sn` is the next it sends.
+    /// Adds a connection that has completed its login. `stat_sn` is the StatSN of its next response.
     pub fn add_connection(&mut self, cid: ConnectionId, params: Params, stat_sn: u32) {
         let conn = Conn {
             params,
             stat_sn,
-            kept: VecDeque::new(),
-            sent: Vec::new(),
+            unacknowledged: VecDeque::new(),
+            sent_data_in: Vec::new(),
         };
-        self.conns.insert(cid, conn);
+        self.connections.insert(cid, conn);
     }
 
+    /// Returns whether the session has no connections.
     pub fn is_empty(&self) -> bool {
-        self.conns.is_empty()
+        self.connections.is_empty()
     }
 
-    /// Tasks that have not ended.
+    /// Returns the number of open tasks.
     pub fn tasks(&self) -> usize {
         self.tasks.len()
     }
 
+    /// Returns the number of commands that the window accepts.
     pub fn room(&self) -> u32 {
         self.window.capacity()
     }
 
-    /// So many tasks may be open from here on. An initiator that sits before a closed window, with
-    /// nothing on its way to it that could tell it otherwise, is told by a NOP-In that asks for no
-    /// answer (section 11.19).
+    /// Sets the maximum number of open tasks. If this opens a closed window while no response is due
+    /// that could announce it, a NOP-In that requests no answer does (section 11.19).
     pub fn set_task_limit(&mut self, tasks: u32) -> Vec<SessionAction> {
-        self.allowance = tasks;
+        self.task_limit = tasks;
         let closed = self.window.capacity() == 0;
-        self.regrant();
-        let tell = closed && self.window.capacity() > 0 && self.tasks.is_empty();
-        if let (true, Some(cid)) = (tell, self.conns.keys().next().copied()) {
+        self.update_window();
+        let must_announce = closed && self.window.capacity() > 0 && self.tasks.is_empty();
+        if let (true, Some(cid)) = (must_announce, self.connections.keys().next().copied()) {
             let header = Header::new(Opcode::NopIn)
                 .set_flags(0x80)
                 .set_itt(NO_TAG)
                 .set_ttt(NO_TAG);
             self.send(cid, Pdu::new(header, Bytes::new()), false);
         }
-        std::mem::take(&mut self.acts)
+        std::mem::take(&mut self.actions)
     }
 
-    /// Every response tells how many more commands may come: what is allowed less what is open.
-    /// Commands that wait for an earlier one are inside the window still.
-    fn regrant(&mut self) {
+    /// Grants the window for the next response: the maximum number of open tasks less the open tasks.
+    /// Commands queued for an earlier one do not count, as they still occupy the window.
+    fn update_window(&mut self) {
         let open = self.tasks.len().saturating_sub(self.window.queued()) as u32;
-        self.window.grant(self.allowance.saturating_sub(open));
+        self.window.grant(self.task_limit.saturating_sub(open));
     }
 
-    /// ExpCmdSN and MaxCmdSN.
+    /// Returns ExpCmdSN and MaxCmdSN.
     pub fn cmd_sn_bounds(&self) -> (u32, u32) {
         (self.window.expected().0, self.window.max_cmd_sn().0)
     }
 
+    /// Handles a PDU or a read error of a connection.
     pub fn receive(
         &mut self,
         cid: ConnectionId,
         read: Result<Pdu, PduError>,
     ) -> Vec<SessionAction> {
-        if self.conns.contains_key(&cid) {
+        if self.connections.contains_key(&cid) {
             match read {
-                Ok(pdu) => self.pdu(cid, pdu),
-                Err(PduError::DataDigest(header)) => self.damaged(cid, header),
-                // After the others nothing more can be read: the connection is lost (section 7.7).
+                Ok(pdu) => self.receive_pdu(cid, pdu),
+                Err(PduError::DataDigest(header)) => self.data_digest_error(cid, header),
+                // No further PDU can be read after any other error, so the connection is lost
+                // (section 7.7).
                 Err(_) => self.close(cid),
             }
         }
-        std::mem::take(&mut self.acts)
+        std::mem::take(&mut self.actions)
     }
 
-    fn pdu(&mut self, cid: ConnectionId, pdu: Pdu) {
+    fn receive_pdu(&mut self, cid: ConnectionId, pdu: Pdu) {
         let h = pdu.header;
         let Some(opcode) = h.opcode().filter(|o| o.from_initiator()) else {
-            return self.reject(cid, Reason::NotSupported, &h);
+            return self.reject(cid, RejectReason::NotSupported, &h);
         };
         self.acknowledge(cid, h.exp_stat_sn());
         match opcode {
             Opcode::DataOut => self.data_out(cid, pdu),
             Opcode::Snack => self.snack(cid, &h),
-            Opcode::LoginRequest => self.reject(cid, Reason::Protocol, &h),
-            Opcode::ScsiCommand => self.command(cid, pdu),
-            _ if h.immediate() => self.request(cid, pdu),
+            Opcode::LoginRequest => self.reject(cid, RejectReason::Protocol, &h),
+            Opcode::ScsiCommand => self.receive_command(cid, pdu),
+            _ if h.immediate() => self.process_request(cid, pdu),
             _ => {
                 let arrived = self
                     .window
@@ -351,48 +375,52 @@
         }
     }
 
+    /// Discards what `exp_stat_sn` acknowledges.
     fn acknowledge(&mut self, cid: ConnectionId, exp_stat_sn: u32) {
-        let Some(c) = self.conns.get_mut(&cid) else {
+        let Some(c) = self.connections.get_mut(&cid) else {
             return;
         };
-        // One beyond what was sent is a lie; to believe it would drop what may still be asked for.
+        // An ExpStatSN beyond the last StatSN is invalid. Accepting it would discard PDUs that the
+        // initiator may still request.
         if SerialNumber(c.stat_sn).before(SerialNumber(exp_stat_sn)) {
             return;
         }
-        c.kept
+        c.unacknowledged
             .retain(|(sn, _)| !SerialNumber(*sn).before(SerialNumber(exp_stat_sn)));
-        c.sent
+        c.sent_data_in
             .retain(|(_, sn, _)| !SerialNumber(*sn).before(SerialNumber(exp_stat_sn)));
     }
 
+    /// Processes the requests that the window delivers.
     fn deliver(&mut self, arrived: Arrival<Queued>) {
         let Arrival::Deliver(ready) = arrived else {
             return;
         };
         for queued in ready {
             match queued {
-                Queued::Command(itt, no) => {
-                    if let Some(t) = self.tasks.get_mut(&itt).filter(|t| t.no == no) {
-                        t.ordered = true;
+                Queued::Command(itt, id) => {
+                    if let Some(t) = self.tasks.get_mut(&itt).filter(|t| t.id == id) {
+                        t.delivered = true;
                         self.advance(itt);
                     }
                 }
-                Queued::Other(cid, pdu) => self.request(cid, pdu),
-                Queued::Skipped => {}
+                Queued::Other(cid, pdu) => self.process_request(cid, pdu),
+                Queued::Aborted => {}
             }
         }
     }
 
-    fn request(&mut self, cid: ConnectionId, pdu: Pdu) {
+    /// Processes a request other than a SCSI command, in CmdSN order.
+    fn process_request(&mut self, cid: ConnectionId, pdu: Pdu) {
         let h = pdu.header;
         match h.opcode() {
             Some(Opcode::NopOut) => {
                 if h.itt() != NO_TAG {
-                    let most = self
-                        .conns
+                    let max_segment = self
+                        .connections
                         .get(&cid)
-                        .map_or(0, |c| c.params.their_segment as usize);
-                    let echo = pdu.data.slice(..pdu.data.len().min(most));
+                        .map_or(0, |c| c.params.peer_max_segment as usize);
+                    let echo = pdu.data.slice(..pdu.data.len().min(max_segment));
                     let header = Header::new(Opcode::NopIn)
                         .set_flags(0x80)
                         .set_lun(h.lun())
@@ -400,23 +428,22 @@
                     self.respond(cid, Pdu::new(header.set_ttt(NO_TAG), echo));
                 }
             }
-            Some(Opcode::TextRequest) => self.text(cid, &pdu),
-            Some(Opcode::TaskManagement) => self.manage(cid, &h),
+            Some(Opcode::TextRequest) => self.answer_text(cid, &pdu),
+            Some(Opcode::TaskManagement) => self.task_management(cid, &h),
             Some(Opcode::LogoutRequest) => self.logout(cid, &h),
-            _ => self.reject(cid, Reason::Protocol, &h),
+            _ => self.reject(cid, RejectReason::Protocol, &h),
         }
     }
 
     // Commands and their data
 
-    fn command(&mut self, cid: ConnectionId, pdu: Pdu) {
+    fn receive_command(&mut self, cid: ConnectionId, pdu: Pdu) {
         let h = pdu.header;
         if self.target.is_none() {
-            return self.reject(cid, Reason::Protocol, &h);
+            return self.reject(cid, RejectReason::Protocol, &h);
         }
         let sn = SerialNumber(h.cmd_sn());
-        // A repeat of a command that came already is the same command (section 7.2.1), and says
-        // nothing new.
+        // A retry of a delivered command is the same command (section 7.2.1) and is ignored.
         if !h.immediate()
             && (sn.before(self.window.expected()) || self.window.max_cmd_sn().before(sn))
         {
@@ -424,50 +451,50 @@
         }
         if self.tasks.contains_key(&h.itt()) {
             if h.immediate() || self.tasks[&h.itt()].header != h {
-                self.reject(cid, Reason::TaskInProgress, &h);
+                self.reject(cid, RejectReason::TaskInProgress, &h);
             }
             return;
         }
         self.next_task += 1;
         let collecting = Collecting {
             data: BytesMut::new(),
-            whole: None,
-            asked: 0,
+            single_pdu_data: None,
+            requested: 0,
             bursts: Vec::new(),
-            damaged: Vec::new(),
+            damaged_ranges: Vec::new(),
             failed: None,
         };
         let state = State::Collecting(collecting);
-        let (no, ordered) = (TaskId(self.next_task), h.immediate());
+        let (id, delivered) = (TaskId(self.next_task), h.immediate());
         self.tasks.insert(
             h.itt(),
             Task {
-                no,
+                id,
                 cid,
                 header: h,
-                ordered,
+                delivered,
                 r2t_sn: 0,
                 state,
             },
         );
-        self.tags.insert(no, h.itt());
-        self.unsolicited(h.itt(), &pdu.data);
+        self.itt_by_task.insert(id, h.itt());
+        self.receive_unsolicited(h.itt(), &pdu.data);
         match h.immediate() {
             true => self.advance(h.itt()),
             false => {
-                let arrived = self.window.receive(sn, Queued::Command(h.itt(), no));
+                let arrived = self.window.receive(sn, Queued::Command(h.itt(), id));
                 self.deliver(arrived);
             }
         }
     }
 
-    /// Immediate data, and whether Data-Out follows without being asked for.
-    fn unsolicited(&mut self, itt: u32, immediate: &Bytes) {
-        let most = self.limits.max_data;
+    /// Stores immediate data, and expects unsolicited Data-Out if the command is not final.
+    fn receive_unsolicited(&mut self, itt: u32, immediate: &Bytes) {
+        let max_data = self.limits.max_data;
         let Some(t) = self.tasks.get_mut(&itt) else {
             return;
         };
-        let Some(params) = self.conns.get(&t.cid).map(|c| &c.params) else {
+        let Some(params) = self.connections.get(&t.cid).map(|c| &c.params) else {
             return;
         };
         let (length, writes, is_final) = (t.length(), t.writes(), t.header.is_final());
@@ -475,36 +502,36 @@
             return;
         };
         let first = params.first_burst.min(length);
-        let came = immediate.len() as u32;
-        // More than was agreed on, or data of a command that writes nothing, ends the command
-        // (section 11.3.4).
-        let wrong = (came > 0 && (!params.immediate_data || !writes || came > first))
+        let received = immediate.len() as u32;
+        // Unsolicited data beyond the negotiated amount, or for a command without the W bit, ends the
+        // command (section 11.3.4).
+        let is_invalid = (received > 0 && (!params.immediate_data || !writes || received > first))
             || (!is_final && (params.initial_r2t || !writes));
-        if wrong {
+        if is_invalid {
             c.failed = Some(Sense::UNEXPECTED_UNSOLICITED_DATA);
-        } else if writes && length > most {
+        } else if writes && length > max_data {
             c.failed = Some(Sense::INVALID_FIELD_IN_CDB);
-        } else if came == length {
-            c.whole = Some(immediate.clone());
+        } else if received == length {
+            c.single_pdu_data = Some(immediate.clone());
         } else if writes {
             c.data.reserve(length as usize);
             c.data.extend_from_slice(immediate);
         }
-        c.asked = came;
+        c.requested = received;
         if c.failed.is_none() && !is_final {
             c.bursts.push(Burst {
                 ttt: NO_TAG,
-                next: came,
+                next: received,
                 end: first,
                 data_sn: 0,
             });
-            c.asked = first;
+            c.requested = first;
         }
     }
 
-    /// Asks for more data, or starts the command that has all.
+    /// Requests more data by R2T, or starts the command once its data is complete.
     fn advance(&mut self, itt: u32) {
-        let Some(t) = self.tasks.get_mut(&itt).filter(|t| t.ordered) else {
+        let Some(t) = self.tasks.get_mut(&itt).filter(|t| t.delivered) else {
             return;
         };
         let (cid, length, writes, lun) = (t.cid, t.length(), t.writes(), t.header.lun());
@@ -512,21 +539,22 @@
             return;
         };
         if let Some(sense) = c.failed {
-            // What it still sends finds no task, and is dropped.
+            // Data that still arrives for the command finds no task and is discarded.
             return self.finish(itt, Outcome::check(sense));
         }
-        let Some(params) = self.conns.get(&cid).map(|c| c.params.clone()) else {
+        let Some(params) = self.connections.get(&cid).map(|c| c.params.clone()) else {
             return;
         };
-        if !writes || (c.asked >= length && c.bursts.is_empty() && c.damaged.is_empty()) {
+        if !writes || (c.requested >= length && c.bursts.is_empty() && c.damaged_ranges.is_empty())
+        {
             let data = c
-                .whole
+                .single_pdu_data
                 .take()
                 .unwrap_or_else(|| std::mem::take(&mut c.data).freeze());
             let max_in = if t.reads() { length } else { 0 };
             t.state = State::Running;
-            let (task, cdb) = (t.no, t.header.cdb());
-            return self.acts.push(SessionAction::Start {
+            let (task, cdb) = (t.id, t.header.cdb());
+            return self.actions.push(SessionAction::Start {
                 task,
                 lun,
                 cdb,
@@ -534,17 +562,17 @@
                 max_in,
             });
         }
-        // While data comes unasked for, nothing is asked for.
-        let mut asks = Vec::new();
+        // No R2T is sent while unsolicited data is outstanding.
+        let mut r2ts = Vec::new();
         while c.bursts.len() < params.max_outstanding_r2t as usize
             && c.bursts.iter().all(|b| b.ttt != NO_TAG)
         {
-            let (from, end) = match c.damaged.pop() {
+            let (from, end) = match c.damaged_ranges.pop() {
                 Some(range) => range,
-                None if c.asked < length => {
-                    let from = c.asked;
-                    c.asked = from.saturating_add(params.max_burst).min(length);
-                    (from, c.asked)
+                None if c.requested < length => {
+                    let from = c.requested;
+                    c.requested = from.saturating_add(params.max_burst).min(length);
+                    (from, c.requested)
                 }
                 None => break,
             };
@@ -559,10 +587,10 @@
                 end,
                 data_sn: 0,
             });
-            asks.push((self.next_ttt, t.r2t_sn, from, end - from));
+            r2ts.push((self.next_ttt, t.r2t_sn, from, end - from));
             t.r2t_sn += 1;
         }
-        for (ttt, r2t_sn, offset, wanted) in asks {
+        for (ttt, r2t_sn, offset, desired_length) in r2ts {
             let header = Header::new(Opcode::R2t)
                 .set_flags(0x80)
                 .set_lun(lun)
@@ -570,7 +598,7 @@
                 .set_ttt(ttt)
                 .set_word36(r2t_sn)
                 .set_word40(offset)
-                .set_word44(wanted);
+                .set_word44(desired_length);
             self.send(cid, Pdu::new(header, Bytes::new()), false);
         }
     }
@@ -578,7 +606,7 @@
     fn data_out(&mut self, cid: ConnectionId, pdu: Pdu) {
         let h = pdu.header;
         let (itt, ttt, offset) = (h.itt(), h.ttt(), h.word40());
-        // Data of a task that is over, or was never heard of, is dropped (section 11.7).
+        // Data for an ended or unknown task is discarded (section 11.7).
         let Some(t) = self.tasks.get_mut(&itt) else {
             return;
         };
@@ -586,17 +614,17 @@
             return;
         };
         let Some(at) = c.bursts.iter().position(|b| b.ttt == ttt) else {
-            return self.lie(cid, itt, &h);
+            return self.reject_sequence(cid, itt, &h);
         };
         let b = &mut c.bursts[at];
         let end = u64::from(offset) + pdu.data.len() as u64;
-        // In order, inside its burst, and numbered without a gap.
+        // Data must arrive in order, within its burst and without a gap in DataSN.
         if offset != b.next || end > u64::from(b.end) || h.word36() != b.data_sn {
-            return self.lie(cid, itt, &h);
+            return self.reject_sequence(cid, itt, &h);
         }
         let end = end as u32;
         if offset == 0 && end == t.header.ttt() {
-            c.whole = Some(pdu.data.clone());
+            c.single_pdu_data = Some(pdu.data.clone());
         } else if c.data.len() == offset as usize {
             c.data.extend_from_slice(&pdu.data);
         } else {
@@ -605,9 +633,9 @@
         }
         (b.next, b.data_sn) = (end, b.data_sn + 1);
         if h.is_final() {
-            let (short, unasked) = (b.next < b.end, b.ttt == NO_TAG);
-            if short && unasked {
-                c.asked = b.next; // the initiator may send less unasked; the rest is asked for
+            let (short, is_unsolicited) = (b.next < b.end, b.ttt == NO_TAG);
+            if short && is_unsolicited {
+                c.requested = b.next; // unsolicited data may be shorter; R2Ts request the rest
             } else if short {
                 c.failed = Some(Sense::NOT_ENOUGH_UNSOLICITED_DATA);
             }
@@ -616,24 +644,27 @@
         self.advance(itt);
     }
 
-    /// A sender that breaks the sequence it was told is told so, and its command ends.
-    fn lie(&mut self, cid: ConnectionId, itt: u32, h: &Header) {
-        self.reject(cid, Reason::Protocol, h);
+    /// Rejects a Data-Out that violates its sequence, and ends the command.
+    fn reject_sequence(&mut self, cid: ConnectionId, itt: u32, h: &Header) {
+        self.reject(cid, RejectReason::Protocol, h);
         if let Some(State::Collecting(c)) = self.tasks.get_mut(&itt).map(|t| &mut t.state) {
             c.failed = Some(Sense::NOT_ENOUGH_UNSOLICITED_DATA);
             self.advance(itt);
         }
     }
 
-    /// A PDU whose data was damaged (section 7.8). Of Data-Out, the lost range is asked for again
-    /// where recovery within a command was agreed on; else its command ends. All else the initiator
-    /// sends again.
-    fn damaged(&mut self, cid: ConnectionId, h: Header) {
-        self.reject(cid, Reason::DataDigest, &h);
+    /// Handles a PDU with a data digest error (section 7.8). The lost range of a Data-Out is requested
+    /// again if the connection negotiated within-command recovery; otherwise its command ends. The
+    /// initiator resends any other PDU.
+    fn data_digest_error(&mut self, cid: ConnectionId, h: Header) {
+        self.reject(cid, RejectReason::DataDigest, &h);
         if h.opcode() != Some(Opcode::DataOut) {
             return;
         }
-        let level = self.conns.get(&cid).map_or(0, |c| c.params.recovery_level);
+        let level = self
+            .connections
+            .get(&cid)
+            .map_or(0, |c| c.params.recovery_level);
         let Some(State::Collecting(c)) = self.tasks.get_mut(&h.itt()).map(|t| &mut t.state) else {
             return;
         };
@@ -646,120 +677,127 @@
         if level == 0 || !fits {
             c.failed = Some(Sense::PROTOCOL_CRC);
         } else {
-            c.damaged.push((b.next, end as u32));
+            c.damaged_ranges.push((b.next, end as u32));
             (b.next, b.data_sn) = (end as u32, b.data_sn + 1);
             if h.is_final() {
-                c.asked = c.asked.max(b.next);
+                c.requested = c.requested.max(b.next);
                 c.bursts.remove(at);
             }
         }
         self.advance(h.itt());
     }
 
-    /// A device's answer. One to a task that is being aborted, or is unknown, says only that it has
-    /// ended.
+    /// Handles the outcome of a task. If the task is being aborted or is unknown, the outcome only
+    /// confirms that it has ended.
     pub fn complete(&mut self, task: TaskId, outcome: Outcome) -> Vec<SessionAction> {
-        if let Some(itt) = self.tags.get(&task).copied() {
+        if let Some(itt) = self.itt_by_task.get(&task).copied() {
             match self.tasks.get(&itt).map(|t| &t.state) {
                 Some(State::Running) => self.finish(itt, outcome),
                 _ => drop(self.remove(itt)),
             }
         }
-        self.ended(task);
-        std::mem::take(&mut self.acts)
+        self.task_ended(task);
+        std::mem::take(&mut self.actions)
     }
 
-    /// A task was ended at the device, with no answer.
+    /// Handles the device's confirmation that a task was aborted without an outcome.
     pub fn abort_complete(&mut self, task: TaskId) -> Vec<SessionAction> {
-        if let Some(itt) = self.tags.get(&task).copied() {
+        if let Some(itt) = self.itt_by_task.get(&task).copied() {
             self.remove(itt);
         }
-        self.ended(task);
-        std::mem::take(&mut self.acts)
+        self.task_ended(task);
+        std::mem::take(&mut self.actions)
     }
 
     fn remove(&mut self, itt: u32) -> Option<Task> {
         let t = self.tasks.remove(&itt)?;
-        self.tags.remove(&t.no);
+        self.itt_by_task.remove(&t.id);
         Some(t)
     }
 
-    fn ended(&mut self, task: TaskId) {
-        if self.waiting.is_empty() {
+    /// Answers the task management requests that waited for this task as the last one.
+    fn task_ended(&mut self, task: TaskId) {
+        if self.pending_management.is_empty() {
             return;
         }
-        for w in &mut self.waiting {
+        for w in &mut self.pending_management {
             w.tasks.remove(&task);
         }
-        let (over, waiting) = std::mem::take(&mut self.waiting)
+        let (completed, pending_management) = std::mem::take(&mut self.pending_management)
             .into_iter()
             .partition(|w| w.tasks.is_empty());
-        self.waiting = waiting;
-        let over: Vec<Waiting> = over;
-        over.into_iter().for_each(|w| self.managed(w.cid, w.itt, 0));
+        self.pending_management = pending_management;
+        let completed: Vec<PendingManagement> = completed;
+        completed
+            .into_iter()
+            .for_each(|w| self.send_management_response(w.cid, w.itt, 0));
     }
 
     /// Sends a task's data and status.
     fn finish(&mut self, itt: u32, outcome: Outcome) {
         let Some(t) = self.remove(itt) else { return };
-        let Some(conn) = self.conns.get(&t.cid) else {
+        let Some(conn) = self.connections.get(&t.cid) else {
             return;
         };
         let (params, length) = (conn.params.clone(), t.length());
         let good = outcome.status == Status::Good;
-        let wanted = if t.reads() { length } else { 0 };
-        let sent = outcome
+        let max_length = if t.reads() { length } else { 0 };
+        let read_data = outcome
             .data
-            .slice(..outcome.data.len().min(wanted as usize));
-        // What was expected and what there was (section 11.4.5): of reads the data, of writes all
-        // of it.
-        let moved = if t.reads() || !good {
+            .slice(..outcome.data.len().min(max_length as usize));
+        // The residual count (section 11.4.5) compares the expected length with the length of a read's
+        // data. A write transfers everything.
+        let transferred = if t.reads() || !good {
             outcome.data.len() as u64
         } else {
             u64::from(length)
         };
         let (flag, residual) = match u64::from(length) {
-            expected if moved < expected && t.reads() => (0x02, expected - moved),
-            expected if moved > expected && t.reads() => (0x04, moved - expected),
+            expected if transferred < expected && t.reads() => (0x02, expected - transferred),
+            expected if transferred > expected && t.reads() => (0x04, transferred - expected),
             _ => (0, 0),
         };
-        let mut pieces = Vec::new();
+        let mut data_in_pdus = Vec::new();
         let mut at = 0;
-        while at < sent.len() {
+        while at < read_data.len() {
             let burst_end = (at / params.max_burst as usize + 1) * params.max_burst as usize;
-            let end = sent
+            let end = read_data
                 .len()
-                .min(at + params.their_segment as usize)
+                .min(at + params.peer_max_segment as usize)
                 .min(burst_end);
-            let last = end == sent.len();
+            let last = end == read_data.len();
             let flags = if last || end == burst_end { 0x80 } else { 0 };
             let header = Header::new(Opcode::DataIn)
                 .set_flags(flags)
                 .set_lun(t.header.lun())
                 .set_itt(itt)
                 .set_ttt(NO_TAG)
-                .set_word36(pieces.len() as u32)
+                .set_word36(data_in_pdus.len() as u32)
                 .set_word40(at as u32);
-            pieces.push(Pdu::new(header, sent.slice(at..end)));
+            data_in_pdus.push(Pdu::new(header, read_data.slice(at..end)));
             at = end;
         }
-        let count = pieces.len() as u32;
-        // A good status rides on the last data.
-        if let (true, Some(last)) = (good, pieces.last_mut()) {
+        let count = data_in_pdus.len() as u32;
+        // The last Data-In carries status GOOD (phase collapse).
+        if let (true, Some(last)) = (good, data_in_pdus.last_mut()) {
             let h = last.header;
             last.header = h
                 .set_flags(h.flags() | 0x01 | flag)
                 .set_word44(residual as u32);
         }
-        let with_status = good && !pieces.is_empty();
+        let with_status = good && !data_in_pdus.is_empty();
         let stat_sn = conn.stat_sn;
-        let mut kept = Vec::new();
-        for (i, piece) in pieces.into_iter().enumerate() {
-            let carries = with_status && i as u32 + 1 == count;
-            kept.push(self.send(t.cid, piece, carries));
+        let mut sent_pdus = Vec::new();
+        for (i, data_in_pdu) in data_in_pdus.into_iter().enumerate() {
+            let has_status = with_status && i as u32 + 1 == count;
+            sent_pdus.push(self.send(t.cid, data_in_pdu, has_status));
         }
-        if let Some(c) = self.conns.get_mut(&t.cid).filter(|_| !kept.is_empty()) {
-            c.sent.push((itt, stat_sn, kept));
+        if let Some(c) = self
+            .connections
+            .get_mut(&t.cid)
+            .filter(|_| !sent_pdus.is_empty())
+        {
+            c.sent_data_in.push((itt, stat_sn, sent_pdus));
         }
         if !with_status {
             let sense = outcome.sense.map(|s| s.fixed());
@@ -783,16 +821,16 @@
         }
     }
 
-    // Everything else
+    // Other requests
 
-    fn text(&mut self, cid: ConnectionId, pdu: &Pdu) {
+    fn answer_text(&mut self, cid: ConnectionId, pdu: &Pdu) {
         let h = pdu.header;
         let Ok(pairs) = parse(&pdu.data) else {
-            return self.reject(cid, Reason::Protocol, &h);
+            return self.reject(cid, RejectReason::Protocol, &h);
         };
-        // Continued requests are not needed by anything that is answered here.
+        // No supported key needs a request that continues over several PDUs.
         if h.flags() & 0x40 != 0 || h.ttt() != NO_TAG {
-            return self.reject(cid, Reason::Protocol, &h);
+            return self.reject(cid, RejectReason::Protocol, &h);
         }
         let mut answers = Vec::new();
         for (key, value) in pairs {
@@ -801,16 +839,16 @@
                 continue;
             }
             let own = self.target.clone();
-            let told = self
-                .listing
-                .iter()
-                .filter(|(name, _)| match (value.as_str(), &own) {
-                    ("All", None) => true,
-                    ("", Some(own)) => name == own,
-                    (asked, None) => name == asked,
-                    (asked, Some(own)) => name == own && asked == own,
-                });
-            for (name, addresses) in told {
+            let listed =
+                self.send_targets
+                    .iter()
+                    .filter(|(name, _)| match (value.as_str(), &own) {
+                        ("All", None) => true,
+                        ("", Some(own)) => name == own,
+                        (requested, None) => name == requested,
+                        (requested, Some(own)) => name == own && requested == own,
+                    });
+            for (name, addresses) in listed {
                 answers.push(("TargetName".into(), name.clone()));
                 answers.extend(
                     addresses
@@ -826,7 +864,8 @@
         self.respond(cid, Pdu::new(header, crate::keys::format(&answers)));
     }
 
-    fn managed(&mut self, cid: ConnectionId, itt: u32, response: u8) {
+    /// Sends a task management response.
+    fn send_management_response(&mut self, cid: ConnectionId, itt: u32, response: u8) {
         let header = Header::new(Opcode::TaskManagementResponse)
             .set_flags(0x80)
             .set_byte(2, response)
@@ -834,9 +873,9 @@
         self.respond(cid, Pdu::new(header, Bytes::new()));
     }
 
-    /// Task management (sections 11.5 and 11.6). The response waits until the tasks have ended at
-    /// the device: an initiator that has it may rely on nothing of them being done any more.
-    fn manage(&mut self, cid: ConnectionId, h: &Header) {
+    /// Performs a task management request (sections 11.5 and 11.6). The response waits until the tasks
+    /// have ended at the device, so that they have no effect after the initiator receives it.
+    fn task_management(&mut self, cid: ConnectionId, h: &Header) {
         let (lun, tag) = (h.lun(), h.ttt());
         let (reason, reset) = match h.flags() & 0x7f {
             1 => return self.abort_one(cid, h, tag),
@@ -844,58 +883,59 @@
             4 => (AbortReason::ClearTaskSet, Some(Some(lun))),
             5 => (AbortReason::LunReset, Some(Some(lun))),
             6 | 7 => (AbortReason::TargetReset, Some(None)),
-            8 => return self.managed(cid, h.itt(), 4), // reassignment: recovery level 2
-            _ => return self.managed(cid, h.itt(), 5),
+            8 => return self.send_management_response(cid, h.itt(), 4), // TASK REASSIGN requires ErrorRecoveryLevel 2
+            _ => return self.send_management_response(cid, h.itt(), 5),
         };
         let all = reason == AbortReason::TargetReset;
-        let hit = self
+        let affected = self
             .tasks
             .iter()
             .filter(|(_, t)| all || t.header.lun() == lun)
             .map(|(itt, _)| *itt);
-        let hit: Vec<u32> = hit.collect();
+        let affected: Vec<u32> = affected.collect();
         if let Some(lun) = reset {
-            self.acts.push(SessionAction::Reset { lun, reason });
+            self.actions.push(SessionAction::Reset { lun, reason });
         }
-        self.end_tasks(cid, h.itt(), &hit, reason);
+        self.end_tasks(cid, h.itt(), &affected, reason);
     }
 
     fn abort_one(&mut self, cid: ConnectionId, h: &Header, tag: u32) {
         if self.tasks.contains_key(&tag) {
             return self.end_tasks(cid, h.itt(), &[tag], AbortReason::AbortTask);
         }
-        // One that is yet to come, by its number: it is taken as come and ended (section 11.5.5).
+        // A command that has not arrived counts as received and aborted, by its CmdSN (section 11.5.5).
         let reference = SerialNumber(h.word32());
         let to_come =
             !reference.before(self.window.expected()) && reference.before(SerialNumber(h.cmd_sn()));
         if to_come {
-            let arrived = self.window.receive(reference, Queued::Skipped);
+            let arrived = self.window.receive(reference, Queued::Aborted);
             self.deliver(arrived);
         }
-        self.managed(cid, h.itt(), if to_come { 0 } else { 1 });
+        self.send_management_response(cid, h.itt(), if to_come { 0 } else { 1 });
     }
 
-    fn end_tasks(&mut self, cid: ConnectionId, itt: u32, hit: &[u32], reason: AbortReason) {
+    /// Aborts the affected tasks, and responds at once if none is running at the device.
+    fn end_tasks(&mut self, cid: ConnectionId, itt: u32, affected: &[u32], reason: AbortReason) {
         let mut running = Vec::new();
-        for tag in hit {
+        for tag in affected {
             let t = self.tasks.get_mut(tag).expect("listed by the caller");
             match t.state {
                 State::Collecting(_) => drop(self.remove(*tag)),
                 State::Running => {
-                    t.state = State::Ending;
-                    running.push(t.no);
+                    t.state = State::Aborting;
+                    running.push(t.id);
                 }
-                State::Ending => running.push(t.no),
+                State::Aborting => running.push(t.id),
             }
         }
         if running.is_empty() {
-            return self.managed(cid, itt, 0);
+            return self.send_management_response(cid, itt, 0);
         }
-        self.acts.push(SessionAction::Abort {
+        self.actions.push(SessionAction::Abort {
             tasks: running.clone(),
             reason,
         });
-        self.waiting.push(Waiting {
+        self.pending_management.push(PendingManagement {
             cid,
             itt,
             tasks: running.into_iter().collect(),
@@ -904,14 +944,14 @@
 
     fn logout(&mut self, cid: ConnectionId, h: &Header) {
         let named = ConnectionId(h.cid());
-        let (closes, response) = match h.flags() & 0x7f {
-            0 => (self.conns.keys().copied().collect(), 0),
-            1 if self.conns.contains_key(&named) => (vec![named], 0),
+        let (closing, response) = match h.flags() & 0x7f {
+            0 => (self.connections.keys().copied().collect(), 0),
+            1 if self.connections.contains_key(&named) => (vec![named], 0),
             1 => (Vec::new(), 1),
-            _ => (Vec::new(), 2), // recovery level 2
+            _ => (Vec::new(), 2), // REMOVE FOR RECOVERY requires ErrorRecoveryLevel 2
         };
         let retain = self
-            .conns
+            .connections
             .get(&cid)
             .map_or((0, 0), |c| (c.params.time2wait, c.params.time2retain));
         let times = (retain.0 << 16) | (retain.1 & 0xffff);
@@ -921,54 +961,58 @@
             .set_itt(h.itt())
             .set_word40(times);
         self.respond(cid, Pdu::new(header, Bytes::new()));
-        closes.into_iter().for_each(|c| self.close(c));
+        closing.into_iter().for_each(|c| self.close(c));
     }
 
+    /// Resends the PDUs that a SNACK requests.
     fn snack(&mut self, cid: ConnectionId, h: &Header) {
-        let Some(c) = self.conns.get(&cid) else {
+        let Some(c) = self.connections.get(&cid) else {
             return;
         };
         if c.params.recovery_level == 0 {
-            return self.reject(cid, Reason::Snack, h);
+            return self.reject(cid, RejectReason::Snack, h);
         }
-        let (from, run) = (h.word40(), h.word44());
+        let (from, run_length) = (h.word40(), h.word44());
         let inside = |sn: u32| {
             !SerialNumber(sn).before(SerialNumber(from))
-                && (run == 0 || SerialNumber(sn).before(SerialNumber(from).plus(run)))
+                && (run_length == 0 || SerialNumber(sn).before(SerialNumber(from).plus(run_length)))
         };
-        let again: Vec<Pdu> = match h.flags() & 0x0f {
+        let resent: Vec<Pdu> = match h.flags() & 0x0f {
             0 => {
-                let of = c.sent.iter().find(|(itt, ..)| *itt == h.itt());
-                let pieces = of.map(|(_, _, p)| p.as_slice()).unwrap_or_default();
-                pieces
+                let of = c.sent_data_in.iter().find(|(itt, ..)| *itt == h.itt());
+                let data_in_pdus = of.map(|(_, _, p)| p.as_slice()).unwrap_or_default();
+                data_in_pdus
                     .iter()
                     .filter(|p| inside(p.header.word36()))
                     .cloned()
                     .collect()
             }
             1 => c
-                .kept
+                .unacknowledged
                 .iter()
                 .filter(|(sn, _)| inside(*sn))
                 .map(|(_, p)| p.clone())
                 .collect(),
-            2 => return, // DataACK: nothing is freed before the status is acknowledged
-            _ => return self.reject(cid, Reason::Snack, h),
+            2 => return, // DataACK: data is retained until its status is acknowledged
+            _ => return self.reject(cid, RejectReason::Snack, h),
         };
-        if again.is_empty() && h.flags() & 0x0f == 0 {
-            return self.reject(cid, Reason::Snack, h);
+        if resent.is_empty() && h.flags() & 0x0f == 0 {
+            return self.reject(cid, RejectReason::Snack, h);
         }
-        let (expected, most) = self.cmd_sn_bounds();
-        for pdu in again {
-            let header = pdu.header.set_exp_stat_sn(expected).set_word32(most);
-            self.acts.push(SessionAction::Send {
+        let (exp_cmd_sn, max_cmd_sn) = self.cmd_sn_bounds();
+        for pdu in resent {
+            let header = pdu
+                .header
+                .set_exp_stat_sn(exp_cmd_sn)
+                .set_word32(max_cmd_sn);
+            self.actions.push(SessionAction::Send {
                 cid,
                 pdu: Pdu { header, ..pdu },
             });
         }
     }
 
-    fn reject(&mut self, cid: ConnectionId, reason: Reason, h: &Header) {
+    fn reject(&mut self, cid: ConnectionId, reason: RejectReason, h: &Header) {
         let header = Header::new(Opcode::Reject)
             .set_flags(0x80)
             .set_byte(2, reason as u8)
@@ -977,55 +1021,60 @@
         self.respond(cid, Pdu::new(header, h.0.to_vec()));
     }
 
+    /// Sends a PDU that carries status.
     fn respond(&mut self, cid: ConnectionId, pdu: Pdu) {
         self.send(cid, pdu, true);
     }
 
-    /// Numbers a PDU and sends it; one that carries status is kept until it is acknowledged.
+    /// Numbers and sends a PDU. A PDU with status is retained until it is acknowledged.
     fn send(&mut self, cid: ConnectionId, pdu: Pdu, status: bool) -> Pdu {
         if status {
-            self.regrant();
+            self.update_window();
         }
-        let (expected, most) = self.cmd_sn_bounds();
-        let Some(c) = self.conns.get_mut(&cid) else {
+        let (exp_cmd_sn, max_cmd_sn) = self.cmd_sn_bounds();
+        let Some(c) = self.connections.get_mut(&cid) else {
             return pdu;
         };
-        let mut header = pdu.header.set_exp_stat_sn(expected).set_word32(most);
-        // R2T and a NOP-In of our own carry the next StatSN without using it up.
+        let mut header = pdu
+            .header
+            .set_exp_stat_sn(exp_cmd_sn)
+            .set_word32(max_cmd_sn);
+        // R2T and unsolicited NOP-In carry the next StatSN without advancing it.
         if status || matches!(header.opcode(), Some(Opcode::R2t | Opcode::NopIn)) {
             header = header.set_cmd_sn(c.stat_sn);
         }
         let pdu = Pdu { header, ..pdu };
         if status {
-            c.kept.push_back((c.stat_sn, pdu.clone()));
+            c.unacknowledged.push_back((c.stat_sn, pdu.clone()));
             c.stat_sn = c.stat_sn.wrapping_add(1);
-            while c.kept.len() > self.limits.max_unacknowledged {
-                c.kept.pop_front();
+            while c.unacknowledged.len() > self.limits.max_unacknowledged {
+                c.unacknowledged.pop_front();
             }
         }
-        self.acts.push(SessionAction::Send {
+        self.actions.push(SessionAction::Send {
             cid,
             pdu: pdu.clone(),
         });
         pdu
     }
 
+    /// Closes a connection from this side.
     fn close(&mut self, cid: ConnectionId) {
-        self.acts.push(SessionAction::Close { cid });
+        self.actions.push(SessionAction::Close { cid });
         self.drop_connection(cid);
     }
 
-    /// A connection is gone; its tasks end with it (recovery below level 2).
+    /// Handles the loss of a connection. Its tasks end with it, as ErrorRecoveryLevel is below 2.
     pub fn connection_lost(&mut self, cid: ConnectionId) -> Vec<SessionAction> {
         self.drop_connection(cid);
-        std::mem::take(&mut self.acts)
+        std::mem::take(&mut self.actions)
     }
 
     fn drop_connection(&mut self, cid: ConnectionId) {
-        if self.conns.remove(&cid).is_none() {
+        if self.connections.remove(&cid).is_none() {
             return;
         }
-        self.waiting.retain(|w| w.cid != cid);
+        self.pending_management.retain(|w| w.cid != cid);
         let own: Vec<u32> = self
             .tasks
             .iter()
@@ -1038,13 +1087,13 @@
             match t.state {
                 State::Collecting(_) => drop(self.remove(itt)),
                 _ => {
-                    t.state = State::Ending;
-                    running.push(t.no);
+                    t.state = State::Aborting;
+                    running.push(t.id);
                 }
             }
         }
         if !running.is_empty() {
-            self.acts.push(SessionAction::Abort {
+            self.actions.push(SessionAction::Abort {
                 tasks: running,
                 reason: AbortReason::ConnectionLost,
             });
--- a/crates/iscsi/tests/login.rs
+++ b/crates/iscsi/tests/login.rs
@@ -2,7 +2,7 @@
 //! offer.
 
 use grebecleat_iscsi::chap::{from_text, to_text, Algorithm};
-use grebecleat_iscsi::keys::{format, parse, KeyError, Negotiation, Params, Wishes, MAX_TEXT};
+use grebecleat_iscsi::keys::{format, parse, KeyError, Negotiation, Params, Preferences, MAX_TEXT};
 use grebecleat_iscsi::login::{Login, Portal, Secret, Standing, Status, Target, MAX_REQUESTS};
 use grebecleat_iscsi::pdu::{Header, Opcode, Pdu};
 
@@ -92,7 +92,7 @@
 
 #[test]
 fn offers_are_answered_by_each_keys_result_function() {
-    // key, offer, answer; by section 13, against the wishes of `Wishes::default`
+    // key, offer, answer; by section 13, against the wishes of `Preferences::default`
     let cases = [
         ("HeaderDigest", "CRC32C,None", Some("CRC32C")),
         ("HeaderDigest", "None,CRC32C", Some("None")),
@@ -129,21 +129,21 @@
         ("InitiatorAlias", "a host", None),
     ];
     for (key, offer, answer) in cases {
-        let mut n = Negotiation::new(Wishes::default(), Params::default(), true, true);
+        let mut n = Negotiation::new(Preferences::default(), Params::default(), true, true);
         let said = n.offer(key, offer).unwrap();
         assert_eq!(said.as_ref().map(|s| s.1.as_str()), answer, "{key}={offer}");
         assert_eq!(n.offer(key, offer), Err(KeyError::Duplicate(key.into())));
     }
-    let mut n = Negotiation::new(Wishes::default(), Params::default(), true, true);
+    let mut n = Negotiation::new(Preferences::default(), Params::default(), true, true);
     assert!(n.offer("MaxRecvDataSegmentLength", "511").is_err());
     // The first burst is never longer than any.
     n.offer("FirstBurstLength", "262144").unwrap();
     n.offer("MaxBurstLength", "4096").unwrap();
     assert_eq!(n.agreed.first_burst, 4096);
     // What is a session's own is no business of its later connections, nor of discovery.
-    let mut n = Negotiation::new(Wishes::default(), Params::default(), true, false);
+    let mut n = Negotiation::new(Preferences::default(), Params::default(), true, false);
     assert!(n.offer("MaxConnections", "1").is_err() && n.offer("HeaderDigest", "None").is_ok());
-    let mut n = Negotiation::new(Wishes::default(), Params::default(), true, true);
+    let mut n = Negotiation::new(Preferences::default(), Params::default(), true, true);
     n.discovery = true;
     assert_eq!(
         n.offer("ImmediateData", "Yes").unwrap().unwrap().1,
--- a/crates/iscsi/tests/session.rs
+++ b/crates/iscsi/tests/session.rs
@@ -5,7 +5,7 @@
 use grebecleat_iscsi::pdu::{Header, Opcode, Pdu, PduError, NO_TAG};
 use grebecleat_iscsi::scsi::{Sense, Status};
 use grebecleat_iscsi::session::{
-    AbortReason, ConnectionId, Limits, Outcome, Reason, Session, SessionAction, TaskId,
+    AbortReason, ConnectionId, Limits, Outcome, RejectReason, Session, SessionAction, TaskId,
 };
 use rand::{Rng, RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -26,7 +26,7 @@
 fn params() -> Params {
     Params {
         initial_r2t: false,
-        their_segment: 1024,
+        peer_max_segment: 1024,
         max_burst: 4096,
         first_burst: 2048,
         max_outstanding_r2t: 2,
@@ -292,7 +292,7 @@
     let got = r.got();
     assert_eq!(
         (got[0].header.opcode(), got[0].header.byte(2)),
-        (Some(Opcode::Reject), Reason::TaskInProgress as u8)
+        (Some(Opcode::Reject), RejectReason::TaskInProgress as u8)
     );
     assert_eq!(got[0].data.len(), 48, "with the header that was refused");
     let (task, _) = r.started()[0];
@@ -397,7 +397,7 @@
         let acts = r.s.receive(C1, Err(PduError::DataDigest(Header(bytes))));
         r.keep(acts);
         let got = r.got();
-        assert_eq!(got[0].header.byte(2), Reason::DataDigest as u8);
+        assert_eq!(got[0].header.byte(2), RejectReason::DataDigest as u8);
         if level == 0 {
             let sense = &got[1].data;
             assert_eq!(
@@ -586,13 +586,13 @@
     let got = r.got();
     assert_eq!(
         (got[0].header.opcode(), got[0].header.byte(2)),
-        (Some(Opcode::Reject), Reason::Snack as u8)
+        (Some(Opcode::Reject), RejectReason::Snack as u8)
     );
     let mut r = Rig::new();
     r.hear(C1, snack(1, NO_TAG, 100, 0, 100));
     assert_eq!(
         r.got()[0].header.byte(2),
-        Reason::Snack as u8,
+        RejectReason::Snack as u8,
         "not agreed on at level 0"
     );
 }
