--- a/crates/iscsi/src/keys.rs
+++ b/crates/iscsi/src/keys.rs
@@ -29,22 +29,22 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum KeyError {
     /// The text exceeds [`MAX_TEXT`].
-    #[error("{length} bytes of text, at most {MAX_TEXT}")]
+    #[error("text of {length} bytes, expected at most {MAX_TEXT}")]
     TextTooLong {
         /// The length of the text, in bytes.
         length: usize,
     },
     /// A pair is not UTF-8.
-    #[error("not UTF-8")]
+    #[error("text of a key-value pair is not UTF-8")]
     NotUtf8,
     /// A pair has no `=`.
-    #[error("a key without '='")]
+    #[error("key-value pair without '='")]
     NoEqualsSign,
     /// The name or the value of this key is too long.
     #[error("key or value too long: {0:.20}")]
     PairTooLong(String),
     /// The key is offered a second time in one negotiation (section 6.2).
-    #[error("{0} stands a second time")]
+    #[error("{0} is offered a second time")]
     Duplicate(String),
     /// The key cannot have this value, or is not permitted here.
     #[error("{key}: expected {expected}, found {value}")]
--- a/crates/iscsi/src/scsi.rs
+++ b/crates/iscsi/src/scsi.rs
@@ -1,8 +1,8 @@
-//! SCSI commands of a disk, as bytes and as what they ask (SPC-4, SBC-3, SAM-5).
+//! The SCSI commands of a disk (SPC-4, SBC-3, SAM-5).
 //!
-//! [`decode`] reads a command descriptor block into a [`Command`] or the sense that refuses it;
-//! [`Unit::answer`] answers those that need no data of the disk (INQUIRY and its pages, capacity,
-//! mode pages, ...). What reads and writes mean for a gateway is not decided here.
+//! [`decode`] decodes a command descriptor block into a [`Command`], or returns the sense data that
+//! rejects it. [`Unit::answer`] answers the commands that need no data of the disk (INQUIRY and its
+//! pages, capacity, mode pages, ...). The caller performs all other commands. No I/O.
 
 /// Status codes (SAM-5, table 31).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,7 +22,7 @@
     pub key: u8,
     pub asc: u8,
     pub ascq: u8,
-    /// INFORMATION: of a miscompare, where it is; of a range fault, the block.
+    /// The INFORMATION field: the offset of a miscompare, or the block of a range error.
     pub information: Option<u64>,
 }
 
@@ -52,16 +52,17 @@
     pub const REGISTRATIONS_PREEMPTED: Sense = sense(0x6, 0x2a, 0x05);
     /// COMMANDS CLEARED BY ANOTHER INITIATOR.
     pub const COMMANDS_CLEARED: Sense = sense(0x6, 0x2f, 0x00);
-    /// Data that came was not what was sent: the command may be sent again.
+    /// PROTOCOL SERVICE CRC ERROR: data arrived damaged. The initiator may retry the command.
     pub const PROTOCOL_CRC: Sense = sense(0xb, 0x47, 0x05);
     pub const UNEXPECTED_UNSOLICITED_DATA: Sense = sense(0xb, 0x0c, 0x0c);
     pub const NOT_ENOUGH_UNSOLICITED_DATA: Sense = sense(0xb, 0x0c, 0x0d);
-    /// ABORTED COMMAND, COMMAND TIMEOUT DURING PROCESSING DUE TO ERROR RECOVERY: the outcome is not
-    /// known.
+    /// ABORTED COMMAND, COMMAND TIMEOUT DURING PROCESSING DUE TO ERROR RECOVERY: the outcome of the
+    /// command is unknown.
     pub const OUTCOME_UNKNOWN: Sense = sense(0xb, 0x2e, 0x02);
     pub const WRITE_ERROR: Sense = sense(0x3, 0x0c, 0x00);
     pub const MISCOMPARE: Sense = sense(0xe, 0x1d, 0x00);
 
+    /// Returns this sense data with the INFORMATION field set.
     pub fn at(self, information: u64) -> Sense {
         Sense {
             information: Some(information),
@@ -69,7 +70,7 @@
         }
     }
 
-    /// Fixed format (SPC-4, 4.5.3), 18 bytes.
+    /// Encodes the sense data in fixed format (SPC-4, 4.5.3), 18 bytes.
     pub fn fixed(&self) -> [u8; 18] {
         let mut b = [0; 18];
         (b[0], b[2], b[7], b[12], b[13]) = (0x70, self.key, 10, self.asc, self.ascq);
@@ -80,8 +81,8 @@
         b
     }
 
-    /// Descriptor format (SPC-4, 4.5.2), with an information descriptor where there is something to
-    /// tell.
+    /// Encodes the sense data in descriptor format (SPC-4, 4.5.2), with an information descriptor if
+    /// the INFORMATION field is set.
     pub fn descriptor(&self) -> Vec<u8> {
         let mut b = vec![0x72, self.key, self.asc, self.ascq, 0, 0, 0, 0];
         if let Some(i) = self.information {
@@ -93,8 +94,8 @@
     }
 }
 
-/// The status qualifier of BUSY (SAM-5, 5.3.2): for this initiator at this unit (scope 0), how long
-/// to wait in steps of 100 ms, upwards; 0 tells nothing.
+/// Returns the status qualifier of BUSY (SAM-5, 5.3.2): the retry delay of this initiator for this
+/// logical unit (scope 0), in units of 100 ms, rounded up. 0 gives no delay.
 ///
 /// ```
 /// use grebecleat_iscsi::scsi::retry_delay;
@@ -107,6 +108,7 @@
     wait.as_micros().div_ceil(100_000).min(0x3fef) as u16
 }
 
+/// A decoded command. `most` is the ALLOCATION LENGTH, in bytes: the maximum length of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
     TestUnitReady,
@@ -122,7 +124,7 @@
         ten: bool,
         page: u8,
         subpage: u8,
-        no_blocks: bool,
+        disable_block_descriptors: bool,
         most: usize,
     },
     StartStop,
@@ -144,24 +146,24 @@
         blocks: u64,
         fua: bool,
     },
-    /// With `bytes` the initiator sends data to be compared.
+    /// If `bytes` is set (BYTCHK), the initiator sends data to compare.
     Verify {
         lba: u64,
         blocks: u64,
         bytes: bool,
     },
-    /// `blocks` 0: to the end.
+    /// If `blocks` is 0, the range extends to the end of the disk.
     SynchronizeCache {
         lba: u64,
         blocks: u64,
         immediate: bool,
     },
-    /// Twice `blocks` come: what to compare, then what to write.
+    /// The initiator sends twice `blocks`: the data to compare, then the data to write.
     CompareAndWrite {
         lba: u64,
         blocks: u64,
     },
-    /// `blocks` 0: to the end. Without `data` zeroes are written.
+    /// If `blocks` is 0, the range extends to the end of the disk. Without `data`, zeros are written.
     WriteSame {
         lba: u64,
         blocks: u64,
@@ -182,12 +184,13 @@
         length: usize,
     },
     ReportOpcodes {
-        one: Option<u8>,
+        requested_opcode: Option<u8>,
         most: usize,
     },
 }
 
-/// Operation codes, and how long their blocks are; REPORT SUPPORTED OPERATION CODES lists these.
+/// The supported operation codes with the lengths of their command descriptor blocks, in bytes, as
+/// REPORT SUPPORTED OPERATION CODES lists them.
 pub const OPCODES: &[(u8, u8)] = &[
     (0x00, 6),
     (0x03, 6),
@@ -219,11 +222,12 @@
     (0xaa, 12),
 ];
 
-fn be(bytes: &[u8]) -> u64 {
+/// Decodes a big-endian number.
+fn big_endian(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0, |n, b| n << 8 | u64::from(*b))
 }
 
-/// Reads a command descriptor block.
+/// Decodes a command descriptor block.
 ///
 /// ```
 /// use grebecleat_iscsi::scsi::{decode, Command, Sense};
@@ -235,10 +239,10 @@
 /// assert_eq!(decode(&cdb(&[0xff])), Err(Sense::INVALID_OPCODE));
 /// ```
 pub fn decode(cdb: &[u8; 16]) -> Result<Command, Sense> {
-    let (most10, len16) = (be(&cdb[7..9]) as usize, be(&cdb[10..14]));
-    let most = |n: u64| n as usize;
-    // Protection information is not kept: RDPROTECT, WRPROTECT and VRPROTECT must be 0.
-    let plain = || {
+    let (length10, length16) = (big_endian(&cdb[7..9]) as usize, big_endian(&cdb[10..14]));
+    let to_usize = |n: u64| n as usize;
+    // Protection information is not supported: RDPROTECT, WRPROTECT and VRPROTECT must be 0.
+    let check_no_protection = || {
         if cdb[1] & 0xe0 == 0 {
             Ok(())
         } else {
@@ -246,18 +250,18 @@
         }
     };
     let fua = cdb[1] & 0x08 != 0;
-    let six = |blocks: u64| {
+    let range6 = |blocks: u64| {
         (
-            be(&[cdb[1] & 0x1f, cdb[2], cdb[3]]),
+            big_endian(&[cdb[1] & 0x1f, cdb[2], cdb[3]]),
             if blocks == 0 { 256 } else { blocks },
         )
     };
-    // The group in an operation code tells how long its block is, and so where block and length
-    // stand.
+    // The group code of the operation code determines the length of the command descriptor block and
+    // the offsets of the block address and the length.
     let range = || match cdb[0] >> 5 {
-        4 => (be(&cdb[2..10]), len16),
-        5 => (be(&cdb[2..6]), be(&cdb[6..10])),
-        _ => (be(&cdb[2..6]), be(&cdb[7..9])),
+        4 => (big_endian(&cdb[2..10]), length16),
+        5 => (big_endian(&cdb[2..6]), big_endian(&cdb[6..10])),
+        _ => (big_endian(&cdb[2..6]), big_endian(&cdb[7..9])),
     };
     let command = match cdb[0] {
         0x00 => Command::TestUnitReady,
@@ -266,7 +270,7 @@
             most: usize::from(cdb[4]),
         },
         0x08 => {
-            let (lba, blocks) = six(u64::from(cdb[4]));
+            let (lba, blocks) = range6(u64::from(cdb[4]));
             Command::Read {
                 lba,
                 blocks,
@@ -274,7 +278,7 @@
             }
         }
         0x0a => {
-            let (lba, blocks) = six(u64::from(cdb[4]));
+            let (lba, blocks) = range6(u64::from(cdb[4]));
             Command::Write {
                 lba,
                 blocks,
@@ -288,16 +292,16 @@
             }
             Command::Inquiry {
                 page,
-                most: be(&cdb[3..5]) as usize,
+                most: big_endian(&cdb[3..5]) as usize,
             }
         }
         0x1a | 0x5a => Command::ModeSense {
             ten: cdb[0] == 0x5a,
             page: cdb[2] & 0x3f,
             subpage: cdb[3],
-            no_blocks: cdb[1] & 0x08 != 0,
+            disable_block_descriptors: cdb[1] & 0x08 != 0,
             most: if cdb[0] == 0x5a {
-                most10
+                length10
             } else {
                 usize::from(cdb[4])
             },
@@ -305,17 +309,17 @@
         0x1b => Command::StartStop,
         0x25 => Command::ReadCapacity10,
         0x28 | 0xa8 | 0x88 => {
-            plain()?;
+            check_no_protection()?;
             let (lba, blocks) = range();
             Command::Read { lba, blocks, fua }
         }
         0x2a | 0xaa | 0x8a => {
-            plain()?;
+            check_no_protection()?;
             let (lba, blocks) = range();
             Command::Write { lba, blocks, fua }
         }
         0x2f | 0x8f => {
-            plain()?;
+            check_no_protection()?;
             let (lba, blocks) = range();
             let bytes = match (cdb[1] >> 1) & 3 {
                 0 => false,
@@ -333,8 +337,8 @@
             }
         }
         0x41 | 0x93 => {
-            plain()?;
-            // Neither ANCHOR nor the obsolete LBDATA and PBDATA.
+            check_no_protection()?;
+            // ANCHOR and the obsolete LBDATA and PBDATA are not supported.
             if cdb[1] & 0x16 != 0 {
                 return Err(Sense::INVALID_FIELD_IN_CDB);
             }
@@ -347,38 +351,40 @@
                 data,
             }
         }
-        0x42 => Command::Unmap { length: most10 },
+        0x42 => Command::Unmap { length: length10 },
         0x5e => Command::ReserveIn {
             action: cdb[1] & 0x1f,
-            most: most10,
+            most: length10,
         },
         0x5f => Command::ReserveOut {
             action: cdb[1] & 0x1f,
             scope: cdb[2] >> 4,
             kind: cdb[2] & 0xf,
-            length: be(&cdb[5..9]) as usize,
+            length: big_endian(&cdb[5..9]) as usize,
         },
         0x89 => {
-            plain()?;
+            check_no_protection()?;
             Command::CompareAndWrite {
-                lba: be(&cdb[2..10]),
+                lba: big_endian(&cdb[2..10]),
                 blocks: u64::from(cdb[13]),
             }
         }
-        0x9e if cdb[1] & 0x1f == 0x10 => Command::ReadCapacity16 { most: most(len16) },
+        0x9e if cdb[1] & 0x1f == 0x10 => Command::ReadCapacity16 {
+            most: to_usize(length16),
+        },
         0xa0 => Command::ReportLuns {
             select: cdb[2],
-            most: be(&cdb[6..10]) as usize,
+            most: big_endian(&cdb[6..10]) as usize,
         },
         0xa3 if cdb[1] & 0x1f == 0x0c => {
-            let one = match cdb[2] & 7 {
+            let requested_opcode = match cdb[2] & 7 {
                 0 => None,
                 1 => Some(cdb[3]),
                 _ => return Err(Sense::INVALID_FIELD_IN_CDB),
             };
             Command::ReportOpcodes {
-                one,
-                most: be(&cdb[6..10]) as usize,
+                requested_opcode,
+                most: big_endian(&cdb[6..10]) as usize,
             }
         }
         0x9e | 0xa3 => return Err(Sense::INVALID_FIELD_IN_CDB),
@@ -387,15 +393,18 @@
     Ok(command)
 }
 
-/// A disk, as its initiators see it.
+/// A logical unit: a disk as its initiators see it.
 #[derive(Debug, Clone)]
 pub struct Unit {
+    /// The capacity, in blocks.
     pub blocks: u64,
+    /// The block size, in bytes.
     pub block_size: u32,
-    /// Locally assigned: the low 60 bits go into an NAA 3 designator.
+    /// A locally assigned identifier. Its low 60 bits form an NAA 3 designator.
     pub id: u64,
+    /// The unit serial number.
     pub serial: String,
-    /// Most blocks in one command, told in the block limits page.
+    /// The maximum number of blocks in one command, as the block limits page reports it.
     pub max_blocks: u32,
     pub read_only: bool,
 }
@@ -403,13 +412,13 @@
 const VENDOR: &[u8; 8] = b"GREBECLT";
 const PRODUCT: &[u8; 16] = b"VOLUME          ";
 const REVISION: &[u8; 4] = b"0002";
-/// Blocks of one COMPARE AND WRITE.
-pub const MAX_COMPARED: u8 = 64;
-const PAGES: [u8; 6] = [0x00, 0x80, 0x83, 0xb0, 0xb1, 0xb2];
+/// The maximum number of blocks in one COMPARE AND WRITE.
+pub const MAX_COMPARE_AND_WRITE_BLOCKS: u8 = 64;
+/// The supported vital product data pages.
+const VPD_PAGES: [u8; 6] = [0x00, 0x80, 0x83, 0xb0, 0xb1, 0xb2];
 
 impl Unit {
-    /// Whether a command stays inside the disk (SBC-3, 4.5); a length of none is no fault at the
-    /// end itself.
+    /// Checks that a range lies within the disk (SBC-3, 4.5). An empty range may start at the end.
     pub fn within(&self, lba: u64, blocks: u64) -> Result<(), Sense> {
         match lba.checked_add(blocks) {
             Some(end) if end <= self.blocks => Ok(()),
@@ -417,8 +426,8 @@
         }
     }
 
-    /// Answers a command that needs nothing but this; None for one that does. `luns` lists the
-    /// units of the target for REPORT LUNS, `pending` is what REQUEST SENSE tells.
+    /// Answers a command that needs no data of the disk; None for any other command. `luns` lists the
+    /// logical units of the target for REPORT LUNS. `pending` is the sense data for REQUEST SENSE.
     pub fn answer(
         &self,
         command: &Command,
@@ -436,7 +445,7 @@
             Command::Inquiry {
                 page: Some(page),
                 most,
-            } => match self.page(*page) {
+            } => match self.vital_product_data(*page) {
                 Ok(data) => (data, *most),
                 Err(sense) => return Some(Err(sense)),
             },
@@ -444,9 +453,9 @@
                 ten,
                 page,
                 subpage,
-                no_blocks,
+                disable_block_descriptors,
                 most,
-            } => match self.modes(*ten, *page, *subpage, *no_blocks) {
+            } => match self.mode_sense(*ten, *page, *subpage, *disable_block_descriptors) {
                 Ok(data) => (data, *most),
                 Err(sense) => return Some(Err(sense)),
             },
@@ -461,30 +470,34 @@
                 let mut data = vec![0; 32];
                 data[..8].copy_from_slice(&(self.blocks - 1).to_be_bytes());
                 data[8..12].copy_from_slice(&self.block_size.to_be_bytes());
-                data[14] = 0xc0; // LBPME, LBPRZ: unmapped blocks read as zeroes
+                data[14] = 0xc0; // LBPME, LBPRZ: unmapped blocks read as zeros
                 (data, *most)
             }
             Command::ReportLuns { select, .. } if *select > 2 => {
                 return Some(Err(Sense::INVALID_FIELD_IN_CDB))
             }
             Command::ReportLuns { select, most } => {
-                // 1: only well-known units, of which there are none.
+                // SELECT REPORT 1 asks for well-known logical units only; there are none.
                 let luns = if *select == 1 { &[] } else { luns };
                 let mut data = (8 * luns.len() as u32).to_be_bytes().to_vec();
                 data.extend([0; 4]);
                 luns.iter().for_each(|l| data.extend(l.to_be_bytes()));
                 (data, *most)
             }
-            Command::ReportOpcodes { one, most } => (opcodes(*one), *most),
+            Command::ReportOpcodes {
+                requested_opcode,
+                most,
+            } => (supported_opcodes(*requested_opcode), *most),
             _ => return None,
         };
         data.truncate(most);
         Some(Ok(data))
     }
 
+    /// Returns the standard INQUIRY data.
     fn inquiry(&self) -> Vec<u8> {
         let mut b = vec![0; 96];
-        // A direct access block device, SPC-4, response format 2, with command queuing.
+        // A direct access block device, SPC-4, response data format 2, with command queuing.
         (b[2], b[3], b[4], b[7]) = (0x06, 0x12, 91, 0x02);
         b[8..16].copy_from_slice(VENDOR);
         b[16..32].copy_from_slice(PRODUCT);
@@ -496,10 +509,10 @@
         b
     }
 
-    /// Vital product data.
-    fn page(&self, page: u8) -> Result<Vec<u8>, Sense> {
+    /// Returns a vital product data page.
+    fn vital_product_data(&self, page: u8) -> Result<Vec<u8>, Sense> {
         let body = match page {
-            0x00 => PAGES.to_vec(),
+            0x00 => VPD_PAGES.to_vec(),
             0x80 => self.serial.as_bytes().to_vec(),
             0x83 => {
                 let naa = 0x3000_0000_0000_0000 | self.id & 0x0fff_ffff_ffff_ffff;
@@ -512,20 +525,21 @@
             }
             0xb0 => {
                 let mut b = vec![0; 60];
-                b[1] = MAX_COMPARED;
+                b[1] = MAX_COMPARE_AND_WRITE_BLOCKS;
                 b[4..8].copy_from_slice(&self.max_blocks.to_be_bytes());
                 b[8..12].copy_from_slice(&self.max_blocks.to_be_bytes());
-                b[16..20].copy_from_slice(&self.max_blocks.to_be_bytes()); // UNMAP blocks
-                b[20..24].copy_from_slice(&1u32.to_be_bytes()); // UNMAP descriptors
-                b[32..40].copy_from_slice(&u64::from(self.max_blocks).to_be_bytes()); // WRITE SAME
+                b[16..20].copy_from_slice(&self.max_blocks.to_be_bytes()); // maximum blocks of UNMAP
+                b[20..24].copy_from_slice(&1u32.to_be_bytes()); // maximum block descriptors of UNMAP
+                b[32..40].copy_from_slice(&u64::from(self.max_blocks).to_be_bytes()); // maximum blocks of WRITE SAME
                 b
             }
             0xb1 => {
                 let mut b = vec![0; 60];
-                b[1] = 1; // does not rotate
+                b[1] = 1; // a non-rotating medium
                 b
             }
-            // Unmapping by UNMAP and by WRITE SAME (10 and 16), reading zeroes; thin.
+            // LBPU, LBPWS, LBPWS10 and LBPRZ: UNMAP and WRITE SAME (10 and 16) unmap blocks, which then
+            // read as zeros. The unit is thin provisioned.
             0xb2 => vec![0, 0xe4, 0x02, 0],
             _ => return Err(Sense::INVALID_FIELD_IN_CDB),
         };
@@ -535,14 +549,21 @@
         Ok(b)
     }
 
-    fn modes(&self, ten: bool, page: u8, subpage: u8, no_blocks: bool) -> Result<Vec<u8>, Sense> {
+    /// Returns the answer to MODE SENSE.
+    fn mode_sense(
+        &self,
+        ten: bool,
+        page: u8,
+        subpage: u8,
+        disable_block_descriptors: bool,
+    ) -> Result<Vec<u8>, Sense> {
         let caching = || {
             let mut b = vec![0x08, 0x12];
             b.resize(20, 0);
-            b // WCE 0: a write that is GOOD is kept
+            b // WCE 0: a write that ends with GOOD is on stable storage
         };
         let control = || {
-            let mut b = vec![0x0a, 0x0a, 0x02, 0x10]; // GLTSD; unrestricted reordering
+            let mut b = vec![0x0a, 0x0a, 0x02, 0x10]; // GLTSD, unrestricted reordering
             b.resize(12, 0);
             b
         };
@@ -553,22 +574,22 @@
             _ => return Err(Sense::INVALID_FIELD_IN_CDB),
         };
         let mut block = Vec::new();
-        if !no_blocks {
+        if !disable_block_descriptors {
             block.extend(u32::try_from(self.blocks).unwrap_or(u32::MAX).to_be_bytes());
             block.extend(self.block_size.to_be_bytes());
         }
-        let device = if self.read_only { 0x80 } else { 0 } | 0x10; // WP, DPOFUA
+        let device_specific = if self.read_only { 0x80 } else { 0 } | 0x10; // WP, DPOFUA
         let head = match ten {
             false => vec![
                 (3 + block.len() + pages.len()) as u8,
                 0,
-                device,
+                device_specific,
                 block.len() as u8,
             ],
             true => {
                 let length = (6 + block.len() + pages.len()) as u16;
                 let mut b = length.to_be_bytes().to_vec();
-                b.extend([0, device, 0, 0]);
+                b.extend([0, device_specific, 0, 0]);
                 b.extend((block.len() as u16).to_be_bytes());
                 b
             }
@@ -577,8 +598,9 @@
     }
 }
 
-fn opcodes(one: Option<u8>) -> Vec<u8> {
-    match one {
+/// Returns the answer to REPORT SUPPORTED OPERATION CODES.
+fn supported_opcodes(requested_opcode: Option<u8>) -> Vec<u8> {
+    match requested_opcode {
         None => {
             let mut b = (8 * OPCODES.len() as u32).to_be_bytes().to_vec();
             for (code, length) in OPCODES {
@@ -597,7 +619,8 @@
     }
 }
 
-/// The ranges that an UNMAP's parameters name (SBC-3, 5.29).
+/// Returns the ranges in the parameter list of UNMAP (SBC-3, 5.29), each as first block and number of
+/// blocks.
 ///
 /// ```
 /// use grebecleat_iscsi::scsi::{unmap_ranges, Sense};
@@ -614,13 +637,13 @@
     }
     let length = list
         .get(2..4)
-        .map(|b| be(b) as usize)
+        .map(|b| big_endian(b) as usize)
         .ok_or(Sense::PARAMETER_LIST_LENGTH)?;
     let descriptors = list
         .get(8..8 + length)
         .ok_or(Sense::PARAMETER_LIST_LENGTH)?;
     Ok(descriptors
         .chunks_exact(16)
-        .map(|d| (be(&d[..8]), be(&d[8..12])))
+        .map(|d| (big_endian(&d[..8]), big_endian(&d[8..12])))
         .collect())
 }
--- a/crates/iscsi/tests/login.rs
+++ b/crates/iscsi/tests/login.rs
@@ -1,5 +1,4 @@
-//! Logins as initiators do them, and as they must not: each row of the tables is one whole login or
-//! offer.
+//! Valid and invalid logins. Each row of the tables is one complete login or offer.
 
 use grebecleat_iscsi::chap::{from_text, to_text, Algorithm};
 use grebecleat_iscsi::keys::{format, parse, KeyError, Negotiation, Params, Preferences, MAX_TEXT};
@@ -40,7 +39,7 @@
 
 type Keys<'a> = Vec<(&'a str, &'a str)>;
 
-/// Flags of a login request: T, current stage, next stage.
+/// Returns the flags of a login request with this T bit, CSG and NSG. NSG is 0 without the T bit.
 fn flags(transit: bool, csg: u8, nsg: u8) -> u8 {
     if transit {
         0x80 | csg << 2 | nsg
@@ -92,7 +91,7 @@
 
 #[test]
 fn offers_are_answered_by_each_keys_result_function() {
-    // key, offer, answer; by section 13, against the wishes of `Preferences::default`
+    // Key, offer and the answer by section 13 under `Preferences::default`.
     let cases = [
         ("HeaderDigest", "CRC32C,None", Some("CRC32C")),
         ("HeaderDigest", "None,CRC32C", Some("None")),
@@ -136,11 +135,11 @@
     }
     let mut n = Negotiation::new(Preferences::default(), Params::default(), true, true);
     assert!(n.offer("MaxRecvDataSegmentLength", "511").is_err());
-    // The first burst is never longer than any.
+    // FirstBurstLength never exceeds MaxBurstLength.
     n.offer("FirstBurstLength", "262144").unwrap();
     n.offer("MaxBurstLength", "4096").unwrap();
     assert_eq!(n.agreed.first_burst, 4096);
-    // What is a session's own is no business of its later connections, nor of discovery.
+    // Session-wide keys are errors on later connections and irrelevant in discovery sessions.
     let mut n = Negotiation::new(Preferences::default(), Params::default(), true, false);
     assert!(n.offer("MaxConnections", "1").is_err() && n.offer("HeaderDigest", "None").is_ok());
     let mut n = Negotiation::new(Preferences::default(), Params::default(), true, true);
@@ -200,13 +199,14 @@
     assert!(matches!(standing, Standing::Done(who) if who.target.is_none()));
 }
 
-/// The target's challenge, answered.
+/// Returns the response to the target's challenge.
 fn respond(said: &[(String, String)], secret: &[u8]) -> String {
     let id = get(said, "CHAP_I").unwrap().parse().unwrap();
     let challenge = from_text(get(said, "CHAP_C").unwrap()).unwrap();
     to_text(&Algorithm::Md5.response(id, secret, &challenge))
 }
 
+/// Starts a login to the target with CHAP and returns it with the target's challenge.
 fn challenged() -> (Login, Vec<(String, String)>) {
     let mut login = Login::new(portal());
     let (_, said, standing) = send(&mut login, flags(false, 0, 0), &GUARDED);
@@ -243,10 +243,10 @@
 }
 
 #[test]
-fn initiators_that_cannot_prove_themselves() {
+fn initiators_that_fail_to_authenticate_are_rejected() {
     let fails =
         |standing: Standing| matches!(standing, Standing::Failed(Status::AuthenticationFailure, _));
-    // Wrong secret, wrong name, no response.
+    // A wrong secret, a wrong name, and no response.
     for (name, secret) in [("alice", &b"some other secret.."[..]), ("bob", SECRET)] {
         let (mut login, said) = challenged();
         let response = respond(&said, secret);
@@ -260,7 +260,7 @@
     assert!(fails(
         send(&mut login, flags(true, 0, 1), &[("CHAP_N", "alice")]).2
     ));
-    // Replay: yesterday's response to another challenge.
+    // Replay: the response to the challenge of another login.
     let (mut login, _) = challenged();
     let old = to_text(&Algorithm::Md5.response(1, SECRET, b"yesterday's challenge"));
     assert!(fails(
@@ -271,7 +271,7 @@
         )
         .2
     ));
-    // Reflection: our own challenge sent back to be answered by us.
+    // Reflection: the initiator sends the target's own challenge back.
     let (mut login, said) = challenged();
     let response = respond(&said, SECRET);
     let ours = get(&said, "CHAP_C").unwrap().to_string();
@@ -282,12 +282,12 @@
         ("CHAP_C", &ours),
     ];
     assert!(fails(send(&mut login, flags(true, 0, 1), &keys).2));
-    // Past the security stage, or out of it, without proof.
+    // The initiator skips or leaves the security stage without authentication.
     let mut login = Login::new(portal());
     assert!(fails(send(&mut login, flags(true, 1, 3), &GUARDED[..2]).2));
     let mut login = Login::new(portal());
     assert!(fails(send(&mut login, flags(true, 0, 3), &GUARDED[..2]).2));
-    // CHAP out of its order, twice, or with nothing in common.
+    // CHAP keys out of order, a second AuthMethod, and no common algorithm.
     let mut login = Login::new(portal());
     assert!(fails(
         send(
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn logins_that_are_refused() {
+fn invalid_logins_fail_with_their_status() {
     let target = |name| [("InitiatorName", "iqn.host"), ("TargetName", name)];
     let long = "x".repeat(300);
     let cases: Vec<(u8, Keys, Status)> = vec![
@@ -382,7 +382,7 @@
     );
     let (.., standing) = send_text(&mut login, flags(true, 1, 3), rest.to_vec());
     assert!(matches!(standing, Standing::Done(_)));
-    // Keys of 64 KiB, in pieces or at once; and a login that never ends.
+    // Text beyond `MAX_TEXT` over several requests, and a login beyond `MAX_REQUESTS`.
     let mut login = Login::new(portal());
     let piece = vec![b'k'; 8 << 10];
     let ends: Vec<bool> = (0..4)
--- a/crates/iscsi/tests/pdus.rs
+++ b/crates/iscsi/tests/pdus.rs
@@ -1,12 +1,11 @@
-//! PDUs cut anywhere come out whole; damage is told where the standard wants it told; noise never
-//! panics.
+//! Reading and writing of PDUs: arbitrary fragmentation, digest errors and random bytes.
 
 use grebecleat_iscsi::login::{Login, Portal};
 use grebecleat_iscsi::pdu::{write, Digests, Header, Opcode, Pdu, PduError, Reader};
 use rand::{Rng, RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-fn some_pdu(rng: &mut Pcg64Mcg) -> Pdu {
+fn random_pdu(rng: &mut Pcg64Mcg) -> Pdu {
     let mut bytes = [0; 48];
     rng.fill_bytes(&mut bytes);
     let opcode = Opcode::ALL[rng.random_range(0..Opcode::ALL.len())];
@@ -29,10 +28,10 @@
 }
 
 #[test]
-fn pdus_come_out_as_they_went_in_however_they_are_cut() {
+fn pdus_survive_a_round_trip_with_any_fragmentation() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let sent: Vec<Pdu> = (0..10).map(|_| some_pdu(&mut rng)).collect();
+        let sent: Vec<Pdu> = (0..10).map(|_| random_pdu(&mut rng)).collect();
         let mut bytes = Vec::new();
         sent.iter()
             .for_each(|p| write(p, digests(seed), &mut bytes));
@@ -63,7 +62,7 @@
 }
 
 #[test]
-fn a_changed_byte_is_a_fault_of_its_digest_and_a_data_fault_lets_reading_go_on() {
+fn a_flipped_bit_fails_its_digest_and_reading_continues_after_a_data_digest_error() {
     let both = Digests {
         header: true,
         data: true,
@@ -72,12 +71,12 @@
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let pdu = Pdu {
             ahs: Default::default(),
-            ..Pdu::new(some_pdu(&mut rng).header, vec![7; 40])
+            ..Pdu::new(random_pdu(&mut rng).header, vec![7; 40])
         };
         let mut bytes = Vec::new();
         write(&pdu, both, &mut bytes);
         let next = bytes.clone();
-        // Lengths apart: with them wrong, what is checked is not where it was.
+        // Excludes the length fields: a wrong length moves the digests.
         let at = loop {
             let at = rng.random_range(0..bytes.len());
             if !(4..8).contains(&at) {
@@ -101,7 +100,7 @@
 }
 
 #[test]
-fn lengths_are_judged_before_anything_is_kept() {
+fn an_excessive_length_is_an_error_as_soon_as_the_header_arrives() {
     let mut header = Header::new(Opcode::DataOut).0;
     header[5..8].copy_from_slice(&[0xff; 3]);
     let mut reader = Reader::new(8192);
@@ -116,7 +115,7 @@
 }
 
 #[test]
-fn noise_into_reader_and_login_never_panics() {
+fn random_input_never_panics_in_reader_and_login() {
     for seed in 0..500 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut noise = vec![0; rng.random_range(0..3000)];
@@ -127,7 +126,7 @@
         while let Ok(Some(_)) = reader.next() {}
         let mut login = Login::new(Portal::default());
         for _ in 0..5 {
-            let mut pdu = some_pdu(&mut rng);
+            let mut pdu = random_pdu(&mut rng);
             if rng.random() {
                 let text: &[u8] =
                     b"InitiatorName=a\0SessionType=Discovery\0AuthMethod=CHAP,None\0CHAP_A=5\0";
--- a/crates/iscsi/tests/scsi.rs
+++ b/crates/iscsi/tests/scsi.rs
@@ -1,4 +1,4 @@
-//! Command blocks by their bytes, and what a disk answers of itself.
+//! Decoding of command descriptor blocks, and the answers that need no data of the disk.
 
 use grebecleat_iscsi::scsi::{decode, Command, Sense, Unit, OPCODES};
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn blocks_and_lengths_stand_where_each_group_has_them() {
+fn block_addresses_and_lengths_are_decoded_for_each_group_code() {
     let read = |lba, blocks, fua| Ok(Command::Read { lba, blocks, fua });
     let write = |lba, blocks, fua| Ok(Command::Write { lba, blocks, fua });
     let bad = Err(Sense::INVALID_FIELD_IN_CDB);
@@ -124,28 +124,28 @@
     assert!(OPCODES.windows(2).all(|w| w[0].0 < w[1].0));
 }
 
-fn ask(bytes: &[u8]) -> Result<Vec<u8>, Sense> {
+fn execute(bytes: &[u8]) -> Result<Vec<u8>, Sense> {
     let command = decode(&cdb(bytes)).unwrap();
     unit()
         .answer(&command, &[0, 1 << 48], Sense::POWER_ON)
-        .expect("needs no data of the disk")
+        .expect("command that needs no data of the disk")
 }
 
 #[test]
-fn what_an_initiator_asks_first() {
-    let inquiry = ask(&[0x12, 0, 0, 0, 96]).unwrap();
+fn inquiry_capacity_and_report_luns() {
+    let inquiry = execute(&[0x12, 0, 0, 0, 96]).unwrap();
     assert_eq!(
         (inquiry.len(), inquiry[4], &inquiry[8..16]),
         (96, 91, &b"GREBECLT"[..])
     );
     assert_eq!(
-        ask(&[0x12, 0, 0, 0, 36]).unwrap().len(),
+        execute(&[0x12, 0, 0, 0, 36]).unwrap().len(),
         36,
-        "cut to what was allocated"
+        "truncated to the allocation length"
     );
-    let pages = ask(&[0x12, 1, 0, 0, 255]).unwrap();
+    let pages = execute(&[0x12, 1, 0, 0, 255]).unwrap();
     for page in &pages[4..] {
-        let p = ask(&[0x12, 1, *page, 1, 0]).unwrap();
+        let p = execute(&[0x12, 1, *page, 1, 0]).unwrap();
         assert_eq!(
             (p[1], usize::from(p[3]) + 4),
             (*page, p.len()),
@@ -153,56 +153,56 @@
         );
     }
     assert_eq!(
-        ask(&[0x12, 1, 0xc0, 0, 255]),
+        execute(&[0x12, 1, 0xc0, 0, 255]),
         Err(Sense::INVALID_FIELD_IN_CDB)
     );
-    assert_eq!(&ask(&[0x12, 1, 0x80, 0, 255]).unwrap()[4..], b"vol-7");
+    assert_eq!(&execute(&[0x12, 1, 0x80, 0, 255]).unwrap()[4..], b"vol-7");
     assert_eq!(
-        ask(&[0x25]).unwrap(),
+        execute(&[0x25]).unwrap(),
         [0xff, 0xff, 0xff, 0xff, 0, 0, 2, 0],
-        "too large for ten bytes"
+        "the capacity exceeds the range of READ CAPACITY (10)"
     );
-    let capacity = ask(&[0x9e, 0x10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32]).unwrap();
+    let capacity = execute(&[0x9e, 0x10, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 32]).unwrap();
     assert_eq!(
         (&capacity[..8], capacity[14]),
         (&((1u64 << 33) - 1).to_be_bytes()[..], 0xc0)
     );
-    let luns = ask(&[0xa0, 0, 0, 0, 0, 0, 0, 0, 1, 0]).unwrap();
+    let luns = execute(&[0xa0, 0, 0, 0, 0, 0, 0, 0, 1, 0]).unwrap();
     assert_eq!(
         (luns.len(), &luns[..4], luns[17]),
         (24, &[0, 0, 0, 16][..], 1)
     );
     assert_eq!(
-        ask(&[0xa0, 0, 9, 0, 0, 0, 0, 0, 1, 0]),
+        execute(&[0xa0, 0, 9, 0, 0, 0, 0, 0, 1, 0]),
         Err(Sense::INVALID_FIELD_IN_CDB)
     );
 }
 
 #[test]
 fn mode_pages_in_both_lengths_and_sense_in_both_formats() {
-    let six = ask(&[0x1a, 0, 0x3f, 0, 255]).unwrap();
+    let six = execute(&[0x1a, 0, 0x3f, 0, 255]).unwrap();
     assert_eq!(
         (usize::from(six[0]) + 1, six[3], six[12], six[32]),
         (six.len(), 8, 0x08, 0x0a)
     );
-    let ten = ask(&[0x5a, 8, 0x08, 0, 0, 0, 0, 1, 0]).unwrap();
+    let ten = execute(&[0x5a, 8, 0x08, 0, 0, 0, 0, 1, 0]).unwrap();
     assert_eq!(
         (usize::from(ten[1]) + 2, ten[7], ten[8]),
         (ten.len(), 0, 0x08)
     );
     assert_eq!(
-        ask(&[0x1a, 0, 0x1c, 0, 255]),
+        execute(&[0x1a, 0, 0x1c, 0, 255]),
         Err(Sense::INVALID_FIELD_IN_CDB)
     );
-    let fixed = ask(&[0x03, 0, 0, 0, 18]).unwrap();
+    let fixed = execute(&[0x03, 0, 0, 0, 18]).unwrap();
     assert_eq!((fixed[0], fixed[2], fixed[12]), (0x70, 6, 0x29));
-    let described = ask(&[0x03, 1, 0, 0, 18]).unwrap();
+    let described = execute(&[0x03, 1, 0, 0, 18]).unwrap();
     assert_eq!(described[..4], [0x72, 6, 0x29, 0]);
     let far = Sense::LBA_OUT_OF_RANGE.at(1 << 40);
     assert_eq!(
         (far.fixed()[0], far.descriptor().len()),
         (0x70, 20),
-        "only one of them has room for it"
+        "INFORMATION of 64 bits fits the descriptor format only"
     );
     assert_eq!(
         Sense::MISCOMPARE.at(7).fixed()[..7],
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn nothing_goes_beyond_the_end() {
+fn ranges_beyond_the_end_are_errors() {
     let u = unit();
     let cases = [
         (0, 1, true),
--- a/crates/iscsi/tests/session.rs
+++ b/crates/iscsi/tests/session.rs
@@ -1,4 +1,4 @@
-//! A session as its initiator sees it, the hard cases among them; and noise.
+//! The full feature phase of a session as its initiators observe it, with faults and random PDUs.
 
 use bytes::Bytes;
 use grebecleat_iscsi::keys::Params;
@@ -15,11 +15,14 @@
 const READ: u8 = 0x40;
 const WRITE: u8 = 0x20;
 
-struct Rig {
+/// A session with two connections, and the actions that it returned.
+struct Fixture {
     s: Session,
+    /// The CmdSN of the next command.
     sn: u32,
-    /// What came back, and what the device was told.
+    /// The sent PDUs.
     pdus: Vec<(ConnectionId, Pdu)>,
+    /// All other actions.
     acts: Vec<SessionAction>,
 }
 
@@ -34,9 +37,9 @@
     }
 }
 
-impl Rig {
+impl Fixture {
     fn with(params: Params, first: u32, window: u32) -> Self {
-        let listing = vec![
+        let send_targets = vec![
             ("iqn.a".to_string(), vec!["127.0.0.1:3260,1".to_string()]),
             ("iqn.b".to_string(), vec!["127.0.0.1:3260,1".to_string()]),
         ];
@@ -44,10 +47,10 @@
             max_data: 1 << 20,
             max_unacknowledged: 16,
         };
-        let mut s = Session::new(Some("iqn.a".into()), listing, limits, first, window);
+        let mut s = Session::new(Some("iqn.a".into()), send_targets, limits, first, window);
         s.add_connection(C1, params.clone(), 100);
         s.add_connection(C2, params, 200);
-        Rig {
+        Fixture {
             s,
             sn: first,
             pdus: Vec::new(),
@@ -56,10 +59,10 @@
     }
 
     fn new() -> Self {
-        Rig::with(params(), 1, 64)
+        Fixture::with(params(), 1, 64)
     }
 
-    fn keep(&mut self, acts: Vec<SessionAction>) {
+    fn record_actions(&mut self, acts: Vec<SessionAction>) {
         for act in acts {
             match act {
                 SessionAction::Send { cid, pdu } => self.pdus.push((cid, pdu)),
@@ -68,16 +71,16 @@
         }
     }
 
-    fn hear(&mut self, cid: ConnectionId, pdu: Pdu) {
+    fn receive_pdu(&mut self, cid: ConnectionId, pdu: Pdu) {
         let acts = self.s.receive(cid, Ok(pdu));
-        self.keep(acts);
+        self.record_actions(acts);
     }
 
-    /// A command with its CmdSN; flags beside F as given.
+    /// Receives a command with the next CmdSN. `flags` excludes the F bit, which is always set.
     fn command(&mut self, itt: u32, flags: u8, length: u32, immediate: &[u8]) -> Header {
         let h = self.header(itt, flags | 0x80, length);
         self.sn = self.sn.wrapping_add(1);
-        self.hear(C1, Pdu::new(h, immediate.to_vec()));
+        self.receive_pdu(C1, Pdu::new(h, immediate.to_vec()));
         h
     }
 
@@ -97,10 +100,10 @@
             .set_itt(itt)
             .set_ttt(ttt);
         let h = h.set_exp_stat_sn(100).set_word36(sn).set_word40(offset);
-        self.hear(C1, Pdu::new(h, data.to_vec()));
+        self.receive_pdu(C1, Pdu::new(h, data.to_vec()));
     }
 
-    fn manage(&mut self, itt: u32, function: u8, lun: u64, tag: u32, reference: u32) {
+    fn send_task_management(&mut self, itt: u32, function: u8, lun: u64, tag: u32, reference: u32) {
         let h = Header::new(Opcode::TaskManagement)
             .set_immediate(true)
             .set_flags(0x80 | function)
@@ -111,12 +114,12 @@
             .set_cmd_sn(self.sn)
             .set_exp_stat_sn(100)
             .set_word32(reference);
-        self.hear(C1, Pdu::new(h, Bytes::new()));
+        self.receive_pdu(C1, Pdu::new(h, Bytes::new()));
     }
 
-    fn done(&mut self, task: TaskId, outcome: Outcome) {
+    fn complete_task(&mut self, task: TaskId, outcome: Outcome) {
         let acts = self.s.complete(task, outcome);
-        self.keep(acts);
+        self.record_actions(acts);
     }
 
     fn started(&mut self) -> Vec<(TaskId, Bytes)> {
@@ -137,7 +140,7 @@
             .collect()
     }
 
-    /// The one response that came: its status and sense code.
+    /// Returns the status, ASC and ASCQ of the only PDU sent, which must be a SCSI Response.
     fn status(&mut self) -> (u8, u8, u8) {
         let got = self.got();
         let [p] = &got[..] else { panic!("{got:?}") };
@@ -152,13 +155,13 @@
 }
 
 #[test]
-fn a_read_comes_in_segments_and_bursts_with_its_status_on_the_last() {
-    let mut r = Rig::new();
+fn a_read_is_split_into_segments_and_bursts_with_status_in_the_last() {
+    let mut r = Fixture::new();
     r.command(7, READ, 6000, &[]);
     let (task, _) = r.started()[0];
-    r.done(task, Outcome::good(pattern(6000)));
+    r.complete_task(task, Outcome::good(pattern(6000)));
     let got = r.got();
-    let told: Vec<_> = got
+    let announced: Vec<_> = got
         .iter()
         .map(|p| {
             (
@@ -177,7 +180,7 @@
         (4, 4096, 1024, 0),
         (5, 5120, 880, 0x81),
     ];
-    assert_eq!(told, expected);
+    assert_eq!(announced, expected);
     assert_eq!((got[5].header.cmd_sn(), got[5].header.byte(3)), (100, 0));
     assert_eq!(
         got.iter().flat_map(|p| p.data.to_vec()).collect::<Vec<_>>(),
@@ -187,12 +190,12 @@
 }
 
 #[test]
-fn less_and_more_than_was_expected_is_told() {
+fn underflow_and_overflow_are_reported_as_residual_counts() {
     for (there, flags, residual) in [(100, 0x83, 412), (512, 0x81, 0), (700, 0x85, 188)] {
-        let mut r = Rig::new();
+        let mut r = Fixture::new();
         r.command(7, READ, 512, &[]);
         let (task, _) = r.started()[0];
-        r.done(task, Outcome::good(pattern(there)));
+        r.complete_task(task, Outcome::good(pattern(there)));
         let got = r.got();
         assert_eq!(
             (got.len(), got[0].header.flags(), got[0].header.word44()),
@@ -205,16 +208,16 @@
 
 #[test]
 fn a_write_by_immediate_unsolicited_and_solicited_data() {
-    let mut r = Rig::new();
+    let mut r = Fixture::new();
     let data = pattern(12_000);
-    // Not final: more comes unasked for, up to the first burst.
+    // The command is not final: unsolicited data follows, up to FirstBurstLength.
     let h = r.header(7, WRITE, 12_000);
     r.sn += 1;
-    r.hear(C1, Pdu::new(h, data[..512].to_vec()));
+    r.receive_pdu(C1, Pdu::new(h, data[..512].to_vec()));
     r.data_out(7, NO_TAG, 0, 512, &data[512..1536], false);
     assert!(r.got().is_empty() && r.acts.is_empty());
     r.data_out(7, NO_TAG, 1, 1536, &data[1536..2048], true);
-    let asked: Vec<_> = r
+    let r2ts: Vec<_> = r
         .got()
         .iter()
         .map(|p| {
@@ -227,12 +230,12 @@
         })
         .collect();
     assert_eq!(
-        asked.iter().map(|a| (a.1, a.2, a.3)).collect::<Vec<_>>(),
+        r2ts.iter().map(|a| (a.1, a.2, a.3)).collect::<Vec<_>>(),
         [(0, 2048, 4096), (1, 6144, 4096)]
     );
-    // The second burst first, in two PDUs; then what is left is asked for.
-    r.data_out(7, asked[1].0, 0, 6144, &data[6144..8000], false);
-    r.data_out(7, asked[1].0, 1, 8000, &data[8000..10_240], true);
+    // The second burst arrives first, in two PDUs. An R2T then requests the remaining data.
+    r.data_out(7, r2ts[1].0, 0, 6144, &data[6144..8000], false);
+    r.data_out(7, r2ts[1].0, 1, 8000, &data[8000..10_240], true);
     let third = r.got();
     assert_eq!(
         (
@@ -244,17 +247,17 @@
     );
     r.data_out(7, third[0].header.ttt(), 0, 10_240, &data[10_240..], true);
     assert!(r.acts.is_empty());
-    r.data_out(7, asked[0].0, 0, 2048, &data[2048..6144], true);
+    r.data_out(7, r2ts[0].0, 0, 2048, &data[2048..6144], true);
     let started = r.started();
     assert_eq!((started.len(), &started[0].1[..]), (1, &data[..]));
-    r.done(started[0].0, Outcome::good(Bytes::new()));
+    r.complete_task(started[0].0, Outcome::good(Bytes::new()));
     assert_eq!(r.status(), (0, 0, 0));
 }
 
 #[test]
 fn commands_are_started_in_order_over_connections_and_wraps() {
     for first in [1, u32::MAX - 1] {
-        let mut r = Rig::with(params(), first, 8);
+        let mut r = Fixture::with(params(), first, 8);
         let make = |n: u32| {
             let h = Header::new(Opcode::ScsiCommand)
                 .set_flags(0x80 | READ)
@@ -265,28 +268,32 @@
                 Bytes::new(),
             )
         };
-        r.hear(C2, make(2));
-        r.hear(C1, make(1));
+        r.receive_pdu(C2, make(2));
+        r.receive_pdu(C1, make(1));
         assert!(r.started().is_empty());
-        r.hear(C2, make(0));
+        r.receive_pdu(C2, make(0));
         let order: Vec<u64> = r.started().iter().map(|s| s.0 .0).collect();
-        assert_eq!(order, [3, 2, 1], "by CmdSN, not by arrival");
-        // Once more the same: the same piece of work, of which nothing new is to be said.
-        r.hear(C1, make(1));
+        assert_eq!(
+            order,
+            [3, 2, 1],
+            "commands start in CmdSN order, not in order of arrival"
+        );
+        // A retry of a delivered command is ignored.
+        r.receive_pdu(C1, make(1));
         assert!(r.started().is_empty() && r.got().is_empty());
         assert_eq!(
             r.s.cmd_sn_bounds(),
             (first.wrapping_add(3), first.wrapping_add(7))
         );
-        // Beyond the window.
-        r.hear(C1, make(9));
+        // A command beyond the window is ignored.
+        r.receive_pdu(C1, make(9));
         assert_eq!(r.s.tasks(), 3);
     }
 }
 
 #[test]
-fn a_tag_in_use_is_refused_and_free_again_after_its_response() {
-    let mut r = Rig::new();
+fn a_task_tag_in_use_is_rejected_and_can_be_reused_after_the_response() {
+    let mut r = Fixture::new();
     r.command(7, READ, 8, &[]);
     r.command(7, READ, 8, &[]);
     let got = r.got();
@@ -294,22 +301,26 @@
         (got[0].header.opcode(), got[0].header.byte(2)),
         (Some(Opcode::Reject), RejectReason::TaskInProgress as u8)
     );
-    assert_eq!(got[0].data.len(), 48, "with the header that was refused");
+    assert_eq!(
+        got[0].data.len(),
+        48,
+        "the data of a Reject is the rejected header"
+    );
     let (task, _) = r.started()[0];
-    r.done(task, Outcome::good(pattern(8)));
+    r.complete_task(task, Outcome::good(pattern(8)));
     r.got();
-    // The refused one did not use up its number.
+    // The rejected command did not consume its CmdSN.
     r.sn -= 1;
     r.command(7, READ, 8, &[]);
     assert_eq!((r.started().len(), r.got().len()), (1, 0));
 }
 
 #[test]
-fn initiators_that_lie_about_their_data_end_their_command_and_nothing_else() {
+fn invalid_data_out_ends_its_command_alone() {
     let check = Status::CheckCondition as u8;
-    // Immediate data of a read, more immediate data than agreed on, too long a command.
+    // Immediate data of a read, immediate data beyond FirstBurstLength, and a write beyond `max_data`.
     for (flags, length, immediate) in [(READ, 512, 10), (WRITE, 4096, 2049), (WRITE, 1 << 21, 0)] {
-        let mut r = Rig::new();
+        let mut r = Fixture::new();
         r.command(7, flags, length, &pattern(immediate));
         assert_eq!(
             (r.status().0, r.started().len(), r.s.tasks()),
@@ -317,8 +328,8 @@
             "{flags} {length}"
         );
     }
-    // Unsolicited data where it was not agreed on.
-    let mut r = Rig::with(
+    // Unsolicited data although InitialR2T is Yes.
+    let mut r = Fixture::with(
         Params {
             initial_r2t: true,
             ..params()
@@ -327,10 +338,10 @@
         8,
     );
     let h = r.header(7, WRITE, 4096);
-    r.hear(C1, Pdu::new(h, Bytes::new()));
+    r.receive_pdu(C1, Pdu::new(h, Bytes::new()));
     assert_eq!(r.status(), (check, 0x0c, 0x0c));
-    // Beyond the burst, out of order, misnumbered, of a burst nobody asked for, short of what was
-    // asked.
+    // Data beyond the burst, at a wrong offset, with a wrong DataSN, with an unknown target transfer tag,
+    // and shorter than the R2T requested.
     let cases: [(u32, u32, usize, bool, bool); 5] = [
         (0, 0, 5000, true, true),
         (0, 10, 100, true, true),
@@ -339,7 +350,7 @@
         (0, 0, 100, true, true),
     ];
     for (i, (sn, offset, length, last, known)) in cases.into_iter().enumerate() {
-        let mut r = Rig::new();
+        let mut r = Fixture::new();
         r.command(7, WRITE, 4096, &[]);
         let ttt = r.got()[0].header.ttt();
         r.data_out(
@@ -362,19 +373,19 @@
             (i < 4, true, 0),
             "case {i}: {got:?}"
         );
-        // The session goes on.
+        // The session continues.
         r.command(8, READ, 8, &[]);
         assert_eq!(r.started().len(), 1);
-        // And what still comes for the ended command is dropped.
+        // Data that still arrives for the ended command is discarded.
         r.data_out(7, ttt, 0, 0, &pattern(100), true);
         assert!(r.got().is_empty());
     }
 }
 
 #[test]
-fn damaged_data_ends_the_command_at_level_0_and_is_asked_for_again_at_level_1() {
+fn a_data_digest_error_ends_the_command_at_level_0_and_is_recovered_at_level_1() {
     for level in [0, 1] {
-        let mut r = Rig::with(
+        let mut r = Fixture::with(
             Params {
                 recovery_level: level,
                 ..params()
@@ -395,7 +406,7 @@
         let mut bytes = bad.0;
         bytes[5..8].copy_from_slice(&[0, 2, 0]); // 512 bytes
         let acts = r.s.receive(C1, Err(PduError::DataDigest(Header(bytes))));
-        r.keep(acts);
+        r.record_actions(acts);
         let got = r.got();
         assert_eq!(got[0].header.byte(2), RejectReason::DataDigest as u8);
         if level == 0 {
@@ -406,21 +417,21 @@
             );
             continue;
         }
-        // The lost range at once, beside the burst that still runs.
+        // The lost range is requested at once, in parallel with the current burst.
         assert_eq!((got[1].header.word40(), got[1].header.word44()), (600, 512));
         r.data_out(7, ttt, 2, 1112, &data[1112..], true);
         assert!(r.started().is_empty());
         r.data_out(7, got[1].header.ttt(), 0, 600, &data[600..1112], true);
         assert_eq!(r.started()[0].1, data);
     }
-    let mut r = Rig::new();
+    let mut r = Fixture::new();
     let acts = r.s.receive(C1, Err(PduError::HeaderDigest));
     assert_eq!(acts, [SessionAction::Close { cid: C1 }]);
 }
 
 #[test]
-fn an_abort_is_answered_once_the_task_has_ended_and_its_answer_is_swallowed() {
-    let managed = |r: &mut Rig| -> Vec<u8> {
+fn an_abort_is_answered_once_the_task_has_ended_and_the_task_gets_no_response() {
+    let managed = |r: &mut Fixture| -> Vec<u8> {
         let got = r.got();
         assert!(
             got.iter()
@@ -430,10 +441,10 @@
         got.iter().map(|p| p.header.byte(2)).collect()
     };
     for answered in [true, false] {
-        let mut r = Rig::new();
+        let mut r = Fixture::new();
         r.command(7, READ, 8, &[]);
         let (task, _) = r.started()[0];
-        r.manage(50, 1, 0, 7, 1);
+        r.send_task_management(50, 1, 0, 7, 1);
         assert_eq!(
             r.acts,
             [SessionAction::Abort {
@@ -441,38 +452,45 @@
                 reason: AbortReason::AbortTask
             }]
         );
-        assert!(managed(&mut r).is_empty(), "the device may still be at it");
+        assert!(
+            managed(&mut r).is_empty(),
+            "the device may still perform the command"
+        );
         let acts = if answered {
             r.s.complete(task, Outcome::good(pattern(8)))
         } else {
             r.s.abort_complete(task)
         };
-        r.keep(acts);
+        r.record_actions(acts);
         assert_eq!(managed(&mut r), [0]);
     }
-    // The answer was first: there is no such task any more.
-    let mut r = Rig::new();
+    // The task has already completed: it does not exist.
+    let mut r = Fixture::new();
     r.command(7, READ, 8, &[]);
     let (task, _) = r.started()[0];
-    r.done(task, Outcome::good(pattern(8)));
+    r.complete_task(task, Outcome::good(pattern(8)));
     r.got();
-    r.manage(50, 1, 0, 7, 1);
+    r.send_task_management(50, 1, 0, 7, 1);
     assert_eq!(managed(&mut r), [1]);
-    // Aborted before it came, its number is used up; it comes after and is nothing.
-    let mut r = Rig::new();
+    // A command that is aborted before it arrives consumes its CmdSN and is ignored on arrival.
+    let mut r = Fixture::new();
     let late = r.header(7, 0x80 | READ, 8);
     r.sn += 1;
-    r.manage(50, 1, 0, 7, 1);
+    r.send_task_management(50, 1, 0, 7, 1);
     assert_eq!(managed(&mut r), [0]);
-    r.hear(C1, Pdu::new(late, Bytes::new()));
+    r.receive_pdu(C1, Pdu::new(late, Bytes::new()));
     assert!(r.started().is_empty());
     r.command(8, READ, 8, &[]);
-    assert_eq!(r.started().len(), 1, "its successor does not wait for it");
-    // While it gathers data, nothing is at the device.
-    let mut r = Rig::new();
+    assert_eq!(
+        r.started().len(),
+        1,
+        "the next command does not wait for the aborted one"
+    );
+    // A command that still waits for data is not at the device.
+    let mut r = Fixture::new();
     r.command(7, WRITE, 4096, &[]);
     r.got();
-    r.manage(50, 1, 0, 7, 1);
+    r.send_task_management(50, 1, 0, 7, 1);
     assert_eq!(
         (managed(&mut r), r.acts.len(), r.s.tasks()),
         (vec![0], 0, 0)
@@ -480,14 +498,14 @@
 }
 
 #[test]
-fn a_lun_reset_with_500_commands_out() {
-    let mut r = Rig::with(params(), 1, 600);
+fn a_lun_reset_with_500_open_commands() {
+    let mut r = Fixture::with(params(), 1, 600);
     for n in 0..500 {
         r.command(1000 + n, READ, 8, &[]);
     }
     let tasks: Vec<TaskId> = r.started().into_iter().map(|s| s.0).collect();
     assert_eq!(tasks.len(), 500);
-    r.manage(50, 5, 0, 0, 0);
+    r.send_task_management(50, 5, 0, 0, 0);
     assert_eq!(
         r.acts[0],
         SessionAction::Reset {
@@ -497,36 +515,39 @@
     );
     assert!(matches!(&r.acts[1], SessionAction::Abort { tasks: t, .. } if t.len() == 500));
     for (i, task) in tasks.iter().enumerate() {
-        assert!(r.got().is_empty(), "answered after {i} of 500");
+        assert!(
+            r.got().is_empty(),
+            "task management response after {i} of 500 tasks ended"
+        );
         let acts = if i % 2 == 0 {
             r.s.abort_complete(*task)
         } else {
             r.s.complete(*task, Outcome::status(Status::Good))
         };
-        r.keep(acts);
+        r.record_actions(acts);
     }
     let got = r.got();
     assert_eq!((got.len(), got[0].header.byte(2), r.s.tasks()), (1, 0, 0));
 }
 
 #[test]
-fn logout_and_loss_with_commands_out() {
+fn logout_and_connection_loss_with_open_commands() {
     for lost in [true, false] {
-        let mut r = Rig::new();
+        let mut r = Fixture::new();
         r.command(7, READ, 8, &[]);
-        r.command(8, WRITE, 4096, &[]); // its R2T is out
+        r.command(8, WRITE, 4096, &[]); // waits for the data of an R2T
         let (task, _) = r.started()[0];
         r.got();
         if lost {
             let acts = r.s.connection_lost(C1);
-            r.keep(acts);
+            r.record_actions(acts);
         } else {
             let h = Header::new(Opcode::LogoutRequest)
                 .set_immediate(true)
                 .set_flags(0x81)
                 .set_itt(9)
                 .set_cid(1);
-            r.hear(C1, Pdu::new(h.set_exp_stat_sn(100), Bytes::new()));
+            r.receive_pdu(C1, Pdu::new(h.set_exp_stat_sn(100), Bytes::new()));
             let got = r.got();
             assert_eq!(
                 (got[0].header.opcode(), got[0].header.byte(2)),
@@ -541,17 +562,17 @@
                 reason: AbortReason::ConnectionLost
             }]
         );
-        r.done(task, Outcome::good(pattern(8)));
+        r.complete_task(task, Outcome::good(pattern(8)));
         assert_eq!((r.got().len(), r.s.tasks(), r.s.is_empty()), (0, 0, false));
-        // The other connection carries on where the numbers are.
+        // The other connection continues with the next CmdSN.
         let h = r.header(9, 0x80 | READ, 8).set_exp_stat_sn(200);
-        r.hear(C2, Pdu::new(h, Bytes::new()));
+        r.receive_pdu(C2, Pdu::new(h, Bytes::new()));
         assert_eq!(r.started().len(), 1);
     }
 }
 
 #[test]
-fn snack_brings_status_and_data_again_until_they_are_acknowledged() {
+fn snack_resends_status_and_data_until_they_are_acknowledged() {
     let snack = |kind: u8, itt: u32, from: u32, run: u32, ack: u32| {
         let h = Header::new(Opcode::Snack)
             .set_flags(0x80 | kind)
@@ -562,7 +583,7 @@
             Bytes::new(),
         )
     };
-    let mut r = Rig::with(
+    let mut r = Fixture::with(
         Params {
             recovery_level: 1,
             ..params()
@@ -572,34 +593,34 @@
     );
     r.command(7, READ, 3000, &[]);
     let (task, _) = r.started()[0];
-    r.done(task, Outcome::good(pattern(3000)));
+    r.complete_task(task, Outcome::good(pattern(3000)));
     let first = r.got();
-    r.hear(C1, snack(0, 7, 1, 1, 100));
-    let again = r.got();
-    assert_eq!((again.len(), &again[0].data), (1, &first[1].data));
-    r.hear(C1, snack(1, NO_TAG, 100, 0, 100));
+    r.receive_pdu(C1, snack(0, 7, 1, 1, 100));
+    let resent = r.got();
+    assert_eq!((resent.len(), &resent[0].data), (1, &first[1].data));
+    r.receive_pdu(C1, snack(1, NO_TAG, 100, 0, 100));
     assert_eq!(r.got()[0].header.cmd_sn(), 100);
-    // Acknowledged: nothing is kept. One that acknowledges what was never sent is not believed.
-    r.hear(C1, snack(1, NO_TAG, 0, 0, 5000));
+    // An ExpStatSN beyond the last StatSN is ignored. Acknowledged PDUs are discarded.
+    r.receive_pdu(C1, snack(1, NO_TAG, 0, 0, 5000));
     assert_eq!(r.got().len(), 1);
-    r.hear(C1, snack(0, 7, 0, 0, 101));
+    r.receive_pdu(C1, snack(0, 7, 0, 0, 101));
     let got = r.got();
     assert_eq!(
         (got[0].header.opcode(), got[0].header.byte(2)),
         (Some(Opcode::Reject), RejectReason::Snack as u8)
     );
-    let mut r = Rig::new();
-    r.hear(C1, snack(1, NO_TAG, 100, 0, 100));
+    let mut r = Fixture::new();
+    r.receive_pdu(C1, snack(1, NO_TAG, 100, 0, 100));
     assert_eq!(
         r.got()[0].header.byte(2),
         RejectReason::Snack as u8,
-        "not agreed on at level 0"
+        "SNACK is rejected at ErrorRecoveryLevel 0"
     );
 }
 
 #[test]
 fn the_window_closes_and_opens() {
-    let mut r = Rig::with(params(), 1, 2);
+    let mut r = Fixture::with(params(), 1, 2);
     r.command(1, READ, 8, &[]);
     r.command(2, READ, 8, &[]);
     assert_eq!((r.s.room(), r.s.cmd_sn_bounds()), (0, (3, 2)));
@@ -607,27 +628,26 @@
     assert_eq!(
         r.started().len(),
         2,
-        "outside the window, so never heard of"
+        "the command outside the window is ignored"
     );
-    // Two are open of four: two more. The next response will tell.
+    // With two of four tasks open, the window grants two more. The next response announces it.
     assert!(r.s.set_task_limit(4).is_empty());
     r.sn -= 1;
     r.command(3, READ, 8, &[]);
     assert_eq!((r.started().len(), r.s.cmd_sn_bounds()), (1, (4, 4)));
-    // Every response grants what its task leaves, until nothing is allowed any more; what was
-    // granted stays.
+    // A lower limit takes effect only as tasks complete: the numbers already granted stay valid.
     r.s.set_task_limit(1);
     let most: Vec<u32> = (1..=3)
         .map(|task| {
             let acts = r.s.complete(TaskId(task), Outcome::good(Bytes::new()));
-            let told = acts.iter().find_map(|a| {
+            let announced = acts.iter().find_map(|a| {
                 if let SessionAction::Send { pdu, .. } = a {
                     Some(pdu)
                 } else {
                     None
                 }
             });
-            told.expect("a response").header.word32()
+            announced.expect("a response").header.word32()
         })
         .collect();
     assert_eq!((most, r.s.room()), (vec![4, 4, 4], 1));
@@ -636,22 +656,22 @@
     r.started();
     r.s.complete(TaskId(4), Outcome::good(Bytes::new()));
     assert_eq!(r.s.room(), 0);
-    // Nothing is on its way that could tell: a NOP-In does.
+    // No response is due, so a NOP-In announces the open window.
     let acts = r.s.set_task_limit(2);
-    let told = matches!(&acts[..], [SessionAction::Send { pdu, .. }]
+    let announced = matches!(&acts[..], [SessionAction::Send { pdu, .. }]
         if pdu.header.opcode() == Some(Opcode::NopIn) && pdu.header.word32() == 6);
-    assert!(told, "{acts:?}");
+    assert!(announced, "{acts:?}");
 }
 
 #[test]
-fn nop_text_and_what_a_discovery_session_may_not() {
-    let mut r = Rig::new();
+fn nop_and_text_requests_and_the_limits_of_a_discovery_session() {
+    let mut r = Fixture::new();
     let nop = Header::new(Opcode::NopOut)
         .set_immediate(true)
         .set_flags(0x80)
         .set_itt(3)
         .set_ttt(NO_TAG);
-    r.hear(C1, Pdu::new(nop.set_exp_stat_sn(100), &b"ping"[..]));
+    r.receive_pdu(C1, Pdu::new(nop.set_exp_stat_sn(100), &b"ping"[..]));
     let got = r.got();
     assert_eq!(
         (
@@ -672,20 +692,20 @@
             format!("SendTargets={key}\0").into_bytes(),
         )
     };
-    r.hear(C1, text(""));
+    r.receive_pdu(C1, text(""));
     assert_eq!(
         &r.got()[0].data[..],
         b"TargetName=iqn.a\0TargetAddress=127.0.0.1:3260,1\0"
     );
-    r.hear(C1, text("iqn.b"));
+    r.receive_pdu(C1, text("iqn.b"));
     assert!(
         r.got()[0].data.is_empty(),
-        "a normal session is told of its own target alone"
+        "SendTargets in a normal session lists only its own target"
     );
-    let listing = vec![("iqn.a".to_string(), vec![]), ("iqn.b".to_string(), vec![])];
+    let send_targets = vec![("iqn.a".to_string(), vec![]), ("iqn.b".to_string(), vec![])];
     let mut d = Session::new(
         None,
-        listing,
+        send_targets,
         Limits {
             max_data: 1,
             max_unacknowledged: 4,
@@ -694,9 +714,9 @@
         4,
     );
     d.add_connection(C1, params(), 1);
-    let told = d.receive(C1, Ok(text("All")));
+    let announced = d.receive(C1, Ok(text("All")));
     assert!(
-        matches!(&told[0], SessionAction::Send { pdu, .. } if &pdu.data[..] == b"TargetName=iqn.a\0TargetName=iqn.b\0")
+        matches!(&announced[0], SessionAction::Send { pdu, .. } if &pdu.data[..] == b"TargetName=iqn.a\0TargetName=iqn.b\0")
     );
     let command = Header::new(Opcode::ScsiCommand)
         .set_flags(0x80 | READ)
@@ -708,11 +728,11 @@
 }
 
 #[test]
-fn a_check_condition_carries_its_sense() {
-    let mut r = Rig::new();
+fn check_condition_carries_sense_data() {
+    let mut r = Fixture::new();
     r.command(7, READ, 512, &[]);
     let (task, _) = r.started()[0];
-    r.done(task, Outcome::check(Sense::OUTCOME_UNKNOWN));
+    r.complete_task(task, Outcome::check(Sense::OUTCOME_UNKNOWN));
     let got = r.got();
     assert_eq!(
         (
@@ -728,13 +748,13 @@
     );
 }
 
-/// Whole sessions of malformed and reordered PDUs, seeded: whatever comes, no more good statuses go
-/// out than the device gave, and nothing stays behind at the device.
+/// Runs seeded sessions of random and malformed PDUs. The session must never send more statuses GOOD
+/// than the device reported, and must leave no task behind.
 #[test]
-fn noise_over_whole_sessions() {
+fn random_pdus_over_whole_sessions() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut r = Rig::with(
+        let mut r = Fixture::with(
             Params {
                 recovery_level: (seed % 2) as u32,
                 ..params()
@@ -763,15 +783,15 @@
             match rng.random_range(0..12) {
                 0 => {
                     let acts = r.s.receive(cid, Err(PduError::DataDigest(h)));
-                    r.keep(acts);
+                    r.record_actions(acts);
                 }
                 1 if !open.is_empty() => {
                     let task = open.swap_remove(rng.random_range(0..open.len()));
                     answered += 1;
-                    r.done(task, Outcome::good(pattern(100)));
+                    r.complete_task(task, Outcome::good(pattern(100)));
                 }
                 2 => drop(r.s.set_task_limit(rng.random_range(0..8))),
-                _ => r.hear(cid, Pdu::new(h, data)),
+                _ => r.receive_pdu(cid, Pdu::new(h, data)),
             }
             open.extend(r.started().into_iter().map(|s| s.0));
             for p in r.got() {
@@ -785,13 +805,13 @@
             }
             assert!(
                 good <= answered,
-                "seed {seed}: a good status that no device gave"
+                "seed {seed}: {good} statuses GOOD sent, expected at most {answered}"
             );
         }
         for task in open {
-            r.done(task, Outcome::good(Bytes::new()));
+            r.complete_task(task, Outcome::good(Bytes::new()));
         }
-        // What is left only gathers data, or waits for its turn: nothing of it is at the device.
+        // The remaining tasks wait for data or for an earlier command; none is at the device.
         let lost = [r.s.connection_lost(C1), r.s.connection_lost(C2)].concat();
         assert!(
             !lost
