--- a/crates/iscsi/src/keys/negotiation.rs
+++ b/crates/iscsi/src/keys/negotiation.rs
@@ -41,9 +41,9 @@
     }
 
     /// Returns the value as a number of the range; None if it is not one.
-    fn number(self, least: u32, most: u32) -> Option<u32> {
+    fn number(self, min_value: u32, max_value: u32) -> Option<u32> {
         let number = parse_number(self.value)?;
-        (least..=most).contains(&number).then_some(number)
+        (min_value..=max_value).contains(&number).then_some(number)
     }
 }
 
@@ -86,7 +86,7 @@
         let Some(key) = TABLE.iter().find(|key| key.name == name) else {
             return offer.answer("NotUnderstood");
         };
-        match key.at {
+        match key.phase {
             Use::Leading if !self.leading => {
                 return offer.error("only in a session's first login".into());
             }
@@ -99,18 +99,27 @@
         match key.kind {
             Kind::DeclaresText => Ok(None),
             Kind::Obsolete(answer) => offer.answer(answer),
-            Kind::Declares { least, most } => self.declare(offer, least, most),
-            Kind::Minimum { least, most } => self.agree_number(offer, least, most, u32::min),
-            Kind::Maximum { least, most } => self.agree_number(offer, least, most, u32::max),
+            Kind::Declares {
+                min_value,
+                max_value,
+            } => self.declare(offer, min_value, max_value),
+            Kind::Minimum {
+                min_value,
+                max_value,
+            } => self.agree_number(offer, min_value, max_value, u32::min),
+            Kind::Maximum {
+                min_value,
+                max_value,
+            } => self.agree_number(offer, min_value, max_value, u32::max),
             Kind::And => self.agree_bool(offer, |ours, theirs| ours && theirs),
             Kind::Or => self.agree_bool(offer, |ours, theirs| ours || theirs),
             Kind::FirstOf(known) => self.agree_list(offer, known),
         }
     }
 
-    fn declare(&mut self, offer: Offer, least: u32, most: u32) -> Answer {
-        let Some(number) = offer.number(least, most) else {
-            return offer.error(format!("a number from {least} to {most}"));
+    fn declare(&mut self, offer: Offer, min_value: u32, max_value: u32) -> Answer {
+        let Some(number) = offer.number(min_value, max_value) else {
+            return offer.error(format!("a number from {min_value} to {max_value}"));
         };
         self.agreed.peer_max_segment = number;
         Ok(None)
@@ -121,11 +130,11 @@
     fn agree_number(
         &mut self,
         offer: Offer,
-        least: u32,
-        most: u32,
+        min_value: u32,
+        max_value: u32,
         result: fn(u32, u32) -> u32,
     ) -> Answer {
-        let Some(theirs) = offer.number(least, most) else {
+        let Some(theirs) = offer.number(min_value, max_value) else {
             return offer.answer("Reject");
         };
         let (ours, field) = self.number_field(offer.name);
--- a/crates/iscsi/src/keys/table.rs
+++ b/crates/iscsi/src/keys/table.rs
@@ -6,25 +6,25 @@
     /// One side declares a number; the other does not answer.
     Declares {
         /// The least permitted number.
-        least: u32,
+        min_value: u32,
         /// The greatest permitted number.
-        most: u32,
+        max_value: u32,
     },
     /// One side declares a text; the other does not answer.
     DeclaresText,
     /// The result is the smaller of both sides' numbers.
     Minimum {
         /// The least permitted number.
-        least: u32,
+        min_value: u32,
         /// The greatest permitted number.
-        most: u32,
+        max_value: u32,
     },
     /// The result is the larger of both sides' numbers.
     Maximum {
         /// The least permitted number.
-        least: u32,
+        min_value: u32,
         /// The greatest permitted number.
-        most: u32,
+        max_value: u32,
     },
     /// The result is Yes if both sides send Yes.
     And,
@@ -54,7 +54,7 @@
     /// The rule that determines the value.
     pub kind: Kind,
     /// The phase that permits the key.
-    pub at: Use,
+    pub phase: Use,
     /// The key has no meaning in a discovery session and is answered Irrelevant there.
     pub normal_only: bool,
     /// The section of RFC 7143, or another standard's.
@@ -70,14 +70,14 @@
 const fn key(
     name: &'static str,
     kind: Kind,
-    at: Use,
+    phase: Use,
     normal_only: bool,
     section: &'static str,
 ) -> Key {
     Key {
         name,
         kind,
-        at,
+        phase,
         normal_only,
         section,
     }
@@ -102,8 +102,8 @@
     key(
         "MaxConnections",
         Kind::Minimum {
-            least: 1,
-            most: 65_535,
+            min_value: 1,
+            max_value: 65_535,
         },
         Use::Leading,
         true,
@@ -138,8 +138,8 @@
     key(
         "MaxRecvDataSegmentLength",
         Kind::Declares {
-            least: 512,
-            most: MAX_LENGTH,
+            min_value: 512,
+            max_value: MAX_LENGTH,
         },
         Use::Any,
         false,
@@ -148,8 +148,8 @@
     key(
         "MaxBurstLength",
         Kind::Minimum {
-            least: 512,
-            most: MAX_LENGTH,
+            min_value: 512,
+            max_value: MAX_LENGTH,
         },
         Use::Leading,
         true,
@@ -158,8 +158,8 @@
     key(
         "FirstBurstLength",
         Kind::Minimum {
-            least: 512,
-            most: MAX_LENGTH,
+            min_value: 512,
+            max_value: MAX_LENGTH,
         },
         Use::Leading,
         true,
@@ -168,8 +168,8 @@
     key(
         "DefaultTime2Wait",
         Kind::Maximum {
-            least: 0,
-            most: 3600,
+            min_value: 0,
+            max_value: 3600,
         },
         Use::Leading,
         false,
@@ -178,8 +178,8 @@
     key(
         "DefaultTime2Retain",
         Kind::Minimum {
-            least: 0,
-            most: 3600,
+            min_value: 0,
+            max_value: 3600,
         },
         Use::Leading,
         false,
@@ -188,8 +188,8 @@
     key(
         "MaxOutstandingR2T",
         Kind::Minimum {
-            least: 1,
-            most: 65_535,
+            min_value: 1,
+            max_value: 65_535,
         },
         Use::Leading,
         true,
@@ -199,7 +199,10 @@
     key("DataSequenceInOrder", Kind::Or, Use::Leading, true, "13.19"),
     key(
         "ErrorRecoveryLevel",
-        Kind::Minimum { least: 0, most: 2 },
+        Kind::Minimum {
+            min_value: 0,
+            max_value: 2,
+        },
         Use::Leading,
         false,
         "13.20",
@@ -229,7 +232,10 @@
     ),
     key(
         "iSCSIProtocolLevel",
-        Kind::Minimum { least: 0, most: 31 },
+        Kind::Minimum {
+            min_value: 0,
+            max_value: 31,
+        },
         Use::Leading,
         true,
         "RFC 7144, 7.1.1",
--- a/crates/iscsi/src/pdu/reader.rs
+++ b/crates/iscsi/src/pdu/reader.rs
@@ -80,19 +80,21 @@
         };
         let header = Header(*first);
         let length = header.data_length();
-        let head = BHS + header.ahs_length();
-        let header_sum = if self.digests.header { DIGEST_BYTES } else { 0 };
-        let data_sum = if self.digests.data && length > 0 {
+        let header_bytes = BHS + header.ahs_length();
+        let header_digest_bytes = if self.digests.header { DIGEST_BYTES } else { 0 };
+        let data_digest_bytes = if self.digests.data && length > 0 {
             DIGEST_BYTES
         } else {
             0
         };
         // The header digest is checked before the lengths that it covers are used.
         if self.digests.header {
-            if self.buffer.len() < head + DIGEST_BYTES {
+            if self.buffer.len() < header_bytes + DIGEST_BYTES {
                 return Ok(None);
             }
-            if digest(&self.buffer[..head]) != self.buffer[head..head + DIGEST_BYTES] {
+            if digest(&self.buffer[..header_bytes])
+                != self.buffer[header_bytes..header_bytes + DIGEST_BYTES]
+            {
                 return Err(PduError::HeaderDigest);
             }
         }
@@ -102,16 +104,18 @@
                 limit: self.max_data,
             });
         }
-        let body = padded(length);
-        let total = head + header_sum + body + data_sum;
-        if self.buffer.len() < total {
+        let padded_bytes = padded(length);
+        let pdu_bytes = header_bytes + header_digest_bytes + padded_bytes + data_digest_bytes;
+        if self.buffer.len() < pdu_bytes {
             return Ok(None);
         }
-        let mut pdu = self.buffer.split_to(total);
+        let mut pdu = self.buffer.split_to(pdu_bytes);
         pdu.advance(BHS);
         let ahs = pdu.split_to(header.ahs_length()).freeze();
-        pdu.advance(header_sum);
-        if data_sum > 0 && digest(&pdu[..body]) != pdu[body..body + DIGEST_BYTES] {
+        pdu.advance(header_digest_bytes);
+        if data_digest_bytes > 0
+            && digest(&pdu[..padded_bytes]) != pdu[padded_bytes..padded_bytes + DIGEST_BYTES]
+        {
             return Err(PduError::DataDigest(header));
         }
         pdu.truncate(length);
--- a/crates/iscsi/src/reservations.rs
+++ b/crates/iscsi/src/reservations.rs
@@ -328,7 +328,7 @@
         let held_by_all = self
             .holder
             .is_some_and(|(_, kind)| kind.is_held_by_all_registrants());
-        let taken: BTreeSet<Nexus> = match (service_key, held_by_all) {
+        let preempted: BTreeSet<Nexus> = match (service_key, held_by_all) {
             (0, true) => self
                 .keys
                 .keys()
@@ -343,23 +343,26 @@
                 .map(|(other, _)| *other)
                 .collect(),
         };
-        if taken.is_empty() && !(service_key == 0 && held_by_all) {
+        if preempted.is_empty() && !(service_key == 0 && held_by_all) {
             return Err(ReservationError::Conflict);
         }
         let takes_over =
-            (service_key == 0 && held_by_all) || (!held_by_all && taken.iter().any(holds));
+            (service_key == 0 && held_by_all) || (!held_by_all && preempted.iter().any(holds));
         if takes_over && kind.is_none() {
             return Err(ReservationError::Check(Sense::INVALID_FIELD_IN_CDB));
         }
         self.generation = self.generation.wrapping_add(1);
-        for other in taken.iter().filter(|other| **other != nexus) {
+        for other in preempted.iter().filter(|other| **other != nexus) {
             self.keys.remove(other);
             effects
                 .attentions
                 .push((*other, Sense::REGISTRATIONS_PREEMPTED));
         }
         if abort {
-            effects.aborted = taken.into_iter().filter(|other| *other != nexus).collect();
+            effects.aborted = preempted
+                .into_iter()
+                .filter(|other| *other != nexus)
+                .collect();
         }
         if let (true, Some(kind)) = (takes_over, kind) {
             self.holder = Some((nexus, kind));
--- a/crates/iscsi/src/session.rs
+++ b/crates/iscsi/src/session.rs
@@ -303,7 +303,7 @@
     }
 
     /// Returns the number of commands that the window accepts.
-    pub fn room(&self) -> u32 {
+    pub fn window_capacity(&self) -> u32 {
         self.window.capacity()
     }
 
@@ -950,11 +950,11 @@
             1 => (Vec::new(), 1),
             _ => (Vec::new(), 2), // REMOVE FOR RECOVERY requires ErrorRecoveryLevel 2
         };
-        let retain = self
+        let wait_and_retain = self
             .connections
             .get(&cid)
             .map_or((0, 0), |c| (c.params.time2wait, c.params.time2retain));
-        let times = (retain.0 << 16) | (retain.1 & 0xffff);
+        let times = (wait_and_retain.0 << 16) | (wait_and_retain.1 & 0xffff);
         let header = Header::new(Opcode::LogoutResponse)
             .set_flags(0x80)
             .set_byte(2, response)
@@ -979,8 +979,8 @@
         };
         let resent: Vec<Pdu> = match h.flags() & 0x0f {
             0 => {
-                let of = c.sent_data_in.iter().find(|(itt, ..)| *itt == h.itt());
-                let data_in_pdus = of.map(|(_, _, p)| p.as_slice()).unwrap_or_default();
+                let read = c.sent_data_in.iter().find(|(itt, ..)| *itt == h.itt());
+                let data_in_pdus = read.map(|(_, _, p)| p.as_slice()).unwrap_or_default();
                 data_in_pdus
                     .iter()
                     .filter(|p| inside(p.header.word36()))
--- a/crates/iscsi/tests/login.rs
+++ b/crates/iscsi/tests/login.rs
@@ -24,14 +24,14 @@
             secret: secret.to_vec(),
         })
     };
-    let guarded = Target {
+    let chap_target = Target {
         name: "iqn.2026-12.org.example:guarded".into(),
         initiators: Some(vec!["iqn.host".into()]),
         chap: secret("alice", SECRET),
         mutual: secret("target", b"another secret of ours"),
     };
     Portal {
-        targets: vec![plain, guarded],
+        targets: vec![plain, chap_target],
         group: 1,
         ..Portal::default()
     }
@@ -65,8 +65,8 @@
         .set_immediate(true)
         .set_flags(flags)
         .set_itt(1);
-    let chance: [u8; 17] = std::array::from_fn(|i| i as u8 + 100);
-    let (answer, standing) = login.request(&Pdu::new(header, text), chance, (5, 1, 8));
+    let random_bytes: [u8; 17] = std::array::from_fn(|i| i as u8 + 100);
+    let (answer, standing) = login.request(&Pdu::new(header, text), random_bytes, (5, 1, 8));
     assert_eq!(answer.header.opcode(), Some(Opcode::LoginResponse));
     (answer.header, parse(&answer.data).unwrap(), standing)
 }
@@ -83,7 +83,7 @@
     ("SessionType", "Normal"),
     ("TargetName", "iqn.2026-12.org.example:plain"),
 ];
-const GUARDED: [(&str, &str); 3] = [
+const CHAP_TARGET: [(&str, &str); 3] = [
     ("InitiatorName", "iqn.host"),
     ("TargetName", "iqn.2026-12.org.example:guarded"),
     ("AuthMethod", "CHAP,None"),
@@ -129,8 +129,12 @@
     ];
     for (key, offer, answer) in cases {
         let mut n = Negotiation::new(Preferences::default(), Params::default(), true, true);
-        let said = n.offer(key, offer).unwrap();
-        assert_eq!(said.as_ref().map(|s| s.1.as_str()), answer, "{key}={offer}");
+        let answers = n.offer(key, offer).unwrap();
+        assert_eq!(
+            answers.as_ref().map(|s| s.1.as_str()),
+            answer,
+            "{key}={offer}"
+        );
         assert_eq!(n.offer(key, offer), Err(KeyError::Duplicate(key.into())));
     }
     let mut n = Negotiation::new(Preferences::default(), Params::default(), true, true);
@@ -154,37 +158,37 @@
 fn a_plain_login_in_one_and_in_two_stages() {
     let mut login = Login::new(portal());
     let keys = [&PLAIN[..], &[("HeaderDigest", "CRC32C")]].concat();
-    let (h, said, standing) = send(&mut login, flags(true, 1, 3), &keys);
+    let (h, answers, standing) = send(&mut login, flags(true, 1, 3), &keys);
     assert_eq!(
         (h.flags(), h.cmd_sn(), h.exp_stat_sn(), h.word32()),
         (0x80 | 1 << 2 | 3, 5, 1, 8)
     );
     assert_eq!(
         (
-            get(&said, "HeaderDigest"),
-            get(&said, "MaxRecvDataSegmentLength")
+            get(&answers, "HeaderDigest"),
+            get(&answers, "MaxRecvDataSegmentLength")
         ),
         (Some("CRC32C"), Some("262144"))
     );
-    let Standing::Done(who) = standing else {
+    let Standing::Done(logged_in) = standing else {
         panic!("{standing:?}")
     };
     assert!(
-        who.params.header_digest
-            && who.target.as_deref() == Some(PLAIN[2].1)
-            && who.initiator == "iqn.host"
+        logged_in.params.header_digest
+            && logged_in.target.as_deref() == Some(PLAIN[2].1)
+            && logged_in.initiator == "iqn.host"
     );
 
     let mut login = Login::new(portal());
     let keys = [&PLAIN[..], &[("AuthMethod", "None")]].concat();
-    let (h, said, standing) = send(&mut login, flags(true, 0, 1), &keys);
+    let (h, answers, standing) = send(&mut login, flags(true, 0, 1), &keys);
     assert_eq!(
-        (h.flags(), get(&said, "AuthMethod"), &standing),
+        (h.flags(), get(&answers, "AuthMethod"), &standing),
         (0x81, Some("None"), &Standing::Goes)
     );
-    assert_eq!(get(&said, "TargetPortalGroupTag"), Some("1"));
+    assert_eq!(get(&answers, "TargetPortalGroupTag"), Some("1"));
     let (.., standing) = send(&mut login, flags(true, 1, 3), &[("MaxBurstLength", "8192")]);
-    assert!(matches!(standing, Standing::Done(who) if who.params.max_burst == 8192));
+    assert!(matches!(standing, Standing::Done(logged_in) if logged_in.params.max_burst == 8192));
 }
 
 #[test]
@@ -196,46 +200,47 @@
         ("AuthMethod", "None"),
     ];
     let (.., standing) = send(&mut login, flags(true, 0, 3), &keys);
-    assert!(matches!(standing, Standing::Done(who) if who.target.is_none()));
+    assert!(matches!(standing, Standing::Done(logged_in) if logged_in.target.is_none()));
 }
 
 /// Returns the response to the target's challenge.
-fn respond(said: &[(String, String)], secret: &[u8]) -> String {
-    let id = get(said, "CHAP_I").unwrap().parse().unwrap();
-    let challenge = from_text(get(said, "CHAP_C").unwrap()).unwrap();
+fn respond(answers: &[(String, String)], secret: &[u8]) -> String {
+    let id = get(answers, "CHAP_I").unwrap().parse().unwrap();
+    let challenge = from_text(get(answers, "CHAP_C").unwrap()).unwrap();
     to_text(&Algorithm::Md5.response(id, secret, &challenge))
 }
 
 /// Starts a login to the target with CHAP and returns it with the target's challenge.
-fn challenged() -> (Login, Vec<(String, String)>) {
+fn login_with_challenge() -> (Login, Vec<(String, String)>) {
     let mut login = Login::new(portal());
-    let (_, said, standing) = send(&mut login, flags(false, 0, 0), &GUARDED);
+    let (_, answers, standing) = send(&mut login, flags(false, 0, 0), &CHAP_TARGET);
     assert_eq!(
-        (get(&said, "AuthMethod"), standing),
+        (get(&answers, "AuthMethod"), standing),
         (Some("CHAP"), Standing::Goes)
     );
-    let (_, said, _) = send(&mut login, flags(false, 0, 0), &[("CHAP_A", "5")]);
-    assert_eq!(get(&said, "CHAP_A"), Some("5"));
-    (login, said)
+    let (_, answers, _) = send(&mut login, flags(false, 0, 0), &[("CHAP_A", "5")]);
+    assert_eq!(get(&answers, "CHAP_A"), Some("5"));
+    (login, answers)
 }
 
 #[test]
 fn chap_one_way_and_mutual() {
-    let (mut login, said) = challenged();
-    let response = respond(&said, SECRET);
-    let theirs = [9u8; 16];
-    let challenge = to_text(&theirs);
+    let (mut login, answers) = login_with_challenge();
+    let response = respond(&answers, SECRET);
+    let initiator_challenge = [9u8; 16];
+    let challenge = to_text(&initiator_challenge);
     let keys = [
         ("CHAP_N", "alice"),
         ("CHAP_R", &response),
         ("CHAP_I", "44"),
         ("CHAP_C", &challenge),
     ];
-    let (h, said, standing) = send(&mut login, flags(true, 0, 1), &keys);
+    let (h, answers, standing) = send(&mut login, flags(true, 0, 1), &keys);
     assert_eq!((h.flags() & 0x83, standing), (0x81, Standing::Goes));
-    let expected = to_text(&Algorithm::Md5.response(44, b"another secret of ours", &theirs));
+    let expected =
+        to_text(&Algorithm::Md5.response(44, b"another secret of ours", &initiator_challenge));
     assert_eq!(
-        (get(&said, "CHAP_N"), get(&said, "CHAP_R")),
+        (get(&answers, "CHAP_N"), get(&answers, "CHAP_R")),
         (Some("target"), Some(expected.as_str()))
     );
     let (.., standing) = send(&mut login, flags(true, 1, 3), &[]);
@@ -248,20 +253,20 @@
         |standing: Standing| matches!(standing, Standing::Failed(Status::AuthenticationFailure, _));
     // A wrong secret, a wrong name, and no response.
     for (name, secret) in [("alice", &b"some other secret.."[..]), ("bob", SECRET)] {
-        let (mut login, said) = challenged();
-        let response = respond(&said, secret);
+        let (mut login, answers) = login_with_challenge();
+        let response = respond(&answers, secret);
         let keys = [("CHAP_N", name), ("CHAP_R", response.as_str())];
         assert!(
             fails(send(&mut login, flags(true, 0, 1), &keys).2),
             "{name}"
         );
     }
-    let (mut login, _) = challenged();
+    let (mut login, _) = login_with_challenge();
     assert!(fails(
         send(&mut login, flags(true, 0, 1), &[("CHAP_N", "alice")]).2
     ));
     // Replay: the response to the challenge of another login.
-    let (mut login, _) = challenged();
+    let (mut login, _) = login_with_challenge();
     let old = to_text(&Algorithm::Md5.response(1, SECRET, b"yesterday's challenge"));
     assert!(fails(
         send(
@@ -272,38 +277,42 @@
         .2
     ));
     // Reflection: the initiator sends the target's own challenge back.
-    let (mut login, said) = challenged();
-    let response = respond(&said, SECRET);
-    let ours = get(&said, "CHAP_C").unwrap().to_string();
+    let (mut login, answers) = login_with_challenge();
+    let response = respond(&answers, SECRET);
+    let target_challenge = get(&answers, "CHAP_C").unwrap().to_string();
     let keys = [
         ("CHAP_N", "alice"),
         ("CHAP_R", &response),
         ("CHAP_I", "1"),
-        ("CHAP_C", &ours),
+        ("CHAP_C", &target_challenge),
     ];
     assert!(fails(send(&mut login, flags(true, 0, 1), &keys).2));
     // The initiator skips or leaves the security stage without authentication.
     let mut login = Login::new(portal());
-    assert!(fails(send(&mut login, flags(true, 1, 3), &GUARDED[..2]).2));
+    assert!(fails(
+        send(&mut login, flags(true, 1, 3), &CHAP_TARGET[..2]).2
+    ));
     let mut login = Login::new(portal());
-    assert!(fails(send(&mut login, flags(true, 0, 3), &GUARDED[..2]).2));
+    assert!(fails(
+        send(&mut login, flags(true, 0, 3), &CHAP_TARGET[..2]).2
+    ));
     // CHAP keys out of order, a second AuthMethod, and no common algorithm.
     let mut login = Login::new(portal());
     assert!(fails(
         send(
             &mut login,
             flags(false, 0, 0),
-            &[&GUARDED[..2], &[("CHAP_A", "5")]].concat()
+            &[&CHAP_TARGET[..2], &[("CHAP_A", "5")]].concat()
         )
         .2
     ));
     let mut login = Login::new(portal());
-    send(&mut login, flags(false, 0, 0), &GUARDED);
+    send(&mut login, flags(false, 0, 0), &CHAP_TARGET);
     assert!(fails(
         send(&mut login, flags(false, 0, 0), &[("AuthMethod", "CHAP")]).2
     ));
     let mut login = Login::new(portal());
-    send(&mut login, flags(false, 0, 0), &GUARDED);
+    send(&mut login, flags(false, 0, 0), &CHAP_TARGET);
     assert!(fails(
         send(&mut login, flags(false, 0, 0), &[("CHAP_A", "6,8")]).2
     ));
@@ -331,7 +340,7 @@
         ),
         (
             flags(true, 1, 3),
-            vec![("InitiatorName", "iqn.other"), GUARDED[1]],
+            vec![("InitiatorName", "iqn.other"), CHAP_TARGET[1]],
             Status::AuthorizationFailure,
         ),
         (
@@ -375,9 +384,9 @@
     let whole = format(&pairs(&PLAIN));
     let mut login = Login::new(portal());
     let (half, rest) = whole.split_at(20);
-    let (h, said, standing) = send_text(&mut login, 1 << 2 | 0x40, half.to_vec());
+    let (h, answers, standing) = send_text(&mut login, 1 << 2 | 0x40, half.to_vec());
     assert_eq!(
-        (h.flags() & 0x80, said, standing),
+        (h.flags() & 0x80, answers, standing),
         (0, vec![], Standing::Goes)
     );
     let (.., standing) = send_text(&mut login, flags(true, 1, 3), rest.to_vec());
--- a/crates/iscsi/tests/session.rs
+++ b/crates/iscsi/tests/session.rs
@@ -191,18 +191,18 @@
 
 #[test]
 fn underflow_and_overflow_are_reported_as_residual_counts() {
-    for (there, flags, residual) in [(100, 0x83, 412), (512, 0x81, 0), (700, 0x85, 188)] {
+    for (available, flags, residual) in [(100, 0x83, 412), (512, 0x81, 0), (700, 0x85, 188)] {
         let mut r = Fixture::new();
         r.command(7, READ, 512, &[]);
         let (task, _) = r.started()[0];
-        r.complete_task(task, Outcome::good(pattern(there)));
+        r.complete_task(task, Outcome::good(pattern(available)));
         let got = r.got();
         assert_eq!(
             (got.len(), got[0].header.flags(), got[0].header.word44()),
             (1, flags, residual),
-            "{there}"
+            "{available}"
         );
-        assert_eq!(got[0].data.len(), there.min(512) as usize);
+        assert_eq!(got[0].data.len(), available.min(512) as usize);
     }
 }
 
@@ -431,7 +431,7 @@
 
 #[test]
 fn an_abort_is_answered_once_the_task_has_ended_and_the_task_gets_no_response() {
-    let managed = |r: &mut Fixture| -> Vec<u8> {
+    let management_responses = |r: &mut Fixture| -> Vec<u8> {
         let got = r.got();
         assert!(
             got.iter()
@@ -453,7 +453,7 @@
             }]
         );
         assert!(
-            managed(&mut r).is_empty(),
+            management_responses(&mut r).is_empty(),
             "the device may still perform the command"
         );
         let acts = if answered {
@@ -462,7 +462,7 @@
             r.s.abort_complete(task)
         };
         r.record_actions(acts);
-        assert_eq!(managed(&mut r), [0]);
+        assert_eq!(management_responses(&mut r), [0]);
     }
     // The task has already completed: it does not exist.
     let mut r = Fixture::new();
@@ -471,13 +471,13 @@
     r.complete_task(task, Outcome::good(pattern(8)));
     r.got();
     r.send_task_management(50, 1, 0, 7, 1);
-    assert_eq!(managed(&mut r), [1]);
+    assert_eq!(management_responses(&mut r), [1]);
     // A command that is aborted before it arrives consumes its CmdSN and is ignored on arrival.
     let mut r = Fixture::new();
     let late = r.header(7, 0x80 | READ, 8);
     r.sn += 1;
     r.send_task_management(50, 1, 0, 7, 1);
-    assert_eq!(managed(&mut r), [0]);
+    assert_eq!(management_responses(&mut r), [0]);
     r.receive_pdu(C1, Pdu::new(late, Bytes::new()));
     assert!(r.started().is_empty());
     r.command(8, READ, 8, &[]);
@@ -492,7 +492,7 @@
     r.got();
     r.send_task_management(50, 1, 0, 7, 1);
     assert_eq!(
-        (managed(&mut r), r.acts.len(), r.s.tasks()),
+        (management_responses(&mut r), r.acts.len(), r.s.tasks()),
         (vec![0], 0, 0)
     );
 }
@@ -623,7 +623,7 @@
     let mut r = Fixture::with(params(), 1, 2);
     r.command(1, READ, 8, &[]);
     r.command(2, READ, 8, &[]);
-    assert_eq!((r.s.room(), r.s.cmd_sn_bounds()), (0, (3, 2)));
+    assert_eq!((r.s.window_capacity(), r.s.cmd_sn_bounds()), (0, (3, 2)));
     r.command(3, READ, 8, &[]);
     assert_eq!(
         r.started().len(),
@@ -637,7 +637,7 @@
     assert_eq!((r.started().len(), r.s.cmd_sn_bounds()), (1, (4, 4)));
     // A lower limit takes effect only as tasks complete: the numbers already granted stay valid.
     r.s.set_task_limit(1);
-    let most: Vec<u32> = (1..=3)
+    let max_cmd_sns: Vec<u32> = (1..=3)
         .map(|task| {
             let acts = r.s.complete(TaskId(task), Outcome::good(Bytes::new()));
             let announced = acts.iter().find_map(|a| {
@@ -650,12 +650,12 @@
             announced.expect("a response").header.word32()
         })
         .collect();
-    assert_eq!((most, r.s.room()), (vec![4, 4, 4], 1));
+    assert_eq!((max_cmd_sns, r.s.window_capacity()), (vec![4, 4, 4], 1));
     r.s.set_task_limit(0);
     r.command(4, READ, 8, &[]);
     r.started();
     r.s.complete(TaskId(4), Outcome::good(Bytes::new()));
-    assert_eq!(r.s.room(), 0);
+    assert_eq!(r.s.window_capacity(), 0);
     // No response is due, so a NOP-In announces the open window.
     let acts = r.s.set_task_limit(2);
     let announced = matches!(&acts[..], [SessionAction::Send { pdu, .. }]
