--- a/crates/iscsi/src/reservations/tests.rs
+++ b/crates/iscsi/src/reservations/tests.rs
@@ -75,7 +75,7 @@
         reservations
             .persistent_reserve_out(A, 1, 0, 1, &list(10, 0))
             .is_ok(),
-        "the same again"
+        "RESERVE of the same type by the holder"
     );
     assert_eq!(
         reservations.persistent_reserve_out(B, 1, 0, 1, &list(20, 0)),
@@ -90,7 +90,7 @@
             .persistent_reserve_out(B, 2, 0, 1, &list(20, 0))
             .is_ok()
             && !reservations.allows(B, &WRITE),
-        "not its own to release"
+        "RELEASE by a nexus that does not hold the reservation"
     );
     assert_eq!(
         reservations.persistent_reserve_out(A, 1, 0, 1, &[0; 8]),
@@ -121,7 +121,7 @@
     assert_eq!(
         reservations.persistent_reserve_out(B, 4, 0, 1, &list(20, 77)),
         Err(ReservationError::Conflict),
-        "no nexus has that key"
+        "PREEMPT with a key that no nexus has registered"
     );
     assert_eq!(
         reservations.persistent_reserve_in(1).unwrap()[8..16],
--- a/crates/iscsi/src/window/tests.rs
+++ b/crates/iscsi/src/window/tests.rs
@@ -30,7 +30,7 @@
     assert_eq!(
         (window.capacity(), window.max_cmd_sn()),
         (1, SerialNumber(0)),
-        "granted before"
+        "the number granted before stays valid"
     );
     assert_eq!(
         window.receive(SerialNumber(0), ()),
@@ -40,7 +40,7 @@
     assert_eq!(
         window.capacity(),
         0,
-        "closed: MaxCmdSN is ExpCmdSN less one"
+        "a closed window: MaxCmdSN is ExpCmdSN - 1"
     );
     assert_eq!(window.receive(SerialNumber(1), ()), Arrival::OutsideWindow);
     window.grant(3);
--- a/crates/iscsi/tests/scsi.rs
+++ b/crates/iscsi/tests/scsi.rs
@@ -128,7 +128,7 @@
     let command = decode(&cdb(bytes)).unwrap();
     unit()
         .answer(&command, &[0, 1 << 48], Sense::POWER_ON)
-        .expect("command that needs no data of the disk")
+        .expect("a command that needs no data of the disk")
 }
 
 #[test]
