--- a/crates/iscsi-target/src/blocks.rs
+++ b/crates/iscsi-target/src/blocks.rs
@@ -1,19 +1,18 @@
-//! A command on blocks, split by extent, and its outcome from those of the pieces.
+//! Splits a block command by extent and combines the outcomes of its pieces.
 //!
-//! Called by the engine. A volume's blocks lie in extents of a fixed number of blocks, and a
-//! request touches one extent. [`Layout::pieces`] splits a range; [`Gather`] takes the pieces'
-//! outcomes, in any order, and makes the one outcome of the command, that of its worst piece:
+//! Used by the engine. A volume is divided into extents of a fixed number of blocks, and a request
+//! touches one extent. [`Layout::pieces`] splits a range; [`Gather`] collects the outcomes of the
+//! pieces in any order. The command's outcome is that of its worst piece:
 //!
 //! | pieces | command | why |
 //! | --- | --- | --- |
 //! | all completed | GOOD, with the data of reads | |
 //! | some rejected, none failed | BUSY, retry after the longest time | sent again with the same data |
 //! | any failed | CHECK CONDITION, outcome unknown | neither success nor failure is certain |
-//! | any not persisted | CHECK CONDITION, write error | its place would be lost with this process |
+//! | any not persisted | CHECK CONDITION, write error | the placement would be lost on a restart |
 //!
-//! The outcome is given when the last piece has its own: until then an attempt may be in progress,
-//! and an answer that came before it could be overtaken by its effect. A read's memory is its data,
-//! once.
+//! The outcome is returned with that of the last piece: until then an attempt may be in progress,
+//! which could take effect after an earlier response. The data of a read is held in memory once.
 
 use bytes::{Bytes, BytesMut};
 use grebecleat_iscsi::scsi::{Sense, Status};
@@ -25,15 +24,15 @@
 pub struct Piece {
     /// The extent's index in the volume.
     pub extent: u64,
-    /// Where it begins in its extent.
+    /// Offset in its extent.
     pub offset: u32,
-    /// Where it begins in the command's data.
+    /// Offset in the command's data.
     pub at: usize,
     /// Its length, at least one block.
     pub length: u32,
 }
 
-/// How a volume's blocks lie in extents.
+/// Mapping of a volume's blocks to extents.
 #[derive(Debug, Clone, Copy)]
 pub struct Layout {
     /// Bytes of a block.
@@ -77,31 +76,31 @@
     }
 }
 
-/// What became of a piece's request.
+/// Outcome of the request of a piece.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Done. Data of reads; less than asked for is zeroes from there on, for blocks that were never
-    /// written.
+    /// The request was executed. Holds the data of a read; if it is shorter than requested, the
+    /// rest was never written and reads as zeroes.
     Completed(Bytes),
-    /// Turned away before it was done, as far as is known.
+    /// Rejected, as far as is known without being executed.
     Rejected {
-        /// When it may be sent again, if the host gave a time.
+        /// Time after which it may be sent again, if the host gave one.
         retry_after: Option<Duration>,
         /// A write may take effect later than this answer.
         may_still_apply: bool,
     },
-    /// Not done, or done without anyone knowing.
+    /// Failed; whether it was executed is unknown.
     Failed {
         /// A write may take effect later than this answer.
         may_still_apply: bool,
     },
-    /// Done, but for blocks of which the node has that newer version.
+    /// Completed without effect on blocks for which the node holds this newer version.
     Superseded(u64),
-    /// Done or not, but its place cannot be persisted.
+    /// The placement of its extent cannot be persisted; the request may have been executed.
     NotPersisted,
 }
 
-/// The worst outcome among a command's pieces, in rising order.
+/// Severity of the outcomes of a command's pieces, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Worst {
     Completed,
@@ -110,18 +109,18 @@
     NotPersisted,
 }
 
-/// The outcomes of one command's pieces, as they come.
+/// Collects the outcomes of one command's pieces.
 #[derive(Debug)]
 pub struct Gather {
-    /// Pieces in their order; none where the outcome has come.
+    /// The pieces in order; `None` for those whose outcome was received.
     missing: Vec<Option<Piece>>,
     open: usize,
-    /// Of the whole command.
+    /// Data length of the whole command.
     total_bytes: usize,
     reads: bool,
-    /// Data of reads in several pieces; empty until the first has come.
+    /// Data of a read in several pieces; empty until the first outcome.
     data: BytesMut,
-    /// Data of a read in one piece, not copied.
+    /// Data of a read in one piece, which is not copied.
     single: Option<Bytes>,
     worst: Worst,
     retry_after: Option<Duration>,
@@ -131,16 +130,16 @@
 /// A command's outcome.
 #[derive(Debug, PartialEq)]
 pub struct Gathered {
-    /// What the initiator gets.
+    /// SCSI outcome to send to the initiator.
     pub outcome: Outcome,
-    /// After which time a BUSY command may be sent again, if the host gave one.
+    /// Time after which a BUSY command may be sent again, if the host gave one.
     pub retry_after: Option<Duration>,
-    /// A write of which a part may take effect later.
+    /// Whether a part of a write may take effect later.
     pub may_still_apply: bool,
 }
 
 impl Gather {
-    /// No outcome has come yet. `reads`: the command wants the data of its pieces.
+    /// Starts without outcomes. `reads`: the command needs the data of its pieces.
     pub fn new(pieces: Vec<Piece>, reads: bool) -> Self {
         Gather {
             open: pieces.len(),
@@ -155,8 +154,8 @@
         }
     }
 
-    /// Takes the outcome of the piece with that index; the command's outcome, once it is the last.
-    /// A second outcome of one piece changes nothing.
+    /// Adds the outcome of the piece with the given index; returns the command's outcome after the
+    /// last one. A second outcome of a piece is ignored.
     pub fn add(&mut self, index: usize, outcome: RequestOutcome) -> Option<Gathered> {
         let piece = self.missing.get_mut(index)?.take()?;
         self.open -= 1;
@@ -184,7 +183,7 @@
         (self.open == 0).then(|| self.gathered())
     }
 
-    /// All of a command's data in one piece is passed on without a copy.
+    /// Stores the data of a piece. The data of a command with a single piece is not copied.
     fn add_data(&mut self, piece: Piece, data: &Bytes) {
         let length = piece.length as usize;
         if self.missing.len() == 1 && data.len() >= length {
--- a/crates/iscsi-target/src/lib.rs
+++ b/crates/iscsi-target/src/lib.rs
@@ -1,12 +1,12 @@
-//! iSCSI over the gateway: a LUN is a volume, a command one request for each extent that it
-//! touches.
+//! iSCSI target of the gateway: a LUN is a volume, and a command becomes one request for each
+//! extent that it touches.
 //!
-//! Lies between `grebecleat_iscsi`'s sessions and the host. Without I/O: [`engine`] (logins,
-//! sessions and commands), [`blocks`] (commands split by extent, and their outcomes put together),
-//! [`overlaps`] (which commands must wait for which), [`pressure`] (how many commands each session
-//! may have open) and [`versions`] (by what nodes recognize a late write). With it: [`portal`] (the
-//! sockets). It must never answer a command twice, nor choose where a request goes. Begin with
-//! [`engine`].
+//! It connects the sessions of `grebecleat_iscsi` to the host. Modules without I/O: [`engine`]
+//! (logins, sessions and commands), [`blocks`] (splits commands by extent and combines the
+//! outcomes), [`overlaps`] (the order of overlapping commands), [`pressure`] (the command window of
+//! each session) and [`versions`] (write versions, by which nodes recognize a late write).
+//! [`portal`] does the socket I/O. The target never answers a command twice and does not choose the
+//! node of a request; the host does. Start reading at [`engine`].
 #![warn(missing_docs, clippy::unwrap_used, clippy::wildcard_imports)]
 
 pub mod blocks;
--- a/crates/iscsi-target/src/overlaps.rs
+++ b/crates/iscsi-target/src/overlaps.rs
@@ -1,28 +1,28 @@
-//! Which commands of one volume must wait for which: those whose blocks overlap, where at least one
-//! writes.
+//! Orders the commands of one volume whose blocks overlap and of which at least one writes.
 //!
-//! Called by the engine when a command begins and ends. SAM-5 lets simple tasks pass each other,
-//! but initiators that send a read behind a write of the same blocks in one window expect it to see
-//! the write, and two writes that race through different attempts could end in either order on
-//! different extents. So overlapping ones go in the order they came. A command that waits also
-//! delays later ones that overlap it, or a stream of reads could starve a write.
+//! The engine calls it when a command starts and ends. SAM-5 allows simple tasks to be reordered,
+//! but initiators that send a read after a write of the same blocks within one window expect it to
+//! see the write, and two concurrent writes could be applied in a different order on different
+//! extents. Overlapping commands are therefore executed in the order of arrival. A waiting command
+//! also delays later ones that overlap it, since a stream of reads could otherwise starve a write.
 //!
-//! A write that has ended, but of which an attempt may still run, is *late*: later writes pass it,
-//! since a node recognizes the old one by its version, and reads wait, or they could see it appear
-//! between two of them. Once a later write has covered it, nothing of it can appear any more.
+//! A write that has ended, but of which an attempt may still be running, is *late*. Later writes do
+//! not wait for it, since a node recognizes the older write by its version. Reads wait, since its
+//! data could otherwise appear between two reads. Once a later write has covered it, it can no
+//! longer take effect.
 //!
-//! Ranges are ordered by their first block. A look-up for `[a, b)` goes from the first range that
-//! can reach `a`, given the longest range there is, which SCSI's block limits bound; the tests
-//! count what it visits against a plain list.
+//! Ranges are ordered by their first block. A lookup for `[a, b)` starts at the first range that
+//! can reach `a`, given the length of the longest open range, which the SCSI block limits bound.
+//! The tests compare the results with a linear search and count the visited ranges.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The blocks of a command, from `start` up to and without `end`.
+/// The blocks of a command, `start` inclusive to `end` exclusive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Range {
     /// First block.
     pub start: u64,
-    /// The block behind the last.
+    /// First block after the range.
     pub end: u64,
     /// Whether the command writes.
     pub writes: bool,
@@ -40,31 +40,31 @@
     }
 }
 
-/// The open commands of one volume, by their owner's numbers, which only grow.
+/// The open commands of one volume, by command number. Numbers ascend in the order of arrival.
 #[derive(Debug, Default)]
 pub struct Overlaps {
     open: BTreeMap<u64, Entry>,
     /// First block and number of every open range.
     starts: BTreeSet<(u64, u64)>,
-    /// Blocks of the longest range since there was none.
+    /// Length in blocks of the longest range since the set was last empty.
     longest: u64,
-    /// Ranges looked at so far.
+    /// Number of ranges visited by lookups so far.
     pub visited: u64,
 }
 
 #[derive(Debug)]
 struct Entry {
     range: Range,
-    /// How many earlier commands it waits for.
+    /// Number of earlier commands that it waits for.
     waits_for: usize,
     /// Later commands that wait for it.
     waiters: VecDeque<u64>,
-    /// It has ended and may still take effect.
+    /// The command has ended, but may still take effect.
     late: bool,
 }
 
 impl Overlaps {
-    /// Takes a command; whether it may go at once.
+    /// Adds a command; returns whether it may start at once.
     pub fn open(&mut self, no: u64, range: Range) -> bool {
         let from = (range.start.saturating_sub(self.longest), 0);
         let mut waits_for = 0;
@@ -88,7 +88,8 @@
         waits_for == 0
     }
 
-    /// A command has ended; which may go now, in the order they came.
+    /// Removes a command that has ended; returns the commands that may start now, in the order of
+    /// arrival.
     pub fn close(&mut self, no: u64) -> Vec<u64> {
         let Some(entry) = self.open.remove(&no) else {
             return Vec::new();
@@ -100,8 +101,8 @@
         self.release(entry.waiters)
     }
 
-    /// A write was completed and has ended: late writes that it covers are over too. Which commands
-    /// may go now, in the order they came.
+    /// Removes a completed write and the late writes that it covers; returns the commands that may
+    /// start now, in the order of arrival.
     pub fn close_covering(&mut self, no: u64) -> Vec<u64> {
         let Some(entry) = self.open.get(&no) else {
             return Vec::new();
@@ -124,8 +125,8 @@
         ready
     }
 
-    /// A write has ended and may still take effect: it stays until it is closed or covered. Which
-    /// writes may go now, in the order they came.
+    /// Marks a write that has ended as late: it stays until it is closed or covered. Returns the
+    /// writes that may start now, in the order of arrival.
     pub fn set_late(&mut self, no: u64) -> Vec<u64> {
         let Some(entry) = self.open.get_mut(&no) else {
             return Vec::new();
@@ -146,7 +147,7 @@
     fn release(&mut self, waiters: VecDeque<u64>) -> Vec<u64> {
         let mut ready = Vec::new();
         for waiter in waiters {
-            // One that was closed while it waited is gone.
+            // A command that was closed while waiting is no longer in the map.
             let Some(entry) = self.open.get_mut(&waiter) else {
                 continue;
             };
@@ -159,7 +160,7 @@
         ready
     }
 
-    /// Open commands, those that wait and late writes among them.
+    /// Number of open commands, including waiting commands and late writes.
     pub fn len(&self) -> usize {
         self.open.len()
     }
--- a/crates/iscsi-target/src/pressure.rs
+++ b/crates/iscsi-target/src/pressure.rs
@@ -1,68 +1,70 @@
-//! How many commands each session of a volume may have open: back-pressure by the command window.
+//! Limits the commands that each session of a volume may have open: back-pressure through the
+//! command window.
 //!
-//! Called by the engine: `opened` and `closed` for each command, `step` after them, which returns
-//! the sessions that may have more or fewer open; each session's window is what is left of that.
-//! The desired state is one budget of open commands for each volume, divided among its sessions by
-//! max-min fairness; `step` compares it with what was last granted.
+//! The engine calls `opened` and `closed` for each command and then `step`, which returns the
+//! sessions whose limit has changed; a session's window is its limit less its open commands. Each
+//! volume has one budget of open commands, divided among its sessions by max-min fairness; `step`
+//! compares the shares with those last granted.
 //!
-//! The budget learns by outcomes and not by intervals: it grows by one for each budget's worth of
-//! completed commands while it is what limits the sessions, and falls when commands are rejected,
-//! once for each retry-after time, since all rejections of one moment have one cause. Guards
-//! against initiators that fill a volume's queue only to have most of it sent back as BUSY. Harm:
+//! The budget adapts to outcomes and not to time intervals: while it is fully used, it grows by one
+//! for each budget's worth of completed commands. It falls when commands are rejected, at most once
+//! in each retry-after time, since simultaneous rejections have one cause. This keeps initiators
+//! from filling a volume's queue only to have most commands returned as BUSY. The cost is that
 //! after a short congestion a volume is slow for some round trips.
 //!
-//! A window that was granted is not taken back (RFC 7143, 4.2.2.1); a session learns of less as it
-//! uses it up.
+//! A granted window is never withdrawn (RFC 7143, 4.2.2.1); a lower limit takes effect as the
+//! session uses up its window.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Part of the budget that is left after rejections; a half would empty short queues at each
-/// congestion.
+/// Factor applied to the budget after rejections; 0.5 would empty short queues at each congestion.
 const DECREASE_FACTOR: f64 = 0.7;
-/// A session without any window could never learn that it is open again.
+/// Smallest limit of a session: one with a limit of 0 would get no response that could raise it
+/// again.
 const MIN_WINDOW: u32 = 1;
 
-/// A session, by its owner's number.
+/// Session number, assigned by the engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionNo(pub u64);
 
-/// What became of a command.
+/// Result of a command, as far as it matters for the budget.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CommandResult {
-    /// Carried out.
+    /// The command was executed.
     Completed,
-    /// Turned away by the host: the volume is overloaded.
+    /// The host rejected it because the volume is overloaded.
     Rejected {
-        /// When it may be sent again; further rejections before have the same cause.
+        /// Time after which it may be sent again; rejections until then count as the same
+        /// congestion.
         retry_after: Duration,
     },
-    /// Anything else, which is no measure of the volume's load.
+    /// Any other result, which says nothing about the volume's load.
     Other,
 }
 
-/// Bounds of the commands that one volume may have open.
+/// Limits on the open commands of one volume.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WindowLimits {
-    /// The budget at the start, over all sessions; at least 1.
+    /// Initial budget, over all sessions; at least 1.
     pub initial: f64,
     /// The largest budget, over all sessions; at least `initial`.
     pub maximum: f64,
-    /// The most that one session may have open.
+    /// Maximum number of open commands of one session.
     pub max_per_session: u32,
 }
 
 #[derive(Debug, Default)]
 struct Session {
     open: u32,
-    /// The most it has had open lately: what it needs.
+    /// Recent maximum of open commands, an estimate of what the session needs.
     peak: u32,
     granted: u32,
 }
 
 impl Session {
-    /// What a session could use: one that fills its window twice of it, one that does not what it
-    /// had open at most, and one more.
+    /// Number of commands the session could use: twice its peak if it has filled its window,
+    /// otherwise its peak plus one.
     fn demand(&self, max_window: u32) -> u32 {
         let demand = if self.peak >= self.granted.max(1) {
             self.peak.saturating_mul(2)
@@ -73,23 +75,23 @@
     }
 }
 
-/// What the sessions of one volume may have open. Its memory is a few words for each session.
+/// Command limits of the sessions of one volume. It uses a few words of memory for each session.
 #[derive(Debug)]
 pub struct Pressure {
     limits: WindowLimits,
     budget: f64,
-    /// Rejections before that time belong to a decrease that was made.
+    /// Rejections before this time are already accounted for by the last decrease.
     no_decrease_before: Duration,
     sessions: BTreeMap<SessionNo, Session>,
     open: u32,
-    /// Commands that have ended since peaks last decayed.
+    /// Commands that have ended since the last decay of the peaks.
     ended: u32,
-    /// Something has changed that grants depend on.
+    /// An input of the shares has changed since the last `step`.
     changed: bool,
 }
 
 impl Pressure {
-    /// A volume without sessions.
+    /// Creates the state of a volume without sessions.
     pub fn new(limits: WindowLimits) -> Self {
         Pressure {
             limits,
@@ -102,18 +104,18 @@
         }
     }
 
-    /// Commands that all sessions together may have open.
+    /// Number of commands that all sessions together may have open.
     pub fn budget(&self) -> f64 {
         self.budget
     }
 
-    /// A session uses the volume from now on.
+    /// Adds a session to the volume.
     pub fn join(&mut self, session: SessionNo) {
         self.sessions.entry(session).or_default();
         self.changed = true;
     }
 
-    /// A session is over; its commands count no longer.
+    /// Removes a session that has ended; its commands no longer count.
     pub fn leave(&mut self, session: SessionNo) {
         if let Some(state) = self.sessions.remove(&session) {
             self.open -= state.open;
@@ -121,7 +123,7 @@
         }
     }
 
-    /// A command of a session has begun.
+    /// Records the start of a command.
     pub fn opened(&mut self, session: SessionNo) {
         let state = self.sessions.entry(session).or_default();
         state.open += 1;
@@ -132,7 +134,7 @@
         }
     }
 
-    /// A command of a session has ended.
+    /// Records the end of a command and adapts the budget to its result.
     pub fn closed(&mut self, now: Duration, session: SessionNo, result: CommandResult) {
         let open_before = self.open;
         let whole_before = self.budget.floor();
@@ -143,7 +145,7 @@
             }
         }
         match result {
-            // A budget that is not used up shows nothing of what the volume could bear.
+            // Only a fully used budget shows that the volume can handle more.
             CommandResult::Completed if f64::from(open_before) >= whole_before => {
                 self.budget = (self.budget + 1.0 / self.budget).min(self.limits.maximum);
             }
@@ -162,9 +164,9 @@
         }
     }
 
-    /// A peak falls by half for each budget's worth of commands: a session that no longer needs
-    /// much leaves it to others, and one that pauses between bursts does not find its window
-    /// closed.
+    /// Halves the distance of each peak to the open commands, once for each budget's worth of
+    /// commands: a session that needs less leaves its share to others, and one that pauses between
+    /// bursts does not lose its window at once.
     fn decay_peaks(&mut self) {
         for state in self.sessions.values_mut() {
             if state.peak > state.open {
@@ -174,7 +176,7 @@
         }
     }
 
-    /// How many commands each session may have open from here on, where that has changed.
+    /// Returns the sessions whose limit has changed, with the new limit of open commands.
     pub fn step(&mut self) -> Vec<(SessionNo, u32)> {
         if !std::mem::take(&mut self.changed) {
             return Vec::new();
@@ -184,7 +186,8 @@
         let sessions = self.sessions.values();
         let demands: Vec<u32> = sessions.map(|state| state.demand(max_window)).collect();
         let shares = fair(budget, &demands);
-        // What is left is divided too: a session that begins a burst should not have to ask first.
+        // The unused rest is divided too, so that a session can start a burst without waiting for a
+        // grant.
         let unused = budget - shares.iter().sum::<u32>();
         let headroom: Vec<u32> = shares
             .iter()
@@ -204,8 +207,9 @@
     }
 }
 
-/// Divides a total by max-min fairness: no share is above its demand, and what one leaves goes to
-/// the others evenly. What cannot be divided evenly goes to those with the highest demand.
+/// Divides a total by max-min fairness: no share exceeds its demand, and what one session does not
+/// need is divided evenly among the others. The remainder of the division goes to the highest
+/// demands.
 ///
 /// ```
 /// use grebecleat_iscsi_target::pressure::fair;
--- a/crates/iscsi-target/src/versions.rs
+++ b/crates/iscsi-target/src/versions.rs
@@ -1,39 +1,41 @@
-//! Versions of writes: by what a node recognizes an old write among newer ones of the same blocks.
+//! Versions of writes, by which a node recognizes an older write of the same blocks.
 //!
-//! Called by the engine: `next` for each write that goes out, `observe` when a node reports a newer
-//! one, `reservation_due` after either, `reserve` when a ceiling is durable. Versions only grow:
+//! The engine calls `next` for each write that it sends, `observe` when a node reports a newer
+//! version, `reservation_due` after either, and `reserve` when a ceiling is durable. Versions only
+//! grow:
 //!
-//! - within a start, by counting;
-//! - from one start to the next, by a ceiling that is persisted before versions up to it are used.
-//!   A late write of an earlier start then has a lower version than any of this one, whatever
-//!   became of the clock;
-//! - from one host to another, by where counting begins: the microseconds of the world's clock.
-//!   Hosts' clocks may differ, so that is only a good first guess: a write that finds a newer
-//!   version at its node comes back with it, and goes again above it. Overlapping writes of one
-//!   host never race, so a current write that was superseded can only mean another host.
+//! - within one run of the process, by counting;
+//! - across restarts, by a ceiling that is persisted before versions below it are used. A late
+//!   write of an earlier run then has a lower version than any write of this run, however the clock
+//!   was changed;
+//! - from one host to another, by the start value: the microseconds of the wall clock. Clocks of
+//!   hosts may differ, so this is only a first estimate: a node that holds a newer version returns
+//!   it, and the write is retried with a higher version. Overlapping writes of one host are never
+//!   concurrent, so the newer version of a superseded write comes from another host.
 //!
-//! Harm: a node that reports a version near the end of the numbers would use them up; such a one is
-//! ignored. Where hosts' clocks differ by more than a write can be late, one that follows another
-//! on a volume must wait for so long before it first writes.
+//! A node that reports a version near the end of the number range would exhaust it, so such a
+//! version is ignored. Where the clocks of hosts differ by more than the time a write can be late,
+//! a host that takes over a volume from another must wait for that difference before its first
+//! write.
 
-/// How many versions a ceiling reserves beyond the next: about a minute's at a million a second, so
-/// that starts in quick succession stay near the clock.
+/// Versions that a ceiling reserves beyond the next one: about a minute at a million a second, so
+/// that versions stay near the clock even if the process restarts often.
 const RESERVED: u64 = 1 << 26;
-/// Versions from here on are ignored: the clock reaches this in the year 20,000.
+/// Versions from this value on are ignored: the clock reaches it in the year 20,000.
 const MAX_VERSION: u64 = 1 << 59;
 
-/// The counter of one start's versions. Its memory is three numbers.
+/// Version counter of one run of the process.
 #[derive(Debug)]
 pub struct Versions {
     next: u64,
     /// Versions below this may be used.
     ceiling: u64,
-    /// The highest ceiling that was asked for.
+    /// Highest ceiling whose persistence was requested.
     requested: u64,
 }
 
 impl Versions {
-    /// `persisted` is the ceiling of the starts before, `clock` the microseconds since 1970.
+    /// `persisted` is the ceiling of earlier runs, `clock` the microseconds since 1970.
     ///
     /// ```
     /// use grebecleat_iscsi_target::versions::Versions;
@@ -54,8 +56,8 @@
         }
     }
 
-    /// A version above all that were given before; none until a higher ceiling is durable.
-    #[allow(clippy::should_implement_trait)] // an iterator would end at the first none
+    /// Returns a version above all earlier ones, or `None` until a higher ceiling is durable.
+    #[allow(clippy::should_implement_trait)] // an iterator would end at the first `None`
     pub fn next(&mut self) -> Option<u64> {
         if self.next >= self.ceiling {
             return None;
@@ -65,7 +67,8 @@
         Some(version)
     }
 
-    /// A node has that version; false if it is too high to be one, and ignored.
+    /// Raises the counter above a version found at a node; returns false if the version is
+    /// implausibly high and was ignored.
     pub fn observe(&mut self, found: u64) -> bool {
         let plausible = found < MAX_VERSION;
         if plausible {
@@ -74,7 +77,7 @@
         plausible
     }
 
-    /// A ceiling that is to be persisted now; each is given once.
+    /// Returns a ceiling that must be persisted now; each is returned once.
     pub fn reservation_due(&mut self) -> Option<u64> {
         if self.requested >= self.next + RESERVED / 2 {
             return None;
@@ -83,7 +86,7 @@
         Some(self.requested)
     }
 
-    /// A ceiling is durable: versions below it may be used.
+    /// Records that a ceiling is durable: versions below it may be used.
     pub fn reserve(&mut self, ceiling: u64) {
         self.ceiling = self.ceiling.max(ceiling);
     }
