--- a/crates/iscsi-target/src/engine.rs
+++ b/crates/iscsi-target/src/engine.rs
@@ -1,21 +1,20 @@
-//! The target's engine: connections, logins, sessions and commands, between the sockets and the
-//! host.
+//! Protocol engine of the target: connections, logins, sessions and commands, between the sockets
+//! and the host.
 //!
-//! State machine: `step(now, inputs)` returns the actions to perform. No I/O. Called by the
-//! portal's thread alone. A command on blocks becomes a request for each extent it touches; the
-//! host answers each by its number. Three guarantees:
+//! A state machine without I/O: `step(now, inputs)` returns the actions to perform. Only the
+//! portal's thread calls it. A block command becomes one request for each extent that it touches;
+//! the host answers each request by its number. The engine guarantees that:
 //!
-//! - a command is answered when the last of its requests is, and an aborted one ends then too: the
-//!   response to an abort or a reset means that nothing of the command is still in progress at the
-//!   host;
-//! - each write carries a version, higher than those of all writes before, and a node stores the
-//!   newest: an attempt that is still queued somewhere, of this start or an earlier one, cannot
-//!   overwrite what is written after. Reads of its blocks wait until it can no longer appear;
-//! - an extent is first written by one request alone, and GOOD follows only once its place is
-//!   persisted.
+//! - a command is answered when its last request has ended, and an aborted command ends then too:
+//!   after the response to an abort or a reset the host processes no part of the command;
+//! - each write carries a version above those of all earlier writes, and a node stores the newest
+//!   one: an attempt that is still queued, of this or an earlier run of the process, cannot
+//!   overwrite later data. Reads of its blocks wait until it can no longer take effect;
+//! - the first write of an extent is sent alone, and it ends with GOOD only once the placement of
+//!   the extent is persisted.
 //!
-//! Bounds: logins in progress, commands of a session (its window), unit attentions and retries of a
-//! write.
+//! Logins in progress, commands of a session (its window), pending unit attentions and retries of a
+//! write are bounded.
 
 mod block_commands;
 mod commands;
@@ -38,16 +37,16 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// A login must be through in this time.
+/// Time within which a login must be completed.
 const LOGIN_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Random bytes of one login challenge.
+/// Random bytes in one CHAP challenge.
 pub const CHALLENGE_BYTES: usize = 17;
 
-/// Gives new random bytes at each call, for login challenges.
+/// Returns new random bytes for a login challenge at each call.
 pub type ChallengeSource = Box<dyn FnMut() -> [u8; CHALLENGE_BYTES] + Send>;
 
-/// What an engine serves, and within which bounds.
+/// Targets, volumes and limits of an engine.
 pub struct EngineConfig {
     /// Targets, secrets and negotiation limits for logins.
     pub portal: Portal,
@@ -57,9 +56,9 @@
     pub targets: Vec<TargetFacts>,
     /// Volumes, in the order that `TargetFacts::luns` refers to.
     pub volumes: Vec<VolumeFacts>,
-    /// Bounds of each volume's command windows.
+    /// Limits of each volume's command windows.
     pub window_limits: WindowLimits,
-    /// How long a write that has failed may still take effect at a node.
+    /// Time for which a failed write may still take effect at a node.
     pub late_write_time: Duration,
     /// Source of the writes' versions.
     pub versions: Versions,
@@ -80,13 +79,13 @@
     sessions: BTreeMap<u64, SessionState>,
     commands: BTreeMap<u64, OpenCommand>,
     requests: BTreeMap<RequestNumber, OpenRequest>,
-    /// In the order of their ends: all wait equally long.
+    /// Ordered by expiry: all wait for the same time.
     late_writes: VecDeque<LateWrite>,
     versions: Versions,
     /// Writes that wait for a version.
     awaiting_version: Vec<RequestNumber>,
     store_available: bool,
-    /// Volumes whose windows may have changed: a step must not look at every volume there is.
+    /// Volumes whose windows may have changed, so that a step need not visit every volume.
     changed_windows: BTreeSet<usize>,
     now: Duration,
     last_number: u64,
@@ -95,7 +94,7 @@
 }
 
 impl Engine {
-    /// An engine without connections.
+    /// Creates an engine without connections.
     pub fn new(config: EngineConfig) -> Self {
         let limits = config.window_limits;
         let volumes = config.volumes.into_iter();
@@ -123,19 +122,20 @@
         }
     }
 
-    /// Commands and requests open now.
+    /// Number of open commands and of open requests.
     pub fn open(&self) -> (usize, usize) {
         (self.commands.len(), self.requests.len())
     }
 
-    /// When `step` must be called if no input comes before; none without a deadline.
+    /// Time at which `step` must be called if no input arrives earlier; `None` without a deadline.
     pub fn wake_at(&self) -> Option<Duration> {
         let login = self.logins.first().map(|login| login.since + LOGIN_TIMEOUT);
         let late_write = self.late_writes.front().map(|write| write.until);
         [login, late_write].into_iter().flatten().min()
     }
 
-    /// Takes the inputs in their order; the actions to perform, in theirs. `now` must not go back.
+    /// Applies the inputs in order and returns the actions to perform in order. `now` must not
+    /// decrease.
     pub fn step(&mut self, now: Duration, inputs: impl IntoIterator<Item = Input>) -> Vec<Output> {
         self.now = now;
         for input in inputs {
--- a/crates/iscsi-target/src/engine/block_commands.rs
+++ b/crates/iscsi-target/src/engine/block_commands.rs
@@ -1,7 +1,7 @@
-//! Commands on blocks: their checks against the unit, and their order among those that overlap.
+//! Block commands: validation against the logical unit, and ordering of overlapping commands.
 //!
-//! Called for what a unit does not answer by itself. A command that passes the checks is recorded
-//! as open; it starts at once, or when the commands that it must wait for have ended.
+//! Called for commands that the unit cannot answer without its blocks. A valid command is recorded
+//! as open and starts at once, or when the commands that it must wait for have ended.
 
 use super::records::{BlockAction, BlockCommand, OpenCommand, ScsiCommand, Step};
 use super::Engine;
@@ -11,11 +11,11 @@
 use grebecleat_iscsi::scsi::{unmap_ranges, Command, Sense, Unit};
 use grebecleat_iscsi::session::Outcome;
 
-/// What the checks of a command come to.
+/// Result of the validation of a command.
 enum Checked {
-    /// It needs the blocks.
+    /// The command accesses blocks.
     Blocks(BlockCommand),
-    /// It is answered at once.
+    /// The command is answered at once.
     Answered(Outcome),
 }
 
@@ -42,7 +42,7 @@
         Command::Verify { lba, blocks, bytes } => {
             on_range(lba, blocks, BlockAction::Verify(bytes.then_some(data)))
         }
-        // A write that was GOOD is durable: there is no cache to write back.
+        // A write with status GOOD is durable, so there is no cache to write back.
         Command::SynchronizeCache { lba, blocks, .. } => match unit.within(lba, blocks) {
             Ok(()) => Checked::Answered(Outcome::good(Bytes::new())),
             Err(sense) => check(sense),
@@ -72,7 +72,8 @@
     }
 }
 
-/// One block, or zeroes, on a whole range; no blocks are all up to the end of the unit.
+/// Writes one block, or zeroes, to a whole range; a block count of 0 means all blocks up to the end
+/// of the unit.
 fn write_same(unit: &Unit, lba: u64, blocks: u64, block: Option<Bytes>) -> Checked {
     let blocks = match blocks {
         0 => unit.blocks.saturating_sub(lba),
@@ -90,7 +91,8 @@
     on_range(lba, blocks, BlockAction::Write(data.freeze()))
 }
 
-/// One range becomes zeroes. More than the block limits page reports are refused (SBC-3, 5.28).
+/// Overwrites one range with zeroes. Rejects more ranges or blocks than the Block Limits page
+/// reports (SBC-3, 5.28).
 fn unmap(unit: &Unit, parameters: &[u8]) -> Checked {
     let ranges = match unmap_ranges(parameters) {
         Ok(ranges) => ranges,
@@ -106,7 +108,8 @@
     }
 }
 
-/// The outcome of a command whose range or data does not fit the unit, or that has no blocks.
+/// Returns the outcome of a command whose range or data does not fit the unit, or that has no
+/// blocks.
 fn check_range(unit: &Unit, command: &BlockCommand, max_in: u32) -> Option<Outcome> {
     let BlockCommand {
         lba,
@@ -132,7 +135,7 @@
 }
 
 impl Engine {
-    /// Starts a command on blocks; its outcome if it is answered at once.
+    /// Starts a block command; returns its outcome if it is answered at once.
     pub(super) fn start_on_blocks(
         &mut self,
         scsi: ScsiCommand,
--- a/crates/iscsi-target/src/engine/commands.rs
+++ b/crates/iscsi-target/src/engine/commands.rs
@@ -1,7 +1,6 @@
-//! SCSI commands: what can be answered at once, is; what needs the blocks of a volume becomes
-//! requests.
+//! SCSI commands: answers those that need no blocks at once, and turns the others into requests.
 //!
-//! Called for each command that a session starts. The order of the checks is SAM-5's: the logical
+//! Called for each command that a session starts. Checks follow the order of SAM-5: the logical
 //! unit, unit attentions, reservations, then the command itself.
 
 use super::records::ScsiCommand;
@@ -16,7 +15,7 @@
 const NO_UNIT_INQUIRY: [u8; 5] = [0x7f, 0, 0x06, 0x02, 31];
 const INQUIRY_BYTES: usize = 36;
 
-/// Commands that are carried out although a unit attention is pending (SAM-5, 5.14).
+/// Whether a command is executed even if a unit attention is pending (SAM-5, 5.14).
 fn passes_attention(command: &Command) -> bool {
     matches!(
         command,
@@ -44,7 +43,8 @@
         }
     }
 
-    /// The outcome of a command that is answered at once; none where requests are in progress.
+    /// Returns the outcome of a command that is answered at once; `None` while its requests are in
+    /// progress.
     fn begin(&mut self, scsi: ScsiCommand) -> Option<Outcome> {
         let command = match decode(&scsi.cdb) {
             Ok(command) => command,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Commands to a LUN that has no unit (SAM-5, 4.7.4).
+    /// Answers commands to a LUN without a logical unit (SAM-5, 4.7.4).
     fn without_unit(&self, target: usize, command: &Command, luns: &[u64]) -> Option<Outcome> {
         match command {
             Command::Inquiry { page: None, most } => {
@@ -102,8 +102,8 @@
         }
     }
 
-    /// The sense data for REQUEST SENSE, or as the error the attention that this command reports;
-    /// none without a session.
+    /// Returns the sense data for REQUEST SENSE, or as an error the unit attention that this
+    /// command reports; `None` without a session.
     fn take_attention(
         &mut self,
         session: u64,
@@ -124,7 +124,8 @@
         })
     }
 
-    /// PERSISTENT RESERVE OUT; commands and attentions of other sessions that it changes.
+    /// Executes PERSISTENT RESERVE OUT and applies its effects on other sessions: unit attentions
+    /// and aborted commands.
     fn reserve(
         &mut self,
         session: u64,
--- a/crates/iscsi-target/src/engine/completion.rs
+++ b/crates/iscsi-target/src/engine/completion.rs
@@ -1,4 +1,5 @@
-//! The end of a command: its outcome from those of its requests, and what may start after it.
+//! Completion of commands: derives the outcome from those of the requests, and starts the commands
+//! that waited.
 //!
 //! Called when the last request of a command's step has ended, or when a waiting command is
 //! aborted.
@@ -11,7 +12,8 @@
 use grebecleat_iscsi::scsi::{Sense, Status};
 use grebecleat_iscsi::session::Outcome;
 
-/// The outcome of a comparison; the first byte that differs is in the sense data.
+/// Returns the outcome of a comparison; the sense data holds the offset of the first byte that
+/// differs.
 fn compare(expected: &[u8], found: &[u8]) -> Outcome {
     let mut pairs = expected.iter().zip(found);
     match pairs.position(|(expected, found)| expected != found) {
@@ -21,7 +23,7 @@
 }
 
 impl Engine {
-    /// All requests of a command's step have ended.
+    /// Handles the end of all requests of a command's step.
     pub(super) fn step_over(&mut self, number: u64, gathered: Gathered) {
         let Some(open) = self.commands.get(&number) else {
             return;
@@ -31,7 +33,7 @@
             match &open.command.action {
                 BlockAction::Verify(Some(expected)) => outcome = compare(expected, &outcome.data),
                 BlockAction::Verify(None) => outcome = Outcome::good(Bytes::new()),
-                // The second step, which writes, has no data.
+                // The second step, which writes, returns no data.
                 BlockAction::CompareAndWrite { expected, .. } if !outcome.data.is_empty() => {
                     let compared = compare(expected, &outcome.data);
                     if compared.status != Status::Good {
@@ -53,8 +55,8 @@
         self.end_command(number, Some(outcome), result, gathered.may_still_apply);
     }
 
-    /// Ends a command; it is answered, unless it was aborted. `may_still_apply`: a part of its
-    /// write may take effect later.
+    /// Ends a command and answers it unless it was aborted. `may_still_apply`: a part of its write
+    /// may take effect later.
     pub(super) fn end_command(
         &mut self,
         number: u64,
--- a/crates/iscsi-target/src/engine/connections.rs
+++ b/crates/iscsi-target/src/engine/connections.rs
@@ -1,8 +1,8 @@
-//! Connections and their logins: from the accepted socket to the full feature phase, and their
+//! Connections and their logins: from the accepted socket to the full feature phase, and connection
 //! loss.
 //!
-//! Called by the engine's `step`. Logins in progress are bounded: beyond, the oldest is closed,
-//! since it is the likeliest to be left behind by its initiator.
+//! Called by the engine's `step`. The number of logins in progress is bounded: at the limit the
+//! oldest is closed, since its initiator has most likely abandoned it.
 
 use super::messages::{ConnNo, Output};
 use super::records::{Connection, PendingLogin, Phase};
@@ -10,11 +10,11 @@
 use grebecleat_iscsi::login::{LoggedIn, Login, Standing};
 use grebecleat_iscsi::pdu::{Digests, Opcode, Pdu, PduError};
 
-/// Connections that have not come through their login; beyond, the oldest is closed.
+/// Maximum number of logins in progress; at the limit a new connection closes the oldest one.
 const MAX_LOGINS: usize = 256;
-/// Commands that a login response allows behind its own CmdSN.
+/// Commands that a login response allows beyond its own CmdSN.
 const LOGIN_WINDOW: u32 = 31;
-/// Bytes of a login response that hold the status class and detail (RFC 7143, 11.13).
+/// Offsets of the status class and status detail in a login response (RFC 7143, 11.13).
 const STATUS_CLASS: usize = 36;
 const STATUS_DETAIL: usize = 37;
 
@@ -72,7 +72,7 @@
             (Phase::Login(_), Err(fault)) => self.refuse(conn, &fault.to_string()),
             (Phase::Login(login), Ok(pdu)) => {
                 if pdu.header.opcode() != Some(Opcode::LoginRequest) {
-                    return self.refuse(conn, "no login");
+                    return self.refuse(conn, "expected a login request as the first PDU");
                 }
                 let cmd_sn = pdu.header.cmd_sn();
                 let numbers = (
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Login responses have no digests: what was negotiated is in force behind the last of them.
+    /// Login responses have no digests: the negotiated digests apply after the last login response.
     fn send_login_response(&mut self, conn: ConnNo, pdu: Pdu) {
         self.outputs.push(Output::Send {
             conn,
--- a/crates/iscsi-target/src/engine/messages.rs
+++ b/crates/iscsi-target/src/engine/messages.rs
@@ -1,7 +1,7 @@
-//! What the engine takes and gives: inputs, outputs, and the facts about volumes and targets.
+//! Inputs and outputs of the engine, and its descriptions of volumes and targets.
 //!
-//! The portal makes inputs of PDUs, of the host's answers and of the store's acknowledgements, and
-//! carries the outputs out in their order. Plain data, without behaviour.
+//! The portal turns PDUs, responses of the host and acknowledgements of the store into inputs, and
+//! performs the outputs in order. These are plain data types without behaviour.
 
 use crate::blocks::RequestOutcome;
 use bytes::Bytes;
@@ -9,11 +9,11 @@
 use grebecleat_iscsi::pdu::{Digests, Pdu, PduError};
 use grebecleat_iscsi::scsi::Unit;
 
-/// A connection, by the number that the portal gave it.
+/// Connection number, assigned by the portal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnNo(pub u64);
 
-/// A request of a command, by its number in this engine.
+/// Number of a command's request within this engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestNumber(pub u64);
 
@@ -25,38 +25,38 @@
         /// Its number, not used before.
         conn: ConnNo,
     },
-    /// A connection's reader has a PDU, or bytes that are none.
+    /// A connection's reader has received a PDU or malformed bytes.
     Pdu {
-        /// The connection that it came on.
+        /// The connection on which it was received.
         conn: ConnNo,
-        /// The PDU, or what is wrong with the bytes.
+        /// The PDU, or the error found in the bytes.
         read: Result<Pdu, PduError>,
     },
-    /// A connection is closed, by either side.
+    /// A connection was closed by either side.
     ConnectionClosed {
         /// Its number, which is not used again.
         conn: ConnNo,
     },
-    /// The host's final answer to a request.
+    /// The host's final response to a request.
     RequestFinished {
         /// The request.
         no: RequestNumber,
-        /// What became of it.
+        /// The outcome of the request.
         outcome: RequestOutcome,
         /// The shard that holds the data, if the request was completed.
         shard: Option<u32>,
     },
-    /// The place of an extent is durable, after [`Output::PersistPlacement`].
+    /// The placement of an extent is durable; follows [`Output::PersistPlacement`].
     PlacementPersisted {
         /// The request that wrote the extent first.
         no: RequestNumber,
     },
-    /// A ceiling of versions is durable, after [`Output::PersistCeiling`].
+    /// A version ceiling is durable; follows [`Output::PersistCeiling`].
     CeilingPersisted {
         /// The ceiling; versions below it may be used.
         ceiling: u64,
     },
-    /// The store failed for good: nothing can be persisted any more.
+    /// The store failed permanently: nothing more can be persisted.
     StoreFailed,
 }
 
@@ -69,21 +69,22 @@
     pub volume: u64,
     /// The extent's index in the volume.
     pub extent: u64,
-    /// The shard of the extent; none while the extent was never written: any node may take it.
+    /// The shard of the extent; `None` if the extent was never written, so that any node may serve
+    /// it.
     pub shard: Option<u32>,
     /// Whether it writes.
     pub write: bool,
     /// First byte within the extent.
     pub offset: u32,
-    /// Bytes that it reads or writes.
+    /// Number of bytes to read or write.
     pub length: u32,
     /// Data of a write; empty for a read.
     pub data: Bytes,
-    /// Version of a write, above those of all writes before; none for a read.
+    /// Version of a write, above those of all earlier writes; `None` for a read.
     pub version: Option<u64>,
 }
 
-/// An action that the engine asks for.
+/// An action that the portal must perform for the engine.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Output {
     /// Send a PDU.
@@ -95,23 +96,23 @@
         /// The digests to send it with.
         digests: Digests,
     },
-    /// From here on the connection's reader expects these.
+    /// Set what the connection's reader expects from the next PDU on.
     SetReader {
         /// The connection.
         conn: ConnNo,
-        /// Digests of the PDUs that it receives.
+        /// Digests of received PDUs.
         digests: Digests,
         /// Longest data segment, in bytes.
         max_data: usize,
     },
-    /// Close a connection behind what was sent on it.
+    /// Close a connection once the PDUs queued for it are written.
     Close {
         /// The connection.
         conn: ConnNo,
     },
     /// Submit a request to the host.
     Submit(Request),
-    /// Persist the place of an extent; acknowledged by [`Input::PlacementPersisted`].
+    /// Persist the placement of an extent; acknowledged by [`Input::PlacementPersisted`].
     PersistPlacement {
         /// The request that wrote the extent first.
         no: RequestNumber,
@@ -122,7 +123,7 @@
         /// The shard that holds it.
         shard: u32,
     },
-    /// Persist a ceiling of versions; acknowledged by [`Input::CeilingPersisted`].
+    /// Persist a version ceiling; acknowledged by [`Input::CeilingPersisted`].
     PersistCeiling {
         /// The ceiling.
         ceiling: u64,
@@ -139,11 +140,11 @@
 pub struct VolumeFacts {
     /// The volume's id.
     pub volume: u64,
-    /// What SCSI commands learn about it.
+    /// Its properties as SCSI commands report them.
     pub unit: Unit,
     /// Blocks of one extent.
     pub extent_blocks: u32,
-    /// Places of its extents, as they were persisted.
+    /// Persisted placements of its extents.
     pub placed: Extents,
 }
 
@@ -152,6 +153,6 @@
 pub struct TargetFacts {
     /// Its iSCSI name.
     pub name: String,
-    /// LUN 0, 1, ...: indices into the list of volumes.
+    /// Indices into the list of volumes, by LUN from 0.
     pub luns: Vec<usize>,
 }
--- a/crates/iscsi-target/src/engine/records.rs
+++ b/crates/iscsi-target/src/engine/records.rs
@@ -1,6 +1,7 @@
 //! The engine's records of connections, sessions, commands, requests and volumes.
 //!
-//! Owned by the engine alone; each record is in one map of it, and ends with what it stands for.
+//! Only the engine uses them. Each record is held in one of its maps and removed when the object it
+//! describes ends.
 
 use super::messages::{ConnNo, Request, RequestNumber, VolumeFacts};
 use crate::blocks::{Gather, Layout};
@@ -23,7 +24,7 @@
     pub overlaps: Overlaps,
     pub pressure: Pressure,
     pub reservations: Reservations,
-    /// Extents being written for the first time, and the requests that wait for their place.
+    /// Extents being written for the first time, with the requests that wait for the placement.
     pub placing: BTreeMap<u64, VecDeque<RequestNumber>>,
 }
 
@@ -43,7 +44,7 @@
     }
 }
 
-/// Where a connection is: in its login, or in the full feature phase as one of a session.
+/// Phase of a connection: login, or full feature phase within a session.
 pub(super) enum Phase {
     Login(Box<Login>),
     Full { session: u64, cid: ConnectionId },
@@ -62,32 +63,32 @@
     pub session: Session,
     pub identity: LoggedIn,
     pub tsih: u16,
-    /// Index of its target; none for a discovery session.
+    /// Index of its target; `None` for a discovery session.
     pub target: Option<usize>,
     pub connections: BTreeMap<ConnectionId, ConnNo>,
     /// Pending unit attentions by volume.
     pub attentions: BTreeMap<usize, VecDeque<Sense>>,
-    /// Commands that each volume allows it to have open.
+    /// Number of open commands allowed by each volume.
     pub allowed: BTreeMap<usize, u32>,
 }
 
-/// A SCSI command as a session starts it.
+/// A SCSI command started by a session.
 pub(super) struct ScsiCommand {
     pub session: u64,
     pub task: TaskId,
     pub lun: u64,
     pub cdb: [u8; 16],
     pub data: Bytes,
-    /// Bytes that the initiator expects to read.
+    /// Number of bytes that the initiator expects to read.
     pub max_in: u32,
 }
 
-/// What a command does with its blocks.
+/// Operation of a command on its blocks.
 #[derive(Debug, Clone)]
 pub(super) enum BlockAction {
     Read,
     Write(Bytes),
-    /// Reads, and compares if there is something to compare with.
+    /// Reads, and compares with the data if there is any.
     Verify(Option<Bytes>),
     /// Reads and compares; then writes.
     CompareAndWrite {
@@ -104,13 +105,13 @@
         )
     }
 
-    /// All but plain writes read; COMPARE AND WRITE does both.
+    /// All actions but plain writes read; COMPARE AND WRITE reads and writes.
     pub fn reads(&self) -> bool {
         !matches!(self, BlockAction::Write(_))
     }
 }
 
-/// A checked command on a range of blocks.
+/// A validated command on a range of blocks.
 #[derive(Debug, Clone)]
 pub(super) struct BlockCommand {
     pub lba: u64,
@@ -118,20 +119,19 @@
     pub action: BlockAction,
 }
 
-/// A command on blocks that has not ended.
+/// A block command that has not ended.
 pub(super) struct OpenCommand {
     pub session: u64,
     pub task: TaskId,
     pub volume: usize,
     pub command: BlockCommand,
-    /// The outcomes of its requests; none while it waits for its turn.
+    /// The outcomes of its requests; `None` while it waits for overlapping commands.
     pub gather: Option<Gather>,
-    /// It ends without an answer.
+    /// Whether it was aborted and ends without a response.
     pub aborted: bool,
 }
 
-/// The step of a command whose requests are sent: COMPARE AND WRITE has both, others the first
-/// alone.
+/// Step of a command: COMPARE AND WRITE has both steps, others only the first.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum Step {
     First,
@@ -144,11 +144,11 @@
     /// Its index among the command's pieces.
     pub piece: usize,
     pub request: Request,
-    /// It is the first write of its extent.
+    /// Whether it is the first write of its extent.
     pub first_write: bool,
-    /// The shard that completed it, while that place is being persisted.
+    /// The shard that completed it, while the placement is being persisted.
     pub persisting_shard: Option<u32>,
-    /// How often it was sent again above a newer version.
+    /// Number of retries with a version above a newer one.
     pub retries: u32,
 }
 
@@ -160,7 +160,7 @@
     pub command: u64,
 }
 
-/// A connection in its login; ordered by when that began.
+/// A connection in the login phase; ordered by the start of the login.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PendingLogin {
     pub since: Duration,
--- a/crates/iscsi-target/src/engine/requests.rs
+++ b/crates/iscsi-target/src/engine/requests.rs
@@ -1,8 +1,8 @@
-//! The requests of a command: sent to where extents lie, answered, placed for the first time, sent
-//! again.
+//! Requests of commands: sending to the shards of their extents, responses, first placement of an
+//! extent, and retries.
 //!
-//! Called when a command may start and for each answer of the host or the store. A request ends in
-//! `finish_request`, exactly once.
+//! Called when a command may start and for each response of the host or the store. Each request
+//! ends exactly once, in `finish_request`.
 
 use super::messages::{Output, Request, RequestNumber};
 use super::records::{BlockAction, OpenRequest, Step};
@@ -11,12 +11,11 @@
 use bytes::Bytes;
 use std::collections::VecDeque;
 
-/// How often a write goes again above a version that it found at its node.
+/// Maximum retries of a write for which its node holds a newer version.
 const MAX_RETRIES: u32 = 4;
 
 impl Engine {
-    /// Sends a command's requests; of COMPARE AND WRITE first those that read, then those that
-    /// write.
+    /// Sends the requests of a command's step; COMPARE AND WRITE first reads, then writes.
     pub(super) fn launch(&mut self, number: u64, step: Step) {
         let Some(open) = self.commands.get_mut(&number) else {
             return;
@@ -65,8 +64,8 @@
         }
     }
 
-    /// Sends a request to where its extent lies, a write with the next version. Of an extent that
-    /// lies nowhere, reads are zeroes, and the first write goes alone.
+    /// Sends a request to the shard of its extent, a write with the next version. From an extent
+    /// without a placement reads return zeroes, and its first write is sent alone.
     fn send(&mut self, no: RequestNumber) {
         let Some(open) = self.requests.get_mut(&no) else {
             return;
@@ -102,7 +101,8 @@
         self.outputs.push(Output::Submit(open.request.clone()));
     }
 
-    /// Sends what waits for a version: there is one now, or there will be none.
+    /// Sends the writes that wait for a version, once versions are available or the store has
+    /// failed.
     pub(super) fn send_awaiting_version(&mut self) {
         for no in std::mem::take(&mut self.awaiting_version) {
             self.send(no);
@@ -142,9 +142,9 @@
         });
     }
 
-    /// A write found a newer version at its node. No other write of these blocks is in progress
-    /// here, so that one is another host's, or of a start that could persist nothing: this one goes
-    /// again, above it, as a new request.
+    /// Retries a write whose node holds a newer version. No other write of these blocks is in
+    /// progress here, so the newer version comes from another host, or from a run that could
+    /// persist nothing. The write is sent again as a new request with a higher version.
     fn retry_above(&mut self, no: RequestNumber, found: u64, shard: Option<u32>) {
         let Some(open) = self.requests.get(&no) else {
             return;
@@ -176,8 +176,9 @@
         self.finish_request(no, RequestOutcome::Completed(Bytes::new()));
     }
 
-    /// From here on no place and no ceiling is persisted: what waits for one is answered, and
-    /// extents that lie somewhere are still read, and written while versions last.
+    /// Handles the failure of the store, after which no placement or ceiling can be persisted.
+    /// Waiting requests are answered; extents with a placement are still read, and written while
+    /// reserved versions remain.
     pub(super) fn store_failed(&mut self) {
         self.store_available = false;
         let waiting: Vec<RequestNumber> = self
@@ -192,8 +193,9 @@
         self.send_awaiting_version();
     }
 
-    /// Ends a request; its command too, if it was the last. What waited for its extent's place goes
-    /// there, or the next of it finds one.
+    /// Ends a request, and its command if it was the last one. Requests that waited for the
+    /// placement of its extent are sent; if there is still none, the first of them becomes the
+    /// first write.
     fn finish_request(&mut self, no: RequestNumber, outcome: RequestOutcome) {
         let Some(open) = self.requests.remove(&no) else {
             return;
--- a/crates/iscsi-target/src/engine/sessions.rs
+++ b/crates/iscsi-target/src/engine/sessions.rs
@@ -1,7 +1,7 @@
-//! Sessions: their admission after a login, reinstatement and end, and what they ask of the target.
+//! Sessions: admission after a login, reinstatement, end, and the actions that they request.
 //!
-//! Called by the connections' logins and by every module that hands something to a session, whose
-//! acts are performed here. A session without connections stays only while its commands end.
+//! Called after logins and by every module that passes input to a session; the resulting actions
+//! are performed here. A session without connections is kept only until its commands have ended.
 
 use super::messages::{ConnNo, Output};
 use super::records::{PendingLogin, Phase, ScsiCommand, SessionState};
@@ -13,17 +13,17 @@
 use grebecleat_iscsi::session::{ConnectionId, Limits, Session, SessionAction};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Data of one command, in bytes, and PDUs that a session stores for retransmission.
+/// Maximum data of one command in bytes, and maximum PDUs that a session keeps for retransmission.
 const LIMITS: Limits = Limits {
     max_data: 1 << 20,
     max_unacknowledged: 1024,
 };
-/// Commands that a new session may have open, before its volumes' windows are known.
+/// Command window of a new session, before its volumes' windows are known.
 const FIRST_WINDOW: u32 = 32;
 
 impl Engine {
-    /// A new session, one more connection of one, or a session in place of the old one (section
-    /// 6.3.5).
+    /// Admits a connection after its login: creates a session, adds the connection to an existing
+    /// one, or reinstates a session (RFC 7143, 6.3.5).
     pub(super) fn admit(
         &mut self,
         conn: ConnNo,
@@ -54,7 +54,7 @@
         let connection = self
             .connections
             .get_mut(&conn)
-            .expect("it has just logged in");
+            .expect("the connection has just logged in");
         connection.phase = Phase::Full { session, cid };
         connection.digests = digests;
         let stat_sn = connection.stat_sn;
@@ -117,7 +117,8 @@
         number
     }
 
-    /// The same connection again replaces the old one (section 6.3.4); another needs a free place.
+    /// Replaces a connection with the same CID (RFC 7143, 6.3.4); a new CID must fit the negotiated
+    /// MaxConnections.
     fn make_room_for(&mut self, session: u64, cid: ConnectionId) -> Result<(), LoginStatus> {
         let state = &self.sessions[&session];
         if let Some(old) = state.connections.get(&cid).copied() {
@@ -129,7 +130,7 @@
         Ok(())
     }
 
-    /// Targets that an initiator may see, each with the portal's addresses.
+    /// Returns the targets visible to an initiator, each with the portal's addresses.
     fn listing(&self, initiator: &str) -> Vec<(String, Vec<String>)> {
         let visible = |target: &&Target| match &target.initiators {
             None => true,
@@ -153,7 +154,7 @@
         self.forget_session_if_over(session);
     }
 
-    /// A session without connections stays only while its commands end.
+    /// Removes a session that has neither connections nor open commands.
     pub(super) fn forget_session_if_over(&mut self, session: u64) {
         let Some(state) = self.sessions.get(&session) else {
             return;
@@ -168,7 +169,7 @@
         self.changed_windows.extend(0..self.volumes.len());
     }
 
-    /// Performs what a session asks for, in its order.
+    /// Performs the actions that a session requests, in order.
     pub(super) fn perform(&mut self, session: u64, acts: Vec<SessionAction>) {
         for act in acts {
             match act {
@@ -212,8 +213,8 @@
         self.sessions.get(&session)?.connections.get(&cid).copied()
     }
 
-    /// Gives sessions the windows that have changed. A window is a session's, over all its units:
-    /// it is the sum of what each allows.
+    /// Updates the sessions whose windows have changed. A session has one window over all its
+    /// units: the sum of their limits.
     pub(super) fn update_windows(&mut self) {
         let mut changed = BTreeSet::new();
         for volume in std::mem::take(&mut self.changed_windows) {
--- a/crates/iscsi-target/src/engine/task_management.rs
+++ b/crates/iscsi-target/src/engine/task_management.rs
@@ -1,6 +1,6 @@
-//! Task management: aborts and resets, and the unit attentions that other sessions get from them.
+//! Task management: aborts and resets, and the resulting unit attentions of other sessions.
 //!
-//! Called for the acts of sessions and by persistent reservations.
+//! Called for the actions of sessions and by persistent reservations.
 
 use super::records::OpenCommand;
 use super::Engine;
@@ -8,11 +8,13 @@
 use grebecleat_iscsi::scsi::Sense;
 use grebecleat_iscsi::session::{AbortReason, TaskId};
 
-/// Pending unit attentions of one session at one unit (SAM-5 lets a device store few).
+/// Maximum pending unit attentions of one I_T nexus at one unit (SAM-5 allows a device to keep only
+/// a few).
 const MAX_ATTENTIONS: usize = 4;
 
 impl Engine {
-    /// Aborted commands that wait for their turn end at once, others with their last request.
+    /// Aborts commands. Those that wait for overlapping commands end at once, others with their
+    /// last request.
     pub(super) fn abort(&mut self, session: u64, tasks: &[TaskId]) {
         let aborted = |open: &OpenCommand| open.session == session && tasks.contains(&open.task);
         let numbers: Vec<u64> = self
@@ -30,7 +32,7 @@
         }
     }
 
-    /// Aborts a session's commands at some volumes; which those were.
+    /// Aborts a session's commands on the given volumes and returns their tasks.
     pub(super) fn abort_at(&mut self, session: u64, volumes: &[usize]) -> Vec<TaskId> {
         let hit = |open: &&OpenCommand| open.session == session && volumes.contains(&open.volume);
         let tasks: Vec<TaskId> = self
@@ -43,8 +45,8 @@
         tasks
     }
 
-    /// Commands of other sessions at the same units end too, and their initiators get a unit
-    /// attention.
+    /// Aborts the commands of other sessions at the same units and raises a unit attention for
+    /// them.
     pub(super) fn reset(&mut self, by: u64, lun: Option<u64>, reason: AbortReason) {
         let Some(target) = self.sessions.get(&by).and_then(|state| state.target) else {
             return;
@@ -83,7 +85,7 @@
         }
     }
 
-    /// The volume of a LUN in peripheral or flat addressing (SAM-5, 4.7).
+    /// Returns the volume of a LUN in peripheral or flat space addressing (SAM-5, 4.7).
     pub(super) fn unit_of(&self, target: usize, lun: u64) -> Option<usize> {
         let first = (lun >> 48) as u16;
         let lower_levels = lun & 0xffff_ffff_ffff;
--- a/crates/iscsi-target/src/portal.rs
+++ b/crates/iscsi-target/src/portal.rs
@@ -1,9 +1,9 @@
-//! The iSCSI portal: sockets on one side, the host on the other, the engine between.
+//! The iSCSI portal: connects the sockets to the engine, and the engine to the host.
 //!
-//! One thread owns the engine; each connection has a coroutine that reads and one that writes, as
-//! the host's own connections have. Towards the host the engine is a client inside the process: its
-//! requests go through the same scheduling as any other's, with ids of their own. Called once for
-//! each portal at the start of a host process.
+//! One thread owns the engine; each connection has a reading and a writing coroutine, like the
+//! host's own connections. To the host the engine is an in-process client: its requests have their
+//! own ids and are scheduled like those of any client. Started once for each portal when the host
+//! process starts.
 
 mod connection;
 mod line;
@@ -27,38 +27,38 @@
 use std::sync::mpsc;
 use std::sync::Arc;
 
-/// Bytes that one command may read.
+/// Maximum bytes that one command may read.
 const MAX_READ: usize = 1 << 20;
-/// Bytes of PDU headers beside the data that one command reads.
+/// Bytes of PDU headers for the data that one command reads.
 const MAX_HEADERS: usize = 4096;
 
-/// Where extents lie, and the ceiling of versions, as they were persisted before this start.
+/// Placements of extents and the version ceiling, as persisted by earlier runs of the process.
 pub struct Places<'a> {
-    /// Persists places and ceilings.
+    /// Persists placements and ceilings.
     pub keeper: &'a GroupCommit,
-    /// Places of extents by volume id.
+    /// Placements of extents by volume id.
     pub places: &'a BTreeMap<u64, Extents>,
-    /// Versions below it may have been used by earlier starts.
+    /// Earlier runs may have used versions below it.
     pub ceiling: u64,
 }
 
-/// Why a portal did not start.
+/// Reason why a portal did not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// Its address cannot be listened on.
-    #[error("portal on {address}: {source}")]
+    /// The portal cannot listen on its address.
+    #[error("iSCSI portal cannot listen on {address}: {source}")]
     Listen {
         /// The configured address.
         address: SocketAddr,
         /// The system's error.
         source: io::Error,
     },
-    /// The system refused something else: the listener's address, or a thread.
+    /// Another system call failed: reading the listener's address or creating the thread.
     #[error(transparent)]
     System(#[from] io::Error),
 }
 
-/// Starts a portal beside a running host; the address on which it listens.
+/// Starts a portal for a running host; returns the address on which it listens.
 pub fn start(
     settings: &Arc<Settings>,
     spec: &PortalSpec,
@@ -72,8 +72,8 @@
     })?;
     let address = listener.local_addr()?;
     let engine = setup::engine(settings, spec, address, &store);
-    // One event for all answers that come until they are read: one for each would wake the owner
-    // for nothing.
+    // One event announces all responses until they are read; one for each would wake the owner
+    // needlessly.
     let answers_pending = Arc::new(AtomicBool::new(false));
     let local = host.local({
         let events = events.clone();
--- a/crates/iscsi-target/src/portal/connection.rs
+++ b/crates/iscsi-target/src/portal/connection.rs
@@ -1,4 +1,4 @@
-//! A connection's sockets: accepting, reading PDUs into events, and writing what lies in its line.
+//! Socket I/O of connections: accepting, reading PDUs into events, and writing the queued PDUs.
 //!
 //! Each connection has a coroutine that reads and one that writes; neither touches the engine.
 
@@ -21,13 +21,13 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Data of that many bytes is not copied into the write buffer.
+/// Data of at least this many bytes is not copied into the write buffer.
 const DIRECT_WRITE: usize = 16 << 10;
-/// A write buffer that grew beyond is freed.
+/// A write buffer with a larger capacity is freed after use.
 const MAX_IDLE_BUFFER: usize = 256 << 10;
-/// Before the login is through, a segment is the standard's default length at most.
+/// Maximum data segment length during login: the default of RFC 7143.
 const LOGIN_SEGMENT: usize = 8192;
-/// Pause after a failed accept: out of descriptors, it would fail again at once.
+/// Pause after a failed accept: without free file descriptors the next one would fail at once.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Accepts connections for as long as the process runs.
@@ -46,14 +46,14 @@
                 go!(move || {
                     let conn = ConnNo(NUMBERS.fetch_add(1, Ordering::Relaxed));
                     if let Err(why) = serve(stream, conn, &events, &tracer, max_unsent) {
-                        info!(conn = conn.0, %from, "iscsi connection over: {why}");
+                        info!(conn = conn.0, %from, "iscsi connection ended: {why}");
                     }
                     tracer.line_closed(conn.0);
                     let _ = events.send(Event::Input(Input::ConnectionClosed { conn }));
                 });
             }
             Err(why) => {
-                warn!("portal cannot accept: {why}");
+                warn!("iscsi portal cannot accept a connection: {why}");
                 may::coroutine::sleep(ACCEPT_PAUSE);
             }
         }
@@ -100,8 +100,8 @@
         let mut inputs = Vec::new();
         let mut unreadable = false;
         while !unreadable {
-            // An initiator sends by what was agreed on only after it has our answer, which follows
-            // this.
+            // The initiator uses the negotiated parameters only after it has the login response,
+            // which is sent after the limits are set.
             let limits = line.reader();
             reader.digests = limits.digests;
             reader.max_data = limits.max_data;
@@ -120,7 +120,9 @@
             let _ = events.send(Event::Read(inputs));
         }
         if unreadable {
-            return Err(io::Error::other("bytes that are no PDU"));
+            return Err(io::Error::other(
+                "received bytes that cannot be parsed as a PDU",
+            ));
         }
     }
 }
@@ -144,7 +146,7 @@
             break;
         }
         if buffer.capacity() > MAX_IDLE_BUFFER {
-            // One large answer must not cost every idle connection its memory.
+            // Without this, an idle connection would keep the memory of its largest response.
             buffer = Vec::new();
         }
     }
@@ -152,7 +154,8 @@
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Large data goes straight to the socket: a copy would cost more than the call that it saves.
+/// Writes PDUs. Large data goes directly to the socket: a copy would cost more than the system call
+/// that it saves.
 fn write_all(
     stream: &mut TcpStream,
     pdus: &VecDeque<OutgoingPdu>,
@@ -175,7 +178,8 @@
     stream.write_all(buffer)
 }
 
-/// Records a PDU for the trace; of a login also the target, by which traces are filtered.
+/// Records a PDU in the trace; for a login request also the target name, by which traces are
+/// filtered.
 fn record(tracer: &Tracer, kind: Kind, conn: ConnNo, pdu: &Pdu) {
     if !tracer.is_on() {
         return;
--- a/crates/iscsi-target/src/portal/line.rs
+++ b/crates/iscsi-target/src/portal/line.rs
@@ -1,8 +1,7 @@
-//! The outgoing side of one connection: a queue of PDUs between the owner's thread and the writing
-//! coroutine.
+//! Send queue of one connection: PDUs passed from the owner's thread to the writing coroutine.
 //!
-//! The owner puts PDUs in, the writer takes all of them at once. Bounded by `max_unsent`: an
-//! initiator that leaves more unread is disconnected.
+//! The owner adds PDUs, and the writer takes all of them at once. The queue is bounded by
+//! `max_unsent`: an initiator that leaves more unread is disconnected.
 
 use grebecleat_iscsi::pdu::{self, Digests, Pdu};
 use may::sync::Semphore;
@@ -16,24 +15,24 @@
     pub digests: Digests,
 }
 
-/// What is to be written.
+/// PDUs waiting to be written.
 #[derive(Default)]
 struct Unsent {
     pdus: VecDeque<OutgoingPdu>,
-    /// Bytes of PDUs put in since the writer last took them.
+    /// Bytes of the PDUs added since the writer last took them.
     bytes: usize,
     /// The connection ends behind it.
     last: bool,
 }
 
-/// What the writer takes in one turn.
+/// PDUs that the writer takes at once.
 pub(super) struct Batch {
     pub pdus: VecDeque<OutgoingPdu>,
     /// The connection ends behind it.
     pub last: bool,
 }
 
-/// What a connection's reader expects of the next PDU.
+/// Parameters by which a connection's reader parses the next PDU.
 #[derive(Clone, Copy)]
 pub(super) struct ReaderLimits {
     pub digests: Digests,
@@ -41,22 +40,23 @@
     pub max_data: usize,
 }
 
-/// The way out of one connection, and what its reader expects.
+/// Send queue of one connection, and the limits for its reader.
 pub(super) struct Line {
     unsent: Mutex<Unsent>,
-    /// Set from a wake-up until the writer looks: one post of the semaphore is enough for all
-    /// between.
+    /// Set from a wake-up until the writer takes the queue, so that the semaphore is posted only
+    /// once in between.
     woken: AtomicBool,
     wake_up: Semphore,
-    /// The socket; none once it is closed.
+    /// File descriptor of the socket; `None` once it is closed.
     fd: Mutex<Option<i32>>,
-    /// PDU bytes that it may leave unread: what all commands that it may have open can read. Less
-    /// would disconnect an initiator that only uses its window.
+    /// Maximum bytes of PDUs that the initiator may leave unread: what all commands that it may
+    /// have open can read. A lower limit would disconnect an initiator that only uses its window.
     max_unsent: usize,
     reader: Mutex<ReaderLimits>,
 }
 
-/// A panic of another holder leaves each of these whole: they are changed in single steps.
+/// Locks a mutex even if it is poisoned: each value is changed in a single step, so a panic leaves
+/// it consistent.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex
         .lock()
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Puts a PDU in; whether what the initiator leaves unread is within the bound.
+    /// Adds a PDU; returns whether the unsent bytes are within the limit.
     pub fn put(&self, pdu: Pdu, digests: Digests) -> bool {
         let mut unsent = lock(&self.unsent);
         unsent.bytes += pdu.data.len() + pdu::BHS;
@@ -92,23 +92,23 @@
         fits
     }
 
-    /// Ends the connection once what lies here is written.
+    /// Closes the connection once the queued PDUs are written.
     pub fn finish(&self) {
         lock(&self.unsent).last = true;
         self.wake_writer();
     }
 
-    /// Ends the connection at once.
+    /// Closes the connection at once.
     pub fn hang_up(&self) {
         self.finish();
         if let Some(fd) = *lock(&self.fd) {
-            // SAFETY: the writer takes the number away, under this lock, before its socket closes.
+            // SAFETY: the writer clears the descriptor, under this lock, before its socket closes,
+            // so it is still open here.
             unsafe { libc::shutdown(fd, libc::SHUT_RDWR) };
         }
     }
 
-    /// For the writer: all that is to be written. A wake-up after this call is for what comes
-    /// later.
+    /// Called by the writer: takes all queued PDUs. A wake-up after this call announces later ones.
     pub fn take(&self) -> Batch {
         self.woken.store(false, Ordering::Release);
         let mut unsent = lock(&self.unsent);
@@ -119,12 +119,12 @@
         }
     }
 
-    /// For the writer: waits for a wake-up.
+    /// Called by the writer: waits for a wake-up.
     pub fn wait(&self) {
         self.wake_up.wait();
     }
 
-    /// For the writer: its socket is about to close.
+    /// Called by the writer before its socket closes.
     pub fn forget_socket(&self) {
         *lock(&self.fd) = None;
     }
--- a/crates/iscsi-target/src/portal/owner.rs
+++ b/crates/iscsi-target/src/portal/owner.rs
@@ -1,7 +1,7 @@
-//! The thread that owns a portal's engine: events in, actions out.
+//! The thread that owns a portal's engine: passes events to it and performs its actions.
 //!
-//! It waits for events of connections, of the host and of the store, steps the engine with all that
-//! are there, bounded by `MAX_EVENTS`, and performs the actions in their order.
+//! It waits for events from connections, the host and the store, steps the engine with all pending
+//! ones, up to `MAX_EVENTS`, and performs the resulting actions in order.
 
 use super::line::{Line, ReaderLimits};
 use super::requests::{finished, RequestBuilder};
@@ -21,24 +21,24 @@
 
 /// Longest wait for an event.
 const IDLE: Duration = Duration::from_secs(1);
-/// Shortest time between two reports of the shards' extents to the host.
+/// Minimum time between two reports of the extents per shard to the host.
 const REPORT_INTERVAL: Duration = IDLE;
-/// Events of one step, beyond the one that woke it.
+/// Maximum events of one step, in addition to the one that woke the thread.
 const MAX_EVENTS: usize = 1024;
 
-/// What wakes the owner.
+/// An event that wakes the owner.
 pub(super) enum Event {
     Input(Input),
-    /// What one read of a connection brought.
+    /// Inputs from one read of a connection.
     Read(Vec<Input>),
     Opened(ConnNo, Arc<Line>),
-    /// The host has answered something.
+    /// Responses of the host are ready to be read.
     Answers,
-    /// The store failed, and why.
+    /// The store failed, with the reason.
     StoreFailed(String),
 }
 
-/// How many extents lie in each shard, as the host knows it.
+/// Number of extents in each shard, reported to the host.
 pub(super) struct ShardCounts {
     host: Handle,
     extents: BTreeMap<u32, u64>,
@@ -76,14 +76,14 @@
     }
 }
 
-/// The engine and all that its actions need.
+/// The engine and the resources that its actions need.
 pub(super) struct Owner {
     pub engine: Engine,
     pub shard_counts: ShardCounts,
     pub local: LocalClient,
-    /// An [`Event::Answers`] is on its way.
+    /// Whether an [`Event::Answers`] is queued.
     pub answers_pending: Arc<AtomicBool>,
-    /// None once it can no longer be written.
+    /// `None` once the store has failed.
     pub store: Option<GroupCommit>,
     pub events: Sender<Event>,
     pub lines: BTreeMap<ConnNo, Arc<Line>>,
@@ -91,7 +91,7 @@
 }
 
 impl Owner {
-    /// Runs until every sender of events is gone.
+    /// Runs until all senders of events are dropped.
     pub fn run(mut self, events: &Receiver<Event>) {
         loop {
             let first = match events.recv_timeout(self.wait_time()) {
@@ -201,7 +201,8 @@
         }
     }
 
-    /// Hands a record to the store; the engine gets the acknowledgement once it is on the disk.
+    /// Commits a record to the store; the engine receives the acknowledgement once the record is
+    /// durable.
     fn persist(&self, record: Record, acknowledgement: Input) {
         let Some(store) = &self.store else {
             return;
--- a/crates/iscsi-target/src/portal/requests.rs
+++ b/crates/iscsi-target/src/portal/requests.rs
@@ -1,7 +1,8 @@
-//! The engine's requests as frames to the host, and the host's answers as the engine's inputs.
+//! Converts requests of the engine into frames for the host, and responses of the host into inputs
+//! of the engine.
 //!
-//! Called by the owner for each; the only state is what tells this start's request ids from
-//! another's.
+//! Called by the owner. The only state is the prefix that distinguishes the request ids of this run
+//! of the process from those of others.
 
 use crate::blocks::RequestOutcome;
 use crate::engine::{Input, Request, RequestNumber};
@@ -12,13 +13,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes of a request id before the request's number: 16 of the start, and a hyphen.
+/// Length of a request id's prefix in bytes: 16 hex digits that identify this run, and a hyphen.
 const ID_PREFIX: usize = 17;
-/// Bits of an ordering key that hold the extent; the volume's id is above them.
+/// Low bits of an ordering key that hold the extent; the volume's id is above them.
 const EXTENT_BITS: u32 = 40;
 
 pub(super) struct RequestBuilder {
-    /// Tells this start's requests from another's.
+    /// Distinguishes the requests of this run of the process from those of others.
     start: u64,
     settings: Arc<Settings>,
     spec: PortalSpec,
@@ -65,7 +66,8 @@
     }
 }
 
-/// The input of an answer; none for frames that are no answer to a request of this kind.
+/// Returns the input for a response; `None` for frames that are not responses to requests of this
+/// portal.
 pub(super) fn finished(body: Body) -> Option<Input> {
     let Body::Response(response) = body else {
         return None;
--- a/crates/iscsi-target/src/portal/setup.rs
+++ b/crates/iscsi-target/src/portal/setup.rs
@@ -1,4 +1,4 @@
-//! The engine of a portal, from the settings and what the store holds.
+//! Creates the engine of a portal from the settings and the persisted state.
 //!
 //! Called once, when a portal starts.
 
@@ -19,7 +19,7 @@
 
 /// Bytes of a logical block.
 const BLOCK: u32 = 512;
-/// Bytes that one command may read or write.
+/// Maximum bytes that one command may read or write.
 const MAX_TRANSFER: u32 = 1 << 20;
 
 pub(super) fn engine(
@@ -95,8 +95,8 @@
         .collect()
 }
 
-/// As long as an attempt of a request that has failed may still begin at a node, and then the time
-/// for which its key stays in use.
+/// Time for which an attempt of a failed request may still start at a node, plus the time for which
+/// its ordering key then stays in use.
 fn late_write_time(settings: &Settings) -> Duration {
     settings.longest_deadline() + settings.rules.key_rest
 }
@@ -106,13 +106,14 @@
     clock::micros(since_epoch.unwrap_or_default())
 }
 
-/// Without randomness there is no login: a challenge that can be predicted proves nothing.
+/// Returns the source of CHAP challenges. It panics without system randomness: a predictable
+/// challenge would not authenticate the initiator.
 fn challenges() -> ChallengeSource {
     Box::new(|| {
         let mut bytes = [0; CHALLENGE_BYTES];
         OsRng
             .try_fill_bytes(&mut bytes)
-            .expect("the system has chance to give");
+            .expect("the system's random number generator is available");
         bytes
     })
 }
