--- a/crates/iscsi-target/src/blocks.rs
+++ b/crates/iscsi-target/src/blocks.rs
@@ -1,8 +1,8 @@
 //! Splits a block command by extent and combines the outcomes of its pieces.
 //!
 //! Used by the engine. A volume is divided into extents of a fixed number of blocks, and a request
-//! touches one extent. [`Layout::pieces`] splits a range; [`Gather`] collects the outcomes of the
-//! pieces in any order. The command's outcome is that of its worst piece:
+//! touches one extent. [`Layout::pieces`] splits a range; [`OutcomeCollector`] takes the outcomes
+//! of the pieces in any order. The command's outcome is that of its worst piece:
 //!
 //! | pieces | command | why |
 //! | --- | --- | --- |
@@ -27,7 +27,7 @@
     /// Offset in its extent.
     pub offset: u32,
     /// Offset in the command's data.
-    pub at: usize,
+    pub data_offset: usize,
     /// Its length, at least one block.
     pub length: u32,
 }
@@ -48,9 +48,9 @@
     /// use grebecleat_iscsi_target::blocks::{Layout, Piece};
     /// let layout = Layout { block_size: 512, extent_blocks: 8 };
     /// let pieces: Vec<Piece> = layout.pieces(6, 12).collect();
-    /// assert_eq!(pieces[0], Piece { extent: 0, offset: 3072, at: 0, length: 1024 });
-    /// assert_eq!(pieces[1], Piece { extent: 1, offset: 0, at: 1024, length: 4096 });
-    /// assert_eq!(pieces[2], Piece { extent: 2, offset: 0, at: 5120, length: 1024 });
+    /// assert_eq!(pieces[0], Piece { extent: 0, offset: 3072, data_offset: 0, length: 1024 });
+    /// assert_eq!(pieces[1], Piece { extent: 1, offset: 0, data_offset: 1024, length: 4096 });
+    /// assert_eq!(pieces[2], Piece { extent: 2, offset: 0, data_offset: 5120, length: 1024 });
     /// assert_eq!((pieces.len(), layout.pieces(5, 0).count()), (3, 0));
     /// ```
     pub fn pieces(self, lba: u64, blocks: u64) -> impl Iterator<Item = Piece> {
@@ -69,7 +69,7 @@
             Piece {
                 extent,
                 offset: ((from - extent_start) * block_size) as u32,
-                at: ((from - lba) * block_size) as usize,
+                data_offset: ((from - lba) * block_size) as usize,
                 length: ((to - from) * block_size) as u32,
             }
         })
@@ -102,7 +102,7 @@
 
 /// Severity of the outcomes of a command's pieces, in ascending order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Worst {
+enum Severity {
     Completed,
     Rejected,
     Failed,
@@ -111,7 +111,7 @@
 
 /// Collects the outcomes of one command's pieces.
 #[derive(Debug)]
-pub struct Gather {
+pub struct OutcomeCollector {
     /// The pieces in order; `None` for those whose outcome was received.
     missing: Vec<Option<Piece>>,
     open: usize,
@@ -122,14 +122,14 @@
     data: BytesMut,
     /// Data of a read in one piece, which is not copied.
     single: Option<Bytes>,
-    worst: Worst,
+    worst: Severity,
     retry_after: Option<Duration>,
     may_still_apply: bool,
 }
 
 /// A command's outcome.
 #[derive(Debug, PartialEq)]
-pub struct Gathered {
+pub struct CommandOutcome {
     /// SCSI outcome to send to the initiator.
     pub outcome: Outcome,
     /// Time after which a BUSY command may be sent again, if the host gave one.
@@ -138,17 +138,17 @@
     pub may_still_apply: bool,
 }
 
-impl Gather {
+impl OutcomeCollector {
     /// Starts without outcomes. `reads`: the command needs the data of its pieces.
     pub fn new(pieces: Vec<Piece>, reads: bool) -> Self {
-        Gather {
+        OutcomeCollector {
             open: pieces.len(),
             total_bytes: pieces.iter().map(|piece| piece.length as usize).sum(),
             missing: pieces.into_iter().map(Some).collect(),
             reads,
             data: BytesMut::new(),
             single: None,
-            worst: Worst::Completed,
+            worst: Severity::Completed,
             retry_after: None,
             may_still_apply: false,
         }
@@ -156,7 +156,7 @@
 
     /// Adds the outcome of the piece with the given index; returns the command's outcome after the
     /// last one. A second outcome of a piece is ignored.
-    pub fn add(&mut self, index: usize, outcome: RequestOutcome) -> Option<Gathered> {
+    pub fn add(&mut self, index: usize, outcome: RequestOutcome) -> Option<CommandOutcome> {
         let piece = self.missing.get_mut(index)?.take()?;
         self.open -= 1;
         match outcome {
@@ -169,18 +169,18 @@
                 retry_after,
                 may_still_apply,
             } => {
-                self.worst = self.worst.max(Worst::Rejected);
+                self.worst = self.worst.max(Severity::Rejected);
                 self.retry_after = self.retry_after.max(retry_after);
                 self.may_still_apply |= may_still_apply && !self.reads;
             }
             RequestOutcome::Failed { may_still_apply } => {
-                self.worst = self.worst.max(Worst::Failed);
+                self.worst = self.worst.max(Severity::Failed);
                 self.may_still_apply |= may_still_apply && !self.reads;
             }
-            RequestOutcome::Superseded(_) => self.worst = self.worst.max(Worst::Failed),
-            RequestOutcome::NotPersisted => self.worst = self.worst.max(Worst::NotPersisted),
+            RequestOutcome::Superseded(_) => self.worst = self.worst.max(Severity::Failed),
+            RequestOutcome::NotPersisted => self.worst = self.worst.max(Severity::NotPersisted),
         }
-        (self.open == 0).then(|| self.gathered())
+        (self.open == 0).then(|| self.command_outcome())
     }
 
     /// Stores the data of a piece. The data of a command with a single piece is not copied.
@@ -194,21 +194,21 @@
             self.data = BytesMut::zeroed(self.total_bytes);
         }
         let present = data.len().min(length);
-        self.data[piece.at..piece.at + present].copy_from_slice(&data[..present]);
+        self.data[piece.data_offset..piece.data_offset + present].copy_from_slice(&data[..present]);
     }
 
-    fn gathered(&mut self) -> Gathered {
+    fn command_outcome(&mut self) -> CommandOutcome {
         let outcome = match self.worst {
-            Worst::NotPersisted => Outcome::check(Sense::WRITE_ERROR),
-            Worst::Failed => Outcome::check(Sense::OUTCOME_UNKNOWN),
-            Worst::Rejected => Outcome::busy(self.retry_after),
-            Worst::Completed => Outcome::good(match self.single.take() {
+            Severity::NotPersisted => Outcome::check(Sense::WRITE_ERROR),
+            Severity::Failed => Outcome::check(Sense::OUTCOME_UNKNOWN),
+            Severity::Rejected => Outcome::busy(self.retry_after),
+            Severity::Completed => Outcome::good(match self.single.take() {
                 Some(data) => data,
                 None => std::mem::take(&mut self.data).freeze(),
             }),
         };
         let busy = outcome.status == Status::Busy;
-        Gathered {
+        CommandOutcome {
             outcome,
             retry_after: self.retry_after.filter(|_| busy),
             may_still_apply: self.may_still_apply,
--- a/crates/iscsi-target/src/engine/block_commands.rs
+++ b/crates/iscsi-target/src/engine/block_commands.rs
@@ -12,51 +12,51 @@
 use grebecleat_iscsi::session::Outcome;
 
 /// Result of the validation of a command.
-enum Checked {
+enum Validation {
     /// The command accesses blocks.
     Blocks(BlockCommand),
     /// The command is answered at once.
     Answered(Outcome),
 }
 
-fn check(sense: Sense) -> Checked {
-    Checked::Answered(Outcome::check(sense))
+fn check_condition(sense: Sense) -> Validation {
+    Validation::Answered(Outcome::check(sense))
 }
 
-fn bytes_of(unit: &Unit, blocks: u64) -> usize {
+fn byte_length(unit: &Unit, blocks: u64) -> usize {
     (blocks * u64::from(unit.block_size)) as usize
 }
 
-fn on_range(lba: u64, blocks: u64, action: BlockAction) -> Checked {
-    Checked::Blocks(BlockCommand {
+fn block_command(lba: u64, blocks: u64, action: BlockAction) -> Validation {
+    Validation::Blocks(BlockCommand {
         lba,
         blocks,
         action,
     })
 }
 
-fn parse(unit: &Unit, command: &Command, data: Bytes) -> Checked {
+fn parse(unit: &Unit, command: &Command, data: Bytes) -> Validation {
     match *command {
-        Command::Read { lba, blocks, .. } => on_range(lba, blocks, BlockAction::Read),
-        Command::Write { lba, blocks, .. } => on_range(lba, blocks, BlockAction::Write(data)),
+        Command::Read { lba, blocks, .. } => block_command(lba, blocks, BlockAction::Read),
+        Command::Write { lba, blocks, .. } => block_command(lba, blocks, BlockAction::Write(data)),
         Command::Verify { lba, blocks, bytes } => {
-            on_range(lba, blocks, BlockAction::Verify(bytes.then_some(data)))
+            block_command(lba, blocks, BlockAction::Verify(bytes.then_some(data)))
         }
         // A write with status GOOD is durable, so there is no cache to write back.
         Command::SynchronizeCache { lba, blocks, .. } => match unit.within(lba, blocks) {
-            Ok(()) => Checked::Answered(Outcome::good(Bytes::new())),
-            Err(sense) => check(sense),
+            Ok(()) => Validation::Answered(Outcome::good(Bytes::new())),
+            Err(sense) => check_condition(sense),
         },
         Command::CompareAndWrite { lba, blocks } => {
-            let half = bytes_of(unit, blocks);
+            let half = byte_length(unit, blocks);
             if data.len() != 2 * half {
-                return check(Sense::INVALID_FIELD_IN_CDB);
+                return check_condition(Sense::INVALID_FIELD_IN_CDB);
             }
             let action = BlockAction::CompareAndWrite {
                 expected: data.slice(..half),
                 replacement: data.slice(half..),
             };
-            on_range(lba, blocks, action)
+            block_command(lba, blocks, action)
         }
         Command::WriteSame {
             lba,
@@ -68,43 +68,43 @@
             write_same(unit, lba, blocks, block)
         }
         Command::Unmap { length } => unmap(unit, &data[..data.len().min(length)]),
-        _ => check(Sense::INVALID_OPCODE),
+        _ => check_condition(Sense::INVALID_OPCODE),
     }
 }
 
 /// Writes one block, or zeroes, to a whole range; a block count of 0 means all blocks up to the end
 /// of the unit.
-fn write_same(unit: &Unit, lba: u64, blocks: u64, block: Option<Bytes>) -> Checked {
+fn write_same(unit: &Unit, lba: u64, blocks: u64, block: Option<Bytes>) -> Validation {
     let blocks = match blocks {
         0 => unit.blocks.saturating_sub(lba),
         _ => blocks,
     };
-    let block_bytes = bytes_of(unit, 1);
+    let block_bytes = byte_length(unit, 1);
     let block = block.unwrap_or_else(|| Bytes::from(vec![0; block_bytes]));
     if block.len() != block_bytes || blocks > u64::from(unit.max_blocks) {
-        return check(Sense::INVALID_FIELD_IN_CDB);
+        return check_condition(Sense::INVALID_FIELD_IN_CDB);
     }
-    let mut data = BytesMut::with_capacity(bytes_of(unit, blocks));
+    let mut data = BytesMut::with_capacity(byte_length(unit, blocks));
     for _ in 0..blocks {
         data.extend_from_slice(&block);
     }
-    on_range(lba, blocks, BlockAction::Write(data.freeze()))
+    block_command(lba, blocks, BlockAction::Write(data.freeze()))
 }
 
 /// Overwrites one range with zeroes. Rejects more ranges or blocks than the Block Limits page
 /// reports (SBC-3, 5.28).
-fn unmap(unit: &Unit, parameters: &[u8]) -> Checked {
+fn unmap(unit: &Unit, parameters: &[u8]) -> Validation {
     let ranges = match unmap_ranges(parameters) {
         Ok(ranges) => ranges,
-        Err(sense) => return check(sense),
+        Err(sense) => return check_condition(sense),
     };
     match ranges[..] {
-        [] => Checked::Answered(Outcome::good(Bytes::new())),
+        [] => Validation::Answered(Outcome::good(Bytes::new())),
         [(lba, blocks)] if blocks <= u64::from(unit.max_blocks) => {
-            let zeroes = Bytes::from(vec![0; bytes_of(unit, blocks)]);
-            on_range(lba, blocks, BlockAction::Write(zeroes))
+            let zeroes = Bytes::from(vec![0; byte_length(unit, blocks)]);
+            block_command(lba, blocks, BlockAction::Write(zeroes))
         }
-        _ => check(Sense::INVALID_FIELD_IN_PARAMETERS),
+        _ => check_condition(Sense::INVALID_FIELD_IN_PARAMETERS),
     }
 }
 
@@ -122,7 +122,7 @@
     if *blocks > u64::from(unit.max_blocks) {
         return Some(Outcome::check(Sense::INVALID_FIELD_IN_CDB));
     }
-    let bytes = bytes_of(unit, *blocks);
+    let bytes = byte_length(unit, *blocks);
     let data_misfits = match action {
         BlockAction::Write(data) | BlockAction::Verify(Some(data)) => data.len() != bytes,
         BlockAction::Read => max_in == 0 && bytes > 0,
@@ -144,8 +144,8 @@
     ) -> Option<Outcome> {
         let unit = &self.volumes[volume].facts.unit;
         let command = match parse(unit, &command, scsi.data) {
-            Checked::Blocks(command) => command,
-            Checked::Answered(outcome) => return Some(outcome),
+            Validation::Blocks(command) => command,
+            Validation::Answered(outcome) => return Some(outcome),
         };
         if let Some(outcome) = check_range(unit, &command, scsi.max_in) {
             return Some(outcome);
@@ -166,7 +166,7 @@
             task: scsi.task,
             volume,
             command,
-            gather: None,
+            collector: None,
             aborted: false,
         };
         self.commands.insert(number, open);
--- a/crates/iscsi-target/src/engine/commands.rs
+++ b/crates/iscsi-target/src/engine/commands.rs
@@ -38,8 +38,8 @@
             return;
         };
         if let Some(state) = self.sessions.get_mut(&session) {
-            let acts = state.session.complete(task, outcome);
-            self.perform(session, acts);
+            let actions = state.session.complete(task, outcome);
+            self.perform(session, actions);
         }
     }
 
@@ -55,7 +55,7 @@
             .map(|index| (index as u64) << 48)
             .collect();
         let Some(volume) = self.unit_of(target, scsi.lun) else {
-            return self.without_unit(target, &command, &luns);
+            return self.answer_without_unit(target, &command, &luns);
         };
         let pending = match self.take_attention(scsi.session, volume, &command)? {
             Ok(pending) => pending,
@@ -85,7 +85,12 @@
     }
 
     /// Answers commands to a LUN without a logical unit (SAM-5, 4.7.4).
-    fn without_unit(&self, target: usize, command: &Command, luns: &[u64]) -> Option<Outcome> {
+    fn answer_without_unit(
+        &self,
+        target: usize,
+        command: &Command,
+        luns: &[u64],
+    ) -> Option<Outcome> {
         match command {
             Command::Inquiry { page: None, most } => {
                 let mut data = NO_UNIT_INQUIRY.to_vec();
@@ -149,7 +154,7 @@
                     self.add_attention(other.0, volume, *sense);
                 }
                 for other in effects.aborted {
-                    self.abort_at(other.0, &[volume]);
+                    self.abort_on_volumes(other.0, &[volume]);
                 }
                 Outcome::good(Bytes::new())
             }
--- a/crates/iscsi-target/src/engine/completion.rs
+++ b/crates/iscsi-target/src/engine/completion.rs
@@ -6,7 +6,7 @@
 
 use super::records::{BlockAction, LateWrite, Step};
 use super::Engine;
-use crate::blocks::Gathered;
+use crate::blocks::CommandOutcome;
 use crate::pressure::{CommandResult, SessionNo};
 use bytes::Bytes;
 use grebecleat_iscsi::scsi::{Sense, Status};
@@ -24,11 +24,11 @@
 
 impl Engine {
     /// Handles the end of all requests of a command's step.
-    pub(super) fn step_over(&mut self, number: u64, gathered: Gathered) {
+    pub(super) fn step_ended(&mut self, number: u64, command_outcome: CommandOutcome) {
         let Some(open) = self.commands.get(&number) else {
             return;
         };
-        let mut outcome = gathered.outcome;
+        let mut outcome = command_outcome.outcome;
         if outcome.status == Status::Good {
             match &open.command.action {
                 BlockAction::Verify(Some(expected)) => outcome = compare(expected, &outcome.data),
@@ -48,11 +48,16 @@
         let result = match outcome.status {
             Status::Good => CommandResult::Completed,
             Status::Busy => CommandResult::Rejected {
-                retry_after: gathered.retry_after.unwrap_or(self.late_write_time),
+                retry_after: command_outcome.retry_after.unwrap_or(self.late_write_time),
             },
             _ => CommandResult::Other,
         };
-        self.end_command(number, Some(outcome), result, gathered.may_still_apply);
+        self.end_command(
+            number,
+            Some(outcome),
+            result,
+            command_outcome.may_still_apply,
+        );
     }
 
     /// Ends a command and answers it unless it was aborted. `may_still_apply`: a part of its write
@@ -89,11 +94,11 @@
         let Some(state) = self.sessions.get_mut(&open.session) else {
             return;
         };
-        let acts = match outcome {
+        let actions = match outcome {
             Some(outcome) if !open.aborted => state.session.complete(open.task, outcome),
             _ => state.session.abort_complete(open.task),
         };
-        self.perform(open.session, acts);
-        self.forget_session_if_over(open.session);
+        self.perform(open.session, actions);
+        self.remove_session_if_ended(open.session);
     }
 }
--- a/crates/iscsi-target/src/engine/connections.rs
+++ b/crates/iscsi-target/src/engine/connections.rs
@@ -42,10 +42,10 @@
     pub(super) fn refuse(&mut self, conn: ConnNo, reason: &str) {
         self.log(format!("iscsi connection {}: {reason}", conn.0));
         self.outputs.push(Output::Close { conn });
-        self.forget_connection(conn);
+        self.remove_connection(conn);
     }
 
-    fn forget_connection(&mut self, conn: ConnNo) -> Option<Connection> {
+    fn remove_connection(&mut self, conn: ConnNo) -> Option<Connection> {
         let connection = self.connections.remove(&conn)?;
         self.logins.remove(&PendingLogin {
             since: connection.opened_at,
@@ -65,8 +65,8 @@
                     self.log(format!("iscsi connection {}: {fault}", conn.0));
                 }
                 if let Some(state) = self.sessions.get_mut(&session) {
-                    let acts = state.session.receive(cid, read);
-                    self.perform(session, acts);
+                    let actions = state.session.receive(cid, read);
+                    self.perform(session, actions);
                 }
             }
             (Phase::Login(_), Err(fault)) => self.refuse(conn, &fault.to_string()),
@@ -131,7 +131,7 @@
     }
 
     pub(super) fn connection_closed(&mut self, conn: ConnNo) {
-        let Some(connection) = self.forget_connection(conn) else {
+        let Some(connection) = self.remove_connection(conn) else {
             return;
         };
         let Phase::Full { session, cid } = connection.phase else {
@@ -141,8 +141,8 @@
             return;
         };
         state.connections.remove(&cid);
-        let acts = state.session.connection_lost(cid);
-        self.perform(session, acts);
-        self.forget_session_if_over(session);
+        let actions = state.session.connection_lost(cid);
+        self.perform(session, actions);
+        self.remove_session_if_ended(session);
     }
 }
--- a/crates/iscsi-target/src/engine/records.rs
+++ b/crates/iscsi-target/src/engine/records.rs
@@ -4,9 +4,9 @@
 //! describes ends.
 
 use super::messages::{ConnNo, Request, RequestNumber, VolumeFacts};
-use crate::blocks::{Gather, Layout};
+use crate::blocks::{Layout, OutcomeCollector};
 use crate::overlaps::Overlaps;
-use crate::pressure::{Pressure, WindowLimits};
+use crate::pressure::{BackPressure, WindowLimits};
 use bytes::Bytes;
 use grebecleat_iscsi::login::{LoggedIn, Login};
 use grebecleat_iscsi::pdu::Digests;
@@ -22,10 +22,10 @@
     pub facts: VolumeFacts,
     pub layout: Layout,
     pub overlaps: Overlaps,
-    pub pressure: Pressure,
+    pub pressure: BackPressure,
     pub reservations: Reservations,
     /// Extents being written for the first time, with the requests that wait for the placement.
-    pub placing: BTreeMap<u64, VecDeque<RequestNumber>>,
+    pub pending_placements: BTreeMap<u64, VecDeque<RequestNumber>>,
 }
 
 impl Volume {
@@ -36,9 +36,9 @@
                 extent_blocks: facts.extent_blocks,
             },
             overlaps: Overlaps::default(),
-            pressure: Pressure::new(limits),
+            pressure: BackPressure::new(limits),
             reservations: Reservations::default(),
-            placing: BTreeMap::new(),
+            pending_placements: BTreeMap::new(),
             facts,
         }
     }
@@ -126,7 +126,7 @@
     pub volume: usize,
     pub command: BlockCommand,
     /// The outcomes of its requests; `None` while it waits for overlapping commands.
-    pub gather: Option<Gather>,
+    pub collector: Option<OutcomeCollector>,
     /// Whether it was aborted and ends without a response.
     pub aborted: bool,
 }
--- a/crates/iscsi-target/src/engine/requests.rs
+++ b/crates/iscsi-target/src/engine/requests.rs
@@ -7,7 +7,7 @@
 use super::messages::{Output, Request, RequestNumber};
 use super::records::{BlockAction, OpenRequest, Step};
 use super::Engine;
-use crate::blocks::{Gather, Piece, RequestOutcome};
+use crate::blocks::{OutcomeCollector, Piece, RequestOutcome};
 use bytes::Bytes;
 use std::collections::VecDeque;
 
@@ -33,11 +33,13 @@
             .layout
             .pieces(open.command.lba, open.command.blocks)
             .collect();
-        open.gather = Some(Gather::new(pieces.clone(), data.is_none()));
+        open.collector = Some(OutcomeCollector::new(pieces.clone(), data.is_none()));
         for (index, piece) in pieces.into_iter().enumerate() {
             let no = RequestNumber(self.next_number());
             let part = match &data {
-                Some(data) => data.slice(piece.at..piece.at + piece.length as usize),
+                Some(data) => {
+                    data.slice(piece.data_offset..piece.data_offset + piece.length as usize)
+                }
                 None => Bytes::new(),
             };
             let request = Request {
@@ -79,10 +81,10 @@
             }
             None if open.first_write => {}
             None => {
-                if let Some(waiting) = volume.placing.get_mut(&extent) {
+                if let Some(waiting) = volume.pending_placements.get_mut(&extent) {
                     return waiting.push_back(no);
                 }
-                volume.placing.insert(extent, VecDeque::new());
+                volume.pending_placements.insert(extent, VecDeque::new());
                 open.first_write = true;
             }
         }
@@ -204,17 +206,19 @@
             return;
         };
         let volume = command.volume;
-        let gather = command.gather.as_mut();
-        let gathered = gather.and_then(|gather| gather.add(open.piece, outcome));
+        let collector = command.collector.as_mut();
+        let command_outcome = collector.and_then(|collector| collector.add(open.piece, outcome));
         if open.first_write {
-            let placing = &mut self.volumes[volume].placing;
-            let waiting = placing.remove(&open.request.extent).unwrap_or_default();
+            let pending_placements = &mut self.volumes[volume].pending_placements;
+            let waiting = pending_placements
+                .remove(&open.request.extent)
+                .unwrap_or_default();
             for no in waiting {
                 self.send(no);
             }
         }
-        if let Some(gathered) = gathered {
-            self.step_over(open.command, gathered);
+        if let Some(command_outcome) = command_outcome {
+            self.step_ended(open.command, command_outcome);
         }
     }
 }
--- a/crates/iscsi-target/src/engine/sessions.rs
+++ b/crates/iscsi-target/src/engine/sessions.rs
@@ -46,7 +46,7 @@
                 self.create_session(identity, cmd_sn)
             }
             Some(session) if identity.tsih == self.sessions[&session].tsih => {
-                self.make_room_for(session, cid)?;
+                self.replace_or_admit(session, cid)?;
                 session
             }
             _ => return Err(LoginStatus::SessionDoesNotExist),
@@ -89,7 +89,7 @@
         let units = target.map_or_else(Vec::new, |target| self.targets[target].luns.clone());
         let number = self.next_number();
         self.last_tsih = self.last_tsih.checked_add(1).unwrap_or(1);
-        let listing = self.listing(&identity.initiator);
+        let visible_targets = self.visible_targets(&identity.initiator);
         let attentions = units
             .iter()
             .map(|unit| (*unit, VecDeque::from([Sense::POWER_ON])))
@@ -97,7 +97,7 @@
         let state = SessionState {
             session: Session::new(
                 identity.target.clone(),
-                listing,
+                visible_targets,
                 LIMITS,
                 cmd_sn,
                 FIRST_WINDOW,
@@ -119,7 +119,7 @@
 
     /// Replaces a connection with the same CID (RFC 7143, 6.3.4); a new CID must fit the negotiated
     /// MaxConnections.
-    fn make_room_for(&mut self, session: u64, cid: ConnectionId) -> Result<(), LoginStatus> {
+    fn replace_or_admit(&mut self, session: u64, cid: ConnectionId) -> Result<(), LoginStatus> {
         let state = &self.sessions[&session];
         if let Some(old) = state.connections.get(&cid).copied() {
             self.outputs.push(Output::Close { conn: old });
@@ -131,7 +131,7 @@
     }
 
     /// Returns the targets visible to an initiator, each with the portal's addresses.
-    fn listing(&self, initiator: &str) -> Vec<(String, Vec<String>)> {
+    fn visible_targets(&self, initiator: &str) -> Vec<(String, Vec<String>)> {
         let visible = |target: &&Target| match &target.initiators {
             None => true,
             Some(allowed) => allowed.iter().any(|name| name == initiator),
@@ -151,11 +151,11 @@
             self.outputs.push(Output::Close { conn });
             self.connection_closed(conn);
         }
-        self.forget_session_if_over(session);
+        self.remove_session_if_ended(session);
     }
 
     /// Removes a session that has neither connections nor open commands.
-    pub(super) fn forget_session_if_over(&mut self, session: u64) {
+    pub(super) fn remove_session_if_ended(&mut self, session: u64) {
         let Some(state) = self.sessions.get(&session) else {
             return;
         };
@@ -170,9 +170,9 @@
     }
 
     /// Performs the actions that a session requests, in order.
-    pub(super) fn perform(&mut self, session: u64, acts: Vec<SessionAction>) {
-        for act in acts {
-            match act {
+    pub(super) fn perform(&mut self, session: u64, actions: Vec<SessionAction>) {
+        for action in actions {
+            match action {
                 SessionAction::Send { cid, pdu } => {
                     let Some(conn) = self.connection_of(session, cid) else {
                         continue;
@@ -227,8 +227,8 @@
         }
         for session in changed {
             if let Some(state) = self.sessions.get_mut(&session) {
-                let acts = state.session.set_task_limit(state.allowed.values().sum());
-                self.perform(session, acts);
+                let actions = state.session.set_task_limit(state.allowed.values().sum());
+                self.perform(session, actions);
             }
         }
     }
--- a/crates/iscsi-target/src/engine/task_management.rs
+++ b/crates/iscsi-target/src/engine/task_management.rs
@@ -26,19 +26,20 @@
         for number in numbers {
             let open = self.commands.get_mut(&number).expect("listed above");
             open.aborted = true;
-            if open.gather.is_none() {
+            if open.collector.is_none() {
                 self.end_command(number, None, CommandResult::Other, false);
             }
         }
     }
 
     /// Aborts a session's commands on the given volumes and returns their tasks.
-    pub(super) fn abort_at(&mut self, session: u64, volumes: &[usize]) -> Vec<TaskId> {
-        let hit = |open: &&OpenCommand| open.session == session && volumes.contains(&open.volume);
+    pub(super) fn abort_on_volumes(&mut self, session: u64, volumes: &[usize]) -> Vec<TaskId> {
+        let affected =
+            |open: &&OpenCommand| open.session == session && volumes.contains(&open.volume);
         let tasks: Vec<TaskId> = self
             .commands
             .values()
-            .filter(hit)
+            .filter(affected)
             .map(|open| open.task)
             .collect();
         self.abort(session, &tasks);
@@ -63,7 +64,7 @@
         let sessions = self.sessions.keys().copied();
         let others: Vec<u64> = sessions.filter(|session| *session != by).collect();
         for session in others {
-            let tasks = self.abort_at(session, &units);
+            let tasks = self.abort_on_volumes(session, &units);
             if reason == AbortReason::ClearTaskSet && tasks.is_empty() {
                 continue;
             }
--- a/crates/iscsi-target/src/overlaps/tests.rs
+++ b/crates/iscsi-target/src/overlaps/tests.rs
@@ -23,7 +23,10 @@
         !o.open(4, range(18, 19, false)),
         "behind the write that itself waits"
     );
-    assert!(o.open(5, range(20, 30, true)), "touching is no overlap");
+    assert!(
+        o.open(5, range(20, 30, true)),
+        "adjacent ranges do not overlap"
+    );
     assert!(o.close(1).is_empty());
     assert_eq!(o.close(2), [3]);
     assert_eq!(o.close(3), [4]);
@@ -50,20 +53,24 @@
         o.close_covering(5).is_empty(),
         "the late write is not covered whole"
     );
-    assert_eq!(o.close(1), [2, 6], "over: the reads go");
+    assert_eq!(
+        o.close(1),
+        [2, 6],
+        "after the late write is closed the reads start"
+    );
     assert_eq!(
         (o.close(2), o.close(3), o.close(4)),
         (vec![3], vec![4], vec![])
     );
     o.close(6);
-    // Covered by a later write that was carried out, or by one that is late in its turn.
+    // A later write that completes covers the late one, and the read that waited for both starts.
     assert!(o.open(10, range(0, 4, true)) && !o.open(11, range(0, 8, true)));
     assert_eq!(o.set_late(10), [11]);
     assert!(!o.open(12, range(1, 2, false)));
     assert_eq!(o.close_covering(11), [12]);
     assert!(
         o.close(10).is_empty() && o.close(12).is_empty() && o.is_empty(),
-        "nothing is late any more"
+        "no late write is left"
     );
 }
 
--- a/crates/iscsi-target/src/portal.rs
+++ b/crates/iscsi-target/src/portal.rs
@@ -28,9 +28,9 @@
 use std::sync::Arc;
 
 /// Maximum bytes that one command may read.
-const MAX_READ: usize = 1 << 20;
+const MAX_READ_BYTES: usize = 1 << 20;
 /// Bytes of PDU headers for the data that one command reads.
-const MAX_HEADERS: usize = 4096;
+const MAX_HEADER_BYTES: usize = 4096;
 
 /// Placements of extents and the version ceiling, as persisted by earlier runs of the process.
 pub struct Places<'a> {
@@ -86,16 +86,16 @@
     });
     let accepting = events.clone();
     let tracer = host.tracer().clone();
-    let max_unsent = spec.commands.2 as usize * (MAX_READ + MAX_HEADERS);
+    let max_unsent = spec.commands.2 as usize * (MAX_READ_BYTES + MAX_HEADER_BYTES);
     go!(move || accept(&listener, &accepting, &tracer, max_unsent));
     let owner = Owner {
         engine,
-        shard_counts: ShardCounts::report_first(host.clone(), store.places.values()),
+        shard_counts: ShardCounts::count_and_report(host.clone(), store.places.values()),
         local,
         answers_pending,
         store: Some(store.keeper.clone()),
         events,
-        lines: BTreeMap::new(),
+        queues: BTreeMap::new(),
         requests: RequestBuilder::new(settings.clone(), spec.clone()),
     };
     std::thread::Builder::new()
--- a/crates/iscsi-target/src/portal/connection.rs
+++ b/crates/iscsi-target/src/portal/connection.rs
@@ -2,7 +2,7 @@
 //!
 //! Each connection has a coroutine that reads and one that writes; neither touches the engine.
 
-use super::line::{Line, OutgoingPdu, ReaderLimits};
+use super::line::{OutgoingPdu, ReaderLimits, SendQueue};
 use super::owner::Event;
 use crate::engine::{ConnNo, Input};
 use grebecleat_iscsi::keys::parse;
@@ -22,11 +22,11 @@
 use tracing::{info, warn};
 
 /// Data of at least this many bytes is not copied into the write buffer.
-const DIRECT_WRITE: usize = 16 << 10;
+const MIN_DIRECT_WRITE_BYTES: usize = 16 << 10;
 /// A write buffer with a larger capacity is freed after use.
-const MAX_IDLE_BUFFER: usize = 256 << 10;
+const MAX_IDLE_BUFFER_BYTES: usize = 256 << 10;
 /// Maximum data segment length during login: the default of RFC 7143.
-const LOGIN_SEGMENT: usize = 8192;
+const LOGIN_MAX_DATA: usize = 8192;
 /// Pause after a failed accept: without free file descriptors the next one would fail at once.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
@@ -71,28 +71,28 @@
     let writer = stream.try_clone()?;
     let limits = ReaderLimits {
         digests: Digests::default(),
-        max_data: LOGIN_SEGMENT,
+        max_data: LOGIN_MAX_DATA,
     };
-    let line = Arc::new(Line::new(writer.as_raw_fd(), max_unsent, limits));
-    let _ = events.send(Event::Opened(conn, line.clone()));
+    let queue = Arc::new(SendQueue::new(writer.as_raw_fd(), max_unsent, limits));
+    let _ = events.send(Event::Opened(conn, queue.clone()));
     go!({
-        let line = line.clone();
+        let queue = queue.clone();
         let tracer = tracer.clone();
-        move || write_until_closed(writer, &line, conn, &tracer)
+        move || write_until_closed(writer, &queue, conn, &tracer)
     });
-    let ended = read_until_closed(stream, &line, conn, events, tracer);
-    line.finish();
+    let ended = read_until_closed(stream, &queue, conn, events, tracer);
+    queue.finish();
     ended
 }
 
 fn read_until_closed(
     mut stream: TcpStream,
-    line: &Line,
+    queue: &SendQueue,
     conn: ConnNo,
     events: &Sender<Event>,
     tracer: &Tracer,
 ) -> io::Result<()> {
-    let mut reader = Reader::new(LOGIN_SEGMENT);
+    let mut reader = Reader::new(LOGIN_MAX_DATA);
     loop {
         if reader.fill(&mut stream)? == 0 {
             return Ok(());
@@ -102,7 +102,7 @@
         while !unreadable {
             // The initiator uses the negotiated parameters only after it has the login response,
             // which is sent after the limits are set.
-            let limits = line.reader();
+            let limits = queue.reader();
             reader.digests = limits.digests;
             reader.max_data = limits.max_data;
             let read = match reader.next() {
@@ -127,15 +127,15 @@
     }
 }
 
-fn write_until_closed(mut stream: TcpStream, line: &Line, conn: ConnNo, tracer: &Tracer) {
+fn write_until_closed(mut stream: TcpStream, queue: &SendQueue, conn: ConnNo, tracer: &Tracer) {
     let mut buffer = Vec::new();
     loop {
-        let batch = line.take();
+        let batch = queue.take();
         if batch.pdus.is_empty() {
             if batch.last {
                 break;
             }
-            line.wait();
+            queue.wait();
             continue;
         }
         buffer.clear();
@@ -145,12 +145,12 @@
         if write_all(&mut stream, &batch.pdus, &mut buffer).is_err() {
             break;
         }
-        if buffer.capacity() > MAX_IDLE_BUFFER {
+        if buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
             // Without this, an idle connection would keep the memory of its largest response.
             buffer = Vec::new();
         }
     }
-    line.forget_socket();
+    queue.forget_socket();
     let _ = stream.shutdown(Shutdown::Both);
 }
 
@@ -163,7 +163,7 @@
 ) -> io::Result<()> {
     for OutgoingPdu { pdu, digests } in pdus {
         pdu::write_head(pdu, *digests, buffer);
-        if pdu.data.len() >= DIRECT_WRITE {
+        if pdu.data.len() >= MIN_DIRECT_WRITE_BYTES {
             let head = buffer.len();
             let slices = [IoSlice::new(buffer), IoSlice::new(&pdu.data)];
             let written = stream.write_vectored(&slices)?;
--- a/crates/iscsi-target/src/portal/line.rs
+++ b/crates/iscsi-target/src/portal/line.rs
@@ -41,7 +41,7 @@
 }
 
 /// Send queue of one connection, and the limits for its reader.
-pub(super) struct Line {
+pub(super) struct SendQueue {
     unsent: Mutex<Unsent>,
     /// Set from a wake-up until the writer takes the queue, so that the semaphore is posted only
     /// once in between.
@@ -63,9 +63,9 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-impl Line {
+impl SendQueue {
     pub fn new(fd: i32, max_unsent: usize, reader: ReaderLimits) -> Self {
-        Line {
+        SendQueue {
             unsent: Mutex::default(),
             woken: AtomicBool::new(false),
             wake_up: Semphore::new(0),
@@ -99,7 +99,7 @@
     }
 
     /// Closes the connection at once.
-    pub fn hang_up(&self) {
+    pub fn disconnect(&self) {
         self.finish();
         if let Some(fd) = *lock(&self.fd) {
             // SAFETY: the writer clears the descriptor, under this lock, before its socket closes,
--- a/crates/iscsi-target/src/portal/owner.rs
+++ b/crates/iscsi-target/src/portal/owner.rs
@@ -3,7 +3,7 @@
 //! It waits for events from connections, the host and the store, steps the engine with all pending
 //! ones, up to `MAX_EVENTS`, and performs the resulting actions in order.
 
-use super::line::{Line, ReaderLimits};
+use super::line::{ReaderLimits, SendQueue};
 use super::requests::{finished, RequestBuilder};
 use crate::engine::{ConnNo, Engine, Input, Output};
 use grebecleat_catalog_service::extents::Extents;
@@ -20,9 +20,9 @@
 use tracing::{error, info, warn};
 
 /// Longest wait for an event.
-const IDLE: Duration = Duration::from_secs(1);
+const MAX_WAIT: Duration = Duration::from_secs(1);
 /// Minimum time between two reports of the extents per shard to the host.
-const REPORT_INTERVAL: Duration = IDLE;
+const REPORT_INTERVAL: Duration = MAX_WAIT;
 /// Maximum events of one step, in addition to the one that woke the thread.
 const MAX_EVENTS: usize = 1024;
 
@@ -31,7 +31,7 @@
     Input(Input),
     /// Inputs from one read of a connection.
     Read(Vec<Input>),
-    Opened(ConnNo, Arc<Line>),
+    Opened(ConnNo, Arc<SendQueue>),
     /// Responses of the host are ready to be read.
     Answers,
     /// The store failed, with the reason.
@@ -48,7 +48,7 @@
 
 impl ShardCounts {
     /// Counts the extents of all volumes, and reports them.
-    pub fn report_first<'a>(host: Handle, volumes: impl Iterator<Item = &'a Extents>) -> Self {
+    pub fn count_and_report<'a>(host: Handle, volumes: impl Iterator<Item = &'a Extents>) -> Self {
         let mut extents = BTreeMap::new();
         for run in volumes.flat_map(Extents::iter) {
             *extents.entry(run.shard).or_default() += run.length;
@@ -86,7 +86,7 @@
     /// `None` once the store has failed.
     pub store: Option<GroupCommit>,
     pub events: Sender<Event>,
-    pub lines: BTreeMap<ConnNo, Arc<Line>>,
+    pub queues: BTreeMap<ConnNo, Arc<SendQueue>>,
     pub requests: RequestBuilder,
 }
 
@@ -105,7 +105,7 @@
             }
             for input in &inputs {
                 if let Input::ConnectionClosed { conn } = input {
-                    self.lines.remove(conn);
+                    self.queues.remove(conn);
                 }
             }
             let mut submitted = Vec::new();
@@ -122,8 +122,8 @@
     fn wait_time(&self) -> Duration {
         let now = clock::now();
         match self.engine.wake_at() {
-            Some(at) => at.saturating_sub(now).min(IDLE),
-            None => IDLE,
+            Some(at) => at.saturating_sub(now).min(MAX_WAIT),
+            None => MAX_WAIT,
         }
     }
 
@@ -131,8 +131,8 @@
         match event {
             Event::Input(input) => inputs.push(input),
             Event::Read(read) => inputs.extend(read),
-            Event::Opened(conn, line) => {
-                self.lines.insert(conn, line);
+            Event::Opened(conn, queue) => {
+                self.queues.insert(conn, queue);
                 inputs.push(Input::ConnectionOpened { conn });
             }
             Event::Answers => {
@@ -154,12 +154,12 @@
     fn perform(&mut self, output: Output, submitted: &mut Vec<Body>) {
         match output {
             Output::Send { conn, pdu, digests } => {
-                let Some(line) = self.lines.get(&conn) else {
+                let Some(queue) = self.queues.get(&conn) else {
                     return;
                 };
-                if !line.put(pdu, digests) {
+                if !queue.put(pdu, digests) {
                     warn!(conn = conn.0, "initiator leaves its answers unread");
-                    line.hang_up();
+                    queue.disconnect();
                 }
             }
             Output::SetReader {
@@ -167,13 +167,13 @@
                 digests,
                 max_data,
             } => {
-                if let Some(line) = self.lines.get(&conn) {
-                    line.set_reader(ReaderLimits { digests, max_data });
+                if let Some(queue) = self.queues.get(&conn) {
+                    queue.set_reader(ReaderLimits { digests, max_data });
                 }
             }
             Output::Close { conn } => {
-                if let Some(line) = self.lines.get(&conn) {
-                    line.finish();
+                if let Some(queue) = self.queues.get(&conn) {
+                    queue.finish();
                 }
             }
             Output::Submit(request) => submitted.push(self.requests.submit(request)),
--- a/crates/iscsi-target/src/portal/setup.rs
+++ b/crates/iscsi-target/src/portal/setup.rs
@@ -18,9 +18,9 @@
 use std::time::{Duration, SystemTime};
 
 /// Bytes of a logical block.
-const BLOCK: u32 = 512;
+const BLOCK_SIZE: u32 = 512;
 /// Maximum bytes that one command may read or write.
-const MAX_TRANSFER: u32 = 1 << 20;
+const MAX_TRANSFER_BYTES: u32 = 1 << 20;
 
 pub(super) fn engine(
     settings: &Settings,
@@ -83,10 +83,10 @@
             volume: volume.id,
             unit: Unit {
                 blocks: volume.blocks,
-                block_size: BLOCK,
+                block_size: BLOCK_SIZE,
                 id: volume.id,
                 serial: format!("{:016x}", volume.id),
-                max_blocks: MAX_TRANSFER / BLOCK,
+                max_blocks: MAX_TRANSFER_BYTES / BLOCK_SIZE,
                 read_only: false,
             },
             extent_blocks: spec.extent_blocks,
--- a/crates/iscsi-target/src/pressure.rs
+++ b/crates/iscsi-target/src/pressure.rs
@@ -77,7 +77,7 @@
 
 /// Command limits of the sessions of one volume. It uses a few words of memory for each session.
 #[derive(Debug)]
-pub struct Pressure {
+pub struct BackPressure {
     limits: WindowLimits,
     budget: f64,
     /// Rejections before this time are already accounted for by the last decrease.
@@ -90,10 +90,10 @@
     changed: bool,
 }
 
-impl Pressure {
+impl BackPressure {
     /// Creates the state of a volume without sessions.
     pub fn new(limits: WindowLimits) -> Self {
-        Pressure {
+        BackPressure {
             limits,
             budget: limits.initial,
             no_decrease_before: Duration::ZERO,
@@ -185,7 +185,7 @@
         let max_window = self.limits.max_per_session.max(MIN_WINDOW);
         let sessions = self.sessions.values();
         let demands: Vec<u32> = sessions.map(|state| state.demand(max_window)).collect();
-        let shares = fair(budget, &demands);
+        let shares = max_min_shares(budget, &demands);
         // The unused rest is divided too, so that a session can start a burst without waiting for a
         // grant.
         let unused = budget - shares.iter().sum::<u32>();
@@ -193,7 +193,7 @@
             .iter()
             .map(|share| max_window.saturating_sub(*share))
             .collect();
-        let extras = fair(unused, &headroom);
+        let extras = max_min_shares(unused, &headroom);
         let windows = shares.iter().zip(extras);
         let mut changes = Vec::new();
         for ((session, state), (share, extra)) in self.sessions.iter_mut().zip(windows) {
@@ -212,18 +212,18 @@
 /// demands.
 ///
 /// ```
-/// use grebecleat_iscsi_target::pressure::fair;
-/// assert_eq!(fair(10, &[2, 20, 20]), [2, 4, 4]);
-/// assert_eq!(fair(7, &[9, 9, 9]), [2, 2, 3]);
-/// assert_eq!(fair(100, &[1, 2]), [1, 2]);
-/// assert_eq!(fair(1, &[5, 5]), [0, 1]);
+/// use grebecleat_iscsi_target::pressure::max_min_shares;
+/// assert_eq!(max_min_shares(10, &[2, 20, 20]), [2, 4, 4]);
+/// assert_eq!(max_min_shares(7, &[9, 9, 9]), [2, 2, 3]);
+/// assert_eq!(max_min_shares(100, &[1, 2]), [1, 2]);
+/// assert_eq!(max_min_shares(1, &[5, 5]), [0, 1]);
 /// ```
-pub fn fair(total: u32, demands: &[u32]) -> Vec<u32> {
-    let mut rising: Vec<usize> = (0..demands.len()).collect();
-    rising.sort_by_key(|index| demands[*index]);
+pub fn max_min_shares(total: u32, demands: &[u32]) -> Vec<u32> {
+    let mut ascending: Vec<usize> = (0..demands.len()).collect();
+    ascending.sort_by_key(|index| demands[*index]);
     let mut left = total;
     let mut shares = vec![0; demands.len()];
-    for (done, index) in rising.into_iter().enumerate() {
+    for (done, index) in ascending.into_iter().enumerate() {
         let even_share = left / (demands.len() - done) as u32;
         shares[index] = demands[index].min(even_share);
         left -= shares[index];
--- a/crates/iscsi-target/src/pressure/tests.rs
+++ b/crates/iscsi-target/src/pressure/tests.rs
@@ -11,13 +11,13 @@
     max_per_session: 32,
 };
 
-fn sum(p: &Pressure) -> u32 {
+fn sum(p: &BackPressure) -> u32 {
     p.sessions.values().map(|s| s.granted).sum()
 }
 
 #[test]
 fn rejections_of_one_moment_count_once_and_completed_commands_raise_the_budget() {
-    let (mut p, a) = (Pressure::new(LIMITS), SessionNo(1));
+    let (mut p, a) = (BackPressure::new(LIMITS), SessionNo(1));
     (0..16).for_each(|_| p.opened(a));
     let rejected = CommandResult::Rejected {
         retry_after: ms(500),
@@ -36,7 +36,7 @@
 
 #[test]
 fn an_unused_budget_does_not_grow() {
-    let (mut p, a) = (Pressure::new(LIMITS), SessionNo(1));
+    let (mut p, a) = (BackPressure::new(LIMITS), SessionNo(1));
     for t in 0..1000 {
         p.opened(a);
         p.closed(ms(t), a, CommandResult::Completed);
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_greedy_session_leaves_the_others_their_share() {
-    let (mut p, greedy, modest) = (Pressure::new(LIMITS), SessionNo(1), SessionNo(2));
+    let (mut p, greedy, modest) = (BackPressure::new(LIMITS), SessionNo(1), SessionNo(2));
     p.join(modest);
     for round in 0..6 {
         for _ in 0..32 {
@@ -71,7 +71,7 @@
 fn windows_never_exceed_the_budget_except_for_the_minimum_of_each() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let mut p = Pressure::new(LIMITS);
+        let mut p = BackPressure::new(LIMITS);
         for t in 0..200 {
             let s = SessionNo(rng.random_range(0..30));
             match rng.random_range(0..6) {
@@ -100,15 +100,15 @@
             .map(|_| rng.random_range(0..20))
             .collect();
         let total = rng.random_range(0..100);
-        let shares = fair(total, &demands);
+        let shares = max_min_shares(total, &demands);
         assert_eq!(
             shares.iter().sum::<u32>(),
             total.min(demands.iter().sum()),
             "{total} {demands:?}"
         );
         assert!(shares.iter().zip(&demands).all(|(g, a)| g <= a));
-        // Who got less than it demands got no less than any other, but for the one that could not
-        // be halved.
+        // A session that got less than its demand got no less than any other, except for the
+        // remainder of the division.
         let short = shares
             .iter()
             .zip(&demands)
--- a/crates/iscsi-target/src/versions.rs
+++ b/crates/iscsi-target/src/versions.rs
@@ -20,7 +20,7 @@
 
 /// Versions that a ceiling reserves beyond the next one: about a minute at a million a second, so
 /// that versions stay near the clock even if the process restarts often.
-const RESERVED: u64 = 1 << 26;
+const RESERVED_VERSIONS: u64 = 1 << 26;
 /// Versions from this value on are ignored: the clock reaches it in the year 20,000.
 const MAX_VERSION: u64 = 1 << 59;
 
@@ -79,10 +79,10 @@
 
     /// Returns a ceiling that must be persisted now; each is returned once.
     pub fn reservation_due(&mut self) -> Option<u64> {
-        if self.requested >= self.next + RESERVED / 2 {
+        if self.requested >= self.next + RESERVED_VERSIONS / 2 {
             return None;
         }
-        self.requested = self.next + RESERVED;
+        self.requested = self.next + RESERVED_VERSIONS;
         Some(self.requested)
     }
 
--- a/crates/iscsi-target/src/versions/tests.rs
+++ b/crates/iscsi-target/src/versions/tests.rs
@@ -2,8 +2,8 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Starts, clocks that step either way, ceilings persisted late or never: no version is given twice
-/// or after a higher one.
+/// Versions strictly increase across restarts, with clock steps in either direction and ceilings
+/// that are persisted late or never.
 #[test]
 fn versions_grow_over_starts_whatever_the_clock_does() {
     for seed in 0..300 {
--- a/crates/iscsi-target/tests/engine/data.rs
+++ b/crates/iscsi-target/tests/engine/data.rs
@@ -21,7 +21,8 @@
     harness.read(conn, 8, 10, 40);
     harness.complete_all();
     assert_eq!(harness.status(conn), (0, data.clone()));
-    // Blocks beside it were never written: zeroes, in the same extents and in others.
+    // Blocks next to the range were never written and read as zeroes, in the same extents and in
+    // others.
     harness.read(conn, 9, 5, 5);
     harness.complete_all();
     assert_eq!(harness.status(conn), (0, fill(0, 5)));
@@ -31,7 +32,7 @@
         "for blocks never written no request is sent"
     );
     assert_eq!(harness.status(conn), (0, fill(0, 3)));
-    // The program starts again with the places that were persisted.
+    // The process restarts with the persisted placements.
     let mut again = Harness::with(
         harness
             .placements
@@ -72,7 +73,7 @@
     );
     harness.answer(0, None);
     assert_eq!((harness.status(conn).0, harness.placements.len()), (0, 1));
-    // Where the first is turned away, the next one places it.
+    // If the first write is rejected, the next one places the extent.
     harness.write(conn, 9, 100, &fill(1, 1));
     harness.write(conn, 10, 102, &fill(1, 1));
     harness.answer(0, Some(REJECTED));
@@ -237,7 +238,7 @@
     harness.command(first, 4, &verify, 0x20, 512, &fill(2, 1));
     harness.complete_all();
     assert_eq!(harness.status(first).0, 0);
-    // The second registers and reserves; the first may read and not write.
+    // The second session registers and reserves; the first may read but not write.
     let reserve = |harness: &mut Harness, itt, action, kind, key: u64, service: u64| {
         let list = [&key.to_be_bytes()[..], &service.to_be_bytes(), &[0; 8]].concat();
         harness.command(
--- a/crates/iscsi-target/tests/engine/harness.rs
+++ b/crates/iscsi-target/tests/engine/harness.rs
@@ -1,5 +1,5 @@
-//! The engine under test, between initiators and a host that the test plays: it stores bytes by
-//! extent, answers in any order, rejects and fails.
+//! Test harness for the engine: simulated initiators and a simulated host that stores bytes by
+//! extent, answers in any order, rejects and fails requests.
 
 use bytes::Bytes;
 use grebecleat_iscsi::keys::format;
@@ -31,29 +31,29 @@
 pub struct Harness {
     pub engine: Engine,
     pub now: Duration,
-    /// Requests at the host without an outcome.
+    /// Requests submitted to the host that have no outcome yet.
     pub open: Vec<Request>,
-    /// Bytes of each extent at a shard, as its node stores them.
+    /// Bytes of each extent and shard, as stored by the node.
     pub stored: HashMap<(u64, u32), Vec<u8>>,
     /// Versions of those bytes.
     pub node_versions: HashMap<(u64, u32), grebecleat_testbed::versions::Versions>,
     /// The last ceiling that was persisted.
     pub ceiling: u64,
     next_shard: u32,
-    /// Places that the engine asked to persist.
+    /// Placements that the engine asked to persist.
     pub placements: Vec<Placement>,
-    /// Whether those are acknowledged at once.
+    /// Whether placements are acknowledged at once.
     pub acknowledge_placements: bool,
-    /// PDUs to initiators that no test has looked at.
+    /// PDUs sent to initiators and not yet read by the test.
     pub pdus: Vec<(ConnNo, Pdu)>,
     pub closed: Vec<ConnNo>,
     /// The next CmdSN of each connection.
     pub cmd_sns: BTreeMap<ConnNo, u32>,
-    /// The last MaxCmdSN that each received.
+    /// The last MaxCmdSN received on each connection.
     pub max_cmd_sns: BTreeMap<ConnNo, u32>,
 }
 
-/// The place of an extent, as the engine asked to persist it.
+/// The placement of an extent that the engine asked to persist.
 #[derive(Clone, Copy)]
 pub struct Placement {
     pub no: RequestNumber,
@@ -117,7 +117,7 @@
     cdb
 }
 
-/// Whether a PDU is the status of a command.
+/// Whether a PDU carries the status of a command.
 pub fn is_status(pdu: &Pdu) -> bool {
     pdu.header.opcode() == Some(Opcode::ScsiResponse) || pdu.header.flags() & 1 != 0
 }
@@ -127,7 +127,7 @@
         Harness::after(placed, 0)
     }
 
-    /// A start after others, with the ceiling that they persisted.
+    /// An engine after a restart, with the ceiling persisted by earlier runs.
     pub fn after(placed: BTreeMap<u64, u32>, ceiling: u64) -> Self {
         Harness {
             engine: Engine::new(config(placed, ceiling)),
@@ -150,7 +150,8 @@
         Harness::with(BTreeMap::new())
     }
 
-    /// The node writes where nothing newer lies, and returns the newest that it found.
+    /// Applies a write at the node to blocks without a newer version, and returns the newest
+    /// version found.
     pub fn node(&mut self, request: &Request, shard: u32) -> Option<u64> {
         let stored = self.stored.entry((request.extent, shard)).or_default();
         let to = (request.offset + request.length) as usize;
@@ -162,7 +163,7 @@
         let (parts, newer) = versions.write(
             request.offset,
             request.offset + request.length,
-            request.version.expect("a write has one"),
+            request.version.expect("a write carries a version"),
         );
         for (from, end) in parts {
             let at = (from - request.offset) as usize..(end - request.offset) as usize;
@@ -259,7 +260,7 @@
         );
         assert_ne!(received[0].header.tsih(), 0);
         self.cmd_sns.insert(conn, 1);
-        // The first command of a session finds that the unit came up.
+        // The first command of a session reports the power-on unit attention.
         self.command(conn, 999, &[0], 0, 0, &[]);
         assert_eq!(self.received(conn)[0].header.byte(3), 2);
         conn
@@ -308,7 +309,7 @@
         self.command(conn, itt, &cdb, 0x20, data.len() as u32, data);
     }
 
-    /// The host answers an open request: with that outcome, or by carrying it out.
+    /// Answers an open request with the given outcome, or executes it if there is none.
     pub fn answer(&mut self, at: usize, outcome: Option<RequestOutcome>) {
         let request = self.open.remove(at);
         let no = request.no;
@@ -349,7 +350,7 @@
         }
     }
 
-    /// The status of the one command that was answered, and its data.
+    /// Returns the status and the data of the only command that was answered.
     pub fn status(&mut self, conn: ConnNo) -> (u8, Vec<u8>) {
         let received = self.received(conn);
         let answers: Vec<&Pdu> = received.iter().filter(|pdu| is_status(pdu)).collect();
--- a/crates/iscsi-target/tests/engine/history.rs
+++ b/crates/iscsi-target/tests/engine/history.rs
@@ -1,4 +1,4 @@
-//! Random commands and outcomes; every read is checked against what was written.
+//! Random commands and outcomes; every read is checked against the history of writes.
 
 use super::harness::*;
 use grebecleat_iscsi::pdu::{Opcode, Pdu};
@@ -10,7 +10,7 @@
 
 /// Blocks that commands touch.
 const BLOCKS: usize = 64;
-/// Steps of one seed, and those of them that begin commands.
+/// Steps for one seed, and how many of the first ones may start commands.
 const STEPS: usize = 400;
 const COMMAND_STEPS: usize = 320;
 const MAX_IN_PROGRESS: usize = 20;
@@ -23,17 +23,17 @@
 struct InProgress {
     lba: usize,
     blocks: usize,
-    /// What it writes; none for a read.
+    /// Value that it writes; `None` for a read.
     value: Option<u8>,
 }
 
-/// One seed's run.
+/// State of the run of one seed.
 struct History {
     seed: u64,
     rng: Pcg64Mcg,
     harness: Harness,
     conns: Vec<ConnNo>,
-    /// For each block the values that may be there.
+    /// For each block the values that it may hold.
     possible: Vec<Vec<u8>>,
     in_progress: BTreeMap<Task, InProgress>,
     itt: u32,
@@ -69,7 +69,7 @@
             && self.in_progress.len() < MAX_IN_PROGRESS
         {
             let conn = self.conns[self.rng.random_range(0..3)];
-            // A closed window: the initiator waits.
+            // The command window is closed, so the initiator waits.
             if self.harness.cmd_sns[&conn] > self.harness.max_cmd_sns[&conn] {
                 return;
             }
@@ -79,7 +79,9 @@
         } else if self.rng.random() && !self.late.is_empty() {
             let at = self.rng.random_range(0..self.late.len());
             let write = self.late.swap_remove(at);
-            let shard = write.shard.expect("only such were put there");
+            let shard = write
+                .shard
+                .expect("only writes with a shard are added to `late`");
             self.harness.node(&write, shard);
         } else {
             let span = ms(self.rng.random_range(1..200));
@@ -122,8 +124,8 @@
             }),
             _ => None,
         };
-        // What has failed may have been carried out, and what may still apply may be at any later
-        // time.
+        // A failed write may have been executed, and one that may still apply can take effect at
+        // any later time.
         let applies = match outcome {
             Some(RequestOutcome::Rejected {
                 may_still_apply, ..
@@ -212,9 +214,9 @@
     }
 }
 
-/// Many sessions, overlapping reads and writes, a host that answers in any order, rejects and
-/// fails: every command gets one answer, and every block that is read holds what the last write
-/// that was GOOD put there, or what one put there since whose outcome is unknown.
+/// Several sessions send overlapping reads and writes to a host that answers in any order, rejects
+/// and fails requests. Every command gets one response, and every block read holds the value of the
+/// last GOOD write, or of a later write whose outcome is unknown.
 #[test]
 fn every_read_is_checked_against_the_history_of_writes() {
     let mut checked_blocks = 0;
--- a/crates/iscsi-target/tests/engine/late_writes.rs
+++ b/crates/iscsi-target/tests/engine/late_writes.rs
@@ -1,9 +1,10 @@
-//! Writes that take effect after they have failed: never over newer data, never between two reads.
+//! Writes that take effect after they have failed must not overwrite newer data nor appear between
+//! two reads.
 
 use super::harness::*;
 
-/// The old attempt runs after the newer write was GOOD, by any delay: it changes nothing. Reads of
-/// its blocks wait as long as it could be seen, and a newer write ends that wait.
+/// An old attempt that runs at any time after the newer write was GOOD changes nothing. Reads of
+/// its blocks wait while it could take effect, and a newer write ends that wait.
 #[test]
 fn a_late_write_never_overwrites_a_newer_one_and_is_not_seen_between_two_reads() {
     let mut harness = Harness::new();
@@ -22,7 +23,7 @@
     harness.wait(ms(2));
     harness.complete_all();
     assert_eq!(harness.status(conn), (0, fill(9, 1)));
-    // Again; now the client comes with newer data at once.
+    // The same again, but now the initiator writes newer data at once.
     harness.write(conn, 9, 0, &fill(2, 2));
     let second = harness.open[0].clone();
     harness.answer(0, Some(FAILED));
@@ -53,7 +54,7 @@
         2,
         "and the read behind it waits no longer: nothing older can be seen"
     );
-    // Both old attempts run after all.
+    // Both old attempts now run.
     let shard = late.shard.expect("written before");
     assert!(harness.node(&late, shard).is_some() && harness.node(&second, shard).is_some());
     harness.read(conn, 15, 0, 4);
@@ -89,8 +90,8 @@
     assert_eq!(again.status(conn), (0, fill(2, 1)));
 }
 
-/// Another host, whose clock is ahead, has written here: the write observes its version and is
-/// retried above.
+/// Another host, whose clock is ahead, has written these blocks: the write finds the newer version
+/// and is retried with a higher one.
 #[test]
 fn a_write_that_finds_a_newer_version_is_retried_above_it() {
     let mut harness = Harness::new();
@@ -115,7 +116,7 @@
     harness.read(conn, 8, 0, 2);
     harness.complete_all();
     assert_eq!(harness.status(conn), (0, [fill(1, 1), fill(7, 1)].concat()));
-    // One that can be no version is ignored, and the outcome is unknown to the client.
+    // An implausibly high version is ignored, and the outcome is unknown to the initiator.
     foreign.version = Some(u64::MAX);
     foreign.data = fill(8, 2).into();
     harness.node(&foreign, shard);
--- a/crates/iscsi-target/tests/engine/main.rs
+++ b/crates/iscsi-target/tests/engine/main.rs
@@ -1,4 +1,4 @@
-//! The engine between initiators and a host that the tests play.
+//! Tests of the engine with simulated initiators and a simulated host.
 
 mod data;
 mod harness;
--- a/crates/iscsi-target/tests/engine/sessions.rs
+++ b/crates/iscsi-target/tests/engine/sessions.rs
@@ -6,8 +6,7 @@
 use grebecleat_iscsi_target::engine::{ConnNo, Input};
 use std::time::Duration;
 
-/// A window that stays as large is granted again as it is used up, though no command is in
-/// progress.
+/// A window of constant size is granted again as it is used up, even if no command is in progress.
 #[test]
 fn a_session_that_sends_one_command_after_another_never_runs_out_of_window() {
     let mut harness = Harness::new();
@@ -46,7 +45,11 @@
         });
     };
     manage(&mut harness, 50, 8);
-    assert_eq!(harness.received(conn).len(), 1, "it had not begun");
+    assert_eq!(
+        harness.received(conn).len(),
+        1,
+        "the waiting command had not started"
+    );
     manage(&mut harness, 51, 7);
     assert!(
         harness.received(conn).is_empty(),
@@ -62,8 +65,8 @@
         ),
         (1, Some(Opcode::TaskManagementResponse), 0)
     );
-    // The same initiator port logs in again while a write is in progress: the old session is gone,
-    // its write is not answered, and the repeat in the new session goes behind it.
+    // The same initiator port logs in again while a write is in progress: the old session ends, its
+    // write is not answered, and the repeated write in the new session waits for it.
     harness.write(conn, 9, 3, &fill(5, 1));
     let again = harness.login(2, 1);
     assert_eq!(harness.closed, [conn]);
@@ -142,7 +145,7 @@
     harness.now += Duration::from_secs(16);
     harness.feed(Input::ConnectionClosed { conn: ConnNo(0) });
     assert_eq!(harness.closed.len(), 5000);
-    // Something else than a login.
+    // A first PDU that is not a login request.
     harness.feed(Input::ConnectionOpened { conn: ConnNo(7000) });
     let nop = Header::new(Opcode::NopOut).set_itt(3).set_ttt(NO_TAG);
     harness.feed(Input::Pdu {
--- a/crates/iscsi-target/tests/noise.rs
+++ b/crates/iscsi-target/tests/noise.rs
@@ -1,4 +1,4 @@
-//! The scripts of `cargo fuzz`, drawn from seeds: short, and the same each time.
+//! Runs the target of `cargo fuzz` on short scripts from fixed seeds, so that each run is the same.
 
 mod script;
 use rand::{RngCore, SeedableRng};
--- a/crates/iscsi-target/tests/script/mod.rs
+++ b/crates/iscsi-target/tests/script/mod.rs
@@ -1,5 +1,6 @@
-//! Bytes as a script of whole sessions: logins, commands, data, malformed PDUs, task management,
-//! losses and the host's answers, in any order. For the seeded run beside it and for `cargo fuzz`.
+//! Interprets bytes as a script of sessions: logins, commands, data, malformed PDUs, task
+//! management, connection losses and host responses, in any order. Used by the seeded test `noise`
+//! and by `cargo fuzz`.
 
 use bytes::Bytes;
 use grebecleat_iscsi::keys::format;
@@ -16,7 +17,7 @@
 const NAME: &str = "iqn.2026-12.org.example:v";
 const LATE_WRITE_TIME: Duration = Duration::from_millis(300);
 const CONNS: u64 = 4;
-/// Steps of one script: a long one is cut.
+/// Maximum steps of a script; the rest is ignored.
 const MAX_STEPS: usize = 3000;
 
 struct Script<'a>(&'a [u8]);
@@ -33,7 +34,7 @@
     }
 }
 
-/// What the next PDUs of a connection carry.
+/// Numbers for the next PDUs of a connection.
 #[derive(Default)]
 struct NextTags {
     cmd_sn: u32,
@@ -48,7 +49,7 @@
     seen: u64,
 }
 
-/// What every step draws first.
+/// Values that every step draws first.
 #[derive(Clone, Copy)]
 struct Drawn {
     action: u8,
@@ -66,7 +67,7 @@
     }
 }
 
-/// The engine, a host that lets requests wait, and initiators that follow a script.
+/// The engine, a host that keeps requests open, and initiators driven by a script.
 struct Simulation {
     engine: Engine,
     now: Duration,
@@ -228,7 +229,8 @@
         self.next.insert(conn, NextTags { cmd_sn: 1, ttt: 0 });
     }
 
-    /// One step by the script; every number it draws is small, so that what it names often exists.
+    /// Performs one step of the script. Drawn numbers are small, so that they often refer to
+    /// something that exists.
     /// Bytes are drawn in a fixed order, since stored scripts depend on it.
     fn step(&mut self, script: &mut Script) {
         let action = script.byte();
@@ -251,7 +253,7 @@
             6..=8 if !self.open.is_empty() => self.answer_request(script, action),
             9 => self.task_management(script, drawn),
             10 => self.now += Duration::from_millis(u64::from(script.byte()) * 4),
-            11 => self.end_of_something(script, drawn),
+            11 => self.loss_or_new_connection(script, drawn),
             12 => self.malformed_pdu(script, drawn),
             _ => self.random_pdu(script, drawn),
         }
@@ -344,8 +346,8 @@
         self.pdu(drawn.conn, header, Bytes::new());
     }
 
-    /// A connection lost or logged out, the store failed, or one more connection.
-    fn end_of_something(&mut self, script: &mut Script, drawn: Drawn) {
+    /// Closes or logs out a connection, fails the store, or opens another connection.
+    fn loss_or_new_connection(&mut self, script: &mut Script, drawn: Drawn) {
         match script.byte() % 5 {
             0 => self.feed(Input::ConnectionClosed { conn: drawn.conn }),
             1 => {
@@ -384,8 +386,8 @@
     }
 }
 
-/// Plays a script and then lets everything end: each command had at most one status, and nothing
-/// stays behind.
+/// Plays a script and then ends all requests and connections: each command got at most one status,
+/// and no state is left.
 pub fn play(bytes: &[u8]) {
     let mut simulation = Simulation::new();
     let mut script = Script(bytes);
@@ -417,5 +419,9 @@
     simulation.now += LATE_WRITE_TIME * 2;
     simulation.feed(Input::ConnectionClosed { conn: ConnNo(1000) });
     assert!(simulation.open.is_empty());
-    assert_eq!(simulation.engine.open(), (0, 0), "something stays behind");
+    assert_eq!(
+        simulation.engine.open(),
+        (0, 0),
+        "commands or requests are left open"
+    );
 }
