--- a/crates/iscsi-target/src/blocks.rs
+++ b/crates/iscsi-target/src/blocks.rs
@@ -86,12 +86,12 @@
     Rejected {
         /// Time after which it may be sent again, if the host gave one.
         retry_after: Option<Duration>,
-        /// A write may take effect later than this answer.
+        /// A write may take effect later than this response.
         may_still_apply: bool,
     },
     /// Failed; whether it was executed is unknown.
     Failed {
-        /// A write may take effect later than this answer.
+        /// A write may take effect later than this response.
         may_still_apply: bool,
     },
     /// Completed without effect on blocks for which the node holds this newer version.
--- a/crates/iscsi-target/src/blocks/tests.rs
+++ b/crates/iscsi-target/src/blocks/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_outcome_is_that_of_the_worst_piece_and_comes_with_the_last() {
+fn the_outcome_is_that_of_the_worst_piece_and_is_returned_with_the_last() {
     let completed = || RequestOutcome::Completed(Bytes::new());
     let rejected = |n| RequestOutcome::Rejected {
         retry_after: Some(ms(n)),
@@ -75,7 +75,11 @@
                 assert_eq!((w.outcome.status, w.retry_after), (status, retry_after));
             }
         }
-        assert_eq!(g.add(0, failed()), None, "answered once");
+        assert_eq!(
+            g.add(0, failed()),
+            None,
+            "a second outcome of a piece is ignored"
+        );
     }
 }
 
--- a/crates/iscsi-target/src/engine/requests.rs
+++ b/crates/iscsi-target/src/engine/requests.rs
@@ -157,7 +157,10 @@
             return self.finish_request(no, RequestOutcome::Superseded(found));
         }
         let retry = RequestNumber(self.next_number());
-        let mut open = self.requests.remove(&no).expect("looked up above");
+        let mut open = self
+            .requests
+            .remove(&no)
+            .expect("the request was looked up above");
         open.retries += 1;
         open.request.no = retry;
         open.request.shard = open.request.shard.or(shard);
--- a/crates/iscsi-target/src/engine/task_management.rs
+++ b/crates/iscsi-target/src/engine/task_management.rs
@@ -24,7 +24,10 @@
             .map(|(number, _)| *number)
             .collect();
         for number in numbers {
-            let open = self.commands.get_mut(&number).expect("listed above");
+            let open = self
+                .commands
+                .get_mut(&number)
+                .expect("the command was listed above");
             open.aborted = true;
             if open.collector.is_none() {
                 self.end_command(number, None, CommandResult::Other, false);
--- a/crates/iscsi-target/src/overlaps.rs
+++ b/crates/iscsi-target/src/overlaps.rs
@@ -70,7 +70,10 @@
         let mut waits_for = 0;
         for (_, other) in self.starts.range(from..(range.end, 0)) {
             self.visited += 1;
-            let earlier = self.open.get_mut(other).expect("every start is open");
+            let earlier = self
+                .open
+                .get_mut(other)
+                .expect("every range in `starts` is also in `open`");
             if earlier.range.conflicts_with(&range) && (!earlier.late || range.reads) {
                 earlier.waiters.push_back(no);
                 waits_for += 1;
--- a/crates/iscsi-target/src/overlaps/tests.rs
+++ b/crates/iscsi-target/src/overlaps/tests.rs
@@ -12,16 +12,16 @@
 }
 
 #[test]
-fn reads_pass_reads_and_nothing_passes_an_overlapping_write() {
+fn reads_run_concurrently_and_overlapping_writes_keep_the_order_of_arrival() {
     let mut o = Overlaps::default();
     assert!(o.open(1, range(0, 8, false)) && o.open(2, range(4, 12, false)));
     assert!(
         !o.open(3, range(10, 20, true)),
-        "behind the read of 10 and 11"
+        "waits for the read of blocks 10 and 11"
     );
     assert!(
         !o.open(4, range(18, 19, false)),
-        "behind the write that itself waits"
+        "waits for the write that itself waits"
     );
     assert!(
         o.open(5, range(20, 30, true)),
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn writes_pass_a_late_write_and_reads_wait_until_it_is_covered_or_over() {
+fn writes_do_not_wait_for_a_late_write_and_reads_wait_until_it_is_covered_or_closed() {
     let mut o = Overlaps::default();
     let both = Range {
         reads: true,
@@ -46,12 +46,12 @@
     assert!(!o.open(2, range(2, 4, false)) && !o.open(3, range(0, 4, true)) && !o.open(4, both));
     assert!(
         o.set_late(1).is_empty(),
-        "the write is behind the read of its blocks"
+        "the write waits for the read of its blocks"
     );
     assert!(o.open(5, range(6, 8, true)) && !o.open(6, range(7, 9, false)));
     assert!(
         o.close_covering(5).is_empty(),
-        "the late write is not covered whole"
+        "the late write is not covered completely"
     );
     assert_eq!(
         o.close(1),
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_order_is_that_of_a_plain_list() {
+fn the_order_equals_that_of_a_linear_search() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut o, mut plain, mut running) =
--- a/crates/iscsi-target/src/pressure/tests.rs
+++ b/crates/iscsi-target/src/pressure/tests.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn rejections_of_one_moment_count_once_and_completed_commands_raise_the_budget() {
+fn simultaneous_rejections_count_once_and_completed_commands_raise_the_budget() {
     let (mut p, a) = (BackPressure::new(LIMITS), SessionNo(1));
     (0..16).for_each(|_| p.opened(a));
     let rejected = CommandResult::Rejected {
--- a/crates/iscsi-target/src/versions.rs
+++ b/crates/iscsi-target/src/versions.rs
@@ -42,7 +42,7 @@
     /// let mut versions = Versions::new(500, 200);
     /// assert_eq!(versions.next(), None, "nothing is reserved yet");
     /// let ceiling = versions.reservation_due().unwrap();
-    /// assert!(versions.reservation_due().is_none(), "asked for once");
+    /// assert!(versions.reservation_due().is_none(), "requested only once");
     /// versions.reserve(ceiling);
     /// assert_eq!((versions.next(), versions.next()), (Some(500), Some(501)));
     /// versions.observe(7000);
--- a/crates/iscsi-target/src/versions/tests.rs
+++ b/crates/iscsi-target/src/versions/tests.rs
@@ -5,7 +5,7 @@
 /// Versions strictly increase across restarts, with clock steps in either direction and ceilings
 /// that are persisted late or never.
 #[test]
-fn versions_grow_over_starts_whatever_the_clock_does() {
+fn versions_increase_across_restarts_with_any_clock_step() {
     for seed in 0..300 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut durable, mut last) = (0, 0);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_version_near_the_end_of_the_numbers_is_ignored() {
+fn an_implausibly_high_version_is_ignored() {
     let mut v = Versions::new(0, 10);
     assert!(!v.observe(u64::MAX) && v.observe(20));
     if let Some(ceiling) = v.reservation_due() {
--- a/crates/iscsi-target/tests/engine/data.rs
+++ b/crates/iscsi-target/tests/engine/data.rs
@@ -29,7 +29,7 @@
     harness.read(conn, 10, 2000, 3);
     assert!(
         harness.open.is_empty(),
-        "for blocks never written no request is sent"
+        "no request is sent for blocks that were never written"
     );
     assert_eq!(harness.status(conn), (0, fill(0, 3)));
     // The process restarts with the persisted placements.
@@ -42,7 +42,7 @@
     );
     again.stored = harness.stored;
     let conn = again.login(1, 1);
-    again.read(conn, 8, 10, 40); // reads need not wait
+    again.read(conn, 8, 10, 40); // a read after the restart does not wait
     again.complete_all();
     assert_eq!(again.status(conn), (0, data));
 }
@@ -101,7 +101,7 @@
         harness.answer(0, Some(answer));
         assert!(
             harness.received(conn).is_empty(),
-            "the other part is in progress"
+            "the other piece is still in progress"
         );
         harness.answer(0, None);
         let received = harness.received(conn);
@@ -132,7 +132,7 @@
     harness.answer(0, None);
     assert!(
         harness.received(conn).is_empty(),
-        "its place is being persisted"
+        "its placement is being persisted"
     );
     harness.feed(Input::StoreFailed);
     let received = harness.received(conn);
@@ -149,7 +149,7 @@
     assert_eq!(
         (harness.status(conn).0, harness.open.len()),
         (2, 0),
-        "its place cannot be persisted"
+        "its placement cannot be persisted"
     );
     harness.write(conn, 9, 0, &fill(4, 1));
     harness.complete_all();
--- a/crates/iscsi-target/tests/engine/history.rs
+++ b/crates/iscsi-target/tests/engine/history.rs
@@ -163,7 +163,7 @@
         let command = self
             .in_progress
             .remove(&task)
-            .expect("one answer for each command");
+            .expect("each command gets exactly one response");
         let good = status.header.byte(3) == 0;
         self.not_good += u32::from(!good);
         for index in 0..command.blocks {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Lets every command end.
+    /// Runs until every command has ended.
     fn finish(&mut self) {
         for _ in 0..2000 {
             if self.harness.open.is_empty() {
@@ -197,7 +197,7 @@
                 if is_status(&pdu) {
                     self.in_progress
                         .remove(&(conn, pdu.header.itt()))
-                        .expect("one answer for each command");
+                        .expect("each command gets exactly one response");
                 }
             }
             if self.in_progress.is_empty() {
--- a/crates/iscsi-target/tests/engine/late_writes.rs
+++ b/crates/iscsi-target/tests/engine/late_writes.rs
@@ -32,7 +32,7 @@
     harness.write(conn, 11, 0, &fill(3, 2));
     assert!(
         harness.open.is_empty(),
-        "the write is behind the read, which waits"
+        "the write waits for the read, which waits itself"
     );
     harness.wait(LATE_WRITE_TIME + ms(1));
     harness.complete_all();
@@ -45,17 +45,17 @@
     assert_eq!(
         (harness.open.len(), harness.open[0].write),
         (1, true),
-        "the newer write goes at once"
+        "the newer write is sent at once"
     );
     harness.complete_all();
     let received = harness.received(conn);
     assert_eq!(
         received.len(),
         2,
-        "and the read behind it waits no longer: nothing older can be seen"
+        "the read after it no longer waits, since older data cannot appear"
     );
     // Both old attempts now run.
-    let shard = late.shard.expect("written before");
+    let shard = late.shard.expect("the extent was written before");
     assert!(harness.node(&late, shard).is_some() && harness.node(&second, shard).is_some());
     harness.read(conn, 15, 0, 4);
     harness.complete_all();
@@ -83,7 +83,7 @@
     again.complete_all();
     assert_eq!(again.status(conn).0, 0);
     assert!(again
-        .node(&late, late.shard.expect("written before"))
+        .node(&late, late.shard.expect("the extent was written before"))
         .is_some());
     again.read(conn, 10, 0, 1);
     again.complete_all();
--- a/crates/iscsi-target/tests/engine/sessions.rs
+++ b/crates/iscsi-target/tests/engine/sessions.rs
@@ -31,7 +31,7 @@
     let mut harness = Harness::new();
     let conn = harness.login(1, 1);
     harness.write(conn, 7, 0, &fill(1, 1));
-    harness.write(conn, 8, 0, &fill(2, 1)); // waits behind it
+    harness.write(conn, 8, 0, &fill(2, 1)); // waits for the first write
     let manage = |harness: &mut Harness, itt, tag| {
         let header = Header::new(Opcode::TaskManagement)
             .set_immediate(true)
@@ -53,7 +53,7 @@
     manage(&mut harness, 51, 7);
     assert!(
         harness.received(conn).is_empty(),
-        "its request is at the host"
+        "its request is still open at the host"
     );
     harness.answer(0, None);
     let received = harness.received(conn);
@@ -107,7 +107,7 @@
     harness.complete_all();
     assert!(
         harness.received(first).is_empty(),
-        "aborted by another: no answer"
+        "a command aborted by another session gets no response"
     );
     harness.read(first, 8, 0, 1);
     let received = harness.received(first);
@@ -118,7 +118,7 @@
             received[0].data[14]
         ),
         (2, 6, 0x29),
-        "but the reset is reported"
+        "the reset is reported as a unit attention"
     );
 }
 
--- a/crates/iscsi-target/tests/noise.rs
+++ b/crates/iscsi-target/tests/noise.rs
@@ -5,7 +5,7 @@
 use rand_pcg::Pcg64Mcg;
 
 #[test]
-fn whole_sessions_of_noise_leave_nothing_behind() {
+fn random_sessions_leave_no_state_behind() {
     for seed in 0..600 {
         let mut bytes = vec![0; 4000];
         Pcg64Mcg::seed_from_u64(seed).fill_bytes(&mut bytes);
--- a/crates/iscsi-target/tests/script/mod.rs
+++ b/crates/iscsi-target/tests/script/mod.rs
@@ -71,11 +71,11 @@
 struct Simulation {
     engine: Engine,
     now: Duration,
-    /// Requests at the host.
+    /// Requests submitted to the host and not yet answered.
     open: Vec<Request>,
     last_request: u64,
     next: BTreeMap<ConnNo, NextTags>,
-    /// By connection and task tag.
+    /// Counts by connection and initiator task tag.
     counts: BTreeMap<(ConnNo, u32), Counts>,
 }
 
@@ -142,7 +142,7 @@
                     Output::Submit(request) => {
                         assert!(
                             request.no.0 > self.last_request,
-                            "a request's number came twice"
+                            "request numbers do not ascend"
                         );
                         assert!(
                             request.write == request.version.is_some()
@@ -166,7 +166,7 @@
         }
         assert!(
             self.engine.wake_at().is_none_or(|at| at > self.now),
-            "what is due was done"
+            "no deadline is left in the past"
         );
     }
 
@@ -186,7 +186,7 @@
             counts.seen += 1;
             assert!(
                 counts.seen <= counts.sent,
-                "a status to no command: {header:?}"
+                "received a status without an open command: {header:?}"
             );
         }
     }
