--- a/crates/iscsi-target/src/engine/completion.rs
+++ b/crates/iscsi-target/src/engine/completion.rs
@@ -1,17 +1,19 @@
-//! The end of a command: its outcome from those of its requests, and what may start after it.
+//! Completion of commands: derives the outcome from those of the requests, and starts the commands
+//! that waited.
 //!
 //! Called when the last request of a command's step has ended, or when a waiting command is
 //! aborted.
 
 use super::records::{BlockAction, LateWrite, Step};
 use super::Engine;
-use crate::blocks::Gathered;
+use crate::blocks::CommandOutcome;
 use crate::pressure::{CommandResult, SessionNo};
 use bytes::Bytes;
 use grebecleat_iscsi::scsi::{Sense, Status};
 use grebecleat_iscsi::session::Outcome;
 
-/// The outcome of a comparison; the first byte that differs is in the sense data.
+/// Returns the outcome of a comparison; the sense data holds the offset of the first byte that
+/// differs.
 fn compare(expected: &[u8], found: &[u8]) -> Outcome {
     let mut pairs = expected.iter().zip(found);
     match pairs.position(|(expected, found)| expected != found) {
@@ -21,17 +23,17 @@
 }
 
 impl Engine {
-    /// All requests of a command's step have ended.
-    pub(super) fn step_over(&mut self, number: u64, gathered: Gathered) {
+    /// Handles the end of all requests of a command's step.
+    pub(super) fn step_ended(&mut self, number: u64, command_outcome: CommandOutcome) {
         let Some(open) = self.commands.get(&number) else {
             return;
         };
-        let mut outcome = gathered.outcome;
+        let mut outcome = command_outcome.outcome;
         if outcome.status == Status::Good {
             match &open.command.action {
                 BlockAction::Verify(Some(expected)) => outcome = compare(expected, &outcome.data),
                 BlockAction::Verify(None) => outcome = Outcome::good(Bytes::new()),
-                // The second step, which writes, has no data.
+                // The second step, which writes, returns no data.
                 BlockAction::CompareAndWrite { expected, .. } if !outcome.data.is_empty() => {
                     let compared = compare(expected, &outcome.data);
                     if compared.status != Status::Good {
@@ -46,15 +48,20 @@
         let result = match outcome.status {
             Status::Good => CommandResult::Completed,
             Status::Busy => CommandResult::Rejected {
-                retry_after: gathered.retry_after.unwrap_or(self.late_write_time),
+                retry_after: command_outcome.retry_after.unwrap_or(self.late_write_time),
             },
             _ => CommandResult::Other,
         };
-        self.end_command(number, Some(outcome), result, gathered.may_still_apply);
+        self.end_command(
+            number,
+            Some(outcome),
+            result,
+            command_outcome.may_still_apply,
+        );
     }
 
-    /// Ends a command; it is answered, unless it was aborted. `may_still_apply`: a part of its
-    /// write may take effect later.
+    /// Ends a command and answers it unless it was aborted. `may_still_apply`: a part of its write
+    /// may take effect later.
     pub(super) fn end_command(
         &mut self,
         number: u64,
@@ -87,11 +94,11 @@
         let Some(state) = self.sessions.get_mut(&open.session) else {
             return;
         };
-        let acts = match outcome {
+        let actions = match outcome {
             Some(outcome) if !open.aborted => state.session.complete(open.task, outcome),
             _ => state.session.abort_complete(open.task),
         };
-        self.perform(open.session, acts);
-        self.forget_session_if_over(open.session);
+        self.perform(open.session, actions);
+        self.remove_session_if_ended(open.session);
     }
 }
--- a/crates/iscsi-target/src/engine/connections.rs
+++ b/crates/iscsi-target/src/engine/connections.rs
@@ -1,8 +1,8 @@
-//! Connections and their logins: from the accepted socket to the full feature phase, and their
+//! Connections and their logins: from the accepted socket to the full feature phase, and connection
 //! loss.
 //!
-//! Called by the engine's `step`. Logins in progress are bounded: beyond, the oldest is closed,
-//! since it is the likeliest to be left behind by its initiator.
+//! Called by the engine's `step`. The number of logins in progress is bounded: at the limit the
+//! oldest is closed, since its initiator has most likely abandoned it.
 
 use super::messages::{ConnNo, Output};
 use super::records::{Connection, PendingLogin, Phase};
@@ -10,11 +10,11 @@
 use grebecleat_iscsi::login::{LoggedIn, Login, Standing};
 use grebecleat_iscsi::pdu::{Digests, Opcode, Pdu, PduError};
 
-/// Connections that have not come through their login; beyond, the oldest is closed.
+/// Maximum number of logins in progress; at the limit a new connection closes the oldest one.
 const MAX_LOGINS: usize = 256;
-/// Commands that a login response allows behind its own CmdSN.
+/// Commands that a login response allows beyond its own CmdSN.
 const LOGIN_WINDOW: u32 = 31;
-/// Bytes of a login response that hold the status class and detail (RFC 7143, 11.13).
+/// Offsets of the status class and status detail in a login response (RFC 7143, 11.13).
 const STATUS_CLASS: usize = 36;
 const STATUS_DETAIL: usize = 37;
 
@@ -42,10 +42,10 @@
     pub(super) fn refuse(&mut self, conn: ConnNo, reason: &str) {
         self.log(format!("iscsi connection {}: {reason}", conn.0));
         self.outputs.push(Output::Close { conn });
-        self.forget_connection(conn);
+        self.remove_connection(conn);
     }
 
-    fn forget_connection(&mut self, conn: ConnNo) -> Option<Connection> {
+    fn remove_connection(&mut self, conn: ConnNo) -> Option<Connection> {
         let connection = self.connections.remove(&conn)?;
         self.logins.remove(&PendingLogin {
             since: connection.opened_at,
@@ -65,14 +65,14 @@
                     self.log(format!("iscsi connection {}: {fault}", conn.0));
                 }
                 if let Some(state) = self.sessions.get_mut(&session) {
-                    let acts = state.session.receive(cid, read);
-                    self.perform(session, acts);
+                    let actions = state.session.receive(cid, read);
+                    self.perform(session, actions);
                 }
             }
             (Phase::Login(_), Err(fault)) => self.refuse(conn, &fault.to_string()),
             (Phase::Login(login), Ok(pdu)) => {
                 if pdu.header.opcode() != Some(Opcode::LoginRequest) {
-                    return self.refuse(conn, "no login");
+                    return self.refuse(conn, "expected a login request as the first PDU");
                 }
                 let cmd_sn = pdu.header.cmd_sn();
                 let numbers = (
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Login responses have no digests: what was negotiated is in force behind the last of them.
+    /// Login responses have no digests: the negotiated digests apply after the last login response.
     fn send_login_response(&mut self, conn: ConnNo, pdu: Pdu) {
         self.outputs.push(Output::Send {
             conn,
@@ -131,7 +131,7 @@
     }
 
     pub(super) fn connection_closed(&mut self, conn: ConnNo) {
-        let Some(connection) = self.forget_connection(conn) else {
+        let Some(connection) = self.remove_connection(conn) else {
             return;
         };
         let Phase::Full { session, cid } = connection.phase else {
@@ -141,8 +141,8 @@
             return;
         };
         state.connections.remove(&cid);
-        let acts = state.session.connection_lost(cid);
-        self.perform(session, acts);
-        self.forget_session_if_over(session);
+        let actions = state.session.connection_lost(cid);
+        self.perform(session, actions);
+        self.remove_session_if_ended(session);
     }
 }
--- a/crates/iscsi-target/src/overlaps/tests.rs
+++ b/crates/iscsi-target/src/overlaps/tests.rs
@@ -12,18 +12,21 @@
 }
 
 #[test]
-fn reads_pass_reads_and_nothing_passes_an_overlapping_write() {
+fn reads_run_concurrently_and_overlapping_writes_keep_the_order_of_arrival() {
     let mut o = Overlaps::default();
     assert!(o.open(1, range(0, 8, false)) && o.open(2, range(4, 12, false)));
     assert!(
         !o.open(3, range(10, 20, true)),
-        "behind the read of 10 and 11"
+        "waits for the read of blocks 10 and 11"
     );
     assert!(
         !o.open(4, range(18, 19, false)),
-        "behind the write that itself waits"
+        "waits for the write that itself waits"
+    );
+    assert!(
+        o.open(5, range(20, 30, true)),
+        "adjacent ranges do not overlap"
     );
-    assert!(o.open(5, range(20, 30, true)), "touching is no overlap");
     assert!(o.close(1).is_empty());
     assert_eq!(o.close(2), [3]);
     assert_eq!(o.close(3), [4]);
@@ -33,7 +36,7 @@
 }
 
 #[test]
-fn writes_pass_a_late_write_and_reads_wait_until_it_is_covered_or_over() {
+fn writes_do_not_wait_for_a_late_write_and_reads_wait_until_it_is_covered_or_closed() {
     let mut o = Overlaps::default();
     let both = Range {
         reads: true,
@@ -43,32 +46,36 @@
     assert!(!o.open(2, range(2, 4, false)) && !o.open(3, range(0, 4, true)) && !o.open(4, both));
     assert!(
         o.set_late(1).is_empty(),
-        "the write is behind the read of its blocks"
+        "the write waits for the read of its blocks"
     );
     assert!(o.open(5, range(6, 8, true)) && !o.open(6, range(7, 9, false)));
     assert!(
         o.close_covering(5).is_empty(),
-        "the late write is not covered whole"
+        "the late write is not covered completely"
+    );
+    assert_eq!(
+        o.close(1),
+        [2, 6],
+        "after the late write is closed the reads start"
     );
-    assert_eq!(o.close(1), [2, 6], "over: the reads go");
     assert_eq!(
         (o.close(2), o.close(3), o.close(4)),
         (vec![3], vec![4], vec![])
     );
     o.close(6);
-    // Covered by a later write that was carried out, or by one that is late in its turn.
+    // A later write that completes covers the late one, and the read that waited for both starts.
     assert!(o.open(10, range(0, 4, true)) && !o.open(11, range(0, 8, true)));
     assert_eq!(o.set_late(10), [11]);
     assert!(!o.open(12, range(1, 2, false)));
     assert_eq!(o.close_covering(11), [12]);
     assert!(
         o.close(10).is_empty() && o.close(12).is_empty() && o.is_empty(),
-        "nothing is late any more"
+        "no late write is left"
     );
 }
 
 #[test]
-fn the_order_is_that_of_a_plain_list() {
+fn the_order_equals_that_of_a_linear_search() {
     for seed in 0..200 {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let (mut o, mut plain, mut running) =
--- a/crates/iscsi-target/src/portal/connection.rs
+++ b/crates/iscsi-target/src/portal/connection.rs
@@ -1,8 +1,8 @@
-//! A connection's sockets: accepting, reading PDUs into events, and writing what lies in its line.
+//! Socket I/O of connections: accepting, reading PDUs into events, and writing the queued PDUs.
 //!
 //! Each connection has a coroutine that reads and one that writes; neither touches the engine.
 
-use super::line::{Line, OutgoingPdu, ReaderLimits};
+use super::line::{OutgoingPdu, ReaderLimits, SendQueue};
 use super::owner::Event;
 use crate::engine::{ConnNo, Input};
 use grebecleat_iscsi::keys::parse;
@@ -21,13 +21,13 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Data of that many bytes is not copied into the write buffer.
-const DIRECT_WRITE: usize = 16 << 10;
-/// A write buffer that grew beyond is freed.
-const MAX_IDLE_BUFFER: usize = 256 << 10;
-/// Before the login is through, a segment is the standard's default length at most.
-const LOGIN_SEGMENT: usize = 8192;
-/// Pause after a failed accept: out of descriptors, it would fail again at once.
+/// Data of at least this many bytes is not copied into the write buffer.
+const MIN_DIRECT_WRITE_BYTES: usize = 16 << 10;
+/// A write buffer with a larger capacity is freed after use.
+const MAX_IDLE_BUFFER_BYTES: usize = 256 << 10;
+/// Maximum data segment length during login: the default of RFC 7143.
+const LOGIN_MAX_DATA: usize = 8192;
+/// Pause after a failed accept: without free file descriptors the next one would fail at once.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
 
 /// Accepts connections for as long as the process runs.
@@ -46,14 +46,14 @@
                 go!(move || {
                     let conn = ConnNo(NUMBERS.fetch_add(1, Ordering::Relaxed));
                     if let Err(why) = serve(stream, conn, &events, &tracer, max_unsent) {
-                        info!(conn = conn.0, %from, "iscsi connection over: {why}");
+                        info!(conn = conn.0, %from, "iscsi connection ended: {why}");
                     }
                     tracer.line_closed(conn.0);
                     let _ = events.send(Event::Input(Input::ConnectionClosed { conn }));
                 });
             }
             Err(why) => {
-                warn!("portal cannot accept: {why}");
+                warn!("iscsi portal cannot accept a connection: {why}");
                 may::coroutine::sleep(ACCEPT_PAUSE);
             }
         }
@@ -71,28 +71,28 @@
     let writer = stream.try_clone()?;
     let limits = ReaderLimits {
         digests: Digests::default(),
-        max_data: LOGIN_SEGMENT,
+        max_data: LOGIN_MAX_DATA,
     };
-    let line = Arc::new(Line::new(writer.as_raw_fd(), max_unsent, limits));
-    let _ = events.send(Event::Opened(conn, line.clone()));
+    let queue = Arc::new(SendQueue::new(writer.as_raw_fd(), max_unsent, limits));
+    let _ = events.send(Event::Opened(conn, queue.clone()));
     go!({
-        let line = line.clone();
+        let queue = queue.clone();
         let tracer = tracer.clone();
-        move || write_until_closed(writer, &line, conn, &tracer)
+        move || write_until_closed(writer, &queue, conn, &tracer)
     });
-    let ended = read_until_closed(stream, &line, conn, events, tracer);
-    line.finish();
+    let ended = read_until_closed(stream, &queue, conn, events, tracer);
+    queue.finish();
     ended
 }
 
 fn read_until_closed(
     mut stream: TcpStream,
-    line: &Line,
+    queue: &SendQueue,
     conn: ConnNo,
     events: &Sender<Event>,
     tracer: &Tracer,
 ) -> io::Result<()> {
-    let mut reader = Reader::new(LOGIN_SEGMENT);
+    let mut reader = Reader::new(LOGIN_MAX_DATA);
     loop {
         if reader.fill(&mut stream)? == 0 {
             return Ok(());
@@ -100,9 +100,9 @@
         let mut inputs = Vec::new();
         let mut unreadable = false;
         while !unreadable {
-            // An initiator sends by what was agreed on only after it has our answer, which follows
-            // this.
-            let limits = line.reader();
+            // The initiator uses the negotiated parameters only after it has the login response,
+            // which is sent after the limits are set.
+            let limits = queue.reader();
             reader.digests = limits.digests;
             reader.max_data = limits.max_data;
             let read = match reader.next() {
@@ -120,20 +120,22 @@
             let _ = events.send(Event::Read(inputs));
         }
         if unreadable {
-            return Err(io::Error::other("bytes that are no PDU"));
+            return Err(io::Error::other(
+                "received bytes that cannot be parsed as a PDU",
+            ));
         }
     }
 }
 
-fn write_until_closed(mut stream: TcpStream, line: &Line, conn: ConnNo, tracer: &Tracer) {
+fn write_until_closed(mut stream: TcpStream, queue: &SendQueue, conn: ConnNo, tracer: &Tracer) {
     let mut buffer = Vec::new();
     loop {
-        let batch = line.take();
+        let batch = queue.take();
         if batch.pdus.is_empty() {
             if batch.last {
                 break;
             }
-            line.wait();
+            queue.wait();
             continue;
         }
         buffer.clear();
@@ -143,16 +145,17 @@
         if write_all(&mut stream, &batch.pdus, &mut buffer).is_err() {
             break;
         }
-        if buffer.capacity() > MAX_IDLE_BUFFER {
-            // One large answer must not cost every idle connection its memory.
+        if buffer.capacity() > MAX_IDLE_BUFFER_BYTES {
+            // Without this, an idle connection would keep the memory of its largest response.
             buffer = Vec::new();
         }
     }
-    line.forget_socket();
+    queue.forget_socket();
     let _ = stream.shutdown(Shutdown::Both);
 }
 
-/// Large data goes straight to the socket: a copy would cost more than the call that it saves.
+/// Writes PDUs. Large data goes directly to the socket: a copy would cost more than the system call
+/// that it saves.
 fn write_all(
     stream: &mut TcpStream,
     pdus: &VecDeque<OutgoingPdu>,
@@ -160,7 +163,7 @@
 ) -> io::Result<()> {
     for OutgoingPdu { pdu, digests } in pdus {
         pdu::write_head(pdu, *digests, buffer);
-        if pdu.data.len() >= DIRECT_WRITE {
+        if pdu.data.len() >= MIN_DIRECT_WRITE_BYTES {
             let head = buffer.len();
             let slices = [IoSlice::new(buffer), IoSlice::new(&pdu.data)];
             let written = stream.write_vectored(&slices)?;
@@ -175,7 +178,8 @@
     stream.write_all(buffer)
 }
 
-/// Records a PDU for the trace; of a login also the target, by which traces are filtered.
+/// Records a PDU in the trace; for a login request also the target name, by which traces are
+/// filtered.
 fn record(tracer: &Tracer, kind: Kind, conn: ConnNo, pdu: &Pdu) {
     if !tracer.is_on() {
         return;
--- a/crates/iscsi-target/tests/engine/sessions.rs
+++ b/crates/iscsi-target/tests/engine/sessions.rs
@@ -6,8 +6,7 @@
 use grebecleat_iscsi_target::engine::{ConnNo, Input};
 use std::time::Duration;
 
-/// A window that stays as large is granted again as it is used up, though no command is in
-/// progress.
+/// A window of constant size is granted again as it is used up, even if no command is in progress.
 #[test]
 fn a_session_that_sends_one_command_after_another_never_runs_out_of_window() {
     let mut harness = Harness::new();
@@ -32,7 +31,7 @@
     let mut harness = Harness::new();
     let conn = harness.login(1, 1);
     harness.write(conn, 7, 0, &fill(1, 1));
-    harness.write(conn, 8, 0, &fill(2, 1)); // waits behind it
+    harness.write(conn, 8, 0, &fill(2, 1)); // waits for the first write
     let manage = |harness: &mut Harness, itt, tag| {
         let header = Header::new(Opcode::TaskManagement)
             .set_immediate(true)
@@ -46,11 +45,15 @@
         });
     };
     manage(&mut harness, 50, 8);
-    assert_eq!(harness.received(conn).len(), 1, "it had not begun");
+    assert_eq!(
+        harness.received(conn).len(),
+        1,
+        "the waiting command had not started"
+    );
     manage(&mut harness, 51, 7);
     assert!(
         harness.received(conn).is_empty(),
-        "its request is at the host"
+        "its request is still open at the host"
     );
     harness.answer(0, None);
     let received = harness.received(conn);
@@ -62,8 +65,8 @@
         ),
         (1, Some(Opcode::TaskManagementResponse), 0)
     );
-    // The same initiator port logs in again while a write is in progress: the old session is gone,
-    // its write is not answered, and the repeat in the new session goes behind it.
+    // The same initiator port logs in again while a write is in progress: the old session ends, its
+    // write is not answered, and the repeated write in the new session waits for it.
     harness.write(conn, 9, 3, &fill(5, 1));
     let again = harness.login(2, 1);
     assert_eq!(harness.closed, [conn]);
@@ -104,7 +107,7 @@
     harness.complete_all();
     assert!(
         harness.received(first).is_empty(),
-        "aborted by another: no answer"
+        "a command aborted by another session gets no response"
     );
     harness.read(first, 8, 0, 1);
     let received = harness.received(first);
@@ -115,7 +118,7 @@
             received[0].data[14]
         ),
         (2, 6, 0x29),
-        "but the reset is reported"
+        "the reset is reported as a unit attention"
     );
 }
 
@@ -142,7 +145,7 @@
     harness.now += Duration::from_secs(16);
     harness.feed(Input::ConnectionClosed { conn: ConnNo(0) });
     assert_eq!(harness.closed.len(), 5000);
-    // Something else than a login.
+    // A first PDU that is not a login request.
     harness.feed(Input::ConnectionOpened { conn: ConnNo(7000) });
     let nop = Header::new(Opcode::NopOut).set_itt(3).set_ttt(NO_TAG);
     harness.feed(Input::Pdu {
