--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a rehearsal: they draw work, wait no longer than their time, come again, and check
-//! what they read. One loop for all of them; each host has one connection.
+//! Clients of a scenario: they generate random requests, give up on an attempt at its deadline, retry,
+//! and verify what they read. One event loop serves all volumes; each host has one connection.
 
 use crate::draw::{injected_faults, source, InjectedFault};
 use crate::net::{self, hello, PeerConnection, PeerEvent};
@@ -17,38 +17,39 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-const EXTENTS_A_VOLUME: u64 = 48;
-const NEW_OBJECTS: f64 = 0.3;
-const LEAD: f64 = 0.7;
-const LEAD_CHANGES: f64 = 9.0;
-const RECONNECT: Duration = Duration::from_millis(50);
-const KNOWN_OBJECTS: usize = 64;
+const EXTENTS_PER_VOLUME: u64 = 48;
+const NEW_EXTENT_FRACTION: f64 = 0.3;
+const PREFERRED_HOST_FRACTION: f64 = 0.7;
+const PREFERRED_HOST_SECONDS: f64 = 9.0;
+const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_KNOWN_EXTENTS: usize = 64;
 
-/// What became of the tries, and of the pieces of work that they were for.
+/// The results of the attempts and of the requests that they belong to.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClientCounts {
     pub tries: u64,
     pub done: u64,
     pub deferred: u64,
     pub abandoned: u64,
-    /// Tries whose host went before it answered.
+    /// Attempts whose connection to the host closed before the response.
     pub lost: u64,
-    /// Tries that no answer reached in their time from a host that stayed.
+    /// Attempts without a response by their deadline, although the connection stayed open.
     pub unanswered: u64,
     pub doubled: u64,
-    /// Reads whose content nobody wrote there.
+    /// Reads that returned content that no client wrote to the extent.
     pub wrong_content: u64,
-    /// First tries that found no host.
+    /// Requests whose host was not connected at their first attempt.
     pub unreached: u64,
-    /// By plan: pieces, done in their latency objective, done late.
+    /// For each plan: requests, those completed within their latency objective, and those completed later.
     pub plans: BTreeMap<usize, (u64, u64, u64)>,
-    /// By place of a volume and second: pieces, and of these done in their latency objective.
+    /// For each volume's index and second of arrival: requests, and those completed within their latency
+    /// objective.
     pub seconds: BTreeMap<(usize, u64), (u64, u64)>,
 }
 
 impl ClientCounts {
-    /// The part of a volume's pieces that were done in their latency objective, of those that began
-    /// in a span of seconds.
+    /// Returns the fraction of a volume's requests that completed within their latency objective, among
+    /// those that arrived in a range of seconds; `None` if there were none.
     pub fn timely(&self, volume: usize, seconds: std::ops::Range<u64>) -> Option<f64> {
         let all = self
             .seconds
@@ -58,18 +59,18 @@
     }
 }
 
-/// Hears the time and the tally so far.
+/// A callback that receives the time and the counts so far.
 pub type Progress<'a> = Box<dyn Fn(Duration, &ClientCounts) + Sync + 'a>;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum What {
-    Arrive { volume: usize, surge: Option<usize> },
-    Again { piece: usize },
-    GiveUp { tried: u64 },
+enum Event {
+    Arrival { volume: usize, surge: Option<usize> },
+    Retry { request: usize },
+    Timeout { number: u64 },
     Reconnect { host: usize },
 }
 
-struct Piece {
+struct Request {
     id: Bytes,
     volume: usize,
     host: usize,
@@ -78,13 +79,13 @@
     shard: Option<u32>,
     key: u64,
     units: u32,
-    born: Duration,
-    tries: u32,
+    arrived_at: Duration,
+    attempts: u32,
 }
 
-struct Try {
-    piece: usize,
-    until: Duration,
+struct Attempt {
+    request: usize,
+    deadline: Duration,
     host: usize,
 }
 
@@ -95,22 +96,22 @@
     t0: Duration,
     hosts: Arc<Mutex<Vec<Option<SocketAddr>>>>,
     tracer: Tracer,
-    lines: Vec<Option<(u64, PeerConnection)>>,
-    sources: Vec<Pcg64Mcg>,
-    heap: BinaryHeap<Reverse<(Duration, u64, What)>>,
-    serial: u64,
-    pieces: Vec<Piece>,
-    tries: HashMap<Bytes, Try>,
-    by_number: HashMap<u64, Bytes>,
+    connections: Vec<Option<(u64, PeerConnection)>>,
+    generators: Vec<Pcg64Mcg>,
+    events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
+    sequence: u64,
+    requests: Vec<Request>,
+    attempts: HashMap<Bytes, Attempt>,
+    attempts_by_number: HashMap<u64, Bytes>,
     answered: HashSet<Bytes>,
     known: BTreeMap<usize, Vec<(u64, u32)>>,
     written: HashMap<(usize, u64), HashSet<Bytes>>,
     counts: ClientCounts,
-    /// Called about once a second with the time and the tally.
+    /// Called about once a second with the time and the counts.
     progress: Progress<'a>,
 }
 
-/// An id of 36 characters that two numbers make.
+/// Returns an id of 36 characters in the form of a UUID, made of two numbers.
 fn id_of(a: u64, b: u64) -> Bytes {
     Bytes::from(format!(
         "{:08x}-{:04x}-{:04x}-{:04x}-{b:012x}",
@@ -121,18 +122,19 @@
     ))
 }
 
-/// A piece's content: its id, over and over.
+/// Returns the content that a request writes: its id, repeated.
 fn content(id: &Bytes, len: usize) -> Bytes {
     id.iter().copied().cycle().take(len).collect()
 }
 
-/// What initiators have as their disk is nobody else's to write.
-fn disk(settings: &Settings, volume: &usize) -> bool {
+/// Returns whether a volume belongs to an iSCSI target. Only the initiators write such a volume.
+fn belongs_to_target(settings: &Settings, volume: &usize) -> bool {
     settings.targets.iter().any(|t| t.volumes.contains(volume))
 }
 
 impl<'a> Clients<'a> {
-    /// `hosts` tells where each host listens now; it may change while the clients run.
+    /// Returns clients that connect to the addresses in `hosts`, which may change while they run. `None` if
+    /// the settings declare no scenario.
     pub fn new(
         settings: &'a Settings,
         t0: Duration,
@@ -140,7 +142,8 @@
         tracer: Tracer,
     ) -> Option<Self> {
         let script = settings.rehearsal.as_ref()?;
-        let sources = (0..settings.volumes.len()).map(|v| source(script.seed, 100_000 + v as u64));
+        let generators =
+            (0..settings.volumes.len()).map(|v| source(script.seed, 100_000 + v as u64));
         Some(Clients {
             settings,
             script,
@@ -148,13 +151,13 @@
             t0,
             hosts,
             tracer,
-            lines: settings.hosts.iter().map(|_| None).collect(),
-            sources: sources.collect(),
-            heap: BinaryHeap::new(),
-            serial: 0,
-            pieces: Vec::new(),
-            tries: HashMap::new(),
-            by_number: HashMap::new(),
+            connections: settings.hosts.iter().map(|_| None).collect(),
+            generators: generators.collect(),
+            events: BinaryHeap::new(),
+            sequence: 0,
+            requests: Vec::new(),
+            attempts: HashMap::new(),
+            attempts_by_number: HashMap::new(),
             answered: HashSet::new(),
             known: BTreeMap::new(),
             written: HashMap::new(),
@@ -172,12 +175,12 @@
         clock::now().saturating_sub(self.t0)
     }
 
-    fn plan(&mut self, at: Duration, what: What) {
-        self.serial += 1;
-        self.heap.push(Reverse((at, self.serial, what)));
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.sequence += 1;
+        self.events.push(Reverse((at, self.sequence, event)));
     }
 
-    /// Units a second that a volume asks for.
+    /// Returns the units a second that a volume requests.
     fn rate(&self, volume: usize) -> f64 {
         let of = |v: usize| {
             let v = &self.settings.volumes[v];
@@ -191,12 +194,15 @@
     }
 
     pub fn run(mut self) -> ClientCounts {
-        let (to, heard) = mpsc::channel();
-        (0..self.lines.len()).for_each(|host| self.plan(Duration::ZERO, What::Reconnect { host }));
-        for volume in (0..self.settings.volumes.len()).filter(|v| !disk(self.settings, v)) {
-            self.plan(
+        let (to, peer_events) = mpsc::channel();
+        (0..self.connections.len())
+            .for_each(|host| self.schedule(Duration::ZERO, Event::Reconnect { host }));
+        for volume in
+            (0..self.settings.volumes.len()).filter(|v| !belongs_to_target(self.settings, v))
+        {
+            self.schedule(
                 Duration::ZERO,
-                What::Arrive {
+                Event::Arrival {
                     volume,
                     surge: None,
                 },
@@ -207,11 +213,11 @@
             for volume in s
                 .volumes
                 .iter()
-                .filter(|v| surges && !disk(self.settings, v))
+                .filter(|v| surges && !belongs_to_target(self.settings, v))
             {
-                self.plan(
+                self.schedule(
                     s.start,
-                    What::Arrive {
+                    Event::Arrival {
                         volume: *volume,
                         surge: Some(i),
                     },
@@ -220,35 +226,39 @@
         }
         let longest = self.settings.longest_deadline();
         let (end, last) = (self.script.length, self.script.length + longest * 2);
-        let mut told = Duration::ZERO;
+        let mut last_progress = Duration::ZERO;
         loop {
             let now = self.now();
-            let busy = !self.tries.is_empty();
+            let busy = !self.attempts.is_empty();
             if now > last
-                || (now > end && !busy && !self.heap.iter().any(|h| h.0 .0 < last && self.pends(h)))
+                || (now > end
+                    && !busy
+                    && !self
+                        .events
+                        .iter()
+                        .any(|h| h.0 .0 < last && self.is_retry(h)))
             {
                 return self.counts;
             }
-            if now >= told + Duration::from_secs(1) {
-                told = now;
+            if now >= last_progress + Duration::from_secs(1) {
+                last_progress = now;
                 (self.progress)(now, &self.counts);
             }
-            while let Some(Reverse((at, _, what))) =
-                self.heap.peek().copied().filter(|h| h.0 .0 <= now)
+            while let Some(Reverse((at, _, event))) =
+                self.events.peek().copied().filter(|h| h.0 .0 <= now)
             {
-                self.heap.pop();
-                self.due(at, what, &to);
+                self.events.pop();
+                self.handle_event(at, event, &to);
             }
-            let wait = self
-                .heap
-                .peek()
-                .map_or(RECONNECT, |h| h.0 .0.saturating_sub(now).min(RECONNECT));
-            match heard.recv_timeout(wait) {
+            let wait = self.events.peek().map_or(RECONNECT_INTERVAL, |h| {
+                h.0 .0.saturating_sub(now).min(RECONNECT_INTERVAL)
+            });
+            match peer_events.recv_timeout(wait) {
                 Ok(first) => {
-                    let more: Vec<PeerEvent> = heard.try_iter().take(512).collect();
+                    let more: Vec<PeerEvent> = peer_events.try_iter().take(512).collect();
                     std::iter::once(first)
                         .chain(more)
-                        .for_each(|h| self.hear(h));
+                        .for_each(|h| self.handle_peer_event(h));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return self.counts,
@@ -256,36 +266,36 @@
         }
     }
 
-    fn pends(&self, h: &Reverse<(Duration, u64, What)>) -> bool {
-        matches!(h.0 .2, What::Again { .. })
+    fn is_retry(&self, h: &Reverse<(Duration, u64, Event)>) -> bool {
+        matches!(h.0 .2, Event::Retry { .. })
     }
 
-    fn due(&mut self, at: Duration, what: What, to: &mpsc::Sender<PeerEvent>) {
-        match what {
-            What::Arrive { volume, surge } => self.arrive(at, volume, surge),
-            What::Again { piece } => self.attempt(piece),
-            What::GiveUp { tried } => {
-                let Some(id) = self.by_number.remove(&tried) else {
+    fn handle_event(&mut self, at: Duration, event: Event, to: &mpsc::Sender<PeerEvent>) {
+        match event {
+            Event::Arrival { volume, surge } => self.handle_arrival(at, volume, surge),
+            Event::Retry { request } => self.attempt(request),
+            Event::Timeout { number } => {
+                let Some(id) = self.attempts_by_number.remove(&number) else {
                     return;
                 };
-                if let Some(t) = self.tries.remove(&id) {
+                if let Some(t) = self.attempts.remove(&id) {
                     self.counts.unanswered += 1;
-                    self.over(t.piece, None);
+                    self.end_attempt(t.request, None);
                 }
             }
-            What::Reconnect { host } if self.lines[host].is_none() => {
+            Event::Reconnect { host } if self.connections[host].is_none() => {
                 let address = self.hosts.lock().unwrap_or_else(|e| e.into_inner())[host];
                 let me = hello(pb::Role::Client, "clients", 1);
                 if let Some(address) = address {
                     let _ = net::dial(address, host as u32, me, self.tracer.clone(), to.clone());
                 }
-                self.plan(self.now() + RECONNECT, What::Reconnect { host });
+                self.schedule(self.now() + RECONNECT_INTERVAL, Event::Reconnect { host });
             }
-            What::Reconnect { .. } => {}
+            Event::Reconnect { .. } => {}
         }
     }
 
-    fn arrive(&mut self, at: Duration, volume: usize, surge: Option<usize>) {
+    fn handle_arrival(&mut self, at: Duration, volume: usize, surge: Option<usize>) {
         let (mut rate, mut end) = (self.rate(volume), self.script.length);
         if let Some(s) = surge.map(|i| &self.injected_faults[i]) {
             (rate, end) = (rate * (s.magnitude - 1.0).max(0.0), end.min(s.end()));
@@ -300,7 +310,7 @@
             .filter(|s| s.kind == Kind::Reconnect && s.start <= at)
             .count();
         let spec = &self.settings.volumes[volume];
-        let rng = &mut self.sources[volume];
+        let rng = &mut self.generators[volume];
         let gap = -rng.random::<f64>().max(1e-12).ln() / per_second;
         let shares: f64 = self.settings.traffic_classes.iter().map(|s| s.share).sum();
         let mut place = rng.random::<f64>() * shares;
@@ -313,20 +323,20 @@
         let (mean, largest) = (self.settings.units.mean, self.settings.units.largest);
         let units =
             (1.0 + -rng.random::<f64>().max(1e-9).ln() * (mean - 1.0).max(0.0)).min(largest) as u32;
-        let lead = (at.as_secs_f64() / LEAD_CHANGES) as usize + reconnects + volume;
+        let preferred = (at.as_secs_f64() / PREFERRED_HOST_SECONDS) as usize + reconnects + volume;
         let n = spec.hosts.len();
-        let turn = if rng.random::<f64>() < LEAD {
-            lead
+        let turn = if rng.random::<f64>() < PREFERRED_HOST_FRACTION {
+            preferred
         } else {
-            lead + 1 + rng.random_range(0..n)
+            preferred + 1 + rng.random_range(0..n)
         };
         let host = spec.hosts[turn % n];
-        let mut extent = rng.random_range(0..EXTENTS_A_VOLUME);
+        let mut extent = rng.random_range(0..EXTENTS_PER_VOLUME);
         let mut shard = Some(spec.shards[(extent % spec.shards.len() as u64) as usize]);
         let (fresh, reread) = (rng.random::<f64>(), rng.random::<f64>());
         let at_known = rng.random::<f64>();
-        if write && fresh < NEW_OBJECTS {
-            (extent, shard) = (1_000_000 + self.pieces.len() as u64, None);
+        if write && fresh < NEW_EXTENT_FRACTION {
+            (extent, shard) = (1_000_000 + self.requests.len() as u64, None);
         } else if !write && reread < self.script.reread {
             let known = self.known.get(&volume).filter(|k| !k.is_empty());
             if let Some(known) = known {
@@ -335,10 +345,10 @@
             }
         }
         if at > Duration::ZERO {
-            let id = id_of(self.script.seed, self.pieces.len() as u64);
+            let id = id_of(self.script.seed, self.requests.len() as u64);
             let key = (volume as u64) << 32 | extent;
-            let (born, tries) = (at, 0);
-            self.pieces.push(Piece {
+            let (arrived_at, attempts) = (at, 0);
+            self.requests.push(Request {
                 id,
                 volume,
                 host,
@@ -347,8 +357,8 @@
                 shard,
                 key,
                 units,
-                born,
-                tries,
+                arrived_at,
+                attempts,
             });
             self.counts.plans.entry(spec.plan).or_default().0 += 1;
             self.counts
@@ -356,30 +366,30 @@
                 .entry((volume, at.as_secs()))
                 .or_default()
                 .0 += 1;
-            self.attempt(self.pieces.len() - 1);
+            self.attempt(self.requests.len() - 1);
         }
-        self.plan(
+        self.schedule(
             at + Duration::from_secs_f64(gap),
-            What::Arrive { volume, surge },
+            Event::Arrival { volume, surge },
         );
     }
 
-    fn attempt(&mut self, piece: usize) {
+    fn attempt(&mut self, request: usize) {
         let now = self.now();
-        let p = &mut self.pieces[piece];
+        let p = &mut self.requests[request];
         let stream = &self.settings.traffic_classes[p.stream];
-        let until = p.born + stream.deadline;
-        let Some((_, line)) = &self.lines[p.host] else {
-            self.counts.unreached += u64::from(p.tries == 0);
-            return self.over(piece, None);
+        let deadline = p.arrived_at + stream.deadline;
+        let Some((_, connection)) = &self.connections[p.host] else {
+            self.counts.unreached += u64::from(p.attempts == 0);
+            return self.end_attempt(request, None);
         };
-        if now + Duration::from_millis(1) >= until {
+        if now + Duration::from_millis(1) >= deadline {
             return;
         }
-        p.tries += 1;
-        self.serial += 1;
-        let number = self.serial;
-        let id = id_of(number, piece as u64);
+        p.attempts += 1;
+        self.sequence += 1;
+        let number = self.sequence;
+        let id = id_of(number, request as u64);
         let data = match stream.write {
             true => content(&p.id, (p.units * self.script.bytes_per_unit) as usize),
             false => Bytes::new(),
@@ -390,7 +400,7 @@
                 .or_default()
                 .insert(p.id.clone());
         }
-        line.send(Body::SubmitRequest(pb::SubmitRequest {
+        connection.send(Body::SubmitRequest(pb::SubmitRequest {
             id: id.clone(),
             piece: p.id.clone(),
             traffic_class: p.stream as u32,
@@ -398,7 +408,7 @@
             shard: p.shard,
             key: Some(p.key),
             units: f64::from(p.units),
-            left_us: clock::micros(until - now),
+            left_us: clock::micros(deadline - now),
             extent: p.extent,
             length: p.units * self.script.bytes_per_unit,
             write: stream.write,
@@ -410,14 +420,21 @@
         }));
         let host = p.host;
         self.counts.tries += 1;
-        self.by_number.insert(number, id.clone());
-        self.tries.insert(id, Try { piece, until, host });
+        self.attempts_by_number.insert(number, id.clone());
+        self.attempts.insert(
+            id,
+            Attempt {
+                request,
+                deadline,
+                host,
+            },
+        );
         let slack = self.settings.host_limits.answer_slack;
-        self.plan(until + slack, What::GiveUp { tried: number });
+        self.schedule(deadline + slack, Event::Timeout { number });
     }
 
-    fn hear(&mut self, heard: PeerEvent) {
-        match heard {
+    fn handle_peer_event(&mut self, event: PeerEvent) {
+        match event {
             PeerEvent::Connected {
                 source,
                 conn,
@@ -425,29 +442,29 @@
                 ..
             } => {
                 let host = source as usize;
-                match self.lines[host] {
-                    None => self.lines[host] = Some((conn, connection)),
+                match self.connections[host] {
+                    None => self.connections[host] = Some((conn, connection)),
                     Some(_) => connection.close(),
                 }
             }
             PeerEvent::Closed { source, conn } => {
                 let host = source as usize;
-                if self.lines[host].as_ref().is_none_or(|l| l.0 != conn) {
+                if self.connections[host].as_ref().is_none_or(|l| l.0 != conn) {
                     return;
                 }
-                self.lines[host] = None;
-                self.plan(self.now() + RECONNECT, What::Reconnect { host });
+                self.connections[host] = None;
+                self.schedule(self.now() + RECONNECT_INTERVAL, Event::Reconnect { host });
                 let gone: Vec<Bytes> = self
-                    .tries
+                    .attempts
                     .iter()
                     .filter(|(_, t)| t.host == host)
                     .map(|(id, _)| id.clone())
                     .collect();
                 for id in gone {
-                    let t = self.tries.remove(&id).expect("listed above");
+                    let t = self.attempts.remove(&id).expect("listed above");
                     self.counts.lost += 1;
-                    // What it held may have run: only what may run again is sent again.
-                    self.over(t.piece, Some(Outcome::Unknown));
+                    // The host may have performed the request, so only an idempotent one is retried.
+                    self.end_attempt(t.request, Some(Outcome::Unknown));
                 }
             }
             PeerEvent::Frame {
@@ -463,7 +480,7 @@
             self.counts.doubled += 1;
             return;
         }
-        let Some(t) = self.tries.remove(&f.id) else {
+        let Some(t) = self.attempts.remove(&f.id) else {
             return;
         };
         let now = self.now();
@@ -473,25 +490,25 @@
             Outcome::Rejected => self.counts.deferred += 1,
             _ => self.counts.abandoned += 1,
         }
-        let p = &self.pieces[t.piece];
+        let p = &self.requests[t.request];
         if outcome == Outcome::Completed {
             let stream = &self.settings.traffic_classes[p.stream];
             let plan = self.settings.volumes[p.volume].plan;
-            let line = self.counts.plans.entry(plan).or_default();
-            if now <= p.born + stream.facts.latency_objective {
-                line.1 += 1;
+            let plan_counts = self.counts.plans.entry(plan).or_default();
+            if now <= p.arrived_at + stream.facts.latency_objective {
+                plan_counts.1 += 1;
                 self.counts
                     .seconds
-                    .entry((p.volume, p.born.as_secs()))
+                    .entry((p.volume, p.arrived_at.as_secs()))
                     .or_default()
                     .1 += 1;
             } else {
-                line.2 += 1;
+                plan_counts.2 += 1;
             }
             if stream.write && p.shard.is_none() {
                 let known = self.known.entry(p.volume).or_default();
                 known.push((p.extent, f.shard.unwrap_or_default()));
-                if known.len() > KNOWN_OBJECTS {
+                if known.len() > MAX_KNOWN_EXTENTS {
                     known.remove(0);
                 }
             }
@@ -507,25 +524,31 @@
             return;
         }
         let wait = Duration::from_micros(f.retry_after_us.unwrap_or(0)).max(self.script.retry_wait);
-        self.again(t.piece, outcome, wait, t.until);
+        self.schedule_retry(t.request, outcome, wait, t.deadline);
     }
 
-    fn over(&mut self, piece: usize, outcome: Option<Outcome>) {
-        let until = self.pieces[piece].born
-            + self.settings.traffic_classes[self.pieces[piece].stream].deadline;
+    fn end_attempt(&mut self, request: usize, outcome: Option<Outcome>) {
+        let deadline = self.requests[request].arrived_at
+            + self.settings.traffic_classes[self.requests[request].stream].deadline;
         if let Some(outcome) = outcome {
-            self.again(piece, outcome, self.script.retry_wait, until);
+            self.schedule_retry(request, outcome, self.script.retry_wait, deadline);
         }
     }
 
-    fn again(&mut self, piece: usize, outcome: Outcome, wait: Duration, until: Duration) {
+    fn schedule_retry(
+        &mut self,
+        request: usize,
+        outcome: Outcome,
+        wait: Duration,
+        deadline: Duration,
+    ) {
         use grebecleat_settings::Idempotency;
-        let p = &self.pieces[piece];
-        let harmless = outcome == Outcome::Rejected
+        let p = &self.requests[request];
+        let may_retry = outcome == Outcome::Rejected
             || self.settings.traffic_classes[p.stream].facts.idempotency == Idempotency::Idempotent;
         let at = self.now() + wait;
-        if harmless && p.tries <= self.script.retries && at < until {
-            self.plan(at, What::Again { piece });
+        if may_retry && p.attempts <= self.script.retries && at < deadline {
+            self.schedule(at, Event::Retry { request });
         }
     }
 }
--- a/crates/testbed/src/disks.rs
+++ b/crates/testbed/src/disks.rs
@@ -1,9 +1,8 @@
-//! Initiators of a rehearsal: sessions that write and read their own blocks through a portal's
-//! troubles, come again when their connection goes, and check every block they read against what
-//! they wrote.
+//! iSCSI load of a scenario: sessions that write and read their own blocks while faults are injected,
+//! log in again when their connection closes, and verify each block that they read against their writes.
 //!
-//! A command that loses its connection, or takes so long that it is aborted, is sent again and
-//! counts as the same command: it is answered once that one is.
+//! A command whose connection closes, or that is aborted after a timeout, is sent again and counts as
+//! the same command: it counts as answered once one of its transmissions is answered.
 
 use crate::draw::source;
 use crate::initiator::{cdb16, Answer, Initiator, LoginParameters};
@@ -17,23 +16,23 @@
 
 const GOOD: u8 = 0;
 const BUSY: u8 = 8;
-/// A command that takes longer is aborted and sent again.
-const TIME_OUT: Duration = Duration::from_millis(900);
-/// Commands that one session has out.
-const DEPTH: usize = 6;
-const MAX_BLOCKS: u64 = 24;
-/// Blocks that one session has for itself.
-const REGION: u64 = 512;
-/// After the script's end, how long what is out may take.
-const LAST: Duration = Duration::from_secs(20);
+/// Time after which a command is aborted and sent again.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(900);
+/// Limit on the outstanding commands of one session.
+const MAX_OUTSTANDING: usize = 6;
+const MAX_BLOCKS_PER_COMMAND: u64 = 24;
+/// Blocks of a volume that only one session accesses.
+const REGION_BLOCKS: u64 = 512;
+/// Time after the scenario's end for which outstanding commands may still complete.
+const COMPLETION_GRACE: Duration = Duration::from_secs(20);
 
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Disks {
     pub commands: u64,
     pub answered: u64,
-    /// Never answered, though sent again and again until the end.
+    /// Commands that were never answered, although they were sent again until the end.
     pub missing: u64,
-    /// Answers to what was answered before.
+    /// Responses to commands that were already answered.
     pub doubled: u64,
     pub good: u64,
     pub busy: u64,
@@ -41,7 +40,7 @@
     pub blocks_checked: u64,
     pub wrong: u64,
     pub logins: u64,
-    /// Given up by the client, and sent again.
+    /// Commands that the session aborted after a timeout and sent again.
     pub aborted: u64,
 }
 
@@ -64,12 +63,14 @@
     }
 }
 
-/// What a block may hold: a value, and at which step the write of it was answered, if it was.
-type Held = Vec<(u64, Option<u64>)>;
+/// The values that a block may hold, each with the step at which its write was answered; `None` if it
+/// was not answered.
+type PossibleValues = Vec<(u64, Option<u64>)>;
 
-/// A command: which blocks, what it writes there, and at which step it was first sent.
+/// A command: the step at which it was first sent, its blocks, and the value that it writes; `None` for a
+/// read.
 #[derive(Debug, Clone)]
-struct Work {
+struct Command {
     sent: u64,
     lun: u64,
     lba: u64,
@@ -77,7 +78,7 @@
     writes: Option<u64>,
 }
 
-/// One session's run.
+/// One iSCSI session with its load.
 pub struct Session<'a> {
     pub at: SocketAddr,
     pub target: &'a TargetSpec,
@@ -101,65 +102,71 @@
     pub fn run(&self, seed: u64) -> Disks {
         let mut rng = source(seed, 500_000 + u64::from(self.number));
         let mut counts = Disks::default();
-        let mut may: BTreeMap<(u64, u64), Held> = BTreeMap::new();
-        let (mut again, mut value, mut step): (VecDeque<Work>, u64, u64) = (VecDeque::new(), 0, 0);
-        let (end, last) = (self.t0 + self.length, self.t0 + self.length + LAST);
+        let mut possible: BTreeMap<(u64, u64), PossibleValues> = BTreeMap::new();
+        let (mut resend, mut value, mut step): (VecDeque<Command>, u64, u64) =
+            (VecDeque::new(), 0, 0);
+        let (end, last) = (
+            self.t0 + self.length,
+            self.t0 + self.length + COMPLETION_GRACE,
+        );
         std::thread::sleep(self.t0.saturating_sub(clock::now()));
-        while clock::now() < end || (!again.is_empty() && clock::now() < last) {
+        while clock::now() < end || (!resend.is_empty() && clock::now() < last) {
             let Ok(mut i) = Initiator::login(self.at, &self.parameters()) else {
                 std::thread::sleep(Duration::from_millis(50));
                 continue;
             };
             counts.logins += 1;
-            let mut open: BTreeMap<u32, (Work, Duration)> = BTreeMap::new();
+            let mut open: BTreeMap<u32, (Command, Duration)> = BTreeMap::new();
             let ended = loop {
                 let fresh = clock::now() < end;
                 step += 1;
-                if again.is_empty() && open.is_empty() && !fresh {
+                if resend.is_empty() && open.is_empty() && !fresh {
                     break Ok(());
                 }
-                if open.len() < DEPTH && i.may_send() && (fresh || !again.is_empty()) {
-                    let new = again.is_empty();
-                    let work = again
+                if open.len() < MAX_OUTSTANDING && i.may_send() && (fresh || !resend.is_empty()) {
+                    let new = resend.is_empty();
+                    let command = resend
                         .pop_front()
                         .unwrap_or_else(|| self.draw(&mut rng, &mut value, step));
                     counts.commands += u64::from(new);
-                    if let Some(v) = work.writes {
-                        for b in work.lba..work.lba + work.blocks {
-                            let there = may
-                                .entry((work.lun, b))
+                    if let Some(v) = command.writes {
+                        for b in command.lba..command.lba + command.blocks {
+                            let values = possible
+                                .entry((command.lun, b))
                                 .or_insert_with(|| vec![(0, Some(0))]);
-                            if there.iter().all(|e| e.0 != v) {
-                                there.push((v, None));
+                            if values.iter().all(|e| e.0 != v) {
+                                values.push((v, None));
                             }
                         }
                     }
-                    match submit(&mut i, &work) {
-                        Ok(itt) => drop(open.insert(itt, (work, clock::now()))),
+                    match submit(&mut i, &command) {
+                        Ok(itt) => drop(open.insert(itt, (command, clock::now()))),
                         Err(e) => {
-                            again.push_back(work);
+                            resend.push_back(command);
                             break Err(e);
                         }
                     }
                     continue;
                 }
-                // Whoever waits too long gives up, says so, and comes again with the same command.
+                // A command that exceeds its timeout is aborted and sent again.
                 let oldest = open
                     .iter()
                     .min_by_key(|(_, (_, since))| *since)
                     .map(|(itt, (_, since))| (*itt, *since));
-                let left = oldest.map_or(TIME_OUT, |(_, since)| {
-                    (since + TIME_OUT).saturating_sub(clock::now())
+                let left = oldest.map_or(COMMAND_TIMEOUT, |(_, since)| {
+                    (since + COMMAND_TIMEOUT).saturating_sub(clock::now())
                 });
                 match (i.any_within(left), oldest) {
                     (Ok(Some((itt, answer))), _) => match open.remove(&itt) {
-                        Some((work, _)) => judge(&work, &answer, step, &mut may, &mut counts),
+                        Some((command, _)) => {
+                            check_response(&command, &answer, step, &mut possible, &mut counts)
+                        }
                         None => counts.doubled += 1,
                     },
                     (Ok(None), Some((itt, _))) => match i.abort(itt) {
                         Ok(true) => {
                             counts.aborted += 1;
-                            again.extend(open.remove(&itt).map(|(work, _)| work));
+                            resend.extend(open.remove(&itt).map(|(command, _)| command));
                         }
                         Ok(false) => {}
                         Err(e) => break Err(e),
@@ -169,7 +176,7 @@
                 }
             };
             counts.doubled += i.strays;
-            again.extend(open.into_values().map(|(work, _)| work));
+            resend.extend(open.into_values().map(|(command, _)| command));
             if ended.is_err() {
                 std::thread::sleep(Duration::from_millis(50));
             }
@@ -178,17 +185,18 @@
         counts
     }
 
-    fn draw(&self, rng: &mut Pcg64Mcg, value: &mut u64, sent: u64) -> Work {
+    fn draw(&self, rng: &mut Pcg64Mcg, value: &mut u64, sent: u64) -> Command {
         let lun = rng.random_range(0..self.target.volumes.len()) as u64;
         let unit = self.settings.volumes[self.target.volumes[lun as usize]].blocks;
-        let region = (u64::from(self.number) * REGION) % unit.saturating_sub(REGION).max(1);
-        let blocks = rng.random_range(1..=MAX_BLOCKS);
-        let lba = region + rng.random_range(0..REGION - blocks);
+        let region =
+            (u64::from(self.number) * REGION_BLOCKS) % unit.saturating_sub(REGION_BLOCKS).max(1);
+        let blocks = rng.random_range(1..=MAX_BLOCKS_PER_COMMAND);
+        let lba = region + rng.random_range(0..REGION_BLOCKS - blocks);
         let writes = rng.random::<bool>().then(|| {
             *value += 1;
             *value << 8 | u64::from(self.number)
         });
-        Work {
+        Command {
             sent,
             lun,
             lba,
@@ -198,15 +206,20 @@
     }
 }
 
-fn submit(i: &mut Initiator, work: &Work) -> std::io::Result<u32> {
-    let blocks = work.blocks as u32;
-    match work.writes {
-        None => i.submit(work.lun, &cdb16(0x88, work.lba, blocks), &[], blocks * 512),
+fn submit(i: &mut Initiator, command: &Command) -> std::io::Result<u32> {
+    let blocks = command.blocks as u32;
+    match command.writes {
+        None => i.submit(
+            command.lun,
+            &cdb16(0x88, command.lba, blocks),
+            &[],
+            blocks * 512,
+        ),
         Some(v) => {
             let block: Vec<u8> = v.to_be_bytes().iter().copied().cycle().take(512).collect();
             i.submit(
-                work.lun,
-                &cdb16(0x8a, work.lba, blocks),
+                command.lun,
+                &cdb16(0x8a, command.lba, blocks),
                 &block.repeat(blocks as usize),
                 0,
             )
@@ -214,15 +227,17 @@
     }
 }
 
-/// Commands that are out together may take effect in either order (SAM-5's simple tasks). So a
-/// write that was GOOD rules out what was answered before it was sent, and nothing else; what was
-/// BUSY or of unknown outcome may be there or not until then, and never after: that is the late
-/// write.
-fn judge(
-    work: &Work,
+/// Checks a response and updates the values that its blocks may hold.
+///
+/// Outstanding commands may take effect in any order (simple tasks of SAM-5). A write that ended with
+/// GOOD therefore excludes only the values whose writes were answered before it was sent. A write that
+/// ended with BUSY or an unknown outcome may have taken effect or not; once a later GOOD write excludes
+/// its value, reading that value shows a write that took effect too late.
+fn check_response(
+    command: &Command,
     answer: &Answer,
     step: u64,
-    may: &mut BTreeMap<(u64, u64), Held>,
+    possible: &mut BTreeMap<(u64, u64), PossibleValues>,
     counts: &mut Disks,
 ) {
     counts.answered += 1;
@@ -231,17 +246,17 @@
         BUSY => counts.busy += 1,
         _ => counts.unknown += 1,
     }
-    for n in 0..work.blocks {
-        let key = (work.lun, work.lba + n);
-        let there = may.entry(key).or_insert_with(|| vec![(0, Some(0))]);
-        match work.writes {
+    for n in 0..command.blocks {
+        let key = (command.lun, command.lba + n);
+        let values = possible.entry(key).or_insert_with(|| vec![(0, Some(0))]);
+        match command.writes {
             Some(v) => {
-                there
+                values
                     .iter_mut()
                     .filter(|e| e.0 == v)
                     .for_each(|e| e.1 = Some(step));
                 if answer.status == GOOD {
-                    there.retain(|e| e.0 == v || e.1.is_none_or(|at| at > work.sent));
+                    values.retain(|e| e.0 == v || e.1.is_none_or(|at| at > command.sent));
                 }
             }
             None if answer.status == GOOD => {
@@ -250,10 +265,10 @@
                 let block = answer.data.get(from..from + 512).unwrap_or_default();
                 let value = block.first_chunk::<8>().map(|b| u64::from_be_bytes(*b));
                 let whole = block.chunks(8).all(|c| Some(c) == block.get(..8));
-                let right = whole && value.is_some_and(|v| there.iter().any(|e| e.0 == v));
+                let right = whole && value.is_some_and(|v| values.iter().any(|e| e.0 == v));
                 if !right {
                     let what = format!(
-                        "lun {} block {}: {value:x?}, may be {there:x?}",
+                        "lun {} block {}: found {value:x?}, expected one of {values:x?}",
                         key.0, key.1
                     );
                     tracing::warn!(at = ?clock::now(), "{what}");
--- a/crates/testbed/src/initiator.rs
+++ b/crates/testbed/src/initiator.rs
@@ -1,8 +1,7 @@
-//! An iSCSI initiator over TCP: logs in, sends commands, gathers their answers. Small: one
-//! connection a session.
+//! An iSCSI initiator over TCP, with one connection for each session.
 //!
-//! It shares the PDU codec with the target and nothing else; numbering, login and data are its own,
-//! so that a misreading on one side shows.
+//! It shares only the PDU codec and the CHAP algorithms with the target. Sequence numbers, login and data
+//! transfer are implemented separately, so that a misreading of RFC 7143 on one side shows as a failure.
 
 use grebecleat_iscsi::chap::{from_text, to_text, Algorithm};
 use grebecleat_iscsi::pdu::{write, Digests, Header, Opcode, Pdu, Reader, NO_TAG};
@@ -11,10 +10,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-const SEGMENT: usize = 64 << 10;
-const PATIENCE: Duration = Duration::from_secs(10);
+const MAX_SEGMENT_BYTES: usize = 64 << 10;
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How it logs in.
+/// The parameters of a login.
 #[derive(Debug, Clone)]
 pub struct LoginParameters {
     pub initiator: String,
@@ -24,13 +23,13 @@
     pub chap: Option<(String, String)>,
 }
 
-/// What a command came to.
+/// The result of a command.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Answer {
     pub status: u8,
-    /// Key, code, qualifier.
+    /// The sense key, additional sense code and qualifier.
     pub sense: (u8, u8, u8),
-    /// Of BUSY: when to come again, where the target tells (RFC 7144).
+    /// The retry delay of a BUSY status (RFC 7144); `None` if the target gives none.
     pub retry: Option<Duration>,
     pub data: Vec<u8>,
 }
@@ -50,13 +49,13 @@
     exp_stat_sn: u32,
     itt: u32,
     unsent: Vec<u8>,
-    /// The task management request that was answered last.
-    managed: Option<u32>,
+    /// The task tag of the last answered task management request.
+    answered_task_request: Option<u32>,
     open: BTreeMap<u32, Command>,
-    /// In the order they came: a read that was answered before a write saw what was there before
-    /// it.
+    /// The results in the order of their arrival. The order matters to the caller's checks: a read that
+    /// was answered before a write may have returned the old data.
     done: VecDeque<(u32, Answer)>,
-    /// Answers that came a second time, or to nothing.
+    /// Responses to commands that are unknown or already answered.
     pub strays: u64,
 }
 
@@ -83,22 +82,22 @@
     pub fn login(at: SocketAddr, parameters: &LoginParameters) -> io::Result<Self> {
         let stream = TcpStream::connect_timeout(&at, Duration::from_secs(2))?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
         let mut i = Initiator {
             stream,
-            reader: Reader::new(SEGMENT),
+            reader: Reader::new(MAX_SEGMENT_BYTES),
             digests: Digests::default(),
             cmd_sn: 1,
             max_cmd_sn: 1,
             exp_stat_sn: 0,
             itt: 0,
             unsent: Vec::new(),
-            managed: None,
+            answered_task_request: None,
             open: BTreeMap::new(),
             done: VecDeque::new(),
             strays: 0,
         };
-        let first = [
+        let name_keys = [
             ("InitiatorName", parameters.initiator.as_str()),
             ("SessionType", "Normal"),
             ("TargetName", &parameters.target),
@@ -108,18 +107,21 @@
                 parameters,
                 0,
                 0,
-                &[&first[..], &[("AuthMethod", "CHAP")]].concat(),
+                &[&name_keys[..], &[("AuthMethod", "CHAP")]].concat(),
             )?;
-            let told = i.step(parameters, 0, 0, &[("CHAP_A", "7,5")])?;
+            let response_keys = i.step(parameters, 0, 0, &[("CHAP_A", "7,5")])?;
             let get = |k: &str| {
-                told.get(k)
+                response_keys
+                    .get(k)
                     .cloned()
                     .ok_or_else(|| other(format!("{k} is missing")))
             };
-            let by = Algorithm::choose(&get("CHAP_A")?).ok_or_else(|| other("no algorithm"))?;
+            let algorithm = Algorithm::choose(&get("CHAP_A")?)
+                .ok_or_else(|| other("CHAP_A: expected one of the offered algorithms 7 and 5"))?;
             let id = get("CHAP_I")?.parse().map_err(io::Error::other)?;
-            let challenge = from_text(&get("CHAP_C")?).ok_or_else(|| other("no challenge"))?;
-            let response = to_text(&by.response(id, secret.as_bytes(), &challenge));
+            let challenge = from_text(&get("CHAP_C")?)
+                .ok_or_else(|| other("CHAP_C: expected a hex or base64 value"))?;
+            let response = to_text(&algorithm.response(id, secret.as_bytes(), &challenge));
             i.step(
                 parameters,
                 0,
@@ -142,7 +144,7 @@
         let all = if parameters.chap.is_some() {
             keys.to_vec()
         } else {
-            [&first[..], &keys].concat()
+            [&name_keys[..], &keys].concat()
         };
         i.step(parameters, 1, 0x80 | 3, &all)?;
         i.digests = Digests {
@@ -153,7 +155,8 @@
         Ok(i)
     }
 
-    /// One login request and its answer. `to` is 0, or T with the next stage.
+    /// Sends one login request and returns the keys of the response. `to` is 0, or the T bit with the next
+    /// stage.
     fn step(
         &mut self,
         parameters: &LoginParameters,
@@ -177,11 +180,11 @@
                 p.header.byte(37)
             )));
         }
-        self.numbers(&p.header, true);
+        self.update_sequence_numbers(&p.header, true);
         Ok(pairs(&p.data))
     }
 
-    fn numbers(&mut self, h: &Header, status: bool) {
+    fn update_sequence_numbers(&mut self, h: &Header, status: bool) {
         if status {
             self.exp_stat_sn = h.cmd_sn().wrapping_add(1);
         }
@@ -190,24 +193,24 @@
 
     fn send(&mut self, pdu: &Pdu) -> io::Result<()> {
         write(pdu, self.digests, &mut self.unsent);
-        if self.unsent.len() > SEGMENT {
+        if self.unsent.len() > MAX_SEGMENT_BYTES {
             return self.flush();
         }
         Ok(())
     }
 
-    /// Puts what was submitted on the wire. It also goes before an answer is waited for.
+    /// Writes the submitted commands to the socket. Waiting for a response does so as well.
     pub fn flush(&mut self) -> io::Result<()> {
         self.stream.write_all(&std::mem::take(&mut self.unsent))
     }
 
-    /// An answer that has come already.
+    /// Returns a result that is available without reading from the socket.
     pub fn ready(&mut self) -> io::Result<Option<(u32, Answer)>> {
         while self.done.is_empty() {
             let Some(p) = self.reader.next().map_err(io::Error::other)? else {
                 break;
             };
-            self.heard(p)?;
+            self.handle_pdu(p)?;
         }
         Ok(self.done.pop_front())
     }
@@ -221,21 +224,21 @@
             if self.reader.fill(&mut self.stream)? == 0 {
                 return Err(io::Error::new(
                     io::ErrorKind::UnexpectedEof,
-                    "target hung up",
+                    "the target closed the connection",
                 ));
             }
         }
     }
 
-    /// Whether the target takes another command now.
+    /// Returns whether the command window allows another command.
     pub fn may_send(&self) -> bool {
         (self.max_cmd_sn.wrapping_sub(self.cmd_sn) as i32) >= 0
     }
 
-    /// Sends a command; its tag. Waits while the window is closed.
+    /// Submits a command and returns its task tag. Waits while the command window is closed.
     pub fn submit(&mut self, lun: u64, cdb: &[u8], out: &[u8], max_in: u32) -> io::Result<u32> {
         while !self.may_send() {
-            self.hear()?;
+            self.receive_pdu()?;
         }
         self.itt += 1;
         let mut block = [0; 16];
@@ -268,22 +271,22 @@
         Ok(self.itt)
     }
 
-    /// The answer to a command.
+    /// Waits for the result of a command.
     pub fn wait(&mut self, itt: u32) -> io::Result<Answer> {
         loop {
             if let Some(at) = self.done.iter().position(|d| d.0 == itt) {
                 return Ok(self.done.remove(at).expect("found above").1);
             }
-            self.hear()?;
+            self.receive_pdu()?;
         }
     }
 
-    /// Whichever is answered next.
+    /// Waits for the next result of any command.
     pub fn any(&mut self) -> io::Result<(u32, Answer)> {
         while self.done.is_empty() {
-            self.hear()?;
+            self.receive_pdu()?;
         }
-        Ok(self.done.pop_front().expect("looked at above"))
+        Ok(self.done.pop_front().expect("checked above"))
     }
 
     pub fn command(&mut self, lun: u64, cdb: &[u8], out: &[u8], max_in: u32) -> io::Result<Answer> {
@@ -291,16 +294,17 @@
         self.wait(itt)
     }
 
-    /// READ (16) and WRITE (16) of whole blocks of 512 bytes.
+    /// Reads whole blocks of 512 bytes with READ (16).
     pub fn read(&mut self, lun: u64, lba: u64, blocks: u32) -> io::Result<Answer> {
         self.command(lun, &cdb16(0x88, lba, blocks), &[], blocks * 512)
     }
 
+    /// Writes whole blocks of 512 bytes with WRITE (16).
     pub fn write(&mut self, lun: u64, lba: u64, data: &[u8]) -> io::Result<Answer> {
         self.command(lun, &cdb16(0x8a, lba, (data.len() / 512) as u32), data, 0)
     }
 
-    /// Whichever is answered next, if one is within that time.
+    /// Returns the next result of any command; `None` if none arrives within `span`.
     pub fn any_within(&mut self, span: Duration) -> io::Result<Option<(u32, Answer)>> {
         self.flush()?;
         let until = grebecleat_wire::clock::now() + span;
@@ -314,12 +318,12 @@
             }
             self.stream.set_read_timeout(Some(left))?;
             let read = self.reader.fill(&mut self.stream);
-            self.stream.set_read_timeout(Some(PATIENCE))?;
+            self.stream.set_read_timeout(Some(RESPONSE_TIMEOUT))?;
             match read {
                 Ok(0) => {
                     return Err(io::Error::new(
                         io::ErrorKind::UnexpectedEof,
-                        "target hung up",
+                        "the target closed the connection",
                     ))
                 }
                 Ok(_) => {}
@@ -333,8 +337,8 @@
         }
     }
 
-    /// ABORT TASK, and waits for its response. False: the command was answered before, and its
-    /// answer stands.
+    /// Sends ABORT TASK and waits for its response. Returns `false` if the command was answered before; its
+    /// result remains valid.
     pub fn abort(&mut self, itt: u32) -> io::Result<bool> {
         self.itt += 1;
         let h = Header::new(Opcode::TaskManagement)
@@ -345,27 +349,27 @@
             .set_ttt(itt)
             .set_cmd_sn(self.cmd_sn)
             .set_exp_stat_sn(self.exp_stat_sn);
-        let own = self.itt;
+        let abort_tag = self.itt;
         self.send(&Pdu::new(h, Vec::new()))?;
-        self.managed = None;
-        while self.managed != Some(own) {
-            self.hear()?;
+        self.answered_task_request = None;
+        while self.answered_task_request != Some(abort_tag) {
+            self.receive_pdu()?;
         }
-        // From here on an answer to it would be a stray.
+        // A later response to the command counts as a stray.
         Ok(self.open.remove(&itt).is_some())
     }
 
-    fn hear(&mut self) -> io::Result<()> {
+    fn receive_pdu(&mut self) -> io::Result<()> {
         let p = self.next()?;
-        self.heard(p)
+        self.handle_pdu(p)
     }
 
-    fn heard(&mut self, p: Pdu) -> io::Result<()> {
+    fn handle_pdu(&mut self, p: Pdu) -> io::Result<()> {
         let (h, itt) = (p.header, p.header.itt());
         match h.opcode() {
             Some(Opcode::DataIn) => {
                 let last = h.flags() & 1 != 0;
-                self.numbers(&h, last);
+                self.update_sequence_numbers(&h, last);
                 let Some(c) = self.open.get_mut(&itt) else {
                     self.strays += 1;
                     return Ok(());
@@ -380,7 +384,7 @@
                 }
             }
             Some(Opcode::ScsiResponse) => {
-                self.numbers(&h, true);
+                self.update_sequence_numbers(&h, true);
                 let Some(c) = self.open.get_mut(&itt) else {
                     self.strays += 1;
                     return Ok(());
@@ -394,18 +398,21 @@
                 self.finish(itt);
             }
             Some(Opcode::R2t) => {
-                self.numbers(&h, false);
+                self.update_sequence_numbers(&h, false);
                 self.data_out(&h)?;
             }
             Some(Opcode::TaskManagementResponse) => {
-                self.numbers(&h, true);
-                self.managed = Some(itt);
+                self.update_sequence_numbers(&h, true);
+                self.answered_task_request = Some(itt);
             }
-            Some(Opcode::NopIn) if itt == NO_TAG => self.numbers(&h, false),
+            Some(Opcode::NopIn) if itt == NO_TAG => self.update_sequence_numbers(&h, false),
             Some(Opcode::Reject) => {
-                return Err(other(format!("rejected: reason {:#x}", h.byte(2))))
+                return Err(other(format!(
+                    "the target rejected a PDU: reason {:#x}",
+                    h.byte(2)
+                )))
             }
-            _ => self.numbers(&h, true),
+            _ => self.update_sequence_numbers(&h, true),
         }
         Ok(())
     }
@@ -422,8 +429,8 @@
         };
         let (lun, from) = (c.lun, r2t.word40() as usize);
         let wanted = c.out[from..from + r2t.word44() as usize].to_vec();
-        for (sn, piece) in wanted.chunks(SEGMENT).enumerate() {
-            let at = sn * SEGMENT;
+        for (sn, piece) in wanted.chunks(MAX_SEGMENT_BYTES).enumerate() {
+            let at = sn * MAX_SEGMENT_BYTES;
             let last = at + piece.len() == wanted.len();
             let h = Header::new(Opcode::DataOut)
                 .set_flags(if last { 0x80 } else { 0 })
@@ -439,7 +446,7 @@
     }
 }
 
-/// A command block of 16 bytes with a block and a length.
+/// Returns a CDB of 16 bytes with a logical block address and a number of blocks.
 pub fn cdb16(code: u8, lba: u64, blocks: u32) -> [u8; 16] {
     let mut cdb = [0; 16];
     cdb[0] = code;
--- a/crates/testbed/src/links.rs
+++ b/crates/testbed/src/links.rs
@@ -1,10 +1,8 @@
-//! What lies between hosts that tell each other something: for each ordered pair it can be cut by
-//! itself.
+//! Relays between hosts, with which a scenario partitions ordered pairs of hosts.
 //!
-//! One listener leads to each host. Who calls says so in its greeting, by which the pair is known;
-//! while that is cut, what is open between the two is hung up on and calls are dropped. A way that
-//! is cut in one direction alone carries the other's words: each host dials for what it says
-//! itself.
+//! One listener forwards to each host. The caller's name in its greeting identifies the pair. While a
+//! pair is cut, its open connections are closed and new ones are dropped. A host sends its messages only
+//! on the connections that it dialed, so cutting one direction leaves the other working.
 
 use grebecleat_wire::frame::Reader;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -14,13 +12,13 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-const PATIENCE: Duration = Duration::from_secs(2);
-const MAX_GREETING: usize = 4096;
+const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
+const MAX_GREETING_BYTES: usize = 4096;
 
 #[derive(Debug, Default)]
 struct State {
     targets: Vec<Option<SocketAddr>>,
-    /// From which host to which nothing crosses.
+    /// The pairs (caller, target) whose connections are cut.
     cut: BTreeSet<(usize, usize)>,
     open: Vec<((usize, usize), TcpStream)>,
 }
@@ -56,32 +54,33 @@
             std::thread::spawn(move || {
                 for stream in listener.incoming().flatten() {
                     let links = links.clone();
-                    std::thread::spawn(move || drop(links.carry_between(stream, to)));
+                    std::thread::spawn(move || drop(links.relay_connection(stream, to)));
                 }
             });
         }
         Ok(links)
     }
 
-    /// Where each host is to be called.
+    /// Returns the address of the relay to each host.
     pub fn addresses(&self) -> &[SocketAddr] {
         &self.addresses
     }
 
-    /// Where a host has come up.
+    /// Sets the address at which a host listens after its start.
     pub fn set_target(&self, host: usize, address: SocketAddr) {
         self.lock().targets[host] = Some(address);
     }
 
-    /// From now on these pairs are cut, and no others.
+    /// Cuts exactly these pairs (caller, target), and restores all others.
     pub fn set_cut(&self, pairs: BTreeSet<(usize, usize)>) {
         let mut state = self.lock();
-        let (gone, open) = std::mem::take(&mut state.open)
+        let (closed, open) = std::mem::take(&mut state.open)
             .into_iter()
             .partition(|(pair, _)| pairs.contains(pair));
         (state.cut, state.open) = (pairs, open);
-        let gone: Vec<((usize, usize), TcpStream)> = gone;
-        gone.iter()
+        let closed: Vec<((usize, usize), TcpStream)> = closed;
+        closed
+            .iter()
             .for_each(|(_, s)| drop(s.shutdown(Shutdown::Both)));
     }
 
@@ -89,25 +88,27 @@
         self.state.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    fn carry_between(&self, mut caller: TcpStream, to: usize) -> io::Result<()> {
-        let nobody = || io::Error::other("no greeting of a host");
-        caller.set_read_timeout(Some(PATIENCE))?;
-        let (mut reader, mut had) = (Reader::new(MAX_GREETING), Vec::new());
+    fn relay_connection(&self, mut caller: TcpStream, to: usize) -> io::Result<()> {
+        let rejected = || {
+            io::Error::other("connection rejected: expected a greeting of a known host over a link that is not cut")
+        };
+        caller.set_read_timeout(Some(GREETING_TIMEOUT))?;
+        let (mut reader, mut greeting_bytes) = (Reader::new(MAX_GREETING_BYTES), Vec::new());
         let name = loop {
             match reader
                 .next::<pb::Frame>()
                 .map_err(io::Error::other)?
                 .and_then(|f| f.body)
             {
-                Some(Body::Hello(them)) => break them.name,
-                Some(_) => return Err(nobody()),
+                Some(Body::Hello(hello)) => break hello.name,
+                Some(_) => return Err(rejected()),
                 None => {
                     let mut bytes = [0; 512];
                     let n = caller.read(&mut bytes)?;
                     if n == 0 {
-                        return Err(nobody());
+                        return Err(rejected());
                     }
-                    had.extend_from_slice(&bytes[..n]);
+                    greeting_bytes.extend_from_slice(&bytes[..n]);
                     reader.push(&bytes[..n]);
                 }
             }
@@ -116,30 +117,32 @@
             .names
             .iter()
             .position(|n| *n == name)
-            .ok_or_else(nobody)?;
+            .ok_or_else(rejected)?;
         let pair = (from, to);
-        let mut onward = {
+        let mut target_stream = {
             let mut state = self.lock();
             let target = state.targets[to].filter(|_| !state.cut.contains(&pair));
-            let onward = TcpStream::connect_timeout(&target.ok_or_else(nobody)?, PATIENCE)?;
+            let target_stream =
+                TcpStream::connect_timeout(&target.ok_or_else(rejected)?, GREETING_TIMEOUT)?;
             state.open.retain(|(_, s)| s.peer_addr().is_ok());
-            state
-                .open
-                .extend([(pair, caller.try_clone()?), (pair, onward.try_clone()?)]);
-            onward
+            state.open.extend([
+                (pair, caller.try_clone()?),
+                (pair, target_stream.try_clone()?),
+            ]);
+            target_stream
         };
-        let _ = (caller.set_nodelay(true), onward.set_nodelay(true));
+        let _ = (caller.set_nodelay(true), target_stream.set_nodelay(true));
         caller.set_read_timeout(None)?;
-        onward.write_all(&had)?;
-        let (back, forth) = (onward.try_clone()?, caller.try_clone()?);
-        std::thread::spawn(move || carry(back, forth));
-        carry(caller, onward);
+        target_stream.write_all(&greeting_bytes)?;
+        let (target_reader, caller_writer) = (target_stream.try_clone()?, caller.try_clone()?);
+        std::thread::spawn(move || forward(target_reader, caller_writer));
+        forward(caller, target_stream);
         Ok(())
     }
 }
 
-/// Carries bytes one way until either end is gone.
-fn carry(mut from: TcpStream, mut to: TcpStream) {
+/// Forwards bytes in one direction until either end closes.
+fn forward(mut from: TcpStream, mut to: TcpStream) {
     let _ = io::copy(&mut from, &mut to);
     let _ = (from.shutdown(Shutdown::Both), to.shutdown(Shutdown::Both));
 }
--- a/crates/testbed/src/links/tests.rs
+++ b/crates/testbed/src/links/tests.rs
@@ -2,15 +2,15 @@
 use crate::net::hello;
 use grebecleat_wire::frame;
 
-/// A host that answers every greeting and counts words.
-fn host(at: TcpListener, heard: Arc<Mutex<usize>>) {
+/// Accepts connections like a host, and counts the gossip messages that arrive.
+fn host(at: TcpListener, received: Arc<Mutex<usize>>) {
     for mut s in at.incoming().flatten() {
-        let heard = heard.clone();
+        let received = received.clone();
         std::thread::spawn(move || {
             let mut reader = Reader::new(1 << 16);
             while reader.fill(&mut s).is_ok_and(|n| n > 0) {
                 while let Ok(Some(f)) = reader.next::<pb::Frame>() {
-                    *heard.lock().unwrap() +=
+                    *received.lock().unwrap() +=
                         usize::from(matches!(f.body, Some(Body::GossipMessage(_))));
                 }
             }
@@ -18,15 +18,15 @@
     }
 }
 
-fn say(links: &Links, from: &str, to: usize) {
+fn send_gossip(links: &Links, from: &str, to: usize) {
     let Ok(mut s) = TcpStream::connect(links.addresses()[to]) else {
         return;
     };
     let mut bytes = Vec::new();
-    let word = Body::GossipMessage(pb::GossipMessage {
+    let message = Body::GossipMessage(pb::GossipMessage {
         text: b"news".to_vec().into(),
     });
-    for body in [Body::Hello(hello(pb::Role::Host, from, 1)), word] {
+    for body in [Body::Hello(hello(pb::Role::Host, from, 1)), message] {
         frame::write(
             &pb::Frame {
                 sent_us: 1,
@@ -42,15 +42,20 @@
 #[test]
 fn a_pair_is_cut_one_way_and_the_other_way_still_carries() {
     let links = Links::between(vec!["a".into(), "b".into()]).unwrap();
-    let heard: Vec<Arc<Mutex<usize>>> = (0..2).map(|_| Arc::default()).collect();
-    for (n, heard) in heard.iter().enumerate() {
+    let received: Vec<Arc<Mutex<usize>>> = (0..2).map(|_| Arc::default()).collect();
+    for (n, received) in received.iter().enumerate() {
         let at = TcpListener::bind("127.0.0.1:0").unwrap();
         links.set_target(n, at.local_addr().unwrap());
-        let heard = heard.clone();
-        std::thread::spawn(move || host(at, heard));
+        let received = received.clone();
+        std::thread::spawn(move || host(at, received));
     }
-    let counts = || heard.iter().map(|h| *h.lock().unwrap()).collect::<Vec<_>>();
-    let until = |expected: [usize; 2]| {
+    let counts = || {
+        received
+            .iter()
+            .map(|h| *h.lock().unwrap())
+            .collect::<Vec<_>>()
+    };
+    let wait_for = |expected: [usize; 2]| {
         let arrived = |_: &i32| {
             std::thread::sleep(Duration::from_millis(10));
             counts() == expected
@@ -61,15 +66,15 @@
             counts()
         );
     };
-    say(&links, "a", 1);
-    say(&links, "b", 0);
-    until([1, 1]);
+    send_gossip(&links, "a", 1);
+    send_gossip(&links, "b", 0);
+    wait_for([1, 1]);
     links.set_cut([(0, 1)].into());
     for (from, to) in [("a", 1), ("b", 0), ("nobody", 0)] {
-        say(&links, from, to);
+        send_gossip(&links, from, to);
     }
-    until([2, 1]);
+    wait_for([2, 1]);
     links.set_cut(BTreeSet::new());
-    say(&links, "a", 1);
-    until([2, 2]);
+    send_gossip(&links, "a", 1);
+    wait_for([2, 2]);
 }
--- a/crates/testbed/src/relay.rs
+++ b/crates/testbed/src/relay.rs
@@ -1,9 +1,7 @@
-//! A way between two sockets that can be cut and made late: what lies between a host and the state
-//! service.
+//! TCP relay between a host and the state service, with which a scenario cuts or delays connections.
 //!
-//! One listener; each connection is carried on to where the relay points, in both directions. While
-//! it is cut, what is open is hung up on and callers are refused; while it is late, bytes wait that
-//! long on their way.
+//! One listener forwards each connection to the target in both directions. While the relay is cut, open
+//! connections are closed and new ones are dropped. A delay applies to each direction.
 
 use std::collections::VecDeque;
 use std::io::{self, Read, Write};
@@ -11,14 +9,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const TICK: Duration = Duration::from_millis(5);
-/// Bytes that wait in one direction before the sender is left waiting.
-const MAX_WAITING: usize = 4 << 20;
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Limit on the delayed bytes in one direction; beyond it the relay stops reading from the sender.
+const MAX_DELAYED_BYTES: usize = 4 << 20;
 
 #[derive(Debug, Default)]
 struct State {
     cut: bool,
-    late: Duration,
+    delay: Duration,
     open: Vec<TcpStream>,
 }
 
@@ -29,7 +27,7 @@
 }
 
 impl Relay {
-    /// Begins to carry what comes to a new address on to that one.
+    /// Listens on a new address and forwards its connections to `target`.
     pub fn to(target: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         let relay = Relay {
@@ -42,23 +40,24 @@
                 if lock(&state).cut {
                     continue;
                 }
-                let Ok(onward) = TcpStream::connect_timeout(&target, Duration::from_secs(1)) else {
+                let Ok(target_stream) = TcpStream::connect_timeout(&target, Duration::from_secs(1))
+                else {
                     continue;
                 };
-                let _ = (stream.set_nodelay(true), onward.set_nodelay(true));
+                let _ = (stream.set_nodelay(true), target_stream.set_nodelay(true));
                 let clones = (
                     stream.try_clone(),
-                    onward.try_clone(),
+                    target_stream.try_clone(),
                     stream.try_clone(),
-                    onward.try_clone(),
+                    target_stream.try_clone(),
                 );
                 let (Ok(a), Ok(b), Ok(c), Ok(d)) = clones else {
                     continue;
                 };
                 lock(&state).open.extend([c, d]);
-                for (from, to) in [(stream, b), (onward, a)] {
+                for (from, to) in [(stream, b), (target_stream, a)] {
                     let state = state.clone();
-                    std::thread::spawn(move || carry(from, to, &state));
+                    std::thread::spawn(move || forward(from, to, &state));
                 }
             }
         });
@@ -82,7 +81,7 @@
     }
 
     pub fn set_delay(&self, by: Duration) {
-        lock(&self.state).late = by;
+        lock(&self.state).delay = by;
     }
 }
 
@@ -90,19 +89,19 @@
     state.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// Carries bytes one way until either end is gone.
-fn carry(mut from: TcpStream, mut to: TcpStream, state: &Arc<Mutex<State>>) {
-    let mut waiting: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
+/// Forwards bytes in one direction, with the delay, until either end closes.
+fn forward(mut from: TcpStream, mut to: TcpStream, state: &Arc<Mutex<State>>) {
+    let mut delayed: VecDeque<(Instant, Vec<u8>)> = VecDeque::new();
     let mut bytes = [0; 64 << 10];
-    let _ = from.set_read_timeout(Some(TICK));
+    let _ = from.set_read_timeout(Some(POLL_INTERVAL));
     let mut open = true;
-    while open || !waiting.is_empty() {
-        let held: usize = waiting.iter().map(|w| w.1.len()).sum();
-        if open && held < MAX_WAITING {
+    while open || !delayed.is_empty() {
+        let delayed_bytes: usize = delayed.iter().map(|w| w.1.len()).sum();
+        if open && delayed_bytes < MAX_DELAYED_BYTES {
             match from.read(&mut bytes) {
                 Ok(0) => open = false,
                 Ok(n) => {
-                    waiting.push_back((Instant::now() + lock(state).late, bytes[..n].to_vec()))
+                    delayed.push_back((Instant::now() + lock(state).delay, bytes[..n].to_vec()))
                 }
                 Err(e)
                     if matches!(
@@ -112,10 +111,10 @@
                 Err(_) => open = false,
             }
         } else {
-            std::thread::sleep(TICK);
+            std::thread::sleep(POLL_INTERVAL);
         }
-        while waiting.front().is_some_and(|w| w.0 <= Instant::now()) {
-            let (_, part) = waiting.pop_front().expect("looked at above");
+        while delayed.front().is_some_and(|w| w.0 <= Instant::now()) {
+            let (_, part) = delayed.pop_front().expect("the front was checked above");
             if to.write_all(&part).is_err() {
                 let _ = from.shutdown(Shutdown::Both);
                 return;
--- a/crates/testbed/src/relay/tests.rs
+++ b/crates/testbed/src/relay/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn it_carries_is_late_and_is_cut() {
+fn bytes_are_forwarded_delayed_and_cut() {
     let echo = TcpListener::bind("127.0.0.1:0").unwrap();
     let relay = Relay::to(echo.local_addr().unwrap()).unwrap();
     std::thread::spawn(move || {
@@ -27,7 +27,7 @@
     c.read_exact(&mut b).unwrap();
     assert!(
         begun.elapsed() >= Duration::from_millis(200),
-        "late both ways"
+        "expected the delay in both directions"
     );
     relay.set_cut(true);
     assert!(matches!(c.read(&mut b), Ok(0) | Err(_)));
--- a/crates/testbed/src/scenario/error.rs
+++ b/crates/testbed/src/scenario/error.rs
@@ -54,7 +54,7 @@
         String,
     ),
     /// A thread that injects faults panicked.
-    #[error("a player panicked")]
+    #[error("a thread that injects faults panicked")]
     InjectorPanicked,
     /// An input or output operation failed.
     #[error(transparent)]
--- a/crates/testbed/src/versions.rs
+++ b/crates/testbed/src/versions.rs
@@ -1,16 +1,16 @@
-//! Versions of an extent's bytes at a node: the last writer by version stays, whatever order writes
-//! come in (Thomas's write rule, by byte). A write that is late by any time changes only what
-//! nothing newer wrote.
+//! Versions of an extent's bytes at a node: for each byte the write with the highest version wins, in
+//! whatever order the writes arrive (the Thomas write rule). However late a write arrives, it changes
+//! only the bytes that no newer version wrote.
 
-/// Which version wrote which bytes: spans in order, without overlap. Its memory is a span for each
-/// part that was last written by another version, at most one for each block of the extent.
+/// The version of each byte, as sorted spans (start, end, version) that do not overlap. It holds one
+/// span for each run of bytes with the same version, at most one for each block of the extent.
 #[derive(Debug, Clone, Default)]
 pub struct Versions(Vec<(u32, u32, u64)>);
 
 impl Versions {
-    /// The parts of `from..end` that a write of that version may change, which it now holds; and
-    /// the newest version that kept it from the rest. Its own version is no hindrance: a repeat
-    /// writes the same.
+    /// Records a write of `from..end`. Returns the parts that it may change, which have its version from
+    /// now on, and the newest version that excludes it from the rest. An equal version does not exclude
+    /// it, as a repeated write has the same content.
     ///
     /// ```
     /// use grebecleat_testbed::versions::Versions;
@@ -22,36 +22,36 @@
     /// ```
     pub fn write(&mut self, from: u32, end: u32, version: u64) -> (Vec<(u32, u32)>, Option<u64>) {
         let (mut parts, mut newer, mut at) = (Vec::new(), None, from);
-        let mut kept = Vec::with_capacity(self.0.len() + 2);
+        let mut spans = Vec::with_capacity(self.0.len() + 2);
         for &(a, b, v) in &self.0 {
             if b <= from || a >= end {
-                kept.push((a, b, v));
+                spans.push((a, b, v));
             } else if v > version {
-                kept.push((a, b, v));
+                spans.push((a, b, v));
                 newer = newer.max(Some(v));
                 if at < a {
                     parts.push((at, a));
                 }
                 at = at.max(b);
             } else {
-                // What sticks out on either side stays its own.
-                kept.extend((a < from).then_some((a, from, v)));
-                kept.extend((b > end).then_some((end, b, v)));
+                // The parts of the old span outside the write keep their version.
+                spans.extend((a < from).then_some((a, from, v)));
+                spans.extend((b > end).then_some((end, b, v)));
             }
         }
         if at < end {
             parts.push((at, end));
         }
-        kept.extend(parts.iter().map(|(a, b)| (*a, *b, version)));
-        kept.sort_unstable();
-        kept.dedup_by(|next, last| {
+        spans.extend(parts.iter().map(|(a, b)| (*a, *b, version)));
+        spans.sort_unstable();
+        spans.dedup_by(|next, last| {
             let joins = last.1 == next.0 && last.2 == next.2;
             if joins {
                 last.1 = next.1;
             }
             joins
         });
-        self.0 = kept;
+        self.0 = spans;
         (parts, newer)
     }
 }
--- a/crates/testbed/src/versions/tests.rs
+++ b/crates/testbed/src/versions/tests.rs
@@ -15,13 +15,13 @@
                 .copied()
                 .filter(|p| *p > version)
                 .max();
-            let (parts, said) = v.write(from, end, version);
-            assert_eq!(said, newer, "seed {seed}");
+            let (parts, reported) = v.write(from, end, version);
+            assert_eq!(reported, newer, "seed {seed}");
             for b in from..end {
-                let may = plain[b as usize] <= version;
+                let expected = plain[b as usize] <= version;
                 assert_eq!(
                     parts.iter().any(|p| (p.0..p.1).contains(&b)),
-                    may,
+                    expected,
                     "seed {seed} byte {b}"
                 );
                 plain[b as usize] = plain[b as usize].max(version);
