--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients of a scenario: they generate random requests, give up on an attempt at its deadline, retry,
 //! and verify what they read. One event loop serves all volumes; each host has one connection.
 
-use crate::draw::{injected_faults, source, InjectedFault};
+use crate::draw::{injected_faults, random_generator, InjectedFault};
 use crate::net::{self, hello, PeerConnection, PeerEvent};
 use bytes::Bytes;
 use grebecleat_settings::{Kind, Rehearsal, Settings};
@@ -17,11 +17,17 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+/// Number of existing extents of a volume that requests access.
 const EXTENTS_PER_VOLUME: u64 = 48;
+/// Fraction of the writes that create an extent, whose shard the host chooses.
 const NEW_EXTENT_FRACTION: f64 = 0.3;
+/// Fraction of a volume's requests that go to its preferred host; the others go to a random one of its
+/// hosts.
 const PREFERRED_HOST_FRACTION: f64 = 0.7;
+/// Time in seconds after which another host becomes a volume's preferred one.
 const PREFERRED_HOST_SECONDS: f64 = 9.0;
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
+/// Limit on the created extents of a volume that are retained for later reads.
 const MAX_KNOWN_EXTENTS: usize = 64;
 
 /// The results of the attempts and of the requests that they belong to.
@@ -143,7 +149,7 @@
     ) -> Option<Self> {
         let script = settings.rehearsal.as_ref()?;
         let generators =
-            (0..settings.volumes.len()).map(|v| source(script.seed, 100_000 + v as u64));
+            (0..settings.volumes.len()).map(|v| random_generator(script.seed, 100_000 + v as u64));
         Some(Clients {
             settings,
             script,
@@ -194,7 +200,7 @@
     }
 
     pub fn run(mut self) -> ClientCounts {
-        let (to, peer_events) = mpsc::channel();
+        let (peer_event_sender, peer_events) = mpsc::channel();
         (0..self.connections.len())
             .for_each(|host| self.schedule(Duration::ZERO, Event::Reconnect { host }));
         for volume in
@@ -248,7 +254,7 @@
                 self.events.peek().copied().filter(|h| h.0 .0 <= now)
             {
                 self.events.pop();
-                self.handle_event(at, event, &to);
+                self.handle_event(at, event, &peer_event_sender);
             }
             let wait = self.events.peek().map_or(RECONNECT_INTERVAL, |h| {
                 h.0 .0.saturating_sub(now).min(RECONNECT_INTERVAL)
@@ -270,7 +276,12 @@
         matches!(h.0 .2, Event::Retry { .. })
     }
 
-    fn handle_event(&mut self, at: Duration, event: Event, to: &mpsc::Sender<PeerEvent>) {
+    fn handle_event(
+        &mut self,
+        at: Duration,
+        event: Event,
+        peer_event_sender: &mpsc::Sender<PeerEvent>,
+    ) {
         match event {
             Event::Arrival { volume, surge } => self.handle_arrival(at, volume, surge),
             Event::Retry { request } => self.attempt(request),
@@ -287,7 +298,13 @@
                 let address = self.hosts.lock().unwrap_or_else(|e| e.into_inner())[host];
                 let me = hello(pb::Role::Client, "clients", 1);
                 if let Some(address) = address {
-                    let _ = net::dial(address, host as u32, me, self.tracer.clone(), to.clone());
+                    let _ = net::dial(
+                        address,
+                        host as u32,
+                        me,
+                        self.tracer.clone(),
+                        peer_event_sender.clone(),
+                    );
                 }
                 self.schedule(self.now() + RECONNECT_INTERVAL, Event::Reconnect { host });
             }
@@ -468,29 +485,29 @@
                 }
             }
             PeerEvent::Frame {
-                body: Body::Response(f),
+                body: Body::Response(response),
                 ..
-            } => self.answered(f),
+            } => self.handle_response(response),
             PeerEvent::Frame { .. } => {}
         }
     }
 
-    fn answered(&mut self, f: Response) {
-        if !self.answered.insert(f.id.clone()) {
+    fn handle_response(&mut self, response: Response) {
+        if !self.answered.insert(response.id.clone()) {
             self.counts.doubled += 1;
             return;
         }
-        let Some(t) = self.attempts.remove(&f.id) else {
+        let Some(attempt) = self.attempts.remove(&response.id) else {
             return;
         };
         let now = self.now();
-        let outcome = f.outcome();
+        let outcome = response.outcome();
         match outcome {
             Outcome::Completed => self.counts.done += 1,
             Outcome::Rejected => self.counts.deferred += 1,
             _ => self.counts.abandoned += 1,
         }
-        let p = &self.requests[t.request];
+        let p = &self.requests[attempt.request];
         if outcome == Outcome::Completed {
             let stream = &self.settings.traffic_classes[p.stream];
             let plan = self.settings.volumes[p.volume].plan;
@@ -507,24 +524,25 @@
             }
             if stream.write && p.shard.is_none() {
                 let known = self.known.entry(p.volume).or_default();
-                known.push((p.extent, f.shard.unwrap_or_default()));
+                known.push((p.extent, response.shard.unwrap_or_default()));
                 if known.len() > MAX_KNOWN_EXTENTS {
                     known.remove(0);
                 }
             }
-            if !stream.write && !f.data.is_empty() {
-                let by = f.data.slice(..f.data.len().min(36));
+            if !stream.write && !response.data.is_empty() {
+                let by = response.data.slice(..response.data.len().min(36));
                 let known = self
                     .written
                     .get(&(p.volume, p.extent))
                     .is_some_and(|w| w.contains(&by));
                 self.counts.wrong_content +=
-                    u64::from(!known || f.data != content(&by, f.data.len()));
+                    u64::from(!known || response.data != content(&by, response.data.len()));
             }
             return;
         }
-        let wait = Duration::from_micros(f.retry_after_us.unwrap_or(0)).max(self.script.retry_wait);
-        self.schedule_retry(t.request, outcome, wait, t.deadline);
+        let wait =
+            Duration::from_micros(response.retry_after_us.unwrap_or(0)).max(self.script.retry_wait);
+        self.schedule_retry(attempt.request, outcome, wait, attempt.deadline);
     }
 
     fn end_attempt(&mut self, request: usize, outcome: Option<Outcome>) {
--- a/crates/testbed/src/discovery_service.rs
+++ b/crates/testbed/src/discovery_service.rs
@@ -1,6 +1,6 @@
 //! Model of the discovery service: it publishes the announced endpoints after a lag.
 //!
-//! State machine: [`DiscoveryService::announce`] takes an announcement, and
+//! State machine: [`DiscoveryService::announce`] queues an announcement, and
 //! [`DiscoveryService::advance`] returns the changes that are published. No I/O and no clock; times
 //! are since the start of the scenario. [`crate::serve`] calls it.
 //!
@@ -29,7 +29,7 @@
     }
 }
 
-/// The endpoint list, as it is published, and the announcements that are not published yet.
+/// The published endpoint list, and the announcements that are not published yet.
 #[derive(Debug, Default)]
 pub struct DiscoveryService {
     published: BTreeMap<u32, PublishedEndpoint>,
@@ -39,7 +39,7 @@
 }
 
 impl DiscoveryService {
-    /// Takes a node's announcement; it is published after `lag`.
+    /// Queues a node's announcement, which is published after `lag`.
     pub fn announce(&mut self, now: Duration, endpoint: pb::Endpoint, lag: Duration) {
         let uptime = endpoint.up_us.map(Duration::from_micros);
         let started = uptime.map(|uptime| now.saturating_sub(uptime));
@@ -68,9 +68,9 @@
     /// Returns the complete list, without the endpoints whose process is gone.
     pub fn snapshot(&self, now: Duration) -> pb::EndpointUpdate {
         let published = self.published.values();
-        let present =
+        let running =
             published.filter(|published| published.endpoint.state() != pb::NodeState::Gone);
-        let endpoints = present.map(|published| published.at(now)).collect();
+        let endpoints = running.map(|published| published.at(now)).collect();
         self.update(pb::EndpointUpdateKind::Snapshot, endpoints)
     }
 
--- a/crates/testbed/src/disks.rs
+++ b/crates/testbed/src/disks.rs
@@ -4,7 +4,7 @@
 //! A command whose connection closes, or that is aborted after a timeout, is sent again and counts as
 //! the same command: it counts as answered once one of its transmissions is answered.
 
-use crate::draw::source;
+use crate::draw::random_generator;
 use crate::initiator::{cdb16, Answer, Initiator, LoginParameters};
 use grebecleat_settings::{Settings, TargetSpec};
 use grebecleat_wire::clock;
@@ -100,7 +100,7 @@
     }
 
     pub fn run(&self, seed: u64) -> Disks {
-        let mut rng = source(seed, 500_000 + u64::from(self.number));
+        let mut rng = random_generator(seed, 500_000 + u64::from(self.number));
         let mut counts = Disks::default();
         let mut possible: BTreeMap<(u64, u64), PossibleValues> = BTreeMap::new();
         let (mut resend, mut value, mut step): (VecDeque<Command>, u64, u64) =
--- a/crates/testbed/src/draw.rs
+++ b/crates/testbed/src/draw.rs
@@ -1,5 +1,5 @@
 //! Random draws from a scenario's seed: the targets of each injected fault, and the faults of a
-//! scenario of which only the kinds are known.
+//! scenario that gives only their kinds.
 //!
 //! The same script gives the same draws in every process, so that the processes agree without
 //! communication. [`crate::node`], [`crate::serve`], [`crate::clients`] and [`crate::scenario`]
@@ -13,11 +13,11 @@
 
 /// The random generator's purpose for the first fault; each further fault adds 1.
 const FIRST_FAULT_PURPOSE: u64 = 1000;
-/// The random generator's purpose for the faults that are known by kind alone.
+/// The random generator's purpose for faults of which only the kind is given.
 const FAULT_KINDS_PURPOSE: u64 = 77;
 /// A multiplier with well mixed bits (2^64 divided by the golden ratio), which separates purposes.
 const MIXER: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The fraction of the fault's nodes and hosts that is taken of the volumes.
+/// The fraction of affected volumes, relative to the fault's fraction of nodes and hosts.
 const VOLUME_FRACTION: f64 = 0.3;
 
 /// One fault with all its targets. Times are since the start of the scenario.
@@ -53,11 +53,11 @@
 
 /// Returns a random generator for one purpose. Each purpose has its own generator, so that an
 /// additional draw for one purpose changes no draw for another.
-pub fn source(seed: u64, purpose: u64) -> Pcg64Mcg {
+pub fn random_generator(seed: u64, purpose: u64) -> Pcg64Mcg {
     Pcg64Mcg::seed_from_u64(seed ^ purpose.wrapping_mul(MIXER))
 }
 
-/// Draws a fraction of the items, at least `least` of them where there are so many.
+/// Draws a fraction of the items, at least `least` of them, or all if there are fewer.
 fn sample<T: Clone>(items: &[T], fraction: f64, least: usize, rng: &mut Pcg64Mcg) -> Vec<T> {
     let mut items = items.to_vec();
     items.shuffle(rng);
@@ -69,8 +69,9 @@
 /// Returns the faults of a script, each with its targets.
 pub fn injected_faults(settings: &Settings, script: &Rehearsal) -> Vec<InjectedFault> {
     let faults = script.troubles.iter().zip(FIRST_FAULT_PURPOSE..);
-    let faults =
-        faults.map(|(fault, purpose)| inject(settings, fault, &mut source(script.seed, purpose)));
+    let faults = faults.map(|(fault, purpose)| {
+        inject(settings, fault, &mut random_generator(script.seed, purpose))
+    });
     faults.collect()
 }
 
@@ -105,7 +106,7 @@
 
 /// Returns faults of the given kinds. All of them begin in the middle third of the scenario.
 pub fn faults_of_kinds(kinds: &[Kind], length: Duration, seed: u64) -> Vec<Trouble> {
-    let mut rng = source(seed, FAULT_KINDS_PURPOSE);
+    let mut rng = random_generator(seed, FAULT_KINDS_PURPOSE);
     let faults = kinds
         .iter()
         .map(|kind| fault_of_kind(*kind, length, &mut rng));
@@ -146,7 +147,7 @@
     }
 }
 
-/// Returns a number in `0.0..1.0` that depends on the seed and the words alone.
+/// Returns a number in `0.0..1.0` that depends only on the seed and the words.
 pub fn hash_to_unit(seed: u64, words: &[u64]) -> f64 {
     let hash = words.iter().fold(seed, |hash, word| {
         (hash ^ word).wrapping_mul(MIXER).rotate_left(29)
--- a/crates/testbed/src/net.rs
+++ b/crates/testbed/src/net.rs
@@ -1,10 +1,10 @@
-//! Connections of the testbed: one thread that reads and one that writes for each.
+//! Connections of the testbed, each with a reader thread and a writer thread.
 //!
-//! [`crate::serve`] and [`crate::clients`] call it. The threads send a [`PeerEvent`] for all that
-//! happens to a connection, and the caller's loop answers through a [`PeerConnection`]. A
-//! connection owns its socket; nothing else is shared but the counter of connections.
+//! [`crate::serve`] and [`crate::clients`] call it. The threads send a [`PeerEvent`] for each event
+//! of a connection, and the caller's loop responds through a [`PeerConnection`]. A connection owns its
+//! socket; the only state that connections share is the counter of connections.
 //!
-//! Bounds: `MAX_FRAME` bytes a frame; no bound on the frames that wait for the writer.
+//! Bounds: `MAX_FRAME` bytes for each frame; the frames that are queued for the writer are not bounded.
 
 use grebecleat_wire::delay::Delay;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -40,7 +40,7 @@
         conn: u64,
         /// The peer's greeting.
         peer: pb::Hello,
-        /// The way to send to the peer.
+        /// The sending side of the connection.
         connection: PeerConnection,
     },
     /// A frame was received.
@@ -49,7 +49,7 @@
         source: u32,
         /// The connection's number.
         conn: u64,
-        /// The time for which the frame waited on its way.
+        /// The time that the frame spent in transit and in queues.
         waited: Duration,
         /// The frame's content.
         body: Body,
@@ -93,7 +93,7 @@
     }
 }
 
-/// Accepts connections in a thread of its own. While `closed` is set, connections are dropped.
+/// Accepts connections in a separate thread. While `closed` is set, connections are dropped.
 pub fn listen(
     listener: TcpListener,
     source: u32,
@@ -112,7 +112,7 @@
     });
 }
 
-/// Opens a connection; its events are those of an accepted one.
+/// Opens a connection; it has the same events as an accepted one.
 ///
 /// # Errors
 ///
@@ -137,13 +137,13 @@
     events: Sender<PeerEvent>,
 ) {
     std::thread::spawn(move || {
-        // An error ends this connection alone; its peer sees that it closed.
+        // An error closes only this connection, which its peer observes.
         let _ = greet(stream, me)
             .and_then(|stream| ConnectionReader::new(stream, source, tracer, events)?.run());
     });
 }
 
-/// Sends the greeting, and bounds the wait for the peer's.
+/// Sends the greeting, and sets the timeout for the peer's greeting.
 fn greet(mut stream: TcpStream, me: pb::Hello) -> io::Result<TcpStream> {
     stream.set_nodelay(true)?;
     let mut bytes = Vec::new();
--- a/crates/testbed/src/node.rs
+++ b/crates/testbed/src/node.rs
@@ -1,13 +1,13 @@
-//! Model of a node: it stores bytes, and takes time for its work.
+//! Model of a node: it stores bytes, and simulates the time that its work takes.
 //!
-//! State machine: [`Node::take`], [`Node::cancel`] and [`Node::advance`] return the actions to
-//! perform; [`Node::due`] returns the time of the next call. No I/O and no clock; times are since
+//! State machine: [`Node::receive_attempt`], [`Node::cancel`] and [`Node::advance`] return the actions to
+//! perform; [`Node::next_event_time`] returns the time of the next call. No I/O and no clock; times are since
 //! the start of the scenario. [`crate::serve`] calls it.
 //!
 //! The node has cores, and a queue that rejects attempts when it is full. It pauses at intervals,
-//! defers a part of the work of writes and performs it at once, and has less work on extents that
-//! it accessed recently. While it warms up after a start, load can end its process. Faults slow it,
-//! stop it or change its responses.
+//! defers a part of the work of writes and performs that part in periodic flushes, and has less work
+//! on extents that it accessed recently. While it warms up after a start, overload can end its process.
+//! Faults slow it, stop it or change its responses.
 //!
 //! Bounds: `MAX_BYTES` and `MAX_KEYS` of `node/store.rs`, and the queue length of the script.
 
@@ -37,10 +37,10 @@
 const NOISE_WORD: u64 = 1;
 const HEAVY_TAIL_WORD: u64 = 2;
 const FAST_ERROR_WORD: u64 = 3;
-const LOST_ANSWER_WORD: u64 = 4;
+const LOST_RESPONSE_WORD: u64 = 4;
 const FIRST_PAUSE_WORD: u64 = 6;
-/// The bits by which the hash for lost answers differs from other hashes of the attempt.
-const LOST_ANSWER_BITS: u64 = 0x10_0000;
+/// The bits by which the hash for lost responses differs from other hashes of the attempt.
+const LOST_RESPONSE_BITS: u64 = 0x10_0000;
 /// The fraction of attempts that a heavy tail slows.
 const HEAVY_TAIL_FRACTION: f64 = 0.02;
 /// Lowest speed of a node; it bounds a division.
@@ -61,7 +61,7 @@
     Up,
     /// The process rejects attempts, and finishes the accepted ones.
     Draining,
-    /// There is no process.
+    /// The process does not run.
     Down,
 }
 
@@ -69,11 +69,11 @@
 #[derive(Debug, PartialEq)]
 pub enum NodeAction {
     /// Sends a response to an attempt.
-    Answer {
+    Response {
         /// The connection on which the attempt arrived.
         conn: u64,
         /// The response.
-        answer: pb::AttemptResponse,
+        response: pb::AttemptResponse,
     },
     /// Records that a write took effect.
     Effect {
@@ -87,12 +87,12 @@
         /// The number of starts of the process.
         started: u64,
     },
-    /// Announces that the process drains.
-    Drains,
-    /// Closes the connections, as there is no process now.
+    /// Announces that the process is draining.
+    Draining,
+    /// Closes the connections, as the process is down.
     Down {
-        /// Whether load ended the process.
-        fell: bool,
+        /// Whether overload ended the process.
+        overloaded: bool,
     },
 }
 
@@ -109,21 +109,21 @@
     slow_start: SlowStart,
     jobs: Jobs,
     pauses: Pauses,
-    /// The extents that were accessed last, which take less work.
+    /// The most recently accessed extents, which take less work.
     recent_extents: VecDeque<u64>,
     store: ExtentStore,
 }
 
 impl Node {
-    /// Returns a warm node without data, with those of the faults that affect it.
+    /// Returns a warm node without data, with the faults that affect it.
     pub fn new(
         spec: NodeSpec,
         settings: Arc<Settings>,
         seed: u64,
         faults: &[InjectedFault],
     ) -> Self {
-        let own = faults.iter().filter(|fault| fault.nodes.contains(&spec.id));
-        let faults: Vec<InjectedFault> = own.cloned().collect();
+        let node_faults = faults.iter().filter(|fault| fault.nodes.contains(&spec.id));
+        let faults: Vec<InjectedFault> = node_faults.cloned().collect();
         let script = ProcessScript::new(spec.id, seed, &faults);
         let random = hash_to_unit(seed, &[u64::from(spec.id), FIRST_PAUSE_WORD]);
         let pauses = Pauses::new(spec.pause_every.mul_f64(random));
@@ -182,8 +182,10 @@
 
     /// Returns the speed of the node now, with its warm-up and its faults.
     fn speed(&self, now: Duration) -> f64 {
-        let warmth = self.slow_start.warmth(now, &self.settings.rules.cold);
-        let mut speed = self.spec.speed * warmth;
+        let speed_fraction = self
+            .slow_start
+            .speed_fraction(now, &self.settings.rules.cold);
+        let mut speed = self.spec.speed * speed_fraction;
         if let Some(fault) = self.active_fault(Kind::Slow, now) {
             speed /= fault.magnitude.max(1.0);
         }
@@ -229,7 +231,7 @@
     }
 
     /// Handles an attempt that arrives; its host still waits for `left`.
-    pub fn take(
+    pub fn receive_attempt(
         &mut self,
         now: Duration,
         conn: u64,
@@ -247,13 +249,13 @@
             }
             ProcessState::Up => {}
         }
-        // Each attempt that arrives loads a cold node, also one that the node rejects.
+        // Each attempt that arrives loads a cold node, even one that the node rejects.
         let capacity = self.capacity();
         let rule = &self.settings.rules.cold;
         let slow_start = &mut self.slow_start;
         if slow_start.is_overloaded(now, attempt.units, rule, capacity) {
             self.stop();
-            return actions.push(NodeAction::Down { fell: true });
+            return actions.push(NodeAction::Down { overloaded: true });
         }
         if self.active_fault(Kind::Hang, now).is_some() {
             return;
@@ -306,8 +308,8 @@
         self.jobs.running() < self.spec.cores as usize
     }
 
-    /// Returns the time at which the node next acts by itself.
-    pub fn due(&self) -> Option<Duration> {
+    /// Returns the time of the node's next timed action.
+    pub fn next_event_time(&self) -> Option<Duration> {
         let change = self.script.next_time();
         if self.process_state == ProcessState::Down {
             return change;
@@ -318,7 +320,7 @@
         times.into_iter().flatten().min()
     }
 
-    /// Performs all that is due by `now`: changes of the process, ends of attempts, pauses, and
+    /// Performs all timed actions that are due by `now`: changes of the process, ends of attempts, pauses, and
     /// starts of attempts.
     pub fn advance(&mut self, now: Duration, meter: &mut Meter, actions: &mut Vec<NodeAction>) {
         while let Some(change) = self.script.pop_due(now) {
@@ -336,7 +338,7 @@
         match change {
             ProcessChange::Drain if self.process_state == ProcessState::Up => {
                 self.process_state = ProcessState::Draining;
-                Some(NodeAction::Drains)
+                Some(NodeAction::Draining)
             }
             ProcessChange::Undrain if self.process_state == ProcessState::Draining => {
                 self.process_state = ProcessState::Up;
@@ -345,7 +347,7 @@
             }
             ProcessChange::Stop if self.process_state != ProcessState::Down => {
                 self.stop();
-                Some(NodeAction::Down { fell: false })
+                Some(NodeAction::Down { overloaded: false })
             }
             ProcessChange::Start => {
                 self.starts += 1;
@@ -386,11 +388,11 @@
         } else {
             data = self.store.read(attempt);
         }
-        if self.loses_answer(attempt, now) {
+        if self.loses_response(attempt, now) {
             return;
         }
         let busy = self.jobs.running() as f64 / f64::from(self.spec.cores);
-        let answer = pb::AttemptResponse {
+        let response = pb::AttemptResponse {
             attempt: attempt.attempt,
             result: pb::Result::Ok.into(),
             reported: self.reported_usage(attempt, now, meter),
@@ -399,18 +401,19 @@
             data,
             superseded,
         };
-        actions.push(NodeAction::Answer {
+        actions.push(NodeAction::Response {
             conn: job.conn,
-            answer,
+            response,
         });
     }
 
     /// Returns whether a fault loses the response to an attempt.
-    fn loses_answer(&self, attempt: &pb::Attempt, now: Duration) -> bool {
-        let id = attempt.attempt ^ LOST_ANSWER_BITS;
+    fn loses_response(&self, attempt: &pb::Attempt, now: Duration) -> bool {
+        let id = attempt.attempt ^ LOST_RESPONSE_BITS;
         let fault = self.active_fault(Kind::AnswerLost, now);
-        fault
-            .is_some_and(|fault| hash_to_unit(self.seed, &[id, LOST_ANSWER_WORD]) < fault.magnitude)
+        fault.is_some_and(|fault| {
+            hash_to_unit(self.seed, &[id, LOST_RESPONSE_WORD]) < fault.magnitude
+        })
     }
 
     fn period_seconds(&self) -> f64 {
@@ -431,7 +434,7 @@
         is_metered.then(|| units / self.period_seconds() / attempt.plan_rate * 100.0)
     }
 
-    /// Ends the process. Its data stays.
+    /// Ends the process. Its data is retained.
     fn stop(&mut self) {
         self.process_state = ProcessState::Down;
         self.jobs.clear();
@@ -441,10 +444,10 @@
 
 /// Returns the response to an attempt that the node did not perform.
 fn rejection(conn: u64, attempt: &pb::Attempt, result: pb::Result) -> NodeAction {
-    let answer = pb::AttemptResponse {
+    let response = pb::AttemptResponse {
         attempt: attempt.attempt,
         result: result.into(),
         ..Default::default()
     };
-    NodeAction::Answer { conn, answer }
+    NodeAction::Response { conn, response }
 }
--- a/crates/testbed/src/node/pauses.rs
+++ b/crates/testbed/src/node/pauses.rs
@@ -31,7 +31,7 @@
         self.deferred += work;
     }
 
-    /// Begins a pause or a flush whose time has come, at the node's speed.
+    /// Begins a pause or a flush that is due. A flush performs the deferred work at the node's speed.
     pub(super) fn advance(&mut self, now: Duration, spec: &NodeSpec, speed: f64) {
         if !spec.pause.is_zero() && now >= self.next_pause {
             self.paused_until = self.paused_until.max(now + spec.pause);
--- a/crates/testbed/src/node/script.rs
+++ b/crates/testbed/src/node/script.rs
@@ -21,7 +21,7 @@
     Start,
 }
 
-/// The changes that are still to come, by time.
+/// The pending changes, sorted by time.
 #[derive(Debug)]
 pub(super) struct ProcessScript(VecDeque<(Duration, ProcessChange)>);
 
@@ -57,7 +57,7 @@
         self.0.front().map(|change| change.0)
     }
 
-    /// Removes and returns the next change, if its time has come.
+    /// Removes and returns the next change if it is due.
     pub(super) fn pop_due(&mut self, now: Duration) -> Option<ProcessChange> {
         let (_, change) = self.0.pop_front_if(|change| change.0 <= now)?;
         Some(change)
--- a/crates/testbed/src/node/slow_start.rs
+++ b/crates/testbed/src/node/slow_start.rs
@@ -32,7 +32,7 @@
     }
 
     /// Returns the fraction of its full speed that the node has now.
-    pub(super) fn warmth(&self, now: Duration, rule: &SlowStartPolicy) -> f64 {
+    pub(super) fn speed_fraction(&self, now: Duration, rule: &SlowStartPolicy) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
         };
@@ -65,8 +65,10 @@
         }
         let seconds = window.min(now - since).as_secs_f64();
         let arrived: f64 = self.arrived.iter().map(|(_, units)| units).sum();
-        let tolerated =
-            rule.multiple * self.warmth(now, rule) * capacity * seconds.max(MIN_WINDOW_SECONDS);
+        let tolerated = rule.multiple
+            * self.speed_fraction(now, rule)
+            * capacity
+            * seconds.max(MIN_WINDOW_SECONDS);
         arrived > tolerated.max(rule.units)
     }
 }
--- a/crates/testbed/src/scenario.rs
+++ b/crates/testbed/src/scenario.rs
@@ -2,15 +2,15 @@
 //!
 //! The discovery service, the nodes, the hosts and the state service are processes of this program;
 //! the clients and the iSCSI initiators run in the calling process. All of them end with the
-//! scenario. `grebecleat scenario` calls it. Each process records what crosses its sockets into the
-//! scenario's folder; the trace checker judges the traces.
+//! scenario. `grebecleat scenario` calls it. Each process records the frames of its sockets in a
+//! trace in the scenario's folder; the trace checker judges the traces.
 //!
 //! - `process` owns one child process, `launcher` builds the command lines;
 //! - `host_processes` owns the hosts' addresses and the faults between hosts and the rest;
 //! - `state_service` owns the state service's process and the changes of the catalog;
-//! - `runner` puts them in order.
+//! - `runner` starts them, runs the load and shuts them down.
 //!
-//! Bounds: one thread for each host, each session and each kind of injection; [`MAX_TRACE`] bytes
+//! Bounds: one thread for each host, each session and each group of injected faults; [`MAX_TRACE`] bytes
 //! for each trace.
 
 mod error;
@@ -40,7 +40,7 @@
     pub settings: &'a Settings,
     /// The path of the script, which each process reads by itself.
     pub script: &'a Path,
-    /// The kinds of faults that replace the script's own; empty: the script's.
+    /// The kinds of faults that replace the script's faults; if empty, the script's faults apply.
     pub kinds: &'a [Kind],
     /// The seed that replaces the script's own.
     pub seed: Option<u64>,
@@ -52,7 +52,7 @@
     pub progress: Progress<'a>,
 }
 
-/// Replaces the script's seed and its faults where a seed and kinds of faults are given.
+/// Replaces the script's seed if a seed is given, and its faults if kinds of faults are given.
 pub fn override_faults(settings: &mut Settings, kinds: &[Kind], seed: Option<u64>) {
     let Some(script) = settings.rehearsal.as_mut() else {
         return;
--- a/crates/testbed/src/scenario/error.rs
+++ b/crates/testbed/src/scenario/error.rs
@@ -45,7 +45,7 @@
         name: String,
     },
     /// The state service ended with an error, or not in time.
-    #[error("the state service did not end well")]
+    #[error("the state service did not exit with code 0 in time after the signal TERM")]
     StateServiceExit,
     /// The restore of a snapshot failed.
     #[error("{0}")]
--- a/crates/testbed/src/scenario/host_processes.rs
+++ b/crates/testbed/src/scenario/host_processes.rs
@@ -23,7 +23,7 @@
     launcher: &'a Launcher<'a>,
     discovery: SocketAddr,
     addresses: HostAddresses,
-    /// The address of each host's iSCSI portal, which stays over restarts.
+    /// The address of each host's iSCSI portal, which is the same after a restart.
     portals: Vec<Option<SocketAddr>>,
     /// The relay between each host and the state service; empty without a state service.
     relays: Vec<Relay>,
@@ -222,7 +222,7 @@
         }
     }
 
-    /// Returns the ordered pairs of hosts between which a fault lets nothing pass.
+    /// Returns the ordered pairs of hosts whose connections a fault cuts.
     fn cut_pairs(&self, fault: &InjectedFault) -> BTreeSet<(usize, usize)> {
         let count = self.launcher.options().settings.hosts.len();
         let mut pairs = BTreeSet::new();
--- a/crates/testbed/src/scenario/state_service.rs
+++ b/crates/testbed/src/scenario/state_service.rs
@@ -33,7 +33,7 @@
     pub output: String,
 }
 
-/// The state service, where the script has one. The address stays over restarts.
+/// The state service, if the script has one. Its address is the same after a restart.
 pub(super) struct StateService<'a> {
     launcher: &'a Launcher<'a>,
     address: Option<SocketAddr>,
--- a/crates/testbed/src/serve.rs
+++ b/crates/testbed/src/serve.rs
@@ -1,7 +1,7 @@
 //! Servers of the testbed: they run the models of the nodes and of the discovery service on
 //! sockets.
 //!
-//! `grebecleat node` and `grebecleat discovery-service` call them, each in a process of its own.
+//! `grebecleat node` and `grebecleat discovery-service` call them, each in a separate process.
 //! Each server is one loop that owns its model and its connections; the threads of [`crate::net`]
 //! send it events.
 
@@ -20,8 +20,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest wait of a loop. A longer one delays what the models do by themselves; a shorter one
-/// costs processor time.
+/// Longest wait of a loop. A longer wait delays the models' timed actions; a shorter one costs
+/// processor time.
 const TICK: Duration = Duration::from_millis(20);
 /// Limit on the events that a loop handles before its model advances, beyond the first. A larger
 /// limit delays the model under load.
--- a/crates/testbed/src/serve/discovery_server.rs
+++ b/crates/testbed/src/serve/discovery_server.rs
@@ -2,7 +2,7 @@
 
 use super::{receive_batch, ScriptContext, TICK};
 use crate::discovery_service::DiscoveryService;
-use crate::draw::{source, InjectedFault};
+use crate::draw::{random_generator, InjectedFault};
 use crate::net::{self, hello, PeerConnection, PeerEvent};
 use grebecleat_settings::Kind;
 use grebecleat_wire::pb::{self, frame::Body};
@@ -33,7 +33,7 @@
     let mut server = DiscoveryServer {
         context,
         faults: context.injected_faults(),
-        rng: source(context.seed(), FAILURE_PURPOSE),
+        rng: random_generator(context.seed(), FAILURE_PURPOSE),
         model: DiscoveryService::default(),
         connections: BTreeMap::new(),
         watchers: BTreeSet::new(),
--- a/crates/testbed/src/serve/node_server.rs
+++ b/crates/testbed/src/serve/node_server.rs
@@ -153,9 +153,12 @@
         Ok(())
     }
 
-    /// Returns the time until a node next acts by itself, at most a tick.
+    /// Returns the time until the next timed action of a node, at most a tick.
     fn timeout(&self) -> Duration {
-        let due = self.nodes.values().filter_map(|node| node.node.due());
+        let due = self
+            .nodes
+            .values()
+            .filter_map(|node| node.node.next_event_time());
         due.min()
             .map_or(TICK, |due| due.saturating_sub(self.context.now()).min(TICK))
     }
@@ -167,9 +170,11 @@
             self.handle(event, now, &mut actions);
         }
         for (id, running_node) in &mut self.nodes {
-            let mut own = Vec::new();
-            running_node.node.advance(now, &mut self.meter, &mut own);
-            actions.extend(own.into_iter().map(|action| (*id, action)));
+            let mut node_actions = Vec::new();
+            running_node
+                .node
+                .advance(now, &mut self.meter, &mut node_actions);
+            actions.extend(node_actions.into_iter().map(|action| (*id, action)));
         }
         for (id, action) in actions {
             self.perform(id, action, now);
@@ -209,14 +214,14 @@
                 waited,
                 body,
             } => {
-                let mut own = Vec::new();
-                self.receive(source, conn, waited, body, now, &mut own);
-                actions.extend(own.into_iter().map(|action| (source, action)));
+                let mut node_actions = Vec::new();
+                self.receive(source, conn, waited, body, now, &mut node_actions);
+                actions.extend(node_actions.into_iter().map(|action| (source, action)));
             }
         }
     }
 
-    /// Hands a host's frame to its node, unless the two are partitioned.
+    /// Passes a host's frame to its node, unless the two are partitioned.
     fn receive(
         &mut self,
         id: u32,
@@ -235,7 +240,9 @@
         match body {
             Body::Attempt(attempt) => {
                 let left = Duration::from_micros(attempt.left_us).saturating_sub(waited);
-                running_node.node.take(now, conn, attempt, left, actions);
+                running_node
+                    .node
+                    .receive_attempt(now, conn, attempt, left, actions);
             }
             Body::CancelAttempt(cancel) => running_node.node.cancel(conn, cancel.attempt),
             Body::HealthCheck(check) => {
@@ -249,8 +256,8 @@
         }
     }
 
-    /// Returns whether a fault lets nothing pass now between a node and the host at the other end
-    /// of a connection.
+    /// Returns whether a fault currently partitions a node from the host at the other end of a
+    /// connection.
     fn is_partitioned(&self, id: u32, conn: u64, now: Duration) -> bool {
         let name = self.nodes.get(&id).and_then(|node| node.hosts.get(&conn));
         let hosts = &self.context.settings.hosts;
@@ -266,9 +273,9 @@
 
     /// Performs a node's action, and announces a change of its process to the discovery service.
     fn perform(&mut self, id: u32, action: NodeAction, now: Duration) {
-        if let NodeAction::Answer { conn, answer } = action {
+        if let NodeAction::Response { conn, response } = action {
             if !self.is_partitioned(id, conn, now) {
-                self.nodes[&id].send(conn, Body::AttemptResponse(answer));
+                self.nodes[&id].send(conn, Body::AttemptResponse(response));
             }
             return;
         }
@@ -289,14 +296,14 @@
                 let mark = mark(self.context, &running_node.node, What::Started);
                 self.context.tracer.mark(mark);
             }
-            NodeAction::Down { fell } => {
-                if fell {
+            NodeAction::Down { overloaded } => {
+                if overloaded {
                     let mark = mark(self.context, &running_node.node, What::Fell);
                     self.context.tracer.mark(mark);
                 }
                 running_node.close();
             }
-            NodeAction::Answer { .. } | NodeAction::Up { .. } | NodeAction::Drains => {}
+            NodeAction::Response { .. } | NodeAction::Up { .. } | NodeAction::Draining => {}
         }
         if let Some(discovery) = &self.discovery {
             announce(discovery, running_node, now);
--- a/examples/bad-day.star
+++ b/examples/bad-day.star
@@ -1,7 +1,7 @@
-# A bad day at a small site: a rack restarts while the list lags, nodes fail fast, answers get lost, a host is
-# killed and another stands still, and a few volumes ask for far more than their share.
+# Many faults at a small site: all nodes of a zone restart while the endpoint list is stale, nodes return errors at
+# once, responses get lost, a host is killed and another is stopped, and a few volumes far exceed their share.
 #
-# Play it with: grebecleat scenario examples/bad-day.star
+# Run it with: grebecleat scenario examples/bad-day.star
 
 deployment(name = "bad-day")
 
--- a/examples/halves.star
+++ b/examples/halves.star
@@ -1,9 +1,9 @@
-# Eight hosts that tell each other what they see and lend each other parts of limits, while the ways between them
-# are cut: half from half, one host alone, one way only, with the period of the loans; one stands still for longer
-# than its loans, one dies and comes back, some cannot reach nodes that the others reach, and a node fails for all.
-# The audit judges the limits over all hosts from the nodes' frames alone.
+# Eight hosts exchange their observations of nodes and quota leases while they are partitioned: into two halves, one
+# host alone at the interval of the leases, and in one direction only. One host is stopped for longer than its leases
+# last, one is killed and restarted, two cannot reach nodes that the others reach, and a node hangs for all hosts.
+# The audit checks the limits over all hosts from the nodes' frames alone.
 #
-# Play it with: grebecleat scenario examples/halves.star
+# Run it with: grebecleat scenario examples/halves.star
 
 deployment(name = "halves")
 zone(name = "room-a")
@@ -38,16 +38,16 @@
 rehearsal(seed = 3, length = s(24))
 load_of(retries = 1)
 
-# Half from half.
+# Partitions the hosts into two halves.
 trouble(kind = "host_cut", at = s(3), len = s(3), hosts = names[:4])
-# With the period of the loans, one host alone.
+# Partitions one host alone, twice, at the interval of the quota leases.
 trouble(kind = "host_cut", at = s(7), len = s(2), hosts = ["host-2"])
 trouble(kind = "host_cut", at = s(11), len = s(2), hosts = ["host-2"])
-# One way only.
+# Partitions a host in one direction: it receives nothing from the others.
 trouble(kind = "host_deaf", at = s(8), len = s(4), hosts = ["host-7"])
-# For longer than its loans.
+# Stops a host for longer than its quota leases last.
 trouble(kind = "balancer_stall", at = s(9), len = s(4), hosts = ["host-5"])
 trouble(kind = "balancer_crash", at = s(12), len = ms(1500), hosts = ["host-3"])
-# These two cannot reach what the others reach; and then a node fails for everybody, and comes back.
+# Two hosts cannot reach nodes that the others reach; later a node hangs for all hosts and recovers.
 trouble(kind = "way_cut", at = s(14), len = s(3), hosts = ["host-1", "host-6"], nodes = [2, 5])
 trouble(kind = "hang", at = s(18), len = s(3), nodes = [7])
--- a/examples/iscsi-path.star
+++ b/examples/iscsi-path.star
@@ -1,7 +1,7 @@
-# A bad day over iSCSI: sessions of several initiators write and read through a portal while nodes fail fast,
-# lose answers, hang and restart, and the host itself is killed and started again.
+# Faults under iSCSI load: several sessions write and read through a portal while nodes return errors at once, lose
+# responses, hang and restart, and the host itself is killed and restarted.
 #
-# Play it with: grebecleat scenario examples/iscsi-path.star
+# Run it with: grebecleat scenario examples/iscsi-path.star
 
 deployment(name = "iscsi-path")
 zone(name = "a")
--- a/examples/plan-change.star
+++ b/examples/plan-change.star
@@ -1,8 +1,8 @@
-# Plans change under load: a data set joins an appeal, limits are lowered, raised and given, volumes move between
-# hosts and are retired, while hosts are cut off from the state service or hear of it late, it is killed, put back
-# from a snapshot, and a host dies in between. The audit judges the limit in force from the frames alone.
+# Plans change under load: volumes change plans, limits are lowered, raised and introduced, volumes change hosts and
+# are retired, while hosts lose the state service or get its updates late, it is killed, then restored from a
+# snapshot, and a host is killed. The audit checks the limit in force from the nodes' frames alone.
 #
-# Play it with: grebecleat scenario examples/plan-change.star
+# Run it with: grebecleat scenario examples/plan-change.star
 
 deployment(name = "plan-change")
 zone(name = "room-a")
@@ -42,7 +42,7 @@
 change(at = s(6), words = ["plan capped limit=8 burst=16 slack=4"], who = "clerk")
 change(at = s(9), words = ["plan capped limit=20 burst=40 slack=8"], who = "clerk")
 trouble(kind = "feed_cut", at = s(8), len = s(6), hosts = ["host-3"])
-# To a host that is cut off this takes something away unheard: it is not over before that host is back.
+# This lowers a limit while host-3 is disconnected, so it does not complete before that host reconnects.
 change(at = s(10), words = ["plan basic limit=30 burst=60 slack=10"], who = "clerk")
 change(at = ms(11500), words = ["volume 102 hosts=host-1,host-2", "volume 105 hosts=host-3"], who = "other clerk")
 trouble(kind = "state_crash", at = s(15), len = ms(1500))
