--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -28,7 +28,7 @@
 const PREFERRED_HOST_SECONDS: f64 = 9.0;
 const RECONNECT_INTERVAL: Duration = Duration::from_millis(50);
 /// Limit on the created extents of a volume that are retained for later reads.
-const MAX_KNOWN_EXTENTS: usize = 64;
+const MAX_CREATED_EXTENTS: usize = 64;
 
 /// The results of the attempts and of the requests that they belong to.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -41,6 +41,7 @@
     pub lost: u64,
     /// Attempts without a response by their deadline, although the connection stayed open.
     pub unanswered: u64,
+    /// Responses to attempts that were already answered.
     pub doubled: u64,
     /// Reads that returned content that no client wrote to the extent.
     pub wrong_content: u64,
@@ -68,19 +69,32 @@
 /// A callback that receives the time and the counts so far.
 pub type Progress<'a> = Box<dyn Fn(Duration, &ClientCounts) + Sync + 'a>;
 
+/// A scheduled action of the event loop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrival { volume: usize, surge: Option<usize> },
-    Retry { request: usize },
-    Timeout { number: u64 },
-    Reconnect { host: usize },
+    /// A new request for a volume; `surge` is the index of the fault that adds the request.
+    Arrival {
+        volume: usize,
+        surge: Option<usize>,
+    },
+    Retry {
+        request: usize,
+    },
+    /// The end of the wait for a response to the attempt with this number.
+    Timeout {
+        number: u64,
+    },
+    Reconnect {
+        host: usize,
+    },
 }
 
+/// A client request with its attempts.
 struct Request {
     id: Bytes,
     volume: usize,
     host: usize,
-    stream: usize,
+    traffic_class: usize,
     extent: u64,
     shard: Option<u32>,
     key: u64,
@@ -89,12 +103,14 @@
     attempts: u32,
 }
 
+/// An attempt that awaits its response.
 struct Attempt {
     request: usize,
     deadline: Duration,
     host: usize,
 }
 
+/// The event loop of all clients of a scenario.
 pub struct Clients<'a> {
     settings: &'a Settings,
     script: &'a Rehearsal,
@@ -104,13 +120,17 @@
     tracer: Tracer,
     connections: Vec<Option<(u64, PeerConnection)>>,
     generators: Vec<Pcg64Mcg>,
+    /// The scheduled events by time; events of equal times are in the order of scheduling.
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     sequence: u64,
     requests: Vec<Request>,
     attempts: HashMap<Bytes, Attempt>,
     attempts_by_number: HashMap<u64, Bytes>,
+    /// The ids of the answered attempts, to detect repeated responses.
     answered: HashSet<Bytes>,
-    known: BTreeMap<usize, Vec<(u64, u32)>>,
+    /// For each volume: the extents that its writes created, with their shards.
+    created_extents: BTreeMap<usize, Vec<(u64, u32)>>,
+    /// For each extent: the ids of the requests whose content may be there.
     written: HashMap<(usize, u64), HashSet<Bytes>>,
     counts: ClientCounts,
     /// Called about once a second with the time and the counts.
@@ -165,7 +185,7 @@
             attempts: HashMap::new(),
             attempts_by_number: HashMap::new(),
             answered: HashSet::new(),
-            known: BTreeMap::new(),
+            created_extents: BTreeMap::new(),
             written: HashMap::new(),
             counts: ClientCounts::default(),
             progress: Box::new(|_, _| ()),
@@ -335,8 +355,8 @@
             place -= s.share;
             place < 0.0
         });
-        let stream = pick.unwrap_or(0);
-        let write = self.settings.traffic_classes[stream].write;
+        let traffic_class = pick.unwrap_or(0);
+        let write = self.settings.traffic_classes[traffic_class].write;
         let (mean, largest) = (self.settings.units.mean, self.settings.units.largest);
         let units =
             (1.0 + -rng.random::<f64>().max(1e-9).ln() * (mean - 1.0).max(0.0)).min(largest) as u32;
@@ -351,13 +371,14 @@
         let mut extent = rng.random_range(0..EXTENTS_PER_VOLUME);
         let mut shard = Some(spec.shards[(extent % spec.shards.len() as u64) as usize]);
         let (fresh, reread) = (rng.random::<f64>(), rng.random::<f64>());
-        let at_known = rng.random::<f64>();
+        let position = rng.random::<f64>();
         if write && fresh < NEW_EXTENT_FRACTION {
             (extent, shard) = (1_000_000 + self.requests.len() as u64, None);
         } else if !write && reread < self.script.reread {
-            let known = self.known.get(&volume).filter(|k| !k.is_empty());
-            if let Some(known) = known {
-                let (e, c) = known[(at_known * known.len() as f64) as usize % known.len()];
+            let created_extents = self.created_extents.get(&volume).filter(|k| !k.is_empty());
+            if let Some(created_extents) = created_extents {
+                let (e, c) = created_extents
+                    [(position * created_extents.len() as f64) as usize % created_extents.len()];
                 (extent, shard) = (e, Some(c));
             }
         }
@@ -369,7 +390,7 @@
                 id,
                 volume,
                 host,
-                stream,
+                traffic_class,
                 extent,
                 shard,
                 key,
@@ -394,8 +415,8 @@
     fn attempt(&mut self, request: usize) {
         let now = self.now();
         let p = &mut self.requests[request];
-        let stream = &self.settings.traffic_classes[p.stream];
-        let deadline = p.arrived_at + stream.deadline;
+        let traffic_class = &self.settings.traffic_classes[p.traffic_class];
+        let deadline = p.arrived_at + traffic_class.deadline;
         let Some((_, connection)) = &self.connections[p.host] else {
             self.counts.unreached += u64::from(p.attempts == 0);
             return self.end_attempt(request, None);
@@ -407,11 +428,11 @@
         self.sequence += 1;
         let number = self.sequence;
         let id = id_of(number, request as u64);
-        let data = match stream.write {
+        let data = match traffic_class.write {
             true => content(&p.id, (p.units * self.script.bytes_per_unit) as usize),
             false => Bytes::new(),
         };
-        if stream.write {
+        if traffic_class.write {
             self.written
                 .entry((p.volume, p.extent))
                 .or_default()
@@ -420,7 +441,7 @@
         connection.send(Body::SubmitRequest(pb::SubmitRequest {
             id: id.clone(),
             piece: p.id.clone(),
-            traffic_class: p.stream as u32,
+            traffic_class: p.traffic_class as u32,
             volume: self.settings.volumes[p.volume].id,
             shard: p.shard,
             key: Some(p.key),
@@ -428,7 +449,7 @@
             left_us: clock::micros(deadline - now),
             extent: p.extent,
             length: p.units * self.script.bytes_per_unit,
-            write: stream.write,
+            write: traffic_class.write,
             data,
             offset: None,
             version: None,
@@ -471,17 +492,17 @@
                 }
                 self.connections[host] = None;
                 self.schedule(self.now() + RECONNECT_INTERVAL, Event::Reconnect { host });
-                let gone: Vec<Bytes> = self
+                let unanswered: Vec<Bytes> = self
                     .attempts
                     .iter()
                     .filter(|(_, t)| t.host == host)
                     .map(|(id, _)| id.clone())
                     .collect();
-                for id in gone {
-                    let t = self.attempts.remove(&id).expect("listed above");
+                for id in unanswered {
+                    let attempt = self.attempts.remove(&id).expect("listed above");
                     self.counts.lost += 1;
                     // The host may have performed the request, so only an idempotent one is retried.
-                    self.end_attempt(t.request, Some(Outcome::Unknown));
+                    self.end_attempt(attempt.request, Some(Outcome::Unknown));
                 }
             }
             PeerEvent::Frame {
@@ -509,10 +530,10 @@
         }
         let p = &self.requests[attempt.request];
         if outcome == Outcome::Completed {
-            let stream = &self.settings.traffic_classes[p.stream];
+            let traffic_class = &self.settings.traffic_classes[p.traffic_class];
             let plan = self.settings.volumes[p.volume].plan;
             let plan_counts = self.counts.plans.entry(plan).or_default();
-            if now <= p.arrived_at + stream.facts.latency_objective {
+            if now <= p.arrived_at + traffic_class.facts.latency_objective {
                 plan_counts.1 += 1;
                 self.counts
                     .seconds
@@ -522,21 +543,22 @@
             } else {
                 plan_counts.2 += 1;
             }
-            if stream.write && p.shard.is_none() {
-                let known = self.known.entry(p.volume).or_default();
-                known.push((p.extent, response.shard.unwrap_or_default()));
-                if known.len() > MAX_KNOWN_EXTENTS {
-                    known.remove(0);
+            if traffic_class.write && p.shard.is_none() {
+                let created_extents = self.created_extents.entry(p.volume).or_default();
+                created_extents.push((p.extent, response.shard.unwrap_or_default()));
+                if created_extents.len() > MAX_CREATED_EXTENTS {
+                    created_extents.remove(0);
                 }
             }
-            if !stream.write && !response.data.is_empty() {
-                let by = response.data.slice(..response.data.len().min(36));
-                let known = self
+            if !traffic_class.write && !response.data.is_empty() {
+                let writer_id = response.data.slice(..response.data.len().min(36));
+                let was_written = self
                     .written
                     .get(&(p.volume, p.extent))
-                    .is_some_and(|w| w.contains(&by));
-                self.counts.wrong_content +=
-                    u64::from(!known || response.data != content(&by, response.data.len()));
+                    .is_some_and(|w| w.contains(&writer_id));
+                self.counts.wrong_content += u64::from(
+                    !was_written || response.data != content(&writer_id, response.data.len()),
+                );
             }
             return;
         }
@@ -547,7 +569,7 @@
 
     fn end_attempt(&mut self, request: usize, outcome: Option<Outcome>) {
         let deadline = self.requests[request].arrived_at
-            + self.settings.traffic_classes[self.requests[request].stream].deadline;
+            + self.settings.traffic_classes[self.requests[request].traffic_class].deadline;
         if let Some(outcome) = outcome {
             self.schedule_retry(request, outcome, self.script.retry_wait, deadline);
         }
@@ -563,7 +585,10 @@
         use grebecleat_settings::Idempotency;
         let p = &self.requests[request];
         let may_retry = outcome == Outcome::Rejected
-            || self.settings.traffic_classes[p.stream].facts.idempotency == Idempotency::Idempotent;
+            || self.settings.traffic_classes[p.traffic_class]
+                .facts
+                .idempotency
+                == Idempotency::Idempotent;
         let at = self.now() + wait;
         if may_retry && p.attempts <= self.script.retries && at < deadline {
             self.schedule(at, Event::Retry { request });
--- a/crates/testbed/src/disks.rs
+++ b/crates/testbed/src/disks.rs
@@ -36,8 +36,10 @@
     pub doubled: u64,
     pub good: u64,
     pub busy: u64,
+    /// Commands that ended with a status other than GOOD and BUSY.
     pub unknown: u64,
     pub blocks_checked: u64,
+    /// Blocks that held none of the expected values.
     pub wrong: u64,
     pub logins: u64,
     /// Commands that the session aborted after a timeout and sent again.
@@ -102,7 +104,7 @@
     pub fn run(&self, seed: u64) -> Disks {
         let mut rng = random_generator(seed, 500_000 + u64::from(self.number));
         let mut counts = Disks::default();
-        let mut possible: BTreeMap<(u64, u64), PossibleValues> = BTreeMap::new();
+        let mut possible_values: BTreeMap<(u64, u64), PossibleValues> = BTreeMap::new();
         let (mut resend, mut value, mut step): (VecDeque<Command>, u64, u64) =
             (VecDeque::new(), 0, 0);
         let (end, last) = (
@@ -118,12 +120,15 @@
             counts.logins += 1;
             let mut open: BTreeMap<u32, (Command, Duration)> = BTreeMap::new();
             let ended = loop {
-                let fresh = clock::now() < end;
+                let generates_load = clock::now() < end;
                 step += 1;
-                if resend.is_empty() && open.is_empty() && !fresh {
+                if resend.is_empty() && open.is_empty() && !generates_load {
                     break Ok(());
                 }
-                if open.len() < MAX_OUTSTANDING && i.may_send() && (fresh || !resend.is_empty()) {
+                if open.len() < MAX_OUTSTANDING
+                    && i.may_send()
+                    && (generates_load || !resend.is_empty())
+                {
                     let new = resend.is_empty();
                     let command = resend
                         .pop_front()
@@ -131,7 +136,7 @@
                     counts.commands += u64::from(new);
                     if let Some(v) = command.writes {
                         for b in command.lba..command.lba + command.blocks {
-                            let values = possible
+                            let values = possible_values
                                 .entry((command.lun, b))
                                 .or_insert_with(|| vec![(0, Some(0))]);
                             if values.iter().all(|e| e.0 != v) {
@@ -158,9 +163,13 @@
                 });
                 match (i.any_within(left), oldest) {
                     (Ok(Some((itt, answer))), _) => match open.remove(&itt) {
-                        Some((command, _)) => {
-                            check_response(&command, &answer, step, &mut possible, &mut counts)
-                        }
+                        Some((command, _)) => check_response(
+                            &command,
+                            &answer,
+                            step,
+                            &mut possible_values,
+                            &mut counts,
+                        ),
                         None => counts.doubled += 1,
                     },
                     (Ok(None), Some((itt, _))) => match i.abort(itt) {
@@ -237,7 +246,7 @@
     command: &Command,
     answer: &Answer,
     step: u64,
-    possible: &mut BTreeMap<(u64, u64), PossibleValues>,
+    possible_values: &mut BTreeMap<(u64, u64), PossibleValues>,
     counts: &mut Disks,
 ) {
     counts.answered += 1;
@@ -248,7 +257,9 @@
     }
     for n in 0..command.blocks {
         let key = (command.lun, command.lba + n);
-        let values = possible.entry(key).or_insert_with(|| vec![(0, Some(0))]);
+        let values = possible_values
+            .entry(key)
+            .or_insert_with(|| vec![(0, Some(0))]);
         match command.writes {
             Some(v) => {
                 values
@@ -265,15 +276,15 @@
                 let block = answer.data.get(from..from + 512).unwrap_or_default();
                 let value = block.first_chunk::<8>().map(|b| u64::from_be_bytes(*b));
                 let whole = block.chunks(8).all(|c| Some(c) == block.get(..8));
-                let right = whole && value.is_some_and(|v| values.iter().any(|e| e.0 == v));
-                if !right {
+                let is_expected = whole && value.is_some_and(|v| values.iter().any(|e| e.0 == v));
+                if !is_expected {
                     let what = format!(
                         "lun {} block {}: found {value:x?}, expected one of {values:x?}",
                         key.0, key.1
                     );
                     tracing::warn!(at = ?clock::now(), "{what}");
                 }
-                counts.wrong += u64::from(!right);
+                counts.wrong += u64::from(!is_expected);
             }
             None => {}
         }
--- a/crates/testbed/src/initiator.rs
+++ b/crates/testbed/src/initiator.rs
@@ -35,6 +35,7 @@
 }
 
 struct Command {
+    /// The data that the command writes.
     out: Vec<u8>,
     lun: u64,
     answer: Answer,
@@ -51,10 +52,10 @@
     unsent: Vec<u8>,
     /// The task tag of the last answered task management request.
     answered_task_request: Option<u32>,
-    open: BTreeMap<u32, Command>,
+    outstanding: BTreeMap<u32, Command>,
     /// The results in the order of their arrival. The order matters to the caller's checks: a read that
     /// was answered before a write may have returned the old data.
-    done: VecDeque<(u32, Answer)>,
+    results: VecDeque<(u32, Answer)>,
     /// Responses to commands that are unknown or already answered.
     pub strays: u64,
 }
@@ -93,8 +94,8 @@
             itt: 0,
             unsent: Vec::new(),
             answered_task_request: None,
-            open: BTreeMap::new(),
-            done: VecDeque::new(),
+            outstanding: BTreeMap::new(),
+            results: VecDeque::new(),
             strays: 0,
         };
         let name_keys = [
@@ -206,13 +207,13 @@
 
     /// Returns a result that is available without reading from the socket.
     pub fn ready(&mut self) -> io::Result<Option<(u32, Answer)>> {
-        while self.done.is_empty() {
+        while self.results.is_empty() {
             let Some(p) = self.reader.next().map_err(io::Error::other)? else {
                 break;
             };
             self.handle_pdu(p)?;
         }
-        Ok(self.done.pop_front())
+        Ok(self.results.pop_front())
     }
 
     fn next(&mut self) -> io::Result<Pdu> {
@@ -266,7 +267,7 @@
             lun,
             answer: Answer::default(),
         };
-        self.open.insert(self.itt, command);
+        self.outstanding.insert(self.itt, command);
         self.send(&Pdu::new(h, immediate.to_vec()))?;
         Ok(self.itt)
     }
@@ -274,8 +275,8 @@
     /// Waits for the result of a command.
     pub fn wait(&mut self, itt: u32) -> io::Result<Answer> {
         loop {
-            if let Some(at) = self.done.iter().position(|d| d.0 == itt) {
-                return Ok(self.done.remove(at).expect("found above").1);
+            if let Some(at) = self.results.iter().position(|d| d.0 == itt) {
+                return Ok(self.results.remove(at).expect("found above").1);
             }
             self.receive_pdu()?;
         }
@@ -283,10 +284,10 @@
 
     /// Waits for the next result of any command.
     pub fn any(&mut self) -> io::Result<(u32, Answer)> {
-        while self.done.is_empty() {
+        while self.results.is_empty() {
             self.receive_pdu()?;
         }
-        Ok(self.done.pop_front().expect("checked above"))
+        Ok(self.results.pop_front().expect("checked above"))
     }
 
     pub fn command(&mut self, lun: u64, cdb: &[u8], out: &[u8], max_in: u32) -> io::Result<Answer> {
@@ -309,8 +310,8 @@
         self.flush()?;
         let until = grebecleat_wire::clock::now() + span;
         loop {
-            if let Some(done) = self.ready()? {
-                return Ok(Some(done));
+            if let Some(result) = self.ready()? {
+                return Ok(Some(result));
             }
             let left = until.saturating_sub(grebecleat_wire::clock::now());
             if left.is_zero() {
@@ -356,7 +357,7 @@
             self.receive_pdu()?;
         }
         // A later response to the command counts as a stray.
-        Ok(self.open.remove(&itt).is_some())
+        Ok(self.outstanding.remove(&itt).is_some())
     }
 
     fn receive_pdu(&mut self) -> io::Result<()> {
@@ -370,7 +371,7 @@
             Some(Opcode::DataIn) => {
                 let last = h.flags() & 1 != 0;
                 self.update_sequence_numbers(&h, last);
-                let Some(c) = self.open.get_mut(&itt) else {
+                let Some(c) = self.outstanding.get_mut(&itt) else {
                     self.strays += 1;
                     return Ok(());
                 };
@@ -385,7 +386,7 @@
             }
             Some(Opcode::ScsiResponse) => {
                 self.update_sequence_numbers(&h, true);
-                let Some(c) = self.open.get_mut(&itt) else {
+                let Some(c) = self.outstanding.get_mut(&itt) else {
                     self.strays += 1;
                     return Ok(());
                 };
@@ -418,13 +419,13 @@
     }
 
     fn finish(&mut self, itt: u32) {
-        if let Some(c) = self.open.remove(&itt) {
-            self.done.push_back((itt, c.answer));
+        if let Some(c) = self.outstanding.remove(&itt) {
+            self.results.push_back((itt, c.answer));
         }
     }
 
     fn data_out(&mut self, r2t: &Header) -> io::Result<()> {
-        let Some(c) = self.open.get(&r2t.itt()) else {
+        let Some(c) = self.outstanding.get(&r2t.itt()) else {
             return Ok(());
         };
         let (lun, from) = (c.lun, r2t.word40() as usize);
--- a/crates/testbed/src/node/meter.rs
+++ b/crates/testbed/src/node/meter.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-/// Number of finished periods that are retained. Hosts are reported the period before the last; with
-/// fewer than three periods there is nothing to report.
+/// Number of finished periods that are retained. Nodes report the last period but one to hosts;
+/// with fewer than three periods there is nothing to report.
 const RETAINED_PERIODS: usize = 8;
 
 /// Units served for each volume, by period.
--- a/crates/testbed/src/node/store.rs
+++ b/crates/testbed/src/node/store.rs
@@ -7,33 +7,33 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Limit on the bytes of data that one node stores; it rejects a write beyond. A larger limit takes
+/// Limit on the bytes of data that one node stores; it rejects writes that exceed it. A larger limit takes
 /// more memory for a long scenario; with a smaller one the scenario's own writes are rejected.
 const MAX_BYTES: usize = 64 << 20;
 /// Number of idempotency keys beyond which old ones are dropped. A larger number takes more memory;
 /// with a smaller one a retry may be performed twice.
 const MAX_KEYS: usize = 100_000;
-/// Time for which an idempotency key is retained at least.
+/// Minimum time for which an idempotency key is retained.
 const KEY_RETENTION: Duration = Duration::from_secs(30);
 
-/// A volume and an extent in it.
-type Place = (u64, u64);
+/// The ids of a volume and of an extent in it.
+type ExtentKey = (u64, u64);
 
 /// The result of a write.
 #[derive(Debug, Default)]
 pub(super) struct WriteResult {
-    /// Whether the write changed the data, or would have if the data had not been the same.
+    /// Whether the write took effect, even if the data was the same before.
     pub(super) performed: bool,
-    /// The newest version that kept the write from a part of its bytes.
+    /// The newest version that excluded the write from some of its bytes; `None` if none did.
     pub(super) superseded: Option<u64>,
 }
 
 /// The extents of a node.
 #[derive(Debug, Default)]
 pub(super) struct ExtentStore {
-    extents: HashMap<Place, Bytes>,
+    extents: HashMap<ExtentKey, Bytes>,
     /// For writes with a version: the version of each byte of the extent.
-    versions: HashMap<Place, Versions>,
+    versions: HashMap<ExtentKey, Versions>,
     bytes: usize,
     /// The idempotency keys of the writes that were performed, and the times of the writes.
     performed: HashMap<Bytes, Duration>,
@@ -45,9 +45,9 @@
         self.bytes + additional > MAX_BYTES
     }
 
-    /// Returns the bytes that a read covers; fewer where the extent ends before.
+    /// Returns the bytes that a read covers; fewer if the extent ends earlier.
     pub(super) fn read(&self, attempt: &pb::Attempt) -> Bytes {
-        let Some(extent) = self.extents.get(&place(attempt)) else {
+        let Some(extent) = self.extents.get(&extent_key(attempt)) else {
             return Bytes::new();
         };
         let start = (attempt.offset.unwrap_or(0) as usize).min(extent.len());
@@ -68,17 +68,17 @@
         result
     }
 
-    /// Performs a write on the bytes that no newer version wrote. A write that newer versions kept
-    /// from all of its bytes has no effect, and its key is not retained: the same write may come
-    /// again with another version.
+    /// Performs a write on the bytes that no newer version wrote. A write of which newer
+    /// versions wrote all bytes has no effect, and its key is not retained, since the same write may
+    /// arrive again with another version.
     fn write(&mut self, attempt: &pb::Attempt, now: Duration) -> WriteResult {
-        let place = place(attempt);
+        let extent_key = extent_key(attempt);
         let start = attempt.offset.unwrap_or(0);
         let length = attempt.data.len() as u32;
         let end = start + length;
         let (parts, superseded) = match attempt.version {
             Some(version) => {
-                let versions = self.versions.entry(place).or_default();
+                let versions = self.versions.entry(extent_key).or_default();
                 versions.write(start, end, version)
             }
             None => (vec![(start, end)], None),
@@ -90,16 +90,16 @@
             };
         }
         self.performed.insert(attempt.piece.clone(), now);
-        let old = self.extents.get(&place).cloned().unwrap_or_default();
+        let old = self.extents.get(&extent_key).cloned().unwrap_or_default();
         let new = match attempt.offset {
             None if superseded.is_none() => attempt.data.clone(),
             _ => parts.iter().fold(old.clone(), |extent, (from, end)| {
                 let data = (from - start) as usize..(end - start) as usize;
-                patched(&extent, *from as usize, &attempt.data.slice(data))
+                replace_part(&extent, *from as usize, &attempt.data.slice(data))
             }),
         };
         self.bytes = self.bytes + new.len() - old.len();
-        self.extents.insert(place, new);
+        self.extents.insert(extent_key, new);
         WriteResult {
             performed: true,
             superseded,
@@ -107,12 +107,12 @@
     }
 }
 
-fn place(attempt: &pb::Attempt) -> Place {
+fn extent_key(attempt: &pb::Attempt) -> ExtentKey {
     (attempt.volume, attempt.extent)
 }
 
 /// Returns an extent with a part of it replaced. Bytes between the old end and the part are zero.
-fn patched(old: &Bytes, start: usize, data: &Bytes) -> Bytes {
+fn replace_part(old: &Bytes, start: usize, data: &Bytes) -> Bytes {
     let end = start + data.len();
     let mut new = old.to_vec();
     new.resize(new.len().max(end), 0);
