--- a/crates/cli/src/args.rs
+++ b/crates/cli/src/args.rs
@@ -24,16 +24,16 @@
     pub command: Command,
 }
 
-/// A form of output.
+/// Output format.
 #[derive(Clone, Copy, ValueEnum)]
 pub enum Format {
-    /// Lines for people.
+    /// Plain text.
     Text,
-    /// JSON for programs.
+    /// JSON, for use by other programs.
     Json,
 }
 
-/// Options of the log, which every command accepts.
+/// Logging options, accepted by every command.
 #[derive(ClapArgs)]
 pub struct Logs {
     /// Format of the log lines.
@@ -58,21 +58,21 @@
     /// Runs one host of a deployment. SIGTERM shuts it down gracefully; a second signal ends it at
     /// once.
     Run(HostArgs),
-    /// Runs one host on the users' platform, configured by its environment (LB_CONFIG). SIGTERM
-    /// shuts it down gracefully; SIGHUP reloads the configuration.
+    /// Runs one host on the users' platform, with the configuration file that the environment
+    /// variable LB_CONFIG names. SIGTERM shuts it down gracefully; SIGHUP reloads the file.
     Platform,
-    /// Adds up what hosts on the platform rejected and why, by second, from their logs at debug
-    /// level.
+    /// Counts the requests that hosts on the platform rejected, by second and cause, from their logs
+    /// at debug level.
     #[command(visible_alias = "account")]
     ShedReport {
-        /// Logs of hosts (`grebecleat --log-level grebecleat_platform=debug platform`).
+        /// Log files of hosts (`grebecleat --log-level grebecleat_platform=debug platform`).
         #[arg(required = true)]
         logs: Vec<PathBuf>,
         /// Seconds that one row of the report covers.
         #[arg(long, default_value_t = 1)]
         every: u64,
-        /// Number of parts of a cause's name by which rows are grouped: reason, traffic class,
-        /// paying bucket, age of the node's last success; 0: all of them.
+        /// Number of leading parts of a cause's name by which rows are grouped: reason, traffic class,
+        /// token bucket that was charged, age of the node's last success; 0 for all of them.
         #[arg(long, default_value_t = 1)]
         parts: usize,
     },
@@ -80,28 +80,28 @@
     StateService(StateArgs),
     /// Shows and changes plans and volumes while they are in service.
     Plans(PlansArgs),
-    /// Shows what a running host knows of its fleet: its peers, its policy for each node, its
-    /// quotas of limits.
+    /// Shows a running host's view of its fleet: its peers, its policy for each node, and its
+    /// quotas of the volumes' limits.
     Fleet {
         /// Address on which the host listens.
         #[arg(long)]
         at: SocketAddr,
     },
-    /// Checks a settings file completely, and reports each fault with its place.
+    /// Checks a settings file completely, and reports each fault with its file, line and column.
     Check { file: PathBuf },
     /// Runs a scripted scenario with injected faults on the loopback interface: discovery, nodes,
     /// hosts and clients; then checks its traces.
     #[command(visible_alias = "rehearse")]
     Scenario(ScenarioArgs),
-    /// Checks the traces of a run against the seven rules.
+    /// Checks the traces of a run against the seven correctness rules.
     #[command(visible_alias = "audit")]
     CheckTraces {
         /// Folder with *.trace files.
         dir: PathBuf,
-        /// Settings of the run.
+        /// Settings file of the run.
         script: PathBuf,
     },
-    /// Prints the records of a trace file, one a line.
+    /// Prints the records of a trace file, one per line.
     Show {
         file: PathBuf,
         /// Prints only records that contain this text.
@@ -121,9 +121,9 @@
 /// Arguments of `run`.
 #[derive(ClapArgs)]
 pub struct HostArgs {
-    /// Settings of the deployment.
+    /// Settings file of the deployment.
     pub file: PathBuf,
-    /// Name of this host in the settings; may be omitted where there is one host.
+    /// Name of this host in the settings; may be omitted if the settings have a single host.
     #[arg(long)]
     pub host: Option<String>,
     /// Address on which clients connect; overrides the settings.
@@ -148,11 +148,11 @@
     /// Address of this host's iSCSI portal; overrides the settings.
     #[arg(long)]
     pub portal: Option<SocketAddr>,
-    /// File that stores what must survive this process: placement of extents, for an iSCSI portal,
+    /// File of the state that must survive a restart: the placement of extents, for an iSCSI portal,
     /// and the catalog as last received from the state service.
     #[arg(long)]
     pub store: Option<PathBuf>,
-    /// Seed of the scheduler; new at each start if omitted.
+    /// Seed of the scheduler's random numbers; different at each start if omitted.
     #[arg(long)]
     pub seed: Option<u64>,
     /// Number of threads that serve connections.
@@ -163,18 +163,18 @@
 /// Arguments of the testbed's processes.
 #[derive(ClapArgs)]
 pub struct ScriptArgs {
-    /// Settings and script.
+    /// Settings file that contains the script.
     pub file: PathBuf,
-    /// Start of the script, in nanoseconds of the machine's monotonic clock; now if omitted.
+    /// Start time of the script, in nanoseconds of the machine's monotonic clock; now if omitted.
     #[arg(long)]
     pub t0: Option<u64>,
     /// File that records every frame sent or received.
     #[arg(long)]
     pub trace: Option<PathBuf>,
-    /// Kinds of faults in place of the script's own, joined by +.
+    /// Kinds of faults to inject in place of the script's, joined by +.
     #[arg(long)]
     pub kinds: Option<String>,
-    /// Seed in place of the script's.
+    /// Seed that overrides the script's.
     #[arg(long)]
     pub seed: Option<u64>,
 }
@@ -187,7 +187,7 @@
     /// Address of the discovery service.
     #[arg(long)]
     pub list: SocketAddr,
-    /// Ids of the nodes to run; all of the settings if omitted.
+    /// Ids of the nodes to run, separated by commas; all nodes of the settings if omitted.
     #[arg(long, value_delimiter = ',')]
     pub ids: Vec<u32>,
 }
@@ -205,22 +205,23 @@
 /// Arguments of `scenario`.
 #[derive(ClapArgs)]
 pub struct ScenarioArgs {
-    /// Settings with a rehearsal().
+    /// Settings file with a rehearsal().
     #[arg(default_value = "examples/bad-day.star")]
     pub script: PathBuf,
-    /// Kinds of faults in place of the script's own, as the bench's journal joins them: hang+slow.
+    /// Kinds of faults to inject in place of the script's, joined by + as in the benchmark's journal:
+    /// hang+slow.
     #[arg(long)]
     pub kinds: Option<String>,
-    /// Seed from which work and faults are drawn, in place of the script's.
+    /// Seed of the random workload and faults; overrides the script's.
     #[arg(long)]
     pub seed: Option<u64>,
-    /// File of the bench's journal from which the kinds of faults are read.
+    /// Journal entry of the benchmark from which the kinds of faults are read.
     #[arg(long, conflicts_with = "kinds")]
     pub journal: Option<PathBuf>,
-    /// Folder for traces and logs; if omitted, a new one, which is removed after a success.
+    /// Folder for traces and logs; if omitted, a temporary one, which is removed if the scenario passes.
     #[arg(long)]
     pub dir: Option<PathBuf>,
-    /// Retains the folder after a success.
+    /// Keeps the temporary folder even if the scenario passes.
     #[arg(long)]
     pub keep: bool,
 }
@@ -228,7 +229,7 @@
 /// Arguments of `state-service`.
 #[derive(ClapArgs)]
 pub struct StateArgs {
-    /// Settings of the deployment, with a state_service().
+    /// Settings file of the deployment, with a state_service().
     pub file: PathBuf,
     /// File that stores plans, volumes, drains and their audit log; snapshots are written to its
     /// folder.
@@ -267,7 +268,7 @@
     /// Commits the change despite objections; the audit log records them.
     #[arg(long)]
     pub force: bool,
-    /// Commits nothing; prints the objections. Not for undo.
+    /// Commits nothing, and prints the objections to the change. Not supported by undo.
     #[arg(long)]
     pub dry_run: bool,
 }
@@ -277,41 +278,41 @@
 pub enum PlansCommand {
     /// Lists plans, volumes, nodes, drains, targets and scheduled changes.
     List,
-    /// Shows one subject: plan NAME, volume ID, node ID, target NAME.
+    /// Shows one record: plan NAME, volume ID, node ID, target NAME.
     Show { kind: String, name: String },
     /// Changes the catalog; all arguments are one atomic change: 'plan basic limit=20' 'volume 103
     /// plan=gold' 'drain 5' ...
     Set {
-        /// One change each; see the operators' page for all forms.
+        /// The changes, one per argument; the operators' page lists all forms.
         #[arg(required = true)]
         changes: Vec<String>,
         /// Time at which the change is committed: 2026-12-01T22:00:00Z, or +90m from now.
         #[arg(long)]
         at_time: Option<String>,
-        /// Version on which the change rests: the change is rejected if anything it touches has
-        /// changed since; the version read by this command if omitted.
+        /// Version on which the change is based: the change is rejected if any record that it changes
+        /// has changed since; the version read by this command if omitted.
         #[arg(long = "looked-at")]
         base_version: Option<u64>,
         #[command(flatten)]
         change: Change,
     },
-    /// Prints entries of the audit log, the newest last.
+    /// Prints the latest entries of the audit log, the newest last.
     History {
-        /// Number of entries.
+        /// Maximum number of entries.
         #[arg(long, default_value_t = 20)]
         most: u32,
-        /// Prints only entries that change this subject, such as 'volume 103'.
+        /// Prints only entries that change this record, such as 'volume 103'.
         #[arg(long)]
         of: Option<String>,
     },
-    /// Reverts what an entry changed, as a new entry.
+    /// Reverts the changes of an audit log entry, as a new entry.
     Undo {
         #[arg(value_name = "ENTRY")]
         revision: u64,
         #[command(flatten)]
         change: Change,
     },
-    /// Shows where a settings file and the catalog in service differ.
+    /// Shows the differences between a settings file and the catalog in service.
     Diff { file: PathBuf },
     /// Makes the catalog in service equal to what a settings file declares, as one entry.
     Declare {
@@ -327,20 +328,20 @@
         #[arg(long, value_delimiter = ',')]
         empty: Vec<u32>,
     },
-    /// Declares that a host sends nothing any more: changes no longer wait for its
-    /// acknowledgement. You vouch for it.
+    /// Declares that a host has stopped for good: changes no longer wait for its acknowledgement.
+    /// The operator must make sure that it sends nothing any more.
     Gone { host: String },
-    /// Forces a new epoch after a restore: the service's state counts, whatever hosts have
-    /// followed.
+    /// Forces a new epoch after a restore: the service's state becomes authoritative, even over newer
+    /// entries that hosts have applied.
     Prevail {
         #[arg(long = "why", default_value = "")]
         reason: String,
     },
-    /// Writes the service's complete state into a file.
+    /// Writes the service's complete state to a file.
     Snapshot { file: PathBuf },
-    /// Reads a store or a snapshot completely, and prints its contents or its faults. The service
-    /// must not run.
+    /// Verifies a store or a snapshot completely, and prints a summary or the faults. The service must
+    /// not be running.
     Check { file: PathBuf },
-    /// Builds a store from a snapshot; the old store is renamed. The service must not run.
+    /// Builds a store from a snapshot; an existing store is renamed. The service must not be running.
     Restore { snapshot: PathBuf, store: PathBuf },
 }
--- a/crates/cli/src/common.rs
+++ b/crates/cli/src/common.rs
@@ -1,4 +1,5 @@
-//! Functions that several commands use: settings, traces, the store, and the ready line.
+//! Functions shared by several commands: loading settings, opening traces and stores, and printing the
+//! ready line.
 
 use crate::exit::{could_not_run, invalid, CommandError};
 use grebecleat_catalog_service::{group_commit::GroupCommit, store::StoreContents};
@@ -9,18 +10,18 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Number of audit log entries that a store retains. More of them cost memory at the start of a
-/// process; with fewer, the history ends earlier.
+/// Number of audit log entries that a store retains. A larger number costs more memory when a process
+/// starts; a smaller one shortens the history that operators can look up.
 const MAX_AUDIT_LOG: u64 = 100_000;
 
-/// Loads a settings file; the error lists each fault with its place.
+/// Loads a settings file; the error lists each fault with its location.
 pub fn load(file: &Path) -> Result<Settings, CommandError> {
     Settings::load(file).map_err(|faults| {
         CommandError::InvalidInput(faults.iter().map(|fault| fault.to_string()).collect())
     })
 }
 
-/// Opens the trace file of a process; without a path nothing is recorded.
+/// Opens the trace file of a process. Without a path, the tracer records nothing.
 pub fn tracer(path: Option<PathBuf>, hello: pb::Hello) -> Result<Tracer, CommandError> {
     let Some(path) = path else {
         return Ok(Tracer::default());
@@ -42,7 +43,7 @@
         .map_err(|error| could_not_run(format!("store {}: {error}", path.display())))
 }
 
-/// Returns the address given as an option, else the address of the settings.
+/// Returns the address given on the command line, or else the one from the settings.
 pub fn address(
     given: Option<SocketAddr>,
     in_settings: Option<SocketAddr>,
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -4,11 +4,11 @@
 
 /// The reason why a command did not succeed.
 pub enum CommandError {
-    /// The command ran, and its check failed.
+    /// The command ran, but its check failed or the change was rejected.
     CheckFailed,
     /// Arguments or a settings file are invalid; nothing was started. Holds the lines to print.
     InvalidInput(Vec<String>),
-    /// The machine, or a service that the command needs, kept it from running.
+    /// The operating system, or a service that the command needs, prevented it from running.
     CouldNotRun(String),
 }
 
@@ -19,12 +19,12 @@
 /// Exit code of [`CommandError::CouldNotRun`].
 pub const COULD_NOT_RUN: u8 = 3;
 
-/// Returns an error in the arguments.
+/// Returns an error for invalid arguments or settings.
 pub fn invalid(message: impl std::fmt::Display) -> CommandError {
     CommandError::InvalidInput(vec![format!("grebecleat: {message}")])
 }
 
-/// Returns an error that kept the command from running.
+/// Returns an error that prevented the command from running.
 pub fn could_not_run(error: impl std::fmt::Display) -> CommandError {
     CommandError::CouldNotRun(error.to_string())
 }
@@ -35,7 +35,7 @@
     }
 }
 
-/// Prints why a command did not succeed, and returns its exit code.
+/// Prints the error of a failed command, and returns the exit code.
 pub fn report(result: Result<(), CommandError>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/crates/cli/src/host_status.rs
+++ b/crates/cli/src/host_status.rs
@@ -1,5 +1,5 @@
-//! `grebecleat fleet`: what one running host knows of its fleet, from the metrics that it sends to a
-//! subscriber.
+//! `grebecleat fleet`: one running host's view of its fleet, from the metrics that it sends to
+//! subscribers.
 
 use crate::exit::{could_not_run, CommandError};
 use grebecleat_testbed::net::hello;
@@ -10,13 +10,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Largest frame that is read, in bytes. It bounds memory against a peer that is no host.
+/// Maximum frame size in bytes. It bounds the memory used if the peer is not a host.
 const MAX_FRAME: usize = 16 << 20;
-/// Time-out of the connection and of each read. A host sends metrics every second, so a shorter one
+/// Timeout for connecting and for each read. A host sends metrics every second; a timeout close to that
 /// would fail on a busy host.
 const METRICS_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Prints the status of the host that listens at the address.
+/// Prints the fleet as seen by the host that listens at this address.
 pub fn show(at: SocketAddr) -> Result<(), CommandError> {
     let metrics = fetch_metrics(at).map_err(|error| could_not_run(format!("{at}: {error}")))?;
     print!("{}", format_metrics(&metrics));
@@ -36,11 +36,15 @@
         match frame.and_then(|frame| frame.body) {
             Some(Body::HostMetrics(metrics)) => return Ok(*metrics),
             Some(Body::Hello(peer)) if peer.role() != pb::Role::Host => {
-                return Err(io::Error::other("no host answers there"));
+                return Err(io::Error::other(
+                    "expected a host at this address, found another kind of process",
+                ));
             }
             Some(_) => {}
             None if reader.fill(&mut stream)? == 0 => {
-                return Err(io::Error::other("the host hung up"))
+                return Err(io::Error::other(
+                    "the host closed the connection before it sent its metrics",
+                ))
             }
             None => {}
         }
@@ -58,7 +62,7 @@
     bytes
 }
 
-/// Returns the metrics as the lines to print.
+/// Formats the metrics as lines of text.
 fn format_metrics(metrics: &pb::HostMetrics) -> String {
     let mut lines = String::new();
     let mut add = |line: String| writeln!(lines, "{line}").expect("writing to a String succeeds");
--- a/crates/cli/src/logs.rs
+++ b/crates/cli/src/logs.rs
@@ -1,4 +1,4 @@
-//! Structured logs, on standard error or in a file.
+//! Structured logging to standard error or to a file.
 
 use crate::args::{Format, Logs};
 use std::fs::OpenOptions;
@@ -7,7 +7,7 @@
 use tracing_subscriber::fmt::writer::BoxMakeWriter;
 use tracing_subscriber::EnvFilter;
 
-/// Starts the log. Fails if the filter is invalid or the file cannot be opened.
+/// Installs the global log subscriber. Fails if the filter is invalid or the file cannot be opened.
 pub fn start(logs: &Logs) -> io::Result<()> {
     let filter = EnvFilter::try_new(&logs.log_level)
         .map_err(|error| io::Error::other(format!("--log-level {}: {error}", logs.log_level)))?;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,8 +1,9 @@
-//! The `grebecleat` program: arguments, logs and exit codes.
+//! The `grebecleat` program: command-line arguments, logging and exit codes.
 //!
-//! One module for each group of commands, without logic of its own: `run`, `platform` (`platform`
-//! and `shed-report`), `state_service`, `plans`, `host_status` (`fleet`), `testbed` (`node` and
-//! `discovery-service`), `scenario`, `trace_checks` (`check-traces` and `show`).
+//! There is one module for each group of commands; the logic is in the other crates. The modules are
+//! `run`, `platform` (`platform` and `shed-report`), `state_service`, `plans`, `host_status` (`fleet`),
+//! `testbed` (`node` and `discovery-service`), `scenario`, and `trace_checks` (`check-traces` and
+//! `show`).
 
 #![deny(clippy::too_many_lines, clippy::cognitive_complexity)]
 
@@ -56,7 +57,7 @@
     }
 }
 
-/// Checks a settings file.
+/// Checks a settings file and prints a summary.
 fn check(file: &Path) -> Result<(), CommandError> {
     let settings = common::load(file)?;
     println!(
--- a/crates/cli/src/plans.rs
+++ b/crates/cli/src/plans.rs
@@ -73,7 +73,7 @@
             PlansCommand::Prevail { reason } => self.force_epoch(reason),
             PlansCommand::Snapshot { file } => self.write_snapshot(&file),
             PlansCommand::Check { .. } | PlansCommand::Restore { .. } => {
-                unreachable!("these need no service")
+                unreachable!("commands on files run without a session")
             }
         }
     }
@@ -88,7 +88,7 @@
     }
 }
 
-/// The service's state as a catalog.
+/// Builds a catalog from the service's state.
 fn catalog(state: &QueryResult) -> Catalog {
     let hosts = state.last.hosts.iter();
     let deployment = Deployment {
@@ -98,7 +98,7 @@
     Catalog::new(deployment, 1).restored(state.version, state.state.iter().cloned(), Vec::new())
 }
 
-/// The subject that an operator names, such as `volume` and `103`.
+/// Parses a subject given as a kind and a name, such as `volume` and `103`.
 fn subject(kind: &str, name: &str) -> Result<Subject, CommandError> {
     let number = || {
         let number = name.parse::<u64>();
@@ -119,7 +119,7 @@
     })
 }
 
-/// Time since 1970.
+/// Returns the time since the Unix epoch.
 fn now() -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.unwrap_or_default()
--- a/crates/cli/src/plans/changes.rs
+++ b/crates/cli/src/plans/changes.rs
@@ -29,7 +29,7 @@
         let catalog = catalog(&state);
         let changes = lines.iter().map(|line| parse_change(&catalog, line));
         let changes: Vec<Change> = changes.collect::<Result<_, _>>().map_err(invalid)?;
-        let at = at.map(parse_landing_time).transpose()?;
+        let at = at.map(parse_commit_time).transpose()?;
         let author = self.author.clone();
         self.change(|call| {
             Body::Propose(pb::Propose {
@@ -72,7 +72,7 @@
         let declared = declared_changes(&settings);
         let declared =
             Catalog::new(deployment(&settings), 1).restored(Version(1), declared, Vec::new());
-        // A settings file declares no drains and no scheduled changes; they stay.
+        // A settings file cannot declare drains or scheduled changes, so those in service are kept.
         let is_declared =
             |change: &&Change| !matches!(change, Change::Drain { .. } | Change::Scheduled { .. });
         let changes = catalog(&state).changes_towards(&declared);
@@ -104,7 +104,7 @@
         })
     }
 
-    /// The operator vouches that a host sends nothing.
+    /// Declares that a host has stopped for good. The operator must make sure that it sends nothing any more.
     pub(super) fn declare_host_gone(&mut self, host: String) -> Result<(), CommandError> {
         let author = self.author.clone();
         self.change(|call| Body::HostGone(pb::HostGone { call, author, host }))
@@ -121,7 +121,7 @@
         })
     }
 
-    /// Sends a change and prints what came of it.
+    /// Sends a change and prints the service's reply.
     fn change(&mut self, body: impl FnOnce(u64) -> Body) -> Result<(), CommandError> {
         match self.client.change(body).map_err(could_not_run)? {
             Reply::Rejected(reason) => {
@@ -188,8 +188,8 @@
     warnings.iter().map(|warning| format!("warning: {warning}"))
 }
 
-/// When a change is to land, since 1970.
-fn parse_landing_time(text: &str) -> Result<Duration, CommandError> {
+/// Parses the time at which a change is to be committed, since the Unix epoch.
+fn parse_commit_time(text: &str) -> Result<Duration, CommandError> {
     let expected = "expected a moment such as 2026-12-01T22:00:00Z or +90m";
     parse_time(text, now()).ok_or_else(|| invalid(format!("--at-time: {expected}, found {text}")))
 }
--- a/crates/cli/src/plans/files.rs
+++ b/crates/cli/src/plans/files.rs
@@ -17,7 +17,7 @@
         let audit_log = self.query(What::AuditLog)?.revisions;
         let status = self.query(What::Status)?;
         let version = state.version;
-        // The audit log was read later, and may have more.
+        // The audit log was read after the state, and may contain newer entries.
         let audit_log = audit_log.into_iter();
         let audit_log = audit_log.filter(|revision| revision.version <= version);
         let hosts = status.last.hosts.iter().filter(|host| host.heard_of);
@@ -91,7 +91,7 @@
 /// Builds a store from a snapshot.
 pub fn restore(snapshot: &Path, store: &Path, output: &Output) -> Result<(), CommandError> {
     if store.exists() {
-        // A store that is in use must not be moved away from under its process.
+        // A store must not be renamed while a process has it open.
         if let Err(fault @ StoreFault::Locked) = Store::open(store, u64::MAX) {
             return Err(could_not_run(format!("{}: {fault}", store.display())));
         }
--- a/crates/cli/src/plans/json.rs
+++ b/crates/cli/src/plans/json.rs
@@ -1,4 +1,4 @@
-//! The JSON form of a change.
+//! JSON representation of changes.
 
 use grebecleat_catalog::change::{Change, ScheduledChange};
 use grebecleat_catalog::records::{Drain, Node, Plan, Volume};
@@ -9,7 +9,7 @@
     changes.iter().map(change_to_json).collect()
 }
 
-/// A change as JSON: its subject, and under `to` what it becomes (null: it is removed).
+/// Returns a change as JSON: its subject, and under `to` the new value (null if it is removed).
 pub fn change_to_json(change: &Change) -> Value {
     match change {
         Change::Plan { name, to } => json!({ "plan": &**name, "to": to.as_ref().map(plan) }),
--- a/crates/cli/src/plans/output.rs
+++ b/crates/cli/src/plans/output.rs
@@ -1,10 +1,10 @@
-//! What a command prints: lines of text, or one JSON value.
+//! Output of a command: lines of text, or one JSON value.
 
 use crate::args::Format;
 use serde_json::Value;
 use std::io::Write;
 
-/// Prints results in the form that was asked for.
+/// Prints results in the format that the operator chose.
 pub struct Output {
     format: Format,
 }
@@ -16,7 +16,7 @@
 
     pub fn print(&self, lines: impl IntoIterator<Item = String>, value: Value) {
         let mut out = std::io::stdout().lock();
-        // An error means that whoever reads it has seen enough.
+        // Write errors are ignored: the reader has closed the pipe.
         let _ = match self.format {
             Format::Text => lines
                 .into_iter()
--- a/crates/cli/src/plans/queries.rs
+++ b/crates/cli/src/plans/queries.rs
@@ -1,4 +1,4 @@
-//! Commands that show the service's state: `list`, `show`, `history`, `diff`, `status` and `moves`.
+//! Commands that query the service's state: `list`, `show`, `history`, `diff`, `status` and `moves`.
 
 use super::json::{change_to_json, changes_to_json};
 use super::{catalog, subject, Session};
@@ -16,7 +16,7 @@
 use serde_json::{json, Value};
 use std::path::Path;
 
-/// Units a second below which reservations count as met.
+/// Shortfall, in units per second, below which reservations count as met.
 const NEGLIGIBLE_UNITS: f64 = 0.01;
 
 impl Session {
@@ -61,7 +61,7 @@
 
     pub(super) fn history(&mut self, most: u32, of: Option<&str>) -> Result<(), CommandError> {
         let subject = of.map(parse_subject).transpose()?;
-        // All of them where some are left out afterwards.
+        // Fetch all entries if they are filtered by subject below.
         let limit = if subject.is_some() { 0 } else { most };
         let result = self.client.query(What::AuditLog, 0, limit, Vec::new());
         let audit_log = result.map_err(could_not_run)?;
@@ -157,11 +157,11 @@
     changes.any(|change| change.subject() == *subject)
 }
 
-/// A subject from one argument, such as `volume 103`.
+/// Parses a subject given as one argument, such as `volume 103`.
 fn parse_subject(text: &str) -> Result<Subject, CommandError> {
     let (kind, name) = text
         .split_once(' ')
-        .ok_or_else(|| invalid("--of: expected such as 'volume 103'"))?;
+        .ok_or_else(|| invalid("--of: expected a kind and a name such as 'volume 103'"))?;
     subject(kind, name.trim())
 }
 
@@ -196,7 +196,7 @@
     })
 }
 
-/// How what is in service differs from what the settings file declares.
+/// Formats one difference between the settings file and the catalog in service.
 fn difference_lines(difference: &Change, declared: &Catalog, in_service: &Catalog) -> Vec<String> {
     let subject = difference.subject();
     let in_file = declared.now(&subject);
@@ -213,7 +213,7 @@
     ]
 }
 
-/// Units a second of reservations that cannot be met, and that no node can reach.
+/// Formats the units per second of reservations that cannot be met, and of those that no node can reach.
 fn reservations_line(short: f64, out_of_reach: f64) -> String {
     if short < NEGLIGIBLE_UNITS && out_of_reach < NEGLIGIBLE_UNITS {
         return "all reserves can be met, or no capacities are stated".into();
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -19,8 +19,8 @@
     Ok(())
 }
 
-/// Prints the sums of the logs' statistics lines: one row for each `every` seconds, grouped by the
-/// first `parts` parts of a cause's name.
+/// Prints the sums of the statistics lines in these logs: one row per `every` seconds and cause, where
+/// causes are grouped by the first `parts` parts of their names.
 pub fn shed_report(logs: &[PathBuf], every: u64, parts: usize) -> Result<(), CommandError> {
     let mut table = StatisticsTable::default();
     let mut lines = 0;
--- a/crates/cli/src/run.rs
+++ b/crates/cli/src/run.rs
@@ -18,7 +18,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 use tracing::info;
 
-/// An opened store, and its contents at this start.
+/// An open store, and the contents that were read from it.
 type OpenStore = (GroupCommit, StoreContents);
 
 /// Runs the host until it has shut down.
@@ -66,7 +66,7 @@
     Ok(())
 }
 
-/// Returns this host's index in the settings; its name may be omitted where there is one host.
+/// Returns this host's index in the settings. The name may be omitted if there is a single host.
 fn host_index(settings: &Settings, name: Option<&str>) -> Result<usize, CommandError> {
     let names = host_names(settings);
     let expected = || format!("--host: expected one of {}", names.join(", "));
@@ -85,8 +85,8 @@
     hosts.map(|host| host.name.as_str()).collect()
 }
 
-/// Returns the indexes and addresses of the other hosts: as given by `--peer`, else as in the
-/// settings.
+/// Returns the indexes and addresses of the other hosts: those given by `--peer`, or else those from
+/// the settings.
 fn peers(
     settings: &Settings,
     host: usize,
@@ -99,7 +99,7 @@
         .iter()
         .map(|text| parse_peer(text, &names))
         .collect::<Result<_, _>>()?;
-    // If a peer is given twice, the first address counts.
+    // If a peer is given more than once, the first address wins.
     for (index, address) in given.into_iter().rev() {
         addresses[index] = Some(address);
     }
@@ -110,7 +110,7 @@
         .collect())
 }
 
-/// Parses `NAME=ADDRESS` into a host's index and its address.
+/// Parses `NAME=ADDRESS`, and returns the host's index and address.
 fn parse_peer(text: &str, names: &[&str]) -> Result<(usize, SocketAddr), CommandError> {
     let parse = || {
         let (name, address) = text.split_once('=')?;
@@ -125,7 +125,7 @@
     })
 }
 
-/// Returns the portals of this host; an address given overrides that of the first.
+/// Returns the portals of this host. `given` overrides the address of the first one.
 fn portals(settings: &Settings, host: usize, given: Option<SocketAddr>) -> Vec<PortalSpec> {
     let portals = settings.portals.iter();
     let mut portals: Vec<PortalSpec> = portals
@@ -138,8 +138,8 @@
     portals
 }
 
-/// Returns the connection to the state service, if the settings name one, and the catalog that the
-/// store holds.
+/// Returns the address of the state service and the catalog from the store; `None` if the settings
+/// define no state service.
 fn state_link(
     settings: &Settings,
     given: Option<SocketAddr>,
@@ -172,7 +172,7 @@
     }))
 }
 
-/// Starts the host's portals. A portal that cannot start ends the process.
+/// Starts the host's portals. Exits the process if one cannot start.
 fn start_portals(
     settings: &Arc<Settings>,
     host_name: &str,
@@ -196,12 +196,12 @@
     }
 }
 
-/// Returns a seed that differs from start to start.
+/// Returns a seed that differs at each start.
 fn random_seed() -> u64 {
     clock::now().as_nanos() as u64 ^ u64::from(std::process::id()) << 40
 }
 
-/// Returns the wall clock, in milliseconds since 1970.
+/// Returns the wall clock time, in milliseconds since the Unix epoch.
 fn millis_since_1970() -> u64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     now.unwrap_or_default().as_millis() as u64
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The script of the scenario that is part of the program.
+/// Default script, embedded in the program.
 const BAD_DAY: &str = include_str!("../../../examples/bad-day.star");
 const BAD_DAY_FILE: &str = "bad-day.star";
 
@@ -37,7 +37,7 @@
     print_plan(&settings, plan);
     let bar = progress_bar(plan.length);
     let program = std::env::current_exe()?;
-    let seen = scenario::run_scenario(scenario::ScenarioOptions {
+    let result = scenario::run_scenario(scenario::ScenarioOptions {
         settings: &settings,
         script: &script,
         kinds: &kinds,
@@ -52,19 +52,19 @@
             ));
         }),
     });
-    let seen = seen.map_err(std::io::Error::from)?;
+    let result = result.map_err(std::io::Error::from)?;
     bar.finish_and_clear();
-    print_clients(&settings, &seen.counts);
-    print_changes(&settings, &seen.counts, &seen.changes);
+    print_clients(&settings, &result.counts);
+    print_changes(&settings, &result.counts, &result.changes);
     let verdict = trace_checks::verdict(&dir, &settings)?;
     trace_checks::print_verdict(&verdict, &dir);
-    let passed = passed(&seen, &verdict);
+    let passed = passed(&result, &verdict);
     if passed && args.dir.is_none() && !args.keep {
         std::fs::remove_dir_all(&dir)?;
     } else {
         println!("traces and logs: {}", dir.display());
     }
-    print_disks(&seen.disks);
+    print_disks(&result.disks);
     println!("{}", verdict.line());
     if passed {
         Ok(())
@@ -73,17 +73,17 @@
     }
 }
 
-/// Returns whether no rule was broken, and no client or initiator got a wrong, missing or second
-/// answer.
-fn passed(seen: &ScenarioResult, verdict: &Verdict) -> bool {
-    let clients_passed = seen.counts.wrong_content == 0 && seen.counts.doubled == 0;
-    let disks = &seen.disks;
+/// Returns whether no rule was broken, and no client or initiator got a wrong, missing or duplicate
+/// response.
+fn passed(result: &ScenarioResult, verdict: &Verdict) -> bool {
+    let clients_passed = result.counts.wrong_content == 0 && result.counts.doubled == 0;
+    let disks = &result.disks;
     let disks_passed = disks.wrong == 0 && disks.missing == 0 && disks.doubled == 0;
     trace_checks::passed(verdict) && clients_passed && disks_passed
 }
 
-/// Returns the script's path. Writes the embedded script into the folder if it is named and does
-/// not exist.
+/// Returns the script's path. If the default script is named but does not exist, the embedded copy is
+/// written into the folder.
 fn script_in(script: &Path, dir: &Path) -> Result<PathBuf, CommandError> {
     if script.exists() || !script.ends_with(BAD_DAY_FILE) {
         return Ok(script.to_path_buf());
@@ -93,7 +93,7 @@
     Ok(path)
 }
 
-/// Returns the kinds of faults to inject in place of the script's own; none: the script's.
+/// Returns the kinds of faults that override the script's; empty if the script's are to be injected.
 fn kinds(args: &ScenarioArgs) -> Result<Vec<Kind>, CommandError> {
     let kinds = fault_kinds(args.kinds.as_deref())?;
     let Some(journal) = &args.journal else {
--- a/crates/cli/src/scenario_report.rs
+++ b/crates/cli/src/scenario_report.rs
@@ -1,4 +1,4 @@
-//! The report of a scenario: its clients, its changes of the catalog and its initiators.
+//! Report of a scenario: its clients, its catalog changes and its iSCSI initiators.
 
 use grebecleat_settings::Settings;
 use grebecleat_testbed::clients::ClientCounts;
@@ -6,10 +6,10 @@
 use grebecleat_testbed::scenario::CatalogChangeResult;
 use std::ops::Range;
 
-/// Seconds before and after a change over which its volumes' service is compared.
+/// Seconds before and after a change over which the timeliness of its volumes is compared.
 const COMPARED_SECONDS: u64 = 4;
 
-/// Prints counts of requests, and service by plan.
+/// Prints counts of requests, and the fractions that were timely and late by plan.
 pub fn print_clients(settings: &Settings, counts: &ClientCounts) {
     println!(
         "clients: {} tries, {} done, {} deferred, {} abandoned; {} lost with their host, \
@@ -35,8 +35,8 @@
     }
 }
 
-/// Prints the result of each of the script's changes, and how the volumes that it names were served
-/// before and after.
+/// Prints the result of each of the script's catalog changes, and the timeliness of the volumes that it
+/// names before and after.
 pub fn print_changes(settings: &Settings, counts: &ClientCounts, changes: &[CatalogChangeResult]) {
     for change in changes {
         let words = change.words.join(", ");
@@ -56,7 +56,7 @@
         None => "nothing asked".into(),
     };
     let before = percent(at.saturating_sub(COMPARED_SECONDS)..at);
-    // Moving a volume may take a second.
+    // The second after the change is left out, since moving a volume may take that long.
     let after = percent(at + 1..at + 1 + COMPARED_SECONDS);
     println!(
         "    volume {id}: in its SLO time in the {COMPARED_SECONDS} s before {before}, \
@@ -64,13 +64,13 @@
     );
 }
 
-/// Returns the volume that a change names.
+/// Returns the id of the volume that a change names, if it names one.
 fn volume_id(change: &str) -> Option<u64> {
     let rest = change.strip_prefix("volume ")?;
     rest.split(' ').next()?.parse().ok()
 }
 
-/// Prints counts of the iSCSI initiators.
+/// Prints the counts of the iSCSI initiators, if they sent any commands.
 pub fn print_disks(disks: &Disks) {
     if disks.commands == 0 {
         return;
--- a/crates/cli/src/testbed.rs
+++ b/crates/cli/src/testbed.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Runs nodes of a deployment until the process is ended.
+/// Runs nodes of a deployment until the process is killed.
 pub fn nodes(args: NodeArgs) -> Result<(), CommandError> {
     let context = script_context(&args.script, pb::Role::Node, "nodes")?;
     let known = |id: &u32| context.settings.nodes.iter().any(|node| node.id == *id);
@@ -25,7 +25,7 @@
     Ok(())
 }
 
-/// Runs the discovery service until the process is ended.
+/// Runs the discovery service until the process is killed.
 pub fn discovery_service(args: DiscoveryServiceArgs) -> Result<(), CommandError> {
     let context = script_context(&args.script, pb::Role::List, "list")?;
     let listen = address(args.listen, context.settings.list.address, "--listen")?;
--- a/crates/cli/src/trace_checks.rs
+++ b/crates/cli/src/trace_checks.rs
@@ -34,7 +34,7 @@
     verdict.violations.is_empty() && verdict.commands.fine()
 }
 
-/// Prints broken rules with their frames, and counts.
+/// Prints the rules that were broken, with the frames that show it, and the counts.
 pub fn print_verdict(verdict: &Verdict, dir: &Path) {
     for violation in &verdict.violations {
         let rule = RULES[usize::from(violation.rule) - 1];
@@ -58,7 +58,7 @@
     }
 }
 
-/// Prints the time from the notification of a revision until it was in force at every host.
+/// Prints how long revisions took from their notification until they were in force at every host.
 fn print_revision_times(verdict: &Verdict) {
     let mut times: Vec<Duration> = verdict
         .revision_times
