--- a/crates/cli/tests/crowded_discovery.rs
+++ b/crates/cli/tests/crowded_discovery.rs
@@ -31,23 +31,25 @@
 struct Fleet {
     nodes: Vec<Node>,
     discovery: CrowdedDiscovery,
-    hosts: Vec<Live>,
+    hosts: Vec<HostProcess>,
 }
 
 impl Fleet {
     /// All hosts start at once, with the list as it was before.
     fn start() -> Fleet {
-        let nodes: Vec<Node> = (0..NODES).map(|_| node(|_| says(GOOD))).collect();
+        let nodes: Vec<Node> = (0..NODES)
+            .map(|_| node(|_| respond_with(OK_RESPONSE)))
+            .collect();
         let entries: Vec<Value> = (0..NODES).map(|n| entry(&nodes, n, "ready")).collect();
         let discovery = CrowdedDiscovery::start(entries, COST);
         let known = discovery.known();
         let begin = |n: usize| {
             let fields = json!({"known": known, "seed": format!("{:016x}", 77 + n)});
-            Live::begin_with(discovery.address, 64, many_hosts(), fields)
+            HostProcess::spawn_with(discovery.address, 64, many_hosts(), fields)
         };
-        let mut hosts: Vec<Live> = (0..PROCESSES).map(begin).collect();
+        let mut hosts: Vec<HostProcess> = (0..PROCESSES).map(begin).collect();
         for host in &mut hosts {
-            host.is_ready();
+            host.wait_until_ready();
         }
         Fleet {
             nodes,
@@ -107,15 +109,15 @@
                     if ended.load(Ordering::SeqCst) {
                         return;
                     }
-                    host.ask(&request("read", &format!("{n}-{turn}"), 0, 7, 500));
+                    host.status_of(&request("read", &format!("{n}-{turn}"), 0, 7, 500));
                     sleep(ms(100));
                 }
             });
         }
         sleep((TERM + DRAIN_GRACE).saturating_sub(changed_at.elapsed()));
-        let before = seen(&fleet.nodes[0]).len();
+        let before = received_requests(&fleet.nodes[0]).len();
         sleep(TERM);
-        let late = seen(&fleet.nodes[0]).len() - before;
+        let late = received_requests(&fleet.nodes[0]).len() - before;
         ended.store(true, Ordering::SeqCst);
         late
     });
@@ -126,19 +128,19 @@
 /// Discovery has told what it has written, whatever the host has given up meanwhile.
 #[test]
 fn a_response_that_arrives_after_its_call_was_repeated_counts() {
-    let node = node(|_| says(GOOD));
-    let discovery = Hand::start();
+    let node = node(|_| respond_with(OK_RESPONSE));
+    let discovery = ManualServer::start();
     let known = json!({"rev": 1, "all": true, "targets": [target("s-1", &node, 0, "ready")]});
-    let host = Live::begin_with(discovery.address, 64, settings(), json!({"known": known}));
+    let host = HostProcess::spawn_with(discovery.address, 64, settings(), json!({"known": known}));
     let mut first = discovery.next();
     let again = discovery.next();
     assert_ne!(first.conn, again.conn, "it has dialled anew");
-    first.lists(2, false, json!([target("s-1", &node, 0, "draining")]));
+    first.respond_with_list(2, false, json!([target("s-1", &node, 0, "draining")]));
     let until = Instant::now() + ms(3000);
     let is_sent = |turn| {
-        let before = seen(&node).len();
-        host.ask(&request("read", &format!("late-{turn}"), 0, 7, 500));
-        seen(&node).len() > before
+        let before = received_requests(&node).len();
+        host.status_of(&request("read", &format!("late-{turn}"), 0, 7, 500));
+        received_requests(&node).len() > before
     };
     let refused = (0..).find(|turn| !is_sent(*turn) || Instant::now() > until);
     assert!(
@@ -151,21 +153,24 @@
 #[test]
 fn an_endpoint_list_of_thousands_of_indented_entries_is_accepted() {
     const ENTRIES: u32 = 3200;
-    let node = node(|_| says(GOOD));
+    let node = node(|_| respond_with(OK_RESPONSE));
     let entries: Vec<Value> = (0..ENTRIES)
         .map(|n| target(&format!("s-{n:08x}"), &node, n, "ready"))
         .collect();
     let body = json!({"rev": 1, "all": true, "targets": entries});
     let body = serde_json::to_string_pretty(&body).unwrap();
     assert!(body.len() > 600_000, "{} bytes", body.len());
-    let discovery = Hand::start();
-    let mut host = Live::begin(discovery.address, 64, settings());
-    discovery.next().answers(&body);
+    let discovery = ManualServer::start();
+    let mut host = HostProcess::spawn(discovery.address, 64, settings());
+    discovery.next().respond(&body);
     // The watch that follows shows that the list was taken.
     let next = discovery.next();
     assert!(next.text.contains("since=1&"), "asked for {}", next.text);
-    host.is_ready();
-    assert_eq!(host.ask(&request("read", "one", 3199, 7, 2900)), Some(200));
+    host.wait_until_ready();
+    assert_eq!(
+        host.status_of(&request("read", "one", 3199, 7, 2900)),
+        Some(200)
+    );
 }
 
 /// A list from before the start is acted on for three seconds; a node that turns requests away gets
@@ -173,27 +178,30 @@
 #[test]
 fn a_host_that_discovery_always_refuses_sends_only_to_nodes_that_complete_requests() {
     const CACHED_LEASE: Duration = ms(3000);
-    let (serves, turns_away) = (node(|_| says(GOOD)), node(|_| says(AWAY)));
+    let (serves, turns_away) = (
+        node(|_| respond_with(OK_RESPONSE)),
+        node(|_| respond_with(REJECTED_RESPONSE)),
+    );
     let targets = json!([
         target("s-0", &serves, 0, "ready"),
         target("s-1", &turns_away, 1, "ready")
     ]);
     let known = json!({"rev": 1, "all": true, "targets": targets});
-    let discovery = Hand::start();
+    let discovery = ManualServer::start();
     let address = discovery.address;
     let began = Instant::now();
-    let host = Live::begin_with(address, 64, settings(), json!({"known": known}));
+    let host = HostProcess::spawn_with(address, 64, settings(), json!({"known": known}));
     let answers = AtomicBool::new(false);
     let ended = AtomicBool::new(false);
     std::thread::scope(|scope| {
         let (answers, ended, host) = (&answers, &ended, &host);
         scope.spawn(move || {
             while !ended.load(Ordering::SeqCst) {
-                if let Some(mut call) = discovery.now() {
+                if let Some(mut call) = discovery.try_next() {
                     if answers.load(Ordering::SeqCst) {
-                        call.lists(1, false, json!([]));
+                        call.respond_with_list(1, false, json!([]));
                     } else {
-                        call.says("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+                        call.send_raw("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
                     }
                 }
                 sleep(ms(5));
@@ -205,12 +213,17 @@
                     if ended.load(Ordering::SeqCst) {
                         return;
                     }
-                    host.ask(&request("read", &format!("{shard}-{turn}"), shard, 7, 300));
+                    host.status_of(&request("read", &format!("{shard}-{turn}"), shard, 7, 300));
                     sleep(ms(20));
                 }
             });
         }
-        let counts = || (seen(&serves).len(), seen(&turns_away).len());
+        let counts = || {
+            (
+                received_requests(&serves).len(),
+                received_requests(&turns_away).len(),
+            )
+        };
         sleep((CACHED_LEASE + DRAIN_GRACE).saturating_sub(began.elapsed()));
         let before = counts();
         sleep(ms(4000));
@@ -239,16 +252,16 @@
 /// waits there. Where nothing was waited for, it is one, or discovery would be called without end.
 #[test]
 fn a_discovery_that_closes_each_connection_after_its_response_is_watched() {
-    let node = node(|_| says(GOOD));
-    let discovery = Hand::start();
-    let _host = Live::begin(discovery.address, 64, settings());
-    let answers = |call: &mut Came, revision: u64, targets: Value| {
+    let node = node(|_| respond_with(OK_RESPONSE));
+    let discovery = ManualServer::start();
+    let _host = HostProcess::spawn(discovery.address, 64, settings());
+    let answers = |call: &mut HeldRequest, revision: u64, targets: Value| {
         let body = json!({"rev": revision, "all": revision == 1, "targets": targets}).to_string();
         let length = body.len();
-        call.says(&format!(
+        call.send_raw(&format!(
             "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
         ));
-        call.ends();
+        call.close();
     };
     for revision in 1..4 {
         let mut call = discovery.next();
@@ -275,25 +288,25 @@
 /// then breaks, the complete list is asked for.
 #[test]
 fn a_revision_that_went_backwards_is_not_resumed() {
-    let node = node(|_| says(GOOD));
-    let discovery = Hand::start();
-    let _host = Live::begin(discovery.address, 64, settings());
+    let node = node(|_| respond_with(OK_RESPONSE));
+    let discovery = ManualServer::start();
+    let _host = HostProcess::spawn(discovery.address, 64, settings());
     let targets = json!([target("s-1", &node, 0, "ready")]);
-    discovery.next().lists(9, true, targets.clone());
-    discovery.next().lists(3, false, json!([]));
+    discovery.next().respond_with_list(9, true, targets.clone());
+    discovery.next().respond_with_list(3, false, json!([]));
     let complete = discovery.next();
     assert!(!complete.text.contains("since="), "{}", complete.text);
-    complete.ends();
+    complete.close();
     let mut again = discovery.next();
     assert!(!again.text.contains("since="), "{}", again.text);
-    again.lists(3, true, targets);
+    again.respond_with_list(3, true, targets);
     let watch = discovery.next();
     assert!(
         watch.text.contains("since=3&timeout_ms=2000 "),
         "{}",
         watch.text
     );
-    watch.ends();
+    watch.close();
     let resumed = discovery.next();
     assert!(
         resumed.text.contains("since=3&timeout_ms=0 "),
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -84,7 +84,7 @@
 
 /// A list that goes down, with all its connections, and returns.
 struct Outage {
-    list: Discovery,
+    list: StubDiscovery,
     address: SocketAddr,
     up: Arc<Mutex<Option<Up>>>,
 }
@@ -94,7 +94,7 @@
     fn of(targets: Value) -> Outage {
         let address = free_address();
         Outage {
-            list: discovery(targets),
+            list: start_discovery(targets),
             address,
             up: Arc::default(),
         }
@@ -174,7 +174,7 @@
             .unwrap()
             .to_string()
     };
-    seen(node).iter().map(id).collect()
+    received_requests(node).iter().map(id).collect()
 }
 
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -187,13 +187,16 @@
 
 fn is_back_and_called(when: When, first: &'static str) {
     let what = format!("{when:?}, {first:.4}");
-    let (old, new) = (node(|_| says(GOOD)), node(|_| says(GOOD)));
+    let (old, new) = (
+        node(|_| respond_with(OK_RESPONSE)),
+        node(|_| respond_with(OK_RESPONSE)),
+    );
     let only_old = json!([target("s-1", &old, 0, "ready")]);
     let mut outage = Outage::of(only_old.clone());
     if when != When::AtStart {
         outage.returns();
     }
-    let mut live = Live::begin(outage.address, SOCKETS, settings());
+    let mut live = HostProcess::spawn(outage.address, SOCKETS, settings());
     match when {
         When::AtStart => {
             let until = Instant::now() + Duration::from_secs(20);
@@ -202,7 +205,7 @@
                 sleep(ms(5));
             }
         }
-        _ => live.is_ready(),
+        _ => live.wait_until_ready(),
     }
     let _idle = Idle::start(live.address, 4 * SOCKETS as usize, first);
     match when {
@@ -228,7 +231,7 @@
                 settings(),
             );
             live.signal("-HUP");
-            live.says("connection lost", 1);
+            live.wait_for_log("connection lost", 1);
             outage = there;
             assert_eq!(ask(live.address, READY), Some(200), "{what}");
             assert_eq!(requests(live.address, "early", 2), [Some(200); 2], "{what}");
@@ -239,7 +242,7 @@
         }
     }
     let before = outage.calls().len();
-    outage.list.tell(json!([
+    outage.list.publish(json!([
         target("s-1", &old, 0, "draining"),
         target("s-2", &new, 0, "ready")
     ]));
@@ -267,7 +270,7 @@
         .count();
     assert!(fds <= SOCKETS as usize, "{what}: {fds} descriptors");
     if when == When::AfterTerm {
-        assert!(live.ends(), "{what}");
+        assert!(live.wait_for_exit(), "{what}");
     }
 }
 
@@ -298,9 +301,9 @@
 
 #[test]
 fn idle_clients_that_reconnect_again_and_again_do_not_block_active_ones() {
-    let node = node(|_| says(GOOD));
-    let list = discovery(json!([target("s-1", &node, 0, "ready")]));
-    let live = Live::start(&list, SOCKETS);
+    let node = node(|_| respond_with(OK_RESPONSE));
+    let list = start_discovery(json!([target("s-1", &node, 0, "ready")]));
+    let live = HostProcess::start(&list, SOCKETS);
     let idle = Idle::start(live.address, 900, "");
     assert_eq!(requests(live.address, "t", 5), [Some(200); 5]);
     assert_eq!(ids(&node), ["t-0", "t-1", "t-2", "t-3", "t-4"]);
--- a/crates/cli/tests/platform.rs
+++ b/crates/cli/tests/platform.rs
@@ -1,6 +1,6 @@
-//! The program as a live host on the platform, against a small list and scripted nodes on loopback.
+//! `grebecleat platform` as a process on loopback, with a stub discovery service and scripted nodes.
 //!
-//! Verdicts come from what crossed the sockets: each node keeps every exchange that came whole.
+//! Assertions rest on what crossed the sockets: each node records every complete request.
 
 mod rig;
 
@@ -16,7 +16,7 @@
 
 #[test]
 fn a_request_and_its_response_are_forwarded_unchanged() {
-    let (node, _list, live) = one_node(|_| says(GOOD));
+    let (node, _list, live) = one_node(|_| respond_with(OK_RESPONSE));
     let mut stream = TcpStream::connect(live.address).unwrap();
     for n in 0..3 {
         stream
@@ -25,7 +25,7 @@
         let (status, _, body) = answer(&mut stream).unwrap();
         assert_eq!((status, &body[..]), (200, &b"good"[..]));
     }
-    let seen = seen(&node);
+    let seen = received_requests(&node);
     assert_eq!(
         (seen.len(), *node.connections.lock().unwrap()),
         (3, 1),
@@ -51,47 +51,70 @@
     }
 }
 
-/// What never ran may be tried again or deferred, whatever the traffic class; what may have run,
-/// never for one that is unrepeatable.
+/// An attempt that provably never ran may be retried or deferred in any traffic class. If it may have run,
+/// a non-idempotent request must not be retried.
 #[test]
 fn a_non_idempotent_request_is_retried_only_after_proof_that_the_attempt_never_ran() {
     let stalled = "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ngood";
     let huge = "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\ngood";
     let both = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\ngood";
-    let cases: [(&str, Does, &[u16], usize); 9] = [
-        ("turned away, then done", says(AWAY), &[200], 2),
+    let cases: [(&str, ScriptedResponse, &[u16], usize); 9] = [
+        (
+            "rejected, then completed",
+            respond_with(REJECTED_RESPONSE),
+            &[200],
+            2,
+        ),
         (
             "503 without its header",
-            says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
+            respond_with("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"),
             &[502],
             1,
         ),
         (
             "500",
-            says("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
+            respond_with("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"),
+            &[502],
+            1,
+        ),
+        (
+            "closes after it received the complete request",
+            ScriptedResponse::SendAndClose(Vec::new()),
+            &[502],
+            1,
+        ),
+        (
+            "noise",
+            respond_with("~~~ no answer ~~~\r\n\r\n"),
             &[502],
             1,
         ),
+        ("a truncated response", respond_with(stalled), &[502], 1),
+        ("a response of 3 GB", respond_with(huge), &[502], 1),
+        ("both lengths", respond_with(both), &[502], 1),
         (
-            "hangs up after it came whole",
-            Does::SaysAndEnds(Vec::new()),
+            "no length",
+            respond_with("HTTP/1.1 200 OK\r\n\r\ngood"),
             &[502],
             1,
         ),
-        ("noise", says("~~~ no answer ~~~\r\n\r\n"), &[502], 1),
-        ("an answer that stops half way", says(stalled), &[502], 1),
-        ("an answer of 3 GB", says(huge), &[502], 1),
-        ("both lengths", says(both), &[502], 1),
-        ("no length", says("HTTP/1.1 200 OK\r\n\r\ngood"), &[502], 1),
     ];
-    for (what, does, wanted, attempts) in cases {
-        let (node, _list, live) = one_node(move |n| if n == 0 { does.clone() } else { says(GOOD) });
-        let status = live.ask(&request("once", "t", 0, 7, 2500)).expect(what);
-        assert!(wanted.contains(&status), "{what}: {status}");
-        assert_eq!(seen(&node).len(), attempts, "{what}");
-        // The host is of use still.
+    for (what, response, expected, attempts) in cases {
+        let (node, _list, live) = one_node(move |n| {
+            if n == 0 {
+                response.clone()
+            } else {
+                respond_with(OK_RESPONSE)
+            }
+        });
+        let status = live
+            .status_of(&request("once", "t", 0, 7, 2500))
+            .expect(what);
+        assert!(expected.contains(&status), "{what}: {status}");
+        assert_eq!(received_requests(&node).len(), attempts, "{what}");
+        // The host still serves requests.
         assert_eq!(
-            live.ask(&request("once", "u", 0, 8, 2500)),
+            live.status_of(&request("once", "u", 0, 8, 2500)),
             Some(200),
             "{what}"
         );
@@ -100,7 +123,8 @@
 
 #[test]
 fn a_complete_response_counts_whatever_precedes_and_follows_it() {
-    let early = format!("HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n{GOOD}");
+    let early =
+        format!("HTTP/1.1 103 Early\r\nA: b\r\n\r\nHTTP/1.1 100 Continue\r\n\r\n{OK_RESPONSE}");
     let chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\ngo\r\n2\r\nod\r\n0\r\n\r\n"
             .to_string();
@@ -108,14 +132,14 @@
         .to_string();
     let cases = [
         early,
-        format!("{GOOD}{GOOD}"),
-        format!("{GOOD}~~~"),
+        format!("{OK_RESPONSE}{OK_RESPONSE}"),
+        format!("{OK_RESPONSE}~~~"),
         chunked,
         unread,
     ];
     for text in cases {
-        let told = text.clone();
-        let (_node, _list, live) = one_node(move |_| says(&told));
+        let response = text.clone();
+        let (_node, _list, live) = one_node(move |_| respond_with(&response));
         for n in 0..3 {
             let mut stream = TcpStream::connect(live.address).unwrap();
             stream
@@ -127,7 +151,7 @@
     }
 }
 
-/// The pages speak of 64 KiB at most; nodes were seen to give three times that.
+/// The platform's pages state a maximum of 64 KiB, but nodes have sent three times that.
 #[test]
 fn a_large_response_is_forwarded_completely_and_its_connection_stays_open() {
     let data: String = (0..200_000)
@@ -137,13 +161,13 @@
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{data}",
         data.len()
     );
-    let (node, _list, live) = one_node(move |_| says(&text));
+    let (node, _list, live) = one_node(move |_| respond_with(&text));
     for n in 0..4 {
         let mut stream = TcpStream::connect(live.address).unwrap();
         stream
             .write_all(request("read", &format!("t{n}"), 0, n, 2500).as_bytes())
             .unwrap();
-        sleep(ms(50)); // more than the socket takes at once waits
+        sleep(ms(50)); // more data waits than the socket buffer holds
         let (status, _, body) = answer(&mut stream).unwrap();
         assert!(
             status == 200 && body == data.as_bytes(),
@@ -156,8 +180,8 @@
 
 #[test]
 fn a_shed_request_is_answered_with_retry_after() {
-    // Nobody holds shard 5.
-    let (node, _list, live) = one_node(|_| says(GOOD));
+    // No node holds shard 5.
+    let (node, _list, live) = one_node(|_| respond_with(OK_RESPONSE));
     let mut stream = TcpStream::connect(live.address).unwrap();
     let began = Instant::now();
     stream
@@ -168,13 +192,16 @@
         status == 503 && head.contains("Retry-After: 0.500"),
         "{status} {head}"
     );
-    assert!(began.elapsed() < ms(2000), "at once, not near its expiry");
-    assert_eq!(seen(&node), Vec::<String>::new());
+    assert!(
+        began.elapsed() < ms(2000),
+        "rejected only near its deadline"
+    );
+    assert_eq!(received_requests(&node), Vec::<String>::new());
 }
 
 #[test]
 fn a_malformed_request_gets_a_client_error_and_reaches_no_node() {
-    let (node, _list, live) = one_node(|_| says(GOOD));
+    let (node, _list, live) = one_node(|_| respond_with(OK_RESPONSE));
     let good = request("once", "t", 0, 7, 2500);
     let change = |from: &str, to: &str| good.replacen(from, to, 1);
     let cases = [
@@ -196,14 +223,14 @@
         change("X-Txn: t\r\n", ""),
     ];
     for text in &cases {
-        let status = live.ask(text).unwrap_or(400);
+        let status = live.status_of(text).unwrap_or(400);
         assert!(
             (400..500).contains(&status) && status != 429,
             "{status}: {:.80}",
             text
         );
     }
-    // Half a request, and nothing at all: an error or a close within three seconds.
+    // After half a request, or none at all, the host must send an error or close within three seconds.
     let began = Instant::now();
     let mut half = TcpStream::connect(live.address).unwrap();
     half.write_all(&good.as_bytes()[..60]).unwrap();
@@ -215,25 +242,26 @@
     assert_eq!(answer(&mut half).map(|a| a.0), Some(408));
     assert_eq!(silent.read(&mut [0; 8]).unwrap_or(0), 0);
     assert!(began.elapsed() < Duration::from_secs(8));
-    assert_eq!(seen(&node), Vec::<String>::new());
-    assert_eq!(live.ask(&good), Some(200));
+    assert_eq!(received_requests(&node), Vec::<String>::new());
+    assert_eq!(live.status_of(&good), Some(200));
 }
 
 #[test]
 fn an_id_of_an_open_request_is_rejected_and_the_open_request_continues() {
-    let (node, _list, live) = one_node(|_| Does::Waits(ms(400), GOOD.into()));
+    let (node, _list, live) =
+        one_node(|_| ScriptedResponse::SendAfter(ms(400), OK_RESPONSE.into()));
     let text = request("once", "same", 0, 7, 2500);
     let mut first = TcpStream::connect(live.address).unwrap();
     first.write_all(text.as_bytes()).unwrap();
     sleep(ms(100));
-    assert_eq!(live.ask(&text), Some(409));
+    assert_eq!(live.status_of(&text), Some(409));
     assert_eq!(answer(&mut first).map(|a| a.0), Some(200));
-    assert_eq!(seen(&node).len(), 1);
+    assert_eq!(received_requests(&node).len(), 1);
 }
 
 #[test]
 fn requests_of_one_key_run_one_at_a_time() {
-    let (node, _list, live) = one_node(|_| Does::Waits(ms(60), GOOD.into()));
+    let (node, _list, live) = one_node(|_| ScriptedResponse::SendAfter(ms(60), OK_RESPONSE.into()));
     let mut streams: Vec<TcpStream> = (0..4)
         .map(|_| TcpStream::connect(live.address).unwrap())
         .collect();
@@ -244,8 +272,12 @@
     }
     let statuses: Vec<_> = streams.iter_mut().map(|s| answer(s).map(|a| a.0)).collect();
     assert_eq!(statuses, [Some(200); 4]);
-    assert_eq!(*node.connections.lock().unwrap(), 1, "never two at a time");
-    let ids: Vec<bool> = seen(&node)
+    assert_eq!(
+        *node.connections.lock().unwrap(),
+        1,
+        "attempts ran in parallel"
+    );
+    let ids: Vec<bool> = received_requests(&node)
         .iter()
         .zip(0..)
         .map(|(s, n)| s.contains(&format!("X-Txn: t{n}\r\n")))
@@ -255,21 +287,24 @@
 
 #[test]
 fn a_drained_node_gets_no_new_attempt_and_a_reload_moves_to_another_discovery() {
-    let (old, list, live) = one_node(|_| says(GOOD));
-    assert_eq!(live.ask(&request("once", "a", 0, 1, 2500)), Some(200));
-    let new = node(|_| says(GOOD));
-    // Dropped from a whole list, with another in its place.
-    list.tell(json!([target("s-2", &new, 0, "ready")]));
+    let (old, list, live) = one_node(|_| respond_with(OK_RESPONSE));
+    assert_eq!(live.status_of(&request("once", "a", 0, 1, 2500)), Some(200));
+    let new = node(|_| respond_with(OK_RESPONSE));
+    // The complete list no longer contains the node, and has another one in its place.
+    list.publish(json!([target("s-2", &new, 0, "ready")]));
     sleep(ms(700));
-    assert_eq!(live.ask(&request("once", "b", 0, 2, 2500)), Some(200));
-    assert_eq!((seen(&old).len(), seen(&new).len()), (1, 1));
-    // A bad file changes nothing.
+    assert_eq!(live.status_of(&request("once", "b", 0, 2, 2500)), Some(200));
+    assert_eq!(
+        (received_requests(&old).len(), received_requests(&new).len()),
+        (1, 1)
+    );
+    // An invalid file changes nothing.
     std::fs::write(&live.config, "{ \"name\": ").unwrap();
     live.signal("-HUP");
     sleep(ms(200));
-    assert_eq!(live.ask(&request("once", "c", 0, 3, 2500)), Some(200));
-    let third = node(|_| says(GOOD));
-    let other = discovery(json!([
+    assert_eq!(live.status_of(&request("once", "c", 0, 3, 2500)), Some(200));
+    let third = node(|_| respond_with(OK_RESPONSE));
+    let other = start_discovery(json!([
         target("s-2", &new, 0, "draining"),
         target("s-3", &third, 0, "ready")
     ]));
@@ -286,30 +321,37 @@
     assert_eq!(
         other.calls.lock().unwrap()[0],
         "/registry/instances",
-        "the new list whole"
+        "the complete list of the new service"
+    );
+    assert_eq!(live.status_of(&request("once", "d", 0, 4, 2500)), Some(200));
+    assert_eq!(
+        (
+            received_requests(&new).len(),
+            received_requests(&third).len()
+        ),
+        (2, 1)
     );
-    assert_eq!(live.ask(&request("once", "d", 0, 4, 2500)), Some(200));
-    assert_eq!((seen(&new).len(), seen(&third).len()), (2, 1));
 }
 
 #[test]
 fn after_sigterm_the_host_continues_to_serve_answers_open_requests_and_ends() {
-    let (_node, _list, mut live) = one_node(|_| Does::Waits(ms(900), GOOD.into()));
+    let (_node, _list, mut live) =
+        one_node(|_| ScriptedResponse::SendAfter(ms(900), OK_RESPONSE.into()));
     let mut open = TcpStream::connect(live.address).unwrap();
     open.write_all(request("once", "a", 0, 1, 2500).as_bytes())
         .unwrap();
     sleep(ms(50));
     live.signal("-TERM");
-    let told = Instant::now();
+    let signalled_at = Instant::now();
     sleep(ms(200));
-    let mut late = TcpStream::connect(live.address).expect("new connections are still taken");
+    let mut late = TcpStream::connect(live.address).expect("new connections are still accepted");
     late.write_all(request("once", "b", 0, 2, 2500).as_bytes())
         .unwrap();
     assert_eq!(answer(&mut open).map(|a| a.0), Some(200));
     assert_eq!(answer(&mut late).map(|a| a.0), Some(200));
-    // Its clients go on with what they have, until shortly before it may be killed: 3 s and 0.7 s
-    // after the signal.
-    sleep(ms(2400).saturating_sub(told.elapsed()));
+    // Clients may keep using their open connections until shortly before the host may be killed: 3 s and
+    // 0.7 s after the signal.
+    sleep(ms(2400).saturating_sub(signalled_at.elapsed()));
     open.write_all(request("once", "c", 0, 3, 2500).as_bytes())
         .unwrap();
     let (status, head, _) = answer(&mut open).unwrap();
@@ -317,21 +359,21 @@
         status == 200 && head.contains("Connection: close"),
         "{head}"
     );
-    assert!(told.elapsed() < ms(3700));
-    assert!(live.ends());
+    assert!(signalled_at.elapsed() < ms(3700));
+    assert!(live.wait_for_exit());
 }
 
 #[test]
 fn silent_clients_do_not_block_others() {
-    let node = node(|_| says(GOOD));
-    let list = discovery(json!([target("s-1", &node, 0, "ready")]));
-    let live = Live::start(&list, 64);
+    let node = node(|_| respond_with(OK_RESPONSE));
+    let list = start_discovery(json!([target("s-1", &node, 0, "ready")]));
+    let live = HostProcess::start(&list, 64);
     let silent: Vec<TcpStream> = (0..200)
         .filter_map(|_| TcpStream::connect(live.address).ok())
         .collect();
     for n in 0..5 {
         assert_eq!(
-            live.ask(&request("once", &format!("t{n}"), 0, n, 2500)),
+            live.status_of(&request("once", &format!("t{n}"), 0, n, 2500)),
             Some(200)
         );
     }
@@ -342,12 +384,12 @@
     silent.iter().for_each(|s| _ = s.shutdown(Shutdown::Both));
 }
 
-/// Whoever asks once and stays must not take the place of those who would ask.
+/// Clients that send one request and keep the connection must not block others from connecting.
 #[test]
 fn of_many_clients_that_stay_the_most_recent_are_retained() {
-    let node = node(|_| says(GOOD));
-    let list = discovery(json!([target("s-1", &node, 0, "ready")]));
-    let live = Live::start(&list, 100);
+    let node = node(|_| respond_with(OK_RESPONSE));
+    let list = start_discovery(json!([target("s-1", &node, 0, "ready")]));
+    let live = HostProcess::start(&list, 100);
     let mut stay: Vec<TcpStream> = (0..30)
         .map(|n| {
             let mut stream = TcpStream::connect(live.address).unwrap();
@@ -407,11 +449,11 @@
     let _ = std::fs::remove_file(path);
 }
 
-/// Bound to one of the machine's processors, all hosts there would wait for whatever keeps that one
-/// busy.
+/// If a host pinned itself to one processor, all hosts on the machine would wait for whatever keeps that
+/// processor busy.
 #[test]
 fn no_thread_is_restricted_to_fewer_processors_than_the_process() {
-    let (_node, _list, live) = one_node(|_| says(GOOD));
+    let (_node, _list, live) = one_node(|_| respond_with(OK_RESPONSE));
     let allowed = |path: std::path::PathBuf| {
         let status = std::fs::read_to_string(path.join("status")).unwrap();
         status
--- a/crates/cli/tests/process/mod.rs
+++ b/crates/cli/tests/process/mod.rs
@@ -1,9 +1,9 @@
-//! A program that a test starts in the background.
+//! Processes that a test starts in the background.
 
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
 
-/// A process, killed when it is dropped, and where it printed that it listens.
+/// A process, which is killed on drop, and the address from its ready line.
 pub struct Started(pub Child, pub String);
 
 impl Drop for Started {
@@ -13,7 +13,7 @@
     }
 }
 
-/// Starts it and waits until it listens. `log`: its standard error.
+/// Starts the process and waits for its ready line. `log`: where its standard error goes.
 pub fn start(command: &mut Command, log: Stdio) -> Started {
     let command = command.stdin(Stdio::null()).stdout(Stdio::piped());
     let mut child = command.stderr(log).spawn().unwrap();
--- a/crates/cli/tests/ready.rs
+++ b/crates/cli/tests/ready.rs
@@ -125,9 +125,9 @@
     address: SocketAddr,
     listen: SocketAddr,
     known: &Value,
-) -> (Option<Duration>, bool, Live) {
+) -> (Option<Duration>, bool, HostProcess) {
     let began = Instant::now();
-    let mut live = Live::begin_with(
+    let mut live = HostProcess::spawn_with(
         address,
         64,
         settings(),
@@ -135,7 +135,7 @@
     );
     while began.elapsed() < IN_TIME {
         let answered = list.answers.load(Ordering::SeqCst) > 0;
-        if live.ask("GET /health/ready HTTP/1.1\r\n\r\n") == Some(200) {
+        if live.status_of("GET /health/ready HTTP/1.1\r\n\r\n") == Some(200) {
             return (
                 Some(began.elapsed()),
                 answered || list.answers.load(Ordering::SeqCst) > 0,
@@ -154,7 +154,7 @@
 
 #[test]
 fn nine_in_ten_of_thirty_hosts_started_at_once_are_ready_in_time() {
-    let node = node(|_| says(GOOD));
+    let node = node(|_| respond_with(OK_RESPONSE));
     let targets = json!([target("s-1", &node, 0, "ready")]);
     // With a remembered list nobody waits for the list, however long that takes; without, nobody
     // can be of use before it has answered.
@@ -216,14 +216,14 @@
         );
         let (.., one) = all.iter().find(|(at, ..)| at.is_some()).unwrap();
         assert_eq!(
-            one.ask(&request("read", "t", 0, 7, 2900)),
+            one.status_of(&request("read", "t", 0, 7, 2900)),
             Some(200),
             "{trouble:?}, remembers {remembers}"
         );
     }
 }
 
-fn memory_kib(live: &Live) -> usize {
+fn memory_kib(live: &HostProcess) -> usize {
     let status =
         std::fs::read_to_string(format!("/proc/{}/status", live.child.id())).unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmHWM:"));
--- a/crates/cli/tests/rig/client.rs
+++ b/crates/cli/tests/rig/client.rs
@@ -1,4 +1,4 @@
-//! Clients of a fleet's hosts: closed loops of requests, and clients that send malformed ones.
+//! Clients of a fleet's hosts: closed-loop clients, and clients that send malformed requests.
 
 use super::host::Host;
 use super::site::{DEADLINE, REQUEST_UNITS};
@@ -10,10 +10,10 @@
 use std::thread::{sleep, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Time that a client waits for a response, beyond the deadline.
+/// Time that a client waits for a response after the deadline.
 const RESPONSE_SLACK: Duration = ms(500);
 
-/// What a client got for a request.
+/// Outcome of a request at its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientOutcome {
     /// A response with this status.
@@ -25,7 +25,7 @@
 }
 
 impl ClientOutcome {
-    /// Returns whether the client was told that a retry is harmless.
+    /// Returns whether the response says that the request did not run, so that a retry is harmless.
     pub fn is_rejection(self) -> bool {
         matches!(self, ClientOutcome::Status(429 | 503))
     }
@@ -42,8 +42,8 @@
     pub ended_at: Instant,
 }
 
-/// Returns a request of a traffic class for one piece of data. `left`: milliseconds to its deadline;
-/// `shard`: negative for a new object.
+/// Returns a request of a traffic class for one key. `left`: milliseconds to its deadline; `shard`:
+/// negative for a new object.
 pub fn request(
     traffic_class: &str,
     id: &str,
@@ -79,15 +79,15 @@
     pub hosts: Arc<Vec<Host>>,
     /// Index of its host.
     pub host: usize,
-    /// Its number among the clients of that host.
+    /// Index among the clients of that host.
     pub number: usize,
     pub shards: u32,
     pub load: Arc<Load>,
 }
 
 impl Client {
-    /// Sends one request after the other until the load ends. Waits after a rejection, and connects
-    /// anew if it must.
+    /// Sends requests one at a time until the load ends, with a pause after each. Reconnects if the
+    /// connection was closed.
     pub fn run(&self) {
         let mut idle_connection: Option<TcpStream> = None;
         let mut number = 0u64;
@@ -158,7 +158,8 @@
         (pause, stays_open.then_some(stream))
     }
 
-    /// Every client visits all shards, each from its own first one on.
+    /// Returns the shard of a request. Every client cycles through all shards, each from a different
+    /// first one.
     fn shard(&self, number: u64) -> u32 {
         let focus = lock(&self.load.focus);
         if !focus.is_empty() {
@@ -176,7 +177,7 @@
     answer(stream)
 }
 
-/// Sends malformed requests, as fast as they are answered, until the end.
+/// Sends malformed requests one after the other, until `ended` is set.
 pub fn malformed_client(host: SocketAddr, ended: Arc<AtomicBool>) -> JoinHandle<()> {
     std::thread::spawn(move || {
         let good = request("once", "h0-bad", 1, 0, 1, 900);
--- a/crates/cli/tests/rig/counters.rs
+++ b/crates/cli/tests/rig/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of a fleet's run, and the rules that every fleet keeps.
+//! Counts of a fleet's run, and the rules that every run must keep.
 
 use super::client::{ClientOutcome, ClientRequest};
 use super::host::Host;
@@ -25,35 +25,35 @@
     pub completed: usize,
 }
 
-/// What happened to the requests of a run.
+/// Outcomes of the requests of a run.
 #[derive(Debug, Default)]
 pub struct Counters {
     pub completed: usize,
     pub rejected: usize,
     pub failed: usize,
-    /// Requests without a response in time, whose host was not killed with them.
+    /// Requests without a response in time, except those whose host was killed meanwhile.
     pub lost: Vec<String>,
     /// Non-idempotent requests that ran more than once.
     pub duplicated: Vec<String>,
-    /// Writes that were rejected although they ran.
+    /// Writes that were rejected although a node had executed them.
     pub wrongly_rejected: Vec<String>,
-    /// Pairs of requests of one key and host that ran in parallel or out of order.
+    /// Pairs of requests of one key and host that overlapped in time.
     pub out_of_order: usize,
-    /// Nodes that all hosts together overloaded while they warmed up.
+    /// Nodes that received more than the slow-start rule allows, summed over all hosts.
     pub overloaded_nodes: Vec<String>,
     /// Hosts that were not running at the end.
     pub crashed: Vec<usize>,
-    /// The most retries by which any host exceeded its budget, in any window.
+    /// Largest number of retries by which a host exceeded its budget, over all windows.
     pub retries_over_budget: f64,
     /// The hosts' logs.
     pub log: String,
     requests: Vec<ClientRequest>,
-    /// All attempts that nodes received, by time.
+    /// All attempts that nodes received, ordered by time.
     pub attempts: Vec<NodeAttempt>,
 }
 
 impl Counters {
-    /// Counts a run that has ended.
+    /// Computes the counts of a run that has ended.
     pub fn of(
         requests: Vec<ClientRequest>,
         nodes: &[Node],
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Of one key through one host, the next request may begin only when the last one has ended.
+    /// Counts requests of one key through one host that started before the previous one had ended.
     fn count_order(&mut self) {
         let mut last: BTreeMap<(&str, usize, &str), &ReceivedAttempt> = BTreeMap::new();
         for received in &self.attempts {
@@ -153,7 +153,7 @@
         self.retries_over_budget = most;
     }
 
-    /// Returns when each host made attempts beyond a request's first.
+    /// Returns the times of each host's retries: all attempts but the first of each request.
     fn retries_by_host(&self) -> BTreeMap<usize, Vec<Instant>> {
         let mut first_attempts = BTreeSet::new();
         let mut retries = BTreeMap::<usize, Vec<Instant>>::new();
@@ -165,7 +165,7 @@
         retries
     }
 
-    /// Asserts the rules that every fleet keeps.
+    /// Asserts the rules that every run must keep.
     pub fn assert_rules_hold(&self) {
         let none = Vec::<String>::new();
         let (lost, requests) = (self.lost.len(), self.requests.len());
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Counts the attempts that nodes received within a span, by the nodes' names.
+    /// Counts the attempts within a time range at the nodes whose uids `is_counted` accepts.
     pub fn attempts_at(&self, is_counted: impl Fn(&str) -> bool, span: Range<Instant>) -> usize {
         let attempts = self.attempts.iter();
         attempts
@@ -215,7 +215,7 @@
 
 /// Returns whether the host was killed while it had the request.
 fn was_killed(host: &Host, request: &ClientRequest) -> bool {
-    // The client notices the end of a connection a little later than it happened.
+    // The client notices that the connection has closed some time after the host was killed.
     let mut kills = host.kills().into_iter();
     kills.any(|kill| request.sent_at <= kill.to + ms(50) && request.ended_at >= kill.from)
 }
--- a/crates/cli/tests/rig/crowded.rs
+++ b/crates/cli/tests/rig/crowded.rs
@@ -1,5 +1,6 @@
-//! A discovery that handles calls in turn, for many hosts: each call takes its time, one that would
-//! wait for too long is refused at once, and a watch that goes on at once costs nothing more.
+//! A discovery service under the load of many hosts. It serves one call at a time and each call takes
+//! some time; a call that would wait too long is refused at once. A watch that is renewed right after
+//! its response costs nothing more.
 
 use super::{lock, ms, next_exchange};
 use serde_json::{json, Value};
@@ -9,29 +10,29 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A watch goes on where its next call comes within this after its last answer.
+/// Maximum time from a response to the next call of the same connection for a watch to continue.
 const CONTINUES_WITHIN: Duration = ms(200);
 const REFUSED: &[u8] = b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-/// What its calls cost.
+/// Service times of calls, and the limit of the queue.
 #[derive(Debug, Clone, Copy)]
 pub struct Cost {
-    /// A call.
+    /// Time that each call takes.
     pub call: Duration,
-    /// Each entry of its answer, beyond that.
+    /// Additional time for each entry of the response.
     pub entry: Duration,
-    /// A call that would wait for longer is refused.
+    /// A call that would wait longer than this is refused.
     pub max_wait: Duration,
 }
 
-/// Calls by what became of them.
+/// Numbers of calls by result.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Calls {
     /// Complete lists that were served.
     pub complete: usize,
-    /// Watches that were begun, each in its turn.
+    /// Watches that were started; each waited for its turn.
     pub watches: usize,
-    /// Watches that went on.
+    /// Watches that continued.
     pub continued: usize,
     /// Calls that were refused.
     pub refused: usize,
@@ -46,7 +47,7 @@
     watching: usize,
 }
 
-/// The discovery.
+/// A discovery service with a queue. Clones are handles of one service.
 #[derive(Clone)]
 pub struct CrowdedDiscovery {
     pub address: SocketAddr,
@@ -54,8 +55,8 @@
     state: Arc<Mutex<State>>,
 }
 
-/// What was asked for.
-struct Asked {
+/// A parsed call.
+struct ListCall {
     since: Option<u64>,
     wait: Duration,
 }
@@ -67,10 +68,10 @@
     value.parse().ok()
 }
 
-impl Asked {
-    fn of(request: &str) -> Asked {
+impl ListCall {
+    fn of(request: &str) -> ListCall {
         let target = request.split(' ').nth(1).unwrap_or_default();
-        Asked {
+        ListCall {
             since: parameter(target, "since"),
             wait: ms(parameter(target, "timeout_ms").unwrap_or(0)),
         }
@@ -78,7 +79,7 @@
 }
 
 impl CrowdedDiscovery {
-    /// Revision 1 of the list has these entries.
+    /// Starts a service with these entries, as revision 1.
     pub fn start(entries: Vec<Value>, cost: Cost) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let state = State {
@@ -103,14 +104,14 @@
         discovery
     }
 
-    /// The list as a host has it that was told this revision of it.
+    /// Returns the current list in the form in which a host caches it.
     pub fn known(&self) -> Value {
         let state = lock(&self.state);
         let entries: Vec<&Value> = state.entries.iter().map(|(_, entry)| entry).collect();
         json!({"rev": state.revision, "all": true, "targets": entries})
     }
 
-    /// Changes one entry, with a new revision.
+    /// Replaces one entry, as a new revision.
     pub fn change(&self, index: usize, entry: Value) {
         let mut state = lock(&self.state);
         state.revision += 1;
@@ -121,70 +122,71 @@
         lock(&self.state).calls
     }
 
-    /// How many hosts are watching.
+    /// Returns the number of connections that watch the list.
     pub fn watching(&self) -> usize {
         lock(&self.state).watching
     }
 
     fn serve(&self, mut stream: TcpStream) {
-        let mut had = Vec::new();
+        let mut buffered = Vec::new();
         let mut answered_at: Option<Instant> = None;
-        let mut watches = false;
-        while let Some(request) = next_exchange(&mut stream, &mut had) {
-            let asked = Asked::of(&request);
-            let continues = watches
+        let mut is_watch = false;
+        while let Some(request) = next_exchange(&mut stream, &mut buffered) {
+            let call = ListCall::of(&request);
+            let continues = is_watch
                 && answered_at.is_some_and(|answered| answered.elapsed() < CONTINUES_WITHIN);
             if continues {
                 lock(&self.state).calls.continued += 1;
-            } else if !self.take_turn(&asked) {
+            } else if !self.take_turn(&call) {
                 let _ = stream.write_all(REFUSED);
                 continue;
             }
-            if asked.since.is_some() && !watches {
-                watches = true;
+            if call.since.is_some() && !is_watch {
+                is_watch = true;
                 lock(&self.state).watching += 1;
             }
-            let answer = self.answer(&asked);
+            let answer = self.answer(&call);
             let _ = stream.write_all(answer.as_bytes());
             answered_at = Some(Instant::now());
         }
-        if watches {
+        if is_watch {
             lock(&self.state).watching -= 1;
         }
     }
 
-    /// Waits for the call's turn and its service; false where it is refused.
-    fn take_turn(&self, asked: &Asked) -> bool {
+    /// Waits until the call has been served in its turn; returns false if it is refused.
+    fn take_turn(&self, call: &ListCall) -> bool {
         let served_at = {
             let mut state = lock(&self.state);
             let now = Instant::now();
-            let begins = state.free_at.max(now);
-            if begins > now + self.cost.max_wait {
+            let starts_at = state.free_at.max(now);
+            if starts_at > now + self.cost.max_wait {
                 state.calls.refused += 1;
                 return false;
             }
-            match asked.since {
+            match call.since {
                 None => state.calls.complete += 1,
                 Some(_) => state.calls.watches += 1,
             }
-            let entries = state.listed(asked.since).len() as u32;
-            state.free_at = begins + self.cost.call + self.cost.entry * entries;
+            let entries = state.listed(call.since).len() as u32;
+            state.free_at = starts_at + self.cost.call + self.cost.entry * entries;
             state.free_at
         };
         sleep(served_at.saturating_duration_since(Instant::now()));
         true
     }
 
-    /// The complete list, or what is newer once there is something or the wait is over.
-    fn answer(&self, asked: &Asked) -> String {
-        let until = Instant::now() + asked.wait;
-        let has_news = |since| lock(&self.state).revision > since;
-        while asked.since.is_some_and(|since| !has_news(since)) && Instant::now() < until {
+    /// Returns the complete list, or, for a watch, the entries changed since its revision, as soon as there
+    /// are some or the watch times out.
+    fn answer(&self, call: &ListCall) -> String {
+        let until = Instant::now() + call.wait;
+        let has_changes = |since| lock(&self.state).revision > since;
+        while call.since.is_some_and(|since| !has_changes(since)) && Instant::now() < until {
             sleep(ms(5));
         }
         let state = lock(&self.state);
         let body = json!({
-            "rev": state.revision, "all": asked.since.is_none(), "targets": state.listed(asked.since),
+            "rev": state.revision, "all": call.since.is_none(), "targets": state.listed(call.since),
         });
         let body = body.to_string();
         format!(
--- a/crates/cli/tests/rig/discovery.rs
+++ b/crates/cli/tests/rig/discovery.rs
@@ -1,5 +1,5 @@
-//! A discovery service: serves the endpoint list, and watches that wait for a change. It handles
-//! calls in turn.
+//! A discovery service that serves the endpoint list, and watches that wait for a change. It serves one
+//! call at a time.
 
 use super::http::{next_exchange, query_number, target};
 use super::{lock, ms};
@@ -11,7 +11,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A call that would wait longer for its turn is refused.
+/// A call that would wait longer than this for its turn is refused.
 const MAX_QUEUEING_TIME: Duration = ms(1000);
 const REFUSED: &[u8] = b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
 
@@ -24,7 +24,7 @@
 /// A call that the service received.
 struct Call {
     at: Instant,
-    /// It requests the complete list, and not what is newer than a revision.
+    /// Whether it requests the complete list, instead of the changes since a revision.
     complete: bool,
 }
 
@@ -139,7 +139,7 @@
         list.endpoints = endpoints;
     }
 
-    /// Makes each call take so long.
+    /// Sets the time that each call takes.
     pub fn set_call_cost(&self, cost: Duration) {
         *lock(&self.call_cost) = cost;
     }
--- a/crates/cli/tests/rig/fleet.rs
+++ b/crates/cli/tests/rig/fleet.rs
@@ -14,7 +14,7 @@
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// Waits for other fleets of this test program to end: in parallel they would starve each other.
+/// Waits until no other fleet of this test program runs, since parallel ones would starve each other.
 pub fn exclusive_run() -> MutexGuard<'static, ()> {
     static ONE_AT_A_TIME: Mutex<()> = Mutex::new(());
     lock(&ONE_AT_A_TIME)
@@ -32,8 +32,8 @@
 }
 
 impl Fleet {
-    /// Starts hosts and nodes, node n in zone n modulo three, and so many clients of each host;
-    /// returns once all hosts are ready.
+    /// Starts hosts and nodes, with node n in zone n modulo three, and the given number of clients per
+    /// host. Returns once all hosts are ready.
     pub fn start(hosts: usize, nodes: usize, clients: usize) -> Fleet {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Makes all clients send requests for these shards alone; for all shards, if there are none.
+    /// Limits the requests of all clients to these shards; an empty list removes the limit.
     pub fn focus_clients_on(&self, shards: &[u32]) {
         *lock(&self.load.focus) = shards.to_vec();
     }
@@ -88,14 +88,14 @@
         nodes.map(|node| node.endpoint("ready")).collect()
     }
 
-    /// Starts a host again, with nothing but the endpoint list that the platform cached.
+    /// Restarts a host; only the endpoint list that the platform cached survives.
     pub fn start_host(&self, host: usize, discovery: &DiscoveryService, cached: &[Value]) {
         let hosts = self.hosts.len();
         self.hosts[host].write_config(hosts, discovery.address, cached);
         self.hosts[host].spawn();
     }
 
-    /// Sends SIGHUP to a host, after its file names another discovery service.
+    /// Writes another discovery service into a host's configuration, and sends SIGHUP to the host.
     pub fn move_discovery(&self, host: usize, discovery: &DiscoveryService) {
         let hosts = self.hosts.len();
         self.hosts[host].write_config(hosts, discovery.address, &[]);
@@ -111,7 +111,7 @@
         self.replaced.push(old);
     }
 
-    /// Publishes the present endpoint list.
+    /// Publishes the current endpoint list.
     pub fn publish_endpoints(&self) {
         self.discovery.publish(self.endpoints());
     }
--- a/crates/cli/tests/rig/host.rs
+++ b/crates/cli/tests/rig/host.rs
@@ -11,7 +11,7 @@
 use std::thread::sleep;
 use std::time::Instant;
 
-/// A span in which a host was killed: requests that it had then are excused.
+/// Period around a kill of the host. Requests that were outstanding then may remain unanswered.
 #[derive(Debug, Clone, Copy)]
 pub struct KillSpan {
     pub from: Instant,
@@ -29,7 +29,7 @@
 }
 
 impl Host {
-    /// A host that was not started yet. `fleet`: the fleet's number in this process.
+    /// Returns a host that has not been started. `fleet`: the fleet's number in this process.
     pub fn new(fleet: u64, index: usize) -> Host {
         let process = std::process::id();
         let file = |extension: &str| {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Writes the host's configuration. `cached`: the endpoint list as the platform cached it.
+    /// Writes the host's configuration. `cached`: the endpoint list that the platform cached.
     pub fn write_config(&self, hosts: usize, discovery: SocketAddr, cached: &[Value]) {
         let seed = 0x8c1f_30d2_7a5b_e964u64 ^ (self.index as u64 * 7919);
         let config = json!({
@@ -107,7 +107,7 @@
         matches!(status, Some(Ok(None)))
     }
 
-    /// Sends SIGKILL, and records the span.
+    /// Sends SIGKILL, and records the period.
     pub fn kill(&self) {
         let from = Instant::now();
         self.end_process();
@@ -115,7 +115,7 @@
         lock(&self.kills).push(KillSpan { from, to });
     }
 
-    /// Returns the spans in which the host was killed.
+    /// Returns the periods around each kill of the host.
     pub fn kills(&self) -> Vec<KillSpan> {
         lock(&self.kills).clone()
     }
@@ -137,7 +137,7 @@
         false
     }
 
-    /// Ends the process at once.
+    /// Kills the process without recording a period.
     pub fn end_process(&self) {
         if let Some(mut child) = lock(&self.child).take() {
             let _ = child.kill();
--- a/crates/cli/tests/rig/http.rs
+++ b/crates/cli/tests/rig/http.rs
@@ -1,10 +1,10 @@
-//! Complete HTTP exchanges on a socket.
+//! Reading of complete HTTP requests and responses from a socket.
 
 use grebecleat_platform::http;
 use std::io::Read;
 use std::net::TcpStream;
 
-/// Reads the next complete request, as text; None: the connection has ended. `buffered` retains
+/// Reads the next complete request, as text; `None` if the connection ends first. `buffered` keeps the
 /// bytes of later requests.
 pub fn next_exchange(stream: &mut TcpStream, buffered: &mut Vec<u8>) -> Option<String> {
     loop {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Reads the status, head and body of the next response; None: the connection ends without one.
+/// Reads the status, head and body of the next response; `None` if the connection ends first.
 pub fn answer(stream: &mut TcpStream) -> Option<(u16, String, Vec<u8>)> {
     let mut buffered = Vec::new();
     loop {
@@ -52,7 +52,7 @@
     request.split(' ').nth(1).unwrap_or_default()
 }
 
-/// Returns a number from a request's query, whose name is given with its equals sign.
+/// Returns a numeric query parameter of a request target. `name` includes the equals sign.
 pub fn query_number(target: &str, name: &str) -> Option<u64> {
     target.split(name).nth(1)?.split('&').next()?.parse().ok()
 }
--- a/crates/cli/tests/rig/live.rs
+++ b/crates/cli/tests/rig/live.rs
@@ -1,4 +1,4 @@
-//! One process of `grebecleat platform` with a small list and scripted nodes on loopback.
+//! One process of `grebecleat platform` on loopback, with a stub discovery service and scripted nodes.
 
 use super::{answer, free_address, ms, next_exchange};
 use serde_json::{json, Value};
@@ -11,37 +11,38 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// What a node does with an exchange that came whole.
+/// Response of a node to a request that it received completely.
 #[derive(Clone)]
-pub enum Does {
-    Says(Vec<u8>),
-    /// Says it and hangs up.
-    SaysAndEnds(Vec<u8>),
-    Waits(Duration, Vec<u8>),
+pub enum ScriptedResponse {
+    Send(Vec<u8>),
+    /// Sends the bytes and closes the connection.
+    SendAndClose(Vec<u8>),
+    SendAfter(Duration, Vec<u8>),
 }
 
-pub fn says(text: &str) -> Does {
-    Does::Says(text.as_bytes().to_vec())
+pub fn respond_with(text: &str) -> ScriptedResponse {
+    ScriptedResponse::Send(text.as_bytes().to_vec())
 }
 
-pub const GOOD: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
-pub const AWAY: &str = "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
+pub const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ngood";
+pub const REJECTED_RESPONSE: &str =
+    "HTTP/1.1 503 No\r\nX-Turned-Away: 1\r\nContent-Length: 0\r\n\r\n";
 
-pub type Script = Arc<dyn Fn(usize) -> Does + Send + Sync>;
+pub type Script = Arc<dyn Fn(usize) -> ScriptedResponse + Send + Sync>;
 
-/// A node: answers the n-th exchange as its script says, and keeps what came.
+/// A node that answers the n-th request as its script defines, and records all requests.
 pub struct Node {
     pub address: SocketAddr,
-    pub seen: Arc<Mutex<Vec<String>>>,
+    pub received: Arc<Mutex<Vec<String>>>,
     pub connections: Arc<Mutex<usize>>,
 }
 
-pub fn node(script: impl Fn(usize) -> Does + Send + Sync + 'static) -> Node {
+pub fn node(script: impl Fn(usize) -> ScriptedResponse + Send + Sync + 'static) -> Node {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (seen, connections): (Arc<Mutex<Vec<String>>>, Arc<Mutex<usize>>) = Default::default();
+    let (received, connections): (Arc<Mutex<Vec<String>>>, Arc<Mutex<usize>>) = Default::default();
     let (kept, opened, script): (_, _, Script) =
-        (seen.clone(), connections.clone(), Arc::new(script));
+        (received.clone(), connections.clone(), Arc::new(script));
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             *opened.lock().unwrap() += 1;
@@ -51,7 +52,7 @@
     });
     Node {
         address,
-        seen,
+        received,
         connections,
     }
 }
@@ -59,11 +60,11 @@
 pub fn serve_node(
     mut stream: TcpStream,
     kept: &Mutex<Vec<String>>,
-    script: &dyn Fn(usize) -> Does,
+    script: &dyn Fn(usize) -> ScriptedResponse,
 ) {
-    let mut had = Vec::new();
+    let mut buffered = Vec::new();
     loop {
-        let Some(text) = next_exchange(&mut stream, &mut had) else {
+        let Some(text) = next_exchange(&mut stream, &mut buffered) else {
             return;
         };
         let n = {
@@ -72,12 +73,12 @@
             kept.len() - 1
         };
         match script(n) {
-            Does::Says(bytes) => _ = stream.write_all(&bytes),
-            Does::Waits(span, bytes) => {
+            ScriptedResponse::Send(bytes) => _ = stream.write_all(&bytes),
+            ScriptedResponse::SendAfter(span, bytes) => {
                 sleep(span);
                 let _ = stream.write_all(&bytes);
             }
-            Does::SaysAndEnds(bytes) => {
+            ScriptedResponse::SendAndClose(bytes) => {
                 let _ = stream.write_all(&bytes);
                 return;
             }
@@ -85,20 +86,20 @@
     }
 }
 
-/// A list: the whole of it, and watches that wait until it changes.
+/// A discovery service that serves the complete list, and watches that wait until it changes.
 #[derive(Clone)]
-pub struct Discovery {
+pub struct StubDiscovery {
     pub address: SocketAddr,
-    pub told: Arc<Mutex<(u64, Value)>>,
+    pub published: Arc<Mutex<(u64, Value)>>,
     pub calls: Arc<Mutex<Vec<String>>>,
 }
 
-pub fn discovery(targets: Value) -> Discovery {
+pub fn start_discovery(targets: Value) -> StubDiscovery {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let d = Discovery {
+    let d = StubDiscovery {
         address,
-        told: Arc::new(Mutex::new((1, targets))),
+        published: Arc::new(Mutex::new((1, targets))),
         calls: Arc::default(),
     };
     let list = d.clone();
@@ -111,10 +112,10 @@
     d
 }
 
-impl Discovery {
+impl StubDiscovery {
     pub fn serve(&self, mut stream: TcpStream) {
-        let mut had = Vec::new();
-        while let Some(text) = next_exchange(&mut stream, &mut had) {
+        let mut buffered = Vec::new();
+        while let Some(text) = next_exchange(&mut stream, &mut buffered) {
             let target = text.split(' ').nth(1).unwrap_or_default().to_string();
             self.calls.lock().unwrap().push(target.clone());
             let since = target
@@ -122,14 +123,15 @@
                 .nth(1)
                 .and_then(|s| s.split('&').next()?.parse::<u64>().ok());
             let until = Instant::now() + ms(1000);
-            while since.is_some_and(|s| self.told.lock().unwrap().0 <= s) && Instant::now() < until
+            while since.is_some_and(|s| self.published.lock().unwrap().0 <= s)
+                && Instant::now() < until
             {
                 sleep(ms(5));
             }
-            let (rev, targets) = self.told.lock().unwrap().clone();
-            let news = since.is_none_or(|s| rev > s);
-            let targets = if news { targets } else { json!([]) };
-            let body = json!({"rev": rev, "all": news, "targets": targets}).to_string();
+            let (rev, targets) = self.published.lock().unwrap().clone();
+            let has_news = since.is_none_or(|s| rev > s);
+            let targets = if has_news { targets } else { json!([]) };
+            let body = json!({"rev": rev, "all": has_news, "targets": targets}).to_string();
             let _ = write!(
                 stream,
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -138,9 +140,9 @@
         }
     }
 
-    pub fn tell(&self, targets: Value) {
-        let mut told = self.told.lock().unwrap();
-        *told = (told.0 + 1, targets);
+    pub fn publish(&self, targets: Value) {
+        let mut published = self.published.lock().unwrap();
+        *published = (published.0 + 1, targets);
     }
 }
 
@@ -153,7 +155,7 @@
            "state": state, "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-pub struct Live {
+pub struct HostProcess {
     pub child: Child,
     pub address: SocketAddr,
     pub config: PathBuf,
@@ -161,7 +163,7 @@
     pub sockets: u64,
 }
 
-impl Drop for Live {
+impl Drop for HostProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -173,8 +175,8 @@
 }
 
 pub fn settings() -> Value {
-    let stream = |name: &str, repeat: &str, ordered: bool| {
-        json!({"name": name, "objective-ms": 200.0, "deadline-ms": 3000.0, "idempotency": repeat,
+    let traffic_class = |name: &str, idempotency: &str, ordered: bool| {
+        json!({"name": name, "objective-ms": 200.0, "deadline-ms": 3000.0, "idempotency": idempotency,
                "key-scope": "cell", "dedup-window-ms": 1500.0, "worth": 3.0, "late-value": 0.2,
                "serial-by-key": ordered, "stream": false})
     };
@@ -184,8 +186,8 @@
                  "dial-timeout-ms": 250.0, "max-open": 1000, "probing": true},
         "family-info": {"largest": 6, "mean-units": 2.0, "writes": [false, true, true], "cold-units": 20.0,
                         "meter-ms": 500.0, "within-share": 0.35, "spare-worth": 0.08},
-        "profiles": [stream("read", "free", false), stream("once", "single_shot", false),
-                     stream("row", "guarded", true)],
+        "profiles": [traffic_class("read", "free", false), traffic_class("once", "single_shot", false),
+                     traffic_class("row", "guarded", true)],
         "plans": [{"name": "gold", "base-rate": 500.0, "guaranteed": 500.0, "proportion": 1.0, "price": 1.0}],
         "rules": {"answer-slack-ms": 58.0, "ask-every-ms": 9000.0, "extra-floor": 3.0, "further-ratio": 0.25,
                   "extra-window-ms": 5000.0, "cold-from": 0.2, "cold-ms": 9000.0, "fall-ms": 2000.0,
@@ -193,20 +195,25 @@
     })
 }
 
-impl Live {
-    pub fn start(list: &Discovery, sockets: u64) -> Live {
-        let mut live = Live::begin(list.address, sockets, settings());
-        live.is_ready();
+impl HostProcess {
+    pub fn start(list: &StubDiscovery, sockets: u64) -> HostProcess {
+        let mut live = HostProcess::spawn(list.address, sockets, settings());
+        live.wait_until_ready();
         live
     }
 
-    /// Starts it, and does not wait until it is ready.
-    pub fn begin(list: SocketAddr, sockets: u64, settings: Value) -> Live {
-        Live::begin_with(list, sockets, settings, json!({}))
+    /// Starts the process without waiting until it is ready.
+    pub fn spawn(list: SocketAddr, sockets: u64, settings: Value) -> HostProcess {
+        HostProcess::spawn_with(list, sockets, settings, json!({}))
     }
 
-    /// The same with some fields of its configuration as they are given here.
-    pub fn begin_with(list: SocketAddr, sockets: u64, settings: Value, fields: Value) -> Live {
+    /// Starts the process with `fields` in place of those of its configuration.
+    pub fn spawn_with(
+        list: SocketAddr,
+        sockets: u64,
+        settings: Value,
+        fields: Value,
+    ) -> HostProcess {
         static NEXT: Mutex<u32> = Mutex::new(0);
         let n = {
             let mut next = NEXT.lock().unwrap();
@@ -216,21 +223,21 @@
         let address = fields["listen"]
             .as_str()
             .map_or_else(free_address, |given| given.parse().unwrap());
-        let file = |end: &str| {
-            std::env::temp_dir().join(format!("grebecleat-{}-{n}.{end}", std::process::id()))
+        let file = |extension: &str| {
+            std::env::temp_dir().join(format!("grebecleat-{}-{n}.{extension}", std::process::id()))
         };
         let (config, log) = (file("json"), file("log"));
         write_config(&config, "n1", address, list, sockets, settings);
         if let Some(fields) = fields.as_object().filter(|f| !f.is_empty()) {
-            let mut whole: Value =
+            let mut merged: Value =
                 serde_json::from_slice(&std::fs::read(&config).unwrap()).unwrap();
             fields
                 .iter()
-                .for_each(|(name, value)| whole[name] = value.clone());
-            std::fs::write(&config, whole.to_string()).unwrap();
+                .for_each(|(name, value)| merged[name] = value.clone());
+            std::fs::write(&config, merged.to_string()).unwrap();
         }
-        // The system holds it to its limit: one descriptor more than the settings grant fails there
-        // and then.
+        // The operating system enforces the limit: opening one descriptor more than the settings grant
+        // fails at once.
         let mut command = Command::new("sh");
         command
             .args(["-c", "ulimit -n $0 && exec \"$1\" platform"])
@@ -243,7 +250,7 @@
             .stderr(std::fs::File::create(&log).unwrap())
             .spawn()
             .unwrap();
-        Live {
+        HostProcess {
             child,
             address,
             config,
@@ -252,40 +259,40 @@
         }
     }
 
-    pub fn is_ready(&mut self) {
+    pub fn wait_until_ready(&mut self) {
         let until = Instant::now() + Duration::from_secs(20);
-        while self.ask("GET /health/ready HTTP/1.1\r\n\r\n") != Some(200) {
+        while self.status_of("GET /health/ready HTTP/1.1\r\n\r\n") != Some(200) {
             assert!(
                 Instant::now() < until && self.child.try_wait().unwrap().is_none(),
-                "it never was ready"
+                "the host was not ready within 20 s"
             );
             sleep(ms(20));
         }
     }
 
-    /// Waits until its log says so, so many times.
-    pub fn says(&self, text: &str, times: usize) {
+    /// Waits until the log contains the text so many times.
+    pub fn wait_for_log(&self, text: &str, times: usize) {
         let until = Instant::now() + Duration::from_secs(20);
-        let said = || {
+        let occurrences = || {
             std::fs::read_to_string(&self.log)
                 .unwrap_or_default()
                 .matches(text)
                 .count()
         };
-        while said() < times {
+        while occurrences() < times {
             assert!(
                 Instant::now() < until,
-                "it never said '{text}' {times} times"
+                "the log did not contain '{text}' {times} times within 20 s"
             );
             sleep(ms(5));
         }
     }
 
-    /// Waits until it has ended by itself; whether with code 0.
-    pub fn ends(&mut self) -> bool {
+    /// Waits until the process has exited by itself; returns whether with code 0.
+    pub fn wait_for_exit(&mut self) -> bool {
         let until = Instant::now() + Duration::from_secs(10);
         while self.child.try_wait().unwrap().is_none() {
-            assert!(Instant::now() < until, "it never ended");
+            assert!(Instant::now() < until, "the host did not exit within 10 s");
             sleep(ms(20));
         }
         self.child.wait().unwrap().success()
@@ -299,7 +306,7 @@
         stream
     }
 
-    pub fn ask(&self, text: &str) -> Option<u16> {
+    pub fn status_of(&self, text: &str) -> Option<u16> {
         let mut stream = TcpStream::connect(self.address).ok()?;
         stream
             .set_read_timeout(Some(Duration::from_secs(8)))
@@ -333,7 +340,7 @@
     std::fs::write(path, config.to_string()).unwrap();
 }
 
-/// The settings with another deadline for all traffic classes.
+/// Returns the settings with another deadline for all traffic classes, in milliseconds.
 pub fn settings_with_deadline(deadline: u64) -> Value {
     let mut all = settings();
     for n in 0..3 {
@@ -342,103 +349,104 @@
     all
 }
 
-/// A node or a list whose every exchange is handed to the test, which answers it when it will.
-pub struct Hand {
+/// A node or a discovery service whose requests the test receives and answers itself.
+pub struct ManualServer {
     pub address: SocketAddr,
-    came: Receiver<Came>,
+    requests: Receiver<HeldRequest>,
 }
 
-pub struct Came {
+pub struct HeldRequest {
     pub text: String,
-    /// Which connection it came on, in the order of their coming.
+    /// Number of its connection, in the order in which connections were accepted.
     pub conn: usize,
     pub stream: TcpStream,
 }
 
-impl Hand {
-    pub fn start() -> Hand {
+impl ManualServer {
+    pub fn start() -> ManualServer {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (to_test, came) = channel();
+        let (to_test, requests) = channel();
         std::thread::spawn(move || {
             for (conn, stream) in listener.incoming().flatten().enumerate() {
-                // What it says is on its way when that has been said, and does not wait for the
-                // host's word.
+                // Each write is sent at once, and does not wait for an acknowledgement from the host.
                 stream.set_nodelay(true).unwrap();
                 let to_test = to_test.clone();
-                std::thread::spawn(move || hand_on(stream, conn, &to_test));
+                std::thread::spawn(move || forward_requests(stream, conn, &to_test));
             }
         });
-        Hand { address, came }
+        ManualServer { address, requests }
     }
 
-    /// The next exchange that came whole.
-    pub fn next(&self) -> Came {
-        self.came
+    /// Waits for the next complete request.
+    pub fn next(&self) -> HeldRequest {
+        self.requests
             .recv_timeout(Duration::from_secs(20))
-            .expect("nothing came")
+            .expect("no request within 20 s")
     }
 
-    /// Answers the next one well; false where none comes for long.
-    pub fn answer_next(&self) -> bool {
-        let came = self.came.recv_timeout(Duration::from_secs(20));
-        came.map(|mut c| c.answers("good")).is_ok()
+    /// Answers the next request with status 200; returns false if none arrives within 20 s.
+    pub fn respond_to_next(&self) -> bool {
+        let request = self.requests.recv_timeout(Duration::from_secs(20));
+        request.map(|mut request| request.respond("good")).is_ok()
     }
 
-    /// One that has come already.
-    pub fn now(&self) -> Option<Came> {
-        self.came.try_recv().ok()
+    /// Returns a request that has already arrived, if there is one.
+    pub fn try_next(&self) -> Option<HeldRequest> {
+        self.requests.try_recv().ok()
     }
 }
 
-fn hand_on(mut stream: TcpStream, conn: usize, to_test: &Sender<Came>) {
-    let mut had = Vec::new();
-    while let Some(text) = next_exchange(&mut stream, &mut had) {
-        let came = Came {
+fn forward_requests(mut stream: TcpStream, conn: usize, to_test: &Sender<HeldRequest>) {
+    let mut buffered = Vec::new();
+    while let Some(text) = next_exchange(&mut stream, &mut buffered) {
+        let request = HeldRequest {
             text,
             conn,
             stream: stream.try_clone().unwrap(),
         };
-        if to_test.send(came).is_err() {
+        if to_test.send(request).is_err() {
             return;
         }
     }
 }
 
-impl Came {
-    pub fn says(&mut self, text: &str) {
+impl HeldRequest {
+    pub fn send_raw(&mut self, text: &str) {
         let _ = self.stream.write_all(text.as_bytes());
     }
 
-    /// An answer with this for a body.
-    pub fn answers(&mut self, body: &str) {
-        self.says(&format!(
+    /// Sends a response with status 200 and this body.
+    pub fn respond(&mut self, body: &str) {
+        self.send_raw(&format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
         ));
     }
 
-    pub fn lists(&mut self, revision: u64, all: bool, targets: Value) {
-        self.answers(&json!({"rev": revision, "all": all, "targets": targets}).to_string());
+    pub fn respond_with_list(&mut self, revision: u64, all: bool, targets: Value) {
+        self.respond(&json!({"rev": revision, "all": all, "targets": targets}).to_string());
     }
 
-    pub fn ends(&self) {
+    pub fn close(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// A request of a traffic class for one piece of data.
-pub fn request(stream: &str, id: &str, shard: i64, key: u64, left: u64) -> String {
-    super::request(stream, id, 0x3_b4d6_0021, shard, key, left)
+/// Returns a request of a traffic class for one key. `left`: milliseconds to its deadline.
+pub fn request(traffic_class: &str, id: &str, shard: i64, key: u64, left: u64) -> String {
+    super::request(traffic_class, id, 0x3_b4d6_0021, shard, key, left)
 }
 
-pub fn one_node(script: impl Fn(usize) -> Does + Send + Sync + 'static) -> (Node, Discovery, Live) {
+pub fn one_node(
+    script: impl Fn(usize) -> ScriptedResponse + Send + Sync + 'static,
+) -> (Node, StubDiscovery, HostProcess) {
     let node = node(script);
-    let list = discovery(json!([target("s-1", &node, 0, "ready")]));
-    let live = Live::start(&list, 256);
+    let list = start_discovery(json!([target("s-1", &node, 0, "ready")]));
+    let live = HostProcess::start(&list, 256);
     (node, list, live)
 }
 
-pub fn seen(node: &Node) -> Vec<String> {
-    node.seen.lock().unwrap().clone()
+pub fn received_requests(node: &Node) -> Vec<String> {
+    node.received.lock().unwrap().clone()
 }
--- a/crates/cli/tests/rig/mod.rs
+++ b/crates/cli/tests/rig/mod.rs
@@ -1,17 +1,18 @@
 //! Test rig: processes of `grebecleat platform` on loopback, with nodes, a discovery service and
-//! clients that record what they receive. Verdicts come from counts of complete exchanges, never
-//! from how long something took.
+//! clients that record what they receive. Assertions rest on counts of complete requests and responses,
+//! never on how long something took.
 //!
 //! - [`fleet`]: many hosts under load. A test injects faults into its parts: a [`node::Node`] is killed
 //!   and restarts, is partitioned from some hosts, loses or corrupts responses, resets connections;
 //!   the [`discovery::DiscoveryService`] is slow or moves; hosts are killed, shut down and restarted.
 //!   [`fleet::Fleet::finish`] ends the load and returns the [`counters::Counters`], which check the rules.
 //! - [`live`]: one host with scripted nodes.
-//! - [`crowded`]: a discovery service that handles calls in turn and refuses callers.
+//! - [`crowded`]: a discovery service that serves one call at a time and refuses calls when its queue is
+//!   too long.
 //!
 //! The other modules are parts of a fleet.
 
-#![allow(dead_code)] // each test program uses a part of the rig
+#![allow(dead_code)] // each test program uses only some parts of the rig
 
 pub mod client;
 pub mod counters;
@@ -33,8 +34,8 @@
 use std::thread::sleep;
 use std::time::Duration;
 
-/// Returns an address that is free to listen on, with an IP address of its own: on the address from
-/// which all connections are dialled, an outgoing connection could take the port meanwhile.
+/// Returns a free address to listen on, with a loopback IP address of its own. On 127.0.0.1, from which
+/// all connections are dialled, an outgoing connection could take the port before the listener does.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicUsize = AtomicUsize::new(1);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
@@ -49,7 +50,7 @@
     listener.local_addr().unwrap()
 }
 
-/// Returns so many milliseconds.
+/// Returns a duration in milliseconds.
 pub const fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
@@ -63,7 +64,7 @@
 ///
 /// # Panics
 ///
-/// It returns none for four seconds.
+/// Panics if the function returns `None` for four seconds.
 pub fn retry<T>(mut attempt: impl FnMut() -> Option<T>) -> T {
     for _ in 0..400 {
         if let Some(value) = attempt() {
--- a/crates/cli/tests/rig/node.rs
+++ b/crates/cli/tests/rig/node.rs
@@ -26,21 +26,21 @@
     pub host: usize,
     pub traffic_class: String,
     pub key: String,
-    /// The node carried it out; false: its queue was full.
+    /// Whether the node executed it; false if its queue was full.
     pub ran: bool,
-    /// When the node answered it, or would have.
+    /// When the node responded, or would have responded if the response is lost.
     pub ended_at: Instant,
 }
 
 #[derive(Debug)]
 struct State {
-    /// False: the process is dead; connections are reset and refused.
+    /// False while the process is dead: connections are reset and refused.
     running: bool,
-    /// When the process last started; None: long ago.
+    /// When the process last started; `None` if it has been warm from the beginning.
     booted: Option<Instant>,
     /// Hosts with which the node cannot communicate.
     partitioned_from: BTreeSet<usize>,
-    /// Fraction of the responses that are lost with their connection, after the work is done.
+    /// Fraction of the responses that are lost with their connection, after the attempt has run.
     lost_fraction: f64,
     /// Fraction of the responses that are corrupted.
     corrupted_fraction: f64,
@@ -50,13 +50,14 @@
     connected_at: Vec<Instant>,
     connections: Vec<TcpStream>,
     listener: Option<TcpListener>,
-    /// The sum of all hosts overloaded the node while it warmed up.
+    /// Whether all hosts together have overloaded the node while it warmed up.
     overloaded: bool,
     random: u64,
 }
 
 impl State {
-    /// Returns a number from 0 to 1: of a linear congruential generator, the same in every run.
+    /// Returns a random number from 0 to 1, from a linear congruential generator that gives the same
+    /// sequence in every run.
     fn random(&mut self) -> f64 {
         self.random = self
             .random
@@ -65,7 +66,7 @@
         (self.random >> 40) as f64 / (1u64 << 24) as f64
     }
 
-    /// Returns the fraction of its capacity that the node has at its age.
+    /// Returns the fraction of the full capacity that the node has at its age.
     fn capacity_fraction(&self, now: Instant) -> f64 {
         let age = self
             .booted
@@ -74,8 +75,8 @@
         (INITIAL_FRACTION + (1.0 - INITIAL_FRACTION) * warm).min(1.0)
     }
 
-    /// Returns whether all hosts sent more units within the rule's window than a node of that age
-    /// bears.
+    /// Returns whether all hosts together have sent more units within the slow-start rule's window than a
+    /// node of this age can bear.
     fn is_overloaded(&self, now: Instant) -> bool {
         let warming_up = self
             .booted
@@ -90,7 +91,8 @@
         warming_up && units > borne.max(ALWAYS_BORNE_UNITS)
     }
 
-    /// Queues an attempt, or rejects it; returns its end and the response (None: it gets lost).
+    /// Queues an attempt, or rejects it. Returns the time at which it ends and the response, which is
+    /// `None` if it is lost.
     fn admit(&mut self, attempt: &Attempt, now: Instant) -> (Instant, Option<&'static [u8]>) {
         let full = self.queued >= NODE_QUEUE;
         let work = TIME_PER_UNIT.mul_f64(REQUEST_UNITS / self.capacity_fraction(now));
@@ -133,7 +135,7 @@
     }
 }
 
-/// What a node reads of an attempt.
+/// The fields of an attempt that a node evaluates.
 struct Attempt {
     request_id: String,
     host: usize,
@@ -144,7 +146,7 @@
 impl Attempt {
     fn parse(text: &str) -> Attempt {
         let request_id = header(text, "X-Txn").unwrap_or_default().to_string();
-        // Clients name their host first: h3-0-17.
+        // Request ids start with the host's index: h3-0-17.
         let host = request_id
             .strip_prefix('h')
             .and_then(|rest| rest.split('-').next()?.parse().ok());
@@ -170,7 +172,7 @@
 }
 
 impl Node {
-    /// Starts a node; `booted`: when its process started, None: long ago.
+    /// Starts a node. `booted`: when its process started; `None` if the node is warm.
     pub fn start(uid: &str, shard: u32, zone: &'static str, booted: Option<Instant>) -> Node {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -228,7 +230,7 @@
             let (ended_at, response) = {
                 let mut state = lock(&self.state);
                 if state.partitioned_from.contains(&attempt.host) {
-                    continue; // the attempt is lost on the way
+                    continue; // the attempt is lost in the network
                 }
                 state.admit(&attempt, now)
             };
@@ -240,7 +242,7 @@
                     return;
                 }
                 if state.partitioned_from.contains(&attempt.host) {
-                    continue; // the response is lost on the way
+                    continue; // the response is lost in the network
                 }
             }
             let Some(response) = response else {
@@ -263,7 +265,7 @@
         state.corrupted_fraction = corrupted;
     }
 
-    /// Resets all connections, also under outstanding attempts.
+    /// Resets all connections, including those with outstanding attempts.
     pub fn reset_connections(&self) {
         lock(&self.state).reset_connections();
     }
@@ -279,7 +281,7 @@
         };
         if listener.is_some() {
             drop(listener);
-            // Wakes the thread that accepts, which then releases the port.
+            // Wakes the accepting thread, which then releases the port.
             let _ = TcpStream::connect(self.address);
         }
     }
@@ -297,7 +299,7 @@
         self.listen(listener);
     }
 
-    /// Returns when the process last started; None: long ago.
+    /// Returns when the process last started; `None` if it has been warm from the beginning.
     pub fn booted(&self) -> Option<Instant> {
         lock(&self.state).booted
     }
@@ -312,7 +314,7 @@
         lock(&self.state).received.clone()
     }
 
-    /// Returns the number of connections since a time.
+    /// Returns the number of connections accepted since a time.
     pub fn connections_since(&self, since: Instant) -> usize {
         let state = lock(&self.state);
         let connected = state.connected_at.iter();
--- a/crates/cli/tests/rig/site.rs
+++ b/crates/cli/tests/rig/site.rs
@@ -1,5 +1,5 @@
-//! The site of a fleet: the terms that the settings state to hosts, and to which the rig's nodes
-//! and counters hold them.
+//! Parameters of a fleet. The settings state them to the hosts, and the rig's nodes and counters check
+//! that the hosts keep them.
 
 use super::ms;
 use serde_json::{json, Value};
@@ -7,7 +7,7 @@
 
 /// Time from a request to its deadline.
 pub const DEADLINE: Duration = ms(1500);
-/// Time after which a host sends nothing to a node that was reported as gone.
+/// Grace time after a node was reported as gone; after it a host sends the node nothing.
 pub const DRAIN_GRACE: Duration = ms(250);
 /// Fraction of its capacity that a node has when it starts.
 pub const INITIAL_FRACTION: f64 = 0.1;
@@ -15,9 +15,9 @@
 pub const WARM_UP_TIME: Duration = ms(6000);
 /// Window over which the slow-start rule adds up what a node received.
 pub const OVERLOAD_WINDOW: Duration = ms(2000);
-/// Multiple of its present capacity that a node bears within the window.
+/// Multiple of its current capacity that a node can bear within the window.
 pub const OVERLOAD_MULTIPLE: f64 = 1.0;
-/// Units within the window that a node always bears.
+/// Units within the window that a node can always bear.
 pub const ALWAYS_BORNE_UNITS: f64 = 24.0;
 /// Size of every request, in units.
 pub const REQUEST_UNITS: f64 = 2.0;
@@ -29,11 +29,11 @@
 /// The retry budget's window.
 pub const RETRY_WINDOW: Duration = ms(5000);
 
-/// Requests that a node serves at a time.
+/// Number of requests that a node serves concurrently.
 pub const NODE_SLOTS: usize = 4;
 /// Time for one unit of work at a warm node.
 pub const TIME_PER_UNIT: Duration = ms(30);
-/// Requests in a node's queue beyond which it rejects more.
+/// Queue length at which a node rejects further requests.
 pub const NODE_QUEUE: usize = 60;
 
 /// Units a second that a warm node can do.
@@ -47,7 +47,7 @@
            "late-value": 0.2, "serial-by-key": ordered, "stream": false})
 }
 
-/// The settings of a host, among so many hosts.
+/// Returns the settings of a fleet of `hosts` hosts.
 pub fn settings(hosts: usize) -> Value {
     json!({
         "balancers": hosts, "registry-mode": "on_request", "zones": ["a", "b", "c"],
--- a/crates/cli/tests/slow_start.rs
+++ b/crates/cli/tests/slow_start.rs
@@ -20,14 +20,14 @@
 const QUIET_TIME: Duration = Duration::from_secs(6);
 
 /// A host with a name and a seed of its own, among so many.
-fn start_host(number: usize, discovery: &Discovery) -> Live {
+fn start_host(number: usize, discovery: &StubDiscovery) -> HostProcess {
     let mut settings = settings();
     settings["balancers"] = json!(HOSTS);
     // Nothing is reserved: a host may send its quota of the always-borne units alone.
     settings["plans"][0]["guaranteed"] = json!(0.0);
     let seed = 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(number as u64 + 1);
     let fields = json!({"name": format!("n{number}"), "seed": format!("{seed:016x}")});
-    Live::begin_with(discovery.address, 256, settings, fields)
+    HostProcess::spawn_with(discovery.address, 256, settings, fields)
 }
 
 fn millis_since_1970() -> u64 {
@@ -49,18 +49,18 @@
     let recorder = received.clone();
     let warming_up = node(move |_| {
         recorder.lock().unwrap().push(Instant::now());
-        says(GOOD)
+        respond_with(OK_RESPONSE)
     });
-    let discovery = discovery(json!([]));
-    let mut hosts: Vec<Live> = (0..HOSTS)
+    let discovery = start_discovery(json!([]));
+    let mut hosts: Vec<HostProcess> = (0..HOSTS)
         .map(|number| start_host(number, &discovery))
         .collect();
     // The endpoint is published once all hosts watch, so that no other rule decides what follows.
     let published_at = Instant::now();
     let mut endpoint = target("s-1", &warming_up, 0, "ready");
     endpoint["boot_ms"] = json!(millis_since_1970());
-    discovery.tell(json!([endpoint]));
-    hosts.iter_mut().for_each(Live::is_ready);
+    discovery.publish(json!([endpoint]));
+    hosts.iter_mut().for_each(HostProcess::wait_until_ready);
     std::thread::sleep(QUIET_TIME.saturating_sub(published_at.elapsed()));
     assert_eq!(
         received.lock().unwrap().len(),
