--- a/crates/cli/tests/crowded_discovery.rs
+++ b/crates/cli/tests/crowded_discovery.rs
@@ -1,5 +1,5 @@
-//! Many processes of `grebecleat platform` that start at once, each with the list that it had, while
-//! discovery handles their calls in turn and refuses those that would wait for too long.
+//! Many processes of `grebecleat platform` that start at once, each with its cached endpoint list, while the
+//! discovery service serves one call at a time and refuses calls that would wait too long.
 
 mod rig;
 
@@ -12,19 +12,20 @@
 use std::time::{Duration, Instant};
 
 const PROCESSES: usize = 24;
-/// Eight calls for the complete list of eight wait at most, and it takes three seconds to hand it to
-/// every host once.
+/// At most eight calls for the complete list of eight nodes can wait, and serving the list once to every
+/// host takes three seconds.
 const COST: Cost = Cost {
     call: ms(100),
     entry: ms(3),
     max_wait: ms(900),
 };
 const NODES: u32 = 8;
-/// Each host needs one call; twice as many are allowed for.
+/// Each host needs one call; twice as many are allowed.
 const MAX_CALLS: usize = 2 * PROCESSES;
-/// What discovery has to tell counts as told so long after it had it.
+/// Time after which a change at the discovery service counts as announced to the hosts.
 const TERM: Duration = ms(6000);
-/// From then on a node that drains gets nothing, with the platform's slack.
+/// Grace time after the announcement, with the platform's slack; then a draining node must get no
+/// attempts.
 const DRAIN_GRACE: Duration = ms(300);
 const GIVE_UP: Duration = Duration::from_secs(30);
 
@@ -35,7 +36,7 @@
 }
 
 impl Fleet {
-    /// All hosts start at once, with the list as it was before.
+    /// Starts all hosts at once, each with the cached endpoint list.
     fn start() -> Fleet {
         let nodes: Vec<Node> = (0..NODES)
             .map(|_| node(|_| respond_with(OK_RESPONSE)))
@@ -43,11 +44,11 @@
         let entries: Vec<Value> = (0..NODES).map(|n| entry(&nodes, n, "ready")).collect();
         let discovery = CrowdedDiscovery::start(entries, COST);
         let known = discovery.known();
-        let begin = |n: usize| {
+        let start_host = |n: usize| {
             let fields = json!({"known": known, "seed": format!("{:016x}", 77 + n)});
             HostProcess::spawn_with(discovery.address, 64, many_hosts(), fields)
         };
-        let mut hosts: Vec<HostProcess> = (0..PROCESSES).map(begin).collect();
+        let mut hosts: Vec<HostProcess> = (0..PROCESSES).map(start_host).collect();
         for host in &mut hosts {
             host.wait_until_ready();
         }
@@ -69,8 +70,8 @@
     target(&format!("s-{n}"), &nodes[n as usize], n, state)
 }
 
-/// A host that is refused must not cost discovery more than one that is served: calls for complete
-/// lists, followed by calls for watches that are refused, would keep it busy for ever.
+/// A refused host must not cost discovery more than a served one. If hosts requested the complete list again
+/// whenever their watch is refused, discovery would stay overloaded forever.
 #[test]
 fn every_host_watches_after_two_served_calls_for_each() {
     let fleet = Fleet::start();
@@ -91,8 +92,8 @@
     }
 }
 
-/// A node drains as soon as discovery could have told every host; each host has a request for it
-/// every 100 ms.
+/// A node must get no attempts once discovery could have announced its drain to every host. Each host gets
+/// a request for the node every 100 ms.
 #[test]
 fn no_attempt_reaches_a_node_that_started_draining_a_term_ago() {
     let fleet = Fleet::start();
@@ -125,7 +126,8 @@
     assert_eq!(late, 0, "sent too late; {calls:?}");
 }
 
-/// Discovery has told what it has written, whatever the host has given up meanwhile.
+/// Discovery counts a response as delivered once it is written, so the host must apply it even if it has
+/// given up that call meanwhile.
 #[test]
 fn a_response_that_arrives_after_its_call_was_repeated_counts() {
     let node = node(|_| respond_with(OK_RESPONSE));
@@ -134,7 +136,10 @@
     let host = HostProcess::spawn_with(discovery.address, 64, settings(), json!({"known": known}));
     let mut first = discovery.next();
     let again = discovery.next();
-    assert_ne!(first.conn, again.conn, "it has dialled anew");
+    assert_ne!(
+        first.conn, again.conn,
+        "the call was repeated on the same connection"
+    );
     first.respond_with_list(2, false, json!([target("s-1", &node, 0, "draining")]));
     let until = Instant::now() + ms(3000);
     let is_sent = |turn| {
@@ -149,7 +154,7 @@
     );
 }
 
-/// A list is as long as the fleet is large, and may be indented.
+/// The endpoint list grows with the fleet, and its JSON may be indented.
 #[test]
 fn an_endpoint_list_of_thousands_of_indented_entries_is_accepted() {
     const ENTRIES: u32 = 3200;
@@ -163,9 +168,13 @@
     let discovery = ManualServer::start();
     let mut host = HostProcess::spawn(discovery.address, 64, settings());
     discovery.next().respond(&body);
-    // The watch that follows shows that the list was taken.
+    // The watch that follows shows that the list was accepted.
     let next = discovery.next();
-    assert!(next.text.contains("since=1&"), "asked for {}", next.text);
+    assert!(
+        next.text.contains("since=1&"),
+        "expected a watch since revision 1, found {}",
+        next.text
+    );
     host.wait_until_ready();
     assert_eq!(
         host.status_of(&request("read", "one", 3199, 7, 2900)),
@@ -173,32 +182,32 @@
     );
 }
 
-/// A list from before the start is acted on for three seconds; a node that turns requests away gets
-/// no more from then on, one that completes them does, until discovery answers.
+/// A cached list is used for three seconds after the start. From then until discovery responds, a node that
+/// rejects requests gets no more of them, and one that completes them does.
 #[test]
 fn a_host_that_discovery_always_refuses_sends_only_to_nodes_that_complete_requests() {
     const CACHED_LEASE: Duration = ms(3000);
-    let (serves, turns_away) = (
+    let (completing, rejecting) = (
         node(|_| respond_with(OK_RESPONSE)),
         node(|_| respond_with(REJECTED_RESPONSE)),
     );
     let targets = json!([
-        target("s-0", &serves, 0, "ready"),
-        target("s-1", &turns_away, 1, "ready")
+        target("s-0", &completing, 0, "ready"),
+        target("s-1", &rejecting, 1, "ready")
     ]);
     let known = json!({"rev": 1, "all": true, "targets": targets});
     let discovery = ManualServer::start();
     let address = discovery.address;
     let began = Instant::now();
     let host = HostProcess::spawn_with(address, 64, settings(), json!({"known": known}));
-    let answers = AtomicBool::new(false);
+    let is_answering = AtomicBool::new(false);
     let ended = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        let (answers, ended, host) = (&answers, &ended, &host);
+        let (is_answering, ended, host) = (&is_answering, &ended, &host);
         scope.spawn(move || {
             while !ended.load(Ordering::SeqCst) {
                 if let Some(mut call) = discovery.try_next() {
-                    if answers.load(Ordering::SeqCst) {
+                    if is_answering.load(Ordering::SeqCst) {
                         call.respond_with_list(1, false, json!([]));
                     } else {
                         call.send_raw("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
@@ -220,15 +229,15 @@
         }
         let counts = || {
             (
-                received_requests(&serves).len(),
-                received_requests(&turns_away).len(),
+                received_requests(&completing).len(),
+                received_requests(&rejecting).len(),
             )
         };
         sleep((CACHED_LEASE + DRAIN_GRACE).saturating_sub(began.elapsed()));
         let before = counts();
         sleep(ms(4000));
         let refused = counts();
-        answers.store(true, Ordering::SeqCst);
+        is_answering.store(true, Ordering::SeqCst);
         let until = Instant::now() + GIVE_UP;
         while counts().1 == refused.1 && Instant::now() < until {
             sleep(ms(10));
@@ -237,25 +246,26 @@
         ended.store(true, Ordering::SeqCst);
         assert!(
             before.1 > 0,
-            "nothing was sent by the list from before: {before:?}"
-        );
-        assert_eq!(
-            refused.1, before.1,
-            "sent to a node that turns requests away"
+            "no request was sent by the cached list: {before:?}"
         );
+        assert_eq!(refused.1, before.1, "sent to a node that rejects requests");
         assert!(refused.0 > before.0 + 40, "{before:?}, {refused:?}");
-        assert!(confirmed.1 > refused.1, "it was confirmed: {confirmed:?}");
+        assert!(
+            confirmed.1 > refused.1,
+            "nothing was sent after discovery confirmed the list: {confirmed:?}"
+        );
     });
 }
 
-/// A connection that ends with its answer is no failure: the watch goes on with the next one, and
-/// waits there. Where nothing was waited for, it is one, or discovery would be called without end.
+/// A connection that closes after its response is no failure: the watch continues on the next connection,
+/// with a wait. If the response came without a wait, the close counts as a failure, since discovery would
+/// otherwise be called in a tight loop.
 #[test]
 fn a_discovery_that_closes_each_connection_after_its_response_is_watched() {
     let node = node(|_| respond_with(OK_RESPONSE));
     let discovery = ManualServer::start();
     let _host = HostProcess::spawn(discovery.address, 64, settings());
-    let answers = |call: &mut HeldRequest, revision: u64, targets: Value| {
+    let respond_and_close = |call: &mut HeldRequest, revision: u64, targets: Value| {
         let body = json!({"rev": revision, "all": revision == 1, "targets": targets}).to_string();
         let length = body.len();
         call.send_raw(&format!(
@@ -269,13 +279,13 @@
             let watch = format!("since={}&timeout_ms=2000 ", revision - 1);
             assert!(call.text.contains(&watch), "{}", call.text);
         }
-        answers(
+        respond_and_close(
             &mut call,
             revision,
             json!([target("s-1", &node, 0, "ready")]),
         );
     }
-    answers(&mut discovery.next(), 3, json!([]));
+    respond_and_close(&mut discovery.next(), 3, json!([]));
     let resumed = discovery.next();
     assert!(
         resumed.text.contains("since=3&timeout_ms=0 "),
@@ -284,8 +294,8 @@
     );
 }
 
-/// A revision that runs backwards is of a discovery that has lost its own: also where the connection
-/// then breaks, the complete list is asked for.
+/// If the revision goes backwards, discovery has lost its revisions. The host then requests the complete
+/// list, even if the connection breaks meanwhile.
 #[test]
 fn a_revision_that_went_backwards_is_not_resumed() {
     let node = node(|_| respond_with(OK_RESPONSE));
--- a/crates/cli/tests/descriptors.rs
+++ b/crates/cli/tests/descriptors.rs
@@ -1,9 +1,8 @@
-//! One process at its limit of descriptors, with more clients that say nothing than it may hold:
-//! the list, the nodes, and whoever has something to say get theirs all the same.
+//! One process at its limit of file descriptors, with more idle clients than it may hold open. The
+//! connections to discovery and to the nodes, and clients that send requests, must still get descriptors.
 //!
-//! The system itself holds each process to its limit here (`rig::live`). The idle come again as
-//! often as they are closed. Verdicts are counts: calls to the list, answers, and what came to the
-//! nodes.
+//! The operating system enforces the limit (`rig::live`). Idle clients reconnect whenever they are closed.
+//! Assertions rest on counts: calls to discovery, responses, and requests that nodes received.
 
 mod rig;
 
@@ -17,23 +16,22 @@
 use std::thread::{sleep, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// The least that the settings may say.
+/// Minimum socket limit that a configuration may set.
 const SOCKETS: u64 = 48;
-/// How long a client waits for its answer, as each of its requests says.
-const LEFT: u64 = 2900;
+/// Time until the deadline that each request states, which is also how long its client waits.
+const REMAINING_MS: u64 = 2900;
 
-/// Clients that say nothing, or one thing when they have dialled, and dial again when they are
-/// closed.
-struct Idle {
+/// Clients that send nothing, or one request when they connect, and reconnect whenever they are closed.
+struct IdleClients {
     ended: Arc<AtomicBool>,
-    /// Connections made in all.
+    /// Total number of connections made.
     made: Arc<AtomicUsize>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Idle {
-    /// Returns once all have dialled; `first` is what each says then.
-    fn start(host: SocketAddr, clients: usize, first: &'static str) -> Idle {
+impl IdleClients {
+    /// Starts the clients, and returns once all have connected. `first` is what each sends on connecting.
+    fn start(host: SocketAddr, clients: usize, first: &'static str) -> IdleClients {
         let (ended, made): (Arc<AtomicBool>, Arc<AtomicUsize>) = Default::default();
         let (stop, count) = (ended.clone(), made.clone());
         let dial = move || {
@@ -58,39 +56,42 @@
                 sleep(ms(2));
             }
         });
-        let idle = Idle {
+        let idle = IdleClients {
             ended,
             made,
             thread: Some(thread),
         };
         let until = Instant::now() + Duration::from_secs(20);
         while idle.made.load(Ordering::SeqCst) < clients {
-            assert!(Instant::now() < until, "they never all dialled");
+            assert!(
+                Instant::now() < until,
+                "not all clients connected within 20 s"
+            );
             sleep(ms(1));
         }
         idle
     }
 }
 
-impl Drop for Idle {
+impl Drop for IdleClients {
     fn drop(&mut self) {
         self.ended.store(true, Ordering::SeqCst);
         self.thread.take().into_iter().for_each(|t| _ = t.join());
     }
 }
 
-/// What ends with the list: its listener and its connections.
-type Up = (TcpListener, Vec<TcpStream>);
+/// The listener and the connections that an outage closes.
+type Connections = (TcpListener, Vec<TcpStream>);
 
-/// A list that goes down, with all its connections, and returns.
+/// A discovery service that can fail, with all its connections, and recover.
 struct Outage {
     list: StubDiscovery,
     address: SocketAddr,
-    up: Arc<Mutex<Option<Up>>>,
+    up: Arc<Mutex<Option<Connections>>>,
 }
 
 impl Outage {
-    /// It is down at first.
+    /// Returns a service that is down at first.
     fn of(targets: Value) -> Outage {
         let address = free_address();
         Outage {
@@ -100,7 +101,7 @@
         }
     }
 
-    fn returns(&self) {
+    fn recover(&self) {
         let listener = TcpListener::bind(self.address).unwrap();
         listener.set_nonblocking(true).unwrap();
         *lock(&self.up) = Some((listener, Vec::new()));
@@ -121,7 +122,7 @@
         });
     }
 
-    fn goes_down(&self) {
+    fn fail(&self) {
         let (listener, open) = lock(&self.up).take().unwrap();
         drop(listener);
         open.iter().for_each(|s| _ = s.shutdown(Shutdown::Both));
@@ -131,13 +132,13 @@
         lock(&self.list.calls).clone()
     }
 
-    /// Waits until it was called so often.
-    fn is_called(&self, times: usize) {
+    /// Waits until the service has received so many calls.
+    fn wait_for_calls(&self, times: usize) {
         let until = Instant::now() + Duration::from_secs(20);
         while self.calls().len() < times {
             assert!(
                 Instant::now() < until,
-                "it was called {} times",
+                "expected {times} calls, found {}",
                 self.calls().len()
             );
             sleep(ms(2));
@@ -147,20 +148,27 @@
 
 const READY: &str = "GET /health/ready HTTP/1.1\r\n\r\n";
 
-/// What is told within the time that a client waits, from when it dials on.
-fn ask(host: SocketAddr, text: &str) -> Option<u16> {
+/// Sends a request and returns the status of its response, if it arrives before the deadline.
+fn status_within_deadline(host: SocketAddr, text: &str) -> Option<u16> {
     let began = Instant::now();
     let mut stream = TcpStream::connect(host).ok()?;
     stream.write_all(text.as_bytes()).ok()?;
     stream
-        .set_read_timeout(Some(ms(LEFT).saturating_sub(began.elapsed()).max(ms(1))))
+        .set_read_timeout(Some(
+            ms(REMAINING_MS).saturating_sub(began.elapsed()).max(ms(1)),
+        ))
         .unwrap();
     answer(&mut stream).map(|a| a.0)
 }
 
 fn requests(host: SocketAddr, what: &str, n: u64) -> Vec<Option<u16>> {
     (0..n)
-        .map(|k| ask(host, &request("once", &format!("{what}-{k}"), 0, k, LEFT)))
+        .map(|k| {
+            status_within_deadline(
+                host,
+                &request("once", &format!("{what}-{k}"), 0, k, REMAINING_MS),
+            )
+        })
         .collect()
 }
 
@@ -185,7 +193,7 @@
     AfterTerm,
 }
 
-fn is_back_and_called(when: When, first: &'static str) {
+fn assert_recovered_discovery_is_called(when: When, first: &'static str) {
     let what = format!("{when:?}, {first:.4}");
     let (old, new) = (
         node(|_| respond_with(OK_RESPONSE)),
@@ -194,50 +202,65 @@
     let only_old = json!([target("s-1", &old, 0, "ready")]);
     let mut outage = Outage::of(only_old.clone());
     if when != When::AtStart {
-        outage.returns();
+        outage.recover();
     }
     let mut live = HostProcess::spawn(outage.address, SOCKETS, settings());
     match when {
         When::AtStart => {
             let until = Instant::now() + Duration::from_secs(20);
-            while ask(live.address, READY).is_none() {
-                assert!(Instant::now() < until, "{what}: it never answered");
+            while status_within_deadline(live.address, READY).is_none() {
+                assert!(
+                    Instant::now() < until,
+                    "{what}: the host did not respond within 20 s"
+                );
                 sleep(ms(5));
             }
         }
         _ => live.wait_until_ready(),
     }
-    let _idle = Idle::start(live.address, 4 * SOCKETS as usize, first);
+    let _idle = IdleClients::start(live.address, 4 * SOCKETS as usize, first);
     match when {
         When::AtStart => {
-            // It has no list yet, and says so.
-            assert_eq!(ask(live.address, READY), Some(503), "{what}");
+            // Without an endpoint list, the host is not ready.
+            assert_eq!(
+                status_within_deadline(live.address, READY),
+                Some(503),
+                "{what}"
+            );
             assert_eq!(requests(live.address, "early", 2), [Some(503); 2], "{what}");
         }
         When::InService => {
-            outage.goes_down();
-            assert_eq!(ask(live.address, READY), Some(200), "{what}");
+            outage.fail();
+            assert_eq!(
+                status_within_deadline(live.address, READY),
+                Some(200),
+                "{what}"
+            );
             assert_eq!(requests(live.address, "early", 2), [Some(200); 2], "{what}");
         }
         When::AfterHangup => {
-            // The old list's connection stays until the new one has answered.
-            let there = Outage::of(only_old);
+            // The connection to the old service stays open until the new one has responded.
+            let successor = Outage::of(only_old);
             write_config(
                 &live.config,
                 "n1",
                 live.address,
-                there.address,
+                successor.address,
                 live.sockets,
                 settings(),
             );
             live.signal("-HUP");
             live.wait_for_log("connection lost", 1);
-            outage = there;
-            assert_eq!(ask(live.address, READY), Some(200), "{what}");
+            outage = successor;
+            assert_eq!(
+                status_within_deadline(live.address, READY),
+                Some(200),
+                "{what}"
+            );
             assert_eq!(requests(live.address, "early", 2), [Some(200); 2], "{what}");
         }
         When::AfterTerm => {
-            outage.goes_down();
+            outage.fail();
             live.signal("-TERM");
         }
     }
@@ -246,10 +269,10 @@
         target("s-1", &old, 0, "draining"),
         target("s-2", &new, 0, "ready")
     ]));
-    outage.returns();
-    // The second call follows what the first was told.
-    outage.is_called(before + 2);
-    // A host that has a list asks that discovery for what is newer, and misses nothing by that.
+    outage.recover();
+    // The second call shows that the host has applied the response to the first.
+    outage.wait_for_calls(before + 2);
+    // A host that has a list requests only newer changes from the same service, and misses none.
     let has_list = matches!(when, When::InService | When::AfterTerm);
     let since = has_list.then_some("since=1&timeout_ms=0");
     let call = outage.calls()[before].clone();
@@ -258,7 +281,11 @@
         since,
         "{what}: {call}"
     );
-    assert_eq!(ask(live.address, READY), Some(200), "{what}");
+    assert_eq!(
+        status_within_deadline(live.address, READY),
+        Some(200),
+        "{what}"
+    );
     assert_eq!(requests(live.address, "late", 5), [Some(200); 5], "{what}");
     assert_eq!(
         ids(&new),
@@ -282,11 +309,11 @@
         When::AfterHangup,
         When::AfterTerm,
     ] {
-        is_back_and_called(when, "");
+        assert_recovered_discovery_is_called(when, "");
     }
 }
 
-/// They ask whether the host is ready, and stay.
+/// The clients send one readiness request and keep their connections open.
 #[test]
 fn a_recovered_discovery_is_called_however_many_clients_stay_after_one_request() {
     for when in [
@@ -295,7 +322,7 @@
         When::AfterHangup,
         When::AfterTerm,
     ] {
-        is_back_and_called(when, READY);
+        assert_recovered_discovery_is_called(when, READY);
     }
 }
 
@@ -304,12 +331,12 @@
     let node = node(|_| respond_with(OK_RESPONSE));
     let list = start_discovery(json!([target("s-1", &node, 0, "ready")]));
     let live = HostProcess::start(&list, SOCKETS);
-    let idle = Idle::start(live.address, 900, "");
+    let idle = IdleClients::start(live.address, 900, "");
     assert_eq!(requests(live.address, "t", 5), [Some(200); 5]);
     assert_eq!(ids(&node), ["t-0", "t-1", "t-2", "t-3", "t-4"]);
-    assert_eq!(ask(live.address, READY), Some(200));
+    assert_eq!(status_within_deadline(live.address, READY), Some(200));
     assert!(
         idle.made.load(Ordering::SeqCst) > 900,
-        "none came again, so this proves little"
+        "no client reconnected, so the test shows nothing"
     );
 }
--- a/crates/cli/tests/ready.rs
+++ b/crates/cli/tests/ready.rs
@@ -1,6 +1,5 @@
-//! Thirty processes of `grebecleat platform` started at once, as after a release, while the list
-//! they ask is in trouble: how many are ready within ten seconds of their start, which is the
-//! platform's own bound.
+//! Thirty processes of `grebecleat platform` start at once, as after a release, while their discovery
+//! service is faulty. Counts how many are ready within ten seconds, the limit that the platform sets.
 
 mod rig;
 
@@ -16,42 +15,43 @@
 use std::time::{Duration, Instant};
 
 const PROCESSES: usize = 30;
-/// Nine in ten.
-const ENOUGH: usize = 27;
-const IN_TIME: Duration = ms(10_000);
+/// Nine of ten processes.
+const MIN_READY: usize = 27;
+const READY_TIMEOUT: Duration = ms(10_000);
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Trouble {
-    /// Each call is answered so long after it came.
+enum Fault {
+    /// Each call gets its response after this time.
     Slow(Duration),
-    /// Dials are refused until then.
+    /// Connections are refused for this time after the start.
     Down(Duration),
-    /// So many calls for the whole list are served in a second, the others refused at once.
-    Refuses(usize),
-    /// The same of all calls, watches among them. Thirty hosts' watches alone are fifteen a second.
-    RefusesAll(usize),
+    /// This many calls for the complete list are served per second; further ones are refused at once.
+    RefuseLists(usize),
+    /// The same limit for all calls, including watches. The watches of thirty hosts alone are fifteen calls a
+    /// second.
+    RefuseAll(usize),
 }
 
-struct List {
-    trouble: Trouble,
+struct FaultyDiscovery {
+    fault: Fault,
     targets: Value,
     began: Instant,
-    /// In each second since then.
+    /// Calls served in each second since the start.
     served: Mutex<Vec<usize>>,
     answers: AtomicUsize,
     calls: AtomicUsize,
 }
 
-impl List {
-    /// Bound at once, so that nobody else gets its port; it listens when it is not down.
-    fn start(trouble: Trouble, targets: Value) -> (Arc<List>, SocketAddr) {
+impl FaultyDiscovery {
+    /// Binds the socket at once, so that no other process gets the port, and listens once the outage is over.
+    fn start(fault: Fault, targets: Value) -> (Arc<FaultyDiscovery>, SocketAddr) {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
             .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
             .unwrap();
         let address = socket.local_addr().unwrap().as_socket().unwrap();
-        let list = Arc::new(List {
-            trouble,
+        let list = Arc::new(FaultyDiscovery {
+            fault,
             targets,
             began: Instant::now(),
             served: Mutex::default(),
@@ -60,7 +60,7 @@
         });
         let l = list.clone();
         std::thread::spawn(move || {
-            if let Trouble::Down(span) = trouble {
+            if let Fault::Down(span) = fault {
                 sleep(span);
             }
             socket.listen(128).unwrap();
@@ -74,17 +74,17 @@
     }
 
     fn serve(&self, mut stream: TcpStream) {
-        let mut had = Vec::new();
-        while let Some(text) = next_exchange(&mut stream, &mut had) {
+        let mut buffered = Vec::new();
+        while let Some(text) = next_exchange(&mut stream, &mut buffered) {
             self.calls.fetch_add(1, Ordering::SeqCst);
             let watch = text.contains("since=");
-            if !self.has_place(watch) {
+            if !self.is_admitted(watch) {
                 let _ = stream.write_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n");
                 continue;
             }
-            match self.trouble {
+            match self.fault {
                 _ if watch => sleep(ms(1900)),
-                Trouble::Slow(span) => sleep(span),
+                Fault::Slow(span) => sleep(span),
                 _ => {}
             }
             let targets = if watch {
@@ -102,10 +102,10 @@
         }
     }
 
-    fn has_place(&self, watch: bool) -> bool {
-        let most = match self.trouble {
-            Trouble::Refuses(most) if !watch => most,
-            Trouble::RefusesAll(most) => most,
+    fn is_admitted(&self, watch: bool) -> bool {
+        let most = match self.fault {
+            Fault::RefuseLists(most) if !watch => most,
+            Fault::RefuseAll(most) => most,
             _ => return true,
         };
         let second = self.began.elapsed().as_secs() as usize;
@@ -118,10 +118,10 @@
     }
 }
 
-/// A process, from its start until it is ready or its time is up: when that was, and whether the
-/// list had answered anybody by then.
+/// Starts a process and waits until it is ready or the timeout is over. Returns how long it took, and
+/// whether discovery had responded to any process by then.
 fn until_ready(
-    list: &List,
+    list: &FaultyDiscovery,
     address: SocketAddr,
     listen: SocketAddr,
     known: &Value,
@@ -133,7 +133,7 @@
         settings(),
         json!({"known": known, "listen": listen.to_string()}),
     );
-    while began.elapsed() < IN_TIME {
+    while began.elapsed() < READY_TIMEOUT {
         let answered = list.answers.load(Ordering::SeqCst) > 0;
         if live.status_of("GET /health/ready HTTP/1.1\r\n\r\n") == Some(200) {
             return (
@@ -144,7 +144,7 @@
         }
         assert!(
             live.child.try_wait().unwrap().is_none(),
-            "it has ended: {}",
+            "the host exited: {}",
             std::fs::read_to_string(&live.log).unwrap_or_default()
         );
         sleep(ms(50));
@@ -156,32 +156,32 @@
 fn nine_in_ten_of_thirty_hosts_started_at_once_are_ready_in_time() {
     let node = node(|_| respond_with(OK_RESPONSE));
     let targets = json!([target("s-1", &node, 0, "ready")]);
-    // With a remembered list nobody waits for the list, however long that takes; without, nobody
-    // can be of use before it has answered.
+    // With a cached list, no host waits for discovery, however long that takes. Without one, no host can
+    // serve requests before discovery has responded.
     let cases = [
-        (Trouble::Slow(ms(700)), false),
-        (Trouble::Slow(ms(1500)), false),
-        (Trouble::Slow(ms(1500)), true),
-        (Trouble::Down(ms(4000)), false),
-        (Trouble::Down(ms(60_000)), true),
-        (Trouble::Refuses(5), false),
-        (Trouble::RefusesAll(18), false),
-        (Trouble::Refuses(5), true),
+        (Fault::Slow(ms(700)), false),
+        (Fault::Slow(ms(1500)), false),
+        (Fault::Slow(ms(1500)), true),
+        (Fault::Down(ms(4000)), false),
+        (Fault::Down(ms(60_000)), true),
+        (Fault::RefuseLists(5), false),
+        (Fault::RefuseAll(18), false),
+        (Fault::RefuseLists(5), true),
     ];
-    for (case, (trouble, remembers)) in cases.into_iter().enumerate() {
-        let (list, address) = List::start(trouble, targets.clone());
+    for (case, (fault, remembers)) in cases.into_iter().enumerate() {
+        let (list, address) = FaultyDiscovery::start(fault, targets.clone());
         let known = json!({"rev": 1, "all": true, "targets": if remembers { targets.clone() } else { json!([]) }});
         let all: Vec<_> = std::thread::scope(|s| {
-            // Each on an address of its own, where nobody's outgoing connection can take its port
-            // meanwhile.
+            // Each process has an IP address of its own, where no outgoing connection can take its port
+            // before it listens.
             let free = |n| {
                 TcpListener::bind((Ipv4Addr::new(127, 9, case as u8, n), 0))
                     .unwrap()
                     .local_addr()
             };
             let (list, known) = (&list, &known);
-            // All before the first process is started: until it is executed, one that is being
-            // started has a copy of whatever listens in this one, and keeps its port taken.
+            // All ports are chosen before the first process is started: between fork and exec, a child
+            // holds copies of this process's listeners and keeps their ports taken.
             let listens: Vec<SocketAddr> =
                 (1..=PROCESSES).map(|n| free(n as u8).unwrap()).collect();
             let one = |listen| s.spawn(move || until_ready(list, address, listen, known));
@@ -197,28 +197,28 @@
             .max()
             .unwrap_or(0);
         println!(
-            "{trouble:?}, remembers {remembers}: {ready} ready, the last after {slowest:?}; {calls} calls; \
+            "{fault:?}, remembers {remembers}: {ready} ready, the last after {slowest:?}; {calls} calls; \
                   at most {memory} KiB each"
         );
         assert!(
-            ready >= ENOUGH,
-            "{trouble:?}, remembers {remembers}: {ready} ready"
+            ready >= MIN_READY,
+            "{fault:?}, remembers {remembers}: {ready} ready"
         );
         assert!(memory < 64 << 10, "{memory} KiB");
-        // Ready is whoever can serve.
+        // A host must report ready only if it can serve requests.
         let early = all
             .iter()
             .filter(|(at, answered, _)| at.is_some() && !answered)
             .count();
         assert!(
             remembers || early == 0,
-            "{trouble:?}: {early} are ready without a list"
+            "{fault:?}: {early} are ready without a list"
         );
         let (.., one) = all.iter().find(|(at, ..)| at.is_some()).unwrap();
         assert_eq!(
             one.status_of(&request("read", "t", 0, 7, 2900)),
             Some(200),
-            "{trouble:?}, remembers {remembers}"
+            "{fault:?}, remembers {remembers}"
         );
     }
 }
--- a/crates/cli/tests/slow_start.rs
+++ b/crates/cli/tests/slow_start.rs
@@ -12,18 +12,18 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const HOSTS: usize = 30;
-/// Units within the window that the settings let a node always bear, in mean requests.
+/// Units that a node can always bear within the window by the settings, in requests of mean size.
 const ALWAYS_BORNE: f64 = 10.0;
 /// The window of the slow-start rule.
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 /// Time without requests before all clients send at once.
 const QUIET_TIME: Duration = Duration::from_secs(6);
 
-/// A host with a name and a seed of its own, among so many.
+/// Starts a host of a fleet, with its own name and seed.
 fn start_host(number: usize, discovery: &StubDiscovery) -> HostProcess {
     let mut settings = settings();
     settings["balancers"] = json!(HOSTS);
-    // Nothing is reserved: a host may send its quota of the always-borne units alone.
+    // Nothing is reserved, so a host may send only its quota of the units that the node can always bear.
     settings["plans"][0]["guaranteed"] = json!(0.0);
     let seed = 0x9e37_79b9_7f4a_7c15_u64.wrapping_mul(number as u64 + 1);
     let fields = json!({"name": format!("n{number}"), "seed": format!("{seed:016x}")});
@@ -41,8 +41,8 @@
     status
 }
 
-/// Regression: thirty hosts sent one request each as soon as clients sent theirs, since each had
-/// long paid the debt with which its bucket begins.
+/// Guards against thirty hosts sending one request each at once: the initial debt of each host's token bucket
+/// had been paid off long before the clients sent their requests.
 #[test]
 fn thirty_hosts_with_demand_at_once_keep_to_the_slow_start_quota() {
     let received: Arc<Mutex<Vec<Instant>>> = Arc::default();
