--- a/crates/cli/tests/iscsi.rs
+++ b/crates/cli/tests/iscsi.rs
@@ -1,5 +1,5 @@
-//! iSCSI over TCP through the whole program: initiator, portal, decisions, nodes; and after the
-//! host is killed.
+//! iSCSI over TCP through the whole program, from initiator over portal and scheduler to the nodes, also
+//! after the host is killed.
 
 mod process;
 
@@ -28,10 +28,10 @@
     process::start(Command::new(PROGRAM).args(args), Stdio::null())
 }
 
-/// The last part of a portal's address.
+/// Last part of the next portal's IP address.
 static NEXT: AtomicU8 = AtomicU8::new(1);
 
-/// A site of three nodes with a portal on an address of its own.
+/// A site of three nodes, with a portal on an IP address of its own.
 struct Site {
     dir: PathBuf,
     script: String,
@@ -45,7 +45,7 @@
         Site::with(name, true)
     }
 
-    /// Without nodes the test plays them.
+    /// Starts a site. If `nodes` is false, the test acts as the nodes.
     fn with(name: &str, nodes: bool) -> Self {
         let dir =
             std::env::temp_dir().join(format!("grebecleat-iscsi-{}-{name}", std::process::id()));
@@ -141,7 +141,7 @@
         .collect()
 }
 
-/// Until it is GOOD: what is BUSY may come again.
+/// Writes, and repeats the command while its status is BUSY.
 fn write(i: &mut Initiator, lun: u64, lba: u64, data: &[u8]) {
     for _ in 0..200 {
         match i.write(lun, lba, data).unwrap() {
@@ -196,7 +196,7 @@
             "before"
         );
     }
-    drop(host); // killed outright
+    drop(host); // SIGKILL
     let _host = site.host();
     let mut i = site.initiator(1, false);
     for (lun, lba, data) in &writes {
@@ -275,8 +275,7 @@
     site.initiator(1, true);
 }
 
-/// A node that keeps one write back, whichever holds this byte, until it is told to carry it out,
-/// however late.
+/// A node that holds back the write that contains a certain byte, until the test tells it to execute it.
 struct SlowNode {
     heard: mpsc::Receiver<PeerEvent>,
     lines: BTreeMap<u64, PeerConnection>,
@@ -324,7 +323,7 @@
         }
     }
 
-    /// Works as a node for a while, or until it holds so many writes back.
+    /// Serves as a node for a time, or until it holds back this many writes.
     fn work(&mut self, span: Duration, until_held: usize) {
         let end = clock::now() + span;
         while self.held.len() < until_held {
@@ -387,7 +386,7 @@
         (Bytes::new(), newer)
     }
 
-    /// Works until the other side is through.
+    /// Serves as a node until the given function returns.
     fn serve<T: Send>(&mut self, other: impl FnOnce() -> T + Send) -> T {
         std::thread::scope(|s| {
             let other = s.spawn(other);
@@ -399,8 +398,8 @@
     }
 }
 
-/// Exactly one attempt is delayed: its command was aborted, or its host killed, and newer writes of
-/// the same blocks were acknowledged since. Then it runs.
+/// One attempt is delayed. Meanwhile its command is aborted or its host killed, and newer writes of the same
+/// blocks are acknowledged. Then the delayed attempt runs.
 #[test]
 fn an_attempt_that_runs_late_never_overwrites_a_newer_acknowledged_write() {
     let site = Site::with("late", false);
@@ -412,15 +411,15 @@
         write(&mut i, 0, 8, &block(1));
         i
     });
-    // Aborted by the client, which then comes with something newer.
+    // The initiator aborts the command, and then writes newer data.
     let old = i
         .submit(0, &cdb16(0x8a, 8, 2), &block(KEPT_BACK), 0)
         .unwrap();
     i.flush().unwrap();
     node.work(Duration::from_secs(5), 1);
-    assert_eq!(node.held.len(), 1, "the leg is at the node");
+    assert_eq!(node.held.len(), 1, "the node holds the attempt");
     let mut i = node.serve(|| {
-        assert!(i.abort(old).unwrap(), "it had no answer");
+        assert!(i.abort(old).unwrap(), "the command was already answered");
         write(&mut i, 0, 8, &block(2));
         i
     });
@@ -433,7 +432,7 @@
         assert!(read(&mut i, 0, 8, 2) == block(2), "the late write shows");
         i
     });
-    // The host is killed with the attempt at the node; its next start knows nothing of it.
+    // The host is killed while the attempt is at the node. After its restart it knows nothing of it.
     i.submit(0, &cdb16(0x8a, 8, 2), &block(KEPT_BACK), 0)
         .unwrap();
     i.flush().unwrap();
@@ -450,8 +449,8 @@
     node.serve(|| assert!(read(&mut site.initiator(2, true), 0, 8, 2) == block(3)));
 }
 
-/// Bytes that are no PDU, wrong digests, lengths and keys beyond all bounds, logins that are never
-/// finished: each is refused or hung up on, and a session beside them goes on.
+/// Sends bytes that are no PDU, wrong digests, excessive lengths and keys, and logins that never finish.
+/// Each is rejected or its connection closed, and another session continues.
 #[test]
 fn initiators_that_violate_the_protocol_harm_no_other_session() {
     let site = Site::new("liars");
@@ -502,7 +501,7 @@
         let mut s = TcpStream::connect(site.portal).unwrap();
         s.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
         let _ = s.write_all(&bytes);
-        // It may be told why; then the connection ends.
+        // The host may send a reason before it closes the connection.
         let mut said = Vec::new();
         let ended = s.read_to_end(&mut said);
         assert!(
@@ -520,7 +519,7 @@
     assert_eq!(good.strays, 0);
 }
 
-/// Who only uses its window may leave all of it unread for a while.
+/// An initiator that stays within its command window may leave all responses unread for a while.
 #[test]
 fn a_window_full_of_large_reads_does_not_close_the_session() {
     let site = Site::new("unread");
@@ -531,7 +530,10 @@
         i.submit(0, &cdb16(0x88, 0, 1024), &[], 1024 * 512).unwrap();
         open += 1;
     }
-    assert!(open > 40, "{open} fit into the window");
+    assert!(
+        open > 40,
+        "expected more than 40 commands in the window, found {open}"
+    );
     i.flush().unwrap();
     std::thread::sleep(Duration::from_millis(700));
     for _ in 0..open {
@@ -604,12 +606,12 @@
         said.contains(" wrong") && said.contains(", 0 wrong"),
         "{said}"
     );
-    // The audit counts PDUs, where a command sent again is another, and puts every block's history
-    // in order.
+    // The trace checker counts PDUs, so that a repeated command counts again, and verifies the order of each
+    // block's history.
     let audit = lines
         .iter()
         .find(|l| l.starts_with("audit: commands "))
-        .expect("counted by the audit too");
+        .expect("counts in the output of the trace checker");
     assert!(
         audit.contains("missing 0, doubled 0;") && audit.ends_with(" 0 out of order, 0 undecided"),
         "{audit}"
--- a/crates/cli/tests/peers.rs
+++ b/crates/cli/tests/peers.rs
@@ -1,5 +1,5 @@
-//! Hosts as processes that tell each other what they see and lend each other parts of limits, with
-//! faults between them. Verdicts come from what crossed to the nodes, as their process recorded it.
+//! Host processes that gossip their observations of nodes and lease each other quotas of limits, with
+//! faults between them. Assertions rest on what the nodes received, as recorded in their trace.
 
 mod process;
 
@@ -25,12 +25,12 @@
     Duration::from_millis(n)
 }
 
-fn alone() -> MutexGuard<'static, ()> {
+fn exclusive_run() -> MutexGuard<'static, ()> {
     static ONE: Mutex<()> = Mutex::new(());
     ONE.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-/// One volume with a limit through all hosts, of which each has even parts of 12 units a second.
+/// Limit of one volume over all hosts, in units per second. The even quota of each host is 12.
 const LIMIT: f64 = 48.0;
 const BURST: f64 = 24.0;
 const SLACK: f64 = 12.0;
@@ -139,7 +139,8 @@
             .success());
     }
 
-    /// Asks a host for units of the volume, so many a second, until told to end; those done.
+    /// Sends a host requests for the volume at a rate in units per second until stopped; returns the number
+    /// that completed.
     fn ask(
         &self,
         h: usize,
@@ -210,8 +211,8 @@
         String::from_utf8_lossy(&out.stdout).into_owned()
     }
 
-    /// Waits until a host shows something.
-    fn until(&self, h: usize, what: &str) {
+    /// Waits until the output of `fleet` for a host contains a text.
+    fn wait_until_shows(&self, h: usize, what: &str) {
         let mut said = String::new();
         for _ in 0..20 {
             said = self.shows(h);
@@ -222,8 +223,8 @@
         panic!("host {h} never shows {what:?}:\n{said}");
     }
 
-    /// When units came to the nodes, from whichever host.
-    fn came(&self) -> Vec<(f64, f64)> {
+    /// Returns when units reached the nodes from any host, and how many.
+    fn received_units(&self) -> Vec<(f64, f64)> {
         let records = read_file(&self.folder.join("nodes.trace")).unwrap();
         let attempts = records
             .iter()
@@ -239,13 +240,13 @@
         all
     }
 
-    /// By how much the most was, in any window, over what the limit and its slack let through.
-    fn over(&self) -> f64 {
-        let came = self.came();
-        // The largest of sum(i..=j) - LIMIT * (t_j - t_i), in one pass.
+    /// Returns the largest excess, over all time windows, above what the limit and its slack allow.
+    fn units_over_limit(&self) -> f64 {
+        let received = self.received_units();
+        // Computes the maximum of sum(i..=j) - LIMIT * (t_j - t_i) in one pass.
         let (mut best, mut run) = (0.0f64, 0.0f64);
-        let mut last = came.first().map_or(0.0, |c| c.0);
-        for (at, units) in came {
+        let mut last = received.first().map_or(0.0, |c| c.0);
+        for (at, units) in received {
             run = (run - LIMIT * (at - last)).max(0.0) + units;
             (best, last) = (best.max(run), at);
         }
@@ -273,29 +274,33 @@
     let _ = s.write_all(&bytes);
 }
 
-/// All but one host hear nothing of it, and it nothing of them.
-fn alone_is(h: usize) -> BTreeSet<(usize, usize)> {
+/// Returns the pairs of hosts to cut so that one host is partitioned from all others.
+fn partition_of(h: usize) -> BTreeSet<(usize, usize)> {
     (0..HOSTS)
         .filter(|o| *o != h)
         .flat_map(|o| [(o, h), (h, o)])
         .collect()
 }
 
-/// A volume that is asked for through one host gets nearly its whole limit there, where even parts
-/// give a quarter; and never more over all hosts, while that host is cut off, stands still for
-/// longer than its loans, and is killed and comes back without knowing what it had.
+/// A volume whose requests all come through one host gets nearly its whole limit there, while an even
+/// quota would be a quarter. The limit over all hosts holds while that host is partitioned, is paused for
+/// longer than its quota leases, and is killed and restarts without its state.
 #[test]
 fn quotas_of_a_limit_follow_demand_and_the_limit_holds_through_partitions_pauses_and_kills() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let mut site = Site::new("parts", FLEET);
-    site.until(0, "3 peers heard");
+    site.wait_until_shows(0, "3 peers heard");
     let ended = Arc::new(AtomicBool::new(false));
     let busy = site.ask(0, 120, ended.clone());
-    site.until(0, "borrowed 6"); // of the whole, in percent, where 65.6 is to be had
+    site.wait_until_shows(0, "borrowed 6"); // percent of the limit; 65.6 can be borrowed
     sleep(ms(2500));
     let rate = |from: f64| {
-        let came: Vec<(f64, f64)> = site.came().into_iter().filter(|c| c.0 >= from).collect();
-        came.iter().map(|c| c.1).sum::<f64>() / (came.last().unwrap().0 - from)
+        let received: Vec<(f64, f64)> = site
+            .received_units()
+            .into_iter()
+            .filter(|c| c.0 >= from)
+            .collect();
+        received.iter().map(|c| c.1).sum::<f64>() / (received.last().unwrap().0 - from)
     };
     let now = || clock::now().as_secs_f64();
     let lent = rate(now() - 2.0);
@@ -304,8 +309,8 @@
         "{lent:.1} units a second of {LIMIT}, even parts give {}",
         LIMIT / 4.0
     );
-    // Cut off, while others begin to need what they lent.
-    site.links.set_cut(alone_is(0));
+    // Partition the host while the others begin to need what they have lent.
+    site.links.set_cut(partition_of(0));
     let others: Vec<_> = (1..HOSTS).map(|h| site.ask(h, 40, ended.clone())).collect();
     sleep(ms(3000));
     let said = site.shows(0);
@@ -315,17 +320,17 @@
     );
     site.links.set_cut(BTreeSet::new());
     sleep(ms(1500));
-    // Stands still for longer than its loans, with words and answers waiting for it.
+    // Pause the host for longer than its quota leases, while messages and responses wait for it.
     site.signal(0, "STOP");
     sleep(ms(2500));
     site.signal(0, "CONT");
     sleep(ms(1000));
-    // Dies with what it lent, twice; the second time its peers cannot say what they hold.
+    // Kill the host with its quotas lent out, twice. The second time its peers cannot report what they hold.
     site.signal(1, "KILL");
     sleep(ms(100));
     site.begin(1);
     sleep(ms(1500));
-    site.links.set_cut(alone_is(1));
+    site.links.set_cut(partition_of(1));
     site.signal(1, "KILL");
     site.begin(1);
     sleep(ms(500));
@@ -344,18 +349,18 @@
     assert!(busy.join().unwrap() > 0);
     others
         .into_iter()
-        .for_each(|o| assert!(o.join().unwrap() > 0, "every host served"));
-    let over = site.over();
+        .for_each(|o| assert!(o.join().unwrap() > 0, "a host completed no request"));
+    let over = site.units_over_limit();
     assert!(over <= 0.0, "{over:.1} units over the limit in some window");
 }
 
-/// Hosts that name no fleet, and one that hears nobody, serve as before.
+/// Hosts without peers in their configuration, and one that hears none of its peers, serve their even quota.
 #[test]
 fn a_mixed_fleet_and_hosts_without_peers_serve_by_their_even_quotas() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let mut site = Site::new("mixed", "");
     assert!(site.shows(0).contains("tells its peers nothing"));
-    // Two of them are of a version that tells.
+    // Two of the hosts run with gossip.
     let with = site.folder.join("with.star");
     fs::write(&with, format!("{SITE}{FLEET}")).unwrap();
     site.script = with.to_str().unwrap().to_string();
@@ -363,14 +368,18 @@
         site.signal(h, "KILL");
         site.begin(h);
     }
-    site.until(2, "1 peers heard");
+    site.wait_until_shows(2, "1 peers heard");
     let ended = Arc::new(AtomicBool::new(false));
     let asks: Vec<_> = (0..HOSTS).map(|h| site.ask(h, 30, ended.clone())).collect();
     sleep(ms(4000));
     ended.store(true, Ordering::SeqCst);
     let done: Vec<u64> = asks.into_iter().map(|a| a.join().unwrap()).collect();
-    // Of 12 units a second each, for four seconds; the two that hear only each other wait for loans
-    // that no one holds, and then have their own.
+    // Each gets 12 units a second for four seconds. The two that hear only each other first wait out leases
+    // that no host holds, and then use their own quota.
     assert!(done.iter().all(|d| *d >= 16), "{done:?}");
-    assert!(site.over() <= 0.0, "{:.1} over the limit", site.over());
+    assert!(
+        site.units_over_limit() <= 0.0,
+        "{:.1} over the limit",
+        site.units_over_limit()
+    );
 }
--- a/crates/cli/tests/plans.rs
+++ b/crates/cli/tests/plans.rs
@@ -1,5 +1,5 @@
-//! The state service and `grebecleat plans` as operators use them: real processes, real files, and
-//! a day on which plans change under load.
+//! The state service and `grebecleat plans` as operators use them: real processes and files, and a
+//! scenario in which plans change under load.
 
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -31,7 +31,7 @@
 rehearsal(seed = 3, length = s(11))
 "#;
 
-fn alone() -> MutexGuard<'static, ()> {
+fn exclusive_run() -> MutexGuard<'static, ()> {
     static ONE: Mutex<()> = Mutex::new(());
     ONE.lock().unwrap_or_else(|e| e.into_inner())
 }
@@ -102,16 +102,16 @@
             .unwrap()
     }
 
-    /// What it prints, where it is done.
-    fn done(&self, args: &[&str]) -> String {
+    /// Runs a command that must succeed, and returns its output.
+    fn succeeds(&self, args: &[&str]) -> String {
         let out = self.plans(args);
-        let said = text(&out);
-        assert_eq!(out.status.code(), Some(0), "{args:?}: {said}");
-        said
+        let output = text(&out);
+        assert_eq!(out.status.code(), Some(0), "{args:?}: {output}");
+        output
     }
 
-    /// What it prints, where it is not.
-    fn refused(&self, args: &[&str], code: i32) -> String {
+    /// Runs a command that must fail with this exit code, and returns its output.
+    fn fails_with(&self, args: &[&str], code: i32) -> String {
         let out = self.plans(args);
         assert_eq!(out.status.code(), Some(code), "{args:?}: {}", text(&out));
         text(&out)
@@ -133,37 +133,41 @@
 
 #[test]
 fn an_operators_commands_change_show_and_undo_the_catalog() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let s = Service::new("day");
     assert_eq!(
-        s.done(&["set", "plan basic rate=18 weight=2", "--why", "appeal"]),
+        s.succeeds(&["set", "plan basic rate=18 weight=2", "--why", "appeal"]),
         "entry 2"
     );
     assert_eq!(
-        s.done(&["show", "plan", "basic"]).lines().next().unwrap(),
+        s.succeeds(&["show", "plan", "basic"])
+            .lines()
+            .next()
+            .unwrap(),
         "plan basic rate=18 reservation=0 limit=0 burst=0 slack=0 weight=2 price=1"
     );
-    // Two sessions that looked at entry 2: the second is told what it collided with.
+    // Two changes are based on entry 2. The second one is rejected, and names the conflicting change.
     assert_eq!(
-        s.done(&["set", "volume 100 plan=gold", "--looked-at", "2"]),
+        s.succeeds(&["set", "volume 100 plan=gold", "--looked-at", "2"]),
         "entry 3"
     );
-    let said = s.refused(&["set", "volume 100 plan=capped", "--looked-at", "2"], 1);
+    let output = s.fails_with(&["set", "volume 100 plan=capped", "--looked-at", "2"], 1);
     assert_eq!(
-        said,
+        output,
         "refused: volume 100 was changed meanwhile, by entry 3 of clerk"
     );
     assert_eq!(
-        s.done(&["set", "volume 103 plan=gold", "--looked-at", "2"]),
+        s.succeeds(&["set", "volume 103 plan=gold", "--looked-at", "2"]),
         "entry 4",
         "has nothing to do with it"
     );
-    let said = s.refused(&["set", "plan gold reservation=400"], 1);
+    let output = s.fails_with(&["set", "plan gold reservation=400"], 1);
     assert!(
-        said.starts_with("refused: ") && said.contains("reserves cannot be met; what gives way"),
-        "{said}"
+        output.starts_with("refused: ")
+            && output.contains("reserves cannot be met; what gives way"),
+        "{output}"
     );
-    s.done(&[
+    s.succeeds(&[
         "set",
         "plan gold reservation=400",
         "--force",
@@ -171,24 +175,28 @@
         "they insist",
     ]);
     assert!(s
-        .done(&["status"])
+        .succeeds(&["status"])
         .contains("units a second of reserves cannot be met"));
-    s.done(&["undo", "5", "--why", "it was too much"]);
-    let said = s.done(&["history", "--most", "2"]);
+    s.succeeds(&["undo", "5", "--why", "it was too much"]);
+    let output = s.succeeds(&["history", "--most", "2"]);
     assert!(
-        said.contains("forced against: ") && said.contains("plan gold: reservation=40 (was 400)"),
-        "{said}"
+        output.contains("forced against: ")
+            && output.contains("plan gold: reservation=40 (was 400)"),
+        "{output}"
     );
-    let said = s.done(&["diff", &s.path("site.star")]);
+    let output = s.succeeds(&["diff", &s.path("site.star")]);
     assert!(
-        said.contains("in the file:      volume 100 plan=basic")
-            && said.contains("in service:       volume 100 plan=gold"),
-        "{said}"
+        output.contains("in the file:      volume 100 plan=basic")
+            && output.contains("in service:       volume 100 plan=gold"),
+        "{output}"
+    );
+    s.succeeds(&["declare", &s.path("site.star")]);
+    assert_eq!(
+        s.succeeds(&["diff", &s.path("site.star")]),
+        "nothing differs"
     );
-    s.done(&["declare", &s.path("site.star")]);
-    assert_eq!(s.done(&["diff", &s.path("site.star")]), "nothing differs");
     assert!(s
-        .done(&["moves", "--empty", "1"])
+        .succeeds(&["moves", "--empty", "1"])
         .contains("extents from node 1 to node"));
     let drain = [
         "set",
@@ -196,9 +204,9 @@
         "volume 200 plan=basic hosts=h1 cells=1 blocks=8",
     ];
     assert!(s
-        .refused(&drain, 1)
+        .fails_with(&drain, 1)
         .contains("of reserves lie out of reach"));
-    s.done(&[&drain[..], &["--force"]].concat());
+    s.succeeds(&[&drain[..], &["--force"]].concat());
     let out = s.plans(&["--output", "json", "list"]);
     let list: serde_json::Value = serde_json::from_slice(&out.stdout).unwrap();
     assert!(
@@ -209,8 +217,8 @@
             .any(|c| c["drain"] == 3),
         "{list}"
     );
-    // Bad words: the place and the fault, and nothing is done.
-    let before = s.done(&["list"]);
+    // Syntax errors are reported with their place, and nothing is changed.
+    let before = s.succeeds(&["list"]);
     for (words, why) in [
         (
             "volume 100 plan=silver",
@@ -238,15 +246,15 @@
             text(&out)
         );
     }
-    assert_eq!(s.done(&["list"]), before);
-    // A change for later lands by itself.
-    s.done(&["set", "plan basic rate=33", "--at-time", "+1s"]);
-    let begun = Instant::now();
-    while !s.done(&["show", "plan", "basic"]).contains("rate=33") {
+    assert_eq!(s.succeeds(&["list"]), before);
+    // A scheduled change is committed at its time.
+    s.succeeds(&["set", "plan basic rate=33", "--at-time", "+1s"]);
+    let started_at = Instant::now();
+    while !s.succeeds(&["show", "plan", "basic"]).contains("rate=33") {
         assert!(
-            begun.elapsed() < Duration::from_secs(10),
+            started_at.elapsed() < Duration::from_secs(10),
             "{}",
-            s.done(&["history"])
+            s.succeeds(&["history"])
         );
         std::thread::sleep(Duration::from_millis(100));
     }
@@ -254,23 +262,25 @@
 
 #[test]
 fn acknowledged_changes_survive_every_kill() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let mut s = Service::new("kill");
     let mut entry = 1;
     for round in 0..6 {
         for n in 0..4 {
             entry += 1;
             let words = format!("plan basic rate={}", 100 + round * 10 + n);
-            assert_eq!(s.done(&["set", &words]), format!("entry {entry}"));
+            assert_eq!(s.succeeds(&["set", &words]), format!("entry {entry}"));
         }
         s.kill();
         s.start();
         let last = format!("rate={}", 100 + round * 10 + 3);
-        assert!(s.done(&["show", "plan", "basic"]).contains(&last));
-        assert!(s.done(&["status"]).starts_with(&format!("entry {entry},")));
+        assert!(s.succeeds(&["show", "plan", "basic"]).contains(&last));
+        assert!(s
+            .succeeds(&["status"])
+            .starts_with(&format!("entry {entry},")));
     }
     assert_eq!(
-        s.done(&["history", "--most", "100", "--of", "plan basic"])
+        s.succeeds(&["history", "--most", "100", "--of", "plan basic"])
             .matches("clerk")
             .count(),
         24
@@ -279,32 +289,34 @@
 
 #[test]
 fn a_damaged_store_is_reported_and_restored_from_a_snapshot() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let mut s = Service::new("damage");
-    s.done(&["set", "plan basic rate=50"]);
+    s.succeeds(&["set", "plan basic rate=50"]);
     let snapshot = s.path("kept.snapshot");
-    s.done(&["snapshot", &snapshot]);
-    s.done(&["set", "plan basic rate=60"]);
+    s.succeeds(&["snapshot", &snapshot]);
+    s.succeeds(&["set", "plan basic rate=60"]);
     let store = s.path("s.store");
-    // While it runs nobody else may have the store.
+    // No other process can open the store while the service runs.
     assert!(s
-        .refused(&["check", &store], 3)
+        .fails_with(&["check", &store], 3)
         .contains("in use by another process"));
     assert!(s
-        .refused(&["restore", &snapshot, &store], 3)
+        .fails_with(&["restore", &snapshot, &store], 3)
         .contains("in use by another process"));
     s.kill();
-    assert!(s.done(&["check", &store]).contains("in order: entry 3"));
-    assert!(s.done(&["check", &snapshot]).contains("in order: entry 2"));
-    // It makes snapshots of its own.
-    let begun = Instant::now();
+    assert!(s.succeeds(&["check", &store]).contains("in order: entry 3"));
+    assert!(s
+        .succeeds(&["check", &snapshot])
+        .contains("in order: entry 2"));
+    // The service writes snapshots by itself.
+    let started_at = Instant::now();
     s.start();
     while !s.dir.join("s.snapshot").exists() {
-        assert!(begun.elapsed() < Duration::from_secs(10));
+        assert!(started_at.elapsed() < Duration::from_secs(10));
         std::thread::sleep(Duration::from_millis(100));
     }
     s.kill();
-    // A byte of a record rots.
+    // Corrupt one byte of a record.
     let mut bytes = fs::read(&store).unwrap();
     let word = b"basic";
     let at: Vec<usize> = bytes
@@ -322,23 +334,28 @@
         "{}",
         text(&out)
     );
-    assert!(s.refused(&["check", &store], 1).contains("damaged"));
-    let said = s.done(&["restore", &snapshot, &store]);
-    assert!(said.contains("the store that was there is now"), "{said}");
+    assert!(s.fails_with(&["check", &store], 1).contains("damaged"));
+    let output = s.succeeds(&["restore", &snapshot, &store]);
+    assert!(
+        output.contains("the store that was there is now"),
+        "{output}"
+    );
     s.start();
-    assert!(s.done(&["show", "plan", "basic"]).contains("rate=50"));
-    // A snapshot that was cut short puts nothing back.
+    assert!(s.succeeds(&["show", "plan", "basic"]).contains("rate=50"));
+    // A truncated snapshot is not restored.
     let cut = s.path("cut.snapshot");
     fs::write(&cut, &fs::read(&snapshot).unwrap()[..200]).unwrap();
     s.kill();
-    assert!(s.refused(&["restore", &cut, &store], 3).contains("damaged"));
-    assert!(s.done(&["check", &store]).contains("in order: entry 2"));
+    assert!(s
+        .fails_with(&["restore", &cut, &store], 3)
+        .contains("damaged"));
+    assert!(s.succeeds(&["check", &store]).contains("in order: entry 2"));
 }
 
-/// A short day of `examples/plan-change.star`.
+/// Runs a shortened scenario of `examples/plan-change.star`.
 #[test]
 fn plans_change_under_load_while_the_feed_and_its_service_fail() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let dir = std::env::temp_dir().join(format!("grebecleat-catalog-{}-day", std::process::id()));
     fs::create_dir_all(&dir).unwrap();
     let script = dir.join("day.star");
@@ -366,17 +383,21 @@
         ])
         .output()
         .unwrap();
-    let said = text(&out);
-    assert_eq!(out.status.code(), Some(0), "{said}");
+    let output = text(&out);
+    assert_eq!(out.status.code(), Some(0), "{output}");
     assert!(
-        said.lines()
+        output
+            .lines()
             .last()
             .unwrap()
             .starts_with("rules broken: 0; "),
-        "{said}"
+        "{output}"
+    );
+    // Six changes and the declared configuration, each in force at every host by the end.
+    assert!(
+        output.contains("plans: 7 entries over everywhere"),
+        "{output}"
     );
-    // Six changes and what was declared, each over everywhere in the end.
-    assert!(said.contains("plans: 7 entries over everywhere"), "{said}");
-    assert!(!said.contains("refused"), "{said}");
+    assert!(!output.contains("refused"), "{output}");
     let _ = fs::remove_dir_all(&dir);
 }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -1,4 +1,4 @@
-//! The program as its users start it: settings, exit codes, rehearsals with faults, signals,
+//! The program as its users run it: settings, exit codes, scenarios with faults, signals, file
 //! descriptors.
 
 mod process;
@@ -17,8 +17,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_grebecleat");
 
-/// One run at a time: several on one small machine would make each other late.
-fn alone() -> MutexGuard<'static, ()> {
+/// Waits until no other test of this program runs, since parallel ones on a small machine would delay each
+/// other.
+fn exclusive_run() -> MutexGuard<'static, ()> {
     static ONE: Mutex<()> = Mutex::new(());
     ONE.lock().unwrap_or_else(|e| e.into_inner())
 }
@@ -54,7 +55,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A small site for a short day; the troubles come after.
+/// Settings of a small site with a short scenario; each test appends its faults.
 const SITE: &str = r#"
 zone(name = "a")
 zone(name = "b")
@@ -80,7 +81,7 @@
 load_of(retries = 1)
 "#;
 
-/// Plays a day; its output, and the numbers of its last line.
+/// Runs a scenario; returns its output, and the numbers of its last line.
 fn day(folder: &Folder, name: &str, troubles: &str, more: &[&str]) -> (String, [u64; 5]) {
     let script = folder.file(&format!("{name}.star"), &format!("{SITE}{troubles}"));
     let dir = folder.0.join(name);
@@ -118,13 +119,14 @@
 
 #[test]
 fn a_scenario_without_faults_is_served_and_is_deterministic() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let folder = Folder::new("quiet");
     let (first, [_, all, done, ..]) = day(&folder, "one", "", &[]);
     assert!(all > 400 && done * 10 > all * 9, "{first}");
     let (second, _) = day(&folder, "two", "", &[]);
     assert_eq!(pieces(&first), pieces(&second));
-    // Judged by a rule that the run never had, its traces show the breach, and the code says so.
+    // If its traces are checked against a stricter limit than the run had, the violation is reported,
+    // with exit code 1.
     let dir = folder.0.join("one");
     let strict = SITE.replace(
         "limit = 12, limit_burst = 60, limit_slack = 6",
@@ -146,7 +148,7 @@
 
 #[test]
 fn a_scenario_with_a_restarted_host_and_a_paused_host() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let folder = Folder::new("hosts");
     let troubles = r#"
 trouble(kind = "mass_restart", at = s(1), part = 0.3)
@@ -163,7 +165,7 @@
 
 #[test]
 fn a_scenario_with_a_restarted_zone_a_late_discovery_fast_failures_and_a_surge() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let folder = Folder::new("zone");
     let troubles = r#"
 trouble(kind = "discovery_stale", at = ms(800), len = s(3), size = 2)
@@ -176,7 +178,7 @@
 
 #[test]
 fn fault_kinds_are_given_by_name_or_by_a_journal_entry() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let folder = Folder::new("kinds");
     let (said, _) = day(
         &folder,
@@ -203,7 +205,7 @@
 
 #[test]
 fn a_scenario_with_a_node_that_drains_and_returns() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let folder = Folder::new("drain");
     let (said, _) = day(
         &folder,
@@ -217,7 +219,7 @@
 #[test]
 fn every_fault_of_an_invalid_file_is_reported_and_nothing_is_started() {
     let folder = Folder::new("bad");
-    // file, and what must be said of it
+    // file, and the expected error texts
     let cases: [(&str, &[&str]); 7] = [
         (
             "stream_type(name = \"r\", slo = s(1), expiry = s(1))\n\
@@ -269,7 +271,7 @@
     process::start(command, Stdio::null())
 }
 
-/// List, nodes, and the first host, with as many descriptors as given.
+/// Starts the discovery service, the nodes and the first host, which gets this limit of descriptors.
 fn site(folder: &Folder, descriptors: u32) -> (Started, Started, Started) {
     let script = folder.file(
         "site.star",
@@ -324,11 +326,11 @@
             },
             &mut bytes,
         );
-        // A host that turns callers away may have hung up by now; `answer` finds that.
+        // A host that refuses connections may have closed this one already; `answer` detects that.
         let _ = self.0.write_all(&bytes);
     }
 
-    /// The next final answer; None once the host has hung up.
+    /// Returns the next final response; `None` once the host has closed the connection.
     fn answer(&mut self) -> Option<Outcome> {
         loop {
             match self.1.next::<pb::Frame>().unwrap().and_then(|f| f.body) {
@@ -366,7 +368,7 @@
             std::thread::sleep(Duration::from_millis(10));
             self.read() == Some(Outcome::Completed)
         });
-        assert!(done, "nothing was ever done");
+        assert!(done, "no request was completed");
     }
 }
 
@@ -380,7 +382,7 @@
 
 #[test]
 fn a_host_that_shuts_down_answers_its_open_requests_first() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let folder = Folder::new("term");
     let (_list, _nodes, mut host) = site(&folder, 256);
     let mut c = Client::new(&host.1);
@@ -396,11 +398,11 @@
     assert_eq!(host.0.wait().unwrap().code(), Some(0));
 }
 
-/// Bound to some of the machine's processors, all hosts there would wait for whatever keeps those
-/// busy.
+/// If hosts pinned their threads to some processors, all hosts on the machine would wait for whatever keeps
+/// those processors busy.
 #[test]
 fn no_thread_of_a_host_is_bound_to_a_processor() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let folder = Folder::new("bound");
     let (_list, _nodes, host) = site(&folder, 256);
     Client::new(&host.1).until_done();
@@ -423,7 +425,7 @@
 
 #[test]
 fn a_second_signal_ends_the_host_at_once() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let folder = Folder::new("twice");
     let (_list, nodes, mut host) = site(&folder, 256);
     let mut c = Client::new(&host.1);
@@ -435,20 +437,20 @@
     std::thread::sleep(Duration::from_millis(50));
     signal(&host, "TERM");
     let code = host.0.wait().unwrap().code();
-    // Where all was answered between the two, it ended by itself.
+    // The host exits by itself if all responses were sent between the two signals.
     assert!(matches!(code, Some(3 | 0)), "{code:?}");
 }
 
 #[test]
 fn without_descriptors_new_clients_are_rejected_and_open_ones_are_answered() {
-    let _alone = alone();
+    let _exclusive = exclusive_run();
     let folder = Folder::new("fds");
     let (_list, _nodes, host) = site(&folder, 40);
     let mut c = Client::new(&host.1);
     c.until_done();
     let crowd: Vec<Client> = (0..60).map(|_| Client::new(&host.1)).collect();
     for _ in 0..20 {
-        assert!(c.read().is_some(), "every transfer has its answer");
+        assert!(c.read().is_some(), "each request gets a response");
     }
     drop(crowd);
     c.until_done();
