--- a/crates/cli/tests/fleet.rs
+++ b/crates/cli/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets of eight and more platform hosts while parts of the system fail. Each test counts what
-//! nodes and clients received, over all hosts: what is harmless from one host adds up here.
+//! Fleets of eight and more platform hosts while parts of the system fail. Each test counts what nodes and
+//! clients received over all hosts, since load that is harmless from one host can add up.
 
 mod rig;
 
@@ -22,8 +22,8 @@
     nodes.cloned().collect()
 }
 
-/// Discovery takes most of a second for each call, and refuses at once a call that would wait
-/// longer than a second.
+/// Each call takes discovery most of a second, and a call that would wait longer than a second is refused
+/// at once.
 #[test]
 fn most_hosts_restarted_at_once_do_not_overload_discovery() {
     let _exclusive = exclusive_run();
@@ -44,8 +44,8 @@
 
     let counters = fleet.finish();
     counters.assert_rules_hold();
-    // Ten hosts in 4.3 s, each with one watch of 2 s at most after the other, or a call that fails
-    // and is repeated after a back-off that doubles.
+    // Ten hosts in 4.3 s: each makes consecutive watches of at most 2 s, or repeats failed calls after a
+    // back-off that doubles.
     assert!(calls <= 10 * 6, "{calls} calls to discovery");
     let recent = counters.requests_since(recovered_at);
     assert!(
@@ -65,7 +65,7 @@
 
     zone.iter().for_each(Node::restart);
     let restarted_at = Instant::now();
-    // All clients of all hosts want data of one node of the zone.
+    // All clients of all hosts send requests for one node of the zone.
     fleet.focus_clients_on(&[zone[0].shard]);
     fleet.publish_endpoints();
     sleep(ms(1500));
@@ -93,8 +93,8 @@
     );
 }
 
-/// A zone is partitioned from half of the hosts, discovery is slow, responses get lost and
-/// connections are reset under requests.
+/// A zone is partitioned from half of the hosts, discovery is slow, responses get lost, and connections
+/// are reset during requests.
 #[test]
 fn under_a_partition_lost_responses_and_resets_no_request_runs_twice() {
     let _exclusive = exclusive_run();
@@ -133,8 +133,8 @@
         counters.failed > 0,
         "no outcome was unknown, so this proves nothing"
     );
-    // Each host sends trials, not its complete demand, to a node that does not respond: over four
-    // seconds, of some 280 requests for the zone from these hosts.
+    // To a node that does not respond, each host sends only probes instead of its full demand, which is some
+    // 280 requests for the zone from these hosts over four seconds.
     let seconds = (healed_at - partitioned_at).as_secs() as usize;
     let most = zone.len() * HOSTS * 8 * seconds;
     assert!(connections <= most, "{connections} connections");
@@ -145,8 +145,8 @@
     );
 }
 
-/// Six in ten nodes are replaced within three seconds, under malformed requests and corrupted
-/// responses.
+/// Six of ten nodes are replaced within three seconds, while clients send malformed requests and nodes
+/// corrupt responses.
 #[test]
 fn replaced_nodes_get_no_attempts_and_their_successors_do() {
     let _exclusive = exclusive_run();
@@ -181,7 +181,7 @@
     let counters = fleet.finish();
     counters.assert_rules_hold();
     for (uid, at) in &replaced {
-        // The grace, and time for discovery's response to arrive and be read.
+        // The drain grace, and time for discovery's response to arrive and be processed.
         let late = *at + DRAIN_GRACE + ms(400)..Instant::now();
         let late = counters.attempts_at(|node| node == uid, late);
         assert_eq!(late, 0, "{uid} got {late} attempts after it was gone");
@@ -214,7 +214,7 @@
     );
 
     let cached = fleet.endpoints();
-    // Two of eight at a time.
+    // Restart two of the eight hosts at a time.
     for pair in [[0, 1], [2, 3], [4, 5], [6, 7]] {
         let hosts = pair.map(|host| &fleet.hosts[host]);
         let shut_down = std::thread::scope(|scope| {
