--- a/crates/bench/src/commands.rs
+++ b/crates/bench/src/commands.rs
@@ -1,6 +1,7 @@
-//! What one command costs the iSCSI path in allocations, from the bytes of its PDU to those of its
-//! answer: reader, engine and writer, with a host that answers at once. Bytes that are allocated
-//! beyond a command's data tell of copies, since every copy needs somewhere to go.
+//! Counts the allocations of one command in the iSCSI path, from the bytes of the command PDU to the
+//! bytes of its response: PDU reader, target engine and PDU writer, with a host that responds
+//! immediately. Every copy of the data needs a buffer, so bytes allocated beyond the length of the
+//! command's data reveal copies.
 
 use bytes::Bytes;
 use grebecleat_iscsi::keys::format;
@@ -17,53 +18,56 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-struct Counting;
-static ON: AtomicBool = AtomicBool::new(false);
-static COUNT: AtomicU64 = AtomicU64::new(0);
-static BYTES: AtomicU64 = AtomicU64::new(0);
-/// Bytes that are held now.
-static HELD: AtomicU64 = AtomicU64::new(0);
+/// The system allocator with counters of allocations and bytes.
+struct CountingAllocator;
+/// Whether `ALLOCATION_COUNT` and `ALLOCATION_BYTES` are updated.
+static COUNTING: AtomicBool = AtomicBool::new(false);
+static ALLOCATION_COUNT: AtomicU64 = AtomicU64::new(0);
+static ALLOCATION_BYTES: AtomicU64 = AtomicU64::new(0);
+/// Bytes currently allocated.
+static HELD_BYTES: AtomicU64 = AtomicU64::new(0);
 
-/// What the allocator has given out and not had back.
-pub fn held() -> u64 {
-    HELD.load(Ordering::Relaxed)
+/// Bytes allocated by this process and not yet freed.
+pub fn held_bytes() -> u64 {
+    HELD_BYTES.load(Ordering::Relaxed)
 }
 
-// SAFETY: all is the system's own; only counts are kept beside it.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded unchanged to the system allocator; only counters are updated besides.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        if ON.load(Ordering::Relaxed) {
-            COUNT.fetch_add(1, Ordering::Relaxed);
-            BYTES.fetch_add(layout.size() as u64, Ordering::Relaxed);
+        if COUNTING.load(Ordering::Relaxed) {
+            ALLOCATION_COUNT.fetch_add(1, Ordering::Relaxed);
+            ALLOCATION_BYTES.fetch_add(layout.size() as u64, Ordering::Relaxed);
         }
-        HELD.fetch_add(layout.size() as u64, Ordering::Relaxed);
+        HELD_BYTES.fetch_add(layout.size() as u64, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
     }
 
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size() as u64, Ordering::Relaxed);
-        unsafe { System.dealloc(at, layout) }
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        HELD_BYTES.fetch_sub(layout.size() as u64, Ordering::Relaxed);
+        unsafe { System.dealloc(pointer, layout) }
     }
 
-    unsafe fn realloc(&self, at: *mut u8, layout: Layout, size: usize) -> *mut u8 {
-        if ON.load(Ordering::Relaxed) {
-            COUNT.fetch_add(1, Ordering::Relaxed);
-            BYTES.fetch_add(size as u64, Ordering::Relaxed);
+    unsafe fn realloc(&self, pointer: *mut u8, layout: Layout, size: usize) -> *mut u8 {
+        if COUNTING.load(Ordering::Relaxed) {
+            ALLOCATION_COUNT.fetch_add(1, Ordering::Relaxed);
+            ALLOCATION_BYTES.fetch_add(size as u64, Ordering::Relaxed);
         }
-        HELD.fetch_add(size as u64, Ordering::Relaxed);
-        HELD.fetch_sub(layout.size() as u64, Ordering::Relaxed);
-        unsafe { System.realloc(at, layout, size) }
+        HELD_BYTES.fetch_add(size as u64, Ordering::Relaxed);
+        HELD_BYTES.fetch_sub(layout.size() as u64, Ordering::Relaxed);
+        unsafe { System.realloc(pointer, layout, size) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-const NAME: &str = "iqn.2026-12.org.example:v";
+const TARGET_NAME: &str = "iqn.2026-12.org.example:v";
 const COMMANDS: u32 = 2000;
 const CONN: ConnNo = ConnNo(1);
 
-struct Path {
+/// The iSCSI path of one connection, without sockets.
+struct IscsiPath {
     engine: Engine,
     reader: Reader,
     digests: Digests,
@@ -72,10 +76,10 @@
     data: Bytes,
 }
 
-impl Path {
+impl IscsiPath {
     fn new(digests: bool, data: Bytes) -> Self {
         let target = Target {
-            name: NAME.into(),
+            name: TARGET_NAME.into(),
             ..Target::default()
         };
         let portal = Portal {
@@ -99,7 +103,7 @@
             placed,
         };
         let facts = vec![TargetFacts {
-            name: NAME.into(),
+            name: TARGET_NAME.into(),
             luns: vec![0],
         }];
         let window_limits = WindowLimits {
@@ -118,7 +122,7 @@
             challenges: Box::new(|| [7; 17]),
         });
         let (reader, now) = (Reader::new(256 << 10), Duration::ZERO);
-        let mut p = Path {
+        let mut path = IscsiPath {
             engine,
             reader,
             digests: Digests::default(),
@@ -126,11 +130,11 @@
             out: Vec::with_capacity(1 << 20),
             data,
         };
-        p.step(vec![Input::ConnectionOpened { conn: CONN }]);
+        path.step(vec![Input::ConnectionOpened { conn: CONN }]);
         let digest = if digests { "CRC32C" } else { "None" };
         let keys = [
             ("InitiatorName", "iqn.i"),
-            ("TargetName", NAME),
+            ("TargetName", TARGET_NAME),
             ("HeaderDigest", digest),
             ("DataDigest", digest),
             ("InitialR2T", "No"),
@@ -145,21 +149,21 @@
         let h = Header::new(Opcode::LoginRequest)
             .set_immediate(true)
             .set_flags(0x80 | 1 << 2 | 3);
-        p.hear(&Pdu::new(h.set_itt(1).set_cmd_sn(1), format(&keys)));
-        p.digests = Digests {
+        path.receive_pdu(&Pdu::new(h.set_itt(1).set_cmd_sn(1), format(&keys)));
+        path.digests = Digests {
             header: digests,
             data: digests,
         };
-        p.reader.digests = p.digests;
-        // The first command finds that the unit came up.
-        p.command(1, &[0; 16], 0, 0);
-        p
+        path.reader.digests = path.digests;
+        // Takes the power-on UNIT ATTENTION condition, which the first command on a logical unit reports.
+        path.run_command(1, &[0; 16], 0, 0);
+        path
     }
 
     fn step(&mut self, mut inputs: Vec<Input>) {
         while !inputs.is_empty() {
             self.now += Duration::from_micros(10);
-            let mut again = Vec::new();
+            let mut next_inputs = Vec::new();
             for output in self.engine.step(self.now, inputs) {
                 match output {
                     Output::Submit(Request { no, write, .. }) => {
@@ -168,17 +172,17 @@
                         } else {
                             self.data.clone()
                         };
-                        again.push(Input::RequestFinished {
+                        next_inputs.push(Input::RequestFinished {
                             no,
                             outcome: RequestOutcome::Completed(data),
                             shard: Some(1),
                         });
                     }
                     Output::PersistCeiling { ceiling } => {
-                        again.push(Input::CeilingPersisted { ceiling })
+                        next_inputs.push(Input::CeilingPersisted { ceiling })
                     }
                     Output::Send { pdu, digests, .. } => {
-                        // As the portal writes it: large data is not copied.
+                        // As in the portal, large data is not copied into the output buffer.
                         self.out.clear();
                         pdu::write_head(&pdu, digests, &mut self.out);
                         if pdu.data.len() < 16 << 10 {
@@ -189,19 +193,21 @@
                     _ => {}
                 }
             }
-            inputs = again;
+            inputs = next_inputs;
         }
     }
 
-    fn hear(&mut self, pdu: &Pdu) {
+    fn receive_pdu(&mut self, pdu: &Pdu) {
         let mut bytes = Vec::new();
         pdu::write(pdu, self.digests, &mut bytes);
-        self.bytes(&bytes);
+        self.receive_bytes(&bytes);
     }
 
-    fn bytes(&mut self, mut bytes: &[u8]) {
+    fn receive_bytes(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() {
-            self.reader.fill(&mut bytes).expect("a slice reads");
+            self.reader
+                .fill(&mut bytes)
+                .expect("reading from a slice cannot fail");
             while let Ok(Some(pdu)) = self.reader.next() {
                 self.step(vec![Input::Pdu {
                     conn: CONN,
@@ -211,12 +217,12 @@
         }
     }
 
-    fn request(&self, sn: u32, cdb: &[u8; 16], flags: u8, length: u32) -> Vec<u8> {
+    fn command_bytes(&self, cmd_sn: u32, cdb: &[u8; 16], flags: u8, length: u32) -> Vec<u8> {
         let h = Header::new(Opcode::ScsiCommand)
             .set_flags(0x80 | flags)
-            .set_itt(sn)
+            .set_itt(cmd_sn)
             .set_ttt(length);
-        let h = h.set_cmd_sn(sn).set_exp_stat_sn(sn).set_cdb(*cdb);
+        let h = h.set_cmd_sn(cmd_sn).set_exp_stat_sn(cmd_sn).set_cdb(*cdb);
         let data = if flags & 0x20 != 0 {
             self.data.clone()
         } else {
@@ -227,44 +233,51 @@
         bytes
     }
 
-    fn command(&mut self, sn: u32, cdb: &[u8; 16], flags: u8, length: u32) {
-        let bytes = self.request(sn, cdb, flags, length);
-        self.bytes(&bytes);
+    fn run_command(&mut self, cmd_sn: u32, cdb: &[u8; 16], flags: u8, length: u32) {
+        let bytes = self.command_bytes(cmd_sn, cdb, flags, length);
+        self.receive_bytes(&bytes);
     }
 }
 
 pub fn measure() {
-    println!("| bytes | digests | command | allocations | bytes allocated | of the data | us |");
+    println!("| bytes | digests | command | allocations | bytes allocated | bytes allocated / data bytes | us |");
     println!("| ---: | --- | --- | ---: | ---: | ---: | ---: |");
     for bytes in [512u32, 4096, 65_536, 262_144] {
         for digests in [false, true] {
             for (name, code, flags) in [("read", 0x88u8, 0x40u8), ("write", 0x8a, 0x20)] {
-                let mut p = Path::new(digests, Bytes::from(vec![7; bytes as usize]));
-                let (mut count, mut allocated, mut took) = (0, 0, Duration::ZERO);
+                let mut path = IscsiPath::new(digests, Bytes::from(vec![7; bytes as usize]));
+                let (mut count, mut allocated, mut elapsed) = (0, 0, Duration::ZERO);
                 for n in 0..COMMANDS {
                     let mut cdb = [0; 16];
                     cdb[0] = code;
                     cdb[2..10].copy_from_slice(&(u64::from(n % 64) * 512).to_be_bytes());
                     cdb[10..14].copy_from_slice(&(bytes / 512).to_be_bytes());
-                    let request = p.request(n + 2, &cdb, flags, bytes);
-                    let before = (COUNT.load(Ordering::Relaxed), BYTES.load(Ordering::Relaxed));
-                    let begun = Instant::now();
-                    ON.store(true, Ordering::Relaxed);
-                    p.bytes(&request);
-                    ON.store(false, Ordering::Relaxed);
-                    took += begun.elapsed();
-                    count += COUNT.load(Ordering::Relaxed) - before.0;
-                    allocated += BYTES.load(Ordering::Relaxed) - before.1;
+                    let request = path.command_bytes(n + 2, &cdb, flags, bytes);
+                    let before = (
+                        ALLOCATION_COUNT.load(Ordering::Relaxed),
+                        ALLOCATION_BYTES.load(Ordering::Relaxed),
+                    );
+                    let started = Instant::now();
+                    COUNTING.store(true, Ordering::Relaxed);
+                    path.receive_bytes(&request);
+                    COUNTING.store(false, Ordering::Relaxed);
+                    elapsed += started.elapsed();
+                    count += ALLOCATION_COUNT.load(Ordering::Relaxed) - before.0;
+                    allocated += ALLOCATION_BYTES.load(Ordering::Relaxed) - before.1;
                 }
-                assert_eq!(p.engine.open(), (0, 0), "every command was answered");
-                let each = |n: u64| n as f64 / f64::from(COMMANDS);
+                assert_eq!(
+                    path.engine.open(),
+                    (0, 0),
+                    "every command must have been completed"
+                );
+                let per_command = |n: u64| n as f64 / f64::from(COMMANDS);
                 println!(
                     "| {bytes} | {} | {name} | {:.1} | {:.0} | {:.2} | {:.1} |",
                     if digests { "on" } else { "off" },
-                    each(count),
-                    each(allocated),
-                    each(allocated) / f64::from(bytes),
-                    took.as_secs_f64() * 1e6 / f64::from(COMMANDS)
+                    per_command(count),
+                    per_command(allocated),
+                    per_command(allocated) / f64::from(bytes),
+                    elapsed.as_secs_f64() * 1e6 / f64::from(COMMANDS)
                 );
             }
         }
--- a/crates/bench/src/decisions.rs
+++ b/crates/bench/src/decisions.rs
@@ -1,11 +1,11 @@
-//! Cost of one request in the scheduler, and in the router with the scheduler inside, in a closed
-//! loop: each response brings a new request, so that the numbers of requests in flight and queued
-//! stay the same. No sockets.
+//! Measures the cost of one request in the scheduler alone, and in the router including the
+//! scheduler, in a closed loop without sockets: each response is followed by a new request, so that
+//! the numbers of requests in flight and queued stay constant.
 //!
-//! Nanoseconds depend on the machine's load. With a fixed number of requests
-//! (`decisions --requests N`) the program can be run under `valgrind --tool=callgrind`, whose count
-//! of instructions does not: the difference of two runs, divided by the difference of their
-//! numbers, is the cost of one request.
+//! The nanoseconds depend on the load of the machine; the instruction count of
+//! `valgrind --tool=callgrind` does not. For callgrind, run the program with a fixed number of
+//! requests (`decisions --requests N`): the difference between the instruction counts of two runs,
+//! divided by the difference between their request counts, is the cost of one request.
 
 use crate::site;
 use bytes::Bytes;
@@ -22,23 +22,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Time of the first request on the loop's own clock.
+/// Time of the first request on the simulated clock of the loop.
 const START: Duration = Duration::from_secs(1);
-/// Time between two requests, as at 20,000 a second.
+/// Simulated time between two requests, as at 20,000 requests per second.
 const REQUEST_INTERVAL: Duration = Duration::from_micros(50);
-/// Time to the deadline of each request, in seconds: none expires in a run.
+/// Time to the deadline of each request in seconds, long enough that none expires during a run.
 const DEADLINE_SECONDS: u32 = 600;
 /// Number of volumes of the site.
 const VOLUMES: u64 = 100;
-/// Requests after which connections are up and the router is measured, at most.
+/// Upper limit on the requests that the router completes before the measurement starts.
 const MAX_WARM_UP_REQUESTS: u64 = 2000;
 
 /// When a loop ends.
 #[derive(Debug, Clone, Copy)]
 pub enum LoopEnd {
-    /// After a time.
+    /// After this duration.
     After(Duration),
-    /// After a number of requests.
+    /// After this number of completed requests.
     Requests(u64),
 }
 
@@ -58,23 +58,23 @@
     pub nodes: u32,
     /// Requests open at any time.
     pub open: usize,
-    /// Responses handed over in one step.
+    /// Responses passed to the scheduler or router in one step.
     pub batch: usize,
 }
 
-/// What is measured with a fixed number of requests.
+/// Component that a run with a fixed number of requests measures.
 #[derive(Debug, Clone, Copy, clap::ValueEnum)]
 pub enum Subject {
     /// The scheduler alone.
     Scheduler,
-    /// The router with the scheduler inside.
+    /// The router including the scheduler.
     Router,
 }
 
-/// Prints a table of nanoseconds a request, over all loads.
+/// Prints a table of nanoseconds per request for every combination of nodes, open requests and batch size.
 pub fn measure(span: Duration) {
     println!(
-        "| nodes | open | queued | batch | scheduler, ns a request | router and scheduler, ns a request |"
+        "| nodes | open | queued | batch | scheduler, ns per request | router and scheduler, ns per request |"
     );
     println!("| ---: | ---: | ---: | ---: | ---: | ---: |");
     let end = LoopEnd::After(span);
@@ -99,11 +99,12 @@
         Subject::Scheduler => run_scheduler(load, end).0,
         Subject::Router => run_router(load, end),
     };
-    println!("{subject:?}, {load:?}: {requests} requests, {nanos:.0} ns a request");
+    println!("{subject:?}, {load:?}: {requests} requests, {nanos:.0} ns per request");
 }
 
 fn settings(nodes: u32) -> Settings {
-    Settings::read("bench.star".as_ref(), site(nodes, DEADLINE_SECONDS)).expect("good settings")
+    Settings::read("bench.star".as_ref(), site(nodes, DEADLINE_SECONDS))
+        .expect("the generated settings are valid")
 }
 
 fn request_id(number: u64) -> RequestId {
@@ -112,7 +113,7 @@
     RequestId(id)
 }
 
-/// The number of the shard of a request: requests visit the nodes in turn.
+/// The shard of a request. Requests are sent to the nodes in rotation.
 fn shard_of(number: u64, nodes: u32) -> u32 {
     (number % u64::from(nodes)) as u32 + 1
 }
@@ -226,7 +227,7 @@
     }
 }
 
-/// Runs the scheduler's loop; returns nanoseconds a request and the number of queued requests at
+/// Runs the scheduler loop; returns nanoseconds per request and the number of requests queued at
 /// the end.
 fn run_scheduler(load: Load, end: LoopEnd) -> (f64, usize) {
     let mut run = SchedulerLoop::new(load.nodes);
@@ -241,7 +242,7 @@
         requests += events.len() as u64 / 2;
         let ended = run.step(events);
         open -= ended.min(open);
-        // Rejected requests are replaced, or nothing would be queued after a while.
+        // Replaces rejected and failed requests; otherwise the queue would run empty over time.
         if ended > 0 {
             let replacements = run.new_requests(ended);
             open += ended;
@@ -252,7 +253,7 @@
     (nanos, open.saturating_sub(run.in_flight.len()))
 }
 
-/// A closed loop around the router, which reads its outboxes as the writers of connections do.
+/// A closed loop around the router. It reads the outboxes as the writer tasks of the connections do.
 struct RouterLoop {
     router: RequestRouter,
     nodes: u32,
@@ -260,12 +261,12 @@
     last_request: u64,
     client_outbox: Arc<Outbox>,
     node_outboxes: HashMap<ConnId, Arc<Outbox>>,
-    /// Connections with something to write, as their outboxes notify.
+    /// Connections whose outboxes have signalled that they hold frames to write.
     writable: Arc<Mutex<Vec<ConnId>>>,
     in_flight: VecDeque<(ConnId, u64)>,
 }
 
-/// The client's connection.
+/// Id of the client connection.
 const CLIENT: ConnId = ConnId(1 << 50);
 
 impl RouterLoop {
@@ -324,7 +325,7 @@
         }
     }
 
-    /// Steps the router and connects what it dials; returns whether it dialled.
+    /// Steps the router and completes the node connections it opens; returns whether it opened any.
     fn step(&mut self, inputs: Vec<Input>) -> bool {
         let mut connected = Vec::new();
         for output in self.router.step(self.now, inputs) {
@@ -340,13 +341,18 @@
 
     fn new_outbox(&mut self, conn: ConnId) -> Arc<Outbox> {
         let writable = self.writable.clone();
-        let notify = move || writable.lock().expect("one thread").push(conn);
+        let notify = move || {
+            writable
+                .lock()
+                .expect("the mutex is used by one thread only")
+                .push(conn)
+        };
         let outbox = Arc::new(Outbox::new(notify, || ()));
         self.node_outboxes.insert(conn, outbox.clone());
         outbox
     }
 
-    /// Takes the responses to the client; returns how many they are.
+    /// Takes the responses out of the client's outbox and returns their number.
     fn read_responses(&mut self) -> usize {
         let now = self.now;
         let responses = self.client_outbox.take_batch(|| now, usize::MAX);
@@ -354,10 +360,15 @@
         responses.frames.len()
     }
 
-    /// Takes the attempts to nodes, of connections with something to write alone.
+    /// Takes the attempts out of the outboxes of the node connections that have frames to write.
     fn read_attempts(&mut self) {
         let now = self.now;
-        let writable = std::mem::take(&mut *self.writable.lock().expect("one thread"));
+        let writable = std::mem::take(
+            &mut *self
+                .writable
+                .lock()
+                .expect("the mutex is used by one thread only"),
+        );
         for conn in writable {
             let outbox = &self.node_outboxes[&conn];
             let frames = outbox.take_batch(|| now, usize::MAX).frames;
@@ -407,7 +418,8 @@
     }
 }
 
-/// Runs the router's loop, and measures it once connections are up; returns nanoseconds a request.
+/// Runs the router loop and measures it once the node connections are up; returns nanoseconds per
+/// request.
 fn run_router(load: Load, end: LoopEnd) -> f64 {
     let mut run = RouterLoop::new(load.nodes);
     let mut inputs = run.first_inputs(load.open);
--- a/crates/bench/src/planner.rs
+++ b/crates/bench/src/planner.rs
@@ -1,5 +1,6 @@
-//! How long the planner takes, by the size of a site, whose promises hold and whose do not; and how
-//! long it takes to say whether one change may land, with every node and zone out in turn.
+//! Measures how long the planner takes to check a site, by its size, with reservations that fit the
+//! capacity and with ones that exceed it; and how long the admission check of one change takes, with
+//! the loss of every node and zone examined in turn.
 
 use grebecleat_catalog::admission::Admission;
 use grebecleat_catalog::catalog::Catalog;
@@ -11,17 +12,18 @@
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
 
-/// Volumes on some neighbouring nodes each, reserves that fill that part of all nodes.
+/// A site whose volumes are each placed on up to six neighbouring nodes. The reservations add up to
+/// about the fraction `filled` of the capacity of all nodes.
 fn site(nodes: u32, volumes: u64, filled: f64) -> Site {
     let mut rng = Pcg64Mcg::seed_from_u64(u64::from(nodes));
-    let all: Vec<Node> = (0..nodes)
+    let all_nodes: Vec<Node> = (0..nodes)
         .map(|id| Node {
             id,
             zone: id / 10,
             capacity: 1000.0,
         })
         .collect();
-    let each = f64::from(nodes) * 1000.0 * filled / volumes as f64;
+    let mean_reservation = f64::from(nodes) * 1000.0 * filled / volumes as f64;
     let volume = |id| {
         let (first, n) = (
             rng.random_range(0..nodes),
@@ -32,21 +34,21 @@
             .collect();
         Volume {
             id,
-            reservation: each * rng.random_range(0.5..1.5),
+            reservation: mean_reservation * rng.random_range(0.5..1.5),
             weight: f64::from(rng.random_range(1..4)),
             placement,
         }
     };
     let volumes = (0..volumes).map(volume).collect();
     Site {
-        nodes: all,
+        nodes: all_nodes,
         volumes,
         spread: 2.0,
     }
 }
 
-/// The same site as a catalog.
-fn catalog(s: &Site) -> Catalog {
+/// A catalog with the nodes and volumes of a site, and one plan per volume.
+fn catalog(site: &Site) -> Catalog {
     let plan = |v: &Volume| records::Plan {
         reservation: v.reservation,
         weight: v.weight,
@@ -61,18 +63,18 @@
     let volume = |v: &Volume| records::Volume {
         plan: v.id.to_string().into(),
         hosts: ["h".into()].into(),
-        shards: v.placement.iter().map(|h| h.0).collect(),
+        shards: v.placement.iter().map(|share| share.0).collect(),
         blocks: 8,
     };
-    let nodes = s.nodes.iter().map(|n| Change::Node {
+    let nodes = site.nodes.iter().map(|n| Change::Node {
         id: n.id,
         to: Some(node(n)),
     });
-    let plans = s.volumes.iter().map(|v| Change::Plan {
+    let plans = site.volumes.iter().map(|v| Change::Plan {
         name: v.id.to_string().into(),
         to: Some(plan(v)),
     });
-    let volumes = s.volumes.iter().map(|v| Change::Volume {
+    let volumes = site.volumes.iter().map(|v| Change::Volume {
         id: v.id,
         to: Some(volume(v)),
     });
@@ -87,24 +89,24 @@
     )
 }
 
-fn admission() {
-    println!("\n| volumes | nodes | filled | opened, ms | a change, no loss looked at, ms | with all losses, ms | losses |");
+fn measure_admission() {
+    println!("\n| volumes | nodes | filled | open, ms | one change without examining losses, ms | one change with all losses, ms | losses |");
     println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     for (volumes, nodes) in [(100, 10), (1000, 50), (10_000, 200), (100_000, 1000)] {
         for filled in [0.5, 0.7, 0.9] {
-            let s = site(nodes, volumes, filled);
-            let mut l = catalog(&s);
-            let begun = Instant::now();
-            let mut a = Admission::open(&l, s.spread);
-            let opened = begun.elapsed().as_secs_f64() * 1e3;
-            let mut took = [Vec::new(), Vec::new()];
+            let site = site(nodes, volumes, filled);
+            let mut catalog = catalog(&site);
+            let started = Instant::now();
+            let mut admission = Admission::open(&catalog, site.spread);
+            let open_ms = started.elapsed().as_secs_f64() * 1e3;
+            let mut elapsed_ms = [Vec::new(), Vec::new()];
             let mut losses = 0;
             for (i, steps) in [0, 0, 0, 0, 0, usize::MAX, usize::MAX, usize::MAX]
                 .into_iter()
                 .enumerate()
             {
                 let id = i as u64 * 7;
-                let reservation = s.volumes[id as usize].reservation * 1.2;
+                let reservation = site.volumes[id as usize].reservation * 1.2;
                 let plan = records::Plan {
                     reservation,
                     weight: 1.0,
@@ -114,45 +116,47 @@
                     name: id.to_string().into(),
                     to: Some(plan),
                 }];
-                let begun = Instant::now();
-                let entry = l
-                    .propose(l.version(), ChangeContext::default(), change.clone())
-                    .expect("in order");
-                l.apply(entry).expect("the next");
-                let o = a.land(&l, &change, steps);
-                took[usize::from(steps > 0)].push(begun.elapsed().as_secs_f64() * 1e3);
-                losses = losses.max(o.unexamined_losses);
+                let started = Instant::now();
+                let entry = catalog
+                    .propose(catalog.version(), ChangeContext::default(), change.clone())
+                    .expect("the change is based on the current version");
+                catalog
+                    .apply(entry)
+                    .expect("the entry follows the current version");
+                let outcome = admission.land(&catalog, &change, steps);
+                elapsed_ms[usize::from(steps > 0)].push(started.elapsed().as_secs_f64() * 1e3);
+                losses = losses.max(outcome.unexamined_losses);
             }
-            let median = |of: &mut Vec<f64>| {
-                of.sort_by(f64::total_cmp);
-                of[of.len() / 2]
+            let median = |samples: &mut Vec<f64>| {
+                samples.sort_by(f64::total_cmp);
+                samples[samples.len() / 2]
             };
-            let [few, all] = &mut took;
+            let [without_losses, with_losses] = &mut elapsed_ms;
             println!(
-                "| {volumes} | {nodes} | {filled} | {opened:.1} | {:.2} | {:.1} | {losses} |",
-                median(few),
-                median(all)
+                "| {volumes} | {nodes} | {filled} | {open_ms:.1} | {:.2} | {:.1} | {losses} |",
+                median(without_losses),
+                median(with_losses)
             );
         }
     }
 }
 
 pub fn measure() {
-    println!("| volumes | nodes | filled | holds | carried | give way | ms |");
+    println!("| volumes | nodes | filled | reservations hold | carried | volumes short of their reservation | ms |");
     println!("| ---: | ---: | ---: | --- | ---: | ---: | ---: |");
     for (volumes, nodes) in [(100, 10), (1000, 50), (10_000, 200), (100_000, 1000)] {
         for filled in [0.5, 0.9, 1.02] {
-            let s = site(nodes, volumes, filled);
-            let begun = Instant::now();
-            let v = check(&s, &BTreeSet::new());
-            let took = begun.elapsed().as_secs_f64() * 1e3;
+            let site = site(nodes, volumes, filled);
+            let started = Instant::now();
+            let verdict = check(&site, &BTreeSet::new());
+            let elapsed_ms = started.elapsed().as_secs_f64() * 1e3;
             println!(
-                "| {volumes} | {nodes} | {filled} | {} | {:.2}% | {} | {took:.1} |",
-                if v.holds() { "yes" } else { "no" },
-                100.0 * v.carried / v.reachable,
-                v.short.len()
+                "| {volumes} | {nodes} | {filled} | {} | {:.2}% | {} | {elapsed_ms:.1} |",
+                if verdict.holds() { "yes" } else { "no" },
+                100.0 * verdict.carried / verdict.reachable,
+                verdict.short.len()
             );
         }
     }
-    admission();
+    measure_admission();
 }
