--- a/crates/bench/src/deferral.rs
+++ b/crates/bench/src/deferral.rs
@@ -1,8 +1,9 @@
-//! Deferral in use: twice what the nodes can do, from initiators that heed BUSY's retry delay and
-//! from ones that do not. Volumes with a reserve ask for less than it; the others ask for all the
-//! rest and more.
+//! Measures deferral under overload, by default twice the capacity of the nodes, with initiators that
+//! honour the retry delay of status BUSY and with initiators that ignore it. The load on volumes with
+//! a reservation stays below the reservation; the load on the other volumes exceeds the remaining
+//! capacity.
 
-use crate::sockets::{stay_on, Stage};
+use crate::sockets::{pin_to_cores, TestSetup};
 use grebecleat_testbed::initiator::{cdb16, Initiator, LoginParameters};
 use grebecleat_wire::clock;
 use rand::{Rng, SeedableRng};
@@ -14,53 +15,56 @@
 use std::time::Duration;
 
 const NODES: u32 = 4;
-/// Units a second that all nodes can do: two cores each, 5 ms a unit.
+/// Capacity of all nodes in units per second: two cores per node and 5 ms per unit.
 const CAPACITY: f64 = 1600.0;
 const RESERVED: u64 = 4;
 const OTHERS: u64 = 4;
-/// Of each volume with a reserve, and how much of it is asked for.
-const RESERVE: f64 = 100.0;
-const ASKED: f64 = 90.0;
+/// Reservation of each volume that has one, in units per second.
+const RESERVATION: f64 = 100.0;
+/// Load on each volume with a reservation, in requests per second.
+const RESERVED_LOAD: f64 = 90.0;
 const EXTENTS: u64 = 32;
 const EXTENT_BLOCKS: u64 = 128;
 const LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
-/// After that long nobody wants the answer any more.
-const GIVEN_UP: Duration = Duration::from_millis(1500);
-/// How soon initiators that know of no delay come again.
-const PLAIN_RETRY: Duration = Duration::from_millis(10);
+/// Time after which an initiator gives up a read.
+const GIVE_UP_AFTER: Duration = Duration::from_millis(1500);
+/// Retry delay of initiators that ignore the delay sent with BUSY.
+const FIXED_RETRY_DELAY: Duration = Duration::from_millis(10);
 
+/// Counts of reads and of the commands sent for them.
 #[derive(Debug, Clone, Copy, Default)]
-struct Seen {
-    pieces: u64,
-    timely: u64,
-    done: u64,
+struct Counts {
+    reads: u64,
+    within_objective: u64,
+    completed: u64,
     given_up: u64,
     commands: u64,
     busy: u64,
     other: u64,
 }
 
-impl Seen {
-    fn add(&mut self, o: Seen) {
+impl Counts {
+    fn add(&mut self, other: Counts) {
         let all = [
-            (&mut self.pieces, o.pieces),
-            (&mut self.timely, o.timely),
-            (&mut self.done, o.done),
-            (&mut self.given_up, o.given_up),
-            (&mut self.commands, o.commands),
-            (&mut self.busy, o.busy),
-            (&mut self.other, o.other),
+            (&mut self.reads, other.reads),
+            (&mut self.within_objective, other.within_objective),
+            (&mut self.completed, other.completed),
+            (&mut self.given_up, other.given_up),
+            (&mut self.commands, other.commands),
+            (&mut self.busy, other.busy),
+            (&mut self.other, other.other),
         ];
         all.into_iter().for_each(|(a, b)| *a += b);
     }
 }
 
+/// The load of one initiator on one volume.
 struct Load {
-    at: SocketAddr,
+    portal: SocketAddr,
     target: &'static str,
     lun: u64,
-    a_second: f64,
-    heeds: bool,
+    reads_per_second: f64,
+    honours_delay: bool,
     seed: u64,
 }
 
@@ -77,15 +81,15 @@
             digests: false,
             chap: None,
         };
-        let mut i = Initiator::login(self.at, &parameters)?;
-        i.command(self.lun, &[0], &[], 0)?;
-        Ok(i)
+        let mut session = Initiator::login(self.portal, &parameters)?;
+        session.command(self.lun, &[0], &[], 0)?;
+        Ok(session)
     }
 
     fn prepare(&self) -> io::Result<()> {
-        let mut i = self.login()?;
+        let mut session = self.login()?;
         for extent in 0..EXTENTS {
-            while i
+            while session
                 .write(self.lun, extent * EXTENT_BLOCKS, &[7; 4096])?
                 .status
                 != 0
@@ -96,76 +100,82 @@
         Ok(())
     }
 
-    /// Reads arrive by chance at a steady rate, whatever becomes of those before.
-    fn run(&self, span: Duration) -> io::Result<Seen> {
-        let (mut i, mut rng, mut seen) = (
+    /// Issues reads as a Poisson process of constant rate, regardless of the outcome of earlier reads.
+    fn run(&self, span: Duration) -> io::Result<Counts> {
+        let (mut session, mut rng, mut counts) = (
             self.login()?,
             Pcg64Mcg::seed_from_u64(self.seed),
-            Seen::default(),
+            Counts::default(),
         );
-        let (start, mut fresh, mut later) = (clock::now(), VecDeque::new(), BTreeMap::new());
+        let (start, mut ready, mut retries) = (clock::now(), VecDeque::new(), BTreeMap::new());
         let (mut next, mut open, mut number) = (start, BTreeMap::new(), 0u64);
-        while clock::now() < start + span + GIVEN_UP {
+        while clock::now() < start + span + GIVE_UP_AFTER {
             let now = clock::now();
             while next <= now && next < start + span {
-                fresh.push_back(next);
-                seen.pieces += 1;
-                next += Duration::from_secs_f64(-(1.0 - rng.random::<f64>()).ln() / self.a_second);
+                ready.push_back(next);
+                counts.reads += 1;
+                next += Duration::from_secs_f64(
+                    -(1.0 - rng.random::<f64>()).ln() / self.reads_per_second,
+                );
             }
-            while let Some((at, _)) = later
+            while let Some((at, _)) = retries
                 .first_key_value()
                 .map(|(k, v): (&(Duration, u64), &Duration)| (k.0, *v))
             {
                 if at > now {
                     break;
                 }
-                fresh.extend(later.pop_first().map(|l| l.1));
+                ready.extend(retries.pop_first().map(|l| l.1));
             }
-            while let Some(since) = fresh.front().copied().filter(|_| i.may_send()) {
-                fresh.pop_front();
-                if now > since + GIVEN_UP {
-                    seen.given_up += 1;
+            while let Some(arrived) = ready.front().copied().filter(|_| session.may_send()) {
+                ready.pop_front();
+                if now > arrived + GIVE_UP_AFTER {
+                    counts.given_up += 1;
                     continue;
                 }
                 let lba = rng.random_range(0..EXTENTS) * EXTENT_BLOCKS;
-                open.insert(i.submit(self.lun, &cdb16(0x88, lba, 8), &[], 4096)?, since);
-                seen.commands += 1;
+                open.insert(
+                    session.submit(self.lun, &cdb16(0x88, lba, 8), &[], 4096)?,
+                    arrived,
+                );
+                counts.commands += 1;
             }
-            let wake = later.keys().next().map_or(next, |l| l.0.min(next));
+            let wake = retries.keys().next().map_or(next, |l| l.0.min(next));
             let wait = wake
                 .saturating_sub(clock::now())
                 .clamp(Duration::from_micros(200), Duration::from_millis(5));
-            let Some((itt, answer)) = i.any_within(wait)? else {
+            let Some((itt, answer)) = session.any_within(wait)? else {
                 continue;
             };
-            let Some(since) = open.remove(&itt) else {
+            let Some(arrived) = open.remove(&itt) else {
                 continue;
             };
             let now = clock::now();
             match answer.status {
                 0 => {
-                    seen.done += 1;
-                    seen.timely += u64::from(now <= since + LATENCY_OBJECTIVE);
+                    counts.completed += 1;
+                    counts.within_objective += u64::from(now <= arrived + LATENCY_OBJECTIVE);
                 }
                 8 => {
-                    seen.busy += 1;
+                    counts.busy += 1;
                     number += 1;
-                    let told = answer.retry.filter(|_| self.heeds);
-                    // Spread over the delay's step, or all that were sent away together come back
+                    let delay = answer.retry.filter(|_| self.honours_delay);
+                    // Adds jitter; otherwise all commands that were deferred together would be retried
                     // together.
-                    let wait = told.map_or(PLAIN_RETRY, |t| t.mul_f64(rng.random_range(0.9..1.3)));
-                    later.insert((now + wait, number), since);
+                    let wait =
+                        delay.map_or(FIXED_RETRY_DELAY, |t| t.mul_f64(rng.random_range(0.9..1.3)));
+                    retries.insert((now + wait, number), arrived);
                 }
-                _ => seen.other += 1,
+                _ => counts.other += 1,
             }
         }
-        seen.given_up += (fresh.len() + later.len() + open.len()) as u64;
-        Ok(seen)
+        counts.given_up += (ready.len() + retries.len() + open.len()) as u64;
+        Ok(counts)
     }
 }
 
-/// Without `window` a portal takes all that comes: the window is so wide that deferrals hardly
-/// narrow it.
+/// Settings of the site. Without `window`, the command window is so large that deferrals hardly
+/// reduce it, and the portal accepts every command.
 fn site(portal: SocketAddr, window: bool) -> String {
     let commands = if window {
         ""
@@ -183,7 +193,7 @@
 zone(name = "a")
 stream_type(name = "read", slo = ms(300), expiry = ms(1500), repeat = "repeatable", unit_work = ms(5))
 stream_type(name = "write", slo = ms(300), expiry = ms(1500), repeat = "repeatable", write = True, unit_work = ms(5))
-plan(name = "reserved", rate = {RESERVE}, reservation = {RESERVE})
+plan(name = "reserved", rate = {RESERVATION}, reservation = {RESERVATION})
 plan(name = "others", rate = 1000, reservation = 50)
 host(name = "h")
 for i in range({NODES}):
@@ -205,28 +215,28 @@
 }
 
 pub fn measure(span: Duration, program: &Path, times: f64) -> io::Result<()> {
-    stay_on(&[0, 1, 2])?;
-    println!("| initiators | volumes | pieces | done | in {LATENCY_OBJECTIVE:?} | given up | BUSY | commands a done piece | other |");
+    pin_to_cores(&[0, 1, 2])?;
+    println!("| initiators | volumes | reads | completed | within {LATENCY_OBJECTIVE:?} | given up | BUSY | commands per completed read | other status |");
     println!("| --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
-    for (heeds, window) in [(true, true), (false, true), (true, false), (false, false)] {
+    for (honours_delay, window) in [(true, true), (false, true), (true, false), (false, false)] {
         let portal = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let stage = Stage::of(
+        let setup = TestSetup::with_settings(
             program,
             &site(portal, window),
             NODES,
             &["--store", "PLACES"],
         )?;
-        let rest = (times * CAPACITY - ASKED * RESERVED as f64) / OTHERS as f64;
+        let others_load = (times * CAPACITY - RESERVED_LOAD * RESERVED as f64) / OTHERS as f64;
         let load = |lun, reserved: bool| Load {
-            at: portal,
+            portal,
             target: if reserved {
                 "iqn.2026-12.org.example:reserved"
             } else {
                 "iqn.2026-12.org.example:others"
             },
             lun,
-            a_second: if reserved { ASKED } else { rest },
-            heeds,
+            reads_per_second: if reserved { RESERVED_LOAD } else { others_load },
+            honours_delay,
             seed: lun + if reserved { 100 } else { 200 },
         };
         let all: Vec<(bool, Load)> = (0..RESERVED)
@@ -236,40 +246,45 @@
         for (_, l) in &all {
             l.prepare()?;
         }
-        let (mut kept, mut shed) = (Seen::default(), Seen::default());
+        let (mut reserved_counts, mut other_counts) = (Counts::default(), Counts::default());
         std::thread::scope(|s| -> io::Result<()> {
             let runs: Vec<_> = all
                 .iter()
                 .map(|(r, l)| (*r, s.spawn(|| l.run(span))))
                 .collect();
             for (reserved, run) in runs {
-                let seen = run
+                let counts = run
                     .join()
-                    .map_err(|_| io::Error::other("a load panicked"))??;
-                if reserved { &mut kept } else { &mut shed }.add(seen);
+                    .map_err(|_| io::Error::other("a load thread panicked"))??;
+                if reserved {
+                    &mut reserved_counts
+                } else {
+                    &mut other_counts
+                }
+                .add(counts);
             }
             Ok(())
         })?;
-        for (name, s) in [("reserved", kept), ("others", shed)] {
-            let part = |n: u64| 100.0 * n as f64 / s.pieces.max(1) as f64;
+        for (name, s) in [("reserved", reserved_counts), ("others", other_counts)] {
+            let percent = |n: u64| 100.0 * n as f64 / s.reads.max(1) as f64;
             println!(
                 "| {} | {name} | {} | {:.1}% | {:.2}% | {} | {} | {:.2} | {} |",
-                match (heeds, window) {
-                    (true, true) => "heed window and delay",
-                    (false, true) => "heed the window, come again at once",
-                    (true, false) => "wide window, heed the delay",
-                    (false, false) => "wide window, come again at once",
+                match (honours_delay, window) {
+                    (true, true) => "honour window and delay",
+                    (false, true) => "honour the window, retry after 10 ms",
+                    (true, false) => "wide window, honour the delay",
+                    (false, false) => "wide window, retry after 10 ms",
                 },
-                s.pieces,
-                part(s.done),
-                part(s.timely),
+                s.reads,
+                percent(s.completed),
+                percent(s.within_objective),
                 s.given_up,
                 s.busy,
-                s.commands as f64 / s.done.max(1) as f64,
+                s.commands as f64 / s.completed.max(1) as f64,
                 s.other
             );
         }
-        stage.end()?;
+        setup.end()?;
     }
     Ok(())
 }
--- a/crates/bench/src/iscsi.rs
+++ b/crates/bench/src/iscsi.rs
@@ -1,7 +1,11 @@
-//! Commands through a portal beside requests through the same host: reads in closed loops, the host
-//! held to one core, initiators, clients and nodes on the others.
+//! Compares iSCSI commands through a portal with requests sent to the same host over its own protocol
+//! (the native path): reads in closed loops, with the host pinned to one core and the initiators,
+//! clients and nodes on the others.
 
-use crate::sockets::{prepare, stay_on, targets, together, used, Stage, LINES};
+use crate::sockets::{
+    load_targets, pin_to_cores, process_usage, run_in_parallel, write_test_data, TestSetup,
+    CONNECTIONS,
+};
 use grebecleat_testbed::initiator::{cdb16, Initiator, LoginParameters};
 use grebecleat_wire::clock;
 use std::io;
@@ -9,16 +13,16 @@
 use std::path::Path;
 use std::time::Duration;
 
-const NAME: &str = "iqn.2026-12.org.example:bench";
+const TARGET_NAME: &str = "iqn.2026-12.org.example:bench";
 const NODES: u32 = 10;
 const UNITS: u64 = 4;
-/// Commands' places in each unit: as much data as the plain path reads.
-const PLACES: u64 = 16;
+/// Locations read in each logical unit, so that commands read as much data as the native path.
+const LOCATIONS_PER_UNIT: u64 = 16;
 const BLOCK: u32 = 512;
 
-/// One session's load.
+/// The load of one session.
 struct Load {
-    at: SocketAddr,
+    portal: SocketAddr,
     number: u8,
     digests: bool,
     bytes: u32,
@@ -29,25 +33,25 @@
     fn login(&self) -> io::Result<Initiator> {
         let parameters = LoginParameters {
             initiator: "iqn.2026-12.org.example:load".into(),
-            target: NAME.into(),
+            target: TARGET_NAME.into(),
             isid: self.number,
             digests: self.digests,
             chap: None,
         };
-        let mut i = Initiator::login(self.at, &parameters)?;
+        let mut session = Initiator::login(self.portal, &parameters)?;
         for lun in 0..UNITS {
-            i.command(lun, &[0], &[], 0)?; // the unit came up
+            session.command(lun, &[0], &[], 0)?; // takes the power-on UNIT ATTENTION condition
         }
-        Ok(i)
+        Ok(session)
     }
 
     fn write_all(&self) -> io::Result<()> {
-        let mut i = self.login()?;
+        let mut session = self.login()?;
         let data = vec![7; self.bytes as usize];
         for lun in 0..UNITS {
-            for place in 0..PLACES {
-                let lba = place * u64::from(self.bytes / BLOCK);
-                while i.write(lun, lba, &data)?.status != 0 {
+            for location in 0..LOCATIONS_PER_UNIT {
+                let lba = location * u64::from(self.bytes / BLOCK);
+                while session.write(lun, lba, &data)?.status != 0 {
                     std::thread::sleep(Duration::from_millis(20));
                 }
             }
@@ -55,65 +59,71 @@
         Ok(())
     }
 
-    /// Reads for a span; how many were GOOD a second, and the part that was not.
+    /// Reads for the duration `span`; returns the commands per second with status GOOD and the fraction of
+    /// commands with another status.
     fn reads(&self, span: Duration) -> io::Result<(f64, f64)> {
-        let mut i = self.login()?;
+        let mut session = self.login()?;
         let blocks = self.bytes / BLOCK;
-        let (mut drawn, mut out, mut good, mut not) = (u64::from(self.number), 0, 0u64, 0u64);
+        let (mut number, mut outstanding, mut good, mut failed) =
+            (u64::from(self.number), 0, 0u64, 0u64);
         let start = clock::now();
         while clock::now() < start + span {
-            while out < self.open && i.may_send() {
-                drawn += 1;
-                let lba = drawn / UNITS % PLACES * u64::from(blocks);
-                i.submit(drawn % UNITS, &cdb16(0x88, lba, blocks), &[], self.bytes)?;
-                out += 1;
+            while outstanding < self.open && session.may_send() {
+                number += 1;
+                let lba = number / UNITS % LOCATIONS_PER_UNIT * u64::from(blocks);
+                session.submit(number % UNITS, &cdb16(0x88, lba, blocks), &[], self.bytes)?;
+                outstanding += 1;
             }
-            let mut next = Some(i.any()?);
+            let mut next = Some(session.any()?);
             while let Some((_, answer)) = next {
-                out -= 1;
+                outstanding -= 1;
                 match answer.status {
                     0 => good += 1,
-                    _ => not += 1,
+                    _ => failed += 1,
                 }
-                next = i.ready()?;
+                next = session.ready()?;
             }
         }
-        let took = (clock::now() - start).as_secs_f64();
-        Ok((good as f64 / took, not as f64 / (good + not).max(1) as f64))
+        let elapsed = (clock::now() - start).as_secs_f64();
+        Ok((
+            good as f64 / elapsed,
+            failed as f64 / (good + failed).max(1) as f64,
+        ))
     }
 }
 
 pub fn measure(span: Duration, program: &Path, bytes: &[u32], open: &[usize]) -> io::Result<()> {
-    stay_on(&[0, 1, 2])?;
+    pin_to_cores(&[0, 1, 2])?;
     println!(
-        "| bytes | open | plain path, a second | commands a second | of it | with digests | of it | MB/s | not GOOD | \
-         us of the core: plain / command / digests |"
+        "| bytes | open | native path, per second | commands per second | of native | with digests, per second | of native | MB/s | not GOOD | \
+         host CPU, us: native / command / with digests |"
     );
     println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     for bytes in bytes {
         let portal = TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-        let mut more = String::new();
+        let mut extra_settings = String::new();
         for unit in 0..UNITS {
-            more += &format!(
+            extra_settings += &format!(
                 "volume(id = {}, plan = \"p\", blocks = 1048576)\n",
                 1000 + unit
             );
         }
         let luns: Vec<String> = (0..UNITS).map(|unit| (1000 + unit).to_string()).collect();
-        more += &format!(
+        extra_settings += &format!(
             "portal(listen = \"{portal}\", read = \"read\", write = \"write\", large_read = \"read\", extent_blocks = 512, \
              unit_bytes = 262144, first_commands = 128, most_commands = 1024, commands_each = 128)\n\
-             target(name = \"{NAME}\", volumes = [{}])\n",
+             target(name = \"{TARGET_NAME}\", volumes = [{}])\n",
             luns.join(", ")
         );
-        let stage = Stage::with(program, NODES, &more, &["--store", "PLACES"])?;
-        prepare(&stage, *bytes)?;
+        let setup =
+            TestSetup::with_host_args(program, NODES, &extra_settings, &["--store", "PLACES"])?;
+        write_test_data(&setup, *bytes)?;
         let load = |open: usize, digests: bool| -> Vec<Load> {
-            let each = open.div_ceil(LINES.min(open));
-            let sessions = 0..LINES.min(open) as u8;
+            let each = open.div_ceil(CONNECTIONS.min(open));
+            let sessions = 0..CONNECTIONS.min(open) as u8;
             sessions
                 .map(|number| Load {
-                    at: portal,
+                    portal,
                     number,
                     digests,
                     bytes: *bytes,
@@ -122,24 +132,33 @@
                 .collect()
         };
         load(1, false)[0].write_all()?;
-        // Beyond that the plain path's client is hung up on: it would leave too much unread.
+        // With more open requests, the host would close the connection of the native client, as too many
+        // response bytes would be unread.
         for open in open.iter().filter(|o| **o as u32 <= (16 << 20) / *bytes) {
-            let pid = stage.host.0.id();
+            let pid = setup.host.0.id();
             let timed = |run: &dyn Fn() -> io::Result<(f64, f64)>| -> io::Result<(f64, f64, f64)> {
-                let (before, begun) = (used(pid)?.0, clock::now());
-                let (rate, not) = run()?;
-                let took = (clock::now() - begun).as_secs_f64();
-                Ok((rate, not, (used(pid)?.0 - before) / took / rate * 1e6))
+                let (before, started) = (process_usage(pid)?.0, clock::now());
+                let (rate, failed) = run()?;
+                let elapsed = (clock::now() - started).as_secs_f64();
+                Ok((
+                    rate,
+                    failed,
+                    (process_usage(pid)?.0 - before) / elapsed / rate * 1e6,
+                ))
             };
-            let lines = LINES.min(*open);
-            let plain = || {
-                let through = targets(&stage, *bytes).0.into_iter().take(lines).collect();
-                together(through, |t| t.closed(open.div_ceil(lines), span))
+            let connections = CONNECTIONS.min(*open);
+            let native = || {
+                let through = load_targets(&setup, *bytes)
+                    .0
+                    .into_iter()
+                    .take(connections)
+                    .collect();
+                run_in_parallel(through, |t| t.closed_loop(open.div_ceil(connections), span))
             };
-            let commands = |digests: bool| together(load(*open, digests), |l| l.reads(span));
-            plain()?; // warm
+            let commands = |digests: bool| run_in_parallel(load(*open, digests), |l| l.reads(span));
+            native()?; // warm-up, not measured
             let (p, c, d) = (
-                timed(&plain)?,
+                timed(&native)?,
                 timed(&|| commands(false))?,
                 timed(&|| commands(true))?,
             );
@@ -157,7 +176,7 @@
                 d.2
             );
         }
-        stage.end()?;
+        setup.end()?;
     }
     Ok(())
 }
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,11 +1,15 @@
-//! Measurements of the host, outside CI. Each prints a table for `docs/reports/host.md`.
+//! Benchmarks of the host, which do not run in CI. Each prints a table for `docs/reports/host.md`.
 //!
-//! `decisions`: the scheduler and the router alone, without sockets, at numbers of nodes and of
-//! queued requests. `sockets`: a host process on one core, between clients and stand-in nodes on the
-//! others: requests a second, time added beside a client that talks to the same stand-in directly,
-//! memory. `iscsi`: the same host behind a portal, beside its plain path; `commands`: allocations
-//! of one command in the iSCSI path, in this process. `planner`, `extents`, `state`: plans as data,
-//! for `docs/reports/plans.md`.
+//! - `decisions`: the scheduler and the router alone, without sockets, by the numbers of nodes and of
+//!   open requests.
+//! - `sockets`: a host process on one core, between clients and simulated nodes on the other cores:
+//!   requests per second, latency added in comparison with a client that talks to the same simulated
+//!   node directly, and memory.
+//! - `iscsi`: the same host with an iSCSI portal, in comparison with its native path.
+//! - `commands`: allocations of one command in the iSCSI path, in this process.
+//! - `deferral`: overload, with and without initiators that honour the retry delay of BUSY.
+//! - `planner`, `extents`, `state`: the catalog of plans, volumes and extents, for
+//!   `docs/reports/plans.md`.
 
 mod commands;
 mod decisions;
@@ -21,9 +25,7 @@
 use std::time::Duration;
 
 #[derive(Parser)]
-#[command(
-    about = "Measures the host. Run it from a release build, on a machine that does nothing else."
-)]
+#[command(about = "Measures the host. Run a release build on an otherwise idle machine.")]
 struct Args {
     #[command(subcommand)]
     what: What,
@@ -31,55 +33,55 @@
 
 #[derive(Subcommand)]
 enum What {
-    /// The scheduler and the router, without sockets.
+    /// Measures the scheduler and the router, without sockets.
     Decisions {
-        /// Seconds of each row of the table.
+        /// Duration of the measurement for each table row, in seconds.
         #[arg(long, default_value_t = 2.0)]
         seconds: f64,
-        /// Number of requests of one run, in place of the table.
+        /// Does one run with this number of requests instead of printing the table.
         #[arg(long)]
         requests: Option<u64>,
-        /// What the one run measures.
+        /// Component that the run with `--requests` measures.
         #[arg(long, value_enum, default_value = "scheduler")]
         subject: decisions::Subject,
-        /// Number of nodes of the one run.
+        /// Number of nodes in the run with `--requests`.
         #[arg(long, default_value_t = 10)]
         nodes: u32,
-        /// Requests open at any time in the one run.
+        /// Requests open at any time in the run with `--requests`.
         #[arg(long, default_value_t = 1)]
         open: usize,
     },
-    /// Commands through a portal, beside requests through the same host.
+    /// Compares commands through a portal with requests through the same host.
     Iscsi {
         #[arg(long, default_value_t = 1.0)]
         seconds: f64,
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Bytes of a command, multiples of 512 up to 256 KiB.
+        /// Data lengths of a command in bytes, multiples of 512 up to 256 KiB.
         #[arg(long, value_delimiter = ',', default_value = "512,4096,65536,262144")]
         bytes: Vec<u32>,
-        /// Commands open, over two sessions.
+        /// Numbers of open commands, spread over two sessions.
         #[arg(long, value_delimiter = ',', default_value = "1,8,32,128")]
         open: Vec<usize>,
     },
-    /// More than the nodes can do, with and without the retry delay of BUSY heeded.
+    /// Measures overload, with initiators that honour the retry delay of BUSY and ones that ignore it.
     Deferral {
         #[arg(long, default_value_t = 15.0)]
         seconds: f64,
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Load as a multiple of what the nodes can do.
+        /// Load as a multiple of the nodes' capacity.
         #[arg(long, default_value_t = 2.0)]
         times: f64,
     },
-    /// Whether promises hold, by the size of a site.
+    /// Measures the check whether all reservations hold, by the size of a site.
     Planner,
-    /// The index of extents beside the standard ordered map.
+    /// Compares the extent index with the standard ordered map.
     Extents {
         #[arg(long, default_value_t = 10_000_000)]
         count: u64,
     },
-    /// A large store opened, and changes through the state service.
+    /// Measures opening a large store, and changes through the state service.
     State {
         #[arg(long, default_value_t = 10.0)]
         seconds: f64,
@@ -89,27 +91,27 @@
         volumes: u64,
         #[arg(long, default_value_t = 10_000_000)]
         extents: u64,
-        /// Only changes at 10,000 volumes, through so many connections.
+        /// Measures only changes at 10,000 volumes, over this number of connections.
         #[arg(long)]
         connections: Option<u64>,
     },
-    /// One row of `state`.
+    /// Measures one row of the first table of `state`.
     #[command(hide = true)]
     StateOpen {
         volumes: u64,
         extents: u64,
         run: u64,
     },
-    /// What one command costs in allocations, without sockets.
+    /// Counts the allocations of one command, without sockets.
     Commands,
-    /// A host process on one core, through sockets.
+    /// Measures a host process on one core, through sockets.
     Sockets {
         #[arg(long, default_value_t = 3.0)]
         seconds: f64,
-        /// The program; beside this one if left out.
+        /// Path of the `grebecleat` program; by default the one in the directory of this program.
         #[arg(long)]
         program: Option<PathBuf>,
-        /// Only one of the tables.
+        /// Prints only this table.
         #[arg(long)]
         only: Option<sockets::Table>,
         /// Numbers of nodes.
@@ -143,19 +145,19 @@
             bytes,
             open,
         } => {
-            let beside = std::env::current_exe()?.with_file_name("grebecleat");
+            let default_program = std::env::current_exe()?.with_file_name("grebecleat");
             let span = Duration::from_secs_f64(seconds);
-            iscsi::measure(span, &program.unwrap_or(beside), &bytes, &open)?;
+            iscsi::measure(span, &program.unwrap_or(default_program), &bytes, &open)?;
         }
         What::Deferral {
             seconds,
             program,
             times,
         } => {
-            let beside = std::env::current_exe()?.with_file_name("grebecleat");
+            let default_program = std::env::current_exe()?.with_file_name("grebecleat");
             deferral::measure(
                 Duration::from_secs_f64(seconds),
-                &program.unwrap_or(beside),
+                &program.unwrap_or(default_program),
                 times,
             )?;
         }
@@ -173,8 +175,11 @@
             extents,
             connections,
         } => {
-            let beside = std::env::current_exe()?.with_file_name("grebecleat");
-            let (program, span) = (program.unwrap_or(beside), Duration::from_secs_f64(seconds));
+            let default_program = std::env::current_exe()?.with_file_name("grebecleat");
+            let (program, span) = (
+                program.unwrap_or(default_program),
+                Duration::from_secs_f64(seconds),
+            );
             match connections {
                 Some(n) => state::changes(&program, span, 10_000, 200, n)?,
                 None => state::measure(&program, span, volumes, extents)?,
@@ -187,10 +192,10 @@
             only,
             nodes,
         } => {
-            let beside = std::env::current_exe()?.with_file_name("grebecleat");
+            let default_program = std::env::current_exe()?.with_file_name("grebecleat");
             sockets::measure(
                 Duration::from_secs_f64(seconds),
-                &program.unwrap_or(beside),
+                &program.unwrap_or(default_program),
                 only,
                 &nodes,
             )?;
@@ -199,7 +204,8 @@
     Ok(())
 }
 
-/// Settings of a site of plain nodes, for both measurements.
+/// Settings of a site whose nodes take no time per unit of work, for the benchmarks `decisions`,
+/// `sockets` and `iscsi`.
 fn site(nodes: u32, deadline_s: u32) -> String {
     format!(
         r#"
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -1,8 +1,9 @@
-//! A host process held to one core, between clients in this process and stand-in nodes in another.
+//! Measures a host process pinned to one core, between clients in this process and simulated nodes in
+//! another process, over loopback connections.
 //!
-//! Closed loops give requests a second; open loops at half that rate give the time added, beside
-//! the same reads sent to the stand-in nodes directly. Loopback only; every loop ends with its
-//! span.
+//! Closed loops measure requests per second. Open loops at half that rate measure the latency that
+//! the host adds, in comparison with the same reads sent directly to the simulated nodes. Every loop
+//! runs for a fixed duration.
 
 use crate::site;
 use bytes::Bytes;
@@ -19,16 +20,18 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Connections that load comes over.
-pub const LINES: usize = 2;
-/// Extents written before they are read, for each volume.
+/// Number of connections that carry the load.
+pub const CONNECTIONS: usize = 2;
+/// Extents of each volume that are written before the reads.
 const EXTENTS: u64 = 4;
 const VOLUMES: u64 = 20;
-static NEXT: AtomicU64 = AtomicU64::new(1);
+/// Number of the next transfer.
+static NEXT_NUMBER: AtomicU64 = AtomicU64::new(1);
 
-pub struct Running(pub Child, pub String);
+/// A child process, killed when dropped, and the address on which it listens.
+pub struct ServerProcess(pub Child, pub String);
 
-impl Drop for Running {
+impl Drop for ServerProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -40,7 +43,7 @@
     args: &[&str],
     cores: &'static [usize],
     log: &Path,
-) -> io::Result<Running> {
+) -> io::Result<ServerProcess> {
     let mut command = Command::new(program);
     command
         .args(args)
@@ -48,33 +51,38 @@
         .stdout(Stdio::piped());
     command.stderr(fs::File::options().create(true).append(true).open(log)?);
     // SAFETY: only async-signal-safe calls between fork and exec.
-    unsafe { command.pre_exec(move || stay_on(cores)) };
+    unsafe { command.pre_exec(move || pin_to_cores(cores)) };
     let mut child = command.spawn()?;
     let mut line = String::new();
     BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line)?;
-    let said = line.trim().strip_prefix("listening ").map(str::to_string);
-    Ok(Running(
+    let address = line.trim().strip_prefix("listening ").map(str::to_string);
+    Ok(ServerProcess(
         child,
-        said.ok_or_else(|| io::Error::other(format!("{args:?} did not start: {line}")))?,
+        address.ok_or_else(|| {
+            io::Error::other(format!(
+                "{program:?} {args:?}: expected `listening ADDRESS` as the first line of output, found {line:?}"
+            ))
+        })?,
     ))
 }
 
-pub fn stay_on(cores: &[usize]) -> io::Result<()> {
-    // SAFETY: a plain set of bits, handed to the kernel by address.
-    let done = unsafe {
+/// Pins the calling thread and the threads and processes it starts to these cores.
+pub fn pin_to_cores(cores: &[usize]) -> io::Result<()> {
+    // SAFETY: `cpu_set_t` is a plain bit set, valid when zeroed; the kernel only reads it during the call.
+    let status = unsafe {
         let mut set: libc::cpu_set_t = std::mem::zeroed();
         cores.iter().for_each(|c| libc::CPU_SET(*c, &mut set));
         libc::sched_setaffinity(0, size_of::<libc::cpu_set_t>(), &set)
     };
-    if done == 0 {
+    if status == 0 {
         Ok(())
     } else {
         Err(io::Error::last_os_error())
     }
 }
 
-/// Seconds of processor time, and bytes resident.
-pub fn used(pid: u32) -> io::Result<(f64, f64)> {
+/// CPU time in seconds and resident memory in bytes of a process.
+pub fn process_usage(pid: u32) -> io::Result<(f64, f64)> {
     let stat = fs::read_to_string(format!("/proc/{pid}/stat"))?;
     let fields: Vec<&str> = stat
         .rsplit(')')
@@ -88,43 +96,62 @@
             .and_then(|f| f.parse::<f64>().ok())
             .unwrap_or(0.0)
     };
-    // SAFETY: no pointers.
-    let a_second = unsafe { libc::sysconf(libc::_SC_CLK_TCK) } as f64;
-    // SAFETY: no pointers.
-    let page = unsafe { libc::sysconf(libc::_SC_PAGESIZE) } as f64;
-    Ok(((ticks(11) + ticks(12)) / a_second, ticks(21) * page))
+    // SAFETY: the call takes no pointers.
+    let ticks_per_second = unsafe { libc::sysconf(libc::_SC_CLK_TCK) } as f64;
+    // SAFETY: the call takes no pointers.
+    let page_size = unsafe { libc::sysconf(libc::_SC_PAGESIZE) } as f64;
+    Ok((
+        (ticks(11) + ticks(12)) / ticks_per_second,
+        ticks(21) * page_size,
+    ))
 }
 
-/// A list, nodes and a host of their own.
-pub struct Stage {
+/// A discovery service, a process with simulated nodes, and a host, started for one measurement.
+pub struct TestSetup {
     dir: PathBuf,
-    _list: Running,
-    _nodes: Running,
-    pub host: Running,
-    /// Node ids with their addresses.
+    _discovery: ServerProcess,
+    _nodes: ServerProcess,
+    pub host: ServerProcess,
+    /// Node ids and addresses.
     nodes: Vec<(u32, SocketAddr)>,
 }
 
-impl Stage {
-    fn new(program: &Path, nodes: u32, more: &str) -> io::Result<Self> {
-        Stage::with(program, nodes, more, &[])
+impl TestSetup {
+    fn new(program: &Path, nodes: u32, extra_settings: &str) -> io::Result<Self> {
+        TestSetup::with_host_args(program, nodes, extra_settings, &[])
     }
 
-    /// `own` are arguments of the host's alone; `PLACES` stands for a new file in the stage's
-    /// folder.
-    pub fn with(program: &Path, nodes: u32, more: &str, own: &[&str]) -> io::Result<Self> {
-        Stage::of(program, &(site(nodes, 30) + more), nodes, own)
+    /// Starts the processes with the settings `extra_settings` in addition to the common ones. `host_args` holds extra
+    /// arguments for the host only; the argument `PLACES` is replaced by the path of a new file in the
+    /// temporary directory.
+    pub fn with_host_args(
+        program: &Path,
+        nodes: u32,
+        extra_settings: &str,
+        host_args: &[&str],
+    ) -> io::Result<Self> {
+        TestSetup::with_settings(
+            program,
+            &(site(nodes, 30) + extra_settings),
+            nodes,
+            host_args,
+        )
     }
 
-    /// Of settings of its own.
-    pub fn of(program: &Path, text: &str, nodes: u32, own: &[&str]) -> io::Result<Self> {
+    /// Starts the processes with `text` as the complete settings.
+    pub fn with_settings(
+        program: &Path,
+        text: &str,
+        nodes: u32,
+        host_args: &[&str],
+    ) -> io::Result<Self> {
         let dir = std::env::temp_dir().join(format!("grebecleat-bench-{}", std::process::id()));
         fs::create_dir_all(&dir)?;
         let (script, log) = (dir.join("site.star"), dir.join("log"));
         fs::write(&script, text)?;
-        let file = script.to_str().expect("a plain path");
+        let file = script.to_str().expect("the path is valid UTF-8");
         let _ = fs::remove_file(&log);
-        let list = start(
+        let discovery = start(
             program,
             &["discovery-service", file, "--listen", "127.0.0.1:0"],
             &[0, 1, 2],
@@ -132,7 +159,7 @@
         )?;
         let running = start(
             program,
-            &["node", file, "--list", &list.1],
+            &["node", file, "--list", &discovery.1],
             &[0, 1, 2],
             &log,
         )?;
@@ -142,40 +169,40 @@
             "--listen",
             "127.0.0.1:0",
             "--list",
-            &list.1,
+            &discovery.1,
             "--workers",
             "1",
         ];
-        let places = dir.join("places");
-        let _ = fs::remove_file(&places);
-        let places = places.to_str().expect("a plain path");
-        let own: Vec<&str> = own
+        let store_path = dir.join("places");
+        let _ = fs::remove_file(&store_path);
+        let store_path = store_path.to_str().expect("the path is valid UTF-8");
+        let host_args: Vec<&str> = host_args
             .iter()
-            .map(|a| if *a == "PLACES" { places } else { *a })
+            .map(|a| if *a == "PLACES" { store_path } else { *a })
             .collect();
-        let host = start(program, &[&args[..], &own].concat(), &[3], &log)?;
-        let known = || ask_list(&list.1).unwrap_or_default();
-        let mut there = known();
-        while there.len() < nodes as usize {
+        let host = start(program, &[&args[..], &host_args].concat(), &[3], &log)?;
+        let registered = || fetch_endpoints(&discovery.1).unwrap_or_default();
+        let mut endpoints = registered();
+        while endpoints.len() < nodes as usize {
             std::thread::sleep(Duration::from_millis(50));
-            there = known();
+            endpoints = registered();
         }
-        let stage = Stage {
+        let setup = TestSetup {
             dir,
-            _list: list,
+            _discovery: discovery,
             _nodes: running,
             host,
-            nodes: there,
+            nodes: endpoints,
         };
-        std::thread::sleep(Duration::from_millis(800)); // the host's watch
-        Ok(stage)
+        std::thread::sleep(Duration::from_millis(800)); // until the host has received the endpoint list
+        Ok(setup)
     }
 
     pub fn address(&self) -> SocketAddr {
-        self.host.1.parse().expect("an address")
+        self.host.1.parse().expect("the host printed its address")
     }
 
-    /// Drains the host; its events for each step.
+    /// Drains the host and returns its mean number of events per step, from its log.
     pub fn end(mut self) -> io::Result<f64> {
         let pid = self.host.0.id().to_string();
         Command::new("kill").args(["-s", "TERM", &pid]).status()?;
@@ -193,7 +220,7 @@
     }
 }
 
-fn put(stream: &mut TcpStream, bodies: impl IntoIterator<Item = Body>) -> io::Result<()> {
+fn send_frames(stream: &mut TcpStream, bodies: impl IntoIterator<Item = Body>) -> io::Result<()> {
     let sent_us = clock::micros(clock::now());
     let mut bytes = Vec::new();
     for body in bodies {
@@ -212,14 +239,14 @@
     let mut stream = TcpStream::connect(to)?;
     stream.set_nodelay(true)?;
     stream.set_read_timeout(Some(Duration::from_secs(10)))?;
-    put(&mut stream, [Body::Hello(hello(role, "bench", 1))])?;
+    send_frames(&mut stream, [Body::Hello(hello(role, "bench", 1))])?;
     let mut reader = frame::Reader::new(32 << 20);
-    get(&mut stream, &mut reader)?;
+    receive_bodies(&mut stream, &mut reader)?;
     Ok((stream, reader))
 }
 
-/// What has come, at least one.
-fn get(stream: &mut TcpStream, reader: &mut frame::Reader) -> io::Result<Vec<Body>> {
+/// Waits until at least one frame is complete and returns the bodies of all complete frames.
+fn receive_bodies(stream: &mut TcpStream, reader: &mut frame::Reader) -> io::Result<Vec<Body>> {
     loop {
         let mut all = Vec::new();
         while let Some(f) = reader.next::<pb::Frame>().map_err(io::Error::other)? {
@@ -229,16 +256,18 @@
             return Ok(all);
         }
         if reader.fill(stream)? == 0 {
-            return Err(io::Error::other("hung up"));
+            return Err(io::Error::other(
+                "peer closed the connection; expected a frame",
+            ));
         }
     }
 }
 
-fn ask_list(at: &str) -> io::Result<Vec<(u32, SocketAddr)>> {
+fn fetch_endpoints(at: &str) -> io::Result<Vec<(u32, SocketAddr)>> {
     let (mut s, mut r) = connect(at.parse().map_err(io::Error::other)?, pb::Role::Client)?;
-    put(&mut s, [Body::FetchEndpoints(pb::FetchEndpoints {})])?;
+    send_frames(&mut s, [Body::FetchEndpoints(pb::FetchEndpoints {})])?;
     let mut all = Vec::new();
-    for body in get(&mut s, &mut r)? {
+    for body in receive_bodies(&mut s, &mut r)? {
         if let Body::EndpointUpdate(l) = body {
             all.extend(
                 l.endpoints
@@ -250,9 +279,9 @@
     Ok(all)
 }
 
-/// One piece of work, as a client's request or straight as an attempt.
+/// One read or write, sent as a client's request to the host or directly as an attempt to a node.
 #[derive(Clone, Copy)]
-struct Work {
+struct Transfer {
     number: u64,
     node: u32,
     volume: u64,
@@ -261,11 +290,11 @@
     write: bool,
 }
 
-impl Work {
+impl Transfer {
     fn draw(nodes: &[(u32, SocketAddr)], length: u32, write: bool) -> Self {
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let node = nodes[(number % nodes.len() as u64) as usize].0;
-        Work {
+        Transfer {
             number,
             node,
             volume: number % VOLUMES,
@@ -279,7 +308,7 @@
         Bytes::from(vec![7; if self.write { self.length as usize } else { 0 }])
     }
 
-    fn take(&self) -> Body {
+    fn request_body(&self) -> Body {
         let id = Bytes::from(format!("{:036}", self.number));
         Body::SubmitRequest(pb::SubmitRequest {
             piece: id.clone(),
@@ -297,7 +326,7 @@
         })
     }
 
-    fn attempt(&self) -> Body {
+    fn attempt_body(&self) -> Body {
         let id = Bytes::from(format!("{:036}", self.number));
         Body::Attempt(pb::Attempt {
             attempt: self.number,
@@ -317,8 +346,8 @@
     }
 }
 
-/// The number of the work that an answer is to, and whether it was done.
-fn answer(body: &Body) -> Option<(u64, bool)> {
+/// The number of the transfer that a response belongs to, and whether the transfer succeeded.
+fn parse_response(body: &Body) -> Option<(u64, bool)> {
     match body {
         Body::Response(f) => {
             let number = std::str::from_utf8(&f.id).ok()?.parse().ok()?;
@@ -329,7 +358,7 @@
     }
 }
 
-/// Where load goes: to the host, or to nodes directly.
+/// Destination of the load: the host, or a node directly.
 #[derive(Clone)]
 pub struct Target {
     through_host: bool,
@@ -339,11 +368,11 @@
 }
 
 impl Target {
-    fn body(&self, w: &Work) -> Body {
+    fn body(&self, w: &Transfer) -> Body {
         if self.through_host {
-            w.take()
+            w.request_body()
         } else {
-            w.attempt()
+            w.attempt_body()
         }
     }
 
@@ -358,31 +387,35 @@
         )
     }
 
-    /// Keeps `open` requests open for a span; how many were done a second, and the part that was
-    /// not done.
-    pub fn closed(&self, open: usize, span: Duration) -> io::Result<(f64, f64)> {
+    /// Keeps `open` requests open for the duration `span`; returns the successful requests per second
+    /// and the fraction of requests that failed.
+    pub fn closed_loop(&self, open: usize, span: Duration) -> io::Result<(f64, f64)> {
         let (mut stream, mut reader) = self.connect()?;
-        let draw = || self.body(&Work::draw(&self.nodes, self.length, false));
-        put(&mut stream, (0..open).map(|_| draw()))?;
-        let (start, mut done, mut not) = (clock::now(), 0u64, 0u64);
+        let draw = || self.body(&Transfer::draw(&self.nodes, self.length, false));
+        send_frames(&mut stream, (0..open).map(|_| draw()))?;
+        let (start, mut done, mut failed) = (clock::now(), 0u64, 0u64);
         while clock::now() < start + span {
-            let answers: Vec<_> = get(&mut stream, &mut reader)?
+            let answers: Vec<_> = receive_bodies(&mut stream, &mut reader)?
                 .iter()
-                .filter_map(answer)
+                .filter_map(parse_response)
                 .collect();
-            not += answers.iter().filter(|a| !a.1).count() as u64;
+            failed += answers.iter().filter(|a| !a.1).count() as u64;
             done += answers.iter().filter(|a| a.1).count() as u64;
-            put(&mut stream, answers.iter().map(|_| draw()))?;
+            send_frames(&mut stream, answers.iter().map(|_| draw()))?;
         }
-        let took = (clock::now() - start).as_secs_f64();
-        Ok((done as f64 / took, not as f64 / (done + not).max(1) as f64))
+        let elapsed = (clock::now() - start).as_secs_f64();
+        Ok((
+            done as f64 / elapsed,
+            failed as f64 / (done + failed).max(1) as f64,
+        ))
     }
 
-    /// Sends at a steady rate for a span; the times from when each should have gone to its answer.
-    fn open(&self, rate: f64, span: Duration) -> io::Result<Histogram<u64>> {
+    /// Sends requests at a constant rate for the duration `span`; returns the times from the scheduled
+    /// sending of each request to its response, in microseconds.
+    fn open_loop(&self, rate: f64, span: Duration) -> io::Result<Histogram<u64>> {
         let (mut stream, mut reader) = self.connect()?;
         let count = (rate * span.as_secs_f64()) as u64;
-        let first = NEXT.fetch_add(count * self.nodes.len() as u64, Ordering::Relaxed);
+        let first = NEXT_NUMBER.fetch_add(count * self.nodes.len() as u64, Ordering::Relaxed);
         let (mut writer, start) = (
             stream.try_clone()?,
             clock::now() + Duration::from_millis(20),
@@ -395,7 +428,7 @@
                 let now = clock::now();
                 let ready = (i..count).take_while(|j| due(*j) <= now).count() as u64;
                 let node = |n: u64| target.nodes[(n % target.nodes.len() as u64) as usize].0;
-                let work = (i..i + ready).map(|j| first + j).map(|number| Work {
+                let work = (i..i + ready).map(|j| first + j).map(|number| Transfer {
                     number,
                     node: node(number),
                     volume: number % VOLUMES,
@@ -403,7 +436,7 @@
                     length: target.length,
                     write: false,
                 });
-                put(&mut writer, work.map(|w| target.body(&w)))?;
+                send_frames(&mut writer, work.map(|w| target.body(&w)))?;
                 i += ready;
                 std::thread::sleep(
                     due(i)
@@ -416,33 +449,39 @@
         let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
         let mut left = count;
         while left > 0 {
-            for (number, _) in get(&mut stream, &mut reader)?.iter().filter_map(answer) {
-                let took = clock::now().saturating_sub(due(number - first));
-                times.saturating_record(took.as_micros() as u64);
+            for (number, _) in receive_bodies(&mut stream, &mut reader)?
+                .iter()
+                .filter_map(parse_response)
+            {
+                let elapsed = clock::now().saturating_sub(due(number - first));
+                times.saturating_record(elapsed.as_micros() as u64);
                 left -= 1;
             }
         }
         sender
             .join()
-            .map_err(|_| io::Error::other("the sender panicked"))??;
+            .map_err(|_| io::Error::other("the sender thread panicked"))??;
         Ok(times)
     }
 }
 
-pub fn together<T: Sync + Send>(
+/// Runs the load of every target in a thread of its own; returns the sum of the rates and the mean of the
+/// failed fractions.
+pub fn run_in_parallel<T: Sync + Send>(
     targets: Vec<T>,
     each: impl Fn(&T) -> io::Result<(f64, f64)> + Sync,
 ) -> io::Result<(f64, f64)> {
     std::thread::scope(|s| {
         let all: Vec<_> = targets.iter().map(|t| s.spawn(|| each(t))).collect();
-        let (mut sum, mut part) = (0.0, 0.0);
+        let (mut rate_sum, mut failed_mean) = (0.0, 0.0);
         for one in all {
-            let (rate, not) = one
+            let (rate, failed) = one
                 .join()
-                .map_err(|_| io::Error::other("a load panicked"))??;
-            (sum, part) = (sum + rate, part + not / targets.len() as f64);
+                .map_err(|_| io::Error::other("a load thread panicked"))??;
+            (rate_sum, failed_mean) =
+                (rate_sum + rate, failed_mean + failed / targets.len() as f64);
         }
-        Ok((sum, part))
+        Ok((rate_sum, failed_mean))
     })
 }
 
@@ -459,12 +498,12 @@
     only: Option<Table>,
     nodes: &[u32],
 ) -> io::Result<()> {
-    stay_on(&[0, 1, 2])?;
+    pin_to_cores(&[0, 1, 2])?;
     let wanted = |t: Table| only.is_none_or(|o| o == t);
     if wanted(Table::Throughput) {
         println!(
-            "| nodes | bytes | open | through the host, a second | not done | directly, a second | host's core \
-             | us of it a transfer | events a step |"
+            "| nodes | bytes | open | through the host, per second | failed | directly, per second | host CPU \
+             | host CPU per transfer, us | events per step |"
         );
         println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
         for n in nodes {
@@ -501,15 +540,16 @@
     Ok(())
 }
 
-pub fn targets(stage: &Stage, length: u32) -> (Vec<Target>, Vec<Target>) {
+/// Load targets through the host, and the same number of targets at single nodes.
+pub fn load_targets(setup: &TestSetup, length: u32) -> (Vec<Target>, Vec<Target>) {
     let host = Target {
         through_host: true,
-        at: stage.address(),
-        nodes: stage.nodes.clone(),
+        at: setup.address(),
+        nodes: setup.nodes.clone(),
         length,
     };
     let node = |i: usize| {
-        let own = stage.nodes[i * stage.nodes.len() / LINES];
+        let own = setup.nodes[i * setup.nodes.len() / CONNECTIONS];
         Target {
             through_host: false,
             at: own.1,
@@ -517,23 +557,26 @@
             length,
         }
     };
-    (vec![host; LINES], (0..LINES).map(node).collect())
+    (
+        vec![host; CONNECTIONS],
+        (0..CONNECTIONS).map(node).collect(),
+    )
 }
 
-/// Writes what will be read.
-pub fn prepare(stage: &Stage, length: u32) -> io::Result<()> {
-    for (id, at) in stage.nodes.iter().take(100) {
+/// Writes the extents that the measurements read, directly to at most 100 nodes.
+pub fn write_test_data(setup: &TestSetup, length: u32) -> io::Result<()> {
+    for (id, at) in setup.nodes.iter().take(100) {
         let (mut stream, mut reader) = connect(*at, pb::Role::Host)?;
         for volume in 0..VOLUMES {
             for extent in 0..EXTENTS {
-                let work = Work {
+                let work = Transfer {
                     volume,
                     extent,
                     write: true,
-                    ..Work::draw(&[(*id, *at)], length, true)
+                    ..Transfer::draw(&[(*id, *at)], length, true)
                 };
-                put(&mut stream, [work.attempt()])?;
-                get(&mut stream, &mut reader)?;
+                send_frames(&mut stream, [work.attempt_body()])?;
+                receive_bodies(&mut stream, &mut reader)?;
             }
         }
     }
@@ -547,34 +590,34 @@
     length: u32,
     open: usize,
 ) -> io::Result<()> {
-    let stage = Stage::new(program, nodes, "")?;
-    prepare(&stage, length)?;
-    let (through, direct) = targets(&stage, length);
-    let each = |t: &Target| t.closed(open.div_ceil(LINES), span);
-    together(through.clone(), |t| {
-        t.closed(open.div_ceil(LINES), span / 3)
-    })?; // warm
-    let before = used(stage.host.0.id())?;
-    let begun = clock::now();
-    let (rate, not) = together(through, each)?;
-    let took = (clock::now() - begun).as_secs_f64();
-    let cpu = used(stage.host.0.id())?.0 - before.0;
-    let (plain, _) = together(direct, each)?;
-    let batch = stage.end()?;
+    let setup = TestSetup::new(program, nodes, "")?;
+    write_test_data(&setup, length)?;
+    let (through, direct) = load_targets(&setup, length);
+    let each = |t: &Target| t.closed_loop(open.div_ceil(CONNECTIONS), span);
+    run_in_parallel(through.clone(), |t| {
+        t.closed_loop(open.div_ceil(CONNECTIONS), span / 3)
+    })?; // warm-up, not measured
+    let before = process_usage(setup.host.0.id())?;
+    let started = clock::now();
+    let (rate, failed) = run_in_parallel(through, each)?;
+    let elapsed = (clock::now() - started).as_secs_f64();
+    let cpu = process_usage(setup.host.0.id())?.0 - before.0;
+    let (plain, _) = run_in_parallel(direct, each)?;
+    let batch = setup.end()?;
     println!(
         "| {nodes} | {length} | {open} | {rate:.0} | {:.1}% | {plain:.0} | {:.0}% | {:.1} | {batch:.1} |",
-        100.0 * not,
-        100.0 * cpu / took,
-        cpu / took / rate * 1e6
+        100.0 * failed,
+        100.0 * cpu / elapsed,
+        cpu / elapsed / rate * 1e6
     );
     Ok(())
 }
 
 fn latency(span: Duration, program: &Path, nodes: u32, length: u32, rate: f64) -> io::Result<()> {
-    let stage = Stage::new(program, nodes, "")?;
-    prepare(&stage, length)?;
-    let (through, direct) = targets(&stage, length);
-    through[0].open(rate, span / 3)?;
+    let setup = TestSetup::new(program, nodes, "")?;
+    write_test_data(&setup, length)?;
+    let (through, direct) = load_targets(&setup, length);
+    through[0].open_loop(rate, span / 3)?;
     let show = |h: &Histogram<u64>| {
         format!(
             "{} / {} / {}",
@@ -583,9 +626,9 @@
             h.value_at_quantile(0.999)
         )
     };
-    let host = through[0].open(rate, span)?;
-    let plain = direct[0].open(rate, span)?;
-    stage.end()?;
+    let host = through[0].open_loop(rate, span)?;
+    let plain = direct[0].open_loop(rate, span)?;
+    setup.end()?;
     println!(
         "| {nodes} | {length} | {rate:.0} | {} | {} |",
         show(&plain),
@@ -594,22 +637,24 @@
     Ok(())
 }
 
-/// Resident bytes for each request that is out, and each that is held, at nodes that answer
-/// nothing.
+/// Prints the resident memory per open request at nodes that do not respond, both for requests in flight
+/// and for queued ones.
 fn memory(program: &Path) -> io::Result<()> {
-    println!("| nodes | open | resident before | with them open | bytes for each |");
+    println!(
+        "| nodes | open | resident before | resident with open requests | bytes per request |"
+    );
     println!("| ---: | ---: | ---: | ---: | ---: |");
     for (nodes, open) in [(10, 10_000u64), (1000, 4000)] {
         let hang = "trouble(kind = \"hang\", at = s(0), len = s(3000), part = 1.0)\n";
-        let stage = Stage::new(program, nodes, hang)?;
-        let before = used(stage.host.0.id())?.1;
-        let (mut stream, _reader) = connect(stage.address(), pb::Role::Client)?;
-        put(
+        let setup = TestSetup::new(program, nodes, hang)?;
+        let before = process_usage(setup.host.0.id())?.1;
+        let (mut stream, _reader) = connect(setup.address(), pb::Role::Client)?;
+        send_frames(
             &mut stream,
-            (0..open).map(|_| Work::draw(&stage.nodes, 512, false).take()),
+            (0..open).map(|_| Transfer::draw(&setup.nodes, 512, false).request_body()),
         )?;
         std::thread::sleep(Duration::from_millis(1500));
-        let after = used(stage.host.0.id())?.1;
+        let after = process_usage(setup.host.0.id())?.1;
         let each = (after - before) / open as f64;
         println!(
             "| {nodes} | {open} | {:.1} MB | {:.1} MB | {each:.0} |",
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -1,5 +1,6 @@
-//! The store and the state service at size: how long a large store takes to open, and how many
-//! changes a second land through sockets, each on the disk before it is told.
+//! Measures the store and the state service with large contents: the time to open a large store, and
+//! the number of changes per second committed through sockets, each written to disk before it is
+//! acknowledged.
 
 use grebecleat_catalog::change::Change;
 use grebecleat_catalog::records::{Plan, Version, Volume};
@@ -25,8 +26,8 @@
     })
 }
 
-/// Kilobytes that this process has resident.
-fn resident() -> u64 {
+/// Resident memory of this process in kilobytes.
+fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status
         .lines()
@@ -38,16 +39,16 @@
         .unwrap_or(0)
 }
 
-/// Fills a store, and opens it again.
+/// Fills a store, opens it again, and prints one table row.
 pub fn open(volumes: u64, extents: u64, run: u64) -> std::io::Result<()> {
     let dir = std::env::temp_dir().join(format!("grebecleat-bench-state-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
     let path = dir.join("large.store");
-    let told =
+    let to_io_error =
         |e: grebecleat_catalog_service::store::StoreFault| std::io::Error::other(e.to_string());
-    let begun = Instant::now();
+    let started = Instant::now();
     {
-        let (mut store, ..) = Store::open(&path, 1000).map_err(told)?;
+        let (mut store, ..) = Store::open(&path, 1000).map_err(to_io_error)?;
         let name = |n: u64| format!("plan-{}", n % 100);
         let plans = (0..100).map(|n| Change::Plan {
             name: name(n).into(),
@@ -67,50 +68,53 @@
             id,
             to: Some(volume(id)),
         }));
-        let whole = Record::Snapshot {
+        let snapshot = Record::Snapshot {
             version: Version(1),
             state: all.collect(),
             audit_log: Vec::new(),
         };
-        store.commit(&[whole]).map_err(told)?;
+        store.commit(&[snapshot]).map_err(to_io_error)?;
         let mut rng = Pcg64Mcg::seed_from_u64(5);
-        let (mut batch, mut shard, mut left) = (Vec::new(), 0, 0);
+        let (mut batch, mut shard, mut remaining) = (Vec::new(), 0, 0);
         for n in 0..extents {
-            if left == 0 {
-                (shard, left) = (
+            if remaining == 0 {
+                (shard, remaining) = (
                     rng.random_range(0..400),
                     rng.random_range(1..run.max(1) * 2),
                 );
             }
-            left -= 1;
+            remaining -= 1;
             batch.push(Record::ExtentPlacement {
                 volume: n / 10_000,
                 extent: n % 10_000,
                 shard,
             });
             if batch.len() == 100_000 || n + 1 == extents {
-                store.commit(&std::mem::take(&mut batch)).map_err(told)?;
+                store
+                    .commit(&std::mem::take(&mut batch))
+                    .map_err(to_io_error)?;
             }
         }
     }
-    let filled = begun.elapsed();
-    let before = resident();
-    let begun = Instant::now();
-    let (store, contents) = Store::open(&path, 1000).map_err(told)?;
-    let opened = begun.elapsed();
-    let held: u64 = contents.extents.values().map(|p| p.len()).sum();
+    let fill_time = started.elapsed();
+    let before = resident_kb();
+    let started = Instant::now();
+    let (store, contents) = Store::open(&path, 1000).map_err(to_io_error)?;
+    let open_time = started.elapsed();
+    let extent_count: u64 = contents.extents.values().map(|p| p.len()).sum();
     println!(
-        "| {} | {held} | {run} | {:.0} | {:.1} | {:.2} | {:.0} |",
+        "| {} | {extent_count} | {run} | {:.0} | {:.1} | {:.2} | {:.0} |",
         contents.state.state.len() - 100,
         std::fs::metadata(&path)?.len() as f64 / 1e6,
-        filled.as_secs_f64(),
-        opened.as_secs_f64(),
-        resident().saturating_sub(before) as f64 / 1e3
+        fill_time.as_secs_f64(),
+        open_time.as_secs_f64(),
+        resident_kb().saturating_sub(before) as f64 / 1e3
     );
     drop(store);
     std::fs::remove_dir_all(&dir)
 }
 
+/// A state service process, killed when dropped, and its address.
 struct Service(Child, SocketAddr);
 
 impl Drop for Service {
@@ -120,7 +124,7 @@
     }
 }
 
-fn service(program: &Path, dir: &Path, volumes: u64, nodes: u32) -> std::io::Result<Service> {
+fn start_service(program: &Path, dir: &Path, volumes: u64, nodes: u32) -> std::io::Result<Service> {
     let site = dir.join("site.star");
     let text = format!(
         r#"
@@ -156,12 +160,16 @@
         .trim()
         .strip_prefix("listening ")
         .and_then(|a| a.parse().ok());
-    let at = at.ok_or_else(|| std::io::Error::other("the service did not start"))?;
+    let at = at.ok_or_else(|| {
+        std::io::Error::other(
+            "state service: expected `listening ADDRESS` as the first line of output",
+        )
+    })?;
     Ok(Service(child, at))
 }
 
-/// Changes of volumes through so many connections, one after the other on each, as fast as they
-/// land.
+/// Changes volumes over `conns` connections, on each of them one change after the other, each as soon as
+/// the one before is committed.
 pub fn changes(
     program: &Path,
     span: Duration,
@@ -171,15 +179,16 @@
 ) -> std::io::Result<()> {
     let dir = std::env::temp_dir().join(format!("grebecleat-bench-changes-{}", std::process::id()));
     std::fs::create_dir_all(&dir)?;
-    let s = service(program, &dir, volumes, nodes)?;
-    let at = s.1;
+    let service = start_service(program, &dir, volumes, nodes)?;
+    let at = service.1;
     let until = Instant::now() + span;
     let workers: Vec<_> = (0..conns)
         .map(|w| {
             std::thread::spawn(move || -> std::io::Result<(u64, Histogram<u64>)> {
                 let mut c = Client::connect(at, "bench")?;
-                let mut took = Histogram::<u64>::new(3).expect("three digits");
-                let (mut n, mut landed) = (0, 0);
+                let mut latencies =
+                    Histogram::<u64>::new(3).expect("three significant digits are valid");
+                let (mut n, mut committed) = (0, 0);
                 while Instant::now() < until {
                     n += 1;
                     let id = (w + n * conns) % volumes;
@@ -193,8 +202,8 @@
                     };
                     let changes = vec![change_to_proto(&Change::Volume { id, to: Some(to) })];
                     let (author, reason) = ("bench".to_string(), String::new());
-                    let begun = Instant::now();
-                    let came = c.change(|call| {
+                    let started = Instant::now();
+                    let reply = c.change(|call| {
                         Body::Propose(pb::Propose {
                             call,
                             author,
@@ -203,52 +212,60 @@
                             ..Default::default()
                         })
                     })?;
-                    if let Reply::Committed(_) = came {
-                        landed += 1;
-                        let _ = took.record(begun.elapsed().as_micros() as u64);
+                    if let Reply::Committed(_) = reply {
+                        committed += 1;
+                        let _ = latencies.record(started.elapsed().as_micros() as u64);
                     }
                 }
-                Ok((landed, took))
+                Ok((committed, latencies))
             })
         })
         .collect();
-    let (mut landed, mut took) = (0, Histogram::<u64>::new(3).expect("three digits"));
+    let (mut committed, mut latencies) = (
+        0,
+        Histogram::<u64>::new(3).expect("three significant digits are valid"),
+    );
     for w in workers {
         let (n, own) = w
             .join()
-            .map_err(|_| std::io::Error::other("a worker panicked"))??;
-        landed += n;
-        took.add(own).expect("alike");
+            .map_err(|_| std::io::Error::other("a worker thread panicked"))??;
+        committed += n;
+        latencies.add(own).expect("histograms have the same bounds");
     }
     let size = std::fs::metadata(dir.join("bench.store"))?.len();
-    let ms = |q: f64| took.value_at_quantile(q) as f64 / 1e3;
+    let ms = |q: f64| latencies.value_at_quantile(q) as f64 / 1e3;
     println!(
         "| {volumes} | {nodes} | {conns} | {:.0} | {:.1} | {:.1} | {:.1} |",
-        landed as f64 / span.as_secs_f64(),
+        committed as f64 / span.as_secs_f64(),
         ms(0.5),
         ms(0.99),
         size as f64 / 1e6
     );
-    drop(s);
+    drop(service);
     std::fs::remove_dir_all(&dir)
 }
 
 pub fn measure(program: &Path, span: Duration, volumes: u64, extents: u64) -> std::io::Result<()> {
-    println!("| volumes | extents | run | file, MB | filled, s | opened, s | resident, MB |");
+    println!(
+        "| volumes | extents | mean run length | file, MB | fill, s | open, s | resident, MB |"
+    );
     println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     for run in [8u64, 64, 1024] {
-        // Each in a process of its own: what one leaves behind must not count for the next.
+        // Runs each measurement in a separate process, so that memory left over from one does not count in
+        // the next.
         let args = [volumes, extents, run].map(|n| n.to_string());
         let status = Command::new(std::env::current_exe()?)
             .arg("state-open")
             .args(args)
             .status()?;
         if !status.success() {
-            return Err(std::io::Error::other("a measurement failed"));
+            return Err(std::io::Error::other(
+                "the child process of a measurement failed; expected exit status 0",
+            ));
         }
     }
     println!(
-        "\n| volumes | nodes | connections | changes a second | p50, ms | p99, ms | file, MB |"
+        "\n| volumes | nodes | connections | changes per second | p50, ms | p99, ms | file, MB |"
     );
     println!("| ---: | ---: | ---: | ---: | ---: | ---: | ---: |");
     for (volumes, nodes, conns) in [
--- a/fuzz/fuzz_targets/session.rs
+++ b/fuzz/fuzz_targets/session.rs
@@ -1,4 +1,4 @@
-//! Bytes as a script of whole sessions through logins, commands, faults and losses.
+//! Runs arbitrary bytes as a script of iSCSI sessions: logins, commands, faults and lost connections.
 #![no_main]
 
 #[path = "../../crates/iscsi-target/tests/script/mod.rs"]
