--- a/crates/bench/src/commands.rs
+++ b/crates/bench/src/commands.rs
@@ -32,7 +32,7 @@
     HELD_BYTES.load(Ordering::Relaxed)
 }
 
-// SAFETY: every call is forwarded unchanged to the system allocator; only counters are updated besides.
+// SAFETY: every call is forwarded unchanged to the system allocator; the counters do not allocate.
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         if COUNTING.load(Ordering::Relaxed) {
--- a/crates/bench/src/deferral.rs
+++ b/crates/bench/src/deferral.rs
@@ -86,7 +86,7 @@
         Ok(session)
     }
 
-    fn prepare(&self) -> io::Result<()> {
+    fn write_all(&self) -> io::Result<()> {
         let mut session = self.login()?;
         for extent in 0..EXTENTS {
             while session
@@ -144,14 +144,14 @@
             let wait = wake
                 .saturating_sub(clock::now())
                 .clamp(Duration::from_micros(200), Duration::from_millis(5));
-            let Some((itt, answer)) = session.any_within(wait)? else {
+            let Some((itt, response)) = session.any_within(wait)? else {
                 continue;
             };
             let Some(arrived) = open.remove(&itt) else {
                 continue;
             };
             let now = clock::now();
-            match answer.status {
+            match response.status {
                 0 => {
                     counts.completed += 1;
                     counts.within_objective += u64::from(now <= arrived + LATENCY_OBJECTIVE);
@@ -159,7 +159,7 @@
                 8 => {
                     counts.busy += 1;
                     number += 1;
-                    let delay = answer.retry.filter(|_| self.honours_delay);
+                    let delay = response.retry.filter(|_| self.honours_delay);
                     // Adds jitter; otherwise all commands that were deferred together would be retried
                     // together.
                     let wait =
@@ -244,7 +244,7 @@
             .chain((0..OTHERS).map(|lun| (false, load(lun, false))))
             .collect();
         for (_, l) in &all {
-            l.prepare()?;
+            l.write_all()?;
         }
         let (mut reserved_counts, mut other_counts) = (Counts::default(), Counts::default());
         std::thread::scope(|s| -> io::Result<()> {
--- a/crates/bench/src/iscsi.rs
+++ b/crates/bench/src/iscsi.rs
@@ -148,12 +148,14 @@
             };
             let connections = CONNECTIONS.min(*open);
             let native = || {
-                let through = load_targets(&setup, *bytes)
+                let host_targets = load_targets(&setup, *bytes)
                     .0
                     .into_iter()
                     .take(connections)
                     .collect();
-                run_in_parallel(through, |t| t.closed_loop(open.div_ceil(connections), span))
+                run_in_parallel(host_targets, |t| {
+                    t.closed_loop(open.div_ceil(connections), span)
+                })
             };
             let commands = |digests: bool| run_in_parallel(load(*open, digests), |l| l.reads(span));
             native()?; // warm-up, not measured
--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -38,7 +38,8 @@
     }
 }
 
-fn start(
+/// Starts a process on these cores, with its standard error appended to `log`, and waits until it listens.
+fn start_server(
     program: &Path,
     args: &[&str],
     cores: &'static [usize],
@@ -50,11 +51,11 @@
         .stdin(Stdio::null())
         .stdout(Stdio::piped());
     command.stderr(fs::File::options().create(true).append(true).open(log)?);
-    // SAFETY: only async-signal-safe calls between fork and exec.
+    // SAFETY: the closure makes only async-signal-safe calls between fork and exec.
     unsafe { command.pre_exec(move || pin_to_cores(cores)) };
     let mut child = command.spawn()?;
     let mut line = String::new();
-    BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line)?;
+    BufReader::new(child.stdout.take().expect("stdout is piped")).read_line(&mut line)?;
     let address = line.trim().strip_prefix("listening ").map(str::to_string);
     Ok(ServerProcess(
         child,
@@ -66,7 +67,7 @@
     ))
 }
 
-/// Pins the calling thread and the threads and processes it starts to these cores.
+/// Pins the calling thread, and the threads and processes that it starts afterwards, to these cores.
 pub fn pin_to_cores(cores: &[usize]) -> io::Result<()> {
     // SAFETY: `cpu_set_t` is a plain bit set, valid when zeroed; the kernel only reads it during the call.
     let status = unsafe {
@@ -121,9 +122,9 @@
         TestSetup::with_host_args(program, nodes, extra_settings, &[])
     }
 
-    /// Starts the processes with the settings `extra_settings` in addition to the common ones. `host_args` holds extra
-    /// arguments for the host only; the argument `PLACES` is replaced by the path of a new file in the
-    /// temporary directory.
+    /// Starts the processes with `extra_settings` in addition to the settings common to all benchmarks.
+    /// `host_args` holds extra arguments for the host only; the argument `PLACES` is replaced by the path
+    /// of a new file in the temporary directory.
     pub fn with_host_args(
         program: &Path,
         nodes: u32,
@@ -151,13 +152,13 @@
         fs::write(&script, text)?;
         let file = script.to_str().expect("the path is valid UTF-8");
         let _ = fs::remove_file(&log);
-        let discovery = start(
+        let discovery = start_server(
             program,
             &["discovery-service", file, "--listen", "127.0.0.1:0"],
             &[0, 1, 2],
             &log,
         )?;
-        let running = start(
+        let nodes_process = start_server(
             program,
             &["node", file, "--list", &discovery.1],
             &[0, 1, 2],
@@ -180,7 +181,7 @@
             .iter()
             .map(|a| if *a == "PLACES" { store_path } else { *a })
             .collect();
-        let host = start(program, &[&args[..], &host_args].concat(), &[3], &log)?;
+        let host = start_server(program, &[&args[..], &host_args].concat(), &[3], &log)?;
         let registered = || fetch_endpoints(&discovery.1).unwrap_or_default();
         let mut endpoints = registered();
         while endpoints.len() < nodes as usize {
@@ -190,7 +191,7 @@
         let setup = TestSetup {
             dir,
             _discovery: discovery,
-            _nodes: running,
+            _nodes: nodes_process,
             host,
             nodes: endpoints,
         };
@@ -264,13 +265,15 @@
 }
 
 fn fetch_endpoints(at: &str) -> io::Result<Vec<(u32, SocketAddr)>> {
-    let (mut s, mut r) = connect(at.parse().map_err(io::Error::other)?, pb::Role::Client)?;
-    send_frames(&mut s, [Body::FetchEndpoints(pb::FetchEndpoints {})])?;
+    let (mut stream, mut reader) =
+        connect(at.parse().map_err(io::Error::other)?, pb::Role::Client)?;
+    send_frames(&mut stream, [Body::FetchEndpoints(pb::FetchEndpoints {})])?;
     let mut all = Vec::new();
-    for body in receive_bodies(&mut s, &mut r)? {
-        if let Body::EndpointUpdate(l) = body {
+    for body in receive_bodies(&mut stream, &mut reader)? {
+        if let Body::EndpointUpdate(update) = body {
             all.extend(
-                l.endpoints
+                update
+                    .endpoints
                     .iter()
                     .filter_map(|e| Some((e.node, e.address.parse().ok()?))),
             );
@@ -291,7 +294,7 @@
 }
 
 impl Transfer {
-    fn draw(nodes: &[(u32, SocketAddr)], length: u32, write: bool) -> Self {
+    fn next(nodes: &[(u32, SocketAddr)], length: u32, write: bool) -> Self {
         let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let node = nodes[(number % nodes.len() as u64) as usize].0;
         Transfer {
@@ -368,11 +371,11 @@
 }
 
 impl Target {
-    fn body(&self, w: &Transfer) -> Body {
+    fn body(&self, transfer: &Transfer) -> Body {
         if self.through_host {
-            w.request_body()
+            transfer.request_body()
         } else {
-            w.attempt_body()
+            transfer.attempt_body()
         }
     }
 
@@ -391,22 +394,22 @@
     /// and the fraction of requests that failed.
     pub fn closed_loop(&self, open: usize, span: Duration) -> io::Result<(f64, f64)> {
         let (mut stream, mut reader) = self.connect()?;
-        let draw = || self.body(&Transfer::draw(&self.nodes, self.length, false));
-        send_frames(&mut stream, (0..open).map(|_| draw()))?;
-        let (start, mut done, mut failed) = (clock::now(), 0u64, 0u64);
+        let next_body = || self.body(&Transfer::next(&self.nodes, self.length, false));
+        send_frames(&mut stream, (0..open).map(|_| next_body()))?;
+        let (start, mut succeeded, mut failed) = (clock::now(), 0u64, 0u64);
         while clock::now() < start + span {
-            let answers: Vec<_> = receive_bodies(&mut stream, &mut reader)?
+            let responses: Vec<_> = receive_bodies(&mut stream, &mut reader)?
                 .iter()
                 .filter_map(parse_response)
                 .collect();
-            failed += answers.iter().filter(|a| !a.1).count() as u64;
-            done += answers.iter().filter(|a| a.1).count() as u64;
-            send_frames(&mut stream, answers.iter().map(|_| draw()))?;
+            failed += responses.iter().filter(|a| !a.1).count() as u64;
+            succeeded += responses.iter().filter(|a| a.1).count() as u64;
+            send_frames(&mut stream, responses.iter().map(|_| next_body()))?;
         }
         let elapsed = (clock::now() - start).as_secs_f64();
         Ok((
-            done as f64 / elapsed,
-            failed as f64 / (done + failed).max(1) as f64,
+            succeeded as f64 / elapsed,
+            failed as f64 / (succeeded + failed).max(1) as f64,
         ))
     }
 
@@ -428,7 +431,7 @@
                 let now = clock::now();
                 let ready = (i..count).take_while(|j| due(*j) <= now).count() as u64;
                 let node = |n: u64| target.nodes[(n % target.nodes.len() as u64) as usize].0;
-                let work = (i..i + ready).map(|j| first + j).map(|number| Transfer {
+                let transfers = (i..i + ready).map(|j| first + j).map(|number| Transfer {
                     number,
                     node: node(number),
                     volume: number % VOLUMES,
@@ -436,7 +439,10 @@
                     length: target.length,
                     write: false,
                 });
-                send_frames(&mut writer, work.map(|w| target.body(&w)))?;
+                send_frames(
+                    &mut writer,
+                    transfers.map(|transfer| target.body(&transfer)),
+                )?;
                 i += ready;
                 std::thread::sleep(
                     due(i)
@@ -447,15 +453,15 @@
             Ok(())
         });
         let mut times = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-        let mut left = count;
-        while left > 0 {
+        let mut remaining = count;
+        while remaining > 0 {
             for (number, _) in receive_bodies(&mut stream, &mut reader)?
                 .iter()
                 .filter_map(parse_response)
             {
                 let elapsed = clock::now().saturating_sub(due(number - first));
                 times.saturating_record(elapsed.as_micros() as u64);
-                left -= 1;
+                remaining -= 1;
             }
         }
         sender
@@ -472,10 +478,10 @@
     each: impl Fn(&T) -> io::Result<(f64, f64)> + Sync,
 ) -> io::Result<(f64, f64)> {
     std::thread::scope(|s| {
-        let all: Vec<_> = targets.iter().map(|t| s.spawn(|| each(t))).collect();
+        let threads: Vec<_> = targets.iter().map(|t| s.spawn(|| each(t))).collect();
         let (mut rate_sum, mut failed_mean) = (0.0, 0.0);
-        for one in all {
-            let (rate, failed) = one
+        for thread in threads {
+            let (rate, failed) = thread
                 .join()
                 .map_err(|_| io::Error::other("a load thread panicked"))??;
             (rate_sum, failed_mean) =
@@ -569,13 +575,13 @@
         let (mut stream, mut reader) = connect(*at, pb::Role::Host)?;
         for volume in 0..VOLUMES {
             for extent in 0..EXTENTS {
-                let work = Transfer {
+                let transfer = Transfer {
                     volume,
                     extent,
                     write: true,
-                    ..Transfer::draw(&[(*id, *at)], length, true)
+                    ..Transfer::next(&[(*id, *at)], length, true)
                 };
-                send_frames(&mut stream, [work.attempt_body()])?;
+                send_frames(&mut stream, [transfer.attempt_body()])?;
                 receive_bodies(&mut stream, &mut reader)?;
             }
         }
@@ -602,10 +608,10 @@
     let (rate, failed) = run_in_parallel(through, each)?;
     let elapsed = (clock::now() - started).as_secs_f64();
     let cpu = process_usage(setup.host.0.id())?.0 - before.0;
-    let (plain, _) = run_in_parallel(direct, each)?;
-    let batch = setup.end()?;
+    let (direct_rate, _) = run_in_parallel(direct, each)?;
+    let events_per_step = setup.end()?;
     println!(
-        "| {nodes} | {length} | {open} | {rate:.0} | {:.1}% | {plain:.0} | {:.0}% | {:.1} | {batch:.1} |",
+        "| {nodes} | {length} | {open} | {rate:.0} | {:.1}% | {direct_rate:.0} | {:.0}% | {:.1} | {events_per_step:.1} |",
         100.0 * failed,
         100.0 * cpu / elapsed,
         cpu / elapsed / rate * 1e6
@@ -618,7 +624,7 @@
     write_test_data(&setup, length)?;
     let (through, direct) = load_targets(&setup, length);
     through[0].open_loop(rate, span / 3)?;
-    let show = |h: &Histogram<u64>| {
+    let format_quantiles = |h: &Histogram<u64>| {
         format!(
             "{} / {} / {}",
             h.value_at_quantile(0.5),
@@ -626,13 +632,13 @@
             h.value_at_quantile(0.999)
         )
     };
-    let host = through[0].open_loop(rate, span)?;
-    let plain = direct[0].open_loop(rate, span)?;
+    let host_times = through[0].open_loop(rate, span)?;
+    let direct_times = direct[0].open_loop(rate, span)?;
     setup.end()?;
     println!(
         "| {nodes} | {length} | {rate:.0} | {} | {} |",
-        show(&plain),
-        show(&host)
+        format_quantiles(&direct_times),
+        format_quantiles(&host_times)
     );
     Ok(())
 }
@@ -651,7 +657,7 @@
         let (mut stream, _reader) = connect(setup.address(), pb::Role::Client)?;
         send_frames(
             &mut stream,
-            (0..open).map(|_| Transfer::draw(&setup.nodes, 512, false).request_body()),
+            (0..open).map(|_| Transfer::next(&setup.nodes, 512, false).request_body()),
         )?;
         std::thread::sleep(Duration::from_millis(1500));
         let after = process_usage(setup.host.0.id())?.1;
--- a/crates/bench/src/state.rs
+++ b/crates/bench/src/state.rs
@@ -155,7 +155,7 @@
         .args(["--listen", "127.0.0.1:0"]);
     let mut child = c.stdout(Stdio::piped()).spawn()?;
     let mut line = String::new();
-    BufReader::new(child.stdout.take().expect("piped")).read_line(&mut line)?;
+    BufReader::new(child.stdout.take().expect("stdout is piped")).read_line(&mut line)?;
     let at = line
         .trim()
         .strip_prefix("listening ")
--- a/fuzz/fuzz_targets/pdu.rs
+++ b/fuzz/fuzz_targets/pdu.rs
@@ -9,11 +9,11 @@
 const MAX_DATA_BYTES: usize = 2048;
 
 fuzz_target!(|bytes: &[u8]| {
-    let [digest_flags, size, bytes @ ..] = bytes else { return };
+    let [digest_flags, chunk_size, bytes @ ..] = bytes else { return };
     let digests = Digests { header: digest_flags & 1 != 0, data: digest_flags & 2 != 0 };
     let mut reader = Reader::new(MAX_DATA_BYTES);
     reader.digests = digests;
-    for chunk in bytes.chunks(usize::from(*size) + 1) {
+    for chunk in bytes.chunks(usize::from(*chunk_size) + 1) {
         reader.push(chunk);
         loop {
             match reader.next() {
