--- a/crates/bench/src/sockets.rs
+++ b/crates/bench/src/sockets.rs
@@ -1,7 +1,7 @@
 //! Measures a host process pinned to one core, between clients in this process and simulated nodes in
 //! another process, over loopback connections.
 //!
-//! Closed loops measure requests per second. Open loops at half that rate measure the latency that
+//! Closed loops measure requests per second. Open loops at fixed rates measure the latency that
 //! the host adds, in comparison with the same reads sent directly to the simulated nodes. Every loop
 //! runs for a fixed duration.
 
